--- a/cmd/fieldtrip/main.go
+++ b/cmd/fuzzdays/main.go
@@ -1,4 +1,4 @@
-// Command fieldtrip plays days of deployments that nobody has seen and keeps those that break a rule.
+// Command fuzzdays plays days of deployments that nobody has seen and keeps those that break a rule.
 package main
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/joomcode/errorx"
 	"github.com/pelletier/go-toml/v2"
 
-	"dockshift.example/dockshift/internal/rehearsal/fieldtrip"
+	"dockshift.example/dockshift/internal/rehearsal/fuzzdays"
 )
 
 type cli struct {
 	Bench string        `required:"" type:"path" help:"Program that plays a day: PROGRAM run SITE DAY --report FILE."`
 	Repo  string        `default:"." type:"path" help:"Repository that is played; its journal gets the entries."`
-	Out   string        `default:"/tmp/fieldtrip" type:"path" help:"Scratch folder for site and day files."`
+	Out   string        `default:"/tmp/fuzzdays" type:"path" help:"Scratch folder for site and day files."`
 	Seed  int64         `default:"1" help:"First seed."`
 	Days  int           `default:"20" help:"Number of days."`
 	Jobs  int           `default:"3" help:"Plays at a time."`
@@ -86,7 +86,7 @@
 	if err != nil {
 		return "", false, errorx.ExternalError.Wrap(err, "site file")
 	}
-	trip, err := fieldtrip.Draw(text, seed)
+	trip, err := fuzzdays.Draw(text, seed)
 	if err != nil {
 		return "", false, err
 	}
@@ -102,7 +102,7 @@
 	if err := os.WriteFile(filepath.Join(folder, "wire.json"), wire, 0o644); err != nil {
 		return "", false, errorx.ExternalError.Wrap(err, "wire file")
 	}
-	for name, table := range map[string]fieldtrip.Table{site: trip.Site, day: trip.Day} {
+	for name, table := range map[string]fuzzdays.Table{site: trip.Site, day: trip.Day} {
 		raw, err := toml.Marshal(table)
 		if err == nil {
 			err = os.WriteFile(name, raw, 0o644)
@@ -125,7 +125,7 @@
 	if err != nil {
 		return "", false, errorx.ExternalError.New("no report (%v): %s", runErr, last(string(out), 400))
 	}
-	r, err := fieldtrip.ParseReport(raw)
+	r, err := fuzzdays.ParseReport(raw)
 	if err != nil {
 		return "", false, err
 	}
--- a/cmd/yard/rehearse.go
+++ b/cmd/yard/demo.go
@@ -10,22 +10,22 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/yard"
+	"dockshift.example/dockshift/internal/rehearsal/tierdemo"
 	"golang.org/x/sys/unix"
 )
 
-type rehearseCmd struct {
+type demoCmd struct {
 	Calm    time.Duration `help:"Time without trouble." default:"20s"`
-	Trouble time.Duration `help:"Time with trouble: a vault and the clearing primary are stopped, endpoints released." default:"20s"`
+	Trouble time.Duration `help:"Time with trouble: a turn store and the control plane primary are stopped, endpoints released." default:"20s"`
 	Rate    float64       `help:"Programs a second." default:"5"`
 	Report  string        `help:"Write a page of HTML, with plots." type:"path" placeholder:"FILE"`
 	Log     string        `help:"Write what the processes of the tier log." type:"path" placeholder:"FILE"`
 }
 
-func (k rehearseCmd) Run() error {
+func (k demoCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	o := yard.Options{Calm: k.Calm, Trouble: k.Trouble, Rate: k.Rate}
+	o := tierdemo.Options{Calm: k.Calm, Trouble: k.Trouble, Rate: k.Rate}
 	if k.Log != "" {
 		file, err := os.Create(k.Log)
 		if err != nil {
@@ -37,7 +37,7 @@
 	if terminal(os.Stderr) {
 		progress(&o, os.Stderr)
 	}
-	report, err := yard.Run(ctx, o)
+	report, err := tierdemo.Run(ctx, o)
 	if err != nil {
 		return err
 	}
@@ -59,8 +59,8 @@
 }
 
 // progress has one line renewed each second, and each event on a line of its own. Calls come from several goroutines, one write each.
-func progress(o *yard.Options, out io.Writer) {
-	o.Progress = func(at time.Duration, phase string, c yard.Counts) {
+func progress(o *tierdemo.Options, out io.Writer) {
+	o.Progress = func(at time.Duration, phase string, c tierdemo.Counts) {
 		fmt.Fprintf(out, "\r\x1b[K%3.0f s  %-8s programs %d of %d  failed %d  turns %d  first event p50 %v p99 %v", at.Seconds(), phase,
 			c.Whole+c.Spent, c.Asked, c.Failed, c.Turns, c.FirstP50.Round(time.Millisecond), c.FirstP99.Round(time.Millisecond))
 		if phase == "end" {
@@ -75,7 +75,7 @@
 	return err == nil
 }
 
-func writePage(path string, r *yard.Report) error {
+func writePage(path string, r *tierdemo.Report) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/yard/main.go
+++ b/cmd/yard/main.go
@@ -19,12 +19,12 @@
 	LogLevel string           `help:"Least level that is logged." enum:"debug,info,warn,error" default:"info"`
 	Version  kong.VersionFlag `help:"Print the version."`
 
-	Counter  counterCmd  `cmd:"" help:"Carry the traffic: take requests from clients and pass them to endpoints (edge machines)."`
-	Clearing clearingCmd `cmd:"" help:"Keep the control state: configuration, endpoints, the map of vaults (core machines)."`
-	Vault    vaultCmd    `cmd:"" help:"Keep turns and budgets (storage machines)."`
-	Check    checkCmd    `cmd:"" help:"Check a settings file, or a configuration, and print every finding with its place."`
-	Status   statusCmd   `cmd:"" help:"Show what a clearing process is and knows: primary, epoch, sessions, map of vaults."`
-	Rehearse rehearseCmd `cmd:"" help:"Play a small tier whole on loopback, calm and with trouble, and check what it promises."`
+	Gateway      gatewayCmd      `cmd:"" help:"Carry the traffic: take requests from clients and pass them to endpoints (edge machines)."`
+	ControlPlane controlPlaneCmd `cmd:"" help:"Keep the control state: configuration, endpoints, the map of turn stores (core machines)."`
+	TurnStore    turnStoreCmd    `cmd:"" help:"Keep turns and budgets (storage machines)."`
+	Check        checkCmd        `cmd:"" help:"Check a settings file, or a configuration, and print every finding with its place."`
+	Status       statusCmd       `cmd:"" help:"Show what a control-plane process is and knows: primary, epoch, sessions, map of turn stores."`
+	Demo         demoCmd         `cmd:"" help:"Play a small tier whole on loopback, calm and with trouble, and check what it promises."`
 }
 
 func main() {
--- a/cmd/yard/operate.go
+++ b/cmd/yard/operate.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/catalog"
+	"dockshift.example/dockshift/internal/tier/routing"
 	"dockshift.example/dockshift/internal/tier/settings"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/encoding/protojson"
@@ -40,7 +40,7 @@
 		if strings.HasSuffix(name, ".json") {
 			body, err := os.ReadFile(name)
 			if err == nil {
-				_, err = catalog.Parse(body)
+				_, err = routing.Parse(body)
 			}
 			say(name, err)
 			continue
@@ -55,7 +55,7 @@
 }
 
 type statusCmd struct {
-	At   []string `help:"Internal addresses (host:port) of clearing processes; else the seeds of the settings file." placeholder:"ADDRESS"`
+	At   []string `help:"Internal addresses (host:port) of control-plane processes; else the seeds of the settings file." placeholder:"ADDRESS"`
 	JSON bool     `help:"Print JSON."`
 }
 
@@ -72,7 +72,7 @@
 		}
 		at = s.SeedInternal()
 	}
-	dial := dialer(dialClearing)
+	dial := dialer(dialControlPlane)
 	var failed []string
 	for _, a := range at {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -112,10 +112,10 @@
 		fmt.Fprintf(w, "  member\t%s\t%s\t%s\n", m.Node, m.Address, m.Zone)
 	}
 	for _, one := range s.Sessions {
-		fmt.Fprintf(w, "  session\t%s\t%s\tcatalog %d\tendpoints %d\tvaults %d\tsilent %d ms\n", one.Node, one.Role, one.Catalog, one.Endpoints, one.Vaults, one.SilentMs)
+		fmt.Fprintf(w, "  session\t%s\t%s\tcatalog %d\tendpoints %d\tvaults %d\tsilent %d ms\n", one.Node, one.Role, one.Configuration, one.Endpoints, one.PartitionMap, one.SilentMs)
 	}
 	whole := 0
-	for _, p := range s.GetVaults().GetPartitions() {
+	for _, p := range s.GetPartitionMap().GetPartitions() {
 		ok := len(p.Backups) > 0
 		for _, b := range p.Backups {
 			ok = ok && b.Synced
@@ -124,7 +124,7 @@
 			whole++
 		}
 	}
-	if v := s.GetVaults(); v != nil {
+	if v := s.GetPartitionMap(); v != nil {
 		fmt.Fprintf(w, "  partitions\t%d\twith all copies\t%d\n", len(v.Partitions), whole)
 	}
 }
--- a/cmd/yard/roles.go
+++ b/cmd/yard/roles.go
@@ -5,25 +5,25 @@
 	"net/http"
 	"sync"
 
-	"dockshift.example/dockshift/internal/tier/clearing"
-	"dockshift.example/dockshift/internal/tier/control"
-	"dockshift.example/dockshift/internal/tier/counter"
-	"dockshift.example/dockshift/internal/tier/ledger"
-	"dockshift.example/dockshift/internal/tier/link"
+	"dockshift.example/dockshift/internal/tier/consensus"
+	"dockshift.example/dockshift/internal/tier/controlplane"
+	"dockshift.example/dockshift/internal/tier/gateway"
+	"dockshift.example/dockshift/internal/tier/rpcserver"
 	"dockshift.example/dockshift/internal/tier/session"
-	"dockshift.example/dockshift/internal/tier/vault"
+	"dockshift.example/dockshift/internal/tier/turnstore"
+	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
 // Ports of the roles, from the first of internal_port_range.
 const (
-	clearingPort = 0
-	vaultPort    = 1
+	controlPlanePort = 0
+	turnStorePort    = 1
 )
 
 // dialer keeps a client for each address.
 func dialer[T any](make func(url string, c *http.Client) T) func(address string) T {
-	client := link.NewClient()
+	client := rpcserver.NewClient()
 	var mu sync.Mutex
 	known := map[string]T{}
 	return func(address string) T {
@@ -38,72 +38,72 @@
 	}
 }
 
-func dialClearing(url string, c *http.Client) tierv1.Clearing {
-	return tierv1.NewClearingProtobufClient(url, c)
+func dialControlPlane(url string, c *http.Client) tierv1.ControlPlane {
+	return tierv1.NewControlPlaneProtobufClient(url, c)
 }
-func dialRegister(url string, c *http.Client) tierv1.Register {
-	return tierv1.NewRegisterProtobufClient(url, c)
+func dialRegister(url string, c *http.Client) tierv1.Election {
+	return tierv1.NewElectionProtobufClient(url, c)
 }
-func dialVault(url string, c *http.Client) tierv1.Vault {
-	return tierv1.NewVaultProtobufClient(url, c)
+func dialTurnStore(url string, c *http.Client) tierv1.TurnStore {
+	return tierv1.NewTurnStoreProtobufClient(url, c)
 }
 
-type counterCmd struct{}
+type gatewayCmd struct{}
 
-func (counterCmd) Run(c *cli) error {
+func (gatewayCmd) Run(c *cli) error {
 	ctx, s, l, err := c.start()
 	if err != nil {
 		return err
 	}
-	return counter.New(counter.Config{Settings: s, Clearing: dialer(dialClearing), Vault: dialer(dialVault), Log: l}).Run(ctx)
+	return gateway.New(gateway.Config{Settings: s, ControlPlane: dialer(dialControlPlane), TurnStore: dialer(dialTurnStore), Log: l}).Run(ctx)
 }
 
-type clearingCmd struct{}
+type controlPlaneCmd struct{}
 
-func (clearingCmd) Run(c *cli) error {
+func (controlPlaneCmd) Run(c *cli) error {
 	ctx, s, l, err := c.start()
 	if err != nil {
 		return err
 	}
-	node, err := control.Open(control.Config{Self: &tierv1.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, Address: s.Internal(clearingPort)}, Seeds: s.SeedInternal(),
-		Bootstrap: s.Bootstrap, Losses: s.Losses(), Dir: s.DataDir, FS: ledger.OS{}, ContactWindow: s.ContactWindow, Heartbeat: s.Heartbeat,
+	node, err := consensus.Open(consensus.Config{Self: &tierv1.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, Address: s.Internal(controlPlanePort)}, Seeds: s.SeedInternal(),
+		Bootstrap: s.Bootstrap, Losses: s.Losses(), Dir: s.DataDir, FS: wal.OS{}, ContactWindow: s.ContactWindow, Heartbeat: s.Heartbeat,
 		SyncTime: s.SyncTime, Dial: dialer(dialRegister), Log: l})
 	if err != nil {
 		return err
 	}
-	role := clearing.New(clearing.Config{Settings: s, Store: node, Cloud: link.NewClient(), Log: l})
+	role := controlplane.New(controlplane.Config{Settings: s, Store: node, Cloud: rpcserver.NewClient(), Log: l})
 	mux := http.NewServeMux()
-	mux.Handle(tierv1.RegisterPathPrefix, node.Handler())
-	mux.Handle(tierv1.ClearingPathPrefix, tierv1.NewClearingServer(role.Sessions()))
-	if _, err := link.Serve(ctx, s.Internal(clearingPort), mux); err != nil {
+	mux.Handle(tierv1.ElectionPathPrefix, node.Handler())
+	mux.Handle(tierv1.ControlPlanePathPrefix, tierv1.NewControlPlaneServer(role.Sessions()))
+	if _, err := rpcserver.Serve(ctx, s.Internal(controlPlanePort), mux); err != nil {
 		return err
 	}
-	if _, err := link.Serve(ctx, s.Control, role.Operators()); err != nil {
+	if _, err := rpcserver.Serve(ctx, s.Control, role.Operators()); err != nil {
 		return err
 	}
-	l.Info().Str("event", "started").Str("role", "clearing").Str("node", s.Node).Msg("")
+	l.Info().Str("event", "started").Str("role", "controlplane").Str("node", s.Node).Msg("")
 	go role.Run(ctx)
 	return node.Run(ctx)
 }
 
-type vaultCmd struct{}
+type turnStoreCmd struct{}
 
-func (vaultCmd) Run(c *cli) error {
+func (turnStoreCmd) Run(c *cli) error {
 	ctx, s, l, err := c.start()
 	if err != nil {
 		return err
 	}
-	v, err := vault.Open(vault.Config{Node: s.Node, Dir: s.DataDir, FS: ledger.OS{}, Dial: dialer(dialVault),
+	v, err := turnstore.Open(turnstore.Config{Node: s.Node, Dir: s.DataDir, FS: wal.OS{}, Dial: dialer(dialTurnStore),
 		DiskBytes: int64(s.DiskMB) << 20, MemoryBytes: int64(s.MemoryMB) << 20 / 2, Log: l})
 	if err != nil {
 		return err
 	}
-	if _, err := link.Serve(context.WithoutCancel(ctx), s.Internal(vaultPort), tierv1.NewVaultServer(v)); err != nil {
+	if _, err := rpcserver.Serve(context.WithoutCancel(ctx), s.Internal(turnStorePort), tierv1.NewTurnStoreServer(v)); err != nil {
 		return err
 	}
-	held := session.New(session.Config{Settings: s, Role: "vault", Folder: v.Folder(), Address: s.Internal(vaultPort), Empty: v.WasEmpty(),
-		Dial: dialer(dialClearing), Synced: v.Synced, Log: l, Vaults: v.Apply})
-	l.Info().Str("event", "started").Str("role", "vault").Str("node", s.Node).Str("folder", v.Folder()).Msg("")
+	held := session.New(session.Config{Settings: s, Role: "turnstore", Folder: v.Folder(), Address: s.Internal(turnStorePort), Empty: v.WasEmpty(),
+		Dial: dialer(dialControlPlane), Synced: v.Synced, Log: l, PartitionMap: v.Apply})
+	l.Info().Str("event", "started").Str("role", "turnstore").Str("node", s.Node).Str("folder", v.Folder()).Msg("")
 	// After SIGTERM it serves on until its partitions have other primaries, for half of the time it has.
 	serving, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -11,6 +11,7 @@
 	"time"
 
 	bolt "go.etcd.io/bbolt"
+	berrors "go.etcd.io/bbolt/errors"
 )
 
 // lockTime is how long another process may hold a file.
@@ -30,9 +31,9 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	db, err = bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTime, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType, NoFreelistSync: true})
 	switch {
-	case errors.Is(err, bolt.ErrTimeout):
+	case errors.Is(err, berrors.ErrTimeout):
 		return nil, fmt.Errorf("%s is held by another process: a sender that runs", path)
-	case errors.Is(err, bolt.ErrInvalid), errors.Is(err, bolt.ErrChecksum), errors.Is(err, bolt.ErrVersionMismatch):
+	case errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum), errors.Is(err, berrors.ErrVersionMismatch):
 		return nil, fmt.Errorf("%s is damaged, or no store: %w", path, err)
 	}
 	return db, err
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -24,7 +24,6 @@
 	court *verdict.Court
 	duty  *duty.Duty[any, any]
 	own   map[uint32]verdict.Testimony // seen here, and not told yet
-	tells time.Duration                // they were told last
 }
 
 const (
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -26,7 +26,8 @@
 }
 
 func TestKeys(t *testing.T) {
-	if KeyOf("a", "bc") == KeyOf("ab", "c") || KeyOf("a", "b") == KeyOf("b", "a") || KeyOf("/s", "1") != KeyOf("/s", "1") {
+	first, second := KeyOf("/s", "1"), KeyOf("/s", "1")
+	if KeyOf("a", "bc") == KeyOf("ab", "c") || KeyOf("a", "b") == KeyOf("b", "a") || first != second {
 		t.Error("keys do not tell source and id apart")
 	}
 }
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -58,14 +58,12 @@
 	lease   time.Duration // of the fleet's, in true time
 	heard   uint64        // roster that it knows to be coming
 	alarm   time.Duration // true time
-	stepped bool
 	load    map[string]*simLoad
 }
 
 // simLoad is messages that come for a limit at a pace, and wait.
 type simLoad struct {
 	every   time.Duration
-	next    time.Duration
 	waiting int64
 	again   time.Duration
 	paced   time.Duration
--- a/internal/rehearsal/fieldtrip/report.go
+++ b/internal/rehearsal/fuzzdays/report.go
@@ -1,4 +1,4 @@
-package fieldtrip
+package fuzzdays
 
 import (
 	"encoding/json"
--- a/internal/rehearsal/fieldtrip/site.go
+++ b/internal/rehearsal/fuzzdays/site.go
@@ -1,6 +1,6 @@
-// Package fieldtrip draws deployments and days that nobody has seen, from a known site file and a seed: other
+// Package fuzzdays draws deployments and days that nobody has seen, from a known site file and a seed: other
 // zones, delays, machines, disks and bounds, with own mixes of troubles. The same seed draws the same day.
-package fieldtrip
+package fuzzdays
 
 import (
 	"fmt"
--- a/internal/rehearsal/yard/client.go
+++ b/internal/rehearsal/tierdemo/client.go
@@ -1,4 +1,4 @@
-package yard
+package tierdemo
 
 import (
 	"bufio"
@@ -34,17 +34,17 @@
 	return a.status == 400 || a.status == 401 || a.status == 402 || a.status == 403 || a.status == 404 || a.status == 410 || a.status == 413
 }
 
-// caller sends the requests of programs to counters.
+// caller sends the requests of programs to gateways.
 type caller struct {
 	witness  *witness
 	client   *http.Client
-	counters []string
+	gateways []string
 	host     string
 }
 
-func newCaller(w *witness, counters []string) *caller {
+func newCaller(w *witness, gateways []string) *caller {
 	dial := &net.Dialer{Timeout: time.Second}
-	return &caller{witness: w, counters: counters, host: routeHost, client: &http.Client{
+	return &caller{witness: w, gateways: gateways, host: routeHost, client: &http.Client{
 		Transport: &http.Transport{DialContext: dial.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 32},
 	}}
 }
@@ -60,8 +60,8 @@
 	tries   int // most, of those that end with a promise, or can be repeated
 }
 
-// send makes one try at a counter.
-func (c *caller) send(ctx context.Context, counter string, r request, left time.Duration) (id string, a answer) {
+// send makes one try at a gateway.
+func (c *caller) send(ctx context.Context, gateway string, r request, left time.Duration) (id string, a answer) {
 	t := r.try
 	t.path = r.path
 	t.id = strconv.FormatUint(rand.Uint64()|1<<63, 16)
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	// With POST, the client of the standard library does not send one again by itself after it was written.
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+counter+r.path, strings.NewReader(t.input))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+r.path, strings.NewReader(t.input))
 	if err != nil {
 		return t.id, a
 	}
@@ -126,20 +126,20 @@
 }
 
 // ask tries until there is an answer that stands, within the request's time: after a promise, and where it can be repeated,
-// after any failure, at another counter.
+// after any failure, at another gateway.
 func (c *caller) ask(ctx context.Context, r request) (id string, a answer) {
 	until := time.Now().Add(r.timeout)
-	at := rand.N(len(c.counters))
+	at := rand.N(len(c.gateways))
 	for n := 1; ; n++ {
 		left := time.Until(until)
 		if left <= 0 || ctx.Err() != nil {
 			return id, a
 		}
-		id, a = c.send(ctx, c.counters[at], r, left)
+		id, a = c.send(ctx, c.gateways[at], r, left)
 		if a.whole && a.status/100 == 2 || a.final() || n >= r.tries || !a.promised() && !r.try.repeatable {
 			return id, a
 		}
-		at = (at + 1) % len(c.counters)
+		at = (at + 1) % len(c.gateways)
 		pause(ctx, min(max(a.retryAfter, 20*time.Millisecond), time.Until(until)/3))
 	}
 }
--- a/internal/rehearsal/yard/client_test.go
+++ b/internal/rehearsal/tierdemo/client_test.go
@@ -1,4 +1,4 @@
-package yard
+package tierdemo
 
 import (
 	"bytes"
@@ -95,8 +95,8 @@
 	})
 }
 
-// A program that meets a counter with a fault is what a rehearsal is for.
-func TestFaultsOfACounterAreFound(t *testing.T) {
+// A program that meets a gateway with a fault is what a rehearsal is for.
+func TestFaultsOfAGatewayAreFound(t *testing.T) {
 	type sender = func([]byte) (int, http.Header, []byte)
 	for name, one := range map[string]struct {
 		spoil func(body []byte, send sender) (int, http.Header, []byte)
--- a/internal/rehearsal/yard/process.go
+++ b/internal/rehearsal/tierdemo/process.go
@@ -1,4 +1,4 @@
-package yard
+package tierdemo
 
 import (
 	"context"
@@ -14,21 +14,21 @@
 	"github.com/joomcode/errorx"
 	"github.com/phuslu/log"
 
-	"dockshift.example/dockshift/internal/tier/clearing"
-	"dockshift.example/dockshift/internal/tier/control"
-	"dockshift.example/dockshift/internal/tier/counter"
-	"dockshift.example/dockshift/internal/tier/ledger"
-	"dockshift.example/dockshift/internal/tier/link"
+	"dockshift.example/dockshift/internal/tier/consensus"
+	"dockshift.example/dockshift/internal/tier/controlplane"
+	"dockshift.example/dockshift/internal/tier/gateway"
+	"dockshift.example/dockshift/internal/tier/rpcserver"
 	"dockshift.example/dockshift/internal/tier/session"
 	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/vault"
+	"dockshift.example/dockshift/internal/tier/turnstore"
+	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
 // Ports of a machine, from the first; they are the same on all machines.
 const (
-	clearingPort = iota // the two that the roles speak to each other at, in the roles' own order
-	vaultPort
+	controlPlanePort = iota // the two that the roles speak to each other at, in the roles' own order
+	turnStorePort
 	operatorPort
 	frontendPort
 	readinessPort
@@ -69,14 +69,14 @@
 	}
 }
 
-func dialClearing(url string, c tierv1.HTTPClient) tierv1.Clearing {
-	return tierv1.NewClearingProtobufClient(url, c)
+func dialControlPlane(url string, c tierv1.HTTPClient) tierv1.ControlPlane {
+	return tierv1.NewControlPlaneProtobufClient(url, c)
 }
-func dialRegister(url string, c tierv1.HTTPClient) tierv1.Register {
-	return tierv1.NewRegisterProtobufClient(url, c)
+func dialRegister(url string, c tierv1.HTTPClient) tierv1.Election {
+	return tierv1.NewElectionProtobufClient(url, c)
 }
-func dialVault(url string, c tierv1.HTTPClient) tierv1.Vault {
-	return tierv1.NewVaultProtobufClient(url, c)
+func dialTurnStore(url string, c tierv1.HTTPClient) tierv1.TurnStore {
+	return tierv1.NewTurnStoreProtobufClient(url, c)
 }
 
 // start begins a life of the process. Its errors are those of its folder and its ports.
@@ -87,8 +87,8 @@
 		return nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &life{ctx: ctx, client: link.NewClient()}
-	run := map[string]func(*life) error{"clearing": p.clearing, "vault": p.vault, "counter": p.counter}[p.settings.Role]
+	l := &life{ctx: ctx, client: rpcserver.NewClient()}
+	run := map[string]func(*life) error{"controlplane": p.controlplane, "turnstore": p.turnstore, "gateway": p.gateway}[p.settings.Role]
 	if err := run(l); err != nil {
 		cancel()
 		l.loops.Wait()
@@ -123,41 +123,41 @@
 	return p.stop != nil
 }
 
-func (p *process) clearing(l *life) error {
+func (p *process) controlplane(l *life) error {
 	s := p.settings
-	node, err := control.Open(control.Config{Self: &tierv1.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, Address: s.Internal(clearingPort)},
-		Seeds: s.SeedInternal(), Bootstrap: s.Bootstrap, Losses: s.Losses(), Dir: s.DataDir, FS: ledger.OS{}, ContactWindow: s.ContactWindow,
+	node, err := consensus.Open(consensus.Config{Self: &tierv1.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, Address: s.Internal(controlPlanePort)},
+		Seeds: s.SeedInternal(), Bootstrap: s.Bootstrap, Losses: s.Losses(), Dir: s.DataDir, FS: wal.OS{}, ContactWindow: s.ContactWindow,
 		Heartbeat: s.Heartbeat, SyncTime: s.SyncTime, Dial: dialer(l, dialRegister), Log: p.log})
 	if err != nil {
 		return err
 	}
 	l.loops.Go(func() { _ = node.Run(l.ctx) }) // it closes the folder
-	role := clearing.New(clearing.Config{Settings: s, Store: node, Cloud: l.client, Log: p.log})
+	role := controlplane.New(controlplane.Config{Settings: s, Store: node, Cloud: l.client, Log: p.log})
 	mux := http.NewServeMux()
-	mux.Handle(tierv1.RegisterPathPrefix, node.Handler())
-	mux.Handle(tierv1.ClearingPathPrefix, tierv1.NewClearingServer(role.Sessions()))
-	if _, err := link.Serve(l.ctx, s.Internal(clearingPort), mux); err != nil {
+	mux.Handle(tierv1.ElectionPathPrefix, node.Handler())
+	mux.Handle(tierv1.ControlPlanePathPrefix, tierv1.NewControlPlaneServer(role.Sessions()))
+	if _, err := rpcserver.Serve(l.ctx, s.Internal(controlPlanePort), mux); err != nil {
 		return err
 	}
-	if _, err := link.Serve(l.ctx, s.Control, role.Operators()); err != nil {
+	if _, err := rpcserver.Serve(l.ctx, s.Control, role.Operators()); err != nil {
 		return err
 	}
 	l.loops.Go(func() { role.Run(l.ctx) })
 	return nil
 }
 
-func (p *process) vault(l *life) error {
+func (p *process) turnstore(l *life) error {
 	s := p.settings
-	v, err := vault.Open(vault.Config{Node: s.Node, Dir: s.DataDir, FS: ledger.OS{}, Dial: dialer(l, dialVault), Log: p.log})
+	v, err := turnstore.Open(turnstore.Config{Node: s.Node, Dir: s.DataDir, FS: wal.OS{}, Dial: dialer(l, dialTurnStore), Log: p.log})
 	if err != nil {
 		return err
 	}
-	if _, err := link.Serve(l.ctx, s.Internal(vaultPort), tierv1.NewVaultServer(v)); err != nil {
+	if _, err := rpcserver.Serve(l.ctx, s.Internal(turnStorePort), tierv1.NewTurnStoreServer(v)); err != nil {
 		_ = v.Close()
 		return err
 	}
-	held := session.New(session.Config{Settings: s, Role: "vault", Folder: v.Folder(), Address: s.Internal(vaultPort), Empty: v.WasEmpty(),
-		Dial: dialer(l, dialClearing), Synced: v.Synced, Log: p.log, Vaults: v.Apply})
+	held := session.New(session.Config{Settings: s, Role: "turnstore", Folder: v.Folder(), Address: s.Internal(turnStorePort), Empty: v.WasEmpty(),
+		Dial: dialer(l, dialControlPlane), Synced: v.Synced, Log: p.log, PartitionMap: v.Apply})
 	l.loops.Go(func() { held.Run(l.ctx) })
 	l.loops.Go(func() {
 		_ = v.Run(l.ctx)
@@ -166,8 +166,8 @@
 	return nil
 }
 
-func (p *process) counter(l *life) error {
-	c := counter.New(counter.Config{Settings: p.settings, Clearing: dialer(l, dialClearing), Vault: dialer(l, dialVault), Log: p.log})
+func (p *process) gateway(l *life) error {
+	c := gateway.New(gateway.Config{Settings: p.settings, ControlPlane: dialer(l, dialControlPlane), TurnStore: dialer(l, dialTurnStore), Log: p.log})
 	l.loops.Go(func() {
 		if err := c.Run(l.ctx); err != nil && l.ctx.Err() == nil {
 			p.log.Error().Str("event", "counter_ended").Err(err).Msg("")
@@ -178,12 +178,12 @@
 
 // tier is all processes.
 type tier struct {
-	clearings, vaults, counters []*process
-	network                     string // first three bytes of all addresses
-	asking                      *life  // for questions of the rehearsal itself
+	controlPlanes, turnStores, gateways []*process
+	network                             string // first three bytes of all addresses
+	asking                              *life  // for questions of the rehearsal itself
 }
 
-// perRole is how many clearing and vault processes there are: one may be lost, and is made good for by another.
+// perRole is how many control plane and turn store processes there are: one may be lost, and is made good for by another.
 const (
 	perRole      = 3
 	counterCount = 2
@@ -191,12 +191,12 @@
 
 // layOut makes the processes, not started: their machines are addresses of a loopback network, their folders lie in dir.
 func layOut(dir, platform string, logs *log.Logger) (*tier, error) {
-	t := &tier{network: fmt.Sprintf("127.%d.%d.", 1+rand.N(254), rand.N(256)), asking: &life{client: link.NewClient()}}
+	t := &tier{network: fmt.Sprintf("127.%d.%d.", 1+rand.N(254), rand.N(256)), asking: &life{client: rpcserver.NewClient()}}
 	all := []struct {
 		role  string
 		count int
 		to    *[]*process
-	}{{"clearing", perRole, &t.clearings}, {"vault", perRole, &t.vaults}, {"counter", counterCount, &t.counters}}
+	}{{"controlplane", perRole, &t.controlPlanes}, {"turnstore", perRole, &t.turnStores}, {"gateway", counterCount, &t.gateways}}
 	var addresses []string
 	for i := range 2*perRole + counterCount {
 		addresses = append(addresses, t.network+strconv.Itoa(i+1))
@@ -215,7 +215,7 @@
 			ip := addresses[0]
 			addresses = addresses[1:]
 			s, err := settings.Parse(fmt.Appendf(nil, "node_name: %s-%d\nip_address: %s\ninternal_port_range: [%d, %d]\n",
-				group.role, i+1, ip, first, first+vaultPort))
+				group.role, i+1, ip, first, first+turnStorePort))
 			if err != nil {
 				return nil, err
 			}
@@ -228,12 +228,12 @@
 			s.CloudAddress, s.CloudRate = platform, platformRate
 			s.DrainTimeout, s.Grace = drainTime, drainTime/4
 			switch group.role {
-			case "clearing":
+			case "controlplane":
 				s.Control = at(ip, operatorPort)
-			case "counter":
+			case "gateway":
 				s.Frontend, s.Readiness = at(ip, frontendPort), at(ip, readinessPort)
 			}
-			if group.role != "counter" {
+			if group.role != "gateway" {
 				s.DataDir = filepath.Join(dir, s.Node)
 				if err := os.Mkdir(s.DataDir, 0o700); err != nil {
 					return nil, errorx.Decorate(err, "folder of %s", s.Node)
@@ -274,7 +274,7 @@
 }
 
 func (t *tier) all() []*process {
-	return append(append(append([]*process(nil), t.clearings...), t.vaults...), t.counters...)
+	return append(append(append([]*process(nil), t.controlPlanes...), t.turnStores...), t.gateways...)
 }
 
 func (t *tier) start() error {
@@ -288,7 +288,7 @@
 
 // end stops all processes, those that call others first.
 func (t *tier) end() {
-	for _, group := range [][]*process{t.counters, t.vaults, t.clearings} {
+	for _, group := range [][]*process{t.gateways, t.turnStores, t.controlPlanes} {
 		var ending sync.WaitGroup
 		for _, p := range group {
 			ending.Go(p.kill)
--- a/internal/rehearsal/yard/report.go
+++ b/internal/rehearsal/tierdemo/report.go
@@ -1,4 +1,4 @@
-package yard
+package tierdemo
 
 import (
 	"fmt"
--- a/internal/rehearsal/yard/report_test.go
+++ b/internal/rehearsal/tierdemo/report_test.go
@@ -1,4 +1,4 @@
-package yard
+package tierdemo
 
 import (
 	"encoding/xml"
@@ -53,8 +53,8 @@
 	}
 	return &Report{Calm: 2 * time.Second, Lasted: 4 * time.Second, Rate: 5, Counts: Counts{Asked: 10, Whole: 8, Spent: 1, Failed: 1, Turns: 30},
 		Seconds:   []Second{{Served: 5, P50: time.Millisecond, P99: 3 * time.Millisecond}, {}, {Served: 7, Late: 2, Failed: 1}},
-		Events:    []Event{{time.Second, "vault-1 <stopped>"}},
-		Takeovers: []Takeover{{"vault-1", "partitions", 300 * time.Millisecond, true}, {"clearing-1", "control", time.Second, false}},
+		Events:    []Event{{time.Second, "turnstore-1 <stopped>"}},
+		Takeovers: []Takeover{{"turnstore-1", "partitions", 300 * time.Millisecond, true}, {"controlplane-1", "control", time.Second, false}},
 		Failures:  []string{"a turn got 502"}, Verdicts: w.verdict()}
 }
 
@@ -65,7 +65,7 @@
 	assert.Equal(t, r.Broken(), 0)
 	assert.Equal(t, strings.Count(b.String(), ": kept (1 checks)"), int(ruleCount))
 	assert.Assert(t, !strings.Contains(b.String(), "BROKEN"))
-	for _, want := range []string{"10 asked, 8 whole, 1 ended by their budget, 1 failed", "failed: a turn got 502", "after vault-1 was stopped: 300.0 ms", "not within 1000.0 ms"} {
+	for _, want := range []string{"10 asked, 8 whole, 1 ended by their budget, 1 failed", "failed: a turn got 502", "after turnstore-1 was stopped: 300.0 ms", "not within 1000.0 ms"} {
 		assert.Assert(t, strings.Contains(b.String(), want), "%s\nin\n%s", want, &b)
 	}
 	b.Reset()
--- a/internal/rehearsal/yard/standins_test.go
+++ b/internal/rehearsal/tierdemo/standins_test.go
@@ -1,4 +1,4 @@
-package yard
+package tierdemo
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/catalog"
+	"dockshift.example/dockshift/internal/tier/routing"
 )
 
 func testEndpoint(t *testing.T, w *witness, service string, slots int) *endpoint {
@@ -24,7 +24,7 @@
 	return e
 }
 
-// testCaller sends to counters that are not there: to handlers, or straight to endpoints.
+// testCaller sends to gateways that are not there: to handlers, or straight to endpoints.
 func testCaller(t *testing.T, w *witness, addresses ...string) *caller {
 	c := newCaller(w, addresses)
 	t.Cleanup(c.end)
@@ -130,7 +130,7 @@
 
 func TestConfigurationsAreValidAndDiffer(t *testing.T) {
 	for revision := range int64(4) {
-		c, err := catalog.Parse(configuration(revision + 1))
+		c, err := routing.Parse(configuration(revision + 1))
 		assert.NilError(t, err)
 		assert.Equal(t, c.Revision, revision+1)
 		assert.Equal(t, c.Match(routeHost, addedRoute(revision+1)+"x") != nil, revision > 0)
--- a/internal/rehearsal/yard/status.go
+++ b/internal/rehearsal/tierdemo/status.go
@@ -1,4 +1,4 @@
-package yard
+package tierdemo
 
 import (
 	"context"
@@ -34,13 +34,13 @@
 	}
 }
 
-// primary asks the clearing processes which of them is the primary, and gives it with its state; nil: none says so.
+// primary asks the control-plane processes which of them is the primary, and gives it with its state; nil: none says so.
 func (t *tier) primary(ctx context.Context) (*process, *tierv1.StatusReply) {
-	for _, p := range t.clearings {
+	for _, p := range t.controlPlanes {
 		if !p.running() {
 			continue
 		}
-		s, err := dialClearing("http://"+p.settings.Internal(clearingPort), t.asking.client).Status(ctx, &tierv1.StatusRequest{})
+		s, err := dialControlPlane("http://"+p.settings.Internal(controlPlanePort), t.asking.client).Status(ctx, &tierv1.StatusRequest{})
 		if err == nil && s.Primary {
 			return p, s
 		}
@@ -52,14 +52,14 @@
 func (t *tier) whole(ctx context.Context) bool {
 	_, s := t.primary(ctx)
 	node := map[string]string{}
-	for _, k := range s.GetVaults().GetKeepers() {
+	for _, k := range s.GetPartitionMap().GetStoreNodes() {
 		node[k.Folder] = k.Node
 	}
 	running := map[string]bool{}
-	for _, v := range t.vaults {
+	for _, v := range t.turnStores {
 		running[v.node()] = v.running()
 	}
-	for _, p := range s.GetVaults().GetPartitions() {
+	for _, p := range s.GetPartitionMap().GetPartitions() {
 		if len(p.Backups) == 0 || !running[node[p.Primary]] {
 			return false
 		}
@@ -69,30 +69,30 @@
 			}
 		}
 	}
-	return len(s.GetVaults().GetPartitions()) > 0
+	return len(s.GetPartitionMap().GetPartitions()) > 0
 }
 
-// speaks tells whether a vault is primary of a partition by the newest map; known is false where nobody shows a map.
+// speaks tells whether a turn store is primary of a partition by the newest map; known is false where nobody shows a map.
 func (t *tier) speaks(ctx context.Context, node string) (speaks, known bool) {
 	_, s := t.primary(ctx)
-	for _, k := range s.GetVaults().GetKeepers() {
-		for _, p := range s.Vaults.Partitions {
+	for _, k := range s.GetPartitionMap().GetStoreNodes() {
+		for _, p := range s.PartitionMap.Partitions {
 			if k.Node == node && p.Primary == k.Folder {
 				return true, true
 			}
 		}
 	}
-	return false, len(s.GetVaults().GetPartitions()) > 0
+	return false, len(s.GetPartitionMap().GetPartitions()) > 0
 }
 
-// keeps tells whether a vault has a copy of a partition by the newest map.
+// keeps tells whether a turn store has a copy of a partition by the newest map.
 func (t *tier) keeps(ctx context.Context, node string) bool {
 	_, s := t.primary(ctx)
-	for _, k := range s.GetVaults().GetKeepers() {
+	for _, k := range s.GetPartitionMap().GetStoreNodes() {
 		if k.Node != node {
 			continue
 		}
-		for _, p := range s.Vaults.Partitions {
+		for _, p := range s.PartitionMap.Partitions {
 			if p.Primary == k.Folder {
 				return true
 			}
@@ -106,16 +106,16 @@
 	return false
 }
 
-// follows tells whether a clearing process knows the record that the primary goes by.
+// follows tells whether a control-plane process knows the record that the primary goes by.
 func (t *tier) follows(ctx context.Context, p *process) bool {
 	_, newest := t.primary(ctx)
-	s, err := dialClearing("http://"+p.settings.Internal(clearingPort), t.asking.client).Status(ctx, &tierv1.StatusRequest{})
+	s, err := dialControlPlane("http://"+p.settings.Internal(controlPlanePort), t.asking.client).Status(ctx, &tierv1.StatusRequest{})
 	return err == nil && newest != nil && s.GetRecord().GetEpoch() == newest.GetRecord().GetEpoch()
 }
 
-// ready asks all counters whether clients may come.
+// ready asks all gateways whether clients may come.
 func (t *tier) ready(ctx context.Context) bool {
-	for _, p := range t.counters {
+	for _, p := range t.gateways {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.settings.Readiness+"/saffronyard/readiness", nil)
 		if err != nil {
 			return false
--- a/internal/rehearsal/yard/yard.go
+++ b/internal/rehearsal/tierdemo/tierdemo.go
@@ -1,6 +1,6 @@
 // Package yard rehearses the serving tier: it plays a small one whole on loopback, with stand-ins for the platform, endpoints,
 // the operator and agent programs, and checks what the tier promises.
-package yard
+package tierdemo
 
 import (
 	"context"
@@ -115,14 +115,14 @@
 	if err := r.tier.start(); err != nil {
 		return err
 	}
-	var operators, counters []string
-	for _, p := range r.tier.clearings {
+	var operators, gateways []string
+	for _, p := range r.tier.controlPlanes {
 		operators = append(operators, p.settings.Control)
 	}
-	for _, p := range r.tier.counters {
-		counters = append(counters, p.settings.Frontend)
+	for _, p := range r.tier.gateways {
+		gateways = append(gateways, p.settings.Frontend)
 	}
-	r.operator, r.caller = newOperator(operators), newCaller(r.witness, counters)
+	r.operator, r.caller = newOperator(operators), newCaller(r.witness, gateways)
 	ctx, cancel := context.WithTimeout(ctx, startTime)
 	defer cancel()
 	if err := r.operator.change(ctx); err != nil {
@@ -131,7 +131,7 @@
 	if err := until(ctx, "all copies of all partitions", r.tier.whole); err != nil {
 		return err
 	}
-	return until(ctx, "counters that take clients", r.tier.ready)
+	return until(ctx, "gateways that take clients", r.tier.ready)
 }
 
 // play has programs come while the phases pass, and waits for those under way.
@@ -181,12 +181,12 @@
 	end := r.begun.Add(r.o.Calm)
 	pause(ctx, r.o.Calm/2)
 	if r.o.Calm > 0 {
-		r.change(ctx, r.tier.counters[0].settings.ConfigApply)
+		r.change(ctx, r.tier.gateways[0].settings.ConfigApply)
 	}
 	pause(ctx, time.Until(end))
 }
 
-// change has the operator change the configuration, and checks that all counters have the new route within bound.
+// change has the operator change the configuration, and checks that all gateways have the new route within bound.
 func (r *rehearsal) change(ctx context.Context, bound time.Duration) {
 	if err := r.operator.change(ctx); err != nil { // it may be in force, or not
 		r.note("not acknowledged: %v", err)
@@ -194,7 +194,7 @@
 	}
 	acknowledged := time.Now()
 	path := addedRoute(r.operator.revision)
-	for _, p := range r.tier.counters {
+	for _, p := range r.tier.gateways {
 		for {
 			q := request{path: path + "x", try: try{input: "new route", repeatable: true}}
 			sent := time.Now()
@@ -222,7 +222,7 @@
 
 // heldUp tells whether the machine has held processes up since, for so long that they may have been out of touch.
 func (r *rehearsal) heldUp(since time.Time) bool {
-	return r.holdUps.worst(since) > r.tier.counters[0].settings.ContactWindow/10
+	return r.holdUps.worst(since) > r.tier.gateways[0].settings.ContactWindow/10
 }
 
 // readBack reads the configuration as it is at the end.
--- a/internal/rehearsal/yard/trouble.go
+++ b/internal/rehearsal/tierdemo/trouble.go
@@ -1,4 +1,4 @@
-package yard
+package tierdemo
 
 import (
 	"context"
@@ -31,7 +31,7 @@
 	}
 }
 
-// trouble stops a vault and starts it with its disk, then the clearing primary, which is the tier's loss to be borne, one at a
+// trouble stops a turn store and starts it with its disk, then the control plane primary, which is the tier's loss to be borne, one at a
 // time; meanwhile the endpoints are released one after the other.
 func (r *rehearsal) trouble(ctx context.Context) {
 	r.setPhase("trouble")
@@ -42,7 +42,7 @@
 	var releasing sync.WaitGroup
 	releasing.Go(func() { r.releaseAll(ctx) })
 	at(.05)
-	r.loseVault(ctx, at)
+	r.loseTurnStore(ctx, at)
 	at(.5)
 	r.losePrimary(ctx, at)
 	at(1)
@@ -97,26 +97,26 @@
 	}
 }
 
-func (r *rehearsal) loseVault(ctx context.Context, at func(float64)) {
-	vault := r.tier.vaults[0]
-	for _, v := range r.tier.vaults { // one that has something to lose
+func (r *rehearsal) loseTurnStore(ctx context.Context, at func(float64)) {
+	turnstore := r.tier.turnStores[0]
+	for _, v := range r.tier.turnStores { // one that has something to lose
 		one, cancel := context.WithTimeout(ctx, lookTime)
 		speaks, _ := r.tier.speaks(one, v.node())
 		cancel()
 		if speaks {
-			vault = v
+			turnstore = v
 			break
 		}
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	r.stop(ctx, vault, "partitions of "+vault.node(), func(ctx context.Context) bool {
-		speaks, known := r.tier.speaks(ctx, vault.node())
+	r.stop(ctx, turnstore, "partitions of "+turnstore.node(), func(ctx context.Context) bool {
+		speaks, known := r.tier.speaks(ctx, turnstore.node())
 		return known && !speaks
 	})
 	at(.25)
-	r.back(ctx, vault, func(ctx context.Context) bool { return r.tier.keeps(ctx, vault.node()) })
+	r.back(ctx, turnstore, func(ctx context.Context) bool { return r.tier.keeps(ctx, turnstore.node()) })
 }
 
 func (r *rehearsal) losePrimary(ctx context.Context, at func(float64)) {
--- a/internal/tier/capacity/clearing_test.go
+++ b/internal/tier/capacity/controlplane_test.go
@@ -18,8 +18,8 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/clearing"
-	"dockshift.example/dockshift/internal/tier/link"
+	"dockshift.example/dockshift/internal/tier/controlplane"
+	"dockshift.example/dockshift/internal/tier/rpcserver"
 	"dockshift.example/dockshift/internal/tier/settings"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
@@ -112,10 +112,10 @@
 
 // hall is a control primary and the hollow sessions of all processes, over loopback.
 type hall struct {
-	k        *clearing.Clearing
+	k        *controlplane.ControlPlane
 	cloud    *platform
 	in, out  atomic.Int64
-	dial     []tierv1.Clearing
+	dial     []tierv1.ControlPlane
 	sessions []*hollow
 }
 
@@ -129,21 +129,21 @@
 	s := &state{values: map[string][]byte{}, at: map[string]uint64{}, changed: make(chan struct{})}
 	set := settings.Settings{Node: "core-1", IP: "127.0.0.1", LoseMachines: 1, MemoryMB: 256, ContactWindow: 3 * time.Second,
 		ConfigApply: 5 * time.Second, DrainTimeout: drain, CloudAddress: "platform:80"}
-	h.k = clearing.New(clearing.Config{Settings: set, Store: s, Cloud: &http.Client{Transport: h.cloud}})
+	h.k = controlplane.New(controlplane.Config{Settings: set, Store: s, Cloud: &http.Client{Transport: h.cloud}})
 	ctx, cancel := context.WithCancel(b.Context())
 	var running sync.WaitGroup
 	running.Go(func() { h.k.Run(ctx) })
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
-	server := &http.Server{Handler: tierv1.NewClearingServer(h.k.Sessions())}
+	server := &http.Server{Handler: tierv1.NewControlPlaneServer(h.k.Sessions())}
 	running.Go(func() { _ = server.Serve(counted{listener, &h.in, &h.out}) })
 	b.Cleanup(func() { cancel(); _ = server.Close(); running.Wait() })
 	for i := range n {
-		client := link.NewClient()
+		client := rpcserver.NewClient()
 		b.Cleanup(client.CloseIdleConnections)
-		h.dial = append(h.dial, tierv1.NewClearingProtobufClient("http://"+listener.Addr().String(), client))
+		h.dial = append(h.dial, tierv1.NewControlPlaneProtobufClient("http://"+listener.Addr().String(), client))
 		o := &hollow{}
-		o.req.Node, o.req.Role, o.req.Life, o.req.Address = fmt.Sprintf("edge-%03d", i), "counter", link.Life(), fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)
+		o.req.Node, o.req.Role, o.req.Life, o.req.Address = fmt.Sprintf("edge-%03d", i), "gateway", rpcserver.Life(), fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)
 		o.req.Zone, o.req.Region = fmt.Sprintf("zone-%02d", i%zones), fmt.Sprintf("region-%d", i%3)
 		h.sessions = append(h.sessions, o)
 	}
@@ -151,15 +151,15 @@
 }
 
 // watch is one call of a session, which takes in what comes.
-func (h *hall) watch(ctx context.Context, i int, hold time.Duration) (*tierv1.News, error) {
+func (h *hall) watch(ctx context.Context, i int, hold time.Duration) (*tierv1.WatchReply, error) {
 	r := &h.sessions[i].req
 	r.HoldMs = uint32(hold.Milliseconds())
 	n, err := h.dial[i].Watch(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	r.Catalog, r.Endpoints = max(r.Catalog, n.Catalog.GetVersion()), max(r.Endpoints, n.Endpoints.GetVersion())
-	r.Vaults, r.Members = max(r.Vaults, n.Vaults.GetVersion()), max(r.Members, n.Members.GetVersion())
+	r.Configuration, r.Endpoints = max(r.Configuration, n.Configuration.GetVersion()), max(r.Endpoints, n.Endpoints.GetVersion())
+	r.PartitionMap, r.Members = max(r.PartitionMap, n.PartitionMap.GetVersion()), max(r.Members, n.Members.GetVersion())
 	return n, nil
 }
 
@@ -278,38 +278,38 @@
 			h.push(b, func() func(*tierv1.WatchRequest) bool {
 				<-answered // of the one before
 				revision++
-				before := h.sessions[0].req.Catalog
+				before := h.sessions[0].req.Configuration
 				go func() { h.replace(b, revision, c.routes); answered <- struct{}{} }()
-				return func(r *tierv1.WatchRequest) bool { return r.Catalog > before }
+				return func(r *tierv1.WatchRequest) bool { return r.Configuration > before }
 			})
 			<-answered
 		})
 	}
 }
 
-// BenchmarkAssign gives the time in which the map of partitions is looked at: at rest, with a vault just lost, and in the
+// BenchmarkAssign gives the time in which the map of partitions is looked at: at rest, with a turn store just lost, and in the
 // steps by which its copies come back.
 func BenchmarkAssign(b *testing.B) {
 	for _, n := range []int{32, 256, 1024} {
-		in := clearing.Input{Spread: clearing.Spread{Losses: 1, Domain: func(k *tierv1.Keeper) string { return k.Zone }},
-			Alive: map[string]*tierv1.Keeper{}, Leaving: map[string]bool{}, Certain: true, Move: true}
-		m := vaultMap(n, vaults)
-		for _, k := range m.Keepers {
+		in := controlplane.Input{Spread: controlplane.Spread{Losses: 1, Domain: func(k *tierv1.StoreNode) string { return k.Zone }},
+			Alive: map[string]*tierv1.StoreNode{}, Leaving: map[string]bool{}, Certain: true, Move: true}
+		m := partitionMap(n, turnStores)
+		for _, k := range m.StoreNodes {
 			in.Alive[k.Folder] = k
 		}
 		m, _ = steps(m, in)
-		run := func(name string, in clearing.Input) {
+		run := func(name string, in controlplane.Input) {
 			b.Run(fmt.Sprintf("partitions=%d,%s", n, name), func(b *testing.B) {
 				report := measured(b)
 				for b.Loop() {
-					clearing.Assign(m, in)
+					controlplane.Assign(m, in)
 				}
 				report()
 			})
 		}
 		run("rest", in)
 		in.Alive = maps.Clone(in.Alive)
-		delete(in.Alive, m.Keepers[0].Folder)
+		delete(in.Alive, m.StoreNodes[0].Folder)
 		run("one-lost", in)
 		b.Run(fmt.Sprintf("partitions=%d,until-even", n), func(b *testing.B) {
 			report, changes := measured(b), 0
@@ -323,13 +323,13 @@
 }
 
 // steps brings a map to rest, its new copies being whole from one step to the next.
-func steps(m *tierv1.Vaults, in clearing.Input) (rest *tierv1.Vaults, changes int) {
+func steps(m *tierv1.PartitionMap, in controlplane.Input) (rest *tierv1.PartitionMap, changes int) {
 	for ; changes < 1000; changes++ {
-		next, changed := clearing.Assign(m, in)
+		next, changed := controlplane.Assign(m, in)
 		if !changed {
 			break
 		}
-		m = proto.Clone(next).(*tierv1.Vaults)
+		m = proto.Clone(next).(*tierv1.PartitionMap)
 		for _, p := range m.Partitions {
 			for _, c := range p.Backups {
 				c.Synced = true
--- a/internal/tier/capacity/figures_test.go
+++ b/internal/tier/capacity/figures_test.go
@@ -18,16 +18,16 @@
 
 // The size aimed at, as the operators' letter gives it.
 const (
-	senders   = 360
-	endpoints = 650
-	zones     = 11
-	tenants   = 540
-	models    = 18
-	turns     = 150     // of one program
-	history   = 110_000 // tokens of one program
-	perToken  = 4       // bytes of text that a token is taken to have
-	vaults    = 40      // taken: with the senders, the sessions of the control primary
-	holders   = senders + vaults
+	senders    = 360
+	endpoints  = 650
+	zones      = 11
+	tenants    = 540
+	models     = 18
+	turns      = 150     // of one program
+	history    = 110_000 // tokens of one program
+	perToken   = 4       // bytes of text that a token is taken to have
+	turnStores = 40      // taken: with the senders, the sessions of the control primary
+	holders    = senders + turnStores
 )
 
 // processor is the time that this process has used, of all threads.
@@ -63,16 +63,16 @@
 	return list
 }
 
-func vaultMap(partitions, keepers int) *tierv1.Vaults {
-	m := &tierv1.Vaults{Version: 1 << 30}
+func partitionMap(partitions, storeNodes int) *tierv1.PartitionMap {
+	m := &tierv1.PartitionMap{Version: 1 << 30}
 	folder := func(i int) string { return fmt.Sprintf("%016x", 0x9e3779b97f4a7c15*uint64(i+1)) }
-	for i := range keepers {
-		m.Keepers = append(m.Keepers, &tierv1.Keeper{Folder: folder(i), Node: fmt.Sprintf("store-%03d", i),
+	for i := range storeNodes {
+		m.StoreNodes = append(m.StoreNodes, &tierv1.StoreNode{Folder: folder(i), Node: fmt.Sprintf("store-%03d", i),
 			Address: fmt.Sprintf("10.%d.9.%d:7001", i%zones, i), Zone: fmt.Sprintf("zone-%02d", i%zones), Region: fmt.Sprintf("region-%d", i%3)})
 	}
 	for i := range partitions {
-		m.Partitions = append(m.Partitions, &tierv1.Partition{Epoch: 40, Primary: folder(i % keepers),
-			Backups: []*tierv1.Copy{{Folder: folder((i + 1) % keepers), Synced: true}}})
+		m.Partitions = append(m.Partitions, &tierv1.Partition{Epoch: 40, Primary: folder(i % storeNodes),
+			Backups: []*tierv1.Copy{{Folder: folder((i + 1) % storeNodes), Synced: true}}})
 	}
 	return m
 }
@@ -107,13 +107,13 @@
 		cases = append(cases, struct {
 			name string
 			m    proto.Message
-		}{fmt.Sprintf("partitions=%d,vaults=%d", n, vaults), vaultMap(n, vaults)})
+		}{fmt.Sprintf("partitions=%d,turnstores=%d", n, turnStores), partitionMap(n, turnStores)})
 	}
 	for _, n := range []int{tenants, 2000} {
 		cases = append(cases, struct {
 			name string
 			m    proto.Message
-		}{fmt.Sprintf("routes=%d", n), &tierv1.Catalog{Version: 1 << 30, Body: configuration(1, n)}})
+		}{fmt.Sprintf("routes=%d", n), &tierv1.Configuration{Version: 1 << 30, Body: configuration(1, n)}})
 	}
 	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
--- a/internal/tier/capacity/counter_test.go
+++ b/internal/tier/capacity/gateway_test.go
@@ -7,24 +7,24 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/board"
-	"dockshift.example/dockshift/internal/tier/catalog"
+	"dockshift.example/dockshift/internal/tier/loadbalancer"
+	"dockshift.example/dockshift/internal/tier/routing"
 )
 
-// BenchmarkCatalogParse gives what a counter does with a new configuration, and the memory that one takes.
-func BenchmarkCatalogParse(b *testing.B) {
+// BenchmarkCatalogParse gives what a gateway does with a new configuration, and the memory that one takes.
+func BenchmarkConfigurationParse(b *testing.B) {
 	for _, n := range []int{tenants, 2000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
 			body := configuration(1, n)
 			before := heap()
-			c, err := catalog.Parse(body)
+			c, err := routing.Parse(body)
 			assert.NilError(b, err)
 			kept := heap() - before
 			assert.Equal(b, len(c.Routes), n)
 			b.ReportAllocs()
 			report := measured(b)
 			for b.Loop() {
-				_, _ = catalog.Parse(body)
+				_, _ = routing.Parse(body)
 			}
 			report()
 			b.ReportMetric(kept, "B-kept")
@@ -33,8 +33,8 @@
 }
 
 // BenchmarkCatalogMatch gives what finding the route of a request takes.
-func BenchmarkCatalogMatch(b *testing.B) {
-	c, err := catalog.Parse(configuration(1, 2000))
+func BenchmarkConfigurationMatch(b *testing.B) {
+	c, err := routing.Parse(configuration(1, 2000))
 	assert.NilError(b, err)
 	var hosts, paths []string
 	for i := range 2000 {
@@ -53,13 +53,13 @@
 }
 
 // BenchmarkBoardPick gives what one attempt takes from pick to end, with the endpoints of a service shared out to it.
-func BenchmarkBoardPick(b *testing.B) {
+func BenchmarkBalancerPick(b *testing.B) {
 	for _, n := range []struct{ endpoints, services int }{{17, 1}, {65, 1}, {endpoints, models}, {endpoints, 1}} {
 		b.Run(fmt.Sprintf("endpoints=%d,services=%d", n.endpoints, n.services), func(b *testing.B) {
-			x := board.New("zone-00")
-			var list []board.Endpoint
+			x := loadbalancer.New("zone-00")
+			var list []loadbalancer.Endpoint
 			for i, e := range endpointList(n.endpoints, 0).List {
-				list = append(list, board.Endpoint{Instance: e.Instance, Service: fmt.Sprintf("service-%02d", i%n.services), Address: e.Address,
+				list = append(list, loadbalancer.Endpoint{Instance: e.Instance, Service: fmt.Sprintf("service-%02d", i%n.services), Address: e.Address,
 					Zone: e.Zone, Capacity: 96, CacheTokens: 256505})
 			}
 			before := heap()
@@ -70,13 +70,13 @@
 			report := measured(b)
 			for b.Loop() {
 				now += 3 * time.Millisecond
-				c := x.Pick(now, board.Ask{Route: fmt.Sprintf("r-%07d", i%2000), Service: fmt.Sprintf("service-%02d", i%n.services), First: true,
+				c := x.Pick(now, loadbalancer.Ask{Route: fmt.Sprintf("r-%07d", i%2000), Service: fmt.Sprintf("service-%02d", i%n.services), First: true,
 					Left: 6 * time.Second, Aim: time.Second, Affinity: fmt.Sprint(i % 400), Tokens: 4000})
-				if c.Verdict != board.Send {
+				if c.Verdict != loadbalancer.Send {
 					b.Fatal(c.Verdict)
 				}
 				x.Heard(now, c.Call)
-				x.Done(now+time.Millisecond, c.Call, board.Outcome{Kind: board.Served, First: time.Millisecond})
+				x.Done(now+time.Millisecond, c.Call, loadbalancer.Outcome{Kind: loadbalancer.Served, First: time.Millisecond})
 				i++
 			}
 			report()
@@ -86,11 +86,11 @@
 }
 
 // BenchmarkBoardSet gives what a pushed list takes to be taken in.
-func BenchmarkBoardSet(b *testing.B) {
-	x := board.New("zone-00")
-	var list []board.Endpoint
+func BenchmarkBalancerSet(b *testing.B) {
+	x := loadbalancer.New("zone-00")
+	var list []loadbalancer.Endpoint
 	for _, e := range endpointList(endpoints, 0).List {
-		list = append(list, board.Endpoint{Instance: e.Instance, Service: e.Service, Address: e.Address, Zone: e.Zone, Capacity: 96})
+		list = append(list, loadbalancer.Endpoint{Instance: e.Instance, Service: e.Service, Address: e.Address, Zone: e.Zone, Capacity: 96})
 	}
 	b.ReportAllocs()
 	report := measured(b)
--- a/internal/tier/capacity/push_test.go
+++ b/internal/tier/capacity/push_test.go
@@ -17,17 +17,17 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/link"
+	"dockshift.example/dockshift/internal/tier/rpcserver"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
 // listing is a control primary whose answer is the same list for everybody who lacks it.
 type listing struct {
-	tierv1.Clearing
-	news *tierv1.News
+	tierv1.ControlPlane
+	news *tierv1.WatchReply
 }
 
-func (l *listing) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.News, error) {
+func (l *listing) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
 	if r.Endpoints < l.news.Endpoints.Version {
 		return l.news, nil
 	}
@@ -49,19 +49,19 @@
 // once: the list is written to its wire form once, not for each session.
 func BenchmarkServe(b *testing.B) {
 	for _, n := range []int{65, endpoints, 3000} {
-		news := &tierv1.News{Primary: true, Epoch: 1, Endpoints: endpointList(n, 0)}
+		news := &tierv1.WatchReply{Primary: true, Epoch: 1, Endpoints: endpointList(n, 0)}
 		body, err := proto.Marshal(news)
 		assert.NilError(b, err)
-		for name, handler := range map[string]http.Handler{"each": tierv1.NewClearingServer(&listing{news: news}), "once": encoded{body}} {
+		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&listing{news: news}), "once": encoded{body}} {
 			b.Run(fmt.Sprintf("endpoints=%d,%s", n, name), func(b *testing.B) {
-				server, err := link.Serve(b.Context(), "127.0.0.1:0", handler)
+				server, err := rpcserver.Serve(b.Context(), "127.0.0.1:0", handler)
 				assert.NilError(b, err)
 				conn, err := net.Dial("tcp", server.Addr)
 				assert.NilError(b, err)
 				defer conn.Close()
-				ask, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "counter", Life: link.Life(), Catalog: math.MaxUint64})
+				ask, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "gateway", Life: rpcserver.Life(), Configuration: math.MaxUint64})
 				request := fmt.Appendf(nil, "POST %sWatch HTTP/1.1\r\nHost: c\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s",
-					tierv1.ClearingPathPrefix, len(ask), ask)
+					tierv1.ControlPlanePathPrefix, len(ask), ask)
 				r := bufio.NewReaderSize(conn, 64<<10)
 				report := measured(b)
 				for b.Loop() {
@@ -85,17 +85,17 @@
 func BenchmarkWithin(b *testing.B) {
 	const wait = 800 * time.Millisecond // of a contact window of 3 s
 	for _, c := range []struct{ sessions, lines int }{{100, 1000}, {holders, endpoints}, {300, 3000}} {
-		news := &tierv1.News{Primary: true, Epoch: 1, Endpoints: endpointList(c.lines, 0)}
+		news := &tierv1.WatchReply{Primary: true, Epoch: 1, Endpoints: endpointList(c.lines, 0)}
 		body, err := proto.Marshal(news)
 		assert.NilError(b, err)
-		for name, handler := range map[string]http.Handler{"each": tierv1.NewClearingServer(&listing{news: news}), "once": encoded{body}} {
+		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&listing{news: news}), "once": encoded{body}} {
 			b.Run(fmt.Sprintf("sessions=%d,endpoints=%d,%s", c.sessions, c.lines, name), func(b *testing.B) {
-				server, err := link.Serve(b.Context(), "127.0.0.1:0", handler)
+				server, err := rpcserver.Serve(b.Context(), "127.0.0.1:0", handler)
 				assert.NilError(b, err)
-				ask, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "counter", Life: link.Life(), Catalog: math.MaxUint64})
+				ask, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "gateway", Life: rpcserver.Life(), Configuration: math.MaxUint64})
 				clients := make([]*http.Client, c.sessions)
 				for i := range clients {
-					clients[i] = link.NewClient()
+					clients[i] = rpcserver.NewClient()
 				}
 				var late, calls atomic.Int64
 				var took time.Duration
@@ -109,7 +109,7 @@
 							for range 20 {
 								calls.Add(1)
 								ctx, cancel := context.WithTimeout(b.Context(), wait)
-								q, _ := http.NewRequestWithContext(ctx, "POST", "http://"+server.Addr+tierv1.ClearingPathPrefix+"Watch", bytes.NewReader(ask))
+								q, _ := http.NewRequestWithContext(ctx, "POST", "http://"+server.Addr+tierv1.ControlPlanePathPrefix+"Watch", bytes.NewReader(ask))
 								q.Header.Set("Content-Type", "application/protobuf")
 								var read int64
 								if a, err := client.Do(q); err == nil {
--- a/internal/tier/capacity/vault_test.go
+++ b/internal/tier/capacity/turnstore_test.go
@@ -16,39 +16,39 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/ledger"
-	"dockshift.example/dockshift/internal/tier/vault"
+	"dockshift.example/dockshift/internal/tier/turnstore"
+	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// lax is the file system of the machine without its syncs: the disk that a vault will stand on is another one.
-type lax struct{ ledger.OS }
+// lax is the file system of the machine without its syncs: the disk that a turn store will stand on is another one.
+type lax struct{ wal.OS }
 
-func (l lax) Open(name string) (ledger.Handle, error)   { return wrap(l.OS.Open(name)) }
-func (l lax) Create(name string) (ledger.Handle, error) { return wrap(l.OS.Create(name)) }
-func (lax) SyncDir(string) error                        { return nil }
+func (l lax) Open(name string) (wal.Handle, error)   { return wrap(l.OS.Open(name)) }
+func (l lax) Create(name string) (wal.Handle, error) { return wrap(l.OS.Create(name)) }
+func (lax) SyncDir(string) error                     { return nil }
 
-func wrap(h ledger.Handle, err error) (ledger.Handle, error) {
+func wrap(h wal.Handle, err error) (wal.Handle, error) {
 	if err != nil {
 		return nil, err
 	}
 	return unsynced{h}, nil
 }
 
-type unsynced struct{ ledger.Handle }
+type unsynced struct{ wal.Handle }
 
 func (unsynced) Sync() error { return nil }
 
 // pair is a primary and its backup, with calls from one to the other in process, read and written as on the wire.
 type pair struct {
-	primary, backup *vault.Vault
+	primary, backup *turnstore.TurnStore
 	dirs            [2]string
 	sent            int // bytes of replication
 	mu              sync.Mutex
 }
 
 type wire struct {
-	tierv1.Vault
+	tierv1.TurnStore
 	p *pair
 }
 
@@ -64,13 +64,13 @@
 	if err := proto.Unmarshal(body, q); err != nil {
 		return nil, err
 	}
-	return w.Vault.Replicate(ctx, q)
+	return w.TurnStore.Replicate(ctx, q)
 }
 
-func open(b *testing.B, name, dir string, p *pair) *vault.Vault {
-	v, err := vault.Open(vault.Config{Node: name, Dir: dir, FS: lax{}, Log: &log.Logger{Writer: log.IOWriter{Writer: io.Discard}},
+func open(b *testing.B, name, dir string, p *pair) *turnstore.TurnStore {
+	v, err := turnstore.Open(turnstore.Config{Node: name, Dir: dir, FS: lax{}, Log: &log.Logger{Writer: log.IOWriter{Writer: io.Discard}},
 		Patience: 30 * time.Second, Reply: 10 * time.Second,
-		Dial: func(at string) tierv1.Vault {
+		Dial: func(at string) tierv1.TurnStore {
 			if at == "a" {
 				return wire{p.primary, p}
 			}
@@ -83,9 +83,9 @@
 func newPair(b *testing.B, partitions int) *pair {
 	p := &pair{dirs: [2]string{b.TempDir(), b.TempDir()}}
 	p.primary, p.backup = open(b, "a", p.dirs[0], p), open(b, "b", p.dirs[1], p)
-	m := &tierv1.Vaults{Version: 1}
-	for name, v := range map[string]*vault.Vault{"a": p.primary, "b": p.backup} {
-		m.Keepers = append(m.Keepers, &tierv1.Keeper{Folder: v.Folder(), Node: name, Address: name})
+	m := &tierv1.PartitionMap{Version: 1}
+	for name, v := range map[string]*turnstore.TurnStore{"a": p.primary, "b": p.backup} {
+		m.StoreNodes = append(m.StoreNodes, &tierv1.StoreNode{Folder: v.Folder(), Node: name, Address: name})
 	}
 	for range partitions {
 		m.Partitions = append(m.Partitions, &tierv1.Partition{Epoch: 1, Primary: p.primary.Folder(),
@@ -130,9 +130,9 @@
 	}
 }
 
-// BenchmarkVaultTurn gives what one turn of a program of 150 takes, of both vaults together: Begin and Settle, the chain
-// held by the counter. Programs go on side by side.
-func BenchmarkVaultTurn(b *testing.B) {
+// BenchmarkVaultTurn gives what one turn of a program of 150 takes, of both turn stores together: Begin and Settle, the chain
+// held by the gateway. Programs go on side by side.
+func BenchmarkTurnStoreTurn(b *testing.B) {
 	p := newPair(b, 32)
 	defer p.close()
 	before, used, n := heap(), processor(), 0
@@ -145,13 +145,13 @@
 	b.ReportMetric((heap()-before)/float64(2*n), "B-memory/turn")
 	b.ReportMetric(float64(p.sent)/float64(n), "B-replicated/turn")
 	size, _ := os.Stat(filepath.Join(p.dirs[0], "facts-0"))
-	b.ReportMetric(float64(size.Size())/float64(n), "B-ledger/turn")
+	b.ReportMetric(float64(size.Size())/float64(n), "B-wal/turn")
 	b.ReportMetric(perTurn, "B-text/turn")
 }
 
 // BenchmarkVaultChain gives what a Begin at the end of 150 turns takes, written and read as on the wire, with the chain
-// sent whole, and with it held by the counter.
-func BenchmarkVaultChain(b *testing.B) {
+// sent whole, and with it held by the gateway.
+func BenchmarkTurnStoreChain(b *testing.B) {
 	for _, whole := range []bool{true, false} {
 		b.Run(fmt.Sprintf("whole=%t", whole), func(b *testing.B) {
 			p := newPair(b, 1)
@@ -180,7 +180,7 @@
 }
 
 // BenchmarkVaultSweep gives what looking through one of 32 partitions for what is past its time takes, its lock held.
-func BenchmarkVaultSweep(b *testing.B) {
+func BenchmarkTurnStoreSweep(b *testing.B) {
 	p := newPair(b, 1)
 	defer p.close()
 	const kept = 200 * turns
@@ -197,8 +197,8 @@
 	b.ReportMetric(kept, "turns")
 }
 
-// BenchmarkVaultReplay gives the time from start to ready of a vault with a ledger of 300 MB of turns.
-func BenchmarkVaultReplay(b *testing.B) {
+// BenchmarkVaultReplay gives the time from start to ready of a turn store with a write-ahead log of 300 MB of turns.
+func BenchmarkTurnStoreReplay(b *testing.B) {
 	const size = 300 << 20
 	p := newPair(b, 32)
 	n := 0
@@ -223,7 +223,7 @@
 	}
 	b.ReportMetric(took.Seconds()/float64(rounds), "s/replay")
 	b.ReportMetric((processor()-used).Seconds()/float64(rounds), "cpu-s/replay")
-	b.ReportMetric(float64(info.Size())/(1<<20), "MB-ledger")
+	b.ReportMetric(float64(info.Size())/(1<<20), "MB-wal")
 	b.ReportMetric(float64(2*n*rounds)/took.Seconds(), "records/s")
 	b.ReportMetric(float64(info.Size())/(1<<20)*float64(rounds)/took.Seconds(), "MB/s")
 	b.ReportMetric(kept/(1<<20), "MB-memory")
--- a/internal/tier/control/check_test.go
+++ b/internal/tier/consensus/check_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 	if r == s.seen {
 		return
 	}
-	s.seen, s.reigned = r, r.Epoch
+	s.seen, s.led = r, r.Epoch
 	if other := w.chosen[r.Epoch]; other != nil && !proto.Equal(other, r) {
 		w.fault("two records of epoch %d", r.Epoch)
 	}
@@ -28,7 +28,7 @@
 	if w.top == nil || r.Epoch > w.top.Epoch {
 		w.top = r
 	}
-	w.logf("reign %s %v backups %v members %d former %d", s.m.Folder, r.Epoch, r.Backups, len(r.Members), len(r.Former))
+	w.logf("leadership %s %v backups %v members %d former %d", s.m.Folder, r.Epoch, r.Backups, len(r.Members), len(r.Former))
 	for key, sequence := range w.acked {
 		w.holds(s, key, sequence)
 	}
@@ -76,7 +76,7 @@
 		w.acked[op.key], w.ackedAt[op.key] = o.sequence, w.now
 		for _, other := range w.sites {
 			if other == s || other.m != nil && other.m.primary != nil && !other.busy &&
-				other.m.primary.record.Epoch > s.reigned {
+				other.m.primary.record.Epoch > s.led {
 				w.holds(other, op.key, o.sequence)
 			}
 		}
--- a/internal/tier/control/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 		return "accept"
 	case *tierv1.WriteRequest:
 		return "write"
-	case *tierv1.BeatRequest:
+	case *tierv1.HeartbeatRequest:
 		return "beat"
 	case *tierv1.JoinRequest:
 		return "join"
@@ -97,7 +97,7 @@
 	c.left.restarts--
 	l := c.lanes[site]
 	if l.next[heard{what: "restart"}] == nil {
-		l.next[heard{what: "restart"}] = x.start(site, l.records, false, l.now, l.reigned)
+		l.next[heard{what: "restart"}] = x.start(site, l.records, false, l.now, l.led)
 	}
 	x.restarted(c, site)
 	return c, x.move(c, l.next[heard{what: "restart"}])
@@ -108,7 +108,7 @@
 	c.left.wipes--
 	l := c.lanes[site]
 	if l.next[heard{what: "wipe"}] == nil {
-		l.next[heard{what: "wipe"}] = x.start(site, nil, false, l.now, l.reigned)
+		l.next[heard{what: "wipe"}] = x.start(site, nil, false, l.now, l.led)
 	}
 	x.restarted(c, site)
 	return c, x.move(c, l.next[heard{what: "wipe"}])
@@ -118,7 +118,7 @@
 	n := most - int(w.left.writes)
 	w = w.with(happening{})
 	w.left.writes--
-	c, err := x.event(w, site, [most]string{"write w0", "write w1"}[n], put{uint64(n), w.lanes[site].reign,
+	c, err := x.event(w, site, [most]string{"write w0", "write w1"}[n], put{uint64(n), w.lanes[site].leadership,
 		map[string][]byte{writes[n]: []byte("x")}})
 	c.parent = w.parent // one happening, not two
 	return c, err
@@ -133,7 +133,7 @@
 			w.began[n] |= 1 << k
 		}
 	}
-	c, err := x.event(w, site, [most]string{"confirm 0", "confirm 1"}[n], confirm{uint64(most + n), w.lanes[site].reign})
+	c, err := x.event(w, site, [most]string{"confirm 0", "confirm 1"}[n], confirm{uint64(most + n), w.lanes[site].leadership})
 	c.parent = w.parent // one happening, not two
 	return c, err
 }
@@ -166,10 +166,10 @@
 			count(&c.left)
 			return yield(c, err)
 		}
-		if l.reign == 0 && w.left.takes > 0 && !spend("take-over", take{}, func(b *budget) { b.takes-- }) {
+		if l.leadership == 0 && w.left.takes > 0 && !spend("take-over", take{}, func(b *budget) { b.takes-- }) {
 			return
 		}
-		if l.reign > 0 && w.left.ticks > 0 && !(spend("tick", tick{}, func(b *budget) { b.ticks-- }) &&
+		if l.leadership > 0 && w.left.ticks > 0 && !(spend("tick", tick{}, func(b *budget) { b.ticks-- }) &&
 			spend("late tick", age{}, func(b *budget) { b.ticks-- })) {
 			return
 		}
@@ -179,10 +179,10 @@
 		if w.left.wipes > 0 && !yield(x.wipe(w, site)) {
 			return
 		}
-		if l.reign > 0 && w.left.writes > 0 && !yield(x.put(w, site)) {
+		if l.leadership > 0 && w.left.writes > 0 && !yield(x.put(w, site)) {
 			return
 		}
-		if l.reign > 0 && w.left.confirms > 0 && !yield(x.confirm(w, site)) {
+		if l.leadership > 0 && w.left.confirms > 0 && !yield(x.confirm(w, site)) {
 			return
 		}
 	}
--- a/internal/tier/control/explore_scenarios_test.go
+++ b/internal/tier/consensus/explore_scenarios_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"strings"
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	w = x.calm(t, w, func(i *item) bool { return i.to != 2 })
-	if w.lanes[0].reign == 0 {
+	if w.lanes[0].leadership == 0 {
 		t.Fatal("no primary", x.path(w))
 	}
 	return w
@@ -97,15 +97,15 @@
 }
 
 var scenarios = []scenario{
-	{"two takers, two writes", fromSettled, budget{takes: 2, writes: 2}, 300_000},
-	{"a taker, a write, a read", fromSettled, budget{takes: 1, writes: 1, confirms: 1, ticks: 1}, 25_000},
-	{"a taker, a write, a lost disk", fromSettled, budget{takes: 1, writes: 1, wipes: 1}, 100_000},
-	{"a taker, a write, a restart", fromSettled, budget{takes: 1, writes: 1, restarts: 1}, 25_000},
-	{"a taker, a write, a time-out", fromSettled, budget{takes: 1, writes: 1, timeouts: 1}, 40_000},
-	{"genesis, two takers, a write, a doubled message", fromGenesis, budget{takes: 2, writes: 1, doubles: 1}, 25_000},
-	{"genesis of a split three, two takers, a write, a doubled message, a restart", fromSplit,
+	{"two candidates, two writes", fromSettled, budget{takes: 2, writes: 2}, 300_000},
+	{"a candidate, a write, a read", fromSettled, budget{takes: 1, writes: 1, confirms: 1, ticks: 1}, 25_000},
+	{"a candidate, a write, a lost disk", fromSettled, budget{takes: 1, writes: 1, wipes: 1}, 100_000},
+	{"a candidate, a write, a restart", fromSettled, budget{takes: 1, writes: 1, restarts: 1}, 25_000},
+	{"a candidate, a write, a time-out", fromSettled, budget{takes: 1, writes: 1, timeouts: 1}, 40_000},
+	{"genesis, two candidates, a write, a doubled message", fromGenesis, budget{takes: 2, writes: 1, doubles: 1}, 25_000},
+	{"genesis of a split three, two candidates, a write, a doubled message, a restart", fromSplit,
 		budget{takes: 2, writes: 1, doubles: 1, restarts: 1}, 30_000},
-	{"a swap of members, a cut, a taker, a write", fromSwap, budget{takes: 1, writes: 1}, 40_000},
+	{"a swap of members, a cut, a candidate, a write", fromSwap, budget{takes: 1, writes: 1}, 40_000},
 }
 
 // factor is by how much the bounds are raised: 8 where CONTROL_SEEDS is set.
@@ -203,7 +203,7 @@
 		for _, what := range []string{"promise", "write", "accept"} {
 			both(low, 0, what)
 		}
-		if w.lanes[low].reign != 0 {
+		if w.lanes[low].leadership != 0 {
 			do(x.put(w, low))
 			both(low, 0, "write")
 			if err == nil && w.acked[1] == 0 {
--- a/internal/tier/control/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"cmp"
@@ -22,16 +22,16 @@
 
 // explorer holds what is the same on all paths.
 type explorer struct {
-	plant     plant
-	addresses []string
-	seeds     []string
-	cuts      map[[2]int]bool // calls over these fail
-	beats     bool            // beats and calls to join are delivered, too
-	bodies    map[string]*body
-	items     map[item]*item
-	lanes     map[string]*lane
-	folders   map[string]int
-	steps     int
+	plant      plant
+	addresses  []string
+	seeds      []string
+	cuts       map[[2]int]bool // calls over these fail
+	heartbeats bool            // heartbeats and calls to join are delivered, too
+	bodies     map[string]*body
+	items      map[item]*item
+	lanes      map[string]*lane
+	folders    map[string]int
+	steps      int
 }
 
 // body is a message, held once.
@@ -42,19 +42,19 @@
 
 // lane is one machine's state: what it was told since its process started gives it again.
 type lane struct {
-	n       int
-	site    int
-	disk    [][]byte // at the start
-	begun   time.Duration
-	told    []told
-	folder  string
-	now     time.Duration
-	records [][]byte // on disk now
-	reign   uint64   // epoch, 0 where it is not primary
-	reigned uint64   // epoch of its newest reign
-	shown   map[string]uint64
-	next    map[heard]*lane // by what it is told
-	said    *said           // with the last step
+	n          int
+	site       int
+	disk       [][]byte // at the start
+	begun      time.Duration
+	told       []told
+	folder     string
+	now        time.Duration
+	records    [][]byte // on disk now
+	leadership uint64   // epoch, 0 where it is not primary
+	led        uint64   // epoch of its newest leadership
+	shown      map[string]uint64
+	next       map[heard]*lane // by what it is told
+	said       *said           // with the last step
 }
 
 // heard names an event.
@@ -169,10 +169,10 @@
 	return x.items[i]
 }
 
-// explored are the spans of a machine whose clock stands still: nothing waits for beats or a grace.
+// explored are the spans of a machine whose clock stands still: nothing waits for heartbeats or a grace.
 func explored() timing {
 	t := timings(3*time.Second, 0)
-	t.beat = 3
+	t.heartbeat = 3
 	return t
 }
 
@@ -241,13 +241,13 @@
 	return out
 }
 
-func (x *explorer) start(site int, disk [][]byte, genesis bool, now time.Duration, reigned uint64) *lane {
+func (x *explorer) start(site int, disk [][]byte, genesis bool, now time.Duration, led uint64) *lane {
 	if len(disk) == 0 {
 		folder := fmt.Sprintf("%s%d", x.addresses[site], x.folders[x.addresses[site]])
 		x.folders[x.addresses[site]] = 1 // one wipe of a site at most
 		disk = [][]byte{encodeIdentity(identity{Folder: folder, Genesis: genesis, Seeds: x.seeds})}
 	}
-	l := *x.lane(&lane{site: site, disk: disk, begun: now, now: now, records: disk, reigned: reigned}, x.boot(disk, site, now))
+	l := *x.lane(&lane{site: site, disk: disk, begun: now, now: now, records: disk, led: led}, x.boot(disk, site, now))
 	l.said = new(said)
 	return &l
 }
@@ -255,10 +255,10 @@
 // lane gives the one lane of this state.
 func (x *explorer) lane(l *lane, s *subject) *lane {
 	l.folder = s.m.Folder
-	l.reign, l.shown = 0, make(map[string]uint64)
+	l.leadership, l.shown = 0, make(map[string]uint64)
 	data := s.m.data
 	if s.m.primary != nil {
-		l.reign, l.reigned, data = s.m.primary.record.Epoch, s.m.primary.record.Epoch, s.m.primary.visible
+		l.leadership, l.led, data = s.m.primary.record.Epoch, s.m.primary.record.Epoch, s.m.primary.visible
 	}
 	for k, e := range data {
 		l.shown[k] = e.Sequence
@@ -298,10 +298,10 @@
 	var to *lane
 	if cut {
 		after.calls, after.reply, after.outcomes = nil, nil, nil
-		to = x.start(l.site, l.records, false, now, l.reigned)
+		to = x.start(l.site, l.records, false, now, l.led)
 	} else {
 		to = x.lane(&lane{site: l.site, disk: l.disk, begun: l.begun, told: append(slices.Clip(l.told), told{now, e}), now: now,
-			records: append(slices.Clip(l.records), out.records...), reigned: l.reigned}, s)
+			records: append(slices.Clip(l.records), out.records...), led: l.led}, s)
 	}
 	// The lane may be reached by several ways: what was said belongs to this one.
 	reached := *to
@@ -335,7 +335,7 @@
 	}
 	b.WriteByte('|')
 	state(&disk)
-	fmt.Fprint(&b, "|", l.site, l.reigned, m.nextID, m.highest, m.hint, m.heard, m.now-m.granted, "|")
+	fmt.Fprint(&b, "|", l.site, l.led, m.nextID, m.highest, m.hint, m.heard, m.now-m.granted, "|")
 	for _, a := range slices.Sorted(maps.Keys(m.peers)) {
 		p := m.peers[a]
 		fmt.Fprint(&b, a, p.member.GetFolder(), m.now-p.first, m.now-p.answered, p.trip, p.replied, p.met, p.asking, p.voter, ",")
@@ -437,8 +437,8 @@
 	for _, list := range [][]call{l.said.early, l.said.calls} {
 		for _, c := range list {
 			switch c.body.(type) {
-			case *tierv1.BeatRequest, *tierv1.JoinRequest:
-				if !x.beats {
+			case *tierv1.HeartbeatRequest, *tierv1.JoinRequest:
+				if !x.heartbeats {
 					continue
 				}
 			}
@@ -463,7 +463,7 @@
 		case o.err == nil:
 			w.acked[n] = o.sequence
 			for _, other := range w.lanes {
-				if other != nil && other.site != l.site && other.reign > l.reigned && other.shown[writes[n]] != o.sequence {
+				if other != nil && other.site != l.site && other.leadership > l.led && other.shown[writes[n]] != o.sequence {
 					return fmt.Errorf("%s acknowledged w%d, which %s of a later epoch lacks", l.folder, n, other.folder)
 				}
 			}
@@ -471,18 +471,18 @@
 			w.refused[n] = true
 		}
 	}
-	if l.reign != 0 && l.reign != before.reign {
+	if l.leadership != 0 && l.leadership != before.leadership {
 		for k, sequence := range w.acked {
 			if sequence > 0 && l.shown[writes[k]] != sequence {
-				return fmt.Errorf("%s begins epoch %d without w%d", l.folder, l.reign, k)
+				return fmt.Errorf("%s begins epoch %d without w%d", l.folder, l.leadership, k)
 			}
 			if w.refused[k] && l.shown[writes[k]] > 0 {
 				return fmt.Errorf("%s shows w%d, which was refused", l.folder, k)
 			}
 		}
 		for _, other := range w.lanes {
-			if other != nil && other.site != l.site && other.reign == l.reign {
-				return fmt.Errorf("%s and %s both reign in epoch %d", l.folder, other.folder, l.reign)
+			if other != nil && other.site != l.site && other.leadership == l.leadership {
+				return fmt.Errorf("%s and %s both leadership in epoch %d", l.folder, other.folder, l.leadership)
 			}
 		}
 	}
--- a/internal/tier/control/far_test.go
+++ b/internal/tier/consensus/far_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"container/heap"
@@ -14,7 +14,7 @@
 
 // far plays machines whose only trouble is their distance: each way takes what oneWay tells, each sync of a disk takes
 // what sync tells. It gives the machines and how many records each had chosen for itself.
-func far(n, losses int, window, until, sync time.Duration, oneWay func(from, to int) time.Duration) (machines []*machine, reigns []int) {
+func far(n, losses int, window, until, sync time.Duration, oneWay func(from, to int) time.Duration) (machines []*machine, leaderships []int) {
 	var queue moments
 	var now time.Duration
 	order := 0
@@ -57,7 +57,7 @@
 		out := m.Step(now, events...)
 		for _, what := range out.news {
 			if what == "primary" {
-				reigns[i]++
+				leaderships[i]++
 			}
 		}
 		for _, c := range out.early {
@@ -94,7 +94,7 @@
 		index[self.Address] = i
 		d := durable{identity: identity{Folder: fmt.Sprint("f", i), Seeds: seeds, Genesis: i < 3}}
 		machines = append(machines, newMachine(d, self, seeds, losses, timings(window, 1200*time.Millisecond), uint64(i)))
-		reigns = append(reigns, 0)
+		leaderships = append(leaderships, 0)
 		after(0, func() { step(i, tick{}) })
 	}
 	for len(queue) > 0 && queue[0].at <= until {
@@ -102,7 +102,7 @@
 		now = next.at
 		next.do()
 	}
-	return machines, reigns
+	return machines, leaderships
 }
 
 // A member of a far region answers later than the near majority. It is waited for, or the primary goes on without it;
@@ -114,7 +114,7 @@
 				for _, way := range []int{12, 20, 34, 40} {
 					for _, sync := range []int{1, 10} {
 						name := fmt.Sprint(losses, " losses, ", n, " machines, window ", window, ", way ", way, " ms, sync ", sync, " ms")
-						machines, reigns := far(n, losses, window, 20*time.Second, time.Duration(sync)*time.Millisecond, func(from, to int) time.Duration {
+						machines, leaderships := far(n, losses, window, 20*time.Second, time.Duration(sync)*time.Millisecond, func(from, to int) time.Duration {
 							if from%2 == to%2 {
 								return time.Millisecond
 							}
@@ -122,7 +122,7 @@
 						})
 						total, primaries := 0, 0
 						for i, m := range machines {
-							total += reigns[i]
+							total += leaderships[i]
 							if m.primary != nil {
 								primaries++
 								should, _ := m.wanted(len(m.primary.record.Members))
--- a/internal/tier/control/reign.go
+++ b/internal/tier/consensus/leadership.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"slices"
@@ -9,15 +9,15 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// reign is what a process holds while it is primary, over all records that it had chosen in one go.
-type reign struct {
+// leadership is what a process holds while it is primary, over all records that it had chosen in one go.
+type leadership struct {
 	began     time.Duration
 	first     uint64                   // epoch of its first record: who writes under it or a later one has seen no other primary between
 	record    *tierv1.Record           // in force
 	confirmed map[string]time.Duration // when the newest round trip began that a backup answered under the record
 	lost      map[string]bool          // backups that failed a call
 	renew     bool                     // a backup has promised a higher epoch
-	next      time.Duration            // beat
+	next      time.Duration            // heartbeat
 	retryAt   time.Duration            // of the next proposal
 	moreAt    time.Duration            // before which none is made only for more backups: the one before gave none
 	visible   map[string]*tierv1.Entry // what all copies hold
@@ -38,14 +38,14 @@
 	need    map[string]bool // folders of backups
 }
 
-// reign begins or goes on with a record that was chosen. All its backups hold this copy: what was under way stands.
-func (m *machine) reign(p *proposal) {
+// leadership begins or goes on with a record that was chosen. All its backups hold this copy: what was under way stands.
+func (m *machine) leadership(p *proposal) {
 	m.proposal = nil
 	m.chosen = p.target
 	m.store(encodeMessage(kindChosen, p.target), false)
 	r := m.primary
 	if r == nil {
-		r = &reign{first: p.epoch, began: m.now}
+		r = &leadership{first: p.epoch, began: m.now}
 		m.primary = r
 	}
 	r.record, r.renew, r.next, r.retryAt = p.target, false, m.now, 0
@@ -59,7 +59,7 @@
 	m.commit()
 }
 
-// stepDown ends the reign. What was on its way to the backups has an unknown outcome; what waited was not written.
+// stepDown ends the leadership. What was on its way to the backups has an unknown outcome; what waited was not written.
 func (m *machine) stepDown(why string) {
 	r := m.primary
 	m.primary, m.proposal = nil, nil
@@ -76,8 +76,8 @@
 		m.out.outcomes = append(m.out.outcomes, outcome{w.token, 0, ErrNotPrimary})
 	}
 	m.hint, m.heard = "", false
-	m.tryAt = m.now + m.timing.beat + m.jitter(m.timing.beat)
-	m.joinAt = m.now + m.jitter(m.timing.beat)
+	m.tryAt = m.now + m.timing.heartbeat + m.jitter(m.timing.heartbeat)
+	m.joinAt = m.now + m.jitter(m.timing.heartbeat)
 	m.out.changed = true
 	m.out.news = append(m.out.news, "stepped down: "+why)
 }
@@ -193,18 +193,18 @@
 	m.startRound()
 }
 
-func (m *machine) reignTimers() {
+func (m *machine) leadershipTimers() {
 	r := m.primary
 	if m.proposal == nil && !m.confirmedWithin(m.timing.fresh) {
 		m.stepDown("backups are silent")
 		return
 	}
 	if m.now >= r.next {
-		r.next = m.now + m.timing.beat
+		r.next = m.now + m.timing.heartbeat
 		for _, address := range m.addresses() {
 			member := slices.ContainsFunc(r.record.Members, func(v *tierv1.Member) bool { return v.Address == address })
 			if member || m.silent(address) < 5*m.timing.swap { // others join again when they are back
-				m.sendBeat(address)
+				m.sendHeartbeat(address)
 			}
 		}
 	}
@@ -215,16 +215,16 @@
 	}
 }
 
-func (m *machine) sendBeat(address string) {
+func (m *machine) sendHeartbeat(address string) {
 	p := m.peer(address)
 	if p.asking {
 		return
 	}
 	p.asking = true
 	began := m.now
-	m.call(address, &tierv1.BeatRequest{Record: m.primary.record, From: m.self}, false, func(body proto.Message) {
+	m.call(address, &tierv1.HeartbeatRequest{Record: m.primary.record, From: m.self}, false, func(body proto.Message) {
 		p.asking = false
-		a, _ := body.(*tierv1.BeatReply)
+		a, _ := body.(*tierv1.HeartbeatReply)
 		if a == nil || a.Self == nil {
 			return
 		}
@@ -250,7 +250,7 @@
 	r := m.primary
 	drop := make(map[string]bool)
 	for _, b := range r.record.Backups {
-		if r.lost[b] || m.now-r.confirmed[b] > m.timing.call+m.timing.beat/2 || m.replaced(b) {
+		if r.lost[b] || m.now-r.confirmed[b] > m.timing.call+m.timing.heartbeat/2 || m.replaced(b) {
 			drop[b] = true
 		}
 	}
--- a/internal/tier/control/machine.go
+++ b/internal/tier/consensus/machine.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"math/rand/v2"
@@ -12,21 +12,21 @@
 
 // timing are the spans that the machine goes by, all from the settings.
 type timing struct {
-	beat    time.Duration // between two beats of a primary to one node
-	call    time.Duration // after which a call counts as failed
-	sticky  time.Duration // a primary heard this recently is not passed over
-	silence time.Duration // of a primary, after which others try to take over
-	fresh   time.Duration // a confirmation this old still counts
-	swap    time.Duration // of a member, after which a joiner takes its place
-	join    time.Duration // between two calls to join
+	heartbeat time.Duration // between two heartbeats of a primary to one node
+	call      time.Duration // after which a call counts as failed
+	sticky    time.Duration // a primary heard this recently is not deposed
+	silence   time.Duration // of a primary, after which others try to take over
+	fresh     time.Duration // a confirmation this old still counts
+	swap      time.Duration // of a member, after which a joiner takes its place
+	join      time.Duration // between two calls to join
 }
 
-func timings(window, heartbeat time.Duration) timing {
-	beat := window / 12
-	if heartbeat > 0 {
-		beat = min(beat, heartbeat/4)
+func timings(window, interval time.Duration) timing {
+	heartbeat := window / 12
+	if interval > 0 {
+		heartbeat = min(heartbeat, interval/4)
 	}
-	return timing{beat: beat, call: window / 6, sticky: window / 6, silence: window / 4, fresh: window / 3,
+	return timing{heartbeat: heartbeat, call: window / 6, sticky: window / 6, silence: window / 4, fresh: window / 3,
 		swap: window * 2 / 5, join: window / 6}
 }
 
@@ -84,7 +84,7 @@
 	}
 )
 
-// peer is another clearing process, known by its address.
+// peer is another control-plane process, known by its address.
 type peer struct {
 	member   *tierv1.Member // as it last told
 	first    time.Duration  // when its address was learnt
@@ -92,7 +92,7 @@
 	trip     time.Duration  // how long that call took
 	replied  bool           // it has answered
 	met      bool           // it has called or answered
-	asking   bool           // a beat is under way
+	asking   bool           // a heartbeat is under way
 	voter    bool           // it told that it is a member of the record in force
 }
 
@@ -112,14 +112,14 @@
 	peers    map[string]*peer
 	heardAt  time.Duration // from the primary of the newest chosen record
 	heard    bool
-	probeAt  time.Duration // when the primary is asked whether it is there, unless a beat comes before
+	probeAt  time.Duration // when the primary is asked whether it is there, unless a heartbeat comes before
 	granted  time.Duration // when the newest promise was given
 	hint     string
 	tryAt    time.Duration
 	joinAt   time.Duration
 	highest  uint64 // epoch heard of
 	proposal *proposal
-	primary  *reign // nil where this process is not primary
+	primary  *leadership // nil where this process is not primary
 }
 
 func newMachine(d durable, self *tierv1.Member, seeds []string, losses int, t timing, seed uint64) *machine {
@@ -128,11 +128,11 @@
 	m.self = proto.CloneOf(self)
 	m.self.Folder = d.Folder
 	m.highest = max(d.promised, epochOf(d.accepted), epochOf(d.chosen))
-	m.tryAt = m.jitter(t.beat)
+	m.tryAt = m.jitter(t.heartbeat)
 	if b := m.base(); b != nil && b.Primary == d.Folder {
 		m.tryAt = 0 // it was primary: the others' patience is longer than its start
 	}
-	m.joinAt = m.jitter(t.beat)
+	m.joinAt = m.jitter(t.heartbeat)
 	return m
 }
 
@@ -170,8 +170,8 @@
 		return m.promise(q)
 	case *tierv1.AcceptRequest:
 		return m.accept(q)
-	case *tierv1.BeatRequest:
-		return m.beat(q)
+	case *tierv1.HeartbeatRequest:
+		return m.heartbeat(q)
 	case *tierv1.WriteRequest:
 		return m.write(q)
 	case *tierv1.JoinRequest:
@@ -292,14 +292,14 @@
 	m.store(encodeMessage(kindChosen, r), false)
 	m.out.changed = true
 	if m.primary != nil && r.Epoch > m.primary.record.Epoch {
-		m.stepDown("passed over")
+		m.stepDown("deposed")
 	}
 	if m.proposal != nil && r.Epoch >= m.proposal.epoch && m.proposal.epoch > 0 {
-		m.abandon("passed over")
+		m.abandon("deposed")
 	}
 }
 
-// addresses are all other clearing processes that are known.
+// addresses are all other control-plane processes that are known.
 func (m *machine) addresses() (list []string) {
 	add := func(a string) {
 		if a != "" && a != m.self.Address && !slices.Contains(list, a) {
@@ -327,7 +327,7 @@
 func (m *machine) timers() {
 	m.advanceAll()
 	if m.primary != nil {
-		m.reignTimers()
+		m.leadershipTimers()
 	}
 	if m.primary == nil && m.proposal == nil && m.now >= m.tryAt {
 		m.candidate()
@@ -337,8 +337,8 @@
 		m.probe()
 	}
 	if m.primary == nil && m.now >= m.joinAt {
-		m.joinAt = m.now + m.timing.join + m.jitter(m.timing.beat)
-		if !m.hearing() { // a primary that beats knows this node
+		m.joinAt = m.now + m.timing.join + m.jitter(m.timing.heartbeat)
+		if !m.hearing() { // a primary that heartbeats knows this node
 			m.askToJoin()
 		}
 	}
@@ -365,18 +365,18 @@
 // hearing tells whether the primary was heard of late.
 func (m *machine) hearing() bool { return m.heard && m.now-m.heardAt < m.timing.silence }
 
-// probe asks a primary whose beat is late whether it is there. A call that fails at once, as one to a dead port does, ends
+// probe asks a primary whose heartbeat is late whether it is there. A call that fails at once, as one to a dead port does, ends
 // this node's patience with it; that is a guess that decides nothing: the others are asked as ever. One without any
 // answer is waited for as before.
 func (m *machine) probe() {
-	m.probeAt = m.now + m.timing.beat
+	m.probeAt = m.now + m.timing.heartbeat
 	began := m.now
 	m.call(m.hint, &tierv1.JoinRequest{From: m.self}, true, func(body proto.Message) {
 		if body != nil || m.now-began >= m.timing.call/2 || m.primary != nil || !m.heard || m.heardAt >= began {
 			return
 		}
 		m.heard = false
-		wait := m.timing.beat/8 + m.jitter(m.timing.beat/8) // the others find out, too
+		wait := m.timing.heartbeat/8 + m.jitter(m.timing.heartbeat/8) // the others find out, too
 		if r := m.base(); r != nil && !named(r, m.Folder) {
 			wait += m.timing.silence / 2
 		}
--- a/internal/tier/control/machine_test.go
+++ b/internal/tier/consensus/machine_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"fmt"
--- a/internal/tier/control/node.go
+++ b/internal/tier/consensus/node.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"github.com/phuslu/log"
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/tier/ledger"
+	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
@@ -26,18 +26,18 @@
 	Bootstrap bool           // the whole system starts for the first time
 	Losses    int            // to be borne at the same time
 	Dir       string
-	FS        ledger.FS
+	FS        wal.FS
 
 	ContactWindow, Heartbeat, SyncTime time.Duration
 
-	Dial func(address string) tierv1.Register
+	Dial func(address string) tierv1.Election
 	Log  *log.Logger // nil: silent
 }
 
-// Node is a clearing process's part in the control state. It implements Store.
+// Node is a control-plane process's part in the control state. It implements Store.
 type Node struct {
 	config  Config
-	file    *ledger.File
+	file    *wal.File
 	machine *machine // of the loop alone
 	start   time.Time
 	fresh   time.Duration
@@ -52,7 +52,7 @@
 	changed  chan struct{}
 
 	wake    chan struct{}
-	clients map[string]tierv1.Register
+	clients map[string]tierv1.Election
 	base    int64 // size of the file after it was written anew
 }
 
@@ -80,9 +80,9 @@
 	}
 	n := &Node{config: config, start: time.Now(), replies: make(map[uint64]chan proto.Message),
 		outcomes: make(map[uint64]chan outcome), changed: make(chan struct{}), wake: make(chan struct{}, 1),
-		clients: make(map[string]tierv1.Register)}
+		clients: make(map[string]tierv1.Election)}
 	var d durable
-	file, err := ledger.Open(config.FS, config.Dir, fileName, d.replay)
+	file, err := wal.Open(config.FS, config.Dir, fileName, d.replay)
 	if err != nil {
 		return nil, errorx.Decorate(err, "control: open")
 	}
@@ -328,5 +328,5 @@
 // Self implements Store.
 func (n *Node) Self() *tierv1.Member { return n.machine.self }
 
-// Handler serves Register.
-func (n *Node) Handler() http.Handler { return tierv1.NewRegisterServer(server{n}) }
+// Handler serves Election.
+func (n *Node) Handler() http.Handler { return tierv1.NewElectionServer(server{n}) }
--- a/internal/tier/control/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"context"
@@ -12,14 +12,14 @@
 	"github.com/twitchtv/twirp"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/ledger"
+	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
 // network joins nodes of one process by plain calls.
 type network struct {
 	mu    sync.Mutex
-	nodes map[string]tierv1.Register
+	nodes map[string]tierv1.Election
 }
 
 type wire struct {
@@ -27,13 +27,13 @@
 	address string
 }
 
-func (n *network) set(address string, r tierv1.Register) {
+func (n *network) set(address string, r tierv1.Election) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nodes[address] = r
 }
 
-func (w wire) to() (tierv1.Register, error) {
+func (w wire) to() (tierv1.Election, error) {
 	w.network.mu.Lock()
 	defer w.network.mu.Unlock()
 	if r := w.network.nodes[w.address]; r != nil {
@@ -58,12 +58,12 @@
 	return r.Accept(ctx, q)
 }
 
-func (w wire) Beat(ctx context.Context, q *tierv1.BeatRequest) (*tierv1.BeatReply, error) {
+func (w wire) Heartbeat(ctx context.Context, q *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
 	r, err := w.to()
 	if err != nil {
 		return nil, err
 	}
-	return r.Beat(ctx, q)
+	return r.Heartbeat(ctx, q)
 }
 
 func (w wire) Write(ctx context.Context, q *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
@@ -91,12 +91,12 @@
 type cluster struct {
 	t       *testing.T
 	network *network
-	disks   map[string]*ledger.Memory
+	disks   map[string]*wal.Memory
 	nodes   map[string]*running
 }
 
 func newCluster(t *testing.T) *cluster {
-	c := &cluster{t: t, network: &network{nodes: make(map[string]tierv1.Register)}, disks: make(map[string]*ledger.Memory),
+	c := &cluster{t: t, network: &network{nodes: make(map[string]tierv1.Election)}, disks: make(map[string]*wal.Memory),
 		nodes: make(map[string]*running)}
 	t.Cleanup(func() {
 		for a := range c.nodes {
@@ -108,12 +108,12 @@
 
 func (c *cluster) start(address string, bootstrap bool) {
 	if c.disks[address] == nil {
-		c.disks[address] = ledger.NewMemory()
+		c.disks[address] = wal.NewMemory()
 	}
 	n, err := Open(Config{Self: &tierv1.Member{Address: address, Node: address, Zone: "z" + address, Region: "r"},
 		Seeds: []string{"a", "b", "c"}, Bootstrap: bootstrap, Losses: 1, Dir: "/data", FS: c.disks[address],
 		ContactWindow: 3 * time.Second, Heartbeat: 400 * time.Millisecond,
-		Dial: func(to string) tierv1.Register { return wire{c.network, to} }})
+		Dial: func(to string) tierv1.Election { return wire{c.network, to} }})
 	assert.NilError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -276,7 +276,7 @@
 	c.stop(a)
 	assert.Assert(t, n.base > 0 && n.file.Size() < 12*64<<10, "%d", n.file.Size())
 	var d durable
-	f, err := ledger.Open(c.disks[a], "/data", fileName, d.replay)
+	f, err := wal.Open(c.disks[a], "/data", fileName, d.replay)
 	assert.NilError(t, err)
 	assert.NilError(t, f.Close())
 	assert.Equal(t, string(d.data["k"].Value), "11"+string(value))
@@ -289,7 +289,7 @@
 	c.start("a", true)
 	s := httptest.NewServer(c.nodes["a"].Handler())
 	defer s.Close()
-	client := tierv1.NewRegisterProtobufClient(s.URL, s.Client())
+	client := tierv1.NewElectionProtobufClient(s.URL, s.Client())
 	a, err := client.Promise(context.Background(), &tierv1.PromiseRequest{Epoch: 0, From: &tierv1.Member{Folder: "x", Address: "b"}})
 	assert.NilError(t, err)
 	assert.Assert(t, a.Genesis && a.Promised)
@@ -299,11 +299,11 @@
 // A disk that dies at any operation ends the loop with an error, and nothing acknowledged is lost after.
 func TestOpenAtEveryOperation(t *testing.T) {
 	for at := 1; ; at++ {
-		disk := ledger.NewMemory()
+		disk := wal.NewMemory()
 		disk.DieAt(at)
 		open := func() (*Node, error) {
 			return Open(Config{Self: &tierv1.Member{Address: "a"}, Seeds: []string{"a"}, Bootstrap: true, Losses: 0, Dir: "/data", FS: disk,
-				ContactWindow: 3 * time.Second, Heartbeat: time.Second, Dial: func(string) tierv1.Register { return nil }})
+				ContactWindow: 3 * time.Second, Heartbeat: time.Second, Dial: func(string) tierv1.Election { return nil }})
 		}
 		n, err := open()
 		if err == nil {
--- a/internal/tier/control/proposal.go
+++ b/internal/tier/consensus/proposal.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"maps"
@@ -53,7 +53,7 @@
 
 // patience is how long a primary may be silent before this folder asks to take over: those with a copy go first.
 func (m *machine) patience() time.Duration {
-	d := m.timing.silence + m.jitter(m.timing.beat/2)
+	d := m.timing.silence + m.jitter(m.timing.heartbeat/2)
 	if r := m.base(); r != nil && !named(r, m.Folder) && r.Epoch > 0 {
 		d += m.timing.silence / 2
 	}
@@ -203,7 +203,7 @@
 	}
 	if m.proposal == p && p.phase == accepting {
 		if majorities(configurations(p.base, p.target), m.acceptedBy) {
-			m.reign(p)
+			m.leadership(p)
 			return
 		}
 		if p.open == 0 {
@@ -225,7 +225,7 @@
 			trip = max(trip, o.trip)
 		}
 	}
-	return min(trip*3/2+m.timing.beat/4, m.timing.call)
+	return min(trip*3/2+m.timing.heartbeat/4, m.timing.call)
 }
 
 // eligible tells whether this folder's copy holds all that was acknowledged before and under a record.
@@ -382,12 +382,12 @@
 		m.out.news = append(m.out.news, "proposal failed: "+why)
 	}
 	if m.primary == nil {
-		m.tryAt = m.now + m.timing.beat/2 + m.jitter(m.timing.beat)
+		m.tryAt = m.now + m.timing.heartbeat/2 + m.jitter(m.timing.heartbeat)
 		return
 	}
 	if !m.eligible(p.base) || !m.confirmedWithin(m.timing.fresh) {
 		m.stepDown(why)
 		return
 	}
-	m.primary.retryAt = m.now + m.timing.beat/4 + m.jitter(m.timing.beat/2)
+	m.primary.retryAt = m.now + m.timing.heartbeat/4 + m.jitter(m.timing.heartbeat/2)
 }
--- a/internal/tier/control/race_off_test.go
+++ b/internal/tier/consensus/race_off_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package control
+package consensus
 
 const raced = false
--- a/internal/tier/control/race_on_test.go
+++ b/internal/tier/consensus/race_on_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package control
+package consensus
 
 // raced tells that the race detector slows all down about tenfold.
 const raced = true
--- a/internal/tier/control/register.go
+++ b/internal/tier/consensus/register.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"slices"
@@ -41,7 +41,7 @@
 	return m.granted > 0 && m.promised > epochOf(m.chosen) && m.promisedTo != folder && m.now-m.granted < m.timing.call/2
 }
 
-// pledge is a promise, to another or to itself.
+// promise is a promise, to another or to itself.
 func (m *machine) pledge(epoch uint64, to string) {
 	m.promised, m.promisedTo, m.granted = epoch, to, m.now
 	m.highest = max(m.highest, epoch)
@@ -55,7 +55,7 @@
 	if m.proposal != nil && m.proposal.epoch > 0 {
 		m.abandon("promised to another")
 	}
-	m.tryAt = max(m.tryAt, m.now+m.timing.call/2+m.jitter(m.timing.beat))
+	m.tryAt = max(m.tryAt, m.now+m.timing.call/2+m.jitter(m.timing.heartbeat))
 }
 
 // accept takes a record under the epoch promised last, from the one it was promised to. A folder made since the promise
@@ -84,16 +84,16 @@
 	m.store(encodeMessage(kindAccepted, r), true)
 }
 
-// beat hears a primary.
-func (m *machine) beat(q *tierv1.BeatRequest) *tierv1.BeatReply {
+// heartbeat hears a primary.
+func (m *machine) heartbeat(q *tierv1.HeartbeatRequest) *tierv1.HeartbeatReply {
 	m.met(q.From)
 	m.learn(q.Record)
 	r := m.chosen
 	if r != nil && q.Record != nil && q.From != nil && q.Record.Epoch == r.Epoch && q.From.Folder == r.Primary && m.primary == nil {
-		// One who is about to take over has this folder's promise: the beats of the primary before it count no more.
+		// One who is about to take over has this folder's promise: the heartbeats of the primary before it count no more.
 		if m.promised <= r.Epoch || m.promisedTo == q.From.Folder || m.now-m.granted > m.timing.silence {
 			m.heardAt, m.heard = m.now, true
-			m.probeAt = m.now + m.timing.beat*3/2
+			m.probeAt = m.now + m.timing.heartbeat*3/2
 			if m.hint != q.From.Address {
 				m.hint, m.out.changed = q.From.Address, true
 			}
@@ -103,7 +103,7 @@
 			}
 		}
 	}
-	return &tierv1.BeatReply{Self: m.self, Highest: m.promised, Sequence: m.sequence, Member: m.isVoter(m.knownMembers())}
+	return &tierv1.HeartbeatReply{Self: m.self, Highest: m.promised, Sequence: m.sequence, Member: m.isVoter(m.knownMembers())}
 }
 
 // write takes a write of the primary into the copy.
--- a/internal/tier/control/server.go
+++ b/internal/tier/consensus/server.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"context"
@@ -48,8 +48,8 @@
 	return serve[*tierv1.AcceptReply](ctx, s.n, q)
 }
 
-func (s server) Beat(ctx context.Context, q *tierv1.BeatRequest) (*tierv1.BeatReply, error) {
-	return serve[*tierv1.BeatReply](ctx, s.n, q)
+func (s server) Heartbeat(ctx context.Context, q *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
+	return serve[*tierv1.HeartbeatReply](ctx, s.n, q)
 }
 
 func (s server) Write(ctx context.Context, q *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
@@ -78,14 +78,14 @@
 	}()
 }
 
-func invoke(ctx context.Context, client tierv1.Register, body proto.Message) (proto.Message, error) {
+func invoke(ctx context.Context, client tierv1.Election, body proto.Message) (proto.Message, error) {
 	switch q := body.(type) {
 	case *tierv1.PromiseRequest:
 		return client.Promise(ctx, q)
 	case *tierv1.AcceptRequest:
 		return client.Accept(ctx, q)
-	case *tierv1.BeatRequest:
-		return client.Beat(ctx, q)
+	case *tierv1.HeartbeatRequest:
+		return client.Heartbeat(ctx, q)
 	case *tierv1.WriteRequest:
 		return client.Write(ctx, q)
 	case *tierv1.JoinRequest:
--- a/internal/tier/control/store.go
+++ b/internal/tier/consensus/store.go
@@ -1,7 +1,7 @@
 // Package control keeps the control state of the tier: a small set of keys that the primary of a view writes and syncs
 // here and at all backups of the view before it answers. Members decide on views (register.go); they keep only epochs
 // and records. There is no log that a majority replicates.
-package control
+package consensus
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// Store is what the clearing role uses of this package.
+// Store is what the control plane role uses of this package.
 type Store interface {
 	// Primary tells the epoch of this process's view, and whether it is primary and a round trip to all backups began
 	// less than a third of the contact window ago.
@@ -28,7 +28,7 @@
 	Hint() string
 	// Record is the newest record known to be chosen, or nil.
 	Record() *tierv1.Record
-	// Members are all clearing folders that are known and alive, or members of the record.
+	// Members are all control plane folders that are known and alive, or members of the record.
 	Members() []*tierv1.Member
 	// Self is this folder.
 	Self() *tierv1.Member
--- a/internal/tier/control/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"container/heap"
@@ -99,7 +99,7 @@
 	gone     bool
 	dark     bool // without power: calls hang
 	seen     *tierv1.Record
-	reigned  uint64 // epoch of its newest reign
+	led      uint64 // epoch of its newest leadership
 }
 
 func newWorld(seed uint64, n, losses int) *world {
--- a/internal/tier/clearing/assign.go
+++ b/internal/tier/controlplane/assign.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"slices"
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// partitionCount is the number of partitions, fixed when the map is first made. It is a multiple of what a few vaults
+// partitionCount is the number of partitions, fixed when the map is first made. It is a multiple of what a few turn stores
 // share evenly, and small enough for the map to be pushed whole.
 const partitionCount = 32
 
@@ -17,47 +17,47 @@
 
 // Spread tells how many copies there are beside the primary, and what they must not share.
 type Spread struct {
-	Losses int                         // to be borne at once
-	Domain func(*tierv1.Keeper) string // what is lost as one
+	Losses int                            // to be borne at once
+	Domain func(*tierv1.StoreNode) string // what is lost as one
 }
 
 // spreadOf derives the spread from the losses to be borne.
 func spreadOf(s settings.Settings) Spread {
-	d := func(k *tierv1.Keeper) string { return k.Node }
+	d := func(k *tierv1.StoreNode) string { return k.Node }
 	switch {
 	case s.LoseRegions > 0:
-		d = func(k *tierv1.Keeper) string { return k.Region }
+		d = func(k *tierv1.StoreNode) string { return k.Region }
 	case s.LoseZones > 0:
-		d = func(k *tierv1.Keeper) string { return k.Zone }
+		d = func(k *tierv1.StoreNode) string { return k.Zone }
 	}
 	return Spread{Losses: s.Losses(), Domain: d}
 }
 
-// Report is the word of a vault, From by its folder, that a copy is whole.
+// Report is the word of a turn store, From by its folder, that a copy is whole.
 type Report struct {
 	From string
 	Copy *tierv1.SyncedCopy
 }
 
-// Input is what the vault map is made from, beside the map before.
+// Input is what the turn store map is made from, beside the map before.
 type Input struct {
 	Spread
-	Alive   map[string]*tierv1.Keeper // by folder
-	Leaving map[string]bool           // of these: SIGTERM was heard
+	Alive   map[string]*tierv1.StoreNode // by folder
+	Leaving map[string]bool              // of these: SIGTERM was heard
 	Reports []Report
 	Certain bool // whoever is not alive is dead; else it may only not have come yet
 	Create  bool // the first map may be made
 	Move    bool // copies and primaries may move only to make shares even
 }
 
-// Assign brings the map in line with the vaults, and tells whether anything changed. It gives up no copy that may be the
+// Assign brings the map in line with the turn stores, and tells whether anything changed. It gives up no copy that may be the
 // last of what was acknowledged: a primary is followed only by a copy that is synced, and no synced copy is dropped in
 // favour of one that is not, unless its disk is gone or it is dead and the losses are within what is to be borne. Each
 // change of a partition's primary or backups raises its epoch by one.
-func Assign(before *tierv1.Vaults, in Input) (after *tierv1.Vaults, changed bool) {
-	m := &tierv1.Vaults{}
+func Assign(before *tierv1.PartitionMap, in Input) (after *tierv1.PartitionMap, changed bool) {
+	m := &tierv1.PartitionMap{}
 	if before != nil {
-		m = proto.Clone(before).(*tierv1.Vaults)
+		m = proto.Clone(before).(*tierv1.PartitionMap)
 	}
 	a := &assignment{Input: in, m: m}
 	a.know()
@@ -98,41 +98,41 @@
 // assignment is one run of Assign.
 type assignment struct {
 	Input
-	m       *tierv1.Vaults
-	keepers map[string]*tierv1.Keeper    // by folder
-	gone    map[string]bool              // folders whose node has another one now
-	victims map[*tierv1.Partition]string // of those that had one copy too many, before reports were taken
-	lost    int                          // domains with a dead vault that has copies
+	m          *tierv1.PartitionMap
+	storeNodes map[string]*tierv1.StoreNode // by folder
+	gone       map[string]bool              // folders whose node has another one now
+	victims    map[*tierv1.Partition]string // of those that had one copy too many, before reports were taken
+	lost       int                          // domains with a dead turn store that has copies
 }
 
-// know takes in vaults that are new, or whose address is, and finds the folders that are gone.
+// know takes in turn stores that are new, or whose address is, and finds the folders that are gone.
 func (a *assignment) know() {
-	a.keepers, a.gone = map[string]*tierv1.Keeper{}, map[string]bool{}
+	a.storeNodes, a.gone = map[string]*tierv1.StoreNode{}, map[string]bool{}
 	nodes := map[string]string{}
 	for folder, one := range a.Alive {
 		nodes[one.Node] = folder
 	}
-	for i, one := range a.m.Keepers {
+	for i, one := range a.m.StoreNodes {
 		if now := a.Alive[one.Folder]; now != nil {
 			if !proto.Equal(now, one) {
-				one = proto.Clone(now).(*tierv1.Keeper)
-				a.m.Keepers[i] = one
+				one = proto.Clone(now).(*tierv1.StoreNode)
+				a.m.StoreNodes[i] = one
 			}
 		} else if other, ok := nodes[one.Node]; ok && other != one.Folder {
 			a.gone[one.Folder] = true
 		}
-		a.keepers[one.Folder] = one
+		a.storeNodes[one.Folder] = one
 	}
 	for _, folder := range sorted(a.Alive) {
-		if a.keepers[folder] == nil {
-			one := proto.Clone(a.Alive[folder]).(*tierv1.Keeper)
-			a.keepers[folder] = one
-			a.m.Keepers = append(a.m.Keepers, one)
+		if a.storeNodes[folder] == nil {
+			one := proto.Clone(a.Alive[folder]).(*tierv1.StoreNode)
+			a.storeNodes[folder] = one
+			a.m.StoreNodes = append(a.m.StoreNodes, one)
 		}
 	}
 }
 
-// forget drops keepers without a copy that are gone, or that are not there any more after they were emptied.
+// forget drops store nodes without a copy that are gone, or that are not there any more after they were emptied.
 func (a *assignment) forget() {
 	used := map[string]bool{}
 	for _, p := range a.m.Partitions {
@@ -140,7 +140,7 @@
 			used[folder] = true
 		}
 	}
-	a.m.Keepers = slices.DeleteFunc(a.m.Keepers, func(one *tierv1.Keeper) bool {
+	a.m.StoreNodes = slices.DeleteFunc(a.m.StoreNodes, func(one *tierv1.StoreNode) bool {
 		emptied := a.retiring(one.Folder) && a.dead(one.Folder)
 		return !used[one.Folder] && (a.gone[one.Folder] || emptied)
 	})
@@ -157,29 +157,29 @@
 
 func (a *assignment) alive(folder string) bool { return a.Alive[folder] != nil }
 
-// dead tells whether a vault is called dead. One that is neither alive nor dead has not come yet.
+// dead tells whether a turn store is called dead. One that is neither alive nor dead has not come yet.
 func (a *assignment) dead(folder string) bool {
 	return !a.alive(folder) && (a.Certain || a.gone[folder])
 }
 
 func (a *assignment) retiring(folder string) bool {
-	one := a.keepers[folder]
+	one := a.storeNodes[folder]
 	return one != nil && slices.Contains(a.m.Retiring, one.Node)
 }
 
-// usable tells whether a vault may get new duties.
+// usable tells whether a turn store may get new duties.
 func (a *assignment) usable(folder string) bool {
 	return a.alive(folder) && !a.retiring(folder) && !a.Leaving[folder]
 }
 
 func (a *assignment) domain(folder string) string {
-	if one := a.keepers[folder]; one != nil {
+	if one := a.storeNodes[folder]; one != nil {
 		return a.Domain(one)
 	}
 	return folder
 }
 
-// countLost counts the domains in which a vault that has copies is dead, and may yet return.
+// countLost counts the domains in which a turn store that has copies is dead, and may yet return.
 func (a *assignment) countLost() int {
 	domains := map[string]bool{}
 	for _, p := range a.m.Partitions {
@@ -259,7 +259,7 @@
 		}
 	}
 	for range partitionCount * partitionCount { // as moves would make it even, but at once
-		before := proto.Clone(a.m).(*tierv1.Vaults)
+		before := proto.Clone(a.m).(*tierv1.PartitionMap)
 		a.pace()
 		a.remember()
 		for _, p := range a.m.Partitions {
--- a/internal/tier/clearing/assign_test.go
+++ b/internal/tier/controlplane/assign_test.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"slices"
@@ -74,7 +74,7 @@
 	w.even(false)
 }
 
-func TestALostVaultDoesNotBlockTwo(t *testing.T) {
+func TestALostTurnStoreDoesNotBlockTwo(t *testing.T) {
 	w := newWorld(t, nil, 2, 2, Spread{1, byNode})
 	w.assign(w.input())
 	w.machines[0].up = false
@@ -109,12 +109,12 @@
 	for _, p := range w.m.Partitions {
 		assert.Assert(t, !slices.Contains(members(p), "n0.1"))
 	}
-	assert.Assert(t, !slices.ContainsFunc(w.m.Keepers, func(k *tierv1.Keeper) bool { return k.Folder == "n0.1" }))
+	assert.Assert(t, !slices.ContainsFunc(w.m.StoreNodes, func(k *tierv1.StoreNode) bool { return k.Folder == "n0.1" }))
 	w.settle()
 	w.even(false)
 }
 
-func TestARetiringVaultIsEmptied(t *testing.T) {
+func TestARetiringTurnStoreIsEmptied(t *testing.T) {
 	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
 	w.assign(w.input())
 	w.m.Retiring = append(w.m.Retiring, "n1")
@@ -151,7 +151,7 @@
 	w.even(false)
 	w.machines[1].up = false
 	w.settle()
-	assert.Assert(t, !slices.ContainsFunc(w.m.Keepers, func(k *tierv1.Keeper) bool { return k.Node == "n1" }))
+	assert.Assert(t, !slices.ContainsFunc(w.m.StoreNodes, func(k *tierv1.StoreNode) bool { return k.Node == "n1" }))
 	assert.Equal(t, lifecycle(w.m, "n1", 1), "completed")
 }
 
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestAnAddedVaultGetsItsShareAPieceAtATime(t *testing.T) {
+func TestAnAddedTurnStoreGetsItsShareAPieceAtATime(t *testing.T) {
 	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
 	w.assign(w.input())
 	w.add(3, 3)
@@ -188,14 +188,12 @@
 	for i, p := range w.m.Partitions {
 		for _, c := range p.Backups {
 			if !c.Synced {
-				for _, r := range []Report{
+				w.reports = append(w.reports, []Report{
 					{p.Primary, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: p.Epoch - 1, Folder: c.Folder}},
 					{c.Folder, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: p.Epoch, Folder: c.Folder}},
 					{p.Primary, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: p.Epoch, Folder: "other"}},
 					{p.Primary, &tierv1.SyncedCopy{Partition: 1 << 20, Epoch: p.Epoch, Folder: c.Folder}},
-				} {
-					w.reports = append(w.reports, r)
-				}
+				}...)
 			}
 		}
 	}
--- a/internal/tier/clearing/confirm.go
+++ b/internal/tier/controlplane/confirm.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"context"
--- a/internal/tier/clearing/interval_test.go
+++ b/internal/tier/controlplane/interval_test.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 		for _, rate := range []float64{4, 8, 14, 47} {
 			for _, pages := range []int{1, 2, 5, 8, 20} {
 				name := fmt.Sprint("drain ", drain, ", rate ", rate, ", pages ", pages)
-				k := &Clearing{Config: Config{Settings: settings.Settings{DrainTimeout: drain, CloudRate: rate}}}
+				k := &ControlPlane{Config: Config{Settings: settings.Settings{DrainTimeout: drain, CloudRate: rate}}}
 				d := k.interval(pages, 0)
 				assert.Assert(t, float64(pages) < rate*d.Seconds(), name)
 				if 2*float64(pages) <= rate*drain.Seconds() {
--- a/internal/tier/clearing/mend.go
+++ b/internal/tier/controlplane/mend.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// mend brings one partition in line: its primary is alive, and it has its copies on vaults that stay.
+// mend brings one partition in line: its primary is alive, and it has its copies on turn stores that stay.
 func (a *assignment) mend(p *tierv1.Partition) {
 	if a.dead(p.Primary) && !a.succeed(p, func(folder string) bool { return a.alive(folder) }) {
 		return // its return is waited for: nobody else has all that was acknowledged
@@ -47,7 +47,7 @@
 	a.trim(p)
 }
 
-// staying counts a partition's copies on vaults that are not to be emptied.
+// staying counts a partition's copies on turn stores that are not to be emptied.
 func (a *assignment) staying(p *tierv1.Partition) int {
 	n := 0
 	for _, folder := range members(p) {
@@ -139,7 +139,7 @@
 }
 
 // victim is the copy that goes when a partition has one too many: the one before that which takes its place. Where that
-// is not to be told any more, it is the one that shares its domain with most others, then the one whose vault has most copies.
+// is not to be told any more, it is the one that shares its domain with most others, then the one whose turn store has most copies.
 func (a *assignment) victim(p *tierv1.Partition) string {
 	all := members(p)
 	for i, c := range p.Backups {
@@ -180,7 +180,7 @@
 	return n
 }
 
-// copies counts the copies of each usable vault, those left out that go when their successor is whole.
+// copies counts the copies of each usable turn store, those left out that go when their successor is whole.
 func (a *assignment) copies() map[string]int {
 	load := map[string]int{}
 	for folder := range a.Alive {
@@ -211,7 +211,7 @@
 	return load
 }
 
-// pick chooses a vault for another copy of a partition, or for its primary where there is none yet; empty if there is none.
+// pick chooses a turn store for another copy of a partition, or for its primary where there is none yet; empty if there is none.
 func (a *assignment) pick(p *tierv1.Partition) string {
 	load, first := a.copies(), a.primaries()
 	all := members(p)
@@ -240,7 +240,7 @@
 func (a *assignment) near(folders []string, one string) int {
 	n := 0
 	for _, folder := range folders {
-		if k := a.keepers[folder]; k != nil && folder != one && k.Zone == a.keepers[one].Zone {
+		if k := a.storeNodes[folder]; k != nil && folder != one && k.Zone == a.storeNodes[one].Zone {
 			n++
 		}
 	}
--- a/internal/tier/clearing/model_test.go
+++ b/internal/tier/controlplane/model_test.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"fmt"
@@ -17,26 +17,25 @@
 	folder     string
 	lives      int
 	up         bool // runs, and control hears it
-	cut        bool // runs, and vaults hear it, but control does not
+	cut        bool // runs, and turn stores hear it, but control does not
 	leaving    bool
-	empty      bool // was wiped, and is not yet known to be so
 	knows      []*tierv1.Partition
 }
 
-// world is a model of vaults that acknowledge turns under the newest map that each has heard of.
+// world is a model of turn stores that acknowledge turns under the newest map that each has heard of.
 type world struct {
 	t        *testing.T
 	r        *rand.Rand
 	spread   Spread
 	machines []*machine
-	m        *tierv1.Vaults
+	m        *tierv1.PartitionMap
 	full     []map[string]bool // by partition, the folders that have all that was acknowledged
 	reports  []Report
 	trace    []string
 }
 
-func byZone(k *tierv1.Keeper) string { return k.Zone }
-func byNode(k *tierv1.Keeper) string { return k.Node }
+func byZone(k *tierv1.StoreNode) string { return k.Zone }
+func byNode(k *tierv1.StoreNode) string { return k.Node }
 
 func newWorld(t *testing.T, r *rand.Rand, n, zones int, spread Spread) *world {
 	w := &world{t: t, r: r, spread: spread}
@@ -52,15 +51,15 @@
 	return m
 }
 
-func (m *machine) keeper() *tierv1.Keeper {
-	return &tierv1.Keeper{Folder: m.folder, Node: m.node, Address: m.node + ":1", Zone: m.zone}
+func (m *machine) storeNode() *tierv1.StoreNode {
+	return &tierv1.StoreNode{Folder: m.folder, Node: m.node, Address: m.node + ":1", Zone: m.zone}
 }
 
 func (w *world) input() Input {
-	in := Input{Spread: w.spread, Alive: map[string]*tierv1.Keeper{}, Leaving: map[string]bool{}, Reports: w.reports, Certain: true, Create: true, Move: true}
+	in := Input{Spread: w.spread, Alive: map[string]*tierv1.StoreNode{}, Leaving: map[string]bool{}, Reports: w.reports, Certain: true, Create: true, Move: true}
 	for _, m := range w.machines {
 		if m.up && !m.cut {
-			in.Alive[m.folder] = m.keeper()
+			in.Alive[m.folder] = m.storeNode()
 			if m.leaving {
 				in.Leaving[m.folder] = true
 			}
@@ -102,7 +101,7 @@
 	return true
 }
 
-func (w *world) check(before *tierv1.Vaults) {
+func (w *world) check(before *tierv1.PartitionMap) {
 	w.t.Helper()
 	for i, p := range w.m.Partitions {
 		all := members(p)
@@ -115,8 +114,8 @@
 			if !wiped && (c == nil || c.Synced) && !w.full[i][folder] {
 				w.t.Fatalf("partition %d: %s is called whole and is not: %v\n%v", i, folder, p, w.trace)
 			}
-			if !slices.ContainsFunc(w.m.Keepers, func(k *tierv1.Keeper) bool { return k.Folder == folder }) {
-				w.t.Fatalf("no keeper of %s", folder)
+			if !slices.ContainsFunc(w.m.StoreNodes, func(k *tierv1.StoreNode) bool { return k.Folder == folder }) {
+				w.t.Fatalf("no store node of %s", folder)
 			}
 		}
 		if before == nil || len(before.Partitions) == 0 {
@@ -207,7 +206,7 @@
 	return 0
 }
 
-// even checks that shares are even and copies whole, on vaults that stay.
+// even checks that shares are even and copies whole, on turn stores that stay.
 func (w *world) even(strict bool) {
 	w.t.Helper()
 	copies, primaries := map[string]int{}, map[string]int{}
@@ -226,7 +225,7 @@
 			copies[folder]++
 			c := backup(p, folder)
 			assert.Assert(w.t, c == nil || c.Synced)
-			domains[w.spread.Domain(w.machine(folder).keeper())] = true
+			domains[w.spread.Domain(w.machine(folder).storeNode())] = true
 		}
 		if strict {
 			assert.Equal(w.t, len(domains), w.spread.Losses+1)
@@ -239,7 +238,7 @@
 		}
 		return slices.Max(all) - slices.Min(all)
 	}
-	if w.spread.Domain(&tierv1.Keeper{Node: "n"}) == "n" {
+	if w.spread.Domain(&tierv1.StoreNode{Node: "n"}) == "n" {
 		assert.Assert(w.t, span(copies) <= 1, "copies %v", copies)
 		assert.Assert(w.t, span(primaries) <= 1, "primaries %v\n%v", primaries, w.m)
 	}
--- a/internal/tier/clearing/operators.go
+++ b/internal/tier/controlplane/operators.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/catalog"
+	"dockshift.example/dockshift/internal/tier/routing"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
@@ -28,9 +28,9 @@
 )
 
 // Operators is the handler of the control_plane address.
-func (k *Clearing) Operators() http.Handler { return http.HandlerFunc(k.dispatch) }
+func (k *ControlPlane) Operators() http.Handler { return http.HandlerFunc(k.dispatch) }
 
-func (k *Clearing) dispatch(w http.ResponseWriter, r *http.Request) {
+func (k *ControlPlane) dispatch(w http.ResponseWriter, r *http.Request) {
 	path, ok := strings.CutPrefix(r.URL.Path, "/saffronyard/")
 	call, argument, _ := strings.Cut(path, "/")
 	var method string
@@ -83,7 +83,7 @@
 }
 
 // pass sends the caller to the primary, if another is known to be it.
-func (k *Clearing) pass(w http.ResponseWriter, r *http.Request) {
+func (k *ControlPlane) pass(w http.ResponseWriter, r *http.Request) {
 	host, _, err := net.SplitHostPort(k.Store.Hint())
 	_, port, err2 := net.SplitHostPort(k.Settings.Control)
 	if err != nil || err2 != nil || host == k.Settings.IP || host == "" {
@@ -121,7 +121,7 @@
 	return b.Bytes(), true
 }
 
-func (k *Clearing) replaceConfiguration(w http.ResponseWriter, r *http.Request) {
+func (k *ControlPlane) replaceConfiguration(w http.ResponseWriter, r *http.Request) {
 	body, ok := whole(w, r, max(bodyLeast, int64(k.Settings.MemoryMB)<<20/bodyPart))
 	if !ok {
 		return
@@ -136,7 +136,7 @@
 		refuse(w, http.StatusBadRequest, "X-Base-Revision is no number")
 		return
 	}
-	c, err := catalog.Parse(body)
+	c, err := routing.Parse(body)
 	if err != nil {
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
@@ -159,7 +159,7 @@
 }
 
 // replaceWith compares and sets in one step, and gives the version in force or the status of a refusal.
-func (k *Clearing) replaceWith(ctx context.Context, body []byte, c *catalog.Catalog, base int64) (version uint64, status int, message string) {
+func (k *ControlPlane) replaceWith(ctx context.Context, body []byte, c *routing.Table, base int64) (version uint64, status int, message string) {
 	if err := k.lock(ctx); err != nil {
 		return 0, http.StatusServiceUnavailable, "another write is under way"
 	}
@@ -168,14 +168,14 @@
 	if !ok {
 		return 0, http.StatusTemporaryRedirect, ""
 	}
-	if v.catalog != nil && bytes.Equal(v.catalog.Body, body) {
+	if v.routing != nil && bytes.Equal(v.routing.Body, body) {
 		if err := k.confirm.wait(ctx, v.epoch); err != nil {
 			return 0, http.StatusServiceUnavailable, "the backups do not confirm it"
 		}
-		return v.catalog.Version, http.StatusOK, ""
+		return v.routing.Version, http.StatusOK, ""
 	}
 	if base != v.revision || c.Revision <= v.revision {
-		// A primary that was passed over must not refuse what has been taken elsewhere.
+		// A primary that was deposed must not refuse what has been taken elsewhere.
 		if err := k.confirm.wait(ctx, v.epoch); err != nil {
 			return 0, http.StatusServiceUnavailable, "the backups do not confirm the current revision"
 		}
@@ -186,21 +186,21 @@
 	if c.Revision <= v.revision {
 		return 0, http.StatusBadRequest, "revision is not above the current one, " + strconv.FormatInt(v.revision, 10)
 	}
-	version, err := k.put(ctx, v.epoch, map[string][]byte{keyCatalog: body})
+	version, err := k.put(ctx, v.epoch, map[string][]byte{keyConfiguration: body})
 	if err != nil {
 		return 0, http.StatusServiceUnavailable, "the outcome is unknown"
 	}
-	taken := &tierv1.Catalog{Version: version, Body: body}
+	taken := &tierv1.Configuration{Version: version, Body: body}
 	packed := pack(taken)
 	k.change(v.epoch, func(v *view) {
-		v.catalog, v.packed, v.revision = taken, packed, c.Revision
+		v.routing, v.packed, v.revision = taken, packed, c.Revision
 	})
 	k.Log.Info().Str("event", "configuration").Int64("revision", c.Revision).Uint64("version", version).Msg("")
 	return version, http.StatusOK, ""
 }
 
-// told waits until all counters whose sessions stand have acknowledged a version, or the time for that is over.
-func (k *Clearing) told(version uint64, begun time.Time) {
+// told waits until all gateways whose sessions stand have acknowledged a version, or the time for that is over.
+func (k *ControlPlane) told(version uint64, begun time.Time) {
 	limit := min(k.Settings.ConfigApply/applyPart, answerLimit-time.Since(begun))
 	if limit <= 0 {
 		return
@@ -229,7 +229,7 @@
 }
 
 // confirmed gives a view that a round trip to all backups, begun after the call, has confirmed; or it has answered.
-func (k *Clearing) confirmed(w http.ResponseWriter, r *http.Request) (*view, bool) {
+func (k *ControlPlane) confirmed(w http.ResponseWriter, r *http.Request) (*view, bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), writeLimit)
 	defer cancel()
 	v, ok := k.primary()
@@ -249,14 +249,14 @@
 	return now, true
 }
 
-func (k *Clearing) describeConfiguration(w http.ResponseWriter, r *http.Request) {
+func (k *ControlPlane) describeConfiguration(w http.ResponseWriter, r *http.Request) {
 	v, ok := k.confirmed(w, r)
 	switch {
 	case !ok:
-	case v.catalog == nil:
+	case v.routing == nil:
 		refuse(w, http.StatusNotFound, "there is no configuration")
 	default:
-		give(w, http.StatusOK, v.catalog.Body)
+		give(w, http.StatusOK, v.routing.Body)
 	}
 }
 
--- a/internal/tier/clearing/operators_test.go
+++ b/internal/tier/controlplane/operators_test.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"bufio"
@@ -77,7 +77,7 @@
 		assert.Equal(t, resp.StatusCode, 400)
 	}
 	c.Close()
-	got, _ := s.Get(keyCatalog)
+	got, _ := s.Get(keyConfiguration)
 	assert.Assert(t, got == nil)
 }
 
@@ -108,7 +108,7 @@
 	for _, lost := range []bool{true, false} {
 		within(t, func(r *rig) {
 			status(t, r.replace(0, 3), 200)
-			c := r.join(roleCounter, "e1", nil)
+			c := r.join(roleGateway, "e1", nil)
 			r.s.set(func() { r.s.unclear = func(map[string][]byte) (bool, bool) { return lost, true } })
 			w := r.replace(3, 4)
 			status(t, w, 503)
@@ -131,7 +131,7 @@
 func TestAnUnclearWriteThatIsOvertakenIsNeverShown(t *testing.T) {
 	within(t, func(r *rig) {
 		status(t, r.replace(0, 3), 200)
-		c := r.join(roleCounter, "e1", nil)
+		c := r.join(roleGateway, "e1", nil)
 		r.s.set(func() { r.s.unclear = func(map[string][]byte) (bool, bool) { return true, true } })
 		status(t, r.replace(3, 4), 503)
 		r.s.set(func() { r.s.unclear = nil })
@@ -172,18 +172,18 @@
 	})
 }
 
-func TestAnAnswerWaitsForTheCountersThatStand(t *testing.T) {
+func TestAnAnswerWaitsForTheGatewaysThatStand(t *testing.T) {
 	within(t, func(r *rig) {
 		status(t, r.replace(0, 3), 200)
-		fast := r.join(roleCounter, "e1", nil)
-		slow := r.join(roleCounter, "e2", func(p *process) { p.slow = 200 * time.Millisecond })
+		fast := r.join(roleGateway, "e1", nil)
+		slow := r.join(roleGateway, "e2", func(p *process) { p.slow = 200 * time.Millisecond })
 		r.pass(time.Second)
 		began := time.Now()
 		status(t, r.replace(3, 4), 200)
 		took := time.Since(began)
 		assert.Assert(t, took >= 200*time.Millisecond && took < 300*time.Millisecond, "%v", took)
-		_, version := r.s.Get(keyCatalog)
-		assert.Equal(t, slow.has().Catalog, version)
+		_, version := r.s.Get(keyConfiguration)
+		assert.Equal(t, slow.has().Configuration, version)
 		// The same again is answered when they have it too.
 		assert.Equal(t, taken(fast), 2)
 		began = time.Now()
@@ -197,14 +197,14 @@
 	})
 }
 
-func TestACounterThatNeverAcknowledgesHoldsAnAnswerOnlySoLong(t *testing.T) {
+func TestAGatewayThatNeverAcknowledgesHoldsAnAnswerOnlySoLong(t *testing.T) {
 	within(t, func(r *rig) {
 		status(t, r.replace(0, 3), 200)
-		r.join(roleCounter, "e1", func(p *process) { p.slow = time.Hour })
-		r.join(roleCounter, "e2", nil)
+		r.join(roleGateway, "e1", func(p *process) { p.slow = time.Hour })
+		r.join(roleGateway, "e2", nil)
 		service := r.k.Sessions()
-		_, version := r.s.Get(keyCatalog)
-		go service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e3", Role: roleCounter, Life: "x", Catalog: version, HoldMs: 500})
+		_, version := r.s.Get(keyConfiguration)
+		go service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e3", Role: roleGateway, Life: "x", Configuration: version, HoldMs: 500})
 		synctest.Wait()
 		began := time.Now()
 		status(t, r.replace(3, 4), 200)
@@ -216,7 +216,7 @@
 func TestRetire(t *testing.T) {
 	within(t, func(r *rig) {
 		for _, n := range []string{"v1", "v2", "v3"} {
-			r.join(roleVault, n, nil)
+			r.join(roleTurnStore, n, nil)
 		}
 		r.pass(2 * time.Second)
 		order := func(node string) *httptest.ResponseRecorder {
@@ -242,7 +242,7 @@
 		order := func(node string) *httptest.ResponseRecorder {
 			return r.call("POST", "Retire.Create/"+node, nil, strings.NewReader(`{"duration_s":10}`))
 		}
-		r.join(roleVault, "v1", nil)
+		r.join(roleTurnStore, "v1", nil)
 		status(t, order("v1"), 503)
 		status(t, order("v9"), 503)
 		r.pass(2 * time.Second)
@@ -254,8 +254,8 @@
 // Machines that are down for a moment are machines that remain: the order is to be sent again, not refused for good.
 func TestRetireWhileOthersAreDown(t *testing.T) {
 	within(t, func(r *rig) {
-		r.join(roleVault, "v1", nil)
-		others := []*process{r.join(roleVault, "v2", nil), r.join(roleVault, "v3", nil)}
+		r.join(roleTurnStore, "v1", nil)
+		others := []*process{r.join(roleTurnStore, "v2", nil), r.join(roleTurnStore, "v3", nil)}
 		r.pass(2 * time.Second)
 		for _, p := range others {
 			p.end()
--- a/internal/tier/clearing/pace.go
+++ b/internal/tier/controlplane/pace.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"cmp"
@@ -21,7 +21,7 @@
 	return n
 }
 
-// calm tells whether each partition has its copies whole, on vaults that stay, or is under way to another.
+// calm tells whether each partition has its copies whole, on turn stores that stay, or is under way to another.
 func (a *assignment) calm() bool {
 	for _, p := range a.m.Partitions {
 		n := 0
@@ -55,7 +55,7 @@
 }
 
 // move begins a copy that, once whole, takes the place of another. It is one that parts copies of the same domain, or
-// that makes the vaults' shares more even.
+// that makes the turn stores' shares more even.
 func (a *assignment) move() bool {
 	load := a.copies()
 	var usable []string
@@ -115,7 +115,7 @@
 	return true
 }
 
-// even hands one primary on, from a vault that has at least two more than another, if need be by way of others whose
+// even hands one primary on, from a turn store that has at least two more than another, if need be by way of others whose
 // number stays the same.
 func (a *assignment) even() bool {
 	load := a.primaries()
--- a/internal/tier/clearing/platform.go
+++ b/internal/tier/controlplane/platform.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"cmp"
@@ -28,7 +28,7 @@
 )
 
 // poll asks the platform for its list while this process is the primary.
-func (k *Clearing) poll(ctx context.Context) {
+func (k *ControlPlane) poll(ctx context.Context) {
 	if k.Settings.CloudAddress == "" {
 		return
 	}
@@ -71,7 +71,7 @@
 }
 
 // interval is the time from one reading of the list to the next.
-func (k *Clearing) interval(pages, failures int) time.Duration {
+func (k *ControlPlane) interval(pages, failures int) time.Duration {
 	d := k.Settings.DrainTimeout / pollPart
 	if rate := k.Settings.CloudRate; rate > 0 {
 		d = max(d, time.Duration(float64(max(pages, 1))*rateRoom/rate*float64(time.Second)))
@@ -80,7 +80,7 @@
 }
 
 // show publishes a list that differs from the one before in more than how long endpoints remain cold.
-func (k *Clearing) show(epoch uint64, list []*tierv1.Endpoint) {
+func (k *ControlPlane) show(epoch uint64, list []*tierv1.Endpoint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.view.epoch != epoch {
@@ -94,7 +94,7 @@
 		return
 	}
 	k.replace(func(v *view) {
-		v.endpoints = &tierv1.Endpoints{Version: version(epoch, &k.counter.endpoints), List: list}
+		v.endpoints = &tierv1.Endpoints{Version: version(epoch, &k.gateway.endpoints), List: list}
 	})
 }
 
@@ -132,7 +132,7 @@
 
 // instances reads the whole list, in the order of ids. A list of which a page is lacking is an error. It tells how many
 // calls that took, and how long the platform asks to wait after a refusal.
-func (k *Clearing) instances(ctx context.Context) (list []*tierv1.Endpoint, calls int, wait time.Duration, err error) {
+func (k *ControlPlane) instances(ctx context.Context) (list []*tierv1.Endpoint, calls int, wait time.Duration, err error) {
 	token := ""
 	seen := map[string]bool{}
 	for calls < pagesMost {
@@ -170,7 +170,7 @@
 
 func whole32(f float64) uint32 { return uint32(min(max(f, 0), math.MaxUint32)) }
 
-func (k *Clearing) page(ctx context.Context, token string, p *page) (wait time.Duration, err error) {
+func (k *ControlPlane) page(ctx context.Context, token string, p *page) (wait time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
 	at := url.URL{Scheme: "http", Host: k.Settings.CloudAddress, Path: "/instances"}
--- a/internal/tier/clearing/platform_test.go
+++ b/internal/tier/controlplane/platform_test.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"fmt"
@@ -76,8 +76,8 @@
 		v, _ := r.k.snapshot()
 		one := v.endpoints.List[0]
 		assert.Assert(t, one.Instance == "i-1" && one.Draining && one.Capacity == 96 && one.Models[0].Name == "m" && one.Phase == "both")
-		counter := r.join(roleCounter, "e1", nil)
-		assert.Equal(t, counter.has().Endpoints, first)
+		gateway := r.join(roleGateway, "e1", nil)
+		assert.Equal(t, gateway.has().Endpoints, first)
 
 		p.set(func() { p.pages[""] = listing("p-1", instance("i-2", "ready", 100)) })
 		r.pass(1100 * time.Millisecond)
@@ -95,7 +95,7 @@
 		r.pass(4 * time.Second)
 		now, n = endpoints()
 		assert.Assert(t, now > first && n == 1)
-		assert.Equal(t, counter.has().Endpoints, now)
+		assert.Equal(t, gateway.has().Endpoints, now)
 
 		p.set(func() { p.code = 429 })
 		before := p.count()
--- a/internal/tier/clearing/random_test.go
+++ b/internal/tier/controlplane/random_test.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"fmt"
@@ -67,7 +67,7 @@
 				}
 				if stay > losses && !slices.Contains(w.m.Retiring, m.node) && r.IntN(4) == 0 {
 					w.note("%s is to be emptied", m.node)
-					w.m = proto.Clone(w.m).(*tierv1.Vaults)
+					w.m = proto.Clone(w.m).(*tierv1.PartitionMap)
 					w.m.Retiring = append(w.m.Retiring, m.node)
 				}
 			case 8:
--- a/internal/tier/clearing/registry.go
+++ b/internal/tier/controlplane/registry.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"time"
@@ -14,26 +14,26 @@
 
 type place struct{ node, role string }
 
-// registry knows the sessions of processes. It is guarded by the Clearing's lock.
+// registry knows the sessions of processes. It is guarded by the Control plane's lock.
 type registry struct {
 	lapse   time.Duration
 	of      map[place]*session
 	former  map[string]bool // folders whose place was taken by another: their disks are gone for ever
-	arrived time.Time       // of the newest session of a vault
+	arrived time.Time       // of the newest session of a turn store
 	acked   chan struct{}   // closed at the next acknowledgement, if somebody waits
 }
 
 // session is one process's, from its first held call on.
 type session struct {
 	place
-	life                       string
-	keeper                     *tierv1.Keeper // of a vault
-	address                    string
-	catalog, endpoints, vaults uint64 // acknowledged
-	held                       int    // calls
-	seen, ended                time.Time
-	broken, leaving            bool
-	synced                     []*tierv1.SyncedCopy // reported last
+	life                           string
+	storeNode                      *tierv1.StoreNode // of a turn store
+	address                        string
+	routing, endpoints, turnStores uint64 // acknowledged
+	held                           int    // calls
+	seen, ended                    time.Time
+	broken, leaving                bool
+	synced                         []*tierv1.SyncedCopy // reported last
 }
 
 func newRegistry(lapse time.Duration) registry {
@@ -48,19 +48,19 @@
 	at := place{req.Node, req.Role}
 	s = r.of[at]
 	if s == nil || s.life != req.Life {
-		if s != nil && s.keeper != nil && s.keeper.Folder != req.Folder {
-			r.former[s.keeper.Folder] = true
+		if s != nil && s.storeNode != nil && s.storeNode.Folder != req.Folder {
+			r.former[s.storeNode.Folder] = true
 		}
 		s = &session{place: at, life: req.Life}
 		r.of[at] = s
 		fresh = true
 	}
-	if req.Role == roleVault {
+	if req.Role == roleTurnStore {
 		if fresh {
 			r.arrived = now
 		}
-		if s.keeper == nil || s.address != req.Address || s.keeper.Folder != req.Folder {
-			s.keeper = &tierv1.Keeper{Folder: req.Folder, Node: req.Node, Address: req.Address, Zone: req.Zone, Region: req.Region}
+		if s.storeNode == nil || s.address != req.Address || s.storeNode.Folder != req.Folder {
+			s.storeNode = &tierv1.StoreNode{Folder: req.Folder, Node: req.Node, Address: req.Address, Zone: req.Zone, Region: req.Region}
 		}
 		fresh = fresh || req.Leaving != s.leaving || len(req.Synced) != len(s.synced)
 		for i := 0; !fresh && i < len(req.Synced); i++ {
@@ -69,12 +69,12 @@
 		}
 		s.synced = req.Synced
 	}
-	if s.catalog != req.Catalog && r.acked != nil {
+	if s.routing != req.Configuration && r.acked != nil {
 		close(r.acked)
 		r.acked = nil
 	}
 	s.address, s.leaving = req.Address, req.Leaving
-	s.catalog, s.endpoints, s.vaults = req.Catalog, req.Endpoints, req.Vaults
+	s.routing, s.endpoints, s.turnStores = req.Configuration, req.Endpoints, req.PartitionMap
 	s.held++
 	s.seen = now
 	return s, fresh
@@ -99,7 +99,7 @@
 	return s.held > 0 || now.Sub(s.ended) < lapse
 }
 
-// alive tells whether a vault is. One that restarts within the lapse has never been away, unless it had told that it leaves.
+// alive tells whether a turn store is. One that restarts within the lapse has never been away, unless it had told that it leaves.
 func (r *registry) alive(now time.Time, s *session) bool {
 	if s.leaving {
 		return r.stands(now, s)
@@ -107,33 +107,33 @@
 	return s.held > 0 || now.Sub(s.ended) < r.lapse
 }
 
-// keepers gives the vaults that are alive, those of them that are leaving, and the copies that they reported whole.
-func (r *registry) keepers(now time.Time) (alive map[string]*tierv1.Keeper, leaving map[string]bool, reports []Report) {
-	alive, leaving = map[string]*tierv1.Keeper{}, map[string]bool{}
+// store nodes gives the turn stores that are alive, those of them that are leaving, and the copies that they reported whole.
+func (r *registry) storeNodes(now time.Time) (alive map[string]*tierv1.StoreNode, leaving map[string]bool, reports []Report) {
+	alive, leaving = map[string]*tierv1.StoreNode{}, map[string]bool{}
 	for at, s := range r.of {
 		if s.held == 0 && now.Sub(s.ended) > keptLapses*r.lapse {
 			delete(r.of, at)
 			continue
 		}
-		if at.role != roleVault || !r.alive(now, s) {
+		if at.role != roleTurnStore || !r.alive(now, s) {
 			continue
 		}
-		alive[s.keeper.Folder] = s.keeper
+		alive[s.storeNode.Folder] = s.storeNode
 		if s.leaving {
-			leaving[s.keeper.Folder] = true
+			leaving[s.storeNode.Folder] = true
 		}
 		for _, c := range s.synced {
-			reports = append(reports, Report{s.keeper.Folder, c})
+			reports = append(reports, Report{s.storeNode.Folder, c})
 		}
 	}
 	return alive, leaving, reports
 }
 
-// lacking counts the counters that stand and have not acknowledged a version of the configuration.
+// lacking counts the gateways that stand and have not acknowledged a version of the configuration.
 func (r *registry) lacking(now time.Time, version uint64) int {
 	n := 0
 	for at, s := range r.of {
-		if at.role == roleCounter && s.catalog < version && r.stands(now, s) {
+		if at.role == roleGateway && s.routing < version && r.stands(now, s) {
 			n++
 		}
 	}
--- a/internal/tier/clearing/retire.go
+++ b/internal/tier/controlplane/retire.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 )
 
 // createRetire takes the order to empty a storage machine.
-func (k *Clearing) createRetire(w http.ResponseWriter, r *http.Request, node string) {
+func (k *ControlPlane) createRetire(w http.ResponseWriter, r *http.Request, node string) {
 	body, ok := whole(w, r, orderBytes)
 	if !ok {
 		return
@@ -40,17 +40,17 @@
 		k.pass(w, r)
 		return
 	}
-	if slices.Contains(v.vaults.GetRetiring(), node) {
+	if slices.Contains(v.turnStores.GetRetiring(), node) {
 		if err := k.confirm.wait(ctx, v.epoch); err != nil {
 			later(w, "the backups do not confirm it")
 			return
 		}
-		answer(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(v.vaults, node, k.spread.Losses)})
+		answer(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(v.turnStores, node, k.spread.Losses)})
 		return
 	}
-	known, remain := k.remaining(v.vaults, node)
+	known, remain := k.remaining(v.turnStores, node)
 	if !known || remain < k.spread.Losses+1 {
-		if time.Since(v.since) < k.window(gracePart) || known && mapped(v.vaults, node) > k.spread.Losses { // not all that are there have come yet: a final answer would end the order
+		if time.Since(v.since) < k.window(gracePart) || known && mapped(v.turnStores, node) > k.spread.Losses { // not all that are there have come yet: a final answer would end the order
 			later(w, "the storage machines are not all heard yet")
 			return
 		}
@@ -65,12 +65,12 @@
 		}
 		return
 	}
-	next := &tierv1.Vaults{}
-	if v.vaults != nil {
-		next = proto.Clone(v.vaults).(*tierv1.Vaults)
+	next := &tierv1.PartitionMap{}
+	if v.turnStores != nil {
+		next = proto.Clone(v.turnStores).(*tierv1.PartitionMap)
 	}
 	next.Retiring = append(next.Retiring, node)
-	if err := k.putVaults(ctx, v.epoch, next); err != nil {
+	if err := k.putPartitionMap(ctx, v.epoch, next); err != nil {
 		later(w, "the outcome is unknown")
 		return
 	}
@@ -80,9 +80,9 @@
 }
 
 // mapped is how many machines besides a node the map keeps data on, and is not asked to take it off: some may be down for now.
-func mapped(m *tierv1.Vaults, node string) int {
+func mapped(m *tierv1.PartitionMap, node string) int {
 	nodes := map[string]bool{}
-	for _, one := range m.GetKeepers() {
+	for _, one := range m.GetStoreNodes() {
 		if one.Node != node && !slices.Contains(m.GetRetiring(), one.Node) {
 			nodes[one.Node] = true
 		}
@@ -90,15 +90,15 @@
 	return len(nodes)
 }
 
-// remaining tells whether a node is known to keep data, and how many vaults would be left without it.
-func (k *Clearing) remaining(m *tierv1.Vaults, node string) (known bool, remain int) {
+// remaining tells whether a node is known to keep data, and how many turn stores would be left without it.
+func (k *ControlPlane) remaining(m *tierv1.PartitionMap, node string) (known bool, remain int) {
 	k.mu.Lock()
-	alive, leaving, _ := k.sessions.keepers(time.Now())
+	alive, leaving, _ := k.sessions.storeNodes(time.Now())
 	for at := range k.sessions.of {
-		known = known || at.role == roleVault && at.node == node
+		known = known || at.role == roleTurnStore && at.node == node
 	}
 	k.mu.Unlock()
-	for _, one := range m.GetKeepers() {
+	for _, one := range m.GetStoreNodes() {
 		known = known || one.Node == node
 	}
 	for folder, one := range alive {
@@ -109,24 +109,24 @@
 	return known, remain
 }
 
-func (k *Clearing) describeRetire(w http.ResponseWriter, r *http.Request, node string) {
+func (k *ControlPlane) describeRetire(w http.ResponseWriter, r *http.Request, node string) {
 	drain(r)
 	v, ok := k.confirmed(w, r)
 	if !ok {
 		return
 	}
-	if !slices.Contains(v.vaults.GetRetiring(), node) {
+	if !slices.Contains(v.turnStores.GetRetiring(), node) {
 		refuse(w, http.StatusNotFound, "that machine is not asked to be emptied")
 		return
 	}
-	answer(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(v.vaults, node, k.spread.Losses)})
+	answer(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(v.turnStores, node, k.spread.Losses)})
 }
 
 // lifecycle tells whether a node that is to be emptied may be taken away with its disk: no partition has a copy there,
 // and each has its synced copies elsewhere.
-func lifecycle(m *tierv1.Vaults, node string, losses int) string {
+func lifecycle(m *tierv1.PartitionMap, node string, losses int) string {
 	mine := map[string]bool{}
-	for _, one := range m.Keepers {
+	for _, one := range m.StoreNodes {
 		if one.Node == node {
 			mine[one.Folder] = true
 		}
@@ -151,18 +151,18 @@
 	return "completed"
 }
 
-// putVaults writes a vault map and shows it. The caller has the right to write.
-func (k *Clearing) putVaults(ctx context.Context, epoch uint64, m *tierv1.Vaults) error {
+// putVaults writes a turn store map and shows it. The caller has the right to write.
+func (k *ControlPlane) putPartitionMap(ctx context.Context, epoch uint64, m *tierv1.PartitionMap) error {
 	m.Version = 0
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		return err
 	}
-	version, err := k.put(ctx, epoch, map[string][]byte{keyVaults: body})
+	version, err := k.put(ctx, epoch, map[string][]byte{keyPartitionMap: body})
 	if err != nil {
 		return err
 	}
 	m.Version = version
-	k.change(epoch, func(v *view) { v.vaults = m })
+	k.change(epoch, func(v *view) { v.turnStores = m })
 	return nil
 }
--- a/internal/tier/clearing/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"bytes"
@@ -114,11 +114,11 @@
 	return s.sequence, nil
 }
 
-// rig is a Clearing in a bubble of its own time.
+// rig is a Control plane in a bubble of its own time.
 type rig struct {
 	t   *testing.T
 	s   *store
-	k   *Clearing
+	k   *ControlPlane
 	ctx context.Context
 }
 
@@ -194,7 +194,7 @@
 	ctx, cancel := context.WithCancel(r.ctx)
 	p := &process{cancel: cancel, done: make(chan struct{}),
 		req: &tierv1.WatchRequest{Role: role, Node: node, Life: node + "-1", Address: node + ":1", HoldMs: 500}}
-	if role == roleVault {
+	if role == roleTurnStore {
 		p.req.Folder = node + ".1"
 	}
 	if change != nil {
@@ -234,12 +234,12 @@
 	return p
 }
 
-func (p *process) take(n *tierv1.News) {
+func (p *process) take(n *tierv1.WatchReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n.Catalog != nil {
-		p.req.Catalog = n.Catalog.Version
-		p.bodies = append(p.bodies, bodyOf(n.Catalog))
+	if n.Configuration != nil {
+		p.req.Configuration = n.Configuration.Version
+		p.bodies = append(p.bodies, bodyOf(n.Configuration))
 	}
 	if n.Endpoints != nil {
 		p.req.Endpoints = n.Endpoints.Version
@@ -247,10 +247,10 @@
 	if n.Members != nil {
 		p.req.Members = n.Members.Version
 	}
-	if n.Vaults != nil {
-		p.req.Vaults = n.Vaults.Version
-		p.req.Synced = nil // a vault reports the copies of its partitions
-		for i, one := range n.Vaults.Partitions {
+	if n.PartitionMap != nil {
+		p.req.PartitionMap = n.PartitionMap.Version
+		p.req.Synced = nil // a turn store reports the copies of its partitions
+		for i, one := range n.PartitionMap.Partitions {
 			if p.req.Folder == "" || one.Primary != p.req.Folder {
 				continue
 			}
@@ -294,9 +294,9 @@
 	<-p.done
 }
 
-func (r *rig) vaults() *tierv1.Vaults {
+func (r *rig) turnStores() *tierv1.PartitionMap {
 	v, _ := r.k.snapshot()
-	return v.vaults
+	return v.turnStores
 }
 
 func status(t *testing.T, w *httptest.ResponseRecorder, want int) {
@@ -306,11 +306,11 @@
 
 func cloneWatch(q *tierv1.WatchRequest) *tierv1.WatchRequest {
 	return &tierv1.WatchRequest{Node: q.Node, Role: q.Role, Folder: q.Folder, Address: q.Address, Zone: q.Zone, Life: q.Life,
-		Catalog: q.Catalog, Endpoints: q.Endpoints, Vaults: q.Vaults, Members: q.Members, HoldMs: q.HoldMs, Synced: q.Synced, Leaving: q.Leaving}
+		Configuration: q.Configuration, Endpoints: q.Endpoints, PartitionMap: q.PartitionMap, Members: q.Members, HoldMs: q.HoldMs, Synced: q.Synced, Leaving: q.Leaving}
 }
 
 // bodyOf is a configuration as the operator sent it.
-func bodyOf(c *tierv1.Catalog) string {
+func bodyOf(c *tierv1.Configuration) string {
 	if len(c.Packed) == 0 {
 		return string(c.Body)
 	}
--- a/internal/tier/clearing/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"bytes"
@@ -13,17 +13,17 @@
 
 // Roles of those who hold sessions.
 const (
-	roleCounter = "counter"
-	roleVault   = "vault"
+	roleGateway   = "gateway"
+	roleTurnStore = "turnstore"
 )
 
-// Sessions is the service that counters, vaults and the command line call.
-func (k *Clearing) Sessions() tierv1.Clearing { return &sessions{k} }
+// Sessions is the service that gateways, turn stores and the command line call.
+func (k *ControlPlane) Sessions() tierv1.ControlPlane { return &sessions{k} }
 
-type sessions struct{ k *Clearing }
+type sessions struct{ k *ControlPlane }
 
 // Watch answers at once where there is news for the caller, else when its time is over.
-func (s *sessions) Watch(ctx context.Context, req *tierv1.WatchRequest) (*tierv1.News, error) {
+func (s *sessions) Watch(ctx context.Context, req *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
 	k := s.k
 	if _, ok := k.Store.Primary(); !ok {
 		return k.elsewhere(), nil
@@ -32,7 +32,7 @@
 	me, fresh := k.sessions.enter(time.Now(), req)
 	k.mu.Unlock()
 	if me != nil {
-		if fresh && req.Role == roleVault {
+		if fresh && req.Role == roleTurnStore {
 			wake(k.kick)
 		}
 		defer func() {
@@ -40,14 +40,14 @@
 			k.mu.Lock()
 			k.sessions.leave(time.Now(), me, broken)
 			k.mu.Unlock()
-			if broken && req.Role == roleVault && req.Leaving {
+			if broken && req.Role == roleTurnStore && req.Leaving {
 				wake(k.kick)
 			}
 		}()
 	}
 	hold := time.NewTimer(min(time.Duration(req.HoldMs)*time.Millisecond, k.window(holdPart)))
 	defer hold.Stop()
-	confirmed := req.Catalog != 0
+	confirmed := req.Configuration != 0
 	over := false
 	for {
 		v, changed := k.snapshot()
@@ -81,18 +81,20 @@
 }
 
 // elsewhere is the answer of one that is not the primary, or can't be sure of it.
-func (k *Clearing) elsewhere() *tierv1.News { return &tierv1.News{Hint: k.Store.Hint()} }
+func (k *ControlPlane) elsewhere() *tierv1.WatchReply {
+	return &tierv1.WatchReply{Hint: k.Store.Hint()}
+}
 
-func (v *view) newsFor(req *tierv1.WatchRequest) (n *tierv1.News, some bool) {
-	n = &tierv1.News{Primary: true, Epoch: v.epoch}
-	if v.catalog != nil && v.catalog.Version > req.Catalog {
-		n.Catalog, some = v.packed, true
+func (v *view) newsFor(req *tierv1.WatchRequest) (n *tierv1.WatchReply, some bool) {
+	n = &tierv1.WatchReply{Primary: true, Epoch: v.epoch}
+	if v.routing != nil && v.routing.Version > req.Configuration {
+		n.Configuration, some = v.packed, true
 	}
 	if v.endpoints != nil && v.endpoints.Version > req.Endpoints {
 		n.Endpoints, some = v.endpoints, true
 	}
-	if v.vaults != nil && v.vaults.Version > req.Vaults {
-		n.Vaults, some = v.vaults, true
+	if v.turnStores != nil && v.turnStores.Version > req.PartitionMap {
+		n.PartitionMap, some = v.turnStores, true
 	}
 	if v.members != nil && v.members.Version > req.Members {
 		n.Members, some = v.members, true
@@ -106,19 +108,19 @@
 	v, primary := k.primary()
 	r := &tierv1.StatusReply{Self: k.Store.Self(), Primary: primary, Record: k.Store.Record()}
 	r.Highest = r.Record.GetEpoch()
-	for _, key := range []string{keyCatalog, keyVaults, keySettled} {
+	for _, key := range []string{keyConfiguration, keyPartitionMap, keySettled} {
 		_, sequence := k.Store.Get(key)
 		r.Sequence = max(r.Sequence, sequence)
 	}
 	if !primary {
 		return r, nil
 	}
-	r.Vaults, r.Catalog, r.Endpoints, r.Revision = v.vaults, v.catalog.GetVersion(), v.endpoints.GetVersion(), v.revision
+	r.PartitionMap, r.Configuration, r.Endpoints, r.Revision = v.turnStores, v.routing.GetVersion(), v.endpoints.GetVersion(), v.revision
 	now := time.Now()
 	k.mu.Lock()
 	for _, one := range k.sessions.of {
-		t := &tierv1.Session{Node: one.node, Role: one.role, Address: one.address, Catalog: one.catalog,
-			Endpoints: one.endpoints, Vaults: one.vaults}
+		t := &tierv1.Session{Node: one.node, Role: one.role, Address: one.address, Configuration: one.routing,
+			Endpoints: one.endpoints, PartitionMap: one.turnStores}
 		if one.held == 0 {
 			t.SilentMs = now.Sub(one.ended).Milliseconds()
 		}
@@ -132,7 +134,7 @@
 }
 
 // pack gives a configuration as sessions get it. Routes are much alike, and all sessions take it at each change.
-func pack(c *tierv1.Catalog) *tierv1.Catalog {
+func pack(c *tierv1.Configuration) *tierv1.Configuration {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
 	if err == nil {
@@ -143,5 +145,5 @@
 	if err != nil || b.Len() >= len(c.Body) {
 		return c
 	}
-	return &tierv1.Catalog{Version: c.Version, Packed: b.Bytes()}
+	return &tierv1.Configuration{Version: c.Version, Packed: b.Bytes()}
 }
--- a/internal/tier/clearing/sessions_test.go
+++ b/internal/tier/controlplane/sessions_test.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"math"
@@ -16,20 +16,20 @@
 		status(t, r.replace(0, 3), 200)
 		service := r.k.Sessions()
 		confirms := r.s.confirmed()
-		n, err := service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e1", Role: roleCounter, Life: "a", HoldMs: 500})
+		n, err := service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e1", Role: roleGateway, Life: "a", HoldMs: 500})
 		assert.NilError(t, err)
 		assert.Assert(t, n.Primary)
-		assert.Equal(t, bodyOf(n.Catalog), string(configuration(3, "s")))
+		assert.Equal(t, bodyOf(n.Configuration), string(configuration(3, "s")))
 		assert.Equal(t, n.Members.List[0].Folder, "c1")
 		assert.Equal(t, r.s.confirmed(), confirms+1)
-		n, err = service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e1", Role: roleCounter, Life: "a", Catalog: n.Catalog.Version, HoldMs: 500})
+		n, err = service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e1", Role: roleGateway, Life: "a", Configuration: n.Configuration.Version, HoldMs: 500})
 		assert.NilError(t, err)
-		assert.Assert(t, n.Primary && n.Catalog == nil)
+		assert.Assert(t, n.Primary && n.Configuration == nil)
 		assert.Equal(t, r.s.confirmed(), confirms+1)
 		r.s.set(func() { r.s.deaf = true })
-		n, err = service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e2", Role: roleCounter, Life: "b", HoldMs: 500})
+		n, err = service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e2", Role: roleGateway, Life: "b", HoldMs: 500})
 		assert.NilError(t, err)
-		assert.Assert(t, !n.Primary && n.Catalog == nil)
+		assert.Assert(t, !n.Primary && n.Configuration == nil)
 	})
 }
 
@@ -37,7 +37,7 @@
 	within(t, func(r *rig) {
 		before := r.s.confirmed()
 		for _, node := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
-			r.join(roleCounter, node, func(p *process) { p.req.Members = math.MaxUint64 })
+			r.join(roleGateway, node, func(p *process) { p.req.Members = math.MaxUint64 })
 		}
 		assert.Assert(t, r.s.confirmed()-before <= 6)
 		assert.Assert(t, r.s.confirmed()-before >= 1)
@@ -47,8 +47,8 @@
 func TestACallIsHeldUntilThereIsNewsOrItsTimeIsOver(t *testing.T) {
 	within(t, func(r *rig) {
 		service := r.k.Sessions()
-		all := &tierv1.WatchRequest{Node: "e1", Life: "a", Catalog: math.MaxUint64, Endpoints: math.MaxUint64,
-			Vaults: math.MaxUint64, Members: math.MaxUint64}
+		all := &tierv1.WatchRequest{Node: "e1", Life: "a", Configuration: math.MaxUint64, Endpoints: math.MaxUint64,
+			PartitionMap: math.MaxUint64, Members: math.MaxUint64}
 		began := time.Now()
 		n, err := service.Watch(r.ctx, all) // one that looks for the primary
 		assert.NilError(t, err)
@@ -66,7 +66,7 @@
 
 func TestHeldCallsAreGivenUpOutOfTouch(t *testing.T) {
 	within(t, func(r *rig) {
-		p := r.join(roleCounter, "e1", nil)
+		p := r.join(roleGateway, "e1", nil)
 		r.s.set(func() { r.s.ok = false })
 		synctest.Wait()
 		assert.Equal(t, lost(p), 1)
@@ -86,60 +86,60 @@
 func TestANewPrimaryShowsTheStateOnceItIsWrittenThrough(t *testing.T) {
 	within(t, func(r *rig) {
 		status(t, r.replace(0, 3), 200)
-		p := r.join(roleCounter, "e1", nil)
-		before := p.has().Catalog
+		p := r.join(roleGateway, "e1", nil)
+		before := p.has().Configuration
 		r.s.set(func() {
 			r.s.epoch += 1 << 12
 			r.s.unclear = func(map[string][]byte) (bool, bool) { return true, true }
 			r.s.sequence++
-			r.s.values[keyCatalog], r.s.at[keyCatalog] = configuration(9, "s"), r.s.sequence
+			r.s.values[keyConfiguration], r.s.at[keyConfiguration] = configuration(9, "s"), r.s.sequence
 		})
 		r.pass(time.Second)
 		assert.Equal(t, taken(p), 1)
 		r.s.set(func() { r.s.unclear = nil })
 		r.pass(time.Second)
 		assert.Equal(t, taken(p), 2)
-		assert.Assert(t, p.has().Catalog > before)
+		assert.Assert(t, p.has().Configuration > before)
 		status(t, r.replace(3, 10), 412)
 		status(t, r.replace(9, 10), 200)
 	})
 }
 
-func TestVaultsMakeTheMap(t *testing.T) {
+func TestTurnStoresMakeTheMap(t *testing.T) {
 	within(t, func(r *rig) {
-		first := r.join(roleVault, "v1", nil)
+		first := r.join(roleTurnStore, "v1", nil)
 		r.pass(time.Second)
-		assert.Equal(t, len(r.vaults().GetPartitions()), 0)
-		r.join(roleVault, "v2", nil)
+		assert.Equal(t, len(r.turnStores().GetPartitions()), 0)
+		r.join(roleTurnStore, "v2", nil)
 		r.pass(200 * time.Millisecond)
-		third := r.join(roleVault, "v3", nil)
+		third := r.join(roleTurnStore, "v3", nil)
 		r.pass(time.Second)
-		v := r.vaults()
+		v := r.turnStores()
 		assert.Equal(t, len(v.Partitions), partitionCount)
-		assert.Equal(t, len(v.Keepers), 3)
-		assert.Equal(t, first.has().Vaults, v.Version)
+		assert.Equal(t, len(v.StoreNodes), 3)
+		assert.Equal(t, first.has().PartitionMap, v.Version)
 		r.pass(5 * time.Second)
-		assert.Assert(t, r.vaults() == v, "a map at rest was changed")
+		assert.Assert(t, r.turnStores() == v, "a map at rest was changed")
 
 		// A restart within the time changes nothing.
 		third.end()
 		r.pass(450 * time.Millisecond)
-		third = r.join(roleVault, "v3", func(p *process) { p.req.Life = "again" })
+		third = r.join(roleTurnStore, "v3", func(p *process) { p.req.Life = "again" })
 		r.pass(2 * time.Second)
-		assert.Assert(t, r.vaults() == v)
+		assert.Assert(t, r.turnStores() == v)
 
 		// Silence does.
 		third.end()
 		r.pass(time.Second)
-		for _, p := range r.vaults().Partitions {
+		for _, p := range r.turnStores().Partitions {
 			assert.Assert(t, !slices.Contains(members(p), "v3.1"))
 		}
 
 		// Back with another disk, it gets its share.
-		r.join(roleVault, "v3", func(p *process) { p.req.Folder, p.req.Life = "v3.2", "third" })
+		r.join(roleTurnStore, "v3", func(p *process) { p.req.Folder, p.req.Life = "v3.2", "third" })
 		r.pass(20 * time.Second)
 		load := map[string]int{}
-		for _, p := range r.vaults().Partitions {
+		for _, p := range r.turnStores().Partitions {
 			for _, folder := range members(p) {
 				load[folder]++
 			}
@@ -148,22 +148,22 @@
 		assert.Assert(t, load["v3.2"] >= 21, "%v", load)
 
 		// The old folder is dead for ever.
-		old := r.join(roleVault, "v3", func(p *process) { p.req.Life = "old" })
-		v = r.vaults()
+		old := r.join(roleTurnStore, "v3", func(p *process) { p.req.Life = "old" })
+		v = r.turnStores()
 		r.pass(5 * time.Second)
-		assert.Assert(t, r.vaults() == v)
+		assert.Assert(t, r.turnStores() == v)
 		old.end()
 	})
 }
 
-func TestAfterATakeoverNoVaultIsDeadBeforeItCouldCome(t *testing.T) {
+func TestAfterATakeoverNoTurnStoreIsDeadBeforeItCouldCome(t *testing.T) {
 	within(t, func(r *rig) {
 		var all []*process
 		for _, n := range []string{"v1", "v2", "v3"} {
-			all = append(all, r.join(roleVault, n, nil))
+			all = append(all, r.join(roleTurnStore, n, nil))
 		}
 		r.pass(2 * time.Second)
-		v := r.vaults()
+		v := r.turnStores()
 		assert.Equal(t, len(v.Partitions), partitionCount)
 		r.s.set(func() { r.s.ok = false })
 		for _, p := range all {
@@ -173,23 +173,23 @@
 		r.s.set(func() { r.s.ok, r.s.epoch = true, r.s.epoch+1<<12 })
 		r.pass(time.Second)
 		for _, n := range []string{"v1", "v2", "v3"} {
-			r.join(roleVault, n, nil)
+			r.join(roleTurnStore, n, nil)
 		}
 		r.pass(5 * time.Second)
-		assert.Equal(t, r.vaults().Version, v.Version)
+		assert.Equal(t, r.turnStores().Version, v.Version)
 	})
 }
 
 func TestStatus(t *testing.T) {
 	within(t, func(r *rig) {
 		status(t, r.replace(0, 3), 200)
-		r.join(roleCounter, "e1", nil)
-		r.join(roleVault, "v1", nil)
+		r.join(roleGateway, "e1", nil)
+		r.join(roleTurnStore, "v1", nil)
 		s, err := r.k.Sessions().Status(r.ctx, &tierv1.StatusRequest{})
 		assert.NilError(t, err)
 		assert.Assert(t, s.Primary)
 		assert.Equal(t, s.Revision, int64(3))
 		assert.Equal(t, len(s.Sessions), 2)
-		assert.Equal(t, s.Sessions[0].Catalog, s.Catalog)
+		assert.Equal(t, s.Sessions[0].Configuration, s.Configuration)
 	})
 }
--- a/internal/tier/clearing/store.go
+++ b/internal/tier/controlplane/store.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"context"
@@ -28,7 +28,7 @@
 
 // Keys of the control state.
 const (
-	keyCatalog = "catalog" // the operator's configuration, the bytes that came
-	keyVaults  = "vaults"  // tierv1.Vaults
-	keySettled = "settled" // epoch in which the state was last written through
+	keyConfiguration = "configuration" // the operator's configuration, the bytes that came
+	keyPartitionMap  = "turnstores"    // tierv1.Turn stores
+	keySettled       = "settled"       // epoch in which the state was last written through
 )
--- a/internal/tier/clearing/tend.go
+++ b/internal/tier/controlplane/tend.go
@@ -1,4 +1,4 @@
-package clearing
+package controlplane
 
 import (
 	"context"
@@ -10,33 +10,33 @@
 	"time"
 )
 
-// tender is what the loop that tends the vault map remembers within an epoch.
+// tender is what the loop that tends the turn store map remembers within an epoch.
 type tender struct {
 	last  string // what the map was made from
 	done  bool   // and nothing was to be changed
 	wrote time.Time
 }
 
-// tend brings the vault map in line with the vaults that are alive, and tells whether that went well.
-func (k *Clearing) tend(ctx context.Context, epoch uint64, t *tender) bool {
+// tend brings the turn store map in line with the turn stores that are alive, and tells whether that went well.
+func (k *ControlPlane) tend(ctx context.Context, epoch uint64, t *tender) bool {
 	now := time.Now()
 	v, ready := k.primary()
 	if !ready || v.epoch != epoch {
 		return true
 	}
 	k.mu.Lock()
-	alive, leaving, reports := k.sessions.keepers(now)
+	alive, leaving, reports := k.sessions.storeNodes(now)
 	arrived := k.sessions.arrived
 	k.mu.Unlock()
 	in := Input{Spread: k.spread, Alive: alive, Leaving: leaving, Reports: reports}
 	in.Certain = now.Sub(v.since) >= k.window(gracePart)
 	in.Create = now.Sub(arrived) >= k.window(settlePart)
 	in.Move = now.Sub(t.wrote) >= k.window(tickPart)
-	seen := strconv.FormatUint(v.vaults.GetVersion(), 10) + ";" + in.signature()
+	seen := strconv.FormatUint(v.turnStores.GetVersion(), 10) + ";" + in.signature()
 	if t.done && t.last == seen {
 		return true
 	}
-	if _, changed := Assign(v.vaults, in); !changed {
+	if _, changed := Assign(v.turnStores, in); !changed {
 		t.last, t.done = seen, in.Move
 		return true
 	}
@@ -51,11 +51,11 @@
 	if !ready || v.epoch != epoch {
 		return true
 	}
-	if next, changed := Assign(v.vaults, in); changed {
+	if next, changed := Assign(v.turnStores, in); changed {
 		t.wrote = now
-		err := k.putVaults(ctx, epoch, next)
+		err := k.putPartitionMap(ctx, epoch, next)
 		if err == nil {
-			k.Log.Info().Str("event", "vaults").Int("keepers", len(next.Keepers)).Int("alive", len(alive)).Int("moved", moved(v.vaults, next)).
+			k.Log.Info().Str("event", "turnstores").Int("keepers", len(next.StoreNodes)).Int("alive", len(alive)).Int("moved", moved(v.turnStores, next)).
 				Int("unsynced", unsynced(next)).Msg("")
 		}
 		return err == nil
@@ -82,7 +82,7 @@
 }
 
 // moved is how many partitions have another epoch.
-func moved(before, after *tierv1.Vaults) (n int) {
+func moved(before, after *tierv1.PartitionMap) (n int) {
 	for i, p := range after.GetPartitions() {
 		if old := before.GetPartitions(); i >= len(old) || old[i].Epoch != p.Epoch {
 			n++
@@ -92,7 +92,7 @@
 }
 
 // unsynced is how many copies are not whole yet.
-func unsynced(m *tierv1.Vaults) (n int) {
+func unsynced(m *tierv1.PartitionMap) (n int) {
 	for _, p := range m.GetPartitions() {
 		for _, c := range p.Backups {
 			if !c.Synced {
--- a/internal/tier/counter/again_test.go
+++ b/internal/tier/gateway/again_test.go
@@ -1,4 +1,4 @@
-package counter_test
+package gateway_test
 
 import (
 	"fmt"
@@ -58,7 +58,7 @@
 	r := start(t, e)
 	begun := make(chan struct{})
 	var once sync.Once
-	r.vaults.List[0].SetVia(func(m tiertest.Message) error {
+	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		switch q := m.Request.(type) {
 		case *tierv1.SettleRequest:
 			if q.Attempt == "t-1" { // held until the third turn has been looked at
--- a/internal/tier/counter/dropped_test.go
+++ b/internal/tier/gateway/dropped_test.go
@@ -1,4 +1,4 @@
-package counter
+package gateway
 
 import (
 	"context"
@@ -13,12 +13,12 @@
 )
 
 // slowVault settles when it is let.
-type slowVault struct {
-	tierv1.Vault
+type slowTurnStore struct {
+	tierv1.TurnStore
 	asked, let chan struct{}
 }
 
-func (v slowVault) Settle(ctx context.Context, _ *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
+func (v slowTurnStore) Settle(ctx context.Context, _ *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
 	close(v.asked)
 	select {
 	case <-v.let:
@@ -30,10 +30,10 @@
 
 // A try that finds the budget spent waits for a reservation of its program that is being given up, and only for that.
 func TestDroppedWaitsForTheReservation(t *testing.T) {
-	v := slowVault{asked: make(chan struct{}), let: make(chan struct{})}
+	v := slowTurnStore{asked: make(chan struct{}), let: make(chan struct{})}
 	k := New(Config{Settings: settings.Settings{ContactWindow: time.Minute, MemoryMB: 64}, Log: &log.Logger{Level: log.PanicLevel},
-		Vault: func(string) tierv1.Vault { return v }})
-	k.keeping.apply(&tierv1.Vaults{Version: 1, Keepers: []*tierv1.Keeper{{Folder: "f", Address: "a"}},
+		TurnStore: func(string) tierv1.TurnStore { return v }})
+	k.keeping.apply(&tierv1.PartitionMap{Version: 1, StoreNodes: []*tierv1.StoreNode{{Folder: "f", Address: "a"}},
 		Partitions: []*tierv1.Partition{{Epoch: 1, Primary: "f"}}})
 	ctx := context.Background()
 	assert.Assert(t, !dropped(ctx, k.pending("p")))
--- a/internal/tier/counter/held.go
+++ b/internal/tier/gateway/held.go
@@ -1,4 +1,4 @@
-package counter
+package gateway
 
 import (
 	"container/list"
@@ -7,9 +7,9 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// held remembers the texts of turns that went through this counter, so that a vault need not send them again: most turns of
-// a line come through the same zone. It is a cache of what vaults have kept, least recently used out first, and decides
-// nothing: whether a turn stands is asked of its vault each time.
+// held remembers the texts of turns that went through this gateway, so that a turn store need not send them again: most turns of
+// a line come through the same zone. It is a cache of what turn stores have kept, least recently used out first, and decides
+// nothing: whether a turn stands is asked of its turn store each time.
 type held struct {
 	mu      sync.Mutex
 	room    int // bytes
@@ -44,7 +44,7 @@
 	return e.Value.(*text)
 }
 
-// keep adds the text of a turn that its vault has kept. prompt is not changed after.
+// keep adds the text of a turn that its turn store has kept. prompt is not changed after.
 func (h *held) keep(t *text) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/tier/counter/mutation_test.go
+++ b/internal/tier/gateway/mutation_test.go
@@ -1,4 +1,4 @@
-package counter_test
+package gateway_test
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 // fault is what happens to one message.
 type fault struct {
 	name string
-	// call: to a call to the vault.
+	// call: to a call to the turn store.
 	call func(m tiertest.Message, late func(func())) error
 	// answer: to the endpoint's answer, of which say is the part before its end.
 	answer func(a *tiertest.Arrival)
@@ -94,7 +94,7 @@
 			mu.Unlock()
 		})
 	}
-	for _, v := range r.vaults.List {
+	for _, v := range r.turnStores.List {
 		v.SetVia(via)
 	}
 	text := map[string]string{} // what a turn adds to the chain
@@ -130,7 +130,7 @@
 	for _, again := range rest {
 		again()
 	}
-	// sure asks as a client does, again after a promise: a machine that is busy may not be sure of its vaults.
+	// sure asks as a client does, again after a promise: a machine that is busy may not be sure of its turn stores.
 	sure := func(id, previous, fields string) (got tiertest.Reply, last string) {
 		for try := range 20 {
 			last = fmt.Sprintf("%s-%d", id, try)
--- a/internal/tier/counter/pass.go
+++ b/internal/tier/gateway/pass.go
@@ -1,12 +1,12 @@
-package counter
+package gateway
 
 import (
 	"context"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/board"
-	"dockshift.example/dockshift/internal/tier/catalog"
-	"dockshift.example/dockshift/internal/tier/front"
+	"dockshift.example/dockshift/internal/tier/ingress"
+	"dockshift.example/dockshift/internal/tier/loadbalancer"
+	"dockshift.example/dockshift/internal/tier/routing"
 	"dockshift.example/dockshift/internal/tier/settings"
 	"dockshift.example/dockshift/internal/tier/upstream"
 )
@@ -21,9 +21,9 @@
 }
 
 // request is w as an endpoint gets it.
-func (w *work) request(choice board.Choice) *upstream.Request {
+func (w *work) request(choice loadbalancer.Choice) *upstream.Request {
 	x := w.x
-	ends := x.Header.AppendEndToEnd(make([]front.Field, 0, len(x.Header)+1))
+	ends := x.Header.AppendEndToEnd(make([]ingress.Field, 0, len(x.Header)+1))
 	head := make([]upstream.Field, 0, len(ends))
 	for _, f := range ends {
 		head = append(head, upstream.Field(f))
@@ -33,7 +33,7 @@
 	if len(w.body) > 0 {
 		q.Body = [][]byte{w.body}
 	}
-	if w.route.Kind == catalog.Streaming {
+	if w.route.Kind == routing.Streaming {
 		q.Priority = min(max(w.route.Priority, 0), 9)
 		q.Stream = true
 	}
@@ -41,16 +41,16 @@
 }
 
 // stands asks at the last moment whether the endpoint is still one that requests may go to.
-func (k *Counter) stands(choice board.Choice) bool {
+func (k *Gateway) stands(choice loadbalancer.Choice) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.serving[choice.Instance]
 }
 
 // send makes one send at the endpoint of choice. A result that is streaming is the caller's to finish.
-func (w *work) send(ctx context.Context, choice board.Choice) *upstream.Result {
+func (w *work) send(ctx context.Context, choice loadbalancer.Choice) *upstream.Result {
 	most := 0
-	if c := w.k.catalog.Load(); c != nil {
+	if c := w.k.routing.Load(); c != nil {
 		if s := c.Services[w.service]; s != nil {
 			most = s.MaxConnections
 		}
@@ -67,55 +67,55 @@
 	return r
 }
 
-// outcome is what the board hears of a call that has ended.
-func outcome(r *upstream.Result, took time.Duration) board.Outcome {
-	o := board.Outcome{First: took}
+// outcome is what the load balancer hears of a call that has ended.
+func outcome(r *upstream.Result, took time.Duration) loadbalancer.Outcome {
+	o := loadbalancer.Outcome{First: took}
 	end := r.End
 	if r.Stream != nil {
 		end = r.Stream.End()
 	}
 	a := r.Answer
 	if a != nil && a.Loaded {
-		o.Load = &board.Load{Running: a.Load.Running, Waiting: a.Load.Waiting, Slots: a.Load.Slots}
+		o.Load = &loadbalancer.Load{Running: a.Load.Running, Waiting: a.Load.Waiting, Slots: a.Load.Slots}
 	}
 	switch end {
 	case upstream.Whole:
 		switch {
 		case a.Status == 421:
-			o.Kind, o.Misdirected = board.Gone, true
+			o.Kind, o.Misdirected = loadbalancer.Gone, true
 		case a.NotExecuted:
-			o.Kind = board.Refused
+			o.Kind = loadbalancer.Refused
 		case a.Status/100 == 2 || a.Status/100 == 4 || a.Signature != "":
-			o.Kind = board.Served
+			o.Kind = loadbalancer.Served
 		default:
-			o.Kind = board.Failed
+			o.Kind = loadbalancer.Failed
 		}
 	case upstream.TimedOut:
-		o.Kind = board.TimedOut
+		o.Kind = loadbalancer.TimedOut
 		if !r.Written {
-			o.Kind = board.Broken
+			o.Kind = loadbalancer.Broken
 		}
 	case upstream.Abandoned:
-		o.Kind = board.Abandoned
+		o.Kind = loadbalancer.Abandoned
 	case upstream.NotSent:
-		o.Kind = board.NotSent
+		o.Kind = loadbalancer.NotSent
 	case upstream.NoRoom:
-		o.Kind = board.NotSent
+		o.Kind = loadbalancer.NotSent
 	default:
-		o.Kind = board.Broken
+		o.Kind = loadbalancer.Broken
 	}
 	return o
 }
 
-func (k *Counter) heard(call *board.Call) {
+func (k *Gateway) heard(call *loadbalancer.Call) {
 	k.mu.Lock()
-	k.board.Heard(k.now(), call)
+	k.loadbalancer.Heard(k.now(), call)
 	k.mu.Unlock()
 }
 
 // again reports whether another send is allowed and has a chance.
 func (w *work) again(r *upstream.Result, tries int) bool {
-	return r.Verdict(false).Retry(w.route.Kind == catalog.Idempotent) && w.sent < w.route.MaxAttempts && tries < sendsMost &&
+	return r.Verdict(false).Retry(w.route.Kind == routing.Idempotent) && w.sent < w.route.MaxAttempts && tries < sendsMost &&
 		time.Until(w.until) > 0
 }
 
@@ -139,16 +139,16 @@
 	}
 }
 
-func fields(a *upstream.Answer) []front.Field {
-	head := make([]front.Field, 0, len(a.Header)+1)
+func fields(a *upstream.Answer) []ingress.Field {
+	head := make([]ingress.Field, 0, len(a.Header)+1)
 	for _, f := range a.Header {
-		head = append(head, front.Field(f))
+		head = append(head, ingress.Field(f))
 	}
 	return head
 }
 
 // unsent answers a request for which no endpoint is to be had.
-func (w *work) unsent(choice board.Choice) {
+func (w *work) unsent(choice loadbalancer.Choice) {
 	after := choice.RetryAfter
 	if after <= 0 {
 		after = w.k.keeping.wait
@@ -164,7 +164,7 @@
 	var last *upstream.Result
 	for tries := 1; ; tries++ {
 		choice := w.choose()
-		if choice.Verdict != board.Send {
+		if choice.Verdict != loadbalancer.Send {
 			if last != nil && w.sent > 0 { // it may have run
 				w.finish(last)
 			} else {
@@ -195,7 +195,7 @@
 	w.x.OnGone(watchFrom, cancel)
 	for tries := 1; ; tries++ {
 		choice := w.choose()
-		if choice.Verdict != board.Send {
+		if choice.Verdict != loadbalancer.Send {
 			if t != nil {
 				w.drop(t.program, 0)
 			}
@@ -219,7 +219,7 @@
 }
 
 // pass hands the pieces of an answer to the client as they come, and its end when the turn is kept.
-func (w *work) pass(r *upstream.Result, choice board.Choice, t *kept) {
+func (w *work) pass(r *upstream.Result, choice loadbalancer.Choice, t *kept) {
 	x, s := w.x, r.Stream
 	defer s.Close()
 	s.SetDeadline(w.until)
--- a/internal/tier/counter/permit_test.go
+++ b/internal/tier/gateway/permit_test.go
@@ -1,13 +1,13 @@
-package counter
+package gateway
 
 import (
 	"testing"
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/board"
-	"dockshift.example/dockshift/internal/tier/catalog"
-	"dockshift.example/dockshift/internal/tier/front"
+	"dockshift.example/dockshift/internal/tier/ingress"
+	"dockshift.example/dockshift/internal/tier/loadbalancer"
+	"dockshift.example/dockshift/internal/tier/routing"
 	"dockshift.example/dockshift/internal/tier/tiertest"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
@@ -15,8 +15,8 @@
 // The list that stands at the last moment before a request is written decides, whatever stood when its endpoint was picked.
 func TestTheListIsAskedBeforeTheWrite(t *testing.T) {
 	k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.Silent()})
-	w := &work{k: k, x: &front.Exchange{Method: "GET", Target: "/"}, route: &catalog.Route{}}
-	permit := w.request(board.Choice{Instance: "i-1"}).Permit
+	w := &work{k: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
+	permit := w.request(loadbalancer.Choice{Instance: "i-1"}).Permit
 	entry := func(draining bool) *tierv1.Endpoint {
 		return &tierv1.Endpoint{Instance: "i-1", Service: "s", Address: "127.0.0.1:1", Draining: draining}
 	}
--- a/internal/tier/counter/plain_test.go
+++ b/internal/tier/gateway/plain_test.go
@@ -1,4 +1,4 @@
-package counter_test
+package gateway_test
 
 import (
 	"strconv"
@@ -187,25 +187,25 @@
 	assert.Equal(t, len(e.Arrivals()), 1)
 }
 
-func TestANewCatalogIsInForceAtTheNextRequest(t *testing.T) {
+func TestANewConfigurationIsInForceAtTheNextRequest(t *testing.T) {
 	s := tiertest.NewEndpoint(t, "i-s", "s", echo("s"))
 	deep := tiertest.NewEndpoint(t, "i-deep", "deep", echo("deep"))
 	r := start(t, s, deep)
 	const target = "/new/x"
-	c := tiertest.Connect(t, r.front)
+	c := tiertest.Connect(t, r.ingress)
 	ask := func(id string) tiertest.Reply {
 		c.Send(tiertest.Post(target, id, "", "b"))
 		return c.Whole()
 	}
 	assert.Equal(t, ask("a-1").Status, 404)
 	for i, service := range []string{"s", "deep"} {
-		r.control.SetCatalog(catalogOf(2+i, `{"name":"new","hostname":"h.example","path_prefix":"/new/","route_type":"idempotent","service_name":"`+
+		r.consensus.SetConfiguration(configurationOf(2+i, `{"name":"new","hostname":"h.example","path_prefix":"/new/","route_type":"idempotent","service_name":"`+
 			service+`","timeout_ms":20000,"max_attempts":2}`))
-		r.control.Taken(t)
+		r.consensus.Taken(t)
 		whole(t, ask("b-"+service), 200, service+":b")
 	}
-	r.control.SetCatalog(catalogOf(9, ""))
-	r.control.Taken(t)
+	r.consensus.SetConfiguration(configurationOf(9, ""))
+	r.consensus.Taken(t)
 	assert.Equal(t, ask("a-2").Status, 404)
 }
 
@@ -213,17 +213,17 @@
 	leaving := tiertest.NewEndpoint(t, "i-leaving", "s", echo("leaving"))
 	r := start(t, leaving)
 	whole(t, r.post("/plain/x", "a-1", "", "b"), 200, "leaving:b")
-	r.control.SetEndpoints(leaving.Draining())
-	r.control.Taken(t)
+	r.consensus.SetEndpoints(leaving.Draining())
+	r.consensus.Taken(t)
 	promise(t, r.post("/plain/x", "a-2", "", "b"))
 	next := tiertest.NewEndpoint(t, "i-next", "s", echo("next"))
-	r.control.SetEndpoints(leaving.Draining(), next.Entry())
-	r.control.Taken(t)
+	r.consensus.SetEndpoints(leaving.Draining(), next.Entry())
+	r.consensus.Taken(t)
 	for _, id := range []string{"a-3", "a-4", "a-5", "a-6"} {
 		whole(t, r.post("/plain/x", id, "", "b"), 200, "next:b")
 	}
-	r.control.SetEndpoints(next.Entry())
-	r.control.Taken(t)
+	r.consensus.SetEndpoints(next.Entry())
+	r.consensus.Taken(t)
 	whole(t, r.post("/plain/x", "a-7", "", "b"), 200, "next:b")
 	assert.Equal(t, len(leaving.Arrivals()), 1)
 }
@@ -240,13 +240,13 @@
 		a.End()
 	})
 	r := start(t, e)
-	c := tiertest.Connect(t, r.front)
+	c := tiertest.Connect(t, r.ingress)
 	c.Send(tiertest.Post("/stream/x", "a-1", "", "b"))
 	tiertest.Closed(t, "the stream begins", begun)
-	r.control.SetEndpoints(e.Draining())
-	r.control.Taken(t)
-	r.control.SetEndpoints()
-	r.control.Taken(t)
+	r.consensus.SetEndpoints(e.Draining())
+	r.consensus.Taken(t)
+	r.consensus.SetEndpoints()
+	r.consensus.Taken(t)
 	close(further)
 	whole(t, c.Whole(), 200, events("one", "two"))
 }
--- a/internal/tier/counter/ready_test.go
+++ b/internal/tier/gateway/ready_test.go
@@ -1,4 +1,4 @@
-package counter_test
+package gateway_test
 
 import (
 	"net"
@@ -22,16 +22,16 @@
 func TestReadyWhenAllViewsHaveCome(t *testing.T) {
 	r := bare(t)
 	brought := map[string]func(){
-		"catalog":   func() { r.control.SetCatalog(catalogOf(1, "")) },
-		"endpoints": func() { r.list() },
-		"vaults":    func() { r.control.SetVaults(r.vaults.Assign([2]int{0, 1})) },
+		"configuration": func() { r.consensus.SetConfiguration(configurationOf(1, "")) },
+		"endpoints":     func() { r.list() },
+		"turnstores":    func() { r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1})) },
 	}
 	assert.Equal(t, r.ready(), 503)
 	promise(t, r.post("/plain/x", "a-1", "", "b"))
 	n := 0
 	for name, bring := range brought { // in any order
 		bring()
-		r.control.Taken(t)
+		r.consensus.Taken(t)
 		n++
 		want := 503
 		if n == len(brought) {
@@ -52,12 +52,12 @@
 		a.End()
 	})
 	r := bare(t, func(s *settings.Settings) { s.Grace = 10 * time.Second })
-	r.control.SetCatalog(catalogOf(1, ""))
+	r.consensus.SetConfiguration(configurationOf(1, ""))
 	r.list(e)
-	r.control.SetVaults(r.vaults.Assign([2]int{0, 1}))
-	r.control.Taken(t)
+	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
+	r.consensus.Taken(t)
 	assert.Equal(t, r.ready(), 200)
-	c := tiertest.Connect(t, r.front)
+	c := tiertest.Connect(t, r.ingress)
 	c.Send(turn("t-1", "", "p", "", "in"))
 	tiertest.Closed(t, "the stream begins", begun)
 	r.stop()
@@ -84,19 +84,19 @@
 		a.Reset()
 	})
 	r := bare(t, func(s *settings.Settings) { s.Grace = 10 * time.Second })
-	r.control.SetCatalog(catalogOf(1, ""))
+	r.consensus.SetConfiguration(configurationOf(1, ""))
 	r.list(e)
-	r.control.SetVaults(r.vaults.Assign([2]int{0, 1}))
-	r.control.Taken(t)
+	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
+	r.consensus.Taken(t)
 	ends := make(chan *tierv1.SettleRequest, 100)
-	r.vaults.List[0].SetVia(func(m tiertest.Message) error {
+	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		q, ok := m.Request.(*tierv1.SettleRequest)
 		if !ok {
 			return m.Serve()
 		}
-		// It takes until the counter accepts nothing more.
+		// It takes until the gateway accepts nothing more.
 		tiertest.Until(t, "no listener", func() bool {
-			conn, err := net.Dial("tcp", r.front)
+			conn, err := net.Dial("tcp", r.ingress)
 			if err == nil {
 				conn.Close()
 			}
@@ -108,11 +108,11 @@
 		}
 		return err
 	})
-	c := tiertest.Connect(t, r.front)
+	c := tiertest.Connect(t, r.ingress)
 	c.Send(turn("t-1", "", "p", "", "in"))
 	tiertest.Closed(t, "the stream begins", begun)
 	r.stop()
-	r.control.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return q.Role == "counter" && q.Leaving })
+	r.consensus.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return q.Role == "gateway" && q.Leaving })
 	close(further)
 	assert.Assert(t, c.Whole().Err != nil)
 	tiertest.Closed(t, "it ends", r.done)
--- a/internal/tier/counter/rig_test.go
+++ b/internal/tier/gateway/rig_test.go
@@ -1,4 +1,4 @@
-package counter_test
+package gateway_test
 
 import (
 	"context"
@@ -8,14 +8,14 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/counter"
+	"dockshift.example/dockshift/internal/tier/gateway"
 	"dockshift.example/dockshift/internal/tier/settings"
 	"dockshift.example/dockshift/internal/tier/tiertest"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
 // catalogOf is a configuration with a route of each kind, of services "s" and "deep".
-func catalogOf(revision int, extra string) string {
+func configurationOf(revision int, extra string) string {
 	route := func(name, prefix, kind, service, more string) string {
 		return fmt.Sprintf(`{"name":"%s","hostname":"h.example","path_prefix":"%s","route_type":"%s","service_name":"%s",
 			"timeout_ms":20000,"target_latency_ms":400,"max_attempts":2%s}`, name, prefix, kind, service, more)
@@ -34,29 +34,29 @@
 	return fmt.Sprintf(`{"revision":%d,"routes":[%s],"services":[{"name":"s"},{"name":"deep"}]}`, revision, strings.Join(routes, ","))
 }
 
-// rig is a counter with all that is around it.
+// rig is a gateway with all that is around it.
 type rig struct {
-	t       *testing.T
-	s       settings.Settings
-	control *tiertest.Control
-	vaults  *tiertest.Vaults
-	front   string
-	probe   string
-	stop    context.CancelFunc
-	done    chan error
+	t          *testing.T
+	s          settings.Settings
+	consensus  *tiertest.Control
+	turnStores *tiertest.PartitionMap
+	ingress    string
+	probe      string
+	stop       context.CancelFunc
+	done       chan error
 }
 
-// bare starts a counter whose control knows nothing yet.
+// bare starts a gateway whose control knows nothing yet.
 func bare(t *testing.T, change ...func(*settings.Settings)) *rig {
 	t.Helper()
 	s := tiertest.Settings("edge-1")
 	for _, f := range change {
 		f(&s)
 	}
-	r := &rig{t: t, s: s, control: tiertest.NewControl(), vaults: tiertest.NewVaults(t, 3), front: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
+	r := &rig{t: t, s: s, consensus: tiertest.NewControl(), turnStores: tiertest.NewPartitionMap(t, 3), ingress: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	k := counter.New(counter.Config{Settings: s, Clearing: func(string) tierv1.Clearing { return r.control }, Vault: r.vaults.Dial, Log: tiertest.Silent()})
+	k := gateway.New(gateway.Config{Settings: s, ControlPlane: func(string) tierv1.ControlPlane { return r.consensus }, TurnStore: r.turnStores.Dial, Log: tiertest.Silent()})
 	go func() {
 		r.done <- k.Run(ctx)
 		close(r.done)
@@ -69,15 +69,15 @@
 	return r
 }
 
-// start starts a counter, and returns when it has taken a catalog, these endpoints and a map of vaults: vault 0 is
-// primary, vault 1 backup.
+// start starts a gateway, and returns when it has taken a configuration, these endpoints and a map of turn stores: turn store 0 is
+// primary, turn store 1 backup.
 func start(t *testing.T, endpoints ...*tiertest.Endpoint) *rig {
 	t.Helper()
 	r := bare(t)
-	r.control.SetCatalog(catalogOf(1, ""))
+	r.consensus.SetConfiguration(configurationOf(1, ""))
 	r.list(endpoints...)
-	r.control.SetVaults(r.vaults.Assign([2]int{0, 1}))
-	r.control.Taken(t)
+	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
+	r.consensus.Taken(t)
 	return r
 }
 
@@ -86,12 +86,12 @@
 	for _, e := range endpoints {
 		list = append(list, e.Entry())
 	}
-	r.control.SetEndpoints(list...)
+	r.consensus.SetEndpoints(list...)
 }
 
 func (r *rig) do(text string) tiertest.Reply {
 	r.t.Helper()
-	return tiertest.Do(r.t, r.front, text)
+	return tiertest.Do(r.t, r.ingress, text)
 }
 
 // post is a request by the route of a target.
--- a/internal/tier/counter/serve.go
+++ b/internal/tier/gateway/serve.go
@@ -1,4 +1,4 @@
-package counter
+package gateway
 
 import (
 	"cmp"
@@ -11,17 +11,17 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/board"
-	"dockshift.example/dockshift/internal/tier/catalog"
-	"dockshift.example/dockshift/internal/tier/front"
+	"dockshift.example/dockshift/internal/tier/ingress"
+	"dockshift.example/dockshift/internal/tier/loadbalancer"
+	"dockshift.example/dockshift/internal/tier/routing"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
 // work is one request on its way.
 type work struct {
-	k        *Counter
-	x        *front.Exchange
-	route    *catalog.Route
+	k        *Gateway
+	x        *ingress.Exchange
+	route    *routing.Route
 	service  string
 	attempt  string
 	until    time.Time // by then it is answered, or given up
@@ -38,8 +38,8 @@
 }
 
 // handle answers one request.
-func (k *Counter) handle(x *front.Exchange) {
-	c := k.catalog.Load()
+func (k *Gateway) handle(x *ingress.Exchange) {
+	c := k.routing.Load()
 	if c == nil {
 		k.refuse(x, 500*time.Millisecond)
 		return
@@ -54,7 +54,7 @@
 		x.Respond(400, nil, []byte("no X-Attempt-Id\n"))
 		return
 	}
-	if route.Kind == catalog.Streaming && !x.CanStream() {
+	if route.Kind == routing.Streaming && !x.CanStream() {
 		x.Respond(505, nil, nil)
 		return
 	}
@@ -101,7 +101,7 @@
 	switch {
 	case route.Persisted:
 		w.turn()
-	case route.Kind == catalog.Streaming:
+	case route.Kind == routing.Streaming:
 		w.stream(nil)
 	default:
 		w.whole()
@@ -109,12 +109,12 @@
 }
 
 // refuse says that the request has not run and never will, and when to come back.
-func (k *Counter) refuse(x *front.Exchange, after time.Duration) {
+func (k *Gateway) refuse(x *ingress.Exchange, after time.Duration) {
 	seconds := strconv.FormatFloat(max(after, time.Millisecond).Seconds(), 'f', 3, 64)
-	x.Respond(503, []front.Field{{Name: "Retry-After", Value: seconds}}, nil)
+	x.Respond(503, []ingress.Field{{Name: "Retry-After", Value: seconds}}, nil)
 }
 
-// turn takes a turn through its vault: what it goes on from and room in its budget before it is sent, its text after.
+// turn takes a turn through its turn store: what it goes on from and room in its budget before it is sent, its text after.
 func (w *work) turn() {
 	k, x := w.k, w.x
 	program := x.Header.Get("Program")
@@ -139,7 +139,7 @@
 	if from != nil {
 		req.Held = from.attempt
 	}
-	// A vault that is lost is replaced well within half of the contact window. What is not sure by then is given up at once,
+	// A turn store that is lost is replaced well within half of the contact window. What is not sure by then is given up at once,
 	// while its client has time for another try.
 	ctx, cancel := context.WithTimeout(context.Background(), min(time.Until(w.until)*2/5, k.c.Settings.ContactWindow/2))
 	pending := k.pending(program) // before it is asked: one may be settled while the answer is on its way
@@ -182,7 +182,7 @@
 }
 
 // drop ends a reservation before its client hears of it, so that its next try finds the room in its budget: tokens were
-// handed out of a turn that is not kept. It waits a little for the vault, and goes on behind the request.
+// handed out of a turn that is not kept. It waits a little for the turn store, and goes on behind the request.
 func (w *work) drop(program string, tokens uint64) {
 	t := time.NewTimer(w.k.c.Settings.ContactWindow / 12)
 	defer t.Stop()
@@ -219,7 +219,7 @@
 }
 
 // pending are the reservations of a program that are being given up here; each is closed when it is settled.
-func (k *Counter) pending(program string) []chan struct{} {
+func (k *Gateway) pending(program string) []chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Collect(maps.Keys(k.dropping[program]))
@@ -246,16 +246,16 @@
 }
 
 // choose picks an endpoint for the next send, waiting a little for a place where all are taken.
-func (w *work) choose() board.Choice {
+func (w *work) choose() loadbalancer.Choice {
 	k := w.k
 	// A request that waits is refused within its aim, so that its client's new try may still be in time.
 	give := time.Now().Add(min(w.route.Aim/4, time.Until(w.until)/3))
 	for {
 		k.mu.Lock()
-		choice := k.board.Pick(k.now(), board.Ask{Route: w.route.Name, Service: w.service, Repeatable: w.route.Kind == catalog.Idempotent && w.sent+1 < w.route.MaxAttempts,
+		choice := k.loadbalancer.Pick(k.now(), loadbalancer.Ask{Route: w.route.Name, Service: w.service, Repeatable: w.route.Kind == routing.Idempotent && w.sent+1 < w.route.MaxAttempts,
 			First: w.sent == 0, Left: time.Until(w.until), Priority: w.route.Priority, Affinity: w.affinity, Home: w.home, Prefix: w.prefix,
 			Tokens: w.tokens, Tried: w.tried})
-		if choice.Verdict == board.Send || choice.Verdict == board.Hopeless {
+		if choice.Verdict == loadbalancer.Send || choice.Verdict == loadbalancer.Hopeless {
 			k.mu.Unlock()
 			return choice
 		}
@@ -275,9 +275,9 @@
 	}
 }
 
-func (k *Counter) done(call *board.Call, o board.Outcome) {
+func (k *Gateway) done(call *loadbalancer.Call, o loadbalancer.Outcome) {
 	k.mu.Lock()
-	k.board.Done(k.now(), call, o)
+	k.loadbalancer.Done(k.now(), call, o)
 	k.wake()
 	k.mu.Unlock()
 }
--- a/internal/tier/counter/stream_test.go
+++ b/internal/tier/gateway/stream_test.go
@@ -1,4 +1,4 @@
-package counter_test
+package gateway_test
 
 import (
 	"io"
@@ -21,7 +21,7 @@
 			a.End()
 		})
 		r := start(t, e)
-		c := tiertest.Connect(t, r.front)
+		c := tiertest.Connect(t, r.ingress)
 		c.Send(tiertest.Post(target, "a-1", "", "b"))
 		head := c.Head()
 		assert.Equal(t, head.StatusCode, 200)
@@ -56,7 +56,7 @@
 					breaks(a)
 				})
 				r := start(t, e)
-				c := tiertest.Connect(t, r.front)
+				c := tiertest.Connect(t, r.ingress)
 				c.Send(tiertest.Post(target, "a-1", "", "b"))
 				head := c.Head()
 				assert.Equal(t, c.Event(head.Body), tiertest.EventText(1, "one"))
@@ -105,7 +105,7 @@
 		close(gone)
 	})
 	r := start(t, e)
-	c := tiertest.Connect(t, r.front)
+	c := tiertest.Connect(t, r.ingress)
 	c.Send(tiertest.Post("/stream/x", "a-1", "", "b"))
 	head := c.Head()
 	c.Event(head.Body)
