--- a/internal/tier/counter/turn_test.go
+++ b/internal/tier/gateway/turn_test.go
@@ -1,4 +1,4 @@
-package counter_test
+package gateway_test
 
 import (
 	"context"
@@ -61,20 +61,20 @@
 	r := start(t, e)
 	asked, release := make(chan struct{}, 16), make(chan struct{})
 	var released atomic.Bool
-	r.vaults.List[0].SetVia(func(m tiertest.Message) error {
+	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		if m.Method == "Settle" {
 			asked <- struct{}{}
 			<-release
 		}
 		return m.Serve()
 	})
-	c := tiertest.Connect(t, r.front)
+	c := tiertest.Connect(t, r.ingress)
 	c.Send(turn("t-1", "", "p", "", "in"))
 	head := c.Head()
 	for i, d := range said("t-1") {
 		assert.Equal(t, c.Event(head.Body), tiertest.EventText(i+1, d))
 	}
-	tiertest.Closed(t, "the vault is asked to keep the turn", asked)
+	tiertest.Closed(t, "the turn store is asked to keep the turn", asked)
 	assert.Assert(t, !c.Ending(), "the end left before the turn was kept")
 	released.Store(true)
 	close(release)
@@ -90,7 +90,7 @@
 	r := start(t, e)
 	var off atomic.Bool
 	refused := make(chan struct{}, 1000)
-	r.vaults.List[1].SetVia(func(m tiertest.Message) error {
+	r.turnStores.List[1].SetVia(func(m tiertest.Message) error {
 		if off.Load() {
 			select {
 			case refused <- struct{}{}:
@@ -104,7 +104,7 @@
 		off.Store(true)
 		talk(a)
 	})
-	c := tiertest.Connect(t, r.front)
+	c := tiertest.Connect(t, r.ingress)
 	c.Send(turn("t-1", "", "p", "", "in"))
 	head := c.Head()
 	for i, d := range said("t-1") {
@@ -124,7 +124,7 @@
 		"silent": func(m tiertest.Message) error { <-m.Ctx.Done(); return m.Ctx.Err() },
 		"error":  func(tiertest.Message) error { return tiertest.ErrNet },
 	} {
-		r.vaults.List[0].SetVia(func(m tiertest.Message) error {
+		r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 			if m.Method == "Settle" {
 				return fails(m)
 			}
@@ -151,8 +151,8 @@
 	assert.Equal(t, len(e.Arrivals()), 2)
 }
 
-// settled tells of the settlements that a vault has taken.
-func settled(v *tiertest.Vault) <-chan *tierv1.SettleRequest {
+// settled tells of the settlements that a turn store has taken.
+func settled(v *tiertest.TurnStore) <-chan *tierv1.SettleRequest {
 	all := make(chan *tierv1.SettleRequest, 1000)
 	v.SetVia(func(m tiertest.Message) error {
 		err := m.Serve()
@@ -177,9 +177,9 @@
 			read := make(chan struct{})
 			e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { c.script(a, read) })
 			r := start(t, e)
-			ends := settled(r.vaults.List[0])
+			ends := settled(r.turnStores.List[0])
 			const budget = "Budget: 100\r\nX-Token-Usage: 5,%d\r\n"
-			client := tiertest.Connect(t, r.front)
+			client := tiertest.Connect(t, r.ingress)
 			client.Send(turn("t-1", "", "p", fmt.Sprintf(budget, 60), "in"))
 			if c.charge > 0 {
 				head := client.Head()
@@ -215,8 +215,8 @@
 func TestAClientThatGoesIsCharged(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { say(a, 2); a.Gone() })
 	r := start(t, e)
-	ends := settled(r.vaults.List[0])
-	c := tiertest.Connect(t, r.front)
+	ends := settled(r.turnStores.List[0])
+	c := tiertest.Connect(t, r.ingress)
 	c.Send(turn("t-1", "", "p", "Budget: 10\r\nX-Token-Usage: 5,9\r\n", "in"))
 	head := c.Head()
 	c.Event(head.Body)
@@ -229,10 +229,10 @@
 func TestATurnOfAnotherProgram(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := bare(t)
-	r.control.SetCatalog(catalogOf(1, ""))
+	r.consensus.SetConfiguration(configurationOf(1, ""))
 	r.list(e)
-	r.control.SetVaults(r.vaults.Assign([2]int{0, 1}, [2]int{1, 2}, [2]int{2, 0}))
-	r.control.Taken(t)
+	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}, [2]int{1, 2}, [2]int{2, 0}))
+	r.consensus.Taken(t)
 	assert.Equal(t, r.do(turn("t-1", "", "p", "", "in 1;")).Status, 200)
 	assert.Equal(t, r.do(turn("t-2", "t-1", "p", "", "in 2;")).Status, 200)
 	chain := "in 1;" + output("t-1") + "in 2;" + output("t-2")
@@ -248,18 +248,18 @@
 func TestNoSuchTurnOnlyWhereAllAreCertain(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := bare(t)
-	r.control.SetCatalog(catalogOf(1, ""))
+	r.consensus.SetConfiguration(configurationOf(1, ""))
 	r.list(e)
-	r.control.SetVaults(r.vaults.Assign([2]int{0, 1}, [2]int{1, 0}, [2]int{2, 0}))
-	r.control.Taken(t)
+	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}, [2]int{1, 0}, [2]int{2, 0}))
+	r.consensus.Taken(t)
 	ask := func(program string) tiertest.Reply {
 		return r.do(turn("t-"+program, "t-none", program, "X-Deadline-Ms: 900\r\n", "in"))
 	}
-	r.vaults.List[2].SetDark(true)
+	r.turnStores.List[2].SetDark(true)
 	for i := range 6 {
 		promise(t, ask(fmt.Sprintf("p-%d", i)))
 	}
-	r.vaults.List[2].SetDark(false)
+	r.turnStores.List[2].SetDark(false)
 	for i := range 6 {
 		got := r.do(turn(fmt.Sprintf("u-%d", i), "t-none", fmt.Sprintf("p-%d", i), "", "in"))
 		assert.Equal(t, got.Status, 404)
@@ -267,21 +267,21 @@
 	assert.Equal(t, len(e.Arrivals()), 0)
 }
 
-func TestNothingIsSentWithoutTheVault(t *testing.T) {
+func TestNothingIsSentWithoutTheTurnStore(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := start(t, e)
 	for name, via := range map[string]func(tiertest.Message) error{
 		"silent": func(m tiertest.Message) error { <-m.Ctx.Done(); return m.Ctx.Err() },
 		"error":  func(tiertest.Message) error { return errors.New("no") },
 	} {
-		r.vaults.List[0].SetVia(via)
+		r.turnStores.List[0].SetVia(via)
 		promise(t, r.do(turn("t-"+name, "", "p", "X-Deadline-Ms: 600\r\n", "in")))
 	}
 	assert.Equal(t, len(e.Arrivals()), 0)
 }
 
-// The primary vault loses its power while the endpoint answers; the turn is kept at the one that a new map names.
-func TestAVaultDiesWithinATurn(t *testing.T) {
+// The primary turn store loses its power while the endpoint answers; the turn is kept at the one that a new map names.
+func TestATurnStoreDiesWithinATurn(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := start(t, e)
@@ -294,16 +294,16 @@
 		a.Event(2, "two")
 		a.End()
 	})
-	c := tiertest.Connect(t, r.front)
+	c := tiertest.Connect(t, r.ingress)
 	c.Send(turn("t-2", "t-1", "p", "", "in 2;"))
 	tiertest.Closed(t, "the stream begins", begun)
-	r.vaults.List[0].SetDark(true)
+	r.turnStores.List[0].SetDark(true)
 	close(further)
 	head := c.Head()
 	c.Event(head.Body)
 	c.Event(head.Body)
 	assert.Assert(t, !c.Ending(), "the end left before the turn was kept")
-	r.control.SetVaults(r.vaults.Assign([2]int{1, 2}))
+	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{1, 2}))
 	_, err := io.ReadAll(head.Body)
 	assert.NilError(t, err)
 	e.SetScript(talk)
@@ -311,20 +311,20 @@
 	assert.Equal(t, e.Arrivals()[2].Text, "in 1;"+output("t-1")+"in 2;one\ntwo\nin 3;")
 }
 
-// A new map ends a call to a vault that says nothing: the turn need not wait for it.
-func TestANewMapEndsACallToASilentVault(t *testing.T) {
+// A new map ends a call to a turn store that says nothing: the turn need not wait for it.
+func TestANewMapEndsACallToASilentTurnStore(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := start(t, e)
 	asked := make(chan context.Context, 100)
-	r.vaults.List[0].SetVia(func(m tiertest.Message) error {
+	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		asked <- m.Ctx
 		<-m.Ctx.Done()
 		return m.Ctx.Err()
 	})
-	c := tiertest.Connect(t, r.front)
+	c := tiertest.Connect(t, r.ingress)
 	c.Send(turn("t-1", "", "p", "", "in"))
-	call := tiertest.Closed(t, "the vault is asked", asked)
-	r.control.SetVaults(r.vaults.Assign([2]int{1, 2}))
+	call := tiertest.Closed(t, "the turn store is asked", asked)
+	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{1, 2}))
 	whole(t, c.Whole(), 200, events(said("t-1")...))
 	until, ok := call.Deadline()
 	assert.Assert(t, ok && errors.Is(call.Err(), context.Canceled), "ended by %v, its time by %v", call.Err(), time.Until(until))
--- a/internal/tier/counter/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -1,4 +1,4 @@
-package counter
+package gateway
 
 import (
 	"context"
@@ -11,32 +11,32 @@
 	"github.com/phuslu/log"
 )
 
-// keeping is the counter's side of the vaults: which one keeps a program's turns, and how long its answer is waited for.
-// A vault that falls silent is another's part to replace: the calls are repeated by the newest map until their time is over.
+// keeping is the gateway's side of the turn stores: which one keeps a program's turns, and how long its answer is waited for.
+// A turn store that falls silent is another's part to replace: the calls are repeated by the newest map until their time is over.
 type keeping struct {
-	dial func(address string) tierv1.Vault
+	dial func(address string) tierv1.TurnStore
 	log  *log.Logger
 	try  time.Duration // one call's time
 	wait time.Duration // longest pause between two tries; a new map ends it
 
-	mu      sync.Mutex
-	vaults  *tierv1.Vaults
-	at      map[string]string // folder to address
-	changed chan struct{}     // closed when a new map comes
+	mu         sync.Mutex
+	turnStores *tierv1.PartitionMap
+	at         map[string]string // folder to address
+	changed    chan struct{}     // closed when a new map comes
 }
 
-func newKeeping(s settings.Settings, dial func(string) tierv1.Vault, l *log.Logger) *keeping {
+func newKeeping(s settings.Settings, dial func(string) tierv1.TurnStore, l *log.Logger) *keeping {
 	return &keeping{dial: dial, log: l, try: s.ContactWindow / 4, wait: s.ContactWindow / 40, changed: make(chan struct{}), at: map[string]string{}}
 }
 
 // apply takes a newer map in.
-func (k *keeping) apply(v *tierv1.Vaults) {
-	at := make(map[string]string, len(v.Keepers))
-	for _, one := range v.Keepers {
+func (k *keeping) apply(v *tierv1.PartitionMap) {
+	at := make(map[string]string, len(v.StoreNodes))
+	for _, one := range v.StoreNodes {
 		at[one.Folder] = one.Address
 	}
 	k.mu.Lock()
-	k.vaults, k.at = v, at
+	k.turnStores, k.at = v, at
 	close(k.changed)
 	k.changed = make(chan struct{})
 	k.mu.Unlock()
@@ -45,7 +45,7 @@
 func (k *keeping) ready() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.vaults != nil && len(k.vaults.Partitions) > 0
+	return k.turnStores != nil && len(k.turnStores.Partitions) > 0
 }
 
 // partitionOf is the partition of a program's turns, of n.
@@ -61,15 +61,15 @@
 func (k *keeping) primary(program string) (partition uint32, address string, changed <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.vaults == nil || len(k.vaults.Partitions) == 0 {
+	if k.turnStores == nil || len(k.turnStores.Partitions) == 0 {
 		return 0, "", k.changed
 	}
-	partition = partitionOf(program, len(k.vaults.Partitions))
-	return partition, k.at[k.vaults.Partitions[partition].Primary], k.changed
+	partition = partitionOf(program, len(k.turnStores.Partitions))
+	return partition, k.at[k.turnStores.Partitions[partition].Primary], k.changed
 }
 
 // each makes a call at the program's primary again and again, until it gives an answer that stands or ctx ends.
-func (k *keeping) each(ctx context.Context, program string, call func(ctx context.Context, v tierv1.Vault, partition uint32) (done bool)) bool {
+func (k *keeping) each(ctx context.Context, program string, call func(ctx context.Context, v tierv1.TurnStore, partition uint32) (done bool)) bool {
 	pause := k.wait / 8
 	for ctx.Err() == nil {
 		partition, address, changed := k.primary(program)
@@ -107,7 +107,7 @@
 // begin asks for a turn: OK with its chain (after: with what follows the turn that the caller holds), SPENT, UNKNOWN for sure, or BUSY where nothing is sure in time.
 func (k *keeping) begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn, after bool) {
 	verdict = tierv1.Verdict_BUSY
-	k.each(ctx, req.Program, func(ctx context.Context, v tierv1.Vault, partition uint32) bool {
+	k.each(ctx, req.Program, func(ctx context.Context, v tierv1.TurnStore, partition uint32) bool {
 		req.Partition = partition
 		reply, err := v.Begin(ctx, req)
 		if err != nil {
@@ -139,14 +139,14 @@
 	return tierv1.Verdict_BUSY, nil, false
 }
 
-// find asks all vaults for a turn. certain: none has it, and each partition's primary has said so.
+// find asks all turn stores for a turn. certain: none has it, and each partition's primary has said so.
 func (k *keeping) find(ctx context.Context, attempt string) (chain []*tierv1.Turn, certain bool) {
 	pause := k.wait / 8
 	for ctx.Err() == nil {
 		k.mu.Lock()
-		vaults, changed := k.vaults, k.changed
+		turnStores, changed := k.turnStores, k.changed
 		addresses := map[string]bool{}
-		for _, p := range vaults.GetPartitions() {
+		for _, p := range turnStores.GetPartitions() {
 			addresses[k.at[p.Primary]] = true
 		}
 		k.mu.Unlock()
@@ -177,7 +177,7 @@
 			}
 		}
 		cancel()
-		if len(vaults.GetPartitions()) > 0 && len(sure) == len(vaults.Partitions) {
+		if len(turnStores.GetPartitions()) > 0 && len(sure) == len(turnStores.Partitions) {
 			return nil, true
 		}
 		t := time.NewTimer(pause)
@@ -194,7 +194,7 @@
 
 // settle ends a reservation, and reports whether that is durable.
 func (k *keeping) settle(ctx context.Context, req *tierv1.SettleRequest) bool {
-	return k.each(ctx, req.Program, func(ctx context.Context, v tierv1.Vault, partition uint32) bool {
+	return k.each(ctx, req.Program, func(ctx context.Context, v tierv1.TurnStore, partition uint32) bool {
 		req.Partition = partition
 		reply, err := v.Settle(ctx, req)
 		return err == nil && reply.Verdict == tierv1.Verdict_OK
--- a/internal/tier/front/bench_test.go
+++ b/internal/tier/ingress/bench_test.go
@@ -1,4 +1,4 @@
-package front
+package ingress
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 	conn := dial(b, addr)
 	conn.send(benchGet)
 	size := 0
-	a, err := http.ReadResponse(bufio.NewReader(io.TeeReader(conn.TCPConn, counter{&size})), nil)
+	a, err := http.ReadResponse(bufio.NewReader(io.TeeReader(conn.TCPConn, gateway{&size})), nil)
 	assert.NilError(b, err)
 	_, err = io.ReadAll(a.Body)
 	assert.NilError(b, err)
@@ -34,10 +34,10 @@
 	}
 }
 
-// counter counts what is written to it.
-type counter struct{ n *int }
+// gateway counts what is written to it.
+type gateway struct{ n *int }
 
-func (c counter) Write(p []byte) (int, error) {
+func (c gateway) Write(p []byte) (int, error) {
 	*c.n += len(p)
 	return len(p), nil
 }
--- a/internal/tier/front/parse.go
+++ b/internal/tier/ingress/parse.go
@@ -1,4 +1,4 @@
-package front
+package ingress
 
 import "strings"
 
--- a/internal/tier/front/server.go
+++ b/internal/tier/ingress/server.go
@@ -1,7 +1,7 @@
 // Package front is a small, strict HTTP/1.1 server for clients: one goroutine a connection, one write a small answer, no
 // buffers held by connections that wait, and every end of a connection known: one is closed between requests only while no
 // byte of a request has come, and an answer that was cut short never looks complete.
-package front
+package ingress
 
 import (
 	"context"
--- a/internal/tier/board/done.go
+++ b/internal/tier/loadbalancer/done.go
@@ -1,17 +1,17 @@
-package board
+package loadbalancer
 
 import "time"
 
 // Heard books the first piece of a stream's answer: its endpoint is not silent.
-func (b *Board) Heard(now time.Duration, c *Call) {
+func (b *Balancer) Heard(now time.Duration, c *Call) {
 	if c != nil && !c.ended {
 		c.at.answered(now, c)
 		c.at.comeBack()
 	}
 }
 
-// Told takes what an endpoint says of its load, as in a report. Unknown instances are passed over.
-func (b *Board) Told(now time.Duration, instance string, l Load) {
+// Told takes what an endpoint says of its load, as in a report. Unknown instances are deposed.
+func (b *Balancer) Told(now time.Duration, instance string, l Load) {
 	if e := b.endpoints[instance]; e != nil {
 		e.heardAt = max(e.heardAt, now)
 		e.told(now, l, false)
@@ -19,7 +19,7 @@
 }
 
 // Done books the end of a call; a second one of the same call counts for nothing.
-func (b *Board) Done(now time.Duration, c *Call, o Outcome) {
+func (b *Balancer) Done(now time.Duration, c *Call, o Outcome) {
 	if c == nil || c.ended {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 // learn gives the oracle its sample: served first attempts only (Karn); an expiry doubles.
-func (b *Board) learn(now time.Duration, c *Call, o Outcome) {
+func (b *Balancer) learn(now time.Duration, c *Call, o Outcome) {
 	switch {
 	case o.Kind == Served && c.weight > 0:
 		c.oracle.Sample(max(0, o.First), c.weight, false)
@@ -106,7 +106,7 @@
 
 // Suspects are the endpoints that are out and due to be tried, for an owner that checks their health by a call of its
 // own, as it must where requests can't be repeated. Each is to be followed by Checked.
-func (b *Board) Suspects(now time.Duration) []Endpoint {
+func (b *Balancer) Suspects(now time.Duration) []Endpoint {
 	var all []Endpoint
 	for _, s := range b.services {
 		for _, e := range s.list {
@@ -121,7 +121,7 @@
 }
 
 // Checked books such a call: whether the endpoint called itself well.
-func (b *Board) Checked(now time.Duration, instance string, well bool) {
+func (b *Balancer) Checked(now time.Duration, instance string, well bool) {
 	e := b.endpoints[instance]
 	if e == nil || !e.checked {
 		return
--- a/internal/tier/board/endpoint.go
+++ b/internal/tier/loadbalancer/endpoint.go
@@ -1,4 +1,4 @@
-package board
+package loadbalancer
 
 import (
 	"cmp"
--- a/internal/tier/board/board.go
+++ b/internal/tier/loadbalancer/loadbalancer.go
@@ -1,9 +1,9 @@
-// Package board decides to which endpoint a request goes, for how long it may stay there, and whether it is sent at
+// Package load balancer decides to which endpoint a request goes, for how long it may stay there, and whether it is sent at
 // all. It is pure: times are of one steady clock and are passed in, and nothing here sleeps, reads or writes. It is not
 // safe for concurrent use: its owner locks.
 //
 // Time-outs are those of a restart.Oracle for each route, calls at once those of a restart.Window for each endpoint.
-package board
+package loadbalancer
 
 import (
 	"cmp"
@@ -100,7 +100,7 @@
 }
 
 // Board is what one sender knows of the endpoints.
-type Board struct {
+type Balancer struct {
 	zone      string
 	random    uint64
 	turn      int // of the endpoint that a search starts at
@@ -109,15 +109,15 @@
 	routes    map[string]*restart.Oracle
 }
 
-// New makes the board of a sender in that zone.
-func New(zone string) *Board {
-	return &Board{zone: zone, random: hash(zone), endpoints: map[string]*endpoint{}, services: map[string]*service{},
+// New makes the load balancer of a sender in that zone.
+func New(zone string) *Balancer {
+	return &Balancer{zone: zone, random: hash(zone), endpoints: map[string]*endpoint{}, services: map[string]*service{},
 		routes: map[string]*restart.Oracle{}}
 }
 
 // SetEndpoints takes a whole list. What is known of an instance stays with it; one that has left the list gets nothing
 // new, and is forgotten when no call is out there.
-func (b *Board) SetEndpoints(now time.Duration, list []Endpoint) {
+func (b *Balancer) SetEndpoints(now time.Duration, list []Endpoint) {
 	for _, e := range b.endpoints {
 		e.listed = false
 	}
@@ -155,13 +155,13 @@
 }
 
 // Stands reports whether requests may still go to an instance: it is listed, does not drain, and has its address.
-func (b *Board) Stands(instance string) bool {
+func (b *Balancer) Stands(instance string) bool {
 	e := b.endpoints[instance]
 	return e != nil && e.listed && !e.Draining && !e.misdirected
 }
 
 // KeepRoutes forgets what was seen of all other routes, for when the configuration has changed.
-func (b *Board) KeepRoutes(keep func(route string) bool) {
+func (b *Balancer) KeepRoutes(keep func(route string) bool) {
 	for name := range b.routes {
 		if !keep(name) {
 			delete(b.routes, name)
@@ -169,7 +169,7 @@
 	}
 }
 
-func (b *Board) service(name string) *service {
+func (b *Balancer) service(name string) *service {
 	s := b.services[name]
 	if s == nil {
 		s = &service{}
@@ -178,7 +178,7 @@
 	return s
 }
 
-func (b *Board) oracle(route string) *restart.Oracle {
+func (b *Balancer) oracle(route string) *restart.Oracle {
 	o := b.routes[route]
 	if o == nil {
 		o = &restart.Oracle{}
@@ -188,7 +188,7 @@
 }
 
 // draw is the next random number below n (splitmix64).
-func (b *Board) draw(n uint64) uint64 {
+func (b *Balancer) draw(n uint64) uint64 {
 	b.random += 0x9e3779b97f4a7c15
 	return mix(b.random) % n
 }
--- a/internal/tier/board/board_test.go
+++ b/internal/tier/loadbalancer/loadbalancer_test.go
@@ -1,4 +1,4 @@
-package board
+package loadbalancer
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 // rig drives one Board by hand.
 type rig struct {
 	*testing.T
-	b    *Board
+	b    *Balancer
 	now  time.Duration
 	list []Endpoint
 }
--- a/internal/tier/board/pick.go
+++ b/internal/tier/loadbalancer/pick.go
@@ -1,4 +1,4 @@
-package board
+package loadbalancer
 
 import (
 	"math"
@@ -14,7 +14,7 @@
 	homeTimes  = 1.5  // times the mean load, and
 	homeFew    = 6.0  // so many requests over it, that the endpoint which holds a session's cache takes
 	acrossTime = 1.5  // times the load of another zone's least, and
-	acrossFew  = 3.0  // so many requests over it, from which our zone's least is passed over
+	acrossFew  = 3.0  // so many requests over it, from which our zone's least is deposed
 	takesPart  = 0.25 // part of the time of a call after which there may be room
 	retryLeast = 20 * time.Millisecond
 	retryMost  = 2 * time.Second
@@ -22,7 +22,7 @@
 )
 
 // Pick decides on one attempt.
-func (b *Board) Pick(now time.Duration, a Ask) Choice {
+func (b *Balancer) Pick(now time.Duration, a Ask) Choice {
 	o := b.oracle(a.Route)
 	if a.Left <= 0 || o.Seen > 0 && a.Left < o.Quickest {
 		return Choice{Verdict: Hopeless}
@@ -48,7 +48,7 @@
 }
 
 // send starts an attempt. Its time-out is the oracle's where a restart then is allowed, else the time left.
-func (b *Board) send(now time.Duration, s *service, e *endpoint, a *Ask, o *restart.Oracle) Choice {
+func (b *Balancer) send(now time.Duration, s *service, e *endpoint, a *Ask, o *restart.Oracle) Choice {
 	c := &Call{at: e, oracle: o, service: s, sent: now, uncut: true, probe: e.out}
 	choice := Choice{Instance: e.Instance, Address: e.Address, Timeout: a.Left, Call: c}
 	if a.First {
@@ -93,7 +93,7 @@
 
 // place finds the endpoint, nil if all are full: one that is out and due to be tried, else a well one that was not
 // tried yet, else the least bad.
-func (b *Board) place(now time.Duration, s *service, a *Ask, o *restart.Oracle) *endpoint {
+func (b *Balancer) place(now time.Duration, s *service, a *Ask, o *restart.Oracle) *endpoint {
 	if a.First && (a.Left > 2*patience(o) || !a.Repeatable) {
 		for i := range s.list {
 			e := s.list[(i+b.turn)%len(s.list)]
@@ -168,7 +168,7 @@
 
 // choose picks among the endpoints that are allowed: in our zone unless it is notably loaded, by rendezvous where
 // requests share a cache and the least loaded else.
-func (b *Board) choose(now time.Duration, s *service, a *Ask, allowed func(*endpoint) bool) *endpoint {
+func (b *Balancer) choose(now time.Duration, s *service, a *Ask, allowed func(*endpoint) bool) *endpoint {
 	var own, far pool
 	for i := range s.list {
 		e := s.list[(i+b.turn)%len(s.list)]
@@ -200,7 +200,7 @@
 
 // home is the endpoint that ran what the request goes on from, unless it is notably more loaded than the others: what it
 // holds in its cache would have to be read again elsewhere.
-func (b *Board) home(now time.Duration, a *Ask, allowed func(*endpoint) bool, own, far *pool) *endpoint {
+func (b *Balancer) home(now time.Duration, a *Ask, allowed func(*endpoint) bool, own, far *pool) *endpoint {
 	e := b.endpoints[a.Home]
 	if a.Home == "" || e == nil || !e.listed || e.Draining || e.Service != a.Service || !allowed(e) {
 		return nil
@@ -213,7 +213,7 @@
 }
 
 // within picks in one of the pools.
-func (b *Board) within(now time.Duration, s *service, a *Ask, allowed func(*endpoint) bool, p *pool, local bool, mean float64) *endpoint {
+func (b *Balancer) within(now time.Duration, s *service, a *Ask, allowed func(*endpoint) bool, p *pool, local bool, mean float64) *endpoint {
 	if key, sticky := affinity(a); sticky && a.Home == "" {
 		if e := b.rendezvous(now, s, key, allowed, local, mean); e != nil {
 			return e
@@ -235,7 +235,7 @@
 
 // rendezvous is the endpoint with the highest weight for the key (highest random weight hashing, by capacity), of those
 // in our zone or outside it whose load is within bounds of the mean. One that comes or goes moves only its own keys.
-func (b *Board) rendezvous(now time.Duration, s *service, key uint64, allowed func(*endpoint) bool, local bool, mean float64) *endpoint {
+func (b *Balancer) rendezvous(now time.Duration, s *service, key uint64, allowed func(*endpoint) bool, local bool, mean float64) *endpoint {
 	var best *endpoint
 	most := 0.0
 	for _, e := range s.list {
@@ -253,7 +253,7 @@
 // retryAfter is when there may be room: a part of the time that a call takes, by Little's law from those out and the
 // rate of those served, spread so that those refused together don't come together. It is kept within the aim, so that
 // the new try may be in time, and within what clients wait.
-func (b *Board) retryAfter(now time.Duration, s *service, a *Ask) time.Duration {
+func (b *Balancer) retryAfter(now time.Duration, s *service, a *Ask) time.Duration {
 	calls, paused := 0, retryMost
 	for _, e := range s.list {
 		calls += e.calls
--- a/internal/tier/catalog/match_test.go
+++ b/internal/tier/routing/match_test.go
@@ -1,4 +1,4 @@
-package catalog
+package routing
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 
 var ignoreUnexported = cmpopts.IgnoreUnexported(Route{})
 
-func withRoutes(t testing.TB, places ...string) *Catalog {
+func withRoutes(t testing.TB, places ...string) *Table {
 	t.Helper()
 	var routes []string
 	for i, place := range places {
--- a/internal/tier/catalog/parse.go
+++ b/internal/tier/routing/parse.go
@@ -1,4 +1,4 @@
-package catalog
+package routing
 
 import (
 	"fmt"
@@ -31,9 +31,9 @@
 
 // Parse reads and checks a whole configuration. The error, of type Invalid, tells all findings with their places.
 // Whether the revision is above the current one is for the caller to check. The body is kept and must not be changed.
-func Parse(body []byte) (*Catalog, error) {
+func Parse(body []byte) (*Table, error) {
 	var found findings
-	c := &Catalog{Services: map[string]*Service{}, Raw: body, hosts: map[string]*hostRoutes{}}
+	c := &Table{Services: map[string]*Service{}, Raw: body, hosts: map[string]*hostRoutes{}}
 	if w, ok := decode(body, &found); ok {
 		c.fill(&w, &found)
 	}
@@ -47,7 +47,7 @@
 	return c, nil
 }
 
-func (c *Catalog) fill(w *wire, found *findings) {
+func (c *Table) fill(w *wire, found *findings) {
 	switch {
 	case w.Revision == nil:
 		found.add("revision", "is missing")
@@ -80,7 +80,7 @@
 }
 
 // addRoute checks one route and takes it in.
-func (c *Catalog) addRoute(i int, w *wireRoute, places map[[2]string]int, found *findings) {
+func (c *Table) addRoute(i int, w *wireRoute, places map[[2]string]int, found *findings) {
 	at := func(field string) string { return fmt.Sprintf("routes[%d].%s", i, field) }
 	r := &Route{
 		Name: w.Name, Host: hostname(w.Hostname), Prefix: w.Prefix, Priority: clamp(w.Priority), MaxAttempts: max(1, clamp(w.Attempts)),
@@ -138,7 +138,7 @@
 }
 
 // split checks and takes in the services of a route.
-func (c *Catalog) split(r *Route, w *wireRoute, at func(string) string, found *findings) {
+func (c *Table) split(r *Route, w *wireRoute, at func(string) string, found *findings) {
 	if w.Service != nil && (*w.Service != "" || len(w.Split) == 0) {
 		if c.Services[*w.Service] == nil {
 			found.add(at("service_name"), "%q is not known", *w.Service)
--- a/internal/tier/catalog/catalog.go
+++ b/internal/tier/routing/routing.go
@@ -1,5 +1,5 @@
-// Package catalog is the operator's configuration: routes, services and limits, read whole and checked before use.
-package catalog
+// Package configuration is the operator's configuration: routes, services and limits, read whole and checked before use.
+package routing
 
 import (
 	"strings"
@@ -9,7 +9,7 @@
 )
 
 var (
-	space = errorx.NewNamespace("catalog")
+	space = errorx.NewNamespace("configuration")
 	// Invalid is the type of the error of a configuration that must not come into force.
 	Invalid = space.NewType("invalid")
 )
@@ -36,8 +36,8 @@
 
 var kinds = map[string]Kind{"idempotent": Idempotent, "non_idempotent": NonIdempotent, "streaming": Streaming}
 
-// Catalog is one whole configuration. It is not changed once parsed.
-type Catalog struct {
+// Configuration is one whole configuration. It is not changed once parsed.
+type Table struct {
 	Revision int64
 	Routes   []*Route
 	Services map[string]*Service
@@ -100,7 +100,7 @@
 
 // Match gives the route with the longest prefix that begins the path (a query is left out), or nil.
 // The case of the host and its port don't count.
-func (c *Catalog) Match(host, path string) *Route {
+func (c *Table) Match(host, path string) *Route {
 	routes := c.hosts[hostname(host)]
 	if routes == nil {
 		return nil
--- a/internal/tier/catalog/wire.go
+++ b/internal/tier/routing/wire.go
@@ -1,4 +1,4 @@
-package catalog
+package routing
 
 import (
 	"encoding/json"
--- a/internal/tier/link/link.go
+++ b/internal/tier/rpcserver/rpcserver.go
@@ -1,6 +1,6 @@
 // Package link is how the tier's own processes reach each other: HTTP/1.1 over TCP, tuned for a network in which a machine
 // without power says nothing.
-package link
+package rpcserver
 
 import (
 	"context"
--- a/internal/tier/link/link_test.go
+++ b/internal/tier/rpcserver/rpcserver_test.go
@@ -1,4 +1,4 @@
-package link
+package rpcserver
 
 import (
 	"context"
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/link"
+	"dockshift.example/dockshift/internal/tier/rpcserver"
 	"dockshift.example/dockshift/internal/tier/settings"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"github.com/joomcode/errorx"
@@ -23,28 +23,28 @@
 
 // Parts of the contact window: a session must be found again well inside it.
 const (
-	holdPart  = 6  // a held call lasts so long at most,
-	vaultPart = 12 // and a vault's so long: its loss holds up all turns of its partitions
-	graceOver = 10 // and its answer is waited for so much longer
-	lookPart  = 8  // one asked whether it is the primary answers within it
-	pausePart = 60 // between rounds of asking
+	holdPart      = 6  // a held call lasts so long at most,
+	turnStorePart = 12 // and a turn store's so long: its loss holds up all turns of its partitions
+	graceOver     = 10 // and its answer is waited for so much longer
+	lookPart      = 8  // one asked whether it is the primary answers within it
+	pausePart     = 60 // between rounds of asking
 )
 
 // Config is what a session is told.
 type Config struct {
 	Settings settings.Settings
-	Role     string // counter or vault
-	Folder   string // a vault's identity
+	Role     string // gateway or turn store
+	Folder   string // a turn store's identity
 	Address  string // of this process's internal listener, empty if none
 	Empty    bool   // the folder was empty at the start
-	Dial     func(address string) tierv1.Clearing
-	Synced   func() ([]*tierv1.SyncedCopy, <-chan struct{}) // of a vault: copies that are whole, and a channel closed at the next change
+	Dial     func(address string) tierv1.ControlPlane
+	Synced   func() ([]*tierv1.SyncedCopy, <-chan struct{}) // of a turn store: copies that are whole, and a channel closed at the next change
 	Log      *log.Logger
 
 	// Told of newer views, one after the other. They must not block.
-	Catalog   func(*tierv1.Catalog)
-	Endpoints func(*tierv1.Endpoints)
-	Vaults    func(*tierv1.Vaults)
+	Configuration func(*tierv1.Configuration)
+	Endpoints     func(*tierv1.Endpoints)
+	PartitionMap  func(*tierv1.PartitionMap)
 }
 
 // Client is a session.
@@ -64,7 +64,7 @@
 
 // New makes a session that Run begins.
 func New(c Config) *Client {
-	s := &Client{c: c, life: link.Life(), seeds: c.Settings.SeedInternal()}
+	s := &Client{c: c, life: rpcserver.Life(), seeds: c.Settings.SeedInternal()}
 	return s
 }
 
@@ -150,7 +150,7 @@
 	defer cancel()
 	type answer struct {
 		at   string
-		news *tierv1.News
+		news *tierv1.WatchReply
 	}
 	answers := make(chan answer, 2*len(all)+8)
 	asked := map[string]bool{}
@@ -166,7 +166,7 @@
 			for {
 				// It claims to hold all: what is new is brought by the held call.
 				news, err := s.c.Dial(at).Watch(ctx, &tierv1.WatchRequest{Node: s.c.Settings.Node, Life: s.life,
-					Catalog: math.MaxUint64, Endpoints: math.MaxUint64, Vaults: math.MaxUint64, Members: math.MaxUint64})
+					Configuration: math.MaxUint64, Endpoints: math.MaxUint64, PartitionMap: math.MaxUint64, Members: math.MaxUint64})
 				if err != nil {
 					news = nil
 				}
@@ -218,7 +218,7 @@
 	req.Zone, req.Region, req.Life, req.IdleDisk = set.Zone, set.Region, s.life, s.c.Empty
 	hold := window / holdPart
 	if s.c.Folder != "" {
-		hold = window / vaultPart
+		hold = window / turnStorePart
 	}
 	req.HoldMs = uint32(hold.Milliseconds())
 	ctx, cancel := context.WithTimeout(ctx, hold+window/graceOver)
@@ -259,7 +259,7 @@
 	return true
 }
 
-func (s *Client) take(at string, news *tierv1.News) {
+func (s *Client) take(at string, news *tierv1.WatchReply) {
 	s.mu.Lock()
 	if !s.stands {
 		s.c.Log.Info().Str("event", "session").Str("primary", at).Uint64("epoch", news.Epoch).Msg("")
@@ -272,41 +272,41 @@
 			s.members = append(s.members, one.Address)
 		}
 	}
-	catalog, endpoints, vaults := news.Catalog, news.Endpoints, news.Vaults
-	if catalog != nil && catalog.Version <= s.have.Catalog {
-		catalog = nil
+	routing, endpoints, turnStores := news.Configuration, news.Endpoints, news.PartitionMap
+	if routing != nil && routing.Version <= s.have.Configuration {
+		routing = nil
 	}
 	if endpoints != nil && endpoints.Version <= s.have.Endpoints {
 		endpoints = nil
 	}
-	if vaults != nil && vaults.Version <= s.have.Vaults {
-		vaults = nil
+	if turnStores != nil && turnStores.Version <= s.have.PartitionMap {
+		turnStores = nil
 	}
 	s.mu.Unlock()
-	if len(catalog.GetPacked()) > 0 {
+	if len(routing.GetPacked()) > 0 {
 		var err error
-		if catalog, err = unpack(catalog); err != nil { // it is not acknowledged, and comes again
+		if routing, err = unpack(routing); err != nil { // it is not acknowledged, and comes again
 			s.c.Log.Error().Str("event", "catalog_unpacked").Err(err).Msg("")
 		}
 	}
-	if catalog != nil && s.c.Catalog != nil {
-		s.c.Catalog(catalog)
+	if routing != nil && s.c.Configuration != nil {
+		s.c.Configuration(routing)
 	}
 	if endpoints != nil && s.c.Endpoints != nil {
 		s.c.Endpoints(endpoints)
 	}
-	if vaults != nil && s.c.Vaults != nil {
-		s.c.Vaults(vaults)
+	if turnStores != nil && s.c.PartitionMap != nil {
+		s.c.PartitionMap(turnStores)
 	}
 	s.mu.Lock() // acknowledged once it has been taken in
-	if catalog != nil {
-		s.have.Catalog = catalog.Version
+	if routing != nil {
+		s.have.Configuration = routing.Version
 	}
 	if endpoints != nil {
 		s.have.Endpoints = endpoints.Version
 	}
-	if vaults != nil {
-		s.have.Vaults = vaults.Version
+	if turnStores != nil {
+		s.have.PartitionMap = turnStores.Version
 	}
 	s.mu.Unlock()
 }
@@ -314,7 +314,7 @@
 const unpackedMost = 64 << 20 // bytes of a configuration
 
 // unpack gives a configuration as the operator sent it; nil with an error.
-func unpack(c *tierv1.Catalog) (*tierv1.Catalog, error) {
+func unpack(c *tierv1.Configuration) (*tierv1.Configuration, error) {
 	r, err := gzip.NewReader(bytes.NewReader(c.Packed))
 	if err != nil {
 		return nil, errorx.Decorate(err, "configuration of version %d", c.Version)
@@ -326,5 +326,5 @@
 	if err != nil {
 		return nil, errorx.Decorate(err, "configuration of version %d", c.Version)
 	}
-	return &tierv1.Catalog{Version: c.Version, Body: body}, nil
+	return &tierv1.Configuration{Version: c.Version, Body: body}, nil
 }
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -15,7 +15,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// rig is a session with clearing processes control-1, control-2, ... of which only the first is a seed.
+// rig is a session with control-plane processes control-1, control-2, ... of which only the first is a seed.
 type rig struct {
 	t        *testing.T
 	controls map[string]*tiertest.Control
@@ -28,12 +28,12 @@
 
 func address(n int) string { return fmt.Sprintf("control-%d:9000", n) }
 
-// newRig makes one of n clearing processes, none of which is the primary.
+// newRig makes one of n control-plane processes, none of which is the primary.
 func newRig(t *testing.T, n int) *rig {
 	r := &rig{t: t, controls: map[string]*tiertest.Control{}}
 	for i := range n {
 		c := tiertest.NewControl()
-		c.Change(func(v *tierv1.News) { v.Primary = false })
+		c.Change(func(v *tierv1.WatchReply) { v.Primary = false })
 		r.controls[address(i+1)] = c
 	}
 	return r
@@ -53,21 +53,23 @@
 
 var errNone = errors.New("nobody is there")
 
-type nobody struct{ tierv1.Clearing }
+type nobody struct{ tierv1.ControlPlane }
 
-func (nobody) Watch(context.Context, *tierv1.WatchRequest) (*tierv1.News, error) { return nil, errNone }
+func (nobody) Watch(context.Context, *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+	return nil, errNone
+}
 
 func (r *rig) run(change ...func(*session.Config)) {
-	c := session.Config{Settings: tiertest.Settings("edge-1"), Role: "counter", Log: tiertest.Silent(),
-		Dial: func(at string) tierv1.Clearing {
+	c := session.Config{Settings: tiertest.Settings("edge-1"), Role: "gateway", Log: tiertest.Silent(),
+		Dial: func(at string) tierv1.ControlPlane {
 			if one := r.controls[at]; one != nil {
 				return one
 			}
 			return nobody{}
 		},
-		Catalog:   func(v *tierv1.Catalog) { r.note(fmt.Sprintf("catalog %d", v.Version)) },
-		Endpoints: func(v *tierv1.Endpoints) { r.note(fmt.Sprintf("endpoints %d", v.Version)) },
-		Vaults:    func(v *tierv1.Vaults) { r.note(fmt.Sprintf("vaults %d", v.Version)) }}
+		Configuration: func(v *tierv1.Configuration) { r.note(fmt.Sprintf("configuration %d", v.Version)) },
+		Endpoints:     func(v *tierv1.Endpoints) { r.note(fmt.Sprintf("endpoints %d", v.Version)) },
+		PartitionMap:  func(v *tierv1.PartitionMap) { r.note(fmt.Sprintf("turn stores %d", v.Version)) }}
 	for _, f := range change {
 		f(&c)
 	}
@@ -88,12 +90,12 @@
 
 func (r *rig) primary(n int) *tiertest.Control {
 	c := r.at(n)
-	c.Change(func(v *tierv1.News) { v.Primary, v.Hint = true, "" })
+	c.Change(func(v *tierv1.WatchReply) { v.Primary, v.Hint = true, "" })
 	return c
 }
 
 func (r *rig) hint(n, to int) {
-	r.at(n).Change(func(v *tierv1.News) { v.Primary, v.Hint = false, address(to) })
+	r.at(n).Change(func(v *tierv1.WatchReply) { v.Primary, v.Hint = false, address(to) })
 }
 
 // held is a call that holds a session, rather than one that only looks.
@@ -107,10 +109,10 @@
 	r.run()
 	first := c.Await(t, "a session", held)
 	assert.Equal(t, first.Node, "edge-1")
-	assert.Equal(t, first.Role, "counter")
+	assert.Equal(t, first.Role, "gateway")
 	assert.Assert(t, first.Life != "")
 	assert.Assert(t, first.HoldMs > 0)
-	c.SetCatalog("1")
+	c.SetConfiguration("1")
 	c.Taken(t)
 	assert.Equal(t, r.client.Primary(), address(3))
 	stands, _ := r.client.Stands()
@@ -125,25 +127,25 @@
 func TestTheFirstCallOfALifeHoldsNothing(t *testing.T) {
 	r := newRig(t, 1)
 	c := r.primary(1)
-	c.SetCatalog("1")
+	c.SetConfiguration("1")
 	c.SetEndpoints()
 	lives := map[string]bool{}
 	for life := range 3 {
 		seen := len(c.Calls())
 		r.run()
 		c.Await(t, "views are acknowledged", func(q *tierv1.WatchRequest) bool {
-			return held(q) && q.Catalog == 1 && q.Endpoints == 1 && !lives[q.Life]
+			return held(q) && q.Configuration == 1 && q.Endpoints == 1 && !lives[q.Life]
 		})
 		r.life()
 		tiertest.Closed(t, "the session ends", r.ended)
 		first := true
 		for _, q := range c.Calls()[seen:] {
 			if !held(q) {
-				assert.Equal(t, q.Catalog, uint64(math.MaxUint64), "one that only looks acknowledges nothing")
+				assert.Equal(t, q.Configuration, uint64(math.MaxUint64), "one that only looks acknowledges nothing")
 				continue
 			}
 			if first {
-				assert.Equal(t, q.Catalog+q.Endpoints+q.Vaults+q.Members, uint64(0), "life %d", life)
+				assert.Equal(t, q.Configuration+q.Endpoints+q.PartitionMap+q.Members, uint64(0), "life %d", life)
 				first = false
 			}
 			lives[q.Life] = true
@@ -178,14 +180,14 @@
 func TestNoOlderVersionIsTaken(t *testing.T) {
 	r := newRig(t, 1)
 	c := r.primary(1)
-	news := func(n uint64) *tierv1.News {
-		return &tierv1.News{Primary: true, Catalog: &tierv1.Catalog{Version: n}, Endpoints: &tierv1.Endpoints{Version: n},
-			Vaults: &tierv1.Vaults{Version: n}, Members: &tierv1.Members{Version: n}}
+	news := func(n uint64) *tierv1.WatchReply {
+		return &tierv1.WatchReply{Primary: true, Configuration: &tierv1.Configuration{Version: n}, Endpoints: &tierv1.Endpoints{Version: n},
+			PartitionMap: &tierv1.PartitionMap{Version: n}, Members: &tierv1.Members{Version: n}}
 	}
 	told := []uint64{5, 4, 5, 7, 1, 6, 8}
 	var mu sync.Mutex
 	n := 0
-	c.SetVia(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.News, error)) (*tierv1.News, error) {
+	c.SetVia(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if !held(q) || n == len(told) {
@@ -195,21 +197,21 @@
 		return news(told[n-1]), nil
 	})
 	r.run()
-	c.Await(t, "the newest is acknowledged", func(q *tierv1.WatchRequest) bool { return held(q) && q.Vaults == 8 })
-	assert.DeepEqual(t, r.notes(), []string{"catalog 5", "endpoints 5", "vaults 5", "catalog 7", "endpoints 7", "vaults 7",
-		"catalog 8", "endpoints 8", "vaults 8"})
+	c.Await(t, "the newest is acknowledged", func(q *tierv1.WatchRequest) bool { return held(q) && q.PartitionMap == 8 })
+	assert.DeepEqual(t, r.notes(), []string{"configuration 5", "endpoints 5", "turn stores 5", "configuration 7", "endpoints 7", "turn stores 7",
+		"configuration 8", "endpoints 8", "turn stores 8"})
 	last := uint64(0)
 	for _, q := range c.Calls() {
 		if held(q) {
-			assert.Assert(t, q.Catalog >= last && q.Endpoints >= last && q.Vaults >= last && q.Members >= last, "%v after %d", q, last)
-			last = q.Catalog
+			assert.Assert(t, q.Configuration >= last && q.Endpoints >= last && q.PartitionMap >= last && q.Members >= last, "%v after %d", q, last)
+			last = q.Configuration
 		}
 	}
 }
 
 // silence has calls from now on held and never answered.
 func silence(c *tiertest.Control) {
-	c.SetVia(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.News, error)) (*tierv1.News, error) {
+	c.SetVia(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
@@ -219,17 +221,17 @@
 	for name, ends := range map[string]func(r *rig){
 		"silent": func(r *rig) { silence(r.at(1)) },
 		"dead": func(r *rig) {
-			r.at(1).SetVia(func(context.Context, *tierv1.WatchRequest, func() (*tierv1.News, error)) (*tierv1.News, error) {
+			r.at(1).SetVia(func(context.Context, *tierv1.WatchRequest, func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 				return nil, errNone
 			})
 		},
 		"deposed, knows":     func(r *rig) { r.hint(1, 2) },
-		"deposed, knows not": func(r *rig) { r.at(1).Change(func(v *tierv1.News) { v.Primary = false }) },
+		"deposed, knows not": func(r *rig) { r.at(1).Change(func(v *tierv1.WatchReply) { v.Primary = false }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 2)
 			c := r.primary(1)
-			c.Change(func(v *tierv1.News) {
+			c.Change(func(v *tierv1.WatchReply) {
 				v.Members = &tierv1.Members{Version: 1, List: []*tierv1.Member{{Address: address(1)}, {Address: address(2)}}}
 			})
 			c.SetEndpoints()
@@ -240,7 +242,7 @@
 			ends(r)
 			got := next.Await(t, "a session with the next", held)
 			assert.Equal(t, got.Endpoints, uint64(2), "what was taken stays taken")
-			next.Change(func(v *tierv1.News) { v.Endpoints = &tierv1.Endpoints{Version: 3} })
+			next.Change(func(v *tierv1.WatchReply) { v.Endpoints = &tierv1.Endpoints{Version: 3} })
 			next.Taken(t)
 			assert.DeepEqual(t, r.notes(), []string{"endpoints 2", "endpoints 3"})
 			assert.Equal(t, r.client.Primary(), address(2))
@@ -282,7 +284,7 @@
 	var reports []*tierv1.SyncedCopy
 	changed := make(chan struct{})
 	r.run(func(s *session.Config) {
-		s.Role, s.Folder, s.Address, s.Empty = "vault", "f-1", "10.0.0.1:9001", true
+		s.Role, s.Folder, s.Address, s.Empty = "turnstore", "f-1", "10.0.0.1:9001", true
 		s.Settings.ContactWindow *= 100 // a call is held for longer than the test has patience
 		s.Synced = func() ([]*tierv1.SyncedCopy, <-chan struct{}) {
 			mu.Lock()
--- a/internal/tier/tiertest/control.go
+++ b/internal/tier/tiertest/consensus.go
@@ -12,24 +12,24 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// Control is a clearing process that is the primary, unless its Via says otherwise.
+// Control is a control-plane process that is the primary, unless its Via says otherwise.
 type Control struct {
 	mu      sync.Mutex
-	views   *tierv1.News
+	views   *tierv1.WatchReply
 	calls   []*tierv1.WatchRequest
 	changed chan struct{} // closed at every call and every new view
 	via     Via
 }
 
 // Via stands between a caller and Control; serve gives the plain answer.
-type Via func(ctx context.Context, r *tierv1.WatchRequest, serve func() (*tierv1.News, error)) (*tierv1.News, error)
+type Via func(ctx context.Context, r *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error)
 
 // NewControl makes one that has no views yet.
 func NewControl() *Control {
-	return &Control{views: &tierv1.News{Primary: true, Epoch: 1}, changed: make(chan struct{})}
+	return &Control{views: &tierv1.WatchReply{Primary: true, Epoch: 1}, changed: make(chan struct{})}
 }
 
-var _ tierv1.Clearing = (*Control)(nil)
+var _ tierv1.ControlPlane = (*Control)(nil)
 
 func (c *Control) signal() {
 	close(c.changed)
@@ -37,7 +37,7 @@
 }
 
 // Change changes what it tells and how.
-func (c *Control) Change(f func(views *tierv1.News)) {
+func (c *Control) Change(f func(views *tierv1.WatchReply)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c.views)
@@ -52,60 +52,62 @@
 }
 
 // SetCatalog brings a configuration.
-func (c *Control) SetCatalog(body string) {
-	c.Change(func(v *tierv1.News) {
-		v.Catalog = &tierv1.Catalog{Version: v.GetCatalog().GetVersion() + 1, Body: []byte(body)}
+func (c *Control) SetConfiguration(body string) {
+	c.Change(func(v *tierv1.WatchReply) {
+		v.Configuration = &tierv1.Configuration{Version: v.GetConfiguration().GetVersion() + 1, Body: []byte(body)}
 	})
 }
 
 // SetEndpoints brings a list of endpoints.
 func (c *Control) SetEndpoints(list ...*tierv1.Endpoint) {
-	c.Change(func(v *tierv1.News) {
+	c.Change(func(v *tierv1.WatchReply) {
 		v.Endpoints = &tierv1.Endpoints{Version: v.GetEndpoints().GetVersion() + 1, List: list}
 	})
 }
 
 // SetVaults brings a map, whose version is its own.
-func (c *Control) SetVaults(m *tierv1.Vaults) { c.Change(func(v *tierv1.News) { v.Vaults = m }) }
+func (c *Control) SetPartitionMap(m *tierv1.PartitionMap) {
+	c.Change(func(v *tierv1.WatchReply) { v.PartitionMap = m })
+}
 
 // Watch answers as a primary does.
-func (c *Control) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.News, error) {
+func (c *Control) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
 	r = proto.Clone(r).(*tierv1.WatchRequest)
 	c.mu.Lock()
 	c.calls = append(c.calls, r)
 	c.signal()
 	via := c.via
 	c.mu.Unlock()
-	serve := func() (*tierv1.News, error) { return c.serve(ctx, r) }
+	serve := func() (*tierv1.WatchReply, error) { return c.serve(ctx, r) }
 	if via != nil {
 		return via(ctx, r, serve)
 	}
 	return serve()
 }
 
-func (c *Control) serve(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.News, error) {
+func (c *Control) serve(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
 	hold := time.NewTimer(time.Duration(r.HoldMs) * time.Millisecond)
 	defer hold.Stop()
 	for over := false; ; {
 		c.mu.Lock()
 		v := c.views
-		news := &tierv1.News{Primary: v.Primary, Hint: v.Hint, Epoch: v.Epoch}
-		if v.GetCatalog().GetVersion() > r.Catalog {
-			news.Catalog = v.Catalog
+		news := &tierv1.WatchReply{Primary: v.Primary, Hint: v.Hint, Epoch: v.Epoch}
+		if v.GetConfiguration().GetVersion() > r.Configuration {
+			news.Configuration = v.Configuration
 		}
 		if v.GetEndpoints().GetVersion() > r.Endpoints {
 			news.Endpoints = v.Endpoints
 		}
-		if v.GetVaults().GetVersion() > r.Vaults {
-			news.Vaults = v.Vaults
+		if v.GetPartitionMap().GetVersion() > r.PartitionMap {
+			news.PartitionMap = v.PartitionMap
 		}
 		if v.GetMembers().GetVersion() > r.Members {
 			news.Members = v.Members
 		}
-		news = proto.Clone(news).(*tierv1.News)
+		news = proto.Clone(news).(*tierv1.WatchReply)
 		changed := c.changed
 		c.mu.Unlock()
-		if over || !news.Primary || news.Catalog != nil || news.Endpoints != nil || news.Vaults != nil || news.Members != nil {
+		if over || !news.Primary || news.Configuration != nil || news.Endpoints != nil || news.PartitionMap != nil || news.Members != nil {
 			return news, nil
 		}
 		select {
@@ -156,10 +158,10 @@
 func (c *Control) Taken(t testing.TB) {
 	t.Helper()
 	c.mu.Lock()
-	v := proto.Clone(c.views).(*tierv1.News)
+	v := proto.Clone(c.views).(*tierv1.WatchReply)
 	c.mu.Unlock()
 	c.Await(t, "views are acknowledged", func(r *tierv1.WatchRequest) bool {
-		return r.Role != "" && r.Catalog != math.MaxUint64 && r.Catalog >= v.GetCatalog().GetVersion() &&
-			r.Endpoints >= v.GetEndpoints().GetVersion() && r.Vaults >= v.GetVaults().GetVersion()
+		return r.Role != "" && r.Configuration != math.MaxUint64 && r.Configuration >= v.GetConfiguration().GetVersion() &&
+			r.Endpoints >= v.GetEndpoints().GetVersion() && r.PartitionMap >= v.GetPartitionMap().GetVersion()
 	})
 }
--- a/internal/tier/tiertest/tiertest.go
+++ b/internal/tier/tiertest/tiertest.go
@@ -1,4 +1,4 @@
-// Package tiertest has stand-ins for what stands around a process of the tier: control, vaults, endpoints and clients, on
+// Package tiertest has stand-ins for what stands around a process of the tier: control, turn stores, endpoints and clients, on
 // loopback. They are scripted by tests, and wait on conditions rather than for times.
 package tiertest
 
--- a/internal/tier/vault/apply.go
+++ b/internal/tier/turnstore/apply.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 )
 
 // Apply takes a map of the partitions. Older ones than those taken before are ignored.
-func (v *Vault) Apply(m *tierv1.Vaults) {
+func (v *TurnStore) Apply(m *tierv1.PartitionMap) {
 	if m == nil {
 		return
 	}
@@ -20,12 +20,12 @@
 		return
 	}
 	v.mapped, v.version = true, m.Version
-	clear(v.keepers)
-	for _, k := range m.Keepers {
-		v.keepers[k.Folder] = k.Address
+	clear(v.storeNodes)
+	for _, k := range m.StoreNodes {
+		v.storeNodes[k.Folder] = k.Address
 	}
 	for address := range v.clients {
-		if !slices.ContainsFunc(m.Keepers, func(k *tierv1.Keeper) bool { return k.Address == address }) {
+		if !slices.ContainsFunc(m.StoreNodes, func(k *tierv1.StoreNode) bool { return k.Address == address }) {
 			delete(v.clients, address)
 		}
 	}
@@ -35,8 +35,8 @@
 	v.signal()
 }
 
-// assign takes this vault's role from the map, unless a newer epoch is known already.
-func (v *Vault) assign(p *partition, part *tierv1.Partition) {
+// assign takes this turn store's role from the map, unless a newer epoch is known already.
+func (v *TurnStore) assign(p *partition, part *tierv1.Partition) {
 	if part.Epoch < p.known {
 		return
 	}
@@ -61,7 +61,7 @@
 }
 
 // begin starts a term: facts added from now on go to all its backups, and what was there before is exchanged with them.
-func (v *Vault) begin(p *partition, part *tierv1.Partition) {
+func (v *TurnStore) begin(p *partition, part *tierv1.Partition) {
 	v.terms++
 	t := &term{id: v.terms, epoch: part.Epoch, over: make(chan struct{})}
 	for _, c := range part.Backups {
@@ -79,7 +79,7 @@
 }
 
 // learn takes an epoch that another copy has told of. The lock is held.
-func (v *Vault) learn(p *partition, epoch uint64, primary string) {
+func (v *TurnStore) learn(p *partition, epoch uint64, primary string) {
 	p.end()
 	p.known, p.primary, p.backup, p.term = epoch, primary, true, nil
 	p.assigned()
@@ -89,13 +89,13 @@
 func (p *partition) assigned() { p.aside = time.Time{} }
 
 // signal wakes those who wait for news of synced copies. The lock is held.
-func (v *Vault) signal() {
+func (v *TurnStore) signal() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
 // Synced gives the copies that the map doesn't know to be synced, and that are now. The channel is closed when that changes.
-func (v *Vault) Synced() (reports []*tierv1.SyncedCopy, changed <-chan struct{}) {
+func (v *TurnStore) Synced() (reports []*tierv1.SyncedCopy, changed <-chan struct{}) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, p := range v.store.partitions {
@@ -111,8 +111,8 @@
 	return reports, v.changed
 }
 
-// Released waits until this vault is the primary of no partition, or ctx is over.
-func (v *Vault) Released(ctx context.Context) {
+// Released waits until this turn store is the primary of no partition, or ctx is over.
+func (v *TurnStore) Released(ctx context.Context) {
 	for {
 		v.mu.Lock()
 		held := slices.ContainsFunc(slices.Collect(maps.Values(v.store.partitions)), func(p *partition) bool { return p.term != nil && !p.term.ended })
--- a/internal/tier/vault/backup.go
+++ b/internal/tier/turnstore/backup.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 // Replicate takes facts from the primary of an epoch that is not older than the one known here, and answers when they
 // are synced. Before the first map in this life nothing is taken: an epoch could be known that this process forgot.
-func (v *Vault) Replicate(ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
+func (v *TurnStore) Replicate(ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 	v.mu.Lock()
 	if !v.mapped || v.closed || req.From == v.folder || v.commit.broken() {
 		v.mu.Unlock()
@@ -48,7 +48,7 @@
 
 // admits tells whether a primary may write here in an epoch, and learns newer epochs. An empty primary is not known.
 // The lock is held.
-func (v *Vault) admits(p *partition, epoch uint64, primary string) bool {
+func (v *TurnStore) admits(p *partition, epoch uint64, primary string) bool {
 	switch {
 	case epoch < p.known:
 		return false
@@ -63,7 +63,7 @@
 }
 
 // Held tells the keys of a partition's facts, all synced here.
-func (v *Vault) Held(ctx context.Context, req *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+func (v *TurnStore) Held(ctx context.Context, req *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
 	v.mu.Lock()
 	if !v.mapped || v.closed || v.commit.broken() {
 		v.mu.Unlock()
@@ -89,7 +89,7 @@
 }
 
 // Fetch gives facts by their keys, as many as fit one message.
-func (v *Vault) Fetch(_ context.Context, req *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
+func (v *TurnStore) Fetch(_ context.Context, req *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	p := v.store.partitions[req.Partition]
--- a/internal/tier/vault/commit.go
+++ b/internal/tier/turnstore/commit.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"sync"
@@ -8,7 +8,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// appender is the part of a ledger file that commits need.
+// appender is the part of a write-ahead log file that commits need.
 type appender interface {
 	Append(records ...[]byte) error
 	Sync() error
--- a/internal/tier/vault/compact.go
+++ b/internal/tier/turnstore/compact.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	leastDead = 1 << 20   // bytes that are worth a rewrite
 )
 
-// Compact writes what is alive into the other ledger and empties the one written before, where more than half is dead,
+// Compact writes what is alive into the other write-ahead log and empties the one written before, where more than half is dead,
 // where the disk gets full, or where force is true. Requests go on all the while: they are appended to the other one.
-func (v *Vault) Compact(ctx context.Context, force bool) error {
+func (v *TurnStore) Compact(ctx context.Context, force bool) error {
 	v.mu.Lock()
 	size, live := v.size(), v.store.disk
 	due := size > 2*live+leastDead
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// copyPartition writes the entries older than the generation to the active ledger, a chunk at a time.
-func (v *Vault) copyPartition(ctx context.Context, id, generation uint32) error {
+// copyPartition writes the entries older than the generation to the active write-ahead log, a chunk at a time.
+func (v *TurnStore) copyPartition(ctx context.Context, id, generation uint32) error {
 	v.mu.Lock()
 	p := v.store.partitions[id]
 	old := make([]*entry, 0, len(p.entries))
--- a/internal/tier/vault/durable_test.go
+++ b/internal/tier/turnstore/durable_test.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 func TestNothingIsToldBeforeItIsSynced(t *testing.T) {
 	c, k := pair(t)
 	k.keep("a", "t1", "")
-	a, b := c.nodes["a"].vault, c.nodes["b"].vault
+	a, b := c.nodes["a"].turnstore, c.nodes["b"].turnstore
 	disk := &stuck{entered: make(chan struct{}), leave: make(chan struct{})}
 	<-b.commit.turn(disk).done
 	defer close(disk.leave)
@@ -55,8 +55,8 @@
 		k.keep("a", "t1", "")
 		c.nodes[victim].disk.DieAt(2)
 		assert.Equal(t, k.begin("a", ask("t2", "t1")), busy, victim)
-		<-c.nodes[victim].vault.Failed()
-		assert.ErrorContains(t, c.nodes[victim].vault.Run(c.ctx), "dead")
+		<-c.nodes[victim].turnstore.Failed()
+		assert.ErrorContains(t, c.nodes[victim].turnstore.Run(c.ctx), "dead")
 	}
 }
 
@@ -65,7 +65,7 @@
 	c.mu.Lock()
 	c.nodes["a"].cut = true
 	c.mu.Unlock()
-	reply, err := c.nodes["a"].vault.Begin(c.ctx, ask("t1", "")) // its client still reaches it
+	reply, err := c.nodes["a"].turnstore.Begin(c.ctx, ask("t1", "")) // its client still reaches it
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Verdict, busy)
 	c.assign("b", "?c")
@@ -90,7 +90,7 @@
 	c.mu.Lock()
 	c.nodes["b"].cut = true
 	c.mu.Unlock()
-	v := c.nodes["a"].vault
+	v := c.nodes["a"].turnstore
 	found, err := v.Find(c.ctx, &tierv1.FindRequest{Attempt: "t1"})
 	assert.NilError(t, err)
 	r := ask("f1", "t1")
@@ -102,7 +102,7 @@
 	c.assign("a", "?c")
 	c.push("a", "c")
 	assert.Equal(t, k.sure("a", r), ok)
-	got, err := c.nodes["c"].vault.Fetch(c.ctx, &tierv1.FetchRequest{Partition: 1, Keys: []string{"a/t1"}})
+	got, err := c.nodes["c"].turnstore.Fetch(c.ctx, &tierv1.FetchRequest{Partition: 1, Keys: []string{"a/t1"}})
 	assert.NilError(t, err)
 	assert.Equal(t, len(got.Facts), 1)
 }
@@ -115,7 +115,7 @@
 	c.restart("a")
 	c.advance(30 * time.Second) // a counts from its start; b would drop the turn soon
 	assert.Equal(t, k.sure("a", ask("t2", "t1")), ok)
-	b := c.nodes["b"].vault
+	b := c.nodes["b"].turnstore
 	c.advance(20 * time.Second)
 	for range 8 {
 		b.Sweep(c.now())
--- a/internal/tier/vault/exchange.go
+++ b/internal/tier/turnstore/exchange.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// exchange makes a backup and this vault hold the same facts, once in each term, while requests go on.
+// exchange makes a backup and this turn store hold the same facts, once in each term, while requests go on.
 func (s *sender) exchange() {
 	defer s.v.loops.Done()
 	for fails := 0; ; fails++ {
@@ -89,8 +89,8 @@
 	return marker
 }
 
-// fetch takes in facts that the backup holds and this vault lacks, and hands them on to the other backups.
-func (s *sender) fetch(client tierv1.Vault, missing []string) bool {
+// fetch takes in facts that the backup holds and this turn store lacks, and hands them on to the other backups.
+func (s *sender) fetch(client tierv1.TurnStore, missing []string) bool {
 	const most = 512 // keys of one request
 	v := s.v
 	for len(missing) > 0 {
--- a/internal/tier/vault/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/ledger"
+	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
@@ -38,21 +38,21 @@
 
 // node is a machine of the test.
 type node struct {
-	name  string
-	disk  *ledger.Memory
-	vault *Vault
-	down  bool
-	cut   bool // nobody reaches it, and it reaches nobody
+	name      string
+	disk      *wal.Memory
+	turnstore *TurnStore
+	down      bool
+	cut       bool // nobody reaches it, and it reaches nobody
 }
 
-// cluster is vaults with a network in memory, and the control state's map.
+// cluster is turn stores with a network in memory, and the control state's map.
 type cluster struct {
 	t     *testing.T
 	rng   *rand.Rand
 	mu    sync.Mutex
 	nodes map[string]*node
 	names []string
-	m     *tierv1.Vaults
+	m     *tierv1.PartitionMap
 	calls int
 	at    int // number of the message that the fault hits; 0: none
 	fault fault
@@ -65,12 +65,12 @@
 	c := &cluster{t: t, rng: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*node{}, names: names,
 		clock: time.Now(), ctx: context.Background()}
 	for _, n := range names {
-		c.nodes[n] = &node{name: n, disk: ledger.NewMemory()}
+		c.nodes[n] = &node{name: n, disk: wal.NewMemory()}
 		c.start(n)
 	}
 	t.Cleanup(func() {
 		for _, n := range names {
-			c.nodes[n].vault.Close()
+			c.nodes[n].turnstore.Close()
 		}
 	})
 	return c
@@ -92,10 +92,10 @@
 	n := c.nodes[name]
 	v, err := Open(Config{Node: name, Dir: "/data", FS: n.disk, Now: c.now, Reply: 40 * time.Millisecond,
 		Patience: 250 * time.Millisecond, Log: &log.Logger{Writer: log.IOWriter{Writer: io.Discard}},
-		Dial: func(addr string) tierv1.Vault { return &wire{c: c, from: name, to: addr} }})
+		Dial: func(addr string) tierv1.TurnStore { return &wire{c: c, from: name, to: addr} }})
 	assert.NilError(c.t, err)
 	c.mu.Lock()
-	n.vault, n.down = v, false
+	n.turnstore, n.down = v, false
 	m := c.m
 	c.mu.Unlock()
 	if m != nil {
@@ -108,7 +108,7 @@
 	c.mu.Lock()
 	n := c.nodes[name]
 	n.down = true
-	v := n.vault
+	v := n.turnstore
 	if wipe {
 		n.disk.Wipe()
 	} else {
@@ -119,28 +119,28 @@
 }
 
 func (c *cluster) restart(name string) {
-	c.nodes[name].vault.Close()
+	c.nodes[name].turnstore.Close()
 	c.start(name)
 }
 
 // assign makes the next map: all partitions have this primary and these backups; "?" before a name: not synced.
 func (c *cluster) assign(primary string, backups ...string) {
 	c.mu.Lock()
-	m := &tierv1.Vaults{Version: 1}
+	m := &tierv1.PartitionMap{Version: 1}
 	if c.m != nil {
 		m.Version = c.m.Version + 1
 	}
 	for _, name := range c.names {
-		m.Keepers = append(m.Keepers, &tierv1.Keeper{Folder: c.nodes[name].vault.Folder(), Node: name, Address: name})
+		m.StoreNodes = append(m.StoreNodes, &tierv1.StoreNode{Folder: c.nodes[name].turnstore.Folder(), Node: name, Address: name})
 	}
 	for range parts {
-		p := &tierv1.Partition{Epoch: m.Version, Primary: c.nodes[primary].vault.Folder()}
+		p := &tierv1.Partition{Epoch: m.Version, Primary: c.nodes[primary].turnstore.Folder()}
 		for _, b := range backups {
 			synced := b[0] != '?'
 			if !synced {
 				b = b[1:]
 			}
-			p.Backups = append(p.Backups, &tierv1.Copy{Folder: c.nodes[b].vault.Folder(), Synced: synced})
+			p.Backups = append(p.Backups, &tierv1.Copy{Folder: c.nodes[b].turnstore.Folder(), Synced: synced})
 		}
 		m.Partitions = append(m.Partitions, p)
 	}
@@ -154,7 +154,7 @@
 		names = c.names
 	}
 	for _, n := range names {
-		c.nodes[n].vault.Apply(c.m)
+		c.nodes[n].turnstore.Apply(c.m)
 	}
 }
 
@@ -162,7 +162,7 @@
 func (c *cluster) synced(name string, n int) {
 	timeout := time.After(10 * time.Second)
 	for {
-		reports, changed := c.nodes[name].vault.Synced()
+		reports, changed := c.nodes[name].turnstore.Synced()
 		if len(reports) >= n {
 			return
 		}
@@ -174,7 +174,7 @@
 	}
 }
 
-// wire is a client that reaches a vault through the network in memory.
+// wire is a client that reaches a turn store through the network in memory.
 type wire struct {
 	c        *cluster
 	from, to string
@@ -183,7 +183,7 @@
 var errNet = errorx.IllegalState.New("no answer")
 
 // carry serves one message, spoilt if it is the one to be spoilt.
-func carry[Req, Rep proto.Message](w *wire, ctx context.Context, req Req, serve func(*Vault, context.Context, Req) (Rep, error)) (rep Rep, err error) {
+func carry[Req, Rep proto.Message](w *wire, ctx context.Context, req Req, serve func(*TurnStore, context.Context, Req) (Rep, error)) (rep Rep, err error) {
 	c := w.c
 	req = proto.Clone(req).(Req)
 	c.mu.Lock()
@@ -195,7 +195,7 @@
 	to := c.nodes[w.to]
 	off := func() bool { return to.down || to.cut || w.from != "" && (c.nodes[w.from].down || c.nodes[w.from].cut) }
 	gone := off()
-	v := to.vault
+	v := to.turnstore
 	c.mu.Unlock()
 	if gone || f == lostRequest {
 		return rep, errNet
@@ -209,7 +209,7 @@
 	case held:
 		again := proto.Clone(req).(Req)
 		c.mu.Lock()
-		c.late = append(c.late, func() { _, _ = serve(c.nodes[w.to].vault, context.Background(), again) })
+		c.late = append(c.late, func() { _, _ = serve(c.nodes[w.to].turnstore, context.Background(), again) })
 		c.mu.Unlock()
 	}
 	rep, err = serve(v, ctx, req)
@@ -238,22 +238,22 @@
 }
 
 func (w *wire) Begin(ctx context.Context, r *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
-	return carry(w, ctx, r, (*Vault).Begin)
+	return carry(w, ctx, r, (*TurnStore).Begin)
 }
 func (w *wire) Settle(ctx context.Context, r *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
-	return carry(w, ctx, r, (*Vault).Settle)
+	return carry(w, ctx, r, (*TurnStore).Settle)
 }
 func (w *wire) Find(ctx context.Context, r *tierv1.FindRequest) (*tierv1.FindReply, error) {
-	return carry(w, ctx, r, (*Vault).Find)
+	return carry(w, ctx, r, (*TurnStore).Find)
 }
 func (w *wire) Replicate(ctx context.Context, r *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
-	return carry(w, ctx, r, (*Vault).Replicate)
+	return carry(w, ctx, r, (*TurnStore).Replicate)
 }
 func (w *wire) Held(ctx context.Context, r *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
-	return carry(w, ctx, r, (*Vault).Held)
+	return carry(w, ctx, r, (*TurnStore).Held)
 }
 func (w *wire) Fetch(ctx context.Context, r *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
-	return carry(w, ctx, r, (*Vault).Fetch)
+	return carry(w, ctx, r, (*TurnStore).Fetch)
 }
 
 // checker remembers what was answered.
--- a/internal/tier/vault/mutation_test.go
+++ b/internal/tier/turnstore/mutation_test.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"fmt"
@@ -31,7 +31,7 @@
 	c := s.c
 	for _, n := range []string{s.primary, s.backup} {
 		c.mu.Lock()
-		v, down := c.nodes[n].vault, c.nodes[n].down
+		v, down := c.nodes[n].turnstore, c.nodes[n].down
 		c.mu.Unlock()
 		if !down && !v.commit.broken() {
 			continue
@@ -40,7 +40,7 @@
 			c.crash(n, false)
 		}
 		c.restart(n)
-		fresh := c.nodes[n].vault.WasEmpty()
+		fresh := c.nodes[n].turnstore.WasEmpty()
 		if !fresh && !s.replace {
 			continue
 		}
@@ -170,7 +170,7 @@
 			if at > 0 {
 				s.c.nodes["b"].disk.DieAt(at)
 			}
-			v := s.c.nodes["b"].vault
+			v := s.c.nodes["b"].turnstore
 			err := v.Compact(s.c.ctx, true)
 			if err == nil {
 				err = v.Compact(s.c.ctx, true) // and back into the first file
--- a/internal/tier/vault/serve.go
+++ b/internal/tier/turnstore/serve.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 }
 
 // decide looks at a Begin. Nothing is changed.
-func (v *Vault) decide(p *partition, req *tierv1.BeginRequest, now time.Time) decision {
+func (v *TurnStore) decide(p *partition, req *tierv1.BeginRequest, now time.Time) decision {
 	e := p.entries[req.Attempt]
 	if e != nil && e.settled {
 		return decision{verdict: tierv1.Verdict_BUSY} // a late copy: it must not run once more on what is not reserved
@@ -63,7 +63,7 @@
 
 // resend gives those facts of a chain that the backups may lack, or may be about to drop: adopted ones that came before
 // this term, and all of a turn that is older than it seems here.
-func (v *Vault) resend(p *partition, chain []*entry, now time.Time) []*tierv1.Fact {
+func (v *TurnStore) resend(p *partition, chain []*entry, now time.Time) []*tierv1.Fact {
 	last := chain[len(chain)-1]
 	old := last.replayed || now.Sub(last.at) > retention(last.turn)
 	var list []*tierv1.Fact
@@ -85,7 +85,7 @@
 }
 
 // Begin asks whether a turn may be sent, and reserves its most.
-func (v *Vault) Begin(ctx context.Context, req *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
+func (v *TurnStore) Begin(ctx context.Context, req *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
 	if req.Attempt == "" {
 		return nil, twirp.RequiredArgumentError("attempt")
 	}
@@ -137,7 +137,7 @@
 }
 
 // take adds facts and gives the batch after which they are synced. The lock is held.
-func (v *Vault) take(p *partition, facts []*tierv1.Fact, now time.Time) *batch {
+func (v *TurnStore) take(p *partition, facts []*tierv1.Fact, now time.Time) *batch {
 	fresh := make([]*tierv1.Fact, 0, len(facts))
 	for _, f := range facts {
 		if v.store.add(f, now) {
@@ -175,7 +175,7 @@
 }
 
 // Settle ends what Begin reserved. A reservation that is not known here is no matter: it may lie with an older primary.
-func (v *Vault) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
+func (v *TurnStore) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
 	if req.Attempt == "" {
 		return nil, twirp.RequiredArgumentError("attempt")
 	}
@@ -210,9 +210,9 @@
 	}
 }
 
-// Find looks for a turn in all partitions whose primary this vault is. What it finds needs no confirmation; that it is
+// Find looks for a turn in all partitions whose primary this turn store is. What it finds needs no confirmation; that it is
 // not there is certain for those partitions whose backups have said since that the epoch stands.
-func (v *Vault) Find(ctx context.Context, req *tierv1.FindRequest) (*tierv1.FindReply, error) {
+func (v *TurnStore) Find(ctx context.Context, req *tierv1.FindRequest) (*tierv1.FindReply, error) {
 	type asked struct {
 		id     uint32
 		t      *term
--- a/internal/tier/vault/serve_test.go
+++ b/internal/tier/turnstore/serve_test.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"slices"
@@ -34,7 +34,7 @@
 
 func TestBeforeTheFirstMap(t *testing.T) {
 	c := newCluster(t, "a")
-	v := c.nodes["a"].vault
+	v := c.nodes["a"].turnstore
 	assert.Assert(t, v.WasEmpty())
 	assert.Equal(t, newChecker(c).begin("a", ask("t", "")), busy)
 	r, err := v.Replicate(c.ctx, &tierv1.ReplicateRequest{Epoch: 5, From: "x"})
@@ -43,11 +43,11 @@
 	folder := v.Folder()
 	c.crash("a", false)
 	c.restart("a")
-	assert.Equal(t, c.nodes["a"].vault.Folder(), folder)
-	assert.Assert(t, !c.nodes["a"].vault.WasEmpty())
+	assert.Equal(t, c.nodes["a"].turnstore.Folder(), folder)
+	assert.Assert(t, !c.nodes["a"].turnstore.WasEmpty())
 	c.crash("a", true)
 	c.restart("a")
-	assert.Assert(t, c.nodes["a"].vault.Folder() != folder)
+	assert.Assert(t, c.nodes["a"].turnstore.Folder() != folder)
 }
 
 func TestTurnsAndTheirChain(t *testing.T) {
@@ -67,8 +67,8 @@
 func TestEpochs(t *testing.T) {
 	c, k := pair(t)
 	k.keep("a", "t1", "")
-	v := c.nodes["b"].vault
-	a, x := c.nodes["a"].vault.Folder(), "x"
+	v := c.nodes["b"].turnstore
+	a, x := c.nodes["a"].turnstore.Folder(), "x"
 	say := func(epoch uint64, from string) *tierv1.ReplicateReply {
 		r, err := v.Replicate(c.ctx, &tierv1.ReplicateRequest{Epoch: epoch, From: from})
 		assert.NilError(t, err)
@@ -89,8 +89,8 @@
 func TestMeantForAnotherFolder(t *testing.T) {
 	c, k := pair(t)
 	k.keep("a", "t1", "")
-	v := c.nodes["b"].vault
-	a := c.nodes["a"].vault.Folder()
+	v := c.nodes["b"].turnstore
+	a := c.nodes["a"].turnstore.Folder()
 	for to, taken := range map[string]bool{"lost": false, v.Folder(): true, "": true} {
 		r, err := v.Replicate(c.ctx, &tierv1.ReplicateRequest{Epoch: 1, From: a, To: to})
 		assert.NilError(t, err)
@@ -125,7 +125,7 @@
 		assert.Assert(t, v == moved || v == busy, "%v", v)
 	}
 	assert.Equal(t, k.settle("a", "p", "t9", "t5", 1), moved)
-	f, err := c.nodes["a"].vault.Find(c.ctx, &tierv1.FindRequest{Attempt: "t5"})
+	f, err := c.nodes["a"].turnstore.Find(c.ctx, &tierv1.FindRequest{Attempt: "t5"})
 	assert.NilError(t, err)
 	assert.Assert(t, !slices.Contains(f.Partitions, 0))
 }
@@ -141,7 +141,7 @@
 	c.synced("a", parts)
 	c.assign("a", "c")
 	c.push("a", "c")
-	reports, _ := c.nodes["a"].vault.Synced()
+	reports, _ := c.nodes["a"].turnstore.Synced()
 	assert.Equal(t, len(reports), 0)
 	c.crash("a", true)
 	c.assign("c")
@@ -200,12 +200,12 @@
 	r := ask("f1", "t2")
 	r.Partition, r.Program = 1, "f"
 	assert.Equal(t, (&checker{c: c}).begin("a", r), unknown) // that partition doesn't hold it
-	found, err := c.nodes["a"].vault.Find(c.ctx, &tierv1.FindRequest{Attempt: "t2"})
+	found, err := c.nodes["a"].turnstore.Find(c.ctx, &tierv1.FindRequest{Attempt: "t2"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(found.Chain), 2)
 	r.Adopt = found.Chain
 	assert.Equal(t, k.begin("a", r), ok)
-	_, err = c.nodes["a"].vault.Begin(c.ctx, &tierv1.BeginRequest{Attempt: "z", Previous: "t2", Adopt: found.Chain[1:]})
+	_, err = c.nodes["a"].turnstore.Begin(c.ctx, &tierv1.BeginRequest{Attempt: "z", Previous: "t2", Adopt: found.Chain[1:]})
 	assert.ErrorContains(t, err, "no chain")
 	c.crash("a", true)
 	c.assign("b", "?c")
@@ -218,7 +218,7 @@
 func TestFindIsCertainOnlyWhenConfirmed(t *testing.T) {
 	c, k := pair(t)
 	k.keep("a", "t1", "")
-	v := c.nodes["a"].vault
+	v := c.nodes["a"].turnstore
 	r, err := v.Find(c.ctx, &tierv1.FindRequest{Attempt: "nothing"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(r.Partitions), parts)
@@ -241,7 +241,7 @@
 	c, k := pair(t)
 	k.keep("a", "t1", "")
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
-	v := c.nodes["a"].vault
+	v := c.nodes["a"].turnstore
 	v.mu.Lock()
 	v.cfg.MemoryBytes = v.store.memory
 	v.mu.Unlock()
@@ -262,7 +262,7 @@
 	c.assign("a", "?c")
 	c.push()
 	c.synced("a", parts)
-	v := c.nodes["b"].vault
+	v := c.nodes["b"].turnstore
 	c.advance(29 * time.Second)
 	for range 8 {
 		v.Sweep(c.now())
@@ -289,7 +289,7 @@
 	c.push()
 	c.synced("b", 2*parts)
 	for _, n := range c.names {
-		v := c.nodes[n].vault
+		v := c.nodes[n].turnstore
 		r, err := v.Fetch(c.ctx, &tierv1.FetchRequest{Keys: []string{"r/t1", "s/t1", "a/t1", "r/t2", "r/none", "?"}})
 		assert.NilError(t, err)
 		assert.Equal(t, len(r.Facts), 3, n)
@@ -318,7 +318,7 @@
 	c.assign("a", "?c")
 	c.push("a", "c")
 	c.synced("a", parts)
-	assert.Equal(t, len(c.nodes["c"].vault.store.partition(0).entries), 12)
+	assert.Equal(t, len(c.nodes["c"].turnstore.store.partition(0).entries), 12)
 	c.crash("a", true)
 	c.assign("c")
 	c.push("c")
--- a/internal/tier/vault/store.go
+++ b/internal/tier/turnstore/store.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"time"
@@ -18,12 +18,12 @@
 type store struct {
 	partitions map[uint32]*partition
 	memory     int64         // estimated bytes held
-	disk       int64         // estimated bytes that a rewritten ledger has
+	disk       int64         // estimated bytes that a rewritten write-ahead log has
 	longest    time.Duration // longest retention seen
-	generation uint32        // of the ledger file that is appended to
+	generation uint32        // of the write-ahead log file that is appended to
 }
 
-// partition is the facts of one partition, and this vault's role in it.
+// partition is the facts of one partition, and this turn store's role in it.
 type partition struct {
 	id       uint32
 	entries  map[string]*entry   // by attempt
@@ -167,7 +167,7 @@
 	s.memory += bodySize(t)
 }
 
-// facts are an entry's facts as a ledger or another copy gets them.
+// facts are an entry's facts as a write-ahead log or another copy gets them.
 func (p *partition) facts(e *entry) []*tierv1.Fact {
 	list := make([]*tierv1.Fact, 0, 2)
 	if e.reserved {
--- a/internal/tier/vault/store_test.go
+++ b/internal/tier/turnstore/store_test.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"math/rand/v2"
--- a/internal/tier/vault/sweep.go
+++ b/internal/tier/turnstore/sweep.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import "time"
 
--- a/internal/tier/vault/term.go
+++ b/internal/tier/turnstore/term.go
@@ -1,4 +1,4 @@
-package vault
+package turnstore
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// role is what this vault is for a partition, as known in this life of the process.
+// role is what this turn store is for a partition, as known in this life of the process.
 type role struct {
 	known   uint64    // newest epoch heard of
 	primary string    // its primary's folder; empty if not known
@@ -18,7 +18,7 @@
 	aside   time.Time // since when the partition is assigned elsewhere; zero while it is assigned here
 }
 
-// term is the time for which this vault is primary of a partition in one epoch.
+// term is the time for which this turn store is primary of a partition in one epoch.
 type term struct {
 	id      uint64
 	epoch   uint64
@@ -40,13 +40,13 @@
 
 // sender brings facts to one backup in one term.
 type sender struct {
-	v         *Vault
+	v         *TurnStore
 	p         *partition
 	t         *term
 	folder    string
 	rounds    []*round // the first may be under way
 	running   bool
-	exchanged bool // the backup holds all that this vault held when its term began
+	exchanged bool // the backup holds all that this turn store held when its term began
 	unsynced  bool // says the map
 }
 
@@ -126,7 +126,7 @@
 		if !s.replicate(r.facts, r.size, fails) {
 			fails++
 			if !pause(s.v.ctx, s.t.over, min(20*time.Millisecond<<min(fails, 5), 400*time.Millisecond)) {
-				continue // the term is over, or the vault
+				continue // the term is over, or the turn store
 			}
 			continue
 		}
@@ -167,16 +167,16 @@
 }
 
 // allowance is how long an answer is waited for: more for what is large, and after time-outs.
-func (v *Vault) allowance(size, fails int) time.Duration {
+func (v *TurnStore) allowance(size, fails int) time.Duration {
 	d := v.cfg.Reply + time.Duration(size)*time.Microsecond // a megabyte a second
 	return d << min(fails, 3)
 }
 
-// client gives the vault of a folder, nil where its address is not known.
-func (v *Vault) client(folder string) tierv1.Vault {
+// client gives the turn store of a folder, nil where its address is not known.
+func (v *TurnStore) client(folder string) tierv1.TurnStore {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	address := v.keepers[folder]
+	address := v.storeNodes[folder]
 	if address == "" || v.closed {
 		return nil
 	}
@@ -188,8 +188,8 @@
 	return c
 }
 
-// serving gives the partition where this vault may speak for it. The lock is held.
-func (v *Vault) serving(id uint32) (*partition, tierv1.Verdict) {
+// serving gives the partition where this turn store may speak for it. The lock is held.
+func (v *TurnStore) serving(id uint32) (*partition, tierv1.Verdict) {
 	if !v.mapped || v.closed || v.commit.broken() {
 		return nil, tierv1.Verdict_BUSY
 	}
--- a/internal/tier/vault/vault.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -1,6 +1,6 @@
-// Package vault keeps turns and budgets of agent programs. Each partition has a primary and backups, named by a map that
+// Package turn store keeps turns and budgets of agent programs. Each partition has a primary and backups, named by a map that
 // the control state decides on; what the primary answers is synced there and at all backups of its epoch first.
-package vault
+package turnstore
 
 import (
 	"context"
@@ -13,18 +13,18 @@
 	"github.com/phuslu/log"
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/tier/ledger"
+	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// Config is what a vault is made of. Durations left out have defaults.
+// Config is what a turn store is made of. Durations left out have defaults.
 type Config struct {
 	Node        string
-	Dir         string // of the ledgers
-	FS          ledger.FS
-	Dial        func(addr string) tierv1.Vault // for the internal address of another vault
-	DiskBytes   int64                          // most that the ledgers may take; 0: no bound
-	MemoryBytes int64                          // most that the facts may take; 0: no bound
+	Dir         string // of the write-ahead log
+	FS          wal.FS
+	Dial        func(addr string) tierv1.TurnStore // for the internal address of another turn store
+	DiskBytes   int64                              // most that the write-ahead log may take; 0: no bound
+	MemoryBytes int64                              // most that the facts may take; 0: no bound
 	Log         *log.Logger
 
 	Now      func() time.Time // steady
@@ -52,54 +52,54 @@
 		c.Now = time.Now
 	}
 	if c.FS == nil {
-		c.FS = ledger.OS{}
+		c.FS = wal.OS{}
 	}
 	if c.Log == nil {
 		c.Log = &log.DefaultLogger
 	}
 }
 
-// Vault is the service Vault of one folder.
-type Vault struct {
+// Turn store is the service Turn store of one folder.
+type TurnStore struct {
 	cfg      Config
 	folder   string
 	wasEmpty bool
 	commit   *committer
-	files    [2]*ledger.File
-	ctx      context.Context // ends with the vault
+	files    [2]*wal.File
+	ctx      context.Context // ends with the turn store
 	cancel   context.CancelFunc
 	slots    chan struct{} // of exchanges that may run at the same time
 
-	mu       sync.Mutex
-	store    *store
-	active   int // of files: appended to
-	mapped   bool
-	version  uint64
-	keepers  map[string]string // address by folder
-	clients  map[string]tierv1.Vault
-	terms    uint64 // number of the last term begun
-	changed  chan struct{}
-	rotation uint32 // partition swept last
-	loops    sync.WaitGroup
-	closed   bool
+	mu         sync.Mutex
+	store      *store
+	active     int // of files: appended to
+	mapped     bool
+	version    uint64
+	storeNodes map[string]string // address by folder
+	clients    map[string]tierv1.TurnStore
+	terms      uint64 // number of the last term begun
+	changed    chan struct{}
+	rotation   uint32 // partition swept last
+	loops      sync.WaitGroup
+	closed     bool
 }
 
-var _ tierv1.Vault = (*Vault)(nil)
+var _ tierv1.TurnStore = (*TurnStore)(nil)
 
 // exchanges is how many exchanges of facts between copies may run at the same time.
 const exchanges = 2
 
-// Open reads the ledgers of a folder, or makes the folder. Errors are those of the disk, or of a ledger that is none.
-func Open(cfg Config) (*Vault, error) {
+// Open reads the write-ahead log of a folder, or makes the folder. Errors are those of the disk, or of a write-ahead log that is none.
+func Open(cfg Config) (*TurnStore, error) {
 	cfg.defaults()
-	v := &Vault{cfg: cfg, store: newStore(), keepers: map[string]string{}, clients: map[string]tierv1.Vault{},
+	v := &TurnStore{cfg: cfg, store: newStore(), storeNodes: map[string]string{}, clients: map[string]tierv1.TurnStore{},
 		changed: make(chan struct{}), slots: make(chan struct{}, exchanges)}
 	if err := v.identity(); err != nil {
 		return nil, err
 	}
 	now := cfg.Now()
 	for i, name := range []string{"facts-0", "facts-1"} {
-		file, err := ledger.Open(cfg.FS, cfg.Dir, name, func(record []byte) error {
+		file, err := wal.Open(cfg.FS, cfg.Dir, name, func(record []byte) error {
 			f := &tierv1.Fact{}
 			if err := proto.Unmarshal(record, f); err != nil {
 				return errorx.Decorate(err, "%s: a record that is no fact", name)
@@ -130,8 +130,8 @@
 }
 
 // identity reads the folder's, or draws it where there is none.
-func (v *Vault) identity() error {
-	file, err := ledger.Open(v.cfg.FS, v.cfg.Dir, "identity", func(record []byte) error {
+func (v *TurnStore) identity() error {
+	file, err := wal.Open(v.cfg.FS, v.cfg.Dir, "identity", func(record []byte) error {
 		v.folder = string(record)
 		return nil
 	})
@@ -156,16 +156,16 @@
 }
 
 // Folder is the identity that was drawn when the folder was made.
-func (v *Vault) Folder() string { return v.folder }
+func (v *TurnStore) Folder() string { return v.folder }
 
 // WasEmpty tells whether this process made the folder.
-func (v *Vault) WasEmpty() bool { return v.wasEmpty }
+func (v *TurnStore) WasEmpty() bool { return v.wasEmpty }
 
-// Failed is closed when the disk has failed: the vault answers BUSY from then on, and the process should end.
-func (v *Vault) Failed() <-chan struct{} { return v.commit.failed }
+// Failed is closed when the disk has failed: the turn store answers BUSY from then on, and the process should end.
+func (v *TurnStore) Failed() <-chan struct{} { return v.commit.failed }
 
-// Run drops what is past its time and keeps the ledgers short, until ctx ends or the disk fails.
-func (v *Vault) Run(ctx context.Context) error {
+// Run drops what is past its time and keeps the write-ahead log short, until ctx ends or the disk fails.
+func (v *TurnStore) Run(ctx context.Context) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -184,8 +184,8 @@
 	}
 }
 
-// Close ends all work and closes the ledgers. What was answered is synced.
-func (v *Vault) Close() error {
+// Close ends all work and closes the write-ahead log. What was answered is synced.
+func (v *TurnStore) Close() error {
 	v.mu.Lock()
 	if v.closed {
 		v.mu.Unlock()
@@ -200,11 +200,11 @@
 	v.loops.Wait()
 	b := v.commit.add()
 	<-b.done
-	return errorx.DecorateMany("close ledgers", v.files[0].Close(), v.files[1].Close())
+	return errorx.DecorateMany("close write-ahead log", v.files[0].Close(), v.files[1].Close())
 }
 
 // Sweep drops what is past its time: a part of the partitions each time, so that all have had their turn after eight.
-func (v *Vault) Sweep(now time.Time) {
+func (v *TurnStore) Sweep(now time.Time) {
 	const parts = 8
 	v.mu.Lock()
 	part := v.rotation % parts
@@ -228,7 +228,7 @@
 }
 
 // full tells whether there is no room for new turns. The lock is held.
-func (v *Vault) full() bool {
+func (v *TurnStore) full() bool {
 	const share = 0.9
 	if v.cfg.MemoryBytes > 0 && float64(v.store.memory) > share*float64(v.cfg.MemoryBytes) {
 		return true
@@ -236,4 +236,4 @@
 	return v.cfg.DiskBytes > 0 && float64(v.size()+v.store.disk) > share*float64(v.cfg.DiskBytes)
 }
 
-func (v *Vault) size() int64 { return v.files[0].Size() + v.files[1].Size() }
+func (v *TurnStore) size() int64 { return v.files[0].Size() + v.files[1].Size() }
--- a/internal/tier/ledger/crash_test.go
+++ b/internal/tier/wal/crash_test.go
@@ -1,4 +1,4 @@
-package ledger
+package wal
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// run is one user of a ledger: its state is the list of facts, each written once; now and then it rewrites the file
+// run is one user of a write-ahead log: its state is the list of facts, each written once; now and then it rewrites the file
 // without the oldest. It notes what was acknowledged.
 type run struct {
 	facts  []string // in memory, as replayed and appended
@@ -197,7 +197,7 @@
 	assert.Equal(t, len(got), 160)
 }
 
-// The tests must find a ledger on a disk that doesn't keep its promises.
+// The tests must find a write-ahead log on a disk that doesn't keep its promises.
 func TestMemoryForgets(t *testing.T) {
 	m := NewMemory()
 	f, _ := open(t, m)
--- a/internal/tier/ledger/fs.go
+++ b/internal/tier/wal/fs.go
@@ -1,4 +1,4 @@
-package ledger
+package wal
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"path/filepath"
 )
 
-// FS is what a ledger needs of a file system. Errors for missing names match fs.ErrNotExist.
+// FS is what a write-ahead log needs of a file system. Errors for missing names match fs.ErrNotExist.
 type FS interface {
 	// Open opens a file that exists, for reading and writing.
 	Open(name string) (Handle, error)
--- a/internal/tier/ledger/rewrite.go
+++ b/internal/tier/wal/rewrite.go
@@ -1,4 +1,4 @@
-package ledger
+package wal
 
 const rewriteChunk = 64 << 10 // bytes of one write of a rewrite
 
--- a/internal/tier/ledger/scan.go
+++ b/internal/tier/wal/scan.go
@@ -1,4 +1,4 @@
-package ledger
+package wal
 
 import (
 	"bufio"
--- a/internal/tier/ledger/ledger.go
+++ b/internal/tier/wal/wal.go
@@ -1,6 +1,6 @@
-// Package ledger is an append-only file of checksummed records (a write-ahead log). A record counts once Sync has returned
+// Package write-ahead log is an append-only file of checksummed records (a write-ahead log). A record counts once Sync has returned
 // without error after its Append: what a power loss leaves of later ones is cut off when the file is opened.
-package ledger
+package wal
 
 import (
 	"encoding/binary"
@@ -25,7 +25,7 @@
 )
 
 var (
-	space = errorx.NewNamespace("ledger")
+	space = errorx.NewNamespace("wal")
 	// Broken is the type of errors of a file that refuses all but Rewrite and Close, after a write or sync that failed.
 	Broken = space.NewType("broken")
 	// Foreign is the type of errors of a file that has another magic or version.
@@ -38,7 +38,7 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// File is an open ledger. Append may run beside Sync; Rewrite runs alone.
+// File is an open write-ahead log. Append may run beside Sync; Rewrite runs alone.
 type File struct {
 	fs        FS
 	dir, path string
@@ -51,7 +51,7 @@
 	buffer []byte
 }
 
-// Open opens the ledger called name in dir, which is made if missing, and hands each record, in order, to replay (which may keep it).
+// Open opens the write-ahead log called name in dir, which is made if missing, and hands each record, in order, to replay (which may keep it).
 // The first torn or damaged record ends the replay and is cut off with all that follows. What was replayed is on the disk
 // when Open returns. An error of replay is returned as it is, and the file stays as it was.
 func Open(files FS, dir, name string, replay func(record []byte) error) (*File, error) {
--- a/internal/tier/ledger/ledger_test.go
+++ b/internal/tier/wal/wal_test.go
@@ -1,4 +1,4 @@
-package ledger
+package wal
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 const dir, name = "/data/core", "control"
 
-// open opens the ledger and gives its records.
+// open opens the write-ahead log and gives its records.
 func open(t testing.TB, files FS) (*File, []string) {
 	t.Helper()
 	f, got, err := tryOpen(files)
--- a/internal/work/scheduler.go
+++ b/internal/work/scheduler.go
@@ -377,7 +377,7 @@
 		l := &s.set.Limits
 		switch {
 		case j.Priority < 0 || j.Priority >= priorities:
-			return fmt.Sprintf("%s", j.Priority)
+			return j.Priority.String()
 		case l.Depth > 0 && j.Depth > l.Depth:
 			return fmt.Sprintf("jobs make jobs %d deep; %d is the most", j.Depth, l.Depth)
 		case l.Jobs > 0 && n > l.Jobs:
--- a/proto/saffronyard/tier/v1/tier.twirp.go
+++ b/proto/saffronyard/tier/v1/tier.twirp.go
@@ -2,7 +2,7 @@
 // source: saffronyard/tier/v1/tier.proto
 
 // What the processes of the serving tier say to each other, by twirp over HTTP/1.1 on their internal ports.
-// Counters carry the traffic, clearing processes keep the control state, vaults keep turns and budgets.
+// gateways carry the traffic, control-plane processes keep the control state, turn stores keep turns and budgets.
 
 package tierv1
 
@@ -30,34 +30,34 @@
 // See https://twitchtv.github.io/twirp/docs/version_matrix.html
 const _ = twirp.TwirpPackageMinVersion_8_1_0
 
-// ==================
-// Clearing Interface
-// ==================
+// ======================
+// ControlPlane Interface
+// ======================
 
-// Clearing is what a clearing process answers to counters, vaults and the command line.
-type Clearing interface {
+// ControlPlane is what a control-plane process answers to gateways, turn stores and the command line.
+type ControlPlane interface {
 	// Watch is a held call: answered at once where there is news for the caller, else when hold_ms is over. Only the
 	// primary answers it with primary = true, and only while it is in touch with its backups.
-	Watch(context.Context, *WatchRequest) (*News, error)
+	Watch(context.Context, *WatchRequest) (*WatchReply, error)
 
 	// Status tells what this process is and knows, for operators.
 	Status(context.Context, *StatusRequest) (*StatusReply, error)
 }
 
-// ========================
-// Clearing Protobuf Client
-// ========================
+// ============================
+// ControlPlane Protobuf Client
+// ============================
 
-type clearingProtobufClient struct {
+type controlPlaneProtobufClient struct {
 	client      HTTPClient
 	urls        [2]string
 	interceptor twirp.Interceptor
 	opts        twirp.ClientOptions
 }
 
-// NewClearingProtobufClient creates a Protobuf client that implements the Clearing interface.
+// NewControlPlaneProtobufClient creates a Protobuf client that implements the ControlPlane interface.
 // It communicates using Protobuf and can be configured with a custom HTTPClient.
-func NewClearingProtobufClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) Clearing {
+func NewControlPlaneProtobufClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) ControlPlane {
 	if c, ok := client.(*http.Client); ok {
 		client = withoutRedirects(c)
 	}
@@ -77,13 +77,13 @@
 
 	// Build method URLs: <baseURL>[<prefix>]/<package>.<Service>/<Method>
 	serviceURL := sanitizeBaseURL(baseURL)
-	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "Clearing")
+	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "ControlPlane")
 	urls := [2]string{
 		serviceURL + "Watch",
 		serviceURL + "Status",
 	}
 
-	return &clearingProtobufClient{
+	return &controlPlaneProtobufClient{
 		client:      client,
 		urls:        urls,
 		interceptor: twirp.ChainInterceptors(clientOpts.Interceptors...),
@@ -91,13 +91,13 @@
 	}
 }
 
-func (c *clearingProtobufClient) Watch(ctx context.Context, in *WatchRequest) (*News, error) {
+func (c *controlPlaneProtobufClient) Watch(ctx context.Context, in *WatchRequest) (*WatchReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Clearing")
+	ctx = ctxsetters.WithServiceName(ctx, "ControlPlane")
 	ctx = ctxsetters.WithMethodName(ctx, "Watch")
 	caller := c.callWatch
 	if c.interceptor != nil {
-		caller = func(ctx context.Context, req *WatchRequest) (*News, error) {
+		caller = func(ctx context.Context, req *WatchRequest) (*WatchReply, error) {
 			resp, err := c.interceptor(
 				func(ctx context.Context, req interface{}) (interface{}, error) {
 					typedReq, ok := req.(*WatchRequest)
@@ -108,9 +108,9 @@
 				},
 			)(ctx, req)
 			if resp != nil {
-				typedResp, ok := resp.(*News)
+				typedResp, ok := resp.(*WatchReply)
 				if !ok {
-					return nil, twirp.InternalError("failed type assertion resp.(*News) when calling interceptor")
+					return nil, twirp.InternalError("failed type assertion resp.(*WatchReply) when calling interceptor")
 				}
 				return typedResp, err
 			}
@@ -120,8 +120,8 @@
 	return caller(ctx, in)
 }
 
-func (c *clearingProtobufClient) callWatch(ctx context.Context, in *WatchRequest) (*News, error) {
-	out := new(News)
+func (c *controlPlaneProtobufClient) callWatch(ctx context.Context, in *WatchRequest) (*WatchReply, error) {
+	out := new(WatchReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[0], in, out)
 	if err != nil {
 		twerr, ok := err.(twirp.Error)
@@ -137,9 +137,9 @@
 	return out, nil
 }
 
-func (c *clearingProtobufClient) Status(ctx context.Context, in *StatusRequest) (*StatusReply, error) {
+func (c *controlPlaneProtobufClient) Status(ctx context.Context, in *StatusRequest) (*StatusReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Clearing")
+	ctx = ctxsetters.WithServiceName(ctx, "ControlPlane")
 	ctx = ctxsetters.WithMethodName(ctx, "Status")
 	caller := c.callStatus
 	if c.interceptor != nil {
@@ -166,7 +166,7 @@
 	return caller(ctx, in)
 }
 
-func (c *clearingProtobufClient) callStatus(ctx context.Context, in *StatusRequest) (*StatusReply, error) {
+func (c *controlPlaneProtobufClient) callStatus(ctx context.Context, in *StatusRequest) (*StatusReply, error) {
 	out := new(StatusReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[1], in, out)
 	if err != nil {
@@ -183,20 +183,20 @@
 	return out, nil
 }
 
-// ====================
-// Clearing JSON Client
-// ====================
+// ========================
+// ControlPlane JSON Client
+// ========================
 
-type clearingJSONClient struct {
+type controlPlaneJSONClient struct {
 	client      HTTPClient
 	urls        [2]string
 	interceptor twirp.Interceptor
 	opts        twirp.ClientOptions
 }
 
-// NewClearingJSONClient creates a JSON client that implements the Clearing interface.
+// NewControlPlaneJSONClient creates a JSON client that implements the ControlPlane interface.
 // It communicates using JSON and can be configured with a custom HTTPClient.
-func NewClearingJSONClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) Clearing {
+func NewControlPlaneJSONClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) ControlPlane {
 	if c, ok := client.(*http.Client); ok {
 		client = withoutRedirects(c)
 	}
@@ -216,13 +216,13 @@
 
 	// Build method URLs: <baseURL>[<prefix>]/<package>.<Service>/<Method>
 	serviceURL := sanitizeBaseURL(baseURL)
-	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "Clearing")
+	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "ControlPlane")
 	urls := [2]string{
 		serviceURL + "Watch",
 		serviceURL + "Status",
 	}
 
-	return &clearingJSONClient{
+	return &controlPlaneJSONClient{
 		client:      client,
 		urls:        urls,
 		interceptor: twirp.ChainInterceptors(clientOpts.Interceptors...),
@@ -230,13 +230,13 @@
 	}
 }
 
-func (c *clearingJSONClient) Watch(ctx context.Context, in *WatchRequest) (*News, error) {
+func (c *controlPlaneJSONClient) Watch(ctx context.Context, in *WatchRequest) (*WatchReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Clearing")
+	ctx = ctxsetters.WithServiceName(ctx, "ControlPlane")
 	ctx = ctxsetters.WithMethodName(ctx, "Watch")
 	caller := c.callWatch
 	if c.interceptor != nil {
-		caller = func(ctx context.Context, req *WatchRequest) (*News, error) {
+		caller = func(ctx context.Context, req *WatchRequest) (*WatchReply, error) {
 			resp, err := c.interceptor(
 				func(ctx context.Context, req interface{}) (interface{}, error) {
 					typedReq, ok := req.(*WatchRequest)
@@ -247,9 +247,9 @@
 				},
 			)(ctx, req)
 			if resp != nil {
-				typedResp, ok := resp.(*News)
+				typedResp, ok := resp.(*WatchReply)
 				if !ok {
-					return nil, twirp.InternalError("failed type assertion resp.(*News) when calling interceptor")
+					return nil, twirp.InternalError("failed type assertion resp.(*WatchReply) when calling interceptor")
 				}
 				return typedResp, err
 			}
@@ -259,8 +259,8 @@
 	return caller(ctx, in)
 }
 
-func (c *clearingJSONClient) callWatch(ctx context.Context, in *WatchRequest) (*News, error) {
-	out := new(News)
+func (c *controlPlaneJSONClient) callWatch(ctx context.Context, in *WatchRequest) (*WatchReply, error) {
+	out := new(WatchReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[0], in, out)
 	if err != nil {
 		twerr, ok := err.(twirp.Error)
@@ -276,9 +276,9 @@
 	return out, nil
 }
 
-func (c *clearingJSONClient) Status(ctx context.Context, in *StatusRequest) (*StatusReply, error) {
+func (c *controlPlaneJSONClient) Status(ctx context.Context, in *StatusRequest) (*StatusReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Clearing")
+	ctx = ctxsetters.WithServiceName(ctx, "ControlPlane")
 	ctx = ctxsetters.WithMethodName(ctx, "Status")
 	caller := c.callStatus
 	if c.interceptor != nil {
@@ -305,7 +305,7 @@
 	return caller(ctx, in)
 }
 
-func (c *clearingJSONClient) callStatus(ctx context.Context, in *StatusRequest) (*StatusReply, error) {
+func (c *controlPlaneJSONClient) callStatus(ctx context.Context, in *StatusRequest) (*StatusReply, error) {
 	out := new(StatusReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[1], in, out)
 	if err != nil {
@@ -322,12 +322,12 @@
 	return out, nil
 }
 
-// =======================
-// Clearing Server Handler
-// =======================
+// ===========================
+// ControlPlane Server Handler
+// ===========================
 
-type clearingServer struct {
-	Clearing
+type controlPlaneServer struct {
+	ControlPlane
 	interceptor      twirp.Interceptor
 	hooks            *twirp.ServerHooks
 	pathPrefix       string // prefix for routing
@@ -335,10 +335,10 @@
 	jsonCamelCase    bool   // JSON fields are serialized as lowerCamelCase rather than keeping the original proto names
 }
 
-// NewClearingServer builds a TwirpServer that can be used as an http.Handler to handle
+// NewControlPlaneServer builds a TwirpServer that can be used as an http.Handler to handle
 // HTTP requests that are routed to the right method in the provided svc implementation.
 // The opts are twirp.ServerOption modifiers, for example twirp.WithServerHooks(hooks).
-func NewClearingServer(svc Clearing, opts ...interface{}) TwirpServer {
+func NewControlPlaneServer(svc ControlPlane, opts ...interface{}) TwirpServer {
 	serverOpts := newServerOpts(opts)
 
 	// Using ReadOpt allows backwards and forwards compatibility with new options in the future
@@ -351,8 +351,8 @@
 		pathPrefix = "/twirp" // default prefix
 	}
 
-	return &clearingServer{
-		Clearing:         svc,
+	return &controlPlaneServer{
+		ControlPlane:     svc,
 		hooks:            serverOpts.Hooks,
 		interceptor:      twirp.ChainInterceptors(serverOpts.Interceptors...),
 		pathPrefix:       pathPrefix,
@@ -363,12 +363,12 @@
 
 // writeError writes an HTTP response with a valid Twirp error format, and triggers hooks.
 // If err is not a twirp.Error, it will get wrapped with twirp.InternalErrorWith(err)
-func (s *clearingServer) writeError(ctx context.Context, resp http.ResponseWriter, err error) {
+func (s *controlPlaneServer) writeError(ctx context.Context, resp http.ResponseWriter, err error) {
 	writeError(ctx, resp, err, s.hooks)
 }
 
 // handleRequestBodyError is used to handle error when the twirp server cannot read request
-func (s *clearingServer) handleRequestBodyError(ctx context.Context, resp http.ResponseWriter, msg string, err error) {
+func (s *controlPlaneServer) handleRequestBodyError(ctx context.Context, resp http.ResponseWriter, msg string, err error) {
 	if context.Canceled == ctx.Err() {
 		s.writeError(ctx, resp, twirp.NewError(twirp.Canceled, "failed to read request: context canceled"))
 		return
@@ -380,16 +380,16 @@
 	s.writeError(ctx, resp, twirp.WrapError(malformedRequestError(msg), err))
 }
 
-// ClearingPathPrefix is a convenience constant that may identify URL paths.
+// ControlPlanePathPrefix is a convenience constant that may identify URL paths.
 // Should be used with caution, it only matches routes generated by Twirp Go clients,
 // with the default "/twirp" prefix and default CamelCase service and method names.
 // More info: https://twitchtv.github.io/twirp/docs/routing.html
-const ClearingPathPrefix = "/twirp/saffronyard.tier.v1.Clearing/"
+const ControlPlanePathPrefix = "/twirp/saffronyard.tier.v1.ControlPlane/"
 
-func (s *clearingServer) ServeHTTP(resp http.ResponseWriter, req *http.Request) {
+func (s *controlPlaneServer) ServeHTTP(resp http.ResponseWriter, req *http.Request) {
 	ctx := req.Context()
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Clearing")
+	ctx = ctxsetters.WithServiceName(ctx, "ControlPlane")
 	ctx = ctxsetters.WithResponseWriter(ctx, resp)
 
 	var err error
@@ -407,7 +407,7 @@
 
 	// Verify path format: [<prefix>]/<package>.<Service>/<Method>
 	prefix, pkgService, method := parseTwirpPath(req.URL.Path)
-	if pkgService != "saffronyard.tier.v1.Clearing" {
+	if pkgService != "saffronyard.tier.v1.ControlPlane" {
 		msg := fmt.Sprintf("no handler for path %q", req.URL.Path)
 		s.writeError(ctx, resp, badRouteError(msg, req.Method, req.URL.Path))
 		return
@@ -432,7 +432,7 @@
 	}
 }
 
-func (s *clearingServer) serveWatch(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *controlPlaneServer) serveWatch(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -450,7 +450,7 @@
 	}
 }
 
-func (s *clearingServer) serveWatchJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *controlPlaneServer) serveWatchJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Watch")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -472,22 +472,22 @@
 		return
 	}
 
-	handler := s.Clearing.Watch
+	handler := s.ControlPlane.Watch
 	if s.interceptor != nil {
-		handler = func(ctx context.Context, req *WatchRequest) (*News, error) {
+		handler = func(ctx context.Context, req *WatchRequest) (*WatchReply, error) {
 			resp, err := s.interceptor(
 				func(ctx context.Context, req interface{}) (interface{}, error) {
 					typedReq, ok := req.(*WatchRequest)
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*WatchRequest) when calling interceptor")
 					}
-					return s.Clearing.Watch(ctx, typedReq)
+					return s.ControlPlane.Watch(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
-				typedResp, ok := resp.(*News)
+				typedResp, ok := resp.(*WatchReply)
 				if !ok {
-					return nil, twirp.InternalError("failed type assertion resp.(*News) when calling interceptor")
+					return nil, twirp.InternalError("failed type assertion resp.(*WatchReply) when calling interceptor")
 				}
 				return typedResp, err
 			}
@@ -496,7 +496,7 @@
 	}
 
 	// Call service method
-	var respContent *News
+	var respContent *WatchReply
 	func() {
 		defer ensurePanicResponses(ctx, resp, s.hooks)
 		respContent, err = handler(ctx, reqContent)
@@ -507,7 +507,7 @@
 		return
 	}
 	if respContent == nil {
-		s.writeError(ctx, resp, twirp.InternalError("received a nil *News and nil error while calling Watch. nil responses are not supported"))
+		s.writeError(ctx, resp, twirp.InternalError("received a nil *WatchReply and nil error while calling Watch. nil responses are not supported"))
 		return
 	}
 
@@ -533,7 +533,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *clearingServer) serveWatchProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *controlPlaneServer) serveWatchProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Watch")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -553,22 +553,22 @@
 		return
 	}
 
-	handler := s.Clearing.Watch
+	handler := s.ControlPlane.Watch
 	if s.interceptor != nil {
-		handler = func(ctx context.Context, req *WatchRequest) (*News, error) {
+		handler = func(ctx context.Context, req *WatchRequest) (*WatchReply, error) {
 			resp, err := s.interceptor(
 				func(ctx context.Context, req interface{}) (interface{}, error) {
 					typedReq, ok := req.(*WatchRequest)
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*WatchRequest) when calling interceptor")
 					}
-					return s.Clearing.Watch(ctx, typedReq)
+					return s.ControlPlane.Watch(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
-				typedResp, ok := resp.(*News)
+				typedResp, ok := resp.(*WatchReply)
 				if !ok {
-					return nil, twirp.InternalError("failed type assertion resp.(*News) when calling interceptor")
+					return nil, twirp.InternalError("failed type assertion resp.(*WatchReply) when calling interceptor")
 				}
 				return typedResp, err
 			}
@@ -577,7 +577,7 @@
 	}
 
 	// Call service method
-	var respContent *News
+	var respContent *WatchReply
 	func() {
 		defer ensurePanicResponses(ctx, resp, s.hooks)
 		respContent, err = handler(ctx, reqContent)
@@ -588,7 +588,7 @@
 		return
 	}
 	if respContent == nil {
-		s.writeError(ctx, resp, twirp.InternalError("received a nil *News and nil error while calling Watch. nil responses are not supported"))
+		s.writeError(ctx, resp, twirp.InternalError("received a nil *WatchReply and nil error while calling Watch. nil responses are not supported"))
 		return
 	}
 
@@ -612,7 +612,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *clearingServer) serveStatus(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *controlPlaneServer) serveStatus(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -630,7 +630,7 @@
 	}
 }
 
-func (s *clearingServer) serveStatusJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *controlPlaneServer) serveStatusJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Status")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -652,7 +652,7 @@
 		return
 	}
 
-	handler := s.Clearing.Status
+	handler := s.ControlPlane.Status
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *StatusRequest) (*StatusReply, error) {
 			resp, err := s.interceptor(
@@ -661,7 +661,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*StatusRequest) when calling interceptor")
 					}
-					return s.Clearing.Status(ctx, typedReq)
+					return s.ControlPlane.Status(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -713,7 +713,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *clearingServer) serveStatusProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *controlPlaneServer) serveStatusProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Status")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -733,7 +733,7 @@
 		return
 	}
 
-	handler := s.Clearing.Status
+	handler := s.ControlPlane.Status
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *StatusRequest) (*StatusReply, error) {
 			resp, err := s.interceptor(
@@ -742,7 +742,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*StatusRequest) when calling interceptor")
 					}
-					return s.Clearing.Status(ctx, typedReq)
+					return s.ControlPlane.Status(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -792,32 +792,32 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *clearingServer) ServiceDescriptor() ([]byte, int) {
+func (s *controlPlaneServer) ServiceDescriptor() ([]byte, int) {
 	return twirpFileDescriptor0, 0
 }
 
-func (s *clearingServer) ProtocGenTwirpVersion() string {
+func (s *controlPlaneServer) ProtocGenTwirpVersion() string {
 	return "v8.1.3"
 }
 
 // PathPrefix returns the base service path, in the form: "/<prefix>/<package>.<Service>/"
 // that is everything in a Twirp route except for the <Method>. This can be used for routing,
 // for example to identify the requests that are targeted to this service in a mux.
-func (s *clearingServer) PathPrefix() string {
-	return baseServicePath(s.pathPrefix, "saffronyard.tier.v1", "Clearing")
+func (s *controlPlaneServer) PathPrefix() string {
+	return baseServicePath(s.pathPrefix, "saffronyard.tier.v1", "ControlPlane")
 }
 
 // ==================
-// Register Interface
+// Election Interface
 // ==================
 
-// Register is what clearing processes say to each other to decide on views.
-type Register interface {
+// Register is what control-plane processes say to each other to decide on views.
+type Election interface {
 	Promise(context.Context, *PromiseRequest) (*PromiseReply, error)
 
 	Accept(context.Context, *AcceptRequest) (*AcceptReply, error)
 
-	Beat(context.Context, *BeatRequest) (*BeatReply, error)
+	Heartbeat(context.Context, *HeartbeatRequest) (*HeartbeatReply, error)
 
 	Write(context.Context, *WriteRequest) (*WriteReply, error)
 
@@ -825,19 +825,19 @@
 }
 
 // ========================
-// Register Protobuf Client
+// Election Protobuf Client
 // ========================
 
-type registerProtobufClient struct {
+type electionProtobufClient struct {
 	client      HTTPClient
 	urls        [5]string
 	interceptor twirp.Interceptor
 	opts        twirp.ClientOptions
 }
 
-// NewRegisterProtobufClient creates a Protobuf client that implements the Register interface.
+// NewElectionProtobufClient creates a Protobuf client that implements the Election interface.
 // It communicates using Protobuf and can be configured with a custom HTTPClient.
-func NewRegisterProtobufClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) Register {
+func NewElectionProtobufClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) Election {
 	if c, ok := client.(*http.Client); ok {
 		client = withoutRedirects(c)
 	}
@@ -857,16 +857,16 @@
 
 	// Build method URLs: <baseURL>[<prefix>]/<package>.<Service>/<Method>
 	serviceURL := sanitizeBaseURL(baseURL)
-	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "Register")
+	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "Election")
 	urls := [5]string{
 		serviceURL + "Promise",
 		serviceURL + "Accept",
-		serviceURL + "Beat",
+		serviceURL + "Heartbeat",
 		serviceURL + "Write",
 		serviceURL + "Join",
 	}
 
-	return &registerProtobufClient{
+	return &electionProtobufClient{
 		client:      client,
 		urls:        urls,
 		interceptor: twirp.ChainInterceptors(clientOpts.Interceptors...),
@@ -874,9 +874,9 @@
 	}
 }
 
-func (c *registerProtobufClient) Promise(ctx context.Context, in *PromiseRequest) (*PromiseReply, error) {
+func (c *electionProtobufClient) Promise(ctx context.Context, in *PromiseRequest) (*PromiseReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Register")
+	ctx = ctxsetters.WithServiceName(ctx, "Election")
 	ctx = ctxsetters.WithMethodName(ctx, "Promise")
 	caller := c.callPromise
 	if c.interceptor != nil {
@@ -903,7 +903,7 @@
 	return caller(ctx, in)
 }
 
-func (c *registerProtobufClient) callPromise(ctx context.Context, in *PromiseRequest) (*PromiseReply, error) {
+func (c *electionProtobufClient) callPromise(ctx context.Context, in *PromiseRequest) (*PromiseReply, error) {
 	out := new(PromiseReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[0], in, out)
 	if err != nil {
@@ -920,9 +920,9 @@
 	return out, nil
 }
 
-func (c *registerProtobufClient) Accept(ctx context.Context, in *AcceptRequest) (*AcceptReply, error) {
+func (c *electionProtobufClient) Accept(ctx context.Context, in *AcceptRequest) (*AcceptReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Register")
+	ctx = ctxsetters.WithServiceName(ctx, "Election")
 	ctx = ctxsetters.WithMethodName(ctx, "Accept")
 	caller := c.callAccept
 	if c.interceptor != nil {
@@ -949,7 +949,7 @@
 	return caller(ctx, in)
 }
 
-func (c *registerProtobufClient) callAccept(ctx context.Context, in *AcceptRequest) (*AcceptReply, error) {
+func (c *electionProtobufClient) callAccept(ctx context.Context, in *AcceptRequest) (*AcceptReply, error) {
 	out := new(AcceptReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[1], in, out)
 	if err != nil {
@@ -966,26 +966,26 @@
 	return out, nil
 }
 
-func (c *registerProtobufClient) Beat(ctx context.Context, in *BeatRequest) (*BeatReply, error) {
+func (c *electionProtobufClient) Heartbeat(ctx context.Context, in *HeartbeatRequest) (*HeartbeatReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Register")
-	ctx = ctxsetters.WithMethodName(ctx, "Beat")
-	caller := c.callBeat
+	ctx = ctxsetters.WithServiceName(ctx, "Election")
+	ctx = ctxsetters.WithMethodName(ctx, "Heartbeat")
+	caller := c.callHeartbeat
 	if c.interceptor != nil {
-		caller = func(ctx context.Context, req *BeatRequest) (*BeatReply, error) {
+		caller = func(ctx context.Context, req *HeartbeatRequest) (*HeartbeatReply, error) {
 			resp, err := c.interceptor(
 				func(ctx context.Context, req interface{}) (interface{}, error) {
-					typedReq, ok := req.(*BeatRequest)
+					typedReq, ok := req.(*HeartbeatRequest)
 					if !ok {
-						return nil, twirp.InternalError("failed type assertion req.(*BeatRequest) when calling interceptor")
+						return nil, twirp.InternalError("failed type assertion req.(*HeartbeatRequest) when calling interceptor")
 					}
-					return c.callBeat(ctx, typedReq)
+					return c.callHeartbeat(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
-				typedResp, ok := resp.(*BeatReply)
+				typedResp, ok := resp.(*HeartbeatReply)
 				if !ok {
-					return nil, twirp.InternalError("failed type assertion resp.(*BeatReply) when calling interceptor")
+					return nil, twirp.InternalError("failed type assertion resp.(*HeartbeatReply) when calling interceptor")
 				}
 				return typedResp, err
 			}
@@ -995,8 +995,8 @@
 	return caller(ctx, in)
 }
 
-func (c *registerProtobufClient) callBeat(ctx context.Context, in *BeatRequest) (*BeatReply, error) {
-	out := new(BeatReply)
+func (c *electionProtobufClient) callHeartbeat(ctx context.Context, in *HeartbeatRequest) (*HeartbeatReply, error) {
+	out := new(HeartbeatReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[2], in, out)
 	if err != nil {
 		twerr, ok := err.(twirp.Error)
@@ -1012,9 +1012,9 @@
 	return out, nil
 }
 
-func (c *registerProtobufClient) Write(ctx context.Context, in *WriteRequest) (*WriteReply, error) {
+func (c *electionProtobufClient) Write(ctx context.Context, in *WriteRequest) (*WriteReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Register")
+	ctx = ctxsetters.WithServiceName(ctx, "Election")
 	ctx = ctxsetters.WithMethodName(ctx, "Write")
 	caller := c.callWrite
 	if c.interceptor != nil {
@@ -1041,7 +1041,7 @@
 	return caller(ctx, in)
 }
 
-func (c *registerProtobufClient) callWrite(ctx context.Context, in *WriteRequest) (*WriteReply, error) {
+func (c *electionProtobufClient) callWrite(ctx context.Context, in *WriteRequest) (*WriteReply, error) {
 	out := new(WriteReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[3], in, out)
 	if err != nil {
@@ -1058,9 +1058,9 @@
 	return out, nil
 }
 
-func (c *registerProtobufClient) Join(ctx context.Context, in *JoinRequest) (*JoinReply, error) {
+func (c *electionProtobufClient) Join(ctx context.Context, in *JoinRequest) (*JoinReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Register")
+	ctx = ctxsetters.WithServiceName(ctx, "Election")
 	ctx = ctxsetters.WithMethodName(ctx, "Join")
 	caller := c.callJoin
 	if c.interceptor != nil {
@@ -1087,7 +1087,7 @@
 	return caller(ctx, in)
 }
 
-func (c *registerProtobufClient) callJoin(ctx context.Context, in *JoinRequest) (*JoinReply, error) {
+func (c *electionProtobufClient) callJoin(ctx context.Context, in *JoinRequest) (*JoinReply, error) {
 	out := new(JoinReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[4], in, out)
 	if err != nil {
@@ -1105,19 +1105,19 @@
 }
 
 // ====================
-// Register JSON Client
+// Election JSON Client
 // ====================
 
-type registerJSONClient struct {
+type electionJSONClient struct {
 	client      HTTPClient
 	urls        [5]string
 	interceptor twirp.Interceptor
 	opts        twirp.ClientOptions
 }
 
-// NewRegisterJSONClient creates a JSON client that implements the Register interface.
+// NewElectionJSONClient creates a JSON client that implements the Election interface.
 // It communicates using JSON and can be configured with a custom HTTPClient.
-func NewRegisterJSONClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) Register {
+func NewElectionJSONClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) Election {
 	if c, ok := client.(*http.Client); ok {
 		client = withoutRedirects(c)
 	}
@@ -1137,16 +1137,16 @@
 
 	// Build method URLs: <baseURL>[<prefix>]/<package>.<Service>/<Method>
 	serviceURL := sanitizeBaseURL(baseURL)
-	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "Register")
+	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "Election")
 	urls := [5]string{
 		serviceURL + "Promise",
 		serviceURL + "Accept",
-		serviceURL + "Beat",
+		serviceURL + "Heartbeat",
 		serviceURL + "Write",
 		serviceURL + "Join",
 	}
 
-	return &registerJSONClient{
+	return &electionJSONClient{
 		client:      client,
 		urls:        urls,
 		interceptor: twirp.ChainInterceptors(clientOpts.Interceptors...),
@@ -1154,9 +1154,9 @@
 	}
 }
 
-func (c *registerJSONClient) Promise(ctx context.Context, in *PromiseRequest) (*PromiseReply, error) {
+func (c *electionJSONClient) Promise(ctx context.Context, in *PromiseRequest) (*PromiseReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Register")
+	ctx = ctxsetters.WithServiceName(ctx, "Election")
 	ctx = ctxsetters.WithMethodName(ctx, "Promise")
 	caller := c.callPromise
 	if c.interceptor != nil {
@@ -1183,7 +1183,7 @@
 	return caller(ctx, in)
 }
 
-func (c *registerJSONClient) callPromise(ctx context.Context, in *PromiseRequest) (*PromiseReply, error) {
+func (c *electionJSONClient) callPromise(ctx context.Context, in *PromiseRequest) (*PromiseReply, error) {
 	out := new(PromiseReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[0], in, out)
 	if err != nil {
@@ -1200,9 +1200,9 @@
 	return out, nil
 }
 
-func (c *registerJSONClient) Accept(ctx context.Context, in *AcceptRequest) (*AcceptReply, error) {
+func (c *electionJSONClient) Accept(ctx context.Context, in *AcceptRequest) (*AcceptReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Register")
+	ctx = ctxsetters.WithServiceName(ctx, "Election")
 	ctx = ctxsetters.WithMethodName(ctx, "Accept")
 	caller := c.callAccept
 	if c.interceptor != nil {
@@ -1229,7 +1229,7 @@
 	return caller(ctx, in)
 }
 
-func (c *registerJSONClient) callAccept(ctx context.Context, in *AcceptRequest) (*AcceptReply, error) {
+func (c *electionJSONClient) callAccept(ctx context.Context, in *AcceptRequest) (*AcceptReply, error) {
 	out := new(AcceptReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[1], in, out)
 	if err != nil {
@@ -1246,26 +1246,26 @@
 	return out, nil
 }
 
-func (c *registerJSONClient) Beat(ctx context.Context, in *BeatRequest) (*BeatReply, error) {
+func (c *electionJSONClient) Heartbeat(ctx context.Context, in *HeartbeatRequest) (*HeartbeatReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Register")
-	ctx = ctxsetters.WithMethodName(ctx, "Beat")
-	caller := c.callBeat
+	ctx = ctxsetters.WithServiceName(ctx, "Election")
+	ctx = ctxsetters.WithMethodName(ctx, "Heartbeat")
+	caller := c.callHeartbeat
 	if c.interceptor != nil {
-		caller = func(ctx context.Context, req *BeatRequest) (*BeatReply, error) {
+		caller = func(ctx context.Context, req *HeartbeatRequest) (*HeartbeatReply, error) {
 			resp, err := c.interceptor(
 				func(ctx context.Context, req interface{}) (interface{}, error) {
-					typedReq, ok := req.(*BeatRequest)
+					typedReq, ok := req.(*HeartbeatRequest)
 					if !ok {
-						return nil, twirp.InternalError("failed type assertion req.(*BeatRequest) when calling interceptor")
+						return nil, twirp.InternalError("failed type assertion req.(*HeartbeatRequest) when calling interceptor")
 					}
-					return c.callBeat(ctx, typedReq)
+					return c.callHeartbeat(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
-				typedResp, ok := resp.(*BeatReply)
+				typedResp, ok := resp.(*HeartbeatReply)
 				if !ok {
-					return nil, twirp.InternalError("failed type assertion resp.(*BeatReply) when calling interceptor")
+					return nil, twirp.InternalError("failed type assertion resp.(*HeartbeatReply) when calling interceptor")
 				}
 				return typedResp, err
 			}
@@ -1275,8 +1275,8 @@
 	return caller(ctx, in)
 }
 
-func (c *registerJSONClient) callBeat(ctx context.Context, in *BeatRequest) (*BeatReply, error) {
-	out := new(BeatReply)
+func (c *electionJSONClient) callHeartbeat(ctx context.Context, in *HeartbeatRequest) (*HeartbeatReply, error) {
+	out := new(HeartbeatReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[2], in, out)
 	if err != nil {
 		twerr, ok := err.(twirp.Error)
@@ -1292,9 +1292,9 @@
 	return out, nil
 }
 
-func (c *registerJSONClient) Write(ctx context.Context, in *WriteRequest) (*WriteReply, error) {
+func (c *electionJSONClient) Write(ctx context.Context, in *WriteRequest) (*WriteReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Register")
+	ctx = ctxsetters.WithServiceName(ctx, "Election")
 	ctx = ctxsetters.WithMethodName(ctx, "Write")
 	caller := c.callWrite
 	if c.interceptor != nil {
@@ -1321,7 +1321,7 @@
 	return caller(ctx, in)
 }
 
-func (c *registerJSONClient) callWrite(ctx context.Context, in *WriteRequest) (*WriteReply, error) {
+func (c *electionJSONClient) callWrite(ctx context.Context, in *WriteRequest) (*WriteReply, error) {
 	out := new(WriteReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[3], in, out)
 	if err != nil {
@@ -1338,9 +1338,9 @@
 	return out, nil
 }
 
-func (c *registerJSONClient) Join(ctx context.Context, in *JoinRequest) (*JoinReply, error) {
+func (c *electionJSONClient) Join(ctx context.Context, in *JoinRequest) (*JoinReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Register")
+	ctx = ctxsetters.WithServiceName(ctx, "Election")
 	ctx = ctxsetters.WithMethodName(ctx, "Join")
 	caller := c.callJoin
 	if c.interceptor != nil {
@@ -1367,7 +1367,7 @@
 	return caller(ctx, in)
 }
 
-func (c *registerJSONClient) callJoin(ctx context.Context, in *JoinRequest) (*JoinReply, error) {
+func (c *electionJSONClient) callJoin(ctx context.Context, in *JoinRequest) (*JoinReply, error) {
 	out := new(JoinReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[4], in, out)
 	if err != nil {
@@ -1385,11 +1385,11 @@
 }
 
 // =======================
-// Register Server Handler
+// Election Server Handler
 // =======================
 
-type registerServer struct {
-	Register
+type electionServer struct {
+	Election
 	interceptor      twirp.Interceptor
 	hooks            *twirp.ServerHooks
 	pathPrefix       string // prefix for routing
@@ -1397,10 +1397,10 @@
 	jsonCamelCase    bool   // JSON fields are serialized as lowerCamelCase rather than keeping the original proto names
 }
 
-// NewRegisterServer builds a TwirpServer that can be used as an http.Handler to handle
+// NewElectionServer builds a TwirpServer that can be used as an http.Handler to handle
 // HTTP requests that are routed to the right method in the provided svc implementation.
 // The opts are twirp.ServerOption modifiers, for example twirp.WithServerHooks(hooks).
-func NewRegisterServer(svc Register, opts ...interface{}) TwirpServer {
+func NewElectionServer(svc Election, opts ...interface{}) TwirpServer {
 	serverOpts := newServerOpts(opts)
 
 	// Using ReadOpt allows backwards and forwards compatibility with new options in the future
@@ -1413,8 +1413,8 @@
 		pathPrefix = "/twirp" // default prefix
 	}
 
-	return &registerServer{
-		Register:         svc,
+	return &electionServer{
+		Election:         svc,
 		hooks:            serverOpts.Hooks,
 		interceptor:      twirp.ChainInterceptors(serverOpts.Interceptors...),
 		pathPrefix:       pathPrefix,
@@ -1425,12 +1425,12 @@
 
 // writeError writes an HTTP response with a valid Twirp error format, and triggers hooks.
 // If err is not a twirp.Error, it will get wrapped with twirp.InternalErrorWith(err)
-func (s *registerServer) writeError(ctx context.Context, resp http.ResponseWriter, err error) {
+func (s *electionServer) writeError(ctx context.Context, resp http.ResponseWriter, err error) {
 	writeError(ctx, resp, err, s.hooks)
 }
 
 // handleRequestBodyError is used to handle error when the twirp server cannot read request
-func (s *registerServer) handleRequestBodyError(ctx context.Context, resp http.ResponseWriter, msg string, err error) {
+func (s *electionServer) handleRequestBodyError(ctx context.Context, resp http.ResponseWriter, msg string, err error) {
 	if context.Canceled == ctx.Err() {
 		s.writeError(ctx, resp, twirp.NewError(twirp.Canceled, "failed to read request: context canceled"))
 		return
@@ -1442,16 +1442,16 @@
 	s.writeError(ctx, resp, twirp.WrapError(malformedRequestError(msg), err))
 }
 
-// RegisterPathPrefix is a convenience constant that may identify URL paths.
+// ElectionPathPrefix is a convenience constant that may identify URL paths.
 // Should be used with caution, it only matches routes generated by Twirp Go clients,
 // with the default "/twirp" prefix and default CamelCase service and method names.
 // More info: https://twitchtv.github.io/twirp/docs/routing.html
-const RegisterPathPrefix = "/twirp/saffronyard.tier.v1.Register/"
+const ElectionPathPrefix = "/twirp/saffronyard.tier.v1.Election/"
 
-func (s *registerServer) ServeHTTP(resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) ServeHTTP(resp http.ResponseWriter, req *http.Request) {
 	ctx := req.Context()
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Register")
+	ctx = ctxsetters.WithServiceName(ctx, "Election")
 	ctx = ctxsetters.WithResponseWriter(ctx, resp)
 
 	var err error
@@ -1469,7 +1469,7 @@
 
 	// Verify path format: [<prefix>]/<package>.<Service>/<Method>
 	prefix, pkgService, method := parseTwirpPath(req.URL.Path)
-	if pkgService != "saffronyard.tier.v1.Register" {
+	if pkgService != "saffronyard.tier.v1.Election" {
 		msg := fmt.Sprintf("no handler for path %q", req.URL.Path)
 		s.writeError(ctx, resp, badRouteError(msg, req.Method, req.URL.Path))
 		return
@@ -1487,8 +1487,8 @@
 	case "Accept":
 		s.serveAccept(ctx, resp, req)
 		return
-	case "Beat":
-		s.serveBeat(ctx, resp, req)
+	case "Heartbeat":
+		s.serveHeartbeat(ctx, resp, req)
 		return
 	case "Write":
 		s.serveWrite(ctx, resp, req)
@@ -1503,7 +1503,7 @@
 	}
 }
 
-func (s *registerServer) servePromise(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) servePromise(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -1521,7 +1521,7 @@
 	}
 }
 
-func (s *registerServer) servePromiseJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) servePromiseJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Promise")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -1543,7 +1543,7 @@
 		return
 	}
 
-	handler := s.Register.Promise
+	handler := s.Election.Promise
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *PromiseRequest) (*PromiseReply, error) {
 			resp, err := s.interceptor(
@@ -1552,7 +1552,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*PromiseRequest) when calling interceptor")
 					}
-					return s.Register.Promise(ctx, typedReq)
+					return s.Election.Promise(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -1604,7 +1604,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *registerServer) servePromiseProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) servePromiseProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Promise")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -1624,7 +1624,7 @@
 		return
 	}
 
-	handler := s.Register.Promise
+	handler := s.Election.Promise
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *PromiseRequest) (*PromiseReply, error) {
 			resp, err := s.interceptor(
@@ -1633,7 +1633,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*PromiseRequest) when calling interceptor")
 					}
-					return s.Register.Promise(ctx, typedReq)
+					return s.Election.Promise(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -1683,7 +1683,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *registerServer) serveAccept(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveAccept(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -1701,7 +1701,7 @@
 	}
 }
 
-func (s *registerServer) serveAcceptJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveAcceptJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Accept")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -1723,7 +1723,7 @@
 		return
 	}
 
-	handler := s.Register.Accept
+	handler := s.Election.Accept
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *AcceptRequest) (*AcceptReply, error) {
 			resp, err := s.interceptor(
@@ -1732,7 +1732,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*AcceptRequest) when calling interceptor")
 					}
-					return s.Register.Accept(ctx, typedReq)
+					return s.Election.Accept(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -1784,7 +1784,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *registerServer) serveAcceptProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveAcceptProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Accept")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -1804,7 +1804,7 @@
 		return
 	}
 
-	handler := s.Register.Accept
+	handler := s.Election.Accept
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *AcceptRequest) (*AcceptReply, error) {
 			resp, err := s.interceptor(
@@ -1813,7 +1813,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*AcceptRequest) when calling interceptor")
 					}
-					return s.Register.Accept(ctx, typedReq)
+					return s.Election.Accept(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -1863,7 +1863,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *registerServer) serveBeat(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveHeartbeat(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -1871,9 +1871,9 @@
 	}
 	switch strings.TrimSpace(strings.ToLower(header[:i])) {
 	case "application/json":
-		s.serveBeatJSON(ctx, resp, req)
+		s.serveHeartbeatJSON(ctx, resp, req)
 	case "application/protobuf":
-		s.serveBeatProtobuf(ctx, resp, req)
+		s.serveHeartbeatProtobuf(ctx, resp, req)
 	default:
 		msg := fmt.Sprintf("unexpected Content-Type: %q", req.Header.Get("Content-Type"))
 		twerr := badRouteError(msg, req.Method, req.URL.Path)
@@ -1881,9 +1881,9 @@
 	}
 }
 
-func (s *registerServer) serveBeatJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveHeartbeatJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
-	ctx = ctxsetters.WithMethodName(ctx, "Beat")
+	ctx = ctxsetters.WithMethodName(ctx, "Heartbeat")
 	ctx, err = callRequestRouted(ctx, s.hooks)
 	if err != nil {
 		s.writeError(ctx, resp, err)
@@ -1896,29 +1896,29 @@
 		s.handleRequestBodyError(ctx, resp, "the json request could not be decoded", err)
 		return
 	}
-	reqContent := new(BeatRequest)
+	reqContent := new(HeartbeatRequest)
 	unmarshaler := protojson.UnmarshalOptions{DiscardUnknown: true}
 	if err = unmarshaler.Unmarshal(rawReqBody, reqContent); err != nil {
 		s.handleRequestBodyError(ctx, resp, "the json request could not be decoded", err)
 		return
 	}
 
-	handler := s.Register.Beat
+	handler := s.Election.Heartbeat
 	if s.interceptor != nil {
-		handler = func(ctx context.Context, req *BeatRequest) (*BeatReply, error) {
+		handler = func(ctx context.Context, req *HeartbeatRequest) (*HeartbeatReply, error) {
 			resp, err := s.interceptor(
 				func(ctx context.Context, req interface{}) (interface{}, error) {
-					typedReq, ok := req.(*BeatRequest)
+					typedReq, ok := req.(*HeartbeatRequest)
 					if !ok {
-						return nil, twirp.InternalError("failed type assertion req.(*BeatRequest) when calling interceptor")
+						return nil, twirp.InternalError("failed type assertion req.(*HeartbeatRequest) when calling interceptor")
 					}
-					return s.Register.Beat(ctx, typedReq)
+					return s.Election.Heartbeat(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
-				typedResp, ok := resp.(*BeatReply)
+				typedResp, ok := resp.(*HeartbeatReply)
 				if !ok {
-					return nil, twirp.InternalError("failed type assertion resp.(*BeatReply) when calling interceptor")
+					return nil, twirp.InternalError("failed type assertion resp.(*HeartbeatReply) when calling interceptor")
 				}
 				return typedResp, err
 			}
@@ -1927,7 +1927,7 @@
 	}
 
 	// Call service method
-	var respContent *BeatReply
+	var respContent *HeartbeatReply
 	func() {
 		defer ensurePanicResponses(ctx, resp, s.hooks)
 		respContent, err = handler(ctx, reqContent)
@@ -1938,7 +1938,7 @@
 		return
 	}
 	if respContent == nil {
-		s.writeError(ctx, resp, twirp.InternalError("received a nil *BeatReply and nil error while calling Beat. nil responses are not supported"))
+		s.writeError(ctx, resp, twirp.InternalError("received a nil *HeartbeatReply and nil error while calling Heartbeat. nil responses are not supported"))
 		return
 	}
 
@@ -1964,9 +1964,9 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *registerServer) serveBeatProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveHeartbeatProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
-	ctx = ctxsetters.WithMethodName(ctx, "Beat")
+	ctx = ctxsetters.WithMethodName(ctx, "Heartbeat")
 	ctx, err = callRequestRouted(ctx, s.hooks)
 	if err != nil {
 		s.writeError(ctx, resp, err)
@@ -1978,28 +1978,28 @@
 		s.handleRequestBodyError(ctx, resp, "failed to read request body", err)
 		return
 	}
-	reqContent := new(BeatRequest)
+	reqContent := new(HeartbeatRequest)
 	if err = proto.Unmarshal(buf, reqContent); err != nil {
 		s.writeError(ctx, resp, malformedRequestError("the protobuf request could not be decoded"))
 		return
 	}
 
-	handler := s.Register.Beat
+	handler := s.Election.Heartbeat
 	if s.interceptor != nil {
-		handler = func(ctx context.Context, req *BeatRequest) (*BeatReply, error) {
+		handler = func(ctx context.Context, req *HeartbeatRequest) (*HeartbeatReply, error) {
 			resp, err := s.interceptor(
 				func(ctx context.Context, req interface{}) (interface{}, error) {
-					typedReq, ok := req.(*BeatRequest)
+					typedReq, ok := req.(*HeartbeatRequest)
 					if !ok {
-						return nil, twirp.InternalError("failed type assertion req.(*BeatRequest) when calling interceptor")
+						return nil, twirp.InternalError("failed type assertion req.(*HeartbeatRequest) when calling interceptor")
 					}
-					return s.Register.Beat(ctx, typedReq)
+					return s.Election.Heartbeat(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
-				typedResp, ok := resp.(*BeatReply)
+				typedResp, ok := resp.(*HeartbeatReply)
 				if !ok {
-					return nil, twirp.InternalError("failed type assertion resp.(*BeatReply) when calling interceptor")
+					return nil, twirp.InternalError("failed type assertion resp.(*HeartbeatReply) when calling interceptor")
 				}
 				return typedResp, err
 			}
@@ -2008,7 +2008,7 @@
 	}
 
 	// Call service method
-	var respContent *BeatReply
+	var respContent *HeartbeatReply
 	func() {
 		defer ensurePanicResponses(ctx, resp, s.hooks)
 		respContent, err = handler(ctx, reqContent)
@@ -2019,7 +2019,7 @@
 		return
 	}
 	if respContent == nil {
-		s.writeError(ctx, resp, twirp.InternalError("received a nil *BeatReply and nil error while calling Beat. nil responses are not supported"))
+		s.writeError(ctx, resp, twirp.InternalError("received a nil *HeartbeatReply and nil error while calling Heartbeat. nil responses are not supported"))
 		return
 	}
 
@@ -2043,7 +2043,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *registerServer) serveWrite(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveWrite(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -2061,7 +2061,7 @@
 	}
 }
 
-func (s *registerServer) serveWriteJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveWriteJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Write")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -2083,7 +2083,7 @@
 		return
 	}
 
-	handler := s.Register.Write
+	handler := s.Election.Write
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *WriteRequest) (*WriteReply, error) {
 			resp, err := s.interceptor(
@@ -2092,7 +2092,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*WriteRequest) when calling interceptor")
 					}
-					return s.Register.Write(ctx, typedReq)
+					return s.Election.Write(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -2144,7 +2144,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *registerServer) serveWriteProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveWriteProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Write")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -2164,7 +2164,7 @@
 		return
 	}
 
-	handler := s.Register.Write
+	handler := s.Election.Write
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *WriteRequest) (*WriteReply, error) {
 			resp, err := s.interceptor(
@@ -2173,7 +2173,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*WriteRequest) when calling interceptor")
 					}
-					return s.Register.Write(ctx, typedReq)
+					return s.Election.Write(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -2223,7 +2223,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *registerServer) serveJoin(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveJoin(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -2241,7 +2241,7 @@
 	}
 }
 
-func (s *registerServer) serveJoinJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveJoinJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Join")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -2263,7 +2263,7 @@
 		return
 	}
 
-	handler := s.Register.Join
+	handler := s.Election.Join
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *JoinRequest) (*JoinReply, error) {
 			resp, err := s.interceptor(
@@ -2272,7 +2272,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*JoinRequest) when calling interceptor")
 					}
-					return s.Register.Join(ctx, typedReq)
+					return s.Election.Join(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -2324,7 +2324,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *registerServer) serveJoinProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *electionServer) serveJoinProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Join")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -2344,7 +2344,7 @@
 		return
 	}
 
-	handler := s.Register.Join
+	handler := s.Election.Join
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *JoinRequest) (*JoinReply, error) {
 			resp, err := s.interceptor(
@@ -2353,7 +2353,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*JoinRequest) when calling interceptor")
 					}
-					return s.Register.Join(ctx, typedReq)
+					return s.Election.Join(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -2403,27 +2403,27 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *registerServer) ServiceDescriptor() ([]byte, int) {
+func (s *electionServer) ServiceDescriptor() ([]byte, int) {
 	return twirpFileDescriptor0, 1
 }
 
-func (s *registerServer) ProtocGenTwirpVersion() string {
+func (s *electionServer) ProtocGenTwirpVersion() string {
 	return "v8.1.3"
 }
 
 // PathPrefix returns the base service path, in the form: "/<prefix>/<package>.<Service>/"
 // that is everything in a Twirp route except for the <Method>. This can be used for routing,
 // for example to identify the requests that are targeted to this service in a mux.
-func (s *registerServer) PathPrefix() string {
-	return baseServicePath(s.pathPrefix, "saffronyard.tier.v1", "Register")
+func (s *electionServer) PathPrefix() string {
+	return baseServicePath(s.pathPrefix, "saffronyard.tier.v1", "Election")
 }
 
-// ===============
-// Vault Interface
-// ===============
+// ===================
+// TurnStore Interface
+// ===================
 
-// Vault keeps turns and budgets.
-type Vault interface {
+// TurnStore keeps turns and budgets.
+type TurnStore interface {
 	// Begin asks, before a turn is sent, whether its previous turn stands and whether its budget has room, and reserves
 	// its most. It is durable at the primary and its backups before it is answered OK. The same attempt again is the same.
 	Begin(context.Context, *BeginRequest) (*BeginReply, error)
@@ -2431,7 +2431,7 @@
 	// Settle ends what Begin reserved: with the turn to be kept, or with what was handed out of one that is not kept.
 	Settle(context.Context, *SettleRequest) (*SettleReply, error)
 
-	// Find looks for a turn in all partitions whose primary this vault is.
+	// Find looks for a turn in all partitions whose primary this turn store is.
 	Find(context.Context, *FindRequest) (*FindReply, error)
 
 	// Replicate is said by the primary of a partition to a backup.
@@ -2444,20 +2444,20 @@
 	Fetch(context.Context, *FetchRequest) (*FetchReply, error)
 }
 
-// =====================
-// Vault Protobuf Client
-// =====================
+// =========================
+// TurnStore Protobuf Client
+// =========================
 
-type vaultProtobufClient struct {
+type turnStoreProtobufClient struct {
 	client      HTTPClient
 	urls        [6]string
 	interceptor twirp.Interceptor
 	opts        twirp.ClientOptions
 }
 
-// NewVaultProtobufClient creates a Protobuf client that implements the Vault interface.
+// NewTurnStoreProtobufClient creates a Protobuf client that implements the TurnStore interface.
 // It communicates using Protobuf and can be configured with a custom HTTPClient.
-func NewVaultProtobufClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) Vault {
+func NewTurnStoreProtobufClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) TurnStore {
 	if c, ok := client.(*http.Client); ok {
 		client = withoutRedirects(c)
 	}
@@ -2477,7 +2477,7 @@
 
 	// Build method URLs: <baseURL>[<prefix>]/<package>.<Service>/<Method>
 	serviceURL := sanitizeBaseURL(baseURL)
-	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "Vault")
+	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "TurnStore")
 	urls := [6]string{
 		serviceURL + "Begin",
 		serviceURL + "Settle",
@@ -2487,7 +2487,7 @@
 		serviceURL + "Fetch",
 	}
 
-	return &vaultProtobufClient{
+	return &turnStoreProtobufClient{
 		client:      client,
 		urls:        urls,
 		interceptor: twirp.ChainInterceptors(clientOpts.Interceptors...),
@@ -2495,9 +2495,9 @@
 	}
 }
 
-func (c *vaultProtobufClient) Begin(ctx context.Context, in *BeginRequest) (*BeginReply, error) {
+func (c *turnStoreProtobufClient) Begin(ctx context.Context, in *BeginRequest) (*BeginReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Begin")
 	caller := c.callBegin
 	if c.interceptor != nil {
@@ -2524,7 +2524,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultProtobufClient) callBegin(ctx context.Context, in *BeginRequest) (*BeginReply, error) {
+func (c *turnStoreProtobufClient) callBegin(ctx context.Context, in *BeginRequest) (*BeginReply, error) {
 	out := new(BeginReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[0], in, out)
 	if err != nil {
@@ -2541,9 +2541,9 @@
 	return out, nil
 }
 
-func (c *vaultProtobufClient) Settle(ctx context.Context, in *SettleRequest) (*SettleReply, error) {
+func (c *turnStoreProtobufClient) Settle(ctx context.Context, in *SettleRequest) (*SettleReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Settle")
 	caller := c.callSettle
 	if c.interceptor != nil {
@@ -2570,7 +2570,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultProtobufClient) callSettle(ctx context.Context, in *SettleRequest) (*SettleReply, error) {
+func (c *turnStoreProtobufClient) callSettle(ctx context.Context, in *SettleRequest) (*SettleReply, error) {
 	out := new(SettleReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[1], in, out)
 	if err != nil {
@@ -2587,9 +2587,9 @@
 	return out, nil
 }
 
-func (c *vaultProtobufClient) Find(ctx context.Context, in *FindRequest) (*FindReply, error) {
+func (c *turnStoreProtobufClient) Find(ctx context.Context, in *FindRequest) (*FindReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Find")
 	caller := c.callFind
 	if c.interceptor != nil {
@@ -2616,7 +2616,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultProtobufClient) callFind(ctx context.Context, in *FindRequest) (*FindReply, error) {
+func (c *turnStoreProtobufClient) callFind(ctx context.Context, in *FindRequest) (*FindReply, error) {
 	out := new(FindReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[2], in, out)
 	if err != nil {
@@ -2633,9 +2633,9 @@
 	return out, nil
 }
 
-func (c *vaultProtobufClient) Replicate(ctx context.Context, in *ReplicateRequest) (*ReplicateReply, error) {
+func (c *turnStoreProtobufClient) Replicate(ctx context.Context, in *ReplicateRequest) (*ReplicateReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Replicate")
 	caller := c.callReplicate
 	if c.interceptor != nil {
@@ -2662,7 +2662,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultProtobufClient) callReplicate(ctx context.Context, in *ReplicateRequest) (*ReplicateReply, error) {
+func (c *turnStoreProtobufClient) callReplicate(ctx context.Context, in *ReplicateRequest) (*ReplicateReply, error) {
 	out := new(ReplicateReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[3], in, out)
 	if err != nil {
@@ -2679,9 +2679,9 @@
 	return out, nil
 }
 
-func (c *vaultProtobufClient) Held(ctx context.Context, in *HeldRequest) (*HeldReply, error) {
+func (c *turnStoreProtobufClient) Held(ctx context.Context, in *HeldRequest) (*HeldReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Held")
 	caller := c.callHeld
 	if c.interceptor != nil {
@@ -2708,7 +2708,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultProtobufClient) callHeld(ctx context.Context, in *HeldRequest) (*HeldReply, error) {
+func (c *turnStoreProtobufClient) callHeld(ctx context.Context, in *HeldRequest) (*HeldReply, error) {
 	out := new(HeldReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[4], in, out)
 	if err != nil {
@@ -2725,9 +2725,9 @@
 	return out, nil
 }
 
-func (c *vaultProtobufClient) Fetch(ctx context.Context, in *FetchRequest) (*FetchReply, error) {
+func (c *turnStoreProtobufClient) Fetch(ctx context.Context, in *FetchRequest) (*FetchReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Fetch")
 	caller := c.callFetch
 	if c.interceptor != nil {
@@ -2754,7 +2754,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultProtobufClient) callFetch(ctx context.Context, in *FetchRequest) (*FetchReply, error) {
+func (c *turnStoreProtobufClient) callFetch(ctx context.Context, in *FetchRequest) (*FetchReply, error) {
 	out := new(FetchReply)
 	ctx, err := doProtobufRequest(ctx, c.client, c.opts.Hooks, c.urls[5], in, out)
 	if err != nil {
@@ -2771,20 +2771,20 @@
 	return out, nil
 }
 
-// =================
-// Vault JSON Client
-// =================
+// =====================
+// TurnStore JSON Client
+// =====================
 
-type vaultJSONClient struct {
+type turnStoreJSONClient struct {
 	client      HTTPClient
 	urls        [6]string
 	interceptor twirp.Interceptor
 	opts        twirp.ClientOptions
 }
 
-// NewVaultJSONClient creates a JSON client that implements the Vault interface.
+// NewTurnStoreJSONClient creates a JSON client that implements the TurnStore interface.
 // It communicates using JSON and can be configured with a custom HTTPClient.
-func NewVaultJSONClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) Vault {
+func NewTurnStoreJSONClient(baseURL string, client HTTPClient, opts ...twirp.ClientOption) TurnStore {
 	if c, ok := client.(*http.Client); ok {
 		client = withoutRedirects(c)
 	}
@@ -2804,7 +2804,7 @@
 
 	// Build method URLs: <baseURL>[<prefix>]/<package>.<Service>/<Method>
 	serviceURL := sanitizeBaseURL(baseURL)
-	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "Vault")
+	serviceURL += baseServicePath(pathPrefix, "saffronyard.tier.v1", "TurnStore")
 	urls := [6]string{
 		serviceURL + "Begin",
 		serviceURL + "Settle",
@@ -2814,7 +2814,7 @@
 		serviceURL + "Fetch",
 	}
 
-	return &vaultJSONClient{
+	return &turnStoreJSONClient{
 		client:      client,
 		urls:        urls,
 		interceptor: twirp.ChainInterceptors(clientOpts.Interceptors...),
@@ -2822,9 +2822,9 @@
 	}
 }
 
-func (c *vaultJSONClient) Begin(ctx context.Context, in *BeginRequest) (*BeginReply, error) {
+func (c *turnStoreJSONClient) Begin(ctx context.Context, in *BeginRequest) (*BeginReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Begin")
 	caller := c.callBegin
 	if c.interceptor != nil {
@@ -2851,7 +2851,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultJSONClient) callBegin(ctx context.Context, in *BeginRequest) (*BeginReply, error) {
+func (c *turnStoreJSONClient) callBegin(ctx context.Context, in *BeginRequest) (*BeginReply, error) {
 	out := new(BeginReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[0], in, out)
 	if err != nil {
@@ -2868,9 +2868,9 @@
 	return out, nil
 }
 
-func (c *vaultJSONClient) Settle(ctx context.Context, in *SettleRequest) (*SettleReply, error) {
+func (c *turnStoreJSONClient) Settle(ctx context.Context, in *SettleRequest) (*SettleReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Settle")
 	caller := c.callSettle
 	if c.interceptor != nil {
@@ -2897,7 +2897,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultJSONClient) callSettle(ctx context.Context, in *SettleRequest) (*SettleReply, error) {
+func (c *turnStoreJSONClient) callSettle(ctx context.Context, in *SettleRequest) (*SettleReply, error) {
 	out := new(SettleReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[1], in, out)
 	if err != nil {
@@ -2914,9 +2914,9 @@
 	return out, nil
 }
 
-func (c *vaultJSONClient) Find(ctx context.Context, in *FindRequest) (*FindReply, error) {
+func (c *turnStoreJSONClient) Find(ctx context.Context, in *FindRequest) (*FindReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Find")
 	caller := c.callFind
 	if c.interceptor != nil {
@@ -2943,7 +2943,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultJSONClient) callFind(ctx context.Context, in *FindRequest) (*FindReply, error) {
+func (c *turnStoreJSONClient) callFind(ctx context.Context, in *FindRequest) (*FindReply, error) {
 	out := new(FindReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[2], in, out)
 	if err != nil {
@@ -2960,9 +2960,9 @@
 	return out, nil
 }
 
-func (c *vaultJSONClient) Replicate(ctx context.Context, in *ReplicateRequest) (*ReplicateReply, error) {
+func (c *turnStoreJSONClient) Replicate(ctx context.Context, in *ReplicateRequest) (*ReplicateReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Replicate")
 	caller := c.callReplicate
 	if c.interceptor != nil {
@@ -2989,7 +2989,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultJSONClient) callReplicate(ctx context.Context, in *ReplicateRequest) (*ReplicateReply, error) {
+func (c *turnStoreJSONClient) callReplicate(ctx context.Context, in *ReplicateRequest) (*ReplicateReply, error) {
 	out := new(ReplicateReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[3], in, out)
 	if err != nil {
@@ -3006,9 +3006,9 @@
 	return out, nil
 }
 
-func (c *vaultJSONClient) Held(ctx context.Context, in *HeldRequest) (*HeldReply, error) {
+func (c *turnStoreJSONClient) Held(ctx context.Context, in *HeldRequest) (*HeldReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Held")
 	caller := c.callHeld
 	if c.interceptor != nil {
@@ -3035,7 +3035,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultJSONClient) callHeld(ctx context.Context, in *HeldRequest) (*HeldReply, error) {
+func (c *turnStoreJSONClient) callHeld(ctx context.Context, in *HeldRequest) (*HeldReply, error) {
 	out := new(HeldReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[4], in, out)
 	if err != nil {
@@ -3052,9 +3052,9 @@
 	return out, nil
 }
 
-func (c *vaultJSONClient) Fetch(ctx context.Context, in *FetchRequest) (*FetchReply, error) {
+func (c *turnStoreJSONClient) Fetch(ctx context.Context, in *FetchRequest) (*FetchReply, error) {
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithMethodName(ctx, "Fetch")
 	caller := c.callFetch
 	if c.interceptor != nil {
@@ -3081,7 +3081,7 @@
 	return caller(ctx, in)
 }
 
-func (c *vaultJSONClient) callFetch(ctx context.Context, in *FetchRequest) (*FetchReply, error) {
+func (c *turnStoreJSONClient) callFetch(ctx context.Context, in *FetchRequest) (*FetchReply, error) {
 	out := new(FetchReply)
 	ctx, err := doJSONRequest(ctx, c.client, c.opts.Hooks, c.urls[5], in, out)
 	if err != nil {
@@ -3098,12 +3098,12 @@
 	return out, nil
 }
 
-// ====================
-// Vault Server Handler
-// ====================
+// ========================
+// TurnStore Server Handler
+// ========================
 
-type vaultServer struct {
-	Vault
+type turnStoreServer struct {
+	TurnStore
 	interceptor      twirp.Interceptor
 	hooks            *twirp.ServerHooks
 	pathPrefix       string // prefix for routing
@@ -3111,10 +3111,10 @@
 	jsonCamelCase    bool   // JSON fields are serialized as lowerCamelCase rather than keeping the original proto names
 }
 
-// NewVaultServer builds a TwirpServer that can be used as an http.Handler to handle
+// NewTurnStoreServer builds a TwirpServer that can be used as an http.Handler to handle
 // HTTP requests that are routed to the right method in the provided svc implementation.
 // The opts are twirp.ServerOption modifiers, for example twirp.WithServerHooks(hooks).
-func NewVaultServer(svc Vault, opts ...interface{}) TwirpServer {
+func NewTurnStoreServer(svc TurnStore, opts ...interface{}) TwirpServer {
 	serverOpts := newServerOpts(opts)
 
 	// Using ReadOpt allows backwards and forwards compatibility with new options in the future
@@ -3127,8 +3127,8 @@
 		pathPrefix = "/twirp" // default prefix
 	}
 
-	return &vaultServer{
-		Vault:            svc,
+	return &turnStoreServer{
+		TurnStore:        svc,
 		hooks:            serverOpts.Hooks,
 		interceptor:      twirp.ChainInterceptors(serverOpts.Interceptors...),
 		pathPrefix:       pathPrefix,
@@ -3139,12 +3139,12 @@
 
 // writeError writes an HTTP response with a valid Twirp error format, and triggers hooks.
 // If err is not a twirp.Error, it will get wrapped with twirp.InternalErrorWith(err)
-func (s *vaultServer) writeError(ctx context.Context, resp http.ResponseWriter, err error) {
+func (s *turnStoreServer) writeError(ctx context.Context, resp http.ResponseWriter, err error) {
 	writeError(ctx, resp, err, s.hooks)
 }
 
 // handleRequestBodyError is used to handle error when the twirp server cannot read request
-func (s *vaultServer) handleRequestBodyError(ctx context.Context, resp http.ResponseWriter, msg string, err error) {
+func (s *turnStoreServer) handleRequestBodyError(ctx context.Context, resp http.ResponseWriter, msg string, err error) {
 	if context.Canceled == ctx.Err() {
 		s.writeError(ctx, resp, twirp.NewError(twirp.Canceled, "failed to read request: context canceled"))
 		return
@@ -3156,16 +3156,16 @@
 	s.writeError(ctx, resp, twirp.WrapError(malformedRequestError(msg), err))
 }
 
-// VaultPathPrefix is a convenience constant that may identify URL paths.
+// TurnStorePathPrefix is a convenience constant that may identify URL paths.
 // Should be used with caution, it only matches routes generated by Twirp Go clients,
 // with the default "/twirp" prefix and default CamelCase service and method names.
 // More info: https://twitchtv.github.io/twirp/docs/routing.html
-const VaultPathPrefix = "/twirp/saffronyard.tier.v1.Vault/"
+const TurnStorePathPrefix = "/twirp/saffronyard.tier.v1.TurnStore/"
 
-func (s *vaultServer) ServeHTTP(resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) ServeHTTP(resp http.ResponseWriter, req *http.Request) {
 	ctx := req.Context()
 	ctx = ctxsetters.WithPackageName(ctx, "saffronyard.tier.v1")
-	ctx = ctxsetters.WithServiceName(ctx, "Vault")
+	ctx = ctxsetters.WithServiceName(ctx, "TurnStore")
 	ctx = ctxsetters.WithResponseWriter(ctx, resp)
 
 	var err error
@@ -3183,7 +3183,7 @@
 
 	// Verify path format: [<prefix>]/<package>.<Service>/<Method>
 	prefix, pkgService, method := parseTwirpPath(req.URL.Path)
-	if pkgService != "saffronyard.tier.v1.Vault" {
+	if pkgService != "saffronyard.tier.v1.TurnStore" {
 		msg := fmt.Sprintf("no handler for path %q", req.URL.Path)
 		s.writeError(ctx, resp, badRouteError(msg, req.Method, req.URL.Path))
 		return
@@ -3220,7 +3220,7 @@
 	}
 }
 
-func (s *vaultServer) serveBegin(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveBegin(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -3238,7 +3238,7 @@
 	}
 }
 
-func (s *vaultServer) serveBeginJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveBeginJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Begin")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -3260,7 +3260,7 @@
 		return
 	}
 
-	handler := s.Vault.Begin
+	handler := s.TurnStore.Begin
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *BeginRequest) (*BeginReply, error) {
 			resp, err := s.interceptor(
@@ -3269,7 +3269,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*BeginRequest) when calling interceptor")
 					}
-					return s.Vault.Begin(ctx, typedReq)
+					return s.TurnStore.Begin(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -3321,7 +3321,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) serveBeginProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveBeginProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Begin")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -3341,7 +3341,7 @@
 		return
 	}
 
-	handler := s.Vault.Begin
+	handler := s.TurnStore.Begin
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *BeginRequest) (*BeginReply, error) {
 			resp, err := s.interceptor(
@@ -3350,7 +3350,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*BeginRequest) when calling interceptor")
 					}
-					return s.Vault.Begin(ctx, typedReq)
+					return s.TurnStore.Begin(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -3400,7 +3400,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) serveSettle(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveSettle(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -3418,7 +3418,7 @@
 	}
 }
 
-func (s *vaultServer) serveSettleJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveSettleJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Settle")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -3440,7 +3440,7 @@
 		return
 	}
 
-	handler := s.Vault.Settle
+	handler := s.TurnStore.Settle
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *SettleRequest) (*SettleReply, error) {
 			resp, err := s.interceptor(
@@ -3449,7 +3449,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*SettleRequest) when calling interceptor")
 					}
-					return s.Vault.Settle(ctx, typedReq)
+					return s.TurnStore.Settle(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -3501,7 +3501,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) serveSettleProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveSettleProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Settle")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -3521,7 +3521,7 @@
 		return
 	}
 
-	handler := s.Vault.Settle
+	handler := s.TurnStore.Settle
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *SettleRequest) (*SettleReply, error) {
 			resp, err := s.interceptor(
@@ -3530,7 +3530,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*SettleRequest) when calling interceptor")
 					}
-					return s.Vault.Settle(ctx, typedReq)
+					return s.TurnStore.Settle(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -3580,7 +3580,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) serveFind(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveFind(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -3598,7 +3598,7 @@
 	}
 }
 
-func (s *vaultServer) serveFindJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveFindJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Find")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -3620,7 +3620,7 @@
 		return
 	}
 
-	handler := s.Vault.Find
+	handler := s.TurnStore.Find
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *FindRequest) (*FindReply, error) {
 			resp, err := s.interceptor(
@@ -3629,7 +3629,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*FindRequest) when calling interceptor")
 					}
-					return s.Vault.Find(ctx, typedReq)
+					return s.TurnStore.Find(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -3681,7 +3681,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) serveFindProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveFindProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Find")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -3701,7 +3701,7 @@
 		return
 	}
 
-	handler := s.Vault.Find
+	handler := s.TurnStore.Find
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *FindRequest) (*FindReply, error) {
 			resp, err := s.interceptor(
@@ -3710,7 +3710,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*FindRequest) when calling interceptor")
 					}
-					return s.Vault.Find(ctx, typedReq)
+					return s.TurnStore.Find(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -3760,7 +3760,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) serveReplicate(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveReplicate(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -3778,7 +3778,7 @@
 	}
 }
 
-func (s *vaultServer) serveReplicateJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveReplicateJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Replicate")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -3800,7 +3800,7 @@
 		return
 	}
 
-	handler := s.Vault.Replicate
+	handler := s.TurnStore.Replicate
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *ReplicateRequest) (*ReplicateReply, error) {
 			resp, err := s.interceptor(
@@ -3809,7 +3809,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*ReplicateRequest) when calling interceptor")
 					}
-					return s.Vault.Replicate(ctx, typedReq)
+					return s.TurnStore.Replicate(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -3861,7 +3861,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) serveReplicateProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveReplicateProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Replicate")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -3881,7 +3881,7 @@
 		return
 	}
 
-	handler := s.Vault.Replicate
+	handler := s.TurnStore.Replicate
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *ReplicateRequest) (*ReplicateReply, error) {
 			resp, err := s.interceptor(
@@ -3890,7 +3890,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*ReplicateRequest) when calling interceptor")
 					}
-					return s.Vault.Replicate(ctx, typedReq)
+					return s.TurnStore.Replicate(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -3940,7 +3940,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) serveHeld(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveHeld(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -3958,7 +3958,7 @@
 	}
 }
 
-func (s *vaultServer) serveHeldJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveHeldJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Held")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -3980,7 +3980,7 @@
 		return
 	}
 
-	handler := s.Vault.Held
+	handler := s.TurnStore.Held
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *HeldRequest) (*HeldReply, error) {
 			resp, err := s.interceptor(
@@ -3989,7 +3989,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*HeldRequest) when calling interceptor")
 					}
-					return s.Vault.Held(ctx, typedReq)
+					return s.TurnStore.Held(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -4041,7 +4041,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) serveHeldProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveHeldProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Held")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -4061,7 +4061,7 @@
 		return
 	}
 
-	handler := s.Vault.Held
+	handler := s.TurnStore.Held
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *HeldRequest) (*HeldReply, error) {
 			resp, err := s.interceptor(
@@ -4070,7 +4070,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*HeldRequest) when calling interceptor")
 					}
-					return s.Vault.Held(ctx, typedReq)
+					return s.TurnStore.Held(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -4120,7 +4120,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) serveFetch(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveFetch(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	header := req.Header.Get("Content-Type")
 	i := strings.Index(header, ";")
 	if i == -1 {
@@ -4138,7 +4138,7 @@
 	}
 }
 
-func (s *vaultServer) serveFetchJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveFetchJSON(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Fetch")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -4160,7 +4160,7 @@
 		return
 	}
 
-	handler := s.Vault.Fetch
+	handler := s.TurnStore.Fetch
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *FetchRequest) (*FetchReply, error) {
 			resp, err := s.interceptor(
@@ -4169,7 +4169,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*FetchRequest) when calling interceptor")
 					}
-					return s.Vault.Fetch(ctx, typedReq)
+					return s.TurnStore.Fetch(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -4221,7 +4221,7 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) serveFetchProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
+func (s *turnStoreServer) serveFetchProtobuf(ctx context.Context, resp http.ResponseWriter, req *http.Request) {
 	var err error
 	ctx = ctxsetters.WithMethodName(ctx, "Fetch")
 	ctx, err = callRequestRouted(ctx, s.hooks)
@@ -4241,7 +4241,7 @@
 		return
 	}
 
-	handler := s.Vault.Fetch
+	handler := s.TurnStore.Fetch
 	if s.interceptor != nil {
 		handler = func(ctx context.Context, req *FetchRequest) (*FetchReply, error) {
 			resp, err := s.interceptor(
@@ -4250,7 +4250,7 @@
 					if !ok {
 						return nil, twirp.InternalError("failed type assertion req.(*FetchRequest) when calling interceptor")
 					}
-					return s.Vault.Fetch(ctx, typedReq)
+					return s.TurnStore.Fetch(ctx, typedReq)
 				},
 			)(ctx, req)
 			if resp != nil {
@@ -4300,19 +4300,19 @@
 	callResponseSent(ctx, s.hooks)
 }
 
-func (s *vaultServer) ServiceDescriptor() ([]byte, int) {
+func (s *turnStoreServer) ServiceDescriptor() ([]byte, int) {
 	return twirpFileDescriptor0, 2
 }
 
-func (s *vaultServer) ProtocGenTwirpVersion() string {
+func (s *turnStoreServer) ProtocGenTwirpVersion() string {
 	return "v8.1.3"
 }
 
 // PathPrefix returns the base service path, in the form: "/<prefix>/<package>.<Service>/"
 // that is everything in a Twirp route except for the <Method>. This can be used for routing,
 // for example to identify the requests that are targeted to this service in a mux.
-func (s *vaultServer) PathPrefix() string {
-	return baseServicePath(s.pathPrefix, "saffronyard.tier.v1", "Vault")
+func (s *turnStoreServer) PathPrefix() string {
+	return baseServicePath(s.pathPrefix, "saffronyard.tier.v1", "TurnStore")
 }
 
 // =====
