@@ -4881,145 +4881,147 @@
 }
 
 var twirpFileDescriptor0 = []byte{
-	// 2225 bytes of a gzipped FileDescriptorProto
-	0x1f, 0x8b, 0x08, 0x00, 0x00, 0x00, 0x00, 0x00, 0x02, 0xff, 0xbc, 0x59, 0x5f, 0x6f, 0xdb, 0xd6,
-	0x15, 0x0f, 0xff, 0x88, 0x92, 0x8e, 0x64, 0xc7, 0x63, 0x83, 0x54, 0x73, 0xda, 0xd4, 0x61, 0x31,
-	0x2c, 0x28, 0x30, 0x1b, 0xb1, 0xd7, 0x64, 0x40, 0x83, 0x60, 0xb3, 0xe3, 0xc0, 0xa9, 0x61, 0xc7,
-	0xa5, 0x1d, 0xbb, 0x2b, 0x06, 0x04, 0x34, 0x79, 0x65, 0x11, 0xa2, 0x48, 0x8e, 0xbc, 0x52, 0xa7,
-	0x7e, 0x80, 0x3d, 0xec, 0x61, 0x0f, 0xc3, 0x5e, 0x86, 0x3e, 0xed, 0x03, 0xec, 0x6d, 0x03, 0xfa,
-	0x30, 0xec, 0x65, 0x4f, 0xfb, 0x12, 0xfb, 0x2c, 0xc3, 0xb9, 0x7f, 0xa8, 0xab, 0x9a, 0x57, 0x56,
-	0x5b, 0x64, 0x4f, 0xe6, 0xb9, 0x3c, 0xba, 0xf7, 0x77, 0xfe, 0xfd, 0xce, 0xe1, 0x35, 0xdc, 0x2f,
-	0x83, 0x7e, 0xbf, 0xc8, 0xd2, 0x69, 0x50, 0x44, 0x5b, 0x34, 0x26, 0xc5, 0xd6, 0xe4, 0x11, 0xfb,
-	0xbb, 0x99, 0x17, 0x19, 0xcd, 0xdc, 0x77, 0x94, 0xf7, 0x9b, 0x6c, 0x7d, 0xf2, 0xc8, 0xfb, 0x0a,
-	0x9c, 0x23, 0x32, 0xba, 0x24, 0x85, 0x7b, 0x17, 0x9c, 0x7e, 0x96, 0x44, 0xa4, 0xe8, 0x19, 0x1b,
-	0xc6, 0xc3, 0xb6, 0x2f, 0x24, 0xb7, 0x07, 0xcd, 0x20, 0x8a, 0x0a, 0x52, 0x96, 0x3d, 0x93, 0xbd,
-	0x90, 0xa2, 0xeb, 0x82, 0x9d, 0x66, 0x11, 0xe9, 0x59, 0x6c, 0x99, 0x3d, 0xe3, 0xda, 0x57, 0x59,
-	0x4a, 0x7a, 0x36, 0x5f, 0xc3, 0x67, 0xdc, 0xb9, 0x20, 0x57, 0x71, 0x96, 0xf6, 0x1a, 0x7c, 0x67,
-	0x2e, 0x79, 0xff, 0x32, 0xc0, 0xf1, 0x49, 0x98, 0x15, 0x91, 0x7b, 0x07, 0x1a, 0x24, 0xcf, 0xc2,
-	0x01, 0x3b, 0xdb, 0xf6, 0xb9, 0x80, 0x47, 0xe7, 0x45, 0x3c, 0x0a, 0x8a, 0xa9, 0x3c, 0x5a, 0x88,
-	0xf8, 0xe6, 0x32, 0x08, 0x87, 0xe3, 0xbc, 0xec, 0x59, 0x1b, 0x16, 0xbe, 0x11, 0xa2, 0xfb, 0x31,
-	0x34, 0x47, 0xcc, 0xa0, 0xb2, 0x67, 0x6f, 0x58, 0x0f, 0x3b, 0xdb, 0xf7, 0x36, 0x6b, 0xec, 0xde,
-	0xe4, 0x46, 0xfb, 0x52, 0xd7, 0xdd, 0x41, 0xeb, 0x8b, 0x11, 0x29, 0x7a, 0x8d, 0x9b, 0x7f, 0x25,
-	0x54, 0xbd, 0x0b, 0x58, 0x3d, 0x29, 0xb2, 0x51, 0x5c, 0x12, 0x9f, 0xfc, 0x76, 0x4c, 0x4a, 0xaa,
-	0xb1, 0x63, 0x0b, 0xec, 0x7e, 0x91, 0x8d, 0x98, 0x11, 0x37, 0x6c, 0xcd, 0x14, 0xbd, 0xbf, 0x98,
-	0xd0, 0xad, 0x76, 0xce, 0x93, 0xa9, 0xbb, 0x0e, 0xad, 0x9c, 0xcb, 0x11, 0xdb, 0xba, 0xe5, 0x57,
-	0x32, 0xfa, 0x62, 0x10, 0x5f, 0x0d, 0x48, 0x49, 0xd9, 0x01, 0xb6, 0x2f, 0x45, 0xf7, 0x09, 0xb4,
-	0x82, 0x30, 0x24, 0x39, 0x25, 0x11, 0x0b, 0x92, 0xee, 0x6c, 0x1e, 0x04, 0xbf, 0x52, 0x46, 0x6f,
-	0x84, 0x83, 0xac, 0x24, 0x29, 0x8b, 0xe3, 0x0d, 0x3f, 0x13, 0xaa, 0x68, 0x65, 0x49, 0x92, 0x3e,
-	0x0b, 0xf2, 0x4d, 0x56, 0xa2, 0x22, 0x1a, 0x55, 0xa2, 0xdf, 0xd2, 0x90, 0xf4, 0x1c, 0x86, 0xbc,
-	0x92, 0xd1, 0xa8, 0x2b, 0x92, 0x92, 0x32, 0x2e, 0x7b, 0x4d, 0x66, 0xaf, 0x14, 0xbd, 0x31, 0xac,
-	0xfc, 0x8a, 0xe1, 0x94, 0x3e, 0xdf, 0xc1, 0xf4, 0x42, 0x24, 0xcc, 0x33, 0x37, 0x81, 0xe5, 0xaa,
-	0xdf, 0x3d, 0x24, 0x7b, 0xd0, 0x91, 0xc7, 0x8a, 0x80, 0x54, 0xae, 0x15, 0x01, 0xa9, 0xbc, 0xa7,
-	0x0d, 0x88, 0x57, 0x42, 0x67, 0x97, 0x04, 0xff, 0x67, 0xe4, 0x7f, 0x30, 0xa0, 0xcd, 0x4f, 0x45,
-	0xe0, 0x32, 0x4a, 0xc6, 0xb2, 0x51, 0xd2, 0xa7, 0x97, 0x1a, 0x3f, 0xeb, 0x5b, 0xf1, 0xbb, 0x0b,
-	0x0e, 0x2f, 0x2d, 0x96, 0x41, 0x2d, 0x5f, 0x48, 0xde, 0x21, 0x34, 0xf6, 0x53, 0x5a, 0x4c, 0xdd,
-	0x35, 0xb0, 0x86, 0x64, 0x2a, 0xb8, 0x06, 0x1f, 0xb1, 0x76, 0x26, 0x41, 0x32, 0x26, 0xec, 0x98,
-	0xae, 0xcf, 0x85, 0x45, 0x87, 0x78, 0x7f, 0x37, 0xa0, 0x7b, 0x51, 0xc4, 0xf4, 0x86, 0xf2, 0x73,
-	0xc1, 0xbe, 0x0c, 0x4a, 0x22, 0xe0, 0xb3, 0xe7, 0x85, 0xd8, 0x7f, 0x0e, 0x4d, 0x92, 0xd2, 0x22,
-	0x26, 0x92, 0x42, 0xd6, 0x6b, 0xbd, 0xc4, 0xec, 0xf0, 0xa5, 0x2a, 0x9e, 0xfd, 0xe5, 0x20, 0x4b,
-	0x08, 0xcb, 0xff, 0x96, 0xcf, 0x05, 0x3c, 0x9b, 0x45, 0xcb, 0xe1, 0x7c, 0xc8, 0x02, 0x72, 0x06,
-	0x20, 0x50, 0x63, 0x40, 0xee, 0x40, 0x83, 0x06, 0x43, 0x92, 0x8a, 0x34, 0xe2, 0x02, 0xfa, 0xef,
-	0x92, 0x0c, 0xe2, 0x34, 0x62, 0xa8, 0x5b, 0xbe, 0x90, 0xd4, 0x68, 0x58, 0xf3, 0xb9, 0xf5, 0x0c,
-	0x3a, 0x9f, 0x66, 0x71, 0x2a, 0x5d, 0x21, 0xd3, 0xc4, 0x58, 0x36, 0x4d, 0xbe, 0x80, 0x36, 0xff,
-	0x3d, 0x82, 0x52, 0x98, 0x97, 0xc3, 0xaa, 0x98, 0x77, 0x96, 0xb3, 0xe6, 0xd2, 0x39, 0xeb, 0x7d,
-	0x6d, 0x41, 0xf7, 0x22, 0xa0, 0xe1, 0x40, 0xa2, 0x93, 0xad, 0xc3, 0x98, 0x6f, 0x1d, 0x05, 0xfa,
-	0x8f, 0x53, 0x3d, 0x7b, 0x56, 0x9a, 0x92, 0xa5, 0x6b, 0x4a, 0xf6, 0xb5, 0xa6, 0xc4, 0x1a, 0x50,
-	0xa3, 0xb6, 0x01, 0x39, 0x6a, 0x03, 0x42, 0xdd, 0x24, 0xee, 0x13, 0xc6, 0x30, 0x6d, 0x9f, 0x3d,
-	0xe3, 0xce, 0x61, 0x40, 0x83, 0x24, 0xbb, 0xea, 0xb5, 0xb8, 0x83, 0x85, 0xe8, 0xbe, 0x07, 0x6d,
-	0x92, 0x46, 0x79, 0x16, 0xa7, 0xb4, 0xec, 0xb5, 0xd9, 0xbb, 0xd9, 0x02, 0x9e, 0x31, 0x09, 0xc6,
-	0x09, 0x2d, 0x7b, 0xc0, 0x5e, 0x09, 0x09, 0xf7, 0x93, 0xfd, 0xa8, 0xc3, 0xf7, 0x93, 0x2d, 0xe7,
-	0x5d, 0x68, 0x0e, 0xb2, 0x24, 0x7a, 0x33, 0x2a, 0x7b, 0xdd, 0x0d, 0xe3, 0xe1, 0x8a, 0xef, 0xa0,
-	0x78, 0x54, 0xba, 0x4f, 0xc0, 0x29, 0xa7, 0x69, 0x48, 0xa2, 0xde, 0x0a, 0x4b, 0xbf, 0x0f, 0x6a,
-	0x5d, 0x7c, 0xca, 0x54, 0xf6, 0xb2, 0x7c, 0xea, 0x0b, 0x75, 0x3c, 0x2b, 0x21, 0xc1, 0x24, 0x4e,
-	0xaf, 0x7a, 0xab, 0x3c, 0x6a, 0x42, 0x74, 0xef, 0x41, 0x3b, 0x8e, 0x12, 0xf2, 0x26, 0x8a, 0xcb,
-	0x61, 0xef, 0x36, 0xe7, 0x2b, 0x5c, 0x78, 0x1e, 0x97, 0x43, 0xef, 0x73, 0x80, 0xd9, 0x66, 0x68,
-	0x66, 0x1e, 0x14, 0x34, 0xa6, 0xe8, 0x2f, 0x83, 0x01, 0x9b, 0x2d, 0xcc, 0x2a, 0xcc, 0x54, 0x2b,
-	0x4c, 0x13, 0x26, 0xef, 0x6f, 0x26, 0xd8, 0xc7, 0xe4, 0xcb, 0x72, 0x41, 0x3e, 0xb9, 0x60, 0x0f,
-	0xe2, 0x94, 0xca, 0xa8, 0xe3, 0xf3, 0xec, 0x10, 0x4b, 0x3d, 0xe4, 0xf1, 0x2c, 0x32, 0xbc, 0x2b,
-	0xbd, 0x57, 0xeb, 0x97, 0x3d, 0xae, 0x33, 0x8b, 0xdb, 0x53, 0x35, 0x6e, 0xbc, 0x39, 0xdd, 0xd7,
-	0x14, 0xb4, 0xd0, 0x52, 0xe3, 0xba, 0x53, 0xc5, 0xd5, 0x59, 0x90, 0xef, 0xe7, 0x4c, 0xa5, 0x0a,
-	0xfa, 0xe3, 0x59, 0xd0, 0x9b, 0x0b, 0xa0, 0xf2, 0xfa, 0x2b, 0xab, 0x94, 0xf0, 0x5e, 0x41, 0x53,
-	0xc0, 0x47, 0x8f, 0x4d, 0x48, 0x51, 0xca, 0x20, 0xd8, 0xbe, 0x14, 0x19, 0x9d, 0x65, 0xd1, 0x54,
-	0xd0, 0x24, 0x7b, 0xc6, 0x00, 0xe4, 0x41, 0x38, 0x14, 0x7d, 0xbe, 0xeb, 0x0b, 0xc9, 0xfb, 0x1c,
-	0xda, 0x95, 0x55, 0x0b, 0xb6, 0x7c, 0x84, 0x85, 0xc0, 0x08, 0x1e, 0xf3, 0xed, 0xfd, 0x85, 0xde,
-	0xf1, 0x99, 0xaa, 0xf7, 0x8d, 0x09, 0x2d, 0xb9, 0x84, 0x6c, 0x1a, 0xa7, 0x25, 0x0d, 0x90, 0x4d,
-	0x79, 0x49, 0x57, 0x32, 0x9e, 0x5a, 0x92, 0x62, 0x12, 0x87, 0xb2, 0xb2, 0xa5, 0xa8, 0x16, 0xb1,
-	0x55, 0x5f, 0xc4, 0xea, 0x14, 0xb9, 0x0e, 0xad, 0x30, 0xc8, 0x83, 0x30, 0xa6, 0x53, 0x16, 0xc5,
-	0x15, 0xbf, 0x92, 0xf1, 0x5d, 0x54, 0x04, 0x71, 0x8a, 0x99, 0xef, 0xf0, 0xec, 0x96, 0xb2, 0xfb,
-	0x11, 0xfc, 0x28, 0xc4, 0x32, 0x2b, 0xc8, 0x88, 0xaf, 0x60, 0xc1, 0x35, 0xd9, 0x06, 0xb7, 0xf1,
-	0x85, 0x2f, 0xd7, 0x8f, 0x4a, 0xdc, 0xa7, 0x20, 0x93, 0x98, 0xb9, 0xa8, 0xc5, 0xed, 0x90, 0xb2,
-	0xbb, 0x0d, 0xce, 0x28, 0x8b, 0x48, 0x82, 0xb5, 0xaf, 0x6f, 0x0a, 0x47, 0xa8, 0xe2, 0x0b, 0x4d,
-	0x4c, 0xe4, 0x7c, 0x80, 0xad, 0x07, 0xd8, 0x66, 0x5c, 0xf0, 0x9e, 0x40, 0x83, 0xa9, 0x31, 0x16,
-	0x0c, 0x46, 0x33, 0x16, 0x0c, 0x46, 0x64, 0x0e, 0x82, 0xc9, 0xcd, 0x94, 0xb2, 0x77, 0x06, 0x4d,
-	0x91, 0x32, 0x0b, 0x62, 0xb9, 0x35, 0x17, 0xcb, 0xc5, 0xc4, 0xcf, 0x22, 0xf9, 0x0f, 0x03, 0x9c,
-	0xf3, 0x8a, 0xac, 0x34, 0xbb, 0x7e, 0x0c, 0xcd, 0x21, 0x21, 0x39, 0x66, 0xf4, 0xa2, 0x8d, 0x0f,
-	0x99, 0x8e, 0x2f, 0x75, 0xdd, 0x67, 0x00, 0x15, 0x77, 0xf0, 0x51, 0x5d, 0x57, 0x7c, 0x27, 0x52,
-	0xcd, 0x57, 0x7e, 0xc1, 0xbd, 0x41, 0xe3, 0x02, 0x03, 0x6b, 0xb3, 0x41, 0xbf, 0x92, 0xf1, 0xd3,
-	0x85, 0x1f, 0xa7, 0xfd, 0x74, 0x91, 0x5d, 0xc6, 0x54, 0xba, 0xcc, 0x77, 0x4b, 0x3a, 0xdd, 0xa7,
-	0x4b, 0x0e, 0xed, 0x93, 0xeb, 0x9c, 0xb8, 0xe4, 0xc7, 0xcb, 0xce, 0xfc, 0xc7, 0x4b, 0x67, 0xfb,
-	0xc7, 0xf5, 0x44, 0x86, 0xd4, 0x2e, 0x35, 0xbd, 0xc7, 0x60, 0x33, 0x7a, 0xd6, 0xd9, 0x7a, 0xb7,
-	0x6a, 0x1a, 0x62, 0x60, 0xe0, 0x92, 0x77, 0x1b, 0x56, 0x4e, 0x69, 0x40, 0xc7, 0xa5, 0x68, 0xbd,
-	0xde, 0xef, 0x2d, 0xe8, 0xc8, 0x95, 0xef, 0x3b, 0x10, 0xaa, 0x86, 0xd5, 0xce, 0x06, 0xd6, 0xf2,
-	0xf3, 0xac, 0x32, 0xd1, 0xd8, 0xfa, 0xf9, 0xb2, 0xf1, 0xad, 0x19, 0xed, 0x17, 0xf8, 0xae, 0x2c,
-	0x59, 0x5a, 0x39, 0xcc, 0x89, 0xf5, 0x14, 0x7b, 0xca, 0x95, 0xfc, 0x4a, 0x5b, 0x21, 0xf4, 0xe6,
-	0xf2, 0x84, 0xfe, 0x7d, 0xa7, 0x02, 0xb5, 0x9a, 0x91, 0x03, 0x2c, 0xa5, 0x9a, 0xbf, 0x31, 0xa0,
-	0x29, 0xe0, 0x2d, 0x3d, 0x0f, 0xe9, 0xb3, 0xb7, 0x37, 0xdf, 0x1d, 0x75, 0x08, 0x1b, 0xfa, 0xb9,
-	0xc5, 0x99, 0x9b, 0x5b, 0xee, 0x41, 0xbb, 0x8c, 0x13, 0x92, 0x52, 0x49, 0x97, 0x96, 0xdf, 0xe2,
-	0x0b, 0x47, 0xa5, 0xf7, 0x6f, 0x03, 0xec, 0xb3, 0x71, 0x91, 0x32, 0x3c, 0x94, 0x92, 0x51, 0x4e,
-	0x05, 0x74, 0x29, 0xf2, 0x2f, 0x56, 0x32, 0x89, 0xb3, 0xb1, 0xbc, 0x37, 0xa8, 0x64, 0x9e, 0x41,
-	0xd9, 0x55, 0x11, 0x8c, 0xa4, 0x15, 0x42, 0xc4, 0x52, 0x8a, 0xd3, 0x7c, 0xcc, 0x53, 0xa1, 0xeb,
-	0x73, 0x01, 0x31, 0x66, 0x63, 0x8a, 0xcb, 0x0d, 0xde, 0xdd, 0xb8, 0xe4, 0x3e, 0x80, 0x6e, 0x41,
-	0x28, 0x49, 0xb1, 0x0a, 0x11, 0xa6, 0xc3, 0xf8, 0xb2, 0x53, 0xad, 0x71, 0x46, 0xaf, 0x3a, 0x53,
-	0x73, 0xbe, 0x33, 0x79, 0xff, 0x31, 0xa1, 0xbb, 0x4b, 0xae, 0x66, 0x33, 0xf3, 0xe2, 0xd1, 0x47,
-	0x41, 0x6d, 0xce, 0xa3, 0x56, 0xbc, 0x60, 0xe9, 0xbd, 0x60, 0x5f, 0xf7, 0x42, 0x12, 0x8f, 0x62,
-	0xfc, 0x82, 0x6c, 0x88, 0x69, 0x8d, 0x8b, 0x6c, 0xf8, 0x1f, 0x47, 0x57, 0x84, 0xca, 0x98, 0x70,
-	0x09, 0x33, 0x62, 0x94, 0x95, 0x94, 0x19, 0x62, 0xfb, 0xec, 0xd9, 0x7d, 0x1f, 0x20, 0x1c, 0x04,
-	0x71, 0xfa, 0x66, 0x40, 0x92, 0x88, 0x25, 0x67, 0xcb, 0x6f, 0xb3, 0x95, 0x03, 0x92, 0xe0, 0xd7,
-	0x62, 0x23, 0x88, 0xb2, 0x9c, 0x8a, 0xa6, 0x55, 0xcf, 0x34, 0x18, 0x4a, 0x9f, 0xeb, 0x5d, 0xf3,
-	0x29, 0x5c, 0xf7, 0x29, 0x8e, 0x6c, 0x78, 0x58, 0x47, 0x8c, 0x6c, 0x24, 0x89, 0xbc, 0x3f, 0x1b,
-	0x00, 0xc2, 0x97, 0x48, 0x2a, 0x8f, 0x59, 0x23, 0x89, 0xe2, 0x90, 0xe7, 0xc5, 0xaa, 0xa6, 0x3a,
-	0xcf, 0xb9, 0x8e, 0x2f, 0x95, 0x11, 0x2e, 0xc3, 0x2e, 0x9a, 0xcc, 0x22, 0xb8, 0x4c, 0x0f, 0xcd,
-	0x0f, 0xfa, 0x94, 0x14, 0xdc, 0x7c, 0x8b, 0x9b, 0xcf, 0x56, 0xd0, 0x7c, 0xef, 0x9f, 0x06, 0xac,
-	0x9c, 0x12, 0x4a, 0x13, 0xf2, 0xf6, 0x62, 0xec, 0x82, 0x3d, 0x24, 0x39, 0x15, 0x1f, 0xba, 0xec,
-	0x19, 0x23, 0x48, 0xb3, 0x21, 0x49, 0x65, 0xc1, 0x09, 0xc9, 0xfd, 0x19, 0xd8, 0x74, 0x5c, 0xa4,
-	0x62, 0x96, 0x5c, 0x60, 0x1e, 0x53, 0xf3, 0xf6, 0xa1, 0x23, 0xd1, 0xff, 0x00, 0xaf, 0x7a, 0x3f,
-	0x85, 0xce, 0x8b, 0x38, 0x8d, 0xa4, 0x0b, 0xb4, 0x45, 0xeb, 0xfd, 0x06, 0xda, 0x5c, 0x91, 0x37,
-	0x06, 0x11, 0x0b, 0x63, 0xc9, 0x58, 0xdc, 0x9f, 0x6b, 0xf6, 0x18, 0xc1, 0x15, 0xb5, 0x99, 0x7b,
-	0x7f, 0x32, 0xc1, 0x7e, 0x11, 0x84, 0x6f, 0x23, 0x06, 0xcf, 0x90, 0x67, 0x71, 0xae, 0x24, 0x91,
-	0xf8, 0x38, 0xd8, 0xd0, 0xf4, 0x1e, 0x54, 0x0a, 0xf0, 0x9c, 0x83, 0x5b, 0x7e, 0xf5, 0x1b, 0xf7,
-	0x13, 0x1c, 0x52, 0xd1, 0xd1, 0x91, 0xf8, 0x42, 0xd0, 0x7c, 0x73, 0x31, 0x9d, 0x11, 0x49, 0xe9,
-	0xc1, 0x2d, 0x5f, 0xfe, 0x02, 0x67, 0x23, 0x56, 0x3b, 0x24, 0xba, 0x31, 0xae, 0xf8, 0x33, 0xa1,
-	0xbb, 0x6b, 0x83, 0x99, 0xf5, 0xbd, 0x53, 0xe8, 0x28, 0xa0, 0x54, 0x52, 0x30, 0x74, 0xa4, 0x60,
-	0xd6, 0x92, 0x82, 0x35, 0x23, 0x05, 0xef, 0x14, 0x60, 0x06, 0x55, 0x49, 0x46, 0xa3, 0x36, 0x19,
-	0xcd, 0xe5, 0x92, 0xf1, 0x6b, 0x03, 0xd6, 0x30, 0x33, 0xe2, 0x30, 0xa0, 0x4b, 0x96, 0x53, 0xfd,
-	0xd7, 0xa2, 0xbc, 0x13, 0xb1, 0x66, 0x77, 0x22, 0x98, 0x6c, 0xfd, 0x20, 0xa4, 0xf2, 0xc6, 0xa5,
-	0x1e, 0x0c, 0x26, 0x8f, 0xcf, 0xf5, 0xdc, 0x55, 0x30, 0x69, 0x26, 0xa6, 0x32, 0x93, 0x66, 0xde,
-	0x53, 0x58, 0x55, 0xc0, 0xe9, 0x2f, 0x56, 0xee, 0x40, 0xa3, 0xa4, 0x81, 0x68, 0xab, 0x2d, 0x9f,
-	0x0b, 0xde, 0x67, 0xd0, 0x41, 0xbe, 0xf8, 0x21, 0x56, 0x71, 0x40, 0x56, 0x05, 0x68, 0x0b, 0xda,
-	0x7c, 0x4b, 0xc4, 0xb2, 0x0a, 0x66, 0x36, 0x14, 0x40, 0xcc, 0x6c, 0xc8, 0x39, 0x63, 0xca, 0x8b,
-	0xa4, 0xed, 0xb3, 0x67, 0xef, 0x97, 0xd0, 0x7d, 0x41, 0x94, 0x3b, 0x92, 0xc5, 0x20, 0xea, 0x76,
-	0x38, 0x02, 0x10, 0x3b, 0xd4, 0x9d, 0x59, 0xb9, 0xd8, 0x5c, 0xce, 0xc5, 0x1f, 0x5d, 0x40, 0x53,
-	0x50, 0x89, 0xfb, 0x2e, 0xbc, 0x73, 0xbe, 0xef, 0x3f, 0x7f, 0xb9, 0x77, 0xf6, 0xe6, 0xf5, 0xf1,
-	0xe9, 0xc9, 0xfe, 0xde, 0xcb, 0x17, 0x2f, 0xf7, 0x9f, 0xaf, 0xdd, 0x72, 0x1d, 0x30, 0x5f, 0x1d,
-	0xae, 0x19, 0x6e, 0x1b, 0x1a, 0xa7, 0x27, 0xfb, 0xc7, 0x67, 0x6b, 0xa6, 0xdb, 0x81, 0xe6, 0xeb,
-	0xe3, 0xc3, 0xe3, 0x57, 0x17, 0xc7, 0x6b, 0x16, 0xae, 0x1f, 0xbd, 0x3a, 0xdf, 0x7f, 0xbe, 0x66,
-	0xbb, 0x2d, 0xb0, 0x77, 0x5f, 0x9f, 0xfe, 0x7a, 0xad, 0xb1, 0xfd, 0x57, 0x03, 0x5a, 0x7b, 0x09,
-	0x09, 0x70, 0x8c, 0x77, 0xf7, 0xa1, 0xc1, 0xae, 0x86, 0xdc, 0x07, 0xb5, 0x80, 0xd4, 0x6b, 0xa3,
-	0xf5, 0x7a, 0xcc, 0xec, 0x86, 0xe1, 0x18, 0x1c, 0x3e, 0xd5, 0xba, 0x5e, 0x7d, 0xe9, 0xaa, 0x43,
-	0xf0, 0xfa, 0xc6, 0x42, 0x9d, 0x3c, 0x99, 0x6e, 0xff, 0xd1, 0x82, 0x96, 0x4f, 0xae, 0xe2, 0x92,
-	0x92, 0xc2, 0xfd, 0x0c, 0x9a, 0xe2, 0x3a, 0xde, 0xfd, 0xb0, 0xfe, 0xeb, 0x65, 0xee, 0xdf, 0x00,
-	0xeb, 0x0f, 0x16, 0x2b, 0x61, 0x74, 0x8e, 0xc1, 0xe1, 0xf7, 0xc9, 0x1a, 0xbc, 0x73, 0x77, 0xdc,
-	0x1a, 0xbc, 0xea, 0x85, 0xf4, 0x01, 0xd8, 0xbb, 0x24, 0xa0, 0x6e, 0xbd, 0xa6, 0x72, 0xeb, 0xbc,
-	0x7e, 0x7f, 0x81, 0x06, 0xee, 0x74, 0x08, 0x0d, 0x76, 0x3d, 0xa9, 0x0b, 0x88, 0x72, 0xe1, 0xba,
-	0xfe, 0xc1, 0x22, 0x15, 0x01, 0xeb, 0xd3, 0x2c, 0x4e, 0x35, 0xb0, 0x94, 0x0b, 0x4b, 0x0d, 0xac,
-	0xea, 0x4a, 0x72, 0xfb, 0xbf, 0x16, 0x34, 0xd8, 0x54, 0x8e, 0x00, 0xd9, 0xa8, 0xa1, 0x01, 0xa8,
-	0x8e, 0x74, 0x1a, 0x80, 0xca, 0xa4, 0x82, 0x79, 0xc3, 0xa8, 0x52, 0x97, 0x37, 0xea, 0xf4, 0xa0,
-	0xcb, 0x1b, 0xa5, 0x47, 0x1f, 0x80, 0x8d, 0x2d, 0x54, 0x63, 0xb0, 0xd2, 0x86, 0x35, 0x06, 0xcf,
-	0xfa, 0xef, 0x05, 0xb4, 0x2b, 0x46, 0x73, 0x7f, 0xa2, 0x69, 0x67, 0xf3, 0x74, 0xbc, 0xfe, 0xe1,
-	0x4d, 0x6a, 0x02, 0x22, 0x9b, 0x0d, 0xeb, 0x21, 0x2a, 0x3c, 0xa8, 0x81, 0x38, 0xa3, 0xb5, 0x43,
-	0x68, 0x30, 0xc2, 0xd1, 0x44, 0x42, 0xa5, 0x33, 0x4d, 0x24, 0x66, 0x7c, 0xb5, 0xfb, 0xec, 0x8b,
-	0xa7, 0x51, 0x16, 0x0e, 0xcb, 0x41, 0xdc, 0xa7, 0x9b, 0xe4, 0x77, 0xc1, 0x28, 0x4f, 0xc8, 0x56,
-	0xb5, 0xb2, 0xc5, 0xfe, 0x89, 0xb9, 0x55, 0xf3, 0x3f, 0xce, 0x4f, 0xf0, 0xef, 0xe4, 0xd1, 0xa5,
-	0xc3, 0x34, 0x76, 0xfe, 0x17, 0x00, 0x00, 0xff, 0xff, 0x8e, 0x4c, 0xe3, 0x1d, 0x08, 0x1d, 0x00,
-	0x00,
+	// 2268 bytes of a gzipped FileDescriptorProto
+	0x1f, 0x8b, 0x08, 0x00, 0x00, 0x00, 0x00, 0x00, 0x02, 0xff, 0xbc, 0x59, 0xcd, 0x8f, 0xdb, 0xc6,
+	0x15, 0x37, 0x3f, 0xf4, 0xf5, 0x24, 0xad, 0xb7, 0x8c, 0xe1, 0xa8, 0xeb, 0xc4, 0x59, 0xd3, 0x29,
+	0x6a, 0x04, 0xa8, 0x17, 0xb6, 0x1b, 0xbb, 0x40, 0x0c, 0xb7, 0xf5, 0x7a, 0x8d, 0x75, 0x8c, 0x5d,
+	0x6f, 0x46, 0x6b, 0x6f, 0x1a, 0x14, 0x58, 0x70, 0xc9, 0xd1, 0x8a, 0x10, 0x45, 0xb2, 0xe4, 0x68,
+	0x1b, 0x05, 0xe8, 0xdf, 0x50, 0xa0, 0xe8, 0xa5, 0x28, 0x7a, 0xec, 0xa9, 0xd7, 0x1c, 0x7a, 0x28,
+	0x7a, 0x29, 0x7a, 0xe8, 0xb1, 0xb7, 0x9e, 0xfb, 0x97, 0x14, 0x6f, 0x3e, 0xa8, 0x91, 0x96, 0x94,
+	0x94, 0xa4, 0xc9, 0x49, 0x7c, 0xc3, 0xc7, 0x99, 0xf7, 0xde, 0xef, 0xcd, 0xef, 0xbd, 0x19, 0xc1,
+	0xcd, 0xdc, 0x1b, 0x0c, 0xb2, 0x24, 0x9e, 0x7a, 0x59, 0xb0, 0xc3, 0x42, 0x9a, 0xed, 0x5c, 0xdc,
+	0xe3, 0xbf, 0x77, 0xd3, 0x2c, 0x61, 0x89, 0xf3, 0x96, 0xf6, 0xfe, 0x2e, 0x1f, 0xbf, 0xb8, 0xe7,
+	0x7e, 0x01, 0xf5, 0x03, 0x3a, 0x3e, 0xa3, 0x99, 0x73, 0x1d, 0xea, 0x83, 0x24, 0x0a, 0x68, 0xd6,
+	0x33, 0xb6, 0x8d, 0x3b, 0x2d, 0x22, 0x25, 0xa7, 0x07, 0x0d, 0x2f, 0x08, 0x32, 0x9a, 0xe7, 0x3d,
+	0x93, 0xbf, 0x50, 0xa2, 0xe3, 0x80, 0x1d, 0x27, 0x01, 0xed, 0x59, 0x7c, 0x98, 0x3f, 0xe3, 0xd8,
+	0x17, 0x49, 0x4c, 0x7b, 0xb6, 0x18, 0xc3, 0x67, 0x9c, 0x39, 0xa3, 0xe7, 0x61, 0x12, 0xf7, 0x6a,
+	0x62, 0x66, 0x21, 0xb9, 0x7f, 0x37, 0xa0, 0x4e, 0xa8, 0x9f, 0x64, 0x81, 0x73, 0x0d, 0x6a, 0x34,
+	0x4d, 0xfc, 0x21, 0x5f, 0xdb, 0x26, 0x42, 0xc0, 0xa5, 0xd3, 0x2c, 0x1c, 0x7b, 0xd9, 0x54, 0x2d,
+	0x2d, 0x45, 0x7c, 0x73, 0xe6, 0xf9, 0xa3, 0x49, 0x9a, 0xf7, 0xac, 0x6d, 0x0b, 0xdf, 0x48, 0xd1,
+	0xf9, 0x10, 0x1a, 0x63, 0xee, 0x50, 0xde, 0xb3, 0xb7, 0xad, 0x3b, 0xed, 0xfb, 0x37, 0xee, 0x96,
+	0xf8, 0x7d, 0x57, 0x38, 0x4d, 0x94, 0xae, 0xf3, 0x00, 0xbd, 0xcf, 0xc6, 0x34, 0xeb, 0xd5, 0x56,
+	0x7f, 0x25, 0x55, 0xdd, 0x13, 0xd8, 0x38, 0xca, 0x92, 0x71, 0x98, 0x53, 0x42, 0x7f, 0x35, 0xa1,
+	0x39, 0xab, 0xf0, 0x63, 0x07, 0xec, 0x41, 0x96, 0x8c, 0xb9, 0x13, 0x2b, 0xa6, 0xe6, 0x8a, 0xee,
+	0x1f, 0x4c, 0xe8, 0x14, 0x33, 0xa7, 0xd1, 0xd4, 0xd9, 0x82, 0x66, 0x2a, 0xe4, 0x80, 0x4f, 0xdd,
+	0x24, 0x85, 0x8c, 0xb1, 0x18, 0x86, 0xe7, 0x43, 0x9a, 0x33, 0xbe, 0x80, 0x4d, 0x94, 0xe8, 0x3c,
+	0x82, 0xa6, 0xe7, 0xfb, 0x34, 0x65, 0x34, 0xe0, 0x20, 0x55, 0xad, 0x2d, 0x40, 0x20, 0x85, 0x32,
+	0x46, 0xc3, 0x1f, 0x26, 0x39, 0x8d, 0x39, 0x8e, 0x2b, 0x3e, 0x93, 0xaa, 0xe8, 0x65, 0x4e, 0xa3,
+	0x01, 0x07, 0x79, 0x95, 0x97, 0xa8, 0x88, 0x4e, 0xe5, 0x18, 0xb7, 0xd8, 0xa7, 0xbd, 0x3a, 0xb7,
+	0xbc, 0x90, 0xd1, 0xa9, 0x73, 0x1a, 0xd3, 0x3c, 0xcc, 0x7b, 0x0d, 0xee, 0xaf, 0x12, 0xdd, 0x09,
+	0x74, 0x7f, 0xce, 0xed, 0x54, 0x31, 0x7f, 0x80, 0xe9, 0x85, 0x96, 0xf0, 0xc8, 0xac, 0x32, 0x56,
+	0xa8, 0x7e, 0x75, 0x48, 0x76, 0xa1, 0xad, 0x96, 0x95, 0x80, 0x14, 0xa1, 0x95, 0x80, 0x14, 0xd1,
+	0xab, 0x04, 0xc4, 0xfd, 0x1c, 0x36, 0xf7, 0xa9, 0x97, 0xb1, 0x33, 0xea, 0x7d, 0xc7, 0xe6, 0xff,
+	0xd6, 0x80, 0x0d, 0x6d, 0x69, 0x74, 0x41, 0xe1, 0x65, 0xac, 0x8b, 0x57, 0x75, 0xa2, 0xe9, 0x48,
+	0x5a, 0x0b, 0x48, 0x5e, 0x87, 0xba, 0xd8, 0x64, 0x3c, 0x97, 0x9a, 0x44, 0x4a, 0xee, 0x4b, 0xa8,
+	0xed, 0xc5, 0x2c, 0x9b, 0x3a, 0x9b, 0x60, 0x8d, 0xe8, 0x54, 0xb2, 0x0e, 0x3e, 0xe2, 0x2e, 0xba,
+	0xf0, 0xa2, 0x09, 0xe5, 0xcb, 0x74, 0x88, 0x10, 0x96, 0x2d, 0xe2, 0x7e, 0x69, 0x40, 0xe7, 0x24,
+	0x0b, 0xd9, 0x8a, 0x8d, 0xe8, 0x80, 0x7d, 0xe6, 0xe5, 0x54, 0x9a, 0xcf, 0x9f, 0x97, 0xda, 0xfe,
+	0x63, 0x68, 0xd0, 0x98, 0x65, 0x21, 0x55, 0x64, 0xb2, 0x55, 0x1a, 0x25, 0xee, 0x07, 0x51, 0xaa,
+	0xb8, 0xf6, 0xaf, 0x87, 0x49, 0x44, 0xf9, 0x4e, 0x68, 0x12, 0x21, 0xe0, 0xda, 0x1c, 0xb2, 0xba,
+	0x60, 0x46, 0x8e, 0xca, 0x31, 0x80, 0xb4, 0x1a, 0x01, 0xb9, 0x06, 0x35, 0xe6, 0x8d, 0x68, 0x2c,
+	0x13, 0x4a, 0x08, 0x18, 0xbf, 0x33, 0x3a, 0x0c, 0xe3, 0x80, 0x5b, 0xdd, 0x24, 0x52, 0xd2, 0xd1,
+	0xb0, 0xe6, 0xb3, 0xec, 0x09, 0xb4, 0x3f, 0x4e, 0xc2, 0x58, 0x85, 0x42, 0xe5, 0x8a, 0xb1, 0x6e,
+	0xae, 0x7c, 0x06, 0x2d, 0xf1, 0x3d, 0x1a, 0xa5, 0x71, 0xb0, 0x30, 0xab, 0xe0, 0xe0, 0x59, 0xe2,
+	0x9a, 0x6b, 0x27, 0xae, 0xfb, 0xa5, 0x05, 0x9d, 0x13, 0x8f, 0xf9, 0x43, 0x65, 0x9d, 0x2a, 0x22,
+	0xc6, 0x7c, 0x11, 0xc9, 0x30, 0x7e, 0x82, 0xf4, 0xf9, 0xb3, 0x56, 0x9e, 0xac, 0xaa, 0xf2, 0x64,
+	0x5f, 0x2a, 0x4f, 0xbc, 0x14, 0xd5, 0x4a, 0x4b, 0x51, 0x5d, 0x2f, 0x45, 0xa8, 0x1b, 0x85, 0x03,
+	0xca, 0xb9, 0xa6, 0x45, 0xf8, 0xb3, 0xf3, 0x3e, 0x74, 0xfd, 0x24, 0x1e, 0x84, 0xe7, 0x93, 0xcc,
+	0x63, 0xf8, 0x49, 0x93, 0x87, 0x79, 0x7e, 0xd0, 0x79, 0x07, 0x5a, 0x34, 0x0e, 0xd2, 0x24, 0x8c,
+	0x59, 0xde, 0x6b, 0x71, 0x8d, 0xd9, 0x80, 0x73, 0x1b, 0xba, 0xa9, 0x97, 0xb1, 0x10, 0x55, 0x4f,
+	0xc7, 0x5e, 0xda, 0x03, 0xae, 0xd1, 0x29, 0x06, 0x0f, 0xbc, 0x14, 0x5d, 0x50, 0x25, 0xab, 0x2d,
+	0x90, 0x54, 0x55, 0xe9, 0x6d, 0x68, 0x0c, 0x93, 0x28, 0x38, 0x1d, 0xe7, 0xbd, 0xce, 0xb6, 0x71,
+	0xa7, 0x4b, 0xea, 0x28, 0x1e, 0xe4, 0xce, 0x23, 0xa8, 0xe7, 0xd3, 0xd8, 0xa7, 0x41, 0xaf, 0xcb,
+	0xf3, 0xf2, 0xbd, 0xd2, 0xd8, 0xf7, 0xb9, 0xca, 0x6e, 0x92, 0x4e, 0x89, 0x54, 0xc7, 0xb5, 0x22,
+	0xea, 0x5d, 0x84, 0xf1, 0x79, 0x6f, 0x43, 0xc0, 0x29, 0x45, 0xe7, 0x06, 0xb4, 0xc2, 0x20, 0xa2,
+	0xa7, 0x41, 0x98, 0x8f, 0x7a, 0x57, 0x05, 0xa5, 0xe1, 0xc0, 0xb3, 0x30, 0x1f, 0xb9, 0x9f, 0x02,
+	0xcc, 0x26, 0x43, 0x9f, 0x0b, 0x07, 0x38, 0x70, 0x5d, 0x32, 0x1b, 0x98, 0x6d, 0x3d, 0x53, 0xdf,
+	0x7a, 0x15, 0xf8, 0xb9, 0xff, 0x31, 0x01, 0x64, 0x42, 0x2c, 0x4f, 0x37, 0x07, 0xec, 0x61, 0x18,
+	0x33, 0x95, 0x14, 0xf8, 0x3c, 0x5b, 0xca, 0xd2, 0x97, 0xda, 0x5f, 0x04, 0x4e, 0x14, 0x31, 0xb7,
+	0x34, 0x46, 0xbb, 0xba, 0xe6, 0x22, 0xb8, 0x8f, 0x75, 0x70, 0x45, 0x5d, 0xbb, 0x59, 0xc1, 0x00,
+	0x52, 0x4b, 0x07, 0xff, 0xf9, 0x22, 0xf8, 0x75, 0x3e, 0xc3, 0xad, 0xd2, 0x19, 0x8e, 0xb4, 0x8c,
+	0x58, 0xc8, 0x8f, 0x87, 0xb3, 0xfc, 0x68, 0xf0, 0x19, 0xde, 0x59, 0xb2, 0x87, 0xf3, 0x22, 0x7b,
+	0xdc, 0xd7, 0xd0, 0x9d, 0xf3, 0x0e, 0x83, 0x7b, 0x41, 0xb3, 0x5c, 0xa1, 0x66, 0x13, 0x25, 0x72,
+	0x62, 0x4c, 0x82, 0xa9, 0x24, 0x5c, 0xfe, 0x8c, 0x88, 0xa5, 0x9e, 0x3f, 0x92, 0xbd, 0x43, 0x87,
+	0x48, 0xc9, 0xfd, 0x14, 0x5a, 0x85, 0xbb, 0x4b, 0xa6, 0xbc, 0x87, 0x5b, 0x8a, 0x97, 0x0a, 0x4c,
+	0xd0, 0x77, 0x97, 0x86, 0x8d, 0x70, 0x55, 0xf7, 0xaf, 0x26, 0x34, 0xd5, 0x10, 0xf2, 0x72, 0x18,
+	0xe7, 0xcc, 0x43, 0x5e, 0x16, 0xe4, 0x50, 0xc8, 0xb8, 0x6a, 0x4e, 0xb3, 0x8b, 0xd0, 0x57, 0x1c,
+	0xa1, 0x44, 0x9d, 0x0e, 0xac, 0x72, 0x3a, 0xd0, 0x3b, 0xd3, 0x2d, 0x68, 0xfa, 0x5e, 0xea, 0xf9,
+	0x21, 0x9b, 0x72, 0x78, 0xbb, 0xa4, 0x90, 0xf1, 0x5d, 0x90, 0x79, 0x61, 0x8c, 0x5b, 0xa5, 0x2e,
+	0xb6, 0x83, 0x92, 0x9d, 0x0f, 0xe0, 0x7b, 0x3e, 0xee, 0xcb, 0x8c, 0x8e, 0xc5, 0x08, 0xee, 0xd0,
+	0x06, 0x9f, 0xe0, 0x2a, 0xbe, 0x20, 0x6a, 0xfc, 0x20, 0xc7, 0x79, 0x32, 0x7a, 0x11, 0xe6, 0x8a,
+	0x41, 0x5a, 0xa4, 0x90, 0x9d, 0xfb, 0x50, 0x1f, 0x27, 0x01, 0x8d, 0x90, 0x39, 0xaa, 0xcb, 0xcb,
+	0x01, 0xaa, 0x10, 0xa9, 0x89, 0x39, 0x9f, 0x0e, 0xb1, 0x88, 0x01, 0x9f, 0x4c, 0x08, 0xee, 0x23,
+	0xa8, 0x71, 0x35, 0xce, 0xa7, 0xde, 0x78, 0xc6, 0xa7, 0xde, 0x98, 0xce, 0x99, 0x60, 0x0a, 0x37,
+	0x95, 0xec, 0x1e, 0x43, 0x43, 0x26, 0xce, 0x12, 0x2c, 0x77, 0xe6, 0xb0, 0x5c, 0x5e, 0x42, 0x38,
+	0x92, 0xff, 0x34, 0xa0, 0x73, 0xb4, 0xc0, 0x71, 0x15, 0x73, 0xff, 0x14, 0xda, 0x39, 0x4b, 0x32,
+	0x7a, 0x8a, 0xd4, 0x9f, 0xcb, 0x25, 0xca, 0x77, 0x59, 0x1f, 0xf5, 0x0e, 0x93, 0x80, 0x12, 0xc8,
+	0xd5, 0x63, 0xee, 0x3c, 0x01, 0x28, 0xb6, 0x8b, 0x38, 0x0e, 0x54, 0x7d, 0x5f, 0x58, 0x44, 0xb4,
+	0x2f, 0x44, 0x74, 0x58, 0x98, 0x21, 0xd0, 0x36, 0x3f, 0x4c, 0x14, 0xb2, 0xfb, 0x1b, 0x68, 0x15,
+	0x8b, 0x56, 0x9e, 0x90, 0x54, 0x09, 0x33, 0xb5, 0x12, 0xf6, 0xd5, 0xf2, 0xb0, 0xea, 0x84, 0x94,
+	0x42, 0xeb, 0xe8, 0x32, 0xaf, 0xae, 0x79, 0x46, 0x7a, 0x30, 0x7f, 0x46, 0x6a, 0xdf, 0xff, 0x7e,
+	0x05, 0x01, 0xa6, 0xd3, 0xe2, 0xf8, 0xe4, 0x3e, 0x04, 0x9b, 0x53, 0x7c, 0x95, 0xaf, 0xd7, 0x8b,
+	0xc2, 0x23, 0xbb, 0x11, 0x21, 0xb9, 0x57, 0xa1, 0xdb, 0x67, 0x1e, 0x9b, 0xe4, 0xb2, 0xae, 0xbb,
+	0x7f, 0xb6, 0xa0, 0xad, 0x46, 0xbe, 0x6e, 0xb7, 0xa9, 0x3b, 0x56, 0xda, 0x78, 0x58, 0xeb, 0x77,
+	0xcc, 0x5a, 0xbb, 0x64, 0x57, 0x37, 0xaf, 0xb5, 0x85, 0x06, 0xf0, 0x27, 0xf8, 0x2e, 0xcf, 0x79,
+	0x66, 0xd5, 0x79, 0x10, 0xcb, 0xb9, 0xb7, 0x2f, 0x94, 0x48, 0xa1, 0x7d, 0x99, 0xfc, 0x1b, 0x5f,
+	0x8f, 0xfc, 0xff, 0x1f, 0x5d, 0x88, 0xbe, 0xff, 0x91, 0x35, 0x2c, 0x6d, 0xff, 0xff, 0xdb, 0x80,
+	0x86, 0xb4, 0x7e, 0xed, 0x5e, 0xac, 0x3a, 0xb9, 0xdf, 0x2f, 0x2b, 0xbd, 0xcb, 0xad, 0xad, 0xad,
+	0xec, 0x99, 0xea, 0x25, 0x3d, 0xd3, 0x0d, 0x68, 0xe5, 0x61, 0x44, 0x63, 0xa6, 0x98, 0xd7, 0x22,
+	0x4d, 0x31, 0x70, 0x90, 0xbb, 0xff, 0x30, 0xc0, 0x3e, 0x9e, 0x64, 0xbc, 0xe0, 0x79, 0x8c, 0xd1,
+	0x71, 0xca, 0xa4, 0x4f, 0x4a, 0x14, 0x07, 0x6a, 0x7a, 0x11, 0x26, 0x13, 0x75, 0xad, 0x51, 0xc8,
+	0x22, 0xf3, 0x92, 0xf3, 0xcc, 0x1b, 0x2b, 0xf7, 0xa4, 0x88, 0x5b, 0x30, 0x8c, 0xd3, 0x89, 0x48,
+	0xa1, 0x0e, 0x11, 0x02, 0xee, 0x89, 0x64, 0xc2, 0x70, 0xb8, 0x26, 0x0a, 0xa5, 0x90, 0x9c, 0x5b,
+	0xd0, 0xc9, 0x28, 0xa3, 0xb1, 0x70, 0x24, 0xe7, 0x7e, 0x74, 0x49, 0xbb, 0x18, 0x13, 0xc5, 0xa1,
+	0x28, 0x72, 0x8d, 0xf9, 0x22, 0xe7, 0xfe, 0xcb, 0x84, 0xce, 0x53, 0x7a, 0x3e, 0x6b, 0xe4, 0x97,
+	0xb7, 0x5d, 0x9a, 0xd5, 0xe6, 0xbc, 0xd5, 0x5a, 0x14, 0xac, 0xea, 0x28, 0xd8, 0x97, 0xa3, 0x10,
+	0x85, 0xe3, 0x10, 0x0f, 0xb8, 0x35, 0xd9, 0x29, 0x0a, 0x91, 0x9f, 0x48, 0x26, 0xc1, 0x39, 0x65,
+	0x12, 0x19, 0x29, 0x61, 0xaa, 0x8c, 0x93, 0x9c, 0x71, 0x47, 0x6c, 0xc2, 0x9f, 0x9d, 0x77, 0x01,
+	0xfc, 0xa1, 0x17, 0xc6, 0xa7, 0x43, 0x1a, 0x05, 0x3c, 0x77, 0x9b, 0xa4, 0xc5, 0x47, 0xf6, 0x69,
+	0x84, 0xe7, 0xd8, 0x9a, 0x17, 0x24, 0x29, 0x93, 0xf5, 0xaf, 0x9c, 0xa1, 0x10, 0x4a, 0x22, 0xf4,
+	0x2e, 0xc5, 0x14, 0x2e, 0xc7, 0x14, 0x1b, 0x45, 0x5c, 0xac, 0x2d, 0x1b, 0x45, 0x1a, 0x05, 0xee,
+	0xef, 0x0d, 0x00, 0x19, 0x4b, 0x24, 0xa3, 0x87, 0xbc, 0x1a, 0x05, 0xa1, 0x2f, 0xf2, 0x62, 0xa3,
+	0x62, 0x57, 0xbf, 0x11, 0x3a, 0x44, 0x29, 0xa3, 0xb9, 0xdc, 0x76, 0x59, 0xa5, 0x96, 0x99, 0xcb,
+	0xf5, 0xd0, 0x7d, 0x6f, 0xc0, 0x68, 0x26, 0xdc, 0xb7, 0x84, 0xfb, 0x7c, 0x04, 0xdd, 0x77, 0xff,
+	0x66, 0x40, 0xb7, 0x4f, 0x19, 0x8b, 0xe8, 0xb7, 0x87, 0xb1, 0x03, 0xf6, 0x88, 0xa6, 0x4c, 0x9e,
+	0xbe, 0xf9, 0x33, 0x22, 0xc8, 0x92, 0x11, 0x8d, 0xd5, 0xee, 0x93, 0x92, 0xf3, 0x23, 0xb0, 0xd9,
+	0x24, 0x8b, 0x65, 0xa3, 0xba, 0xc4, 0x3d, 0xae, 0xe6, 0xee, 0x41, 0x5b, 0x59, 0xff, 0x0d, 0xa2,
+	0xea, 0xfe, 0x10, 0xda, 0xcf, 0xc3, 0x38, 0x50, 0x21, 0xa8, 0xdc, 0xb4, 0xee, 0x2f, 0xa1, 0x25,
+	0x14, 0x45, 0x41, 0x91, 0x58, 0x18, 0x6b, 0x62, 0x71, 0x73, 0xae, 0x4f, 0x40, 0x04, 0xbb, 0x7a,
+	0x1f, 0xe0, 0xfe, 0xce, 0x04, 0xfb, 0xb9, 0xe7, 0x7f, 0x1b, 0x18, 0x3c, 0x41, 0x02, 0xc6, 0x16,
+	0x95, 0x06, 0xf2, 0x30, 0xb2, 0x5d, 0x51, 0xb3, 0x50, 0x89, 0x93, 0xe4, 0xfe, 0x15, 0x52, 0x7c,
+	0xe3, 0x7c, 0x84, 0xfd, 0x2e, 0x06, 0x3a, 0x90, 0xa7, 0x90, 0x8a, 0xf3, 0x1e, 0xd7, 0x19, 0xd3,
+	0x98, 0xed, 0x5f, 0x21, 0xea, 0x0b, 0xe7, 0x43, 0x64, 0xeb, 0x84, 0xdf, 0x54, 0xad, 0xc2, 0x15,
+	0x3f, 0x93, 0xba, 0x4f, 0x6d, 0x30, 0x93, 0x81, 0xdb, 0x87, 0xb6, 0x66, 0x94, 0x4e, 0x0a, 0x46,
+	0x15, 0x29, 0x98, 0xa5, 0xa4, 0x60, 0xcd, 0x48, 0xc1, 0xed, 0x03, 0xcc, 0x4c, 0xd5, 0x92, 0xd1,
+	0x28, 0x4d, 0x46, 0x73, 0xbd, 0x64, 0xfc, 0xa3, 0x01, 0x9b, 0x98, 0x19, 0xa1, 0xef, 0xb1, 0x35,
+	0xb7, 0x53, 0xf9, 0x49, 0x55, 0x5d, 0xd4, 0x58, 0xb3, 0x8b, 0x1a, 0x4c, 0xb6, 0x81, 0xe7, 0x33,
+	0x75, 0x0d, 0x54, 0x6e, 0x0c, 0x26, 0x0f, 0x11, 0x7a, 0xce, 0x06, 0x98, 0x2c, 0x91, 0xdd, 0x9c,
+	0xc9, 0x12, 0xf7, 0x31, 0x6c, 0x68, 0xc6, 0x55, 0xdf, 0xf6, 0x5c, 0x83, 0x5a, 0xce, 0x3c, 0x59,
+	0x6f, 0x9b, 0x44, 0x08, 0xee, 0x27, 0xd0, 0x46, 0xbe, 0xf8, 0x26, 0x5e, 0x09, 0x83, 0xac, 0xc2,
+	0xa0, 0x1d, 0x68, 0x89, 0x29, 0xd1, 0x96, 0x0d, 0x30, 0x93, 0x91, 0x34, 0xc4, 0x4c, 0x46, 0x82,
+	0x33, 0xa6, 0x62, 0x93, 0xb4, 0x08, 0x7f, 0x76, 0x7f, 0x06, 0x9d, 0xe7, 0x54, 0xbb, 0xb8, 0x59,
+	0x6e, 0x44, 0xd9, 0x0c, 0x07, 0x00, 0x72, 0x86, 0xb2, 0x35, 0x8b, 0x10, 0x9b, 0xeb, 0x85, 0xf8,
+	0x83, 0x13, 0x68, 0x48, 0x2a, 0x71, 0xde, 0x86, 0xb7, 0xde, 0xec, 0x91, 0x67, 0x2f, 0x76, 0x8f,
+	0x4f, 0x5f, 0x1f, 0xf6, 0x8f, 0xf6, 0x76, 0x5f, 0x3c, 0x7f, 0xb1, 0xf7, 0x6c, 0xf3, 0x8a, 0x53,
+	0x07, 0xf3, 0xd5, 0xcb, 0x4d, 0xc3, 0x69, 0x41, 0xad, 0x7f, 0xb4, 0x77, 0x78, 0xbc, 0x69, 0x3a,
+	0x6d, 0x68, 0xbc, 0x3e, 0x7c, 0x79, 0xf8, 0xea, 0xe4, 0x70, 0xd3, 0xc2, 0xf1, 0x83, 0x57, 0x6f,
+	0xf6, 0x9e, 0x6d, 0xda, 0x4e, 0x13, 0xec, 0xa7, 0xaf, 0xfb, 0xbf, 0xd8, 0xac, 0xdd, 0xff, 0x8b,
+	0x01, 0x9d, 0xdd, 0x24, 0x66, 0x59, 0x12, 0x1d, 0x45, 0x5e, 0x4c, 0x9d, 0x97, 0x50, 0xe3, 0x57,
+	0x14, 0x4e, 0x79, 0xf7, 0xa6, 0xdf, 0x67, 0x6d, 0xbd, 0xb7, 0x4c, 0x05, 0xfd, 0x3e, 0x84, 0xba,
+	0xe8, 0x8b, 0x1d, 0xb7, 0xe2, 0x90, 0xa3, 0xb5, 0xd1, 0x5b, 0xdb, 0x4b, 0x75, 0xd2, 0x68, 0x7a,
+	0xff, 0x4f, 0x16, 0x34, 0xf7, 0x22, 0xea, 0xf3, 0xb0, 0x7f, 0x02, 0x0d, 0xf9, 0xbf, 0x81, 0x73,
+	0xbb, 0xbc, 0xd3, 0x9c, 0xfb, 0xbf, 0x62, 0xeb, 0xd6, 0x72, 0x25, 0x69, 0xaf, 0xb8, 0xf8, 0xae,
+	0xb0, 0x77, 0xee, 0x32, 0xbe, 0xc2, 0x5e, 0xfd, 0xe6, 0xfc, 0x04, 0x13, 0x4f, 0x5e, 0x44, 0x3b,
+	0x3f, 0x28, 0x55, 0x5f, 0xbc, 0x23, 0xdf, 0xba, 0xbd, 0x4a, 0x0d, 0x27, 0x46, 0x94, 0xb2, 0x90,
+	0xd1, 0x2a, 0x94, 0xb4, 0xeb, 0xe1, 0x2a, 0x94, 0x66, 0x77, 0xb1, 0xfb, 0x60, 0x7f, 0x9c, 0x84,
+	0xb1, 0x53, 0xee, 0x8f, 0x76, 0xbd, 0xba, 0x75, 0x73, 0x89, 0x06, 0xe2, 0xf3, 0x5f, 0x0b, 0x5a,
+	0x48, 0x53, 0xfc, 0x1c, 0x89, 0x46, 0xf2, 0x3e, 0xa4, 0xc2, 0x48, 0xbd, 0xdf, 0xab, 0x30, 0x52,
+	0x6b, 0x63, 0x30, 0x95, 0x38, 0x8f, 0x56, 0xa5, 0x92, 0xde, 0x5a, 0x54, 0xa5, 0x92, 0x56, 0xc0,
+	0xf7, 0xc1, 0xc6, 0xfa, 0x5a, 0xe1, 0xb4, 0x56, 0xa3, 0x2b, 0x9c, 0x9e, 0x15, 0xe7, 0x13, 0x68,
+	0x15, 0x74, 0x57, 0x01, 0xf2, 0x22, 0x57, 0x57, 0x80, 0xbc, 0xc0, 0x9a, 0xfb, 0x60, 0xf3, 0xc6,
+	0x71, 0xbb, 0x22, 0x23, 0xa2, 0x15, 0x26, 0xce, 0x38, 0xef, 0x25, 0xd4, 0x38, 0x1b, 0x55, 0x20,
+	0xa1, 0x73, 0x5d, 0x05, 0x12, 0x33, 0x32, 0x7b, 0xfa, 0xe4, 0xb3, 0xc7, 0x41, 0xe2, 0x8f, 0xf2,
+	0x61, 0x38, 0x60, 0x77, 0xe9, 0xe7, 0xde, 0x38, 0x8d, 0xe8, 0x4e, 0x31, 0xb2, 0xc3, 0xff, 0x80,
+	0xdd, 0x29, 0xf9, 0x7f, 0xf6, 0x23, 0xfc, 0xbd, 0xb8, 0x77, 0x56, 0xe7, 0x1a, 0x0f, 0xfe, 0x17,
+	0x00, 0x00, 0xff, 0xff, 0x65, 0x1d, 0x55, 0x15, 0xc4, 0x1d, 0x00, 0x00,
 }
