--- a/cmd/yard/operate.go
+++ b/cmd/yard/operate.go
@@ -9,6 +9,7 @@
 	"text/tabwriter"
 	"time"
 
+	"dockshift.example/dockshift/internal/tier/process"
 	"dockshift.example/dockshift/internal/tier/routing"
 	"dockshift.example/dockshift/internal/tier/settings"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
@@ -72,7 +73,7 @@
 		}
 		at = s.SeedInternal()
 	}
-	dial := dialer(dialControlPlane)
+	dial := process.DialControlPlane()
 	var failed []string
 	for _, a := range at {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -43,22 +43,22 @@
 }
 
 type simSender struct {
-	s       *sim
-	i       int
-	name    string
-	who     lease.Who
-	rate    float64
-	offset  time.Duration
-	till    *Till
-	asker   *Asker
-	lender  *Lender
-	pokes   []any
-	down    bool
-	paused  time.Duration
-	lease   time.Duration // of the fleet's, in true time
-	heard   uint64        // roster that it knows to be coming
-	alarm   time.Duration // true time
-	load    map[string]*simLoad
+	s      *sim
+	i      int
+	name   string
+	who    lease.Who
+	rate   float64
+	offset time.Duration
+	till   *Till
+	asker  *Asker
+	lender *Lender
+	pokes  []any
+	down   bool
+	paused time.Duration
+	lease  time.Duration // of the fleet's, in true time
+	heard  uint64        // roster that it knows to be coming
+	alarm  time.Duration // true time
+	load   map[string]*simLoad
 }
 
 // simLoad is messages that come for a limit at a pace, and wait.
--- a/internal/rehearsal/tierdemo/status.go
+++ b/internal/rehearsal/tierdemo/status.go
@@ -35,12 +35,12 @@
 }
 
 // primary asks the control-plane processes which of them is the primary, and gives it with its state; nil: none says so.
-func (t *tier) primary(ctx context.Context) (*process, *tierv1.StatusReply) {
+func (t *tier) primary(ctx context.Context) (*member, *tierv1.StatusReply) {
 	for _, p := range t.controlPlanes {
 		if !p.running() {
 			continue
 		}
-		s, err := dialControlPlane("http://"+p.settings.Internal(controlPlanePort), t.asking.client).Status(ctx, &tierv1.StatusRequest{})
+		s, err := tierv1.NewControlPlaneProtobufClient("http://"+p.settings.Internal(controlPlanePort), t.client).Status(ctx, &tierv1.StatusRequest{})
 		if err == nil && s.Primary {
 			return p, s
 		}
@@ -107,9 +107,9 @@
 }
 
 // follows tells whether a control-plane process knows the record that the primary goes by.
-func (t *tier) follows(ctx context.Context, p *process) bool {
+func (t *tier) follows(ctx context.Context, p *member) bool {
 	_, newest := t.primary(ctx)
-	s, err := dialControlPlane("http://"+p.settings.Internal(controlPlanePort), t.asking.client).Status(ctx, &tierv1.StatusRequest{})
+	s, err := tierv1.NewControlPlaneProtobufClient("http://"+p.settings.Internal(controlPlanePort), t.client).Status(ctx, &tierv1.StatusRequest{})
 	return err == nil && newest != nil && s.GetRecord().GetEpoch() == newest.GetRecord().GetEpoch()
 }
 
@@ -120,7 +120,7 @@
 		if err != nil {
 			return false
 		}
-		resp, err := t.asking.client.Do(req)
+		resp, err := t.client.Do(req)
 		if err != nil {
 			return false
 		}
--- a/internal/rehearsal/tierdemo/trouble.go
+++ b/internal/rehearsal/tierdemo/trouble.go
@@ -67,7 +67,7 @@
 }
 
 // stop kills a process and measures until others do its work.
-func (r *rehearsal) stop(ctx context.Context, p *process, work string, taken func(context.Context) bool) {
+func (r *rehearsal) stop(ctx context.Context, p *member, work string, taken func(context.Context) bool) {
 	p.kill()
 	stopped := time.Now()
 	r.note("%s stopped", p.node())
@@ -84,7 +84,7 @@
 }
 
 // back starts a process again and waits until it does its part once more, and with it the tier bears a loss.
-func (r *rehearsal) back(ctx context.Context, p *process, part func(context.Context) bool) {
+func (r *rehearsal) back(ctx context.Context, p *member, part func(context.Context) bool) {
 	if err := p.start(); err != nil {
 		r.note("%s does not start: %v", p.node(), err)
 		return
@@ -122,7 +122,7 @@
 func (r *rehearsal) losePrimary(ctx context.Context, at func(float64)) {
 	one, cancel := context.WithTimeout(ctx, settleTime)
 	defer cancel()
-	var primary *process
+	var primary *member
 	if until(one, "a primary", func(ctx context.Context) bool {
 		primary, _ = r.tier.primary(ctx)
 		return primary != nil
--- /dev/null
+++ b/internal/tier/process/process_test.go
@@ -0,0 +1,69 @@
+package process_test
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"testing"
+	"time"
+
+	"dockshift.example/dockshift/internal/tier/process"
+	"dockshift.example/dockshift/internal/tier/settings"
+	"github.com/phuslu/log"
+	"gotest.tools/v3/assert"
+)
+
+// silent logs nothing.
+func silent() *log.Logger { return &log.Logger{Level: log.PanicLevel} }
+
+// machine gives settings of a machine on a loopback address of its own, with ports below those that callers get.
+func machine(t *testing.T) settings.Settings {
+	t.Helper()
+	ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.N(254), rand.N(256), 1+rand.N(254))
+	first := 10000 + rand.N(20000)
+	s, err := settings.Parse(fmt.Appendf(nil, "node_name: machine-1\nip_address: %s\ninternal_port_range: [%d, %d]\n", ip, first, first+process.TurnStorePort))
+	assert.NilError(t, err)
+	s.Control, s.Frontend, s.Readiness = ip+":0", ip+":0", ip+":0"
+	s.DataDir, s.Bootstrap = t.TempDir(), true
+	s.Grace = time.Second
+	return s
+}
+
+func TestEachRoleStartsAndEnds(t *testing.T) {
+	for _, role := range []string{process.RoleGateway, process.RoleControlPlane, process.RoleTurnStore} {
+		for name, end := range map[string]func(*process.Process){"killed": (*process.Process).Kill, "leaves": (*process.Process).Leave} {
+			t.Run(role+" "+name, func(t *testing.T) {
+				p, err := process.Start(t.Context(), role, process.Config{Settings: machine(t), Log: silent()})
+				assert.NilError(t, err)
+				end(p)
+				assert.NilError(t, p.Wait())
+			})
+		}
+	}
+}
+
+// The end of the context is a kill.
+func TestContextEndsTheProcess(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	p, err := process.Start(ctx, process.RoleTurnStore, process.Config{Settings: machine(t), Log: silent()})
+	assert.NilError(t, err)
+	cancel()
+	assert.NilError(t, p.Wait())
+}
+
+func TestUnknownRole(t *testing.T) {
+	_, err := process.Start(t.Context(), "janitor", process.Config{Settings: machine(t), Log: silent()})
+	assert.ErrorContains(t, err, `no role is called "janitor"`)
+}
+
+// A process whose data directory can't be made doesn't start, and leaves no listener behind.
+func TestDataDirectoryThatCannotBeMade(t *testing.T) {
+	s := machine(t)
+	s.DataDir = "/dev/null/nowhere"
+	_, err := process.Start(t.Context(), process.RoleTurnStore, process.Config{Settings: s, Log: silent()})
+	assert.ErrorContains(t, err, "/dev/null")
+	l, err := net.Listen("tcp", s.Internal(process.TurnStorePort))
+	assert.NilError(t, err)
+	assert.NilError(t, l.Close())
+}
--- a/internal/tier/rpcserver/rpcserver.go
+++ b/internal/tier/rpcserver/rpcserver.go
@@ -1,5 +1,5 @@
-// Package link is how the tier's own processes reach each other: HTTP/1.1 over TCP, tuned for a network in which a machine
-// without power says nothing.
+// Package rpcserver is how the tier's own processes reach each other: HTTP/1.1 over TCP, tuned for a network in which a
+// machine without power says nothing.
 package rpcserver
 
 import (
@@ -34,7 +34,7 @@
 )
 
 var (
-	space = errorx.NewNamespace("link")
+	space = errorx.NewNamespace("rpcserver")
 	// Bind is the type of errors of an address that can't be listened at.
 	Bind = space.NewType("bind")
 
@@ -108,7 +108,7 @@
 	go func() {
 		defer stop()
 		if err := server.Serve(patient{listener}); !errors.Is(err, http.ErrServerClosed) && ctx.Err() == nil {
-			log.Error().Str("event", "link_server_ended").Str("address", server.Addr).Err(err).Msg("")
+			log.Error().Str("event", "rpc_server_ended").Str("address", server.Addr).Err(err).Msg("")
 		}
 	}()
 	return server, nil
