--- a/internal/tier/wal/crash_test.go
+++ b/internal/tier/wal/crash_test.go
@@ -28,7 +28,7 @@
 	}
 	defer f.Close()
 	r.facts, r.opened = got, append([]string{}, got...)
-	r.synced = slices.Clone(got) // what a life was told lasts
+	r.synced = slices.Clone(got) // what a process replayed lasts
 	for i := range 5 {
 		batch := []string{fmt.Sprintf("%d.%d.a", life, i), fmt.Sprintf("%d.%d.b", life, i)}
 		r.asked = append(r.asked, batch...)
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// check holds what a later life finds against what the earlier ones were told.
+// check holds what a later life finds against what the earlier ones were acknowledged.
 func (r *run) check(t *testing.T, got []string, label string) {
 	t.Helper()
 	for _, fact := range r.synced {
@@ -87,10 +87,10 @@
 			}
 			t.Run(one+", then "+other, func(t *testing.T) {
 				for first, died := 1, true; died; first++ {
-					for second, again := 1, true; again; second++ {
+					for second, diedAgain := 1, true; diedAgain; second++ {
 						for seed := range seeds {
 							rng := rand.New(rand.NewPCG(uint64(first), uint64(1000*second+seed)))
-							died, again = twoLives(t, first, second, func(m *Memory) { lose(m, rng) }, func(m *Memory) { loseAgain(m, rng) })
+							died, diedAgain = twoLives(t, first, second, func(m *Memory) { lose(m, rng) }, func(m *Memory) { loseAgain(m, rng) })
 						}
 					}
 				}
@@ -100,7 +100,7 @@
 }
 
 // twoLives plays two lives that die at the given operations, and checks what is found after each.
-func twoLives(t *testing.T, first, second int, lose, loseAgain func(*Memory)) (died, again bool) {
+func twoLives(t *testing.T, first, second int, lose, loseAgain func(*Memory)) (died, diedAgain bool) {
 	t.Helper()
 	place := fmt.Sprintf("deaths at %d and %d", first, second)
 	m, r := NewMemory(), &run{}
@@ -109,7 +109,7 @@
 	lose(m)
 	m.DieAt(second)
 	life := &run{synced: r.synced, asked: r.asked}
-	again = caused(life.play(m, 2), ErrDead)
+	diedAgain = caused(life.play(m, 2), ErrDead)
 	if life.opened != nil {
 		r.check(t, life.opened, place+", second life")
 	}
@@ -117,10 +117,10 @@
 	_, got, err := tryOpen(m)
 	assert.NilError(t, err, place)
 	life.check(t, got, place)
-	return died, again
+	return died, diedAgain
 }
 
-// One operation fails, the process goes on: it rewrites, and what is then told lasts.
+// One operation fails, the process goes on: it rewrites, and what is then acknowledged lasts.
 func TestFailureAtEveryOperation(t *testing.T) {
 	full := errors.New("disk is full")
 	for n := 1; ; n++ {
--- a/internal/tier/wal/memory.go
+++ b/internal/tier/wal/memory.go
@@ -13,7 +13,7 @@
 
 // ErrDead is what every operation gives after the place given to DieAt, until Crash, Kill or Wipe,
 // and what handles opened before one of these give.
-var ErrDead = errors.New("write-ahead log: process is dead")
+var ErrDead = errors.New("wal: process is dead")
 
 // Memory is a file system in memory for tests, with what a disk forgets at a power loss. Safe for concurrent use.
 type Memory struct {
--- a/internal/tier/wal/rewrite.go
+++ b/internal/tier/wal/rewrite.go
@@ -2,7 +2,7 @@
 
 const rewriteChunk = 64 << 10 // bytes of one write of a rewrite
 
-// Rewrite replaces all records by those that write adds. They last when it returns nil, and a broken file is sound again.
+// Rewrite replaces all records by those that write adds. They last when it returns nil, and a broken file is usable after that.
 // When it fails before the new file took the place of the old one, the old one stands as it was; when it fails after
 // that, the file is broken, and which of the two is found at the next Open is open. Append must not be called during it.
 func (f *File) Rewrite(write func(add func(record []byte) error) error) error {
--- a/internal/tier/wal/wal.go
+++ b/internal/tier/wal/wal.go
@@ -1,5 +1,5 @@
-// Package write-ahead log is an append-only file of checksummed records (a write-ahead log). A record counts once Sync has returned
-// without error after its Append: what a power loss leaves of later ones is cut off when the file is opened.
+// Package wal implements a write-ahead log: an append-only file of checksummed records. A record is durable once a Sync that
+// began after its Append has returned nil; what a power loss leaves of later records is cut off when the file is opened.
 package wal
 
 import (
@@ -20,7 +20,7 @@
 	tempExt   = ".tmp"
 	bufferMax = 256 << 10 // bytes of a write buffer that are kept between calls
 
-	// MaxRecord is the most bytes that one record may have.
+	// MaxRecord is the maximum size of a record, in bytes.
 	MaxRecord = 64 << 20
 )
 
@@ -100,13 +100,13 @@
 			return err
 		}
 		if f.size < total {
-			log.Warn().Str("event", "ledger_tail_cut").Str("file", f.path).Int64("kept", f.size).Int64("cut", total-f.size).Msg("")
+			log.Warn().Str("event", "wal_tail_cut").Str("file", f.path).Int64("kept", f.size).Int64("cut", total-f.size).Msg("")
 			if err := f.handle.Truncate(f.size); err != nil {
 				return IO.Wrap(err, "cut %s", f.path)
 			}
 		}
 	}
-	// Without these two a power loss could take back what this life was told, or bring back a tail that was cut.
+	// Without these two a power loss could take back what this process replayed, or bring back a tail that was cut.
 	if err := f.handle.Sync(); err != nil {
 		return IO.Wrap(err, "sync %s", f.path)
 	}
