--- a/internal/tier/consensus/durable.go
+++ b/internal/tier/consensus/durable.go
@@ -64,7 +64,7 @@
 // replay takes one record of the file.
 func (d *durable) replay(record []byte) error {
 	if len(record) == 0 {
-		return errorx.IllegalFormat.New("control: empty record")
+		return errorx.IllegalFormat.New("consensus: empty record")
 	}
 	body := record[1:]
 	switch record[0] {
@@ -73,13 +73,13 @@
 	case kindPromise:
 		epoch, n := binary.Uvarint(body)
 		if n <= 0 {
-			return errorx.IllegalFormat.New("control: promise")
+			return errorx.IllegalFormat.New("consensus: promise")
 		}
 		d.promised, d.promisedTo = epoch, string(body[n:])
 	case kindMark:
 		epoch, n := binary.Uvarint(body)
 		if n <= 0 {
-			return errorx.IllegalFormat.New("control: mark")
+			return errorx.IllegalFormat.New("consensus: mark")
 		}
 		d.copyEpoch = epoch
 	case kindAccepted, kindChosen:
@@ -99,7 +99,7 @@
 		}
 		d.apply(w)
 	default:
-		return errorx.IllegalFormat.New("control: record of kind %q", record[0])
+		return errorx.IllegalFormat.New("consensus: record of kind %q", record[0])
 	}
 	return nil
 }
--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -18,14 +18,14 @@
 	case *tierv1.WriteRequest:
 		return "write"
 	case *tierv1.HeartbeatRequest:
-		return "beat"
+		return "heartbeat"
 	case *tierv1.JoinRequest:
 		return "join"
 	}
 	return "call"
 }
 
-func (x *explorer) describe(h happening) string {
+func (x *explorer) describe(h transition) string {
 	i := h.item
 	if i == nil {
 		return h.what + " at " + x.addresses[h.site] + h.also
@@ -37,30 +37,30 @@
 	return fmt.Sprintf("%s%s %s>%s%s", h.what, call, x.addresses[i.from], x.addresses[i.to], h.also)
 }
 
-// deliver carries a message one way. The power of its receiver may go in the middle, or it may come again later.
+// deliver carries a message one way. The power of its receiver may go in the middle, or it may be delivered a second time.
 func (x *explorer) deliver(w *whole, i *item, cut, double bool) (*whole, error) {
 	if i.stage == answered {
-		c := w.with(happening{what: "answer to ", item: i})
+		c := w.with(transition{what: "answer to ", item: i})
 		c.remove(i)
 		return c, x.move(c, x.answer(c, i, i.reply))
 	}
-	c := w.with(happening{what: "the ", item: i})
+	c := w.with(transition{what: "the ", item: i})
 	c.remove(i)
 	o := *i
 	if double {
 		c.left.doubles--
-		c.how.also = ", which will come again"
+		c.how.also = ", which will be delivered twice"
 		o.stage = orphaned
 		c.add(x.item(o))
 	}
-	l := x.tell(c.lanes[i.to], heard{"asked", 0, i.request.n, cut}, request{0, i.request.m})
+	l := x.advance(c.lanes[i.to], eventKey{"asked", 0, i.request.n, cut}, request{0, i.request.m})
 	if cut {
 		c.left.restarts--
 		c.how.also = ", whose power goes in the middle"
 		x.restarted(c, i.to)
 	}
 	if i.stage == requested {
-		o.stage, o.reply = answered, x.body(l.said.reply)
+		o.stage, o.reply = answered, x.body(l.output.reply)
 		c.add(x.item(o))
 	}
 	return c, x.move(c, l)
@@ -71,12 +71,12 @@
 	if b != nil {
 		n, m = b.n, b.m
 	}
-	return x.tell(w.lanes[i.from], heard{"answered", i.id, n, false}, answer{i.id, m})
+	return x.advance(w.lanes[i.from], eventKey{"answered", i.id, n, false}, answer{i.id, m})
 }
 
 // timeout ends a call; its request may still come.
 func (x *explorer) timeout(w *whole, i *item) (*whole, error) {
-	c := w.with(happening{what: "time-out of ", item: i})
+	c := w.with(transition{what: "time-out of ", item: i})
 	c.left.timeouts--
 	c.remove(i)
 	if i.stage == requested {
@@ -88,57 +88,57 @@
 }
 
 func (x *explorer) event(w *whole, site int, name string, e event) (*whole, error) {
-	c := w.with(happening{what: name, site: site})
-	return c, x.move(c, x.tell(c.lanes[site], heard{what: name}, e))
+	c := w.with(transition{what: name, site: site})
+	return c, x.move(c, x.advance(c.lanes[site], eventKey{what: name}, e))
 }
 
 func (x *explorer) restart(w *whole, site int) (*whole, error) {
-	c := w.with(happening{what: "restart", site: site})
+	c := w.with(transition{what: "restart", site: site})
 	c.left.restarts--
 	l := c.lanes[site]
-	if l.next[heard{what: "restart"}] == nil {
-		l.next[heard{what: "restart"}] = x.start(site, l.records, false, l.now, l.led)
+	if l.next[eventKey{what: "restart"}] == nil {
+		l.next[eventKey{what: "restart"}] = x.start(site, l.records, false, l.now, l.led)
 	}
 	x.restarted(c, site)
-	return c, x.move(c, l.next[heard{what: "restart"}])
+	return c, x.move(c, l.next[eventKey{what: "restart"}])
 }
 
 func (x *explorer) wipe(w *whole, site int) (*whole, error) {
-	c := w.with(happening{what: "loss of the disk", site: site})
+	c := w.with(transition{what: "loss of the disk", site: site})
 	c.left.wipes--
 	l := c.lanes[site]
-	if l.next[heard{what: "wipe"}] == nil {
-		l.next[heard{what: "wipe"}] = x.start(site, nil, false, l.now, l.led)
+	if l.next[eventKey{what: "wipe"}] == nil {
+		l.next[eventKey{what: "wipe"}] = x.start(site, nil, false, l.now, l.led)
 	}
 	x.restarted(c, site)
-	return c, x.move(c, l.next[heard{what: "wipe"}])
+	return c, x.move(c, l.next[eventKey{what: "wipe"}])
 }
 
 func (x *explorer) put(w *whole, site int) (*whole, error) {
-	n := most - int(w.left.writes)
-	w = w.with(happening{})
+	n := maxOperations - int(w.left.writes)
+	w = w.with(transition{})
 	w.left.writes--
-	c, err := x.event(w, site, [most]string{"write w0", "write w1"}[n], put{uint64(n), w.lanes[site].leadership,
+	c, err := x.event(w, site, [maxOperations]string{"write w0", "write w1"}[n], put{uint64(n), w.lanes[site].leadership,
 		map[string][]byte{writes[n]: []byte("x")}})
-	c.parent = w.parent // one happening, not two
+	c.parent = w.parent // one transition, not two
 	return c, err
 }
 
 func (x *explorer) confirm(w *whole, site int) (*whole, error) {
-	n := most - int(w.left.confirms)
-	w = w.with(happening{})
+	n := maxOperations - int(w.left.confirms)
+	w = w.with(transition{})
 	w.left.confirms--
 	for k, sequence := range w.acked {
 		if sequence > 0 {
 			w.began[n] |= 1 << k
 		}
 	}
-	c, err := x.event(w, site, [most]string{"confirm 0", "confirm 1"}[n], confirm{uint64(most + n), w.lanes[site].leadership})
-	c.parent = w.parent // one happening, not two
+	c, err := x.event(w, site, [maxOperations]string{"confirm 0", "confirm 1"}[n], confirm{uint64(maxOperations + n), w.lanes[site].leadership})
+	c.parent = w.parent // one transition, not two
 	return c, err
 }
 
-// successors are all states that one more happening leads to; the first that breaks a promise ends it.
+// successors are all states that one more transition leads to; the first that breaks a promise ends it.
 func (x *explorer) successors(w *whole, yield func(*whole, error) bool) {
 	for n, i := range w.net {
 		if n > 0 && i == w.net[n-1] {
@@ -206,7 +206,7 @@
 
 // explore goes breadth-first through at most limit states.
 func (x *explorer) explore(from *whole, limit int) (r result) {
-	from.parent, from.how = nil, happening{}
+	from.parent, from.how = nil, transition{}
 	seen := map[string]struct{}{from.key(): {}}
 	frontier := []*whole{from}
 	r.complete = true
--- a/internal/tier/consensus/explore_scenarios_test.go
+++ b/internal/tier/consensus/explore_scenarios_test.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// The smallest schedule that tells a machine that forgets its promise at a restart: c's promise goes to a, which restarts
-// and gives a lower one to b; c's question, which comes again, brings it back over what b was acknowledged.
+// The smallest schedule that finds a machine that forgets its promise at a restart: c's promise goes to a, which restarts
+// and gives a lower one to b; c's question, which is delivered twice, brings it back over what b was acknowledged.
 func TestForgottenPromise(t *testing.T) {
 	run := func(p plant) error {
 		x, w := fromGenesis(t, p)
--- a/internal/tier/consensus/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -40,45 +40,46 @@
 	m proto.Message
 }
 
-// lane is one machine's state: what it was told since its process started gives it again.
+// lane is one machine's state: replaying the events since its process started gives the same state.
 type lane struct {
 	n          int
 	site       int
 	disk       [][]byte // at the start
 	begun      time.Duration
-	told       []told
+	events     []timedEvent
 	folder     string
 	now        time.Duration
 	records    [][]byte // on disk now
 	leadership uint64   // epoch, 0 where it is not primary
 	led        uint64   // epoch of its newest leadership
 	shown      map[string]uint64
-	next       map[heard]*lane // by what it is told
-	said       *said           // with the last step
+	next       map[eventKey]*lane // by event
+	output     *output            // of the last step
 }
 
-// heard names an event.
-type heard struct {
+// eventKey names an event.
+type eventKey struct {
 	what string
 	id   uint64
 	body int
 	cut  bool
 }
 
-// happening is one step of a path.
-type happening struct {
+// transition is one step of a path.
+type transition struct {
 	what, also string
 	item       *item
 	site       int
 }
 
-type told struct {
+// timedEvent is an event with its time.
+type timedEvent struct {
 	now time.Duration
 	e   event
 }
 
-// said is what a step sends.
-type said struct {
+// output is what a step sends.
+type output struct {
 	early, calls []call
 	reply        proto.Message
 	outcomes     []outcome
@@ -115,9 +116,9 @@
 // budget is how often things may still happen.
 type budget struct{ takes, ticks, timeouts, doubles, restarts, wipes, writes, confirms int8 }
 
-const most = 2 // writes and confirms
+const maxOperations = 2 // writes and confirms
 
-var writes = [most]string{"w0", "w1"}
+var writes = [maxOperations]string{"w0", "w1"}
 
 // whole is a state of all.
 type whole struct {
@@ -125,11 +126,11 @@
 	lives   [4]int
 	net     []*item
 	left    budget
-	acked   [most]uint64 // sequences
-	refused [most]bool
-	began   [most]byte // of confirms: what was acknowledged when they began, one bit each
+	acked   [maxOperations]uint64 // sequences
+	refused [maxOperations]bool
+	began   [maxOperations]byte // of confirms: what was acknowledged when they began, one bit each
 	parent  *whole
-	how     happening
+	how     transition
 }
 
 // zeros is a source from which every span below four seconds is drawn as 0 (from 0 itself it would be drawn for ever).
@@ -190,8 +191,8 @@
 	return &subject{m: m, plant: x.plant, asked: make(map[uint64]proto.Message)}
 }
 
-// play tells a subject one thing, and gives what it did.
-func (x *explorer) play(s *subject, t told) *actions {
+// play gives a subject one event and returns what it did.
+func (x *explorer) play(s *subject, t timedEvent) *actions {
 	var out *actions
 	switch t.e.(type) {
 	case take:
@@ -248,7 +249,7 @@
 		disk = [][]byte{encodeIdentity(identity{Folder: folder, Genesis: genesis, Seeds: x.seeds})}
 	}
 	l := *x.lane(&lane{site: site, disk: disk, begun: now, now: now, records: disk, led: led}, x.boot(disk, site, now))
-	l.said = new(said)
+	l.output = new(output)
 	return &l
 }
 
@@ -267,20 +268,20 @@
 	if known := x.lanes[key]; known != nil {
 		return known
 	}
-	l.n, l.next = len(x.lanes)+1, make(map[heard]*lane)
+	l.n, l.next = len(x.lanes)+1, make(map[eventKey]*lane)
 	x.lanes[key] = l
 	return l
 }
 
-// tell gives the lane after one more event. Where the power goes in the middle, its calls that need not wait for the disk
+// advance gives the lane after one more event. Where the power goes in the middle, its calls that need not wait for the disk
 // have left, and nothing was synced.
-func (x *explorer) tell(l *lane, name heard, e event) *lane {
+func (x *explorer) advance(l *lane, name eventKey, e event) *lane {
 	cut := name.cut
 	if to := l.next[name]; to != nil {
 		return to
 	}
 	s := x.boot(l.disk, l.site, l.begun)
-	for _, t := range l.told {
+	for _, t := range l.events {
 		x.play(s, t)
 	}
 	now := l.now
@@ -290,8 +291,8 @@
 	case age:
 		now += s.m.timing.fresh
 	}
-	out := x.play(s, told{now, e})
-	after := &said{early: out.early, calls: out.calls, outcomes: out.outcomes}
+	out := x.play(s, timedEvent{now, e})
+	after := &output{early: out.early, calls: out.calls, outcomes: out.outcomes}
 	for _, r := range out.replies {
 		after.reply = r.body
 	}
@@ -300,12 +301,12 @@
 		after.calls, after.reply, after.outcomes = nil, nil, nil
 		to = x.start(l.site, l.records, false, now, l.led)
 	} else {
-		to = x.lane(&lane{site: l.site, disk: l.disk, begun: l.begun, told: append(slices.Clip(l.told), told{now, e}), now: now,
+		to = x.lane(&lane{site: l.site, disk: l.disk, begun: l.begun, events: append(slices.Clip(l.events), timedEvent{now, e}), now: now,
 			records: append(slices.Clip(l.records), out.records...), led: l.led}, s)
 	}
-	// The lane may be reached by several ways: what was said belongs to this one.
+	// The lane may be reached by several ways: the output belongs to this one.
 	reached := *to
-	reached.said = after
+	reached.output = after
 	l.next[name] = &reached
 	return &reached
 }
@@ -335,7 +336,7 @@
 	}
 	b.WriteByte('|')
 	state(&disk)
-	fmt.Fprint(&b, "|", l.site, l.led, m.nextID, m.highest, m.hint, m.heard, m.now-m.granted, "|")
+	fmt.Fprint(&b, "|", l.site, l.led, m.nextID, m.highest, m.hint, m.observed, m.now-m.granted, "|")
 	for _, a := range slices.Sorted(maps.Keys(m.peers)) {
 		p := m.peers[a]
 		fmt.Fprint(&b, a, p.member.GetFolder(), m.now-p.first, m.now-p.answered, p.trip, p.replied, p.met, p.asking, p.voter, ",")
@@ -392,7 +393,7 @@
 	}
 	l := w.left
 	b = append(b, byte(l.takes), byte(l.ticks), byte(l.timeouts), byte(l.doubles), byte(l.restarts), byte(l.wipes), byte(l.writes), byte(l.confirms))
-	for i := range most {
+	for i := range maxOperations {
 		b = binary.AppendUvarint(b, w.acked[i])
 		b = append(b, w.began[i])
 		if w.refused[i] {
@@ -405,7 +406,7 @@
 	return string(b)
 }
 
-func (w *whole) with(how happening) *whole {
+func (w *whole) with(how transition) *whole {
 	c := *w
 	c.net, c.parent, c.how = slices.Clone(w.net), w, how
 	return &c
@@ -430,11 +431,11 @@
 	}
 }
 
-// move puts a site into its next state, sends what it said and holds it against what was promised.
+// move puts a site into its next state, sends its output and holds it against what was promised.
 func (x *explorer) move(w *whole, l *lane) error {
 	before := w.lanes[l.site]
 	w.lanes[l.site] = l
-	for _, list := range [][]call{l.said.early, l.said.calls} {
+	for _, list := range [][]call{l.output.early, l.output.calls} {
 		for _, c := range list {
 			switch c.body.(type) {
 			case *tierv1.HeartbeatRequest, *tierv1.JoinRequest:
@@ -451,12 +452,12 @@
 			}
 		}
 	}
-	for _, o := range l.said.outcomes {
+	for _, o := range l.output.outcomes {
 		n := int(o.token)
 		switch {
-		case o.err == nil && n >= most: // a confirm
+		case o.err == nil && n >= maxOperations: // a confirm
 			for k, sequence := range w.acked {
-				if w.began[n-most]&(1<<k) != 0 && l.shown[writes[k]] != sequence {
+				if w.began[n-maxOperations]&(1<<k) != 0 && l.shown[writes[k]] != sequence {
 					return fmt.Errorf("%s confirmed without w%d", l.folder, k)
 				}
 			}
@@ -467,7 +468,7 @@
 					return fmt.Errorf("%s acknowledged w%d, which %s of a later epoch lacks", l.folder, n, other.folder)
 				}
 			}
-		case errors.Is(o.err, ErrNotPrimary) && n < most:
+		case errors.Is(o.err, ErrNotPrimary) && n < maxOperations:
 			w.refused[n] = true
 		}
 	}
@@ -482,7 +483,7 @@
 		}
 		for _, other := range w.lanes {
 			if other != nil && other.site != l.site && other.leadership == l.leadership {
-				return fmt.Errorf("%s and %s both leadership in epoch %d", l.folder, other.folder, l.leadership)
+				return fmt.Errorf("%s and %s both lead in epoch %d", l.folder, other.folder, l.leadership)
 			}
 		}
 	}
--- a/internal/tier/consensus/leadership.go
+++ b/internal/tier/consensus/leadership.go
@@ -53,7 +53,7 @@
 	for _, b := range p.target.Backups {
 		r.confirmed[b] = p.copied[b]
 	}
-	m.heard, m.hint = false, m.self.Address
+	m.observed, m.hint = false, m.self.Address
 	m.out.changed = true
 	m.out.news = append(m.out.news, "primary")
 	m.commit()
@@ -75,7 +75,7 @@
 	for _, w := range r.queue {
 		m.out.outcomes = append(m.out.outcomes, outcome{w.token, 0, ErrNotPrimary})
 	}
-	m.hint, m.heard = "", false
+	m.hint, m.observed = "", false
 	m.tryAt = m.now + m.timing.heartbeat + m.jitter(m.timing.heartbeat)
 	m.joinAt = m.now + m.jitter(m.timing.heartbeat)
 	m.out.changed = true
@@ -203,7 +203,7 @@
 		r.next = m.now + m.timing.heartbeat
 		for _, address := range m.addresses() {
 			member := slices.ContainsFunc(r.record.Members, func(v *tierv1.Member) bool { return v.Address == address })
-			if member || m.silent(address) < 5*m.timing.swap { // others join again when they are back
+			if member || m.silent(address) < 5*m.timing.swap { // others ask to join when they are back
 				m.sendHeartbeat(address)
 			}
 		}
@@ -333,15 +333,15 @@
 // spreadMembers puts a joiner in the place of a member that holds no copy, where that crowds the members less.
 func (m *machine) spreadMembers(joiners []*tierv1.Member) (want plan, ok bool) {
 	members := m.primary.record.Members
-	least := crowding(members)
+	lowest := crowding(members)
 	for _, v := range members {
 		if v.Folder == "" || named(m.primary.record, v.Folder) {
 			continue
 		}
 		rest := slices.DeleteFunc(slices.Clone(members), func(o *tierv1.Member) bool { return same(o, v) })
 		for _, j := range joiners {
-			if n := crowding(append(slices.Clip(rest), j)); n < least {
-				least, want, ok = n, plan{in: j, out: v}, true
+			if n := crowding(append(slices.Clip(rest), j)); n < lowest {
+				lowest, want, ok = n, plan{in: j, out: v}, true
 			}
 		}
 	}
--- a/internal/tier/consensus/machine.go
+++ b/internal/tier/consensus/machine.go
@@ -14,7 +14,7 @@
 type timing struct {
 	heartbeat time.Duration // between two heartbeats of a primary to one node
 	call      time.Duration // after which a call counts as failed
-	sticky    time.Duration // a primary heard this recently is not deposed
+	sticky    time.Duration // a primary observed this recently is not deposed
 	silence   time.Duration // of a primary, after which others try to take over
 	fresh     time.Duration // a confirmation this old still counts
 	swap      time.Duration // of a member, after which a joiner takes its place
@@ -86,14 +86,14 @@
 
 // peer is another control-plane process, known by its address.
 type peer struct {
-	member   *tierv1.Member // as it last told
+	member   *tierv1.Member // as it last described itself
 	first    time.Duration  // when its address was learnt
 	answered time.Duration  // when the call began that it answered last
 	trip     time.Duration  // how long that call took
 	replied  bool           // it has answered
 	met      bool           // it has called or answered
 	asking   bool           // a heartbeat is under way
-	voter    bool           // it told that it is a member of the record in force
+	voter    bool           // it says that it is a member of the record in force
 }
 
 // machine decides. It does no I/O: all of what it needs comes in by Step, all that it wants done goes out.
@@ -109,17 +109,17 @@
 	nextID  uint64
 	pending map[uint64]func(proto.Message)
 
-	peers    map[string]*peer
-	heardAt  time.Duration // from the primary of the newest chosen record
-	heard    bool
-	probeAt  time.Duration // when the primary is asked whether it is there, unless a heartbeat comes before
-	granted  time.Duration // when the newest promise was given
-	hint     string
-	tryAt    time.Duration
-	joinAt   time.Duration
-	highest  uint64 // epoch heard of
-	proposal *proposal
-	primary  *leadership // nil where this process is not primary
+	peers      map[string]*peer
+	observedAt time.Duration // from the primary of the newest chosen record
+	observed   bool
+	probeAt    time.Duration // when the primary is asked whether it is there, unless a heartbeat comes before
+	granted    time.Duration // when the newest promise was given
+	hint       string
+	tryAt      time.Duration
+	joinAt     time.Duration
+	highest    uint64 // highest epoch observed
+	proposal   *proposal
+	primary    *leadership // nil where this process is not primary
 }
 
 func newMachine(d durable, self *tierv1.Member, seeds []string, losses int, t timing, seed uint64) *machine {
@@ -333,12 +333,12 @@
 		m.candidate()
 	}
 	m.advanceAll()
-	if m.primary == nil && m.hearing() && m.now >= m.probeAt {
+	if m.primary == nil && m.leaderAlive() && m.now >= m.probeAt {
 		m.probe()
 	}
 	if m.primary == nil && m.now >= m.joinAt {
 		m.joinAt = m.now + m.timing.join + m.jitter(m.timing.heartbeat)
-		if !m.hearing() { // a primary that heartbeats knows this node
+		if !m.leaderAlive() { // a primary that heartbeats knows this node
 			m.askToJoin()
 		}
 	}
@@ -362,8 +362,8 @@
 	return nil
 }
 
-// hearing tells whether the primary was heard of late.
-func (m *machine) hearing() bool { return m.heard && m.now-m.heardAt < m.timing.silence }
+// leaderAlive reports whether a heartbeat of the primary came within timing.silence.
+func (m *machine) leaderAlive() bool { return m.observed && m.now-m.observedAt < m.timing.silence }
 
 // probe asks a primary whose heartbeat is late whether it is there. A call that fails at once, as one to a dead port does, ends
 // this node's patience with it; that is a guess that decides nothing: the others are asked as ever. One without any
@@ -372,10 +372,10 @@
 	m.probeAt = m.now + m.timing.heartbeat
 	began := m.now
 	m.call(m.hint, &tierv1.JoinRequest{From: m.self}, true, func(body proto.Message) {
-		if body != nil || m.now-began >= m.timing.call/2 || m.primary != nil || !m.heard || m.heardAt >= began {
+		if body != nil || m.now-began >= m.timing.call/2 || m.primary != nil || !m.observed || m.observedAt >= began {
 			return
 		}
-		m.heard = false
+		m.observed = false
 		wait := m.timing.heartbeat/8 + m.jitter(m.timing.heartbeat/8) // the others find out, too
 		if r := m.base(); r != nil && !named(r, m.Folder) {
 			wait += m.timing.silence / 2
@@ -394,7 +394,7 @@
 		}
 	} else {
 		at = m.joinAt
-		if m.hearing() {
+		if m.leaderAlive() {
 			at = min(at, m.probeAt)
 		}
 		if m.proposal == nil {
--- a/internal/tier/consensus/machine_test.go
+++ b/internal/tier/consensus/machine_test.go
@@ -31,7 +31,7 @@
 	}
 	s := w.sites[w.random.IntN(len(w.sites))]
 	o := w.sites[w.random.IntN(len(w.sites))]
-	again := func() {
+	restart := func() {
 		w.after(time.Duration(w.random.Int64N(int64(1500*time.Millisecond))), func() { s.start(false) })
 	}
 	switch w.random.IntN(9) {
@@ -46,15 +46,15 @@
 		clear(w.cuts)
 	case 5:
 		s.stop(false)
-		again()
+		restart()
 	case 6:
 		s.stop(true)
-		again()
+		restart()
 	case 7:
 		if wipes && w.mayWipe() {
 			s.wipe()
 			w.logf("wiped %s", s.member.Address)
-			again()
+			restart()
 		}
 	case 8:
 		if w.random.IntN(6) == 0 {
@@ -145,10 +145,10 @@
 		seeds = 20
 	}
 	for _, c := range []struct {
-		name  string
-		dark  bool
-		again time.Duration // until it is there again; 0: never
-		limit time.Duration
+		name     string
+		dark     bool
+		downtime time.Duration // until the process is back; 0: never
+		limit    time.Duration
 	}{
 		{"killed, starts again after 0.5 s", false, 500 * time.Millisecond, 800 * time.Millisecond},
 		{"killed, starts again after 0.1 s", false, 100 * time.Millisecond, 800 * time.Millisecond},
@@ -169,9 +169,9 @@
 				}
 				assert.Assert(t, old != nil, w.tail())
 				old.stop(c.dark)
-				old.dark, old.gone = c.dark, c.again == 0
-				if c.again > 0 {
-					w.after(c.again, func() { old.start(false) })
+				old.dark, old.gone = c.dark, c.downtime == 0
+				if c.downtime > 0 {
+					w.after(c.downtime, func() { old.start(false) })
 				}
 				began, n := w.now, len(w.acked)
 				for len(w.acked) == n && w.now < began+5*time.Second && len(w.faults) == 0 {
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -76,7 +76,7 @@
 // Open reads the folder, or makes it: then its identity is synced before it returns.
 func Open(config Config) (*Node, error) {
 	if config.Self == nil || config.Self.Address == "" || config.Dial == nil || config.FS == nil || config.ContactWindow <= 0 {
-		return nil, errorx.IllegalArgument.New("control: self, dial, file system and contact window are needed")
+		return nil, errorx.IllegalArgument.New("consensus: self, dial, file system and contact window are needed")
 	}
 	n := &Node{config: config, start: time.Now(), replies: make(map[uint64]chan proto.Message),
 		outcomes: make(map[uint64]chan outcome), changed: make(chan struct{}), wake: make(chan struct{}, 1),
@@ -84,7 +84,7 @@
 	var d durable
 	file, err := wal.Open(config.FS, config.Dir, fileName, d.replay)
 	if err != nil {
-		return nil, errorx.Decorate(err, "control: open")
+		return nil, errorx.Decorate(err, "consensus: open")
 	}
 	if d.Folder == "" {
 		var b [16]byte
@@ -96,7 +96,7 @@
 		}
 		if err != nil {
 			file.Close()
-			return nil, errorx.Decorate(err, "control: make the folder")
+			return nil, errorx.Decorate(err, "consensus: make the folder")
 		}
 	}
 	n.file, n.base = file, file.Size()
@@ -139,16 +139,16 @@
 	}
 	if len(out.records) > 0 {
 		if err := n.file.Append(out.records...); err != nil {
-			return errorx.Decorate(err, "control: append")
+			return errorx.Decorate(err, "consensus: append")
 		}
 		if out.sync {
 			if err := n.file.Sync(); err != nil {
-				return errorx.Decorate(err, "control: sync")
+				return errorx.Decorate(err, "consensus: sync")
 			}
 		}
 		if n.file.Size() > 4*n.base+256<<10 {
 			if err := n.rewrite(); err != nil {
-				return errorx.Decorate(err, "control: rewrite")
+				return errorx.Decorate(err, "consensus: rewrite")
 			}
 		}
 	}
@@ -227,7 +227,7 @@
 	return true
 }
 
-// stop ends the loop: whoever waits hears that the outcome is unknown.
+// stop ends the loop: pending callers are notified that the outcome is unknown.
 func (n *Node) stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -155,7 +155,7 @@
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	again := make(chan struct{}, 1)
+	changed := make(chan struct{}, 1)
 	for _, n := range c.nodes {
 		go func() {
 			for ctx.Err() == nil {
@@ -164,7 +164,7 @@
 				case <-ctx.Done():
 				}
 				select {
-				case again <- struct{}{}:
+				case changed <- struct{}{}:
 				default:
 				}
 			}
@@ -174,7 +174,7 @@
 	defer every.Stop()
 	for !ok() {
 		select {
-		case <-again:
+		case <-changed:
 		case <-every.C:
 		case <-ctx.Done():
 			c.t.Fatalf("waited in vain for %s", what)
--- a/internal/tier/consensus/planted_test.go
+++ b/internal/tier/consensus/planted_test.go
@@ -9,7 +9,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// plant makes a machine wrong from outside: by what it is told, by what it says, or by what it holds between two steps.
+// plant makes a machine wrong from outside: by the events it gets, by what it puts out, or by what it holds between two steps.
 // The zero plant leaves it right.
 type plant struct {
 	name   string
@@ -29,7 +29,7 @@
 
 func (s *subject) step(now time.Duration, events ...event) *actions {
 	s.promised, s.promisedTo = s.m.promised, s.m.promisedTo
-	var told []event
+	var passed []event
 	var ended []outcome
 	for _, e := range events {
 		if s.plant.before != nil {
@@ -39,10 +39,10 @@
 			}
 		}
 		if e != nil {
-			told = append(told, e)
+			passed = append(passed, e)
 		}
 	}
-	out := s.m.Step(now, told...)
+	out := s.m.Step(now, passed...)
 	if s.plant.after != nil {
 		s.plant.after(s, out)
 	}
--- a/internal/tier/consensus/proposal.go
+++ b/internal/tier/consensus/proposal.go
@@ -64,7 +64,7 @@
 func (m *machine) candidate() {
 	m.tryAt = m.now + m.patience()
 	base := m.base()
-	if base == nil || m.hearing() || !slices.ContainsFunc(configurations(base), m.isVoter) {
+	if base == nil || m.leaderAlive() || !slices.ContainsFunc(configurations(base), m.isVoter) {
 		return
 	}
 	m.begin(&proposal{phase: asking})
@@ -73,7 +73,7 @@
 // propose begins a record of its own epoch.
 func (m *machine) propose(want plan) {
 	epoch := nextEpoch(max(m.highest, m.promised), m.Folder)
-	m.pledge(epoch, m.Folder)
+	m.grantPromise(epoch, m.Folder)
 	m.begin(&proposal{plan: want, phase: promising, epoch: epoch})
 }
 
@@ -374,7 +374,7 @@
 	m.tryAt = m.now + m.patience()
 }
 
-// fail ends a proposal that cannot be chosen. A primary tries again while its last confirmation counts.
+// fail ends a proposal that cannot be chosen. A primary retries while its last confirmation counts.
 func (m *machine) fail(why string) {
 	p := m.proposal
 	m.proposal = nil
--- a/internal/tier/consensus/quorum.go
+++ b/internal/tier/consensus/quorum.go
@@ -10,7 +10,7 @@
 // epochBits are the low bits of an epoch that come from the proposer's folder, so that no two propose the same one.
 const epochBits = 12
 
-// nextEpoch is the least epoch of a folder above highest.
+// nextEpoch is the lowest epoch of a folder above highest.
 func nextEpoch(highest uint64, folder string) uint64 {
 	h := fnv.New32a()
 	h.Write([]byte(folder))
--- a/internal/tier/consensus/register.go
+++ b/internal/tier/consensus/register.go
@@ -21,18 +21,18 @@
 		a.Promised = false
 	}
 	if a.Promised && q.Epoch > 0 {
-		m.pledge(q.Epoch, q.From.Folder)
+		m.grantPromise(q.Epoch, q.From.Folder)
 	}
 	a.Highest, a.Accepted, a.Chosen = m.promised, m.accepted, m.chosen
 	return a
 }
 
-// sticky tells whether the primary was heard so recently that no other is to pass it over.
+// sticky reports whether the primary was observed so recently that no other may depose it.
 func (m *machine) sticky(folder string) bool {
 	if m.primary != nil {
 		return folder != m.Folder && m.confirmedWithin(m.timing.fresh)
 	}
-	return m.heard && m.now-m.heardAt < m.timing.sticky && (m.chosen == nil || folder != m.chosen.Primary)
+	return m.observed && m.now-m.observedAt < m.timing.sticky && (m.chosen == nil || folder != m.chosen.Primary)
 }
 
 // busy tells whether another has had this folder's promise so recently that its record may be under way. That keeps a
@@ -41,8 +41,8 @@
 	return m.granted > 0 && m.promised > epochOf(m.chosen) && m.promisedTo != folder && m.now-m.granted < m.timing.call/2
 }
 
-// promise is a promise, to another or to itself.
-func (m *machine) pledge(epoch uint64, to string) {
+// grantPromise records a promise, to another folder or to this one.
+func (m *machine) grantPromise(epoch uint64, to string) {
 	m.promised, m.promisedTo, m.granted = epoch, to, m.now
 	m.highest = max(m.highest, epoch)
 	m.store(encodePromise(epoch, to), true)
@@ -84,7 +84,7 @@
 	m.store(encodeMessage(kindAccepted, r), true)
 }
 
-// heartbeat hears a primary.
+// heartbeat takes notice of a primary.
 func (m *machine) heartbeat(q *tierv1.HeartbeatRequest) *tierv1.HeartbeatReply {
 	m.met(q.From)
 	m.learn(q.Record)
@@ -92,7 +92,7 @@
 	if r != nil && q.Record != nil && q.From != nil && q.Record.Epoch == r.Epoch && q.From.Folder == r.Primary && m.primary == nil {
 		// One who is about to take over has this folder's promise: the heartbeats of the primary before it count no more.
 		if m.promised <= r.Epoch || m.promisedTo == q.From.Folder || m.now-m.granted > m.timing.silence {
-			m.heardAt, m.heard = m.now, true
+			m.observedAt, m.observed = m.now, true
 			m.probeAt = m.now + m.timing.heartbeat*3/2
 			if m.hint != q.From.Address {
 				m.hint, m.out.changed = q.From.Address, true
@@ -135,7 +135,7 @@
 	return a
 }
 
-// join hears of a node that is no member, or that hears no primary.
+// join takes notice of a node that is no member, or that observes no primary.
 func (m *machine) join(q *tierv1.JoinRequest) *tierv1.JoinReply {
 	if q.From != nil && q.From.Folder != "" {
 		if p := m.met(q.From); p != nil {
--- a/internal/tier/consensus/store.go
+++ b/internal/tier/consensus/store.go
@@ -1,4 +1,4 @@
-// Package control keeps the control state of the tier: a small set of keys that the primary of a view writes and syncs
+// Package consensus keeps the control state of the tier: a small set of keys that the primary of a view writes and syncs
 // here and at all backups of the view before it answers. Members decide on views (register.go); they keep only epochs
 // and records. There is no log that a majority replicates.
 package consensus
@@ -36,7 +36,7 @@
 
 var (
 	// ErrNotPrimary says that the epoch is over and that nothing was written.
-	ErrNotPrimary = errors.New("control: not the primary of this epoch")
+	ErrNotPrimary = errors.New("consensus: not the primary of this epoch")
 	// ErrUnknown says that the write may or may not stand.
-	ErrUnknown = errors.New("control: the outcome is unknown")
+	ErrUnknown = errors.New("consensus: the outcome is unknown")
 )
--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -350,7 +350,7 @@
 	} else if w.random.Float64() < w.trouble {
 		kind = mutation(1 + w.random.IntN(int(replyLost)))
 	}
-	again := func(x *site) { w.after(700*time.Millisecond, func() { x.start(false) }) }
+	restart := func(x *site) { w.after(700*time.Millisecond, func() { x.start(false) }) }
 	if to == nil || kind == lost || w.cuts[[2]string{s.member.Address, c.address}] {
 		return
 	}
@@ -372,14 +372,14 @@
 		switch kind {
 		case receiverKilled:
 			to.stop(false)
-			again(to)
+			restart(to)
 		case receiverUnpowered:
 			to.stop(true)
-			again(to)
+			restart(to)
 		case receiverWiped:
 			if w.mayWipe() {
 				to.wipe()
-				again(to)
+				restart(to)
 			}
 		}
 	}
@@ -399,14 +399,14 @@
 		w.after(d+time.Duration(w.random.Int64N(int64(time.Second))), deliver)
 	case senderKilled:
 		s.stop(false)
-		again(s)
+		restart(s)
 	case senderUnpowered:
 		s.stop(true)
-		again(s)
+		restart(s)
 	case senderWiped:
 		if w.mayWipe() {
 			s.wipe()
-			again(s)
+			restart(s)
 		}
 	}
 }
