--- a/internal/tier/wal/memory.go
+++ b/internal/tier/wal/memory.go
@@ -26,6 +26,8 @@
 	ops    int
 	failAt int
 	failBy error
+	sticks bool          // failures go on until Recover
+	stall  chan struct{} // syncs wait until it is closed; nil: they don't
 	dieAt  int
 	dead   bool
 }
@@ -66,7 +68,38 @@
 func (m *Memory) FailAt(n int, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failAt, m.failBy = m.ops+n, err
+	m.failAt, m.failBy, m.sticks = m.ops+n, err, false
+}
+
+// FailFrom is like FailAt, but from there on, until Recover, all operations fail that create, rename or write, and syncs
+// that have something written to carry, as on a full disk; opening, reading, listing, removing and truncating go on.
+func (m *Memory) FailFrom(n int, err error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.failAt, m.failBy, m.sticks = m.ops+n, err, true
+}
+
+// Recover ends what FailAt and FailFrom began.
+func (m *Memory) Recover() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.failAt, m.failBy, m.sticks = 0, nil, false
+}
+
+// StallSync makes each sync of a file hang until release is called.
+func (m *Memory) StallSync() (release func()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	stall := make(chan struct{})
+	m.stall = stall
+	return sync.OnceFunc(func() {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		if m.stall == stall {
+			m.stall = nil
+		}
+		close(stall)
+	})
 }
 
 // DieAt makes the n-th operation from now, and all that follow, fail with ErrDead without any effect, but for a write, of which half is done.
@@ -129,7 +162,7 @@
 // restart begins another life of the process. The lock is held.
 func (m *Memory) restart() {
 	m.life++
-	m.dead, m.dieAt, m.failAt, m.failBy = false, 0, 0, nil
+	m.dead, m.dieAt, m.failAt, m.failBy, m.sticks = false, 0, 0, nil, false
 }
 
 // settle makes one change of names last.
@@ -161,6 +194,11 @@
 	n.live, n.disk, n.pending = slices.Clone(data), slices.Clone(data), nil
 }
 
+// dirty tells whether bytes that were written and are still part of the file wait for a sync.
+func (n *inode) dirty() bool {
+	return slices.ContainsFunc(n.pending, func(c change) bool { return !c.cut && c.at < int64(len(n.live)) })
+}
+
 // tear gives what a torn change leaves: a beginning, or a beginning and an end.
 func (c change) tear(rng *rand.Rand) []change {
 	if c.cut || len(c.data) == 0 {
@@ -205,6 +243,17 @@
 	return nil
 }
 
+// stepChange is step for an operation that needs room or a disk that takes writes. The lock is held.
+func (m *Memory) stepChange() error {
+	if err := m.step(); err != nil {
+		return err
+	}
+	if m.sticks && m.ops > m.failAt {
+		return m.failBy
+	}
+	return nil
+}
+
 func missing(op, name string) error {
 	return &fs.PathError{Op: op, Path: name, Err: fs.ErrNotExist}
 }
@@ -227,7 +276,7 @@
 func (m *Memory) Create(name string) (Handle, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.step(); err != nil {
+	if err := m.stepChange(); err != nil {
 		return nil, err
 	}
 	if !m.dirs[filepath.Dir(name)] {
@@ -248,7 +297,7 @@
 func (m *Memory) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.step(); err != nil {
+	if err := m.stepChange(); err != nil {
 		return err
 	}
 	node := m.live[from]
@@ -319,7 +368,7 @@
 func (m *Memory) MkdirAll(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.step(); err != nil {
+	if err := m.stepChange(); err != nil {
 		return err
 	}
 	for dir = filepath.Clean(dir); !m.dirs[dir]; dir = filepath.Dir(dir) {
@@ -334,6 +383,16 @@
 	n.live = c.apply(n.live)
 }
 
+// waitStall returns once syncs are not, or no longer, stalled.
+func (m *Memory) waitStall() {
+	m.mu.Lock()
+	stall := m.stall
+	m.mu.Unlock()
+	if stall != nil {
+		<-stall
+	}
+}
+
 // memoryFile is one open file of a Memory.
 type memoryFile struct {
 	m      *Memory
@@ -343,20 +402,20 @@
 }
 
 // step counts one operation on the file. The lock is held.
-func (f *memoryFile) step() error {
+func (f *memoryFile) step(next func() error) error {
 	switch {
 	case f.life != f.m.life:
 		return ErrDead
 	case f.closed:
 		return fs.ErrClosed
 	}
-	return f.m.step()
+	return next()
 }
 
 func (f *memoryFile) ReadAt(p []byte, off int64) (int, error) {
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
-	if err := f.step(); err != nil {
+	if err := f.step(f.m.step); err != nil {
 		return 0, err
 	}
 	if off >= int64(len(f.node.live)) {
@@ -373,7 +432,7 @@
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
 	was := f.m.dead
-	err := f.step()
+	err := f.step(f.m.stepChange)
 	n := len(p)
 	if err != nil {
 		n /= 2
@@ -388,7 +447,7 @@
 func (f *memoryFile) Truncate(size int64) error {
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
-	if err := f.step(); err != nil {
+	if err := f.step(f.m.step); err != nil {
 		return err
 	}
 	f.node.change(change{at: size, cut: true})
@@ -396,9 +455,14 @@
 }
 
 func (f *memoryFile) Sync() error {
+	f.m.waitStall()
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
-	if err := f.step(); err != nil {
+	next := f.m.step
+	if f.node.dirty() {
+		next = f.m.stepChange
+	}
+	if err := f.step(next); err != nil {
 		if !f.m.dead && f.life == f.m.life && !f.closed {
 			f.node.pending = nil // pages are marked clean though they never reached the disk
 		}
--- a/internal/tier/wal/rewrite.go
+++ b/internal/tier/wal/rewrite.go
@@ -24,14 +24,16 @@
 	}
 	if err := f.fs.Rename(temp, f.path); err != nil {
 		_ = next.Close()
+		f.durable = 0
 		return f.fail(err, "rename")
 	}
 	if err := f.fs.SyncDir(f.dir); err != nil {
 		_ = next.Close()
+		f.durable = 0
 		return f.fail(err, "sync folder of")
 	}
 	_ = f.handle.Close()
-	f.handle, f.size, f.broken = next, size, nil
+	f.handle, f.size, f.durable, f.broken = next, size, size, nil
 	return nil
 }
 
--- a/internal/tier/wal/wal.go
+++ b/internal/tier/wal/wal.go
@@ -26,7 +26,7 @@
 
 var (
 	space = errorx.NewNamespace("wal")
-	// Broken is the type of errors of a file that refuses all but Rewrite and Close, after a write or sync that failed.
+	// Broken is the type of errors of a file that refuses all but Reopen, Rewrite and Close, after a write or sync that failed.
 	Broken = space.NewType("broken")
 	// Foreign is the type of errors of a file that has another magic or version.
 	Foreign = space.NewType("foreign")
@@ -43,12 +43,16 @@
 	fs        FS
 	dir, path string
 
-	mu     sync.Mutex
-	handle Handle
-	size   int64 // bytes, header included
-	broken error
-	closed bool
-	buffer []byte
+	syncing sync.Mutex // one sync at a time: the system tells a failure to one caller only. Taken before mu.
+
+	mu      sync.Mutex
+	handle  Handle
+	size    int64 // bytes, header included
+	durable int64 // bytes at the beginning that a sync has covered; 0 where that is unknown
+	reopens int   // how often Reopen took another handle
+	broken  error
+	closed  bool
+	buffer  []byte
 }
 
 // Open opens the write-ahead log called name in dir, which is made if missing, and hands each record, in order, to replay (which may keep it).
@@ -69,15 +73,16 @@
 	if err != nil {
 		return nil, IO.Wrap(err, "open %s", f.path)
 	}
-	if err := f.load(replay); err != nil {
+	if err := f.load(replay, -1); err != nil {
 		_ = f.handle.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// load replays the records, cuts the tail and makes sure that all that was read lasts.
-func (f *File) load(replay func([]byte) error) error {
+// load replays the records, cuts the tail and makes sure that all that was read is durable: what stands at durable or
+// behind it is written again. Where durable is negative the file is of another process, and retouchTail counts.
+func (f *File) load(replay func([]byte) error, durable int64) error {
 	total, err := f.handle.Size()
 	if err != nil {
 		return IO.Wrap(err, "size of %s", f.path)
@@ -99,8 +104,14 @@
 		if f.size, err = scan(f.handle, total, replay); err != nil {
 			return err
 		}
+		if durable < 0 {
+			durable = f.size - retouchTail
+		}
+		if err := f.retouch(max(0, min(durable, f.size))); err != nil {
+			return err
+		}
 		if f.size < total {
-			log.Warn().Str("event", "wal_tail_cut").Str("file", f.path).Int64("kept", f.size).Int64("cut", total-f.size).Msg("")
+			log.Warn().Str("event", "wal_tail_cut").Str("file", f.path).Int64("kept", f.size).Int64("cut", total-f.size).Msg("torn tail of a file cut off")
 			if err := f.handle.Truncate(f.size); err != nil {
 				return IO.Wrap(err, "cut %s", f.path)
 			}
@@ -113,6 +124,7 @@
 	if err := f.fs.SyncDir(f.dir); err != nil {
 		return IO.Wrap(err, "sync folder %s", f.dir)
 	}
+	f.durable = f.size
 	return nil
 }
 
@@ -133,7 +145,7 @@
 	return f.broken
 }
 
-// fail makes the file refuse everything until it has been rewritten. The lock is held.
+// fail makes the file refuse everything until it has been reopened or rewritten. The lock is held.
 func (f *File) fail(err error, what string) error {
 	if f.broken == nil {
 		f.broken = Broken.Wrap(err, "%s %s", what, f.path)
@@ -169,28 +181,46 @@
 	return nil
 }
 
-// Sync makes all records last whose Append returned before the call.
+// Sync makes all records durable whose Append returned before the call. Calls at the same time share a sync of the disk.
+// After an error (type Broken) the fate of the records since the last nil Sync is unknown.
 func (f *File) Sync() error {
+	target, err := f.syncTarget()
+	if err != nil {
+		return err
+	}
+	f.syncing.Lock()
+	defer f.syncing.Unlock()
 	f.mu.Lock()
-	if err := f.usable(); err != nil {
+	if err := f.usable(); err != nil || f.durable >= target {
 		f.mu.Unlock()
 		return err
 	}
-	handle := f.handle
+	handle, size, reopens := f.handle, f.size, f.reopens
 	f.mu.Unlock()
-	err := handle.Sync()
-	if err == nil {
-		return nil
-	}
+	err = handle.Sync()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.closed {
+	switch {
+	case f.closed:
 		return Misuse.New("%s was closed during a sync", f.path)
+	case f.handle != handle && err != nil:
+		return IO.Wrap(err, "sync %s, replaced meanwhile", f.path) // the new file is sound
+	case f.reopens != reopens:
+		return IO.New("sync %s, reopened meanwhile", f.path)
+	case f.handle != handle:
+		return nil
+	case err != nil:
+		return f.fail(err, "sync")
 	}
-	if f.handle != handle {
-		return IO.Wrap(err, "sync %s, rewritten meanwhile", f.path) // the new file is sound
-	}
-	return f.fail(err, "sync")
+	f.durable = max(f.durable, size)
+	return nil
+}
+
+// syncTarget gives the size up to which a sync that begins now must reach.
+func (f *File) syncTarget() (int64, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.size, f.usable()
 }
 
 // Size gives the bytes of the file.
