--- a/internal/tier/controlplane/operators_test.go
+++ b/internal/tier/controlplane/operators_test.go
@@ -62,9 +62,9 @@
 
 func TestABodyWhoseConnectionEndsIsNotTaken(t *testing.T) {
 	s := newStore()
-	k := New(Config{Settings: site(), Store: s})
-	assert.NilError(t, k.settle(t.Context(), s.epoch))
-	server := httptest.NewServer(k.Operators())
+	plane := New(Config{Settings: site(), Store: s})
+	assert.NilError(t, plane.settle(t.Context(), s.epoch))
+	server := httptest.NewServer(plane.Operators())
 	defer server.Close()
 	body := configuration(4, "s")
 	c, err := net.Dial("tcp", server.Listener.Addr().String())
--- a/internal/tier/controlplane/platform.go
+++ b/internal/tier/controlplane/platform.go
@@ -93,8 +93,8 @@
 		k.view = &next
 		return
 	}
-	k.replace(func(v *view) {
-		v.endpoints = &tierv1.Endpoints{Version: version(epoch, &k.gateway.endpoints), List: list}
+	k.replaceView(func(v *view) {
+		v.endpoints = &tierv1.Endpoints{Version: version(epoch, &k.versions.endpoints), List: list}
 	})
 }
 
--- a/internal/tier/controlplane/tend.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -2,60 +2,61 @@
 
 import (
 	"context"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"fmt"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// tender is what the loop that tends the turn store map remembers within an epoch.
-type tender struct {
+// reconciler is the state of the loop that reconciles the turn store map, within one epoch.
+type reconciler struct {
 	last  string // what the map was made from
 	done  bool   // and nothing was to be changed
 	wrote time.Time
 }
 
-// tend brings the turn store map in line with the turn stores that are alive, and tells whether that went well.
-func (k *ControlPlane) tend(ctx context.Context, epoch uint64, t *tender) bool {
+// reconcile brings the turn store map in line with the turn stores that are alive, and tells whether that went well.
+func (plane *ControlPlane) reconcile(ctx context.Context, epoch uint64, t *reconciler) bool {
 	now := time.Now()
-	v, ready := k.primary()
+	v, ready := plane.primary()
 	if !ready || v.epoch != epoch {
 		return true
 	}
-	k.mu.Lock()
-	alive, leaving, reports := k.sessions.storeNodes(now)
-	arrived := k.sessions.arrived
-	k.mu.Unlock()
-	in := Input{Spread: k.spread, Alive: alive, Leaving: leaving, Reports: reports}
-	in.Certain = now.Sub(v.since) >= k.window(gracePart)
-	in.Create = now.Sub(arrived) >= k.window(settlePart)
-	in.Move = now.Sub(t.wrote) >= k.window(tickPart)
-	seen := strconv.FormatUint(v.turnStores.GetVersion(), 10) + ";" + in.signature()
+	plane.mu.Lock()
+	alive, leaving, reports := plane.sessions.storeNodes(now)
+	arrived := plane.sessions.arrived
+	plane.mu.Unlock()
+	in := Input{Spread: plane.spread, Alive: alive, Leaving: leaving, Reports: reports}
+	in.Certain = now.Sub(v.since) >= plane.window(gracePart)
+	in.Create = now.Sub(arrived) >= plane.window(settlePart)
+	in.Move = now.Sub(t.wrote) >= plane.window(tickPart)
+	seen := strconv.FormatUint(v.partitionMap.GetVersion(), 10) + ";" + in.signature()
 	if t.done && t.last == seen {
 		return true
 	}
-	if _, changed := Assign(v.turnStores, in); !changed {
+	if _, changed := Assign(v.partitionMap, in); !changed {
 		t.last, t.done = seen, in.Move
 		return true
 	}
 	t.done = false
-	ctx, cancel := context.WithTimeout(ctx, k.window(writePart))
+	ctx, cancel := context.WithTimeout(ctx, plane.window(writePart))
 	defer cancel()
-	if k.lock(ctx) != nil {
+	if plane.lockWriter(ctx) != nil {
 		return false
 	}
-	defer k.unlock()
-	v, ready = k.primary() // an order to retire may have come meanwhile
+	defer plane.unlockWriter()
+	v, ready = plane.primary() // an order to retire may have come meanwhile
 	if !ready || v.epoch != epoch {
 		return true
 	}
-	if next, changed := Assign(v.turnStores, in); changed {
+	if next, changed := Assign(v.partitionMap, in); changed {
 		t.wrote = now
-		err := k.putPartitionMap(ctx, epoch, next)
+		err := plane.putPartitionMap(ctx, epoch, next)
 		if err == nil {
-			k.Log.Info().Str("event", "turnstores").Int("keepers", len(next.StoreNodes)).Int("alive", len(alive)).Int("moved", moved(v.turnStores, next)).
+			plane.Log.Info().Str("event", "turnstores").Int("store_nodes", len(next.StoreNodes)).Int("alive", len(alive)).Int("moved", moved(v.partitionMap, next)).
 				Int("unsynced", unsynced(next)).Msg("")
 		}
 		return err == nil
--- a/internal/tier/controlplane/registry.go
+++ b/internal/tier/controlplane/registry.go
@@ -14,7 +14,7 @@
 
 type place struct{ node, role string }
 
-// registry knows the sessions of processes. It is guarded by the Control plane's lock.
+// registry knows the sessions of processes. It is guarded by the control plane's lock.
 type registry struct {
 	lapse   time.Duration
 	of      map[place]*session
@@ -26,14 +26,14 @@
 // session is one process's, from its first held call on.
 type session struct {
 	place
-	life                           string
-	storeNode                      *tierv1.StoreNode // of a turn store
-	address                        string
-	routing, endpoints, turnStores uint64 // acknowledged
-	held                           int    // calls
-	seen, ended                    time.Time
-	broken, leaving                bool
-	synced                         []*tierv1.SyncedCopy // reported last
+	life                                   string
+	storeNode                              *tierv1.StoreNode // of a turn store
+	address                                string
+	configuration, endpoints, partitionMap uint64 // acknowledged
+	held                                   int    // calls
+	seen, ended                            time.Time
+	broken, leaving                        bool
+	synced                                 []*tierv1.SyncedCopy // reported last
 }
 
 func newRegistry(lapse time.Duration) registry {
@@ -69,12 +69,12 @@
 		}
 		s.synced = req.Synced
 	}
-	if s.routing != req.Configuration && r.acked != nil {
+	if s.configuration != req.Configuration && r.acked != nil {
 		close(r.acked)
 		r.acked = nil
 	}
 	s.address, s.leaving = req.Address, req.Leaving
-	s.routing, s.endpoints, s.turnStores = req.Configuration, req.Endpoints, req.PartitionMap
+	s.configuration, s.endpoints, s.partitionMap = req.Configuration, req.Endpoints, req.PartitionMap
 	s.held++
 	s.seen = now
 	return s, fresh
@@ -107,7 +107,7 @@
 	return s.held > 0 || now.Sub(s.ended) < r.lapse
 }
 
-// store nodes gives the turn stores that are alive, those of them that are leaving, and the copies that they reported whole.
+// storeNodes gives the turn stores that are alive, those of them that are leaving, and the copies that they reported whole.
 func (r *registry) storeNodes(now time.Time) (alive map[string]*tierv1.StoreNode, leaving map[string]bool, reports []Report) {
 	alive, leaving = map[string]*tierv1.StoreNode{}, map[string]bool{}
 	for at, s := range r.of {
@@ -129,11 +129,11 @@
 	return alive, leaving, reports
 }
 
-// lacking counts the gateways that stand and have not acknowledged a version of the configuration.
-func (r *registry) lacking(now time.Time, version uint64) int {
+// behind counts the gateways that stand and have not acknowledged a version of the configuration.
+func (r *registry) behind(now time.Time, version uint64) int {
 	n := 0
 	for at, s := range r.of {
-		if at.role == roleGateway && s.routing < version && r.stands(now, s) {
+		if at.role == roleGateway && s.configuration < version && r.stands(now, s) {
 			n++
 		}
 	}
--- a/internal/tier/controlplane/retire.go
+++ b/internal/tier/controlplane/retire.go
@@ -12,71 +12,71 @@
 )
 
 // createRetire takes the order to empty a storage machine.
-func (k *ControlPlane) createRetire(w http.ResponseWriter, r *http.Request, node string) {
-	body, ok := whole(w, r, orderBytes)
+func (plane *ControlPlane) createRetire(w http.ResponseWriter, r *http.Request, node string) {
+	body, ok := readBody(w, r, orderBytes)
 	if !ok {
 		return
 	}
-	if _, ok := k.primary(); !ok {
-		k.pass(w, r)
+	if _, ok := plane.primary(); !ok {
+		plane.redirect(w, r)
 		return
 	}
 	var order struct {
 		Duration float64 `json:"duration_s"`
 	}
 	if len(body) > 0 && json.Unmarshal(body, &order) != nil {
-		refuse(w, http.StatusBadRequest, "the body is no JSON object with duration_s")
+		writeError(w, http.StatusBadRequest, "the body is no JSON object with duration_s")
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), writeLimit)
 	defer cancel()
-	if err := k.lock(ctx); err != nil {
-		later(w, "another write is under way")
+	if err := plane.lockWriter(ctx); err != nil {
+		unavailable(w, "another write is under way")
 		return
 	}
-	defer k.unlock()
-	v, ok := k.primary()
+	defer plane.unlockWriter()
+	v, ok := plane.primary()
 	if !ok {
-		k.pass(w, r)
+		plane.redirect(w, r)
 		return
 	}
-	if slices.Contains(v.turnStores.GetRetiring(), node) {
-		if err := k.confirm.wait(ctx, v.epoch); err != nil {
-			later(w, "the backups do not confirm it")
+	if slices.Contains(v.partitionMap.GetRetiring(), node) {
+		if err := plane.confirm.wait(ctx, v.epoch); err != nil {
+			unavailable(w, "the backups do not confirm it")
 			return
 		}
-		answer(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(v.turnStores, node, k.spread.Losses)})
+		writeJSON(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(v.partitionMap, node, plane.spread.Losses)})
 		return
 	}
-	known, remain := k.remaining(v.turnStores, node)
-	if !known || remain < k.spread.Losses+1 {
-		if time.Since(v.since) < k.window(gracePart) || known && mapped(v.turnStores, node) > k.spread.Losses { // not all that are there have come yet: a final answer would end the order
-			later(w, "the storage machines are not all heard yet")
+	known, remain := plane.remaining(v.partitionMap, node)
+	if !known || remain < plane.spread.Losses+1 {
+		if time.Since(v.since) < plane.window(gracePart) || known && mapped(v.partitionMap, node) > plane.spread.Losses { // not all that are there have come yet: a final answer would end the order
+			unavailable(w, "the storage machines are not all heard yet")
 			return
 		}
-		if err := k.confirm.wait(ctx, v.epoch); err != nil {
-			later(w, "the backups do not confirm it")
+		if err := plane.confirm.wait(ctx, v.epoch); err != nil {
+			unavailable(w, "the backups do not confirm it")
 			return
 		}
 		if !known {
-			refuse(w, http.StatusNotFound, "no storage machine of that name is known")
+			writeError(w, http.StatusNotFound, "no storage machine of that name is known")
 		} else {
-			refuse(w, http.StatusConflict, "too few storage machines would remain")
+			writeError(w, http.StatusConflict, "too few storage machines would remain")
 		}
 		return
 	}
 	next := &tierv1.PartitionMap{}
-	if v.turnStores != nil {
-		next = proto.Clone(v.turnStores).(*tierv1.PartitionMap)
+	if v.partitionMap != nil {
+		next = proto.Clone(v.partitionMap).(*tierv1.PartitionMap)
 	}
 	next.Retiring = append(next.Retiring, node)
-	if err := k.putPartitionMap(ctx, v.epoch, next); err != nil {
-		later(w, "the outcome is unknown")
+	if err := plane.putPartitionMap(ctx, v.epoch, next); err != nil {
+		unavailable(w, "the outcome is unknown")
 		return
 	}
-	wake(k.kick)
-	k.Log.Info().Str("event", "retire").Str("node", node).Float64("duration_s", order.Duration).Msg("")
-	answer(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(next, node, k.spread.Losses)})
+	wake(plane.reconcileNow)
+	plane.Log.Info().Str("event", "retire").Str("node", node).Float64("duration_s", order.Duration).Msg("")
+	writeJSON(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(next, node, plane.spread.Losses)})
 }
 
 // mapped is how many machines besides a node the map keeps data on, and is not asked to take it off: some may be down for now.
@@ -91,13 +91,13 @@
 }
 
 // remaining tells whether a node is known to keep data, and how many turn stores would be left without it.
-func (k *ControlPlane) remaining(m *tierv1.PartitionMap, node string) (known bool, remain int) {
-	k.mu.Lock()
-	alive, leaving, _ := k.sessions.storeNodes(time.Now())
-	for at := range k.sessions.of {
+func (plane *ControlPlane) remaining(m *tierv1.PartitionMap, node string) (known bool, remain int) {
+	plane.mu.Lock()
+	alive, leaving, _ := plane.sessions.storeNodes(time.Now())
+	for at := range plane.sessions.of {
 		known = known || at.role == roleTurnStore && at.node == node
 	}
-	k.mu.Unlock()
+	plane.mu.Unlock()
 	for _, one := range m.GetStoreNodes() {
 		known = known || one.Node == node
 	}
@@ -109,21 +109,21 @@
 	return known, remain
 }
 
-func (k *ControlPlane) describeRetire(w http.ResponseWriter, r *http.Request, node string) {
-	drain(r)
-	v, ok := k.confirmed(w, r)
+func (plane *ControlPlane) describeRetire(w http.ResponseWriter, r *http.Request, node string) {
+	discardBody(r)
+	v, ok := plane.confirmed(w, r)
 	if !ok {
 		return
 	}
-	if !slices.Contains(v.turnStores.GetRetiring(), node) {
-		refuse(w, http.StatusNotFound, "that machine is not asked to be emptied")
+	if !slices.Contains(v.partitionMap.GetRetiring(), node) {
+		writeError(w, http.StatusNotFound, "that machine is not asked to be emptied")
 		return
 	}
-	answer(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(v.turnStores, node, k.spread.Losses)})
+	writeJSON(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(v.partitionMap, node, plane.spread.Losses)})
 }
 
 // lifecycle tells whether a node that is to be emptied may be taken away with its disk: no partition has a copy there,
-// and each has its synced copies elsewhere.
+// and each has its synced copies notPrimary.
 func lifecycle(m *tierv1.PartitionMap, node string, losses int) string {
 	mine := map[string]bool{}
 	for _, one := range m.StoreNodes {
@@ -151,18 +151,18 @@
 	return "completed"
 }
 
-// putVaults writes a turn store map and shows it. The caller has the right to write.
-func (k *ControlPlane) putPartitionMap(ctx context.Context, epoch uint64, m *tierv1.PartitionMap) error {
+// putPartitionMap writes a turn store map and shows it. The caller has the right to write.
+func (plane *ControlPlane) putPartitionMap(ctx context.Context, epoch uint64, m *tierv1.PartitionMap) error {
 	m.Version = 0
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		return err
 	}
-	version, err := k.put(ctx, epoch, map[string][]byte{keyPartitionMap: body})
+	version, err := plane.put(ctx, epoch, map[string][]byte{keyPartitionMap: body})
 	if err != nil {
 		return err
 	}
 	m.Version = version
-	k.change(epoch, func(v *view) { v.turnStores = m })
+	plane.changeView(epoch, func(v *view) { v.partitionMap = m })
 	return nil
 }
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -114,7 +114,7 @@
 	return s.sequence, nil
 }
 
-// rig is a Control plane in a bubble of its own time.
+// rig is a control plane in a bubble of its own time.
 type rig struct {
 	t   *testing.T
 	s   *store
@@ -296,7 +296,7 @@
 
 func (r *rig) turnStores() *tierv1.PartitionMap {
 	v, _ := r.k.snapshot()
-	return v.turnStores
+	return v.partitionMap
 }
 
 func status(t *testing.T, w *httptest.ResponseRecorder, want int) {
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -18,57 +18,57 @@
 )
 
 // Sessions is the service that gateways, turn stores and the command line call.
-func (k *ControlPlane) Sessions() tierv1.ControlPlane { return &sessions{k} }
+func (plane *ControlPlane) Sessions() tierv1.ControlPlane { return &sessions{plane} }
 
-type sessions struct{ k *ControlPlane }
+type sessions struct{ plane *ControlPlane }
 
 // Watch answers at once where there is news for the caller, else when its time is over.
 func (s *sessions) Watch(ctx context.Context, req *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
-	k := s.k
-	if _, ok := k.Store.Primary(); !ok {
-		return k.elsewhere(), nil
+	plane := s.plane
+	if _, ok := plane.Store.Primary(); !ok {
+		return plane.notPrimary(), nil
 	}
-	k.mu.Lock()
-	me, fresh := k.sessions.enter(time.Now(), req)
-	k.mu.Unlock()
+	plane.mu.Lock()
+	me, fresh := plane.sessions.enter(time.Now(), req)
+	plane.mu.Unlock()
 	if me != nil {
 		if fresh && req.Role == roleTurnStore {
-			wake(k.kick)
+			wake(plane.reconcileNow)
 		}
 		defer func() {
 			broken := ctx.Err() != nil
-			k.mu.Lock()
-			k.sessions.leave(time.Now(), me, broken)
-			k.mu.Unlock()
+			plane.mu.Lock()
+			plane.sessions.leave(time.Now(), me, broken)
+			plane.mu.Unlock()
 			if broken && req.Role == roleTurnStore && req.Leaving {
-				wake(k.kick)
+				wake(plane.reconcileNow)
 			}
 		}()
 	}
-	hold := time.NewTimer(min(time.Duration(req.HoldMs)*time.Millisecond, k.window(holdPart)))
+	hold := time.NewTimer(min(time.Duration(req.HoldMs)*time.Millisecond, plane.window(holdPart)))
 	defer hold.Stop()
 	confirmed := req.Configuration != 0
 	over := false
 	for {
-		v, changed := k.snapshot()
-		epoch, ok := k.Store.Primary()
+		v, changed := plane.snapshot()
+		epoch, ok := plane.Store.Primary()
 		if !ok {
-			return k.elsewhere(), nil
+			return plane.notPrimary(), nil
 		}
 		if v.ready && v.epoch == epoch {
 			if !confirmed { // the first of a life: it has nothing to compare with
-				if err := k.confirm.wait(ctx, epoch); err != nil {
-					return k.elsewhere(), nil
+				if err := plane.confirm.wait(ctx, epoch); err != nil {
+					return plane.notPrimary(), nil
 				}
 				confirmed = true
 				continue
 			}
-			if n, some := v.newsFor(req); some || over || req.HoldMs == 0 {
-				n.Hint = k.Store.Hint()
+			if n, some := v.replyFor(req); some || over || req.HoldMs == 0 {
+				n.Hint = plane.Store.Hint()
 				return n, nil
 			}
 		} else if over || req.HoldMs == 0 {
-			return k.elsewhere(), nil
+			return plane.notPrimary(), nil
 		}
 		select {
 		case <-changed:
@@ -80,21 +80,21 @@
 	}
 }
 
-// elsewhere is the answer of one that is not the primary, or can't be sure of it.
-func (k *ControlPlane) elsewhere() *tierv1.WatchReply {
-	return &tierv1.WatchReply{Hint: k.Store.Hint()}
+// notPrimary is the answer of one that is not the primary, or can't be sure of it.
+func (plane *ControlPlane) notPrimary() *tierv1.WatchReply {
+	return &tierv1.WatchReply{Hint: plane.Store.Hint()}
 }
 
-func (v *view) newsFor(req *tierv1.WatchRequest) (n *tierv1.WatchReply, some bool) {
+func (v *view) replyFor(req *tierv1.WatchRequest) (n *tierv1.WatchReply, some bool) {
 	n = &tierv1.WatchReply{Primary: true, Epoch: v.epoch}
-	if v.routing != nil && v.routing.Version > req.Configuration {
+	if v.configuration != nil && v.configuration.Version > req.Configuration {
 		n.Configuration, some = v.packed, true
 	}
 	if v.endpoints != nil && v.endpoints.Version > req.Endpoints {
 		n.Endpoints, some = v.endpoints, true
 	}
-	if v.turnStores != nil && v.turnStores.Version > req.PartitionMap {
-		n.PartitionMap, some = v.turnStores, true
+	if v.partitionMap != nil && v.partitionMap.Version > req.PartitionMap {
+		n.PartitionMap, some = v.partitionMap, true
 	}
 	if v.members != nil && v.members.Version > req.Members {
 		n.Members, some = v.members, true
@@ -104,29 +104,29 @@
 
 // Status tells operators what this process is and knows.
 func (s *sessions) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
-	k := s.k
-	v, primary := k.primary()
-	r := &tierv1.StatusReply{Self: k.Store.Self(), Primary: primary, Record: k.Store.Record()}
+	plane := s.plane
+	v, primary := plane.primary()
+	r := &tierv1.StatusReply{Self: plane.Store.Self(), Primary: primary, Record: plane.Store.Record()}
 	r.Highest = r.Record.GetEpoch()
 	for _, key := range []string{keyConfiguration, keyPartitionMap, keySettled} {
-		_, sequence := k.Store.Get(key)
+		_, sequence := plane.Store.Get(key)
 		r.Sequence = max(r.Sequence, sequence)
 	}
 	if !primary {
 		return r, nil
 	}
-	r.PartitionMap, r.Configuration, r.Endpoints, r.Revision = v.turnStores, v.routing.GetVersion(), v.endpoints.GetVersion(), v.revision
+	r.PartitionMap, r.Configuration, r.Endpoints, r.Revision = v.partitionMap, v.configuration.GetVersion(), v.endpoints.GetVersion(), v.revision
 	now := time.Now()
-	k.mu.Lock()
-	for _, one := range k.sessions.of {
-		t := &tierv1.Session{Node: one.node, Role: one.role, Address: one.address, Configuration: one.routing,
-			Endpoints: one.endpoints, PartitionMap: one.turnStores}
+	plane.mu.Lock()
+	for _, one := range plane.sessions.of {
+		t := &tierv1.Session{Node: one.node, Role: one.role, Address: one.address, Configuration: one.configuration,
+			Endpoints: one.endpoints, PartitionMap: one.partitionMap}
 		if one.held == 0 {
 			t.SilentMs = now.Sub(one.ended).Milliseconds()
 		}
 		r.Sessions = append(r.Sessions, t)
 	}
-	k.mu.Unlock()
+	plane.mu.Unlock()
 	slices.SortFunc(r.Sessions, func(a, b *tierv1.Session) int {
 		return strings.Compare(a.Role+" "+a.Node, b.Role+" "+b.Node)
 	})
--- a/internal/tier/controlplane/store.go
+++ b/internal/tier/controlplane/store.go
@@ -6,7 +6,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// Store is the replicated control state, as package control keeps it.
+// Store is the replicated control state, as package consensus keeps it.
 type Store interface {
 	// Primary tells whether this process is the primary and in touch with all backups, and its epoch.
 	Primary() (epoch uint64, ok bool)
@@ -29,6 +29,6 @@
 // Keys of the control state.
 const (
 	keyConfiguration = "configuration" // the operator's configuration, the bytes that came
-	keyPartitionMap  = "turnstores"    // tierv1.Turn stores
+	keyPartitionMap  = "turnstores"    // tierv1.PartitionMap
 	keySettled       = "settled"       // epoch in which the state was last written through
 )
