--- a/internal/tier/routing/routing.go
+++ b/internal/tier/routing/routing.go
@@ -1,4 +1,4 @@
-// Package configuration is the operator's configuration: routes, services and limits, read whole and checked before use.
+// Package routing holds the operator's configuration: routes, services and limits, read whole and checked before use.
 package routing
 
 import (
@@ -36,7 +36,7 @@
 
 var kinds = map[string]Kind{"idempotent": Idempotent, "non_idempotent": NonIdempotent, "streaming": Streaming}
 
-// Configuration is one whole configuration. It is not changed once parsed.
+// Table is one whole configuration. It is not changed once parsed, so it may be shared between goroutines.
 type Table struct {
 	Revision int64
 	Routes   []*Route
