--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -49,60 +49,60 @@
 
 // Client is a session.
 type Client struct {
-	c     Config
-	life  string
-	seeds []string
+	config Config
+	life   string
+	seeds  []string
 
-	mu      sync.Mutex
-	have    tierv1.WatchRequest // versions taken
-	members []string            // addresses
-	hint    string
-	stands  bool
-	heard   time.Time
-	leaving bool
+	mu        sync.Mutex
+	applied   tierv1.WatchRequest // versions taken
+	members   []string            // addresses
+	hint      string
+	stands    bool
+	lastReply time.Time
+	leaving   bool
 }
 
 // New makes a session that Run begins.
 func New(c Config) *Client {
-	s := &Client{c: c, life: rpcserver.Life(), seeds: c.Settings.SeedInternal()}
-	return s
+	client := &Client{config: c, life: rpcserver.Life(), seeds: c.Settings.SeedInternal()}
+	return client
 }
 
 // Stands tells whether the session stands, and how long ago the primary answered last.
-func (s *Client) Stands() (bool, time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.heard.IsZero() {
+func (client *Client) Stands() (bool, time.Duration) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if client.lastReply.IsZero() {
 		return false, time.Hour
 	}
-	return s.stands, time.Since(s.heard)
+	return client.stands, time.Since(client.lastReply)
 }
 
 // Primary is the address of the control primary as last known.
-func (s *Client) Primary() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.hint
+func (client *Client) Primary() string {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	return client.hint
 }
 
 // Leave tells control from the next call on that the process is leaving.
-func (s *Client) Leave() {
-	s.mu.Lock()
-	s.leaving = true
-	s.mu.Unlock()
+func (client *Client) Leave() {
+	client.mu.Lock()
+	client.leaving = true
+	client.mu.Unlock()
 }
 
 // Run keeps the session until ctx ends.
-func (s *Client) Run(ctx context.Context) {
-	window := s.c.Settings.ContactWindow
+func (client *Client) Run(ctx context.Context) {
+	window := client.config.Settings.ContactWindow
 	for ctx.Err() == nil {
-		at := s.look(ctx)
+		at := client.findPrimary(ctx)
 		if at == "" {
-			s.lost("no primary found")
+			client.markLost("no primary found")
 			pause(ctx, window/pausePart+rand.N(window/pausePart+1))
 			continue
 		}
-		for ctx.Err() == nil && s.hold(ctx, at) {
+		for ctx.Err() == nil && client.watch(ctx, at) {
 		}
 	}
 }
@@ -116,23 +116,23 @@
 	}
 }
 
-func (s *Client) lost(why string) {
-	s.mu.Lock()
-	was := s.stands
-	s.stands = false
-	s.mu.Unlock()
+func (client *Client) markLost(why string) {
+	client.mu.Lock()
+	was := client.stands
+	client.stands = false
+	client.mu.Unlock()
 	if was {
-		s.c.Log.Warn().Str("event", "session_lost").Str("why", why).Msg("")
+		client.config.Log.Warn().Str("event", "session_lost").Str("why", why).Msg("")
 	}
 }
 
 // candidates are all that may be or know the primary, the hint first.
-func (s *Client) candidates() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (client *Client) candidates() []string {
+	client.mu.Lock()
+	defer client.mu.Unlock()
 	var all []string
 	seen := map[string]bool{"": true}
-	for _, list := range [][]string{{s.hint}, s.members, s.seeds} {
+	for _, list := range [][]string{{client.hint}, client.members, client.seeds} {
 		for _, a := range list {
 			if !seen[a] {
 				seen[a] = true
@@ -143,14 +143,14 @@
 	return all
 }
 
-// look asks all candidates at once who is the primary, and gives the address of the first that says that it is.
-func (s *Client) look(ctx context.Context) string {
-	all := s.candidates()
-	ctx, cancel := context.WithTimeout(ctx, s.c.Settings.ContactWindow/lookPart)
+// findPrimary asks all candidates at once who is the primary, and gives the address of the first that says that it is.
+func (client *Client) findPrimary(ctx context.Context) string {
+	all := client.candidates()
+	ctx, cancel := context.WithTimeout(ctx, client.config.Settings.ContactWindow/lookPart)
 	defer cancel()
 	type answer struct {
-		at   string
-		news *tierv1.WatchReply
+		at    string
+		reply *tierv1.WatchReply
 	}
 	answers := make(chan answer, 2*len(all)+8)
 	asked := map[string]bool{}
@@ -165,20 +165,20 @@
 			// One that is not the primary may be it in a moment: it is asked again, whoever else is still waited for.
 			for {
 				// It claims to hold all: what is new is brought by the held call.
-				news, err := s.c.Dial(at).Watch(ctx, &tierv1.WatchRequest{Node: s.c.Settings.Node, Life: s.life,
+				reply, err := client.config.Dial(at).Watch(ctx, &tierv1.WatchRequest{Node: client.config.Settings.Node, Life: client.life,
 					Configuration: math.MaxUint64, Endpoints: math.MaxUint64, PartitionMap: math.MaxUint64, Members: math.MaxUint64})
 				if err != nil {
-					news = nil
+					reply = nil
 				}
 				select {
-				case answers <- answer{at, news}:
+				case answers <- answer{at, reply}:
 				case <-ctx.Done():
 					return
 				}
-				if news.GetPrimary() {
+				if reply.GetPrimary() {
 					return
 				}
-				pause(ctx, s.c.Settings.ContactWindow/pausePart)
+				pause(ctx, client.config.Settings.ContactWindow/pausePart)
 				if ctx.Err() != nil {
 					return
 				}
@@ -195,37 +195,37 @@
 		case <-ctx.Done():
 			return ""
 		}
-		if got.news == nil {
+		if got.reply == nil {
 			continue
 		}
-		if got.news.Primary {
+		if got.reply.Primary {
 			return got.at
 		}
-		ask(got.news.Hint)
+		ask(got.reply.Hint)
 	}
 	return ""
 }
 
-// hold makes one held call, and reports whether the session goes on there.
-func (s *Client) hold(ctx context.Context, at string) bool {
-	window := s.c.Settings.ContactWindow
-	s.mu.Lock()
-	req := proto.Clone(&s.have).(*tierv1.WatchRequest)
-	req.Leaving = s.leaving
-	s.mu.Unlock()
-	set := s.c.Settings
-	req.Node, req.Role, req.Folder, req.Address = set.Node, s.c.Role, s.c.Folder, s.c.Address
-	req.Zone, req.Region, req.Life, req.IdleDisk = set.Zone, set.Region, s.life, s.c.Empty
+// watch makes one held call, and reports whether the session goes on there.
+func (client *Client) watch(ctx context.Context, at string) bool {
+	window := client.config.Settings.ContactWindow
+	client.mu.Lock()
+	req := proto.Clone(&client.applied).(*tierv1.WatchRequest)
+	req.Leaving = client.leaving
+	client.mu.Unlock()
+	set := client.config.Settings
+	req.Node, req.Role, req.Folder, req.Address = set.Node, client.config.Role, client.config.Folder, client.config.Address
+	req.Zone, req.Region, req.Life, req.IdleDisk = set.Zone, set.Region, client.life, client.config.Empty
 	hold := window / holdPart
-	if s.c.Folder != "" {
+	if client.config.Folder != "" {
 		hold = window / turnStorePart
 	}
 	req.HoldMs = uint32(hold.Milliseconds())
 	ctx, cancel := context.WithTimeout(ctx, hold+window/graceOver)
 	defer cancel()
 	var renewed atomic.Bool
-	if s.c.Synced != nil {
-		reports, changed := s.c.Synced()
+	if client.config.Synced != nil {
+		reports, changed := client.config.Synced()
 		req.Synced = reports
 		done := make(chan struct{})
 		defer close(done)
@@ -238,77 +238,77 @@
 			}
 		}()
 	}
-	news, err := s.c.Dial(at).Watch(ctx, req)
+	reply, err := client.config.Dial(at).Watch(ctx, req)
 	if err != nil {
 		if renewed.Load() && ctx.Err() != nil {
 			return true
 		}
-		s.lost(err.Error())
+		client.markLost(err.Error())
 		return false
 	}
-	if !news.Primary {
-		s.mu.Lock()
-		if news.Hint != "" {
-			s.hint = news.Hint
+	if !reply.Primary {
+		client.mu.Lock()
+		if reply.Hint != "" {
+			client.hint = reply.Hint
 		}
-		s.mu.Unlock()
-		s.lost("no longer primary")
+		client.mu.Unlock()
+		client.markLost("no longer primary")
 		return false
 	}
-	s.take(at, news)
+	client.apply(at, reply)
 	return true
 }
 
-func (s *Client) take(at string, news *tierv1.WatchReply) {
-	s.mu.Lock()
-	if !s.stands {
-		s.c.Log.Info().Str("event", "session").Str("primary", at).Uint64("epoch", news.Epoch).Msg("")
+func (client *Client) apply(at string, reply *tierv1.WatchReply) {
+	client.mu.Lock()
+	if !client.stands {
+		client.config.Log.Info().Str("event", "session").Str("primary", at).Uint64("epoch", reply.Epoch).Msg("")
 	}
-	s.stands, s.heard, s.hint = true, time.Now(), at
-	if m := news.Members; m != nil && m.Version > s.have.Members {
-		s.have.Members = m.Version
-		s.members = s.members[:0]
+	client.stands, client.lastReply, client.hint = true, time.Now(), at
+	if m := reply.Members; m != nil && m.Version > client.applied.Members {
+		client.applied.Members = m.Version
+		client.members = client.members[:0]
 		for _, one := range m.List {
-			s.members = append(s.members, one.Address)
+			client.members = append(client.members, one.Address)
 		}
 	}
-	routing, endpoints, turnStores := news.Configuration, news.Endpoints, news.PartitionMap
-	if routing != nil && routing.Version <= s.have.Configuration {
-		routing = nil
+	configuration, endpoints, partitionMap := reply.Configuration, reply.Endpoints, reply.PartitionMap
+	if configuration != nil && configuration.Version <= client.applied.Configuration {
+		configuration = nil
 	}
-	if endpoints != nil && endpoints.Version <= s.have.Endpoints {
+	if endpoints != nil && endpoints.Version <= client.applied.Endpoints {
 		endpoints = nil
 	}
-	if turnStores != nil && turnStores.Version <= s.have.PartitionMap {
-		turnStores = nil
+	if partitionMap != nil && partitionMap.Version <= client.applied.PartitionMap {
+		partitionMap = nil
 	}
-	s.mu.Unlock()
-	if len(routing.GetPacked()) > 0 {
+	client.mu.Unlock()
+	if len(configuration.GetPacked()) > 0 {
 		var err error
-		if routing, err = unpack(routing); err != nil { // it is not acknowledged, and comes again
-			s.c.Log.Error().Str("event", "catalog_unpacked").Err(err).Msg("")
+		if configuration, err = unpack(configuration); err != nil { // it is not acknowledged, and comes again
+			client.config.Log.Error().Str("event", "configuration_damaged").Err(err).Msg("")
 		}
 	}
-	if routing != nil && s.c.Configuration != nil {
-		s.c.Configuration(routing)
+	if configuration != nil && client.config.Configuration != nil {
+		client.config.Configuration(configuration)
 	}
-	if endpoints != nil && s.c.Endpoints != nil {
-		s.c.Endpoints(endpoints)
+	if endpoints != nil && client.config.Endpoints != nil {
+		client.config.Endpoints(endpoints)
 	}
-	if turnStores != nil && s.c.PartitionMap != nil {
-		s.c.PartitionMap(turnStores)
+	if partitionMap != nil && client.config.PartitionMap != nil {
+		client.config.PartitionMap(partitionMap)
 	}
-	s.mu.Lock() // acknowledged once it has been taken in
-	if routing != nil {
-		s.have.Configuration = routing.Version
+	client.mu.Lock() // acknowledged once it has been taken in
+	if configuration != nil {
+		client.applied.Configuration = configuration.Version
 	}
 	if endpoints != nil {
-		s.have.Endpoints = endpoints.Version
+		client.applied.Endpoints = endpoints.Version
 	}
-	if turnStores != nil {
-		s.have.PartitionMap = turnStores.Version
+	if partitionMap != nil {
+		client.applied.PartitionMap = partitionMap.Version
 	}
-	s.mu.Unlock()
+	client.mu.Unlock()
 }
 
 const unpackedMost = 64 << 20 // bytes of a configuration
