--- a/internal/tier/capacity/gateway_test.go
+++ b/internal/tier/capacity/gateway_test.go
@@ -75,7 +75,7 @@
 				if c.Verdict != loadbalancer.Send {
 					b.Fatal(c.Verdict)
 				}
-				x.Heard(now, c.Call)
+				x.FirstPiece(now, c.Call)
 				x.Done(now+time.Millisecond, c.Call, loadbalancer.Outcome{Kind: loadbalancer.Served, First: time.Millisecond})
 				i++
 			}
--- a/internal/tier/loadbalancer/done.go
+++ b/internal/tier/loadbalancer/done.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Heard books the first piece of a stream's answer: its endpoint is not silent.
-func (b *Balancer) Heard(now time.Duration, c *Call) {
+// FirstPiece records the first piece of a streamed answer, which shows that its endpoint is not silent. It has no effect once the call is done.
+func (b *Balancer) FirstPiece(now time.Duration, c *Call) {
 	if c != nil && !c.ended {
 		c.at.answered(now, c)
-		c.at.comeBack()
+		c.at.restore()
 	}
 }
 
-// Told takes what an endpoint says of its load, as in a report. Unknown instances are deposed.
-func (b *Balancer) Told(now time.Duration, instance string, l Load) {
+// ReportLoad takes what an endpoint says of its load, as in a report. Unknown instances are ignored.
+func (b *Balancer) ReportLoad(now time.Duration, instance string, l Load) {
 	if e := b.endpoints[instance]; e != nil {
-		e.heardAt = max(e.heardAt, now)
-		e.told(now, l, false)
+		e.observedAt = max(e.observedAt, now)
+		e.updateLoad(now, l, false)
 	}
 }
 
-// Done books the end of a call; a second one of the same call counts for nothing.
+// Done records the end of a call. It is idempotent: a second report of the same call has no effect.
 func (b *Balancer) Done(now time.Duration, c *Call, o Outcome) {
 	if c == nil || c.ended {
 		return
@@ -26,9 +26,9 @@
 	c.ended = true
 	e := c.at
 	if o.Load != nil {
-		e.told(now, *o.Load, o.Kind == Refused)
+		e.updateLoad(now, *o.Load, o.Kind == Refused)
 	}
-	silent := o.Kind == Abandoned && now-max(c.sent, e.heardAt) > patience(c.oracle)
+	silent := o.Kind == Abandoned && now-max(c.sent, e.observedAt) > patience(c.oracle)
 	e.calls--
 	e.forget(c)
 	if c.probe {
@@ -50,7 +50,7 @@
 			e.window.Halve(c.sent, now)
 		}
 		if o.Kind == Failed {
-			e.heardAt = max(e.heardAt, now)
+			e.observedAt = max(e.observedAt, now)
 		}
 		e.fail(now, weightOf[o.Kind], c)
 	case c.probe:
@@ -75,42 +75,42 @@
 }
 
 func (e *endpoint) serve(now time.Duration, c *Call, first time.Duration) {
-	e.heardAt = max(e.heardAt, now)
+	e.observedAt = max(e.observedAt, now)
 	if mean := c.oracle.Mean; mean > 0 { // as of the last look at its optimum
-		e.slow += recentPer * (min(2*slowMost, first.Seconds()/mean) - e.slow)
+		e.slow += recentPer * (min(2*slowMax, first.Seconds()/mean) - e.slow)
 	}
 	e.judge(now, 0)
 	e.window.Grow(e.capacity())
 	e.pause, e.pausedUntil = 0, 0
-	e.comeBack()
+	e.restore()
 }
 
 // refuse: it is alive, and has what it bears.
 func (e *endpoint) refuse(now time.Duration, c *Call) {
-	e.heardAt = max(e.heardAt, now)
+	e.observedAt = max(e.observedAt, now)
 	e.window.Halve(c.sent, now)
 	if now >= e.pausedUntil { // once for all that were out together
-		e.pause = min(max(2*e.pause, pauseFirst), pauseMost)
+		e.pause = min(max(2*e.pause, pauseFirst), pauseMax)
 		e.pausedUntil = now + e.pause
 	}
-	e.comeBack()
+	e.restore()
 }
 
 func (e *endpoint) fail(now time.Duration, weight float64, c *Call) {
 	e.judge(now, 1)
 	e.bad += weight
-	if c.probe && e.out && now >= e.probeAt || !e.out && e.bad >= outAt {
-		e.goOut(now)
+	if c.probe && e.ejected && now >= e.probeAt || !e.ejected && e.bad >= ejectThreshold {
+		e.eject(now)
 	}
 }
 
-// Suspects are the endpoints that are out and due to be tried, for an owner that checks their health by a call of its
+// Suspects are the endpoints that are ejected and due to be tried, for an owner that checks their health by a call of its
 // own, as it must where requests can't be repeated. Each is to be followed by Checked.
 func (b *Balancer) Suspects(now time.Duration) []Endpoint {
 	var all []Endpoint
 	for _, s := range b.services {
 		for _, e := range s.list {
-			if e.watch(now); e.out && !e.misdirected && e.probes == 0 && now >= e.probeAt {
+			if e.watch(now); e.ejected && !e.misdirected && e.probes == 0 && now >= e.probeAt {
 				e.checked = true
 				e.probes++
 				all = append(all, e.Endpoint)
@@ -129,9 +129,9 @@
 	e.checked = false
 	e.probes--
 	if !well {
-		e.goOut(now)
+		e.eject(now)
 		return
 	}
-	e.heardAt = max(e.heardAt, now)
-	e.comeBack()
+	e.observedAt = max(e.observedAt, now)
+	e.restore()
 }
--- a/internal/tier/loadbalancer/endpoint.go
+++ b/internal/tier/loadbalancer/endpoint.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	toldSpan   = 2 * time.Second  // over which a told load fades: others' calls end
-	recentPer  = 0.1              // weight of the newest call in the latency that is seen
-	healthPer  = 0.06             // and in the share of failures
-	failSpan   = 10 * time.Second // over which that fades by itself, as who fails gets few calls
-	failing    = 0.3              // share of failed calls from which half the window holds
-	failDear   = 4.0              // how much dearer an endpoint is that always fails
-	coldDear   = 2.0              // and one that has just started
-	slowMost   = 4.0              // and a slow one at most
-	outAt      = 4.0              // weight of failures in a row that is an outage
-	silentOf   = 2                // calls that must be unanswered for silence
-	silentLong = 4                // times the patience after which one call is enough
-
-	patienceLeast = 300 * time.Millisecond // opening packets that are lost come again in about so long
-	probeFirst    = 250 * time.Millisecond // pause before an endpoint that is out is tried; doubles
-	probeMost     = 4 * time.Second        // up to so much
-	probeAny      = time.Second            // so long after, also with a request that can't be repeated
-	pauseFirst    = 25 * time.Millisecond  // pause after a refusal; doubles with each in a row
-	pauseMost     = 500 * time.Millisecond
+	loadFadeSpan   = 2 * time.Second  // over which a reported load fades: others' calls end
+	recentPer      = 0.1              // weight of the newest call in the latency that is seen
+	healthPer      = 0.06             // and in the share of failures
+	failSpan       = 10 * time.Second // over which that fades by itself, as who fails gets few calls
+	failing        = 0.3              // share of failed calls from which half the window holds
+	failCost       = 4.0              // how much dearer an endpoint is that always fails
+	coldCost       = 2.0              // and one that has just started
+	slowMax        = 4.0              // and a slow one at most
+	ejectThreshold = 4.0              // weight of failures in a row that is an outage
+	silentCalls    = 2                // calls that must be unanswered for silence
+	silentFactor   = 4                // times the patience after which one call is enough
+
+	patienceMin       = 300 * time.Millisecond // opening packets that are lost come again in about so long
+	probeFirst        = 250 * time.Millisecond // pause before an ejected endpoint is probed; doubles
+	probeMax          = 4 * time.Second        // up to so much
+	probeUnrepeatable = time.Second            // so long after, also with a request that can't be repeated
+	pauseFirst        = 25 * time.Millisecond  // pause after a refusal; doubles with each in a row
+	pauseMax          = 500 * time.Millisecond
 )
 
 // weightOf is how much a failure says of its endpoint's health.
@@ -43,13 +43,13 @@
 	misdirected bool // its address is another's
 	window      restart.Window
 	calls       int     // out now
-	unanswered  []*Call // of these, those of which nothing was heard, in order of sending
-	heardAt     time.Duration
-	slots       int     // told, 0 if not
-	others      float64 // load that is not ours, as told
+	unanswered  []*Call // of these, those without any part of an answer, in order of sending
+	observedAt  time.Duration
+	slots       int     // reported, 0 if not
+	others      float64 // load that is not ours, as reported
 	queue       int     // how many may wait, as seen at a refusal; -1 if never seen
-	waiting     int     // told
-	toldAt      time.Duration
+	waiting     int     // reported
+	loadAt      time.Duration
 	slow        float64 // latency, over the mean of the routes
 	fails       float64 // mean share of failed calls, as of failsAt
 	failsAt     time.Duration
@@ -57,7 +57,7 @@
 	coldUntil   time.Duration
 
 	bad         float64 // weight of the failures in a row
-	out         bool
+	ejected     bool
 	probes      int           // calls out that try whether it is back,
 	checked     bool          // of which one is the owner's own
 	probeAt     time.Duration // when it may be tried again
@@ -67,7 +67,7 @@
 }
 
 func newEndpoint(line Endpoint, now time.Duration) *endpoint {
-	e := &endpoint{Endpoint: line, key: hash(line.Instance), slow: 1, queue: -1, heardAt: now}
+	e := &endpoint{Endpoint: line, key: hash(line.Instance), slow: 1, queue: -1, observedAt: now}
 	// One at a time would have a sender that starts refuse while nearly all places are free.
 	e.window.Size = max(1, float64(line.Capacity)/2)
 	return e
@@ -95,7 +95,7 @@
 
 // load is how many requests it has: ours, and those of others as told, which fade.
 func (e *endpoint) load(now time.Duration) float64 {
-	return float64(e.calls) + e.others*math.Exp(-(now-e.toldAt).Seconds()/toldSpan.Seconds())
+	return float64(e.calls) + e.others*math.Exp(-(now-e.loadAt).Seconds()/loadFadeSpan.Seconds())
 }
 
 // taken is the part of its places, or of its memory, that is taken with so many more.
@@ -109,14 +109,14 @@
 }
 
 // cost is what one more request there costs: the part that is then taken, more where it is slow, fails or is cold.
-func (e *endpoint) cost(now time.Duration) float64 { return e.taken(now, 1) * e.dear(now) }
+func (e *endpoint) cost(now time.Duration) float64 { return e.taken(now, 1) * e.penalty(now) }
 
-func (e *endpoint) dear(now time.Duration) float64 {
-	dear := min(slowMost, max(1/slowMost, e.slow)) * (1 + failDear*e.failed(now))
+func (e *endpoint) penalty(now time.Duration) float64 {
+	penalty := min(slowMax, max(1/slowMax, e.slow)) * (1 + failCost*e.failed(now))
 	if now < e.coldUntil {
-		dear *= coldDear
+		penalty *= coldCost
 	}
-	return dear
+	return penalty
 }
 
 // room reports whether it bears one more. Those that are less urgent leave an eighth to the others.
@@ -128,19 +128,19 @@
 	if e.calls >= room || now < e.pausedUntil {
 		return false
 	}
-	told := now-e.toldAt < toldSpan/4 && e.queue >= 0 && e.waiting > 0 && e.waiting >= e.queue
-	return !told || e.load(now) < float64(e.capacity()+e.queue)
+	atCapacity := now-e.loadAt < loadFadeSpan/4 && e.queue >= 0 && e.waiting > 0 && e.waiting >= e.queue
+	return !atCapacity || e.load(now) < float64(e.capacity()+e.queue)
 }
 
-// told takes in what it says of itself, with our calls counted as of then.
-func (e *endpoint) told(now time.Duration, l Load, refused bool) {
+// updateLoad takes in what it says of itself, with our calls counted as of then.
+func (e *endpoint) updateLoad(now time.Duration, l Load, refused bool) {
 	if l.Running < 0 || l.Waiting < 0 || l.Slots < 0 {
 		return
 	}
 	if l.Slots > 0 {
 		e.slots = l.Slots
 	}
-	e.others, e.waiting, e.toldAt = max(0, float64(l.Running+l.Waiting-e.calls)), l.Waiting, now
+	e.others, e.waiting, e.loadAt = max(0, float64(l.Running+l.Waiting-e.calls)), l.Waiting, now
 	if refused {
 		if l.Slots > 0 && l.Running >= l.Slots {
 			e.queue = l.Waiting
@@ -156,9 +156,9 @@
 	}
 }
 
-// answered: something was heard of the call, so that its silence says nothing any more.
+// answered notes that a part of the answer has come: from then on silence on this call is no sign of failure.
 func (e *endpoint) answered(now time.Duration, c *Call) {
-	e.heardAt = max(e.heardAt, now)
+	e.observedAt = max(e.observedAt, now)
 	e.forget(c)
 }
 
@@ -170,38 +170,38 @@
 
 // patience is how long a call of that route may be unanswered before it counts as silence.
 func patience(o *restart.Oracle) time.Duration {
-	return max(patienceLeast, min(o.Optimum(), restart.FirstTimeout))
+	return max(patienceMin, min(o.Optimum(), restart.FirstTimeout))
 }
 
-// watch finds silence: nothing was heard of the endpoint since the oldest of some calls went out, long ago.
+// watch finds silence: nothing has come from the endpoint since the oldest of some calls went out, long ago.
 func (e *endpoint) watch(now time.Duration) {
-	if e.out || len(e.unanswered) == 0 {
+	if e.ejected || len(e.unanswered) == 0 {
 		return
 	}
 	oldest := e.unanswered[0]
-	quiet, most := now-max(oldest.sent, e.heardAt), patience(oldest.oracle)
-	if quiet > most && len(e.unanswered) >= silentOf || quiet > silentLong*most {
-		e.goOut(now)
+	quiet, limit := now-max(oldest.sent, e.observedAt), patience(oldest.oracle)
+	if quiet > limit && len(e.unanswered) >= silentCalls || quiet > silentFactor*limit {
+		e.eject(now)
 	}
 }
 
-// goOut begins an outage, or has the next try wait longer.
-func (e *endpoint) goOut(now time.Duration) {
-	e.out = true
-	e.backoff = min(max(2*e.backoff, probeFirst), probeMost)
+// eject begins an outage, or has the next try wait longer.
+func (e *endpoint) eject(now time.Duration) {
+	e.ejected = true
+	e.backoff = min(max(2*e.backoff, probeFirst), probeMax)
 	e.probeAt = now + e.backoff
 }
 
-// comeBack ends it.
-func (e *endpoint) comeBack() { e.out, e.bad, e.backoff = false, 0, 0 }
+// restore ends it.
+func (e *endpoint) restore() { e.ejected, e.bad, e.backoff = false, 0, 0 }
 
 // due reports whether one that is out may be tried by that attempt.
 func (e *endpoint) due(now time.Duration, a *Ask) bool {
 	at := e.probeAt
 	if !a.Repeatable {
-		at += probeAny
+		at += probeUnrepeatable
 	}
-	return e.out && e.probes == 0 && now >= at
+	return e.ejected && e.probes == 0 && now >= at
 }
 
 // meter is a count that fades over a span.
--- a/internal/tier/loadbalancer/loadbalancer.go
+++ b/internal/tier/loadbalancer/loadbalancer.go
@@ -1,4 +1,4 @@
-// Package load balancer decides to which endpoint a request goes, for how long it may stay there, and whether it is sent at
+// Package loadbalancer decides to which endpoint a request goes, for how long it may stay there, and whether it is sent at
 // all. It is pure: times are of one steady clock and are passed in, and nothing here sleeps, reads or writes. It is not
 // safe for concurrent use: its owner locks.
 //
@@ -16,7 +16,7 @@
 // Endpoint is a line of the platform's list.
 type Endpoint struct {
 	Instance, Service, Address, Zone string
-	Capacity                         int // requests that it works on at once, 0 if not told
+	Capacity                         int // requests that it works on at once, 0 if not reported
 	Draining                         bool
 	ColdRemaining                    time.Duration // it is slow for so long
 	CacheTokens                      int64         // of an engine's memory, 0 if it is none
@@ -28,7 +28,7 @@
 // Ask is one attempt of a request.
 type Ask struct {
 	Route, Service string
-	Repeatable     bool          // it may be given up and sent again: idempotent, with attempts left
+	Repeatable     bool          // it may be aborted and sent once more: idempotent, with attempts left
 	First          bool          // its first attempt
 	Left           time.Duration // until its deadline
 	Aim            time.Duration // within which its answer has its full worth, 0 if not known
@@ -54,7 +54,7 @@
 type Choice struct {
 	Verdict           Verdict
 	Instance, Address string
-	Timeout           time.Duration // after which the attempt is to be given up
+	Timeout           time.Duration // after which the attempt is aborted
 	Explore           bool          // it could be restarted, and runs to its time left all the same
 	RetryAfter        time.Duration
 	Call              *Call
@@ -78,10 +78,10 @@
 const (
 	Served    Kind = iota
 	Refused        // it has not run and will not: X-Not-Executed
-	TimedOut       // it was given up at its time-out
+	TimedOut       // it was aborted at its time-out
 	Broken         // the connection ended after the request was sent
 	Failed         // an answer of the endpoint that is a failure, or none in the protocol
-	Abandoned      // the client gave it up
+	Abandoned      // the client left
 	NotSent        // no connection came up, or it was gone before the first byte
 	Gone           // the endpoint is found to be gone for good
 )
@@ -90,7 +90,7 @@
 type Outcome struct {
 	Kind        Kind
 	First       time.Duration // of a served one: to the first piece of a stream, or to the whole answer
-	Load        *Load         // told with the answer, nil if not
+	Load        *Load         // reported with the answer; nil if it was not
 	Misdirected bool          // 421: another endpoint has that address
 }
 
@@ -99,7 +99,7 @@
 	served meter
 }
 
-// Board is what one sender knows of the endpoints.
+// Balancer is what one sender knows of the endpoints.
 type Balancer struct {
 	zone      string
 	random    uint64
--- a/internal/tier/loadbalancer/loadbalancer_test.go
+++ b/internal/tier/loadbalancer/loadbalancer_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// rig drives one Board by hand.
+// rig drives one Balancer by hand.
 type rig struct {
 	*testing.T
 	b    *Balancer
@@ -162,7 +162,7 @@
 		r.b.Done(r.now, c.Call, Outcome{Kind: Refused})
 	}
 	assert.Equal(t, len(fill()), 0) // it has just said that it is full
-	r.now += pauseMost
+	r.now += pauseMax
 	out = fill()
 	assert.Equal(t, len(out), 7)
 	for range 10 {
@@ -199,7 +199,7 @@
 func (r *rig) place(i int) string {
 	r.Helper()
 	c := r.send(session(i))
-	r.b.Heard(r.now, c.Call)
+	r.b.FirstPiece(r.now, c.Call)
 	r.b.Done(r.now, c.Call, Outcome{Kind: Served, First: ms})
 	return c.Instance
 }
@@ -246,7 +246,7 @@
 	zones, at := map[string]int{}, map[string]int{}
 	send := func(a Ask) {
 		c := r.send(a)
-		r.b.Heard(r.now, c.Call)
+		r.b.FirstPiece(r.now, c.Call)
 		zones[r.b.endpoints[c.Instance].Zone]++
 		at[c.Instance]++
 	}
@@ -273,7 +273,7 @@
 		send(session(i))
 		// Our zone's least is over the others' by what keeping near allows, and never more.
 		for _, far := range []string{"b", "c", "d"} {
-			assert.Assert(t, float64(least("a")) <= acrossTime*float64(least(far)+1)+acrossFew+1, "%v", at)
+			assert.Assert(t, float64(least("a")) <= zoneCostFactor*float64(least(far)+1)+zoneCostMargin+1, "%v", at)
 		}
 	}
 	assert.Assert(t, zones["a"] > zones["b"] && zones["a"] > zones["c"] && zones["a"] > zones["d"], "%v", zones)
@@ -289,13 +289,13 @@
 	for range 5 {
 		c := r.send(a)
 		assert.Equal(t, c.Instance, "i1")
-		r.b.Heard(r.now, c.Call)
+		r.b.FirstPiece(r.now, c.Call)
 	}
 	for range 5 {
-		r.b.Heard(r.now, r.send(a).Call)
+		r.b.FirstPiece(r.now, r.send(a).Call)
 	}
 	assert.Assert(t, r.send(a).Instance != "i1") // ten are out there, and none elsewhere
-	r.now += toldSpan
+	r.now += loadFadeSpan
 	a.Home = "i2"
 	assert.Equal(t, r.send(a).Instance, "i2")
 	r.list[2].Draining = true
@@ -309,12 +309,12 @@
 // is told.
 func TestLeastLoaded(t *testing.T) {
 	r := newRig(t, 2, 16)
-	r.b.Told(r.now, "i0", Load{Running: 3, Slots: 16}) // in zone a there are i0 and i4
+	r.b.ReportLoad(r.now, "i0", Load{Running: 3, Slots: 16}) // in zone a there are i0 and i4
 	for range 3 {
 		assert.Equal(t, r.send(ask()).Instance, "i4")
 	}
-	r.b.Told(r.now, "i0", Load{Running: 16, Waiting: 2, Slots: 16})
-	r.b.Told(r.now, "i4", Load{Running: 16, Waiting: 2, Slots: 16})
+	r.b.ReportLoad(r.now, "i0", Load{Running: 16, Waiting: 2, Slots: 16})
+	r.b.ReportLoad(r.now, "i4", Load{Running: 16, Waiting: 2, Slots: 16})
 	assert.Assert(t, r.b.endpoints[r.send(ask()).Instance].Zone != "a")
 }
 
@@ -393,8 +393,8 @@
 	}
 	tries, at := dead() // 30 s
 	assert.Assert(t, tries >= 8 && tries <= 14, "%d", tries)
-	assert.Assert(t, at[len(at)-1]-at[len(at)-2] >= probeMost)
-	r.now += probeMost
+	assert.Assert(t, at[len(at)-1]-at[len(at)-2] >= probeMax)
+	r.now += probeMax
 	c := r.send(ask())
 	assert.Equal(t, c.Instance, "i0")
 	other := r.send(ask())
@@ -414,7 +414,7 @@
 	r.now += probeFirst
 	assert.Assert(t, r.send(session(1)).Instance != "i0")
 	for _, well := range []bool{false, true} {
-		r.now += probeMost
+		r.now += probeMax
 		suspects := r.b.Suspects(r.now)
 		assert.Equal(t, len(suspects), 1)
 		assert.Equal(t, suspects[0].Instance, "i0")
@@ -430,13 +430,13 @@
 	r.serve(40, session(1), 20*ms)
 	first, second := r.send(session(1)), r.send(session(2))
 	assert.Equal(t, first.Instance, second.Instance)
-	r.now += patienceLeast / 2
-	r.b.Heard(r.now, first.Call)
-	r.now += patienceLeast / 2
+	r.now += patienceMin / 2
+	r.b.FirstPiece(r.now, first.Call)
+	r.now += patienceMin / 2
 	assert.Equal(t, r.send(session(3)).Instance, "i0")
-	r.now += patienceLeast + ms
+	r.now += patienceMin + ms
 	assert.Assert(t, r.send(session(3)).Instance != "i0")
-	r.b.Heard(r.now, second.Call) // it was only slow
+	r.b.FirstPiece(r.now, second.Call) // it was only slow
 	assert.Equal(t, r.send(session(3)).Instance, "i0")
 }
 
@@ -447,7 +447,7 @@
 		r.b.Done(r.now, r.send(ask()).Call, Outcome{Kind: Broken})
 	}
 	for _, e := range r.b.endpoints {
-		assert.Assert(t, e.out)
+		assert.Assert(t, e.ejected)
 	}
 	a := ask()
 	a.Tried = []string{"i0", "i1", "i2"}
--- a/internal/tier/loadbalancer/pick.go
+++ b/internal/tier/loadbalancer/pick.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	bounded    = 1.25 // times the mean load that one endpoint takes for the sake of its cache
-	few        = 2.0  // requests over the mean that it takes besides: with few out, chance alone gives more than bounded
-	homeTimes  = 1.5  // times the mean load, and
-	homeFew    = 6.0  // so many requests over it, that the endpoint which holds a session's cache takes
-	acrossTime = 1.5  // times the load of another zone's least, and
-	acrossFew  = 3.0  // so many requests over it, from which our zone's least is deposed
-	takesPart  = 0.25 // part of the time of a call after which there may be room
-	retryLeast = 20 * time.Millisecond
-	retryMost  = 2 * time.Second
-	retryPart  = 3 // clients wait up to so small a part of their time left
+	boundedFactor  = 1.25 // times the mean load that one endpoint takes for the sake of its cache
+	boundedMargin  = 2.0  // requests over the mean that it takes besides: with few out, chance alone gives more than bounded
+	homeCostFactor = 1.5  // times the mean load, and
+	homeCostMargin = 6.0  // so many requests over it, that the endpoint which holds a session's cache takes
+	zoneCostFactor = 1.5  // times the load of another zone's least, and
+	zoneCostMargin = 3.0  // so many requests over it, from which our zone's cheapest is passed over
+	takesPart      = 0.25 // part of the time of a call after which there may be room
+	retryMin       = 20 * time.Millisecond
+	retryMax       = 2 * time.Second
+	retryPart      = 3 // clients wait up to so small a part of their time left
 )
 
 // Pick decides on one attempt.
@@ -49,7 +49,7 @@
 
 // send starts an attempt. Its time-out is the oracle's where a restart then is allowed, else the time left.
 func (b *Balancer) send(now time.Duration, s *service, e *endpoint, a *Ask, o *restart.Oracle) Choice {
-	c := &Call{at: e, oracle: o, service: s, sent: now, uncut: true, probe: e.out}
+	c := &Call{at: e, oracle: o, service: s, sent: now, uncut: true, probe: e.ejected}
 	choice := Choice{Instance: e.Instance, Address: e.Address, Timeout: a.Left, Call: c}
 	if a.First {
 		c.weight = 1
@@ -91,7 +91,7 @@
 	return n
 }
 
-// place finds the endpoint, nil if all are full: one that is out and due to be tried, else a well one that was not
+// place finds the endpoint, nil if all are full: one that is ejected and due to be probed, else a healthy one that was not
 // tried yet, else the least bad.
 func (b *Balancer) place(now time.Duration, s *service, a *Ask, o *restart.Oracle) *endpoint {
 	if a.First && (a.Left > 2*patience(o) || !a.Repeatable) {
@@ -103,21 +103,21 @@
 		}
 	}
 	fresh := func(e *endpoint) bool {
-		return !e.out && e.fits(a) && !slices.Contains(a.Tried, e.Instance) && e.room(now, a.Priority)
+		return !e.ejected && e.fits(a) && !slices.Contains(a.Tried, e.Instance) && e.room(now, a.Priority)
 	}
 	if e := b.choose(now, s, a, fresh); e != nil {
 		return e
 	}
 	if len(a.Tried) > 0 { // once more where it was: a window may have opened, a connection been lost
-		again := func(e *endpoint) bool {
-			return !e.out && e.fits(a) && times(a.Tried, e.Instance) < 2 && e.room(now, a.Priority)
+		retry := func(e *endpoint) bool {
+			return !e.ejected && e.fits(a) && times(a.Tried, e.Instance) < 2 && e.room(now, a.Priority)
 		}
-		if e := b.choose(now, s, a, again); e != nil {
+		if e := b.choose(now, s, a, retry); e != nil {
 			return e
 		}
 	}
 	for _, e := range s.list {
-		if !e.out && e.fits(a) { // a well one is full, and soon has room
+		if !e.ejected && e.fits(a) { // a healthy one is full, and soon has room
 			return nil
 		}
 	}
@@ -127,15 +127,15 @@
 		if !e.fits(a) || !e.room(now, a.Priority) || times(a.Tried, e.Instance) > 1 {
 			continue
 		}
-		if best == nil || e.lessBad(best, a) {
+		if best == nil || e.preferable(best, a) {
 			best = e
 		}
 	}
 	return best
 }
 
-// lessBad compares two that are out: the one not tried by this request, the one of which most was heard lately.
-func (e *endpoint) lessBad(than *endpoint, a *Ask) bool {
+// preferable compares two that are ejected: the one not tried by this request, the one that answered last.
+func (e *endpoint) preferable(than *endpoint, a *Ask) bool {
 	if x, y := times(a.Tried, e.Instance), times(a.Tried, than.Instance); x != y {
 		return x < y
 	}
@@ -145,29 +145,29 @@
 	if e.bad != than.bad {
 		return e.bad < than.bad
 	}
-	return e.heardAt > than.heardAt
+	return e.observedAt > than.observedAt
 }
 
 // pool sums up some endpoints.
 type pool struct {
-	n     int
-	load  float64 // sum of their costs
-	best  *endpoint
-	least float64 // cost of the best
+	n      int
+	load   float64 // sum of their costs
+	best   *endpoint
+	lowest float64 // cost of the best
 }
 
 func (p *pool) add(e *endpoint, cost float64) {
 	p.n++
 	p.load += cost
-	if p.best == nil || cost < p.least {
-		p.best, p.least = e, cost
+	if p.best == nil || cost < p.lowest {
+		p.best, p.lowest = e, cost
 	}
 }
 
 func (p *pool) mean() float64 { return p.load / float64(max(1, p.n)) }
 
 // choose picks among the endpoints that are allowed: in our zone unless it is notably loaded, by rendezvous where
-// requests share a cache and the least loaded else.
+// requests share a cache and the least loaded otherwise.
 func (b *Balancer) choose(now time.Duration, s *service, a *Ask, allowed func(*endpoint) bool) *endpoint {
 	var own, far pool
 	for i := range s.list {
@@ -192,21 +192,21 @@
 	case own.n == 0:
 		return b.within(now, s, a, allowed, &far, false, far.mean())
 	}
-	if own.least <= acrossTime*far.least+acrossFew/float64(own.best.capacity()) {
+	if own.lowest <= zoneCostFactor*far.lowest+zoneCostMargin/float64(own.best.capacity()) {
 		return b.within(now, s, a, allowed, &own, true, own.mean())
 	}
 	return b.within(now, s, a, allowed, &far, false, far.mean())
 }
 
 // home is the endpoint that ran what the request goes on from, unless it is notably more loaded than the others: what it
-// holds in its cache would have to be read again elsewhere.
+// holds in its cache would have to be prefilled elsewhere.
 func (b *Balancer) home(now time.Duration, a *Ask, allowed func(*endpoint) bool, own, far *pool) *endpoint {
 	e := b.endpoints[a.Home]
 	if a.Home == "" || e == nil || !e.listed || e.Draining || e.Service != a.Service || !allowed(e) {
 		return nil
 	}
 	mean := (own.load + far.load) / float64(max(1, own.n+far.n))
-	if e.cost(now) > max(homeTimes*mean, mean+homeFew/float64(e.capacity())) {
+	if e.cost(now) > max(homeCostFactor*mean, mean+homeCostMargin/float64(e.capacity())) {
 		return nil
 	}
 	return e
@@ -237,14 +237,14 @@
 // in our zone or outside it whose load is within bounds of the mean. One that comes or goes moves only its own keys.
 func (b *Balancer) rendezvous(now time.Duration, s *service, key uint64, allowed func(*endpoint) bool, local bool, mean float64) *endpoint {
 	var best *endpoint
-	most := 0.0
+	highest := 0.0
 	for _, e := range s.list {
-		if e.local != local || !allowed(e) || e.cost(now) > max(bounded*mean, mean+few/float64(e.capacity())) {
+		if e.local != local || !allowed(e) || e.cost(now) > max(boundedFactor*mean, mean+boundedMargin/float64(e.capacity())) {
 			continue
 		}
 		unit := (float64(mix(key^e.key)>>11) + 0.5) / (1 << 53)
-		if weight := float64(e.capacity()) / -math.Log(unit); weight > most {
-			best, most = e, weight
+		if weight := float64(e.capacity()) / -math.Log(unit); weight > highest {
+			best, highest = e, weight
 		}
 	}
 	return best
@@ -254,7 +254,7 @@
 // rate of those served, spread so that those refused together don't come together. It is kept within the aim, so that
 // the new try may be in time, and within what clients wait.
 func (b *Balancer) retryAfter(now time.Duration, s *service, a *Ask) time.Duration {
-	calls, paused := 0, retryMost
+	calls, paused := 0, retryMax
 	for _, e := range s.list {
 		calls += e.calls
 		paused = min(paused, max(0, e.pausedUntil-now))
@@ -265,9 +265,9 @@
 		wait = max(wait, paused)
 	}
 	wait = wait/2 + time.Duration(b.draw(uint64(wait)+1))
-	most := min(retryMost, a.Left/retryPart)
+	longest := min(retryMax, a.Left/retryPart)
 	if a.Aim > 0 {
-		most = min(most, a.Aim)
+		longest = min(longest, a.Aim)
 	}
-	return max(min(wait, most), retryLeast)
+	return max(min(wait, longest), retryMin)
 }
