--- a/internal/tier/ingress/body.go
+++ b/internal/tier/ingress/body.go
@@ -7,8 +7,8 @@
 )
 
 // readRequest reads a whole request. It returns the status of a refusal, or the error of the connection.
-func (c *conn) readRequest(x *Exchange) (status int, err error) {
-	x.Arrived = c.readAt
+func (c *conn) readRequest(exchange *Exchange) (status int, err error) {
+	exchange.Arrived = c.readAt
 	c.due, c.earned = time.Time{}, 0
 	from, line, end, blank := 0, 0, 0, false
 	for {
@@ -32,7 +32,7 @@
 			from, line = 0, 0
 		}
 		if c.due.IsZero() {
-			c.due = x.Arrived.Add(c.lim.HeaderTimeout)
+			c.due = exchange.Arrived.Add(c.lim.HeaderTimeout)
 			c.nc.SetReadDeadline(c.due)
 		}
 		c.earned = 0 // a head has one time-out
@@ -40,12 +40,12 @@
 			return 0, err
 		}
 	}
-	f, status := parseHead(string((*c.in)[c.r:c.r+end]), x)
+	f, status := parseHead(string((*c.in)[c.r:c.r+end]), exchange)
 	c.r += end
 	if status != 0 {
 		return status, nil
 	}
-	x.keep = !f.close
+	exchange.keep = !f.close
 	c.due, c.earned = time.Time{}, 0
 	if f.length > int64(c.lim.MaxBody) {
 		return 413, nil
@@ -57,15 +57,15 @@
 	}
 	switch {
 	case f.chunked:
-		return c.readChunked(x)
+		return c.readChunked(exchange)
 	case f.length > 0:
-		x.Body, err = c.readLength(nil, int(f.length), false)
+		exchange.Body, err = c.readLength(nil, int(f.length), false)
 		return 0, err
 	}
 	return 0, nil
 }
 
-// readLength appends n bytes to a body, of which more may follow. Room is made as they come, so that a told length alone
+// readLength appends n bytes to a body, of which more may follow. Room is made as they come, so that an announced length alone
 // takes no memory.
 func (c *conn) readLength(body []byte, n int, more bool) ([]byte, error) {
 	for n > 0 {
@@ -98,8 +98,8 @@
 	return body, nil
 }
 
-// readChunked reads a body in chunks, and its trailers, which are dropped.
-func (c *conn) readChunked(x *Exchange) (status int, err error) {
+// readChunked reads a body in chunks, and its trailers, which are discarded.
+func (c *conn) readChunked(exchange *Exchange) (status int, err error) {
 	extra := c.lim.MaxHeader // bytes of extensions and trailers that may come
 	for {
 		line, status, err := c.line(c.lim.MaxHeader)
@@ -116,10 +116,10 @@
 		if size == 0 {
 			break
 		}
-		if size > int64(c.lim.MaxBody-len(x.Body)) {
+		if size > int64(c.lim.MaxBody-len(exchange.Body)) {
 			return 413, nil
 		}
-		if x.Body, err = c.readLength(x.Body, int(size), true); err != nil {
+		if exchange.Body, err = c.readLength(exchange.Body, int(size), true); err != nil {
 			return 0, err
 		}
 		for c.w-c.r < 2 {
@@ -149,8 +149,8 @@
 	}
 }
 
-// line reads a line of at most so many bytes, which it gives back without its CRLF.
-func (c *conn) line(most int) (line string, status int, err error) {
+// line reads a line of at most limit bytes and returns it without its CRLF.
+func (c *conn) line(limit int) (line string, status int, err error) {
 	for at := 0; ; {
 		if c.in != nil {
 			b := (*c.in)[c.r:c.w]
@@ -161,14 +161,14 @@
 				if at == 0 || b[at-1] != '\r' {
 					return "", 400, nil
 				}
-				if at+1 > most {
+				if at+1 > limit {
 					return "", 431, nil
 				}
 				line = string(b[:at-1])
 				c.r += at + 1
 				return line, 0, nil
 			}
-			if len(b) > most {
+			if len(b) > limit {
 				return "", 431, nil
 			}
 		}
--- a/internal/tier/ingress/conn.go
+++ b/internal/tier/ingress/conn.go
@@ -16,7 +16,7 @@
 	bodyProgress = 4 << 10  // bytes of a body that earn it a new time-out
 	firstBody    = 64 << 10 // room for a body before more of it has come
 	writeStep    = 64 << 10 // bytes written under one time-out
-	lingerBytes  = 1 << 20  // read and dropped after a refusal
+	lingerBytes  = 1 << 20  // read and discarded after a refusal
 )
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, bufferSize); return &b }}
@@ -61,7 +61,7 @@
 	prev, next *conn
 }
 
-var errNoSocket = errors.New("front: no socket")
+var errNoSocket = errors.New("ingress: no socket")
 
 func newConn(s *Server, nc net.Conn) (*conn, error) {
 	sc, ok := nc.(syscall.Conn)
@@ -87,8 +87,8 @@
 			return
 		}
 		c.lim = c.s.limits()
-		x := &Exchange{c: c}
-		status, err := c.readRequest(x)
+		exchange := &Exchange{c: c}
+		status, err := c.readRequest(exchange)
 		switch {
 		case status != 0:
 			c.refuse(status)
@@ -102,11 +102,11 @@
 		if c.r == c.w {
 			c.release()
 		}
-		c.run(x)
-		if !x.finish() {
+		c.run(exchange)
+		if !exchange.finish() {
 			return
 		}
-		if !x.keep {
+		if !exchange.keep {
 			c.leave()
 			return
 		}
@@ -116,12 +116,12 @@
 	}
 }
 
-func (c *conn) run(x *Exchange) {
+func (c *conn) run(exchange *Exchange) {
 	defer func() {
 		if p := recover(); p != nil {
-			x.Abort()
+			exchange.Abort()
 			if c.s.Log != nil {
-				c.s.Log.Error().Any("panic", p).Str("path", x.Path).Msg("front handler")
+				c.s.Log.Error().Any("panic", p).Str("path", exchange.Path).Msg("ingress handler")
 			}
 		}
 	}()
@@ -130,11 +130,11 @@
 		if retry <= 0 {
 			retry = 250 * time.Millisecond
 		}
-		x.keep = false
-		x.Respond(503, []Field{{"Retry-After", seconds(retry)}}, nil)
+		exchange.keep = false
+		exchange.Respond(503, []Field{{"Retry-After", seconds(retry)}}, nil)
 		return
 	}
-	c.s.Handler(x)
+	c.s.Handler(exchange)
 }
 
 // release gives the read buffer back; nothing may be left in it.
@@ -289,7 +289,7 @@
 	}
 }
 
-// refuse answers a request that was not read whole, and reads and drops what still comes for a while: closed with bytes
+// refuse answers a request that was not read whole, and reads and discards what still comes for a while: closed with bytes
 // unread, the connection would be reset and the answer lost.
 func (c *conn) refuse(status int) {
 	b := append([]byte(nil), "HTTP/1.1 "...)
@@ -302,9 +302,9 @@
 	if c.in == nil {
 		c.in = buffers.Get().(*[]byte)
 	}
-	for dropped := 0; dropped < lingerBytes; {
+	for discarded := 0; discarded < lingerBytes; {
 		n, err := c.nc.Read(*c.in)
-		if dropped += n; err != nil {
+		if discarded += n; err != nil {
 			return
 		}
 	}
--- a/internal/tier/ingress/exchange.go
+++ b/internal/tier/ingress/exchange.go
@@ -40,80 +40,80 @@
 )
 
 var (
-	// ErrAnswered is given where an answer was made before, or the handler has returned.
-	ErrAnswered = errors.New("front: answered already")
-	// ErrField is given where a status or a field can't be written; nothing was.
-	ErrField = errors.New("front: no valid status or field")
-	// ErrVersion is given where a stream is begun for a client of HTTP/1.0, which was answered 505.
-	ErrVersion = errors.New("front: no streams in HTTP/1.0")
-	errBroken  = errors.New("front: connection is broken")
+	// ErrAnswered is returned where an answer was made before, or the handler has returned.
+	ErrAnswered = errors.New("ingress: answered already")
+	// ErrField is returned where a status or a field can't be written; nothing was.
+	ErrField = errors.New("ingress: no valid status or field")
+	// ErrVersion is returned where a stream is begun for a client of HTTP/1.0, which was answered 505.
+	ErrVersion = errors.New("ingress: no streams in HTTP/1.0")
+	errBroken  = errors.New("ingress: connection is broken")
 )
 
 // CanStream reports whether the client takes an answer in chunks.
-func (x *Exchange) CanStream() bool { return !x.http10 }
+func (exchange *Exchange) CanStream() bool { return !exchange.http10 }
 
 // Answered reports whether an answer, or a stream, was begun.
-func (x *Exchange) Answered() bool { return x.phase != unanswered }
+func (exchange *Exchange) Answered() bool { return exchange.phase != unanswered }
 
 // Respond answers whole, in one write if it is small. Fields of the connection and of framing are left out of the header.
 // An error tells that the client may not have it.
-func (x *Exchange) Respond(status int, header []Field, body []byte) error {
-	if x.c == nil || x.phase != unanswered {
+func (exchange *Exchange) Respond(status int, header []Field, body []byte) error {
+	if exchange.c == nil || exchange.phase != unanswered {
 		return ErrAnswered
 	}
 	buffer := buffers.Get().(*[]byte)
 	defer putBuffer(buffer)
-	x.decide()
-	b, err := x.appendHead((*buffer)[:0], status, header, int64(len(body)))
+	exchange.decide()
+	b, err := exchange.appendHead((*buffer)[:0], status, header, int64(len(body)))
 	if err != nil {
 		return err
 	}
-	x.phase = answered
-	if x.bare {
+	exchange.phase = answered
+	if exchange.bare {
 		body = nil
 	}
 	first := min(len(body), keptBuffer-min(len(b), keptBuffer))
 	b = append(b, body[:first]...)
 	*buffer = b
-	if err = x.write(b); err == nil && first < len(body) {
-		err = x.write(body[first:])
+	if err = exchange.write(b); err == nil && first < len(body) {
+		err = exchange.write(body[first:])
 	}
 	return err
 }
 
-// Begin begins an answer in chunks; its head leaves with the first piece, or the end.
-func (x *Exchange) Begin(status int, header []Field) error {
-	if x.c == nil || x.phase != unanswered {
+// Begin begins an answer in chunks; its head is sent with the first piece or with the end.
+func (exchange *Exchange) Begin(status int, header []Field) error {
+	if exchange.c == nil || exchange.phase != unanswered {
 		return ErrAnswered
 	}
-	if x.http10 {
-		x.Respond(505, nil, nil)
+	if exchange.http10 {
+		exchange.Respond(505, nil, nil)
 		return ErrVersion
 	}
 	buffer := buffers.Get().(*[]byte)
-	x.decide()
-	b, err := x.appendHead((*buffer)[:0], status, header, -1)
+	exchange.decide()
+	b, err := exchange.appendHead((*buffer)[:0], status, header, -1)
 	if err != nil {
 		putBuffer(buffer)
 		return err
 	}
 	*buffer = b
-	x.out, x.phase = buffer, streaming
+	exchange.out, exchange.phase = buffer, streaming
 	return nil
 }
 
 // Write sends a piece of a stream at once, in one write if it is small. An empty one sends the head if that was held.
-func (x *Exchange) Write(p []byte) error {
-	if x.c == nil || x.phase != streaming {
+func (exchange *Exchange) Write(p []byte) error {
+	if exchange.c == nil || exchange.phase != streaming {
 		return ErrAnswered
 	}
-	buffer, b := x.take()
+	buffer, b := exchange.take()
 	defer putBuffer(buffer)
-	if len(p) == 0 || x.bare {
+	if len(p) == 0 || exchange.bare {
 		if len(b) == 0 {
 			return nil
 		}
-		return x.write(b)
+		return exchange.write(b)
 	}
 	b = strconv.AppendInt(b, int64(len(p)), 16)
 	b = append(b, '\r', '\n')
@@ -122,93 +122,93 @@
 	if first == len(p) {
 		b = append(b, '\r', '\n')
 		*buffer = b
-		return x.write(b)
+		return exchange.write(b)
 	}
 	*buffer = b
-	if err := x.write(b); err != nil {
+	if err := exchange.write(b); err != nil {
 		return err
 	}
-	if err := x.write(p[first:]); err != nil {
+	if err := exchange.write(p[first:]); err != nil {
 		return err
 	}
-	return x.write([]byte("\r\n"))
+	return exchange.write([]byte("\r\n"))
 }
 
 // End ends a stream as complete.
-func (x *Exchange) End() error {
-	if x.c == nil || x.phase != streaming {
+func (exchange *Exchange) End() error {
+	if exchange.c == nil || exchange.phase != streaming {
 		return ErrAnswered
 	}
-	buffer, b := x.take()
+	buffer, b := exchange.take()
 	defer putBuffer(buffer)
-	x.phase = answered
-	if !x.bare {
+	exchange.phase = answered
+	if !exchange.bare {
 		b = append(b, "0\r\n\r\n"...)
 	}
 	*buffer = b
 	if len(b) == 0 {
 		return nil
 	}
-	return x.write(b)
+	return exchange.write(b)
 }
 
 // Abort has the connection closed when the handler returns. An answer that is not whole never looks complete.
-func (x *Exchange) Abort() {
-	if x.phase != answered {
-		x.broken = true
+func (exchange *Exchange) Abort() {
+	if exchange.phase != answered {
+		exchange.broken = true
 	}
 }
 
 // take gives a buffer that begins with what of the head has not left yet.
-func (x *Exchange) take() (buffer *[]byte, b []byte) {
-	if buffer = x.out; buffer != nil {
-		x.out = nil
+func (exchange *Exchange) take() (buffer *[]byte, b []byte) {
+	if buffer = exchange.out; buffer != nil {
+		exchange.out = nil
 		return buffer, *buffer
 	}
 	buffer = buffers.Get().(*[]byte)
 	return buffer, (*buffer)[:0]
 }
 
-func (x *Exchange) write(b []byte) error {
-	if x.broken {
+func (exchange *Exchange) write(b []byte) error {
+	if exchange.broken {
 		return errBroken
 	}
-	err := x.c.write(b)
+	err := exchange.c.write(b)
 	if err != nil {
-		x.broken = true
+		exchange.broken = true
 	}
 	return err
 }
 
 // decide settles whether the connection goes on: not while draining, unless a further request has been read already.
-func (x *Exchange) decide() {
-	if x.c.s.draining.Load() && x.c.r == x.c.w {
-		x.keep = false
+func (exchange *Exchange) decide() {
+	if exchange.c.s.draining.Load() && exchange.c.r == exchange.c.w {
+		exchange.keep = false
 	}
 }
 
 // finish ends the exchange after its handler, and reports whether its answer is whole.
-func (x *Exchange) finish() bool {
-	if x.phase == unanswered && !x.broken {
-		x.Respond(500, nil, nil)
+func (exchange *Exchange) finish() bool {
+	if exchange.phase == unanswered && !exchange.broken {
+		exchange.Respond(500, nil, nil)
 	}
-	c := x.c
-	x.watch.stop(c)
-	if x.out != nil {
-		putBuffer(x.out)
-		x.out = nil
+	c := exchange.c
+	exchange.watch.stop(c)
+	if exchange.out != nil {
+		putBuffer(exchange.out)
+		exchange.out = nil
 	}
-	x.c = nil
-	return x.phase == answered && !x.broken
+	exchange.c = nil
+	return exchange.phase == answered && !exchange.broken
 }
 
 // appendHead renders the head of an answer whose body has a length, or comes in chunks if that is negative.
-func (x *Exchange) appendHead(b []byte, status int, header []Field, length int64) ([]byte, error) {
+func (exchange *Exchange) appendHead(b []byte, status int, header []Field, length int64) ([]byte, error) {
 	if status < 200 || status > 999 {
 		return nil, ErrField
 	}
 	empty := status == 204 || status == 304
-	x.bare = empty || x.head
+	exchange.bare = empty || exchange.head
 	b = append(b, "HTTP/1.1 "...)
 	b = appendStatus(b, status)
 	given := false // the length of a body that is left out is known to the handler alone
@@ -217,7 +217,7 @@
 			return nil, ErrField
 		}
 		if hop(f.Name) {
-			if !x.head || status == 204 || given || length > 0 || !strings.EqualFold(f.Name, "Content-Length") {
+			if !exchange.head || status == 204 || given || length > 0 || !strings.EqualFold(f.Name, "Content-Length") {
 				continue
 			}
 			given = true
@@ -236,12 +236,12 @@
 		b = strconv.AppendInt(b, length, 10)
 		b = append(b, '\r', '\n')
 	}
-	// Clients obey the time that is told: it ends before we close, so that no request crosses the close.
-	if told := int64(x.c.lim.IdleTimeout * 9 / 10 / time.Second); !x.keep {
+	// Clients obey the announced time, which ends before we close, so that no request crosses the close.
+	if seconds := int64(exchange.c.lim.IdleTimeout * 9 / 10 / time.Second); !exchange.keep {
 		b = append(b, "Connection: close\r\n"...)
-	} else if told > 0 {
+	} else if seconds > 0 {
 		b = append(b, "Keep-Alive: timeout="...)
-		b = strconv.AppendInt(b, told, 10)
+		b = strconv.AppendInt(b, seconds, 10)
 		b = append(b, '\r', '\n')
 	}
 	return append(b, '\r', '\n'), nil
--- a/internal/tier/ingress/gone.go
+++ b/internal/tier/ingress/gone.go
@@ -48,21 +48,21 @@
 
 // Gone reports whether the client has closed or reset its connection (one that has only ended its own side counts too).
 // While bytes of a next request lie unread it is not gone. It costs one call to the system.
-func (x *Exchange) Gone() bool {
-	return x.c == nil || x.broken || x.watch != nil && x.watch.gone.Load() || peek(x.c.raw) == gone
+func (exchange *Exchange) Gone() bool {
+	return exchange.c == nil || exchange.broken || exchange.watch != nil && exchange.watch.gone.Load() || peek(exchange.c.raw) == gone
 }
 
 // OnGone has f called, from another goroutine and at most once, when the client closes or resets its connection before the
 // handler returns. Watching begins after a time, so that a short exchange costs a timer and no goroutine; it stops where
 // the bytes of a next request have come. f must not block. It may be asked for once an exchange.
-func (x *Exchange) OnGone(after time.Duration, f func()) {
-	if x.watch != nil || x.c == nil {
+func (exchange *Exchange) OnGone(after time.Duration, f func()) {
+	if exchange.watch != nil || exchange.c == nil {
 		return
 	}
-	c := x.c
+	c := exchange.c
 	c.nc.SetReadDeadline(time.Time{})
 	w := &watch{done: make(chan struct{})}
-	x.watch = w
+	exchange.watch = w
 	w.timer = time.AfterFunc(max(0, after), func() {
 		defer close(w.done)
 		found := quiet
--- a/internal/tier/ingress/parse.go
+++ b/internal/tier/ingress/parse.go
@@ -95,20 +95,20 @@
 
 // framing is what a head says of its body and its connection.
 type framing struct {
-	length  int64 // of the body; -1: none told
+	length  int64 // of the body; -1: none announced
 	chunked bool
 	close   bool
 	expect  bool // 100-continue
 }
 
-// parseHead reads a head, which ends with an empty line, into x. It returns the status of the refusal, 0 if there is none.
-func parseHead(h string, x *Exchange) (f framing, status int) {
+// parseHead reads a head, which ends with an empty line, into exchange. It returns the status of the refusal, 0 if there is none.
+func parseHead(h string, exchange *Exchange) (f framing, status int) {
 	f.length = -1
 	line, h := cutLine(h)
-	if status = parseLine(line, x); status != 0 {
+	if status = parseLine(line, exchange); status != 0 {
 		return f, status
 	}
-	x.Header = x.fields[:0]
+	exchange.Header = exchange.fields[:0]
 	hosts, ids, deadlines, lengths, codings := 0, 0, 0, 0, 0
 	for {
 		if line, h = cutLine(h); line == "" {
@@ -118,14 +118,14 @@
 		if !ok {
 			return f, 400
 		}
-		x.Header = append(x.Header, field)
+		exchange.Header = append(exchange.Header, field)
 		switch n := field.Name; len(n) {
 		case 4:
 			if strings.EqualFold(n, "Host") {
-				if hosts++; hosts > 1 || !all(field.Value, hostChar) || x.Host != "" && !strings.EqualFold(x.Host, field.Value) {
+				if hosts++; hosts > 1 || !all(field.Value, hostChar) || exchange.Host != "" && !strings.EqualFold(exchange.Host, field.Value) {
 					return f, 400
 				}
-				x.Host = field.Value
+				exchange.Host = field.Value
 			}
 		case 6:
 			if strings.EqualFold(n, "Expect") {
@@ -161,16 +161,16 @@
 			}
 		}
 	}
-	if hosts != 1 || ids > 1 || deadlines > 1 || lengths > 1 || codings > 1 || lengths > 0 && codings > 0 || f.chunked && x.http10 {
+	if hosts != 1 || ids > 1 || deadlines > 1 || lengths > 1 || codings > 1 || lengths > 0 && codings > 0 || f.chunked && exchange.http10 {
 		return f, 400
 	}
-	f.close = f.close || x.http10
-	f.expect = f.expect && !x.http10
+	f.close = f.close || exchange.http10
+	f.expect = f.expect && !exchange.http10
 	return f, 0
 }
 
 // parseLine reads a request line.
-func parseLine(line string, x *Exchange) int {
+func parseLine(line string, exchange *Exchange) int {
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
 	if !ok || !ok2 || !all(method, tokenChar) || !all(target, targetChar) {
@@ -182,7 +182,7 @@
 	switch version[5:] {
 	case "1.1":
 	case "1.0":
-		x.http10 = true
+		exchange.http10 = true
 	default:
 		return 505
 	}
@@ -202,14 +202,14 @@
 		if !all(authority, hostChar) {
 			return 400
 		}
-		x.Host = authority
+		exchange.Host = authority
 	}
 	if target == "*" && method != "OPTIONS" {
 		return 400
 	}
-	x.Method, x.Target = method, target
-	x.Path, _, _ = strings.Cut(target, "?")
-	x.head = method == "HEAD"
+	exchange.Method, exchange.Target = method, target
+	exchange.Path, _, _ = strings.Cut(target, "?")
+	exchange.head = method == "HEAD"
 	return 0
 }
 
@@ -230,7 +230,7 @@
 	return n, s != ""
 }
 
-// parseChunkSize reads the line of a chunk, extensions being dropped. Sizes have up to 15 digits.
+// parseChunkSize reads the line of a chunk, extensions being discarded. Sizes have up to 15 digits.
 func parseChunkSize(line string) (int64, bool) {
 	size, ext, has := strings.Cut(line, ";")
 	if len(size) > 15 || has && !all(ext, valueChar) {
--- a/internal/tier/ingress/server.go
+++ b/internal/tier/ingress/server.go
@@ -1,4 +1,4 @@
-// Package front is a small, strict HTTP/1.1 server for clients: one goroutine a connection, one write a small answer, no
+// Package ingress is a small, strict HTTP/1.1 server for clients: one goroutine a connection, one write a small answer, no
 // buffers held by connections that wait, and every end of a connection known: one is closed between requests only while no
 // byte of a request has come, and an answer that was cut short never looks complete.
 package ingress
@@ -47,7 +47,7 @@
 	MaxConns     int           // descriptors that connections may take; 0: no bound
 	WriteTimeout time.Duration // for each 64 KB that a client takes; 0: the idle time-out
 	Linger       time.Duration // how long a client that is being left may still send or read; 0: half a second
-	RetryAfter   time.Duration // told with the 503 that is answered for want of descriptors; 0: a quarter of a second
+	RetryAfter   time.Duration // sent with the 503 that is answered for want of descriptors; 0: a quarter of a second
 	Log          *log.Logger   // may be nil
 
 	draining atomic.Bool
@@ -62,7 +62,7 @@
 }
 
 // ErrStopped is what Serve returns when Shutdown or Close has been called before it.
-var ErrStopped = errors.New("front: server is stopped")
+var ErrStopped = errors.New("ingress: server is stopped")
 
 // emptied is how long a listener's queue has to stay empty in a shutdown.
 const emptied = 20 * time.Millisecond
@@ -114,7 +114,7 @@
 				return err
 			}
 			if s.Log != nil {
-				s.Log.Warn().Err(err).Msg("front accept")
+				s.Log.Warn().Err(err).Msg("ingress accept")
 			}
 			if !s.evict() {
 				time.Sleep(50 * time.Millisecond)
@@ -142,7 +142,7 @@
 	s.checkEnded()
 }
 
-// checkEnded tells a shutdown that nothing is left. The lock is held.
+// checkEnded notifies a shutdown that nothing is left. The caller holds the lock.
 func (s *Server) checkEnded() {
 	if s.ended != nil && len(s.listeners) == 0 && len(s.conns) == 0 {
 		close(s.ended)
@@ -160,7 +160,7 @@
 }
 
 // take starts a connection. Where descriptors run out, the connection idle for longest gives way; where none is idle, the
-// new one is told 503 out of a small reserve, and beyond that closed unread.
+// new one is answered 503 out of a small reserve, and beyond that closed unread.
 func (s *Server) take(nc net.Conn) {
 	c, err := newConn(s, nc)
 	if err != nil {
