--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -19,7 +19,7 @@
 	"github.com/phuslu/log"
 )
 
-// Config is what a gateway is told.
+// Config is what a gateway is given.
 type Config struct {
 	Settings     settings.Settings
 	ControlPlane func(address string) tierv1.ControlPlane
@@ -27,15 +27,15 @@
 	Log          *log.Logger
 }
 
-// Gateway is the role.
+// Gateway carries requests between clients and endpoints. Its methods may be called from any goroutine.
 type Gateway struct {
 	c       Config
 	log     *log.Logger
 	started time.Time
 	session *session.Client
-	keeping *keeping
+	stores  *storeClient
 	pool    *upstream.Pool
-	held    *held
+	texts   *textCache
 
 	routing atomic.Pointer[routing.Table]
 	listed  atomic.Bool // a list of endpoints has come
@@ -46,56 +46,56 @@
 	serving      map[string]bool // instances on the newest list that are not draining
 	freed        chan struct{}   // closed when a place may have come free, if somebody waits
 	waiting      int
-	dropping     map[string]map[chan struct{}]bool // by program: closed when a reservation that is given up here is settled
+	releasing    map[string]map[chan struct{}]bool // by program: closed when a reservation that is being released here is settled
 
-	told     atomic.Bool // the readiness told last
-	leaving  atomic.Bool
-	settling sync.WaitGroup // settlements that go on behind their requests
+	lastReady atomic.Bool // the readiness last answered
+	leaving   atomic.Bool
+	settling  sync.WaitGroup // settlements that go on behind their requests
 }
 
 // New makes a gateway that Run starts.
 func New(c Config) *Gateway {
-	k := &Gateway{c: c, log: c.Log, started: time.Now(), loadbalancer: loadbalancer.New(c.Settings.Zone), freed: make(chan struct{}), dropping: map[string]map[chan struct{}]bool{}}
-	k.keeping = newKeeping(c.Settings, c.TurnStore, c.Log)
-	k.pool = newPool(c.Settings)
-	k.held = newHeld(c.Settings.MemoryMB << 20 / 16)
-	k.session = session.New(session.Config{Settings: c.Settings, Role: "gateway", Dial: c.ControlPlane, Log: c.Log,
-		Configuration: k.takeConfiguration, Endpoints: k.takeEndpoints, PartitionMap: k.keeping.apply})
-	return k
+	gateway := &Gateway{c: c, log: c.Log, started: time.Now(), loadbalancer: loadbalancer.New(c.Settings.Zone), freed: make(chan struct{}), releasing: map[string]map[chan struct{}]bool{}}
+	gateway.stores = newStoreClient(c.Settings, c.TurnStore, c.Log)
+	gateway.pool = newPool(c.Settings)
+	gateway.texts = newTextCache(c.Settings.MemoryMB << 20 / 16)
+	gateway.session = session.New(session.Config{Settings: c.Settings, Role: "gateway", Dial: c.ControlPlane, Log: c.Log,
+		Configuration: gateway.takeConfiguration, Endpoints: gateway.takeEndpoints, PartitionMap: gateway.stores.apply})
+	return gateway
 }
 
-func (k *Gateway) now() time.Duration { return time.Since(k.started) }
+func (gateway *Gateway) now() time.Duration { return time.Since(gateway.started) }
 
-func (k *Gateway) takeConfiguration(v *tierv1.Configuration) {
+func (gateway *Gateway) takeConfiguration(v *tierv1.Configuration) {
 	c, err := routing.Parse(v.Body)
-	if err != nil { // control has checked it
-		k.log.Error().Str("event", "catalog_unreadable").Err(err).Msg("")
+	if err != nil { // the control plane has checked it
+		gateway.log.Error().Str("event", "catalog_unreadable").Err(err).Msg("")
 		return
 	}
-	k.routing.Store(c)
-	k.log.Info().Str("event", "configuration").Int64("revision", c.Revision).Uint64("version", v.Version).Msg("")
-	k.relist()
+	gateway.routing.Store(c)
+	gateway.log.Info().Str("event", "configuration").Int64("revision", c.Revision).Uint64("version", v.Version).Msg("")
+	gateway.relist()
 }
 
-func (k *Gateway) takeEndpoints(v *tierv1.Endpoints) {
-	k.mu.Lock()
-	k.endpoints = v
-	k.mu.Unlock()
-	k.relist()
-	k.listed.Store(true)
+func (gateway *Gateway) takeEndpoints(v *tierv1.Endpoints) {
+	gateway.mu.Lock()
+	gateway.endpoints = v
+	gateway.mu.Unlock()
+	gateway.relist()
+	gateway.listed.Store(true)
 }
 
 // relist tells the load balancer the endpoints, with what the configuration says of their services.
-func (k *Gateway) relist() {
-	c := k.routing.Load()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.endpoints == nil {
+func (gateway *Gateway) relist() {
+	c := gateway.routing.Load()
+	gateway.mu.Lock()
+	defer gateway.mu.Unlock()
+	if gateway.endpoints == nil {
 		return
 	}
-	list := make([]loadbalancer.Endpoint, 0, len(k.endpoints.List))
-	k.serving = make(map[string]bool, len(k.endpoints.List))
-	for _, e := range k.endpoints.List {
+	list := make([]loadbalancer.Endpoint, 0, len(gateway.endpoints.List))
+	gateway.serving = make(map[string]bool, len(gateway.endpoints.List))
+	for _, e := range gateway.endpoints.List {
 		one := loadbalancer.Endpoint{Instance: e.Instance, Service: e.Service, Address: e.Address, Zone: e.Zone, Capacity: int(e.Capacity),
 			Draining: e.Draining, ColdRemaining: time.Duration(e.ColdRemainingMs) * time.Millisecond}
 		if c != nil {
@@ -105,30 +105,30 @@
 		}
 		list = append(list, one)
 		if !e.Draining {
-			k.serving[e.Instance] = true
+			gateway.serving[e.Instance] = true
 		}
 	}
-	k.loadbalancer.SetEndpoints(k.now(), list)
-	k.wake()
+	gateway.loadbalancer.SetEndpoints(gateway.now(), list)
+	gateway.wake()
 }
 
 // wake has all that wait for a place look again. The caller holds mu.
-func (k *Gateway) wake() {
-	if k.waiting > 0 {
-		close(k.freed)
-		k.freed = make(chan struct{})
-		k.waiting = 0
+func (gateway *Gateway) wake() {
+	if gateway.waiting > 0 {
+		close(gateway.freed)
+		gateway.freed = make(chan struct{})
+		gateway.waiting = 0
 	}
 }
 
 // ready: all views have come in this life, and it is not leaving.
-func (k *Gateway) ready() bool {
-	return !k.leaving.Load() && k.routing.Load() != nil && k.listed.Load() && k.keeping.ready()
+func (gateway *Gateway) ready() bool {
+	return !gateway.leaving.Load() && gateway.routing.Load() != nil && gateway.listed.Load() && gateway.stores.ready()
 }
 
-func (k *Gateway) limits() ingress.Limits {
+func (gateway *Gateway) limits() ingress.Limits {
 	l := ingress.Limits{MaxHeader: 16 << 10, MaxBody: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
-	if c := k.routing.Load(); c != nil {
+	if c := gateway.routing.Load(); c != nil {
 		l = ingress.Limits{MaxHeader: c.Limits.MaxHeader, MaxBody: c.Limits.MaxBody, HeaderTimeout: c.Limits.HeaderTimeout, IdleTimeout: c.Limits.IdleTimeout}
 	}
 	return l
@@ -136,13 +136,13 @@
 
 // Run serves until ctx ends, then leaves: it is not ready any more, goes on for as long as the platform may still send
 // clients, and ends what it has read.
-func (k *Gateway) Run(ctx context.Context) error {
-	s := k.c.Settings
-	held, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	go k.session.Run(held)
-	probe := &ingress.Server{Handler: k.readiness, Limits: k.limits, MaxConns: 64, Log: k.log}
-	server := &ingress.Server{Handler: k.handle, Limits: k.limits, MaxConns: max(64, s.Descriptors*6/10), Log: k.log}
+func (gateway *Gateway) Run(ctx context.Context) error {
+	s := gateway.c.Settings
+	sessions, stopSessions := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopSessions()
+	go gateway.session.Run(sessions)
+	probe := &ingress.Server{Handler: gateway.readiness, Limits: gateway.limits, MaxConns: 64, Log: gateway.log}
+	server := &ingress.Server{Handler: gateway.handle, Limits: gateway.limits, MaxConns: max(64, s.Descriptors*6/10), Log: gateway.log}
 	failed := make(chan error, 2)
 	for _, one := range []struct {
 		address string
@@ -154,29 +154,29 @@
 		}
 		go func() { failed <- one.server.Serve(l) }()
 	}
-	k.log.Info().Str("event", "started").Str("role", "gateway").Str("node", s.Node).Msg("")
+	gateway.log.Info().Str("event", "started").Str("role", "gateway").Str("node", s.Node).Msg("")
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
-	k.leaving.Store(true)
-	k.session.Leave()
-	k.log.Info().Str("event", "leaving").Str("node", s.Node).Msg("")
+	gateway.leaving.Store(true)
+	gateway.session.Leave()
+	gateway.log.Info().Str("event", "leaving").Str("node", s.Node).Msg("")
 	server.Drain()
 	// The platform asks once a second and sends clients until two answers were missed.
 	linger := time.NewTimer(min(3*time.Second, s.Grace*2/5))
 	<-linger.C
-	last, cancel := context.WithTimeout(held, s.Grace/2)
+	last, cancel := context.WithTimeout(sessions, s.Grace/2)
 	defer cancel()
 	err := server.Shutdown(last)
 	done := make(chan struct{})
-	go func() { k.settling.Wait(); close(done) }()
+	go func() { gateway.settling.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-last.Done():
 	}
-	k.log.Info().Str("event", "left").Str("node", s.Node).Msg("")
+	gateway.log.Info().Str("event", "left").Str("node", s.Node).Msg("")
 	return err
 }
 
@@ -192,10 +192,10 @@
 	}
 }
 
-func (k *Gateway) readiness(x *ingress.Exchange) {
-	ready := k.ready()
-	if k.told.Swap(ready) != ready {
-		k.log.Info().Str("event", "readiness").Bool("ready", ready).Msg("")
+func (gateway *Gateway) readiness(x *ingress.Exchange) {
+	ready := gateway.ready()
+	if gateway.lastReady.Swap(ready) != ready {
+		gateway.log.Info().Str("event", "readiness").Bool("ready", ready).Msg("")
 	}
 	if ready {
 		x.Respond(200, nil, nil)
--- a/internal/tier/gateway/pass.go
+++ b/internal/tier/gateway/pass.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	sendsMost = 8                      // tries of one request that ended before a byte was written, and sends, at most
+	maxTries  = 8                      // tries of one request that ended before a byte was written, and sends, at most
 	watchFrom = 300 * time.Millisecond // a client is watched for its end from then on
 )
 
@@ -20,54 +20,54 @@
 	return upstream.NewPool(upstream.Config{Connections: max(32, s.Descriptors*3/10)})
 }
 
-// request is w as an endpoint gets it.
-func (w *work) request(choice loadbalancer.Choice) *upstream.Request {
-	x := w.x
+// upstreamRequest is the request as an endpoint gets it.
+func (request *clientRequest) upstreamRequest(choice loadbalancer.Choice) *upstream.Request {
+	x := request.x
 	ends := x.Header.AppendEndToEnd(make([]ingress.Field, 0, len(x.Header)+1))
 	head := make([]upstream.Field, 0, len(ends))
 	for _, f := range ends {
 		head = append(head, upstream.Field(f))
 	}
-	q := &upstream.Request{Method: x.Method, Target: x.Target, Host: x.Host, Header: head, AttemptID: w.attempt, Deadline: w.until, Priority: -1,
-		Turn: w.route.Persisted, Permit: func() bool { return w.k.stands(choice) }}
-	if len(w.body) > 0 {
-		q.Body = [][]byte{w.body}
+	q := &upstream.Request{Method: x.Method, Target: x.Target, Host: x.Host, Header: head, AttemptID: request.attempt, Deadline: request.until, Priority: -1,
+		Turn: request.route.Persisted, Permit: func() bool { return request.gateway.stands(choice) }}
+	if len(request.body) > 0 {
+		q.Body = [][]byte{request.body}
 	}
-	if w.route.Kind == routing.Streaming {
-		q.Priority = min(max(w.route.Priority, 0), 9)
+	if request.route.Kind == routing.Streaming {
+		q.Priority = min(max(request.route.Priority, 0), 9)
 		q.Stream = true
 	}
 	return q
 }
 
 // stands asks at the last moment whether the endpoint is still one that requests may go to.
-func (k *Gateway) stands(choice loadbalancer.Choice) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.serving[choice.Instance]
+func (gateway *Gateway) stands(choice loadbalancer.Choice) bool {
+	gateway.mu.Lock()
+	defer gateway.mu.Unlock()
+	return gateway.serving[choice.Instance]
 }
 
 // send makes one send at the endpoint of choice. A result that is streaming is the caller's to finish.
-func (w *work) send(ctx context.Context, choice loadbalancer.Choice) *upstream.Result {
-	most := 0
-	if c := w.k.routing.Load(); c != nil {
-		if s := c.Services[w.service]; s != nil {
-			most = s.MaxConnections
+func (request *clientRequest) send(ctx context.Context, choice loadbalancer.Choice) *upstream.Result {
+	maxConnections := 0
+	if c := request.gateway.routing.Load(); c != nil {
+		if s := c.Services[request.service]; s != nil {
+			maxConnections = s.MaxConnections
 		}
 	}
-	w.began = time.Now()
-	r := w.k.pool.Call(ctx, upstream.Target{Address: choice.Address, Instance: choice.Instance, Connections: most}, w.request(choice), choice.Timeout)
+	request.began = time.Now()
+	r := request.gateway.pool.Call(ctx, upstream.Target{Address: choice.Address, Instance: choice.Instance, Connections: maxConnections}, request.upstreamRequest(choice), choice.Timeout)
 	if r.Written {
-		w.sent++
-		w.tried = append(w.tried, choice.Instance)
+		request.sent++
+		request.tried = append(request.tried, choice.Instance)
 	}
 	if r.End != upstream.Streaming {
-		w.k.done(choice.Call, outcome(r, time.Since(w.began)))
+		request.gateway.done(choice.Call, outcome(r, time.Since(request.began)))
 	}
 	return r
 }
 
-// outcome is what the load balancer hears of a call that has ended.
+// outcome is what the load balancer is given of a call that has ended.
 func outcome(r *upstream.Result, took time.Duration) loadbalancer.Outcome {
 	o := loadbalancer.Outcome{First: took}
 	end := r.End
@@ -107,35 +107,35 @@
 	return o
 }
 
-func (k *Gateway) heard(call *loadbalancer.Call) {
-	k.mu.Lock()
-	k.loadbalancer.Heard(k.now(), call)
-	k.mu.Unlock()
+func (gateway *Gateway) firstPiece(call *loadbalancer.Call) {
+	gateway.mu.Lock()
+	gateway.loadbalancer.FirstPiece(gateway.now(), call)
+	gateway.mu.Unlock()
 }
 
-// again reports whether another send is allowed and has a chance.
-func (w *work) again(r *upstream.Result, tries int) bool {
-	return r.Verdict(false).Retry(w.route.Kind == routing.Idempotent) && w.sent < w.route.MaxAttempts && tries < sendsMost &&
-		time.Until(w.until) > 0
+// mayRetry reports whether another send is allowed and has a chance.
+func (request *clientRequest) mayRetry(r *upstream.Result, tries int) bool {
+	return r.Verdict(false).Retry(request.route.Kind == routing.Idempotent) && request.sent < request.route.MaxAttempts && tries < maxTries &&
+		time.Until(request.until) > 0
 }
 
-// finish gives the client the answer that is left when nothing is left to try.
-func (w *work) finish(r *upstream.Result) {
+// finish answers the client when nothing is left to try.
+func (request *clientRequest) finish(r *upstream.Result) {
 	switch r.Verdict(false).Reply {
 	case upstream.PassOn:
-		w.x.Respond(r.Answer.Status, fields(r.Answer), r.Body)
+		request.x.Respond(r.Answer.Status, fields(r.Answer), r.Body)
 	case upstream.Refuse:
-		after := w.k.keeping.wait
+		after := request.gateway.stores.wait
 		if r.Answer != nil && r.Answer.RetryAfter > 0 {
 			after = r.Answer.RetryAfter
 		}
-		w.k.refuse(w.x, after)
+		request.gateway.refuse(request.x, after)
 	case upstream.GatewayTimeout:
-		w.x.Respond(504, nil, nil)
+		request.x.Respond(504, nil, nil)
 	case upstream.BadGateway:
-		w.x.Respond(502, nil, nil)
+		request.x.Respond(502, nil, nil)
 	default:
-		w.x.Abort()
+		request.x.Abort()
 	}
 }
 
@@ -148,81 +148,81 @@
 }
 
 // unsent answers a request for which no endpoint is to be had.
-func (w *work) unsent(choice loadbalancer.Choice) {
+func (request *clientRequest) unsent(choice loadbalancer.Choice) {
 	after := choice.RetryAfter
 	if after <= 0 {
-		after = w.k.keeping.wait
+		after = request.gateway.stores.wait
 	}
-	w.k.refuse(w.x, after)
+	request.gateway.refuse(request.x, after)
 }
 
 // whole sends a request whose answer is passed on when it is here whole.
-func (w *work) whole() {
+func (request *clientRequest) whole() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.x.OnGone(watchFrom, cancel)
+	request.x.OnGone(watchFrom, cancel)
 	var last *upstream.Result
 	for tries := 1; ; tries++ {
-		choice := w.choose()
+		choice := request.choose()
 		if choice.Verdict != loadbalancer.Send {
-			if last != nil && w.sent > 0 { // it may have run
-				w.finish(last)
+			if last != nil && request.sent > 0 { // it may have run
+				request.finish(last)
 			} else {
-				w.unsent(choice)
+				request.unsent(choice)
 			}
 			return
 		}
-		r := w.send(ctx, choice)
+		r := request.send(ctx, choice)
 		if r.End == upstream.Streaming {
-			w.pass(r, choice, nil)
+			request.pass(r, choice, nil)
 			return
 		}
 		// What an earlier send may have done stands, whatever a later one says.
 		if last == nil || r.Verdict(false).Ran != upstream.No || last.Verdict(false).Ran == upstream.No {
 			last = r
 		}
-		if !w.again(r, tries) {
-			w.finish(last)
+		if !request.mayRetry(r, tries) {
+			request.finish(last)
 			return
 		}
 	}
 }
 
 // stream sends a request whose answer is passed on event by event; t is what is kept of it, if it is a turn.
-func (w *work) stream(t *kept) {
+func (request *clientRequest) stream(t *kept) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.x.OnGone(watchFrom, cancel)
+	request.x.OnGone(watchFrom, cancel)
 	for tries := 1; ; tries++ {
-		choice := w.choose()
+		choice := request.choose()
 		if choice.Verdict != loadbalancer.Send {
 			if t != nil {
-				w.drop(t.program, 0)
+				request.release(t.program, 0)
 			}
-			w.unsent(choice)
+			request.unsent(choice)
 			return
 		}
-		r := w.send(ctx, choice)
+		r := request.send(ctx, choice)
 		if r.End == upstream.Streaming {
-			w.pass(r, choice, t)
+			request.pass(r, choice, t)
 			return
 		}
-		if w.again(r, tries) {
+		if request.mayRetry(r, tries) {
 			continue
 		}
 		if t != nil {
-			w.drop(t.program, 0)
+			request.release(t.program, 0)
 		}
-		w.finish(r)
+		request.finish(r)
 		return
 	}
 }
 
 // pass hands the pieces of an answer to the client as they come, and its end when the turn is kept.
-func (w *work) pass(r *upstream.Result, choice loadbalancer.Choice, t *kept) {
-	x, s := w.x, r.Stream
+func (request *clientRequest) pass(r *upstream.Result, choice loadbalancer.Choice, t *kept) {
+	x, s := request.x, r.Stream
 	defer s.Close()
-	s.SetDeadline(w.until)
+	s.SetDeadline(request.until)
 	var first time.Duration
 	var out []byte
 	events, handed, begun, lost := uint64(0), uint64(0), false, false
@@ -232,8 +232,8 @@
 			break
 		}
 		if first == 0 {
-			first = time.Since(w.began)
-			w.k.heard(choice.Call)
+			first = time.Since(request.began)
+			request.gateway.firstPiece(choice.Call)
 		}
 		events++
 		out = append(out, p.Raw...)
@@ -264,22 +264,22 @@
 		lost = lost || x.Write(out) != nil
 	}
 	s.Close()
-	o := outcome(r, time.Since(w.began))
+	o := outcome(r, time.Since(request.began))
 	o.First = first
-	w.k.done(choice.Call, o)
-	tokens := events * w.perEvent
+	request.gateway.done(choice.Call, o)
+	tokens := events * request.perEvent
 	if s.End() != upstream.Whole || lost {
 		if t != nil {
 			if s.End() != upstream.Whole && !lost {
-				tokens = handed * w.perEvent
+				tokens = handed * request.perEvent
 			}
-			w.drop(t.program, tokens)
+			request.release(t.program, tokens)
 		}
 		if begun || lost {
 			x.Abort()
 			return
 		}
-		w.finish(r)
+		request.finish(r)
 		return
 	}
 	if !begun { // a stream without events
@@ -292,11 +292,11 @@
 		t.instance = choice.Instance
 	}
 	if t != nil {
-		if !w.keep(t, tokens) {
+		if !request.keep(t, tokens) {
 			x.Abort()
 			return
 		}
-		w.k.held.keep(&text{attempt: w.attempt, line: t.line, instance: t.instance, prompt: append(w.body, t.output...)})
+		request.gateway.texts.keep(&text{attempt: request.attempt, line: t.line, instance: t.instance, prompt: append(request.body, t.output...)})
 	}
 	x.End()
 }
--- a/internal/tier/gateway/permit_test.go
+++ b/internal/tier/gateway/permit_test.go
@@ -15,8 +15,8 @@
 // The list that stands at the last moment before a request is written decides, whatever stood when its endpoint was picked.
 func TestTheListIsAskedBeforeTheWrite(t *testing.T) {
 	k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.Silent()})
-	w := &work{k: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
-	permit := w.request(loadbalancer.Choice{Instance: "i-1"}).Permit
+	w := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
+	permit := w.upstreamRequest(loadbalancer.Choice{Instance: "i-1"}).Permit
 	entry := func(draining bool) *tierv1.Endpoint {
 		return &tierv1.Endpoint{Instance: "i-1", Service: "s", Address: "127.0.0.1:1", Draining: draining}
 	}
--- a/internal/tier/gateway/dropped_test.go
+++ b/internal/tier/gateway/released_test.go
@@ -29,23 +29,23 @@
 }
 
 // A try that finds the budget spent waits for a reservation of its program that is being given up, and only for that.
-func TestDroppedWaitsForTheReservation(t *testing.T) {
+func TestReleasedWaitsForTheReservation(t *testing.T) {
 	v := slowTurnStore{asked: make(chan struct{}), let: make(chan struct{})}
 	k := New(Config{Settings: settings.Settings{ContactWindow: time.Minute, MemoryMB: 64}, Log: &log.Logger{Level: log.PanicLevel},
 		TurnStore: func(string) tierv1.TurnStore { return v }})
-	k.keeping.apply(&tierv1.PartitionMap{Version: 1, StoreNodes: []*tierv1.StoreNode{{Folder: "f", Address: "a"}},
+	k.stores.apply(&tierv1.PartitionMap{Version: 1, StoreNodes: []*tierv1.StoreNode{{Folder: "f", Address: "a"}},
 		Partitions: []*tierv1.Partition{{Epoch: 1, Primary: "f"}}})
 	ctx := context.Background()
-	assert.Assert(t, !dropped(ctx, k.pending("p")))
-	over := (&work{k: k, attempt: "t"}).dropLater("p", 0)
+	assert.Assert(t, !released(ctx, k.pending("p")))
+	over := (&clientRequest{gateway: k, attempt: "t"}).releaseLater("p", 0)
 	<-v.asked
-	assert.Assert(t, !dropped(ctx, k.pending("another")))
+	assert.Assert(t, !released(ctx, k.pending("another")))
 	ended, cancel := context.WithCancel(ctx)
 	cancel()
-	assert.Assert(t, !dropped(ended, k.pending("p"))) // it is not settled yet
+	assert.Assert(t, !released(ended, k.pending("p"))) // it is not settled yet
 	before := k.pending("p")
 	waited := make(chan bool)
-	go func() { waited <- dropped(ctx, before) }()
+	go func() { waited <- released(ctx, before) }()
 	select {
 	case <-waited:
 		t.Fatal("it did not wait")
@@ -54,6 +54,6 @@
 	close(v.let)
 	<-over
 	assert.Assert(t, <-waited)
-	assert.Assert(t, !dropped(ctx, k.pending("p")))
-	assert.Equal(t, len(k.dropping), 0)
+	assert.Assert(t, !released(ctx, k.pending("p")))
+	assert.Equal(t, len(k.releasing), 0)
 }
--- a/internal/tier/gateway/serve.go
+++ b/internal/tier/gateway/serve.go
@@ -17,31 +17,31 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// work is one request on its way.
-type work struct {
-	k        *Gateway
-	x        *ingress.Exchange
-	route    *routing.Route
-	service  string
-	attempt  string
-	until    time.Time // by then it is answered, or given up
-	tokens   int64     // of its prompt
-	most     uint64    // tokens out
-	perEvent uint64
-	affinity string
-	prefix   []string
-	body     []byte
-	tried    []string
-	home     string    // instance that ran what it goes on from
-	sent     int       // endpoints that it was sent to
-	began    time.Time // of the last send
+// clientRequest is one request on its way.
+type clientRequest struct {
+	gateway   *Gateway
+	x         *ingress.Exchange
+	route     *routing.Route
+	service   string
+	attempt   string
+	until     time.Time // by then it is answered or aborted
+	tokens    int64     // of its prompt
+	maxTokens uint64    // that the turn may generate
+	perEvent  uint64
+	affinity  string
+	prefix    []string
+	body      []byte
+	tried     []string
+	home      string    // instance that ran what it goes on from
+	sent      int       // endpoints that it was sent to
+	began     time.Time // of the last send
 }
 
 // handle answers one request.
-func (k *Gateway) handle(x *ingress.Exchange) {
-	c := k.routing.Load()
+func (gateway *Gateway) handle(x *ingress.Exchange) {
+	c := gateway.routing.Load()
 	if c == nil {
-		k.refuse(x, 500*time.Millisecond)
+		gateway.refuse(x, 500*time.Millisecond)
 		return
 	}
 	route := c.Match(x.Host, x.Path)
@@ -49,8 +49,8 @@
 		x.Respond(404, nil, []byte("no route\n"))
 		return
 	}
-	w := &work{k: k, x: x, route: route, attempt: x.Header.Get("X-Attempt-Id"), body: x.Body, perEvent: 1}
-	if w.attempt == "" {
+	request := &clientRequest{gateway: gateway, x: x, route: route, attempt: x.Header.Get("X-Attempt-Id"), body: x.Body, perEvent: 1}
+	if request.attempt == "" {
 		x.Respond(400, nil, []byte("no X-Attempt-Id\n"))
 		return
 	}
@@ -69,83 +69,83 @@
 			left = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
-	w.until = x.Arrived.Add(left)
+	request.until = x.Arrived.Add(left)
 	if v := x.Header.Get("X-Token-Usage"); v != "" {
 		in, out, _ := strings.Cut(v, ",")
-		w.tokens, _ = strconv.ParseInt(strings.TrimSpace(in), 10, 64)
-		w.most, _ = strconv.ParseUint(strings.TrimSpace(out), 10, 64)
+		request.tokens, _ = strconv.ParseInt(strings.TrimSpace(in), 10, 64)
+		request.maxTokens, _ = strconv.ParseUint(strings.TrimSpace(out), 10, 64)
 	}
 	if v := x.Header.Get("X-Prompt-Prefix"); v != "" {
 		for part := range strings.SplitSeq(v, ",") {
 			id, _, _ := strings.Cut(strings.TrimSpace(part), ":")
-			w.prefix = append(w.prefix, id)
+			request.prefix = append(request.prefix, id)
 		}
-		w.affinity = w.prefix[len(w.prefix)-1]
+		request.affinity = request.prefix[len(request.prefix)-1]
 	}
 	if v := x.Header.Get("Session"); v != "" && !route.Persisted {
-		w.affinity = v
+		request.affinity = v
 	}
 	if route.Persisted { // it goes to where its line ran, and the first of a line wherever the load is least
-		w.affinity, w.prefix = "", nil
+		request.affinity, request.prefix = "", nil
 	}
-	sticky := cmp.Or(x.Header.Get("Session"), w.affinity)
+	sticky := cmp.Or(x.Header.Get("Session"), request.affinity)
 	if sticky == "" || !route.Sticky {
-		sticky = w.attempt
+		sticky = request.attempt
 	}
 	h := fnv.New64a()
 	h.Write([]byte(sticky))
-	w.service = route.Pick(h.Sum64())
-	if s := c.Services[w.service]; s != nil && s.Engine != nil {
-		w.perEvent = max(1, uint64(s.Engine.TokensPerEvent))
+	request.service = route.Pick(h.Sum64())
+	if s := c.Services[request.service]; s != nil && s.Engine != nil {
+		request.perEvent = max(1, uint64(s.Engine.TokensPerEvent))
 	}
 	switch {
 	case route.Persisted:
-		w.turn()
+		request.turn()
 	case route.Kind == routing.Streaming:
-		w.stream(nil)
+		request.stream(nil)
 	default:
-		w.whole()
+		request.whole()
 	}
 }
 
 // refuse says that the request has not run and never will, and when to come back.
-func (k *Gateway) refuse(x *ingress.Exchange, after time.Duration) {
+func (gateway *Gateway) refuse(x *ingress.Exchange, after time.Duration) {
 	seconds := strconv.FormatFloat(max(after, time.Millisecond).Seconds(), 'f', 3, 64)
 	x.Respond(503, []ingress.Field{{Name: "Retry-After", Value: seconds}}, nil)
 }
 
 // turn takes a turn through its turn store: what it goes on from and room in its budget before it is sent, its text after.
-func (w *work) turn() {
-	k, x := w.k, w.x
+func (request *clientRequest) turn() {
+	gateway, x := request.gateway, request.x
 	program := x.Header.Get("Program")
 	if program == "" {
-		program = w.attempt
+		program = request.attempt
 	}
-	req := &tierv1.BeginRequest{Program: program, Attempt: w.attempt, Previous: x.Header.Get("Previous"), Most: w.most, RetentionMs: uint32(w.route.Retention.Milliseconds())}
+	req := &tierv1.BeginRequest{Program: program, Attempt: request.attempt, Previous: x.Header.Get("Previous"), Most: request.maxTokens, RetentionMs: uint32(request.route.Retention.Milliseconds())}
 	if v := x.Header.Get("Budget"); v != "" {
 		n, err := strconv.ParseUint(v, 10, 64)
 		if err != nil {
 			x.Respond(400, nil, []byte("Budget is no number of tokens\n"))
 			return
 		}
-		if w.most == 0 {
+		if request.maxTokens == 0 {
 			x.Respond(400, nil, []byte("a Budget without the turn's most in X-Token-Usage\n"))
 			return
 		}
 		req.Limited, req.Budget = true, n
 	}
 	line := x.Header.Get("Session")
-	from := k.held.nearest(req.Previous, program+"/"+line)
+	from := gateway.texts.nearest(req.Previous, program+"/"+line)
 	if from != nil {
 		req.Held = from.attempt
 	}
-	// A turn store that is lost is replaced well within half of the contact window. What is not sure by then is given up at once,
+	// A turn store that is lost is replaced well within half of the contact window. What is not sure by then is refused at once,
 	// while its client has time for another try.
-	ctx, cancel := context.WithTimeout(context.Background(), min(time.Until(w.until)*2/5, k.c.Settings.ContactWindow/2))
-	pending := k.pending(program) // before it is asked: one may be settled while the answer is on its way
-	verdict, chain, after := k.keeping.begin(ctx, req)
-	if verdict == tierv1.Verdict_SPENT && dropped(ctx, append(pending, k.pending(program)...)) {
-		verdict, chain, after = k.keeping.begin(ctx, req)
+	ctx, cancel := context.WithTimeout(context.Background(), min(time.Until(request.until)*2/5, gateway.c.Settings.ContactWindow/2))
+	pending := gateway.pending(program) // before it is asked: one may be settled while the answer is on its way
+	verdict, chain, after := gateway.stores.begin(ctx, req)
+	if verdict == tierv1.Verdict_SPENT && released(ctx, append(pending, gateway.pending(program)...)) {
+		verdict, chain, after = gateway.stores.begin(ctx, req)
 	}
 	cancel()
 	switch verdict {
@@ -157,20 +157,20 @@
 		x.Respond(404, nil, []byte("no such turn\n"))
 		return
 	default:
-		w.dropLater(program, 0) // it may have been taken
-		k.refuse(x, k.keeping.wait)
+		request.releaseLater(program, 0) // it may have been taken
+		gateway.refuse(x, gateway.stores.wait)
 		return
 	}
 	if !after {
 		from = nil
 	} else {
-		w.home = from.instance
+		request.home = from.instance
 	}
 	if n := len(chain); n > 0 {
-		w.home = chain[n-1].Instance
+		request.home = chain[n-1].Instance
 	}
-	w.body = prompt(from, chain, x.Body)
-	w.stream(&kept{program: program, line: program + "/" + line, previous: req.Previous, retention: req.RetentionMs})
+	request.body = prompt(from, chain, x.Body)
+	request.stream(&kept{program: program, line: program + "/" + line, previous: req.Previous, retention: req.RetentionMs})
 }
 
 // kept is what becomes of a turn's answer.
@@ -181,52 +181,52 @@
 	output                  []byte
 }
 
-// drop ends a reservation before its client hears of it, so that its next try finds the room in its budget: tokens were
+// release ends a reservation before its client hears of it, so that its next try finds the room in its budget: tokens were
 // handed out of a turn that is not kept. It waits a little for the turn store, and goes on behind the request.
-func (w *work) drop(program string, tokens uint64) {
-	t := time.NewTimer(w.k.c.Settings.ContactWindow / 12)
+func (request *clientRequest) release(program string, tokens uint64) {
+	t := time.NewTimer(request.gateway.c.Settings.ContactWindow / 12)
 	defer t.Stop()
 	select {
-	case <-w.dropLater(program, tokens):
+	case <-request.releaseLater(program, tokens):
 	case <-t.C:
 	}
 }
 
-func (w *work) dropLater(program string, tokens uint64) (done <-chan struct{}) {
-	k, over := w.k, make(chan struct{})
-	k.settling.Add(1)
-	k.mu.Lock()
-	if k.dropping[program] == nil {
-		k.dropping[program] = map[chan struct{}]bool{}
+func (request *clientRequest) releaseLater(program string, tokens uint64) (done <-chan struct{}) {
+	gateway, over := request.gateway, make(chan struct{})
+	gateway.settling.Add(1)
+	gateway.mu.Lock()
+	if gateway.releasing[program] == nil {
+		gateway.releasing[program] = map[chan struct{}]bool{}
 	}
-	k.dropping[program][over] = true
-	k.mu.Unlock()
+	gateway.releasing[program][over] = true
+	gateway.mu.Unlock()
 	go func() {
-		defer k.settling.Done()
+		defer gateway.settling.Done()
 		defer func() {
-			k.mu.Lock()
-			if delete(k.dropping[program], over); len(k.dropping[program]) == 0 {
-				delete(k.dropping, program)
+			gateway.mu.Lock()
+			if delete(gateway.releasing[program], over); len(gateway.releasing[program]) == 0 {
+				delete(gateway.releasing, program)
 			}
-			k.mu.Unlock()
+			gateway.mu.Unlock()
 			close(over)
 		}()
-		ctx, cancel := context.WithTimeout(context.Background(), k.c.Settings.ContactWindow*2)
+		ctx, cancel := context.WithTimeout(context.Background(), gateway.c.Settings.ContactWindow*2)
 		defer cancel()
-		k.keeping.settle(ctx, &tierv1.SettleRequest{Program: program, Attempt: w.attempt, Tokens: tokens})
+		gateway.stores.settle(ctx, &tierv1.SettleRequest{Program: program, Attempt: request.attempt, Tokens: tokens})
 	}()
 	return over
 }
 
-// pending are the reservations of a program that are being given up here; each is closed when it is settled.
-func (k *Gateway) pending(program string) []chan struct{} {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.Collect(maps.Keys(k.dropping[program]))
+// pending are the reservations of a program that are being released here; each is closed when it is settled.
+func (gateway *Gateway) pending(program string) []chan struct{} {
+	gateway.mu.Lock()
+	defer gateway.mu.Unlock()
+	return slices.Collect(maps.Keys(gateway.releasing[program]))
 }
 
-// dropped waits until all are settled, and reports whether there was one and it is: the room that they held is free then.
-func dropped(ctx context.Context, pending []chan struct{}) bool {
+// released waits until all are settled, and reports whether there was one and it is: the room that they held is free then.
+func released(ctx context.Context, pending []chan struct{}) bool {
 	for _, over := range pending {
 		select {
 		case <-over:
@@ -238,31 +238,31 @@
 }
 
 // keep makes a whole turn durable.
-func (w *work) keep(t *kept, tokens uint64) bool {
-	ctx, cancel := context.WithDeadline(context.Background(), w.until)
+func (request *clientRequest) keep(t *kept, tokens uint64) bool {
+	ctx, cancel := context.WithDeadline(context.Background(), request.until)
 	defer cancel()
-	return w.k.keeping.settle(ctx, &tierv1.SettleRequest{Program: t.program, Attempt: w.attempt, Kept: true, Tokens: tokens,
-		Turn: &tierv1.Turn{Attempt: w.attempt, Previous: t.previous, Program: t.program, Input: w.x.Body, Output: t.output, RetentionMs: t.retention, Instance: t.instance}})
+	return request.gateway.stores.settle(ctx, &tierv1.SettleRequest{Program: t.program, Attempt: request.attempt, Kept: true, Tokens: tokens,
+		Turn: &tierv1.Turn{Attempt: request.attempt, Previous: t.previous, Program: t.program, Input: request.x.Body, Output: t.output, RetentionMs: t.retention, Instance: t.instance}})
 }
 
 // choose picks an endpoint for the next send, waiting a little for a place where all are taken.
-func (w *work) choose() loadbalancer.Choice {
-	k := w.k
+func (request *clientRequest) choose() loadbalancer.Choice {
+	gateway := request.gateway
 	// A request that waits is refused within its aim, so that its client's new try may still be in time.
-	give := time.Now().Add(min(w.route.Aim/4, time.Until(w.until)/3))
+	refuseAt := time.Now().Add(min(request.route.Aim/4, time.Until(request.until)/3))
 	for {
-		k.mu.Lock()
-		choice := k.loadbalancer.Pick(k.now(), loadbalancer.Ask{Route: w.route.Name, Service: w.service, Repeatable: w.route.Kind == routing.Idempotent && w.sent+1 < w.route.MaxAttempts,
-			First: w.sent == 0, Left: time.Until(w.until), Priority: w.route.Priority, Affinity: w.affinity, Home: w.home, Prefix: w.prefix,
-			Tokens: w.tokens, Tried: w.tried})
+		gateway.mu.Lock()
+		choice := gateway.loadbalancer.Pick(gateway.now(), loadbalancer.Ask{Route: request.route.Name, Service: request.service, Repeatable: request.route.Kind == routing.Idempotent && request.sent+1 < request.route.MaxAttempts,
+			First: request.sent == 0, Left: time.Until(request.until), Priority: request.route.Priority, Affinity: request.affinity, Home: request.home, Prefix: request.prefix,
+			Tokens: request.tokens, Tried: request.tried})
 		if choice.Verdict == loadbalancer.Send || choice.Verdict == loadbalancer.Hopeless {
-			k.mu.Unlock()
+			gateway.mu.Unlock()
 			return choice
 		}
-		k.waiting++
-		freed := k.freed
-		k.mu.Unlock()
-		left := time.Until(give)
+		gateway.waiting++
+		freed := gateway.freed
+		gateway.mu.Unlock()
+		left := time.Until(refuseAt)
 		if left <= 0 {
 			return choice
 		}
@@ -275,9 +275,9 @@
 	}
 }
 
-func (k *Gateway) done(call *loadbalancer.Call, o loadbalancer.Outcome) {
-	k.mu.Lock()
-	k.loadbalancer.Done(k.now(), call, o)
-	k.wake()
-	k.mu.Unlock()
+func (gateway *Gateway) done(call *loadbalancer.Call, o loadbalancer.Outcome) {
+	gateway.mu.Lock()
+	gateway.loadbalancer.Done(gateway.now(), call, o)
+	gateway.wake()
+	gateway.mu.Unlock()
 }
--- a/internal/tier/gateway/held.go
+++ b/internal/tier/gateway/textcache.go
@@ -7,10 +7,10 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// held remembers the texts of turns that went through this gateway, so that a turn store need not send them again: most turns of
+// textCache holds the texts of turns that went through this gateway, so that a turn store need not send them again: most turns of
 // a line come through the same zone. It is a cache of what turn stores have kept, least recently used out first, and decides
 // nothing: whether a turn stands is asked of its turn store each time.
-type held struct {
+type textCache struct {
 	mu      sync.Mutex
 	room    int // bytes
 	used    int
@@ -25,54 +25,54 @@
 	prompt                  []byte
 }
 
-func newHeld(room int) *held {
-	return &held{room: room, attempt: map[string]*list.Element{}, line: map[string]string{}}
+func newTextCache(room int) *textCache {
+	return &textCache{room: room, attempt: map[string]*list.Element{}, line: map[string]string{}}
 }
 
-// nearest is the text of a turn, or else of the newest turn of its line that is held.
-func (h *held) nearest(previous, line string) *text {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	e := h.attempt[previous]
+// nearest is the text of a turn, or else of the newest cached turn of its line.
+func (c *textCache) nearest(previous, line string) *text {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e := c.attempt[previous]
 	if e == nil {
-		e = h.attempt[h.line[line]]
+		e = c.attempt[c.line[line]]
 	}
 	if e == nil || previous == "" {
 		return nil
 	}
-	h.order.MoveToFront(e)
+	c.order.MoveToFront(e)
 	return e.Value.(*text)
 }
 
 // keep adds the text of a turn that its turn store has kept. prompt is not changed after.
-func (h *held) keep(t *text) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(t.prompt) > h.room/8 || h.attempt[t.attempt] != nil {
+func (c *textCache) keep(t *text) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(t.prompt) > c.room/8 || c.attempt[t.attempt] != nil {
 		return
 	}
-	if old := h.attempt[h.line[t.line]]; old != nil && old.Value.(*text).line == t.line {
-		h.drop(old) // a line goes on from its newest turn
+	if old := c.attempt[c.line[t.line]]; old != nil && old.Value.(*text).line == t.line {
+		c.drop(old) // a line goes on from its newest turn
 	}
-	h.attempt[t.attempt] = h.order.PushFront(t)
-	h.line[t.line] = t.attempt
-	h.used += len(t.prompt)
-	for h.used > h.room {
-		h.drop(h.order.Back())
+	c.attempt[t.attempt] = c.order.PushFront(t)
+	c.line[t.line] = t.attempt
+	c.used += len(t.prompt)
+	for c.used > c.room {
+		c.drop(c.order.Back())
 	}
 }
 
-func (h *held) drop(e *list.Element) {
+func (c *textCache) drop(e *list.Element) {
 	t := e.Value.(*text)
-	h.order.Remove(e)
-	h.used -= len(t.prompt)
-	delete(h.attempt, t.attempt)
-	if h.line[t.line] == t.attempt {
-		delete(h.line, t.line)
+	c.order.Remove(e)
+	c.used -= len(t.prompt)
+	delete(c.attempt, t.attempt)
+	if c.line[t.line] == t.attempt {
+		delete(c.line, t.line)
 	}
 }
 
-// prompt joins what is held and the turns that follow it.
+// prompt joins what is cached and the turns that follow it.
 func prompt(from *text, chain []*tierv1.Turn, input []byte) []byte {
 	size := len(input)
 	if from != nil {
--- a/internal/tier/gateway/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -11,9 +11,9 @@
 	"github.com/phuslu/log"
 )
 
-// keeping is the gateway's side of the turn stores: which one keeps a program's turns, and how long its answer is waited for.
+// storeClient is the gateway's side of the turn stores: which one keeps a program's turns, and how long its answer is waited for.
 // A turn store that falls silent is another's part to replace: the calls are repeated by the newest map until their time is over.
-type keeping struct {
+type storeClient struct {
 	dial func(address string) tierv1.TurnStore
 	log  *log.Logger
 	try  time.Duration // one call's time
@@ -25,67 +25,67 @@
 	changed    chan struct{}     // closed when a new map comes
 }
 
-func newKeeping(s settings.Settings, dial func(string) tierv1.TurnStore, l *log.Logger) *keeping {
-	return &keeping{dial: dial, log: l, try: s.ContactWindow / 4, wait: s.ContactWindow / 40, changed: make(chan struct{}), at: map[string]string{}}
+func newStoreClient(s settings.Settings, dial func(string) tierv1.TurnStore, l *log.Logger) *storeClient {
+	return &storeClient{dial: dial, log: l, try: s.ContactWindow / 4, wait: s.ContactWindow / 40, changed: make(chan struct{}), at: map[string]string{}}
 }
 
 // apply takes a newer map in.
-func (k *keeping) apply(v *tierv1.PartitionMap) {
+func (client *storeClient) apply(v *tierv1.PartitionMap) {
 	at := make(map[string]string, len(v.StoreNodes))
 	for _, one := range v.StoreNodes {
 		at[one.Folder] = one.Address
 	}
-	k.mu.Lock()
-	k.turnStores, k.at = v, at
-	close(k.changed)
-	k.changed = make(chan struct{})
-	k.mu.Unlock()
+	client.mu.Lock()
+	client.turnStores, client.at = v, at
+	close(client.changed)
+	client.changed = make(chan struct{})
+	client.mu.Unlock()
 }
 
-func (k *keeping) ready() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.turnStores != nil && len(k.turnStores.Partitions) > 0
+func (client *storeClient) ready() bool {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	return client.turnStores != nil && len(client.turnStores.Partitions) > 0
 }
 
 // partitionOf is the partition of a program's turns, of n.
 func partitionOf(program string, n int) uint32 {
 	h := fnv.New64a()
 	h.Write([]byte(program))
-	x := h.Sum64()
-	x ^= x >> 32
-	return uint32(x % uint64(n))
+	sum := h.Sum64()
+	sum ^= sum >> 32
+	return uint32(sum % uint64(n))
 }
 
 // primary is the address of a program's primary by the newest map, and a channel closed when there is a newer one.
-func (k *keeping) primary(program string) (partition uint32, address string, changed <-chan struct{}) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.turnStores == nil || len(k.turnStores.Partitions) == 0 {
-		return 0, "", k.changed
+func (client *storeClient) primary(program string) (partition uint32, address string, changed <-chan struct{}) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if client.turnStores == nil || len(client.turnStores.Partitions) == 0 {
+		return 0, "", client.changed
 	}
-	partition = partitionOf(program, len(k.turnStores.Partitions))
-	return partition, k.at[k.turnStores.Partitions[partition].Primary], k.changed
+	partition = partitionOf(program, len(client.turnStores.Partitions))
+	return partition, client.at[client.turnStores.Partitions[partition].Primary], client.changed
 }
 
 // each makes a call at the program's primary again and again, until it gives an answer that stands or ctx ends.
-func (k *keeping) each(ctx context.Context, program string, call func(ctx context.Context, v tierv1.TurnStore, partition uint32) (done bool)) bool {
-	pause := k.wait / 8
+func (client *storeClient) each(ctx context.Context, program string, call func(ctx context.Context, v tierv1.TurnStore, partition uint32) (done bool)) bool {
+	pause := client.wait / 8
 	for ctx.Err() == nil {
-		partition, address, changed := k.primary(program)
+		partition, address, changed := client.primary(program)
 		if address != "" {
-			one, cancel := context.WithTimeout(ctx, k.try)
+			one, cancel := context.WithTimeout(ctx, client.try)
 			over := make(chan struct{})
 			go func() { // a newer map ends a call to one that may be gone
 				select {
 				case <-changed:
-					if _, now, _ := k.primary(program); now != address {
+					if _, now, _ := client.primary(program); now != address {
 						cancel()
 					}
 				case <-over:
 				}
 			}()
-			done := call(one, k.dial(address), partition)
+			done := call(one, client.dial(address), partition)
 			close(over)
 			cancel()
 			if done {
@@ -99,15 +99,15 @@
 		case <-ctx.Done():
 		}
 		t.Stop()
-		pause = min(2*pause, k.wait)
+		pause = min(2*pause, client.wait)
 	}
 	return false
 }
 
 // begin asks for a turn: OK with its chain (after: with what follows the turn that the caller holds), SPENT, UNKNOWN for sure, or BUSY where nothing is sure in time.
-func (k *keeping) begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn, after bool) {
+func (client *storeClient) begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn, after bool) {
 	verdict = tierv1.Verdict_BUSY
-	k.each(ctx, req.Program, func(ctx context.Context, v tierv1.TurnStore, partition uint32) bool {
+	client.each(ctx, req.Program, func(ctx context.Context, v tierv1.TurnStore, partition uint32) bool {
 		req.Partition = partition
 		reply, err := v.Begin(ctx, req)
 		if err != nil {
@@ -124,11 +124,11 @@
 		return verdict, chain, after
 	}
 	// The program goes on from a turn of another one, which may lie in any partition.
-	found, certain := k.find(ctx, req.Previous)
+	found, certain := client.find(ctx, req.Previous)
 	switch {
 	case len(found) > 0:
 		req.Adopt, req.ChainHeld = found, true
-		verdict, _, _ = k.begin(ctx, req)
+		verdict, _, _ = client.begin(ctx, req)
 		if verdict == tierv1.Verdict_UNKNOWN {
 			verdict = tierv1.Verdict_BUSY
 		}
@@ -140,17 +140,17 @@
 }
 
 // find asks all turn stores for a turn. certain: none has it, and each partition's primary has said so.
-func (k *keeping) find(ctx context.Context, attempt string) (chain []*tierv1.Turn, certain bool) {
-	pause := k.wait / 8
+func (client *storeClient) find(ctx context.Context, attempt string) (chain []*tierv1.Turn, certain bool) {
+	pause := client.wait / 8
 	for ctx.Err() == nil {
-		k.mu.Lock()
-		turnStores, changed := k.turnStores, k.changed
+		client.mu.Lock()
+		turnStores, changed := client.turnStores, client.changed
 		addresses := map[string]bool{}
 		for _, p := range turnStores.GetPartitions() {
-			addresses[k.at[p.Primary]] = true
+			addresses[client.at[p.Primary]] = true
 		}
-		k.mu.Unlock()
-		one, cancel := context.WithTimeout(ctx, k.try)
+		client.mu.Unlock()
+		one, cancel := context.WithTimeout(ctx, client.try)
 		replies := make(chan *tierv1.FindReply, len(addresses))
 		for a := range addresses {
 			go func() {
@@ -158,7 +158,7 @@
 					replies <- nil
 					return
 				}
-				reply, err := k.dial(a).Find(one, &tierv1.FindRequest{Attempt: attempt})
+				reply, err := client.dial(a).Find(one, &tierv1.FindRequest{Attempt: attempt})
 				if err != nil {
 					reply = nil
 				}
@@ -187,14 +187,14 @@
 		case <-ctx.Done():
 		}
 		t.Stop()
-		pause = min(2*pause, k.wait)
+		pause = min(2*pause, client.wait)
 	}
 	return nil, false
 }
 
 // settle ends a reservation, and reports whether that is durable.
-func (k *keeping) settle(ctx context.Context, req *tierv1.SettleRequest) bool {
-	return k.each(ctx, req.Program, func(ctx context.Context, v tierv1.TurnStore, partition uint32) bool {
+func (client *storeClient) settle(ctx context.Context, req *tierv1.SettleRequest) bool {
+	return client.each(ctx, req.Program, func(ctx context.Context, v tierv1.TurnStore, partition uint32) bool {
 		req.Partition = partition
 		reply, err := v.Settle(ctx, req)
 		return err == nil && reply.Verdict == tierv1.Verdict_OK
