--- a/internal/tier/upstream/answer.go
+++ b/internal/tier/upstream/answer.go
@@ -18,15 +18,15 @@
 )
 
 var (
-	errNoRoom   = errors.New("as many connections as there may be")
-	errEnded    = errors.New("the endpoint ended the connection")
-	errSpoilt   = errors.New("no sound answer to the request")
-	errTooLong  = errors.New("an answer of unknown length is too long")
-	errOverdue  = errors.New("no time is left")
-	errNoPermit = errors.New("not permitted any longer")
+	errNoRoom    = errors.New("as many connections as there may be")
+	errEnded     = errors.New("the endpoint ended the connection")
+	errMalformed = errors.New("no sound answer to the request")
+	errTooLong   = errors.New("an answer of unknown length is too long")
+	errOverdue   = errors.New("no time is left")
+	errNoPermit  = errors.New("not permitted any longer")
 )
 
-// Load is what an endpoint tells in X-Instance-Load.
+// Load is what an endpoint reports in X-Instance-Load.
 type Load struct{ Running, Waiting, Slots int }
 
 // Answer is the head of an endpoint's answer.
@@ -34,21 +34,21 @@
 	Status      int
 	Reason      string
 	Header      []Field // without those that concern one connection and the body's framing
-	Length      int64   // of the body as told; -1: not told
+	Length      int64   // of the body as announced; -1: none was
 	AttemptID   string
 	Signature   string // X-Response-Signature
 	NotExecuted bool   // X-Not-Executed
 	Events      bool   // the body is text/event-stream
 	RetryAfter  time.Duration
 	Load        Load
-	Loaded      bool   // Load was told
-	Versions    string // of the weights, as told
+	Loaded      bool   // the endpoint reported Load
+	Versions    string // of the weights, as reported
 
-	last    bool // no further answer comes on the connection
-	told    bool // Connection: close stands there
-	chunked bool
-	encoded bool
-	alive   time.Duration
+	closes     bool // no further answer comes on the connection
+	closeNamed bool // Connection: close stands there
+	chunked    bool
+	encoded    bool
+	alive      time.Duration
 }
 
 // Field is the value of the first field of that name, in any case; empty if there is none.
@@ -61,7 +61,7 @@
 	return ""
 }
 
-// readHead reads one head, whole. What is no head gives errSpoilt, anything else is the connection's.
+// readHead reads one head, whole. What is no head gives errMalformed, anything else is the connection's.
 func readHead(r *bufio.Reader, scratch []byte) (*Answer, []byte, error) {
 	head := scratch[:0]
 	// What can't become a status line is not waited for: behind noise the connection may stay open and silent.
@@ -69,21 +69,21 @@
 		return nil, head, err
 	}
 	if first, _ := r.Peek(r.Buffered()); !begins(first) {
-		return nil, head, errSpoilt
+		return nil, head, errMalformed
 	}
 	for {
 		line, err := r.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			return nil, head, errSpoilt
+			return nil, head, errMalformed
 		}
 		if len(head) == 0 && !begins(line) {
-			return nil, head, errSpoilt // whatever the connection does next
+			return nil, head, errMalformed // whatever the connection does next
 		}
 		if err != nil {
 			return nil, head, err
 		}
 		if len(line) < 2 || line[len(line)-2] != '\r' || len(head)+len(line) > maxHead {
-			return nil, head, errSpoilt
+			return nil, head, errMalformed
 		}
 		head = append(head, line...)
 		if len(line) == 2 {
@@ -92,7 +92,7 @@
 	}
 	a, ok := parseHead(string(head))
 	if !ok {
-		return nil, head, errSpoilt
+		return nil, head, errMalformed
 	}
 	return a, head, nil
 }
@@ -113,7 +113,7 @@
 	if !ok || status < 100 {
 		return nil, false
 	}
-	a := &Answer{Status: int(status), Length: -1, last: line[7] == '0', Header: make([]Field, 0, 12)}
+	a := &Answer{Status: int(status), Length: -1, closes: line[7] == '0', Header: make([]Field, 0, 12)}
 	if len(line) > 13 {
 		a.Reason = line[13:]
 	}
@@ -142,7 +142,7 @@
 		option, connection, _ = strings.Cut(connection, ",")
 		option = strings.Trim(option, " \t")
 		if strings.EqualFold(option, "close") {
-			a.last, a.told = true, true
+			a.closes, a.closeNamed = true, true
 		}
 		for i := len(a.Header) - 1; i >= 0 && option != ""; i-- {
 			if strings.EqualFold(a.Header[i].Name, option) {
@@ -245,14 +245,14 @@
 	return 0
 }
 
-// digits reads a number of digits only, most at most.
-func digits(s string, most int64) (int64, bool) {
+// digits reads a number of digits only that is not above limit.
+func digits(s string, limit int64) (int64, bool) {
 	n := int64(0)
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
 			return 0, false
 		}
-		if n = n*10 + int64(s[i]-'0'); n > most {
+		if n = n*10 + int64(s[i]-'0'); n > limit {
 			return 0, false
 		}
 	}
--- a/internal/tier/upstream/body.go
+++ b/internal/tier/upstream/body.go
@@ -119,7 +119,7 @@
 			return err
 		}
 		if len(line) != 0 {
-			return errSpoilt
+			return errMalformed
 		}
 		b.tail = false
 	}
@@ -132,7 +132,7 @@
 	}
 	line = bytes.TrimRight(line, " \t")
 	if len(line) == 0 || len(line) > 8 {
-		return errSpoilt
+		return errMalformed
 	}
 	n := int64(0)
 	for _, c := range line {
@@ -142,12 +142,12 @@
 		case c|0x20 >= 'a' && c|0x20 <= 'f':
 			c = c | 0x20 - 'a' + 10
 		default:
-			return errSpoilt
+			return errMalformed
 		}
 		n = n<<4 | int64(c)
 	}
 	if n > maxChunk {
-		return errSpoilt
+		return errMalformed
 	}
 	b.left = n
 	if n > 0 {
@@ -163,11 +163,11 @@
 			return nil
 		}
 		if bytes.IndexByte(line, ':') <= 0 {
-			return errSpoilt
+			return errMalformed
 		}
 		size += len(line)
 	}
-	return errSpoilt
+	return errMalformed
 }
 
 // line reads one without its CRLF.
@@ -175,11 +175,11 @@
 	line, err := b.r.ReadSlice('\n')
 	switch {
 	case err == bufio.ErrBufferFull:
-		return nil, errSpoilt
+		return nil, errMalformed
 	case err != nil:
 		return nil, unexpected(err)
 	case len(line) < 2 || line[len(line)-2] != '\r' || len(line) > maxChunkLine:
-		return nil, errSpoilt
+		return nil, errMalformed
 	}
 	return line[:len(line)-2], nil
 }
@@ -191,11 +191,11 @@
 	return err
 }
 
-// all reads a body of at most so many bytes.
-func (b *body) all(most int) ([]byte, error) {
+// all reads a body of at most limit bytes.
+func (b *body) all(limit int) ([]byte, error) {
 	var dst []byte
 	if b.framing == byLength {
-		if b.left > int64(most) {
+		if b.left > int64(limit) {
 			return nil, errTooLong
 		}
 		dst = make([]byte, b.left)
@@ -207,9 +207,9 @@
 	}
 	for {
 		var err error
-		if dst, err = b.more(dst); err == io.EOF && len(dst) <= most {
+		if dst, err = b.more(dst); err == io.EOF && len(dst) <= limit {
 			return dst, nil
-		} else if len(dst) > most {
+		} else if len(dst) > limit {
 			return nil, errTooLong
 		} else if err != nil {
 			return nil, err
@@ -217,10 +217,10 @@
 	}
 }
 
-// skip reads over a body of at most so many bytes.
-func (b *body) skip(most int) error {
+// skip reads over a body of at most limit bytes.
+func (b *body) skip(limit int) error {
 	var scratch []byte
-	for n := 0; n <= most; n += len(scratch) {
+	for n := 0; n <= limit; n += len(scratch) {
 		var err error
 		if scratch, err = b.more(scratch[:0]); err == io.EOF && b.framing != byClose {
 			return nil
--- a/internal/tier/upstream/call.go
+++ b/internal/tier/upstream/call.go
@@ -40,7 +40,7 @@
 // Verdict is what follows from how it went.
 func (r *Result) Verdict(begun bool) Verdict { return Classify(r.Observation(begun)) }
 
-// Call sends a request once. timeout counts from now, connecting included; a Stream takes it over until it is told
+// Call sends a request once. timeout counts from now, connecting included; a Stream takes it over until it is given
 // another. ctx ends the call early, and with it its connection.
 func (p *Pool) Call(ctx context.Context, t Target, q *Request, timeout time.Duration) *Result {
 	now := time.Now()
@@ -91,16 +91,16 @@
 	if cap(out) <= keepScratch {
 		c.scratch = out
 	}
-	x := &exchange{pool: p, conn: c, ctx: ctx, stop: stop}
+	exchange := &exchange{pool: p, conn: c, ctx: ctx, stop: stop}
 	if err != nil {
 		end := ended(ctx, err)
-		if n > 0 && end == Broken && x.early(q, r) {
+		if n > 0 && end == Broken && exchange.early(q, r) {
 			return r
 		}
-		x.finish(false, 0)
+		exchange.finish(false, 0)
 		return r.end(end, err)
 	}
-	x.answer(q, r)
+	exchange.answer(q, r)
 	return r
 }
 
@@ -112,8 +112,8 @@
 // ended tells why reading or writing ended.
 func ended(ctx context.Context, err error) End {
 	switch {
-	case errors.Is(err, errSpoilt), errors.Is(err, errTooLong):
-		return Spoilt
+	case errors.Is(err, errMalformed), errors.Is(err, errTooLong):
+		return Malformed
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return TimedOut
 	case ctx.Err() != nil:
@@ -134,28 +134,28 @@
 }
 
 // finish gives the connection back or closes it.
-func (x *exchange) finish(reusable bool, alive time.Duration) {
-	if x.conn == nil {
+func (exchange *exchange) finish(reusable bool, alive time.Duration) {
+	if exchange.conn == nil {
 		return
 	}
-	c := x.conn
-	x.conn = nil
+	c := exchange.conn
+	exchange.conn = nil
 	// After a stop that came too late, the connection's deadline may be set at any time.
-	if x.stop() && reusable && !x.foreign && c.r.Buffered() == 0 {
-		x.pool.put(c, alive)
+	if exchange.stop() && reusable && !exchange.foreign && c.r.Buffered() == 0 {
+		exchange.pool.put(c, alive)
 		return
 	}
-	x.pool.drop(c)
+	exchange.pool.drop(c)
 }
 
 // answer reads the answer to q into r.
-func (x *exchange) answer(q *Request, r *Result) {
+func (exchange *exchange) answer(q *Request, r *Result) {
 	fail := func(err error) {
-		end := ended(x.ctx, err)
-		x.finish(false, 0)
+		end := ended(exchange.ctx, err)
+		exchange.finish(false, 0)
 		r.end(end, err)
 	}
-	a, err := x.head(q)
+	a, err := exchange.head(q)
 	if err != nil {
 		fail(err)
 		return
@@ -163,34 +163,34 @@
 	r.Answer = a
 	success := a.Status/100 == 2
 	if a.encoded || success && (a.NotExecuted || a.Signature == "" && !q.Unstamped) {
-		fail(errSpoilt)
+		fail(errMalformed)
 		return
 	}
-	b := newBody(x.conn.r, a, q.Method)
-	large := b.framing == byLength && b.left > int64(x.pool.config.Body)
+	b := newBody(exchange.conn.r, a, q.Method)
+	large := b.framing == byLength && b.left > int64(exchange.pool.config.Body)
 	if success && (a.Events || q.Stream || large) {
 		r.End = Streaming
-		r.Stream = &Stream{x: x, body: b, answer: a, cut: a.Events, end: Streaming}
+		r.Stream = &Stream{exchange: exchange, body: b, answer: a, cut: a.Events, end: Streaming}
 		r.Stream.events.last = q.After
 		return
 	}
-	if b.framing == byClose && !a.told { // its end would be any end
-		fail(errSpoilt)
+	if b.framing == byClose && !a.closeNamed { // its end would be any end
+		fail(errMalformed)
 		return
 	}
-	body, err := b.all(x.pool.config.Body)
+	body, err := b.all(exchange.pool.config.Body)
 	if err != nil {
 		fail(err)
 		return
 	}
 	r.Body, r.End = body, Whole
-	x.finish(!a.last, a.alive)
+	exchange.finish(!a.closes, a.alive)
 }
 
 // head reads up to the head of the answer to q: over interim answers, and over late ones to former requests, after
 // which the connection is of no further use.
-func (x *exchange) head(q *Request) (*Answer, error) {
-	c := x.conn
+func (exchange *exchange) head(q *Request) (*Answer, error) {
+	c := exchange.conn
 	for interim, foreign := 0, 0; ; {
 		var a *Answer
 		var err error
@@ -199,20 +199,20 @@
 		}
 		switch {
 		case a.Status == 101:
-			return nil, errSpoilt
+			return nil, errMalformed
 		case a.Status < 200:
 			if interim++; interim > maxInterim {
-				return nil, errSpoilt
+				return nil, errMalformed
 			}
 		case a.AttemptID == q.AttemptID:
 			return a, nil
 		default:
-			x.foreign = true
+			exchange.foreign = true
 			b := newBody(c.r, a, "")
-			if foreign++; foreign > maxForeign || a.AttemptID == "" || a.last || b.framing == byClose {
-				return nil, errSpoilt
+			if foreign++; foreign > maxForeign || a.AttemptID == "" || a.closes || b.framing == byClose {
+				return nil, errMalformed
 			}
-			if err := b.skip(x.pool.config.Body); err != nil {
+			if err := b.skip(exchange.pool.config.Body); err != nil {
 				return nil, err
 			}
 		}
@@ -220,15 +220,15 @@
 }
 
 // early looks for an answer that came while the request was being written: an endpoint that rejects it need not read it.
-func (x *exchange) early(q *Request, r *Result) bool {
-	if err := x.conn.SetReadDeadline(time.Now().Add(aftermath)); err != nil {
+func (exchange *exchange) early(q *Request, r *Result) bool {
+	if err := exchange.conn.SetReadDeadline(time.Now().Add(aftermath)); err != nil {
 		return false
 	}
-	x.foreign = true // of no further use, whatever comes
+	exchange.foreign = true // of no further use, whatever comes
 	early := *q
 	early.Stream = false
 	got := &Result{Written: true, Opened: r.Opened, turn: r.turn}
-	x.answer(&early, got)
+	exchange.answer(&early, got)
 	if got.Stream != nil {
 		got.Stream.Close()
 	}
@@ -242,14 +242,14 @@
 
 // Stream is the body of an answer as it comes. It is for one goroutine.
 type Stream struct {
-	x      *exchange
-	body   body
-	answer *Answer
-	cut    bool // into events
-	events events
-	raw    []byte
-	err    error // of the body; io.EOF: it is whole
-	end    End
+	exchange *exchange
+	body     body
+	answer   *Answer
+	cut      bool // into events
+	events   events
+	raw      []byte
+	err      error // of the body; io.EOF: it is whole
+	end      End
 }
 
 // Next waits for the next piece. io.EOF says that the body has come whole; after any other error it has not, and End
@@ -259,7 +259,7 @@
 		if s.cut {
 			p, ok, sound := s.events.next()
 			if !sound {
-				s.close(Spoilt, errSpoilt)
+				s.close(Malformed, errMalformed)
 				break
 			}
 			if ok {
@@ -280,14 +280,14 @@
 	if s.err != nil {
 		switch {
 		case s.err != io.EOF:
-			s.close(ended(s.x.ctx, s.err), s.err)
+			s.close(ended(s.exchange.ctx, s.err), s.err)
 		case s.cut && s.events.unfinished():
-			s.close(Spoilt, errSpoilt)
+			s.close(Malformed, errMalformed)
 		case s.body.framing == byClose: // a cut would look the same
 			s.close(Broken, io.ErrUnexpectedEOF)
 		default:
 			s.end = Whole
-			s.x.finish(!s.answer.last, s.answer.alive)
+			s.exchange.finish(!s.answer.closes, s.answer.alive)
 		}
 		return
 	}
@@ -323,12 +323,12 @@
 
 // SetDeadline sets the time by which the next pieces must have come; a stream that misses it ends as TimedOut.
 func (s *Stream) SetDeadline(t time.Time) {
-	if s.x.conn == nil {
+	if s.exchange.conn == nil {
 		return
 	}
-	s.x.conn.SetReadDeadline(t)
-	if s.x.ctx.Err() != nil { // its end may have set the deadline just before
-		s.x.conn.SetReadDeadline(time.Unix(1, 0))
+	s.exchange.conn.SetReadDeadline(t)
+	if s.exchange.ctx.Err() != nil { // its end may have set the deadline just before
+		s.exchange.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
@@ -344,5 +344,5 @@
 
 func (s *Stream) close(end End, err error) {
 	s.end, s.err = end, err
-	s.x.finish(false, 0)
+	s.exchange.finish(false, 0)
 }
--- a/internal/tier/upstream/events_test.go
+++ b/internal/tier/upstream/events_test.go
@@ -19,7 +19,7 @@
 		p, ok, sound := e.next()
 		switch {
 		case !sound:
-			return out, errSpoilt
+			return out, errMalformed
 		case ok:
 			p.Raw, p.Data = []byte(string(p.Raw)), []byte(string(p.Data))
 			out = append(out, p)
@@ -33,7 +33,7 @@
 		for {
 			p, ok, sound := e.next()
 			if !sound {
-				return out, errSpoilt
+				return out, errMalformed
 			}
 			if !ok {
 				break
@@ -42,7 +42,7 @@
 			out = append(out, p)
 		}
 		if err == io.EOF && e.unfinished() {
-			err = errSpoilt
+			err = errMalformed
 		}
 		return out, err
 	}
@@ -101,18 +101,18 @@
 	for _, text := range []string{"x\r\n", "\r\n", "-1\r\n", "1\nx\r\n", "1\r\nxy\r\n", "1\r\nx\n0\r\n\r\n", "123456789\r\n", "fffffffff\r\n", "0\r\nno field\r\n\r\n",
 		"1;" + strings.Repeat("x", 2000) + "\r\nx\r\n", " 1\r\nx\r\n"} {
 		_, err := decode(text, byChunks, 0, plainly)
-		assert.Equal(t, err, errSpoilt, "%q", text)
+		assert.Equal(t, err, errMalformed, "%q", text)
 	}
 }
 
 func TestIDsRise(t *testing.T) {
 	for _, text := range []string{"id: 1\n\nid: 1\n\n", "id: 2\n\nid: 1\n\n", "id: 10\n\nid: 9\n\n", "id: x\n\nid: x\n\n"} {
 		got, err := decode(chunk(text)+"0\r\n\r\n", byChunks, 0, plainly)
-		assert.Equal(t, err, errSpoilt)
+		assert.Equal(t, err, errMalformed)
 		assert.Equal(t, len(got), 1)
 	}
 	_, err := decode(chunk("id: 9\n\ndata: none\n\nid: 10\n\nid: 12\n\n")+"0\r\n\r\n", byChunks, 0, plainly)
 	assert.Equal(t, err, io.EOF)
 	_, err = decode(chunk("id: 9\n\nid: 10\n")+"0\r\n\r\n", byChunks, 0, plainly)
-	assert.Equal(t, err, errSpoilt, "an event without its end")
+	assert.Equal(t, err, errMalformed, "an event without its end")
 }
--- a/internal/tier/upstream/outcome.go
+++ b/internal/tier/upstream/outcome.go
@@ -13,13 +13,13 @@
 	Whole                    // the answer came whole
 	Streaming                // the head of an answer came, its body is read by Stream.Next
 	Broken                   // the connection ended before the answer had
-	Spoilt                   // what came is no sound answer to the request
+	Malformed                // what came is no sound answer to the request
 	TimedOut                 // the time of the call was over
 	Abandoned                // the context was cancelled
 )
 
 func (e End) String() string {
-	return [...]string{"not_sent", "no_room", "connect_failed", "whole", "streaming", "broken", "spoilt", "timed_out", "abandoned"}[e]
+	return [...]string{"not_sent", "no_room", "connect_failed", "whole", "streaming", "broken", "malformed", "timed_out", "abandoned"}[e]
 }
 
 // Ran says whether the endpoint has begun to work on the request, or may yet.
@@ -34,7 +34,7 @@
 
 func (r Ran) String() string { return [...]string{"unknown", "no", "yes"}[r] }
 
-// Reply is what the client hears if nothing is left to try.
+// Reply is what the client gets if nothing is left to try.
 type Reply uint8
 
 // The replies.
--- a/internal/tier/upstream/outcome_test.go
+++ b/internal/tier/upstream/outcome_test.go
@@ -86,7 +86,7 @@
 		{Observation{End: Broken, Written: true, Status: 503, NotExecuted: true}, "unknown bad_gateway true false"},
 		{Observation{End: Broken, Written: true, Status: 200, Stamped: true}, "yes bad_gateway true false"},
 		{Observation{End: Broken, Written: true, Status: 200, Stamped: true, Begun: true}, "yes break_off false false"},
-		{Observation{End: Spoilt, Written: true}, "unknown bad_gateway true false"},
+		{Observation{End: Malformed, Written: true}, "unknown bad_gateway true false"},
 		{Observation{End: TimedOut, Written: true}, "unknown gateway_timeout true false"},
 		{Observation{End: TimedOut, Written: true, Status: 200, Stamped: true, Begun: true}, "yes break_off false false"},
 		{Observation{End: Streaming, Written: true, Status: 200, Stamped: true}, "yes pass_on false false"},
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -22,10 +22,10 @@
 	tcpUserTime = 18                     // TCP_USER_TIMEOUT, which package syscall lacks
 )
 
-// Config is what a pool is told; zero fields take the values named.
+// Config is what a pool is given; zero fields take the values named.
 type Config struct {
 	ConnectTimeout time.Duration // of one connection; 400 ms
-	IdleTimeout    time.Duration // after which endpoints close an idle connection unless they tell; 4 s
+	IdleTimeout    time.Duration // after which endpoints close an idle connection unless they announce another; 4 s
 	UserTimeout    time.Duration // unacknowledged bytes break a connection after it; 5 s
 	Connections    int           // in all, idle ones included; 0: no bound
 	Body           int           // bytes of an answer that are held whole; 1 MB
@@ -146,7 +146,7 @@
 }
 
 // take takes an idle connection out, or notes that one is coming up (nil, Whole).
-func (p *Pool) take(k key, most int, attempt string) (*conn, End) {
+func (p *Pool) take(k key, limit int, attempt string) (*conn, End) {
 	var old []*conn
 	defer func() { shut(old) }()
 	p.mu.Lock()
@@ -167,7 +167,7 @@
 			return c, Whole
 		}
 	}
-	if most > 0 && h.open >= most {
+	if limit > 0 && h.open >= limit {
 		if len(h.idle) == 0 {
 			return nil, NoRoom
 		}
@@ -361,7 +361,7 @@
 	shut(old)
 }
 
-// Forget closes the idle connections to an endpoint that is gone or draining.
+// Forget closes the idle connections to an endpoint that has ended or is draining.
 func (p *Pool) Forget(address, instance string) {
 	p.mu.Lock()
 	k := key{address, instance}
