--- a/internal/tier/gateway/rig_test.go
+++ b/internal/tier/gateway/rig_test.go
@@ -38,8 +38,8 @@
 type rig struct {
 	t          *testing.T
 	s          settings.Settings
-	consensus  *tiertest.Control
-	turnStores *tiertest.PartitionMap
+	consensus  *tiertest.ControlPlane
+	turnStores *tiertest.TurnStores
 	ingress    string
 	probe      string
 	stop       context.CancelFunc
@@ -53,7 +53,7 @@
 	for _, f := range change {
 		f(&s)
 	}
-	r := &rig{t: t, s: s, consensus: tiertest.NewControl(), turnStores: tiertest.NewPartitionMap(t, 3), ingress: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
+	r := &rig{t: t, s: s, consensus: tiertest.NewControlPlane(), turnStores: tiertest.NewTurnStores(t, 3), ingress: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	k := gateway.New(gateway.Config{Settings: s, ControlPlane: func(string) tierv1.ControlPlane { return r.consensus }, TurnStore: r.turnStores.Dial, Log: tiertest.Silent()})
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -18,7 +18,7 @@
 // rig is a session with control-plane processes control-1, control-2, ... of which only the first is a seed.
 type rig struct {
 	t        *testing.T
-	controls map[string]*tiertest.Control
+	controls map[string]*tiertest.ControlPlane
 	client   *session.Client
 	mu       sync.Mutex
 	taken    []string
@@ -30,9 +30,9 @@
 
 // newRig makes one of n control-plane processes, none of which is the primary.
 func newRig(t *testing.T, n int) *rig {
-	r := &rig{t: t, controls: map[string]*tiertest.Control{}}
+	r := &rig{t: t, controls: map[string]*tiertest.ControlPlane{}}
 	for i := range n {
-		c := tiertest.NewControl()
+		c := tiertest.NewControlPlane()
 		c.Change(func(v *tierv1.WatchReply) { v.Primary = false })
 		r.controls[address(i+1)] = c
 	}
@@ -86,9 +86,9 @@
 	})
 }
 
-func (r *rig) at(n int) *tiertest.Control { return r.controls[address(n)] }
+func (r *rig) at(n int) *tiertest.ControlPlane { return r.controls[address(n)] }
 
-func (r *rig) primary(n int) *tiertest.Control {
+func (r *rig) primary(n int) *tiertest.ControlPlane {
 	c := r.at(n)
 	c.Change(func(v *tierv1.WatchReply) { v.Primary, v.Hint = true, "" })
 	return c
@@ -210,7 +210,7 @@
 }
 
 // silence has calls from now on held and never answered.
-func silence(c *tiertest.Control) {
+func silence(c *tiertest.ControlPlane) {
 	c.SetVia(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/internal/tier/tiertest/consensus.go
+++ b/internal/tier/tiertest/controlplane.go
@@ -12,8 +12,8 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// Control is a control-plane process that is the primary, unless its Via says otherwise.
-type Control struct {
+// ControlPlane is a control-plane process that is the primary, unless its Via says otherwise.
+type ControlPlane struct {
 	mu      sync.Mutex
 	views   *tierv1.WatchReply
 	calls   []*tierv1.WatchRequest
@@ -21,23 +21,23 @@
 	via     Via
 }
 
-// Via stands between a caller and Control; serve gives the plain answer.
+// Via stands between a caller and ControlPlane; serve gives the plain answer.
 type Via func(ctx context.Context, r *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error)
 
 // NewControl makes one that has no views yet.
-func NewControl() *Control {
-	return &Control{views: &tierv1.WatchReply{Primary: true, Epoch: 1}, changed: make(chan struct{})}
+func NewControlPlane() *ControlPlane {
+	return &ControlPlane{views: &tierv1.WatchReply{Primary: true, Epoch: 1}, changed: make(chan struct{})}
 }
 
-var _ tierv1.ControlPlane = (*Control)(nil)
+var _ tierv1.ControlPlane = (*ControlPlane)(nil)
 
-func (c *Control) signal() {
+func (c *ControlPlane) signal() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
 // Change changes what it tells and how.
-func (c *Control) Change(f func(views *tierv1.WatchReply)) {
+func (c *ControlPlane) Change(f func(views *tierv1.WatchReply)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c.views)
@@ -45,33 +45,33 @@
 }
 
 // SetVia sets what stands before it; nil: nothing.
-func (c *Control) SetVia(v Via) {
+func (c *ControlPlane) SetVia(v Via) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.via = v
 }
 
-// SetCatalog brings a configuration.
-func (c *Control) SetConfiguration(body string) {
+// SetConfiguration brings a configuration.
+func (c *ControlPlane) SetConfiguration(body string) {
 	c.Change(func(v *tierv1.WatchReply) {
 		v.Configuration = &tierv1.Configuration{Version: v.GetConfiguration().GetVersion() + 1, Body: []byte(body)}
 	})
 }
 
 // SetEndpoints brings a list of endpoints.
-func (c *Control) SetEndpoints(list ...*tierv1.Endpoint) {
+func (c *ControlPlane) SetEndpoints(list ...*tierv1.Endpoint) {
 	c.Change(func(v *tierv1.WatchReply) {
 		v.Endpoints = &tierv1.Endpoints{Version: v.GetEndpoints().GetVersion() + 1, List: list}
 	})
 }
 
-// SetVaults brings a map, whose version is its own.
-func (c *Control) SetPartitionMap(m *tierv1.PartitionMap) {
+// SetPartitionMap brings a map, whose version is its own.
+func (c *ControlPlane) SetPartitionMap(m *tierv1.PartitionMap) {
 	c.Change(func(v *tierv1.WatchReply) { v.PartitionMap = m })
 }
 
 // Watch answers as a primary does.
-func (c *Control) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+func (c *ControlPlane) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
 	r = proto.Clone(r).(*tierv1.WatchRequest)
 	c.mu.Lock()
 	c.calls = append(c.calls, r)
@@ -85,7 +85,7 @@
 	return serve()
 }
 
-func (c *Control) serve(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+func (c *ControlPlane) serve(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
 	hold := time.NewTimer(time.Duration(r.HoldMs) * time.Millisecond)
 	defer hold.Stop()
 	for over := false; ; {
@@ -121,19 +121,19 @@
 }
 
 // Status is not asked for.
-func (c *Control) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
+func (c *ControlPlane) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
 	return &tierv1.StatusReply{}, nil
 }
 
 // Calls gives the calls so far.
-func (c *Control) Calls() []*tierv1.WatchRequest {
+func (c *ControlPlane) Calls() []*tierv1.WatchRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*tierv1.WatchRequest(nil), c.calls...)
 }
 
 // Await waits until one of the calls meets a condition, and gives the first that does.
-func (c *Control) Await(t testing.TB, what string, met func(*tierv1.WatchRequest) bool) *tierv1.WatchRequest {
+func (c *ControlPlane) Await(t testing.TB, what string, met func(*tierv1.WatchRequest) bool) *tierv1.WatchRequest {
 	t.Helper()
 	timeout := time.After(Patience)
 	for n := 0; ; {
@@ -155,7 +155,7 @@
 }
 
 // Taken waits until a process has acknowledged all views as they stand.
-func (c *Control) Taken(t testing.TB) {
+func (c *ControlPlane) Taken(t testing.TB) {
 	t.Helper()
 	c.mu.Lock()
 	v := proto.Clone(c.views).(*tierv1.WatchReply)
--- a/internal/tier/tiertest/turnstores.go
+++ b/internal/tier/tiertest/turnstores.go
@@ -26,7 +26,7 @@
 	Serve   func() error // has the turn store answer it; may be called several times
 }
 
-// Turn store is a turn store with a network before it.
+// TurnStore is a turn store with a network before it.
 type TurnStore struct {
 	*turnstore.TurnStore
 	Address string
@@ -117,8 +117,8 @@
 	return carry(v, ctx, "Fetch", r, v.TurnStore.Fetch)
 }
 
-// Turn stores are turn stores with disks in memory.
-type PartitionMap struct {
+// TurnStores are turn stores with disks in memory, which know each other.
+type TurnStores struct {
 	t    testing.TB
 	List []*TurnStore
 
@@ -128,10 +128,10 @@
 
 const partitions = 6
 
-// NewVaults opens so many.
-func NewPartitionMap(t testing.TB, n int) *PartitionMap {
+// NewTurnStores opens so many.
+func NewTurnStores(t testing.TB, n int) *TurnStores {
 	t.Helper()
-	all := &PartitionMap{t: t}
+	all := &TurnStores{t: t}
 	for i := range n {
 		one := &TurnStore{Address: fmt.Sprintf("turnstore-%d", i)}
 		v, err := turnstore.Open(turnstore.Config{Node: one.Address, Dir: "/data", FS: wal.NewMemory(), Dial: all.Dial, Log: Silent()})
@@ -144,7 +144,7 @@
 }
 
 // Dial gives the client of an address.
-func (a *PartitionMap) Dial(address string) tierv1.TurnStore {
+func (a *TurnStores) Dial(address string) tierv1.TurnStore {
 	for _, v := range a.List {
 		if v.Address == address {
 			return v
@@ -155,7 +155,7 @@
 
 // Assign makes the next map and brings it to the turn stores that are not dark: a partition's primary and backup are those of
 // its pair, the pairs in turn.
-func (a *PartitionMap) Assign(pairs ...[2]int) *tierv1.PartitionMap {
+func (a *TurnStores) Assign(pairs ...[2]int) *tierv1.PartitionMap {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version++
