--- /dev/null
+++ b/internal/tier/controlplane/answer.go
@@ -0,0 +1,104 @@
+package controlplane
+
+import (
+	"context"
+	"encoding/json"
+	"net"
+	"net/http"
+	"strconv"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// retryAfter is told, in seconds, with each answer that leaves a call open.
+const retryAfter = "0.2"
+
+// answer is what an operator's call gets.
+type answer struct {
+	status   int
+	body     []byte // JSON
+	location string // of a redirect
+}
+
+// final tells whether the answer settles the call: the caller does not send it again.
+func (a answer) final() bool {
+	return a.status != http.StatusServiceUnavailable && a.status != http.StatusTemporaryRedirect
+}
+
+func (a answer) write(w http.ResponseWriter) {
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
+	header.Set("Content-Length", strconv.Itoa(len(a.body)))
+	if a.status == http.StatusServiceUnavailable {
+		header.Set("Retry-After", retryAfter)
+	}
+	if a.location != "" {
+		header.Set("Location", a.location)
+	}
+	w.WriteHeader(a.status)
+	w.Write(a.body)
+}
+
+// accepted is a 200 with a value as JSON.
+func accepted(value any) answer { return jsonAnswer(http.StatusOK, value) }
+
+// refused is a final refusal. Only the primary may give one, see gate.
+func refused(status int, message string) answer {
+	return jsonAnswer(status, map[string]string{"error_message": message})
+}
+
+// unavailable leaves a call open: the outcome of a write is unknown, or nobody is known who could answer.
+func unavailable(message string) answer {
+	return jsonAnswer(http.StatusServiceUnavailable, map[string]string{"error_message": message})
+}
+
+func jsonAnswer(status int, value any) answer {
+	body, err := json.Marshal(value)
+	if err != nil {
+		return answer{status: http.StatusInternalServerError}
+	}
+	return answer{status: status, body: body}
+}
+
+// gate lets a final answer out only while this process is the primary and in touch with its backups. The decision may be
+// old by now: the process may have been paused, or have waited for its gateways. What it withholds stays true, and is
+// found again by the next try: an order that was taken is in the order history, one that was refused is refused again.
+func (plane *ControlPlane) gate(a answer) answer {
+	if _, inTouch := plane.Store.Primary(); !inTouch && a.final() {
+		return unavailable("out of touch with the backups")
+	}
+	return a
+}
+
+// redirect sends the caller to the primary, if another process is known to be it at this moment.
+func (plane *ControlPlane) redirect(r *http.Request) answer {
+	hint := plane.Store.Hint()
+	host, _, err := net.SplitHostPort(hint)
+	_, port, err2 := net.SplitHostPort(plane.Settings.Control)
+	if err != nil || err2 != nil || host == plane.Settings.IP || host == "" {
+		return unavailable("no primary is known")
+	}
+	if !plane.isPrimary(r.Context(), hint) {
+		return unavailable("the primary does not answer")
+	}
+	a := refused(http.StatusTemporaryRedirect, "the primary is another process")
+	a.location = "http://" + net.JoinHostPort(host, port) + r.URL.RequestURI()
+	return a
+}
+
+// isPrimary asks the process at an internal address whether it is the primary and in touch.
+func (plane *ControlPlane) isPrimary(ctx context.Context, address string) bool {
+	if plane.Dial == nil {
+		return true
+	}
+	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	defer cancel()
+	reply, err := plane.Dial(address).Watch(ctx, lookRequest())
+	return err == nil && reply.Primary
+}
+
+// lookRequest is of one that only asks who is the primary: it claims to have all that there is, and so is brought nothing.
+func lookRequest() *tierv1.WatchRequest {
+	const all = 1<<64 - 1
+	return &tierv1.WatchRequest{Configuration: all, Endpoints: all, PartitionMap: all, Members: all}
+}
--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -38,7 +38,10 @@
 	Settings settings.Settings
 	Store    Store
 	Cloud    *http.Client // for calls to the platform
-	Log      *log.Logger
+	// Dial reaches another control-plane process by its internal address. Without it, the store's hint alone tells who is
+	// the primary.
+	Dial func(address string) tierv1.ControlPlane
+	Log  *log.Logger
 }
 
 // ControlPlane is the application of the control-plane role: it answers operators and sessions while this process is the primary.
@@ -64,7 +67,7 @@
 	since         time.Time
 	configuration *tierv1.Configuration
 	packed        *tierv1.Configuration // the same as sessions get it, made once for all
-	revision      int64
+	orders        orderHistory          // the newest orders that were taken, the one in force last
 	partitionMap  *tierv1.PartitionMap
 	endpoints     *tierv1.Endpoints
 	members       *tierv1.Members
@@ -229,7 +232,10 @@
 		if err != nil {
 			return errorx.Decorate(err, "configuration in the control state")
 		}
-		next.configuration, next.revision = &tierv1.Configuration{Version: sequence, Body: body}, c.Revision
+		if next.orders, err = loadOrders(c.Revision, body, plane.Store.Get); err != nil {
+			return errorx.Decorate(err, "orders in the control state")
+		}
+		next.configuration = &tierv1.Configuration{Version: sequence, Body: body}
 		next.packed = pack(next.configuration)
 	}
 	if b, sequence := plane.Store.Get(keyPartitionMap); b != nil {
@@ -248,7 +254,7 @@
 		plane.versions.endpoints, plane.versions.members = 0, 0
 	}
 	plane.replaceView(func(v *view) { *v = next })
-	plane.Log.Info().Str("event", "primary").Uint64("epoch", epoch).Int64("revision", next.revision).Msg("")
+	plane.Log.Info().Str("event", "primary").Uint64("epoch", epoch).Int64("revision", next.orders.current).Int("orders", len(next.orders.records)).Msg("")
 	return nil
 }
 
--- a/internal/tier/controlplane/operators_test.go
+++ b/internal/tier/controlplane/operators_test.go
@@ -27,9 +27,9 @@
 		status(t, w, 200)
 		assert.Equal(t, w.Body.String(), string(configuration(3, "s")))
 		assert.Equal(t, w.Header().Get("Content-Type"), "application/json")
-		confirms := r.s.confirmed()
+		confirms := r.s.confirmCount()
 		status(t, r.replace(0, 3), 200) // the very same again
-		assert.Equal(t, r.s.confirmed(), confirms+1)
+		assert.Equal(t, r.s.confirmCount(), confirms+1)
 		status(t, r.replaceBody(0, configuration(3, "other")), 412)
 		status(t, r.replace(1, 4), 412)
 		status(t, r.replace(3, 3), 200)
--- /dev/null
+++ b/internal/tier/controlplane/orders_test.go
@@ -0,0 +1,236 @@
+package controlplane
+
+import (
+	"fmt"
+	"maps"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+var cmpOrders = cmp.AllowUnexported(configurationOrder{})
+
+// orderOf is an order whose body is told apart by a name.
+func orderOf(base, revision int64, body string) configurationOrder {
+	return configurationOrder{revision: revision, base: base, digest: digestOf([]byte(body))}
+}
+
+// takenOrders is the history of orders that came one after the other.
+func takenOrders(orders ...configurationOrder) (h orderHistory) {
+	for _, order := range orders {
+		h, _ = h.take(order)
+	}
+	return h
+}
+
+func TestDecideOnAnOrder(t *testing.T) {
+	three := takenOrders(orderOf(0, 3, "a"), orderOf(3, 5, "b"), orderOf(5, 9, "c"))
+	// What was taken before 5 is forgotten.
+	forgetful := orderHistory{current: 9, records: three.records[2:]}
+	// Written by a program that kept no records.
+	unrecorded, err := loadOrders(9, []byte("c"), func(string) ([]byte, uint64) { return nil, 0 })
+	assert.NilError(t, err)
+	for _, c := range []struct {
+		name    string
+		history orderHistory
+		order   configurationOrder
+		want    verdict
+	}{
+		{"the first", orderHistory{}, orderOf(0, 3, "a"), verdictTake},
+		{"the first, on a base", orderHistory{}, orderOf(1, 3, "a"), verdictConflict},
+		{"the next", three, orderOf(9, 10, "d"), verdictTake},
+		{"the one in force again", three, orderOf(5, 9, "c"), verdictTaken},
+		{"one that another was taken on", three, orderOf(3, 5, "b"), verdictTaken},
+		{"the oldest", three, orderOf(0, 3, "a"), verdictTaken},
+		{"equal body, other base", three, orderOf(4, 5, "b"), verdictTaken},
+		{"equal body, base in force", three, orderOf(9, 9, "c"), verdictTaken},
+		{"equal number, other body", three, orderOf(3, 5, "x"), verdictConflict},
+		{"equal number and base as the one in force, other body", three, orderOf(5, 9, "x"), verdictConflict},
+		{"a number never taken", three, orderOf(3, 6, "x"), verdictConflict},
+		{"a base that is not there yet", three, orderOf(10, 11, "x"), verdictConflict},
+		{"not above its base", three, orderOf(9, 9, "x"), verdictNotAbove},
+		{"below its base", three, orderOf(9, 4, "x"), verdictNotAbove},
+		{"forgotten", forgetful, orderOf(0, 3, "a"), verdictForgotten},
+		{"forgotten, the last one", forgetful, orderOf(3, 5, "b"), verdictForgotten},
+		{"never taken, but nobody knows any more", forgetful, orderOf(3, 4, "x"), verdictForgotten},
+		{"on a forgotten base, but above the span's begin", forgetful, orderOf(3, 6, "x"), verdictConflict},
+		{"within the span", forgetful, orderOf(5, 6, "x"), verdictConflict},
+		{"in the span", forgetful, orderOf(5, 9, "c"), verdictTaken},
+		{"the next of a forgetful one", forgetful, orderOf(9, 10, "d"), verdictTake},
+		{"in force without a record", unrecorded, orderOf(5, 9, "c"), verdictTaken},
+		{"before one without a record", unrecorded, orderOf(3, 5, "b"), verdictForgotten},
+		{"beside one without a record", unrecorded, orderOf(5, 9, "x"), verdictForgotten},
+		{"above one without a record, on another base", unrecorded, orderOf(3, 10, "x"), verdictConflict},
+		{"on one without a record", unrecorded, orderOf(9, 10, "d"), verdictTake},
+	} {
+		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.history.decide(c.order), c.want) })
+	}
+}
+
+// The oldest record goes in the same write that brings the newest, and what is read back is what was kept.
+func TestOrderHistoryIsBoundedAndReadBack(t *testing.T) {
+	state := map[string][]byte{}
+	var h orderHistory
+	const orders = orderHistoryLimit + 50
+	for i := int64(1); i <= orders; i++ {
+		order := orderOf(3*(i-1), 3*i, fmt.Sprint(i))
+		var sets map[string][]byte
+		h, sets = h.take(order)
+		maps.Copy(state, sets)
+		maps.DeleteFunc(state, func(_ string, value []byte) bool { return value == nil })
+		assert.Assert(t, len(sets) <= 2)
+		assert.Assert(t, len(state) <= orderHistoryLimit)
+	}
+	assert.Equal(t, len(h.records), orderHistoryLimit)
+	assert.Equal(t, h.spanStart(), int64(3*50))
+	back, err := loadOrders(3*orders, nil, func(key string) ([]byte, uint64) { return state[key], 1 })
+	assert.NilError(t, err)
+	assert.Equal(t, back.current, h.current)
+	assert.DeepEqual(t, back.records, h.records, cmpOrders)
+	assert.Equal(t, back.decide(orderOf(0, 3, "1")), verdictForgotten)
+	assert.Equal(t, back.decide(orderOf(3*50, 3*51, "51")), verdictTaken)
+}
+
+func TestOrderRecordsKeepWithinTheirBytes(t *testing.T) {
+	const largest = 1 << 53 // the largest revision that a configuration may have
+	order := orderOf(largest-1, largest, "x")
+	entry := &tierv1.Entry{Key: orderKey(largest), Value: order.encode(), Sequence: 1<<63 + 1}
+	whole := &tierv1.WriteRequest{Entries: []*tierv1.Entry{entry}}
+	assert.Assert(t, proto.Size(whole) <= orderRecordBytes, "%d", proto.Size(whole))
+	assert.Assert(t, orderHistoryLimit*orderRecordBytes <= orderHistoryBytes)
+	assert.Assert(t, orderHistoryLimit >= 1700)
+}
+
+func TestDamagedOrderRecordsAreNotRead(t *testing.T) {
+	for _, value := range [][]byte{{}, {1}, orderOf(5, 5, "a").encode(), orderOf(9, 5, "a").encode(), append(orderOf(3, 5, "a").encode(), 0)} {
+		_, err := loadOrders(5, nil, func(string) ([]byte, uint64) { return value, 1 })
+		assert.Assert(t, err != nil, "%x", value)
+	}
+}
+
+// An older history is not changed by a newer one that was made from it: sessions and calls under way hold it.
+func TestHistoriesDoNotShare(t *testing.T) {
+	base := takenOrders(orderOf(0, 3, "a"), orderOf(3, 5, "b"))
+	left, _ := base.take(orderOf(5, 6, "left"))
+	right, _ := base.take(orderOf(5, 7, "right"))
+	assert.Equal(t, left.decide(orderOf(5, 6, "left")), verdictTaken)
+	assert.Equal(t, right.decide(orderOf(5, 6, "left")), verdictConflict)
+	assert.Equal(t, base.decide(orderOf(5, 6, "left")), verdictTake)
+}
+
+func TestATakenOrderIsAcknowledgedAgainAfterLaterOnes(t *testing.T) {
+	within(t, func(r *rig) {
+		status(t, r.replace(0, 3), 200)
+		status(t, r.replace(3, 5), 200)
+		status(t, r.replace(0, 3), 200)
+		for at := 5; at < 40; at++ {
+			status(t, r.replace(at, at+1), 200)
+		}
+		for range 2 { // before and after a takeover, which reads the state back
+			status(t, r.replace(0, 3), 200)
+			status(t, r.replace(3, 5), 200)
+			status(t, r.replace(20, 21), 200)
+			status(t, r.replaceBody(20, configuration(21, "other")), 412)
+			status(t, r.replaceBody(3, configuration(4, "s")), 412)
+			status(t, r.replaceBody(0, configuration(3, "s")[1:]), 400) // the same, but damaged
+			assert.Equal(t, r.describe().Body.String(), string(configuration(40, "s")))
+			r.s.set(func() { r.s.epoch += 1 << 12 })
+			r.pass(500 * time.Millisecond)
+		}
+	})
+}
+
+func TestAnOrderThatIsForgottenIsLeftOpen(t *testing.T) {
+	within(t, func(r *rig) {
+		status(t, r.replace(0, 3), 200)
+		status(t, r.replace(3, 5), 200)
+		status(t, r.replace(5, 6), 200)
+		r.s.set(func() {
+			delete(r.s.values, orderKey(3))
+			r.s.epoch += 1 << 12
+		})
+		r.pass(500 * time.Millisecond)
+		w := r.replace(0, 3)
+		status(t, w, 503)
+		assert.Assert(t, w.Header().Get("Retry-After") != "")
+		status(t, r.replace(3, 5), 200)
+		status(t, r.replaceBody(3, configuration(5, "other")), 412)
+	})
+}
+
+// The write that brings the configuration brings its record, or neither is there.
+func TestAConfigurationAndItsRecordAreOneWrite(t *testing.T) {
+	within(t, func(r *rig) {
+		var writes []map[string][]byte
+		r.s.set(func() {
+			r.s.unclear = func(sets map[string][]byte) (bool, bool) { writes = append(writes, sets); return false, false }
+		})
+		status(t, r.replace(0, 3), 200)
+		status(t, r.replace(3, 5), 200)
+		assert.Equal(t, len(writes), 2)
+		for i, key := range []string{orderKey(3), orderKey(5)} {
+			assert.Assert(t, writes[i][keyConfiguration] != nil && writes[i][key] != nil)
+		}
+	})
+}
+
+// An order with an unknown outcome is settled before anything else is taken. Then it is acknowledged if it was written,
+// also after others were taken on it, and refused only if it was not.
+func TestAnUnclearOrderUnderLaterOnes(t *testing.T) {
+	for _, lost := range []bool{true, false} {
+		within(t, func(r *rig) {
+			status(t, r.replace(0, 3), 200)
+			r.s.set(func() { r.s.unclear = func(map[string][]byte) (bool, bool) { return lost, true } })
+			status(t, r.replace(3, 4), 503)
+			for range 4 {
+				status(t, r.replace(3, 4), 503)
+				status(t, r.replaceBody(3, configuration(5, "b")), 503)
+				r.pass(150 * time.Millisecond)
+			}
+			r.s.set(func() { r.s.unclear = nil })
+			r.pass(300 * time.Millisecond)
+			if lost {
+				status(t, r.replaceBody(3, configuration(5, "b")), 200)
+				status(t, r.replace(3, 4), 412)
+				return
+			}
+			status(t, r.replaceBody(3, configuration(5, "b")), 412)
+			status(t, r.replaceBody(4, configuration(5, "b")), 200)
+			status(t, r.replace(3, 4), 200)
+		})
+	}
+}
+
+// Eight operators send the same eight orders at once, each twice: all tries of one order get the same answer.
+func TestOrdersAtOnceAreEachTakenOrRefusedAsAWhole(t *testing.T) {
+	within(t, func(r *rig) {
+		status(t, r.replace(0, 3), 200)
+		r.s.set(func() { r.s.slow = 5 * time.Millisecond })
+		const operators, tries = 8, 2
+		var codes [operators][tries]int
+		var all sync.WaitGroup
+		for i := range operators {
+			for j := range tries {
+				all.Go(func() { codes[i][j] = r.replaceBody(3, configuration(4+i%2, fmt.Sprint("s", i))).Code })
+			}
+		}
+		all.Wait()
+		winners := 0
+		for i, code := range codes {
+			assert.Equal(t, code[0], code[1], "order %d", i)
+			if code[0] == 200 {
+				winners++
+				assert.Equal(t, r.describe().Body.String(), string(configuration(4+i%2, fmt.Sprint("s", i))))
+			} else {
+				assert.Equal(t, code[0], 412)
+			}
+		}
+		assert.Equal(t, winners, 1)
+	})
+}
--- a/internal/tier/controlplane/reconcile.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -8,6 +8,8 @@
 	"strings"
 	"time"
 
+	"google.golang.org/protobuf/proto"
+
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
@@ -37,7 +39,7 @@
 	if t.done && t.last == seen {
 		return true
 	}
-	if _, changed := Assign(v.partitionMap, in); !changed {
+	if _, changed := nextMap(v.partitionMap, in); !changed {
 		t.last, t.done = seen, in.Move
 		return true
 	}
@@ -52,7 +54,7 @@
 	if !ready || v.epoch != epoch {
 		return true
 	}
-	if next, changed := Assign(v.partitionMap, in); changed {
+	if next, changed := nextMap(v.partitionMap, in); changed {
 		t.wrote = now
 		err := plane.putPartitionMap(ctx, epoch, next)
 		if err == nil {
@@ -64,6 +66,20 @@
 	return true
 }
 
+// nextMap is the map that Assign makes, with the machines recorded that have been emptied by it.
+func nextMap(before *tierv1.PartitionMap, in Input) (after *tierv1.PartitionMap, changed bool) {
+	after, changed = Assign(before, in)
+	retired := newlyRetired(after, in.Losses)
+	if len(retired) == 0 {
+		return after, changed
+	}
+	if !changed {
+		after = proto.Clone(after).(*tierv1.PartitionMap) // the one in force is shared
+	}
+	after.Retired = append(after.Retired, retired...)
+	return after, true
+}
+
 // signature is the same for inputs that lead to the same.
 func (in Input) signature() string {
 	var parts []string
--- a/internal/tier/controlplane/retire.go
+++ b/internal/tier/controlplane/retire.go
@@ -11,72 +11,154 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// createRetire takes the order to empty a storage machine.
-func (plane *ControlPlane) createRetire(w http.ResponseWriter, r *http.Request, node string) {
-	body, ok := readBody(w, r, orderBytes)
-	if !ok {
-		return
+// Lifecycle states of an order to retire, as operators read them.
+const (
+	retireInProgress = "in_progress"
+	retireCompleted  = "completed"
+)
+
+// retireRecordsLimit bounds the orders to retire that are remembered, and with them the turn store map that every session
+// gets. An order is sent again for ack_timeout_ms or less: 256 machines are not emptied and taken away in that time.
+const retireRecordsLimit = 256
+
+// retireRequest is an order to empty a machine, with all that the decision on it needs.
+type retireRequest struct {
+	ordered  bool // it was taken before
+	known    bool // the machine is known to keep data
+	remain   int  // turn stores that are alive and would be left without it
+	mapped   int  // machines that keep data by the map and would be left without it: some may be down for now
+	losses   int  // to be borne at once
+	settling bool // after a takeover, not all that are there need have come yet
+}
+
+// retireVerdict is the decision on an order to empty a machine.
+type retireVerdict int
+
+const (
+	retireTake        retireVerdict = iota
+	retireTaken                     // before: it is acknowledged again, also when the machine has been taken away since
+	retireWait                      // a refusal would end the order, though it may be possible in a moment
+	retireUnknownNode               // no such machine
+	retireTooFew                    // too few would remain
+)
+
+func (r retireRequest) decide() retireVerdict {
+	enough := r.remain >= r.losses+1
+	switch {
+	case r.ordered:
+		return retireTaken
+	case r.known && enough:
+		return retireTake
+	case r.settling, r.known && r.mapped > r.losses:
+		return retireWait
+	case !r.known:
+		return retireUnknownNode
+	default:
+		return retireTooFew
 	}
+}
+
+// createRetire takes the order to empty a storage machine.
+func (plane *ControlPlane) createRetire(w http.ResponseWriter, r *http.Request, node string) answer {
+	body, err := readBody(w, r, orderBytes)
 	if _, ok := plane.primary(); !ok {
-		plane.redirect(w, r)
-		return
+		return plane.redirect(r)
+	}
+	if err != nil {
+		return refusedBody(err)
 	}
 	var order struct {
 		Duration float64 `json:"duration_s"`
 	}
 	if len(body) > 0 && json.Unmarshal(body, &order) != nil {
-		writeError(w, http.StatusBadRequest, "the body is no JSON object with duration_s")
-		return
+		return refused(http.StatusBadRequest, "the body is no JSON object with duration_s")
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), writeLimit)
 	defer cancel()
 	if err := plane.lockWriter(ctx); err != nil {
-		unavailable(w, "another write is under way")
-		return
+		return unavailable("another write is under way")
 	}
 	defer plane.unlockWriter()
 	v, ok := plane.primary()
 	if !ok {
-		plane.redirect(w, r)
-		return
-	}
-	if slices.Contains(v.partitionMap.GetRetiring(), node) {
-		if err := plane.confirm.wait(ctx, v.epoch); err != nil {
-			unavailable(w, "the backups do not confirm it")
-			return
+		return plane.redirect(r)
+	}
+	verdict := plane.retireRequest(v, node).decide()
+	switch verdict {
+	case retireTake:
+		next := orderRetire(v.partitionMap, node)
+		next.Retired = append(next.Retired, newlyRetired(next, plane.spread.Losses)...)
+		if err := plane.putPartitionMap(ctx, v.epoch, next); err != nil {
+			return unavailable("the outcome is unknown")
 		}
-		writeJSON(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(v.partitionMap, node, plane.spread.Losses)})
-		return
+		wake(plane.reconcileNow)
+		plane.Log.Info().Str("event", "retire").Str("node", node).Float64("duration_s", order.Duration).Msg("")
+		return retireAnswer(next, node)
+	case retireWait:
+		return unavailable("the storage machines are not all heard yet")
+	}
+	if err := plane.confirm.wait(ctx, v.epoch); err != nil {
+		return unavailable("the backups do not confirm it")
+	}
+	switch verdict {
+	case retireTaken:
+		return retireAnswer(v.partitionMap, node)
+	case retireUnknownNode:
+		return refused(http.StatusNotFound, "no storage machine of that name is known")
+	default:
+		return refused(http.StatusConflict, "too few storage machines would remain")
 	}
+}
+
+func (plane *ControlPlane) retireRequest(v *view, node string) retireRequest {
 	known, remain := plane.remaining(v.partitionMap, node)
-	if !known || remain < plane.spread.Losses+1 {
-		if time.Since(v.since) < plane.window(gracePart) || known && mapped(v.partitionMap, node) > plane.spread.Losses { // not all that are there have come yet: a final answer would end the order
-			unavailable(w, "the storage machines are not all heard yet")
-			return
-		}
-		if err := plane.confirm.wait(ctx, v.epoch); err != nil {
-			unavailable(w, "the backups do not confirm it")
-			return
-		}
-		if !known {
-			writeError(w, http.StatusNotFound, "no storage machine of that name is known")
-		} else {
-			writeError(w, http.StatusConflict, "too few storage machines would remain")
-		}
-		return
-	}
+	return retireRequest{ordered: slices.Contains(v.partitionMap.GetRetiring(), node), known: known, remain: remain,
+		mapped: mapped(v.partitionMap, node), losses: plane.spread.Losses, settling: time.Since(v.since) < plane.window(gracePart)}
+}
+
+// orderRetire gives a map with an order to retire added. Beyond retireRecordsLimit the oldest orders are forgotten whose
+// machines have been emptied and are not in the map any more.
+func orderRetire(m *tierv1.PartitionMap, node string) *tierv1.PartitionMap {
 	next := &tierv1.PartitionMap{}
-	if v.partitionMap != nil {
-		next = proto.Clone(v.partitionMap).(*tierv1.PartitionMap)
+	if m != nil {
+		next = proto.Clone(m).(*tierv1.PartitionMap)
 	}
 	next.Retiring = append(next.Retiring, node)
-	if err := plane.putPartitionMap(ctx, v.epoch, next); err != nil {
-		unavailable(w, "the outcome is unknown")
-		return
+	present := map[string]bool{}
+	for _, one := range next.StoreNodes {
+		present[one.Node] = true
+	}
+	for i := 0; i < len(next.Retiring) && len(next.Retiring) > retireRecordsLimit; {
+		name := next.Retiring[i]
+		at := slices.Index(next.Retired, name)
+		if at < 0 || present[name] {
+			i++
+			continue
+		}
+		next.Retiring = slices.Delete(next.Retiring, i, i+1)
+		next.Retired = slices.Delete(next.Retired, at, at+1)
 	}
-	wake(plane.reconcileNow)
-	plane.Log.Info().Str("event", "retire").Str("node", node).Float64("duration_s", order.Duration).Msg("")
-	writeJSON(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(next, node, plane.spread.Losses)})
+	return next
+}
+
+// newlyRetired gives the machines that have been emptied by a map and are not recorded as such in it. They are recorded in
+// it before anybody is told: from then on the machine may be taken away with its disk at any moment, and what is lost
+// elsewhere later does not make it needed again.
+func newlyRetired(m *tierv1.PartitionMap, losses int) (nodes []string) {
+	for _, node := range m.GetRetiring() {
+		if !slices.Contains(m.Retired, node) && lifecycle(m, node, losses) == retireCompleted {
+			nodes = append(nodes, node)
+		}
+	}
+	return nodes
+}
+
+func retireAnswer(m *tierv1.PartitionMap, node string) answer {
+	state := retireInProgress
+	if slices.Contains(m.GetRetired(), node) {
+		state = retireCompleted
+	}
+	return accepted(map[string]string{"lifecycle_state": state})
 }
 
 // mapped is how many machines besides a node the map keeps data on, and is not asked to take it off: some may be down for now.
@@ -109,21 +191,20 @@
 	return known, remain
 }
 
-func (plane *ControlPlane) describeRetire(w http.ResponseWriter, r *http.Request, node string) {
+func (plane *ControlPlane) describeRetire(r *http.Request, node string) answer {
 	discardBody(r)
-	v, ok := plane.confirmed(w, r)
-	if !ok {
-		return
+	v, a := plane.confirmedView(r)
+	if v == nil {
+		return a
 	}
 	if !slices.Contains(v.partitionMap.GetRetiring(), node) {
-		writeError(w, http.StatusNotFound, "that machine is not asked to be emptied")
-		return
+		return refused(http.StatusNotFound, "that machine is not asked to be emptied")
 	}
-	writeJSON(w, http.StatusOK, map[string]string{"lifecycle_state": lifecycle(v.partitionMap, node, plane.spread.Losses)})
+	return retireAnswer(v.partitionMap, node)
 }
 
-// lifecycle tells whether a node that is to be emptied may be taken away with its disk: no partition has a copy there,
-// and each has its synced copies notPrimary.
+// lifecycle tells, by the copies in a map, whether a node that is to be emptied may be taken away with its disk: no partition has a copy there, and each has its synced
+// copies elsewhere.
 func lifecycle(m *tierv1.PartitionMap, node string, losses int) string {
 	mine := map[string]bool{}
 	for _, one := range m.StoreNodes {
@@ -134,21 +215,21 @@
 	for _, p := range m.Partitions {
 		synced := 1
 		if mine[p.Primary] {
-			return "in_progress"
+			return retireInProgress
 		}
 		for _, c := range p.Backups {
 			if mine[c.Folder] {
-				return "in_progress"
+				return retireInProgress
 			}
 			if c.Synced {
 				synced++
 			}
 		}
 		if synced < losses+1 {
-			return "in_progress"
+			return retireInProgress
 		}
 	}
-	return "completed"
+	return retireCompleted
 }
 
 // putPartitionMap writes a turn store map and shows it. The caller has the right to write.
--- /dev/null
+++ b/internal/tier/controlplane/retire_test.go
@@ -0,0 +1,128 @@
+package controlplane
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+func TestDecideOnARetire(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		request retireRequest
+		want    retireVerdict
+	}{
+		{"enough remain", retireRequest{known: true, remain: 2, mapped: 2, losses: 1}, retireTake},
+		{"just too few", retireRequest{known: true, remain: 1, mapped: 1, losses: 1}, retireTooFew},
+		{"others are down", retireRequest{known: true, remain: 1, mapped: 2, losses: 1}, retireWait},
+		{"unknown", retireRequest{remain: 5, mapped: 5, losses: 1}, retireUnknownNode},
+		{"unknown yet", retireRequest{remain: 5, losses: 1, settling: true}, retireWait},
+		{"too few yet", retireRequest{known: true, remain: 1, losses: 1, settling: true}, retireWait},
+		{"again", retireRequest{ordered: true, known: true, remain: 2, mapped: 2, losses: 1}, retireTaken},
+		{"again, when too few are left", retireRequest{ordered: true, known: true, losses: 1}, retireTaken},
+		{"again, when it is gone", retireRequest{ordered: true, remain: 2, mapped: 2, losses: 1}, retireTaken},
+		{"again, after a takeover", retireRequest{ordered: true, losses: 1, settling: true}, retireTaken},
+	} {
+		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.request.decide(), c.want) })
+	}
+}
+
+// The order to empty a machine is acknowledged again after the machine was emptied and taken away, and however many are
+// lost later.
+func TestARetireIsAcknowledgedAgainWhenTheMachineIsGone(t *testing.T) {
+	within(t, func(r *rig) {
+		state := func(node string) string {
+			w := r.call("GET", "Retire.Describe/"+node, nil, nil)
+			status(t, w, 200)
+			return w.Body.String()
+		}
+		const completed = `{"lifecycle_state":"completed"}`
+		stores := map[string]*process{}
+		for _, node := range []string{"v1", "v2", "v3"} {
+			stores[node] = r.join(roleTurnStore, node, nil)
+		}
+		r.pass(2 * time.Second)
+		status(t, r.retire("v1"), 200)
+		r.pass(8 * time.Second)
+		assert.Equal(t, state("v1"), completed)
+		again := func(what string) {
+			t.Helper()
+			w := r.retire("v1")
+			status(t, w, 200)
+			assert.Equal(t, w.Body.String(), completed, what)
+			assert.Equal(t, state("v1"), completed, what)
+		}
+		stores["v1"].end()
+		r.pass(5 * time.Second)
+		assert.Assert(t, !slices.ContainsFunc(r.turnStores().StoreNodes, func(one *tierv1.StoreNode) bool { return one.Node == "v1" }))
+		again("taken away")
+		r.s.set(func() { r.s.epoch += 1 << 12 })
+		r.pass(300 * time.Millisecond)
+		again("right after a takeover")
+		stores["v2"].end()
+		r.pass(5 * time.Second)
+		again("another is lost")
+		r.join(roleTurnStore, "v4", nil)
+		r.pass(200 * time.Millisecond)
+		again("and is replaced: copies are under way")
+	})
+}
+
+// That a machine has been emptied is written before it is told.
+func TestAnEmptiedMachineIsToldWhenItIsRecorded(t *testing.T) {
+	within(t, func(r *rig) {
+		for _, node := range []string{"v1", "v2", "v3"} {
+			r.join(roleTurnStore, node, nil)
+		}
+		r.pass(2 * time.Second)
+		r.s.set(func() {
+			r.s.unclear = func(sets map[string][]byte) (bool, bool) { // no map that records it is written
+				m := mapIn(t, sets)
+				bad := m != nil && len(m.Retired) > 0
+				return bad, bad
+			}
+		})
+		status(t, r.retire("v1"), 200)
+		r.pass(8 * time.Second)
+		w := r.call("GET", "Retire.Describe/v1", nil, nil)
+		if w.Code == 200 {
+			assert.Equal(t, w.Body.String(), `{"lifecycle_state":"in_progress"}`)
+		} else {
+			status(t, w, 503)
+		}
+		r.s.set(func() { r.s.unclear = nil })
+		r.pass(time.Second)
+		assert.Equal(t, r.call("GET", "Retire.Describe/v1", nil, nil).Body.String(), `{"lifecycle_state":"completed"}`)
+	})
+}
+
+func mapIn(t *testing.T, sets map[string][]byte) *tierv1.PartitionMap {
+	body := sets[keyPartitionMap]
+	if body == nil {
+		return nil
+	}
+	m := &tierv1.PartitionMap{}
+	assert.NilError(t, proto.Unmarshal(body, m))
+	return m
+}
+
+func TestRetireRecordsAreBounded(t *testing.T) {
+	m := &tierv1.PartitionMap{StoreNodes: []*tierv1.StoreNode{{Node: "n0", Folder: "f0"}}}
+	const orders = retireRecordsLimit + 40
+	for i := range orders {
+		m = orderRetire(m, fmt.Sprint("n", i))
+		if i != 1 { // that one is never emptied
+			m.Retired = append(m.Retired, fmt.Sprint("n", i))
+		}
+	}
+	assert.Equal(t, len(m.Retiring), retireRecordsLimit)
+	assert.DeepEqual(t, m.Retiring[:2], []string{"n0", "n1"}) // n0 is still there, n1 is under way
+	assert.Equal(t, m.Retiring[retireRecordsLimit-1], fmt.Sprint("n", orders-1))
+	assert.Equal(t, len(m.Retired), retireRecordsLimit-1)
+}
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -24,20 +24,21 @@
 
 // store is a control state in memory whose role and outcomes the test sets.
 type store struct {
-	mu       sync.Mutex
-	epoch    uint64
-	ok       bool
-	hint     string
-	values   map[string][]byte
-	at       map[string]uint64
-	sequence uint64
-	changed  chan struct{}
-	members  []*tierv1.Member
-	confirms int
-	deaf     bool                                           // no backup confirms
-	unclear  func(sets map[string][]byte) (lost, fail bool) // of a write, if set
-	slow     time.Duration
-	puts     []string
+	mu        sync.Mutex
+	epoch     uint64
+	ok        bool
+	hint      string
+	values    map[string][]byte
+	at        map[string]uint64
+	sequence  uint64
+	changed   chan struct{}
+	members   []*tierv1.Member
+	confirms  int
+	confirmed func()                                         // called after each successful Confirm, under the lock
+	deaf      bool                                           // no backup confirms
+	unclear   func(sets map[string][]byte) (lost, fail bool) // of a write, if set
+	slow      time.Duration
+	puts      []string
 }
 
 func newStore() *store {
@@ -76,6 +77,9 @@
 	if s.deaf || !s.ok || s.epoch != epoch {
 		return errUnclear
 	}
+	if s.confirmed != nil {
+		s.confirmed()
+	}
 	return nil
 }
 
@@ -287,7 +291,7 @@
 	return n
 }
 
-func (s *store) confirmed() int { s.mu.Lock(); defer s.mu.Unlock(); return s.confirms }
+func (s *store) confirmCount() int { s.mu.Lock(); defer s.mu.Unlock(); return s.confirms }
 
 func (p *process) end() {
 	p.cancel()
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -115,7 +115,7 @@
 	if !primary {
 		return r, nil
 	}
-	r.PartitionMap, r.Configuration, r.Endpoints, r.Revision = v.partitionMap, v.configuration.GetVersion(), v.endpoints.GetVersion(), v.revision
+	r.PartitionMap, r.Configuration, r.Endpoints, r.Revision = v.partitionMap, v.configuration.GetVersion(), v.endpoints.GetVersion(), v.orders.current
 	now := time.Now()
 	plane.mu.Lock()
 	for _, one := range plane.sessions.of {
--- a/internal/tier/controlplane/sessions_test.go
+++ b/internal/tier/controlplane/sessions_test.go
@@ -15,17 +15,17 @@
 	within(t, func(r *rig) {
 		status(t, r.replace(0, 3), 200)
 		service := r.k.Sessions()
-		confirms := r.s.confirmed()
+		confirms := r.s.confirmCount()
 		n, err := service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e1", Role: roleGateway, Life: "a", HoldMs: 500})
 		assert.NilError(t, err)
 		assert.Assert(t, n.Primary)
 		assert.Equal(t, bodyOf(n.Configuration), string(configuration(3, "s")))
 		assert.Equal(t, n.Members.List[0].Folder, "c1")
-		assert.Equal(t, r.s.confirmed(), confirms+1)
+		assert.Equal(t, r.s.confirmCount(), confirms+1)
 		n, err = service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e1", Role: roleGateway, Life: "a", Configuration: n.Configuration.Version, HoldMs: 500})
 		assert.NilError(t, err)
 		assert.Assert(t, n.Primary && n.Configuration == nil)
-		assert.Equal(t, r.s.confirmed(), confirms+1)
+		assert.Equal(t, r.s.confirmCount(), confirms+1)
 		r.s.set(func() { r.s.deaf = true })
 		n, err = service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e2", Role: roleGateway, Life: "b", HoldMs: 500})
 		assert.NilError(t, err)
@@ -35,12 +35,12 @@
 
 func TestFirstCallsShareRoundTripsThatBeganAfterThem(t *testing.T) {
 	within(t, func(r *rig) {
-		before := r.s.confirmed()
+		before := r.s.confirmCount()
 		for _, node := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
 			r.join(roleGateway, node, func(p *process) { p.req.Members = math.MaxUint64 })
 		}
-		assert.Assert(t, r.s.confirmed()-before <= 6)
-		assert.Assert(t, r.s.confirmed()-before >= 1)
+		assert.Assert(t, r.s.confirmCount()-before <= 6)
+		assert.Assert(t, r.s.confirmCount()-before >= 1)
 	})
 }
 
--- a/internal/tier/process/controlplane.go
+++ b/internal/tier/process/controlplane.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	p.run(ctx, node.Run) // it closes the data directory
-	role := controlplane.New(controlplane.Config{Settings: s, Store: node, Cloud: p.client, Log: config.Log})
+	role := controlplane.New(controlplane.Config{Settings: s, Store: node, Cloud: p.client, Dial: dialer(p.client, dialControlPlane), Log: config.Log})
 	mux := http.NewServeMux()
 	mux.Handle(tierv1.ElectionPathPrefix, node.Handler())
 	mux.Handle(tierv1.ControlPlanePathPrefix, tierv1.NewControlPlaneServer(role.Sessions()))
