--- a/internal/tier/upstream/call.go
+++ b/internal/tier/upstream/call.go
@@ -22,17 +22,31 @@
 	Body    []byte  // the whole body, where End is Whole
 	Stream  *Stream // the body, where End is Streaming; it must be closed
 	Err     error   // where End is neither Whole nor Streaming
-	turn    bool
+
+	turn       bool
+	identified bool // Answer carries the request's X-Attempt-Id
+	unframed   bool // the body of Answer ends with its connection
+	connection connectionState
+}
+
+// connectionState is how a call left its connection. It stands from the end of the call on.
+type connectionState struct {
+	bodyDue   bool // some bytes of the request were written and others were not
+	surplus   int  // whole answers read, less requests begun
+	unread    bool // bytes are buffered that belong to no answer
+	cancelled bool // the cancellation may still set the deadline
 }
 
 // Observation is what Classify takes. Begun says that a part of the answer has gone to the client.
 func (r *Result) Observation(begun bool) Observation {
-	o := Observation{End: r.End, Written: r.Written, Begun: begun, Turn: r.turn}
+	state := &r.connection
+	o := Observation{End: r.End, Written: r.Written, Begun: begun, Turn: r.turn, Identified: r.identified, Unframed: r.unframed,
+		BodyDue: state.bodyDue, Surplus: state.surplus, Unread: state.unread, Cancelled: state.cancelled}
 	if r.Stream != nil {
 		o.End = r.Stream.End()
 	}
 	if a := r.Answer; a != nil {
-		o.Status, o.Stamped, o.NotExecuted = a.Status, a.Signature != "", a.NotExecuted
+		o.Status, o.Stamped, o.NotExecuted, o.Closing = a.Status, a.Signature != "", a.NotExecuted, a.closes
 	}
 	return o
 }
@@ -64,44 +78,37 @@
 		size += len(part)
 	}
 	now = time.Now()
+	exchange := &exchange{pool: p, conn: c, ctx: ctx, result: r}
 	if !q.Deadline.IsZero() && !now.Before(q.Deadline) || !now.Before(until) {
-		p.unused(c)
-		return r.end(TimedOut, errOverdue)
+		return exchange.end(TimedOut, errOverdue)
 	}
 	out := q.appendHead(c.scratch[:0], t, size, now)
 	if err := c.SetDeadline(until); err != nil {
-		p.drop(c)
-		return r.end(ConnectFailed, err)
+		return exchange.end(ConnectFailed, err)
 	}
-	stop := func() bool { return true }
 	if ctx.Done() != nil {
-		stop = context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+		exchange.stop = context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	}
 	if q.Permit != nil && !q.Permit() {
-		if stop() {
-			p.unused(c)
-		} else {
-			p.drop(c)
-		}
-		return r.end(NotSent, errNoPermit)
+		return exchange.end(NotSent, errNoPermit)
 	}
-	c.last = q.AttemptID
 	n, out, err := write(c.TCPConn, out, q.Body, size)
-	r.Written = n > 0
 	if cap(out) <= keepScratch {
 		c.scratch = out
 	}
-	exchange := &exchange{pool: p, conn: c, ctx: ctx, stop: stop}
+	if n > 0 {
+		r.Written = true
+		c.begin(q.AttemptID)
+	}
 	if err != nil {
+		r.connection.bodyDue = n > 0
 		end := ended(ctx, err)
-		if n > 0 && end == Broken && exchange.early(q, r) {
-			return r
+		if n > 0 && end == Broken {
+			return exchange.early(q)
 		}
-		exchange.finish(false, 0)
-		return r.end(end, err)
+		return exchange.end(end, err)
 	}
-	exchange.answer(q, r)
-	return r
+	return exchange.answer(q)
 }
 
 func (r *Result) end(e End, err error) *Result {
@@ -124,67 +131,74 @@
 	return Broken
 }
 
-// exchange is a request that was written, and its connection.
+// exchange is a call that has its connection.
 type exchange struct {
-	pool    *Pool
-	conn    *conn
-	ctx     context.Context
-	stop    func() bool
-	foreign bool // an answer to a former request came first
+	pool   *Pool
+	conn   *conn       // nil once it has been given back or closed
+	stop   func() bool // keeps the cancellation from touching conn; false: it may have begun to. Nil: there is none
+	ctx    context.Context
+	result *Result
+}
+
+// end ends the call and its use of the connection.
+func (exchange *exchange) end(end End, err error) *Result {
+	r := exchange.result.end(end, err)
+	exchange.finish()
+	return r
 }
 
-// finish gives the connection back or closes it.
-func (exchange *exchange) finish(reusable bool, alive time.Duration) {
-	if exchange.conn == nil {
+// finish gives the connection back or closes it, as the table of outcomes says. The result's end is set before.
+func (exchange *exchange) finish() {
+	c, r := exchange.conn, exchange.result
+	if c == nil {
 		return
 	}
-	c := exchange.conn
 	exchange.conn = nil
-	// After a stop that came too late, the connection's deadline may be set at any time.
-	if exchange.stop() && reusable && !exchange.foreign && c.r.Buffered() == 0 {
-		exchange.pool.put(c, alive)
-		return
+	state := &r.connection
+	state.cancelled = exchange.stop != nil && !exchange.stop()
+	state.unread = c.r.Buffered() > 0
+	state.surplus = c.answers - c.requests
+	switch {
+	case r.Verdict(false).Reuse == CloseConnection:
+		exchange.pool.drop(c)
+	case r.Written:
+		exchange.pool.put(c, r.Answer.alive)
+	default:
+		exchange.pool.unused(c)
 	}
-	exchange.pool.drop(c)
 }
 
-// answer reads the answer to q into r.
-func (exchange *exchange) answer(q *Request, r *Result) {
-	fail := func(err error) {
-		end := ended(exchange.ctx, err)
-		exchange.finish(false, 0)
-		r.end(end, err)
-	}
+// answer reads the answer to q into the result.
+func (exchange *exchange) answer(q *Request) *Result {
+	r := exchange.result
 	a, err := exchange.head(q)
 	if err != nil {
-		fail(err)
-		return
+		return exchange.end(ended(exchange.ctx, err), err)
 	}
-	r.Answer = a
+	r.Answer, r.identified = a, true
 	success := a.Status/100 == 2
 	if a.encoded || success && (a.NotExecuted || a.Signature == "" && !q.Unstamped) {
-		fail(errMalformed)
-		return
+		return exchange.end(Malformed, errMalformed)
 	}
 	b := newBody(exchange.conn.r, a, q.Method)
+	r.unframed = b.framing == byClose
 	large := b.framing == byLength && b.left > int64(exchange.pool.config.Body)
-	if success && (a.Events || q.Stream || large) {
+	if success && !r.connection.bodyDue && (a.Events || q.Stream || large) {
 		r.End = Streaming
 		r.Stream = &Stream{exchange: exchange, body: b, answer: a, cut: a.Events, end: Streaming}
 		r.Stream.events.last = q.After
-		return
+		return r
 	}
-	if b.framing == byClose && !a.closeNamed { // its end would be any end
-		fail(errMalformed)
-		return
+	if r.unframed && (!a.closeNamed || r.connection.bodyDue) { // its end would be any end
+		return exchange.end(Malformed, errMalformed)
 	}
 	body, err := b.all(exchange.pool.config.Body)
 	if err != nil {
-		fail(err)
-		return
+		return exchange.end(ended(exchange.ctx, err), err)
 	}
-	r.Body, r.End = body, Whole
-	exchange.finish(!a.closes, a.alive)
+	exchange.conn.answers++
+	r.Body = body
+	return exchange.end(Whole, nil)
 }
 
 // head reads up to the head of the answer to q: over interim answers, and over late ones to former requests, after
@@ -207,7 +221,6 @@
 		case a.AttemptID == q.AttemptID:
 			return a, nil
 		default:
-			exchange.foreign = true
 			b := newBody(c.r, a, "")
 			if foreign++; foreign > maxForeign || a.AttemptID == "" || a.closes || b.framing == byClose {
 				return nil, errMalformed
@@ -215,29 +228,23 @@
 			if err := b.skip(exchange.pool.config.Body); err != nil {
 				return nil, err
 			}
+			c.answers++
 		}
 	}
 }
 
 // early looks for an answer that came while the request was being written: an endpoint that rejects it need not read it.
-func (exchange *exchange) early(q *Request, r *Result) bool {
+// A success is not believed there, as the endpoint has not had the whole request.
+func (exchange *exchange) early(q *Request) *Result {
 	if err := exchange.conn.SetReadDeadline(time.Now().Add(aftermath)); err != nil {
-		return false
+		return exchange.end(Broken, err)
 	}
-	exchange.foreign = true // of no further use, whatever comes
-	early := *q
-	early.Stream = false
-	got := &Result{Written: true, Opened: r.Opened, turn: r.turn}
-	exchange.answer(&early, got)
-	if got.Stream != nil {
-		got.Stream.Close()
+	r := exchange.answer(q)
+	if r.End != Whole || r.Answer.Status/100 == 2 {
+		r.Answer, r.Body = nil, nil
+		return r.end(Broken, errEnded)
 	}
-	if got.End != Whole || got.Answer.Status/100 == 2 {
-		r.end(Broken, errEnded)
-		return true
-	}
-	*r = *got
-	return true
+	return r
 }
 
 // Stream is the body of an answer as it comes. It is for one goroutine.
@@ -287,7 +294,8 @@
 			s.close(Broken, io.ErrUnexpectedEOF)
 		default:
 			s.end = Whole
-			s.exchange.finish(!s.answer.closes, s.answer.alive)
+			s.exchange.conn.answers++
+			s.exchange.finish()
 		}
 		return
 	}
@@ -344,5 +352,5 @@
 
 func (s *Stream) close(end End, err error) {
 	s.end, s.err = end, err
-	s.exchange.finish(false, 0)
+	s.exchange.finish()
 }
--- a/internal/tier/upstream/call_test.go
+++ b/internal/tier/upstream/call_test.go
@@ -60,7 +60,7 @@
 	got, err := pieces(r.Stream)
 	assert.Equal(t, err, io.EOF)
 	assert.Assert(t, strings.Join(got, "") == back)
-	assert.Equal(t, r.Verdict(true), Verdict{Ran: Yes, Reply: PassOn})
+	assert.Equal(t, r.Verdict(true), Verdict{Ran: Yes, Reply: PassOn, Reuse: KeepConnection})
 	_, idle := p.Open(target)
 	assert.Equal(t, idle, 1)
 }
@@ -146,7 +146,7 @@
 			assert.Assert(t, r.Written && r.Opened)
 			if tc.end == Whole {
 				assert.Equal(t, string(r.Body), "ok")
-				assert.Equal(t, r.Verdict(false), Verdict{Ran: Yes, Reply: PassOn})
+				assert.Equal(t, r.Verdict(false), Verdict{Ran: Yes, Reply: PassOn, Reuse: Reuse(tc.kept)})
 			} else {
 				assert.Assert(t, r.Err != nil && r.Body == nil)
 				assert.Equal(t, r.Verdict(false).Reply, BadGateway)
--- a/internal/tier/upstream/outcome.go
+++ b/internal/tier/upstream/outcome.go
@@ -44,22 +44,42 @@
 	BadGateway                  // 502: it may have run
 	GatewayTimeout              // 504: it may have run, and the time is over
 	BreakOff                    // the connection ends with the answer visibly not whole
-	Nothing                     // the client is no longer there
+	Nothing                     // the client has left
 )
 
 func (r Reply) String() string {
 	return [...]string{"pass_on", "refuse", "bad_gateway", "gateway_timeout", "break_off", "nothing"}[r]
 }
 
+// Reuse is what becomes of the connection of a call that has ended.
+type Reuse uint8
+
+// The uses.
+const (
+	CloseConnection Reuse = iota // nothing is ever written on it again
+	KeepConnection               // it may carry another request
+)
+
+func (r Reuse) String() string { return [...]string{"close", "keep"}[r] }
+
 // Observation is all that the outcome of a call rests on.
 type Observation struct {
 	End         End
 	Written     bool // a byte of the request may have left
-	Status      int  // of an answer that carries the request's id and whose head is sound; 0: none came
+	Status      int  // of an answer whose head is sound; 0: none came
+	Identified  bool // it carries the request's X-Attempt-Id
 	Stamped     bool // it has X-Response-Signature
 	NotExecuted bool // it has X-Not-Executed
+	Unframed    bool // its body has neither a length nor chunks: it ends with the connection
 	Begun       bool // a part of the answer has gone to the client
 	Turn        bool // the request is a turn of a program, whose 402, 404 and 410 are the system's to say
+
+	// Of the connection, at the end of the call:
+	BodyDue   bool // some bytes of the request were written and others were not
+	Closing   bool // the endpoint announced that no further answer comes (Connection: close, HTTP/1.0)
+	Surplus   int  // whole answers read on the connection, less requests begun on it
+	Unread    bool // bytes were read that belong to no answer
+	Cancelled bool // the call's cancellation has begun, and may still touch the connection
 }
 
 // Verdict is what follows from an Observation.
@@ -68,14 +88,25 @@
 	Reply Reply
 	Again bool // an idempotent request may be sent again
 	Once  bool // one that isn't may be sent again, too
+	Reuse Reuse
 }
 
 // Retry reports whether the request may be sent again, as far as its kind goes.
 func (v Verdict) Retry(idempotent bool) bool { return v.Once || idempotent && v.Again }
 
-// Classify is the table of outcomes. Only X-Not-Executed and 421 on a whole answer say that what was written has not run;
-// 408, 429, 503 (and 402) promise that to the client and are never passed on without.
+// Classify is the table of outcomes: whether the request has run, what its client gets, whether it may be sent again, and
+// whether its connection may carry another one.
+//
+// Only X-Not-Executed and 421 on a whole answer say that what was written has not run; 408, 429, 503 (and 402) promise that
+// to the client and are never passed on without. How a connection ends after the first byte was written (reset, close or
+// silence, on a new connection or on one that had been idle) is no evidence that the request has not run.
 func Classify(o Observation) Verdict {
+	v := classify(o)
+	v.Reuse = o.reuse()
+	return v
+}
+
+func classify(o Observation) Verdict {
 	switch {
 	case o.End == Abandoned && !o.Written:
 		return Verdict{Ran: No, Reply: Nothing}
@@ -84,32 +115,57 @@
 	case !o.Written:
 		return Verdict{Ran: No, Reply: Refuse, Again: true, Once: true}
 	case o.End == Whole || o.End == Streaming:
-		return answered(o)
+		return o.answered()
 	case o.Begun:
-		return Verdict{Ran: ranAtLeast(o), Reply: BreakOff}
+		return Verdict{Ran: o.ranAtLeast(), Reply: BreakOff}
 	case o.End == TimedOut:
-		return Verdict{Ran: ranAtLeast(o), Reply: GatewayTimeout, Again: true}
+		return Verdict{Ran: o.ranAtLeast(), Reply: GatewayTimeout, Again: true}
 	}
-	return Verdict{Ran: ranAtLeast(o), Reply: BadGateway, Again: true}
+	return Verdict{Ran: o.ranAtLeast(), Reply: BadGateway, Again: true}
+}
+
+// reuse keeps a connection only where every request begun on it was written whole and answered whole, one answer each, and
+// nothing else has come. A connection on which nothing was written is as clean as it was.
+func (o *Observation) reuse() Reuse {
+	if o.BodyDue || o.Closing || o.Surplus != 0 || o.Unread || o.Cancelled {
+		return CloseConnection
+	}
+	switch {
+	case !o.Written && (o.End == NotSent || o.End == TimedOut):
+		return KeepConnection
+	case o.Written && o.End == Whole && o.Identified && !o.Unframed:
+		return KeepConnection
+	}
+	return CloseConnection
+}
+
+// complete reports whether the end of an answer proves that it is whole. A body without framing ends with its connection:
+// it is whole if the endpoint announced that end, and if no failed write can have taken the connection's error, as after a
+// reset that was reported to a write the next read gives a plain end.
+func (o *Observation) complete() bool { return !o.Unframed || o.Closing && !o.BodyDue }
+
+// success reports whether the answer is one of the endpoint's own to this very request.
+func (o *Observation) success() bool {
+	return o.Status/100 == 2 && o.Identified && o.Stamped && !o.NotExecuted
 }
 
 // ranAtLeast is for an answer that didn't come whole: a sound head of a success says that the request has run.
-func ranAtLeast(o Observation) Ran {
-	if o.Status/100 == 2 && o.Stamped && !o.NotExecuted {
+func (o *Observation) ranAtLeast() Ran {
+	if o.success() {
 		return Yes
 	}
 	return Unknown
 }
 
 // answered is for answers that are whole, or whole as yet.
-func answered(o Observation) Verdict {
+func (o *Observation) answered() Verdict {
 	unsure := Verdict{Ran: Unknown, Reply: BadGateway, Again: true}
 	switch success := o.Status/100 == 2; {
-	case success && o.Stamped && !o.NotExecuted:
+	case o.success() && o.complete() && !o.BodyDue:
 		return Verdict{Ran: Yes, Reply: PassOn}
 	case o.Begun: // only successes are passed on piece by piece
 		return Verdict{Ran: Unknown, Reply: BreakOff}
-	case success || o.Status < 200 || o.Status > 599 || o.End == Streaming:
+	case success || o.Status < 200 || o.Status > 599 || o.End == Streaming || !o.Identified || !o.complete():
 		return unsure
 	case o.NotExecuted && o.Status == http.StatusBadRequest: // it has no id, and would have none elsewhere
 		return Verdict{Ran: No, Reply: PassOn}
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -5,6 +5,7 @@
 import (
 	"bufio"
 	"context"
+	"hash/maphash"
 	"net"
 	"slices"
 	"sync"
@@ -15,11 +16,13 @@
 )
 
 const (
-	readerSize  = 4 << 10                // bytes read at once, and of a line of a head at most
-	sweepEvery  = 250 * time.Millisecond // idle connections are looked through no more often
-	shortest    = 50 * time.Millisecond  // no idle span is learnt below it
-	forgetAfter = time.Minute            // what was learnt of an endpoint without connections
-	tcpUserTime = 18                     // TCP_USER_TIMEOUT, which package syscall lacks
+	readerSize = 4 << 10                // bytes read at once, and of a line of a head at most
+	sweepEvery = 250 * time.Millisecond // idle connections are looked through no more often
+	shortest   = 50 * time.Millisecond  // no idle span is learnt below it
+	// A late second answer comes in place of the one due next; the same attempt stays off the connection for longer.
+	recentRequests = 4
+	forgetAfter    = time.Minute // what was learnt of an endpoint without connections
+	tcpUserTime    = 18          // TCP_USER_TIMEOUT, which package syscall lacks
 )
 
 // Config is what a pool is given; zero fields take the values named.
@@ -72,15 +75,30 @@
 
 type conn struct {
 	*net.TCPConn
-	r       *bufio.Reader // nil while idle
-	key     key
-	host    *host
-	last    string // the attempt id of the last call on it
+	r    *bufio.Reader // nil while idle
+	key  key
+	host *host
+	// requests counts those of which a byte was written, answers those read whole, whoever they are to. A connection on
+	// which they differ is never used again.
+	requests, answers int
+	recent            [recentRequests]uint64 // hashes of the attempt ids of the last requests
+
 	since   time.Time
 	expires time.Time
 	scratch []byte // for heads
 }
 
+var attemptSeed = maphash.MakeSeed()
+
+// attemptHash is never 0, which stands for no request.
+func attemptHash(attempt string) uint64 { return maphash.String(attemptSeed, attempt) | 1 }
+
+// begin notes that a byte of a request was written.
+func (c *conn) begin(attempt string) {
+	c.recent[c.requests%recentRequests] = attemptHash(attempt)
+	c.requests++
+}
+
 // NewPool makes a pool without connections.
 func NewPool(c Config) *Pool {
 	c.ConnectTimeout = or(c.ConnectTimeout, 400*time.Millisecond)
@@ -121,7 +139,7 @@
 	return 0, 0
 }
 
-// get takes the idle connection used last or opens one. An attempt never goes where its last send went: a second answer
+// get takes the idle connection used last or opens one. An attempt never goes where a recent send of it went: a second answer
 // to that one would be taken for the answer to this one. Any end but Whole says why there is none.
 func (p *Pool) get(ctx context.Context, t Target, attempt string, until time.Time) (c *conn, opened bool, end End, err error) {
 	k := key{t.Address, t.Instance}
@@ -151,7 +169,7 @@
 	defer func() { shut(old) }()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := time.Now()
+	now, hash := time.Now(), attemptHash(attempt)
 	h := p.hosts[k]
 	if h == nil {
 		h = &host{}
@@ -161,7 +179,7 @@
 	h.used = now
 	old = p.expire(h, now, old)
 	for i := len(h.idle) - 1; i >= 0; i-- {
-		if c := h.idle[i]; attempt == "" || c.last != attempt {
+		if c := h.idle[i]; attempt == "" || !slices.Contains(c.recent[:], hash) {
 			h.idle = slices.Delete(h.idle, i, i+1)
 			p.counts.Idle--
 			return c, Whole
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -136,7 +136,7 @@
 	for range 2 {
 		r := p.Call(context.Background(), target, q, long)
 		assert.Assert(t, r.End == NotSent && !r.Written && r.Answer == nil)
-		assert.Equal(t, r.Verdict(false), Verdict{Ran: No, Reply: Refuse, Again: true, Once: true})
+		assert.Equal(t, r.Verdict(false), Verdict{Ran: No, Reply: Refuse, Again: true, Once: true, Reuse: KeepConnection})
 		_, idle := p.Open(target)
 		assert.Equal(t, idle, 1) // it is kept
 	}
@@ -284,6 +284,6 @@
 		if r.End != Whole {
 			b.Fatal(r.End, r.Err)
 		}
-		p.hosts[key{target.Address, target.Instance}].idle[0].last = ""
+		p.hosts[key{target.Address, target.Instance}].idle[0].recent = [recentRequests]uint64{}
 	}
 }
