--- /dev/null
+++ b/internal/tier/upstream/wire_test.go
@@ -0,0 +1,465 @@
+package upstream
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// ending is what a stand-in endpoint does at the byte where its plan ends.
+type ending int
+
+const (
+	endsByReset ending = iota
+	endsByClose
+	endsInSilence // the connection stays open, and the call's time runs out
+	endsNowhere   // the connection stays open and serves what comes next
+)
+
+func (e ending) String() string { return [...]string{"reset", "close", "silence", "goes on"}[e] }
+
+// answerForm is one way in which an endpoint may answer. In its text, _ID__ stands for the request's id, which is as long.
+type answerForm struct {
+	name     string
+	text     string
+	complete func(sent int, how ending) bool // whether what was sent is a whole answer to the request
+	reusable bool                            // all of it, with nothing behind, leaves the connection clean
+	success  bool
+	notRun   bool // it says so, once whole
+}
+
+const (
+	ownHead     = "HTTP/1.1 200 OK\r\nX-Attempt-Id: _ID__\r\nX-Response-Signature: s._ID__\r\n"
+	foreignText = "HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Response-Signature: s\r\nContent-Length: 7\r\n\r\n{other}"
+	lengthText  = ownHead + "Content-Length: 7\r\n\r\n{_ID__}"
+)
+
+// framed is complete from its last byte on, whatever follows.
+func framed(text string) func(int, ending) bool {
+	return func(sent int, _ ending) bool { return sent >= len(text) }
+}
+
+// closedBehindHead is complete wherever its body is closed: by the protocol that is its end, and no onlooker could tell.
+func closedBehindHead(text string) func(int, ending) bool {
+	return func(sent int, how ending) bool { return how == endsByClose && sent >= strings.Index(text, "\r\n\r\n")+4 }
+}
+
+func never(int, ending) bool { return false }
+
+func answerForms() []answerForm {
+	chunked := ownHead + "Transfer-Encoding: chunked\r\n\r\n1\r\n{\r\n5;x=y\r\n_ID__\r\n1\r\n}\r\n0\r\n\r\n"
+	unframed := ownHead + "Connection: close\r\n\r\n{_ID__}"
+	events := ownHead + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("id: 1\ndata: {_ID__}\n\n") + chunk("id: 2\ndata: {_ID__}\n\n") + "0\r\n\r\n"
+	unframedEvents := ownHead + "Content-Type: text/event-stream\r\nConnection: close\r\n\r\nid: 1\ndata: {_ID__}\n\n"
+	rejected := "HTTP/1.1 503 Full\r\nX-Attempt-Id: _ID__\r\nX-Not-Executed: 1\r\nContent-Length: 7\r\n\r\n{_ID__}"
+	unframedRejected := "HTTP/1.1 503 Full\r\nX-Attempt-Id: _ID__\r\nX-Not-Executed: 1\r\nConnection: close\r\n\r\n{_ID__}"
+	failed := "HTTP/1.1 500 Oops\r\nX-Attempt-Id: _ID__\r\nX-Response-Signature: s._ID__\r\nContent-Length: 7\r\n\r\n{_ID__}"
+	interim := "HTTP/1.1 103 Early Hints\r\nX-Attempt-Id: _ID__\r\n\r\n" + lengthText
+	return []answerForm{
+		{name: "length", text: lengthText, complete: framed(lengthText), reusable: true, success: true},
+		{name: "chunked", text: chunked, complete: framed(chunked), reusable: true, success: true},
+		{name: "unframed", text: unframed, complete: closedBehindHead(unframed), success: true},
+		{name: "unframed, end not announced", text: strings.Replace(unframed, "Connection: close\r\n", "", 1), complete: never, success: true},
+		{name: "events", text: events, complete: framed(events), reusable: true, success: true},
+		{name: "unframed events", text: unframedEvents, complete: never, success: true},
+		{name: "rejected", text: rejected, complete: framed(rejected), reusable: true, notRun: true},
+		{name: "unframed rejection", text: unframedRejected, notRun: true,
+			complete: closedBehindHead(unframedRejected)},
+		{name: "failed", text: failed, complete: framed(failed), reusable: true},
+		{name: "interim first", text: interim, complete: framed(interim), reusable: true, success: true},
+		{name: "a second answer at once", text: lengthText + lengthText, complete: framed(lengthText), success: true},
+		{name: "garbage behind", text: lengthText + "\x00garbage", complete: framed(lengthText), success: true},
+		{name: "another's first", text: foreignText + lengthText, complete: framed(foreignText + lengthText), success: true},
+		{name: "only another's", text: foreignText, complete: never, success: true},
+		{name: "without an id", text: strings.Replace(lengthText, "X-Attempt-Id: _ID__\r\n", "", 1), complete: never, success: true},
+		{name: "without a stamp", text: strings.Replace(lengthText, "X-Response-Signature: s._ID__\r\n", "", 1), complete: never, success: true},
+	}
+}
+
+// plan is what the stand-in does with one request: it reads so many bytes of it (all: -1), says a text and ends.
+type plan struct {
+	read  int
+	text  string
+	sent  int // bytes of the text
+	how   ending
+	clean bool // the connection may carry another request afterwards
+}
+
+// standIn is an endpoint that follows a plan for each attempt id, answers what has none, and writes down what it sees.
+type standIn struct {
+	target Target
+	said   chan string // the ids of those whose plan ended in silence
+
+	mu       sync.Mutex
+	plans    map[string]plan
+	arrivals map[string]int // by attempt id, of which a byte came
+	faults   []string
+	lines    []*net.TCPConn
+}
+
+func newStandIn(t *testing.T) *standIn {
+	t.Helper()
+	s := &standIn{said: make(chan string, 1), plans: map[string]plan{}, arrivals: map[string]int{}}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NilError(t, err)
+	s.target = Target{Address: listener.Addr().String(), Instance: "i-1"}
+	var all sync.WaitGroup
+	all.Go(func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			s.mu.Lock()
+			s.lines = append(s.lines, c.(*net.TCPConn))
+			s.mu.Unlock()
+			all.Go(func() { s.serve(c.(*net.TCPConn)) })
+		}
+	})
+	t.Cleanup(func() {
+		listener.Close()
+		s.mu.Lock()
+		for _, c := range s.lines {
+			c.Close()
+		}
+		s.mu.Unlock()
+		all.Wait()
+	})
+	return s
+}
+
+func (s *standIn) fault(format string, args ...any) {
+	s.mu.Lock()
+	s.faults = append(s.faults, fmt.Sprintf(format, args...))
+	s.mu.Unlock()
+}
+
+// serve reads requests whose id is the first thing in their path, so that a part of one is known, too.
+func (s *standIn) serve(c *net.TCPConn) {
+	defer c.Close()
+	r := bufio.NewReader(c)
+	spent := "" // the id after which nothing may come on this connection
+	for {
+		if _, err := r.Peek(1); err != nil {
+			return
+		}
+		if spent != "" {
+			s.fault("a request on the connection that %s left unclean", spent)
+			return
+		}
+		id, seen, ok := s.head(r)
+		if id == "" {
+			s.fault("no request where one is due: %q", seen)
+			return
+		}
+		s.mu.Lock()
+		s.arrivals[id]++
+		p, planned := s.plans[id]
+		s.mu.Unlock()
+		if !ok { // the request was cut by its sender
+			return
+		}
+		if !planned {
+			p = plan{read: -1, text: lengthText, sent: len(lengthText), how: endsNowhere, clean: true}
+		}
+		if p.read < 0 {
+			if !s.rest(r, id, seen) {
+				return
+			}
+		}
+		io.WriteString(c, strings.ReplaceAll(p.text, "_ID__", id)[:p.sent])
+		switch p.how {
+		case endsByReset:
+			c.SetLinger(0)
+			return
+		case endsByClose:
+			return
+		case endsInSilence:
+			s.said <- id
+			if p.read >= 0 { // the rest of its own request may come, and nothing else
+				if rest, _ := io.ReadAll(r); strings.Contains(string(rest), "PUT /") {
+					s.fault("a request on the connection where the rest of %s is due", id)
+				}
+				return
+			}
+		}
+		if !p.clean {
+			spent = id
+		}
+	}
+}
+
+// head reads up to the bytes that a plan names or the end of the head.
+func (s *standIn) head(r *bufio.Reader) (id, seen string, ok bool) {
+	var head strings.Builder
+	for {
+		b, err := r.ReadByte()
+		if err != nil {
+			return id, head.String(), false
+		}
+		head.WriteByte(b)
+		seen = head.String()
+		if id == "" && strings.HasSuffix(seen, "/") { // PUT /ID/
+			if _, id, _ = strings.Cut(strings.TrimSuffix(seen, "/"), "/"); id == "" {
+				continue
+			}
+		}
+		if id != "" {
+			s.mu.Lock()
+			p, planned := s.plans[id]
+			s.mu.Unlock()
+			if planned && p.read >= 0 && len(seen) >= p.read {
+				return id, seen, true
+			}
+		}
+		if strings.HasSuffix(seen, "\r\n\r\n") {
+			return id, seen, true
+		}
+		if len(seen) > 4096 || strings.Contains(seen, "\x00") {
+			return "", seen, false
+		}
+	}
+}
+
+// rest reads the body, which holds nothing but the id's first byte.
+func (s *standIn) rest(r *bufio.Reader, id, head string) bool {
+	_, length, _ := strings.Cut(head, "Content-Length: ")
+	n := 0
+	fmt.Sscanf(length, "%d", &n)
+	body := make([]byte, n)
+	if _, err := io.ReadFull(r, body); err != nil {
+		return false
+	}
+	if strings.Trim(string(body), id[:1]) != "" {
+		s.fault("%s: other bytes where its body is due", id)
+	}
+	return true
+}
+
+// overContext is a context whose deadline is over when the test says so.
+type overContext struct {
+	context.Context
+	cause error
+}
+
+func (c *overContext) Err() error {
+	if c.Context.Err() != nil {
+		return c.cause
+	}
+	return nil
+}
+
+// heard is what a client would have of a call.
+type heard struct {
+	reply Reply
+	body  string
+	whole bool
+}
+
+// wireClient sends as a gateway does: once more only where the table says so.
+type wireClient struct {
+	t     *testing.T
+	pool  *Pool
+	ep    *standIn
+	retry func(r *Result) bool // whether a request that is not idempotent goes again
+}
+
+func wireRequest(id string, size int) *Request {
+	return &Request{Method: "PUT", Target: "/" + id + "/x", Host: "h", AttemptID: id, Priority: -1, Body: [][]byte{[]byte(strings.Repeat(id[:1], size))}}
+}
+
+func (w *wireClient) send(id string, size int, cause error) (heard, *Result) {
+	for tries := 1; ; tries++ {
+		got, r := w.once(id, size, cause)
+		if !w.retry(r) || got.body != "" || tries == 3 {
+			return got, r
+		}
+	}
+}
+
+func (w *wireClient) once(id string, size int, cause error) (heard, *Result) {
+	inner, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	done := make(chan struct{})
+	defer close(done)
+	if cause != nil {
+		go func() {
+			select {
+			case <-w.ep.said:
+				cancel()
+			case <-done:
+			}
+		}()
+	}
+	r := w.pool.Call(&overContext{inner, cause}, w.ep.target, wireRequest(id, size), long)
+	got := heard{body: string(r.Body), whole: r.End == Whole}
+	if r.Stream != nil {
+		pieces, err := pieces(r.Stream)
+		got.body, got.whole = strings.Join(pieces, ""), err == io.EOF
+	}
+	got.reply = r.Verdict(r.Stream != nil && got.body != "").Reply
+	if got.reply != PassOn {
+		got.whole = false
+		if r.Stream == nil {
+			got.body = ""
+		}
+	}
+	return got, r
+}
+
+// check judges, from outside, what the client of one request has.
+func (got heard) check(id string, f *answerForm, sent int, how ending, arrivals int) string {
+	own := "{" + id + "}"
+	if strings.Contains(f.text, "id: 1") {
+		own = "id: 1\ndata: " + own + "\n\nid: 2\ndata: " + own + "\n\n"
+	}
+	switch {
+	case !strings.HasPrefix(own, got.body):
+		return fmt.Sprintf("bytes that are not its own answer's: %q", got.body)
+	case got.whole && !f.complete(sent, how):
+		return "an answer that was not whole looks whole"
+	case got.reply == Refuse && !(f.notRun && f.complete(sent, how)) && arrivals > 0:
+		return "a promise that it has not run"
+	case arrivals > 1 && !(f.notRun && f.complete(sent, how)):
+		return fmt.Sprintf("reached endpoints %d times", arrivals)
+	case got.reply == PassOn && !got.whole:
+		return "passed on though not whole"
+	}
+	return ""
+}
+
+// tryOne plays one request to its end and the next one behind it, and names what is wrong.
+func (w *wireClient) tryOne(name string, reused bool, f *answerForm, p plan, sent, size int, cause error) string {
+	victim, next := "v"+name, "n"+name
+	w.ep.mu.Lock()
+	w.ep.plans = map[string]plan{victim: p}
+	w.ep.faults = nil
+	w.ep.mu.Unlock()
+	if reused {
+		if got, _ := w.send("w"+name, 4, nil); got.body != "{w"+name+"}" {
+			return "the request before is not served"
+		}
+	} else {
+		w.pool.Forget(w.ep.target.Address, w.ep.target.Instance)
+	}
+	got, _ := w.send(victim, size, cause)
+	after, r := w.send(next, 4, nil)
+	if r.Written && !r.Opened && r.End == Broken { // the endpoint ended the connection as it was sent
+		after, _ = w.send("m"+name, 4, nil)
+		next = "m" + name
+	}
+	w.ep.mu.Lock()
+	defer w.ep.mu.Unlock()
+	if len(w.ep.faults) > 0 {
+		return w.ep.faults[0]
+	}
+	if after.body != "{"+next+"}" {
+		return fmt.Sprintf("the request behind got %+v", after)
+	}
+	return got.check(victim, f, sent, p.how, w.ep.arrivals[victim])
+}
+
+func newWireClient(t *testing.T) *wireClient {
+	return &wireClient{t: t, pool: pool(t), ep: newStandIn(t), retry: func(r *Result) bool { return r.Verdict(false).Retry(false) }}
+}
+
+func silenceCauses(how ending) []error {
+	if how == endsInSilence {
+		return []error{context.Canceled, context.DeadlineExceeded}
+	}
+	return []error{nil}
+}
+
+// TestAnswersCutAtEachByte: each form of answer ends by a reset, a close or in silence at each of its bytes, on a new and on
+// a reused connection, with a request behind it.
+func TestAnswersCutAtEachByte(t *testing.T) {
+	for _, f := range answerForms() {
+		t.Run(f.name, func(t *testing.T) {
+			t.Parallel()
+			w := newWireClient(t)
+			n := 0
+			for _, how := range []ending{endsByReset, endsByClose, endsInSilence} {
+				for sent := 0; sent <= len(f.text); sent++ {
+					if how == endsInSilence && f.complete(sent, how) {
+						continue // the call doesn't wait for more
+					}
+					for _, cause := range silenceCauses(how) {
+						for _, reused := range []bool{false, true} {
+							n++
+							p := plan{read: -1, text: f.text, sent: sent, how: how}
+							if wrong := w.tryOne(fmt.Sprintf("%04d", n), reused, &f, p, sent, 4, cause); wrong != "" {
+								t.Fatalf("%v at byte %d of %d, reused %v, %v: %s", how, sent, len(f.text), reused, cause, wrong)
+							}
+						}
+					}
+				}
+			}
+		})
+	}
+}
+
+// TestAnswersWhole: each form comes whole and its connection stays open. It carries the next request only if it is clean.
+func TestAnswersWhole(t *testing.T) {
+	for _, f := range answerForms() {
+		if f.complete(len(f.text), endsNowhere) {
+			w := newWireClient(t)
+			for n := range 8 {
+				p := plan{read: -1, text: f.text, sent: len(f.text), how: endsNowhere, clean: f.reusable}
+				wrong := w.tryOne(fmt.Sprintf("%04d", n), n%2 == 1, &f, p, len(f.text), 4, nil)
+				assert.Equal(t, wrong, "", f.name)
+			}
+			if f.reusable && !f.notRun {
+				assert.Assert(t, w.pool.Counts().Reused > 8, "%s: %+v", f.name, w.pool.Counts())
+			}
+		}
+	}
+}
+
+// TestRequestsCutAtEachByte: the endpoint ends the connection after each byte of a request, having said nothing.
+func TestRequestsCutAtEachByte(t *testing.T) {
+	form := answerForm{name: "nothing", complete: never}
+	w := newWireClient(t)
+	size := len(wireRequest("v0000", 4).appendHead(nil, w.ep.target, 4, time.Now()))
+	n := 0
+	for _, how := range []ending{endsByReset, endsByClose, endsInSilence} {
+		for read := len("PUT /v0000/"); read <= size; read++ {
+			for _, cause := range silenceCauses(how) {
+				for _, reused := range []bool{false, true} {
+					n++
+					if wrong := w.tryOne(fmt.Sprintf("%04d", n), reused, &form, plan{read: read, how: how}, 0, 4, cause); wrong != "" {
+						t.Fatalf("%v after byte %d of %d, reused %v: %s", how, read, size, reused, wrong)
+					}
+				}
+			}
+		}
+	}
+}
+
+// TestEarlyAnswersCutAtEachByte: the endpoint has read only the head of a long request when it answers, and then resets or
+// closes: the rest of the body is due.
+func TestEarlyAnswersCutAtEachByte(t *testing.T) {
+	const large = 6 << 20 // more than sockets take
+	for _, f := range answerForms() {
+		if f.name == "rejected" || f.name == "unframed rejection" || f.name == "failed" || f.name == "length" || f.name == "unframed" {
+			w := newWireClient(t)
+			n := 0
+			for _, how := range []ending{endsByReset, endsByClose} {
+				for sent := 0; sent <= len(f.text); sent += 1 + sent%3 {
+					n++
+					p := plan{read: len("PUT /v0000/") + 40, text: f.text, sent: sent, how: how}
+					if wrong := w.tryOne(fmt.Sprintf("%04d", n), n%2 == 1, &f, p, sent, large, nil); wrong != "" {
+						t.Fatalf("%s: %v at byte %d of %d: %s", f.name, how, sent, len(f.text), wrong)
+					}
+				}
+			}
+		}
+	}
+}
