--- a/cmd/fuzzdays/main.go
+++ b/cmd/fuzzdays/main.go
@@ -2,10 +2,12 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -17,53 +19,127 @@
 	"dockshift.example/dockshift/internal/rehearsal/fuzzdays"
 )
 
-type cli struct {
-	Bench string        `required:"" type:"path" help:"Program that plays a day: PROGRAM run SITE DAY --report FILE."`
-	Repo  string        `default:"." type:"path" help:"Repository that is played; its journal gets the entries."`
-	Out   string        `default:"/tmp/fuzzdays" type:"path" help:"Scratch folder for site and day files."`
-	Seed  int64         `default:"1" help:"First seed."`
-	Days  int           `default:"20" help:"Number of days."`
-	Jobs  int           `default:"3" help:"Plays at a time."`
-	Until time.Duration `default:"25m" help:"Start no play after this span."`
-	Draw  bool          `help:"Only write the files."`
-	Why   string        `default:"Fieldtrip: drawn deployments and days, to find broken rules" help:"Line for the journal."`
-	Sites []string      `arg:"" type:"existingfile" help:"Site files to edit copies of."`
+// longestWhy is how long a line for the journal may be.
+const longestWhy = 120
+
+// command holds the flags of one call.
+type command struct {
+	Bench     string        `type:"path" help:"Program that plays a day: PROGRAM run SITE DAY --report FILE. Needed unless --draw is given."`
+	Repo      string        `default:"." type:"path" help:"Repository that is played; its journal gets the entries."`
+	Out       string        `default:"/tmp/fuzzdays" type:"path" help:"Scratch folder for site and day files."`
+	Seed      int64         `default:"1" help:"First seed."`
+	Days      int           `default:"20" help:"Number of days."`
+	Jobs      int           `default:"3" help:"Plays at a time."`
+	Until     time.Duration `default:"25m" help:"Start no play after this span."`
+	Scenario  string        `help:"Draw only this scenario. Left out, each seed takes its own."`
+	Scenarios bool          `help:"Print the scenarios' names and end."`
+	Draw      bool          `help:"Only write the files."`
+	Why       string        `default:"Drawn deployment and day, to find broken rules" help:"Line for the journal; seed and scenario follow it."`
+	Sites     []string      `arg:"" optional:"" type:"path" help:"Site files to edit copies of."`
 }
 
 func main() {
-	var c cli
-	ctx := kong.Parse(&c, kong.Description("Draws deployments and days from seeds, has them played, keeps those that break a rule."))
-	ctx.FatalIfErrorf(c.run())
+	var c command
+	parser := kong.Must(&c, kong.Description("Draws deployments and days from seeds, has them played, keeps those that break a rule."))
+	if unknown := unknownFlags(parser, os.Args[1:]); len(unknown) > 0 {
+		parser.Fatalf("unknown flags: %s", strings.Join(unknown, ", "))
+	}
+	_, err := parser.Parse(os.Args[1:])
+	parser.FatalIfErrorf(err)
+	parser.FatalIfErrorf(c.check())
+	parser.FatalIfErrorf(c.run())
+}
+
+// unknownFlags names all arguments that look like flags and are none.
+func unknownFlags(parser *kong.Kong, arguments []string) []string {
+	known := []string{"--help"}
+	for _, group := range parser.Model.AllFlags(true) {
+		for _, flag := range group {
+			known = append(known, "--"+flag.Name)
+		}
+	}
+	var unknown []string
+	for _, argument := range arguments {
+		name, _, _ := strings.Cut(argument, "=")
+		if strings.HasPrefix(name, "--") && !slices.Contains(known, name) {
+			unknown = append(unknown, name)
+		}
+	}
+	return unknown
+}
+
+// check tells everything that is wrong with the flags at once.
+func (c *command) check() error {
+	if c.Scenarios {
+		return nil
+	}
+	var wrong []error
+	refuse := func(is bool, format string, values ...any) {
+		if is {
+			wrong = append(wrong, errorx.IllegalArgument.New(format, values...))
+		}
+	}
+	refuse(c.Bench == "" && !c.Draw, "--bench is needed to play")
+	refuse(len(c.Sites) == 0, "no site file is given")
+	for _, path := range c.Sites {
+		_, err := os.Stat(path)
+		refuse(err != nil, "site file %s can't be read", path)
+	}
+	refuse(c.Days < 1, "--days is %d, must be 1 or more", c.Days)
+	refuse(c.Jobs < 1 || c.Jobs > 64, "--jobs is %d, must be 1 to 64", c.Jobs)
+	refuse(c.Until <= 0, "--until is %v, must be above 0", c.Until)
+	names := fuzzdays.ScenarioNames()
+	refuse(c.Scenario != "" && !slices.Contains(names, c.Scenario), "no scenario is called %q; --scenarios lists them", c.Scenario)
+	if c.Scenario != "" {
+		names = []string{c.Scenario}
+	}
+	for _, name := range names {
+		why := c.reason(c.Seed+int64(c.Days), name)
+		if len(why) >= longestWhy {
+			refuse(true, "--why with seed and scenario has %d characters, must have fewer than %d: %s", len(why), longestWhy, why)
+			break
+		}
+	}
+	return errors.Join(wrong...)
+}
+
+// reason is the line for the journal of one play.
+func (c *command) reason(seed int64, scenario string) string {
+	return fmt.Sprintf("%s (seed %d: %s)", c.Why, seed, scenario)
 }
 
-func (c *cli) run() error {
+func (c *command) run() error {
+	if c.Scenarios {
+		fmt.Println(strings.Join(fuzzdays.ScenarioNames(), "\n"))
+		return nil
+	}
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return errorx.ExternalError.Wrap(err, "scratch folder")
 	}
 	began := time.Now()
 	seeds := make(chan int64)
 	var wait sync.WaitGroup
-	var mu sync.Mutex
-	var played, broken int
-	var failed error
+	var mutex sync.Mutex
+	var played, found int
+	var failures []error
 	for range c.Jobs {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			for seed := range seeds {
-				line, bad, err := c.trip(seed)
-				mu.Lock()
+				line, finding, err := c.play(seed)
+				mutex.Lock()
 				if err != nil {
+					failures = append(failures, errorx.Decorate(err, "seed %d", seed))
 					fmt.Printf("seed %d: %v\n", seed, err)
-					failed = err
 				} else {
 					played++
 					fmt.Println(line)
 				}
-				if bad {
-					broken++
+				if finding {
+					found++
 				}
-				mu.Unlock()
+				mutex.Unlock()
 			}
 		}()
 	}
@@ -75,62 +151,51 @@
 	}
 	close(seeds)
 	wait.Wait()
-	fmt.Printf("played %d days, %d with findings\n", played, broken)
-	return failed
+	fmt.Printf("played %d days, %d with findings, %d not played\n", played, found, len(failures))
+	if len(failures) > 0 {
+		return errorx.ExternalError.New("%d days could not be played", len(failures))
+	}
+	return nil
 }
 
-// trip draws, plays and judges one day; a clean day's files are removed.
-func (c *cli) trip(seed int64) (line string, bad bool, err error) {
+// play draws, plays and judges one day; a clean day's files are removed.
+func (c *command) play(seed int64) (line string, finding bool, err error) {
 	path := c.Sites[int(uint64(seed)%uint64(len(c.Sites)))]
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", false, errorx.ExternalError.Wrap(err, "site file")
 	}
-	trip, err := fuzzdays.Draw(text, seed)
+	drawn, err := fuzzdays.Draw(text, seed, c.Scenario)
 	if err != nil {
 		return "", false, err
 	}
 	folder := filepath.Join(c.Out, fmt.Sprintf("seed-%d", seed))
-	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return "", false, errorx.ExternalError.Wrap(err, "scratch folder")
-	}
-	site, day, report := filepath.Join(folder, "site.toml"), filepath.Join(folder, "day.toml"), filepath.Join(folder, "report.json")
-	wire, err := os.ReadFile(filepath.Join(filepath.Dir(path), "wire.json"))
-	if err != nil {
-		return "", false, errorx.ExternalError.Wrap(err, "wire file")
-	}
-	if err := os.WriteFile(filepath.Join(folder, "wire.json"), wire, 0o644); err != nil {
-		return "", false, errorx.ExternalError.Wrap(err, "wire file")
-	}
-	for name, table := range map[string]fuzzdays.Table{site: trip.Site, day: trip.Day} {
-		raw, err := toml.Marshal(table)
-		if err == nil {
-			err = os.WriteFile(name, raw, 0o644)
-		}
-		if err != nil {
-			return "", false, errorx.ExternalError.Wrap(err, "%s", name)
-		}
+	if err := write(folder, filepath.Dir(path), drawn); err != nil {
+		return "", false, err
 	}
 	if c.Draw {
-		return fmt.Sprintf("seed %d: %s: drawn", seed, trip.Focus), false, nil
+		return fmt.Sprintf("seed %d: %s: drawn", seed, drawn.Scenario), false, nil
 	}
+	report := filepath.Join(folder, "report.json")
 	_ = os.Remove(report)
-	play := exec.Command(c.Bench, "run", site, day, "--jobs", "1", "--report", report, "--why", fmt.Sprintf("%s (seed %d: %s)", c.Why, seed, trip.Focus))
-	play.Dir = c.Repo
-	out, runErr := play.CombinedOutput()
+	bench := exec.Command(c.Bench, "run", filepath.Join(folder, "site.toml"), filepath.Join(folder, "day.toml"),
+		"--jobs", "1", "--report", report, "--why", c.reason(seed, drawn.Scenario))
+	bench.Dir = c.Repo
+	out, playErr := bench.CombinedOutput()
 	if err := os.WriteFile(filepath.Join(folder, "out.txt"), out, 0o644); err != nil {
 		return "", false, errorx.ExternalError.Wrap(err, "output")
 	}
 	raw, err := os.ReadFile(report)
 	if err != nil {
-		return "", false, errorx.ExternalError.New("no report (%v): %s", runErr, last(string(out), 400))
+		return "", false, errorx.ExternalError.New("no report (%v): %s", playErr, lastOf(string(out), 400))
 	}
 	r, err := fuzzdays.ParseReport(raw)
 	if err != nil {
 		return "", false, err
 	}
-	findings := r.Findings(trip.AckMS())
-	line = fmt.Sprintf("seed %d: %s: worth %.2f served %.2f, slowest ack %.0f ms", seed, trip.Focus, r.Worth, r.Served, r.AckMS)
+	line = fmt.Sprintf("seed %d: %s: worth %.2f served %.2f, own ends %d, slowest acknowledgement %.0f ms",
+		seed, drawn.Scenario, r.Worth, r.Served, r.Ends, r.AckMS)
+	findings := r.Findings(drawn.AckMS())
 	if len(findings) == 0 {
 		_ = os.RemoveAll(folder)
 		return line, false, nil
@@ -138,10 +203,31 @@
 	return line + "\n    " + strings.Join(findings, "\n    ") + "\n" + r.Evidence(), true, nil
 }
 
-func last(s string, n int) string {
-	s = strings.TrimSpace(s)
-	if len(s) > n {
-		s = s[len(s)-n:]
+// write puts the files of a drawn day into a folder, with the wire file that stands beside the site file.
+func write(folder, beside string, drawn *fuzzdays.DrawnDay) error {
+	if err := os.MkdirAll(folder, 0o755); err != nil {
+		return errorx.ExternalError.Wrap(err, "scratch folder")
+	}
+	wire, err := os.ReadFile(filepath.Join(beside, "wire.json"))
+	if err != nil {
+		return errorx.ExternalError.Wrap(err, "wire file")
+	}
+	files := map[string][]byte{"wire.json": wire}
+	for name, table := range map[string]fuzzdays.Table{"site.toml": drawn.Site, "day.toml": drawn.Day} {
+		if files[name], err = toml.Marshal(table); err != nil {
+			return errorx.InternalError.Wrap(err, "%s", name)
+		}
+	}
+	for name, content := range files {
+		if err := os.WriteFile(filepath.Join(folder, name), content, 0o644); err != nil {
+			return errorx.ExternalError.Wrap(err, "%s", name)
+		}
 	}
-	return s
+	return nil
+}
+
+// lastOf gives the end of a text, of at most so many bytes.
+func lastOf(text string, bytes int) string {
+	text = strings.TrimSpace(text)
+	return text[max(0, len(text)-bytes):]
 }
--- /dev/null
+++ b/cmd/fuzzdays/main_test.go
@@ -0,0 +1,41 @@
+package main
+
+import (
+	"testing"
+
+	"github.com/alecthomas/kong"
+	"gotest.tools/v3/assert"
+)
+
+func parsed(t *testing.T, arguments ...string) *command {
+	var c command
+	parser, err := kong.New(&c)
+	assert.NilError(t, err)
+	_, err = parser.Parse(arguments)
+	assert.NilError(t, err)
+	return &c
+}
+
+func TestAllWrongFlagsAreToldAtOnce(t *testing.T) {
+	err := parsed(t, "--days=0", "--jobs=0", "--until=0s", "--scenario=none", "missing.toml").check()
+	for _, part := range []string{"--bench", "missing.toml", "--days is 0", "--jobs is 0", "--until is 0s", `"none"`} {
+		assert.ErrorContains(t, err, part)
+	}
+}
+
+func TestTheLineForTheJournalStaysShort(t *testing.T) {
+	assert.NilError(t, parsed(t, "--draw", "--seed=99999", "main.go").check())
+	err := parsed(t, "--draw", "--why=Drawn deployments and days, with all that the list of troubles names, to find broken rules in them", "main.go").check()
+	assert.ErrorContains(t, err, "fewer than 120")
+}
+
+func TestUnknownFlagsAreToldTogether(t *testing.T) {
+	parser, err := kong.New(&command{})
+	assert.NilError(t, err)
+	assert.DeepEqual(t, unknownFlags(parser, []string{"--day=3", "--seed=1", "x.toml", "--boat"}), []string{"--day", "--boat"})
+}
+
+func TestTheEndOfAnOutput(t *testing.T) {
+	assert.Equal(t, lastOf(" abc\n", 2), "bc")
+	assert.Equal(t, lastOf("abc", 9), "abc")
+}
--- /dev/null
+++ b/internal/rehearsal/fuzzdays/deployment.go
@@ -0,0 +1,252 @@
+package fuzzdays
+
+import (
+	"fmt"
+	"math"
+)
+
+// deployment gives the site other places, machines, endpoints, traffic and bounds.
+func (r random) deployment(site Table, chosen scenario) {
+	zones := r.zones(site, chosen)
+	r.machines(site, zones, chosen)
+	r.services(site, zones)
+	r.traffic(site, zones, chosen)
+	r.bounds(site)
+	if chosen.lengthSeconds > 0 {
+		site["length_s"] = chosen.lengthSeconds
+	}
+	if r.Intn(4) == 0 {
+		// A light day on few machines: here a rule breaks by itself and not by load.
+		for _, entry := range tables(site["traffic"]) {
+			entry["per_s"] = entry["per_s"].(float64) / 3
+		}
+	}
+	for _, class := range tables(site["classes"]) {
+		if _, ok := class["keep_s"]; ok {
+			class["keep_s"] = r.between(8, 60)
+		}
+		if agent, ok := class["agent"].(Table); ok {
+			agent["runaway"] = r.between(0, 0.08)
+			agent["fan"] = r.between(0, 0.2)
+			agent["think_ms"] = Table{"mean": r.between(30, 600), "spread": 0.6, "max": 2400.0}
+			class["worth"] = r.whole(1, 10)
+		} else if r.Intn(4) == 0 {
+			class["kind"] = pick(r, "unsafe", "unsafe", "safe")
+			if class["kind"] == "safe" {
+				delete(class, "kind")
+			}
+		}
+		if r.Intn(4) == 0 {
+			class["attempts"] = r.whole(1, 4)
+		}
+	}
+}
+
+// zones gives the site other zones, regions and delays, and returns the zones' names.
+func (r random) zones(site Table, chosen scenario) []string {
+	count, regions := r.whole(3, 5), r.whole(1, 3)
+	if chosen.zones > 0 {
+		count = chosen.zones
+	}
+	if chosen.far {
+		regions = r.whole(2, 3)
+	}
+	if chosen.loseRegion {
+		// Three regions of equal size: the loss of one leaves more than half.
+		count, regions = pick(r, 3, 6), 3
+	}
+	var names []string
+	var list []any
+	for i := range count {
+		name := fmt.Sprintf("zo%d-%c", i%regions, 'a'+i)
+		names = append(names, name)
+		list = append(list, Table{"name": name, "region": fmt.Sprintf("reg%d", i%regions)})
+	}
+	site["zones"] = list
+	net := site["net"].(Table)
+	net["in_zone_ms"] = r.byFactor(0.05, 1)
+	net["cross_zone_ms"] = r.byFactor(0.4, 6)
+	net["cross_region_ms"] = r.byFactor(8, 40)
+	if chosen.far {
+		net["cross_zone_ms"] = r.byFactor(4, 12)
+		net["cross_region_ms"] = r.byFactor(12, 40)
+	}
+	if cloud, ok := site["cloud"].(Table); ok {
+		cloud["zone"] = pick(r, names...)
+	}
+	return names
+}
+
+// regionsOf counts the regions of a site.
+func regionsOf(site Table) int {
+	seen := map[any]bool{}
+	for _, zone := range tables(site["zones"]) {
+		seen[zone["region"]] = true
+	}
+	return len(seen)
+}
+
+// spread lays count machines over the zones, the first zones first.
+func spread(count, zones int) []int {
+	out := make([]int, zones)
+	for i := range count {
+		out[i%zones]++
+	}
+	return out
+}
+
+// machines gives the site other machines; those with disks are enough to bear what is tolerated.
+func (r random) machines(site Table, zones []string, chosen scenario) {
+	first := map[string]Table{}
+	for _, m := range tables(site["machines"]) {
+		class, _ := m["class"].(string)
+		if first[class] == nil {
+			first[class] = m
+		}
+	}
+	cores, stores := r.whole(3, 5), r.whole(3, 5)
+	if chosen.cores > 0 {
+		cores = chosen.cores
+	}
+	if chosen.stores > 0 {
+		stores = chosen.stores
+	}
+	tolerate := Table{"machines": 1, "zones": 0, "regions": 0}
+	if chosen.losses > 1 && cores > 2*chosen.losses && stores > 2*chosen.losses {
+		tolerate["machines"] = chosen.losses
+	}
+	if chosen.loseZone {
+		cores, stores = len(zones), len(zones)
+		tolerate["zones"] = 1
+		if regions := regionsOf(site); chosen.loseRegion && regions >= 3 {
+			tolerate["regions"] = 1
+		}
+	}
+	site["tolerate"] = tolerate
+	budget := 16
+	var list []any
+	for _, class := range []string{"front", "store", "core"} {
+		like, ok := first[class]
+		if !ok {
+			continue
+		}
+		share, memory := r.between(0.25, 0.8), r.whole(230, 420)
+		processors := pick(r, 1, 1, 1, 2, 4)
+		if chosen.processors > 0 {
+			processors = chosen.processors
+		}
+		sync, speed := r.byFactor(0.3, 10), r.whole(60, 300)
+		if chosen.slowDisk {
+			sync = 10.0
+		}
+		var counts []int
+		switch class {
+		case "core":
+			counts = spread(cores, len(zones))
+		case "store":
+			counts = spread(stores, len(zones))
+		default:
+			most := pick(r, 1, 2, 3, 3, 9)
+			for range zones {
+				n := min(r.whole(1, most), max(1, budget-len(zones)))
+				budget -= n
+				counts = append(counts, n)
+			}
+		}
+		for i, zone := range zones {
+			m := Table{}
+			for k, v := range like {
+				m[k] = v
+			}
+			m["zone"], m["count"], m["spare"] = zone, counts[i], 1
+			m["cpu_share"], m["memory_mb"], m["cores"] = share, memory, processors
+			if counts[i] == 0 {
+				continue
+			}
+			if disk, ok := like["disk"].(Table); ok {
+				m["disk"] = Table{"mb": disk["mb"], "sync_ms": sync, "mb_per_s": speed}
+			}
+			list = append(list, m)
+		}
+	}
+	site["machines"] = list
+}
+
+// services gives each service other endpoints.
+func (r random) services(site Table, zones []string) {
+	for _, service := range tables(site["services"]) {
+		total := r.whole(6, 14)
+		counts := spread(total, len(zones))
+		var servers []any
+		for i, zone := range zones {
+			if counts[i] > 0 {
+				servers = append(servers, Table{"zone": zone, "count": counts[i]})
+			}
+		}
+		service["servers"] = servers
+		if _, engine := service["llm"]; engine {
+			service["slots"] = r.whole(48, 128)
+			if llm, ok := service["llm"].(Table); ok {
+				llm["batch"] = service["slots"]
+			}
+			continue
+		}
+		service["slots"] = r.whole(3, 10)
+		service["queue"] = r.whole(8, 40)
+		service["conn_cap"] = r.whole(50, 150)
+	}
+}
+
+// traffic gives each zone its own share of requests; long days get fewer of them a second.
+func (r random) traffic(site Table, zones []string, chosen scenario) {
+	like := tables(site["traffic"])[0]
+	factor := r.between(0.3, 0.9) * 16 / float64(len(zones))
+	if chosen.lengthSeconds > 100 {
+		factor /= 3
+	}
+	var list []any
+	for range zones {
+		list = append(list, Table{})
+	}
+	for i, zone := range zones {
+		entry := list[i].(Table)
+		for k, v := range like {
+			entry[k] = v
+		}
+		entry["zone"], entry["per_s"] = zone, math.Round(factor*r.between(0.5, 1.5)*100)/100
+	}
+	site["traffic"] = list
+}
+
+// bounds gives the site other bounds of time, each of which can be kept.
+func (r random) bounds(site Table) {
+	bounds := site["bounds"].(Table)
+	touch := r.whole(12, 50) * 100
+	bounds["touch_ms"] = touch
+	bounds["ack_ms"] = touch + r.whole(5, 20)*100
+	bounds["config_ms"] = r.whole(6, 30) * 100
+	bounds["drain_ms"] = r.whole(10, 40) * 100
+	bounds["grace_s"] = r.between(3, 10)
+	bounds["recover_s"] = r.between(8, 15)
+	site["timing"].(Table)["catch_up_s"] = r.between(3.8, 6)
+	discovery := site["discovery"].(Table)
+	discovery["beat_ms"] = r.whole(4, 20) * 100
+	discovery["lag_ms"] = r.whole(3, 15) * 100
+	discovery["page"] = pick(r, 3, 7, 20, 50)
+	// The rate lets the whole list, with those that a release adds, be read twice in the drain time: else no sender
+	// could keep it.
+	servers := 0
+	for _, service := range tables(site["services"]) {
+		for _, place := range tables(service["servers"]) {
+			if n, ok := place["count"].(int); ok {
+				servers += n
+			}
+		}
+	}
+	pages := math.Ceil(float64(servers+4) / float64(discovery["page"].(int)))
+	least := 2 * pages / (float64(bounds["drain_ms"].(int)) / 1000)
+	discovery["per_s"] = r.between(max(4, least), max(50, least))
+	if config, ok := site["config"].(Table); ok {
+		config["idle_routes"] = r.whole(0, 60)
+	}
+}
--- a/internal/rehearsal/fuzzdays/report.go
+++ b/internal/rehearsal/fuzzdays/report.go
@@ -56,6 +56,9 @@
 	for _, m := range r.Missed {
 		out = append(out, fmt.Sprintf("missed: %v", m))
 	}
+	if r.Served < 0.6 {
+		out = append(out, fmt.Sprintf("served only %.2f", r.Served))
+	}
 	if r.Refused+r.Failed > 0.6 {
 		out = append(out, fmt.Sprintf("gate: refused %.2f and failed %.2f", r.Refused, r.Failed))
 	}
--- /dev/null
+++ b/internal/rehearsal/fuzzdays/scenarios.go
@@ -0,0 +1,315 @@
+package fuzzdays
+
+// scenario fixes parts of a deployment and gives the troubles that its days must hold.
+type scenario struct {
+	name string
+
+	zones, cores, stores int // numbers of zones, core machines and store machines; 0: drawn
+	losses               int // counted machines that may be lost at once; 0: one
+	processors           int // processors of each machine; 0: drawn
+	loseZone, loseRegion bool
+	far, slowDisk        bool
+	lengthSeconds        float64 // length of the day; 0: as the site has it
+
+	must    []Table                            // at drawn moments
+	timed   func(r random, site Table) []Table // at moments that they set themselves
+	closing []Table                            // one of these ends the day; none: drawn
+	alone   bool                               // nothing is drawn beside must and timed but single changes
+}
+
+// trouble makes an entry of a day from its kind and from pairs of field and value.
+func trouble(kind string, fields ...any) Table {
+	t := Table{"kind": kind}
+	for i := 0; i+1 < len(fields); i += 2 {
+		t[fields[i].(string)] = fields[i+1]
+	}
+	return t
+}
+
+var scenarios = []scenario{
+	{name: "three core machines", cores: 3, stores: 3},
+	{name: "five core machines, two may be lost", cores: 5, stores: 5, losses: 2},
+	{name: "seven core machines, two may be lost", cores: 7, stores: 5, losses: 2},
+	{name: "machines of four processors", processors: 4},
+	{name: "slow disks", slowDisk: true},
+	{name: "far zones", far: true},
+	{name: "far zones and slow disks", far: true, slowDisk: true, cores: 3},
+	{name: "a zone may be lost", zones: 3, loseZone: true, timed: wholePlaces},
+	{name: "five zones, one may be lost", zones: 5, loseZone: true, timed: wholePlaces},
+	{name: "a region may be lost", loseZone: true, loseRegion: true, far: true, timed: wholePlaces},
+	{name: "all machines restarted while they answer", must: []Table{trouble("roll_term", "how", "busy", "gap_s", 1.0)}},
+	{name: "core restarted across far zones", far: true, must: []Table{
+		trouble("roll_term", "on", "core", "share", 1.0, "gap_s", 2.0), trouble("config_race", "count", 5, "gap_s", 1.0)}},
+	{name: "core machines replaced", must: []Table{
+		trouble("replace_core", "x", 1.2), trouble("replace_core", "x", 2.0, "how", "planned")}},
+	{name: "core machine replaced while stores restart", must: []Table{
+		trouble("replace_core", "how", "planned", "x", 1.0), trouble("roll_term", "on", "store", "share", 1.0, "gap_s", 1.0),
+		trouble("replace_core", "on", "store", "how", "planned", "x", 1.0)}},
+	{name: "store emptied while others lose their disks", must: []Table{
+		trouble("retire", "for_s", 7.0, "how", "wipe"), trouble("add_nodes", "on", "store", "count", 1)}},
+	{name: "machines added", must: []Table{
+		trouble("add_nodes"), trouble("add_nodes", "on", "core", "count", 1), trouble("add_nodes", "on", "store", "count", 1)}},
+	{name: "core cut at its leader", must: []Table{
+		trouble("core_cut", "for_s", 4.0, "how", "leader one_way race"), trouble("core_cut", "for_s", 4.0, "how", "leader reset hard")}},
+	{name: "core cut and refused", must: []Table{
+		trouble("core_cut", "for_s", 5.0, "how", "leader refuse race drain hard"), trouble("core_cut", "for_s", 4.0, "how", "leader meet one_way")}},
+	{name: "closing fault after any acknowledgement", closing: []Table{
+		trouble("wipe_after_ack", "how", "timed"), trouble("wipe_after_ack", "how", "taken"), trouble("wipe_after_ack", "how", "oldest"),
+		trouble("power_off_all", "how", "timed"), trouble("power_off_all", "how", "taken"),
+		trouble("wipe_after_ack", "how", "all timed"), trouble("wipe_after_ack", "how", "all taken")}},
+	{name: "closing fault with two losses", cores: 5, stores: 5, losses: 2, closing: []Table{
+		trouble("wipe_after_ack", "how", "all"), trouble("wipe_after_ack", "how", "taken"), trouble("wipe_after_ack", "how", "all taken"),
+		trouble("wipe_after_ack", "how", "oldest")}},
+	{name: "control machine cut off for twenty seconds", timed: longCuts},
+	{name: "control machine of five cut off for twenty seconds", cores: 5, stores: 5, losses: 2, timed: longCuts},
+	{name: "machines cut off from control for twenty seconds", timed: longNodeCuts},
+	{name: "equal orders and lost acknowledgements", timed: pairedOrders},
+	{name: "equal orders with two losses", cores: 5, stores: 5, losses: 2, timed: pairedOrders},
+	{name: "second loss after a repair", lengthSeconds: 60, timed: secondLosses},
+	{name: "second loss after a repair, two may be lost", cores: 5, stores: 5, losses: 2, lengthSeconds: 60, timed: secondLosses},
+	{name: "restart after hundreds of changes", lengthSeconds: 200, timed: hundredsOfChanges, alone: true},
+	{name: "restart after hundreds of changes, two may be lost", cores: 7, stores: 5, losses: 2, lengthSeconds: 200, timed: hundredsOfChanges, alone: true},
+	{name: "answers out of place", timed: spoiltAnswers},
+	{name: "full disks", timed: fullDisks},
+	{name: "slow and silent disks", timed: hangingDisks},
+	{name: "endpoints in trouble", timed: endpointTroubles},
+	{name: "all core machines gone at once", timed: wholeCore},
+	{name: "long day", lengthSeconds: 200, timed: manyTroubles},
+	{name: "any trouble"},
+}
+
+// at places troubles at one moment.
+func at(moment float64, all ...Table) []Table {
+	for _, t := range all {
+		t["at"] = moment
+	}
+	return all
+}
+
+// lengthOf is the length of a site's days in seconds.
+func lengthOf(site Table) float64 {
+	if length, ok := site["length_s"].(float64); ok && length >= 20 {
+		return length
+	}
+	return 34
+}
+
+// lossesOf is how many counted machines may be lost at once.
+func lossesOf(site Table) int {
+	if n, ok := site["tolerate"].(Table)["machines"].(int); ok && n > 0 {
+		return n
+	}
+	return 1
+}
+
+// wholePlaces takes a whole zone or region away, twice.
+func wholePlaces(r random, site Table) []Table {
+	var all []Table
+	zones := tables(site["zones"])
+	for _, from := range []float64{4, 18} {
+		zone := zones[r.Intn(len(zones))]
+		field, place := "zone", zone["name"]
+		if n, _ := site["tolerate"].(Table)["regions"].(int); n > 0 {
+			field, place = "region", zone["region"]
+		}
+		kind := pick(r, "node_kill", "node_freeze", "node_cut")
+		t := trouble(kind, field, place, "share", 1.0, "for_s", r.between(2, 6))
+		switch kind {
+		case "node_kill":
+			t["how"] = "power"
+		case "node_cut":
+			t["how"] = "all"
+		}
+		all = append(all, at(from+r.between(0, 3), t)...)
+	}
+	return all
+}
+
+var (
+	cutScopes = []string{"", "all", "near", "oldest", "one_way", "seeds", "both", "lure", "leader", "leader all", "leader near",
+		"leader one_way", "leader seeds", "leader both", "leader lure", "leader reset", "leader refuse", "reader", "turn", "seed"}
+	cutFollowers = []string{"", "", "meet", "race", "race hard", "meet drain", "race drain hard", "meet hard"}
+)
+
+// longCuts cuts a control machine off for twenty seconds, with changes all along and a trouble as it returns.
+func longCuts(r random, site Table) []Table {
+	from := r.between(1, 8)
+	cut := trouble("core_cut", "for_s", 20.0, "count", 1)
+	setHow(cut, pick(r, cutScopes...), pick(r, cutFollowers...))
+	all := at(from, cut)
+	all = append(all, at(from+r.between(0.2, 3), trouble("config_race", "count", r.whole(8, 25), "gap_s", r.between(0.3, 0.9)))...)
+	if r.Intn(2) == 0 {
+		all = append(all, at(from+r.between(5, 12), trouble("release", "share", r.between(0.3, 0.6), "x", 2.0, "gap_s", 0.6))...)
+	}
+	all = append(all, at(from+20+r.between(-0.5, 0.5), pick(r,
+		trouble("node_kill", "on", "core", "count", 1, "for_s", 1.5, "how", "leader power"),
+		trouble("replace_core", "x", 0.8),
+		trouble("config_race", "count", 5, "gap_s", 0.2),
+		trouble("seed_turnover")))...)
+	return all
+}
+
+// longNodeCuts cuts machines of all classes off from control, some while endpoints are replaced.
+func longNodeCuts(r random, site Table) []Table {
+	from := r.between(1, 8)
+	cut := trouble("node_cut", "for_s", 20.0, "share", r.between(0.1, 0.5))
+	setHow(cut, pick(r, "", "all", "servers"))
+	all := at(from, cut, trouble("config_race", "count", r.whole(4, 12), "gap_s", r.between(0.5, 1.5)))
+	all = append(all, at(from+r.between(1, 5), trouble("release", "share", r.between(0.3, 0.6), "x", 1.0, "gap_s", 0.8))...)
+	return append(all, at(from+r.between(3, 10), pick(r,
+		trouble("replace_with_reuse", "share", 0.3), trouble("scale_in", "share", 0.3, "how", "spot"),
+		trouble("core_cut", "for_s", 8.0, "how", "leader")))...)
+}
+
+// pairedOrders sends orders of equal number together, up to eight at once, and loses most acknowledgements.
+func pairedOrders(r random, site Table) []Table {
+	length := lengthOf(site)
+	all := at(0.5, trouble("ack_lost", "x", r.between(0.6, 0.95), "for_s", length-4))
+	for from := r.between(1, 3); from < length-5; from += r.between(2, 5) {
+		switch r.Intn(3) {
+		case 0:
+			all = append(all, at(from, trouble("config_race", "count", r.whole(3, 8), "gap_s", r.between(0.05, 0.4)))...)
+		case 1:
+			for range 8 {
+				all = append(all, at(from, trouble("config_change", "how", pick(r, "route", "timeout", "idle", "weights")))...)
+			}
+		default:
+			for range 4 {
+				all = append(all, at(from, trouble("config_race", "count", 1))...)
+			}
+		}
+	}
+	all = append(all, at(r.between(4, length/2), trouble("node_kill", "on", "core", "count", 1, "for_s", r.between(0.5, 4),
+		"how", pick(r, "leader race", "leader power", "leader race drain hard", "leader meet")))...)
+	return append(all, at(r.between(length/2, length-6), pick(r,
+		trouble("core_cut", "for_s", 4.0, "how", "leader race hard"),
+		trouble("node_freeze", "on", "core", "count", 1, "for_s", 3.0, "how", "leader race"),
+		trouble("after_ack_kill", "for_s", 2.0, "how", "timed")))...)
+}
+
+// secondLosses loses a machine again and again, each right after the time in which the one before is repaired.
+func secondLosses(r random, site Table) []Table {
+	repair, _ := site["timing"].(Table)["catch_up_s"].(float64)
+	losses := lossesOf(site)
+	var all []Table
+	class := pick(r, "core", "store", "")
+	for from := r.between(1, 3); from < lengthOf(site)-repair-4; {
+		down := r.between(0.3, 2)
+		on := class
+		if on == "" {
+			on = pick(r, "core", "store")
+		}
+		t := pick(r,
+			trouble("after_ack_wipe", "on", on, "count", losses, "for_s", down),
+			trouble("after_ack_wipe", "on", on, "count", losses, "for_s", down, "how", "oldest"),
+			trouble("after_ack_wipe", "on", on, "count", losses, "for_s", down, "how", "timed"),
+			trouble("replace_core", "on", on, "x", down),
+			trouble("replace_core", "on", on, "x", down, "how", "oldest"))
+		if t["kind"] == "after_ack_wipe" && on == "core" {
+			delete(t, "on")
+		}
+		all = append(all, at(from, t)...)
+		from += down + repair + r.between(0, 0.4)
+	}
+	return all
+}
+
+// hundredsOfChanges has members restart, return emptied and join after ever more changes.
+func hundredsOfChanges(r random, site Table) []Table {
+	length := lengthOf(site)
+	var all []Table
+	for from := 1.0; from < length-10; from += 20 {
+		count := r.whole(12, 30)
+		all = append(all, at(from, trouble("config_race", "count", count, "gap_s", math3(18/float64(count))))...)
+	}
+	losses := lossesOf(site)
+	for from := r.between(15, 25); from < length-25; from += r.between(18, 30) {
+		all = append(all, at(from, pick(r,
+			trouble("node_kill", "on", "core", "count", losses, "for_s", r.between(5, 15)),
+			trouble("node_kill", "on", "core", "count", losses, "for_s", r.between(5, 15), "how", "power"),
+			trouble("node_freeze", "on", "core", "count", losses, "for_s", r.between(5, 15)),
+			trouble("core_cut", "count", losses, "for_s", r.between(5, 15), "how", "all"),
+			trouble("after_ack_wipe", "for_s", r.between(1, 8), "how", "oldest"),
+			trouble("replace_core", "x", r.between(1, 5)),
+			trouble("herd_kill", "on", "core", "how", "power"),
+			trouble("add_nodes", "on", "core", "count", 1)))...)
+	}
+	return all
+}
+
+// spoiltAnswers spoils, doubles, loses and breaks off answers while machines and connections go.
+func spoiltAnswers(r random, site Table) []Table {
+	var all []Table
+	for _, how := range []string{"", "extra", "unframed", "early", "extra late"} {
+		t := trouble("garble", "share", r.between(0.4, 1), "x", r.between(0.02, 0.15), "for_s", r.between(4, 10))
+		setHow(t, how)
+		all = append(all, at(r.between(1, 24), t)...)
+	}
+	all = append(all, at(r.between(1, 20), trouble("answer_lost", "share", 0.8, "x", r.between(0.03, 0.15), "for_s", 6.0),
+		trouble("reset_conns", "share", 0.5, "x", 0.5))...)
+	grey := trouble("srv_grey", "share", r.between(0.2, 0.6), "x", r.between(0.2, 0.6), "for_s", r.between(3, 8))
+	setHow(grey, pick(r, "errors", "shed", "busy", "hang", "reset", "mute", "slow"))
+	all = append(all, at(r.between(1, 24), grey)...)
+	return append(all, at(r.between(4, 24), pick(r,
+		trouble("srv_crash", "share", 0.4, "for_s", 3.0, "how", "dark"), trouble("node_kill", "share", 0.3, "for_s", 2.0),
+		trouble("release", "share", 0.5, "x", 2.0, "gap_s", 0.6), trouble("reset_conns", "share", 1.0, "x", 1.0)))...)
+}
+
+// fullDisks fills disks of core and store machines several times, with changes meanwhile.
+func fullDisks(r random, site Table) []Table {
+	losses := lossesOf(site)
+	all := at(r.between(1, 4), trouble("config_race", "count", 20, "gap_s", 1.2))
+	on := pick(r, "core", "store")
+	for from := r.between(2, 5); from < lengthOf(site)-6; from += r.between(9, 14) {
+		all = append(all, at(from, trouble("disk_full", "on", on, "count", r.whole(1, losses), "for_s", r.between(3, 8)))...)
+		on = map[string]string{"core": "store", "store": "core"}[on]
+	}
+	return all
+}
+
+// hangingDisks slows and stops disks of core and store machines several times, with changes meanwhile.
+func hangingDisks(r random, site Table) []Table {
+	losses := lossesOf(site)
+	all := at(r.between(1, 4), trouble("config_race", "count", 15, "gap_s", 1.4))
+	for from := r.between(2, 5); from < lengthOf(site)-6; from += r.between(8, 12) {
+		t := trouble(pick(r, "disk_stall", "disk_slow"), "on", pick(r, "core", "store"), "count", r.whole(1, losses), "for_s", r.between(2, 6))
+		if t["kind"] == "disk_slow" {
+			t["x"] = r.byFactor(10, 200)
+		}
+		all = append(all, at(from, t)...)
+	}
+	return all
+}
+
+// endpointTroubles has endpoints crash, slow down, fail, fall silent, leave and hand their addresses on.
+func endpointTroubles(r random, site Table) []Table {
+	var all []Table
+	for _, kind := range []string{"srv_crash", "srv_slow", "srv_grey", "srv_cut", "replace_with_reuse", "scale_out", "scale_in", "give_up"} {
+		for range r.whole(1, 2) {
+			all = append(all, at(r.between(1, lengthOf(site)-6), r.entryOf(kind, site))...)
+		}
+	}
+	return all
+}
+
+// wholeCore kills all core machines at once, in the middle of the day, twice.
+func wholeCore(r random, site Table) []Table {
+	var all []Table
+	for _, from := range []float64{5, 20} {
+		t := trouble("herd_kill", "on", "core", "for_s", r.between(0.3, 2))
+		setHow(t, pick(r, "", "power", "taken", "taken all"))
+		all = append(all, at(from+r.between(0, 5), t)...)
+	}
+	return all
+}
+
+// manyTroubles fills a long day with hundreds of changes and with troubles in turn.
+func manyTroubles(r random, site Table) []Table {
+	length := lengthOf(site)
+	all := at(2, trouble("config_race", "count", 120, "gap_s", 1.5))
+	for from := 4.0; from < length-15; from += r.between(4, 9) {
+		kind := kinds[r.Intn(len(kinds))].kind
+		all = append(all, at(math3(from), r.entryOf(kind, site))...)
+	}
+	return all
+}
--- /dev/null
+++ b/internal/rehearsal/fuzzdays/troubles.go
@@ -0,0 +1,220 @@
+package fuzzdays
+
+import (
+	"math"
+	"strings"
+)
+
+// kind is one kind of trouble with its variants and ranges.
+type kind struct {
+	kind    string
+	planned bool     // stands under a day's plan, not under its faults
+	on      []string // classes of machines; "" leaves the field out
+	how     []string // variants; "" leaves the field out
+	fill    func(r random, t Table, site Table)
+}
+
+// leaderVariants say which machine is taken and what follows it.
+var leaderVariants = []string{"", "leader", "reader", "turn", "seed", "leader meet", "leader race", "leader race hard", "leader meet drain",
+	"leader race drain hard", "meet drain", "race"}
+
+// kinds holds every kind of trouble that the bench names. A kind may stand here more than once, with other ranges.
+var kinds = []kind{
+	{kind: "config_change", planned: true, how: []string{"route", "weights", "timeout", "tenant", "quota", "idle"}},
+	{kind: "config_race", planned: true, fill: func(r random, t, _ Table) {
+		t["count"], t["gap_s"] = r.whole(1, 12), r.byFactor(0.05, 2)
+	}},
+	{kind: "bad_config", planned: true,
+		how:  []string{"", "cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key"},
+		fill: func(r random, t, _ Table) { t["count"], t["gap_s"] = r.whole(1, 4), r.between(0.6, 1.5) }},
+	{kind: "release", planned: true, how: []string{"", "all", "across"}, fill: func(r random, t, site Table) {
+		t["share"], t["x"], t["gap_s"] = r.between(0.2, 1), r.whole(1, 2), r.between(0.5, 1.5)
+		r.service(t, site)
+	}},
+	{kind: "roll_term", planned: true, on: []string{"front", "core", "store", ""}, how: []string{"", "busy"}, fill: func(r random, t, _ Table) {
+		t["share"], t["x"], t["gap_s"] = r.between(0.3, 1), 1, r.between(0.6, 3)
+	}},
+	{kind: "roll_term", planned: true, how: []string{"remove"}, fill: func(r random, t, _ Table) {
+		t["share"], t["gap_s"] = r.between(0.1, 0.3), r.between(1, 3)
+	}},
+	{kind: "add_nodes", planned: true, on: []string{"", "core", "store"}, fill: func(r random, t, _ Table) { t["count"] = r.whole(1, 2) }},
+	{kind: "replace_core", planned: true, on: []string{"", "store"}, how: []string{"planned"}, fill: func(r random, t, _ Table) { t["x"] = r.between(0.5, 3) }},
+	{kind: "retire", planned: true, how: []string{"", "wipe"}, fill: lasting(5, 10)},
+	{kind: "scale_out", planned: true, fill: func(r random, t, site Table) {
+		t["share"], t["gap_s"] = r.between(0.1, 0.5), r.between(0.5, 3)
+		r.service(t, site)
+	}},
+	{kind: "scale_in", planned: true, how: []string{"", "spot"}, fill: func(r random, t, site Table) {
+		t["share"] = r.between(0.1, 0.3)
+		if t["how"] == "spot" {
+			t["x"] = r.between(1, 3)
+		}
+		r.service(t, site)
+	}},
+	{kind: "hup", planned: true, fill: func(r random, t, _ Table) { t["share"], t["gap_s"] = r.between(0.2, 1), r.between(0, 3) }},
+	{kind: "seed_turnover", planned: true},
+
+	{kind: "burst", fill: func(r random, t, _ Table) { t["x"], t["for_s"] = r.between(1.4, 2.3), r.between(2, 5) }},
+	{kind: "give_up", fill: func(r random, t, _ Table) { t["share"], t["for_s"] = r.between(0.1, 0.6), r.between(2, 6) }},
+	{kind: "answer_lost", how: []string{"", "reset"}, fill: func(r random, t, site Table) {
+		t["share"], t["x"], t["for_s"] = 0.6, r.between(0.02, 0.08), r.between(3, 6)
+		r.service(t, site)
+	}},
+	{kind: "garble", how: []string{"", "extra", "extra late", "unframed", "early"}, fill: func(r random, t, site Table) {
+		t["share"], t["x"], t["for_s"] = 0.6, r.between(0.01, 0.06), r.between(3, 6)
+		r.service(t, site)
+	}},
+	{kind: "ack_lost", fill: func(r random, t, _ Table) { t["x"], t["for_s"] = r.between(0.4, 0.95), r.between(3, 12) }},
+
+	{kind: "srv_crash", how: []string{"", "dark", "gone"}, fill: endpoints(0.1, 0.4, 0, 0)},
+	{kind: "srv_slow", fill: endpoints(0.1, 0.4, 2, 8)},
+	{kind: "srv_grey", how: []string{"errors", "shed", "busy", "hang", "reset", "mute", "slow"}, fill: func(r random, t, site Table) {
+		endpoints(0.1, 0.4, 0.2, 0.6)(r, t, site)
+		if t["how"] == "slow" {
+			t["x"] = r.between(3, 10)
+		}
+		if zones := tables(site["zones"]); r.Intn(4) == 0 {
+			setHow(t, t["how"].(string), "one_zone")
+			t["to_zone"] = zones[r.Intn(len(zones))]["name"]
+		}
+	}},
+	{kind: "srv_cut", how: []string{"", "fronts", "one_way", "reset"}, fill: func(r random, t, site Table) {
+		endpoints(0.1, 0.4, 0, 0)(r, t, site)
+		if t["how"] == "fronts" {
+			t["x"] = r.between(0.2, 0.5)
+		}
+	}},
+	{kind: "replace_with_reuse", how: []string{"", "drain", "dark"}, fill: func(r random, t, site Table) {
+		t["share"] = r.between(0.1, 0.3)
+		r.service(t, site)
+	}},
+
+	{kind: "node_kill", how: []string{"", "power"}, fill: machineShare(0.1, 0.5, 1, 5)},
+	{kind: "node_kill", on: []string{"core"}, how: append([]string{"power", "leader power hard"}, leaderVariants...), fill: counted(0.5, 5)},
+	{kind: "node_kill", on: []string{"store"}, how: []string{"", "power"}, fill: counted(0.5, 5)},
+	{kind: "node_freeze", on: []string{"core"}, how: leaderVariants, fill: counted(0.3, 6)},
+	{kind: "node_freeze", on: []string{"store"}, fill: counted(0.3, 6)},
+	{kind: "node_freeze", fill: machineShare(0.1, 0.5, 0.3, 6)},
+	{kind: "node_slow", fill: func(r random, t, site Table) { machineShare(0.1, 0.3, 2, 6)(r, t, site); t["x"] = r.between(2, 8) }},
+	{kind: "node_slow", on: []string{"core", "store"}, fill: func(r random, t, site Table) { counted(2, 6)(r, t, site); t["x"] = r.between(2, 8) }},
+	{kind: "node_cut", how: []string{"", "all", "servers"}, fill: machineShare(0.1, 0.4, 1, 20)},
+	{kind: "herd_kill", how: []string{"", "power"}, fill: func(r random, t, _ Table) { t["share"], t["for_s"] = r.between(0.3, 0.8), r.between(0.3, 2) }},
+	{kind: "herd_kill", on: []string{"core"}, how: []string{"", "power", "taken", "taken all"}, fill: lasting(0.3, 2)},
+	{kind: "reset_conns", fill: func(r random, t, _ Table) { t["share"], t["x"] = r.between(0.1, 1), r.between(0.2, 1) }},
+	{kind: "clock_step", how: []string{"", "back", "ahead"}, fill: func(r random, t, _ Table) {
+		t["share"], t["x"], t["for_s"] = r.between(0.1, 0.6), r.whole(200, 20000), r.between(2, 8)
+	}},
+
+	{kind: "replace_core", on: []string{"", "store"}, how: []string{"", "oldest"}, fill: func(r random, t, _ Table) { t["x"] = r.between(0.3, 4) }},
+	{kind: "after_ack_kill", how: []string{"", "kill", "timed", "taken"}, fill: lasting(0.5, 4)},
+	{kind: "after_ack_kill", on: []string{"store"}, how: []string{"", "kill", "timed", "taken", "taken gone"}, fill: counted(0.5, 4)},
+	{kind: "after_ack_wipe", how: []string{"", "timed", "taken", "oldest"}, fill: lasting(0.5, 4)},
+	{kind: "after_ack_wipe", on: []string{"store"}, how: []string{"", "timed", "taken", "oldest"}, fill: counted(0.5, 4)},
+	{kind: "core_cut", fill: func(r random, t, site Table) {
+		counted(1, 7)(r, t, site)
+		setHow(t, pick(r, cutScopes...), pick(r, cutFollowers...))
+		if r.Intn(4) == 0 {
+			t["for_s"] = 20.0
+		}
+	}},
+	{kind: "core_cut", on: []string{"store"}, how: []string{"", "one_way", "reset", "refuse", "all", "near", "oldest"}, fill: counted(1, 10)},
+	{kind: "disk_slow", on: []string{"core", "store"}, fill: func(r random, t, site Table) { counted(2, 8)(r, t, site); t["x"] = r.byFactor(10, 200) }},
+	{kind: "disk_full", on: []string{"core", "store"}, fill: counted(2, 8)},
+	{kind: "disk_stall", on: []string{"core", "store"}, fill: counted(1, 6)},
+}
+
+var closings = []Table{
+	trouble("power_off_all"), trouble("power_off_all", "how", "all"), trouble("power_off_all", "how", "timed"), trouble("power_off_all", "how", "taken"),
+	trouble("wipe_after_ack"), trouble("wipe_after_ack", "how", "all"), trouble("wipe_after_ack", "how", "timed"),
+	trouble("wipe_after_ack", "how", "taken"), trouble("wipe_after_ack", "how", "oldest"),
+	trouble("kill_all"),
+}
+
+// lasting fills in how long a trouble lasts.
+func lasting(low, high float64) func(random, Table, Table) {
+	return func(r random, t, _ Table) { t["for_s"] = r.between(low, high) }
+}
+
+// counted takes no more machines than may be lost at once.
+func counted(low, high float64) func(random, Table, Table) {
+	return func(r random, t, site Table) {
+		t["count"], t["for_s"] = r.whole(1, lossesOf(site)), r.between(low, high)
+	}
+}
+
+// machineShare takes a share of all machines.
+func machineShare(least, most, low, high float64) func(random, Table, Table) {
+	return func(r random, t, _ Table) { t["share"], t["for_s"] = r.between(least, most), r.between(low, high) }
+}
+
+// endpoints takes a share of a service's endpoints, with a strength unless its range is empty.
+func endpoints(least, most, weak, strong float64) func(random, Table, Table) {
+	return func(r random, t, site Table) {
+		t["share"], t["for_s"] = r.between(least, most), r.between(2, 8)
+		if strong > 0 {
+			t["x"] = r.between(weak, strong)
+		}
+		r.service(t, site)
+	}
+}
+
+// service names a service in half of the draws; without it the day's seed picks.
+func (r random) service(t, site Table) {
+	if services := tables(site["services"]); r.Intn(2) == 0 {
+		t["service"] = services[r.Intn(len(services))]["name"]
+	}
+}
+
+// setHow joins the words of a variant; without any the field is left out.
+func setHow(t Table, words ...string) {
+	if how := strings.Join(strings.Fields(strings.Join(words, " ")), " "); how != "" {
+		t["how"] = how
+	}
+}
+
+// entry draws one trouble of any kind, without its moment.
+func (r random) entry(site Table) Table { return r.filled(kinds[r.Intn(len(kinds))], site) }
+
+// entryOf draws one trouble of the named kind, without its moment.
+func (r random) entryOf(name string, site Table) Table {
+	var fitting []kind
+	for _, k := range kinds {
+		if k.kind == name {
+			fitting = append(fitting, k)
+		}
+	}
+	return r.filled(pick(r, fitting...), site)
+}
+
+func (r random) filled(k kind, site Table) Table {
+	t := Table{"kind": k.kind}
+	if len(k.on) > 0 {
+		if on := pick(r, k.on...); on != "" {
+			t["on"] = on
+		}
+	}
+	if len(k.how) > 0 {
+		setHow(t, pick(r, k.how...))
+	}
+	if k.fill != nil {
+		k.fill(r, t, site)
+	}
+	return t
+}
+
+// isPlanned tells whether a trouble belongs under a day's plan: replace_core does only as planned.
+func isPlanned(t Table) bool {
+	if t["kind"] == "replace_core" {
+		how, _ := t["how"].(string)
+		return strings.Contains(how, "planned")
+	}
+	for _, k := range kinds {
+		if k.kind == t["kind"] {
+			return k.planned
+		}
+	}
+	return false
+}
+
+// math3 rounds to thousandths.
+func math3(x float64) float64 { return math.Round(x*1000) / 1000 }
