--- a/internal/tier/gateway/turnclient.go
+++ b/internal/tier/gateway/turnclient.go
@@ -10,26 +10,26 @@
 
 // TurnClient is the gateway's side of the turn stores without its traffic: what the simulator of the tier calls them by.
 // Its methods may be called from any goroutine.
-type TurnClient struct{ keeping *keeping }
+type TurnClient struct{ stores *storeClient }
 
 // NewTurnClient makes one that knows no map yet.
 func NewTurnClient(s settings.Settings, dial func(address string) tierv1.TurnStore, l *log.Logger) *TurnClient {
-	return &TurnClient{newKeeping(s, dial, l)}
+	return &TurnClient{newStoreClient(s, dial, l)}
 }
 
 // Apply takes a newer map in.
-func (c *TurnClient) Apply(m *tierv1.PartitionMap) { c.keeping.apply(m) }
+func (c *TurnClient) Apply(m *tierv1.PartitionMap) { c.stores.apply(m) }
 
 // Ready tells whether a map has come.
-func (c *TurnClient) Ready() bool { return c.keeping.ready() }
+func (c *TurnClient) Ready() bool { return c.stores.ready() }
 
 // Begin asks for a turn, as a request that came from a client does. The verdict is OK, SPENT or UNKNOWN for sure, or BUSY.
 func (c *TurnClient) Begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn) {
-	verdict, chain, _ = c.keeping.begin(ctx, req)
+	verdict, chain, _ = c.stores.begin(ctx, req)
 	return verdict, chain
 }
 
 // Settle ends a reservation, and reports whether that is durable.
 func (c *TurnClient) Settle(ctx context.Context, req *tierv1.SettleRequest) bool {
-	return c.keeping.settle(ctx, req)
+	return c.stores.settle(ctx, req)
 }
