--- /dev/null
+++ b/internal/tier/consensus/disk_test.go
@@ -0,0 +1,273 @@
+package consensus
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/phuslu/log"
+	"gotest.tools/v3/assert"
+
+	"dockshift.example/dockshift/internal/tier/wal"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// solo is a node whose loop is turned by hand, in virtual time, with all other nodes away.
+type solo struct {
+	t    *testing.T
+	node *Node
+	disk *wal.Memory
+	now  time.Duration
+	log  bytes.Buffer
+}
+
+func newSolo(t *testing.T, disk *wal.Memory, seeds ...string) *solo {
+	s := &solo{t: t, disk: disk}
+	s.open(true, seeds...)
+	return s
+}
+
+func (s *solo) open(bootstrap bool, seeds ...string) {
+	n, err := open(Config{Self: &tierv1.Member{Address: "a"}, Seeds: seeds, Bootstrap: bootstrap, Losses: len(seeds) / 2, Dir: "/data",
+		FS: s.disk, ContactWindow: 3 * time.Second, Heartbeat: time.Second, Log: &log.Logger{Writer: log.IOWriter{Writer: &s.log}},
+		Dial: func(to string) tierv1.Election { return wire{&network{}, to} }}, func() time.Duration { return s.now })
+	assert.NilError(s.t, err)
+	s.node = n
+}
+
+// turn lets the node go on for a while.
+func (s *solo) turn(d time.Duration) {
+	s.t.Helper()
+	for end := s.now + d; s.now < end; s.now += 5 * time.Millisecond {
+		assert.NilError(s.t, s.node.turn(context.Background()))
+	}
+}
+
+// put begins a write; the channel gets its outcome.
+func (s *solo) put(key string) chan outcome {
+	n := s.node
+	c := make(chan outcome, 1)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.token++
+	n.outcomes[n.token] = c
+	if !n.postLocked(put{n.token, n.view.epoch, map[string][]byte{key: bytes.Repeat([]byte(key), 100)}}) {
+		delete(n.outcomes, n.token)
+		c <- outcome{err: ErrNotPrimary}
+	}
+	return c
+}
+
+// ask calls the service and turns the loop until it answers.
+func (s *solo) ask(epoch uint64) (*tierv1.PromiseReply, error) {
+	type answered struct {
+		reply *tierv1.PromiseReply
+		err   error
+	}
+	c := make(chan answered, 1)
+	waiting := make(chan struct{})
+	go func() {
+		close(waiting)
+		r, err := (server{s.node}).Promise(context.Background(), &tierv1.PromiseRequest{Epoch: epoch, From: &tierv1.Member{Folder: "x", Address: "b"}})
+		c <- answered{r, err}
+	}()
+	<-waiting
+	for {
+		select {
+		case a := <-c:
+			return a.reply, a.err
+		case <-s.node.wake:
+			s.turn(5 * time.Millisecond)
+		}
+	}
+}
+
+// A disk that fails at any operation, at the start too, once or until it recovers, ends leadership and acknowledgements
+// but not the node; when it works again the node goes on with all that was acknowledged, and a loss of power changes nothing.
+func TestDiskFailsAtEveryOperation(t *testing.T) {
+	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
+		for _, sticks := range []bool{false, true} {
+			for at := 1; ; at++ {
+				label := fmt.Sprintf("%v, sticks %v, operation %d", cause, sticks, at)
+				disk := wal.NewMemory()
+				if sticks {
+					disk.FailFrom(at, cause)
+				} else {
+					disk.FailAt(at, cause)
+				}
+				failed := soloLife(t, disk, label, uint64(at))
+				if !failed {
+					assert.Assert(t, at > 20, label)
+					break
+				}
+			}
+		}
+	}
+}
+
+// soloLife writes through a failure and after it. It reports whether there was one.
+func soloLife(t *testing.T, disk *wal.Memory, label string, seed uint64) (failed bool) {
+	s := newSolo(t, disk, "a")
+	acknowledged := make(map[string]bool)
+	write := func(from, to int) {
+		for i := from; i < to; i++ {
+			key := fmt.Sprint("k", i)
+			c := s.put(key)
+			s.turn(20 * time.Millisecond)
+			failed = failed || s.node.DiskError() != nil
+			select {
+			case o := <-c:
+				if o.err == nil {
+					assert.NilError(t, s.node.DiskError(), label)
+					acknowledged[key] = true
+				}
+			default:
+				t.Fatalf("%s: %s has no outcome", label, key)
+			}
+		}
+	}
+	s.turn(time.Second)
+	write(0, 6)
+	if failed = failed || s.node.DiskError() != nil; failed && s.node.DiskError() != nil {
+		_, leads := s.node.Primary()
+		assert.Assert(t, !leads && s.node.machine == nil, label)
+		assert.ErrorIs(t, (<-s.put("refused")).err, ErrNotPrimary, label)
+	}
+	disk.Recover()
+	s.turn(6 * time.Second)
+	assert.NilError(t, s.node.DiskError(), label)
+	write(6, 9)
+	assert.Assert(t, acknowledged["k6"] && acknowledged["k8"], label)
+	text := s.log.String()
+	assert.Equal(t, strings.Count(text, `"disk_failed"`), strings.Count(text, `"disk_recovered"`), label)
+	assert.Assert(t, !strings.Contains(text, `"message":""`), label)
+	folder := s.node.Self().Folder
+	disk.Crash(rand.New(rand.NewPCG(seed, 1)))
+	s.open(false, "a")
+	s.turn(time.Second)
+	assert.Equal(t, s.node.Self().Folder, folder, label)
+	for key := range acknowledged {
+		v, _ := s.node.Get(key)
+		assert.Equal(t, string(v), strings.Repeat(key, 100), label)
+	}
+	return failed || strings.Contains(text, `"disk_failed"`)
+}
+
+// A promise whose sync failed is not given; one that was given stands after the disk recovered.
+func TestPromiseOnAFullDisk(t *testing.T) {
+	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
+	a, err := s.ask(1 << 20)
+	assert.NilError(t, err)
+	assert.Assert(t, a.Promised)
+	s.disk.FailFrom(1, syscall.ENOSPC)
+	_, err = s.ask(2 << 20)
+	assert.ErrorContains(t, err, "no space left on device")
+	_, err = s.ask(3 << 20)
+	assert.ErrorContains(t, err, "disk failed")
+	s.turn(10 * time.Second)
+	assert.ErrorContains(t, s.node.DiskError(), "no space left on device")
+	assert.Equal(t, strings.Count(s.log.String(), `"disk_failed"`), 1)
+	s.disk.Recover()
+	s.turn(5 * time.Second)
+	assert.NilError(t, s.node.DiskError())
+	a, err = s.ask(1 << 20)
+	assert.NilError(t, err)
+	assert.Assert(t, !a.Promised && a.Highest >= 1<<20, "%v", a)
+	a, err = s.ask(4 << 20)
+	assert.NilError(t, err)
+	assert.Assert(t, a.Promised)
+}
+
+// A genesis identity is made once: a file that is gone when the disk recovers makes another folder, without a vote.
+func TestLostFileIsAnotherFolder(t *testing.T) {
+	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
+	first := s.node.Self().Folder
+	assert.Assert(t, s.node.machine.Genesis)
+	s.disk.FailAt(1, syscall.EIO)
+	_, err := s.ask(1 << 20)
+	assert.ErrorContains(t, err, "disk failed")
+	assert.NilError(t, s.disk.Remove("/data/"+fileName))
+	s.turn(5 * time.Second)
+	assert.NilError(t, s.node.DiskError())
+	assert.Assert(t, s.node.Self().Folder != first && !s.node.machine.Genesis)
+}
+
+// Where a full disk holds a long file, the rewrite to the bare state is what makes room: of the operations of an attempt to
+// go on, one is the trial write, after whose failure the node goes on at once with a short file.
+func TestRewriteMakesRoom(t *testing.T) {
+	short := 0
+	for at := 1; at < 20; at++ {
+		s := newSolo(t, wal.NewMemory(), "a")
+		s.turn(time.Second)
+		for range 100 {
+			c := s.put("k")
+			s.turn(5 * time.Millisecond)
+			assert.NilError(t, (<-c).err)
+		}
+		long := s.node.file.Size()
+		s.disk.FailAt(1, syscall.ENOSPC)
+		c := s.put("lost")
+		s.turn(5 * time.Millisecond)
+		assert.ErrorIs(t, (<-c).err, ErrUnknown)
+		s.disk.FailAt(at, syscall.ENOSPC)
+		s.turn(5 * time.Second)
+		assert.NilError(t, s.node.DiskError(), "operation %d", at)
+		if s.node.file.Size() < long/4 {
+			short++
+		}
+		v, _ := s.node.Get("k")
+		assert.Equal(t, string(v), strings.Repeat("k", 100))
+	}
+	assert.Assert(t, short > 0)
+}
+
+// A leader whose disk is full gives way to another within its lease, and follows when there is room; one whose sync hangs
+// likewise, though its loop cannot even tell.
+func TestLeaderWithoutADisk(t *testing.T) {
+	for name, breaks := range map[string]func(disk *wal.Memory) (repair func()){
+		"full": func(disk *wal.Memory) func() {
+			disk.FailFrom(1, syscall.ENOSPC)
+			return disk.Recover
+		},
+		"sync hangs": func(disk *wal.Memory) func() { return disk.StallSync() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newCluster(t)
+			for _, a := range []string{"a", "b", "c"} {
+				c.start(a, true)
+			}
+			c.put("k", "1")
+			old, epoch := c.primary()
+			address := old.Self().Address
+			repair := breaks(c.disks[address])
+			defer repair()
+			ctx, cancel := context.WithCancel(context.Background())
+			ended := make(chan error, 1)
+			go func() { // the write that meets the disk
+				_, err := old.Put(ctx, epoch, map[string][]byte{"lost": []byte("x")})
+				ended <- err
+			}()
+			c.until("the lease to end", func() bool { _, ok := old.Primary(); return !ok })
+			c.until("another leader", func() bool {
+				n, e := c.primary()
+				return n != old && e > epoch
+			})
+			cancel()
+			assert.Assert(t, <-ended != nil)
+			c.put("k", "2")
+			_, ok := old.Primary()
+			assert.Assert(t, !ok)
+			repair()
+			c.until("the old leader to follow", func() bool {
+				leader, _ := c.primary()
+				return old.DiskError() == nil && old.Hint() == leader.Self().Address && old.Record().GetEpoch() == leader.Record().Epoch
+			})
+			assert.Equal(t, c.get("k"), "2")
+		})
+	}
+}
--- /dev/null
+++ b/internal/tier/consensus/health.go
@@ -0,0 +1,86 @@
+package consensus
+
+import (
+	"time"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// Unknown is Health.Tolerates of a node that does not lead, or whose lease has ended.
+const Unknown = -1
+
+// Health is what a node can tell about its disk and, where it leads, about the losses that the group bears.
+type Health struct {
+	Disk      error // nil: the disk can be written
+	Losses    int   // to be borne at the same time, as configured
+	Tolerates int   // further machines or disks that may be lost right now, at most Losses; Unknown where it does not lead
+
+	Members, MembersWanted int      // members of the record in force; 2*Losses+1
+	Backups, BackupsWanted int      // backups that answered of late; Losses, fewer with few members
+	Absent                 []string // addresses of members that have not answered of late, or come back as another folder
+	Changing               bool     // a change of members is under way: majorities of both sets are needed
+}
+
+// Health gives the newest view, as of the last step that is on disk. Within the lease it is at most a heartbeat old.
+func (n *Node) Health() Health {
+	now := n.now()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	h := n.view.health
+	if h.Tolerates != Unknown && !n.view.leads(now, n.timing.fresh) {
+		h.Tolerates = Unknown
+	}
+	return h
+}
+
+// health of the machine's view. With B the backups that answer, and for each set S of conf(record) live(S) the members of it
+// that answer, this one included:
+//
+//	tolerates = min(|B|, min over S of live(S) - (|S|/2 + 1)), at least 0 and at most losses
+//
+// Any |B| of the |B|+1 copies may go without the loss of a write, and a majority of each set is left to choose the next
+// record. A joiner without a vote and a member without an answer count for nothing.
+func (m *machine) health() Health {
+	h := Health{Losses: m.losses, Tolerates: Unknown, MembersWanted: 2*m.losses + 1}
+	if m.primary == nil {
+		return h
+	}
+	r := m.primary.record
+	h.Members, h.Changing = len(r.Members), len(r.Former) > 0
+	h.BackupsWanted, _ = m.wanted(len(r.Members))
+	for _, b := range r.Backups {
+		if m.backupAnswers(b) {
+			h.Backups++
+		}
+	}
+	h.Tolerates = min(h.Backups, m.losses)
+	for _, set := range configurations(r) {
+		live := 0
+		for _, v := range set {
+			if m.answers(v) {
+				live++
+			}
+		}
+		h.Tolerates = min(h.Tolerates, live-(len(set)/2+1))
+	}
+	h.Tolerates = max(h.Tolerates, 0)
+	for _, v := range r.Members {
+		if !m.answers(v) {
+			h.Absent = append(h.Absent, v.Address)
+		}
+	}
+	return h
+}
+
+// recently is how old the last answer of a member may be that counts as there.
+func (m *machine) recently() time.Duration { return m.timing.call + m.timing.heartbeat/2 }
+
+func (m *machine) answers(member *tierv1.Member) bool {
+	return member.Folder == m.Folder || member.Folder == "" && member.Address == m.self.Address || m.alive(member, m.recently())
+}
+
+// backupAnswers tells whether a backup confirmed the record of late and holds what was acknowledged.
+func (m *machine) backupAnswers(folder string) bool {
+	r := m.primary
+	return !r.lost[folder] && m.now-r.confirmed[folder] <= m.recently() && !m.replaced(folder)
+}
--- a/internal/tier/consensus/machine.go
+++ b/internal/tier/consensus/machine.go
@@ -136,6 +136,14 @@
 	return m
 }
 
+// resume sets a new machine's clock, and the number of the last call that earlier machines of the process made.
+func (m *machine) resume(now time.Duration, lastCall uint64) {
+	m.now = now
+	m.tryAt += now
+	m.joinAt += now
+	m.nextID = lastCall
+}
+
 func (m *machine) jitter(d time.Duration) time.Duration {
 	return time.Duration(m.random.Int64N(int64(d) + 1))
 }
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -2,12 +2,9 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/hex"
 	"fmt"
 	"maps"
 	"net/http"
-	"slices"
 	"sync"
 	"time"
 
@@ -36,11 +33,15 @@
 
 // Node is a control-plane process's part in the control state. It implements Store.
 type Node struct {
-	config  Config
-	file    *wal.File
-	machine *machine // of the loop alone
-	start   time.Time
-	fresh   time.Duration
+	config Config
+	timing timing
+	clock  func() time.Duration // since the start of the process
+
+	// Of the loop alone.
+	file    *wal.File // nil until the folder could be opened
+	machine *machine  // nil while the disk fails
+	disk    disk
+	clients map[string]tierv1.Election
 
 	mu       sync.Mutex
 	inbox    []event
@@ -51,9 +52,7 @@
 	view     view
 	changed  chan struct{}
 
-	wake    chan struct{}
-	clients map[string]tierv1.Election
-	base    int64 // size of the file after it was written anew
+	wake chan struct{}
 }
 
 // view is what callers see of the machine, as of its last step that is on disk.
@@ -66,6 +65,13 @@
 	record    *tierv1.Record
 	hint      string
 	members   []*tierv1.Member
+	self      *tierv1.Member
+	health    Health
+}
+
+// leads tells whether the process may act as primary at a time: its lease counts, or there is nobody else to ask.
+func (v *view) leads(now, fresh time.Duration) bool {
+	return v.primary && (v.alone || now-v.confirmed < fresh)
 }
 
 var _ Store = (*Node)(nil)
@@ -73,43 +79,37 @@
 // fileName is the file of the control state in its folder.
 const fileName = "control"
 
-// Open reads the folder, or makes it: then its identity is synced before it returns.
+// Open reads the folder, or makes it: then its identity is synced before anything is answered. A disk that fails, also one
+// that is full, is no error: Run tries on until it works (see DiskError), and until then Self has no folder. Errors are
+// those of the configuration and of a file that is not this program's.
 func Open(config Config) (*Node, error) {
 	if config.Self == nil || config.Self.Address == "" || config.Dial == nil || config.FS == nil || config.ContactWindow <= 0 {
 		return nil, errorx.IllegalArgument.New("consensus: self, dial, file system and contact window are needed")
 	}
-	n := &Node{config: config, start: time.Now(), replies: make(map[uint64]chan proto.Message),
-		outcomes: make(map[uint64]chan outcome), changed: make(chan struct{}), wake: make(chan struct{}, 1),
-		clients: make(map[string]tierv1.Election)}
-	var d durable
-	file, err := wal.Open(config.FS, config.Dir, fileName, d.replay)
-	if err != nil {
-		return nil, errorx.Decorate(err, "consensus: open")
-	}
-	if d.Folder == "" {
-		var b [16]byte
-		rand.Read(b[:])
-		d.identity = identity{Folder: hex.EncodeToString(b[:]), Seeds: config.Seeds,
-			Genesis: config.Bootstrap && slices.Contains(config.Seeds, config.Self.Address)}
-		if err = file.Append(encodeIdentity(d.identity)); err == nil {
-			err = file.Sync()
-		}
-		if err != nil {
-			file.Close()
-			return nil, errorx.Decorate(err, "consensus: make the folder")
+	start := time.Now()
+	return open(config, func() time.Duration { return time.Since(start) })
+}
+
+func open(config Config, clock func() time.Duration) (*Node, error) {
+	n := &Node{config: config, timing: timings(config.ContactWindow, config.Heartbeat), clock: clock,
+		replies: make(map[uint64]chan proto.Message), outcomes: make(map[uint64]chan outcome), changed: make(chan struct{}),
+		wake: make(chan struct{}, 1), clients: make(map[string]tierv1.Election)}
+	n.view = view{self: proto.CloneOf(config.Self), members: []*tierv1.Member{config.Self}}
+	if err := n.openDisk(); err != nil {
+		if !isDiskError(err) {
+			return nil, err
 		}
+		n.failDisk(err)
+		return n, nil
 	}
-	n.file, n.base = file, file.Size()
-	t := timings(config.ContactWindow, config.Heartbeat)
-	n.fresh = t.fresh
-	n.machine = newMachine(d, config.Self, config.Seeds, config.Losses, t, uint64(time.Now().UnixNano()))
 	n.publish(false)
 	return n, nil
 }
 
-func (n *Node) now() time.Duration { return time.Since(n.start) }
+// now is a steady time that goes on while the process is paused, but not while the whole machine sleeps.
+func (n *Node) now() time.Duration { return n.clock() }
 
-// Run steps the machine until the context ends or the disk fails.
+// Run steps the machine until the context ends. A disk that fails does not end it; a file that can no longer be read does.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.stop()
 	timer := time.NewTimer(0)
@@ -121,36 +121,47 @@
 		case <-timer.C:
 		case <-n.wake:
 		}
-		n.mu.Lock()
-		events := n.inbox
-		n.inbox = nil
-		n.mu.Unlock()
-		if err := n.do(ctx, n.machine.Step(n.now(), events...)); err != nil {
+		if err := n.turn(ctx); err != nil {
 			return err
 		}
-		timer.Reset(max(n.machine.wake()-n.now(), time.Millisecond))
+		timer.Reset(max(n.nextWake()-n.now(), time.Millisecond))
+	}
+}
+
+// turn is one pass of the loop: it brings the disk back where that is due, then takes a step with all events that wait.
+func (n *Node) turn(ctx context.Context) error {
+	if n.machine == nil && n.now() >= n.disk.retryAt {
+		if err := n.retryDisk(); err != nil {
+			return err
+		}
+	}
+	if n.machine == nil {
+		return nil
+	}
+	n.mu.Lock()
+	events := n.inbox
+	n.inbox = nil
+	n.mu.Unlock()
+	n.do(ctx, n.machine.Step(n.now(), events...))
+	return nil
+}
+
+// nextWake is when the loop is due at the latest.
+func (n *Node) nextWake() time.Duration {
+	if n.machine == nil {
+		return n.disk.retryAt
 	}
+	return n.machine.wake()
 }
 
-// do carries out what a step wants, in its order.
-func (n *Node) do(ctx context.Context, out *actions) error {
+// do carries out what a step wants, in its order. Where the disk fails, only the early calls have left.
+func (n *Node) do(ctx context.Context, out *actions) {
 	for _, c := range out.early {
 		n.send(ctx, c)
 	}
-	if len(out.records) > 0 {
-		if err := n.file.Append(out.records...); err != nil {
-			return errorx.Decorate(err, "consensus: append")
-		}
-		if out.sync {
-			if err := n.file.Sync(); err != nil {
-				return errorx.Decorate(err, "consensus: sync")
-			}
-		}
-		if n.file.Size() > 4*n.base+256<<10 {
-			if err := n.rewrite(); err != nil {
-				return errorx.Decorate(err, "consensus: rewrite")
-			}
-		}
+	if err := n.write(out); err != nil {
+		n.failDisk(err)
+		return
 	}
 	n.publish(out.changed)
 	for _, c := range out.calls {
@@ -176,25 +187,11 @@
 				Uint64("chosen", epochOf(n.machine.chosen)).Uint64("sequence", n.machine.sequence).Msg("control")
 		}
 	}
-	return nil
-}
-
-func (n *Node) rewrite() error {
-	err := n.file.Rewrite(func(add func([]byte) error) error {
-		for _, r := range n.machine.snapshot() {
-			if err := add(r); err != nil {
-				return err
-			}
-		}
-		return nil
-	})
-	n.base = n.file.Size()
-	return err
 }
 
 func (n *Node) publish(changed bool) {
 	m := n.machine
-	v := view{record: m.chosen, hint: m.hint, members: m.members(), data: m.data}
+	v := view{record: m.chosen, hint: m.hint, members: m.members(), data: m.data, self: m.self, health: m.health()}
 	if r := m.primary; r != nil {
 		v.primary, v.epoch, v.data, v.record = true, r.record.Epoch, r.visible, r.record
 		v.alone, v.confirmed = len(r.record.Backups) == 0, m.confirmedAt()
@@ -208,7 +205,7 @@
 	n.mu.Unlock()
 }
 
-// post hands an event to the loop; false once it has ended.
+// post hands an event to the loop; false once it has ended, or while the disk fails.
 func (n *Node) post(e event) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -216,7 +213,7 @@
 }
 
 func (n *Node) postLocked(e event) bool {
-	if n.stopped {
+	if n.stopped || n.view.health.Disk != nil {
 		return false
 	}
 	n.inbox = append(n.inbox, e)
@@ -233,17 +230,10 @@
 	defer n.mu.Unlock()
 	n.stopped = true
 	n.view.primary = false
-	for t, c := range n.outcomes {
-		delete(n.outcomes, t)
-		c <- outcome{t, 0, ErrUnknown}
-	}
-	for t, c := range n.replies {
-		delete(n.replies, t)
-		close(c)
+	n.endCallers()
+	if n.file != nil {
+		_ = n.file.Close()
 	}
-	close(n.changed)
-	n.changed = make(chan struct{})
-	n.file.Close()
 }
 
 func (n *Node) wait(ctx context.Context, as func(token uint64) event) (uint64, error) {
@@ -275,18 +265,23 @@
 	return n.wait(ctx, func(token uint64) event { return put{token, epoch, sets} })
 }
 
-// Confirm implements Store.
+// Confirm implements Store. The lease is asked again at the moment of the answer: a process that was paused after its round
+// trip finds that it is late.
 func (n *Node) Confirm(ctx context.Context, epoch uint64) error {
-	_, err := n.wait(ctx, func(token uint64) event { return confirm{token, epoch} })
-	return err
+	if _, err := n.wait(ctx, func(token uint64) event { return confirm{token, epoch} }); err != nil {
+		return err
+	}
+	if _, ok := n.Primary(); !ok {
+		return ErrNotPrimary
+	}
+	return nil
 }
 
 // Primary implements Store.
 func (n *Node) Primary() (uint64, bool) {
-	now := n.now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.view.epoch, n.view.primary && (n.view.alone || now-n.view.confirmed < n.fresh)
+	return n.view.epoch, n.view.leads(n.now(), n.timing.fresh)
 }
 
 // Get implements Store.
@@ -326,7 +321,11 @@
 }
 
 // Self implements Store.
-func (n *Node) Self() *tierv1.Member { return n.machine.self }
+func (n *Node) Self() *tierv1.Member {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.view.self
+}
 
 // Handler serves Election.
 func (n *Node) Handler() http.Handler { return tierv1.NewElectionServer(server{n}) }
--- a/internal/tier/consensus/server.go
+++ b/internal/tier/consensus/server.go
@@ -23,7 +23,7 @@
 	if !n.postLocked(request{token, body}) {
 		delete(n.replies, token)
 		n.mu.Unlock()
-		return none, twirp.NewError(twirp.Unavailable, "ending")
+		return none, n.unavailable()
 	}
 	n.mu.Unlock()
 	select {
@@ -31,7 +31,7 @@
 		if t, is := r.(T); ok && is {
 			return t, nil
 		}
-		return none, twirp.NewError(twirp.Unavailable, "ending")
+		return none, n.unavailable()
 	case <-ctx.Done():
 		n.mu.Lock()
 		delete(n.replies, token)
--- a/internal/tier/consensus/store.go
+++ b/internal/tier/consensus/store.go
@@ -30,7 +30,7 @@
 	Record() *tierv1.Record
 	// Members are all control plane folders that are known and alive, or members of the record.
 	Members() []*tierv1.Member
-	// Self is this folder.
+	// Self is this folder. It has no Folder until the disk could be written for the first time.
 	Self() *tierv1.Member
 }
 
