--- /dev/null
+++ b/internal/tier/controlplane/orders_run_test.go
@@ -0,0 +1,296 @@
+package controlplane
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// Figures of a run, in its own time.
+const (
+	runTraffic   = 20 * time.Second        // operators send
+	runPatience  = time.Second             // of an operator for one answer
+	runSync      = 4500 * time.Millisecond // after a machine is back, before the next may be lost
+	runCalm      = 8 * time.Second         // after the last fault, before the state is read for the last time
+	runFinalWait = 12 * time.Second        // within it the last read must be answered
+)
+
+var orderSeeds = flag.Int("order-seeds", 6, "runs of TestOrdersThroughFaults")
+
+// run is one history: operators, machines that fail, and what was seen.
+type run struct {
+	c     *cluster
+	start time.Time
+
+	mu      sync.Mutex
+	history history
+}
+
+func (r *run) now() time.Duration { return time.Since(r.start) }
+
+// play makes a history from a seed. Goroutines of the bubble take turns as they like, so that a seed leads to like
+// histories, not to the same one.
+func play(t *testing.T, seed uint64, wrap func(Store) Store) (result history) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		random := rand.New(rand.NewPCG(seed, 1))
+		c := &cluster{wrap: wrap}
+		c.setUp(t, ctx, seed, 3+2*random.IntN(2))
+		r := &run{c: c, start: time.Now()}
+		c.lossy = random.Float64() * 0.5
+		var all sync.WaitGroup
+		for i := range 1 + random.IntN(8) {
+			own := rand.New(rand.NewPCG(seed, uint64(i)+100))
+			all.Go(func() { r.operate(fmt.Sprint("op", i), own) })
+		}
+		all.Go(func() { r.fail(random) })
+		all.Wait()
+		r.finalFault(random)
+		<-time.After(runCalm)
+		c.lossy = 0
+		r.readLast(random)
+		r.repeatAll(random)
+		result = r.history
+		c.stopAll()
+		cancel()
+		synctest.Wait()
+	})
+	return result
+}
+
+// operate is one operator: it reads, changes what it read, and now and then sends again what had an answer long ago.
+func (r *run) operate(name string, random *rand.Rand) {
+	known, revision := "", int64(0)
+	for n := 0; r.now() < runTraffic; n++ {
+		<-time.After(time.Duration(random.IntN(400)) * time.Millisecond)
+		switch random.IntN(5) {
+		case 0:
+			r.repeat(r.anyOrder(random), random, false)
+		case 1:
+			known, revision = r.read(random, known, revision)
+		default:
+			o := &sentOrder{on: known, base: revision, revision: revision + 1 + random.Int64N(3), begun: r.now()}
+			o.body = string(configuration(int(o.revision), fmt.Sprint(name, "-", n)))
+			o.outcome = r.send(o, random, 1+random.IntN(12))
+			o.ended = r.now()
+			r.mu.Lock()
+			r.history.orders = append(r.history.orders, o)
+			r.mu.Unlock()
+			if o.outcome == confirmedOutcome {
+				known, revision = o.body, o.revision
+			} else {
+				known, revision = r.read(random, known, revision)
+			}
+		}
+	}
+}
+
+// send tries an order at machines as they come, until it has a clear answer or the tries are over.
+func (r *run) send(o *sentOrder, random *rand.Rand, tries int) outcome {
+	for range tries {
+		status, _ := r.c.call(random, "POST", "Configuration.Replace", fmt.Sprint(o.base), o.body)
+		switch {
+		case status == http.StatusOK:
+			return confirmedOutcome
+		case status >= 400 && status < 500:
+			return refusedOutcome
+		}
+		<-time.After(time.Duration(50+random.IntN(300)) * time.Millisecond)
+	}
+	return unknownOutcome
+}
+
+// repeat sends an order once more that had a clear answer: a first answer to one without might still come.
+func (r *run) repeat(o *sentOrder, random *rand.Rand, calm bool) {
+	if o == nil {
+		return
+	}
+	tries := 2
+	if calm {
+		tries = 40 // as it goes to any of the machines
+	}
+	again := repeated{order: o, outcome: r.send(o, random, tries), calm: calm}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.history.repeats = append(r.history.repeats, again)
+}
+
+func (r *run) anyOrder(random *rand.Rand) *sentOrder {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.history.orders) == 0 {
+		return nil
+	}
+	o := r.history.orders[random.IntN(len(r.history.orders))]
+	if o.outcome == unknownOutcome {
+		return nil
+	}
+	return o
+}
+
+func (r *run) read(random *rand.Rand, known string, revision int64) (string, int64) {
+	begun := r.now()
+	status, body := r.c.call(random, "GET", "Configuration.Describe", "", "")
+	switch status {
+	case http.StatusNotFound:
+		body = ""
+	case http.StatusOK:
+	default:
+		return known, revision
+	}
+	r.mu.Lock()
+	r.history.reads = append(r.history.reads, readBack{body, begun, r.now()})
+	r.mu.Unlock()
+	return body, revisionOf(body)
+}
+
+func revisionOf(body string) int64 {
+	var c struct{ Revision int64 }
+	json.Unmarshal([]byte(body), &c)
+	return c.Revision
+}
+
+func (r *run) readLast(random *rand.Rand) {
+	for until := r.now() + runFinalWait; r.now() < until; {
+		status, body := r.c.call(random, "GET", "Configuration.Describe", "", "")
+		if status == http.StatusOK || status == http.StatusNotFound {
+			if status == http.StatusOK {
+				r.history.last = body
+			}
+			return
+		}
+		<-time.After(100 * time.Millisecond)
+	}
+	r.c.t.Error("the last configuration is not read back in time")
+}
+
+func (r *run) repeatAll(random *rand.Rand) {
+	for _, o := range r.history.orders {
+		if o.outcome != unknownOutcome {
+			r.repeat(o, random, true)
+		}
+	}
+}
+
+// call makes one call as an operator does: at any machine, following 307 twice. Status 0 is silence, or a lost answer.
+func (c *cluster) call(random *rand.Rand, method, path, base, body string) (status int, answered string) {
+	m := c.machines[random.IntN(len(c.machines))]
+	url := "http://" + m.ip + ":" + operatorPort + "/saffronyard/" + path
+	for range 3 {
+		response, err := c.ask(method, url, base, body)
+		if err != nil || random.Float64() < c.lossy {
+			return 0, ""
+		}
+		if response.status != http.StatusTemporaryRedirect {
+			return response.status, string(response.body)
+		}
+		url = response.location
+	}
+	return 0, ""
+}
+
+func (c *cluster) ask(method, url, base, body string) (answer, error) {
+	ctx, cancel := context.WithTimeout(c.ctx, runPatience)
+	defer cancel()
+	q, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader([]byte(body)))
+	if err != nil {
+		return answer{}, err
+	}
+	if base != "" {
+		q.Header.Set("X-Base-Revision", base)
+	}
+	response, err := transport{c, "operator"}.RoundTrip(q)
+	if err != nil {
+		return answer{}, err
+	}
+	all, err := io.ReadAll(response.Body)
+	return answer{status: response.StatusCode, body: all, location: response.Header.Get("Location")}, errors.Join(err)
+}
+
+// fail lets one machine after the other fail, the primary most of all, and now and then all at once.
+func (r *run) fail(random *rand.Rand) {
+	<-time.After(2 * time.Second)
+	for r.now() < runTraffic-runSync {
+		m := r.c.machines[random.IntN(len(r.c.machines))]
+		if leader := r.c.leader(); leader != nil && random.IntN(10) < 7 {
+			m = leader
+		}
+		down := time.Duration(random.IntN(2500)) * time.Millisecond
+		switch random.IntN(7) {
+		case 0, 1:
+			r.c.stop(m, random.IntN(2) == 0)
+			<-time.After(down)
+			r.c.start(m, false)
+		case 2:
+			r.c.stop(m, false)
+			m.disk.Wipe()
+			<-time.After(down)
+			r.c.start(m, false)
+		case 3:
+			power := random.IntN(2) == 0
+			for _, one := range r.c.machines {
+				r.c.stop(one, power)
+			}
+			for _, one := range r.c.machines {
+				r.c.start(one, false)
+			}
+		default:
+			sends, hears := true, true
+			switch random.IntN(4) {
+			case 0:
+				sends = false
+			case 1:
+				hears = false
+			}
+			r.c.cut(m, sends, hears, true)
+			<-time.After(down + time.Second)
+			r.c.cut(m, sends, hears, false)
+		}
+		<-time.After(runSync + time.Duration(random.IntN(1000))*time.Millisecond)
+	}
+}
+
+// finalFault ends the traffic: all processes are killed, or all lose power, and as many disks as may be are lost.
+func (r *run) finalFault(random *rand.Rand) {
+	<-time.After(time.Duration(random.IntN(300)) * time.Millisecond)
+	wiped := random.IntN(2 * len(r.c.machines)) // none, as often as one
+	power := random.IntN(2) == 0
+	for i, m := range r.c.machines {
+		r.c.stop(m, power)
+		if i == wiped {
+			m.disk.Wipe()
+		}
+	}
+	for _, m := range r.c.machines {
+		r.c.start(m, false)
+	}
+}
+
+// TestOrdersThroughFaults plays operators against the real consensus through kills, losses of power, lost disks, cuts and a
+// final fault, and checks what they saw.
+func TestOrdersThroughFaults(t *testing.T) {
+	for seed := range uint64(*orderSeeds) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			h := play(t, seed, nil)
+			for _, err := range h.check() {
+				t.Error(err)
+			}
+			n := h.count()
+			t.Logf("%+v", n)
+			assert.Assert(t, n.confirmed > 5, "%+v", n)
+		})
+	}
+}
