--- a/cmd/yard/operate.go
+++ b/cmd/yard/operate.go
@@ -4,7 +4,9 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
+	"slices"
 	"strings"
 	"text/tabwriter"
 	"time"
@@ -87,7 +89,7 @@
 			fmt.Println(protojson.Format(reply))
 			continue
 		}
-		printStatus(a, reply)
+		printStatus(os.Stdout, a, reply)
 	}
 	if len(failed) > 0 {
 		return fmt.Errorf("%d of %d do not answer:\n  %s", len(failed), len(at), strings.Join(failed, "\n  "))
@@ -95,25 +97,16 @@
 	return nil
 }
 
-func printStatus(at string, s *tierv1.StatusReply) {
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+// printStatus writes what a control-plane process told of itself, as docs/operate/control.md explains it.
+func printStatus(out io.Writer, at string, s *tierv1.StatusReply) {
+	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
-	role := "witness"
-	if s.Primary {
-		role = "primary"
-	} else {
-		for _, b := range s.GetRecord().GetBackups() {
-			if b == s.GetSelf().GetFolder() {
-				role = "backup"
-			}
-		}
-	}
-	fmt.Fprintf(w, "%s\t%s\t%s\tepoch %d\tsequence %d\trevision %d\n", at, s.GetSelf().GetNode(), role, s.GetRecord().GetEpoch(), s.Sequence, s.Revision)
+	fmt.Fprintf(w, "%s\t%s\t%s\tepoch %d\tsequence %d\trevision %d\n", at, s.GetSelf().GetNode(), roleIn(s), s.GetRecord().GetEpoch(), s.Sequence, s.Revision)
 	for _, m := range s.GetRecord().GetMembers() {
 		fmt.Fprintf(w, "  member\t%s\t%s\t%s\n", m.Node, m.Address, m.Zone)
 	}
 	for _, one := range s.Sessions {
-		fmt.Fprintf(w, "  session\t%s\t%s\tcatalog %d\tendpoints %d\tvaults %d\tsilent %d ms\n", one.Node, one.Role, one.Configuration, one.Endpoints, one.PartitionMap, one.SilentMs)
+		fmt.Fprintf(w, "  session\t%s\t%s\tconfiguration %d\tendpoints %d\tturn stores %d\tsilent %d ms\n", one.Node, one.Role, one.Configuration, one.Endpoints, one.PartitionMap, one.SilentMs)
 	}
 	whole := 0
 	for _, p := range s.GetPartitionMap().GetPartitions() {
@@ -128,4 +121,40 @@
 	if v := s.GetPartitionMap(); v != nil {
 		fmt.Fprintf(w, "  partitions\t%d\twith all copies\t%d\n", len(v.Partitions), whole)
 	}
+	if s.Risk != nil {
+		printRisk(w, s.Risk)
+	}
+}
+
+// roleIn tells what a process is by the newest record that it knows.
+func roleIn(s *tierv1.StatusReply) string {
+	switch {
+	case s.Primary:
+		return "primary"
+	case slices.Contains(s.GetRecord().GetBackups(), s.GetSelf().GetFolder()):
+		return "backup"
+	default:
+		return "witness"
+	}
+}
+
+// printRisk writes which losses are borne at this moment, and until when they are fewer than the settings ask for.
+func printRisk(w io.Writer, r *tierv1.Risk) {
+	changing := ""
+	if r.ControlChanging {
+		changing = ", a change of members under way"
+	}
+	fmt.Fprintf(w, "  losses borne\tcontrol state %d of %d (%d members%s)\tpartitions %d of %d\n",
+		r.ControlBorne, r.Losses, r.ControlMembers, changing, r.PartitionsBorne, r.Losses)
+	if r.ControlBorne < r.Losses {
+		fmt.Fprintf(w, "  at risk\tcontrol state: %d of %d copies beside the primary's\n", r.ControlBorne, r.Losses)
+	}
+	if r.Partitions > 0 {
+		until := time.Duration(r.PartitionsUntilMs) * time.Millisecond
+		when := fmt.Sprintf("until %v from now at most", until)
+		if until < 0 {
+			when = fmt.Sprintf("overdue by %v", -until)
+		}
+		fmt.Fprintf(w, "  at risk\t%d partitions for %v, %s\n", r.Partitions, time.Duration(r.PartitionsForMs)*time.Millisecond, when)
+	}
 }
--- /dev/null
+++ b/cmd/yard/operate_test.go
@@ -0,0 +1,42 @@
+package main
+
+import (
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+func TestStatusTellsRoleAndRisk(t *testing.T) {
+	record := &tierv1.Record{Epoch: 7, Primary: "a", Backups: []string{"b"}, Members: []*tierv1.Member{{Folder: "a", Node: "core-1"}}}
+	for _, c := range []struct {
+		name  string
+		reply *tierv1.StatusReply
+		want  []string
+		never string
+	}{
+		{"backup", &tierv1.StatusReply{Self: &tierv1.Member{Folder: "b", Node: "core-2"}, Record: record}, []string{"core-2 backup"}, "losses"},
+		{"witness", &tierv1.StatusReply{Self: &tierv1.Member{Folder: "c", Node: "core-3"}, Record: record}, []string{"core-3 witness"}, "losses"},
+		{"primary, all well", &tierv1.StatusReply{Self: &tierv1.Member{Folder: "a", Node: "core-1"}, Primary: true, Record: record,
+			Risk: &tierv1.Risk{Losses: 1, PartitionsBorne: 1, ControlBorne: 1, ControlMembers: 3}},
+			[]string{"core-1 primary", "control state 1 of 1 (3 members)", "partitions 1 of 1"}, "at risk"},
+		{"partitions at risk", &tierv1.StatusReply{Primary: true, Risk: &tierv1.Risk{Losses: 1, Partitions: 12, ControlBorne: 1,
+			PartitionsForMs: 1200, PartitionsUntilMs: 2800}}, []string{"partitions 0 of 1", "12 partitions for 1.2s, until 2.8s from now at most"}, "overdue"},
+		{"overdue", &tierv1.StatusReply{Primary: true, Risk: &tierv1.Risk{Losses: 1, Partitions: 1, PartitionsBorne: -1, ControlBorne: 1,
+			PartitionsForMs: 9000, PartitionsUntilMs: -5000}}, []string{"partitions -1 of 1", "1 partitions for 9s, overdue by 5s"}, "until"},
+		{"control state at risk", &tierv1.StatusReply{Primary: true, Risk: &tierv1.Risk{Losses: 1, PartitionsBorne: 1, ControlMembers: 3, ControlChanging: true}},
+			[]string{"a change of members under way", "control state: 0 of 1 copies beside the primary's"}, "partitions for"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var out strings.Builder
+			printStatus(&out, "10.0.0.1:7680", c.reply)
+			text := strings.Join(strings.Fields(out.String()), " ") // columns are as wide as they need to be
+			for _, want := range c.want {
+				assert.Assert(t, strings.Contains(text, want), "%q is not in %s", want, out.String())
+			}
+			assert.Assert(t, !strings.Contains(text, c.never), out.String())
+		})
+	}
+}
--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -57,6 +57,7 @@
 	view        *view
 	viewChanged chan struct{} // closed at the next change of view
 	sessions    registry
+	riskClock   riskClock
 	versions    struct{ endpoints, members uint64 } // of versions within the epoch
 }
 
@@ -252,6 +253,7 @@
 		next.endpoints, next.members = plane.view.endpoints, plane.view.members
 	} else {
 		plane.versions.endpoints, plane.versions.members = 0, 0
+		plane.riskClock = riskClock{}
 	}
 	plane.replaceView(func(v *view) { *v = next })
 	plane.Log.Info().Str("event", "primary").Uint64("epoch", epoch).Int64("revision", next.orders.current).Int("orders", len(next.orders.records)).Msg("")
--- a/internal/tier/controlplane/reconcile.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -30,6 +30,8 @@
 	plane.mu.Lock()
 	alive, leaving, reports := plane.sessions.storeNodes(now)
 	arrived := plane.sessions.arrived
+	atRisk, _ := partitionsAtRisk(v.partitionMap, alive, plane.spread)
+	plane.riskClock.observe(now, atRisk)
 	plane.mu.Unlock()
 	in := Input{Spread: plane.spread, Alive: alive, Leaving: leaving, Reports: reports}
 	in.Certain = now.Sub(v.since) >= plane.window(gracePart)
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -116,8 +116,10 @@
 		return r, nil
 	}
 	r.PartitionMap, r.Configuration, r.Endpoints, r.Revision = v.partitionMap, v.configuration.GetVersion(), v.endpoints.GetVersion(), v.orders.current
+	r.Orders = uint32(len(v.orders.records))
 	now := time.Now()
 	plane.mu.Lock()
+	r.Risk = plane.risk(now, v.partitionMap)
 	for _, one := range plane.sessions.of {
 		t := &tierv1.Session{Node: one.node, Role: one.role, Address: one.address, Configuration: one.configuration,
 			Endpoints: one.endpoints, PartitionMap: one.partitionMap}
