--- /dev/null
+++ b/internal/tier/controlplane/risk_test.go
@@ -0,0 +1,63 @@
+package controlplane
+
+import (
+	"testing"
+	"time"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"gotest.tools/v3/assert"
+)
+
+func TestAtRisk(t *testing.T) {
+	const syncTime = 3 * time.Second
+	copyOf := func(folder string, synced bool) *tierv1.Copy { return &tierv1.Copy{Folder: folder, Synced: synced} }
+	partitionMap := func(partitions ...*tierv1.Partition) *tierv1.PartitionMap {
+		m := &tierv1.PartitionMap{Partitions: partitions}
+		for folder, zone := range map[string]string{"a": "1", "b": "2", "c": "2"} {
+			m.StoreNodes = append(m.StoreNodes, &tierv1.StoreNode{Folder: folder, Node: folder, Zone: zone})
+		}
+		return m
+	}
+	alive := func(folders ...string) map[string]*tierv1.StoreNode {
+		all := map[string]*tierv1.StoreNode{}
+		for _, folder := range folders {
+			all[folder] = &tierv1.StoreNode{Folder: folder}
+		}
+		return all
+	}
+	whole := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Copy{copyOf("b", true)}}
+	underRepair := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Copy{copyOf("c", false)}}
+	alone := &tierv1.Partition{Primary: "a"}
+	oneZone := &tierv1.Partition{Primary: "b", Backups: []*tierv1.Copy{copyOf("c", true)}}
+	for _, test := range []struct {
+		name   string
+		m      *tierv1.PartitionMap
+		spread Spread
+		alive  map[string]*tierv1.StoreNode
+		want   Risk
+	}{
+		{"no map", nil, Spread{1, byNode}, alive("a"), Risk{MinCopies: 2}},
+		{"nothing at risk", partitionMap(whole), Spread{1, byNode}, alive("a", "b"), Risk{MinCopies: 2}},
+		{"more copies than needed", partitionMap(whole), Spread{0, byNode}, alive("a", "b"), Risk{MinCopies: 2}},
+		{"two losses to bear", partitionMap(whole), Spread{2, byNode}, alive("a", "b", "c"), Risk{Partitions: 1, MinCopies: 2, Until: Unknown}},
+		{"a copy under way", partitionMap(whole, underRepair), Spread{1, byNode}, alive("a", "b", "c"),
+			Risk{Partitions: 1, MinCopies: 1, Unsynced: 1, Until: syncTime}},
+		{"its turn store is gone", partitionMap(whole, underRepair), Spread{1, byNode}, alive("a", "b"),
+			Risk{Partitions: 1, MinCopies: 1, Until: Unknown}},
+		{"no copy under way", partitionMap(alone, underRepair), Spread{1, byNode}, alive("a", "c"),
+			Risk{Partitions: 2, MinCopies: 1, Unsynced: 1, Until: Unknown}},
+		{"a synced backup is gone", partitionMap(whole), Spread{1, byNode}, alive("a"), Risk{Partitions: 1, MinCopies: 1, Until: Unknown}},
+		{"the primary is gone", partitionMap(whole), Spread{1, byNode}, alive("b"),
+			Risk{Partitions: 1, Stopped: 1, MinCopies: 1, Until: Unknown}},
+		{"all holders are gone", partitionMap(whole), Spread{1, byNode}, alive("c"),
+			Risk{Partitions: 1, Stopped: 1, Until: Unknown}},
+		{"two copies in one zone", partitionMap(oneZone), Spread{1, byZone}, alive("b", "c"),
+			Risk{Partitions: 1, MinCopies: 1, Until: Unknown}},
+		{"the same by machine", partitionMap(oneZone), Spread{1, byNode}, alive("b", "c"), Risk{MinCopies: 2}},
+		{"no domain given", partitionMap(oneZone), Spread{Losses: 1}, alive("b", "c"), Risk{MinCopies: 2}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			assert.DeepEqual(t, AtRisk(test.m, test.spread, test.alive, syncTime), test.want)
+		})
+	}
+}
