--- a/internal/tier/controlplane/risk.go
+++ b/internal/tier/controlplane/risk.go
@@ -6,66 +6,76 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// borne is how many losses a partition bears and still has a copy that holds all that was acknowledged: its synced copies
-// on turn stores that are alive, counted by what is lost as one, less one. It is -1 where there is no such copy.
-func borne(p *tierv1.Partition, alive map[string]*tierv1.StoreNode, domain func(*tierv1.StoreNode) string) int {
-	domains := map[string]bool{}
-	add := func(folder string, synced bool) {
-		if one := alive[folder]; one != nil && synced {
-			domains[domain(one)] = true
-		}
-	}
-	add(p.Primary, true)
-	for _, c := range p.Backups {
-		add(c.Folder, c.Synced)
-	}
-	return len(domains) - 1
-}
-
-// partitionsAtRisk counts the partitions that bear fewer losses than they should, and tells what the worst bears.
-func partitionsAtRisk(m *tierv1.PartitionMap, alive map[string]*tierv1.StoreNode, spread Spread) (atRisk, worst int) {
-	worst = spread.Losses
-	for _, p := range m.GetPartitions() {
-		if n := borne(p, alive, spread.Domain); n < spread.Losses {
-			atRisk++
-			worst = min(worst, n)
-		}
-	}
-	return atRisk, worst
+// Risk tells how far the turn stores are from bearing Spread.Losses further losses, as the partition map has it.
+type Risk struct {
+	Partitions int           // partitions whose synced copies lie in fewer than Losses + 1 domains
+	Stopped    int           // of these: partitions without a reachable primary; they get no copies until a holder returns
+	MinCopies  int           // fewest domains with a synced copy that any partition has; Losses + 1 or more without risk
+	Unsynced   int           // copies under way in the partitions at risk
+	Until      time.Duration // estimate until no partition is at risk; 0 without risk, Unknown where nothing is under way
 }
 
-// riskClock remembers since when partitions are at risk, and when the last of them came to be.
-type riskClock struct {
-	since  time.Time // zero: none is
-	newest time.Time // when their number rose last
-	number int
-}
+// Unknown is the Until of a risk that does not end by itself: a partition at risk has no copy under way.
+const Unknown time.Duration = -1
 
-// observe takes the number of partitions that are at risk now.
-func (c *riskClock) observe(now time.Time, number int) {
-	switch {
-	case number == 0:
-		*c = riskClock{}
-		return
-	case c.number == 0:
-		c.since, c.newest = now, now
-	case number > c.number:
-		c.newest = now
+// AtRisk counts the partitions that would be lost, or lose their last synced copy, if Spread.Losses more domains were lost now.
+// A copy counts where its turn store is alive and it is the primary's or marked synced; copies in one domain count once, as
+// they are lost at once. Where no Domain is given, each folder is a domain of its own.
+//
+// Until is syncTime (the setting guarantees.sync_time_s) for partitions all of whose missing copies are under way on turn
+// stores that are alive: the settings promise that a machine counts as lost for so long at most after it is back. It is an
+// upper bound by promise, not a measurement.
+//
+// AtRisk is pure and reads the map only.
+func AtRisk(partitionMap *tierv1.PartitionMap, spread Spread, alive map[string]*tierv1.StoreNode, syncTime time.Duration) Risk {
+	nodes := map[string]*tierv1.StoreNode{}
+	for _, node := range partitionMap.GetStoreNodes() {
+		nodes[node.Folder] = node
 	}
-	c.number = number
-}
-
-// risk tells what could be lost now. The caller holds the lock.
-func (plane *ControlPlane) risk(now time.Time, m *tierv1.PartitionMap) *tierv1.Risk {
-	alive, _, _ := plane.sessions.storeNodes(now)
-	atRisk, worst := partitionsAtRisk(m, alive, plane.spread)
-	plane.riskClock.observe(now, atRisk)
-	record := plane.Store.Record()
-	r := &tierv1.Risk{Losses: uint32(plane.spread.Losses), Partitions: uint32(atRisk), PartitionsBorne: int32(worst),
-		ControlBorne: uint32(len(record.GetBackups())), ControlMembers: uint32(len(record.GetMembers())), ControlChanging: len(record.GetFormer()) > 0}
-	if atRisk > 0 {
-		r.PartitionsForMs = now.Sub(plane.riskClock.since).Milliseconds()
-		r.PartitionsUntilMs = plane.riskClock.newest.Add(plane.Settings.SyncTime).Sub(now).Milliseconds()
+	domain := func(folder string) string {
+		if node := nodes[folder]; node != nil && spread.Domain != nil {
+			return spread.Domain(node)
+		}
+		return folder
+	}
+	risk := Risk{MinCopies: spread.Losses + 1}
+	for i, partition := range partitionMap.GetPartitions() {
+		synced, underWay := map[string]bool{}, map[string]bool{}
+		unsynced := 0
+		if alive[partition.Primary] != nil {
+			synced[domain(partition.Primary)] = true
+		}
+		for _, backup := range partition.Backups {
+			switch {
+			case alive[backup.Folder] == nil:
+			case backup.Synced:
+				synced[domain(backup.Folder)] = true
+			default:
+				unsynced++
+				underWay[domain(backup.Folder)] = true
+			}
+		}
+		if i == 0 {
+			risk.MinCopies = len(synced)
+		}
+		risk.MinCopies = min(risk.MinCopies, len(synced))
+		if len(synced) > spread.Losses {
+			continue
+		}
+		risk.Partitions++
+		risk.Unsynced += unsynced
+		reachable := alive[partition.Primary] != nil
+		if !reachable {
+			risk.Stopped++
+		}
+		for name := range synced {
+			underWay[name] = true
+		}
+		if !reachable || len(underWay) <= spread.Losses {
+			risk.Until = Unknown
+		} else if risk.Until != Unknown {
+			risk.Until = syncTime
+		}
 	}
-	return r
+	return risk
 }
