--- a/internal/tier/controlplane/tend.go
+++ b/internal/tier/controlplane/tend.go
@@ -15,6 +15,7 @@
 	last  string // what the map was made from
 	done  bool   // and nothing was to be changed
 	wrote time.Time
+	stall stallTracker
 }
 
 // tend brings the turn store map in line with the turn stores that are alive, and tells whether that went well.
@@ -32,6 +33,7 @@
 	in.Certain = now.Sub(v.since) >= k.window(gracePart)
 	in.Create = now.Sub(arrived) >= k.window(settlePart)
 	in.Move = now.Sub(t.wrote) >= k.window(tickPart)
+	in.Slow, in.Stalled = t.stall.observe(now, k.Settings.ContactWindow, v.turnStores, alive)
 	seen := strconv.FormatUint(v.turnStores.GetVersion(), 10) + ";" + in.signature()
 	if t.done && t.last == seen {
 		return true
@@ -77,7 +79,7 @@
 		parts = append(parts, fmt.Sprint(r.From, "/", r.Copy.Partition, "/", r.Copy.Epoch, "/", r.Copy.Folder))
 	}
 	slices.Sort(parts)
-	parts = append(parts, fmt.Sprint(in.Certain, in.Create))
+	parts = append(parts, fmt.Sprint(in.Certain, in.Create, in.Slow, in.Stalled))
 	return strings.Join(parts, ";")
 }
 
