--- a/internal/tier/upstream/outcome_test.go
+++ b/internal/tier/upstream/outcome_test.go
@@ -7,25 +7,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// observations calls visit for every observation there is, statuses and surpluses by representatives.
-func observations(visit func(Observation)) (n int) {
+// observations calls visit for every observation there is, statuses and surpluses by representatives, until that returns false.
+func observations(visit func(Observation) bool) (n int) {
 	statuses := []int{0, 100, 200, 201, 204, 301, 400, 401, 402, 403, 404, 408, 409, 410, 413, 421, 422, 429, 431, 500, 501, 502, 503, 504, 599, 600}
 	const flags = 11
-	for end := NotSent; end <= Abandoned; end++ {
+	ends := []End{Whole, Broken, TimedOut, Streaming, Malformed, Abandoned, NotSent, NoRoom, ConnectFailed} // those with most to get wrong first
+	for _, end := range ends {
 		for _, status := range statuses {
 			for surplus := -1; surplus <= 1; surplus++ {
 				for bits := range 1 << flags {
 					flag := func(i int) bool { return bits>>i&1 == 1 }
-					visit(Observation{End: end, Status: status, Surplus: surplus, Written: flag(0), Identified: flag(1), Stamped: flag(2),
-						NotExecuted: flag(3), Unframed: flag(4), Begun: flag(5), Turn: flag(6), BodyDue: flag(7), Closing: flag(8), Unread: flag(9),
-						Cancelled: flag(10)})
 					n++
+					if !visit(Observation{End: end, Status: status, Surplus: surplus, Written: flag(0), Identified: flag(1), Stamped: flag(2),
+						NotExecuted: flag(3), Unframed: flag(4), Begun: flag(5), Turn: flag(6), BodyDue: flag(7), Closing: flag(8), Unread: flag(9),
+						Cancelled: flag(10)}) {
+						return n
+					}
 				}
 			}
 		}
 	}
-	assertCount := len(statuses) * 3 * 1 << flags * int(Abandoned+1)
-	if n != assertCount {
+	want := len(statuses) * 3 * 1 << flags * len(ends)
+	if n != want {
 		panic("observations are left out")
 	}
 	return n
@@ -82,12 +85,13 @@
 // TestTableKeepsTheRules holds the verdict on every observation against the rules.
 func TestTableKeepsTheRules(t *testing.T) {
 	broken := map[string]bool{}
-	n := observations(func(o Observation) {
+	n := observations(func(o Observation) bool {
 		v := Classify(o)
 		if rule := brokenRule(o, v); rule != "" && !broken[rule] {
 			broken[rule] = true
 			t.Errorf("%s: %v %+v -> %v %v %v %+v", rule, o.End, o, v.Ran, v.Reply, v.Reuse, v)
 		}
+		return true
 	})
 	t.Logf("%d observations", n)
 }
@@ -96,7 +100,7 @@
 func TestTableHasNoHoles(t *testing.T) {
 	replies, reuses, rans := map[Reply]int{}, map[Reuse]int{}, map[Ran]int{}
 	once := 0
-	observations(func(o Observation) {
+	observations(func(o Observation) bool {
 		v := Classify(o)
 		replies[v.Reply]++
 		reuses[v.Reuse]++
@@ -104,6 +108,7 @@
 		if v.Once && o.Written {
 			once++
 		}
+		return true
 	})
 	assert.Equal(t, len(replies), 6)
 	assert.Equal(t, len(reuses), 2)
@@ -184,13 +189,11 @@
 		},
 	} {
 		found := ""
-		observations(func(o Observation) {
-			if found != "" {
-				return
-			}
+		observations(func(o Observation) bool {
 			v := Classify(o)
 			fault(o, &v)
 			found = brokenRule(o, v)
+			return found == ""
 		})
 		assert.Assert(t, found != "", "%s is not found", name)
 	}
--- /dev/null
+++ b/internal/tier/upstream/seeds_test.go
@@ -0,0 +1,184 @@
+package upstream
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+const seeds = 200
+
+// seeded plays what a seed draws: a form of answer, cut or whole, early or not, on a new or a reused connection.
+func (w *wireClient) seeded(seed uint64) string {
+	draw := rand.New(rand.NewPCG(seed, 18))
+	forms := answerForms()
+	f := forms[draw.IntN(len(forms))]
+	how := ending(draw.IntN(4))
+	sent := draw.IntN(len(f.text) + 1)
+	size := 4
+	p := plan{read: -1, text: f.text, how: how, early: draw.IntN(3) == 0}
+	if p.early {
+		size = 256 << 10
+	}
+	if draw.IntN(2) == 0 || how == endsNowhere {
+		sent = len(f.text)
+	}
+	if how == endsNowhere {
+		if !f.complete(sent, how) { // nothing would end the call
+			return ""
+		}
+		p.clean = f.reusable
+	}
+	if how == endsInSilence && f.complete(sent, how) {
+		return ""
+	}
+	p.sent = sent
+	cause := silenceCauses(how)[0]
+	if wrong := w.tryOne(fmt.Sprintf("%04d", seed), draw.IntN(2) == 0, &f, p, sent, size, cause); wrong != "" {
+		return fmt.Sprintf("seed %d, %s, %v at byte %d, early %v: %s", seed, f.name, how, sent, p.early, wrong)
+	}
+	return ""
+}
+
+func TestSeeds(t *testing.T) {
+	w := newWireClient(t)
+	for seed := range uint64(seeds) {
+		if wrong := w.seeded(seed); wrong != "" {
+			t.Fatal(wrong)
+		}
+	}
+}
+
+// fault is what a careless call gets wrong.
+type fault struct {
+	anyID        bool // the id is not compared
+	keepAnyCount bool // a connection on which another's answer came is kept
+	keepUnread   bool // bytes behind the answer are no reason to close
+	keepEarly    bool // an answer ends the sending, and the connection is kept with the body due
+	anyEnd       bool // a body without framing ends with any error
+	retryBroken  bool // a reset or a close is taken for a word that it has not run
+}
+
+// careless is a call with a fault, made of the parts of the real one.
+func (f fault) careless(p *Pool) func(context.Context, Target, *Request) *Result {
+	return func(ctx context.Context, target Target, q *Request) *Result {
+		r := &Result{}
+		c, opened, end, err := p.get(ctx, target, q.AttemptID, time.Now().Add(long))
+		if r.Opened = opened; end != Whole {
+			return r.end(end, err)
+		}
+		within := long
+		if f.keepEarly { // the endpoint waits for a body that never comes
+			within = 100 * time.Millisecond
+		}
+		c.SetDeadline(time.Now().Add(within))
+		stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+		exchange := &exchange{pool: p, conn: c, ctx: ctx, result: r, stop: stop}
+		body, size, sent := q.Body, 0, 0
+		for _, part := range body {
+			size += len(part)
+		}
+		if f.keepEarly && size > copyBody {
+			body = body[:len(body)/2]
+		}
+		for _, part := range body {
+			sent += len(part)
+		}
+		r.Written = true
+		c.begin(q.AttemptID)
+		n, _, err := write(c.TCPConn, q.appendHead(nil, target, size, time.Now()), body, sent)
+		if r.connection.bodyDue = err != nil; err != nil {
+			r.Written = n > 0
+			return exchange.end(ended(ctx, err), err)
+		}
+		if f.anyID {
+			a, scratch, err := readHead(c.r, nil) // of whatever comes first
+			for err == nil && a.Status < 200 {
+				a, scratch, err = readHead(c.r, scratch)
+			}
+			if err != nil {
+				return exchange.end(ended(ctx, unexpected(err)), err)
+			}
+			r.Answer, r.identified = a, true
+			b := newBody(c.r, a, q.Method)
+			if r.Body, err = b.all(1 << 20); err != nil {
+				return exchange.end(ended(ctx, err), err)
+			}
+			c.answers++
+			return exchange.end(Whole, nil)
+		}
+		a, err := exchange.head(q)
+		if err != nil {
+			return exchange.end(ended(ctx, err), err)
+		}
+		r.Answer, r.identified = a, true
+		if a.Status/100 == 2 && a.Signature == "" {
+			return exchange.end(Malformed, errMalformed)
+		}
+		b := newBody(c.r, a, q.Method)
+		if r.unframed = b.framing == byClose; r.unframed && !a.closeNamed {
+			return exchange.end(Malformed, errMalformed)
+		}
+		if f.anyEnd && r.unframed {
+			for err == nil {
+				r.Body, err = b.more(r.Body)
+			}
+		} else if a.Events && b.framing == byClose {
+			return exchange.end(Broken, errEnded)
+		} else if r.Body, err = b.all(1 << 20); err != nil {
+			return exchange.end(ended(ctx, err), err)
+		}
+		c.answers++
+		if f.keepAnyCount {
+			c.requests = c.answers
+		}
+		if f.keepUnread {
+			c.r.Discard(c.r.Buffered())
+		}
+		return exchange.end(Whole, nil)
+	}
+}
+
+// TestCarelessCallWithoutAFaultPasses: what finds the planted faults is the fault, not the rest of the careless call.
+func TestCarelessCallWithoutAFaultPasses(t *testing.T) {
+	w := newWireClient(t)
+	w.call = fault{}.careless(w.pool)
+	for seed := range uint64(seeds) {
+		if wrong := w.seeded(seed); wrong != "" {
+			t.Fatal(wrong)
+		}
+	}
+}
+
+// TestPlantedCallFaultsAreFound: each careless call is found by the same seeds that the real one passes.
+func TestPlantedCallFaultsAreFound(t *testing.T) {
+	for name, f := range map[string]fault{
+		"an id check left out":                       {anyID: true},
+		"reused after another's answer":              {keepAnyCount: true},
+		"reused with bytes behind the answer":        {keepUnread: true},
+		"reused after an early answer":               {keepEarly: true},
+		"an unframed answer ends with any error":     {anyEnd: true},
+		"sent again on a reset after the first byte": {retryBroken: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			w := newWireClient(t)
+			if f.retryBroken {
+				right := w.retry
+				w.retry = func(r *Result) bool { return right(r) || r.End == Broken }
+			} else {
+				w.call = f.careless(w.pool)
+			}
+			for seed := range uint64(seeds) {
+				if wrong := w.seeded(seed); wrong != "" {
+					t.Log(wrong)
+					return
+				}
+			}
+			assert.Assert(t, false, "not found within %d seeds", seeds)
+		})
+	}
+}
--- a/internal/tier/upstream/wire_test.go
+++ b/internal/tier/upstream/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"bytes"
 	"context"
 	"fmt"
 	"io"
@@ -49,7 +50,9 @@
 
 // closedBehindHead is complete wherever its body is closed: by the protocol that is its end, and no onlooker could tell.
 func closedBehindHead(text string) func(int, ending) bool {
-	return func(sent int, how ending) bool { return how == endsByClose && sent >= strings.Index(text, "\r\n\r\n")+4 }
+	return func(sent int, how ending) bool {
+		return how == endsByClose && sent >= strings.Index(text, "\r\n\r\n")+4
+	}
 }
 
 func never(int, ending) bool { return false }
@@ -88,7 +91,8 @@
 type plan struct {
 	read  int
 	text  string
-	sent  int // bytes of the text
+	sent  int  // bytes of the text
+	early bool // it says them before it reads the body
 	how   ending
 	clean bool // the connection may carry another request afterwards
 }
@@ -170,12 +174,16 @@
 		if !planned {
 			p = plan{read: -1, text: lengthText, sent: len(lengthText), how: endsNowhere, clean: true}
 		}
-		if p.read < 0 {
-			if !s.rest(r, id, seen) {
-				return
-			}
+		say := strings.ReplaceAll(p.text, "_ID__", id)[:p.sent]
+		if p.early {
+			io.WriteString(c, say)
+		}
+		if p.read < 0 && !s.rest(r, id, seen) {
+			return
+		}
+		if !p.early {
+			io.WriteString(c, say)
 		}
-		io.WriteString(c, strings.ReplaceAll(p.text, "_ID__", id)[:p.sent])
 		switch p.how {
 		case endsByReset:
 			c.SetLinger(0)
@@ -270,10 +278,20 @@
 	pool  *Pool
 	ep    *standIn
 	retry func(r *Result) bool // whether a request that is not idempotent goes again
+	call  func(context.Context, Target, *Request) *Result
 }
 
+// bodyPart is part of a long body.
+var bodyPart = bytes.Repeat([]byte("v"), 64<<10)
+
+// wireRequest has a body of its id's first byte; a long one is made of parts.
 func wireRequest(id string, size int) *Request {
-	return &Request{Method: "PUT", Target: "/" + id + "/x", Host: "h", AttemptID: id, Priority: -1, Body: [][]byte{[]byte(strings.Repeat(id[:1], size))}}
+	q := &Request{Method: "PUT", Target: "/" + id + "/x", Host: "h", AttemptID: id, Priority: -1}
+	for ; id[0] == bodyPart[0] && size >= len(bodyPart); size -= len(bodyPart) {
+		q.Body = append(q.Body, bodyPart)
+	}
+	q.Body = append(q.Body, bytes.Repeat([]byte(id[:1]), size))
+	return q
 }
 
 func (w *wireClient) send(id string, size int, cause error) (heard, *Result) {
@@ -299,7 +317,7 @@
 			}
 		}()
 	}
-	r := w.pool.Call(&overContext{inner, cause}, w.ep.target, wireRequest(id, size), long)
+	r := w.call(&overContext{inner, cause}, w.ep.target, wireRequest(id, size))
 	got := heard{body: string(r.Body), whole: r.End == Whole}
 	if r.Stream != nil {
 		pieces, err := pieces(r.Stream)
@@ -352,9 +370,11 @@
 	}
 	got, _ := w.send(victim, size, cause)
 	after, r := w.send(next, 4, nil)
-	if r.Written && !r.Opened && r.End == Broken { // the endpoint ended the connection as it was sent
-		after, _ = w.send("m"+name, 4, nil)
-		next = "m" + name
+	// The endpoint may have ended a connection just as the next request was sent: that one may have run, for all its sender
+	// knows. Such connections come to an end.
+	for n := 0; r.Written && !r.Opened && r.End == Broken && n < 10; n++ {
+		next = fmt.Sprintf("%c%s", 'a'+n, name)
+		after, r = w.send(next, 4, nil)
 	}
 	w.ep.mu.Lock()
 	defer w.ep.mu.Unlock()
@@ -368,7 +388,9 @@
 }
 
 func newWireClient(t *testing.T) *wireClient {
-	return &wireClient{t: t, pool: pool(t), ep: newStandIn(t), retry: func(r *Result) bool { return r.Verdict(false).Retry(false) }}
+	p := pool(t)
+	return &wireClient{t: t, pool: p, ep: newStandIn(t), retry: func(r *Result) bool { return r.Verdict(false).Retry(false) },
+		call: func(ctx context.Context, target Target, q *Request) *Result { return p.Call(ctx, target, q, long) }}
 }
 
 func silenceCauses(how ending) []error {
