--- a/cmd/yard/simulate.go
+++ b/cmd/yard/simulate.go
@@ -8,6 +8,7 @@
 	"os/signal"
 	"path/filepath"
 	"runtime"
+	"runtime/debug"
 	"slices"
 	"strings"
 	"syscall"
@@ -89,6 +90,7 @@
 		batch.Kinds = append(batch.Kinds, simulation.Kind(name))
 	}
 	runtime.GOMAXPROCS(s.Jobs)
+	debug.SetGCPercent(simulation.GCPercent)
 	began, told := time.Now(), time.Now()
 	failed := 0
 	batch.Progress = func(played uint64) {
--- a/internal/tier/simulation/batch.go
+++ b/internal/tier/simulation/batch.go
@@ -8,6 +8,9 @@
 	"time"
 )
 
+// GCPercent suits plays: a bubble makes much garbage and holds little.
+const GCPercent = 400
+
 // Failure is a script that broke a promise.
 type Failure struct {
 	Script Script
--- a/internal/tier/simulation/network.go
+++ b/internal/tier/simulation/network.go
@@ -70,8 +70,8 @@
 
 // fate is what befalls one call.
 type fate struct {
-	there, back, again                   time.Duration
-	loseRequest, loseAnswer, double, any bool
+	there, back, again              time.Duration
+	loseRequest, loseAnswer, double bool
 }
 
 // draw gives the fate of the next call on a link. It depends on the seed, the link and the number of calls on it alone.
--- a/internal/tier/simulation/roles.go
+++ b/internal/tier/simulation/roles.go
@@ -96,6 +96,9 @@
 			if !p.over() {
 				m.world.checks.views.tookMap(m.name, p, t)
 			}
+			if v.seams.Map != nil {
+				v.seams.Map(store, t)
+			}
 			store.Apply(t)
 		}})
 	go v.held.Run(p.ctx)
--- a/internal/tier/simulation/seams.go
+++ b/internal/tier/simulation/seams.go
@@ -12,6 +12,7 @@
 	Store  func(controlplane.Store) controlplane.Store       // around a control-plane process's state
 	Files  func(machine string, files wal.FS) wal.FS         // around a machine's file system
 	Synced func(*turnstore.TurnStore, SyncedFunc) SyncedFunc // around a turn store's reports of whole copies
+	Map    func(*turnstore.TurnStore, *tierv1.PartitionMap)  // hears of the maps that a turn store takes
 	Tamper func(*Delivery)                                   // with answers on their way back
 }
 
--- a/internal/tier/simulation/turns.go
+++ b/internal/tier/simulation/turns.go
@@ -17,6 +17,7 @@
 	programs map[string]*program
 	attempts map[string]*attempt
 	number   int
+	events   int // that were noted: the order of what was begun and settled
 	served   int
 	answered int            // by endpoints
 	acts     map[string]int // of endpoints, by attempt
@@ -38,6 +39,7 @@
 	granted      bool // Begin was answered OK
 	settling     bool // Settle was sent
 	settled      bool // Settle was answered OK
+	began, ended int  // when it began and was settled, in events
 	kept         bool // and the turn is to be kept
 }
 
@@ -78,7 +80,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.number++
-	a := &attempt{id: fmt.Sprint("attempt-", c.number), previous: previous, program: p, most: most, tokens: tokens}
+	c.events++
+	a := &attempt{id: fmt.Sprint("attempt-", c.number), previous: previous, program: p, most: most, tokens: tokens, began: c.events}
 	p.attempts = append(p.attempts, a)
 	c.attempts[a.id] = a
 	return a
@@ -147,12 +150,13 @@
 	return sum
 }
 
-// mostCharge is what may be charged to a program at most, but for one attempt. The lock is held.
+// mostCharge is what may have been charged to a program at most, but for one attempt, at some time since that began. The
+// lock is held.
 func (p *program) mostCharge(but *attempt) (sum uint64) {
 	for _, a := range p.attempts {
 		switch {
 		case a == but:
-		case a.settled:
+		case a.settled && a.ended < but.began:
 			sum += a.tokens
 		default:
 			sum += a.most
@@ -172,7 +176,8 @@
 func (c *turns) settled(a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a.settled = true
+	c.events++
+	a.settled, a.ended = true, c.events
 	c.served++
 }
 
