--- a/internal/tier/simulation/faults.go
+++ b/internal/tier/simulation/faults.go
@@ -25,6 +25,9 @@
 	case LoseAnswers:
 		w.window(f, func(on bool) { w.network.loseAnswers = on })
 		return
+	case Reorder:
+		w.window(f, func(on bool) { w.network.reorder = on })
+		return
 	case Trouble:
 		w.window(f, func(on bool) { w.network.trouble = on })
 		return
--- a/internal/tier/simulation/orders.go
+++ b/internal/tier/simulation/orders.go
@@ -173,6 +173,18 @@
 	}
 }
 
+// newest gives orders that were acknowledged, the newest ones.
+func (c *orders) newest(most int) (list []*order) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i := len(c.all) - 1; i >= 0 && len(list) < most; i-- {
+		if c.all[i].acknowledged {
+			list = append(list, c.all[i])
+		}
+	}
+	return list
+}
+
 // end checks that all that was acknowledged leads up to the revision in force at the end.
 func (c *orders) end(revision int64) {
 	c.mu.Lock()
--- a/internal/tier/simulation/play.go
+++ b/internal/tier/simulation/play.go
@@ -15,6 +15,9 @@
 // recoveryTime is how long after the last fault everything is well again.
 const recoveryTime = 12 * time.Second
 
+// ordersRepeated is how many orders are sent again at the end.
+const ordersRepeated = 10
+
 // drainLimit is how long whatever was under way may last at the end. The clock of a bubble stands once its first function
 // has returned, so that this is waited for in it.
 const drainLimit = 10 * time.Second
@@ -114,6 +117,7 @@
 	if !o.send(last) && last.refused == 0 {
 		w.report(RuleRecovery, "no order is acknowledged")
 	}
+	w.ordersAgain(o)
 	w.copies()
 	w.turnsStand()
 	w.mu.Lock()
@@ -124,6 +128,15 @@
 	}
 }
 
+// ordersAgain checks that orders which were acknowledged are so again, though others were taken on top of them.
+func (w *world) ordersAgain(o *operator) {
+	for _, old := range w.checks.orders.newest(ordersRepeated) {
+		if !o.send(old) && !w.ending() {
+			w.report(RuleRepeat, "%v was acknowledged, and is not when it comes again", old)
+		}
+	}
+}
+
 // copies checks that each partition of the newest map has its copies, all on turn stores that are there.
 func (w *world) copies() {
 	ctx, cancel := context.WithTimeout(w.ctx, answerLimit)
