--- a/cmd/yard/simulate.go
+++ b/cmd/yard/simulate.go
@@ -5,11 +5,12 @@
 	"errors"
 	"fmt"
 	"os"
+	"os/exec"
 	"os/signal"
 	"path/filepath"
-	"runtime"
 	"runtime/debug"
 	"slices"
+	"strconv"
 	"strings"
 	"syscall"
 	"time"
@@ -31,6 +32,7 @@
 	Shrink int      `help:"Plays for each step of the shrinking of a failing script; 0: it is not shrunk." default:"3" placeholder:"N"`
 	Replay string   `help:"Play the script in a file instead." type:"path" placeholder:"FILE"`
 	Times  int      `help:"Plays of a script that is replayed, until one fails." default:"20" placeholder:"N"`
+	Worker bool     `help:"Play in this process, and tell what comes of it in JSON." hidden:""`
 	Out    string   `help:"Folder for failing scripts and their traces." type:"path" placeholder:"DIR"`
 }
 
@@ -75,6 +77,7 @@
 		return err
 	}
 	log.DefaultLogger.Level = log.PanicLevel // what disks tell has no place in the output
+	debug.SetGCPercent(simulation.GCPercent)
 	if s.Out != "" {
 		if err := os.MkdirAll(s.Out, 0o755); err != nil {
 			return err
@@ -89,8 +92,9 @@
 	for _, name := range s.Fault {
 		batch.Kinds = append(batch.Kinds, simulation.Kind(name))
 	}
-	runtime.GOMAXPROCS(s.Jobs)
-	debug.SetGCPercent(simulation.GCPercent)
+	if s.Worker {
+		return batch.Work(ctx, os.Stdout)
+	}
 	began, told := time.Now(), time.Now()
 	failed := 0
 	batch.Progress = func(played uint64) {
@@ -103,13 +107,29 @@
 		failed++
 		s.show(f)
 	}
-	t := batch.Play(ctx)
+	t, err := batch.PlayInWorkers(ctx, s.worker)
 	fmt.Printf("%d seeds played, %d failed, in %.1f s: %.0f seeds a minute, %.0f simulated hours an hour, %d calls, %d orders, %d turns\n",
 		t.Played, t.Failed, t.Real.Seconds(), float64(t.Played)/t.Real.Minutes(), t.Virtual.Seconds()/t.Real.Seconds(), t.Messages, t.Orders, t.Turns)
 	if t.Failed > 0 {
 		return fmt.Errorf("%d of %d seeds failed", t.Failed, t.Played)
 	}
-	return ctx.Err()
+	return errors.Join(err, ctx.Err())
+}
+
+// worker is this program as it plays a part of the seeds.
+func (s simulateCmd) worker(ctx context.Context, from, seeds uint64) *exec.Cmd {
+	self, err := os.Executable()
+	if err != nil {
+		self = os.Args[0]
+	}
+	arguments := []string{"simulate", "--worker", "--from", strconv.FormatUint(from, 10), "--seeds", strconv.FormatUint(seeds, 10)}
+	for _, name := range s.Fault {
+		arguments = append(arguments, "--fault", name)
+	}
+	for _, name := range s.Ignore {
+		arguments = append(arguments, "--ignore", name)
+	}
+	return exec.CommandContext(ctx, self, arguments...)
 }
 
 // show prints a failure, shrinks its script and writes both to files.
@@ -134,8 +154,8 @@
 }
 
 func reason(f simulation.Failure) string {
-	if f.Err != nil {
-		return "the simulator failed: " + strings.TrimSpace(f.Err.Error())
+	if f.Err != "" {
+		return "the simulator failed: " + strings.TrimSpace(f.Err)
 	}
 	return "broken: " + f.Broken.String()
 }
@@ -153,7 +173,7 @@
 			return err
 		}
 	}
-	if f.Broken == nil && f.Err == nil {
+	if f.Broken == nil && f.Err == "" {
 		fmt.Printf("played %d times, and no promise was broken\n", s.Times)
 		return nil
 	}
--- a/internal/tier/simulation/batch.go
+++ b/internal/tier/simulation/batch.go
@@ -9,14 +9,14 @@
 )
 
 // GCPercent suits plays: a bubble makes much garbage and holds little.
-const GCPercent = 400
+const GCPercent = 3000 // percent of what is held
 
 // Failure is a script that broke a promise.
 type Failure struct {
 	Script Script
 	Broken *Violation
 	Trace  []byte // of the play
-	Err    error  // of the simulator itself, if that failed
+	Err    string // of the simulator itself, if that failed
 }
 
 // Batch is many seeds to be played.
@@ -57,7 +57,7 @@
 				if result.Broken != nil || err != nil {
 					total.Failed++
 					if b.Failed != nil {
-						b.Failed(Failure{script, result.Broken, trace, err})
+						b.Failed(Failure{script, result.Broken, trace, text(err)})
 					}
 				}
 				if b.Progress != nil {
@@ -80,6 +80,13 @@
 	t.Turns += r.Turns
 }
 
+func text(err error) string {
+	if err == nil {
+		return ""
+	}
+	return err.Error()
+}
+
 // traced plays a script and keeps its trace.
 func traced(script Script, options Options) (Result, []byte, error) {
 	var trace bytes.Buffer
@@ -93,7 +100,7 @@
 	var f Failure
 	for range times {
 		result, trace, err := traced(script, options)
-		f = Failure{script, result.Broken, trace, err}
+		f = Failure{script, result.Broken, trace, text(err)}
 		if f.Broken != nil || err != nil {
 			break
 		}
--- a/internal/tier/simulation/main_test.go
+++ b/internal/tier/simulation/main_test.go
@@ -1,6 +1,8 @@
 package simulation
 
 import (
+	"context"
+	"fmt"
 	"os"
 	"runtime/debug"
 	"testing"
@@ -8,8 +10,27 @@
 	"github.com/phuslu/log"
 )
 
+// workerVariable has a process of the test play seeds: the first and their number.
+const workerVariable = "SIMULATION_TEST_WORKER"
+
 func TestMain(m *testing.M) {
 	log.DefaultLogger.Level = log.PanicLevel // logs of disks, which have none of their own
 	debug.SetGCPercent(GCPercent)
+	if part := os.Getenv(workerVariable); part != "" {
+		work(part)
+		return
+	}
 	os.Exit(m.Run())
 }
+
+func work(part string) {
+	var b Batch
+	_, err := fmt.Sscan(part, &b.From, &b.Seeds)
+	if err == nil {
+		err = b.Work(context.Background(), os.Stdout)
+	}
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+}
--- a/internal/tier/simulation/planted_test.go
+++ b/internal/tier/simulation/planted_test.go
@@ -37,7 +37,7 @@
 	}
 	total := batch.Play(ctx)
 	assert.Assert(t, hit != nil, "not found in %d seeds", total.Played)
-	assert.NilError(t, hit.Err)
+	assert.Equal(t, hit.Err, "")
 	t.Logf("found after %d seeds:\n%v%v", total.Played, hit.Script, hit.Broken)
 	for _, rule := range rules {
 		if hit.Broken.Rule == rule {
--- a/internal/tier/simulation/simulation_test.go
+++ b/internal/tier/simulation/simulation_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"context"
+	"fmt"
+	"os"
+	"os/exec"
 	"runtime"
 	"testing"
 
@@ -16,13 +19,21 @@
 
 func TestSeeds(t *testing.T) {
 	batch := Batch{Seeds: seeds, Jobs: runtime.GOMAXPROCS(0), Failed: func(f Failure) {
-		t.Errorf("%v%v %v", f.Script, f.Broken, f.Err)
+		t.Errorf("%v%v %s\n%s", f.Script, f.Broken, f.Err, f.Trace)
 	}}
 	if testing.Short() || raceDetector {
 		batch.Seeds = seedsShort
 	}
-	total := batch.Play(context.Background())
-	t.Logf("%+v", total)
+	self, err := os.Executable()
+	assert.NilError(t, err)
+	total, err := batch.PlayInWorkers(t.Context(), func(ctx context.Context, from, seeds uint64) *exec.Cmd {
+		c := exec.CommandContext(ctx, self)
+		c.Env = append(os.Environ(), fmt.Sprint(workerVariable, "=", from, " ", seeds))
+		return c
+	})
+	assert.NilError(t, err)
+	t.Logf("%+v, %.0f seeds a minute", total, float64(total.Played)/total.Real.Minutes())
+	assert.Equal(t, total.Played, batch.Seeds)
 	assert.Assert(t, total.Orders > 0 && total.Turns > 0, "%+v", total)
 }
 
--- /dev/null
+++ b/internal/tier/simulation/workers.go
@@ -0,0 +1,134 @@
+package simulation
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"sync"
+	"time"
+)
+
+// A play has one goroutine awake at most times: it goes fastest on one processor, and plays in one process wait for each
+// other's. So many plays at a time are made in as many processes, each of one processor, which tell on their standard output
+// how they get on.
+
+// event is one line of a worker's output, in JSON.
+type event struct {
+	Failure *Failure `json:"failure,omitempty"`
+	Played  uint64   `json:"played,omitempty"`
+	Total   *Total   `json:"total,omitempty"` // the last line
+}
+
+// progressEvery is after how many seeds a worker tells how far it is.
+const progressEvery = 5
+
+// Work plays a batch as a worker does, and writes what comes of it.
+func (b Batch) Work(ctx context.Context, out io.Writer) error {
+	lines := json.NewEncoder(out)
+	var failed error
+	tell := func(e event) {
+		if err := lines.Encode(e); err != nil && failed == nil {
+			failed = err
+		}
+	}
+	b.Failed = func(f Failure) { tell(event{Failure: &f}) }
+	b.Progress = func(played uint64) {
+		if played%progressEvery == 0 {
+			tell(event{Played: played})
+		}
+	}
+	b.Jobs = 1
+	total := b.Play(ctx)
+	tell(event{Total: &total})
+	return failed
+}
+
+// PlayInWorkers plays a batch in processes of their own, as many as there are jobs. command makes the one that plays a part
+// of the seeds by Work.
+func (b Batch) PlayInWorkers(ctx context.Context, command func(ctx context.Context, from, seeds uint64) *exec.Cmd) (Total, error) {
+	began := time.Now()
+	jobs := uint64(max(b.Jobs, 1))
+	var total Total
+	var mu sync.Mutex
+	played := make([]uint64, jobs)
+	errs := make([]error, jobs)
+	var workers sync.WaitGroup
+	for job := range jobs {
+		first, end := job*b.Seeds/jobs, (job+1)*b.Seeds/jobs
+		if first == end {
+			continue
+		}
+		workers.Go(func() {
+			errs[job] = follow(command(ctx, b.From+first, end-first), func(e event) {
+				mu.Lock()
+				defer mu.Unlock()
+				switch {
+				case e.Failure != nil:
+					if b.Failed != nil {
+						b.Failed(*e.Failure)
+					}
+				case e.Total != nil:
+					total.merge(*e.Total)
+				case b.Progress != nil:
+					played[job] = e.Played
+					b.Progress(sum(played))
+				}
+			})
+		})
+	}
+	workers.Wait()
+	total.Real = time.Since(began)
+	for _, err := range errs {
+		if err != nil {
+			return total, err
+		}
+	}
+	return total, nil
+}
+
+// follow runs a worker and hands on what it tells.
+func follow(c *exec.Cmd, tell func(event)) error {
+	c.Env = append(c.Environ(), "GOMAXPROCS=1")
+	c.Stderr = os.Stderr
+	out, err := c.StdoutPipe()
+	if err != nil {
+		return err
+	}
+	if err := c.Start(); err != nil {
+		return err
+	}
+	lines := json.NewDecoder(out)
+	ended := false
+	for {
+		var e event
+		if err := lines.Decode(&e); err != nil {
+			break
+		}
+		ended = ended || e.Total != nil
+		tell(e)
+	}
+	err = c.Wait()
+	if err == nil && !ended {
+		err = fmt.Errorf("simulation: a worker ended early")
+	}
+	return err
+}
+
+func sum(list []uint64) (n uint64) {
+	for _, one := range list {
+		n += one
+	}
+	return n
+}
+
+func (t *Total) merge(o Total) {
+	t.Played += o.Played
+	t.Failed += o.Failed
+	t.Virtual += o.Virtual
+	t.Messages += o.Messages
+	t.Orders += o.Orders
+	t.Turns += o.Turns
+}
