--- a/cmd/fuzzdays/main.go
+++ b/cmd/fuzzdays/main.go
@@ -19,6 +19,10 @@
 	"dockshift.example/dockshift/internal/rehearsal/fuzzdays"
 )
 
+// failuresInARow is how many plays may fail one after another, as they do where the tier does not build, before no
+// further one is started.
+const failuresInARow = 3
+
 // longestWhy is how long a line for the journal may be.
 const longestWhy = 120
 
@@ -120,7 +124,7 @@
 	seeds := make(chan int64)
 	var wait sync.WaitGroup
 	var mutex sync.Mutex
-	var played, found int
+	var played, found, inARow int
 	var failures []error
 	for range c.Jobs {
 		wait.Add(1)
@@ -131,9 +135,11 @@
 				mutex.Lock()
 				if err != nil {
 					failures = append(failures, errorx.Decorate(err, "seed %d", seed))
+					inARow++
 					fmt.Printf("seed %d: %v\n", seed, err)
 				} else {
 					played++
+					inARow = 0
 					fmt.Println(line)
 				}
 				if finding {
@@ -144,7 +150,10 @@
 		}()
 	}
 	for i := range c.Days {
-		if time.Since(began) > c.Until {
+		mutex.Lock()
+		stop := time.Since(began) > c.Until || inARow >= failuresInARow
+		mutex.Unlock()
+		if stop {
 			break
 		}
 		seeds <- c.Seed + int64(i)
@@ -153,7 +162,7 @@
 	wait.Wait()
 	fmt.Printf("played %d days, %d with findings, %d not played\n", played, found, len(failures))
 	if len(failures) > 0 {
-		return errorx.ExternalError.New("%d days could not be played", len(failures))
+		return errorx.ExternalError.New("%d days could not be played, the first: %v", len(failures), failures[0])
 	}
 	return nil
 }
