--- a/internal/rehearsal/fuzzdays/scenarios.go
+++ b/internal/rehearsal/fuzzdays/scenarios.go
@@ -76,6 +76,12 @@
 	{name: "all core machines gone at once", timed: wholeCore},
 	{name: "long day", lengthSeconds: 200, timed: manyTroubles},
 	{name: "any trouble"},
+	{name: "orders while core machines come and go", lengthSeconds: 100, timed: ordersBesideCoreTroubles, alone: true},
+	{name: "orders while core machines come and go, two may be lost", cores: 5, stores: 5, losses: 2, lengthSeconds: 100,
+		timed: ordersBesideCoreTroubles, alone: true},
+	{name: "turns while stores come and go", cores: 3, stores: 4, lengthSeconds: 100, timed: turnsBesideStoreTroubles, alone: true},
+	{name: "turns while stores come and go, two may be lost", cores: 5, stores: 6, losses: 2, lengthSeconds: 100,
+		timed: turnsBesideStoreTroubles, alone: true},
 }
 
 // at places troubles at one moment.
@@ -313,3 +319,54 @@
 	}
 	return all
 }
+
+// ordersBesideCoreTroubles has pairs of orders close to each other while a core machine is in trouble at all times.
+func ordersBesideCoreTroubles(r random, site Table) []Table {
+	length, losses := lengthOf(site), lossesOf(site)
+	all := at(0.5, trouble("ack_lost", "x", r.between(0.5, 0.95), "for_s", length-4))
+	for from := r.between(1, 3); from < length-10; from += r.between(4, 8) {
+		all = append(all, at(from, trouble("config_race", "count", r.whole(4, 12), "gap_s", r.byFactor(0.05, 0.5)))...)
+		all = append(all, at(from+r.between(0, 2), pick(r,
+			trouble("node_kill", "on", "core", "count", losses, "for_s", r.between(0.3, 2), "how", "leader power race hard"),
+			trouble("node_kill", "on", "core", "count", losses, "for_s", r.between(0.3, 2), "how", "leader race"),
+			trouble("core_cut", "count", losses, "for_s", r.between(1, 5), "how", pick(r, "leader one_way race", "leader race", "leader all race", "leader reset race", "leader near meet")),
+			trouble("node_freeze", "on", "core", "count", losses, "for_s", r.between(0.5, 4), "how", "leader race"),
+			trouble("herd_kill", "on", "core", "for_s", r.between(0.3, 1.5), "how", pick(r, "power", "taken")),
+			trouble("after_ack_kill", "for_s", r.between(0.5, 3), "how", pick(r, "timed", "taken", "kill")),
+			trouble("after_ack_wipe", "for_s", r.between(0.5, 3), "how", pick(r, "timed", "oldest")),
+			trouble("replace_core", "x", r.between(0.3, 2), "how", "oldest"),
+			trouble("node_slow", "on", "core", "count", losses, "x", 6.0, "for_s", 4.0),
+			trouble("disk_stall", "on", "core", "count", losses, "for_s", r.between(1, 4)),
+			trouble("clock_step", "share", 0.5, "x", 10000, "for_s", 5.0)))...)
+	}
+	return all
+}
+
+// turnsBesideStoreTroubles has programs go on from turn to turn while a store is in trouble at all times, and while
+// endpoints spoil answers and machines that take requests go.
+func turnsBesideStoreTroubles(r random, site Table) []Table {
+	length, losses := lengthOf(site), lossesOf(site)
+	var all []Table
+	for from := r.between(1, 3); from < length-10; from += r.between(4, 8) {
+		all = append(all, at(from, pick(r,
+			trouble("after_ack_kill", "on", "store", "count", losses, "for_s", r.between(0.5, 3), "how", pick(r, "taken", "timed", "taken gone")),
+			trouble("after_ack_wipe", "on", "store", "count", losses, "for_s", r.between(0.5, 3), "how", pick(r, "taken", "timed", "oldest")),
+			trouble("core_cut", "on", "store", "count", losses, "for_s", r.between(1, 6), "how", pick(r, "one_way", "reset", "refuse", "all", "near", "oldest")),
+			trouble("node_freeze", "on", "store", "count", losses, "for_s", r.between(0.3, 5)),
+			trouble("node_kill", "on", "store", "count", losses, "for_s", r.between(0.3, 3), "how", "power"),
+			trouble("replace_core", "on", "store", "x", r.between(0.3, 2), "how", "oldest"),
+			trouble("replace_core", "on", "store", "x", r.between(0.3, 2), "how", "planned"),
+			trouble("roll_term", "on", "store", "share", 1.0, "gap_s", r.between(0.8, 2)),
+			trouble("disk_stall", "on", "store", "count", losses, "for_s", r.between(1, 4)),
+			trouble("retire", "for_s", 7.0, "how", "wipe"),
+			trouble("herd_kill", "share", 0.8, "for_s", 0.6, "how", "power")))...)
+		all = append(all, at(from+r.between(0, 3), pick(r,
+			trouble("garble", "share", 0.6, "x", 0.05, "for_s", 4.0, "how", pick(r, "extra", "unframed", "early")),
+			trouble("answer_lost", "share", 0.6, "x", 0.08, "for_s", 4.0, "how", "reset"),
+			trouble("reset_conns", "share", 0.5, "x", 0.8),
+			trouble("node_kill", "share", 0.3, "for_s", 1.0),
+			trouble("roll_term", "how", "busy", "share", 0.5, "gap_s", 0.8),
+			trouble("release", "share", 0.5, "x", 2.0, "gap_s", 0.6)))...)
+	}
+	return all
+}
