--- a/internal/tier/controlplane/operators_test.go
+++ b/internal/tier/controlplane/operators_test.go
@@ -216,7 +216,7 @@
 func TestRetire(t *testing.T) {
 	within(t, func(r *rig) {
 		for _, n := range []string{"v1", "v2", "v3"} {
-			r.join(roleTurnStore, n, nil)
+			r.join(roleTurnStore, n, func(p *process) { p.slow = 50 * time.Millisecond }) // so that no copy is whole at once
 		}
 		r.pass(2 * time.Second)
 		order := func(node string) *httptest.ResponseRecorder {
--- a/internal/tier/upstream/wire_test.go
+++ b/internal/tier/upstream/wire_test.go
@@ -49,7 +49,9 @@
 
 // closedBehindHead is complete wherever its body is closed: by the protocol that is its end, and no onlooker could tell.
 func closedBehindHead(text string) func(int, ending) bool {
-	return func(sent int, how ending) bool { return how == endsByClose && sent >= strings.Index(text, "\r\n\r\n")+4 }
+	return func(sent int, how ending) bool {
+		return how == endsByClose && sent >= strings.Index(text, "\r\n\r\n")+4
+	}
 }
 
 func never(int, ending) bool { return false }
