--- a/internal/tier/loadbalancer/loadbalancer_test.go
+++ b/internal/tier/loadbalancer/loadbalancer_test.go
@@ -305,6 +305,37 @@
 	r.send(a)
 }
 
+// Where the memory of engines is taken, a session stays longer at the endpoint that holds its cache: elsewhere it would be
+// read again, and would take the place of what others hold there. It still leaves one that is far beyond the others.
+func TestHomeWhereMemoryIsTaken(t *testing.T) {
+	r := newRig(t, 1, 8)
+	for i := range r.list {
+		r.list[i].CacheTokens = 28_000
+	}
+	r.b.SetEndpoints(r.now, r.list)
+	a := ask()
+	a.Repeatable, a.Tokens = false, 7_000 // a quarter of the memory
+	for _, line := range r.list {
+		a.Home = line.Instance
+		c := r.send(a)
+		assert.Equal(t, c.Instance, line.Instance)
+		r.b.Heard(r.now, c.Call)
+	}
+	for _, of := range []struct {
+		running int // at home; the others have four each
+		stays   bool
+	}{{9, true}, {24, false}} {
+		for _, line := range r.list[1:] {
+			r.b.Told(r.now, line.Instance, Load{Running: 4, Slots: 8})
+		}
+		r.b.Told(r.now, "i0", Load{Running: of.running, Slots: 8})
+		a.Home = "i0"
+		c := r.send(a)
+		assert.Equal(t, c.Instance == "i0", of.stays, "%d running", of.running)
+		r.b.Done(r.now, c.Call, Outcome{Kind: Abandoned})
+	}
+}
+
 // Requests without a session go to the least loaded, in our zone as long as it isn't loaded; what others have there
 // is told.
 func TestLeastLoaded(t *testing.T) {
--- a/internal/tier/loadbalancer/pick.go
+++ b/internal/tier/loadbalancer/pick.go
@@ -206,7 +206,9 @@
 		return nil
 	}
 	mean := (own.load + far.load) / float64(max(1, own.n+far.n))
-	if e.cost(now) > max(homeCostFactor*mean, mean+homeCostMargin/float64(e.capacity())) {
+	// A session that moves is read again elsewhere and evicts what others have cached there: the likelier, the more is taken.
+	displaced := mean * min(1, mean)
+	if e.cost(now) > max(homeCostFactor*mean, mean+displaced+homeCostMargin/float64(e.capacity())) {
 		return nil
 	}
 	return e
