--- a/internal/tier/controlplane/orders_planted_test.go
+++ b/internal/tier/controlplane/orders_planted_test.go
@@ -77,9 +77,6 @@
 
 // TestPlantedFaultsAreFound plants a fault between consensus and control plane, and expects a history that shows it.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	if testing.Short() {
-		t.Skip("plays up to 200 histories for each fault")
-	}
 	for name, wrap := range map[string]func(Store) Store{
 		"records are not written":      func(s Store) Store { return dropsRecords{s} },
 		"records are not read back":    func(s Store) Store { return hidesRecords{s} },
--- /dev/null
+++ b/internal/tier/controlplane/staleness_test.go
@@ -0,0 +1,245 @@
+package controlplane
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/phuslu/log"
+	"gotest.tools/v3/assert"
+
+	gatewaysession "dockshift.example/dockshift/internal/tier/session"
+	"dockshift.example/dockshift/internal/tier/settings"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// edge is a gateway's session as the program holds it, on an address of its own.
+type edge struct {
+	c  *cluster
+	ip string
+
+	mu       sync.Mutex
+	taken    []takenView
+	answered time.Time // of the newest answer of a process that says that it is the primary
+	from     string
+}
+
+type takenView struct {
+	revision int64
+	at       time.Time
+}
+
+// startEdge begins a gateway's process that is told of some of the core machines.
+func (c *cluster) startEdge(ip string, seeds ...*coreMachine) *edge {
+	e := &edge{c: c, ip: ip}
+	set := settings.Settings{Node: "edge-" + ip, IP: ip, ContactWindow: 3 * time.Second, PortFirst: 7680, PortLast: 7690}
+	for _, m := range seeds {
+		set.Seeds = append(set.Seeds, m.ip+":"+operatorPort)
+	}
+	client := &http.Client{Transport: transport{c, ip}}
+	s := gatewaysession.New(gatewaysession.Config{Settings: set, Role: roleGateway, Address: ip + ":" + internalPort,
+		Log: &log.Logger{Writer: log.IOWriter{Writer: io.Discard}},
+		Dial: func(address string) tierv1.ControlPlane {
+			return watched{tierv1.NewControlPlaneProtobufClient("http://"+address, client), e, address}
+		},
+		Configuration: func(v *tierv1.Configuration) {
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			e.taken = append(e.taken, takenView{revisionOf(string(v.Body)), time.Now()})
+		}})
+	go s.Run(c.ctx)
+	return e
+}
+
+// watched notes when a process that says that it is the primary answers a held call.
+type watched struct {
+	tierv1.ControlPlane
+	e       *edge
+	address string
+}
+
+func (w watched) Watch(ctx context.Context, q *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+	reply, err := w.ControlPlane.Watch(ctx, q)
+	if err == nil && reply.Primary && q.Role != "" {
+		w.e.mu.Lock()
+		defer w.e.mu.Unlock()
+		w.e.answered, w.e.from = time.Now(), w.address
+	}
+	return reply, err
+}
+
+// has gives the revision in force, 0 without one, and since when.
+func (e *edge) has() (revision int64, since time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.taken) == 0 {
+		return 0, time.Time{}
+	}
+	last := e.taken[len(e.taken)-1]
+	return last.revision, last.at
+}
+
+func (e *edge) lastAnswer() (at time.Time, from string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.answered, e.from
+}
+
+// order sends an order to the machines until one takes it.
+func (c *cluster) order(base, revision int, to ...*coreMachine) {
+	c.t.Helper()
+	for range 100 {
+		for _, m := range to {
+			a, err := c.ask("POST", "http://"+m.ip+":"+operatorPort+"/saffronyard/Configuration.Replace", fmt.Sprint(base), string(configuration(revision, "s")))
+			if err == nil && a.status == http.StatusOK {
+				return
+			}
+		}
+		<-time.After(20 * time.Millisecond)
+	}
+	c.t.Fatalf("nobody takes revision %d", revision)
+}
+
+// divided is a cluster of three whose primary is cut off from the others, while gateways hold sessions with it.
+func divided(t *testing.T, seed uint64, wrap func(Store) Store, f func(c *cluster, old *coreMachine, rest []*coreMachine)) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		c := &cluster{wrap: wrap}
+		c.setUp(t, ctx, seed, 3)
+		c.order(0, 3, c.machines...)
+		<-time.After(time.Duration(c.draw(1000)) * time.Millisecond)
+		old := c.leader()
+		var rest []*coreMachine
+		for _, m := range c.machines {
+			if m != old {
+				rest = append(rest, m)
+			}
+		}
+		f(c, old, rest)
+		c.stopAll()
+		cancel()
+		synctest.Wait()
+	})
+}
+
+const stalenessSeeds = 20
+
+// A gateway's process that starts beside a primary that is cut off takes no configuration from it, however long that one
+// believes that it is the primary: its first call is confirmed by the backups.
+func TestANewGatewayTakesNothingFromACutOffPrimary(t *testing.T) {
+	for name, wrap := range map[string]func(Store) Store{"with a lease": nil, "with a lease far too long": func(s Store) Store { return newClings(s) }} {
+		t.Run(name, func(t *testing.T) {
+			for seed := range uint64(stalenessSeeds) {
+				divided(t, seed, wrap, func(c *cluster, old *coreMachine, rest []*coreMachine) {
+					var edges []*edge
+					c.cut(old, true, true, true)
+					for i := range 6 { // right after the cut, within the lease and after it
+						ip := fmt.Sprint("10.0.1.", i)
+						for _, m := range rest {
+							c.block(ip, m.ip, true)
+							c.block(m.ip, ip, true)
+						}
+						edges = append(edges, c.startEdge(ip, old))
+						<-time.After(200 * time.Millisecond)
+					}
+					c.order(3, 5, rest...)
+					<-time.After(5 * time.Second)
+					for _, e := range edges {
+						revision, _ := e.has()
+						assert.Equal(t, revision, int64(0), "seed %d, %s", seed, e.ip)
+					}
+					for _, e := range edges {
+						for _, m := range rest {
+							c.block(e.ip, m.ip, false)
+							c.block(m.ip, e.ip, false)
+						}
+					}
+					c.cut(old, true, true, false)
+					<-time.After(5 * time.Second)
+					for _, e := range edges {
+						revision, _ := e.has()
+						assert.Equal(t, revision, int64(5), "seed %d, %s", seed, e.ip)
+						assert.Equal(t, len(e.taken), 1)
+					}
+				})
+			}
+		})
+	}
+}
+
+// Bounds of docs/design/hardening/1-answers.md.
+const (
+	testWindow = 3 * time.Second
+	leaseBound = testWindow / 3                       // of a primary, from the begin of its last confirmed round trip
+	callBound  = testWindow/6 + testWindow/10         // a held call, and the patience after it
+	findBound  = testWindow/8 + testWindow/30         // one search for the primary, and the pause before the next
+	slackBound = 100 * time.Millisecond               // messages on their way, ticks
+	forceBound = leaseBound + callBound + 2*findBound // from an acknowledgement to force at a gateway in touch with the primary
+)
+
+// A gateway that is cut off together with the primary hears it as such no longer than a lease after the cut.
+func TestACutOffPrimaryHoldsItsSessionsNoLongerThanItsLease(t *testing.T) {
+	var longest time.Duration
+	for _, way := range []struct {
+		name         string
+		sends, hears bool
+	}{{"both ways", true, true}, {"it is not heard", true, false}, {"it hears nothing", false, true}} {
+		t.Run(way.name, func(t *testing.T) {
+			for seed := range uint64(stalenessSeeds) {
+				divided(t, seed, nil, func(c *cluster, old *coreMachine, rest []*coreMachine) {
+					e := c.startEdge("10.0.1.1", old)
+					<-time.After(time.Second)
+					for _, m := range rest {
+						c.block(e.ip, m.ip, true)
+						c.block(m.ip, e.ip, true)
+					}
+					c.cut(old, way.sends, way.hears, true)
+					cut := time.Now()
+					c.order(3, 5, rest...)
+					<-time.After(6 * time.Second)
+					at, from := e.lastAnswer()
+					assert.Equal(t, from, old.ip+":"+internalPort)
+					assert.Assert(t, at.Sub(cut) <= leaseBound+slackBound, "seed %d: %v", seed, at.Sub(cut))
+					longest = max(longest, at.Sub(cut))
+					revision, _ := e.has()
+					assert.Equal(t, revision, int64(3))
+				})
+			}
+		})
+	}
+	t.Logf("longest %v after the cut, the bound is %v", longest, leaseBound+slackBound)
+}
+
+// A gateway that reaches both sides of a cut has what the new primary acknowledged within the bound, though it held a
+// session with the old one, and never goes back.
+func TestAGatewayInTouchFollowsTheNewPrimary(t *testing.T) {
+	var longest time.Duration
+	for seed := range uint64(stalenessSeeds) {
+		divided(t, seed, nil, func(c *cluster, old *coreMachine, rest []*coreMachine) {
+			e := c.startEdge("10.0.1.1", old)
+			<-time.After(time.Second)
+			c.cut(old, true, true, true)
+			if seed%2 == 1 { // nor does the gateway hear the old primary any more
+				c.block(old.ip, e.ip, true)
+			}
+			c.order(3, 5, rest...)
+			acknowledged := time.Now()
+			<-time.After(forceBound + slackBound)
+			revision, since := e.has()
+			assert.Equal(t, revision, int64(5), "seed %d", seed)
+			longest = max(longest, since.Sub(acknowledged))
+			c.cut(old, true, true, false)
+			<-time.After(3 * time.Second)
+			e.mu.Lock()
+			defer e.mu.Unlock()
+			assert.Equal(t, len(e.taken), 2)
+		})
+	}
+	t.Logf("longest %v after the acknowledgement, the bound is %v", longest, forceBound+slackBound)
+}
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -221,7 +221,9 @@
 		hold = window / turnStorePart
 	}
 	req.HoldMs = uint32(hold.Milliseconds())
-	ctx, cancel := context.WithTimeout(ctx, hold+window/graceOver)
+	patience := hold + window/graceOver
+	begun := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	var renewed atomic.Bool
 	if client.config.Synced != nil {
@@ -246,6 +248,12 @@
 		client.markLost(err.Error())
 		return false
 	}
+	// The primary's lease was looked at after the call was sent and before it was answered. How old an answer can be is
+	// bounded by this only, also where a process was paused on the way.
+	if time.Since(begun) > patience {
+		client.markLost("answered too late")
+		return false
+	}
 	if !reply.Primary {
 		client.mu.Lock()
 		if reply.Hint != "" {
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -6,7 +6,10 @@
 	"fmt"
 	"math"
 	"sync"
+	"sync/atomic"
 	"testing"
+	"testing/synctest"
+	"time"
 
 	"gotest.tools/v3/assert"
 
@@ -250,6 +253,27 @@
 	}
 }
 
+// An answer that was held up on its way, as by a process that was paused, may come from one that is the primary no more.
+func TestAnAnswerThatComesTooLateIsNotTaken(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r := newRig(t, 1)
+		c := r.primary(1)
+		c.SetConfiguration("1")
+		var heldUp atomic.Bool
+		c.SetVia(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+			if !held(q) || heldUp.Swap(true) {
+				return serve()
+			}
+			<-time.After(10 * time.Second)
+			return &tierv1.WatchReply{Primary: true, Epoch: 1, Configuration: &tierv1.Configuration{Version: 5, Body: []byte("old")}}, nil
+		})
+		r.run()
+		c.Taken(t)
+		synctest.Wait()
+		assert.DeepEqual(t, r.notes(), []string{"configuration 1"})
+	})
+}
+
 func TestNoPrimaryAtFirst(t *testing.T) {
 	r := newRig(t, 1)
 	c := r.at(1)
