--- a/internal/tier/loadbalancer/loadbalancer_test.go
+++ b/internal/tier/loadbalancer/loadbalancer_test.go
@@ -319,16 +319,16 @@
 		a.Home = line.Instance
 		c := r.send(a)
 		assert.Equal(t, c.Instance, line.Instance)
-		r.b.Heard(r.now, c.Call)
+		r.b.FirstPiece(r.now, c.Call)
 	}
 	for _, of := range []struct {
 		running int // at home; the others have four each
 		stays   bool
 	}{{9, true}, {24, false}} {
 		for _, line := range r.list[1:] {
-			r.b.Told(r.now, line.Instance, Load{Running: 4, Slots: 8})
+			r.b.ReportLoad(r.now, line.Instance, Load{Running: 4, Slots: 8})
 		}
-		r.b.Told(r.now, "i0", Load{Running: of.running, Slots: 8})
+		r.b.ReportLoad(r.now, "i0", Load{Running: of.running, Slots: 8})
 		a.Home = "i0"
 		c := r.send(a)
 		assert.Equal(t, c.Instance == "i0", of.stays, "%d running", of.running)
