--- a/cmd/yard/operate.go
+++ b/cmd/yard/operate.go
@@ -102,6 +102,9 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintf(w, "%s\t%s\t%s\tepoch %d\tsequence %d\trevision %d\n", at, s.GetSelf().GetNode(), roleIn(s), s.GetRecord().GetEpoch(), s.Sequence, s.Revision)
+	if s.DiskError != "" {
+		fmt.Fprintf(w, "  disk\t%s\n", s.DiskError)
+	}
 	for _, m := range s.GetRecord().GetMembers() {
 		fmt.Fprintf(w, "  member\t%s\t%s\t%s\n", m.Node, m.Address, m.Zone)
 	}
@@ -144,10 +147,14 @@
 	if r.ControlChanging {
 		changing = ", a change of members under way"
 	}
-	fmt.Fprintf(w, "  losses borne\tcontrol state %d of %d (%d members%s)\tpartitions %d of %d\n",
-		r.ControlBorne, r.Losses, r.ControlMembers, changing, r.PartitionsBorne, r.Losses)
-	if r.ControlBorne < r.Losses {
-		fmt.Fprintf(w, "  at risk\tcontrol state: %d of %d copies beside the primary's\n", r.ControlBorne, r.Losses)
+	control := fmt.Sprint(r.ControlBorne)
+	if r.ControlBorne < 0 {
+		control = "unknown"
+	}
+	fmt.Fprintf(w, "  losses borne\tcontrol state %s of %d (%d members%s)\tpartitions %d of %d\n",
+		control, r.Losses, r.ControlMembers, changing, r.PartitionsBorne, r.Losses)
+	if r.ControlBorne < int32(r.Losses) {
+		fmt.Fprintf(w, "  at risk\tcontrol state: %d copies beside the primary's, absent members: %s\n", r.ControlCopies, listed(r.ControlAbsent))
 	}
 	if r.Partitions > 0 {
 		until := time.Duration(r.PartitionsUntilMs) * time.Millisecond
@@ -158,3 +165,11 @@
 		fmt.Fprintf(w, "  at risk\t%d partitions for %v, %s\n", r.Partitions, time.Duration(r.PartitionsForMs)*time.Millisecond, when)
 	}
 }
+
+// listed joins names, or tells that there are none.
+func listed(names []string) string {
+	if len(names) == 0 {
+		return "none"
+	}
+	return strings.Join(names, ", ")
+}
--- a/internal/tier/controlplane/cluster_test.go
+++ b/internal/tier/controlplane/cluster_test.go
@@ -11,6 +11,7 @@
 	"net/http/httptest"
 	"sync"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"gotest.tools/v3/assert"
@@ -278,3 +279,36 @@
 	}
 	return ip, nil
 }
+
+// Status tells of the real consensus whether another loss of a core machine is borne.
+func TestStatusTellsOfLostCoreMachines(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		c := &cluster{}
+		c.setUp(t, ctx, 1, 3)
+		c.order(0, 3, c.machines...)
+		<-time.After(2 * time.Second)
+		leader := c.leader()
+		status := func() *tierv1.StatusReply {
+			s, err := leader.plane.Sessions().Status(ctx, &tierv1.StatusRequest{})
+			assert.NilError(t, err)
+			return s
+		}
+		assert.Equal(t, status().Risk.ControlBorne, int32(1))
+		assert.Equal(t, status().Orders, uint32(1))
+		assert.Equal(t, status().DiskError, "")
+		for _, m := range c.machines {
+			if m != leader {
+				c.stop(m, true)
+				break
+			}
+		}
+		<-time.After(2 * time.Second)
+		assert.Equal(t, status().Risk.ControlBorne, int32(0))
+		assert.Equal(t, len(status().Risk.ControlAbsent), 1)
+		c.stopAll()
+		cancel()
+		synctest.Wait()
+	})
+}
--- a/internal/tier/controlplane/risk_clock.go
+++ b/internal/tier/controlplane/risk_clock.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"dockshift.example/dockshift/internal/tier/consensus"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
@@ -32,13 +33,39 @@
 	alive, _, _ := plane.sessions.storeNodes(now)
 	risk := AtRisk(m, plane.spread, alive, plane.Settings.SyncTime)
 	plane.riskClock.observe(now, risk.Partitions)
-	record := plane.Store.Record()
 	r := &tierv1.Risk{Losses: uint32(plane.spread.Losses), Partitions: uint32(risk.Partitions),
-		PartitionsBorne: int32(risk.MinCopies - 1),
-		ControlBorne:    uint32(len(record.GetBackups())), ControlMembers: uint32(len(record.GetMembers())), ControlChanging: len(record.GetFormer()) > 0}
+		PartitionsBorne: int32(min(risk.MinCopies-1, plane.spread.Losses))}
+	plane.controlRisk(r)
 	if risk.Partitions > 0 {
 		r.PartitionsForMs = now.Sub(plane.riskClock.since).Milliseconds()
 		r.PartitionsUntilMs = plane.riskClock.newest.Add(plane.Settings.SyncTime).Sub(now).Milliseconds()
 	}
 	return r
 }
+
+// healthStore is a Store that knows which of its members and backups answer.
+type healthStore interface {
+	Health() consensus.Health
+}
+
+// controlRisk tells what the control state bears, as the store knows it; without a word from it, as the record has it.
+func (plane *ControlPlane) controlRisk(r *tierv1.Risk) {
+	record := plane.Store.Record()
+	r.ControlMembers, r.ControlChanging = uint32(len(record.GetMembers())), len(record.GetFormer()) > 0
+	r.ControlCopies = uint32(len(record.GetBackups()))
+	r.ControlBorne = int32(min(len(record.GetBackups()), plane.spread.Losses))
+	if store, knows := plane.Store.(healthStore); knows {
+		health := store.Health()
+		r.ControlBorne, r.ControlCopies, r.ControlAbsent = int32(health.Tolerates), uint32(health.Backups), health.Absent
+	}
+}
+
+// diskError tells what keeps this process from writing, empty if nothing does.
+func (plane *ControlPlane) diskError() string {
+	if store, knows := plane.Store.(healthStore); knows {
+		if err := store.Health().Disk; err != nil {
+			return err.Error()
+		}
+	}
+	return ""
+}
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -106,7 +106,7 @@
 func (s *sessions) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
 	plane := s.plane
 	v, primary := plane.primary()
-	r := &tierv1.StatusReply{Self: plane.Store.Self(), Primary: primary, Record: plane.Store.Record()}
+	r := &tierv1.StatusReply{Self: plane.Store.Self(), Primary: primary, Record: plane.Store.Record(), DiskError: plane.diskError()}
 	r.Highest = r.Record.GetEpoch()
 	for _, key := range []string{keyConfiguration, keyPartitionMap, keySettled} {
 		_, sequence := plane.Store.Get(key)
