--- a/internal/tier/controlplane/configuration.go
+++ b/internal/tier/controlplane/configuration.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net/http"
 	"strconv"
 	"strings"
@@ -42,33 +43,34 @@
 	return a
 }
 
-// takeOrder decides on an order and carries it out in one step. It gives the answer, and the version of the configuration
-// that gateways are to acknowledge before a 200; ok is false where this process is not the primary.
+// Reasons for which an order was not decided on.
+var (
+	errNotPrimary     = errors.New("this process is not the primary")
+	errWriterBusy     = errors.New("another write is under way")
+	errOutcomeUnknown = errors.New("the outcome is unknown")
+	errUnconfirmed    = errors.New("the backups do not confirm it")
+)
+
+// takeOrder decides on an order and carries it out. It gives the answer, and the version of the configuration that
+// gateways are to acknowledge before a 200; ok is false where this process is not the primary.
 func (plane *ControlPlane) takeOrder(ctx context.Context, order configurationOrder, body []byte) (version uint64, a answer, ok bool) {
-	if err := plane.lockWriter(ctx); err != nil {
-		return 0, unavailable("another write is under way"), true
-	}
-	defer plane.unlockWriter()
-	v, ok := plane.primary()
-	if !ok {
-		return 0, answer{}, false
-	}
-	verdict := v.orders.decide(order)
-	if verdict == verdictTake {
-		version, err := plane.writeOrder(ctx, v, order, body)
-		if err != nil {
-			return 0, unavailable("the outcome is unknown"), true
+	verdict, v, err := plane.writeIfNext(ctx, order, body)
+	if err == nil && verdict != verdictTake {
+		// A primary that was deposed must neither refuse what has been taken by its successor, nor acknowledge what its
+		// successor does not have. The view was read before the round trip begins, and all that was acknowledged is in it.
+		if plane.confirm.wait(ctx, v.epoch) != nil {
+			err = errUnconfirmed
 		}
-		return version, takenAnswer(order), true
 	}
-	// A primary that was deposed must neither refuse what has been taken by its successor, nor acknowledge what its
-	// successor does not have.
-	if err := plane.confirm.wait(ctx, v.epoch); err != nil {
-		return 0, unavailable("the backups do not confirm it"), true
+	switch {
+	case errors.Is(err, errNotPrimary):
+		return 0, answer{}, false
+	case err != nil:
+		return 0, unavailable(err.Error()), true
 	}
 	current := strconv.FormatInt(v.orders.current, 10)
 	switch verdict {
-	case verdictTaken:
+	case verdictTake, verdictTaken:
 		if order.revision == v.orders.current {
 			version = v.configuration.Version
 		}
@@ -82,25 +84,52 @@
 	}
 }
 
+// writeIfNext decides on an order, and writes it if it is the next, in one step with the decision. It gives the view that
+// was decided on; with verdictTake, which says that it was written, the view that has it.
+func (plane *ControlPlane) writeIfNext(ctx context.Context, order configurationOrder, body []byte) (verdict, *view, error) {
+	v, ok := plane.primary()
+	if !ok {
+		return 0, nil, errNotPrimary
+	}
+	if verdict := v.orders.decide(order); verdict != verdictTake { // it will not be written: it need not wait for its turn
+		return verdict, v, nil
+	}
+	if plane.lockWriter(ctx) != nil {
+		return 0, nil, errWriterBusy
+	}
+	defer plane.unlockWriter()
+	if v, ok = plane.primary(); !ok {
+		return 0, nil, errNotPrimary
+	}
+	verdict := v.orders.decide(order)
+	if verdict != verdictTake {
+		return verdict, v, nil
+	}
+	v, err := plane.writeOrder(ctx, v, order, body)
+	return verdict, v, err
+}
+
 func takenAnswer(order configurationOrder) answer {
 	return accepted(map[string]int64{"revision": order.revision})
 }
 
-// writeOrder writes a configuration together with the record of its order, and shows it. The caller has the right to write.
-func (plane *ControlPlane) writeOrder(ctx context.Context, v *view, order configurationOrder, body []byte) (version uint64, err error) {
-	orders, sets := v.orders.take(order)
+// writeOrder writes a configuration together with the record of its order, shows it, and gives a view that has it. The
+// caller has the right to write.
+func (plane *ControlPlane) writeOrder(ctx context.Context, before *view, order configurationOrder, body []byte) (*view, error) {
+	orders, sets := before.orders.take(order)
 	sets[keyConfiguration] = body
-	version, err = plane.put(ctx, v.epoch, sets)
+	version, err := plane.put(ctx, before.epoch, sets)
 	if err != nil {
-		return 0, err
+		return nil, errOutcomeUnknown
 	}
-	taken := &tierv1.Configuration{Version: version, Body: body}
-	packed := pack(taken)
-	plane.changeView(v.epoch, func(v *view) {
-		v.configuration, v.packed, v.orders = taken, packed, orders
+	after := *before
+	after.configuration = &tierv1.Configuration{Version: version, Body: body}
+	after.packed, after.orders = pack(after.configuration), orders
+	plane.changeView(before.epoch, func(v *view) {
+		v.configuration, v.packed, v.orders = after.configuration, after.packed, after.orders
 	})
 	plane.Log.Info().Str("event", "configuration").Int64("revision", order.revision).Uint64("version", version).Msg("")
-	return version, nil
+	return &after, nil
 }
 
 // waitAcknowledged waits until all gateways whose sessions stand have acknowledged a version, or the time for that is over.
--- a/internal/tier/controlplane/orders_test.go
+++ b/internal/tier/controlplane/orders_test.go
@@ -234,3 +234,53 @@
 		assert.Equal(t, winners, 1)
 	})
 }
+
+func BenchmarkOrderHistory(b *testing.B) {
+	state := map[string][]byte{}
+	var h orderHistory
+	for i := int64(1); i <= orderHistoryLimit; i++ {
+		var sets map[string][]byte
+		h, sets = h.take(orderOf(i-1, i, fmt.Sprint(i)))
+		maps.Copy(state, sets)
+	}
+	next := orderOf(h.current, h.current+1, "next")
+	b.Run("decide", func(b *testing.B) {
+		for b.Loop() {
+			h.decide(next)
+		}
+	})
+	b.Run("take", func(b *testing.B) {
+		for b.Loop() {
+			h.take(next)
+		}
+	})
+	b.Run("load", func(b *testing.B) {
+		for b.Loop() {
+			if _, err := loadOrders(h.current, nil, func(key string) ([]byte, uint64) { return state[key], 1 }); err != nil {
+				b.Fatal(err)
+			}
+		}
+	})
+}
+
+// Orders that are sent again do not wait for one another's confirmations: eight at once take as long as one.
+func TestRepeatsShareTheirConfirmation(t *testing.T) {
+	within(t, func(r *rig) {
+		status(t, r.replace(0, 3), 200)
+		status(t, r.replace(3, 5), 200)
+		r.s.set(func() { r.s.confirmSlow = 200 * time.Millisecond })
+		began := time.Now()
+		var all sync.WaitGroup
+		for i := range 8 {
+			all.Go(func() {
+				if i%2 == 0 {
+					status(t, r.replace(0, 3), 200)
+				} else {
+					status(t, r.replace(3, 4), 412)
+				}
+			})
+		}
+		all.Wait()
+		assert.Assert(t, time.Since(began) <= 400*time.Millisecond, "%v", time.Since(began)) // one under way, and the next
+	})
+}
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -24,21 +24,22 @@
 
 // store is a control state in memory whose role and outcomes the test sets.
 type store struct {
-	mu        sync.Mutex
-	epoch     uint64
-	ok        bool
-	hint      string
-	values    map[string][]byte
-	at        map[string]uint64
-	sequence  uint64
-	changed   chan struct{}
-	members   []*tierv1.Member
-	confirms  int
-	confirmed func()                                         // called after each successful Confirm, under the lock
-	deaf      bool                                           // no backup confirms
-	unclear   func(sets map[string][]byte) (lost, fail bool) // of a write, if set
-	slow      time.Duration
-	puts      []string
+	mu          sync.Mutex
+	epoch       uint64
+	ok          bool
+	hint        string
+	values      map[string][]byte
+	at          map[string]uint64
+	sequence    uint64
+	changed     chan struct{}
+	members     []*tierv1.Member
+	confirms    int
+	confirmed   func()                                         // called after each successful Confirm, under the lock
+	deaf        bool                                           // no backup confirms
+	unclear     func(sets map[string][]byte) (lost, fail bool) // of a write, if set
+	slow        time.Duration
+	confirmSlow time.Duration
+	puts        []string
 }
 
 func newStore() *store {
@@ -72,6 +73,11 @@
 
 func (s *store) Confirm(_ context.Context, epoch uint64) error {
 	s.mu.Lock()
+	if slow := s.confirmSlow; slow > 0 {
+		s.mu.Unlock()
+		<-time.After(slow)
+		s.mu.Lock()
+	}
 	defer s.mu.Unlock()
 	s.confirms++
 	if s.deaf || !s.ok || s.epoch != epoch {
