--- a/internal/tier/controlplane/orders_test.go
+++ b/internal/tier/controlplane/orders_test.go
@@ -105,6 +105,11 @@
 	assert.Assert(t, proto.Size(whole) <= orderRecordBytes, "%d", proto.Size(whole))
 	assert.Assert(t, orderHistoryLimit*orderRecordBytes <= orderHistoryBytes)
 	assert.Assert(t, orderHistoryLimit >= 1700)
+	all := &tierv1.WriteRequest{}
+	for i := range int64(orderHistoryLimit) { // as a day of 2,048 changes leaves them
+		all.Entries = append(all.Entries, &tierv1.Entry{Key: orderKey(2 * i), Value: order.encode(), Sequence: uint64(i)})
+	}
+	t.Logf("the largest record has %d bytes, a full history %d", proto.Size(whole), proto.Size(all))
 }
 
 func TestDamagedOrderRecordsAreNotRead(t *testing.T) {
--- a/internal/tier/controlplane/retire.go
+++ b/internal/tier/controlplane/retire.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"net/http"
 	"slices"
 	"time"
@@ -75,34 +76,21 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), writeLimit)
 	defer cancel()
-	if err := plane.lockWriter(ctx); err != nil {
-		return unavailable("another write is under way")
+	verdict, v, err := plane.writeIfRetirable(ctx, node, order.Duration)
+	if err == nil && verdict != retireTake && verdict != retireWait && plane.confirm.wait(ctx, v.epoch) != nil {
+		err = errUnconfirmed
 	}
-	defer plane.unlockWriter()
-	v, ok := plane.primary()
-	if !ok {
+	switch {
+	case errors.Is(err, errNotPrimary):
 		return plane.redirect(r)
+	case err != nil:
+		return unavailable(err.Error())
 	}
-	verdict := plane.retireRequest(v, node).decide()
 	switch verdict {
-	case retireTake:
-		next := orderRetire(v.partitionMap, node)
-		next.Retired = append(next.Retired, newlyRetired(next, plane.spread.Losses)...)
-		if err := plane.putPartitionMap(ctx, v.epoch, next); err != nil {
-			return unavailable("the outcome is unknown")
-		}
-		wake(plane.reconcileNow)
-		plane.Log.Info().Str("event", "retire").Str("node", node).Float64("duration_s", order.Duration).Msg("")
-		return retireAnswer(next, node)
+	case retireTake, retireTaken:
+		return retireAnswer(v.partitionMap, node)
 	case retireWait:
 		return unavailable("the storage machines are not all heard yet")
-	}
-	if err := plane.confirm.wait(ctx, v.epoch); err != nil {
-		return unavailable("the backups do not confirm it")
-	}
-	switch verdict {
-	case retireTaken:
-		return retireAnswer(v.partitionMap, node)
 	case retireUnknownNode:
 		return refused(http.StatusNotFound, "no storage machine of that name is known")
 	default:
@@ -110,6 +98,38 @@
 	}
 }
 
+// writeIfRetirable decides on an order to retire, and writes it if it can be carried out, in one step with the decision. It
+// gives the view that was decided on; with retireTake, which says that it was written, the view that has it.
+func (plane *ControlPlane) writeIfRetirable(ctx context.Context, node string, duration float64) (retireVerdict, *view, error) {
+	v, ok := plane.primary()
+	if !ok {
+		return 0, nil, errNotPrimary
+	}
+	if verdict := plane.retireRequest(v, node).decide(); verdict != retireTake {
+		return verdict, v, nil
+	}
+	if plane.lockWriter(ctx) != nil {
+		return 0, nil, errWriterBusy
+	}
+	defer plane.unlockWriter()
+	if v, ok = plane.primary(); !ok {
+		return 0, nil, errNotPrimary
+	}
+	verdict := plane.retireRequest(v, node).decide()
+	if verdict != retireTake {
+		return verdict, v, nil
+	}
+	after := *v
+	after.partitionMap = orderRetire(v.partitionMap, node)
+	after.partitionMap.Retired = append(after.partitionMap.Retired, newlyRetired(after.partitionMap, plane.spread.Losses)...)
+	if plane.putPartitionMap(ctx, v.epoch, after.partitionMap) != nil {
+		return verdict, nil, errOutcomeUnknown
+	}
+	wake(plane.reconcileNow)
+	plane.Log.Info().Str("event", "retire").Str("node", node).Float64("duration_s", duration).Msg("")
+	return verdict, &after, nil
+}
+
 func (plane *ControlPlane) retireRequest(v *view, node string) retireRequest {
 	known, remain := plane.remaining(v.partitionMap, node)
 	return retireRequest{ordered: slices.Contains(v.partitionMap.GetRetiring(), node), known: known, remain: remain,
