--- a/internal/tier/controlplane/staleness_test.go
+++ b/internal/tier/controlplane/staleness_test.go
@@ -202,6 +202,11 @@
 					}
 					c.cut(old, way.sends, way.hears, true)
 					cut := time.Now()
+					if seed%2 == 1 { // its connection breaks, and it comes back to the old primary with what it has
+						c.block(old.ip, e.ip, true)
+						<-time.After(callBound)
+						c.block(old.ip, e.ip, false)
+					}
 					c.order(3, 5, rest...)
 					<-time.After(6 * time.Second)
 					at, from := e.lastAnswer()
