--- a/internal/rehearsal/fuzzdays/scenarios.go
+++ b/internal/rehearsal/fuzzdays/scenarios.go
@@ -82,6 +82,9 @@
 	{name: "turns while stores come and go", cores: 3, stores: 4, lengthSeconds: 100, timed: turnsBesideStoreTroubles, alone: true},
 	{name: "turns while stores come and go, two may be lost", cores: 5, stores: 6, losses: 2, lengthSeconds: 100,
 		timed: turnsBesideStoreTroubles, alone: true},
+	{name: "a loss right after sessions have lapsed", lengthSeconds: 60, timed: lossesAfterLapses, alone: true},
+	{name: "a loss right after sessions have lapsed, two may be lost", cores: 5, stores: 6, losses: 2, lengthSeconds: 60,
+		timed: lossesAfterLapses, alone: true},
 }
 
 // at places troubles at one moment.
@@ -370,3 +373,26 @@
 	}
 	return all
 }
+
+// lossesAfterLapses ends all connections, or stops machines for a moment where two may be lost, and takes a store's or
+// a core machine's disk within a second: what counts as a lapse only must not cost a copy.
+func lossesAfterLapses(r random, site Table) []Table {
+	repair, _ := site["timing"].(Table)["catch_up_s"].(float64)
+	var all []Table
+	for from := r.between(2, 4); from < lengthOf(site)-repair-6; from += repair + r.between(2.5, 5) {
+		lapse := trouble("reset_conns", "share", 1.0, "x", 1.0)
+		if lossesOf(site) > 1 && r.Intn(2) == 0 {
+			lapse = trouble(pick(r, "node_freeze", "core_cut"), "on", "store", "count", 1, "for_s", r.between(0.3, 1.5))
+		}
+		all = append(all, at(from, lapse)...)
+		loss := pick(r,
+			trouble("after_ack_wipe", "on", "store", "count", 1, "for_s", r.between(0.3, 2), "how", pick(r, "taken", "timed", "oldest")),
+			trouble("replace_core", "on", "store", "x", r.between(0.3, 2)),
+			trouble("after_ack_wipe", "for_s", r.between(0.3, 2), "how", "timed"))
+		all = append(all, at(from+r.between(0.05, 1), loss)...)
+		if r.Intn(2) == 0 {
+			all = append(all, at(from+r.between(0.05, 1), trouble("reset_conns", "share", 1.0, "x", 1.0))...)
+		}
+	}
+	return all
+}
--- a/internal/rehearsal/fuzzdays/troubles.go
+++ b/internal/rehearsal/fuzzdays/troubles.go
@@ -91,6 +91,7 @@
 
 	{kind: "node_kill", how: []string{"", "power"}, fill: machineShare(0.1, 0.5, 1, 5)},
 	{kind: "node_kill", on: []string{"core"}, how: append([]string{"power", "leader power hard"}, leaderVariants...), fill: counted(0.5, 5)},
+	{kind: "node_kill", on: []string{"core"}, how: []string{"reader", "turn", "seed", "turn race hard", "seed meet"}, fill: counted(0.5, 20)},
 	{kind: "node_kill", on: []string{"store"}, how: []string{"", "power"}, fill: counted(0.5, 5)},
 	{kind: "node_freeze", on: []string{"core"}, how: leaderVariants, fill: counted(0.3, 6)},
 	{kind: "node_freeze", on: []string{"store"}, fill: counted(0.3, 6)},
