--- a/internal/tier/controlplane/answer.go
+++ b/internal/tier/controlplane/answer.go
@@ -6,6 +6,7 @@
 	"net"
 	"net/http"
 	"strconv"
+	"time"
 
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
@@ -70,20 +71,60 @@
 	return a
 }
 
-// redirect sends the caller to the primary, if another process is known to be it at this moment.
+// redirect sends the caller to the primary. Around a takeover none is known for a while: the call is held until there is
+// one, for up to redirectLimit, as a caller that is turned away takes longer from try to try. A process without a primary
+// for longer than a takeover takes is cut off, and turns callers away at once.
 func (plane *ControlPlane) redirect(r *http.Request) answer {
+	ctx, cancel := context.WithTimeout(r.Context(), redirectLimit)
+	defer cancel()
+	again := time.NewTicker(plane.window(askPart))
+	defer again.Stop()
+	for {
+		changed := plane.Store.Changed()
+		if address, ok := plane.findPrimary(ctx); ok {
+			a := refused(http.StatusTemporaryRedirect, "the primary is another process")
+			a.location = "http://" + address + r.URL.RequestURI()
+			return a
+		}
+		if !plane.takeoverLikely(time.Now()) {
+			return unavailable("no primary is known")
+		}
+		select {
+		case <-changed:
+		case <-again.C:
+		case <-ctx.Done():
+			return unavailable("no primary is known")
+		}
+	}
+}
+
+// findPrimary gives the operators' address of the primary, if it is known at this moment. It may be this process by now.
+func (plane *ControlPlane) findPrimary(ctx context.Context) (address string, ok bool) {
 	hint := plane.Store.Hint()
 	host, _, err := net.SplitHostPort(hint)
 	_, port, err2 := net.SplitHostPort(plane.Settings.Control)
-	if err != nil || err2 != nil || host == plane.Settings.IP || host == "" {
-		return unavailable("no primary is known")
+	switch {
+	case err != nil || err2 != nil || host == "":
+	case host == plane.Settings.IP:
+		_, ok = plane.primary()
+	default:
+		ok = plane.isPrimary(ctx, hint)
 	}
-	if !plane.isPrimary(r.Context(), hint) {
-		return unavailable("the primary does not answer")
+	plane.mu.Lock()
+	defer plane.mu.Unlock()
+	now := time.Now()
+	if ok || now.Sub(plane.missing.last) > plane.Settings.ContactWindow { // what was missed before is another story
+		plane.missing.first = now
 	}
-	a := refused(http.StatusTemporaryRedirect, "the primary is another process")
-	a.location = "http://" + net.JoinHostPort(host, port) + r.URL.RequestURI()
-	return a
+	plane.missing.last = now
+	return net.JoinHostPort(host, port), ok
+}
+
+// takeoverLikely tells whether the primary has been missed for no longer than a takeover may take.
+func (plane *ControlPlane) takeoverLikely(now time.Time) bool {
+	plane.mu.Lock()
+	defer plane.mu.Unlock()
+	return now.Sub(plane.missing.first) < plane.window(takeoverPart)
 }
 
 // isPrimary asks the process at an internal address whether it is the primary and in touch.
--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -58,7 +58,9 @@
 	viewChanged chan struct{} // closed at the next change of view
 	sessions    registry
 	riskClock   riskClock
-	versions    struct{ endpoints, members uint64 } // of versions within the epoch
+	// missing is since when, and when last, callers could not be sent to a primary; first is the last success where they could.
+	missing  struct{ first, last time.Time }
+	versions struct{ endpoints, members uint64 } // of versions within the epoch
 }
 
 // view is what sessions are shown. It is never changed, only replaced.
--- a/internal/tier/controlplane/operators.go
+++ b/internal/tier/controlplane/operators.go
@@ -12,13 +12,16 @@
 // Operators call with a silence of one second in mind, after which they move on: all that is done before an answer
 // fits into these.
 const (
-	probeLimit  = 200 * time.Millisecond // asking the supposed primary whether it is there, before a caller is sent to it
-	writeLimit  = 450 * time.Millisecond // waiting for the right to write, and the write
-	answerLimit = 600 * time.Millisecond // with the wait for the sessions
-	applyPart   = 3                      // of the time in which a configuration must be applied, for the wait for the sessions
-	orderBytes  = 64 << 10               // of a body that is no configuration
-	bodyPart    = 16                     // of the memory, for a configuration
-	bodyLeast   = 4 << 20                // bytes
+	probeLimit    = 200 * time.Millisecond // asking the supposed primary whether it is there, before a caller is sent to it
+	redirectLimit = 900 * time.Millisecond // holding a caller until there is a primary to send it to
+	writeLimit    = 450 * time.Millisecond // waiting for the right to write, and the write
+	answerLimit   = 600 * time.Millisecond // with the wait for the sessions
+	askPart       = 60                     // of the contact window: while a caller is held, the supposed primary is asked so often
+	takeoverPart  = 2                      // of the contact window: a takeover is over in it
+	applyPart     = 3                      // of the time in which a configuration must be applied, for the wait for the sessions
+	orderBytes    = 64 << 10               // of a body that is no configuration
+	bodyPart      = 16                     // of the memory, for a configuration
+	bodyLeast     = 4 << 20                // bytes
 )
 
 // Operators is the handler of the control_plane address. docs/design/hardening/1-answers.md tells which answer a call
