--- a/internal/tier/capacity/turnstore_test.go
+++ b/internal/tier/capacity/turnstore_test.go
@@ -69,7 +69,7 @@
 
 func open(b *testing.B, name, dir string, p *pair) *turnstore.TurnStore {
 	v, err := turnstore.Open(turnstore.Config{Node: name, Dir: dir, FS: lax{}, Log: &log.Logger{Writer: log.IOWriter{Writer: io.Discard}},
-		Patience: 30 * time.Second, Reply: 10 * time.Second,
+		RequestTimeout: 30 * time.Second, ReplyTimeout: 10 * time.Second,
 		Dial: func(at string) tierv1.TurnStore {
 			if at == "a" {
 				return wire{p.primary, p}
--- a/internal/tier/turnstore/apply.go
+++ b/internal/tier/turnstore/apply.go
@@ -10,95 +10,95 @@
 )
 
 // Apply takes a map of the partitions. Older ones than those taken before are ignored.
-func (v *TurnStore) Apply(m *tierv1.PartitionMap) {
+func (store *TurnStore) Apply(m *tierv1.PartitionMap) {
 	if m == nil {
 		return
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.closed || v.mapped && m.Version <= v.version {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	if store.closed || store.mapped && m.Version <= store.version {
 		return
 	}
-	v.mapped, v.version = true, m.Version
-	clear(v.storeNodes)
+	store.mapped, store.version = true, m.Version
+	clear(store.storeNodes)
 	for _, k := range m.StoreNodes {
-		v.storeNodes[k.Folder] = k.Address
+		store.storeNodes[k.Folder] = k.Address
 	}
-	for address := range v.clients {
+	for address := range store.clients {
 		if !slices.ContainsFunc(m.StoreNodes, func(k *tierv1.StoreNode) bool { return k.Address == address }) {
-			delete(v.clients, address)
+			delete(store.clients, address)
 		}
 	}
 	for i, part := range m.Partitions {
-		v.assign(v.store.partition(uint32(i)), part)
+		store.assign(store.store.partition(uint32(i)), part)
 	}
-	v.signal()
+	store.signal()
 }
 
 // assign takes this turn store's role from the map, unless a newer epoch is known already.
-func (v *TurnStore) assign(p *partition, part *tierv1.Partition) {
-	if part.Epoch < p.known {
+func (store *TurnStore) assign(p *partition, part *tierv1.Partition) {
+	if part.Epoch < p.epoch {
 		return
 	}
-	if part.Epoch == p.known && p.term != nil {
+	if part.Epoch == p.epoch && p.term != nil {
 		for _, s := range p.term.senders {
 			s.unsynced = slices.ContainsFunc(part.Backups, func(c *tierv1.Copy) bool { return c.Folder == s.folder && !c.Synced })
 		}
 		return
 	}
 	p.end()
-	p.known, p.primary, p.term = part.Epoch, part.Primary, nil
-	p.backup = slices.ContainsFunc(part.Backups, func(c *tierv1.Copy) bool { return c.Folder == v.folder })
-	if p.primary == v.folder {
-		v.begin(p, part)
+	p.epoch, p.primary, p.term = part.Epoch, part.Primary, nil
+	p.backup = slices.ContainsFunc(part.Backups, func(c *tierv1.Copy) bool { return c.Folder == store.folder })
+	if p.primary == store.folder {
+		store.beginTerm(p, part)
 	}
 	switch {
-	case p.primary == v.folder || p.backup:
+	case p.primary == store.folder || p.backup:
 		p.assigned()
-	case p.aside.IsZero():
-		p.aside = v.cfg.Now()
+	case p.unassignedSince.IsZero():
+		p.unassignedSince = store.cfg.Now()
 	}
 }
 
-// begin starts a term: facts added from now on go to all its backups, and what was there before is exchanged with them.
-func (v *TurnStore) begin(p *partition, part *tierv1.Partition) {
-	v.terms++
-	t := &term{id: v.terms, epoch: part.Epoch, over: make(chan struct{})}
+// beginTerm starts a term: facts added from now on go to all its backups, and what was there before is exchanged with them.
+func (store *TurnStore) beginTerm(p *partition, part *tierv1.Partition) {
+	store.terms++
+	t := &term{id: store.terms, epoch: part.Epoch, closed: make(chan struct{})}
 	for _, c := range part.Backups {
-		if c.Folder == v.folder {
+		if c.Folder == store.folder {
 			continue
 		}
-		s := &sender{v: v, p: p, t: t, folder: c.Folder, unsynced: !c.Synced}
+		s := &sender{v: store, p: p, t: t, folder: c.Folder, unsynced: !c.Synced}
 		t.senders = append(t.senders, s)
 	}
 	p.term = t
 	for _, s := range t.senders {
-		v.loops.Add(1)
+		store.loops.Add(1)
 		go s.exchange()
 	}
 }
 
-// learn takes an epoch that another copy has told of. The lock is held.
-func (v *TurnStore) learn(p *partition, epoch uint64, primary string) {
+// observeEpoch takes up a newer epoch that another copy has named: a term that this turn store holds ends. The lock is held.
+func (store *TurnStore) observeEpoch(p *partition, epoch uint64, primary string) {
 	p.end()
-	p.known, p.primary, p.backup, p.term = epoch, primary, true, nil
+	p.epoch, p.primary, p.backup, p.term = epoch, primary, true, nil
 	p.assigned()
 }
 
 // assigned notes that the partition has a place here. The lock is held.
-func (p *partition) assigned() { p.aside = time.Time{} }
+func (p *partition) assigned() { p.unassignedSince = time.Time{} }
 
 // signal wakes those who wait for news of synced copies. The lock is held.
-func (v *TurnStore) signal() {
-	close(v.changed)
-	v.changed = make(chan struct{})
+func (store *TurnStore) signal() {
+	close(store.changed)
+	store.changed = make(chan struct{})
 }
 
 // Synced gives the copies that the map doesn't know to be synced, and that are now. The channel is closed when that changes.
-func (v *TurnStore) Synced() (reports []*tierv1.SyncedCopy, changed <-chan struct{}) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for _, p := range v.store.partitions {
+func (store *TurnStore) Synced() (reports []*tierv1.SyncedCopy, changed <-chan struct{}) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	for _, p := range store.store.partitions {
 		if p.term == nil || p.term.ended {
 			continue
 		}
@@ -108,16 +108,16 @@
 			}
 		}
 	}
-	return reports, v.changed
+	return reports, store.changed
 }
 
 // Released waits until this turn store is the primary of no partition, or ctx is over.
-func (v *TurnStore) Released(ctx context.Context) {
+func (store *TurnStore) Released(ctx context.Context) {
 	for {
-		v.mu.Lock()
-		held := slices.ContainsFunc(slices.Collect(maps.Values(v.store.partitions)), func(p *partition) bool { return p.term != nil && !p.term.ended })
-		changed := v.changed
-		v.mu.Unlock()
+		store.mu.Lock()
+		held := slices.ContainsFunc(slices.Collect(maps.Values(store.store.partitions)), func(p *partition) bool { return p.term != nil && !p.term.ended })
+		changed := store.changed
+		store.mu.Unlock()
 		if !held {
 			return
 		}
--- a/internal/tier/turnstore/backup.go
+++ b/internal/tier/turnstore/backup.go
@@ -10,34 +10,34 @@
 
 // Replicate takes facts from the primary of an epoch that is not older than the one known here, and answers when they
 // are synced. Before the first map in this life nothing is taken: an epoch could be known that this process forgot.
-func (v *TurnStore) Replicate(ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
-	v.mu.Lock()
-	if !v.mapped || v.closed || req.From == v.folder || v.commit.broken() {
-		v.mu.Unlock()
+func (store *TurnStore) Replicate(ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
+	store.mu.Lock()
+	if !store.mapped || store.closed || req.From == store.folder || store.commit.broken() {
+		store.mu.Unlock()
 		return &tierv1.ReplicateReply{}, nil
 	}
-	p := v.store.partition(req.Partition)
-	if req.To != "" && req.To != v.folder { // it was meant for a folder that is no longer here
-		v.mu.Unlock()
+	p := store.store.partition(req.Partition)
+	if req.To != "" && req.To != store.folder { // it was meant for a folder that is no longer here
+		store.mu.Unlock()
 		return &tierv1.ReplicateReply{}, nil
 	}
-	if !v.admits(p, req.Epoch, req.From) {
-		v.mu.Unlock()
+	if !store.admits(p, req.Epoch, req.From) {
+		store.mu.Unlock()
 		return &tierv1.ReplicateReply{Stale: true}, nil
 	}
 	if len(req.Facts) == 0 {
-		v.mu.Unlock()
+		store.mu.Unlock()
 		return &tierv1.ReplicateReply{Taken: true}, nil
 	}
 	fresh := make([]*tierv1.Fact, 0, len(req.Facts))
-	now := v.cfg.Now()
+	now := store.cfg.Now()
 	for _, f := range req.Facts {
-		if f.Partition == req.Partition && v.store.add(f, now) {
+		if f.Partition == req.Partition && store.store.add(f, now) {
 			fresh = append(fresh, f)
 		}
 	}
-	b := v.commit.add(fresh...)
-	v.mu.Unlock()
+	b := store.commit.add(fresh...)
+	store.mu.Unlock()
 	select {
 	case <-b.done:
 		return &tierv1.ReplicateReply{Taken: b.err == nil}, nil
@@ -48,12 +48,12 @@
 
 // admits tells whether a primary may write here in an epoch, and learns newer epochs. An empty primary is not known.
 // The lock is held.
-func (v *TurnStore) admits(p *partition, epoch uint64, primary string) bool {
+func (store *TurnStore) admits(p *partition, epoch uint64, primary string) bool {
 	switch {
-	case epoch < p.known:
+	case epoch < p.epoch:
 		return false
-	case epoch > p.known:
-		v.learn(p, epoch, primary)
+	case epoch > p.epoch:
+		store.observeEpoch(p, epoch, primary)
 		return true
 	}
 	if p.primary == "" {
@@ -63,23 +63,23 @@
 }
 
 // Held tells the keys of a partition's facts, all synced here.
-func (v *TurnStore) Held(ctx context.Context, req *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
-	v.mu.Lock()
-	if !v.mapped || v.closed || v.commit.broken() {
-		v.mu.Unlock()
+func (store *TurnStore) Held(ctx context.Context, req *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+	store.mu.Lock()
+	if !store.mapped || store.closed || store.commit.broken() {
+		store.mu.Unlock()
 		return &tierv1.HeldReply{}, nil
 	}
-	p := v.store.partition(req.Partition)
-	if req.To != "" && req.To != v.folder || !v.admits(p, req.Epoch, "") {
-		v.mu.Unlock()
+	p := store.store.partition(req.Partition)
+	if req.To != "" && req.To != store.folder || !store.admits(p, req.Epoch, "") {
+		store.mu.Unlock()
 		return &tierv1.HeldReply{}, nil
 	}
 	keys := make([]string, 0, 3*len(p.entries))
 	for _, e := range p.entries {
 		keys = e.keys(keys)
 	}
-	b := v.commit.add()
-	v.mu.Unlock()
+	b := store.commit.add()
+	store.mu.Unlock()
 	select {
 	case <-b.done:
 		return &tierv1.HeldReply{Ok: b.err == nil, Keys: keys}, nil
@@ -89,18 +89,18 @@
 }
 
 // Fetch gives facts by their keys, as many as fit one message.
-func (v *TurnStore) Fetch(_ context.Context, req *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	p := v.store.partitions[req.Partition]
-	if p == nil || v.closed {
+func (store *TurnStore) Fetch(_ context.Context, req *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	p := store.store.partitions[req.Partition]
+	if p == nil || store.closed {
 		return &tierv1.FetchReply{}, nil
 	}
 	reply := &tierv1.FetchReply{Ok: true}
 	seen := make(map[string]struct{}, len(req.Keys))
 	size := 0
 	for _, key := range req.Keys {
-		if len(key) < 3 || size > chunk {
+		if len(key) < 3 || size > chunkBytes {
 			continue
 		}
 		e := p.entries[key[2:]]
--- a/internal/tier/turnstore/commit.go
+++ b/internal/tier/turnstore/commit.go
@@ -71,9 +71,9 @@
 	return b
 }
 
-// turn makes what is added from now on go to another file. It gives the batch after which nothing is written to the
+// switchTo makes what is added from now on go to another file. It gives the batch after which nothing is written to the
 // one before.
-func (c *committer) turn(file appender) *batch {
+func (c *committer) switchTo(file appender) *batch {
 	c.mu.Lock()
 	c.file = file
 	if c.next != nil {
--- a/internal/tier/turnstore/compact.go
+++ b/internal/tier/turnstore/compact.go
@@ -8,65 +8,65 @@
 )
 
 const (
-	chunk     = 256 << 10 // bytes of facts that are written or sent in one go, where there is a choice
-	leastDead = 1 << 20   // bytes that are worth a rewrite
+	chunkBytes   = 256 << 10 // bytes of facts that are written or sent in one go, where there is a choice
+	minDeadBytes = 1 << 20   // bytes that are worth a rewrite
 )
 
 // Compact writes what is alive into the other write-ahead log and empties the one written before, where more than half is dead,
 // where the disk gets full, or where force is true. Requests go on all the while: they are appended to the other one.
-func (v *TurnStore) Compact(ctx context.Context, force bool) error {
-	v.mu.Lock()
-	size, live := v.size(), v.store.disk
-	due := size > 2*live+leastDead
-	if d := v.cfg.DiskBytes; d > 0 {
+func (store *TurnStore) Compact(ctx context.Context, force bool) error {
+	store.mu.Lock()
+	size, live := store.size(), store.store.disk
+	due := size > 2*live+minDeadBytes
+	if d := store.cfg.DiskBytes; d > 0 {
 		due = due || size+live > d*7/10 && size-live > d/20
 	}
 	if !due && !force {
-		v.mu.Unlock()
+		store.mu.Unlock()
 		return nil
 	}
-	from := v.active
-	v.active = 1 - from
-	v.store.generation++
-	generation := v.store.generation
-	before := v.commit.turn(v.files[v.active])
-	ids := make([]uint32, 0, len(v.store.partitions))
-	for id := range v.store.partitions {
+	from := store.active
+	store.active = 1 - from
+	store.store.generation++
+	generation := store.store.generation
+	before := store.commit.switchTo(store.files[store.active])
+	ids := make([]uint32, 0, len(store.store.partitions))
+	for id := range store.store.partitions {
 		ids = append(ids, id)
 	}
-	v.mu.Unlock()
+	store.mu.Unlock()
 	began := time.Now()
 	for _, id := range ids {
-		if err := v.copyPartition(ctx, id, generation); err != nil {
+		if err := store.copyPartition(ctx, id, generation); err != nil {
 			return err
 		}
 	}
 	<-before.done
-	if err := v.files[from].Rewrite(func(func([]byte) error) error { return nil }); err != nil {
+	if err := store.files[from].Rewrite(func(func([]byte) error) error { return nil }); err != nil {
 		return err
 	}
-	v.cfg.Log.Info().Str("event", "vault_compacted").Int64("before", size).Int64("after", v.size()).
+	store.cfg.Log.Info().Str("event", "turnstore_compacted").Int64("before", size).Int64("after", store.size()).
 		Dur("took", time.Since(began)).Msg("")
 	return nil
 }
 
 // copyPartition writes the entries older than the generation to the active write-ahead log, a chunk at a time.
-func (v *TurnStore) copyPartition(ctx context.Context, id, generation uint32) error {
-	v.mu.Lock()
-	p := v.store.partitions[id]
+func (store *TurnStore) copyPartition(ctx context.Context, id, generation uint32) error {
+	store.mu.Lock()
+	p := store.store.partitions[id]
 	old := make([]*entry, 0, len(p.entries))
 	for _, e := range p.entries {
 		if e.generation != generation {
 			old = append(old, e)
 		}
 	}
-	v.mu.Unlock()
+	store.mu.Unlock()
 	for len(old) > 0 {
 		began := time.Now()
 		var facts []*tierv1.Fact
 		size := 0
-		v.mu.Lock()
-		for len(old) > 0 && size < chunk {
+		store.mu.Lock()
+		for len(old) > 0 && size < chunkBytes {
 			e := old[0]
 			old = old[1:]
 			if p.entries[e.attempt] == e {
@@ -75,13 +75,13 @@
 				e.generation = generation
 			}
 		}
-		b := v.commit.add(facts...)
-		v.mu.Unlock()
+		b := store.commit.add(facts...)
+		store.mu.Unlock()
 		<-b.done
 		if b.err != nil {
 			return b.err
 		}
-		if !pause(ctx, v.ctx.Done(), time.Since(began)) {
+		if !pause(ctx, store.ctx.Done(), time.Since(began)) {
 			return context.Cause(ctx)
 		}
 	}
--- a/internal/tier/turnstore/durable_test.go
+++ b/internal/tier/turnstore/durable_test.go
@@ -29,7 +29,7 @@
 	k.keep("a", "t1", "")
 	a, b := c.nodes["a"].turnstore, c.nodes["b"].turnstore
 	disk := &stuck{entered: make(chan struct{}), leave: make(chan struct{})}
-	<-b.commit.turn(disk).done
+	<-b.commit.switchTo(disk).done
 	defer close(disk.leave)
 	ctx, cancel := context.WithCancel(c.ctx)
 	defer cancel()
@@ -96,7 +96,7 @@
 	r := ask("f1", "t1")
 	r.Partition, r.Program, r.Adopt = 1, "f", found.Chain
 	assert.Equal(t, k.begin("a", r), busy)
-	for range exchanges {
+	for range maxExchanges {
 		v.slots <- struct{}{} // copies are not evened out for now
 	}
 	c.assign("a", "?c")
--- a/internal/tier/turnstore/exchange.go
+++ b/internal/tier/turnstore/exchange.go
@@ -15,45 +15,45 @@
 	for fails := 0; ; fails++ {
 		select {
 		case s.v.slots <- struct{}{}:
-		case <-s.t.over:
+		case <-s.t.closed:
 			return
 		case <-s.v.ctx.Done():
 			return
 		}
-		marker := s.merge()
+		marker := s.reconcile()
 		<-s.v.slots
 		if marker != nil {
-			s.conclude(marker)
+			s.awaitMarker(marker)
 			return
 		}
-		if !pause(s.v.ctx, s.t.over, min(50*time.Millisecond<<min(fails, 5), time.Second)) {
+		if !pause(s.v.ctx, s.t.closed, min(50*time.Millisecond<<min(fails, 5), time.Second)) {
 			return
 		}
 	}
 }
 
-// conclude waits for the round that was made when the lists were compared.
-func (s *sender) conclude(marker *round) {
+// awaitMarker waits for the round that was made when the lists were compared.
+func (s *sender) awaitMarker(marker *round) {
 	select {
 	case <-marker.done:
 		s.v.mu.Lock()
 		s.exchanged = true
 		s.v.signal()
 		s.v.mu.Unlock()
-	case <-s.t.over:
+	case <-s.t.closed:
 	case <-s.v.ctx.Done():
 	}
 }
 
-// merge compares and evens out what the two hold. The backup holds all that stood here at its begin when the round that
+// reconcile compares and evens out what the two hold. The backup holds all that stood here at its begin when the round that
 // it gives is done. It gives nil where it has to be tried again.
-func (s *sender) merge() *round {
+func (s *sender) reconcile() *round {
 	v := s.v
 	client := v.client(s.folder)
 	if client == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(v.ctx, 8*v.cfg.Reply)
+	ctx, cancel := context.WithTimeout(v.ctx, 8*v.cfg.ReplyTimeout)
 	reply, err := client.Held(ctx, &tierv1.HeldRequest{Partition: s.p.id, Epoch: s.t.epoch, To: s.folder})
 	cancel()
 	if err != nil || !reply.Ok {
@@ -83,20 +83,20 @@
 	// What was added in this term before the list was made has gone, or goes, in rounds before this one.
 	marker := s.enqueue(nil, 0)
 	v.mu.Unlock()
-	if !s.fetch(client, missing) || !s.give(lacks) {
+	if !s.pull(client, missing) || !s.push(lacks) {
 		return nil
 	}
 	return marker
 }
 
-// fetch takes in facts that the backup holds and this turn store lacks, and hands them on to the other backups.
-func (s *sender) fetch(client tierv1.TurnStore, missing []string) bool {
+// pull takes in facts that the backup holds and this turn store lacks, and hands them on to the other backups.
+func (s *sender) pull(client tierv1.TurnStore, missing []string) bool {
 	const most = 512 // keys of one request
 	v := s.v
 	for len(missing) > 0 {
 		began := time.Now()
 		ask := missing[:min(len(missing), most)]
-		ctx, cancel := context.WithTimeout(v.ctx, v.allowance(2*chunk, 2))
+		ctx, cancel := context.WithTimeout(v.ctx, v.replyTimeout(2*chunkBytes, 2))
 		reply, err := client.Fetch(ctx, &tierv1.FetchRequest{Partition: s.p.id, Keys: ask})
 		cancel()
 		if err != nil || !reply.Ok {
@@ -141,15 +141,15 @@
 	return true
 }
 
-// give sends what the backup lacks, a chunk at a time.
-func (s *sender) give(lacks []*entry) bool {
+// push sends what the backup lacks, a chunk at a time.
+func (s *sender) push(lacks []*entry) bool {
 	v := s.v
 	for len(lacks) > 0 {
 		began := time.Now()
 		var facts []*tierv1.Fact
 		size, n := 0, 0
 		v.mu.Lock()
-		for n < len(lacks) && size < chunk {
+		for n < len(lacks) && size < chunkBytes {
 			e := lacks[n]
 			n++
 			if s.p.entries[e.attempt] != e {
@@ -164,7 +164,7 @@
 		v.mu.Unlock()
 		if len(facts) > 0 {
 			for fails := 0; !s.replicate(facts, size, fails); fails++ {
-				if fails == 3 || !pause(v.ctx, s.t.over, 50*time.Millisecond) {
+				if fails == 3 || !pause(v.ctx, s.t.closed, 50*time.Millisecond) {
 					return false
 				}
 			}
@@ -179,5 +179,5 @@
 
 // yield pauses for as long as the last step took, so that requests have half of the link and the disks at least.
 func (s *sender) yield(began time.Time) bool {
-	return pause(s.v.ctx, s.t.over, min(time.Since(began), 250*time.Millisecond))
+	return pause(s.v.ctx, s.t.closed, min(time.Since(began), 250*time.Millisecond))
 }
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -90,8 +90,8 @@
 
 func (c *cluster) start(name string) {
 	n := c.nodes[name]
-	v, err := Open(Config{Node: name, Dir: "/data", FS: n.disk, Now: c.now, Reply: 40 * time.Millisecond,
-		Patience: 250 * time.Millisecond, Log: &log.Logger{Writer: log.IOWriter{Writer: io.Discard}},
+	v, err := Open(Config{Node: name, Dir: "/data", FS: n.disk, Now: c.now, ReplyTimeout: 40 * time.Millisecond,
+		RequestTimeout: 250 * time.Millisecond, Log: &log.Logger{Writer: log.IOWriter{Writer: io.Discard}},
 		Dial: func(addr string) tierv1.TurnStore { return &wire{c: c, from: name, to: addr} }})
 	assert.NilError(c.t, err)
 	c.mu.Lock()
--- a/internal/tier/turnstore/serve.go
+++ b/internal/tier/turnstore/serve.go
@@ -17,7 +17,7 @@
 }
 
 // decide looks at a Begin. Nothing is changed.
-func (v *TurnStore) decide(p *partition, req *tierv1.BeginRequest, now time.Time) decision {
+func (store *TurnStore) decide(p *partition, req *tierv1.BeginRequest, now time.Time) decision {
 	e := p.entries[req.Attempt]
 	if e != nil && e.settled {
 		return decision{verdict: tierv1.Verdict_BUSY} // a late copy: it must not run once more on what is not reserved
@@ -26,10 +26,10 @@
 	var d decision
 	if req.Previous != "" {
 		var stands standing
-		d.chain, stands = p.chain(req.Previous, known, v.cfg.Slack, now)
+		d.chain, stands = p.chain(req.Previous, known, store.cfg.RetentionSlack, now)
 		switch {
 		case stands == whole:
-			d.facts = v.resend(p, d.chain, now)
+			d.facts = store.factsToResend(p, d.chain, now)
 		case len(req.Adopt) > 0:
 			for _, t := range req.Adopt {
 				d.facts = append(d.facts, &tierv1.Fact{Partition: p.id, Program: t.Program, Attempt: t.Attempt,
@@ -52,7 +52,7 @@
 			return decision{verdict: tierv1.Verdict_SPENT}
 		}
 	}
-	if !known && (v.full() || p.term.waiting() > queueMax) {
+	if !known && (store.full() || p.term.queuedBytes() > maxQueuedBytes) {
 		return decision{verdict: tierv1.Verdict_BUSY}
 	}
 	d.verdict = tierv1.Verdict_OK
@@ -61,11 +61,11 @@
 	return d
 }
 
-// resend gives those facts of a chain that the backups may lack, or may be about to drop: adopted ones that came before
+// factsToResend gives those facts of a chain that the backups may lack, or may be about to drop: adopted ones that came before
 // this term, and all of a turn that is older than it seems here.
-func (v *TurnStore) resend(p *partition, chain []*entry, now time.Time) []*tierv1.Fact {
+func (store *TurnStore) factsToResend(p *partition, chain []*entry, now time.Time) []*tierv1.Fact {
 	last := chain[len(chain)-1]
-	old := last.replayed || now.Sub(last.at) > retention(last.turn)
+	old := last.replayed || now.Sub(last.knownSince) > retention(last.turn)
 	var list []*tierv1.Fact
 	for _, e := range chain {
 		if e.term != p.term.id && (old || e.adopted && !p.term.exchanged()) || old && e == last && !last.replayed {
@@ -85,71 +85,71 @@
 }
 
 // Begin asks whether a turn may be sent, and reserves its most.
-func (v *TurnStore) Begin(ctx context.Context, req *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
+func (store *TurnStore) Begin(ctx context.Context, req *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
 	if req.Attempt == "" {
 		return nil, twirp.RequiredArgumentError("attempt")
 	}
-	if err := linked(req.Adopt, req.Previous); err != nil {
+	if err := validateChain(req.Adopt, req.Previous); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, v.cfg.Patience)
+	ctx, cancel := context.WithTimeout(ctx, store.cfg.RequestTimeout)
 	defer cancel()
 	for {
-		v.mu.Lock()
-		p, verdict := v.serving(req.Partition)
+		store.mu.Lock()
+		p, verdict := store.serving(req.Partition)
 		if verdict != tierv1.Verdict_OK {
-			v.mu.Unlock()
+			store.mu.Unlock()
 			return &tierv1.BeginReply{Verdict: verdict}, nil
 		}
-		now := v.cfg.Now()
-		d := v.decide(p, req, now)
+		now := store.cfg.Now()
+		d := store.decide(p, req, now)
 		reply := &tierv1.BeginReply{Verdict: d.verdict}
 		if d.verdict == tierv1.Verdict_BUSY {
-			v.mu.Unlock()
+			store.mu.Unlock()
 			return reply, nil
 		}
 		t := p.term
 		var b *batch
 		if d.verdict == tierv1.Verdict_OK {
-			b = v.take(p, d.facts, now)
+			b = store.record(p, d.facts, now)
 			if req.Previous != "" {
 				if d.chain, _ = p.chain(req.Previous, true, 0, now); d.chain == nil {
-					v.mu.Unlock()
+					store.mu.Unlock()
 					return &tierv1.BeginReply{Verdict: tierv1.Verdict_BUSY}, nil
 				}
-				d.chain[len(d.chain)-1].used = now
+				d.chain[len(d.chain)-1].lastUsed = now
 			}
 			if !req.ChainHeld {
-				rest := behind(d.chain, req.Held)
+				rest := chainAfter(d.chain, req.Held)
 				reply.AfterHeld = len(rest) < len(d.chain)
 				reply.Chain = turns(rest)
 			}
 		}
 		rounds := t.enqueue(d.facts...)
-		v.mu.Unlock()
+		store.mu.Unlock()
 		switch t.wait(ctx, b, rounds) {
 		case done:
 			return reply, nil
-		case late, failed:
+		case timedOut, diskFailed:
 			return &tierv1.BeginReply{Verdict: tierv1.Verdict_BUSY}, nil
 		}
 	}
 }
 
-// take adds facts and gives the batch after which they are synced. The lock is held.
-func (v *TurnStore) take(p *partition, facts []*tierv1.Fact, now time.Time) *batch {
+// record adds facts and gives the batch after which they are synced. The lock is held.
+func (store *TurnStore) record(p *partition, facts []*tierv1.Fact, now time.Time) *batch {
 	fresh := make([]*tierv1.Fact, 0, len(facts))
 	for _, f := range facts {
-		if v.store.add(f, now) {
+		if store.store.add(f, now) {
 			fresh = append(fresh, f)
 		}
 		p.entries[f.Attempt].term = p.term.id
 	}
-	return v.commit.add(fresh...)
+	return store.commit.add(fresh...)
 }
 
-// linked tells what is wrong with a chain that is brought along, if anything.
-func linked(adopt []*tierv1.Turn, previous string) error {
+// validateChain tells what is wrong with a chain that is brought along, if anything.
+func validateChain(adopt []*tierv1.Turn, previous string) error {
 	if len(adopt) == 0 {
 		return nil
 	}
@@ -175,7 +175,7 @@
 }
 
 // Settle ends what Begin reserved. A reservation that is not known here is no matter: it may lie with an older primary.
-func (v *TurnStore) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
+func (store *TurnStore) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
 	if req.Attempt == "" {
 		return nil, twirp.RequiredArgumentError("attempt")
 	}
@@ -188,23 +188,23 @@
 	}
 	f := &tierv1.Fact{Partition: req.Partition, Program: req.Program, Attempt: req.Attempt,
 		Of: &tierv1.Fact_Settled{Settled: settlement}}
-	ctx, cancel := context.WithTimeout(ctx, v.cfg.Patience)
+	ctx, cancel := context.WithTimeout(ctx, store.cfg.RequestTimeout)
 	defer cancel()
 	for {
-		v.mu.Lock()
-		p, verdict := v.serving(req.Partition)
+		store.mu.Lock()
+		p, verdict := store.serving(req.Partition)
 		if verdict != tierv1.Verdict_OK {
-			v.mu.Unlock()
+			store.mu.Unlock()
 			return &tierv1.SettleReply{Verdict: verdict}, nil
 		}
 		t := p.term
-		b := v.take(p, []*tierv1.Fact{f}, v.cfg.Now())
+		b := store.record(p, []*tierv1.Fact{f}, store.cfg.Now())
 		rounds := t.enqueue(f)
-		v.mu.Unlock()
+		store.mu.Unlock()
 		switch t.wait(ctx, b, rounds) {
 		case done:
 			return &tierv1.SettleReply{Verdict: tierv1.Verdict_OK}, nil
-		case late, failed:
+		case timedOut, diskFailed:
 			return &tierv1.SettleReply{Verdict: tierv1.Verdict_BUSY}, nil
 		}
 	}
@@ -212,25 +212,25 @@
 
 // Find looks for a turn in all partitions whose primary this turn store is. What it finds needs no confirmation; that it is
 // not there is certain for those partitions whose backups have said since that the epoch stands.
-func (v *TurnStore) Find(ctx context.Context, req *tierv1.FindRequest) (*tierv1.FindReply, error) {
+func (store *TurnStore) Find(ctx context.Context, req *tierv1.FindRequest) (*tierv1.FindReply, error) {
 	type asked struct {
 		id     uint32
 		t      *term
 		rounds []*round
 	}
 	var list []asked
-	v.mu.Lock()
-	now := v.cfg.Now()
-	for id := range v.store.partitions {
-		p, verdict := v.serving(id)
+	store.mu.Lock()
+	now := store.cfg.Now()
+	for id := range store.store.partitions {
+		p, verdict := store.serving(id)
 		if verdict != tierv1.Verdict_OK {
 			continue
 		}
-		chain, stands := p.chain(req.Attempt, false, v.cfg.Slack, now)
+		chain, stands := p.chain(req.Attempt, false, store.cfg.RetentionSlack, now)
 		switch stands {
 		case whole:
 			reply := &tierv1.FindReply{Chain: turns(chain)}
-			v.mu.Unlock()
+			store.mu.Unlock()
 			return reply, nil
 		case absent:
 			list = append(list, asked{id: id, t: p.term})
@@ -239,8 +239,8 @@
 	for i := range list {
 		list[i].rounds = list[i].t.enqueue()
 	}
-	v.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, v.cfg.Patience)
+	store.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, store.cfg.RequestTimeout)
 	defer cancel()
 	reply := &tierv1.FindReply{}
 	for _, a := range list {
@@ -251,8 +251,8 @@
 	return reply, nil
 }
 
-// behind is what of a chain follows a turn on it; all of it if that turn is not on it.
-func behind(chain []*entry, held string) []*entry {
+// chainAfter is what of a chain follows a turn on it; all of it if that turn is not on it.
+func chainAfter(chain []*entry, held string) []*entry {
 	if held == "" {
 		return chain
 	}
--- a/internal/tier/turnstore/store.go
+++ b/internal/tier/turnstore/store.go
@@ -8,11 +8,11 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// overhead is what one entry costs in memory besides its body and names, in bytes.
-const overhead = 320
+// entryOverhead is what one entry costs in memory besides its body and names, in bytes.
+const entryOverhead = 320
 
-// framing is what one record costs on disk besides its bytes, at most.
-const framing = 16
+// recordOverhead is what one record costs on disk besides its bytes, at most.
+const recordOverhead = 16
 
 // store holds the facts of all partitions. It is pure: the time is passed in, and its caller locks.
 type store struct {
@@ -35,7 +35,7 @@
 // program is a budget and what is charged to it.
 type program struct {
 	name    string
-	charged uint64 // tokens told of settled turns + the most of unsettled ones
+	charged uint64 // tokens: handed out of settled turns + reserved of unsettled ones
 	entries int
 	last    time.Time
 }
@@ -45,10 +45,10 @@
 	attempt           string
 	program           *program // nil for a turn that is only adopted
 	turn              *tierv1.Turn
-	budget, most      uint64
+	budget, maxTokens uint64
 	tokens            uint64
-	at                time.Time // when its turn came to be known here, in this life
-	used              time.Time // when its turn was gone on from, or sent here again, last
+	knownSince        time.Time // when its turn came to be known here, in this life
+	lastUsed          time.Time // when its turn was gone on from, or sent here again, last
 	term              uint64    // number of the term in which its facts went to the backups, and its budget was looked at
 	size              int32     // on disk
 	mark              uint32
@@ -75,7 +75,7 @@
 	case e.settled:
 		return e.tokens
 	case e.reserved:
-		return e.most
+		return e.maxTokens
 	}
 	return 0
 }
@@ -86,8 +86,8 @@
 	return int64(len(t.Input) + len(t.Output) + len(t.Attempt) + len(t.Previous) + len(t.Program))
 }
 
-// add merges a fact into its partition and tells whether anything changed. A turn wins over none, and the most tokens
-// told win; otherwise the first one stands, so that copies that hold the same facts agree whatever the order.
+// add merges a fact into its partition and tells whether anything changed. A turn wins over none, and the larger
+// number of tokens wins; otherwise the first one stands, so that copies that hold the same facts agree whatever the order.
 func (s *store) add(f *tierv1.Fact, now time.Time) bool {
 	if f.Attempt == "" {
 		return false
@@ -95,7 +95,7 @@
 	p := s.partition(f.Partition)
 	e := p.entries[f.Attempt]
 	if e != nil && e.turn != nil {
-		e.used = now
+		e.lastUsed = now
 	}
 	switch of := f.Of.(type) {
 	case *tierv1.Fact_Reserved:
@@ -104,7 +104,7 @@
 		}
 		e = s.entry(p, f, true, now)
 		before := e.charge()
-		e.reserved, e.limited, e.budget, e.most = true, of.Reserved.Limited, of.Reserved.Budget, of.Reserved.Most
+		e.reserved, e.limited, e.budget, e.maxTokens = true, of.Reserved.Limited, of.Reserved.Budget, of.Reserved.Most
 		e.program.charged += e.charge() - before
 	case *tierv1.Fact_Settled:
 		if of.Settled == nil {
@@ -128,7 +128,7 @@
 	default:
 		return false
 	}
-	size := int32(proto.Size(f)) + framing
+	size := int32(proto.Size(f)) + recordOverhead
 	e.size += size
 	s.disk += int64(size)
 	return true
@@ -140,14 +140,14 @@
 	if e == nil {
 		e = &entry{attempt: f.Attempt, generation: s.generation}
 		p.entries[f.Attempt] = e
-		s.memory += overhead + int64(len(f.Attempt))
+		s.memory += entryOverhead + int64(len(f.Attempt))
 	}
 	if charged && e.program == nil {
 		g := p.programs[f.Program]
 		if g == nil {
 			g = &program{name: f.Program}
 			p.programs[f.Program] = g
-			s.memory += overhead
+			s.memory += entryOverhead
 		}
 		g.entries++
 		e.program = g
@@ -162,7 +162,7 @@
 	if t == nil || e.turn != nil {
 		return
 	}
-	e.turn, e.at = t, now
+	e.turn, e.knownSince = t, now
 	s.longest = max(s.longest, retention(t))
 	s.memory += bodySize(t)
 }
@@ -172,7 +172,7 @@
 	list := make([]*tierv1.Fact, 0, 2)
 	if e.reserved {
 		list = append(list, &tierv1.Fact{Partition: p.id, Program: e.program.name, Attempt: e.attempt,
-			Of: &tierv1.Fact_Reserved{Reserved: &tierv1.Reservation{Limited: e.limited, Budget: e.budget, Most: e.most}}})
+			Of: &tierv1.Fact_Reserved{Reserved: &tierv1.Reservation{Limited: e.limited, Budget: e.budget, Most: e.maxTokens}}})
 	}
 	if e.settled {
 		list = append(list, &tierv1.Fact{Partition: p.id, Program: e.program.name, Attempt: e.attempt,
@@ -238,7 +238,7 @@
 // expired ones are asked for.
 func (p *partition) chain(attempt string, expired bool, slack time.Duration, now time.Time) ([]*entry, standing) {
 	e := p.entries[attempt]
-	if e == nil || e.turn == nil || !expired && now.Sub(e.at) > retention(e.turn)+slack {
+	if e == nil || e.turn == nil || !expired && now.Sub(e.knownSince) > retention(e.turn)+slack {
 		return nil, absent
 	}
 	n := 1
@@ -256,7 +256,7 @@
 	return list, whole
 }
 
-// room tells whether a program's budget bears most tokens more, own being what is charged for this attempt already.
+// room tells whether a budget, in tokens, bears a reservation of max tokens more; own is what this attempt is charged already.
 func (p *partition) room(program string, budget, most, own uint64) bool {
 	var charged uint64
 	if g := p.programs[program]; g != nil {
--- a/internal/tier/turnstore/sweep.go
+++ b/internal/tier/turnstore/sweep.go
@@ -7,7 +7,7 @@
 func (s *store) sweep(p *partition, linger, silence time.Duration, now time.Time) {
 	p.mark++
 	for _, e := range p.entries {
-		if e.turn == nil || e.mark == p.mark || now.Sub(e.at) > retention(e.turn)+linger && (e.used.IsZero() || now.Sub(e.used) > retention(e.turn)+linger) {
+		if e.turn == nil || e.mark == p.mark || now.Sub(e.knownSince) > retention(e.turn)+linger && (e.lastUsed.IsZero() || now.Sub(e.lastUsed) > retention(e.turn)+linger) {
 			continue
 		}
 		for at := e; at != nil && at.turn != nil && at.mark != p.mark; at = p.entries[at.turn.Previous] {
@@ -41,13 +41,13 @@
 		s.dropBody(e)
 	}
 	delete(p.entries, e.attempt)
-	s.memory -= overhead + int64(len(e.attempt))
+	s.memory -= entryOverhead + int64(len(e.attempt))
 	s.disk -= int64(e.size)
 	if g := e.program; g != nil {
 		g.charged -= e.charge()
 		if g.entries--; g.entries == 0 {
 			delete(p.programs, g.name)
-			s.memory -= overhead
+			s.memory -= entryOverhead
 		}
 	}
 }
--- a/internal/tier/turnstore/term.go
+++ b/internal/tier/turnstore/term.go
@@ -11,11 +11,11 @@
 
 // role is what this turn store is for a partition, as known in this life of the process.
 type role struct {
-	known   uint64    // newest epoch heard of
-	primary string    // its primary's folder; empty if not known
-	backup  bool      // this folder is a backup in it
-	term    *term     // where this folder is its primary
-	aside   time.Time // since when the partition is assigned elsewhere; zero while it is assigned here
+	epoch           uint64    // newest epoch observed, by a map or by another copy
+	primary         string    // its primary's folder; empty if not known
+	backup          bool      // this folder is a backup in it
+	term            *term     // where this folder is its primary
+	unassignedSince time.Time // since when the partition is assigned elsewhere; zero while it is assigned here
 }
 
 // term is the time for which this turn store is primary of a partition in one epoch.
@@ -23,7 +23,7 @@
 	id      uint64
 	epoch   uint64
 	senders []*sender
-	over    chan struct{} // closed when it ends: by a newer epoch
+	closed  chan struct{} // closed when it ends: by a newer epoch
 	ended   bool
 }
 
@@ -31,7 +31,7 @@
 func (p *partition) end() {
 	if t := p.term; t != nil && !t.ended {
 		t.ended = true
-		close(t.over)
+		close(t.closed)
 		for _, s := range t.senders {
 			s.rounds = nil
 		}
@@ -58,8 +58,8 @@
 	done   chan struct{} // closed when the backup has taken it
 }
 
-// queueMax is how many bytes may wait for one backup before new turns are turned away.
-const queueMax = 8 << 20
+// maxQueuedBytes is how many bytes may wait for one backup before new turns are turned away.
+const maxQueuedBytes = 8 << 20
 
 // enqueue brings facts to all backups. A round that it gives begins after the call. The lock is held.
 func (t *term) enqueue(facts ...*tierv1.Fact) []*round {
@@ -82,7 +82,7 @@
 	if n := len(s.rounds); n > 0 {
 		r = s.rounds[n-1]
 	}
-	if r == nil || r.sealed || r.size > 0 && r.size+size > chunk {
+	if r == nil || r.sealed || r.size > 0 && r.size+size > chunkBytes {
 		r = &round{done: make(chan struct{})}
 		s.rounds = append(s.rounds, r)
 	}
@@ -96,8 +96,8 @@
 	return r
 }
 
-// waiting is how many bytes wait for the slowest backup.
-func (t *term) waiting() int {
+// queuedBytes is how many bytes wait for the slowest backup.
+func (t *term) queuedBytes() int {
 	most := 0
 	for _, s := range t.senders {
 		n := 0
@@ -125,7 +125,7 @@
 		s.v.mu.Unlock()
 		if !s.replicate(r.facts, r.size, fails) {
 			fails++
-			if !pause(s.v.ctx, s.t.over, min(20*time.Millisecond<<min(fails, 5), 400*time.Millisecond)) {
+			if !pause(s.v.ctx, s.t.closed, min(20*time.Millisecond<<min(fails, 5), 400*time.Millisecond)) {
 				continue // the term is over, or the turn store
 			}
 			continue
@@ -146,7 +146,7 @@
 	if client == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(s.v.ctx, s.v.allowance(size, fails))
+	ctx, cancel := context.WithTimeout(s.v.ctx, s.v.replyTimeout(size, fails))
 	defer cancel()
 	reply, err := client.Replicate(ctx, &tierv1.ReplicateRequest{To: s.folder,
 		Partition: s.p.id, Epoch: s.t.epoch, From: s.v.folder, Facts: facts})
@@ -157,7 +157,7 @@
 		s.v.mu.Lock()
 		if s.p.term == s.t && !s.t.ended {
 			s.p.end()
-			s.v.cfg.Log.Info().Str("event", "vault_deposed").Uint32("partition", s.p.id).Uint64("epoch", s.t.epoch).
+			s.v.cfg.Log.Info().Str("event", "turnstore_deposed").Uint32("partition", s.p.id).Uint64("epoch", s.t.epoch).
 				Str("by", s.folder).Msg("")
 		}
 		s.v.mu.Unlock()
@@ -166,34 +166,34 @@
 	return reply.Taken
 }
 
-// allowance is how long an answer is waited for: more for what is large, and after time-outs.
-func (v *TurnStore) allowance(size, fails int) time.Duration {
-	d := v.cfg.Reply + time.Duration(size)*time.Microsecond // a megabyte a second
+// replyTimeout is how long an answer is waited for: more for what is large, and after time-outs.
+func (store *TurnStore) replyTimeout(size, fails int) time.Duration {
+	d := store.cfg.ReplyTimeout + time.Duration(size)*time.Microsecond // a megabyte a second
 	return d << min(fails, 3)
 }
 
 // client gives the turn store of a folder, nil where its address is not known.
-func (v *TurnStore) client(folder string) tierv1.TurnStore {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	address := v.storeNodes[folder]
-	if address == "" || v.closed {
+func (store *TurnStore) client(folder string) tierv1.TurnStore {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	address := store.storeNodes[folder]
+	if address == "" || store.closed {
 		return nil
 	}
-	c := v.clients[address]
+	c := store.clients[address]
 	if c == nil {
-		c = v.cfg.Dial(address)
-		v.clients[address] = c
+		c = store.cfg.Dial(address)
+		store.clients[address] = c
 	}
 	return c
 }
 
 // serving gives the partition where this turn store may speak for it. The lock is held.
-func (v *TurnStore) serving(id uint32) (*partition, tierv1.Verdict) {
-	if !v.mapped || v.closed || v.commit.broken() {
+func (store *TurnStore) serving(id uint32) (*partition, tierv1.Verdict) {
+	if !store.mapped || store.closed || store.commit.broken() {
 		return nil, tierv1.Verdict_BUSY
 	}
-	p := v.store.partitions[id]
+	p := store.store.partitions[id]
 	if p == nil || p.term == nil || p.term.ended {
 		return nil, tierv1.Verdict_MOVED
 	}
@@ -204,10 +204,10 @@
 type outcome int
 
 const (
-	done   outcome = iota
-	over           // the term ended: to be looked at again
-	late           // the time is over
-	failed         // the disk is
+	done       outcome = iota
+	termEnded          // the term ended: to be looked at again
+	timedOut           // the time is over
+	diskFailed         // the disk is
 )
 
 // wait returns when facts are synced here, where b is given, and taken by all backups.
@@ -220,10 +220,10 @@
 		}
 		select {
 		case <-r.done:
-		case <-t.over:
-			return over
+		case <-t.closed:
+			return termEnded
 		case <-ctx.Done():
-			return late
+			return timedOut
 		}
 	}
 	if b == nil {
@@ -232,10 +232,10 @@
 	select {
 	case <-b.done:
 		if b.err != nil {
-			return failed
+			return diskFailed
 		}
 		return done
 	case <-ctx.Done():
-		return late
+		return timedOut
 	}
 }
--- a/internal/tier/turnstore/turnstore.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -1,4 +1,4 @@
-// Package turn store keeps turns and budgets of agent programs. Each partition has a primary and backups, named by a map that
+// Package turnstore keeps turns and budgets of agent programs. Each partition has a primary and backups, named by a map that
 // the control state decides on; what the primary answers is synced there and at all backups of its epoch first.
 package turnstore
 
@@ -23,17 +23,17 @@
 	Dir         string // of the write-ahead log
 	FS          wal.FS
 	Dial        func(addr string) tierv1.TurnStore // for the internal address of another turn store
-	DiskBytes   int64                              // most that the write-ahead log may take; 0: no bound
-	MemoryBytes int64                              // most that the facts may take; 0: no bound
+	DiskBytes   int64                              // bound on the write-ahead log; 0: none
+	MemoryBytes int64                              // bound on the estimated size of the facts; 0: none
 	Log         *log.Logger
 
-	Now      func() time.Time // steady
-	Reply    time.Duration    // in which a backup answers a small request: 250 ms
-	Patience time.Duration    // in which a request is answered, BUSY at the latest: 1.5 s
-	Slack    time.Duration    // by which a turn is gone on from past its retention: 2 s
-	Linger   time.Duration    // by which a turn's body is held past its retention, over Slack + the longest turn: 30 s
-	Silence  time.Duration    // by which a budget outlives the longest retention after its last news: 120 s
-	Aside    time.Duration    // after which facts of a partition that is assigned elsewhere are dropped: 30 s
+	Now            func() time.Time // steady
+	ReplyTimeout   time.Duration    // in which a backup answers a small request: 250 ms
+	RequestTimeout time.Duration    // in which a request is answered, BUSY at the latest: 1.5 s
+	RetentionSlack time.Duration    // by which a turn is gone on from past its retention: 2 s
+	BodyLinger     time.Duration    // by which a turn's body is held past its retention, over Slack + the longest turn: 30 s
+	BudgetLinger   time.Duration    // by which a budget outlives the longest retention after its last news: 120 s
+	DropAfter      time.Duration    // after which facts of a partition that is assigned elsewhere are dropped: 30 s
 }
 
 func (c *Config) defaults() {
@@ -42,12 +42,12 @@
 			*d = to
 		}
 	}
-	set(&c.Reply, 250*time.Millisecond)
-	set(&c.Patience, 1500*time.Millisecond)
-	set(&c.Slack, 2*time.Second)
-	set(&c.Linger, 30*time.Second)
-	set(&c.Silence, 120*time.Second)
-	set(&c.Aside, 30*time.Second)
+	set(&c.ReplyTimeout, 250*time.Millisecond)
+	set(&c.RequestTimeout, 1500*time.Millisecond)
+	set(&c.RetentionSlack, 2*time.Second)
+	set(&c.BodyLinger, 30*time.Second)
+	set(&c.BudgetLinger, 120*time.Second)
+	set(&c.DropAfter, 30*time.Second)
 	if c.Now == nil {
 		c.Now = time.Now
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-// Turn store is the service Turn store of one folder.
+// TurnStore serves the turns and budgets of one data folder. Its methods are safe for concurrent use.
 type TurnStore struct {
 	cfg      Config
 	folder   string
@@ -79,21 +79,21 @@
 	clients    map[string]tierv1.TurnStore
 	terms      uint64 // number of the last term begun
 	changed    chan struct{}
-	rotation   uint32 // partition swept last
+	sweepPart  uint32 // partition swept last
 	loops      sync.WaitGroup
 	closed     bool
 }
 
 var _ tierv1.TurnStore = (*TurnStore)(nil)
 
-// exchanges is how many exchanges of facts between copies may run at the same time.
-const exchanges = 2
+// maxExchanges is how many maxExchanges of facts between copies may run at the same time.
+const maxExchanges = 2
 
 // Open reads the write-ahead log of a folder, or makes the folder. Errors are those of the disk, or of a write-ahead log that is none.
 func Open(cfg Config) (*TurnStore, error) {
 	cfg.defaults()
 	v := &TurnStore{cfg: cfg, store: newStore(), storeNodes: map[string]string{}, clients: map[string]tierv1.TurnStore{},
-		changed: make(chan struct{}), slots: make(chan struct{}, exchanges)}
+		changed: make(chan struct{}), slots: make(chan struct{}, maxExchanges)}
 	if err := v.identity(); err != nil {
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 		for _, e := range p.entries {
 			e.replayed = true
 		}
-		p.aside = now
+		p.unassignedSince = now
 	}
 	if v.files[1].Size() > v.files[0].Size() {
 		v.active = 1
@@ -130,23 +130,23 @@
 }
 
 // identity reads the folder's, or draws it where there is none.
-func (v *TurnStore) identity() error {
-	file, err := wal.Open(v.cfg.FS, v.cfg.Dir, "identity", func(record []byte) error {
-		v.folder = string(record)
+func (store *TurnStore) identity() error {
+	file, err := wal.Open(store.cfg.FS, store.cfg.Dir, "identity", func(record []byte) error {
+		store.folder = string(record)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	if v.folder != "" {
+	if store.folder != "" {
 		return file.Close()
 	}
 	var drawn [8]byte
 	if _, err := rand.Read(drawn[:]); err != nil {
 		return errorx.Decorate(err, "draw identity")
 	}
-	v.folder, v.wasEmpty = hex.EncodeToString(drawn[:]), true
-	if err := file.Append([]byte(v.folder)); err != nil {
+	store.folder, store.wasEmpty = hex.EncodeToString(drawn[:]), true
+	if err := file.Append([]byte(store.folder)); err != nil {
 		return err
 	}
 	if err := file.Sync(); err != nil {
@@ -156,84 +156,84 @@
 }
 
 // Folder is the identity that was drawn when the folder was made.
-func (v *TurnStore) Folder() string { return v.folder }
+func (store *TurnStore) Folder() string { return store.folder }
 
 // WasEmpty tells whether this process made the folder.
-func (v *TurnStore) WasEmpty() bool { return v.wasEmpty }
+func (store *TurnStore) WasEmpty() bool { return store.wasEmpty }
 
 // Failed is closed when the disk has failed: the turn store answers BUSY from then on, and the process should end.
-func (v *TurnStore) Failed() <-chan struct{} { return v.commit.failed }
+func (store *TurnStore) Failed() <-chan struct{} { return store.commit.failed }
 
 // Run drops what is past its time and keeps the write-ahead log short, until ctx ends or the disk fails.
-func (v *TurnStore) Run(ctx context.Context) error {
+func (store *TurnStore) Run(ctx context.Context) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-v.commit.failed:
-			v.cfg.Log.Error().Str("event", "vault_disk_failed").Err(v.commit.failure()).Msg("")
-			return v.commit.failure()
+		case <-store.commit.failed:
+			store.cfg.Log.Error().Str("event", "turnstore_disk_failed").Err(store.commit.failure()).Msg("")
+			return store.commit.failure()
 		case <-tick.C:
-			v.Sweep(v.cfg.Now())
-			if err := v.Compact(ctx, false); err != nil && ctx.Err() == nil {
-				v.cfg.Log.Warn().Str("event", "vault_compact_failed").Err(err).Msg("")
+			store.Sweep(store.cfg.Now())
+			if err := store.Compact(ctx, false); err != nil && ctx.Err() == nil {
+				store.cfg.Log.Warn().Str("event", "turnstore_compact_failed").Err(err).Msg("")
 			}
 		}
 	}
 }
 
 // Close ends all work and closes the write-ahead log. What was answered is synced.
-func (v *TurnStore) Close() error {
-	v.mu.Lock()
-	if v.closed {
-		v.mu.Unlock()
+func (store *TurnStore) Close() error {
+	store.mu.Lock()
+	if store.closed {
+		store.mu.Unlock()
 		return nil
 	}
-	v.closed = true
-	v.cancel()
-	for _, p := range v.store.partitions {
+	store.closed = true
+	store.cancel()
+	for _, p := range store.store.partitions {
 		p.end()
 	}
-	v.mu.Unlock()
-	v.loops.Wait()
-	b := v.commit.add()
+	store.mu.Unlock()
+	store.loops.Wait()
+	b := store.commit.add()
 	<-b.done
-	return errorx.DecorateMany("close write-ahead log", v.files[0].Close(), v.files[1].Close())
+	return errorx.DecorateMany("close write-ahead log", store.files[0].Close(), store.files[1].Close())
 }
 
 // Sweep drops what is past its time: a part of the partitions each time, so that all have had their turn after eight.
-func (v *TurnStore) Sweep(now time.Time) {
+func (store *TurnStore) Sweep(now time.Time) {
 	const parts = 8
-	v.mu.Lock()
-	part := v.rotation % parts
-	v.rotation++
-	ids := make([]uint32, 0, len(v.store.partitions)/parts+1)
-	for id := range v.store.partitions {
+	store.mu.Lock()
+	part := store.sweepPart % parts
+	store.sweepPart++
+	ids := make([]uint32, 0, len(store.store.partitions)/parts+1)
+	for id := range store.store.partitions {
 		if id%parts == part {
 			ids = append(ids, id)
 		}
 	}
-	v.mu.Unlock()
+	store.mu.Unlock()
 	for _, id := range ids {
-		v.mu.Lock()
-		p := v.store.partitions[id]
-		if v.mapped && !p.aside.IsZero() && now.Sub(p.aside) > v.cfg.Aside {
-			v.store.empty(p)
+		store.mu.Lock()
+		p := store.store.partitions[id]
+		if store.mapped && !p.unassignedSince.IsZero() && now.Sub(p.unassignedSince) > store.cfg.DropAfter {
+			store.store.empty(p)
 		}
-		v.store.sweep(p, v.cfg.Linger, v.cfg.Silence, now)
-		v.mu.Unlock()
+		store.store.sweep(p, store.cfg.BodyLinger, store.cfg.BudgetLinger, now)
+		store.mu.Unlock()
 	}
 }
 
 // full tells whether there is no room for new turns. The lock is held.
-func (v *TurnStore) full() bool {
+func (store *TurnStore) full() bool {
 	const share = 0.9
-	if v.cfg.MemoryBytes > 0 && float64(v.store.memory) > share*float64(v.cfg.MemoryBytes) {
+	if store.cfg.MemoryBytes > 0 && float64(store.store.memory) > share*float64(store.cfg.MemoryBytes) {
 		return true
 	}
-	return v.cfg.DiskBytes > 0 && float64(v.size()+v.store.disk) > share*float64(v.cfg.DiskBytes)
+	return store.cfg.DiskBytes > 0 && float64(store.size()+store.store.disk) > share*float64(store.cfg.DiskBytes)
 }
 
-func (v *TurnStore) size() int64 { return v.files[0].Size() + v.files[1].Size() }
+func (store *TurnStore) size() int64 { return store.files[0].Size() + store.files[1].Size() }
