--- a/internal/tier/controlplane/assign.go
+++ b/internal/tier/controlplane/assign.go
@@ -12,8 +12,8 @@
 // share evenly, and small enough for the map to be pushed whole.
 const partitionCount = 32
 
-// paceShare is the part of the partitions that move, or change their primary, at a time.
-const paceShare = 8
+// moveShare is the part of the partitions that move, or change their primary, at a time.
+const moveShare = 8
 
 // Spread tells how many copies there are beside the primary, and what they must not share.
 type Spread struct {
@@ -33,53 +33,53 @@
 	return Spread{Losses: s.Losses(), Domain: d}
 }
 
-// Report is the word of a turn store, From by its folder, that a copy is whole.
+// Report is a turn store's report, From by its folder, that a copy holds all that was acknowledged, synced on its disk.
 type Report struct {
 	From string
 	Copy *tierv1.SyncedCopy
 }
 
-// Input is what the turn store map is made from, beside the map before.
+// Input is what the partition map is made from, beside the map before.
 type Input struct {
 	Spread
 	Alive   map[string]*tierv1.StoreNode // by folder
 	Leaving map[string]bool              // of these: SIGTERM was heard
 	Reports []Report
-	Certain bool // whoever is not alive is dead; else it may only not have come yet
+	Certain bool // whoever is not alive is lost; else it may only not have come yet
 	Create  bool // the first map may be made
 	Move    bool // copies and primaries may move only to make shares even
 }
 
-// Assign brings the map in line with the turn stores, and tells whether anything changed. It gives up no copy that may be the
-// last of what was acknowledged: a primary is followed only by a copy that is synced, and no synced copy is dropped in
-// favour of one that is not, unless its disk is gone or it is dead and the losses are within what is to be borne. Each
-// change of a partition's primary or backups raises its epoch by one.
+// Assign brings the partition map in line with the turn stores that are alive, and tells whether anything changed. It is pure:
+// the map before is not modified. It gives up no copy that may be the last of what was acknowledged: only a synced copy becomes
+// primary, and no synced copy is dropped in favour of an unsynced one, unless its disk is gone or its turn store is lost
+// and the losses are within Spread.Losses. Each change of a partition's primary or backups raises its epoch by one.
 func Assign(before *tierv1.PartitionMap, in Input) (after *tierv1.PartitionMap, changed bool) {
 	m := &tierv1.PartitionMap{}
 	if before != nil {
 		m = proto.Clone(before).(*tierv1.PartitionMap)
 	}
 	a := &assignment{Input: in, m: m}
-	a.know()
-	a.remember()
+	a.observeNodes()
+	a.noteOutgoing()
 	if len(m.Partitions) == 0 {
 		if !in.Create || !a.create() {
-			a.forget()
+			a.pruneNodes()
 			if before == nil || proto.Equal(m, before) {
 				return before, false
 			}
 			return m, true
 		}
 	}
-	a.report()
-	a.lost = a.countLost()
+	a.takeReports()
+	a.lostDomains = a.countLost()
 	for _, p := range m.Partitions {
-		a.mend(p)
+		a.repair(p)
 	}
 	if a.Certain && a.Move {
-		a.pace()
+		a.rebalance()
 	}
-	a.forget()
+	a.pruneNodes()
 	for i, p := range m.Partitions {
 		if before != nil && i < len(before.Partitions) && !sameCopies(p, before.Partitions[i]) {
 			p.Epoch = before.Partitions[i].Epoch + 1
@@ -98,16 +98,16 @@
 // assignment is one run of Assign.
 type assignment struct {
 	Input
-	m          *tierv1.PartitionMap
-	storeNodes map[string]*tierv1.StoreNode // by folder
-	gone       map[string]bool              // folders whose node has another one now
-	victims    map[*tierv1.Partition]string // of those that had one copy too many, before reports were taken
-	lost       int                          // domains with a dead turn store that has copies
+	m           *tierv1.PartitionMap
+	storeNodes  map[string]*tierv1.StoreNode // by folder
+	replaced    map[string]bool              // folders whose node has another one now
+	outgoing    map[*tierv1.Partition]string // of those that had one copy too many, before reports were taken
+	lostDomains int                          // domains with a lost turn store that has copies
 }
 
-// know takes in turn stores that are new, or whose address is, and finds the folders that are gone.
-func (a *assignment) know() {
-	a.storeNodes, a.gone = map[string]*tierv1.StoreNode{}, map[string]bool{}
+// observeNodes takes in turn stores that are new, or whose address is, and finds the folders that were replaced.
+func (a *assignment) observeNodes() {
+	a.storeNodes, a.replaced = map[string]*tierv1.StoreNode{}, map[string]bool{}
 	nodes := map[string]string{}
 	for folder, one := range a.Alive {
 		nodes[one.Node] = folder
@@ -119,7 +119,7 @@
 				a.m.StoreNodes[i] = one
 			}
 		} else if other, ok := nodes[one.Node]; ok && other != one.Folder {
-			a.gone[one.Folder] = true
+			a.replaced[one.Folder] = true
 		}
 		a.storeNodes[one.Folder] = one
 	}
@@ -132,8 +132,8 @@
 	}
 }
 
-// forget drops store nodes without a copy that are gone, or that are not there any more after they were emptied.
-func (a *assignment) forget() {
+// pruneNodes drops store nodes without a copy whose folder was replaced, or that are lost after they were emptied.
+func (a *assignment) pruneNodes() {
 	used := map[string]bool{}
 	for _, p := range a.m.Partitions {
 		for _, folder := range members(p) {
@@ -141,8 +141,8 @@
 		}
 	}
 	a.m.StoreNodes = slices.DeleteFunc(a.m.StoreNodes, func(one *tierv1.StoreNode) bool {
-		emptied := a.retiring(one.Folder) && a.dead(one.Folder)
-		return !used[one.Folder] && (a.gone[one.Folder] || emptied)
+		emptied := a.retiring(one.Folder) && a.lost(one.Folder)
+		return !used[one.Folder] && (a.replaced[one.Folder] || emptied)
 	})
 }
 
@@ -157,9 +157,9 @@
 
 func (a *assignment) alive(folder string) bool { return a.Alive[folder] != nil }
 
-// dead tells whether a turn store is called dead. One that is neither alive nor dead has not come yet.
-func (a *assignment) dead(folder string) bool {
-	return !a.alive(folder) && (a.Certain || a.gone[folder])
+// lost tells whether a turn store is called lost. One that is neither alive nor lost has not come yet.
+func (a *assignment) lost(folder string) bool {
+	return !a.alive(folder) && (a.Certain || a.replaced[folder])
 }
 
 func (a *assignment) retiring(folder string) bool {
@@ -179,12 +179,12 @@
 	return folder
 }
 
-// countLost counts the domains in which a turn store that has copies is dead, and may yet return.
+// countLost counts the domains in which a turn store that has copies is lost, and may yet return.
 func (a *assignment) countLost() int {
 	domains := map[string]bool{}
 	for _, p := range a.m.Partitions {
 		for _, folder := range members(p) {
-			if a.dead(folder) && !a.gone[folder] {
+			if a.lost(folder) && !a.replaced[folder] {
 				domains[a.domain(folder)] = true
 			}
 		}
@@ -211,8 +211,8 @@
 	return nil
 }
 
-// report marks copies that the partition's primary has reported whole in this epoch.
-func (a *assignment) report() {
+// takeReports marks copies that the partition's primary has reported synced in this epoch.
+func (a *assignment) takeReports() {
 	for _, r := range a.Reports {
 		if int(r.Copy.Partition) >= len(a.m.Partitions) {
 			continue
@@ -227,12 +227,12 @@
 	}
 }
 
-// remember notes which copies are on their way out: their successors may be whole in a moment.
-func (a *assignment) remember() {
-	a.victims = map[*tierv1.Partition]string{}
+// noteOutgoing notes which copies are to be dropped: their successors may be reported synced in this run.
+func (a *assignment) noteOutgoing() {
+	a.outgoing = map[*tierv1.Partition]string{}
 	for _, p := range a.m.Partitions {
-		if a.staying(p) > a.Losses+1 {
-			a.victims[p] = a.victim(p)
+		if a.stayingCopies(p) > a.Losses+1 {
+			a.outgoing[p] = a.surplus(p)
 		}
 	}
 }
@@ -260,8 +260,8 @@
 	}
 	for range partitionCount * partitionCount { // as moves would make it even, but at once
 		before := proto.Clone(a.m).(*tierv1.PartitionMap)
-		a.pace()
-		a.remember()
+		a.rebalance()
+		a.noteOutgoing()
 		for _, p := range a.m.Partitions {
 			for _, c := range p.Backups {
 				c.Synced = true
--- a/internal/tier/controlplane/assign_test.go
+++ b/internal/tier/controlplane/assign_test.go
@@ -134,7 +134,7 @@
 			}
 			assert.Assert(t, whole >= 2, "partition %d has fewer whole copies than before", i)
 		}
-		assert.Assert(t, under <= partitionCount/paceShare)
+		assert.Assert(t, under <= partitionCount/moveShare)
 		w.reports = nil
 		for _, m := range w.machines {
 			m.hear(w)
@@ -175,7 +175,7 @@
 	for _, p := range w.m.Partitions {
 		extra += len(p.Backups) - 1
 	}
-	assert.Equal(t, extra, partitionCount/paceShare)
+	assert.Equal(t, extra, partitionCount/moveShare)
 	w.settle()
 	w.even(false)
 }
--- a/internal/tier/controlplane/pace.go
+++ b/internal/tier/controlplane/rebalance.go
@@ -7,11 +7,11 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// most is the number of partitions that may move at a time.
-func (a *assignment) most() int { return max(1, len(a.m.Partitions)/paceShare) }
+// maxMoves is the number of partitions that may move at a time.
+func (a *assignment) maxMoves() int { return max(1, len(a.m.Partitions)/moveShare) }
 
-// moving counts the partitions of which a copy is under way, and can get on.
-func (a *assignment) moving() int {
+// movesUnderWay counts the partitions of which a copy is under way, and can get on.
+func (a *assignment) movesUnderWay() int {
 	n := 0
 	for _, p := range a.m.Partitions {
 		if a.alive(p.Primary) && slices.ContainsFunc(p.Backups, func(c *tierv1.Copy) bool { return !c.Synced }) {
@@ -21,15 +21,15 @@
 	return n
 }
 
-// calm tells whether each partition has its copies whole, on turn stores that stay, or is under way to another.
-func (a *assignment) calm() bool {
+// settled tells whether each partition has its synced copies, on turn stores that stay, or is under way to another.
+func (a *assignment) settled() bool {
 	for _, p := range a.m.Partitions {
 		n := 0
 		for _, folder := range members(p) {
 			if a.retiring(folder) || !a.alive(folder) {
 				return false
 			}
-			if a.whole(p, folder) {
+			if a.synced(p, folder) {
 				n++
 			}
 		}
@@ -40,24 +40,24 @@
 	return true
 }
 
-// pace makes copies and primaries even, a few partitions at a time.
-func (a *assignment) pace() {
-	if !a.calm() {
+// rebalance makes copies and primaries even, a few partitions at a time.
+func (a *assignment) rebalance() {
+	if !a.settled() {
 		return
 	}
-	for a.moving() < a.most() && a.move() {
+	for a.movesUnderWay() < a.maxMoves() && a.startMove() {
 	}
-	for range a.most() {
-		if !a.even() {
+	for range a.maxMoves() {
+		if !a.balancePrimary() {
 			return
 		}
 	}
 }
 
-// move begins a copy that, once whole, takes the place of another. It is one that parts copies of the same domain, or
+// startMove begins a copy that, once whole, takes the place of another. It is one that parts copies of the same domain, or
 // that makes the turn stores' shares more even.
-func (a *assignment) move() bool {
-	load := a.copies()
+func (a *assignment) startMove() bool {
+	load := a.copiesByStore()
 	var usable []string
 	for _, folder := range sorted(a.Alive) {
 		if a.usable(folder) {
@@ -67,7 +67,7 @@
 	slices.SortStableFunc(usable, func(x, y string) int { return cmp.Compare(load[x], load[y]) })
 	for _, p := range a.m.Partitions {
 		all := members(p)
-		if a.staying(p) != a.Losses+1 {
+		if a.stayingCopies(p) != a.Losses+1 {
 			continue
 		}
 		for _, to := range usable {
@@ -76,7 +76,7 @@
 			}
 			for _, from := range all {
 				if a.conflicts(all, from) > a.conflictsWithout(all, from, to) {
-					return a.begin(p, from, to)
+					return a.addReplacement(p, from, to)
 				}
 			}
 		}
@@ -89,9 +89,9 @@
 			}
 			for _, p := range a.m.Partitions {
 				all := members(p)
-				if a.staying(p) == a.Losses+1 && slices.Contains(all, from) && !slices.Contains(all, to) &&
+				if a.stayingCopies(p) == a.Losses+1 && slices.Contains(all, from) && !slices.Contains(all, to) &&
 					a.conflictsWithout(all, from, to) <= a.conflicts(all, from) {
-					return a.begin(p, from, to)
+					return a.addReplacement(p, from, to)
 				}
 			}
 		}
@@ -108,17 +108,17 @@
 	return n
 }
 
-// begin adds a copy right behind the one whose place it takes.
-func (a *assignment) begin(p *tierv1.Partition, from, to string) bool {
+// addReplacement adds a copy right behind the one whose place it takes.
+func (a *assignment) addReplacement(p *tierv1.Partition, from, to string) bool {
 	at := slices.Index(members(p), from)
 	p.Backups = slices.Insert(p.Backups, at, &tierv1.Copy{Folder: to})
 	return true
 }
 
-// even hands one primary on, from a turn store that has at least two more than another, if need be by way of others whose
+// balancePrimary hands one primary on, from a turn store that has at least two more than another, if need be by way of others whose
 // number stays the same.
-func (a *assignment) even() bool {
-	load := a.primaries()
+func (a *assignment) balancePrimary() bool {
+	load := a.primariesByStore()
 	var from []string
 	for folder := range a.Alive {
 		if a.usable(folder) {
@@ -143,7 +143,7 @@
 				return true
 			}
 			for _, p := range a.m.Partitions {
-				if p.Primary != at || a.staying(p) != a.Losses+1 {
+				if p.Primary != at || a.stayingCopies(p) != a.Losses+1 {
 					continue
 				}
 				for _, c := range p.Backups {
--- a/internal/tier/controlplane/mend.go
+++ b/internal/tier/controlplane/repair.go
@@ -7,35 +7,35 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// mend brings one partition in line: its primary is alive, and it has its copies on turn stores that stay.
-func (a *assignment) mend(p *tierv1.Partition) {
-	if a.dead(p.Primary) && !a.succeed(p, func(folder string) bool { return a.alive(folder) }) {
+// repair gives one partition a primary that is alive, and its copies on turn stores that stay, as far as there are any.
+func (a *assignment) repair(p *tierv1.Partition) {
+	if a.lost(p.Primary) && !a.failOver(p, func(folder string) bool { return a.alive(folder) }) {
 		return // its return is waited for: nobody else has all that was acknowledged
 	}
 	if a.Leaving[p.Primary] {
-		a.succeed(p, a.usable)
+		a.failOver(p, a.usable)
 	}
 	for _, c := range slices.Clone(p.Backups) {
-		if !a.dead(c.Folder) {
+		if !a.lost(c.Folder) {
 			continue
 		}
 		before := slices.Clone(p.Backups)
-		a.drop(p, c.Folder)
-		if a.staying(p) > a.Losses {
+		a.removeBackup(p, c.Folder)
+		if a.stayingCopies(p) > a.Losses {
 			continue
 		}
 		if next := a.pick(p); next != "" {
 			p.Backups = append(p.Backups, &tierv1.Copy{Folder: next})
-		} else if !a.gone[c.Folder] && a.lost > a.Losses {
+		} else if !a.replaced[c.Folder] && a.lostDomains > a.Losses {
 			p.Backups = before // more is lost than is borne: nothing goes on without it
 		}
 	}
-	for a.staying(p) <= a.Losses {
+	for a.stayingCopies(p) <= a.Losses {
 		moves := false // an order to retire is followed at the pace of moves
 		for _, folder := range members(p) {
-			moves = moves || a.retiring(folder) && !a.dead(folder)
+			moves = moves || a.retiring(folder) && !a.lost(folder)
 		}
-		if moves && a.moving() >= a.most() {
+		if moves && a.movesUnderWay() >= a.maxMoves() {
 			break
 		}
 		next := a.pick(p)
@@ -47,8 +47,8 @@
 	a.trim(p)
 }
 
-// staying counts a partition's copies on turn stores that are not to be emptied.
-func (a *assignment) staying(p *tierv1.Partition) int {
+// stayingCopies counts a partition's copies on turn stores that are not to be emptied.
+func (a *assignment) stayingCopies(p *tierv1.Partition) int {
 	n := 0
 	for _, folder := range members(p) {
 		if !a.retiring(folder) {
@@ -58,15 +58,15 @@
 	return n
 }
 
-// whole tells whether a member of a partition is there and has all that was acknowledged.
-func (a *assignment) whole(p *tierv1.Partition, folder string) bool {
+// synced tells whether a member of a partition is there and has all that was acknowledged.
+func (a *assignment) synced(p *tierv1.Partition, folder string) bool {
 	c := backup(p, folder)
 	return a.alive(folder) && (folder == p.Primary || c != nil && c.Synced)
 }
 
-// succeed gives a partition another primary, out of its synced backups. The former is a synced backup then.
-func (a *assignment) succeed(p *tierv1.Partition, may func(folder string) bool) bool {
-	load := a.primaries()
+// failOver gives a partition another primary, out of its synced backups. The former is a synced backup then.
+func (a *assignment) failOver(p *tierv1.Partition, may func(folder string) bool) bool {
+	load := a.primariesByStore()
 	best := ""
 	for _, c := range p.Backups {
 		if !c.Synced || !may(c.Folder) {
@@ -101,16 +101,16 @@
 	c.Folder, c.Synced, p.Primary = p.Primary, true, folder
 }
 
-func (a *assignment) drop(p *tierv1.Partition, folder string) {
+func (a *assignment) removeBackup(p *tierv1.Partition, folder string) {
 	p.Backups = slices.DeleteFunc(p.Backups, func(c *tierv1.Copy) bool { return c.Folder == folder })
 }
 
-// trim drops what a partition has beyond its copies, once enough others are whole.
+// trim drops what a partition has beyond its copies, once enough others are synced.
 func (a *assignment) trim(p *tierv1.Partition) {
 	enough := func(without string) bool {
 		n := 0
 		for _, folder := range members(p) {
-			if folder != without && a.whole(p, folder) && !a.retiring(folder) {
+			if folder != without && a.synced(p, folder) && !a.retiring(folder) {
 				n++
 			}
 		}
@@ -121,8 +121,8 @@
 			a.release(p, folder)
 		}
 	}
-	for a.staying(p) > a.Losses+1 {
-		victim := a.victim(p)
+	for a.stayingCopies(p) > a.Losses+1 {
+		victim := a.surplus(p)
 		if !enough(victim) || !a.release(p, victim) {
 			break
 		}
@@ -131,23 +131,23 @@
 
 // release drops a member, after its duty as the primary has gone to another.
 func (a *assignment) release(p *tierv1.Partition, folder string) bool {
-	if folder == p.Primary && !a.succeed(p, a.usable) {
+	if folder == p.Primary && !a.failOver(p, a.usable) {
 		return false
 	}
-	a.drop(p, folder)
+	a.removeBackup(p, folder)
 	return true
 }
 
-// victim is the copy that goes when a partition has one too many: the one before that which takes its place. Where that
+// surplus is the copy that goes when a partition has one too many: the one before that which takes its place. Where that
 // is not to be told any more, it is the one that shares its domain with most others, then the one whose turn store has most copies.
-func (a *assignment) victim(p *tierv1.Partition) string {
+func (a *assignment) surplus(p *tierv1.Partition) string {
 	all := members(p)
 	for i, c := range p.Backups {
 		if !c.Synced && !a.retiring(all[i]) {
 			return all[i]
 		}
 	}
-	if v := a.victims[p]; slices.Contains(all, v) && !a.retiring(v) {
+	if v := a.outgoing[p]; slices.Contains(all, v) && !a.retiring(v) {
 		return v
 	}
 	load := map[string]int{}
@@ -180,8 +180,8 @@
 	return n
 }
 
-// copies counts the copies of each usable turn store, those left out that go when their successor is whole.
-func (a *assignment) copies() map[string]int {
+// copiesByStore counts the copies of each usable turn store, those left out that are dropped when their successor is synced.
+func (a *assignment) copiesByStore() map[string]int {
 	load := map[string]int{}
 	for folder := range a.Alive {
 		if a.usable(folder) {
@@ -196,14 +196,14 @@
 		}
 	}
 	for _, p := range a.m.Partitions {
-		if a.staying(p) > a.Losses+1 {
-			load[a.victim(p)]--
+		if a.stayingCopies(p) > a.Losses+1 {
+			load[a.surplus(p)]--
 		}
 	}
 	return load
 }
 
-func (a *assignment) primaries() map[string]int {
+func (a *assignment) primariesByStore() map[string]int {
 	load := map[string]int{}
 	for _, p := range a.m.Partitions {
 		load[p.Primary]++
@@ -213,7 +213,7 @@
 
 // pick chooses a turn store for another copy of a partition, or for its primary where there is none yet; empty if there is none.
 func (a *assignment) pick(p *tierv1.Partition) string {
-	load, first := a.copies(), a.primaries()
+	load, first := a.copiesByStore(), a.primariesByStore()
 	all := members(p)
 	best := ""
 	for _, folder := range sorted(a.Alive) {
@@ -225,7 +225,7 @@
 			continue
 		}
 		order := cmp.Or(cmp.Compare(a.conflicts(all, folder), a.conflicts(all, best)), cmp.Compare(load[folder], load[best]),
-			cmp.Compare(a.near(all, folder), a.near(all, best)))
+			cmp.Compare(a.sameZone(all, folder), a.sameZone(all, best)))
 		if p.Primary == "" {
 			order = cmp.Or(cmp.Compare(first[folder], first[best]), order)
 		}
@@ -236,8 +236,8 @@
 	return best
 }
 
-// near counts the others among folders in the zone of one: where it costs nothing, copies lie in different zones.
-func (a *assignment) near(folders []string, one string) int {
+// sameZone counts the others among folders in the zone of one: where it costs nothing, copies lie in different zones.
+func (a *assignment) sameZone(folders []string, one string) int {
 	n := 0
 	for _, folder := range folders {
 		if k := a.storeNodes[folder]; k != nil && folder != one && k.Zone == a.storeNodes[one].Zone {
