--- a/internal/tier/controlplane/assign.go
+++ b/internal/tier/controlplane/assign.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"maps"
 	"slices"
 
 	"dockshift.example/dockshift/internal/tier/settings"
@@ -33,7 +34,8 @@
 	return Spread{Losses: s.Losses(), Domain: d}
 }
 
-// Report is a turn store's report, From by its folder, that a copy holds all that was acknowledged, synced on its disk.
+// Report is a turn store's report, From by its folder, that a copy holds all that was acknowledged, synced on its disk. A
+// report that names its own folder says that its disk fails: it takes and answers nothing until it reports that no more.
 type Report struct {
 	From string
 	Copy *tierv1.SyncedCopy
@@ -45,9 +47,11 @@
 	Alive   map[string]*tierv1.StoreNode // by folder
 	Leaving map[string]bool              // of these: SIGTERM was heard
 	Reports []Report
-	Certain bool // whoever is not alive is lost; else it may only not have come yet
-	Create  bool // the first map may be made
-	Move    bool // copies and primaries may move only to make shares even
+	Slow    map[uint32]bool // partitions with a copy under way for longer than usual
+	Stalled map[uint32]bool // of these: it is time to try other turn stores
+	Certain bool            // whoever is not alive is lost; else it may only not have come yet
+	Create  bool            // the first map may be made
+	Move    bool            // copies and primaries may move only to make shares even
 }
 
 // Assign brings the partition map in line with the turn stores that are alive, and tells whether anything changed. It is pure:
@@ -60,6 +64,7 @@
 		m = proto.Clone(before).(*tierv1.PartitionMap)
 	}
 	a := &assignment{Input: in, m: m}
+	a.excludeFailing()
 	a.observeNodes()
 	a.noteOutgoing()
 	if len(m.Partitions) == 0 {
@@ -73,8 +78,9 @@
 	}
 	a.takeReports()
 	a.lostDomains = a.countLost()
-	for _, p := range m.Partitions {
-		a.repair(p)
+	a.countSlow()
+	for i, p := range m.Partitions {
+		a.repair(p, a.Stalled[uint32(i)])
 	}
 	if a.Certain && a.Move {
 		a.rebalance()
@@ -102,6 +108,8 @@
 	storeNodes  map[string]*tierv1.StoreNode // by folder
 	replaced    map[string]bool              // folders whose node has another one now
 	outgoing    map[*tierv1.Partition]string // of those that had one copy too many, before reports were taken
+	slowTargets map[string]int               // by folder: copies under way there in slow partitions
+	slowSources map[string]int               // by folder: slow partitions that it is the primary of
 	lostDomains int                          // domains with a lost turn store that has copies
 }
 
@@ -162,6 +170,41 @@
 	return !a.alive(folder) && (a.Certain || a.replaced[folder])
 }
 
+// excludeFailing takes turn stores that report that they cannot write for lost. They keep what they hold, and come back by
+// reporting it no more.
+func (a *assignment) excludeFailing() {
+	failing := map[string]bool{}
+	for _, r := range a.Reports {
+		if r.Copy.Folder == r.From {
+			failing[r.From] = true
+		}
+	}
+	if len(failing) == 0 {
+		return
+	}
+	a.Alive = maps.Clone(a.Alive)
+	maps.DeleteFunc(a.Alive, func(folder string, _ *tierv1.StoreNode) bool { return failing[folder] })
+}
+
+// countSlow counts, for each turn store, the slow partitions that it is the primary of, and the copies under way there in such.
+func (a *assignment) countSlow() {
+	a.slowTargets, a.slowSources = map[string]int{}, map[string]int{}
+	for i, p := range a.m.Partitions {
+		if !a.Slow[uint32(i)] {
+			continue
+		}
+		a.slowSources[p.Primary]++
+		for _, c := range p.Backups {
+			if !c.Synced {
+				a.slowTargets[c.Folder]++
+			}
+		}
+	}
+}
+
+// departing tells whether a turn store gives its copies up: it is to be emptied, or has heard SIGTERM.
+func (a *assignment) departing(folder string) bool { return a.retiring(folder) || a.Leaving[folder] }
+
 func (a *assignment) retiring(folder string) bool {
 	one := a.storeNodes[folder]
 	return one != nil && slices.Contains(a.m.Retiring, one.Node)
@@ -169,7 +212,7 @@
 
 // usable tells whether a turn store may get new duties.
 func (a *assignment) usable(folder string) bool {
-	return a.alive(folder) && !a.retiring(folder) && !a.Leaving[folder]
+	return a.alive(folder) && !a.departing(folder)
 }
 
 func (a *assignment) domain(folder string) string {
--- a/internal/tier/controlplane/assign_test.go
+++ b/internal/tier/controlplane/assign_test.go
@@ -162,8 +162,64 @@
 	w.assign(w.input())
 	for _, p := range w.m.Partitions {
 		assert.Assert(t, p.Primary != w.machines[2].folder)
+		left := backup(p, w.machines[2].folder) == nil
+		assert.Equal(t, len(p.Backups), map[bool]int{true: 1, false: 2}[left], "a copy is made before it goes: %v", p)
+	}
+	w.settle()
+	for i, p := range w.m.Partitions {
+		assert.Assert(t, !slices.Contains(members(p), w.machines[2].folder), "partition %d", i)
+		assert.Equal(t, len(p.Backups), 1)
+		assert.Assert(t, p.Backups[0].Synced)
+	}
+}
+
+// Without a turn store to spare, the one that leaves keeps its copies as a backup until it has gone.
+func TestALeavingTurnStoreWithoutASpare(t *testing.T) {
+	w := newWorld(t, nil, 2, 2, Spread{1, byNode})
+	w.assign(w.input())
+	w.machines[1].leaving = true
+	w.settle()
+	for _, p := range w.m.Partitions {
+		assert.Equal(t, p.Primary, w.machines[0].folder)
+		assert.Equal(t, len(p.Backups), 1)
+	}
+}
+
+// A store whose disk fails is passed over as if it were lost, and comes back by reporting it no more.
+func TestAFailingDiskIsPassedOver(t *testing.T) {
+	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w.assign(w.input())
+	failing := Report{From: w.machines[1].folder, Copy: &tierv1.SyncedCopy{Folder: w.machines[1].folder}}
+	for range 100 {
+		w.reports = append(w.reports, failing)
+		if !w.step() {
+			break
+		}
+	}
+	for _, p := range w.m.Partitions {
+		assert.Assert(t, !slices.Contains(members(p), w.machines[1].folder), "%v", p)
 		assert.Equal(t, len(p.Backups), 1)
+		assert.Assert(t, p.Backups[0].Synced)
+	}
+	w.settle()
+	w.even(false)
+}
+
+// The last holder of a partition stays its primary though its disk fails: nobody else has all that was acknowledged.
+func TestAFailingLastHolderIsWaitedFor(t *testing.T) {
+	w := newWorld(t, nil, 2, 2, Spread{1, byNode})
+	w.assign(w.input())
+	w.machines[0].up = false
+	w.settle()
+	w.reports = []Report{{From: w.machines[1].folder, Copy: &tierv1.SyncedCopy{Folder: w.machines[1].folder}}}
+	w.machines[0].up = true
+	w.assign(w.input())
+	for _, p := range w.m.Partitions {
+		assert.Equal(t, p.Primary, w.machines[1].folder)
 	}
+	w.reports = nil
+	w.settle()
+	w.even(false)
 }
 
 func TestAnAddedTurnStoreGetsItsShareAPieceAtATime(t *testing.T) {
--- a/internal/tier/controlplane/model_test.go
+++ b/internal/tier/controlplane/model_test.go
@@ -5,12 +5,19 @@
 	"math/rand/v2"
 	"slices"
 	"testing"
+	"time"
 
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 )
 
+// stepTime is what a step of the model takes, and stallTime when a copy under way counts as slow.
+const (
+	stepTime  = 250 * time.Millisecond
+	stallTime = 3 * time.Second
+)
+
 // machine is a storage machine of the model.
 type machine struct {
 	node, zone string
@@ -18,6 +25,7 @@
 	lives      int
 	up         bool // runs, and control hears it
 	cut        bool // runs, and turn stores hear it, but control does not
+	deaf       bool // runs, and control hears it, but turn stores do not
 	leaving    bool
 	knows      []*tierv1.Partition
 }
@@ -32,6 +40,8 @@
 	full     []map[string]bool // by partition, the folders that have all that was acknowledged
 	reports  []Report
 	trace    []string
+	stall    stallTracker
+	now      time.Time // virtual: a step of the model takes stepTime
 }
 
 func byZone(k *tierv1.StoreNode) string { return k.Zone }
@@ -65,6 +75,7 @@
 			}
 		}
 	}
+	in.Slow, in.Stalled = w.stall.observe(w.now, stallTime, w.m, in.Alive)
 	return in
 }
 
@@ -133,7 +144,7 @@
 
 // takes tells whether a machine takes facts of an epoch. One that has just started takes none before it knows the map.
 func (m *machine) takes(i int, epoch uint64) bool {
-	return i < len(m.knows) && m.knows[i].Epoch <= epoch
+	return !m.deaf && i < len(m.knows) && m.knows[i].Epoch <= epoch
 }
 
 // hear tells a machine the newest map.
@@ -145,7 +156,7 @@
 
 // acknowledge lets a machine acknowledge a turn of a partition, if those whom it knows as backups take it.
 func (w *world) acknowledge(m *machine, i int) bool {
-	if !m.up || i >= len(m.knows) || m.knows[i].Primary != m.folder {
+	if !m.up || m.deaf || i >= len(m.knows) || m.knows[i].Primary != m.folder {
 		return false
 	}
 	p := m.knows[i]
@@ -167,7 +178,7 @@
 
 // copy lets a machine bring a copy of a partition up to date, and report it.
 func (w *world) copy(m *machine, i int) {
-	if !m.up || i >= len(m.knows) || m.knows[i].Primary != m.folder {
+	if !m.up || m.deaf || i >= len(m.knows) || m.knows[i].Primary != m.folder {
 		return
 	}
 	p := m.knows[i]
--- a/internal/tier/controlplane/random_test.go
+++ b/internal/tier/controlplane/random_test.go
@@ -5,12 +5,13 @@
 	"math/rand/v2"
 	"slices"
 	"testing"
+	"time"
 
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/proto"
 )
 
-// TestRandomEvents lets machines stop, be cut off, lose their disks, leave, come and be retired in any order, with no more
+// TestRandomEvents lets machines stop, be cut off, be out of each other's reach, lose their disks, leave, come and be retired in any order, with no more
 // lost at a time than is borne when disks are, and checks after each step that nothing acknowledged is given up.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(6) {
@@ -70,15 +71,20 @@
 					w.m = proto.Clone(w.m).(*tierv1.PartitionMap)
 					w.m.Retiring = append(w.m.Retiring, m.node)
 				}
+			case 9:
+				w.note("%s deaf %v", m.node, !m.deaf)
+				m.deaf = !m.deaf
+				hurt[m] = true
 			case 8:
 				for _, one := range w.machines {
-					one.up, one.cut, one.leaving = true, false, false
+					one.up, one.cut, one.leaving, one.deaf = true, false, false, false
 				}
 				w.note("all return")
 				w.settle()
 				w.even(false)
 				clear(hurt)
 			}
+			w.now = w.now.Add(time.Duration(r.IntN(8)) * stepTime)
 			for range 3 {
 				w.machines[r.IntN(len(w.machines))].hear(w)
 			}
@@ -97,7 +103,7 @@
 			w.check(nil)
 		}
 		for _, one := range w.machines {
-			one.up, one.cut, one.leaving = true, false, false
+			one.up, one.cut, one.leaving, one.deaf = true, false, false, false
 		}
 		w.settle()
 		w.even(false)
--- a/internal/tier/controlplane/rebalance.go
+++ b/internal/tier/controlplane/rebalance.go
@@ -10,11 +10,11 @@
 // maxMoves is the number of partitions that may move at a time.
 func (a *assignment) maxMoves() int { return max(1, len(a.m.Partitions)/moveShare) }
 
-// movesUnderWay counts the partitions of which a copy is under way, and can get on.
+// movesUnderWay counts the partitions of which a copy is under way, and gets on.
 func (a *assignment) movesUnderWay() int {
 	n := 0
-	for _, p := range a.m.Partitions {
-		if a.alive(p.Primary) && slices.ContainsFunc(p.Backups, func(c *tierv1.Copy) bool { return !c.Synced }) {
+	for i, p := range a.m.Partitions {
+		if a.alive(p.Primary) && !a.Slow[uint32(i)] && slices.ContainsFunc(p.Backups, func(c *tierv1.Copy) bool { return !c.Synced }) {
 			n++
 		}
 	}
@@ -26,7 +26,7 @@
 	for _, p := range a.m.Partitions {
 		n := 0
 		for _, folder := range members(p) {
-			if a.retiring(folder) || !a.alive(folder) {
+			if a.departing(folder) || !a.alive(folder) {
 				return false
 			}
 			if a.synced(p, folder) {
--- a/internal/tier/controlplane/reconcile.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -18,6 +18,7 @@
 	last  string // what the map was made from
 	done  bool   // and nothing was to be changed
 	wrote time.Time
+	stall stallTracker
 }
 
 // reconcile brings the turn store map in line with the turn stores that are alive, and tells whether that went well.
@@ -37,6 +38,7 @@
 	in.Certain = now.Sub(v.since) >= plane.window(gracePart)
 	in.Create = now.Sub(arrived) >= plane.window(settlePart)
 	in.Move = now.Sub(t.wrote) >= plane.window(tickPart)
+	in.Slow, in.Stalled = t.stall.observe(now, plane.Settings.ContactWindow, v.partitionMap, alive)
 	seen := strconv.FormatUint(v.partitionMap.GetVersion(), 10) + ";" + in.signature()
 	if t.done && t.last == seen {
 		return true
@@ -96,7 +98,7 @@
 		parts = append(parts, fmt.Sprint(r.From, "/", r.Copy.Partition, "/", r.Copy.Epoch, "/", r.Copy.Folder))
 	}
 	slices.Sort(parts)
-	parts = append(parts, fmt.Sprint(in.Certain, in.Create))
+	parts = append(parts, fmt.Sprint(in.Certain, in.Create, in.Slow, in.Stalled))
 	return strings.Join(parts, ";")
 }
 
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -8,13 +8,17 @@
 )
 
 // repair gives one partition a primary that is alive, and its copies on turn stores that stay, as far as there are any.
-func (a *assignment) repair(p *tierv1.Partition) {
+// Where it is stalled, other turn stores are tried for it.
+func (a *assignment) repair(p *tierv1.Partition, stalled bool) {
 	if a.lost(p.Primary) && !a.failOver(p, func(folder string) bool { return a.alive(folder) }) {
 		return // its return is waited for: nobody else has all that was acknowledged
 	}
 	if a.Leaving[p.Primary] {
 		a.failOver(p, a.usable)
 	}
+	if stalled {
+		a.retarget(p)
+	}
 	for _, c := range slices.Clone(p.Backups) {
 		if !a.lost(c.Folder) {
 			continue
@@ -31,27 +35,101 @@
 		}
 	}
 	for a.stayingCopies(p) <= a.Losses {
-		moves := false // an order to retire is followed at the pace of moves
-		for _, folder := range members(p) {
-			moves = moves || a.retiring(folder) && !a.lost(folder)
-		}
-		if moves && a.movesUnderWay() >= a.maxMoves() {
+		// An order to retire is followed at the pace of moves, but a lost copy is made good at once.
+		if a.syncedCopies(p) > a.Losses && !slices.ContainsFunc(members(p), a.hasLeft) && a.movesUnderWay() >= a.maxMoves() {
 			break
 		}
 		next := a.pick(p)
 		if next == "" {
 			break
 		}
-		p.Backups = append(p.Backups, &tierv1.Copy{Folder: next})
+		a.addCopy(p, next)
 	}
 	a.trim(p)
 }
 
-// stayingCopies counts a partition's copies on turn stores that are not to be emptied.
+// hasLeft tells whether a turn store has heard SIGTERM: its time is short.
+func (a *assignment) hasLeft(folder string) bool { return a.Leaving[folder] }
+
+// addCopy adds an unsynced copy: right behind a departing one, as the one that takes its place, else as the last.
+func (a *assignment) addCopy(p *tierv1.Partition, folder string) {
+	at := len(p.Backups)
+	for i, member := range members(p) {
+		if a.departing(member) && (i == len(p.Backups) || p.Backups[i].Synced) {
+			at = i
+			break
+		}
+	}
+	p.Backups = slices.Insert(p.Backups, at, &tierv1.Copy{Folder: folder})
+}
+
+// retarget tries other turn stores for a copy that doesn't get on: its primary or the copy's turn store may be out of reach of
+// the other, though both are alive. All synced copies are tried as the primary in turn, and when each had its turn, the
+// next turn store for the copy: at most Losses + 1 primaries for each. Only a synced copy becomes primary, and only
+// unsynced ones are replaced, so that nothing is given up.
+func (a *assignment) retarget(p *tierv1.Partition) {
+	sources := []string{p.Primary}
+	for _, c := range p.Backups {
+		if c.Synced && a.alive(c.Folder) {
+			sources = append(sources, c.Folder)
+		}
+	}
+	source, wrapped := following(sources, p.Primary)
+	if source != p.Primary {
+		a.promote(p, source)
+	}
+	if !wrapped {
+		return
+	}
+	for _, c := range p.Backups {
+		if !c.Synced {
+			c.Folder, _ = following(a.alternatives(p, c.Folder), c.Folder)
+		}
+	}
+}
+
+// following gives what comes after one in a list in order, and whether that is from the start again.
+func following(list []string, one string) (next string, wrapped bool) {
+	slices.Sort(list)
+	at := slices.Index(list, one) + 1
+	return list[at%len(list)], at == len(list)
+}
+
+// alternatives are a copy's folder and those that could take its place with no more conflicts than any other.
+func (a *assignment) alternatives(p *tierv1.Partition, folder string) []string {
+	others := slices.DeleteFunc(members(p), func(member string) bool { return member == folder })
+	list, fewest := []string{folder}, -1
+	for _, one := range sorted(a.Alive) {
+		if !a.usable(one) || slices.Contains(others, one) || one == folder {
+			continue
+		}
+		n := a.conflicts(others, one)
+		if fewest < 0 || n < fewest {
+			list, fewest = []string{folder}, n
+		}
+		if n == fewest {
+			list = append(list, one)
+		}
+	}
+	return list
+}
+
+// syncedCopies counts a partition's synced copies on turn stores that are alive, departing ones included.
+func (a *assignment) syncedCopies(p *tierv1.Partition) int {
+	n := 0
+	for _, folder := range members(p) {
+		if a.synced(p, folder) {
+			n++
+		}
+	}
+	return n
+}
+
+// stayingCopies counts a partition's copies on turn stores that are not departing.
 func (a *assignment) stayingCopies(p *tierv1.Partition) int {
 	n := 0
 	for _, folder := range members(p) {
-		if !a.retiring(folder) {
+		if !a.departing(folder) {
 			n++
 		}
 	}
@@ -73,6 +151,7 @@
 			continue
 		}
 		if best == "" || cmp.Or(
+			cmp.Compare(a.slowSources[c.Folder], a.slowSources[best]),
 			-compareBool(a.usable(c.Folder), a.usable(best)),
 			cmp.Compare(load[c.Folder], load[best]),
 			cmp.Compare(c.Folder, best)) < 0 {
@@ -110,14 +189,14 @@
 	enough := func(without string) bool {
 		n := 0
 		for _, folder := range members(p) {
-			if folder != without && a.synced(p, folder) && !a.retiring(folder) {
+			if folder != without && a.synced(p, folder) && !a.departing(folder) {
 				n++
 			}
 		}
 		return n > a.Losses
 	}
 	for _, folder := range members(p) {
-		if a.retiring(folder) && enough(folder) {
+		if a.departing(folder) && enough(folder) {
 			a.release(p, folder)
 		}
 	}
@@ -143,11 +222,11 @@
 func (a *assignment) surplus(p *tierv1.Partition) string {
 	all := members(p)
 	for i, c := range p.Backups {
-		if !c.Synced && !a.retiring(all[i]) {
+		if !c.Synced && !a.departing(all[i]) {
 			return all[i]
 		}
 	}
-	if v := a.outgoing[p]; slices.Contains(all, v) && !a.retiring(v) {
+	if v := a.outgoing[p]; slices.Contains(all, v) && !a.departing(v) {
 		return v
 	}
 	load := map[string]int{}
@@ -158,7 +237,7 @@
 	}
 	best, shared := "", 0
 	for _, folder := range all {
-		if a.retiring(folder) {
+		if a.departing(folder) {
 			continue
 		}
 		n := a.conflicts(all, folder)
@@ -224,7 +303,8 @@
 			best = folder
 			continue
 		}
-		order := cmp.Or(cmp.Compare(a.conflicts(all, folder), a.conflicts(all, best)), cmp.Compare(load[folder], load[best]),
+		order := cmp.Or(cmp.Compare(a.conflicts(all, folder), a.conflicts(all, best)),
+			cmp.Compare(a.slowTargets[folder], a.slowTargets[best]), cmp.Compare(load[folder], load[best]),
 			cmp.Compare(a.sameZone(all, folder), a.sameZone(all, best)))
 		if p.Primary == "" {
 			order = cmp.Or(cmp.Compare(first[folder], first[best]), order)
--- /dev/null
+++ b/internal/tier/controlplane/retire_model_test.go
@@ -0,0 +1,136 @@
+package controlplane
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+)
+
+// wipe replaces a machine by an empty one: of the same name, or of another.
+func (w *world) wipe(m *machine, renamed bool) {
+	for i := range w.full {
+		delete(w.full[i], m.folder)
+	}
+	m.lives++
+	if renamed {
+		m.node = fmt.Sprint(m.node, "r")
+	}
+	m.folder, m.knows, m.up = fmt.Sprint(m.node, ".", m.lives), nil, true
+}
+
+// retire takes the order to empty a machine.
+func (w *world) retire(m *machine) {
+	w.m = proto.Clone(w.m).(*tierv1.PartitionMap)
+	w.m.Retiring = append(w.m.Retiring, m.node)
+}
+
+// step lets all hear the newest map and copy, and control take what was reported. It tells whether the map has changed.
+func (w *world) step() bool {
+	for _, m := range w.machines {
+		m.hear(w)
+	}
+	for _, m := range w.machines {
+		for i := range w.m.Partitions {
+			w.copy(m, i)
+			w.acknowledge(m, i)
+		}
+	}
+	w.now = w.now.Add(stepTime)
+	changed := w.assign(w.input())
+	w.reports = nil
+	return changed
+}
+
+// retireEnds gives the steps after which an order to retire is completed, or false after limit.
+func (w *world) retireEnds(m *machine, limit int) (int, bool) {
+	for n := range limit {
+		if lifecycle(w.m, m.node, w.spread.Losses) == "completed" {
+			return n, true
+		}
+		w.step()
+	}
+	return limit, false
+}
+
+// TestARetireEndsAfterOtherLosses plays losses, wipes and replacements in turn, then orders one machine to be emptied while at
+// most as many others as may be lost are away: down for good, or alive to control and out of reach of the turn stores.
+func TestARetireEndsAfterOtherLosses(t *testing.T) {
+	const limit = int(60 * time.Second / stepTime)
+	const seeds = 60
+	worst, late := 0, 0
+	for seed := range uint64(seeds) {
+		r := rand.New(rand.NewPCG(seed, 7))
+		losses := 1 + r.IntN(2)
+		w := newWorld(t, r, 2*losses+2+r.IntN(2), 3, Spread{losses, byNode})
+		w.assign(w.input())
+		w.settle()
+		for range r.IntN(6) {
+			m := w.machines[r.IntN(len(w.machines))]
+			switch r.IntN(3) {
+			case 0:
+				w.note("%s is wiped", m.node)
+				w.wipe(m, false)
+			case 1:
+				w.note("%s is replaced by another", m.node)
+				w.wipe(m, true)
+			case 2:
+				w.note("%s stops and comes back", m.node)
+				m.up, m.knows = false, nil
+				for range r.IntN(4) {
+					w.step()
+				}
+				m.up = true
+			}
+			w.settle()
+		}
+		order := r.Perm(len(w.machines))
+		retired := w.machines[order[0]]
+		for range r.IntN(3) { // the last loss may not be made good yet
+			w.step()
+		}
+		for _, i := range order[1 : 1+losses] {
+			m := w.machines[i]
+			switch r.IntN(3) {
+			case 0:
+				w.note("%s goes down for good", m.node)
+				m.up, m.knows = false, nil
+			case 1:
+				w.note("%s is out of the others' reach", m.node)
+				m.deaf = true
+			}
+		}
+		w.note("%s is to be emptied", retired.node)
+		w.retire(retired)
+		n, ended := w.retireEnds(retired, limit)
+		if worst = max(worst, n); !ended {
+			late++
+			t.Errorf("seed %d: %v", seed, w.trace)
+		}
+		if ended {
+			w.checkRetired(retired)
+		}
+	}
+	t.Logf("worst %v, %d of %d later than %v", time.Duration(worst)*stepTime, late, seeds, time.Duration(limit)*stepTime)
+}
+
+// checkRetired holds a completed order against what the machines hold: each partition has its copies, whole and elsewhere.
+func (w *world) checkRetired(m *machine) {
+	w.t.Helper()
+	for i, p := range w.m.Partitions {
+		held := 0
+		for _, folder := range members(p) {
+			assert.Assert(w.t, folder != m.folder)
+			if w.full[i][folder] {
+				held++
+			}
+		}
+		assert.Assert(w.t, held > w.spread.Losses, "partition %d: completed with %d whole copies elsewhere\n%v", i, held, w.trace)
+	}
+	assert.Assert(w.t, slices.Contains(w.m.Retiring, m.node))
+}
