--- a/internal/tier/turnstore/apply.go
+++ b/internal/tier/turnstore/apply.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"maps"
 	"slices"
 	"time"
 
@@ -19,7 +18,7 @@
 	if store.closed || store.mapped && m.Version <= store.version {
 		return
 	}
-	store.mapped, store.version = true, m.Version
+	store.mapped, store.version, store.partitionMap = true, m.Version, m
 	clear(store.storeNodes)
 	for _, k := range m.StoreNodes {
 		store.storeNodes[k.Folder] = k.Address
@@ -111,20 +110,82 @@
 	return reports, store.changed
 }
 
-// Released waits until this turn store is the primary of no partition, or ctx is over.
+// lastHolderShare is how much longer than its context allows, as a part of that time, the last holder of a partition stays.
+const lastHolderShare = 0.5
+
+// Released waits until this turn store may end after control was told that it leaves: control has made a map since, and no
+// partition in the newest map has this folder as its primary, or has a copy under way that is to take this one's place.
+// It returns when ctx is over all the same; but where a partition has no synced copy elsewhere then, it goes on for half of the
+// time that ctx had, as this turn store is the last to hold what was acknowledged there.
 func (store *TurnStore) Released(ctx context.Context) {
+	began := time.Now()
+	last, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	if deadline, ok := ctx.Deadline(); ok {
+		allowed := max(0, deadline.Sub(began))
+		last, cancel = context.WithDeadline(last, deadline.Add(time.Duration(lastHolderShare*float64(allowed))))
+		defer cancel()
+	}
+	store.mu.Lock()
+	before := store.version
+	store.mu.Unlock()
+	over := ctx.Done()
 	for {
 		store.mu.Lock()
-		held := slices.ContainsFunc(slices.Collect(maps.Values(store.store.partitions)), func(p *partition) bool { return p.term != nil && !p.term.ended })
+		duty := dutyOf(store.partitionMap, store.folder)
+		fresh := store.version > before
 		changed := store.changed
 		store.mu.Unlock()
-		if !held {
+		if duty == noDuty || duty == backupDuty && fresh || over == nil && duty != lastHolder {
 			return
 		}
 		select {
 		case <-changed:
-		case <-ctx.Done():
+		case <-over:
+			over = nil
+		case <-last.Done():
+			return
+		case <-store.ctx.Done():
 			return
 		}
 	}
 }
+
+// duty is what a folder is still needed for.
+type duty int
+
+const (
+	noDuty     duty = iota // no partition names it
+	backupDuty             // it is a backup, and no copy is under way to take its place
+	neededDuty             // it is a primary, or a copy is under way in one of its partitions
+	lastHolder             // a partition has no synced copy elsewhere
+)
+
+// dutyOf gives the greatest duty that a partition map puts on a folder. A map that is not known puts none.
+func dutyOf(m *tierv1.PartitionMap, folder string) duty {
+	greatest := noDuty
+	for _, p := range m.GetPartitions() {
+		own, elsewhere, underWay := p.Primary == folder, p.Primary != folder, false
+		holds := own
+		for _, c := range p.Backups {
+			switch {
+			case c.Folder == folder:
+				own, holds = true, holds || c.Synced
+			case c.Synced:
+				elsewhere = true
+			default:
+				underWay = true
+			}
+		}
+		switch {
+		case !own:
+		case holds && !elsewhere:
+			return lastHolder
+		case p.Primary == folder, underWay:
+			greatest = max(greatest, neededDuty)
+		default:
+			greatest = max(greatest, backupDuty)
+		}
+	}
+	return greatest
+}
--- a/internal/tier/turnstore/backup.go
+++ b/internal/tier/turnstore/backup.go
@@ -100,14 +100,15 @@
 	seen := make(map[string]struct{}, len(req.Keys))
 	size := 0
 	for _, key := range req.Keys {
-		if len(key) < 3 || size > chunkBytes {
+		_, attempt, _, ok := parseKey(key)
+		if !ok || size > chunkBytes {
 			continue
 		}
-		e := p.entries[key[2:]]
-		if _, again := seen[key[2:]]; e == nil || again {
+		e := p.entries[attempt]
+		if _, again := seen[attempt]; e == nil || again {
 			continue
 		}
-		seen[key[2:]] = struct{}{}
+		seen[attempt] = struct{}{}
 		for _, f := range p.facts(e) {
 			reply.Facts = append(reply.Facts, f)
 			size += proto.Size(f)
--- a/internal/tier/turnstore/exchange.go
+++ b/internal/tier/turnstore/exchange.go
@@ -9,19 +9,20 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// exchange makes a backup and this turn store hold the same facts, once in each term, while requests go on.
+// maxComparisons is how many comparisons with one other turn store may run at the same time.
+const maxComparisons = 2
+
+// exchange makes a backup and this turn store hold the same facts, once in each term, while requests go on. A backup that
+// doesn't answer holds up no exchange but those with itself.
 func (s *sender) exchange() {
 	defer s.v.loops.Done()
+	comparisons := s.v.comparisonsWith(s.folder)
 	for fails := 0; ; fails++ {
-		select {
-		case s.v.slots <- struct{}{}:
-		case <-s.t.closed:
-			return
-		case <-s.v.ctx.Done():
+		if !s.acquire(comparisons) {
 			return
 		}
-		marker := s.reconcile()
-		<-s.v.slots
+		marker := s.reconcile(fails)
+		<-comparisons
 		if marker != nil {
 			s.awaitMarker(marker)
 			return
@@ -32,6 +33,27 @@
 	}
 }
 
+// acquire takes a place in a semaphore. It is false when the term or the turn store has ended.
+func (s *sender) acquire(semaphore chan struct{}) bool {
+	select {
+	case semaphore <- struct{}{}:
+		return true
+	case <-s.t.closed:
+	case <-s.v.ctx.Done():
+	}
+	return false
+}
+
+// comparisonsWith is the semaphore of comparisons with another folder.
+func (store *TurnStore) comparisonsWith(folder string) chan struct{} {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	if store.comparisons[folder] == nil {
+		store.comparisons[folder] = make(chan struct{}, maxComparisons)
+	}
+	return store.comparisons[folder]
+}
+
 // awaitMarker waits for the round that was made when the lists were compared.
 func (s *sender) awaitMarker(marker *round) {
 	select {
@@ -46,8 +68,8 @@
 }
 
 // reconcile compares and evens out what the two hold. The backup holds all that stood here at its begin when the round that
-// it gives is done. It gives nil where it has to be tried again.
-func (s *sender) reconcile() *round {
+// it gives is done. It gives nil where it has to be tried again; more time is left after fails.
+func (s *sender) reconcile(fails int) *round {
 	v := s.v
 	client := v.client(s.folder)
 	if client == nil {
@@ -59,6 +81,10 @@
 	if err != nil || !reply.Ok {
 		return nil
 	}
+	if !s.acquire(v.slots) { // only now: one that is silent must not keep a slot
+		return nil
+	}
+	defer func() { <-v.slots }()
 	held := make(map[string]struct{}, len(reply.Keys))
 	for _, key := range reply.Keys {
 		held[key] = struct{}{}
@@ -83,20 +109,20 @@
 	// What was added in this term before the list was made has gone, or goes, in rounds before this one.
 	marker := s.enqueue(nil, 0)
 	v.mu.Unlock()
-	if !s.pull(client, missing) || !s.push(lacks) {
+	if !s.pull(client, missing, fails) || !s.push(lacks, fails) {
 		return nil
 	}
 	return marker
 }
 
 // pull takes in facts that the backup holds and this turn store lacks, and hands them on to the other backups.
-func (s *sender) pull(client tierv1.TurnStore, missing []string) bool {
+func (s *sender) pull(client tierv1.TurnStore, missing []string, fails int) bool {
 	const most = 512 // keys of one request
 	v := s.v
 	for len(missing) > 0 {
 		began := time.Now()
 		ask := missing[:min(len(missing), most)]
-		ctx, cancel := context.WithTimeout(v.ctx, v.replyTimeout(2*chunkBytes, 2))
+		ctx, cancel := context.WithTimeout(v.ctx, v.replyTimeout(2*chunkBytes, fails))
 		reply, err := client.Fetch(ctx, &tierv1.FetchRequest{Partition: s.p.id, Keys: ask})
 		cancel()
 		if err != nil || !reply.Ok {
@@ -142,7 +168,7 @@
 }
 
 // push sends what the backup lacks, a chunk at a time.
-func (s *sender) push(lacks []*entry) bool {
+func (s *sender) push(lacks []*entry, fails int) bool {
 	v := s.v
 	for len(lacks) > 0 {
 		began := time.Now()
@@ -162,12 +188,8 @@
 			}
 		}
 		v.mu.Unlock()
-		if len(facts) > 0 {
-			for fails := 0; !s.replicate(facts, size, fails); fails++ {
-				if fails == 3 || !pause(v.ctx, s.t.closed, 50*time.Millisecond) {
-					return false
-				}
-			}
+		if len(facts) > 0 && !s.replicate(facts, size, fails) {
+			return false // compared anew: what has come over is not sent again
 		}
 		lacks = lacks[n:]
 		if !s.yield(began) {
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -43,6 +43,7 @@
 	turnstore *TurnStore
 	down      bool
 	cut       bool // nobody reaches it, and it reaches nobody
+	dark      bool // who calls it hears nothing until its time is over
 }
 
 // cluster is turn stores with a network in memory, and the control state's map.
@@ -195,8 +196,13 @@
 	to := c.nodes[w.to]
 	off := func() bool { return to.down || to.cut || w.from != "" && (c.nodes[w.from].down || c.nodes[w.from].cut) }
 	gone := off()
+	dark := to.dark
 	v := to.turnstore
 	c.mu.Unlock()
+	if dark {
+		<-ctx.Done()
+		return rep, errNet
+	}
 	if gone || f == lostRequest {
 		return rep, errNet
 	}
--- /dev/null
+++ b/internal/tier/turnstore/loss_test.go
@@ -0,0 +1,184 @@
+package turnstore
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// A backup that is silent holds up the exchanges with no other one.
+func TestASilentBackupHoldsUpNoOther(t *testing.T) {
+	const partitions = 32
+	c := newCluster(t, "a", "b", "c")
+	folder := func(name string) string { return c.nodes[name].turnstore.Folder() }
+	m := &tierv1.PartitionMap{Version: 1}
+	for _, name := range c.names {
+		m.StoreNodes = append(m.StoreNodes, &tierv1.StoreNode{Folder: folder(name), Node: name, Address: name})
+	}
+	for range partitions {
+		m.Partitions = append(m.Partitions, &tierv1.Partition{Epoch: 1, Primary: folder("a"),
+			Backups: []*tierv1.Copy{{Folder: folder("b")}, {Folder: folder("c")}}})
+	}
+	c.m = m
+	c.mu.Lock()
+	c.nodes["b"].dark = true
+	c.mu.Unlock()
+	began := time.Now()
+	c.push()
+	c.synced("a", partitions)
+	took := time.Since(began)
+	reports, _ := c.nodes["a"].turnstore.Synced()
+	for _, r := range reports {
+		assert.Equal(t, r.Folder, folder("c"))
+	}
+	silent := 8 * c.nodes["a"].turnstore.cfg.ReplyTimeout // what a comparison with the silent one takes
+	t.Logf("%d copies synced in %v; %v for a comparison with the silent one", partitions, took, silent)
+	assert.Assert(t, took < 4*silent, "%v: it was waited for more than now and then", took)
+}
+
+// A settlement that a later one raised while a copy was away comes to that copy before it is reported synced.
+func TestARaisedSettlementIsExchanged(t *testing.T) {
+	for _, primaryLacks := range []bool{false, true} {
+		c, k := pair(t)
+		assert.Equal(t, k.begin("a", ask("t1", "")), ok)
+		assert.Equal(t, k.settle("a", "p", "t1", "", 5), ok)
+		c.mu.Lock()
+		c.nodes["b"].cut = true
+		c.mu.Unlock()
+		c.assign("a", "?c")
+		c.push("a", "c")
+		c.synced("a", parts)
+		assert.Equal(t, k.settle("a", "p", "t1", "", 20), ok)
+		c.mu.Lock()
+		c.nodes["b"].cut = false
+		c.mu.Unlock()
+		if primaryLacks {
+			c.assign("b", "?a", "?c") // b lacks what it is the primary of: no map of control's, but copies must still agree
+			c.push()
+			c.synced("b", 2*parts)
+		} else {
+			c.assign("a", "c", "?b")
+			c.push()
+			c.synced("a", parts)
+		}
+		for _, name := range c.names {
+			v := c.nodes[name].turnstore
+			v.mu.Lock()
+			assert.Equal(t, v.store.partition(0).programs["p"].charged, uint64(20), "%s, %v", name, primaryLacks)
+			v.mu.Unlock()
+		}
+	}
+}
+
+func TestKeys(t *testing.T) {
+	for key, want := range map[string]struct {
+		kind, attempt string
+		tokens        uint64
+		ok            bool
+	}{
+		"r/a":                        {"r/", "a", 0, true},
+		"s/a/b":                      {"s/", "a/b", 0, true},
+		"a/a":                        {"a/", "a", 0, true},
+		"t/a/7":                      {"t/", "a", 7, true},
+		"t/a/b/18446744073709551615": {"t/", "a/b", 1<<64 - 1, true},
+		"t/a/18446744073709551616":   {},
+		"t/a/x":                      {},
+		"t//7":                       {},
+		"t/a":                        {},
+		"x/a":                        {},
+		"r/":                         {},
+		"":                           {},
+	} {
+		kind, attempt, tokens, ok := parseKey(key)
+		assert.Equal(t, ok, want.ok, key)
+		if ok {
+			assert.Equal(t, kind, want.kind, key)
+			assert.Equal(t, attempt, want.attempt, key)
+			assert.Equal(t, tokens, want.tokens, key)
+		}
+	}
+}
+
+func TestDuty(t *testing.T) {
+	synced, unsynced := func(f string) *tierv1.Copy { return &tierv1.Copy{Folder: f, Synced: true} }, func(f string) *tierv1.Copy { return &tierv1.Copy{Folder: f} }
+	partition := func(primary string, backups ...*tierv1.Copy) *tierv1.Partition {
+		return &tierv1.Partition{Primary: primary, Backups: backups}
+	}
+	for _, test := range []struct {
+		name       string
+		partitions []*tierv1.Partition
+		want       duty
+	}{
+		{"no map", nil, noDuty},
+		{"not named", []*tierv1.Partition{partition("x", unsynced("y"))}, noDuty},
+		{"a backup", []*tierv1.Partition{partition("x", synced("me"))}, backupDuty},
+		{"a backup that is not synced", []*tierv1.Partition{partition("x", unsynced("me"))}, backupDuty},
+		{"its successor is under way", []*tierv1.Partition{partition("x", synced("me"), unsynced("y"))}, neededDuty},
+		{"a primary", []*tierv1.Partition{partition("me", synced("x"))}, neededDuty},
+		{"the last holder", []*tierv1.Partition{partition("me", unsynced("x"))}, lastHolder},
+		{"alone", []*tierv1.Partition{partition("x", synced("me")), partition("me")}, lastHolder},
+	} {
+		assert.Equal(t, dutyOf(&tierv1.PartitionMap{Partitions: test.partitions}, "me"), test.want, test.name)
+	}
+}
+
+// A store that leaves waits for control's word, for its successors, and longer than it is given where it is the last holder.
+func TestReleased(t *testing.T) {
+	c, k := pair(t)
+	k.keep("a", "t1", "")
+	a := c.nodes["a"].turnstore
+	released := func(ctx context.Context) <-chan struct{} {
+		end := make(chan struct{})
+		go func() {
+			a.Released(ctx)
+			close(end)
+		}()
+		return end
+	}
+	waits := func(end <-chan struct{}, why string) {
+		t.Helper()
+		select {
+		case <-end:
+			t.Fatalf("released, though %s", why)
+		default:
+		}
+	}
+	long, cancel := context.WithTimeout(c.ctx, time.Hour)
+	defer cancel()
+	end := released(long)
+	waits(end, "it is the primary")
+	c.assign("b", "a", "?c")
+	c.push()
+	waits(end, "the copy that takes its place is under way")
+	c.synced("b", parts)
+	c.assign("b", "a", "c")
+	c.push()
+	<-end
+
+	end = released(long)
+	waits(end, "control has not made a map since")
+	c.assign("b", "c")
+	c.push()
+	<-end
+
+	c.assign("a", "?b")
+	c.push()
+	over, end2 := context.WithCancel(c.ctx)
+	end2()
+	end = released(over)
+	waits(end, "it is the last holder")
+	c.synced("a", parts)
+	c.assign("a", "b")
+	c.push()
+	<-end // still the primary, but its time is over
+
+	c.assign("a")
+	c.push()
+	short, cancel := context.WithTimeout(c.ctx, time.Millisecond)
+	defer cancel()
+	<-released(short) // at last, also as the last holder
+}
--- a/internal/tier/turnstore/store.go
+++ b/internal/tier/turnstore/store.go
@@ -1,6 +1,8 @@
 package turnstore
 
 import (
+	"strconv"
+	"strings"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -184,45 +186,84 @@
 	return list
 }
 
-// keys are what a copy tells of an entry: "r/" and "s/" for reservation and settlement, "a/" for a body held, whichever
-// fact brought it.
+// Kinds of keys by which copies compare what they hold: a key is a kind followed by the attempt, for tokensKey followed by
+// a slash and the number of tokens.
+const (
+	reservedKey = "r/"
+	settledKey  = "s/"
+	bodyKey     = "a/" // a body held, whichever fact brought it
+	tokensKey   = "t/" // tokens of a settlement, as a later one may have raised them; left out where they are 0
+)
+
+func (e *entry) tokensKey() string {
+	return tokensKey + e.attempt + "/" + strconv.FormatUint(e.tokens, 10)
+}
+
+// parseKey splits a key into its kind, its attempt, and its tokens. It is not ok for a key that is none.
+func parseKey(key string) (kind, attempt string, tokens uint64, ok bool) {
+	if len(key) <= len(reservedKey) {
+		return "", "", 0, false
+	}
+	kind, attempt = key[:len(reservedKey)], key[len(reservedKey):]
+	switch kind {
+	case reservedKey, settledKey, bodyKey:
+		return kind, attempt, 0, true
+	case tokensKey:
+		at := strings.LastIndexByte(attempt, '/')
+		if at <= 0 {
+			return "", "", 0, false
+		}
+		tokens, err := strconv.ParseUint(attempt[at+1:], 10, 64)
+		return kind, attempt[:at], tokens, err == nil
+	}
+	return "", "", 0, false
+}
+
+// keys are what a copy tells of an entry.
 func (e *entry) keys(list []string) []string {
 	if e.reserved {
-		list = append(list, "r/"+e.attempt)
+		list = append(list, reservedKey+e.attempt)
 	}
 	if e.settled {
-		list = append(list, "s/"+e.attempt)
+		list = append(list, settledKey+e.attempt)
+	}
+	if e.settled && e.tokens > 0 {
+		list = append(list, e.tokensKey())
 	}
 	if e.turn != nil {
-		list = append(list, "a/"+e.attempt)
+		list = append(list, bodyKey+e.attempt)
 	}
 	return list
 }
 
 // lacks tells whether a copy that holds these keys lacks something of the entry.
 func (e *entry) lacks(held map[string]struct{}) bool {
-	has := func(kind string) bool { _, ok := held[kind+e.attempt]; return ok }
-	return e.reserved && !has("r/") || e.settled && !has("s/") || e.turn != nil && !has("a/")
+	lacks := func(key string) bool { _, ok := held[key]; return !ok }
+	return e.reserved && lacks(reservedKey+e.attempt) ||
+		e.settled && lacks(settledKey+e.attempt) ||
+		e.settled && e.tokens > 0 && lacks(e.tokensKey()) ||
+		e.turn != nil && lacks(bodyKey+e.attempt)
 }
 
-// has tells whether the partition holds what a key names.
+// has tells whether the partition holds what a key names. What is no key of a known kind is not asked for.
 func (p *partition) has(key string) bool {
-	if len(key) < 3 {
+	kind, attempt, tokens, ok := parseKey(key)
+	if !ok {
 		return true
 	}
-	e := p.entries[key[2:]]
+	e := p.entries[attempt]
 	if e == nil {
 		return false
 	}
-	switch key[:2] {
-	case "r/":
+	switch kind {
+	case reservedKey:
 		return e.reserved
-	case "s/":
+	case settledKey:
 		return e.settled
-	case "a/":
-		return e.turn != nil
+	case tokensKey:
+		return e.settled && e.tokens >= tokens
 	}
-	return true
+	return e.turn != nil
 }
 
 // standing is how a turn stands in a partition.
--- a/internal/tier/turnstore/turnstore.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -70,30 +70,33 @@
 	cancel   context.CancelFunc
 	slots    chan struct{} // of exchanges that may run at the same time
 
-	mu         sync.Mutex
-	store      *store
-	active     int // of files: appended to
-	mapped     bool
-	version    uint64
-	storeNodes map[string]string // address by folder
-	clients    map[string]tierv1.TurnStore
-	terms      uint64 // number of the last term begun
-	changed    chan struct{}
-	sweepPart  uint32 // partition swept last
-	loops      sync.WaitGroup
-	closed     bool
+	mu           sync.Mutex
+	store        *store
+	active       int // of files: appended to
+	mapped       bool
+	version      uint64
+	partitionMap *tierv1.PartitionMap // applied last; it is not modified
+	storeNodes   map[string]string    // address by folder
+	clients      map[string]tierv1.TurnStore
+	comparisons  map[string]chan struct{} // semaphores by folder
+	terms        uint64                   // number of the last term begun
+	changed      chan struct{}
+	sweepPart    uint32 // partition swept last
+	loops        sync.WaitGroup
+	closed       bool
 }
 
 var _ tierv1.TurnStore = (*TurnStore)(nil)
 
-// maxExchanges is how many maxExchanges of facts between copies may run at the same time.
+// maxExchanges is how many exchanges of facts between copies may run at the same time.
 const maxExchanges = 2
 
 // Open reads the write-ahead log of a folder, or makes the folder. Errors are those of the disk, or of a write-ahead log that is none.
 func Open(cfg Config) (*TurnStore, error) {
 	cfg.defaults()
 	v := &TurnStore{cfg: cfg, store: newStore(), storeNodes: map[string]string{}, clients: map[string]tierv1.TurnStore{},
-		changed: make(chan struct{}), slots: make(chan struct{}, maxExchanges)}
+		comparisons: map[string]chan struct{}{},
+		changed:     make(chan struct{}), slots: make(chan struct{}, maxExchanges)}
 	if err := v.identity(); err != nil {
 		return nil, err
 	}
