--- /dev/null
+++ b/internal/tier/consensus/cutoff_test.go
@@ -0,0 +1,179 @@
+package consensus
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+const (
+	cutTime = 20 * time.Second // how long a machine is cut off, paused or hangs
+	// tripSlack is what a message and a sync may take here, there and back.
+	tripSlack = 50 * time.Millisecond
+)
+
+// leads tells whether a site would answer as primary at this instant.
+func (s *site) leads() bool {
+	return s.m != nil && !s.paused && s.m.primary != nil && s.world.now-s.m.lastConfirmed() < s.m.timing.fresh
+}
+
+// lastConfirmed is what a Node's view holds: a machine without backups is always confirmed.
+func (m *machine) lastConfirmed() time.Duration {
+	at := time.Duration(never)
+	for _, b := range m.primary.record.Backups {
+		at = min(at, m.primary.confirmed[b])
+	}
+	return at
+}
+
+// leaseReads reads at every site that would answer, and holds it against the formula of staleness: what was acknowledged
+// a third of the window ago, by whomever, is seen.
+func (w *world) leaseReads() {
+	for _, s := range w.sites {
+		if !s.leads() {
+			continue
+		}
+		for key, sequence := range w.acked {
+			if w.now-w.ackedAt[key] < w.window/3 {
+				continue
+			}
+			if e := s.visible()[key]; e == nil || e.Sequence != sequence {
+				w.fault("%s answers under its lease without %s, acknowledged %v ago", s.m.Folder, key, w.now-w.ackedAt[key])
+				return
+			}
+		}
+	}
+}
+
+// readings asks under the lease every few milliseconds until a time.
+func (w *world) readings(until time.Duration) {
+	if w.now < until {
+		w.leaseReads()
+		w.after(7*time.Millisecond, func() { w.readings(until) })
+	}
+}
+
+// leader is the site of the newest leadership.
+func (w *world) leader() *site {
+	var found *site
+	for _, s := range w.sites {
+		if s.m != nil && s.m.primary != nil && (found == nil || s.m.primary.record.Epoch > found.m.primary.record.Epoch) {
+			found = s
+		}
+	}
+	return found
+}
+
+// isolation is one way to lose touch with the leader. Begin cuts; end heals.
+type isolation struct {
+	name       string
+	size       [2]int // machines, losses
+	begin, end func(w *world, old *site)
+	// lease is when the old side answers nothing any more, after the beginning; takeover when others acknowledge.
+	lease, takeover time.Duration
+	// deposed tells that a lease without an end would not show: the new leader's first heartbeat ends it.
+	deposed bool
+}
+
+func cutSides(w *world, old *site, with *tierv1.Member, out, in bool) {
+	for _, s := range w.sites {
+		if s == old || with != nil && s.member.Address == with.Address {
+			continue
+		}
+		for _, inside := range []*tierv1.Member{old.member, with} {
+			if inside != nil {
+				w.cuts[[2]string{inside.Address, s.member.Address}] = out
+				w.cuts[[2]string{s.member.Address, inside.Address}] = in
+			}
+		}
+	}
+}
+
+func healAll(w *world, _ *site) { clear(w.cuts) }
+
+// companion is a backup, or where there are too few a member, that is cut off together with the leader.
+func companion(w *world, old *site) *tierv1.Member {
+	for _, s := range w.sites {
+		if s != old && s.m != nil && named(old.m.primary.record, s.m.Folder) {
+			return s.member
+		}
+	}
+	return nil
+}
+
+const window = 3 * time.Second
+
+var isolations = []isolation{
+	{"cut both ways", [2]int{3, 1}, func(w *world, old *site) { cutSides(w, old, nil, true, true) }, healAll, window / 3, window, false},
+	{"cut out of the leader", [2]int{3, 1}, func(w *world, old *site) { cutSides(w, old, nil, true, false) }, healAll, window / 3, window, true},
+	{"cut into the leader", [2]int{3, 1}, func(w *world, old *site) { cutSides(w, old, nil, false, true) }, healAll, window / 3, window, false},
+	{"cut both ways, five members", [2]int{5, 2}, func(w *world, old *site) { cutSides(w, old, nil, true, true) }, healAll, window / 3, window, false},
+	{"cut off with a backup", [2]int{5, 2}, func(w *world, old *site) { cutSides(w, old, companion(w, old), true, true) }, healAll, window / 3, window, false},
+	{"paused", [2]int{3, 1}, func(_ *world, old *site) { old.paused = true }, func(_ *world, old *site) { old.resume() }, window / 3, window, false},
+	{"paused, five members", [2]int{5, 2}, func(_ *world, old *site) { old.paused = true }, func(_ *world, old *site) { old.resume() }, window / 3, window, false},
+	{"disk hangs", [2]int{3, 1}, func(_ *world, old *site) { old.stalled = true }, func(_ *world, old *site) { old.resume() }, window / 3, window, false},
+}
+
+// isolate plays one of them. It gives the time until others acknowledged, and until the old leader followed after the heal.
+func isolate(t *testing.T, c isolation, seed uint64, p plant) (w *world, takeover, back time.Duration) {
+	t.Helper()
+	w = newWorld(seed, c.size[0], c.size[1])
+	w.plant, w.window = p, window
+	w.boot()
+	begin := 6*time.Second + time.Duration(seed%97)*11*time.Millisecond
+	w.after(4*time.Second, func() { w.load(begin + cutTime + 4*time.Second); w.readings(begin + cutTime + 4*time.Second) })
+	w.run(begin)
+	old := w.leader()
+	if old == nil || len(w.faults) > 0 {
+		return w, 0, 0
+	}
+	count := len(w.acked)
+	c.begin(w, old)
+	w.load(begin + cutTime) // more writes, at everyone who takes himself for the leader
+	for w.now < begin+cutTime && len(w.faults) == 0 {
+		w.run(w.now + 5*time.Millisecond)
+		if takeover == 0 && w.leader() != old && len(w.acked) > count {
+			takeover = w.now - begin
+		}
+		if w.now > begin+c.lease+tripSlack && old.leads() {
+			w.fault("%s still answers %v after the beginning", old.m.Folder, w.now-begin)
+		}
+	}
+	c.end(w, old)
+	for healed := w.now; w.now < healed+4*time.Second && len(w.faults) == 0; {
+		if old.m.primary == nil && old.m.leaderAlive() && old.m.chosen.GetEpoch() == w.top.Epoch {
+			back = w.now - healed + time.Millisecond
+			break
+		}
+		w.run(w.now + 5*time.Millisecond)
+	}
+	w.run(w.now + 2*time.Second)
+	return w, takeover, back
+}
+
+// A leader that is out of touch for twenty seconds, in each way, answers nothing after its lease; others take over; nothing
+// acknowledged is lost; after the heal it follows.
+func TestLeaderOutOfTouch(t *testing.T) {
+	seeds := seedsOr(10)
+	if testing.Short() || raced {
+		seeds = 2
+	}
+	for _, c := range isolations {
+		t.Run(c.name, func(t *testing.T) {
+			var worstTakeover, worstReturn time.Duration
+			for seed := range uint64(seeds) {
+				w, takeover, back := isolate(t, c, seed, plant{})
+				where := fmt.Sprintf("seed %d: %v\n%s", seed, w.faults, w.tail())
+				assert.Assert(t, len(w.faults) == 0, where)
+				assert.Assert(t, takeover > 0 && takeover < c.takeover, "takeover %v, %s", takeover, where)
+				assert.Assert(t, back > 0 && back < window, "return %v, %s", back, where)
+				worstTakeover, worstReturn = max(worstTakeover, takeover), max(worstReturn, back)
+			}
+			t.Logf("worst: %v until others acknowledge, %v from the heal until the old leader follows", worstTakeover, worstReturn)
+		})
+	}
+}
--- a/internal/tier/consensus/health.go
+++ b/internal/tier/consensus/health.go
@@ -39,7 +39,8 @@
 //	tolerates = min(|B|, min over S of live(S) - (|S|/2 + 1)), at least 0 and at most losses
 //
 // Any |B| of the |B|+1 copies may go without the loss of a write, and a majority of each set is left to choose the next
-// record. A joiner without a vote and a member without an answer count for nothing.
+// record. A joiner without a vote and a member without an answer count for nothing. A member counts as there until
+// recently has passed since its last answer, so a loss is told that late at most.
 func (m *machine) health() Health {
 	h := Health{Losses: m.losses, Tolerates: Unknown, MembersWanted: 2*m.losses + 1}
 	if m.primary == nil {
--- a/internal/tier/consensus/leadership.go
+++ b/internal/tier/consensus/leadership.go
@@ -235,8 +235,7 @@
 		if r == nil || !slices.Contains(r.record.Backups, a.Self.Folder) {
 			return
 		}
-		// Under a proposal of its own its backups have promised to none other.
-		if a.Highest == r.record.Epoch || m.proposal != nil && a.Highest == m.proposal.epoch {
+		if a.Highest == r.record.Epoch || m.promisedProposal(a.Self.Folder, a.Highest) {
 			r.confirmed[a.Self.Folder] = max(r.confirmed[a.Self.Folder], began)
 		} else if a.Highest > r.record.Epoch {
 			r.renew = true
@@ -244,6 +243,13 @@
 	})
 }
 
+// promisedProposal tells whether a folder has given its promise of an epoch to this node's proposal under way. The epoch alone
+// does not tell: two folders may propose the same one, and a heartbeat's reply does not say to whom a promise went.
+func (m *machine) promisedProposal(folder string, epoch uint64) bool {
+	p := m.proposal
+	return p != nil && epoch == p.epoch && p.replies[folder] != nil
+}
+
 // maintain tells what record the primary wants next: lost backups replaced, a swap of members settled, copies and
 // members added, silent members swapped for joiners, one at a time.
 func (m *machine) maintain() (plan, bool) {
--- /dev/null
+++ b/internal/tier/consensus/lease_test.go
@@ -0,0 +1,131 @@
+package consensus
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+
+	"dockshift.example/dockshift/internal/tier/wal"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// A process that was paused between its round trip and its answer finds that it is late: no read under the lease, no
+// confirmation and no figure of its health is given on what was confirmed before.
+func TestPausedNodeAnswersNothing(t *testing.T) {
+	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
+	n := s.node
+	n.view.primary, n.view.epoch, n.view.confirmed = true, 7, s.now
+	n.view.health.Tolerates = 1
+	s.now += n.timing.fresh - time.Millisecond
+	_, ok := n.Primary()
+	assert.Assert(t, ok)
+	assert.Equal(t, n.Health().Tolerates, 1)
+
+	answers := make(chan error, 1)
+	go func() { answers <- n.Confirm(context.Background(), 7) }()
+	<-n.wake // it waits for its round trip
+	n.mu.Lock()
+	c := n.outcomes[n.token]
+	n.mu.Unlock()
+	s.now += 20 * time.Second
+	c <- outcome{token: n.token}
+	assert.ErrorIs(t, <-answers, ErrNotPrimary)
+	_, ok = n.Primary()
+	assert.Assert(t, !ok)
+	assert.Equal(t, n.Health().Tolerates, Unknown)
+}
+
+// leading is a machine that leads b and c, with b as its backup.
+func leading(t *testing.T) *machine {
+	t.Helper()
+	members := []*tierv1.Member{{Folder: "fa", Address: "a"}, {Folder: "fb", Address: "b"}, {Folder: "fc", Address: "c"}}
+	d := durable{identity: identity{Folder: "fa"}, promised: 1 << epochBits, promisedTo: "fa", copyEpoch: 1 << epochBits}
+	m := newMachine(d, members[0], []string{"a", "b", "c"}, 1, timings(3*time.Second, 0), 1)
+	m.out = new(actions)
+	m.now = time.Second
+	m.leadership(&proposal{epoch: 1 << epochBits, copied: map[string]time.Duration{"fb": m.now},
+		target: &tierv1.Record{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}})
+	for _, v := range members[1:] {
+		m.replied(v, m.now)
+		m.peers[v.Address].voter = true
+	}
+	return m
+}
+
+// heartbeatTo gives the id of the heartbeat under way to an address.
+func heartbeatTo(calls []call, address string) (id uint64) {
+	for _, c := range calls {
+		if _, ok := c.body.(*tierv1.HeartbeatRequest); ok && c.address == address {
+			id = c.id
+		}
+	}
+	return id
+}
+
+// Two folders may propose the same epoch. A backup that promised it to the other answers a heartbeat with that epoch: this
+// must not prolong the lease of the one whose proposal it refused.
+func TestTiedEpochDoesNotProlongTheLease(t *testing.T) {
+	m := leading(t)
+	out := m.Step(m.now)
+	m.propose(plan{drop: map[string]bool{"fb": true}})
+	epoch, before := m.proposal.epoch, m.confirmedAt()
+	now := m.now + 100*time.Millisecond
+	heartbeat := answer{heartbeatTo(out.calls, "b"), &tierv1.HeartbeatReply{Self: &tierv1.Member{Folder: "fb", Address: "b"}, Highest: epoch, Member: true}}
+	m.primary.confirmed["fb"] -= 50 * time.Millisecond // the heartbeat began after the last confirmation
+	before -= 50 * time.Millisecond
+	m.Step(now, heartbeat)
+	assert.Equal(t, m.primary.confirmed["fb"], before)
+
+	// Once it has promised the epoch to this proposal, a heartbeat counts again.
+	m = leading(t)
+	out = m.Step(m.now)
+	m.propose(plan{})
+	m.proposal.replies["fb"] = &tierv1.PromiseReply{Promised: true, Self: &tierv1.Member{Folder: "fb", Address: "b"}}
+	m.primary.confirmed["fb"] -= 50 * time.Millisecond
+	heartbeat.id = heartbeatTo(out.calls, "b")
+	heartbeat.body = proto.Clone(heartbeat.body)
+	heartbeat.body.(*tierv1.HeartbeatReply).Highest = m.proposal.epoch
+	m.Step(m.now+100*time.Millisecond, heartbeat)
+	assert.Assert(t, m.primary == nil || m.primary.confirmed["fb"] > before)
+}
+
+// What a leader tells about the losses it bears, by the formula at health.
+func TestHealth(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		change    func(m *machine)
+		tolerates int
+		backups   int
+		absent    int
+	}{
+		{"all there", func(*machine) {}, 1, 1, 0},
+		{"the backup failed a call", func(m *machine) { m.primary.lost["fb"] = true }, 0, 0, 0},
+		{"the backup is silent", func(m *machine) { m.primary.confirmed["fb"] = 0; m.peers["b"].answered = 0 }, 0, 0, 1},
+		{"the member without a copy is silent", func(m *machine) { m.peers["c"].answered = 0 }, 0, 1, 1},
+		{"another folder at a member's address", func(m *machine) { m.peers["c"].member = &tierv1.Member{Folder: "new", Address: "c"} }, 0, 1, 1},
+		{"a joiner does not count", func(m *machine) {
+			m.peers["c"].answered = 0
+			m.replied(&tierv1.Member{Folder: "fd", Address: "d"}, m.now)
+		}, 0, 1, 1},
+		{"a change of members: the member that leaves is gone", func(m *machine) {
+			m.primary.record = proto.CloneOf(m.primary.record)
+			m.primary.record.Former = m.primary.record.Members
+			m.primary.record.Members = []*tierv1.Member{m.self, {Folder: "fb", Address: "b"}, {Folder: "fd", Address: "d"}}
+			m.replied(m.primary.record.Members[2], m.now)
+			m.peers["c"].answered = 0
+		}, 0, 1, 0},
+	} {
+		m := leading(t)
+		c.change(m)
+		h := m.health()
+		assert.Equal(t, h.Tolerates, c.tolerates, c.name)
+		assert.Equal(t, h.Backups, c.backups, c.name)
+		assert.Equal(t, len(h.Absent), c.absent, c.name)
+	}
+	m := leading(t)
+	m.primary = nil
+	assert.Equal(t, m.health().Tolerates, Unknown)
+}
--- /dev/null
+++ b/internal/tier/consensus/planted_hardening_test.go
@@ -0,0 +1,130 @@
+package consensus
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// Machines that are wrong in what the pages under docs/design/hardening state: each must be found within plantedSeeds.
+const plantedSeeds = 200
+
+var (
+	leaseNeverEnds = plant{name: "a lease never ends",
+		after: func(s *subject, _ *actions) {
+			if r := s.m.primary; r != nil {
+				for _, b := range r.record.Backups {
+					r.confirmed[b] = s.m.now + time.Hour
+				}
+			}
+		}}
+	joinerWithoutCopy = plant{name: "a backup is counted that took no copy",
+		before: func(s *subject, e event) (event, *outcome) {
+			if q, ok := e.(request); ok {
+				if a, ok := q.body.(*tierv1.AcceptRequest); ok && named(a.Record, s.m.Folder) && s.m.bound(a.Record.Epoch, a.From.GetFolder()) {
+					s.m.copyEpoch = a.Record.Epoch
+				}
+			}
+			return e, nil
+		},
+		after: func(s *subject, out *actions) {
+			p := s.m.proposal
+			if p == nil || p.phase != copying {
+				return
+			}
+			var kept []call
+			for _, c := range out.early {
+				if q, ok := c.body.(*tierv1.WriteRequest); !ok || !q.Whole {
+					kept = append(kept, c)
+				}
+			}
+			out.early = kept
+			for folder := range p.copies {
+				p.copied[folder] = s.m.now
+			}
+		}}
+	oldSnapshotReplaces = plant{name: "a snapshot of an old epoch replaces a newer copy",
+		before: func(s *subject, e event) (event, *outcome) {
+			if q, ok := e.(request); ok {
+				if body, ok := q.body.(*tierv1.WriteRequest); ok && body.Whole && body.From != s.m.Folder && body.Epoch < s.m.copyEpoch {
+					s.m.apply(body)
+					s.m.copyEpoch = s.m.promised
+				}
+			}
+			return e, nil
+		}}
+	leadsBehind = plant{name: "leads from a copy that is behind",
+		before: func(s *subject, e event) (event, *outcome) {
+			a, ok := e.(answer)
+			if !ok {
+				return e, nil
+			}
+			r, ok := a.body.(*tierv1.PromiseReply)
+			p := s.m.proposal
+			if !ok || p == nil || p.phase > promising || s.m.primary != nil {
+				return e, nil
+			}
+			base := proto.CloneOf(newest(newest(newest(p.base, s.m.known()), r.Accepted), r.Chosen))
+			base.Backups = append(base.Backups, s.m.Folder)
+			p.base, s.m.copyEpoch = base, max(s.m.copyEpoch, base.Epoch)
+			return e, nil
+		}}
+)
+
+// found plays seeds until one shows the wrong machine, and gives the seed and the fault; the right machine plays the same.
+func found(t *testing.T, p plant, play func(seed uint64, p plant) *world) {
+	t.Helper()
+	for seed := range uint64(plantedSeeds) {
+		if w := play(seed, p); len(w.faults) > 0 {
+			t.Logf("%s: seed %d: %v", p.name, seed, w.faults[0])
+			if right := play(seed, plant{}); len(right.faults) > 0 {
+				t.Fatalf("the right machine fails, too: %v\n%s", right.faults, right.tail())
+			}
+			return
+		}
+	}
+	t.Fatalf("%s: not found within %d seeds", p.name, plantedSeeds)
+}
+
+func TestPlantedOutOfTouch(t *testing.T) {
+	for _, c := range isolations {
+		if c.deposed {
+			continue
+		}
+		t.Run(c.name, func(t *testing.T) {
+			found(t, leaseNeverEnds, func(seed uint64, p plant) *world {
+				w, _, _ := isolate(t, c, seed, p)
+				return w
+			})
+		})
+	}
+}
+
+func TestPlantedSecondLoss(t *testing.T) {
+	for _, p := range []plant{joinerWithoutCopy, countsEmpty} {
+		t.Run(p.name, func(t *testing.T) {
+			found(t, p, func(seed uint64, p plant) *world { return play(seed, 3+int(seed%2), 1, p) })
+		})
+	}
+	t.Run(dropsFormer.name, func(t *testing.T) {
+		x, w := fromSwap(t, dropsFormer)
+		w.left = budget{takes: 1, writes: 1}
+		if r := x.explore(w, 150_000); r.fault == nil {
+			t.Fatalf("not found in %v", r)
+		} else {
+			t.Logf("%v; found: %v\n%s", r, r.fault, strings.Join(r.path, "\n"))
+		}
+	})
+}
+
+func TestPlantedCatchUp(t *testing.T) {
+	for _, p := range []plant{oldSnapshotReplaces, leadsBehind} {
+		t.Run(p.name, func(t *testing.T) {
+			found(t, p, func(seed uint64, p plant) *world { return play(seed, 3+int(seed%2), 1, p) })
+		})
+	}
+}
--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -14,31 +14,32 @@
 
 // world is a network, disks and clocks in virtual time for machines, and the checker of what they promise.
 type world struct {
-	now      time.Duration
-	random   *rand.Rand
-	queue    moments
-	order    int
-	sites    []*site
-	cuts     map[[2]string]bool
-	losses   int
-	seeds    []string
-	window   time.Duration
-	plant    plant
-	trouble  float64 // part of the messages that are lost, doubled or held
-	mutate   func(n int) mutation
-	count    int // messages sent
-	folders  int
-	token    uint64
-	waiting  map[uint64]*operation
-	replying map[uint64]func(proto.Message)
-	acked    map[string]uint64 // key to sequence
-	ackedAt  map[string]time.Duration
-	refused  map[string]bool
-	chosen   map[uint64]*tierv1.Record
-	top      *tierv1.Record
-	wiped    map[string]bool
-	faults   []string
-	trace    []string
+	now       time.Duration
+	random    *rand.Rand
+	queue     moments
+	order     int
+	sites     []*site
+	cuts      map[[2]string]bool
+	losses    int
+	seeds     []string
+	window    time.Duration
+	plant     plant
+	trouble   float64 // part of the messages that are lost, doubled or held
+	mutate    func(n int) mutation
+	count     int // messages sent
+	folders   int
+	token     uint64
+	waiting   map[uint64]*operation
+	replying  map[uint64]func(proto.Message)
+	acked     map[string]uint64 // key to sequence
+	ackedAt   map[string]time.Duration
+	refused   map[string]bool
+	chosen    map[uint64]*tierv1.Record
+	top       *tierv1.Record
+	wiped     map[string]bool
+	delivered func(to *site, body proto.Message) // sees each message as it comes
+	faults    []string
+	trace     []string
 }
 
 type mutation int
@@ -98,6 +99,9 @@
 	wakeAt   time.Duration
 	gone     bool
 	dark     bool // without power: calls hang
+	paused   bool // stopped, as by SIGSTOP: nothing runs, what comes in waits
+	stalled  bool // its disk hangs: a sync that has begun does not end
+	resumed  []func()
 	seen     *tierv1.Record
 	led      uint64 // epoch of its newest leadership
 }
@@ -178,6 +182,7 @@
 	s.m.joinAt += w.now
 	s.run = &subject{m: s.m, plant: w.plant, asked: make(map[uint64]proto.Message)}
 	s.busy, s.inbox, s.seen = false, nil, nil
+	s.paused, s.stalled, s.resumed = false, false, nil
 	w.logf("start %s", d.Folder)
 	s.wake()
 }
@@ -266,7 +271,7 @@
 
 func (s *site) step(events ...event) {
 	s.inbox = append(s.inbox, events...)
-	if s.busy || s.m == nil {
+	if s.busy || s.m == nil || s.paused {
 		return
 	}
 	events, s.inbox = s.inbox, nil
@@ -313,15 +318,44 @@
 		return
 	}
 	s.busy = true
-	w.after(time.Millisecond+time.Duration(w.random.Int64N(int64(8*time.Millisecond))), func() {
+	synced := func() {
 		if s.life != life {
 			return
 		}
 		s.synced, s.unsynced = append(s.synced, s.unsynced...), nil
 		rest()
+	}
+	w.after(time.Millisecond+time.Duration(w.random.Int64N(int64(8*time.Millisecond))), func() {
+		if s.life == life && (s.paused || s.stalled) {
+			s.resumed = append(s.resumed, synced)
+			return
+		}
+		synced()
 	})
 }
 
+// resume ends a pause or a disk that hangs: what was held up goes on, then what has come in meanwhile.
+func (s *site) resume() {
+	woken := s.paused
+	s.paused, s.stalled = false, false
+	held, waiting := s.resumed, s.inbox
+	s.resumed = nil
+	if woken && s.m != nil && !s.busy { // a timer may be the first to run, before anything that came in is read
+		s.inbox = nil
+		s.step(tick{})
+		if s.leads() {
+			s.world.fault("%s answers as it wakes", s.m.Folder)
+		}
+		s.inbox = append(waiting, s.inbox...)
+	}
+	for _, do := range held {
+		do()
+	}
+	if s.m != nil && !s.busy {
+		s.step(tick{})
+	}
+}
+
 func (w *world) replies(token uint64) func(proto.Message) {
 	f := w.replying[token]
 	delete(w.replying, token)
@@ -368,6 +402,9 @@
 			}
 			w.after(w.delay(), func() { end(proto.Clone(body)) })
 		}
+		if w.delivered != nil {
+			w.delivered(to, c.body)
+		}
 		to.step(request{token, proto.Clone(c.body)})
 		switch kind {
 		case receiverKilled:
