--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"strings"
 
 	"google.golang.org/protobuf/proto"
 
@@ -38,7 +39,7 @@
 }
 
 // deliver carries a message one way. The power of its receiver may go in the middle, or it may be delivered a second time.
-func (x *explorer) deliver(w *whole, i *item, cut, double bool) (*whole, error) {
+func (x *explorer) deliver(w *systemState, i *item, cut, double bool) (*systemState, error) {
 	if i.stage == answered {
 		c := w.with(transition{what: "answer to ", item: i})
 		c.remove(i)
@@ -66,7 +67,7 @@
 	return c, x.move(c, l)
 }
 
-func (x *explorer) answer(w *whole, i *item, b *body) *lane {
+func (x *explorer) answer(w *systemState, i *item, b *body) *lane {
 	n, m := 0, proto.Message(nil)
 	if b != nil {
 		n, m = b.n, b.m
@@ -75,7 +76,7 @@
 }
 
 // timeout ends a call; its request may still come.
-func (x *explorer) timeout(w *whole, i *item) (*whole, error) {
+func (x *explorer) timeout(w *systemState, i *item) (*systemState, error) {
 	c := w.with(transition{what: "time-out of ", item: i})
 	c.left.timeouts--
 	c.remove(i)
@@ -87,12 +88,12 @@
 	return c, x.move(c, x.answer(c, i, nil))
 }
 
-func (x *explorer) event(w *whole, site int, name string, e event) (*whole, error) {
+func (x *explorer) event(w *systemState, site int, name string, e event) (*systemState, error) {
 	c := w.with(transition{what: name, site: site})
 	return c, x.move(c, x.advance(c.lanes[site], eventKey{what: name}, e))
 }
 
-func (x *explorer) restart(w *whole, site int) (*whole, error) {
+func (x *explorer) restart(w *systemState, site int) (*systemState, error) {
 	c := w.with(transition{what: "restart", site: site})
 	c.left.restarts--
 	l := c.lanes[site]
@@ -103,7 +104,7 @@
 	return c, x.move(c, l.next[eventKey{what: "restart"}])
 }
 
-func (x *explorer) wipe(w *whole, site int) (*whole, error) {
+func (x *explorer) wipe(w *systemState, site int) (*systemState, error) {
 	c := w.with(transition{what: "loss of the disk", site: site})
 	c.left.wipes--
 	l := c.lanes[site]
@@ -114,7 +115,7 @@
 	return c, x.move(c, l.next[eventKey{what: "wipe"}])
 }
 
-func (x *explorer) put(w *whole, site int) (*whole, error) {
+func (x *explorer) put(w *systemState, site int) (*systemState, error) {
 	n := maxOperations - int(w.left.writes)
 	w = w.with(transition{})
 	w.left.writes--
@@ -124,7 +125,7 @@
 	return c, err
 }
 
-func (x *explorer) confirm(w *whole, site int) (*whole, error) {
+func (x *explorer) confirm(w *systemState, site int) (*systemState, error) {
 	n := maxOperations - int(w.left.confirms)
 	w = w.with(transition{})
 	w.left.confirms--
@@ -139,7 +140,7 @@
 }
 
 // successors are all states that one more transition leads to; the first that breaks a promise ends it.
-func (x *explorer) successors(w *whole, yield func(*whole, error) bool) {
+func (x *explorer) successors(w *systemState, yield func(*systemState, error) bool) {
 	for n, i := range w.net {
 		if n > 0 && i == w.net[n-1] {
 			continue
@@ -176,7 +177,14 @@
 		if w.left.restarts > 0 && !yield(x.restart(w, site)) {
 			return
 		}
-		if w.left.wipes > 0 && !yield(x.wipe(w, site)) {
+		if w.left.swaps > 0 {
+			for _, q := range l.swaps {
+				if !spend(fmt.Sprintf("swap of %s for %s", q.in, q.out), q, func(b *budget) { b.swaps-- }) {
+					return
+				}
+			}
+		}
+		if w.left.wipes > 0 && strings.HasSuffix(l.folder, "0") && !yield(x.wipe(w, site)) {
 			return
 		}
 		if l.leadership > 0 && w.left.writes > 0 && !yield(x.put(w, site)) {
@@ -205,17 +213,17 @@
 }
 
 // explore goes breadth-first through at most limit states.
-func (x *explorer) explore(from *whole, limit int) (r result) {
+func (x *explorer) explore(from *systemState, limit int) (r result) {
 	from.parent, from.how = nil, transition{}
 	seen := map[string]struct{}{from.key(): {}}
-	frontier := []*whole{from}
+	frontier := []*systemState{from}
 	r.complete = true
 	defer func() { r.states, r.lanes, r.steps = len(seen), len(x.lanes), x.steps }()
 	for ; len(frontier) > 0; r.depth++ {
-		var next []*whole
+		var next []*systemState
 		for n, w := range frontier {
 			frontier[n] = nil
-			x.successors(w, func(c *whole, err error) bool {
+			x.successors(w, func(c *systemState, err error) bool {
 				if err != nil {
 					r.fault, r.path = err, x.path(c)
 					return false
@@ -242,7 +250,7 @@
 }
 
 // restarted ends the calls of a process that is no more.
-func (x *explorer) restarted(w *whole, site int) {
+func (x *explorer) restarted(w *systemState, site int) {
 	w.lives[site]++
 	for _, i := range slices.Clone(w.net) {
 		if i.from != site {
--- a/internal/tier/consensus/explore_scenarios_test.go
+++ b/internal/tier/consensus/explore_scenarios_test.go
@@ -1,13 +1,15 @@
 package consensus
 
 import (
+	"os"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
 )
 
 // calm delivers all that is under way between sites, oldest first, where pass lets it.
-func (x *explorer) calm(t *testing.T, w *whole, pass func(i *item) bool) *whole {
+func (x *explorer) calm(t *testing.T, w *systemState, pass func(i *item) bool) *systemState {
 	t.Helper()
 	for range 1000 {
 		done := true
@@ -30,8 +32,8 @@
 }
 
 // boots starts all sites; those that are seeds for the first time.
-func (x *explorer) boots() *whole {
-	w := &whole{}
+func (x *explorer) boots() *systemState {
+	w := &systemState{}
 	for i := range x.addresses {
 		w.lanes[i] = x.start(i, nil, i < len(x.seeds), never/2, 0)
 	}
@@ -39,7 +41,7 @@
 }
 
 // settled has a primary, a, with a backup, b; what went to c is still under way.
-func (x *explorer) settled(t *testing.T) *whole {
+func (x *explorer) settled(t *testing.T) *systemState {
 	t.Helper()
 	w := x.boots()
 	w, err := x.event(w, 0, "take-over", take{})
@@ -56,30 +58,30 @@
 // scenario is where an exploration begins, what may still happen in it, and at how many states it ends at the latest.
 type scenario struct {
 	name  string
-	begin func(t *testing.T, p plant) (*explorer, *whole)
+	begin func(t *testing.T, p plant) (*explorer, *systemState)
 	left  budget
 	limit int
 }
 
-func fromSettled(t *testing.T, p plant) (*explorer, *whole) {
+func fromSettled(t *testing.T, p plant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c")
 	return x, x.settled(t)
 }
 
-func fromGenesis(_ *testing.T, p plant) (*explorer, *whole) {
+func fromGenesis(_ *testing.T, p plant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c")
 	return x, x.boots()
 }
 
 // fromSplit is the genesis of three, of which b and c don't hear each other.
-func fromSplit(t *testing.T, p plant) (*explorer, *whole) {
+func fromSplit(t *testing.T, p plant) (*explorer, *systemState) {
 	x, w := fromGenesis(t, p)
 	x.cuts[[2]int{1, 2}], x.cuts[[2]int{2, 1}] = true, true
 	return x, w
 }
 
 // fromSwap is a primary, a, about to put d in the place of c, when a cut falls between a and d and the others.
-func fromSwap(t *testing.T, p plant) (*explorer, *whole) {
+func fromSwap(t *testing.T, p plant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d")
 	w, err := x.event(x.boots(), 0, "take-over", take{})
 	if err != nil {
@@ -96,6 +98,48 @@
 	return x, w
 }
 
+// fromFirstSwap is a primary, a, with a backup, b, after d has taken the place of c and all is settled; e could join, too.
+func fromFirstSwap(t *testing.T, p plant) (*explorer, *systemState) {
+	x := newExplorer(p, "a", "b", "c", "d", "e")
+	return x, x.swapped(t, swap{"d", "c"})
+}
+
+// fromReplacement is a primary, a, whose backup b was just replaced by d, as after the loss of b: the next loss comes right
+// after the repair. What went to b may still be under way.
+func fromReplacement(t *testing.T, p plant) (*explorer, *systemState) {
+	x := newExplorer(p, "a", "b", "c", "d")
+	return x, x.swapped(t, swap{"d", "b"})
+}
+
+// fromFive are five members of which two may be lost, and a joiner.
+func fromFive(t *testing.T, p plant) (*explorer, *systemState) {
+	x := newExplorer(p, "a", "b", "c", "d", "e", "f")
+	x.seeds, x.losses = x.addresses[:5], 2
+	w, err := x.event(x.boots(), 0, "take-over", take{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return x, x.calm(t, w, nil)
+}
+
+// swapped begins with a primary, a, and plays a change of members to its end.
+func (x *explorer) swapped(t *testing.T, q swap) *systemState {
+	t.Helper()
+	w, err := x.event(x.boots(), 0, "take-over", take{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	w = x.calm(t, w, nil)
+	if w, err = x.event(w, 0, "swap of members", q); err != nil {
+		t.Fatal(err)
+	}
+	w = x.calm(t, w, nil)
+	if l := w.lanes[0]; l.leadership == 0 || len(l.swaps) == 0 {
+		t.Fatal("the first change of members is not settled", x.path(w))
+	}
+	return w
+}
+
 var scenarios = []scenario{
 	{"two candidates, two writes", fromSettled, budget{takes: 2, writes: 2}, 300_000},
 	{"a candidate, a write, a read", fromSettled, budget{takes: 1, writes: 1, confirms: 1, ticks: 1}, 25_000},
@@ -106,6 +150,11 @@
 	{"genesis of a split three, two candidates, a write, a doubled message, a restart", fromSplit,
 		budget{takes: 2, writes: 1, doubles: 1, restarts: 1}, 30_000},
 	{"a swap of members, a cut, a candidate, a write", fromSwap, budget{takes: 1, writes: 1}, 40_000},
+	{"a second swap, a candidate, a write, a lost disk between or in the middle", fromFirstSwap,
+		budget{swaps: 1, takes: 1, writes: 1, wipes: 1}, 40_000},
+	{"a swap of a backup, settled; a lost disk, a candidate, a write", fromReplacement, budget{takes: 1, writes: 1, wipes: 1}, 40_000},
+	{"five members, a swap, a candidate, a write, two lost disks", fromFive,
+		budget{swaps: 1, takes: 1, writes: 1, wipes: 2}, 40_000},
 }
 
 // factor is by how much the bounds are raised: 8 where CONTROL_SEEDS is set.
@@ -121,17 +170,22 @@
 	for _, s := range scenarios {
 		began := time.Now()
 		limit := s.limit * factor()
+		if n, err := strconv.Atoi(os.Getenv("CONSENSUS_STATES")); err == nil {
+			limit = n
+		}
 		if testing.Short() || raced {
 			limit = s.limit / 16
 		}
-		x, w := s.begin(t, plant{})
-		w.left = s.left
-		r := x.explore(w, limit)
-		total += r.states
-		t.Logf("%s: %v in %v", s.name, r, time.Since(began))
-		if r.fault != nil {
-			t.Fatalf("%s: %v\n%s", s.name, r.fault, strings.Join(r.path, "\n"))
-		}
+		t.Run(s.name, func(t *testing.T) {
+			x, w := s.begin(t, plant{})
+			w.left = s.left
+			r := x.explore(w, limit)
+			total += r.states
+			t.Logf("%v in %v", r, time.Since(began))
+			if r.fault != nil {
+				t.Fatalf("%v\n%s", r.fault, strings.Join(r.path, "\n"))
+			}
+		})
 	}
 	t.Logf("%d states", total)
 }
@@ -140,7 +194,7 @@
 func TestExplorePlanted(t *testing.T) {
 	for _, c := range []struct {
 		plant plant
-		begin func(t *testing.T, p plant) (*explorer, *whole)
+		begin func(t *testing.T, p plant) (*explorer, *systemState)
 		left  budget
 	}{
 		{forgetsAtOnce, fromSplit, budget{takes: 2, writes: 1}},
@@ -173,7 +227,7 @@
 			low, high = 2, 1
 		}
 		var err error
-		do := func(c *whole, e error) {
+		do := func(c *systemState, e error) {
 			if err == nil {
 				w, err = c, e
 			}
--- a/internal/tier/consensus/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -2,13 +2,10 @@
 
 import (
 	"cmp"
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"maps"
 	"math/rand/v2"
 	"slices"
-	"strings"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -25,6 +22,7 @@
 	plant      plant
 	addresses  []string
 	seeds      []string
+	losses     int
 	cuts       map[[2]int]bool // calls over these fail
 	heartbeats bool            // heartbeats and calls to join are delivered, too
 	bodies     map[string]*body
@@ -51,6 +49,7 @@
 	now        time.Duration
 	records    [][]byte // on disk now
 	leadership uint64   // epoch, 0 where it is not primary
+	swaps      []swap   // that it could begin now
 	led        uint64   // epoch of its newest leadership
 	shown      map[string]uint64
 	next       map[eventKey]*lane // by event
@@ -114,22 +113,24 @@
 }
 
 // budget is how often things may still happen.
-type budget struct{ takes, ticks, timeouts, doubles, restarts, wipes, writes, confirms int8 }
+type budget struct{ takes, ticks, timeouts, doubles, restarts, wipes, writes, confirms, swaps int8 }
+
+const maxSites = 6
 
 const maxOperations = 2 // writes and confirms
 
 var writes = [maxOperations]string{"w0", "w1"}
 
-// whole is a state of all.
-type whole struct {
-	lanes   [4]*lane
-	lives   [4]int
+// systemState is a state of all machines and messages.
+type systemState struct {
+	lanes   [maxSites]*lane
+	lives   [maxSites]int
 	net     []*item
 	left    budget
 	acked   [maxOperations]uint64 // sequences
 	refused [maxOperations]bool
 	began   [maxOperations]byte // of confirms: what was acknowledged when they began, one bit each
-	parent  *whole
+	parent  *systemState
 	how     transition
 }
 
@@ -139,7 +140,7 @@
 func (zeros) Uint64() uint64 { return 1 << 32 }
 
 func newExplorer(p plant, addresses ...string) *explorer {
-	return &explorer{plant: p, addresses: addresses, seeds: addresses[:3], cuts: make(map[[2]int]bool),
+	return &explorer{plant: p, addresses: addresses, seeds: addresses[:3], losses: 1, cuts: make(map[[2]int]bool),
 		bodies: make(map[string]*body), items: make(map[item]*item), lanes: make(map[string]*lane), folders: make(map[string]int)}
 }
 
@@ -185,7 +186,7 @@
 		}
 	}
 	a := x.addresses[site]
-	m := newMachine(d, &tierv1.Member{Address: a, Zone: "z" + a, Region: "r"}, x.seeds, 1, explored(), 1)
+	m := newMachine(d, &tierv1.Member{Address: a, Zone: "z" + a, Region: "r"}, x.seeds, x.losses, explored(), 1)
 	m.random = rand.New(zeros{})
 	m.now, m.tryAt, m.joinAt = now, never, never
 	return &subject{m: m, plant: x.plant, asked: make(map[uint64]proto.Message)}
@@ -253,10 +254,29 @@
 	return &l
 }
 
+// possibleSwaps are the changes of members that a leader may begin: it does so only under a settled record.
+func (x *explorer) possibleSwaps(m *machine) (list []swap) {
+	if m.primary == nil || m.proposal != nil || len(m.primary.record.Former) > 0 {
+		return nil
+	}
+	members := m.primary.record.Members
+	for _, in := range x.addresses[len(x.seeds):] {
+		if slices.ContainsFunc(members, func(v *tierv1.Member) bool { return v.Address == in }) {
+			continue
+		}
+		for _, v := range members {
+			if v.Address != m.self.Address {
+				list = append(list, swap{in, v.Address})
+			}
+		}
+	}
+	return list
+}
+
 // lane gives the one lane of this state.
 func (x *explorer) lane(l *lane, s *subject) *lane {
 	l.folder = s.m.Folder
-	l.leadership, l.shown = 0, make(map[string]uint64)
+	l.leadership, l.shown, l.swaps = 0, make(map[string]uint64), x.possibleSwaps(s.m)
 	data := s.m.data
 	if s.m.primary != nil {
 		l.leadership, l.led, data = s.m.primary.record.Epoch, s.m.primary.record.Epoch, s.m.primary.visible
@@ -311,108 +331,13 @@
 	return &reached
 }
 
-// digest tells states of a machine apart. Times count by how long ago.
-func (x *explorer) digest(l *lane, s *subject) string {
-	var b strings.Builder
-	m := s.m
-	record := func(r *tierv1.Record) int {
-		if r == nil {
-			return 0
-		}
-		return x.body(r).n
-	}
-	state := func(d *durable) {
-		fmt.Fprint(&b, d.Folder, d.promised, d.promisedTo, record(d.accepted), record(d.chosen), d.sequence, d.copyEpoch, ";")
-		for _, k := range slices.Sorted(maps.Keys(d.data)) {
-			fmt.Fprint(&b, k, d.data[k].Sequence, ",")
-		}
-	}
-	state(&m.durable)
-	var disk durable
-	for _, r := range l.records {
-		if err := disk.replay(r); err != nil {
-			panic(err)
-		}
-	}
-	b.WriteByte('|')
-	state(&disk)
-	fmt.Fprint(&b, "|", l.site, l.led, m.nextID, m.highest, m.hint, m.observed, m.now-m.granted, "|")
-	for _, a := range slices.Sorted(maps.Keys(m.peers)) {
-		p := m.peers[a]
-		fmt.Fprint(&b, a, p.member.GetFolder(), m.now-p.first, m.now-p.answered, p.trip, p.replied, p.met, p.asking, p.voter, ",")
-	}
-	if p := m.proposal; p != nil {
-		fmt.Fprint(&b, "|p", p.phase, p.epoch, record(p.base), record(p.target), p.open, m.now-p.deadline, m.now-p.grace,
-			p.in.GetFolder(), p.out.GetFolder(), p.drop, p.asked, p.copies, p.bad, p.accepted)
-		for _, f := range slices.Sorted(maps.Keys(p.copied)) {
-			fmt.Fprint(&b, f, m.now-p.copied[f], ",")
-		}
-		for _, f := range slices.Sorted(maps.Keys(p.replies)) {
-			fmt.Fprint(&b, f, x.body(p.replies[f]).n, ",")
-		}
-	}
-	if r := m.primary; r != nil {
-		fmt.Fprint(&b, "|r", r.first, record(r.record), m.now-r.began, r.lost, r.renew, m.now-r.next, r.retryAt, l.shown)
-		for _, f := range slices.Sorted(maps.Keys(r.confirmed)) {
-			fmt.Fprint(&b, f, m.now-r.confirmed[f], ",")
-		}
-		for _, w := range r.queue {
-			fmt.Fprint(&b, "q", w.token)
-		}
-		if r.round != nil {
-			fmt.Fprint(&b, "n", r.round.need)
-			for _, w := range r.round.waiters {
-				fmt.Fprint(&b, "w", w.token, w.sequence)
-			}
-		}
-	}
-	// What an answer will mean depends on whether the proposal or round that asked is still the one.
-	for _, id := range slices.Sorted(maps.Keys(m.pending)) {
-		current := false
-		switch q := s.asked[id].(type) {
-		case *tierv1.PromiseRequest:
-			current = m.proposal != nil && m.proposal.epoch == q.Epoch
-		case *tierv1.AcceptRequest:
-			current = m.proposal != nil && m.proposal.epoch == q.Record.Epoch
-		case *tierv1.WriteRequest:
-			current = m.proposal != nil && m.proposal.epoch == q.Epoch || m.primary != nil && m.primary.record.Epoch == q.Epoch
-			fmt.Fprint(&b, q.Sequence, q.Whole)
-		}
-		fmt.Fprint(&b, "c", id, current)
-	}
-	return b.String()
-}
-
-func (w *whole) key() string {
-	b := make([]byte, 0, 96)
-	for i, l := range w.lanes {
-		if l != nil {
-			b = binary.AppendUvarint(b, uint64(l.n))
-			b = append(b, byte(w.lives[i]))
-		}
-	}
-	l := w.left
-	b = append(b, byte(l.takes), byte(l.ticks), byte(l.timeouts), byte(l.doubles), byte(l.restarts), byte(l.wipes), byte(l.writes), byte(l.confirms))
-	for i := range maxOperations {
-		b = binary.AppendUvarint(b, w.acked[i])
-		b = append(b, w.began[i])
-		if w.refused[i] {
-			b = append(b, 'r')
-		}
-	}
-	for _, i := range w.net {
-		b = binary.AppendUvarint(b, uint64(i.n))
-	}
-	return string(b)
-}
-
-func (w *whole) with(how transition) *whole {
+func (w *systemState) with(how transition) *systemState {
 	c := *w
 	c.net, c.parent, c.how = slices.Clone(w.net), w, how
 	return &c
 }
 
-func (x *explorer) path(w *whole) (list []string) {
+func (x *explorer) path(w *systemState) (list []string) {
 	for ; w != nil && w.how.what != ""; w = w.parent {
 		list = append(list, x.describe(w.how))
 	}
@@ -420,19 +345,19 @@
 	return list
 }
 
-func (w *whole) add(i *item) {
+func (w *systemState) add(i *item) {
 	at, _ := slices.BinarySearchFunc(w.net, i, func(a, b *item) int { return cmp.Compare(a.n, b.n) })
 	w.net = slices.Insert(w.net, at, i)
 }
 
-func (w *whole) remove(i *item) {
+func (w *systemState) remove(i *item) {
 	if at := slices.Index(w.net, i); at >= 0 {
 		w.net = slices.Delete(w.net, at, at+1)
 	}
 }
 
 // move puts a site into its next state, sends its output and holds it against what was promised.
-func (x *explorer) move(w *whole, l *lane) error {
+func (x *explorer) move(w *systemState, l *lane) error {
 	before := w.lanes[l.site]
 	w.lanes[l.site] = l
 	for _, list := range [][]call{l.output.early, l.output.calls} {
