--- /dev/null
+++ b/internal/tier/consensus/catchup_test.go
@@ -0,0 +1,271 @@
+package consensus
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+
+	"dockshift.example/dockshift/internal/tier/wal"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// absence is one way in which a member misses changes.
+type absence struct {
+	name        string
+	leave, back func(w *world, s *site)
+}
+
+var absences = []absence{
+	{"restarted", func(_ *world, s *site) { s.stop(false) }, func(_ *world, s *site) { s.start(false) }},
+	{"restarted after a loss of power", func(_ *world, s *site) { s.stop(true) }, func(_ *world, s *site) { s.start(false) }},
+	{"frozen", func(_ *world, s *site) { s.paused = true }, func(_ *world, s *site) { s.resume() }},
+	{"emptied", func(_ *world, s *site) { s.wipe() }, func(_ *world, s *site) { s.start(false) }},
+	{"joined", func(_ *world, s *site) { s.wipe(); s.gone = true }, func(w *world, s *site) {
+		w.sites = append(w.sites, &site{world: w, member: &tierv1.Member{Address: "new", Zone: s.member.Zone, Region: "r"}})
+		w.sites[len(w.sites)-1].start(false)
+	}},
+}
+
+// settledAgain tells whether all losses are borne again: by the leader's own formula, which may be as old as recently, and in
+// fact: every member is there with its folder, and every site named holds its copy.
+func (w *world) settledAgain() bool {
+	l := w.leader()
+	if l == nil || l.busy || !w.whole() || l.m.health().Tolerates < w.losses || len(l.m.primary.record.Former) > 0 {
+		return false
+	}
+	for _, s := range w.sites {
+		if s.m != nil && named(l.m.primary.record, s.m.Folder) && (s.busy || s.m.copyEpoch < l.m.primary.record.Epoch) {
+			return false
+		}
+	}
+	return true
+}
+
+// changes writes n changes, one after the other.
+func (w *world) changes(n int) {
+	last := w.now
+	for count := len(w.acked); len(w.acked) < count+n && len(w.faults) == 0; {
+		before := len(w.acked)
+		if w.now-last > 2*w.window {
+			w.fault("nothing was acknowledged for %v", w.now-last)
+			return
+		}
+		w.put(true)
+		for i := 0; i < 200 && len(w.acked) == before; i++ {
+			w.run(w.now + 2*time.Millisecond)
+		}
+		if len(w.acked) > before {
+			last = w.now
+		}
+	}
+}
+
+// catchUp plays an absence during n changes. It gives how long after the return the next loss is borne again, and the bytes of
+// state that were sent to the one who came back, against those of one whole state.
+func catchUp(t *testing.T, c absence, n int, seed uint64, backup bool) (w *world, took time.Duration, sent, whole int) {
+	t.Helper()
+	w = newWorld(seed, 3, 1)
+	w.boot()
+	w.run(5 * time.Second)
+	leader := w.leader()
+	assert.Assert(t, leader != nil, w.tail())
+	var s *site
+	for _, o := range w.sites {
+		if o != leader && named(leader.m.primary.record, o.m.Folder) == backup {
+			s = o
+		}
+	}
+	assert.Assert(t, s != nil, w.tail())
+	c.leave(w, s)
+	w.changes(n)
+	w.delivered = func(to *site, body proto.Message) {
+		if q, ok := body.(*tierv1.WriteRequest); ok && q.Whole && (to == s || to.member.Address == "new") {
+			sent += proto.Size(q)
+		}
+	}
+	c.back(w, s)
+	began := w.now
+	w.readings(began + 4*time.Second)
+	for w.now < began+4*time.Second && !w.settledAgain() && len(w.faults) == 0 {
+		w.put(true)
+		w.run(w.now + 10*time.Millisecond)
+	}
+	took = w.now - began
+	whole = proto.Size(w.leader().m.whole(1))
+	// The next loss comes at once: the leader's machine, for good. Another leads from what it has.
+	if len(w.faults) == 0 {
+		old := w.leader()
+		old.wipe()
+		old.gone = true
+		for limit := w.now + 4*time.Second; w.now < limit && w.leader() == nil; {
+			w.run(w.now + 10*time.Millisecond)
+		}
+		w.changes(1)
+	}
+	return w, took, sent, whole
+}
+
+// A member that missed 1 to 2,000 changes, by whatever way, has caught up within the bound of time and of bytes, never leads
+// before, and the next loss right after that costs nothing.
+func TestCatchUp(t *testing.T) {
+	counts := []int{1, 10, 300, 2000}
+	if testing.Short() || raced {
+		counts = []int{1, 100}
+	}
+	for _, c := range absences {
+		for _, backup := range []bool{true, false} {
+			for _, n := range counts {
+				name := fmt.Sprintf("%s, backup %v, %d changes", c.name, backup, n)
+				var worst time.Duration
+				var most float64
+				seeds := min(seedsOr(3), 20)
+				if raced || n > 300 && seedsOr(0) == 0 {
+					seeds = 1
+				}
+				for seed := range uint64(seeds) {
+					w, took, sent, whole := catchUp(t, c, n, seed, backup)
+					where := fmt.Sprintf("%s, seed %d: %v, sent %d of %d, %v\n%s", name, seed, took, sent, whole, w.faults, w.tail())
+					assert.Assert(t, len(w.faults) == 0, where)
+					assert.Assert(t, took < w.window, where)
+					assert.Assert(t, sent <= catchUpCopies*whole, where)
+					assert.Assert(t, len(w.acked) > n, where)
+					worst, most = max(worst, took), max(most, float64(sent)/float64(whole))
+				}
+				t.Logf("%s: at most %v, %.2f times the state", name, worst, most)
+			}
+		}
+	}
+}
+
+// catchUpCopies is how often the whole state may go to one member until it holds a copy: once for each record that names it
+// anew, and a change of members takes two records.
+const catchUpCopies = 3
+
+// following is a machine that is a backup of a leader, with a copy under its epoch.
+func following(t *testing.T) (m *machine, epoch uint64) {
+	t.Helper()
+	epoch = 5 << epochBits
+	d := durable{identity: identity{Folder: "fb"}}
+	m = newMachine(d, &tierv1.Member{Address: "b"}, []string{"a", "b", "c"}, 1, timings(3*time.Second, 0), 1)
+	m.out = new(actions)
+	m.promise(&tierv1.PromiseRequest{Epoch: epoch, From: &tierv1.Member{Folder: "fa", Address: "a"}})
+	assert.Assert(t, m.bound(epoch, "fa"))
+	return m, epoch
+}
+
+func entry(key string, sequence uint64) []*tierv1.Entry {
+	return []*tierv1.Entry{{Key: key, Value: []byte(key), Sequence: sequence}}
+}
+
+// A snapshot that comes late, doubled, out of order or from an older epoch never takes back what was taken after it.
+func TestSnapshotsOutOfPlace(t *testing.T) {
+	m, epoch := following(t)
+	snapshot := &tierv1.WriteRequest{Epoch: epoch, Sequence: 1, Whole: true, Entries: entry("one", 1), From: "fa"}
+	change := &tierv1.WriteRequest{Epoch: epoch, Base: 1, Sequence: 2, Entries: entry("two", 2), From: "fa"}
+	holds := func(sequence uint64, keys ...string) {
+		t.Helper()
+		assert.Equal(t, m.sequence, sequence)
+		assert.Equal(t, len(m.data), len(keys))
+		for _, k := range keys {
+			assert.Assert(t, m.data[k] != nil, k)
+		}
+	}
+	// A change before any snapshot, and one with a gap before it.
+	assert.Assert(t, m.write(change).Behind)
+	assert.Assert(t, m.write(snapshot).Taken)
+	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: epoch, Base: 2, Sequence: 3, Entries: entry("three", 3), From: "fa"}).Behind)
+	holds(1, "one")
+	assert.Assert(t, m.write(change).Taken)
+	holds(2, "one", "two")
+	// Doubled, older than what followed it, and from another folder.
+	assert.Assert(t, m.write(snapshot).Taken)
+	assert.Assert(t, m.write(change).Taken)
+	holds(2, "one", "two")
+	foreign := proto.CloneOf(snapshot)
+	foreign.From, foreign.Sequence = "fc", 9
+	assert.Assert(t, !m.write(foreign).Taken)
+	holds(2, "one", "two")
+	// A new epoch: the snapshot of the old one comes after the changes of the new one, or after the promise alone.
+	m.promise(&tierv1.PromiseRequest{Epoch: 2 * epoch, From: &tierv1.Member{Folder: "fc", Address: "c"}})
+	late := proto.CloneOf(snapshot)
+	late.Sequence = 50
+	assert.Assert(t, !m.write(late).Taken)
+	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: 2 * epoch, Base: 2, Sequence: 2, From: "fc"}).Behind) // same sequence, other history
+	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: 2 * epoch, Sequence: 2, Whole: true, Entries: entry("other", 2), From: "fc"}).Taken)
+	holds(2, "other")
+	for _, q := range []*tierv1.WriteRequest{late, snapshot, change} {
+		a := m.write(q)
+		assert.Assert(t, !a.Taken && !a.Behind && a.Highest == 2*epoch)
+		holds(2, "other")
+	}
+}
+
+// A backup loses power at each operation of its disk while it takes snapshots, changes and rewrites of its file. What it
+// answered as taken is there after, it never goes back to an older epoch, and it goes on from there.
+func TestPowerLostWhileCatchingUp(t *testing.T) {
+	value := bytes.Repeat([]byte("x"), 4<<10)
+	for at := 1; ; at++ {
+		died := false
+		for seed := range uint64(2) {
+			label := fmt.Sprintf("operation %d, seed %d", at, seed)
+			s := newSolo(t, wal.NewMemory(), "a", "b", "c")
+			var taken, epoch uint64
+			var sent map[string]bool
+			write := func(q *tierv1.WriteRequest) bool {
+				a, err := askNode(s, func(n *Node) (*tierv1.WriteReply, error) { return (server{n}).Write(context.Background(), q) })
+				if err != nil || !a.Taken {
+					return false
+				}
+				taken, epoch = q.Sequence, q.Epoch
+				return true
+			}
+			s.disk.DieAt(at)
+			life := func(first uint64) bool {
+				e := first << epochBits
+				a, err := askNode(s, func(n *Node) (*tierv1.PromiseReply, error) {
+					return (server{n}).Promise(context.Background(), &tierv1.PromiseRequest{Epoch: e, From: &tierv1.Member{Folder: "fa", Address: "b"}})
+				})
+				if err != nil || !a.Promised {
+					return false
+				}
+				sent = map[string]bool{"base": true}
+				if !write(&tierv1.WriteRequest{Epoch: e, Sequence: 10 * first, Whole: true, Entries: []*tierv1.Entry{{Key: "base", Value: value}}, From: "fa"}) {
+					return false
+				}
+				for i := 10 * first; i < 10*first+6; i++ {
+					s.node.disk.rewriteAt = 1 // each change rewrites the file
+					key := fmt.Sprint("k", i+1)
+					sent[key] = true
+					if !write(&tierv1.WriteRequest{Epoch: e, Base: i, Sequence: i + 1, From: "fa",
+						Entries: []*tierv1.Entry{{Key: key, Value: value, Sequence: i + 1}}}) {
+						return false
+					}
+				}
+				return true
+			}
+			whole := life(1) && life(2)
+			died = died || !whole
+			s.disk.Crash(rand.New(rand.NewPCG(uint64(at), seed)))
+			s.open(false, "a", "b", "c")
+			assert.NilError(t, s.node.DiskError(), label)
+			d := &s.node.machine.durable
+			assert.Assert(t, d.copyEpoch >= epoch, "%s: copy of %d, taken under %d", label, d.copyEpoch, epoch)
+			assert.Assert(t, d.copyEpoch > epoch || d.sequence >= taken, "%s: at %d, took %d", label, d.sequence, taken)
+			assert.Assert(t, d.promised >= epoch, label)
+			if first := d.copyEpoch >> epochBits; first > 0 {
+				assert.Assert(t, d.data["base"] != nil && uint64(len(d.data)) == d.sequence-10*first+1, "%s: %d keys at %d", label, len(d.data), d.sequence)
+			}
+			assert.Assert(t, life(3), label)
+		}
+		if !died {
+			assert.Assert(t, at > 60)
+			return
+		}
+	}
+}
--- a/internal/tier/consensus/disk_test.go
+++ b/internal/tier/consensus/disk_test.go
@@ -63,20 +63,17 @@
 	return c
 }
 
-// ask calls the service and turns the loop until it answers.
-func (s *solo) ask(epoch uint64) (*tierv1.PromiseReply, error) {
+// askNode calls the service and turns the loop until it answers.
+func askNode[T any](s *solo, do func(n *Node) (T, error)) (T, error) {
 	type answered struct {
-		reply *tierv1.PromiseReply
+		reply T
 		err   error
 	}
 	c := make(chan answered, 1)
-	waiting := make(chan struct{})
 	go func() {
-		close(waiting)
-		r, err := (server{s.node}).Promise(context.Background(), &tierv1.PromiseRequest{Epoch: epoch, From: &tierv1.Member{Folder: "x", Address: "b"}})
+		r, err := do(s.node)
 		c <- answered{r, err}
 	}()
-	<-waiting
 	for {
 		select {
 		case a := <-c:
@@ -87,6 +84,13 @@
 	}
 }
 
+// ask asks for a promise.
+func (s *solo) ask(epoch uint64) (*tierv1.PromiseReply, error) {
+	return askNode(s, func(n *Node) (*tierv1.PromiseReply, error) {
+		return (server{n}).Promise(context.Background(), &tierv1.PromiseRequest{Epoch: epoch, From: &tierv1.Member{Folder: "x", Address: "b"}})
+	})
+}
+
 // A disk that fails at any operation, at the start too, once or until it recovers, ends leadership and acknowledgements
 // but not the node; when it works again the node goes on with all that was acknowledged, and a loss of power changes nothing.
 func TestDiskFailsAtEveryOperation(t *testing.T) {
