--- a/internal/tier/consensus/leadership.go
+++ b/internal/tier/consensus/leadership.go
@@ -341,7 +341,7 @@
 	members := m.primary.record.Members
 	lowest := crowding(members)
 	for _, v := range members {
-		if v.Folder == "" || named(m.primary.record, v.Folder) {
+		if v.Folder == "" || named(m.primary.record, v.Folder) || !m.majorityWithout(v) {
 			continue
 		}
 		rest := slices.DeleteFunc(slices.Clone(members), func(o *tierv1.Member) bool { return same(o, v) })
@@ -354,6 +354,19 @@
 	return want, ok
 }
 
+// majorityWithout tells whether the members that answer, but for one, are a majority: else a change that takes this one away
+// would rest on it until the change is settled.
+func (m *machine) majorityWithout(out *tierv1.Member) bool {
+	members := m.primary.record.Members
+	live := 0
+	for _, v := range members {
+		if !same(v, out) && m.answers(v) {
+			live++
+		}
+	}
+	return live >= len(members)/2+1
+}
+
 // replaced tells whether another folder answers at a member's address.
 func (m *machine) replaced(folder string) bool {
 	i := slices.IndexFunc(m.primary.record.Members, func(v *tierv1.Member) bool { return v.Folder == folder })
--- a/internal/tier/consensus/lease_test.go
+++ b/internal/tier/consensus/lease_test.go
@@ -129,3 +129,25 @@
 	m.primary = nil
 	assert.Equal(t, m.health().Tolerates, Unknown)
 }
+
+// A member that answers is not taken away, for a better spread, while the others that answer are no majority.
+func TestNoMajorityRestsOnAMemberThatLeaves(t *testing.T) {
+	members := []*tierv1.Member{{Folder: "fa", Address: "a", Zone: "1"}, {Folder: "fb", Address: "b", Zone: "2"}, {Folder: "fc", Address: "c", Zone: "1"},
+		{Folder: "fd", Address: "d", Zone: "3"}, {Folder: "fe", Address: "e", Zone: "4"}}
+	m := leading(t)
+	m.losses = 2
+	m.now = 10 * time.Second
+	m.primary.record = &tierv1.Record{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}
+	for _, v := range members[1:] {
+		m.replied(v, m.now)
+	}
+	joiners := []*tierv1.Member{{Folder: "fj", Address: "j", Zone: "5"}}
+	want, ok := m.spreadMembers(joiners)
+	assert.Assert(t, ok && want.out.Folder == "fc", "%v", want)
+	m.peers["d"].answered, m.peers["e"].answered = time.Second, time.Second // a, b and c are left: three of five
+	_, ok = m.spreadMembers(joiners)
+	assert.Assert(t, !ok)
+	m.replied(members[3], m.now)
+	_, ok = m.spreadMembers(joiners)
+	assert.Assert(t, ok)
+}
