--- a/internal/tier/consensus/leadership.go
+++ b/internal/tier/consensus/leadership.go
@@ -235,8 +235,7 @@
 		if r == nil || !slices.Contains(r.record.Backups, a.Self.Folder) {
 			return
 		}
-		// Under a proposal of its own its backups have promised to none other.
-		if a.Highest == r.record.Epoch || m.proposal != nil && a.Highest == m.proposal.epoch {
+		if a.Highest == r.record.Epoch || m.promisedProposal(a.Self.Folder, a.Highest) {
 			r.confirmed[a.Self.Folder] = max(r.confirmed[a.Self.Folder], began)
 		} else if a.Highest > r.record.Epoch {
 			r.renew = true
@@ -244,6 +243,13 @@
 	})
 }
 
+// promisedProposal tells whether a folder has given its promise of an epoch to this node's proposal under way. The epoch alone
+// does not tell: two folders may propose the same one, and a heartbeat's reply does not say to whom a promise went.
+func (m *machine) promisedProposal(folder string, epoch uint64) bool {
+	p := m.proposal
+	return p != nil && epoch == p.epoch && p.replies[folder] != nil
+}
+
 // maintain tells what record the primary wants next: lost backups replaced, a swap of members settled, copies and
 // members added, silent members swapped for joiners, one at a time.
 func (m *machine) maintain() (plan, bool) {
@@ -335,7 +341,7 @@
 	members := m.primary.record.Members
 	lowest := crowding(members)
 	for _, v := range members {
-		if v.Folder == "" || named(m.primary.record, v.Folder) {
+		if v.Folder == "" || named(m.primary.record, v.Folder) || !m.majorityWithout(v) {
 			continue
 		}
 		rest := slices.DeleteFunc(slices.Clone(members), func(o *tierv1.Member) bool { return same(o, v) })
@@ -348,6 +354,19 @@
 	return want, ok
 }
 
+// majorityWithout tells whether the members that answer, but for one, are a majority: else a change that takes this one away
+// would rest on it until the change is settled.
+func (m *machine) majorityWithout(out *tierv1.Member) bool {
+	members := m.primary.record.Members
+	live := 0
+	for _, v := range members {
+		if !same(v, out) && m.answers(v) {
+			live++
+		}
+	}
+	return live >= len(members)/2+1
+}
+
 // replaced tells whether another folder answers at a member's address.
 func (m *machine) replaced(folder string) bool {
 	i := slices.IndexFunc(m.primary.record.Members, func(v *tierv1.Member) bool { return v.Folder == folder })
