--- /dev/null
+++ b/internal/tier/gateway/gone_test.go
@@ -0,0 +1,149 @@
+package gateway_test
+
+import (
+	"fmt"
+	"net"
+	"strconv"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dockshift.example/dockshift/internal/tier/tiertest"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// goneWithin is how soon after its client an endpoint's work has to end.
+const goneWithin = 500 * time.Millisecond
+
+// TestAWaitingTurnEndsWithItsClient: a client that leaves while its turn waits for the turn store has it end there. Nothing of
+// it reaches an endpoint, and what may have been reserved is released.
+func TestAWaitingTurnEndsWithItsClient(t *testing.T) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	r := start(t, e)
+	asked, ended, settled := make(chan struct{}, 100), make(chan time.Time, 100), make(chan *tierv1.SettleRequest, 100)
+	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
+		switch q := m.Request.(type) {
+		case *tierv1.BeginRequest:
+			if err := m.Serve(); err != nil {
+				return err
+			}
+			asked <- struct{}{}
+			<-m.Ctx.Done()
+			ended <- time.Now()
+			return m.Ctx.Err()
+		case *tierv1.SettleRequest:
+			settled <- q
+		}
+		return m.Serve()
+	})
+	c := tiertest.Connect(t, r.ingress)
+	c.Send(turn("t-1", "", "p", "", "in"))
+	tiertest.Closed(t, "the turn store is asked", asked)
+	left := time.Now()
+	c.Conn.Close()
+	assert.Assert(t, tiertest.Closed(t, "the question ends", ended).Sub(left) < goneWithin)
+	got := tiertest.Closed(t, "the reservation is released", settled)
+	assert.Assert(t, got.Attempt == "t-1" && !got.Kept && got.Tokens == 0)
+	assert.Equal(t, len(e.Arrivals()), 0)
+}
+
+// TestWorkEndsWithItsClient: the endpoint's connection ends soon after the client's, before and after its first piece,
+// whether the client closes or resets.
+func TestWorkEndsWithItsClient(t *testing.T) {
+	for _, target := range []string{"/plain/x", "/once/x", "/stream/x", "/turn/x"} {
+		for _, begun := range []bool{false, true} {
+			for _, reset := range []bool{false, true} {
+				t.Run(fmt.Sprint(target, begun, reset), func(t *testing.T) {
+					t.Parallel()
+					at, gone := make(chan struct{}), make(chan time.Time, 1)
+					e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
+						if begun {
+							say(a, 1)
+						}
+						close(at)
+						a.Gone()
+						gone <- time.Now()
+					})
+					r := start(t, e)
+					c := tiertest.Connect(t, r.ingress)
+					c.Send(tiertest.Post(target, "a-1", "", "b"))
+					tiertest.Closed(t, "the request arrives", at)
+					if reset {
+						c.Conn.(*net.TCPConn).SetLinger(0)
+					}
+					left := time.Now()
+					c.Conn.Close()
+					took := tiertest.Closed(t, "the endpoint's connection ends", gone).Sub(left)
+					assert.Assert(t, took < goneWithin, "%v", took)
+					assert.Equal(t, len(e.Arrivals()), 1, "it was sent again")
+				})
+			}
+		}
+	}
+}
+
+// TestDeadlinesFall: what an endpoint is told is never more than what is left, and less at a later send.
+func TestDeadlinesFall(t *testing.T) {
+	a, b := two(t, func(x *tiertest.Arrival) { x.Reset() })
+	r := start(t, a, b)
+	const own = 3000
+	for i := range 20 {
+		began := time.Now()
+		got := r.post("/plain/x", fmt.Sprintf("a-%d", i), fmt.Sprintf("X-Deadline-Ms: %d\r\n", own), "b")
+		whole(t, got, 200, "second")
+		took := time.Since(began)
+		for _, x := range append(a.Arrivals(), b.Arrivals()...) {
+			if x.ID == fmt.Sprintf("a-%d", i) {
+				ms, err := strconv.Atoi(x.Header.Get("X-Deadline-Ms"))
+				assert.NilError(t, err)
+				assert.Assert(t, ms > 0 && ms <= own && ms >= own-int(took.Milliseconds())-1, "%d of %d after at most %v", ms, own, took)
+			}
+		}
+	}
+	assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 21)
+}
+
+// TestASpentBudgetIsNoWordWhileAReservationIsReleased: while a reservation of the program is being released here and its turn
+// store is away, the budget may have room: a 402 would end the program, a 503 has it try again.
+func TestASpentBudgetIsNoWordWhileAReservationIsReleased(t *testing.T) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
+		if a.ID == "t-1" {
+			a.Reset()
+			return
+		}
+		talk(a)
+	})
+	r := start(t, e)
+	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
+		if q, ok := m.Request.(*tierv1.SettleRequest); ok && q.Attempt == "t-1" {
+			<-m.Ctx.Done() // it never gets there
+			return m.Ctx.Err()
+		}
+		return m.Serve()
+	})
+	ask := func(id string) tiertest.Reply {
+		return r.do(turn(id, "", "p", "X-Deadline-Ms: 900\r\nBudget: 20\r\nX-Token-Usage: 9,20\r\n", "in"))
+	}
+	assert.Equal(t, ask("t-1").Status, 502)
+	promise(t, ask("t-2"))
+	assert.Equal(t, len(e.Arrivals()), 1)
+}
+
+// TestAnAttemptRunsOnce: the id of a turn that has been settled, kept or not, is never run once more, whatever comes with it.
+func TestAnAttemptRunsOnce(t *testing.T) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
+		if a.ID == "t-1" {
+			a.Reset()
+			return
+		}
+		talk(a)
+	})
+	r := start(t, e)
+	assert.Equal(t, r.do(turn("t-1", "", "p", "", "in")).Status, 502)
+	assert.Equal(t, r.do(turn("t-2", "", "p", "", "in")).Status, 200)
+	for _, id := range []string{"t-1", "t-2"} {
+		promise(t, r.do(turn(id, "", "p", "X-Deadline-Ms: 500\r\n", "in")))
+	}
+	assert.Equal(t, len(e.Arrivals()), 2)
+}
--- a/internal/tier/gateway/pass.go
+++ b/internal/tier/gateway/pass.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"context"
 	"time"
 
 	"dockshift.example/dockshift/internal/tier/ingress"
@@ -48,7 +47,7 @@
 }
 
 // send makes one send at the endpoint of choice. A result that is streaming is the caller's to finish.
-func (request *clientRequest) send(ctx context.Context, choice loadbalancer.Choice) *upstream.Result {
+func (request *clientRequest) send(choice loadbalancer.Choice) *upstream.Result {
 	maxConnections := 0
 	if c := request.gateway.routing.Load(); c != nil {
 		if s := c.Services[request.service]; s != nil {
@@ -56,7 +55,7 @@
 		}
 	}
 	request.began = time.Now()
-	r := request.gateway.pool.Call(ctx, upstream.Target{Address: choice.Address, Instance: choice.Instance, Connections: maxConnections}, request.upstreamRequest(choice), choice.Timeout)
+	r := request.gateway.pool.Call(request.ctx, upstream.Target{Address: choice.Address, Instance: choice.Instance, Connections: maxConnections}, request.upstreamRequest(choice), choice.Timeout)
 	if r.Written {
 		request.sent++
 		request.tried = append(request.tried, choice.Instance)
@@ -158,9 +157,6 @@
 
 // whole sends a request whose answer is passed on when it is here whole.
 func (request *clientRequest) whole() {
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	request.x.OnGone(watchFrom, cancel)
 	var last *upstream.Result
 	for tries := 1; ; tries++ {
 		choice := request.choose()
@@ -172,7 +168,7 @@
 			}
 			return
 		}
-		r := request.send(ctx, choice)
+		r := request.send(choice)
 		if r.End == upstream.Streaming {
 			request.pass(r, choice, nil)
 			return
@@ -190,9 +186,6 @@
 
 // stream sends a request whose answer is passed on event by event; t is what is kept of it, if it is a turn.
 func (request *clientRequest) stream(t *kept) {
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	request.x.OnGone(watchFrom, cancel)
 	for tries := 1; ; tries++ {
 		choice := request.choose()
 		if choice.Verdict != loadbalancer.Send {
@@ -202,7 +195,7 @@
 			request.unsent(choice)
 			return
 		}
-		r := request.send(ctx, choice)
+		r := request.send(choice)
 		if r.End == upstream.Streaming {
 			request.pass(r, choice, t)
 			return
--- a/internal/tier/gateway/serve.go
+++ b/internal/tier/gateway/serve.go
@@ -35,6 +35,8 @@
 	home      string    // instance that ran what it goes on from
 	sent      int       // endpoints that it was sent to
 	began     time.Time // of the last send
+
+	ctx context.Context // ends when the client has left, or with the handler
 }
 
 // handle answers one request.
@@ -98,6 +100,10 @@
 	if s := c.Services[request.service]; s != nil && s.Engine != nil {
 		request.perEvent = max(1, uint64(s.Engine.TokensPerEvent))
 	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	request.ctx = ctx
+	x.OnGone(watchFrom, cancel)
 	switch {
 	case route.Persisted:
 		request.turn()
@@ -141,16 +147,16 @@
 	}
 	// A turn store that is lost is replaced well within half of the contact window. What is not sure by then is refused at once,
 	// while its client has time for another try.
-	ctx, cancel := context.WithTimeout(context.Background(), min(time.Until(request.until)*2/5, gateway.c.Settings.ContactWindow/2))
-	pending := gateway.pending(program) // before it is asked: one may be settled while the answer is on its way
-	verdict, chain, after := gateway.stores.begin(ctx, req)
-	if verdict == tierv1.Verdict_SPENT && released(ctx, append(pending, gateway.pending(program)...)) {
-		verdict, chain, after = gateway.stores.begin(ctx, req)
-	}
+	ctx, cancel := context.WithTimeout(request.ctx, min(time.Until(request.until)*2/5, gateway.c.Settings.ContactWindow/2))
+	verdict, chain, after, sure := request.begin(ctx, req)
 	cancel()
 	switch verdict {
 	case tierv1.Verdict_OK:
 	case tierv1.Verdict_SPENT:
+		if !sure { // nothing is reserved, and there may be room as soon as what is being released here is settled
+			gateway.refuse(x, gateway.stores.wait)
+			return
+		}
 		x.Respond(402, nil, nil)
 		return
 	case tierv1.Verdict_UNKNOWN:
@@ -173,6 +179,26 @@
 	request.stream(&kept{program: program, line: program + "/" + line, previous: req.Previous, retention: req.RetentionMs})
 }
 
+// begin asks the turn store for a turn. Where the budget is spent while reservations of the program are being released
+// here, it waits for these and asks once more; sure is false where they were not settled in time.
+func (request *clientRequest) begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn, after, sure bool) {
+	gateway := request.gateway
+	for {
+		pending := gateway.pending(req.Program) // before the store is asked: one may be settled while its answer is on its way
+		verdict, chain, after = gateway.stores.begin(ctx, req)
+		if verdict != tierv1.Verdict_SPENT {
+			return verdict, chain, after, true
+		}
+		pending = append(pending, gateway.pending(req.Program)...)
+		if len(pending) == 0 {
+			return verdict, nil, false, true
+		}
+		if !released(ctx, pending) {
+			return verdict, nil, false, false
+		}
+	}
+}
+
 // kept is what becomes of a turn's answer.
 type kept struct {
 	program, line, previous string
@@ -270,6 +296,8 @@
 		select {
 		case <-freed:
 		case <-t.C:
+		case <-request.ctx.Done(): // the next send tells that the client has left
+			refuseAt = time.Time{}
 		}
 		t.Stop()
 	}
