--- a/cmd/yard/simulate.go
+++ b/cmd/yard/simulate.go
@@ -23,6 +23,9 @@
 // progressEvery is how often the simulator tells how far it is.
 const progressEvery = 2 * time.Second
 
+// workerEnd is how long a worker that is to end may take.
+const workerEnd = 20 * time.Second
+
 type simulateCmd struct {
 	Seeds  int64    `help:"Seeds to play." default:"100" placeholder:"N"`
 	From   int64    `help:"First seed." default:"0" placeholder:"S"`
@@ -113,7 +116,10 @@
 	if t.Failed > 0 {
 		return fmt.Errorf("%d of %d seeds failed", t.Failed, t.Played)
 	}
-	return errors.Join(err, ctx.Err())
+	if ctx.Err() != nil {
+		return errors.New("interrupted")
+	}
+	return err
 }
 
 // worker is this program as it plays a part of the seeds.
@@ -129,7 +135,10 @@
 	for _, name := range s.Ignore {
 		arguments = append(arguments, "--ignore", name)
 	}
-	return exec.CommandContext(ctx, self, arguments...)
+	c := exec.CommandContext(ctx, self, arguments...)
+	c.Cancel = func() error { return c.Process.Signal(syscall.SIGTERM) } // it ends the plays under way, and tells its total
+	c.WaitDelay = workerEnd
+	return c
 }
 
 // show prints a failure, shrinks its script and writes both to files.
--- a/internal/tier/simulation/play.go
+++ b/internal/tier/simulation/play.go
@@ -169,7 +169,7 @@
 		w.report(RuleRecovery, "the primary shows no map: %v", err)
 		return
 	}
-	alive := map[string]bool{}
+	alive, keeps := map[string]bool{}, map[string]bool{}
 	for _, m := range w.kind(roleTurnStore) {
 		if p, _ := m.process(); p != nil {
 			alive[p.role.(*turnStoreRole).store.Folder()] = true
@@ -178,6 +178,10 @@
 	short := 0
 	for _, p := range status.PartitionMap.Partitions {
 		synced := 0
+		keeps[p.Primary] = true
+		for _, c := range p.Backups {
+			keeps[c.Folder] = true
+		}
 		if alive[p.Primary] {
 			synced++
 		}
@@ -193,6 +197,21 @@
 	if short > 0 {
 		w.report(RuleRecovery, "%d partitions lack copies", short)
 	}
+	for folder := range alive {
+		if !keeps[folder] && !slices.Contains(status.PartitionMap.Retiring, w.nodeOf(folder)) {
+			w.report(RuleRecovery, "%s runs and keeps nothing", w.nodeOf(folder))
+		}
+	}
+}
+
+// nodeOf gives the machine on which a folder is.
+func (w *world) nodeOf(folder string) string {
+	for _, m := range w.kind(roleTurnStore) {
+		if p, _ := m.process(); p != nil && p.role.(*turnStoreRole).store.Folder() == folder {
+			return m.name
+		}
+	}
+	return ""
 }
 
 // turnsStand checks that all turns that were kept are still there, and that all that is charged still is.
