--- /dev/null
+++ b/internal/tier/process/disk_test.go
@@ -0,0 +1,94 @@
+package process
+
+import (
+	"context"
+	"errors"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/joomcode/errorx"
+	"github.com/phuslu/log"
+	"gotest.tools/v3/assert"
+
+	"dockshift.example/dockshift/internal/tier/wal"
+)
+
+var (
+	errFull    = errorx.Decorate(wal.Broken.Wrap(wal.IO.Wrap(syscall.ENOSPC, "write"), "append"), "turn store")
+	errForeign = wal.Foreign.New("another version")
+)
+
+// scripted plays what opening the disk and working on it give, in turn; the last life ends with the process.
+type scripted struct {
+	t        *testing.T
+	openings []error // of open
+	runs     []error // of run
+	opened   int
+	ran      int
+	pauses   []time.Duration
+	cancel   context.CancelFunc
+}
+
+func (s *scripted) open() (diskUser, error) {
+	err := s.openings[s.opened]
+	s.opened++
+	return s, err
+}
+
+func (s *scripted) run() error {
+	s.ran++
+	if s.ran > len(s.runs) {
+		s.cancel()
+		return nil
+	}
+	return s.runs[s.ran-1]
+}
+
+func (s *scripted) pause(_ context.Context, span time.Duration) { s.pauses = append(s.pauses, span) }
+
+func (s *scripted) retry(first error, leaving func() bool) error {
+	ctx, cancel := context.WithCancel(s.t.Context())
+	defer cancel()
+	s.cancel = cancel
+	return retryDisk(ctx, &log.Logger{Level: log.PanicLevel}, s, first, s.open, leaving, s.pause)
+}
+
+func staying() bool { return false }
+
+// A disk that is full at the start, and again later, does not end the process.
+func TestAFullDiskIsTriedAgain(t *testing.T) {
+	s := &scripted{t: t, openings: []error{errFull, errFull, errFull, errFull, errFull, nil, errFull, nil}, runs: []error{errFull}}
+	assert.NilError(t, s.retry(errFull, staying))
+	assert.Equal(t, s.opened, len(s.openings))
+	assert.Equal(t, s.ran, 2)
+	assert.DeepEqual(t, s.pauses[:5], []time.Duration{diskRetryMin, 2 * diskRetryMin, 4 * diskRetryMin, diskRetryMax, diskRetryMax})
+}
+
+// What no room on a disk can mend ends the process, also after a recovery.
+func TestOtherErrorsEndTheProcess(t *testing.T) {
+	s := &scripted{t: t, openings: []error{errForeign}}
+	assert.ErrorIs(t, s.retry(errFull, staying), errForeign)
+	s = &scripted{t: t, runs: []error{errForeign}}
+	assert.ErrorIs(t, s.retry(nil, staying), errForeign)
+	assert.Equal(t, s.opened, 0)
+}
+
+// A process that is leaving does not open its disk again.
+func TestALeavingProcessEnds(t *testing.T) {
+	s := &scripted{t: t, runs: []error{errFull}}
+	assert.NilError(t, s.retry(nil, func() bool { return s.ran > 0 }))
+	assert.Equal(t, s.opened, 0)
+	s = &scripted{t: t, runs: []error{errFull}}
+	assert.NilError(t, s.retry(nil, func() bool { return len(s.pauses) > 0 }))
+	assert.Equal(t, s.opened, 0)
+}
+
+func TestErrorsThatMayPass(t *testing.T) {
+	for _, passing := range []error{errFull, wal.IO.Wrap(syscall.EIO, "sync"), wal.NoRoom.Wrap(wal.IO.Wrap(syscall.ENOSPC, "write"), "reopen")} {
+		assert.Assert(t, diskMayRecover(passing), "%v", passing)
+	}
+	for _, lasting := range []error{errForeign, wal.IO.Wrap(syscall.ENOTDIR, "mkdir"), syscall.ENOSPC, errors.New("else"), wal.Broken.New("closed")} {
+		assert.Assert(t, !diskMayRecover(lasting), "%v", lasting)
+	}
+}
--- a/internal/tier/process/process.go
+++ b/internal/tier/process/process.go
@@ -11,6 +11,7 @@
 	"dockshift.example/dockshift/internal/tier/gateway"
 	"dockshift.example/dockshift/internal/tier/rpcserver"
 	"dockshift.example/dockshift/internal/tier/settings"
+	"dockshift.example/dockshift/internal/tier/wal"
 	"github.com/joomcode/errorx"
 	"github.com/phuslu/log"
 )
@@ -32,6 +33,7 @@
 type Config struct {
 	Settings settings.Settings
 	Log      *log.Logger
+	FS       wal.FS // of a turn store's data directory; nil: the machine's
 }
 
 // Process is a running process of the tier.
--- a/internal/tier/process/process_test.go
+++ b/internal/tier/process/process_test.go
@@ -5,11 +5,13 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
+	"syscall"
 	"testing"
 	"time"
 
 	"dockshift.example/dockshift/internal/tier/process"
 	"dockshift.example/dockshift/internal/tier/settings"
+	"dockshift.example/dockshift/internal/tier/wal"
 	"github.com/phuslu/log"
 	"gotest.tools/v3/assert"
 )
@@ -57,6 +59,24 @@
 	assert.ErrorContains(t, err, `no role is called "janitor"`)
 }
 
+// A turn store whose disk is full at its start stays up, opens nothing meanwhile, and can be ended.
+func TestATurnStoreOnAFullDiskStaysUp(t *testing.T) {
+	for name, end := range map[string]func(*process.Process){"killed": (*process.Process).Kill, "leaves": (*process.Process).Leave} {
+		t.Run(name, func(t *testing.T) {
+			disk := wal.NewMemory()
+			disk.FailFrom(1, syscall.ENOSPC)
+			s := machine(t)
+			p, err := process.Start(t.Context(), process.RoleTurnStore, process.Config{Settings: s, Log: silent(), FS: disk})
+			assert.NilError(t, err)
+			l, err := net.Listen("tcp", s.Internal(process.TurnStorePort))
+			assert.NilError(t, err)
+			assert.NilError(t, l.Close())
+			end(p)
+			assert.NilError(t, p.Wait())
+		})
+	}
+}
+
 // A process whose data directory can't be made doesn't start, and leaves no listener behind.
 func TestDataDirectoryThatCannotBeMade(t *testing.T) {
 	s := machine(t)
--- a/internal/tier/process/turnstore.go
+++ b/internal/tier/process/turnstore.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"sync"
+	"sync/atomic"
 
 	"dockshift.example/dockshift/internal/tier/rpcserver"
 	"dockshift.example/dockshift/internal/tier/session"
@@ -16,38 +18,81 @@
 	gracePart     = 2  // of the grace period, for handing partitions over
 )
 
+// openTurnStore is a turn store from the opening of its disk to the failure of that. The next one is to all others what
+// a restarted process is: it listens anew, its session is a new life's, and it serves what its write-ahead log holds.
+type openTurnStore struct {
+	ctx     context.Context
+	cancel  context.CancelFunc
+	store   *turnstore.TurnStore
+	session *session.Client
+}
+
+// startTurnStore opens the disk and goes on without the process ending where that fails for a while. Other errors of the
+// first opening are the start's.
 func (p *Process) startTurnStore(ctx context.Context, config Config) error {
+	if config.FS == nil {
+		config.FS = wal.OS{}
+	}
+	var open atomic.Pointer[openTurnStore]
+	var leaving atomic.Bool
+	attempt := func() (diskUser, error) {
+		t, err := p.openTurnStore(ctx, config)
+		if err != nil {
+			return nil, err
+		}
+		open.Store(t)
+		return t, nil
+	}
+	first, err := attempt()
+	if err != nil && !diskMayRecover(err) {
+		return err
+	}
+	p.run(ctx, func(ctx context.Context) error {
+		return retryDisk(ctx, config.Log, first, err, attempt, leaving.Load, pause)
+	})
+	// It serves on until its partitions have other primaries, for half of the time that it has.
+	p.leave = func() {
+		config.Log.Info().Str("event", "leaving").Str("node", config.Settings.Node).Msg("")
+		leaving.Store(true)
+		if t := open.Load(); t != nil && t.ctx.Err() == nil {
+			t.session.Leave()
+			handOver, cancel := context.WithTimeout(t.ctx, config.Settings.Grace/gracePart)
+			defer cancel()
+			t.store.Released(handOver)
+		}
+		p.cancel()
+	}
+	return nil
+}
+
+// openTurnStore opens the disk and the port.
+func (p *Process) openTurnStore(ctx context.Context, config Config) (*openTurnStore, error) {
 	s := config.Settings
 	address := s.Internal(TurnStorePort)
-	store, err := turnstore.Open(turnstore.Config{Node: s.Node, Dir: s.DataDir, FS: wal.OS{}, Dial: dialer(p.client, dialTurnStore),
+	store, err := turnstore.Open(turnstore.Config{Node: s.Node, Dir: s.DataDir, FS: config.FS, Dial: dialer(p.client, dialTurnStore),
 		DiskBytes: int64(s.DiskMB) << megabyteShift, MemoryBytes: int64(s.MemoryMB) << megabyteShift / memoryPart, Log: config.Log})
 	if err != nil {
-		return err
+		return nil, err
 	}
+	ctx, cancel := context.WithCancel(ctx)
 	if _, err := rpcserver.Serve(ctx, address, tierv1.NewTurnStoreServer(store)); err != nil {
+		cancel()
 		_ = store.Close()
-		return err
+		return nil, err
 	}
 	held := session.New(session.Config{Settings: s, Role: RoleTurnStore, Folder: store.Folder(), Address: address, Empty: store.WasEmpty(),
 		Dial: dialer(p.client, dialControlPlane), Synced: store.Synced, Log: config.Log, PartitionMap: store.Apply})
 	config.Log.Info().Str("event", "started").Str("role", RoleTurnStore).Str("node", s.Node).Str("folder", store.Folder()).Msg("")
-	p.run(ctx, func(ctx context.Context) error {
-		held.Run(ctx)
-		return nil
-	})
-	p.run(ctx, func(ctx context.Context) error {
-		err := store.Run(ctx)
-		_ = store.Close()
-		return err
-	})
-	// It serves on until its partitions have other primaries, for half of the time that it has.
-	p.leave = func() {
-		config.Log.Info().Str("event", "leaving").Str("node", s.Node).Msg("")
-		held.Leave()
-		handOver, cancel := context.WithTimeout(ctx, s.Grace/gracePart)
-		defer cancel()
-		store.Released(handOver)
-		p.cancel()
-	}
-	return nil
+	return &openTurnStore{ctx: ctx, cancel: cancel, store: store, session: held}, nil
+}
+
+// run serves until the process ends, or the disk fails, which is its error. Listener, connections and session end with it.
+func (t *openTurnStore) run() error {
+	var loops sync.WaitGroup
+	loops.Go(func() { t.session.Run(t.ctx) })
+	err := t.store.Run(t.ctx)
+	t.cancel()
+	loops.Wait()
+	_ = t.store.Close()
+	return err
 }
