--- a/internal/tier/controlplane/orders_run_test.go
+++ b/internal/tier/controlplane/orders_run_test.go
@@ -11,6 +11,7 @@
 	"math/rand/v2"
 	"net/http"
 	"sync"
+	"syscall"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -229,7 +230,15 @@
 			m = leader
 		}
 		down := time.Duration(random.IntN(2500)) * time.Millisecond
-		switch random.IntN(7) {
+		switch random.IntN(9) {
+		case 7: // a full disk
+			m.disk.FailFrom(1+random.IntN(4), syscall.ENOSPC)
+			<-time.After(down + time.Second)
+			m.disk.Recover()
+		case 8: // a disk that hangs
+			release := m.disk.StallSync()
+			<-time.After(down)
+			release()
 		case 0, 1:
 			r.c.stop(m, random.IntN(2) == 0)
 			<-time.After(down)
