--- a/internal/tier/controlplane/assign.go
+++ b/internal/tier/controlplane/assign.go
@@ -87,8 +87,8 @@
 	}
 	a.pruneNodes()
 	for i, p := range m.Partitions {
-		if before != nil && i < len(before.Partitions) && !sameCopies(p, before.Partitions[i]) {
-			p.Epoch = before.Partitions[i].Epoch + 1
+		if before != nil && i < len(before.Partitions) {
+			number(p, before.Partitions[i])
 		}
 	}
 	if before != nil && proto.Equal(m, before) {
@@ -97,7 +97,29 @@
 	return m, true
 }
 
+// number raises the epoch of a partition whose primary or backups have changed, and notes in it from which epoch on each
+// copy under way has been a member.
+func number(p, before *tierv1.Partition) {
+	if !sameCopies(p, before) {
+		p.Epoch = before.Epoch + 1
+	}
+	for _, c := range p.Backups {
+		old := backup(before, c.Folder)
+		switch {
+		case c.Synced:
+			c.Since = 0
+		case old != nil && !old.Synced:
+			c.Since = old.Since
+		default:
+			c.Since = p.Epoch
+		}
+	}
+}
+
 func sameCopies(a, b *tierv1.Partition) bool {
+	if len(a.RecoverFrom) > 0 && !slices.Equal(a.RecoverFrom, b.RecoverFrom) {
+		return false // the primary begins its term anew
+	}
 	return a.Primary == b.Primary && slices.EqualFunc(a.Backups, b.Backups, func(x, y *tierv1.Copy) bool { return x.Folder == y.Folder })
 }
 
@@ -265,7 +287,8 @@
 			continue
 		}
 		if c := backup(p, r.Copy.Folder); c != nil {
-			c.Synced = true
+			c.Synced, c.Since = true, 0
+			p.RecoverFrom, p.AcknowledgedUntil = nil, 0 // it reports copies only when it has recovered
 		}
 	}
 }
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -10,13 +10,15 @@
 // repair gives one partition a primary that is alive, and its copies on turn stores that stay, as far as there are any.
 // Where it is stalled, other turn stores are tried for it.
 func (a *assignment) repair(p *tierv1.Partition, stalled bool) {
-	if a.lost(p.Primary) && !a.failOver(p, func(folder string) bool { return a.alive(folder) }) {
-		return // its return is waited for: nobody else has all that was acknowledged
+	if a.lost(p.Primary) || slices.ContainsFunc(p.RecoverFrom, a.lost) {
+		if !a.failOver(p, a.alive) && !a.recoverPrimary(p) {
+			return // the return of one is waited for: no others have all that was acknowledged
+		}
 	}
 	if a.Leaving[p.Primary] {
 		a.failOver(p, a.usable)
 	}
-	if stalled {
+	if stalled && len(p.RecoverFrom) == 0 {
 		a.retarget(p)
 	}
 	for _, c := range slices.Clone(p.Backups) {
@@ -25,14 +27,15 @@
 		}
 		before := slices.Clone(p.Backups)
 		a.removeBackup(p, c.Folder)
-		if a.stayingCopies(p) > a.Losses {
-			continue
-		}
-		if next := a.pick(p); next != "" {
-			p.Backups = append(p.Backups, &tierv1.Copy{Folder: next})
-		} else if !a.replaced[c.Folder] && a.lostDomains > a.Losses {
-			p.Backups = before // more is lost than is borne: nothing goes on without it
+		if a.stayingCopies(p) <= a.Losses {
+			if next := a.pick(p); next != "" {
+				p.Backups = append(p.Backups, &tierv1.Copy{Folder: next})
+			} else if !a.replaced[c.Folder] && a.lostDomains > a.Losses {
+				p.Backups = before // more is lost than is borne: nothing goes on without it
+				continue
+			}
 		}
+		a.retain(p, c.Folder, c.Since) // a synced copy has no Since
 	}
 	for a.stayingCopies(p) <= a.Losses {
 		// An order to retire is followed at the pace of moves, but a lost copy is made good at once.
@@ -46,6 +49,7 @@
 		a.addCopy(p, next)
 	}
 	a.trim(p)
+	a.pruneRetained(p)
 }
 
 // hasLeft tells whether a turn store has heard SIGTERM: its time is short.
@@ -139,7 +143,7 @@
 // synced tells whether a member of a partition is there and has all that was acknowledged.
 func (a *assignment) synced(p *tierv1.Partition, folder string) bool {
 	c := backup(p, folder)
-	return a.alive(folder) && (folder == p.Primary || c != nil && c.Synced)
+	return a.alive(folder) && (folder == p.Primary && len(p.RecoverFrom) == 0 || c != nil && c.Synced)
 }
 
 // failOver gives a partition another primary, out of its synced backups. The former is a synced backup then.
--- /dev/null
+++ b/internal/tier/controlplane/retain.go
@@ -0,0 +1,109 @@
+package controlplane
+
+import (
+	"slices"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// A copy whose turn store falls silent is taken out of its partition, as nothing is acknowledged without a backup that the
+// map names. It is retained: the map remembers in which epochs it took all that was acknowledged, and its turn store keeps it.
+// Whatever was acknowledged in an epoch is synced at all members of that epoch, copies under way included, and facts are
+// only added. So copies whose spans of epochs follow each other without a gap, from the beginning to the newest in which
+// anything can have been acknowledged, hold together all that ever was, also when the primary and all synced copies are
+// lost: one of them becomes primary, and answers nothing before it has exchanged all facts with the others.
+
+// maxRetained bounds the retained copies of a partition, and with them the map.
+const maxRetained = 16
+
+// acknowledgedUntil is the newest epoch of a partition in which anything can have been acknowledged.
+func acknowledgedUntil(p *tierv1.Partition) uint64 {
+	if len(p.RecoverFrom) > 0 {
+		return p.AcknowledgedUntil // nothing is, until the primary has recovered
+	}
+	return p.Epoch
+}
+
+// retain remembers a copy that is taken out: a synced one, or one that took all that was acknowledged since an epoch. One
+// whose disk is gone holds nothing.
+func (a *assignment) retain(p *tierv1.Partition, folder string, since uint64) {
+	until := acknowledgedUntil(p)
+	if a.replaced[folder] || since > until {
+		return
+	}
+	p.Retained = slices.DeleteFunc(p.Retained, func(r *tierv1.RetainedCopy) bool {
+		if r.Folder != folder || since > r.Until+1 {
+			return false
+		}
+		since = min(since, r.Since) // the spans follow each other
+		return true
+	})
+	p.Retained = append(p.Retained, &tierv1.RetainedCopy{Folder: folder, Since: since, Until: until})
+	if len(p.Retained) > maxRetained {
+		oldest := max(0, slices.IndexFunc(p.Retained, func(r *tierv1.RetainedCopy) bool { return r.Since > 0 }))
+		p.Retained = slices.Delete(p.Retained, oldest, oldest+1)
+	}
+}
+
+// pruneRetained forgets retained copies that are not needed any more: enough others are synced, or their disks are gone.
+func (a *assignment) pruneRetained(p *tierv1.Partition) {
+	if a.syncedCopies(p) > a.Losses {
+		p.Retained = nil
+		return
+	}
+	p.Retained = slices.DeleteFunc(p.Retained, func(r *tierv1.RetainedCopy) bool { return a.replaced[r.Folder] })
+}
+
+// recoverPrimary gives a partition whose synced copies are all lost a primary out of copies that are alive and hold
+// together all that was acknowledged. It is false where there are none.
+func (a *assignment) recoverPrimary(p *tierv1.Partition) bool {
+	until := acknowledgedUntil(p)
+	chain := a.coveringCopies(p, until)
+	if len(chain) == 0 {
+		return false
+	}
+	if len(p.RecoverFrom) == 0 {
+		a.retain(p, p.Primary, 0)
+	}
+	if c := backup(p, chain[0]); c != nil {
+		a.retain(p, c.Folder, c.Since)
+		a.removeBackup(p, c.Folder)
+	}
+	p.Primary, p.RecoverFrom, p.AcknowledgedUntil = chain[0], chain[1:], 0
+	if len(p.RecoverFrom) > 0 {
+		p.AcknowledgedUntil = until
+	}
+	for _, folder := range p.RecoverFrom {
+		if backup(p, folder) == nil {
+			p.Backups = append(p.Backups, &tierv1.Copy{Folder: folder})
+		}
+	}
+	return true
+}
+
+// coveringCopies gives the fewest copies that are alive and whose spans cover all epochs until one, the first of the oldest
+// span; nil where there are none.
+func (a *assignment) coveringCopies(p *tierv1.Partition, until uint64) (chain []string) {
+	spans := slices.Clone(p.Retained)
+	for _, c := range p.Backups {
+		if !c.Synced {
+			spans = append(spans, &tierv1.RetainedCopy{Folder: c.Folder, Since: c.Since, Until: until})
+		}
+	}
+	for next := uint64(0); next <= until; {
+		var best *tierv1.RetainedCopy
+		for _, r := range spans {
+			if a.alive(r.Folder) && r.Since <= next && r.Until >= next && (best == nil || r.Until > best.Until) {
+				best = r
+			}
+		}
+		if best == nil {
+			return nil
+		}
+		next = best.Until + 1
+		if !slices.Contains(chain, best.Folder) {
+			chain = append(chain, best.Folder)
+		}
+	}
+	return chain
+}
--- /dev/null
+++ b/internal/tier/controlplane/retain_test.go
@@ -0,0 +1,117 @@
+package controlplane
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// The sessions of two turn stores lapse one after the other, and the first of them loses its disk before the copies that
+// were made meanwhile are synced: the second has what was acknowledged before, a copy under way what came since.
+func TestALossRightAfterLapses(t *testing.T) {
+	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w.assign(w.input())
+	w.settle()
+	serve := func() (served int) {
+		for _, m := range w.machines {
+			m.hear(w)
+		}
+		for i := range w.m.Partitions {
+			for _, m := range w.machines {
+				if w.acknowledge(m, i) {
+					served++
+				}
+			}
+		}
+		return served
+	}
+	first, second := w.machines[0], w.machines[1]
+	first.cut = true
+	assert.Assert(t, w.assign(w.input()))
+	serve()
+	first.cut, second.cut = false, true
+	assert.Assert(t, w.assign(w.input()))
+	serve()
+	second.cut = false
+	w.wipe(first, false)
+	assert.Assert(t, w.assign(w.input()))
+	w.reports = nil
+	w.settle()
+	assert.Equal(t, serve(), partitionCount)
+	w.even(false)
+}
+
+// Lapses of one session at a time, at any moment, and the loss of one disk: everything acknowledged is served again.
+func TestLapsesAreNoLosses(t *testing.T) {
+	for seed := range uint64(40) {
+		r := rand.New(rand.NewPCG(seed, 7))
+		w := newWorld(t, r, 3+r.IntN(3), 3, Spread{1, byNode})
+		w.assign(w.input())
+		w.settle()
+		for range 4 {
+			loss := r.IntN(30)
+			for step := range 30 {
+				for _, m := range w.machines {
+					m.cut = false
+				}
+				if m := w.machines[r.IntN(len(w.machines))]; step == loss {
+					w.note("%s loses its disk", m.node)
+					w.wipe(m, r.IntN(3) == 0)
+				} else if r.IntN(2) == 0 {
+					w.note("%s lapses", m.node)
+					m.cut = true
+				}
+				w.assign(w.input())
+				if r.IntN(2) == 0 {
+					w.reports = nil
+				}
+				for range r.IntN(8) {
+					w.machines[r.IntN(len(w.machines))].hear(w)
+				}
+				for range r.IntN(40) {
+					w.copy(w.machines[r.IntN(len(w.machines))], r.IntN(partitionCount))
+					w.acknowledge(w.machines[r.IntN(len(w.machines))], r.IntN(partitionCount))
+				}
+				w.check(nil)
+			}
+			for _, m := range w.machines {
+				m.cut = false
+			}
+			w.reports = nil
+			w.settle()
+			for i, p := range w.m.Partitions {
+				primary := w.machine(p.Primary)
+				assert.Assert(t, primary != nil && len(p.RecoverFrom) == 0, "seed %d, partition %d has no primary: %v\n%v", seed, i, p, w.trace)
+				assert.Assert(t, w.acknowledge(primary, i), "seed %d, partition %d does not serve: %v\n%v", seed, i, p, w.trace)
+			}
+			w.even(false)
+		}
+	}
+}
+
+// What was retained is forgotten once enough copies are synced, and with its disk.
+func TestRetainedCopiesAreForgotten(t *testing.T) {
+	w := newWorld(t, nil, 4, 4, Spread{1, byNode})
+	w.assign(w.input())
+	w.settle()
+	retained := func() (n int) {
+		for _, p := range w.m.Partitions {
+			n += len(p.Retained)
+		}
+		return n
+	}
+	w.machines[0].cut = true
+	w.assign(w.input())
+	assert.Assert(t, retained() > 0)
+	w.machines[0].cut = false
+	w.wipe(w.machines[0], false)
+	w.assign(w.input())
+	assert.Equal(t, retained(), 0)
+	w.settle()
+	w.machines[1].cut = true
+	w.assign(w.input())
+	assert.Assert(t, retained() > 0)
+	w.settle()
+	assert.Equal(t, retained(), 0)
+}
--- a/internal/tier/controlplane/risk.go
+++ b/internal/tier/controlplane/risk.go
@@ -42,7 +42,7 @@
 	for i, partition := range partitionMap.GetPartitions() {
 		synced, underWay := map[string]bool{}, map[string]bool{}
 		unsynced := 0
-		if alive[partition.Primary] != nil {
+		if alive[partition.Primary] != nil && len(partition.RecoverFrom) == 0 {
 			synced[domain(partition.Primary)] = true
 		}
 		for _, backup := range partition.Backups {
--- a/internal/tier/turnstore/apply.go
+++ b/internal/tier/turnstore/apply.go
@@ -40,6 +40,7 @@
 		return
 	}
 	if part.Epoch == p.epoch && p.term != nil {
+		p.term.unconfirmed = p.term.unconfirmed && len(part.RecoverFrom) > 0
 		for _, s := range p.term.senders {
 			s.unsynced = slices.ContainsFunc(part.Backups, func(c *tierv1.Copy) bool { return c.Folder == s.folder && !c.Synced })
 		}
@@ -51,8 +52,9 @@
 	if p.primary == store.folder {
 		store.beginTerm(p, part)
 	}
+	retained := slices.ContainsFunc(part.Retained, func(c *tierv1.RetainedCopy) bool { return c.Folder == store.folder })
 	switch {
-	case p.primary == store.folder || p.backup:
+	case p.primary == store.folder || p.backup || retained:
 		p.assigned()
 	case p.unassignedSince.IsZero():
 		p.unassignedSince = store.cfg.Now()
@@ -71,9 +73,23 @@
 		t.senders = append(t.senders, s)
 	}
 	p.term = t
+	t.unconfirmed = len(part.RecoverFrom) > 0
 	for _, s := range t.senders {
-		store.loops.Add(1)
-		go s.exchange()
+		s.recover = slices.Contains(part.RecoverFrom, s.folder)
+		if s.recover {
+			t.recovering++
+		}
+	}
+	store.startExchanges(t, func(s *sender) bool { return t.recovering == 0 || s.recover })
+}
+
+// startExchanges begins the exchange with those backups of a term that are picked. The lock is held.
+func (store *TurnStore) startExchanges(t *term, picked func(*sender) bool) {
+	for _, s := range t.senders {
+		if picked(s) && !store.closed {
+			store.loops.Add(1)
+			go s.exchange()
+		}
 	}
 }
 
--- a/internal/tier/turnstore/exchange.go
+++ b/internal/tier/turnstore/exchange.go
@@ -58,15 +58,43 @@
 func (s *sender) awaitMarker(marker *round) {
 	select {
 	case <-marker.done:
-		s.v.mu.Lock()
-		s.exchanged = true
-		s.v.signal()
-		s.v.mu.Unlock()
+		if s.recover {
+			s.finishRecovery()
+		} else {
+			s.finish()
+		}
 	case <-s.t.closed:
 	case <-s.v.ctx.Done():
 	}
 }
 
+// finish notes that the backup holds all that this turn store does.
+func (s *sender) finish() {
+	s.v.mu.Lock()
+	s.exchanged = true
+	s.v.signal()
+	s.v.mu.Unlock()
+}
+
+// finishRecovery notes that all facts of the backup are here, once they are synced. After the last one of those that the term
+// recovers from the copies are compared anew, as each may lack what came from another.
+func (s *sender) finishRecovery() {
+	synced := s.v.commit.add()
+	if <-synced.done; synced.err != nil {
+		return // the disk has failed: the turn store serves nothing
+	}
+	s.v.mu.Lock()
+	defer s.v.mu.Unlock()
+	if s.t.ended {
+		return
+	}
+	s.recover = false
+	s.t.recovering--
+	if s.t.recovering == 0 {
+		s.v.startExchanges(s.t, func(*sender) bool { return true })
+	}
+}
+
 // reconcile compares and evens out what the two hold. The backup holds all that stood here at its begin when the round that
 // it gives is done. It gives nil where it has to be tried again; more time is left after fails.
 func (s *sender) reconcile(fails int) *round {
--- a/internal/tier/turnstore/term.go
+++ b/internal/tier/turnstore/term.go
@@ -25,6 +25,11 @@
 	senders []*sender
 	closed  chan struct{} // closed when it ends: by a newer epoch
 	ended   bool
+	// recovering counts the backups that hold what this turn store may lack and with which all facts have yet to be exchanged.
+	recovering int
+	// unconfirmed is set until control knows that this turn store has recovered: nothing is answered before, so that control
+	// knows in which epochs something can have been acknowledged.
+	unconfirmed bool
 }
 
 // end closes the term in force, if any. The lock is held.
@@ -48,6 +53,7 @@
 	running   bool
 	exchanged bool // the backup holds all that this turn store held when its term began
 	unsynced  bool // says the map
+	recover   bool // this turn store may lack what the backup holds: the first exchange is to bring it here
 }
 
 // round is facts that go to a backup in one message; none: only the epoch is asked for.
@@ -197,6 +203,9 @@
 	if p == nil || p.term == nil || p.term.ended {
 		return nil, tierv1.Verdict_MOVED
 	}
+	if p.term.unconfirmed {
+		return nil, tierv1.Verdict_BUSY
+	}
 	return p, tierv1.Verdict_OK
 }
 
