--- a/internal/tier/turnstore/backup.go
+++ b/internal/tier/turnstore/backup.go
@@ -12,7 +12,7 @@
 // are synced. Before the first map in this life nothing is taken: an epoch could be known that this process forgot.
 func (store *TurnStore) Replicate(ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 	store.mu.Lock()
-	if !store.mapped || store.closed || req.From == store.folder || store.commit.broken() {
+	if !store.mapped || store.closed || req.From == store.folder || !store.writable() {
 		store.mu.Unlock()
 		return &tierv1.ReplicateReply{}, nil
 	}
@@ -65,7 +65,7 @@
 // Held tells the keys of a partition's facts, all synced here.
 func (store *TurnStore) Held(ctx context.Context, req *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
 	store.mu.Lock()
-	if !store.mapped || store.closed || store.commit.broken() {
+	if !store.mapped || store.closed || !store.writable() {
 		store.mu.Unlock()
 		return &tierv1.HeldReply{}, nil
 	}
--- a/internal/tier/turnstore/commit.go
+++ b/internal/tier/turnstore/commit.go
@@ -2,6 +2,7 @@
 
 import (
 	"sync"
+	"time"
 
 	"google.golang.org/protobuf/proto"
 
@@ -29,12 +30,14 @@
 	next    *batch // gathers
 	last    *batch // being written, or written last
 	running bool
+	began   time.Time // when the batch being written was begun; zero: none is
+	now     func() time.Time
 	failed  chan struct{} // closed at the first failure
 	err     error
 }
 
-func newCommitter(file appender) *committer {
-	return &committer{file: file, failed: make(chan struct{})}
+func newCommitter(file appender, now func() time.Time) *committer {
+	return &committer{file: file, now: now, failed: make(chan struct{})}
 }
 
 // add takes facts into the batch that gathers; without facts it gives the batch after which all added before is synced.
@@ -100,11 +103,11 @@
 		c.mu.Lock()
 		b := c.next
 		if b == nil {
-			c.running = false
+			c.running, c.began = false, time.Time{}
 			c.mu.Unlock()
 			return
 		}
-		c.next, c.last = nil, b
+		c.next, c.last, c.began = nil, b, c.now()
 		err := c.err
 		c.mu.Unlock()
 		if err == nil {
@@ -137,3 +140,13 @@
 		return false
 	}
 }
+
+// writing is how long the batch that is being written has been so; 0 where none is.
+func (c *committer) writing(now time.Time) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.began.IsZero() {
+		return 0
+	}
+	return now.Sub(c.began)
+}
--- a/internal/tier/turnstore/compact.go
+++ b/internal/tier/turnstore/compact.go
@@ -15,7 +15,13 @@
 // Compact writes what is alive into the other write-ahead log and empties the one written before, where more than half is dead,
 // where the disk gets full, or where force is true. Requests go on all the while: they are appended to the other one.
 func (store *TurnStore) Compact(ctx context.Context, force bool) error {
+	store.maintenance.Lock()
+	defer store.maintenance.Unlock()
 	store.mu.Lock()
+	if store.commit.broken() {
+		store.mu.Unlock()
+		return nil // CheckDisk opens it again first
+	}
 	size, live := store.size(), store.store.disk
 	due := size > 2*live+minDeadBytes
 	if d := store.cfg.DiskBytes; d > 0 {
--- /dev/null
+++ b/internal/tier/turnstore/disk.go
@@ -0,0 +1,191 @@
+package turnstore
+
+import (
+	"context"
+	"time"
+
+	"github.com/joomcode/errorx"
+	"google.golang.org/protobuf/proto"
+
+	"dockshift.example/dockshift/internal/tier/wal"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// A turn store's disk may be full, failing or stuck: states of the process, not its end. While it is in one, the turn store
+//
+//   - answers BUSY, takes no facts as a backup, and confirms nothing;
+//   - reports its own folder among the synced copies, by which control takes it for lost: other synced copies become the
+//     primaries, and other turn stores get copies; where it is the last holder, it is waited for;
+//   - tries to open its write-ahead log again each second. Then it is what it would be after a restart: it holds what the
+//     files hold, so all that it ever acknowledged; what it lacks comes by exchange with the primaries.
+//
+// One log line tells of each way: turnstore_disk_failed or turnstore_disk_stuck, and turnstore_disk_recovered.
+
+// diskState is how the disk is.
+type diskState int
+
+const (
+	diskSound diskState = iota
+	diskBroken
+	diskStuck // a sync does not return
+)
+
+// Errors of Reopen.
+var (
+	diskErrors = errorx.NewNamespace("turnstore")
+	// DiskBusy is the type of the error of a Reopen while a write or sync has not returned.
+	DiskBusy = diskErrors.NewType("disk_busy")
+)
+
+// disk tells how the disk is. The lock is held.
+func (store *TurnStore) disk(now time.Time) diskState {
+	switch {
+	case store.commit.broken():
+		return diskBroken
+	case store.commit.writing(now) > store.cfg.StuckAfter:
+		return diskStuck
+	}
+	return diskSound
+}
+
+// writable tells whether facts can be synced. The lock is held.
+func (store *TurnStore) writable() bool { return store.disk(store.cfg.Now()) == diskSound }
+
+// CheckDisk takes note of how the disk is: it logs a change, has it reported to control, and opens the write-ahead log of
+// a broken disk again. Run calls it each second, and at once when a write fails.
+func (store *TurnStore) CheckDisk(now time.Time) {
+	store.mu.Lock()
+	before, state := store.diskState, store.disk(now)
+	failure := store.commit.failure()
+	store.mu.Unlock()
+	if state == diskBroken && before == diskBroken {
+		if store.Reopen(now) != nil {
+			return
+		}
+		state = diskSound
+	}
+	if state == before {
+		return
+	}
+	store.mu.Lock()
+	store.diskState = state
+	if before == diskSound {
+		store.diskSince = now
+	}
+	lasted := now.Sub(store.diskSince)
+	store.signal()
+	store.mu.Unlock()
+	switch state {
+	case diskBroken:
+		store.cfg.Log.Error().Str("event", "turnstore_disk_failed").Err(failure).Msg("")
+	case diskStuck:
+		store.cfg.Log.Error().Str("event", "turnstore_disk_stuck").Dur("after", store.cfg.StuckAfter).Msg("")
+	default:
+		store.cfg.Log.Info().Str("event", "turnstore_disk_recovered").Dur("after", lasted).Msg("")
+	}
+}
+
+// Reopen opens the write-ahead log again after a failure, and drops from memory what is not in it: the tail of a file whose
+// sync has failed is not trusted. All terms end; where the newest map has this folder as a primary, a new term begins, with
+// an exchange with each backup. It is an error, of the disk or DiskBusy, where the disk still fails; nothing is changed then.
+func (store *TurnStore) Reopen(now time.Time) error {
+	store.maintenance.Lock()
+	defer store.maintenance.Unlock()
+	select {
+	case <-store.commit.add().done:
+	default:
+		return DiskBusy.New("a write is under way")
+	}
+	next := newStore()
+	for i, file := range store.files {
+		if err := file.Reopen(next.replay(factFiles[i], now)); err != nil {
+			return err
+		}
+	}
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	if store.closed {
+		return wal.Misuse.New("the turn store is closed")
+	}
+	next.markReplayed(now)
+	for id, p := range store.store.partitions {
+		p.end()
+		fresh := next.partition(id)
+		fresh.role = p.role // an epoch that was observed stays known
+		fresh.term = nil
+	}
+	store.store = next
+	store.active = largest(store.files)
+	store.commit = newCommitter(store.files[store.active], store.cfg.Now)
+	for i, part := range store.partitionMap.GetPartitions() {
+		p := next.partition(uint32(i))
+		if p.epoch == part.Epoch && p.primary == store.folder && part.Primary == store.folder {
+			store.beginTerm(p, part)
+		}
+	}
+	return nil
+}
+
+// factFiles are the names of the files that facts are written to in turn.
+var factFiles = [2]string{"facts-0", "facts-1"}
+
+// largest is the index of the larger file, which is the one that was appended to last.
+func largest(files [2]*wal.File) int {
+	if files[1].Size() > files[0].Size() {
+		return 1
+	}
+	return 0
+}
+
+// replay gives the function that takes in a file's records.
+func (s *store) replay(file string, now time.Time) func(record []byte) error {
+	return func(record []byte) error {
+		fact := &tierv1.Fact{}
+		if err := proto.Unmarshal(record, fact); err != nil {
+			return errorx.Decorate(err, "%s: a record that is no fact", file)
+		}
+		s.add(fact, now)
+		return nil
+	}
+}
+
+// markReplayed notes that all entries come from the disk, at now, and that no partition is assigned as yet.
+func (s *store) markReplayed(now time.Time) {
+	for _, p := range s.partitions {
+		for _, e := range p.entries {
+			e.replayed = true
+		}
+		p.unassignedSince = now
+	}
+}
+
+// Run drops what is past its time, keeps the write-ahead log short, and brings the disk back after failures, until ctx ends.
+func (store *TurnStore) Run(ctx context.Context) error {
+	tick := time.NewTicker(time.Second)
+	defer tick.Stop()
+	for {
+		failed := store.diskFailure()
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-failed:
+			store.CheckDisk(store.cfg.Now())
+		case <-tick.C:
+			store.CheckDisk(store.cfg.Now())
+			store.Sweep(store.cfg.Now())
+			if err := store.Compact(ctx, false); err != nil && ctx.Err() == nil {
+				store.cfg.Log.Warn().Str("event", "turnstore_compact_failed").Err(err).Msg("")
+			}
+		}
+	}
+}
+
+// diskFailure is closed when the disk fails; nil while that is known already.
+func (store *TurnStore) diskFailure() <-chan struct{} {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	if store.diskState == diskBroken {
+		return nil
+	}
+	return store.commit.failed
+}
--- /dev/null
+++ b/internal/tier/turnstore/disk_test.go
@@ -0,0 +1,150 @@
+package turnstore
+
+import (
+	"fmt"
+	"syscall"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// reportsItself tells whether a turn store reports to control that its disk fails.
+func reportsItself(v *TurnStore) bool {
+	reports, _ := v.Synced()
+	return len(reports) == 1 && reports[0].Folder == v.Folder()
+}
+
+// passOver does what control does for turn stores whose disk fails: others take their places. Then the disk is sound again,
+// and the turn store is the one to spare.
+func (s *script) passOver() {
+	c := s.c
+	for _, name := range []string{s.primary, s.backup} {
+		n := c.nodes[name]
+		if !n.turnstore.commit.broken() {
+			continue
+		}
+		n.turnstore.CheckDisk(c.now())
+		assert.Assert(c.t, reportsItself(n.turnstore))
+		if name == s.primary {
+			s.primary, s.backup, s.spare = s.backup, s.spare, name
+		} else {
+			s.backup, s.spare = s.spare, name
+		}
+		c.assign(s.primary, "?"+s.backup)
+		c.push()
+		c.synced(s.primary, parts)
+		c.assign(s.primary, s.backup)
+		c.push()
+		n.disk.Recover()
+		n.turnstore.CheckDisk(c.now())
+		assert.Assert(c.t, !reportsItself(n.turnstore))
+		assert.Assert(c.t, !n.turnstore.commit.broken())
+	}
+}
+
+// A disk that is full from an operation on, or fails once at it, is a state of the process: it hands its places over, and
+// is of use again when there is room, without a restart. Nothing acknowledged is lost, also when the others are lost then.
+func TestFullOrFailingDiskAtEachOperation(t *testing.T) {
+	for _, full := range []bool{true, false} {
+		for _, victim := range []string{"a", "b"} {
+			for at := 1; at <= 14; at++ {
+				t.Run(fmt.Sprintf("full=%v/%s/%d", full, victim, at), func(t *testing.T) {
+					t.Parallel()
+					s := newScript(t, false)
+					s.mend = s.passOver
+					if disk := s.c.nodes[victim].disk; full {
+						disk.FailFrom(at, syscall.ENOSPC)
+					} else {
+						disk.FailAt(at, syscall.EIO)
+					}
+					s.play()
+					s.c.nodes[victim].disk.Recover() // where its place was not reached
+					s.passOver()
+					// The spare one, back from its trouble, takes the backup's place by exchange, and then the primary's.
+					s.c.assign(s.primary, "?"+s.spare)
+					s.c.push()
+					s.c.synced(s.primary, parts)
+					s.c.assign(s.primary, s.spare)
+					s.c.push()
+					s.backup, s.spare = s.spare, s.backup
+					s.mend = nil
+					s.after()
+				})
+			}
+		}
+	}
+}
+
+// The last holder of a partition goes on as its primary when there is room again, in the same epoch.
+func TestFullDiskOfTheLastHolder(t *testing.T) {
+	for at := 1; at <= 6; at++ {
+		c, k := pair(t)
+		k.keep("a", "t1", "")
+		c.assign("a")
+		c.push()
+		a := c.nodes["a"]
+		a.disk.FailFrom(at, syscall.ENOSPC)
+		for i := 0; !a.turnstore.commit.broken(); i++ {
+			k.begin("a", ask(name(10+i), "t1"))
+		}
+		a.turnstore.CheckDisk(c.now())
+		assert.Assert(t, reportsItself(a.turnstore))
+		a.turnstore.CheckDisk(c.now()) // still no room
+		assert.Assert(t, reportsItself(a.turnstore))
+		assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
+		assert.Equal(t, k.settle("a", "p", "t2", "t1", 1), busy)
+		a.disk.Recover()
+		a.turnstore.CheckDisk(c.now())
+		assert.Assert(t, !reportsItself(a.turnstore))
+		assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
+		assert.Equal(t, k.settle("a", "p", "t2", "t1", 1), ok)
+		c.crash("a", false)
+		c.restart("a")
+		assert.Equal(t, k.sure("a", ask("t3", "t2")), ok)
+	}
+}
+
+// What was answered BUSY because its sync failed is not there after the tail was read again, unless the disk has it; and what
+// the file system shows of it only in memory is not called synced.
+func TestTailIsReadAgainAfterAFailedSync(t *testing.T) {
+	c, k := pair(t)
+	k.keep("a", "t1", "")
+	b := c.nodes["b"]
+	b.disk.FailAt(2, syscall.EIO) // the sync of its copy
+	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
+	b.turnstore.CheckDisk(c.now())
+	b.turnstore.CheckDisk(c.now())
+	assert.Assert(t, !reportsItself(b.turnstore))
+	assert.Equal(t, k.sure("a", ask("t2", "t1")), ok) // the round is sent again
+	c.crash("a", true)
+	c.crash("b", false)
+	c.restart("b")
+	c.assign("b")
+	c.push("b")
+	assert.Equal(t, k.settle("b", "p", "t2", "t1", 20), ok)
+	r := ask("t3", "t2")
+	r.Most = 71 // 10 and 20 are told
+	assert.Equal(t, k.sure("b", r), spent)
+}
+
+// A sync that does not return is reported after a while, and no more when it has.
+func TestStuckDisk(t *testing.T) {
+	c, k := pair(t)
+	k.keep("a", "t1", "")
+	a := c.nodes["a"]
+	release := a.disk.StallSync()
+	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
+	a.turnstore.CheckDisk(c.now())
+	assert.Assert(t, !reportsItself(a.turnstore))
+	c.advance(3 * time.Second)
+	a.turnstore.CheckDisk(c.now())
+	assert.Assert(t, reportsItself(a.turnstore))
+	assert.ErrorContains(t, a.turnstore.Reopen(c.now()), "under way")
+	assert.Equal(t, k.begin("a", ask("t3", "t1")), busy)
+	release()
+	<-a.turnstore.commit.add().done
+	assert.Equal(t, k.sure("a", ask("t2", "t1")), ok)
+	a.turnstore.CheckDisk(c.now())
+	assert.Assert(t, !reportsItself(a.turnstore))
+}
--- a/internal/tier/turnstore/mutation_test.go
+++ b/internal/tier/turnstore/mutation_test.go
@@ -16,7 +16,8 @@
 	primary string
 	backup  string
 	spare   string
-	replace bool // machines that went down are replaced; otherwise they come back
+	mend    func() // what is done between tries, where it is not repair
+	replace bool   // machines that went down are replaced; otherwise they come back
 }
 
 func newScript(t *testing.T, replace bool) *script {
@@ -64,6 +65,10 @@
 			return
 		}
 		assert.Assert(s.c.t, v != tierv1.Verdict_UNKNOWN && v != tierv1.Verdict_SPENT, "%s: %v", what, v)
+		if s.mend != nil {
+			s.mend()
+			continue
+		}
 		s.repair()
 	}
 	s.c.t.Fatalf("%s: never done", what)
--- a/internal/tier/turnstore/term.go
+++ b/internal/tier/turnstore/term.go
@@ -190,7 +190,7 @@
 
 // serving gives the partition where this turn store may speak for it. The lock is held.
 func (store *TurnStore) serving(id uint32) (*partition, tierv1.Verdict) {
-	if !store.mapped || store.closed || store.commit.broken() {
+	if !store.mapped || store.closed || !store.writable() {
 		return nil, tierv1.Verdict_BUSY
 	}
 	p := store.store.partitions[id]
--- a/internal/tier/turnstore/turnstore.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -11,7 +11,6 @@
 
 	"github.com/joomcode/errorx"
 	"github.com/phuslu/log"
-	"google.golang.org/protobuf/proto"
 
 	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
@@ -33,6 +32,7 @@
 	RetentionSlack time.Duration    // by which a turn is gone on from past its retention: 2 s
 	BodyLinger     time.Duration    // by which a turn's body is held past its retention, over Slack + the longest turn: 30 s
 	BudgetLinger   time.Duration    // by which a budget outlives the longest retention after its last news: 120 s
+	StuckAfter     time.Duration    // after which a write or sync that has not returned counts as stuck: 2 s
 	DropAfter      time.Duration    // after which facts of a partition that is assigned elsewhere are dropped: 30 s
 }
 
@@ -47,6 +47,7 @@
 	set(&c.RetentionSlack, 2*time.Second)
 	set(&c.BodyLinger, 30*time.Second)
 	set(&c.BudgetLinger, 120*time.Second)
+	set(&c.StuckAfter, 2*time.Second)
 	set(&c.DropAfter, 30*time.Second)
 	if c.Now == nil {
 		c.Now = time.Now
@@ -64,15 +65,19 @@
 	cfg      Config
 	folder   string
 	wasEmpty bool
-	commit   *committer
 	files    [2]*wal.File
 	ctx      context.Context // ends with the turn store
 	cancel   context.CancelFunc
 	slots    chan struct{} // of exchanges that may run at the same time
 
+	maintenance sync.Mutex // held while the write-ahead log is compacted or opened again; taken before mu
+
 	mu           sync.Mutex
 	store        *store
-	active       int // of files: appended to
+	commit       *committer // replaced when the disk is sound again
+	diskState    diskState  // noted last
+	diskSince    time.Time  // when it ceased to be sound
+	active       int        // of files: appended to
 	mapped       bool
 	version      uint64
 	partitionMap *tierv1.PartitionMap // applied last; it is not modified
@@ -101,15 +106,8 @@
 		return nil, err
 	}
 	now := cfg.Now()
-	for i, name := range []string{"facts-0", "facts-1"} {
-		file, err := wal.Open(cfg.FS, cfg.Dir, name, func(record []byte) error {
-			f := &tierv1.Fact{}
-			if err := proto.Unmarshal(record, f); err != nil {
-				return errorx.Decorate(err, "%s: a record that is no fact", name)
-			}
-			v.store.add(f, now)
-			return nil
-		})
+	for i, name := range factFiles {
+		file, err := wal.Open(cfg.FS, cfg.Dir, name, v.store.replay(name, now))
 		if err != nil {
 			if i > 0 {
 				_ = v.files[0].Close()
@@ -118,16 +116,9 @@
 		}
 		v.files[i] = file
 	}
-	for _, p := range v.store.partitions {
-		for _, e := range p.entries {
-			e.replayed = true
-		}
-		p.unassignedSince = now
-	}
-	if v.files[1].Size() > v.files[0].Size() {
-		v.active = 1
-	}
-	v.commit = newCommitter(v.files[v.active])
+	v.store.markReplayed(now)
+	v.active = largest(v.files)
+	v.commit = newCommitter(v.files[v.active], cfg.Now)
 	v.ctx, v.cancel = context.WithCancel(context.Background())
 	return v, nil
 }
@@ -164,29 +155,6 @@
 // WasEmpty tells whether this process made the folder.
 func (store *TurnStore) WasEmpty() bool { return store.wasEmpty }
 
-// Failed is closed when the disk has failed: the turn store answers BUSY from then on, and the process should end.
-func (store *TurnStore) Failed() <-chan struct{} { return store.commit.failed }
-
-// Run drops what is past its time and keeps the write-ahead log short, until ctx ends or the disk fails.
-func (store *TurnStore) Run(ctx context.Context) error {
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-store.commit.failed:
-			store.cfg.Log.Error().Str("event", "turnstore_disk_failed").Err(store.commit.failure()).Msg("")
-			return store.commit.failure()
-		case <-tick.C:
-			store.Sweep(store.cfg.Now())
-			if err := store.Compact(ctx, false); err != nil && ctx.Err() == nil {
-				store.cfg.Log.Warn().Str("event", "turnstore_compact_failed").Err(err).Msg("")
-			}
-		}
-	}
-}
-
 // Close ends all work and closes the write-ahead log. What was answered is synced.
 func (store *TurnStore) Close() error {
 	store.mu.Lock()
@@ -201,6 +169,8 @@
 	}
 	store.mu.Unlock()
 	store.loops.Wait()
+	store.maintenance.Lock()
+	defer store.maintenance.Unlock()
 	b := store.commit.add()
 	<-b.done
 	return errorx.DecorateMany("close write-ahead log", store.files[0].Close(), store.files[1].Close())
