--- a/internal/tier/simulation/faults.go
+++ b/internal/tier/simulation/faults.go
@@ -109,7 +109,15 @@
 	case Replace:
 		m.wipe()
 		w.pause(f.duration())
-		w.place(m.name, m.kind, int(m.zone[len(m.zone)-1]-'1')).start()
+		w.place(m.name, m.kind, m.zoneNumber()).start()
+		return
+	case Move:
+		w.place(w.nextCore(), m.kind, m.zoneNumber()).start()
+		w.pause(f.duration())
+		m.wipe()
+		w.mu.Lock()
+		delete(w.machines, m.name)
+		w.mu.Unlock()
 		return
 	case Terminate:
 		m.terminate()
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -195,6 +195,9 @@
 	return answer
 }
 
+// zoneNumber is the number from which place makes the machine's zone.
+func (m *machine) zoneNumber() int { return int(m.zone[len(m.zone)-1] - '1') }
+
 // lives is how often the machine was started.
 func (m *machine) lives() int {
 	m.mu.Lock()
--- a/internal/tier/simulation/script.go
+++ b/internal/tier/simulation/script.go
@@ -24,6 +24,7 @@
 	PowerLoss   Kind = "power-loss"   // the machine is dark; what was not synced may be gone, all or a part
 	Wipe        Kind = "wipe"         // as a loss of power, and the disk comes back empty
 	Replace     Kind = "replace"      // gone for good; another machine with an empty disk comes at another address
+	Move        Kind = "move"         // planned: another machine of the control plane comes first, then this one goes for good
 	Terminate   Kind = "terminate"    // SIGTERM: a turn store hands its partitions over first
 	Pause       Kind = "pause"        // the process is frozen: nothing comes in or goes out, and nothing is lost
 	Cut         Kind = "cut"          // no message comes in or goes out
@@ -48,7 +49,7 @@
 func Kinds() []Kind { return append(slices.Clone(counted), others...) }
 
 var (
-	counted = []Kind{Kill, PowerLoss, Wipe, Replace, Terminate, Pause, Cut, CutInbound, CutOutbound, CutLeader, DiskFull, DiskStuck}
+	counted = []Kind{Kill, PowerLoss, Wipe, Replace, Move, Terminate, Pause, Cut, CutInbound, CutOutbound, CutLeader, DiskFull, DiskStuck}
 	others  = []Kind{RestartAll, PowerLossAll, KillGateway, Add, Retire, LoseAnswers, Reorder, Trouble}
 )
 
@@ -195,7 +196,7 @@
 		return Leader
 	}
 	name := storeName(d.r.IntN(d.s.Stores))
-	if kind != Terminate && d.r.IntN(2) == 0 {
+	if kind == Move || kind != Terminate && d.r.IntN(2) == 0 {
 		name = coreName(d.r.IntN(d.s.Core))
 	}
 	for _, l := range d.lost {
--- a/internal/tier/simulation/world.go
+++ b/internal/tier/simulation/world.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"hash/fnv"
@@ -199,12 +200,14 @@
 func (w *world) kind(kind roleName) (list []*machine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range len(w.machines) {
-		name := map[roleName]string{roleControlPlane: coreName(i), roleTurnStore: storeName(i), roleGateway: gatewayName(i)}[kind]
-		if m := w.machines[name]; m != nil {
+	for _, m := range w.machines {
+		if m.kind == kind {
 			list = append(list, m)
 		}
 	}
+	slices.SortFunc(list, func(a, b *machine) int {
+		return cmp.Or(cmp.Compare(len(a.name), len(b.name)), cmp.Compare(a.name, b.name))
+	})
 	return list
 }
 
@@ -230,6 +233,13 @@
 	return outsideRole{w.handler(m.ip)}
 }
 
+// nextCore is the name of another machine of the control plane. Addresses are never used again, so that no name is.
+func (w *world) nextCore() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return coreName(w.addresses[coreNet])
+}
+
 // leader gives the machine of the control plane's primary, nil if there is none.
 func (w *world) leader() *machine {
 	for _, m := range w.kind(roleControlPlane) {
