--- a/internal/tier/simulation/planted_test.go
+++ b/internal/tier/simulation/planted_test.go
@@ -70,7 +70,7 @@
 // Point 1: a primary that was cut off goes on as if it were in touch.
 func TestPlantedEndlessLease(t *testing.T) {
 	found(t, Seams{Store: func(s controlplane.Store) controlplane.Store { return &endless{Store: s} }},
-		RuleRead, RuleStale, RuleFalls, RuleRefusal)
+		RuleRead, RuleStale, RuleFalls, RuleRefusal, RuleRepeat)
 }
 
 // orderRecord is the part of the name of the keys under which the control plane remembers orders.
