--- a/internal/tier/turnstore/apply.go
+++ b/internal/tier/turnstore/apply.go
@@ -157,7 +157,7 @@
 		fresh := store.version > before
 		changed := store.changed
 		store.mu.Unlock()
-		if duty == noDuty || duty == backupDuty && fresh || over == nil && duty != lastHolder {
+		if duty.released(fresh, over == nil) {
 			return
 		}
 		select {
@@ -182,6 +182,20 @@
 	lastHolder             // a partition has no synced copy elsewhere
 )
 
+// released tells whether a turn store with this duty may end: fresh where control has made a map since it was told, late where
+// the time that was given is over.
+func (d duty) released(fresh, late bool) bool {
+	switch d {
+	case noDuty:
+		return true
+	case backupDuty:
+		return fresh || late
+	case neededDuty:
+		return late
+	}
+	return false
+}
+
 // dutyOf gives the greatest duty that a partition map puts on a folder. A map that is not known puts none.
 func dutyOf(m *tierv1.PartitionMap, folder string) duty {
 	greatest := noDuty
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -33,6 +33,7 @@
 	receiverDies        // served and synced, then the receiver loses power before it answers
 	receiverDumb        // the receiver loses power before it serves
 	receiverWiped       // the receiver's disk is gone before it serves
+	senderLost          // the sender's disk is gone before it goes out
 	faults
 )
 
@@ -48,22 +49,23 @@
 
 // cluster is turn stores with a network in memory, and the control state's map.
 type cluster struct {
-	t     *testing.T
-	rng   *rand.Rand
-	mu    sync.Mutex
-	nodes map[string]*node
-	names []string
-	m     *tierv1.PartitionMap
-	calls int
-	at    int // number of the message that the fault hits; 0: none
-	fault fault
-	late  []func()
-	clock time.Time
-	ctx   context.Context
+	t      *testing.T
+	rng    *rand.Rand
+	mu     sync.Mutex
+	nodes  map[string]*node
+	names  []string
+	m      *tierv1.PartitionMap
+	calls  int
+	at     int // number of the message that the fault hits; 0: none
+	fault  fault
+	struck chan struct{} // closed when the fault has hit
+	late   []func()
+	clock  time.Time
+	ctx    context.Context
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
-	c := &cluster{t: t, rng: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*node{}, names: names,
+	c := &cluster{t: t, rng: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*node{}, names: names, struck: make(chan struct{}),
 		clock: time.Now(), ctx: context.Background()}
 	for _, n := range names {
 		c.nodes[n] = &node{name: n, disk: wal.NewMemory()}
@@ -192,6 +194,7 @@
 	f := sound
 	if c.calls == c.at {
 		f = c.fault
+		defer func() { close(c.struck) }()
 	}
 	to := c.nodes[w.to]
 	off := func() bool { return to.down || to.cut || w.from != "" && (c.nodes[w.from].down || c.nodes[w.from].cut) }
@@ -207,6 +210,11 @@
 		return rep, errNet
 	}
 	switch f {
+	case senderLost:
+		if w.from != "" {
+			c.crash(w.from, true)
+		}
+		return rep, errNet
 	case receiverDumb, receiverWiped:
 		c.crash(w.to, f == receiverWiped)
 		return rep, errNet
--- a/internal/tier/turnstore/loss_test.go
+++ b/internal/tier/turnstore/loss_test.go
@@ -126,6 +126,18 @@
 	}
 }
 
+func TestDutyReleased(t *testing.T) {
+	for d, want := range map[duty][4]bool{ // not fresh, fresh, late, both
+		noDuty:     {true, true, true, true},
+		backupDuty: {false, true, true, true},
+		neededDuty: {false, false, true, true},
+		lastHolder: {},
+	} {
+		got := [4]bool{d.released(false, false), d.released(true, false), d.released(false, true), d.released(true, true)}
+		assert.Equal(t, got, want, d)
+	}
+}
+
 // A store that leaves waits for control's word, for its successors, and longer than it is given where it is the last holder.
 func TestReleased(t *testing.T) {
 	c, k := pair(t)
--- a/internal/tier/turnstore/mutation_test.go
+++ b/internal/tier/turnstore/mutation_test.go
@@ -16,6 +16,7 @@
 	primary string
 	backup  string
 	spare   string
+	leaving string // a former primary that still has its copies
 	mend    func() // what is done between tries, where it is not repair
 	replace bool   // machines that went down are replaced; otherwise they come back
 }
