--- a/internal/tier/turnstore/loss_test.go
+++ b/internal/tier/turnstore/loss_test.go
@@ -194,3 +194,26 @@
 	defer cancel()
 	<-released(short) // at last, also as the last holder
 }
+
+// Neither a reservation nor a settlement is confirmed while a backup, synced or not, has not taken it.
+func TestNothingIsConfirmedWithoutEachBackup(t *testing.T) {
+	for _, backups := range [][]string{{"b", "c"}, {"b", "?c"}, {"?c", "b"}} {
+		c := newCluster(t, "a", "b", "c")
+		c.assign("a", backups...)
+		c.push()
+		k := newChecker(c)
+		k.keep("a", "t1", "")
+		assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
+		c.mu.Lock()
+		c.nodes["c"].cut = true
+		c.mu.Unlock()
+		assert.Equal(t, k.settle("a", "p", "t2", "t1", 20), busy)
+		assert.Equal(t, k.begin("a", ask("t3", "t1")), busy)
+		c.mu.Lock()
+		c.nodes["c"].cut = false
+		c.mu.Unlock()
+		assert.Equal(t, k.sure("a", ask("t3", "t1")), ok)
+		for k.settle("a", "p", "t2", "t1", 20) != ok {
+		}
+	}
+}
