--- a/internal/tier/turnstore/loss_test.go
+++ b/internal/tier/turnstore/loss_test.go
@@ -126,6 +126,18 @@
 	}
 }
 
+func TestDutyReleased(t *testing.T) {
+	for d, want := range map[duty][4]bool{ // not fresh, fresh, late, both
+		noDuty:     {true, true, true, true},
+		backupDuty: {false, true, true, true},
+		neededDuty: {false, false, true, true},
+		lastHolder: {},
+	} {
+		got := [4]bool{d.released(false, false), d.released(true, false), d.released(false, true), d.released(true, true)}
+		assert.Equal(t, got, want, d)
+	}
+}
+
 // A store that leaves waits for control's word, for its successors, and longer than it is given where it is the last holder.
 func TestReleased(t *testing.T) {
 	c, k := pair(t)
@@ -182,3 +194,26 @@
 	defer cancel()
 	<-released(short) // at last, also as the last holder
 }
+
+// Neither a reservation nor a settlement is confirmed while a backup, synced or not, has not taken it.
+func TestNothingIsConfirmedWithoutEachBackup(t *testing.T) {
+	for _, backups := range [][]string{{"b", "c"}, {"b", "?c"}, {"?c", "b"}} {
+		c := newCluster(t, "a", "b", "c")
+		c.assign("a", backups...)
+		c.push()
+		k := newChecker(c)
+		k.keep("a", "t1", "")
+		assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
+		c.mu.Lock()
+		c.nodes["c"].cut = true
+		c.mu.Unlock()
+		assert.Equal(t, k.settle("a", "p", "t2", "t1", 20), busy)
+		assert.Equal(t, k.begin("a", ask("t3", "t1")), busy)
+		c.mu.Lock()
+		c.nodes["c"].cut = false
+		c.mu.Unlock()
+		assert.Equal(t, k.sure("a", ask("t3", "t1")), ok)
+		for k.settle("a", "p", "t2", "t1", 20) != ok {
+		}
+	}
+}
