--- a/internal/sender/fleetpart_test.go
+++ b/internal/sender/fleetpart_test.go
@@ -206,10 +206,12 @@
 			t.Parallel()
 			var mu sync.Mutex
 			answer := st.Reset
+			answered := make(chan struct{}, 1000)
 			e := st.NewEndpoint(t, func(call st.Call, conn net.Conn) bool {
 				mu.Lock()
 				a := answer
 				mu.Unlock()
+				defer func() { answered <- struct{}{} }()
 				return a(call, conn)
 			})
 			p := st.NewPlatform(t, e.Addr)
@@ -217,7 +219,8 @@
 			f.say(t, true, "")
 			addr := run(t, p, func(c *Config) { c.Fleet = f })
 			st.HandIn(t, addr, "ran", "keyed", 0, 15*time.Second)
-			e.Next(t) // its outcome is a reset: it may have run
+			e.Next(t)
+			st.Receive(t, answered) // its outcome is a reset: it may have run
 			f.say(t, c.acts, c.document)
 			if c.mayRun != "" {
 				if n := st.Receive(t, p.Notices); n.Message != "ran" || n.Outcome != c.mayRun {
--- a/internal/tier/turnstore/mutation_test.go
+++ b/internal/tier/turnstore/mutation_test.go
@@ -89,7 +89,13 @@
 func (s *script) after() {
 	c := s.c
 	c.mu.Lock()
+	underWay := c.at > 0 && c.calls >= c.at
 	c.at = 0
+	c.mu.Unlock()
+	if underWay {
+		<-c.struck // otherwise a machine may lose power after it was repaired
+	}
+	c.mu.Lock()
 	late := c.late
 	c.late = nil
 	c.mu.Unlock()
--- a/internal/tier/turnstore/serve_test.go
+++ b/internal/tier/turnstore/serve_test.go
@@ -288,6 +288,9 @@
 	c.assign("b", "?a", "?c")
 	c.push()
 	c.synced("b", 2*parts)
+	found, err := c.nodes["b"].turnstore.Find(c.ctx, &tierv1.FindRequest{Attempt: "none"})
+	assert.NilError(t, err)
+	assert.Equal(t, len(found.Partitions), parts) // every backup has taken all that came to b before
 	for _, n := range c.names {
 		v := c.nodes[n].turnstore
 		r, err := v.Fetch(c.ctx, &tierv1.FetchRequest{Keys: []string{"r/t1", "s/t1", "a/t1", "r/t2", "r/none", "?"}})
