--- a/cmd/saffronyard/main_test.go
+++ b/cmd/saffronyard/main_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -12,6 +11,7 @@
 	"testing"
 	"time"
 
+	"dockshift.example/dockshift/internal/rehearsal/fleet"
 	st "dockshift.example/dockshift/internal/sendertest"
 )
 
@@ -65,12 +65,10 @@
 
 func startWith(t *testing.T, settings map[string]any, state string, args ...string) *process {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	addr, err := fleet.FreeAddr("127.0.0.1") // below the ports that endpoints of other tests listen on
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	l.Close()
 	config := filepath.Join(t.TempDir(), "config.json")
 	configureWith(t, config, settings)
 	c := &process{exec.Command(os.Args[0], args...), addr, config}
--- a/internal/rehearsal/fleet/fleet.go
+++ b/internal/rehearsal/fleet/fleet.go
@@ -6,11 +6,13 @@
 	"errors"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"sync"
 	"syscall"
 	"time"
@@ -304,12 +306,32 @@
 	s.Kill(false)
 }
 
-// FreeAddr is an address at a host that nothing listens on.
+// Ports that FreeAddr gives: below those that the system gives to callers and to listeners that name none, so that nobody is
+// given one between the look and the start of the process it is meant for.
+const (
+	firstFreePort = 10_000
+	freePortCount = 20_000
+	freePortTries = 100
+)
+
+// givenPorts are the ports that FreeAddr has given in this process: none is given twice.
+var givenPorts sync.Map
+
+// FreeAddr is an address at a host that nothing listens on, for a process that is started next.
 func FreeAddr(host string) (string, error) {
-	l, err := net.Listen("tcp", host+":0")
-	if err != nil {
-		return "", err
+	err := errors.New("each port tried was given before")
+	for range freePortTries {
+		port := firstFreePort + rand.N(freePortCount)
+		if _, given := givenPorts.LoadOrStore(port, true); given {
+			continue
+		}
+		var listener net.Listener
+		listener, err = net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(port)))
+		if err != nil {
+			continue
+		}
+		defer listener.Close()
+		return listener.Addr().String(), nil
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	return "", fmt.Errorf("no free port at %s in %d tries: %w", host, freePortTries, err)
 }
--- a/internal/rehearsal/fleet/fleet_test.go
+++ b/internal/rehearsal/fleet/fleet_test.go
@@ -1,10 +1,12 @@
 package fleet
 
 import (
+	"net"
 	"net/http"
 	"os"
 	"os/signal"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -241,3 +243,28 @@
 		t.Error(got)
 	}
 }
+
+// Addresses that are given lie below the ports of callers, are free, and differ.
+func TestFreeAddr(t *testing.T) {
+	seen := map[string]bool{}
+	for range 200 {
+		addr, err := FreeAddr("127.0.0.1")
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, text, _ := net.SplitHostPort(addr)
+		port, _ := strconv.Atoi(text)
+		if seen[addr] || port < firstFreePort || port >= firstFreePort+freePortCount {
+			t.Errorf("%s is given, after %d others", addr, len(seen))
+		}
+		seen[addr] = true
+		l, err := net.Listen("tcp", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		l.Close()
+	}
+	if _, err := FreeAddr("192.0.2.1"); err == nil {
+		t.Error("an address of another machine is given")
+	}
+}
