--- a/internal/sender/fleetpart_test.go
+++ b/internal/sender/fleetpart_test.go
@@ -26,6 +26,7 @@
 	waits  int64
 	paced  func()
 	paces  []fleet.Pace
+	taken  int // how often the paces were asked for
 	ended  atomic.Int64
 }
 
@@ -42,6 +43,7 @@
 func (f *toldFleet) Paces(bool) []fleet.Pace {
 	f.mu.Lock()
 	defer f.mu.Unlock()
+	f.taken++
 	return f.paces
 }
 
@@ -139,11 +141,17 @@
 	lend := func(mine float64) {
 		f.mu.Lock()
 		f.paces = []fleet.Pace{{Destination: 1, Limited: true, Mine: mine, All: 10}}
+		before := f.taken
 		f.mu.Unlock()
 		f.paced()
+		until(t, func() bool { // what is handed in from now on goes by it
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			return f.taken > before
+		})
 	}
 	lend(0)
-	st.HandIn(t, addr, "first", "keyed", 1, 10*time.Second) // one call may be on its way as the word comes
+	st.HandIn(t, addr, "first", "keyed", 1, 10*time.Second)
 	st.HandIn(t, addr, "second", "keyed", 1, 10*time.Second)
 	until(t, func() bool {
 		f.mu.Lock()
