--- a/internal/tier/gateway/gone_test.go
+++ b/internal/tier/gateway/gone_test.go
@@ -207,3 +207,47 @@
 	}
 	assert.Equal(t, len(e.Arrivals()), 2)
 }
+
+// TestASpentBudgetIsNoWordWhileAnotherGatewayReleases: a turn was refused at the first gateway while its turn store was away.
+// Until its release has come to the next primary the second gateway says 503; then there is room.
+func TestASpentBudgetIsNoWordWhileAnotherGatewayReleases(t *testing.T) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
+		if a.ID == "t-1" {
+			a.Bare(503, "X-Not-Executed: full\r\n")
+			return
+		}
+		talk(a)
+	})
+	first, second := bare(t), bare(t)
+	second.turnStores = first.turnStores
+	where := first.turnStores.Assign([2]int{0, 1})
+	for _, r := range []*rig{first, second} {
+		r.consensus.SetConfiguration(configurationOf(1, ""))
+		r.list(e)
+		r.consensus.SetPartitionMap(where)
+		r.consensus.Taken(t)
+	}
+	first.turnStores.List[0].SetVia(func(m tiertest.Message) error {
+		if _, ok := m.Request.(*tierv1.SettleRequest); ok { // it is away from then on
+			<-m.Ctx.Done()
+			return m.Ctx.Err()
+		}
+		return m.Serve()
+	})
+	text := func(id string, most int) string {
+		return turn(id, "", "p", fmt.Sprintf("X-Deadline-Ms: 2000\r\nBudget: 20\r\nX-Token-Usage: 9,%d\r\n", most), "in")
+	}
+	promise(t, first.do(text("t-1", 20)))
+	where = first.turnStores.Assign([2]int{1, 2})
+	second.consensus.SetPartitionMap(where)
+	promise(t, second.do(text("t-2", 20)))
+	assert.Equal(t, second.do(text("t-3", 21)).Status, 402) // there will be no room for it
+	ends := settled(first.turnStores.List[1])
+	first.consensus.SetPartitionMap(where)
+	for tiertest.Closed(t, "the reservation ends", ends).Attempt != "t-1" {
+	}
+	whole(t, second.do(text("t-4", 20)), 200, events(said("t-4")...))
+	for _, a := range e.Arrivals() {
+		assert.Assert(t, a.ID == "t-1" || a.ID == "t-4", "%s has run", a.ID)
+	}
+}
--- a/internal/tier/gateway/released_test.go
+++ b/internal/tier/gateway/released_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"dockshift.example/dockshift/internal/tier/settings"
+	"dockshift.example/dockshift/internal/tier/turnstore"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
@@ -57,3 +58,10 @@
 	assert.Assert(t, !released(ctx, k.pending("p")))
 	assert.Equal(t, len(k.releasing), 0)
 }
+
+// The time that a turn store gives a release after a takeover covers a call of a gateway and the pause after it.
+func TestAReleaseComesThroughInItsTime(t *testing.T) {
+	const longestContactWindow = 4 * time.Second // of the deployments known
+	client := newStoreClient(settings.Settings{ContactWindow: longestContactWindow}, nil, nil)
+	assert.Equal(t, client.try+client.wait, turnstore.DefaultReleaseTime)
+}
--- a/internal/tier/tiertest/turnstores.go
+++ b/internal/tier/tiertest/turnstores.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"sync"
 	"testing"
+	"time"
 
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
@@ -128,13 +129,18 @@
 
 const partitions = 6
 
+// releaseTime is how long a release may take to come through after a takeover: longer than any test, so that none depends on
+// how fast it runs.
+const releaseTime = 10 * time.Minute
+
 // NewTurnStores opens so many.
 func NewTurnStores(t testing.TB, n int) *TurnStores {
 	t.Helper()
 	all := &TurnStores{t: t}
 	for i := range n {
 		one := &TurnStore{Address: fmt.Sprintf("turnstore-%d", i)}
-		v, err := turnstore.Open(turnstore.Config{Node: one.Address, Dir: "/data", FS: wal.NewMemory(), Dial: all.Dial, Log: Silent()})
+		v, err := turnstore.Open(turnstore.Config{Node: one.Address, Dir: "/data", FS: wal.NewMemory(), Dial: all.Dial, Log: Silent(),
+			ReleaseTime: releaseTime})
 		assert.NilError(t, err)
 		one.TurnStore = v
 		all.List = append(all.List, one)
--- a/internal/tier/turnstore/apply.go
+++ b/internal/tier/turnstore/apply.go
@@ -40,17 +40,21 @@
 		return
 	}
 	if part.Epoch == p.epoch && p.term != nil {
-		p.term.unconfirmed = p.term.unconfirmed && len(part.RecoverFrom) > 0
+		if p.term.unconfirmed && len(part.RecoverFrom) == 0 {
+			p.term.unconfirmed, p.term.primarySince = false, store.cfg.Now()
+		}
 		for _, s := range p.term.senders {
 			s.unsynced = slices.ContainsFunc(part.Backups, func(c *tierv1.Copy) bool { return c.Folder == s.folder && !c.Synced })
 		}
 		return
 	}
+	continued := store.continued(p, part)
 	p.end()
 	p.epoch, p.primary, p.term = part.Epoch, part.Primary, nil
 	p.backup = slices.ContainsFunc(part.Backups, func(c *tierv1.Copy) bool { return c.Folder == store.folder })
 	if p.primary == store.folder {
 		store.beginTerm(p, part)
+		p.term.goOnFrom(continued)
 	}
 	retained := slices.ContainsFunc(part.Retained, func(c *tierv1.RetainedCopy) bool { return c.Folder == store.folder })
 	switch {
@@ -64,7 +68,7 @@
 // beginTerm starts a term: facts added from now on go to all its backups, and what was there before is exchanged with them.
 func (store *TurnStore) beginTerm(p *partition, part *tierv1.Partition) {
 	store.terms++
-	t := &term{id: store.terms, epoch: part.Epoch, closed: make(chan struct{})}
+	t := &term{id: store.terms, firstID: store.terms, epoch: part.Epoch, closed: make(chan struct{}), primarySince: store.cfg.Now()}
 	for _, c := range part.Backups {
 		if c.Folder == store.folder {
 			continue
--- /dev/null
+++ b/internal/tier/turnstore/budget_test.go
@@ -0,0 +1,202 @@
+package turnstore
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// release ends a reservation of which nothing was handed out.
+func (k *checker) release(to, attempt string) tierv1.Verdict {
+	w := &wire{c: k.c, to: to}
+	reply, err := w.Settle(k.c.ctx, &tierv1.SettleRequest{Program: "p", Attempt: attempt})
+	if err != nil {
+		return tierv1.Verdict_VERDICT_UNSPECIFIED
+	}
+	if reply.Verdict == ok {
+		k.granted[attempt] = 0
+	}
+	return reply.Verdict
+}
+
+// askMost is a Begin of a turn that may cost so many of 100 tokens.
+func askMost(attempt string, most uint64) *tierv1.BeginRequest {
+	r := ask(attempt, "")
+	r.Most = most
+	return r
+}
+
+// takeover is a primary whose turn t1 has cost 10 tokens, and t2 may cost 80 more; then its disk is lost, and b takes over.
+func takeover(t *testing.T) (*cluster, *checker) {
+	c, k := pair(t)
+	k.keep("a", "t1", "")
+	assert.Equal(t, k.begin("a", askMost("t2", 80)), ok)
+	c.crash("a", true)
+	c.assign("b", "?c")
+	c.push("b", "c")
+	return c, k
+}
+
+// While a gateway releases t2, and found no turn store for it, the budget is not spent: there is room once it is through.
+func TestABudgetIsNotSpentWhileATakeoverHoldsUpARelease(t *testing.T) {
+	_, k := takeover(t)
+	assert.Equal(t, k.begin("b", askMost("t3", 20)), busy)
+	assert.Equal(t, k.release("b", "t2"), ok)
+	assert.Equal(t, k.begin("b", askMost("t3", 20)), ok)
+	assert.Equal(t, k.begin("b", askMost("t4", 71)), spent) // t3 was begun here, and t1 is settled
+}
+
+// A release that reached the primary alone before it was lost comes again to the next one.
+func TestATakeoverInTheMiddleOfARelease(t *testing.T) {
+	c, k := pair(t)
+	assert.Equal(t, k.begin("a", askMost("t1", 100)), ok)
+	c.mu.Lock()
+	c.nodes["b"].cut = true
+	c.mu.Unlock()
+	assert.Equal(t, k.release("a", "t1"), busy)
+	c.crash("a", true)
+	c.mu.Lock()
+	c.nodes["b"].cut = false
+	c.mu.Unlock()
+	c.assign("b", "?c")
+	c.push("b", "c")
+	assert.Equal(t, k.begin("b", askMost("t2", 100)), busy)
+	assert.Equal(t, k.release("b", "t1"), ok)
+	assert.Equal(t, k.begin("b", askMost("t2", 100)), ok)
+}
+
+// A reservation whose release has not come within the time for it counts as one of a turn that is under way.
+func TestABudgetIsSpentWhenTheTimeForReleasesIsOver(t *testing.T) {
+	c, k := takeover(t)
+	c.advance(DefaultReleaseTime - time.Nanosecond)
+	assert.Equal(t, k.begin("b", askMost("t3", 20)), busy)
+	c.advance(time.Nanosecond)
+	assert.Equal(t, k.begin("b", askMost("t3", 20)), spent)
+	assert.Equal(t, k.begin("b", askMost("t4", 10)), ok)
+}
+
+// What is settled leaves no room: that is told at once, right after a takeover too.
+func TestASettledBudgetIsSpentAtOnceAfterATakeover(t *testing.T) {
+	c, k := pair(t)
+	assert.Equal(t, k.begin("a", ask("t1", "")), ok)
+	assert.Equal(t, k.settle("a", "p", "t1", "", 20), ok)
+	assert.Equal(t, k.begin("a", askMost("t2", 1)), ok)
+	c.crash("a", true)
+	c.assign("b", "?c")
+	c.push("b", "c")
+	assert.Equal(t, k.begin("b", askMost("t3", 81)), spent)
+	assert.Equal(t, k.begin("b", askMost("t4", 80)), busy)
+	assert.Equal(t, k.begin("b", askMost("t5", 79)), ok)
+}
+
+// A turn that was begun at this primary is under way until its release comes, however young it is.
+func TestABudgetIsSpentAtOnceWhileATurnIsUnderWay(t *testing.T) {
+	_, k := pair(t)
+	assert.Equal(t, k.begin("a", askMost("t1", 100)), ok)
+	assert.Equal(t, k.begin("a", askMost("t2", 1)), spent)
+}
+
+// A primary that goes on with another backup has taken every release: its answer needs no wait. Where it may have missed
+// an epoch, another may have been the primary.
+func TestABudgetIsSpentAtOnceWhileThePrimaryGoesOn(t *testing.T) {
+	c, k := pair(t)
+	assert.Equal(t, k.begin("a", askMost("t1", 100)), ok)
+	c.assign("a", "?c")
+	c.push()
+	assert.Equal(t, k.begin("a", askMost("t2", 1)), spent)
+	c.assign("a", "?b")
+	c.assign("a", "?c")
+	c.push()
+	assert.Equal(t, k.begin("a", askMost("t2", 1)), busy)
+	c.advance(DefaultReleaseTime)
+	assert.Equal(t, k.begin("a", askMost("t2", 1)), spent)
+}
+
+func TestTheTermThatIsContinued(t *testing.T) {
+	v := &TurnStore{folder: "a"}
+	for name, test := range map[string]struct {
+		term *term
+		next *tierv1.Partition
+		want bool
+	}{
+		"the next epoch":       {&term{}, &tierv1.Partition{Epoch: 6, Primary: "a"}, true},
+		"an epoch left out":    {&term{}, &tierv1.Partition{Epoch: 7, Primary: "a"}, false},
+		"another's":            {&term{}, &tierv1.Partition{Epoch: 6, Primary: "b"}, false},
+		"no term":              {nil, &tierv1.Partition{Epoch: 6, Primary: "a"}, false},
+		"a term that is over":  {&term{ended: true}, &tierv1.Partition{Epoch: 6, Primary: "a"}, false},
+		"a term not confirmed": {&term{unconfirmed: true}, &tierv1.Partition{Epoch: 6, Primary: "a"}, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := &partition{role: role{epoch: 5, primary: "a", term: test.term}}
+			assert.Equal(t, v.continued(p, test.next) != nil, test.want)
+		})
+	}
+}
+
+// A primary that recovers takes no release before control knows that it has: the time for releases begins then, once.
+func TestTheTimeForReleasesBeginsWhenARecoveryIsConfirmed(t *testing.T) {
+	now := time.Now()
+	v := &TurnStore{folder: "a", cfg: Config{Now: func() time.Time { return now }}}
+	began := now
+	p := &partition{role: role{epoch: 5, primary: "a", term: &term{epoch: 5, unconfirmed: true, primarySince: began}}}
+	now = now.Add(time.Minute)
+	v.assign(p, &tierv1.Partition{Epoch: 5, Primary: "a", RecoverFrom: []string{"b"}})
+	assert.Assert(t, p.term.unconfirmed && p.term.primarySince.Equal(began))
+	confirmed := now.Add(time.Minute)
+	now = confirmed
+	v.assign(p, &tierv1.Partition{Epoch: 5, Primary: "a"})
+	assert.Assert(t, !p.term.unconfirmed && p.term.primarySince.Equal(confirmed))
+	now = now.Add(time.Minute)
+	v.assign(p, &tierv1.Partition{Epoch: 5, Primary: "a"})
+	assert.Assert(t, p.term.primarySince.Equal(confirmed))
+}
+
+func TestBudgetVerdict(t *testing.T) {
+	const releaseTime = time.Second
+	began := time.Now()
+	for name, test := range map[string]struct {
+		settled, before, here uint64 // charged: settled, reserved before this primary's time, reserved in it
+		own                   uint64 // charged to the attempt itself, before this primary's time
+		most                  uint64
+		after                 time.Duration
+		want                  tierv1.Verdict
+	}{
+		"room for it":                    {30, 30, 30, 0, 10, 0, ok},
+		"the earlier may be released":    {30, 30, 30, 0, 40, 0, busy},
+		"not all by these":               {30, 30, 30, 0, 41, 0, spent},
+		"settled alone":                  {100, 0, 0, 0, 1, 0, spent},
+		"settled, with one to release":   {90, 5, 0, 0, 11, 0, spent},
+		"begun here alone":               {0, 0, 100, 0, 1, 0, spent},
+		"overdrawn":                      {101, 50, 0, 0, 1, 0, spent},
+		"more than the budget":           {0, 50, 0, 0, 101, 0, spent},
+		"its own":                        {50, 0, 0, 50, 50, 0, ok},
+		"its own is not released":        {60, 0, 0, 50, 50, 0, spent},
+		"its own, and the earlier":       {0, 60, 0, 50, 50, 0, busy},
+		"just within the time":           {0, 100, 0, 0, 1, releaseTime - 1, busy},
+		"the time is over":               {0, 100, 0, 0, 1, releaseTime, spent},
+		"the time is over, with room":    {0, 99, 0, 0, 1, releaseTime, ok},
+		"a number beyond all that is so": {0, 100, 0, 0, ^uint64(0), 0, spent},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := newStore()
+			p := s.partition(0)
+			p.term = &term{id: 8, firstID: 7, primarySince: began}
+			reserved := func(attempt string, most, term uint64) {
+				if most > 0 {
+					s.add(reserve(attempt, most), began)
+					p.entries[attempt].term = term
+				}
+			}
+			reserved("before", test.before, 6)
+			reserved("here", test.here, 7)
+			reserved("own", test.own, 0)
+			s.add(settled("settled", "", test.settled, false), began)
+			s.add(&tierv1.Fact{Program: "other", Attempt: "another's", Of: reserve("", 100).Of}, began)
+			r := askMost("own", test.most)
+			assert.Equal(t, p.budgetVerdict(r, test.own, releaseTime, began.Add(test.after)), test.want)
+		})
+	}
+}
--- a/internal/tier/turnstore/durable_test.go
+++ b/internal/tier/turnstore/durable_test.go
@@ -88,6 +88,8 @@
 	c.synced("b", parts)
 	c.assign("a", "b")
 	c.push()
+	assert.Equal(t, k.sure("a", ask("t1", "")), busy) // b's reservations may be under release
+	c.advance(DefaultReleaseTime)
 	assert.Equal(t, k.sure("a", ask("t1", "")), spent)
 }
 
--- a/internal/tier/turnstore/serve.go
+++ b/internal/tier/turnstore/serve.go
@@ -48,8 +48,8 @@
 		if known && e.program.name == req.Program {
 			own = e.charge()
 		}
-		if !p.room(req.Program, req.Budget, req.Most, own) {
-			return decision{verdict: tierv1.Verdict_SPENT}
+		if verdict := p.budgetVerdict(req, own, store.cfg.ReleaseTime, now); verdict != tierv1.Verdict_OK {
+			return decision{verdict: verdict}
 		}
 	}
 	if !known && (store.full() || p.term.queuedBytes() > maxQueuedBytes) {
--- a/internal/tier/turnstore/serve_test.go
+++ b/internal/tier/turnstore/serve_test.go
@@ -298,7 +298,9 @@
 		assert.Equal(t, len(r.Facts), 3, n)
 	}
 	r := ask("t3", "t1")
-	r.Most = 71 // 10 told, 20 reserved
+	r.Most = 71                            // 10 told, 20 reserved
+	assert.Equal(t, k.begin("b", r), busy) // the reservation's gateway was answered BUSY, and may be releasing it
+	c.advance(DefaultReleaseTime)
 	assert.Equal(t, k.begin("b", r), spent)
 }
 
--- a/internal/tier/turnstore/term.go
+++ b/internal/tier/turnstore/term.go
@@ -21,6 +21,7 @@
 // term is the time for which this turn store is primary of a partition in one epoch.
 type term struct {
 	id      uint64
+	firstID uint64 // id of the first term since which this turn store has been the primary without a break
 	epoch   uint64
 	senders []*sender
 	closed  chan struct{} // closed when it ends: by a newer epoch
@@ -30,6 +31,9 @@
 	// unconfirmed is set until control knows that this turn store has recovered: nothing is answered before, so that control
 	// knows in which epochs something can have been acknowledged.
 	unconfirmed bool
+	// primarySince is when this turn store became the primary, and could answer as such: at the first of the terms without a
+	// break, or when control knew that it had recovered.
+	primarySince time.Time
 }
 
 // end closes the term in force, if any. The lock is held.
--- a/internal/tier/turnstore/turnstore.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -33,6 +33,7 @@
 	BodyLinger     time.Duration    // by which a turn's body is held past its retention, over Slack + the longest turn: 30 s
 	BudgetLinger   time.Duration    // by which a budget outlives the longest retention after its last news: 120 s
 	StuckAfter     time.Duration    // after which a write or sync that has not returned counts as stuck: 2 s
+	ReleaseTime    time.Duration    // in which a release comes through after this turn store became the primary: DefaultReleaseTime
 	DropAfter      time.Duration    // after which facts of a partition that is assigned elsewhere are dropped: 30 s
 }
 
@@ -48,6 +49,7 @@
 	set(&c.BodyLinger, 30*time.Second)
 	set(&c.BudgetLinger, 120*time.Second)
 	set(&c.StuckAfter, 2*time.Second)
+	set(&c.ReleaseTime, DefaultReleaseTime)
 	set(&c.DropAfter, 30*time.Second)
 	if c.Now == nil {
 		c.Now = time.Now
