--- a/cmd/yard/operate.go
+++ b/cmd/yard/operate.go
@@ -109,7 +109,7 @@
 		fmt.Fprintf(w, "  member\t%s\t%s\t%s\n", m.Node, m.Address, m.Zone)
 	}
 	for _, one := range s.Sessions {
-		fmt.Fprintf(w, "  session\t%s\t%s\tconfiguration %d\tendpoints %d\tturn stores %d\tsilent %d ms\n", one.Node, one.Role, one.Configuration, one.Endpoints, one.PartitionMap, one.SilentMs)
+		fmt.Fprintf(w, "  session\t%s\t%s\tconfiguration %d\tendpoints %d\tturn stores %d\tsilent %d ms%s\n", one.Node, one.Role, one.Configuration, one.Endpoints, one.PartitionMap, one.SilentMs, diskTrouble(one.Disk))
 	}
 	whole := 0
 	for _, p := range s.GetPartitionMap().GetPartitions() {
@@ -129,6 +129,20 @@
 	}
 }
 
+// diskTrouble tells why a turn store's disk is not sound, so that it has no duties; empty for one that is.
+func diskTrouble(state tierv1.DiskState) string {
+	switch state {
+	case tierv1.DiskState_DISK_UNSPECIFIED, tierv1.DiskState_DISK_SOUND:
+		return ""
+	case tierv1.DiskState_DISK_FULL:
+		return "\tnot sound: disk full"
+	case tierv1.DiskState_DISK_STUCK:
+		return "\tnot sound: disk stuck"
+	default:
+		return "\tnot sound: disk failing"
+	}
+}
+
 // roleIn tells what a process is by the newest record that it knows.
 func roleIn(s *tierv1.StatusReply) string {
 	switch {
--- a/cmd/yard/operate_test.go
+++ b/cmd/yard/operate_test.go
@@ -4,6 +4,7 @@
 	"strings"
 	"testing"
 
+	"google.golang.org/protobuf/encoding/protojson"
 	"gotest.tools/v3/assert"
 
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
@@ -31,6 +32,17 @@
 		{"a member is absent", &tierv1.StatusReply{Primary: true, Risk: &tierv1.Risk{Losses: 1, PartitionsBorne: 1, ControlMembers: 3, ControlCopies: 1,
 			ControlAbsent: []string{"10.0.0.2:7680"}}}, []string{"control state: 1 copies beside the primary's, absent members: 10.0.0.2:7680"}, "change"},
 		{"out of touch", &tierv1.StatusReply{Primary: true, Risk: &tierv1.Risk{Losses: 1, ControlBorne: -1}}, []string{"control state unknown of 1"}, "change"},
+		{"a turn store's full disk", &tierv1.StatusReply{Primary: true, Sessions: []*tierv1.Session{
+			{Node: "store-1", Role: "turnstore", Disk: tierv1.DiskState_DISK_SOUND}, {Node: "store-2", Role: "turnstore", Disk: tierv1.DiskState_DISK_FULL}}},
+			[]string{"session store-1 turnstore configuration 0 endpoints 0 turn stores 0 silent 0 ms session", "silent 0 ms not sound: disk full"}, "stuck"},
+		{"a turn store's stuck disk", &tierv1.StatusReply{Primary: true, Sessions: []*tierv1.Session{{Role: "turnstore", Disk: tierv1.DiskState_DISK_STUCK}}},
+			[]string{"not sound: disk stuck"}, "full"},
+		{"a turn store's failing disk", &tierv1.StatusReply{Primary: true, Sessions: []*tierv1.Session{{Role: "turnstore", Disk: tierv1.DiskState_DISK_FAILING}}},
+			[]string{"not sound: disk failing"}, "full"},
+		{"a state of a later version", &tierv1.StatusReply{Primary: true, Sessions: []*tierv1.Session{{Role: "turnstore", Disk: tierv1.DiskState_DISK_STUCK + 1}}},
+			[]string{"not sound: disk failing"}, "full"},
+		{"an older turn store", &tierv1.StatusReply{Primary: true, Sessions: []*tierv1.Session{{Role: "turnstore"}}},
+			[]string{"silent 0 ms"}, "sound"},
 		{"a disk that fails", &tierv1.StatusReply{DiskError: "no space left on device"}, []string{"disk no space left on device"}, "losses"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,3 +56,9 @@
 		})
 	}
 }
+
+// The JSON of status names the state of a turn store's disk.
+func TestStatusInJSONTellsTheDisk(t *testing.T) {
+	out := protojson.Format(&tierv1.StatusReply{Sessions: []*tierv1.Session{{Node: "store-1", Role: "turnstore", Disk: tierv1.DiskState_DISK_STUCK}}})
+	assert.Assert(t, strings.Contains(out, `"DISK_STUCK"`), out)
+}
--- a/internal/tier/controlplane/assign.go
+++ b/internal/tier/controlplane/assign.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"maps"
 	"slices"
 
 	"dockshift.example/dockshift/internal/tier/settings"
@@ -34,8 +33,7 @@
 	return Spread{Losses: s.Losses(), Domain: d}
 }
 
-// Report is a turn store's report, From by its folder, that a copy holds all that was acknowledged, synced on its disk. A
-// report that names its own folder says that its disk fails: it takes and answers nothing until it reports that no more.
+// Report is a turn store's report, From by its folder, that a copy holds all that was acknowledged, synced on its disk.
 type Report struct {
 	From string
 	Copy *tierv1.SyncedCopy
@@ -44,7 +42,7 @@
 // Input is what the partition map is made from, beside the map before.
 type Input struct {
 	Spread
-	Alive   map[string]*tierv1.StoreNode // by folder
+	Alive   map[string]*tierv1.StoreNode // by folder; those whose disk is not sound are not among them
 	Leaving map[string]bool              // of these: SIGTERM was heard
 	Reports []Report
 	Slow    map[uint32]bool // partitions with a copy under way for longer than usual
@@ -64,7 +62,6 @@
 		m = proto.Clone(before).(*tierv1.PartitionMap)
 	}
 	a := &assignment{Input: in, m: m}
-	a.excludeFailing()
 	a.observeNodes()
 	a.noteOutgoing()
 	if len(m.Partitions) == 0 {
@@ -192,22 +189,6 @@
 	return !a.alive(folder) && (a.Certain || a.replaced[folder])
 }
 
-// excludeFailing takes turn stores that report that they cannot write for lost. They keep what they hold, and come back by
-// reporting it no more.
-func (a *assignment) excludeFailing() {
-	failing := map[string]bool{}
-	for _, r := range a.Reports {
-		if r.Copy.Folder == r.From {
-			failing[r.From] = true
-		}
-	}
-	if len(failing) == 0 {
-		return
-	}
-	a.Alive = maps.Clone(a.Alive)
-	maps.DeleteFunc(a.Alive, func(folder string, _ *tierv1.StoreNode) bool { return failing[folder] })
-}
-
 // countSlow counts, for each turn store, the slow partitions that it is the primary of, and the copies under way there in such.
 func (a *assignment) countSlow() {
 	a.slowTargets, a.slowSources = map[string]int{}, map[string]int{}
--- a/internal/tier/controlplane/assign_test.go
+++ b/internal/tier/controlplane/assign_test.go
@@ -189,9 +189,8 @@
 func TestAFailingDiskIsPassedOver(t *testing.T) {
 	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
 	w.assign(w.input())
-	failing := Report{From: w.machines[1].folder, Copy: &tierv1.SyncedCopy{Folder: w.machines[1].folder}}
+	w.machines[1].unsound = true
 	for range 100 {
-		w.reports = append(w.reports, failing)
 		if !w.step() {
 			break
 		}
@@ -201,6 +200,7 @@
 		assert.Equal(t, len(p.Backups), 1)
 		assert.Assert(t, p.Backups[0].Synced)
 	}
+	w.machines[1].unsound = false
 	w.settle()
 	w.even(false)
 }
@@ -211,13 +211,13 @@
 	w.assign(w.input())
 	w.machines[0].up = false
 	w.settle()
-	w.reports = []Report{{From: w.machines[1].folder, Copy: &tierv1.SyncedCopy{Folder: w.machines[1].folder}}}
+	w.machines[1].unsound = true
 	w.machines[0].up = true
 	w.assign(w.input())
 	for _, p := range w.m.Partitions {
 		assert.Equal(t, p.Primary, w.machines[1].folder)
 	}
-	w.reports = nil
+	w.machines[1].unsound = false
 	w.settle()
 	w.even(false)
 }
--- a/internal/tier/controlplane/model_test.go
+++ b/internal/tier/controlplane/model_test.go
@@ -28,6 +28,7 @@
 	cut        bool // runs, and turn stores hear it, but control does not
 	deaf       bool // runs, and control hears it, but turn stores do not
 	leaving    bool
+	unsound    bool // tells control that its disk is not sound
 	knows      []*tierv1.Partition
 	observed   map[int]uint64 // by partition, the newest epoch that a primary has named
 	recovered  map[int]uint64 // by partition, the epoch in which it has all facts of the backups that it was to recover from
@@ -72,7 +73,7 @@
 func (w *world) input() Input {
 	in := Input{Spread: w.spread, Alive: map[string]*tierv1.StoreNode{}, Leaving: map[string]bool{}, Reports: w.reports, Certain: true, Create: true, Move: true}
 	for _, m := range w.machines {
-		if m.up && !m.cut {
+		if m.up && !m.cut && !m.unsound {
 			in.Alive[m.folder] = m.storeNode()
 			if m.leaving {
 				in.Leaving[m.folder] = true
--- a/internal/tier/controlplane/registry.go
+++ b/internal/tier/controlplane/registry.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"slices"
 	"time"
 
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
@@ -34,6 +35,7 @@
 	seen, ended                            time.Time
 	broken, leaving                        bool
 	synced                                 []*tierv1.SyncedCopy // reported last
+	disk                                   tierv1.DiskState     // of a turn store, as told last
 }
 
 func newRegistry(lapse time.Duration) registry {
@@ -62,12 +64,13 @@
 		if s.storeNode == nil || s.address != req.Address || s.storeNode.Folder != req.Folder {
 			s.storeNode = &tierv1.StoreNode{Folder: req.Folder, Node: req.Node, Address: req.Address, Zone: req.Zone, Region: req.Region}
 		}
-		fresh = fresh || req.Leaving != s.leaving || len(req.Synced) != len(s.synced)
+		disk := diskOf(req)
+		fresh = fresh || req.Leaving != s.leaving || disk != s.disk || len(req.Synced) != len(s.synced)
 		for i := 0; !fresh && i < len(req.Synced); i++ {
 			a, b := req.Synced[i], s.synced[i]
 			fresh = a.Partition != b.Partition || a.Epoch != b.Epoch || a.Folder != b.Folder
 		}
-		s.synced = req.Synced
+		s.synced, s.disk = req.Synced, disk
 	}
 	if s.configuration != req.Configuration && r.acked != nil {
 		close(r.acked)
@@ -80,6 +83,23 @@
 	return s, fresh
 }
 
+// diskOf gives the state of a turn store's disk. A process of a version before the field disk names its own folder among
+// the synced copies while its disk is not sound.
+func diskOf(req *tierv1.WatchRequest) tierv1.DiskState {
+	if req.Disk != tierv1.DiskState_DISK_UNSPECIFIED {
+		return req.Disk
+	}
+	if slices.ContainsFunc(req.Synced, func(c *tierv1.SyncedCopy) bool { return c.Folder == req.Folder }) {
+		return tierv1.DiskState_DISK_FAILING
+	}
+	return tierv1.DiskState_DISK_UNSPECIFIED
+}
+
+// usable tells whether a turn store's disk allows it to have duties. A state of a later version is none that does.
+func usable(disk tierv1.DiskState) bool {
+	return disk == tierv1.DiskState_DISK_SOUND || disk == tierv1.DiskState_DISK_UNSPECIFIED
+}
+
 // leave ends a held call: answered, or with its connection broken.
 func (r *registry) leave(now time.Time, s *session, broken bool) {
 	s.held--
@@ -107,7 +127,9 @@
 	return s.held > 0 || now.Sub(s.ended) < r.lapse
 }
 
-// storeNodes gives the turn stores that are alive, those of them that are leaving, and the copies that they reported whole.
+// storeNodes gives the turn stores that are alive and whose disks are sound, those that are leaving, and the copies that were
+// reported whole. One whose disk is not sound counts as lost, by its session's word: it is among the alive again as soon as
+// it tells that its disk is sound.
 func (r *registry) storeNodes(now time.Time) (alive map[string]*tierv1.StoreNode, leaving map[string]bool, reports []Report) {
 	alive, leaving = map[string]*tierv1.StoreNode{}, map[string]bool{}
 	for at, s := range r.of {
@@ -118,10 +140,13 @@
 		if at.role != roleTurnStore || !r.alive(now, s) {
 			continue
 		}
-		alive[s.storeNode.Folder] = s.storeNode
 		if s.leaving {
 			leaving[s.storeNode.Folder] = true
 		}
+		if !usable(s.disk) {
+			continue
+		}
+		alive[s.storeNode.Folder] = s.storeNode
 		for _, c := range s.synced {
 			reports = append(reports, Report{s.storeNode.Folder, c})
 		}
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -273,6 +273,13 @@
 	}
 }
 
+// tells has the calls from the next one on tell another state of the disk.
+func (p *process) tells(state tierv1.DiskState) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.req.Disk = state
+}
+
 // has gives the versions taken.
 func (p *process) has() *tierv1.WatchRequest {
 	p.mu.Lock()
@@ -316,7 +323,7 @@
 
 func cloneWatch(q *tierv1.WatchRequest) *tierv1.WatchRequest {
 	return &tierv1.WatchRequest{Node: q.Node, Role: q.Role, Folder: q.Folder, Address: q.Address, Zone: q.Zone, Life: q.Life,
-		Configuration: q.Configuration, Endpoints: q.Endpoints, PartitionMap: q.PartitionMap, Members: q.Members, HoldMs: q.HoldMs, Synced: q.Synced, Leaving: q.Leaving}
+		Configuration: q.Configuration, Endpoints: q.Endpoints, PartitionMap: q.PartitionMap, Members: q.Members, HoldMs: q.HoldMs, Synced: q.Synced, Leaving: q.Leaving, Disk: q.Disk}
 }
 
 // bodyOf is a configuration as the operator sent it.
--- a/internal/tier/controlplane/risk_clock_test.go
+++ b/internal/tier/controlplane/risk_clock_test.go
@@ -41,3 +41,68 @@
 		assert.Equal(t, risk().PartitionsForMs, int64(0))
 	})
 }
+
+// A turn store whose disk is not sound counts as lost for as long as it tells so, and status tells why.
+func TestAStoreWhoseDiskIsNotSoundBearsNoLoss(t *testing.T) {
+	for _, state := range []tierv1.DiskState{tierv1.DiskState_DISK_FULL, tierv1.DiskState_DISK_FAILING, tierv1.DiskState_DISK_STUCK,
+		tierv1.DiskState_DISK_STUCK + 100} { // the last is one of a later version
+		set := site()
+		set.SyncTime = 4 * time.Second
+		withinSite(t, set, nil, func(r *rig) {
+			status := func() *tierv1.StatusReply {
+				s, err := r.k.Sessions().Status(r.ctx, &tierv1.StatusRequest{})
+				assert.NilError(t, err)
+				return s
+			}
+			stores := map[string]*process{}
+			for _, node := range []string{"v1", "v2"} {
+				stores[node] = r.join(roleTurnStore, node, func(p *process) { p.req.Disk = tierv1.DiskState_DISK_SOUND })
+			}
+			r.pass(3 * time.Second)
+			assert.Equal(t, status().Risk.PartitionsBorne, int32(1))
+			stores["v1"].tells(state) // nobody else can take its copies
+			r.pass(time.Second)
+			now := status()
+			assert.Equal(t, now.Risk.PartitionsBorne, int32(0))
+			assert.Equal(t, now.Risk.Partitions, uint32(partitionCount))
+			assert.Assert(t, now.Risk.PartitionsForMs > 0, "%v", now.Risk)
+			assert.Equal(t, now.Sessions[0].Node, "v1")
+			assert.Equal(t, now.Sessions[0].Disk, state)
+			assert.Equal(t, now.Sessions[0].SilentMs, int64(0))
+			for _, p := range now.PartitionMap.Partitions {
+				assert.Equal(t, p.Primary, "v2.1")
+			}
+			stores["v1"].tells(tierv1.DiskState_DISK_SOUND)
+			r.pass(8 * time.Second)
+			assert.Equal(t, status().Risk.PartitionsBorne, int32(1))
+		})
+	}
+}
+
+// A process of a version before the field disk names its own folder among the synced copies instead.
+func TestAnOlderStoreTellsAnUnsoundDisk(t *testing.T) {
+	own := &tierv1.SyncedCopy{Folder: "v1.1"}
+	other := &tierv1.SyncedCopy{Folder: "v2.1", Partition: 3, Epoch: 1}
+	for _, test := range []struct {
+		req  *tierv1.WatchRequest
+		want tierv1.DiskState
+	}{
+		{&tierv1.WatchRequest{Folder: "v1.1"}, tierv1.DiskState_DISK_UNSPECIFIED},
+		{&tierv1.WatchRequest{Folder: "v1.1", Synced: []*tierv1.SyncedCopy{other}}, tierv1.DiskState_DISK_UNSPECIFIED},
+		{&tierv1.WatchRequest{Folder: "v1.1", Synced: []*tierv1.SyncedCopy{own}}, tierv1.DiskState_DISK_FAILING},
+		{&tierv1.WatchRequest{Folder: "v1.1", Disk: tierv1.DiskState_DISK_FULL}, tierv1.DiskState_DISK_FULL},
+	} {
+		assert.Equal(t, diskOf(test.req), test.want, "%v", test.req)
+	}
+	r := newRegistry(time.Second)
+	now := time.Now()
+	for _, test := range []struct {
+		synced []*tierv1.SyncedCopy
+		alive  bool
+	}{{nil, true}, {[]*tierv1.SyncedCopy{own}, false}, {[]*tierv1.SyncedCopy{other}, true}} {
+		r.enter(now, &tierv1.WatchRequest{Role: roleTurnStore, Node: "v1", Folder: "v1.1", Life: "1", Synced: test.synced})
+		alive, _, reports := r.storeNodes(now)
+		assert.Equal(t, alive["v1.1"] != nil, test.alive)
+		assert.Assert(t, test.alive || len(reports) == 0, "%v", reports)
+	}
+}
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -122,7 +122,7 @@
 	r.Risk = plane.risk(now, v.partitionMap)
 	for _, one := range plane.sessions.of {
 		t := &tierv1.Session{Node: one.node, Role: one.role, Address: one.address, Configuration: one.configuration,
-			Endpoints: one.endpoints, PartitionMap: one.partitionMap}
+			Endpoints: one.endpoints, PartitionMap: one.partitionMap, Disk: one.disk}
 		if one.held == 0 {
 			t.SilentMs = now.Sub(one.ended).Milliseconds()
 		}
--- a/internal/tier/process/turnstore.go
+++ b/internal/tier/process/turnstore.go
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	held := session.New(session.Config{Settings: s, Role: RoleTurnStore, Folder: store.Folder(), Address: address, Empty: store.WasEmpty(),
-		Dial: dialer(p.client, dialControlPlane), Synced: store.Synced, Log: config.Log, PartitionMap: store.Apply})
+		Dial: dialer(p.client, dialControlPlane), Synced: store.Synced, Disk: store.DiskState, Log: config.Log, PartitionMap: store.Apply})
 	config.Log.Info().Str("event", "started").Str("role", RoleTurnStore).Str("node", s.Node).Str("folder", store.Folder()).Msg("")
 	return &openTurnStore{ctx: ctx, cancel: cancel, store: store, session: held}, nil
 }
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -39,6 +39,7 @@
 	Empty    bool   // the folder was empty at the start
 	Dial     func(address string) tierv1.ControlPlane
 	Synced   func() ([]*tierv1.SyncedCopy, <-chan struct{}) // of a turn store: copies that are whole, and a channel closed at the next change
+	Disk     func() tierv1.DiskState                        // of a turn store: how its disk is; a change closes Synced's channel, too
 	Log      *log.Logger
 
 	// Told of newer views, one after the other. They must not block.
@@ -229,6 +230,9 @@
 	if client.config.Synced != nil {
 		reports, changed := client.config.Synced()
 		req.Synced = reports
+		if client.config.Disk != nil { // after the channel was taken: a change from now on closes it
+			req.Disk = client.config.Disk()
+		}
 		done := make(chan struct{})
 		defer close(done)
 		go func() {
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -332,6 +332,39 @@
 	}
 }
 
+// A change of the disk's state is told at once, as Synced's channel closes with it.
+func TestTheStateOfTheDiskIsToldAtOnce(t *testing.T) {
+	r := newRig(t, 1)
+	c := r.primary(1)
+	var mu sync.Mutex
+	state := tierv1.DiskState_DISK_SOUND
+	changed := make(chan struct{})
+	r.run(func(s *session.Config) {
+		s.Role, s.Folder = "turnstore", "f-1"
+		s.Settings.ContactWindow *= 100 // a call is held for longer than the test has patience
+		s.Synced = func() ([]*tierv1.SyncedCopy, <-chan struct{}) {
+			mu.Lock()
+			defer mu.Unlock()
+			return nil, changed
+		}
+		s.Disk = func() tierv1.DiskState {
+			mu.Lock()
+			defer mu.Unlock()
+			return state
+		}
+	})
+	first := c.Await(t, "a session", held)
+	assert.Equal(t, first.Disk, tierv1.DiskState_DISK_SOUND)
+	for _, next := range []tierv1.DiskState{tierv1.DiskState_DISK_STUCK, tierv1.DiskState_DISK_FULL, tierv1.DiskState_DISK_SOUND} {
+		mu.Lock()
+		state = next
+		close(changed)
+		changed = make(chan struct{})
+		mu.Unlock()
+		c.Await(t, next.String(), func(q *tierv1.WatchRequest) bool { return held(q) && q.Disk == next })
+	}
+}
+
 func TestLeavingIsTold(t *testing.T) {
 	r := newRig(t, 1)
 	c := r.primary(1)
--- a/internal/tier/turnstore/apply.go
+++ b/internal/tier/turnstore/apply.go
@@ -109,14 +109,13 @@
 	store.changed = make(chan struct{})
 }
 
-// Synced gives the copies that the map doesn't know to be synced, and that are now. While the disk is not sound it gives this
-// turn store's own folder instead, which tells control that it takes and answers nothing. The channel is closed when that
-// changes.
+// Synced gives the copies that the map doesn't know to be synced, and that are now; none while the disk is not sound. The
+// channel is closed when that, or the state of the disk, changes.
 func (store *TurnStore) Synced() (reports []*tierv1.SyncedCopy, changed <-chan struct{}) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	if store.diskState != diskSound {
-		return []*tierv1.SyncedCopy{{Folder: store.folder}}, store.changed
+	if store.diskState != tierv1.DiskState_DISK_SOUND {
+		return nil, store.changed
 	}
 	for _, p := range store.store.partitions {
 		if p.term == nil || p.term.ended {
--- a/internal/tier/turnstore/changes_test.go
+++ b/internal/tier/turnstore/changes_test.go
@@ -100,7 +100,7 @@
 				v.CheckDisk(s.c.now())
 				v.CheckDisk(s.c.now())
 				assert.NilError(t, v.Compact(s.c.ctx, true))
-				assert.Assert(t, !reportsItself(v))
+				assert.Assert(t, !tellsUnsound(t, v))
 				assert.Equal(t, s.k.sure("a", &tierv1.BeginRequest{Program: "q", Attempt: "x", RetentionMs: 1}), ok)
 				s.after()
 			})
--- a/internal/tier/turnstore/disk.go
+++ b/internal/tier/turnstore/disk.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"syscall"
 	"time"
 
 	"github.com/joomcode/errorx"
@@ -14,22 +16,13 @@
 // A turn store's disk may be full, failing or stuck: states of the process, not its end. While it is in one, the turn store
 //
 //   - answers BUSY, takes no facts as a backup, and confirms nothing;
-//   - reports its own folder among the synced copies, by which control takes it for lost: other synced copies become the
-//     primaries, and other turn stores get copies; where it is the last holder, it is waited for;
+//   - tells the state with its session (WatchRequest.disk), by which control takes it for lost: other synced copies become
+//     the primaries, and other turn stores get copies; where it is the last holder, it is waited for;
 //   - tries to open its write-ahead log again each second. Then it is what it would be after a restart: it holds what the
 //     files hold, so all that it ever acknowledged; what it lacks comes by exchange with the primaries.
 //
 // One log line tells of each way: turnstore_disk_failed or turnstore_disk_stuck, and turnstore_disk_recovered.
 
-// diskState is how the disk is.
-type diskState int
-
-const (
-	diskSound diskState = iota
-	diskBroken
-	diskStuck // a sync does not return
-)
-
 // Errors of Reopen.
 var (
 	diskErrors = errorx.NewNamespace("turnstore")
@@ -38,18 +31,43 @@
 )
 
 // disk tells how the disk is. The lock is held.
-func (store *TurnStore) disk(now time.Time) diskState {
+func (store *TurnStore) disk(now time.Time) tierv1.DiskState {
 	switch {
 	case store.commit.broken():
-		return diskBroken
+		return failedState(store.commit.failure())
 	case store.commit.writing(now) > store.cfg.StuckAfter:
-		return diskStuck
+		return tierv1.DiskState_DISK_STUCK
+	}
+	return tierv1.DiskState_DISK_SOUND
+}
+
+// failedState tells a disk that is full from one that fails otherwise.
+func failedState(failure error) tierv1.DiskState {
+	for wrapped := errorx.Cast(failure); wrapped != nil && wrapped.Cause() != nil; wrapped = errorx.Cast(failure) {
+		failure = wrapped.Cause()
+	}
+	if errors.Is(failure, syscall.ENOSPC) || errors.Is(failure, syscall.EDQUOT) {
+		return tierv1.DiskState_DISK_FULL
 	}
-	return diskSound
+	return tierv1.DiskState_DISK_FAILING
+}
+
+// failed tells whether a write or sync has failed, so that the write-ahead log is to be opened again.
+func failed(state tierv1.DiskState) bool {
+	return state == tierv1.DiskState_DISK_FULL || state == tierv1.DiskState_DISK_FAILING
 }
 
 // writable tells whether facts can be synced. The lock is held.
-func (store *TurnStore) writable() bool { return store.disk(store.cfg.Now()) == diskSound }
+func (store *TurnStore) writable() bool {
+	return store.disk(store.cfg.Now()) == tierv1.DiskState_DISK_SOUND
+}
+
+// DiskState is the state of the disk as it was noted last. The channel that Synced gives is closed when it changes.
+func (store *TurnStore) DiskState() tierv1.DiskState {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	return store.diskState
+}
 
 // CheckDisk takes note of how the disk is: it logs a change, has it reported to control, and opens the write-ahead log of
 // a broken disk again. Run calls it each second, and at once when a write fails.
@@ -58,27 +76,27 @@
 	before, state := store.diskState, store.disk(now)
 	failure := store.commit.failure()
 	store.mu.Unlock()
-	if state == diskBroken && before == diskBroken {
+	if failed(state) && failed(before) {
 		if store.Reopen(now) != nil {
 			return
 		}
-		state = diskSound
+		state = tierv1.DiskState_DISK_SOUND
 	}
 	if state == before {
 		return
 	}
 	store.mu.Lock()
 	store.diskState = state
-	if before == diskSound {
+	if before == tierv1.DiskState_DISK_SOUND {
 		store.diskSince = now
 	}
 	lasted := now.Sub(store.diskSince)
 	store.signal()
 	store.mu.Unlock()
 	switch state {
-	case diskBroken:
+	case tierv1.DiskState_DISK_FULL, tierv1.DiskState_DISK_FAILING:
 		store.cfg.Log.Error().Str("event", "turnstore_disk_failed").Err(failure).Msg("")
-	case diskStuck:
+	case tierv1.DiskState_DISK_STUCK:
 		store.cfg.Log.Error().Str("event", "turnstore_disk_stuck").Dur("after", store.cfg.StuckAfter).Msg("")
 	default:
 		store.cfg.Log.Info().Str("event", "turnstore_disk_recovered").Dur("after", lasted).Msg("")
@@ -164,11 +182,11 @@
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
-		failed := store.diskFailure()
+		failure := store.diskFailure()
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-failed:
+		case <-failure:
 			store.CheckDisk(store.cfg.Now())
 		case <-tick.C:
 			store.CheckDisk(store.cfg.Now())
@@ -184,7 +202,7 @@
 func (store *TurnStore) diskFailure() <-chan struct{} {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	if store.diskState == diskBroken {
+	if failed(store.diskState) {
 		return nil
 	}
 	return store.commit.failed
--- a/internal/tier/turnstore/disk_test.go
+++ b/internal/tier/turnstore/disk_test.go
@@ -7,12 +7,44 @@
 	"time"
 
 	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// reportsItself tells whether a turn store reports to control that its disk fails.
-func reportsItself(v *TurnStore) bool {
-	reports, _ := v.Synced()
-	return len(reports) == 1 && reports[0].Folder == v.Folder()
+// tellsUnsound tells whether a turn store tells control that its disk is not sound. It reports no copies then.
+func tellsUnsound(t *testing.T, v *TurnStore) bool {
+	unsound := v.DiskState() != tierv1.DiskState_DISK_SOUND
+	if reports, _ := v.Synced(); unsound {
+		assert.Equal(t, len(reports), 0)
+	}
+	return unsound
+}
+
+// A state is told by its name, and a change of it closes the channel of Synced.
+func TestDiskStateIsTold(t *testing.T) {
+	for _, failure := range []struct {
+		cause error
+		state tierv1.DiskState
+	}{
+		{syscall.ENOSPC, tierv1.DiskState_DISK_FULL},
+		{syscall.EDQUOT, tierv1.DiskState_DISK_FULL},
+		{syscall.EIO, tierv1.DiskState_DISK_FAILING},
+	} {
+		c, k := pair(t)
+		a := c.nodes["a"].turnstore
+		assert.Equal(t, a.DiskState(), tierv1.DiskState_DISK_SOUND)
+		_, changed := a.Synced()
+		c.nodes["a"].disk.FailFrom(1, failure.cause)
+		assert.Equal(t, k.begin("a", ask("t1", "")), busy)
+		a.CheckDisk(c.now())
+		assert.Equal(t, a.DiskState(), failure.state)
+		<-changed
+		_, changed = a.Synced()
+		c.nodes["a"].disk.Recover()
+		a.CheckDisk(c.now())
+		assert.Equal(t, a.DiskState(), tierv1.DiskState_DISK_SOUND)
+		<-changed
+	}
 }
 
 // passOver does what control does for turn stores whose disk fails: others take their places. Then the disk is sound again,
@@ -25,7 +57,7 @@
 			continue
 		}
 		n.turnstore.CheckDisk(c.now())
-		assert.Assert(c.t, reportsItself(n.turnstore))
+		assert.Assert(c.t, tellsUnsound(c.t, n.turnstore))
 		if name == s.primary {
 			s.primary, s.backup, s.spare = s.backup, s.spare, name
 		} else {
@@ -38,7 +70,7 @@
 		c.push()
 		n.disk.Recover()
 		n.turnstore.CheckDisk(c.now())
-		assert.Assert(c.t, !reportsItself(n.turnstore))
+		assert.Assert(c.t, !tellsUnsound(c.t, n.turnstore))
 		assert.Assert(c.t, !n.turnstore.commit.broken())
 	}
 }
@@ -89,14 +121,14 @@
 			k.begin("a", ask(name(10+i), "t1"))
 		}
 		a.turnstore.CheckDisk(c.now())
-		assert.Assert(t, reportsItself(a.turnstore))
+		assert.Assert(t, tellsUnsound(t, a.turnstore))
 		a.turnstore.CheckDisk(c.now()) // still no room
-		assert.Assert(t, reportsItself(a.turnstore))
+		assert.Assert(t, tellsUnsound(t, a.turnstore))
 		assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
 		assert.Equal(t, k.settle("a", "p", "t2", "t1", 1), busy)
 		a.disk.Recover()
 		a.turnstore.CheckDisk(c.now())
-		assert.Assert(t, !reportsItself(a.turnstore))
+		assert.Assert(t, !tellsUnsound(t, a.turnstore))
 		assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
 		assert.Equal(t, k.settle("a", "p", "t2", "t1", 1), ok)
 		c.crash("a", false)
@@ -115,7 +147,7 @@
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
 	b.turnstore.CheckDisk(c.now())
 	b.turnstore.CheckDisk(c.now())
-	assert.Assert(t, !reportsItself(b.turnstore))
+	assert.Assert(t, !tellsUnsound(t, b.turnstore))
 	assert.Equal(t, k.sure("a", ask("t2", "t1")), ok) // the round is sent again
 	c.crash("a", true)
 	c.crash("b", false)
@@ -136,15 +168,16 @@
 	release := a.disk.StallSync()
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
 	a.turnstore.CheckDisk(c.now())
-	assert.Assert(t, !reportsItself(a.turnstore))
+	assert.Assert(t, !tellsUnsound(t, a.turnstore))
 	c.advance(3 * time.Second)
 	a.turnstore.CheckDisk(c.now())
-	assert.Assert(t, reportsItself(a.turnstore))
+	assert.Assert(t, tellsUnsound(t, a.turnstore))
+	assert.Equal(t, a.turnstore.DiskState(), tierv1.DiskState_DISK_STUCK)
 	assert.ErrorContains(t, a.turnstore.Reopen(c.now()), "under way")
 	assert.Equal(t, k.begin("a", ask("t3", "t1")), busy)
 	release()
 	<-a.turnstore.commit.add().done
 	assert.Equal(t, k.sure("a", ask("t2", "t1")), ok)
 	a.turnstore.CheckDisk(c.now())
-	assert.Assert(t, !reportsItself(a.turnstore))
+	assert.Assert(t, !tellsUnsound(t, a.turnstore))
 }
--- a/internal/tier/turnstore/durable_test.go
+++ b/internal/tier/turnstore/durable_test.go
@@ -56,11 +56,11 @@
 		c.nodes[victim].disk.DieAt(2)
 		assert.Equal(t, k.begin("a", ask("t2", "t1")), busy, victim)
 		v := c.nodes[victim].turnstore
-		for range 3 { // it stays up, and reports itself until its disk is sound
+		for range 3 { // it stays up, and tells that its disk fails until that is sound
 			v.CheckDisk(c.now())
+			assert.Equal(t, v.DiskState(), tierv1.DiskState_DISK_FAILING, victim)
 			reports, _ := v.Synced()
-			assert.Equal(t, len(reports), 1, victim)
-			assert.Equal(t, reports[0].Folder, v.Folder())
+			assert.Equal(t, len(reports), 0, victim)
 			assert.ErrorContains(t, v.Reopen(c.now()), "dead")
 			assert.Equal(t, k.begin("a", ask("t2", "t1")), busy, victim)
 		}
--- a/internal/tier/turnstore/turnstore.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -74,10 +74,10 @@
 
 	mu           sync.Mutex
 	store        *store
-	commit       *committer // replaced when the disk is sound again
-	diskState    diskState  // noted last
-	diskSince    time.Time  // when it ceased to be sound
-	active       int        // of files: appended to
+	commit       *committer       // replaced when the disk is sound again
+	diskState    tierv1.DiskState // noted last
+	diskSince    time.Time        // when it ceased to be sound
+	active       int              // of files: appended to
 	mapped       bool
 	version      uint64
 	partitionMap *tierv1.PartitionMap // applied last; it is not modified
@@ -101,6 +101,7 @@
 	cfg.defaults()
 	v := &TurnStore{cfg: cfg, store: newStore(), storeNodes: map[string]string{}, clients: map[string]tierv1.TurnStore{},
 		comparisons: map[string]chan struct{}{},
+		diskState:   tierv1.DiskState_DISK_SOUND,
 		changed:     make(chan struct{}), slots: make(chan struct{}, maxExchanges)}
 	if err := v.identity(); err != nil {
 		return nil, err
