--- a/internal/tier/consensus/health.go
+++ b/internal/tier/consensus/health.go
@@ -19,6 +19,8 @@
 	Backups, BackupsWanted int      // backups that answered of late; Losses, fewer with few members
 	Absent                 []string // addresses of members that have not answered of late, or come back as another folder
 	Changing               bool     // a change of members is under way: majorities of both sets are needed
+
+	Lease time.Duration // how much longer it leads without another answer of its backups; 0 where it does not lead
 }
 
 // Health gives the newest view, as of the last step that is on disk. Within the lease it is at most a heartbeat old.
@@ -30,9 +32,22 @@
 	if h.Tolerates != Unknown && !n.view.leads(now, n.timing.fresh) {
 		h.Tolerates = Unknown
 	}
+	h.Lease = n.view.lease(now, n.timing.fresh)
 	return h
 }
 
+// lease is how much longer leads holds if no backup answers any more. Without backups it has no end, and is given as just
+// confirmed.
+func (v *view) lease(now, fresh time.Duration) time.Duration {
+	switch {
+	case !v.leads(now, fresh):
+		return 0
+	case v.alone:
+		return fresh
+	}
+	return v.confirmed + fresh - now
+}
+
 // health of the machine's view. With B the backups that answer, and for each set S of conf(record) live(S) the members of it
 // that answer, this one included:
 //
--- a/internal/tier/consensus/lease_test.go
+++ b/internal/tier/consensus/lease_test.go
@@ -23,6 +23,7 @@
 	_, ok := n.Primary()
 	assert.Assert(t, ok)
 	assert.Equal(t, n.Health().Tolerates, 1)
+	assert.Equal(t, n.Health().Lease, time.Millisecond)
 
 	answers := make(chan error, 1)
 	go func() { answers <- n.Confirm(context.Background(), 7) }()
@@ -36,6 +37,19 @@
 	_, ok = n.Primary()
 	assert.Assert(t, !ok)
 	assert.Equal(t, n.Health().Tolerates, Unknown)
+	assert.Equal(t, n.Health().Lease, time.Duration(0))
+}
+
+// A primary without backups leads without end: its lease is told as just confirmed.
+func TestLeaseOfOneAlone(t *testing.T) {
+	v := view{primary: true, alone: true}
+	assert.Equal(t, v.lease(time.Hour, time.Second), time.Second)
+	v.alone = false
+	assert.Equal(t, v.lease(time.Hour, time.Second), time.Duration(0))
+	v.confirmed = time.Hour - 300*time.Millisecond
+	assert.Equal(t, v.lease(time.Hour, time.Second), 700*time.Millisecond)
+	v.primary = false
+	assert.Equal(t, v.lease(time.Hour, time.Second), time.Duration(0))
 }
 
 // leading is a machine that leads b and c, with b as its backup.
--- /dev/null
+++ b/internal/tier/controlplane/metrics.go
@@ -0,0 +1,57 @@
+package controlplane
+
+import (
+	"time"
+
+	"dockshift.example/dockshift/internal/tier/metrics"
+	"dockshift.example/dockshift/internal/tier/wal"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// Metrics gives the figures of this moment, from the state that Status tells, and under the same locks.
+func (plane *ControlPlane) Metrics() metrics.ControlPlane {
+	record := plane.Store.Record()
+	figures := metrics.ControlPlane{Epoch: record.GetEpoch(), Members: len(record.GetMembers()), Disk: tierv1.DiskState_DISK_SOUND}
+	if store, knows := plane.Store.(healthStore); knows {
+		health := store.Health()
+		figures.Lease, figures.Disk = health.Lease, diskState(health.Disk)
+	}
+	if v, primary := plane.primary(); primary {
+		figures.Primary = plane.primaryMetrics(time.Now(), v)
+	}
+	return figures
+}
+
+// diskState tells the state of a disk from what keeps this process from writing.
+func diskState(failure error) tierv1.DiskState {
+	switch {
+	case failure == nil:
+		return tierv1.DiskState_DISK_SOUND
+	case wal.Full(failure):
+		return tierv1.DiskState_DISK_FULL
+	}
+	return tierv1.DiskState_DISK_FAILING
+}
+
+// primaryMetrics gives what only the primary knows.
+func (plane *ControlPlane) primaryMetrics(now time.Time, v *view) *metrics.Primary {
+	plane.mu.Lock()
+	defer plane.mu.Unlock()
+	risk := plane.risk(now, v.partitionMap)
+	figures := &metrics.Primary{Revision: v.orders.current, PartitionsAtRisk: int(risk.Partitions), Losses: int(risk.Losses),
+		PartitionsBear: int(risk.PartitionsBorne), ControlBears: int(risk.ControlBorne),
+		Until: time.Duration(risk.PartitionsUntilMs) * time.Millisecond}
+	for _, s := range plane.sessions.of {
+		switch {
+		case !plane.sessions.stands(now, s):
+		case s.role == roleGateway:
+			figures.Gateways++
+		case s.role == roleTurnStore:
+			figures.TurnStores++
+			if !usable(s.disk) {
+				figures.UnsoundStores++
+			}
+		}
+	}
+	return figures
+}
--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -48,7 +48,8 @@
 	waiting      int
 	releasing    map[string]map[chan struct{}]bool // by program: closed when a reservation that is being released here is settled
 
-	lastReady atomic.Bool // the readiness last answered
+	calls     atomic.Int64 // requests of clients under way
+	lastReady atomic.Bool  // the readiness last answered
 	leaving   atomic.Bool
 	settling  sync.WaitGroup // settlements that go on behind their requests
 }
@@ -141,7 +142,7 @@
 	sessions, stopSessions := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopSessions()
 	go gateway.session.Run(sessions)
-	probe := &ingress.Server{Handler: gateway.readiness, Limits: gateway.limits, MaxConns: 64, Log: gateway.log}
+	probe := &ingress.Server{Handler: gateway.probe, Limits: gateway.limits, MaxConns: 64, Log: gateway.log}
 	server := &ingress.Server{Handler: gateway.handle, Limits: gateway.limits, MaxConns: max(64, s.Descriptors*6/10), Log: gateway.log}
 	failed := make(chan error, 2)
 	for _, one := range []struct {
--- /dev/null
+++ b/internal/tier/gateway/metrics_test.go
@@ -0,0 +1,67 @@
+package gateway_test
+
+import (
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"dockshift.example/dockshift/internal/tier/metrics"
+	"dockshift.example/dockshift/internal/tier/tiertest"
+)
+
+// scrape asks the readiness address for metrics.
+func (r *rig) scrape() string {
+	r.t.Helper()
+	got := tiertest.Do(r.t, r.probe, "GET /metrics HTTP/1.1\r\nHost: probe\r\n\r\n")
+	assert.NilError(r.t, got.Err)
+	assert.Equal(r.t, got.Status, 200)
+	assert.Equal(r.t, got.Header.Get("Content-Type"), metrics.ContentType)
+	return got.Body
+}
+
+func holds(t *testing.T, text string, lines ...string) {
+	t.Helper()
+	for _, line := range lines {
+		assert.Assert(t, strings.Contains(text, line+"\n"), "%q is not in %s", line, text)
+	}
+}
+
+// The readiness address serves metrics, and nothing else there changes.
+func TestMetricsAtTheReadinessAddress(t *testing.T) {
+	begun, further := make(chan struct{}), make(chan struct{})
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
+		close(begun)
+		<-further
+		a.Answer(200, "", "done")
+	})
+	r := bare(t)
+	holds(t, r.scrape(), "saffronyard_gateway_ready 0", "saffronyard_configuration_revision 0", "saffronyard_gateway_calls 0")
+	assert.Equal(t, r.ready(), 503)
+	r.consensus.SetConfiguration(configurationOf(1, ""))
+	r.list(e)
+	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
+	r.consensus.Taken(t)
+	answer := make(chan tiertest.Reply, 1)
+	go func() { answer <- r.post("/plain/x", "a-1", "", "b") }()
+	<-begun
+	text := r.scrape()
+	holds(t, text, "saffronyard_gateway_ready 1", "saffronyard_configuration_revision 1", "saffronyard_gateway_calls 1")
+	assert.Assert(t, !strings.Contains(text, "saffronyard_session_remaining_seconds 0\n"), text)
+	assert.Equal(t, r.ready(), 200)
+	post := tiertest.Do(t, r.probe, "POST /metrics HTTP/1.1\r\nHost: probe\r\nContent-Length: 0\r\n\r\n")
+	assert.NilError(t, post.Err)
+	assert.Equal(t, post.Body, "") // as any other question about readiness
+	close(further)
+	whole(t, <-answer, 200, "done")
+}
+
+// The frontend has no metrics: any path there may be a route's.
+func TestNoMetricsAtTheFrontend(t *testing.T) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", echo("i-1"))
+	r := start(t, e)
+	got := r.do("GET /metrics HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a-1\r\n\r\n")
+	assert.NilError(t, got.Err)
+	assert.Equal(t, got.Status, 404)
+	assert.Assert(t, !strings.Contains(got.Body, "saffronyard_"), got.Body)
+}
--- a/internal/tier/gateway/serve.go
+++ b/internal/tier/gateway/serve.go
@@ -41,6 +41,8 @@
 
 // handle answers one request.
 func (gateway *Gateway) handle(x *ingress.Exchange) {
+	gateway.calls.Add(1)
+	defer gateway.calls.Add(-1)
 	c := gateway.routing.Load()
 	if c == nil {
 		gateway.refuse(x, 500*time.Millisecond)
--- /dev/null
+++ b/internal/tier/metrics/metrics_test.go
@@ -0,0 +1,144 @@
+package metrics
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// samples gives the lines of figures that are values, by metric with its label. It checks that each line is well formed,
+// that each metric has its header right before it and once, and that no value comes twice.
+func samples(t *testing.T, figures Figures) map[string]string {
+	t.Helper()
+	values, headers := map[string]string{}, map[string]bool{}
+	family, helped := "", ""
+	for line := range strings.Lines(string(Text(figures))) {
+		line = strings.TrimSuffix(line, "\n")
+		words := strings.Fields(line)
+		switch {
+		case strings.HasPrefix(line, "# HELP "):
+			helped = words[2]
+			assert.Assert(t, len(words) > 3, line)
+		case strings.HasPrefix(line, "# TYPE "):
+			family = words[2]
+			assert.Equal(t, family, helped)
+			assert.Equal(t, words[3], "gauge")
+			assert.Assert(t, !headers[family], line)
+			headers[family] = true
+		default:
+			assert.Equal(t, len(words), 2, line)
+			name := words[0]
+			assert.NilError(t, metrics.ValidateMetric(name))
+			bare, _, _ := strings.Cut(name, "{")
+			assert.Equal(t, bare, family)
+			assert.Assert(t, strings.HasPrefix(bare, "saffronyard_"), line)
+			assert.Equal(t, values[name], "", line)
+			values[name] = words[1]
+		}
+	}
+	return values
+}
+
+func TestControlPlane(t *testing.T) {
+	backup := ControlPlane{Epoch: 28913665, Members: 3, Disk: tierv1.DiskState_DISK_SOUND}
+	assert.DeepEqual(t, samples(t, backup), map[string]string{
+		"saffronyard_control_primary":                 "0",
+		"saffronyard_control_epoch":                   "2.8913665e+07",
+		"saffronyard_control_members":                 "3",
+		"saffronyard_control_lease_remaining_seconds": "0",
+		`saffronyard_disk_state{state="sound"}`:       "1",
+		`saffronyard_disk_state{state="full"}`:        "0",
+		`saffronyard_disk_state{state="failing"}`:     "0",
+		`saffronyard_disk_state{state="stuck"}`:       "0",
+	})
+	primary := backup
+	primary.Lease = 750 * time.Millisecond
+	primary.Primary = &Primary{Revision: 56, Gateways: 4, TurnStores: 3, UnsoundStores: 1, PartitionsAtRisk: 21, Losses: 1,
+		PartitionsBear: 0, ControlBears: -1, Until: -2500 * time.Millisecond}
+	all := samples(t, primary)
+	for name, want := range map[string]string{
+		"saffronyard_control_primary":                  "1",
+		"saffronyard_control_lease_remaining_seconds":  "0.75",
+		"saffronyard_configuration_revision":           "56",
+		`saffronyard_sessions{role="gateway"}`:         "4",
+		`saffronyard_sessions{role="turnstore"}`:       "3",
+		"saffronyard_turn_stores_unsound":              "1",
+		"saffronyard_partitions_at_risk":               "21",
+		"saffronyard_losses_wanted":                    "1",
+		`saffronyard_losses_borne{of="partitions"}`:    "0",
+		`saffronyard_losses_borne{of="control_state"}`: "-1",
+		"saffronyard_next_loss_borne_seconds":          "-2.5",
+		`saffronyard_disk_state{state="sound"}`:        "1",
+	} {
+		assert.Equal(t, all[name], want, name)
+	}
+	assert.Equal(t, len(all), 17)
+}
+
+func TestTurnStore(t *testing.T) {
+	store := TurnStore{Primaries: 11, Backups: 10, Entries: 4000, Memory: 1 << 22, MapVersion: 17, Session: 300 * time.Millisecond, Disk: tierv1.DiskState_DISK_FULL}
+	assert.DeepEqual(t, samples(t, store), map[string]string{
+		`saffronyard_turn_store_partitions{as="primary"}`: "11",
+		`saffronyard_turn_store_partitions{as="backup"}`:  "10",
+		"saffronyard_turn_store_entries":                  "4000",
+		"saffronyard_turn_store_memory_bytes":             "4.194304e+06",
+		"saffronyard_partition_map_version":               "17",
+		"saffronyard_session_remaining_seconds":           "0.3",
+		`saffronyard_disk_state{state="sound"}`:           "0",
+		`saffronyard_disk_state{state="full"}`:            "1",
+		`saffronyard_disk_state{state="failing"}`:         "0",
+		`saffronyard_disk_state{state="stuck"}`:           "0",
+	})
+}
+
+func TestGateway(t *testing.T) {
+	assert.DeepEqual(t, samples(t, Gateway{Ready: true, Revision: 7, Calls: 12, Session: time.Second}), map[string]string{
+		"saffronyard_gateway_ready":             "1",
+		"saffronyard_configuration_revision":    "7",
+		"saffronyard_gateway_calls":             "12",
+		"saffronyard_session_remaining_seconds": "1",
+	})
+}
+
+// Exactly one state of the disk is 1, whatever it is.
+func TestDiskState(t *testing.T) {
+	for state, want := range map[tierv1.DiskState]string{
+		tierv1.DiskState_DISK_SOUND:       "sound",
+		tierv1.DiskState_DISK_FULL:        "full",
+		tierv1.DiskState_DISK_FAILING:     "failing",
+		tierv1.DiskState_DISK_STUCK:       "stuck",
+		tierv1.DiskState_DISK_STUCK + 100: "failing",
+	} {
+		all := samples(t, TurnStore{Disk: state})
+		for _, one := range []string{"sound", "full", "failing", "stuck"} {
+			value := "0"
+			if one == want {
+				value = "1"
+			}
+			assert.Equal(t, all[`saffronyard_disk_state{state="`+one+`"}`], value, "%v: %s", state, one)
+		}
+	}
+}
+
+// Each request is answered with the figures of its moment.
+func TestHandler(t *testing.T) {
+	calls := int64(0)
+	handler := Handler(func() Figures {
+		calls++
+		return Gateway{Calls: calls}
+	})
+	for _, want := range []string{"saffronyard_gateway_calls 1\n", "saffronyard_gateway_calls 2\n"} {
+		answer := httptest.NewRecorder()
+		handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, Path, nil))
+		assert.Equal(t, answer.Code, http.StatusOK)
+		assert.Equal(t, answer.Header().Get("Content-Type"), ContentType)
+		assert.Assert(t, strings.Contains(answer.Body.String(), want), answer.Body.String())
+	}
+}
--- a/internal/tier/process/controlplane.go
+++ b/internal/tier/process/controlplane.go
@@ -6,6 +6,7 @@
 
 	"dockshift.example/dockshift/internal/tier/consensus"
 	"dockshift.example/dockshift/internal/tier/controlplane"
+	"dockshift.example/dockshift/internal/tier/metrics"
 	"dockshift.example/dockshift/internal/tier/rpcserver"
 	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
@@ -27,6 +28,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(tierv1.ElectionPathPrefix, node.Handler())
 	mux.Handle(tierv1.ControlPlanePathPrefix, tierv1.NewControlPlaneServer(role.Sessions()))
+	mux.Handle(metricsPattern, metrics.Handler(func() metrics.Figures { return role.Metrics() }))
 	if _, err := rpcserver.Serve(ctx, address, mux); err != nil {
 		return err
 	}
--- a/internal/tier/process/disk.go
+++ b/internal/tier/process/disk.go
@@ -32,10 +32,7 @@
 	if !errorx.IsOfType(err, wal.IO) && !errorx.IsOfType(err, wal.Broken) && !errorx.IsOfType(err, wal.NoRoom) {
 		return false
 	}
-	for e := errorx.Cast(err); e != nil && e.Cause() != nil; e = errorx.Cast(err) {
-		err = e.Cause()
-	}
-	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EIO)
+	return wal.Full(err) || errors.Is(wal.Cause(err), syscall.EIO)
 }
 
 // retryDisk runs what open gives, the first of which is given with its error, and opens again after each failure of the
--- a/internal/tier/process/process.go
+++ b/internal/tier/process/process.go
@@ -9,6 +9,7 @@
 	"sync"
 
 	"dockshift.example/dockshift/internal/tier/gateway"
+	"dockshift.example/dockshift/internal/tier/metrics"
 	"dockshift.example/dockshift/internal/tier/rpcserver"
 	"dockshift.example/dockshift/internal/tier/settings"
 	"dockshift.example/dockshift/internal/tier/wal"
@@ -29,6 +30,10 @@
 	TurnStorePort    = 1
 )
 
+// metricsPattern is where the internal listeners of control planes and turn stores serve metrics. A gateway serves them at
+// its readiness address.
+const metricsPattern = http.MethodGet + " " + metrics.Path
+
 // Config is what a process is started with.
 type Config struct {
 	Settings settings.Settings
--- a/internal/tier/process/process_test.go
+++ b/internal/tier/process/process_test.go
@@ -3,12 +3,16 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"math/rand/v2"
 	"net"
+	"net/http"
+	"strings"
 	"syscall"
 	"testing"
 	"time"
 
+	"dockshift.example/dockshift/internal/tier/metrics"
 	"dockshift.example/dockshift/internal/tier/process"
 	"dockshift.example/dockshift/internal/tier/settings"
 	"dockshift.example/dockshift/internal/tier/wal"
@@ -45,6 +49,31 @@
 	}
 }
 
+// Control planes and turn stores serve metrics on their internal listeners, by GET only.
+func TestInternalListenersServeMetrics(t *testing.T) {
+	for role, port := range map[string]int{process.RoleControlPlane: process.ControlPlanePort, process.RoleTurnStore: process.TurnStorePort} {
+		t.Run(role, func(t *testing.T) {
+			s := machine(t)
+			p, err := process.Start(t.Context(), role, process.Config{Settings: s, Log: silent()})
+			assert.NilError(t, err)
+			defer p.Kill()
+			at := "http://" + s.Internal(port) + metrics.Path
+			got, err := http.Get(at)
+			assert.NilError(t, err)
+			defer got.Body.Close()
+			text, err := io.ReadAll(got.Body)
+			assert.NilError(t, err)
+			assert.Equal(t, got.StatusCode, http.StatusOK)
+			assert.Equal(t, got.Header.Get("Content-Type"), metrics.ContentType)
+			assert.Assert(t, strings.Contains(string(text), "saffronyard_disk_state{state=\"sound\"} 1\n"), "%s", text)
+			other, err := http.Post(at, "text/plain", nil)
+			assert.NilError(t, err)
+			assert.NilError(t, other.Body.Close())
+			assert.Equal(t, other.StatusCode, http.StatusMethodNotAllowed)
+		})
+	}
+}
+
 // The end of the context is a kill.
 func TestContextEndsTheProcess(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/tier/process/turnstore.go
+++ b/internal/tier/process/turnstore.go
@@ -2,9 +2,11 @@
 
 import (
 	"context"
+	"net/http"
 	"sync"
 	"sync/atomic"
 
+	"dockshift.example/dockshift/internal/tier/metrics"
 	"dockshift.example/dockshift/internal/tier/rpcserver"
 	"dockshift.example/dockshift/internal/tier/session"
 	"dockshift.example/dockshift/internal/tier/turnstore"
@@ -74,14 +76,21 @@
 	if err != nil {
 		return nil, err
 	}
+	held := session.New(session.Config{Settings: s, Role: RoleTurnStore, Folder: store.Folder(), Address: address, Empty: store.WasEmpty(),
+		Dial: dialer(p.client, dialControlPlane), Synced: store.Synced, Disk: store.DiskState, Log: config.Log, PartitionMap: store.Apply})
+	mux := http.NewServeMux()
+	mux.Handle(tierv1.TurnStorePathPrefix, tierv1.NewTurnStoreServer(store))
+	mux.Handle(metricsPattern, metrics.Handler(func() metrics.Figures {
+		figures := store.Metrics()
+		figures.Session = held.Remaining()
+		return figures
+	}))
 	ctx, cancel := context.WithCancel(ctx)
-	if _, err := rpcserver.Serve(ctx, address, tierv1.NewTurnStoreServer(store)); err != nil {
+	if _, err := rpcserver.Serve(ctx, address, mux); err != nil {
 		cancel()
 		_ = store.Close()
 		return nil, err
 	}
-	held := session.New(session.Config{Settings: s, Role: RoleTurnStore, Folder: store.Folder(), Address: address, Empty: store.WasEmpty(),
-		Dial: dialer(p.client, dialControlPlane), Synced: store.Synced, Disk: store.DiskState, Log: config.Log, PartitionMap: store.Apply})
 	config.Log.Info().Str("event", "started").Str("role", RoleTurnStore).Str("node", s.Node).Str("folder", store.Folder()).Msg("")
 	return &openTurnStore{ctx: ctx, cancel: cancel, store: store, session: held}, nil
 }
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -79,6 +79,29 @@
 	return client.stands, time.Since(client.lastReply)
 }
 
+// Remaining tells how much longer the session stands if the primary answers no more; 0 where it does not stand.
+func (client *Client) Remaining() time.Duration {
+	stands, since := client.Stands()
+	if !stands {
+		return 0
+	}
+	return max(0, client.patience()-since)
+}
+
+// hold is how long the primary may hold a call.
+func (client *Client) hold() time.Duration {
+	window := client.config.Settings.ContactWindow
+	if client.config.Folder != "" {
+		return window / turnStorePart
+	}
+	return window / holdPart
+}
+
+// patience is how long the answer to a held call is waited for.
+func (client *Client) patience() time.Duration {
+	return client.hold() + client.config.Settings.ContactWindow/graceOver
+}
+
 // Primary is the address of the control primary as last known.
 func (client *Client) Primary() string {
 	client.mu.Lock()
@@ -209,7 +232,6 @@
 
 // watch makes one held call, and reports whether the session goes on there.
 func (client *Client) watch(ctx context.Context, at string) bool {
-	window := client.config.Settings.ContactWindow
 	client.mu.Lock()
 	req := proto.Clone(&client.applied).(*tierv1.WatchRequest)
 	req.Leaving = client.leaving
@@ -217,12 +239,8 @@
 	set := client.config.Settings
 	req.Node, req.Role, req.Folder, req.Address = set.Node, client.config.Role, client.config.Folder, client.config.Address
 	req.Zone, req.Region, req.Life, req.IdleDisk = set.Zone, set.Region, client.life, client.config.Empty
-	hold := window / holdPart
-	if client.config.Folder != "" {
-		hold = window / turnStorePart
-	}
-	req.HoldMs = uint32(hold.Milliseconds())
-	patience := hold + window/graceOver
+	req.HoldMs = uint32(client.hold().Milliseconds())
+	patience := client.patience()
 	begun := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -374,3 +374,38 @@
 	r.client.Leave()
 	c.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return held(q) && q.Leaving })
 }
+
+// What remains of a session falls from the last answer on, and is nothing once it is lost.
+func TestRemaining(t *testing.T) {
+	for role, patience := range map[string]time.Duration{
+		"gateway":   4*time.Second/6 + 4*time.Second/10, // a held call, and the grace of its answer
+		"turnstore": 4*time.Second/12 + 4*time.Second/10,
+	} {
+		t.Run(role, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				r := newRig(t, 1)
+				c := r.primary(1)
+				c.SetConfiguration("1")
+				r.run(func(s *session.Config) {
+					if s.Role = role; role == "turnstore" {
+						s.Folder = "f-1"
+					}
+				})
+				c.Taken(t)
+				synctest.Wait()
+				assert.Equal(t, r.client.Remaining(), patience)
+				<-time.After(100 * time.Millisecond)
+				assert.Equal(t, r.client.Remaining(), patience-100*time.Millisecond)
+				r.hint(1, 2) // nobody is the primary any more
+				<-time.After(patience)
+				assert.Equal(t, r.client.Remaining(), time.Duration(0))
+			})
+		})
+	}
+}
+
+// A session that has never stood has nothing left.
+func TestNothingRemainsOfNoSession(t *testing.T) {
+	client := session.New(session.Config{Settings: tiertest.Settings("edge-1"), Role: "gateway", Log: tiertest.Silent()})
+	assert.Equal(t, client.Remaining(), time.Duration(0))
+}
--- a/internal/tier/turnstore/disk.go
+++ b/internal/tier/turnstore/disk.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"syscall"
 	"time"
 
 	"github.com/joomcode/errorx"
@@ -43,10 +41,7 @@
 
 // failedState tells a disk that is full from one that fails otherwise.
 func failedState(failure error) tierv1.DiskState {
-	for wrapped := errorx.Cast(failure); wrapped != nil && wrapped.Cause() != nil; wrapped = errorx.Cast(failure) {
-		failure = wrapped.Cause()
-	}
-	if errors.Is(failure, syscall.ENOSPC) || errors.Is(failure, syscall.EDQUOT) {
+	if wal.Full(failure) {
 		return tierv1.DiskState_DISK_FULL
 	}
 	return tierv1.DiskState_DISK_FAILING
--- /dev/null
+++ b/internal/tier/turnstore/metrics.go
@@ -0,0 +1,20 @@
+package turnstore
+
+import "dockshift.example/dockshift/internal/tier/metrics"
+
+// Metrics gives the figures of this moment, but for those of the session.
+func (store *TurnStore) Metrics() metrics.TurnStore {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	figures := metrics.TurnStore{Memory: store.store.memory, MapVersion: store.version, Disk: store.diskState}
+	for _, p := range store.store.partitions {
+		figures.Entries += len(p.entries)
+		switch {
+		case p.primary == store.folder:
+			figures.Primaries++
+		case p.backup:
+			figures.Backups++
+		}
+	}
+	return figures
+}
