--- a/internal/tier/gateway/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -30,13 +30,13 @@
 }
 
 // apply takes a newer map in.
-func (client *storeClient) apply(v *tierv1.PartitionMap) {
-	at := make(map[string]string, len(v.StoreNodes))
-	for _, one := range v.StoreNodes {
-		at[one.Folder] = one.Address
+func (client *storeClient) apply(partitions *tierv1.PartitionMap) {
+	at := make(map[string]string, len(partitions.StoreNodes))
+	for _, store := range partitions.StoreNodes {
+		at[store.Folder] = store.Address
 	}
 	client.mu.Lock()
-	client.turnStores, client.at = v, at
+	client.turnStores, client.at = partitions, at
 	close(client.changed)
 	client.changed = make(chan struct{})
 	client.mu.Unlock()
@@ -50,9 +50,9 @@
 
 // partitionOf is the partition of a program's turns, of n.
 func partitionOf(program string, n int) uint32 {
-	h := fnv.New64a()
-	h.Write([]byte(program))
-	sum := h.Sum64()
+	hash := fnv.New64a()
+	hash.Write([]byte(program))
+	sum := hash.Sum64()
 	sum ^= sum >> 32
 	return uint32(sum % uint64(n))
 }
@@ -68,48 +68,60 @@
 	return partition, client.at[client.turnStores.Partitions[partition].Primary], client.changed
 }
 
+// storeCall is one call at a turn store, of a program in that partition; done says that its answer stands.
+type storeCall func(ctx context.Context, store tierv1.TurnStore, partition uint32) (done bool)
+
 // each makes a call at the program's primary again and again, until it gives an answer that stands or ctx ends.
-func (client *storeClient) each(ctx context.Context, program string, call func(ctx context.Context, v tierv1.TurnStore, partition uint32) (done bool)) bool {
+func (client *storeClient) each(ctx context.Context, program string, call storeCall) bool {
 	pause := client.wait / 8
 	for ctx.Err() == nil {
 		partition, address, changed := client.primary(program)
-		if address != "" {
-			one, cancel := context.WithTimeout(ctx, client.try)
-			over := make(chan struct{})
-			go func() { // a newer map ends a call to one that may be gone
-				select {
-				case <-changed:
-					if _, now, _ := client.primary(program); now != address {
-						cancel()
-					}
-				case <-over:
-				}
-			}()
-			done := call(one, client.dial(address), partition)
-			close(over)
-			cancel()
-			if done {
-				return true
-			}
+		if address != "" && client.once(ctx, program, address, partition, changed, call) {
+			return true
 		}
-		t := time.NewTimer(pause)
+		pauseUnless(ctx, pause, changed)
+		pause = min(2*pause, client.wait)
+	}
+	return false
+}
+
+// once makes a call at the store of that address. It is ended when its time is over, or when a newer map names another
+// primary of the program, as the one that was asked may be gone.
+func (client *storeClient) once(ctx context.Context, program, address string, partition uint32, changed <-chan struct{}, call storeCall) bool {
+	ctx, cancel := context.WithTimeout(ctx, client.try)
+	defer cancel()
+	over := make(chan struct{})
+	defer close(over)
+	go func() {
 		select {
-		case <-t.C:
 		case <-changed:
-		case <-ctx.Done():
+			if _, now, _ := client.primary(program); now != address {
+				cancel()
+			}
+		case <-over:
 		}
-		t.Stop()
-		pause = min(2*pause, client.wait)
+	}()
+	return call(ctx, client.dial(address), partition)
+}
+
+// pauseUnless waits for d, but no longer than until ctx ends or a newer map comes.
+func pauseUnless(ctx context.Context, d time.Duration, changed <-chan struct{}) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-changed:
+	case <-ctx.Done():
 	}
-	return false
 }
 
-// begin asks for a turn: OK with its chain (after: with what follows the turn that the caller holds), SPENT, UNKNOWN for sure, or BUSY where nothing is sure in time.
+// begin asks for a turn. The verdict is OK with the turn's chain, SPENT, UNKNOWN for sure, or BUSY where nothing is sure
+// in time. With after the chain is only what follows the turn that the caller holds.
 func (client *storeClient) begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn, after bool) {
 	verdict = tierv1.Verdict_BUSY
-	client.each(ctx, req.Program, func(ctx context.Context, v tierv1.TurnStore, partition uint32) bool {
+	client.each(ctx, req.Program, func(ctx context.Context, store tierv1.TurnStore, partition uint32) bool {
 		req.Partition = partition
-		reply, err := v.Begin(ctx, req)
+		reply, err := store.Begin(ctx, req)
 		if err != nil {
 			return false
 		}
@@ -150,53 +162,56 @@
 			addresses[client.at[p.Primary]] = true
 		}
 		client.mu.Unlock()
-		one, cancel := context.WithTimeout(ctx, client.try)
-		replies := make(chan *tierv1.FindReply, len(addresses))
-		for a := range addresses {
-			go func() {
-				if a == "" {
-					replies <- nil
-					return
-				}
-				reply, err := client.dial(a).Find(one, &tierv1.FindRequest{Attempt: attempt})
-				if err != nil {
-					reply = nil
-				}
-				replies <- reply
-			}()
+		chain, answered := client.findAt(ctx, addresses, attempt)
+		if len(chain) > 0 {
+			return chain, false
 		}
-		sure := map[uint32]bool{}
-		for range addresses {
-			reply := <-replies
-			if len(reply.GetChain()) > 0 {
-				cancel()
-				return reply.Chain, false
-			}
-			for _, p := range reply.GetPartitions() {
-				sure[p] = true
-			}
-		}
-		cancel()
-		if len(turnStores.GetPartitions()) > 0 && len(sure) == len(turnStores.Partitions) {
+		if len(turnStores.GetPartitions()) > 0 && len(answered) == len(turnStores.Partitions) {
 			return nil, true
 		}
-		t := time.NewTimer(pause)
-		select {
-		case <-t.C:
-		case <-changed:
-		case <-ctx.Done():
-		}
-		t.Stop()
+		pauseUnless(ctx, pause, changed)
 		pause = min(2*pause, client.wait)
 	}
 	return nil, false
 }
 
+// findAt asks the stores at some addresses at once for a turn. It gives the turn's chain as soon as one has it, else the
+// partitions whose primaries said that they do not.
+func (client *storeClient) findAt(ctx context.Context, addresses map[string]bool, attempt string) (chain []*tierv1.Turn, answered map[uint32]bool) {
+	ctx, cancel := context.WithTimeout(ctx, client.try)
+	defer cancel()
+	replies := make(chan *tierv1.FindReply, len(addresses))
+	for address := range addresses {
+		go func() {
+			if address == "" {
+				replies <- nil
+				return
+			}
+			reply, err := client.dial(address).Find(ctx, &tierv1.FindRequest{Attempt: attempt})
+			if err != nil {
+				reply = nil
+			}
+			replies <- reply
+		}()
+	}
+	answered = map[uint32]bool{}
+	for range addresses {
+		reply := <-replies
+		if len(reply.GetChain()) > 0 {
+			return reply.Chain, nil
+		}
+		for _, partition := range reply.GetPartitions() {
+			answered[partition] = true
+		}
+	}
+	return nil, answered
+}
+
 // settle ends a reservation, and reports whether that is durable.
 func (client *storeClient) settle(ctx context.Context, req *tierv1.SettleRequest) bool {
-	return client.each(ctx, req.Program, func(ctx context.Context, v tierv1.TurnStore, partition uint32) bool {
+	return client.each(ctx, req.Program, func(ctx context.Context, store tierv1.TurnStore, partition uint32) bool {
 		req.Partition = partition
-		reply, err := v.Settle(ctx, req)
+		reply, err := store.Settle(ctx, req)
 		return err == nil && reply.Verdict == tierv1.Verdict_OK
 	})
 }
