--- a/internal/tier/gateway/pass.go
+++ b/internal/tier/gateway/send.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"net/http"
 	"time"
 
 	"dockshift.example/dockshift/internal/tier/ingress"
@@ -48,14 +49,9 @@
 
 // send makes one send at the endpoint of choice. A result that is streaming is the caller's to finish.
 func (request *clientRequest) send(choice loadbalancer.Choice) *upstream.Result {
-	maxConnections := 0
-	if c := request.gateway.routing.Load(); c != nil {
-		if s := c.Services[request.service]; s != nil {
-			maxConnections = s.MaxConnections
-		}
-	}
+	target := upstream.Target{Address: choice.Address, Instance: choice.Instance, Connections: request.maxConnections()}
 	request.began = time.Now()
-	r := request.gateway.pool.Call(request.ctx, upstream.Target{Address: choice.Address, Instance: choice.Instance, Connections: maxConnections}, request.upstreamRequest(choice), choice.Timeout)
+	r := request.gateway.pool.Call(request.ctx, target, request.upstreamRequest(choice), choice.Timeout)
 	if r.Written {
 		request.sent++
 		request.tried = append(request.tried, choice.Instance)
@@ -66,7 +62,21 @@
 	return r
 }
 
-// outcome is what the load balancer is given of a call that has ended.
+// maxConnections is how many connections the gateway may have to an endpoint of the request's service; 0: no bound.
+func (request *clientRequest) maxConnections() int {
+	table := request.gateway.routing.Load()
+	if table == nil {
+		return 0
+	}
+	service := table.Services[request.service]
+	if service == nil {
+		return 0
+	}
+	return service.MaxConnections
+}
+
+// outcome is what the load balancer is given of a call that has ended; took is from its send to its first piece, or to its
+// end.
 func outcome(r *upstream.Result, took time.Duration) loadbalancer.Outcome {
 	o := loadbalancer.Outcome{First: took}
 	end := r.End
@@ -79,16 +89,7 @@
 	}
 	switch end {
 	case upstream.Whole:
-		switch {
-		case a.Status == 421:
-			o.Kind, o.Misdirected = loadbalancer.Gone, true
-		case a.NotExecuted:
-			o.Kind = loadbalancer.Refused
-		case a.Status/100 == 2 || a.Status/100 == 4 || a.Signature != "":
-			o.Kind = loadbalancer.Served
-		default:
-			o.Kind = loadbalancer.Failed
-		}
+		o.Kind, o.Misdirected = wholeOutcome(a)
 	case upstream.TimedOut:
 		o.Kind = loadbalancer.TimedOut
 		if !r.Written {
@@ -96,9 +97,7 @@
 		}
 	case upstream.Abandoned:
 		o.Kind = loadbalancer.Abandoned
-	case upstream.NotSent:
-		o.Kind = loadbalancer.NotSent
-	case upstream.NoRoom:
+	case upstream.NotSent, upstream.NoRoom:
 		o.Kind = loadbalancer.NotSent
 	default:
 		o.Kind = loadbalancer.Broken
@@ -106,6 +105,20 @@
 	return o
 }
 
+// wholeOutcome is the outcome of an answer that came whole. misdirected: the endpoint is not the instance asked for.
+func wholeOutcome(a *upstream.Answer) (kind loadbalancer.Kind, misdirected bool) {
+	switch {
+	case a.Status == http.StatusMisdirectedRequest:
+		return loadbalancer.Gone, true
+	case a.NotExecuted:
+		return loadbalancer.Refused, false
+	case a.Status/100 == 2 || a.Status/100 == 4 || a.Signature != "":
+		return loadbalancer.Served, false
+	}
+	return loadbalancer.Failed, false
+}
+
+// firstPiece tells the load balancer that the first piece of a call's answer has come.
 func (gateway *Gateway) firstPiece(call *loadbalancer.Call) {
 	gateway.mu.Lock()
 	gateway.loadbalancer.FirstPiece(gateway.now(), call)
@@ -138,6 +151,7 @@
 	}
 }
 
+// fields are those of an endpoint's answer as the client gets them.
 func fields(a *upstream.Answer) []ingress.Field {
 	head := make([]ingress.Field, 0, len(a.Header)+1)
 	for _, f := range a.Header {
@@ -183,113 +197,3 @@
 		}
 	}
 }
-
-// stream sends a request whose answer is passed on event by event; t is what is kept of it, if it is a turn.
-func (request *clientRequest) stream(t *kept) {
-	for tries := 1; ; tries++ {
-		choice := request.choose()
-		if choice.Verdict != loadbalancer.Send {
-			if t != nil {
-				request.release(t.program, 0)
-			}
-			request.unsent(choice)
-			return
-		}
-		r := request.send(choice)
-		if r.End == upstream.Streaming {
-			request.pass(r, choice, t)
-			return
-		}
-		if request.mayRetry(r, tries) {
-			continue
-		}
-		if t != nil {
-			request.release(t.program, 0)
-		}
-		request.finish(r)
-		return
-	}
-}
-
-// pass hands the pieces of an answer to the client as they come, and its end when the turn is kept.
-func (request *clientRequest) pass(r *upstream.Result, choice loadbalancer.Choice, t *kept) {
-	x, s := request.x, r.Stream
-	defer s.Close()
-	s.SetDeadline(request.until)
-	var first time.Duration
-	var out []byte
-	events, handed, begun, lost := uint64(0), uint64(0), false, false
-	for {
-		p, err := s.Next()
-		if err != nil {
-			break
-		}
-		if first == 0 {
-			first = time.Since(request.began)
-			request.gateway.firstPiece(choice.Call)
-		}
-		events++
-		out = append(out, p.Raw...)
-		if t != nil && p.HasData {
-			t.output = append(append(t.output, p.Data...), '\n')
-		}
-		if s.AtHand() && !s.Last() {
-			continue
-		}
-		if !begun {
-			begun = true
-			lost = x.Begin(r.Answer.Status, fields(r.Answer)) != nil
-		}
-		if !lost {
-			handed = events // of those in a write that fails, the client may have any
-			lost = x.Write(out) != nil
-		}
-		out = out[:0]
-		if lost {
-			break
-		}
-	}
-	if len(out) > 0 && !lost && s.End() == upstream.Whole {
-		if !begun {
-			begun = true
-			lost = x.Begin(r.Answer.Status, fields(r.Answer)) != nil
-		}
-		lost = lost || x.Write(out) != nil
-	}
-	s.Close()
-	o := outcome(r, time.Since(request.began))
-	o.First = first
-	request.gateway.done(choice.Call, o)
-	tokens := events * request.perEvent
-	if s.End() != upstream.Whole || lost {
-		if t != nil {
-			if s.End() != upstream.Whole && !lost {
-				tokens = handed * request.perEvent
-			}
-			request.release(t.program, tokens)
-		}
-		if begun || lost {
-			x.Abort()
-			return
-		}
-		request.finish(r)
-		return
-	}
-	if !begun { // a stream without events
-		if x.Begin(r.Answer.Status, fields(r.Answer)) != nil {
-			x.Abort()
-			return
-		}
-	}
-	if t != nil {
-		t.instance = choice.Instance
-	}
-	if t != nil {
-		if !request.keep(t, tokens) {
-			x.Abort()
-			return
-		}
-		request.gateway.texts.keep(&text{attempt: request.attempt, line: t.line, instance: t.instance, prompt: append(request.body, t.output...)})
-	}
-	x.End()
-}
