--- /dev/null
+++ b/internal/tier/session/search.go
@@ -0,0 +1,101 @@
+package session
+
+import (
+	"context"
+	"math"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// candidates are all that may be or know the primary, the hint first.
+func (client *Client) candidates() []string {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	var all []string
+	seen := map[string]bool{"": true}
+	for _, list := range [][]string{{client.hint}, client.members, client.seeds} {
+		for _, a := range list {
+			if !seen[a] {
+				seen[a] = true
+				all = append(all, a)
+			}
+		}
+	}
+	return all
+}
+
+// search is one round of asking who is the primary.
+type search struct {
+	client  *Client
+	answers chan answer
+	asked   map[string]bool // addresses
+}
+
+// answer is what one candidate replied; the reply is nil where the call failed.
+type answer struct {
+	at    string
+	reply *tierv1.WatchReply
+}
+
+// findPrimary asks all candidates at once who is the primary, and gives the address of the first that says that it is;
+// empty if none does in time.
+func (client *Client) findPrimary(ctx context.Context) string {
+	all := client.candidates()
+	ctx, cancel := context.WithTimeout(ctx, client.config.Settings.ContactWindow/lookPart)
+	defer cancel()
+	round := &search{client: client, answers: make(chan answer, 2*len(all)+8), asked: map[string]bool{}}
+	for _, address := range all {
+		round.ask(ctx, address)
+	}
+	for len(round.asked) > 0 {
+		var got answer
+		select {
+		case got = <-round.answers:
+		case <-ctx.Done():
+			return ""
+		}
+		if got.reply == nil {
+			continue
+		}
+		if got.reply.Primary {
+			return got.at
+		}
+		round.ask(ctx, got.reply.Hint)
+	}
+	return ""
+}
+
+// ask asks one candidate, unless it is being asked already or too many are.
+func (round *search) ask(ctx context.Context, at string) {
+	if round.asked[at] || at == "" || len(round.asked) >= cap(round.answers) {
+		return
+	}
+	round.asked[at] = true
+	go round.askUntilPrimary(ctx, at)
+}
+
+// askUntilPrimary asks one candidate until it is the primary or ctx ends: one that is not may be it in a moment, whoever
+// else is still waited for.
+func (round *search) askUntilPrimary(ctx context.Context, at string) {
+	config := &round.client.config
+	for {
+		// It claims to hold all: what is new is brought by the held call.
+		reply, err := config.Dial(at).Watch(ctx, &tierv1.WatchRequest{Node: config.Settings.Node, Life: round.client.life,
+			Configuration: math.MaxUint64, Endpoints: math.MaxUint64, PartitionMap: math.MaxUint64, Members: math.MaxUint64})
+		if err != nil {
+			reply = nil
+		}
+		select {
+		case round.answers <- answer{at, reply}:
+		case <-ctx.Done():
+			return
+		}
+		if reply.GetPrimary() {
+			return
+		}
+		pause(ctx, config.Settings.ContactWindow/pausePart)
+		if ctx.Err() != nil {
+			return
+		}
+	}
+}
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -3,22 +3,15 @@
 package session
 
 import (
-	"bytes"
-	"compress/gzip"
 	"context"
-	"io"
-	"math"
 	"math/rand/v2"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"dockshift.example/dockshift/internal/tier/rpcserver"
 	"dockshift.example/dockshift/internal/tier/settings"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
-	"github.com/joomcode/errorx"
 	"github.com/phuslu/log"
-	"google.golang.org/protobuf/proto"
 )
 
 // Parts of the contact window: a session must be found again well inside it.
@@ -30,7 +23,7 @@
 	pausePart     = 60 // between rounds of asking
 )
 
-// Config is what a session is told.
+// Config is what a session is given.
 type Config struct {
 	Settings settings.Settings
 	Role     string // gateway or turn store
@@ -41,31 +34,30 @@
 	Synced   func() ([]*tierv1.SyncedCopy, <-chan struct{}) // of a turn store: copies that are whole, and a channel closed at the next change
 	Log      *log.Logger
 
-	// Told of newer views, one after the other. They must not block.
+	// Called with newer views, one after the other. They must not block.
 	Configuration func(*tierv1.Configuration)
 	Endpoints     func(*tierv1.Endpoints)
 	PartitionMap  func(*tierv1.PartitionMap)
 }
 
-// Client is a session.
+// Client is a session. Its methods may be called from any goroutine; Run is called once.
 type Client struct {
 	config Config
-	life   string
-	seeds  []string
+	life   string   // of this process, new with each start
+	seeds  []string // addresses
 
 	mu        sync.Mutex
 	applied   tierv1.WatchRequest // versions taken
 	members   []string            // addresses
-	hint      string
-	stands    bool
-	lastReply time.Time
+	hint      string              // address of the primary, as last known
+	stands    bool                // the last call was answered by the primary
+	lastReply time.Time           // of the primary; zero: none in this life
 	leaving   bool
 }
 
 // New makes a session that Run begins.
 func New(c Config) *Client {
-	client := &Client{config: c, life: rpcserver.Life(), seeds: c.Settings.SeedInternal()}
-	return client
+	return &Client{config: c, life: rpcserver.Life(), seeds: c.Settings.SeedInternal()}
 }
 
 // Stands tells whether the session stands, and how long ago the primary answered last.
@@ -107,15 +99,17 @@
 	}
 }
 
+// pause waits for d, or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
+// markLost notes that the session does not stand; why goes into the log.
 func (client *Client) markLost(why string) {
 	client.mu.Lock()
 	was := client.stands
@@ -125,214 +119,3 @@
 		client.config.Log.Warn().Str("event", "session_lost").Str("why", why).Msg("")
 	}
 }
-
-// candidates are all that may be or know the primary, the hint first.
-func (client *Client) candidates() []string {
-	client.mu.Lock()
-	defer client.mu.Unlock()
-	var all []string
-	seen := map[string]bool{"": true}
-	for _, list := range [][]string{{client.hint}, client.members, client.seeds} {
-		for _, a := range list {
-			if !seen[a] {
-				seen[a] = true
-				all = append(all, a)
-			}
-		}
-	}
-	return all
-}
-
-// findPrimary asks all candidates at once who is the primary, and gives the address of the first that says that it is.
-func (client *Client) findPrimary(ctx context.Context) string {
-	all := client.candidates()
-	ctx, cancel := context.WithTimeout(ctx, client.config.Settings.ContactWindow/lookPart)
-	defer cancel()
-	type answer struct {
-		at    string
-		reply *tierv1.WatchReply
-	}
-	answers := make(chan answer, 2*len(all)+8)
-	asked := map[string]bool{}
-	out := 0
-	ask := func(at string) {
-		if asked[at] || at == "" || out >= cap(answers) {
-			return
-		}
-		asked[at] = true
-		out++
-		go func() {
-			// One that is not the primary may be it in a moment: it is asked again, whoever else is still waited for.
-			for {
-				// It claims to hold all: what is new is brought by the held call.
-				reply, err := client.config.Dial(at).Watch(ctx, &tierv1.WatchRequest{Node: client.config.Settings.Node, Life: client.life,
-					Configuration: math.MaxUint64, Endpoints: math.MaxUint64, PartitionMap: math.MaxUint64, Members: math.MaxUint64})
-				if err != nil {
-					reply = nil
-				}
-				select {
-				case answers <- answer{at, reply}:
-				case <-ctx.Done():
-					return
-				}
-				if reply.GetPrimary() {
-					return
-				}
-				pause(ctx, client.config.Settings.ContactWindow/pausePart)
-				if ctx.Err() != nil {
-					return
-				}
-			}
-		}()
-	}
-	for _, a := range all {
-		ask(a)
-	}
-	for out > 0 {
-		var got answer
-		select {
-		case got = <-answers:
-		case <-ctx.Done():
-			return ""
-		}
-		if got.reply == nil {
-			continue
-		}
-		if got.reply.Primary {
-			return got.at
-		}
-		ask(got.reply.Hint)
-	}
-	return ""
-}
-
-// watch makes one held call, and reports whether the session goes on there.
-func (client *Client) watch(ctx context.Context, at string) bool {
-	window := client.config.Settings.ContactWindow
-	client.mu.Lock()
-	req := proto.Clone(&client.applied).(*tierv1.WatchRequest)
-	req.Leaving = client.leaving
-	client.mu.Unlock()
-	set := client.config.Settings
-	req.Node, req.Role, req.Folder, req.Address = set.Node, client.config.Role, client.config.Folder, client.config.Address
-	req.Zone, req.Region, req.Life, req.IdleDisk = set.Zone, set.Region, client.life, client.config.Empty
-	hold := window / holdPart
-	if client.config.Folder != "" {
-		hold = window / turnStorePart
-	}
-	req.HoldMs = uint32(hold.Milliseconds())
-	patience := hold + window/graceOver
-	begun := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, patience)
-	defer cancel()
-	var renewed atomic.Bool
-	if client.config.Synced != nil {
-		reports, changed := client.config.Synced()
-		req.Synced = reports
-		done := make(chan struct{})
-		defer close(done)
-		go func() {
-			select {
-			case <-changed: // tell it at once
-				renewed.Store(true)
-				cancel()
-			case <-done:
-			}
-		}()
-	}
-	reply, err := client.config.Dial(at).Watch(ctx, req)
-	if err != nil {
-		if renewed.Load() && ctx.Err() != nil {
-			return true
-		}
-		client.markLost(err.Error())
-		return false
-	}
-	// The primary's lease was looked at after the call was sent and before it was answered. How old an answer can be is
-	// bounded by this only, also where a process was paused on the way.
-	if time.Since(begun) > patience {
-		client.markLost("answered too late")
-		return false
-	}
-	if !reply.Primary {
-		client.mu.Lock()
-		if reply.Hint != "" {
-			client.hint = reply.Hint
-		}
-		client.mu.Unlock()
-		client.markLost("no longer primary")
-		return false
-	}
-	client.apply(at, reply)
-	return true
-}
-
-func (client *Client) apply(at string, reply *tierv1.WatchReply) {
-	client.mu.Lock()
-	if !client.stands {
-		client.config.Log.Info().Str("event", "session").Str("primary", at).Uint64("epoch", reply.Epoch).Msg("")
-	}
-	client.stands, client.lastReply, client.hint = true, time.Now(), at
-	if m := reply.Members; m != nil && m.Version > client.applied.Members {
-		client.applied.Members = m.Version
-		client.members = client.members[:0]
-		for _, one := range m.List {
-			client.members = append(client.members, one.Address)
-		}
-	}
-	configuration, endpoints, partitionMap := reply.Configuration, reply.Endpoints, reply.PartitionMap
-	if configuration != nil && configuration.Version <= client.applied.Configuration {
-		configuration = nil
-	}
-	if endpoints != nil && endpoints.Version <= client.applied.Endpoints {
-		endpoints = nil
-	}
-	if partitionMap != nil && partitionMap.Version <= client.applied.PartitionMap {
-		partitionMap = nil
-	}
-	client.mu.Unlock()
-	if len(configuration.GetPacked()) > 0 {
-		var err error
-		if configuration, err = unpack(configuration); err != nil { // it is not acknowledged, and comes again
-			client.config.Log.Error().Str("event", "configuration_damaged").Err(err).Msg("")
-		}
-	}
-	if configuration != nil && client.config.Configuration != nil {
-		client.config.Configuration(configuration)
-	}
-	if endpoints != nil && client.config.Endpoints != nil {
-		client.config.Endpoints(endpoints)
-	}
-	if partitionMap != nil && client.config.PartitionMap != nil {
-		client.config.PartitionMap(partitionMap)
-	}
-	client.mu.Lock() // acknowledged once it has been taken in
-	if configuration != nil {
-		client.applied.Configuration = configuration.Version
-	}
-	if endpoints != nil {
-		client.applied.Endpoints = endpoints.Version
-	}
-	if partitionMap != nil {
-		client.applied.PartitionMap = partitionMap.Version
-	}
-	client.mu.Unlock()
-}
-
-const unpackedMost = 64 << 20 // bytes of a configuration
-
-// unpack gives a configuration as the operator sent it; nil with an error.
-func unpack(c *tierv1.Configuration) (*tierv1.Configuration, error) {
-	r, err := gzip.NewReader(bytes.NewReader(c.Packed))
-	if err != nil {
-		return nil, errorx.Decorate(err, "configuration of version %d", c.Version)
-	}
-	body, err := io.ReadAll(io.LimitReader(r, unpackedMost+1))
-	if err == nil && len(body) > unpackedMost {
-		err = errorx.IllegalFormat.New("it has more than %d bytes", unpackedMost)
-	}
-	if err != nil {
-		return nil, errorx.Decorate(err, "configuration of version %d", c.Version)
-	}
-	return &tierv1.Configuration{Version: c.Version, Body: body}, nil
-}
--- /dev/null
+++ b/internal/tier/session/watch.go
@@ -0,0 +1,184 @@
+package session
+
+import (
+	"bytes"
+	"compress/gzip"
+	"context"
+	"io"
+	"sync/atomic"
+	"time"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"github.com/joomcode/errorx"
+	"google.golang.org/protobuf/proto"
+)
+
+// watch makes one held call, and reports whether the session goes on there.
+func (client *Client) watch(ctx context.Context, at string) bool {
+	hold := client.hold()
+	request := client.request(hold)
+	patience := hold + client.config.Settings.ContactWindow/graceOver
+	begun := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, patience)
+	defer cancel()
+	var renewed atomic.Bool // the call was ended as there is a change to report
+	if client.config.Synced != nil {
+		copies, changed := client.config.Synced()
+		request.Synced = copies
+		done := make(chan struct{})
+		defer close(done)
+		go func() {
+			select {
+			case <-changed: // report it at once
+				renewed.Store(true)
+				cancel()
+			case <-done:
+			}
+		}()
+	}
+	reply, err := client.config.Dial(at).Watch(ctx, request)
+	if err != nil {
+		if renewed.Load() && ctx.Err() != nil {
+			return true
+		}
+		client.markLost(err.Error())
+		return false
+	}
+	// The primary's lease was looked at after the call was sent and before it was answered. How old an answer can be is
+	// bounded by this only, also where a process was paused on the way.
+	if time.Since(begun) > patience {
+		client.markLost("answered too late")
+		return false
+	}
+	if !reply.Primary {
+		client.mu.Lock()
+		if reply.Hint != "" {
+			client.hint = reply.Hint
+		}
+		client.mu.Unlock()
+		client.markLost("no longer primary")
+		return false
+	}
+	client.apply(at, reply)
+	return true
+}
+
+// hold is how long a call of this process is held at most.
+func (client *Client) hold() time.Duration {
+	if client.config.Folder != "" {
+		return client.config.Settings.ContactWindow / turnStorePart
+	}
+	return client.config.Settings.ContactWindow / holdPart
+}
+
+// request is the next held call: who asks, and the versions that it acknowledges.
+func (client *Client) request(hold time.Duration) *tierv1.WatchRequest {
+	client.mu.Lock()
+	request := proto.Clone(&client.applied).(*tierv1.WatchRequest)
+	request.Leaving = client.leaving
+	client.mu.Unlock()
+	settings := &client.config.Settings
+	request.Node, request.Zone, request.Region = settings.Node, settings.Zone, settings.Region
+	request.Role, request.Folder, request.Address = client.config.Role, client.config.Folder, client.config.Address
+	request.Life, request.IdleDisk = client.life, client.config.Empty
+	request.HoldMs = uint32(hold.Milliseconds())
+	return request
+}
+
+// views are the parts of a reply that are newer than what was taken; nil: nothing new.
+type views struct {
+	configuration *tierv1.Configuration
+	endpoints     *tierv1.Endpoints
+	partitionMap  *tierv1.PartitionMap
+}
+
+// apply takes a reply of the primary. What is new in it is acknowledged, by the next call, once it has been taken in.
+func (client *Client) apply(at string, reply *tierv1.WatchReply) {
+	client.mu.Lock()
+	client.noteReply(at, reply)
+	newer := client.newer(reply)
+	client.mu.Unlock()
+	if len(newer.configuration.GetPacked()) > 0 {
+		var err error
+		if newer.configuration, err = unpack(newer.configuration); err != nil { // it is not acknowledged, and comes again
+			client.config.Log.Error().Str("event", "configuration_damaged").Err(err).Msg("")
+		}
+	}
+	client.deliver(newer)
+	client.mu.Lock()
+	client.acknowledge(newer)
+	client.mu.Unlock()
+}
+
+// noteReply notes that the session stands, and the members that the primary names. The caller holds mu.
+func (client *Client) noteReply(at string, reply *tierv1.WatchReply) {
+	if !client.stands {
+		client.config.Log.Info().Str("event", "session").Str("primary", at).Uint64("epoch", reply.Epoch).Msg("")
+	}
+	client.stands, client.lastReply, client.hint = true, time.Now(), at
+	if members := reply.Members; members != nil && members.Version > client.applied.Members {
+		client.applied.Members = members.Version
+		client.members = client.members[:0]
+		for _, member := range members.List {
+			client.members = append(client.members, member.Address)
+		}
+	}
+}
+
+// newer gives the views of a reply that have not been taken. The caller holds mu.
+func (client *Client) newer(reply *tierv1.WatchReply) (newer views) {
+	if v := reply.Configuration; v != nil && v.Version > client.applied.Configuration {
+		newer.configuration = v
+	}
+	if v := reply.Endpoints; v != nil && v.Version > client.applied.Endpoints {
+		newer.endpoints = v
+	}
+	if v := reply.PartitionMap; v != nil && v.Version > client.applied.PartitionMap {
+		newer.partitionMap = v
+	}
+	return newer
+}
+
+// deliver hands newer views to those who use them.
+func (client *Client) deliver(newer views) {
+	if newer.configuration != nil && client.config.Configuration != nil {
+		client.config.Configuration(newer.configuration)
+	}
+	if newer.endpoints != nil && client.config.Endpoints != nil {
+		client.config.Endpoints(newer.endpoints)
+	}
+	if newer.partitionMap != nil && client.config.PartitionMap != nil {
+		client.config.PartitionMap(newer.partitionMap)
+	}
+}
+
+// acknowledge notes views as taken. The caller holds mu.
+func (client *Client) acknowledge(taken views) {
+	if taken.configuration != nil {
+		client.applied.Configuration = taken.configuration.Version
+	}
+	if taken.endpoints != nil {
+		client.applied.Endpoints = taken.endpoints.Version
+	}
+	if taken.partitionMap != nil {
+		client.applied.PartitionMap = taken.partitionMap.Version
+	}
+}
+
+const maxUnpacked = 64 << 20 // bytes of a configuration
+
+// unpack gives a configuration as the operator sent it; nil with an error.
+func unpack(c *tierv1.Configuration) (*tierv1.Configuration, error) {
+	reader, err := gzip.NewReader(bytes.NewReader(c.Packed))
+	if err != nil {
+		return nil, errorx.Decorate(err, "configuration of version %d", c.Version)
+	}
+	body, err := io.ReadAll(io.LimitReader(reader, maxUnpacked+1))
+	if err == nil && len(body) > maxUnpacked {
+		err = errorx.IllegalFormat.New("it has more than %d bytes", maxUnpacked)
+	}
+	if err != nil {
+		return nil, errorx.Decorate(err, "configuration of version %d", c.Version)
+	}
+	return &tierv1.Configuration{Version: c.Version, Body: body}, nil
+}
