--- a/internal/tier/consensus/machine.go
+++ b/internal/tier/consensus/machine.go
@@ -10,92 +10,6 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// timing are the spans that the machine goes by, all from the settings.
-type timing struct {
-	heartbeat time.Duration // between two heartbeats of a primary to one node
-	call      time.Duration // after which a call counts as failed
-	sticky    time.Duration // a primary observed this recently is not deposed
-	silence   time.Duration // of a primary, after which others try to take over
-	fresh     time.Duration // a confirmation this old still counts
-	swap      time.Duration // of a member, after which a joiner takes its place
-	join      time.Duration // between two calls to join
-}
-
-func timings(window, interval time.Duration) timing {
-	heartbeat := window / 12
-	if interval > 0 {
-		heartbeat = min(heartbeat, interval/4)
-	}
-	return timing{heartbeat: heartbeat, call: window / 6, sticky: window / 6, silence: window / 4, fresh: window / 3,
-		swap: window * 2 / 5, join: window / 6}
-}
-
-// The events of Step.
-type (
-	// request is a call of another node; it is answered by a reply with its token.
-	request struct {
-		token uint64
-		body  proto.Message
-	}
-	// answer ends a call of this node. The body is nil where it failed.
-	answer struct {
-		id   uint64
-		body proto.Message
-	}
-	put struct {
-		token uint64
-		epoch uint64
-		sets  map[string][]byte
-	}
-	confirm struct {
-		token uint64
-		epoch uint64
-	}
-	tick  struct{}
-	event any
-)
-
-// What is to be done after a step, in the order of the fields. Calls in early need not wait for the disk.
-type (
-	call struct {
-		id      uint64
-		address string
-		body    proto.Message
-		timeout time.Duration
-	}
-	reply struct {
-		token uint64
-		body  proto.Message
-	}
-	outcome struct {
-		token    uint64
-		sequence uint64
-		err      error
-	}
-	actions struct {
-		early    []call
-		records  [][]byte
-		sync     bool
-		calls    []call
-		replies  []reply
-		outcomes []outcome
-		changed  bool
-		news     []string // for the log
-	}
-)
-
-// peer is another control-plane process, known by its address.
-type peer struct {
-	member   *tierv1.Member // as it last described itself
-	first    time.Duration  // when its address was learnt
-	answered time.Duration  // when the call began that it answered last
-	trip     time.Duration  // how long that call took
-	replied  bool           // it has answered
-	met      bool           // it has called or answered
-	asking   bool           // a heartbeat is under way
-	voter    bool           // it says that it is a member of the record in force
-}
-
 // machine decides. It does no I/O: all of what it needs comes in by Step, all that it wants done goes out.
 type machine struct {
 	durable
@@ -205,56 +119,6 @@
 	}
 }
 
-func (m *machine) peer(address string) *peer {
-	p := m.peers[address]
-	if p == nil {
-		p = &peer{first: m.now}
-		m.peers[address] = p
-	}
-	return p
-}
-
-// met notes a node that called: one way, so it proves nothing about the way back.
-func (m *machine) met(member *tierv1.Member) *peer {
-	if member == nil || member.Address == "" || member.Folder == "" || member.Address == m.self.Address {
-		return nil
-	}
-	p := m.peer(member.Address)
-	if p.member == nil || !proto.Equal(p.member, member) {
-		p.member, m.out.changed = member, true
-	}
-	p.met = true
-	return p
-}
-
-// replied notes that a node answered a call that began at that time.
-func (m *machine) replied(member *tierv1.Member, began time.Duration) *peer {
-	p := m.met(member)
-	if p != nil {
-		if began >= p.answered {
-			p.answered, p.trip = began, m.now-began
-		}
-		p.replied = true
-	}
-	return p
-}
-
-// silent is how long a node has not answered.
-func (m *machine) silent(address string) time.Duration {
-	p := m.peer(address)
-	since := max(p.answered, p.first)
-	if m.primary != nil {
-		since = max(since, m.primary.began)
-	}
-	return m.now - since
-}
-
-// alive tells whether the folder of a member, or the one at its address where it has none, answered within d.
-func (m *machine) alive(member *tierv1.Member, d time.Duration) bool {
-	p := m.peers[member.Address]
-	return p != nil && p.replied && (member.Folder == "" || p.member.Folder == member.Folder) && m.now-p.answered <= d
-}
-
 // base is the newest record that this folder accepted or knows to be chosen; the genesis record where there is none
 // and the folder was made at the first start; else nil.
 func (m *machine) base() *tierv1.Record {
@@ -307,30 +171,6 @@
 	}
 }
 
-// addresses are all other control-plane processes that are known.
-func (m *machine) addresses() (list []string) {
-	add := func(a string) {
-		if a != "" && a != m.self.Address && !slices.Contains(list, a) {
-			list = append(list, a)
-		}
-	}
-	for _, set := range configurations(m.known()) {
-		for _, v := range set {
-			add(v.Address)
-		}
-	}
-	for _, a := range m.seeds {
-		add(a)
-	}
-	for a, p := range m.peers {
-		if p.met {
-			add(a)
-		}
-	}
-	slices.Sort(list)
-	return list
-}
-
 // timers does what is due.
 func (m *machine) timers() {
 	m.advanceAll()
@@ -363,35 +203,6 @@
 	}
 }
 
-func (m *machine) knownMembers() []*tierv1.Member {
-	if r := m.known(); r != nil {
-		return r.Members
-	}
-	return nil
-}
-
-// leaderAlive reports whether a heartbeat of the primary came within timing.silence.
-func (m *machine) leaderAlive() bool { return m.observed && m.now-m.observedAt < m.timing.silence }
-
-// probe asks a primary whose heartbeat is late whether it is there. A call that fails at once, as one to a dead port does, ends
-// this node's patience with it; that is a guess that decides nothing: the others are asked as ever. One without any
-// answer is waited for as before.
-func (m *machine) probe() {
-	m.probeAt = m.now + m.timing.heartbeat
-	began := m.now
-	m.call(m.hint, &tierv1.JoinRequest{From: m.self}, true, func(body proto.Message) {
-		if body != nil || m.now-began >= m.timing.call/2 || m.primary != nil || !m.observed || m.observedAt >= began {
-			return
-		}
-		m.observed = false
-		wait := m.timing.heartbeat/8 + m.jitter(m.timing.heartbeat/8) // the others find out, too
-		if r := m.base(); r != nil && !named(r, m.Folder) {
-			wait += m.timing.silence / 2
-		}
-		m.tryAt = min(m.tryAt, m.now+wait)
-	})
-}
-
 // wake is when the next step is due at the latest.
 func (m *machine) wake() time.Duration {
 	var at time.Duration
