--- a/internal/tier/consensus/maintain.go
+++ b/internal/tier/consensus/maintain.go
@@ -7,16 +7,10 @@
 )
 
 // maintain tells what record the primary wants next: lost backups replaced, a swap of members settled, copies and
-// members added, silent members swapped for joiners, one at a time.
+// members added, silent members swapped for joiners, one at a time. It is false where all is as it should be.
 func (m *machine) maintain() (plan, bool) {
 	r := m.primary
-	drop := make(map[string]bool)
-	for _, b := range r.record.Backups {
-		if r.lost[b] || m.now-r.confirmed[b] > m.timing.call+m.timing.heartbeat/2 || m.replaced(b) {
-			drop[b] = true
-		}
-	}
-	if len(drop) > 0 || r.renew || m.promised > r.record.Epoch {
+	if drop := m.lostBackups(); len(drop) > 0 || r.renew || m.promised > r.record.Epoch {
 		return plan{drop: drop}, true
 	}
 	if len(r.record.Former) > 0 {
@@ -24,9 +18,7 @@
 	}
 	members := r.record.Members
 	should, _ := m.wanted(len(members))
-	if len(r.record.Backups) < should && m.now >= r.moreAt && slices.ContainsFunc(members, func(v *tierv1.Member) bool {
-		return v.Folder != m.Folder && !slices.Contains(r.record.Backups, v.Folder) && m.alive(v, m.timing.call) && m.peers[v.Address].voter
-	}) {
+	if len(r.record.Backups) < should && m.now >= r.moreAt && slices.ContainsFunc(members, m.couldBack) {
 		r.moreAt = m.now + m.timing.swap
 		return plan{}, true
 	}
@@ -34,18 +26,9 @@
 	if len(joiners) == 0 {
 		return m.spreadBackups(should)
 	}
-	var out *tierv1.Member
-	for _, v := range members {
-		if v.Folder == m.Folder || slices.Contains(r.record.Backups, v.Folder) {
-			continue
-		}
-		// A folder made anew at a member's address is the proof that the member is gone.
-		if i := slices.IndexFunc(joiners, func(j *tierv1.Member) bool { return j.Address == v.Address }); i >= 0 {
-			return plan{in: joiners[i], out: v}, true
-		}
-		if out == nil && (m.replaced(v.Folder) || m.silent(v.Address) > m.timing.swap) {
-			out = v
-		}
+	out, successor := m.departed(joiners)
+	if successor != nil {
+		return plan{in: successor, out: out}, true
 	}
 	joiners = slices.DeleteFunc(joiners, func(j *tierv1.Member) bool { // these wait for their own predecessor's place
 		return slices.ContainsFunc(members, func(v *tierv1.Member) bool { return v.Address == j.Address })
@@ -66,6 +49,48 @@
 	return m.spreadMembers(joiners)
 }
 
+// lostBackups are the folders of the backups that are to be replaced: a call to them failed, they have been silent, or
+// another folder stands at their address.
+func (m *machine) lostBackups() map[string]bool {
+	r := m.primary
+	drop := make(map[string]bool)
+	for _, b := range r.record.Backups {
+		if r.lost[b] || m.now-r.confirmed[b] > m.recently() || m.replaced(b) {
+			drop[b] = true
+		}
+	}
+	return drop
+}
+
+// couldBack tells whether a member that is no backup could become one: it answers, and knows that it is a member.
+func (m *machine) couldBack(v *tierv1.Member) bool {
+	return v.Folder != m.Folder && !slices.Contains(m.primary.record.Backups, v.Folder) && m.answersAsVoter(v)
+}
+
+// answersAsVoter tells whether a member answered of late and knows that it is a member.
+func (m *machine) answersAsVoter(v *tierv1.Member) bool {
+	return m.alive(v, m.timing.call) && m.peers[v.Address].voter
+}
+
+// departed finds a member without a copy that is gone: out, with its successor where a joiner was made anew at its
+// address, which is the proof; else the first that another folder replaced or that has been silent for timing.swap. Both
+// are nil where there is none.
+func (m *machine) departed(joiners []*tierv1.Member) (out, successor *tierv1.Member) {
+	r := m.primary
+	for _, v := range r.record.Members {
+		if v.Folder == m.Folder || slices.Contains(r.record.Backups, v.Folder) {
+			continue
+		}
+		if i := slices.IndexFunc(joiners, func(j *tierv1.Member) bool { return j.Address == v.Address }); i >= 0 {
+			return v, joiners[i]
+		}
+		if out == nil && (m.replaced(v.Folder) || m.silent(v.Address) > m.timing.swap) {
+			out = v
+		}
+	}
+	return out, nil
+}
+
 // spreadBackups replaces backups where others that are alive are better spread. It ends, as each time they crowd less.
 func (m *machine) spreadBackups(should int) (plan, bool) {
 	var alive []*tierv1.Member
@@ -75,7 +100,7 @@
 		if slices.Contains(m.primary.record.Backups, v.Folder) {
 			now = append(now, v)
 		}
-		if v.Folder != m.Folder && m.alive(v, m.timing.call) && m.peers[v.Address].voter {
+		if v.Folder != m.Folder && m.answersAsVoter(v) {
 			alive = append(alive, v)
 		}
 	}
--- a/internal/tier/consensus/proposal.go
+++ b/internal/tier/consensus/proposal.go
@@ -172,52 +172,68 @@
 		m.fail("a newer record was chosen")
 		return
 	}
-	if p.phase <= promising {
-		p.base = newest(p.base, m.known())
-		if p.epoch > 0 && epochOf(p.base) >= p.epoch {
-			m.fail("a newer record was seen")
-			return
-		}
-		if !majorities(configurations(p.base), m.promisedBy) {
-			if p.open == 0 || m.now >= p.deadline {
-				m.fail("no majority promises")
-			}
-			return
-		}
-		if p.grace == 0 {
-			p.grace = m.now + m.patienceFor(p)
-		}
-		if p.open > 0 && m.now < p.grace {
-			return
-		}
-		if !m.eligible(p.base) {
-			m.fail("the newest record does not name this folder")
-			return
-		}
-		if p.phase == asking {
-			m.propose(plan{})
-			return
-		}
-		m.decide()
+	if p.phase <= promising && !m.gatherPromises() {
+		return
 	}
 	if m.proposal == p && p.phase == copying {
 		m.copyOut()
 	}
-	if m.proposal == p && p.phase == accepting {
-		if majorities(configurations(p.base, p.target), m.acceptedBy) {
-			m.leadership(p)
-			return
-		}
-		if p.open == 0 {
-			m.fail("no majority accepts")
-			return
-		}
+	if m.proposal == p && p.phase == accepting && m.gatherAccepts() {
+		return
 	}
 	if m.proposal == p && m.now >= p.deadline {
 		m.fail("out of time")
 	}
 }
 
+// gatherPromises goes on with a proposal that waits for promises. It reports whether the target is decided: else the
+// proposal waits on, has failed, or another follows it.
+func (m *machine) gatherPromises() bool {
+	p := m.proposal
+	p.base = newest(p.base, m.known())
+	if p.epoch > 0 && epochOf(p.base) >= p.epoch {
+		m.fail("a newer record was seen")
+		return false
+	}
+	if !majorities(configurations(p.base), m.promisedBy) {
+		if p.open == 0 || m.now >= p.deadline {
+			m.fail("no majority promises")
+		}
+		return false
+	}
+	if p.grace == 0 {
+		p.grace = m.now + m.patienceFor(p)
+	}
+	if p.open > 0 && m.now < p.grace {
+		return false
+	}
+	if !m.eligible(p.base) {
+		m.fail("the newest record does not name this folder")
+		return false
+	}
+	if p.phase == asking {
+		m.propose(plan{})
+		return false
+	}
+	m.decide()
+	return true
+}
+
+// gatherAccepts goes on with a proposal that waits for majorities to accept its target, and reports whether it has ended:
+// chosen, or failed.
+func (m *machine) gatherAccepts() bool {
+	p := m.proposal
+	if majorities(configurations(p.base, p.target), m.acceptedBy) {
+		m.leadership(p)
+		return true
+	}
+	if p.open == 0 {
+		m.fail("no majority accepts")
+		return true
+	}
+	return false
+}
+
 // patienceFor is how long answers beyond the majority are waited for: the way there and back of the farthest asked, as
 // far as that is known, so that members of a far region are not left out of each record.
 func (m *machine) patienceFor(p *proposal) time.Duration {
--- a/internal/tier/consensus/target.go
+++ b/internal/tier/consensus/target.go
@@ -52,6 +52,40 @@
 
 // copyOut picks the backups of the target and sends them the whole state; when all have it, the target is proposed.
 func (m *machine) copyOut() {
+	p := m.proposal
+	picked, enough := m.pickBackups()
+	if !enough {
+		m.fail("too few backups")
+		return
+	}
+	ready := true
+	p.target.Backups = nil
+	for _, v := range picked {
+		p.target.Backups = append(p.target.Backups, v.Folder)
+		if _, ok := p.copied[v.Folder]; ok {
+			continue
+		}
+		ready = false
+		if !p.copies[v.Folder] {
+			m.sendCopy(v)
+		}
+	}
+	if !ready {
+		return
+	}
+	p.phase = accepting
+	m.acceptRecord(p.target)
+	p.accepted[m.Folder] = true
+	for _, folder := range slices.Sorted(maps.Keys(p.replies)) { // sorted, as what a step does must not vary
+		if folder != m.Folder {
+			m.askAccept(p.replies[folder].Self)
+		}
+	}
+}
+
+// pickBackups picks the backups of the target among its members that promised: those that hold a copy or are being sent
+// one first, those that are to be dropped last. enough: they are as many as there must be.
+func (m *machine) pickBackups() (picked []*tierv1.Member, enough bool) {
 	p := m.proposal
 	should, must := m.wanted(len(p.target.Members))
 	var good, kept, dropped []*tierv1.Member
@@ -70,58 +104,38 @@
 	}
 	holds := func(folder string) bool { return named(p.base, folder) }
 	self := []*tierv1.Member{m.self}
-	picked := spread(self, kept, should, holds)
+	picked = spread(self, kept, should, holds)
 	if len(picked) < should {
 		picked = append(picked, spread(append(self, picked...), good, should-len(picked), holds)...)
 	}
 	if len(picked) < must {
 		picked = append(picked, spread(append(self, picked...), dropped, must-len(picked), holds)...)
 	}
-	if len(picked) < must {
-		m.fail("too few backups")
-		return
-	}
-	ready := true
-	p.target.Backups = nil
-	for _, v := range picked {
-		p.target.Backups = append(p.target.Backups, v.Folder)
-		if _, ok := p.copied[v.Folder]; ok {
-			continue
+	return picked, len(picked) >= must
+}
+
+// sendCopy sends a backup of the target the whole state.
+func (m *machine) sendCopy(to *tierv1.Member) {
+	p := m.proposal
+	p.copies[to.Folder] = true
+	began := m.now
+	m.call(to.Address, m.whole(p.epoch), true, func(body proto.Message) {
+		a, _ := body.(*tierv1.WriteReply)
+		if a != nil {
+			m.highest = max(m.highest, a.Highest)
 		}
-		ready = false
-		if p.copies[v.Folder] {
-			continue
+		if m.proposal != p {
+			return
 		}
-		p.copies[v.Folder] = true
-		began := m.now
-		m.call(v.Address, m.whole(p.epoch), true, func(body proto.Message) {
-			a, _ := body.(*tierv1.WriteReply)
-			if a != nil {
-				m.highest = max(m.highest, a.Highest)
-			}
-			if m.proposal != p {
-				return
-			}
-			if a != nil && a.Taken {
-				p.copied[v.Folder] = began
-			} else {
-				p.bad[v.Folder] = true
-			}
-		})
-	}
-	if !ready {
-		return
-	}
-	p.phase = accepting
-	m.acceptRecord(p.target)
-	p.accepted[m.Folder] = true
-	for _, folder := range slices.Sorted(maps.Keys(p.replies)) { // sorted, as what a step does must not vary
-		if folder != m.Folder {
-			m.askAccept(p.replies[folder].Self)
+		if a != nil && a.Taken {
+			p.copied[to.Folder] = began
+		} else {
+			p.bad[to.Folder] = true
 		}
-	}
+	})
 }
 
+// askAccept asks a folder that promised to accept the target.
 func (m *machine) askAccept(to *tierv1.Member) {
 	p := m.proposal
 	p.open++
