--- a/internal/tier/ingress/body.go
+++ b/internal/tier/ingress/body.go
@@ -7,23 +7,53 @@
 )
 
 // readRequest reads a whole request. It returns the status of a refusal, or the error of the connection.
-func (c *conn) readRequest(exchange *Exchange) (status int, err error) {
-	exchange.Arrived = c.readAt
-	c.due, c.earned = time.Time{}, 0
+func (conn *conn) readRequest(exchange *Exchange) (status int, err error) {
+	exchange.Arrived = conn.readAt
+	head, status, err := conn.readHead(exchange.Arrived)
+	if status != 0 || err != nil {
+		return status, err
+	}
+	f, status := parseHead(head, exchange)
+	if status != 0 {
+		return status, nil
+	}
+	exchange.keep = !f.close
+	conn.due, conn.earned = time.Time{}, 0
+	if f.length > int64(conn.limits.MaxBody) {
+		return 413, nil
+	}
+	if f.expect && conn.taken == conn.filled && (f.length > 0 || f.chunked) {
+		if err := conn.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
+			return 0, err
+		}
+	}
+	switch {
+	case f.chunked:
+		return conn.readChunked(exchange)
+	case f.length > 0:
+		exchange.Body, err = conn.readLength(nil, int(f.length), false)
+		return 0, err
+	}
+	return 0, nil
+}
+
+// readHead reads a head up to and with the empty line that ends it. It has one time-out, which counts from arrived.
+func (conn *conn) readHead(arrived time.Time) (head string, status int, err error) {
+	conn.due, conn.earned = time.Time{}, 0
 	from, line, end, blank := 0, 0, 0, false
 	for {
-		b := (*c.in)[c.r:c.w]
+		b := (*conn.in)[conn.taken:conn.filled]
 		if !blank && from == 0 && len(b) >= 2 && b[0] == '\r' && b[1] == '\n' { // one empty line may come before
 			blank = true
-			c.r += 2
+			conn.taken += 2
 			continue
 		}
 		var bad bool
 		if end, from, line, bad = scanHead(b, from, line); bad {
-			return 400, nil
+			return "", 400, nil
 		}
-		if end > c.lim.MaxHeader || end == 0 && len(b) >= c.lim.MaxHeader {
-			return 431, nil
+		if end > conn.limits.MaxHeader || end == 0 && len(b) >= conn.limits.MaxHeader {
+			return "", 431, nil
 		}
 		if end > 0 {
 			break
@@ -31,43 +61,23 @@
 		if len(b) == 1 { // a CR may begin an empty line
 			from, line = 0, 0
 		}
-		if c.due.IsZero() {
-			c.due = exchange.Arrived.Add(c.lim.HeaderTimeout)
-			c.nc.SetReadDeadline(c.due)
+		if conn.due.IsZero() {
+			conn.due = arrived.Add(conn.limits.HeaderTimeout)
+			conn.socket.SetReadDeadline(conn.due)
 		}
-		c.earned = 0 // a head has one time-out
-		if err := c.fill(); err != nil {
-			return 0, err
-		}
-	}
-	f, status := parseHead(string((*c.in)[c.r:c.r+end]), exchange)
-	c.r += end
-	if status != 0 {
-		return status, nil
-	}
-	exchange.keep = !f.close
-	c.due, c.earned = time.Time{}, 0
-	if f.length > int64(c.lim.MaxBody) {
-		return 413, nil
-	}
-	if f.expect && c.r == c.w && (f.length > 0 || f.chunked) {
-		if err := c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
-			return 0, err
+		conn.earned = 0 // what comes of a head earns no new time-out
+		if err := conn.fill(); err != nil {
+			return "", 0, err
 		}
 	}
-	switch {
-	case f.chunked:
-		return c.readChunked(exchange)
-	case f.length > 0:
-		exchange.Body, err = c.readLength(nil, int(f.length), false)
-		return 0, err
-	}
-	return 0, nil
+	head = string((*conn.in)[conn.taken : conn.taken+end])
+	conn.taken += end
+	return head, 0, nil
 }
 
 // readLength appends n bytes to a body, of which more may follow. Room is made as they come, so that an announced length alone
 // takes no memory.
-func (c *conn) readLength(body []byte, n int, more bool) ([]byte, error) {
+func (conn *conn) readLength(body []byte, n int, more bool) ([]byte, error) {
 	for n > 0 {
 		if cap(body) == len(body) {
 			room := min(n, max(firstBody, len(body)))
@@ -80,12 +90,12 @@
 		}
 		room := body[len(body):min(cap(body), len(body)+n)]
 		var got int
-		if c.r < c.w {
-			got = copy(room, (*c.in)[c.r:c.w])
-			c.r += got
+		if conn.taken < conn.filled {
+			got = copy(room, (*conn.in)[conn.taken:conn.filled])
+			conn.taken += got
 		} else {
 			var err error
-			if got, err = c.read(room); err != nil {
+			if got, err = conn.read(room); err != nil {
 				if errors.Is(err, io.EOF) {
 					err = io.ErrUnexpectedEOF
 				}
@@ -99,10 +109,10 @@
 }
 
 // readChunked reads a body in chunks, and its trailers, which are discarded.
-func (c *conn) readChunked(exchange *Exchange) (status int, err error) {
-	extra := c.lim.MaxHeader // bytes of extensions and trailers that may come
+func (conn *conn) readChunked(exchange *Exchange) (status int, err error) {
+	extra := conn.limits.MaxHeader // bytes of extensions and trailers that may come
 	for {
-		line, status, err := c.line(c.lim.MaxHeader)
+		line, status, err := conn.line(conn.limits.MaxHeader)
 		if status != 0 || err != nil {
 			return status, err
 		}
@@ -116,24 +126,29 @@
 		if size == 0 {
 			break
 		}
-		if size > int64(c.lim.MaxBody-len(exchange.Body)) {
+		if size > int64(conn.limits.MaxBody-len(exchange.Body)) {
 			return 413, nil
 		}
-		if exchange.Body, err = c.readLength(exchange.Body, int(size), true); err != nil {
+		if exchange.Body, err = conn.readLength(exchange.Body, int(size), true); err != nil {
 			return 0, err
 		}
-		for c.w-c.r < 2 {
-			if err := c.fill(); err != nil {
+		for conn.filled-conn.taken < 2 {
+			if err := conn.fill(); err != nil {
 				return 0, err
 			}
 		}
-		if b := (*c.in)[c.r:]; b[0] != '\r' || b[1] != '\n' {
+		if b := (*conn.in)[conn.taken:]; b[0] != '\r' || b[1] != '\n' {
 			return 400, nil
 		}
-		c.r += 2
+		conn.taken += 2
 	}
+	return conn.skipTrailers(extra)
+}
+
+// skipTrailers reads the trailers of a body and its end. They may have so many bytes in all.
+func (conn *conn) skipTrailers(extra int) (status int, err error) {
 	for {
-		line, status, err := c.line(extra)
+		line, status, err := conn.line(extra)
 		if status != 0 || err != nil {
 			return status, err
 		}
@@ -150,10 +165,10 @@
 }
 
 // line reads a line of at most limit bytes and returns it without its CRLF.
-func (c *conn) line(limit int) (line string, status int, err error) {
+func (conn *conn) line(limit int) (line string, status int, err error) {
 	for at := 0; ; {
-		if c.in != nil {
-			b := (*c.in)[c.r:c.w]
+		if conn.in != nil {
+			b := (*conn.in)[conn.taken:conn.filled]
 			for ; at < len(b); at++ {
 				if b[at] != '\n' {
 					continue
@@ -165,14 +180,14 @@
 					return "", 431, nil
 				}
 				line = string(b[:at-1])
-				c.r += at + 1
+				conn.taken += at + 1
 				return line, 0, nil
 			}
 			if len(b) > limit {
 				return "", 431, nil
 			}
 		}
-		if err := c.fill(); err != nil {
+		if err := conn.fill(); err != nil {
 			return "", 0, err
 		}
 	}
--- a/internal/tier/ingress/conn.go
+++ b/internal/tier/ingress/conn.go
@@ -21,6 +21,7 @@
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, bufferSize); return &b }}
 
+// putBuffer gives a buffer back to the pool, unless it has grown large.
 func putBuffer(b *[]byte) {
 	if cap(*b) <= keptBuffer {
 		*b = (*b)[:cap(*b)]
@@ -28,6 +29,7 @@
 	}
 }
 
+// state is what a connection does, as far as those who would end it must know.
 type state uint8
 
 const (
@@ -38,18 +40,19 @@
 
 // conn is a client's connection. All but what mu guards belongs to its goroutine.
 type conn struct {
-	s       *Server
-	nc      net.Conn
+	server  *Server
+	socket  net.Conn
 	raw     syscall.RawConn
 	try     func(uintptr) bool
 	refused bool // for want of descriptors
 
 	in      *[]byte   // nil while nothing has been read
-	r, w    int       // what was read and not yet taken
+	taken   int       // bytes of in that a request has taken
+	filled  int       // bytes of in that were read
 	readAt  time.Time // of the last read into in
 	due     time.Time // of reads under way
 	earned  int       // bytes of a body since due was set
-	lim     Limits
+	limits  Limits    // of the request being read
 	writeBy time.Time
 	readErr error // of try
 
@@ -63,6 +66,7 @@
 
 var errNoSocket = errors.New("ingress: no socket")
 
+// newConn makes a client's connection of one that was accepted; errNoSocket if it is not one of the system.
 func newConn(s *Server, nc net.Conn) (*conn, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -72,61 +76,62 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{s: s, nc: nc, raw: raw}
+	c := &conn{server: s, socket: nc, raw: raw}
 	c.try = c.tryRead
 	return c, nil
 }
 
 // serve is the connection's goroutine.
-func (c *conn) serve() {
-	defer c.s.remove(c)
-	defer c.nc.Close()
-	defer c.release()
+func (conn *conn) serve() {
+	defer conn.server.remove(conn)
+	defer conn.socket.Close()
+	defer conn.release()
 	for {
-		if c.r == c.w && !c.await() {
+		if conn.taken == conn.filled && !conn.await() {
 			return
 		}
-		c.lim = c.s.limits()
-		exchange := &Exchange{c: c}
-		status, err := c.readRequest(exchange)
+		conn.limits = conn.server.limits()
+		exchange := &Exchange{conn: conn}
+		status, err := conn.readRequest(exchange)
 		switch {
 		case status != 0:
-			c.refuse(status)
+			conn.refuse(status)
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.refuse(408)
+			conn.refuse(408)
 			return
 		case err != nil:
 			return
 		}
-		if c.r == c.w {
-			c.release()
+		if conn.taken == conn.filled {
+			conn.release()
 		}
-		c.run(exchange)
+		conn.run(exchange)
 		if !exchange.finish() {
 			return
 		}
 		if !exchange.keep {
-			c.leave()
+			conn.leave()
 			return
 		}
-		c.mu.Lock()
-		c.served++
-		c.mu.Unlock()
+		conn.mu.Lock()
+		conn.served++
+		conn.mu.Unlock()
 	}
 }
 
-func (c *conn) run(exchange *Exchange) {
+// run calls the handler, or refuses where there are no descriptors left. A panic of the handler ends its exchange only.
+func (conn *conn) run(exchange *Exchange) {
 	defer func() {
 		if p := recover(); p != nil {
 			exchange.Abort()
-			if c.s.Log != nil {
-				c.s.Log.Error().Any("panic", p).Str("path", exchange.Path).Msg("ingress handler")
+			if conn.server.Log != nil {
+				conn.server.Log.Error().Any("panic", p).Str("path", exchange.Path).Msg("ingress handler")
 			}
 		}
 	}()
-	if c.refused {
-		retry := c.s.RetryAfter
+	if conn.refused {
+		retry := conn.server.RetryAfter
 		if retry <= 0 {
 			retry = 250 * time.Millisecond
 		}
@@ -134,52 +139,52 @@
 		exchange.Respond(503, []Field{{"Retry-After", seconds(retry)}}, nil)
 		return
 	}
-	c.s.Handler(exchange)
+	conn.server.Handler(exchange)
 }
 
 // release gives the read buffer back; nothing may be left in it.
-func (c *conn) release() {
-	if c.in != nil {
-		putBuffer(c.in)
-		c.in, c.r, c.w = nil, 0, 0
+func (conn *conn) release() {
+	if conn.in != nil {
+		putBuffer(conn.in)
+		conn.in, conn.taken, conn.filled = nil, 0, 0
 	}
 }
 
 // await waits for the first bytes of a request without holding a buffer. It reports false when the connection is over.
-func (c *conn) await() bool {
-	c.release()
-	wait := c.s.limits().IdleTimeout
-	if c.s.draining.Load() {
-		wait = min(wait, c.s.linger())
+func (conn *conn) await() bool {
+	conn.release()
+	wait := conn.server.limits().IdleTimeout
+	if conn.server.draining.Load() {
+		wait = min(wait, conn.server.linger())
 	}
-	c.nc.SetReadDeadline(time.Now().Add(wait))
-	c.s.mu.Lock()
-	c.mu.Lock()
-	c.state = waiting
-	c.mu.Unlock()
-	c.s.idle.add(c)
-	c.s.mu.Unlock()
-	if c.s.draining.Load() { // it may have begun as the deadline was set
-		c.hurry(time.Now().Add(c.s.linger()), true)
+	conn.socket.SetReadDeadline(time.Now().Add(wait))
+	conn.server.mu.Lock()
+	conn.mu.Lock()
+	conn.state = waiting
+	conn.mu.Unlock()
+	conn.server.idle.add(conn)
+	conn.server.mu.Unlock()
+	if conn.server.draining.Load() { // it may have begun as the deadline was set
+		conn.hurry(time.Now().Add(conn.server.linger()), true)
 	}
-	err := c.raw.Read(c.try)
+	err := conn.raw.Read(conn.try)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = c.raw.Control(func(fd uintptr) { // what has come up to now is a request
-			for !c.tryRead(fd) && !c.endIdle() {
+		err = conn.raw.Control(func(fd uintptr) { // what has come up to now is a request
+			for !conn.tryRead(fd) && !conn.endIdle() {
 			}
 		})
 	}
-	c.s.mu.Lock()
-	c.s.idle.remove(c)
-	c.s.mu.Unlock()
-	return err == nil && c.readErr == nil && c.w > 0
+	conn.server.mu.Lock()
+	conn.server.idle.remove(conn)
+	conn.server.mu.Unlock()
+	return err == nil && conn.readErr == nil && conn.filled > 0
 }
 
 // tryRead reads the first bytes of a request, if there are any, and makes the connection an active one in the same step.
-func (c *conn) tryRead(fd uintptr) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.state == over {
+func (conn *conn) tryRead(fd uintptr) bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.state == over {
 		return true
 	}
 	b := buffers.Get().(*[]byte)
@@ -192,50 +197,50 @@
 			buffers.Put(b)
 			return false
 		case err == nil && n > 0:
-			c.in, c.r, c.w, c.readAt = b, 0, n, time.Now()
-			c.state = active
+			conn.in, conn.taken, conn.filled, conn.readAt = b, 0, n, time.Now()
+			conn.state = active
 			return true
 		case err == nil:
 			err = io.EOF
 		}
 		buffers.Put(b)
-		c.readErr, c.state = err, over
+		conn.readErr, conn.state = err, over
 		return true
 	}
 }
 
 // endIdle ends a connection that waits if no byte of a request has come; the caller closes it, outside of all locks, since
 // closing waits for its readers.
-func (c *conn) endIdle() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.state != waiting || peek(c.raw) == pending {
+func (conn *conn) endIdle() bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.state != waiting || peek(conn.raw) == pending {
 		return false
 	}
-	c.state = over
+	conn.state = over
 	return true
 }
 
 // hurry has a connection that waits send its request by a time, one that has carried others only if used is true. It reports
 // whether it is such a one.
-func (c *conn) hurry(by time.Time, used bool) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.state != waiting || c.served > 0 && !used {
+func (conn *conn) hurry(by time.Time, used bool) bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.state != waiting || conn.served > 0 && !used {
 		return false
 	}
-	c.nc.SetReadDeadline(by)
+	conn.socket.SetReadDeadline(by)
 	return true
 }
 
 // read reads with the time-out of the part of a request that is under way.
-func (c *conn) read(p []byte) (int, error) {
-	if c.due.IsZero() || c.earned >= bodyProgress {
-		c.due, c.earned = time.Now().Add(c.lim.HeaderTimeout), 0
-		c.nc.SetReadDeadline(c.due)
+func (conn *conn) read(p []byte) (int, error) {
+	if conn.due.IsZero() || conn.earned >= bodyProgress {
+		conn.due, conn.earned = time.Now().Add(conn.limits.HeaderTimeout), 0
+		conn.socket.SetReadDeadline(conn.due)
 	}
-	n, err := c.nc.Read(p)
-	c.earned += n
+	n, err := conn.socket.Read(p)
+	conn.earned += n
 	if n > 0 {
 		err = nil
 	}
@@ -243,44 +248,44 @@
 }
 
 // fill reads more into the buffer, which grows as needed.
-func (c *conn) fill() error {
-	if c.in == nil {
-		c.in = buffers.Get().(*[]byte)
+func (conn *conn) fill() error {
+	if conn.in == nil {
+		conn.in = buffers.Get().(*[]byte)
 	}
-	b := *c.in
-	if c.r == c.w {
-		c.r, c.w = 0, 0
+	b := *conn.in
+	if conn.taken == conn.filled {
+		conn.taken, conn.filled = 0, 0
 	}
-	if c.w == len(b) {
-		if c.r > 0 {
-			c.w = copy(b, b[c.r:c.w])
-			c.r = 0
+	if conn.filled == len(b) {
+		if conn.taken > 0 {
+			conn.filled = copy(b, b[conn.taken:conn.filled])
+			conn.taken = 0
 		} else {
 			grown := make([]byte, 2*len(b))
 			copy(grown, b)
-			c.in = &grown
+			conn.in = &grown
 			b = grown
 		}
 	}
-	n, err := c.read(b[c.w:])
-	c.w += n
-	c.readAt = time.Now()
+	n, err := conn.read(b[conn.filled:])
+	conn.filled += n
+	conn.readAt = time.Now()
 	return err
 }
 
 // write writes all of p. What a client does not take in time ends the connection.
-func (c *conn) write(p []byte) error {
+func (conn *conn) write(p []byte) error {
 	for {
 		step := p[:min(len(p), writeStep)]
-		timeout := c.s.WriteTimeout
+		timeout := conn.server.WriteTimeout
 		if timeout <= 0 {
-			timeout = c.lim.IdleTimeout
+			timeout = conn.limits.IdleTimeout
 		}
-		if now := time.Now(); c.writeBy.Sub(now) < timeout*3/4 { // few changes of the timer
-			c.writeBy = now.Add(timeout)
-			c.nc.SetWriteDeadline(c.writeBy)
+		if now := time.Now(); conn.writeBy.Sub(now) < timeout*3/4 { // few changes of the timer
+			conn.writeBy = now.Add(timeout)
+			conn.socket.SetWriteDeadline(conn.writeBy)
 		}
-		if _, err := c.nc.Write(step); err != nil {
+		if _, err := conn.socket.Write(step); err != nil {
 			return err
 		}
 		if p = p[len(step):]; len(p) == 0 {
@@ -291,19 +296,19 @@
 
 // refuse answers a request that was not read whole, and reads and discards what still comes for a while: closed with bytes
 // unread, the connection would be reset and the answer lost.
-func (c *conn) refuse(status int) {
+func (conn *conn) refuse(status int) {
 	b := append([]byte(nil), "HTTP/1.1 "...)
 	b = appendStatus(b, status)
 	b = append(b, "Content-Length: 0\r\nConnection: close\r\n\r\n"...)
-	if c.write(b) != nil || c.closeWrite() != nil {
+	if conn.write(b) != nil || conn.closeWrite() != nil {
 		return
 	}
-	c.nc.SetReadDeadline(time.Now().Add(c.s.linger()))
-	if c.in == nil {
-		c.in = buffers.Get().(*[]byte)
+	conn.socket.SetReadDeadline(time.Now().Add(conn.server.linger()))
+	if conn.in == nil {
+		conn.in = buffers.Get().(*[]byte)
 	}
 	for discarded := 0; discarded < lingerBytes; {
-		n, err := c.nc.Read(*c.in)
+		n, err := conn.socket.Read(*conn.in)
 		if discarded += n; err != nil {
 			return
 		}
@@ -312,16 +317,17 @@
 
 // leave ends a connection after its last answer. Requests that were sent on behind stay unread, so that the client knows
 // them not taken; it gets a moment to read the answer before the reset that this means.
-func (c *conn) leave() {
-	if peek(c.raw) != pending || c.closeWrite() != nil {
+func (conn *conn) leave() {
+	if peek(conn.raw) != pending || conn.closeWrite() != nil {
 		return
 	}
-	c.nc.SetReadDeadline(time.Now().Add(c.s.linger()))
-	c.raw.Read(func(uintptr) bool { return false })
+	conn.socket.SetReadDeadline(time.Now().Add(conn.server.linger()))
+	conn.raw.Read(func(uintptr) bool { return false })
 }
 
-func (c *conn) closeWrite() error {
-	if h, ok := c.nc.(interface{ CloseWrite() error }); ok {
+// closeWrite says to the client that nothing more comes.
+func (conn *conn) closeWrite() error {
+	if h, ok := conn.socket.(interface{ CloseWrite() error }); ok {
 		return h.CloseWrite()
 	}
 	return nil
@@ -333,6 +339,7 @@
 	n           int
 }
 
+// add puts a connection at the end of the list.
 func (l *idleList) add(c *conn) {
 	c.listed, c.prev, c.next = true, l.last, nil
 	if l.last != nil {
@@ -344,6 +351,7 @@
 	l.n++
 }
 
+// remove takes a connection out of the list, if it is there.
 func (l *idleList) remove(c *conn) {
 	if !c.listed {
 		return
--- a/internal/tier/ingress/ends_test.go
+++ b/internal/tier/ingress/ends_test.go
@@ -143,7 +143,7 @@
 	until(t, "byte", func() bool { return peek(c.raw) == pending })
 	assert.Assert(t, !c.endIdle())
 	assert.NilError(t, c.raw.Read(c.try))
-	assert.Assert(t, c.state == active && c.w == 1)
+	assert.Assert(t, c.state == active && c.filled == 1)
 	assert.Assert(t, !c.endIdle())
 	c.state = waiting
 	assert.Assert(t, c.endIdle())
@@ -151,7 +151,7 @@
 	until(t, "byte", func() bool { return peek(c.raw) == pending })
 	c.release()
 	assert.NilError(t, c.raw.Read(c.try)) // ended first: what comes after stays unread
-	assert.Assert(t, c.state == over && c.w == 0 && peek(c.raw) == pending)
+	assert.Assert(t, c.state == over && c.filled == 0 && peek(c.raw) == pending)
 }
 
 func TestShutdownEndsWithItsContext(t *testing.T) {
--- a/internal/tier/ingress/exchange.go
+++ b/internal/tier/ingress/exchange.go
@@ -19,7 +19,7 @@
 	Body    []byte
 	Arrived time.Time // when the first byte was read
 
-	c      *conn
+	conn   *conn
 	http10 bool
 	head   bool // HEAD
 	keep   bool // the connection goes on after it
@@ -58,7 +58,7 @@
 // Respond answers whole, in one write if it is small. Fields of the connection and of framing are left out of the header.
 // An error tells that the client may not have it.
 func (exchange *Exchange) Respond(status int, header []Field, body []byte) error {
-	if exchange.c == nil || exchange.phase != unanswered {
+	if exchange.conn == nil || exchange.phase != unanswered {
 		return ErrAnswered
 	}
 	buffer := buffers.Get().(*[]byte)
@@ -83,7 +83,7 @@
 
 // Begin begins an answer in chunks; its head is sent with the first piece or with the end.
 func (exchange *Exchange) Begin(status int, header []Field) error {
-	if exchange.c == nil || exchange.phase != unanswered {
+	if exchange.conn == nil || exchange.phase != unanswered {
 		return ErrAnswered
 	}
 	if exchange.http10 {
@@ -104,7 +104,7 @@
 
 // Write sends a piece of a stream at once, in one write if it is small. An empty one sends the head if that was held.
 func (exchange *Exchange) Write(p []byte) error {
-	if exchange.c == nil || exchange.phase != streaming {
+	if exchange.conn == nil || exchange.phase != streaming {
 		return ErrAnswered
 	}
 	buffer, b := exchange.take()
@@ -136,7 +136,7 @@
 
 // End ends a stream as complete.
 func (exchange *Exchange) End() error {
-	if exchange.c == nil || exchange.phase != streaming {
+	if exchange.conn == nil || exchange.phase != streaming {
 		return ErrAnswered
 	}
 	buffer, b := exchange.take()
@@ -173,7 +173,7 @@
 	if exchange.broken {
 		return errBroken
 	}
-	err := exchange.c.write(b)
+	err := exchange.conn.write(b)
 	if err != nil {
 		exchange.broken = true
 	}
@@ -182,7 +182,7 @@
 
 // decide settles whether the connection goes on: not while draining, unless a further request has been read already.
 func (exchange *Exchange) decide() {
-	if exchange.c.s.draining.Load() && exchange.c.r == exchange.c.w {
+	if exchange.conn.server.draining.Load() && exchange.conn.taken == exchange.conn.filled {
 		exchange.keep = false
 	}
 }
@@ -192,13 +192,13 @@
 	if exchange.phase == unanswered && !exchange.broken {
 		exchange.Respond(500, nil, nil)
 	}
-	c := exchange.c
+	c := exchange.conn
 	exchange.watch.stop(c)
 	if exchange.out != nil {
 		putBuffer(exchange.out)
 		exchange.out = nil
 	}
-	exchange.c = nil
+	exchange.conn = nil
 	return exchange.phase == answered && !exchange.broken
 }
 
@@ -237,7 +237,7 @@
 		b = append(b, '\r', '\n')
 	}
 	// Clients obey the announced time, which ends before we close, so that no request crosses the close.
-	if seconds := int64(exchange.c.lim.IdleTimeout * 9 / 10 / time.Second); !exchange.keep {
+	if seconds := int64(exchange.conn.limits.IdleTimeout * 9 / 10 / time.Second); !exchange.keep {
 		b = append(b, "Connection: close\r\n"...)
 	} else if seconds > 0 {
 		b = append(b, "Keep-Alive: timeout="...)
--- a/internal/tier/ingress/gone.go
+++ b/internal/tier/ingress/gone.go
@@ -49,18 +49,18 @@
 // Gone reports whether the client has closed or reset its connection (one that has only ended its own side counts too).
 // While bytes of a next request lie unread it is not gone. It costs one call to the system.
 func (exchange *Exchange) Gone() bool {
-	return exchange.c == nil || exchange.broken || exchange.watch != nil && exchange.watch.gone.Load() || peek(exchange.c.raw) == gone
+	return exchange.conn == nil || exchange.broken || exchange.watch != nil && exchange.watch.gone.Load() || peek(exchange.conn.raw) == gone
 }
 
 // OnGone has f called, from another goroutine and at most once, when the client closes or resets its connection before the
 // handler returns. Watching begins after a time, so that a short exchange costs a timer and no goroutine; it stops where
 // the bytes of a next request have come. f must not block. It may be asked for once an exchange.
 func (exchange *Exchange) OnGone(after time.Duration, f func()) {
-	if exchange.watch != nil || exchange.c == nil {
+	if exchange.watch != nil || exchange.conn == nil {
 		return
 	}
-	c := exchange.c
-	c.nc.SetReadDeadline(time.Time{})
+	c := exchange.conn
+	c.socket.SetReadDeadline(time.Time{})
 	w := &watch{done: make(chan struct{})}
 	exchange.watch = w
 	w.timer = time.AfterFunc(max(0, after), func() {
@@ -85,7 +85,7 @@
 	select {
 	case <-w.done:
 	default:
-		c.nc.SetReadDeadline(time.Unix(1, 0))
+		c.socket.SetReadDeadline(time.Unix(1, 0))
 		<-w.done
 	}
 }
--- a/internal/tier/ingress/parse.go
+++ b/internal/tier/ingress/parse.go
@@ -101,17 +101,20 @@
 	expect  bool // 100-continue
 }
 
+// counts are how often the fields stand in a head that may stand there once.
+type counts struct{ hosts, ids, deadlines, lengths, codings int }
+
 // parseHead reads a head, which ends with an empty line, into exchange. It returns the status of the refusal, 0 if there is none.
-func parseHead(h string, exchange *Exchange) (f framing, status int) {
+func parseHead(head string, exchange *Exchange) (f framing, status int) {
 	f.length = -1
-	line, h := cutLine(h)
+	line, head := cutLine(head)
 	if status = parseLine(line, exchange); status != 0 {
 		return f, status
 	}
 	exchange.Header = exchange.fields[:0]
-	hosts, ids, deadlines, lengths, codings := 0, 0, 0, 0, 0
+	var seen counts
 	for {
-		if line, h = cutLine(h); line == "" {
+		if line, head = cutLine(head); line == "" {
 			break
 		}
 		field, ok := parseField(line)
@@ -119,49 +122,12 @@
 			return f, 400
 		}
 		exchange.Header = append(exchange.Header, field)
-		switch n := field.Name; len(n) {
-		case 4:
-			if strings.EqualFold(n, "Host") {
-				if hosts++; hosts > 1 || !all(field.Value, hostChar) || exchange.Host != "" && !strings.EqualFold(exchange.Host, field.Value) {
-					return f, 400
-				}
-				exchange.Host = field.Value
-			}
-		case 6:
-			if strings.EqualFold(n, "Expect") {
-				if f.expect = strings.EqualFold(field.Value, "100-continue"); !f.expect {
-					return f, 417
-				}
-			}
-		case 10:
-			if strings.EqualFold(n, "Connection") && hasToken(field.Value, "close") {
-				f.close = true
-			}
-		case 12:
-			if strings.EqualFold(n, "X-Attempt-Id") {
-				ids++
-			}
-		case 13:
-			if strings.EqualFold(n, "X-Deadline-Ms") {
-				deadlines++
-			}
-		case 14:
-			if strings.EqualFold(n, "Content-Length") {
-				lengths++
-				if f.length, ok = parseLength(field.Value); !ok {
-					return f, 400
-				}
-			}
-		case 17:
-			if strings.EqualFold(n, "Transfer-Encoding") {
-				codings++
-				if f.chunked = strings.EqualFold(field.Value, "chunked"); !f.chunked {
-					return f, 501
-				}
-			}
+		if status := f.take(field, exchange, &seen); status != 0 {
+			return f, status
 		}
 	}
-	if hosts != 1 || ids > 1 || deadlines > 1 || lengths > 1 || codings > 1 || lengths > 0 && codings > 0 || f.chunked && exchange.http10 {
+	if seen.hosts != 1 || seen.ids > 1 || seen.deadlines > 1 || seen.lengths > 1 || seen.codings > 1 ||
+		seen.lengths > 0 && seen.codings > 0 || f.chunked && exchange.http10 {
 		return f, 400
 	}
 	f.close = f.close || exchange.http10
@@ -169,6 +135,54 @@
 	return f, 0
 }
 
+// take takes in a field that the server itself goes by. It returns the status of the refusal, 0 if there is none.
+func (f *framing) take(field Field, exchange *Exchange, seen *counts) (status int) {
+	var ok bool
+	switch name := field.Name; len(name) {
+	case 4:
+		if strings.EqualFold(name, "Host") {
+			seen.hosts++
+			if seen.hosts > 1 || !all(field.Value, hostChar) || exchange.Host != "" && !strings.EqualFold(exchange.Host, field.Value) {
+				return 400
+			}
+			exchange.Host = field.Value
+		}
+	case 6:
+		if strings.EqualFold(name, "Expect") {
+			if f.expect = strings.EqualFold(field.Value, "100-continue"); !f.expect {
+				return 417
+			}
+		}
+	case 10:
+		if strings.EqualFold(name, "Connection") && hasToken(field.Value, "close") {
+			f.close = true
+		}
+	case 12:
+		if strings.EqualFold(name, "X-Attempt-Id") {
+			seen.ids++
+		}
+	case 13:
+		if strings.EqualFold(name, "X-Deadline-Ms") {
+			seen.deadlines++
+		}
+	case 14:
+		if strings.EqualFold(name, "Content-Length") {
+			seen.lengths++
+			if f.length, ok = parseLength(field.Value); !ok {
+				return 400
+			}
+		}
+	case 17:
+		if strings.EqualFold(name, "Transfer-Encoding") {
+			seen.codings++
+			if f.chunked = strings.EqualFold(field.Value, "chunked"); !f.chunked {
+				return 501
+			}
+		}
+	}
+	return 0
+}
+
 // parseLine reads a request line.
 func parseLine(line string, exchange *Exchange) int {
 	method, rest, ok := strings.Cut(line, " ")
--- a/internal/tier/ingress/server.go
+++ b/internal/tier/ingress/server.go
@@ -24,6 +24,7 @@
 	IdleTimeout   time.Duration // between requests
 }
 
+// withDefaults puts defaults for what is not positive.
 func (l Limits) withDefaults() Limits {
 	if l.MaxHeader <= 0 {
 		l.MaxHeader = 64 << 10
@@ -67,16 +68,18 @@
 // emptied is how long a listener's queue has to stay empty in a shutdown.
 const emptied = 20 * time.Millisecond
 
-func (s *Server) limits() Limits {
-	if s.Limits == nil {
+// limits are those in force now.
+func (server *Server) limits() Limits {
+	if server.Limits == nil {
 		return Limits{}.withDefaults()
 	}
-	return s.Limits().withDefaults()
+	return server.Limits().withDefaults()
 }
 
-func (s *Server) linger() time.Duration {
-	if s.Linger > 0 {
-		return s.Linger
+// linger is how long a client that is being left may still send or read.
+func (server *Server) linger() time.Duration {
+	if server.Linger > 0 {
+		return server.Linger
 	}
 	return 500 * time.Millisecond
 }
@@ -89,23 +92,23 @@
 }
 
 // Serve accepts and serves connections until Shutdown or Close, and then returns nil. The listener is closed when it returns.
-func (s *Server) Serve(l net.Listener) error {
+func (server *Server) Serve(l net.Listener) error {
 	defer l.Close()
-	s.mu.Lock()
-	if s.stopping.Load() {
-		s.mu.Unlock()
+	server.mu.Lock()
+	if server.stopping.Load() {
+		server.mu.Unlock()
 		return ErrStopped
 	}
-	s.listeners = append(s.listeners, l)
-	s.mu.Unlock()
-	defer s.left(l)
+	server.listeners = append(server.listeners, l)
+	server.mu.Unlock()
+	defer server.left(l)
 	empty := 0 // how often in a row the queue was found empty at the end: a process held up may miss the first time's deadline
 	for {
 		nc, err := l.Accept()
 		if err != nil {
-			if s.stopping.Load() {
+			if server.stopping.Load() {
 				if empty++; empty < 2 && errors.Is(err, os.ErrDeadlineExceeded) {
-					s.lastAccepts(l)
+					server.lastAccepts(l)
 					continue
 				}
 				return nil
@@ -113,43 +116,44 @@
 			if !shortage(err) {
 				return err
 			}
-			if s.Log != nil {
-				s.Log.Warn().Err(err).Msg("ingress accept")
+			if server.Log != nil {
+				server.Log.Warn().Err(err).Msg("ingress accept")
 			}
-			if !s.evict() {
+			if !server.evict() {
 				time.Sleep(50 * time.Millisecond)
 			}
 			continue
 		}
-		if empty = 0; s.stopping.Load() {
-			s.lastAccepts(l)
+		if empty = 0; server.stopping.Load() {
+			server.lastAccepts(l)
 		}
-		s.take(nc)
+		server.take(nc)
 	}
 }
 
 // left says that a listener is served no longer.
-func (s *Server) left(l net.Listener) {
+func (server *Server) left(l net.Listener) {
 	l.Close()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for i, other := range s.listeners {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	for i, other := range server.listeners {
 		if other == l {
-			s.listeners = append(s.listeners[:i], s.listeners[i+1:]...)
+			server.listeners = append(server.listeners[:i], server.listeners[i+1:]...)
 			break
 		}
 	}
-	s.checkEnded()
+	server.checkEnded()
 }
 
 // checkEnded notifies a shutdown that nothing is left. The caller holds the lock.
-func (s *Server) checkEnded() {
-	if s.ended != nil && len(s.listeners) == 0 && len(s.conns) == 0 {
-		close(s.ended)
-		s.ended = nil
+func (server *Server) checkEnded() {
+	if server.ended != nil && len(server.listeners) == 0 && len(server.conns) == 0 {
+		close(server.ended)
+		server.ended = nil
 	}
 }
 
+// shortage reports whether an accept failed for want of descriptors or memory.
 func shortage(err error) bool {
 	for _, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, lack) {
@@ -161,84 +165,84 @@
 
 // take starts a connection. Where descriptors run out, the connection idle for longest gives way; where none is idle, the
 // new one is answered 503 out of a small reserve, and beyond that closed unread.
-func (s *Server) take(nc net.Conn) {
-	c, err := newConn(s, nc)
+func (server *Server) take(nc net.Conn) {
+	c, err := newConn(server, nc)
 	if err != nil {
 		nc.Close()
 		return
 	}
-	if s.MaxConns > 0 {
-		usual := max(1, s.MaxConns-s.MaxConns/16-1)
-		for s.count() >= usual {
-			if s.evict() {
+	if server.MaxConns > 0 {
+		usual := max(1, server.MaxConns-server.MaxConns/16-1)
+		for server.count() >= usual {
+			if server.evict() {
 				continue
 			}
 			c.refused = true
 			break
 		}
-		if s.count() >= s.MaxConns {
+		if server.count() >= server.MaxConns {
 			nc.Close()
 			return
 		}
 	}
-	s.mu.Lock()
-	if s.conns == nil {
-		s.conns = map[*conn]struct{}{}
+	server.mu.Lock()
+	if server.conns == nil {
+		server.conns = map[*conn]struct{}{}
 	}
-	s.conns[c] = struct{}{}
-	s.mu.Unlock()
+	server.conns[c] = struct{}{}
+	server.mu.Unlock()
 	go c.serve()
 }
 
-func (s *Server) count() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.conns)
+func (server *Server) count() int {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	return len(server.conns)
 }
 
 // Conns is how many connections are open, and how many of them wait for a request.
-func (s *Server) Conns() (open, idle int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.conns), s.idle.n
+func (server *Server) Conns() (open, idle int) {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	return len(server.conns), server.idle.n
 }
 
 // remove forgets a connection that has ended.
-func (s *Server) remove(c *conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.conns, c)
-	s.idle.remove(c)
-	s.checkEnded()
+func (server *Server) remove(c *conn) {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	delete(server.conns, c)
+	server.idle.remove(c)
+	server.checkEnded()
 }
 
 // evict closes the connection idle for longest, and reports whether there was one.
-func (s *Server) evict() bool {
+func (server *Server) evict() bool {
 	for {
-		s.mu.Lock()
-		c := s.idle.first
+		server.mu.Lock()
+		c := server.idle.first
 		if c == nil {
-			s.mu.Unlock()
+			server.mu.Unlock()
 			return false
 		}
-		s.idle.remove(c)
+		server.idle.remove(c)
 		if !c.endIdle() { // its next request has just come
-			s.mu.Unlock()
+			server.mu.Unlock()
 			continue
 		}
-		delete(s.conns, c)
-		s.mu.Unlock()
-		c.nc.Close()
+		delete(server.conns, c)
+		server.mu.Unlock()
+		c.socket.Close()
 		return true
 	}
 }
 
 // closeIdle closes the connections that wait for a request; one that has not carried any yet gets the linger for its first.
-func (s *Server) closeIdle(fresh time.Duration) {
-	s.mu.Lock()
+func (server *Server) closeIdle(fresh time.Duration) {
+	server.mu.Lock()
 	var closing []*conn
 	by := time.Now().Add(fresh)
-	for c := s.idle.first; c != nil; c = c.next {
+	for c := server.idle.first; c != nil; c = c.next {
 		if fresh > 0 && c.hurry(by, false) {
 			continue
 		}
@@ -246,81 +250,81 @@
 			closing = append(closing, c)
 		}
 	}
-	s.mu.Unlock()
+	server.mu.Unlock()
 	for _, c := range closing {
-		c.nc.Close()
+		c.socket.Close()
 	}
 }
 
 // Drain has every answer from now on carry Connection: close; connections that wait for a request are closed after the linger.
-func (s *Server) Drain() {
-	if s.draining.Swap(true) {
+func (server *Server) Drain() {
+	if server.draining.Swap(true) {
 		return
 	}
-	time.AfterFunc(s.linger(), func() { s.closeIdle(0) })
+	time.AfterFunc(server.linger(), func() { server.closeIdle(0) })
 }
 
 // Shutdown accepts and serves what the listeners have in their queues, closes them and the connections that wait for a
 // request, has the requests under way finished, and returns when all has ended or ctx is over, which it then says.
-func (s *Server) Shutdown(ctx context.Context) error {
-	s.draining.Store(true)
+func (server *Server) Shutdown(ctx context.Context) error {
+	server.draining.Store(true)
 	ended := make(chan struct{})
-	s.mu.Lock()
-	if s.ended != nil {
-		s.mu.Unlock()
+	server.mu.Lock()
+	if server.ended != nil {
+		server.mu.Unlock()
 		return ErrStopped
 	}
-	s.stopBy = time.Now().Add(s.linger())
-	s.stopping.Store(true)
-	s.ended = ended
-	listeners := append([]net.Listener(nil), s.listeners...)
-	s.checkEnded()
-	s.mu.Unlock()
+	server.stopBy = time.Now().Add(server.linger())
+	server.stopping.Store(true)
+	server.ended = ended
+	listeners := append([]net.Listener(nil), server.listeners...)
+	server.checkEnded()
+	server.mu.Unlock()
 	for _, l := range listeners {
-		s.lastAccepts(l)
+		server.lastAccepts(l)
 	}
-	s.closeIdle(s.linger())
+	server.closeIdle(server.linger())
 	select {
 	case <-ended:
 		return nil
 	case <-ctx.Done():
-		s.mu.Lock()
-		if s.ended == ended {
-			s.ended = nil
+		server.mu.Lock()
+		if server.ended == ended {
+			server.ended = nil
 		}
-		s.mu.Unlock()
+		server.mu.Unlock()
 		return ctx.Err()
 	}
 }
 
 // lastAccepts has a listener accept what has queued, and end.
-func (s *Server) lastAccepts(l net.Listener) {
-	s.mu.Lock()
+func (server *Server) lastAccepts(l net.Listener) {
+	server.mu.Lock()
 	by := time.Now().Add(emptied)
-	if by.After(s.stopBy) {
-		by = s.stopBy
+	if by.After(server.stopBy) {
+		by = server.stopBy
 	}
-	s.mu.Unlock()
+	server.mu.Unlock()
 	if d, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(by) != nil {
 		l.Close()
 	}
 }
 
 // Close ends all connections as they stand.
-func (s *Server) Close() {
-	s.draining.Store(true)
-	s.mu.Lock()
-	s.stopping.Store(true)
-	listeners := append([]net.Listener(nil), s.listeners...)
+func (server *Server) Close() {
+	server.draining.Store(true)
+	server.mu.Lock()
+	server.stopping.Store(true)
+	listeners := append([]net.Listener(nil), server.listeners...)
 	var conns []*conn
-	for c := range s.conns {
+	for c := range server.conns {
 		conns = append(conns, c)
 	}
-	s.mu.Unlock()
+	server.mu.Unlock()
 	for _, l := range listeners {
 		l.Close()
 	}
 	for _, c := range conns {
-		c.nc.Close()
+		c.socket.Close()
 	}
 }
