--- a/internal/tier/gateway/textcache.go
+++ b/internal/tier/gateway/textcache.go
@@ -30,45 +30,45 @@
 }
 
 // nearest is the text of a turn, or else of the newest cached turn of its line.
-func (c *textCache) nearest(previous, line string) *text {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	e := c.attempt[previous]
+func (cache *textCache) nearest(previous, line string) *text {
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	e := cache.attempt[previous]
 	if e == nil {
-		e = c.attempt[c.line[line]]
+		e = cache.attempt[cache.line[line]]
 	}
 	if e == nil || previous == "" {
 		return nil
 	}
-	c.order.MoveToFront(e)
+	cache.order.MoveToFront(e)
 	return e.Value.(*text)
 }
 
 // keep adds the text of a turn that its turn store has kept. prompt is not changed after.
-func (c *textCache) keep(t *text) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(t.prompt) > c.room/8 || c.attempt[t.attempt] != nil {
+func (cache *textCache) keep(t *text) {
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	if len(t.prompt) > cache.room/8 || cache.attempt[t.attempt] != nil {
 		return
 	}
-	if old := c.attempt[c.line[t.line]]; old != nil && old.Value.(*text).line == t.line {
-		c.drop(old) // a line goes on from its newest turn
+	if old := cache.attempt[cache.line[t.line]]; old != nil && old.Value.(*text).line == t.line {
+		cache.drop(old) // a line goes on from its newest turn
 	}
-	c.attempt[t.attempt] = c.order.PushFront(t)
-	c.line[t.line] = t.attempt
-	c.used += len(t.prompt)
-	for c.used > c.room {
-		c.drop(c.order.Back())
+	cache.attempt[t.attempt] = cache.order.PushFront(t)
+	cache.line[t.line] = t.attempt
+	cache.used += len(t.prompt)
+	for cache.used > cache.room {
+		cache.drop(cache.order.Back())
 	}
 }
 
-func (c *textCache) drop(e *list.Element) {
+func (cache *textCache) drop(e *list.Element) {
 	t := e.Value.(*text)
-	c.order.Remove(e)
-	c.used -= len(t.prompt)
-	delete(c.attempt, t.attempt)
-	if c.line[t.line] == t.attempt {
-		delete(c.line, t.line)
+	cache.order.Remove(e)
+	cache.used -= len(t.prompt)
+	delete(cache.attempt, t.attempt)
+	if cache.line[t.line] == t.attempt {
+		delete(cache.line, t.line)
 	}
 }
 
--- a/internal/tier/gateway/turnclient.go
+++ b/internal/tier/gateway/turnclient.go
@@ -18,18 +18,18 @@
 }
 
 // Apply takes a newer map in.
-func (c *TurnClient) Apply(m *tierv1.PartitionMap) { c.stores.apply(m) }
+func (client *TurnClient) Apply(m *tierv1.PartitionMap) { client.stores.apply(m) }
 
 // Ready tells whether a map has come.
-func (c *TurnClient) Ready() bool { return c.stores.ready() }
+func (client *TurnClient) Ready() bool { return client.stores.ready() }
 
 // Begin asks for a turn, as a request that came from a client does. The verdict is OK, SPENT or UNKNOWN for sure, or BUSY.
-func (c *TurnClient) Begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn) {
-	verdict, chain, _ = c.stores.begin(ctx, req)
+func (client *TurnClient) Begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn) {
+	verdict, chain, _ = client.stores.begin(ctx, req)
 	return verdict, chain
 }
 
 // Settle ends a reservation, and reports whether that is durable.
-func (c *TurnClient) Settle(ctx context.Context, req *tierv1.SettleRequest) bool {
-	return c.stores.settle(ctx, req)
+func (client *TurnClient) Settle(ctx context.Context, req *tierv1.SettleRequest) bool {
+	return client.stores.settle(ctx, req)
 }
--- a/internal/tier/loadbalancer/done.go
+++ b/internal/tier/loadbalancer/done.go
@@ -3,7 +3,7 @@
 import "time"
 
 // FirstPiece records the first piece of a streamed answer, which shows that its endpoint is not silent. It has no effect once the call is done.
-func (b *Balancer) FirstPiece(now time.Duration, c *Call) {
+func (balancer *Balancer) FirstPiece(now time.Duration, c *Call) {
 	if c != nil && !c.ended {
 		c.at.answered(now, c)
 		c.at.restore()
@@ -11,15 +11,15 @@
 }
 
 // ReportLoad takes what an endpoint says of its load, as in a report. Unknown instances are ignored.
-func (b *Balancer) ReportLoad(now time.Duration, instance string, l Load) {
-	if e := b.endpoints[instance]; e != nil {
+func (balancer *Balancer) ReportLoad(now time.Duration, instance string, l Load) {
+	if e := balancer.endpoints[instance]; e != nil {
 		e.observedAt = max(e.observedAt, now)
 		e.updateLoad(now, l, false)
 	}
 }
 
 // Done records the end of a call. It is idempotent: a second report of the same call has no effect.
-func (b *Balancer) Done(now time.Duration, c *Call, o Outcome) {
+func (balancer *Balancer) Done(now time.Duration, c *Call, o Outcome) {
 	if c == nil || c.ended {
 		return
 	}
@@ -34,7 +34,7 @@
 	if c.probe {
 		e.probes--
 	}
-	b.learn(now, c, o)
+	balancer.learn(now, c, o)
 	switch {
 	case o.Misdirected || o.Kind == Gone:
 		e.misdirected = true
@@ -56,13 +56,13 @@
 	case c.probe:
 		e.probeAt = now // it says nothing: the next may try
 	}
-	if !e.listed && e.calls == 0 && b.endpoints[e.Instance] == e {
-		delete(b.endpoints, e.Instance)
+	if !e.listed && e.calls == 0 && balancer.endpoints[e.Instance] == e {
+		delete(balancer.endpoints, e.Instance)
 	}
 }
 
 // learn gives the oracle its sample: served first attempts only (Karn); an expiry doubles.
-func (b *Balancer) learn(now time.Duration, c *Call, o Outcome) {
+func (balancer *Balancer) learn(now time.Duration, c *Call, o Outcome) {
 	switch {
 	case o.Kind == Served && c.weight > 0:
 		c.oracle.Sample(max(0, o.First), c.weight, false)
@@ -106,9 +106,9 @@
 
 // Suspects are the endpoints that are ejected and due to be tried, for an owner that checks their health by a call of its
 // own, as it must where requests can't be repeated. Each is to be followed by Checked.
-func (b *Balancer) Suspects(now time.Duration) []Endpoint {
+func (balancer *Balancer) Suspects(now time.Duration) []Endpoint {
 	var all []Endpoint
-	for _, s := range b.services {
+	for _, s := range balancer.services {
 		for _, e := range s.list {
 			if e.watch(now); e.ejected && !e.misdirected && e.probes == 0 && now >= e.probeAt {
 				e.checked = true
@@ -121,8 +121,8 @@
 }
 
 // Checked books such a call: whether the endpoint called itself well.
-func (b *Balancer) Checked(now time.Duration, instance string, well bool) {
-	e := b.endpoints[instance]
+func (balancer *Balancer) Checked(now time.Duration, instance string, well bool) {
+	e := balancer.endpoints[instance]
 	if e == nil || !e.checked {
 		return
 	}
--- a/internal/tier/loadbalancer/loadbalancer.go
+++ b/internal/tier/loadbalancer/loadbalancer.go
@@ -117,80 +117,80 @@
 
 // SetEndpoints takes a whole list. What is known of an instance stays with it; one that has left the list gets nothing
 // new, and is forgotten when no call is out there.
-func (b *Balancer) SetEndpoints(now time.Duration, list []Endpoint) {
-	for _, e := range b.endpoints {
+func (balancer *Balancer) SetEndpoints(now time.Duration, list []Endpoint) {
+	for _, e := range balancer.endpoints {
 		e.listed = false
 	}
-	for _, s := range b.services {
+	for _, s := range balancer.services {
 		s.list = s.list[:0]
 	}
 	for _, line := range list {
-		e := b.endpoints[line.Instance]
+		e := balancer.endpoints[line.Instance]
 		if e == nil {
 			e = newEndpoint(line, now)
-			b.endpoints[line.Instance] = e
+			balancer.endpoints[line.Instance] = e
 		}
 		if e.listed { // twice in the list
 			continue
 		}
 		e.Endpoint, e.listed, e.coldUntil = line, true, now+line.ColdRemaining
-		e.local = line.Zone == b.zone
+		e.local = line.Zone == balancer.zone
 		if line.Draining {
 			continue
 		}
-		s := b.service(line.Service)
+		s := balancer.service(line.Service)
 		s.list = append(s.list, e)
 	}
-	for name, e := range b.endpoints {
+	for name, e := range balancer.endpoints {
 		if !e.listed && e.calls == 0 {
-			delete(b.endpoints, name)
+			delete(balancer.endpoints, name)
 		}
 	}
-	for name, s := range b.services {
+	for name, s := range balancer.services {
 		if len(s.list) == 0 {
-			delete(b.services, name)
+			delete(balancer.services, name)
 		}
 		slices.SortFunc(s.list, func(x, y *endpoint) int { return cmp.Compare(x.Instance, y.Instance) })
 	}
 }
 
 // Stands reports whether requests may still go to an instance: it is listed, does not drain, and has its address.
-func (b *Balancer) Stands(instance string) bool {
-	e := b.endpoints[instance]
+func (balancer *Balancer) Stands(instance string) bool {
+	e := balancer.endpoints[instance]
 	return e != nil && e.listed && !e.Draining && !e.misdirected
 }
 
 // KeepRoutes forgets what was seen of all other routes, for when the configuration has changed.
-func (b *Balancer) KeepRoutes(keep func(route string) bool) {
-	for name := range b.routes {
+func (balancer *Balancer) KeepRoutes(keep func(route string) bool) {
+	for name := range balancer.routes {
 		if !keep(name) {
-			delete(b.routes, name)
+			delete(balancer.routes, name)
 		}
 	}
 }
 
-func (b *Balancer) service(name string) *service {
-	s := b.services[name]
+func (balancer *Balancer) service(name string) *service {
+	s := balancer.services[name]
 	if s == nil {
 		s = &service{}
-		b.services[name] = s
+		balancer.services[name] = s
 	}
 	return s
 }
 
-func (b *Balancer) oracle(route string) *restart.Oracle {
-	o := b.routes[route]
+func (balancer *Balancer) oracle(route string) *restart.Oracle {
+	o := balancer.routes[route]
 	if o == nil {
 		o = &restart.Oracle{}
-		b.routes[route] = o
+		balancer.routes[route] = o
 	}
 	return o
 }
 
 // draw is the next random number below n (splitmix64).
-func (b *Balancer) draw(n uint64) uint64 {
-	b.random += 0x9e3779b97f4a7c15
-	return mix(b.random) % n
+func (balancer *Balancer) draw(n uint64) uint64 {
+	balancer.random += 0x9e3779b97f4a7c15
+	return mix(balancer.random) % n
 }
 
 func mix(z uint64) uint64 {
--- a/internal/tier/loadbalancer/pick.go
+++ b/internal/tier/loadbalancer/pick.go
@@ -22,33 +22,33 @@
 )
 
 // Pick decides on one attempt.
-func (b *Balancer) Pick(now time.Duration, a Ask) Choice {
-	o := b.oracle(a.Route)
+func (balancer *Balancer) Pick(now time.Duration, a Ask) Choice {
+	o := balancer.oracle(a.Route)
 	if a.Left <= 0 || o.Seen > 0 && a.Left < o.Quickest {
 		return Choice{Verdict: Hopeless}
 	}
-	s := b.services[a.Service]
+	s := balancer.services[a.Service]
 	if s == nil {
-		return Choice{Verdict: NoEndpoint, RetryAfter: b.retryAfter(now, &service{}, &a)}
+		return Choice{Verdict: NoEndpoint, RetryAfter: balancer.retryAfter(now, &service{}, &a)}
 	}
-	b.turn++
+	balancer.turn++
 	any := false
 	for _, e := range s.list {
 		e.watch(now)
 		any = any || e.fits(&a)
 	}
 	if !any {
-		return Choice{Verdict: NoEndpoint, RetryAfter: b.retryAfter(now, s, &a)}
+		return Choice{Verdict: NoEndpoint, RetryAfter: balancer.retryAfter(now, s, &a)}
 	}
-	e := b.place(now, s, &a, o)
+	e := balancer.place(now, s, &a, o)
 	if e == nil {
-		return Choice{Verdict: Full, RetryAfter: b.retryAfter(now, s, &a)}
+		return Choice{Verdict: Full, RetryAfter: balancer.retryAfter(now, s, &a)}
 	}
-	return b.send(now, s, e, &a, o)
+	return balancer.send(now, s, e, &a, o)
 }
 
 // send starts an attempt. Its time-out is the oracle's where a restart then is allowed, else the time left.
-func (b *Balancer) send(now time.Duration, s *service, e *endpoint, a *Ask, o *restart.Oracle) Choice {
+func (balancer *Balancer) send(now time.Duration, s *service, e *endpoint, a *Ask, o *restart.Oracle) Choice {
 	c := &Call{at: e, oracle: o, service: s, sent: now, uncut: true, probe: e.ejected}
 	choice := Choice{Instance: e.Instance, Address: e.Address, Timeout: a.Left, Call: c}
 	if a.First {
@@ -60,7 +60,7 @@
 		e.probes++
 	}
 	if a.Repeatable && timeout < a.Left {
-		if a.First && !c.probe && b.draw(restart.ExploreIn) == 0 {
+		if a.First && !c.probe && balancer.draw(restart.ExploreIn) == 0 {
 			c.weight, choice.Explore = restart.ExploreWeight, true
 		} else {
 			choice.Timeout, c.uncut = timeout, false
@@ -93,10 +93,10 @@
 
 // place finds the endpoint, nil if all are full: one that is ejected and due to be probed, else a healthy one that was not
 // tried yet, else the least bad.
-func (b *Balancer) place(now time.Duration, s *service, a *Ask, o *restart.Oracle) *endpoint {
+func (balancer *Balancer) place(now time.Duration, s *service, a *Ask, o *restart.Oracle) *endpoint {
 	if a.First && (a.Left > 2*patience(o) || !a.Repeatable) {
 		for i := range s.list {
-			e := s.list[(i+b.turn)%len(s.list)]
+			e := s.list[(i+balancer.turn)%len(s.list)]
 			if e.fits(a) && e.due(now, a) && now >= e.pausedUntil && !slices.Contains(a.Tried, e.Instance) {
 				return e
 			}
@@ -105,14 +105,14 @@
 	fresh := func(e *endpoint) bool {
 		return !e.ejected && e.fits(a) && !slices.Contains(a.Tried, e.Instance) && e.room(now, a.Priority)
 	}
-	if e := b.choose(now, s, a, fresh); e != nil {
+	if e := balancer.choose(now, s, a, fresh); e != nil {
 		return e
 	}
 	if len(a.Tried) > 0 { // once more where it was: a window may have opened, a connection been lost
 		retry := func(e *endpoint) bool {
 			return !e.ejected && e.fits(a) && times(a.Tried, e.Instance) < 2 && e.room(now, a.Priority)
 		}
-		if e := b.choose(now, s, a, retry); e != nil {
+		if e := balancer.choose(now, s, a, retry); e != nil {
 			return e
 		}
 	}
@@ -123,7 +123,7 @@
 	}
 	var best *endpoint
 	for i := range s.list { // all are out
-		e := s.list[(i+b.turn)%len(s.list)]
+		e := s.list[(i+balancer.turn)%len(s.list)]
 		if !e.fits(a) || !e.room(now, a.Priority) || times(a.Tried, e.Instance) > 1 {
 			continue
 		}
@@ -168,10 +168,10 @@
 
 // choose picks among the endpoints that are allowed: in our zone unless it is notably loaded, by rendezvous where
 // requests share a cache and the least loaded otherwise.
-func (b *Balancer) choose(now time.Duration, s *service, a *Ask, allowed func(*endpoint) bool) *endpoint {
+func (balancer *Balancer) choose(now time.Duration, s *service, a *Ask, allowed func(*endpoint) bool) *endpoint {
 	var own, far pool
 	for i := range s.list {
-		e := s.list[(i+b.turn)%len(s.list)]
+		e := s.list[(i+balancer.turn)%len(s.list)]
 		if !allowed(e) {
 			continue
 		}
@@ -181,27 +181,27 @@
 			far.add(e, e.cost(now))
 		}
 	}
-	if e := b.home(now, a, allowed, &own, &far); e != nil {
+	if e := balancer.home(now, a, allowed, &own, &far); e != nil {
 		return e
 	}
 	switch {
 	case own.n == 0 && far.n == 0:
 		return nil
 	case far.n == 0:
-		return b.within(now, s, a, allowed, &own, true, own.mean())
+		return balancer.within(now, s, a, allowed, &own, true, own.mean())
 	case own.n == 0:
-		return b.within(now, s, a, allowed, &far, false, far.mean())
+		return balancer.within(now, s, a, allowed, &far, false, far.mean())
 	}
 	if own.lowest <= zoneCostFactor*far.lowest+zoneCostMargin/float64(own.best.capacity()) {
-		return b.within(now, s, a, allowed, &own, true, own.mean())
+		return balancer.within(now, s, a, allowed, &own, true, own.mean())
 	}
-	return b.within(now, s, a, allowed, &far, false, far.mean())
+	return balancer.within(now, s, a, allowed, &far, false, far.mean())
 }
 
 // home is the endpoint that ran what the request goes on from, unless it is notably more loaded than the others: what it
 // holds in its cache would have to be prefilled elsewhere.
-func (b *Balancer) home(now time.Duration, a *Ask, allowed func(*endpoint) bool, own, far *pool) *endpoint {
-	e := b.endpoints[a.Home]
+func (balancer *Balancer) home(now time.Duration, a *Ask, allowed func(*endpoint) bool, own, far *pool) *endpoint {
+	e := balancer.endpoints[a.Home]
 	if a.Home == "" || e == nil || !e.listed || e.Draining || e.Service != a.Service || !allowed(e) {
 		return nil
 	}
@@ -215,9 +215,9 @@
 }
 
 // within picks in one of the pools.
-func (b *Balancer) within(now time.Duration, s *service, a *Ask, allowed func(*endpoint) bool, p *pool, local bool, mean float64) *endpoint {
+func (balancer *Balancer) within(now time.Duration, s *service, a *Ask, allowed func(*endpoint) bool, p *pool, local bool, mean float64) *endpoint {
 	if key, sticky := affinity(a); sticky && a.Home == "" {
-		if e := b.rendezvous(now, s, key, allowed, local, mean); e != nil {
+		if e := balancer.rendezvous(now, s, key, allowed, local, mean); e != nil {
 			return e
 		}
 	}
@@ -237,7 +237,7 @@
 
 // rendezvous is the endpoint with the highest weight for the key (highest random weight hashing, by capacity), of those
 // in our zone or outside it whose load is within bounds of the mean. One that comes or goes moves only its own keys.
-func (b *Balancer) rendezvous(now time.Duration, s *service, key uint64, allowed func(*endpoint) bool, local bool, mean float64) *endpoint {
+func (balancer *Balancer) rendezvous(now time.Duration, s *service, key uint64, allowed func(*endpoint) bool, local bool, mean float64) *endpoint {
 	var best *endpoint
 	highest := 0.0
 	for _, e := range s.list {
@@ -255,7 +255,7 @@
 // retryAfter is when there may be room: a part of the time that a call takes, by Little's law from those out and the
 // rate of those served, spread so that those refused together don't come together. It is kept within the aim, so that
 // the new try may be in time, and within what clients wait.
-func (b *Balancer) retryAfter(now time.Duration, s *service, a *Ask) time.Duration {
+func (balancer *Balancer) retryAfter(now time.Duration, s *service, a *Ask) time.Duration {
 	calls, paused := 0, retryMax
 	for _, e := range s.list {
 		calls += e.calls
@@ -266,7 +266,7 @@
 	if len(s.list) > 0 {
 		wait = max(wait, paused)
 	}
-	wait = wait/2 + time.Duration(b.draw(uint64(wait)+1))
+	wait = wait/2 + time.Duration(balancer.draw(uint64(wait)+1))
 	longest := min(retryMax, a.Left/retryPart)
 	if a.Aim > 0 {
 		longest = min(longest, a.Aim)
--- a/internal/tier/routing/parse.go
+++ b/internal/tier/routing/parse.go
@@ -47,16 +47,16 @@
 	return c, nil
 }
 
-func (c *Table) fill(w *wire, found *findings) {
+func (table *Table) fill(w *wire, found *findings) {
 	switch {
 	case w.Revision == nil:
 		found.add("revision", "is missing")
 	case *w.Revision < 1 || *w.Revision != math.Trunc(*w.Revision) || *w.Revision > mostInt:
 		found.add("revision", "is %v, not a whole number above 0", *w.Revision)
 	default:
-		c.Revision = int64(*w.Revision)
+		table.Revision = int64(*w.Revision)
 	}
-	c.Limits = w.Limits.limits(found)
+	table.Limits = w.Limits.limits(found)
 	if w.Services == nil {
 		found.add("services", "is missing")
 	} else {
@@ -65,22 +65,22 @@
 				found.add(fmt.Sprintf("services[%d].name", i), "is missing")
 				continue
 			}
-			c.Services[s.Name] = s.service(fmt.Sprintf("services[%d]", i), found)
+			table.Services[s.Name] = s.service(fmt.Sprintf("services[%d]", i), found)
 		}
 	}
 	if w.Routes == nil {
 		found.add("routes", "is missing")
 		return
 	}
-	c.Routes = make([]*Route, 0, len(*w.Routes))
+	table.Routes = make([]*Route, 0, len(*w.Routes))
 	places := map[[2]string]int{}
 	for i := range *w.Routes {
-		c.addRoute(i, &(*w.Routes)[i], places, found)
+		table.addRoute(i, &(*w.Routes)[i], places, found)
 	}
 }
 
 // addRoute checks one route and takes it in.
-func (c *Table) addRoute(i int, w *wireRoute, places map[[2]string]int, found *findings) {
+func (table *Table) addRoute(i int, w *wireRoute, places map[[2]string]int, found *findings) {
 	at := func(field string) string { return fmt.Sprintf("routes[%d].%s", i, field) }
 	r := &Route{
 		Name: w.Name, Host: hostname(w.Hostname), Prefix: w.Prefix, Priority: clamp(w.Priority), MaxAttempts: max(1, clamp(w.Attempts)),
@@ -119,7 +119,7 @@
 	if r.Aim == 0 {
 		r.Aim = r.Timeout
 	}
-	c.split(r, w, at, found)
+	table.split(r, w, at, found)
 
 	place := [2]string{r.Host, r.Prefix}
 	if first, twice := places[place]; twice {
@@ -127,20 +127,20 @@
 		return
 	}
 	places[place] = i
-	c.Routes = append(c.Routes, r)
-	routes := c.hosts[r.Host]
+	table.Routes = append(table.Routes, r)
+	routes := table.hosts[r.Host]
 	if routes == nil {
 		routes = &hostRoutes{byPrefix: map[string]*Route{}}
-		c.hosts[r.Host] = routes
+		table.hosts[r.Host] = routes
 	}
 	routes.byPrefix[r.Prefix] = r
 	routes.lengths = append(routes.lengths, len(r.Prefix))
 }
 
 // split checks and takes in the services of a route.
-func (c *Table) split(r *Route, w *wireRoute, at func(string) string, found *findings) {
+func (table *Table) split(r *Route, w *wireRoute, at func(string) string, found *findings) {
 	if w.Service != nil && (*w.Service != "" || len(w.Split) == 0) {
-		if c.Services[*w.Service] == nil {
+		if table.Services[*w.Service] == nil {
 			found.add(at("service_name"), "%q is not known", *w.Service)
 		}
 		if len(w.Split) == 0 {
@@ -154,7 +154,7 @@
 	}
 	total := 0.0
 	for i, s := range w.Split {
-		if c.Services[s.Service] == nil {
+		if table.Services[s.Service] == nil {
 			found.add(at(fmt.Sprintf("traffic_split[%d].service_name", i)), "%q is not known", s.Service)
 		}
 		if s.Weight < 0 {
--- a/internal/tier/routing/routing.go
+++ b/internal/tier/routing/routing.go
@@ -100,8 +100,8 @@
 
 // Match gives the route with the longest prefix that begins the path (a query is left out), or nil.
 // The case of the host and its port don't count.
-func (c *Table) Match(host, path string) *Route {
-	routes := c.hosts[hostname(host)]
+func (table *Table) Match(host, path string) *Route {
+	routes := table.hosts[hostname(host)]
 	if routes == nil {
 		return nil
 	}
--- a/internal/tier/upstream/answer.go
+++ b/internal/tier/upstream/answer.go
@@ -52,8 +52,8 @@
 }
 
 // Field is the value of the first field of that name, in any case; empty if there is none.
-func (a *Answer) Field(name string) string {
-	for _, f := range a.Header {
+func (answer *Answer) Field(name string) string {
+	for _, f := range answer.Header {
 		if strings.EqualFold(f.Name, name) {
 			return f.Value
 		}
@@ -155,7 +155,7 @@
 
 // field takes one field in and says whether it is passed on, and whether it can stand there: fields that the outcome
 // rests on stand once.
-func (a *Answer) field(name, value string, seen *uint16, connection *string) (pass, ok bool) {
+func (answer *Answer) field(name, value string, seen *uint16, connection *string) (pass, ok bool) {
 	once := func(bit int) bool {
 		was := *seen & (1 << bit)
 		*seen |= 1 << bit
@@ -177,39 +177,39 @@
 		*connection += value + ","
 		return false, true
 	case "keep-alive":
-		a.alive = keepAlive(value)
+		answer.alive = keepAlive(value)
 		return false, true
 	case "proxy-connection", "te", "trailer", "upgrade":
 		return false, true
 	case "content-length":
 		n, ok := digits(value, maxLength)
-		a.Length = n
+		answer.Length = n
 		return false, ok && once(0)
 	case "transfer-encoding":
-		a.chunked = true
+		answer.chunked = true
 		return false, strings.EqualFold(value, "chunked") && once(1)
 	case "content-encoding":
-		a.encoded = true
+		answer.encoded = true
 	case "x-attempt-id":
-		a.AttemptID = value
+		answer.AttemptID = value
 		return true, once(2)
 	case "x-response-signature":
-		a.Signature = value
+		answer.Signature = value
 		return true, once(3)
 	case "x-not-executed":
-		a.NotExecuted = true
+		answer.NotExecuted = true
 	case "content-type":
 		kind, _, _ := strings.Cut(value, ";")
-		a.Events = strings.EqualFold(strings.TrimSpace(kind), "text/event-stream")
+		answer.Events = strings.EqualFold(strings.TrimSpace(kind), "text/event-stream")
 		return true, once(4)
 	case "retry-after":
 		if s, err := strconv.ParseFloat(value, 64); err == nil && s > 0 && s <= 3600 {
-			a.RetryAfter = time.Duration(s * float64(time.Second))
+			answer.RetryAfter = time.Duration(s * float64(time.Second))
 		}
 	case "x-instance-load":
-		a.Load, a.Loaded = parseLoad(value)
+		answer.Load, answer.Loaded = parseLoad(value)
 	case "versions":
-		a.Versions = value
+		answer.Versions = value
 	}
 	return true, true
 }
--- a/internal/tier/upstream/body.go
+++ b/internal/tier/upstream/body.go
@@ -48,56 +48,56 @@
 
 // more appends what has come to dst, and waits only if nothing has. io.EOF comes with or after the last bytes of a whole
 // body; for one that ends with its connection it says that this ended without an error.
-func (b *body) more(dst []byte) ([]byte, error) {
+func (body *body) more(dst []byte) ([]byte, error) {
 	for begin := len(dst); ; {
-		if b.whole {
+		if body.whole {
 			return dst, io.EOF
 		}
 		got := len(dst) > begin
-		if got && (len(dst)-begin >= readAhead || !b.atHand()) {
+		if got && (len(dst)-begin >= readAhead || !body.atHand()) {
 			return dst, nil
 		}
-		if b.framing == byChunks && b.left == 0 {
-			if err := b.chunkLine(); err != nil {
+		if body.framing == byChunks && body.left == 0 {
+			if err := body.chunkLine(); err != nil {
 				return dst, err
 			}
 			continue
 		}
-		if b.r.Buffered() == 0 {
-			if _, err := b.r.Peek(1); err != nil {
-				if err == io.EOF && b.framing == byClose {
-					b.whole = true
+		if body.r.Buffered() == 0 {
+			if _, err := body.r.Peek(1); err != nil {
+				if err == io.EOF && body.framing == byClose {
+					body.whole = true
 					return dst, io.EOF
 				}
 				return dst, unexpected(err)
 			}
 		}
-		n := b.r.Buffered()
-		if b.framing != byClose {
-			n = int(min(b.left, int64(n)))
-			b.left -= int64(n)
+		n := body.r.Buffered()
+		if body.framing != byClose {
+			n = int(min(body.left, int64(n)))
+			body.left -= int64(n)
 		}
-		part, _ := b.r.Peek(n)
+		part, _ := body.r.Peek(n)
 		dst = append(dst, part...)
-		b.r.Discard(n)
+		body.r.Discard(n)
 		switch {
-		case b.left > 0 || b.framing == byClose:
-		case b.framing == byChunks:
-			b.tail = true
+		case body.left > 0 || body.framing == byClose:
+		case body.framing == byChunks:
+			body.tail = true
 		default:
-			b.whole = true
+			body.whole = true
 		}
 	}
 }
 
 // atHand reports whether decoding can go on without waiting.
-func (b *body) atHand() bool {
-	n := b.r.Buffered()
-	if n == 0 || b.framing != byChunks || b.left > 0 {
+func (body *body) atHand() bool {
+	n := body.r.Buffered()
+	if n == 0 || body.framing != byChunks || body.left > 0 {
 		return n > 0
 	}
-	ahead, _ := b.r.Peek(n)
-	if b.tail {
+	ahead, _ := body.r.Peek(n)
+	if body.tail {
 		i := bytes.IndexByte(ahead, '\n')
 		if i < 0 {
 			return false
@@ -112,18 +112,18 @@
 }
 
 // chunkLine reads up to the bytes of the next chunk, or to the end of the body.
-func (b *body) chunkLine() error {
-	if b.tail {
-		line, err := b.line()
+func (body *body) chunkLine() error {
+	if body.tail {
+		line, err := body.line()
 		if err != nil {
 			return err
 		}
 		if len(line) != 0 {
 			return errMalformed
 		}
-		b.tail = false
+		body.tail = false
 	}
-	line, err := b.line()
+	line, err := body.line()
 	if err != nil {
 		return err
 	}
@@ -149,17 +149,17 @@
 	if n > maxChunk {
 		return errMalformed
 	}
-	b.left = n
+	body.left = n
 	if n > 0 {
 		return nil
 	}
 	for size := 0; size <= maxTrailer; {
-		line, err := b.line()
+		line, err := body.line()
 		if err != nil {
 			return err
 		}
 		if len(line) == 0 {
-			b.whole = true
+			body.whole = true
 			return nil
 		}
 		if bytes.IndexByte(line, ':') <= 0 {
@@ -171,8 +171,8 @@
 }
 
 // line reads one without its CRLF.
-func (b *body) line() ([]byte, error) {
-	line, err := b.r.ReadSlice('\n')
+func (body *body) line() ([]byte, error) {
+	line, err := body.r.ReadSlice('\n')
 	switch {
 	case err == bufio.ErrBufferFull:
 		return nil, errMalformed
@@ -192,22 +192,22 @@
 }
 
 // all reads a body of at most limit bytes.
-func (b *body) all(limit int) ([]byte, error) {
+func (body *body) all(limit int) ([]byte, error) {
 	var dst []byte
-	if b.framing == byLength {
-		if b.left > int64(limit) {
+	if body.framing == byLength {
+		if body.left > int64(limit) {
 			return nil, errTooLong
 		}
-		dst = make([]byte, b.left)
-		if _, err := io.ReadFull(b.r, dst); err != nil {
+		dst = make([]byte, body.left)
+		if _, err := io.ReadFull(body.r, dst); err != nil {
 			return nil, unexpected(err)
 		}
-		b.left, b.whole = 0, true
+		body.left, body.whole = 0, true
 		return dst, nil
 	}
 	for {
 		var err error
-		if dst, err = b.more(dst); err == io.EOF && len(dst) <= limit {
+		if dst, err = body.more(dst); err == io.EOF && len(dst) <= limit {
 			return dst, nil
 		} else if len(dst) > limit {
 			return nil, errTooLong
@@ -218,11 +218,11 @@
 }
 
 // skip reads over a body of at most limit bytes.
-func (b *body) skip(limit int) error {
+func (body *body) skip(limit int) error {
 	var scratch []byte
 	for n := 0; n <= limit; n += len(scratch) {
 		var err error
-		if scratch, err = b.more(scratch[:0]); err == io.EOF && b.framing != byClose {
+		if scratch, err = body.more(scratch[:0]); err == io.EOF && body.framing != byClose {
 			return nil
 		} else if err != nil {
 			return err
--- a/internal/tier/upstream/call.go
+++ b/internal/tier/upstream/call.go
@@ -37,25 +37,25 @@
 }
 
 // Observation is what Classify takes. Begun says that a part of the answer has gone to the client.
-func (r *Result) Observation(begun bool) Observation {
-	state := &r.connection
-	o := Observation{End: r.End, Written: r.Written, Begun: begun, Turn: r.turn, Identified: r.identified, Unframed: r.unframed,
+func (result *Result) Observation(begun bool) Observation {
+	state := &result.connection
+	o := Observation{End: result.End, Written: result.Written, Begun: begun, Turn: result.turn, Identified: result.identified, Unframed: result.unframed,
 		BodyDue: state.bodyDue, Surplus: state.surplus, Unread: state.unread, Cancelled: state.cancelled}
-	if r.Stream != nil {
-		o.End = r.Stream.End()
+	if result.Stream != nil {
+		o.End = result.Stream.End()
 	}
-	if a := r.Answer; a != nil {
+	if a := result.Answer; a != nil {
 		o.Status, o.Stamped, o.NotExecuted, o.Closing = a.Status, a.Signature != "", a.NotExecuted, a.closes
 	}
 	return o
 }
 
 // Verdict is what follows from how it went.
-func (r *Result) Verdict(begun bool) Verdict { return Classify(r.Observation(begun)) }
+func (result *Result) Verdict(begun bool) Verdict { return Classify(result.Observation(begun)) }
 
 // Call sends a request once. timeout counts from now, connecting included; a Stream takes it over until it is given
 // another. ctx ends the call early, and with it its connection.
-func (p *Pool) Call(ctx context.Context, t Target, q *Request, timeout time.Duration) *Result {
+func (pool *Pool) Call(ctx context.Context, t Target, q *Request, timeout time.Duration) *Result {
 	now := time.Now()
 	until := now.Add(timeout)
 	r := &Result{turn: q.Turn}
@@ -67,19 +67,19 @@
 	case !q.sound(t):
 		return r.end(NotSent, errRequest)
 	}
-	c, opened, end, err := p.get(ctx, t, q.AttemptID, until)
+	c, opened, end, err := pool.get(ctx, t, q.AttemptID, until)
 	r.Opened = opened
 	if end != Whole {
 		return r.end(end, err)
 	}
-	exchange := &exchange{pool: p, conn: c, ctx: ctx, result: r}
+	exchange := &exchange{pool: pool, conn: c, ctx: ctx, result: r}
 	return exchange.send(t, q, until)
 }
 
 // end ends a call.
-func (r *Result) end(e End, err error) *Result {
-	r.End, r.Err = e, err
-	return r
+func (result *Result) end(e End, err error) *Result {
+	result.End, result.Err = e, err
+	return result
 }
 
 // ended tells why reading or writing ended.
--- a/internal/tier/upstream/conn.go
+++ b/internal/tier/upstream/conn.go
@@ -29,7 +29,7 @@
 func attemptHash(attempt string) uint64 { return maphash.String(attemptSeed, attempt) | 1 }
 
 // begin notes that a byte of a request was written.
-func (c *conn) begin(attempt string) {
-	c.recent[c.requests%recentRequests] = attemptHash(attempt)
-	c.requests++
+func (conn *conn) begin(attempt string) {
+	conn.recent[conn.requests%recentRequests] = attemptHash(attempt)
+	conn.requests++
 }
--- a/internal/tier/upstream/events.go
+++ b/internal/tier/upstream/events.go
@@ -24,40 +24,40 @@
 }
 
 // next is the next whole event, if it has come. Ids must rise; false in sound says that they don't.
-func (e *events) next() (p Piece, ok, sound bool) {
+func (events *events) next() (p Piece, ok, sound bool) {
 	for {
-		rest := e.buf[e.begin+e.seen:]
+		rest := events.buf[events.begin+events.seen:]
 		i := bytes.IndexByte(rest, '\n')
 		if i < 0 {
-			return Piece{}, false, len(e.buf)-e.begin <= maxEvent
+			return Piece{}, false, len(events.buf)-events.begin <= maxEvent
 		}
-		e.seen += i + 1
+		events.seen += i + 1
 		if i > 0 && !(i == 1 && rest[0] == '\r') {
 			continue
 		}
-		raw := e.buf[e.begin : e.begin+e.seen]
-		e.begin += e.seen
-		e.seen = 0
-		p = e.parse(raw)
+		raw := events.buf[events.begin : events.begin+events.seen]
+		events.begin += events.seen
+		events.seen = 0
+		p = events.parse(raw)
 		if p.ID != "" {
-			if e.last != "" && !rises(e.last, p.ID) {
+			if events.last != "" && !rises(events.last, p.ID) {
 				return p, true, false
 			}
-			e.last = p.ID
+			events.last = p.ID
 		}
 		return p, true, len(raw) <= maxEvent
 	}
 }
 
 // compact makes room for more. What was handed out no longer holds.
-func (e *events) compact() {
-	e.buf = e.buf[:copy(e.buf, e.buf[e.begin:])]
-	e.begin = 0
+func (events *events) compact() {
+	events.buf = events.buf[:copy(events.buf, events.buf[events.begin:])]
+	events.begin = 0
 }
 
-func (e *events) unfinished() bool { return e.begin < len(e.buf) }
+func (events *events) unfinished() bool { return events.begin < len(events.buf) }
 
-func (e *events) parse(raw []byte) Piece {
+func (events *events) parse(raw []byte) Piece {
 	p := Piece{Raw: raw}
 	for rest := raw; len(rest) > 0; {
 		i := bytes.IndexByte(rest, '\n')
@@ -74,13 +74,13 @@
 			switch {
 			case !p.HasData:
 				p.Data, p.HasData = value, true
-				e.joined = e.joined[:0]
-			case len(e.joined) == 0:
-				e.joined = append(append(append(e.joined, p.Data...), '\n'), value...)
-				p.Data = e.joined
+				events.joined = events.joined[:0]
+			case len(events.joined) == 0:
+				events.joined = append(append(append(events.joined, p.Data...), '\n'), value...)
+				p.Data = events.joined
 			default:
-				e.joined = append(append(e.joined, '\n'), value...)
-				p.Data = e.joined
+				events.joined = append(append(events.joined, '\n'), value...)
+				p.Data = events.joined
 			}
 		}
 	}
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -92,17 +92,17 @@
 }
 
 // Counts tells how the pool stands.
-func (p *Pool) Counts() Counts {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.counts
+func (pool *Pool) Counts() Counts {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	return pool.counts
 }
 
 // Open is how many connections to an endpoint are open or coming up, and how many of them are idle.
-func (p *Pool) Open(t Target) (open, idle int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if h := p.hosts[key{t.Address, t.Instance}]; h != nil {
+func (pool *Pool) Open(t Target) (open, idle int) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if h := pool.hosts[key{t.Address, t.Instance}]; h != nil {
 		return h.open, len(h.idle)
 	}
 	return 0, 0
@@ -110,92 +110,92 @@
 
 // get takes the idle connection used last or opens one. An attempt never goes where a recent send of it went: a second answer
 // to that one would be taken for the answer to this one. Any end but Whole says why there is none.
-func (p *Pool) get(ctx context.Context, t Target, attempt string, until time.Time) (c *conn, opened bool, end End, err error) {
+func (pool *Pool) get(ctx context.Context, t Target, attempt string, until time.Time) (c *conn, opened bool, end End, err error) {
 	k := key{t.Address, t.Instance}
 	for {
-		c, end := p.take(k, t.Connections, attempt)
+		c, end := pool.take(k, t.Connections, attempt)
 		switch {
 		case end != Whole:
 			return nil, false, end, errNoRoom
 		case c == nil:
-			c, end, err := p.dial(ctx, k, until)
+			c, end, err := pool.dial(ctx, k, until)
 			return c, end == Whole, end, err
 		case calls.Quiet(c.TCPConn):
-			p.mu.Lock()
-			p.counts.Reused++
-			p.mu.Unlock()
-			p.equip(c)
+			pool.mu.Lock()
+			pool.counts.Reused++
+			pool.mu.Unlock()
+			pool.equip(c)
 			return c, false, Whole, nil
 		}
-		p.stale(c)
+		pool.stale(c)
 	}
 }
 
 // take takes an idle connection out, or notes that one is coming up (nil, Whole).
-func (p *Pool) take(k key, limit int, attempt string) (*conn, End) {
+func (pool *Pool) take(k key, limit int, attempt string) (*conn, End) {
 	var old []*conn
 	defer func() { shut(old) }()
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
 	now, hash := time.Now(), attemptHash(attempt)
-	h := p.hosts[k]
+	h := pool.hosts[k]
 	if h == nil {
 		h = &host{}
-		p.hosts[k] = h
-		p.arm(forgetAfter)
+		pool.hosts[k] = h
+		pool.arm(forgetAfter)
 	}
 	h.used = now
-	old = p.expire(h, now, old)
+	old = pool.expire(h, now, old)
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		if c := h.idle[i]; attempt == "" || !slices.Contains(c.recent[:], hash) {
 			h.idle = slices.Delete(h.idle, i, i+1)
-			p.counts.Idle--
+			pool.counts.Idle--
 			return c, Whole
 		}
 	}
 	var room bool
-	if old, room = p.makeRoom(h, limit, old); !room {
+	if old, room = pool.makeRoom(h, limit, old); !room {
 		return nil, NoRoom
 	}
 	h.open++
-	p.counts.Open++
+	pool.counts.Open++
 	return nil, Whole
 }
 
 // makeRoom takes idle connections out for one that is to come up, where the bound of the endpoint or of the pool is
 // reached, and adds them to old. room is false where there is none to take. Under mu; the caller closes them.
-func (p *Pool) makeRoom(h *host, limit int, old []*conn) (_ []*conn, room bool) {
+func (pool *Pool) makeRoom(h *host, limit int, old []*conn) (_ []*conn, room bool) {
 	if limit > 0 && h.open >= limit {
 		if len(h.idle) == 0 {
 			return old, false
 		}
 		old = append(old, h.idle[0])
-		p.unlink(h.idle[0])
+		pool.unlink(h.idle[0])
 	}
-	if p.config.Connections > 0 && p.counts.Open >= p.config.Connections {
-		c := p.oldest()
+	if pool.config.Connections > 0 && pool.counts.Open >= pool.config.Connections {
+		c := pool.oldest()
 		if c == nil {
 			return old, false
 		}
-		p.unlink(c)
+		pool.unlink(c)
 		old = append(old, c)
 	}
 	return old, true
 }
 
 // dial opens a connection that take has noted. Any end but Whole says why there is none.
-func (p *Pool) dial(ctx context.Context, k key, until time.Time) (*conn, End, error) {
-	within := min(p.config.ConnectTimeout, time.Until(until))
+func (pool *Pool) dial(ctx context.Context, k key, until time.Time) (*conn, End, error) {
+	within := min(pool.config.ConnectTimeout, time.Until(until))
 	dctx, cancel := context.WithTimeout(ctx, within)
-	nc, err := p.dialer.DialContext(dctx, "tcp", k.address)
+	nc, err := pool.dialer.DialContext(dctx, "tcp", k.address)
 	cancel()
-	p.mu.Lock()
-	h := p.hosts[k]
+	pool.mu.Lock()
+	h := pool.hosts[k]
 	if err != nil {
-		p.counts.Failed++
+		pool.counts.Failed++
 		h.open--
-		p.counts.Open--
-		p.mu.Unlock()
+		pool.counts.Open--
+		pool.mu.Unlock()
 		switch {
 		case ctx.Err() != nil:
 			return nil, ended(ctx, err), err
@@ -204,14 +204,14 @@
 		}
 		return nil, ConnectFailed, err
 	}
-	p.counts.Opened++
-	p.mu.Unlock()
+	pool.counts.Opened++
+	pool.mu.Unlock()
 	c := &conn{TCPConn: nc.(*net.TCPConn), key: k, host: h}
 	// An endpoint with no room for it ends it at once: that is better known before a byte is written than after.
 	if !calls.Quiet(c.TCPConn) {
-		p.drop(c)
+		pool.drop(c)
 		return nil, ConnectFailed, errEnded
 	}
-	p.equip(c)
+	pool.equip(c)
 	return c, Whole, nil
 }
--- a/internal/tier/upstream/request.go
+++ b/internal/tier/upstream/request.go
@@ -35,7 +35,7 @@
 var errRequest = errors.New("a request that can't be written as it is")
 
 // replaced reports whether the field is written here rather than passed on, or concerns one connection only.
-func (q *Request) replaced(name string) bool {
+func (request *Request) replaced(name string) bool {
 	switch len(name) {
 	case 2:
 		return strings.EqualFold(name, "TE")
@@ -46,7 +46,7 @@
 	case 7:
 		return strings.EqualFold(name, "Trailer") || strings.EqualFold(name, "Upgrade")
 	case 8:
-		return q.Priority >= 0 && strings.EqualFold(name, "Priority")
+		return request.Priority >= 0 && strings.EqualFold(name, "Priority")
 	case 10:
 		return strings.EqualFold(name, "Connection") || strings.EqualFold(name, "Keep-Alive")
 	case 12:
@@ -64,16 +64,16 @@
 }
 
 // sound reports whether nothing in the request could be read as the end of a line.
-func (q *Request) sound(t Target) bool {
-	if !token(q.Method) || q.Target == "" || !plain(q.Host) || !plain(q.AttemptID) || !plain(t.Instance) {
+func (request *Request) sound(t Target) bool {
+	if !token(request.Method) || request.Target == "" || !plain(request.Host) || !plain(request.AttemptID) || !plain(t.Instance) {
 		return false
 	}
-	for i := range len(q.Target) {
-		if c := q.Target[i]; c <= ' ' || c == 0x7f {
+	for i := range len(request.Target) {
+		if c := request.Target[i]; c <= ' ' || c == 0x7f {
 			return false
 		}
 	}
-	for _, f := range q.Header {
+	for _, f := range request.Header {
 		if !token(f.Name) || !plain(f.Value) {
 			return false
 		}
@@ -82,29 +82,29 @@
 }
 
 // appendHead renders the head. size is that of the body.
-func (q *Request) appendHead(b []byte, t Target, size int, now time.Time) []byte {
-	b = append(append(append(append(b, q.Method...), ' '), q.Target...), " HTTP/1.1\r\nHost: "...)
-	b = append(append(b, q.Host...), "\r\n"...)
-	for _, f := range q.Header {
-		if !q.replaced(f.Name) {
+func (request *Request) appendHead(b []byte, t Target, size int, now time.Time) []byte {
+	b = append(append(append(append(b, request.Method...), ' '), request.Target...), " HTTP/1.1\r\nHost: "...)
+	b = append(append(b, request.Host...), "\r\n"...)
+	for _, f := range request.Header {
+		if !request.replaced(f.Name) {
 			b = appendField(b, f.Name, f.Value)
 		}
 	}
-	if q.AttemptID != "" {
-		b = appendField(b, "X-Attempt-Id", q.AttemptID)
+	if request.AttemptID != "" {
+		b = appendField(b, "X-Attempt-Id", request.AttemptID)
 	}
-	if !q.Deadline.IsZero() {
-		b = strconv.AppendInt(append(b, "X-Deadline-Ms: "...), max(1, q.Deadline.Sub(now).Milliseconds()), 10)
+	if !request.Deadline.IsZero() {
+		b = strconv.AppendInt(append(b, "X-Deadline-Ms: "...), max(1, request.Deadline.Sub(now).Milliseconds()), 10)
 		b = append(b, "\r\n"...)
 	}
 	if t.Instance != "" {
 		b = appendField(b, "X-Target-Instance", t.Instance)
 	}
-	if q.Priority >= 0 {
-		b = strconv.AppendInt(append(b, "Priority: "...), int64(q.Priority), 10)
+	if request.Priority >= 0 {
+		b = strconv.AppendInt(append(b, "Priority: "...), int64(request.Priority), 10)
 		b = append(b, "\r\n"...)
 	}
-	if size > 0 || q.Method != "GET" && q.Method != "HEAD" {
+	if size > 0 || request.Method != "GET" && request.Method != "HEAD" {
 		b = strconv.AppendInt(append(b, "Content-Length: "...), int64(size), 10)
 		b = append(b, "\r\n"...)
 	}
--- a/internal/tier/upstream/stream.go
+++ b/internal/tier/upstream/stream.go
@@ -20,66 +20,66 @@
 
 // Next waits for the next piece. io.EOF says that the body has come whole; after any other error it has not, and End
 // tells why.
-func (s *Stream) Next() (Piece, error) {
-	for s.end == Streaming {
-		if s.cut {
-			p, ok, sound := s.events.next()
+func (stream *Stream) Next() (Piece, error) {
+	for stream.end == Streaming {
+		if stream.cut {
+			p, ok, sound := stream.events.next()
 			if !sound {
-				s.close(Malformed, errMalformed)
+				stream.close(Malformed, errMalformed)
 				break
 			}
 			if ok {
 				return p, nil
 			}
-		} else if len(s.raw) > 0 {
-			p := Piece{Raw: s.raw}
-			s.raw = s.raw[:0]
+		} else if len(stream.raw) > 0 {
+			p := Piece{Raw: stream.raw}
+			stream.raw = stream.raw[:0]
 			return p, nil
 		}
-		s.more()
+		stream.more()
 	}
-	return Piece{}, s.err
+	return Piece{}, stream.err
 }
 
 // more reads on, or ends the stream.
-func (s *Stream) more() {
-	if s.err != nil {
+func (stream *Stream) more() {
+	if stream.err != nil {
 		switch {
-		case s.err != io.EOF:
-			s.close(ended(s.exchange.ctx, s.err), s.err)
-		case s.cut && s.events.unfinished():
-			s.close(Malformed, errMalformed)
-		case s.body.framing == byClose: // a cut would look the same
-			s.close(Broken, io.ErrUnexpectedEOF)
+		case stream.err != io.EOF:
+			stream.close(ended(stream.exchange.ctx, stream.err), stream.err)
+		case stream.cut && stream.events.unfinished():
+			stream.close(Malformed, errMalformed)
+		case stream.body.framing == byClose: // a cut would look the same
+			stream.close(Broken, io.ErrUnexpectedEOF)
 		default:
-			s.end = Whole
-			s.exchange.conn.answers++
-			s.exchange.finish()
+			stream.end = Whole
+			stream.exchange.conn.answers++
+			stream.exchange.finish()
 		}
 		return
 	}
-	if s.cut {
-		s.events.compact()
-		s.events.buf, s.err = s.body.more(s.events.buf)
+	if stream.cut {
+		stream.events.compact()
+		stream.events.buf, stream.err = stream.body.more(stream.events.buf)
 		return
 	}
-	s.raw, s.err = s.body.more(s.raw[:0])
+	stream.raw, stream.err = stream.body.more(stream.raw[:0])
 }
 
 // Last reports whether the end of the body has come already, whole: no piece comes but those at hand.
-func (s *Stream) Last() bool {
-	return s.end == Whole || s.end == Streaming && s.err == io.EOF && s.body.framing != byClose
+func (stream *Stream) Last() bool {
+	return stream.end == Whole || stream.end == Streaming && stream.err == io.EOF && stream.body.framing != byClose
 }
 
 // AtHand reports whether Next gives a piece, or the end, without waiting. The slices of the last piece stay good.
-func (s *Stream) AtHand() bool {
+func (stream *Stream) AtHand() bool {
 	switch {
-	case s.end != Streaming || s.err != nil:
+	case stream.end != Streaming || stream.err != nil:
 		return true
-	case !s.cut:
-		return len(s.raw) > 0
+	case !stream.cut:
+		return len(stream.raw) > 0
 	}
-	rest := s.events.buf[s.events.begin:]
+	rest := stream.events.buf[stream.events.begin:]
 	for i, c := range rest {
 		if c == '\n' && (i == 0 || rest[i-1] == '\n' || i > 1 && rest[i-1] == '\r' && rest[i-2] == '\n' || i == 1 && rest[0] == '\r') {
 			return true
@@ -89,27 +89,27 @@
 }
 
 // SetDeadline sets the time by which the next pieces must have come; a stream that misses it ends as TimedOut.
-func (s *Stream) SetDeadline(t time.Time) {
-	if s.exchange.conn == nil {
+func (stream *Stream) SetDeadline(t time.Time) {
+	if stream.exchange.conn == nil {
 		return
 	}
-	s.exchange.conn.SetReadDeadline(t)
-	if s.exchange.ctx.Err() != nil { // its end may have set the deadline just before
-		s.exchange.conn.SetReadDeadline(time.Unix(1, 0))
+	stream.exchange.conn.SetReadDeadline(t)
+	if stream.exchange.ctx.Err() != nil { // its end may have set the deadline just before
+		stream.exchange.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
 // End tells how the stream ended; Streaming while it hasn't.
-func (s *Stream) End() End { return s.end }
+func (stream *Stream) End() End { return stream.end }
 
 // Close ends a stream that isn't at its end, and its connection, as Abandoned.
-func (s *Stream) Close() {
-	if s.end == Streaming {
-		s.close(Abandoned, context.Canceled)
+func (stream *Stream) Close() {
+	if stream.end == Streaming {
+		stream.close(Abandoned, context.Canceled)
 	}
 }
 
-func (s *Stream) close(end End, err error) {
-	s.end, s.err = end, err
-	s.exchange.finish()
+func (stream *Stream) close(end End, err error) {
+	stream.end, stream.err = end, err
+	stream.exchange.finish()
 }
--- a/internal/tier/wal/fs.go
+++ b/internal/tier/wal/fs.go
@@ -38,8 +38,8 @@
 
 type osFile struct{ *os.File }
 
-func (f osFile) Size() (int64, error) {
-	info, err := f.Stat()
+func (file osFile) Size() (int64, error) {
+	info, err := file.Stat()
 	if err != nil {
 		return 0, err
 	}
--- a/internal/tier/wal/memory.go
+++ b/internal/tier/wal/memory.go
@@ -402,99 +402,99 @@
 }
 
 // step counts one operation on the file. The lock is held.
-func (f *memoryFile) step(next func() error) error {
+func (file *memoryFile) step(next func() error) error {
 	switch {
-	case f.life != f.m.life:
+	case file.life != file.m.life:
 		return ErrDead
-	case f.closed:
+	case file.closed:
 		return fs.ErrClosed
 	}
 	return next()
 }
 
-func (f *memoryFile) ReadAt(p []byte, off int64) (int, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.step(f.m.step); err != nil {
+func (file *memoryFile) ReadAt(p []byte, off int64) (int, error) {
+	file.m.mu.Lock()
+	defer file.m.mu.Unlock()
+	if err := file.step(file.m.step); err != nil {
 		return 0, err
 	}
-	if off >= int64(len(f.node.live)) {
+	if off >= int64(len(file.node.live)) {
 		return 0, io.EOF
 	}
-	n := copy(p, f.node.live[off:])
+	n := copy(p, file.node.live[off:])
 	if n < len(p) {
 		return n, io.EOF
 	}
 	return n, nil
 }
 
-func (f *memoryFile) WriteAt(p []byte, off int64) (int, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	was := f.m.dead
-	err := f.step(f.m.stepChange)
+func (file *memoryFile) WriteAt(p []byte, off int64) (int, error) {
+	file.m.mu.Lock()
+	defer file.m.mu.Unlock()
+	was := file.m.dead
+	err := file.step(file.m.stepChange)
 	n := len(p)
 	if err != nil {
 		n /= 2
 	}
-	if was || f.life != f.m.life || f.closed {
+	if was || file.life != file.m.life || file.closed {
 		return 0, err
 	}
-	f.node.change(change{at: off, data: slices.Clone(p[:n])})
+	file.node.change(change{at: off, data: slices.Clone(p[:n])})
 	return n, err
 }
 
-func (f *memoryFile) Truncate(size int64) error {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.step(f.m.step); err != nil {
+func (file *memoryFile) Truncate(size int64) error {
+	file.m.mu.Lock()
+	defer file.m.mu.Unlock()
+	if err := file.step(file.m.step); err != nil {
 		return err
 	}
-	f.node.change(change{at: size, cut: true})
+	file.node.change(change{at: size, cut: true})
 	return nil
 }
 
-func (f *memoryFile) Sync() error {
-	f.m.waitStall()
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	next := f.m.step
-	if f.node.dirty() {
-		next = f.m.stepChange
+func (file *memoryFile) Sync() error {
+	file.m.waitStall()
+	file.m.mu.Lock()
+	defer file.m.mu.Unlock()
+	next := file.m.step
+	if file.node.dirty() {
+		next = file.m.stepChange
 	}
-	if err := f.step(next); err != nil {
-		if !f.m.dead && f.life == f.m.life && !f.closed {
-			f.node.pending = nil // pages are marked clean though they never reached the disk
+	if err := file.step(next); err != nil {
+		if !file.m.dead && file.life == file.m.life && !file.closed {
+			file.node.pending = nil // pages are marked clean though they never reached the disk
 		}
 		return err
 	}
-	for _, c := range f.node.pending {
-		f.node.disk = c.apply(f.node.disk)
+	for _, c := range file.node.pending {
+		file.node.disk = c.apply(file.node.disk)
 	}
-	f.node.pending = nil
+	file.node.pending = nil
 	// A new file lasts with its own sync.
-	for i, n := range f.m.naming {
-		if n.node == f.node && n.from == "" {
-			f.m.settle(n)
-			f.m.naming = slices.Delete(f.m.naming, i, i+1)
+	for i, n := range file.m.naming {
+		if n.node == file.node && n.from == "" {
+			file.m.settle(n)
+			file.m.naming = slices.Delete(file.m.naming, i, i+1)
 			break
 		}
 	}
 	return nil
 }
 
-func (f *memoryFile) Size() (int64, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if f.life != f.m.life {
+func (file *memoryFile) Size() (int64, error) {
+	file.m.mu.Lock()
+	defer file.m.mu.Unlock()
+	if file.life != file.m.life {
 		return 0, ErrDead
 	}
-	return int64(len(f.node.live)), nil
+	return int64(len(file.node.live)), nil
 }
 
-func (f *memoryFile) Close() error {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	f.closed = true
+func (file *memoryFile) Close() error {
+	file.m.mu.Lock()
+	defer file.m.mu.Unlock()
+	file.closed = true
 	return nil
 }
--- a/internal/tier/wal/reopen.go
+++ b/internal/tier/wal/reopen.go
@@ -37,73 +37,73 @@
 // returns nil. Until then the file refuses Append and Sync (type Broken) and Reopen may be called any number of times.
 // Errors: IO where the disk fails, NoRoom where it has no room, Foreign, Misuse on a closed file, those of replay as they
 // are. Nothing else may be called beside it, but for a Sync that is still under way; that one fails.
-func (f *File) Reopen(replay func(record []byte) error) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed {
-		return Misuse.New("%s is closed", f.path)
+func (file *File) Reopen(replay func(record []byte) error) error {
+	file.mu.Lock()
+	defer file.mu.Unlock()
+	if file.closed {
+		return Misuse.New("%s is closed", file.path)
 	}
-	if f.broken == nil {
-		f.broken = Broken.New("reopen of %s is not complete", f.path)
+	if file.broken == nil {
+		file.broken = Broken.New("reopen of %s is not complete", file.path)
 	}
-	if err := f.reopen(replay); err != nil {
+	if err := file.reopen(replay); err != nil {
 		return err
 	}
-	f.broken = nil
+	file.broken = nil
 	return nil
 }
 
-func (f *File) reopen(replay func([]byte) error) error {
-	if err := f.fs.Remove(f.path + tempExt); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return IO.Wrap(err, "remove %s", f.path+tempExt)
+func (file *File) reopen(replay func([]byte) error) error {
+	if err := file.fs.Remove(file.path + tempExt); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return IO.Wrap(err, "remove %s", file.path+tempExt)
 	}
-	next, err := f.fs.Open(f.path)
+	next, err := file.fs.Open(file.path)
 	if errors.Is(err, fs.ErrNotExist) {
-		next, err = f.fs.Create(f.path)
-		f.durable = 0
+		next, err = file.fs.Create(file.path)
+		file.durable = 0
 	}
 	if err != nil {
-		return IO.Wrap(err, "open %s", f.path)
+		return IO.Wrap(err, "open %s", file.path)
 	}
-	_ = f.handle.Close()
-	f.handle = next
-	f.reopens++
-	if err := f.load(replay, f.durable); err != nil {
+	_ = file.handle.Close()
+	file.handle = next
+	file.reopens++
+	if err := file.load(replay, file.durable); err != nil {
 		return err
 	}
-	return f.probe()
+	return file.probe()
 }
 
 // probe writes ReopenRoom bytes behind the records and takes them away again. They are zeros, which are no record.
-func (f *File) probe() error {
-	_, err := f.handle.WriteAt(make([]byte, ReopenRoom), f.size)
+func (file *File) probe() error {
+	_, err := file.handle.WriteAt(make([]byte, ReopenRoom), file.size)
 	if err == nil {
-		err = f.handle.Sync()
+		err = file.handle.Sync()
 	}
-	cut := f.handle.Truncate(f.size)
+	cut := file.handle.Truncate(file.size)
 	if cut == nil {
-		cut = f.handle.Sync()
+		cut = file.handle.Sync()
 	}
 	switch {
 	case cut != nil:
-		return IO.Wrap(cut, "cut %s after a trial write", f.path)
+		return IO.Wrap(cut, "cut %s after a trial write", file.path)
 	case err != nil:
-		return NoRoom.Wrap(err, "write %d bytes more to %s", ReopenRoom, f.path)
+		return NoRoom.Wrap(err, "write %d bytes more to %s", ReopenRoom, file.path)
 	}
 	return nil
 }
 
 // retouch writes the bytes from an offset up to the end of the records over themselves. A system that failed to write a
 // page may hold it as clean: then only a new write makes the next sync carry it to the disk.
-func (f *File) retouch(from int64) error {
-	buffer := make([]byte, min(retouchChunk, max(0, f.size-from)))
-	for at := from; at < f.size; {
-		part := buffer[:min(int64(len(buffer)), f.size-at)]
-		if n, err := f.handle.ReadAt(part, at); n < len(part) {
-			return errorx.Decorate(IO.Wrap(err, "read"), "%s at %d", f.path, at)
+func (file *File) retouch(from int64) error {
+	buffer := make([]byte, min(retouchChunk, max(0, file.size-from)))
+	for at := from; at < file.size; {
+		part := buffer[:min(int64(len(buffer)), file.size-at)]
+		if n, err := file.handle.ReadAt(part, at); n < len(part) {
+			return errorx.Decorate(IO.Wrap(err, "read"), "%s at %d", file.path, at)
 		}
-		if _, err := f.handle.WriteAt(part, at); err != nil {
-			return IO.Wrap(err, "write %s again at %d", f.path, at)
+		if _, err := file.handle.WriteAt(part, at); err != nil {
+			return IO.Wrap(err, "write %s again at %d", file.path, at)
 		}
 		at += int64(len(part))
 	}
@@ -111,8 +111,8 @@
 }
 
 // Err is nil where the file is usable, and otherwise the error that Append gives.
-func (f *File) Err() error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.usable()
+func (file *File) Err() error {
+	file.mu.Lock()
+	defer file.mu.Unlock()
+	return file.usable()
 }
--- a/internal/tier/wal/rewrite.go
+++ b/internal/tier/wal/rewrite.go
@@ -5,35 +5,35 @@
 // Rewrite replaces all records by those that write adds. They last when it returns nil, and a broken file is usable after that.
 // When it fails before the new file took the place of the old one, the old one stands as it was; when it fails after
 // that, the file is broken, and which of the two is found at the next Open is open. Append must not be called during it.
-func (f *File) Rewrite(write func(add func(record []byte) error) error) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed {
-		return Misuse.New("%s is closed", f.path)
+func (file *File) Rewrite(write func(add func(record []byte) error) error) error {
+	file.mu.Lock()
+	defer file.mu.Unlock()
+	if file.closed {
+		return Misuse.New("%s is closed", file.path)
 	}
-	temp := f.path + tempExt
-	next, err := f.fs.Create(temp)
+	temp := file.path + tempExt
+	next, err := file.fs.Create(temp)
 	if err != nil {
 		return IO.Wrap(err, "create %s", temp)
 	}
 	size, err := fill(next, write)
 	if err != nil {
 		_ = next.Close()
-		_ = f.fs.Remove(temp) // one that stays is removed by the next Open, or emptied by the next Rewrite
+		_ = file.fs.Remove(temp) // one that stays is removed by the next Open, or emptied by the next Rewrite
 		return err
 	}
-	if err := f.fs.Rename(temp, f.path); err != nil {
+	if err := file.fs.Rename(temp, file.path); err != nil {
 		_ = next.Close()
-		f.durable = 0
-		return f.fail(err, "rename")
+		file.durable = 0
+		return file.fail(err, "rename")
 	}
-	if err := f.fs.SyncDir(f.dir); err != nil {
+	if err := file.fs.SyncDir(file.dir); err != nil {
 		_ = next.Close()
-		f.durable = 0
-		return f.fail(err, "sync folder of")
+		file.durable = 0
+		return file.fail(err, "sync folder of")
 	}
-	_ = f.handle.Close()
-	f.handle, f.size, f.durable, f.broken = next, size, size, nil
+	_ = file.handle.Close()
+	file.handle, file.size, file.durable, file.broken = next, size, size, nil
 	return nil
 }
 
--- a/internal/tier/wal/wal.go
+++ b/internal/tier/wal/wal.go
@@ -82,49 +82,49 @@
 
 // load replays the records, cuts the tail and makes sure that all that was read is durable: what stands at durable or
 // behind it is written again. Where durable is negative the file is of another process, and retouchTail counts.
-func (f *File) load(replay func([]byte) error, durable int64) error {
-	total, err := f.handle.Size()
+func (file *File) load(replay func([]byte) error, durable int64) error {
+	total, err := file.handle.Size()
 	if err != nil {
-		return IO.Wrap(err, "size of %s", f.path)
+		return IO.Wrap(err, "size of %s", file.path)
 	}
-	whole, err := readHeader(f.handle, total)
+	whole, err := readHeader(file.handle, total)
 	if err != nil {
-		return errorx.Decorate(err, "%s", f.path)
+		return errorx.Decorate(err, "%s", file.path)
 	}
 	if !whole {
 		// The header is synced before the first record, so nothing was ever in here.
-		if err := f.handle.Truncate(0); err != nil {
-			return IO.Wrap(err, "empty %s", f.path)
+		if err := file.handle.Truncate(0); err != nil {
+			return IO.Wrap(err, "empty %s", file.path)
 		}
-		if _, err := f.handle.WriteAt([]byte(header), 0); err != nil {
-			return IO.Wrap(err, "write header of %s", f.path)
+		if _, err := file.handle.WriteAt([]byte(header), 0); err != nil {
+			return IO.Wrap(err, "write header of %s", file.path)
 		}
-		f.size = int64(len(header))
+		file.size = int64(len(header))
 	} else {
-		if f.size, err = scan(f.handle, total, replay); err != nil {
+		if file.size, err = scan(file.handle, total, replay); err != nil {
 			return err
 		}
 		if durable < 0 {
-			durable = f.size - retouchTail
+			durable = file.size - retouchTail
 		}
-		if err := f.retouch(max(0, min(durable, f.size))); err != nil {
+		if err := file.retouch(max(0, min(durable, file.size))); err != nil {
 			return err
 		}
-		if f.size < total {
-			log.Warn().Str("event", "wal_tail_cut").Str("file", f.path).Int64("kept", f.size).Int64("cut", total-f.size).Msg("torn tail of a file cut off")
-			if err := f.handle.Truncate(f.size); err != nil {
-				return IO.Wrap(err, "cut %s", f.path)
+		if file.size < total {
+			log.Warn().Str("event", "wal_tail_cut").Str("file", file.path).Int64("kept", file.size).Int64("cut", total-file.size).Msg("torn tail of a file cut off")
+			if err := file.handle.Truncate(file.size); err != nil {
+				return IO.Wrap(err, "cut %s", file.path)
 			}
 		}
 	}
 	// Without these two a power loss could take back what this process replayed, or bring back a tail that was cut.
-	if err := f.handle.Sync(); err != nil {
-		return IO.Wrap(err, "sync %s", f.path)
+	if err := file.handle.Sync(); err != nil {
+		return IO.Wrap(err, "sync %s", file.path)
 	}
-	if err := f.fs.SyncDir(f.dir); err != nil {
-		return IO.Wrap(err, "sync folder %s", f.dir)
+	if err := file.fs.SyncDir(file.dir); err != nil {
+		return IO.Wrap(err, "sync folder %s", file.dir)
 	}
-	f.durable = f.size
+	file.durable = file.size
 	return nil
 }
 
@@ -138,108 +138,108 @@
 }
 
 // usable gives the error that keeps the file from being used. The lock is held.
-func (f *File) usable() error {
-	if f.closed {
-		return Misuse.New("%s is closed", f.path)
+func (file *File) usable() error {
+	if file.closed {
+		return Misuse.New("%s is closed", file.path)
 	}
-	return f.broken
+	return file.broken
 }
 
 // fail makes the file refuse everything until it has been reopened or rewritten. The lock is held.
-func (f *File) fail(err error, what string) error {
-	if f.broken == nil {
-		f.broken = Broken.Wrap(err, "%s %s", what, f.path)
+func (file *File) fail(err error, what string) error {
+	if file.broken == nil {
+		file.broken = Broken.Wrap(err, "%s %s", what, file.path)
 	}
-	return f.broken
+	return file.broken
 }
 
 // Append adds records, in order, by one write. They last once a Sync that begins afterwards has returned nil.
 // After an error of the disk (type Broken) their fate is unknown. A record over MaxRecord is refused, and nothing is written.
-func (f *File) Append(records ...[]byte) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if err := f.usable(); err != nil {
+func (file *File) Append(records ...[]byte) error {
+	file.mu.Lock()
+	defer file.mu.Unlock()
+	if err := file.usable(); err != nil {
 		return err
 	}
-	buffer := f.buffer[:0]
+	buffer := file.buffer[:0]
 	for _, r := range records {
 		if len(r) > MaxRecord {
 			return Misuse.New("record of %d bytes, more than %d", len(r), MaxRecord)
 		}
 		buffer = appendRecord(buffer, r)
 	}
-	if f.buffer = buffer; cap(buffer) > bufferMax {
-		f.buffer = nil
+	if file.buffer = buffer; cap(buffer) > bufferMax {
+		file.buffer = nil
 	}
 	if len(buffer) == 0 {
 		return nil
 	}
-	if _, err := f.handle.WriteAt(buffer, f.size); err != nil {
-		return f.fail(err, "write")
+	if _, err := file.handle.WriteAt(buffer, file.size); err != nil {
+		return file.fail(err, "write")
 	}
-	f.size += int64(len(buffer))
+	file.size += int64(len(buffer))
 	return nil
 }
 
 // Sync makes all records durable whose Append returned before the call. Calls at the same time share a sync of the disk.
 // After an error (type Broken) the fate of the records since the last nil Sync is unknown.
-func (f *File) Sync() error {
-	target, err := f.syncTarget()
+func (file *File) Sync() error {
+	target, err := file.syncTarget()
 	if err != nil {
 		return err
 	}
-	f.syncing.Lock()
-	defer f.syncing.Unlock()
-	f.mu.Lock()
-	if err := f.usable(); err != nil || f.durable >= target {
-		f.mu.Unlock()
+	file.syncing.Lock()
+	defer file.syncing.Unlock()
+	file.mu.Lock()
+	if err := file.usable(); err != nil || file.durable >= target {
+		file.mu.Unlock()
 		return err
 	}
-	handle, size, reopens := f.handle, f.size, f.reopens
-	f.mu.Unlock()
+	handle, size, reopens := file.handle, file.size, file.reopens
+	file.mu.Unlock()
 	err = handle.Sync()
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	file.mu.Lock()
+	defer file.mu.Unlock()
 	switch {
-	case f.closed:
-		return Misuse.New("%s was closed during a sync", f.path)
-	case f.handle != handle && err != nil:
-		return IO.Wrap(err, "sync %s, replaced meanwhile", f.path) // the new file is sound
-	case f.reopens != reopens:
-		return IO.New("sync %s, reopened meanwhile", f.path)
-	case f.handle != handle:
+	case file.closed:
+		return Misuse.New("%s was closed during a sync", file.path)
+	case file.handle != handle && err != nil:
+		return IO.Wrap(err, "sync %s, replaced meanwhile", file.path) // the new file is sound
+	case file.reopens != reopens:
+		return IO.New("sync %s, reopened meanwhile", file.path)
+	case file.handle != handle:
 		return nil
 	case err != nil:
-		return f.fail(err, "sync")
+		return file.fail(err, "sync")
 	}
-	f.durable = max(f.durable, size)
+	file.durable = max(file.durable, size)
 	return nil
 }
 
 // syncTarget gives the size up to which a sync that begins now must reach.
-func (f *File) syncTarget() (int64, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.size, f.usable()
+func (file *File) syncTarget() (int64, error) {
+	file.mu.Lock()
+	defer file.mu.Unlock()
+	return file.size, file.usable()
 }
 
 // Size gives the bytes of the file.
-func (f *File) Size() int64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.size
+func (file *File) Size() int64 {
+	file.mu.Lock()
+	defer file.mu.Unlock()
+	return file.size
 }
 
 // Close closes the file without a sync. Closing twice is no error.
-func (f *File) Close() error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed {
+func (file *File) Close() error {
+	file.mu.Lock()
+	defer file.mu.Unlock()
+	if file.closed {
 		return nil
 	}
-	f.closed = true
-	if err := f.handle.Close(); err != nil {
-		return IO.Wrap(err, "close %s", f.path)
+	file.closed = true
+	if err := file.handle.Close(); err != nil {
+		return IO.Wrap(err, "close %s", file.path)
 	}
 	return nil
 }
