--- a/internal/tier/loadbalancer/done.go
+++ b/internal/tier/loadbalancer/done.go
@@ -19,88 +19,90 @@
 }
 
 // Done records the end of a call. It is idempotent: a second report of the same call has no effect.
-func (balancer *Balancer) Done(now time.Duration, c *Call, o Outcome) {
-	if c == nil || c.ended {
+func (balancer *Balancer) Done(now time.Duration, call *Call, outcome Outcome) {
+	if call == nil || call.ended {
 		return
 	}
-	c.ended = true
-	e := c.at
-	if o.Load != nil {
-		e.updateLoad(now, *o.Load, o.Kind == Refused)
+	call.ended = true
+	endpoint := call.at
+	if outcome.Load != nil {
+		endpoint.updateLoad(now, *outcome.Load, outcome.Kind == Refused)
 	}
-	silent := o.Kind == Abandoned && now-max(c.sent, e.observedAt) > patience(c.oracle)
-	e.calls--
-	e.forget(c)
-	if c.probe {
-		e.probes--
+	silent := outcome.Kind == Abandoned && now-max(call.sent, endpoint.observedAt) > patience(call.oracle)
+	endpoint.calls--
+	endpoint.forget(call)
+	if call.probe {
+		endpoint.probes--
 	}
-	balancer.learn(now, c, o)
+	balancer.learn(now, call, outcome)
 	switch {
-	case o.Misdirected || o.Kind == Gone:
-		e.misdirected = true
-	case o.Kind == Served:
-		e.serve(now, c, o.First)
-		c.service.served.add(now)
-	case o.Kind == Refused:
-		e.refuse(now, c)
+	case outcome.Misdirected || outcome.Kind == Gone:
+		endpoint.misdirected = true
+	case outcome.Kind == Served:
+		endpoint.serve(now, call, outcome.First)
+		call.service.served.add(now)
+	case outcome.Kind == Refused:
+		endpoint.refuse(now, call)
 	case silent:
-		e.fail(now, weightOf[TimedOut], c)
-	case o.Kind != Abandoned:
-		if o.Kind == TimedOut && c.oracle.Doubled() {
-			e.window.Halve(c.sent, now)
+		endpoint.fail(now, weightOf[TimedOut], call)
+	case outcome.Kind != Abandoned:
+		if outcome.Kind == TimedOut && call.oracle.Doubled() {
+			endpoint.window.Halve(call.sent, now)
 		}
-		if o.Kind == Failed {
-			e.observedAt = max(e.observedAt, now)
+		if outcome.Kind == Failed {
+			endpoint.observedAt = max(endpoint.observedAt, now)
 		}
-		e.fail(now, weightOf[o.Kind], c)
-	case c.probe:
-		e.probeAt = now // it says nothing: the next may try
+		endpoint.fail(now, weightOf[outcome.Kind], call)
+	case call.probe:
+		endpoint.probeAt = now // it says nothing: the next may try
 	}
-	if !e.listed && e.calls == 0 && balancer.endpoints[e.Instance] == e {
-		delete(balancer.endpoints, e.Instance)
+	if !endpoint.listed && endpoint.calls == 0 && balancer.endpoints[endpoint.Instance] == endpoint {
+		delete(balancer.endpoints, endpoint.Instance)
 	}
 }
 
 // learn gives the oracle its sample: served first attempts only (Karn); an expiry doubles.
-func (balancer *Balancer) learn(now time.Duration, c *Call, o Outcome) {
+func (balancer *Balancer) learn(now time.Duration, call *Call, outcome Outcome) {
 	switch {
-	case o.Kind == Served && c.weight > 0:
-		c.oracle.Sample(max(0, o.First), c.weight, false)
-		c.oracle.Fresh()
-	case o.Kind == TimedOut && c.uncut && c.weight > 0:
-		c.oracle.Sample(0, c.weight, true)
-	case o.Kind == TimedOut && !c.uncut:
-		c.oracle.Expired(c.sent, now)
+	case outcome.Kind == Served && call.weight > 0:
+		call.oracle.Sample(max(0, outcome.First), call.weight, false)
+		call.oracle.Fresh()
+	case outcome.Kind == TimedOut && call.uncut && call.weight > 0:
+		call.oracle.Sample(0, call.weight, true)
+	case outcome.Kind == TimedOut && !call.uncut:
+		call.oracle.Expired(call.sent, now)
 	}
 }
 
-func (e *endpoint) serve(now time.Duration, c *Call, first time.Duration) {
-	e.observedAt = max(e.observedAt, now)
-	if mean := c.oracle.Mean; mean > 0 { // as of the last look at its optimum
-		e.slow += recentPer * (min(2*slowMax, first.Seconds()/mean) - e.slow)
+// serve books a call that was served.
+func (endpoint *endpoint) serve(now time.Duration, call *Call, first time.Duration) {
+	endpoint.observedAt = max(endpoint.observedAt, now)
+	if mean := call.oracle.Mean; mean > 0 { // as of the last look at its optimum
+		endpoint.slow += recentPer * (min(2*slowMax, first.Seconds()/mean) - endpoint.slow)
 	}
-	e.judge(now, 0)
-	e.window.Grow(e.capacity())
-	e.pause, e.pausedUntil = 0, 0
-	e.restore()
+	endpoint.judge(now, 0)
+	endpoint.window.Grow(endpoint.capacity())
+	endpoint.pause, endpoint.pausedUntil = 0, 0
+	endpoint.restore()
 }
 
 // refuse: it is alive, and has what it bears.
-func (e *endpoint) refuse(now time.Duration, c *Call) {
-	e.observedAt = max(e.observedAt, now)
-	e.window.Halve(c.sent, now)
-	if now >= e.pausedUntil { // once for all that were out together
-		e.pause = min(max(2*e.pause, pauseFirst), pauseMax)
-		e.pausedUntil = now + e.pause
+func (endpoint *endpoint) refuse(now time.Duration, call *Call) {
+	endpoint.observedAt = max(endpoint.observedAt, now)
+	endpoint.window.Halve(call.sent, now)
+	if now >= endpoint.pausedUntil { // once for all that were out together
+		endpoint.pause = min(max(2*endpoint.pause, pauseFirst), pauseMax)
+		endpoint.pausedUntil = now + endpoint.pause
 	}
-	e.restore()
+	endpoint.restore()
 }
 
-func (e *endpoint) fail(now time.Duration, weight float64, c *Call) {
-	e.judge(now, 1)
-	e.bad += weight
-	if c.probe && e.ejected && now >= e.probeAt || !e.ejected && e.bad >= ejectThreshold {
-		e.eject(now)
+// fail books a failed call. Failures in a row whose weights reach ejectThreshold eject the endpoint.
+func (endpoint *endpoint) fail(now time.Duration, weight float64, call *Call) {
+	endpoint.judge(now, 1)
+	endpoint.bad += weight
+	if call.probe && endpoint.ejected && now >= endpoint.probeAt || !endpoint.ejected && endpoint.bad >= ejectThreshold {
+		endpoint.eject(now)
 	}
 }
 
--- a/internal/tier/loadbalancer/endpoint.go
+++ b/internal/tier/loadbalancer/endpoint.go
@@ -66,6 +66,7 @@
 	pausedUntil time.Duration
 }
 
+// newEndpoint makes what is kept of an endpoint that has come onto the list.
 func newEndpoint(line Endpoint, now time.Duration) *endpoint {
 	e := &endpoint{Endpoint: line, key: hash(line.Instance), slow: 1, queue: -1, observedAt: now}
 	// One at a time would have a sender that starts refuse while nearly all places are free.
@@ -73,6 +74,7 @@
 	return e
 }
 
+// hash is a well-mixed hash of a name.
 func hash(s string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(s))
@@ -80,128 +82,132 @@
 }
 
 // failed is the share of failed calls.
-func (e *endpoint) failed(now time.Duration) float64 {
-	return e.fails * math.Exp(-(now-e.failsAt).Seconds()/failSpan.Seconds())
+func (endpoint *endpoint) failed(now time.Duration) float64 {
+	return endpoint.fails * math.Exp(-(now-endpoint.failsAt).Seconds()/failSpan.Seconds())
 }
 
 // judge books a call in it: 1 for a failed one, 0 for one served.
-func (e *endpoint) judge(now time.Duration, bad float64) {
-	old := e.failed(now)
-	e.fails, e.failsAt = old+healthPer*(bad-old), now
+func (endpoint *endpoint) judge(now time.Duration, bad float64) {
+	old := endpoint.failed(now)
+	endpoint.fails, endpoint.failsAt = old+healthPer*(bad-old), now
 }
 
 // capacity is how many requests it works on at once.
-func (e *endpoint) capacity() int { return max(1, cmp.Or(e.slots, e.Capacity)) }
+func (endpoint *endpoint) capacity() int { return max(1, cmp.Or(endpoint.slots, endpoint.Capacity)) }
 
 // load is how many requests it has: ours, and those of others as told, which fade.
-func (e *endpoint) load(now time.Duration) float64 {
-	return float64(e.calls) + e.others*math.Exp(-(now-e.loadAt).Seconds()/loadFadeSpan.Seconds())
+func (endpoint *endpoint) load(now time.Duration) float64 {
+	return float64(endpoint.calls) + endpoint.others*math.Exp(-(now-endpoint.loadAt).Seconds()/loadFadeSpan.Seconds())
 }
 
 // taken is the part of its places, or of its memory, that is taken with so many more.
-func (e *endpoint) taken(now time.Duration, more float64) float64 {
-	load := e.load(now) + more
-	part := load / float64(e.capacity())
-	if e.CacheTokens > 0 {
-		part = max(part, load*e.tokens/float64(e.CacheTokens))
+func (endpoint *endpoint) taken(now time.Duration, more float64) float64 {
+	load := endpoint.load(now) + more
+	part := load / float64(endpoint.capacity())
+	if endpoint.CacheTokens > 0 {
+		part = max(part, load*endpoint.tokens/float64(endpoint.CacheTokens))
 	}
 	return part
 }
 
 // cost is what one more request there costs: the part that is then taken, more where it is slow, fails or is cold.
-func (e *endpoint) cost(now time.Duration) float64 { return e.taken(now, 1) * e.penalty(now) }
+func (endpoint *endpoint) cost(now time.Duration) float64 {
+	return endpoint.taken(now, 1) * endpoint.penalty(now)
+}
 
-func (e *endpoint) penalty(now time.Duration) float64 {
-	penalty := min(slowMax, max(1/slowMax, e.slow)) * (1 + failCost*e.failed(now))
-	if now < e.coldUntil {
+// penalty is the factor by which its cost is raised.
+func (endpoint *endpoint) penalty(now time.Duration) float64 {
+	penalty := min(slowMax, max(1/slowMax, endpoint.slow)) * (1 + failCost*endpoint.failed(now))
+	if now < endpoint.coldUntil {
 		penalty *= coldCost
 	}
 	return penalty
 }
 
 // room reports whether it bears one more. Those that are less urgent leave an eighth to the others.
-func (e *endpoint) room(now time.Duration, priority int) bool {
-	room := e.window.Room(e.capacity(), e.failed(now) > failing)
+func (endpoint *endpoint) room(now time.Duration, priority int) bool {
+	room := endpoint.window.Room(endpoint.capacity(), endpoint.failed(now) > failing)
 	if priority > 0 {
 		room -= room / 8
 	}
-	if e.calls >= room || now < e.pausedUntil {
+	if endpoint.calls >= room || now < endpoint.pausedUntil {
 		return false
 	}
-	atCapacity := now-e.loadAt < loadFadeSpan/4 && e.queue >= 0 && e.waiting > 0 && e.waiting >= e.queue
-	return !atCapacity || e.load(now) < float64(e.capacity()+e.queue)
+	atCapacity := now-endpoint.loadAt < loadFadeSpan/4 && endpoint.queue >= 0 && endpoint.waiting > 0 && endpoint.waiting >= endpoint.queue
+	return !atCapacity || endpoint.load(now) < float64(endpoint.capacity()+endpoint.queue)
 }
 
 // updateLoad takes in what it says of itself, with our calls counted as of then.
-func (e *endpoint) updateLoad(now time.Duration, l Load, refused bool) {
-	if l.Running < 0 || l.Waiting < 0 || l.Slots < 0 {
+func (endpoint *endpoint) updateLoad(now time.Duration, load Load, refused bool) {
+	if load.Running < 0 || load.Waiting < 0 || load.Slots < 0 {
 		return
 	}
-	if l.Slots > 0 {
-		e.slots = l.Slots
+	if load.Slots > 0 {
+		endpoint.slots = load.Slots
 	}
-	e.others, e.waiting, e.loadAt = max(0, float64(l.Running+l.Waiting-e.calls)), l.Waiting, now
+	endpoint.others, endpoint.waiting, endpoint.loadAt = max(0, float64(load.Running+load.Waiting-endpoint.calls)), load.Waiting, now
 	if refused {
-		if l.Slots > 0 && l.Running >= l.Slots {
-			e.queue = l.Waiting
+		if load.Slots > 0 && load.Running >= load.Slots {
+			endpoint.queue = load.Waiting
 		}
 		return
 	}
-	if e.queue >= 0 { // it holds more than it did when it refused
-		e.queue = max(e.queue, l.Waiting)
+	if endpoint.queue >= 0 { // it holds more than it did when it refused
+		endpoint.queue = max(endpoint.queue, load.Waiting)
 	}
 	// What says that it is half empty bears half.
-	if slots := e.capacity(); l.Waiting == 0 && 2*l.Running < slots {
-		e.window.Size = max(e.window.Size, float64(slots)/2-e.others)
+	if slots := endpoint.capacity(); load.Waiting == 0 && 2*load.Running < slots {
+		endpoint.window.Size = max(endpoint.window.Size, float64(slots)/2-endpoint.others)
 	}
 }
 
 // answered notes that a part of the answer has come: from then on silence on this call is no sign of failure.
-func (e *endpoint) answered(now time.Duration, c *Call) {
-	e.observedAt = max(e.observedAt, now)
-	e.forget(c)
+func (endpoint *endpoint) answered(now time.Duration, call *Call) {
+	endpoint.observedAt = max(endpoint.observedAt, now)
+	endpoint.forget(call)
 }
 
-func (e *endpoint) forget(c *Call) {
-	if i := slices.Index(e.unanswered, c); i >= 0 {
-		e.unanswered = slices.Delete(e.unanswered, i, i+1)
+// forget takes a call from those without any answer.
+func (endpoint *endpoint) forget(call *Call) {
+	if i := slices.Index(endpoint.unanswered, call); i >= 0 {
+		endpoint.unanswered = slices.Delete(endpoint.unanswered, i, i+1)
 	}
 }
 
 // patience is how long a call of that route may be unanswered before it counts as silence.
-func patience(o *restart.Oracle) time.Duration {
-	return max(patienceMin, min(o.Optimum(), restart.FirstTimeout))
+func patience(oracle *restart.Oracle) time.Duration {
+	return max(patienceMin, min(oracle.Optimum(), restart.FirstTimeout))
 }
 
 // watch finds silence: nothing has come from the endpoint since the oldest of some calls went out, long ago.
-func (e *endpoint) watch(now time.Duration) {
-	if e.ejected || len(e.unanswered) == 0 {
+func (endpoint *endpoint) watch(now time.Duration) {
+	if endpoint.ejected || len(endpoint.unanswered) == 0 {
 		return
 	}
-	oldest := e.unanswered[0]
-	quiet, limit := now-max(oldest.sent, e.observedAt), patience(oldest.oracle)
-	if quiet > limit && len(e.unanswered) >= silentCalls || quiet > silentFactor*limit {
-		e.eject(now)
+	oldest := endpoint.unanswered[0]
+	quiet, limit := now-max(oldest.sent, endpoint.observedAt), patience(oldest.oracle)
+	if quiet > limit && len(endpoint.unanswered) >= silentCalls || quiet > silentFactor*limit {
+		endpoint.eject(now)
 	}
 }
 
 // eject begins an outage, or has the next try wait longer.
-func (e *endpoint) eject(now time.Duration) {
-	e.ejected = true
-	e.backoff = min(max(2*e.backoff, probeFirst), probeMax)
-	e.probeAt = now + e.backoff
+func (endpoint *endpoint) eject(now time.Duration) {
+	endpoint.ejected = true
+	endpoint.backoff = min(max(2*endpoint.backoff, probeFirst), probeMax)
+	endpoint.probeAt = now + endpoint.backoff
 }
 
 // restore ends it.
-func (e *endpoint) restore() { e.ejected, e.bad, e.backoff = false, 0, 0 }
+func (endpoint *endpoint) restore() { endpoint.ejected, endpoint.bad, endpoint.backoff = false, 0, 0 }
 
 // due reports whether one that is out may be tried by that attempt.
-func (e *endpoint) due(now time.Duration, a *Ask) bool {
-	at := e.probeAt
-	if !a.Repeatable {
+func (endpoint *endpoint) due(now time.Duration, ask *Ask) bool {
+	at := endpoint.probeAt
+	if !ask.Repeatable {
 		at += probeUnrepeatable
 	}
-	return e.ejected && e.probes == 0 && now >= at
+	return endpoint.ejected && endpoint.probes == 0 && now >= at
 }
 
 // meter is a count that fades over a span.
@@ -212,8 +218,10 @@
 
 const meterSpan = time.Second
 
-func (m *meter) at(now time.Duration) float64 {
-	return m.n * math.Exp(-(now-m.when).Seconds()/meterSpan.Seconds())
+// at is the count as it has faded by then.
+func (meter *meter) at(now time.Duration) float64 {
+	return meter.n * math.Exp(-(now-meter.when).Seconds()/meterSpan.Seconds())
 }
 
-func (m *meter) add(now time.Duration) { m.n, m.when = m.at(now)+1, now }
+// add counts one.
+func (meter *meter) add(now time.Duration) { meter.n, meter.when = meter.at(now)+1, now }
--- a/internal/tier/loadbalancer/loadbalancer.go
+++ b/internal/tier/loadbalancer/loadbalancer.go
@@ -94,6 +94,7 @@
 	Misdirected bool          // 421: another endpoint has that address
 }
 
+// service is what is known of a service's endpoints together.
 type service struct {
 	list   []*endpoint // that may be asked: listed and not draining, by instance
 	served meter
@@ -118,46 +119,46 @@
 // SetEndpoints takes a whole list. What is known of an instance stays with it; one that has left the list gets nothing
 // new, and is forgotten when no call is out there.
 func (balancer *Balancer) SetEndpoints(now time.Duration, list []Endpoint) {
-	for _, e := range balancer.endpoints {
-		e.listed = false
+	for _, endpoint := range balancer.endpoints {
+		endpoint.listed = false
 	}
-	for _, s := range balancer.services {
-		s.list = s.list[:0]
+	for _, service := range balancer.services {
+		service.list = service.list[:0]
 	}
 	for _, line := range list {
-		e := balancer.endpoints[line.Instance]
-		if e == nil {
-			e = newEndpoint(line, now)
-			balancer.endpoints[line.Instance] = e
+		endpoint := balancer.endpoints[line.Instance]
+		if endpoint == nil {
+			endpoint = newEndpoint(line, now)
+			balancer.endpoints[line.Instance] = endpoint
 		}
-		if e.listed { // twice in the list
+		if endpoint.listed { // twice in the list
 			continue
 		}
-		e.Endpoint, e.listed, e.coldUntil = line, true, now+line.ColdRemaining
-		e.local = line.Zone == balancer.zone
+		endpoint.Endpoint, endpoint.listed, endpoint.coldUntil = line, true, now+line.ColdRemaining
+		endpoint.local = line.Zone == balancer.zone
 		if line.Draining {
 			continue
 		}
-		s := balancer.service(line.Service)
-		s.list = append(s.list, e)
+		service := balancer.service(line.Service)
+		service.list = append(service.list, endpoint)
 	}
-	for name, e := range balancer.endpoints {
-		if !e.listed && e.calls == 0 {
+	for name, endpoint := range balancer.endpoints {
+		if !endpoint.listed && endpoint.calls == 0 {
 			delete(balancer.endpoints, name)
 		}
 	}
-	for name, s := range balancer.services {
-		if len(s.list) == 0 {
+	for name, service := range balancer.services {
+		if len(service.list) == 0 {
 			delete(balancer.services, name)
 		}
-		slices.SortFunc(s.list, func(x, y *endpoint) int { return cmp.Compare(x.Instance, y.Instance) })
+		slices.SortFunc(service.list, func(x, y *endpoint) int { return cmp.Compare(x.Instance, y.Instance) })
 	}
 }
 
 // Stands reports whether requests may still go to an instance: it is listed, does not drain, and has its address.
 func (balancer *Balancer) Stands(instance string) bool {
-	e := balancer.endpoints[instance]
-	return e != nil && e.listed && !e.Draining && !e.misdirected
+	endpoint := balancer.endpoints[instance]
+	return endpoint != nil && endpoint.listed && !endpoint.Draining && !endpoint.misdirected
 }
 
 // KeepRoutes forgets what was seen of all other routes, for when the configuration has changed.
@@ -169,6 +170,7 @@
 	}
 }
 
+// service is what is known of a service, made where it is new.
 func (balancer *Balancer) service(name string) *service {
 	s := balancer.services[name]
 	if s == nil {
@@ -178,13 +180,14 @@
 	return s
 }
 
+// oracle is what is known of a route's latencies, made where it is new.
 func (balancer *Balancer) oracle(route string) *restart.Oracle {
-	o := balancer.routes[route]
-	if o == nil {
-		o = &restart.Oracle{}
-		balancer.routes[route] = o
+	oracle := balancer.routes[route]
+	if oracle == nil {
+		oracle = &restart.Oracle{}
+		balancer.routes[route] = oracle
 	}
-	return o
+	return oracle
 }
 
 // draw is the next random number below n (splitmix64).
@@ -193,6 +196,7 @@
 	return mix(balancer.random) % n
 }
 
+// mix spreads the bits of a number over all of it (the finalizer of splitmix64).
 func mix(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
--- a/internal/tier/loadbalancer/pick.go
+++ b/internal/tier/loadbalancer/pick.go
@@ -22,66 +22,67 @@
 )
 
 // Pick decides on one attempt.
-func (balancer *Balancer) Pick(now time.Duration, a Ask) Choice {
-	o := balancer.oracle(a.Route)
-	if a.Left <= 0 || o.Seen > 0 && a.Left < o.Quickest {
+func (balancer *Balancer) Pick(now time.Duration, ask Ask) Choice {
+	oracle := balancer.oracle(ask.Route)
+	if ask.Left <= 0 || oracle.Seen > 0 && ask.Left < oracle.Quickest {
 		return Choice{Verdict: Hopeless}
 	}
-	s := balancer.services[a.Service]
+	s := balancer.services[ask.Service]
 	if s == nil {
-		return Choice{Verdict: NoEndpoint, RetryAfter: balancer.retryAfter(now, &service{}, &a)}
+		return Choice{Verdict: NoEndpoint, RetryAfter: balancer.retryAfter(now, &service{}, &ask)}
 	}
 	balancer.turn++
 	any := false
-	for _, e := range s.list {
-		e.watch(now)
-		any = any || e.fits(&a)
+	for _, endpoint := range s.list {
+		endpoint.watch(now)
+		any = any || endpoint.fits(&ask)
 	}
 	if !any {
-		return Choice{Verdict: NoEndpoint, RetryAfter: balancer.retryAfter(now, s, &a)}
+		return Choice{Verdict: NoEndpoint, RetryAfter: balancer.retryAfter(now, s, &ask)}
 	}
-	e := balancer.place(now, s, &a, o)
-	if e == nil {
-		return Choice{Verdict: Full, RetryAfter: balancer.retryAfter(now, s, &a)}
+	endpoint := balancer.place(now, s, &ask, oracle)
+	if endpoint == nil {
+		return Choice{Verdict: Full, RetryAfter: balancer.retryAfter(now, s, &ask)}
 	}
-	return balancer.send(now, s, e, &a, o)
+	return balancer.send(now, s, endpoint, &ask, oracle)
 }
 
 // send starts an attempt. Its time-out is the oracle's where a restart then is allowed, else the time left.
-func (balancer *Balancer) send(now time.Duration, s *service, e *endpoint, a *Ask, o *restart.Oracle) Choice {
-	c := &Call{at: e, oracle: o, service: s, sent: now, uncut: true, probe: e.ejected}
-	choice := Choice{Instance: e.Instance, Address: e.Address, Timeout: a.Left, Call: c}
-	if a.First {
-		c.weight = 1
-	}
-	timeout := o.Timeout()
-	if c.probe {
-		timeout = patience(o) // doubling would leave an outage unwatched
-		e.probes++
-	}
-	if a.Repeatable && timeout < a.Left {
-		if a.First && !c.probe && balancer.draw(restart.ExploreIn) == 0 {
-			c.weight, choice.Explore = restart.ExploreWeight, true
+func (balancer *Balancer) send(now time.Duration, service *service, endpoint *endpoint, ask *Ask, oracle *restart.Oracle) Choice {
+	call := &Call{at: endpoint, oracle: oracle, service: service, sent: now, uncut: true, probe: endpoint.ejected}
+	choice := Choice{Instance: endpoint.Instance, Address: endpoint.Address, Timeout: ask.Left, Call: call}
+	if ask.First {
+		call.weight = 1
+	}
+	timeout := oracle.Timeout()
+	if call.probe {
+		timeout = patience(oracle) // doubling would leave an outage unwatched
+		endpoint.probes++
+	}
+	if ask.Repeatable && timeout < ask.Left {
+		if ask.First && !call.probe && balancer.draw(restart.ExploreIn) == 0 {
+			call.weight, choice.Explore = restart.ExploreWeight, true
 		} else {
-			choice.Timeout, c.uncut = timeout, false
+			choice.Timeout, call.uncut = timeout, false
 		}
 	}
-	e.calls++
-	e.unanswered = append(e.unanswered, c)
-	if a.Tokens > 0 {
-		if e.tokens == 0 {
-			e.tokens = float64(a.Tokens)
+	endpoint.calls++
+	endpoint.unanswered = append(endpoint.unanswered, call)
+	if ask.Tokens > 0 {
+		if endpoint.tokens == 0 {
+			endpoint.tokens = float64(ask.Tokens)
 		}
-		e.tokens += recentPer * (float64(a.Tokens) - e.tokens)
+		endpoint.tokens += recentPer * (float64(ask.Tokens) - endpoint.tokens)
 	}
 	return choice
 }
 
 // fits reports whether that request may go there at all.
-func (e *endpoint) fits(a *Ask) bool {
-	return !e.misdirected && (e.CacheTokens == 0 || a.Tokens <= e.CacheTokens)
+func (endpoint *endpoint) fits(ask *Ask) bool {
+	return !endpoint.misdirected && (endpoint.CacheTokens == 0 || ask.Tokens <= endpoint.CacheTokens)
 }
 
+// times is how often a name stands in a list.
 func times(list []string, x string) (n int) {
 	for _, y := range list {
 		if y == x {
@@ -93,59 +94,59 @@
 
 // place finds the endpoint, nil if all are full: one that is ejected and due to be probed, else a healthy one that was not
 // tried yet, else the least bad.
-func (balancer *Balancer) place(now time.Duration, s *service, a *Ask, o *restart.Oracle) *endpoint {
-	if a.First && (a.Left > 2*patience(o) || !a.Repeatable) {
-		for i := range s.list {
-			e := s.list[(i+balancer.turn)%len(s.list)]
-			if e.fits(a) && e.due(now, a) && now >= e.pausedUntil && !slices.Contains(a.Tried, e.Instance) {
-				return e
+func (balancer *Balancer) place(now time.Duration, service *service, ask *Ask, oracle *restart.Oracle) *endpoint {
+	if ask.First && (ask.Left > 2*patience(oracle) || !ask.Repeatable) {
+		for i := range service.list {
+			endpoint := service.list[(i+balancer.turn)%len(service.list)]
+			if endpoint.fits(ask) && endpoint.due(now, ask) && now >= endpoint.pausedUntil && !slices.Contains(ask.Tried, endpoint.Instance) {
+				return endpoint
 			}
 		}
 	}
-	fresh := func(e *endpoint) bool {
-		return !e.ejected && e.fits(a) && !slices.Contains(a.Tried, e.Instance) && e.room(now, a.Priority)
+	fresh := func(endpoint *endpoint) bool {
+		return !endpoint.ejected && endpoint.fits(ask) && !slices.Contains(ask.Tried, endpoint.Instance) && endpoint.room(now, ask.Priority)
 	}
-	if e := balancer.choose(now, s, a, fresh); e != nil {
-		return e
+	if endpoint := balancer.choose(now, service, ask, fresh); endpoint != nil {
+		return endpoint
 	}
-	if len(a.Tried) > 0 { // once more where it was: a window may have opened, a connection been lost
-		retry := func(e *endpoint) bool {
-			return !e.ejected && e.fits(a) && times(a.Tried, e.Instance) < 2 && e.room(now, a.Priority)
+	if len(ask.Tried) > 0 { // once more where it was: a window may have opened, a connection been lost
+		retry := func(endpoint *endpoint) bool {
+			return !endpoint.ejected && endpoint.fits(ask) && times(ask.Tried, endpoint.Instance) < 2 && endpoint.room(now, ask.Priority)
 		}
-		if e := balancer.choose(now, s, a, retry); e != nil {
-			return e
+		if endpoint := balancer.choose(now, service, ask, retry); endpoint != nil {
+			return endpoint
 		}
 	}
-	for _, e := range s.list {
-		if !e.ejected && e.fits(a) { // a healthy one is full, and soon has room
+	for _, endpoint := range service.list {
+		if !endpoint.ejected && endpoint.fits(ask) { // a healthy one is full, and soon has room
 			return nil
 		}
 	}
 	var best *endpoint
-	for i := range s.list { // all are out
-		e := s.list[(i+balancer.turn)%len(s.list)]
-		if !e.fits(a) || !e.room(now, a.Priority) || times(a.Tried, e.Instance) > 1 {
+	for i := range service.list { // all are out
+		endpoint := service.list[(i+balancer.turn)%len(service.list)]
+		if !endpoint.fits(ask) || !endpoint.room(now, ask.Priority) || times(ask.Tried, endpoint.Instance) > 1 {
 			continue
 		}
-		if best == nil || e.preferable(best, a) {
-			best = e
+		if best == nil || endpoint.preferable(best, ask) {
+			best = endpoint
 		}
 	}
 	return best
 }
 
 // preferable compares two that are ejected: the one not tried by this request, the one that answered last.
-func (e *endpoint) preferable(than *endpoint, a *Ask) bool {
-	if x, y := times(a.Tried, e.Instance), times(a.Tried, than.Instance); x != y {
+func (endpoint *endpoint) preferable(than *endpoint, ask *Ask) bool {
+	if x, y := times(ask.Tried, endpoint.Instance), times(ask.Tried, than.Instance); x != y {
 		return x < y
 	}
-	if e.calls != than.calls && max(e.calls, than.calls) > 2*min(e.calls, than.calls) {
-		return e.calls < than.calls
+	if endpoint.calls != than.calls && max(endpoint.calls, than.calls) > 2*min(endpoint.calls, than.calls) {
+		return endpoint.calls < than.calls
 	}
-	if e.bad != than.bad {
-		return e.bad < than.bad
+	if endpoint.bad != than.bad {
+		return endpoint.bad < than.bad
 	}
-	return e.observedAt > than.observedAt
+	return endpoint.observedAt > than.observedAt
 }
 
 // pool sums up some endpoints.
@@ -156,97 +157,99 @@
 	lowest float64 // cost of the best
 }
 
-func (p *pool) add(e *endpoint, cost float64) {
-	p.n++
-	p.load += cost
-	if p.best == nil || cost < p.lowest {
-		p.best, p.lowest = e, cost
+// add counts an endpoint in.
+func (pool *pool) add(endpoint *endpoint, cost float64) {
+	pool.n++
+	pool.load += cost
+	if pool.best == nil || cost < pool.lowest {
+		pool.best, pool.lowest = endpoint, cost
 	}
 }
 
-func (p *pool) mean() float64 { return p.load / float64(max(1, p.n)) }
+// mean is the mean cost; 0 of none.
+func (pool *pool) mean() float64 { return pool.load / float64(max(1, pool.n)) }
 
 // choose picks among the endpoints that are allowed: in our zone unless it is notably loaded, by rendezvous where
 // requests share a cache and the least loaded otherwise.
-func (balancer *Balancer) choose(now time.Duration, s *service, a *Ask, allowed func(*endpoint) bool) *endpoint {
+func (balancer *Balancer) choose(now time.Duration, service *service, ask *Ask, allowed func(*endpoint) bool) *endpoint {
 	var own, far pool
-	for i := range s.list {
-		e := s.list[(i+balancer.turn)%len(s.list)]
-		if !allowed(e) {
+	for i := range service.list {
+		endpoint := service.list[(i+balancer.turn)%len(service.list)]
+		if !allowed(endpoint) {
 			continue
 		}
-		if e.local {
-			own.add(e, e.cost(now))
+		if endpoint.local {
+			own.add(endpoint, endpoint.cost(now))
 		} else {
-			far.add(e, e.cost(now))
+			far.add(endpoint, endpoint.cost(now))
 		}
 	}
-	if e := balancer.home(now, a, allowed, &own, &far); e != nil {
-		return e
+	if endpoint := balancer.home(now, ask, allowed, &own, &far); endpoint != nil {
+		return endpoint
 	}
 	switch {
 	case own.n == 0 && far.n == 0:
 		return nil
 	case far.n == 0:
-		return balancer.within(now, s, a, allowed, &own, true, own.mean())
+		return balancer.within(now, service, ask, allowed, &own, true, own.mean())
 	case own.n == 0:
-		return balancer.within(now, s, a, allowed, &far, false, far.mean())
+		return balancer.within(now, service, ask, allowed, &far, false, far.mean())
 	}
 	if own.lowest <= zoneCostFactor*far.lowest+zoneCostMargin/float64(own.best.capacity()) {
-		return balancer.within(now, s, a, allowed, &own, true, own.mean())
+		return balancer.within(now, service, ask, allowed, &own, true, own.mean())
 	}
-	return balancer.within(now, s, a, allowed, &far, false, far.mean())
+	return balancer.within(now, service, ask, allowed, &far, false, far.mean())
 }
 
 // home is the endpoint that ran what the request goes on from, unless it is notably more loaded than the others: what it
 // holds in its cache would have to be prefilled elsewhere.
-func (balancer *Balancer) home(now time.Duration, a *Ask, allowed func(*endpoint) bool, own, far *pool) *endpoint {
-	e := balancer.endpoints[a.Home]
-	if a.Home == "" || e == nil || !e.listed || e.Draining || e.Service != a.Service || !allowed(e) {
+func (balancer *Balancer) home(now time.Duration, ask *Ask, allowed func(*endpoint) bool, own, far *pool) *endpoint {
+	endpoint := balancer.endpoints[ask.Home]
+	if ask.Home == "" || endpoint == nil || !endpoint.listed || endpoint.Draining || endpoint.Service != ask.Service || !allowed(endpoint) {
 		return nil
 	}
 	mean := (own.load + far.load) / float64(max(1, own.n+far.n))
 	// A session that moves is read again elsewhere and evicts what others have cached there: the likelier, the more is taken.
 	displaced := mean * min(1, mean)
-	if e.cost(now) > max(homeCostFactor*mean, mean+displaced+homeCostMargin/float64(e.capacity())) {
+	if endpoint.cost(now) > max(homeCostFactor*mean, mean+displaced+homeCostMargin/float64(endpoint.capacity())) {
 		return nil
 	}
-	return e
+	return endpoint
 }
 
 // within picks in one of the pools.
-func (balancer *Balancer) within(now time.Duration, s *service, a *Ask, allowed func(*endpoint) bool, p *pool, local bool, mean float64) *endpoint {
-	if key, sticky := affinity(a); sticky && a.Home == "" {
-		if e := balancer.rendezvous(now, s, key, allowed, local, mean); e != nil {
-			return e
+func (balancer *Balancer) within(now time.Duration, service *service, ask *Ask, allowed func(*endpoint) bool, pool *pool, local bool, mean float64) *endpoint {
+	if key, sticky := affinity(ask); sticky && ask.Home == "" {
+		if endpoint := balancer.rendezvous(now, service, key, allowed, local, mean); endpoint != nil {
+			return endpoint
 		}
 	}
-	return p.best
+	return pool.best
 }
 
 // affinity is the key of the requests that share a cache with this one.
-func affinity(a *Ask) (key uint64, ok bool) {
-	if a.Affinity != "" {
-		return hash(a.Affinity), true
+func affinity(ask *Ask) (key uint64, ok bool) {
+	if ask.Affinity != "" {
+		return hash(ask.Affinity), true
 	}
-	if n := len(a.Prefix); n > 0 {
-		return hash(a.Prefix[n-1]), true
+	if n := len(ask.Prefix); n > 0 {
+		return hash(ask.Prefix[n-1]), true
 	}
 	return 0, false
 }
 
 // rendezvous is the endpoint with the highest weight for the key (highest random weight hashing, by capacity), of those
 // in our zone or outside it whose load is within bounds of the mean. One that comes or goes moves only its own keys.
-func (balancer *Balancer) rendezvous(now time.Duration, s *service, key uint64, allowed func(*endpoint) bool, local bool, mean float64) *endpoint {
+func (balancer *Balancer) rendezvous(now time.Duration, service *service, key uint64, allowed func(*endpoint) bool, local bool, mean float64) *endpoint {
 	var best *endpoint
 	highest := 0.0
-	for _, e := range s.list {
-		if e.local != local || !allowed(e) || e.cost(now) > max(boundedFactor*mean, mean+boundedMargin/float64(e.capacity())) {
+	for _, endpoint := range service.list {
+		if endpoint.local != local || !allowed(endpoint) || endpoint.cost(now) > max(boundedFactor*mean, mean+boundedMargin/float64(endpoint.capacity())) {
 			continue
 		}
-		unit := (float64(mix(key^e.key)>>11) + 0.5) / (1 << 53)
-		if weight := float64(e.capacity()) / -math.Log(unit); weight > highest {
-			best, highest = e, weight
+		unit := (float64(mix(key^endpoint.key)>>11) + 0.5) / (1 << 53)
+		if weight := float64(endpoint.capacity()) / -math.Log(unit); weight > highest {
+			best, highest = endpoint, weight
 		}
 	}
 	return best
@@ -255,21 +258,21 @@
 // retryAfter is when there may be room: a part of the time that a call takes, by Little's law from those out and the
 // rate of those served, spread so that those refused together don't come together. It is kept within the aim, so that
 // the new try may be in time, and within what clients wait.
-func (balancer *Balancer) retryAfter(now time.Duration, s *service, a *Ask) time.Duration {
+func (balancer *Balancer) retryAfter(now time.Duration, service *service, ask *Ask) time.Duration {
 	calls, paused := 0, retryMax
-	for _, e := range s.list {
+	for _, e := range service.list {
 		calls += e.calls
 		paused = min(paused, max(0, e.pausedUntil-now))
 	}
-	takes := float64(calls) / max(s.served.at(now)/meterSpan.Seconds(), 1)
+	takes := float64(calls) / max(service.served.at(now)/meterSpan.Seconds(), 1)
 	wait := time.Duration(takes * takesPart * float64(time.Second))
-	if len(s.list) > 0 {
+	if len(service.list) > 0 {
 		wait = max(wait, paused)
 	}
 	wait = wait/2 + time.Duration(balancer.draw(uint64(wait)+1))
-	longest := min(retryMax, a.Left/retryPart)
-	if a.Aim > 0 {
-		longest = min(longest, a.Aim)
+	longest := min(retryMax, ask.Left/retryPart)
+	if ask.Aim > 0 {
+		longest = min(longest, ask.Aim)
 	}
 	return max(min(wait, longest), retryMin)
 }
