--- /dev/null
+++ b/internal/tier/wal/memory_faults.go
@@ -0,0 +1,85 @@
+package wal
+
+import (
+	"sync"
+)
+
+// FailAt makes the n-th operation from now (1 is the next) fail once with err. A write that fails has written half; a sync
+// that fails has lost what it should have kept, though the process goes on seeing it.
+func (memory *Memory) FailAt(n int, err error) {
+	memory.mu.Lock()
+	defer memory.mu.Unlock()
+	memory.failAt, memory.failBy, memory.sticks = memory.ops+n, err, false
+}
+
+// FailFrom is like FailAt, but from there on, until Recover, all operations fail that create, rename or write, and syncs
+// that have something written to carry, as on a full disk; opening, reading, listing, removing and truncating go on.
+func (memory *Memory) FailFrom(n int, err error) {
+	memory.mu.Lock()
+	defer memory.mu.Unlock()
+	memory.failAt, memory.failBy, memory.sticks = memory.ops+n, err, true
+}
+
+// Recover ends what FailAt and FailFrom began.
+func (memory *Memory) Recover() {
+	memory.mu.Lock()
+	defer memory.mu.Unlock()
+	memory.failAt, memory.failBy, memory.sticks = 0, nil, false
+}
+
+// StallSync makes each sync of a file hang until release is called.
+func (memory *Memory) StallSync() (release func()) {
+	memory.mu.Lock()
+	defer memory.mu.Unlock()
+	stall := make(chan struct{})
+	memory.stall = stall
+	return sync.OnceFunc(func() {
+		memory.mu.Lock()
+		defer memory.mu.Unlock()
+		if memory.stall == stall {
+			memory.stall = nil
+		}
+		close(stall)
+	})
+}
+
+// DieAt makes the n-th operation from now, and all that follow, fail with ErrDead without any effect, but for a write, of which half is done.
+func (memory *Memory) DieAt(n int) {
+	memory.mu.Lock()
+	defer memory.mu.Unlock()
+	memory.dieAt = memory.ops + n
+}
+
+// step counts one operation and gives its error. The lock is held.
+func (memory *Memory) step() error {
+	memory.ops++
+	if memory.dead || memory.ops == memory.dieAt {
+		memory.dead = true
+		return ErrDead
+	}
+	if memory.ops == memory.failAt {
+		return memory.failBy
+	}
+	return nil
+}
+
+// stepChange is step for an operation that needs room or a disk that takes writes. The lock is held.
+func (memory *Memory) stepChange() error {
+	if err := memory.step(); err != nil {
+		return err
+	}
+	if memory.sticks && memory.ops > memory.failAt {
+		return memory.failBy
+	}
+	return nil
+}
+
+// waitStall returns once syncs are not, or no longer, stalled.
+func (memory *Memory) waitStall() {
+	memory.mu.Lock()
+	stall := memory.stall
+	memory.mu.Unlock()
+	if stall != nil {
+		<-stall
+	}
+}
