--- a/internal/tier/upstream/answer.go
+++ b/internal/tier/upstream/answer.go
@@ -97,6 +97,7 @@
 	return a, head, nil
 }
 
+// begins reports whether a line may be the beginning of a status line.
 func begins(line []byte) bool {
 	const begin = "HTTP/1."
 	n := min(len(line), len(begin))
@@ -137,20 +138,26 @@
 			a.Header = append(a.Header, Field{name, value})
 		}
 	}
+	a.applyConnection(connection)
+	return a, !(a.chunked && a.Length >= 0)
+}
+
+// applyConnection goes by the options of Connection: close, and the names of fields that concern this connection only, which
+// are taken out.
+func (answer *Answer) applyConnection(connection string) {
 	for connection != "" {
 		var option string
 		option, connection, _ = strings.Cut(connection, ",")
 		option = strings.Trim(option, " \t")
 		if strings.EqualFold(option, "close") {
-			a.closes, a.closeNamed = true, true
+			answer.closes, answer.closeNamed = true, true
 		}
-		for i := len(a.Header) - 1; i >= 0 && option != ""; i-- {
-			if strings.EqualFold(a.Header[i].Name, option) {
-				a.Header = append(a.Header[:i], a.Header[i+1:]...)
+		for i := len(answer.Header) - 1; i >= 0 && option != ""; i-- {
+			if strings.EqualFold(answer.Header[i].Name, option) {
+				answer.Header = append(answer.Header[:i], answer.Header[i+1:]...)
 			}
 		}
 	}
-	return a, !(a.chunked && a.Length >= 0)
 }
 
 // field takes one field in and says whether it is passed on, and whether it can stand there: fields that the outcome
--- a/internal/tier/upstream/body.go
+++ b/internal/tier/upstream/body.go
@@ -13,12 +13,13 @@
 	readAhead    = 64 << 10 // bytes that are decoded at once
 )
 
+// framing is how the end of a body is found.
 type framing uint8
 
 const (
-	byLength framing = iota
+	byLength framing = iota // announced, or none
 	byChunks
-	byClose
+	byClose // it ends with its connection
 )
 
 // body decodes the framing of a body.
@@ -127,12 +128,25 @@
 	if err != nil {
 		return err
 	}
+	size, ok := chunkSize(line)
+	if !ok {
+		return errMalformed
+	}
+	body.left = size
+	if size > 0 {
+		return nil
+	}
+	return body.trailers()
+}
+
+// chunkSize reads the line of a chunk, extensions being discarded. It is false for one above maxChunk, too.
+func chunkSize(line []byte) (int64, bool) {
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
 		line = line[:i]
 	}
 	line = bytes.TrimRight(line, " \t")
 	if len(line) == 0 || len(line) > 8 {
-		return errMalformed
+		return 0, false
 	}
 	n := int64(0)
 	for _, c := range line {
@@ -142,17 +156,15 @@
 		case c|0x20 >= 'a' && c|0x20 <= 'f':
 			c = c | 0x20 - 'a' + 10
 		default:
-			return errMalformed
+			return 0, false
 		}
 		n = n<<4 | int64(c)
 	}
-	if n > maxChunk {
-		return errMalformed
-	}
-	body.left = n
-	if n > 0 {
-		return nil
-	}
+	return n, n <= maxChunk
+}
+
+// trailers reads over what stands behind the last chunk, up to the end of the body.
+func (body *body) trailers() error {
 	for size := 0; size <= maxTrailer; {
 		line, err := body.line()
 		if err != nil {
@@ -184,6 +196,7 @@
 	return line[:len(line)-2], nil
 }
 
+// unexpected is err, or io.ErrUnexpectedEOF for an end where more had to come.
 func unexpected(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
