--- a/internal/tier/routing/parse.go
+++ b/internal/tier/routing/parse.go
@@ -25,6 +25,7 @@
 // findings collects what is wrong, each with its place.
 type findings struct{ list []error }
 
+// add notes a finding: where it is, and what is wrong there.
 func (f *findings) add(place, message string, args ...any) {
 	f.list = append(f.list, Invalid.New("%s: %s", place, fmt.Sprintf(message, args...)))
 }
@@ -47,6 +48,7 @@
 	return c, nil
 }
 
+// fill takes in a configuration and notes what is wrong with it.
 func (table *Table) fill(w *wire, found *findings) {
 	switch {
 	case w.Revision == nil:
@@ -87,6 +89,28 @@
 		Persisted: w.Persisted, Sticky: w.Affinity, Resumable: w.Resumable,
 		Aim: millis(w.Aim), GapAim: millis(w.GapAim), Retention: millis(w.Retention * 1000),
 	}
+	w.check(r, at, found)
+	table.split(r, w, at, found)
+
+	place := [2]string{r.Host, r.Prefix}
+	if first, twice := places[place]; twice {
+		found.add(at("path_prefix"), "%s%s is that of routes[%d] too", r.Host, r.Prefix, first)
+		return
+	}
+	places[place] = i
+	table.Routes = append(table.Routes, r)
+	routes := table.hosts[r.Host]
+	if routes == nil {
+		routes = &hostRoutes{byPrefix: map[string]*Route{}}
+		table.hosts[r.Host] = routes
+	}
+	routes.byPrefix[r.Prefix] = r
+	routes.lengths = append(routes.lengths, len(r.Prefix))
+}
+
+// check checks the fields of a route that stand alone, and takes in those that a route must have: its kind, time-out and
+// aim. The aim is the time-out where none is given.
+func (w *wireRoute) check(r *Route, at func(field string) string, found *findings) {
 	for _, n := range []struct {
 		field string
 		value float64
@@ -119,22 +143,6 @@
 	if r.Aim == 0 {
 		r.Aim = r.Timeout
 	}
-	table.split(r, w, at, found)
-
-	place := [2]string{r.Host, r.Prefix}
-	if first, twice := places[place]; twice {
-		found.add(at("path_prefix"), "%s%s is that of routes[%d] too", r.Host, r.Prefix, first)
-		return
-	}
-	places[place] = i
-	table.Routes = append(table.Routes, r)
-	routes := table.hosts[r.Host]
-	if routes == nil {
-		routes = &hostRoutes{byPrefix: map[string]*Route{}}
-		table.hosts[r.Host] = routes
-	}
-	routes.byPrefix[r.Prefix] = r
-	routes.lengths = append(routes.lengths, len(r.Prefix))
 }
 
 // split checks and takes in the services of a route.
