--- a/internal/tier/consensus/disk.go
+++ b/internal/tier/consensus/disk.go
@@ -44,36 +44,36 @@
 }
 
 // openDisk reads the file, or makes it and the identity, and builds the machine from it. An error of the disk may pass.
-func (n *Node) openDisk() error {
+func (node *Node) openDisk() error {
 	var d durable
-	if err := n.replayFile(&d); err != nil {
+	if err := node.replayFile(&d); err != nil {
 		return err
 	}
 	if d.Folder == "" {
-		if err := n.makeIdentity(&d); err != nil {
+		if err := node.makeIdentity(&d); err != nil {
 			return errorx.Decorate(err, "consensus: make the folder")
 		}
 	}
-	n.disk.hadFolder = true
-	n.disk.rewriteAt = rewriteFactor*n.file.Size() + rewriteSlack
-	m := newMachine(d, n.config.Self, n.config.Seeds, n.config.Losses, n.timing, uint64(time.Now().UnixNano()))
-	m.resume(n.now(), n.disk.lastCall)
-	n.machine = m
+	node.disk.hadFolder = true
+	node.disk.rewriteAt = rewriteFactor*node.file.Size() + rewriteSlack
+	m := newMachine(d, node.config.Self, node.config.Seeds, node.config.Losses, node.timing, uint64(time.Now().UnixNano()))
+	m.resume(node.now(), node.disk.lastCall)
+	node.machine = m
 	return nil
 }
 
 // replayFile opens or reopens the file. Where only room is missing, a rewrite to the bare state may make some.
-func (n *Node) replayFile(d *durable) error {
-	if n.file == nil {
-		file, err := wal.Open(n.config.FS, n.config.Dir, fileName, d.replay)
+func (node *Node) replayFile(d *durable) error {
+	if node.file == nil {
+		file, err := wal.Open(node.config.FS, node.config.Dir, fileName, d.replay)
 		if err != nil {
 			return errorx.Decorate(err, "consensus: open")
 		}
-		n.file = file
+		node.file = file
 		return nil
 	}
-	err := n.file.Reopen(d.replay)
-	if errorx.IsOfType(err, wal.NoRoom) && d.Folder != "" && n.rewrite(d) == nil {
+	err := node.file.Reopen(d.replay)
+	if errorx.IsOfType(err, wal.NoRoom) && d.Folder != "" && node.rewrite(d) == nil {
 		return nil
 	}
 	if err != nil {
@@ -83,20 +83,20 @@
 }
 
 // makeIdentity draws a folder and syncs it.
-func (n *Node) makeIdentity(d *durable) error {
+func (node *Node) makeIdentity(d *durable) error {
 	var b [16]byte
 	rand.Read(b[:])
-	d.identity = identity{Folder: hex.EncodeToString(b[:]), Seeds: n.config.Seeds,
-		Genesis: n.config.Bootstrap && !n.disk.hadFolder && slices.Contains(n.config.Seeds, n.config.Self.Address)}
-	if err := n.file.Append(encodeIdentity(d.identity)); err != nil {
+	d.identity = identity{Folder: hex.EncodeToString(b[:]), Seeds: node.config.Seeds,
+		Genesis: node.config.Bootstrap && !node.disk.hadFolder && slices.Contains(node.config.Seeds, node.config.Self.Address)}
+	if err := node.file.Append(encodeIdentity(d.identity)); err != nil {
 		return err
 	}
-	return n.file.Sync()
+	return node.file.Sync()
 }
 
 // rewrite replaces the file by the records of a state.
-func (n *Node) rewrite(d *durable) error {
-	return n.file.Rewrite(func(add func([]byte) error) error {
+func (node *Node) rewrite(d *durable) error {
+	return node.file.Rewrite(func(add func([]byte) error) error {
 		for _, r := range d.snapshot() {
 			if err := add(r); err != nil {
 				return err
@@ -107,103 +107,103 @@
 }
 
 // write appends and syncs what a step wants on disk. After an error nothing of the step may leave the process.
-func (n *Node) write(out *actions) error {
+func (node *Node) write(out *actions) error {
 	if len(out.records) == 0 {
 		return nil
 	}
-	if err := n.file.Append(out.records...); err != nil {
+	if err := node.file.Append(out.records...); err != nil {
 		return errorx.Decorate(err, "consensus: append")
 	}
 	if out.sync {
-		if err := n.file.Sync(); err != nil {
+		if err := node.file.Sync(); err != nil {
 			return errorx.Decorate(err, "consensus: sync")
 		}
 	}
-	if n.file.Size() < n.disk.rewriteAt {
+	if node.file.Size() < node.disk.rewriteAt {
 		return nil
 	}
-	if err := n.rewrite(&n.machine.durable); err != nil {
-		if n.file.Err() != nil {
+	if err := node.rewrite(&node.machine.durable); err != nil {
+		if node.file.Err() != nil {
 			return errorx.Decorate(err, "consensus: rewrite")
 		}
-		n.disk.rewriteAt = n.file.Size() + rewriteSlack // the old file is in use as before
+		node.disk.rewriteAt = node.file.Size() + rewriteSlack // the old file is in use as before
 		return nil
 	}
-	n.disk.rewriteAt = rewriteFactor*n.file.Size() + rewriteSlack
+	node.disk.rewriteAt = rewriteFactor*node.file.Size() + rewriteSlack
 	return nil
 }
 
 // failDisk ends the machine: leadership, proposals and calls are gone as by a loss of power.
-func (n *Node) failDisk(err error) {
-	if n.machine != nil {
-		n.disk.lastCall = n.machine.nextID
-		n.machine = nil
+func (node *Node) failDisk(err error) {
+	if node.machine != nil {
+		node.disk.lastCall = node.machine.nextID
+		node.machine = nil
 	}
-	now := n.now()
+	now := node.now()
 	switch {
-	case n.disk.retryWait == 0 || n.disk.err == nil && now-n.disk.since >= diskHealthy*n.timing.heartbeat:
-		n.disk.retryWait = n.timing.heartbeat
+	case node.disk.retryWait == 0 || node.disk.err == nil && now-node.disk.since >= diskHealthy*node.timing.heartbeat:
+		node.disk.retryWait = node.timing.heartbeat
 	default:
-		n.disk.retryWait = min(2*n.disk.retryWait, diskRetryMax*n.timing.heartbeat)
+		node.disk.retryWait = min(2*node.disk.retryWait, diskRetryMax*node.timing.heartbeat)
 	}
-	n.disk.retryAt = now + n.disk.retryWait
-	first := n.disk.err == nil
-	n.disk.err = err
+	node.disk.retryAt = now + node.disk.retryWait
+	first := node.disk.err == nil
+	node.disk.err = err
 	if !first {
 		return
 	}
-	n.mu.Lock()
-	n.view.primary, n.view.hint, n.view.health = false, "", Health{Disk: err, Losses: n.config.Losses, Tolerates: Unknown}
-	n.inbox = nil
-	n.endCallers()
-	n.mu.Unlock()
-	if n.config.Log != nil {
-		n.config.Log.Error().Str("event", "disk_failed").Str("file", fileName).Err(err).Msg("disk failed: " + err.Error())
+	node.mu.Lock()
+	node.view.primary, node.view.hint, node.view.health = false, "", Health{Disk: err, Losses: node.config.Losses, Tolerates: Unknown}
+	node.inbox = nil
+	node.endCallers()
+	node.mu.Unlock()
+	if node.config.Log != nil {
+		node.config.Log.Error().Str("event", "disk_failed").Str("file", fileName).Err(err).Msg("disk failed: " + err.Error())
 	}
 }
 
 // retryDisk tries to go on. It returns only errors that cannot pass.
-func (n *Node) retryDisk() error {
-	before := n.disk.err
-	if err := n.openDisk(); err != nil {
+func (node *Node) retryDisk() error {
+	before := node.disk.err
+	if err := node.openDisk(); err != nil {
 		if !isDiskError(err) {
 			return err
 		}
-		n.failDisk(err)
+		node.failDisk(err)
 		return nil
 	}
-	n.disk.err, n.disk.since = nil, n.now()
-	n.publish(true)
-	if n.config.Log != nil {
-		n.config.Log.Info().Str("event", "disk_recovered").Str("file", fileName).Str("folder", n.machine.Folder).
-			Uint64("sequence", n.machine.sequence).Msg("disk recovered from: " + before.Error())
+	node.disk.err, node.disk.since = nil, node.now()
+	node.publish(true)
+	if node.config.Log != nil {
+		node.config.Log.Info().Str("event", "disk_recovered").Str("file", fileName).Str("folder", node.machine.Folder).
+			Uint64("sequence", node.machine.sequence).Msg("disk recovered from: " + before.Error())
 	}
 	return nil
 }
 
 // endCallers ends all who wait for the loop: their outcome is unknown. The lock is held.
-func (n *Node) endCallers() {
-	for token, c := range n.outcomes {
-		delete(n.outcomes, token)
+func (node *Node) endCallers() {
+	for token, c := range node.outcomes {
+		delete(node.outcomes, token)
 		c <- outcome{token, 0, ErrUnknown}
 	}
-	for token, c := range n.replies {
-		delete(n.replies, token)
+	for token, c := range node.replies {
+		delete(node.replies, token)
 		close(c)
 	}
-	close(n.changed)
-	n.changed = make(chan struct{})
+	close(node.changed)
+	node.changed = make(chan struct{})
 }
 
 // unavailable is what a caller of the service gets from a node that has ended or whose disk fails.
-func (n *Node) unavailable() error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if err := n.view.health.Disk; err != nil {
+func (node *Node) unavailable() error {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	if err := node.view.health.Disk; err != nil {
 		return twirp.NewError(twirp.Unavailable, "disk failed: "+err.Error())
 	}
 	return twirp.NewError(twirp.Unavailable, "ending")
 }
 
 // DiskError is nil while the disk can be written, and otherwise what failed.
-func (n *Node) DiskError() error { return n.Health().Disk }
+func (node *Node) DiskError() error { return node.Health().Disk }
--- a/internal/tier/consensus/durable.go
+++ b/internal/tier/consensus/durable.go
@@ -62,42 +62,42 @@
 }
 
 // replay takes one record of the file.
-func (d *durable) replay(record []byte) error {
+func (state *durable) replay(record []byte) error {
 	if len(record) == 0 {
 		return errorx.IllegalFormat.New("consensus: empty record")
 	}
 	body := record[1:]
 	switch record[0] {
 	case kindIdentity:
-		return json.Unmarshal(body, &d.identity)
+		return json.Unmarshal(body, &state.identity)
 	case kindPromise:
 		epoch, n := binary.Uvarint(body)
 		if n <= 0 {
 			return errorx.IllegalFormat.New("consensus: promise")
 		}
-		d.promised, d.promisedTo = epoch, string(body[n:])
+		state.promised, state.promisedTo = epoch, string(body[n:])
 	case kindMark:
 		epoch, n := binary.Uvarint(body)
 		if n <= 0 {
 			return errorx.IllegalFormat.New("consensus: mark")
 		}
-		d.copyEpoch = epoch
+		state.copyEpoch = epoch
 	case kindAccepted, kindChosen:
 		r := new(tierv1.Record)
 		if err := proto.Unmarshal(body, r); err != nil {
 			return err
 		}
 		if record[0] == kindAccepted {
-			d.accepted = r
+			state.accepted = r
 		} else {
-			d.chosen = r
+			state.chosen = r
 		}
 	case kindWrite:
 		w := new(tierv1.WriteRequest)
 		if err := proto.Unmarshal(body, w); err != nil {
 			return err
 		}
-		d.apply(w)
+		state.apply(w)
 	default:
 		return errorx.IllegalFormat.New("consensus: record of kind %q", record[0])
 	}
@@ -105,10 +105,10 @@
 }
 
 // apply makes the copy what a write says. The map is replaced, never changed: others may hold the former one.
-func (d *durable) apply(w *tierv1.WriteRequest) {
+func (state *durable) apply(w *tierv1.WriteRequest) {
 	data := make(map[string]*tierv1.Entry, len(w.Entries))
 	if !w.Whole {
-		data = maps.Clone(d.data)
+		data = maps.Clone(state.data)
 		if data == nil {
 			data = make(map[string]*tierv1.Entry)
 		}
@@ -120,32 +120,32 @@
 			data[e.Key] = e
 		}
 	}
-	d.data, d.sequence, d.copyEpoch = data, w.Sequence, w.Epoch
+	state.data, state.sequence, state.copyEpoch = data, w.Sequence, w.Epoch
 }
 
 // whole is the write that makes another copy the same as this one.
-func (d *durable) whole(epoch uint64) *tierv1.WriteRequest {
-	w := &tierv1.WriteRequest{Epoch: epoch, Sequence: d.sequence, Whole: true, From: d.Folder}
-	for _, k := range slices.Sorted(maps.Keys(d.data)) {
-		w.Entries = append(w.Entries, d.data[k])
+func (state *durable) whole(epoch uint64) *tierv1.WriteRequest {
+	w := &tierv1.WriteRequest{Epoch: epoch, Sequence: state.sequence, Whole: true, From: state.Folder}
+	for _, k := range slices.Sorted(maps.Keys(state.data)) {
+		w.Entries = append(w.Entries, state.data[k])
 	}
 	return w
 }
 
 // snapshot gives the records from which replay makes the same state.
-func (d *durable) snapshot() (records [][]byte) {
-	records = append(records, encodeIdentity(d.identity))
-	if d.promised > 0 {
-		records = append(records, encodePromise(d.promised, d.promisedTo))
+func (state *durable) snapshot() (records [][]byte) {
+	records = append(records, encodeIdentity(state.identity))
+	if state.promised > 0 {
+		records = append(records, encodePromise(state.promised, state.promisedTo))
 	}
-	if d.accepted != nil {
-		records = append(records, encodeMessage(kindAccepted, d.accepted))
+	if state.accepted != nil {
+		records = append(records, encodeMessage(kindAccepted, state.accepted))
 	}
-	if d.chosen != nil {
-		records = append(records, encodeMessage(kindChosen, d.chosen))
+	if state.chosen != nil {
+		records = append(records, encodeMessage(kindChosen, state.chosen))
 	}
-	if d.copyEpoch > 0 {
-		records = append(records, encodeMessage(kindWrite, d.whole(d.copyEpoch)))
+	if state.copyEpoch > 0 {
+		records = append(records, encodeMessage(kindWrite, state.whole(state.copyEpoch)))
 	}
 	return records
 }
--- a/internal/tier/consensus/health.go
+++ b/internal/tier/consensus/health.go
@@ -22,12 +22,12 @@
 }
 
 // Health gives the newest view, as of the last step that is on disk. Within the lease it is at most a heartbeat old.
-func (n *Node) Health() Health {
-	now := n.now()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	h := n.view.health
-	if h.Tolerates != Unknown && !n.view.leads(now, n.timing.fresh) {
+func (node *Node) Health() Health {
+	now := node.now()
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	h := node.view.health
+	if h.Tolerates != Unknown && !node.view.leads(now, node.timing.fresh) {
 		h.Tolerates = Unknown
 	}
 	return h
@@ -41,47 +41,49 @@
 // Any |B| of the |B|+1 copies may go without the loss of a write, and a majority of each set is left to choose the next
 // record. A joiner without a vote and a member without an answer count for nothing. A member counts as there until
 // recently has passed since its last answer, so a loss is told that late at most.
-func (m *machine) health() Health {
-	h := Health{Losses: m.losses, Tolerates: Unknown, MembersWanted: 2*m.losses + 1}
-	if m.primary == nil {
+func (machine *machine) health() Health {
+	h := Health{Losses: machine.losses, Tolerates: Unknown, MembersWanted: 2*machine.losses + 1}
+	if machine.primary == nil {
 		return h
 	}
-	r := m.primary.record
-	h.Members, h.Changing = len(r.Members), len(r.Former) > 0
-	h.BackupsWanted, _ = m.wanted(len(r.Members))
-	for _, b := range r.Backups {
-		if m.backupAnswers(b) {
+	record := machine.primary.record
+	h.Members, h.Changing = len(record.Members), len(record.Former) > 0
+	h.BackupsWanted, _ = machine.wanted(len(record.Members))
+	for _, folder := range record.Backups {
+		if machine.backupAnswers(folder) {
 			h.Backups++
 		}
 	}
-	h.Tolerates = min(h.Backups, m.losses)
-	for _, set := range configurations(r) {
+	h.Tolerates = min(h.Backups, machine.losses)
+	for _, set := range configurations(record) {
 		live := 0
-		for _, v := range set {
-			if m.answers(v) {
+		for _, member := range set {
+			if machine.answers(member) {
 				live++
 			}
 		}
 		h.Tolerates = min(h.Tolerates, live-(len(set)/2+1))
 	}
 	h.Tolerates = max(h.Tolerates, 0)
-	for _, v := range r.Members {
-		if !m.answers(v) {
-			h.Absent = append(h.Absent, v.Address)
+	for _, member := range record.Members {
+		if !machine.answers(member) {
+			h.Absent = append(h.Absent, member.Address)
 		}
 	}
 	return h
 }
 
 // recently is how old the last answer of a member may be that counts as there.
-func (m *machine) recently() time.Duration { return m.timing.call + m.timing.heartbeat/2 }
+func (machine *machine) recently() time.Duration {
+	return machine.timing.call + machine.timing.heartbeat/2
+}
 
-func (m *machine) answers(member *tierv1.Member) bool {
-	return member.Folder == m.Folder || member.Folder == "" && member.Address == m.self.Address || m.alive(member, m.recently())
+func (machine *machine) answers(member *tierv1.Member) bool {
+	return member.Folder == machine.Folder || member.Folder == "" && member.Address == machine.self.Address || machine.alive(member, machine.recently())
 }
 
 // backupAnswers tells whether a backup confirmed the record of late and holds what was acknowledged.
-func (m *machine) backupAnswers(folder string) bool {
-	r := m.primary
-	return !r.lost[folder] && m.now-r.confirmed[folder] <= m.recently() && !m.replaced(folder)
+func (machine *machine) backupAnswers(folder string) bool {
+	primary := machine.primary
+	return !primary.lost[folder] && machine.now-primary.confirmed[folder] <= machine.recently() && !machine.replaced(folder)
 }
--- a/internal/tier/consensus/leadership.go
+++ b/internal/tier/consensus/leadership.go
@@ -26,114 +26,116 @@
 }
 
 // leadership begins or goes on with a record that was chosen. All its backups hold this copy: what was under way stands.
-func (m *machine) leadership(p *proposal) {
-	m.proposal = nil
-	m.chosen = p.target
-	m.store(encodeMessage(kindChosen, p.target), false)
-	r := m.primary
-	if r == nil {
-		r = &leadership{first: p.epoch, began: m.now}
-		m.primary = r
+func (machine *machine) leadership(proposal *proposal) {
+	machine.proposal = nil
+	machine.chosen = proposal.target
+	machine.store(encodeMessage(kindChosen, proposal.target), false)
+	primary := machine.primary
+	if primary == nil {
+		primary = &leadership{first: proposal.epoch, began: machine.now}
+		machine.primary = primary
 	}
-	r.record, r.renew, r.next, r.retryAt = p.target, false, m.now, 0
-	r.lost, r.confirmed = make(map[string]bool), make(map[string]time.Duration)
-	for _, b := range p.target.Backups {
-		r.confirmed[b] = p.copied[b]
+	primary.record, primary.renew, primary.next, primary.retryAt = proposal.target, false, machine.now, 0
+	primary.lost, primary.confirmed = make(map[string]bool), make(map[string]time.Duration)
+	for _, folder := range proposal.target.Backups {
+		primary.confirmed[folder] = proposal.copied[folder]
 	}
-	m.observed, m.hint = false, m.self.Address
-	m.out.changed = true
-	m.out.news = append(m.out.news, "primary")
-	m.commit()
+	machine.observed, machine.hint = false, machine.self.Address
+	machine.out.changed = true
+	machine.out.news = append(machine.out.news, "primary")
+	machine.commit()
 }
 
 // stepDown ends the leadership. What was on its way to the backups has an unknown outcome; what waited was not written.
-func (m *machine) stepDown(why string) {
-	r := m.primary
-	m.primary, m.proposal = nil, nil
-	if r.round != nil {
-		for _, w := range r.round.waiters {
+func (machine *machine) stepDown(why string) {
+	primary := machine.primary
+	machine.primary, machine.proposal = nil, nil
+	if primary.round != nil {
+		for _, waiter := range primary.round.waiters {
 			err := ErrUnknown
-			if w.sets == nil {
+			if waiter.sets == nil {
 				err = ErrNotPrimary
 			}
-			m.out.outcomes = append(m.out.outcomes, outcome{w.token, 0, err})
+			machine.out.outcomes = append(machine.out.outcomes, outcome{waiter.token, 0, err})
 		}
 	}
-	for _, w := range r.queue {
-		m.out.outcomes = append(m.out.outcomes, outcome{w.token, 0, ErrNotPrimary})
+	for _, waiter := range primary.queue {
+		machine.out.outcomes = append(machine.out.outcomes, outcome{waiter.token, 0, ErrNotPrimary})
 	}
-	m.hint, m.observed = "", false
-	m.tryAt = m.now + m.timing.heartbeat + m.jitter(m.timing.heartbeat)
-	m.joinAt = m.now + m.jitter(m.timing.heartbeat)
-	m.out.changed = true
-	m.out.news = append(m.out.news, "stepped down: "+why)
+	machine.hint, machine.observed = "", false
+	machine.tryAt = machine.now + machine.timing.heartbeat + machine.jitter(machine.timing.heartbeat)
+	machine.joinAt = machine.now + machine.jitter(machine.timing.heartbeat)
+	machine.out.changed = true
+	machine.out.news = append(machine.out.news, "stepped down: "+why)
 }
 
 // confirmedAt is when the oldest of the newest round trips to the backups began. Without backups it is now: nobody else
 // may take over.
-func (m *machine) confirmedAt() time.Duration {
-	at := m.now
-	for _, b := range m.primary.record.Backups {
-		at = min(at, m.primary.confirmed[b])
+func (machine *machine) confirmedAt() time.Duration {
+	at := machine.now
+	for _, folder := range machine.primary.record.Backups {
+		at = min(at, machine.primary.confirmed[folder])
 	}
 	return at
 }
 
-func (m *machine) confirmedWithin(d time.Duration) bool { return m.now-m.confirmedAt() < d }
+func (machine *machine) confirmedWithin(d time.Duration) bool {
+	return machine.now-machine.confirmedAt() < d
+}
 
-func (m *machine) leadershipTimers() {
-	r := m.primary
-	if m.proposal == nil && !m.confirmedWithin(m.timing.fresh) {
-		m.stepDown("backups are silent")
+func (machine *machine) leadershipTimers() {
+	primary := machine.primary
+	if machine.proposal == nil && !machine.confirmedWithin(machine.timing.fresh) {
+		machine.stepDown("backups are silent")
 		return
 	}
-	if m.now >= r.next {
-		r.next = m.now + m.timing.heartbeat
-		for _, address := range m.addresses() {
-			member := slices.ContainsFunc(r.record.Members, func(v *tierv1.Member) bool { return v.Address == address })
-			if member || m.silent(address) < 5*m.timing.swap { // others ask to join when they are back
-				m.sendHeartbeat(address)
+	if machine.now >= primary.next {
+		primary.next = machine.now + machine.timing.heartbeat
+		for _, address := range machine.addresses() {
+			member := slices.ContainsFunc(primary.record.Members, func(v *tierv1.Member) bool { return v.Address == address })
+			if member || machine.silent(address) < 5*machine.timing.swap { // others ask to join when they are back
+				machine.sendHeartbeat(address)
 			}
 		}
 	}
-	if m.proposal == nil && m.now >= r.retryAt {
-		if want, ok := m.maintain(); ok {
-			m.propose(want)
+	if machine.proposal == nil && machine.now >= primary.retryAt {
+		if want, ok := machine.maintain(); ok {
+			machine.propose(want)
 		}
 	}
 }
 
-func (m *machine) sendHeartbeat(address string) {
-	p := m.peer(address)
-	if p.asking {
+func (machine *machine) sendHeartbeat(address string) {
+	peer := machine.peer(address)
+	if peer.asking {
 		return
 	}
-	p.asking = true
-	began := m.now
-	m.call(address, &tierv1.HeartbeatRequest{Record: m.primary.record, From: m.self}, false, func(body proto.Message) {
-		p.asking = false
-		a, _ := body.(*tierv1.HeartbeatReply)
-		if a == nil || a.Self == nil {
+	peer.asking = true
+	began := machine.now
+	machine.call(address, &tierv1.HeartbeatRequest{Record: machine.primary.record, From: machine.self}, false, func(body proto.Message) {
+		peer.asking = false
+		reply, _ := body.(*tierv1.HeartbeatReply)
+		if reply == nil || reply.Self == nil {
 			return
 		}
-		m.replied(a.Self, began)
-		p.voter = a.Member
-		m.highest = max(m.highest, a.Highest)
-		r := m.primary
-		if r == nil || !slices.Contains(r.record.Backups, a.Self.Folder) {
+		machine.replied(reply.Self, began)
+		peer.voter = reply.Member
+		machine.highest = max(machine.highest, reply.Highest)
+		primary := machine.primary
+		if primary == nil || !slices.Contains(primary.record.Backups, reply.Self.Folder) {
 			return
 		}
-		if a.Highest == r.record.Epoch || m.promisedProposal(a.Self.Folder, a.Highest) {
-			r.confirmed[a.Self.Folder] = max(r.confirmed[a.Self.Folder], began)
-		} else if a.Highest > r.record.Epoch {
-			r.renew = true
+		if reply.Highest == primary.record.Epoch || machine.promisedProposal(reply.Self.Folder, reply.Highest) {
+			primary.confirmed[reply.Self.Folder] = max(primary.confirmed[reply.Self.Folder], began)
+		} else if reply.Highest > primary.record.Epoch {
+			primary.renew = true
 		}
 	})
 }
 
 // promisedProposal tells whether a folder has given its promise of an epoch to this node's proposal under way. The epoch alone
 // does not tell: two folders may propose the same one, and a heartbeat's reply does not say to whom a promise went.
-func (m *machine) promisedProposal(folder string, epoch uint64) bool {
-	p := m.proposal
-	return p != nil && epoch == p.epoch && p.replies[folder] != nil
+func (machine *machine) promisedProposal(folder string, epoch uint64) bool {
+	proposal := machine.proposal
+	return proposal != nil && epoch == proposal.epoch && proposal.replies[folder] != nil
 }
--- a/internal/tier/consensus/machine.go
+++ b/internal/tier/consensus/machine.go
@@ -51,177 +51,177 @@
 }
 
 // resume sets a new machine's clock, and the number of the last call that earlier machines of the process made.
-func (m *machine) resume(now time.Duration, lastCall uint64) {
-	m.now = now
-	m.tryAt += now
-	m.joinAt += now
-	m.nextID = lastCall
+func (machine *machine) resume(now time.Duration, lastCall uint64) {
+	machine.now = now
+	machine.tryAt += now
+	machine.joinAt += now
+	machine.nextID = lastCall
 }
 
-func (m *machine) jitter(d time.Duration) time.Duration {
-	return time.Duration(m.random.Int64N(int64(d) + 1))
+func (machine *machine) jitter(d time.Duration) time.Duration {
+	return time.Duration(machine.random.Int64N(int64(d) + 1))
 }
 
 // Step takes events at now, a steady time, and gives what is to be done. What it says must be written and synced
 // before the next step.
-func (m *machine) Step(now time.Duration, events ...event) *actions {
-	m.now, m.out = now, new(actions)
+func (machine *machine) Step(now time.Duration, events ...event) *actions {
+	machine.now, machine.out = now, new(actions)
 	for _, e := range events {
 		switch e := e.(type) {
 		case request:
-			m.out.replies = append(m.out.replies, reply{e.token, m.serve(e.body)})
+			machine.out.replies = append(machine.out.replies, reply{e.token, machine.serve(e.body)})
 		case answer:
-			if f := m.pending[e.id]; f != nil {
-				delete(m.pending, e.id)
+			if f := machine.pending[e.id]; f != nil {
+				delete(machine.pending, e.id)
 				f(e.body)
 			}
 		case put:
-			m.put(e)
+			machine.put(e)
 		case confirm:
-			m.confirm(e)
+			machine.confirm(e)
 		case tick:
 		}
 	}
-	m.timers()
-	return m.out
+	machine.timers()
+	return machine.out
 }
 
-func (m *machine) serve(body proto.Message) proto.Message {
+func (machine *machine) serve(body proto.Message) proto.Message {
 	switch q := body.(type) {
 	case *tierv1.PromiseRequest:
-		return m.promise(q)
+		return machine.promise(q)
 	case *tierv1.AcceptRequest:
-		return m.accept(q)
+		return machine.accept(q)
 	case *tierv1.HeartbeatRequest:
-		return m.heartbeat(q)
+		return machine.heartbeat(q)
 	case *tierv1.WriteRequest:
-		return m.write(q)
+		return machine.write(q)
 	case *tierv1.JoinRequest:
-		return m.join(q)
+		return machine.join(q)
 	}
 	return nil
 }
 
-func (m *machine) store(record []byte, sync bool) {
-	m.out.records = append(m.out.records, record)
-	m.out.sync = m.out.sync || sync
+func (machine *machine) store(record []byte, sync bool) {
+	machine.out.records = append(machine.out.records, record)
+	machine.out.sync = machine.out.sync || sync
 }
 
 // call asks another node; then is called with its answer, or nil where there is none.
-func (m *machine) call(address string, body proto.Message, early bool, then func(proto.Message)) {
-	m.nextID++
-	m.pending[m.nextID] = then
-	c := call{m.nextID, address, body, m.timing.call}
+func (machine *machine) call(address string, body proto.Message, early bool, then func(proto.Message)) {
+	machine.nextID++
+	machine.pending[machine.nextID] = then
+	c := call{machine.nextID, address, body, machine.timing.call}
 	if early {
-		m.out.early = append(m.out.early, c)
+		machine.out.early = append(machine.out.early, c)
 	} else {
-		m.out.calls = append(m.out.calls, c)
+		machine.out.calls = append(machine.out.calls, c)
 	}
 }
 
 // base is the newest record that this folder accepted or knows to be chosen; the genesis record where there is none
 // and the folder was made at the first start; else nil.
-func (m *machine) base() *tierv1.Record {
-	if r := newest(m.accepted, m.chosen); r != nil {
+func (machine *machine) base() *tierv1.Record {
+	if r := newest(machine.accepted, machine.chosen); r != nil {
 		return r
 	}
-	return m.genesis()
+	return machine.genesis()
 }
 
 // known is the newest chosen record known, the genesis record included.
-func (m *machine) known() *tierv1.Record {
-	if m.chosen != nil {
-		return m.chosen
+func (machine *machine) known() *tierv1.Record {
+	if machine.chosen != nil {
+		return machine.chosen
 	}
-	return m.genesis()
+	return machine.genesis()
 }
 
-func (m *machine) genesis() *tierv1.Record {
-	if !m.Genesis {
+func (machine *machine) genesis() *tierv1.Record {
+	if !machine.Genesis {
 		return nil
 	}
 	r := &tierv1.Record{}
-	for _, a := range m.Seeds {
+	for _, a := range machine.Seeds {
 		r.Members = append(r.Members, &tierv1.Member{Address: a})
 	}
 	return r
 }
 
 // isVoter tells whether this folder is among members.
-func (m *machine) isVoter(members []*tierv1.Member) bool {
+func (machine *machine) isVoter(members []*tierv1.Member) bool {
 	return slices.ContainsFunc(members, func(v *tierv1.Member) bool {
-		return voter(v, m.Folder, m.self.Address, m.Genesis)
+		return voter(v, machine.Folder, machine.self.Address, machine.Genesis)
 	})
 }
 
 // learn takes a record that another node knows to be chosen.
-func (m *machine) learn(r *tierv1.Record) {
-	if r == nil || r.Epoch <= epochOf(m.chosen) {
+func (machine *machine) learn(record *tierv1.Record) {
+	if record == nil || record.Epoch <= epochOf(machine.chosen) {
 		return
 	}
-	m.chosen = r
-	m.highest = max(m.highest, r.Epoch)
-	m.store(encodeMessage(kindChosen, r), false)
-	m.out.changed = true
-	if m.primary != nil && r.Epoch > m.primary.record.Epoch {
-		m.stepDown("deposed")
+	machine.chosen = record
+	machine.highest = max(machine.highest, record.Epoch)
+	machine.store(encodeMessage(kindChosen, record), false)
+	machine.out.changed = true
+	if machine.primary != nil && record.Epoch > machine.primary.record.Epoch {
+		machine.stepDown("deposed")
 	}
-	if m.proposal != nil && r.Epoch >= m.proposal.epoch && m.proposal.epoch > 0 {
-		m.abandon("deposed")
+	if machine.proposal != nil && record.Epoch >= machine.proposal.epoch && machine.proposal.epoch > 0 {
+		machine.abandon("deposed")
 	}
 }
 
 // timers does what is due.
-func (m *machine) timers() {
-	m.advanceAll()
-	if m.primary != nil {
-		m.leadershipTimers()
-	}
-	if m.primary == nil && m.proposal == nil && m.now >= m.tryAt {
-		m.candidate()
-	}
-	m.advanceAll()
-	if m.primary == nil && m.leaderAlive() && m.now >= m.probeAt {
-		m.probe()
-	}
-	if m.primary == nil && m.now >= m.joinAt {
-		m.joinAt = m.now + m.timing.join + m.jitter(m.timing.heartbeat)
-		if !m.leaderAlive() { // a primary that heartbeats knows this node
-			m.askToJoin()
+func (machine *machine) timers() {
+	machine.advanceAll()
+	if machine.primary != nil {
+		machine.leadershipTimers()
+	}
+	if machine.primary == nil && machine.proposal == nil && machine.now >= machine.tryAt {
+		machine.candidate()
+	}
+	machine.advanceAll()
+	if machine.primary == nil && machine.leaderAlive() && machine.now >= machine.probeAt {
+		machine.probe()
+	}
+	if machine.primary == nil && machine.now >= machine.joinAt {
+		machine.joinAt = machine.now + machine.timing.join + machine.jitter(machine.timing.heartbeat)
+		if !machine.leaderAlive() { // a primary that heartbeats knows this node
+			machine.askToJoin()
 		}
 	}
 }
 
 // advanceAll lets the proposal, and one that follows it, go as far as they can without an answer.
-func (m *machine) advanceAll() {
-	for m.proposal != nil {
-		p, phase := m.proposal, m.proposal.phase
-		m.advance()
-		if m.proposal == p && p.phase == phase {
+func (machine *machine) advanceAll() {
+	for machine.proposal != nil {
+		proposal, phase := machine.proposal, machine.proposal.phase
+		machine.advance()
+		if machine.proposal == proposal && proposal.phase == phase {
 			return
 		}
 	}
 }
 
 // wake is when the next step is due at the latest.
-func (m *machine) wake() time.Duration {
+func (machine *machine) wake() time.Duration {
 	var at time.Duration
-	if m.primary != nil {
-		at = m.primary.next
-		if m.primary.retryAt > m.now {
-			at = min(at, m.primary.retryAt)
+	if machine.primary != nil {
+		at = machine.primary.next
+		if machine.primary.retryAt > machine.now {
+			at = min(at, machine.primary.retryAt)
 		}
 	} else {
-		at = m.joinAt
-		if m.leaderAlive() {
-			at = min(at, m.probeAt)
+		at = machine.joinAt
+		if machine.leaderAlive() {
+			at = min(at, machine.probeAt)
 		}
-		if m.proposal == nil {
-			at = min(at, m.tryAt)
+		if machine.proposal == nil {
+			at = min(at, machine.tryAt)
 		}
 	}
-	if m.proposal != nil {
-		at = min(at, m.proposal.wake())
+	if machine.proposal != nil {
+		at = min(at, machine.proposal.wake())
 	}
 	return at
 }
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -56,8 +56,8 @@
 }
 
 // leads tells whether the process may act as primary at a time: its lease counts, or there is nobody else to ask.
-func (v *view) leads(now, fresh time.Duration) bool {
-	return v.primary && (v.alone || now-v.confirmed < fresh)
+func (view *view) leads(now, fresh time.Duration) bool {
+	return view.primary && (view.alone || now-view.confirmed < fresh)
 }
 
 var _ Store = (*Node)(nil)
@@ -93,11 +93,11 @@
 }
 
 // now is a steady time that goes on while the process is paused, but not while the whole machine sleeps.
-func (n *Node) now() time.Duration { return n.clock() }
+func (node *Node) now() time.Duration { return node.clock() }
 
 // Run steps the machine until the context ends. A disk that fails does not end it; a file that can no longer be read does.
-func (n *Node) Run(ctx context.Context) error {
-	defer n.stop()
+func (node *Node) Run(ctx context.Context) error {
+	defer node.stop()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -105,147 +105,147 @@
 		case <-ctx.Done():
 			return nil
 		case <-timer.C:
-		case <-n.wake:
+		case <-node.wake:
 		}
-		if err := n.turn(ctx); err != nil {
+		if err := node.turn(ctx); err != nil {
 			return err
 		}
-		timer.Reset(max(n.nextWake()-n.now(), time.Millisecond))
+		timer.Reset(max(node.nextWake()-node.now(), time.Millisecond))
 	}
 }
 
 // turn is one pass of the loop: it brings the disk back where that is due, then takes a step with all events that wait.
-func (n *Node) turn(ctx context.Context) error {
-	if n.machine == nil && n.now() >= n.disk.retryAt {
-		if err := n.retryDisk(); err != nil {
+func (node *Node) turn(ctx context.Context) error {
+	if node.machine == nil && node.now() >= node.disk.retryAt {
+		if err := node.retryDisk(); err != nil {
 			return err
 		}
 	}
-	if n.machine == nil {
+	if node.machine == nil {
 		return nil
 	}
-	n.mu.Lock()
-	events := n.inbox
-	n.inbox = nil
-	n.mu.Unlock()
-	n.do(ctx, n.machine.Step(n.now(), events...))
+	node.mu.Lock()
+	events := node.inbox
+	node.inbox = nil
+	node.mu.Unlock()
+	node.do(ctx, node.machine.Step(node.now(), events...))
 	return nil
 }
 
 // nextWake is when the loop is due at the latest.
-func (n *Node) nextWake() time.Duration {
-	if n.machine == nil {
-		return n.disk.retryAt
+func (node *Node) nextWake() time.Duration {
+	if node.machine == nil {
+		return node.disk.retryAt
 	}
-	return n.machine.wake()
+	return node.machine.wake()
 }
 
 // do carries out what a step wants, in its order. Where the disk fails, only the early calls have left.
-func (n *Node) do(ctx context.Context, out *actions) {
+func (node *Node) do(ctx context.Context, out *actions) {
 	for _, c := range out.early {
-		n.send(ctx, c)
+		node.send(ctx, c)
 	}
-	if err := n.write(out); err != nil {
-		n.failDisk(err)
+	if err := node.write(out); err != nil {
+		node.failDisk(err)
 		return
 	}
-	n.publish(out.changed)
+	node.publish(out.changed)
 	for _, c := range out.calls {
-		n.send(ctx, c)
+		node.send(ctx, c)
 	}
-	n.mu.Lock()
+	node.mu.Lock()
 	for _, r := range out.replies {
-		if c := n.replies[r.token]; c != nil {
-			delete(n.replies, r.token)
+		if c := node.replies[r.token]; c != nil {
+			delete(node.replies, r.token)
 			c <- r.body
 		}
 	}
 	for _, o := range out.outcomes {
-		if c := n.outcomes[o.token]; c != nil {
-			delete(n.outcomes, o.token)
+		if c := node.outcomes[o.token]; c != nil {
+			delete(node.outcomes, o.token)
 			c <- o
 		}
 	}
-	n.mu.Unlock()
-	if n.config.Log != nil {
+	node.mu.Unlock()
+	if node.config.Log != nil {
 		for _, what := range out.news {
-			n.config.Log.Info().Str("what", what).Uint64("promised", n.machine.promised).
-				Uint64("chosen", epochOf(n.machine.chosen)).Uint64("sequence", n.machine.sequence).Msg("control")
+			node.config.Log.Info().Str("what", what).Uint64("promised", node.machine.promised).
+				Uint64("chosen", epochOf(node.machine.chosen)).Uint64("sequence", node.machine.sequence).Msg("control")
 		}
 	}
 }
 
 // post hands an event to the loop; false once it has ended, or while the disk fails.
-func (n *Node) post(e event) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.postLocked(e)
+func (node *Node) post(e event) bool {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return node.postLocked(e)
 }
 
-func (n *Node) postLocked(e event) bool {
-	if n.stopped || n.view.health.Disk != nil {
+func (node *Node) postLocked(e event) bool {
+	if node.stopped || node.view.health.Disk != nil {
 		return false
 	}
-	n.inbox = append(n.inbox, e)
+	node.inbox = append(node.inbox, e)
 	select {
-	case n.wake <- struct{}{}:
+	case node.wake <- struct{}{}:
 	default:
 	}
 	return true
 }
 
 // stop ends the loop: pending callers are notified that the outcome is unknown.
-func (n *Node) stop() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.stopped = true
-	n.view.primary = false
-	n.endCallers()
-	if n.file != nil {
-		_ = n.file.Close()
+func (node *Node) stop() {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	node.stopped = true
+	node.view.primary = false
+	node.endCallers()
+	if node.file != nil {
+		_ = node.file.Close()
 	}
 }
 
-func (n *Node) wait(ctx context.Context, as func(token uint64) event) (uint64, error) {
+func (node *Node) wait(ctx context.Context, as func(token uint64) event) (uint64, error) {
 	c := make(chan outcome, 1)
-	n.mu.Lock()
-	n.token++
-	token := n.token
-	n.outcomes[token] = c
-	if !n.postLocked(as(token)) {
-		delete(n.outcomes, token)
-		n.mu.Unlock()
+	node.mu.Lock()
+	node.token++
+	token := node.token
+	node.outcomes[token] = c
+	if !node.postLocked(as(token)) {
+		delete(node.outcomes, token)
+		node.mu.Unlock()
 		return 0, ErrNotPrimary
 	}
-	n.mu.Unlock()
+	node.mu.Unlock()
 	select {
 	case o := <-c:
 		return o.sequence, o.err
 	case <-ctx.Done():
-		n.mu.Lock()
-		delete(n.outcomes, token)
-		n.mu.Unlock()
+		node.mu.Lock()
+		delete(node.outcomes, token)
+		node.mu.Unlock()
 		return 0, fmt.Errorf("%w: %w", ErrUnknown, ctx.Err())
 	}
 }
 
 // Put implements Store.
-func (n *Node) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
+func (node *Node) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
 	sets = maps.Clone(sets)
-	return n.wait(ctx, func(token uint64) event { return put{token, epoch, sets} })
+	return node.wait(ctx, func(token uint64) event { return put{token, epoch, sets} })
 }
 
 // Confirm implements Store. The lease is asked again at the moment of the answer: a process that was paused after its round
 // trip finds that it is late.
-func (n *Node) Confirm(ctx context.Context, epoch uint64) error {
-	if _, err := n.wait(ctx, func(token uint64) event { return confirm{token, epoch} }); err != nil {
+func (node *Node) Confirm(ctx context.Context, epoch uint64) error {
+	if _, err := node.wait(ctx, func(token uint64) event { return confirm{token, epoch} }); err != nil {
 		return err
 	}
-	if _, ok := n.Primary(); !ok {
+	if _, ok := node.Primary(); !ok {
 		return ErrNotPrimary
 	}
 	return nil
 }
 
 // Handler serves Election.
-func (n *Node) Handler() http.Handler { return tierv1.NewElectionServer(server{n}) }
+func (node *Node) Handler() http.Handler { return tierv1.NewElectionServer(server{node}) }
--- a/internal/tier/consensus/peers.go
+++ b/internal/tier/consensus/peers.go
@@ -21,73 +21,73 @@
 	voter    bool           // it says that it is a member of the record in force
 }
 
-func (m *machine) peer(address string) *peer {
-	p := m.peers[address]
+func (machine *machine) peer(address string) *peer {
+	p := machine.peers[address]
 	if p == nil {
-		p = &peer{first: m.now}
-		m.peers[address] = p
+		p = &peer{first: machine.now}
+		machine.peers[address] = p
 	}
 	return p
 }
 
 // met notes a node that called: one way, so it proves nothing about the way back.
-func (m *machine) met(member *tierv1.Member) *peer {
-	if member == nil || member.Address == "" || member.Folder == "" || member.Address == m.self.Address {
+func (machine *machine) met(member *tierv1.Member) *peer {
+	if member == nil || member.Address == "" || member.Folder == "" || member.Address == machine.self.Address {
 		return nil
 	}
-	p := m.peer(member.Address)
-	if p.member == nil || !proto.Equal(p.member, member) {
-		p.member, m.out.changed = member, true
+	peer := machine.peer(member.Address)
+	if peer.member == nil || !proto.Equal(peer.member, member) {
+		peer.member, machine.out.changed = member, true
 	}
-	p.met = true
-	return p
+	peer.met = true
+	return peer
 }
 
 // replied notes that a node answered a call that began at that time.
-func (m *machine) replied(member *tierv1.Member, began time.Duration) *peer {
-	p := m.met(member)
-	if p != nil {
-		if began >= p.answered {
-			p.answered, p.trip = began, m.now-began
+func (machine *machine) replied(member *tierv1.Member, began time.Duration) *peer {
+	peer := machine.met(member)
+	if peer != nil {
+		if began >= peer.answered {
+			peer.answered, peer.trip = began, machine.now-began
 		}
-		p.replied = true
+		peer.replied = true
 	}
-	return p
+	return peer
 }
 
 // silent is how long a node has not answered.
-func (m *machine) silent(address string) time.Duration {
-	p := m.peer(address)
-	since := max(p.answered, p.first)
-	if m.primary != nil {
-		since = max(since, m.primary.began)
+func (machine *machine) silent(address string) time.Duration {
+	peer := machine.peer(address)
+	since := max(peer.answered, peer.first)
+	if machine.primary != nil {
+		since = max(since, machine.primary.began)
 	}
-	return m.now - since
+	return machine.now - since
 }
 
 // alive tells whether the folder of a member, or the one at its address where it has none, answered within d.
-func (m *machine) alive(member *tierv1.Member, d time.Duration) bool {
-	p := m.peers[member.Address]
-	return p != nil && p.replied && (member.Folder == "" || p.member.Folder == member.Folder) && m.now-p.answered <= d
+func (machine *machine) alive(member *tierv1.Member, d time.Duration) bool {
+	peer := machine.peers[member.Address]
+	return peer != nil && peer.replied && (member.Folder == "" || peer.member.Folder == member.Folder) && machine.now-peer.answered <= d
 }
 
 // addresses are all other control-plane processes that are known.
-func (m *machine) addresses() (list []string) {
+func (machine *machine) addresses() (list []string) {
 	add := func(a string) {
-		if a != "" && a != m.self.Address && !slices.Contains(list, a) {
+		if a != "" && a != machine.self.Address && !slices.Contains(list, a) {
 			list = append(list, a)
 		}
 	}
-	for _, set := range configurations(m.known()) {
-		for _, v := range set {
-			add(v.Address)
+	for _, set := range configurations(machine.known()) {
+		for _, member := range set {
+			add(member.Address)
 		}
 	}
-	for _, a := range m.seeds {
+	for _, a := range machine.seeds {
 		add(a)
 	}
-	for a, p := range m.peers {
-		if p.met {
+	for a, peer := range machine.peers {
+		if peer.met {
 			add(a)
 		}
 	}
@@ -95,31 +95,33 @@
 	return list
 }
 
-func (m *machine) knownMembers() []*tierv1.Member {
-	if r := m.known(); r != nil {
+func (machine *machine) knownMembers() []*tierv1.Member {
+	if r := machine.known(); r != nil {
 		return r.Members
 	}
 	return nil
 }
 
 // leaderAlive reports whether a heartbeat of the primary came within timing.silence.
-func (m *machine) leaderAlive() bool { return m.observed && m.now-m.observedAt < m.timing.silence }
+func (machine *machine) leaderAlive() bool {
+	return machine.observed && machine.now-machine.observedAt < machine.timing.silence
+}
 
 // probe asks a primary whose heartbeat is late whether it is there. A call that fails at once, as one to a dead port does, ends
 // this node's patience with it; that is a guess that decides nothing: the others are asked as ever. One without any
 // answer is waited for as before.
-func (m *machine) probe() {
-	m.probeAt = m.now + m.timing.heartbeat
-	began := m.now
-	m.call(m.hint, &tierv1.JoinRequest{From: m.self}, true, func(body proto.Message) {
-		if body != nil || m.now-began >= m.timing.call/2 || m.primary != nil || !m.observed || m.observedAt >= began {
+func (machine *machine) probe() {
+	machine.probeAt = machine.now + machine.timing.heartbeat
+	began := machine.now
+	machine.call(machine.hint, &tierv1.JoinRequest{From: machine.self}, true, func(body proto.Message) {
+		if body != nil || machine.now-began >= machine.timing.call/2 || machine.primary != nil || !machine.observed || machine.observedAt >= began {
 			return
 		}
-		m.observed = false
-		wait := m.timing.heartbeat/8 + m.jitter(m.timing.heartbeat/8) // the others find out, too
-		if r := m.base(); r != nil && !named(r, m.Folder) {
-			wait += m.timing.silence / 2
+		machine.observed = false
+		wait := machine.timing.heartbeat/8 + machine.jitter(machine.timing.heartbeat/8) // the others find out, too
+		if r := machine.base(); r != nil && !named(r, machine.Folder) {
+			wait += machine.timing.silence / 2
 		}
-		m.tryAt = min(m.tryAt, m.now+wait)
+		machine.tryAt = min(machine.tryAt, machine.now+wait)
 	})
 }
--- a/internal/tier/consensus/proposal.go
+++ b/internal/tier/consensus/proposal.go
@@ -51,114 +51,114 @@
 }
 
 // patience is how long a primary may be silent before this folder asks to take over: those with a copy go first.
-func (m *machine) patience() time.Duration {
-	d := m.timing.silence + m.jitter(m.timing.heartbeat/2)
-	if r := m.base(); r != nil && !named(r, m.Folder) && r.Epoch > 0 {
-		d += m.timing.silence / 2
+func (machine *machine) patience() time.Duration {
+	d := machine.timing.silence + machine.jitter(machine.timing.heartbeat/2)
+	if record := machine.base(); record != nil && !named(record, machine.Folder) && record.Epoch > 0 {
+		d += machine.timing.silence / 2
 	}
 	return d
 }
 
 // candidate asks whether it could take over.
-func (m *machine) candidate() {
-	m.tryAt = m.now + m.patience()
-	base := m.base()
-	if base == nil || m.leaderAlive() || !slices.ContainsFunc(configurations(base), m.isVoter) {
+func (machine *machine) candidate() {
+	machine.tryAt = machine.now + machine.patience()
+	base := machine.base()
+	if base == nil || machine.leaderAlive() || !slices.ContainsFunc(configurations(base), machine.isVoter) {
 		return
 	}
-	m.begin(&proposal{phase: asking})
+	machine.begin(&proposal{phase: asking})
 }
 
 // propose begins a record of its own epoch.
-func (m *machine) propose(want plan) {
-	epoch := nextEpoch(max(m.highest, m.promised), m.Folder)
-	m.grantPromise(epoch, m.Folder)
-	m.begin(&proposal{plan: want, phase: promising, epoch: epoch})
+func (machine *machine) propose(want plan) {
+	epoch := nextEpoch(max(machine.highest, machine.promised), machine.Folder)
+	machine.grantPromise(epoch, machine.Folder)
+	machine.begin(&proposal{plan: want, phase: promising, epoch: epoch})
 }
 
-func (m *machine) begin(p *proposal) {
-	p.base = m.base()
-	p.deadline = m.now + 3*m.timing.call
-	p.asked = make(map[string]bool)
-	p.replies = map[string]*tierv1.PromiseReply{m.Folder: {Promised: true, Self: m.self, Genesis: m.Genesis,
-		Highest: m.promised, Accepted: m.accepted, Chosen: m.chosen, Sequence: m.sequence}}
-	p.copied, p.copies = make(map[string]time.Duration), make(map[string]bool)
-	p.bad, p.accepted = make(map[string]bool), make(map[string]bool)
-	m.proposal = p
-	m.ask()
+func (machine *machine) begin(proposal *proposal) {
+	proposal.base = machine.base()
+	proposal.deadline = machine.now + 3*machine.timing.call
+	proposal.asked = make(map[string]bool)
+	proposal.replies = map[string]*tierv1.PromiseReply{machine.Folder: {Promised: true, Self: machine.self, Genesis: machine.Genesis,
+		Highest: machine.promised, Accepted: machine.accepted, Chosen: machine.chosen, Sequence: machine.sequence}}
+	proposal.copied, proposal.copies = make(map[string]time.Duration), make(map[string]bool)
+	proposal.bad, proposal.accepted = make(map[string]bool), make(map[string]bool)
+	machine.proposal = proposal
+	machine.ask()
 }
 
 // ask asks all members that the newest records seen name for their promise.
 //
 // What the newest record seen names is enough to ask: a record without a former set follows one that its proposer knew
 // to be chosen, or has the same members, so its members are in force; one with a former set names those in force there.
-func (m *machine) ask() {
-	p := m.proposal
-	sets := configurations(p.base, m.known())
-	if p.in != nil {
-		sets = append(sets, []*tierv1.Member{p.in})
+func (machine *machine) ask() {
+	proposal := machine.proposal
+	sets := configurations(proposal.base, machine.known())
+	if proposal.in != nil {
+		sets = append(sets, []*tierv1.Member{proposal.in})
 	}
 	for _, set := range sets {
-		for _, v := range set {
-			if v.Address == m.self.Address || p.asked[v.Address] {
+		for _, member := range set {
+			if member.Address == machine.self.Address || proposal.asked[member.Address] {
 				continue
 			}
-			p.asked[v.Address] = true
-			p.open++
-			began := m.now
-			m.call(v.Address, &tierv1.PromiseRequest{Epoch: p.epoch, From: m.self}, true, func(body proto.Message) {
-				a, _ := body.(*tierv1.PromiseReply)
-				m.answered(p, a, began)
+			proposal.asked[member.Address] = true
+			proposal.open++
+			began := machine.now
+			machine.call(member.Address, &tierv1.PromiseRequest{Epoch: proposal.epoch, From: machine.self}, true, func(body proto.Message) {
+				reply, _ := body.(*tierv1.PromiseReply)
+				machine.answered(proposal, reply, began)
 			})
 		}
 	}
 }
 
-func (m *machine) answered(p *proposal, a *tierv1.PromiseReply, began time.Duration) {
-	if a != nil {
-		m.replied(a.Self, began)
-		m.highest = max(m.highest, a.Highest)
-		m.learn(a.Chosen)
+func (machine *machine) answered(proposal *proposal, reply *tierv1.PromiseReply, began time.Duration) {
+	if reply != nil {
+		machine.replied(reply.Self, began)
+		machine.highest = max(machine.highest, reply.Highest)
+		machine.learn(reply.Chosen)
 	}
-	if m.proposal != p {
+	if machine.proposal != proposal {
 		return
 	}
-	if p.phase <= promising {
-		p.open--
+	if proposal.phase <= promising {
+		proposal.open--
 	}
-	if a == nil || a.Self == nil {
+	if reply == nil || reply.Self == nil {
 		return
 	}
-	if p.phase <= promising {
-		p.base = newest(newest(p.base, a.Accepted), a.Chosen)
-		m.ask()
+	if proposal.phase <= promising {
+		proposal.base = newest(newest(proposal.base, reply.Accepted), reply.Chosen)
+		machine.ask()
 	}
-	if !a.Promised {
+	if !reply.Promised {
 		return
 	}
-	p.replies[a.Self.Folder] = a
-	if p.phase == accepting {
-		m.askAccept(a.Self)
+	proposal.replies[reply.Self.Folder] = reply
+	if proposal.phase == accepting {
+		machine.askAccept(reply.Self)
 	}
 }
 
 // standsFor tells whether the reply of a folder counts as a member's.
-func (m *machine) standsFor(a *tierv1.PromiseReply, v *tierv1.Member) bool {
-	return voter(v, a.Self.Folder, a.Self.Address, a.Genesis)
+func (machine *machine) standsFor(reply *tierv1.PromiseReply, member *tierv1.Member) bool {
+	return voter(member, reply.Self.Folder, reply.Self.Address, reply.Genesis)
 }
 
-func (m *machine) promisedBy(v *tierv1.Member) bool {
-	for _, a := range m.proposal.replies {
-		if m.standsFor(a, v) {
+func (machine *machine) promisedBy(member *tierv1.Member) bool {
+	for _, reply := range machine.proposal.replies {
+		if machine.standsFor(reply, member) {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *machine) acceptedBy(v *tierv1.Member) bool {
-	for folder, a := range m.proposal.replies {
-		if m.proposal.accepted[folder] && m.standsFor(a, v) {
+func (machine *machine) acceptedBy(member *tierv1.Member) bool {
+	for folder, reply := range machine.proposal.replies {
+		if machine.proposal.accepted[folder] && machine.standsFor(reply, member) {
 			return true
 		}
 	}
@@ -166,69 +166,69 @@
 }
 
 // advance goes on with the proposal as far as the answers allow.
-func (m *machine) advance() {
-	p := m.proposal
-	if p.phase > promising && epochOf(m.known()) > p.base.Epoch {
-		m.fail("a newer record was chosen")
+func (machine *machine) advance() {
+	proposal := machine.proposal
+	if proposal.phase > promising && epochOf(machine.known()) > proposal.base.Epoch {
+		machine.fail("a newer record was chosen")
 		return
 	}
-	if p.phase <= promising && !m.gatherPromises() {
+	if proposal.phase <= promising && !machine.gatherPromises() {
 		return
 	}
-	if m.proposal == p && p.phase == copying {
-		m.copyOut()
+	if machine.proposal == proposal && proposal.phase == copying {
+		machine.copyOut()
 	}
-	if m.proposal == p && p.phase == accepting && m.gatherAccepts() {
+	if machine.proposal == proposal && proposal.phase == accepting && machine.gatherAccepts() {
 		return
 	}
-	if m.proposal == p && m.now >= p.deadline {
-		m.fail("out of time")
+	if machine.proposal == proposal && machine.now >= proposal.deadline {
+		machine.fail("out of time")
 	}
 }
 
 // gatherPromises goes on with a proposal that waits for promises. It reports whether the target is decided: else the
 // proposal waits on, has failed, or another follows it.
-func (m *machine) gatherPromises() bool {
-	p := m.proposal
-	p.base = newest(p.base, m.known())
-	if p.epoch > 0 && epochOf(p.base) >= p.epoch {
-		m.fail("a newer record was seen")
+func (machine *machine) gatherPromises() bool {
+	proposal := machine.proposal
+	proposal.base = newest(proposal.base, machine.known())
+	if proposal.epoch > 0 && epochOf(proposal.base) >= proposal.epoch {
+		machine.fail("a newer record was seen")
 		return false
 	}
-	if !majorities(configurations(p.base), m.promisedBy) {
-		if p.open == 0 || m.now >= p.deadline {
-			m.fail("no majority promises")
+	if !majorities(configurations(proposal.base), machine.promisedBy) {
+		if proposal.open == 0 || machine.now >= proposal.deadline {
+			machine.fail("no majority promises")
 		}
 		return false
 	}
-	if p.grace == 0 {
-		p.grace = m.now + m.patienceFor(p)
+	if proposal.grace == 0 {
+		proposal.grace = machine.now + machine.patienceFor(proposal)
 	}
-	if p.open > 0 && m.now < p.grace {
+	if proposal.open > 0 && machine.now < proposal.grace {
 		return false
 	}
-	if !m.eligible(p.base) {
-		m.fail("the newest record does not name this folder")
+	if !machine.eligible(proposal.base) {
+		machine.fail("the newest record does not name this folder")
 		return false
 	}
-	if p.phase == asking {
-		m.propose(plan{})
+	if proposal.phase == asking {
+		machine.propose(plan{})
 		return false
 	}
-	m.decide()
+	machine.decide()
 	return true
 }
 
 // gatherAccepts goes on with a proposal that waits for majorities to accept its target, and reports whether it has ended:
 // chosen, or failed.
-func (m *machine) gatherAccepts() bool {
-	p := m.proposal
-	if majorities(configurations(p.base, p.target), m.acceptedBy) {
-		m.leadership(p)
+func (machine *machine) gatherAccepts() bool {
+	proposal := machine.proposal
+	if majorities(configurations(proposal.base, proposal.target), machine.acceptedBy) {
+		machine.leadership(proposal)
 		return true
 	}
-	if p.open == 0 {
-		m.fail("no majority accepts")
+	if proposal.open == 0 {
+		machine.fail("no majority accepts")
 		return true
 	}
 	return false
@@ -236,42 +236,42 @@
 
 // patienceFor is how long answers beyond the majority are waited for: the way there and back of the farthest asked, as
 // far as that is known, so that members of a far region are not left out of each record.
-func (m *machine) patienceFor(p *proposal) time.Duration {
+func (machine *machine) patienceFor(proposal *proposal) time.Duration {
 	var trip time.Duration
-	for address := range p.asked {
-		if o := m.peers[address]; o != nil {
-			trip = max(trip, o.trip)
+	for address := range proposal.asked {
+		if peer := machine.peers[address]; peer != nil {
+			trip = max(trip, peer.trip)
 		}
 	}
-	return min(trip*3/2+m.timing.heartbeat/4, m.timing.call)
+	return min(trip*3/2+machine.timing.heartbeat/4, machine.timing.call)
 }
 
 // eligible tells whether this folder's copy holds all that was acknowledged before and under a record.
-func (m *machine) eligible(base *tierv1.Record) bool {
-	return base != nil && (base.Epoch == 0 || named(base, m.Folder) && m.copyEpoch >= base.Epoch)
+func (machine *machine) eligible(base *tierv1.Record) bool {
+	return base != nil && (base.Epoch == 0 || named(base, machine.Folder) && machine.copyEpoch >= base.Epoch)
 }
 
 // abandon ends a proposal that another one overtook.
-func (m *machine) abandon(why string) {
-	m.proposal = nil
-	m.out.news = append(m.out.news, "proposal abandoned: "+why)
-	m.tryAt = m.now + m.patience()
+func (machine *machine) abandon(why string) {
+	machine.proposal = nil
+	machine.out.news = append(machine.out.news, "proposal abandoned: "+why)
+	machine.tryAt = machine.now + machine.patience()
 }
 
 // fail ends a proposal that cannot be chosen. A primary retries while its last confirmation counts.
-func (m *machine) fail(why string) {
-	p := m.proposal
-	m.proposal = nil
-	if p.epoch > 0 {
-		m.out.news = append(m.out.news, "proposal failed: "+why)
+func (machine *machine) fail(why string) {
+	proposal := machine.proposal
+	machine.proposal = nil
+	if proposal.epoch > 0 {
+		machine.out.news = append(machine.out.news, "proposal failed: "+why)
 	}
-	if m.primary == nil {
-		m.tryAt = m.now + m.timing.heartbeat/2 + m.jitter(m.timing.heartbeat)
+	if machine.primary == nil {
+		machine.tryAt = machine.now + machine.timing.heartbeat/2 + machine.jitter(machine.timing.heartbeat)
 		return
 	}
-	if !m.eligible(p.base) || !m.confirmedWithin(m.timing.fresh) {
-		m.stepDown(why)
+	if !machine.eligible(proposal.base) || !machine.confirmedWithin(machine.timing.fresh) {
+		machine.stepDown(why)
 		return
 	}
-	m.primary.retryAt = m.now + m.timing.heartbeat/4 + m.jitter(m.timing.heartbeat/2)
+	machine.primary.retryAt = machine.now + machine.timing.heartbeat/4 + machine.jitter(machine.timing.heartbeat/2)
 }
--- a/internal/tier/consensus/register.go
+++ b/internal/tier/consensus/register.go
@@ -10,177 +10,177 @@
 
 // promise answers whether this folder will from now on refuse what is below an epoch. Epoch 0 only asks whether it
 // would (so that a node that cannot win takes no promises), and what it knows.
-func (m *machine) promise(q *tierv1.PromiseRequest) *tierv1.PromiseReply {
-	m.met(q.From)
-	a := &tierv1.PromiseReply{Self: m.self, Genesis: m.Genesis, Sequence: m.sequence}
-	if q.Epoch > 0 {
-		m.highest = max(m.highest, q.Epoch)
+func (machine *machine) promise(request *tierv1.PromiseRequest) *tierv1.PromiseReply {
+	machine.met(request.From)
+	reply := &tierv1.PromiseReply{Self: machine.self, Genesis: machine.Genesis, Sequence: machine.sequence}
+	if request.Epoch > 0 {
+		machine.highest = max(machine.highest, request.Epoch)
 	}
-	a.Promised = q.From != nil && !m.sticky(q.From.Folder) && (q.Epoch == 0 || q.Epoch > m.promised)
-	if q.Epoch == 0 && m.busy(q.From.GetFolder()) {
-		a.Promised = false
+	reply.Promised = request.From != nil && !machine.sticky(request.From.Folder) && (request.Epoch == 0 || request.Epoch > machine.promised)
+	if request.Epoch == 0 && machine.busy(request.From.GetFolder()) {
+		reply.Promised = false
 	}
-	if a.Promised && q.Epoch > 0 {
-		m.grantPromise(q.Epoch, q.From.Folder)
+	if reply.Promised && request.Epoch > 0 {
+		machine.grantPromise(request.Epoch, request.From.Folder)
 	}
-	a.Highest, a.Accepted, a.Chosen = m.promised, m.accepted, m.chosen
-	return a
+	reply.Highest, reply.Accepted, reply.Chosen = machine.promised, machine.accepted, machine.chosen
+	return reply
 }
 
 // sticky reports whether the primary was observed so recently that no other may depose it.
-func (m *machine) sticky(folder string) bool {
-	if m.primary != nil {
-		return folder != m.Folder && m.confirmedWithin(m.timing.fresh)
+func (machine *machine) sticky(folder string) bool {
+	if machine.primary != nil {
+		return folder != machine.Folder && machine.confirmedWithin(machine.timing.fresh)
 	}
-	return m.observed && m.now-m.observedAt < m.timing.sticky && (m.chosen == nil || folder != m.chosen.Primary)
+	return machine.observed && machine.now-machine.observedAt < machine.timing.sticky && (machine.chosen == nil || folder != machine.chosen.Primary)
 }
 
 // busy tells whether another has had this folder's promise so recently that its record may be under way. That keeps a
 // primary that is back at once from stopping the one that is taking over; it binds nobody.
-func (m *machine) busy(folder string) bool {
-	return m.granted > 0 && m.promised > epochOf(m.chosen) && m.promisedTo != folder && m.now-m.granted < m.timing.call/2
+func (machine *machine) busy(folder string) bool {
+	return machine.granted > 0 && machine.promised > epochOf(machine.chosen) && machine.promisedTo != folder && machine.now-machine.granted < machine.timing.call/2
 }
 
 // grantPromise records a promise, to another folder or to this one.
-func (m *machine) grantPromise(epoch uint64, to string) {
-	m.promised, m.promisedTo, m.granted = epoch, to, m.now
-	m.highest = max(m.highest, epoch)
-	m.store(encodePromise(epoch, to), true)
-	if to == m.Folder {
+func (machine *machine) grantPromise(epoch uint64, to string) {
+	machine.promised, machine.promisedTo, machine.granted = epoch, to, machine.now
+	machine.highest = max(machine.highest, epoch)
+	machine.store(encodePromise(epoch, to), true)
+	if to == machine.Folder {
 		return
 	}
-	if m.primary != nil {
-		m.stepDown("promised to another")
+	if machine.primary != nil {
+		machine.stepDown("promised to another")
 	}
-	if m.proposal != nil && m.proposal.epoch > 0 {
-		m.abandon("promised to another")
+	if machine.proposal != nil && machine.proposal.epoch > 0 {
+		machine.abandon("promised to another")
 	}
-	m.tryAt = max(m.tryAt, m.now+m.timing.call/2+m.jitter(m.timing.heartbeat))
+	machine.tryAt = max(machine.tryAt, machine.now+machine.timing.call/2+machine.jitter(machine.timing.heartbeat))
 }
 
 // accept takes a record under the epoch promised last, from the one it was promised to. A folder made since the promise
 // refuses, as it has given none.
-func (m *machine) accept(q *tierv1.AcceptRequest) *tierv1.AcceptReply {
-	m.met(q.From)
-	a := &tierv1.AcceptReply{}
-	if q.Record != nil && q.From != nil && q.Record.Primary == q.From.Folder && m.bound(q.Record.Epoch, q.From.Folder) {
-		a.Accepted = true
-		m.acceptRecord(q.Record)
-	}
-	a.Highest = m.promised
-	return a
+func (machine *machine) accept(request *tierv1.AcceptRequest) *tierv1.AcceptReply {
+	machine.met(request.From)
+	reply := &tierv1.AcceptReply{}
+	if request.Record != nil && request.From != nil && request.Record.Primary == request.From.Folder && machine.bound(request.Record.Epoch, request.From.Folder) {
+		reply.Accepted = true
+		machine.acceptRecord(request.Record)
+	}
+	reply.Highest = machine.promised
+	return reply
 }
 
 // bound tells whether the newest promise of this folder is that of an epoch to another.
-func (m *machine) bound(epoch uint64, to string) bool {
-	return epoch > 0 && epoch == m.promised && to == m.promisedTo
+func (machine *machine) bound(epoch uint64, to string) bool {
+	return epoch > 0 && epoch == machine.promised && to == machine.promisedTo
 }
 
-func (m *machine) acceptRecord(r *tierv1.Record) {
-	if epochOf(m.accepted) == r.Epoch {
+func (machine *machine) acceptRecord(record *tierv1.Record) {
+	if epochOf(machine.accepted) == record.Epoch {
 		return // doubled
 	}
-	m.accepted = r
-	m.store(encodeMessage(kindAccepted, r), true)
+	machine.accepted = record
+	machine.store(encodeMessage(kindAccepted, record), true)
 }
 
 // heartbeat takes notice of a primary.
-func (m *machine) heartbeat(q *tierv1.HeartbeatRequest) *tierv1.HeartbeatReply {
-	m.met(q.From)
-	m.learn(q.Record)
-	r := m.chosen
-	if r != nil && q.Record != nil && q.From != nil && q.Record.Epoch == r.Epoch && q.From.Folder == r.Primary && m.primary == nil {
+func (machine *machine) heartbeat(request *tierv1.HeartbeatRequest) *tierv1.HeartbeatReply {
+	machine.met(request.From)
+	machine.learn(request.Record)
+	record := machine.chosen
+	if record != nil && request.Record != nil && request.From != nil && request.Record.Epoch == record.Epoch && request.From.Folder == record.Primary && machine.primary == nil {
 		// One who is about to take over has this folder's promise: the heartbeats of the primary before it count no more.
-		if m.promised <= r.Epoch || m.promisedTo == q.From.Folder || m.now-m.granted > m.timing.silence {
-			m.observedAt, m.observed = m.now, true
-			m.probeAt = m.now + m.timing.heartbeat*3/2
-			if m.hint != q.From.Address {
-				m.hint, m.out.changed = q.From.Address, true
+		if machine.promised <= record.Epoch || machine.promisedTo == request.From.Folder || machine.now-machine.granted > machine.timing.silence {
+			machine.observedAt, machine.observed = machine.now, true
+			machine.probeAt = machine.now + machine.timing.heartbeat*3/2
+			if machine.hint != request.From.Address {
+				machine.hint, machine.out.changed = request.From.Address, true
 			}
-			m.tryAt = m.now + m.patience()
-			if m.proposal != nil && m.proposal.epoch == 0 {
-				m.proposal = nil
+			machine.tryAt = machine.now + machine.patience()
+			if machine.proposal != nil && machine.proposal.epoch == 0 {
+				machine.proposal = nil
 			}
 		}
 	}
-	return &tierv1.HeartbeatReply{Self: m.self, Highest: m.promised, Sequence: m.sequence, Member: m.isVoter(m.knownMembers())}
+	return &tierv1.HeartbeatReply{Self: machine.self, Highest: machine.promised, Sequence: machine.sequence, Member: machine.isVoter(machine.knownMembers())}
 }
 
 // write takes a write of the primary into the copy.
-func (m *machine) write(q *tierv1.WriteRequest) *tierv1.WriteReply {
-	a := &tierv1.WriteReply{Highest: m.promised}
-	if !m.bound(q.Epoch, q.From) || q.From == m.Folder || q.Epoch < m.copyEpoch {
-		return a
+func (machine *machine) write(request *tierv1.WriteRequest) *tierv1.WriteReply {
+	reply := &tierv1.WriteReply{Highest: machine.promised}
+	if !machine.bound(request.Epoch, request.From) || request.From == machine.Folder || request.Epoch < machine.copyEpoch {
+		return reply
 	}
-	if !q.Whole {
+	if !request.Whole {
 		switch {
-		case m.copyEpoch != q.Epoch || m.sequence < q.Base:
-			a.Behind = true
-			return a
-		case m.sequence >= q.Sequence: // doubled, or it only asks whether the epoch stands
-			a.Taken = true
-			return a
-		case m.sequence != q.Base:
-			a.Behind = true
-			return a
+		case machine.copyEpoch != request.Epoch || machine.sequence < request.Base:
+			reply.Behind = true
+			return reply
+		case machine.sequence >= request.Sequence: // doubled, or it only asks whether the epoch stands
+			reply.Taken = true
+			return reply
+		case machine.sequence != request.Base:
+			reply.Behind = true
+			return reply
 		}
-	} else if m.copyEpoch == q.Epoch && m.sequence >= q.Sequence {
-		a.Taken = true // doubled, or overtaken by the writes that followed it
-		return a
-	}
-	m.apply(q)
-	m.store(encodeMessage(kindWrite, q), true)
-	m.out.changed = true
-	a.Taken = true
-	return a
+	} else if machine.copyEpoch == request.Epoch && machine.sequence >= request.Sequence {
+		reply.Taken = true // doubled, or overtaken by the writes that followed it
+		return reply
+	}
+	machine.apply(request)
+	machine.store(encodeMessage(kindWrite, request), true)
+	machine.out.changed = true
+	reply.Taken = true
+	return reply
 }
 
 // join takes notice of a node that is no member, or that observes no primary.
-func (m *machine) join(q *tierv1.JoinRequest) *tierv1.JoinReply {
-	if q.From != nil && q.From.Folder != "" {
-		if p := m.met(q.From); p != nil {
-			p.first = m.now
-			if !p.replied && m.primary != nil {
-				m.primary.next = m.now // ask it at once
+func (machine *machine) join(request *tierv1.JoinRequest) *tierv1.JoinReply {
+	if request.From != nil && request.From.Folder != "" {
+		if peer := machine.met(request.From); peer != nil {
+			peer.first = machine.now
+			if !peer.replied && machine.primary != nil {
+				machine.primary.next = machine.now // ask it at once
 			}
 		}
 	}
-	return &tierv1.JoinReply{Primary: m.primary != nil, Record: m.chosen}
+	return &tierv1.JoinReply{Primary: machine.primary != nil, Record: machine.chosen}
 }
 
-func (m *machine) askToJoin() {
-	for _, address := range m.addresses() {
-		began := m.now
-		m.call(address, &tierv1.JoinRequest{From: m.self}, false, func(body proto.Message) {
-			a, ok := body.(*tierv1.JoinReply)
+func (machine *machine) askToJoin() {
+	for _, address := range machine.addresses() {
+		began := machine.now
+		machine.call(address, &tierv1.JoinRequest{From: machine.self}, false, func(body proto.Message) {
+			reply, ok := body.(*tierv1.JoinReply)
 			if !ok {
 				return
 			}
-			if p := m.peers[address]; p != nil && p.member != nil {
-				m.replied(p.member, began)
+			if peer := machine.peers[address]; peer != nil && peer.member != nil {
+				machine.replied(peer.member, began)
 			}
-			m.learn(a.Record)
+			machine.learn(reply.Record)
 		})
 	}
 }
 
 // members are the folders known and alive, and the members of the record.
-func (m *machine) members() (list []*tierv1.Member) {
-	list = append(list, m.self)
-	for _, v := range m.knownMembers() {
-		if v.Folder == "" {
-			if p := m.peers[v.Address]; p != nil && p.member != nil {
-				v = p.member
+func (machine *machine) members() (list []*tierv1.Member) {
+	list = append(list, machine.self)
+	for _, member := range machine.knownMembers() {
+		if member.Folder == "" {
+			if peer := machine.peers[member.Address]; peer != nil && peer.member != nil {
+				member = peer.member
 			}
 		}
-		if v.Address != m.self.Address {
-			list = append(list, v)
+		if member.Address != machine.self.Address {
+			list = append(list, member)
 		}
 	}
-	for _, a := range m.addresses() {
-		if p := m.peers[a]; p != nil && p.member != nil && m.now-p.answered < 2*m.timing.swap &&
-			!slices.ContainsFunc(list, func(o *tierv1.Member) bool { return o.Address == a }) {
-			list = append(list, p.member)
+	for _, address := range machine.addresses() {
+		if peer := machine.peers[address]; peer != nil && peer.member != nil && machine.now-peer.answered < 2*machine.timing.swap &&
+			!slices.ContainsFunc(list, func(o *tierv1.Member) bool { return o.Address == address }) {
+			list = append(list, peer.member)
 		}
 	}
 	return list
--- a/internal/tier/consensus/round.go
+++ b/internal/tier/consensus/round.go
@@ -21,101 +21,101 @@
 	need    map[string]bool // folders of backups
 }
 
-func (m *machine) put(e put) {
-	m.enqueue(e.epoch, waiter{token: e.token, sets: e.sets})
+func (machine *machine) put(e put) {
+	machine.enqueue(e.epoch, waiter{token: e.token, sets: e.sets})
 }
 
-func (m *machine) confirm(e confirm) { m.enqueue(e.epoch, waiter{token: e.token}) }
+func (machine *machine) confirm(e confirm) { machine.enqueue(e.epoch, waiter{token: e.token}) }
 
-func (m *machine) enqueue(epoch uint64, w waiter) {
-	r := m.primary
-	if r == nil || epoch < r.first || epoch > r.record.Epoch {
-		m.out.outcomes = append(m.out.outcomes, outcome{w.token, 0, ErrNotPrimary})
+func (machine *machine) enqueue(epoch uint64, waiter waiter) {
+	primary := machine.primary
+	if primary == nil || epoch < primary.first || epoch > primary.record.Epoch {
+		machine.out.outcomes = append(machine.out.outcomes, outcome{waiter.token, 0, ErrNotPrimary})
 		return
 	}
-	r.queue = append(r.queue, w)
-	m.startRound()
+	primary.queue = append(primary.queue, waiter)
+	machine.startRound()
 }
 
 // startRound writes what waits, here and at all backups at once.
-func (m *machine) startRound() {
-	r := m.primary
-	if r == nil || r.round != nil || m.proposal != nil || len(r.queue) == 0 || m.promised != r.record.Epoch {
+func (machine *machine) startRound() {
+	primary := machine.primary
+	if primary == nil || primary.round != nil || machine.proposal != nil || len(primary.queue) == 0 || machine.promised != primary.record.Epoch {
 		return // after a promise of its own for a higher epoch only a record of that epoch or above lets it write again
 	}
-	q := &tierv1.WriteRequest{Epoch: r.record.Epoch, Base: m.sequence, Sequence: m.sequence, From: m.Folder}
-	rd := &round{waiters: r.queue, need: make(map[string]bool)}
-	r.queue, r.round = nil, rd
-	for i := range rd.waiters {
-		w := &rd.waiters[i]
+	request := &tierv1.WriteRequest{Epoch: primary.record.Epoch, Base: machine.sequence, Sequence: machine.sequence, From: machine.Folder}
+	round := &round{waiters: primary.queue, need: make(map[string]bool)}
+	primary.queue, primary.round = nil, round
+	for i := range round.waiters {
+		w := &round.waiters[i]
 		if w.sets == nil {
 			continue
 		}
-		q.Sequence++
-		w.sequence = q.Sequence
+		request.Sequence++
+		w.sequence = request.Sequence
 		for k, v := range w.sets {
-			q.Entries = append(q.Entries, &tierv1.Entry{Key: k, Value: v, Sequence: q.Sequence})
+			request.Entries = append(request.Entries, &tierv1.Entry{Key: k, Value: v, Sequence: request.Sequence})
 		}
 	}
-	if q.Sequence > q.Base {
-		m.apply(q)
-		m.store(encodeMessage(kindWrite, q), true)
+	if request.Sequence > request.Base {
+		machine.apply(request)
+		machine.store(encodeMessage(kindWrite, request), true)
 	}
-	for _, b := range r.record.Backups {
-		rd.need[b] = true
+	for _, folder := range primary.record.Backups {
+		round.need[folder] = true
 	}
-	for _, b := range r.record.Backups {
-		m.sendWrite(r.record, b, q)
+	for _, folder := range primary.record.Backups {
+		machine.sendWrite(primary.record, folder, request)
 	}
-	if len(rd.need) == 0 {
-		m.commit()
+	if len(round.need) == 0 {
+		machine.commit()
 	}
 }
 
-func (m *machine) sendWrite(record *tierv1.Record, folder string, q *tierv1.WriteRequest) {
+func (machine *machine) sendWrite(record *tierv1.Record, folder string, request *tierv1.WriteRequest) {
 	i := slices.IndexFunc(record.Members, func(v *tierv1.Member) bool { return v.Folder == folder })
 	if i < 0 {
 		return
 	}
-	began := m.now
-	rd := m.primary.round
-	m.call(record.Members[i].Address, q, true, func(body proto.Message) {
-		a, _ := body.(*tierv1.WriteReply)
-		r := m.primary
-		if r == nil || r.record != record {
+	began := machine.now
+	round := machine.primary.round
+	machine.call(record.Members[i].Address, request, true, func(body proto.Message) {
+		reply, _ := body.(*tierv1.WriteReply)
+		primary := machine.primary
+		if primary == nil || primary.record != record {
 			return
 		}
 		switch {
-		case a == nil:
-			r.lost[folder] = true
-		case a.Taken:
-			r.confirmed[folder] = max(r.confirmed[folder], began)
-			if r.round == rd && rd != nil {
-				delete(rd.need, folder)
-				if len(rd.need) == 0 {
-					m.commit()
+		case reply == nil:
+			primary.lost[folder] = true
+		case reply.Taken:
+			primary.confirmed[folder] = max(primary.confirmed[folder], began)
+			if primary.round == round && round != nil {
+				delete(round.need, folder)
+				if len(round.need) == 0 {
+					machine.commit()
 				}
 			}
-		case a.Behind:
-			m.sendWrite(record, folder, m.whole(record.Epoch))
+		case reply.Behind:
+			machine.sendWrite(record, folder, machine.whole(record.Epoch))
 		default: // it has promised another, or it is another folder
-			m.highest = max(m.highest, a.Highest)
-			r.renew = r.renew || a.Highest > record.Epoch
-			r.lost[folder] = r.lost[folder] || a.Highest < record.Epoch
+			machine.highest = max(machine.highest, reply.Highest)
+			primary.renew = primary.renew || reply.Highest > record.Epoch
+			primary.lost[folder] = primary.lost[folder] || reply.Highest < record.Epoch
 		}
 	})
 }
 
 // commit ends the round: all copies hold the data.
-func (m *machine) commit() {
-	r := m.primary
-	r.visible = m.data
-	if rd := r.round; rd != nil {
-		for _, w := range rd.waiters {
-			m.out.outcomes = append(m.out.outcomes, outcome{w.token, w.sequence, nil})
+func (machine *machine) commit() {
+	primary := machine.primary
+	primary.visible = machine.data
+	if round := primary.round; round != nil {
+		for _, waiter := range round.waiters {
+			machine.out.outcomes = append(machine.out.outcomes, outcome{waiter.token, waiter.sequence, nil})
 		}
-		r.round = nil
-		m.out.changed = true
+		primary.round = nil
+		machine.out.changed = true
 	}
-	m.startRound()
+	machine.startRound()
 }
--- a/internal/tier/consensus/server.go
+++ b/internal/tier/consensus/server.go
@@ -40,32 +40,32 @@
 	}
 }
 
-func (s server) Promise(ctx context.Context, q *tierv1.PromiseRequest) (*tierv1.PromiseReply, error) {
-	return serve[*tierv1.PromiseReply](ctx, s.n, q)
+func (server server) Promise(ctx context.Context, q *tierv1.PromiseRequest) (*tierv1.PromiseReply, error) {
+	return serve[*tierv1.PromiseReply](ctx, server.n, q)
 }
 
-func (s server) Accept(ctx context.Context, q *tierv1.AcceptRequest) (*tierv1.AcceptReply, error) {
-	return serve[*tierv1.AcceptReply](ctx, s.n, q)
+func (server server) Accept(ctx context.Context, q *tierv1.AcceptRequest) (*tierv1.AcceptReply, error) {
+	return serve[*tierv1.AcceptReply](ctx, server.n, q)
 }
 
-func (s server) Heartbeat(ctx context.Context, q *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
-	return serve[*tierv1.HeartbeatReply](ctx, s.n, q)
+func (server server) Heartbeat(ctx context.Context, q *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
+	return serve[*tierv1.HeartbeatReply](ctx, server.n, q)
 }
 
-func (s server) Write(ctx context.Context, q *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
-	return serve[*tierv1.WriteReply](ctx, s.n, q)
+func (server server) Write(ctx context.Context, q *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
+	return serve[*tierv1.WriteReply](ctx, server.n, q)
 }
 
-func (s server) Join(ctx context.Context, q *tierv1.JoinRequest) (*tierv1.JoinReply, error) {
-	return serve[*tierv1.JoinReply](ctx, s.n, q)
+func (server server) Join(ctx context.Context, q *tierv1.JoinRequest) (*tierv1.JoinReply, error) {
+	return serve[*tierv1.JoinReply](ctx, server.n, q)
 }
 
 // send makes a call of the machine. Its end, whatever it is, is an event.
-func (n *Node) send(ctx context.Context, c call) {
-	client := n.clients[c.address]
+func (node *Node) send(ctx context.Context, c call) {
+	client := node.clients[c.address]
 	if client == nil {
-		client = n.config.Dial(c.address)
-		n.clients[c.address] = client
+		client = node.config.Dial(c.address)
+		node.clients[c.address] = client
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -74,7 +74,7 @@
 		if err != nil {
 			body = nil
 		}
-		n.post(answer{c.id, body})
+		node.post(answer{c.id, body})
 	}()
 }
 
--- a/internal/tier/consensus/view.go
+++ b/internal/tier/consensus/view.go
@@ -20,68 +20,68 @@
 	health    Health
 }
 
-func (n *Node) publish(changed bool) {
-	m := n.machine
-	v := view{record: m.chosen, hint: m.hint, members: m.members(), data: m.data, self: m.self, health: m.health()}
-	if r := m.primary; r != nil {
-		v.primary, v.epoch, v.data, v.record = true, r.record.Epoch, r.visible, r.record
-		v.alone, v.confirmed = len(r.record.Backups) == 0, m.confirmedAt()
+func (node *Node) publish(changed bool) {
+	machine := node.machine
+	v := view{record: machine.chosen, hint: machine.hint, members: machine.members(), data: machine.data, self: machine.self, health: machine.health()}
+	if primary := machine.primary; primary != nil {
+		v.primary, v.epoch, v.data, v.record = true, primary.record.Epoch, primary.visible, primary.record
+		v.alone, v.confirmed = len(primary.record.Backups) == 0, machine.confirmedAt()
 	}
-	n.mu.Lock()
-	n.view = v
+	node.mu.Lock()
+	node.view = v
 	if changed {
-		close(n.changed)
-		n.changed = make(chan struct{})
+		close(node.changed)
+		node.changed = make(chan struct{})
 	}
-	n.mu.Unlock()
+	node.mu.Unlock()
 }
 
 // Primary implements Store.
-func (n *Node) Primary() (uint64, bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.view.epoch, n.view.leads(n.now(), n.timing.fresh)
+func (node *Node) Primary() (uint64, bool) {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return node.view.epoch, node.view.leads(node.now(), node.timing.fresh)
 }
 
 // Get implements Store.
-func (n *Node) Get(key string) ([]byte, uint64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	e := n.view.data[key]
+func (node *Node) Get(key string) ([]byte, uint64) {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	e := node.view.data[key]
 	return e.GetValue(), e.GetSequence()
 }
 
 // Changed implements Store.
-func (n *Node) Changed() <-chan struct{} {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.changed
+func (node *Node) Changed() <-chan struct{} {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return node.changed
 }
 
 // Hint implements Store.
-func (n *Node) Hint() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.view.hint
+func (node *Node) Hint() string {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return node.view.hint
 }
 
 // Record implements Store.
-func (n *Node) Record() *tierv1.Record {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.view.record
+func (node *Node) Record() *tierv1.Record {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return node.view.record
 }
 
 // Members implements Store.
-func (n *Node) Members() []*tierv1.Member {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.view.members
+func (node *Node) Members() []*tierv1.Member {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return node.view.members
 }
 
 // Self implements Store.
-func (n *Node) Self() *tierv1.Member {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.view.self
+func (node *Node) Self() *tierv1.Member {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return node.view.self
 }
