--- a/internal/tier/upstream/call_test.go
+++ b/internal/tier/upstream/call_test.go
@@ -133,13 +133,7 @@
 		{"too long by chunks", head + "Transfer-Encoding: chunked\r\n\r\n200000\r\n" + strings.Repeat("x", 1<<21) + "\r\n0\r\n\r\n", false, Malformed, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			target := endpoint(t, func(_ int, l *line) {
-				l.read()
-				l.say(tc.text)
-				if !tc.close {
-					l.drain()
-				}
-			})
+			target := endpoint(t, sayer(tc.text, tc.close))
 			p := pool(t)
 			r := call(t, p, target, "a")
 			assert.Equal(t, r.End, tc.end, "%v", r.Err)
@@ -204,13 +198,7 @@
 			[]string{"id: 1\n\n", "id: 2\n\n"}, Whole},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			target := endpoint(t, func(_ int, l *line) {
-				l.read()
-				l.say(tc.text)
-				if !tc.close {
-					l.drain()
-				}
-			})
+			target := endpoint(t, sayer(tc.text, tc.close))
 			p := pool(t)
 			r := call(t, p, target, "a")
 			assert.Equal(t, r.End, Streaming, "%v", r.Err)
--- a/internal/tier/upstream/endpoint_test.go
+++ b/internal/tier/upstream/endpoint_test.go
@@ -46,6 +46,18 @@
 // drain waits until the other side has ended the connection.
 func (l *line) drain() { io.Copy(io.Discard, l.r) }
 
+// sayer is a script that answers a request with a text, and then closes or waits for the other side to do so.
+func sayer(text string, closes bool) func(n int, l *line) {
+	return func(_ int, l *line) {
+		l.read()
+		l.say(text)
+		if !closes {
+			l.drain()
+		}
+	}
+}
+
+// endpoint starts an endpoint that runs the script on each connection; n counts these from 0.
 func endpoint(t *testing.T, script func(n int, l *line)) Target {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/tier/wal/wal_test.go
+++ b/internal/tier/wal/wal_test.go
@@ -116,16 +116,23 @@
 	assert.NilError(t, f.Close())
 }
 
-// Every cut and every damaged byte of the file leaves a prefix of the records, never another one, and the file goes on from there.
-func TestCutAndDamage(t *testing.T) {
-	records := []string{"alpha", "", "gamma gamma", "delta"}
-	m := NewMemory()
-	f, _ := open(t, m)
-	ends := []int64{f.Size()}
+// written opens a file with these records. ends is where the header and each of them ends.
+func written(t *testing.T, m *Memory, records []string) (f *File, ends []int64) {
+	t.Helper()
+	f, _ = open(t, m)
+	ends = []int64{f.Size()}
 	for _, r := range records {
 		add(t, f, r)
 		ends = append(ends, f.Size())
 	}
+	return f, ends
+}
+
+// Every cut and every damaged byte of the file leaves a prefix of the records, never another one, and the file goes on from there.
+func TestCutAndDamage(t *testing.T) {
+	records := []string{"alpha", "", "gamma gamma", "delta"}
+	m := NewMemory()
+	f, ends := written(t, m, records)
 	m.Kill()
 	sound := bytes.Clone(m.live[f.path].live)
 	want := func(upTo int64) (n int) {
@@ -158,12 +165,7 @@
 func TestDamagedByte(t *testing.T) {
 	records := []string{"alpha", "beta", "gamma"}
 	m := NewMemory()
-	f, _ := open(t, m)
-	ends := []int64{f.Size()}
-	for _, r := range records {
-		add(t, f, r)
-		ends = append(ends, f.Size())
-	}
+	f, ends := written(t, m, records)
 	for at := range m.live[f.path].live {
 		for bit := range 8 {
 			m.Kill()
