--- a/internal/tier/ingress/exchange.go
+++ b/internal/tier/ingress/exchange.go
@@ -31,6 +31,7 @@
 	fields [12]Field
 }
 
+// phase is how far an answer has come.
 type phase uint8
 
 const (
--- a/internal/tier/ingress/server.go
+++ b/internal/tier/ingress/server.go
@@ -194,6 +194,7 @@
 	go c.serve()
 }
 
+// count is how many connections are open.
 func (server *Server) count() int {
 	server.mu.Lock()
 	defer server.mu.Unlock()
--- a/internal/tier/routing/wire.go
+++ b/internal/tier/routing/wire.go
@@ -14,6 +14,7 @@
 	Limits   wireLimits     `json:"limits"`
 }
 
+// wireRoute is a route as sent. Spans are in the unit that the name tells.
 type wireRoute struct {
 	Name      string      `json:"name"`
 	Hostname  string      `json:"hostname"`
@@ -32,11 +33,13 @@
 	GapAim    float64     `json:"gap_aim_ms"`
 }
 
+// wireShare is one service of a traffic split.
 type wireShare struct {
 	Service string  `json:"service_name"`
 	Weight  float64 `json:"weight"`
 }
 
+// wireService is a service as sent.
 type wireService struct {
 	Name           string      `json:"name"`
 	HealthPath     string      `json:"health_path"`
@@ -44,6 +47,7 @@
 	Engine         *wireEngine `json:"inference_engine"`
 }
 
+// wireEngine is what is told of a service's engines. CacheTokens is the memory of one of them.
 type wireEngine struct {
 	Capacity       float64     `json:"capacity"`
 	CacheTokens    float64     `json:"cache_tokens"`
@@ -51,10 +55,12 @@
 	Models         []wireModel `json:"models"`
 }
 
+// wireModel is a model that an engine holds.
 type wireModel struct {
 	Name string `json:"name"`
 }
 
+// wireLimits are the limits as sent.
 type wireLimits struct {
 	MaxHeader     float64 `json:"max_header_bytes"`
 	MaxBody       float64 `json:"max_body_bytes"`
--- a/internal/tier/rpcserver/rpcserver.go
+++ b/internal/tier/rpcserver/rpcserver.go
@@ -114,6 +114,7 @@
 	return server, nil
 }
 
+// listen listens at addr, trying until bindTime is over while the port is still in use.
 func listen(ctx context.Context, addr string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAlive}
 	for begin := time.Now(); ; {
@@ -135,6 +136,7 @@
 // patient is a listener whose connections give up a silent peer.
 type patient struct{ net.Listener }
 
+// Accept implements net.Listener.
 func (p patient) Accept() (net.Conn, error) {
 	conn, err := p.Listener.Accept()
 	if err != nil {
--- a/internal/tier/upstream/events.go
+++ b/internal/tier/upstream/events.go
@@ -55,8 +55,10 @@
 	events.begin = 0
 }
 
+// unfinished reports whether bytes are left that make no whole event.
 func (events *events) unfinished() bool { return events.begin < len(events.buf) }
 
+// parse reads the lines of one event.
 func (events *events) parse(raw []byte) Piece {
 	p := Piece{Raw: raw}
 	for rest := raw; len(rest) > 0; {
--- a/internal/tier/upstream/outcome.go
+++ b/internal/tier/upstream/outcome.go
@@ -106,6 +106,7 @@
 	return v
 }
 
+// classify gives all of a Verdict but Reuse.
 func classify(o Observation) Verdict {
 	switch {
 	case o.End == Abandoned && !o.Written:
--- a/internal/tier/upstream/request.go
+++ b/internal/tier/upstream/request.go
@@ -111,6 +111,7 @@
 	return append(b, "\r\n"...)
 }
 
+// appendField adds one line of a head.
 func appendField(b []byte, name, value string) []byte {
 	return append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
 }
@@ -130,6 +131,7 @@
 	return n, head, err
 }
 
+// token reports whether s is a token (RFC 9110, 5.6.2).
 func token(s string) bool {
 	for i := range len(s) {
 		c := s[i]
--- a/internal/tier/upstream/stream.go
+++ b/internal/tier/upstream/stream.go
@@ -109,6 +109,7 @@
 	}
 }
 
+// close ends the stream and its call.
 func (stream *Stream) close(end End, err error) {
 	stream.end, stream.err = end, err
 	stream.exchange.finish()
--- a/internal/tier/wal/fs.go
+++ b/internal/tier/wal/fs.go
@@ -13,7 +13,9 @@
 	Open(name string) (Handle, error)
 	// Create makes an empty file, or empties the one that stands there.
 	Create(name string) (Handle, error)
+	// Rename gives a file another name, in place of one that has it.
 	Rename(from, to string) error
+	// Remove takes a file's name away.
 	Remove(name string) error
 	// List gives the names of the entries of a folder, without its path, sorted.
 	List(dir string) ([]string, error)
@@ -23,12 +25,12 @@
 	MkdirAll(dir string) error
 }
 
-// Handle is one open file.
+// Handle is one open file. Offsets and sizes are in bytes.
 type Handle interface {
-	ReadAt(p []byte, off int64) (int, error)
-	WriteAt(p []byte, off int64) (int, error)
+	ReadAt(p []byte, off int64) (int, error)  // as io.ReaderAt
+	WriteAt(p []byte, off int64) (int, error) // as io.WriterAt
 	Truncate(size int64) error
-	Sync() error
+	Sync() error // what was written before lasts once it has returned nil
 	Size() (int64, error)
 	Close() error
 }
@@ -36,8 +38,10 @@
 // OS is the file system of the machine.
 type OS struct{}
 
+// osFile is a Handle of the operating system.
 type osFile struct{ *os.File }
 
+// Size implements Handle.
 func (file osFile) Size() (int64, error) {
 	info, err := file.Stat()
 	if err != nil {
@@ -52,6 +56,7 @@
 // Create makes an empty file.
 func (OS) Create(name string) (Handle, error) { return osOpen(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC) }
 
+// osOpen opens a file with the flags of package os.
 func osOpen(name string, flag int) (Handle, error) {
 	f, err := os.OpenFile(name, flag, 0o600)
 	if err != nil {
--- a/internal/tier/wal/memory.go
+++ b/internal/tier/wal/memory.go
@@ -61,6 +61,7 @@
 	return memory.ops
 }
 
+// missing is the error of an operation on a name that is not there.
 func missing(op, name string) error {
 	return &fs.PathError{Op: op, Path: name, Err: fs.ErrNotExist}
 }
