--- a/internal/tier/gateway/gone_test.go
+++ b/internal/tier/gateway/gone_test.go
@@ -127,13 +127,7 @@
 // TestASpentBudgetIsNoWordWhileAReservationIsReleased: while a reservation of the program is being released here and its turn
 // store is away, the budget may have room: a 402 would end the program, a 503 has it try again.
 func TestASpentBudgetIsNoWordWhileAReservationIsReleased(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-		if a.ID == "t-1" {
-			a.Reset()
-			return
-		}
-		talk(a)
-	})
+	e := tiertest.NewEndpoint(t, "i-1", "s", resetOf("t-1"))
 	r := start(t, e)
 	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		if q, ok := m.Request.(*tierv1.SettleRequest); ok && q.Attempt == "t-1" {
@@ -152,13 +146,7 @@
 
 // TestAnAttemptRunsOnce: the id of a turn that has been settled, kept or not, is never run once more, whatever comes with it.
 func TestAnAttemptRunsOnce(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-		if a.ID == "t-1" {
-			a.Reset()
-			return
-		}
-		talk(a)
-	})
+	e := tiertest.NewEndpoint(t, "i-1", "s", resetOf("t-1"))
 	r := start(t, e)
 	assert.Equal(t, r.do(turn("t-1", "", "p", "", "in")).Status, 502)
 	assert.Equal(t, r.do(turn("t-2", "", "p", "", "in")).Status, 200)
--- a/internal/tier/gateway/plain_test.go
+++ b/internal/tier/gateway/plain_test.go
@@ -97,22 +97,16 @@
 				assert.Equal(t, len(a.Arrivals()), 1)
 				assert.Equal(t, len(b.Arrivals()), 1)
 			})
-			t.Run("non-idempotent", func(t *testing.T) {
-				a, b := two(t, ends)
-				r := start(t, a, b)
-				got := r.post("/once/x", "a-1", "", "b")
-				assert.Equal(t, got.Status, 502)
-				unstamped(t, got)
-				assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 1)
-			})
-			t.Run("max_attempts 1", func(t *testing.T) {
-				a, b := two(t, ends)
-				r := start(t, a, b)
-				got := r.post("/single/x", "a-1", "", "b")
-				assert.Equal(t, got.Status, 502)
-				unstamped(t, got)
-				assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 1)
-			})
+			for _, route := range []struct{ name, path string }{{"non-idempotent", "/once/x"}, {"max_attempts 1", "/single/x"}} {
+				t.Run(route.name, func(t *testing.T) {
+					a, b := two(t, ends)
+					r := start(t, a, b)
+					got := r.post(route.path, "a-1", "", "b")
+					assert.Equal(t, got.Status, 502)
+					unstamped(t, got)
+					assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 1)
+				})
+			}
 			t.Run("streaming", func(t *testing.T) {
 				a, b := two(t, ends)
 				r := start(t, a, b)
@@ -235,14 +229,7 @@
 // The stream of an endpoint that begins to drain meanwhile goes on.
 func TestDrainingEndsWhatItHas(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-		a.Head()
-		a.Event(1, "one")
-		close(begun)
-		<-further
-		a.Event(2, "two")
-		a.End()
-	})
+	e := tiertest.NewEndpoint(t, "i-1", "s", pausedStream(begun, further))
 	r := start(t, e)
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(tiertest.Post("/stream/x", "a-1", "", "b"))
--- a/internal/tier/gateway/ready_test.go
+++ b/internal/tier/gateway/ready_test.go
@@ -43,14 +43,7 @@
 
 func TestLeaving(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-		a.Head()
-		a.Event(1, "one")
-		close(begun)
-		<-further
-		a.Event(2, "two")
-		a.End()
-	})
+	e := tiertest.NewEndpoint(t, "i-1", "s", pausedStream(begun, further))
 	r := bare(t, func(s *settings.Settings) { s.Grace = 10 * time.Second })
 	r.consensus.SetConfiguration(configurationOf(1, ""))
 	r.list(e)
--- a/internal/tier/gateway/rig_test.go
+++ b/internal/tier/gateway/rig_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"strings"
 	"testing"
 
@@ -14,7 +15,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// catalogOf is a configuration with a route of each kind, of services "s" and "deep".
+// configurationOf is a configuration with a route of each kind, of services "s" and "deep".
 func configurationOf(revision int, extra string) string {
 	route := func(name, prefix, kind, service, more string) string {
 		return fmt.Sprintf(`{"name":"%s","hostname":"h.example","path_prefix":"%s","route_type":"%s","service_name":"%s",
@@ -108,6 +109,7 @@
 	return tiertest.Post("/turn/x", id, fields+"Program: "+program+"\r\n", body)
 }
 
+// whole checks an answer; a success must bear the endpoint's stamp.
 func whole(t *testing.T, got tiertest.Reply, status int, body string) {
 	t.Helper()
 	assert.NilError(t, got.Err)
@@ -138,6 +140,40 @@
 	return func(a *tiertest.Arrival) { a.Answer(200, "", name+":"+a.Text) }
 }
 
+// pausedStream is a script of two events: it closes begun after the first, and goes on when further is closed.
+func pausedStream(begun chan<- struct{}, further <-chan struct{}) func(*tiertest.Arrival) {
+	return func(a *tiertest.Arrival) {
+		a.Head()
+		a.Event(1, "one")
+		close(begun)
+		<-further
+		a.Event(2, "two")
+		a.End()
+	}
+}
+
+// resetOf is a script that resets the connection under one attempt, and talks to others.
+func resetOf(id string) func(*tiertest.Arrival) {
+	return func(a *tiertest.Arrival) {
+		if a.ID == id {
+			a.Reset()
+			return
+		}
+		talk(a)
+	}
+}
+
+// sendTurn sends the first turn of program p, and reads its answer but for the end.
+func sendTurn(t *testing.T, c *tiertest.Client, id string) *http.Response {
+	t.Helper()
+	c.Send(turn(id, "", "p", "", "in"))
+	head := c.Head()
+	for i, data := range said(id) {
+		assert.Equal(t, c.Event(head.Body), tiertest.EventText(i+1, data))
+	}
+	return head
+}
+
 // events is the body of a stream of these data.
 func events(data ...string) string {
 	var text strings.Builder
--- a/internal/tier/gateway/turn_test.go
+++ b/internal/tier/gateway/turn_test.go
@@ -15,9 +15,10 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// talk streams three events that tell the attempt.
+// talk streams events that tell the attempt.
 func talk(a *tiertest.Arrival) { a.Stream(said(a.ID)...) }
 
+// said is the data of the events that talk streams for an attempt.
 func said(id string) []string { return []string{"one of " + id, "two of " + id} }
 
 // output is what a turn that talk answered adds to a chain.
@@ -69,11 +70,7 @@
 		return m.Serve()
 	})
 	c := tiertest.Connect(t, r.ingress)
-	c.Send(turn("t-1", "", "p", "", "in"))
-	head := c.Head()
-	for i, d := range said("t-1") {
-		assert.Equal(t, c.Event(head.Body), tiertest.EventText(i+1, d))
-	}
+	head := sendTurn(t, c, "t-1")
 	tiertest.Closed(t, "the turn store is asked to keep the turn", asked)
 	assert.Assert(t, !c.Ending(), "the end left before the turn was kept")
 	released.Store(true)
@@ -105,11 +102,7 @@
 		talk(a)
 	})
 	c := tiertest.Connect(t, r.ingress)
-	c.Send(turn("t-1", "", "p", "", "in"))
-	head := c.Head()
-	for i, d := range said("t-1") {
-		assert.Equal(t, c.Event(head.Body), tiertest.EventText(i+1, d))
-	}
+	head := sendTurn(t, c, "t-1")
 	tiertest.Closed(t, "the backup is asked", refused)
 	assert.Assert(t, !c.Ending(), "the end left before the backup had the turn")
 	off.Store(false)
@@ -286,14 +279,7 @@
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := start(t, e)
 	assert.Equal(t, r.do(turn("t-1", "", "p", "", "in 1;")).Status, 200)
-	e.SetScript(func(a *tiertest.Arrival) {
-		a.Head()
-		a.Event(1, "one")
-		close(begun)
-		<-further
-		a.Event(2, "two")
-		a.End()
-	})
+	e.SetScript(pausedStream(begun, further))
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(turn("t-2", "t-1", "p", "", "in 2;"))
 	tiertest.Closed(t, "the stream begins", begun)
