--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -19,17 +19,17 @@
 	"github.com/phuslu/log"
 )
 
-// Config is what a gateway is given.
+// Config is what a gateway is given; all of it is needed.
 type Config struct {
 	Settings     settings.Settings
-	ControlPlane func(address string) tierv1.ControlPlane
-	TurnStore    func(address string) tierv1.TurnStore
+	ControlPlane func(address string) tierv1.ControlPlane // a client of the control plane's process there
+	TurnStore    func(address string) tierv1.TurnStore    // a client of the turn store there
 	Log          *log.Logger
 }
 
 // Gateway carries requests between clients and endpoints. Its methods may be called from any goroutine.
 type Gateway struct {
-	c       Config
+	config  Config
 	log     *log.Logger
 	started time.Time
 	session *session.Client
@@ -55,7 +55,8 @@
 
 // New makes a gateway that Run starts.
 func New(c Config) *Gateway {
-	gateway := &Gateway{c: c, log: c.Log, started: time.Now(), loadbalancer: loadbalancer.New(c.Settings.Zone), freed: make(chan struct{}), releasing: map[string]map[chan struct{}]bool{}}
+	gateway := &Gateway{config: c, log: c.Log, started: time.Now(), loadbalancer: loadbalancer.New(c.Settings.Zone),
+		freed: make(chan struct{}), releasing: map[string]map[chan struct{}]bool{}}
 	gateway.stores = newStoreClient(c.Settings, c.TurnStore, c.Log)
 	gateway.pool = newPool(c.Settings)
 	gateway.texts = newTextCache(c.Settings.MemoryMB << 20 / 16)
@@ -64,22 +65,25 @@
 	return gateway
 }
 
+// now is a steady time since the gateway was made.
 func (gateway *Gateway) now() time.Duration { return time.Since(gateway.started) }
 
-func (gateway *Gateway) takeConfiguration(v *tierv1.Configuration) {
-	c, err := routing.Parse(v.Body)
+// takeConfiguration puts a newer configuration in force.
+func (gateway *Gateway) takeConfiguration(configuration *tierv1.Configuration) {
+	table, err := routing.Parse(configuration.Body)
 	if err != nil { // the control plane has checked it
 		gateway.log.Error().Str("event", "catalog_unreadable").Err(err).Msg("")
 		return
 	}
-	gateway.routing.Store(c)
-	gateway.log.Info().Str("event", "configuration").Int64("revision", c.Revision).Uint64("version", v.Version).Msg("")
+	gateway.routing.Store(table)
+	gateway.log.Info().Str("event", "configuration").Int64("revision", table.Revision).Uint64("version", configuration.Version).Msg("")
 	gateway.relist()
 }
 
-func (gateway *Gateway) takeEndpoints(v *tierv1.Endpoints) {
+// takeEndpoints puts a newer list of endpoints in force.
+func (gateway *Gateway) takeEndpoints(endpoints *tierv1.Endpoints) {
 	gateway.mu.Lock()
-	gateway.endpoints = v
+	gateway.endpoints = endpoints
 	gateway.mu.Unlock()
 	gateway.relist()
 	gateway.listed.Store(true)
@@ -87,7 +91,7 @@
 
 // relist tells the load balancer the endpoints, with what the configuration says of their services.
 func (gateway *Gateway) relist() {
-	c := gateway.routing.Load()
+	table := gateway.routing.Load()
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
 	if gateway.endpoints == nil {
@@ -96,14 +100,9 @@
 	list := make([]loadbalancer.Endpoint, 0, len(gateway.endpoints.List))
 	gateway.serving = make(map[string]bool, len(gateway.endpoints.List))
 	for _, e := range gateway.endpoints.List {
-		one := loadbalancer.Endpoint{Instance: e.Instance, Service: e.Service, Address: e.Address, Zone: e.Zone, Capacity: int(e.Capacity),
-			Draining: e.Draining, ColdRemaining: time.Duration(e.ColdRemainingMs) * time.Millisecond}
-		if c != nil {
-			if s := c.Services[e.Service]; s != nil && s.Engine != nil {
-				one.CacheTokens = s.Engine.CacheTokens
-			}
-		}
-		list = append(list, one)
+		list = append(list, loadbalancer.Endpoint{Instance: e.Instance, Service: e.Service, Address: e.Address, Zone: e.Zone,
+			Capacity: int(e.Capacity), Draining: e.Draining, ColdRemaining: time.Duration(e.ColdRemainingMs) * time.Millisecond,
+			CacheTokens: cacheTokens(table, e.Service)})
 		if !e.Draining {
 			gateway.serving[e.Instance] = true
 		}
@@ -112,6 +111,18 @@
 	gateway.wake()
 }
 
+// cacheTokens is the memory of the engines of a service, in tokens; 0 where they are none or the configuration has not come.
+func cacheTokens(table *routing.Table, name string) int64 {
+	if table == nil {
+		return 0
+	}
+	service := table.Services[name]
+	if service == nil || service.Engine == nil {
+		return 0
+	}
+	return service.Engine.CacheTokens
+}
+
 // wake has all that wait for a place look again. The caller holds mu.
 func (gateway *Gateway) wake() {
 	if gateway.waiting > 0 {
@@ -126,65 +137,73 @@
 	return !gateway.leaving.Load() && gateway.routing.Load() != nil && gateway.listed.Load() && gateway.stores.ready()
 }
 
+// limits bound what clients send, by the configuration in force; until one has come, by defaults.
 func (gateway *Gateway) limits() ingress.Limits {
-	l := ingress.Limits{MaxHeader: 16 << 10, MaxBody: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
-	if c := gateway.routing.Load(); c != nil {
-		l = ingress.Limits{MaxHeader: c.Limits.MaxHeader, MaxBody: c.Limits.MaxBody, HeaderTimeout: c.Limits.HeaderTimeout, IdleTimeout: c.Limits.IdleTimeout}
+	table := gateway.routing.Load()
+	if table == nil {
+		return ingress.Limits{MaxHeader: 16 << 10, MaxBody: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 	}
-	return l
+	return ingress.Limits{MaxHeader: table.Limits.MaxHeader, MaxBody: table.Limits.MaxBody,
+		HeaderTimeout: table.Limits.HeaderTimeout, IdleTimeout: table.Limits.IdleTimeout}
 }
 
 // Run serves until ctx ends, then leaves: it is not ready any more, goes on for as long as the platform may still send
 // clients, and ends what it has read.
 func (gateway *Gateway) Run(ctx context.Context) error {
-	s := gateway.c.Settings
+	settings := gateway.config.Settings
 	sessions, stopSessions := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopSessions()
 	go gateway.session.Run(sessions)
 	probe := &ingress.Server{Handler: gateway.readiness, Limits: gateway.limits, MaxConns: 64, Log: gateway.log}
-	server := &ingress.Server{Handler: gateway.handle, Limits: gateway.limits, MaxConns: max(64, s.Descriptors*6/10), Log: gateway.log}
+	server := &ingress.Server{Handler: gateway.handle, Limits: gateway.limits, MaxConns: max(64, settings.Descriptors*6/10), Log: gateway.log}
 	failed := make(chan error, 2)
 	for _, one := range []struct {
 		address string
 		server  *ingress.Server
-	}{{s.Readiness, probe}, {s.Frontend, server}} {
+	}{{settings.Readiness, probe}, {settings.Frontend, server}} {
 		l, err := listen(ctx, one.address)
 		if err != nil {
 			return err
 		}
 		go func() { failed <- one.server.Serve(l) }()
 	}
-	gateway.log.Info().Str("event", "started").Str("role", "gateway").Str("node", s.Node).Msg("")
+	gateway.log.Info().Str("event", "started").Str("role", "gateway").Str("node", settings.Node).Msg("")
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
+	return gateway.leave(sessions, server)
+}
+
+// leave ends the gateway in order. ctx is that of its sessions: they stand until the last answer has been given.
+func (gateway *Gateway) leave(ctx context.Context, server *ingress.Server) error {
+	settings := gateway.config.Settings
 	gateway.leaving.Store(true)
 	gateway.session.Leave()
-	gateway.log.Info().Str("event", "leaving").Str("node", s.Node).Msg("")
+	gateway.log.Info().Str("event", "leaving").Str("node", settings.Node).Msg("")
 	server.Drain()
 	// The platform asks once a second and sends clients until two answers were missed.
-	linger := time.NewTimer(min(3*time.Second, s.Grace*2/5))
+	linger := time.NewTimer(min(3*time.Second, settings.Grace*2/5))
 	<-linger.C
-	last, cancel := context.WithTimeout(sessions, s.Grace/2)
+	last, cancel := context.WithTimeout(ctx, settings.Grace/2)
 	defer cancel()
 	err := server.Shutdown(last)
-	done := make(chan struct{})
-	go func() { gateway.settling.Wait(); close(done) }()
+	settled := make(chan struct{})
+	go func() { gateway.settling.Wait(); close(settled) }()
 	select {
-	case <-done:
+	case <-settled:
 	case <-last.Done():
 	}
-	gateway.log.Info().Str("event", "left").Str("node", s.Node).Msg("")
+	gateway.log.Info().Str("event", "left").Str("node", settings.Node).Msg("")
 	return err
 }
 
 // listen waits a little for a port that a former process may still hold.
 func listen(ctx context.Context, address string) (net.Listener, error) {
-	var lc net.ListenConfig
+	var config net.ListenConfig
 	for until := time.Now().Add(5 * time.Second); ; {
-		l, err := lc.Listen(ctx, "tcp", address)
+		l, err := config.Listen(ctx, "tcp", address)
 		if err == nil || ctx.Err() != nil || time.Now().After(until) {
 			return l, err
 		}
@@ -192,6 +211,7 @@
 	}
 }
 
+// readiness answers the platform: 200 while the gateway is ready, else 503.
 func (gateway *Gateway) readiness(x *ingress.Exchange) {
 	ready := gateway.ready()
 	if gateway.lastReady.Swap(ready) != ready {
--- a/internal/tier/gateway/send.go
+++ b/internal/tier/gateway/send.go
@@ -16,6 +16,7 @@
 	watchFrom = 300 * time.Millisecond // a client is watched for its end from then on
 )
 
+// newPool makes the connections to endpoints; they may take three tenths of the process's descriptors.
 func newPool(s settings.Settings) *upstream.Pool {
 	return upstream.NewPool(upstream.Config{Connections: max(32, s.Descriptors*3/10)})
 }
@@ -28,8 +29,8 @@
 	for _, f := range ends {
 		head = append(head, upstream.Field(f))
 	}
-	q := &upstream.Request{Method: x.Method, Target: x.Target, Host: x.Host, Header: head, AttemptID: request.attempt, Deadline: request.until, Priority: -1,
-		Turn: request.route.Persisted, Permit: func() bool { return request.gateway.stands(choice) }}
+	q := &upstream.Request{Method: x.Method, Target: x.Target, Host: x.Host, Header: head, AttemptID: request.attempt,
+		Deadline: request.until, Priority: -1, Turn: request.route.Persisted, Permit: func() bool { return request.gateway.stands(choice) }}
 	if len(request.body) > 0 {
 		q.Body = [][]byte{request.body}
 	}
--- a/internal/tier/gateway/serve.go
+++ b/internal/tier/gateway/serve.go
@@ -65,9 +65,7 @@
 	refuseAt := time.Now().Add(min(request.route.Aim/4, time.Until(request.until)/3))
 	for {
 		gateway.mu.Lock()
-		choice := gateway.loadbalancer.Pick(gateway.now(), loadbalancer.Ask{Route: request.route.Name, Service: request.service, Repeatable: request.route.Kind == routing.Idempotent && request.sent+1 < request.route.MaxAttempts,
-			First: request.sent == 0, Left: time.Until(request.until), Priority: request.route.Priority, Affinity: request.affinity, Home: request.home, Prefix: request.prefix,
-			Tokens: request.tokens, Tried: request.tried})
+		choice := gateway.loadbalancer.Pick(gateway.now(), request.ask())
 		if choice.Verdict == loadbalancer.Send || choice.Verdict == loadbalancer.Hopeless {
 			gateway.mu.Unlock()
 			return choice
@@ -79,20 +77,30 @@
 		if left <= 0 {
 			return choice
 		}
-		t := time.NewTimer(left)
+		timer := time.NewTimer(left)
 		select {
 		case <-freed:
-		case <-t.C:
+		case <-timer.C:
 		case <-request.ctx.Done(): // the next send tells that the client has left
 			refuseAt = time.Time{}
 		}
-		t.Stop()
+		timer.Stop()
 	}
 }
 
-func (gateway *Gateway) done(call *loadbalancer.Call, o loadbalancer.Outcome) {
+// ask is what the load balancer needs to know for the next send.
+func (request *clientRequest) ask() loadbalancer.Ask {
+	route := request.route
+	return loadbalancer.Ask{Route: route.Name, Service: request.service,
+		Repeatable: route.Kind == routing.Idempotent && request.sent+1 < route.MaxAttempts, First: request.sent == 0,
+		Left: time.Until(request.until), Priority: route.Priority, Affinity: request.affinity, Home: request.home,
+		Prefix: request.prefix, Tokens: request.tokens, Tried: request.tried}
+}
+
+// done tells the load balancer how a call ended, and those that wait for a place that there may be one.
+func (gateway *Gateway) done(call *loadbalancer.Call, outcome loadbalancer.Outcome) {
 	gateway.mu.Lock()
-	gateway.loadbalancer.Done(gateway.now(), call, o)
+	gateway.loadbalancer.Done(gateway.now(), call, outcome)
 	gateway.wake()
 	gateway.mu.Unlock()
 }
--- a/internal/tier/gateway/textcache.go
+++ b/internal/tier/gateway/textcache.go
@@ -25,6 +25,7 @@
 	prompt                  []byte
 }
 
+// newTextCache makes a cache of at most room bytes of texts.
 func newTextCache(room int) *textCache {
 	return &textCache{room: room, attempt: map[string]*list.Element{}, line: map[string]string{}}
 }
@@ -62,6 +63,7 @@
 	}
 }
 
+// drop takes a text out. The caller holds mu.
 func (cache *textCache) drop(e *list.Element) {
 	t := e.Value.(*text)
 	cache.order.Remove(e)
--- a/internal/tier/gateway/turn.go
+++ b/internal/tier/gateway/turn.go
@@ -30,7 +30,7 @@
 	}
 	// A turn store that is lost is replaced well within half of the contact window. What is not sure by then is refused at once,
 	// while its client has time for another try.
-	ctx, cancel := context.WithTimeout(request.ctx, min(time.Until(request.until)*2/5, gateway.c.Settings.ContactWindow/2))
+	ctx, cancel := context.WithTimeout(request.ctx, min(time.Until(request.until)*2/5, gateway.config.Settings.ContactWindow/2))
 	verdict, chain, after, sure := request.begin(ctx, begin)
 	cancel()
 	if verdict != tierv1.Verdict_OK {
@@ -115,7 +115,7 @@
 // release ends a reservation before its client hears of it, so that its next try finds the room in its budget: tokens were
 // handed out of a turn that is not kept. It waits a little for the turn store, and goes on behind the request.
 func (request *clientRequest) release(program string, tokens uint64) {
-	timer := time.NewTimer(request.gateway.c.Settings.ContactWindow / 12)
+	timer := time.NewTimer(request.gateway.config.Settings.ContactWindow / 12)
 	defer timer.Stop()
 	select {
 	case <-request.releaseLater(program, tokens):
@@ -144,7 +144,7 @@
 			gateway.mu.Unlock()
 			close(over)
 		}()
-		ctx, cancel := context.WithTimeout(context.Background(), gateway.c.Settings.ContactWindow*2)
+		ctx, cancel := context.WithTimeout(context.Background(), gateway.config.Settings.ContactWindow*2)
 		defer cancel()
 		gateway.stores.settle(ctx, &tierv1.SettleRequest{Program: program, Attempt: request.attempt, Tokens: tokens})
 	}()
--- a/internal/tier/gateway/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -25,6 +25,7 @@
 	changed    chan struct{}     // closed when a new map comes
 }
 
+// newStoreClient makes one that knows no map yet.
 func newStoreClient(s settings.Settings, dial func(string) tierv1.TurnStore, l *log.Logger) *storeClient {
 	return &storeClient{dial: dial, log: l, try: s.ContactWindow / 4, wait: s.ContactWindow / 40, changed: make(chan struct{}), at: map[string]string{}}
 }
@@ -42,6 +43,7 @@
 	client.mu.Unlock()
 }
 
+// ready tells whether a map with partitions has come.
 func (client *storeClient) ready() bool {
 	client.mu.Lock()
 	defer client.mu.Unlock()
