--- a/internal/tier/gateway/mutation_test.go
+++ b/internal/tier/gateway/mutation_test.go
@@ -62,6 +62,49 @@
 	}
 }
 
+// spoiler has a fault happen to one message: the one at a place among those of a method.
+type spoiler struct {
+	method string
+	at     int
+	fault  fault
+
+	mu   sync.Mutex
+	seen int
+	late []func() // what the fault holds back
+}
+
+// via carries a message to a turn store.
+func (s *spoiler) via(m tiertest.Message) error {
+	s.mu.Lock()
+	hit := m.Method == s.method && s.seen == s.at
+	if m.Method == s.method {
+		s.seen++
+	}
+	s.mu.Unlock()
+	if !hit {
+		return m.Serve()
+	}
+	return s.fault.call(m, func(again func()) {
+		s.mu.Lock()
+		s.late = append(s.late, again)
+		s.mu.Unlock()
+	})
+}
+
+// release has what was held back come now.
+func (s *spoiler) release() {
+	s.mu.Lock()
+	held := s.late
+	s.late = nil
+	s.mu.Unlock()
+	for _, again := range held {
+		again()
+	}
+}
+
+// The budget of the program, and the most that one turn of it may generate, in tokens.
+const budget, mostTokens = 400, 3
+
 func program(t *testing.T, where string, at int, f fault) {
 	t.Parallel()
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
@@ -75,87 +118,69 @@
 		})
 	}
 	r := start(t, e)
-	var mu sync.Mutex
-	n := 0
-	var late []func()
-	via := func(m tiertest.Message) error {
-		mu.Lock()
-		hit := m.Method == where && n == at
-		if m.Method == where {
-			n++
-		}
-		mu.Unlock()
-		if !hit {
-			return m.Serve()
-		}
-		return f.call(m, func(again func()) {
-			mu.Lock()
-			late = append(late, again)
-			mu.Unlock()
-		})
+	spoil := &spoiler{method: where, at: at, fault: f}
+	for _, store := range r.turnStores.List {
+		store.SetVia(spoil.via)
 	}
-	for _, v := range r.turnStores.List {
-		v.SetVia(via)
-	}
-	text := map[string]string{} // what a turn adds to the chain
-	chain, previous, granted := "", "", 0
-	const budget, most = 400, 3
+	chain, previous, granted := fourTurns(t, r, spoil)
+	spoil.release()
+	got, last := r.sure("t-last", previous, "")
+	whole(t, got, 200, events(said(last)...))
+	ranOnce(t, e, chain+"end", last)
+	// Of the budget, at most what was granted is gone, and at least what was handed in whole turns.
+	const handed = 2 * 4
+	over, _ := r.sure("t-over", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-handed+1))
+	assert.Equal(t, over.Status, 402, "%+v", over)
+	room, _ := r.sure("t-room", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-granted-2*20))
+	assert.Equal(t, room.Status, 200, "%+v", room)
+}
+
+// fourTurns has a client take four turns, each again until it has a whole answer. It gives the text of all, the id of the
+// last and the tokens that were asked for. What was held back comes after the second turn.
+func fourTurns(t *testing.T, r *rig, spoil *spoiler) (chain, previous string, granted int) {
 	for i := range 4 {
 		for try := 0; ; try++ {
 			id := fmt.Sprintf("t-%d-%d", i, try)
 			in := fmt.Sprintf("in %d;", i)
-			got := r.do(turn(id, previous, "p", fmt.Sprintf("X-Deadline-Ms: 3000\r\nBudget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, most), in))
-			if granted += most; got.Err == nil && got.Status == 200 {
+			fields := fmt.Sprintf("X-Deadline-Ms: 3000\r\nBudget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, mostTokens)
+			got := r.do(turn(id, previous, "p", fields, in))
+			if granted += mostTokens; got.Err == nil && got.Status == 200 {
 				whole(t, got, 200, events(said(id)...))
-				text[id] = in + output(id)
-				chain, previous = chain+text[id], id
+				chain, previous = chain+in+output(id), id
 				break
 			}
 			assert.Assert(t, got.Err != nil || got.Status == 502 || got.Status == 503 || got.Status == 504, "turn %d: %+v", i, got)
 			assert.Assert(t, try < 20, "turn %d: %+v", i, got)
 		}
-		if i == 1 { // what was held comes now
-			mu.Lock()
-			now := late
-			late = nil
-			mu.Unlock()
-			for _, again := range now {
-				again()
-			}
+		if i == 1 {
+			spoil.release()
 		}
 	}
-	mu.Lock()
-	rest := late
-	mu.Unlock()
-	for _, again := range rest {
-		again()
-	}
-	// sure asks as a client does, again after a promise: a machine that is busy may not be sure of its turn stores.
-	sure := func(id, previous, fields string) (got tiertest.Reply, last string) {
-		for try := range 20 {
-			last = fmt.Sprintf("%s-%d", id, try)
-			if got = r.do(turn(last, previous, "p", fields, "end")); got.Err == nil && got.Status != 503 {
-				break
-			}
+	return chain, previous, granted
+}
+
+// sure asks as a client does, again after a promise: a machine that is busy may not be sure of its turn stores.
+func (r *rig) sure(id, previous, fields string) (got tiertest.Reply, last string) {
+	for try := range 20 {
+		last = fmt.Sprintf("%s-%d", id, try)
+		if got = r.do(turn(last, previous, "p", fields, "end")); got.Err == nil && got.Status != 503 {
+			break
 		}
-		return got, last
 	}
-	got, last := sure("t-last", previous, "")
-	whole(t, got, 200, events(said(last)...))
+	return got, last
+}
+
+// ranOnce checks that no attempt ran twice, that each had a beginning of the program's text, and the last one all of it.
+func ranOnce(t *testing.T, e *tiertest.Endpoint, text, last string) {
+	t.Helper()
 	runs := map[string]int{}
 	for _, a := range e.Arrivals() {
 		runs[a.ID]++
 		assert.Equal(t, runs[a.ID], 1, "%s ran twice", a.ID)
-		assert.Assert(t, strings.HasPrefix(chain+"end", a.Text), a.Text)
+		assert.Assert(t, strings.HasPrefix(text, a.Text), a.Text)
 		if a.ID == last {
-			assert.Equal(t, a.Text, chain+"end")
+			assert.Equal(t, a.Text, text)
 		}
 	}
 	assert.Equal(t, runs[last], 1)
-	// Of the budget, at most what was granted is gone, and at least what was handed in whole turns.
-	const handed = 2 * 4
-	over, _ := sure("t-over", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-handed+1))
-	assert.Equal(t, over.Status, 402, "%+v", over)
-	room, _ := sure("t-room", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-granted-2*20))
-	assert.Equal(t, room.Status, 200, "%+v", room)
 }
