--- a/internal/tier/consensus/server.go
+++ b/internal/tier/consensus/server.go
@@ -10,74 +10,75 @@
 )
 
 // server hands what other nodes ask to the loop.
-type server struct{ n *Node }
+type server struct{ node *Node }
 
 // serve waits for the machine's reply, which leaves the loop when what it rests on is synced.
-func serve[T proto.Message](ctx context.Context, n *Node, body proto.Message) (T, error) {
+func serve[T proto.Message](ctx context.Context, node *Node, body proto.Message) (T, error) {
 	var none T
-	c := make(chan proto.Message, 1)
-	n.mu.Lock()
-	n.token++
-	token := n.token
-	n.replies[token] = c
-	if !n.postLocked(request{token, body}) {
-		delete(n.replies, token)
-		n.mu.Unlock()
-		return none, n.unavailable()
+	replied := make(chan proto.Message, 1)
+	node.mu.Lock()
+	node.token++
+	token := node.token
+	node.replies[token] = replied
+	if !node.postLocked(request{token, body}) {
+		delete(node.replies, token)
+		node.mu.Unlock()
+		return none, node.unavailable()
 	}
-	n.mu.Unlock()
+	node.mu.Unlock()
 	select {
-	case r, ok := <-c:
+	case r, ok := <-replied:
 		if t, is := r.(T); ok && is {
 			return t, nil
 		}
-		return none, n.unavailable()
+		return none, node.unavailable()
 	case <-ctx.Done():
-		n.mu.Lock()
-		delete(n.replies, token)
-		n.mu.Unlock()
+		node.mu.Lock()
+		delete(node.replies, token)
+		node.mu.Unlock()
 		return none, twirp.NewError(twirp.Canceled, "the caller is gone")
 	}
 }
 
-func (server server) Promise(ctx context.Context, q *tierv1.PromiseRequest) (*tierv1.PromiseReply, error) {
-	return serve[*tierv1.PromiseReply](ctx, server.n, q)
+func (server server) Promise(ctx context.Context, request *tierv1.PromiseRequest) (*tierv1.PromiseReply, error) {
+	return serve[*tierv1.PromiseReply](ctx, server.node, request)
 }
 
-func (server server) Accept(ctx context.Context, q *tierv1.AcceptRequest) (*tierv1.AcceptReply, error) {
-	return serve[*tierv1.AcceptReply](ctx, server.n, q)
+func (server server) Accept(ctx context.Context, request *tierv1.AcceptRequest) (*tierv1.AcceptReply, error) {
+	return serve[*tierv1.AcceptReply](ctx, server.node, request)
 }
 
-func (server server) Heartbeat(ctx context.Context, q *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
-	return serve[*tierv1.HeartbeatReply](ctx, server.n, q)
+func (server server) Heartbeat(ctx context.Context, request *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
+	return serve[*tierv1.HeartbeatReply](ctx, server.node, request)
 }
 
-func (server server) Write(ctx context.Context, q *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
-	return serve[*tierv1.WriteReply](ctx, server.n, q)
+func (server server) Write(ctx context.Context, request *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
+	return serve[*tierv1.WriteReply](ctx, server.node, request)
 }
 
-func (server server) Join(ctx context.Context, q *tierv1.JoinRequest) (*tierv1.JoinReply, error) {
-	return serve[*tierv1.JoinReply](ctx, server.n, q)
+func (server server) Join(ctx context.Context, request *tierv1.JoinRequest) (*tierv1.JoinReply, error) {
+	return serve[*tierv1.JoinReply](ctx, server.node, request)
 }
 
 // send makes a call of the machine. Its end, whatever it is, is an event.
-func (node *Node) send(ctx context.Context, c call) {
-	client := node.clients[c.address]
+func (node *Node) send(ctx context.Context, call call) {
+	client := node.clients[call.address]
 	if client == nil {
-		client = node.config.Dial(c.address)
-		node.clients[c.address] = client
+		client = node.config.Dial(call.address)
+		node.clients[call.address] = client
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, c.timeout)
+		ctx, cancel := context.WithTimeout(ctx, call.timeout)
 		defer cancel()
-		body, err := invoke(ctx, client, c.body)
+		body, err := invoke(ctx, client, call.body)
 		if err != nil {
 			body = nil
 		}
-		node.post(answer{c.id, body})
+		node.post(answer{call.id, body})
 	}()
 }
 
+// invoke makes the call of a node that a request is for.
 func invoke(ctx context.Context, client tierv1.Election, body proto.Message) (proto.Message, error) {
 	switch q := body.(type) {
 	case *tierv1.PromiseRequest:
