--- a/internal/tier/consensus/durable.go
+++ b/internal/tier/consensus/durable.go
@@ -42,6 +42,7 @@
 	kindMark     = 'M' // uvarint epoch: the copy is held under it
 )
 
+// encodeIdentity, encodePromise, encodeMark and encodeMessage make the records of the file; replay takes them.
 func encodeIdentity(id identity) []byte {
 	b, _ := json.Marshal(id)
 	return append([]byte{kindIdentity}, b...)
--- a/internal/tier/consensus/health.go
+++ b/internal/tier/consensus/health.go
@@ -40,7 +40,7 @@
 //
 // Any |B| of the |B|+1 copies may go without the loss of a write, and a majority of each set is left to choose the next
 // record. A joiner without a vote and a member without an answer count for nothing. A member counts as there until
-// recently has passed since its last answer, so a loss is told that late at most.
+// recently has passed since its last answer, so a loss shows that late at most.
 func (machine *machine) health() Health {
 	h := Health{Losses: machine.losses, Tolerates: Unknown, MembersWanted: 2*machine.losses + 1}
 	if machine.primary == nil {
@@ -78,6 +78,7 @@
 	return machine.timing.call + machine.timing.heartbeat/2
 }
 
+// answers tells whether a member answered of late, or is this one.
 func (machine *machine) answers(member *tierv1.Member) bool {
 	return member.Folder == machine.Folder || member.Folder == "" && member.Address == machine.self.Address || machine.alive(member, machine.recently())
 }
--- a/internal/tier/consensus/leadership.go
+++ b/internal/tier/consensus/leadership.go
@@ -79,10 +79,13 @@
 	return at
 }
 
+// confirmedWithin tells whether all backups answered a round trip that began within d.
 func (machine *machine) confirmedWithin(d time.Duration) bool {
 	return machine.now-machine.confirmedAt() < d
 }
 
+// leadershipTimers does what is due of a primary: it ends a leadership that is not confirmed any more, sends heartbeats
+// and proposes the record that it wants next.
 func (machine *machine) leadershipTimers() {
 	primary := machine.primary
 	if machine.proposal == nil && !machine.confirmedWithin(machine.timing.fresh) {
@@ -105,6 +108,7 @@
 	}
 }
 
+// sendHeartbeat sends a node the record in force, unless one is under way; an answer of a backup confirms the record.
 func (machine *machine) sendHeartbeat(address string) {
 	peer := machine.peer(address)
 	if peer.asking {
--- a/internal/tier/consensus/machine.go
+++ b/internal/tier/consensus/machine.go
@@ -36,6 +36,7 @@
 	primary    *leadership // nil where this process is not primary
 }
 
+// newMachine makes a machine of what its folder holds. Its clock stands at 0 until resume; seed is that of its jitter.
 func newMachine(d durable, self *tierv1.Member, seeds []string, losses int, t timing, seed uint64) *machine {
 	m := &machine{durable: d, seeds: seeds, losses: losses, timing: t, random: rand.New(rand.NewPCG(seed, 1)),
 		pending: make(map[uint64]func(proto.Message)), peers: make(map[string]*peer)}
@@ -58,6 +59,7 @@
 	machine.nextID = lastCall
 }
 
+// jitter is a random span of at most d.
 func (machine *machine) jitter(d time.Duration) time.Duration {
 	return time.Duration(machine.random.Int64N(int64(d) + 1))
 }
@@ -86,6 +88,7 @@
 	return machine.out
 }
 
+// serve answers a call of another node; nil where it knows no such call.
 func (machine *machine) serve(body proto.Message) proto.Message {
 	switch q := body.(type) {
 	case *tierv1.PromiseRequest:
@@ -102,6 +105,7 @@
 	return nil
 }
 
+// store has a record appended to the file, and with sync synced before replies and calls leave.
 func (machine *machine) store(record []byte, sync bool) {
 	machine.out.records = append(machine.out.records, record)
 	machine.out.sync = machine.out.sync || sync
@@ -136,6 +140,7 @@
 	return machine.genesis()
 }
 
+// genesis is the record of epoch 0 that names the seeds; nil in a folder that was not made at the first start.
 func (machine *machine) genesis() *tierv1.Record {
 	if !machine.Genesis {
 		return nil
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -76,6 +76,7 @@
 	return open(config, func() time.Duration { return time.Since(start) })
 }
 
+// open is Open with a clock of the caller's.
 func open(config Config, clock func() time.Duration) (*Node, error) {
 	n := &Node{config: config, timing: timings(config.ContactWindow, config.Heartbeat), clock: clock,
 		replies: make(map[uint64]chan proto.Message), outcomes: make(map[uint64]chan outcome), changed: make(chan struct{}),
@@ -182,6 +183,7 @@
 	return node.postLocked(e)
 }
 
+// postLocked is post under mu.
 func (node *Node) postLocked(e event) bool {
 	if node.stopped || node.view.health.Disk != nil {
 		return false
@@ -206,6 +208,7 @@
 	}
 }
 
+// wait posts an event with a token of its own and waits for the outcome; ErrUnknown where ctx ends first.
 func (node *Node) wait(ctx context.Context, as func(token uint64) event) (uint64, error) {
 	c := make(chan outcome, 1)
 	node.mu.Lock()
--- a/internal/tier/consensus/peers.go
+++ b/internal/tier/consensus/peers.go
@@ -21,6 +21,7 @@
 	voter    bool           // it says that it is a member of the record in force
 }
 
+// peer is what is known of the process at an address, made where it is new.
 func (machine *machine) peer(address string) *peer {
 	p := machine.peers[address]
 	if p == nil {
@@ -95,6 +96,7 @@
 	return list
 }
 
+// knownMembers are the members of the newest chosen record known.
 func (machine *machine) knownMembers() []*tierv1.Member {
 	if r := machine.known(); r != nil {
 		return r.Members
--- a/internal/tier/consensus/proposal.go
+++ b/internal/tier/consensus/proposal.go
@@ -9,6 +9,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
+// phase is how far a proposal has come.
 type phase int
 
 const (
@@ -43,6 +44,7 @@
 	accepted map[string]bool                 // folders
 }
 
+// wake is when the proposal is due at the latest without an answer.
 func (p *proposal) wake() time.Duration {
 	if p.grace > 0 && p.phase <= promising {
 		return min(p.grace, p.deadline)
@@ -76,6 +78,7 @@
 	machine.begin(&proposal{plan: want, phase: promising, epoch: epoch})
 }
 
+// begin begins a proposal with this folder's own promise, and asks the others for theirs.
 func (machine *machine) begin(proposal *proposal) {
 	proposal.base = machine.base()
 	proposal.deadline = machine.now + 3*machine.timing.call
@@ -114,6 +117,7 @@
 	}
 }
 
+// answered takes the answer to a call for a promise that began at that time; nil: there was none.
 func (machine *machine) answered(proposal *proposal, reply *tierv1.PromiseReply, began time.Duration) {
 	if reply != nil {
 		machine.replied(reply.Self, began)
@@ -147,6 +151,7 @@
 	return voter(member, reply.Self.Folder, reply.Self.Address, reply.Genesis)
 }
 
+// promisedBy tells whether a member has promised to the proposal under way.
 func (machine *machine) promisedBy(member *tierv1.Member) bool {
 	for _, reply := range machine.proposal.replies {
 		if machine.standsFor(reply, member) {
@@ -156,6 +161,7 @@
 	return false
 }
 
+// acceptedBy tells whether a member has accepted its target.
 func (machine *machine) acceptedBy(member *tierv1.Member) bool {
 	for folder, reply := range machine.proposal.replies {
 		if machine.proposal.accepted[folder] && machine.standsFor(reply, member) {
--- a/internal/tier/consensus/quorum.go
+++ b/internal/tier/consensus/quorum.go
@@ -26,6 +26,7 @@
 	return genesis && m.Address == address
 }
 
+// same tells whether two are the same member: the same folder or, where one has none yet, the same address.
 func same(a, b *tierv1.Member) bool {
 	if a.Folder == "" || b.Folder == "" {
 		return a.Address == b.Address
@@ -33,6 +34,7 @@
 	return a.Folder == b.Folder
 }
 
+// contains tells whether a member is in a list.
 func contains(list []*tierv1.Member, m *tierv1.Member) bool {
 	return slices.ContainsFunc(list, func(o *tierv1.Member) bool { return same(o, m) })
 }
@@ -72,6 +74,7 @@
 	return r != nil && (r.Primary == folder || slices.Contains(r.Backups, folder))
 }
 
+// epochOf is the epoch of a record; 0 of none.
 func epochOf(r *tierv1.Record) uint64 {
 	if r == nil {
 		return 0
@@ -79,6 +82,7 @@
 	return r.Epoch
 }
 
+// newest is the record of the higher epoch; a where they are equal, nil where both are.
 func newest(a, b *tierv1.Record) *tierv1.Record {
 	if a == nil || b != nil && b.Epoch > a.Epoch {
 		return b
--- a/internal/tier/consensus/register.go
+++ b/internal/tier/consensus/register.go
@@ -76,6 +76,7 @@
 	return epoch > 0 && epoch == machine.promised && to == machine.promisedTo
 }
 
+// acceptRecord records that a record is accepted.
 func (machine *machine) acceptRecord(record *tierv1.Record) {
 	if epochOf(machine.accepted) == record.Epoch {
 		return // doubled
@@ -148,6 +149,7 @@
 	return &tierv1.JoinReply{Primary: machine.primary != nil, Record: machine.chosen}
 }
 
+// askToJoin tells all known processes of this one, and learns the newest chosen record from their answers.
 func (machine *machine) askToJoin() {
 	for _, address := range machine.addresses() {
 		began := machine.now
--- a/internal/tier/consensus/round.go
+++ b/internal/tier/consensus/round.go
@@ -21,12 +21,15 @@
 	need    map[string]bool // folders of backups
 }
 
+// put queues a write.
 func (machine *machine) put(e put) {
 	machine.enqueue(e.epoch, waiter{token: e.token, sets: e.sets})
 }
 
+// confirm queues a round trip to all backups without a write.
 func (machine *machine) confirm(e confirm) { machine.enqueue(e.epoch, waiter{token: e.token}) }
 
+// enqueue queues a waiter, or ends it where this process has not been primary under the epoch without a break.
 func (machine *machine) enqueue(epoch uint64, waiter waiter) {
 	primary := machine.primary
 	if primary == nil || epoch < primary.first || epoch > primary.record.Epoch {
@@ -72,6 +75,7 @@
 	}
 }
 
+// sendWrite sends a write to a backup of the record, and the whole state where its copy is behind.
 func (machine *machine) sendWrite(record *tierv1.Record, folder string, request *tierv1.WriteRequest) {
 	i := slices.IndexFunc(record.Members, func(v *tierv1.Member) bool { return v.Folder == folder })
 	if i < 0 {
--- a/internal/tier/consensus/timing.go
+++ b/internal/tier/consensus/timing.go
@@ -15,6 +15,7 @@
 	join      time.Duration // between two calls to join
 }
 
+// timings are those of a contact window. A heartbeat is at most a quarter of interval; 0: no bound.
 func timings(window, interval time.Duration) timing {
 	heartbeat := window / 12
 	if interval > 0 {
--- a/internal/tier/consensus/view.go
+++ b/internal/tier/consensus/view.go
@@ -20,6 +20,7 @@
 	health    Health
 }
 
+// publish shows callers the machine as it is now; with changed those that wait on Changed are woken.
 func (node *Node) publish(changed bool) {
 	machine := node.machine
 	v := view{record: machine.chosen, hint: machine.hint, members: machine.members(), data: machine.data, self: machine.self, health: machine.health()}
