--- a/internal/tier/gateway/turn.go
+++ b/internal/tier/gateway/turn.go
@@ -49,7 +49,7 @@
 	request.stream(&kept{program: program, line: line, previous: begin.Previous, retention: begin.RetentionMs})
 }
 
-// readBudget reads the Budget of the turn's program, in tokens; where it cannot stand, the problem is told.
+// readBudget reads the Budget of the turn's program, in tokens; where it cannot stand, it gives the problem.
 func (request *clientRequest) readBudget(begin *tierv1.BeginRequest) (problem string) {
 	header := request.x.Header.Get("Budget")
 	if header == "" {
--- a/internal/tier/ingress/ends_test.go
+++ b/internal/tier/ingress/ends_test.go
@@ -218,14 +218,14 @@
 }
 
 func TestGone(t *testing.T) {
-	check, result, told := make(chan bool), make(chan bool), make(chan bool, 1)
+	check, result, notified := make(chan bool), make(chan bool), make(chan bool, 1)
 	addr := start(t, &Server{Handler: func(x *Exchange) {
 		if x.Path == "/a" {
 			echo(x)
 			return
 		}
 		if x.Path == "/watch" {
-			x.OnGone(0, func() { told <- true })
+			x.OnGone(0, func() { notified <- true })
 		}
 		for <-check {
 			result <- x.Gone()
@@ -252,7 +252,7 @@
 			conn.SetLinger(0)
 		}
 		conn.Close()
-		<-told
+		<-notified
 		check <- true
 		assert.Assert(t, <-result)
 		check <- false
--- a/internal/tier/loadbalancer/endpoint.go
+++ b/internal/tier/loadbalancer/endpoint.go
@@ -95,7 +95,7 @@
 // capacity is how many requests it works on at once.
 func (endpoint *endpoint) capacity() int { return max(1, cmp.Or(endpoint.slots, endpoint.Capacity)) }
 
-// load is how many requests it has: ours, and those of others as told, which fade.
+// load is how many requests it has: ours, and those of others as the endpoint reported them, which fade.
 func (endpoint *endpoint) load(now time.Duration) float64 {
 	return float64(endpoint.calls) + endpoint.others*math.Exp(-(now-endpoint.loadAt).Seconds()/loadFadeSpan.Seconds())
 }
--- a/internal/tier/routing/parse.go
+++ b/internal/tier/routing/parse.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	longest  = 365 * 24 * time.Hour // longer times are cut to this
-	mostInt  = 1 << 53              // beyond it not all whole numbers can be told
-	mostSize = math.MaxInt32
+	longest = 365 * 24 * time.Hour // longer times are cut to this
+	maxInt  = 1 << 53              // above it a float64 does not hold each whole number
+	maxSize = math.MaxInt32
 
 	// In force where the operator gives no limits.
 	defaultMaxHeader     = 64 << 10
@@ -53,7 +53,7 @@
 	switch {
 	case w.Revision == nil:
 		found.add("revision", "is missing")
-	case *w.Revision < 1 || *w.Revision != math.Trunc(*w.Revision) || *w.Revision > mostInt:
+	case *w.Revision < 1 || *w.Revision != math.Trunc(*w.Revision) || *w.Revision > maxInt:
 		found.add("revision", "is %v, not a whole number above 0", *w.Revision)
 	default:
 		table.Revision = int64(*w.Revision)
@@ -200,7 +200,7 @@
 	}
 	s.Engine = &Engine{
 		Capacity:       clamp(e.Capacity),
-		CacheTokens:    int64(min(max(e.CacheTokens, 0), mostInt)),
+		CacheTokens:    int64(min(max(e.CacheTokens, 0), maxInt)),
 		TokensPerEvent: max(1, clamp(e.TokensPerEvent)),
 	}
 	for _, m := range e.Models {
@@ -238,7 +238,7 @@
 }
 
 // clamp cuts a number to a whole one from 0 up.
-func clamp(v float64) int { return int(min(max(v, 0), mostSize)) }
+func clamp(v float64) int { return int(min(max(v, 0), maxSize)) }
 
 // millis gives the time of a number of milliseconds, 0 where it is below.
 func millis(v float64) time.Duration {
--- a/internal/tier/routing/wire.go
+++ b/internal/tier/routing/wire.go
@@ -47,7 +47,7 @@
 	Engine         *wireEngine `json:"inference_engine"`
 }
 
-// wireEngine is what is told of a service's engines. CacheTokens is the memory of one of them.
+// wireEngine is what a configuration says of a service's engines. CacheTokens is the memory of one of them.
 type wireEngine struct {
 	Capacity       float64     `json:"capacity"`
 	CacheTokens    float64     `json:"cache_tokens"`
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -187,17 +187,17 @@
 		return &tierv1.WatchReply{Primary: true, Configuration: &tierv1.Configuration{Version: n}, Endpoints: &tierv1.Endpoints{Version: n},
 			PartitionMap: &tierv1.PartitionMap{Version: n}, Members: &tierv1.Members{Version: n}}
 	}
-	told := []uint64{5, 4, 5, 7, 1, 6, 8}
+	versions := []uint64{5, 4, 5, 7, 1, 6, 8}
 	var mu sync.Mutex
 	n := 0
 	c.SetVia(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		if !held(q) || n == len(told) {
+		if !held(q) || n == len(versions) {
 			return serve()
 		}
 		n++
-		return news(told[n-1]), nil
+		return news(versions[n-1]), nil
 	})
 	r.run()
 	c.Await(t, "the newest is acknowledged", func(q *tierv1.WatchRequest) bool { return held(q) && q.PartitionMap == 8 })
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -203,11 +203,11 @@
 		c := p.hosts[key{target.Address, target.Instance}].idle[0]
 		return c.expires.Sub(c.since)
 	}
-	plain, told := echoing(t, ""), echoing(t, "Keep-Alive: timeout=2\r\n")
+	plain, announcing := echoing(t, ""), echoing(t, "Keep-Alive: timeout=2\r\n")
 	assert.Equal(t, call(t, p, plain, "a").End, Whole)
-	assert.Equal(t, call(t, p, told, "a").End, Whole)
+	assert.Equal(t, call(t, p, announcing, "a").End, Whole)
 	assert.Equal(t, span(plain), 8*time.Second)
-	assert.Equal(t, span(told), 1600*time.Millisecond)
+	assert.Equal(t, span(announcing), 1600*time.Millisecond)
 
 	// One that the endpoint ended first teaches.
 	p.mu.Lock()
@@ -220,17 +220,17 @@
 	assert.Assert(t, span(plain) >= 800*time.Millisecond && span(plain) < 8*time.Second, "%v", span(plain))
 
 	// What is over its time is closed by the sweep, and not used before that.
-	for _, target := range []Target{plain, told} {
+	for _, target := range []Target{plain, announcing} {
 		p.mu.Lock()
 		c := p.hosts[key{target.Address, target.Instance}].idle[0]
 		c.expires = time.Now()
 		p.mu.Unlock()
 	}
-	assert.Assert(t, call(t, p, told, "c").Opened)
+	assert.Assert(t, call(t, p, announcing, "c").Opened)
 	p.Sweep()
 	open, _ := p.Open(plain)
 	assert.Equal(t, open, 0)
-	open, _ = p.Open(told)
+	open, _ = p.Open(announcing)
 	assert.Equal(t, open, 1)
 }
 
--- a/internal/tier/upstream/wire_test.go
+++ b/internal/tier/upstream/wire_test.go
@@ -265,8 +265,8 @@
 	return nil
 }
 
-// heard is what a client would have of a call.
-type heard struct {
+// observed is what a client would have of a call.
+type observed struct {
 	reply Reply
 	body  string
 	whole bool
@@ -294,7 +294,7 @@
 	return q
 }
 
-func (w *wireClient) send(id string, size int, cause error) (heard, *Result) {
+func (w *wireClient) send(id string, size int, cause error) (observed, *Result) {
 	for tries := 1; ; tries++ {
 		got, r := w.once(id, size, cause)
 		if !w.retry(r) || got.body != "" || tries == 3 {
@@ -303,7 +303,7 @@
 	}
 }
 
-func (w *wireClient) once(id string, size int, cause error) (heard, *Result) {
+func (w *wireClient) once(id string, size int, cause error) (observed, *Result) {
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan struct{})
@@ -318,7 +318,7 @@
 		}()
 	}
 	r := w.call(&overContext{inner, cause}, w.ep.target, wireRequest(id, size))
-	got := heard{body: string(r.Body), whole: r.End == Whole}
+	got := observed{body: string(r.Body), whole: r.End == Whole}
 	if r.Stream != nil {
 		pieces, err := pieces(r.Stream)
 		got.body, got.whole = strings.Join(pieces, ""), err == io.EOF
@@ -334,7 +334,7 @@
 }
 
 // check judges, from outside, what the client of one request has.
-func (got heard) check(id string, f *answerForm, sent int, how ending, arrivals int) string {
+func (got observed) check(id string, f *answerForm, sent int, how ending, arrivals int) string {
 	own := "{" + id + "}"
 	if strings.Contains(f.text, "id: 1") {
 		own = "id: 1\ndata: " + own + "\n\nid: 2\ndata: " + own + "\n\n"
