--- a/internal/tier/gateway/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -180,7 +180,7 @@
 // findAt asks the stores at some addresses at once for a turn. It gives the turn's chain as soon as one has it, else the
 // partitions whose primaries said that they do not.
 func (client *storeClient) findAt(ctx context.Context, addresses map[string]bool, attempt string) (chain []*tierv1.Turn, answered map[uint32]bool) {
-	ctx, cancel := context.WithTimeout(ctx, client.try)
+	round, cancel := context.WithTimeout(ctx, client.try)
 	defer cancel()
 	replies := make(chan *tierv1.FindReply, len(addresses))
 	for address := range addresses {
@@ -189,7 +189,7 @@
 				replies <- nil
 				return
 			}
-			reply, err := client.dial(address).Find(ctx, &tierv1.FindRequest{Attempt: attempt})
+			reply, err := client.dial(address).Find(round, &tierv1.FindRequest{Attempt: attempt})
 			if err != nil {
 				reply = nil
 			}
