--- a/internal/tier/ingress/ends_test.go
+++ b/internal/tier/ingress/ends_test.go
@@ -143,7 +143,7 @@
 	until(t, "byte", func() bool { return peek(c.raw) == pending })
 	assert.Assert(t, !c.endIdle())
 	assert.NilError(t, c.raw.Read(c.try))
-	assert.Assert(t, c.state == active && c.w == 1)
+	assert.Assert(t, c.state == active && c.filled == 1)
 	assert.Assert(t, !c.endIdle())
 	c.state = waiting
 	assert.Assert(t, c.endIdle())
@@ -151,7 +151,7 @@
 	until(t, "byte", func() bool { return peek(c.raw) == pending })
 	c.release()
 	assert.NilError(t, c.raw.Read(c.try)) // ended first: what comes after stays unread
-	assert.Assert(t, c.state == over && c.w == 0 && peek(c.raw) == pending)
+	assert.Assert(t, c.state == over && c.filled == 0 && peek(c.raw) == pending)
 }
 
 func TestShutdownEndsWithItsContext(t *testing.T) {
@@ -218,14 +218,14 @@
 }
 
 func TestGone(t *testing.T) {
-	check, result, told := make(chan bool), make(chan bool), make(chan bool, 1)
+	check, result, notified := make(chan bool), make(chan bool), make(chan bool, 1)
 	addr := start(t, &Server{Handler: func(x *Exchange) {
 		if x.Path == "/a" {
 			echo(x)
 			return
 		}
 		if x.Path == "/watch" {
-			x.OnGone(0, func() { told <- true })
+			x.OnGone(0, func() { notified <- true })
 		}
 		for <-check {
 			result <- x.Gone()
@@ -252,7 +252,7 @@
 			conn.SetLinger(0)
 		}
 		conn.Close()
-		<-told
+		<-notified
 		check <- true
 		assert.Assert(t, <-result)
 		check <- false
--- a/internal/tier/routing/parse.go
+++ b/internal/tier/routing/parse.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	longest  = 365 * 24 * time.Hour // longer times are cut to this
-	mostInt  = 1 << 53              // beyond it not all whole numbers can be told
-	mostSize = math.MaxInt32
+	longest = 365 * 24 * time.Hour // longer times are cut to this
+	maxInt  = 1 << 53              // above it a float64 does not hold each whole number
+	maxSize = math.MaxInt32
 
 	// In force where the operator gives no limits.
 	defaultMaxHeader     = 64 << 10
@@ -25,6 +25,7 @@
 // findings collects what is wrong, each with its place.
 type findings struct{ list []error }
 
+// add notes a finding: where it is, and what is wrong there.
 func (f *findings) add(place, message string, args ...any) {
 	f.list = append(f.list, Invalid.New("%s: %s", place, fmt.Sprintf(message, args...)))
 }
@@ -47,16 +48,17 @@
 	return c, nil
 }
 
-func (c *Table) fill(w *wire, found *findings) {
+// fill takes in a configuration and notes what is wrong with it.
+func (table *Table) fill(w *wire, found *findings) {
 	switch {
 	case w.Revision == nil:
 		found.add("revision", "is missing")
-	case *w.Revision < 1 || *w.Revision != math.Trunc(*w.Revision) || *w.Revision > mostInt:
+	case *w.Revision < 1 || *w.Revision != math.Trunc(*w.Revision) || *w.Revision > maxInt:
 		found.add("revision", "is %v, not a whole number above 0", *w.Revision)
 	default:
-		c.Revision = int64(*w.Revision)
+		table.Revision = int64(*w.Revision)
 	}
-	c.Limits = w.Limits.limits(found)
+	table.Limits = w.Limits.limits(found)
 	if w.Services == nil {
 		found.add("services", "is missing")
 	} else {
@@ -65,28 +67,50 @@
 				found.add(fmt.Sprintf("services[%d].name", i), "is missing")
 				continue
 			}
-			c.Services[s.Name] = s.service(fmt.Sprintf("services[%d]", i), found)
+			table.Services[s.Name] = s.service(fmt.Sprintf("services[%d]", i), found)
 		}
 	}
 	if w.Routes == nil {
 		found.add("routes", "is missing")
 		return
 	}
-	c.Routes = make([]*Route, 0, len(*w.Routes))
+	table.Routes = make([]*Route, 0, len(*w.Routes))
 	places := map[[2]string]int{}
 	for i := range *w.Routes {
-		c.addRoute(i, &(*w.Routes)[i], places, found)
+		table.addRoute(i, &(*w.Routes)[i], places, found)
 	}
 }
 
 // addRoute checks one route and takes it in.
-func (c *Table) addRoute(i int, w *wireRoute, places map[[2]string]int, found *findings) {
+func (table *Table) addRoute(i int, w *wireRoute, places map[[2]string]int, found *findings) {
 	at := func(field string) string { return fmt.Sprintf("routes[%d].%s", i, field) }
 	r := &Route{
 		Name: w.Name, Host: hostname(w.Hostname), Prefix: w.Prefix, Priority: clamp(w.Priority), MaxAttempts: max(1, clamp(w.Attempts)),
 		Persisted: w.Persisted, Sticky: w.Affinity, Resumable: w.Resumable,
 		Aim: millis(w.Aim), GapAim: millis(w.GapAim), Retention: millis(w.Retention * 1000),
 	}
+	w.check(r, at, found)
+	table.split(r, w, at, found)
+
+	place := [2]string{r.Host, r.Prefix}
+	if first, twice := places[place]; twice {
+		found.add(at("path_prefix"), "%s%s is that of routes[%d] too", r.Host, r.Prefix, first)
+		return
+	}
+	places[place] = i
+	table.Routes = append(table.Routes, r)
+	routes := table.hosts[r.Host]
+	if routes == nil {
+		routes = &hostRoutes{byPrefix: map[string]*Route{}}
+		table.hosts[r.Host] = routes
+	}
+	routes.byPrefix[r.Prefix] = r
+	routes.lengths = append(routes.lengths, len(r.Prefix))
+}
+
+// check checks the fields of a route that stand alone, and takes in those that a route must have: its kind, time-out and
+// aim. The aim is the time-out where none is given.
+func (w *wireRoute) check(r *Route, at func(field string) string, found *findings) {
 	for _, n := range []struct {
 		field string
 		value float64
@@ -119,28 +143,12 @@
 	if r.Aim == 0 {
 		r.Aim = r.Timeout
 	}
-	c.split(r, w, at, found)
-
-	place := [2]string{r.Host, r.Prefix}
-	if first, twice := places[place]; twice {
-		found.add(at("path_prefix"), "%s%s is that of routes[%d] too", r.Host, r.Prefix, first)
-		return
-	}
-	places[place] = i
-	c.Routes = append(c.Routes, r)
-	routes := c.hosts[r.Host]
-	if routes == nil {
-		routes = &hostRoutes{byPrefix: map[string]*Route{}}
-		c.hosts[r.Host] = routes
-	}
-	routes.byPrefix[r.Prefix] = r
-	routes.lengths = append(routes.lengths, len(r.Prefix))
 }
 
 // split checks and takes in the services of a route.
-func (c *Table) split(r *Route, w *wireRoute, at func(string) string, found *findings) {
+func (table *Table) split(r *Route, w *wireRoute, at func(string) string, found *findings) {
 	if w.Service != nil && (*w.Service != "" || len(w.Split) == 0) {
-		if c.Services[*w.Service] == nil {
+		if table.Services[*w.Service] == nil {
 			found.add(at("service_name"), "%q is not known", *w.Service)
 		}
 		if len(w.Split) == 0 {
@@ -154,7 +162,7 @@
 	}
 	total := 0.0
 	for i, s := range w.Split {
-		if c.Services[s.Service] == nil {
+		if table.Services[s.Service] == nil {
 			found.add(at(fmt.Sprintf("traffic_split[%d].service_name", i)), "%q is not known", s.Service)
 		}
 		if s.Weight < 0 {
@@ -192,7 +200,7 @@
 	}
 	s.Engine = &Engine{
 		Capacity:       clamp(e.Capacity),
-		CacheTokens:    int64(min(max(e.CacheTokens, 0), mostInt)),
+		CacheTokens:    int64(min(max(e.CacheTokens, 0), maxInt)),
 		TokensPerEvent: max(1, clamp(e.TokensPerEvent)),
 	}
 	for _, m := range e.Models {
@@ -230,7 +238,7 @@
 }
 
 // clamp cuts a number to a whole one from 0 up.
-func clamp(v float64) int { return int(min(max(v, 0), mostSize)) }
+func clamp(v float64) int { return int(min(max(v, 0), maxSize)) }
 
 // millis gives the time of a number of milliseconds, 0 where it is below.
 func millis(v float64) time.Duration {
