--- a/internal/tier/consensus/disk.go
+++ b/internal/tier/consensus/disk.go
@@ -58,6 +58,9 @@
 	n.disk.rewriteAt = rewriteFactor*n.file.Size() + rewriteSlack
 	m := newMachine(d, n.config.Self, n.config.Seeds, n.config.Losses, n.timing, uint64(time.Now().UnixNano()))
 	m.resume(n.now(), n.disk.lastCall)
+	if n.config.StateLimit > 0 {
+		m.stateLimit = n.config.StateLimit
+	}
 	n.machine = m
 	return nil
 }
@@ -135,10 +138,7 @@
 
 // failDisk ends the machine: leadership, proposals and calls are gone as by a loss of power.
 func (n *Node) failDisk(err error) {
-	if n.machine != nil {
-		n.disk.lastCall = n.machine.nextID
-		n.machine = nil
-	}
+	n.dropMachine()
 	now := n.now()
 	switch {
 	case n.disk.retryWait == 0 || n.disk.err == nil && now-n.disk.since >= diskHealthy*n.timing.heartbeat:
@@ -162,6 +162,34 @@
 	}
 }
 
+// refuseRecord goes on after the file refused a record as too large. Nothing of the step was written, though early calls
+// have left: the machine is built anew from the file, as after a restart. The disk is sound, and not reported as failing.
+// The machine lets no such record come about by itself, see StateLimit.
+func (n *Node) refuseRecord(err error) {
+	if n.config.Log != nil {
+		n.config.Log.Error().Str("event", "record_refused").Str("file", fileName).Err(err).Msg("record refused: " + err.Error())
+	}
+	n.dropMachine()
+	n.mu.Lock()
+	n.inbox = nil
+	n.endCallers()
+	n.mu.Unlock()
+	if err := n.openDisk(); err != nil {
+		n.failDisk(err)
+		return
+	}
+	n.publish(true)
+}
+
+// dropMachine forgets the machine. Late answers to its calls will meet nobody.
+func (n *Node) dropMachine() {
+	if n.machine == nil {
+		return
+	}
+	n.disk.lastCall = n.machine.nextID
+	n.machine = nil
+}
+
 // retryDisk tries to go on. It returns only errors that cannot pass.
 func (n *Node) retryDisk() error {
 	before := n.disk.err
--- a/internal/tier/consensus/disk_test.go
+++ b/internal/tier/consensus/disk_test.go
@@ -24,6 +24,8 @@
 	disk *wal.Memory
 	now  time.Duration
 	log  bytes.Buffer
+
+	limit int // of the control state, in bytes; 0: StateLimit
 }
 
 func newSolo(t *testing.T, disk *wal.Memory, seeds ...string) *solo {
@@ -34,7 +36,7 @@
 
 func (s *solo) open(bootstrap bool, seeds ...string) {
 	n, err := open(Config{Self: &tierv1.Member{Address: "a"}, Seeds: seeds, Bootstrap: bootstrap, Losses: len(seeds) / 2, Dir: "/data",
-		FS: s.disk, ContactWindow: 3 * time.Second, Heartbeat: time.Second, Log: &log.Logger{Writer: log.IOWriter{Writer: &s.log}},
+		StateLimit: s.limit, FS: s.disk, ContactWindow: 3 * time.Second, Heartbeat: time.Second, Log: &log.Logger{Writer: log.IOWriter{Writer: &s.log}},
 		Dial: func(to string) tierv1.Election { return wire{&network{}, to} }}, func() time.Duration { return s.now })
 	assert.NilError(s.t, err)
 	s.node = n
@@ -50,13 +52,17 @@
 
 // put begins a write; the channel gets its outcome.
 func (s *solo) put(key string) chan outcome {
+	return s.putSets(map[string][]byte{key: bytes.Repeat([]byte(key), 100)})
+}
+
+func (s *solo) putSets(sets map[string][]byte) chan outcome {
 	n := s.node
 	c := make(chan outcome, 1)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.token++
 	n.outcomes[n.token] = c
-	if !n.postLocked(put{n.token, n.view.epoch, map[string][]byte{key: bytes.Repeat([]byte(key), 100)}}) {
+	if !n.postLocked(put{n.token, n.view.epoch, sets}) {
 		delete(n.outcomes, n.token)
 		c <- outcome{err: ErrNotPrimary}
 	}
--- a/internal/tier/consensus/durable.go
+++ b/internal/tier/consensus/durable.go
@@ -28,6 +28,7 @@
 	accepted   *tierv1.Record
 	chosen     *tierv1.Record // may be forgotten
 	data       map[string]*tierv1.Entry
+	size       int // of data, by entrySize
 	sequence   uint64
 	copyEpoch  uint64 // under which the copy is held
 }
@@ -106,21 +107,21 @@
 
 // apply makes the copy what a write says. The map is replaced, never changed: others may hold the former one.
 func (d *durable) apply(w *tierv1.WriteRequest) {
-	data := make(map[string]*tierv1.Entry, len(w.Entries))
-	if !w.Whole {
-		data = maps.Clone(d.data)
-		if data == nil {
-			data = make(map[string]*tierv1.Entry)
-		}
+	data, size := make(map[string]*tierv1.Entry, len(w.Entries)), 0
+	if !w.Whole && d.data != nil {
+		data, size = maps.Clone(d.data), d.size
 	}
 	for _, e := range w.Entries {
-		if len(e.Value) == 0 {
+		if before := data[e.Key]; before != nil {
+			size -= entrySize(e.Key, before.Value)
 			delete(data, e.Key)
-		} else {
+		}
+		if len(e.Value) > 0 {
+			size += entrySize(e.Key, e.Value)
 			data[e.Key] = e
 		}
 	}
-	d.data, d.sequence, d.copyEpoch = data, w.Sequence, w.Epoch
+	d.data, d.size, d.sequence, d.copyEpoch = data, size, w.Sequence, w.Epoch
 }
 
 // whole is the write that makes another copy the same as this one.
--- a/internal/tier/consensus/leadership.go
+++ b/internal/tier/consensus/leadership.go
@@ -117,21 +117,13 @@
 		return // after a promise of its own for a higher epoch only a record of that epoch or above lets it write again
 	}
 	q := &tierv1.WriteRequest{Epoch: r.record.Epoch, Base: m.sequence, Sequence: m.sequence, From: m.Folder}
-	rd := &round{waiters: r.queue, need: make(map[string]bool)}
-	r.queue, r.round = nil, rd
-	for i := range rd.waiters {
-		w := &rd.waiters[i]
-		if w.sets == nil {
-			continue
-		}
-		q.Sequence++
-		w.sequence = q.Sequence
-		for k, v := range w.sets {
-			q.Entries = append(q.Entries, &tierv1.Entry{Key: k, Value: v, Sequence: q.Sequence})
-		}
+	rd := &round{need: make(map[string]bool)}
+	rd.waiters, r.queue = m.gather(q, r.queue)
+	if len(rd.waiters) == 0 {
+		return // all were refused
 	}
+	r.round = rd
 	if q.Sequence > q.Base {
-		m.apply(q)
 		m.store(encodeMessage(kindWrite, q), true)
 	}
 	for _, b := range r.record.Backups {
@@ -145,6 +137,38 @@
 	}
 }
 
+// gather applies what waits to this copy, and adds it to the write of a round. It gives those who are in the round, and the
+// rest, which waits for the next one as the write would become too large. A put that would make the state too large is
+// refused: it is in neither.
+func (m *machine) gather(q *tierv1.WriteRequest, queue []waiter) (begun, rest []waiter) {
+	size := 0
+	for i, w := range queue {
+		if w.sets == nil {
+			begun = append(begun, w)
+			continue
+		}
+		if err := m.admit(w.sets); err != nil {
+			m.out.outcomes = append(m.out.outcomes, outcome{w.token, 0, err})
+			continue
+		}
+		added := setsSize(w.sets)
+		if size > 0 && size+added > m.stateLimit {
+			return begun, queue[i:]
+		}
+		size += added
+		w.sequence = q.Sequence + 1
+		one := &tierv1.WriteRequest{Epoch: q.Epoch, Sequence: w.sequence}
+		for k, v := range w.sets {
+			one.Entries = append(one.Entries, &tierv1.Entry{Key: k, Value: v, Sequence: w.sequence})
+		}
+		m.apply(one)
+		q.Sequence = w.sequence
+		q.Entries = append(q.Entries, one.Entries...)
+		begun = append(begun, w)
+	}
+	return begun, nil
+}
+
 func (m *machine) sendWrite(record *tierv1.Record, folder string, q *tierv1.WriteRequest) {
 	i := slices.IndexFunc(record.Members, func(v *tierv1.Member) bool { return v.Folder == folder })
 	if i < 0 {
--- a/internal/tier/consensus/machine.go
+++ b/internal/tier/consensus/machine.go
@@ -99,15 +99,17 @@
 // machine decides. It does no I/O: all of what it needs comes in by Step, all that it wants done goes out.
 type machine struct {
 	durable
-	self    *tierv1.Member
-	seeds   []string
-	losses  int
-	timing  timing
-	random  *rand.Rand
-	now     time.Duration
-	out     *actions
-	nextID  uint64
-	pending map[uint64]func(proto.Message)
+	self   *tierv1.Member
+	seeds  []string
+	losses int
+	// stateLimit bounds the control state, in bytes.
+	stateLimit int
+	timing     timing
+	random     *rand.Rand
+	now        time.Duration
+	out        *actions
+	nextID     uint64
+	pending    map[uint64]func(proto.Message)
 
 	peers      map[string]*peer
 	observedAt time.Duration // from the primary of the newest chosen record
@@ -123,7 +125,7 @@
 }
 
 func newMachine(d durable, self *tierv1.Member, seeds []string, losses int, t timing, seed uint64) *machine {
-	m := &machine{durable: d, seeds: seeds, losses: losses, timing: t, random: rand.New(rand.NewPCG(seed, 1)),
+	m := &machine{durable: d, seeds: seeds, losses: losses, stateLimit: StateLimit, timing: t, random: rand.New(rand.NewPCG(seed, 1)),
 		pending: make(map[uint64]func(proto.Message)), peers: make(map[string]*peer)}
 	m.self = proto.CloneOf(self)
 	m.self.Folder = d.Folder
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -29,6 +29,8 @@
 
 	Dial func(address string) tierv1.Election
 	Log  *log.Logger // nil: silent
+
+	StateLimit int // bytes of the control state, the same at all processes; 0: the constant of that name
 }
 
 // Node is a control-plane process's part in the control state. It implements Store.
@@ -159,7 +161,12 @@
 	for _, c := range out.early {
 		n.send(ctx, c)
 	}
-	if err := n.write(out); err != nil {
+	err := n.write(out)
+	if errorx.IsOfType(err, wal.TooLarge) {
+		n.refuseRecord(err)
+		return
+	}
+	if err != nil {
 		n.failDisk(err)
 		return
 	}
@@ -327,5 +334,10 @@
 	return n.view.self
 }
 
+// requestLimit bounds the body of a call, in bytes: what fits no record of the file is not read to its end.
+const requestLimit = wal.MaxRecord
+
 // Handler serves Election.
-func (n *Node) Handler() http.Handler { return tierv1.NewElectionServer(server{n}) }
+func (n *Node) Handler() http.Handler {
+	return http.MaxBytesHandler(tierv1.NewElectionServer(server{n}), requestLimit)
+}
--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -93,6 +93,7 @@
 	network *network
 	disks   map[string]*wal.Memory
 	nodes   map[string]*running
+	limit   int // of the control state, in bytes; 0: StateLimit
 }
 
 func newCluster(t *testing.T) *cluster {
@@ -111,7 +112,7 @@
 		c.disks[address] = wal.NewMemory()
 	}
 	n, err := Open(Config{Self: &tierv1.Member{Address: address, Node: address, Zone: "z" + address, Region: "r"},
-		Seeds: []string{"a", "b", "c"}, Bootstrap: bootstrap, Losses: 1, Dir: "/data", FS: c.disks[address],
+		Seeds: []string{"a", "b", "c"}, Bootstrap: bootstrap, Losses: 1, Dir: "/data", FS: c.disks[address], StateLimit: c.limit,
 		ContactWindow: 3 * time.Second, Heartbeat: 400 * time.Millisecond,
 		Dial: func(to string) tierv1.Election { return wire{c.network, to} }})
 	assert.NilError(c.t, err)
--- a/internal/tier/consensus/register.go
+++ b/internal/tier/consensus/register.go
@@ -128,6 +128,10 @@
 		a.Taken = true // doubled, or overtaken by the writes that followed it
 		return a
 	}
+	if !fitsRecord(q) { // of a program without StateLimit
+		m.out.news = append(m.out.news, "write refused: it does not fit one record of the file")
+		return a
+	}
 	m.apply(q)
 	m.store(encodeMessage(kindWrite, q), true)
 	m.out.changed = true
--- /dev/null
+++ b/internal/tier/consensus/size_test.go
@@ -0,0 +1,289 @@
+package consensus
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/joomcode/errorx"
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+
+	"dockshift.example/dockshift/internal/tier/wal"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// limitInTests is reached with little data.
+const limitInTests = 4096
+
+// valueFor gives a value whose entry has just that many bytes.
+func valueFor(key string, size int) []byte {
+	return bytes.Repeat([]byte{'v'}, size-entrySize(key, nil))
+}
+
+func assertTooLarge(t *testing.T, err error) {
+	t.Helper()
+	assert.Assert(t, errorx.IsOfType(err, StateTooLarge), "%v", err)
+}
+
+// must is a write whose outcome comes within a step.
+func (s *solo) must(sets map[string][]byte) error {
+	s.t.Helper()
+	c := s.putSets(sets)
+	s.turn(5 * time.Millisecond)
+	select {
+	case o := <-c:
+		return o.err
+	default:
+		s.t.Fatal("no outcome after a step")
+		return nil
+	}
+}
+
+// A state may have all of its limit. One byte more is refused at once: nothing of that write is there, the epoch goes on,
+// and so it is after a restart from the file.
+func TestStateAtItsLimit(t *testing.T) {
+	s := &solo{t: t, disk: wal.NewMemory(), limit: limitInTests}
+	s.open(true, "a")
+	s.turn(time.Second)
+	const small = 100
+	assert.NilError(t, s.must(map[string][]byte{"small": valueFor("small", small)}))
+	assert.NilError(t, s.must(map[string][]byte{"large": valueFor("large", limitInTests-small)}))
+	for _, label := range []string{"first", "after a restart", "after a loss of power"} {
+		epoch, _ := s.node.Primary()
+		assert.Equal(t, s.node.machine.size, limitInTests, label)
+		sequence := s.node.machine.sequence
+		assertTooLarge(t, s.must(map[string][]byte{"small": valueFor("small", small+1)}))
+		assertTooLarge(t, s.must(map[string][]byte{"new": []byte("x"), "small": valueFor("small", small)}))
+		assert.Equal(t, s.node.machine.sequence, sequence, label)
+		v, _ := s.node.Get("small")
+		assert.DeepEqual(t, v, valueFor("small", small))
+		v, _ = s.node.Get("new")
+		assert.Assert(t, v == nil, label)
+		now, ok := s.node.Primary()
+		assert.Assert(t, ok && now == epoch, label)
+		assert.NilError(t, s.node.DiskError(), label)
+
+		// Room is made and taken again.
+		assert.NilError(t, s.must(map[string][]byte{"small": nil}), label)
+		assert.NilError(t, s.must(map[string][]byte{"small": valueFor("small", small)}), label)
+		assert.Equal(t, s.node.machine.size, limitInTests, label)
+
+		s.node.stop()
+		s.disk.Kill()
+		if label == "after a restart" {
+			s.disk.Crash(rand.New(rand.NewPCG(1, 2)))
+		}
+		s.open(false, "a")
+		s.turn(time.Second)
+	}
+}
+
+// A state over the limit, as a program without it left it, is served. It may be changed as long as it does not grow, and
+// what shrinks it is taken.
+func TestStateLeftAboveItsLimit(t *testing.T) {
+	s := newSolo(t, wal.NewMemory(), "a")
+	s.turn(time.Second)
+	assert.NilError(t, s.must(map[string][]byte{"mark": []byte("1")}))
+	assert.NilError(t, s.must(map[string][]byte{"large": valueFor("large", 2*limitInTests)}))
+	s.node.stop()
+	s.disk.Kill()
+	s.limit = limitInTests
+	s.open(false, "a")
+	s.turn(time.Second)
+	_, ok := s.node.Primary()
+	assert.Assert(t, ok)
+	v, _ := s.node.Get("large")
+	assert.Equal(t, entrySize("large", v), 2*limitInTests)
+
+	assert.NilError(t, s.must(map[string][]byte{"mark": []byte("2")}))
+	assertTooLarge(t, s.must(map[string][]byte{"mark": []byte("10")}))
+	assertTooLarge(t, s.must(map[string][]byte{"large": valueFor("large", limitInTests+1)})) // shrinks, but is too large by itself
+	assert.NilError(t, s.must(map[string][]byte{"large": valueFor("large", limitInTests/2)}))
+	assert.NilError(t, s.must(map[string][]byte{"mark": []byte("10")}))
+	assert.NilError(t, s.node.DiskError())
+}
+
+// The limit holds at each leader alike, before and after a takeover and after a loss of power of all.
+func TestStateLimitThroughATakeover(t *testing.T) {
+	c := newCluster(t)
+	c.limit = limitInTests
+	for _, a := range []string{"a", "b", "c"} {
+		c.start(a, true)
+	}
+	full := valueFor("k", limitInTests)
+	c.put("k", string(full))
+	refused := func() {
+		t.Helper()
+		c.until("the refusal", func() bool { // the epoch may end meanwhile
+			n, epoch := c.primary()
+			_, err := n.Put(t.Context(), epoch, map[string][]byte{"k": append(bytes.Clone(full), 'x')})
+			return errorx.IsOfType(err, StateTooLarge)
+		})
+		assert.Equal(t, c.get("k"), string(full))
+	}
+	refused()
+	first, _ := c.primary()
+	address := first.Self().Address
+	c.stop(address)
+	c.disks[address].Kill()
+	refused()
+	c.start(address, false)
+	for _, a := range []string{"a", "b", "c"} {
+		c.stop(a)
+		c.disks[a].Crash(rand.New(rand.NewPCG(3, 4)))
+	}
+	for _, a := range []string{"a", "b", "c"} {
+		c.start(a, false)
+	}
+	refused()
+	c.put("k", "less")
+	assert.Equal(t, c.get("k"), "less")
+	for _, n := range c.nodes {
+		assert.NilError(t, n.DiskError())
+	}
+}
+
+// What waited for a round goes into it as far as the limit allows, in order; what would make the state too large is in
+// neither, and the others are not held up by it.
+func TestRoundsKeepWithinTheLimit(t *testing.T) {
+	m := newMachine(durable{identity: identity{Folder: "fa"}}, &tierv1.Member{Address: "a"}, nil, 0, timings(3*time.Second, 0), 1)
+	m.stateLimit, m.out = limitInTests, new(actions)
+	half := func(token uint64) waiter {
+		return waiter{token: token, sets: map[string][]byte{"k": valueFor("k", limitInTests/2)}}
+	}
+	queue := []waiter{half(1), {token: 2}, {token: 3, sets: map[string][]byte{"k": valueFor("k", limitInTests+1)}}, half(4), half(5), {token: 6}, half(7)}
+	rounds := [][]uint64{{1, 2, 4}, {5, 6, 7}}
+	for _, want := range rounds {
+		q := &tierv1.WriteRequest{Epoch: 7, Base: m.sequence, Sequence: m.sequence}
+		var begun []waiter
+		begun, queue = m.gather(q, queue)
+		var got []uint64
+		for _, w := range begun {
+			got = append(got, w.token)
+		}
+		assert.DeepEqual(t, got, want)
+		assert.Equal(t, q.Sequence, q.Base+2)
+		assert.Equal(t, m.sequence, q.Sequence)
+		assert.Assert(t, proto.Size(q) <= limitInTests)
+		assert.Equal(t, m.size, limitInTests/2)
+	}
+	assert.Equal(t, len(queue), 0)
+	assert.Equal(t, len(m.out.outcomes), 1)
+	assert.Equal(t, m.out.outcomes[0].token, uint64(3))
+	assertTooLarge(t, m.out.outcomes[0].err)
+}
+
+// The size of a copy is that of its entries, whatever writes led to it.
+func TestSizeOfACopy(t *testing.T) {
+	random := rand.New(rand.NewPCG(5, 6))
+	var d durable
+	for range 2000 {
+		w := &tierv1.WriteRequest{Whole: random.IntN(50) == 0, Sequence: d.sequence + 1}
+		for range random.IntN(4) { // also doubled keys, and removals of what is not there
+			w.Entries = append(w.Entries, &tierv1.Entry{Key: fmt.Sprint(random.IntN(12)), Value: make([]byte, random.IntN(40))})
+		}
+		d.apply(w)
+		size := 0
+		for key, e := range d.data {
+			size += entrySize(key, e.Value)
+		}
+		assert.Equal(t, d.size, size)
+	}
+}
+
+// The largest state fits one record, as few large entries and as many small ones.
+func TestLargestStateFitsARecord(t *testing.T) {
+	const last = 1<<64 - 1
+	whole := func(entries int) *tierv1.WriteRequest {
+		d := durable{identity: identity{Folder: strings.Repeat("f", 32)}, data: map[string]*tierv1.Entry{}, sequence: last}
+		each := StateLimit / entries
+		value := make([]byte, each-entrySize("00000000", nil))
+		for i := range entries {
+			key := fmt.Sprintf("%08d", i)
+			d.data[key] = &tierv1.Entry{Key: key, Value: value, Sequence: last}
+		}
+		return d.whole(last)
+	}
+	for _, entries := range []int{1, 2, 100, 10_000} {
+		q := whole(entries)
+		assert.Assert(t, fitsRecord(q), "%d entries", entries)
+		assert.Assert(t, proto.Size(q) <= StateLimit+256, "%d entries: %d", entries, proto.Size(q))
+	}
+	assert.Assert(t, !fitsRecord(&tierv1.WriteRequest{Entries: []*tierv1.Entry{{Key: "k", Value: make([]byte, wal.MaxRecord)}}}))
+}
+
+// A write that fits no record, as a program without the limit may send it, is not taken, and changes nothing.
+func TestWriteThatFitsNoRecordIsNotTaken(t *testing.T) {
+	d := durable{identity: identity{Folder: "fa"}, promised: 1 << epochBits, promisedTo: "fb"}
+	m := newMachine(d, &tierv1.Member{Address: "a"}, nil, 1, timings(3*time.Second, 0), 1)
+	q := &tierv1.WriteRequest{Epoch: 1 << epochBits, Sequence: 1, Whole: true, From: "fb",
+		Entries: []*tierv1.Entry{{Key: "k", Value: make([]byte, wal.MaxRecord)}}}
+	out := m.Step(time.Second, request{1, q})
+	assert.Equal(t, len(out.records), 0)
+	a := out.replies[0].body.(*tierv1.WriteReply)
+	assert.Assert(t, !a.Taken && !a.Behind)
+	assert.Equal(t, len(m.data), 0)
+	assert.Equal(t, m.sequence, uint64(0))
+	q.Entries[0].Value = []byte("v")
+	out = m.Step(2*time.Second, request{2, q})
+	assert.Assert(t, out.replies[0].body.(*tierv1.WriteReply).Taken)
+}
+
+// A record that the file refuses as too large is no failing disk: the node goes on from its file with all that was
+// acknowledged, and is primary again. Who waited is told that the outcome is unknown.
+func TestRefusedRecordIsNoFailingDisk(t *testing.T) {
+	s := newSolo(t, wal.NewMemory(), "a")
+	s.turn(time.Second)
+	assert.NilError(t, s.must(map[string][]byte{"k": []byte("1")}))
+	folder := s.node.Self().Folder
+	size := s.node.file.Size()
+	waits := s.put("waits")
+	s.node.do(context.Background(), &actions{records: [][]byte{encodeMark(1), make([]byte, wal.MaxRecord+1)}, sync: true})
+	assert.ErrorIs(t, (<-waits).err, ErrUnknown)
+	assert.NilError(t, s.node.DiskError())
+	_, ok := s.node.Primary()
+	assert.Assert(t, !ok)
+	assert.Equal(t, s.node.file.Size(), size)
+	s.turn(time.Second)
+	_, ok = s.node.Primary()
+	assert.Assert(t, ok)
+	assert.Equal(t, s.node.Self().Folder, folder)
+	v, _ := s.node.Get("k")
+	assert.Equal(t, string(v), "1")
+	assert.NilError(t, s.must(map[string][]byte{"k": []byte("2")}))
+	assert.Assert(t, strings.Contains(s.log.String(), "record_refused"))
+	assert.Assert(t, !strings.Contains(s.log.String(), "disk_failed"))
+	s.node.stop()
+	s.disk.Crash(rand.New(rand.NewPCG(7, 8)))
+	s.open(false, "a")
+	s.turn(time.Second)
+	v, _ = s.node.Get("k")
+	assert.Equal(t, string(v), "2")
+}
+
+// endless counts what is read of a body without an end.
+type endless struct{ read int }
+
+func (e *endless) Read(p []byte) (int, error) {
+	e.read += len(p)
+	return len(p), nil
+}
+
+// A call whose body has no end is refused after as much of it as a record holds.
+func TestRequestBodyIsBounded(t *testing.T) {
+	s := newSolo(t, wal.NewMemory(), "a")
+	body := &endless{}
+	q := httptest.NewRequest("POST", tierv1.ElectionPathPrefix+"Write", io.NopCloser(body))
+	q.Header.Set("Content-Type", "application/protobuf")
+	w := httptest.NewRecorder()
+	s.node.Handler().ServeHTTP(w, q)
+	assert.Assert(t, w.Code >= 400, "%d", w.Code)
+	assert.Assert(t, body.read <= 2*requestLimit, "%d", body.read)
+}
--- a/internal/tier/consensus/store.go
+++ b/internal/tier/consensus/store.go
@@ -18,7 +18,8 @@
 	// Get gives the value of a key as it is at all copies, and the sequence of the write that set it.
 	Get(key string) (value []byte, sequence uint64)
 	// Put is nil only when the sets are synced here and at all backups. Keys with an empty value are removed.
-	// ErrNotPrimary: nothing was written, and the epoch is over; any other error: the outcome is unknown.
+	// ErrNotPrimary: nothing was written, and the epoch is over; an error of type StateTooLarge: nothing was written, and the
+	// epoch goes on; any other error: the outcome is unknown.
 	Put(ctx context.Context, epoch uint64, sets map[string][]byte) (sequence uint64, err error)
 	// Confirm makes a round trip to all backups that begins after the call. ErrNotPrimary where the epoch is over.
 	Confirm(ctx context.Context, epoch uint64) error
--- a/internal/tier/controlplane/cluster_test.go
+++ b/internal/tier/controlplane/cluster_test.go
@@ -29,6 +29,7 @@
 	ctx      context.Context
 	wrap     func(Store) Store // what stands between consensus and control plane: a planted fault
 	machines []*coreMachine
+	limit    int // of the control state, in bytes; 0: consensus.StateLimit
 
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -96,7 +97,7 @@
 	client := &http.Client{Transport: transport{c, m.ip}}
 	node, err := consensus.Open(consensus.Config{Self: &tierv1.Member{Node: m.node, Address: m.ip + ":" + internalPort, Zone: m.node, Region: "r"},
 		Seeds: seeds, Bootstrap: bootstrap, Losses: 1, Dir: "/data", FS: m.disk, ContactWindow: set.ContactWindow, Heartbeat: set.Heartbeat,
-		SyncTime: set.SyncTime, Dial: func(address string) tierv1.Election {
+		SyncTime: set.SyncTime, StateLimit: c.limit, Dial: func(address string) tierv1.Election {
 			return tierv1.NewElectionProtobufClient("http://"+address, client)
 		}})
 	assert.NilError(c.t, err)
--- a/internal/tier/controlplane/configuration.go
+++ b/internal/tier/controlplane/configuration.go
@@ -13,7 +13,7 @@
 )
 
 func (plane *ControlPlane) replaceConfiguration(w http.ResponseWriter, r *http.Request) answer {
-	body, err := readBody(w, r, max(bodyLeast, int64(plane.Settings.MemoryMB)<<20/bodyPart))
+	body, err := readBody(w, r, plane.configurationLimit())
 	begun := time.Now()
 	if _, ok := plane.primary(); !ok {
 		return plane.redirect(r)
@@ -49,6 +49,7 @@
 	errWriterBusy     = errors.New("another write is under way")
 	errOutcomeUnknown = errors.New("the outcome is unknown")
 	errUnconfirmed    = errors.New("the backups do not confirm it")
+	errStateTooLarge  = errors.New("the control state would be too large")
 )
 
 // takeOrder decides on an order and carries it out. It gives the answer, and the version of the configuration that
@@ -79,11 +80,19 @@
 		return 0, refused(http.StatusPreconditionFailed, "the current revision is "+current), true
 	case verdictNotAbove:
 		return 0, refused(http.StatusBadRequest, "revision is not above the current one, "+current), true
+	case verdictTooLarge:
+		return 0, refused(http.StatusRequestEntityTooLarge, errStateTooLarge.Error()), true
 	default:
 		return 0, unavailable("older than the orders that are remembered; the current revision is " + current), true
 	}
 }
 
+// configurationLimit is the largest body of a configuration, in bytes, that this process takes.
+func (plane *ControlPlane) configurationLimit() int64 {
+	ofMemory := int64(plane.Settings.MemoryMB) << 20 / bodyPart
+	return min(max(bodyLeast, ofMemory), bodyMost)
+}
+
 // writeIfNext decides on an order, and writes it if it is the next, in one step with the decision. It gives the view that
 // was decided on; with verdictTake, which says that it was written, the view that has it.
 func (plane *ControlPlane) writeIfNext(ctx context.Context, order configurationOrder, body []byte) (verdict, *view, error) {
@@ -105,8 +114,11 @@
 	if verdict != verdictTake {
 		return verdict, v, nil
 	}
-	v, err := plane.writeOrder(ctx, v, order, body)
-	return verdict, v, err
+	after, err := plane.writeOrder(ctx, v, order, body)
+	if errors.Is(err, errStateTooLarge) {
+		return verdictTooLarge, v, nil
+	}
+	return verdict, after, err
 }
 
 func takenAnswer(order configurationOrder) answer {
@@ -119,6 +131,9 @@
 	orders, sets := before.orders.take(order)
 	sets[keyConfiguration] = body
 	version, err := plane.put(ctx, before.epoch, sets)
+	if errors.Is(err, errStateTooLarge) {
+		return nil, err
+	}
 	if err != nil {
 		return nil, errOutcomeUnknown
 	}
--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -12,6 +12,7 @@
 	"sync"
 	"time"
 
+	"dockshift.example/dockshift/internal/tier/consensus"
 	"dockshift.example/dockshift/internal/tier/routing"
 	"dockshift.example/dockshift/internal/tier/settings"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
@@ -148,9 +149,14 @@
 
 func (plane *ControlPlane) unlockWriter() { <-plane.writer }
 
-// put writes under the writer's right. When the outcome is unknown, nothing more is shown until all is written through.
+// put writes under the writer's right. When the outcome is unknown, nothing more is shown until all is written through. It
+// fails with errStateTooLarge where nothing was written, as the control state would be too large.
 func (plane *ControlPlane) put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
 	sequence, err := plane.Store.Put(ctx, epoch, sets)
+	if errorx.IsOfType(err, consensus.StateTooLarge) {
+		plane.Log.Warn().Str("event", "write_refused").Uint64("epoch", epoch).Str("error", err.Error()).Msg("")
+		return 0, errStateTooLarge
+	}
 	if err != nil {
 		plane.changeView(epoch, func(v *view) { v.ready = false })
 		wake(plane.reconcileNow)
--- /dev/null
+++ b/internal/tier/controlplane/limits_test.go
@@ -0,0 +1,195 @@
+package controlplane
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+
+	"dockshift.example/dockshift/internal/tier/consensus"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// paddedConfiguration is a valid configuration of just that many bytes.
+func paddedConfiguration(revision, size int) []byte {
+	body := configuration(revision, "s")
+	return append(body, bytes.Repeat([]byte{' '}, size-len(body))...)
+}
+
+func TestConfigurationLimitByMemory(t *testing.T) {
+	for memory, want := range map[int]int64{1: bodyLeast, 64: bodyLeast, 128: 8 << 20, 512: bodyMost, 4096: bodyMost, 1 << 20: bodyMost} {
+		plane := &ControlPlane{}
+		plane.Settings.MemoryMB = memory
+		assert.Equal(t, plane.configurationLimit(), want, "%d MB", memory)
+	}
+}
+
+// A configuration may have all of the limit. One byte more is refused, with what the limit is; nothing of it is in force,
+// and a smaller one on the same base is taken.
+func TestAConfigurationAtItsLimit(t *testing.T) {
+	within(t, func(r *rig) {
+		status(t, r.replace(0, 3), 200)
+		limit := int(r.k.configurationLimit())
+		w := r.replaceBody(3, paddedConfiguration(5, limit+1))
+		status(t, w, 413)
+		assert.Assert(t, strings.Contains(w.Body.String(), fmt.Sprint(limit)), "%s", w.Body)
+		assert.Equal(t, r.describe().Body.String(), string(configuration(3, "s")))
+		status(t, r.replaceBody(3, paddedConfiguration(5, limit)), 200)
+		assert.Equal(t, r.describe().Body.Len(), limit)
+	})
+}
+
+// An order that would make the control state too large is refused, as often as it comes, and nothing of it is in force. The
+// primary goes on: what was taken is acknowledged again, and other orders are taken. It is refused only when the backups
+// confirm that nobody else is the primary.
+func TestAnOrderThatMakesTheStateTooLarge(t *testing.T) {
+	within(t, func(r *rig) {
+		status(t, r.replace(0, 3), 200)
+		r.s.set(func() {
+			r.s.large = func(sets map[string][]byte) bool { return bytes.Contains(sets[keyConfiguration], []byte("huge")) }
+		})
+		huge := configuration(5, "huge")
+		for range 3 {
+			confirms := r.s.confirmCount()
+			w := r.replaceBody(3, huge)
+			status(t, w, 413)
+			assert.Assert(t, strings.Contains(w.Body.String(), errStateTooLarge.Error()), "%s", w.Body)
+			assert.Equal(t, r.s.confirmCount(), confirms+1)
+			_, ok := r.k.primary()
+			assert.Assert(t, ok)
+		}
+		r.s.set(func() { r.s.deaf = true })
+		status(t, r.replaceBody(3, huge), 503)
+		r.s.set(func() { r.s.deaf = false })
+		assert.Equal(t, r.describe().Body.String(), string(configuration(3, "s")))
+		status(t, r.replace(0, 3), 200)
+		status(t, r.replace(3, 5), 200)
+		r.s.set(func() { r.s.epoch += 1 << 12 })
+		r.pass(time.Second)
+		status(t, r.replaceBody(5, configuration(7, "huge")), 413)
+		status(t, r.replace(0, 3), 200)
+		assert.Equal(t, r.describe().Body.String(), string(configuration(5, "s")))
+	})
+}
+
+// An order to retire for which there is no room is refused, and so is a change of the turn store map: the primary goes on
+// answering, and makes the change when there is room again.
+func TestATurnStoreMapThatMakesTheStateTooLarge(t *testing.T) {
+	within(t, func(r *rig) {
+		for _, node := range []string{"v1", "v2", "v3"} {
+			r.join(roleTurnStore, node, nil)
+		}
+		r.pass(2 * time.Second)
+		r.s.set(func() {
+			r.s.large = func(sets map[string][]byte) bool { return sets[keyPartitionMap] != nil }
+		})
+		status(t, r.retire("v1"), 413)
+		status(t, r.call("GET", "Retire.Describe/v1", nil, nil), 404)
+		r.join(roleTurnStore, "v4", nil)
+		for range 10 {
+			r.pass(300 * time.Millisecond)
+			_, ok := r.k.primary()
+			assert.Assert(t, ok)
+		}
+		assert.Equal(t, len(r.turnStores().StoreNodes), 3)
+		status(t, r.replace(0, 3), 200)
+		r.s.set(func() { r.s.large = nil })
+		status(t, r.retire("v1"), 200)
+		r.pass(2 * time.Second)
+		assert.Equal(t, len(r.turnStores().StoreNodes), 4)
+	})
+}
+
+// The largest of all that the primary writes fits the limit beside the largest configuration: with 10,000 turn stores, each
+// list of the map full, and a full history of orders.
+func TestTheStateKeepsWithinItsLimit(t *testing.T) {
+	const storeNodes = 10_000
+	name := func(i int) string { return fmt.Sprintf("%032d", i) }
+	m := &tierv1.PartitionMap{Version: 1 << 63}
+	for i := range storeNodes {
+		m.StoreNodes = append(m.StoreNodes, &tierv1.StoreNode{Folder: name(i), Node: name(i), Address: name(i), Zone: name(i)})
+	}
+	for i := range retireRecordsLimit + storeNodes { // beyond the limit only machines that are there
+		m.Retiring, m.Retired = append(m.Retiring, name(i)), append(m.Retired, name(i))
+	}
+	for range partitionCount {
+		p := &tierv1.Partition{Primary: name(0), Epoch: 1 << 63, AcknowledgedUntil: 1 << 63}
+		for i := range maxRetained {
+			p.Backups = append(p.Backups, &tierv1.Copy{Folder: name(i), Since: 1 << 63, Synced: true})
+			p.Retained = append(p.Retained, &tierv1.RetainedCopy{Folder: name(i), Since: 1 << 63, Until: 1 << 63})
+			p.RecoverFrom = append(p.RecoverFrom, name(i))
+		}
+		m.Partitions = append(m.Partitions, p)
+	}
+	total := bodyMost + orderHistoryBytes + proto.Size(m)
+	t.Logf("%d bytes of map, %d in all, limit %d", proto.Size(m), total, consensus.StateLimit)
+	assert.Assert(t, total+1<<20 <= consensus.StateLimit) // a mebibyte for framing and whatever is small
+}
+
+// The same over the real consensus, through a takeover and a restart of all: an order for which the state has no room is
+// refused by each primary, and the state is as it was.
+func TestTheStateLimitThroughATakeover(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		const limit, order = 256 << 10, 32 << 10
+		c := &cluster{limit: limit}
+		c.setUp(t, ctx, 1, 3)
+		<-time.After(2 * time.Second)
+		send := func(base, revision, size int) int {
+			t.Helper()
+			for range 20 {
+				leader := c.leader()
+				if leader == nil {
+					<-time.After(time.Second)
+					continue
+				}
+				q, err := http.NewRequestWithContext(ctx, "POST", "http://"+leader.ip+":"+operatorPort+"/saffronyard/Configuration.Replace",
+					bytes.NewReader(paddedConfiguration(revision, size)))
+				assert.NilError(t, err)
+				q.Header.Set("X-Base-Revision", fmt.Sprint(base))
+				answer, err := transport{c, "operator"}.RoundTrip(q)
+				if err == nil && answer.StatusCode != 503 && answer.StatusCode != 307 {
+					return answer.StatusCode
+				}
+				<-time.After(time.Second)
+			}
+			t.Fatal("no clear answer")
+			return 0
+		}
+		assert.Equal(t, send(0, 3, order/2), 200)
+		leader := c.leader()
+		epoch, _ := leader.store.Primary()
+		filler := make([]byte, limit-order) // as if the turn store map had grown beyond all bounds
+		_, err := leader.store.Put(ctx, epoch, map[string][]byte{"filler": filler})
+		assert.NilError(t, err)
+		assert.Equal(t, send(3, 5, order), 413)
+		c.stop(leader, false)
+		<-time.After(3 * time.Second)
+		assert.Equal(t, send(3, 5, order), 413)
+		c.start(leader, false)
+		for _, m := range c.machines {
+			c.stop(m, true)
+		}
+		for _, m := range c.machines {
+			c.start(m, false)
+		}
+		<-time.After(5 * time.Second)
+		assert.Equal(t, send(3, 5, order), 413)
+		assert.Equal(t, send(0, 3, order/2), 200) // taken before
+		assert.Equal(t, send(3, 5, order/2), 200)
+		for _, m := range c.machines {
+			assert.NilError(t, m.store.DiskError())
+		}
+		c.stopAll()
+		cancel()
+		synctest.Wait()
+	})
+}
--- a/internal/tier/controlplane/operators.go
+++ b/internal/tier/controlplane/operators.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"strings"
@@ -21,7 +22,11 @@
 	applyPart     = 3                      // of the time in which a configuration must be applied, for the wait for the sessions
 	orderBytes    = 64 << 10               // of a body that is no configuration
 	bodyPart      = 16                     // of the memory, for a configuration
-	bodyLeast     = 4 << 20                // bytes
+	bodyLeast     = 4 << 20                // bytes, whatever the memory
+	// bodyMost bounds a configuration, in bytes, whatever the memory: two thirds of consensus.StateLimit. The last third
+	// is for what the primary writes beside it, so that a configuration never keeps the turn store map from being
+	// written: records of orders (at most orderHistoryBytes) and the map (some hundred bytes for each turn store).
+	bodyMost = 32 << 20
 )
 
 // Operators is the handler of the control_plane address. docs/design/hardening/1-answers.md tells which answer a call
@@ -62,9 +67,10 @@
 
 // readBody reads a body up to its end. It fails with errBodyTooLarge or errBodyCut.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
+	tooLarge := fmt.Errorf("%w: it has more than %d bytes", errBodyTooLarge, limit)
 	if r.ContentLength > limit {
 		w.Header().Set("Connection", "close")
-		return nil, errBodyTooLarge
+		return nil, tooLarge
 	}
 	var b bytes.Buffer
 	if r.ContentLength > 0 {
@@ -74,7 +80,7 @@
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		return nil, errBodyTooLarge
+		return nil, tooLarge
 	case err != nil, r.ContentLength >= 0 && int64(b.Len()) != r.ContentLength:
 		return nil, errBodyCut
 	}
--- a/internal/tier/controlplane/orders.go
+++ b/internal/tier/controlplane/orders.go
@@ -91,6 +91,8 @@
 	verdictConflict
 	// verdictNotAbove: it builds on the revision in force, but its own is not above that; it never can be taken.
 	verdictNotAbove
+	// verdictTooLarge: it was not taken, as the control state would become too large with it.
+	verdictTooLarge
 	// verdictForgotten: it is so old that it may have been taken before the history begins.
 	verdictForgotten
 )
--- a/internal/tier/controlplane/retire.go
+++ b/internal/tier/controlplane/retire.go
@@ -41,6 +41,7 @@
 	retireWait                      // a refusal would end the order, though it may be possible in a moment
 	retireUnknownNode               // no such machine
 	retireTooFew                    // too few would remain
+	retireTooLarge                  // the control state would be too large with it
 )
 
 func (r retireRequest) decide() retireVerdict {
@@ -93,6 +94,8 @@
 		return unavailable("the storage machines are not all heard yet")
 	case retireUnknownNode:
 		return refused(http.StatusNotFound, "no storage machine of that name is known")
+	case retireTooLarge:
+		return refused(http.StatusRequestEntityTooLarge, errStateTooLarge.Error())
 	default:
 		return refused(http.StatusConflict, "too few storage machines would remain")
 	}
@@ -122,7 +125,11 @@
 	after := *v
 	after.partitionMap = orderRetire(v.partitionMap, node)
 	after.partitionMap.Retired = append(after.partitionMap.Retired, newlyRetired(after.partitionMap, plane.spread.Losses)...)
-	if plane.putPartitionMap(ctx, v.epoch, after.partitionMap) != nil {
+	err := plane.putPartitionMap(ctx, v.epoch, after.partitionMap)
+	if errors.Is(err, errStateTooLarge) {
+		return retireTooLarge, v, nil
+	}
+	if err != nil {
 		return verdict, nil, errOutcomeUnknown
 	}
 	wake(plane.reconcileNow)
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -15,6 +15,7 @@
 	"testing/synctest"
 	"time"
 
+	"dockshift.example/dockshift/internal/tier/consensus"
 	"dockshift.example/dockshift/internal/tier/settings"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"gotest.tools/v3/assert"
@@ -40,6 +41,7 @@
 	slow        time.Duration
 	confirmSlow time.Duration
 	puts        []string
+	large       func(sets map[string][]byte) bool // whether a write would make the state too large, if set
 }
 
 func newStore() *store {
@@ -105,6 +107,9 @@
 	if !s.ok || s.epoch != epoch {
 		return 0, errors.New("not the primary")
 	}
+	if s.large != nil && s.large(sets) {
+		return 0, consensus.StateTooLarge.New("planted")
+	}
 	lost, fail := false, false
 	if s.unclear != nil {
 		lost, fail = s.unclear(sets)
--- a/internal/tier/controlplane/store.go
+++ b/internal/tier/controlplane/store.go
@@ -12,8 +12,9 @@
 	Primary() (epoch uint64, ok bool)
 	// Get gives a key's value here and the sequence of the write that set it.
 	Get(key string) (value []byte, sequence uint64)
-	// Put is nil only when the keys are synced here and at all backups under this epoch. A nil value removes its key.
-	// Whatever else it returns, the outcome is unknown.
+	// Put is nil only when the keys are synced here and at all backups under this epoch. A nil value removes its key. An
+	// error of type consensus.StateTooLarge says that nothing was written and that the epoch goes on. Whatever else it
+	// returns, the outcome is unknown.
 	Put(ctx context.Context, epoch uint64, sets map[string][]byte) (sequence uint64, err error)
 	// Confirm is nil after a round trip to all backups under this epoch that began after the call.
 	Confirm(ctx context.Context, epoch uint64) error
--- a/internal/tier/wal/rewrite.go
+++ b/internal/tier/wal/rewrite.go
@@ -54,7 +54,7 @@
 			return failed
 		}
 		if len(record) > MaxRecord {
-			failed = Misuse.New("record of %d bytes, more than %d", len(record), MaxRecord)
+			failed = TooLarge.New("record of %d bytes, more than %d", len(record), MaxRecord)
 			return failed
 		}
 		if len(buffer) > 0 && len(buffer)+headSize+len(record) > rewriteChunk {
--- a/internal/tier/wal/wal.go
+++ b/internal/tier/wal/wal.go
@@ -32,6 +32,9 @@
 	Foreign = space.NewType("foreign")
 	// Misuse is the type of errors of calls that can't be served: record too long, file closed.
 	Misuse = space.NewType("misuse")
+	// TooLarge is the type, a kind of Misuse, of the error that refuses a record over MaxRecord. Nothing was written, and
+	// the file is as usable as before: this is no error of the disk.
+	TooLarge = Misuse.NewSubtype("too_large")
 	// IO is the type of errors of the disk.
 	IO = space.NewType("io")
 
@@ -154,7 +157,8 @@
 }
 
 // Append adds records, in order, by one write. They last once a Sync that begins afterwards has returned nil.
-// After an error of the disk (type Broken) their fate is unknown. A record over MaxRecord is refused, and nothing is written.
+// After an error of the disk (type Broken) their fate is unknown. A record over MaxRecord is refused (type
+// TooLarge), and nothing is written.
 func (f *File) Append(records ...[]byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,7 +168,7 @@
 	buffer := f.buffer[:0]
 	for _, r := range records {
 		if len(r) > MaxRecord {
-			return Misuse.New("record of %d bytes, more than %d", len(r), MaxRecord)
+			return TooLarge.New("record of %d bytes, more than %d", len(r), MaxRecord)
 		}
 		buffer = appendRecord(buffer, r)
 	}
