--- a/internal/tier/consensus/disk.go
+++ b/internal/tier/consensus/disk.go
@@ -58,6 +58,9 @@
 	node.disk.rewriteAt = rewriteFactor*node.file.Size() + rewriteSlack
 	m := newMachine(d, node.config.Self, node.config.Seeds, node.config.Losses, node.timing, uint64(time.Now().UnixNano()))
 	m.resume(node.now(), node.disk.lastCall)
+	if node.config.StateLimit > 0 {
+		m.stateLimit = node.config.StateLimit
+	}
 	node.machine = m
 	return nil
 }
@@ -135,10 +138,7 @@
 
 // failDisk ends the machine: leadership, proposals and calls are gone as by a loss of power.
 func (node *Node) failDisk(err error) {
-	if node.machine != nil {
-		node.disk.lastCall = node.machine.nextID
-		node.machine = nil
-	}
+	node.dropMachine()
 	now := node.now()
 	switch {
 	case node.disk.retryWait == 0 || node.disk.err == nil && now-node.disk.since >= diskHealthy*node.timing.heartbeat:
@@ -162,6 +162,34 @@
 	}
 }
 
+// refuseRecord goes on after the file refused a record as too large. Nothing of the step was written, though early calls
+// have left: the machine is built anew from the file, as after a restart. The disk is sound, and not reported as failing.
+// The machine lets no such record come about by itself, see StateLimit.
+func (node *Node) refuseRecord(err error) {
+	if node.config.Log != nil {
+		node.config.Log.Error().Str("event", "record_refused").Str("file", fileName).Err(err).Msg("record refused: " + err.Error())
+	}
+	node.dropMachine()
+	node.mu.Lock()
+	node.inbox = nil
+	node.endCallers()
+	node.mu.Unlock()
+	if err := node.openDisk(); err != nil {
+		node.failDisk(err)
+		return
+	}
+	node.publish(true)
+}
+
+// dropMachine forgets the machine. Late answers to its calls will meet nobody.
+func (node *Node) dropMachine() {
+	if node.machine == nil {
+		return
+	}
+	node.disk.lastCall = node.machine.nextID
+	node.machine = nil
+}
+
 // retryDisk tries to go on. It returns only errors that cannot pass.
 func (node *Node) retryDisk() error {
 	before := node.disk.err
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -29,6 +29,8 @@
 
 	Dial func(address string) tierv1.Election
 	Log  *log.Logger // nil: silent
+
+	StateLimit int // bytes of the control state, the same at all processes; 0: the constant of that name
 }
 
 // Node is a control-plane process's part in the control state. It implements Store.
@@ -146,7 +148,12 @@
 	for _, c := range out.early {
 		node.send(ctx, c)
 	}
-	if err := node.write(out); err != nil {
+	err := node.write(out)
+	if errorx.IsOfType(err, wal.TooLarge) {
+		node.refuseRecord(err)
+		return
+	}
+	if err != nil {
 		node.failDisk(err)
 		return
 	}
@@ -250,5 +257,10 @@
 	return nil
 }
 
+// requestLimit bounds the body of a call, in bytes: what fits no record of the file is not read to its end.
+const requestLimit = wal.MaxRecord
+
 // Handler serves Election.
-func (node *Node) Handler() http.Handler { return tierv1.NewElectionServer(server{node}) }
+func (node *Node) Handler() http.Handler {
+	return http.MaxBytesHandler(tierv1.NewElectionServer(server{node}), requestLimit)
+}
--- a/internal/tier/consensus/register.go
+++ b/internal/tier/consensus/register.go
@@ -129,6 +129,10 @@
 		reply.Taken = true // doubled, or overtaken by the writes that followed it
 		return reply
 	}
+	if !fitsRecord(request) { // of a program without StateLimit
+		machine.out.news = append(machine.out.news, "write refused: it does not fit one record of the file")
+		return reply
+	}
 	machine.apply(request)
 	machine.store(encodeMessage(kindWrite, request), true)
 	machine.out.changed = true
--- a/internal/tier/consensus/round.go
+++ b/internal/tier/consensus/round.go
@@ -47,21 +47,13 @@
 		return // after a promise of its own for a higher epoch only a record of that epoch or above lets it write again
 	}
 	request := &tierv1.WriteRequest{Epoch: primary.record.Epoch, Base: machine.sequence, Sequence: machine.sequence, From: machine.Folder}
-	round := &round{waiters: primary.queue, need: make(map[string]bool)}
-	primary.queue, primary.round = nil, round
-	for i := range round.waiters {
-		w := &round.waiters[i]
-		if w.sets == nil {
-			continue
-		}
-		request.Sequence++
-		w.sequence = request.Sequence
-		for k, v := range w.sets {
-			request.Entries = append(request.Entries, &tierv1.Entry{Key: k, Value: v, Sequence: request.Sequence})
-		}
+	round := &round{need: make(map[string]bool)}
+	round.waiters, primary.queue = machine.gather(request, primary.queue)
+	if len(round.waiters) == 0 {
+		return // all were refused
 	}
+	primary.round = round
 	if request.Sequence > request.Base {
-		machine.apply(request)
 		machine.store(encodeMessage(kindWrite, request), true)
 	}
 	for _, folder := range primary.record.Backups {
@@ -75,6 +67,38 @@
 	}
 }
 
+// gather applies what waits to this copy, and adds it to the write of a round. It gives those who are in the round, and the
+// rest, which waits for the next one as the write would become too large. A put that would make the state too large is
+// refused: it is in neither.
+func (machine *machine) gather(request *tierv1.WriteRequest, queue []waiter) (begun, rest []waiter) {
+	size := 0
+	for i, waiter := range queue {
+		if waiter.sets == nil {
+			begun = append(begun, waiter)
+			continue
+		}
+		if err := machine.admit(waiter.sets); err != nil {
+			machine.out.outcomes = append(machine.out.outcomes, outcome{waiter.token, 0, err})
+			continue
+		}
+		added := setsSize(waiter.sets)
+		if size > 0 && size+added > machine.stateLimit {
+			return begun, queue[i:]
+		}
+		size += added
+		waiter.sequence = request.Sequence + 1
+		one := &tierv1.WriteRequest{Epoch: request.Epoch, Sequence: waiter.sequence}
+		for key, value := range waiter.sets {
+			one.Entries = append(one.Entries, &tierv1.Entry{Key: key, Value: value, Sequence: waiter.sequence})
+		}
+		machine.apply(one)
+		request.Sequence = waiter.sequence
+		request.Entries = append(request.Entries, one.Entries...)
+		begun = append(begun, waiter)
+	}
+	return begun, nil
+}
+
 // sendWrite sends a write to a backup of the record, and the whole state where its copy is behind.
 func (machine *machine) sendWrite(record *tierv1.Record, folder string, request *tierv1.WriteRequest) {
 	i := slices.IndexFunc(record.Members, func(v *tierv1.Member) bool { return v.Folder == folder })
