--- a/internal/tier/controlplane/configuration.go
+++ b/internal/tier/controlplane/configuration.go
@@ -96,46 +96,28 @@
 // writeIfNext decides on an order, and writes it if it is the next, in one step with the decision. It gives the view that
 // was decided on; with verdictTake, which says that it was written, the view that has it.
 func (plane *ControlPlane) writeIfNext(ctx context.Context, order configurationOrder, body []byte) (verdict, *view, error) {
-	v, ok := plane.primary()
-	if !ok {
-		return 0, nil, errNotPrimary
-	}
-	if verdict := v.orders.decide(order); verdict != verdictTake { // it will not be written: it need not wait for its turn
-		return verdict, v, nil
-	}
-	if plane.lockWriter(ctx) != nil {
-		return 0, nil, errWriterBusy
-	}
-	defer plane.unlockWriter()
-	if v, ok = plane.primary(); !ok {
-		return 0, nil, errNotPrimary
-	}
-	verdict := v.orders.decide(order)
-	if verdict != verdictTake {
-		return verdict, v, nil
-	}
-	after, err := plane.writeOrder(ctx, v, order, body)
-	if errors.Is(err, errStateTooLarge) {
-		return verdictTooLarge, v, nil
+	decide := func(v *view) verdict { return v.orders.decide(order) }
+	write := func(ctx context.Context, v *view) (verdict, *view, error) {
+		return plane.writeOrder(ctx, v, order, body)
 	}
-	return verdict, after, err
+	return decideAndWrite(ctx, plane, verdictTake, decide, write)
 }
 
 func takenAnswer(order configurationOrder) answer {
 	return accepted(map[string]int64{"revision": order.revision})
 }
 
-// writeOrder writes a configuration together with the record of its order, shows it, and gives a view that has it. The
-// caller has the right to write.
-func (plane *ControlPlane) writeOrder(ctx context.Context, before *view, order configurationOrder, body []byte) (*view, error) {
+// writeOrder writes a configuration together with the record of its order, shows it, and gives a view that has it; or else
+// verdictTooLarge with the view as it was. The caller has the right to write.
+func (plane *ControlPlane) writeOrder(ctx context.Context, before *view, order configurationOrder, body []byte) (verdict, *view, error) {
 	orders, sets := before.orders.take(order)
 	sets[keyConfiguration] = body
 	version, err := plane.put(ctx, before.epoch, sets)
 	if errors.Is(err, errStateTooLarge) {
-		return nil, err
+		return verdictTooLarge, before, nil
 	}
 	if err != nil {
-		return nil, errOutcomeUnknown
+		return verdictTake, nil, errOutcomeUnknown
 	}
 	after := *before
 	after.configuration = &tierv1.Configuration{Version: version, Body: body}
@@ -144,7 +126,7 @@
 		v.configuration, v.packed, v.orders = after.configuration, after.packed, after.orders
 	})
 	plane.Log.Info().Str("event", "configuration").Int64("revision", order.revision).Uint64("version", version).Msg("")
-	return &after, nil
+	return verdictTake, &after, nil
 }
 
 // waitAcknowledged waits until all gateways whose sessions stand have acknowledged a version, or the time for that is over.
--- a/internal/tier/controlplane/retire.go
+++ b/internal/tier/controlplane/retire.go
@@ -104,37 +104,29 @@
 // writeIfRetirable decides on an order to retire, and writes it if it can be carried out, in one step with the decision. It
 // gives the view that was decided on; with retireTake, which says that it was written, the view that has it.
 func (plane *ControlPlane) writeIfRetirable(ctx context.Context, node string, duration float64) (retireVerdict, *view, error) {
-	v, ok := plane.primary()
-	if !ok {
-		return 0, nil, errNotPrimary
+	decide := func(v *view) retireVerdict { return plane.retireRequest(v, node).decide() }
+	write := func(ctx context.Context, v *view) (retireVerdict, *view, error) {
+		return plane.writeRetire(ctx, v, node, duration)
 	}
-	if verdict := plane.retireRequest(v, node).decide(); verdict != retireTake {
-		return verdict, v, nil
-	}
-	if plane.lockWriter(ctx) != nil {
-		return 0, nil, errWriterBusy
-	}
-	defer plane.unlockWriter()
-	if v, ok = plane.primary(); !ok {
-		return 0, nil, errNotPrimary
-	}
-	verdict := plane.retireRequest(v, node).decide()
-	if verdict != retireTake {
-		return verdict, v, nil
-	}
-	after := *v
-	after.partitionMap = orderRetire(v.partitionMap, node)
+	return decideAndWrite(ctx, plane, retireTake, decide, write)
+}
+
+// writeRetire writes the map with an order to retire, shows it, and gives a view that has it; or else retireTooLarge with the
+// view as it was. The caller has the right to write.
+func (plane *ControlPlane) writeRetire(ctx context.Context, before *view, node string, duration float64) (retireVerdict, *view, error) {
+	after := *before
+	after.partitionMap = orderRetire(before.partitionMap, node)
 	after.partitionMap.Retired = append(after.partitionMap.Retired, newlyRetired(after.partitionMap, plane.spread.Losses)...)
-	err := plane.putPartitionMap(ctx, v.epoch, after.partitionMap)
+	err := plane.putPartitionMap(ctx, before.epoch, after.partitionMap)
 	if errors.Is(err, errStateTooLarge) {
-		return retireTooLarge, v, nil
+		return retireTooLarge, before, nil
 	}
 	if err != nil {
-		return verdict, nil, errOutcomeUnknown
+		return retireTake, nil, errOutcomeUnknown
 	}
 	wake(plane.reconcileNow)
 	plane.Log.Info().Str("event", "retire").Str("node", node).Float64("duration_s", duration).Msg("")
-	return verdict, &after, nil
+	return retireTake, &after, nil
 }
 
 func (plane *ControlPlane) retireRequest(v *view, node string) retireRequest {
