--- a/internal/tier/controlplane/registry.go
+++ b/internal/tier/controlplane/registry.go
@@ -129,6 +129,15 @@
 	return alive, leaving, reports
 }
 
+// lapseOf tells when the session of a turn store lapsed, or is to lapse, if it is known.
+func (r *registry) lapseOf(one *tierv1.StoreNode) (at time.Time, known bool) {
+	s := r.of[place{one.Node, roleTurnStore}]
+	if s == nil || s.storeNode.Folder != one.Folder || s.held > 0 {
+		return time.Time{}, false
+	}
+	return s.ended.Add(r.lapse), true
+}
+
 // behind counts the gateways that stand and have not acknowledged a version of the configuration.
 func (r *registry) behind(now time.Time, version uint64) int {
 	n := 0
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -30,8 +30,8 @@
 		if a.stayingCopies(p) <= a.Losses {
 			if next := a.pick(p); next != "" {
 				p.Backups = append(p.Backups, &tierv1.Copy{Folder: next})
-			} else if !a.replaced[c.Folder] && a.lostDomains > a.Losses {
-				p.Backups = before // more is lost than is borne: nothing goes on without it
+			} else if a.waitsFor(c.Folder) {
+				p.Backups = before
 				continue
 			}
 		}
@@ -52,6 +52,21 @@
 	a.pruneRetained(p)
 }
 
+// waitsFor tells whether a partition that has no turn store for another copy waits for a lost one, as its backup, rather than
+// go on without it. It does where more turn stores with copies are lost than is borne. It does for a moment where more are
+// silent than is borne, with copies or without, and this one's session has only just lapsed: the sessions of several lapse one
+// after the other, and what is acknowledged by the last one alone is lost with it. A single lapse is never waited for, as a
+// turn store that is lost looks the same.
+func (a *assignment) waitsFor(folder string) bool {
+	if a.replaced[folder] {
+		return false
+	}
+	if a.lostDomains > a.Losses {
+		return true
+	}
+	return a.Lapsed[folder] && a.silentDomains > a.Losses
+}
+
 // hasLeft tells whether a turn store has heard SIGTERM: its time is short.
 func (a *assignment) hasLeft(folder string) bool { return a.Leaving[folder] }
 
