--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -73,6 +73,7 @@
 	orders        orderHistory          // the newest orders that were taken, the one in force last
 	partitionMap  *tierv1.PartitionMap
 	endpoints     *tierv1.Endpoints
+	packedList    *packedEndpoints // of endpoints, as sessions get them
 	members       *tierv1.Members
 }
 
@@ -252,7 +253,7 @@
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	if plane.view.epoch == epoch { // back in touch in the same epoch
-		next.endpoints, next.members = plane.view.endpoints, plane.view.members
+		next.endpoints, next.packedList, next.members = plane.view.endpoints, plane.view.packedList, plane.view.members
 	} else {
 		plane.versions.endpoints, plane.versions.members = 0, 0
 		plane.riskClock = riskClock{}
--- /dev/null
+++ b/internal/tier/controlplane/endpoints_test.go
@@ -0,0 +1,55 @@
+package controlplane
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// longList is a list as the platform gives it for many endpoints.
+func longList(n int) []*tierv1.Endpoint {
+	list := make([]*tierv1.Endpoint, n)
+	for i := range list {
+		id := uint32(i+1) * 2654435761 // spread over all values, as drawn ids are
+		list[i] = &tierv1.Endpoint{Instance: fmt.Sprintf("i-%08x%02x", id, byte(id>>3)), Service: fmt.Sprintf("service-%02d", id%18),
+			Address: fmt.Sprintf("10.%d.%d.%d:%d", 1+id%4, byte(id>>8), byte(id>>16), 8000+id%1000), Zone: fmt.Sprintf("zone-%02d", id%11),
+			Capacity: 96, Revision: "v1", Phase: "both", Models: []*tierv1.Model{{Name: "m", Revision: 1}}}
+	}
+	return list
+}
+
+// At the size of 300 sessions and 3,000 endpoints the primary's link must carry a changed list to all sessions within the
+// least time that these wait for an answer that has begun: else they break off, ask again, and the load never ends.
+func TestALongListFitsIntoTheTimeThatSessionsWait(t *testing.T) {
+	const (
+		sessionCount  = 300
+		linkPerSecond = 1000e6 / 8 // bytes, of a link of 1,000 Mbit/s
+	)
+	leastWait := site().ContactWindow / 10 // session.graceOver
+	v := &view{}
+	v.setEndpoints(&tierv1.Endpoints{Version: 7, List: longList(3000)})
+	reply, some := v.replyFor(&tierv1.WatchRequest{UnpacksEndpoints: true})
+	assert.Assert(t, some)
+	bytes := proto.Size(reply)
+	took := time.Duration(float64(sessionCount*bytes) / linkPerSecond * float64(time.Second))
+	t.Logf("%d bytes a session, %v for all", bytes, took)
+	assert.Assert(t, took < leastWait, "%v, and sessions wait for %v", took, leastWait)
+}
+
+// A list is packed once for all sessions that can read it; others, and short lists, get the entries as they are.
+func TestAListIsPackedOnceForThoseWhoReadIt(t *testing.T) {
+	reads := &tierv1.WatchRequest{UnpacksEndpoints: true}
+	long, short := &view{}, &view{}
+	long.setEndpoints(&tierv1.Endpoints{Version: 7, List: longList(3000)})
+	short.setEndpoints(&tierv1.Endpoints{Version: 7, List: longList(3)})
+	first, second := long.endpointsFor(reads), long.endpointsFor(reads)
+	assert.Assert(t, first == second, "packed twice")
+	assert.Assert(t, len(first.Packed) > 0 && len(first.List) == 0 && first.Version == 7)
+	assert.Assert(t, long.endpointsFor(&tierv1.WatchRequest{}) == long.endpoints)
+	assert.Assert(t, short.endpointsFor(reads) == short.endpoints)
+}
--- a/internal/tier/controlplane/platform.go
+++ b/internal/tier/controlplane/platform.go
@@ -89,12 +89,12 @@
 	if before := k.view.endpoints; before != nil && slices.EqualFunc(before.List, list, sameEndpoint) {
 		// Nobody has to hear of it, but who comes next gets the newer figures.
 		next := *k.view
-		next.endpoints = &tierv1.Endpoints{Version: before.Version, List: list}
+		next.setEndpoints(&tierv1.Endpoints{Version: before.Version, List: list})
 		k.view = &next
 		return
 	}
 	k.replaceView(func(v *view) {
-		v.endpoints = &tierv1.Endpoints{Version: version(epoch, &k.versions.endpoints), List: list}
+		v.setEndpoints(&tierv1.Endpoints{Version: version(epoch, &k.versions.endpoints), List: list})
 	})
 }
 
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -91,7 +91,7 @@
 		n.Configuration, some = v.packed, true
 	}
 	if v.endpoints != nil && v.endpoints.Version > req.Endpoints {
-		n.Endpoints, some = v.endpoints, true
+		n.Endpoints, some = v.endpointsFor(req), true
 	}
 	if v.partitionMap != nil && v.partitionMap.Version > req.PartitionMap {
 		n.PartitionMap, some = v.partitionMap, true
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -216,6 +216,7 @@
 	set := client.config.Settings
 	req.Node, req.Role, req.Folder, req.Address = set.Node, client.config.Role, client.config.Folder, client.config.Address
 	req.Zone, req.Region, req.Life, req.IdleDisk = set.Zone, set.Region, client.life, client.config.Empty
+	req.UnpacksEndpoints = true
 	hold := window / holdPart
 	if client.config.Folder != "" {
 		hold = window / turnStorePart
@@ -297,6 +298,12 @@
 			client.config.Log.Error().Str("event", "configuration_damaged").Err(err).Msg("")
 		}
 	}
+	if len(endpoints.GetPacked()) > 0 {
+		var err error
+		if endpoints, err = unpackEndpoints(endpoints); err != nil { // as with a configuration
+			client.config.Log.Error().Str("event", "endpoints_damaged").Err(err).Msg("")
+		}
+	}
 	if configuration != nil && client.config.Configuration != nil {
 		client.config.Configuration(configuration)
 	}
@@ -319,20 +326,40 @@
 	client.mu.Unlock()
 }
 
-const unpackedMost = 64 << 20 // bytes of a configuration
+// unpackedMost is the largest size, in bytes, of what came packed.
+const unpackedMost = 64 << 20
 
 // unpack gives a configuration as the operator sent it; nil with an error.
 func unpack(c *tierv1.Configuration) (*tierv1.Configuration, error) {
-	r, err := gzip.NewReader(bytes.NewReader(c.Packed))
+	body, err := decompress(c.Packed)
 	if err != nil {
 		return nil, errorx.Decorate(err, "configuration of version %d", c.Version)
 	}
+	return &tierv1.Configuration{Version: c.Version, Body: body}, nil
+}
+
+// unpackEndpoints gives a list of endpoints with its entries; nil with an error.
+func unpackEndpoints(e *tierv1.Endpoints) (*tierv1.Endpoints, error) {
+	body, err := decompress(e.Packed)
+	if err != nil {
+		return nil, errorx.Decorate(err, "endpoints of version %d", e.Version)
+	}
+	whole := &tierv1.Endpoints{}
+	if err := proto.Unmarshal(body, whole); err != nil {
+		return nil, errorx.Decorate(err, "endpoints of version %d", e.Version)
+	}
+	whole.Version = e.Version
+	return whole, nil
+}
+
+func decompress(packed []byte) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(packed))
+	if err != nil {
+		return nil, err
+	}
 	body, err := io.ReadAll(io.LimitReader(r, unpackedMost+1))
 	if err == nil && len(body) > unpackedMost {
 		err = errorx.IllegalFormat.New("it has more than %d bytes", unpackedMost)
 	}
-	if err != nil {
-		return nil, errorx.Decorate(err, "configuration of version %d", c.Version)
-	}
-	return &tierv1.Configuration{Version: c.Version, Body: body}, nil
+	return body, err
 }
