--- a/internal/tier/controlplane/platform.go
+++ b/internal/tier/controlplane/platform.go
@@ -18,13 +18,17 @@
 )
 
 const (
-	pollPart   = 3                      // of the drain time: the list is asked for so often, if the platform's rate allows it
-	rateRoom   = 1.5                    // the platform takes so many times the calls that are made: only the primary makes any
-	callLimit  = 500 * time.Millisecond // for one page
-	backoff    = 1.5                    // longer after each failure in a row
-	backoffMax = 3                      // failures that count
-	pageBytes  = 16 << 20
-	pagesMost  = 10_000
+	pollPart  = 3                      // of the drain time: the list is asked for so often, if the platform's rate allows it
+	rateRoom  = 1.5                    // the platform takes so many times the calls that are made: only the primary makes any
+	callLimit = 500 * time.Millisecond // for one page
+	// In a process that is overloaded a call may miss its limit while the platform is well. Without a repeat the whole
+	// reading would be lost with it, and a draining endpoint be heard of a reading and its backoff later.
+	repeatsMost = 3 // calls for pages that did not come, in one reading
+	repeatPause = 50 * time.Millisecond
+	backoff     = 1.5 // longer after each failure in a row
+	backoffMax  = 3   // failures that count
+	pageBytes   = 16 << 20
+	pagesMost   = 10_000
 )
 
 // poll asks the platform for its list while this process is the primary.
@@ -130,15 +134,20 @@
 	Next *string `json:"next_page_token"`
 }
 
-// instances reads the whole list, in the order of ids. A list of which a page is lacking is an error. It tells how many
-// calls that took, and how long the platform asks to wait after a refusal.
+// instances reads the whole list, in the order of ids. A list of which a page is lacking is an error; before it gives up,
+// it asks again for pages that did not come, repeatsMost times in all. It tells how many calls that took, and how long the
+// platform asks to wait after a refusal.
 func (k *ControlPlane) instances(ctx context.Context) (list []*tierv1.Endpoint, calls int, wait time.Duration, err error) {
-	token := ""
+	token, repeats := "", 0
 	seen := map[string]bool{}
 	for calls < pagesMost {
 		calls++
-		var p page
-		if wait, err = k.page(ctx, token, &p); err != nil {
+		p, wait, err := k.page(ctx, token)
+		if err != nil && repeats < repeatsMost && worthRepeating(ctx, err) {
+			repeats++
+			continue
+		}
+		if err != nil {
 			return nil, calls, wait, err
 		}
 		for _, i := range p.Instances {
@@ -170,7 +179,27 @@
 
 func whole32(f float64) uint32 { return uint32(min(max(f, 0), math.MaxUint32)) }
 
-func (k *ControlPlane) page(ctx context.Context, token string, p *page) (wait time.Duration, err error) {
+// errPlatformRefuses is the type of the error of a call that the platform refuses, as too many came.
+var errPlatformRefuses = errorx.NewType(errorx.NewNamespace("platform"), "refuses")
+
+// worthRepeating waits a little and tells whether a call that failed with err may be made again at once. One that was
+// refused may not: the platform tells when.
+func worthRepeating(ctx context.Context, err error) bool {
+	if errorx.IsOfType(err, errPlatformRefuses) {
+		return false
+	}
+	pause := time.NewTimer(repeatPause)
+	defer pause.Stop()
+	select {
+	case <-pause.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// page asks for one page of the list.
+func (k *ControlPlane) page(ctx context.Context, token string) (p *page, wait time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
 	at := url.URL{Scheme: "http", Host: k.Settings.CloudAddress, Path: "/instances"}
@@ -179,11 +208,11 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at.String(), nil)
 	if err != nil {
-		return 0, err
+		return nil, 0, err
 	}
 	resp, err := k.Cloud.Do(req)
 	if err != nil {
-		return 0, err
+		return nil, 0, err
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, pageBytes))
@@ -191,13 +220,17 @@
 		if s, bad := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); bad == nil && s > 0 {
 			wait = time.Duration(min(s, k.Settings.DrainTimeout.Seconds()) * float64(time.Second))
 		}
-		return wait, errorx.ExternalError.New("the platform answered %d", resp.StatusCode)
+		if resp.StatusCode == http.StatusTooManyRequests || wait > 0 {
+			return nil, wait, errPlatformRefuses.New("the platform answered %d", resp.StatusCode)
+		}
+		return nil, 0, errorx.ExternalError.New("the platform answered %d", resp.StatusCode)
 	}
 	if err != nil {
-		return 0, err
+		return nil, 0, err
 	}
+	p = &page{}
 	if err := json.Unmarshal(body, p); err != nil {
-		return 0, errorx.IllegalFormat.Wrap(err, "list of the platform")
+		return nil, 0, errorx.IllegalFormat.Wrap(err, "list of the platform")
 	}
-	return 0, nil
+	return p, 0, nil
 }
