--- /dev/null
+++ b/internal/tier/gateway/lease_test.go
@@ -0,0 +1,65 @@
+package gateway
+
+import (
+	"context"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dockshift.example/dockshift/internal/tier/ingress"
+	"dockshift.example/dockshift/internal/tier/loadbalancer"
+	"dockshift.example/dockshift/internal/tier/routing"
+	"dockshift.example/dockshift/internal/tier/tiertest"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// A gateway whose session does not get on writes to no endpoint beyond the lease of its list, whenever that endpoint was picked:
+// it may be draining by now. Once the session has heard from the primary, the endpoints that are left are written to again.
+func TestNothingIsWrittenByAListBeyondItsLease(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const pause = 10 * time.Second
+		control := tiertest.NewControlPlane()
+		entry := func(instance string, draining bool) *tierv1.Endpoint {
+			return &tierv1.Endpoint{Instance: instance, Service: "s", Address: "127.0.0.1:1", Capacity: 8, Draining: draining}
+		}
+		control.SetEndpoints(entry("i-1", false), entry("i-2", false))
+		k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.Silent(),
+			ControlPlane: func(string) tierv1.ControlPlane { return control }})
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		go k.session.Run(ctx)
+		control.Taken(t)
+		synctest.Wait()
+
+		request := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, service: "s", ctx: ctx,
+			route: &routing.Route{Name: "r", Aim: 400 * time.Millisecond, MaxAttempts: 2}, until: time.Now().Add(time.Hour)}
+		picked := request.choose()
+		assert.Equal(t, picked.Verdict, loadbalancer.Send)
+		first := request.upstreamRequest(loadbalancer.Choice{Instance: "i-1"}).Permit
+		second := request.upstreamRequest(loadbalancer.Choice{Instance: "i-2"}).Permit
+		assert.Assert(t, first() && second())
+
+		var paused atomic.Bool
+		control.SetVia(func(_ context.Context, _ *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+			if !paused.Swap(true) {
+				<-time.After(pause) // between the call and its answer, longer than the call may last
+			}
+			return serve()
+		})
+		<-time.After(time.Second) // the call that is held now ends
+		control.SetEndpoints(entry("i-1", true), entry("i-2", false))
+		<-time.After(pause / 2)
+		assert.Assert(t, !first(), "written by a list that is not current")
+		assert.Assert(t, !second(), "written by a list that is not current")
+		assert.Assert(t, request.choose().Verdict != loadbalancer.Send)
+
+		<-time.After(pause)
+		assert.Assert(t, !first() && second())
+		assert.Equal(t, request.choose().Instance, "i-2")
+		cancel()
+		synctest.Wait()
+	})
+}
--- a/internal/tier/gateway/pass.go
+++ b/internal/tier/gateway/pass.go
@@ -39,8 +39,11 @@
 	return q
 }
 
-// stands asks at the last moment whether the endpoint is still one that requests may go to.
+// stands asks at the last moment whether the endpoint is still one that requests may go to: it is by a list that is current.
 func (gateway *Gateway) stands(choice loadbalancer.Choice) bool {
+	if !gateway.session.Current() {
+		return false
+	}
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
 	return gateway.serving[choice.Instance]
@@ -61,7 +64,11 @@
 		request.tried = append(request.tried, choice.Instance)
 	}
 	if r.End != upstream.Streaming {
-		request.gateway.done(choice.Call, outcome(r, time.Since(request.began)))
+		o := outcome(r, time.Since(request.began))
+		if o.Kind == loadbalancer.NotSent && !request.gateway.session.Current() { // it says nothing of the endpoint
+			o.Kind = loadbalancer.Abandoned
+		}
+		request.gateway.done(choice.Call, o)
 	}
 	return r
 }
--- a/internal/tier/gateway/serve.go
+++ b/internal/tier/gateway/serve.go
@@ -17,6 +17,9 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
+// currentPause is from one look at whether the list of endpoints is current to the next.
+const currentPause = 10 * time.Millisecond
+
 // clientRequest is one request on its way.
 type clientRequest struct {
 	gateway   *Gateway
@@ -276,6 +279,9 @@
 	gateway := request.gateway
 	// A request that waits is refused within its aim, so that its client's new try may still be in time.
 	refuseAt := time.Now().Add(min(request.route.Aim/4, time.Until(request.until)/3))
+	if !request.awaitCurrent(refuseAt) {
+		return loadbalancer.Choice{Verdict: loadbalancer.NoEndpoint}
+	}
 	for {
 		gateway.mu.Lock()
 		choice := gateway.loadbalancer.Pick(gateway.now(), loadbalancer.Ask{Route: request.route.Name, Service: request.service, Repeatable: request.route.Kind == routing.Idempotent && request.sent+1 < request.route.MaxAttempts,
@@ -303,6 +309,25 @@
 	}
 }
 
+// awaitCurrent waits until the list of endpoints is current, and tells whether it is. After a pause of this process the session
+// needs a moment to hear what it has missed.
+func (request *clientRequest) awaitCurrent(until time.Time) bool {
+	for !request.gateway.session.Current() {
+		left := time.Until(until)
+		if left <= 0 {
+			return false
+		}
+		again := time.NewTimer(min(left, currentPause))
+		select {
+		case <-again.C:
+		case <-request.ctx.Done():
+			again.Stop()
+			return false
+		}
+	}
+	return true
+}
+
 func (gateway *Gateway) done(call *loadbalancer.Call, o loadbalancer.Outcome) {
 	gateway.mu.Lock()
 	gateway.loadbalancer.Done(gateway.now(), call, o)
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -60,11 +60,13 @@
 	stands    bool
 	lastReply time.Time
 	leaving   bool
+	lease     lease
 }
 
 // New makes a session that Run begins.
 func New(c Config) *Client {
 	client := &Client{config: c, life: rpcserver.Life(), seeds: c.Settings.SeedInternal()}
+	client.lease.length = c.Settings.ContactWindow * leaseTenths / 10
 	return client
 }
 
@@ -96,7 +98,9 @@
 func (client *Client) Run(ctx context.Context) {
 	window := client.config.Settings.ContactWindow
 	for ctx.Err() == nil {
+		begun := time.Now()
 		at := client.findPrimary(ctx)
+		client.noteSearch(begun, at != "")
 		if at == "" {
 			client.markLost("no primary found")
 			pause(ctx, window/pausePart+rand.N(window/pausePart+1))
@@ -212,6 +216,7 @@
 	client.mu.Lock()
 	req := proto.Clone(&client.applied).(*tierv1.WatchRequest)
 	req.Leaving = client.leaving
+	stood := client.stands
 	client.mu.Unlock()
 	set := client.config.Settings
 	req.Node, req.Role, req.Folder, req.Address = set.Node, client.config.Role, client.config.Folder, client.config.Address
@@ -221,8 +226,11 @@
 	if client.config.Folder != "" {
 		hold = window / turnStorePart
 	}
-	req.HoldMs = uint32(hold.Milliseconds())
 	patience := hold + window/graceOver
+	if !stood { // its answer renews the lease, but may bring all views anew, and is waited for as long as others
+		hold = window / pausePart
+	}
+	req.HoldMs = uint32(hold.Milliseconds())
 	begun := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
@@ -264,11 +272,15 @@
 		client.markLost("no longer primary")
 		return false
 	}
-	client.apply(at, reply)
+	if client.apply(at, reply) {
+		client.renewLease(begun)
+	}
 	return true
 }
 
-func (client *Client) apply(at string, reply *tierv1.WatchReply) {
+// apply takes the views that are newer, and tells whether all came undamaged.
+func (client *Client) apply(at string, reply *tierv1.WatchReply) (whole bool) {
+	whole = true
 	client.mu.Lock()
 	if !client.stands {
 		client.config.Log.Info().Str("event", "session").Str("primary", at).Uint64("epoch", reply.Epoch).Msg("")
@@ -296,12 +308,14 @@
 		var err error
 		if configuration, err = unpack(configuration); err != nil { // it is not acknowledged, and comes again
 			client.config.Log.Error().Str("event", "configuration_damaged").Err(err).Msg("")
+			whole = false
 		}
 	}
 	if len(endpoints.GetPacked()) > 0 {
 		var err error
 		if endpoints, err = unpackEndpoints(endpoints); err != nil { // as with a configuration
 			client.config.Log.Error().Str("event", "endpoints_damaged").Err(err).Msg("")
+			whole = false
 		}
 	}
 	if configuration != nil && client.config.Configuration != nil {
@@ -324,6 +338,7 @@
 		client.applied.PartitionMap = partitionMap.Version
 	}
 	client.mu.Unlock()
+	return whole
 }
 
 // unpackedMost is the largest size, in bytes, of what came packed.
