--- a/internal/tier/gateway/serve.go
+++ b/internal/tier/gateway/serve.go
@@ -10,6 +10,9 @@
 	"dockshift.example/dockshift/internal/tier/routing"
 )
 
+// currentPause is from one look at whether the list of endpoints is current to the next.
+const currentPause = 10 * time.Millisecond
+
 // handle answers one request.
 func (gateway *Gateway) handle(x *ingress.Exchange) {
 	gateway.calls.Add(1)
@@ -65,6 +68,9 @@
 	gateway := request.gateway
 	// A request that waits is refused within its aim, so that its client's new try may still be in time.
 	refuseAt := time.Now().Add(min(request.route.Aim/4, time.Until(request.until)/3))
+	if !request.awaitCurrent(refuseAt) {
+		return loadbalancer.Choice{Verdict: loadbalancer.NoEndpoint}
+	}
 	for {
 		gateway.mu.Lock()
 		choice := gateway.loadbalancer.Pick(gateway.now(), request.ask())
@@ -100,6 +106,25 @@
 }
 
 // done tells the load balancer how a call ended, and those that wait for a place that there may be one.
+// awaitCurrent waits until the list of endpoints is current, and tells whether it is. After a pause of this process the session
+// needs a moment to hear what it has missed.
+func (request *clientRequest) awaitCurrent(until time.Time) bool {
+	for !request.gateway.session.Current() {
+		left := time.Until(until)
+		if left <= 0 {
+			return false
+		}
+		again := time.NewTimer(min(left, currentPause))
+		select {
+		case <-again.C:
+		case <-request.ctx.Done():
+			again.Stop()
+			return false
+		}
+	}
+	return true
+}
+
 func (gateway *Gateway) done(call *loadbalancer.Call, outcome loadbalancer.Outcome) {
 	gateway.mu.Lock()
 	gateway.loadbalancer.Done(gateway.now(), call, outcome)
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -54,11 +54,14 @@
 	stands    bool                // the last call was answered by the primary
 	lastReply time.Time           // of the primary; zero: none in this life
 	leaving   bool
+	lease     lease
 }
 
 // New makes a session that Run begins.
 func New(c Config) *Client {
-	return &Client{config: c, life: rpcserver.Life(), seeds: c.Settings.SeedInternal()}
+	client := &Client{config: c, life: rpcserver.Life(), seeds: c.Settings.SeedInternal()}
+	client.lease.length = c.Settings.ContactWindow * leaseTenths / 10
+	return client
 }
 
 // Stands tells whether the session stands, and how long ago the primary answered last.
@@ -112,7 +115,9 @@
 func (client *Client) Run(ctx context.Context) {
 	window := client.config.Settings.ContactWindow
 	for ctx.Err() == nil {
+		begun := time.Now()
 		at := client.findPrimary(ctx)
+		client.noteSearch(begun, at != "")
 		if at == "" {
 			client.markLost("no primary found")
 			pause(ctx, window/pausePart+rand.N(window/pausePart+1))
--- a/internal/tier/session/watch.go
+++ b/internal/tier/session/watch.go
@@ -15,7 +15,11 @@
 
 // watch makes one held call, and reports whether the session goes on there.
 func (client *Client) watch(ctx context.Context, at string) bool {
-	request := client.request(client.hold())
+	hold := client.hold()
+	if stands, _ := client.Stands(); !stands { // its answer renews the lease, but may bring all views anew, and is waited for as long as others
+		hold = client.config.Settings.ContactWindow / pausePart
+	}
+	request := client.request(hold)
 	patience := client.patience()
 	begun := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, patience)
@@ -61,7 +65,9 @@
 		client.markLost("no longer primary")
 		return false
 	}
-	client.apply(at, reply)
+	if client.apply(at, reply) {
+		client.renewLease(begun)
+	}
 	return true
 }
 
@@ -76,6 +82,7 @@
 	request.Role, request.Folder, request.Address = client.config.Role, client.config.Folder, client.config.Address
 	request.Life, request.IdleDisk = client.life, client.config.Empty
 	request.HoldMs = uint32(hold.Milliseconds())
+	request.UnpacksEndpoints = true
 	return request
 }
 
@@ -86,8 +93,10 @@
 	partitionMap  *tierv1.PartitionMap
 }
 
-// apply takes a reply of the primary. What is new in it is acknowledged, by the next call, once it has been taken in.
-func (client *Client) apply(at string, reply *tierv1.WatchReply) {
+// apply takes a reply of the primary. What is new in it is acknowledged, by the next call, once it has been taken in. It tells
+// whether all of it came undamaged.
+func (client *Client) apply(at string, reply *tierv1.WatchReply) (whole bool) {
+	whole = true
 	client.mu.Lock()
 	client.noteReply(at, reply)
 	newer := client.newer(reply)
@@ -96,12 +105,21 @@
 		var err error
 		if newer.configuration, err = unpack(newer.configuration); err != nil { // it is not acknowledged, and comes again
 			client.config.Log.Error().Str("event", "configuration_damaged").Err(err).Msg("")
+			whole = false
+		}
+	}
+	if len(newer.endpoints.GetPacked()) > 0 {
+		var err error
+		if newer.endpoints, err = unpackEndpoints(newer.endpoints); err != nil { // as with a configuration
+			client.config.Log.Error().Str("event", "endpoints_damaged").Err(err).Msg("")
+			whole = false
 		}
 	}
 	client.deliver(newer)
 	client.mu.Lock()
 	client.acknowledge(newer)
 	client.mu.Unlock()
+	return whole
 }
 
 // noteReply notes that the session stands, and the members that the primary names. The caller holds mu.
@@ -159,20 +177,41 @@
 	}
 }
 
-const maxUnpacked = 64 << 20 // bytes of a configuration
+// maxUnpacked is the largest size, in bytes, of what came packed.
+const maxUnpacked = 64 << 20
 
 // unpack gives a configuration as the operator sent it; nil with an error.
 func unpack(c *tierv1.Configuration) (*tierv1.Configuration, error) {
-	reader, err := gzip.NewReader(bytes.NewReader(c.Packed))
+	body, err := decompress(c.Packed)
 	if err != nil {
 		return nil, errorx.Decorate(err, "configuration of version %d", c.Version)
 	}
+	return &tierv1.Configuration{Version: c.Version, Body: body}, nil
+}
+
+// unpackEndpoints gives a list of endpoints with its entries; nil with an error.
+func unpackEndpoints(e *tierv1.Endpoints) (*tierv1.Endpoints, error) {
+	body, err := decompress(e.Packed)
+	if err != nil {
+		return nil, errorx.Decorate(err, "endpoints of version %d", e.Version)
+	}
+	whole := &tierv1.Endpoints{}
+	if err := proto.Unmarshal(body, whole); err != nil {
+		return nil, errorx.Decorate(err, "endpoints of version %d", e.Version)
+	}
+	whole.Version = e.Version
+	return whole, nil
+}
+
+// decompress gives what was packed, up to maxUnpacked bytes.
+func decompress(packed []byte) ([]byte, error) {
+	reader, err := gzip.NewReader(bytes.NewReader(packed))
+	if err != nil {
+		return nil, err
+	}
 	body, err := io.ReadAll(io.LimitReader(reader, maxUnpacked+1))
 	if err == nil && len(body) > maxUnpacked {
 		err = errorx.IllegalFormat.New("it has more than %d bytes", maxUnpacked)
 	}
-	if err != nil {
-		return nil, errorx.Decorate(err, "configuration of version %d", c.Version)
-	}
-	return &tierv1.Configuration{Version: c.Version, Body: body}, nil
+	return body, err
 }
