--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// ready: all views have come in this life, and it is not leaving.
+// ready: all views have come in this life, and it is neither leaving nor cut off.
 func (gateway *Gateway) ready() bool {
-	return !gateway.leaving.Load() && gateway.routing.Load() != nil && gateway.listed.Load() && gateway.stores.ready()
+	return !gateway.leaving.Load() && !gateway.cutOff() && gateway.routing.Load() != nil && gateway.listed.Load() && gateway.stores.ready()
 }
 
 func (gateway *Gateway) limits() ingress.Limits {
--- a/internal/tier/gateway/ready_test.go
+++ b/internal/tier/gateway/ready_test.go
@@ -1,6 +1,7 @@
 package gateway_test
 
 import (
+	"context"
 	"net"
 	"testing"
 	"time"
@@ -41,6 +42,27 @@
 	}
 }
 
+// A gateway that reaches neither the control plane nor a turn store is not ready, until the control plane answers again.
+func TestNotReadyWhileCutOff(t *testing.T) {
+	r := bare(t, func(s *settings.Settings) { s.ContactWindow = 200 * time.Millisecond })
+	r.consensus.SetConfiguration(configurationOf(1, ""))
+	r.list()
+	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
+	r.consensus.Taken(t)
+	assert.Equal(t, r.ready(), 200)
+	r.consensus.SetVia(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+		<-ctx.Done()
+		return nil, ctx.Err()
+	})
+	for _, store := range r.turnStores.List {
+		store.SetDark(true)
+	}
+	promise(t, r.do(turn("t-1", "", "p", "X-Deadline-Ms: 1000\r\n", "in")))
+	tiertest.Until(t, "not ready", func() bool { return r.ready() == 503 })
+	r.consensus.SetVia(nil)
+	tiertest.Until(t, "ready again", func() bool { return r.ready() == 200 })
+}
+
 func TestLeaving(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
--- a/internal/tier/gateway/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -14,10 +14,11 @@
 // storeClient is the gateway's side of the turn stores: which one keeps a program's turns, and how long its answer is waited for.
 // A turn store that falls silent is another's part to replace: the calls are repeated by the newest map until their time is over.
 type storeClient struct {
-	dial func(address string) tierv1.TurnStore
-	log  *log.Logger
-	try  time.Duration // one call's time
-	wait time.Duration // longest pause between two tries; a new map ends it
+	dial    func(address string) tierv1.TurnStore
+	contact *contact
+	log     *log.Logger
+	try     time.Duration // one call's time
+	wait    time.Duration // longest pause between two tries; a new map ends it
 
 	mu         sync.Mutex
 	turnStores *tierv1.PartitionMap
@@ -26,7 +27,8 @@
 }
 
 func newStoreClient(s settings.Settings, dial func(string) tierv1.TurnStore, l *log.Logger) *storeClient {
-	return &storeClient{dial: dial, log: l, try: s.ContactWindow / 4, wait: s.ContactWindow / 40, changed: make(chan struct{}), at: map[string]string{}}
+	c := &contact{}
+	return &storeClient{dial: c.observed(dial), contact: c, log: l, try: s.ContactWindow / 4, wait: s.ContactWindow / 40, changed: make(chan struct{}), at: map[string]string{}}
 }
 
 // apply takes a newer map in.
