--- a/internal/tier/controlplane/configuration.go
+++ b/internal/tier/controlplane/configuration.go
@@ -13,7 +13,7 @@
 )
 
 func (plane *ControlPlane) replaceConfiguration(w http.ResponseWriter, r *http.Request) answer {
-	body, err := readBody(w, r, max(bodyLeast, int64(plane.Settings.MemoryMB)<<20/bodyPart))
+	body, err := readBody(w, r, plane.configurationLimit())
 	begun := time.Now()
 	if _, ok := plane.primary(); !ok {
 		return plane.redirect(r)
@@ -49,6 +49,7 @@
 	errWriterBusy     = errors.New("another write is under way")
 	errOutcomeUnknown = errors.New("the outcome is unknown")
 	errUnconfirmed    = errors.New("the backups do not confirm it")
+	errStateTooLarge  = errors.New("the control state would be too large")
 )
 
 // takeOrder decides on an order and carries it out. It gives the answer, and the version of the configuration that
@@ -79,48 +80,44 @@
 		return 0, refused(http.StatusPreconditionFailed, "the current revision is "+current), true
 	case verdictNotAbove:
 		return 0, refused(http.StatusBadRequest, "revision is not above the current one, "+current), true
+	case verdictTooLarge:
+		return 0, refused(http.StatusRequestEntityTooLarge, errStateTooLarge.Error()), true
 	default:
 		return 0, unavailable("older than the orders that are remembered; the current revision is " + current), true
 	}
 }
 
+// configurationLimit is the largest body of a configuration, in bytes, that this process takes.
+func (plane *ControlPlane) configurationLimit() int64 {
+	ofMemory := int64(plane.Settings.MemoryMB) << 20 / bodyPart
+	return min(max(bodyLeast, ofMemory), bodyMost)
+}
+
 // writeIfNext decides on an order, and writes it if it is the next, in one step with the decision. It gives the view that
 // was decided on; with verdictTake, which says that it was written, the view that has it.
 func (plane *ControlPlane) writeIfNext(ctx context.Context, order configurationOrder, body []byte) (verdict, *view, error) {
-	v, ok := plane.primary()
-	if !ok {
-		return 0, nil, errNotPrimary
-	}
-	if verdict := v.orders.decide(order); verdict != verdictTake { // it will not be written: it need not wait for its turn
-		return verdict, v, nil
+	decide := func(v *view) verdict { return v.orders.decide(order) }
+	write := func(ctx context.Context, v *view) (verdict, *view, error) {
+		return plane.writeOrder(ctx, v, order, body)
 	}
-	if plane.lockWriter(ctx) != nil {
-		return 0, nil, errWriterBusy
-	}
-	defer plane.unlockWriter()
-	if v, ok = plane.primary(); !ok {
-		return 0, nil, errNotPrimary
-	}
-	verdict := v.orders.decide(order)
-	if verdict != verdictTake {
-		return verdict, v, nil
-	}
-	v, err := plane.writeOrder(ctx, v, order, body)
-	return verdict, v, err
+	return decideAndWrite(ctx, plane, verdictTake, decide, write)
 }
 
 func takenAnswer(order configurationOrder) answer {
 	return accepted(map[string]int64{"revision": order.revision})
 }
 
-// writeOrder writes a configuration together with the record of its order, shows it, and gives a view that has it. The
-// caller has the right to write.
-func (plane *ControlPlane) writeOrder(ctx context.Context, before *view, order configurationOrder, body []byte) (*view, error) {
+// writeOrder writes a configuration together with the record of its order, shows it, and gives a view that has it; or else
+// verdictTooLarge with the view as it was. The caller has the right to write.
+func (plane *ControlPlane) writeOrder(ctx context.Context, before *view, order configurationOrder, body []byte) (verdict, *view, error) {
 	orders, sets := before.orders.take(order)
 	sets[keyConfiguration] = body
 	version, err := plane.put(ctx, before.epoch, sets)
+	if errors.Is(err, errStateTooLarge) {
+		return verdictTooLarge, before, nil
+	}
 	if err != nil {
-		return nil, errOutcomeUnknown
+		return verdictTake, nil, errOutcomeUnknown
 	}
 	after := *before
 	after.configuration = &tierv1.Configuration{Version: version, Body: body}
@@ -129,7 +126,7 @@
 		v.configuration, v.packed, v.orders = after.configuration, after.packed, after.orders
 	})
 	plane.Log.Info().Str("event", "configuration").Int64("revision", order.revision).Uint64("version", version).Msg("")
-	return &after, nil
+	return verdictTake, &after, nil
 }
 
 // waitAcknowledged waits until all gateways whose sessions stand have acknowledged a version, or the time for that is over.
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -15,6 +15,7 @@
 	"testing/synctest"
 	"time"
 
+	"dockshift.example/dockshift/internal/tier/consensus"
 	"dockshift.example/dockshift/internal/tier/settings"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"gotest.tools/v3/assert"
@@ -40,6 +41,7 @@
 	slow        time.Duration
 	confirmSlow time.Duration
 	puts        []string
+	large       func(sets map[string][]byte) bool // whether a write would make the state too large, if set
 }
 
 func newStore() *store {
@@ -105,6 +107,9 @@
 	if !s.ok || s.epoch != epoch {
 		return 0, errors.New("not the primary")
 	}
+	if s.large != nil && s.large(sets) {
+		return 0, consensus.StateTooLarge.New("planted")
+	}
 	lost, fail := false, false
 	if s.unclear != nil {
 		lost, fail = s.unclear(sets)
@@ -273,6 +278,13 @@
 	}
 }
 
+// tells has the calls from the next one on tell another state of the disk.
+func (p *process) tells(state tierv1.DiskState) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.req.Disk = state
+}
+
 // has gives the versions taken.
 func (p *process) has() *tierv1.WatchRequest {
 	p.mu.Lock()
@@ -316,7 +328,7 @@
 
 func cloneWatch(q *tierv1.WatchRequest) *tierv1.WatchRequest {
 	return &tierv1.WatchRequest{Node: q.Node, Role: q.Role, Folder: q.Folder, Address: q.Address, Zone: q.Zone, Life: q.Life,
-		Configuration: q.Configuration, Endpoints: q.Endpoints, PartitionMap: q.PartitionMap, Members: q.Members, HoldMs: q.HoldMs, Synced: q.Synced, Leaving: q.Leaving}
+		Configuration: q.Configuration, Endpoints: q.Endpoints, PartitionMap: q.PartitionMap, Members: q.Members, HoldMs: q.HoldMs, Synced: q.Synced, Leaving: q.Leaving, Disk: q.Disk}
 }
 
 // bodyOf is a configuration as the operator sent it.
--- a/internal/tier/gateway/contact.go
+++ b/internal/tier/gateway/contact.go
@@ -73,7 +73,7 @@
 	if stands {
 		return false
 	}
-	return cutOffAfter(gateway.c.Settings.ContactWindow, sinceReply, gateway.stores.contact.silence())
+	return cutOffAfter(gateway.config.Settings.ContactWindow, sinceReply, gateway.stores.contact.silence())
 }
 
 // cutOffAfter decides for a gateway whose session does not stand, by the times without the control plane and without turn stores.
--- a/internal/tier/loadbalancer/loadbalancer.go
+++ b/internal/tier/loadbalancer/loadbalancer.go
@@ -94,6 +94,7 @@
 	Misdirected bool          // 421: another endpoint has that address
 }
 
+// service is what is known of a service's endpoints together.
 type service struct {
 	list   []*endpoint // that may be asked: listed and not draining, by instance
 	served meter
@@ -117,82 +118,85 @@
 
 // SetEndpoints takes a whole list. What is known of an instance stays with it; one that has left the list gets nothing
 // new, and is forgotten when no call is out there.
-func (b *Balancer) SetEndpoints(now time.Duration, list []Endpoint) {
-	for _, e := range b.endpoints {
-		e.listed = false
+func (balancer *Balancer) SetEndpoints(now time.Duration, list []Endpoint) {
+	for _, endpoint := range balancer.endpoints {
+		endpoint.listed = false
 	}
-	for _, s := range b.services {
-		s.list = s.list[:0]
+	for _, service := range balancer.services {
+		service.list = service.list[:0]
 	}
 	for _, line := range list {
-		e := b.endpoints[line.Instance]
-		if e == nil {
-			e = newEndpoint(line, now)
-			b.endpoints[line.Instance] = e
+		endpoint := balancer.endpoints[line.Instance]
+		if endpoint == nil {
+			endpoint = newEndpoint(line, now)
+			balancer.endpoints[line.Instance] = endpoint
 		}
-		if e.listed { // twice in the list
+		if endpoint.listed { // twice in the list
 			continue
 		}
-		e.Endpoint, e.listed, e.coldUntil = line, true, now+line.ColdRemaining
-		e.local = line.Zone == b.zone
+		endpoint.Endpoint, endpoint.listed, endpoint.coldUntil = line, true, now+line.ColdRemaining
+		endpoint.local = line.Zone == balancer.zone
 		if line.Draining {
 			continue
 		}
-		s := b.service(line.Service)
-		s.list = append(s.list, e)
+		service := balancer.service(line.Service)
+		service.list = append(service.list, endpoint)
 	}
-	for name, e := range b.endpoints {
-		if !e.listed && e.calls == 0 {
-			delete(b.endpoints, name)
+	for name, endpoint := range balancer.endpoints {
+		if !endpoint.listed && endpoint.calls == 0 {
+			delete(balancer.endpoints, name)
 		}
 	}
-	for name, s := range b.services {
-		if len(s.list) == 0 {
-			delete(b.services, name)
+	for name, service := range balancer.services {
+		if len(service.list) == 0 {
+			delete(balancer.services, name)
 		}
-		slices.SortFunc(s.list, func(x, y *endpoint) int { return cmp.Compare(x.Instance, y.Instance) })
+		slices.SortFunc(service.list, func(x, y *endpoint) int { return cmp.Compare(x.Instance, y.Instance) })
 	}
 }
 
 // Stands reports whether requests may still go to an instance: it is listed, does not drain, and has its address.
-func (b *Balancer) Stands(instance string) bool {
-	e := b.endpoints[instance]
-	return e != nil && e.listed && !e.Draining && !e.misdirected
+func (balancer *Balancer) Stands(instance string) bool {
+	endpoint := balancer.endpoints[instance]
+	return endpoint != nil && endpoint.listed && !endpoint.Draining && !endpoint.misdirected
 }
 
 // KeepRoutes forgets what was seen of all other routes, for when the configuration has changed.
-func (b *Balancer) KeepRoutes(keep func(route string) bool) {
-	for name := range b.routes {
+func (balancer *Balancer) KeepRoutes(keep func(route string) bool) {
+	for name := range balancer.routes {
 		if !keep(name) {
-			delete(b.routes, name)
+			delete(balancer.routes, name)
 		}
 	}
 }
 
-func (b *Balancer) service(name string) *service {
-	s := b.services[name]
+// service is what is known of a service, made where it is new.
+func (balancer *Balancer) service(name string) *service {
+	s := balancer.services[name]
 	if s == nil {
 		s = &service{}
-		b.services[name] = s
+		balancer.services[name] = s
 	}
 	return s
 }
 
-func (b *Balancer) oracle(route string) *restart.Oracle {
-	o := b.routes[route]
-	if o == nil {
-		o = &restart.Oracle{}
-		b.routes[route] = o
+// oracle is what is known of a route's latencies, made where it is new.
+func (balancer *Balancer) oracle(route string) *restart.Oracle {
+	oracle := balancer.routes[route]
+	if oracle == nil {
+		oracle = &restart.Oracle{}
+		balancer.routes[route] = oracle
 	}
-	return o
+	return oracle
 }
 
 // draw is the next random number below n (splitmix64).
-func (b *Balancer) draw(n uint64) uint64 {
-	b.random += 0x9e3779b97f4a7c15
-	return mix(b.random) % n
+func (balancer *Balancer) draw(n uint64) uint64 {
+	balancer.random += 0x9e3779b97f4a7c15
+	return mix(balancer.random) % n
 }
 
+// mix spreads the bits of a number over all of it (the finalizer of splitmix64).
 func mix(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -187,17 +187,17 @@
 		return &tierv1.WatchReply{Primary: true, Configuration: &tierv1.Configuration{Version: n}, Endpoints: &tierv1.Endpoints{Version: n},
 			PartitionMap: &tierv1.PartitionMap{Version: n}, Members: &tierv1.Members{Version: n}}
 	}
-	told := []uint64{5, 4, 5, 7, 1, 6, 8}
+	versions := []uint64{5, 4, 5, 7, 1, 6, 8}
 	var mu sync.Mutex
 	n := 0
 	c.SetVia(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		if !held(q) || n == len(told) {
+		if !held(q) || n == len(versions) {
 			return serve()
 		}
 		n++
-		return news(told[n-1]), nil
+		return news(versions[n-1]), nil
 	})
 	r.run()
 	c.Await(t, "the newest is acknowledged", func(q *tierv1.WatchRequest) bool { return held(q) && q.PartitionMap == 8 })
@@ -332,6 +332,39 @@
 	}
 }
 
+// A change of the disk's state is told at once, as Synced's channel closes with it.
+func TestTheStateOfTheDiskIsToldAtOnce(t *testing.T) {
+	r := newRig(t, 1)
+	c := r.primary(1)
+	var mu sync.Mutex
+	state := tierv1.DiskState_DISK_SOUND
+	changed := make(chan struct{})
+	r.run(func(s *session.Config) {
+		s.Role, s.Folder = "turnstore", "f-1"
+		s.Settings.ContactWindow *= 100 // a call is held for longer than the test has patience
+		s.Synced = func() ([]*tierv1.SyncedCopy, <-chan struct{}) {
+			mu.Lock()
+			defer mu.Unlock()
+			return nil, changed
+		}
+		s.Disk = func() tierv1.DiskState {
+			mu.Lock()
+			defer mu.Unlock()
+			return state
+		}
+	})
+	first := c.Await(t, "a session", held)
+	assert.Equal(t, first.Disk, tierv1.DiskState_DISK_SOUND)
+	for _, next := range []tierv1.DiskState{tierv1.DiskState_DISK_STUCK, tierv1.DiskState_DISK_FULL, tierv1.DiskState_DISK_SOUND} {
+		mu.Lock()
+		state = next
+		close(changed)
+		changed = make(chan struct{})
+		mu.Unlock()
+		c.Await(t, next.String(), func(q *tierv1.WatchRequest) bool { return held(q) && q.Disk == next })
+	}
+}
+
 func TestLeavingIsTold(t *testing.T) {
 	r := newRig(t, 1)
 	c := r.primary(1)
@@ -341,3 +374,38 @@
 	r.client.Leave()
 	c.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return held(q) && q.Leaving })
 }
+
+// What remains of a session falls from the last answer on, and is nothing once it is lost.
+func TestRemaining(t *testing.T) {
+	for role, patience := range map[string]time.Duration{
+		"gateway":   4*time.Second/6 + 4*time.Second/10, // a held call, and the grace of its answer
+		"turnstore": 4*time.Second/12 + 4*time.Second/10,
+	} {
+		t.Run(role, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				r := newRig(t, 1)
+				c := r.primary(1)
+				c.SetConfiguration("1")
+				r.run(func(s *session.Config) {
+					if s.Role = role; role == "turnstore" {
+						s.Folder = "f-1"
+					}
+				})
+				c.Taken(t)
+				synctest.Wait()
+				assert.Equal(t, r.client.Remaining(), patience)
+				<-time.After(100 * time.Millisecond)
+				assert.Equal(t, r.client.Remaining(), patience-100*time.Millisecond)
+				r.hint(1, 2) // nobody is the primary any more
+				<-time.After(patience)
+				assert.Equal(t, r.client.Remaining(), time.Duration(0))
+			})
+		})
+	}
+}
+
+// A session that has never stood has nothing left.
+func TestNothingRemainsOfNoSession(t *testing.T) {
+	client := session.New(session.Config{Settings: tiertest.Settings("edge-1"), Role: "gateway", Log: tiertest.Silent()})
+	assert.Equal(t, client.Remaining(), time.Duration(0))
+}
--- a/internal/tier/turnstore/apply.go
+++ b/internal/tier/turnstore/apply.go
@@ -40,17 +40,21 @@
 		return
 	}
 	if part.Epoch == p.epoch && p.term != nil {
-		p.term.unconfirmed = p.term.unconfirmed && len(part.RecoverFrom) > 0
+		if p.term.unconfirmed && len(part.RecoverFrom) == 0 {
+			p.term.unconfirmed, p.term.primarySince = false, store.cfg.Now()
+		}
 		for _, s := range p.term.senders {
 			s.unsynced = slices.ContainsFunc(part.Backups, func(c *tierv1.Copy) bool { return c.Folder == s.folder && !c.Synced })
 		}
 		return
 	}
+	continued := store.continued(p, part)
 	p.end()
 	p.epoch, p.primary, p.term = part.Epoch, part.Primary, nil
 	p.backup = slices.ContainsFunc(part.Backups, func(c *tierv1.Copy) bool { return c.Folder == store.folder })
 	if p.primary == store.folder {
 		store.beginTerm(p, part)
+		p.term.goOnFrom(continued)
 	}
 	retained := slices.ContainsFunc(part.Retained, func(c *tierv1.RetainedCopy) bool { return c.Folder == store.folder })
 	switch {
@@ -64,7 +68,7 @@
 // beginTerm starts a term: facts added from now on go to all its backups, and what was there before is exchanged with them.
 func (store *TurnStore) beginTerm(p *partition, part *tierv1.Partition) {
 	store.terms++
-	t := &term{id: store.terms, epoch: part.Epoch, closed: make(chan struct{})}
+	t := &term{id: store.terms, firstID: store.terms, epoch: part.Epoch, closed: make(chan struct{}), primarySince: store.cfg.Now()}
 	for _, c := range part.Backups {
 		if c.Folder == store.folder {
 			continue
@@ -109,14 +113,13 @@
 	store.changed = make(chan struct{})
 }
 
-// Synced gives the copies that the map doesn't know to be synced, and that are now. While the disk is not sound it gives this
-// turn store's own folder instead, which tells control that it takes and answers nothing. The channel is closed when that
-// changes.
+// Synced gives the copies that the map doesn't know to be synced, and that are now; none while the disk is not sound. The
+// channel is closed when that, or the state of the disk, changes.
 func (store *TurnStore) Synced() (reports []*tierv1.SyncedCopy, changed <-chan struct{}) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	if store.diskState != diskSound {
-		return []*tierv1.SyncedCopy{{Folder: store.folder}}, store.changed
+	if store.diskState != tierv1.DiskState_DISK_SOUND {
+		return nil, store.changed
 	}
 	for _, p := range store.store.partitions {
 		if p.term == nil || p.term.ended {
--- a/internal/tier/turnstore/turnstore.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -33,6 +33,7 @@
 	BodyLinger     time.Duration    // by which a turn's body is held past its retention, over Slack + the longest turn: 30 s
 	BudgetLinger   time.Duration    // by which a budget outlives the longest retention after its last news: 120 s
 	StuckAfter     time.Duration    // after which a write or sync that has not returned counts as stuck: 2 s
+	ReleaseTime    time.Duration    // in which a release comes through after this turn store became the primary: DefaultReleaseTime
 	DropAfter      time.Duration    // after which facts of a partition that is assigned elsewhere are dropped: 30 s
 }
 
@@ -48,6 +49,7 @@
 	set(&c.BodyLinger, 30*time.Second)
 	set(&c.BudgetLinger, 120*time.Second)
 	set(&c.StuckAfter, 2*time.Second)
+	set(&c.ReleaseTime, DefaultReleaseTime)
 	set(&c.DropAfter, 30*time.Second)
 	if c.Now == nil {
 		c.Now = time.Now
@@ -74,10 +76,10 @@
 
 	mu           sync.Mutex
 	store        *store
-	commit       *committer // replaced when the disk is sound again
-	diskState    diskState  // noted last
-	diskSince    time.Time  // when it ceased to be sound
-	active       int        // of files: appended to
+	commit       *committer       // replaced when the disk is sound again
+	diskState    tierv1.DiskState // noted last
+	diskSince    time.Time        // when it ceased to be sound
+	active       int              // of files: appended to
 	mapped       bool
 	version      uint64
 	partitionMap *tierv1.PartitionMap // applied last; it is not modified
@@ -101,6 +103,7 @@
 	cfg.defaults()
 	v := &TurnStore{cfg: cfg, store: newStore(), storeNodes: map[string]string{}, clients: map[string]tierv1.TurnStore{},
 		comparisons: map[string]chan struct{}{},
+		diskState:   tierv1.DiskState_DISK_SOUND,
 		changed:     make(chan struct{}), slots: make(chan struct{}, maxExchanges)}
 	if err := v.identity(); err != nil {
 		return nil, err
--- a/internal/tier/upstream/body.go
+++ b/internal/tier/upstream/body.go
@@ -13,12 +13,13 @@
 	readAhead    = 64 << 10 // bytes that are decoded at once
 )
 
+// framing is how the end of a body is found.
 type framing uint8
 
 const (
-	byLength framing = iota
+	byLength framing = iota // announced, or none
 	byChunks
-	byClose
+	byClose // it ends with its connection
 )
 
 // body decodes the framing of a body.
@@ -48,56 +49,56 @@
 
 // more appends what has come to dst, and waits only if nothing has. io.EOF comes with or after the last bytes of a whole
 // body; for one that ends with its connection it says that this ended without an error.
-func (b *body) more(dst []byte) ([]byte, error) {
+func (body *body) more(dst []byte) ([]byte, error) {
 	for begin := len(dst); ; {
-		if b.whole {
+		if body.whole {
 			return dst, io.EOF
 		}
 		got := len(dst) > begin
-		if got && (len(dst)-begin >= readAhead || !b.atHand()) {
+		if got && (len(dst)-begin >= readAhead || !body.atHand()) {
 			return dst, nil
 		}
-		if b.framing == byChunks && b.left == 0 {
-			if err := b.chunkLine(); err != nil {
+		if body.framing == byChunks && body.left == 0 {
+			if err := body.chunkLine(); err != nil {
 				return dst, err
 			}
 			continue
 		}
-		if b.r.Buffered() == 0 {
-			if _, err := b.r.Peek(1); err != nil {
-				if err == io.EOF && b.framing == byClose {
-					b.whole = true
+		if body.r.Buffered() == 0 {
+			if _, err := body.r.Peek(1); err != nil {
+				if err == io.EOF && body.framing == byClose {
+					body.whole = true
 					return dst, io.EOF
 				}
 				return dst, unexpected(err)
 			}
 		}
-		n := b.r.Buffered()
-		if b.framing != byClose {
-			n = int(min(b.left, int64(n)))
-			b.left -= int64(n)
+		n := body.r.Buffered()
+		if body.framing != byClose {
+			n = int(min(body.left, int64(n)))
+			body.left -= int64(n)
 		}
-		part, _ := b.r.Peek(n)
+		part, _ := body.r.Peek(n)
 		dst = append(dst, part...)
-		b.r.Discard(n)
+		body.r.Discard(n)
 		switch {
-		case b.left > 0 || b.framing == byClose:
-		case b.framing == byChunks:
-			b.tail = true
+		case body.left > 0 || body.framing == byClose:
+		case body.framing == byChunks:
+			body.tail = true
 		default:
-			b.whole = true
+			body.whole = true
 		}
 	}
 }
 
 // atHand reports whether decoding can go on without waiting.
-func (b *body) atHand() bool {
-	n := b.r.Buffered()
-	if n == 0 || b.framing != byChunks || b.left > 0 {
+func (body *body) atHand() bool {
+	n := body.r.Buffered()
+	if n == 0 || body.framing != byChunks || body.left > 0 {
 		return n > 0
 	}
-	ahead, _ := b.r.Peek(n)
-	if b.tail {
+	ahead, _ := body.r.Peek(n)
+	if body.tail {
 		i := bytes.IndexByte(ahead, '\n')
 		if i < 0 {
 			return false
@@ -112,27 +113,40 @@
 }
 
 // chunkLine reads up to the bytes of the next chunk, or to the end of the body.
-func (b *body) chunkLine() error {
-	if b.tail {
-		line, err := b.line()
+func (body *body) chunkLine() error {
+	if body.tail {
+		line, err := body.line()
 		if err != nil {
 			return err
 		}
 		if len(line) != 0 {
 			return errMalformed
 		}
-		b.tail = false
+		body.tail = false
 	}
-	line, err := b.line()
+	line, err := body.line()
 	if err != nil {
 		return err
 	}
+	size, ok := chunkSize(line)
+	if !ok {
+		return errMalformed
+	}
+	body.left = size
+	if size > 0 {
+		return nil
+	}
+	return body.trailers()
+}
+
+// chunkSize reads the line of a chunk, extensions being discarded. It is false for one above maxChunk, too.
+func chunkSize(line []byte) (int64, bool) {
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
 		line = line[:i]
 	}
 	line = bytes.TrimRight(line, " \t")
 	if len(line) == 0 || len(line) > 8 {
-		return errMalformed
+		return 0, false
 	}
 	n := int64(0)
 	for _, c := range line {
@@ -142,24 +156,22 @@
 		case c|0x20 >= 'a' && c|0x20 <= 'f':
 			c = c | 0x20 - 'a' + 10
 		default:
-			return errMalformed
+			return 0, false
 		}
 		n = n<<4 | int64(c)
 	}
-	if n > maxChunk {
-		return errMalformed
-	}
-	b.left = n
-	if n > 0 {
-		return nil
-	}
+	return n, n <= maxChunk
+}
+
+// trailers reads over what stands behind the last chunk, up to the end of the body.
+func (body *body) trailers() error {
 	for size := 0; size <= maxTrailer; {
-		line, err := b.line()
+		line, err := body.line()
 		if err != nil {
 			return err
 		}
 		if len(line) == 0 {
-			b.whole = true
+			body.whole = true
 			return nil
 		}
 		if bytes.IndexByte(line, ':') <= 0 {
@@ -171,8 +183,8 @@
 }
 
 // line reads one without its CRLF.
-func (b *body) line() ([]byte, error) {
-	line, err := b.r.ReadSlice('\n')
+func (body *body) line() ([]byte, error) {
+	line, err := body.r.ReadSlice('\n')
 	switch {
 	case err == bufio.ErrBufferFull:
 		return nil, errMalformed
@@ -184,6 +196,7 @@
 	return line[:len(line)-2], nil
 }
 
+// unexpected is err, or io.ErrUnexpectedEOF for an end where more had to come.
 func unexpected(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -192,22 +205,22 @@
 }
 
 // all reads a body of at most limit bytes.
-func (b *body) all(limit int) ([]byte, error) {
+func (body *body) all(limit int) ([]byte, error) {
 	var dst []byte
-	if b.framing == byLength {
-		if b.left > int64(limit) {
+	if body.framing == byLength {
+		if body.left > int64(limit) {
 			return nil, errTooLong
 		}
-		dst = make([]byte, b.left)
-		if _, err := io.ReadFull(b.r, dst); err != nil {
+		dst = make([]byte, body.left)
+		if _, err := io.ReadFull(body.r, dst); err != nil {
 			return nil, unexpected(err)
 		}
-		b.left, b.whole = 0, true
+		body.left, body.whole = 0, true
 		return dst, nil
 	}
 	for {
 		var err error
-		if dst, err = b.more(dst); err == io.EOF && len(dst) <= limit {
+		if dst, err = body.more(dst); err == io.EOF && len(dst) <= limit {
 			return dst, nil
 		} else if len(dst) > limit {
 			return nil, errTooLong
@@ -218,11 +231,11 @@
 }
 
 // skip reads over a body of at most limit bytes.
-func (b *body) skip(limit int) error {
+func (body *body) skip(limit int) error {
 	var scratch []byte
 	for n := 0; n <= limit; n += len(scratch) {
 		var err error
-		if scratch, err = b.more(scratch[:0]); err == io.EOF && b.framing != byClose {
+		if scratch, err = body.more(scratch[:0]); err == io.EOF && body.framing != byClose {
 			return nil
 		} else if err != nil {
 			return err
