--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -133,9 +133,9 @@
 	}
 }
 
-// ready: all views have come in this life, and it is not leaving.
+// ready: all views have come in this life, and it is neither leaving nor cut off.
 func (gateway *Gateway) ready() bool {
-	return !gateway.leaving.Load() && gateway.routing.Load() != nil && gateway.listed.Load() && gateway.stores.ready()
+	return !gateway.leaving.Load() && !gateway.cutOff() && gateway.routing.Load() != nil && gateway.listed.Load() && gateway.stores.ready()
 }
 
 // limits bound what clients send, by the configuration in force; until one has come, by defaults.
