--- a/internal/tier/controlplane/assign.go
+++ b/internal/tier/controlplane/assign.go
@@ -76,7 +76,6 @@
 	}
 	a.takeReports()
 	a.lostDomains = a.countLost()
-	a.silentDomains = a.countSilent()
 	a.countSlow()
 	for i, p := range m.Partitions {
 		a.repair(p, a.Stalled[uint32(i)])
@@ -125,14 +124,13 @@
 // assignment is one run of Assign.
 type assignment struct {
 	Input
-	m             *tierv1.PartitionMap
-	storeNodes    map[string]*tierv1.StoreNode // by folder
-	replaced      map[string]bool              // folders whose node has another one now
-	outgoing      map[*tierv1.Partition]string // of those that had one copy too many, before reports were taken
-	slowTargets   map[string]int               // by folder: copies under way there in slow partitions
-	slowSources   map[string]int               // by folder: slow partitions that it is the primary of
-	lostDomains   int                          // domains with a lost turn store that has copies
-	silentDomains int                          // domains with a lost turn store, with copies or without
+	m           *tierv1.PartitionMap
+	storeNodes  map[string]*tierv1.StoreNode // by folder
+	replaced    map[string]bool              // folders whose node has another one now
+	outgoing    map[*tierv1.Partition]string // of those that had one copy too many, before reports were taken
+	slowTargets map[string]int               // by folder: copies under way there in slow partitions
+	slowSources map[string]int               // by folder: slow partitions that it is the primary of
+	lostDomains int                          // domains with a lost turn store that has copies
 }
 
 // observeNodes takes in turn stores that are new, or whose address is, and finds the folders that were replaced.
@@ -228,36 +226,14 @@
 	return folder
 }
 
-// holders gives the folders of all members of partitions.
-func (a *assignment) holders() map[string]bool {
-	all := map[string]bool{}
-	for _, p := range a.m.Partitions {
-		for _, folder := range members(p) {
-			all[folder] = true
-		}
-	}
-	return all
-}
-
 // countLost counts the domains in which a turn store that has copies is lost, and may yet return.
 func (a *assignment) countLost() int {
 	domains := map[string]bool{}
-	for folder := range a.holders() {
-		if a.lost(folder) && !a.replaced[folder] {
-			domains[a.domain(folder)] = true
-		}
-	}
-	return len(domains)
-}
-
-// countSilent counts the domains in which a turn store is lost, and may yet return, also where it has no copies: they may have
-// been taken out when its session lapsed a moment ago. One without copies that is to be emptied does not count.
-func (a *assignment) countSilent() int {
-	holders, domains := a.holders(), map[string]bool{}
-	for _, one := range a.m.StoreNodes {
-		emptied := a.retiring(one.Folder) && !holders[one.Folder]
-		if a.lost(one.Folder) && !a.replaced[one.Folder] && !emptied {
-			domains[a.domain(one.Folder)] = true
+	for _, p := range a.m.Partitions {
+		for _, folder := range members(p) {
+			if a.lost(folder) && !a.replaced[folder] {
+				domains[a.domain(folder)] = true
+			}
 		}
 	}
 	return len(domains)
--- a/internal/tier/controlplane/registry.go
+++ b/internal/tier/controlplane/registry.go
@@ -154,13 +154,13 @@
 	return alive, leaving, reports
 }
 
-// lapseOf tells when the session of a turn store lapsed, or is to lapse, if it is known.
-func (r *registry) lapseOf(one *tierv1.StoreNode) (at time.Time, known bool) {
+// sessionOf gives the newest session of a turn store, nil if none is known.
+func (r *registry) sessionOf(one *tierv1.StoreNode) *session {
 	s := r.of[place{one.Node, roleTurnStore}]
-	if s == nil || s.storeNode.Folder != one.Folder || s.held > 0 {
-		return time.Time{}, false
+	if s == nil || s.storeNode.Folder != one.Folder {
+		return nil
 	}
-	return s.ended.Add(r.lapse), true
+	return s
 }
 
 // behind counts the gateways that stand and have not acknowledged a version of the configuration.
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -53,18 +53,14 @@
 }
 
 // waitsFor tells whether a partition that has no turn store for another copy waits for a lost one, as its backup, rather than
-// go on without it. It does where more turn stores with copies are lost than is borne. It does for a moment where more are
-// silent than is borne, with copies or without, and this one's session has only just lapsed: the sessions of several lapse one
-// after the other, and what is acknowledged by the last one alone is lost with it. A single lapse is never waited for, as a
-// turn store that is lost looks the same.
+// go on without it. It does where more turn stores with copies are lost than is borne. It also does for a moment after a
+// session has lapsed: that may be for want of messages, and is no loss yet. What the others acknowledged without it would be
+// lost with them, though no more are lost than is borne.
 func (a *assignment) waitsFor(folder string) bool {
 	if a.replaced[folder] {
 		return false
 	}
-	if a.lostDomains > a.Losses {
-		return true
-	}
-	return a.Lapsed[folder] && a.silentDomains > a.Losses
+	return a.Lapsed[folder] || a.lostDomains > a.Losses
 }
 
 // hasLeft tells whether a turn store has heard SIGTERM: its time is short.
--- a/internal/tier/controlplane/risk_clock_test.go
+++ b/internal/tier/controlplane/risk_clock_test.go
@@ -71,6 +71,7 @@
 			assert.Equal(t, now.Sessions[0].SilentMs, int64(0))
 			for _, p := range now.PartitionMap.Partitions {
 				assert.Equal(t, p.Primary, "v2.1")
+				assert.Equal(t, len(p.Backups), 0) // one that confirms nothing is not waited for
 			}
 			stores["v1"].tells(tierv1.DiskState_DISK_SOUND)
 			r.pass(8 * time.Second)
