--- /dev/null
+++ b/internal/tier/controlplane/model_planted_test.go
@@ -0,0 +1,126 @@
+package controlplane
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// plant is a fault of the model's turn stores or of placement, made from outside. The zero plant leaves all right.
+type plant struct {
+	place           placement // in place of Assign
+	takesStale      bool      // backups take what comes under an epoch that is over
+	reportsEarly    bool      // copies are reported whole that have not been compared
+	recoversNothing bool      // a recovery brings no facts, and is told as done
+}
+
+// placement is the kind of Assign.
+type placement func(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool)
+
+func (p plant) placed(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
+	if p.place == nil {
+		return Assign(before, in)
+	}
+	return p.place(before, in)
+}
+
+// changed gives Assign's map after a change to those partitions that Assign has changed.
+func changed(change func(old, next *tierv1.Partition)) placement {
+	return func(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
+		next, is := Assign(before, in)
+		if !is || len(before.GetPartitions()) == 0 {
+			return next, is
+		}
+		next = proto.CloneOf(next)
+		for i, p := range next.Partitions {
+			change(before.Partitions[i], p)
+		}
+		return next, is
+	}
+}
+
+// unsyncedSucceeds makes a copy under way the primary where Assign names a new one.
+func unsyncedSucceeds(old, next *tierv1.Partition) {
+	if next.Primary == old.Primary {
+		return
+	}
+	for _, c := range next.Backups {
+		if !c.Synced {
+			next.Primary, c.Folder, c.Synced = c.Folder, next.Primary, true
+			return
+		}
+	}
+}
+
+// forgetsRetained forgets copies that were taken out while they were silent.
+func forgetsRetained(_, next *tierv1.Partition) { next.Retained = nil }
+
+// takesOldReports takes reports of an older epoch as those of the newest.
+func takesOldReports(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
+	in.Reports = slices.Clone(in.Reports)
+	for i, r := range in.Reports {
+		if int(r.Copy.Partition) < len(before.GetPartitions()) {
+			r.Copy = proto.CloneOf(r.Copy)
+			r.Copy.Epoch = before.Partitions[r.Copy.Partition].Epoch
+			in.Reports[i] = r
+		}
+	}
+	return Assign(before, in)
+}
+
+// What the model's checks say of facts that are lost.
+const (
+	notWhole  = "is called whole and is not"
+	notServed = "has no primary"
+	serves    = "serves and is not whole"
+)
+
+// lapses is the name of the plays of TestLapsesAreNoLosses.
+const lapses = "lapses"
+
+// TestPlantedPlacementFaults plants faults, and expects random events and lapses to find each by what it takes away.
+func TestPlantedPlacementFaults(t *testing.T) {
+	for _, play := range []struct {
+		name string
+		run  func(t reporter, planted plant, seed uint64)
+	}{{lapses, playLapses}, {"random events", playRandomEvents}} {
+		for _, fault := range []struct {
+			name         string
+			plant        plant
+			by           []string // one of these is in what the check says
+			onlyByLapses bool     // random events were played, and do not find it in 200 seeds
+		}{
+			{"a backup takes a stale epoch", plant{takesStale: true}, []string{notWhole, serves}, false},
+			{"copies are reported whole too early", plant{reportsEarly: true}, []string{notWhole}, false},
+			{"a recovery loses what it fetches", plant{recoversNothing: true}, []string{notWhole}, false},
+			{"an unsynced copy succeeds", plant{place: changed(unsyncedSucceeds)}, []string{notWhole, serves}, false},
+			{"control forgets retained copies", plant{place: changed(forgetsRetained)}, []string{notServed}, true},
+			{"reports of an older epoch are taken", plant{place: takesOldReports}, []string{notWhole}, true},
+		} {
+			if fault.onlyByLapses && play.name != lapses {
+				continue
+			}
+			t.Run(play.name+"/"+fault.name, func(t *testing.T) {
+				for seed := range uint64(plantedSeeds) {
+					failure := observe(func(r reporter) { play.run(r, fault.plant, seed) })
+					if failure == "" {
+						continue
+					}
+					t.Logf("seed %d: %s", seed, failure[:min(200, len(failure))])
+					if containsAny(failure, fault.by) {
+						return
+					}
+				}
+				t.Fatalf("not found in %d seeds", plantedSeeds)
+			})
+		}
+	}
+}
+
+func containsAny(text string, parts []string) bool {
+	return slices.ContainsFunc(parts, func(part string) bool { return strings.Contains(text, part) })
+}
--- a/internal/tier/controlplane/model_test.go
+++ b/internal/tier/controlplane/model_test.go
@@ -5,7 +5,6 @@
 	"math/big"
 	"math/rand/v2"
 	"slices"
-	"testing"
 	"time"
 
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
@@ -35,7 +34,8 @@
 
 // world is a model of turn stores that acknowledge turns under the newest map that each has heard of.
 type world struct {
-	t        *testing.T
+	t        reporter
+	plant    plant
 	r        *rand.Rand
 	spread   Spread
 	machines []*machine
@@ -51,8 +51,13 @@
 func byZone(k *tierv1.StoreNode) string { return k.Zone }
 func byNode(k *tierv1.StoreNode) string { return k.Node }
 
-func newWorld(t *testing.T, r *rand.Rand, n, zones int, spread Spread) *world {
-	w := &world{t: t, r: r, spread: spread}
+func newWorld(t reporter, r *rand.Rand, n, zones int, spread Spread) *world {
+	return newPlantedWorld(t, plant{}, r, n, zones, spread)
+}
+
+// newPlantedWorld is newWorld with a planted fault.
+func newPlantedWorld(t reporter, p plant, r *rand.Rand, n, zones int, spread Spread) *world {
+	w := &world{t: t, plant: p, r: r, spread: spread}
 	for i := range n {
 		w.add(i, zones)
 	}
@@ -96,7 +101,7 @@
 func (w *world) assign(in Input) bool {
 	before := w.m
 	kept := proto.Clone(before)
-	next, changed := Assign(before, in)
+	next, changed := w.plant.placed(before, in)
 	assert.Assert(w.t, proto.Equal(kept, before), "the map before was changed")
 	if !changed {
 		assert.Assert(w.t, next == before)
@@ -146,6 +151,11 @@
 	return !m.deaf && i < len(m.knows) && max(m.knows[i].Epoch, m.observed[i]) <= epoch
 }
 
+// takes tells whether a machine takes facts of an epoch, with the fault that is planted.
+func (w *world) takes(m *machine, i int, epoch uint64) bool {
+	return m.takes(i, epoch) || w.plant.takesStale && !m.deaf && i < len(m.knows)
+}
+
 // observe has a machine know an epoch that another has named: it takes nothing of an older one any more.
 func (m *machine) observe(i int, epoch uint64) {
 	if m.observed == nil {
@@ -169,7 +179,7 @@
 	p := m.knows[i]
 	for _, c := range p.Backups {
 		b := w.machine(c.Folder)
-		if b == nil || !b.up || !b.takes(i, p.Epoch) {
+		if b == nil || !b.up || !w.takes(b, i, p.Epoch) {
 			return false
 		}
 	}
@@ -213,11 +223,13 @@
 	}
 	for _, c := range p.Backups {
 		b := w.machine(c.Folder)
-		if c.Synced || b == nil || !b.up || !b.takes(i, p.Epoch) {
+		if c.Synced || b == nil || !b.up || !w.takes(b, i, p.Epoch) {
 			continue
 		}
 		b.observe(i, p.Epoch)
-		w.exchange(i, m.folder, c.Folder)
+		if !w.plant.reportsEarly {
+			w.exchange(i, m.folder, c.Folder)
+		}
 		if !m.cut {
 			w.reports = append(w.reports, Report{m.folder, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: p.Epoch, Folder: c.Folder}})
 		}
@@ -236,13 +248,15 @@
 // recover lets a primary exchange facts with all that it is to recover from, if they are there.
 func (w *world) recover(m *machine, i int, p *tierv1.Partition) bool {
 	for _, folder := range p.RecoverFrom {
-		if b := w.machine(folder); b == nil || !b.up || !b.takes(i, p.Epoch) {
+		if b := w.machine(folder); b == nil || !b.up || !w.takes(b, i, p.Epoch) {
 			return false
 		}
 	}
 	for _, folder := range p.RecoverFrom {
 		w.machine(folder).observe(i, p.Epoch)
-		w.exchange(i, m.folder, folder)
+		if !w.plant.recoversNothing {
+			w.exchange(i, m.folder, folder)
+		}
 	}
 	if m.recovered == nil {
 		m.recovered = map[int]uint64{}
--- a/internal/tier/controlplane/retain_test.go
+++ b/internal/tier/controlplane/retain_test.go
@@ -45,48 +45,53 @@
 // Lapses of one session at a time, at any moment, and the loss of one disk: everything acknowledged is served again.
 func TestLapsesAreNoLosses(t *testing.T) {
 	for seed := range uint64(40) {
-		r := rand.New(rand.NewPCG(seed, 7))
-		w := newWorld(t, r, 3+r.IntN(3), 3, Spread{1, byNode})
-		w.assign(w.input())
-		w.settle()
-		for range 4 {
-			loss := r.IntN(30)
-			for step := range 30 {
-				for _, m := range w.machines {
-					m.cut = false
-				}
-				if m := w.machines[r.IntN(len(w.machines))]; step == loss {
-					w.note("%s loses its disk", m.node)
-					w.wipe(m, r.IntN(3) == 0)
-				} else if r.IntN(2) == 0 {
-					w.note("%s lapses", m.node)
-					m.cut = true
-				}
-				w.assign(w.input())
-				if r.IntN(2) == 0 {
-					w.reports = nil
-				}
-				for range r.IntN(8) {
-					w.machines[r.IntN(len(w.machines))].hear(w)
-				}
-				for range r.IntN(40) {
-					w.copy(w.machines[r.IntN(len(w.machines))], r.IntN(partitionCount))
-					w.acknowledge(w.machines[r.IntN(len(w.machines))], r.IntN(partitionCount))
-				}
-				w.check(nil)
-			}
+		playLapses(t, plant{}, seed)
+	}
+}
+
+// playLapses is one play of TestLapsesAreNoLosses.
+func playLapses(t reporter, planted plant, seed uint64) {
+	r := rand.New(rand.NewPCG(seed, 7))
+	w := newPlantedWorld(t, planted, r, 3+r.IntN(3), 3, Spread{1, byNode})
+	w.assign(w.input())
+	w.settle()
+	for range 4 {
+		loss := r.IntN(30)
+		for step := range 30 {
 			for _, m := range w.machines {
 				m.cut = false
 			}
-			w.reports = nil
-			w.settle()
-			for i, p := range w.m.Partitions {
-				primary := w.machine(p.Primary)
-				assert.Assert(t, primary != nil && len(p.RecoverFrom) == 0, "seed %d, partition %d has no primary: %v\n%v", seed, i, p, w.trace)
-				assert.Assert(t, w.acknowledge(primary, i), "seed %d, partition %d does not serve: %v\n%v", seed, i, p, w.trace)
+			if m := w.machines[r.IntN(len(w.machines))]; step == loss {
+				w.note("%s loses its disk", m.node)
+				w.wipe(m, r.IntN(3) == 0)
+			} else if r.IntN(2) == 0 {
+				w.note("%s lapses", m.node)
+				m.cut = true
+			}
+			w.assign(w.input())
+			if r.IntN(2) == 0 {
+				w.reports = nil
+			}
+			for range r.IntN(8) {
+				w.machines[r.IntN(len(w.machines))].hear(w)
+			}
+			for range r.IntN(40) {
+				w.copy(w.machines[r.IntN(len(w.machines))], r.IntN(partitionCount))
+				w.acknowledge(w.machines[r.IntN(len(w.machines))], r.IntN(partitionCount))
 			}
-			w.even(false)
+			w.check(nil)
+		}
+		for _, m := range w.machines {
+			m.cut = false
+		}
+		w.reports = nil
+		w.settle()
+		for i, p := range w.m.Partitions {
+			primary := w.machine(p.Primary)
+			assert.Assert(t, primary != nil && len(p.RecoverFrom) == 0, "seed %d, partition %d has no primary: %v\n%v", seed, i, p, w.trace)
+			assert.Assert(t, w.acknowledge(primary, i), "seed %d, partition %d does not serve: %v\n%v", seed, i, p, w.trace)
 		}
+		w.even(false)
 	}
 }
 
--- a/internal/tier/simulation/planted_test.go
+++ b/internal/tier/simulation/planted_test.go
@@ -3,11 +3,13 @@
 import (
 	"bytes"
 	"context"
+	"maps"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 
+	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
 	"dockshift.example/dockshift/internal/tier/controlplane"
@@ -130,6 +132,63 @@
 	return list
 }
 
+// partitionMapKey is the key under which the control plane keeps the map of partitions.
+const partitionMapKey = "turnstores"
+
+// unretaining forgets the copies that control took out of the map while they were silent.
+type unretaining struct{ controlplane.Store }
+
+func (s unretaining) Get(key string) ([]byte, uint64) {
+	body, sequence := s.Store.Get(key)
+	if key != partitionMapKey || body == nil {
+		return body, sequence
+	}
+	return withoutRetained(body), sequence
+}
+
+func (s unretaining) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
+	if body := sets[partitionMapKey]; body != nil {
+		sets = maps.Clone(sets)
+		sets[partitionMapKey] = withoutRetained(body)
+	}
+	return s.Store.Put(ctx, epoch, sets)
+}
+
+// withoutRetained gives a map of partitions without its retained copies.
+func withoutRetained(body []byte) []byte {
+	m := &tierv1.PartitionMap{}
+	if proto.Unmarshal(body, m) != nil {
+		return body
+	}
+	for _, p := range m.Partitions {
+		p.Retained = nil
+	}
+	changed, err := proto.Marshal(m)
+	if err != nil {
+		return body
+	}
+	return changed
+}
+
+// Point 3: control forgets copies that were taken out while they were silent, and the machine that holds the only synced ones
+// loses its disk.
+func TestPlantedForgottenCopies(t *testing.T) {
+	if testing.Short() || raceDetector {
+		t.Skip("many seeds: played without -short and -race")
+	}
+	seams := Seams{Store: func(s controlplane.Store) controlplane.Store { return unretaining{s} }}
+	for n := range plantedSeeds {
+		result, err := Play(lossAfterLapse, Options{Seams: seams})
+		assert.NilError(t, err)
+		if result.Broken != nil {
+			t.Logf("found after %d plays: %v", n+1, result.Broken)
+			assert.Equal(t, result.Broken.Rule, RuleRecovery)
+			return
+		}
+	}
+	t.Fatalf("not found in %d plays", plantedSeeds)
+}
+
 // lying is a file system of the control plane whose syncs do nothing.
 type lying struct{ wal.FS }
 
--- a/internal/tier/simulation/simulation_test.go
+++ b/internal/tier/simulation/simulation_test.go
@@ -44,13 +44,15 @@
 	assert.Assert(t, result.Orders > 5 && result.Turns > 50, "%+v", result)
 }
 
-// Messages are lost, so that the session of a turn store lapses and its copies are taken out; right after that the machine
-// that holds the only synced copies loses its disk. The retained copies bring everything back.
+// lossAfterLapse: messages are lost, so that the session of a turn store lapses and its copies are taken out; right after that
+// the machine that holds the only synced copies loses its disk.
+var lossAfterLapse = Script{Version: ScriptVersion, Seed: 2327, Core: 3, Stores: 3, Gateways: 2, Losses: 1, Faults: []Fault{
+	{AtMS: 6568, DurationMS: 1433, Kind: Trouble}, {AtMS: 7638, DurationMS: 128, Kind: Wipe, Machine: "store-1"}}}
+
+// The retained copies bring everything back.
 func TestALossRightAfterALapse(t *testing.T) {
-	script := Script{Version: ScriptVersion, Seed: 2327, Core: 3, Stores: 3, Gateways: 2, Losses: 1, Faults: []Fault{
-		{AtMS: 6568, DurationMS: 1433, Kind: Trouble}, {AtMS: 7638, DurationMS: 128, Kind: Wipe, Machine: "store-1"}}}
 	for range 3 {
-		result, err := Play(script, Options{})
+		result, err := Play(lossAfterLapse, Options{})
 		assert.NilError(t, err)
 		assert.Assert(t, result.Broken == nil, "%v", result.Broken)
 	}
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -6,7 +6,6 @@
 	"io"
 	"math/rand/v2"
 	"sync"
-	"testing"
 	"time"
 
 	"github.com/joomcode/errorx"
@@ -49,7 +48,8 @@
 
 // cluster is turn stores with a network in memory, and the control state's map.
 type cluster struct {
-	t      *testing.T
+	t      reporter
+	plant  plant
 	rng    *rand.Rand
 	mu     sync.Mutex
 	nodes  map[string]*node
@@ -64,8 +64,13 @@
 	ctx    context.Context
 }
 
-func newCluster(t *testing.T, names ...string) *cluster {
-	c := &cluster{t: t, rng: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*node{}, names: names, struck: make(chan struct{}),
+func newCluster(t reporter, names ...string) *cluster {
+	return newPlantedCluster(t, plant{}, names...)
+}
+
+// newPlantedCluster is newCluster with a planted fault.
+func newPlantedCluster(t reporter, p plant, names ...string) *cluster {
+	c := &cluster{t: t, plant: p, rng: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*node{}, names: names, struck: make(chan struct{}),
 		clock: time.Now(), ctx: context.Background()}
 	for _, n := range names {
 		c.nodes[n] = &node{name: n, disk: wal.NewMemory()}
@@ -93,13 +98,13 @@
 
 func (c *cluster) start(name string) {
 	n := c.nodes[name]
-	v, err := Open(Config{Node: name, Dir: "/data", FS: n.disk, Now: c.now, ReplyTimeout: 40 * time.Millisecond,
+	v, err := Open(Config{Node: name, Dir: "/data", FS: c.files(n.disk), Now: c.now, ReplyTimeout: 40 * time.Millisecond,
 		RequestTimeout: 250 * time.Millisecond, Log: &log.Logger{Writer: log.IOWriter{Writer: io.Discard}},
 		Dial: func(addr string) tierv1.TurnStore { return &wire{c: c, from: name, to: addr} }})
 	assert.NilError(c.t, err)
 	c.mu.Lock()
 	n.turnstore, n.down = v, false
-	m := c.m
+	m := c.told()
 	c.mu.Unlock()
 	if m != nil {
 		v.Apply(m)
@@ -157,7 +162,7 @@
 		names = c.names
 	}
 	for _, n := range names {
-		c.nodes[n].turnstore.Apply(c.m)
+		c.nodes[n].turnstore.Apply(c.told())
 	}
 }
 
@@ -165,7 +170,7 @@
 func (c *cluster) synced(name string, n int) {
 	timeout := time.After(10 * time.Second)
 	for {
-		reports, changed := c.nodes[name].turnstore.Synced()
+		reports, changed := c.reports(name)
 		if len(reports) >= n {
 			return
 		}
@@ -261,12 +266,21 @@
 	return carry(w, ctx, r, (*TurnStore).Find)
 }
 func (w *wire) Replicate(ctx context.Context, r *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
+	if w.c.plant.replicate != nil {
+		return carry(w, ctx, r, w.c.plant.replicate(w.c))
+	}
 	return carry(w, ctx, r, (*TurnStore).Replicate)
 }
 func (w *wire) Held(ctx context.Context, r *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+	if w.c.plant.held != nil {
+		return carry(w, ctx, r, w.c.plant.held(w.c))
+	}
 	return carry(w, ctx, r, (*TurnStore).Held)
 }
 func (w *wire) Fetch(ctx context.Context, r *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
+	if w.c.plant.fetch != nil {
+		return carry(w, ctx, r, w.c.plant.fetch(w.c))
+	}
 	return carry(w, ctx, r, (*TurnStore).Fetch)
 }
 
--- a/internal/tier/turnstore/loss_test.go
+++ b/internal/tier/turnstore/loss_test.go
@@ -68,8 +68,9 @@
 		for _, name := range c.names {
 			v := c.nodes[name].turnstore
 			v.mu.Lock()
-			assert.Equal(t, v.store.partition(0).programs["p"].charged, uint64(20), "%s, %v", name, primaryLacks)
+			charged := v.store.partition(0).programs["p"].charged
 			v.mu.Unlock()
+			assert.Equal(t, charged, uint64(20), "%s, %v", name, primaryLacks)
 		}
 	}
 }
--- a/internal/tier/turnstore/mutation_test.go
+++ b/internal/tier/turnstore/mutation_test.go
@@ -21,8 +21,13 @@
 	replace bool   // machines that went down are replaced; otherwise they come back
 }
 
-func newScript(t *testing.T, replace bool) *script {
-	c := newCluster(t, "a", "b", "c")
+func newScript(t reporter, replace bool) *script {
+	return newPlantedScript(t, plant{}, replace)
+}
+
+// newPlantedScript is newScript on a cluster with a planted fault.
+func newPlantedScript(t reporter, p plant, replace bool) *script {
+	c := newPlantedCluster(t, p, "a", "b", "c")
 	c.assign("a", "b")
 	c.push()
 	return &script{c: c, k: newChecker(c), primary: "a", backup: "b", spare: "c", replace: replace}
@@ -85,6 +90,17 @@
 	}
 }
 
+// goOn goes on from each turn that was kept, in a program of its own.
+func (s *script) goOn(round string) {
+	for i, a := range s.k.kept {
+		s.until("go on from "+a, func() tierv1.Verdict {
+			r := ask(fmt.Sprintf("%s-%d", round, i), a)
+			r.Program, r.Budget = round+a, 1_000
+			return s.k.begin(s.primary, r)
+		})
+	}
+}
+
 // after checks what must stand: here, after late messages, and after the loss of the primary with its disk.
 func (s *script) after() {
 	c := s.c
@@ -104,13 +120,7 @@
 		deliver()
 	}
 	check := func(round string) {
-		for i, a := range s.k.kept {
-			s.until("go on from "+a, func() tierv1.Verdict {
-				r := ask(fmt.Sprintf("%s-%d", round, i), a)
-				r.Program, r.Budget = round+a, 1_000
-				return s.k.begin(s.primary, r)
-			})
-		}
+		s.goOn(round)
 		// 60 tokens are told: 40 are left, and not 41.
 		for range 100 {
 			r := ask("more-"+round, "")
@@ -156,23 +166,31 @@
 func TestPowerLossAtEachOperationOfADisk(t *testing.T) {
 	for _, both := range []bool{false, true} {
 		for _, victim := range []string{"a", "b"} {
-			for at := 1; at <= 14; at++ {
+			for at := 1; at <= diskOperations; at++ {
 				t.Run(fmt.Sprintf("both=%v/%s/%d", both, victim, at), func(t *testing.T) {
 					t.Parallel()
-					s := newScript(t, false)
-					s.c.nodes[victim].disk.DieAt(at)
-					if both {
-						s.c.nodes["a"].disk.DieAt(at)
-						s.c.nodes["b"].disk.DieAt(at)
-					}
-					s.play()
-					s.after()
+					playPowerLoss(t, plant{}, both, victim, at)
 				})
 			}
 		}
 	}
 }
 
+// diskOperations is how many of the first operations of a disk are its last before a loss of power, one in each play.
+const diskOperations = 14
+
+// playPowerLoss is one play of TestPowerLossAtEachOperationOfADisk.
+func playPowerLoss(t reporter, p plant, both bool, victim string, at int) {
+	s := newPlantedScript(t, p, false)
+	s.c.nodes[victim].disk.DieAt(at)
+	if both {
+		s.c.nodes["a"].disk.DieAt(at)
+		s.c.nodes["b"].disk.DieAt(at)
+	}
+	s.play()
+	s.after()
+}
+
 func TestCompactionWithPowerLoss(t *testing.T) {
 	for at := 0; at <= 14; at++ {
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
--- /dev/null
+++ b/internal/tier/turnstore/planted_test.go
@@ -0,0 +1,343 @@
+package turnstore
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+
+	"dockshift.example/dockshift/internal/tier/wal"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// plantedSeeds is in how many seeds a planted fault has to be found, and soundSeeds how many are played without a fault.
+const (
+	plantedSeeds = 200
+	soundSeeds   = 40
+)
+
+// plant is a fault of the turn stores, their disks or control, made from outside. The zero plant leaves all right. What takes a
+// cluster is called for each message, and gives what serves it in place of the turn store's own method.
+type plant struct {
+	replicate func(c *cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error)
+	held      func(c *cluster) func(*TurnStore, context.Context, *tierv1.HeldRequest) (*tierv1.HeldReply, error)
+	fetch     func(c *cluster) func(*TurnStore, context.Context, *tierv1.FetchRequest) (*tierv1.FetchReply, error)
+	files     func(wal.FS) wal.FS
+	control   func(m *tierv1.PartitionMap)                  // changes a map before a turn store is told it
+	reports   func(*TurnStore) []*tierv1.SyncedCopy         // what a turn store reports to control
+	successor func(s *script, lost string) (primary string) // whom control makes the primary after a loss
+}
+
+// files gives the file system that a turn store works on.
+func (c *cluster) files(disk wal.FS) wal.FS {
+	if c.plant.files == nil {
+		return disk
+	}
+	return c.plant.files(disk)
+}
+
+// told is the newest map as turn stores are told it. It is nil before the first one.
+func (c *cluster) told() *tierv1.PartitionMap {
+	if c.m == nil || c.plant.control == nil {
+		return c.m
+	}
+	m := proto.CloneOf(c.m)
+	c.plant.control(m)
+	return m
+}
+
+// reports gives what a turn store reports to control, and a channel that is closed when that changes.
+func (c *cluster) reports(name string) ([]*tierv1.SyncedCopy, <-chan struct{}) {
+	store := c.nodes[name].turnstore
+	reports, changed := store.Synced()
+	if c.plant.reports != nil {
+		reports = c.plant.reports(store)
+	}
+	return reports, changed
+}
+
+// dropsFacts makes a backup say that it has taken facts which it drops, in about one of n messages that carry some.
+func dropsFacts(n int, seed uint64) plant {
+	var mu sync.Mutex
+	r := rand.New(rand.NewPCG(seed, 5))
+	spoilt := func() bool {
+		mu.Lock()
+		defer mu.Unlock()
+		return r.IntN(n) == 0
+	}
+	return plant{replicate: func(*cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
+		return func(store *TurnStore, ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
+			if len(req.Facts) > 0 && spoilt() {
+				req.Facts = nil
+			}
+			return store.Replicate(ctx, req)
+		}
+	}}
+}
+
+// takesStale makes a backup say that it has taken what comes under an epoch that is over.
+func takesStale() plant {
+	return plant{replicate: func(*cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
+		return func(store *TurnStore, ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
+			reply, err := store.Replicate(ctx, req)
+			if err == nil && reply.Stale {
+				return &tierv1.ReplicateReply{Taken: true}, nil
+			}
+			return reply, err
+		}
+	}}
+}
+
+// namesUnheld makes a backup name keys that it does not hold: those of one of n facts of the primary's.
+func namesUnheld(n int) plant {
+	return plant{held: func(c *cluster) func(*TurnStore, context.Context, *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+		return func(store *TurnStore, ctx context.Context, req *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+			reply, err := store.Held(ctx, req)
+			if err != nil || !reply.Ok {
+				return reply, err
+			}
+			for i, key := range c.keysAtPrimary(req.Partition) {
+				if i%n == 0 && !slices.Contains(reply.Keys, key) {
+					reply.Keys = append(reply.Keys, key)
+				}
+			}
+			return reply, nil
+		}
+	}}
+}
+
+// keysAtPrimary gives the keys that the primary of a partition holds, in order.
+func (c *cluster) keysAtPrimary(id uint32) (keys []string) {
+	c.mu.Lock()
+	folder := c.m.Partitions[id].Primary
+	var primary *TurnStore
+	for _, n := range c.nodes {
+		if n.turnstore.Folder() == folder {
+			primary = n.turnstore
+		}
+	}
+	c.mu.Unlock()
+	if primary == nil {
+		return nil
+	}
+	primary.mu.Lock()
+	defer primary.mu.Unlock()
+	for _, e := range primary.store.partition(id).entries {
+		keys = e.keys(keys)
+	}
+	slices.Sort(keys)
+	return keys
+}
+
+// losesFetched makes a backup leave out all facts of one attempt when it is asked for them.
+func losesFetched(attempt string) plant {
+	return plant{fetch: func(*cluster) func(*TurnStore, context.Context, *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
+		return func(store *TurnStore, ctx context.Context, req *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
+			reply, err := store.Fetch(ctx, req)
+			if err == nil {
+				reply.Facts = slices.DeleteFunc(reply.Facts, func(f *tierv1.Fact) bool { return f.Attempt == attempt })
+			}
+			return reply, err
+		}
+	}}
+}
+
+// factsDisk is a file system with another way to sync the files of facts.
+type factsDisk struct {
+	wal.FS
+	wrap func(wal.Handle) wal.Handle
+}
+
+func (d factsDisk) Open(name string) (wal.Handle, error)   { return d.wrapped(name)(d.FS.Open(name)) }
+func (d factsDisk) Create(name string) (wal.Handle, error) { return d.wrapped(name)(d.FS.Create(name)) }
+
+// wrapped wraps the handle of a file if it is one of facts.
+func (d factsDisk) wrapped(name string) func(wal.Handle, error) (wal.Handle, error) {
+	return func(handle wal.Handle, err error) (wal.Handle, error) {
+		if err != nil || !strings.Contains(name, "facts-") {
+			return handle, err
+		}
+		return d.wrap(handle), nil
+	}
+}
+
+// unsynced is a file whose syncs do nothing.
+type unsynced struct{ wal.Handle }
+
+func (unsynced) Sync() error { return nil }
+
+// syncsNothing makes disks forget all facts at a loss of power.
+func syncsNothing() plant {
+	return plant{files: func(disk wal.FS) wal.FS {
+		return factsDisk{disk, func(h wal.Handle) wal.Handle { return unsynced{h} }}
+	}}
+}
+
+// lateSynced is a file of which a sync keeps only what was there at the sync before.
+type lateSynced struct {
+	wal.Handle
+	owed bool
+}
+
+func (l *lateSynced) Sync() error {
+	l.owed = true
+	return nil
+}
+
+// WriteAt makes up for the sync before.
+func (l *lateSynced) WriteAt(data []byte, at int64) (int, error) {
+	if l.owed {
+		l.owed = false
+		if err := l.Handle.Sync(); err != nil {
+			return 0, err
+		}
+	}
+	return l.Handle.WriteAt(data, at)
+}
+
+// syncsLate makes disks forget what was synced last at a loss of power.
+func syncsLate() plant {
+	return plant{files: func(disk wal.FS) wal.FS {
+		return factsDisk{disk, func(h wal.Handle) wal.Handle { return &lateSynced{Handle: h} }}
+	}}
+}
+
+// reportsEarly makes a primary report all copies under way as whole.
+func reportsEarly() plant {
+	return plant{reports: func(store *TurnStore) (reports []*tierv1.SyncedCopy) {
+		store.mu.Lock()
+		defer store.mu.Unlock()
+		for _, p := range store.store.partitions {
+			if p.term == nil || p.term.ended {
+				continue
+			}
+			for _, s := range p.term.senders {
+				if s.unsynced {
+					reports = append(reports, &tierv1.SyncedCopy{Partition: p.id, Epoch: p.term.epoch, Folder: s.folder})
+				}
+			}
+		}
+		return reports
+	}}
+}
+
+// unsyncedSucceeds makes control name a machine as the primary that has no synced copy.
+func unsyncedSucceeds() plant {
+	return plant{successor: func(s *script, lost string) string {
+		for _, name := range s.c.names {
+			if name != lost && name != s.backup {
+				return name
+			}
+		}
+		return s.backup
+	}}
+}
+
+// forgetsRetained makes control forget the copies that were taken out while they were silent.
+func forgetsRetained() plant {
+	return plant{control: func(m *tierv1.PartitionMap) {
+		for _, p := range m.Partitions {
+			p.Retained, p.RecoverFrom, p.AcknowledgedUntil = nil, nil, 0
+		}
+	}}
+}
+
+// drawnPlay is a play of one of this package's tests of losses.
+type drawnPlay struct {
+	name string
+	run  func(t reporter, p plant)
+}
+
+// drawPlay draws a play, the faults of its machines and messages included.
+func drawPlay(seed uint64) drawnPlay {
+	r := rand.New(rand.NewPCG(seed, 3))
+	at := 1 + r.IntN(troubledMessages)
+	switch r.IntN(9) {
+	case 0:
+		return drawnPlay{"a takeover from a frozen primary", playTakeover}
+	case 1:
+		return drawnPlay{"a recovery from two copies", playRecovery}
+	case 2:
+		return drawnPlay{"retained copies", playRetained}
+	case 3:
+		both, victim, operation := r.IntN(2) == 0, []string{"a", "b"}[r.IntN(2)], 1+r.IntN(diskOperations)
+		return drawnPlay{fmt.Sprintf("a loss of power at operation %d of %s, both machines %v", operation, victim, both),
+			func(t reporter, p plant) { playPowerLoss(t, p, both, victim, operation) }}
+	case 4:
+		at = r.IntN(troubledMessages + 1)
+		return drawnPlay{fmt.Sprintf("two losses, the second at message %d", at),
+			func(t reporter, p plant) { playTwoLosses(t, p, at) }}
+	}
+	step := repairSteps[r.IntN(len(repairSteps))]
+	f := lostRequest + fault(r.IntN(int(faults-lostRequest)))
+	for !step.bears(f) {
+		f = lostRequest + fault(r.IntN(int(faults-lostRequest)))
+	}
+	return drawnPlay{fmt.Sprintf("%s, fault %d at message %d", step.name, f, at),
+		func(t reporter, p plant) { playLoss(t, p, step, f, at) }}
+}
+
+// What the checks say of facts that are lost, of budgets that are granted twice, and of turns that are not served.
+const (
+	keptIsUnknown   = "is unknown"
+	budgetForgotten = "the budget is forgotten"
+	overdrawn       = "tokens granted of"
+	notSpent        = "SPENT"
+	notKept         = "whether a copy is kept"
+)
+
+// always gives one plant for all seeds.
+func always(p plant) func(uint64) plant { return func(uint64) plant { return p } }
+
+// TestPlantedStoreFaults plants faults, and expects the checks of losses to find each by what it takes away.
+func TestPlantedStoreFaults(t *testing.T) {
+	for _, fault := range []struct {
+		name string
+		make func(seed uint64) plant
+		by   []string // one of these is in what the check says
+	}{
+		{"a backup drops one message of facts in six", func(seed uint64) plant { return dropsFacts(6, seed) }, []string{keptIsUnknown, budgetForgotten}},
+		{"a backup takes a stale epoch", always(takesStale()), []string{keptIsUnknown, overdrawn}},
+		{"a backup names a third of the keys without holding them", always(namesUnheld(3)), []string{keptIsUnknown}},
+		{"a backup leaves out one attempt that is fetched", always(losesFetched("t2")), []string{keptIsUnknown}},
+		{"syncs do nothing", always(syncsNothing()), []string{keptIsUnknown}},
+		{"the last sync does nothing", always(syncsLate()), []string{keptIsUnknown}},
+		{"copies are reported whole too early", always(reportsEarly()), []string{keptIsUnknown}},
+		{"an unsynced copy succeeds", always(unsyncedSucceeds()), []string{keptIsUnknown}},
+		{"control forgets retained copies", always(forgetsRetained()), []string{keptIsUnknown, notKept}},
+	} {
+		t.Run(fault.name, func(t *testing.T) {
+			t.Parallel()
+			for seed := range uint64(plantedSeeds) {
+				play := drawPlay(seed)
+				failure := observe(func(r reporter) { play.run(r, fault.make(seed)) })
+				if failure == "" {
+					continue
+				}
+				t.Logf("seed %d, %s: %s", seed, play.name, failure)
+				if containsAny(failure, fault.by) {
+					return
+				}
+			}
+			t.Fatalf("not found in %d seeds", plantedSeeds)
+		})
+	}
+}
+
+func containsAny(text string, parts []string) bool {
+	return slices.ContainsFunc(parts, func(part string) bool { return strings.Contains(text, part) })
+}
+
+// TestPlaysWithoutAFault: what finds planted faults finds nothing where there is none.
+func TestPlaysWithoutAFault(t *testing.T) {
+	for seed := range uint64(soundSeeds) {
+		play := drawPlay(seed)
+		assert.Equal(t, observe(func(r reporter) { play.run(r, plant{}) }), "", "seed %d, %s", seed, play.name)
+	}
+}
--- a/internal/tier/turnstore/recover_test.go
+++ b/internal/tier/turnstore/recover_test.go
@@ -9,10 +9,12 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// A primary that was a backup in an older epoch answers nothing before it has exchanged all facts with the copy that took
+func TestRecoverFromTwoCopies(t *testing.T) { playRecovery(t, plant{}) }
+
+// playRecovery: a primary that was a backup in an older epoch answers nothing before it has exchanged all facts with the copy that took
 // what was acknowledged since, and before control knows that; then nothing that was acknowledged is missing.
-func TestRecoverFromTwoCopies(t *testing.T) {
-	c, k := pair(t)
+func playRecovery(t reporter, p plant) {
+	c, k := plantedPair(t, p)
 	folder := func(name string) string { return c.nodes[name].turnstore.Folder() }
 	assert.Equal(t, k.begin("a", ask("t1", "")), ok)
 	assert.Equal(t, k.settle("a", "p", "t1", "", 5), ok)
@@ -65,9 +67,11 @@
 }
 
 // A turn store keeps a copy that the map retains, and drops one that it doesn't.
-func TestRetainedCopiesAreKept(t *testing.T) {
+func TestRetainedCopiesAreKept(t *testing.T) { playRetained(t, plant{}) }
+
+func playRetained(t reporter, planted plant) {
 	for _, retained := range []bool{true, false} {
-		c, k := pair(t)
+		c, k := plantedPair(t, planted)
 		assert.Equal(t, k.begin("a", ask("t1", "")), ok)
 		assert.Equal(t, k.settle("a", "p", "t1", "", 5), ok)
 		c.assign("a", "?c")
@@ -83,7 +87,8 @@
 			store.Sweep(c.now())
 		}
 		store.mu.Lock()
-		assert.Equal(t, store.store.partition(0).entries["t1"] != nil, retained)
+		kept := store.store.partition(0).entries["t1"] != nil
 		store.mu.Unlock()
+		assert.Equal(t, kept, retained, "whether a copy is kept")
 	}
 }
--- a/internal/tier/turnstore/serve_test.go
+++ b/internal/tier/turnstore/serve_test.go
@@ -25,8 +25,11 @@
 	assert.Equal(k.c.t, k.settle(to, "p", attempt, previous, 10), ok)
 }
 
-func pair(t *testing.T) (*cluster, *checker) {
-	c := newCluster(t, "a", "b", "c")
+func pair(t reporter) (*cluster, *checker) { return plantedPair(t, plant{}) }
+
+// plantedPair is pair with a planted fault.
+func plantedPair(t reporter, p plant) (*cluster, *checker) {
+	c := newPlantedCluster(t, p, "a", "b", "c")
 	c.assign("a", "b")
 	c.push()
 	return c, newChecker(c)
@@ -106,8 +109,11 @@
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok) // epoch 1 stands
 }
 
-func TestTakeoverBetweenBeginAndSettle(t *testing.T) {
-	c, k := pair(t)
+func TestTakeoverBetweenBeginAndSettle(t *testing.T) { playTakeover(t, plant{}) }
+
+// playTakeover lets a backup take over from a primary that is frozen, which then wakes with its old epoch.
+func playTakeover(t reporter, p plant) {
+	c, k := plantedPair(t, p)
 	k.keep("a", "t1", "")
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
 	c.assign("b", "?c")
