--- a/internal/tier/turnstore/disk_test.go
+++ b/internal/tier/turnstore/disk_test.go
@@ -12,7 +12,7 @@
 )
 
 // tellsUnsound tells whether a turn store tells control that its disk is not sound. It reports no copies then.
-func tellsUnsound(t *testing.T, v *TurnStore) bool {
+func tellsUnsound(t reporter, v *TurnStore) bool {
 	unsound := v.DiskState() != tierv1.DiskState_DISK_SOUND
 	if reports, _ := v.Synced(); unsound {
 		assert.Equal(t, len(reports), 0)
