--- a/internal/tier/turnstore/disk_test.go
+++ b/internal/tier/turnstore/disk_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"runtime"
 	"syscall"
 	"testing"
 	"time"
@@ -128,6 +129,16 @@
 	assert.Equal(t, k.sure("b", r), spent)
 }
 
+// awaitUnstuck waits until a turn store counts no write as under way: that is a step of its committer after the write is done.
+func awaitUnstuck(t *testing.T, store *TurnStore) {
+	t.Helper()
+	deadline := time.Now().Add(10 * time.Second)
+	for store.commit.writing(store.cfg.Now()) > 0 {
+		assert.Assert(t, time.Now().Before(deadline), "the write has returned and counts as stuck")
+		runtime.Gosched()
+	}
+}
+
 // A sync that does not return is reported after a while, and no more when it has.
 func TestStuckDisk(t *testing.T) {
 	c, k := pair(t)
@@ -144,6 +155,7 @@
 	assert.Equal(t, k.begin("a", ask("t3", "t1")), busy)
 	release()
 	<-a.turnstore.commit.add().done
+	awaitUnstuck(t, a.turnstore)
 	assert.Equal(t, k.sure("a", ask("t2", "t1")), ok)
 	a.turnstore.CheckDisk(c.now())
 	assert.Assert(t, !reportsItself(a.turnstore))
