--- a/internal/tier/controlplane/assign.go
+++ b/internal/tier/controlplane/assign.go
@@ -49,6 +49,7 @@
 	Reports []Report
 	Slow    map[uint32]bool // partitions with a copy under way for longer than usual
 	Stalled map[uint32]bool // of these: it is time to try other turn stores
+	Lapsed  map[string]bool // folders of turn stores whose sessions lapsed less than the wait (reducePart) ago
 	Certain bool            // whoever is not alive is lost; else it may only not have come yet
 	Create  bool            // the first map may be made
 	Move    bool            // copies and primaries may move only to make shares even
--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -28,6 +28,11 @@
 	gracePart  = 4  // after a takeover, no turn store is called dead for so long
 	writePart  = 3  // a write of the primary's own takes no longer
 	settlePart = 10 // the first turn store map is made when no turn store has come for so long
+	// A partition without a turn store for another copy waits so long after the lapse of a session before it goes on without that
+	// copy. A turn store whose call was lost gives it up a twelfth of the window after the lapse, a search for the primary that
+	// fails takes an eighth, and the pause until the next a thirtieth: 0.24 in all. With the detection (hold, lapse and tick:
+	// 0.27) the wait ends within the window, in which a machine that had trouble is not yet called in touch again.
+	reducePart = 4
 )
 
 // retryPause is from a failed write of the primary's own to the next.
--- /dev/null
+++ b/internal/tier/controlplane/lapse_test.go
@@ -0,0 +1,296 @@
+package controlplane
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+)
+
+// lapse has the sessions of machines end a moment ago.
+func (w *world) lapse(machines ...*machine) Input {
+	for _, m := range machines {
+		m.cut = true
+	}
+	in := w.input()
+	in.Lapsed = map[string]bool{}
+	for _, m := range machines {
+		in.Lapsed[m.folder] = true
+	}
+	return in
+}
+
+// afterOneLapse gives three machines, one loss to be borne, and the first machine's copies taken out as its session lapsed.
+func afterOneLapse(t *testing.T) *world {
+	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w.assign(w.input())
+	w.settle()
+	assert.Assert(t, w.assign(w.lapse(w.machines[0])))
+	for range 3 {
+		w.step()
+	}
+	for _, p := range w.m.Partitions {
+		assert.Assert(t, !slices.Contains(members(p), w.machines[0].folder))
+	}
+	return w
+}
+
+// served counts the partitions of which some machine acknowledges a turn.
+func (w *world) served() (n int) {
+	for _, m := range w.machines {
+		m.hear(w)
+	}
+	for i := range w.m.Partitions {
+		if slices.ContainsFunc(w.machines, func(m *machine) bool { return w.acknowledge(m, i) }) {
+			n++
+		}
+	}
+	return n
+}
+
+// The session of a second turn store lapses while the first, which has no copies any more, is silent too: the third does not go
+// on alone, so that nothing is lost with its disk.
+func TestTheLastTurnStoreDoesNotGoOnAloneAtOnce(t *testing.T) {
+	w := afterOneLapse(t)
+	w.assign(w.lapse(w.machines[0], w.machines[1]))
+	for i, p := range w.m.Partitions {
+		assert.Equal(t, len(p.Backups), 1, "partition %d: %v", i, p)
+	}
+	w.served()
+	w.wipe(w.machines[2], false)
+	w.machines[0].cut, w.machines[1].cut = false, false
+	w.assign(w.input())
+	w.reports = nil
+	w.settle()
+	assert.Equal(t, w.served(), partitionCount)
+	w.even(false)
+}
+
+// A turn store that is back within the wait is the synced backup that it was, in the same epoch.
+func TestATurnStoreThatIsBackInTimeIsTheBackup(t *testing.T) {
+	w := afterOneLapse(t)
+	for _, p := range w.m.Partitions {
+		assert.Assert(t, len(p.Backups) == 1 && p.Backups[0].Synced, "%v", p)
+	}
+	second, third := w.machines[1], w.machines[2]
+	before := w.m
+	w.assign(w.lapse(w.machines[0], second))
+	waiting := w.m
+	second.cut = false
+	in := w.lapse(w.machines[0])
+	in.Move = false // primaries are made even later
+	w.assign(in)
+	for i, p := range w.m.Partitions {
+		assert.Assert(t, proto.Equal(p, waiting.Partitions[i]), "partition %d: %v", i, p)
+		assert.Assert(t, backup(p, second.folder).Synced, "partition %d: %v", i, p)
+		if was := before.Partitions[i]; was.Primary == third.folder {
+			assert.Assert(t, proto.Equal(p, was), "partition %d: %v", i, p)
+		}
+	}
+	assert.Equal(t, w.served(), partitionCount)
+}
+
+// When the wait is over, the last one goes on alone as far as it is whole.
+func TestTheLastTurnStoreGoesOnAfterTheWait(t *testing.T) {
+	w := afterOneLapse(t)
+	w.assign(w.lapse(w.machines[0], w.machines[1]))
+	in := w.input()
+	assert.Assert(t, w.assign(in))
+	for i, p := range w.m.Partitions {
+		assert.Equal(t, p.Primary, w.machines[2].folder, "partition %d: %v", i, p)
+		assert.Equal(t, len(p.Backups), 0, "partition %d: %v", i, p)
+	}
+	assert.Equal(t, w.served(), partitionCount)
+}
+
+// A lapse is waited for only where no turn store could take another copy; else the map is the same as after a lapse long ago.
+func TestLapsesAreWaitedForWithoutASpare(t *testing.T) {
+	for _, test := range []struct {
+		machines, losses, lapsed int
+		waits                    bool
+	}{
+		{2, 1, 1, true}, {3, 2, 1, true}, {3, 2, 2, true}, {4, 2, 2, true},
+		{3, 1, 1, false}, {4, 1, 1, false}, {4, 2, 1, false}, {5, 2, 2, false},
+	} {
+		w := newWorld(t, nil, test.machines, test.machines, Spread{test.losses, byNode})
+		w.assign(w.input())
+		w.settle()
+		in := w.lapse(w.machines[:test.lapsed]...)
+		now, _ := Assign(w.m, in)
+		in.Lapsed = nil
+		later, changed := Assign(w.m, in)
+		assert.Assert(t, changed, "%+v", test)
+		waits := !slices.Equal(partitionStrings(now), partitionStrings(later))
+		assert.Equal(t, waits, test.waits, "%+v", test)
+		if !test.waits {
+			continue
+		}
+		for i, p := range now.Partitions {
+			assert.Equal(t, len(p.Backups), len(w.m.Partitions[i].Backups), "%+v: %v", test, p)
+		}
+	}
+}
+
+func partitionStrings(m *tierv1.PartitionMap) (list []string) {
+	for _, p := range m.Partitions {
+		list = append(list, p.String())
+	}
+	return list
+}
+
+// A lapsed turn store that comes back with another disk is not waited for.
+func TestALostDiskIsNotWaitedFor(t *testing.T) {
+	w := newWorld(t, nil, 2, 2, Spread{1, byNode})
+	w.assign(w.input())
+	w.settle()
+	first := w.machines[0]
+	in := w.lapse(first)
+	assert.Assert(t, w.assign(in)) // its partitions have the other as the primary
+	lapsed := in.Lapsed
+	w.wipe(first, false)
+	first.cut = false
+	in = w.input()
+	in.Lapsed = lapsed
+	assert.Assert(t, w.assign(in))
+	for i, p := range w.m.Partitions {
+		assert.Assert(t, len(p.Backups) == 1 && p.Backups[0].Folder == first.folder, "partition %d: %v", i, p)
+	}
+}
+
+// Sessions of several turn stores lapse, one after the other or at once, and are back within the wait. Where all but one lapse,
+// that one may lose its disk: everything acknowledged is served again.
+func TestSeveralLapsesAreNoLosses(t *testing.T) {
+	for seed := range uint64(10) {
+		r := rand.New(rand.NewPCG(seed, 9))
+		w := newWorld(t, r, 3, 3, Spread{1, byNode})
+		w.assign(w.input())
+		w.settle()
+		for range 10 {
+			order := r.Perm(len(w.machines))
+			last := w.machines[order[2]]
+			var silent []*machine
+			for _, i := range order[:2] {
+				silent = append(silent, w.machines[i])
+				w.note("%s lapses", w.machines[i].node)
+				w.assign(w.lapse(silent...))
+				for range r.IntN(3) {
+					w.served()
+					for range r.IntN(40) {
+						w.copy(w.machines[r.IntN(len(w.machines))], r.IntN(partitionCount))
+					}
+					w.assign(w.lapse(silent...))
+					w.reports = nil
+				}
+			}
+			w.served()
+			if r.IntN(2) == 0 {
+				w.note("%s loses its disk", last.node)
+				w.wipe(last, r.IntN(3) == 0)
+			}
+			for _, m := range silent {
+				m.cut = false
+			}
+			w.reports = nil
+			w.settle()
+			assert.Equal(t, w.served(), partitionCount, "seed %d: %v", seed, w.trace)
+			w.even(false)
+		}
+	}
+}
+
+// unserved gives for how long, from now on, some partition has no primary whose backups are all there, within limit.
+func (r *rig) unserved(gone []string, limit time.Duration) time.Duration {
+	const pace = 10 * time.Millisecond
+	begun := time.Now()
+	for time.Since(begun) < limit {
+		waits := slices.ContainsFunc(r.turnStores().Partitions, func(p *tierv1.Partition) bool {
+			return slices.ContainsFunc(members(p), func(folder string) bool { return slices.Contains(gone, folder) })
+		})
+		if !waits {
+			break
+		}
+		r.pass(pace)
+	}
+	return time.Since(begun)
+}
+
+// How long partitions are unserved: no longer than the detection where another turn store is there, else with a bounded wait.
+func TestTimeUnserved(t *testing.T) {
+	detection := site().ContactWindow/lapsePart + site().ContactWindow/tickPart + 50*time.Millisecond
+	wait := site().ContactWindow / reducePart
+	const unbounded = 30 * time.Second // both have copies: the return of one is waited for
+	for _, test := range []struct {
+		name            string
+		stores, killed  int
+		apart           time.Duration // between the first and the second
+		shortest, limit time.Duration
+	}{
+		{"one of four", 4, 1, 0, 0, detection},
+		{"one of three", 3, 1, 0, 0, detection},
+		{"one of two", 2, 1, 0, wait, wait + detection},
+		{"two of three, one after the other", 3, 2, 600 * time.Millisecond, wait, wait + detection},
+		{"two of three at once", 3, 2, 0, unbounded, unbounded},
+		{"the second long after the first", 3, 2, time.Minute, wait, wait + detection},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			within(t, func(r *rig) {
+				var all []*process
+				for _, name := range []string{"v1", "v2", "v3", "v4"}[:test.stores] {
+					all = append(all, r.join(roleTurnStore, name, nil))
+				}
+				r.pass(3 * time.Second)
+				gone := []string{"v1.1"}
+				all[0].end()
+				if test.killed == 2 {
+					r.pass(test.apart)
+					gone = append(gone, "v2.1")
+					all[1].end()
+				}
+				took := r.unserved(gone, unbounded)
+				t.Logf("unserved for %v", took)
+				assert.Assert(t, took >= test.shortest && took <= test.limit, "unserved for %v", took)
+			})
+		})
+	}
+}
+
+// A new primary has not heard the sessions lapse: the wait begins when its grace is over.
+func TestANewPrimaryWaitsFromItsGraceOn(t *testing.T) {
+	within(t, func(r *rig) {
+		var all []*process
+		for _, name := range []string{"v1", "v2", "v3"} {
+			all = append(all, r.join(roleTurnStore, name, nil))
+		}
+		r.pass(3 * time.Second)
+		all[0].end()
+		r.pass(time.Second)
+		r.s.set(func() { r.s.ok = false })
+		all[1].end()
+		r.pass(5 * time.Second)
+		r.s.set(func() { r.s.ok, r.s.epoch = true, r.s.epoch+1<<12 })
+		took := r.unserved([]string{"v1.1", "v2.1"}, 30*time.Second)
+		window := site().ContactWindow
+		shortest := window/gracePart + window/reducePart
+		assert.Assert(t, took >= shortest && took <= shortest+window/tickPart+100*time.Millisecond, "unserved for %v", took)
+	})
+}
+
+// One that had told that it leaves is not waited for when it has gone.
+func TestATurnStoreThatLeavesIsNotWaitedFor(t *testing.T) {
+	within(t, func(r *rig) {
+		leaver := r.join(roleTurnStore, "v1", nil)
+		r.join(roleTurnStore, "v2", nil)
+		r.pass(3 * time.Second)
+		leaver.mu.Lock()
+		leaver.req.Leaving = true
+		leaver.mu.Unlock()
+		r.pass(time.Second)
+		leaver.end()
+		took := r.unserved([]string{"v1.1"}, 30*time.Second)
+		assert.Assert(t, took < brokenLapse+site().ContactWindow/tickPart+50*time.Millisecond, "unserved for %v", took)
+	})
+}
--- a/internal/tier/controlplane/reconcile.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -30,10 +30,11 @@
 	}
 	plane.mu.Lock()
 	alive, leaving, reports := plane.sessions.storeNodes(now)
+	lapsed := plane.lapsed(now, v, alive)
 	arrived := plane.sessions.arrived
 	plane.riskClock.observe(now, AtRisk(v.partitionMap, plane.spread, alive, plane.Settings.SyncTime).Partitions)
 	plane.mu.Unlock()
-	in := Input{Spread: plane.spread, Alive: alive, Leaving: leaving, Reports: reports}
+	in := Input{Spread: plane.spread, Alive: alive, Leaving: leaving, Reports: reports, Lapsed: lapsed}
 	in.Certain = now.Sub(v.since) >= plane.window(gracePart)
 	in.Create = now.Sub(arrived) >= plane.window(settlePart)
 	in.Move = now.Sub(t.wrote) >= plane.window(tickPart)
@@ -69,6 +70,31 @@
 	return true
 }
 
+// lapsed gives the turn stores of the map that have been lost for less than the wait (reducePart): since their sessions lapsed,
+// or since the grace after a takeover was over. One that had told that it leaves has not lapsed. The caller holds the lock.
+func (plane *ControlPlane) lapsed(now time.Time, v *view, alive map[string]*tierv1.StoreNode) map[string]bool {
+	graceOver := v.since.Add(plane.window(gracePart))
+	found := map[string]bool{}
+	for _, one := range v.partitionMap.GetStoreNodes() {
+		if alive[one.Folder] != nil {
+			continue
+		}
+		since := graceOver
+		if s := plane.sessions.sessionOf(one); s != nil {
+			if s.leaving {
+				continue
+			}
+			if lapse := s.ended.Add(plane.sessions.lapse); lapse.After(since) {
+				since = lapse
+			}
+		}
+		if now.Sub(since) < plane.window(reducePart) {
+			found[one.Folder] = true
+		}
+	}
+	return found
+}
+
 // nextMap is the map that Assign makes, with the machines recorded that have been emptied by it.
 func nextMap(before *tierv1.PartitionMap, in Input) (after *tierv1.PartitionMap, changed bool) {
 	after, changed = Assign(before, in)
@@ -97,7 +123,7 @@
 		parts = append(parts, fmt.Sprint(r.From, "/", r.Copy.Partition, "/", r.Copy.Epoch, "/", r.Copy.Folder))
 	}
 	slices.Sort(parts)
-	parts = append(parts, fmt.Sprint(in.Certain, in.Create, in.Slow, in.Stalled))
+	parts = append(parts, fmt.Sprint(in.Certain, in.Create, in.Slow, in.Stalled, in.Lapsed))
 	return strings.Join(parts, ";")
 }
 
--- a/internal/tier/controlplane/registry.go
+++ b/internal/tier/controlplane/registry.go
@@ -129,6 +129,15 @@
 	return alive, leaving, reports
 }
 
+// sessionOf gives the newest session of a turn store, nil if none is known.
+func (r *registry) sessionOf(one *tierv1.StoreNode) *session {
+	s := r.of[place{one.Node, roleTurnStore}]
+	if s == nil || s.storeNode.Folder != one.Folder {
+		return nil
+	}
+	return s
+}
+
 // behind counts the gateways that stand and have not acknowledged a version of the configuration.
 func (r *registry) behind(now time.Time, version uint64) int {
 	n := 0
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -30,8 +30,8 @@
 		if a.stayingCopies(p) <= a.Losses {
 			if next := a.pick(p); next != "" {
 				p.Backups = append(p.Backups, &tierv1.Copy{Folder: next})
-			} else if !a.replaced[c.Folder] && a.lostDomains > a.Losses {
-				p.Backups = before // more is lost than is borne: nothing goes on without it
+			} else if a.waitsFor(c.Folder) {
+				p.Backups = before
 				continue
 			}
 		}
@@ -52,6 +52,17 @@
 	a.pruneRetained(p)
 }
 
+// waitsFor tells whether a partition that has no turn store for another copy waits for a lost one, as its backup, rather than
+// go on without it. It does where more turn stores with copies are lost than is borne. It also does for a moment after a
+// session has lapsed: that may be for want of messages, and is no loss yet. What the others acknowledged without it would be
+// lost with them, though no more are lost than is borne.
+func (a *assignment) waitsFor(folder string) bool {
+	if a.replaced[folder] {
+		return false
+	}
+	return a.Lapsed[folder] || a.lostDomains > a.Losses
+}
+
 // hasLeft tells whether a turn store has heard SIGTERM: its time is short.
 func (a *assignment) hasLeft(folder string) bool { return a.Leaving[folder] }
 
