--- a/internal/tier/session/lease.go
+++ b/internal/tier/session/lease.go
@@ -60,14 +60,13 @@
 	client.lease.renew(begun)
 }
 
-// noteSearch notes how a search for the primary ended.
-func (client *Client) noteSearch(begun time.Time, found bool) {
-	now := time.Now()
+// noteSearch notes how a search for the primary ended that took so long, and was to take limit at most.
+func (client *Client) noteSearch(took, limit time.Duration, found bool) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if found {
-		client.lease.found(now)
+		client.lease.found(time.Now())
 		return
 	}
-	client.lease.missed(now.Sub(begun), client.config.Settings.ContactWindow/lookPart)
+	client.lease.missed(took, limit)
 }
--- a/internal/tier/session/search.go
+++ b/internal/tier/session/search.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"math"
+	"time"
 
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
@@ -37,11 +38,22 @@
 	reply *tierv1.WatchReply
 }
 
+// searchLimit is how long a search lasts at most after so many in a row that found no primary. Each second one of these has
+// twice the time: a call that is broken off takes its connection with it, so where a new connection and a call together take
+// longer than a search, as between distant regions, none would ever end.
+func searchLimit(window time.Duration, failures int) time.Duration {
+	limit := window / lookPart
+	if failures%2 == 1 {
+		return 2 * limit
+	}
+	return limit
+}
+
 // findPrimary asks all candidates at once who is the primary, and gives the address of the first that says that it is;
-// empty if none does in time.
-func (client *Client) findPrimary(ctx context.Context) string {
+// empty if none does within limit.
+func (client *Client) findPrimary(ctx context.Context, limit time.Duration) string {
 	all := client.candidates()
-	ctx, cancel := context.WithTimeout(ctx, client.config.Settings.ContactWindow/lookPart)
+	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	round := &search{client: client, answers: make(chan answer, 2*len(all)+8), asked: map[string]bool{}}
 	for _, address := range all {
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -114,15 +114,19 @@
 // Run keeps the session until ctx ends.
 func (client *Client) Run(ctx context.Context) {
 	window := client.config.Settings.ContactWindow
+	failures := 0 // searches in a row that found none
 	for ctx.Err() == nil {
+		limit := searchLimit(window, failures)
 		begun := time.Now()
-		at := client.findPrimary(ctx)
-		client.noteSearch(begun, at != "")
+		at := client.findPrimary(ctx, limit)
+		client.noteSearch(time.Since(begun), limit, at != "")
 		if at == "" {
+			failures++
 			client.markLost("no primary found")
 			pause(ctx, window/pausePart+rand.N(window/pausePart+1))
 			continue
 		}
+		failures = 0
 		for ctx.Err() == nil && client.watch(ctx, at) {
 		}
 	}
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -409,3 +409,28 @@
 	client := session.New(session.Config{Settings: tiertest.Settings("edge-1"), Role: "gateway", Log: tiertest.Silent()})
 	assert.Equal(t, client.Remaining(), time.Duration(0))
 }
+
+// Where a new connection and a call together take longer than the first search, the primary is found all the same.
+func TestADistantPrimaryIsFound(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const roundTrips = 520 * time.Millisecond // of a connection and a call; a search takes 500 ms, the next 1 s
+		r := newRig(t, 1)
+		c := r.primary(1)
+		c.SetConfiguration("1")
+		c.SetVia(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+			if held(q) { // by the connection that the search has made
+				return serve()
+			}
+			select {
+			case <-time.After(roundTrips):
+				return serve()
+			case <-ctx.Done():
+				return nil, ctx.Err()
+			}
+		})
+		r.run()
+		<-time.After(4 * time.Second)
+		stands, _ := r.client.Stands()
+		assert.Assert(t, stands)
+	})
+}
