--- a/internal/tier/controlplane/lost_calls_test.go
+++ b/internal/tier/controlplane/lost_calls_test.go
@@ -133,3 +133,49 @@
 		assert.Equal(t, p.count(), 0)
 	})
 }
+
+// limitedPlatform takes some calls at once and then so many a second, as a bucket of tokens does; it refuses others.
+type limitedPlatform struct {
+	pagedPlatform
+	rate, burst float64
+	tokens      float64
+	last        time.Time
+	refused     int
+}
+
+func (p *limitedPlatform) RoundTrip(q *http.Request) (*http.Response, error) {
+	p.mu.Lock()
+	now := time.Now()
+	p.tokens = min(p.burst, p.tokens+now.Sub(p.last).Seconds()*p.rate)
+	p.last = now
+	refuse := p.tokens < 1
+	if refuse {
+		p.refused++
+	} else {
+		p.tokens--
+	}
+	p.mu.Unlock()
+	if refuse {
+		return &http.Response{StatusCode: http.StatusTooManyRequests, Header: http.Header{}, Body: http.NoBody, Request: q}, nil
+	}
+	return p.pagedPlatform.RoundTrip(q)
+}
+
+// A list that has more pages than the platform takes calls at once is read for all that, and again and again.
+func TestAListLongerThanABurstIsRead(t *testing.T) {
+	set := site()
+	set.CloudAddress, set.CloudRate = "10.200.0.100:8142", 5
+	p := &limitedPlatform{pagedPlatform: pagedPlatform{pages: 9, callTime: 40 * time.Millisecond}, rate: 5, burst: 5}
+	withinSite(t, set, p, func(r *rig) {
+		r.pass(10 * time.Second)
+		gateway := r.join(roleGateway, "e1", nil)
+		before := gateway.has().Endpoints
+		assert.Assert(t, before > 0, "the list was never read")
+		shown := <-p.drainAfterItsPage(nil)
+		for gateway.has().Endpoints == before && time.Since(shown) < time.Minute {
+			r.pass(10 * time.Millisecond)
+		}
+		// one interval of nine pages, and a reading of which some are spaced
+		assert.Assert(t, time.Since(shown) < 6*time.Second, "known after %v", time.Since(shown))
+	})
+}
--- a/internal/tier/controlplane/platform.go
+++ b/internal/tier/controlplane/platform.go
@@ -139,13 +139,20 @@
 // platform asks to wait after a refusal.
 func (k *ControlPlane) instances(ctx context.Context) (list []*tierv1.Endpoint, calls int, wait time.Duration, err error) {
 	token, repeats := "", 0
+	spacing := time.Duration(0) // between calls: none until the platform refuses one
 	seen := map[string]bool{}
 	for calls < pagesMost {
 		calls++
 		p, wait, err := k.page(ctx, token)
-		if err != nil && repeats < repeatsMost && worthRepeating(ctx, err) {
+		refused := errorx.IsOfType(err, errPlatformRefuses)
+		if err != nil && repeats < repeatsMost && !(refused && token == "") { // a refusal of the first page ends the reading
 			repeats++
-			continue
+			if refused {
+				spacing = k.callSpacing()
+			}
+			if k.awaitRepeat(ctx, err, wait) {
+				continue
+			}
 		}
 		if err != nil {
 			return nil, calls, wait, err
@@ -173,6 +180,9 @@
 			return nil, calls, 0, errorx.IllegalFormat.New("page %q leads back to itself", token)
 		}
 		seen[token] = true
+		if spacing > 0 && !sleep(ctx, spacing) {
+			return nil, calls, 0, ctx.Err()
+		}
 	}
 	return nil, calls, 0, errorx.IllegalFormat.New("the list has no end")
 }
@@ -182,16 +192,35 @@
 // errPlatformRefuses is the type of the error of a call that the platform refuses, as too many came.
 var errPlatformRefuses = errorx.NewType(errorx.NewNamespace("platform"), "refuses")
 
-// worthRepeating waits a little and tells whether a call that failed with err may be made again at once. One that was
-// refused may not: the platform tells when.
-func worthRepeating(ctx context.Context, err error) bool {
-	if errorx.IsOfType(err, errPlatformRefuses) {
+// callSpacing is the time from one call to the next at the platform's rate, with room; 0 where no rate is known.
+func (k *ControlPlane) callSpacing() time.Duration {
+	rate := k.Settings.CloudRate
+	if rate <= 0 {
+		return 0
+	}
+	return time.Duration(rateRoom / rate * float64(time.Second))
+}
+
+// awaitRepeat waits until a call that failed with err may be made again, and tells whether it may within this reading. One
+// that was refused is made again at the platform's rate, unless the platform asks to wait for longer than a reading is worth:
+// a list with more pages than calls are taken at once would never be read otherwise.
+func (k *ControlPlane) awaitRepeat(ctx context.Context, err error, wait time.Duration) bool {
+	if !errorx.IsOfType(err, errPlatformRefuses) {
+		return sleep(ctx, repeatPause)
+	}
+	spacing := k.callSpacing()
+	if spacing == 0 || wait > k.Settings.DrainTimeout/pollPart {
 		return false
 	}
-	pause := time.NewTimer(repeatPause)
-	defer pause.Stop()
+	return sleep(ctx, max(wait, spacing))
+}
+
+// sleep waits for d, and tells whether ctx goes on.
+func sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-pause.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
