--- a/internal/tier/gateway/released_test.go
+++ b/internal/tier/gateway/released_test.go
@@ -59,9 +59,16 @@
 	assert.Equal(t, len(k.releasing), 0)
 }
 
-// The time that a turn store gives a release after a takeover covers a call of a gateway and the pause after it.
+// The time that a turn store gives a release after a takeover covers a call of a gateway and the pause after it, whatever the
+// contact window is.
 func TestAReleaseComesThroughInItsTime(t *testing.T) {
-	const longestContactWindow = 4 * time.Second // of the deployments known
-	client := newStoreClient(settings.Settings{ContactWindow: longestContactWindow}, nil, nil)
-	assert.Equal(t, client.try+client.wait, turnstore.DefaultReleaseTime)
+	for _, contactWindow := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, time.Minute} {
+		client := newStoreClient(settings.Settings{ContactWindow: contactWindow}, nil, nil)
+		takes := client.try + client.wait
+		assert.Assert(t, takes <= turnstore.ReleaseTime(contactWindow), "contact window %v", contactWindow)
+		if contactWindow >= 4*time.Second { // no more than that: a 402 that is right waits for it
+			assert.Equal(t, takes, turnstore.ReleaseTime(contactWindow))
+		}
+	}
+	assert.Equal(t, turnstore.ReleaseTime(4*time.Second), turnstore.DefaultReleaseTime)
 }
--- a/internal/tier/process/turnstore.go
+++ b/internal/tier/process/turnstore.go
@@ -67,12 +67,26 @@
 	return nil
 }
 
+// turnStoreConfig is what the settings give a turn store.
+func (p *Process) turnStoreConfig(config Config) turnstore.Config {
+	s := config.Settings
+	return turnstore.Config{
+		Node:        s.Node,
+		Dir:         s.DataDir,
+		FS:          config.FS,
+		Dial:        dialer(p.client, dialTurnStore),
+		DiskBytes:   int64(s.DiskMB) << megabyteShift,
+		MemoryBytes: int64(s.MemoryMB) << megabyteShift / memoryPart,
+		Log:         config.Log,
+		ReleaseTime: turnstore.ReleaseTime(s.ContactWindow),
+	}
+}
+
 // openTurnStore opens the disk and the port.
 func (p *Process) openTurnStore(ctx context.Context, config Config) (*openTurnStore, error) {
 	s := config.Settings
 	address := s.Internal(TurnStorePort)
-	store, err := turnstore.Open(turnstore.Config{Node: s.Node, Dir: s.DataDir, FS: config.FS, Dial: dialer(p.client, dialTurnStore),
-		DiskBytes: int64(s.DiskMB) << megabyteShift, MemoryBytes: int64(s.MemoryMB) << megabyteShift / memoryPart, Log: config.Log})
+	store, err := turnstore.Open(p.turnStoreConfig(config))
 	if err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/internal/tier/process/turnstore_config_test.go
@@ -0,0 +1,24 @@
+package process
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"dockshift.example/dockshift/internal/tier/settings"
+	"dockshift.example/dockshift/internal/tier/turnstore"
+)
+
+// A turn store is told how long releases take by the contact window of its deployment.
+func TestTheReleaseTimeFollowsTheContactWindow(t *testing.T) {
+	for contactWindow, want := range map[time.Duration]time.Duration{
+		3 * time.Second:  turnstore.DefaultReleaseTime,
+		4 * time.Second:  turnstore.DefaultReleaseTime,
+		20 * time.Second: 5500 * time.Millisecond,
+	} {
+		p := &Process{}
+		got := p.turnStoreConfig(Config{Settings: settings.Settings{ContactWindow: contactWindow}})
+		assert.Equal(t, got.ReleaseTime, want, "contact window %v", contactWindow)
+	}
+}
--- a/internal/tier/simulation/roles.go
+++ b/internal/tier/simulation/roles.go
@@ -84,7 +84,7 @@
 	m := p.machine
 	s := m.settings
 	store, err := turnstore.Open(turnstore.Config{Node: s.Node, Dir: dataFolder, FS: v.seams.files(m.name, p.files()), Dial: p.dialTurnStore,
-		MemoryBytes: memoryBytes, Log: p.log})
+		MemoryBytes: memoryBytes, Log: p.log, ReleaseTime: turnstore.ReleaseTime(s.ContactWindow)})
 	if err != nil {
 		return err
 	}
--- a/internal/tier/turnstore/budget.go
+++ b/internal/tier/turnstore/budget.go
@@ -6,11 +6,21 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// DefaultReleaseTime is how long the release of a reservation may take to come through once its turn store is there again.
-// A gateway repeats a release until it is answered: one call lasts a quarter of the contact window at most, and the pause
-// after it a fortieth. That is 1.1 s for a contact window of 4 s.
+// DefaultReleaseTime is the release time for contact windows of up to 4 s.
 const DefaultReleaseTime = 1100 * time.Millisecond
 
+// A gateway repeats a release until it is answered.
+const (
+	callShare  = 4  // a call lasts this part of the contact window at most
+	pauseShare = 40 // the pause after it lasts this part at most
+)
+
+// ReleaseTime is how long the release of a reservation may take to come through once its turn store is there again: a call
+// of a gateway and the pause after it, and never less than DefaultReleaseTime.
+func ReleaseTime(contactWindow time.Duration) time.Duration {
+	return max(DefaultReleaseTime, contactWindow/callShare+contactWindow/pauseShare)
+}
+
 // budgetVerdict tells whether a budget bears the turn that is asked for; own is what its attempt is charged already:
 //   - OK: there is room, with every open reservation counted at its most.
 //   - BUSY: there is none now, and there would be some if the reservations that may be under release here were released.
