--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -52,12 +52,17 @@
 	lastReady atomic.Bool  // the readiness last answered
 	leaving   atomic.Bool
 	settling  sync.WaitGroup // settlements that go on behind their requests
+
+	life         context.Context // ends with Run
+	end          context.CancelFunc
+	lateReleases chan struct{} // semaphore of releases that go on beyond their usual time
 }
 
 // New makes a gateway that Run starts.
 func New(c Config) *Gateway {
 	gateway := &Gateway{config: c, log: c.Log, started: time.Now(), loadbalancer: loadbalancer.New(c.Settings.Zone),
-		freed: make(chan struct{}), releasing: map[string]map[chan struct{}]bool{}}
+		freed: make(chan struct{}), releasing: map[string]map[chan struct{}]bool{}, lateReleases: make(chan struct{}, maxLateReleases)}
+	gateway.life, gateway.end = context.WithCancel(context.Background())
 	gateway.stores = newStoreClient(c.Settings, c.TurnStore, c.Log)
 	gateway.pool = newPool(c.Settings)
 	gateway.texts = newTextCache(c.Settings.MemoryMB << 20 / 16)
@@ -151,6 +156,7 @@
 // Run serves until ctx ends, then leaves: it is not ready any more, goes on for as long as the platform may still send
 // clients, and ends what it has read.
 func (gateway *Gateway) Run(ctx context.Context) error {
+	defer gateway.end()
 	settings := gateway.config.Settings
 	sessions, stopSessions := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopSessions()
--- a/internal/tier/gateway/released_test.go
+++ b/internal/tier/gateway/released_test.go
@@ -2,18 +2,23 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
+	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/phuslu/log"
 	"gotest.tools/v3/assert"
 
+	"dockshift.example/dockshift/internal/tier/ingress"
 	"dockshift.example/dockshift/internal/tier/settings"
+	"dockshift.example/dockshift/internal/tier/tiertest"
 	"dockshift.example/dockshift/internal/tier/turnstore"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// slowVault settles when it is let.
+// slowTurnStore settles when it is let.
 type slowTurnStore struct {
 	tierv1.TurnStore
 	asked, let chan struct{}
@@ -72,3 +77,102 @@
 	}
 	assert.Equal(t, turnstore.ReleaseTime(4*time.Second), turnstore.DefaultReleaseTime)
 }
+
+// refusingTurnStore takes no settlement until it is let, and then tells what it took.
+type refusingTurnStore struct {
+	tierv1.TurnStore
+	lets  *atomic.Bool
+	taken chan *tierv1.SettleRequest
+	begin func() (*tierv1.BeginReply, error)
+}
+
+func (v refusingTurnStore) Settle(_ context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
+	if !v.lets.Load() {
+		return nil, errors.New("no answer")
+	}
+	v.taken <- req
+	return &tierv1.SettleReply{Verdict: tierv1.Verdict_OK}, nil
+}
+
+func (v refusingTurnStore) Begin(context.Context, *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
+	return v.begin()
+}
+
+// gatewayOf is a gateway whose only turn store is the one given.
+func gatewayOf(contactWindow time.Duration, turnStore tierv1.TurnStore) *Gateway {
+	k := New(Config{Settings: settings.Settings{ContactWindow: contactWindow, MemoryMB: 64}, Log: &log.Logger{Level: log.PanicLevel},
+		TurnStore: func(string) tierv1.TurnStore { return turnStore }})
+	k.stores.apply(&tierv1.PartitionMap{Version: 1, StoreNodes: []*tierv1.StoreNode{{Folder: "f", Address: "a"}},
+		Partitions: []*tierv1.Partition{{Epoch: 1, Primary: "f"}}})
+	return k
+}
+
+// A release that no turn store takes in its usual time goes on: else its reservation would leave no room in the budget for as
+// long as the program is known. Meanwhile a spent budget is not sure.
+func TestAReleaseGoesOnBeyondItsUsualTime(t *testing.T) {
+	v := refusingTurnStore{lets: &atomic.Bool{}, taken: make(chan *tierv1.SettleRequest, 1)}
+	k := gatewayOf(20*time.Millisecond, v)
+	t.Cleanup(k.end)
+	over := (&clientRequest{gateway: k, attempt: "t"}).releaseLater("p", 7)
+	tiertest.Until(t, "its usual time is over", func() bool { return len(k.lateReleases) > 0 || len(k.pending("p")) == 0 })
+	assert.Equal(t, len(k.pending("p")), 1, "it was given up")
+	v.lets.Store(true)
+	tiertest.Closed(t, "it is settled", over)
+	got := tiertest.Closed(t, "what is settled", v.taken)
+	assert.Assert(t, got.Attempt == "t" && got.Tokens == 7 && !got.Kept)
+	assert.Equal(t, len(k.pending("p")), 0)
+}
+
+// Releases beyond their usual time are bounded, and end with the gateway.
+func TestLateReleasesAreBounded(t *testing.T) {
+	v := refusingTurnStore{lets: &atomic.Bool{}}
+	k := gatewayOf(time.Millisecond, v)
+	var list []<-chan struct{}
+	for range maxLateReleases + 10 {
+		list = append(list, (&clientRequest{gateway: k, attempt: "t"}).releaseLater("p", 0))
+	}
+	tiertest.Until(t, "the usual time of all is over", func() bool { return len(k.pending("p")) == maxLateReleases })
+	assert.Equal(t, len(k.lateReleases), maxLateReleases)
+	k.end()
+	for _, over := range list {
+		tiertest.Closed(t, "it ends with the gateway", over)
+	}
+	assert.Equal(t, len(k.releasing), 0)
+}
+
+// Where a call for a turn had no clear answer, it may have reserved, whatever the next answer says: that is released.
+func TestATurnThatIsRefusedAfterAnUnclearAnswerIsReleased(t *testing.T) {
+	for _, verdict := range []tierv1.Verdict{tierv1.Verdict_SPENT, tierv1.Verdict_UNKNOWN} {
+		for name, unclear := range map[string]error{"no answer": errors.New("no answer"), "busy": nil} {
+			t.Run(fmt.Sprint(verdict, " after ", name), func(t *testing.T) {
+				v := refusingTurnStore{lets: &atomic.Bool{}, taken: make(chan *tierv1.SettleRequest, 1)}
+				v.lets.Store(true)
+				calls := 0
+				v.begin = func() (*tierv1.BeginReply, error) {
+					if calls++; calls == 1 {
+						return &tierv1.BeginReply{Verdict: tierv1.Verdict_BUSY}, unclear
+					}
+					return &tierv1.BeginReply{Verdict: verdict}, nil
+				}
+				k := gatewayOf(10*time.Second, v)
+				request := &clientRequest{gateway: k, attempt: "t", x: &ingress.Exchange{}}
+				begun := k.stores.beginAt(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t"})
+				assert.Equal(t, begun.verdict, verdict)
+				request.refuseTurn("p", begun)
+				assert.Equal(t, tiertest.Closed(t, "it is released", v.taken).Attempt, "t")
+			})
+		}
+	}
+}
+
+// A clear refusal has reserved nothing, and nothing is released.
+func TestATurnThatIsClearlyRefusedIsNotReleased(t *testing.T) {
+	for _, verdict := range []tierv1.Verdict{tierv1.Verdict_SPENT, tierv1.Verdict_UNKNOWN} {
+		v := refusingTurnStore{begin: func() (*tierv1.BeginReply, error) { return &tierv1.BeginReply{Verdict: verdict}, nil }}
+		k := gatewayOf(10*time.Second, v)
+		begun := k.stores.beginAt(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t"})
+		assert.Assert(t, begun.verdict == verdict && !begun.open)
+		(&clientRequest{gateway: k, attempt: "t", x: &ingress.Exchange{}}).refuseTurn("p", begun)
+		assert.Equal(t, len(k.pending("p")), 0)
+	}
+}
--- a/internal/tier/gateway/stream.go
+++ b/internal/tier/gateway/stream.go
@@ -140,7 +140,9 @@
 		request.x.Abort()
 		return
 	}
-	if p.turn != nil && !request.keepTurn(p.turn, instance, p.events*request.perEvent) {
+	tokens := p.events * request.perEvent
+	if p.turn != nil && !request.keepTurn(p.turn, instance, tokens) {
+		request.releaseLater(p.turn.program, tokens) // if it was kept all the same, that stands
 		request.x.Abort()
 		return
 	}
--- a/internal/tier/gateway/turn.go
+++ b/internal/tier/gateway/turn.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"maps"
-	"slices"
 	"strconv"
 	"time"
 
@@ -31,21 +29,21 @@
 	// A turn store that is lost is replaced well within half of the contact window. What is not sure by then is refused at once,
 	// while its client has time for another try.
 	ctx, cancel := context.WithTimeout(request.ctx, min(time.Until(request.until)*2/5, gateway.config.Settings.ContactWindow/2))
-	verdict, chain, after, sure := request.begin(ctx, begin)
+	begun := request.begin(ctx, begin)
 	cancel()
-	if verdict != tierv1.Verdict_OK {
-		request.refuseTurn(program, verdict, sure)
+	if begun.verdict != tierv1.Verdict_OK {
+		request.refuseTurn(program, begun)
 		return
 	}
-	if !after {
+	if !begun.after {
 		held = nil
 	} else {
 		request.home = held.instance
 	}
-	if n := len(chain); n > 0 {
-		request.home = chain[n-1].Instance
+	if n := len(begun.chain); n > 0 {
+		request.home = begun.chain[n-1].Instance
 	}
-	request.body = prompt(held, chain, x.Body)
+	request.body = prompt(held, begun.chain, x.Body)
 	request.stream(&kept{program: program, line: line, previous: begin.Previous, retention: begin.RetentionMs})
 }
 
@@ -66,12 +64,15 @@
 	return ""
 }
 
-// refuseTurn answers a turn that the turn store did not begin; sure as given by begin.
-func (request *clientRequest) refuseTurn(program string, verdict tierv1.Verdict, sure bool) {
+// refuseTurn answers a turn that the turn store did not begin.
+func (request *clientRequest) refuseTurn(program string, begun beginning) {
 	gateway := request.gateway
-	switch verdict {
+	if begun.open {
+		request.releaseLater(program, 0)
+	}
+	switch begun.verdict {
 	case tierv1.Verdict_SPENT:
-		if !sure { // nothing is reserved, and there may be room as soon as what is being released here is settled
+		if begun.unsure { // there may be room as soon as what is being released here is settled
 			gateway.refuse(request.x, gateway.stores.wait)
 			return
 		}
@@ -79,27 +80,30 @@
 	case tierv1.Verdict_UNKNOWN:
 		request.x.Respond(404, nil, []byte("no such turn\n"))
 	default:
-		request.releaseLater(program, 0) // it may have been taken
 		gateway.refuse(request.x, gateway.stores.wait)
 	}
 }
 
 // begin asks the turn store for a turn. Where the budget is spent while reservations of the program are being released
-// here, it waits for these and asks once more; sure is false where they were not settled in time.
-func (request *clientRequest) begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn, after, sure bool) {
+// here, it waits for these and asks once more; the verdict is unsure where they were not settled in time.
+func (request *clientRequest) begin(ctx context.Context, req *tierv1.BeginRequest) beginning {
 	gateway := request.gateway
+	open := false
 	for {
 		pending := gateway.pending(req.Program) // before the store is asked: one may be settled while its answer is on its way
-		verdict, chain, after = gateway.stores.begin(ctx, req)
-		if verdict != tierv1.Verdict_SPENT {
-			return verdict, chain, after, true
+		begun := gateway.stores.begin(ctx, req)
+		open = open || begun.open
+		begun.open = open
+		if begun.verdict != tierv1.Verdict_SPENT {
+			return begun
 		}
 		pending = append(pending, gateway.pending(req.Program)...)
 		if len(pending) == 0 {
-			return verdict, nil, false, true
+			return begun
 		}
 		if !released(ctx, pending) {
-			return verdict, nil, false, false
+			begun.unsure = true
+			return begun
 		}
 	}
 }
@@ -112,64 +116,6 @@
 	output                  []byte
 }
 
-// release ends a reservation before its client hears of it, so that its next try finds the room in its budget: tokens were
-// handed out of a turn that is not kept. It waits a little for the turn store, and goes on behind the request.
-func (request *clientRequest) release(program string, tokens uint64) {
-	timer := time.NewTimer(request.gateway.config.Settings.ContactWindow / 12)
-	defer timer.Stop()
-	select {
-	case <-request.releaseLater(program, tokens):
-	case <-timer.C:
-	}
-}
-
-// releaseLater releases a reservation behind the request: done is closed when it is settled, or when twice the contact
-// window has gone by.
-func (request *clientRequest) releaseLater(program string, tokens uint64) (done <-chan struct{}) {
-	gateway, over := request.gateway, make(chan struct{})
-	gateway.settling.Add(1)
-	gateway.mu.Lock()
-	if gateway.releasing[program] == nil {
-		gateway.releasing[program] = map[chan struct{}]bool{}
-	}
-	gateway.releasing[program][over] = true
-	gateway.mu.Unlock()
-	go func() {
-		defer gateway.settling.Done()
-		defer func() {
-			gateway.mu.Lock()
-			if delete(gateway.releasing[program], over); len(gateway.releasing[program]) == 0 {
-				delete(gateway.releasing, program)
-			}
-			gateway.mu.Unlock()
-			close(over)
-		}()
-		ctx, cancel := context.WithTimeout(context.Background(), gateway.config.Settings.ContactWindow*2)
-		defer cancel()
-		gateway.stores.settle(ctx, &tierv1.SettleRequest{Program: program, Attempt: request.attempt, Tokens: tokens})
-	}()
-	return over
-}
-
-// pending are the reservations of a program that are being released here; each is closed when it is settled.
-func (gateway *Gateway) pending(program string) []chan struct{} {
-	gateway.mu.Lock()
-	defer gateway.mu.Unlock()
-	return slices.Collect(maps.Keys(gateway.releasing[program]))
-}
-
-// released waits until all are settled, and reports whether there was one and it is: the room that they held is free then.
-func released(ctx context.Context, pending []chan struct{}) bool {
-	for _, over := range pending {
-		select {
-		case <-over:
-		case <-ctx.Done():
-			return false
-		}
-	}
-	return len(pending) > 0
-}
-
 // keep makes a whole turn durable.
 func (request *clientRequest) keep(t *kept, tokens uint64) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), request.until)
--- a/internal/tier/gateway/turnclient.go
+++ b/internal/tier/gateway/turnclient.go
@@ -25,8 +25,8 @@
 
 // Begin asks for a turn, as a request that came from a client does. The verdict is OK, SPENT or UNKNOWN for sure, or BUSY.
 func (client *TurnClient) Begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn) {
-	verdict, chain, _ = client.stores.begin(ctx, req)
-	return verdict, chain
+	begun := client.stores.begin(ctx, req)
+	return begun.verdict, begun.chain
 }
 
 // Settle ends a reservation, and reports whether that is durable.
--- a/internal/tier/gateway/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -119,40 +119,57 @@
 	}
 }
 
-// begin asks for a turn. The verdict is OK with the turn's chain, SPENT, UNKNOWN for sure, or BUSY where nothing is sure
-// in time. With after the chain is only what follows the turn that the caller holds.
-func (client *storeClient) begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn, after bool) {
-	verdict = tierv1.Verdict_BUSY
-	client.each(ctx, req.Program, func(ctx context.Context, store tierv1.TurnStore, partition uint32) bool {
-		req.Partition = partition
-		reply, err := store.Begin(ctx, req)
-		if err != nil {
-			return false
-		}
-		switch reply.Verdict {
-		case tierv1.Verdict_OK, tierv1.Verdict_SPENT, tierv1.Verdict_UNKNOWN:
-			verdict, chain, after = reply.Verdict, reply.Chain, reply.AfterHeld
-			return true
-		}
-		return false
-	})
-	if verdict != tierv1.Verdict_UNKNOWN || len(req.Adopt) > 0 {
-		return verdict, chain, after
+// beginning is what became of a question for a turn.
+type beginning struct {
+	verdict tierv1.Verdict // OK with the chain, SPENT, UNKNOWN for sure, or BUSY where nothing is sure in time
+	chain   []*tierv1.Turn
+	after   bool // the chain is only what follows the turn that the caller holds
+	open    bool // the turn may be reserved though the verdict is not OK: a call had no clear answer
+	unsure  bool // SPENT, while what is being released here is not settled
+}
+
+// begin asks for a turn.
+func (client *storeClient) begin(ctx context.Context, req *tierv1.BeginRequest) beginning {
+	begun := client.beginAt(ctx, req)
+	if begun.verdict != tierv1.Verdict_UNKNOWN || len(req.Adopt) > 0 {
+		return begun
 	}
 	// The program goes on from a turn of another one, which may lie in any partition.
 	found, certain := client.find(ctx, req.Previous)
-	switch {
-	case len(found) > 0:
-		req.Adopt, req.ChainHeld = found, true
-		verdict, _, _ = client.begin(ctx, req)
-		if verdict == tierv1.Verdict_UNKNOWN {
-			verdict = tierv1.Verdict_BUSY
+	if len(found) == 0 {
+		if !certain {
+			begun.verdict, begun.open = tierv1.Verdict_BUSY, true
 		}
-		return verdict, found, false
-	case certain:
-		return tierv1.Verdict_UNKNOWN, nil, false
+		return begun
 	}
-	return tierv1.Verdict_BUSY, nil, false
+	req.Adopt, req.ChainHeld = found, true
+	adopted := client.beginAt(ctx, req)
+	adopted.chain, adopted.after = found, false
+	adopted.open = adopted.open || begun.open
+	if adopted.verdict == tierv1.Verdict_UNKNOWN {
+		adopted.verdict, adopted.open = tierv1.Verdict_BUSY, true
+	}
+	return adopted
+}
+
+// beginAt asks the program's primary for a turn, until its answer is clear or ctx ends.
+func (client *storeClient) beginAt(ctx context.Context, req *tierv1.BeginRequest) beginning {
+	begun := beginning{verdict: tierv1.Verdict_BUSY}
+	answered := client.each(ctx, req.Program, func(ctx context.Context, store tierv1.TurnStore, partition uint32) bool {
+		req.Partition = partition
+		reply, err := store.Begin(ctx, req)
+		if err == nil {
+			switch reply.Verdict {
+			case tierv1.Verdict_OK, tierv1.Verdict_SPENT, tierv1.Verdict_UNKNOWN:
+				begun.verdict, begun.chain, begun.after = reply.Verdict, reply.Chain, reply.AfterHeld
+				return true
+			}
+		}
+		begun.open = true
+		return false
+	})
+	begun.open = begun.open || !answered
+	return begun
 }
 
 // find asks all turn stores for a turn. certain: none has it, and each partition's primary has said so.
@@ -213,9 +230,20 @@
 
 // settle ends a reservation, and reports whether that is durable.
 func (client *storeClient) settle(ctx context.Context, req *tierv1.SettleRequest) bool {
-	return client.each(ctx, req.Program, func(ctx context.Context, store tierv1.TurnStore, partition uint32) bool {
+	return client.each(ctx, req.Program, settlement(req))
+}
+
+// settleOnce makes one call of it.
+func (client *storeClient) settleOnce(ctx context.Context, req *tierv1.SettleRequest) bool {
+	partition, address, changed := client.primary(req.Program)
+	return address != "" && client.once(ctx, req.Program, address, partition, changed, settlement(req))
+}
+
+// settlement is the call that ends a reservation.
+func settlement(req *tierv1.SettleRequest) storeCall {
+	return func(ctx context.Context, store tierv1.TurnStore, partition uint32) bool {
 		req.Partition = partition
 		reply, err := store.Settle(ctx, req)
 		return err == nil && reply.Verdict == tierv1.Verdict_OK
-	})
+	}
 }
