--- a/internal/tier/gateway/rig_test.go
+++ b/internal/tier/gateway/rig_test.go
@@ -64,7 +64,8 @@
 	}()
 	t.Cleanup(func() {
 		cancel()
-		for range r.done {
+		for err := range r.done {
+			t.Log("the gateway ended:", err) // seen where the test failed
 		}
 	})
 	return r
--- a/internal/tier/ingress/body.go
+++ b/internal/tier/ingress/body.go
@@ -9,7 +9,7 @@
 // readRequest reads a whole request. It returns the status of a refusal, or the error of the connection.
 func (conn *conn) readRequest(exchange *Exchange) (status int, err error) {
 	exchange.Arrived = conn.readAt
-	head, status, err := conn.readHead(exchange.Arrived)
+	head, status, err := conn.readHead()
 	if status != 0 || err != nil {
 		return status, err
 	}
@@ -37,8 +37,9 @@
 	return 0, nil
 }
 
-// readHead reads a head up to and with the empty line that ends it. It has one time-out, which counts from arrived.
-func (conn *conn) readHead(arrived time.Time) (head string, status int, err error) {
+// readHead reads a head up to and with the empty line that ends it. It has one time-out, which counts from the first wait for
+// more of it: its first bytes may have come, behind a request, long before they are looked at.
+func (conn *conn) readHead() (head string, status int, err error) {
 	conn.due, conn.earned = time.Time{}, 0
 	from, line, end, blank := 0, 0, 0, false
 	for {
@@ -62,7 +63,7 @@
 			from, line = 0, 0
 		}
 		if conn.due.IsZero() {
-			conn.due = arrived.Add(conn.limits.HeaderTimeout)
+			conn.due = time.Now().Add(conn.limits.HeaderTimeout)
 			conn.socket.SetReadDeadline(conn.due)
 		}
 		conn.earned = 0 // what comes of a head earns no new time-out
--- a/internal/tier/ingress/server_test.go
+++ b/internal/tier/ingress/server_test.go
@@ -369,6 +369,31 @@
 	conn.over()
 }
 
+// The time-out of a head does not run while the request before it is answered, though a part of it has come with that.
+func TestTheTimeOfAHeadBeginsWhenItIsItsTurn(t *testing.T) {
+	limits := testLimits
+	limits.HeaderTimeout = 100 * time.Millisecond
+	begun, further := make(chan struct{}), make(chan struct{})
+	addr := start(t, &Server{Limits: func() Limits { return limits }, Handler: func(x *Exchange) {
+		if x.Path == "/held" {
+			close(begun)
+			<-further
+			until(t, "the time-out", func() bool { return time.Since(x.Arrived) > limits.HeaderTimeout })
+		}
+		echo(x)
+	}})
+	conn := dial(t, addr)
+	conn.send("GET /held HTTP/1.1\r\nHost: a\r\n\r\n" + get[:9])
+	<-begun
+	conn.send(get[9:])
+	close(further)
+	_, body := conn.answer()
+	assert.Equal(t, body, "GET /held ")
+	a, body := conn.answer()
+	assert.Equal(t, a.StatusCode, 200)
+	assert.Equal(t, body, "GET /a ")
+}
+
 func TestLimitsAreAskedForEachRequest(t *testing.T) {
 	var body atomic.Int64
 	body.Store(3)
