--- a/internal/tier/ingress/server_test.go
+++ b/internal/tier/ingress/server_test.go
@@ -125,6 +125,19 @@
 	conn.over()
 }
 
+// Trailers are no fields: neither the id nor the framing of a request is theirs to say.
+func TestTrailersAreNoFields(t *testing.T) {
+	conn := dial(t, start(t, &Server{Handler: echo}))
+	for range 2 {
+		conn.send("POST /d HTTP/1.1\r\nHost: a\r\nX-Attempt-Id: 7\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n" +
+			"X-Attempt-Id: 8\r\nContent-Length: 5\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n")
+		a, body := conn.answer()
+		assert.Equal(t, a.Header.Get("X-Attempt-Id"), "7")
+		assert.Equal(t, body, "POST /d abc")
+		assert.Assert(t, !a.Close)
+	}
+}
+
 func TestRequestByteByByte(t *testing.T) {
 	addr := start(t, &Server{Handler: echo})
 	conn := dial(t, addr)
--- a/internal/tier/tiertest/wire.go
+++ b/internal/tier/tiertest/wire.go
@@ -29,6 +29,12 @@
 // Say writes bytes as they are.
 func (a *Arrival) Say(text string) { io.WriteString(a.conn, text) }
 
+// Said writes bytes as they are, and reports whether the connection took them.
+func (a *Arrival) Said(text string) bool {
+	_, err := io.WriteString(a.conn, text)
+	return err == nil
+}
+
 // Reset ends the connection with a reset.
 func (a *Arrival) Reset() {
 	a.conn.SetLinger(0)
--- /dev/null
+++ b/internal/tier/upstream/attack_test.go
@@ -0,0 +1,131 @@
+package upstream
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// What stands in trailers says nothing of the answer: neither whose it is nor that the request has not run.
+func TestTrailersSayNothing(t *testing.T) {
+	const trailers = "0\r\nX-Not-Executed: 1\r\nX-Attempt-Id: b\r\nContent-Length: 9\r\n\r\n"
+	for _, tc := range []struct {
+		status string
+		want   Verdict
+	}{
+		{"200 OK", Verdict{Ran: Yes, Reply: PassOn, Reuse: KeepConnection}},
+		{"503 Full", Verdict{Ran: Unknown, Reply: BadGateway, Again: true, Reuse: KeepConnection}},
+	} {
+		target := answering(t, "HTTP/1.1 "+tc.status+"\r\nX-Attempt-Id: a\r\nX-Response-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n"+
+			chunk("ok")+trailers)
+		r := call(t, pool(t), target, "a")
+		assert.Equal(t, r.End, Whole, "%v", r.Err)
+		assert.Equal(t, string(r.Body), "ok")
+		assert.Equal(t, r.Verdict(false), tc.want)
+	}
+}
+
+// An answer to HEAD has no body, whatever length it announces, and its connection goes on.
+func TestAnswersToHEADHaveNoBody(t *testing.T) {
+	target := endpoint(t, func(_ int, l *line) {
+		for q, _ := l.read(); q != nil; q, _ = l.read() {
+			text := sound(q.Header.Get("X-Attempt-Id"), "body")
+			if q.Method == "HEAD" {
+				text = strings.TrimSuffix(text, "body")
+			}
+			l.say(text)
+		}
+	})
+	p := pool(t)
+	for i, method := range []string{"HEAD", "GET", "HEAD", "HEAD", "GET"} {
+		q := &Request{Method: method, Target: "/a", Host: "h.example", AttemptID: fmt.Sprint(i), Priority: -1}
+		r := p.Call(t.Context(), target, q, long)
+		assert.Equal(t, r.End, Whole, "%v", r.Err)
+		assert.Equal(t, len(r.Body) > 0, method == "GET")
+		assert.Equal(t, r.Opened, i == 0)
+	}
+}
+
+// A late second answer to HEAD announces a body that doesn't come. Whatever length that is, nothing of it is taken for the
+// answer that follows, and the request behind is not taken for one that has not run.
+func TestALateSecondAnswerToHEAD(t *testing.T) {
+	own := sound("b", "of b")
+	for announced := range len(own) + 2 {
+		target := endpoint(t, func(_ int, l *line) {
+			head := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nX-Response-Signature: s\r\nContent-Length: %d\r\n\r\n", announced)
+			l.read()
+			l.say(head)
+			l.read()
+			l.say(head + own)
+		})
+		p := pool(t)
+		head := &Request{Method: "HEAD", Target: "/a", Host: "h.example", AttemptID: "a", Priority: -1}
+		assert.Equal(t, p.Call(t.Context(), target, head, long).End, Whole)
+		r := call(t, p, target, "b")
+		assert.Assert(t, !r.Opened)
+		if r.End == Whole {
+			assert.Equal(t, string(r.Body), "of b")
+		} else {
+			assert.Equal(t, r.Verdict(false).Reply, BadGateway)
+			assert.Equal(t, r.Verdict(false).Once, false)
+		}
+		_, idle := p.Open(target)
+		assert.Equal(t, idle, 0)
+	}
+}
+
+// An extra answer that is split over reads, its parts before and behind the request it comes in the place of, is found by its
+// id or by its connection.
+func TestAnExtraAnswerSplitAtEachByte(t *testing.T) {
+	extra := sound("a", "extra")
+	for split := range len(extra) {
+		further := make(chan struct{})
+		target := endpoint(t, func(_ int, l *line) {
+			due := false // the rest of the extra answer, on the connection of the first request
+			for q, _ := l.read(); q != nil; q, _ = l.read() {
+				id := q.Header.Get("X-Attempt-Id")
+				if due {
+					l.say(extra[split:])
+					due = false
+				}
+				l.say(sound(id, "of "+id))
+				if id == "a" {
+					<-further
+					l.say(extra[:split])
+					due = true
+				}
+			}
+		})
+		p := pool(t)
+		assert.Equal(t, string(call(t, p, target, "a").Body), "of a")
+		close(further)
+		for _, id := range []string{"b", "c"} {
+			r := call(t, p, target, id)
+			assert.Equal(t, r.End, Whole, "split at %d: %v", split, r.Err)
+			assert.Equal(t, string(r.Body), "of "+id, "split at %d", split)
+		}
+	}
+}
+
+// What an endpoint is told is what is left when the head is made, never more.
+func TestTheDeadlineOfALaterSend(t *testing.T) {
+	began := time.Now()
+	q := post("a", "")
+	q.Header = []Field{{"X-Deadline-Ms", "60000"}} // the client's own
+	q.Deadline = began.Add(2 * time.Second)
+	for after, want := range map[time.Duration]int{
+		0:                          2000,
+		500 * time.Millisecond:     1500,
+		1999500 * time.Microsecond: 1, // of a part of a millisecond
+		1234567 * time.Microsecond: 765,
+		5 * time.Second:            1,
+	} {
+		head := string(q.appendHead(nil, Target{}, 0, began.Add(after)))
+		assert.Equal(t, strings.Count(head, "X-Deadline-Ms: "), 1)
+		assert.Assert(t, strings.Contains(head, "X-Deadline-Ms: "+strconv.Itoa(want)+"\r\n"), "after %v: %s", after, head)
+	}
+}
