--- a/internal/tier/tiertest/tiertest.go
+++ b/internal/tier/tiertest/tiertest.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
+	"net"
 	"runtime"
 	"testing"
 	"time"
@@ -21,14 +22,39 @@
 // Silent is a log that nobody reads.
 func Silent() *log.Logger { return &log.Logger{Writer: log.IOWriter{Writer: io.Discard}} }
 
+const (
+	frontendPort  = ":8080"
+	readinessPort = ":8081"
+)
+
 // Settings are those of a process on a loopback address that nobody else has.
 func Settings(node string) settings.Settings {
-	ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.N(254), rand.N(256), 1+rand.N(254))
-	return settings.Settings{Node: node, IP: ip, Zone: "z-1", Region: "r-1", Frontend: ip + ":8080", Readiness: ip + ":8081", PortFirst: 9000,
+	ip := freeAddress()
+	return settings.Settings{Node: node, IP: ip, Zone: "z-1", Region: "r-1", Frontend: ip + frontendPort, Readiness: ip + readinessPort, PortFirst: 9000,
 		PortLast: 9010, Seeds: []string{"control-1:80"}, Descriptors: 1000, MemoryMB: 256, ContactWindow: 4 * time.Second,
 		Grace: 200 * time.Millisecond}
 }
 
+// freeAddress is a loopback address on whose ports nobody listens. The readiness port of a gateway is held until its test's
+// process ends, so that thousands of addresses are taken where many copies of the tests run at once.
+func freeAddress() string {
+	for {
+		ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.N(254), rand.N(256), 1+rand.N(254))
+		if free(ip+frontendPort) && free(ip+readinessPort) {
+			return ip
+		}
+	}
+}
+
+// free tells whether nobody listens on an address.
+func free(address string) bool {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return false
+	}
+	return listener.Close() == nil
+}
+
 // Until waits for a condition that nothing announces.
 func Until(t testing.TB, what string, met func() bool) {
 	t.Helper()
