--- a/internal/tier/gateway/release.go
+++ b/internal/tier/gateway/release.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	longestReleaseWait = 250 * time.Millisecond // that a client's answer waits for a release: it is due by the route's time-out
+	longestReleaseWait = 200 * time.Millisecond // that an answer waits for a release: beyond its route's time-out 250 ms cost, 500 ms break a rule
 	lateReleaseTime    = 2 * time.Minute        // a turn store forgets a program by then, if nothing else is heard of it
 	maxLateReleases    = 128                    // releases at once that go on beyond their usual time
 )
