--- a/internal/tier/controlplane/model_planted_test.go
+++ b/internal/tier/controlplane/model_planted_test.go
@@ -7,6 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"dockshift.example/dockshift/internal/tier/tiertest/observer"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
@@ -106,7 +107,7 @@
 			}
 			t.Run(play.name+"/"+fault.name, func(t *testing.T) {
 				for seed := range uint64(plantedSeeds) {
-					failure := observe(func(r reporter) { play.run(r, fault.plant, seed) })
+					failure := observer.Observe(func(r reporter) { play.run(r, fault.plant, seed) })
 					if failure == "" {
 						continue
 					}
--- a/internal/tier/turnstore/planted_test.go
+++ b/internal/tier/turnstore/planted_test.go
@@ -12,6 +12,7 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
+	"dockshift.example/dockshift/internal/tier/tiertest/observer"
 	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
@@ -316,7 +317,7 @@
 			t.Parallel()
 			for seed := range uint64(plantedSeeds) {
 				play := drawPlay(seed)
-				failure := observe(func(r reporter) { play.run(r, fault.make(seed)) })
+				failure := observer.Observe(func(r reporter) { play.run(r, fault.make(seed)) })
 				if failure == "" {
 					continue
 				}
@@ -338,6 +339,6 @@
 func TestPlaysWithoutAFault(t *testing.T) {
 	for seed := range uint64(soundSeeds) {
 		play := drawPlay(seed)
-		assert.Equal(t, observe(func(r reporter) { play.run(r, plant{}) }), "", "seed %d, %s", seed, play.name)
+		assert.Equal(t, observer.Observe(func(r reporter) { play.run(r, plant{}) }), "", "seed %d, %s", seed, play.name)
 	}
 }
