--- a/internal/tier/gateway/gone_test.go
+++ b/internal/tier/gateway/gone_test.go
@@ -168,15 +168,7 @@
 		}
 		talk(a)
 	})
-	first, second := bare(t), bare(t)
-	second.turnStores = first.turnStores
-	where := first.turnStores.Assign([2]int{0, 1})
-	for _, r := range []*rig{first, second} {
-		r.consensus.SetConfiguration(configurationOf(1, ""))
-		r.list(e)
-		r.consensus.SetPartitionMap(where)
-		r.consensus.Taken(t)
-	}
+	first, second := startTwo(t, e)
 	ends := settled(first.turnStores.List[0])
 	text := func(id string, most int) string {
 		return turn(id, "", "p", fmt.Sprintf("Budget: 20\r\nX-Token-Usage: 9,%d\r\n", most), "in")
@@ -206,15 +198,7 @@
 		}
 		talk(a)
 	})
-	first, second := bare(t), bare(t)
-	second.turnStores = first.turnStores
-	where := first.turnStores.Assign([2]int{0, 1})
-	for _, r := range []*rig{first, second} {
-		r.consensus.SetConfiguration(configurationOf(1, ""))
-		r.list(e)
-		r.consensus.SetPartitionMap(where)
-		r.consensus.Taken(t)
-	}
+	first, second := startTwo(t, e)
 	first.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		if _, ok := m.Request.(*tierv1.SettleRequest); ok { // it is away from then on
 			<-m.Ctx.Done()
@@ -226,7 +210,7 @@
 		return turn(id, "", "p", fmt.Sprintf("X-Deadline-Ms: 2000\r\nBudget: 20\r\nX-Token-Usage: 9,%d\r\n", most), "in")
 	}
 	promise(t, first.do(text("t-1", 20)))
-	where = first.turnStores.Assign([2]int{1, 2})
+	where := first.turnStores.Assign([2]int{1, 2})
 	second.consensus.SetPartitionMap(where)
 	promise(t, second.do(text("t-2", 20)))
 	assert.Equal(t, second.do(text("t-3", 21)).Status, 402) // there will be no room for it
--- a/internal/tier/gateway/metrics_test.go
+++ b/internal/tier/gateway/metrics_test.go
@@ -38,10 +38,7 @@
 	r := bare(t)
 	holds(t, r.scrape(), "saffronyard_gateway_ready 0", "saffronyard_configuration_revision 0", "saffronyard_gateway_calls 0")
 	assert.Equal(t, r.ready(), 503)
-	r.consensus.SetConfiguration(configurationOf(1, ""))
-	r.list(e)
-	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
-	r.consensus.Taken(t)
+	r.configure(r.turnStores.Assign([2]int{0, 1}), e)
 	answer := make(chan tiertest.Reply, 1)
 	go func() { answer <- r.post("/plain/x", "a-1", "", "b") }()
 	<-begun
--- a/internal/tier/gateway/ready_test.go
+++ b/internal/tier/gateway/ready_test.go
@@ -45,10 +45,7 @@
 // A gateway that reaches neither the control plane nor a turn store is not ready, until the control plane answers again.
 func TestNotReadyWhileCutOff(t *testing.T) {
 	r := bare(t, func(s *settings.Settings) { s.ContactWindow = 200 * time.Millisecond })
-	r.consensus.SetConfiguration(configurationOf(1, ""))
-	r.list()
-	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
-	r.consensus.Taken(t)
+	r.configure(r.turnStores.Assign([2]int{0, 1}))
 	assert.Equal(t, r.ready(), 200)
 	r.consensus.SetVia(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		<-ctx.Done()
@@ -67,10 +64,7 @@
 	begun, further := make(chan struct{}), make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", pausedStream(begun, further))
 	r := bare(t, func(s *settings.Settings) { s.Grace = 10 * time.Second })
-	r.consensus.SetConfiguration(configurationOf(1, ""))
-	r.list(e)
-	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
-	r.consensus.Taken(t)
+	r.configure(r.turnStores.Assign([2]int{0, 1}), e)
 	assert.Equal(t, r.ready(), 200)
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(turn("t-1", "", "p", "", "in"))
@@ -99,10 +93,7 @@
 		a.Reset()
 	})
 	r := bare(t, func(s *settings.Settings) { s.Grace = 10 * time.Second })
-	r.consensus.SetConfiguration(configurationOf(1, ""))
-	r.list(e)
-	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
-	r.consensus.Taken(t)
+	r.configure(r.turnStores.Assign([2]int{0, 1}), e)
 	ends := make(chan *tierv1.SettleRequest, 100)
 	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		q, ok := m.Request.(*tierv1.SettleRequest)
--- a/internal/tier/gateway/rig_test.go
+++ b/internal/tier/gateway/rig_test.go
@@ -76,13 +76,31 @@
 func start(t *testing.T, endpoints ...*tiertest.Endpoint) *rig {
 	t.Helper()
 	r := bare(t)
+	r.configure(r.turnStores.Assign([2]int{0, 1}), endpoints...)
+	return r
+}
+
+// startTwo starts two gateways of the same turn stores, configured as by start.
+func startTwo(t *testing.T, endpoints ...*tiertest.Endpoint) (first, second *rig) {
+	t.Helper()
+	first, second = bare(t), bare(t)
+	second.turnStores = first.turnStores
+	partitionMap := first.turnStores.Assign([2]int{0, 1})
+	first.configure(partitionMap, endpoints...)
+	second.configure(partitionMap, endpoints...)
+	return first, second
+}
+
+// configure gives the gateway a configuration, these endpoints and a partition map, and returns when it has taken them.
+func (r *rig) configure(partitionMap *tierv1.PartitionMap, endpoints ...*tiertest.Endpoint) {
+	r.t.Helper()
 	r.consensus.SetConfiguration(configurationOf(1, ""))
 	r.list(endpoints...)
-	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
-	r.consensus.Taken(t)
-	return r
+	r.consensus.SetPartitionMap(partitionMap)
+	r.consensus.Taken(r.t)
 }
 
+// list has the control plane list these endpoints, and no others.
 func (r *rig) list(endpoints ...*tiertest.Endpoint) {
 	var list []*tierv1.Endpoint
 	for _, e := range endpoints {
--- a/internal/tier/gateway/turn_test.go
+++ b/internal/tier/gateway/turn_test.go
@@ -222,10 +222,7 @@
 func TestATurnOfAnotherProgram(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := bare(t)
-	r.consensus.SetConfiguration(configurationOf(1, ""))
-	r.list(e)
-	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}, [2]int{1, 2}, [2]int{2, 0}))
-	r.consensus.Taken(t)
+	r.configure(r.turnStores.Assign([2]int{0, 1}, [2]int{1, 2}, [2]int{2, 0}), e)
 	assert.Equal(t, r.do(turn("t-1", "", "p", "", "in 1;")).Status, 200)
 	assert.Equal(t, r.do(turn("t-2", "t-1", "p", "", "in 2;")).Status, 200)
 	chain := "in 1;" + output("t-1") + "in 2;" + output("t-2")
@@ -241,10 +238,7 @@
 func TestNoSuchTurnOnlyWhereAllAreCertain(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := bare(t)
-	r.consensus.SetConfiguration(configurationOf(1, ""))
-	r.list(e)
-	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}, [2]int{1, 0}, [2]int{2, 0}))
-	r.consensus.Taken(t)
+	r.configure(r.turnStores.Assign([2]int{0, 1}, [2]int{1, 0}, [2]int{2, 0}), e)
 	ask := func(program string) tiertest.Reply {
 		return r.do(turn("t-"+program, "t-none", program, "X-Deadline-Ms: 900\r\n", "in"))
 	}
