--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -12,6 +12,7 @@
 	"dockshift.example/dockshift/internal/tier/ingress"
 	"dockshift.example/dockshift/internal/tier/loadbalancer"
 	"dockshift.example/dockshift/internal/tier/routing"
+	"dockshift.example/dockshift/internal/tier/rpcserver"
 	"dockshift.example/dockshift/internal/tier/session"
 	"dockshift.example/dockshift/internal/tier/settings"
 	"dockshift.example/dockshift/internal/tier/upstream"
@@ -168,7 +169,7 @@
 		address string
 		server  *ingress.Server
 	}{{settings.Readiness, probe}, {settings.Frontend, server}} {
-		l, err := listen(ctx, one.address)
+		l, err := rpcserver.Listen(ctx, net.ListenConfig{}, one.address, anyError)
 		if err != nil {
 			return err
 		}
@@ -183,6 +184,9 @@
 	return gateway.leave(sessions, server)
 }
 
+// anyError has the gateway retry to listen whatever the error is.
+func anyError(error) bool { return true }
+
 // leave ends the gateway in order. ctx is that of its sessions: they stand until the last answer has been given.
 func (gateway *Gateway) leave(ctx context.Context, server *ingress.Server) error {
 	settings := gateway.config.Settings
@@ -206,18 +210,6 @@
 	return err
 }
 
-// listen waits a little for a port that a former process may still hold.
-func listen(ctx context.Context, address string) (net.Listener, error) {
-	var config net.ListenConfig
-	for until := time.Now().Add(5 * time.Second); ; {
-		l, err := config.Listen(ctx, "tcp", address)
-		if err == nil || ctx.Err() != nil || time.Now().After(until) {
-			return l, err
-		}
-		time.Sleep(50 * time.Millisecond)
-	}
-}
-
 // readiness answers the platform: 200 while the gateway is ready, else 503.
 func (gateway *Gateway) readiness(x *ingress.Exchange) {
 	ready := gateway.ready()
--- a/internal/tier/rpcserver/rpcserver.go
+++ b/internal/tier/rpcserver/rpcserver.go
@@ -1,5 +1,5 @@
-// Package rpcserver is how the tier's own processes reach each other: HTTP/1.1 over TCP, tuned for a network in which a
-// machine without power says nothing.
+// Package rpcserver has the client and the server of the calls between the tier's own processes: HTTP/1.1 over TCP, with
+// time-outs for a network in which a machine that has lost power sends nothing, not even a reset.
 package rpcserver
 
 import (
@@ -21,33 +21,34 @@
 )
 
 const (
-	dialTimeout = 400 * time.Millisecond // of one try: an opening packet that was dropped is sent again only after seconds
-	dialTries   = 2
-	silence     = time.Second // a peer that acknowledges nothing for so long is gone (TCP_USER_TIMEOUT)
-	idlePerHost = 16
-	idleClient  = 30 * time.Second
-	idleServer  = 3 * idleClient // so that it is the client that closes, never under a request
-	headerTime  = 5 * time.Second
-	maxHeader   = 16 << 10 // bytes
-	bindTime    = 5 * time.Second
-	bindPause   = 100 * time.Millisecond
+	dialTimeout       = 400 * time.Millisecond // of one attempt: a dropped SYN is retransmitted only after seconds
+	dialAttempts      = 2
+	peerTimeout       = time.Second // a peer that acknowledges nothing for so long is gone (TCP_USER_TIMEOUT)
+	maxIdlePerHost    = 16          // connections
+	clientIdleTimeout = 30 * time.Second
+	serverIdleTimeout = 3 * clientIdleTimeout // so that it is the client that closes, never under a request
+	headerTimeout     = 5 * time.Second
+	maxHeaderBytes    = 16 << 10
+	listenTimeout     = 5 * time.Second // of all attempts to listen
+	listenPause       = 100 * time.Millisecond
 )
 
 var (
 	space = errorx.NewNamespace("rpcserver")
-	// Bind is the type of errors of an address that can't be listened at.
+	// Bind is the type of the errors of Listen and Serve: the address can't be listened at.
 	Bind = space.NewType("bind")
 
-	keepAlive = net.KeepAliveConfig{Enable: true, Idle: silence, Interval: silence, Count: 2}
+	keepAlive = net.KeepAliveConfig{Enable: true, Idle: peerTimeout, Interval: peerTimeout, Count: 2}
 )
 
-// NewClient gives a client for calls between the tier's processes. It sets no time-out for a call: the context does.
+// NewClient returns a client for calls between the tier's processes. It follows no redirects, uses no proxy, and sets no
+// time-out for a call: the context does.
 func NewClient() *http.Client {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: keepAlive,
-		Control: func(_, _ string, c syscall.RawConn) error {
-			setUserTimeout(c)
+		Control: func(_, _ string, conn syscall.RawConn) error {
+			setUserTimeout(conn)
 			return nil
 		},
 	}
@@ -56,8 +57,8 @@
 			DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 				return dial(ctx, network, addr, dialer.DialContext)
 			},
-			MaxIdleConnsPerHost: idlePerHost,
-			IdleConnTimeout:     idleClient,
+			MaxIdleConnsPerHost: maxIdlePerHost,
+			IdleConnTimeout:     clientIdleTimeout,
 			DisableCompression:  true,
 			TLSNextProto:        map[string]func(string, *tls.Conn) http.RoundTripper{}, // no HTTP/2
 		},
@@ -65,39 +66,41 @@
 	}
 }
 
-// dial tries again where a try ran out of time while the context has not.
+// dial connects by once, and retries where an attempt timed out while the context has not.
 func dial(ctx context.Context, network, addr string,
 	once func(context.Context, string, string) (net.Conn, error)) (conn net.Conn, err error) {
-	for range dialTries {
+	for range dialAttempts {
 		conn, err = once(ctx, network, addr)
-		var e net.Error
-		if err == nil || ctx.Err() != nil || !errors.As(err, &e) || !e.Timeout() {
+		var netError net.Error
+		if err == nil || ctx.Err() != nil || !errors.As(err, &netError) || !netError.Timeout() {
 			return conn, err
 		}
 	}
 	return nil, err
 }
 
-// setUserTimeout bounds how long a peer may acknowledge nothing. Where the system knows no such option, probes must do.
-func setUserTimeout(c syscall.RawConn) {
-	_ = c.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence/time.Millisecond))
+// setUserTimeout bounds how long a peer may acknowledge nothing. Where the system has no such option, keep-alive probes
+// alone detect a peer that is gone.
+func setUserTimeout(conn syscall.RawConn) {
+	_ = conn.Control(func(fd uintptr) {
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(peerTimeout/time.Millisecond))
 	})
 }
 
-// Serve listens at addr, trying for some seconds while the port is still in use, and serves h until ctx ends, when
-// listener and connections are closed. The server returned is listening, and its Addr is the address bound.
-func Serve(ctx context.Context, addr string, h http.Handler) (*http.Server, error) {
-	listener, err := listen(ctx, addr)
+// Serve listens at addr, as Listen does, and serves handler until ctx ends, when listener and connections are closed. The
+// server returned is listening, and its Addr is the address bound. While another process still has the port, Serve retries;
+// other errors, all of type Bind, are returned at once.
+func Serve(ctx context.Context, addr string, handler http.Handler) (*http.Server, error) {
+	listener, err := Listen(ctx, net.ListenConfig{KeepAliveConfig: keepAlive}, addr, portInUse)
 	if err != nil {
 		return nil, err
 	}
 	server := &http.Server{
 		Addr:              listener.Addr().String(),
-		Handler:           h,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       idleServer,
-		MaxHeaderBytes:    maxHeader,
+		Handler:           handler,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       serverIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          stdlog.New(io.Discard, "", 0),
 		TLSNextProto:      map[string]func(*http.Server, *tls.Conn, http.Handler){},
 	}
@@ -107,38 +110,41 @@
 	})
 	go func() {
 		defer stop()
-		if err := server.Serve(patient{listener}); !errors.Is(err, http.ErrServerClosed) && ctx.Err() == nil {
+		if err := server.Serve(userTimeoutListener{listener}); !errors.Is(err, http.ErrServerClosed) && ctx.Err() == nil {
 			log.Error().Str("event", "rpc_server_ended").Str("address", server.Addr).Err(err).Msg("")
 		}
 	}()
 	return server, nil
 }
 
-// listen listens at addr, trying until bindTime is over while the port is still in use.
-func listen(ctx context.Context, addr string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAliveConfig: keepAlive}
-	for begin := time.Now(); ; {
+// portInUse reports whether an error of Listen is that of a port that a former process may still hold.
+func portInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
+
+// Listen listens at a TCP address. It retries errors that are transient for up to five seconds, or until ctx ends: a former
+// process may still hold the port. Its errors are of type Bind.
+func Listen(ctx context.Context, config net.ListenConfig, addr string, transient func(error) bool) (net.Listener, error) {
+	for start := time.Now(); ; {
 		listener, err := config.Listen(ctx, "tcp", addr)
 		if err == nil {
 			return listener, nil
 		}
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(begin) >= bindTime {
+		if !transient(err) || time.Since(start) >= listenTimeout {
 			return nil, Bind.Wrap(err, "listen at %s", addr)
 		}
 		select {
 		case <-ctx.Done():
 			return nil, Bind.Wrap(ctx.Err(), "listen at %s", addr)
-		case <-time.After(bindPause):
+		case <-time.After(listenPause):
 		}
 	}
 }
 
-// patient is a listener whose connections give up a silent peer.
-type patient struct{ net.Listener }
+// userTimeoutListener is a listener whose connections fail when a peer acknowledges nothing.
+type userTimeoutListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (p patient) Accept() (net.Conn, error) {
-	conn, err := p.Listener.Accept()
+func (listener userTimeoutListener) Accept() (net.Conn, error) {
+	conn, err := listener.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
@@ -150,9 +156,9 @@
 	return conn, nil
 }
 
-// Life gives a random id of 64 bits in hex, for one life of a process.
+// Life returns a random identifier, 64 bits in hexadecimal, for one life of a process: from its start to its end.
 func Life() string {
-	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails
-	return hex.EncodeToString(b[:])
+	var bits [8]byte
+	_, _ = rand.Read(bits[:]) // never fails
+	return hex.EncodeToString(bits[:])
 }
--- a/internal/tier/rpcserver/rpcserver_test.go
+++ b/internal/tier/rpcserver/rpcserver_test.go
@@ -104,7 +104,7 @@
 	peer, err := net.Dial("tcp", listener.Addr().String())
 	assert.NilError(t, err)
 	defer peer.Close()
-	accepted, err := patient{listener}.Accept()
+	accepted, err := userTimeoutListener{listener}.Accept()
 	assert.NilError(t, err)
 	defer accepted.Close()
 	assert.Equal(t, userTimeout(t, accepted), 1000)
