--- a/internal/tier/routing/routing.go
+++ b/internal/tier/routing/routing.go
@@ -1,4 +1,5 @@
-// Package routing holds the operator's configuration: routes, services and limits, read whole and checked before use.
+// Package routing has the route table, which is the operator's configuration: routes, services and limits. It is parsed and
+// checked as a whole before use.
 package routing
 
 import (
@@ -14,20 +15,20 @@
 	Invalid = space.NewType("invalid")
 )
 
-// Kind tells what may be repeated on a route.
+// Kind is which requests of a route may be repeated.
 type Kind int
 
-// The kinds of routes. A Streaming one is not idempotent either.
+// The kinds of routes. Requests of a Streaming one are not idempotent either.
 const (
 	NonIdempotent Kind = iota
 	Idempotent
 	Streaming
 )
 
-// String gives the name used in configurations.
-func (k Kind) String() string {
-	for name, kind := range kinds {
-		if kind == k {
+// String returns the name used in configurations.
+func (kind Kind) String() string {
+	for name, known := range kinds {
+		if known == kind {
 			return name
 		}
 	}
@@ -36,70 +37,70 @@
 
 var kinds = map[string]Kind{"idempotent": Idempotent, "non_idempotent": NonIdempotent, "streaming": Streaming}
 
-// Table is one whole configuration. It is not changed once parsed, so it may be shared between goroutines.
+// Table is one whole configuration. It does not change once parsed, so that goroutines may share it.
 type Table struct {
 	Revision int64
 	Routes   []*Route
 	Services map[string]*Service
 	Limits   Limits
-	Raw      []byte // as the operator sent it, with the fields unknown here
+	Raw      []byte // as the operator sent it, with the fields that this version does not know
 
 	hosts map[string]*hostRoutes
 }
 
-// Route tells where requests of one host and prefix go.
+// Route is where the requests of one host and path prefix go.
 type Route struct {
 	Name, Host, Prefix string // Host in lower case, without a port
 	Kind               Kind
-	Timeout            time.Duration // longest time to hold a request
-	Aim                time.Duration // answer within it earns its full worth; Timeout where the operator gives none
+	Timeout            time.Duration // maximum time of a request
+	Aim                time.Duration // target latency; Timeout where the operator gives none
 	Priority           int           // 0 is the highest
-	MaxAttempts        int           // endpoints to which one try may be sent, at least 1
+	MaxAttempts        int           // endpoints that one request may be sent to, 1 or more
 	Split              []Weighted
 	Persisted          bool
-	Retention          time.Duration // how long a turn is kept; 0 where none is given
+	Retention          time.Duration // of a turn; 0 where none is given
 	Sticky             bool          // session_affinity
 	Resumable          bool
-	GapAim             time.Duration // longest pause between events; 0 where none is given
+	GapAim             time.Duration // target of the pause between events; 0 where none is given
 
-	ends []float64 // per entry of Split, where its part of [0, 1) ends
+	ends []float64 // for each entry of Split, the end of its part of [0, 1)
 }
 
-// Weighted is one service of a route with its share.
+// Weighted is one service of a traffic split with its weight.
 type Weighted struct {
 	Service string
 	Weight  float64 // not negative
 }
 
-// Service is what runs the requests of routes.
+// Service is a group of endpoints that run the same requests.
 type Service struct {
 	Name, HealthPath string // HealthPath empty where none is given
-	MaxConnections   int    // of an endpoint, from all callers together; 0 where none is given
+	MaxConnections   int    // of an endpoint, by all gateways together; 0 where none is given
 	Engine           *Engine
 }
 
-// Engine tells how an endpoint of a service runs models.
+// Engine is how an endpoint of a service runs models.
 type Engine struct {
-	Capacity       int
-	CacheTokens    int64
-	TokensPerEvent int // at least 1
+	Capacity       int   // requests at once
+	CacheTokens    int64 // size of its cache
+	TokensPerEvent int   // 1 or more
 	Models         []string
 }
 
-// Limits bound what a client may send.
+// Limits are the bounds of what a client may send.
 type Limits struct {
 	MaxHeader, MaxBody         int // bytes
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// hostRoutes are the routes of one host, by prefix, with the lengths that there are, longest first.
+// hostRoutes are the routes of one host by prefix, and the lengths of these prefixes, longest first.
 type hostRoutes struct {
 	lengths  []int
 	byPrefix map[string]*Route
 }
 
-// Match gives the route with the longest prefix that begins the path (a query is left out), or nil.
-// The case of the host and its port don't count.
+// Match returns the route with the longest prefix of the path, or nil. The query of the path, the port of the host and its
+// case are ignored. Match does not allocate where the host is in lower case.
 func (table *Table) Match(host, path string) *Route {
 	routes := table.hosts[hostname(host)]
 	if routes == nil {
@@ -108,17 +109,17 @@
 	if i := strings.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
 	}
-	for _, n := range routes.lengths {
-		if n <= len(path) && path[n-1] == '/' {
-			if r := routes.byPrefix[path[:n]]; r != nil {
-				return r
+	for _, length := range routes.lengths {
+		if length <= len(path) && path[length-1] == '/' {
+			if route := routes.byPrefix[path[:length]]; route != nil {
+				return route
 			}
 		}
 	}
 	return nil
 }
 
-// hostname gives a host in lower case without its port.
+// hostname returns a host in lower case without its port.
 func hostname(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.Contains(host[i:], "]") &&
 		(strings.IndexByte(host, ':') == i || strings.HasPrefix(host, "[")) {
@@ -127,18 +128,19 @@
 	return strings.ToLower(host)
 }
 
-// Pick gives the service for an even hash: each as often as its weight says, one of weight 0 never.
-func (r *Route) Pick(hash uint64) string {
-	at := float64(hash>>11) / (1 << 53)
+// Pick returns the service for a hash: of evenly distributed hashes, each service gets a part by its weight, and one of weight
+// 0 gets none.
+func (route *Route) Pick(hash uint64) string {
+	point := float64(hash>>11) / (1 << 53)
 	last := ""
-	for i, w := range r.Split {
-		if w.Weight <= 0 {
+	for i, share := range route.Split {
+		if share.Weight <= 0 {
 			continue
 		}
-		if at < r.ends[i] {
-			return w.Service
+		if point < route.ends[i] {
+			return share.Service
 		}
-		last = w.Service
+		last = share.Service
 	}
 	return last
 }
--- a/internal/tier/routing/wire.go
+++ b/internal/tier/routing/wire.go
@@ -6,31 +6,31 @@
 	"fmt"
 )
 
-// wire is the configuration as sent; pointers tell what is missing.
-type wire struct {
+// wireTable is a configuration as sent. A nil pointer is a field that is missing.
+type wireTable struct {
 	Revision *float64       `json:"revision"`
 	Routes   *[]wireRoute   `json:"routes"`
 	Services *[]wireService `json:"services"`
 	Limits   wireLimits     `json:"limits"`
 }
 
-// wireRoute is a route as sent. Spans are in the unit that the name tells.
+// wireRoute is a route as sent. Times are in the unit of the JSON name, milliseconds or seconds.
 type wireRoute struct {
-	Name      string      `json:"name"`
-	Hostname  string      `json:"hostname"`
-	Prefix    string      `json:"path_prefix"`
-	Type      *string     `json:"route_type"`
-	Timeout   *float64    `json:"timeout_ms"`
-	Aim       float64     `json:"target_latency_ms"`
-	Priority  float64     `json:"priority"`
-	Attempts  float64     `json:"max_attempts"`
-	Service   *string     `json:"service_name"`
-	Split     []wireShare `json:"traffic_split"`
-	Persisted bool        `json:"persisted"`
-	Retention float64     `json:"retention_s"`
-	Affinity  bool        `json:"session_affinity"`
-	Resumable bool        `json:"resumable"`
-	GapAim    float64     `json:"gap_aim_ms"`
+	Name          string      `json:"name"`
+	Hostname      string      `json:"hostname"`
+	Prefix        string      `json:"path_prefix"`
+	Type          *string     `json:"route_type"`
+	Timeout       *float64    `json:"timeout_ms"`
+	TargetLatency float64     `json:"target_latency_ms"`
+	Priority      float64     `json:"priority"`
+	Attempts      float64     `json:"max_attempts"`
+	Service       *string     `json:"service_name"`
+	Split         []wireShare `json:"traffic_split"`
+	Persisted     bool        `json:"persisted"`
+	Retention     float64     `json:"retention_s"`
+	Affinity      bool        `json:"session_affinity"`
+	Resumable     bool        `json:"resumable"`
+	GapAim        float64     `json:"gap_aim_ms"`
 }
 
 // wireShare is one service of a traffic split.
@@ -47,7 +47,7 @@
 	Engine         *wireEngine `json:"inference_engine"`
 }
 
-// wireEngine is what a configuration says of a service's engines. CacheTokens is the memory of one of them.
+// wireEngine is the engine of each endpoint of a service, as sent.
 type wireEngine struct {
 	Capacity       float64     `json:"capacity"`
 	CacheTokens    float64     `json:"cache_tokens"`
@@ -55,7 +55,7 @@
 	Models         []wireModel `json:"models"`
 }
 
-// wireModel is a model that an engine holds.
+// wireModel is a model that an engine runs.
 type wireModel struct {
 	Name string `json:"name"`
 }
@@ -68,23 +68,23 @@
 	IdleTimeout   float64 `json:"idle_timeout_ms"`
 }
 
-// decode reads the body whole. What has the wrong type is a finding and is left at zero; damaged JSON ends it.
-func decode(body []byte, found *findings) (w wire, ok bool) {
-	err := json.Unmarshal(body, &w)
+// decode decodes the body. A field of the wrong type is a finding and stays zero; after a syntax error ok is false.
+func decode(body []byte, found *findings) (sent wireTable, ok bool) {
+	err := json.Unmarshal(body, &sent)
 	if err == nil {
-		return w, true
+		return sent, true
 	}
 	var wrong *json.UnmarshalTypeError
 	if !errors.As(err, &wrong) {
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
-			found.add(fmt.Sprintf("byte %d", syntax.Offset), "%s", syntax)
+			found.report(fmt.Sprintf("byte %d", syntax.Offset), "%s", syntax)
 		} else {
-			found.add("body", "%s", err)
+			found.report("body", "%s", err)
 		}
-		return w, false
+		return sent, false
 	}
-	// The decoder tells only the first wrong type, and not in which entry: read the parts one by one.
+	// The decoder reports the first wrong type only, and not in which entry: decode the parts one by one.
 	var parts struct {
 		Routes   json.RawMessage `json:"routes"`
 		Services json.RawMessage `json:"services"`
@@ -92,31 +92,31 @@
 		Revision json.RawMessage `json:"revision"`
 	}
 	before := len(found.list)
-	if typed("body", body, &parts, found) {
-		typed("revision", parts.Revision, new(float64), found)
-		typed("limits", parts.Limits, new(wireLimits), found)
-		each[wireRoute]("routes", parts.Routes, found)
-		each[wireService]("services", parts.Services, found)
+	if decodePart("body", body, &parts, found) {
+		decodePart("revision", parts.Revision, new(float64), found)
+		decodePart("limits", parts.Limits, new(wireLimits), found)
+		decodeEntries[wireRoute]("routes", parts.Routes, found)
+		decodeEntries[wireService]("services", parts.Services, found)
 	}
 	if len(found.list) == before {
-		found.add(wrong.Field, "is a %s", wrong.Value)
+		found.report(wrong.Field, "is a %s", wrong.Value)
 	}
-	return w, true
+	return sent, true
 }
 
-// each reads the entries of a list one by one.
-func each[T any](place string, raw json.RawMessage, found *findings) {
+// decodeEntries decodes the entries of a list one by one.
+func decodeEntries[T any](place string, raw json.RawMessage, found *findings) {
 	var entries []json.RawMessage
-	if !typed(place, raw, &entries, found) {
+	if !decodePart(place, raw, &entries, found) {
 		return
 	}
 	for i, e := range entries {
-		typed(fmt.Sprintf("%s[%d]", place, i), e, new(T), found)
+		decodePart(fmt.Sprintf("%s[%d]", place, i), e, new(T), found)
 	}
 }
 
-// typed reads one part and notes where its type is wrong.
-func typed(place string, raw json.RawMessage, to any, found *findings) bool {
+// decodePart decodes one part and reports a field of the wrong type. It returns false where there was one.
+func decodePart(place string, raw json.RawMessage, to any, found *findings) bool {
 	if len(raw) == 0 {
 		return true
 	}
@@ -126,12 +126,12 @@
 	}
 	var wrong *json.UnmarshalTypeError
 	if !errors.As(err, &wrong) {
-		found.add(place, "%s", err)
+		found.report(place, "%s", err)
 		return false
 	}
 	if wrong.Field != "" {
 		place += "." + wrong.Field
 	}
-	found.add(place, "is a %s", wrong.Value)
+	found.report(place, "is a %s", wrong.Value)
 	return false
 }
