--- a/internal/tier/settings/field_types.go
+++ b/internal/tier/settings/field_types.go
@@ -10,59 +10,67 @@
 	"time"
 )
 
-const longest = 365 * 24 * time.Hour
+// maxDuration is the maximum of times; longer ones are cut to it.
+const maxDuration = 365 * 24 * time.Hour
 
-// check gives what is wrong with a text, or nothing.
+// check returns what is wrong with a text, or an empty text.
 type check func(string) string
 
-func filled(v string) string {
-	if v == "" {
+// notEmpty checks that a text is not empty.
+func notEmpty(text string) string {
+	if text == "" {
 		return "is empty"
 	}
 	return ""
 }
 
-func address(v string) string {
-	if _, err := netip.ParseAddr(v); err != nil {
-		return fmt.Sprintf("is %q, not an IP address", v)
+// address checks that a text is an IP address.
+func address(text string) string {
+	if _, err := netip.ParseAddr(text); err != nil {
+		return fmt.Sprintf("is %q, not an IP address", text)
 	}
 	return ""
 }
 
-func endpoint(v string) string {
-	if v == "" {
+// endpoint checks that a text is an IP address with a port, or empty.
+func endpoint(text string) string {
+	if text == "" {
 		return ""
 	}
-	if _, err := netip.ParseAddrPort(v); err != nil {
-		return fmt.Sprintf("is %q, not an IP address with a port", v)
+	if _, err := netip.ParseAddrPort(text); err != nil {
+		return fmt.Sprintf("is %q, not an IP address with a port", text)
 	}
 	return ""
 }
 
-// bound is the least a number may be.
+// bound is the minimum of a number.
 type bound struct {
-	least float64
-	open  bool // least itself is out of range
+	minimum   float64
+	exclusive bool // the minimum itself is not allowed
 }
 
+// above allows numbers greater than a minimum.
 func above(v float64) bound { return bound{v, true} }
-func from(v float64) bound  { return bound{v, false} }
 
-// check gives a number and what is wrong with it.
-func (b bound) check(value any) (float64, string) {
-	v, ok := float(value)
+// atLeast allows numbers from a minimum on.
+func atLeast(v float64) bound { return bound{v, false} }
+
+// check returns a value as a number, and what is wrong with it.
+func (bound bound) check(value any) (float64, string) {
+	v, ok := toFloat(value)
 	switch {
 	case !ok || math.IsNaN(v) || math.IsInf(v, 0):
-		return 0, fmt.Sprintf("is %s, not a number", shown(value))
-	case v < b.least:
-		return 0, fmt.Sprintf("is %v, below %v", v, b.least)
-	case b.open && v == b.least:
-		return 0, fmt.Sprintf("is %v, not above %v", v, b.least)
+		return 0, fmt.Sprintf("is %s, not a number", quoted(value))
+	case v < bound.minimum:
+		return 0, fmt.Sprintf("is %v, below %v", v, bound.minimum)
+	case bound.exclusive && v == bound.minimum:
+		return 0, fmt.Sprintf("is %v, not above %v", v, bound.minimum)
 	}
 	return v, ""
 }
 
-func float(value any) (float64, bool) {
+// toFloat returns a value of any numeric type of the YAML decoder as a float64.
+func toFloat(value any) (float64, bool) {
 	switch v := value.(type) {
 	case int:
 		return float64(v), true
@@ -76,137 +84,144 @@
 	return 0, false
 }
 
-func shown(value any) string {
+// quoted returns a value as shown in findings: texts are quoted.
+func quoted(value any) string {
 	if v, ok := value.(string); ok {
 		return fmt.Sprintf("%q", v)
 	}
 	return fmt.Sprintf("%v", value)
 }
 
-func text(path string, fallback any, about string, to func(*Settings) *string, checks ...check) entry {
-	return entry{path, "text", fallback, about, func(s *Settings, value any) string {
+// text is a setting with a text, which must pass all checks.
+func text(path string, defaultValue any, meaning string, target func(*Settings) *string, checks ...check) entry {
+	return entry{path, "text", defaultValue, meaning, func(settings *Settings, value any) string {
 		v, ok := value.(string)
 		if !ok {
-			return fmt.Sprintf("is %s, not a text", shown(value))
+			return fmt.Sprintf("is %s, not a text", quoted(value))
 		}
 		for _, c := range checks {
 			if problem := c(v); problem != "" {
 				return problem
 			}
 		}
-		*to(s) = v
+		*target(settings) = v
 		return ""
 	}}
 }
 
-func texts(path, about string, to func(*Settings) *[]string, checks ...check) entry {
-	return entry{path, "list of texts", []any{}, about, func(s *Settings, value any) string {
+// texts is a setting with a list of texts, each of which must pass all checks.
+func texts(path, meaning string, target func(*Settings) *[]string, checks ...check) entry {
+	return entry{path, "list of texts", []any{}, meaning, func(settings *Settings, value any) string {
 		list, ok := value.([]any)
 		if !ok {
-			return fmt.Sprintf("is %s, not a list", shown(value))
+			return fmt.Sprintf("is %s, not a list", quoted(value))
 		}
-		out := make([]string, 0, len(list))
+		values := make([]string, 0, len(list))
 		for i, one := range list {
 			v, ok := one.(string)
 			if !ok {
-				return fmt.Sprintf("[%d] is %s, not a text", i, shown(one))
+				return fmt.Sprintf("[%d] is %s, not a text", i, quoted(one))
 			}
 			for _, c := range checks {
 				if problem := c(v); problem != "" {
 					return fmt.Sprintf("[%d] %s", i, problem)
 				}
 			}
-			out = append(out, v)
+			values = append(values, v)
 		}
-		*to(s) = out
+		*target(settings) = values
 		return ""
 	}}
 }
 
-func textMap(path, about string, to func(*Settings) *map[string]string) entry {
-	return entry{path, "map of texts", map[string]any{}, about, func(s *Settings, value any) string {
-		m, ok := value.(map[string]any)
+// textMap is a setting with a map from texts to texts.
+func textMap(path, meaning string, target func(*Settings) *map[string]string) entry {
+	return entry{path, "map of texts", map[string]any{}, meaning, func(settings *Settings, value any) string {
+		entries, ok := value.(map[string]any)
 		if !ok {
-			return fmt.Sprintf("is %s, not a map", shown(value))
+			return fmt.Sprintf("is %s, not a map", quoted(value))
 		}
-		out := make(map[string]string, len(m))
-		for _, k := range slices.Sorted(maps.Keys(m)) {
-			v, ok := m[k].(string)
+		values := make(map[string]string, len(entries))
+		for _, k := range slices.Sorted(maps.Keys(entries)) {
+			v, ok := entries[k].(string)
 			if !ok {
-				return fmt.Sprintf("[%s] is %s, not a text", k, shown(m[k]))
+				return fmt.Sprintf("[%s] is %s, not a text", k, quoted(entries[k]))
 			}
-			out[k] = v
+			values[k] = v
 		}
-		*to(s) = out
+		*target(settings) = values
 		return ""
 	}}
 }
 
-func flag(path, about string, to func(*Settings) *bool) entry {
-	return entry{path, "true or false", false, about, func(s *Settings, value any) string {
+// flag is a setting that is true or false.
+func flag(path, meaning string, target func(*Settings) *bool) entry {
+	return entry{path, "true or false", false, meaning, func(settings *Settings, value any) string {
 		v, ok := value.(bool)
 		if !ok {
-			return fmt.Sprintf("is %s, not true or false", shown(value))
+			return fmt.Sprintf("is %s, not true or false", quoted(value))
 		}
-		*to(s) = v
+		*target(settings) = v
 		return ""
 	}}
 }
 
-func number(path string, fallback float64, b bound, about string, to func(*Settings) *float64) entry {
-	return entry{path, "number", fallback, about, func(s *Settings, value any) string {
-		v, problem := b.check(value)
+// number is a setting with a number.
+func number(path string, defaultValue float64, bound bound, meaning string, target func(*Settings) *float64) entry {
+	return entry{path, "number", defaultValue, meaning, func(settings *Settings, value any) string {
+		v, problem := bound.check(value)
 		if problem == "" {
-			*to(s) = v
+			*target(settings) = v
 		}
 		return problem
 	}}
 }
 
-// whole is a number of which only the whole part is used.
-func whole(path string, fallback, least int, about string, to func(*Settings) *int) entry {
-	return entry{path, "whole number", fallback, about, func(s *Settings, value any) string {
-		v, problem := from(float64(least)).check(value)
+// whole is a setting with a number of which the whole part is used.
+func whole(path string, defaultValue, minimum int, meaning string, target func(*Settings) *int) entry {
+	return entry{path, "whole number", defaultValue, meaning, func(settings *Settings, value any) string {
+		v, problem := atLeast(float64(minimum)).check(value)
 		if problem == "" {
-			*to(s) = int(min(v, most))
+			*target(settings) = int(min(v, maxNumber))
 		}
 		return problem
 	}}
 }
 
-// span is a time; the end of its path tells the unit, ms or s.
-func span(path string, fallback float64, b bound, about string, to func(*Settings) *time.Duration) entry {
-	kind, unit := "ms", time.Millisecond
+// span is a setting with a duration. Its unit is the suffix of its path, ms or s.
+func span(path string, defaultValue float64, bound bound, meaning string, target func(*Settings) *time.Duration) entry {
+	unitName, unit := "ms", time.Millisecond
 	if !strings.HasSuffix(path, "_ms") {
-		kind, unit = "s", time.Second
+		unitName, unit = "s", time.Second
 	}
-	return entry{path, kind, fallback, about, func(s *Settings, value any) string {
-		v, problem := b.check(value)
+	return entry{path, unitName, defaultValue, meaning, func(settings *Settings, value any) string {
+		v, problem := bound.check(value)
 		if problem == "" {
-			*to(s) = time.Duration(min(math.Round(v*float64(unit)), float64(longest)))
+			*target(settings) = time.Duration(min(math.Round(v*float64(unit)), float64(maxDuration)))
 		}
 		return problem
 	}}
 }
 
-func ports(path, about string) entry {
-	return entry{path, "two ports", nil, about, func(s *Settings, value any) string {
+// ports is the setting with the first and the last internal port.
+func ports(path, meaning string) entry {
+	return entry{path, "two ports", nil, meaning, func(settings *Settings, value any) string {
 		list, ok := value.([]any)
 		if !ok || len(list) != 2 {
-			return fmt.Sprintf("is %s, not two ports", shown(value))
+			return fmt.Sprintf("is %s, not two ports", quoted(value))
 		}
 		var pair [2]int
 		for i, one := range list {
-			v, ok := float(one)
+			v, ok := toFloat(one)
 			if !ok || v != math.Trunc(v) || v < 1 || v > math.MaxUint16 {
-				return fmt.Sprintf("[%d] is %s, not a port", i, shown(one))
+				return fmt.Sprintf("[%d] is %s, not a port", i, quoted(one))
 			}
 			pair[i] = int(v)
 		}
 		if pair[0] > pair[1] {
 			return fmt.Sprintf("goes from %d down to %d", pair[0], pair[1])
 		}
-		s.PortFirst, s.PortLast = pair[0], pair[1]
+		settings.PortFirst, settings.PortLast = pair[0], pair[1]
 		return ""
 	}}
 }
--- a/internal/tier/settings/parse.go
+++ b/internal/tier/settings/parse.go
@@ -12,48 +12,48 @@
 
 // Parse reads the text of a settings file; see Load.
 func Parse(body []byte) (Settings, error) {
-	s := defaults()
+	settings := defaults()
 	var tree map[string]any
 	if err := yaml.Unmarshal(body, &tree); err != nil {
-		return s, Invalid.New("bad YAML: %s", yaml.FormatError(err, false, false))
+		return settings, Invalid.New("bad YAML: %s", yaml.FormatError(err, false, false))
 	}
 	var found []error
 	lines := lineIndex(body)
-	for _, e := range table {
-		value, place := lookup(tree, e.path)
+	for _, entry := range table {
+		value, place := lookup(tree, entry.path)
 		var problem string
 		switch {
 		case place != "":
 			problem = "is not a map"
 		case value != nil:
-			place = e.path
-			problem = e.read(&s, value)
-		case e.fallback == nil:
-			place = e.path
+			place = entry.path
+			problem = entry.set(&settings, value)
+		case entry.defaultValue == nil:
+			place = entry.path
 			problem = "is missing"
 		}
 		if problem != "" {
-			found = append(found, finding(lines, place, problem))
+			found = append(found, findingAt(lines, place, problem))
 		}
 	}
 	if len(found) > 0 {
-		return s, errorx.WrapMany(Invalid, fmt.Sprintf("settings with %d findings", len(found)), unique(found)...)
+		return settings, errorx.WrapMany(Invalid, fmt.Sprintf("settings with %d findings", len(found)), unique(found)...)
 	}
-	return s, nil
+	return settings, nil
 }
 
-// defaults gives the settings of an empty file.
+// defaults returns the settings of an empty file.
 func defaults() Settings {
-	var s Settings
-	for _, e := range table {
-		if e.fallback != nil {
-			_ = e.read(&s, e.fallback) // a test holds that each passes its own check
+	var settings Settings
+	for _, entry := range table {
+		if entry.defaultValue != nil {
+			_ = entry.set(&settings, entry.defaultValue) // a test asserts that each default passes its own check
 		}
 	}
-	return s
+	return settings
 }
 
-// lookup gives the value at a path, nil if it is missing or null. Where a part on the way is no map, blocked tells which.
+// lookup returns the value at a path, nil if it is missing or null. Where a part of the path is no map, blocked is that part.
 func lookup(tree map[string]any, path string) (value any, blocked string) {
 	parts := strings.Split(path, ".")
 	for i, part := range parts {
@@ -70,14 +70,15 @@
 	return value, ""
 }
 
-func finding(lines map[string]int, place, problem string) error {
+// findingAt returns a finding with its field, and its line where that is known.
+func findingAt(lines map[string]int, place, problem string) error {
 	if line := lines[place]; line > 0 {
 		return Invalid.New("%s (line %d) %s", place, line, problem)
 	}
 	return Invalid.New("%s %s", place, problem)
 }
 
-// unique leaves out findings that say the same.
+// unique leaves out findings with the same text.
 func unique(found []error) []error {
 	seen := map[string]bool{}
 	var out []error
@@ -90,7 +91,7 @@
 	return out
 }
 
-// lineIndex gives the line of each field, by path.
+// lineIndex returns the line of each field, by path.
 func lineIndex(body []byte) map[string]int {
 	lines := map[string]int{}
 	file, err := parser.ParseBytes(body, 0)
@@ -98,39 +99,40 @@
 		return lines
 	}
 	for _, doc := range file.Docs {
-		index(doc.Body, "", lines)
+		addLines(doc.Body, "", lines)
 	}
 	return lines
 }
 
-func index(node ast.Node, path string, lines map[string]int) {
+// addLines adds the lines of the fields below a node. The path is that of the node.
+func addLines(node ast.Node, path string, lines map[string]int) {
 	var values []*ast.MappingValueNode
-	switch n := node.(type) {
+	switch node := node.(type) {
 	case *ast.MappingNode:
-		values = n.Values
+		values = node.Values
 	case *ast.MappingValueNode:
-		values = []*ast.MappingValueNode{n}
+		values = []*ast.MappingValueNode{node}
 	}
-	for _, v := range values {
-		key := strings.Trim(v.Key.String(), `"'`)
+	for _, pair := range values {
+		key := strings.Trim(pair.Key.String(), `"'`)
 		if path != "" {
 			key = path + "." + key
 		}
-		lines[key] = v.Key.GetToken().Position.Line
-		index(v.Value, key, lines)
+		lines[key] = pair.Key.GetToken().Position.Line
+		addLines(pair.Value, key, lines)
 	}
 }
 
-// Describe gives the table of settings as text: field, type with unit, default, meaning.
+// Describe returns the table of settings as text: field, type with unit, default, meaning.
 func Describe() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "%-34s %-14s %-10s %s\n", "field", "type", "default", "meaning")
-	for _, e := range table {
-		fallback := "required"
-		if e.fallback != nil {
-			fallback = shown(e.fallback)
+	var text strings.Builder
+	fmt.Fprintf(&text, "%-34s %-14s %-10s %s\n", "field", "type", "default", "meaning")
+	for _, entry := range table {
+		defaultText := "required"
+		if entry.defaultValue != nil {
+			defaultText = quoted(entry.defaultValue)
 		}
-		fmt.Fprintf(&b, "%-34s %-14s %-10s %s\n", e.path, e.kind, fallback, e.about)
+		fmt.Fprintf(&text, "%-34s %-14s %-10s %s\n", entry.path, entry.typeName, defaultText, entry.meaning)
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the settings file of a process of the tier.
+// Package settings reads and checks the settings file of a process of the tier.
 package settings
 
 import (
@@ -21,20 +21,20 @@
 	Invalid = space.NewType("invalid")
 )
 
-// Settings are those of one process. Describe tells the field of the file, the unit and the default of each.
+// Settings are those of one process. Describe lists the field of the file, the unit and the default of each.
 type Settings struct {
 	Node, Role, Class            string
 	Serves                       []string
 	IP, Zone, Region             string
 	Zones                        map[string]string // zone to region
 	Frontend, Readiness, Control string            // listen addresses, empty if none
-	PortFirst, PortLast          int               // kept free for what the tier's processes say to each other
+	PortFirst, PortLast          int               // first and last port for the calls between the tier's processes
 	Seeds                        []string          // control addresses
 	Bootstrap, Counted           bool
 	CPU                          float64 // part of a core
 	Cores                        int
 	MemoryMB, Descriptors        int
-	DiskMB                       int // 0: no disk, or not told
+	DiskMB                       int // 0: no disk, or not given
 	LinkMbps                     float64
 	DataDir                      string // empty if there is no disk
 	Heartbeat                    time.Duration
@@ -46,11 +46,11 @@
 	ConfigApply, DowngradeSlack, ClockSkew, Recovery, Pass, Again, Completion, Settle time.Duration
 
 	CloudAddress string
-	CloudRate    float64 // calls a second, of all processes together; 0: not told
+	CloudRate    float64 // calls a second, of all processes together; 0: not given
 	CloudLag     time.Duration
 }
 
-// Path gives the path of the settings file.
+// Path returns the path of the settings file.
 func Path() string {
 	if path := os.Getenv(pathVariable); path != "" {
 		return path
@@ -58,35 +58,39 @@
 	return pathDefault
 }
 
-// Load reads a settings file. The error, of type Invalid, tells all findings with field and line; the settings are then
+// Load reads a settings file. The error, of type Invalid, lists all findings with field and line; the settings are then
 // those that could be read, and defaults for the rest.
 func Load(path string) (Settings, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
 		return defaults(), Invalid.Wrap(err, "settings file")
 	}
-	s, err := Parse(body)
+	settings, err := Parse(body)
 	if err != nil {
-		return s, errorx.Decorate(err, "%s", path)
+		return settings, errorx.Decorate(err, "%s", path)
 	}
-	return s, nil
+	return settings, nil
 }
 
-// Internal gives the process's own address at an offset from the first internal port.
-func (s Settings) Internal(offset int) string { return join(s.IP, s.PortFirst+offset) }
+// Internal returns the process's own address at an offset from the first internal port.
+func (settings Settings) Internal(offset int) string {
+	return join(settings.IP, settings.PortFirst+offset)
+}
 
-// SeedInternal gives the seeds' addresses at the first internal port.
-func (s Settings) SeedInternal() []string {
-	out := make([]string, 0, len(s.Seeds))
-	for _, seed := range s.Seeds {
+// SeedInternal returns the seeds' addresses at the first internal port.
+func (settings Settings) SeedInternal() []string {
+	out := make([]string, 0, len(settings.Seeds))
+	for _, seed := range settings.Seeds {
 		if ip, _, err := net.SplitHostPort(seed); err == nil {
-			out = append(out, join(ip, s.PortFirst))
+			out = append(out, join(ip, settings.PortFirst))
 		}
 	}
 	return out
 }
 
-// Losses gives the number of losses to be borne at the same time, of whatever sort.
-func (s Settings) Losses() int { return max(s.LoseMachines, s.LoseZones, s.LoseRegions) }
+// Losses returns how many simultaneous losses the tier must survive: of machines, zones or regions, whichever are more.
+func (settings Settings) Losses() int {
+	return max(settings.LoseMachines, settings.LoseZones, settings.LoseRegions)
+}
 
 func join(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
--- a/internal/tier/settings/settings_test.go
+++ b/internal/tier/settings/settings_test.go
@@ -238,8 +238,8 @@
 	for _, e := range table {
 		assert.Check(t, !paths[e.path], e.path)
 		paths[e.path] = true
-		if e.fallback != nil {
-			assert.Equal(t, e.read(&Settings{}, e.fallback), "", e.path)
+		if e.defaultValue != nil {
+			assert.Equal(t, e.set(&Settings{}, e.defaultValue), "", e.path)
 		}
 	}
 }
--- a/internal/tier/settings/table.go
+++ b/internal/tier/settings/table.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// entry is one line of the table: a field of the file, its type with the unit, what holds where it is missing, and how its
-// value is checked and put in place. read gives what is wrong with a value, or nothing.
+// entry is one setting: a field of the file, its type with the unit, the value where it is missing, its meaning, and a function
+// that checks a value and sets it. The function returns what is wrong with the value, or an empty text.
 type entry struct {
-	path, kind string
-	fallback   any // nil: the field is required
-	about      string
-	read       func(s *Settings, value any) (problem string)
+	path, typeName string
+	defaultValue   any // nil: the field is required
+	meaning        string
+	set            func(s *Settings, value any) (problem string)
 }
 
-// most is a bound where a setting has none of its own.
-const most = math.MaxInt32
+// maxNumber is the maximum of whole numbers.
+const maxNumber = math.MaxInt32
 
-// table holds every setting that is used.
+// table lists all settings. It is read-only.
 var table = []entry{
-	text("node_name", nil, "name of the machine", func(s *Settings) *string { return &s.Node }, filled),
+	text("node_name", nil, "name of the machine", func(s *Settings) *string { return &s.Node }, notEmpty),
 	text("role", "", "role in the deploy file", func(s *Settings) *string { return &s.Role }),
 	text("machine_type", "", "class of the machine", func(s *Settings) *string { return &s.Class }),
 	texts("served_roles", "who may call from outside", func(s *Settings) *[]string { return &s.Serves }),
@@ -49,24 +49,24 @@
 	whole("fault_tolerance.zones", 0, 0, "zones lost at a time", func(s *Settings) *int { return &s.LoseZones }),
 	whole("fault_tolerance.region_failures", 0, 0, "regions lost at a time", func(s *Settings) *int { return &s.LoseRegions }),
 
-	span("guarantees.seed_staleness_s", 5, from(0), "lag of the list of control addresses", func(s *Settings) *time.Duration { return &s.SeedStaleness }),
-	span("guarantees.address_reuse_s", 1, from(0), "rest of an address before another service has it", func(s *Settings) *time.Duration { return &s.AddressReuse }),
+	span("guarantees.seed_staleness_s", 5, atLeast(0), "lag of the list of control addresses", func(s *Settings) *time.Duration { return &s.SeedStaleness }),
+	span("guarantees.address_reuse_s", 1, atLeast(0), "rest of an address before another service has it", func(s *Settings) *time.Duration { return &s.AddressReuse }),
 	span("guarantees.contact_window_ms", 3000, above(0), "machines that hear each other so often are in touch", func(s *Settings) *time.Duration { return &s.ContactWindow }),
 	span("guarantees.ack_timeout_ms", 4000, above(0), "within it an order is acknowledged", func(s *Settings) *time.Duration { return &s.AckTimeout }),
-	span("guarantees.sync_time_s", 4, from(0), "within it a machine that returned is sound", func(s *Settings) *time.Duration { return &s.SyncTime }),
-	span("guarantees.drain_timeout_ms", 3000, from(0), "a leaving endpoint serves on", func(s *Settings) *time.Duration { return &s.DrainTimeout }),
-	span("guarantees.grace_period_s", 8, from(0), "from SIGTERM to SIGKILL", func(s *Settings) *time.Duration { return &s.Grace }),
-	span("guarantees.loss_slack_ms", 200, from(0), "slack around a loss", func(s *Settings) *time.Duration { return &s.LossSlack }),
+	span("guarantees.sync_time_s", 4, atLeast(0), "within it a machine that returned is sound", func(s *Settings) *time.Duration { return &s.SyncTime }),
+	span("guarantees.drain_timeout_ms", 3000, atLeast(0), "a leaving endpoint serves on", func(s *Settings) *time.Duration { return &s.DrainTimeout }),
+	span("guarantees.grace_period_s", 8, atLeast(0), "from SIGTERM to SIGKILL", func(s *Settings) *time.Duration { return &s.Grace }),
+	span("guarantees.loss_slack_ms", 200, atLeast(0), "slack around a loss", func(s *Settings) *time.Duration { return &s.LossSlack }),
 	span("guarantees.config_apply_ms", 2000, above(0), "from acknowledgement to force", func(s *Settings) *time.Duration { return &s.ConfigApply }),
-	span("guarantees.downgrade_slack_ms", 250, from(0), "within it an older configuration may show", func(s *Settings) *time.Duration { return &s.DowngradeSlack }),
-	span("guarantees.clock_skew_ms", 5000, from(0), "error of the time of day", func(s *Settings) *time.Duration { return &s.ClockSkew }),
-	span("guarantees.recovery_time_s", 12, from(0), "within it a final fault is overcome", func(s *Settings) *time.Duration { return &s.Recovery }),
-	span("guarantees.pass_ms", 120, from(0), "time to pass a message on", func(s *Settings) *time.Duration { return &s.Pass }),
-	span("guarantees.again_s", 0, from(0), "time to do something again", func(s *Settings) *time.Duration { return &s.Again }),
-	span("guarantees.completion_time_s", 10, from(0), "time for programs after the end of traffic", func(s *Settings) *time.Duration { return &s.Completion }),
-	span("guarantees.settle_time_ms", 1000, from(0), "time to settle", func(s *Settings) *time.Duration { return &s.Settle }),
+	span("guarantees.downgrade_slack_ms", 250, atLeast(0), "within it an older configuration may show", func(s *Settings) *time.Duration { return &s.DowngradeSlack }),
+	span("guarantees.clock_skew_ms", 5000, atLeast(0), "error of the time of day", func(s *Settings) *time.Duration { return &s.ClockSkew }),
+	span("guarantees.recovery_time_s", 12, atLeast(0), "within it a final fault is overcome", func(s *Settings) *time.Duration { return &s.Recovery }),
+	span("guarantees.pass_ms", 120, atLeast(0), "time to pass a message on", func(s *Settings) *time.Duration { return &s.Pass }),
+	span("guarantees.again_s", 0, atLeast(0), "time to do something again", func(s *Settings) *time.Duration { return &s.Again }),
+	span("guarantees.completion_time_s", 10, atLeast(0), "time for programs after the end of traffic", func(s *Settings) *time.Duration { return &s.Completion }),
+	span("guarantees.settle_time_ms", 1000, atLeast(0), "time to settle", func(s *Settings) *time.Duration { return &s.Settle }),
 
 	text("cloud_api.address", "", "where the platform's list is", func(s *Settings) *string { return &s.CloudAddress }, endpoint),
-	number("cloud_api.rate_per_s", 0, from(0), "calls a second, of all processes", func(s *Settings) *float64 { return &s.CloudRate }),
-	span("cloud_api.max_lag_ms", 1000, from(0), "lag of the platform's list", func(s *Settings) *time.Duration { return &s.CloudLag }),
+	number("cloud_api.rate_per_s", 0, atLeast(0), "calls a second, of all processes", func(s *Settings) *float64 { return &s.CloudRate }),
+	span("cloud_api.max_lag_ms", 1000, atLeast(0), "lag of the platform's list", func(s *Settings) *time.Duration { return &s.CloudLag }),
 }
