--- a/internal/tier/metrics/gateway.go
+++ b/internal/tier/metrics/gateway.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Gateway is the figures of a gateway.
+// Gateway is the set of figures of a gateway.
 type Gateway struct {
-	Ready    bool          // new clients may come
-	Revision int64         // of the configuration in force there; 0: none has come
+	Ready    bool          // it accepts new clients
+	Revision int64         // of the configuration in force there; 0: none yet
 	Calls    int64         // requests of clients under way
-	Session  time.Duration // how much longer the session stands without an answer of the control plane
+	Session  time.Duration // until the session lapses without an answer of the control plane
 }
 
-func (g Gateway) write(w io.Writer) {
-	gauge(w, "saffronyard_gateway_ready", "Whether this gateway calls itself ready.", flag(g.Ready))
-	gauge(w, "saffronyard_configuration_revision", "Revision of the operator's configuration in force.", float64(g.Revision))
-	gauge(w, "saffronyard_gateway_calls", "Requests of clients under way.", float64(g.Calls))
-	writeSession(w, g.Session)
+func (figures Gateway) write(w io.Writer) {
+	gauge(w, "saffronyard_gateway_ready", "Whether this gateway calls itself ready.", zeroOrOne(figures.Ready))
+	gauge(w, "saffronyard_configuration_revision", "Revision of the operator's configuration in force.", float64(figures.Revision))
+	gauge(w, "saffronyard_gateway_calls", "Requests of clients under way.", float64(figures.Calls))
+	writeSession(w, figures.Session)
 }
--- a/internal/tier/metrics/turnstore.go
+++ b/internal/tier/metrics/turnstore.go
@@ -7,27 +7,27 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// TurnStore is the figures of a turn store.
+// TurnStore is the set of figures of a turn store.
 type TurnStore struct {
 	Primaries, Backups int           // partitions that this turn store is the primary, or a backup, of
 	Entries            int           // attempts known, in all partitions
 	Memory             int64         // estimated bytes that they take
 	MapVersion         uint64        // of the partition map applied last
-	Session            time.Duration // how much longer the session stands without an answer of the control plane
+	Session            time.Duration // until the session lapses without an answer of the control plane
 	Disk               tierv1.DiskState
 }
 
-func (t TurnStore) write(w io.Writer) {
+func (figures TurnStore) write(w io.Writer) {
 	gauges(w, "saffronyard_turn_store_partitions", "Partitions that this turn store has a copy of.", "as",
-		sample{"primary", float64(t.Primaries)}, sample{"backup", float64(t.Backups)})
-	gauge(w, "saffronyard_turn_store_entries", "Attempts known: reservations, settlements, turns.", float64(t.Entries))
-	gauge(w, "saffronyard_turn_store_memory_bytes", "Estimate of the memory that the entries take.", float64(t.Memory))
-	gauge(w, "saffronyard_partition_map_version", "Version of the partition map applied last.", float64(t.MapVersion))
-	writeSession(w, t.Session)
-	writeDisk(w, t.Disk)
+		sample{"primary", float64(figures.Primaries)}, sample{"backup", float64(figures.Backups)})
+	gauge(w, "saffronyard_turn_store_entries", "Attempts known: reservations, settlements, turns.", float64(figures.Entries))
+	gauge(w, "saffronyard_turn_store_memory_bytes", "Estimate of the memory that the entries take.", float64(figures.Memory))
+	gauge(w, "saffronyard_partition_map_version", "Version of the partition map applied last.", float64(figures.MapVersion))
+	writeSession(w, figures.Session)
+	writeDisk(w, figures.Disk)
 }
 
-// writeSession writes how much longer a session stands.
+// writeSession writes the time until a session lapses.
 func writeSession(w io.Writer, remaining time.Duration) {
 	gauge(w, "saffronyard_session_remaining_seconds", "How much longer the session stands without an answer of the control plane; 0: it does not.", seconds(remaining))
 }
