--- a/internal/tier/wal/cause.go
+++ b/internal/tier/wal/cause.go
@@ -7,8 +7,8 @@
 	"github.com/joomcode/errorx"
 )
 
-// Cause is the innermost error of a chain: for an error of this package, what the file system returned. It also looks
-// behind wrappings that hide their cause from errors.Is.
+// Cause returns the innermost error of a chain: for an error of this package, what the file system returned. It also unwraps
+// errors that hide their cause from errors.Is.
 func Cause(err error) error {
 	for {
 		wrapped := errorx.Cast(err)
@@ -19,7 +19,7 @@
 	}
 }
 
-// Full tells whether an error is that of a disk without space, or of a quota that is used up.
+// Full reports whether an error is that of a disk without space, or of an exceeded quota.
 func Full(err error) bool {
 	cause := Cause(err)
 	return errors.Is(cause, syscall.ENOSPC) || errors.Is(cause, syscall.EDQUOT)
--- a/internal/tier/wal/crash_test.go
+++ b/internal/tier/wal/crash_test.go
@@ -158,7 +158,7 @@
 		assert.NilError(t, f.Append([]byte("first one")))
 		assert.NilError(t, f.Append([]byte("other one")))
 		m.Kill()
-		m.live[f.path].live[len(header)+headSize] ^= 1 // as if the first were torn, the second there
+		m.visible[f.path].visible[len(fileHeader)+recordHeaderSize] ^= 1 // as if the first were torn, the second there
 		f, got := open(t, m)
 		assert.Equal(t, len(got), 0)
 		assert.NilError(t, f.Append([]byte("third one"))) // as long as the first
--- a/internal/tier/wal/fs.go
+++ b/internal/tier/wal/fs.go
@@ -11,17 +11,17 @@
 type FS interface {
 	// Open opens a file that exists, for reading and writing.
 	Open(name string) (Handle, error)
-	// Create makes an empty file, or empties the one that stands there.
+	// Create makes an empty file, or empties an existing one.
 	Create(name string) (Handle, error)
-	// Rename gives a file another name, in place of one that has it.
+	// Rename renames a file, and replaces one that has the new name.
 	Rename(from, to string) error
-	// Remove takes a file's name away.
+	// Remove removes a file.
 	Remove(name string) error
-	// List gives the names of the entries of a folder, without its path, sorted.
+	// List returns the sorted names of the entries of a folder, without its path.
 	List(dir string) ([]string, error)
-	// SyncDir makes creations, renames and removals in a folder last.
+	// SyncDir makes creations, renames and removals in a folder durable.
 	SyncDir(dir string) error
-	// MkdirAll makes a folder with its parents, lasting; one that exists is no error.
+	// MkdirAll makes a folder with its parents, durably; one that exists is no error.
 	MkdirAll(dir string) error
 }
 
@@ -30,7 +30,7 @@
 	ReadAt(p []byte, off int64) (int, error)  // as io.ReaderAt
 	WriteAt(p []byte, off int64) (int, error) // as io.WriterAt
 	Truncate(size int64) error
-	Sync() error // what was written before lasts once it has returned nil
+	Sync() error // what was written before is durable once it has returned nil
 	Size() (int64, error)
 	Close() error
 }
@@ -58,43 +58,43 @@
 
 // osOpen opens a file with the flags of package os.
 func osOpen(name string, flag int) (Handle, error) {
-	f, err := os.OpenFile(name, flag, 0o600)
+	file, err := os.OpenFile(name, flag, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	return osFile{f}, nil
+	return osFile{file}, nil
 }
 
-// Rename replaces to by from.
+// Rename implements FS.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
-// List gives the sorted names in a folder.
+// List implements FS.
 func (OS) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
 	names := make([]string, len(entries))
-	for i, e := range entries {
-		names[i] = e.Name()
+	for i, entry := range entries {
+		names[i] = entry.Name()
 	}
 	return names, nil
 }
 
 // SyncDir syncs a folder.
 func (OS) SyncDir(dir string) error {
-	d, err := os.Open(dir)
+	folder, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(folder.Sync(), folder.Close())
 }
 
 // MkdirAll makes the folder and its missing parents, each synced into its own parent.
-func (o OS) MkdirAll(dir string) error {
+func (system OS) MkdirAll(dir string) error {
 	switch info, err := os.Stat(dir); {
 	case err == nil && info.IsDir():
 		return nil
@@ -105,12 +105,12 @@
 	}
 	parent := filepath.Dir(dir)
 	if parent != dir {
-		if err := o.MkdirAll(parent); err != nil {
+		if err := system.MkdirAll(parent); err != nil {
 			return err
 		}
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
 	}
-	return o.SyncDir(parent)
+	return system.SyncDir(parent)
 }
--- a/internal/tier/wal/memory.go
+++ b/internal/tier/wal/memory.go
@@ -9,56 +9,56 @@
 	"sync"
 )
 
-// ErrDead is what every operation gives after the place given to DieAt, until Crash, Kill or Wipe,
-// and what handles opened before one of these give.
+// ErrDead is the error of every operation from the one given to DieAt on, until Crash, Kill or Wipe, and of handles that were
+// opened before one of these.
 var ErrDead = errors.New("wal: process is dead")
 
-// Memory is a file system in memory for tests, with what a disk forgets at a power loss. Safe for concurrent use.
+// Memory is a file system in memory for tests. It loses at a power loss what a disk may lose. Safe for concurrent use.
 type Memory struct {
-	mu     sync.Mutex
-	live   map[string]*inode // names as the process sees them
-	disk   map[string]*inode // names as they are after a power loss
-	dirs   map[string]bool
-	naming []naming // of names, in order, not yet lasting
-	life   int      // handles of an earlier life are dead
-	ops    int
-	failAt int
-	failBy error
-	sticks bool          // failures go on until Recover
-	stall  chan struct{} // syncs wait until it is closed; nil: they don't
-	dieAt  int
-	dead   bool
+	mu               sync.Mutex
+	visible          map[string]*inode // names as the process sees them
+	durable          map[string]*inode // names as they are after a power loss
+	dirs             map[string]bool
+	nameChanges      []nameChange // not yet durable, in order
+	life             int          // of the process; handles of an earlier life are dead
+	operations       int
+	failAt           int
+	failError        error
+	failPersistently bool          // changing operations fail from failAt until Recover
+	stall            chan struct{} // syncs wait until it is closed; nil: they do not wait
+	dieAt            int
+	dead             bool
 }
 
-// inode is one file: what the process sees, what lasts, and what was written in between.
+// inode is one file: what the process sees, what is durable, and the changes between the two.
 type inode struct {
-	live, disk []byte
-	pending    []change
+	visible, durable []byte
+	pending          []contentChange
 }
 
-// change is one write at an offset or, without data, one cut to that length.
-type change struct {
-	at   int64
-	data []byte
-	cut  bool
+// contentChange is one write at an offset, or one truncation to that length.
+type contentChange struct {
+	offset   int64
+	data     []byte
+	truncate bool
 }
 
-// naming is one change of names: a creation (from empty), a rename or a removal (to empty).
-type naming struct {
+// nameChange is a creation (from empty), a rename or a removal (to empty).
+type nameChange struct {
 	from, to string
-	node     *inode
+	file     *inode
 }
 
-// NewMemory gives an empty file system.
+// NewMemory returns an empty file system.
 func NewMemory() *Memory {
-	return &Memory{live: map[string]*inode{}, disk: map[string]*inode{}, dirs: map[string]bool{}}
+	return &Memory{visible: map[string]*inode{}, durable: map[string]*inode{}, dirs: map[string]bool{}}
 }
 
-// Ops gives the number of operations so far; each call of FS and Handle is one, Close and Size excepted.
+// Ops returns the number of operations so far. Each call of FS and Handle is one, but for Close and Size.
 func (memory *Memory) Ops() int {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	return memory.ops
+	return memory.operations
 }
 
 // missing is the error of an operation on a name that is not there.
@@ -66,86 +66,86 @@
 	return &fs.PathError{Op: op, Path: name, Err: fs.ErrNotExist}
 }
 
-// Open opens an existing file.
+// Open implements FS.
 func (memory *Memory) Open(name string) (Handle, error) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	if err := memory.step(); err != nil {
+	if err := memory.operation(); err != nil {
 		return nil, err
 	}
-	node := memory.live[name]
+	node := memory.visible[name]
 	if node == nil {
 		return nil, missing("open", name)
 	}
 	return &memoryFile{memory: memory, node: node, life: memory.life}, nil
 }
 
-// Create makes an empty file or empties one.
+// Create implements FS.
 func (memory *Memory) Create(name string) (Handle, error) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	if err := memory.stepChange(); err != nil {
+	if err := memory.changingOperation(); err != nil {
 		return nil, err
 	}
 	if !memory.dirs[filepath.Dir(name)] {
 		return nil, missing("create", name)
 	}
-	node := memory.live[name]
+	node := memory.visible[name]
 	if node == nil {
 		node = &inode{}
-		memory.live[name] = node
-		memory.naming = append(memory.naming, naming{to: name, node: node})
+		memory.visible[name] = node
+		memory.nameChanges = append(memory.nameChanges, nameChange{to: name, file: node})
 	} else {
-		node.change(change{cut: true})
+		node.record(contentChange{truncate: true})
 	}
 	return &memoryFile{memory: memory, node: node, life: memory.life}, nil
 }
 
-// Rename replaces to by from.
+// Rename implements FS.
 func (memory *Memory) Rename(from, to string) error {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	if err := memory.stepChange(); err != nil {
+	if err := memory.changingOperation(); err != nil {
 		return err
 	}
-	node := memory.live[from]
+	node := memory.visible[from]
 	if node == nil {
 		return missing("rename", from)
 	}
-	delete(memory.live, from)
-	memory.live[to] = node
-	memory.naming = append(memory.naming, naming{from: from, to: to, node: node})
+	delete(memory.visible, from)
+	memory.visible[to] = node
+	memory.nameChanges = append(memory.nameChanges, nameChange{from: from, to: to, file: node})
 	return nil
 }
 
-// Remove removes a file.
+// Remove implements FS.
 func (memory *Memory) Remove(name string) error {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	if err := memory.step(); err != nil {
+	if err := memory.operation(); err != nil {
 		return err
 	}
-	node := memory.live[name]
+	node := memory.visible[name]
 	if node == nil {
 		return missing("remove", name)
 	}
-	delete(memory.live, name)
-	memory.naming = append(memory.naming, naming{from: name, node: node})
+	delete(memory.visible, name)
+	memory.nameChanges = append(memory.nameChanges, nameChange{from: name, file: node})
 	return nil
 }
 
-// List gives the sorted names of the files in a folder.
+// List implements FS. It lists files only.
 func (memory *Memory) List(dir string) ([]string, error) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	if err := memory.step(); err != nil {
+	if err := memory.operation(); err != nil {
 		return nil, err
 	}
 	if !memory.dirs[filepath.Clean(dir)] {
 		return nil, missing("list", dir)
 	}
 	var names []string
-	for name := range memory.live {
+	for name := range memory.visible {
 		if filepath.Dir(name) == filepath.Clean(dir) {
 			names = append(names, filepath.Base(name))
 		}
@@ -154,29 +154,29 @@
 	return names, nil
 }
 
-// SyncDir makes the names of a folder last.
+// SyncDir implements FS.
 func (memory *Memory) SyncDir(dir string) error {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	if err := memory.step(); err != nil {
+	if err := memory.operation(); err != nil {
 		return err
 	}
 	dir = filepath.Clean(dir)
-	memory.naming = slices.DeleteFunc(memory.naming, func(n naming) bool {
-		if filepath.Dir(n.from+n.to) != dir && filepath.Dir(n.from) != dir && filepath.Dir(n.to) != dir {
+	memory.nameChanges = slices.DeleteFunc(memory.nameChanges, func(change nameChange) bool {
+		if filepath.Dir(change.from+change.to) != dir && filepath.Dir(change.from) != dir && filepath.Dir(change.to) != dir {
 			return false
 		}
-		memory.settle(n)
+		memory.makeDurable(change)
 		return true
 	})
 	return nil
 }
 
-// MkdirAll makes a folder that lasts.
+// MkdirAll implements FS.
 func (memory *Memory) MkdirAll(dir string) error {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	if err := memory.stepChange(); err != nil {
+	if err := memory.changingOperation(); err != nil {
 		return err
 	}
 	for dir = filepath.Clean(dir); !memory.dirs[dir]; dir = filepath.Dir(dir) {
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// change applies a change to what the process sees.
-func (node *inode) change(c change) {
-	node.pending = append(node.pending, c)
-	node.live = c.apply(node.live)
+// record applies a change to what the process sees.
+func (node *inode) record(written contentChange) {
+	node.pending = append(node.pending, written)
+	node.visible = written.apply(node.visible)
 }
--- a/internal/tier/wal/memory_crash.go
+++ b/internal/tier/wal/memory_crash.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Kill ends the process without a loss: handles are dead, files stay as they were seen.
+// Kill ends the process without a power loss: handles are dead, files stay as the process saw them.
 func (memory *Memory) Kill() {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
@@ -17,14 +17,14 @@
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	memory.restart()
-	clear(memory.live)
-	clear(memory.disk)
+	clear(memory.visible)
+	clear(memory.durable)
 	clear(memory.dirs)
-	memory.naming = nil
+	memory.nameChanges = nil
 }
 
-// Crash is a loss of power. Of what was not synced, each write is there, missing or torn, and each change of names up to
-// some place is done or undone; now and then, and always with a nil rng, all of it is gone.
+// Crash is a power loss. Of what was not synced, each write is kept, lost or torn, and of the changes of names the first so
+// many are kept; sometimes, and always where rng is nil, all of it is lost.
 func (memory *Memory) Crash(rng *rand.Rand) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
@@ -33,21 +33,21 @@
 		rng = nil
 	}
 	if rng != nil {
-		for _, n := range memory.naming[:rng.IntN(len(memory.naming)+1)] {
-			memory.settle(n)
+		for _, change := range memory.nameChanges[:rng.IntN(len(memory.nameChanges)+1)] {
+			memory.makeDurable(change)
 		}
 	}
-	memory.naming = nil
-	memory.live = map[string]*inode{}
+	memory.nameChanges = nil
+	memory.visible = map[string]*inode{}
 	seen := map[*inode]bool{}
-	names := make([]string, 0, len(memory.disk))
-	for name := range memory.disk {
+	names := make([]string, 0, len(memory.durable))
+	for name := range memory.durable {
 		names = append(names, name)
 	}
 	slices.Sort(names) // one seed, one outcome
 	for _, name := range names {
-		node := memory.disk[name]
-		memory.live[name] = node
+		node := memory.durable[name]
+		memory.visible[name] = node
 		if !seen[node] {
 			seen[node] = true
 			node.crash(rng)
@@ -58,70 +58,72 @@
 // restart begins another life of the process. The lock is held.
 func (memory *Memory) restart() {
 	memory.life++
-	memory.dead, memory.dieAt, memory.failAt, memory.failBy, memory.sticks = false, 0, 0, nil, false
+	memory.dead, memory.dieAt, memory.failAt, memory.failError, memory.failPersistently = false, 0, 0, nil, false
 }
 
-// settle makes one change of names last.
-func (memory *Memory) settle(n naming) {
-	if n.from != "" && memory.disk[n.from] == n.node {
-		delete(memory.disk, n.from)
+// makeDurable makes one change of names durable.
+func (memory *Memory) makeDurable(change nameChange) {
+	if change.from != "" && memory.durable[change.from] == change.file {
+		delete(memory.durable, change.from)
 	}
-	if n.to != "" {
-		memory.disk[n.to] = n.node
+	if change.to != "" {
+		memory.durable[change.to] = change.file
 	}
 }
 
-// crash leaves what lasts of a file.
+// crash leaves of a file what a power loss leaves.
 func (node *inode) crash(rng *rand.Rand) {
-	data := node.disk
+	data := node.durable
 	if rng != nil {
-		for _, c := range node.pending {
+		for _, pending := range node.pending {
 			switch rng.IntN(3) {
 			case 0:
-				data = c.apply(data)
+				data = pending.apply(data)
 			case 1: // missing
 			case 2:
-				for _, part := range c.tear(rng) {
+				for _, part := range pending.tear(rng) {
 					data = part.apply(data)
 				}
 			}
 		}
 	}
-	node.live, node.disk, node.pending = slices.Clone(data), slices.Clone(data), nil
+	node.visible, node.durable, node.pending = slices.Clone(data), slices.Clone(data), nil
 }
 
-// dirty tells whether bytes that were written and are still part of the file wait for a sync.
+// dirty reports whether bytes that were written and are still part of the file wait for a sync.
 func (node *inode) dirty() bool {
-	return slices.ContainsFunc(node.pending, func(c change) bool { return !c.cut && c.at < int64(len(node.live)) })
+	return slices.ContainsFunc(node.pending, func(pending contentChange) bool {
+		return !pending.truncate && pending.offset < int64(len(node.visible))
+	})
 }
 
-// tear gives what a torn change leaves: a beginning, or a beginning and an end.
-func (c change) tear(rng *rand.Rand) []change {
-	if c.cut || len(c.data) == 0 {
+// tear returns what a torn write leaves: a beginning, or a beginning and an end.
+func (change contentChange) tear(rng *rand.Rand) []contentChange {
+	if change.truncate || len(change.data) == 0 {
 		return nil
 	}
-	i := rng.IntN(len(c.data))
-	parts := []change{{at: c.at, data: c.data[:i]}}
+	i := rng.IntN(len(change.data))
+	parts := []contentChange{{offset: change.offset, data: change.data[:i]}}
 	if rng.IntN(2) == 0 {
-		j := i + rng.IntN(len(c.data)-i)
-		parts = append(parts, change{at: c.at + int64(j), data: c.data[j:]})
+		j := i + rng.IntN(len(change.data)-i)
+		parts = append(parts, contentChange{offset: change.offset + int64(j), data: change.data[j:]})
 	}
 	return parts
 }
 
-// apply gives the bytes after the change. What was given isn't touched.
-func (c change) apply(to []byte) []byte {
-	if c.cut {
-		if c.at <= int64(len(to)) {
-			return to[:c.at:c.at]
+// apply returns the bytes after the change. It does not modify its argument.
+func (change contentChange) apply(to []byte) []byte {
+	if change.truncate {
+		if change.offset <= int64(len(to)) {
+			return to[:change.offset:change.offset]
 		}
-		return append(slices.Clone(to), make([]byte, c.at-int64(len(to)))...)
+		return append(slices.Clone(to), make([]byte, change.offset-int64(len(to)))...)
 	}
-	if len(c.data) == 0 {
+	if len(change.data) == 0 {
 		return to
 	}
-	out := make([]byte, max(int64(len(to)), c.at+int64(len(c.data))))
+	out := make([]byte, max(int64(len(to)), change.offset+int64(len(change.data))))
 	copy(out, to)
-	copy(out[c.at:], c.data)
+	copy(out[change.offset:], change.data)
 	return out
 }
--- a/internal/tier/wal/memory_faults.go
+++ b/internal/tier/wal/memory_faults.go
@@ -5,26 +5,26 @@
 )
 
 // FailAt makes the n-th operation from now (1 is the next) fail once with err. A write that fails has written half; a sync
-// that fails has lost what it should have kept, though the process goes on seeing it.
+// that fails has lost what it should have kept, though the process still sees it.
 func (memory *Memory) FailAt(n int, err error) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	memory.failAt, memory.failBy, memory.sticks = memory.ops+n, err, false
+	memory.failAt, memory.failError, memory.failPersistently = memory.operations+n, err, false
 }
 
-// FailFrom is like FailAt, but from there on, until Recover, all operations fail that create, rename or write, and syncs
-// that have something written to carry, as on a full disk; opening, reading, listing, removing and truncating go on.
+// FailFrom is like FailAt, but from there on, until Recover, all operations fail that create, rename or write, and syncs of
+// files with unsynced writes, as on a full disk; opening, reading, listing, removing and truncating succeed.
 func (memory *Memory) FailFrom(n int, err error) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	memory.failAt, memory.failBy, memory.sticks = memory.ops+n, err, true
+	memory.failAt, memory.failError, memory.failPersistently = memory.operations+n, err, true
 }
 
 // Recover ends what FailAt and FailFrom began.
 func (memory *Memory) Recover() {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	memory.failAt, memory.failBy, memory.sticks = 0, nil, false
+	memory.failAt, memory.failError, memory.failPersistently = 0, nil, false
 }
 
 // StallSync makes each sync of a file hang until release is called.
@@ -43,33 +43,34 @@
 	})
 }
 
-// DieAt makes the n-th operation from now, and all that follow, fail with ErrDead without any effect, but for a write, of which half is done.
+// DieAt makes the n-th operation from now, and all that follow, fail with ErrDead without any effect, but for a write, of
+// which half is done.
 func (memory *Memory) DieAt(n int) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	memory.dieAt = memory.ops + n
+	memory.dieAt = memory.operations + n
 }
 
-// step counts one operation and gives its error. The lock is held.
-func (memory *Memory) step() error {
-	memory.ops++
-	if memory.dead || memory.ops == memory.dieAt {
+// operation counts one operation and returns its error. The lock is held.
+func (memory *Memory) operation() error {
+	memory.operations++
+	if memory.dead || memory.operations == memory.dieAt {
 		memory.dead = true
 		return ErrDead
 	}
-	if memory.ops == memory.failAt {
-		return memory.failBy
+	if memory.operations == memory.failAt {
+		return memory.failError
 	}
 	return nil
 }
 
-// stepChange is step for an operation that needs room or a disk that takes writes. The lock is held.
-func (memory *Memory) stepChange() error {
-	if err := memory.step(); err != nil {
+// changingOperation is operation for one that needs space on the disk. The lock is held.
+func (memory *Memory) changingOperation() error {
+	if err := memory.operation(); err != nil {
 		return err
 	}
-	if memory.sticks && memory.ops > memory.failAt {
-		return memory.failBy
+	if memory.failPersistently && memory.operations > memory.failAt {
+		return memory.failError
 	}
 	return nil
 }
--- a/internal/tier/wal/memory_file.go
+++ b/internal/tier/wal/memory_file.go
@@ -14,8 +14,8 @@
 	closed bool
 }
 
-// step counts one operation on the file. The lock is held.
-func (file *memoryFile) step(next func() error) error {
+// operation counts one operation on the file by next, and returns its error. The lock is held.
+func (file *memoryFile) operation(next func() error) error {
 	switch {
 	case file.life != file.memory.life:
 		return ErrDead
@@ -28,13 +28,13 @@
 func (file *memoryFile) ReadAt(p []byte, off int64) (int, error) {
 	file.memory.mu.Lock()
 	defer file.memory.mu.Unlock()
-	if err := file.step(file.memory.step); err != nil {
+	if err := file.operation(file.memory.operation); err != nil {
 		return 0, err
 	}
-	if off >= int64(len(file.node.live)) {
+	if off >= int64(len(file.node.visible)) {
 		return 0, io.EOF
 	}
-	n := copy(p, file.node.live[off:])
+	n := copy(p, file.node.visible[off:])
 	if n < len(p) {
 		return n, io.EOF
 	}
@@ -44,26 +44,26 @@
 func (file *memoryFile) WriteAt(p []byte, off int64) (int, error) {
 	file.memory.mu.Lock()
 	defer file.memory.mu.Unlock()
-	was := file.memory.dead
-	err := file.step(file.memory.stepChange)
+	wasDead := file.memory.dead
+	err := file.operation(file.memory.changingOperation)
 	n := len(p)
 	if err != nil {
 		n /= 2
 	}
-	if was || file.life != file.memory.life || file.closed {
+	if wasDead || file.life != file.memory.life || file.closed {
 		return 0, err
 	}
-	file.node.change(change{at: off, data: slices.Clone(p[:n])})
+	file.node.record(contentChange{offset: off, data: slices.Clone(p[:n])})
 	return n, err
 }
 
 func (file *memoryFile) Truncate(size int64) error {
 	file.memory.mu.Lock()
 	defer file.memory.mu.Unlock()
-	if err := file.step(file.memory.step); err != nil {
+	if err := file.operation(file.memory.operation); err != nil {
 		return err
 	}
-	file.node.change(change{at: size, cut: true})
+	file.node.record(contentChange{offset: size, truncate: true})
 	return nil
 }
 
@@ -71,25 +71,25 @@
 	file.memory.waitStall()
 	file.memory.mu.Lock()
 	defer file.memory.mu.Unlock()
-	next := file.memory.step
+	next := file.memory.operation
 	if file.node.dirty() {
-		next = file.memory.stepChange
+		next = file.memory.changingOperation
 	}
-	if err := file.step(next); err != nil {
+	if err := file.operation(next); err != nil {
 		if !file.memory.dead && file.life == file.memory.life && !file.closed {
 			file.node.pending = nil // pages are marked clean though they never reached the disk
 		}
 		return err
 	}
-	for _, c := range file.node.pending {
-		file.node.disk = c.apply(file.node.disk)
+	for _, pending := range file.node.pending {
+		file.node.durable = pending.apply(file.node.durable)
 	}
 	file.node.pending = nil
-	// A new file lasts with its own sync.
-	for i, n := range file.memory.naming {
-		if n.node == file.node && n.from == "" {
-			file.memory.settle(n)
-			file.memory.naming = slices.Delete(file.memory.naming, i, i+1)
+	// A new file becomes durable by its own sync.
+	for i, change := range file.memory.nameChanges {
+		if change.file == file.node && change.from == "" {
+			file.memory.makeDurable(change)
+			file.memory.nameChanges = slices.Delete(file.memory.nameChanges, i, i+1)
 			break
 		}
 	}
@@ -102,7 +102,7 @@
 	if file.life != file.memory.life {
 		return 0, ErrDead
 	}
-	return int64(len(file.node.live)), nil
+	return int64(len(file.node.visible)), nil
 }
 
 func (file *memoryFile) Close() error {
--- a/internal/tier/wal/reopen.go
+++ b/internal/tier/wal/reopen.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// ReopenRoom is how many bytes more must fit onto the disk before Reopen gives a file back to its user.
+	// ReopenRoom is how many bytes more must fit onto the disk before Reopen succeeds.
 	ReopenRoom = 64 << 10
 
-	retouchChunk = 1 << 20 // bytes of one write of retouch
-	retouchTail  = 8 << 20 // bytes before the end of the records that Open writes again
+	rewriteTailChunk = 1 << 20 // bytes of one write of rewriteTail
+	rewriteTailSize  = 8 << 20 // bytes at the end of the records that Open rewrites
 )
 
 // NoRoom is the type of the error of a Reopen that replayed the whole file and found it sound, but could not write
 // ReopenRoom bytes more. The file stays broken. A Rewrite to less may still find room, and makes it usable.
 var NoRoom = space.NewType("no_room")
 
-// Reopen makes a broken file usable: the way back after an error of Append, Sync or Rewrite, without a restart.
+// Reopen makes a broken file usable, to recover from an error of Append, Sync or Rewrite without a restart.
 //
 // After a failed write or sync neither the tail of the file nor what the user holds in memory can be trusted: the system
 // may show bytes that never reached the disk, and later syncs do not write them. Reopen opens the file by its name again,
-// hands every record from the first on to replay, cuts off what is torn, and writes again and syncs all that no sync has
-// covered. A user drops its state, calls Reopen with a replay that builds the state anew, and goes on from there, just as
+// calls replay with every record from the first on, cuts off what is torn, and rewrites and syncs all that no sync has
+// covered. A user drops its state, calls Reopen with a replay that builds the state anew, and continues from there, just as
 // after a restart:
 //
 //	var next state
 //	if err := file.Reopen(next.replay); err != nil {
-//		return err // still broken: wait, then try again with another empty state
+//		return err // still broken: wait, then retry with another empty state
 //	}
 //	current = next
 //
 // What was not acknowledged by a nil Sync may or may not be among the records; what is among them is durable when Reopen
 // returns nil. Until then the file refuses Append and Sync (type Broken) and Reopen may be called any number of times.
 // Errors: IO where the disk fails, NoRoom where it has no room, Foreign, Misuse on a closed file, those of replay as they
-// are. Nothing else may be called beside it, but for a Sync that is still under way; that one fails.
+// are. No other method may be called at the same time; a Sync that is still under way fails.
 func (file *File) Reopen(replay func(record []byte) error) error {
 	file.mu.Lock()
 	defer file.mu.Unlock()
@@ -53,9 +53,10 @@
 	return nil
 }
 
+// reopen replaces the handle and loads the file. The lock is held.
 func (file *File) reopen(replay func([]byte) error) error {
-	if err := file.fs.Remove(file.path + tempExt); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return IO.Wrap(err, "remove %s", file.path+tempExt)
+	if err := file.fs.Remove(file.path + tempSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return IO.Wrap(err, "remove %s", file.path+tempSuffix)
 	}
 	next, err := file.fs.Open(file.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -71,11 +72,11 @@
 	if err := file.load(replay, file.durable); err != nil {
 		return err
 	}
-	return file.probe()
+	return file.checkRoom()
 }
 
-// probe writes ReopenRoom bytes behind the records and takes them away again. They are zeros, which are no record.
-func (file *File) probe() error {
+// checkRoom writes ReopenRoom bytes behind the records and truncates them. They are zeros, which are no record.
+func (file *File) checkRoom() error {
 	_, err := file.handle.WriteAt(make([]byte, ReopenRoom), file.size)
 	if err == nil {
 		err = file.handle.Sync()
@@ -93,10 +94,10 @@
 	return nil
 }
 
-// retouch writes the bytes from an offset up to the end of the records over themselves. A system that failed to write a
-// page may hold it as clean: then only a new write makes the next sync carry it to the disk.
-func (file *File) retouch(from int64) error {
-	buffer := make([]byte, min(retouchChunk, max(0, file.size-from)))
+// rewriteTail writes the bytes from an offset up to the end of the records over themselves. A system that failed to write a
+// page may hold it as clean: then only a new write makes the next sync write it to the disk.
+func (file *File) rewriteTail(from int64) error {
+	buffer := make([]byte, min(rewriteTailChunk, max(0, file.size-from)))
 	for at := from; at < file.size; {
 		part := buffer[:min(int64(len(buffer)), file.size-at)]
 		if n, err := file.handle.ReadAt(part, at); n < len(part) {
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// Err is nil where the file is usable, and otherwise the error that Append gives.
+// Err returns nil where the file is usable, and otherwise the error that Append would return.
 func (file *File) Err() error {
 	file.mu.Lock()
 	defer file.mu.Unlock()
--- a/internal/tier/wal/rewrite.go
+++ b/internal/tier/wal/rewrite.go
@@ -1,25 +1,25 @@
 package wal
 
-const rewriteChunk = 64 << 10 // bytes of one write of a rewrite
+const rewriteChunkSize = 64 << 10 // bytes of one write of a rewrite
 
-// Rewrite replaces all records by those that write adds. They last when it returns nil, and a broken file is usable after that.
-// When it fails before the new file took the place of the old one, the old one stands as it was; when it fails after
-// that, the file is broken, and which of the two is found at the next Open is open. Append must not be called during it.
+// Rewrite replaces all records by those that write adds. They are durable when it returns nil, and a broken file is usable
+// after that. If it fails before the new file has replaced the old one, the old one stays as it was; if it fails after
+// that, the file is broken, and the next Open may find either of them. Append must not be called during it.
 func (file *File) Rewrite(write func(add func(record []byte) error) error) error {
 	file.mu.Lock()
 	defer file.mu.Unlock()
 	if file.closed {
 		return Misuse.New("%s is closed", file.path)
 	}
-	temp := file.path + tempExt
+	temp := file.path + tempSuffix
 	next, err := file.fs.Create(temp)
 	if err != nil {
 		return IO.Wrap(err, "create %s", temp)
 	}
-	size, err := fill(next, write)
+	size, err := writeNewFile(next, write)
 	if err != nil {
 		_ = next.Close()
-		_ = file.fs.Remove(temp) // one that stays is removed by the next Open, or emptied by the next Rewrite
+		_ = file.fs.Remove(temp) // if it stays, the next Open removes it, or the next Rewrite empties it
 		return err
 	}
 	if err := file.fs.Rename(temp, file.path); err != nil {
@@ -37,18 +37,18 @@
 	return nil
 }
 
-// fill writes header and records to a new file and syncs it.
-func fill(h Handle, write func(add func([]byte) error) error) (size int64, err error) {
-	buffer := append(make([]byte, 0, rewriteChunk), header...)
+// writeNewFile writes header and records to a new file and syncs it.
+func writeNewFile(handle Handle, write func(add func([]byte) error) error) (size int64, err error) {
+	buffer := append(make([]byte, 0, rewriteChunkSize), fileHeader...)
 	flush := func() error {
-		if _, err := h.WriteAt(buffer, size); err != nil {
+		if _, err := handle.WriteAt(buffer, size); err != nil {
 			return IO.Wrap(err, "write new file")
 		}
 		size += int64(len(buffer))
 		buffer = buffer[:0]
 		return nil
 	}
-	var failed error // also where write swallows it
+	var failed error // also where write ignores the error of add
 	add := func(record []byte) error {
 		if failed != nil {
 			return failed
@@ -57,7 +57,7 @@
 			failed = TooLarge.New("record of %d bytes, more than %d", len(record), MaxRecord)
 			return failed
 		}
-		if len(buffer) > 0 && len(buffer)+headSize+len(record) > rewriteChunk {
+		if len(buffer) > 0 && len(buffer)+recordHeaderSize+len(record) > rewriteChunkSize {
 			if failed = flush(); failed != nil {
 				return failed
 			}
@@ -76,7 +76,7 @@
 			return 0, err
 		}
 	}
-	if err := h.Sync(); err != nil {
+	if err := handle.Sync(); err != nil {
 		return 0, IO.Wrap(err, "sync new file")
 	}
 	return size, nil
--- a/internal/tier/wal/scan.go
+++ b/internal/tier/wal/scan.go
@@ -7,43 +7,45 @@
 	"io"
 )
 
-// readHeader tells whether the header is there. A file no longer than a header that isn't one was never synced: not whole.
-func readHeader(h Handle, total int64) (whole bool, err error) {
-	if total < int64(len(header)) {
+// readHeader reports whether the header is whole. A file that has just the size of a header but another content was never
+// synced, so its header is not whole; a longer one is an error of type Foreign.
+func readHeader(handle Handle, total int64) (whole bool, err error) {
+	if total < int64(len(fileHeader)) {
 		return false, nil
 	}
-	var got [len(header)]byte
-	if _, err := h.ReadAt(got[:], 0); err != nil && err != io.EOF {
+	var got [len(fileHeader)]byte
+	if _, err := handle.ReadAt(got[:], 0); err != nil && err != io.EOF {
 		return false, IO.Wrap(err, "read header")
 	}
 	switch {
-	case string(got[:]) == header:
+	case string(got[:]) == fileHeader:
 		return true, nil
-	case total == int64(len(header)) && string(got[:len(got)-1]) != header[:len(header)-1]:
+	case total == int64(len(fileHeader)) && string(got[:len(got)-1]) != fileHeader[:len(fileHeader)-1]:
 		return false, nil
 	}
-	return false, Foreign.New("header %q, not %q", got[:], header)
+	return false, Foreign.New("header %q, not %q", got[:], fileHeader)
 }
 
-// scan hands each whole record to replay and gives the place where they end: that of the first one torn or damaged, or the end.
-func scan(h Handle, total int64, replay func([]byte) error) (end int64, err error) {
-	end = int64(len(header))
-	r := bufio.NewReaderSize(io.NewSectionReader(h, end, total-end), 64<<10)
-	var head [headSize]byte
-	for total-end >= headSize {
-		if _, err := io.ReadFull(r, head[:]); err != nil {
+// readRecords calls replay with each whole record and returns the offset at which they end: that of the first record that is
+// torn or damaged, or the end of the file.
+func readRecords(handle Handle, total int64, replay func([]byte) error) (end int64, err error) {
+	end = int64(len(fileHeader))
+	reader := bufio.NewReaderSize(io.NewSectionReader(handle, end, total-end), 64<<10)
+	var recordHeader [recordHeaderSize]byte
+	for total-end >= recordHeaderSize {
+		if _, err := io.ReadFull(reader, recordHeader[:]); err != nil {
 			return end, IO.Wrap(err, "read at %d", end)
 		}
-		length := int64(binary.LittleEndian.Uint32(head[:4]))
-		if length > MaxRecord || length > total-end-headSize {
+		length := int64(binary.LittleEndian.Uint32(recordHeader[:4]))
+		if length > MaxRecord || length > total-end-recordHeaderSize {
 			return end, nil
 		}
 		record := make([]byte, length)
-		if _, err := io.ReadFull(r, record); err != nil {
+		if _, err := io.ReadFull(reader, record); err != nil {
 			return end, IO.Wrap(err, "read at %d", end)
 		}
-		sum := crc32.Update(crc32.Checksum(head[:4], castagnoli), castagnoli, record)
-		if sum != binary.LittleEndian.Uint32(head[4:]) {
+		sum := crc32.Update(crc32.Checksum(recordHeader[:4], checksumTable), checksumTable, record)
+		if sum != binary.LittleEndian.Uint32(recordHeader[4:]) {
 			return end, nil
 		}
 		if replay != nil {
@@ -51,7 +53,7 @@
 				return end, err
 			}
 		}
-		end += headSize + length
+		end += recordHeaderSize + length
 	}
 	return end, nil
 }
--- a/internal/tier/wal/wal.go
+++ b/internal/tier/wal/wal.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	header    = "yardlog\x01" // magic and version
-	headSize  = 8             // of a record: length and checksum, 4 bytes each, little endian
-	tempExt   = ".tmp"
-	bufferMax = 256 << 10 // bytes of a write buffer that are kept between calls
+	fileHeader       = "yardlog\x01" // magic and version
+	recordHeaderSize = 8             // of a record: length and checksum, 4 bytes each, little endian
+	tempSuffix       = ".tmp"
+	maxKeptBuffer    = 256 << 10 // bytes of a write buffer that is kept between calls
 
 	// MaxRecord is the maximum size of a record, in bytes.
 	MaxRecord = 64 << 20
@@ -30,7 +30,7 @@
 	Broken = space.NewType("broken")
 	// Foreign is the type of errors of a file that has another magic or version.
 	Foreign = space.NewType("foreign")
-	// Misuse is the type of errors of calls that can't be served: record too long, file closed.
+	// Misuse is the type of errors of calls that are not allowed: record too long, file closed.
 	Misuse = space.NewType("misuse")
 	// TooLarge is the type, a kind of Misuse, of the error that refuses a record over MaxRecord. Nothing was written, and
 	// the file is as usable as before: this is no error of the disk.
@@ -38,53 +38,55 @@
 	// IO is the type of errors of the disk.
 	IO = space.NewType("io")
 
-	castagnoli = crc32.MakeTable(crc32.Castagnoli)
+	checksumTable = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// File is an open write-ahead log. Append may run beside Sync; Rewrite runs alone.
+// File is an open write-ahead log. Its methods may be called from any goroutine, but Rewrite and Reopen only while no Append
+// runs.
 type File struct {
 	fs        FS
 	dir, path string
 
-	syncing sync.Mutex // one sync at a time: the system tells a failure to one caller only. Taken before mu.
+	syncLock sync.Mutex // one sync at a time: the system reports a failure to one caller only. Taken before mu.
 
-	mu      sync.Mutex
-	handle  Handle
-	size    int64 // bytes, header included
-	durable int64 // bytes at the beginning that a sync has covered; 0 where that is unknown
-	reopens int   // how often Reopen took another handle
-	broken  error
-	closed  bool
-	buffer  []byte
+	mu          sync.Mutex
+	handle      Handle
+	size        int64 // bytes, header included
+	durable     int64 // bytes at the beginning that a sync has covered; 0 where that is unknown
+	reopens     int   // how often Reopen has replaced the handle
+	broken      error
+	closed      bool
+	writeBuffer []byte
 }
 
-// Open opens the write-ahead log called name in dir, which is made if missing, and hands each record, in order, to replay (which may keep it).
-// The first torn or damaged record ends the replay and is cut off with all that follows. What was replayed is on the disk
-// when Open returns. An error of replay is returned as it is, and the file stays as it was.
+// Open opens the write-ahead log called name in dir, which is made if missing, and calls replay, which may be nil, with each
+// record, in order; replay may keep the record. The first torn or damaged record ends the replay and is cut off with all that
+// follows. What was replayed is durable when Open returns. An error of replay is returned as it is, and the file stays as it
+// was.
 func Open(files FS, dir, name string, replay func(record []byte) error) (*File, error) {
-	f := &File{fs: files, dir: dir, path: filepath.Join(dir, name)}
+	file := &File{fs: files, dir: dir, path: filepath.Join(dir, name)}
 	if err := files.MkdirAll(dir); err != nil {
 		return nil, IO.Wrap(err, "make folder %s", dir)
 	}
-	if err := files.Remove(f.path + tempExt); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, IO.Wrap(err, "remove %s", f.path+tempExt)
+	if err := files.Remove(file.path + tempSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return nil, IO.Wrap(err, "remove %s", file.path+tempSuffix)
 	}
 	var err error
-	if f.handle, err = files.Open(f.path); errors.Is(err, fs.ErrNotExist) {
-		f.handle, err = files.Create(f.path)
+	if file.handle, err = files.Open(file.path); errors.Is(err, fs.ErrNotExist) {
+		file.handle, err = files.Create(file.path)
 	}
 	if err != nil {
-		return nil, IO.Wrap(err, "open %s", f.path)
+		return nil, IO.Wrap(err, "open %s", file.path)
 	}
-	if err := f.load(replay, -1); err != nil {
-		_ = f.handle.Close()
+	if err := file.load(replay, -1); err != nil {
+		_ = file.handle.Close()
 		return nil, err
 	}
-	return f, nil
+	return file, nil
 }
 
-// load replays the records, cuts the tail and makes sure that all that was read is durable: what stands at durable or
-// behind it is written again. Where durable is negative the file is of another process, and retouchTail counts.
+// load replays the records, cuts off a torn tail and makes durable all that was read: what stands at the offset durable or
+// behind it is written again. Where durable is negative the file is of another process, and rewriteTailSize bytes are.
 func (file *File) load(replay func([]byte) error, durable int64) error {
 	total, err := file.handle.Size()
 	if err != nil {
@@ -94,31 +96,13 @@
 	if err != nil {
 		return errorx.Decorate(err, "%s", file.path)
 	}
-	if !whole {
-		// The header is synced before the first record, so nothing was ever in here.
-		if err := file.handle.Truncate(0); err != nil {
-			return IO.Wrap(err, "empty %s", file.path)
-		}
-		if _, err := file.handle.WriteAt([]byte(header), 0); err != nil {
-			return IO.Wrap(err, "write header of %s", file.path)
-		}
-		file.size = int64(len(header))
+	if whole {
+		err = file.loadRecords(replay, total, durable)
 	} else {
-		if file.size, err = scan(file.handle, total, replay); err != nil {
-			return err
-		}
-		if durable < 0 {
-			durable = file.size - retouchTail
-		}
-		if err := file.retouch(max(0, min(durable, file.size))); err != nil {
-			return err
-		}
-		if file.size < total {
-			log.Warn().Str("event", "wal_tail_cut").Str("file", file.path).Int64("kept", file.size).Int64("cut", total-file.size).Msg("torn tail of a file cut off")
-			if err := file.handle.Truncate(file.size); err != nil {
-				return IO.Wrap(err, "cut %s", file.path)
-			}
-		}
+		err = file.writeHeader()
+	}
+	if err != nil {
+		return err
 	}
 	// Without these two a power loss could take back what this process replayed, or bring back a tail that was cut.
 	if err := file.handle.Sync(); err != nil {
@@ -131,16 +115,50 @@
 	return nil
 }
 
-// appendRecord adds the stored form of a record.
+// writeHeader makes the file an empty log. The header is synced before the first record, so a file without a whole header
+// never had one.
+func (file *File) writeHeader() error {
+	if err := file.handle.Truncate(0); err != nil {
+		return IO.Wrap(err, "empty %s", file.path)
+	}
+	if _, err := file.handle.WriteAt([]byte(fileHeader), 0); err != nil {
+		return IO.Wrap(err, "write header of %s", file.path)
+	}
+	file.size = int64(len(fileHeader))
+	return nil
+}
+
+// loadRecords replays the records of a file of so many bytes, writes its tail again and cuts off what is torn; see load.
+func (file *File) loadRecords(replay func([]byte) error, total, durable int64) (err error) {
+	if file.size, err = readRecords(file.handle, total, replay); err != nil {
+		return err
+	}
+	if durable < 0 {
+		durable = file.size - rewriteTailSize
+	}
+	if err := file.rewriteTail(max(0, min(durable, file.size))); err != nil {
+		return err
+	}
+	if file.size == total {
+		return nil
+	}
+	log.Warn().Str("event", "wal_tail_cut").Str("file", file.path).Int64("kept", file.size).Int64("cut", total-file.size).Msg("torn tail of a file cut off")
+	if err := file.handle.Truncate(file.size); err != nil {
+		return IO.Wrap(err, "cut %s", file.path)
+	}
+	return nil
+}
+
+// appendRecord appends the stored form of a record.
 func appendRecord(to, record []byte) []byte {
-	var head [headSize]byte
-	binary.LittleEndian.PutUint32(head[:4], uint32(len(record)))
-	sum := crc32.Update(crc32.Checksum(head[:4], castagnoli), castagnoli, record)
-	binary.LittleEndian.PutUint32(head[4:], sum)
-	return append(append(to, head[:]...), record...)
+	var recordHeader [recordHeaderSize]byte
+	binary.LittleEndian.PutUint32(recordHeader[:4], uint32(len(record)))
+	sum := crc32.Update(crc32.Checksum(recordHeader[:4], checksumTable), checksumTable, record)
+	binary.LittleEndian.PutUint32(recordHeader[4:], sum)
+	return append(append(to, recordHeader[:]...), record...)
 }
 
-// usable gives the error that keeps the file from being used. The lock is held.
+// usable returns the error that keeps the file from being used, or nil. The lock is held.
 func (file *File) usable() error {
 	if file.closed {
 		return Misuse.New("%s is closed", file.path)
@@ -156,8 +174,8 @@
 	return file.broken
 }
 
-// Append adds records, in order, by one write. They last once a Sync that begins afterwards has returned nil.
-// After an error of the disk (type Broken) their fate is unknown. A record over MaxRecord is refused (type
+// Append appends records, in order, by one write. They are durable once a Sync that begins afterwards has returned nil.
+// After an error of the disk (type Broken) it is unknown whether they are. A record over MaxRecord is refused (type
 // TooLarge), and nothing is written.
 func (file *File) Append(records ...[]byte) error {
 	file.mu.Lock()
@@ -165,15 +183,15 @@
 	if err := file.usable(); err != nil {
 		return err
 	}
-	buffer := file.buffer[:0]
-	for _, r := range records {
-		if len(r) > MaxRecord {
-			return TooLarge.New("record of %d bytes, more than %d", len(r), MaxRecord)
+	buffer := file.writeBuffer[:0]
+	for _, record := range records {
+		if len(record) > MaxRecord {
+			return TooLarge.New("record of %d bytes, more than %d", len(record), MaxRecord)
 		}
-		buffer = appendRecord(buffer, r)
+		buffer = appendRecord(buffer, record)
 	}
-	if file.buffer = buffer; cap(buffer) > bufferMax {
-		file.buffer = nil
+	if file.writeBuffer = buffer; cap(buffer) > maxKeptBuffer {
+		file.writeBuffer = nil
 	}
 	if len(buffer) == 0 {
 		return nil
@@ -186,14 +204,14 @@
 }
 
 // Sync makes all records durable whose Append returned before the call. Calls at the same time share a sync of the disk.
-// After an error (type Broken) the fate of the records since the last nil Sync is unknown.
+// After an error (type Broken) it is unknown whether the records since the last nil Sync are durable.
 func (file *File) Sync() error {
 	target, err := file.syncTarget()
 	if err != nil {
 		return err
 	}
-	file.syncing.Lock()
-	defer file.syncing.Unlock()
+	file.syncLock.Lock()
+	defer file.syncLock.Unlock()
 	file.mu.Lock()
 	if err := file.usable(); err != nil || file.durable >= target {
 		file.mu.Unlock()
@@ -220,14 +238,14 @@
 	return nil
 }
 
-// syncTarget gives the size up to which a sync that begins now must reach.
+// syncTarget returns the size up to which a sync that begins now must reach.
 func (file *File) syncTarget() (int64, error) {
 	file.mu.Lock()
 	defer file.mu.Unlock()
 	return file.size, file.usable()
 }
 
-// Size gives the bytes of the file.
+// Size returns the size of the file in bytes.
 func (file *File) Size() int64 {
 	file.mu.Lock()
 	defer file.mu.Unlock()
--- a/internal/tier/wal/wal_test.go
+++ b/internal/tier/wal/wal_test.go
@@ -78,7 +78,7 @@
 			keep := func(r []byte) error { got = append(got, string(r)); return nil }
 			f, err := Open(files, dir, name, keep)
 			assert.NilError(t, err)
-			long := string(bytes.Repeat([]byte("x"), 3*rewriteChunk))
+			long := string(bytes.Repeat([]byte("x"), 3*rewriteChunkSize))
 			add(t, f, "one", "", long)
 			add(t, f, "four")
 			assert.NilError(t, f.Close())
@@ -134,7 +134,7 @@
 	m := NewMemory()
 	f, ends := written(t, m, records)
 	m.Kill()
-	sound := bytes.Clone(m.live[f.path].live)
+	sound := bytes.Clone(m.visible[f.path].visible)
 	want := func(upTo int64) (n int) {
 		for n < len(records) && ends[n+1] <= upTo {
 			n++
@@ -145,7 +145,7 @@
 		t.Helper()
 		m := NewMemory()
 		f, _ := open(t, m)
-		m.live[f.path].live, m.live[f.path].disk = bytes.Clone(data), bytes.Clone(data)
+		m.visible[f.path].visible, m.visible[f.path].durable = bytes.Clone(data), bytes.Clone(data)
 		m.Kill()
 		f, got := open(t, m)
 		assert.Equal(t, fmt.Sprint(got), fmt.Sprint(records[:want]))
@@ -156,7 +156,7 @@
 	}
 	for n := range len(sound) + 1 {
 		try(sound[:n], want(int64(n)))
-		if n >= len(header) { // the rest a hole
+		if n >= len(fileHeader) { // the rest a hole
 			try(append(bytes.Clone(sound[:n]), make([]byte, len(sound)-n)...), want(int64(n)))
 		}
 	}
@@ -166,15 +166,15 @@
 	records := []string{"alpha", "beta", "gamma"}
 	m := NewMemory()
 	f, ends := written(t, m, records)
-	for at := range m.live[f.path].live {
+	for at := range m.visible[f.path].visible {
 		for bit := range 8 {
 			m.Kill()
-			data := m.live[f.path].live
+			data := m.visible[f.path].visible
 			data[at] ^= 1 << bit
 			_, got, err := tryOpen(m)
-			if at < len(header) {
+			if at < len(fileHeader) {
 				assert.Check(t, errorx.IsOfType(err, Foreign), "byte %d", at)
-				assert.Equal(t, len(m.live[f.path].live), int(ends[3]), "a foreign file was touched")
+				assert.Equal(t, len(m.visible[f.path].visible), int(ends[3]), "a foreign file was touched")
 				data[at] ^= 1 << bit
 				continue
 			}
