--- a/internal/tier/tiertest/controlplane.go
+++ b/internal/tier/tiertest/controlplane.go
@@ -12,7 +12,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// ControlPlane is a control-plane process that is the primary, unless its Via says otherwise.
+// ControlPlane is a fake control-plane process. It is the primary, unless its Via answers otherwise.
 type ControlPlane struct {
 	mu      sync.Mutex
 	views   *tierv1.WatchReply
@@ -21,129 +21,131 @@
 	via     Via
 }
 
-// Via stands between a caller and ControlPlane; serve gives the plain answer.
+// Via intercepts the calls of a ControlPlane; serve returns the regular answer.
 type Via func(ctx context.Context, r *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error)
 
-// NewControl makes one that has no views yet.
+// NewControlPlane returns a control plane without any view: configuration, endpoints, partition map.
 func NewControlPlane() *ControlPlane {
 	return &ControlPlane{views: &tierv1.WatchReply{Primary: true, Epoch: 1}, changed: make(chan struct{})}
 }
 
 var _ tierv1.ControlPlane = (*ControlPlane)(nil)
 
-func (c *ControlPlane) signal() {
-	close(c.changed)
-	c.changed = make(chan struct{})
+// signal wakes all that wait for a change. The lock is held.
+func (plane *ControlPlane) signal() {
+	close(plane.changed)
+	plane.changed = make(chan struct{})
 }
 
-// Change changes what it tells and how.
-func (c *ControlPlane) Change(f func(views *tierv1.WatchReply)) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	f(c.views)
-	c.signal()
+// Change changes the views.
+func (plane *ControlPlane) Change(change func(views *tierv1.WatchReply)) {
+	plane.mu.Lock()
+	defer plane.mu.Unlock()
+	change(plane.views)
+	plane.signal()
 }
 
-// SetVia sets what stands before it; nil: nothing.
-func (c *ControlPlane) SetVia(v Via) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.via = v
+// SetVia sets what intercepts its calls; nil: nothing.
+func (plane *ControlPlane) SetVia(via Via) {
+	plane.mu.Lock()
+	defer plane.mu.Unlock()
+	plane.via = via
 }
 
-// SetConfiguration brings a configuration.
-func (c *ControlPlane) SetConfiguration(body string) {
-	c.Change(func(v *tierv1.WatchReply) {
+// SetConfiguration publishes a configuration, as the next version.
+func (plane *ControlPlane) SetConfiguration(body string) {
+	plane.Change(func(v *tierv1.WatchReply) {
 		v.Configuration = &tierv1.Configuration{Version: v.GetConfiguration().GetVersion() + 1, Body: []byte(body)}
 	})
 }
 
-// SetEndpoints brings a list of endpoints.
-func (c *ControlPlane) SetEndpoints(list ...*tierv1.Endpoint) {
-	c.Change(func(v *tierv1.WatchReply) {
+// SetEndpoints publishes a list of endpoints, as the next version.
+func (plane *ControlPlane) SetEndpoints(list ...*tierv1.Endpoint) {
+	plane.Change(func(v *tierv1.WatchReply) {
 		v.Endpoints = &tierv1.Endpoints{Version: v.GetEndpoints().GetVersion() + 1, List: list}
 	})
 }
 
-// SetPartitionMap brings a map, whose version is its own.
-func (c *ControlPlane) SetPartitionMap(m *tierv1.PartitionMap) {
-	c.Change(func(v *tierv1.WatchReply) { v.PartitionMap = m })
+// SetPartitionMap publishes a partition map, which has its own version.
+func (plane *ControlPlane) SetPartitionMap(m *tierv1.PartitionMap) {
+	plane.Change(func(v *tierv1.WatchReply) { v.PartitionMap = m })
 }
 
-// Watch answers as a primary does.
-func (c *ControlPlane) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
-	r = proto.Clone(r).(*tierv1.WatchRequest)
-	c.mu.Lock()
-	c.calls = append(c.calls, r)
-	c.signal()
-	via := c.via
-	c.mu.Unlock()
-	serve := func() (*tierv1.WatchReply, error) { return c.serve(ctx, r) }
+// Watch implements tierv1.ControlPlane, as a primary does.
+func (plane *ControlPlane) Watch(ctx context.Context, request *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+	request = proto.Clone(request).(*tierv1.WatchRequest)
+	plane.mu.Lock()
+	plane.calls = append(plane.calls, request)
+	plane.signal()
+	via := plane.via
+	plane.mu.Unlock()
+	serve := func() (*tierv1.WatchReply, error) { return plane.serve(ctx, request) }
 	if via != nil {
-		return via(ctx, r, serve)
+		return via(ctx, request, serve)
 	}
 	return serve()
 }
 
-func (c *ControlPlane) serve(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
-	hold := time.NewTimer(time.Duration(r.HoldMs) * time.Millisecond)
-	defer hold.Stop()
-	for over := false; ; {
-		c.mu.Lock()
-		v := c.views
-		news := &tierv1.WatchReply{Primary: v.Primary, Hint: v.Hint, Epoch: v.Epoch}
-		if v.GetConfiguration().GetVersion() > r.Configuration {
-			news.Configuration = v.Configuration
+// serve returns the views that are newer than those of the request, as soon as there are any, or none when the hold ends.
+func (plane *ControlPlane) serve(ctx context.Context, request *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+	holdTimer := time.NewTimer(time.Duration(request.HoldMs) * time.Millisecond)
+	defer holdTimer.Stop()
+	for expired := false; ; {
+		plane.mu.Lock()
+		views := plane.views
+		news := &tierv1.WatchReply{Primary: views.Primary, Hint: views.Hint, Epoch: views.Epoch}
+		if views.GetConfiguration().GetVersion() > request.Configuration {
+			news.Configuration = views.Configuration
 		}
-		if v.GetEndpoints().GetVersion() > r.Endpoints {
-			news.Endpoints = v.Endpoints
+		if views.GetEndpoints().GetVersion() > request.Endpoints {
+			news.Endpoints = views.Endpoints
 		}
-		if v.GetPartitionMap().GetVersion() > r.PartitionMap {
-			news.PartitionMap = v.PartitionMap
+		if views.GetPartitionMap().GetVersion() > request.PartitionMap {
+			news.PartitionMap = views.PartitionMap
 		}
-		if v.GetMembers().GetVersion() > r.Members {
-			news.Members = v.Members
+		if views.GetMembers().GetVersion() > request.Members {
+			news.Members = views.Members
 		}
 		news = proto.Clone(news).(*tierv1.WatchReply)
-		changed := c.changed
-		c.mu.Unlock()
-		if over || !news.Primary || news.Configuration != nil || news.Endpoints != nil || news.PartitionMap != nil || news.Members != nil {
+		changed := plane.changed
+		plane.mu.Unlock()
+		if expired || !news.Primary || news.Configuration != nil || news.Endpoints != nil || news.PartitionMap != nil || news.Members != nil {
 			return news, nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-hold.C:
-			over = true
+		case <-holdTimer.C:
+			expired = true
 		case <-changed:
 		}
 	}
 }
 
-// Status is not asked for.
-func (c *ControlPlane) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
+// Status implements tierv1.ControlPlane. Its answer is empty.
+func (plane *ControlPlane) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
 	return &tierv1.StatusReply{}, nil
 }
 
-// Calls gives the calls so far.
-func (c *ControlPlane) Calls() []*tierv1.WatchRequest {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return append([]*tierv1.WatchRequest(nil), c.calls...)
+// Calls returns the calls so far.
+func (plane *ControlPlane) Calls() []*tierv1.WatchRequest {
+	plane.mu.Lock()
+	defer plane.mu.Unlock()
+	return append([]*tierv1.WatchRequest(nil), plane.calls...)
 }
 
-// Await waits until one of the calls meets a condition, and gives the first that does.
-func (c *ControlPlane) Await(t testing.TB, what string, met func(*tierv1.WatchRequest) bool) *tierv1.WatchRequest {
+// Await waits until a call meets a condition, and returns the first that does.
+func (plane *ControlPlane) Await(t testing.TB, what string, met func(*tierv1.WatchRequest) bool) *tierv1.WatchRequest {
 	t.Helper()
 	timeout := time.After(Patience)
 	for n := 0; ; {
-		c.mu.Lock()
-		calls, changed := c.calls[n:], c.changed
+		plane.mu.Lock()
+		calls, changed := plane.calls[n:], plane.changed
 		n += len(calls)
-		c.mu.Unlock()
-		for _, r := range calls {
-			if met(r) {
-				return r
+		plane.mu.Unlock()
+		for _, request := range calls {
+			if met(request) {
+				return request
 			}
 		}
 		select {
@@ -155,13 +157,13 @@
 }
 
 // Taken waits until a process has acknowledged all views as they stand.
-func (c *ControlPlane) Taken(t testing.TB) {
+func (plane *ControlPlane) Taken(t testing.TB) {
 	t.Helper()
-	c.mu.Lock()
-	v := proto.Clone(c.views).(*tierv1.WatchReply)
-	c.mu.Unlock()
-	c.Await(t, "views are acknowledged", func(r *tierv1.WatchRequest) bool {
-		return r.Role != "" && r.Configuration != math.MaxUint64 && r.Configuration >= v.GetConfiguration().GetVersion() &&
-			r.Endpoints >= v.GetEndpoints().GetVersion() && r.PartitionMap >= v.GetPartitionMap().GetVersion()
+	plane.mu.Lock()
+	views := proto.Clone(plane.views).(*tierv1.WatchReply)
+	plane.mu.Unlock()
+	plane.Await(t, "views are acknowledged", func(r *tierv1.WatchRequest) bool {
+		return r.Role != "" && r.Configuration != math.MaxUint64 && r.Configuration >= views.GetConfiguration().GetVersion() &&
+			r.Endpoints >= views.GetEndpoints().GetVersion() && r.PartitionMap >= views.GetPartitionMap().GetVersion()
 	})
 }
--- a/internal/tier/tiertest/tiertest.go
+++ b/internal/tier/tiertest/tiertest.go
@@ -1,5 +1,5 @@
-// Package tiertest has stand-ins for what stands around a process of the tier: control, turn stores, endpoints and clients, on
-// loopback. They are scripted by tests, and wait on conditions rather than for times.
+// Package tiertest has fakes of the surroundings of a process of the tier: the control plane, turn stores, endpoints and
+// clients, on loopback. They are scripted by tests, and wait for conditions rather than for times.
 package tiertest
 
 import (
@@ -16,10 +16,10 @@
 	"dockshift.example/dockshift/internal/tier/settings"
 )
 
-// Patience is how long a condition is waited for before the test fails: no sound one comes near it.
+// Patience is how long a condition is waited for before the test fails. A test that passes comes nowhere near it.
 const Patience = 30 * time.Second
 
-// Silent is a log that nobody reads.
+// Silent returns a logger that discards all entries.
 func Silent() *log.Logger { return &log.Logger{Writer: log.IOWriter{Writer: io.Discard}} }
 
 const (
@@ -27,7 +27,7 @@
 	readinessPort = ":8081"
 )
 
-// Settings are those of a process on a loopback address that nobody else has.
+// Settings returns those of a process on a random loopback address on whose ports nobody listens.
 func Settings(node string) settings.Settings {
 	ip := freeAddress()
 	return settings.Settings{Node: node, IP: ip, Zone: "z-1", Region: "r-1", Frontend: ip + frontendPort, Readiness: ip + readinessPort, PortFirst: 9000,
@@ -55,7 +55,7 @@
 	return listener.Close() == nil
 }
 
-// Until waits for a condition that nothing announces.
+// Until polls until a condition is met.
 func Until(t testing.TB, what string, met func() bool) {
 	t.Helper()
 	for begin := time.Now(); !met(); runtime.Gosched() {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Closed waits for a channel to be closed, or for a value on it.
+// Closed waits for a channel to be closed, or for a value on it, and returns the value.
 func Closed[T any](t testing.TB, what string, c <-chan T) T {
 	t.Helper()
 	select {
--- a/internal/tier/tiertest/turnstores.go
+++ b/internal/tier/tiertest/turnstores.go
@@ -16,7 +16,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// ErrNet is what a caller hears of a message that was lost.
+// ErrNet is the error of a call whose message was lost.
 var ErrNet = errors.New("no answer")
 
 // Message is a call on its way to a turn store.
@@ -24,10 +24,10 @@
 	Ctx     context.Context
 	Method  string
 	Request proto.Message
-	Serve   func() error // has the turn store answer it; may be called several times
+	Serve   func() error // passes it to the turn store; may be called several times
 }
 
-// TurnStore is a turn store with a network before it.
+// TurnStore is a turn store behind a scripted network.
 type TurnStore struct {
 	*turnstore.TurnStore
 	Address string
@@ -39,32 +39,33 @@
 
 var _ tierv1.TurnStore = (*TurnStore)(nil)
 
-// SetVia sets what stands before it; nil: nothing.
-func (v *TurnStore) SetVia(f func(Message) error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.via = f
+// SetVia sets what intercepts its calls; nil: nothing.
+func (store *TurnStore) SetVia(via func(Message) error) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	store.via = via
 }
 
-// SetDark has it say nothing, like a machine without power.
-func (v *TurnStore) SetDark(dark bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.dark = dark
+// SetDark sets whether calls get no answer at all, like those to a machine that has lost power.
+func (store *TurnStore) SetDark(dark bool) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	store.dark = dark
 }
 
-func carry[Q, P proto.Message](v *TurnStore, ctx context.Context, method string, q Q, serve func(context.Context, Q) (P, error)) (reply P, err error) {
-	v.mu.Lock()
-	via, dark := v.via, v.dark
-	v.mu.Unlock()
+// carry passes a call through the network of a turn store. Messages are copied, as a network does.
+func carry[Q, P proto.Message](store *TurnStore, ctx context.Context, method string, request Q, serve func(context.Context, Q) (P, error)) (reply P, err error) {
+	store.mu.Lock()
+	via, dark := store.via, store.dark
+	store.mu.Unlock()
 	var none P
 	if dark {
 		<-ctx.Done()
 		return none, ctx.Err()
 	}
-	q = proto.Clone(q).(Q)
+	request = proto.Clone(request).(Q)
 	once := func() error {
-		got, err := serve(ctx, proto.Clone(q).(Q))
+		got, err := serve(ctx, proto.Clone(request).(Q))
 		if err == nil {
 			reply = proto.Clone(got).(P)
 		}
@@ -73,11 +74,11 @@
 	if via == nil {
 		err = once()
 	} else {
-		err = via(Message{Ctx: ctx, Method: method, Request: q, Serve: once})
+		err = via(Message{Ctx: ctx, Method: method, Request: request, Serve: once})
 	}
-	v.mu.Lock()
-	dark = v.dark
-	v.mu.Unlock()
+	store.mu.Lock()
+	dark = store.dark
+	store.mu.Unlock()
 	if dark {
 		<-ctx.Done()
 		return none, ctx.Err()
@@ -88,37 +89,37 @@
 	return reply, nil
 }
 
-// Begin carries the call.
-func (v *TurnStore) Begin(ctx context.Context, r *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
-	return carry(v, ctx, "Begin", r, v.TurnStore.Begin)
+// Begin implements tierv1.TurnStore.
+func (store *TurnStore) Begin(ctx context.Context, request *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
+	return carry(store, ctx, "Begin", request, store.TurnStore.Begin)
 }
 
-// Settle carries the call.
-func (v *TurnStore) Settle(ctx context.Context, r *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
-	return carry(v, ctx, "Settle", r, v.TurnStore.Settle)
+// Settle implements tierv1.TurnStore.
+func (store *TurnStore) Settle(ctx context.Context, request *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
+	return carry(store, ctx, "Settle", request, store.TurnStore.Settle)
 }
 
-// Find carries the call.
-func (v *TurnStore) Find(ctx context.Context, r *tierv1.FindRequest) (*tierv1.FindReply, error) {
-	return carry(v, ctx, "Find", r, v.TurnStore.Find)
+// Find implements tierv1.TurnStore.
+func (store *TurnStore) Find(ctx context.Context, request *tierv1.FindRequest) (*tierv1.FindReply, error) {
+	return carry(store, ctx, "Find", request, store.TurnStore.Find)
 }
 
-// Replicate carries the call.
-func (v *TurnStore) Replicate(ctx context.Context, r *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
-	return carry(v, ctx, "Replicate", r, v.TurnStore.Replicate)
+// Replicate implements tierv1.TurnStore.
+func (store *TurnStore) Replicate(ctx context.Context, request *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
+	return carry(store, ctx, "Replicate", request, store.TurnStore.Replicate)
 }
 
-// Held carries the call.
-func (v *TurnStore) Held(ctx context.Context, r *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
-	return carry(v, ctx, "Held", r, v.TurnStore.Held)
+// Held implements tierv1.TurnStore.
+func (store *TurnStore) Held(ctx context.Context, request *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+	return carry(store, ctx, "Held", request, store.TurnStore.Held)
 }
 
-// Fetch carries the call.
-func (v *TurnStore) Fetch(ctx context.Context, r *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
-	return carry(v, ctx, "Fetch", r, v.TurnStore.Fetch)
+// Fetch implements tierv1.TurnStore.
+func (store *TurnStore) Fetch(ctx context.Context, request *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
+	return carry(store, ctx, "Fetch", request, store.TurnStore.Fetch)
 }
 
-// TurnStores are turn stores with disks in memory, which know each other.
+// TurnStores are turn stores with disks in memory, which call each other.
 type TurnStores struct {
 	t    testing.TB
 	List []*TurnStore
@@ -127,60 +128,61 @@
 	version uint64
 }
 
+// partitions is the number of partitions of a map.
 const partitions = 6
 
-// releaseTime is how long a release may take to come through after a takeover: longer than any test, so that none depends on
-// how fast it runs.
+// releaseTime is how long a release may take to arrive after a takeover: longer than any test, so that none depends on how
+// fast it runs.
 const releaseTime = 10 * time.Minute
 
-// NewTurnStores opens so many.
+// NewTurnStores opens so many turn stores. They are closed at the end of the test.
 func NewTurnStores(t testing.TB, n int) *TurnStores {
 	t.Helper()
-	all := &TurnStores{t: t}
+	stores := &TurnStores{t: t}
 	for i := range n {
-		one := &TurnStore{Address: fmt.Sprintf("turnstore-%d", i)}
-		v, err := turnstore.Open(turnstore.Config{Node: one.Address, Dir: "/data", FS: wal.NewMemory(), Dial: all.Dial, Log: Silent(),
+		store := &TurnStore{Address: fmt.Sprintf("turnstore-%d", i)}
+		opened, err := turnstore.Open(turnstore.Config{Node: store.Address, Dir: "/data", FS: wal.NewMemory(), Dial: stores.Dial, Log: Silent(),
 			ReleaseTime: releaseTime})
 		assert.NilError(t, err)
-		one.TurnStore = v
-		all.List = append(all.List, one)
-		t.Cleanup(func() { v.Close() })
+		store.TurnStore = opened
+		stores.List = append(stores.List, store)
+		t.Cleanup(func() { opened.Close() })
 	}
-	return all
+	return stores
 }
 
-// Dial gives the client of an address.
-func (a *TurnStores) Dial(address string) tierv1.TurnStore {
-	for _, v := range a.List {
-		if v.Address == address {
-			return v
+// Dial returns the client of an address, or nil.
+func (stores *TurnStores) Dial(address string) tierv1.TurnStore {
+	for _, store := range stores.List {
+		if store.Address == address {
+			return store
 		}
 	}
 	return nil
 }
 
-// Assign makes the next map and brings it to the turn stores that are not dark: a partition's primary and backup are those of
-// its pair, the pairs in turn.
-func (a *TurnStores) Assign(pairs ...[2]int) *tierv1.PartitionMap {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.version++
-	m := &tierv1.PartitionMap{Version: a.version}
-	for _, v := range a.List {
-		m.StoreNodes = append(m.StoreNodes, &tierv1.StoreNode{Folder: v.Folder(), Node: v.Address, Address: v.Address})
+// Assign makes the next partition map and applies it at the turn stores that are not dark. Each pair has the indices of a
+// primary and a backup; the partitions get the pairs in turn.
+func (stores *TurnStores) Assign(pairs ...[2]int) *tierv1.PartitionMap {
+	stores.mu.Lock()
+	defer stores.mu.Unlock()
+	stores.version++
+	partitionMap := &tierv1.PartitionMap{Version: stores.version}
+	for _, store := range stores.List {
+		partitionMap.StoreNodes = append(partitionMap.StoreNodes, &tierv1.StoreNode{Folder: store.Folder(), Node: store.Address, Address: store.Address})
 	}
-	for p := range partitions {
-		pair := pairs[p%len(pairs)]
-		m.Partitions = append(m.Partitions, &tierv1.Partition{Epoch: a.version, Primary: a.List[pair[0]].Folder(),
-			Backups: []*tierv1.Copy{{Folder: a.List[pair[1]].Folder(), Synced: a.version == 1}}})
+	for partition := range partitions {
+		pair := pairs[partition%len(pairs)]
+		partitionMap.Partitions = append(partitionMap.Partitions, &tierv1.Partition{Epoch: stores.version, Primary: stores.List[pair[0]].Folder(),
+			Backups: []*tierv1.Copy{{Folder: stores.List[pair[1]].Folder(), Synced: stores.version == 1}}})
 	}
-	for _, v := range a.List {
-		v.mu.Lock()
-		dark := v.dark
-		v.mu.Unlock()
+	for _, store := range stores.List {
+		store.mu.Lock()
+		dark := store.dark
+		store.mu.Unlock()
 		if !dark {
-			v.Apply(m)
+			store.Apply(partitionMap)
 		}
 	}
-	return m
+	return partitionMap
 }
