--- a/cmd/yard/demo.go
+++ b/cmd/yard/demo.go
@@ -14,6 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// demoCmd plays a small tier on loopback.
 type demoCmd struct {
 	Calm    time.Duration `help:"Time without trouble." default:"20s"`
 	Trouble time.Duration `help:"Time with trouble: a turn store and the control plane primary are stopped, endpoints released." default:"20s"`
@@ -22,28 +23,29 @@
 	Log     string        `help:"Write what the processes of the tier log." type:"path" placeholder:"FILE"`
 }
 
-func (k demoCmd) Run() error {
+// Run implements the command. Its error says what was broken.
+func (command demoCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	o := tierdemo.Options{Calm: k.Calm, Trouble: k.Trouble, Rate: k.Rate}
-	if k.Log != "" {
-		file, err := os.Create(k.Log)
+	options := tierdemo.Options{Calm: command.Calm, Trouble: command.Trouble, Rate: command.Rate}
+	if command.Log != "" {
+		file, err := os.Create(command.Log)
 		if err != nil {
 			return err
 		}
 		defer file.Close()
-		o.Log = file
+		options.Log = file
 	}
 	if terminal(os.Stderr) {
-		progress(&o, os.Stderr)
+		progress(&options, os.Stderr)
 	}
-	report, err := tierdemo.Run(ctx, o)
+	report, err := tierdemo.Run(ctx, options)
 	if err != nil {
 		return err
 	}
 	report.Print(os.Stdout)
-	if k.Report != "" {
-		if err := writePage(k.Report, report); err != nil {
+	if command.Report != "" {
+		if err := writePage(command.Report, report); err != nil {
 			return err
 		}
 	}
@@ -58,29 +60,32 @@
 	return nil
 }
 
-// progress has one line renewed each second, and each event on a line of its own. Calls come from several goroutines, one write each.
-func progress(o *tierdemo.Options, out io.Writer) {
-	o.Progress = func(at time.Duration, phase string, c tierdemo.Counts) {
+// progress prints one line that is renewed each second, and each event on a line of its own. Its functions are called from
+// several goroutines, and write once each.
+func progress(options *tierdemo.Options, out io.Writer) {
+	options.Progress = func(at time.Duration, phase string, counts tierdemo.Counts) {
 		fmt.Fprintf(out, "\r\x1b[K%3.0f s  %-8s programs %d of %d  failed %d  turns %d  first event p50 %v p99 %v", at.Seconds(), phase,
-			c.Whole+c.Spent, c.Asked, c.Failed, c.Turns, c.FirstP50.Round(time.Millisecond), c.FirstP99.Round(time.Millisecond))
+			counts.Whole+counts.Spent, counts.Asked, counts.Failed, counts.Turns, counts.FirstP50.Round(time.Millisecond), counts.FirstP99.Round(time.Millisecond))
 		if phase == "end" {
 			fmt.Fprintln(out)
 		}
 	}
-	o.Note = func(at time.Duration, what string) { fmt.Fprintf(out, "\r\x1b[K%5.1f s  %s\n", at.Seconds(), what) }
+	options.Note = func(at time.Duration, what string) { fmt.Fprintf(out, "\r\x1b[K%5.1f s  %s\n", at.Seconds(), what) }
 }
 
-func terminal(f *os.File) bool {
-	_, err := unix.IoctlGetTermios(int(f.Fd()), unix.TCGETS)
+// terminal reports whether a file is a terminal.
+func terminal(file *os.File) bool {
+	_, err := unix.IoctlGetTermios(int(file.Fd()), unix.TCGETS)
 	return err == nil
 }
 
-func writePage(path string, r *tierdemo.Report) error {
+// writePage writes a report as a page of HTML.
+func writePage(path string, report *tierdemo.Report) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if err := r.Page(file); err != nil {
+	if err := report.Page(file); err != nil {
 		file.Close()
 		return err
 	}
--- a/cmd/yard/main.go
+++ b/cmd/yard/main.go
@@ -14,6 +14,7 @@
 	"github.com/phuslu/log"
 )
 
+// cli is the command line of yard.
 type cli struct {
 	Settings string           `help:"Settings file (YAML). Default: the path in SAFFRONYARD_SETTINGS." type:"path" placeholder:"FILE"`
 	LogLevel string           `help:"Least level that is logged." enum:"debug,info,warn,error" default:"info"`
@@ -29,20 +30,21 @@
 }
 
 func main() {
-	var c cli
-	k := kong.Parse(&c, kong.Name("yard"), kong.Description("The saffronyard serving tier for agent programs."),
+	var flags cli
+	parsed := kong.Parse(&flags, kong.Name("yard"), kong.Description("The saffronyard serving tier for agent programs."),
 		kong.UsageOnError(), kong.Vars{"version": version()})
-	if err := k.Run(&c); err != nil {
+	if err := parsed.Run(&flags); err != nil {
 		fmt.Fprintln(os.Stderr, "yard:", err)
 		os.Exit(1)
 	}
 }
 
+// version returns the revision that the program was built from, as far as it is known.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				return "yard " + s.Value
+		for _, setting := range info.Settings {
+			if setting.Key == "vcs.revision" {
+				return "yard " + setting.Value
 			}
 		}
 		return "yard " + info.Main.Version
@@ -50,33 +52,41 @@
 	return "yard"
 }
 
-// start reads the settings, limits the heap to the machine's memory, and gives a context that ends on SIGTERM or SIGINT.
-// SIGHUP reads the settings again: what they tell is used at the next start; what is wrong in them is logged.
-func (c *cli) start() (context.Context, settings.Settings, *log.Logger, error) {
-	l := &log.Logger{Level: log.ParseLevel(c.LogLevel), Writer: &log.IOWriter{Writer: os.Stderr}, TimeFormat: "15:04:05.000"}
-	l.Writer = &log.ConsoleWriter{Writer: os.Stderr, Formatter: log.LogfmtFormatter{TimeField: "time"}.Formatter}
-	path := c.Settings
-	if path == "" {
-		path = settings.Path()
+// settingsPath returns the path of the settings file.
+func (flags *cli) settingsPath() string {
+	if flags.Settings != "" {
+		return flags.Settings
 	}
-	s, err := settings.Load(path)
+	return settings.Path()
+}
+
+// start reads the settings, limits the heap to a part of the machine's memory, and returns a context that ends on SIGTERM or
+// SIGINT.
+func (flags *cli) start() (context.Context, settings.Settings, *log.Logger, error) {
+	logger := &log.Logger{Level: log.ParseLevel(flags.LogLevel), TimeFormat: "15:04:05.000",
+		Writer: &log.ConsoleWriter{Writer: os.Stderr, Formatter: log.LogfmtFormatter{TimeField: "time"}.Formatter}}
+	path := flags.settingsPath()
+	loaded, err := settings.Load(path)
 	if err != nil {
-		return nil, s, l, err
+		return nil, loaded, logger, err
 	}
-	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * 7 / 10)
+	if loaded.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(loaded.MemoryMB) << 20 * 7 / 10)
 	}
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
-	go func() {
-		for range again {
-			if _, err := settings.Load(path); err != nil {
-				l.Error().Str("event", "settings").Err(err).Msg("")
-				continue
-			}
-			l.Info().Str("event", "settings_read").Msg("")
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	go checkOnReload(reload, path, logger)
+	return ctx, loaded, logger, nil
+}
+
+// checkOnReload reads the settings at each SIGHUP and logs what is wrong with them. They are used at the next start.
+func checkOnReload(reload <-chan os.Signal, path string, logger *log.Logger) {
+	for range reload {
+		if _, err := settings.Load(path); err != nil {
+			logger.Error().Str("event", "settings").Err(err).Msg("")
+			continue
 		}
-	}()
-	return ctx, s, l, nil
+		logger.Info().Str("event", "settings_read").Msg("")
+	}
 }
--- a/cmd/yard/operate.go
+++ b/cmd/yard/operate.go
@@ -18,118 +18,123 @@
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
+// statusTimeout is how long a control-plane process may take to answer.
+const statusTimeout = 2 * time.Second
+
+// checkCmd checks settings files and configurations.
 type checkCmd struct {
 	Files []string `arg:"" optional:"" help:"Files to check: settings (.yaml, .yml), and configurations as operators send them (.json)." type:"existingfile"`
 	Table bool     `help:"Print the table of settings: field, type, default."`
 }
 
-func (k checkCmd) Run() error {
-	if k.Table {
+// Run implements the command. Its error says how many files have findings; the findings are printed.
+func (command checkCmd) Run() error {
+	if command.Table {
 		fmt.Print(settings.Describe())
 	}
-	if len(k.Files) == 0 && !k.Table {
+	if len(command.Files) == 0 && !command.Table {
 		return errors.New("nothing to check: name files")
 	}
 	bad := 0
-	say := func(name string, err error) {
-		if err == nil {
-			fmt.Printf("%s: right\n", name)
-			return
-		}
-		bad++
-		fmt.Printf("%s: %v\n", name, err)
-	}
-	for _, name := range k.Files {
-		if strings.HasSuffix(name, ".json") {
-			body, err := os.ReadFile(name)
-			if err == nil {
-				_, err = routing.Parse(body)
-			}
-			say(name, err)
+	for _, name := range command.Files {
+		if err := checkFile(name); err != nil {
+			bad++
+			fmt.Printf("%s: %v\n", name, err)
 			continue
 		}
-		_, err := settings.Load(name)
-		say(name, err)
+		fmt.Printf("%s: right\n", name)
 	}
 	if bad > 0 {
-		return fmt.Errorf("%d of %d files have findings", bad, len(k.Files))
+		return fmt.Errorf("%d of %d files have findings", bad, len(command.Files))
 	}
 	return nil
 }
 
+// checkFile checks a settings file or, by its extension, a configuration.
+func checkFile(name string) error {
+	if !strings.HasSuffix(name, ".json") {
+		_, err := settings.Load(name)
+		return err
+	}
+	body, err := os.ReadFile(name)
+	if err != nil {
+		return err
+	}
+	_, err = routing.Parse(body)
+	return err
+}
+
+// statusCmd prints the status of control-plane processes.
 type statusCmd struct {
 	At   []string `help:"Internal addresses (host:port) of control-plane processes; else the seeds of the settings file." placeholder:"ADDRESS"`
 	JSON bool     `help:"Print JSON."`
 }
 
-func (k statusCmd) Run(c *cli) error {
-	at := k.At
-	if len(at) == 0 {
-		path := c.Settings
-		if path == "" {
-			path = settings.Path()
-		}
-		s, err := settings.Load(path)
+// Run implements the command. Its error lists the processes that do not answer.
+func (command statusCmd) Run(flags *cli) error {
+	addresses := command.At
+	if len(addresses) == 0 {
+		loaded, err := settings.Load(flags.settingsPath())
 		if err != nil {
 			return err
 		}
-		at = s.SeedInternal()
+		addresses = loaded.SeedInternal()
 	}
 	dial := process.DialControlPlane()
 	var failed []string
-	for _, a := range at {
-		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		reply, err := dial(a).Status(ctx, &tierv1.StatusRequest{})
+	for _, address := range addresses {
+		ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
+		reply, err := dial(address).Status(ctx, &tierv1.StatusRequest{})
 		cancel()
 		if err != nil {
-			failed = append(failed, a+": "+err.Error())
+			failed = append(failed, address+": "+err.Error())
 			continue
 		}
-		if k.JSON {
+		if command.JSON {
 			fmt.Println(protojson.Format(reply))
 			continue
 		}
-		printStatus(os.Stdout, a, reply)
+		printStatus(os.Stdout, address, reply)
 	}
 	if len(failed) > 0 {
-		return fmt.Errorf("%d of %d do not answer:\n  %s", len(failed), len(at), strings.Join(failed, "\n  "))
+		return fmt.Errorf("%d of %d do not answer:\n  %s", len(failed), len(addresses), strings.Join(failed, "\n  "))
 	}
 	return nil
 }
 
-// printStatus writes what a control-plane process told of itself, as docs/operate/control.md explains it.
-func printStatus(out io.Writer, at string, s *tierv1.StatusReply) {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	defer w.Flush()
-	fmt.Fprintf(w, "%s\t%s\t%s\tepoch %d\tsequence %d\trevision %d\n", at, s.GetSelf().GetNode(), roleIn(s), s.GetRecord().GetEpoch(), s.Sequence, s.Revision)
-	if s.DiskError != "" {
-		fmt.Fprintf(w, "  disk\t%s\n", s.DiskError)
+// printStatus prints the status of a control-plane process, as docs/operate/control.md explains it.
+func printStatus(out io.Writer, at string, status *tierv1.StatusReply) {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	defer table.Flush()
+	fmt.Fprintf(table, "%s\t%s\t%s\tepoch %d\tsequence %d\trevision %d\n", at, status.GetSelf().GetNode(), roleIn(status), status.GetRecord().GetEpoch(), status.Sequence, status.Revision)
+	if status.DiskError != "" {
+		fmt.Fprintf(table, "  disk\t%s\n", status.DiskError)
 	}
-	for _, m := range s.GetRecord().GetMembers() {
-		fmt.Fprintf(w, "  member\t%s\t%s\t%s\n", m.Node, m.Address, m.Zone)
+	for _, member := range status.GetRecord().GetMembers() {
+		fmt.Fprintf(table, "  member\t%s\t%s\t%s\n", member.Node, member.Address, member.Zone)
 	}
-	for _, one := range s.Sessions {
-		fmt.Fprintf(w, "  session\t%s\t%s\tconfiguration %d\tendpoints %d\tturn stores %d\tsilent %d ms%s\n", one.Node, one.Role, one.Configuration, one.Endpoints, one.PartitionMap, one.SilentMs, diskTrouble(one.Disk))
+	for _, session := range status.Sessions {
+		fmt.Fprintf(table, "  session\t%s\t%s\tconfiguration %d\tendpoints %d\tturn stores %d\tsilent %d ms%s\n", session.Node, session.Role, session.Configuration, session.Endpoints, session.PartitionMap, session.SilentMs, diskTrouble(session.Disk))
 	}
 	whole := 0
-	for _, p := range s.GetPartitionMap().GetPartitions() {
-		ok := len(p.Backups) > 0
-		for _, b := range p.Backups {
-			ok = ok && b.Synced
+	for _, partition := range status.GetPartitionMap().GetPartitions() {
+		synced := len(partition.Backups) > 0
+		for _, backup := range partition.Backups {
+			synced = synced && backup.Synced
 		}
-		if ok {
+		if synced {
 			whole++
 		}
 	}
-	if v := s.GetPartitionMap(); v != nil {
-		fmt.Fprintf(w, "  partitions\t%d\twith all copies\t%d\n", len(v.Partitions), whole)
+	if partitionMap := status.GetPartitionMap(); partitionMap != nil {
+		fmt.Fprintf(table, "  partitions\t%d\twith all copies\t%d\n", len(partitionMap.Partitions), whole)
 	}
-	if s.Risk != nil {
-		printRisk(w, s.Risk)
+	if status.Risk != nil {
+		printRisk(table, status.Risk)
 	}
 }
 
-// diskTrouble tells why a turn store's disk is not sound, so that it has no duties; empty for one that is.
+// diskTrouble says why a turn store's disk is not sound, so that it gets no partitions; empty for a sound one.
 func diskTrouble(state tierv1.DiskState) string {
 	switch state {
 	case tierv1.DiskState_DISK_UNSPECIFIED, tierv1.DiskState_DISK_SOUND:
@@ -143,44 +148,44 @@
 	}
 }
 
-// roleIn tells what a process is by the newest record that it knows.
-func roleIn(s *tierv1.StatusReply) string {
+// roleIn returns the role of a process by the newest record that it knows.
+func roleIn(status *tierv1.StatusReply) string {
 	switch {
-	case s.Primary:
+	case status.Primary:
 		return "primary"
-	case slices.Contains(s.GetRecord().GetBackups(), s.GetSelf().GetFolder()):
+	case slices.Contains(status.GetRecord().GetBackups(), status.GetSelf().GetFolder()):
 		return "backup"
 	default:
 		return "witness"
 	}
 }
 
-// printRisk writes which losses are borne at this moment, and until when they are fewer than the settings ask for.
-func printRisk(w io.Writer, r *tierv1.Risk) {
+// printRisk prints how many losses the tier survives now, and until when these are fewer than the settings ask for.
+func printRisk(out io.Writer, risk *tierv1.Risk) {
 	changing := ""
-	if r.ControlChanging {
+	if risk.ControlChanging {
 		changing = ", a change of members under way"
 	}
-	control := fmt.Sprint(r.ControlBorne)
-	if r.ControlBorne < 0 {
+	control := fmt.Sprint(risk.ControlBorne)
+	if risk.ControlBorne < 0 {
 		control = "unknown"
 	}
-	fmt.Fprintf(w, "  losses borne\tcontrol state %s of %d (%d members%s)\tpartitions %d of %d\n",
-		control, r.Losses, r.ControlMembers, changing, r.PartitionsBorne, r.Losses)
-	if r.ControlBorne < int32(r.Losses) {
-		fmt.Fprintf(w, "  at risk\tcontrol state: %d copies beside the primary's, absent members: %s\n", r.ControlCopies, listed(r.ControlAbsent))
+	fmt.Fprintf(out, "  losses borne\tcontrol state %s of %d (%d members%s)\tpartitions %d of %d\n",
+		control, risk.Losses, risk.ControlMembers, changing, risk.PartitionsBorne, risk.Losses)
+	if risk.ControlBorne < int32(risk.Losses) {
+		fmt.Fprintf(out, "  at risk\tcontrol state: %d copies beside the primary's, absent members: %s\n", risk.ControlCopies, listed(risk.ControlAbsent))
 	}
-	if r.Partitions > 0 {
-		until := time.Duration(r.PartitionsUntilMs) * time.Millisecond
+	if risk.Partitions > 0 {
+		until := time.Duration(risk.PartitionsUntilMs) * time.Millisecond
 		when := fmt.Sprintf("until %v from now at most", until)
 		if until < 0 {
 			when = fmt.Sprintf("overdue by %v", -until)
 		}
-		fmt.Fprintf(w, "  at risk\t%d partitions for %v, %s\n", r.Partitions, time.Duration(r.PartitionsForMs)*time.Millisecond, when)
+		fmt.Fprintf(out, "  at risk\t%d partitions for %v, %s\n", risk.Partitions, time.Duration(risk.PartitionsForMs)*time.Millisecond, when)
 	}
 }
 
-// listed joins names, or tells that there are none.
+// listed joins names, or returns none.
 func listed(names []string) string {
 	if len(names) == 0 {
 		return "none"
--- a/cmd/yard/roles.go
+++ b/cmd/yard/roles.go
@@ -6,28 +6,34 @@
 	"dockshift.example/dockshift/internal/tier/process"
 )
 
+// gatewayCmd runs the gateway role.
 type gatewayCmd struct{}
 
-func (gatewayCmd) Run(c *cli) error { return c.run(process.RoleGateway) }
+// Run implements the command.
+func (gatewayCmd) Run(flags *cli) error { return flags.run(process.RoleGateway) }
 
+// controlPlaneCmd runs the control-plane role.
 type controlPlaneCmd struct{}
 
-func (controlPlaneCmd) Run(c *cli) error { return c.run(process.RoleControlPlane) }
+// Run implements the command.
+func (controlPlaneCmd) Run(flags *cli) error { return flags.run(process.RoleControlPlane) }
 
+// turnStoreCmd runs the turn-store role.
 type turnStoreCmd struct{}
 
-func (turnStoreCmd) Run(c *cli) error { return c.run(process.RoleTurnStore) }
+// Run implements the command.
+func (turnStoreCmd) Run(flags *cli) error { return flags.run(process.RoleTurnStore) }
 
-// run is the life of a process of the tier: it leaves in order on SIGTERM.
-func (c *cli) run(role string) error {
-	terminated, s, l, err := c.start()
+// run runs a process of the tier to its end. It shuts down gracefully on SIGTERM or SIGINT.
+func (flags *cli) run(role string) error {
+	terminated, loaded, logger, err := flags.start()
 	if err != nil {
 		return err
 	}
-	p, err := process.Start(context.Background(), role, process.Config{Settings: s, Log: l})
+	started, err := process.Start(context.Background(), role, process.Config{Settings: loaded, Log: logger})
 	if err != nil {
 		return err
 	}
-	context.AfterFunc(terminated, p.Leave)
-	return p.Wait()
+	context.AfterFunc(terminated, started.Leave)
+	return started.Wait()
 }
--- a/cmd/yard/simulate.go
+++ b/cmd/yard/simulate.go
@@ -20,12 +20,13 @@
 	"dockshift.example/dockshift/internal/tier/simulation"
 )
 
-// progressEvery is how often the simulator tells how far it is.
+// progressEvery is how often the simulator prints its progress.
 const progressEvery = 2 * time.Second
 
-// workerEnd is how long a worker that is to end may take.
+// workerEnd is how long a worker may take to end after SIGTERM.
 const workerEnd = 20 * time.Second
 
+// simulateCmd plays the tier in the simulator.
 type simulateCmd struct {
 	Seeds  int64    `help:"Seeds to play." default:"100" placeholder:"N"`
 	From   int64    `help:"First seed." default:"0" placeholder:"S"`
@@ -39,27 +40,27 @@
 	Out    string   `help:"Folder for failing scripts and their traces." type:"path" placeholder:"DIR"`
 }
 
-// check gives all that is wrong with the flags.
-func (s simulateCmd) check() error {
+// check returns all that is wrong with the flags, or nil.
+func (command simulateCmd) check() error {
 	var found []error
-	below := func(name string, value, least int64) {
-		if value < least {
-			found = append(found, fmt.Errorf("--%s is %d, below %d", name, value, least))
+	below := func(name string, value, minimum int64) {
+		if value < minimum {
+			found = append(found, fmt.Errorf("--%s is %d, below %d", name, value, minimum))
 		}
 	}
-	below("seeds", s.Seeds, 1)
-	below("from", s.From, 0)
-	below("jobs", int64(s.Jobs), 1)
-	below("shrink", int64(s.Shrink), 0)
-	below("times", int64(s.Times), 1)
+	below("seeds", command.Seeds, 1)
+	below("from", command.From, 0)
+	below("jobs", int64(command.Jobs), 1)
+	below("shrink", int64(command.Shrink), 0)
+	below("times", int64(command.Times), 1)
 	known := simulation.Kinds()
-	for _, name := range s.Fault {
+	for _, name := range command.Fault {
 		if !slices.Contains(known, simulation.Kind(name)) {
 			found = append(found, fmt.Errorf("--fault: %q is none of %v", name, known))
 		}
 	}
 	rules := simulation.Rules()
-	for _, name := range s.Ignore {
+	for _, name := range command.Ignore {
 		if !slices.Contains(rules, simulation.Rule(name)) {
 			found = append(found, fmt.Errorf("--ignore: %q is none of %v", name, rules))
 		}
@@ -67,54 +68,60 @@
 	return errors.Join(found...)
 }
 
-func (s simulateCmd) options() (o simulation.Options) {
-	for _, name := range s.Ignore {
-		o.Ignore = append(o.Ignore, simulation.Rule(name))
+// options returns the options of a play.
+func (command simulateCmd) options() (options simulation.Options) {
+	for _, name := range command.Ignore {
+		options.Ignore = append(options.Ignore, simulation.Rule(name))
 	}
-	return o
+	return options
 }
 
-// Run plays seeds, or a script again.
-func (s simulateCmd) Run() error {
-	if err := s.check(); err != nil {
+// Run implements the command: it plays seeds, or replays a script.
+func (command simulateCmd) Run() error {
+	if err := command.check(); err != nil {
 		return err
 	}
-	log.DefaultLogger.Level = log.PanicLevel // what disks tell has no place in the output
+	log.DefaultLogger.Level = log.PanicLevel // the log of disks is left out of the output
 	debug.SetGCPercent(simulation.GCPercent)
-	if s.Out != "" {
-		if err := os.MkdirAll(s.Out, 0o755); err != nil {
+	if command.Out != "" {
+		if err := os.MkdirAll(command.Out, 0o755); err != nil {
 			return err
 		}
 	}
-	if s.Replay != "" {
-		return s.replay()
+	if command.Replay != "" {
+		return command.replay()
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	batch := simulation.Batch{From: uint64(s.From), Seeds: uint64(s.Seeds), Jobs: s.Jobs, Options: s.options()}
-	for _, name := range s.Fault {
+	batch := simulation.Batch{From: uint64(command.From), Seeds: uint64(command.Seeds), Jobs: command.Jobs, Options: command.options()}
+	for _, name := range command.Fault {
 		batch.Kinds = append(batch.Kinds, simulation.Kind(name))
 	}
-	if s.Worker {
+	if command.Worker {
 		return batch.Work(ctx, os.Stdout)
 	}
-	began, told := time.Now(), time.Now()
+	return command.play(ctx, batch)
+}
+
+// play plays the seeds of a batch in workers and prints failures, progress and the total.
+func (command simulateCmd) play(ctx context.Context, batch simulation.Batch) error {
+	began, lastProgress := time.Now(), time.Now()
 	failed := 0
 	batch.Progress = func(played uint64) {
-		if time.Since(told) >= progressEvery {
-			told = time.Now()
-			fmt.Fprintf(os.Stderr, "%d of %d seeds, %d failed, %.0f seeds a minute\n", played, s.Seeds, failed, float64(played)/time.Since(began).Minutes())
+		if time.Since(lastProgress) >= progressEvery {
+			lastProgress = time.Now()
+			fmt.Fprintf(os.Stderr, "%d of %d seeds, %d failed, %.0f seeds a minute\n", played, command.Seeds, failed, float64(played)/time.Since(began).Minutes())
 		}
 	}
-	batch.Failed = func(f simulation.Failure) {
+	batch.Failed = func(failure simulation.Failure) {
 		failed++
-		s.show(f)
+		command.show(failure)
 	}
-	t, err := batch.PlayInWorkers(ctx, s.worker)
+	total, err := batch.PlayInWorkers(ctx, command.worker)
 	fmt.Printf("%d seeds played, %d failed, in %.1f s: %.0f seeds a minute, %.0f simulated hours an hour, %d calls, %d orders, %d turns\n",
-		t.Played, t.Failed, t.Real.Seconds(), float64(t.Played)/t.Real.Minutes(), t.Virtual.Seconds()/t.Real.Seconds(), t.Messages, t.Orders, t.Turns)
-	if t.Failed > 0 {
-		return fmt.Errorf("%d of %d seeds failed", t.Failed, t.Played)
+		total.Played, total.Failed, total.Real.Seconds(), float64(total.Played)/total.Real.Minutes(), total.Virtual.Seconds()/total.Real.Seconds(), total.Messages, total.Orders, total.Turns)
+	if total.Failed > 0 {
+		return fmt.Errorf("%d of %d seeds failed", total.Failed, total.Played)
 	}
 	if ctx.Err() != nil {
 		return errors.New("interrupted")
@@ -122,69 +129,70 @@
 	return err
 }
 
-// worker is this program as it plays a part of the seeds.
-func (s simulateCmd) worker(ctx context.Context, from, seeds uint64) *exec.Cmd {
+// worker returns a process of this program that plays a part of the seeds.
+func (command simulateCmd) worker(ctx context.Context, from, seeds uint64) *exec.Cmd {
 	self, err := os.Executable()
 	if err != nil {
 		self = os.Args[0]
 	}
 	arguments := []string{"simulate", "--worker", "--from", strconv.FormatUint(from, 10), "--seeds", strconv.FormatUint(seeds, 10)}
-	for _, name := range s.Fault {
+	for _, name := range command.Fault {
 		arguments = append(arguments, "--fault", name)
 	}
-	for _, name := range s.Ignore {
+	for _, name := range command.Ignore {
 		arguments = append(arguments, "--ignore", name)
 	}
-	c := exec.CommandContext(ctx, self, arguments...)
-	c.Cancel = func() error { return c.Process.Signal(syscall.SIGTERM) } // it ends the plays under way, and tells its total
-	c.WaitDelay = workerEnd
-	return c
+	worker := exec.CommandContext(ctx, self, arguments...)
+	worker.Cancel = func() error { return worker.Process.Signal(syscall.SIGTERM) } // it ends the plays under way, and reports its total
+	worker.WaitDelay = workerEnd
+	return worker
 }
 
-// show prints a failure, shrinks its script and writes both to files.
-func (s simulateCmd) show(f simulation.Failure) {
-	fmt.Printf("%v%v\n", f.Script, reason(f))
-	if s.Out == "" {
+// show prints a failure, shrinks its script, and writes script and trace to files.
+func (command simulateCmd) show(failure simulation.Failure) {
+	fmt.Printf("%v%v\n", failure.Script, reason(failure))
+	if command.Out == "" {
 		return
 	}
-	name := filepath.Join(s.Out, fmt.Sprintf("seed-%d", f.Script.Seed))
-	err := errors.Join(f.Script.Write(name+".json"), os.WriteFile(name+".trace", f.Trace, 0o644))
-	if s.Shrink > 0 && f.Broken != nil {
-		short := simulation.Shrink(f.Script, func(script simulation.Script) bool {
-			again := simulation.Replay(script, s.options(), s.Shrink)
-			return again.Broken != nil && again.Broken.Rule == f.Broken.Rule
+	name := filepath.Join(command.Out, fmt.Sprintf("seed-%d", failure.Script.Seed))
+	err := errors.Join(failure.Script.Write(name+".json"), os.WriteFile(name+".trace", failure.Trace, 0o644))
+	if command.Shrink > 0 && failure.Broken != nil {
+		shrunk := simulation.Shrink(failure.Script, func(script simulation.Script) bool {
+			replayed := simulation.Replay(script, command.options(), command.Shrink)
+			return replayed.Broken != nil && replayed.Broken.Rule == failure.Broken.Rule
 		})
-		fmt.Printf("shrunk: %v", short)
-		err = errors.Join(err, short.Write(name+".short.json"))
+		fmt.Printf("shrunk: %v", shrunk)
+		err = errors.Join(err, shrunk.Write(name+".short.json"))
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "yard:", err)
 	}
 }
 
-func reason(f simulation.Failure) string {
-	if f.Err != "" {
-		return "the simulator failed: " + strings.TrimSpace(f.Err)
+// reason returns why a play failed.
+func reason(failure simulation.Failure) string {
+	if failure.Err != "" {
+		return "the simulator failed: " + strings.TrimSpace(failure.Err)
 	}
-	return "broken: " + f.Broken.String()
+	return "broken: " + failure.Broken.String()
 }
 
-// replay plays a script from a file again.
-func (s simulateCmd) replay() error {
-	script, err := simulation.Read(s.Replay)
+// replay plays a script from a file.
+func (command simulateCmd) replay() error {
+	script, err := simulation.Read(command.Replay)
 	if err != nil {
 		return err
 	}
 	fmt.Print(script)
-	f := simulation.Replay(script, s.options(), s.Times)
-	if s.Out != "" {
-		if err := os.WriteFile(filepath.Join(s.Out, "replay.trace"), f.Trace, 0o644); err != nil {
+	failure := simulation.Replay(script, command.options(), command.Times)
+	if command.Out != "" {
+		if err := os.WriteFile(filepath.Join(command.Out, "replay.trace"), failure.Trace, 0o644); err != nil {
 			return err
 		}
 	}
-	if f.Broken == nil && f.Err == "" {
-		fmt.Printf("played %d times, and no promise was broken\n", s.Times)
+	if failure.Broken == nil && failure.Err == "" {
+		fmt.Printf("played %d times, and no promise was broken\n", command.Times)
 		return nil
 	}
-	return errors.New(reason(f))
+	return errors.New(reason(failure))
 }
