--- a/internal/tier/capacity/figures_test.go
+++ b/internal/tier/capacity/figures_test.go
@@ -1,5 +1,5 @@
-// Package capacity measures the slopes that docs/CAPACITY.md is worked out from: hollow processes, many in this one, at
-// the size that the operators aim at. Its benchmarks report figures and check nothing but that what they measure is whole.
+// Package capacity measures the costs that docs/CAPACITY.md is computed from, with many fake processes in one, at the size that
+// the operators aim at. Its benchmarks report figures, and check only that what they measure is complete.
 package capacity
 
 import (
@@ -18,32 +18,33 @@
 
 // The size aimed at, as the operators' letter gives it.
 const (
-	senders    = 360
-	endpoints  = 650
-	zones      = 11
-	tenants    = 540
-	models     = 18
-	turns      = 150     // of one program
-	history    = 110_000 // tokens of one program
-	perToken   = 4       // bytes of text that a token is taken to have
-	turnStores = 40      // taken: with the senders, the sessions of the control primary
-	holders    = senders + turnStores
+	senders       = 360
+	endpoints     = 650
+	zones         = 11
+	tenants       = 540
+	models        = 18
+	turns         = 150     // of one program
+	historyTokens = 110_000 // tokens of one program
+	bytesPerToken = 4       // bytes of text that a token is taken to have
+	turnStores    = 40      // taken: with the senders, the sessions of the control primary
+	sessionCount  = senders + turnStores
 )
 
-// processor is the time that this process has used, of all threads.
-func processor() time.Duration {
+// processorTime is the processor time that this process has used, in all threads.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measured reports the processor time of one operation, whatever else runs on the machine; it is called after the loop.
-func measured(b *testing.B) func() {
-	began := processor()
-	return func() { b.ReportMetric(float64((processor()-began).Nanoseconds())/1e3/float64(b.N), "cpu-µs/op") }
+// measureProcessor returns a function to be called after the loop, which reports the processor time of one operation. It does
+// not depend on what else runs on the machine.
+func measureProcessor(b *testing.B) func() {
+	began := processorTime()
+	return func() { b.ReportMetric(float64((processorTime()-began).Nanoseconds())/1e3/float64(b.N), "cpu-µs/op") }
 }
 
-// heap is the memory in use after a collection, in bytes.
+// heap is the memory in use after a garbage collection, in bytes.
 func heap() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -52,6 +53,7 @@
 	return float64(m.HeapAlloc)
 }
 
+// endpointList is a list of so many endpoints.
 func endpointList(n int, cold uint32) *tierv1.Endpoints {
 	list := &tierv1.Endpoints{Version: 1 << 30}
 	for i := range n {
@@ -63,21 +65,23 @@
 	return list
 }
 
+// partitionMap is a map of so many partitions, with one backup each, on so many store nodes.
 func partitionMap(partitions, storeNodes int) *tierv1.PartitionMap {
-	m := &tierv1.PartitionMap{Version: 1 << 30}
+	made := &tierv1.PartitionMap{Version: 1 << 30}
 	folder := func(i int) string { return fmt.Sprintf("%016x", 0x9e3779b97f4a7c15*uint64(i+1)) }
 	for i := range storeNodes {
-		m.StoreNodes = append(m.StoreNodes, &tierv1.StoreNode{Folder: folder(i), Node: fmt.Sprintf("store-%03d", i),
+		made.StoreNodes = append(made.StoreNodes, &tierv1.StoreNode{Folder: folder(i), Node: fmt.Sprintf("store-%03d", i),
 			Address: fmt.Sprintf("10.%d.9.%d:7001", i%zones, i), Zone: fmt.Sprintf("zone-%02d", i%zones), Region: fmt.Sprintf("region-%d", i%3)})
 	}
 	for i := range partitions {
-		m.Partitions = append(m.Partitions, &tierv1.Partition{Epoch: 40, Primary: folder(i % storeNodes),
+		made.Partitions = append(made.Partitions, &tierv1.Partition{Epoch: 40, Primary: folder(i % storeNodes),
 			Backups: []*tierv1.Copy{{Folder: folder((i + 1) % storeNodes), Synced: true}}})
 	}
-	return m
+	return made
 }
 
-// configuration is an operator's body with that many routes, each of a host of its own, and one service for each model.
+// configuration is an operator's configuration with so many routes, spread over the tenants' hosts, and one service for each
+// model.
 func configuration(revision, routes int) []byte {
 	type object = map[string]any
 	list, services := make([]object, routes), make([]object, models)
@@ -97,7 +101,7 @@
 	return body
 }
 
-// BenchmarkMessage gives the size of what is pushed whole, and what it takes to write and read it once.
+// BenchmarkMessage measures the size of each pushed message, and its encoding and decoding.
 func BenchmarkMessage(b *testing.B) {
 	cases := []struct {
 		name string
@@ -117,7 +121,7 @@
 	}
 	for _, c := range cases {
 		b.Run(c.name, func(b *testing.B) {
-			report := measured(b)
+			report := measureProcessor(b)
 			for b.Loop() {
 				body, err := proto.Marshal(c.m)
 				assert.NilError(b, err)
--- a/internal/tier/capacity/gateway_test.go
+++ b/internal/tier/capacity/gateway_test.go
@@ -11,7 +11,7 @@
 	"dockshift.example/dockshift/internal/tier/routing"
 )
 
-// BenchmarkCatalogParse gives what a gateway does with a new configuration, and the memory that one takes.
+// BenchmarkConfigurationParse measures how a gateway parses a new configuration, and the memory that one takes.
 func BenchmarkConfigurationParse(b *testing.B) {
 	for _, n := range []int{tenants, 2000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
@@ -22,7 +22,7 @@
 			kept := heap() - before
 			assert.Equal(b, len(c.Routes), n)
 			b.ReportAllocs()
-			report := measured(b)
+			report := measureProcessor(b)
 			for b.Loop() {
 				_, _ = routing.Parse(body)
 			}
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkCatalogMatch gives what finding the route of a request takes.
+// BenchmarkConfigurationMatch measures the match of a request to its route.
 func BenchmarkConfigurationMatch(b *testing.B) {
 	c, err := routing.Parse(configuration(1, 2000))
 	assert.NilError(b, err)
@@ -42,7 +42,7 @@
 	}
 	b.ReportAllocs()
 	i := 0
-	report := measured(b)
+	report := measureProcessor(b)
 	for b.Loop() {
 		if c.Match(hosts[i%2000], paths[i%2000]) == nil {
 			b.Fatal(hosts[i%2000], paths[i%2000])
@@ -52,7 +52,7 @@
 	report()
 }
 
-// BenchmarkBoardPick gives what one attempt takes from pick to end, with the endpoints of a service shared out to it.
+// BenchmarkBalancerPick measures the load balancer in one attempt, from its pick to its end, by the endpoints of a service.
 func BenchmarkBalancerPick(b *testing.B) {
 	for _, n := range []struct{ endpoints, services int }{{17, 1}, {65, 1}, {endpoints, models}, {endpoints, 1}} {
 		b.Run(fmt.Sprintf("endpoints=%d,services=%d", n.endpoints, n.services), func(b *testing.B) {
@@ -67,7 +67,7 @@
 			kept := heap() - before
 			b.ReportAllocs()
 			now, i := time.Second, 0
-			report := measured(b)
+			report := measureProcessor(b)
 			for b.Loop() {
 				now += 3 * time.Millisecond
 				c := x.Pick(now, loadbalancer.Ask{Route: fmt.Sprintf("r-%07d", i%2000), Service: fmt.Sprintf("service-%02d", i%n.services), First: true,
@@ -85,7 +85,7 @@
 	}
 }
 
-// BenchmarkBoardSet gives what a pushed list takes to be taken in.
+// BenchmarkBalancerSet measures how the load balancer takes in a pushed list.
 func BenchmarkBalancerSet(b *testing.B) {
 	x := loadbalancer.New("zone-00")
 	var list []loadbalancer.Endpoint
@@ -93,7 +93,7 @@
 		list = append(list, loadbalancer.Endpoint{Instance: e.Instance, Service: e.Service, Address: e.Address, Zone: e.Zone, Capacity: 96})
 	}
 	b.ReportAllocs()
-	report := measured(b)
+	report := measureProcessor(b)
 	for b.Loop() {
 		x.SetEndpoints(0, list)
 	}
--- a/internal/tier/capacity/push_test.go
+++ b/internal/tier/capacity/push_test.go
@@ -21,38 +21,38 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// listing is a control primary whose answer is the same list for everybody who lacks it.
-type listing struct {
+// listServer is a control-plane primary that sends the same list to every session that lacks it.
+type listServer struct {
 	tierv1.ControlPlane
-	news *tierv1.WatchReply
+	reply *tierv1.WatchReply
 }
 
-func (l *listing) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
-	if r.Endpoints < l.news.Endpoints.Version {
-		return l.news, nil
+func (server *listServer) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+	if r.Endpoints < server.reply.Endpoints.Version {
+		return server.reply, nil
 	}
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// encoded answers with bytes written once.
-type encoded struct{ body []byte }
+// encodedReply answers with a message that was encoded once.
+type encodedReply struct{ body []byte }
 
-func (e encoded) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (reply encodedReply) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set("Content-Type", "application/protobuf")
-	w.Header().Set("Content-Length", fmt.Sprint(len(e.body)))
-	_, _ = w.Write(e.body)
+	w.Header().Set("Content-Length", fmt.Sprint(len(reply.body)))
+	_, _ = w.Write(reply.body)
 }
 
-// BenchmarkServe gives what one answer with the whole list takes a control primary: the caller reads bytes and does no more.
-// once: the list is written to its wire form once, not for each session.
+// BenchmarkServe measures one answer with the whole list at a control-plane primary; the caller only reads the bytes. In the
+// case once, the list is encoded once, not for each session.
 func BenchmarkServe(b *testing.B) {
 	for _, n := range []int{65, endpoints, 3000} {
 		news := &tierv1.WatchReply{Primary: true, Epoch: 1, Endpoints: endpointList(n, 0)}
 		body, err := proto.Marshal(news)
 		assert.NilError(b, err)
-		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&listing{news: news}), "once": encoded{body}} {
+		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&listServer{reply: news}), "once": encodedReply{body}} {
 			b.Run(fmt.Sprintf("endpoints=%d,%s", n, name), func(b *testing.B) {
 				server, err := rpcserver.Serve(b.Context(), "127.0.0.1:0", handler)
 				assert.NilError(b, err)
@@ -63,7 +63,7 @@
 				request := fmt.Appendf(nil, "POST %sWatch HTTP/1.1\r\nHost: c\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s",
 					tierv1.ControlPlanePathPrefix, len(ask), ask)
 				r := bufio.NewReaderSize(conn, 64<<10)
-				report := measured(b)
+				report := measureProcessor(b)
 				for b.Loop() {
 					_, err := conn.Write(request)
 					assert.NilError(b, err)
@@ -80,15 +80,15 @@
 	}
 }
 
-// BenchmarkWithin lets sessions ask for the list at once, each waiting as long as theirs do (a sixth of the contact window
-// held, a tenth of it besides), and asking anew when that is over. It gives the answers that came too late.
+// BenchmarkWithin has all sessions ask for the list at once, with the time-out of a session (a sixth of the contact window of
+// hold, and a tenth of it besides), and ask again after that. It reports the answers that came too late.
 func BenchmarkWithin(b *testing.B) {
 	const wait = 800 * time.Millisecond // of a contact window of 3 s
-	for _, c := range []struct{ sessions, lines int }{{100, 1000}, {holders, endpoints}, {300, 3000}} {
+	for _, c := range []struct{ sessions, lines int }{{100, 1000}, {sessionCount, endpoints}, {300, 3000}} {
 		news := &tierv1.WatchReply{Primary: true, Epoch: 1, Endpoints: endpointList(c.lines, 0)}
 		body, err := proto.Marshal(news)
 		assert.NilError(b, err)
-		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&listing{news: news}), "once": encoded{body}} {
+		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&listServer{reply: news}), "once": encodedReply{body}} {
 			b.Run(fmt.Sprintf("sessions=%d,endpoints=%d,%s", c.sessions, c.lines, name), func(b *testing.B) {
 				server, err := rpcserver.Serve(b.Context(), "127.0.0.1:0", handler)
 				assert.NilError(b, err)
@@ -100,7 +100,7 @@
 				var late, calls atomic.Int64
 				var took time.Duration
 				rounds := 0
-				report := measured(b)
+				report := measureProcessor(b)
 				for b.Loop() {
 					began := time.Now()
 					var open sync.WaitGroup
