--- a/internal/rehearsal/tierdemo/client.go
+++ b/internal/rehearsal/tierdemo/client.go
@@ -12,26 +12,26 @@
 	"time"
 )
 
-// answer is what a client had of one try; status 0: nothing that is an answer.
+// answer is what a client received in one attempt; status 0: no answer.
 type answer struct {
 	status     int
 	signature  string
 	retryAfter time.Duration
-	body       string   // of a call
-	events     []string // of a turn: their data
+	body       string   // of a tool call
+	events     []string // data of the events of a turn
 	inOrder    bool     // ids rise from 1 by one
-	whole      bool     // it came to its end
+	complete   bool     // it was received to its end
 	first      time.Time
 }
 
-// promised: it has not run and never will.
-func (a answer) promised() bool {
-	return a.status == 408 || a.status == 421 || a.status == 429 || a.status == 503
+// notExecuted reports whether the answer promises that the request has not run and never will.
+func (answer answer) notExecuted() bool {
+	return answer.status == 408 || answer.status == 421 || answer.status == 429 || answer.status == 503
 }
 
-// final: the same again would get the same.
-func (a answer) final() bool {
-	return a.status == 400 || a.status == 401 || a.status == 402 || a.status == 403 || a.status == 404 || a.status == 410 || a.status == 413
+// final reports whether a retry would get the same answer.
+func (answer answer) final() bool {
+	return answer.status == 400 || answer.status == 401 || answer.status == 402 || answer.status == 403 || answer.status == 404 || answer.status == 410 || answer.status == 413
 }
 
 // caller sends the requests of programs to gateways.
@@ -42,6 +42,7 @@
 	host     string
 }
 
+// newCaller makes a caller with connections of its own.
 func newCaller(w *witness, gateways []string) *caller {
 	dial := &net.Dialer{Timeout: time.Second}
 	return &caller{witness: w, gateways: gateways, host: routeHost, client: &http.Client{
@@ -49,73 +50,73 @@
 	}}
 }
 
-func (c *caller) end() { c.client.CloseIdleConnections() }
+func (caller *caller) end() { caller.client.CloseIdleConnections() }
 
-// request is what is sent again and again, each time with another id.
+// request is sent in one or several attempts, each with its own id.
 type request struct {
-	path    string
-	header  map[string]string
-	try     try // without its id
-	timeout time.Duration
-	tries   int // most, of those that end with a promise, or can be repeated
+	path     string
+	header   map[string]string
+	attempt  attempt // without its id
+	timeout  time.Duration
+	maxTries int // maximum of attempts; only those that have not run, or can be repeated, are followed by another
 }
 
-// send makes one try at a gateway.
-func (c *caller) send(ctx context.Context, gateway string, r request, left time.Duration) (id string, a answer) {
-	t := r.try
-	t.path = r.path
-	t.id = strconv.FormatUint(rand.Uint64()|1<<63, 16)
-	c.witness.sent(t)
-	defer func() { c.witness.got(t.id, a) }()
+// send makes one attempt at a gateway.
+func (caller *caller) send(ctx context.Context, gateway string, request request, left time.Duration) (id string, answer answer) {
+	attempt := request.attempt
+	attempt.path = request.path
+	attempt.id = strconv.FormatUint(rand.Uint64()|1<<63, 16)
+	caller.witness.sent(attempt)
+	defer func() { caller.witness.got(attempt.id, answer) }()
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	// With POST, the client of the standard library does not send one again by itself after it was written.
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+r.path, strings.NewReader(t.input))
+	// The client of the standard library does not retry a POST by itself after it was written.
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+request.path, strings.NewReader(attempt.input))
 	if err != nil {
-		return t.id, a
+		return attempt.id, answer
 	}
-	req.Host = c.host
-	req.Header.Set("X-Attempt-Id", t.id)
-	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(left.Milliseconds(), 10))
-	for k, v := range r.header {
-		req.Header.Set(k, v)
+	httpRequest.Host = caller.host
+	httpRequest.Header.Set("X-Attempt-Id", attempt.id)
+	httpRequest.Header.Set("X-Deadline-Ms", strconv.FormatInt(left.Milliseconds(), 10))
+	for k, v := range request.header {
+		httpRequest.Header.Set(k, v)
 	}
-	resp, err := c.client.Do(req)
+	response, err := caller.client.Do(httpRequest)
 	if err != nil {
-		return t.id, a
+		return attempt.id, answer
 	}
-	defer resp.Body.Close()
-	a.status, a.signature = resp.StatusCode, resp.Header.Get("X-Response-Signature")
-	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		a.retryAfter = time.Duration(s * float64(time.Second))
+	defer response.Body.Close()
+	answer.status, answer.signature = response.StatusCode, response.Header.Get("X-Response-Signature")
+	if s, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
+		answer.retryAfter = time.Duration(s * float64(time.Second))
 	}
-	if t.program != nil && a.status == http.StatusOK {
-		a.read(resp.Body)
-		return t.id, a
+	if attempt.program != nil && answer.status == http.StatusOK {
+		answer.read(response.Body)
+		return attempt.id, answer
 	}
-	body, err := io.ReadAll(resp.Body)
-	a.body, a.whole, a.first = string(body), err == nil, time.Now()
-	return t.id, a
+	body, err := io.ReadAll(response.Body)
+	answer.body, answer.complete, answer.first = string(body), err == nil, time.Now()
+	return attempt.id, answer
 }
 
-// read takes a stream of events in, to its end.
-func (a *answer) read(body io.Reader) {
-	a.inOrder = true
+// read reads a stream of events to its end.
+func (answer *answer) read(body io.Reader) {
+	answer.inOrder = true
 	lines := bufio.NewReader(body)
 	id, data, has := "", "", false
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			a.whole = err == io.EOF && line == "" && !has
+			answer.complete = err == io.EOF && line == "" && !has
 			return
 		}
 		switch line = strings.TrimRight(line, "\r\n"); {
 		case line == "" && has:
-			if len(a.events) == 0 {
-				a.first = time.Now()
+			if len(answer.events) == 0 {
+				answer.first = time.Now()
 			}
-			a.events = append(a.events, data)
-			a.inOrder = a.inOrder && id == strconv.Itoa(len(a.events))
+			answer.events = append(answer.events, data)
+			answer.inOrder = answer.inOrder && id == strconv.Itoa(len(answer.events))
 			id, data, has = "", "", false
 		case strings.HasPrefix(line, "id: "):
 			id = line[len("id: "):]
@@ -125,25 +126,26 @@
 	}
 }
 
-// ask tries until there is an answer that stands, within the request's time: after a promise, and where it can be repeated,
-// after any failure, at another gateway.
-func (c *caller) ask(ctx context.Context, r request) (id string, a answer) {
-	until := time.Now().Add(r.timeout)
-	at := rand.N(len(c.gateways))
+// ask makes attempts until there is a final answer, within the request's time. It retries at another gateway after an answer
+// that promises that the request has not run and, where the request can be repeated, after any failure.
+func (caller *caller) ask(ctx context.Context, request request) (id string, answer answer) {
+	until := time.Now().Add(request.timeout)
+	gateway := rand.N(len(caller.gateways))
 	for n := 1; ; n++ {
 		left := time.Until(until)
 		if left <= 0 || ctx.Err() != nil {
-			return id, a
+			return id, answer
 		}
-		id, a = c.send(ctx, c.gateways[at], r, left)
-		if a.whole && a.status/100 == 2 || a.final() || n >= r.tries || !a.promised() && !r.try.repeatable {
-			return id, a
+		id, answer = caller.send(ctx, caller.gateways[gateway], request, left)
+		if answer.complete && answer.status/100 == 2 || answer.final() || n >= request.maxTries || !answer.notExecuted() && !request.attempt.repeatable {
+			return id, answer
 		}
-		at = (at + 1) % len(c.gateways)
-		pause(ctx, min(max(a.retryAfter, 20*time.Millisecond), time.Until(until)/3))
+		gateway = (gateway + 1) % len(caller.gateways)
+		pause(ctx, min(max(answer.retryAfter, 20*time.Millisecond), time.Until(until)/3))
 	}
 }
 
+// pause waits for a duration or the end of ctx.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/rehearsal/tierdemo/client_test.go
+++ b/internal/rehearsal/tierdemo/client_test.go
@@ -29,7 +29,7 @@
 			var a answer
 			a.read(strings.NewReader(one.text))
 			assert.Equal(t, strings.Join(a.events, " "), one.events)
-			assert.Equal(t, a.whole, one.whole)
+			assert.Equal(t, a.complete, one.whole)
 			assert.Equal(t, a.inOrder, one.inOrder)
 		})
 	}
@@ -61,7 +61,7 @@
 				w.WriteHeader(one.status)
 			})
 			c := testCaller(t, newWitness(), at)
-			_, a := c.ask(t.Context(), request{path: lookPath, timeout: turnTime, tries: 3, try: try{input: "x", repeatable: one.repeatable}})
+			_, a := c.ask(t.Context(), request{path: lookPath, timeout: turnTime, maxTries: 3, attempt: attempt{input: "x", repeatable: one.repeatable}})
 			assert.Equal(t, a.status, one.status)
 			assert.Equal(t, calls.Load(), one.calls)
 		})
@@ -116,7 +116,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWitness()
 			c := testCaller(t, w, counterThat(t, testEndpoint(t, w, modelService, 4).address, one.spoil))
-			c.ask(t.Context(), turnRequest(&budget{limit: 100, most: 12}, "", "one\n"))
+			c.ask(t.Context(), turnRequest(&budget{limit: 100, maxPerTurn: 12}, "", "one\n"))
 			v := w.verdict()[one.rule]
 			assert.Equal(t, v.Broken == 0, one.kept, "%v", v)
 		})
--- a/internal/rehearsal/tierdemo/endpoint.go
+++ b/internal/rehearsal/tierdemo/endpoint.go
@@ -20,13 +20,13 @@
 	toolService    = "tool"
 )
 
-// signature is the stamp by which an answer is known as that of an endpoint to a try.
+// signature is the signature of an endpoint's answer to an attempt.
 func signature(id string) string { return "s." + id }
 
 // toolAnswer is the body of an answer to a call of a tool.
 func toolAnswer(id, input string) string { return id + " heard " + input }
 
-// endpoint is a stand-in: it runs turns as streams of events and answers calls of tools.
+// endpoint is a fake endpoint: it runs turns as streams of events, and answers tool calls.
 type endpoint struct {
 	instance, service, address, zone string
 	slots                            int
@@ -49,23 +49,24 @@
 	return e, nil
 }
 
-// leave ends the endpoint when what it runs has ended, or with ctx.
-func (e *endpoint) leave(ctx context.Context) {
-	e.draining.Store(true)
-	if e.server.Shutdown(ctx) != nil {
-		_ = e.server.Close()
+// leave stops the endpoint when its requests have ended, or when ctx ends.
+func (endpoint *endpoint) leave(ctx context.Context) {
+	endpoint.draining.Store(true)
+	if endpoint.server.Shutdown(ctx) != nil {
+		_ = endpoint.server.Close()
 	}
 }
 
-func (e *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP implements http.Handler.
+func (endpoint *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Attempt-Id")
 	head := w.Header()
-	head.Set("X-Instance-Id", e.instance)
-	head.Set("X-Instance-Load", fmt.Sprintf("%d,0,%d", e.running.Load(), e.slots))
+	head.Set("X-Instance-Id", endpoint.instance)
+	head.Set("X-Instance-Load", fmt.Sprintf("%d,0,%d", endpoint.running.Load(), endpoint.slots))
 	if id != "" {
 		head.Set("X-Attempt-Id", id)
 	}
-	if e.draining.Load() {
+	if endpoint.draining.Load() {
 		head.Set("Connection", "close")
 	}
 	body, err := io.ReadAll(r.Body)
@@ -77,37 +78,37 @@
 	case err != nil:
 		return
 	case r.URL.Path == healthPath:
-		if e.draining.Load() {
+		if endpoint.draining.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
-	case target != "" && target != e.instance:
+	case target != "" && target != endpoint.instance:
 		reject(http.StatusMisdirectedRequest)
 		return
 	case id == "":
 		reject(http.StatusBadRequest)
 		return
 	}
-	if e.running.Add(1) > int64(e.slots) {
-		e.running.Add(-1)
+	if endpoint.running.Add(1) > int64(endpoint.slots) {
+		endpoint.running.Add(-1)
 		reject(http.StatusServiceUnavailable)
 		return
 	}
-	defer e.running.Add(-1)
-	e.witness.ran(id, e.service, r.URL.Path, string(body))
+	defer endpoint.running.Add(-1)
+	endpoint.witness.ran(id, endpoint.service, r.URL.Path, string(body))
 	head.Set("X-Response-Signature", signature(id))
-	if e.service == toolService {
-		if e.work(r, id, 5*time.Millisecond, 20*time.Millisecond) {
-			e.witness.ended(id)
+	if endpoint.service == toolService {
+		if endpoint.work(r, id, 5*time.Millisecond, 20*time.Millisecond) {
+			endpoint.witness.ended(id)
 			_, _ = io.WriteString(w, toolAnswer(id, string(body)))
 		}
 		return
 	}
-	e.stream(w, r, id)
+	endpoint.stream(w, r, id)
 }
 
-// work takes some time, and reports whether the caller has waited.
-func (e *endpoint) work(r *http.Request, id string, from, to time.Duration) bool {
+// work takes some time, and reports whether the caller is still there.
+func (endpoint *endpoint) work(r *http.Request, id string, from, to time.Duration) bool {
 	t := time.NewTimer(from + time.Duration(draw(id, uint64(to-from))))
 	defer t.Stop()
 	select {
@@ -118,13 +119,13 @@
 	}
 }
 
-// stream runs a turn: some events, at most as many as X-Token-Usage allows.
-func (e *endpoint) stream(w http.ResponseWriter, r *http.Request, id string) {
+// stream runs a turn: some events, no more than X-Token-Usage allows.
+func (endpoint *endpoint) stream(w http.ResponseWriter, r *http.Request, id string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	_, out, _ := strings.Cut(r.Header.Get("X-Token-Usage"), ",")
-	most, _ := strconv.Atoi(out)
+	maxTokens, _ := strconv.Atoi(out)
 	count := 1
-	if events := most / tokensPerEvent; events > 1 {
+	if events := maxTokens / tokensPerEvent; events > 1 {
 		count = events/2 + int(draw(id, uint64(events-events/2+1)))
 	}
 	flush := http.NewResponseController(w)
@@ -133,19 +134,19 @@
 		if i == 0 {
 			from, to = 10*time.Millisecond, 40*time.Millisecond
 		}
-		if !e.work(r, id, from, to) {
-			panic(http.ErrAbortHandler) // the stream must not look whole
+		if !endpoint.work(r, id, from, to) {
+			panic(http.ErrAbortHandler) // the stream must not look complete
 		}
 		data := fmt.Sprintf("%s-%d", id, i+1)
-		e.witness.event(id, data)
+		endpoint.witness.event(id, data)
 		if _, err := fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i+1, data); err != nil || flush.Flush() != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
-	e.witness.ended(id)
+	endpoint.witness.ended(id)
 }
 
-// draw gives a number below n that is the id's own.
+// draw returns a number below n that depends on the id only.
 func draw(id string, n uint64) uint64 {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, id)
--- a/internal/rehearsal/tierdemo/operator.go
+++ b/internal/rehearsal/tierdemo/operator.go
@@ -12,31 +12,32 @@
 	"github.com/joomcode/errorx"
 )
 
-// What the configuration of a rehearsal says.
+// Values of the configuration, and times of the operator.
 const (
 	routeHost  = "agents.example"
 	turnPath   = "/turn/"
-	lookPath   = "/look/" // tools that may be called again
-	actPath    = "/act/"  // tools that may not
+	lookPath   = "/look/" // tool calls that may be repeated
+	actPath    = "/act/"  // tool calls that may not
 	addedPath  = "/added/"
 	aimTime    = 400 * time.Millisecond
 	retention  = 120 * time.Second
-	replyTime  = time.Second // for one call of an operator
+	replyTime  = time.Second // of one call
 	redirects  = 2
-	ordersLast = 10 * time.Second // for one order, with its tries; the first configuration is sent until it is taken
+	ordersLast = 10 * time.Second // of one order with its retries; the first configuration is sent until it is accepted
 )
 
-// operator is a stand-in: it sends configurations, changes them and reads them back.
+// operator is a fake operator: it sends configurations, changes them and reads them back.
 type operator struct {
-	client   *http.Client
-	at       []string // control_plane addresses
-	revision int64    // acknowledged last
-	body     []byte
-	unclear  []byte // a change without a clear answer, which may be in force
+	client    *http.Client
+	addresses []string // control_plane addresses
+	revision  int64    // the last one acknowledged
+	body      []byte
+	unclear   []byte // a change without a clear answer, which may be in force
 }
 
+// newOperator makes an operator that has sent nothing yet.
 func newOperator(at []string) *operator {
-	return &operator{at: at, client: &http.Client{CheckRedirect: func(_ *http.Request, via []*http.Request) error {
+	return &operator{addresses: at, client: &http.Client{CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > redirects {
 			return http.ErrUseLastResponse
 		}
@@ -44,12 +45,12 @@
 	}}}
 }
 
-func (o *operator) end() { o.client.CloseIdleConnections() }
+func (operator *operator) end() { operator.client.CloseIdleConnections() }
 
 // addedRoute is the path of the route that a revision adds.
 func addedRoute(revision int64) string { return addedPath + strconv.FormatInt(revision, 10) + "/" }
 
-// configuration is that of a revision: each but the first adds a route, and has other time-outs.
+// configuration is that of a revision: each but the first adds a route, and each has other time-outs.
 func configuration(revision int64) []byte {
 	type object = map[string]any
 	turn := object{"name": "turn", "hostname": routeHost, "path_prefix": turnPath, "route_type": "streaming", "timeout_ms": turnTime.Milliseconds() + revision,
@@ -71,38 +72,38 @@
 	return body
 }
 
-// change sends the next revision until it is acknowledged. One without a clear answer is sent again, as it was, by the next call.
-func (o *operator) change(ctx context.Context) error {
-	next := o.revision + 1
+// change sends the next revision until it is acknowledged. If the outcome is unknown, the next call sends it again, unchanged.
+func (operator *operator) change(ctx context.Context) error {
+	next := operator.revision + 1
 	body := configuration(next)
-	status, _, err := o.order(ctx, http.MethodPost, "/saffronyard/Configuration.Replace", body)
+	status, _, err := operator.order(ctx, http.MethodPost, "/saffronyard/Configuration.Replace", body)
 	if err != nil {
-		o.unclear = body
+		operator.unclear = body
 		return errorx.Decorate(err, "configuration %d", next)
 	}
 	if status != http.StatusOK {
 		return errorx.ExternalError.New("configuration %d: the answer is %d", next, status)
 	}
-	o.revision, o.body, o.unclear = next, body, nil
+	operator.revision, operator.body, operator.unclear = next, body, nil
 	return nil
 }
 
-// same reads the configuration back, and tells whether it is the one acknowledged last, or a later one without a clear answer.
-func (o *operator) same(ctx context.Context) (bool, error) {
-	status, body, err := o.order(ctx, http.MethodGet, "/saffronyard/Configuration.Describe", nil)
-	return status == http.StatusOK && (bytes.Equal(body, o.body) || o.unclear != nil && bytes.Equal(body, o.unclear)), err
+// readBack reads the configuration, and reports whether it is the last one acknowledged, or a later one with unknown outcome.
+func (operator *operator) readBack(ctx context.Context) (bool, error) {
+	status, body, err := operator.order(ctx, http.MethodGet, "/saffronyard/Configuration.Describe", nil)
+	return status == http.StatusOK && (bytes.Equal(body, operator.body) || operator.unclear != nil && bytes.Equal(body, operator.unclear)), err
 }
 
-// order calls one control_plane address after the other, with growing pauses, until an answer stands.
-func (o *operator) order(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
-	if o.revision > 0 {
+// order calls one control_plane address after the other, with growing pauses, until one gives a clear answer.
+func (operator *operator) order(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
+	if operator.revision > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, ordersLast)
 		defer cancel()
 	}
 	wait := 20 * time.Millisecond
 	for n := 0; ; n++ {
-		status, answer, err = o.call(ctx, method, "http://"+o.at[n%len(o.at)]+path, body)
+		status, answer, err = operator.call(ctx, method, "http://"+operator.addresses[n%len(operator.addresses)]+path, body)
 		if err == nil && status < 500 && status != http.StatusTemporaryRedirect && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
 			return status, answer, nil
 		}
@@ -114,7 +115,8 @@
 	}
 }
 
-func (o *operator) call(ctx context.Context, method, url string, body []byte) (int, []byte, error) {
+// call makes one call.
+func (operator *operator) call(ctx context.Context, method, url string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, replyTime)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -123,9 +125,9 @@
 	}
 	if method == http.MethodPost {
 		req.Header.Set("Content-Type", "application/json")
-		req.Header.Set("X-Base-Revision", strconv.FormatInt(o.revision, 10))
+		req.Header.Set("X-Base-Revision", strconv.FormatInt(operator.revision, 10))
 	}
-	resp, err := o.client.Do(req)
+	resp, err := operator.client.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/rehearsal/tierdemo/page.go
+++ b/internal/rehearsal/tierdemo/page.go
@@ -30,23 +30,25 @@
 {{end}}</table></body></html>
 `))
 
+// line is one series of a plot, with a value for each second.
 type line struct {
 	Name, Color string
 	values      []float64
 }
 
+// plot is a chart by seconds.
 type plot struct {
 	Title string
 	Lines []line
 	SVG   template.HTML
 }
 
-// Page writes the report as a page of HTML that needs nothing else.
-func (r *Report) Page(out io.Writer) error {
+// Page writes the report as a self-contained page of HTML.
+func (report *Report) Page(out io.Writer) error {
 	var text strings.Builder
-	r.Print(&text)
+	report.Print(&text)
 	values := func(of func(Second) float64) (list []float64) {
-		for _, s := range r.Seconds {
+		for _, s := range report.Seconds {
 			list = append(list, of(s))
 		}
 		return list
@@ -62,17 +64,17 @@
 			{"p99", "#a3c", values(func(s Second) float64 { return inMS(s.P99) })}}},
 	}
 	for i := range plots {
-		plots[i].SVG = plots[i].draw(r.Events)
+		plots[i].SVG = plots[i].draw(report.Events)
 	}
 	type row struct{ At, What string }
 	var events []row
-	for _, e := range r.Events {
+	for _, e := range report.Events {
 		events = append(events, row{fmt.Sprintf("%.1f s", e.At.Seconds()), e.What})
 	}
 	return page.Execute(out, map[string]any{"Text": text.String(), "Plots": plots, "Events": events})
 }
 
-// draw makes the plot, with a mark where something happened. Of the texts in it, those of events are escaped.
+// draw returns the plot with a mark for each event. The texts of events are escaped.
 func (p plot) draw(events []Event) template.HTML {
 	top, count := 1.0, 1
 	for _, l := range p.Lines {
--- a/internal/rehearsal/tierdemo/platform.go
+++ b/internal/rehearsal/tierdemo/platform.go
@@ -14,12 +14,12 @@
 
 const (
 	platformRate = 40.0 // calls a second
-	pageSize     = 4    // entries; small, so that pages are read too
+	pageSize     = 4    // entries; small, so that lists have several pages
 	drainTime    = time.Second
 	endpointTurn = 16 // slots of an endpoint
 )
 
-// platform is a stand-in: it runs endpoints and lists them.
+// platform is a fake platform: it runs endpoints and lists them.
 type platform struct {
 	witness *witness
 	ip      string
@@ -32,6 +32,7 @@
 	leaving sync.WaitGroup
 }
 
+// listed is an entry of the list.
 type listed struct {
 	Instance string  `json:"instance_id"`
 	Service  string  `json:"service_name"`
@@ -43,6 +44,7 @@
 	ColdMs   float64 `json:"cold_remaining_ms"`
 }
 
+// listPage is one page of the list.
 type listPage struct {
 	Instances []listed `json:"instances"`
 	Next      *string  `json:"next_page_token"`
@@ -61,7 +63,7 @@
 }
 
 // instances answers GET /instances.
-func (p *platform) instances(w http.ResponseWriter, r *http.Request) {
+func (platform *platform) instances(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet || r.URL.Path != "/instances" {
 		http.NotFound(w, r)
 		return
@@ -73,9 +75,9 @@
 	}
 	zone := r.FormValue("zone")
 	page := listPage{Instances: []listed{}}
-	p.mu.Lock()
+	platform.mu.Lock()
 	seen := 0
-	for _, e := range p.list {
+	for _, e := range platform.list {
 		if zone != "" && zone != e.zone {
 			continue
 		}
@@ -94,56 +96,56 @@
 		page.Instances = append(page.Instances, listed{Instance: e.instance, Service: e.service, Address: e.address, Zone: e.zone,
 			Revision: "v1", Capacity: e.slots, State: state})
 	}
-	p.mu.Unlock()
+	platform.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(page)
 }
 
 // add starts an endpoint and lists it.
-func (p *platform) add(service, zone string) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.number++
-	e, err := startEndpoint(p.witness, p.ip, fmt.Sprintf("i-%s-%d", service, p.number), service, zone, endpointTurn)
+func (platform *platform) add(service, zone string) error {
+	platform.mu.Lock()
+	defer platform.mu.Unlock()
+	platform.number++
+	e, err := startEndpoint(platform.witness, platform.ip, fmt.Sprintf("i-%s-%d", service, platform.number), service, zone, endpointTurn)
 	if err == nil {
-		p.list = append(p.list, e)
+		platform.list = append(platform.list, e)
 	}
 	return err
 }
 
-// release starts another endpoint in the place of the one that is there for longest, which is listed as draining, serves on for
-// its time and a little longer, and ends.
-func (p *platform) release(ctx context.Context) (instance string, err error) {
-	p.mu.Lock()
+// release replaces the oldest endpoint by a new one. The old one is listed as draining, serves for its drain time and a little
+// longer, and ends.
+func (platform *platform) release(ctx context.Context) (instance string, err error) {
+	platform.mu.Lock()
 	var oldest *endpoint
-	for _, e := range p.list {
+	for _, e := range platform.list {
 		if oldest == nil && !e.draining.Load() {
 			oldest = e
 		}
 	}
-	p.mu.Unlock()
+	platform.mu.Unlock()
 	if oldest == nil {
 		return "", nil
 	}
-	if err := p.add(oldest.service, oldest.zone); err != nil {
+	if err := platform.add(oldest.service, oldest.zone); err != nil {
 		return "", err
 	}
 	oldest.draining.Store(true)
-	p.leaving.Go(func() {
+	platform.leaving.Go(func() {
 		t := time.NewTimer(drainTime * 3 / 2)
 		defer t.Stop()
 		select {
 		case <-t.C:
 		case <-ctx.Done():
 		}
-		p.mu.Lock()
-		for i, e := range p.list {
+		platform.mu.Lock()
+		for i, e := range platform.list {
 			if e == oldest {
-				p.list = append(p.list[:i:i], p.list[i+1:]...)
+				platform.list = append(platform.list[:i:i], platform.list[i+1:]...)
 				break
 			}
 		}
-		p.mu.Unlock()
+		platform.mu.Unlock()
 		last, cancel := context.WithTimeout(context.Background(), drainTime)
 		defer cancel()
 		oldest.leave(last)
@@ -151,11 +153,11 @@
 	return oldest.instance, nil
 }
 
-// count is the number of endpoints that are not leaving.
-func (p *platform) count() (n int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, e := range p.list {
+// count is the number of endpoints that are not draining.
+func (platform *platform) count() (n int) {
+	platform.mu.Lock()
+	defer platform.mu.Unlock()
+	for _, e := range platform.list {
 		if !e.draining.Load() {
 			n++
 		}
@@ -163,13 +165,13 @@
 	return n
 }
 
-// end stops the list and all endpoints.
-func (p *platform) end() {
-	p.leaving.Wait()
-	_ = p.server.Close()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, e := range p.list {
+// end stops the platform and all endpoints.
+func (platform *platform) end() {
+	platform.leaving.Wait()
+	_ = platform.server.Close()
+	platform.mu.Lock()
+	defer platform.mu.Unlock()
+	for _, e := range platform.list {
 		_ = e.server.Close()
 	}
 }
--- a/internal/rehearsal/tierdemo/process.go
+++ b/internal/rehearsal/tierdemo/process.go
@@ -19,7 +19,7 @@
 	"dockshift.example/dockshift/internal/tier/settings"
 )
 
-// Ports of a machine, from the first; they are the same on all machines.
+// Ports of a machine, counted from the first. They are the same on all machines.
 const (
 	controlPlanePort = process.ControlPlanePort
 	turnStorePort    = process.TurnStorePort
@@ -34,119 +34,142 @@
 	settings settings.Settings
 	log      *log.Logger
 
-	mu      sync.Mutex // guards what follows, and is held while it starts or stops
+	mu      sync.Mutex // guards what follows, and is held while the process starts or stops
 	process *process.Process
 }
 
-func (m *member) node() string { return m.settings.Node }
+// node is the name of its machine.
+func (member *member) node() string { return member.settings.Node }
 
-// start begins a life of the process. Its errors are those of its folder and its ports.
-func (m *member) start() error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.process != nil {
+// start starts the process unless it runs. Errors are those of its folder and its ports.
+func (member *member) start() error {
+	member.mu.Lock()
+	defer member.mu.Unlock()
+	if member.process != nil {
 		return nil
 	}
-	started, err := process.Start(context.Background(), m.settings.Role, process.Config{Settings: m.settings, Log: m.log})
+	started, err := process.Start(context.Background(), member.settings.Role, process.Config{Settings: member.settings, Log: member.log})
 	if err != nil {
-		return errorx.Decorate(err, "%s", m.node())
+		return errorx.Decorate(err, "%s", member.node())
 	}
-	m.process = started
+	member.process = started
 	return nil
 }
 
-// kill ends the process as a kill does: connections are reset, nothing is said, the folder stays.
-func (m *member) kill() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.process == nil {
+// kill ends the process like SIGKILL: connections are reset, nothing is handed over, the folder stays.
+func (member *member) kill() {
+	member.mu.Lock()
+	defer member.mu.Unlock()
+	if member.process == nil {
 		return
 	}
-	m.process.Kill()
-	m.process = nil
-	m.settings.Bootstrap = false
+	member.process.Kill()
+	member.process = nil
+	member.settings.Bootstrap = false
 }
 
-func (m *member) running() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.process != nil
+// running reports whether the process has been started and not been killed since.
+func (member *member) running() bool {
+	member.mu.Lock()
+	defer member.mu.Unlock()
+	return member.process != nil
 }
 
-// tier is all processes.
+// tier is the processes of all roles.
 type tier struct {
 	controlPlanes, turnStores, gateways []*member
 	network                             string       // first three bytes of all addresses
-	client                              *http.Client // for questions of the demo itself
+	client                              *http.Client // for calls of the demo itself
 }
 
-// perRole is how many control plane and turn store processes there are: one may be lost, and is made good for by another.
+// perRole is how many control-plane and turn-store processes there are: one may be lost, and another takes its place.
 const (
 	perRole      = 3
 	gatewayCount = 2
 )
 
-// layOut makes the processes, not started: their machines are addresses of a loopback network, their folders lie in dir.
-func layOut(dir, platform string, logs *log.Logger) (*tier, error) {
-	t := &tier{network: fmt.Sprintf("127.%d.%d.", 1+rand.N(254), rand.N(256)), client: rpcserver.NewClient()}
-	all := []struct {
-		role  string
-		count int
-		to    *[]*member
-	}{{process.RoleControlPlane, perRole, &t.controlPlanes}, {process.RoleTurnStore, perRole, &t.turnStores}, {process.RoleGateway, gatewayCount, &t.gateways}}
+// newTier makes the processes without starting them: their machines are addresses of a loopback network, their folders are in
+// dir.
+func newTier(dir, platform string, logs *log.Logger) (*tier, error) {
+	tier := &tier{network: fmt.Sprintf("127.%d.%d.", 1+rand.N(254), rand.N(256)), client: rpcserver.NewClient()}
 	var addresses []string
-	for i := range 2*perRole + gatewayCount {
-		addresses = append(addresses, t.network+strconv.Itoa(i+1))
+	for index := range 2*perRole + gatewayCount {
+		addresses = append(addresses, tier.network+strconv.Itoa(index+1))
 	}
-	first, err := freePorts(addresses)
+	firstPort, err := freePorts(addresses)
 	if err != nil {
 		return nil, err
 	}
-	at := func(ip string, offset int) string { return net.JoinHostPort(ip, strconv.Itoa(first+offset)) }
-	var seeds []string
+	site := site{dir: dir, platform: platform, firstPort: firstPort}
 	for _, ip := range addresses[:perRole] {
-		seeds = append(seeds, at(ip, operatorPort))
+		site.seeds = append(site.seeds, site.at(ip, operatorPort))
 	}
-	for _, group := range all {
-		for i := range group.count {
-			ip := addresses[0]
-			addresses = addresses[1:]
-			s, err := settings.Parse(fmt.Appendf(nil, "node_name: %s-%d\nip_address: %s\ninternal_port_range: [%d, %d]\n",
-				group.role, i+1, ip, first, first+turnStorePort))
+	groups := []struct {
+		role    string
+		count   int
+		members *[]*member
+	}{{process.RoleControlPlane, perRole, &tier.controlPlanes}, {process.RoleTurnStore, perRole, &tier.turnStores}, {process.RoleGateway, gatewayCount, &tier.gateways}}
+	for _, group := range groups {
+		for index := range group.count {
+			configured, err := site.settings(group.role, index, addresses[0])
 			if err != nil {
 				return nil, err
 			}
-			s.Role, s.Seeds, s.Bootstrap = group.role, seeds, true
-			s.Zone, s.Region = zoneName(i), "region-1"
-			s.Zones = map[string]string{}
-			for z := range perRole {
-				s.Zones[zoneName(z)] = s.Region
-			}
-			s.CloudAddress, s.CloudRate = platform, platformRate
-			s.DrainTimeout, s.Grace = drainTime, drainTime/4
-			switch group.role {
-			case process.RoleControlPlane:
-				s.Control = at(ip, operatorPort)
-			case process.RoleGateway:
-				s.Frontend, s.Readiness = at(ip, frontendPort), at(ip, readinessPort)
-			}
-			if group.role != process.RoleGateway {
-				s.DataDir = filepath.Join(dir, s.Node)
-				if err := os.Mkdir(s.DataDir, 0o700); err != nil {
-					return nil, errorx.Decorate(err, "folder of %s", s.Node)
-				}
-			}
-			l := *logs
-			l.Context = log.NewContext(nil).Str("process", s.Node).Value()
-			*group.to = append(*group.to, &member{settings: s, log: &l})
+			addresses = addresses[1:]
+			logger := *logs
+			logger.Context = log.NewContext(nil).Str("process", configured.Node).Value()
+			*group.members = append(*group.members, &member{settings: configured, log: &logger})
 		}
 	}
-	return t, nil
+	return tier, nil
+}
+
+// site is what the processes of a tier have in common.
+type site struct {
+	dir       string // of their folders
+	platform  string // address of the platform
+	firstPort int    // of all machines
+	seeds     []string
+}
+
+// at is the address of a port, counted from the first, of a machine.
+func (site site) at(ip string, offset int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(site.firstPort+offset))
+}
+
+// settings returns the settings of the process of a role with that index, and makes its folder if it needs one.
+func (site site) settings(role string, index int, ip string) (settings.Settings, error) {
+	configured, err := settings.Parse(fmt.Appendf(nil, "node_name: %s-%d\nip_address: %s\ninternal_port_range: [%d, %d]\n",
+		role, index+1, ip, site.firstPort, site.firstPort+turnStorePort))
+	if err != nil {
+		return configured, err
+	}
+	configured.Role, configured.Seeds, configured.Bootstrap = role, site.seeds, true
+	configured.Zone, configured.Region = zoneName(index), "region-1"
+	configured.Zones = map[string]string{}
+	for zone := range perRole {
+		configured.Zones[zoneName(zone)] = configured.Region
+	}
+	configured.CloudAddress, configured.CloudRate = site.platform, platformRate
+	configured.DrainTimeout, configured.Grace = drainTime, drainTime/4
+	switch role {
+	case process.RoleControlPlane:
+		configured.Control = site.at(ip, operatorPort)
+	case process.RoleGateway:
+		configured.Frontend, configured.Readiness = site.at(ip, frontendPort), site.at(ip, readinessPort)
+		return configured, nil
+	}
+	configured.DataDir = filepath.Join(site.dir, configured.Node)
+	if err := os.Mkdir(configured.DataDir, 0o700); err != nil {
+		return configured, errorx.Decorate(err, "folder of %s", configured.Node)
+	}
+	return configured, nil
 }
 
+// zoneName is the name of the zone with an index.
 func zoneName(i int) string { return "zone-" + strconv.Itoa(i+1) }
 
-// freePorts finds a range of ports that is free on all addresses, below those that the system gives to callers.
+// freePorts finds a range of ports that is free on all addresses, below the ephemeral ports of the system.
 func freePorts(addresses []string) (first int, err error) {
 	for range 50 {
 		first = 10000 + rand.N(20000)
@@ -157,6 +180,7 @@
 	return 0, errorx.Decorate(err, "no range of %d free ports on the loopback network", portCount)
 }
 
+// tryPorts returns an error if a port of the range is in use on an address.
 func tryPorts(addresses []string, first int) error {
 	for _, ip := range addresses {
 		for offset := range portCount {
@@ -170,27 +194,29 @@
 	return nil
 }
 
-func (t *tier) all() []*member {
-	return append(append(append([]*member(nil), t.controlPlanes...), t.turnStores...), t.gateways...)
+// all returns the members of all roles.
+func (tier *tier) all() []*member {
+	return append(append(append([]*member(nil), tier.controlPlanes...), tier.turnStores...), tier.gateways...)
 }
 
-func (t *tier) start() error {
-	for _, p := range t.all() {
-		if err := p.start(); err != nil {
+// start starts all processes.
+func (tier *tier) start() error {
+	for _, process := range tier.all() {
+		if err := process.start(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// end stops all processes, those that call others first.
-func (t *tier) end() {
-	for _, group := range [][]*member{t.gateways, t.turnStores, t.controlPlanes} {
-		var ending sync.WaitGroup
-		for _, p := range group {
-			ending.Go(p.kill)
+// end kills all processes, those that call others first.
+func (tier *tier) end() {
+	for _, group := range [][]*member{tier.gateways, tier.turnStores, tier.controlPlanes} {
+		var stopping sync.WaitGroup
+		for _, process := range group {
+			stopping.Go(process.kill)
 		}
-		ending.Wait()
+		stopping.Wait()
 	}
-	t.client.CloseIdleConnections()
+	tier.client.CloseIdleConnections()
 }
--- a/internal/rehearsal/tierdemo/program.go
+++ b/internal/rehearsal/tierdemo/program.go
@@ -11,75 +11,77 @@
 )
 
 const (
-	turnTime  = 6 * time.Second // of one request of a turn, with its tries
-	toolTime  = 4 * time.Second
-	triesMost = 12
-	turnAgain = 2 // a turn that failed is sent again so often
-	turnMost  = 24
-	tightEach = 6 // one program in so many has a budget that does not last
+	turnTime      = 6 * time.Second // of one request of a turn, with its attempts
+	toolTime      = 4 * time.Second
+	maxTries      = 12
+	turnRetries   = 2 // of a turn that failed
+	maxTurnTokens = 24
+	tightEvery    = 6 // one program in so many has a budget that is too small for its turns
 )
 
-// Outcome is what became of a program.
+// Outcome is how a program ended.
 type Outcome int
 
 // The outcomes.
 const (
 	Whole  Outcome = iota
-	Spent          // ended by its budget, as it had to be
-	Failed         // a turn failed three times, or a call of a tool
-	Ended          // by the end of the rehearsal
+	Spent          // ended by its budget, as it should
+	Failed         // a turn failed three times, or a tool call failed
+	Ended          // interrupted by the end of the demo
 )
 
-// program is one agent program: turns one after the other, calls of tools between them, at times a sub-agent beside them.
+// program is one agent program: consecutive turns with tool calls between them, and sometimes a concurrent sub-agent.
 type program struct {
-	name   string
-	caller *caller
-	record *recorder
-	budget *budget
-	unsure bool // a try has failed after it may have run: what it reserved may be charged
-	mu     sync.Mutex
-	why    string
+	name           string
+	caller         *caller
+	record         *recorder
+	budget         *budget
+	mayHaveCharged bool // an attempt has failed that may have run: what it reserved may be charged
+	mu             sync.Mutex
+	why            string
 }
 
 // newProgram makes the n-th program.
-func newProgram(n int, c *caller, r *recorder) *program {
-	p := &program{name: fmt.Sprintf("p%d-%x", n, rand.Uint32()), caller: c, record: r}
-	p.budget = &budget{limit: 50 * turnMost, most: turnMost}
-	if n%tightEach == tightEach-1 {
-		p.budget.limit = 2 * turnMost
+func newProgram(n int, caller *caller, recorder *recorder) *program {
+	made := &program{name: fmt.Sprintf("p%d-%x", n, rand.Uint32()), caller: caller, record: recorder}
+	made.budget = &budget{limit: 50 * maxTurnTokens, maxPerTurn: maxTurnTokens}
+	if n%tightEvery == tightEvery-1 {
+		made.budget.limit = 2 * maxTurnTokens
 	}
-	return p
+	return made
 }
 
-func (p *program) tight() bool { return p.budget.limit < 10*turnMost }
+// tight reports whether the budget is too small for the turns of the program.
+func (program *program) tight() bool { return program.budget.limit < 10*maxTurnTokens }
 
-func (p *program) fail(why string, args ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.why == "" {
-		p.why = fmt.Sprintf(why, args...)
+// fail records why the program failed, the first time.
+func (program *program) fail(why string, args ...any) {
+	program.mu.Lock()
+	defer program.mu.Unlock()
+	if program.why == "" {
+		program.why = fmt.Sprintf(why, args...)
 	}
 }
 
-// run plays the program to its end.
-func (p *program) run(ctx context.Context) (o Outcome, why string) {
+// run runs the program to its end.
+func (program *program) run(ctx context.Context) (o Outcome, why string) {
 	turns := 3 + rand.N(3)
-	if p.tight() {
+	if program.tight() {
 		turns = 8
 	}
 	var beside sync.WaitGroup
 	side := Whole
 	previous := ""
 	for n := range turns {
-		id, got := p.turn(ctx, "main", previous, fmt.Sprintf("%s asks %d\n", p.name, n+1))
+		id, got := program.turn(ctx, "main", previous, fmt.Sprintf("%s asks %d\n", program.name, n+1))
 		if o = got; o != Whole {
 			break
 		}
 		previous = id
-		if n == 1 && !p.tight() && rand.N(3) == 0 {
-			beside.Go(func() { side = p.agent(ctx, id) })
+		if n == 1 && !program.tight() && rand.N(3) == 0 {
+			beside.Go(func() { side = program.agent(ctx, id) })
 		}
-		if o = p.tools(ctx, rand.N(3)); o != Whole {
+		if o = program.tools(ctx, rand.N(3)); o != Whole {
 			break
 		}
 		pause(ctx, rand.N(60*time.Millisecond))
@@ -88,15 +90,15 @@
 	if o == Whole {
 		o = side
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return o, p.why
+	program.mu.Lock()
+	defer program.mu.Unlock()
+	return o, program.why
 }
 
-// agent is a sub-agent: two turns of its own line, from a turn of its parent.
-func (p *program) agent(ctx context.Context, previous string) Outcome {
+// agent runs a sub-agent: two turns that continue a turn of its parent.
+func (program *program) agent(ctx context.Context, previous string) Outcome {
 	for n := range 2 {
-		id, o := p.turn(ctx, "agent", previous, fmt.Sprintf("%s sends an agent for %d\n", p.name, n+1))
+		id, o := program.turn(ctx, "agent", previous, fmt.Sprintf("%s sends an agent for %d\n", program.name, n+1))
 		if o != Whole {
 			return o
 		}
@@ -105,57 +107,57 @@
 	return Whole
 }
 
-// turn takes one turn, and gives its id.
-func (p *program) turn(ctx context.Context, line, previous, input string) (id string, o Outcome) {
+// turn runs one turn, and returns its id.
+func (program *program) turn(ctx context.Context, line, previous, input string) (id string, o Outcome) {
 	begun := time.Now()
-	r := request{path: turnPath + "x", timeout: turnTime, tries: triesMost, try: try{program: p.budget, previous: previous, input: input},
-		header: map[string]string{"Program": p.name, "Session": p.name + "-" + line, "Finish-Ms": "20000",
-			"Budget": strconv.Itoa(p.budget.limit), "X-Token-Usage": fmt.Sprintf("%d,%d", len(input), turnMost), "X-Model": "m"}}
+	request := request{path: turnPath + "x", timeout: turnTime, maxTries: maxTries, attempt: attempt{program: program.budget, previous: previous, input: input},
+		header: map[string]string{"Program": program.name, "Session": program.name + "-" + line, "Finish-Ms": "20000",
+			"Budget": strconv.Itoa(program.budget.limit), "X-Token-Usage": fmt.Sprintf("%d,%d", len(input), maxTurnTokens), "X-Model": "m"}}
 	if previous != "" {
-		r.header["Previous"] = previous
+		request.header["Previous"] = previous
 	}
-	var a answer
-	for again := 0; ; again++ {
-		id, a = p.caller.ask(ctx, r)
-		if a.whole && a.status == 200 {
-			p.record.turn(a.first.Sub(begun))
+	var answer answer
+	for retries := 0; ; retries++ {
+		id, answer = program.caller.ask(ctx, request)
+		if answer.complete && answer.status == 200 {
+			program.record.turn(answer.first.Sub(begun))
 			return id, Whole
 		}
 		if ctx.Err() != nil {
 			return id, Ended
 		}
-		if a.status == 402 && p.mayBeSpent() {
+		if answer.status == 402 && program.mayBeSpent() {
 			return id, Spent
 		}
-		if a.final() || again == turnAgain {
-			p.record.turnFailed()
-			p.fail("a turn got %d %s", a.status, strings.TrimSpace(a.body))
+		if answer.final() || retries == turnRetries {
+			program.record.turnFailed()
+			program.fail("a turn got %d %s", answer.status, strings.TrimSpace(answer.body))
 			return id, Failed
 		}
-		if !a.promised() {
-			p.mu.Lock()
-			p.unsure = true
-			p.mu.Unlock()
+		if !answer.notExecuted() {
+			program.mu.Lock()
+			program.mayHaveCharged = true
+			program.mu.Unlock()
 		}
 		pause(ctx, 100*time.Millisecond+rand.N(300*time.Millisecond))
 	}
 }
 
-// mayBeSpent tells whether the budget may have no room for one more turn.
-func (p *program) mayBeSpent() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.caller.witness.mu.Lock()
-	defer p.caller.witness.mu.Unlock()
-	return p.unsure || p.budget.used+p.budget.most > p.budget.limit
+// mayBeSpent reports whether the budget may be too small for one more turn.
+func (program *program) mayBeSpent() bool {
+	program.mu.Lock()
+	defer program.mu.Unlock()
+	program.caller.witness.mu.Lock()
+	defer program.caller.witness.mu.Unlock()
+	return program.mayHaveCharged || program.budget.used+program.budget.maxPerTurn > program.budget.limit
 }
 
-// tools calls so many tools at once.
-func (p *program) tools(ctx context.Context, n int) Outcome {
+// tools makes so many tool calls at once.
+func (program *program) tools(ctx context.Context, n int) Outcome {
 	outcomes := make([]Outcome, n)
 	var calls sync.WaitGroup
 	for i := range n {
-		calls.Go(func() { outcomes[i] = p.tool(ctx, i) })
+		calls.Go(func() { outcomes[i] = program.tool(ctx, i) })
 	}
 	calls.Wait()
 	for _, o := range outcomes {
@@ -166,19 +168,20 @@
 	return Whole
 }
 
-func (p *program) tool(ctx context.Context, i int) Outcome {
-	r := request{path: lookPath + "x", timeout: toolTime, tries: triesMost, try: try{input: p.name + " calls " + strconv.Itoa(i), repeatable: true},
-		header: map[string]string{"Program": p.name, "Session": p.name + "-main", "Finish-Ms": "20000"}}
+// tool makes one tool call: of every two, one that may be repeated and one that may not.
+func (program *program) tool(ctx context.Context, i int) Outcome {
+	request := request{path: lookPath + "x", timeout: toolTime, maxTries: maxTries, attempt: attempt{input: program.name + " calls " + strconv.Itoa(i), repeatable: true},
+		header: map[string]string{"Program": program.name, "Session": program.name + "-main", "Finish-Ms": "20000"}}
 	if i%2 == 1 {
-		r.path, r.try.repeatable = actPath+"x", false
+		request.path, request.attempt.repeatable = actPath+"x", false
 	}
-	_, a := p.caller.ask(ctx, r)
-	if a.whole && a.status == 200 {
+	_, answer := program.caller.ask(ctx, request)
+	if answer.complete && answer.status == 200 {
 		return Whole
 	}
 	if ctx.Err() != nil {
 		return Ended
 	}
-	p.fail("a call at %s got %d", r.path, a.status)
+	program.fail("a call at %s got %d", request.path, answer.status)
 	return Failed
 }
--- a/internal/rehearsal/tierdemo/recorder.go
+++ b/internal/rehearsal/tierdemo/recorder.go
@@ -7,22 +7,22 @@
 	hdrhistogram "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Second is one second of a rehearsal.
+// Second has the figures of one second.
 type Second struct {
-	Served   int           // turns that ended whole
-	Late     int           // of them, those whose first event came after the aim
-	Failed   int           // turns given up
-	P50, P99 time.Duration // from a turn's first try to its first event; 0 without turns
+	Served   int           // turns that were completed
+	Late     int           // of them, those whose first event came after the target latency
+	Failed   int           // turns that failed
+	P50, P99 time.Duration // from a turn's first attempt to its first event; 0 without turns
 }
 
-// Counts are figures of a whole rehearsal, or of it so far.
+// Counts has the totals so far.
 type Counts struct {
 	Asked, Whole, Spent, Failed, Ended int // programs
 	Turns, Late                        int
 	FirstP50, FirstP99, FirstMost      time.Duration
 }
 
-// recorder counts by second.
+// recorder counts programs and turns by second.
 type recorder struct {
 	mu      sync.Mutex
 	begun   time.Time
@@ -33,99 +33,105 @@
 	reasons []string
 }
 
-// Histograms hold microseconds up to a minute, to two digits.
+// newHistogram makes a histogram of microseconds up to a minute, with two significant digits.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, time.Minute.Microseconds(), 2)
 }
 
+// newRecorder makes a recorder whose first second begins at begun.
 func newRecorder(begun time.Time) *recorder {
 	return &recorder{begun: begun, all: newHistogram(), current: newHistogram()}
 }
 
-// second gives the one that now is in. The caller holds mu.
-func (r *recorder) second() *Second {
-	n := int(time.Since(r.begun) / time.Second)
-	for len(r.seconds) <= n {
-		r.close()
-		r.seconds = append(r.seconds, Second{})
+// second returns the current second. The caller holds mu.
+func (recorder *recorder) second() *Second {
+	n := int(time.Since(recorder.begun) / time.Second)
+	for len(recorder.seconds) <= n {
+		recorder.close()
+		recorder.seconds = append(recorder.seconds, Second{})
 	}
-	return &r.seconds[len(r.seconds)-1]
+	return &recorder.seconds[len(recorder.seconds)-1]
 }
 
-// close reckons the last second's percentiles.
-func (r *recorder) close() {
-	if n := len(r.seconds); n > 0 && r.current.TotalCount() > 0 {
-		s := &r.seconds[n-1]
-		s.P50, s.P99 = quantile(r.current, 50), quantile(r.current, 99)
-		r.current.Reset()
+// close computes the percentiles of the last second.
+func (recorder *recorder) close() {
+	if n := len(recorder.seconds); n > 0 && recorder.current.TotalCount() > 0 {
+		second := &recorder.seconds[n-1]
+		second.P50, second.P99 = quantile(recorder.current, 50), quantile(recorder.current, 99)
+		recorder.current.Reset()
 	}
 }
 
+// quantile returns a percentile of a histogram.
 func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// turn counts one that ended whole; its first event came after first.
-func (r *recorder) turn(first time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s := r.second()
-	s.Served++
-	r.counts.Turns++
+// turn counts a completed turn, whose first event came after first.
+func (recorder *recorder) turn(first time.Duration) {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	second := recorder.second()
+	second.Served++
+	recorder.counts.Turns++
 	if first > aimTime {
-		s.Late++
-		r.counts.Late++
+		second.Late++
+		recorder.counts.Late++
 	}
 	us := min(max(first.Microseconds(), 1), time.Minute.Microseconds())
-	_ = r.all.RecordValue(us) // it is within its bounds
-	_ = r.current.RecordValue(us)
+	_ = recorder.all.RecordValue(us) // it is within its bounds
+	_ = recorder.current.RecordValue(us)
 }
 
-func (r *recorder) turnFailed() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.second().Failed++
+// turnFailed counts a turn that failed.
+func (recorder *recorder) turnFailed() {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.second().Failed++
 }
 
-func (r *recorder) asked() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.counts.Asked++
+// asked counts a program that was started.
+func (recorder *recorder) asked() {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.counts.Asked++
 }
 
-func (r *recorder) ended(o Outcome, why string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	switch o {
+// ended counts a program that has ended.
+func (recorder *recorder) ended(outcome Outcome, why string) {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	switch outcome {
 	case Whole:
-		r.counts.Whole++
+		recorder.counts.Whole++
 	case Spent:
-		r.counts.Spent++
+		recorder.counts.Spent++
 	case Failed:
-		r.counts.Failed++
-		if len(r.reasons) < howMost {
-			r.reasons = append(r.reasons, why)
+		recorder.counts.Failed++
+		if len(recorder.reasons) < maxExamples {
+			recorder.reasons = append(recorder.reasons, why)
 		}
 	case Ended:
-		r.counts.Ended++
+		recorder.counts.Ended++
 	}
 }
 
-func (r *recorder) counted() Counts {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	c := r.counts
-	if r.all.TotalCount() > 0 {
-		c.FirstP50, c.FirstP99, c.FirstMost = quantile(r.all, 50), quantile(r.all, 99), time.Duration(r.all.Max())*time.Microsecond
+// counted returns the totals so far.
+func (recorder *recorder) counted() Counts {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	c := recorder.counts
+	if recorder.all.TotalCount() > 0 {
+		c.FirstP50, c.FirstP99, c.FirstMost = quantile(recorder.all, 50), quantile(recorder.all, 99), time.Duration(recorder.all.Max())*time.Microsecond
 	}
 	return c
 }
 
-// series gives all seconds.
-func (r *recorder) series() (seconds []Second, reasons []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.second()
-	r.close()
-	return append([]Second(nil), r.seconds...), append([]string(nil), r.reasons...)
+// series returns all seconds, and the first reasons of failed programs.
+func (recorder *recorder) series() (seconds []Second, reasons []string) {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.second()
+	recorder.close()
+	return append([]Second(nil), recorder.seconds...), append([]string(nil), recorder.reasons...)
 }
--- a/internal/rehearsal/tierdemo/report.go
+++ b/internal/rehearsal/tierdemo/report.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Report is what a rehearsal has shown.
+// Report is the result of a demo.
 type Report struct {
 	Begun       time.Duration // until the tier took clients
-	Calm        time.Duration // of Lasted, the rest being trouble and its end
+	Calm        time.Duration // of Lasted; the rest is the phases with faults and at the end
 	Lasted      time.Duration
 	Rate        float64       // programs a second
-	Processor   time.Duration // longest time that the machine kept the rehearsal waiting for the processor,
+	Processor   time.Duration // longest stall of the machine: for the processor,
 	Disk        time.Duration // and for the disk to sync
 	Interrupted bool
 	Counts      Counts
@@ -25,8 +25,8 @@
 }
 
 // Broken is the number of rules that were broken.
-func (r *Report) Broken() (n int) {
-	for _, v := range r.Verdicts {
+func (report *Report) Broken() (n int) {
+	for _, v := range report.Verdicts {
 		if v.Broken > 0 {
 			n++
 		}
@@ -34,55 +34,57 @@
 	return n
 }
 
+// ms formats a duration in milliseconds.
 func ms(d time.Duration) string {
 	return fmt.Sprintf("%.1f ms", float64(d)/float64(time.Millisecond))
 }
 
 // Print writes the report as text.
-func (r *Report) Print(out io.Writer) {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	defer w.Flush()
-	c := r.Counts
-	fmt.Fprintf(w, "ready after\t%.2f s\n", r.Begun.Seconds())
-	fmt.Fprintf(w, "played\t%.1f s, %.1f s of them calm, %.3g programs a second\n", r.Lasted.Seconds(), min(r.Calm, r.Lasted).Seconds(), r.Rate)
-	fmt.Fprintf(w, "programs\t%d asked, %d whole, %d ended by their budget, %d failed\n", c.Asked, c.Whole, c.Spent, c.Failed)
-	if c.Ended > 0 {
-		fmt.Fprintf(w, "\t%d were under way at the end\n", c.Ended)
+func (report *Report) Print(out io.Writer) {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	defer table.Flush()
+	counts := report.Counts
+	fmt.Fprintf(table, "ready after\t%.2f s\n", report.Begun.Seconds())
+	fmt.Fprintf(table, "played\t%.1f s, %.1f s of them calm, %.3g programs a second\n", report.Lasted.Seconds(), min(report.Calm, report.Lasted).Seconds(), report.Rate)
+	fmt.Fprintf(table, "programs\t%d asked, %d whole, %d ended by their budget, %d failed\n", counts.Asked, counts.Whole, counts.Spent, counts.Failed)
+	if counts.Ended > 0 {
+		fmt.Fprintf(table, "\t%d were under way at the end\n", counts.Ended)
 	}
-	for _, why := range r.Failures {
-		fmt.Fprintf(w, "\tfailed: %s\n", why)
+	for _, why := range report.Failures {
+		fmt.Fprintf(table, "\tfailed: %s\n", why)
 	}
-	fmt.Fprintf(w, "turns\t%d whole, %d of them late (first event after %v)\n", c.Turns, c.Late, aimTime)
-	fmt.Fprintf(w, "first event\tp50 %s, p99 %s, longest %s\n", ms(c.FirstP50), ms(c.FirstP99), ms(c.FirstMost))
-	fmt.Fprintf(w, "this machine\tkept all waiting for the processor %s, for the disk %s at most\n", ms(r.Processor), ms(r.Disk))
-	for _, t := range r.Takeovers {
-		if t.Done {
-			fmt.Fprintf(w, "take-over\t%s, after %s was stopped: %s\n", t.Work, t.Node, ms(t.Took))
+	fmt.Fprintf(table, "turns\t%d whole, %d of them late (first event after %v)\n", counts.Turns, counts.Late, aimTime)
+	fmt.Fprintf(table, "first event\tp50 %s, p99 %s, longest %s\n", ms(counts.FirstP50), ms(counts.FirstP99), ms(counts.FirstMost))
+	fmt.Fprintf(table, "this machine\tkept all waiting for the processor %s, for the disk %s at most\n", ms(report.Processor), ms(report.Disk))
+	for _, takeover := range report.Takeovers {
+		if takeover.Done {
+			fmt.Fprintf(table, "take-over\t%s, after %s was stopped: %s\n", takeover.Work, takeover.Node, ms(takeover.Took))
 		} else {
-			fmt.Fprintf(w, "take-over\t%s, after %s was stopped: not within %s\n", t.Work, t.Node, ms(t.Took))
+			fmt.Fprintf(table, "take-over\t%s, after %s was stopped: not within %s\n", takeover.Work, takeover.Node, ms(takeover.Took))
 		}
 	}
-	for i, v := range r.Verdicts {
+	for i, verdict := range report.Verdicts {
 		label := ""
 		if i == 0 {
 			label = "rules"
 		}
-		fmt.Fprintf(w, "%s\t%s: %s\n", label, v.Rule, v.say())
-		for _, how := range v.How {
-			fmt.Fprintf(w, "\t  %s\n", how)
+		fmt.Fprintf(table, "%s\t%s: %s\n", label, verdict.Rule, verdict.say())
+		for _, how := range verdict.How {
+			fmt.Fprintf(table, "\t  %s\n", how)
 		}
 	}
-	if r.Interrupted {
-		fmt.Fprintf(w, "\tinterrupted: what came after is not known\n")
+	if report.Interrupted {
+		fmt.Fprintf(table, "\tinterrupted: what came after is not known\n")
 	}
 }
 
-func (v Verdict) say() string {
+// say returns the verdict in words.
+func (verdict Verdict) say() string {
 	switch {
-	case v.Broken > 0:
-		return fmt.Sprintf("BROKEN %d times (%d checks)", v.Broken, v.Checked)
-	case v.Checked == 0:
+	case verdict.Broken > 0:
+		return fmt.Sprintf("BROKEN %d times (%d checks)", verdict.Broken, verdict.Checked)
+	case verdict.Checked == 0:
 		return "not seen (0 checks)"
 	}
-	return fmt.Sprintf("kept (%d checks)", v.Checked)
+	return fmt.Sprintf("kept (%d checks)", verdict.Checked)
 }
--- a/internal/rehearsal/tierdemo/report_test.go
+++ b/internal/rehearsal/tierdemo/report_test.go
@@ -46,10 +46,10 @@
 func testReport(spoilt bool) *Report {
 	w := newWitness()
 	for r := range ruleCount {
-		w.checkOutside(r, true, "")
+		w.check(r, true, "")
 	}
 	if spoilt {
-		w.checkOutside(RunTwice, false, "%s ran 2 times", "<a>")
+		w.check(RunTwice, false, "%s ran 2 times", "<a>")
 	}
 	return &Report{Calm: 2 * time.Second, Lasted: 4 * time.Second, Rate: 5, Counts: Counts{Asked: 10, Whole: 8, Spent: 1, Failed: 1, Turns: 30},
 		Seconds:   []Second{{Served: 5, P50: time.Millisecond, P99: 3 * time.Millisecond}, {}, {Served: 7, Late: 2, Failed: 1}},
--- a/internal/rehearsal/tierdemo/standins_test.go
+++ b/internal/rehearsal/tierdemo/standins_test.go
@@ -38,19 +38,19 @@
 }
 
 func turnRequest(b *budget, previous, input string) request {
-	return request{path: turnPath + "x", timeout: 20 * time.Second, tries: 3, try: try{program: b, previous: previous, input: input},
+	return request{path: turnPath + "x", timeout: 20 * time.Second, maxTries: 3, attempt: attempt{program: b, previous: previous, input: input},
 		header: map[string]string{"X-Token-Usage": "1,12"}}
 }
 
 func TestEndpointStreamsATurn(t *testing.T) {
 	w := newWitness()
 	c := testCaller(t, w, testEndpoint(t, w, modelService, 4).address)
-	b := &budget{limit: 100, most: 12}
+	b := &budget{limit: 100, maxPerTurn: 12}
 	first, a := c.ask(t.Context(), turnRequest(b, "", "one\n"))
 	assert.Equal(t, a.status, 200)
-	assert.Assert(t, a.whole && a.inOrder && len(a.events) >= 3 && len(a.events) <= 6, "%v", a)
+	assert.Assert(t, a.complete && a.inOrder && len(a.events) >= 3 && len(a.events) <= 6, "%v", a)
 	_, a = c.ask(t.Context(), turnRequest(b, first, "one\n"+strings.Join(a.events, "\n")+"\ntwo\n"))
-	assert.Assert(t, a.whole)
+	assert.Assert(t, a.complete)
 	// The body was the chain, but the program's input is said to be all of it: the endpoint must see that.
 	assert.DeepEqual(t, broken(w.verdict()), []Rule{Mixed})
 }
@@ -160,10 +160,10 @@
 	t.Cleanup(o.end)
 	assert.NilError(t, o.change(t.Context()))
 	assert.Equal(t, o.revision, int64(1))
-	same, err := o.same(t.Context())
+	same, err := o.readBack(t.Context())
 	assert.Assert(t, same && err == nil)
 	taken.Store([]byte("{}"))
-	same, err = o.same(t.Context())
+	same, err = o.readBack(t.Context())
 	assert.Assert(t, !same && err == nil)
 }
 
@@ -195,7 +195,7 @@
 	assert.ErrorContains(t, o.change(ctx), "no clear answer")
 	for text, right := range map[string]bool{string(configuration(1)): true, "{}": false} {
 		taken.Store([]byte(text))
-		same, err := o.same(t.Context())
+		same, err := o.readBack(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, same, right)
 	}
@@ -204,15 +204,15 @@
 	assert.DeepEqual(t, taken.Load().([]byte), configuration(1))
 }
 
-func TestHoldUpsAreMeasured(t *testing.T) {
-	var h holdUps
+func TestStallsAreMeasured(t *testing.T) {
+	var h stallMeter
 	begun := time.Now()
-	assert.Equal(t, h.worst(begun), time.Duration(0))
-	h.begun = begun.Add(-time.Second)
-	assert.Assert(t, h.worst(begun) >= time.Second, "under way")
+	assert.Equal(t, h.longestSince(begun), time.Duration(0))
+	h.measuredFrom = begun.Add(-time.Second)
+	assert.Assert(t, h.longestSince(begun) >= time.Second, "under way")
 	h.end(&h.disk)
 	processor, disk := h.longest()
 	assert.Assert(t, processor == 0 && disk >= time.Second)
-	assert.Assert(t, h.worst(begun) >= time.Second)
-	assert.Equal(t, h.worst(time.Now().Add(time.Second)), time.Duration(0))
+	assert.Assert(t, h.longestSince(begun) >= time.Second)
+	assert.Equal(t, h.longestSince(time.Now().Add(time.Second)), time.Duration(0))
 }
--- a/internal/rehearsal/tierdemo/status.go
+++ b/internal/rehearsal/tierdemo/status.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	lookEvery = 20 * time.Millisecond // while something is waited for
+	lookEvery = 20 * time.Millisecond // while waiting for a condition
 	lookTime  = 300 * time.Millisecond
 )
 
-// until looks again and again until what is waited for has come, or ctx ends.
+// until polls until a condition is met, or ctx ends.
 func until(ctx context.Context, what string, met func(context.Context) bool) error {
 	t := time.NewTicker(lookEvery)
 	defer t.Stop()
@@ -34,70 +34,70 @@
 	}
 }
 
-// primary asks the control-plane processes which of them is the primary, and gives it with its state; nil: none says so.
-func (t *tier) primary(ctx context.Context) (*member, *tierv1.StatusReply) {
-	for _, p := range t.controlPlanes {
-		if !p.running() {
+// primary asks the control-plane processes which of them is the primary, and returns it with its status; nil if none is.
+func (tier *tier) primary(ctx context.Context) (*member, *tierv1.StatusReply) {
+	for _, member := range tier.controlPlanes {
+		if !member.running() {
 			continue
 		}
-		s, err := tierv1.NewControlPlaneProtobufClient("http://"+p.settings.Internal(controlPlanePort), t.client).Status(ctx, &tierv1.StatusRequest{})
-		if err == nil && s.Primary {
-			return p, s
+		status, err := tierv1.NewControlPlaneProtobufClient("http://"+member.settings.Internal(controlPlanePort), tier.client).Status(ctx, &tierv1.StatusRequest{})
+		if err == nil && status.Primary {
+			return member, status
 		}
 	}
 	return nil, nil
 }
 
-// whole tells whether each partition has all of its copies, on running processes.
-func (t *tier) whole(ctx context.Context) bool {
-	_, s := t.primary(ctx)
+// hasAllCopies reports whether each partition has all of its copies, on running processes.
+func (tier *tier) hasAllCopies(ctx context.Context) bool {
+	_, status := tier.primary(ctx)
 	node := map[string]string{}
-	for _, k := range s.GetPartitionMap().GetStoreNodes() {
-		node[k.Folder] = k.Node
+	for _, store := range status.GetPartitionMap().GetStoreNodes() {
+		node[store.Folder] = store.Node
 	}
 	running := map[string]bool{}
-	for _, v := range t.turnStores {
-		running[v.node()] = v.running()
+	for _, store := range tier.turnStores {
+		running[store.node()] = store.running()
 	}
-	for _, p := range s.GetPartitionMap().GetPartitions() {
-		if len(p.Backups) == 0 || !running[node[p.Primary]] {
+	for _, partition := range status.GetPartitionMap().GetPartitions() {
+		if len(partition.Backups) == 0 || !running[node[partition.Primary]] {
 			return false
 		}
-		for _, b := range p.Backups {
-			if !b.Synced || !running[node[b.Folder]] {
+		for _, backup := range partition.Backups {
+			if !backup.Synced || !running[node[backup.Folder]] {
 				return false
 			}
 		}
 	}
-	return len(s.GetPartitionMap().GetPartitions()) > 0
+	return len(status.GetPartitionMap().GetPartitions()) > 0
 }
 
-// speaks tells whether a turn store is primary of a partition by the newest map; known is false where nobody shows a map.
-func (t *tier) speaks(ctx context.Context, node string) (speaks, known bool) {
-	_, s := t.primary(ctx)
-	for _, k := range s.GetPartitionMap().GetStoreNodes() {
-		for _, p := range s.PartitionMap.Partitions {
-			if k.Node == node && p.Primary == k.Folder {
+// isPrimary reports whether a turn store is primary of a partition by the newest map; known is false where there is no map.
+func (tier *tier) isPrimary(ctx context.Context, node string) (primary, known bool) {
+	_, status := tier.primary(ctx)
+	for _, store := range status.GetPartitionMap().GetStoreNodes() {
+		for _, partition := range status.PartitionMap.Partitions {
+			if store.Node == node && partition.Primary == store.Folder {
 				return true, true
 			}
 		}
 	}
-	return false, len(s.GetPartitionMap().GetPartitions()) > 0
+	return false, len(status.GetPartitionMap().GetPartitions()) > 0
 }
 
-// keeps tells whether a turn store has a copy of a partition by the newest map.
-func (t *tier) keeps(ctx context.Context, node string) bool {
-	_, s := t.primary(ctx)
-	for _, k := range s.GetPartitionMap().GetStoreNodes() {
-		if k.Node != node {
+// hasCopy reports whether a turn store has a copy of a partition by the newest map.
+func (tier *tier) hasCopy(ctx context.Context, node string) bool {
+	_, status := tier.primary(ctx)
+	for _, store := range status.GetPartitionMap().GetStoreNodes() {
+		if store.Node != node {
 			continue
 		}
-		for _, p := range s.PartitionMap.Partitions {
-			if p.Primary == k.Folder {
+		for _, partition := range status.PartitionMap.Partitions {
+			if partition.Primary == store.Folder {
 				return true
 			}
-			for _, b := range p.Backups {
-				if b.Folder == k.Folder {
+			for _, backup := range partition.Backups {
+				if backup.Folder == store.Folder {
 					return true
 				}
 			}
@@ -106,26 +106,26 @@
 	return false
 }
 
-// follows tells whether a control-plane process knows the record that the primary goes by.
-func (t *tier) follows(ctx context.Context, p *member) bool {
-	_, newest := t.primary(ctx)
-	s, err := tierv1.NewControlPlaneProtobufClient("http://"+p.settings.Internal(controlPlanePort), t.client).Status(ctx, &tierv1.StatusRequest{})
-	return err == nil && newest != nil && s.GetRecord().GetEpoch() == newest.GetRecord().GetEpoch()
+// isCurrent reports whether a control-plane process knows the record of the primary.
+func (tier *tier) isCurrent(ctx context.Context, process *member) bool {
+	_, newest := tier.primary(ctx)
+	status, err := tierv1.NewControlPlaneProtobufClient("http://"+process.settings.Internal(controlPlanePort), tier.client).Status(ctx, &tierv1.StatusRequest{})
+	return err == nil && newest != nil && status.GetRecord().GetEpoch() == newest.GetRecord().GetEpoch()
 }
 
-// ready asks all gateways whether clients may come.
-func (t *tier) ready(ctx context.Context) bool {
-	for _, p := range t.gateways {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.settings.Readiness+"/saffronyard/readiness", nil)
+// ready reports whether all gateways are ready.
+func (tier *tier) ready(ctx context.Context) bool {
+	for _, gateway := range tier.gateways {
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+gateway.settings.Readiness+"/saffronyard/readiness", nil)
 		if err != nil {
 			return false
 		}
-		resp, err := t.client.Do(req)
+		response, err := tier.client.Do(request)
 		if err != nil {
 			return false
 		}
-		_ = resp.Body.Close()
-		if resp.StatusCode != http.StatusOK {
+		_ = response.Body.Close()
+		if response.StatusCode != http.StatusOK {
 			return false
 		}
 	}
--- a/internal/rehearsal/tierdemo/tierdemo.go
+++ b/internal/rehearsal/tierdemo/tierdemo.go
@@ -1,4 +1,4 @@
-// Package yard rehearses the serving tier: it plays a small one whole on loopback, with stand-ins for the platform, endpoints,
+// Package tierdemo plays a small serving tier on loopback, with all of its roles and with fakes of the platform, the endpoints,
 // the operator and agent programs, and checks what the tier promises.
 package tierdemo
 
@@ -15,14 +15,14 @@
 )
 
 const (
-	startTime  = 30 * time.Second // until the tier takes clients
-	endTime    = 15 * time.Second // for programs under way at the end
-	settleTime = 20 * time.Second // for a step of the trouble to show its effect
+	startTime  = 30 * time.Second // until the tier accepts clients
+	endTime    = 15 * time.Second // for the programs that still run at the end
+	settleTime = 20 * time.Second // for the tier to recover from a fault
 	modelCount = 4
 	toolCount  = 2
 )
 
-// Options of a rehearsal.
+// Options of a demo.
 type Options struct {
 	Calm, Trouble time.Duration
 	Rate          float64 // programs a second
@@ -32,16 +32,16 @@
 	Note     func(at time.Duration, what string)
 }
 
-// rehearsal is one that is played.
+// rehearsal is one run of the demo.
 type rehearsal struct {
-	o        Options
+	options  Options
 	tier     *tier
 	platform *platform
 	operator *operator
 	caller   *caller
 	witness  *witness
 	record   *recorder
-	holdUps  holdUps
+	stalls   stallMeter
 	begun    time.Time // of the traffic
 
 	mu        sync.Mutex
@@ -50,10 +50,10 @@
 	takeovers []Takeover
 }
 
-// Run plays a rehearsal and reports what was seen. Errors are those of the rehearsal itself: a rule that was broken is in the
-// report alone. Nothing is left behind. If ctx ends, the report tells what was seen by then.
-func Run(ctx context.Context, o Options) (report *Report, err error) {
-	if o.Rate <= 0 || o.Calm < 0 || o.Trouble < 0 || o.Calm+o.Trouble <= 0 {
+// Run plays the demo and returns its report. Errors are those of the demo itself; a rule that was broken is in the report only.
+// No files or processes remain. If ctx ends, the report covers the time until then.
+func Run(ctx context.Context, options Options) (report *Report, err error) {
+	if options.Rate <= 0 || options.Calm < 0 || options.Trouble < 0 || options.Calm+options.Trouble <= 0 {
 		return nil, errorx.IllegalArgument.New("a rehearsal needs a rate and a time above 0")
 	}
 	dir, err := os.MkdirTemp("", "yard-rehearse-")
@@ -65,39 +65,39 @@
 			err = errorx.Decorate(e, "temporary folder")
 		}
 	}()
-	r := &rehearsal{o: o, witness: newWitness(), phase: "start"}
+	rehearsal := &rehearsal{options: options, witness: newWitness(), phase: "start"}
 	begun := time.Now()
 	measured, over := context.WithCancel(context.Background())
 	var measuring sync.WaitGroup
-	measuring.Go(func() { _ = r.holdUps.run(measured, dir) })
-	defer func() { r.end(); over(); measuring.Wait() }()
-	if err := r.start(ctx, dir); err != nil {
+	measuring.Go(func() { _ = rehearsal.stalls.run(measured, dir) })
+	defer func() { rehearsal.end(); over(); measuring.Wait() }()
+	if err := rehearsal.start(ctx, dir); err != nil {
 		return nil, err
 	}
-	report = &Report{Begun: time.Since(begun), Calm: o.Calm, Rate: o.Rate}
-	r.play(ctx)
-	report.Lasted = time.Since(r.begun)
+	report = &Report{Begun: time.Since(begun), Calm: options.Calm, Rate: options.Rate}
+	rehearsal.play(ctx)
+	report.Lasted = time.Since(rehearsal.begun)
 	report.Interrupted = ctx.Err() != nil
 	if !report.Interrupted {
-		r.readBack(ctx)
+		rehearsal.readBack(ctx)
 	}
-	report.Counts = r.record.counted()
-	report.Seconds, report.Failures = r.record.series()
-	report.Verdicts = r.witness.verdict()
-	report.Processor, report.Disk = r.holdUps.longest()
-	report.Events, report.Takeovers = r.events, r.takeovers
+	report.Counts = rehearsal.record.counted()
+	report.Seconds, report.Failures = rehearsal.record.series()
+	report.Verdicts = rehearsal.witness.verdict()
+	report.Processor, report.Disk = rehearsal.stalls.longest()
+	report.Events, report.Takeovers = rehearsal.events, rehearsal.takeovers
 	return report, nil
 }
 
-// start brings up the stand-ins and the tier, and waits until it takes clients and holds all copies.
-func (r *rehearsal) start(ctx context.Context, dir string) error {
+// start starts the fakes and the tier, and waits until it accepts clients and has all copies.
+func (rehearsal *rehearsal) start(ctx context.Context, dir string) error {
 	logs := &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}}
-	if r.o.Log != nil {
+	if rehearsal.options.Log != nil {
 		logs = &log.Logger{Level: log.InfoLevel, TimeFormat: "15:04:05.000",
-			Writer: &log.ConsoleWriter{Writer: r.o.Log, Formatter: log.LogfmtFormatter{TimeField: "time"}.Formatter}}
+			Writer: &log.ConsoleWriter{Writer: rehearsal.options.Log, Formatter: log.LogfmtFormatter{TimeField: "time"}.Formatter}}
 	}
 	var err error
-	if r.platform, err = startPlatform(r.witness, "127.0.0.1"); err != nil {
+	if rehearsal.platform, err = startPlatform(rehearsal.witness, "127.0.0.1"); err != nil {
 		return errorx.Decorate(err, "platform")
 	}
 	for i := range modelCount + toolCount {
@@ -105,51 +105,51 @@
 		if i >= modelCount {
 			service = toolService
 		}
-		if err := r.platform.add(service, zoneName(i%perRole)); err != nil {
+		if err := rehearsal.platform.add(service, zoneName(i%perRole)); err != nil {
 			return errorx.Decorate(err, "endpoint")
 		}
 	}
-	if r.tier, err = layOut(dir, r.platform.address, logs); err != nil {
+	if rehearsal.tier, err = newTier(dir, rehearsal.platform.address, logs); err != nil {
 		return err
 	}
-	if err := r.tier.start(); err != nil {
+	if err := rehearsal.tier.start(); err != nil {
 		return err
 	}
 	var operators, gateways []string
-	for _, p := range r.tier.controlPlanes {
-		operators = append(operators, p.settings.Control)
+	for _, member := range rehearsal.tier.controlPlanes {
+		operators = append(operators, member.settings.Control)
 	}
-	for _, p := range r.tier.gateways {
-		gateways = append(gateways, p.settings.Frontend)
+	for _, member := range rehearsal.tier.gateways {
+		gateways = append(gateways, member.settings.Frontend)
 	}
-	r.operator, r.caller = newOperator(operators), newCaller(r.witness, gateways)
+	rehearsal.operator, rehearsal.caller = newOperator(operators), newCaller(rehearsal.witness, gateways)
 	ctx, cancel := context.WithTimeout(ctx, startTime)
 	defer cancel()
-	if err := r.operator.change(ctx); err != nil {
+	if err := rehearsal.operator.change(ctx); err != nil {
 		return err
 	}
-	if err := until(ctx, "all copies of all partitions", r.tier.whole); err != nil {
+	if err := until(ctx, "all copies of all partitions", rehearsal.tier.hasAllCopies); err != nil {
 		return err
 	}
-	return until(ctx, "gateways that take clients", r.tier.ready)
+	return until(ctx, "gateways that take clients", rehearsal.tier.ready)
 }
 
-// play has programs come while the phases pass, and waits for those under way.
-func (r *rehearsal) play(ctx context.Context) {
-	r.begun = time.Now()
-	r.record = newRecorder(r.begun)
+// play runs programs during all phases, and waits for the last ones.
+func (rehearsal *rehearsal) play(ctx context.Context) {
+	rehearsal.begun = time.Now()
+	rehearsal.record = newRecorder(rehearsal.begun)
 	asking, noMore := context.WithCancel(ctx)
 	last, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var traffic, showing sync.WaitGroup
-	traffic.Go(func() { r.programs(asking, last) })
+	traffic.Go(func() { rehearsal.programs(asking, last) })
 	shown, over := context.WithCancel(context.Background())
-	showing.Go(func() { r.show(shown) })
-	r.calm(ctx)
-	if r.o.Trouble > 0 && ctx.Err() == nil {
-		r.trouble(ctx)
+	showing.Go(func() { rehearsal.show(shown) })
+	rehearsal.calm(ctx)
+	if rehearsal.options.Trouble > 0 && ctx.Err() == nil {
+		rehearsal.trouble(ctx)
 	}
-	r.setPhase("end")
+	rehearsal.setPhase("end")
 	noMore()
 	t := time.AfterFunc(endTime, cancel)
 	traffic.Wait()
@@ -158,94 +158,104 @@
 	showing.Wait()
 }
 
-// programs starts programs by chance, at the rate asked for, until asking ends, and waits for all; they end with last.
-func (r *rehearsal) programs(asking, last context.Context) {
+// programs starts programs at random times, at the rate of the options, until asking ends, and waits for all. They are
+// interrupted when last ends.
+func (rehearsal *rehearsal) programs(asking, last context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
 	for n := 0; ; n++ {
-		pause(asking, time.Duration(rand.ExpFloat64()/r.o.Rate*float64(time.Second)))
+		pause(asking, time.Duration(rand.ExpFloat64()/rehearsal.options.Rate*float64(time.Second)))
 		if asking.Err() != nil {
 			return
 		}
-		r.record.asked()
+		rehearsal.record.asked()
 		running.Go(func() {
-			o, why := newProgram(n, r.caller, r.record).run(last)
-			r.record.ended(o, why)
+			o, why := newProgram(n, rehearsal.caller, rehearsal.record).run(last)
+			rehearsal.record.ended(o, why)
 		})
 	}
 }
 
-// calm lets the time pass, and changes the configuration in its middle.
-func (r *rehearsal) calm(ctx context.Context) {
-	r.setPhase("calm")
-	end := r.begun.Add(r.o.Calm)
-	pause(ctx, r.o.Calm/2)
-	if r.o.Calm > 0 {
-		r.change(ctx, r.tier.gateways[0].settings.ConfigApply)
+// calm is the phase without faults. The configuration is changed in its middle.
+func (rehearsal *rehearsal) calm(ctx context.Context) {
+	rehearsal.setPhase("calm")
+	end := rehearsal.begun.Add(rehearsal.options.Calm)
+	pause(ctx, rehearsal.options.Calm/2)
+	if rehearsal.options.Calm > 0 {
+		rehearsal.change(ctx, rehearsal.tier.gateways[0].settings.ConfigApply)
 	}
 	pause(ctx, time.Until(end))
 }
 
 // change has the operator change the configuration, and checks that all gateways have the new route within bound.
-func (r *rehearsal) change(ctx context.Context, bound time.Duration) {
-	if err := r.operator.change(ctx); err != nil { // it may be in force, or not
-		r.note("not acknowledged: %v", err)
+func (rehearsal *rehearsal) change(ctx context.Context, bound time.Duration) {
+	if err := rehearsal.operator.change(ctx); err != nil { // it may be in force, or not
+		rehearsal.noteEvent("not acknowledged: %v", err)
 		return
 	}
 	acknowledged := time.Now()
-	path := addedRoute(r.operator.revision)
-	for _, p := range r.tier.gateways {
-		for {
-			q := request{path: path + "x", try: try{input: "new route", repeatable: true}}
-			sent := time.Now()
-			_, a := r.caller.send(ctx, p.settings.Frontend, q, toolTime)
-			if ctx.Err() != nil {
-				return
-			}
-			late := sent.Sub(acknowledged) > bound
-			if a.status == 404 && late && r.heldUp(acknowledged) {
-				r.note("configuration %d: the machine held all up, no bound was checked", r.operator.revision)
-				return
-			}
-			if a.status/100 == 2 || a.status == 404 && late {
-				r.witness.checkOutside(ConfigurationLost, a.status != 404, "revision %d is not in force at %s after %v", r.operator.revision, p.node(), bound)
-				break
-			}
-			if late {
-				break // it was not told what is in force there
-			}
-			pause(ctx, lookEvery)
+	path := addedRoute(rehearsal.operator.revision)
+	for _, gateway := range rehearsal.tier.gateways {
+		if !rehearsal.checkRoute(ctx, gateway, path, acknowledged, bound) {
+			return
+		}
+	}
+	rehearsal.noteEvent("configuration %d in force", rehearsal.operator.revision)
+}
+
+// checkRoute checks that a gateway has a new route within bound. It returns false where no bound can be checked: ctx has ended,
+// or the machine has stalled.
+func (rehearsal *rehearsal) checkRoute(ctx context.Context, gateway *member, path string, acknowledged time.Time, bound time.Duration) bool {
+	for {
+		request := request{path: path + "x", attempt: attempt{input: "new route", repeatable: true}}
+		sent := time.Now()
+		_, answer := rehearsal.caller.send(ctx, gateway.settings.Frontend, request, toolTime)
+		if ctx.Err() != nil {
+			return false
+		}
+		late := sent.Sub(acknowledged) > bound
+		if answer.status == 404 && late && rehearsal.stalledSince(acknowledged) {
+			rehearsal.noteEvent("configuration %d: the machine held all up, no bound was checked", rehearsal.operator.revision)
+			return false
+		}
+		if answer.status/100 == 2 || answer.status == 404 && late {
+			rehearsal.witness.check(ConfigurationLost, answer.status != 404, "revision %d is not in force at %s after %v", rehearsal.operator.revision, gateway.node(), bound)
+			return true
+		}
+		if late {
+			return true // the answers do not show what is in force there
 		}
+		pause(ctx, lookEvery)
 	}
-	r.note("configuration %d in force", r.operator.revision)
 }
 
-// heldUp tells whether the machine has held processes up since, for so long that they may have been out of touch.
-func (r *rehearsal) heldUp(since time.Time) bool {
-	return r.holdUps.worst(since) > r.tier.gateways[0].settings.ContactWindow/10
+// stalledSince reports whether the machine has stalled since then for so long that sessions may have lapsed.
+func (rehearsal *rehearsal) stalledSince(since time.Time) bool {
+	return rehearsal.stalls.longestSince(since) > rehearsal.tier.gateways[0].settings.ContactWindow/10
 }
 
-// readBack reads the configuration as it is at the end.
-func (r *rehearsal) readBack(ctx context.Context) {
+// readBack checks the configuration at the end.
+func (rehearsal *rehearsal) readBack(ctx context.Context) {
 	begun := time.Now()
-	same, err := r.operator.same(ctx)
-	if err != nil && r.heldUp(begun) {
-		r.note("the configuration was not read back: the machine held all up")
+	same, err := rehearsal.operator.readBack(ctx)
+	if err != nil && rehearsal.stalledSince(begun) {
+		rehearsal.noteEvent("the configuration was not read back: the machine held all up")
 		return
 	}
-	r.witness.checkOutside(ConfigurationLost, same, "revision %d is not read back (%v)", r.operator.revision, err)
+	rehearsal.witness.check(ConfigurationLost, same, "revision %d is not read back (%v)", rehearsal.operator.revision, err)
 }
 
-func (r *rehearsal) setPhase(phase string) {
-	r.mu.Lock()
-	r.phase = phase
-	r.mu.Unlock()
-	r.note("%s", phase)
+// setPhase begins a phase.
+func (rehearsal *rehearsal) setPhase(phase string) {
+	rehearsal.mu.Lock()
+	rehearsal.phase = phase
+	rehearsal.mu.Unlock()
+	rehearsal.noteEvent("%s", phase)
 }
 
-// show tells the progress each second.
-func (r *rehearsal) show(ctx context.Context) {
-	if r.o.Progress == nil {
+// show reports the progress each second.
+func (rehearsal *rehearsal) show(ctx context.Context) {
+	if rehearsal.options.Progress == nil {
 		return
 	}
 	t := time.NewTicker(time.Second)
@@ -255,24 +265,24 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			r.mu.Lock()
-			phase := r.phase
-			r.mu.Unlock()
-			r.o.Progress(time.Since(r.begun), phase, r.record.counted())
+			rehearsal.mu.Lock()
+			phase := rehearsal.phase
+			rehearsal.mu.Unlock()
+			rehearsal.options.Progress(time.Since(rehearsal.begun), phase, rehearsal.record.counted())
 		}
 	}
 }
 
 // end stops all that was started.
-func (r *rehearsal) end() {
-	if r.caller != nil {
-		r.caller.end()
-		r.operator.end()
+func (rehearsal *rehearsal) end() {
+	if rehearsal.caller != nil {
+		rehearsal.caller.end()
+		rehearsal.operator.end()
 	}
-	if r.tier != nil {
-		r.tier.end()
+	if rehearsal.tier != nil {
+		rehearsal.tier.end()
 	}
-	if r.platform != nil {
-		r.platform.end()
+	if rehearsal.platform != nil {
+		rehearsal.platform.end()
 	}
 }
--- a/internal/rehearsal/tierdemo/witness.go
+++ b/internal/rehearsal/tierdemo/witness.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Rule is a promise of the tier that a rehearsal checks.
+// Rule is a promise of the tier that the demo checks.
 type Rule int
 
 // The rules.
@@ -23,94 +23,98 @@
 var ruleNames = [ruleCount]string{"no turn is lost", "none runs twice", "none runs that was refused", "no budget is passed", "nothing is mixed",
 	"acknowledged configurations are in force"}
 
-func (r Rule) String() string { return ruleNames[r] }
+// String returns the rule in words.
+func (rule Rule) String() string { return ruleNames[rule] }
 
-// Verdict is what was found about a rule.
+// Verdict is the result of the checks of a rule.
 type Verdict struct {
 	Rule    Rule
-	Checked int      // times that it was looked at
+	Checked int      // times that it was checked
 	Broken  int      // times that it was broken
-	How     []string // the first of them
+	How     []string // the first examples
 }
 
-const howMost = 5
+// maxExamples is how many examples of a broken rule or a failure are kept.
+const maxExamples = 5
 
-// try is one request as a program sends it, with an id of its own.
-type try struct {
+// attempt is one request as a program sends it, with its own id.
+type attempt struct {
 	id         string
-	program    *budget // of a turn; nil: a call of a tool
+	program    *budget // of a turn; nil: a tool call
 	path       string
-	previous   string // turn that it goes on from
+	previous   string // turn that it continues
 	input      string
 	repeatable bool
 
-	ran     int
-	output  string // of a turn: data of its events, each with a line feed
-	events  []string
-	ended   bool // its endpoint has ended it whole
-	kept    bool // its client has had it whole
-	refused int  // status by which its client was promised that it does not run
+	runs     int
+	output   string // of a turn: data of its events, each with a line feed
+	events   []string
+	ended    bool // its endpoint has completed it
+	complete bool // its client has received it completely
+	refused  int  // status that promised its client that it does not run
 }
 
-// budget is what the turns of a program may generate together, in tokens.
+// budget is how many tokens the turns of a program may generate together.
 type budget struct {
-	limit, most, used int
+	limit, maxPerTurn, used int
 }
 
-// witness sees what programs send and get and what endpoints run, and finds rules that are broken. Programs and endpoints are
-// of one process, so that it needs no messages: what an endpoint does is known here before its bytes leave.
+// witness observes what programs send and receive and what endpoints run, and checks the rules. Programs and endpoints are in
+// one process, so it needs no messages: it knows what an endpoint does before its bytes are sent.
 type witness struct {
 	mu       sync.Mutex
-	tries    map[string]*try
+	attempts map[string]*attempt
 	verdicts [ruleCount]Verdict
 }
 
+// newWitness makes a witness that has observed nothing yet.
 func newWitness() *witness {
-	w := &witness{tries: map[string]*try{}}
+	w := &witness{attempts: map[string]*attempt{}}
 	for r := range w.verdicts {
 		w.verdicts[r].Rule = Rule(r)
 	}
 	return w
 }
 
-func (w *witness) verdict() []Verdict {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]Verdict(nil), w.verdicts[:]...)
+// verdict returns the verdicts on all rules.
+func (witness *witness) verdict() []Verdict {
+	witness.mu.Lock()
+	defer witness.mu.Unlock()
+	return append([]Verdict(nil), witness.verdicts[:]...)
 }
 
-// check notes that a rule was looked at, and how it was broken if it was not kept. The caller holds mu.
-func (w *witness) check(r Rule, kept bool, how string, args ...any) {
-	v := &w.verdicts[r]
+// checkLocked counts a check of a rule, and records how the rule was broken if it was not kept. The caller holds mu.
+func (witness *witness) checkLocked(r Rule, kept bool, how string, args ...any) {
+	v := &witness.verdicts[r]
 	v.Checked++
 	if kept {
 		return
 	}
 	v.Broken++
-	if len(v.How) < howMost {
+	if len(v.How) < maxExamples {
 		v.How = append(v.How, fmt.Sprintf(how, args...))
 	}
 }
 
-// checkOutside is check for whom does not hold mu.
-func (w *witness) checkOutside(r Rule, kept bool, how string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.check(r, kept, how, args...)
+// check is checkLocked for a caller that does not hold mu.
+func (witness *witness) check(r Rule, kept bool, how string, args ...any) {
+	witness.mu.Lock()
+	defer witness.mu.Unlock()
+	witness.checkLocked(r, kept, how, args...)
 }
 
-// sent notes a try before it is sent.
-func (w *witness) sent(t try) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.tries[t.id] = &t
+// sent records an attempt before it is sent.
+func (witness *witness) sent(attempt attempt) {
+	witness.mu.Lock()
+	defer witness.mu.Unlock()
+	witness.attempts[attempt.id] = &attempt
 }
 
-// chain is the text that stands before a turn's input: inputs and outputs of the turns that it goes on from, the oldest first.
-func (w *witness) chain(previous string) string {
+// chain is the text before a turn's input: the inputs and outputs of the turns that it continues, the oldest first.
+func (witness *witness) chain(previous string) string {
 	var parts []string
-	for t := w.tries[previous]; t != nil; t = w.tries[t.previous] {
-		parts = append(parts, t.input+t.output)
+	for attempt := witness.attempts[previous]; attempt != nil; attempt = witness.attempts[attempt.previous] {
+		parts = append(parts, attempt.input+attempt.output)
 	}
 	var b strings.Builder
 	for i := len(parts) - 1; i >= 0; i-- {
@@ -119,89 +123,89 @@
 	return b.String()
 }
 
-// ran notes that an endpoint of a service begins to run a request.
-func (w *witness) ran(id, service, path, body string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	t := w.tries[id]
-	w.check(Mixed, t != nil, "an endpoint ran %q, which nobody sent", id)
-	if t == nil {
+// ran records that an endpoint of a service begins to run a request.
+func (witness *witness) ran(id, service, path, body string) {
+	witness.mu.Lock()
+	defer witness.mu.Unlock()
+	attempt := witness.attempts[id]
+	witness.checkLocked(Mixed, attempt != nil, "an endpoint ran %q, which nobody sent", id)
+	if attempt == nil {
 		return
 	}
-	t.ran++
-	w.check(RunTwice, t.repeatable || t.ran == 1, "%s ran %d times", id, t.ran)
-	w.check(RunRefused, t.refused == 0, "%s ran after %d", id, t.refused)
-	w.check(Mixed, path == t.path && (service == modelService) == (t.program != nil), "%s for %s ran at %s of service %s", id, t.path, path, service)
-	if t.program == nil {
-		w.check(Mixed, body == t.input, "%s: the call's body was changed", id)
+	attempt.runs++
+	witness.checkLocked(RunTwice, attempt.repeatable || attempt.runs == 1, "%s ran %d times", id, attempt.runs)
+	witness.checkLocked(RunRefused, attempt.refused == 0, "%s ran after %d", id, attempt.refused)
+	witness.checkLocked(Mixed, path == attempt.path && (service == modelService) == (attempt.program != nil), "%s for %s ran at %s of service %s", id, attempt.path, path, service)
+	if attempt.program == nil {
+		witness.checkLocked(Mixed, body == attempt.input, "%s: the call's body was changed", id)
 		return
 	}
-	want := w.chain(t.previous) + t.input
-	w.check(Mixed, body == want, "%s: the turn's body is not its chain: %d bytes for %d", id, len(body), len(want))
-	if body != want && t.previous != "" {
-		w.check(TurnLost, strings.HasPrefix(body, w.chain(t.previous)), "%s: what came before %s is lacking", t.previous, id)
+	want := witness.chain(attempt.previous) + attempt.input
+	witness.checkLocked(Mixed, body == want, "%s: the turn's body is not its chain: %d bytes for %d", id, len(body), len(want))
+	if body != want && attempt.previous != "" {
+		witness.checkLocked(TurnLost, strings.HasPrefix(body, witness.chain(attempt.previous)), "%s: what came before %s is lacking", attempt.previous, id)
 	}
 }
 
-// event notes data that an endpoint is about to send.
-func (w *witness) event(id, data string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if t := w.tries[id]; t != nil {
-		t.events = append(t.events, data)
-		t.output += data + "\n"
+// event records data that an endpoint is about to send.
+func (witness *witness) event(id, data string) {
+	witness.mu.Lock()
+	defer witness.mu.Unlock()
+	if attempt := witness.attempts[id]; attempt != nil {
+		attempt.events = append(attempt.events, data)
+		attempt.output += data + "\n"
 	}
 }
 
-// ended notes that an endpoint is about to end a request whole.
-func (w *witness) ended(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if t := w.tries[id]; t != nil {
-		t.ended = true
+// ended records that an endpoint is about to complete a request.
+func (witness *witness) ended(id string) {
+	witness.mu.Lock()
+	defer witness.mu.Unlock()
+	if attempt := witness.attempts[id]; attempt != nil {
+		attempt.ended = true
 	}
 }
 
-// got notes what a client had of a try. Its tokens are counted whether it is whole or not.
-func (w *witness) got(id string, a answer) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	t := w.tries[id]
-	if t == nil {
+// got records what a client received in an attempt. Its tokens are counted whether it is complete or not.
+func (witness *witness) got(id string, answer answer) {
+	witness.mu.Lock()
+	defer witness.mu.Unlock()
+	attempt := witness.attempts[id]
+	if attempt == nil {
 		return
 	}
-	switch a.status {
+	switch answer.status {
 	case 402, 408, 421, 429, 503:
-		t.refused = a.status
-		w.check(RunRefused, t.ran == 0, "%s was refused with %d, and had run", id, a.status)
+		attempt.refused = answer.status
+		witness.checkLocked(RunRefused, attempt.runs == 0, "%s was refused with %d, and had run", id, answer.status)
 	case 404, 410:
-		if before := w.tries[t.previous]; before != nil && before.kept {
-			w.check(TurnLost, false, "%s was whole, and is not known any more", t.previous)
+		if before := witness.attempts[attempt.previous]; before != nil && before.complete {
+			witness.checkLocked(TurnLost, false, "%s was whole, and is not known any more", attempt.previous)
 		}
 	}
-	if a.status/100 != 2 {
+	if answer.status/100 != 2 {
 		return
 	}
-	w.check(Mixed, a.signature == signature(id) && t.ran > 0, "%s got the answer %q", id, a.signature)
-	if t.program == nil {
-		if a.whole {
-			w.check(Mixed, a.body == toolAnswer(id, t.input), "%s got another body", id)
+	witness.checkLocked(Mixed, answer.signature == signature(id) && attempt.runs > 0, "%s got the answer %q", id, answer.signature)
+	if attempt.program == nil {
+		if answer.complete {
+			witness.checkLocked(Mixed, answer.body == toolAnswer(id, attempt.input), "%s got another body", id)
 		}
 		return
 	}
-	prefix := len(a.events) <= len(t.events)
-	for i := 0; prefix && i < len(a.events); i++ {
-		prefix = a.events[i] == t.events[i]
+	prefix := len(answer.events) <= len(attempt.events)
+	for i := 0; prefix && i < len(answer.events); i++ {
+		prefix = answer.events[i] == attempt.events[i]
 	}
-	w.check(Mixed, prefix && a.inOrder, "%s: its events are not those that its endpoint sent", id)
-	if a.whole {
-		w.check(Mixed, t.ended && len(a.events) == len(t.events), "%s: %d events of %d look whole", id, len(a.events), len(t.events))
-		t.kept = true
-		if t.previous != "" {
-			w.check(TurnLost, true, "")
+	witness.checkLocked(Mixed, prefix && answer.inOrder, "%s: its events are not those that its endpoint sent", id)
+	if answer.complete {
+		witness.checkLocked(Mixed, attempt.ended && len(answer.events) == len(attempt.events), "%s: %d events of %d look whole", id, len(answer.events), len(attempt.events))
+		attempt.complete = true
+		if attempt.previous != "" {
+			witness.checkLocked(TurnLost, true, "")
 		}
 	}
-	b := t.program
-	b.used += len(a.events) * tokensPerEvent
-	w.check(BudgetPassed, b.used <= b.limit+b.most, "%d tokens of %d", b.used, b.limit)
+	budget := attempt.program
+	budget.used += len(answer.events) * tokensPerEvent
+	witness.checkLocked(BudgetPassed, budget.used <= budget.limit+budget.maxPerTurn, "%d tokens of %d", budget.used, budget.limit)
 }
--- a/internal/rehearsal/tierdemo/witness_test.go
+++ b/internal/rehearsal/tierdemo/witness_test.go
@@ -18,30 +18,30 @@
 }
 
 func newPlayed() *played {
-	p := &played{w: newWitness(), b: &budget{limit: 20, most: 4}, body: "one\na-1\na-2\ntwo\n", service: modelService}
-	p.second = answer{status: 200, signature: signature("b"), events: []string{"b-1"}, inOrder: true, whole: true}
-	p.call = answer{status: 200, signature: signature("c"), body: toolAnswer("c", "call"), whole: true}
+	p := &played{w: newWitness(), b: &budget{limit: 20, maxPerTurn: 4}, body: "one\na-1\na-2\ntwo\n", service: modelService}
+	p.second = answer{status: 200, signature: signature("b"), events: []string{"b-1"}, inOrder: true, complete: true}
+	p.call = answer{status: 200, signature: signature("c"), body: toolAnswer("c", "call"), complete: true}
 	return p
 }
 
 func (p *played) run() []Verdict {
 	w := p.w
-	w.sent(try{id: "a", path: turnPath, program: p.b, input: "one\n"})
+	w.sent(attempt{id: "a", path: turnPath, program: p.b, input: "one\n"})
 	w.ran("a", modelService, turnPath, "one\n")
 	w.event("a", "a-1")
 	w.event("a", "a-2")
 	w.ended("a")
-	w.got("a", answer{status: 200, signature: signature("a"), events: []string{"a-1", "a-2"}, inOrder: true, whole: true})
-	w.sent(try{id: "b", path: turnPath, program: p.b, previous: "a", input: "two\n"})
+	w.got("a", answer{status: 200, signature: signature("a"), events: []string{"a-1", "a-2"}, inOrder: true, complete: true})
+	w.sent(attempt{id: "b", path: turnPath, program: p.b, previous: "a", input: "two\n"})
 	w.ran("b", p.service, turnPath, p.body)
 	w.event("b", "b-1")
 	w.ended("b")
 	w.got("b", p.second)
-	w.sent(try{id: "c", path: actPath, input: "call"})
+	w.sent(attempt{id: "c", path: actPath, input: "call"})
 	w.ran("c", toolService, actPath, "call")
 	w.ended("c")
 	w.got("c", p.call)
-	w.checkOutside(ConfigurationLost, true, "")
+	w.check(ConfigurationLost, true, "")
 	if p.after != nil {
 		p.after()
 	}
@@ -83,12 +83,12 @@
 		"spent though it ran":   {func(p *played) { p.second = answer{status: 402} }, []Rule{RunRefused}},
 		"runs after a refusal": {func(p *played) {
 			p.after = func() {
-				p.w.sent(try{id: "d", path: turnPath, program: p.b, input: "three\n"})
+				p.w.sent(attempt{id: "d", path: turnPath, program: p.b, input: "three\n"})
 				p.w.got("d", answer{status: 429})
 				p.w.ran("d", modelService, turnPath, "three\n")
 			}
 		}, []Rule{RunRefused}},
-		"more than the budget and a turn": {func(p *played) { p.b.limit, p.b.most = 3, 2 }, []Rule{BudgetPassed}},
+		"more than the budget and a turn": {func(p *played) { p.b.limit, p.b.maxPerTurn = 3, 2 }, []Rule{BudgetPassed}},
 		"another's answer":                {func(p *played) { p.second.signature = signature("a") }, []Rule{Mixed}},
 		"another's events":                {func(p *played) { p.second.events = []string{"a-1"} }, []Rule{Mixed}},
 		"events out of order":             {func(p *played) { p.second.inOrder = false }, []Rule{Mixed}},
@@ -109,14 +109,14 @@
 
 func TestTokensOfTriesThatBrokeOffCount(t *testing.T) {
 	p := newPlayed()
-	p.b.limit, p.b.most = 4, 1
-	p.second.whole = false
+	p.b.limit, p.b.maxPerTurn = 4, 1
+	p.second.complete = false
 	assert.DeepEqual(t, broken(p.run()), []Rule{BudgetPassed})
 }
 
 func TestWhatIsRepeatableMayRunTwice(t *testing.T) {
 	w := newWitness()
-	w.sent(try{id: "a", path: lookPath, input: "x", repeatable: true})
+	w.sent(attempt{id: "a", path: lookPath, input: "x", repeatable: true})
 	w.ran("a", toolService, lookPath, "x")
 	w.ran("a", toolService, lookPath, "x")
 	assert.Equal(t, len(broken(w.verdict())), 0)
@@ -124,10 +124,10 @@
 
 func TestOnlyTheFirstBreaksAreTold(t *testing.T) {
 	w := newWitness()
-	for range 3 * howMost {
-		w.checkOutside(TurnLost, false, "gone")
+	for range 3 * maxExamples {
+		w.check(TurnLost, false, "gone")
 	}
 	v := w.verdict()[TurnLost]
-	assert.Equal(t, v.Broken, 3*howMost)
-	assert.Equal(t, len(v.How), howMost)
+	assert.Equal(t, v.Broken, 3*maxExamples)
+	assert.Equal(t, len(v.How), maxExamples)
 }
