--- a/brain/restart/oracle.go
+++ b/brain/restart/oracle.go
@@ -1,6 +1,6 @@
-// Package restart has the decisions on one destination or route that every sender of ours shares: when a call is
-// given up and made again (Oracle), and how many calls may be out at once (Window). It is pure: times are of one
-// steady clock and are passed in. docs/design.md tells what is the paper's and what is ours.
+// Package restart has the decisions on one destination or route that all senders share: after what time-out a call is
+// aborted and retried (Oracle), and how many calls may be in flight at once (Window). It is pure: times are of one
+// steady clock and are passed in. docs/design.md says which parts are the paper's and which are additions.
 package restart
 
 import (
@@ -13,36 +13,36 @@
 	buckets    = 1000             // H: buckets of the latency histogram (paper, table I)
 	maxTimeout = 60 * time.Second // the histogram's span (paper, table I)
 	cost       = 0.0              // c, s: cost of a restart (paper, table I)
-	ageing     = 1.005            // all samples weigh so much less with each new one: about 200 count
-	tie        = 1.1              // bounds within this factor of the least Ê are as good: take the longest
+	ageing     = 1.005            // the weight of all samples is divided by it with each new one: about 200 count
+	tie        = 1.1              // bounds within this factor of the minimum of Ê are equally good: the longest is taken
 	answered   = 0.99             // share of the answered calls that a time-out must leave, with
-	spare      = 2                // so many times their time, as the next may be slower than any seen
+	spare      = 2                // so many times their time, as the next may be slower than any sample
 
 	FirstTimeout  = 4 * time.Second // before any sample (paper, table I)
-	FewSamples    = 20              // before so many a time-out may not be under FirstTimeout
-	ExploreIn     = 20              // one first attempt in so many runs to its time left
-	ExploreWeight = 20              // samples: weight of such a run, as it stands for so many
+	FewSamples    = 20              // with fewer a time-out is FirstTimeout or more
+	ExploreIn     = 20              // one first attempt in so many runs until its deadline
+	ExploreWeight = 20              // weight of the sample of such a run, as it represents so many
 )
 
-// bucket holds the weighted samples of one bucket and their times (s).
+// bucket has the weighted samples of one bucket of the histogram and the sum of their times, in seconds.
 type bucket struct{ count, sum float64 }
 
-// Oracle is the paper's section III.D for one destination or route. Its zero value has no sample.
+// Oracle estimates the best time-out of one destination or route (section III.D of the paper). Its zero value has no sample.
 type Oracle struct {
 	Seen     int           // samples taken
-	Best     time.Duration // argmin of Ê as last worked out, 0 before
+	Best     time.Duration // argmin of Ê as last computed, 0 before
 	Median   time.Duration // of the samples
-	Mean     float64       // of all samples, s
-	Quickest time.Duration // call ever served
+	Mean     float64       // of all samples, in seconds
+	Quickest time.Duration // the shortest time of a served call
 
-	bucket    []bucket // up to the last in use
-	past      float64  // weighted calls unanswered past maxTimeout
+	bucket    []bucket // up to the last one that is not empty
+	past      float64  // weight of the calls that took maxTimeout or more
 	dirty     bool
-	doubled   time.Duration // the time-out while doubled, 0 if not
+	doubled   time.Duration // the time-out after a doubling, 0 if there was none
 	doubledAt time.Duration
 }
 
-// Sample books a first attempt's time, or with late one that was never answered.
+// Sample adds the time of a first attempt, or of one that was never answered where late is true.
 func (o *Oracle) Sample(d time.Duration, weight float64, late bool) {
 	for k := range o.bucket {
 		o.bucket[k].count /= ageing
@@ -66,15 +66,15 @@
 	o.dirty = true
 }
 
-// expected is Ê of restarting at bound tau, for the weight and the mean of samples up to it.
+// expected is Ê of a restart at the bound tau, in seconds, for the weight and the mean of the samples up to it.
 func expected(upTo, all, mean, tau float64) float64 {
 	f := upTo / all
 	return mean/f + (1-f)/f*(tau+cost)
 }
 
-// Optimum is the argmin of Ê. Where the curve is flat its least point is chance and may lie short,
-// so of the bounds that are as good the longest is taken: it restarts less. Nor does it cut calls that
-// come back: a repeat takes as long again, and the first may still run.
+// Optimum is the argmin of Ê. Where the curve is flat its minimum is accidental and may be too short, so of the bounds that
+// are equally good the longest is taken: it restarts less. Nor does it abort calls that would be answered: a retry takes as
+// long, and the first attempt may still run.
 func (o *Oracle) Optimum() time.Duration {
 	if !o.dirty {
 		return cmp.Or(o.Best, FirstTimeout)
@@ -86,7 +86,7 @@
 	}
 	least, longest := math.Inf(1), FirstTimeout
 	came, floor := all-o.past, time.Duration(0)
-	for pass := range 2 { // first the least Ê, then the longest bound that is as good
+	for pass := range 2 { // first the minimum of Ê, then the longest bound that is equally good
 		n, t := 0.0, 0.0
 		for k, at := range o.bucket {
 			if at.count == 0 {
@@ -121,7 +121,7 @@
 	return o.Best
 }
 
-// Timeout is the time-out now: the optimum, or while doubled that.
+// Timeout is the current time-out: the optimum, or the doubled one after an expiry.
 func (o *Oracle) Timeout() time.Duration {
 	if o.doubled > 0 {
 		return o.doubled
@@ -132,7 +132,7 @@
 // Doubled reports whether a call has expired since the last fresh sample.
 func (o *Oracle) Doubled() bool { return o.doubled > 0 }
 
-// Expired doubles the time-out, once for all calls that were out at the last doubling.
+// Expired doubles the time-out, once for all calls that were in flight at the last doubling.
 func (o *Oracle) Expired(sent, now time.Duration) {
 	if o.doubled == 0 || sent >= o.doubledAt {
 		o.doubled, o.doubledAt = min(2*o.Timeout(), maxTimeout), now
@@ -142,9 +142,9 @@
 // Fresh ends the doubling: a first attempt was served.
 func (o *Oracle) Fresh() { o.doubled = 0 }
 
-// Assume goes by what is remembered of a pace (mean in s), in as far as it is trusted (0 to 1). Of the histogram a few
-// calls stay, at its middle: enough to go by until there are new ones, and few enough for those to count for more soon.
-// The time-out moves to that of a destination of which nothing is known.
+// Assume restores remembered latencies (mean in seconds), weighted by trust (0 to 1). Of the histogram a few calls remain, at
+// the median: enough until there are new samples, and few enough for those to dominate soon. The less trust there is, the
+// closer the time-out is to that of an unknown destination.
 func (o *Oracle) Assume(calls int, mean float64, median, quickest, bound time.Duration, trust float64) {
 	o.Seen = int(min(float64(calls), FewSamples-1) * trust)
 	o.Quickest = time.Duration(float64(quickest) * trust)
