--- a/internal/tier/loadbalancer/load_test.go
+++ b/internal/tier/loadbalancer/load_test.go
@@ -53,7 +53,7 @@
 		out = fill()
 	}
 	assert.Equal(t, len(out), 1)
-	// What says that it is half empty bears half: a refusal then is priced.
+	// An endpoint that reports less than half of its slots as running can take half of them.
 	r.balancer.Done(r.now, out[0].Call, Outcome{Kind: Served, First: ms, Load: &Load{Running: 1, Slots: 20}})
 	assert.Assert(t, len(fill()) >= 9)
 }
@@ -88,7 +88,7 @@
 		}
 		return n
 	}
-	for i := range 6 { // few: chance alone gives our zone more
+	for i := range 6 { // so few that the sender's zone is not loaded
 		send(session(i))
 	}
 	assert.Equal(t, zones["a"], 6)
@@ -100,7 +100,7 @@
 	}
 	for i := range 300 {
 		send(session(i))
-		// Our zone's least is over the others' by what keeping near allows, and never more.
+		// The lowest load in the sender's zone exceeds that of other zones by the zone factor and margin, and by no more.
 		for _, far := range []string{"b", "c", "d"} {
 			assert.Assert(t, float64(minCalls("a")) <= zoneCostFactor*float64(minCalls(far)+1)+zoneCostMargin+1, "%v", at)
 		}
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -13,7 +13,7 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// samples gives the lines of figures that are values, by metric with its label. It checks that each line is well formed,
+// samples returns the lines of figures that are values, by metric with its label. It checks that each line is well formed,
 // that each metric has its header right before it and once, and that no value comes twice.
 func samples(t *testing.T, figures Figures) map[string]string {
 	t.Helper()
--- a/internal/tier/process/process_test.go
+++ b/internal/tier/process/process_test.go
@@ -23,7 +23,7 @@
 // silent logs nothing.
 func silent() *log.Logger { return &log.Logger{Level: log.PanicLevel} }
 
-// machine gives settings of a machine on a loopback address of its own, with ports below those that callers get.
+// machine returns settings of a machine on a random loopback address, with ports below the ephemeral ones.
 func machine(t *testing.T) settings.Settings {
 	t.Helper()
 	ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.N(254), rand.N(256), 1+rand.N(254))
--- a/internal/tier/routing/parse.go
+++ b/internal/tier/routing/parse.go
@@ -36,7 +36,7 @@
 	value float64
 }
 
-// reportNegative adds a finding for each number below 0. The function at gives the place of a field.
+// reportNegative adds a finding for each number below 0. The function at returns the place of a field.
 func (found *findings) reportNegative(at func(field string) string, numbers ...number) {
 	for _, number := range numbers {
 		if number.value < 0 {
@@ -45,7 +45,7 @@
 	}
 }
 
-// within gives the places of the fields of a part.
+// within returns a function that returns the place of a field of a part.
 func within(place string) func(field string) string {
 	return func(field string) string { return place + "." + field }
 }
--- a/internal/tier/wal/reopen_test.go
+++ b/internal/tier/wal/reopen_test.go
@@ -21,7 +21,7 @@
 	failures     int
 }
 
-// heal reopens the file; the disk fails at most for as long as the test lets it.
+// heal reopens the file; the disk fails only for as long as the test lets it.
 func (s *survivor) heal(t *testing.T, label string) {
 	t.Helper()
 	s.failures++
@@ -182,7 +182,7 @@
 	assert.DeepEqual(t, got, []string{"two", "three"})
 }
 
-// While a sync hangs, others wait for theirs; none is told that its records are durable before they are.
+// While a sync hangs, others wait for theirs; none returns nil before its records are durable.
 func TestStalledSync(t *testing.T) {
 	m := NewMemory()
 	f, _ := open(t, m)
--- a/internal/tier/wal/wal.go
+++ b/internal/tier/wal/wal.go
@@ -85,8 +85,8 @@
 	return file, nil
 }
 
-// load replays the records, cuts off a torn tail and makes durable all that was read: what stands at the offset durable or
-// behind it is written again. Where durable is negative the file is of another process, and rewriteTailSize bytes are.
+// load replays the records, cuts off a torn tail and makes durable all that was read: the bytes from the offset durable on
+// are written again. Where durable is negative the file was written by another process, and the last rewriteTailSize bytes are.
 func (file *File) load(replay func([]byte) error, durable int64) error {
 	total, err := file.handle.Size()
 	if err != nil {
--- a/internal/tier/wal/wal_test.go
+++ b/internal/tier/wal/wal_test.go
@@ -17,7 +17,7 @@
 
 const dir, name = "/data/core", "control"
 
-// open opens the write-ahead log and gives its records.
+// open opens the write-ahead log and returns its records.
 func open(t testing.TB, files FS) (*File, []string) {
 	t.Helper()
 	f, got, err := tryOpen(files)
@@ -33,7 +33,7 @@
 	return f, got, err
 }
 
-// caused tells whether target lies at the bottom of err.
+// caused reports whether target is the cause of err.
 func caused(err, target error) bool {
 	for e := errorx.Cast(err); e != nil; e = errorx.Cast(err) {
 		err = e.Cause()
