--- a/internal/tier/rpcserver/rpcserver_test.go
+++ b/internal/tier/rpcserver/rpcserver_test.go
@@ -76,7 +76,7 @@
 	assert.Equal(t, body, "HTTP/1.1 ")
 }
 
-func TestServeGivesUpWithItsContext(t *testing.T) {
+func TestServeEndsWithItsContext(t *testing.T) {
 	busy, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer busy.Close()
@@ -88,6 +88,26 @@
 	assert.Check(t, errorx.IsOfType(err, Bind))
 }
 
+// Listen asks its caller about each error, and returns those that are not transient at once.
+func TestListenRetriesTransientErrorsOnly(t *testing.T) {
+	busy, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NilError(t, err)
+	defer busy.Close()
+	for _, retries := range []int{0, 1} {
+		asked := 0
+		_, err := Listen(context.Background(), net.ListenConfig{}, busy.Addr().String(), func(err error) bool {
+			assert.Check(t, portInUse(err))
+			asked++
+			return asked <= retries
+		})
+		assert.Check(t, errorx.IsOfType(err, Bind))
+		assert.Equal(t, asked, retries+1)
+	}
+	listener, err := Listen(context.Background(), net.ListenConfig{}, "127.0.0.1:0", func(error) bool { return false })
+	assert.NilError(t, err)
+	assert.NilError(t, listener.Close())
+}
+
 func TestUserTimeoutIsSetOnBothSides(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -121,7 +141,7 @@
 	return value
 }
 
-func TestDialTriesAgainOnlyAfterATimeout(t *testing.T) {
+func TestDialRetriesOnlyAfterATimeout(t *testing.T) {
 	timeout := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	refused := &net.OpError{Op: "dial", Err: errors.New("refused")}
 	ended, cancel := context.WithCancel(context.Background())
