--- a/internal/rehearsal/tierdemo/client.go
+++ b/internal/rehearsal/tierdemo/client.go
@@ -43,9 +43,9 @@
 }
 
 // newCaller makes a caller with connections of its own.
-func newCaller(w *witness, gateways []string) *caller {
+func newCaller(witness *witness, gateways []string) *caller {
 	dial := &net.Dialer{Timeout: time.Second}
-	return &caller{witness: w, gateways: gateways, host: routeHost, client: &http.Client{
+	return &caller{witness: witness, gateways: gateways, host: routeHost, client: &http.Client{
 		Transport: &http.Transport{DialContext: dial.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 32},
 	}}
 }
--- a/internal/rehearsal/tierdemo/endpoint.go
+++ b/internal/rehearsal/tierdemo/endpoint.go
@@ -38,15 +38,15 @@
 }
 
 // startEndpoint listens on a port of its own at ip.
-func startEndpoint(w *witness, ip, instance, service, zone string, slots int) (*endpoint, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
+func startEndpoint(witness *witness, ip, instance, service, zone string, slots int) (*endpoint, error) {
+	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return nil, err
 	}
-	e := &endpoint{instance: instance, service: service, address: l.Addr().String(), zone: zone, slots: slots, witness: w}
-	e.server = &http.Server{Handler: e}
-	go func() { _ = e.server.Serve(l) }()
-	return e, nil
+	endpoint := &endpoint{instance: instance, service: service, address: listener.Addr().String(), zone: zone, slots: slots, witness: witness}
+	endpoint.server = &http.Server{Handler: endpoint}
+	go func() { _ = endpoint.server.Serve(listener) }()
+	return endpoint, nil
 }
 
 // leave stops the endpoint when its requests have ended, or when ctx ends.
--- a/internal/rehearsal/tierdemo/operator.go
+++ b/internal/rehearsal/tierdemo/operator.go
@@ -36,8 +36,8 @@
 }
 
 // newOperator makes an operator that has sent nothing yet.
-func newOperator(at []string) *operator {
-	return &operator{addresses: at, client: &http.Client{CheckRedirect: func(_ *http.Request, via []*http.Request) error {
+func newOperator(addresses []string) *operator {
+	return &operator{addresses: addresses, client: &http.Client{CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > redirects {
 			return http.ErrUseLastResponse
 		}
--- a/internal/rehearsal/tierdemo/page.go
+++ b/internal/rehearsal/tierdemo/page.go
@@ -75,9 +75,9 @@
 }
 
 // draw returns the plot with a mark for each event. The texts of events are escaped.
-func (p plot) draw(events []Event) template.HTML {
+func (plot plot) draw(events []Event) template.HTML {
 	top, count := 1.0, 1
-	for _, l := range p.Lines {
+	for _, l := range plot.Lines {
 		count = max(count, len(l.values))
 		for _, v := range l.values {
 			top = max(top, v)
@@ -101,7 +101,7 @@
 		fmt.Fprintf(&b, `<line x1="%.1f" x2="%.1f" y1="4" y2="%d" stroke="#bbb" stroke-dasharray="2 3"><title>%s</title></line>`,
 			at, at, plotHeight-plotBottom, template.HTMLEscapeString(e.What))
 	}
-	for _, l := range p.Lines {
+	for _, l := range plot.Lines {
 		fmt.Fprintf(&b, `<polyline fill="none" stroke="%s" stroke-width="1.5" points="`, l.Color)
 		for i, v := range l.values {
 			fmt.Fprintf(&b, "%.1f,%.1f ", x(float64(i)+.5), y(v))
--- a/internal/rehearsal/tierdemo/platform.go
+++ b/internal/rehearsal/tierdemo/platform.go
@@ -51,15 +51,15 @@
 }
 
 // startPlatform listens at ip, and lists no endpoints yet.
-func startPlatform(w *witness, ip string) (*platform, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
+func startPlatform(witness *witness, ip string) (*platform, error) {
+	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return nil, err
 	}
-	p := &platform{witness: w, ip: ip, address: l.Addr().String()}
-	p.server = &http.Server{Handler: http.HandlerFunc(p.instances)}
-	go func() { _ = p.server.Serve(l) }()
-	return p, nil
+	platform := &platform{witness: witness, ip: ip, address: listener.Addr().String()}
+	platform.server = &http.Server{Handler: http.HandlerFunc(platform.instances)}
+	go func() { _ = platform.server.Serve(listener) }()
+	return platform, nil
 }
 
 // instances answers GET /instances.
@@ -77,8 +77,8 @@
 	page := listPage{Instances: []listed{}}
 	platform.mu.Lock()
 	seen := 0
-	for _, e := range platform.list {
-		if zone != "" && zone != e.zone {
+	for _, endpoint := range platform.list {
+		if zone != "" && zone != endpoint.zone {
 			continue
 		}
 		if seen++; seen <= after {
@@ -90,11 +90,11 @@
 			break
 		}
 		state := "ready"
-		if e.draining.Load() {
+		if endpoint.draining.Load() {
 			state = "draining"
 		}
-		page.Instances = append(page.Instances, listed{Instance: e.instance, Service: e.service, Address: e.address, Zone: e.zone,
-			Revision: "v1", Capacity: e.slots, State: state})
+		page.Instances = append(page.Instances, listed{Instance: endpoint.instance, Service: endpoint.service, Address: endpoint.address, Zone: endpoint.zone,
+			Revision: "v1", Capacity: endpoint.slots, State: state})
 	}
 	platform.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
@@ -106,9 +106,9 @@
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
 	platform.number++
-	e, err := startEndpoint(platform.witness, platform.ip, fmt.Sprintf("i-%s-%d", service, platform.number), service, zone, endpointTurn)
+	endpoint, err := startEndpoint(platform.witness, platform.ip, fmt.Sprintf("i-%s-%d", service, platform.number), service, zone, endpointTurn)
 	if err == nil {
-		platform.list = append(platform.list, e)
+		platform.list = append(platform.list, endpoint)
 	}
 	return err
 }
@@ -118,9 +118,9 @@
 func (platform *platform) release(ctx context.Context) (instance string, err error) {
 	platform.mu.Lock()
 	var oldest *endpoint
-	for _, e := range platform.list {
-		if oldest == nil && !e.draining.Load() {
-			oldest = e
+	for _, endpoint := range platform.list {
+		if oldest == nil && !endpoint.draining.Load() {
+			oldest = endpoint
 		}
 	}
 	platform.mu.Unlock()
@@ -139,8 +139,8 @@
 		case <-ctx.Done():
 		}
 		platform.mu.Lock()
-		for i, e := range platform.list {
-			if e == oldest {
+		for i, endpoint := range platform.list {
+			if endpoint == oldest {
 				platform.list = append(platform.list[:i:i], platform.list[i+1:]...)
 				break
 			}
@@ -157,8 +157,8 @@
 func (platform *platform) count() (n int) {
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
-	for _, e := range platform.list {
-		if !e.draining.Load() {
+	for _, endpoint := range platform.list {
+		if !endpoint.draining.Load() {
 			n++
 		}
 	}
@@ -171,7 +171,7 @@
 	_ = platform.server.Close()
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
-	for _, e := range platform.list {
-		_ = e.server.Close()
+	for _, endpoint := range platform.list {
+		_ = endpoint.server.Close()
 	}
 }
--- a/internal/rehearsal/tierdemo/process.go
+++ b/internal/rehearsal/tierdemo/process.go
@@ -184,11 +184,11 @@
 func tryPorts(addresses []string, first int) error {
 	for _, ip := range addresses {
 		for offset := range portCount {
-			l, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(first+offset)))
+			listener, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(first+offset)))
 			if err != nil {
 				return err
 			}
-			_ = l.Close()
+			_ = listener.Close()
 		}
 	}
 	return nil
--- a/internal/rehearsal/tierdemo/program.go
+++ b/internal/rehearsal/tierdemo/program.go
@@ -64,7 +64,7 @@
 }
 
 // run runs the program to its end.
-func (program *program) run(ctx context.Context) (o Outcome, why string) {
+func (program *program) run(ctx context.Context) (outcome Outcome, why string) {
 	turns := 3 + rand.N(3)
 	if program.tight() {
 		turns = 8
@@ -74,33 +74,33 @@
 	previous := ""
 	for n := range turns {
 		id, got := program.turn(ctx, "main", previous, fmt.Sprintf("%s asks %d\n", program.name, n+1))
-		if o = got; o != Whole {
+		if outcome = got; outcome != Whole {
 			break
 		}
 		previous = id
 		if n == 1 && !program.tight() && rand.N(3) == 0 {
 			beside.Go(func() { side = program.agent(ctx, id) })
 		}
-		if o = program.tools(ctx, rand.N(3)); o != Whole {
+		if outcome = program.tools(ctx, rand.N(3)); outcome != Whole {
 			break
 		}
 		pause(ctx, rand.N(60*time.Millisecond))
 	}
 	beside.Wait()
-	if o == Whole {
-		o = side
+	if outcome == Whole {
+		outcome = side
 	}
 	program.mu.Lock()
 	defer program.mu.Unlock()
-	return o, program.why
+	return outcome, program.why
 }
 
 // agent runs a sub-agent: two turns that continue a turn of its parent.
 func (program *program) agent(ctx context.Context, previous string) Outcome {
 	for n := range 2 {
-		id, o := program.turn(ctx, "agent", previous, fmt.Sprintf("%s sends an agent for %d\n", program.name, n+1))
-		if o != Whole {
-			return o
+		id, outcome := program.turn(ctx, "agent", previous, fmt.Sprintf("%s sends an agent for %d\n", program.name, n+1))
+		if outcome != Whole {
+			return outcome
 		}
 		previous = id
 	}
@@ -108,7 +108,7 @@
 }
 
 // turn runs one turn, and returns its id.
-func (program *program) turn(ctx context.Context, line, previous, input string) (id string, o Outcome) {
+func (program *program) turn(ctx context.Context, line, previous, input string) (id string, outcome Outcome) {
 	begun := time.Now()
 	request := request{path: turnPath + "x", timeout: turnTime, maxTries: maxTries, attempt: attempt{program: program.budget, previous: previous, input: input},
 		header: map[string]string{"Program": program.name, "Session": program.name + "-" + line, "Finish-Ms": "20000",
--- a/internal/rehearsal/tierdemo/status.go
+++ b/internal/rehearsal/tierdemo/status.go
@@ -34,13 +34,19 @@
 	}
 }
 
+// status asks a control-plane process for its status.
+func (tier *tier) status(ctx context.Context, member *member) (*tierv1.StatusReply, error) {
+	client := tierv1.NewControlPlaneProtobufClient("http://"+member.settings.Internal(controlPlanePort), tier.client)
+	return client.Status(ctx, &tierv1.StatusRequest{})
+}
+
 // primary asks the control-plane processes which of them is the primary, and returns it with its status; nil if none is.
 func (tier *tier) primary(ctx context.Context) (*member, *tierv1.StatusReply) {
 	for _, member := range tier.controlPlanes {
 		if !member.running() {
 			continue
 		}
-		status, err := tierv1.NewControlPlaneProtobufClient("http://"+member.settings.Internal(controlPlanePort), tier.client).Status(ctx, &tierv1.StatusRequest{})
+		status, err := tier.status(ctx, member)
 		if err == nil && status.Primary {
 			return member, status
 		}
@@ -109,7 +115,7 @@
 // isCurrent reports whether a control-plane process knows the record of the primary.
 func (tier *tier) isCurrent(ctx context.Context, process *member) bool {
 	_, newest := tier.primary(ctx)
-	status, err := tierv1.NewControlPlaneProtobufClient("http://"+process.settings.Internal(controlPlanePort), tier.client).Status(ctx, &tierv1.StatusRequest{})
+	status, err := tier.status(ctx, process)
 	return err == nil && newest != nil && status.GetRecord().GetEpoch() == newest.GetRecord().GetEpoch()
 }
 
--- a/internal/rehearsal/tierdemo/trouble.go
+++ b/internal/rehearsal/tierdemo/trouble.go
@@ -23,12 +23,12 @@
 
 // noteEvent records an event.
 func (rehearsal *rehearsal) noteEvent(what string, args ...any) {
-	e := Event{At: time.Since(rehearsal.begun), What: fmt.Sprintf(what, args...)}
+	event := Event{At: time.Since(rehearsal.begun), What: fmt.Sprintf(what, args...)}
 	rehearsal.mu.Lock()
-	rehearsal.events = append(rehearsal.events, e)
+	rehearsal.events = append(rehearsal.events, event)
 	rehearsal.mu.Unlock()
 	if rehearsal.options.Note != nil {
-		rehearsal.options.Note(e.At, e.What)
+		rehearsal.options.Note(event.At, event.What)
 	}
 }
 
@@ -68,33 +68,33 @@
 }
 
 // stop kills a process and measures the time until others have its work.
-func (rehearsal *rehearsal) stop(ctx context.Context, p *member, work string, taken func(context.Context) bool) {
-	p.kill()
+func (rehearsal *rehearsal) stop(ctx context.Context, member *member, work string, taken func(context.Context) bool) {
+	member.kill()
 	stopped := time.Now()
-	rehearsal.noteEvent("%s stopped", p.node())
+	rehearsal.noteEvent("%s stopped", member.node())
 	ctx, cancel := context.WithTimeout(ctx, settleTime)
 	defer cancel()
-	err := until(ctx, "takeover from "+p.node(), taken)
-	t := Takeover{Node: p.node(), Work: work, Took: time.Since(stopped), Done: err == nil}
+	err := until(ctx, "takeover from "+member.node(), taken)
+	takeover := Takeover{Node: member.node(), Work: work, Took: time.Since(stopped), Done: err == nil}
 	rehearsal.mu.Lock()
-	rehearsal.takeovers = append(rehearsal.takeovers, t)
+	rehearsal.takeovers = append(rehearsal.takeovers, takeover)
 	rehearsal.mu.Unlock()
-	if t.Done {
+	if takeover.Done {
 		rehearsal.noteEvent("%s taken over", work)
 	}
 }
 
 // back restarts a process and waits until it has its part again and the tier survives another loss.
-func (rehearsal *rehearsal) back(ctx context.Context, p *member, part func(context.Context) bool) {
-	if err := p.start(); err != nil {
-		rehearsal.noteEvent("%s does not start: %v", p.node(), err)
+func (rehearsal *rehearsal) back(ctx context.Context, member *member, part func(context.Context) bool) {
+	if err := member.start(); err != nil {
+		rehearsal.noteEvent("%s does not start: %v", member.node(), err)
 		return
 	}
-	rehearsal.noteEvent("%s started", p.node())
+	rehearsal.noteEvent("%s started", member.node())
 	ctx, cancel := context.WithTimeout(ctx, settleTime)
 	defer cancel()
-	if until(ctx, "the part of "+p.node(), func(ctx context.Context) bool { return part(ctx) && rehearsal.tier.hasAllCopies(ctx) }) == nil {
-		rehearsal.noteEvent("%s does its part, and all copies are whole", p.node())
+	if until(ctx, "the part of "+member.node(), func(ctx context.Context) bool { return part(ctx) && rehearsal.tier.hasAllCopies(ctx) }) == nil {
+		rehearsal.noteEvent("%s does its part, and all copies are whole", member.node())
 	}
 }
 
--- a/internal/rehearsal/tierdemo/witness.go
+++ b/internal/rehearsal/tierdemo/witness.go
@@ -69,11 +69,11 @@
 
 // newWitness makes a witness that has observed nothing yet.
 func newWitness() *witness {
-	w := &witness{attempts: map[string]*attempt{}}
-	for r := range w.verdicts {
-		w.verdicts[r].Rule = Rule(r)
+	witness := &witness{attempts: map[string]*attempt{}}
+	for r := range witness.verdicts {
+		witness.verdicts[r].Rule = Rule(r)
 	}
-	return w
+	return witness
 }
 
 // verdict returns the verdicts on all rules.
@@ -84,23 +84,23 @@
 }
 
 // checkLocked counts a check of a rule, and records how the rule was broken if it was not kept. The caller holds mu.
-func (witness *witness) checkLocked(r Rule, kept bool, how string, args ...any) {
-	v := &witness.verdicts[r]
-	v.Checked++
+func (witness *witness) checkLocked(rule Rule, kept bool, how string, args ...any) {
+	verdict := &witness.verdicts[rule]
+	verdict.Checked++
 	if kept {
 		return
 	}
-	v.Broken++
-	if len(v.How) < maxExamples {
-		v.How = append(v.How, fmt.Sprintf(how, args...))
+	verdict.Broken++
+	if len(verdict.How) < maxExamples {
+		verdict.How = append(verdict.How, fmt.Sprintf(how, args...))
 	}
 }
 
 // check is checkLocked for a caller that does not hold mu.
-func (witness *witness) check(r Rule, kept bool, how string, args ...any) {
+func (witness *witness) check(rule Rule, kept bool, how string, args ...any) {
 	witness.mu.Lock()
 	defer witness.mu.Unlock()
-	witness.checkLocked(r, kept, how, args...)
+	witness.checkLocked(rule, kept, how, args...)
 }
 
 // sent records an attempt before it is sent.
