--- a/internal/tier/rpcserver/rpcserver.go
+++ b/internal/tier/rpcserver/rpcserver.go
@@ -30,7 +30,7 @@
 	headerTimeout     = 5 * time.Second
 	maxHeaderBytes    = 16 << 10
 	listenTimeout     = 5 * time.Second // of all attempts to listen
-	listenPause       = 100 * time.Millisecond
+	listenPause       = 50 * time.Millisecond
 )
 
 var (
