--- /dev/null
+++ b/internal/tier/consensus/whole_core_test.go
@@ -0,0 +1,262 @@
+package consensus
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// serveAgain puts until one is acknowledged, and gives how long that took; a fault where it takes longer than limit.
+func (w *world) serveAgain(limit time.Duration) time.Duration {
+	began, count := w.now, len(w.acked)
+	for len(w.acked) == count && len(w.faults) == 0 {
+		if w.now-began > limit {
+			w.fault("nothing was acknowledged for %v", limit)
+			break
+		}
+		w.put(true)
+		w.run(w.now + 10*time.Millisecond)
+	}
+	return w.now - began
+}
+
+// settleAgain waits until all losses are borne again, and gives how long that took; a fault where it takes longer than limit.
+func (w *world) settleAgain(limit time.Duration) time.Duration {
+	began := w.now
+	for !w.settledAgain() && len(w.faults) == 0 {
+		if w.now-began > limit {
+			w.fault("the losses are not borne again after %v", limit)
+			break
+		}
+		w.put(true)
+		w.run(w.now + 10*time.Millisecond)
+	}
+	return w.now - began
+}
+
+// startWithin starts a process again within d.
+func (w *world) startWithin(s *site, d time.Duration) {
+	w.after(time.Duration(w.random.Int64N(int64(d)+1)), func() { s.start(false) })
+}
+
+// replaceElsewhere takes a machine away for good; an empty one comes at another address. Its settings, and those of all that
+// start later, name three of the machines that are there.
+func (w *world) replaceElsewhere(s *site, n int) {
+	s.wipe()
+	s.gone = true
+	w.seeds = nil
+	for _, i := range w.random.Perm(len(w.sites)) {
+		if o := w.sites[i]; !o.gone && len(w.seeds) < 3 {
+			w.seeds = append(w.seeds, o.member.Address)
+		}
+	}
+	joiner := &site{world: w, member: &tierv1.Member{Address: fmt.Sprint("new", n), Zone: s.member.Zone, Region: "r"}}
+	w.sites = append(w.sites, joiner)
+	w.startWithin(joiner, time.Second)
+}
+
+// oldestDisk is the machine whose disk has lasted longest: its folder was made first.
+func (w *world) oldestDisk(but map[*site]bool) (oldest *site) {
+	number := func(s *site) (n int) {
+		fmt.Sscanf(s.m.Folder, "f%d@", &n)
+		return n
+	}
+	for _, s := range w.sites {
+		if s.m != nil && !but[s] && (oldest == nil || number(s) < number(oldest)) {
+			oldest = s
+		}
+	}
+	return oldest
+}
+
+// Disks are lost one after the other, each as soon as the loss before is made good, the longest lasting or the leader's
+// first: soon none of the first machines' disks is left. At times all other machines lose power at the same moment.
+func TestDisksLostOneAfterTheOther(t *testing.T) {
+	seeds := seedsOr(6)
+	if testing.Short() || raced {
+		seeds = 2
+	}
+	for _, losses := range []int{1, 2} {
+		var served, settled time.Duration
+		for seed := range uint64(seeds) {
+			w := newWorld(seed, 2*losses+1, losses)
+			w.boot()
+			w.run(5 * time.Second)
+			for n := range 12 {
+				w.settleAgain(2 * w.window)
+				if len(w.faults) > 0 {
+					break
+				}
+				lost := make(map[*site]bool)
+				for len(lost) < losses {
+					s := w.oldestDisk(lost)
+					if l := w.leader(); w.random.IntN(3) == 0 && l != nil && l.m != nil && !lost[l] {
+						s = l
+					}
+					lost[s] = true
+					if w.random.IntN(3) == 0 {
+						w.replaceElsewhere(s, 10*n+len(lost))
+						continue
+					}
+					s.wipe()
+					w.startWithin(s, 700*time.Millisecond)
+				}
+				if w.random.IntN(2) == 0 {
+					for _, s := range w.sites {
+						if s.m != nil && !lost[s] {
+							s.stop(true)
+							w.startWithin(s, time.Second)
+						}
+					}
+				}
+				served = max(served, w.serveAgain(2*w.window))
+			}
+			settled = max(settled, w.settleAgain(2*w.window))
+			assert.Assert(t, len(w.faults) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.faults, w.tail())
+		}
+		t.Logf("%d losses at once: %v until something is acknowledged, %v until the next is borne", losses, served, settled)
+	}
+}
+
+// All processes are killed or lose power at one moment, and are back within a second; the same again while they recover, and in
+// the middle of the replacement of a lost disk.
+func TestWholeCoreAtOnce(t *testing.T) {
+	seeds := seedsOr(10)
+	if testing.Short() || raced {
+		seeds = 2
+	}
+	for _, power := range []bool{false, true} {
+		for _, size := range [][2]int{{3, 1}, {4, 1}, {5, 2}} {
+			var served time.Duration
+			for seed := range uint64(seeds) {
+				w := newWorld(seed, size[0], size[1])
+				w.boot()
+				w.run(5 * time.Second)
+				for range 6 {
+					w.settleAgain(2 * w.window)
+					if len(w.faults) > 0 {
+						break
+					}
+					if w.random.IntN(2) == 0 {
+						s := w.sites[w.random.IntN(len(w.sites))]
+						s.wipe()
+						w.startWithin(s, 300*time.Millisecond)
+						w.run(w.now + time.Duration(w.random.Int64N(int64(1500*time.Millisecond))))
+					}
+					for range 1 + w.random.IntN(3) {
+						for range 3 {
+							w.put(false)
+							w.run(w.now + time.Duration(w.random.Int64N(int64(10*time.Millisecond))))
+						}
+						for _, s := range w.sites {
+							s.stop(power)
+							w.startWithin(s, 800*time.Millisecond)
+						}
+						w.run(w.now + time.Duration(w.random.Int64N(int64(1200*time.Millisecond))))
+					}
+					w.run(w.now + 800*time.Millisecond)
+					served = max(served, w.serveAgain(w.window))
+				}
+				assert.Assert(t, len(w.faults) == 0, "power %v, size %v, seed %d: %v\n%s", power, size, seed, w.faults, w.tail())
+			}
+			t.Logf("power %v, %d machines: %v until something is acknowledged after the last is back", power, size[0], served)
+		}
+	}
+}
+
+// The core is cut into two halves, for longer than a takeover takes, again and again; also one way only. No half leads
+// without a majority, and the other follows.
+func TestHalvesCutFromEachOther(t *testing.T) {
+	seeds := seedsOr(10)
+	if testing.Short() || raced {
+		seeds = 2
+	}
+	for _, size := range [][2]int{{3, 1}, {4, 1}, {4, 2}, {5, 2}, {6, 2}} {
+		for seed := range uint64(seeds) {
+			w := newWorld(seed, size[0], size[1])
+			w.boot()
+			w.run(5 * time.Second)
+			w.load(60 * time.Second)
+			w.readings(60 * time.Second)
+			for range 6 {
+				there, back := true, w.random.IntN(3) > 0
+				for i, at := range w.random.Perm(len(w.sites)) {
+					for j, other := range w.sites {
+						if i < len(w.sites)/2 && j != at {
+							w.cuts[[2]string{w.sites[at].member.Address, other.member.Address}] = there
+							w.cuts[[2]string{other.member.Address, w.sites[at].member.Address}] = back
+						}
+					}
+				}
+				w.run(w.now + time.Duration(w.random.Int64N(int64(6*time.Second))))
+				clear(w.cuts)
+				w.run(w.now + time.Duration(w.random.Int64N(int64(2*time.Second))))
+			}
+			w.serveAgain(w.window)
+			assert.Assert(t, len(w.faults) == 0, "size %v, seed %d: %v\n%s", size, seed, w.faults, w.tail())
+		}
+	}
+}
+
+// A minority misses changes behind a cut. Then one of the others loses its disk, the rest are without power, and the cut
+// heals: the minority and the empty disk do not lead with what they have, and when the power is back nothing is missing.
+func TestMinorityBehindACut(t *testing.T) {
+	seeds := seedsOr(10)
+	if testing.Short() || raced {
+		seeds = 3
+	}
+	for _, losses := range []int{1, 2} {
+		for seed := range uint64(seeds) {
+			w := newWorld(seed, 2*losses+1, losses)
+			w.boot()
+			w.run(5 * time.Second)
+			behind := make(map[*site]bool)
+			for len(behind) < losses {
+				s := w.sites[w.random.IntN(len(w.sites))]
+				behind[s] = true
+			}
+			for s := range behind {
+				for _, o := range w.sites {
+					if !behind[o] {
+						w.cuts[[2]string{s.member.Address, o.member.Address}] = true
+						w.cuts[[2]string{o.member.Address, s.member.Address}] = true
+					}
+				}
+			}
+			w.run(w.now + 3*time.Second)
+			w.changes(20)
+			var dark []*site
+			wiped := false
+			for _, i := range w.random.Perm(len(w.sites)) {
+				s := w.sites[i]
+				switch {
+				case behind[s]:
+				case !wiped:
+					wiped = true
+					s.wipe()
+					w.startWithin(s, 500*time.Millisecond)
+				default:
+					s.stop(true)
+					s.dark = true
+					dark = append(dark, s)
+				}
+			}
+			clear(w.cuts)
+			count := len(w.acked)
+			w.load(w.now + 3*time.Second)
+			w.run(w.now + 4*time.Second)
+			where := fmt.Sprintf("losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.tail())
+			assert.Assert(t, len(w.faults) == 0 && len(w.acked) == count, where)
+			for _, s := range dark {
+				s.start(false)
+			}
+			w.serveAgain(w.window)
+			w.settleAgain(2 * w.window)
+			assert.Assert(t, len(w.faults) == 0, "losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.tail())
+		}
+	}
+}
