--- a/internal/tier/consensus/explore_digest_test.go
+++ b/internal/tier/consensus/explore_digest_test.go
@@ -94,6 +94,7 @@
 	b = append(b, byte(l.takes), byte(l.ticks), byte(l.timeouts), byte(l.doubles), byte(l.restarts), byte(l.wipes), byte(l.writes), byte(l.confirms), byte(l.swaps))
 	for i := range maxOperations {
 		b = binary.AppendUvarint(b, w.acked[i])
+		b = binary.AppendUvarint(b, w.under[i])
 		b = append(b, w.began[i])
 		if w.refused[i] {
 			b = append(b, 'r')
