--- a/internal/tier/consensus/leadership.go
+++ b/internal/tier/consensus/leadership.go
@@ -38,7 +38,7 @@
 	primary.record, primary.renew, primary.next, primary.retryAt = proposal.target, false, machine.now, 0
 	primary.lost, primary.confirmed = make(map[string]bool), make(map[string]time.Duration)
 	for _, folder := range proposal.target.Backups {
-		primary.confirmed[folder] = proposal.copied[folder]
+		primary.confirmed[folder] = proposal.confirmed[folder]
 	}
 	machine.observed, machine.hint = false, machine.self.Address
 	machine.out.changed = true
--- a/internal/tier/consensus/lease_test.go
+++ b/internal/tier/consensus/lease_test.go
@@ -60,7 +60,7 @@
 	m := newMachine(d, members[0], []string{"a", "b", "c"}, 1, timings(3*time.Second, 0), 1)
 	m.out = new(actions)
 	m.now = time.Second
-	m.leadership(&proposal{epoch: 1 << epochBits, copied: map[string]time.Duration{"fb": m.now},
+	m.leadership(&proposal{epoch: 1 << epochBits, confirmed: map[string]time.Duration{"fb": m.now},
 		target: &tierv1.Record{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}})
 	for _, v := range members[1:] {
 		m.replied(v, m.now)
--- a/internal/tier/consensus/machine.go
+++ b/internal/tier/consensus/machine.go
@@ -117,7 +117,7 @@
 func (machine *machine) call(address string, body proto.Message, early bool, then func(proto.Message)) {
 	machine.nextID++
 	machine.pending[machine.nextID] = then
-	c := call{machine.nextID, address, body, machine.timing.call}
+	c := call{machine.nextID, address, body, machine.timing.timeout(body)}
 	if early {
 		machine.out.early = append(machine.out.early, c)
 	} else {
--- a/internal/tier/consensus/planted_hardening_test.go
+++ b/internal/tier/consensus/planted_hardening_test.go
@@ -44,7 +44,7 @@
 			}
 			out.early = kept
 			for folder := range p.copies {
-				p.copied[folder] = s.m.now
+				p.confirmed[folder] = s.m.now
 			}
 		}}
 	oldSnapshotReplaces = plant{name: "a snapshot of an old epoch replaces a newer copy",
--- a/internal/tier/consensus/proposal.go
+++ b/internal/tier/consensus/proposal.go
@@ -38,10 +38,13 @@
 	asked    map[string]bool                 // addresses
 	open     int                             // calls of this phase under way
 	replies  map[string]*tierv1.PromiseReply // that promised, by folder
-	copied   map[string]time.Duration        // when the copy was sent that a folder took
 	copies   map[string]bool                 // folders to which a copy is under way
 	bad      map[string]bool                 // folders that took no copy
 	accepted map[string]bool                 // folders
+
+	// confirmed has the folders that took the copy, and when the newest round trip began by which they confirmed the epoch:
+	// that of the copy, or of the target that they accepted.
+	confirmed map[string]time.Duration
 }
 
 // wake is when the proposal is due at the latest without an answer.
@@ -85,7 +88,7 @@
 	proposal.asked = make(map[string]bool)
 	proposal.replies = map[string]*tierv1.PromiseReply{machine.Folder: {Promised: true, Self: machine.self, Genesis: machine.Genesis,
 		Highest: machine.promised, Accepted: machine.accepted, Chosen: machine.chosen, Sequence: machine.sequence}}
-	proposal.copied, proposal.copies = make(map[string]time.Duration), make(map[string]bool)
+	proposal.confirmed, proposal.copies = make(map[string]time.Duration), make(map[string]bool)
 	proposal.bad, proposal.accepted = make(map[string]bool), make(map[string]bool)
 	machine.proposal = proposal
 	machine.ask()
@@ -229,7 +232,8 @@
 // chosen, or failed.
 func (machine *machine) gatherAccepts() bool {
 	proposal := machine.proposal
-	if majorities(configurations(proposal.base, proposal.target), machine.acceptedBy) {
+	chosen := majorities(configurations(proposal.base, proposal.target), machine.acceptedBy)
+	if chosen && (proposal.open == 0 || machine.backupsConfirmed()) {
 		machine.leadership(proposal)
 		return true
 	}
@@ -240,6 +244,18 @@
 	return false
 }
 
+// backupsConfirmed tells whether the lease that begins with the target would hold for a while. A copy that was long on its
+// way does not tell: then a backup's word on the target is waited for, which counts as well.
+func (machine *machine) backupsConfirmed() bool {
+	proposal := machine.proposal
+	for _, folder := range proposal.target.Backups {
+		if machine.now-proposal.confirmed[folder] > machine.timing.fresh/2 {
+			return false
+		}
+	}
+	return true
+}
+
 // patienceFor is how long answers beyond the majority are waited for: the way there and back of the farthest asked, as
 // far as that is known, so that members of a far region are not left out of each record.
 func (machine *machine) patienceFor(proposal *proposal) time.Duration {
--- a/internal/tier/consensus/register.go
+++ b/internal/tier/consensus/register.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"google.golang.org/protobuf/proto"
 
@@ -38,7 +39,13 @@
 // busy tells whether another has had this folder's promise so recently that its record may be under way. That keeps a
 // primary that is back at once from stopping the one that is taking over; it binds nobody.
 func (machine *machine) busy(folder string) bool {
-	return machine.granted > 0 && machine.promised > epochOf(machine.chosen) && machine.promisedTo != folder && machine.now-machine.granted < machine.timing.call/2
+	return machine.granted > 0 && machine.promised > epochOf(machine.chosen) && machine.promisedTo != folder && machine.now-machine.granted < machine.takeoverTime()
+}
+
+// takeoverTime is how long one who has this folder's promise is not disturbed: it copies a state that is about as large as
+// this folder's copy.
+func (machine *machine) takeoverTime() time.Duration {
+	return machine.timing.call/2 + machine.timing.transfer(machine.size)
 }
 
 // grantPromise records a promise, to another folder or to this one.
@@ -55,7 +62,7 @@
 	if machine.proposal != nil && machine.proposal.epoch > 0 {
 		machine.abandon("promised to another")
 	}
-	machine.tryAt = max(machine.tryAt, machine.now+machine.timing.call/2+machine.jitter(machine.timing.heartbeat))
+	machine.tryAt = max(machine.tryAt, machine.now+machine.takeoverTime()+machine.jitter(machine.timing.heartbeat))
 }
 
 // accept takes a record under the epoch promised last, from the one it was promised to. A folder made since the promise
--- a/internal/tier/consensus/target.go
+++ b/internal/tier/consensus/target.go
@@ -26,7 +26,7 @@
 		}
 	}
 	proposal.target, proposal.phase, proposal.open = target, copying, 0
-	proposal.deadline = machine.now + 4*machine.timing.call
+	proposal.deadline = machine.now + 4*machine.timing.call + 2*machine.timing.transfer(machine.size) // a copy may fail, and go elsewhere
 	// From here on this copy is held under the new epoch.
 	machine.copyEpoch = proposal.epoch
 	machine.store(encodeMark(proposal.epoch), true)
@@ -62,7 +62,7 @@
 	proposal.target.Backups = nil
 	for _, member := range picked {
 		proposal.target.Backups = append(proposal.target.Backups, member.Folder)
-		if _, ok := proposal.copied[member.Folder]; ok {
+		if _, ok := proposal.confirmed[member.Folder]; ok {
 			continue
 		}
 		ready = false
@@ -128,7 +128,7 @@
 			return
 		}
 		if reply != nil && reply.Taken {
-			proposal.copied[to.Folder] = began
+			proposal.confirmed[to.Folder] = began
 		} else {
 			proposal.bad[to.Folder] = true
 		}
@@ -139,6 +139,7 @@
 func (machine *machine) askAccept(to *tierv1.Member) {
 	proposal := machine.proposal
 	proposal.open++
+	began := machine.now
 	machine.call(to.Address, &tierv1.AcceptRequest{Record: proposal.target, From: machine.self}, false, func(body proto.Message) {
 		reply, _ := body.(*tierv1.AcceptReply)
 		if reply != nil {
@@ -150,6 +151,9 @@
 		proposal.open--
 		if reply != nil && reply.Accepted {
 			proposal.accepted[to.Folder] = true
+			if _, ok := proposal.confirmed[to.Folder]; ok { // it is under the same promise as when it took the copy
+				proposal.confirmed[to.Folder] = began
+			}
 		}
 	})
 }
--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -14,33 +14,36 @@
 
 // world is a network, disks and clocks in virtual time for machines, and the checker of what they promise.
 type world struct {
-	now        time.Duration
-	random     *rand.Rand
-	queue      moments
-	order      int
-	sites      []*site
-	cuts       map[[2]string]bool
-	losses     int
-	seeds      []string
-	window     time.Duration
-	plant      plant
-	trouble    float64 // part of the messages that are lost, doubled or held
-	mutate     func(n int) mutation
-	count      int // messages sent
-	folders    int
-	token      uint64
-	waiting    map[uint64]*operation
-	replying   map[uint64]func(proto.Message)
-	acked      map[string]uint64 // key to sequence
-	ackedAt    map[string]time.Duration
-	ackedUnder map[string]uint64 // epoch
-	refused    map[string]bool
-	chosen     map[uint64]*tierv1.Record
-	top        *tierv1.Record
-	wiped      map[string]bool
-	delivered  func(to *site, body proto.Message) // sees each message as it comes
-	faults     []string
-	trace      []string
+	now     time.Duration
+	random  *rand.Rand
+	queue   moments
+	order   int
+	sites   []*site
+	cuts    map[[2]string]bool
+	losses  int
+	seeds   []string
+	window  time.Duration
+	plant   plant
+	trouble float64 // part of the messages that are lost, doubled or held
+	rate    int     // bytes a second that a path carries; 0: no bound
+
+	transferRate int // what the machines count on; 0: as usual
+	mutate       func(n int) mutation
+	count        int // messages sent
+	folders      int
+	token        uint64
+	waiting      map[uint64]*operation
+	replying     map[uint64]func(proto.Message)
+	acked        map[string]uint64 // key to sequence
+	ackedAt      map[string]time.Duration
+	ackedUnder   map[string]uint64 // epoch
+	refused      map[string]bool
+	chosen       map[uint64]*tierv1.Record
+	top          *tierv1.Record
+	wiped        map[string]bool
+	delivered    func(to *site, body proto.Message) // sees each message as it comes
+	faults       []string
+	trace        []string
 }
 
 type mutation int
@@ -177,7 +180,11 @@
 		s.synced = append(s.synced, encodeIdentity(d.identity))
 	}
 	s.life++
-	s.m = newMachine(d, s.member, w.seeds, w.losses, timings(w.window, 1200*time.Millisecond), w.random.Uint64())
+	timing := timings(w.window, 1200*time.Millisecond)
+	if w.transferRate > 0 {
+		timing.rate = w.transferRate
+	}
+	s.m = newMachine(d, s.member, w.seeds, w.losses, timing, w.random.Uint64())
 	s.m.now = w.now
 	s.m.tryAt += w.now
 	s.m.joinAt += w.now
@@ -428,6 +435,9 @@
 		return
 	}
 	d := w.delay()
+	if w.rate > 0 {
+		d += time.Duration(proto.Size(c.body)) * time.Second / time.Duration(w.rate)
+	}
 	if kind == held {
 		d += time.Duration(w.random.Int64N(int64(2 * time.Second)))
 	}
