--- a/internal/tier/consensus/whole_core_test.go
+++ b/internal/tier/consensus/whole_core_test.go
@@ -43,22 +43,36 @@
 	w.after(time.Duration(w.random.Int64N(int64(d)+1)), func() { s.start(false) })
 }
 
-// replaceElsewhere takes a machine away for good; an empty one comes at another address. Its settings, and those of all that
-// start later, name three of the machines that are there.
-func (w *world) replaceElsewhere(s *site, n int) {
-	s.wipe()
-	s.gone = true
-	w.seeds = nil
-	for _, i := range w.random.Perm(len(w.sites)) {
-		if o := w.sites[i]; !o.gone && len(w.seeds) < 3 {
-			w.seeds = append(w.seeds, o.member.Address)
+// present are the machines that are there for good.
+func (w *world) present() (list []*site) {
+	for _, s := range w.sites {
+		if !s.gone {
+			list = append(list, s)
 		}
 	}
-	joiner := &site{world: w, member: &tierv1.Member{Address: fmt.Sprint("new", n), Zone: s.member.Zone, Region: "r"}}
+	return list
+}
+
+// join adds an empty machine at an address. Its settings, and those of all that start later, name three of the machines that
+// are there.
+func (w *world) join(address string) {
+	w.seeds = nil
+	here := w.present()
+	for _, i := range w.random.Perm(len(here))[:min(3, len(here))] {
+		w.seeds = append(w.seeds, here[i].member.Address)
+	}
+	joiner := &site{world: w, member: &tierv1.Member{Address: address, Zone: fmt.Sprint("z", w.random.IntN(3)), Region: "r"}}
 	w.sites = append(w.sites, joiner)
 	w.startWithin(joiner, time.Second)
 }
 
+// replaceElsewhere takes a machine away for good; an empty one comes at another address.
+func (w *world) replaceElsewhere(s *site, address string) {
+	s.wipe()
+	s.gone = true
+	w.join(address)
+}
+
 // oldestDisk is the machine whose disk has lasted longest: its folder was made first.
 func (w *world) oldestDisk(but map[*site]bool) (oldest *site) {
 	number := func(s *site) (n int) {
@@ -99,7 +113,7 @@
 					}
 					lost[s] = true
 					if w.random.IntN(3) == 0 {
-						w.replaceElsewhere(s, 10*n+len(lost))
+						w.replaceElsewhere(s, fmt.Sprint("new", n, "-", len(lost)))
 						continue
 					}
 					s.wipe()
@@ -260,3 +274,50 @@
 		}
 	}
 }
+
+// What a leader tells that it bears, it bears: at any moment, also in the middle of a change of members, so many machines are
+// lost for good at once, whichever they are, and nobody comes in their place before something is acknowledged again. Only
+// what was lost less than recently before may still be counted as there.
+func TestToleratedLossesAreBorne(t *testing.T) {
+	seeds := seedsOr(20)
+	if testing.Short() || raced {
+		seeds = 4
+	}
+	for _, losses := range []int{1, 2} {
+		hit, changing := 0, 0
+		var worst time.Duration
+		for seed := range uint64(seeds) {
+			w := newWorld(seed, 2*losses+1+int(seed%3), losses)
+			w.boot()
+			w.run(5 * time.Second)
+			w.readings(time.Hour)
+			recently := w.leader().m.recently() + w.leader().m.timing.heartbeat + tripSlack // the figure is of the last step
+			for n := range 15 {
+				w.run(w.now + recently + time.Duration(w.random.Int64N(int64(1500*time.Millisecond))))
+				leader := w.leader()
+				if leader == nil || !leader.leads() || len(w.faults) > 0 {
+					continue
+				}
+				h := leader.m.health()
+				if h.Changing {
+					changing++
+				}
+				here := w.present()
+				for range min(h.Tolerates, 1+w.random.IntN(losses)) {
+					at := w.random.IntN(len(here))
+					here[at].wipe()
+					here[at].gone = true
+					here = append(here[:at:at], here[at+1:]...)
+					hit++
+				}
+				worst = max(worst, w.serveAgain(w.window))
+				if w.random.IntN(3) > 0 && len(here) < 2*losses+3 {
+					w.join(fmt.Sprint("new", n))
+				}
+			}
+			assert.Assert(t, len(w.faults) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.faults, w.tail())
+		}
+		t.Logf("losses %d: %d machines lost, %d questions in a change of members, at most %v until something is acknowledged", losses, hit, changing, worst)
+		assert.Assert(t, hit > seeds)
+	}
+}
