--- /dev/null
+++ b/internal/tier/consensus/explore_liveness_test.go
@@ -0,0 +1,139 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// The exploration asks of a part of the states that it reaches whether they are dead ends: with all trouble ended, is a
+// primary that can acknowledge reached again? Both where all that is under way comes, and where all of it is lost. This
+// bounds liveness by steps, not by time: within recoveryRounds rounds, in each of which each machine proposes itself up to
+// twice (the second time it knows the highest epoch) and all messages come. That nobody disturbs this is a matter of time,
+// and is held by the tests in virtual time.
+const recoveryRounds = 2
+
+// drainSteps bounds the messages that follow from one proposal.
+const drainSteps = 500
+
+// drain lets all that is under way come, and what follows it, oldest first.
+func (x *explorer) drain(w *systemState) (*systemState, error) {
+	var err error
+	for range drainSteps {
+		if len(w.net) == 0 {
+			return w, nil
+		}
+		if w, err = x.deliver(w, w.net[0], false, false); err != nil {
+			return w, err
+		}
+	}
+	return w, errors.New("the messages do not end")
+}
+
+// loseAll ends what is under way: no request comes any more, and each call fails.
+func (x *explorer) loseAll(w *systemState) (*systemState, error) {
+	var err error
+	for _, i := range slices.Clone(w.net) {
+		if !slices.Contains(w.net, i) {
+			continue
+		}
+		w = w.with(transition{what: "failure of the ", item: i})
+		w.remove(i)
+		if i.stage == orphaned {
+			continue
+		}
+		if err = x.move(w, x.answer(w, i, nil)); err != nil {
+			return w, err
+		}
+	}
+	return w, nil
+}
+
+// acknowledges tells whether a machine leads and could acknowledge a write now: it and all its backups stand by its epoch.
+func (w *systemState) acknowledges(l *lane) bool {
+	if l == nil || l.leadership == 0 || l.promised != l.leadership {
+		return false
+	}
+	for _, folder := range l.backups {
+		if !slices.ContainsFunc(w.lanes[:], func(o *lane) bool { return o != nil && o.folder == folder && o.promised == l.leadership }) {
+			return false
+		}
+	}
+	return true
+}
+
+// recovers gives an error where no primary is reached from a state, with no more trouble.
+func (x *explorer) recovers(w *systemState, loss bool) (*systemState, error) {
+	cuts := x.cuts
+	x.cuts = nil
+	defer func() { x.cuts = cuts }()
+	var err error
+	if loss {
+		if w, err = x.loseAll(w); err != nil {
+			return w, err
+		}
+	}
+	if w, err = x.drain(w); err != nil {
+		return w, err
+	}
+	for range recoveryRounds {
+		for site := range w.lanes {
+			for range 2 {
+				if slices.ContainsFunc(w.lanes[:], w.acknowledges) {
+					return w, nil
+				}
+				l := w.lanes[site]
+				if l == nil {
+					continue
+				}
+				name, e := "take-over", event(take{})
+				if l.leadership > 0 {
+					name, e = "late tick", age{}
+				}
+				if w, err = x.event(w, site, name, e); err != nil {
+					return w, err
+				}
+				if w, err = x.drain(w); err != nil {
+					return w, err
+				}
+			}
+		}
+	}
+	return w, fmt.Errorf("no primary is reached again, loss %v", loss)
+}
+
+// checkLiveness asks recovers of a state, with and without a loss of what is under way.
+func (x *explorer) checkLiveness(w *systemState) (*systemState, error) {
+	for _, loss := range []bool{false, true} {
+		if c, err := x.recovers(w, loss); err != nil {
+			return c, err
+		}
+	}
+	x.recovered++
+	return w, nil
+}
+
+// deafAfterOnePromise gives one promise in its life.
+var deafAfterOnePromise = plant{name: "promises once", before: func(s *subject, e event) (event, *outcome) {
+	if q, ok := e.(request); ok {
+		if _, ok := q.body.(*tierv1.PromiseRequest); ok && s.m.promised > 0 {
+			return nil, nil
+		}
+	}
+	return e, nil
+}}
+
+// The question finds a machine from which no primary is reached again.
+func TestExploreFindsADeadEnd(t *testing.T) {
+	x, w := fromSettled(t, deafAfterOnePromise)
+	w.left = budget{takes: 1, writes: 1}
+	x.liveness = 1
+	r := x.explore(w, 1000)
+	if r.fault == nil {
+		t.Fatalf("not found in %v", r)
+	}
+	t.Logf("%v; found: %v", r, r.fault)
+}
--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -238,6 +238,12 @@
 				}
 				seen[k] = struct{}{}
 				next = append(next, c)
+				if x.liveness > 0 && len(seen)%x.liveness == 0 {
+					if dead, err := x.checkLiveness(c); err != nil {
+						r.fault, r.path = err, x.path(dead)
+						return false
+					}
+				}
 				return true
 			})
 			if r.fault != nil {
--- a/internal/tier/consensus/explore_scenarios_test.go
+++ b/internal/tier/consensus/explore_scenarios_test.go
@@ -143,7 +143,7 @@
 var scenarios = []scenario{
 	{"two candidates, two writes", fromSettled, budget{takes: 2, writes: 2}, 300_000},
 	{"a candidate, a write, a read", fromSettled, budget{takes: 1, writes: 1, confirms: 1, ticks: 1}, 25_000},
-	{"a candidate, a write, a lost disk", fromSettled, budget{takes: 1, writes: 1, wipes: 1}, 100_000},
+	{"a candidate, a write, a lost disk", fromSettled, budget{takes: 1, writes: 1, wipes: 1}, 120_000},
 	{"a candidate, a write, a restart", fromSettled, budget{takes: 1, writes: 1, restarts: 1}, 25_000},
 	{"a candidate, a write, a time-out", fromSettled, budget{takes: 1, writes: 1, timeouts: 1}, 40_000},
 	{"genesis, two candidates, a write, a doubled message", fromGenesis, budget{takes: 2, writes: 1, doubles: 1}, 25_000},
@@ -157,6 +157,12 @@
 		budget{swaps: 1, takes: 1, writes: 1, wipes: 2}, 40_000},
 }
 
+// Of one state in so many, but of at most so many in all, the exploration asks whether it is a dead end.
+const (
+	livenessOneIn  = 100
+	livenessAtMost = 2000
+)
+
 // factor is by how much the bounds are raised: 8 where CONTROL_SEEDS is set.
 func factor() int {
 	if seedsOr(0) > 0 {
@@ -179,9 +185,10 @@
 		t.Run(s.name, func(t *testing.T) {
 			x, w := s.begin(t, plant{})
 			w.left = s.left
+			x.liveness = max(livenessOneIn, limit/livenessAtMost)
 			r := x.explore(w, limit)
 			total += r.states
-			t.Logf("%v in %v", r, time.Since(began))
+			t.Logf("%v, %d of them asked whether they are dead ends, in %v", r, x.recovered, time.Since(began))
 			if r.fault != nil {
 				t.Fatalf("%v\n%s", r.fault, strings.Join(r.path, "\n"))
 			}
--- a/internal/tier/consensus/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -30,6 +30,9 @@
 	lanes      map[string]*lane
 	folders    map[string]int
 	steps      int
+
+	liveness  int // one state in so many is asked whether it is a dead end; 0: none
+	recovered int // states that were asked, and are none
 }
 
 // body is a message, held once.
