--- a/internal/tier/consensus/explore_digest_test.go
+++ b/internal/tier/consensus/explore_digest_test.go
@@ -51,7 +51,7 @@
 		}
 	}
 	if r := m.primary; r != nil {
-		fmt.Fprint(&b, "|r", r.first, record(r.record), m.now-r.began, r.lost, r.renew, m.now-r.next, r.retryAt, l.shown)
+		fmt.Fprint(&b, "|r", r.first, record(r.record), m.now-r.began, r.lost, r.renew, m.now-r.next, r.retryAt, m.now-r.moreAt, l.shown)
 		for _, f := range slices.Sorted(maps.Keys(r.confirmed)) {
 			fmt.Fprint(&b, f, m.now-r.confirmed[f], ",")
 		}
--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -218,6 +218,7 @@
 	seen := map[string]struct{}{from.key(): {}}
 	frontier := []*systemState{from}
 	r.complete = true
+	var asked []*systemState // whether they are dead ends
 	defer func() { r.states, r.lanes, r.steps = len(seen), len(x.lanes), x.steps }()
 	for ; len(frontier) > 0; r.depth++ {
 		var next []*systemState
@@ -239,10 +240,7 @@
 				seen[k] = struct{}{}
 				next = append(next, c)
 				if x.liveness > 0 && len(seen)%x.liveness == 0 {
-					if dead, err := x.checkLiveness(c); err != nil {
-						r.fault, r.path = err, x.path(dead)
-						return false
-					}
+					asked = append(asked, c)
 				}
 				return true
 			})
@@ -252,6 +250,12 @@
 		}
 		frontier = next
 	}
+	for _, w := range asked { // only now, as what is asked adds to the states of single machines
+		if dead, err := x.checkLiveness(w); err != nil {
+			r.fault, r.path = err, x.path(dead)
+			return r
+		}
+	}
 	return r
 }
 
