--- a/internal/tier/consensus/leadership.go
+++ b/internal/tier/consensus/leadership.go
@@ -19,7 +19,7 @@
 	renew     bool                     // a backup has promised a higher epoch
 	next      time.Duration            // heartbeat
 	retryAt   time.Duration            // of the next proposal
-	moreAt    time.Duration            // before which none is made only for more backups: the one before gave none
+	moreAt    time.Duration            // before which none is made only for more backups or other addresses: the one before gave none
 	visible   map[string]*tierv1.Entry // what all copies hold
 	queue     []waiter
 	round     *round
--- a/internal/tier/consensus/maintain.go
+++ b/internal/tier/consensus/maintain.go
@@ -6,8 +6,9 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// maintain tells what record the primary wants next: lost backups replaced, a swap of members settled, copies and
-// members added, silent members swapped for joiners, one at a time. It is false where all is as it should be.
+// maintain tells what record the primary wants next: lost backups replaced, a swap of members settled, members named where
+// they are, copies and members added, silent members swapped for joiners, one at a time. It is false where all is as it
+// should be.
 func (machine *machine) maintain() (plan, bool) {
 	primary := machine.primary
 	if drop := machine.lostBackups(); len(drop) > 0 || primary.renew || machine.promised > primary.record.Epoch {
@@ -18,7 +19,8 @@
 	}
 	members := primary.record.Members
 	should, _ := machine.wanted(len(members))
-	if len(primary.record.Backups) < should && machine.now >= primary.moreAt && slices.ContainsFunc(members, machine.couldBack) {
+	more := len(primary.record.Backups) < should && slices.ContainsFunc(members, machine.couldBack)
+	if (more || slices.ContainsFunc(members, machine.moved)) && machine.now >= primary.moreAt {
 		primary.moreAt = machine.now + machine.timing.swap
 		return plan{}, true
 	}
--- /dev/null
+++ b/internal/tier/consensus/moved_test.go
@@ -0,0 +1,74 @@
+package consensus
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+)
+
+// move stops a process, and starts it with its disk at another address.
+func (w *world) move(s *site, address string) {
+	s.stop(w.random.IntN(2) == 0)
+	s.member = proto.CloneOf(s.member)
+	s.member.Address = address
+	w.startWithin(s, 500*time.Millisecond)
+}
+
+// A machine that comes back with its disk at another address is the same member: it counts again within the window, and the
+// next loss is borne.
+func TestMemberMovesWithItsDisk(t *testing.T) {
+	seeds := seedsOr(10)
+	if testing.Short() || raced {
+		seeds = 3
+	}
+	var settled time.Duration
+	for seed := range uint64(seeds) {
+		w := newWorld(seed, 3, 1)
+		w.boot()
+		w.run(5 * time.Second)
+		for n := range 6 {
+			w.move(w.sites[w.random.IntN(3)], fmt.Sprint("moved", n))
+			w.seeds[n%3] = fmt.Sprint("moved", n)
+			w.run(w.now + 600*time.Millisecond)
+			settled = max(settled, w.settleAgain(w.window))
+		}
+		if l := w.leader(); l != nil {
+			l.wipe()
+			l.gone = true
+			w.serveAgain(w.window)
+		}
+		assert.Assert(t, len(w.faults) == 0, "seed %d: %v\n%s", seed, w.faults, w.tail())
+	}
+	t.Logf("%v until the next loss is borne", settled)
+}
+
+// All machines come back with their disks, each at another address, and find each other by the seeds of their settings.
+func TestAllMembersMoveWithTheirDisks(t *testing.T) {
+	seeds := seedsOr(10)
+	if testing.Short() || raced {
+		seeds = 3
+	}
+	for _, losses := range []int{1, 2} {
+		var served time.Duration
+		for seed := range uint64(seeds) {
+			w := newWorld(seed, 2*losses+1, losses)
+			w.boot()
+			w.run(5 * time.Second)
+			w.seeds = nil
+			for i, s := range w.sites {
+				w.move(s, fmt.Sprint("moved", i))
+				if i < 3 {
+					w.seeds = append(w.seeds, s.member.Address)
+				}
+			}
+			w.run(w.now + 500*time.Millisecond)
+			served = max(served, w.serveAgain(w.window))
+			w.settleAgain(w.window)
+			assert.Assert(t, len(w.faults) == 0, "losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.tail())
+		}
+		t.Logf("%d losses: %v until something is acknowledged", losses, served)
+	}
+}
--- a/internal/tier/consensus/peers.go
+++ b/internal/tier/consensus/peers.go
@@ -72,6 +72,36 @@
 	return peer != nil && peer.replied && (member.Folder == "" || peer.member.Folder == member.Folder) && machine.now-peer.answered <= d
 }
 
+// addressOf is where a member is to be called: the address of its record, or where its folder was heard of since that one fell
+// silent, as a machine may come back with its disk at another address. It is no more than where to ask: what counts is the
+// folder that answers.
+func (machine *machine) addressOf(member *tierv1.Member) string {
+	address, at := member.Address, time.Duration(0)
+	if peer := machine.peers[address]; peer != nil && peer.member.GetFolder() == member.Folder {
+		at = max(peer.answered, peer.first) + machine.timing.call
+	}
+	for other, peer := range machine.peers {
+		seen := max(peer.answered, peer.first)
+		if member.Folder == "" || peer.member.GetFolder() != member.Folder || other == member.Address {
+			continue
+		}
+		if seen > at || seen == at && other < address {
+			address, at = other, seen
+		}
+	}
+	return address
+}
+
+// moved tells whether a member answers at another address than that of the record in force.
+func (machine *machine) moved(member *tierv1.Member) bool {
+	address := machine.addressOf(member)
+	if address == member.Address || member.Folder == machine.Folder {
+		return false
+	}
+	peer := machine.peers[address]
+	return peer.replied && machine.now-peer.answered <= machine.timing.call
+}
+
 // addresses are all other control-plane processes that are known.
 func (machine *machine) addresses() (list []string) {
 	add := func(a string) {
--- a/internal/tier/consensus/proposal.go
+++ b/internal/tier/consensus/proposal.go
@@ -106,13 +106,14 @@
 	}
 	for _, set := range sets {
 		for _, member := range set {
-			if member.Address == machine.self.Address || proposal.asked[member.Address] {
+			address := machine.addressOf(member)
+			if address == machine.self.Address || member.Folder == machine.Folder || proposal.asked[address] {
 				continue
 			}
-			proposal.asked[member.Address] = true
+			proposal.asked[address] = true
 			proposal.open++
 			began := machine.now
-			machine.call(member.Address, &tierv1.PromiseRequest{Epoch: proposal.epoch, From: machine.self}, true, func(body proto.Message) {
+			machine.call(address, &tierv1.PromiseRequest{Epoch: proposal.epoch, From: machine.self}, true, func(body proto.Message) {
 				reply, _ := body.(*tierv1.PromiseReply)
 				machine.answered(proposal, reply, began)
 			})
--- a/internal/tier/consensus/target.go
+++ b/internal/tier/consensus/target.go
@@ -32,7 +32,8 @@
 	machine.store(encodeMark(proposal.epoch), true)
 }
 
-// fill puts folders in for genesis members that answered.
+// fill names the members that answered as they described themselves: genesis members get their folder, others the address at
+// which they are now.
 func (machine *machine) fill(members []*tierv1.Member) (list []*tierv1.Member) {
 	for _, member := range members {
 		for _, reply := range machine.proposal.replies {
