--- a/internal/tier/controlplane/assign.go
+++ b/internal/tier/controlplane/assign.go
@@ -51,6 +51,7 @@
 	Certain bool            // whoever is not alive is lost; else it may only not have come yet
 	Create  bool            // the first map may be made
 	Move    bool            // copies and primaries may move only to make shares even
+	Pace    int             // partitions that have to move at a time for orders to retire to end in time (retirePace)
 }
 
 // Assign brings the partition map in line with the turn stores that are alive, and tells whether anything changed. It is pure:
--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -64,6 +64,7 @@
 	viewChanged chan struct{} // closed at the next change of view
 	sessions    registry
 	riskClock   riskClock
+	retireTimes retireTimes // of the orders that came to this process
 	// missing is since when, and when last, callers could not be sent to a primary; first is the last success where they could.
 	missing  struct{ first, last time.Time }
 	versions struct{ endpoints, members uint64 } // of versions within the epoch
@@ -92,7 +93,7 @@
 		c.Log = &log.Logger{Level: log.PanicLevel}
 	}
 	plane := &ControlPlane{Config: c, spread: spreadOf(c.Settings), writer: make(chan struct{}, 1), reconcileNow: make(chan struct{}, 1),
-		polled: make(chan struct{}, 1), view: &view{}, viewChanged: make(chan struct{})}
+		polled: make(chan struct{}, 1), view: &view{}, viewChanged: make(chan struct{}), retireTimes: retireTimes{}}
 	plane.sessions = newRegistry(c.Settings.ContactWindow / lapsePart)
 	plane.confirm.store = c.Store
 	plane.confirm.limit = c.Settings.ContactWindow / writePart
--- /dev/null
+++ b/internal/tier/controlplane/pace_test.go
@@ -0,0 +1,175 @@
+package controlplane
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+func TestMovesAtATime(t *testing.T) {
+	for _, test := range []struct {
+		moves            int
+		within, moveTime time.Duration
+		want             int
+	}{
+		{0, 10 * time.Second, time.Second, 0},
+		{20, time.Hour, time.Second, 1},
+		{20, 10 * time.Second, time.Second, 2},
+		{21, 10 * time.Second, time.Second, 3},
+		{20, time.Millisecond, time.Second, 20},
+		{20, 0, time.Second, 20},
+		{20, -time.Second, time.Second, 20},
+	} {
+		assert.Equal(t, movesAtATime(test.moves, test.within, test.moveTime), test.want, "%+v", test)
+	}
+}
+
+// Only what still lies on machines that are to be emptied within a time asks for a pace.
+func TestRetirePace(t *testing.T) {
+	m := &tierv1.PartitionMap{
+		StoreNodes: []*tierv1.StoreNode{{Folder: "f1", Node: "n1"}, {Folder: "f2", Node: "n2"}, {Folder: "f3", Node: "n3"}},
+		Partitions: []*tierv1.Partition{
+			{Primary: "f1", Backups: []*tierv1.Copy{{Folder: "f2"}}},
+			{Primary: "f2", Backups: []*tierv1.Copy{{Folder: "f3"}}},
+			{Primary: "f3", Backups: []*tierv1.Copy{{Folder: "f1"}}},
+		},
+		Retiring: []string{"n1", "n2", "gone"},
+	}
+	pace := func(left map[string]time.Duration) int { return retirePace(m, left, time.Second) }
+	assert.Equal(t, pace(nil), 0)
+	assert.Equal(t, pace(map[string]time.Duration{"gone": 0, "n3": 0}), 0)
+	assert.Equal(t, pace(map[string]time.Duration{"n1": time.Minute}), 1)
+	assert.Equal(t, pace(map[string]time.Duration{"n1": 0}), 2)
+	assert.Equal(t, pace(map[string]time.Duration{"n1": 0, "n2": 0}), 4)
+	assert.Equal(t, retirePace(nil, map[string]time.Duration{"n1": 0}, time.Second), 0)
+}
+
+// An order that another process took has no time left, as its age is not known; one without a time never runs out.
+func TestRetireTimes(t *testing.T) {
+	now := time.Now()
+	times := retireTimes{}
+	times.note("timed", now, retireDuration(7))
+	for i, seconds := range []float64{0, -1, 1e300} {
+		times.note(fmt.Sprint("endless", i), now, retireDuration(seconds))
+	}
+	left := times.left(now.Add(5*time.Second), []string{"timed", "endless0", "endless1", "endless2", "another's"})
+	assert.DeepEqual(t, left, map[string]time.Duration{"timed": 2 * time.Second, "another's": 0})
+}
+
+// An order that comes again before it could be taken has the time that it had at first; after that it is a new one.
+func TestRetireTimesOfAnOrderThatComesAgain(t *testing.T) {
+	now := time.Now()
+	times := retireTimes{}
+	left := func(after time.Duration) time.Duration { return times.left(now.Add(after), []string{"n"})["n"] }
+	times.note("n", now, 7*time.Second)
+	times.note("n", now.Add(5*time.Second), 7*time.Second)
+	assert.Equal(t, left(5*time.Second), 2*time.Second)
+	times.prune(now.Add(6*time.Second), nil)
+	assert.Equal(t, len(times), 1)
+	times.note("n", now.Add(8*time.Second), 7*time.Second)
+	assert.Equal(t, left(8*time.Second), 7*time.Second)
+	times.prune(now.Add(time.Minute), []string{"n"})
+	assert.Equal(t, len(times), 1)
+	times.prune(now.Add(time.Minute), nil)
+	assert.Equal(t, len(times), 0)
+}
+
+// slowCopies is how long a copy takes in these tests, and slowCopiesHold how long a call of their turn stores is held.
+const (
+	slowCopies     = 700 * time.Millisecond
+	slowCopiesHold = 50 * time.Millisecond
+	lostIsMadeGood = time.Second // after a return
+)
+
+// away is another turn store's absence beside an order.
+type away struct {
+	time.Duration
+	before bool // it is away already when the order comes, so that the order is not taken before it returns
+}
+
+// retireWithin orders a machine to be emptied within a time, again and again until that is taken. It gives how long it took
+// from the first time on, and the most copies that were under way at a time once all turn stores were there.
+func retireWithin(t *testing.T, duration time.Duration, away away) (took time.Duration, most int) {
+	const again = 500 * time.Millisecond
+	within(t, func(r *rig) {
+		stores := map[string]*process{}
+		join := func(node string) {
+			stores[node] = r.join(roleTurnStore, node, func(p *process) {
+				p.copying, p.req.HoldMs = slowCopies, uint32(slowCopiesHold.Milliseconds())
+			})
+		}
+		for _, node := range []string{"v1", "v2", "v3"} {
+			join(node)
+		}
+		r.pass(3 * time.Second)
+		if away.before {
+			stores["v3"].end()
+			r.pass(time.Second)
+		}
+		begun, back := time.Now(), false
+		for taken, completed := false, false; !completed && time.Since(begun) < time.Minute; {
+			if !taken {
+				body := strings.NewReader(fmt.Sprintf(`{"duration_s":%g}`, duration.Seconds()))
+				taken = r.call("POST", "Retire.Create/v1", nil, body).Code == http.StatusOK
+				assert.Assert(t, taken != (away.before && !back))
+				if away.Duration > 0 && !away.before && !back {
+					stores["v3"].end()
+				}
+			}
+			if !back && time.Since(begun) >= away.Duration {
+				back = true
+				if away.Duration > 0 {
+					join("v3")
+					r.pass(lostIsMadeGood)
+				}
+			}
+			if back {
+				most = max(most, unsynced(r.turnStores()))
+			}
+			if taken {
+				r.pass(20 * time.Millisecond)
+				completed = strings.Contains(r.call("GET", "Retire.Describe/v1", nil, nil).Body.String(), retireCompleted)
+			} else {
+				r.pass(again)
+			}
+		}
+		took = time.Since(begun)
+	})
+	return took, most
+}
+
+// An order ends within its time, also where another turn store is away for a part of it.
+func TestARetireEndsWithinItsTime(t *testing.T) {
+	for _, test := range []struct {
+		duration time.Duration
+		away     away
+	}{
+		{4 * time.Second, away{}},
+		{7 * time.Second, away{}},
+		{7 * time.Second, away{2 * time.Second, false}},
+		{7 * time.Second, away{4 * time.Second, false}},
+		{12 * time.Second, away{6 * time.Second, false}},
+		{7 * time.Second, away{2 * time.Second, true}},
+		{7 * time.Second, away{3 * time.Second, true}},
+		{12 * time.Second, away{8 * time.Second, true}},
+	} {
+		took, most := retireWithin(t, test.duration, test.away)
+		t.Logf("in %v, another away for %v (before the order: %v): took %v, at most %d copies at a time", test.duration, test.away.Duration, test.away.before, took, most)
+		assert.Check(t, took <= test.duration, "%+v: took %v", test, took)
+	}
+}
+
+// Where there is time, an eighth of the partitions moves at a time, as without an order's time.
+func TestARetireWithTimeMovesSlowly(t *testing.T) {
+	for _, duration := range []time.Duration{0, 2 * time.Minute} {
+		took, most := retireWithin(t, duration, away{})
+		t.Logf("in %v: took %v, at most %d copies at a time", duration, took, most)
+		assert.Assert(t, most <= partitionCount/moveShare, "%d copies at a time", most)
+	}
+}
--- a/internal/tier/controlplane/rebalance.go
+++ b/internal/tier/controlplane/rebalance.go
@@ -8,7 +8,7 @@
 )
 
 // maxMoves is the number of partitions that may move at a time.
-func (a *assignment) maxMoves() int { return max(1, len(a.m.Partitions)/moveShare) }
+func (a *assignment) maxMoves() int { return max(1, len(a.m.Partitions)/moveShare, a.Pace) }
 
 // movesUnderWay counts the partitions of which a copy is under way, and gets on.
 func (a *assignment) movesUnderWay() int {
--- a/internal/tier/controlplane/reconcile.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -32,12 +32,14 @@
 	alive, leaving, reports := plane.sessions.storeNodes(now)
 	lapsed := plane.lapsed(now, v, alive)
 	arrived := plane.sessions.arrived
+	left := plane.retireTimes.left(now, v.partitionMap.GetRetiring())
 	plane.riskClock.observe(now, AtRisk(v.partitionMap, plane.spread, alive, plane.Settings.SyncTime).Partitions)
 	plane.mu.Unlock()
 	in := Input{Spread: plane.spread, Alive: alive, Leaving: leaving, Reports: reports, Lapsed: lapsed}
 	in.Certain = now.Sub(v.since) >= plane.window(gracePart)
 	in.Create = now.Sub(arrived) >= plane.window(settlePart)
 	in.Move = now.Sub(t.wrote) >= plane.window(tickPart)
+	in.Pace = retirePace(v.partitionMap, left, plane.window(moveTimePart))
 	in.Slow, in.Stalled = t.stall.observe(now, plane.Settings.ContactWindow, v.partitionMap, alive)
 	seen := strconv.FormatUint(v.partitionMap.GetVersion(), 10) + ";" + in.signature()
 	if t.done && t.last == seen {
@@ -63,7 +65,10 @@
 		err := plane.putPartitionMap(ctx, epoch, next)
 		if err == nil {
 			plane.Log.Info().Str("event", "turnstores").Int("store_nodes", len(next.StoreNodes)).Int("alive", len(alive)).Int("moved", moved(v.partitionMap, next)).
-				Int("unsynced", unsynced(next)).Msg("")
+				Int("unsynced", unsynced(next)).Int("pace", in.Pace).Msg("")
+			for _, node := range next.Retired[len(v.partitionMap.GetRetired()):] {
+				plane.Log.Info().Str("event", "retired").Str("node", node).Msg("")
+			}
 		}
 		return err == nil
 	}
@@ -124,7 +129,7 @@
 		parts = append(parts, fmt.Sprint(r.From, "/", r.Copy.Partition, "/", r.Copy.Epoch, "/", r.Copy.Folder))
 	}
 	slices.Sort(parts)
-	parts = append(parts, fmt.Sprint(in.Certain, in.Create, in.Slow, in.Stalled, in.Lapsed))
+	parts = append(parts, fmt.Sprint(in.Certain, in.Create, in.Pace, in.Slow, in.Stalled, in.Lapsed))
 	return strings.Join(parts, ";")
 }
 
--- a/internal/tier/controlplane/retire.go
+++ b/internal/tier/controlplane/retire.go
@@ -104,7 +104,13 @@
 // writeIfRetirable decides on an order to retire, and writes it if it can be carried out, in one step with the decision. It
 // gives the view that was decided on; with retireTake, which says that it was written, the view that has it.
 func (plane *ControlPlane) writeIfRetirable(ctx context.Context, node string, duration float64) (retireVerdict, *view, error) {
-	decide := func(v *view) retireVerdict { return plane.retireRequest(v, node).decide() }
+	decide := func(v *view) retireVerdict {
+		verdict := plane.retireRequest(v, node).decide()
+		if verdict == retireTake || verdict == retireWait {
+			plane.noteRetireTime(node, duration, v.partitionMap.GetRetiring())
+		}
+		return verdict
+	}
 	write := func(ctx context.Context, v *view) (retireVerdict, *view, error) {
 		return plane.writeRetire(ctx, v, node, duration)
 	}
@@ -129,6 +135,16 @@
 	return retireTake, &after, nil
 }
 
+// noteRetireTime keeps until when a machine is to be emptied, by its order's duration in seconds. It does so before the order
+// is written, as it is followed from then on.
+func (plane *ControlPlane) noteRetireTime(node string, duration float64, orders []string) {
+	plane.mu.Lock()
+	defer plane.mu.Unlock()
+	now := time.Now()
+	plane.retireTimes.prune(now, orders)
+	plane.retireTimes.note(node, now, retireDuration(duration))
+}
+
 func (plane *ControlPlane) retireRequest(v *view, node string) retireRequest {
 	known, remain := plane.remaining(v.partitionMap, node)
 	return retireRequest{ordered: slices.Contains(v.partitionMap.GetRetiring(), node), known: known, remain: remain,
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"compress/gzip"
 	"context"
 	"errors"
@@ -18,6 +19,7 @@
 	"dockshift.example/dockshift/internal/tier/consensus"
 	"dockshift.example/dockshift/internal/tier/settings"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 )
 
@@ -196,13 +198,15 @@
 
 // process holds a session: one call after the other, each acknowledging what the one before brought.
 type process struct {
-	mu     sync.Mutex
-	req    *tierv1.WatchRequest
-	slow   time.Duration // from an answer to the call that acknowledges it
-	lost   int           // answers that said that this is not the primary
-	bodies []string
-	cancel context.CancelFunc
-	done   chan struct{}
+	mu      sync.Mutex
+	req     *tierv1.WatchRequest
+	slow    time.Duration // from an answer to the call that acknowledges it
+	lost    int           // answers that said that this is not the primary
+	bodies  []string
+	copies  map[*tierv1.SyncedCopy]time.Time // under way, since when; they are reported after copying
+	copying time.Duration
+	cancel  context.CancelFunc
+	done    chan struct{}
 }
 
 func (r *rig) join(role, node string, change func(*process)) *process {
@@ -220,6 +224,7 @@
 		defer close(p.done)
 		for ctx.Err() == nil {
 			p.mu.Lock()
+			p.reportCopies(time.Now())
 			req := cloneWatch(p.req)
 			p.mu.Unlock()
 			n, err := service.Watch(ctx, req)
@@ -264,20 +269,42 @@
 	}
 	if n.PartitionMap != nil {
 		p.req.PartitionMap = n.PartitionMap.Version
-		p.req.Synced = nil // a turn store reports the copies of its partitions
+		before := p.copies
+		p.copies = map[*tierv1.SyncedCopy]time.Time{}
 		for i, one := range n.PartitionMap.Partitions {
 			if p.req.Folder == "" || one.Primary != p.req.Folder {
 				continue
 			}
 			for _, c := range one.Backups {
 				if !c.Synced {
-					p.req.Synced = append(p.req.Synced, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: one.Epoch, Folder: c.Folder})
+					p.beginCopy(before, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: one.Epoch, Folder: c.Folder})
 				}
 			}
 		}
 	}
 }
 
+// beginCopy begins a copy, or goes on with it where it is one of those before.
+func (p *process) beginCopy(before map[*tierv1.SyncedCopy]time.Time, c *tierv1.SyncedCopy) {
+	p.copies[c] = time.Now()
+	for one, since := range before {
+		if proto.Equal(one, c) {
+			p.copies[c] = since
+		}
+	}
+}
+
+// reportCopies has the next call report the copies that have been under way for long enough, as a turn store does.
+func (p *process) reportCopies(now time.Time) {
+	p.req.Synced = nil
+	for c, since := range p.copies {
+		if now.Sub(since) >= p.copying {
+			p.req.Synced = append(p.req.Synced, c)
+		}
+	}
+	slices.SortFunc(p.req.Synced, func(a, b *tierv1.SyncedCopy) int { return cmp.Compare(a.Partition, b.Partition) })
+}
+
 // tells has the calls from the next one on tell another state of the disk.
 func (p *process) tells(state tierv1.DiskState) {
 	p.mu.Lock()
