--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -28,9 +28,9 @@
 		before := slices.Clone(p.Backups)
 		a.removeBackup(p, c.Folder)
 		if a.stayingCopies(p) <= a.Losses {
-			if next := a.pick(p); next != "" {
+			if next := a.spare(p); next != "" {
 				p.Backups = append(p.Backups, &tierv1.Copy{Folder: next})
-			} else if a.waitsFor(c.Folder) {
+			} else if a.aliveCopies(p) <= a.Losses && a.waitsFor(c.Folder) {
 				p.Backups = before
 				continue
 			}
@@ -48,10 +48,47 @@
 		}
 		a.addCopy(p, next)
 	}
+	for next := a.standIn(p); next != ""; next = a.standIn(p) {
+		p.Backups = append(p.Backups, &tierv1.Copy{Folder: next})
+	}
 	a.trim(p)
 	a.pruneRetained(p)
 }
 
+// spare chooses a turn store for a copy in place of one that is lost: one that stays, or else a stand-in.
+func (a *assignment) spare(p *tierv1.Partition) string {
+	if next := a.pick(p); next != "" {
+		return next
+	}
+	return a.standIn(p)
+}
+
+// standIn chooses a turn store that is being emptied for a copy of a partition that has fewer copies than it should, and no
+// other turn store for one: empty where there is none, or no need. The copy goes when enough others are synced, as all do
+// that are on such turn stores; the order to empty it isn't completed before.
+func (a *assignment) standIn(p *tierv1.Partition) string {
+	if a.aliveCopies(p) > a.Losses || a.pick(p) != "" {
+		return ""
+	}
+	return a.pickWhere(p, a.standsIn)
+}
+
+// standsIn tells whether a turn store is being emptied, and may not be taken away yet.
+func (a *assignment) standsIn(folder string) bool {
+	return a.alive(folder) && a.retiring(folder) && !a.hasLeft(folder) && !slices.Contains(a.m.Retired, a.storeNodes[folder].Node)
+}
+
+// aliveCopies counts a partition's copies on turn stores that are alive and have not heard SIGTERM.
+func (a *assignment) aliveCopies(p *tierv1.Partition) int {
+	n := 0
+	for _, folder := range members(p) {
+		if a.alive(folder) && !a.hasLeft(folder) {
+			n++
+		}
+	}
+	return n
+}
+
 // waitsFor tells whether a partition that has no turn store for another copy waits for a lost one, as its backup, rather than
 // go on without it. It does where more turn stores with copies are lost than is borne. It also does for a moment after a
 // session has lapsed: that may be for want of messages, and is no loss yet. What the others acknowledged without it would be
@@ -306,12 +343,15 @@
 }
 
 // pick chooses a turn store for another copy of a partition, or for its primary where there is none yet; empty if there is none.
-func (a *assignment) pick(p *tierv1.Partition) string {
+func (a *assignment) pick(p *tierv1.Partition) string { return a.pickWhere(p, a.usable) }
+
+// pickWhere is pick among the turn stores that may take a copy.
+func (a *assignment) pickWhere(p *tierv1.Partition, may func(folder string) bool) string {
 	load, first := a.copiesByStore(), a.primariesByStore()
 	all := members(p)
 	best := ""
 	for _, folder := range sorted(a.Alive) {
-		if !a.usable(folder) || slices.Contains(all, folder) {
+		if !may(folder) || slices.Contains(all, folder) {
 			continue
 		}
 		if best == "" {
