--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -118,7 +118,8 @@
 // retarget tries other turn stores for a copy that doesn't get on: its primary or the copy's turn store may be out of reach of
 // the other, though both are alive. All synced copies are tried as the primary in turn, and when each had its turn, the
 // next turn store for the copy: at most Losses + 1 primaries for each. Only a synced copy becomes primary, and only
-// unsynced ones are replaced, so that nothing is given up.
+// unsynced ones are replaced, so that nothing is given up. One that is replaced is retained: what was acknowledged while it
+// was under way may be nowhere else but at the primary.
 func (a *assignment) retarget(p *tierv1.Partition) {
 	sources := []string{p.Primary}
 	for _, c := range p.Backups {
@@ -134,8 +135,12 @@
 		return
 	}
 	for _, c := range p.Backups {
-		if !c.Synced {
-			c.Folder, _ = following(a.alternatives(p, c.Folder), c.Folder)
+		if c.Synced {
+			continue
+		}
+		if next, _ := following(a.alternatives(p, c.Folder), c.Folder); next != c.Folder {
+			a.retain(p, c.Folder, c.Since)
+			c.Folder = next
 		}
 	}
 }
--- a/internal/tier/controlplane/retain.go
+++ b/internal/tier/controlplane/retain.go
@@ -6,8 +6,8 @@
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
-// A copy whose turn store falls silent is taken out of its partition, as nothing is acknowledged without a backup that the
-// map names. It is retained: the map remembers in which epochs it took all that was acknowledged, and its turn store keeps it.
+// A copy whose turn store falls silent, or that does not get on, is taken out of its partition, as nothing is acknowledged
+// without a backup that the map names. It is retained: the map remembers in which epochs it took all that was acknowledged, and its turn store keeps it.
 // Whatever was acknowledged in an epoch is synced at all members of that epoch, copies under way included, and facts are
 // only added. So copies whose spans of epochs follow each other without a gap, from the beginning to the newest in which
 // anything can have been acknowledged, hold together all that ever was, also when the primary and all synced copies are
--- a/internal/tier/controlplane/retain_test.go
+++ b/internal/tier/controlplane/retain_test.go
@@ -86,15 +86,49 @@
 		}
 		w.reports = nil
 		w.settle()
-		for i, p := range w.m.Partitions {
-			primary := w.machine(p.Primary)
-			assert.Assert(t, primary != nil && len(p.RecoverFrom) == 0, "seed %d, partition %d has no primary: %v\n%v", seed, i, p, w.trace)
-			assert.Assert(t, w.acknowledge(primary, i), "seed %d, partition %d does not serve: %v\n%v", seed, i, p, w.trace)
-		}
+		w.allServed()
 		w.even(false)
 	}
 }
 
+// allServed checks that each partition has a primary that acknowledges a turn.
+func (w *world) allServed() {
+	w.t.Helper()
+	for i, p := range w.m.Partitions {
+		primary := w.machine(p.Primary)
+		assert.Assert(w.t, primary != nil && len(p.RecoverFrom) == 0, "partition %d has no primary: %v\n%v", i, p, w.trace)
+		assert.Assert(w.t, w.acknowledge(primary, i), "partition %d does not serve: %v\n%v", i, p, w.trace)
+	}
+}
+
+// A copy under way does not get on, and another turn store is tried for it; then the primary loses its disk. The copy that was
+// given up has what was acknowledged while it was under way, and the one that had lapsed before what came earlier.
+func TestALossAfterAStalledCopyWasReplaced(t *testing.T) {
+	w := newWorld(t, nil, 4, 4, Spread{1, byNode})
+	w.assign(w.input())
+	w.settle()
+	primary, lapsed := w.machines[0], w.machines[1]
+	lapsed.cut = true
+	assert.Assert(t, w.assign(w.input()))
+	w.served()
+	lapsed.cut = false
+	in := w.input()
+	in.Stalled = map[uint32]bool{}
+	for i, p := range w.m.Partitions {
+		in.Stalled[uint32(i)] = p.Primary == primary.folder && hasUnsynced(p)
+	}
+	in.Slow = in.Stalled
+	for range 2 * (w.spread.Losses + 1) { // until other turn stores are tried for the copies
+		w.assign(in)
+		w.served()
+	}
+	w.wipe(primary, false)
+	w.reports = nil
+	w.settle()
+	w.allServed()
+	w.even(false)
+}
+
 // What was retained is forgotten once enough copies are synced, and with its disk.
 func TestRetainedCopiesAreForgotten(t *testing.T) {
 	w := newWorld(t, nil, 4, 4, Spread{1, byNode})
