--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -59,12 +59,14 @@
 	polled       chan struct{} // wakes the one that asks for the platform's list
 	confirm      confirmer
 
-	mu          sync.Mutex
-	view        *view
-	viewChanged chan struct{} // closed at the next change of view
-	sessions    registry
-	riskClock   riskClock
-	retireTimes retireTimes // of the orders that came to this process
+	mu           sync.Mutex
+	view         *view
+	viewChanged  chan struct{} // closed at the next change of view
+	sessions     registry
+	endpointList endpointList // of the epoch of the view
+	laterPush    *time.Timer  // publishes what endpointList has changed; nil: none is to come
+	riskClock    riskClock
+	retireTimes  retireTimes // of the orders that came to this process
 	// missing is since when, and when last, callers could not be sent to a primary; first is the last success where they could.
 	missing  struct{ first, last time.Time }
 	versions struct{ endpoints, members uint64 } // of versions within the epoch
@@ -268,6 +270,8 @@
 		next.endpoints, next.packedList, next.members = plane.view.endpoints, plane.view.packedList, plane.view.members
 	} else {
 		plane.versions.endpoints, plane.versions.members = 0, 0
+		plane.stopLaterPush()
+		plane.endpointList = newEndpointList(plane.Settings.DrainTimeout / pushPart)
 		plane.riskClock = riskClock{}
 	}
 	plane.replaceView(func(v *view) { *v = next })
--- /dev/null
+++ b/internal/tier/controlplane/endpoint_list.go
@@ -0,0 +1,119 @@
+package controlplane
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"google.golang.org/protobuf/proto"
+)
+
+// endpointList is what a primary knows of the platform's list, which it reads page by page. What a page tells is taken at once:
+// that an endpoint drains, or that one is new. What no page told is gone, and that is known only when the last page of a
+// reading has come. Until then an address may stand there for its former instance as well: a request names the instance
+// that it is for, and another refuses it. It has no clock and no lock of its own.
+type endpointList struct {
+	pushGap time.Duration // from one push to the next within a reading, at least
+	known   map[string]listedEndpoint
+	reading uint64    // number of the reading that is under way, or was the last
+	whole   bool      // a reading has come to its end: known is a whole list
+	changed bool      // since the last push
+	pushed  time.Time // the last push; zero: none
+}
+
+// listedEndpoint is an endpoint as it was read last.
+type listedEndpoint struct {
+	endpoint *tierv1.Endpoint
+	readAt   time.Time
+	reading  uint64 // number of that reading
+}
+
+func newEndpointList(pushGap time.Duration) endpointList {
+	return endpointList{pushGap: pushGap, known: map[string]listedEndpoint{}}
+}
+
+// beginReading starts a reading. One that was given up before its end leaves what it has told, and nothing is gone by it.
+func (l *endpointList) beginReading() { l.reading++ }
+
+// takePage takes one page of the reading that is under way.
+func (l *endpointList) takePage(now time.Time, page []*tierv1.Endpoint) {
+	for _, endpoint := range page {
+		before, known := l.known[endpoint.Instance]
+		if known && before.reading == l.reading && before.endpoint.Draining && !endpoint.Draining {
+			// The list changed while it was read, and has the instance on two pages: one that drains does not return.
+			endpoint = proto.Clone(endpoint).(*tierv1.Endpoint)
+			endpoint.Draining = true
+		}
+		if !known || !sameEndpoint(before.endpoint, endpoint) {
+			l.changed = true
+		}
+		l.known[endpoint.Instance] = listedEndpoint{endpoint, now, l.reading}
+	}
+}
+
+// endReading takes the end of the list: what this reading has not shown is gone.
+func (l *endpointList) endReading() {
+	for instance, one := range l.known {
+		if one.reading != l.reading {
+			delete(l.known, instance)
+			l.changed = true
+		}
+	}
+	if !l.whole {
+		l.whole, l.changed = true, true // also an empty list is news
+	}
+}
+
+// pushDelay tells whether there is something to push, and how long it is to wait: changes that come close to each other go
+// together. Without a whole list there is nothing to push, as whoever got a part would take the rest for gone.
+func (l *endpointList) pushDelay(now time.Time) (delay time.Duration, pending bool) {
+	if !l.changed || !l.whole {
+		return 0, false
+	}
+	if l.pushed.IsZero() {
+		return 0, true
+	}
+	return max(0, l.pushGap-now.Sub(l.pushed)), true
+}
+
+// push gives the list that goes out now.
+func (l *endpointList) push(now time.Time) []*tierv1.Endpoint {
+	l.changed, l.pushed = false, now
+	return l.list(now)
+}
+
+// list gives all endpoints in the order of instances. Those that were read some time ago have been getting warmer since.
+func (l *endpointList) list(now time.Time) []*tierv1.Endpoint {
+	list := make([]*tierv1.Endpoint, 0, len(l.known))
+	for _, one := range l.known {
+		list = append(list, one.at(now))
+	}
+	slices.SortFunc(list, func(a, b *tierv1.Endpoint) int { return cmp.Compare(a.Instance, b.Instance) })
+	return list
+}
+
+// at gives the endpoint as it is now.
+func (one listedEndpoint) at(now time.Time) *tierv1.Endpoint {
+	elapsed := uint64(max(0, now.Sub(one.readAt)).Milliseconds())
+	cold := uint64(one.endpoint.ColdRemainingMs)
+	if cold == 0 || elapsed == 0 {
+		return one.endpoint
+	}
+	warmer := proto.Clone(one.endpoint).(*tierv1.Endpoint)
+	warmer.ColdRemainingMs = uint32(cold - min(cold, elapsed))
+	return warmer
+}
+
+// sameEndpoint tells whether two entries differ in nothing but that b is warmer than a.
+func sameEndpoint(a, b *tierv1.Endpoint) bool {
+	if b.ColdRemainingMs > a.ColdRemainingMs {
+		return false
+	}
+	if a.ColdRemainingMs == b.ColdRemainingMs {
+		return proto.Equal(a, b)
+	}
+	c := proto.Clone(a).(*tierv1.Endpoint)
+	c.ColdRemainingMs = b.ColdRemainingMs
+	return proto.Equal(c, b)
+}
--- /dev/null
+++ b/internal/tier/controlplane/endpoint_list_test.go
@@ -0,0 +1,247 @@
+package controlplane
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// entry is an endpoint by its instance, its address, and whether it drains: "i1@a1" or "i1@a1!".
+func entry(text string) *tierv1.Endpoint {
+	text, draining := strings.CutSuffix(text, "!")
+	instance, address, _ := strings.Cut(text, "@")
+	return &tierv1.Endpoint{Instance: instance, Address: address, Draining: draining}
+}
+
+func entries(texts string) (list []*tierv1.Endpoint) {
+	for _, text := range strings.Fields(texts) {
+		list = append(list, entry(text))
+	}
+	return list
+}
+
+func entryTexts(list []*tierv1.Endpoint) string {
+	var texts []string
+	for _, one := range list {
+		text := one.Instance + "@" + one.Address
+		if one.Draining {
+			text += "!"
+		}
+		texts = append(texts, text)
+	}
+	return strings.Join(texts, " ")
+}
+
+// A step of a table is a page, "end" for the end of the list after it, or "begin" for another reading.
+func TestPagesAreTakenAsTheyCome(t *testing.T) {
+	const whole = "i1@a1 i2@a2|i3@a3|end"
+	for _, c := range []struct{ name, steps, want string }{
+		{"a whole list", whole, "i1@a1 i2@a2 i3@a3"},
+		{"an empty list", "end", ""},
+		{"draining counts at once", whole + "|begin|i1@a1! i2@a2", "i1@a1! i2@a2 i3@a3"},
+		{"a new one counts at once", whole + "|begin|i1@a1 i4@a4", "i1@a1 i2@a2 i3@a3 i4@a4"},
+		{"a missing one counts at the end", whole + "|begin|i1@a1|i3@a3", "i1@a1 i2@a2 i3@a3"},
+		{"at the end it is gone", whole + "|begin|i1@a1|i3@a3|end", "i1@a1 i3@a3"},
+		{"nothing is gone by a reading that was given up", whole + "|begin|i1@a1!|begin|i1@a1! i2@a2|i3@a3|end", "i1@a1! i2@a2 i3@a3"},
+		{"nor by two that were given up in turn", whole + "|begin|i1@a1|begin|i2@a2", "i1@a1 i2@a2 i3@a3"},
+		{"what a reading that was given up showed is gone by the next", whole + "|begin|i4@a4|begin|i1@a1 i2@a2|i3@a3|end", "i1@a1 i2@a2 i3@a3"},
+		{"moved to a page that was read", whole + "|begin|i1@a1 i2@a2|end", "i1@a1 i2@a2"},
+		{"on two pages, draining first", whole + "|begin|i1@a1! i2@a2|i1@a1 i3@a3|end", "i1@a1! i2@a2 i3@a3"},
+		{"on two pages, draining later", whole + "|begin|i1@a1 i2@a2|i1@a1! i3@a3|end", "i1@a1! i2@a2 i3@a3"},
+		{"ready again in a later reading", whole + "|begin|i1@a1!|begin|i1@a1", "i1@a1 i2@a2 i3@a3"},
+		{"an address is another's, who had it may be listed still", whole + "|begin|i4@a3", "i1@a1 i2@a2 i3@a3 i4@a3"},
+		{"an address is another's, who had it is gone at the end", whole + "|begin|i4@a3|i1@a1 i2@a2|end", "i1@a1 i2@a2 i4@a3"},
+		{"an instance has another address", whole + "|begin|i1@a9", "i1@a9 i2@a2 i3@a3"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l := newEndpointList(time.Second)
+			l.beginReading()
+			now := time.Unix(1000, 0)
+			for step := range strings.SplitSeq(c.steps, "|") {
+				now = now.Add(time.Second)
+				switch step {
+				case "begin":
+					l.beginReading()
+				case "end":
+					l.endReading()
+				default:
+					l.takePage(now, entries(step))
+				}
+				if _, pending := l.pushDelay(now); pending {
+					l.push(now)
+				}
+			}
+			assert.Equal(t, entryTexts(l.list(now)), c.want)
+		})
+	}
+}
+
+func TestNothingIsPushedBeforeTheFirstWholeList(t *testing.T) {
+	l := newEndpointList(time.Second)
+	now := time.Unix(1000, 0)
+	l.beginReading()
+	l.takePage(now, entries("i1@a1 i2@a2!"))
+	_, pending := l.pushDelay(now)
+	assert.Assert(t, !pending, "a part would have the rest taken for gone")
+	l.endReading()
+	delay, pending := l.pushDelay(now)
+	assert.Assert(t, pending && delay == 0)
+}
+
+// Changes of pages that come close to each other go together, and what has not changed does not go.
+func TestPushesKeepTheirGap(t *testing.T) {
+	l := newEndpointList(time.Second)
+	now := time.Unix(1000, 0)
+	l.beginReading()
+	l.takePage(now, entries("i1@a1 i2@a2 i3@a3"))
+	l.endReading()
+	l.push(now)
+	l.beginReading()
+	l.takePage(now, entries("i1@a1"))
+	_, pending := l.pushDelay(now)
+	assert.Assert(t, !pending)
+	now = now.Add(300 * time.Millisecond)
+	l.takePage(now, entries("i2@a2!"))
+	delay, pending := l.pushDelay(now)
+	assert.Assert(t, pending && delay == 700*time.Millisecond, "%v", delay)
+	now = now.Add(delay)
+	l.takePage(now, entries("i3@a3!"))
+	delay, pending = l.pushDelay(now)
+	assert.Assert(t, pending && delay == 0)
+	assert.Equal(t, entryTexts(l.push(now)), "i1@a1 i2@a2! i3@a3!")
+	l.endReading()
+	_, pending = l.pushDelay(now)
+	assert.Assert(t, !pending)
+}
+
+// An entry whose page was read a while ago is as warm as it has become since, not as it was.
+func TestEndpointsGetWarmerBetweenReadings(t *testing.T) {
+	l := newEndpointList(time.Second)
+	now := time.Unix(1000, 0)
+	l.beginReading()
+	cold := entry("i1@a1")
+	cold.ColdRemainingMs = 2000
+	l.takePage(now, []*tierv1.Endpoint{cold, entry("i2@a2")})
+	l.endReading()
+	l.push(now)
+	assert.Equal(t, l.list(now.Add(500 * time.Millisecond))[0].ColdRemainingMs, uint32(1500))
+	assert.Equal(t, l.list(now.Add(5 * time.Second))[0].ColdRemainingMs, uint32(0))
+	assert.Equal(t, cold.ColdRemainingMs, uint32(2000), "the entry that others hold was changed")
+	l.beginReading()
+	l.takePage(now.Add(time.Second), []*tierv1.Endpoint{{Instance: "i1", Address: "a1", ColdRemainingMs: 1000}})
+	_, pending := l.pushDelay(now.Add(time.Second))
+	assert.Assert(t, !pending, "a list that only grew warmer is pushed")
+}
+
+// Pages of drawn lists that change while they are read, readings that are given up: the list never lacks an endpoint that
+// stood on the platform's list all along, shows each that a page told as draining as such at once, and after a reading of a
+// list that stands still it is that list.
+func TestDrawnPages(t *testing.T) {
+	for seed := range uint64(40) {
+		random := rand.New(rand.NewPCG(seed, 1))
+		l := newEndpointList(time.Second)
+		now := time.Unix(1000, 0)
+		platform := &drawnList{random: random, since: map[string]int{}, reading: -1}
+		for range 12 {
+			platform.add()
+		}
+		for reading := range 30 {
+			platform.reading = reading
+			l.beginReading()
+			for page := range platform.pages(func() {
+				if reading < 29 {
+					platform.change()
+				}
+			}) {
+				l.takePage(now, page)
+				shown := map[string]*tierv1.Endpoint{}
+				for _, one := range l.list(now) {
+					shown[one.Instance] = one
+				}
+				for _, one := range page {
+					assert.Assert(t, !one.Draining || shown[one.Instance].Draining, "seed %d: %s", seed, one.Instance)
+				}
+				for _, one := range platform.list {
+					before := platform.since[one.Instance]+1 < platform.read // a whole reading began after it came
+					assert.Assert(t, !before || shown[one.Instance] != nil, "seed %d: %s was dropped", seed, one.Instance)
+				}
+				now = now.Add(100 * time.Millisecond)
+			}
+			if platform.gaveUp {
+				continue
+			}
+			l.endReading()
+			platform.read = reading + 1
+		}
+		sorted := slices.Clone(platform.list)
+		slices.SortFunc(sorted, func(a, b *tierv1.Endpoint) int { return strings.Compare(a.Instance, b.Instance) })
+		assert.Equal(t, entryTexts(l.list(now)), entryTexts(sorted), "seed %d", seed)
+	}
+}
+
+// drawnList is a platform's list, in the order of instances, whose pages go on after the last instance that was shown.
+type drawnList struct {
+	random  *rand.Rand
+	list    []*tierv1.Endpoint
+	since   map[string]int // the reading during which it came, -1 before the first
+	count   int
+	reading int // the one under way
+	read    int // one more than the last that came to its end
+	gaveUp  bool
+}
+
+func (d *drawnList) add() {
+	d.count++
+	one := entry(fmt.Sprintf("i%04d-%d@a%d", d.random.IntN(10000), d.count, d.count))
+	d.list = append(d.list, one)
+	d.since[one.Instance] = d.reading
+}
+
+func (d *drawnList) change() {
+	switch at := d.random.IntN(len(d.list)); d.random.IntN(6) {
+	case 0:
+		d.add()
+	case 1: // only what drains goes
+		if d.list[at].Draining && len(d.list) > 4 {
+			d.list = slices.Delete(d.list, at, at+1)
+		}
+	case 2:
+		d.list[at] = &tierv1.Endpoint{Instance: d.list[at].Instance, Address: d.list[at].Address, Draining: true}
+	}
+}
+
+// pages reads the list, and has it changed after each page.
+func (d *drawnList) pages(changed func()) func(yield func([]*tierv1.Endpoint) bool) {
+	return func(yield func([]*tierv1.Endpoint) bool) {
+		size, after := 1+d.random.IntN(5), ""
+		d.gaveUp = false
+		for {
+			var page []*tierv1.Endpoint
+			slices.SortFunc(d.list, func(a, b *tierv1.Endpoint) int { return strings.Compare(a.Instance, b.Instance) })
+			for _, one := range d.list {
+				if one.Instance > after && len(page) < size {
+					page = append(page, one)
+				}
+			}
+			if len(page) == 0 {
+				return
+			}
+			after = page[len(page)-1].Instance
+			if !yield(page) {
+				return
+			}
+			changed()
+			if d.read > 0 && d.reading < 29 && d.random.IntN(20) == 0 {
+				d.gaveUp = true
+				return
+			}
+		}
+	}
+}
--- a/internal/tier/controlplane/endpoints.go
+++ b/internal/tier/controlplane/endpoints.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"compress/gzip"
 	"sync"
+	"time"
 
 	"google.golang.org/protobuf/proto"
 
@@ -28,6 +29,74 @@
 	v.packedList = &packedEndpoints{whole: list}
 }
 
+// beginReading starts a reading of the platform's list, if the epoch goes on.
+func (plane *ControlPlane) beginReading(epoch uint64) {
+	plane.mu.Lock()
+	defer plane.mu.Unlock()
+	if plane.view.epoch == epoch {
+		plane.endpointList.beginReading()
+	}
+}
+
+// takePage takes a page of a reading that was begun in an epoch, and publishes what it tells, at once or as soon as the last
+// push is long enough ago. What a reading of an older epoch tells is dropped.
+func (plane *ControlPlane) takePage(epoch uint64, page []*tierv1.Endpoint, last bool) {
+	plane.mu.Lock()
+	defer plane.mu.Unlock()
+	if plane.view.epoch != epoch {
+		return
+	}
+	now := time.Now()
+	plane.endpointList.takePage(now, page)
+	if last {
+		plane.endpointList.endReading()
+		plane.publishEndpoints(now)
+		return
+	}
+	delay, pending := plane.endpointList.pushDelay(now)
+	switch {
+	case !pending:
+	case delay == 0:
+		plane.publishEndpoints(now)
+	case plane.laterPush == nil:
+		plane.laterPush = time.AfterFunc(delay, func() { plane.publishRest(epoch) })
+	}
+}
+
+// publishRest publishes what has been read in an epoch and not been published.
+func (plane *ControlPlane) publishRest(epoch uint64) {
+	plane.mu.Lock()
+	defer plane.mu.Unlock()
+	now := time.Now()
+	if _, pending := plane.endpointList.pushDelay(now); pending && plane.view.epoch == epoch {
+		plane.publishEndpoints(now)
+	}
+}
+
+// publishEndpoints shows the list as it is known now. One that has only grown warmer keeps its version: nobody has to hear
+// of it, but who comes next gets the newer figures. The caller holds mu.
+func (plane *ControlPlane) publishEndpoints(now time.Time) {
+	plane.stopLaterPush()
+	if _, pending := plane.endpointList.pushDelay(now); !pending {
+		next := *plane.view
+		next.setEndpoints(&tierv1.Endpoints{Version: next.endpoints.Version, List: plane.endpointList.list(now)})
+		plane.view = &next
+		return
+	}
+	list := plane.endpointList.push(now)
+	plane.replaceView(func(v *view) {
+		v.setEndpoints(&tierv1.Endpoints{Version: version(v.epoch, &plane.versions.endpoints), List: list})
+	})
+}
+
+// stopLaterPush ends the wait for a later push, if there is one. The caller holds mu.
+func (plane *ControlPlane) stopLaterPush() {
+	if plane.laterPush != nil {
+		plane.laterPush.Stop()
+		plane.laterPush = nil
+	}
+}
+
 // endpointsFor gives the list as the caller can read it.
 func (v *view) endpointsFor(req *tierv1.WatchRequest) *tierv1.Endpoints {
 	if !req.UnpacksEndpoints {
--- a/internal/tier/controlplane/platform.go
+++ b/internal/tier/controlplane/platform.go
@@ -1,20 +1,17 @@
 package controlplane
 
 import (
-	"cmp"
 	"context"
 	"encoding/json"
 	"io"
 	"math"
 	"net/http"
 	"net/url"
-	"slices"
 	"strconv"
 	"time"
 
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"github.com/joomcode/errorx"
-	"google.golang.org/protobuf/proto"
 )
 
 const (
@@ -29,6 +26,8 @@
 	backoffMax  = 3   // failures that count
 	pageBytes   = 16 << 20
 	pagesMost   = 10_000
+	// pushPart is a part of the drain time: what pages tell is pushed no more often, as a push goes to all sessions.
+	pushPart = 12
 )
 
 // poll asks the platform for its list while this process is the primary.
@@ -47,20 +46,21 @@
 		}
 		if ok {
 			began := time.Now()
-			list, pages, wait, err := k.instances(ctx)
-			pause = k.interval(pages, failures)
-			if err != nil {
+			calls, wait, err := k.readList(ctx, v.epoch)
+			pause = k.interval(calls, failures)
+			switch {
+			case errorx.IsOfType(err, errNoLongerPrimary): // nothing is wrong with the platform
+			case err != nil:
 				if ctx.Err() == nil && failures == 0 {
 					k.Log.Warn().Str("event", "platform_silent").Str("error", err.Error()).Msg("")
 				}
 				failures++
-				pause = max(wait, k.interval(pages, failures))
-			} else {
+				pause = max(wait, k.interval(calls, failures))
+			default:
 				if failures > 0 {
 					k.Log.Info().Str("event", "platform_answers").Int("failures", failures).Msg("")
 				}
 				failures = 0
-				k.show(v.epoch, list)
 			}
 			pause = max(pause-time.Since(began), 50*time.Millisecond)
 		}
@@ -83,37 +83,6 @@
 	return time.Duration(float64(max(d, 50*time.Millisecond)) * math.Pow(backoff, float64(min(failures, backoffMax))))
 }
 
-// show publishes a list that differs from the one before in more than how long endpoints remain cold.
-func (k *ControlPlane) show(epoch uint64, list []*tierv1.Endpoint) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.view.epoch != epoch {
-		return
-	}
-	if before := k.view.endpoints; before != nil && slices.EqualFunc(before.List, list, sameEndpoint) {
-		// Nobody has to hear of it, but who comes next gets the newer figures.
-		next := *k.view
-		next.setEndpoints(&tierv1.Endpoints{Version: before.Version, List: list})
-		k.view = &next
-		return
-	}
-	k.replaceView(func(v *view) {
-		v.setEndpoints(&tierv1.Endpoints{Version: version(epoch, &k.versions.endpoints), List: list})
-	})
-}
-
-func sameEndpoint(a, b *tierv1.Endpoint) bool {
-	if b.ColdRemainingMs > a.ColdRemainingMs {
-		return false
-	}
-	if a.ColdRemainingMs == b.ColdRemainingMs {
-		return proto.Equal(a, b)
-	}
-	c := proto.Clone(a).(*tierv1.Endpoint)
-	c.ColdRemainingMs = b.ColdRemainingMs
-	return proto.Equal(c, b)
-}
-
 // page is one page of the platform's answer.
 type page struct {
 	Instances []struct {
@@ -134,14 +103,37 @@
 	Next *string `json:"next_page_token"`
 }
 
-// instances reads the whole list, in the order of ids. A list of which a page is lacking is an error; before it gives up,
-// it asks again for pages that did not come, repeatsMost times in all. It tells how many calls that took, and how long the
-// platform asks to wait after a refusal.
-func (k *ControlPlane) instances(ctx context.Context) (list []*tierv1.Endpoint, calls int, wait time.Duration, err error) {
+// endpoints gives the entries of a page that can be used.
+func (p *page) endpoints() []*tierv1.Endpoint {
+	var list []*tierv1.Endpoint
+	for _, i := range p.Instances {
+		if i.Instance == "" || i.Address == "" {
+			continue
+		}
+		one := &tierv1.Endpoint{Instance: i.Instance, Service: i.Service, Address: i.Address, Zone: i.Zone,
+			Capacity: whole32(i.Capacity), Draining: i.State == "draining", ColdRemainingMs: whole32(i.ColdForMs),
+			Revision: i.Revision, Phase: i.Phase}
+		for _, m := range i.Models {
+			one.Models = append(one.Models, &tierv1.Model{Name: m.Name, Revision: whole32(m.Revision)})
+		}
+		list = append(list, one)
+	}
+	return list
+}
+
+// readList reads the list, and publishes what its pages tell as they come. Before it gives up, it asks again for pages that
+// did not come, repeatsMost times in all. It tells how many calls the platform had to answer, and how long it asks to wait
+// after a refusal.
+func (k *ControlPlane) readList(ctx context.Context, epoch uint64) (calls int, wait time.Duration, err error) {
+	defer k.publishRest(epoch)
+	k.beginReading(epoch)
 	token, repeats := "", 0
 	spacing := time.Duration(0) // between calls: none until the platform refuses one
 	seen := map[string]bool{}
 	for calls < pagesMost {
+		if now, primary := k.Store.Primary(); !primary || now != epoch {
+			return calls, 0, errNoLongerPrimary.New("epoch %d", epoch) // the calls are another's to make
+		}
 		calls++
 		p, wait, err := k.page(ctx, token)
 		refused := errorx.IsOfType(err, errPlatformRefuses)
@@ -149,42 +141,30 @@
 			repeats++
 			if refused {
 				spacing = k.callSpacing()
+				calls-- // it took none of what the rate allows
 			}
 			if k.awaitRepeat(ctx, err, wait) {
 				continue
 			}
 		}
 		if err != nil {
-			return nil, calls, wait, err
+			return calls, wait, err
 		}
-		for _, i := range p.Instances {
-			if i.Instance == "" || i.Address == "" {
-				continue
-			}
-			one := &tierv1.Endpoint{Instance: i.Instance, Service: i.Service, Address: i.Address, Zone: i.Zone,
-				Capacity: whole32(i.Capacity), Draining: i.State == "draining", ColdRemainingMs: whole32(i.ColdForMs),
-				Revision: i.Revision, Phase: i.Phase}
-			for _, m := range i.Models {
-				one.Models = append(one.Models, &tierv1.Model{Name: m.Name, Revision: whole32(m.Revision)})
-			}
-			list = append(list, one)
-		}
-		if p.Next == nil || *p.Next == "" {
-			slices.SortStableFunc(list, func(a, b *tierv1.Endpoint) int { return cmp.Compare(a.Instance, b.Instance) })
-			// Pages are read one after the other: one that moved between them may come twice.
-			list = slices.CompactFunc(list, func(a, b *tierv1.Endpoint) bool { return a.Instance == b.Instance })
-			return list, calls, 0, nil
+		last := p.Next == nil || *p.Next == ""
+		k.takePage(epoch, p.endpoints(), last)
+		if last {
+			return calls, 0, nil
 		}
 		token = *p.Next
 		if seen[token] {
-			return nil, calls, 0, errorx.IllegalFormat.New("page %q leads back to itself", token)
+			return calls, 0, errorx.IllegalFormat.New("page %q leads back to itself", token)
 		}
 		seen[token] = true
 		if spacing > 0 && !sleep(ctx, spacing) {
-			return nil, calls, 0, ctx.Err()
+			return calls, 0, ctx.Err()
 		}
 	}
-	return nil, calls, 0, errorx.IllegalFormat.New("the list has no end")
+	return calls, 0, errorx.IllegalFormat.New("the list has no end")
 }
 
 func whole32(f float64) uint32 { return uint32(min(max(f, 0), math.MaxUint32)) }
@@ -192,6 +172,9 @@
 // errPlatformRefuses is the type of the error of a call that the platform refuses, as too many came.
 var errPlatformRefuses = errorx.NewType(errorx.NewNamespace("platform"), "refuses")
 
+// errNoLongerPrimary is the type of the error of a reading during which this process ceased to be the primary.
+var errNoLongerPrimary = errorx.NewType(errorx.NewNamespace("controlplane"), "no_longer_primary")
+
 // callSpacing is the time from one call to the next at the platform's rate, with room; 0 where no rate is known.
 func (k *ControlPlane) callSpacing() time.Duration {
 	rate := k.Settings.CloudRate
--- /dev/null
+++ b/internal/tier/controlplane/scant_rate_test.go
@@ -0,0 +1,232 @@
+package controlplane
+
+import (
+	"fmt"
+	"io"
+	"math"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// scantPlatform is a platform that takes few calls a second, and some at once, and gives few entries a page. Its pages go on
+// after the last instance of the one before, or after so many entries, where each that goes shifts those behind it.
+type scantPlatform struct {
+	rate     float64
+	burst    int
+	pageSize int
+	byCount  bool
+
+	mu     sync.Mutex
+	list   []scantEntry
+	most   int // entries at once
+	tokens float64
+	last   time.Time
+}
+
+type scantEntry struct {
+	instance string
+	draining time.Time // since when; zero: it does not
+}
+
+func (p *scantPlatform) RoundTrip(q *http.Request) (*http.Response, error) {
+	<-time.After(10 * time.Millisecond)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	reply := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Request: q}
+	now := time.Now()
+	p.tokens = min(float64(p.burst), p.tokens+now.Sub(p.last).Seconds()*p.rate)
+	p.last = now
+	if p.tokens < 1 {
+		reply.StatusCode, reply.Body = http.StatusTooManyRequests, http.NoBody
+		return reply, nil
+	}
+	p.tokens--
+	reply.Body = io.NopCloser(strings.NewReader(p.page(q.URL.Query().Get("page_token"))))
+	return reply, nil
+}
+
+// page gives the page of a token. The caller holds mu.
+func (p *scantPlatform) page(token string) string {
+	from := 0
+	if p.byCount {
+		from, _ = strconv.Atoi(token)
+	} else {
+		from, _ = slices.BinarySearchFunc(p.list, token, func(e scantEntry, after string) int {
+			if e.instance <= after {
+				return -1
+			}
+			return 1
+		})
+	}
+	from = min(from, len(p.list))
+	to := min(from+p.pageSize, len(p.list))
+	var lines []string
+	for _, e := range p.list[from:to] {
+		state := "ready"
+		if !e.draining.IsZero() {
+			state = "draining"
+		}
+		lines = append(lines, instance(e.instance, state, 0))
+	}
+	next := "null"
+	switch {
+	case to == len(p.list):
+	case p.byCount:
+		next = strconv.Itoa(to)
+	default:
+		next = p.list[to-1].instance
+	}
+	return listing(next, lines...)
+}
+
+func (p *scantPlatform) set(f func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	f()
+}
+
+// release has every endpoint replaced, one after the other: a new one comes, the old one drains, and goes after drainTime.
+func (p *scantPlatform) release(random *rand.Rand, drainTime, gap time.Duration, until <-chan struct{}) {
+	p.mu.Lock()
+	old := slices.Clone(p.list)
+	p.mu.Unlock()
+	random.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
+	for n, one := range old {
+		select {
+		case <-time.After(time.Duration(random.Int64N(int64(2 * gap)))):
+		case <-until:
+			return
+		}
+		p.set(func() {
+			p.list = append(p.list, scantEntry{instance: fmt.Sprintf("i-%04d-%d", random.IntN(10000), n)})
+			slices.SortFunc(p.list, func(a, b scantEntry) int { return strings.Compare(a.instance, b.instance) })
+			p.most = max(p.most, len(p.list))
+			at := slices.IndexFunc(p.list, func(e scantEntry) bool { return e.instance == one.instance })
+			p.list[at].draining = time.Now()
+		})
+		time.AfterFunc(drainTime, func() {
+			p.set(func() {
+				p.list = slices.DeleteFunc(p.list, func(e scantEntry) bool { return e.instance == one.instance })
+			})
+		})
+	}
+}
+
+// told is what a gateway's session has seen of a release.
+type told struct {
+	longest time.Duration // from the list's showing an endpoint as draining until this is known
+	known   int           // endpoints that it was known of
+	pushes  int
+}
+
+// watchRelease has a release played before a session, and gives what that one sees of it.
+func watchRelease(r *rig, p *scantPlatform, seed uint64, span time.Duration) (seen told) {
+	r.pass(10 * time.Second)
+	over := make(chan struct{})
+	var releasing sync.WaitGroup
+	releasing.Go(func() {
+		p.release(rand.New(rand.NewPCG(seed, 2)), 2*r.k.Settings.DrainTimeout, 500*time.Millisecond, over)
+	})
+	known := map[string]bool{}
+	version := uint64(0)
+	for began := time.Now(); time.Since(began) < span; {
+		r.pass(20 * time.Millisecond)
+		v, _ := r.k.snapshot()
+		if v.endpoints.GetVersion() != version {
+			version = v.endpoints.GetVersion()
+			seen.pushes++
+		}
+		standing := map[string]bool{}
+		for _, e := range v.endpoints.GetList() {
+			standing[e.Instance] = !e.Draining
+		}
+		p.set(func() {
+			for _, e := range p.list {
+				if e.draining.IsZero() || known[e.instance] {
+					continue
+				}
+				took := time.Since(e.draining)
+				seen.longest = max(seen.longest, took)
+				if !standing[e.instance] {
+					known[e.instance] = true
+					seen.known++
+				}
+			}
+		})
+	}
+	close(over)
+	releasing.Wait()
+	r.pass(3 * r.k.Settings.DrainTimeout)
+	return seen
+}
+
+// Where the platform takes so few calls that a reading takes as long as an endpoint drains, each page is acted on as it
+// comes: an endpoint that drains is known as such an interval, a wait between pushes and a few calls after the list has
+// shown it, not a whole reading later.
+func TestADrainIsToldAtAScantRate(t *testing.T) {
+	for _, c := range []struct {
+		endpoints, pageSize int
+		rate                float64
+		burst               int
+		byCount             bool
+	}{
+		{endpoints: 14, pageSize: 3, rate: 4.863, burst: 5},
+		{endpoints: 14, pageSize: 3, rate: 4.863, burst: 5, byCount: true},
+		{endpoints: 14, pageSize: 3, rate: 4.863, burst: 1},
+		{endpoints: 30, pageSize: 5, rate: 6, burst: 6},
+		{endpoints: 60, pageSize: 10, rate: 5, burst: 2},
+		{endpoints: 40, pageSize: 40, rate: 2, burst: 2},
+		{endpoints: 200, pageSize: 10, rate: 20, burst: 20},
+	} {
+		name := fmt.Sprintf("%d endpoints, %d a page, %v calls a second, %d at once, by count %v", c.endpoints, c.pageSize, c.rate, c.burst, c.byCount)
+		t.Run(name, func(t *testing.T) {
+			var worst told
+			var bound time.Duration
+			for seed := range uint64(2) {
+				set := site()
+				set.CloudAddress, set.CloudRate = "10.200.0.100:8142", c.rate
+				p := &scantPlatform{rate: c.rate, burst: c.burst, pageSize: c.pageSize, byCount: c.byCount}
+				for i := range c.endpoints {
+					p.list = append(p.list, scantEntry{instance: fmt.Sprintf("i-%04d", i*10000/c.endpoints)})
+				}
+				const span = 40 * time.Second
+				withinSite(t, set, p, func(r *rig) {
+					seen := watchRelease(r, p, seed, span)
+					worst = told{max(worst.longest, seen.longest), worst.known + seen.known, max(worst.pushes, seen.pushes)}
+					pages := math.Ceil(float64(p.most) / float64(c.pageSize))
+					// Its page comes an interval after the last time, or two calls later: one is refused, or the list grew.
+					bound = r.k.interval(int(pages), 0) + set.DrainTimeout/pushPart + 2*r.k.callSpacing() + 100*time.Millisecond
+					checkSameList(t, r, p)
+				})
+				assert.Check(t, worst.longest <= bound, "seed %d: known after %v, bound %v", seed, worst.longest, bound)
+				most := int(span/(set.DrainTimeout/pushPart)) + int(span/(set.DrainTimeout/pollPart)) + 2
+				assert.Check(t, worst.pushes <= most, "%d pushes", worst.pushes)
+			}
+			t.Logf("known after %v at most, bound %v, %d endpoints, %d pushes", worst.longest, bound, worst.known, worst.pushes)
+		})
+	}
+}
+
+// checkSameList checks that what is shown is what the platform has.
+func checkSameList(t *testing.T, r *rig, p *scantPlatform) {
+	t.Helper()
+	v, _ := r.k.snapshot()
+	var shown, listed []string
+	for _, e := range v.endpoints.List {
+		shown = append(shown, fmt.Sprint(e.Instance, e.Draining))
+	}
+	p.set(func() {
+		for _, e := range p.list {
+			listed = append(listed, fmt.Sprint(e.instance, !e.draining.IsZero()))
+		}
+	})
+	assert.DeepEqual(t, shown, listed)
+}
