--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -23,12 +23,13 @@
 
 // Parts of the contact window.
 const (
-	tickPart   = 12 // the primary looks at lapsed sessions so often
-	lapsePart  = 10 // a session stands for so long after its call was answered
-	holdPart   = 6  // a call is held no longer
-	gracePart  = 4  // after a takeover, no turn store is called dead for so long
-	writePart  = 3  // a write of the primary's own takes no longer
-	settlePart = 10 // the first turn store map is made when no turn store has come for so long
+	tickPart          = 12 // the primary looks at lapsed sessions so often
+	lapsePart         = 10 // a session stands for so long after its call was answered, if calls are held as long as they may
+	holdPart          = 6  // a call is held no longer,
+	turnStoreHoldPart = 12 // and turn stores, which ask for less, no longer than this (internal/tier/session)
+	gracePart         = 4  // after a takeover, no turn store is called dead for so long
+	writePart         = 3  // a write of the primary's own takes no longer
+	settlePart        = 10 // the first turn store map is made when no turn store has come for so long
 	// A partition without a turn store for another copy waits so long after the lapse of a session before it goes on without that
 	// copy. A turn store whose call was lost gives it up a twelfth of the window after the lapse, a search for the primary that
 	// fails takes an eighth, and the pause until the next a thirtieth: 0.24 in all. With the detection (hold, lapse and tick:
@@ -96,7 +97,7 @@
 	}
 	plane := &ControlPlane{Config: c, spread: spreadOf(c.Settings), writer: make(chan struct{}, 1), reconcileNow: make(chan struct{}, 1),
 		polled: make(chan struct{}, 1), view: &view{}, viewChanged: make(chan struct{}), retireTimes: retireTimes{}}
-	plane.sessions = newRegistry(c.Settings.ContactWindow / lapsePart)
+	plane.sessions = newRegistry(c.Settings.ContactWindow)
 	plane.confirm.store = c.Store
 	plane.confirm.limit = c.Settings.ContactWindow / writePart
 	return plane
--- /dev/null
+++ b/internal/tier/controlplane/distant_test.go
@@ -0,0 +1,307 @@
+package controlplane
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/phuslu/log"
+	"gotest.tools/v3/assert"
+
+	gatewaysession "dockshift.example/dockshift/internal/tier/session"
+	"dockshift.example/dockshift/internal/tier/settings"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// distantLink is the way of a process to the control plane. A call takes half a round trip to it and half back; without an
+// idle connection a new one is made before, which takes a round trip. A call that is broken off takes its connection with it.
+type distantLink struct {
+	service tierv1.ControlPlane
+	life    context.Context // of the control plane
+
+	mu        sync.Mutex
+	roundTrip time.Duration
+	idle      int // connections
+	cut       bool
+}
+
+func (l *distantLink) Watch(ctx context.Context, req *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+	reply, err := l.call(ctx, cloneWatch(req))
+	if err == nil {
+		l.mu.Lock()
+		l.idle++
+		l.mu.Unlock()
+	}
+	return reply, err
+}
+
+func (l *distantLink) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
+	return nil, errLost
+}
+
+// dial tells how long it takes until a request is there.
+func (l *distantLink) dial() (toServer time.Duration, back time.Duration, lost bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	toServer = l.roundTrip / 2
+	if l.idle > 0 {
+		l.idle--
+	} else {
+		toServer += l.roundTrip
+	}
+	return toServer, l.roundTrip / 2, l.cut
+}
+
+func (l *distantLink) call(ctx context.Context, req *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+	toServer, back, lost := l.dial()
+	if lost {
+		<-ctx.Done()
+		return nil, ctx.Err()
+	}
+	if !travel(ctx, toServer) {
+		return nil, ctx.Err()
+	}
+	served, cancel := context.WithCancel(l.life)
+	stop := context.AfterFunc(ctx, func() { // the control plane sees it half a round trip later
+		time.AfterFunc(back, cancel)
+	})
+	defer stop()
+	answers := make(chan *tierv1.WatchReply, 1)
+	go func() {
+		defer cancel()
+		reply, err := l.service.Watch(served, req)
+		if err == nil {
+			answers <- reply
+		}
+	}()
+	select {
+	case reply := <-answers:
+		if travel(ctx, back) {
+			return reply, nil
+		}
+	case <-ctx.Done():
+	}
+	return nil, ctx.Err()
+}
+
+func travel(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+func (l *distantLink) set(f func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	f()
+}
+
+// distantProcess is a process with the session that the program holds, over a link.
+type distantProcess struct {
+	client *gatewaysession.Client
+	link   *distantLink
+
+	mu       sync.Mutex
+	inForce  int64  // revision
+	endpoint uint64 // version of the list
+	synced   []*tierv1.SyncedCopy
+	changed  chan struct{} // closed at the next change of synced
+}
+
+// joinDistant starts a process whose round trips to the control plane take so long.
+func (r *rig) joinDistant(role, node string, roundTrip time.Duration) *distantProcess {
+	p := &distantProcess{changed: make(chan struct{}), link: &distantLink{service: r.k.Sessions(), life: r.ctx, roundTrip: roundTrip}}
+	set := settings.Settings{Node: node, IP: "10.0.1.1", ContactWindow: r.k.Settings.ContactWindow, PortFirst: 7680, PortLast: 7690,
+		Seeds: []string{"10.0.0.1:8144"}}
+	config := gatewaysession.Config{Settings: set, Role: role, Address: node + ":1", Log: &log.Logger{Level: log.PanicLevel},
+		Dial: func(string) tierv1.ControlPlane { return p.link },
+		Configuration: func(v *tierv1.Configuration) {
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			p.inForce = revisionOf(bodyOf(v))
+		},
+		Endpoints: func(v *tierv1.Endpoints) {
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			p.endpoint = v.Version
+		}}
+	if role == roleTurnStore {
+		config.Folder = node + ".1"
+		config.PartitionMap = func(m *tierv1.PartitionMap) { p.copyAll(config.Folder, m) }
+		config.Synced = p.copies
+	}
+	p.client = gatewaysession.New(config)
+	go p.client.Run(r.ctx)
+	return p
+}
+
+// copyAll has all copies of a turn store's partitions whole at once.
+func (p *distantProcess) copyAll(folder string, m *tierv1.PartitionMap) {
+	var synced []*tierv1.SyncedCopy
+	for i, one := range m.Partitions {
+		for _, c := range one.Backups {
+			if one.Primary == folder && !c.Synced {
+				synced = append(synced, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: one.Epoch, Folder: c.Folder})
+			}
+		}
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(synced) == 0 && len(p.synced) == 0 {
+		return
+	}
+	p.synced = synced
+	close(p.changed)
+	p.changed = make(chan struct{})
+}
+
+// copies gives the copies that are whole.
+func (p *distantProcess) copies() ([]*tierv1.SyncedCopy, <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.synced, p.changed
+}
+
+func (p *distantProcess) has() (revision int64, endpoints uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.inForce, p.endpoint
+}
+
+// silent gives the processes whose sessions don't stand by the control plane's word.
+func (r *rig) silent() (nodes []string) {
+	r.k.mu.Lock()
+	defer r.k.mu.Unlock()
+	for at, s := range r.k.sessions.of {
+		if !r.k.sessions.stands(time.Now(), s) || !r.k.sessions.alive(time.Now(), s) {
+			nodes = append(nodes, at.node)
+		}
+	}
+	return nodes
+}
+
+// Sessions stand, at both ends and without a break, where a contact window has as few as eight round trips: orders are
+// acknowledged when they are in force at all gateways, and no turn store is taken for lost.
+func TestDistantSessionsStand(t *testing.T) {
+	window := site().ContactWindow
+	for _, trips := range []time.Duration{75, 20, 16, 12, 11, 10, 9, 8} {
+		t.Run(fmt.Sprint(int(trips), " round trips"), func(t *testing.T) {
+			within(t, func(r *rig) {
+				roundTrip := window / trips
+				gateways := []*distantProcess{r.joinDistant(roleGateway, "e1", roundTrip), r.joinDistant(roleGateway, "e2", window/100)}
+				for i := range 3 {
+					r.joinDistant(roleTurnStore, fmt.Sprint("v", i+1), roundTrip)
+				}
+				r.pass(2 * window)
+				status(t, r.replace(0, 3), 200)
+				r.pass(window)
+				before := r.turnStores().Version
+				revision := 3
+				for began := time.Now(); time.Since(began) < 20*window; {
+					r.pass(window / 50)
+					assert.Equal(t, len(r.silent()), 0, "%v after %v", r.silent(), time.Since(began))
+					for _, one := range gateways {
+						stands, _ := one.client.Stands()
+						assert.Assert(t, stands && one.client.Current(), "after %v", time.Since(began))
+					}
+					if int(time.Since(began)/window) > revision-3 {
+						status(t, r.replace(revision, revision+1), 200)
+						revision++
+						for _, one := range gateways {
+							has, _ := one.has()
+							assert.Equal(t, has, int64(revision), "acknowledged before it is in force")
+						}
+					}
+				}
+				assert.Equal(t, r.turnStores().Version, before, "the map was changed")
+			})
+		})
+	}
+}
+
+// A turn store or gateway that is gone is noticed as late as one whose calls are held as long as they may.
+func TestADistantSessionLapsesInTime(t *testing.T) {
+	window := site().ContactWindow
+	for _, role := range []string{roleGateway, roleTurnStore} {
+		longest := window / holdPart
+		if role == roleTurnStore {
+			longest = window / turnStoreHoldPart
+		}
+		for _, hold := range []time.Duration{0, window / 60, window / 20, longest, window} {
+			r := newRegistry(window)
+			now := time.Now()
+			req := &tierv1.WatchRequest{Role: role, Node: "n", Folder: "n.1", Life: "1", HoldMs: uint32(hold.Milliseconds())}
+			s, _ := r.enter(now, req)
+			r.leave(now.Add(min(hold, longest)), s, false)
+			bound := longest + window/lapsePart
+			assert.Assert(t, r.stands(now.Add(min(hold, longest)+window/lapsePart-time.Millisecond), s))
+			assert.Assert(t, !r.stands(now.Add(bound), s) && !r.alive(now.Add(bound), s), "%s holds for %v", role, hold)
+		}
+	}
+}
+
+// A gateway whose primary comes to be so distant that no session stands does not take itself for cut off: it sends nothing
+// by the list that it has, beyond its lease or the time that shows how distant the primary is.
+func TestNothingIsSentByAnOldListFromADistantPrimary(t *testing.T) {
+	window := site().ContactWindow
+	for _, percent := range []time.Duration{5, 8, 10, 12, 15, 20, 25, 30, 40, 45} {
+		t.Run(fmt.Sprint("a round trip is ", int(percent), "% of the window"), func(t *testing.T) {
+			within(t, func(r *rig) {
+				one := r.joinDistant(roleGateway, "e1", window/100)
+				r.pass(2 * window)
+				roundTrip := window * percent / 100
+				one.link.set(func() { one.link.roundTrip, one.link.idle = roundTrip, 0 })
+				// The lease; or a held call that is given up, and a search whose answer comes late.
+				bound := max(window*6/10, window/holdPart+window/lapsePart+2*roundTrip) + window/10
+				epoch := r.s.epoch
+				type push struct {
+					version uint64
+					at      time.Time
+				}
+				var pushes []push
+				stood := 0
+				for began := time.Now(); time.Since(began) < 30*window; {
+					version := uint64(0)
+					r.k.changeView(epoch, func(v *view) {
+						version = uint64(len(pushes) + 1)
+						v.setEndpoints(&tierv1.Endpoints{Version: version})
+					})
+					pushes = append(pushes, push{version, time.Now()})
+					r.pass(window / 20)
+					if stands, _ := one.client.Stands(); stands {
+						stood++
+					}
+					if !one.client.Current() {
+						continue
+					}
+					_, has := one.has()
+					for _, p := range pushes {
+						assert.Assert(t, p.version <= has || time.Since(p.at) <= bound, "%v after a push it is not known and not refused: %v after the change",
+							time.Since(p.at), time.Since(began))
+					}
+				}
+				t.Logf("a session stood %d%% of the time", stood*100/len(pushes))
+			})
+		})
+	}
+}
+
+// A distant gateway that is cut off refuses for some windows, and then goes on as any.
+func TestADistantGatewayThatIsCutOffGoesOn(t *testing.T) {
+	window := site().ContactWindow
+	within(t, func(r *rig) {
+		one := r.joinDistant(roleGateway, "e1", window/9)
+		r.pass(3 * window)
+		one.link.set(func() { one.link.cut = true })
+		r.pass(4 * window)
+		for range 100 {
+			assert.Assert(t, one.client.Current())
+			r.pass(window / 20)
+		}
+	})
+}
--- a/internal/tier/controlplane/reconcile.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -90,7 +90,7 @@
 			if s.leaving || !usable(s.disk) {
 				continue
 			}
-			if lapse := s.ended.Add(plane.sessions.lapse); lapse.After(since) {
+			if lapse := s.ended.Add(s.lapse); lapse.After(since) {
 				since = lapse
 			}
 		}
--- a/internal/tier/controlplane/registry.go
+++ b/internal/tier/controlplane/registry.go
@@ -17,7 +17,7 @@
 
 // registry knows the sessions of processes. It is guarded by the control plane's lock.
 type registry struct {
-	lapse   time.Duration
+	window  time.Duration // the contact window
 	of      map[place]*session
 	former  map[string]bool // folders whose place was taken by another: their disks are gone for ever
 	arrived time.Time       // of the newest session of a turn store
@@ -30,16 +30,17 @@
 	life                                   string
 	storeNode                              *tierv1.StoreNode // of a turn store
 	address                                string
-	configuration, endpoints, partitionMap uint64 // acknowledged
-	held                                   int    // calls
+	configuration, endpoints, partitionMap uint64        // acknowledged
+	held                                   int           // calls
+	lapse                                  time.Duration // how long it stands after its last call was answered
 	seen, ended                            time.Time
 	broken, leaving                        bool
 	synced                                 []*tierv1.SyncedCopy // reported last
 	disk                                   tierv1.DiskState     // of a turn store, as told last
 }
 
-func newRegistry(lapse time.Duration) registry {
-	return registry{lapse: lapse, of: map[place]*session{}, former: map[string]bool{}}
+func newRegistry(window time.Duration) registry {
+	return registry{window: window, of: map[place]*session{}, former: map[string]bool{}}
 }
 
 // enter begins a held call. It gives nil for a caller that only looks, or whose folder has been replaced by another.
@@ -79,10 +80,22 @@
 	s.address, s.leaving = req.Address, req.Leaving
 	s.configuration, s.endpoints, s.partitionMap = req.Configuration, req.Endpoints, req.PartitionMap
 	s.held++
-	s.seen = now
+	s.seen, s.lapse = now, r.lapseAfter(req)
 	return s, fresh
 }
 
+// lapseAfter is how long a session stands after the answer to a call. A process that has its calls held for less than it may
+// does so as answers, and so its next calls, take longer: hold and lapse have the same sum in any case, which is by when the
+// end of a process is noticed.
+func (r *registry) lapseAfter(req *tierv1.WatchRequest) time.Duration {
+	longest := r.window / holdPart
+	if req.Role == roleTurnStore {
+		longest = r.window / turnStoreHoldPart
+	}
+	hold := time.Duration(req.HoldMs) * time.Millisecond
+	return r.window/lapsePart + max(0, longest-hold)
+}
+
 // diskOf gives the state of a turn store's disk. A process of a version before the field disk names its own folder among
 // the synced copies while its disk is not sound.
 func diskOf(req *tierv1.WatchRequest) tierv1.DiskState {
@@ -112,7 +125,7 @@
 
 // stands tells whether a process is there to be told of changes.
 func (r *registry) stands(now time.Time, s *session) bool {
-	lapse := r.lapse
+	lapse := s.lapse
 	if s.broken {
 		lapse = min(lapse, brokenLapse)
 	}
@@ -124,7 +137,7 @@
 	if s.leaving {
 		return r.stands(now, s)
 	}
-	return s.held > 0 || now.Sub(s.ended) < r.lapse
+	return s.held > 0 || now.Sub(s.ended) < s.lapse
 }
 
 // storeNodes gives the turn stores that are alive and whose disks are sound, those that are leaving, and the copies that were
@@ -133,7 +146,7 @@
 func (r *registry) storeNodes(now time.Time) (alive map[string]*tierv1.StoreNode, leaving map[string]bool, reports []Report) {
 	alive, leaving = map[string]*tierv1.StoreNode{}, map[string]bool{}
 	for at, s := range r.of {
-		if s.held == 0 && now.Sub(s.ended) > keptLapses*r.lapse {
+		if s.held == 0 && now.Sub(s.ended) > keptLapses*s.lapse {
 			delete(r.of, at)
 			continue
 		}
--- a/internal/tier/session/lease.go
+++ b/internal/tier/session/lease.go
@@ -60,13 +60,32 @@
 	client.lease.renew(begun)
 }
 
-// noteSearch notes how a search for the primary ended that took so long, and was to take limit at most.
-func (client *Client) noteSearch(took, limit time.Duration, found bool) {
+// noteSearch notes how a search for the primary ended that took so long, and was to take limit at most. One that would not
+// have found the primary where it was last shows nothing.
+func (client *Client) noteSearch(took, limit time.Duration, primary answer) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	if found {
+	if primary.at != "" {
 		client.lease.found(time.Now())
+		client.roundTrip.restart(primary.took)
 		return
 	}
-	client.lease.missed(took, limit)
+	if client.roundTrip.mayBeFound(limit) {
+		client.lease.missed(took, limit)
+	}
+	client.roundTrip.forget()
+}
+
+// noteLateAnswer notes that the primary answered a call of a search that was over by then: this process is not cut off, the
+// primary is distant or busy.
+func (client *Client) noteLateAnswer(at string, took time.Duration) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if client.stands {
+		return
+	}
+	client.hint = at
+	client.lease.cutOff = false
+	client.roundTrip.observe(took)
+	client.config.Log.Warn().Str("event", "primary_distant").Str("primary", at).Dur("took", took).Msg("")
 }
--- /dev/null
+++ b/internal/tier/session/round_trip_test.go
@@ -0,0 +1,33 @@
+package session
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestRoundTripEstimate(t *testing.T) {
+	const ms = time.Millisecond
+	r := roundTrip{}
+	assert.Equal(t, r.answerWait(300*ms, 750*ms), 300*ms)
+	assert.Assert(t, r.mayBeFound(375*ms), "nothing is known: a search shows what it shows")
+	r.restart(400 * ms)
+	assert.Equal(t, r.answerWait(300*ms, 750*ms), 500*ms)
+	assert.Assert(t, r.mayBeFound(800*ms) && !r.mayBeFound(799*ms))
+	r.observe(320 * ms) // shorter ones count by and by
+	assert.Equal(t, r.estimate, 390*ms)
+	r.observe(-10 * ms) // answered before the end of the hold
+	assert.Assert(t, r.estimate > 300*ms)
+	r.observe(700 * ms) // longer ones at once
+	assert.Equal(t, r.estimate, 700*ms)
+	assert.Equal(t, r.answerWait(300*ms, 750*ms), 750*ms)
+	r.bound(900 * ms)
+	assert.Equal(t, r.estimate, 700*ms)
+	r.bound(80 * ms)
+	assert.Equal(t, r.estimate, 80*ms)
+	for range 100 {
+		r.forget()
+	}
+	assert.Assert(t, r.estimate < time.Microsecond)
+}
--- a/internal/tier/session/search.go
+++ b/internal/tier/session/search.go
@@ -28,6 +28,7 @@
 // search is one round of asking who is the primary.
 type search struct {
 	client  *Client
+	calls   context.Context // of the calls that are made, which may outlast the search
 	answers chan answer
 	asked   map[string]bool // addresses
 }
@@ -36,6 +37,7 @@
 type answer struct {
 	at    string
 	reply *tierv1.WatchReply
+	took  time.Duration
 }
 
 // searchLimit is how long a search lasts at most after so many in a row that found no primary. Each second one of these has
@@ -49,13 +51,26 @@
 	return limit
 }
 
-// findPrimary asks all candidates at once who is the primary, and gives the address of the first that says that it is;
-// empty if none does within limit.
-func (client *Client) findPrimary(ctx context.Context, limit time.Duration) string {
+// findPrimary asks all candidates at once who is the primary, and gives the answer of the first that says that it is;
+// an empty one if none does within limit. Calls that have no answer by then go on for a while: a connection that comes to stand is
+// of use to the next search, and the answer of a distant primary shows that this process is not cut off.
+func (client *Client) findPrimary(ctx context.Context, limit time.Duration) answer {
 	all := client.candidates()
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	calls, cancelCalls := context.WithTimeout(ctx, client.config.Settings.ContactWindow/answerPart)
+	ctx, cancel := context.WithTimeout(calls, limit)
 	defer cancel()
-	round := &search{client: client, answers: make(chan answer, 2*len(all)+8), asked: map[string]bool{}}
+	round := &search{client: client, calls: calls, answers: make(chan answer, 2*len(all)+8), asked: map[string]bool{}}
+	primary := round.run(ctx, all)
+	if primary.at != "" {
+		cancelCalls()
+	} else {
+		context.AfterFunc(calls, cancelCalls)
+	}
+	return primary
+}
+
+// run asks until one says that it is the primary, and gives its answer; an empty one if ctx ends before.
+func (round *search) run(ctx context.Context, all []string) answer {
 	for _, address := range all {
 		round.ask(ctx, address)
 	}
@@ -64,17 +79,17 @@
 		select {
 		case got = <-round.answers:
 		case <-ctx.Done():
-			return ""
+			return answer{}
 		}
 		if got.reply == nil {
 			continue
 		}
 		if got.reply.Primary {
-			return got.at
+			return got
 		}
 		round.ask(ctx, got.reply.Hint)
 	}
-	return ""
+	return answer{}
 }
 
 // ask asks one candidate, unless it is being asked already or too many are.
@@ -91,14 +106,22 @@
 func (round *search) askUntilPrimary(ctx context.Context, at string) {
 	config := &round.client.config
 	for {
+		begun := time.Now()
 		// It claims to hold all: what is new is brought by the held call.
-		reply, err := config.Dial(at).Watch(ctx, &tierv1.WatchRequest{Node: config.Settings.Node, Life: round.client.life,
+		reply, err := config.Dial(at).Watch(round.calls, &tierv1.WatchRequest{Node: config.Settings.Node, Life: round.client.life,
 			Configuration: math.MaxUint64, Endpoints: math.MaxUint64, PartitionMap: math.MaxUint64, Members: math.MaxUint64})
 		if err != nil {
 			reply = nil
 		}
+		took := time.Since(begun)
+		if ctx.Err() != nil {
+			if reply.GetPrimary() && round.calls.Err() == nil {
+				round.client.noteLateAnswer(at, took)
+			}
+			return
+		}
 		select {
-		case round.answers <- answer{at, reply}:
+		case round.answers <- answer{at, reply, took}:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -18,8 +18,9 @@
 const (
 	holdPart      = 6  // a held call lasts so long at most,
 	turnStorePart = 12 // and a turn store's so long: its loss holds up all turns of its partitions
-	graceOver     = 10 // and its answer is waited for so much longer
+	graceOver     = 10 // and its answer is waited for so much longer, at least: a distant primary holds for less
 	lookPart      = 8  // one asked whether it is the primary answers within it
+	answerPart    = 1  // a call of a search that is over is broken off after it
 	pausePart     = 60 // between rounds of asking
 )
 
@@ -55,6 +56,7 @@
 	lastReply time.Time           // of the primary; zero: none in this life
 	leaving   bool
 	lease     lease
+	roundTrip roundTrip // to the primary
 }
 
 // New makes a session that Run begins.
@@ -83,8 +85,8 @@
 	return max(0, client.patience()-since)
 }
 
-// hold is how long the primary may hold a call.
-func (client *Client) hold() time.Duration {
+// longestHold is how long the primary may hold a call where its answer takes no longer than a tenth of the contact window.
+func (client *Client) longestHold() time.Duration {
 	window := client.config.Settings.ContactWindow
 	if client.config.Folder != "" {
 		return window / turnStorePart
@@ -92,9 +94,20 @@
 	return window / holdPart
 }
 
-// patience is how long the answer to a held call is waited for.
+// patience is how long a held call is waited for in all. The age of what an answer brings is bounded by it, so it does not
+// depend on how distant the primary is.
 func (client *Client) patience() time.Duration {
-	return client.hold() + client.config.Settings.ContactWindow/graceOver
+	return client.longestHold() + client.config.Settings.ContactWindow/graceOver
+}
+
+// hold is how long the primary may hold a call: what patience leaves beside the time that the answer takes. The control plane
+// reckons with the same sum: it takes a session that holds calls for less to be so much more distant.
+func (client *Client) hold() time.Duration {
+	window := client.config.Settings.ContactWindow
+	patience := client.patience()
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	return patience - client.roundTrip.answerWait(window/graceOver, patience-window/pausePart)
 }
 
 // Primary is the address of the control primary as last known.
@@ -118,16 +131,16 @@
 	for ctx.Err() == nil {
 		limit := searchLimit(window, failures)
 		begun := time.Now()
-		at := client.findPrimary(ctx, limit)
-		client.noteSearch(time.Since(begun), limit, at != "")
-		if at == "" {
+		primary := client.findPrimary(ctx, limit)
+		client.noteSearch(time.Since(begun), limit, primary)
+		if primary.at == "" {
 			failures++
 			client.markLost("no primary found")
 			pause(ctx, window/pausePart+rand.N(window/pausePart+1))
 			continue
 		}
 		failures = 0
-		for ctx.Err() == nil && client.watch(ctx, at) {
+		for ctx.Err() == nil && client.watch(ctx, primary.at) {
 		}
 	}
 }
--- a/internal/tier/session/watch.go
+++ b/internal/tier/session/watch.go
@@ -66,12 +66,24 @@
 		client.markLost("no longer primary")
 		return false
 	}
+	client.observeRoundTrip(reply, time.Since(begun), hold)
 	if client.apply(at, reply) {
 		client.renewLease(begun)
 	}
 	return true
 }
 
+// observeRoundTrip takes how long a call took that might be held for so long. One that brings something was answered before.
+func (client *Client) observeRoundTrip(reply *tierv1.WatchReply, took, hold time.Duration) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if reply.Configuration != nil || reply.Endpoints != nil || reply.PartitionMap != nil || reply.Members != nil {
+		client.roundTrip.bound(took)
+		return
+	}
+	client.roundTrip.observe(took - hold)
+}
+
 // request is the next held call: who asks, and the versions that it acknowledges.
 func (client *Client) request(hold time.Duration) *tierv1.WatchRequest {
 	client.mu.Lock()
