--- a/internal/rehearsal/concord/concord.go
+++ b/internal/rehearsal/concord/concord.go
@@ -67,6 +67,11 @@
 	healTime  = 30 * time.Second // all senders are of one mind within it
 	pauseMost = 2500 * time.Millisecond
 	calm      = 4 * time.Second // of traffic behind the faults
+
+	twoOperators = 2
+	// standTime is how long a version stands on a day with a sender cut off before the next is proposed. Once the next is
+	// proposed a call that the version forbids may be that one's: only what comes before tells a sender that has left it for sure.
+	standTime = 1500 * time.Millisecond
 )
 
 // Script is the day of a seed: traffic for two receivers, and faults.
@@ -289,14 +294,18 @@
 			}
 		}()
 	}
-	for n := range 2 { // two operators, each at senders of its own choice
+	count, stands := twoOperators, time.Duration(0)
+	if p.o.CutOff { // two would nearly always have the next one proposed
+		count, stands = 1, standTime
+	}
+	for n := range count { // each at senders of its own choice
 		operators.Add(1)
 		go func() {
 			defer operators.Done()
 			rng := rand.New(rand.NewPCG(p.o.Seed, uint64(100+n)))
 			for d.Now() < over && ctx.Err() == nil {
 				p.change(ctx, rng.IntN(p.o.Senders-p.o.Down), over)
-				time.Sleep(time.Duration(200+rng.IntN(900)) * time.Millisecond)
+				time.Sleep(stands + time.Duration(200+rng.IntN(900))*time.Millisecond)
 			}
 		}()
 	}
