--- a/internal/tier/simulation/faults.go
+++ b/internal/tier/simulation/faults.go
@@ -31,6 +31,18 @@
 	case Trouble:
 		w.window(f, func(on bool) { w.network.trouble = on })
 		return
+	case SplitCore:
+		w.splitCore(f)
+		return
+	case RivalOrders:
+		w.rivalOrders(f)
+		return
+	case LossesInRow:
+		w.hurry(f)
+		return
+	case ZoneKill, ZonePowerLoss, ZoneWipe, ZoneCut, ZoneCutInbound, ZoneCutOutbound:
+		w.domain(f)
+		return
 	}
 	m := w.machine(f.Machine)
 	if f.Machine == Leader {
@@ -102,6 +114,11 @@
 	switch f.Kind {
 	case Kill, KillGateway:
 		m.kill()
+	case SeedsCutOff:
+		w.mu.Lock()
+		m.seedsCutOff = true
+		w.mu.Unlock()
+		m.kill()
 	case PowerLoss:
 		m.powerLoss()
 	case Wipe:
@@ -109,10 +126,10 @@
 	case Replace:
 		m.wipe()
 		w.pause(f.duration())
-		w.place(m.name, m.kind, m.zoneNumber()).start()
+		w.place(m.name, m.kind, m.zone).start()
 		return
 	case Move:
-		w.place(w.nextCore(), m.kind, m.zoneNumber()).start()
+		w.place(w.nextCore(), m.kind, m.zone).start()
 		w.pause(f.duration())
 		m.wipe()
 		w.mu.Lock()
@@ -129,6 +146,9 @@
 	case Cut, CutInbound, CutOutbound, CutLeader:
 		w.cut(f, m)
 		return
+	case CutNear, CutNearInbound, CutNearOutbound, CutConfirming:
+		w.cutNear(f, m)
+		return
 	case DiskFull, DiskStuck:
 		m.disk.set(f.Kind == DiskFull, f.Kind == DiskStuck)
 		w.pause(f.duration())
@@ -167,18 +187,7 @@
 		}
 	}
 	w.mu.Unlock()
-	n := w.network
-	n.set(func() {
-		for _, link := range links {
-			n.cut[link] = true
-		}
-	})
-	w.pause(f.duration())
-	n.set(func() {
-		for _, link := range links {
-			delete(n.cut, link)
-		}
-	})
+	w.isolate(f.duration(), links, m)
 }
 
 // retire orders a turn store to be emptied, and takes its machine away for good when it is.
--- /dev/null
+++ b/internal/tier/simulation/faults_domain_test.go
@@ -0,0 +1,93 @@
+package simulation
+
+import (
+	"slices"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// placed is a system of a script whose machines are there, and don't run.
+func placed(s Script) *world {
+	w := newWorld(s, Options{})
+	for i := range s.Core {
+		w.place(coreName(i), roleControlPlane, i)
+	}
+	for i := range s.Stores {
+		w.place(storeName(i), roleTurnStore, i)
+	}
+	for i := range s.Gateways {
+		w.place(gatewayName(i), roleGateway, i)
+	}
+	w.outside("endpoint", endpointIP)
+	return w
+}
+
+// Where machines lie in a system is where the drawing takes them to be.
+func TestMachinesLieInTheirZones(t *testing.T) {
+	for seed := range uint64(200) {
+		s := Draw(seed, ZoneKill)
+		w := placed(s)
+		for name, m := range w.machines {
+			if m.kind != roleOutside {
+				assert.Equal(t, m.domain(), s.domainOf(name), "%v%s", s, name)
+			}
+		}
+	}
+}
+
+func TestACutOfAZoneLeavesItsInsideWhole(t *testing.T) {
+	w := placed(Script{Core: 4, Stores: 3, Gateways: 2, Losses: 1, Unit: Zones, Zones: 3})
+	side := w.machinesOf("zone-1")
+	assert.DeepEqual(t, names(side), []string{"core-1", "core-4", "store-1", "gateway-1"})
+	both := w.linksAcross(side, true, true)
+	assert.Equal(t, len(both), 2*4*5)
+	assert.Assert(t, !slices.Contains(both, [2]string{"core-1", "core-4"}))
+	assert.Assert(t, !slices.Contains(both, [2]string{"core-1", "endpoint"}))
+	in := w.linksAcross(side, true, false)
+	assert.Equal(t, len(in), 4*5)
+	assert.Assert(t, slices.Contains(in, [2]string{"core-2", "store-1"}) && !slices.Contains(in, [2]string{"store-1", "core-2"}))
+	out := w.linksAcross(side, false, true)
+	assert.Equal(t, len(out), 4*5)
+	assert.Assert(t, slices.Contains(out, [2]string{"store-1", "core-2"}) && !slices.Contains(out, [2]string{"core-2", "store-1"}))
+}
+
+// A process that starts while some are cut off may be told of these alone, and the one after it is told of all.
+func TestSeedsOfANewProcess(t *testing.T) {
+	w := placed(Script{Core: 4, Stores: 3, Gateways: 2, Losses: 1})
+	m := w.machine(gatewayName(0))
+	seeds := func() int {
+		w.role(m)
+		return len(m.settings.Seeds)
+	}
+	m.seedsCutOff = true
+	assert.Equal(t, seeds(), seedCount, "nobody is cut off")
+	w.cutOff["core-4"] = 1
+	assert.Equal(t, seeds(), seedCount)
+	m.seedsCutOff = true
+	w.role(m)
+	assert.DeepEqual(t, m.settings.Seeds, []string{w.machine("core-4").settings.Control})
+	assert.Equal(t, seeds(), seedCount)
+}
+
+func TestMembersLostAtMost(t *testing.T) {
+	domains := map[string]string{"a": "zone-1", "b": "zone-1", "c": "zone-2"}
+	assert.Equal(t, most(domains, 1), 2)
+	assert.Equal(t, most(domains, 5), 3)
+	assert.Equal(t, most(nil, 1), 0)
+}
+
+// Each of the new kinds is played without a broken promise.
+func TestKindsOfZonesAndCuts(t *testing.T) {
+	for _, kind := range slices.Concat(domainKinds, nearKinds, []Kind{SplitCore, SeedsCutOff, RivalOrders}) {
+		t.Run(string(kind), func(t *testing.T) {
+			if testing.Short() && kind != ZoneCut && kind != CutConfirming {
+				t.Skip("played without -short")
+			}
+			result, err := Play(Draw(1, kind), Options{})
+			assert.NilError(t, err)
+			assert.Assert(t, result.Broken == nil, "%v", result.Broken)
+			assert.Assert(t, result.Orders > 0 && result.Turns > 0, "%+v", result)
+		})
+	}
+}
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -26,12 +26,14 @@
 	world    *world
 	name     string
 	ip       string
-	zone     string
+	zone     int
 	kind     roleName
 	settings settings.Settings
 	disk     *disk
 	random   *rand.Rand // of losses of power
 
+	seedsCutOff bool // the lock of the world is held: the next process is told only of machines that are cut off
+
 	mu       sync.Mutex
 	starting *process
 	current  *process
@@ -195,8 +197,13 @@
 	return answer
 }
 
-// zoneNumber is the number from which place makes the machine's zone.
-func (m *machine) zoneNumber() int { return int(m.zone[len(m.zone)-1] - '1') }
+// domain is the zone or region that the machine lies in, where these are lost, and else the machine itself.
+func (m *machine) domain() string {
+	if m.world.script.Unit == Machines {
+		return m.name
+	}
+	return m.world.script.domainName(m.zone % m.world.script.domains())
+}
 
 // lives is how often the machine was started.
 func (m *machine) lives() int {
--- a/internal/tier/simulation/network.go
+++ b/internal/tier/simulation/network.go
@@ -43,7 +43,7 @@
 
 	mu          sync.Mutex
 	machines    map[string]*machine // by IP
-	cut         map[[2]string]bool  // by names: from, to
+	cut         map[[2]string]int   // how many faults cut a link, by names: from, to
 	frozen      map[string]bool     // by name
 	loseAnswers bool
 	reorder     bool
@@ -52,11 +52,12 @@
 	messages    int
 	changed     chan struct{} // closed when a link has opened or closed
 	closed      bool
+	ordered     map[string]chan struct{} // closed when the machine has begun to serve an order; by name
 }
 
 func newNetwork(seed uint64) *network {
-	return &network{seed: seed, machines: map[string]*machine{}, cut: map[[2]string]bool{}, frozen: map[string]bool{},
-		sent: map[[2]string]uint64{}, changed: make(chan struct{})}
+	return &network{seed: seed, machines: map[string]*machine{}, cut: map[[2]string]int{}, frozen: map[string]bool{},
+		sent: map[[2]string]uint64{}, changed: make(chan struct{}), ordered: map[string]chan struct{}{}}
 }
 
 // set changes the network, and lets all that wait look again.
@@ -118,7 +119,7 @@
 	var limit <-chan time.Time
 	for {
 		n.mu.Lock()
-		cut, frozen, changed, closed := n.cut[[2]string{from, to}], n.frozen[from] || n.frozen[to], n.changed, n.closed
+		cut, frozen, changed, closed := n.cut[[2]string{from, to}] > 0, n.frozen[from] || n.frozen[to], n.changed, n.closed
 		n.mu.Unlock()
 		if closed {
 			return false
@@ -210,6 +211,9 @@
 	case p == nil:
 		return nil, errRefused
 	}
+	if r.URL.Path == orderPath {
+		n.noteOrder(to.name)
+	}
 	if f.double {
 		go func() {
 			time.Sleep(f.again)
@@ -238,6 +242,24 @@
 	return answer.response(r), nil
 }
 
+// awaitOrder gives a channel that is closed when a machine has begun to serve an order. One at a time waits for a machine.
+func (n *network) awaitOrder(name string) <-chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.ordered[name] = make(chan struct{})
+	return n.ordered[name]
+}
+
+// noteOrder notes that a machine begins to serve an order.
+func (n *network) noteOrder(name string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if ordered := n.ordered[name]; ordered != nil {
+		close(ordered)
+		delete(n.ordered, name)
+	}
+}
+
 // recorder takes an answer in.
 type recorder struct {
 	status int
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -15,6 +15,8 @@
 const (
 	operatorIdleMin = 200 * time.Millisecond
 	operatorIdleMax = 1500 * time.Millisecond
+	hurriedIdleMin  = 20 * time.Millisecond
+	hurriedIdleMax  = 120 * time.Millisecond
 	answerLimit     = time.Second      // of one call
 	orderLimit      = 10 * time.Second // of an order, over all its calls
 	retireLimit     = 20 * time.Second
@@ -22,6 +24,9 @@
 	retryMax        = 300 * time.Millisecond
 )
 
+// orderPath is where operators order a configuration.
+const orderPath = "/saffronyard/Configuration.Replace"
+
 // operator orders and reads, at one control-plane process after the other until an answer is clear.
 type operator struct {
 	world   *world
@@ -42,7 +47,7 @@
 
 func (o *operator) run() {
 	for o.world.loaded() {
-		o.world.pause(operatorIdleMin + time.Duration(o.random.Int64N(int64(operatorIdleMax-operatorIdleMin))))
+		o.rest()
 		switch n := o.random.IntN(10); {
 		case n < 4:
 			o.read()
@@ -58,6 +63,15 @@
 	}
 }
 
+// rest waits until the operator does something again.
+func (o *operator) rest() {
+	low, high := operatorIdleMin, operatorIdleMax
+	if o.world.hurried() {
+		low, high = hurriedIdleMin, hurriedIdleMax
+	}
+	o.world.pause(low + time.Duration(o.random.Int64N(int64(high-low))))
+}
+
 // read reads the configuration back, and tells whether an answer came.
 func (o *operator) read() bool {
 	checks := o.world.checks.orders
@@ -85,7 +99,7 @@
 // send sends an order until its answer is clear, and tells whether it was acknowledged.
 func (o *operator) send(it *order) bool {
 	status, _ := o.order(func(ctx context.Context, at string) (int, string, error) {
-		return o.call(ctx, http.MethodPost, at, "/saffronyard/Configuration.Replace", it.body,
+		return o.call(ctx, http.MethodPost, at, orderPath, it.body,
 			http.Header{"X-Base-Revision": {strconv.FormatInt(it.base, 10)}})
 	}, orderLimit)
 	o.world.note("%s: %v: %d", o.name, it, status)
--- a/internal/tier/simulation/planted_test.go
+++ b/internal/tier/simulation/planted_test.go
@@ -13,6 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"dockshift.example/dockshift/internal/tier/controlplane"
+	"dockshift.example/dockshift/internal/tier/settings"
 	"dockshift.example/dockshift/internal/tier/turnstore"
 	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
@@ -249,3 +250,19 @@
 		}
 	}}, RuleOnce)
 }
+
+// Copies and members are spread over machines, and zones and regions are lost.
+func TestPlantedSpreadOverMachines(t *testing.T) {
+	found(t, Seams{Settings: func(s *settings.Settings) {
+		s.LoseMachines, s.LoseZones, s.LoseRegions = s.Losses(), 0, 0
+	}}, RuleRecovery, RuleTurn, RuleBudget)
+}
+
+// Members of the control plane are spread over machines, and copies over zones.
+func TestPlantedMembersOfOneZone(t *testing.T) {
+	found(t, Seams{Settings: func(s *settings.Settings) {
+		if s.LoseZones > 0 && strings.HasPrefix(s.Node, "core-") {
+			s.Zone = s.Node
+		}
+	}}, RuleRecovery)
+}
--- a/internal/tier/simulation/replay.go
+++ b/internal/tier/simulation/replay.go
@@ -45,6 +45,15 @@
 	if s.Losses < 0 || s.Core < 2*s.Losses+1 || s.Stores < s.Losses+1 || s.Gateways < 1 {
 		found = append(found, fmt.Errorf("%d core, %d turn stores, %d gateways are too few to bear %d losses", s.Core, s.Stores, s.Gateways, s.Losses))
 	}
+	switch s.Unit {
+	case Machines:
+	case Zones, Regions:
+		if s.domains() < 2*s.Losses+1 {
+			found = append(found, fmt.Errorf("%d %s are too few to bear %d losses", s.domains(), s.Unit, s.Losses))
+		}
+	default:
+		found = append(found, fmt.Errorf("unknown unit %q", s.Unit))
+	}
 	for i, f := range s.Faults {
 		if !slices.Contains(Kinds(), f.Kind) {
 			found = append(found, fmt.Errorf("faults[%d]: unknown kind %q", i, f.Kind))
--- a/internal/tier/simulation/script.go
+++ b/internal/tier/simulation/script.go
@@ -3,21 +3,13 @@
 import (
 	"cmp"
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"strings"
 	"time"
 )
 
 // ScriptVersion is the version of scripts that this package draws and plays.
-const ScriptVersion = 1
-
-// troubleMost is how long messages are lost at most in a script that is drawn: about the contact window. In longer trouble a session
-// may lapse for longer than the control plane waits for it.
-const troubleMost = 3 * time.Second
-
-// faultsMost is how many faults a script that is drawn has at most.
-const faultsMost = 4
+const ScriptVersion = 2
 
 // Kind is what a fault does.
 type Kind string
@@ -35,26 +27,48 @@
 	CutInbound  Kind = "cut-inbound"  // no message comes in
 	CutOutbound Kind = "cut-outbound" // no message goes out
 	CutLeader   Kind = "cut-leader"   // the primary is cut off together with the gateways of odd numbers
-	DiskFull    Kind = "disk-full"    // each write fails
-	DiskStuck   Kind = "disk-stuck"   // each sync waits
+
+	CutNear         Kind = "cut-near"          // a machine of the control plane is cut off together with those beside it
+	CutNearInbound  Kind = "cut-near-inbound"  // the same, and only no message comes in
+	CutNearOutbound Kind = "cut-near-outbound" // the same, and only no message goes out
+	CutConfirming   Kind = "cut-confirming"    // as cut-near, while the primary is writing an order
+
+	DiskFull  Kind = "disk-full"  // each write fails
+	DiskStuck Kind = "disk-stuck" // each sync waits
+
+	ZoneKill        Kind = "zone-kill" // the second group takes all of a zone, or of a region: Machine is its name
+	ZonePowerLoss   Kind = "zone-power-loss"
+	ZoneWipe        Kind = "zone-wipe"
+	ZoneCut         Kind = "zone-cut" // those in it reach each other
+	ZoneCutInbound  Kind = "zone-cut-inbound"
+	ZoneCutOutbound Kind = "zone-cut-outbound"
 
 	RestartAll   Kind = "restart-all"    // all processes of the control plane and the turn stores are killed
 	PowerLossAll Kind = "power-loss-all" // and their machines lose power; disks are kept
 
-	KillGateway Kind = "kill-gateway" // gateways aren't counted
-	Add         Kind = "add"          // one more turn store
-	Retire      Kind = "retire"       // the order to empty a turn store
-	LoseAnswers Kind = "lose-answers" // half of the answers to operators are lost
-	Reorder     Kind = "reorder"      // some messages come twice, or late
-	Trouble     Kind = "trouble"      // some messages are lost
+	SplitCore Kind = "split-core" // the control plane is cut into two halves; all others reach both
+
+	KillGateway Kind = "kill-gateway"  // gateways aren't counted
+	SeedsCutOff Kind = "seeds-cut-off" // as kill-gateway, and the next process is told of no control-plane machines but those that are cut off
+	Add         Kind = "add"           // one more turn store
+	Retire      Kind = "retire"        // the order to empty a turn store
+	LoseAnswers Kind = "lose-answers"  // half of the answers to operators are lost
+	Reorder     Kind = "reorder"       // some messages come twice, or late
+	Trouble     Kind = "trouble"       // some messages are lost
+	RivalOrders Kind = "rival-orders"  // pairs of orders of the same revision on the same one, at two machines
+	LossesInRow Kind = "losses-in-row" // losses follow each other as soon as they may, and operators order without rest
 )
 
 // Kinds gives all kinds, those that take a counted machine first.
-func Kinds() []Kind { return append(slices.Clone(counted), others...) }
+func Kinds() []Kind { return slices.Concat(counted, domainKinds, others) }
 
 var (
-	counted = []Kind{Kill, PowerLoss, Wipe, Replace, Move, Terminate, Pause, Cut, CutInbound, CutOutbound, CutLeader, DiskFull, DiskStuck}
-	others  = []Kind{RestartAll, PowerLossAll, KillGateway, Add, Retire, LoseAnswers, Reorder, Trouble}
+	counted = []Kind{Kill, PowerLoss, Wipe, Replace, Move, Terminate, Pause, Cut, CutInbound, CutOutbound, CutLeader, DiskFull, DiskStuck,
+		CutNear, CutNearInbound, CutNearOutbound, CutConfirming}
+	domainKinds = []Kind{ZoneKill, ZonePowerLoss, ZoneWipe, ZoneCut, ZoneCutInbound, ZoneCutOutbound}
+	others      = []Kind{RestartAll, PowerLossAll, SplitCore, KillGateway, SeedsCutOff, Add, Retire, LoseAnswers, Reorder, Trouble, RivalOrders,
+		LossesInRow}
+	nearKinds = []Kind{CutNear, CutNearInbound, CutNearOutbound, CutConfirming}
 )
 
 // Leader as a fault's machine is the control plane's primary when the fault begins.
@@ -66,6 +80,8 @@
 	DurationMS int64  `json:"duration_ms,omitempty"`
 	Kind       Kind   `json:"kind"`
 	Machine    string `json:"machine,omitempty"`
+
+	Side []string `json:"side,omitempty"` // machines that are cut off together with it
 }
 
 func (f Fault) at() time.Duration       { return time.Duration(f.AtMS) * time.Millisecond }
@@ -73,9 +89,23 @@
 
 // String gives the entry as one line.
 func (f Fault) String() string {
-	return fmt.Sprintf("%8.3f s  %-14s %-12s %.3f s", f.at().Seconds(), f.Kind, f.Machine, f.duration().Seconds())
+	line := fmt.Sprintf("%8.3f s  %-17s %-12s %.3f s", f.at().Seconds(), f.Kind, f.Machine, f.duration().Seconds())
+	if len(f.Side) > 0 {
+		line += " with " + strings.Join(f.Side, ", ")
+	}
+	return line
 }
 
+// Unit is what is lost as one.
+type Unit string
+
+// Units. Machines are meant where there is none.
+const (
+	Machines Unit = ""
+	Zones    Unit = "zones"
+	Regions  Unit = "regions"
+)
+
 // Script is a system and what befalls it. Seed draws the rest: delays, and what operators and clients do.
 type Script struct {
 	Version  int     `json:"version"`
@@ -83,14 +113,21 @@
 	Core     int     `json:"core"` // machines of the control plane
 	Stores   int     `json:"stores"`
 	Gateways int     `json:"gateways"`
-	Losses   int     `json:"losses"` // counted machines that may be lost at once
+	Losses   int     `json:"losses"` // counted machines, zones or regions that may be lost at once
+	Unit     Unit    `json:"unit,omitempty"`
+	Zones    int     `json:"zones,omitempty"`   // over which the machines are placed in turn; 0: 3
+	Regions  int     `json:"regions,omitempty"` // over which the zones are; 0: 1
 	Faults   []Fault `json:"faults"`
 }
 
 // String gives the script as lines.
 func (s Script) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d: %d core, %d turn stores, %d gateways, losses borne: %d\n", s.Seed, s.Core, s.Stores, s.Gateways, s.Losses)
+	fmt.Fprintf(&b, "seed %d: %d core, %d turn stores, %d gateways, losses borne: %d", s.Seed, s.Core, s.Stores, s.Gateways, s.Losses)
+	if s.Unit != Machines {
+		fmt.Fprintf(&b, " of %d %s (%d zones)", s.domains(), s.Unit, s.zones())
+	}
+	b.WriteByte('\n')
 	for _, f := range s.Faults {
 		fmt.Fprintln(&b, f)
 	}
@@ -100,118 +137,43 @@
 func coreName(i int) string    { return fmt.Sprint("core-", i+1) }
 func storeName(i int) string   { return fmt.Sprint("store-", i+1) }
 func gatewayName(i int) string { return fmt.Sprint("gateway-", i+1) }
+func zoneName(i int) string    { return fmt.Sprint("zone-", i+1) }
+func regionName(i int) string  { return fmt.Sprint("region-", i+1) }
 
-// Draw draws a script with faults of the given kinds; none: of all. Never are more than Losses counted machines lost at
-// once; a machine counts as lost until syncTime after its return. Only RestartAll and PowerLossAll, which keep the disks,
-// take more, while no other is lost. Messages may be lost (Trouble) beside losses.
-func Draw(seed uint64, kinds ...Kind) Script {
-	d := drawing{r: rand.New(rand.NewPCG(seed, 0x5c21)), kinds: kinds}
-	if len(kinds) == 0 {
-		d.kinds = Kinds()
-	}
-	d.s = Script{Version: ScriptVersion, Seed: seed, Core: 3, Stores: 3 + d.r.IntN(2), Gateways: 2, Losses: 1}
-	if d.r.IntN(5) == 0 {
-		d.s.Core, d.s.Stores, d.s.Losses = 5, 4+d.r.IntN(2), 2
-	}
-	d.lost = make([]loss, d.s.Losses)
-	d.at = settleIn
-	for range 1 + d.r.IntN(faultsMost) {
-		d.entry(d.kinds[d.r.IntN(len(d.kinds))])
-	}
-	slices.SortStableFunc(d.s.Faults, func(a, b Fault) int { return cmp.Compare(a.AtMS, b.AtMS) })
-	return d.s
-}
-
-// drawing is a script in the making.
-type drawing struct {
-	r       *rand.Rand
-	s       Script
-	kinds   []Kind
-	at      time.Duration // before which nothing more begins
-	lost    []loss
-	retired string
-	added   bool
-}
-
-// loss is one of the machines that may be lost at a time.
-type loss struct {
-	machine string
-	until   time.Duration
-}
-
-func (d *drawing) between(low, high time.Duration) time.Duration {
-	return low + time.Duration(d.r.Int64N(int64(high-low)))
-}
+func (s Script) zones() int   { return cmp.Or(s.Zones, 3) }
+func (s Script) regions() int { return cmp.Or(s.Regions, 1) }
 
-func (d *drawing) add(kind Kind, machine string, at, duration time.Duration) {
-	d.s.Faults = append(d.s.Faults, Fault{AtMS: at.Milliseconds(), DurationMS: duration.Milliseconds(), Kind: kind, Machine: machine})
-}
-
-// entry draws one fault, or none where its kind can't be at this place.
-func (d *drawing) entry(kind Kind) {
-	d.at += d.between(100*time.Millisecond, 3*time.Second)
-	switch {
-	case slices.Contains(counted, kind):
-		d.loss(kind)
-	case kind == RestartAll || kind == PowerLossAll:
-		for _, l := range d.lost {
-			d.at = max(d.at, l.until)
-		}
-		lasts := d.between(200*time.Millisecond, 3*time.Second)
-		d.add(kind, "", d.at, lasts)
-		d.at += lasts + syncTime
-	case kind == KillGateway:
-		d.add(kind, gatewayName(d.r.IntN(d.s.Gateways)), d.at, d.between(100*time.Millisecond, 2*time.Second))
-	case kind == Add && !d.added:
-		d.added = true
-		d.add(kind, storeName(d.s.Stores), d.at, 0)
-	case kind == Retire && d.retired == "" && d.s.Stores > d.s.Losses+1:
-		d.retired = storeName(d.r.IntN(d.s.Stores))
-		d.add(kind, d.retired, d.at, 0)
-	case kind == LoseAnswers || kind == Reorder:
-		d.add(kind, "", d.at, d.between(time.Second, 8*time.Second))
-	case kind == Trouble:
-		d.add(kind, "", d.at, d.between(200*time.Millisecond, troubleMost))
+// domains is how many zones or regions there are, as these or those are lost.
+func (s Script) domains() int {
+	if s.Unit == Regions {
+		return s.regions()
 	}
+	return s.zones()
 }
 
-// loss draws a fault that takes a counted machine.
-func (d *drawing) loss(kind Kind) {
-	slot := 0
-	for i, l := range d.lost {
-		if l.until < d.lost[slot].until {
-			slot = i
-		}
-	}
-	at := max(d.at, d.lost[slot].until)
-	machine := d.machine(kind, at)
-	if machine == "" {
-		return
+// domainName is the name of a zone or a region, as these or those are lost.
+func (s Script) domainName(i int) string {
+	if s.Unit == Regions {
+		return regionName(i)
 	}
-	duration := d.between(100*time.Millisecond, 6*time.Second)
-	if kind == Cut || kind == CutLeader {
-		duration = d.between(300*time.Millisecond, 20*time.Second)
-	}
-	d.add(kind, machine, at, duration)
-	d.lost[slot] = loss{machine, at + duration + syncTime}
+	return zoneName(i)
 }
 
-// machine draws one that is not lost. A machine that is to be emptied is spared what would end the order.
-func (d *drawing) machine(kind Kind, at time.Duration) string {
-	if kind == CutLeader || kind != Terminate && d.r.IntN(4) == 0 {
-		return Leader
-	}
-	name := storeName(d.r.IntN(d.s.Stores))
-	if kind == Move || kind != Terminate && d.r.IntN(2) == 0 {
-		name = coreName(d.r.IntN(d.s.Core))
+// domainOf is the zone or region of a machine that is there from the beginning, where these are lost. It is the name itself where
+// machines are lost, and of the leader, whose place isn't known.
+func (s Script) domainOf(name string) string {
+	if s.Unit == Machines {
+		return name
 	}
-	for _, l := range d.lost {
-		if l.machine == name && l.until > at {
-			return ""
+	for _, list := range []struct {
+		count int
+		name  func(int) string
+	}{{s.Core, coreName}, {s.Stores, storeName}, {s.Gateways, gatewayName}} {
+		for i := range list.count {
+			if list.name(i) == name {
+				return s.domainName(i % s.zones() % s.domains())
+			}
 		}
 	}
-	if name == d.retired {
-		return ""
-	}
 	return name
 }
--- a/internal/tier/simulation/script_test.go
+++ b/internal/tier/simulation/script_test.go
@@ -5,38 +5,149 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
 	"gotest.tools/v3/assert"
 )
 
-// Never are more counted machines lost at once than are to be borne. One that is back counts as lost until it is in step again.
-// Messages may be lost meanwhile, which takes no machine.
+// Never are more counted machines, or zones or regions, lost at once than are to be borne. One that is back counts as lost until it
+// is in step again. Messages may be lost meanwhile, which takes no machine.
 func TestDrawnLossesAreBorne(t *testing.T) {
 	troubled := 0 // losses of machines while messages are lost
+	units := map[Unit]int{}
 	for seed := range uint64(5000) {
 		s := Draw(seed)
 		assert.NilError(t, s.check())
+		units[s.Unit]++
 		for _, f := range s.Faults {
 			lost := 0
 			for _, other := range s.Faults {
-				if slices.Contains(counted, other.Kind) && overlap(f, other) {
-					lost++
+				if overlap(f, other) {
+					lost += taken(other)
 				}
 			}
-			if slices.Contains(counted, f.Kind) {
+			if taken(f) > 0 {
 				assert.Assert(t, lost <= s.Losses, "%v%v", s, f)
 				if slices.ContainsFunc(s.Faults, func(other Fault) bool { return other.Kind == Trouble && overlap(f, other) }) {
 					troubled++
 				}
 			}
-			if f.Kind == RestartAll || f.Kind == PowerLossAll {
+			if takesMore(f) {
 				assert.Equal(t, lost, 0, "%v%v", s, f)
 			}
+			if taken(f) > 0 || takesMore(f) {
+				for _, other := range s.Faults {
+					assert.Assert(t, other.AtMS == f.AtMS && other.Kind == f.Kind || !takesMore(other) || !overlap(f, other), "%v%v", s, f)
+				}
+			}
 		}
 	}
 	assert.Assert(t, troubled > 0, "no loss is drawn beside lost messages")
+	assert.Assert(t, units[Machines] > 2500 && units[Zones] > 500 && units[Regions] > 100, "%v", units)
+}
+
+// taken is how many counted machines, or zones or regions, a fault takes.
+func taken(f Fault) (n int) {
+	if !slices.Contains(counted, f.Kind) && !slices.Contains(domainKinds, f.Kind) {
+		return 0
+	}
+	for _, name := range f.Side {
+		if !strings.HasPrefix(name, "gateway-") {
+			n++
+		}
+	}
+	return n + 1
+}
+
+// takesMore tells whether a fault takes more than is to be borne.
+func takesMore(f Fault) bool {
+	return f.Kind == RestartAll || f.Kind == PowerLossAll || f.Kind == SplitCore
+}
+
+// Zones and regions are lost only in systems that count these, with room for copies and members in others.
+func TestDrawnZones(t *testing.T) {
+	for seed := range uint64(2000) {
+		s := Draw(seed)
+		core, stores := map[string]bool{}, map[string]bool{}
+		for i := range s.Core {
+			core[s.domainOf(coreName(i))] = true
+		}
+		for i := range s.Stores {
+			stores[s.domainOf(storeName(i))] = true
+		}
+		if s.Unit != Machines {
+			assert.Assert(t, s.domains() >= 2*s.Losses+1 && s.domains() >= 3 && s.zones() <= 5, "%v", s)
+			assert.Equal(t, len(core), s.domains(), "%v", s)
+			assert.Equal(t, len(stores), s.domains(), "%v", s)
+		}
+		for _, f := range s.Faults {
+			if slices.Contains(domainKinds, f.Kind) {
+				assert.Assert(t, s.Unit != Machines && (f.Machine == Leader || core[f.Machine]), "%v", s)
+			}
+		}
+	}
+	for seed := range uint64(100) {
+		assert.Assert(t, Draw(seed, ZoneWipe).Unit != Machines)
+		assert.Equal(t, Draw(seed, Wipe).Unit, Machines)
+	}
+}
+
+// A cut with those beside the machine lasts long, and is of one machine of the control plane that counts.
+func TestDrawnNearCuts(t *testing.T) {
+	returns := map[Kind]int{} // what comes as the machine comes back
+	for seed := range uint64(1000) {
+		s := Draw(seed, nearKinds...)
+		for _, f := range s.Faults {
+			if !slices.Contains(nearKinds, f.Kind) {
+				continue
+			}
+			assert.Assert(t, f.duration() >= 10*time.Second && f.duration() <= 20*time.Second, "%v", s)
+			assert.Assert(t, f.Machine == Leader || strings.HasPrefix(f.Machine, "core-"), "%v", s)
+			assert.Assert(t, strings.HasPrefix(f.Side[0], "gateway-"), "%v", s)
+			for _, other := range s.Faults {
+				after := other.at() - f.at() - f.duration()
+				if other.Kind == SeedsCutOff && other.at() > f.at() && after < 0 {
+					returns[SeedsCutOff]++
+				}
+				if other.Kind == RivalOrders && after >= -rivalsBefore-time.Millisecond && after <= 0 {
+					returns[RivalOrders]++
+				}
+				if other.Machine == Leader && (after >= 0 && after <= nextLossMost || after >= syncTime-time.Millisecond && after <= syncTime+nextLossMost) {
+					returns[Kill]++
+				}
+			}
+		}
+	}
+	for _, kind := range []Kind{SeedsCutOff, RivalOrders, Kill} {
+		assert.Assert(t, returns[kind] > 100, "%v", returns)
+	}
+}
+
+// Losses in a row: each begins 0 to 50 ms after one before it counts no more.
+func TestDrawnLossesInARow(t *testing.T) {
+	rows := 0
+	for seed := range uint64(500) {
+		s := Draw(seed, LossesInRow)
+		i := slices.IndexFunc(s.Faults, func(f Fault) bool { return f.Kind == LossesInRow })
+		assert.Assert(t, i >= 0, "%v", s)
+		row := s.Faults[i]
+		assert.Assert(t, row.at()+row.duration() <= 2*time.Minute, "%v", s)
+		losses := slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool { return taken(f) == 0 })
+		assert.Assert(t, len(losses) >= 6, "%v", s)
+		for n, f := range losses {
+			if n < s.Losses {
+				continue
+			}
+			assert.Assert(t, slices.ContainsFunc(losses[:n], func(before Fault) bool {
+				late := f.at() - before.at() - before.duration() - syncTime
+				return late >= -time.Millisecond && late <= nextLossMost+time.Millisecond
+			}), "%v%v", s, f)
+		}
+		rows++
+	}
+	assert.Equal(t, rows, 500)
 }
 
 // overlap tells whether a fault begins while another is not over by syncTime.
@@ -76,15 +187,15 @@
 	assert.NilError(t, s.Write(path))
 	_, err := Read(path)
 	assert.Assert(t, errors.Is(err, ErrVersion))
-	assert.ErrorContains(t, err, "version 2, this program plays 1")
+	assert.ErrorContains(t, err, "version 3, this program plays 2")
 }
 
 func TestAllThatIsWrongWithAScriptIsTold(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "script.json")
-	assert.NilError(t, os.WriteFile(path, []byte(`{"version":1,"core":1,"stores":3,"gateways":2,"losses":1,
-		"faults":[{"at_ms":1,"kind":"flood"},{"at_ms":-1,"kind":"kill"}]}`), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(`{"version":2,"core":1,"stores":3,"gateways":2,"losses":1,
+		"unit":"racks","faults":[{"at_ms":1,"kind":"flood"},{"at_ms":-1,"kind":"kill"}]}`), 0o600))
 	_, err := Read(path)
-	for _, part := range []string{"1 core", `faults[0]: unknown kind "flood"`, "faults[1]: a time below 0"} {
+	for _, part := range []string{"1 core", `unknown unit "racks"`, `faults[0]: unknown kind "flood"`, "faults[1]: a time below 0"} {
 		assert.ErrorContains(t, err, part)
 	}
 }
--- a/internal/tier/simulation/seams.go
+++ b/internal/tier/simulation/seams.go
@@ -2,6 +2,7 @@
 
 import (
 	"dockshift.example/dockshift/internal/tier/controlplane"
+	"dockshift.example/dockshift/internal/tier/settings"
 	"dockshift.example/dockshift/internal/tier/turnstore"
 	"dockshift.example/dockshift/internal/tier/wal"
 	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
@@ -14,6 +15,8 @@
 	Synced func(*turnstore.TurnStore, SyncedFunc) SyncedFunc // around a turn store's reports of whole copies
 	Map    func(*turnstore.TurnStore, *tierv1.PartitionMap)  // hears of the maps that a turn store takes
 	Tamper func(*Delivery)                                   // with answers on their way back
+
+	Settings func(*settings.Settings) // of each machine
 }
 
 // SyncedFunc gives a turn store's reports, and a channel that is closed when they have changed.
--- a/internal/tier/simulation/world.go
+++ b/internal/tier/simulation/world.go
@@ -34,6 +34,7 @@
 	programPlaces    = 4
 	programBudget    = 400 // tokens
 	clientsOfGateway = 2
+	seedCount        = 3
 )
 
 // Addresses: a machine's is made of its kind's and its number.
@@ -42,6 +43,7 @@
 	storeNet   = "10.0.2."
 	gatewayNet = "10.0.3."
 	outsideNet = "10.0.9."
+	rivalsNet  = "10.0.8."
 	platformIP = outsideNet + "1"
 	endpointIP = outsideNet + "2"
 	watcherIP  = outsideNet + "3"
@@ -73,6 +75,8 @@
 	machines  map[string]*machine
 	addresses map[string]int // next of each kind
 	busy      map[string]bool
+	cutOff    map[string]int // machines of the control plane that are cut off, and by how many faults
+	hurries   int            // faults for whose time operators order without rest
 	broken    *Violation
 	retiring  string // the machine whose order to be emptied was acknowledged
 	retired   bool   // and has been carried out
@@ -81,7 +85,7 @@
 
 func newWorld(script Script, options Options) *world {
 	w := &world{script: script, options: options, network: newNetwork(script.Seed), began: time.Now(), machines: map[string]*machine{},
-		addresses: map[string]int{}, busy: map[string]bool{},
+		addresses: map[string]int{}, busy: map[string]bool{}, cutOff: map[string]int{},
 		calm: make(chan struct{}), bootstrap: true}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	w.network.tamper = options.Seams.Tamper
@@ -167,17 +171,28 @@
 	network := map[roleName]string{roleControlPlane: coreNet, roleTurnStore: storeNet, roleGateway: gatewayNet}[kind]
 	w.addresses[network]++
 	ip := fmt.Sprint(network, w.addresses[network])
-	return w.put(name, kind, ip, fmt.Sprint("zone-", zone%3+1))
+	return w.put(name, kind, ip, zone%w.script.zones())
 }
 
 // put makes a machine. The lock is held.
-func (w *world) put(name string, kind roleName, ip, zone string) *machine {
+func (w *world) put(name string, kind roleName, ip string, zone int) *machine {
 	random := w.random(name + "@" + ip)
 	m := &machine{world: w, name: name, ip: ip, zone: zone, kind: kind, random: random, disk: newDisk(random.Uint64())}
-	m.settings = settings.Settings{Node: name, IP: ip, Zone: zone, Region: "region-1", Control: ip + ":" + operatorsPort, PortFirst: internalPort,
-		PortLast: internalPort + 10, LoseMachines: w.script.Losses, ContactWindow: contactWindow, Heartbeat: heartbeat, SyncTime: syncTime,
+	m.settings = settings.Settings{Node: name, IP: ip, Zone: zoneName(zone), Region: regionName(zone % w.script.regions()), Control: ip + ":" + operatorsPort, PortFirst: internalPort,
+		PortLast: internalPort + 10, ContactWindow: contactWindow, Heartbeat: heartbeat, SyncTime: syncTime,
 		Grace: grace, ConfigApply: configApply, DrainTimeout: drainTime, CloudAddress: platformIP + ":" + outsidePort, CloudRate: 40,
 		MemoryMB: 64, Descriptors: 1000}
+	switch w.script.Unit {
+	case Zones:
+		m.settings.LoseZones = w.script.Losses
+	case Regions:
+		m.settings.LoseRegions = w.script.Losses
+	default:
+		m.settings.LoseMachines = w.script.Losses
+	}
+	if w.options.Seams.Settings != nil {
+		w.options.Seams.Settings(&m.settings)
+	}
 	w.machines[name] = m
 	w.network.set(func() { w.network.machines[ip] = m })
 	return m
@@ -187,7 +202,7 @@
 func (w *world) outside(name, ip string) *machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.put(name, roleOutside, ip, "zone-1")
+	return w.put(name, roleOutside, ip, 0)
 }
 
 func (w *world) machine(name string) *machine {
@@ -213,9 +228,13 @@
 
 // role makes the role of a new process, with the settings of its start.
 func (w *world) role(m *machine) role {
+	w.mu.Lock()
+	cutOff := m.seedsCutOff && len(w.cutOff) > 0
+	m.seedsCutOff = false
+	w.mu.Unlock()
 	m.settings.Seeds = nil
-	for i, one := range w.kind(roleControlPlane) {
-		if i < 3 {
+	for _, one := range w.kind(roleControlPlane) {
+		if len(m.settings.Seeds) < seedCount && (!cutOff || w.isCutOff(one.name)) {
 			m.settings.Seeds = append(m.settings.Seeds, one.settings.Control)
 		}
 	}
