--- a/internal/tier/simulation/checks_test.go
+++ b/internal/tier/simulation/checks_test.go
@@ -145,3 +145,21 @@
 	v.tookConfiguration("one", one, &tierv1.Configuration{Version: 6, Body: []byte("y")}, 2)
 	assert.DeepEqual(t, f.rules[3:], []Rule{RuleFalls})
 }
+
+// A new process is first shown what stood when it began, or later.
+func TestFirstViews(t *testing.T) {
+	var f finds
+	v := newViews(f.report)
+	show := func(p *process, version uint64, revision int64) {
+		v.tookConfiguration("g", p, &tierv1.Configuration{Version: version, Body: []byte(fmt.Sprint(revision))}, revision)
+	}
+	show(&process{}, 7, 3)
+	assert.Equal(t, v.highest(), [2]uint64{7, 0})
+	show(&process{floor: 3, shownBefore: v.highest()}, 7, 3)
+	assert.Equal(t, len(f.rules), 0)
+	show(&process{floor: 3, shownBefore: v.highest()}, 6, 3)
+	show(&process{floor: 4}, 8, 3)
+	assert.DeepEqual(t, f.rules, []Rule{RuleStale, RuleStale})
+	v.tookMap("s", &process{shownBefore: [2]uint64{0, 5}}, &tierv1.PartitionMap{Version: 4})
+	assert.DeepEqual(t, f.rules[2:], []Rule{RuleStale})
+}
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -60,6 +60,9 @@
 	log      *log.Logger
 	role     role
 	handlers map[string]http.Handler // by port
+
+	floor       int64     // the least revision that was in force when it began
+	shownBefore [2]uint64 // the highest versions that anyone had been shown then
 }
 
 // over tells whether the process has ended: nothing that it still does may be seen outside.
@@ -102,6 +105,7 @@
 	defer cancel()
 	p := &process{machine: m, ctx: ctx, cancel: cancel, log: m.world.logger(m.name), handlers: map[string]http.Handler{}}
 	p.link = &link{m.world.network, p}
+	p.floor, p.shownBefore = m.world.checks.orders.floor(), m.world.checks.views.highest()
 	p.role = m.world.role(m)
 	m.mu.Lock()
 	if !m.up || m.life != life {
--- a/internal/tier/simulation/play.go
+++ b/internal/tier/simulation/play.go
@@ -72,13 +72,13 @@
 	w.outside("platform", platformIP).start()
 	w.outside("endpoint", endpointIP).start()
 	for i := range w.script.Core {
-		w.place(coreName(i), roleControlPlane, i)
+		w.place(coreName(i), roleControlPlane, w.script.zoneOf(i, w.script.Core))
 	}
 	for i := range w.script.Stores {
-		w.place(storeName(i), roleTurnStore, i)
+		w.place(storeName(i), roleTurnStore, w.script.zoneOf(i, w.script.Stores))
 	}
 	for i := range w.script.Gateways {
-		w.place(gatewayName(i), roleGateway, i)
+		w.place(gatewayName(i), roleGateway, w.script.zoneOf(i, w.script.Gateways))
 	}
 	for _, kind := range []roleName{roleControlPlane, roleTurnStore, roleGateway} {
 		for _, m := range w.kind(kind) {
--- a/internal/tier/simulation/script.go
+++ b/internal/tier/simulation/script.go
@@ -115,7 +115,8 @@
 	Gateways int     `json:"gateways"`
 	Losses   int     `json:"losses"` // counted machines, zones or regions that may be lost at once
 	Unit     Unit    `json:"unit,omitempty"`
-	Zones    int     `json:"zones,omitempty"`   // over which the machines are placed in turn; 0: 3
+	Zones    int     `json:"zones,omitempty"`   // over which the machines are placed; 0: 3
+	Packed   bool    `json:"packed,omitempty"`  // zone by zone, and not in turn: the seeds then lie in one or two zones
 	Regions  int     `json:"regions,omitempty"` // over which the zones are; 0: 1
 	Faults   []Fault `json:"faults"`
 }
@@ -127,6 +128,9 @@
 	if s.Unit != Machines {
 		fmt.Fprintf(&b, " of %d %s (%d zones)", s.domains(), s.Unit, s.zones())
 	}
+	if s.Packed {
+		b.WriteString(", placed zone by zone")
+	}
 	b.WriteByte('\n')
 	for _, f := range s.Faults {
 		fmt.Fprintln(&b, f)
@@ -151,6 +155,14 @@
 	return s.zones()
 }
 
+// zoneOf is the zone of machine i of a number of one kind.
+func (s Script) zoneOf(i, count int) int {
+	if s.Packed {
+		return i * s.zones() / count
+	}
+	return i % s.zones()
+}
+
 // domainName is the name of a zone or a region, as these or those are lost.
 func (s Script) domainName(i int) string {
 	if s.Unit == Regions {
@@ -171,7 +183,7 @@
 	}{{s.Core, coreName}, {s.Stores, storeName}, {s.Gateways, gatewayName}} {
 		for i := range list.count {
 			if list.name(i) == name {
-				return s.domainName(i % s.zones() % s.domains())
+				return s.domainName(s.zoneOf(i, list.count) % s.domains())
 			}
 		}
 	}
--- a/internal/tier/simulation/views.go
+++ b/internal/tier/simulation/views.go
@@ -20,6 +20,7 @@
 	last     map[*process][2]uint64 // versions of the configuration and the map
 	revision map[*process]int64
 	epochs   map[string]string // partition and epoch to copies
+	shown    [2]uint64         // highest versions of the configuration and the map that anyone was shown
 	newest   *tierv1.PartitionMap
 }
 
@@ -28,6 +29,13 @@
 		epochs: map[string]string{}}
 }
 
+// highest gives the highest versions of the configuration and the map that anyone was shown.
+func (v *views) highest() [2]uint64 {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.shown
+}
+
 // same checks that a version was never another value. The lock is held.
 func (v *views) same(kind string, version uint64, value string) {
 	key := fmt.Sprint(kind, " ", version)
@@ -37,14 +45,19 @@
 	v.versions[key] = value
 }
 
-// rises checks that a version is above the one before in a process's life. The lock is held.
+// rises checks that a version is above the one before in a process's life, and that the first one is none that is older than what
+// anyone had been shown when that began. The lock is held.
 func (v *views) rises(name string, p *process, kind int, version uint64) {
 	last := v.last[p]
+	if last[kind] == 0 && version < p.shownBefore[kind] {
+		v.report(RuleStale, "%s was first shown version %d, and %d had been shown before it began", name, version, p.shownBefore[kind])
+	}
 	if version <= last[kind] {
 		v.report(RuleFalls, "%s was shown version %d after %d", name, version, last[kind])
 	}
 	last[kind] = version
 	v.last[p] = last
+	v.shown[kind] = max(v.shown[kind], version)
 }
 
 // tookConfiguration takes what a gateway was shown.
@@ -53,6 +66,9 @@
 	defer v.mu.Unlock()
 	v.rises(name, p, 0, c.Version)
 	v.same("configuration", c.Version, string(c.Body))
+	if _, any := v.revision[p]; !any && revision < p.floor {
+		v.report(RuleStale, "%s was first shown revision %d, and %d was in force when it began", name, revision, p.floor)
+	}
 	if before := v.revision[p]; revision < before {
 		v.report(RuleFalls, "%s was shown revision %d after %d", name, revision, before)
 	}
