--- a/internal/tier/simulation/draw.go
+++ b/internal/tier/simulation/draw.go
@@ -36,7 +36,7 @@
 
 // Draw draws a script with faults of the given kinds; none: of all. Never are more than Losses machines, or zones or
 // regions, lost at once; one counts as lost until syncTime after its return. Only RestartAll, PowerLossAll, which keep
-// the disks, and SplitCore take more, while nothing else is lost. Messages may be lost (Trouble) beside losses.
+// the disks, SplitCore and SplitOneWay take more, while nothing else is lost. Messages may be lost (Trouble) beside losses.
 func Draw(seed uint64, kinds ...Kind) Script {
 	d := drawing{r: rand.New(rand.NewPCG(seed, 0x5c21)), kinds: kinds}
 	if len(kinds) == 0 {
@@ -139,10 +139,10 @@
 	switch {
 	case takesCounted(kind):
 		d.loss(kind, d.slot().until)
-	case kind == RestartAll || kind == PowerLossAll || kind == SplitCore:
+	case slices.Contains(takeMore, kind):
 		d.at = d.whole()
 		lasts := d.between(200*time.Millisecond, 3*time.Second)
-		if kind == SplitCore {
+		if kind == SplitCore || kind == SplitOneWay {
 			lasts = d.between(splitMin, splitMax)
 		}
 		d.add(kind, "", d.at, lasts)
--- a/internal/tier/simulation/faults.go
+++ b/internal/tier/simulation/faults.go
@@ -31,7 +31,7 @@
 	case Trouble:
 		w.window(f, func(on bool) { w.network.trouble = on })
 		return
-	case SplitCore:
+	case SplitCore, SplitOneWay:
 		w.splitCore(f)
 		return
 	case RivalOrders:
--- a/internal/tier/simulation/faults_domain.go
+++ b/internal/tier/simulation/faults_domain.go
@@ -179,19 +179,25 @@
 	return w.cutOff[name] > 0
 }
 
-// splitCore cuts the control plane into two halves, which all others reach.
+// splitCore cuts the control plane into two halves, which all others reach. Each half is the first one half of the times.
 func (w *world) splitCore(f Fault) {
 	core := w.kind(roleControlPlane)
 	random := w.random(f.String())
 	random.Shuffle(len(core), func(i, j int) { core[i], core[j] = core[j], core[i] })
-	half := core[:len(core)/2]
+	half, rest := core[:len(core)/2], core[len(core)/2:]
+	if random.IntN(2) == 0 {
+		half, rest = rest, half
+	}
 	var links [][2]string
 	for _, one := range half {
-		for _, other := range core[len(half):] {
-			links = append(links, [2]string{one.name, other.name}, [2]string{other.name, one.name})
+		for _, other := range rest {
+			links = append(links, [2]string{other.name, one.name})
+			if f.Kind == SplitCore {
+				links = append(links, [2]string{one.name, other.name})
+			}
 		}
 	}
-	w.note("%s: %s | %s", f.Kind, names(half), names(core[len(half):]))
+	w.note("%s: %s | %s", f.Kind, names(half), names(rest))
 	w.isolate(f.duration(), links)
 	w.note("%s is over", f.Kind)
 }
--- a/internal/tier/simulation/faults_domain_test.go
+++ b/internal/tier/simulation/faults_domain_test.go
@@ -79,7 +79,7 @@
 
 // Each of the new kinds is played without a broken promise.
 func TestKindsOfZonesAndCuts(t *testing.T) {
-	for _, kind := range slices.Concat(domainKinds, nearKinds, []Kind{SplitCore, SeedsCutOff, RivalOrders}) {
+	for _, kind := range slices.Concat(domainKinds, nearKinds, []Kind{SplitCore, SplitOneWay, SeedsCutOff, RivalOrders}) {
 		t.Run(string(kind), func(t *testing.T) {
 			if testing.Short() && kind != ZoneCut && kind != CutConfirming {
 				t.Skip("played without -short")
--- a/internal/tier/simulation/script.go
+++ b/internal/tier/simulation/script.go
@@ -46,7 +46,8 @@
 	RestartAll   Kind = "restart-all"    // all processes of the control plane and the turn stores are killed
 	PowerLossAll Kind = "power-loss-all" // and their machines lose power; disks are kept
 
-	SplitCore Kind = "split-core" // the control plane is cut into two halves; all others reach both
+	SplitCore   Kind = "split-core"    // the control plane is cut into two halves; all others reach both
+	SplitOneWay Kind = "split-one-way" // the same, and the other half still hears the first
 
 	KillGateway Kind = "kill-gateway"  // gateways aren't counted
 	SeedsCutOff Kind = "seeds-cut-off" // as kill-gateway, and the next process is told of no control-plane machines but those that are cut off
@@ -66,8 +67,9 @@
 	counted = []Kind{Kill, PowerLoss, Wipe, Replace, Move, Terminate, Pause, Cut, CutInbound, CutOutbound, CutLeader, DiskFull, DiskStuck,
 		CutNear, CutNearInbound, CutNearOutbound, CutConfirming}
 	domainKinds = []Kind{ZoneKill, ZonePowerLoss, ZoneWipe, ZoneCut, ZoneCutInbound, ZoneCutOutbound}
-	others      = []Kind{RestartAll, PowerLossAll, SplitCore, KillGateway, SeedsCutOff, Add, Retire, LoseAnswers, Reorder, Trouble, RivalOrders,
+	others      = []Kind{RestartAll, PowerLossAll, SplitCore, SplitOneWay, KillGateway, SeedsCutOff, Add, Retire, LoseAnswers, Reorder, Trouble, RivalOrders,
 		LossesInRow}
+	takeMore  = []Kind{RestartAll, PowerLossAll, SplitCore, SplitOneWay} // than is to be borne
 	nearKinds = []Kind{CutNear, CutNearInbound, CutNearOutbound, CutConfirming}
 )
 
--- a/internal/tier/simulation/script_test.go
+++ b/internal/tier/simulation/script_test.go
@@ -63,7 +63,7 @@
 
 // takesMore tells whether a fault takes more than is to be borne.
 func takesMore(f Fault) bool {
-	return f.Kind == RestartAll || f.Kind == PowerLossAll || f.Kind == SplitCore
+	return f.Kind == RestartAll || f.Kind == PowerLossAll || f.Kind == SplitCore || f.Kind == SplitOneWay
 }
 
 // Zones and regions are lost only in systems that count these, with room for copies and members in others.
