--- a/internal/tier/simulation/draw.go
+++ b/internal/tier/simulation/draw.go
@@ -284,6 +284,9 @@
 	if kind == CutLeader || kind == CutConfirming || near && d.r.IntN(4) > 0 || kind != Terminate && d.r.IntN(4) == 0 {
 		return Leader
 	}
+	if kind != Terminate && kind != Move && !near && d.retired == "" && d.r.IntN(4) == 0 {
+		return Weakest
+	}
 	name := storeName(d.r.IntN(d.s.Stores))
 	if kind == Move || near || kind != Terminate && d.r.IntN(2) == 0 {
 		name = coreName(d.r.IntN(d.s.Core))
@@ -296,8 +299,8 @@
 
 // zone draws a zone or a region that is not lost, in which no machine is to be emptied.
 func (d *drawing) zone(at time.Duration) string {
-	if d.retired == "" && d.r.IntN(4) == 0 {
-		return Leader
+	if d.retired == "" && d.r.IntN(2) == 0 {
+		return [...]string{Leader, Weakest}[d.r.IntN(2)]
 	}
 	name := d.s.domainName(d.r.IntN(d.s.domains()))
 	if d.isLost(name, at) || d.retired != "" && d.s.domainOf(d.retired) == name {
--- a/internal/tier/simulation/faults.go
+++ b/internal/tier/simulation/faults.go
@@ -44,10 +44,7 @@
 		w.domain(f)
 		return
 	}
-	m := w.machine(f.Machine)
-	if f.Machine == Leader {
-		m = w.leader()
-	}
+	m := w.meant(f.Machine)
 	if m == nil || !w.take(m.name) {
 		w.note("skipped: %v", f)
 		return
@@ -58,6 +55,17 @@
 	w.note("%s %s is over", f.Kind, m.name)
 }
 
+// meant gives the machine that a fault names.
+func (w *world) meant(name string) *machine {
+	switch name {
+	case Leader:
+		return w.leader()
+	case Weakest:
+		return w.weakest()
+	}
+	return w.machine(name)
+}
+
 // take claims a machine for a fault, unless it is under another.
 func (w *world) take(name string) bool {
 	w.mu.Lock()
--- a/internal/tier/simulation/faults_domain.go
+++ b/internal/tier/simulation/faults_domain.go
@@ -14,13 +14,11 @@
 // domain plays a fault of a whole zone or region: of its machines of all roles.
 func (w *world) domain(f Fault) {
 	name := f.Machine
-	if name == Leader {
-		leader := w.leader()
-		if leader == nil {
-			w.note("skipped: %v", f)
-			return
-		}
-		name = leader.domain()
+	if m := w.meant(name); m != nil {
+		name = m.domain()
+	} else if name == Leader || name == Weakest {
+		w.note("skipped: %v", f)
+		return
 	}
 	w.note("%s %s", f.Kind, name)
 	defer w.note("%s %s is over", f.Kind, name)
--- a/internal/tier/simulation/faults_domain_test.go
+++ b/internal/tier/simulation/faults_domain_test.go
@@ -1,10 +1,13 @@
 package simulation
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 
 	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 )
 
 // placed is a system of a script whose machines are there, and don't run.
@@ -91,3 +94,28 @@
 		})
 	}
 }
+
+// The weakest turn store holds the most copies that are needed, and the leader is taken where none is.
+func TestNeededCopies(t *testing.T) {
+	w := placed(Script{Core: 3, Stores: 3, Gateways: 1, Losses: 1})
+	newest := &tierv1.PartitionMap{Version: 1}
+	for i := range 3 {
+		newest.StoreNodes = append(newest.StoreNodes, &tierv1.StoreNode{Folder: fmt.Sprint("folder-", i+1), Node: storeName(i)})
+	}
+	for _, copies := range []struct {
+		primary, backup string
+		synced          bool
+	}{{"folder-1", "folder-2", true}, {"folder-2", "folder-1", false}, {"folder-2", "folder-3", false}, {"folder-3", "folder-1", false}} {
+		newest.Partitions = append(newest.Partitions, &tierv1.Partition{Primary: copies.primary,
+			Backups: []*tierv1.Copy{{Folder: copies.backup, Synced: copies.synced}}})
+	}
+	assert.DeepEqual(t, w.neededCopies(newest), map[string]int{"store-2": 2, "store-3": 1})
+	w.checks.views.newest = newest
+	assert.Equal(t, w.weakest().name, "store-2")
+	w.busy["store-2"] = true
+	assert.DeepEqual(t, w.neededCopies(newest), map[string]int{"store-1": 1, "store-3": 1})
+	w.busy["store-1"] = true
+	assert.Equal(t, w.weakest().name, "store-3")
+	w.busy["store-3"] = true
+	assert.Assert(t, w.weakest() == nil, "nobody leads")
+}
--- a/internal/tier/simulation/script.go
+++ b/internal/tier/simulation/script.go
@@ -76,6 +76,10 @@
 // Leader as a fault's machine is the control plane's primary when the fault begins.
 const Leader = "leader"
 
+// Weakest as a fault's machine is the turn store whose loss would hurt most when the fault begins: it holds the most copies without
+// which too few synced ones of a partition are left. Where all have as many as they should, it is the primary of the control plane.
+const Weakest = "weakest"
+
 // Fault is one entry of a script.
 type Fault struct {
 	AtMS       int64  `json:"at_ms"` // from the start of the system
@@ -174,7 +178,7 @@
 }
 
 // domainOf is the zone or region of a machine that is there from the beginning, where these are lost. It is the name itself where
-// machines are lost, and of the leader, whose place isn't known.
+// machines are lost, and of Leader and Weakest, whose place isn't known.
 func (s Script) domainOf(name string) string {
 	if s.Unit == Machines {
 		return name
--- a/internal/tier/simulation/script_test.go
+++ b/internal/tier/simulation/script_test.go
@@ -84,7 +84,7 @@
 		}
 		for _, f := range s.Faults {
 			if slices.Contains(domainKinds, f.Kind) {
-				assert.Assert(t, s.Unit != Machines && (f.Machine == Leader || core[f.Machine]), "%v", s)
+				assert.Assert(t, s.Unit != Machines && (f.Machine == Leader || f.Machine == Weakest || core[f.Machine]), "%v", s)
 			}
 		}
 	}
--- a/internal/tier/simulation/views.go
+++ b/internal/tier/simulation/views.go
@@ -36,6 +36,13 @@
 	return v.shown
 }
 
+// newestMap is the newest map of the partitions that anyone was shown.
+func (v *views) newestMap() *tierv1.PartitionMap {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.newest
+}
+
 // same checks that a version was never another value. The lock is held.
 func (v *views) same(kind string, version uint64, value string) {
 	key := fmt.Sprint(kind, " ", version)
