--- /dev/null
+++ b/internal/tier/simulation/planted_late_test.go
@@ -0,0 +1,57 @@
+package simulation
+
+import (
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"dockshift.example/dockshift/internal/tier/turnstore"
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// lateReports is how late a turn store reports whole copies: later than the next loss may come.
+const lateReports = syncTime + 2*time.Second
+
+// late has reports of whole copies come late.
+type late struct {
+	synced SyncedFunc
+
+	mu    sync.Mutex
+	since map[string]time.Time // when each was first reported
+}
+
+func (l *late) reports() ([]*tierv1.SyncedCopy, <-chan struct{}) {
+	all, _ := l.synced()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	since := map[string]time.Time{}
+	var list []*tierv1.SyncedCopy
+	for _, c := range all {
+		key := fmt.Sprint(c.Partition, " ", c.Epoch, " ", c.Folder)
+		first, ok := l.since[key]
+		if !ok {
+			first = time.Now()
+		}
+		since[key] = first
+		if time.Since(first) >= lateReports {
+			list = append(list, c)
+		}
+	}
+	l.since = since
+	changed := make(chan struct{})
+	time.AfterFunc(sampleEvery, func() { close(changed) })
+	return list, changed
+}
+
+// Point 3: copies that were made anew count only after the next loss may have come. It is found without the rule that all copies are there in
+// the end, by what the next loss takes.
+func TestPlantedLateRepair(t *testing.T) {
+	seams := Seams{Synced: func(_ *turnstore.TurnStore, synced SyncedFunc) SyncedFunc {
+		l := &late{synced: synced}
+		return l.reports
+	}}
+	found(t, seams, RuleRecovery, RuleTurn, RuleBudget)
+	foundIn(t, Batch{Kinds: []Kind{LossesInRow, Wipe, ZoneWipe, Replace}, Options: Options{Seams: seams, Ignore: []Rule{RuleRecovery}}},
+		RuleTurn, RuleBudget)
+}
--- a/internal/tier/simulation/planted_test.go
+++ b/internal/tier/simulation/planted_test.go
@@ -24,6 +24,12 @@
 
 // found plays seeds until one breaks one of the rules.
 func found(t *testing.T, seams Seams, rules ...Rule) {
+	t.Helper()
+	foundIn(t, Batch{Options: Options{Seams: seams}}, rules...)
+}
+
+// foundIn plays the seeds of a batch until one breaks one of the rules.
+func foundIn(t *testing.T, batch Batch, rules ...Rule) {
 	t.Helper()
 	if testing.Short() || raceDetector {
 		t.Skip("many seeds: played without -short and -race")
@@ -31,7 +37,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var hit *Failure
-	batch := Batch{Seeds: plantedSeeds, Jobs: 4, Options: Options{Seams: seams}}
+	batch.Seeds, batch.Jobs = plantedSeeds, 4
 	batch.Failed = func(f Failure) {
 		if hit == nil {
 			hit = &f
