--- a/internal/tier/simulation/replay.go
+++ b/internal/tier/simulation/replay.go
@@ -58,6 +58,9 @@
 		if !slices.Contains(Kinds(), f.Kind) {
 			found = append(found, fmt.Errorf("faults[%d]: unknown kind %q", i, f.Kind))
 		}
+		if s.Unit == Machines && slices.Contains(domainKinds, f.Kind) {
+			found = append(found, fmt.Errorf("faults[%d]: %s, and machines are lost", i, f.Kind))
+		}
 		if f.AtMS < 0 || f.DurationMS < 0 {
 			found = append(found, fmt.Errorf("faults[%d]: a time below 0", i))
 		}
--- a/internal/tier/simulation/script_test.go
+++ b/internal/tier/simulation/script_test.go
@@ -200,6 +200,15 @@
 	}
 }
 
+func TestAZoneFaultWantsZones(t *testing.T) {
+	s := Script{Core: 3, Stores: 3, Gateways: 2, Losses: 1, Faults: []Fault{{Kind: ZoneKill, Machine: "zone-1"}}}
+	assert.ErrorContains(t, s.check(), "faults[0]: zone-kill, and machines are lost")
+	s.Unit = Zones
+	assert.NilError(t, s.check())
+	s.Unit = Regions
+	assert.ErrorContains(t, s.check(), "1 regions are too few to bear 1 losses")
+}
+
 // A script that fails with two of its entries, one of which is long enough, is shrunk to these.
 func TestShrink(t *testing.T) {
 	s := Script{Faults: []Fault{{Kind: Kill, DurationMS: 3000}, {Kind: Wipe, DurationMS: 4000}, {Kind: Pause, DurationMS: 2000}, {Kind: Cut, DurationMS: 900}}}
