--- a/internal/tier/consensus/explore_digest_test.go
+++ b/internal/tier/consensus/explore_digest_test.go
@@ -42,7 +42,7 @@
 	}
 	if p := m.proposal; p != nil {
 		fmt.Fprint(&b, "|p", p.phase, p.epoch, record(p.base), record(p.target), p.open, m.now-p.deadline, m.now-p.grace,
-			p.in.GetFolder(), p.out.GetFolder(), p.drop, p.asked, p.copies, p.bad, p.accepted)
+			p.in.GetFolder(), p.out.GetFolder(), p.drop, p.asked, p.copies, p.bad, p.accepted, p.silent, p.repeated)
 		for _, f := range slices.Sorted(maps.Keys(p.confirmed)) {
 			fmt.Fprint(&b, f, m.now-p.confirmed[f], ",")
 		}
--- a/internal/tier/consensus/proposal.go
+++ b/internal/tier/consensus/proposal.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -41,6 +42,8 @@
 	copies   map[string]bool                 // folders to which a copy is under way
 	bad      map[string]bool                 // folders that took no copy
 	accepted map[string]bool                 // folders
+	silent   map[string]bool                 // folders that didn't answer their copy, or the call to accept
+	repeated map[phase]bool                  // phases whose calls without an answer were made once more
 
 	// confirmed has the folders that took the copy, and when the newest round trip began by which they confirmed the epoch:
 	// that of the copy, or of the target that they accepted.
@@ -90,6 +93,7 @@
 		Highest: machine.promised, Accepted: machine.accepted, Chosen: machine.chosen, Sequence: machine.sequence}}
 	proposal.confirmed, proposal.copies = make(map[string]time.Duration), make(map[string]bool)
 	proposal.bad, proposal.accepted = make(map[string]bool), make(map[string]bool)
+	proposal.silent, proposal.repeated = make(map[string]bool), make(map[phase]bool)
 	machine.proposal = proposal
 	machine.ask()
 }
@@ -238,7 +242,7 @@
 		machine.leadership(proposal)
 		return true
 	}
-	if proposal.open == 0 {
+	if proposal.open == 0 && !machine.repeatAccepts() {
 		machine.fail("no majority accepts")
 		return true
 	}
@@ -257,6 +261,27 @@
 	return true
 }
 
+// repeat gives the folders that have not answered in this phase, once: a call that was lost must not end the proposal, as a new one
+// would begin with all its calls again. Who has taken a copy or accepted a record does so again.
+func (p *proposal) repeat() (folders []string) {
+	if p.repeated[p.phase] {
+		return nil
+	}
+	p.repeated[p.phase] = true
+	folders = slices.Sorted(maps.Keys(p.silent))
+	clear(p.silent)
+	return folders
+}
+
+// repeatAccepts asks those once more to accept the target that have not answered, and tells whether there are any.
+func (machine *machine) repeatAccepts() bool {
+	folders := machine.proposal.repeat()
+	for _, folder := range folders {
+		machine.askAccept(machine.proposal.replies[folder].Self)
+	}
+	return len(folders) > 0
+}
+
 // patienceFor is how long answers beyond the majority are waited for: the way there and back of the farthest asked, as
 // far as that is known, so that members of a far region are not left out of each record.
 func (machine *machine) patienceFor(proposal *proposal) time.Duration {
--- /dev/null
+++ b/internal/tier/consensus/repeat_test.go
@@ -0,0 +1,62 @@
+package consensus
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+	"gotest.tools/v3/assert"
+
+	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+)
+
+// A member without a copy is gone for good, and one answer is lost of those that the record with the joiner in its place needs: the
+// copy or the call to accept is made once more, and the proposal doesn't fail.
+func TestALostAnswerDoesNotEndASwap(t *testing.T) {
+	for name, needed := range map[string]func(body proto.Message) bool{
+		"accept": func(body proto.Message) bool {
+			request, ok := body.(*tierv1.AcceptRequest)
+			return ok && len(request.Record.Former) > 0
+		},
+		"copies": func(body proto.Message) bool {
+			request, ok := body.(*tierv1.WriteRequest)
+			return ok && request.Whole
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			for seed := range uint64(20) {
+				w := newWorld(seed, 4, 1)
+				w.boot()
+				w.run(3 * time.Second)
+				leader := w.leader()
+				gone := -1
+				for i, s := range w.sites {
+					if s.m != nil && s != leader && contains(w.top.Members, s.m.self) && !named(w.top, s.m.Folder) {
+						gone = i
+					}
+				}
+				assert.Assert(t, leader != nil && gone >= 0, "seed %d\n%s", seed, w.tail())
+				w.sites[gone].wipe()
+				w.sites[gone].gone, w.sites[gone].dark = true, true
+				lostOf := map[string]bool{}
+				w.delivered = func(to *site, body proto.Message) {
+					address := to.member.Address
+					if !needed(body) || lostOf[address] || to == leader {
+						return
+					}
+					lostOf[address] = true
+					link := [2]string{address, leader.member.Address}
+					w.cuts[link] = true
+					w.after(20*time.Millisecond, func() { delete(w.cuts, link) })
+				}
+				began := len(w.trace)
+				w.run(w.now + 4*time.Second)
+				assert.Equal(t, len(w.faults), 0, "seed %d\n%s", seed, w.tail())
+				assert.Assert(t, len(lostOf) > 0, "seed %d: nothing was lost\n%s", seed, w.tail())
+				assert.Assert(t, !strings.Contains(strings.Join(w.trace[began:], "\n"), "proposal failed"), "seed %d\n%s", seed, w.tail())
+				assert.Assert(t, len(w.top.Former) == 0 && len(w.top.Members) == 3, "seed %d\n%s", seed, w.tail())
+			}
+		})
+	}
+}
--- a/internal/tier/consensus/target.go
+++ b/internal/tier/consensus/target.go
@@ -55,6 +55,13 @@
 func (machine *machine) copyOut() {
 	proposal := machine.proposal
 	picked, enough := machine.pickBackups()
+	if !enough {
+		for _, folder := range proposal.repeat() {
+			delete(proposal.bad, folder)
+			delete(proposal.copies, folder)
+		}
+		picked, enough = machine.pickBackups()
+	}
 	if !enough {
 		machine.fail("too few backups")
 		return
@@ -75,6 +82,7 @@
 		return
 	}
 	proposal.phase = accepting
+	clear(proposal.silent)
 	machine.acceptRecord(proposal.target)
 	proposal.accepted[machine.Folder] = true
 	for _, folder := range slices.Sorted(maps.Keys(proposal.replies)) { // sorted, as what a step does must not vary
@@ -128,9 +136,12 @@
 		if machine.proposal != proposal {
 			return
 		}
-		if reply != nil && reply.Taken {
+		switch {
+		case reply == nil:
+			proposal.bad[to.Folder], proposal.silent[to.Folder] = true, true
+		case reply.Taken:
 			proposal.confirmed[to.Folder] = began
-		} else {
+		default:
 			proposal.bad[to.Folder] = true
 		}
 	})
@@ -150,7 +161,11 @@
 			return
 		}
 		proposal.open--
-		if reply != nil && reply.Accepted {
+		if reply == nil {
+			proposal.silent[to.Folder] = true
+			return
+		}
+		if reply.Accepted {
 			proposal.accepted[to.Folder] = true
 			if _, ok := proposal.confirmed[to.Folder]; ok { // it is under the same promise as when it took the copy
 				proposal.confirmed[to.Folder] = began
