--- a/internal/tier/simulation/simulation_test.go
+++ b/internal/tier/simulation/simulation_test.go
@@ -57,3 +57,18 @@
 		assert.Assert(t, result.Broken == nil, "%v", result.Broken)
 	}
 }
+
+// lossAfterMove: a machine of the control plane is replaced as planned, messages are lost while another becomes a member in its place, and
+// the next machine is lost as soon as it may be.
+var lossAfterMove = Script{Version: ScriptVersion, Seed: 21461, Core: 3, Stores: 4, Gateways: 2, Losses: 1, Faults: []Fault{
+	{AtMS: 5582, DurationMS: 2349, Kind: Move, Machine: "core-2"}, {AtMS: 9608, DurationMS: 2089, Kind: Trouble},
+	{AtMS: 11932, DurationMS: 3825, Kind: Replace, Machine: "core-1"}}}
+
+// The place is taken in time.
+func TestALossRightAfterAMove(t *testing.T) {
+	for range 3 {
+		result, err := Play(lossAfterMove, Options{})
+		assert.NilError(t, err)
+		assert.Assert(t, result.Broken == nil, "%v", result.Broken)
+	}
+}
