--- a/internal/sender/classes_test.go
+++ b/internal/sender/classes_test.go
@@ -14,32 +14,31 @@
 func TestClassesOfAnEarlierProcess(t *testing.T) {
 	t.Parallel()
 	const window = 7500 * time.Millisecond // of class keyed in the settings
-	tried := func(ago time.Duration) []try { return []try{{At: newClock().now() - ago, Endpoint: "s-0"}} }
 	tests := []struct {
 		name    string
 		class   string
 		key     string
 		effect  string // as journalled, "" by an earlier version
 		window  time.Duration
-		tries   []try
-		answers int // of the endpoint, to each call
+		tried   time.Duration // so long before its subtest begins, which may wait for others for longer than a window; 0 for never
+		answers int           // of the endpoint, to each call
 		calls   int
 		end     string // its notice; "" for none
 	}{
-		{"as it was", "keyed", "k", "keyed", window, nil, 200, 1, ""},
-		{"of an earlier version", "keyed", "k", "", 0, nil, 200, 1, ""},
-		{"gone, and never tried", "gone", "k", "keyed", window, nil, 200, 1, ""},
-		{"gone, of an earlier version, never tried", "gone", "k", "", 0, nil, 200, 1, ""},
-		{"gone, of an earlier version, may have run", "gone", "k", "", 0, tried(time.Second), 200, 0, givenUp},
-		{"gone, keyed, may have run", "gone", "k", "keyed", window, tried(time.Second), 200, 1, ""},
-		{"gone, keyed, its window is over", "gone", "k", "keyed", window, tried(time.Minute), 200, 0, givenUp},
-		{"gone, safe, may have run", "gone", "", "safe", 0, tried(time.Minute), 200, 1, ""},
-		{"unsafe then, safe now", "safe", "k", "unsafe", 0, nil, 500, 1, givenUp},
-		{"unsafe then, safe now, may have run", "safe", "k", "unsafe", 0, tried(time.Second), 200, 0, givenUp},
-		{"keyed then, unsafe now, may have run", "unsafe", "k", "keyed", window, tried(time.Second), 200, 0, givenUp},
-		{"safe then, keyed now, without a key", "keyed", "", "safe", 0, tried(time.Second), 200, 0, givenUp},
-		{"a shorter window then", "keyed", "k", "keyed", time.Second, tried(3 * time.Second), 200, 0, givenUp},
-		{"a longer window then", "keyed", "k", "keyed", time.Hour, tried(time.Minute), 200, 0, givenUp},
+		{"as it was", "keyed", "k", "keyed", window, 0, 200, 1, ""},
+		{"of an earlier version", "keyed", "k", "", 0, 0, 200, 1, ""},
+		{"gone, and never tried", "gone", "k", "keyed", window, 0, 200, 1, ""},
+		{"gone, of an earlier version, never tried", "gone", "k", "", 0, 0, 200, 1, ""},
+		{"gone, of an earlier version, may have run", "gone", "k", "", 0, time.Second, 200, 0, givenUp},
+		{"gone, keyed, may have run", "gone", "k", "keyed", window, time.Second, 200, 1, ""},
+		{"gone, keyed, its window is over", "gone", "k", "keyed", window, time.Minute, 200, 0, givenUp},
+		{"gone, safe, may have run", "gone", "", "safe", 0, time.Minute, 200, 1, ""},
+		{"unsafe then, safe now", "safe", "k", "unsafe", 0, 0, 500, 1, givenUp},
+		{"unsafe then, safe now, may have run", "safe", "k", "unsafe", 0, time.Second, 200, 0, givenUp},
+		{"keyed then, unsafe now, may have run", "unsafe", "k", "keyed", window, time.Second, 200, 0, givenUp},
+		{"safe then, keyed now, without a key", "keyed", "", "safe", 0, time.Second, 200, 0, givenUp},
+		{"a shorter window then", "keyed", "k", "keyed", time.Second, 3 * time.Second, 200, 0, givenUp},
+		{"a longer window then", "keyed", "k", "keyed", time.Hour, time.Minute, 200, 0, givenUp},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -47,8 +46,12 @@
 			e := st.NewEndpoint(t, st.Status(tt.answers))
 			p := st.NewPlatform(t, e.Addr)
 			dir := t.TempDir()
+			var tries []try
+			if tt.tried > 0 {
+				tries = []try{{At: newClock().now() - tt.tried, Endpoint: "s-0"}}
+			}
 			leaves(t, dir, 1, outages{}, func(_ int, r *record) {
-				r.Class, r.Key, r.Effect, r.Window, r.Tries = tt.class, tt.key, tt.effect, tt.window, tt.tries
+				r.Class, r.Key, r.Effect, r.Window, r.Tries = tt.class, tt.key, tt.effect, tt.window, tries
 			})
 			addr := run(t, p, func(c *Config) { c.State = dir })
 			if tt.end != "" {
