--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -272,7 +272,7 @@
 	} else {
 		plane.versions.endpoints, plane.versions.members = 0, 0
 		plane.stopLaterPush()
-		plane.endpointList = newEndpointList(plane.Settings.DrainTimeout / pushPart)
+		plane.endpointList = newEndpointList(plane.Settings.DrainTimeout/pushPart, plane.Settings.DrainTimeout/quickPart)
 		plane.riskClock = riskClock{}
 	}
 	plane.replaceView(func(v *view) { *v = next })
--- a/internal/tier/controlplane/endpoint_list.go
+++ b/internal/tier/controlplane/endpoint_list.go
@@ -15,11 +15,14 @@
 // that it is for, and another refuses it. It has no clock and no lock of its own.
 type endpointList struct {
 	pushGap time.Duration // from one push to the next within a reading, at least
+	quick   time.Duration // a reading that takes no longer is pushed at its end, if the one before took no longer either
 	known   map[string]listedEndpoint
-	reading uint64    // number of the reading that is under way, or was the last
-	whole   bool      // a reading has come to its end: known is a whole list
-	changed bool      // since the last push
-	pushed  time.Time // the last push; zero: none
+	reading uint64        // number of the reading that is under way, or was the last
+	whole   bool          // a reading has come to its end: known is a whole list
+	changed bool          // since the last push
+	pushed  time.Time     // the last push; zero: none
+	began   time.Time     // the reading
+	took    time.Duration // the last that came to its end
 }
 
 // listedEndpoint is an endpoint as it was read last.
@@ -29,12 +32,15 @@
 	reading  uint64 // number of that reading
 }
 
-func newEndpointList(pushGap time.Duration) endpointList {
-	return endpointList{pushGap: pushGap, known: map[string]listedEndpoint{}}
+func newEndpointList(pushGap, quick time.Duration) endpointList {
+	return endpointList{pushGap: pushGap, quick: quick, known: map[string]listedEndpoint{}}
 }
 
 // beginReading starts a reading. One that was given up before its end leaves what it has told, and nothing is gone by it.
-func (l *endpointList) beginReading() { l.reading++ }
+func (l *endpointList) beginReading(now time.Time) {
+	l.reading++
+	l.began = now
+}
 
 // takePage takes one page of the reading that is under way.
 func (l *endpointList) takePage(now time.Time, page []*tierv1.Endpoint) {
@@ -53,7 +59,8 @@
 }
 
 // endReading takes the end of the list: what this reading has not shown is gone.
-func (l *endpointList) endReading() {
+func (l *endpointList) endReading(now time.Time) {
+	l.took, l.began = now.Sub(l.began), time.Time{}
 	for instance, one := range l.known {
 		if one.reading != l.reading {
 			delete(l.known, instance)
@@ -74,7 +81,11 @@
 	if l.pushed.IsZero() {
 		return 0, true
 	}
-	return max(0, l.pushGap-now.Sub(l.pushed)), true
+	delay = l.pushGap - now.Sub(l.pushed)
+	if !l.began.IsZero() && l.took <= l.quick { // its end is near, and one push is less for all sessions
+		delay = max(delay, l.quick-now.Sub(l.began))
+	}
+	return max(0, delay), true
 }
 
 // push gives the list that goes out now.
--- a/internal/tier/controlplane/endpoint_list_test.go
+++ b/internal/tier/controlplane/endpoint_list_test.go
@@ -61,16 +61,16 @@
 		{"an instance has another address", whole + "|begin|i1@a9", "i1@a9 i2@a2 i3@a3"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := newEndpointList(time.Second)
-			l.beginReading()
+			l := newEndpointList(time.Second, 0)
 			now := time.Unix(1000, 0)
+			l.beginReading(now)
 			for step := range strings.SplitSeq(c.steps, "|") {
 				now = now.Add(time.Second)
 				switch step {
 				case "begin":
-					l.beginReading()
+					l.beginReading(now)
 				case "end":
-					l.endReading()
+					l.endReading(now)
 				default:
 					l.takePage(now, entries(step))
 				}
@@ -84,26 +84,26 @@
 }
 
 func TestNothingIsPushedBeforeTheFirstWholeList(t *testing.T) {
-	l := newEndpointList(time.Second)
+	l := newEndpointList(time.Second, 0)
 	now := time.Unix(1000, 0)
-	l.beginReading()
+	l.beginReading(now)
 	l.takePage(now, entries("i1@a1 i2@a2!"))
 	_, pending := l.pushDelay(now)
 	assert.Assert(t, !pending, "a part would have the rest taken for gone")
-	l.endReading()
+	l.endReading(now)
 	delay, pending := l.pushDelay(now)
 	assert.Assert(t, pending && delay == 0)
 }
 
 // Changes of pages that come close to each other go together, and what has not changed does not go.
 func TestPushesKeepTheirGap(t *testing.T) {
-	l := newEndpointList(time.Second)
+	l := newEndpointList(time.Second, 0)
 	now := time.Unix(1000, 0)
-	l.beginReading()
+	l.beginReading(now)
 	l.takePage(now, entries("i1@a1 i2@a2 i3@a3"))
-	l.endReading()
+	l.endReading(now)
 	l.push(now)
-	l.beginReading()
+	l.beginReading(now)
 	l.takePage(now, entries("i1@a1"))
 	_, pending := l.pushDelay(now)
 	assert.Assert(t, !pending)
@@ -116,25 +116,52 @@
 	delay, pending = l.pushDelay(now)
 	assert.Assert(t, pending && delay == 0)
 	assert.Equal(t, entryTexts(l.push(now)), "i1@a1 i2@a2! i3@a3!")
-	l.endReading()
+	l.endReading(now)
 	_, pending = l.pushDelay(now)
 	assert.Assert(t, !pending)
 }
 
+// A list that is read quickly is pushed when it is whole, or when it turns out to take longer.
+func TestAQuickReadingIsPushedWhole(t *testing.T) {
+	const quick = 800 * time.Millisecond
+	l := newEndpointList(100*time.Millisecond, quick)
+	now := time.Unix(1000, 0)
+	l.beginReading(now)
+	l.takePage(now, entries("i1@a1 i2@a2"))
+	now = now.Add(quick)
+	l.endReading(now)
+	l.push(now)
+	now = now.Add(time.Second)
+	l.beginReading(now)
+	l.takePage(now, entries("i1@a1!"))
+	delay, pending := l.pushDelay(now)
+	assert.Assert(t, pending && delay == quick, "%v", delay)
+	now = now.Add(quick + time.Millisecond)
+	delay, pending = l.pushDelay(now)
+	assert.Assert(t, pending && delay == 0, "%v", delay)
+	l.push(now)
+	l.endReading(now)
+	now = now.Add(time.Second)
+	l.beginReading(now)
+	l.takePage(now, entries("i2@a2!"))
+	delay, pending = l.pushDelay(now)
+	assert.Assert(t, pending && delay == 0, "the last one was slow: %v", delay)
+}
+
 // An entry whose page was read a while ago is as warm as it has become since, not as it was.
 func TestEndpointsGetWarmerBetweenReadings(t *testing.T) {
-	l := newEndpointList(time.Second)
+	l := newEndpointList(time.Second, 0)
 	now := time.Unix(1000, 0)
-	l.beginReading()
+	l.beginReading(now)
 	cold := entry("i1@a1")
 	cold.ColdRemainingMs = 2000
 	l.takePage(now, []*tierv1.Endpoint{cold, entry("i2@a2")})
-	l.endReading()
+	l.endReading(now)
 	l.push(now)
 	assert.Equal(t, l.list(now.Add(500 * time.Millisecond))[0].ColdRemainingMs, uint32(1500))
 	assert.Equal(t, l.list(now.Add(5 * time.Second))[0].ColdRemainingMs, uint32(0))
 	assert.Equal(t, cold.ColdRemainingMs, uint32(2000), "the entry that others hold was changed")
-	l.beginReading()
+	l.beginReading(now)
 	l.takePage(now.Add(time.Second), []*tierv1.Endpoint{{Instance: "i1", Address: "a1", ColdRemainingMs: 1000}})
 	_, pending := l.pushDelay(now.Add(time.Second))
 	assert.Assert(t, !pending, "a list that only grew warmer is pushed")
@@ -146,7 +173,7 @@
 func TestDrawnPages(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		l := newEndpointList(time.Second)
+		l := newEndpointList(time.Second, 0)
 		now := time.Unix(1000, 0)
 		platform := &drawnList{random: random, since: map[string]int{}, reading: -1}
 		for range 12 {
@@ -154,7 +181,7 @@
 		}
 		for reading := range 30 {
 			platform.reading = reading
-			l.beginReading()
+			l.beginReading(now)
 			for page := range platform.pages(func() {
 				if reading < 29 {
 					platform.change()
@@ -177,7 +204,7 @@
 			if platform.gaveUp {
 				continue
 			}
-			l.endReading()
+			l.endReading(now)
 			platform.read = reading + 1
 		}
 		sorted := slices.Clone(platform.list)
--- a/internal/tier/controlplane/endpoints.go
+++ b/internal/tier/controlplane/endpoints.go
@@ -34,7 +34,7 @@
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	if plane.view.epoch == epoch {
-		plane.endpointList.beginReading()
+		plane.endpointList.beginReading(time.Now())
 	}
 }
 
@@ -49,7 +49,7 @@
 	now := time.Now()
 	plane.endpointList.takePage(now, page)
 	if last {
-		plane.endpointList.endReading()
+		plane.endpointList.endReading(now)
 		plane.publishEndpoints(now)
 		return
 	}
--- a/internal/tier/controlplane/platform.go
+++ b/internal/tier/controlplane/platform.go
@@ -28,6 +28,8 @@
 	pagesMost   = 10_000
 	// pushPart is a part of the drain time: what pages tell is pushed no more often, as a push goes to all sessions.
 	pushPart = 12
+	// quickPart is a part of the drain time: a list that is read within it is pushed when it is whole.
+	quickPart = 4
 )
 
 // poll asks the platform for its list while this process is the primary.
