--- /dev/null
+++ b/internal/sender/again_test.go
@@ -0,0 +1,40 @@
+package sender
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"dockshift.example/dockshift/brain"
+	st "dockshift.example/dockshift/internal/sendertest"
+)
+
+// A client comes again with a message that was handed back before the sender knows that its notice was taken. It is refused, so that
+// it comes once more, and not told that the message, which is over here, is taken on.
+func TestHandedBackComesAgainEarly(t *testing.T) {
+	t.Parallel()
+	s := newTest(t, st.NewPlatform(t), nil)
+	s.notices = make(chan []notice, 1) // nobody tells them yet
+	s.step(t.Context(), s.listsAtStart())
+	handIn := func() int {
+		sub := submission{record: record{ID: "m", Op: "take", Tenant: "acme", Class: "unsafe", Deadline: s.clock.now() + time.Hour}, class: 2, answer: make(chan answerLine, 1)}
+		if event := s.take(sub); event != nil {
+			s.step(t.Context(), []brain.Event{event})
+		}
+		return (<-sub.answer).status
+	}
+	if got := handIn(); got != http.StatusAccepted {
+		t.Fatalf("it is answered %d", got)
+	}
+	s.close(s.last, handedBack, http.StatusServiceUnavailable, s.c.Settings.MaxHoldOff)
+	s.flush()
+	s.tell()
+	if got := handIn(); got != http.StatusServiceUnavailable || s.held != 0 {
+		t.Errorf("before its notice is known to be taken it is answered %d, and %d are held", got, s.held)
+	}
+	s.take(toldEvent{<-s.notices})
+	s.flush()
+	if got := handIn(); got != http.StatusAccepted || s.held != 1 {
+		t.Errorf("after it, it is answered %d, and %d are held", got, s.held)
+	}
+}
--- a/internal/sender/handin.go
+++ b/internal/sender/handin.go
@@ -27,6 +27,9 @@
 			sub.answer <- answerLine{status: http.StatusInternalServerError, text: givenUp}
 			return nil
 		}
+		if m.how == handedBack && sub.Ident == nil { // it is its client's; it is ours again only once its notice is known to be told
+			return refuse("it was handed back just now")
+		}
 		if sub.Ident != nil { // it is not: its event would be lost
 			sub.answer <- answerLine{status: http.StatusConflict, text: "X-Request-Id is another message's"}
 			return nil
