--- a/internal/rehearsal/fuzzdays/day.go
+++ b/internal/rehearsal/fuzzdays/day.go
@@ -23,6 +23,7 @@
 	for _, t := range all {
 		t["at"] = math3(min(max(t["at"].(float64), 0.1), lastMoment(site, chosen)))
 	}
+	all = withoutClosedContracts(all, site)
 	all = withoutUnbearableRetires(all, site)
 	sort.SliceStable(all, func(i, j int) bool { return all[i]["at"].(float64) < all[j]["at"].(float64) })
 	plan, faults := []any{}, []any{}
--- a/internal/rehearsal/fuzzdays/deployment.go
+++ b/internal/rehearsal/fuzzdays/deployment.go
@@ -43,6 +43,9 @@
 	if chosen.tight {
 		r.tighten(site)
 	}
+	if chosen.large || r.Intn(2) == 0 {
+		openContracts(site)
+	}
 }
 
 // zones gives the site other zones, regions and delays, and returns the zones' names.
--- a/internal/rehearsal/fuzzdays/repeats.go
+++ b/internal/rehearsal/fuzzdays/repeats.go
@@ -175,3 +175,31 @@
 	}
 	return all
 }
+
+// manyMachinesComeAndGo kills, cuts off, adds and restarts large shares of all machines, while endpoints are replaced.
+func manyMachinesComeAndGo(r random, site Table) []Table {
+	length := lengthOf(site)
+	var all []Table
+	for from := r.between(1, 3); from < length-5; from += r.between(3, 7) {
+		t := pick(r,
+			trouble("herd_kill", "share", r.between(0.5, 1), "how", pick(r, "", "power")),
+			trouble("herd_kill", "on", "core", "how", pick(r, "power", "taken", "taken all", "race drain hard")),
+			trouble("node_kill", "share", r.between(0.2, 0.6), "how", "power"),
+			trouble("node_freeze", "share", r.between(0.2, 0.6)),
+			trouble("node_cut", "share", r.between(0.2, 0.6), "how", pick(r, "", "all", "servers")),
+			trouble("node_slow", "share", r.between(0.1, 0.4), "x", r.between(3, 8)))
+		t["for_s"] = r.between(0.3, 5)
+		all = append(all, at(from, t)...)
+		all = append(all, at(from+r.between(0, 2), pick(r,
+			trouble("roll_term", "how", "busy", "share", 0.5, "x", 6.0, "gap_s", 0.6),
+			trouble("roll_term", "how", "remove", "share", 0.2, "gap_s", 0.8),
+			trouble("add_nodes"),
+			trouble("hup", "share", 1.0, "gap_s", 1.0),
+			trouble("release", "share", 0.6, "x", 6.0, "gap_s", 0.6),
+			trouble("replace_with_reuse", "share", 0.3, "how", pick(r, "", "drain", "dark")),
+			trouble("scale_in", "share", 0.3, "how", "spot"),
+			trouble("seed_turnover"),
+			trouble("burst", "x", 2.0, "for_s", 3.0)))...)
+	}
+	return all
+}
--- a/internal/rehearsal/fuzzdays/scenarios.go
+++ b/internal/rehearsal/fuzzdays/scenarios.go
@@ -93,6 +93,7 @@
 	{name: "many machines, the same trouble again and again", large: true, timed: sameAgain, alone: true},
 	{name: "many machines, a second trouble right after the first", large: true, timed: rightAfter, alone: true},
 	{name: "many machines, false health", large: true, tight: true, timed: falseHealth},
+	{name: "many machines, machines come and go", large: true, timed: manyMachinesComeAndGo},
 	{name: "few machines", few: true, tight: true},
 	{name: "few machines, the same trouble again and again", few: true, timed: sameAgain, alone: true},
 	{name: "the same trouble again and again, two may be lost", cores: 5, stores: 5, losses: 2, lengthSeconds: 50, timed: sameAgain},
