--- /dev/null
+++ b/internal/rehearsal/fuzzdays/pressure.go
@@ -0,0 +1,50 @@
+package fuzzdays
+
+// plannedKinds is work that the operator plans; a day of nothing else binds what is lost around it most strictly.
+var plannedKinds = []string{"roll_term", "release", "hup", "add_nodes", "retire", "scale_out", "scale_in", "seed_turnover",
+	"bad_config", "config_race", "config_change"}
+
+// plannedWork restarts, replaces, adds and empties machines and endpoints all along, with nothing unplanned beside it.
+func plannedWork(r random, site Table) []Table {
+	length := lengthOf(site)
+	var all []Table
+	for from := r.between(0.5, 2); from < length-2; from += r.between(0.5, 3) {
+		t := r.entryOf(pick(r, plannedKinds...), site)
+		if r.Intn(4) == 0 {
+			t = trouble("roll_term", "how", "busy", "share", r.between(0.3, 1), "x", float64(r.whole(1, 3)), "gap_s", r.between(0.3, 1.5))
+		}
+		if r.Intn(8) == 0 {
+			t = trouble("replace_core", "how", "planned", "x", r.between(0.5, 2))
+			setField(t, "on", pick(r, "", "store"))
+		}
+		all = append(all, at(from, t)...)
+	}
+	return all
+}
+
+// impatientClients leave while endpoints are slow, silent or hard to reach.
+func impatientClients(r random, site Table) []Table {
+	length := lengthOf(site)
+	var all []Table
+	for from := r.between(0.5, 2); from < length-5; from += r.between(3, 7) {
+		all = append(all, at(from, trouble("give_up", "share", r.between(0.3, 1), "x", float64(r.whole(1, 10)*100), "for_s", r.between(2, 7)))...)
+		all = append(all, at(from+r.between(0, 1), pick(r,
+			trouble("srv_slow", "share", r.between(0.3, 1), "x", r.between(4, 20), "for_s", r.between(2, 6)),
+			trouble("srv_grey", "share", r.between(0.3, 0.8), "x", r.between(0.3, 1), "for_s", r.between(2, 6), "how", pick(r, "hang", "mute", "slow", "busy", "shed")),
+			trouble("srv_cut", "share", r.between(0.3, 0.8), "x", r.between(0.2, 0.8), "for_s", r.between(2, 6), "how", pick(r, "some", "some lossy", "fronts", "reset")),
+			trouble("burst", "x", r.between(2, 3), "for_s", r.between(2, 5)),
+			trouble("config_change", "how", "timeout"),
+			trouble("answer_lost", "share", 0.8, "x", 0.1, "for_s", 4.0)))...)
+	}
+	return all
+}
+
+// programsThatRunAway lets many programs start helper after helper while stores and machines come and go.
+func programsThatRunAway(r random, site Table) []Table {
+	for _, class := range tables(site["classes"]) {
+		if agent, ok := class["agent"].(Table); ok {
+			agent["runaway"], agent["fan"] = r.between(0.2, 0.5), r.between(0.1, 0.5)
+		}
+	}
+	return turnsBesideStoreTroubles(r, site)
+}
--- a/internal/rehearsal/fuzzdays/scenarios.go
+++ b/internal/rehearsal/fuzzdays/scenarios.go
@@ -107,6 +107,13 @@
 	{name: "stale seeds", cores: 4, timed: staleSeeds, alone: true},
 	{name: "short timeouts and large bodies", tight: true, timed: spoiltAnswers},
 	{name: "clocks step beside troubles", timed: clockSteps, alone: true},
+	{name: "planned work alone", timed: plannedWork, alone: true},
+	{name: "planned work alone, short timeouts", tight: true, timed: plannedWork, alone: true},
+	{name: "planned work alone, many machines", large: true, timed: plannedWork, alone: true},
+	{name: "clients that give up", timed: impatientClients, alone: true},
+	{name: "clients that give up, short timeouts", tight: true, timed: impatientClients, alone: true},
+	{name: "programs that run away", lengthSeconds: 60, timed: programsThatRunAway, alone: true, closing: closings},
+	{name: "short retention while stores come and go", tight: true, cores: 3, stores: 4, lengthSeconds: 60, timed: turnsBesideStoreTroubles, alone: true},
 }
 
 // at places troubles at one moment.
--- a/internal/rehearsal/fuzzdays/troubles.go
+++ b/internal/rehearsal/fuzzdays/troubles.go
@@ -190,6 +190,13 @@
 	}
 }
 
+// setField fills in a field unless it is empty.
+func setField(t Table, field, value string) {
+	if value != "" {
+		t[field] = value
+	}
+}
+
 // entry draws one trouble of any kind, without its moment.
 func (r random) entry(site Table) Table { return r.filled(kinds[r.Intn(len(kinds))], site) }
 
@@ -207,9 +214,7 @@
 func (r random) filled(k kind, site Table) Table {
 	t := Table{"kind": k.kind}
 	if len(k.on) > 0 {
-		if on := pick(r, k.on...); on != "" {
-			t["on"] = on
-		}
+		setField(t, "on", pick(r, k.on...))
 	}
 	if len(k.how) > 0 {
 		setHow(t, pick(r, k.how...))
