--- a/internal/rehearsal/fuzzdays/deployment.go
+++ b/internal/rehearsal/fuzzdays/deployment.go
@@ -43,6 +43,15 @@
 	if chosen.tight {
 		r.tighten(site)
 	}
+	if chosen.pressed {
+		r.press(site)
+	}
+	if config, ok := site["config"].(Table); ok && chosen.routes > 0 {
+		config["idle_routes"] = chosen.routes
+	}
+	if chosen.veryFar {
+		widenBounds(site)
+	}
 	if chosen.large || r.Intn(2) == 0 {
 		openContracts(site)
 	}
@@ -83,6 +92,9 @@
 		net["cross_zone_ms"] = r.byFactor(4, 12)
 		net["cross_region_ms"] = r.byFactor(12, 40)
 	}
+	if chosen.veryFar {
+		net["cross_region_ms"] = r.byFactor(50, 100)
+	}
 	if cloud, ok := site["cloud"].(Table); ok {
 		cloud["zone"] = pick(r, names...)
 	}
@@ -135,7 +147,7 @@
 		tolerate["machines"] = losses
 	}
 	if chosen.loseZone {
-		cores, stores = len(zones), len(zones)
+		cores, stores = len(zones)*max(1, chosen.perZone), len(zones)*max(1, chosen.perZone)
 		tolerate["zones"] = 1
 		if regions := regionsOf(site); chosen.loseRegion && regions >= 3 {
 			tolerate["regions"] = 1
--- a/internal/rehearsal/fuzzdays/scenarios.go
+++ b/internal/rehearsal/fuzzdays/scenarios.go
@@ -7,10 +7,14 @@
 	zones, cores, stores int // numbers of zones, core machines and store machines; 0: drawn
 	losses               int // counted machines that may be lost at once; 0: one
 	processors           int // processors of each machine; 0: drawn
+	perZone              int // core machines and stores of each zone where a whole zone may be lost; 0: one
 	loseZone, loseRegion bool
 	far, slowDisk        bool
 	large                bool    // 60 and more gateways, nine stores, five to eight core machines, two of which may be lost
 	few                  bool    // two gateways a zone, three stores, three core machines
+	veryFar              bool    // 50 to 100 ms one way between regions
+	pressed              bool    // bodies of megabytes, many connections
+	routes               int     // routes that the configuration holds beside those in use; 0: drawn
 	tight                bool    // short timeouts and retention, one try or four, bodies up to the limit
 	afterEnd             bool    // troubles may come after the day's length, while it recovers from the closing fault
 	lengthSeconds        float64 // length of the day; 0: as the site has it
@@ -114,6 +118,33 @@
 	{name: "clients that give up, short timeouts", tight: true, timed: impatientClients, alone: true},
 	{name: "programs that run away", lengthSeconds: 60, timed: programsThatRunAway, alone: true, closing: closings},
 	{name: "short retention while stores come and go", tight: true, cores: 3, stores: 4, lengthSeconds: 60, timed: turnsBesideStoreTroubles, alone: true},
+	{name: "a zone of several may be lost", zones: 3, perZone: 2, loseZone: true, timed: wholePlaces},
+	{name: "a zone of several may be lost, the same trouble again", zones: 5, perZone: 2, losses: 2, loseZone: true, timed: sameAgain},
+	{name: "a region of several may be lost", perZone: 2, loseZone: true, loseRegion: true, timed: wholePlaces},
+	{name: "three may be lost", cores: 7, stores: 7, losses: 3, timed: rightAfter},
+	{name: "three may be lost, turns while stores come and go", cores: 7, stores: 8, losses: 3, lengthSeconds: 60,
+		timed: turnsBesideStoreTroubles, alone: true},
+	{name: "one zone", zones: 1},
+	{name: "very far zones", far: true, veryFar: true},
+	{name: "very far zones, orders beside core troubles", far: true, veryFar: true, lengthSeconds: 60, timed: ordersBesideCoreTroubles, alone: true},
+	{name: "large bodies and many connections", pressed: true, timed: impatientClients},
+	{name: "large bodies and many connections, many machines", large: true, pressed: true, timed: impatientClients},
+	{name: "many routes on a long day", routes: 510, lengthSeconds: 200, timed: hundredsOfChanges, alone: true},
+	{name: "two scenarios at once", timed: overlaid},
+	{name: "two scenarios at once, two may be lost", cores: 5, stores: 5, losses: 2, timed: overlaid},
+	{name: "two scenarios at once, many machines", large: true, timed: overlaid, alone: true},
+}
+
+// overlaid lays two ways to place troubles over each other.
+func overlaid(r random, site Table) []Table {
+	var all []Table
+	for range 2 {
+		way := pick(r, longCuts, longNodeCuts, pairedOrders, secondLosses, spoiltAnswers, fullDisks, hangingDisks, endpointTroubles, wholeCore,
+			manyTroubles, ordersBesideCoreTroubles, turnsBesideStoreTroubles, lossesAfterLapses, sameAgain, rightAfter, earlyTroubles,
+			diskTroublesBesideKills, cutsThatCostMore, staleSeeds, falseHealth, clockSteps, manyMachinesComeAndGo, plannedWork, impatientClients)
+		all = append(all, way(r, site)...)
+	}
+	return all
 }
 
 // at places troubles at one moment.
--- a/internal/rehearsal/fuzzdays/tight.go
+++ b/internal/rehearsal/fuzzdays/tight.go
@@ -27,9 +27,41 @@
 		}
 		if r.Intn(2) == 0 {
 			class["timeout_ms"] = float64(r.whole(3, 20) * 100)
+			if class["kind"] == "stream" {
+				// A stream lasts half a second and more on an idle engine: below this most could never end in time.
+				class["timeout_ms"] = float64(r.whole(15, 30) * 100)
+			}
 		}
 		if bytes, ok := class["req_bytes"].(Table); ok && class["stream"] == nil && class["method"] == "POST" {
 			bytes["mean"], bytes["spread"], bytes["max"] = float64(limit)/8, 1.0, float64(limit)
 		}
 	}
 }
+
+// widenBounds gives bounds that some twenty round trips between very far regions fit into.
+func widenBounds(site Table) {
+	bounds := site["bounds"].(Table)
+	bounds["touch_ms"] = max(bounds["touch_ms"].(int), 4000)
+	bounds["ack_ms"] = max(bounds["ack_ms"].(int), 6000)
+	bounds["config_ms"] = max(bounds["config_ms"].(int), 2000)
+	bounds["drain_ms"] = max(bounds["drain_ms"].(int), 3000)
+}
+
+// press gives some classes bodies of up to the limit of four megabytes, and all traffic more connections and requests.
+func (r random) press(site Table) {
+	for _, class := range tables(site["classes"]) {
+		bytes, ok := class["req_bytes"].(Table)
+		if !ok || class["method"] != "POST" {
+			continue
+		}
+		if class["stream"] != nil {
+			bytes["mean"], bytes["spread"], bytes["max"] = 20000.0, 1.0, 120000.0
+			continue
+		}
+		bytes["mean"], bytes["spread"], bytes["max"] = float64(r.whole(1, 10)*100_000), 1.0, 4194304.0
+	}
+	for _, entry := range tables(site["traffic"]) {
+		entry["clients"] = r.whole(60, 300)
+		entry["per_s"] = entry["per_s"].(float64) * r.between(0.5, 1.5)
+	}
+}
