--- a/internal/rehearsal/fuzzdays/pressure.go
+++ b/internal/rehearsal/fuzzdays/pressure.go
@@ -48,3 +48,34 @@
 	}
 	return turnsBesideStoreTroubles(r, site)
 }
+
+// splitStores cuts stores from each other, freezes them and takes their power while many programs run away: what a
+// program has used of its budget and what it has said must neither be lost nor counted by two stores at once.
+func splitStores(r random, site Table) []Table {
+	for _, class := range tables(site["classes"]) {
+		if agent, ok := class["agent"].(Table); ok {
+			agent["runaway"], agent["fan"] = r.between(0.1, 0.6), r.between(0.1, 0.6)
+			agent["think_ms"] = Table{"mean": r.between(20, 200), "spread": 0.6, "max": 1200.0}
+		}
+	}
+	length, losses := lengthOf(site), lossesOf(site)
+	var all []Table
+	for from := r.between(1, 3); from < length-6; from += r.between(1.5, 5) {
+		t := pick(r,
+			trouble("core_cut", "on", "store", "count", losses, "how", pick(r, "split", "split", "both", "behind", "one_way", "all", "near", "reset", "refuse", "leader", "turn")),
+			trouble("core_cut", "on", "store", "count", losses, "how", pick(r, "split", "one_way", "all")),
+			trouble("node_freeze", "on", "store", "count", losses),
+			trouble("node_kill", "on", "store", "count", losses, "how", pick(r, "", "power")),
+			trouble("after_ack_kill", "on", "store", "count", losses, "how", pick(r, "taken", "timed")),
+			trouble("after_ack_wipe", "on", "store", "count", losses, "how", pick(r, "taken", "oldest")),
+			trouble("disk_stall", "on", "store", "count", losses),
+			trouble("clock_step", "share", 0.5, "x", r.whole(1000, 90000), "how", pick(r, "back", "ahead")),
+			trouble("core_cut", "count", 1, "how", pick(r, "leader", "leader one_way", "split", "all")),
+			trouble("node_freeze", "on", "core", "count", 1, "how", "leader"),
+			trouble("node_freeze", "share", 0.5),
+			trouble("herd_kill", "on", "core", "how", pick(r, "power", "taken", "taken all")))
+		t["for_s"] = r.between(0.2, 6)
+		all = append(all, at(from, t)...)
+	}
+	return all
+}
--- a/internal/rehearsal/fuzzdays/troubles.go
+++ b/internal/rehearsal/fuzzdays/troubles.go
@@ -135,7 +135,7 @@
 			t["for_s"] = 20.0
 		}
 	}},
-	{kind: "core_cut", on: []string{"store"}, how: []string{"", "one_way", "reset", "refuse", "all", "near", "oldest"}, fill: counted(1, 10)},
+	{kind: "core_cut", on: []string{"store"}, how: []string{"", "one_way", "reset", "refuse", "all", "near", "oldest", "split", "both", "behind"}, fill: counted(1, 10)},
 	{kind: "disk_slow", on: []string{"core", "store"}, fill: func(r random, t, site Table) { counted(2, 8)(r, t, site); t["x"] = r.byFactor(10, 200) }},
 	{kind: "disk_full", on: []string{"core", "store"}, fill: counted(2, 8)},
 	{kind: "disk_stall", on: []string{"core", "store"}, fill: counted(1, 6)},
