--- a/internal/rehearsal/fuzzdays/draw.go
+++ b/internal/rehearsal/fuzzdays/draw.go
@@ -57,7 +57,10 @@
 	}
 	r := random{rand.New(rand.NewSource(seed))}
 	delete(site, "day")
-	r.deployment(site, chosen)
+	site = plainNumbers(site).(Table)
+	if !chosen.asItIs {
+		r.deployment(site, chosen)
+	}
 	day := r.day(site, seed, chosen)
 	return &DrawnDay{Seed: seed, Scenario: chosen.name, Site: site, Day: day}, nil
 }
@@ -78,6 +81,23 @@
 	return missing
 }
 
+// plainNumbers makes the whole numbers of a decoded file ints, as those that are drawn are.
+func plainNumbers(value any) any {
+	switch v := value.(type) {
+	case int64:
+		return int(v)
+	case []any:
+		for i, entry := range v {
+			v[i] = plainNumbers(entry)
+		}
+	case Table:
+		for key, entry := range v {
+			v[key] = plainNumbers(entry)
+		}
+	}
+	return value
+}
+
 // tables is a decoded array of tables.
 func tables(value any) []Table {
 	list, _ := value.([]any)
--- a/internal/rehearsal/fuzzdays/repeats.go
+++ b/internal/rehearsal/fuzzdays/repeats.go
@@ -114,7 +114,7 @@
 	all := at(0.7, trouble("config_race", "count", int(length/1.3), "gap_s", 1.2))
 	for from := r.between(1, 4); from < length-9; from += r.between(8, 13) {
 		t := trouble("core_cut", "count", losses, "for_s", r.between(2, 6))
-		setHow(t, pick(r, "", "leader", "leader", "giver"), pick(r, "behind", "split", "relieve", "relieve", "both", "lure", "seeds", "near"),
+		setHow(t, pick(r, "", "leader", "leader", "giver", "reader"), pick(r, "behind", "split", "relieve", "relieve", "both", "lure", "seeds", "near"),
 			pick(r, "", "race", "meet drain", "race hard"))
 		all = append(all, at(from, t)...)
 		if r.Intn(2) == 0 {
--- a/internal/rehearsal/fuzzdays/scenarios.go
+++ b/internal/rehearsal/fuzzdays/scenarios.go
@@ -1,5 +1,7 @@
 package fuzzdays
 
+import "maps"
+
 // scenario fixes parts of a deployment and gives the troubles that its days must hold.
 type scenario struct {
 	name string
@@ -9,6 +11,7 @@
 	processors           int // processors of each machine; 0: drawn
 	perZone              int // core machines and stores of each zone where a whole zone may be lost; 0: one
 	loseZone, loseRegion bool
+	asItIs               bool // the deployment stays as the site file has it
 	far, slowDisk        bool
 	large                bool    // 60 and more gateways, nine stores, five to eight core machines, two of which may be lost
 	few                  bool    // two gateways a zone, three stores, three core machines
@@ -133,11 +136,26 @@
 	{name: "stores split while programs run away", cores: 3, stores: 4, lengthSeconds: 60, timed: splitStores, alone: true},
 	{name: "stores split while programs run away, two may be lost", cores: 5, stores: 6, losses: 2, lengthSeconds: 60, timed: splitStores, alone: true},
 	{name: "stores split while programs run away, many machines", large: true, timed: splitStores, alone: true},
+	{name: "the site as it is", asItIs: true},
+	{name: "the site as it is, two scenarios at once", asItIs: true, timed: overlaid, alone: true},
+	{name: "the site as it is, its own troubles again and again", asItIs: true, timed: ownTroubles, alone: true},
 	{name: "two scenarios at once", timed: overlaid},
 	{name: "two scenarios at once, two may be lost", cores: 5, stores: 5, losses: 2, timed: overlaid},
 	{name: "two scenarios at once, many machines", large: true, timed: overlaid, alone: true},
 }
 
+// ownTroubles has the troubles that the site file names come two to four times each, at any moment.
+func ownTroubles(r random, site Table) []Table {
+	var all []Table
+	for _, own := range tables(site["troubles"]) {
+		for range r.whole(0, 4) {
+			t := maps.Clone(own)
+			all = append(all, at(r.between(0.5, lengthOf(site)-2), t)...)
+		}
+	}
+	return all
+}
+
 // overlaid lays two ways to place troubles over each other.
 func overlaid(r random, site Table) []Table {
 	var all []Table
@@ -199,7 +217,7 @@
 
 var (
 	cutScopes = []string{"", "all", "near", "oldest", "one_way", "seeds", "both", "lure", "behind", "split", "relieve", "leader relieve", "giver", "leader", "leader all", "leader near",
-		"leader one_way", "leader seeds", "leader both", "leader lure", "leader reset", "leader refuse", "reader", "turn", "seed"}
+		"leader one_way", "leader seeds", "leader both", "leader lure", "leader reset", "leader refuse", "reader", "reader one_way", "reader all", "turn", "seed"}
 	cutFollowers = []string{"", "", "meet", "race", "race hard", "meet drain", "race drain hard", "meet hard"}
 )
 
