--- a/brain/brain.go
+++ b/brain/brain.go
@@ -11,7 +11,7 @@
 	"sort"
 	"time"
 
-	"dockshift.example/dockshift/brain/restart"
+	"saffronyard.example/saffronyard/brain/restart"
 )
 
 const (
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain/restart"
+	"saffronyard.example/saffronyard/brain/restart"
 )
 
 const ms = time.Millisecond
--- a/brain/equal_test.go
+++ b/brain/equal_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/brain/internal/reference"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/brain/internal/reference"
 )
 
 // decider is the Brain, or the one that it is held against.
--- a/brain/example_test.go
+++ b/brain/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"saffronyard.example/saffronyard/brain"
 )
 
 // A sender hands in its list of endpoints and a message, and carries out what comes back.
--- a/brain/fold.go
+++ b/brain/fold.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/brain/restart"
+	"saffronyard.example/saffronyard/brain/restart"
 )
 
 // A destination that has been quiet for Settings.FoldAfter, with nothing held and no call out, is folded: what
--- a/brain/fold_test.go
+++ b/brain/fold_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain/restart"
+	"saffronyard.example/saffronyard/brain/restart"
 )
 
 // sleepy is a rig whose destinations fold after a minute.
--- a/brain/fold_world_test.go
+++ b/brain/fold_world_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"saffronyard.example/saffronyard/brain"
 )
 
 // attempt is one call of a message.
--- a/brain/internal/reference/api.go
+++ b/brain/internal/reference/api.go
@@ -2,7 +2,7 @@
 // what the books by what is due may not change. Tests hold the two against each other, action for action.
 package reference
 
-import "dockshift.example/dockshift/brain"
+import "saffronyard.example/saffronyard/brain"
 
 // The types are the Brain's own, so that both can be fed the same events.
 type (
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"dockshift.example/dockshift/brain/restart"
+	"saffronyard.example/saffronyard/brain/restart"
 )
 
 // What is learnt of a destination from other senders, or from this one's earlier process, and what it does. All of it
--- a/brain/learn_test.go
+++ b/brain/learn_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain/restart"
+	"saffronyard.example/saffronyard/brain/restart"
 )
 
 // first hands in messages at once and gives how many calls a step makes.
--- a/brain/state.go
+++ b/brain/state.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/brain/restart"
+	"saffronyard.example/saffronyard/brain/restart"
 )
 
 type state uint8
--- a/cmd/saffronyard/ask.go
+++ b/cmd/saffronyard/ask.go
@@ -16,8 +16,8 @@
 	"text/tabwriter"
 	"time"
 
-	"dockshift.example/dockshift/internal/fleet"
-	"dockshift.example/dockshift/internal/sender"
+	"saffronyard.example/saffronyard/internal/fleet"
+	"saffronyard.example/saffronyard/internal/sender"
 )
 
 const askTimeout = 5 * time.Second
--- a/cmd/saffronyard/ask_test.go
+++ b/cmd/saffronyard/ask_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/peers"
-	"dockshift.example/dockshift/internal/sender"
+	"saffronyard.example/saffronyard/internal/peers"
+	"saffronyard.example/saffronyard/internal/sender"
 )
 
 // What a sender tells is shown as a table or passed on as it is; without one, or with a bad word, it says so.
--- a/cmd/saffronyard/background.go
+++ b/cmd/saffronyard/background.go
@@ -11,12 +11,12 @@
 	"sync/atomic"
 	"time"
 
-	"dockshift.example/dockshift/internal/features"
-	"dockshift.example/dockshift/internal/resend"
-	"dockshift.example/dockshift/internal/sender"
-	"dockshift.example/dockshift/internal/undelivered"
-	"dockshift.example/dockshift/internal/work"
-	worker "dockshift.example/dockshift/internal/work/run"
+	"saffronyard.example/saffronyard/internal/features"
+	"saffronyard.example/saffronyard/internal/resend"
+	"saffronyard.example/saffronyard/internal/sender"
+	"saffronyard.example/saffronyard/internal/undelivered"
+	"saffronyard.example/saffronyard/internal/work"
+	worker "saffronyard.example/saffronyard/internal/work/run"
 )
 
 // behind is the work behind the messages.
--- a/cmd/saffronyard/background_test.go
+++ b/cmd/saffronyard/background_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // What is known of receivers is written down as background work, and what the next process learns from is that.
--- a/cmd/saffronyard/deploy_test.go
+++ b/cmd/saffronyard/deploy_test.go
@@ -23,7 +23,7 @@
 	if err := toml.Unmarshal(raw, &deploy); err != nil {
 		t.Fatal(err)
 	}
-	if deploy.Run != "exec bin/saffronyard" || deploy.Sim != "exec bin/wirehost" {
+	if deploy.Run != "exec bin/saffronyard" || deploy.Sim != "exec bin/simulator-adapter" {
 		t.Errorf("run = %q, sim = %q: want one process each, by exec, and no features", deploy.Run, deploy.Sim)
 	}
 	// The very command, but for where it leaves the programs.
--- a/cmd/saffronyard/ends_test.go
+++ b/cmd/saffronyard/ends_test.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // client is a client's connection of which a test says which bytes go when.
--- a/cmd/saffronyard/events_test.go
+++ b/cmd/saffronyard/events_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 const eventRules = "[events]\n[[events.rule]]\nsubject = \"{dest}\"\nclass = \"{type}\"\ntenant = \"acme\"\ndestination = \"{dest}\"\ndeadline = \"15s\"\n"
--- a/cmd/saffronyard/features_test.go
+++ b/cmd/saffronyard/features_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 func write(t *testing.T, text string) string {
--- a/cmd/saffronyard/fleet.go
+++ b/cmd/saffronyard/fleet.go
@@ -17,9 +17,9 @@
 
 	"github.com/spf13/cobra"
 
-	"dockshift.example/dockshift/internal/fleet"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	"dockshift.example/dockshift/internal/sender"
+	"saffronyard.example/saffronyard/internal/fleet"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/sender"
 )
 
 // errAborted is that a change took hold nowhere.
--- a/cmd/saffronyard/fleet_test.go
+++ b/cmd/saffronyard/fleet_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/fleet"
-	"dockshift.example/dockshift/internal/rehearsal/concord"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/faulttest/policytest"
+	"saffronyard.example/saffronyard/internal/fleet"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // itself is this test's program as the sender's; more are variables of its environment.
@@ -37,17 +37,17 @@
 }
 
 // concordRun plays a day of processes of the program.
-func concordRun(t *testing.T, o concord.Options) (*concord.Result, concord.Verdict) {
+func concordRun(t *testing.T, o policytest.Options) (*policytest.Result, policytest.Verdict) {
 	t.Helper()
 	turn(t)
 	o.Folder = t.TempDir()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	r, err := concord.Run(ctx, o)
+	r, err := policytest.Run(ctx, o)
 	if err != nil {
 		t.Fatalf("seed %d: %v", o.Seed, err)
 	}
-	v := concord.Check(r)
+	v := policytest.Check(r)
 	t.Logf("seed %d: %d calls, %d faults; changes: %d took hold, %d were aborted, %d refused, %d unknown; took %v, switches %v", o.Seed, v.Calls, r.Faults, v.Commits, v.Aborts, v.Refused, v.Unknown, v.Takes, v.Switches)
 	return r, v
 }
@@ -56,7 +56,7 @@
 // and come back with old folders. 'rehearse fleet' plays many more such days.
 func TestFleetAgreesUnderFaults(t *testing.T) {
 	t.Parallel()
-	for _, o := range []concord.Options{{Seed: 1, Senders: 3, Voters: 3, Seconds: 8}, {Seed: 2, Senders: 5, Voters: 3, Seconds: 8},
+	for _, o := range []policytest.Options{{Seed: 1, Senders: 3, Voters: 3, Seconds: 8}, {Seed: 2, Senders: 5, Voters: 3, Seconds: 8},
 		{Seed: 4, Senders: 4, Voters: 3, Seconds: 8, Quiet: true, KillAll: true}} {
 		t.Run(fmt.Sprintf("seed %d", o.Seed), func(t *testing.T) {
 			t.Parallel()
@@ -76,7 +76,7 @@
 // are seen under the version that they have left.
 func TestWrongSenderIsFound(t *testing.T) {
 	t.Parallel()
-	r, v := concordRun(t, concord.Options{Seed: 3, Senders: 4, Voters: 3, Seconds: 6, CutOff: true, Quiet: true, Command: itself("SAFFRONYARD_TEST_WRONG=n3")})
+	r, v := concordRun(t, policytest.Options{Seed: 3, Senders: 4, Voters: 3, Seconds: 6, CutOff: true, Quiet: true, Command: itself("SAFFRONYARD_TEST_WRONG=n3")})
 	found := 0
 	for _, b := range v.Broken { // once one call is under a version that was left, which one others are under can't be told for sure
 		if strings.Contains(b, " called receiver ") {
--- a/cmd/saffronyard/limits.go
+++ b/cmd/saffronyard/limits.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"dockshift.example/dockshift/internal/fleet"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	"dockshift.example/dockshift/internal/tomlfile"
+	"saffronyard.example/saffronyard/internal/fleet"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
 // limits are the commands on what the fleet shares out.
--- a/cmd/saffronyard/limits_test.go
+++ b/cmd/saffronyard/limits_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/fleet"
-	"dockshift.example/dockshift/internal/rehearsal/ration"
-	"dockshift.example/dockshift/internal/roster"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/coordinator"
+	"saffronyard.example/saffronyard/internal/faulttest/quotatest"
+	"saffronyard.example/saffronyard/internal/fleet"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // startsFromFull makes a wrong authority: it lends all units at once, whatever an earlier one has lent.
@@ -24,17 +24,17 @@
 }
 
 // rationRun plays a day of processes of the program that share a limit out.
-func rationRun(t *testing.T, o ration.Options) ration.Verdict {
+func rationRun(t *testing.T, o quotatest.Options) quotatest.Verdict {
 	t.Helper()
 	turn(t)
 	o.Folder = t.TempDir()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	r, err := ration.Run(ctx, o)
+	r, err := quotatest.Run(ctx, o)
 	if err != nil {
 		t.Fatalf("seed %d: %v", o.Seed, err)
 	}
-	v := ration.Check(r)
+	v := quotatest.Check(r)
 	t.Logf("seed %d: %d in %v; %d calls judged, %d spans full, %d broken; %.3f used; %d faults", o.Seed, r.Options.Units, r.Options.Span, v.Calls, v.Spans, len(v.Broken), v.Used, r.Faults)
 	return v
 }
@@ -43,7 +43,7 @@
 // with old folders. 'rehearse limits' plays many more such days.
 func TestLimitsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
-	for _, o := range []ration.Options{{Seed: 1, Senders: 3, Voters: 3, Seconds: 10}, {Seed: 2, Senders: 5, Voters: 3, Seconds: 10, Units: 20, Span: time.Second, Halve: true},
+	for _, o := range []quotatest.Options{{Seed: 1, Senders: 3, Voters: 3, Seconds: 10}, {Seed: 2, Senders: 5, Voters: 3, Seconds: 10, Units: 20, Span: time.Second, Halve: true},
 		{Seed: 4, Senders: 4, Voters: 3, Seconds: 8, Units: 10, Span: time.Second, Quiet: true, KillAll: true}} {
 		t.Run(fmt.Sprintf("seed %d", o.Seed), func(t *testing.T) {
 			t.Parallel()
@@ -63,19 +63,19 @@
 // also where the one in charge dies meanwhile. A day on which each finds out by itself is seen to keep neither, judged by the other's verdicts.
 func TestOutageIsTheFleets(t *testing.T) {
 	t.Parallel()
-	var days [2]*ration.Result
+	var days [2]*quotatest.Result
 	t.Run("days", func(t *testing.T) {
 		for i, together := range []bool{true, false} {
 			t.Run(fmt.Sprintf("together %v", together), func(t *testing.T) {
 				t.Parallel()
 				turn(t)
-				o := ration.Options{Seed: 1, Senders: 4, Voters: 3, Rate: 40, Free: true, Verdict: together, Outage: 9 * time.Second, Seconds: 10, Quiet: true, Command: itself(), Folder: t.TempDir()}
+				o := quotatest.Options{Seed: 1, Senders: 4, Voters: 3, Rate: 40, Free: true, Verdict: together, Outage: 9 * time.Second, Seconds: 10, Quiet: true, Command: itself(), Folder: t.TempDir()}
 				if together {
 					o.CutOff = true // and the last one, without the others, begins no call once its lease is over
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 				defer cancel()
-				r, err := ration.Run(ctx, o)
+				r, err := quotatest.Run(ctx, o)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -88,7 +88,7 @@
 	}
 	days[1].Held = days[0].Held
 	for i, r := range days {
-		v := ration.CheckReturn(r)
+		v := quotatest.CheckReturn(r)
 		t.Logf("%d calls under a verdict, %d of them while it was out, %d broken; %d calls in the first two seconds, %d in any second, %v until it serves as before", v.Judged, v.Probes, len(v.Broken), v.Early, v.Most, v.Full)
 		if (len(v.Broken) == 0) != (i == 0) || v.Probes == 0 || v.Judged == v.Probes {
 			t.Errorf("day %d: %d under a verdict, %d probes, broken: %q", i, v.Judged, v.Probes, v.Broken[:min(3, len(v.Broken))])
@@ -104,11 +104,11 @@
 	for i := range 5 {
 		names = append(names, &pb.Part{Name: fmt.Sprintf("n%d", i)})
 	}
-	in := roster.NewCharge(names).Of("destination 0").Name
+	in := coordinator.NewCharge(names).Of("destination 0").Name
 	if in == "n4" {
 		t.Fatal("the one that is cut off is in charge: the day shows nothing")
 	}
-	for name, o := range map[string]ration.Options{
+	for name, o := range map[string]quotatest.Options{
 		"keeps its loan": {Seed: 3, Senders: 4, Seconds: 10, Command: itself("SAFFRONYARD_TEST_WRONG=n3 keeps")},
 		"from full":      {Seed: 6, Senders: 5, Seconds: 8, Lend: 6 * time.Second, Kill: in, Command: itself("SAFFRONYARD_TEST_WRONG=full")},
 		"none":           {Seed: 6, Senders: 5, Seconds: 8, Lend: 6 * time.Second, Kill: in, Command: itself()},
--- a/cmd/saffronyard/main.go
+++ b/cmd/saffronyard/main.go
@@ -20,15 +20,15 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/internal/calls"
-	"dockshift.example/dockshift/internal/cloudevents"
-	"dockshift.example/dockshift/internal/features"
-	"dockshift.example/dockshift/internal/fleet"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	"dockshift.example/dockshift/internal/nameserver"
-	"dockshift.example/dockshift/internal/peers"
-	"dockshift.example/dockshift/internal/sender"
-	"dockshift.example/dockshift/internal/undelivered"
+	"saffronyard.example/saffronyard/internal/calls"
+	"saffronyard.example/saffronyard/internal/cloudevents"
+	"saffronyard.example/saffronyard/internal/features"
+	"saffronyard.example/saffronyard/internal/fleet"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/nameserver"
+	"saffronyard.example/saffronyard/internal/peers"
+	"saffronyard.example/saffronyard/internal/sender"
+	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
 // memoryPart of the machine's memory is what the collector aims to stay under; the journal's pages and
--- a/cmd/saffronyard/main_test.go
+++ b/cmd/saffronyard/main_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/fleet"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/faulttest/fleet"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // TestMain is the sender itself when a test starts it as a process of its own.
--- a/cmd/saffronyard/peerlinks_test.go
+++ b/cmd/saffronyard/peerlinks_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/day"
-	"dockshift.example/dockshift/internal/rehearsal/script"
-	"dockshift.example/dockshift/internal/sender"
+	"saffronyard.example/saffronyard/internal/faulttest/day"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
+	"saffronyard.example/saffronyard/internal/sender"
 )
 
 const peersDay = `
--- a/cmd/saffronyard/resend_test.go
+++ b/cmd/saffronyard/resend_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
-	"dockshift.example/dockshift/internal/undelivered"
+	st "saffronyard.example/saffronyard/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
 // effects counts what a receiver has done: a call with a key that it remembers does nothing more.
--- a/cmd/saffronyard/undelivered.go
+++ b/cmd/saffronyard/undelivered.go
@@ -13,7 +13,7 @@
 	"text/tabwriter"
 	"time"
 
-	"dockshift.example/dockshift/internal/undelivered"
+	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
 const undeliveredUsage = `saffronyard undelivered COMMAND [flags] [NAME ...]
--- a/cmd/saffronyard/undelivered_test.go
+++ b/cmd/saffronyard/undelivered_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
-	"dockshift.example/dockshift/internal/undelivered"
+	st "saffronyard.example/saffronyard/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
 // ask runs the command line and wants an exit code.
--- a/cmd/saffronyard/verdicts.go
+++ b/cmd/saffronyard/verdicts.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dockshift.example/dockshift/internal/fleet"
+	"saffronyard.example/saffronyard/internal/fleet"
 )
 
 // verdicts are the commands on what the fleet holds of receivers.
--- a/cmd/saffronyard/work.go
+++ b/cmd/saffronyard/work.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"text/tabwriter"
 
-	"dockshift.example/dockshift/internal/sender"
-	"dockshift.example/dockshift/internal/work"
-	worker "dockshift.example/dockshift/internal/work/run"
+	"saffronyard.example/saffronyard/internal/sender"
+	"saffronyard.example/saffronyard/internal/work"
+	worker "saffronyard.example/saffronyard/internal/work/run"
 )
 
 const workUsage = `saffronyard work list [-kind K] [-owner O] [-parked|-running|-waiting] [-most N] [-json]   jobs, and why they wait
--- a/cmd/saffronyard/zone.go
+++ b/cmd/saffronyard/zone.go
@@ -16,9 +16,9 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/nameserver"
-	"dockshift.example/dockshift/internal/sender"
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/nameserver"
+	"saffronyard.example/saffronyard/internal/sender"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 const zoneUsage = `saffronyard zone check [-origin NAME] FILE        what is wrong with a zone file, or how many records it has
--- a/cmd/saffronyard/zone_test.go
+++ b/cmd/saffronyard/zone_test.go
@@ -12,10 +12,10 @@
 	"strings"
 	"testing"
 
-	"dockshift.example/dockshift/internal/membership"
-	"dockshift.example/dockshift/internal/nameserver"
-	"dockshift.example/dockshift/internal/sender"
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/membership"
+	"saffronyard.example/saffronyard/internal/nameserver"
+	"saffronyard.example/saffronyard/internal/sender"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 // A zone as an operator works on it: checked, compared, updated by a signed message, and shown.
--- a/cmd/fuzzdays/main.go
+++ b/cmd/scenario-fuzz/main.go
@@ -16,7 +16,7 @@
 	"github.com/joomcode/errorx"
 	"github.com/pelletier/go-toml/v2"
 
-	"dockshift.example/dockshift/internal/rehearsal/fuzzdays"
+	"saffronyard.example/saffronyard/internal/faulttest/scenariofuzz"
 )
 
 // failuresInARow is how many plays may fail one after another, as they do where the tier does not build, before no
@@ -92,7 +92,7 @@
 	refuse(c.Days < 1, "--days is %d, must be 1 or more", c.Days)
 	refuse(c.Jobs < 1 || c.Jobs > 64, "--jobs is %d, must be 1 to 64", c.Jobs)
 	refuse(c.Until <= 0, "--until is %v, must be above 0", c.Until)
-	names := fuzzdays.ScenarioNames()
+	names := scenariofuzz.ScenarioNames()
 	refuse(c.Scenario != "" && !slices.Contains(names, c.Scenario), "no scenario is called %q; --scenarios lists them", c.Scenario)
 	if c.Scenario != "" {
 		names = []string{c.Scenario}
@@ -114,7 +114,7 @@
 
 func (c *command) run() error {
 	if c.Scenarios {
-		fmt.Println(strings.Join(fuzzdays.ScenarioNames(), "\n"))
+		fmt.Println(strings.Join(scenariofuzz.ScenarioNames(), "\n"))
 		return nil
 	}
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
@@ -174,7 +174,7 @@
 	if err != nil {
 		return "", false, errorx.ExternalError.Wrap(err, "site file")
 	}
-	drawn, err := fuzzdays.Draw(text, seed, c.Scenario)
+	drawn, err := scenariofuzz.Draw(text, seed, c.Scenario)
 	if err != nil {
 		return "", false, err
 	}
@@ -198,7 +198,7 @@
 	if err != nil {
 		return "", false, errorx.ExternalError.New("no report (%v): %s", playErr, lastOf(string(out), 400))
 	}
-	r, err := fuzzdays.ParseReport(raw)
+	r, err := scenariofuzz.ParseReport(raw)
 	if err != nil {
 		return "", false, err
 	}
@@ -213,7 +213,7 @@
 }
 
 // write puts the files of a drawn day into a folder, with the wire file that stands beside the site file.
-func write(folder, beside string, drawn *fuzzdays.DrawnDay) error {
+func write(folder, beside string, drawn *scenariofuzz.DrawnDay) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errorx.ExternalError.Wrap(err, "scratch folder")
 	}
@@ -222,7 +222,7 @@
 		return errorx.ExternalError.Wrap(err, "wire file")
 	}
 	files := map[string][]byte{"wire.json": wire}
-	for name, table := range map[string]fuzzdays.Table{"site.toml": drawn.Site, "day.toml": drawn.Day} {
+	for name, table := range map[string]scenariofuzz.Table{"site.toml": drawn.Site, "day.toml": drawn.Day} {
 		if files[name], err = toml.Marshal(table); err != nil {
 			return errorx.InternalError.Wrap(err, "%s", name)
 		}
--- a/cmd/wirehost/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -6,9 +6,9 @@
 	"math"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/settings"
-	"dockshift.example/dockshift/internal/wire"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/settings"
+	"saffronyard.example/saffronyard/internal/wire"
 )
 
 // instance is one hosted sender.
--- a/internal/calls/answer.go
+++ b/internal/calls/answer.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"saffronyard.example/saffronyard/brain"
 )
 
 // told adds the rate that an endpoint allows to a call's end, which has no figures of its own: the module decides
--- a/internal/calls/forms.go
+++ b/internal/calls/forms.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/cloudevents"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/cloudevents"
 )
 
 // Delivery is in which form messages go out. A nil one, and a destination that it does not name, has the platform's.
--- a/internal/calls/forms_test.go
+++ b/internal/calls/forms_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 func formOf(name string) *form {
--- a/internal/calls/list.go
+++ b/internal/calls/list.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/membership"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/membership"
 )
 
 // List is the list as the loop knows it. Endpoints come and go all day: of one that is gone nothing is
--- a/internal/calls/list_test.go
+++ b/internal/calls/list_test.go
@@ -5,8 +5,8 @@
 	"reflect"
 	"testing"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/membership"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/membership"
 )
 
 func list(n int, edit func([]membership.Target)) membership.Update {
--- a/internal/calls/permit_test.go
+++ b/internal/calls/permit_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // tickets is one message that may be written within a time.
--- a/internal/calls/pool.go
+++ b/internal/calls/pool.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/cloudevents"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/cloudevents"
 )
 
 // Calls are written and read here on connections of our own rather than through http.Transport: whether a
--- a/internal/calls/pool_test.go
+++ b/internal/calls/pool_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/membership"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/membership"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 func testPool() *Pool {
--- a/internal/roster/roster.go
+++ b/internal/coordinator/roster.go
@@ -1,11 +1,11 @@
-// Package roster is which processes of the fleet take part in what is shared out among them, one of them being in charge of each
+// Package coordinator is which processes of the fleet take part in what is shared out among them, one of them being in charge of each
 // thing: a limit, say. It is free of I/O and of clocks.
 //
 // A roster has an epoch. The next one comes in two steps, each an entry of the log. With the first it is known: from there on whoever
 // was in charge of something that moves does nothing more about it. Once nobody may act any more who does not know that (a fence on
 // the leases, as of a change of the policy), the second one begins it. So at no moment are two in charge of one thing, whichever
 // processes are cut off, paused or dead; and the new one knows that all the old one did was done before it began.
-package roster
+package coordinator
 
 import (
 	"cmp"
@@ -18,8 +18,8 @@
 	"github.com/dgryski/go-rendezvous"
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // partsMost is how many take part at the most.
--- a/internal/roster/roster_test.go
+++ b/internal/coordinator/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package coordinator
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // fleet is a coordinator with the granter and the log that it goes by.
--- a/cmd/rehearse/compare.go
+++ b/internal/faulttest/cli/compare.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -10,31 +10,31 @@
 	"slices"
 	"strings"
 
-	"dockshift.example/dockshift/internal/rehearsal/day"
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/form"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
-	"dockshift.example/dockshift/internal/rehearsal/report"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/day"
+	"saffronyard.example/saffronyard/internal/faulttest/encoding"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/report"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // variant is one way to speak on a day.
 type variant struct {
 	name  string
-	speak form.Form
-	calls []form.Form // of the kinds of receivers, in turns
+	speak encoding.Form
+	calls []encoding.Form // of the kinds of receivers, in turns
 }
 
 // variants is how a day is compared: plain as often as asked, for its spread, then each form in and out, and all mixed.
 func variants(plain int) []variant {
 	var all []variant
 	for range plain {
-		all = append(all, variant{"plain", form.Plain, []form.Form{form.Plain}})
+		all = append(all, variant{"plain", encoding.Plain, []encoding.Form{encoding.Plain}})
 	}
-	for _, f := range []form.Form{form.Binary, form.Structured, form.Batched} {
-		all = append(all, variant{string(f), f, []form.Form{f}})
+	for _, f := range []encoding.Form{encoding.Binary, encoding.Structured, encoding.Batched} {
+		all = append(all, variant{string(f), f, []encoding.Form{f}})
 	}
-	return append(all, variant{"mixed", form.Mixed, []form.Form{form.Binary, form.Plain, form.Batched, form.Structured}})
+	return append(all, variant{"mixed", encoding.Mixed, []encoding.Form{encoding.Binary, encoding.Plain, encoding.Batched, encoding.Structured}})
 }
 
 // over gives a day's script the variant's forms. The kinds of a script that names none are the usual ones.
--- a/cmd/rehearse/cost.go
+++ b/internal/faulttest/cli/cost.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/cost"
-	"dockshift.example/dockshift/internal/rehearsal/day"
-	"dockshift.example/dockshift/internal/rehearsal/form"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/cost"
+	"saffronyard.example/saffronyard/internal/faulttest/day"
+	"saffronyard.example/saffronyard/internal/faulttest/encoding"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
 )
 
 // proxyCommand starts a plain reverse proxy, against which costs are measured.
@@ -58,7 +58,7 @@
 	if *forms != "" {
 		for _, name := range strings.Split(*forms, ",") {
 			c := cases[0]
-			if c.Form = form.Form(name); !c.Form.Known(false) {
+			if c.Form = encoding.Form(name); !c.Form.Known(false) {
 				return judge.ExitScript, fmt.Errorf("cost: there is no form %q; there are plain, binary, structured and batched", name)
 			}
 			cases, words = append(cases, c), append(words, words[0]+" "+name)
--- a/cmd/rehearse/fleet.go
+++ b/internal/faulttest/cli/fleet.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -9,15 +9,15 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/concord"
-	"dockshift.example/dockshift/internal/rehearsal/day"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/day"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/policytest"
 )
 
 // fleetDays plays days on which a fleet changes its policy while links, processes and folders fail, a seed each, and judges
 // from outside that every change took hold everywhere or nowhere.
 func fleetDays(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
-	o := concord.Options{}
+	o := policytest.Options{}
 	var program, logs string
 	var runs, side int
 	f := flags("fleet", errs)
@@ -49,21 +49,21 @@
 	}
 	o.Command = []string{path}
 	var mu sync.Mutex
-	var all concord.Verdict
+	var all policytest.Verdict
 	failed, played := 0, 0
 	overSeeds(ctx, o.Seed, runs, side, func(seed uint64) {
 		one := o
 		one.Seed = seed
 		one.Senders, one.Voters = manySenders(seed, one.Senders, one.Voters, 3, 4, 5, 6, 7)
 		one.Folder = filepath.Join(logs, fmt.Sprintf("seed-%d", seed))
-		r, err := concord.Run(ctx, one)
+		r, err := policytest.Run(ctx, one)
 		if ctx.Err() != nil {
 			return
 		}
 		mu.Lock()
-		var v concord.Verdict
+		var v policytest.Verdict
 		if r != nil && err == nil {
-			v = concord.Check(r)
+			v = policytest.Check(r)
 		} else {
 			v.Broken = []string{err.Error()}
 		}
--- a/cmd/rehearse/limits.go
+++ b/internal/faulttest/cli/limits.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -8,15 +8,15 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/day"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
-	"dockshift.example/dockshift/internal/rehearsal/ration"
+	"saffronyard.example/saffronyard/internal/faulttest/day"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/quotatest"
 )
 
 // limitDays plays days on which a fleet shares a limit out while links, processes and folders fail, a seed each, and judges by what
 // the receiver got that the limit held.
 func limitDays(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
-	o := ration.Options{}
+	o := quotatest.Options{}
 	var program, logs string
 	var runs, side int
 	f := flags("limits", errs)
@@ -66,18 +66,18 @@
 			one.Halve = seed%4 == 3
 		}
 		one.Folder = filepath.Join(logs, fmt.Sprintf("seed-%d", seed))
-		r, err := ration.Run(ctx, one)
+		r, err := quotatest.Run(ctx, one)
 		if ctx.Err() != nil {
 			return
 		}
-		var v ration.Verdict
+		var v quotatest.Verdict
 		if err == nil {
-			v, one = ration.Check(r), r.Options
+			v, one = quotatest.Check(r), r.Options
 			if o.Free {
-				v = ration.Verdict{Calls: v.Calls, Refused: v.Refused, Served: v.Served}
+				v = quotatest.Verdict{Calls: v.Calls, Refused: v.Refused, Served: v.Served}
 			}
 			if one.Outage > 0 {
-				back := ration.CheckReturn(r)
+				back := quotatest.CheckReturn(r)
 				v.Broken = append(v.Broken, back.Broken...)
 				mu.Lock()
 				fmt.Fprintf(out, "seed %d: %d calls under a verdict, %d of them while it was out; %d in the first two seconds of its return, %d in any second of it at most; %v until it serves four fifths again\n", seed, back.Judged, back.Probes, back.Early, back.Most, back.Full.Round(time.Millisecond))
--- a/cmd/rehearse/list.go
+++ b/internal/faulttest/cli/list.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"slices"
 
-	"dockshift.example/dockshift/internal/rehearsal/judge"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // folder is where the scripts that ship lie, below the sources.
@@ -48,7 +48,7 @@
 	for _, p := range paths {
 		s, err := script.Load(p)
 		if err != nil {
-			fmt.Fprintln(errs, "rehearse:", err)
+			fmt.Fprintln(errs, programName+":", err)
 			code = judge.ExitScript
 			continue
 		}
--- /dev/null
+++ b/internal/faulttest/cli/main.go
@@ -0,0 +1,79 @@
+// Package cli is the command line of the fault-test kit: it injects outages around real sender processes and reports for each of
+// the six rules whether it held.
+package cli
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
+)
+
+const usage = `fault-test plays a day of trouble against real senders on this machine and judges the six rules.
+
+  fault-test run [flags] [DAY.toml ...]   play days, one after another; a file without [day] is laid over the
+                                        day before it; without files a short built-in day is played
+  fault-test list [FOLDER]                the scripts there are, with a line on each
+  fault-test judge LOG                    the verdict again, from a day's event log
+  fault-test report LOG FILE.html         the report again, from a day's event log
+  fault-test up                           one sender and a few receivers, kept running to try things by hand
+  fault-test compare [DAY.toml ...]       a day in plain, in each form of CloudEvents, and mixed: does it differ?
+  fault-test teach [DAY.toml]             a day with a sender that joins, cold and taught by its peers, over several seeds
+  fault-test fleet                        changes of the fleet's policy while links, processes and folders fail, over many seeds
+  fault-test selftest                     wrong senders, one for each rule: each must be found out
+  fault-test cost [LISTED/BUSY/HELD ...]  what a message costs the sender's process, beside a plain proxy
+  fault-test measure                      how much the kit itself can send, serve and judge on this machine
+
+Exit codes: 0 all tried rules pass, 1 a rule failed, 2 bad script or flag, 3 inconclusive: the kit ran late.
+'fault-test COMMAND -h' tells the flags. The operators' page is docs/operate/rehearsal.md.
+The former name of this program, rehearse, works for one more release.
+`
+
+// programName is the name of the program in its usage and its messages.
+const programName = "fault-test"
+
+// errUsage is a bad flag or script; it has been told.
+var errUsage = errors.New("usage")
+
+// Main runs the subcommand that the arguments of the process name and ends the process with its exit code.
+func Main() {
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	os.Exit(command(ctx, os.Args[1:], os.Stdout, os.Stderr))
+}
+
+// command runs one subcommand and returns the exit code.
+func command(ctx context.Context, args []string, out, errs io.Writer) int {
+	if len(args) == 0 {
+		fmt.Fprint(errs, usage)
+		return judge.ExitScript
+	}
+	run, ok := map[string]func(context.Context, []string, io.Writer, io.Writer) (int, error){
+		"run": runDays, "list": listScripts, "judge": judgeLog, "report": reportLog, "up": up, "selftest": selftest, "measure": measure, "cost": costs, "compare": compare, "teach": teach, "fleet": fleetDays, "limits": limitDays,
+		wrongCommand: wrongSender, proxyCommand: plainProxy,
+	}[args[0]]
+	if !ok {
+		if args[0] == "help" || args[0] == "-h" || args[0] == "--help" {
+			fmt.Fprint(out, usage)
+			return 0
+		}
+		fmt.Fprintf(errs, "%s: there is no command %q\n\n%s", programName, args[0], usage)
+		return judge.ExitScript
+	}
+	code, err := run(ctx, args[1:], out, errs)
+	switch {
+	case errors.Is(err, errUsage):
+		return judge.ExitScript
+	case err != nil:
+		fmt.Fprintln(errs, programName+":", err)
+		if code == 0 {
+			code = judge.ExitInconclusive
+		}
+	}
+	return code
+}
--- a/cmd/rehearse/main_test.go
+++ b/internal/faulttest/cli/main_test.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
 )
 
 // programs are built once for all tests: the sender and this command, as a user has them.
@@ -45,11 +45,11 @@
 	t.Helper()
 	programs.once.Do(func() {
 		dir := os.Getenv("TMPDIR")
-		build := exec.Command("go", "build", "-o", dir+"/", "../saffronyard", ".")
+		build := exec.Command("go", "build", "-o", dir+"/", "saffronyard.example/saffronyard/cmd/saffronyard", "saffronyard.example/saffronyard/cmd/fault-test")
 		if out, err := build.CombinedOutput(); err != nil {
 			programs.err = fmt.Errorf("%w: %s", err, out)
 		}
-		programs.sender, programs.rehearse = filepath.Join(dir, "saffronyard"), filepath.Join(dir, "rehearse")
+		programs.sender, programs.rehearse = filepath.Join(dir, "saffronyard"), filepath.Join(dir, programName)
 	})
 	if programs.err != nil {
 		t.Fatal(programs.err)
@@ -206,7 +206,7 @@
 		args []string
 		says string
 	}{
-		{nil, "rehearse plays a day"},
+		{nil, "fault-test plays a day"},
 		{[]string{"dance"}, `no command "dance"`},
 		{[]string{"run", "-nosuch"}, "nosuch"},
 		{[]string{"run", bad}, bad + ":3: unknown key"},
@@ -229,11 +229,11 @@
 }
 
 func TestListAndPlan(t *testing.T) {
-	code, out, errs := call(t, "list", "../../rehearsals")
+	code, out, errs := call(t, "list", "../../../rehearsals")
 	if code != 0 || strings.Count(out, "\n") < 16 || !strings.Contains(out, "holiday-peak") || !strings.Contains(out, "laid over a day") {
 		t.Errorf("exit %d: %s%s", code, out, errs)
 	}
-	args := []string{"run", "-plan", "../../rehearsals/hang.toml", "../../rehearsals/over/kill-n0.toml", "../../rehearsals/slow.toml"}
+	args := []string{"run", "-plan", "../../../rehearsals/hang.toml", "../../../rehearsals/over/kill-n0.toml", "../../../rehearsals/slow.toml"}
 	code, first, _ := call(t, args...)
 	_, second, _ := call(t, args...)
 	if code != 0 || first != second || !strings.Contains(first, "hang+kill-n0: ") || !strings.Contains(first, "kill") || !strings.Contains(first, "\nslow: ") {
@@ -243,7 +243,7 @@
 	if other == first {
 		t.Error("another seed gives the same plan")
 	}
-	code, both, _ := call(t, "run", "-plan", "-together", "../../rehearsals/hang.toml", "../../rehearsals/slow.toml")
+	code, both, _ := call(t, "run", "-plan", "-together", "../../../rehearsals/hang.toml", "../../../rehearsals/slow.toml")
 	if code != 0 || !strings.Contains(both, "hang+slow: ") || !strings.Contains(both, "trouble hang") || !strings.Contains(both, "trouble slow") {
 		t.Errorf("exit %d: %s", code, both)
 	}
--- a/cmd/rehearse/measure.go
+++ b/internal/faulttest/cli/measure.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 	"path/filepath"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/day"
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
-	"dockshift.example/dockshift/internal/rehearsal/report"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/day"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/report"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // measureDay is a calm day whose receivers are never what holds it up.
--- a/cmd/rehearse/run.go
+++ b/internal/faulttest/cli/run.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/day"
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
-	"dockshift.example/dockshift/internal/rehearsal/report"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/day"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/report"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // builtIn is the day that is played without a script: one receiver hangs.
@@ -34,11 +34,11 @@
 `
 
 // module is the first line of the go.mod beside which the senders' sources lie.
-const module = "module dockshift.example/dockshift"
+const module = "module saffronyard.example/saffronyard"
 
 // flags makes a flag set that reports to errs.
 func flags(name string, errs io.Writer) *flag.FlagSet {
-	f := flag.NewFlagSet("rehearse "+name, flag.ContinueOnError)
+	f := flag.NewFlagSet(programName+" "+name, flag.ContinueOnError)
 	f.SetOutput(errs)
 	return f
 }
--- a/cmd/rehearse/selftest.go
+++ b/internal/faulttest/cli/selftest.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/day"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
-	"dockshift.example/dockshift/internal/rehearsal/script"
-	"dockshift.example/dockshift/internal/rehearsal/wrong"
+	"saffronyard.example/saffronyard/internal/faulttest/day"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/mutant"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // wrongCommand starts a wrong sender: the self-test starts this program again with it.
@@ -89,9 +89,9 @@
 
 func wrongSender(ctx context.Context, args []string, _, _ io.Writer) (int, error) {
 	if len(args) != 1 {
-		return judge.ExitScript, fmt.Errorf("%s FAULT, one of %v", wrongCommand, wrong.Faults())
+		return judge.ExitScript, fmt.Errorf("%s FAULT, one of %v", wrongCommand, mutant.Faults())
 	}
-	if err := wrong.Run(ctx, wrong.Fault(args[0]), os.Getenv); err != nil {
+	if err := mutant.Run(ctx, mutant.Fault(args[0]), os.Getenv); err != nil {
 		return judge.ExitScript, err
 	}
 	return 0, nil
@@ -99,7 +99,7 @@
 
 // trial is one sender's day in the self-test.
 type trial struct {
-	fault   wrong.Fault
+	fault   mutant.Fault
 	rule    int // that it breaks, 0 for none
 	verdict judge.Report
 	folder  string
@@ -180,10 +180,10 @@
 	if err != nil {
 		return judge.ExitScript, err
 	}
-	trials := make([]trial, len(wrong.Faults()))
+	trials := make([]trial, len(mutant.Faults()))
 	room := make(chan struct{}, atOnce)
 	var wg sync.WaitGroup
-	for i, fault := range wrong.Faults() {
+	for i, fault := range mutant.Faults() {
 		trials[i] = trial{fault: fault, rule: i}
 		wg.Add(1)
 		go func() {
--- a/cmd/rehearse/teach.go
+++ b/internal/faulttest/cli/teach.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
-	"dockshift.example/dockshift/internal/rehearsal/report"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/report"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // firstSpan is how long a sender that joins counts as new.
--- a/cmd/rehearse/teach_test.go
+++ b/internal/faulttest/cli/teach_test.go
@@ -1,10 +1,10 @@
-package main
+package cli
 
 import (
 	"testing"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
 )
 
 // What one that joined did in its first 30 s is counted by its own calls, of which those without an answer have failed.
--- a/cmd/rehearse/up.go
+++ b/internal/faulttest/cli/up.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/day"
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/day"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // upDay is what 'rehearse up' keeps running: no traffic but that of the user's own hands.
--- a/internal/rehearsal/cost/cost.go
+++ b/internal/faulttest/cost/cost.go
@@ -26,11 +26,11 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/fleet"
-	"dockshift.example/dockshift/internal/rehearsal/form"
-	"dockshift.example/dockshift/internal/rehearsal/platform"
-	"dockshift.example/dockshift/internal/rehearsal/traffic"
+	"saffronyard.example/saffronyard/internal/faulttest/encoding"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/fleet"
+	"saffronyard.example/saffronyard/internal/faulttest/platform"
+	"saffronyard.example/saffronyard/internal/faulttest/traffic"
 )
 
 // Case is one measurement.
@@ -43,7 +43,7 @@
 	Warm         time.Duration // before the measurement
 	Churn        int           // endpoints that are replaced each second
 	Memory       int           // MB that the sender is told it has
-	Form         form.Form     // in which messages come in and leave; "" for the platform's
+	Form         encoding.Form // in which messages come in and leave; "" for the platform's
 	Fleet        bool          // the sender is one of a fleet that agrees, of itself alone
 	Limits       int           // of the first destinations, each its own, that hold nothing back; with Fleet
 }
@@ -220,12 +220,12 @@
 		}
 		return withFile(command, folder, fmt.Sprintf("[fleet]\ncluster = \"cost\"\nlisten = %q\n[[fleet.voter]]\nname = \"n0\"\naddress = %q\n", address, address))
 	}
-	if c.Form == "" || c.Form == form.Plain {
+	if c.Form == "" || c.Form == encoding.Plain {
 		return command, nil
 	}
-	text := form.Rules([]form.Class{{Name: "safe", Deadline: 20 * time.Second}})
+	text := encoding.Rules([]encoding.Class{{Name: "safe", Deadline: 20 * time.Second}})
 	text = strings.Replace(text, "remember = \"1m\"\nremember_most = 10000", "remember = \"10s\"\nremember_most = 1000000", 1)
-	text += form.Delivery(map[string]form.Form{"plain": c.Form})
+	text += encoding.Delivery(map[string]encoding.Form{"plain": c.Form})
 	return withFile(command, folder, text)
 }
 
@@ -329,12 +329,12 @@
 func (c Case) request() func(n int64) []byte {
 	body := bytes.Repeat([]byte("x"), c.Body)
 	return func(n int64) []byte {
-		if c.Form != "" && c.Form != form.Plain {
+		if c.Form != "" && c.Form != encoding.Plain {
 			id := strconv.FormatInt(n, 16)
-			if c.Form == form.Batched {
-				id += form.BatchTail
+			if c.Form == encoding.Batched {
+				id += encoding.BatchTail
 			}
-			return c.Form.Request(form.Message{ID: id, Class: "safe", Member: "acme", Dest: int(n) % max(1, c.Busy), Expires: time.Now().Add(20 * time.Second), Body: body})
+			return c.Form.Request(encoding.Message{ID: id, Class: "safe", Member: "acme", Dest: int(n) % max(1, c.Busy), Expires: time.Now().Add(20 * time.Second), Body: body})
 		}
 		return traffic.Request(strconv.FormatInt(n, 16), "safe", "acme", 20*time.Second, "", "", "", int(n)%max(1, c.Busy), body)
 	}
--- a/internal/rehearsal/day/day.go
+++ b/internal/faulttest/day/day.go
@@ -17,14 +17,14 @@
 	"sync/atomic"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/fleet"
-	"dockshift.example/dockshift/internal/rehearsal/links"
-	"dockshift.example/dockshift/internal/rehearsal/platform"
-	"dockshift.example/dockshift/internal/rehearsal/receiver"
-	"dockshift.example/dockshift/internal/rehearsal/script"
-	"dockshift.example/dockshift/internal/rehearsal/traffic"
-	"dockshift.example/dockshift/internal/rehearsal/trouble"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/fault"
+	"saffronyard.example/saffronyard/internal/faulttest/fleet"
+	"saffronyard.example/saffronyard/internal/faulttest/links"
+	"saffronyard.example/saffronyard/internal/faulttest/platform"
+	"saffronyard.example/saffronyard/internal/faulttest/receiver"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
+	"saffronyard.example/saffronyard/internal/faulttest/traffic"
 )
 
 const (
@@ -399,7 +399,7 @@
 	switch a.Do {
 	case "trouble", "end":
 		for _, dest := range a.Dests {
-			if a.Trouble.Kind == trouble.Drain {
+			if a.Trouble.Kind == fault.Drain {
 				d.drain(dest, a.Only, a.Do == "trouble")
 			}
 			if a.Do == "trouble" {
--- a/internal/rehearsal/day/day_test.go
+++ b/internal/faulttest/day/day_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
-	"dockshift.example/dockshift/internal/rehearsal/script"
-	"dockshift.example/dockshift/internal/rehearsal/wrong"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/mutant"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // The tests' own program stands in for a sender: the small right one.
@@ -25,7 +25,7 @@
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 		defer stop()
 		signal.Ignore(syscall.SIGHUP) // it asks where it asked before
-		if err := wrong.Run(ctx, wrong.Right, os.Getenv); err != nil {
+		if err := mutant.Run(ctx, mutant.Right, os.Getenv); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/internal/rehearsal/day/late.go
+++ b/internal/faulttest/day/late.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 // lateness measures how late the kit itself runs: by how much messages are handed in after their time, and
--- a/internal/rehearsal/day/zonefile.go
+++ b/internal/faulttest/day/zonefile.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
-	"dockshift.example/dockshift/internal/rehearsal/platform"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/platform"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // zoneFile stands in for the operators' DNS: a zone file that says where receivers are, replaced whole with each change. Each
--- a/internal/rehearsal/form/form.go
+++ b/internal/faulttest/encoding/form.go
@@ -1,6 +1,6 @@
-// Package form is what stand-ins know of CloudEvents: how clients write a message as an event, and what receivers find
+// Package encoding is what stand-ins know of CloudEvents: how clients write a message as an event, and what receivers find
 // in a call. It shares no code with the sender, so that what one writes wrongly the other does not read as right.
-package form
+package encoding
 
 import (
 	"bytes"
--- a/internal/rehearsal/form/form_test.go
+++ b/internal/faulttest/encoding/form_test.go
@@ -1,4 +1,4 @@
-package form
+package encoding
 
 import (
 	"bufio"
--- a/internal/rehearsal/trouble/trouble.go
+++ b/internal/faulttest/fault/trouble.go
@@ -1,6 +1,6 @@
-// Package trouble says what befalls a receiver when several troubles run at once. It does no I/O and knows
+// Package fault says what befalls a receiver when several troubles run at once. It does no I/O and knows
 // no clock; the table in docs/design/rehearsal.md states each pair.
-package trouble
+package fault
 
 import (
 	"fmt"
--- a/internal/rehearsal/fleet/fault.go
+++ b/internal/faulttest/fleet/fault.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 // Pause stops the process where it stands: its sockets stay open, and it knows nothing of the time that goes by. It returns
--- a/internal/rehearsal/fleet/fleet.go
+++ b/internal/faulttest/fleet/fleet.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 const (
--- a/internal/rehearsal/fleet/fleet_test.go
+++ b/internal/faulttest/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 // The tests' own program stands in for a sender, in the way that its name says.
--- a/internal/rehearsal/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 // Verdict is what a rule comes to.
--- a/internal/rehearsal/judge/judge_test.go
+++ b/internal/faulttest/judge/judge_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 // writer builds a day's log. Times are microseconds; each scene has a receiver of its own.
--- a/internal/rehearsal/judge/rules.go
+++ b/internal/faulttest/judge/rules.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 // lost is rule 1: what a sender takes on gets one end, in time. A sender's folder that is lost takes its
--- a/internal/rehearsal/wrong/wrong.go
+++ b/internal/faulttest/mutant/wrong.go
@@ -1,6 +1,6 @@
-// Package wrong is a small sender written to try the judge: right as it stands, and with one fault for each
+// Package mutant is a small sender written to try the judge: right as it stands, and with one fault for each
 // of the six rules. It shares no code with the real one and is no model of how to send well.
-package wrong
+package mutant
 
 import (
 	"bufio"
--- a/internal/rehearsal/platform/platform.go
+++ b/internal/faulttest/platform/platform.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 // Target is a line of the list.
--- a/internal/rehearsal/platform/platform_test.go
+++ b/internal/faulttest/platform/platform_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 const long = 20 * time.Second
--- a/internal/rehearsal/concord/check.go
+++ b/internal/faulttest/policytest/check.go
@@ -1,4 +1,4 @@
-package concord
+package policytest
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 // Grace is how much later than it came a call may stand in the log: the kit's own lateness.
--- a/internal/rehearsal/concord/check_test.go
+++ b/internal/faulttest/policytest/check_test.go
@@ -1,12 +1,12 @@
-package concord
+package policytest
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 const second = time.Second
--- a/internal/rehearsal/concord/concord.go
+++ b/internal/faulttest/policytest/concord.go
@@ -1,7 +1,7 @@
-// Package concord plays days on which a fleet changes its policy while links between its senders fail and processes are paused,
+// Package policytest plays days on which a fleet changes its policy while links between its senders fail and processes are paused,
 // killed, or come back with an old folder, and judges from outside whether the change took hold everywhere or nowhere: by what
 // receivers got, and by what operators were told. It knows a sender by its sockets and files only.
-package concord
+package policytest
 
 import (
 	"bytes"
@@ -20,9 +20,9 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/day"
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/day"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // Options say what is played.
--- a/internal/rehearsal/ration/ration.go
+++ b/internal/faulttest/quotatest/ration.go
@@ -1,7 +1,7 @@
-// Package ration plays days on which a fleet shares a limit out while links between its senders fail and processes are paused, killed, or
+// Package quotatest plays days on which a fleet shares a limit out while links between its senders fail and processes are paused, killed, or
 // come back with an old folder, and judges from outside whether the limit held: by what receivers got. It knows a sender by
 // its sockets and files only.
-package ration
+package quotatest
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/concord"
-	"dockshift.example/dockshift/internal/rehearsal/day"
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/day"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/policytest"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // Options say what is played.
@@ -122,7 +122,7 @@
 // binds is how long after a limit was seen to be in force it binds every call: a sender that has not heard of it has no lease by then,
 // and what was called before has left the span; of a later one, what was lent under an earlier one has lapsed as well.
 func (o Options) binds(later bool) time.Duration {
-	d := time.Duration(float64(o.Lease)*1.05) + concord.Grace + o.Span + o.Transit
+	d := time.Duration(float64(o.Lease)*1.05) + policytest.Grace + o.Span + o.Transit
 	if later {
 		d += time.Duration(float64(o.Lend)*1.05) + o.Span + o.Transit
 	}
@@ -158,7 +158,7 @@
 		}
 	}
 	if !o.Quiet {
-		b.WriteString(concord.Faults(rand.New(rand.NewPCG(o.Seed, 7)), o.Senders, begins, begins+time.Duration(o.Seconds*float64(time.Second))))
+		b.WriteString(policytest.Faults(rand.New(rand.NewPCG(o.Seed, 7)), o.Senders, begins, begins+time.Duration(o.Seconds*float64(time.Second))))
 	}
 	return b.String()
 }
@@ -247,7 +247,7 @@
 	last, shown := time.Duration(0), uint64(0)
 	for ctx.Err() == nil {
 		before := d.Now()
-		all, err := concord.Verdicts(ctx, d, i, askTime)
+		all, err := policytest.Verdicts(ctx, d, i, askTime)
 		if err != nil {
 			day.Sleep(ctx, look)
 			continue
@@ -281,15 +281,15 @@
 	for end := time.Now().Add(waitTime); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
 		for i := range senders {
 			var version uint64
-			if version, err = concord.Version(ctx, d, i, askTime); err != nil {
+			if version, err = policytest.Version(ctx, d, i, askTime); err != nil {
 				continue
 			}
-			if err = concord.Propose(ctx, d, i, version, document, 5*time.Second); err != nil {
+			if err = policytest.Propose(ctx, d, i, version, document, 5*time.Second); err != nil {
 				continue
 			}
 			for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 				for j := range senders {
-					if is, err := concord.Version(ctx, d, j, askTime); err == nil && is > version {
+					if is, err := policytest.Version(ctx, d, j, askTime); err == nil && is > version {
 						return d.Now(), nil
 					}
 				}
--- a/internal/rehearsal/receiver/model.go
+++ b/internal/faulttest/receiver/model.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/form"
-	"dockshift.example/dockshift/internal/rehearsal/trouble"
+	"saffronyard.example/saffronyard/internal/faulttest/encoding"
+	"saffronyard.example/saffronyard/internal/faulttest/fault"
 )
 
 // Spec is a receiver as drawn. Rates are calls a second, from all senders together.
@@ -33,7 +33,7 @@
 	ReportEach time.Duration // refreshed so often
 	ReportLate time.Duration // and shown so much later
 
-	Form form.Form // of calls; "" for the platform's
+	Form encoding.Form // of calls; "" for the platform's
 
 	ColdFrom     float64       // share of its capacity right after an outage
 	Cold         time.Duration // warm after this
@@ -46,7 +46,7 @@
 	Call    int64
 	Status  int           // 200, 429, 500 or 503
 	Wait    time.Duration // with 429
-	Exit    trouble.Exit  // how the answer goes out
+	Exit    fault.Exit    // how the answer goes out
 	Dropped bool          // no answer: its connection is gone or about to be reset
 }
 
@@ -75,8 +75,8 @@
 	rng  *rand.Rand
 	now  time.Duration
 
-	on        map[int]trouble.Trouble // by number
-	cond      trouble.Condition
+	on        map[int]fault.Trouble // by number
+	cond      fault.Condition
 	endpoints []endpoint
 	held      []job // in silence: taken, not begun
 
@@ -102,8 +102,8 @@
 
 // NewModel makes a receiver with so many endpoints.
 func NewModel(spec Spec, endpoints int, seed uint64) *Model {
-	m := &Model{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x7265686561727365)), on: map[int]trouble.Trouble{},
-		cond: trouble.Combine(nil), endpoints: make([]endpoint, endpoints), shown: report{left: 1}}
+	m := &Model{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x7265686561727365)), on: map[int]fault.Trouble{},
+		cond: fault.Combine(nil), endpoints: make([]endpoint, endpoints), shown: report{left: 1}}
 	m.tokens = m.burst()
 	return m
 }
@@ -132,7 +132,7 @@
 }
 
 // Condition is what the troubles that run now come to.
-func (m *Model) Condition() trouble.Condition {
+func (m *Model) Condition() fault.Condition {
 	c := m.cond
 	c.Shut = c.Shut || m.fell
 	return c
@@ -148,10 +148,10 @@
 }
 
 // Begin lets a trouble run from now on, under a number of its own.
-func (m *Model) Begin(now time.Duration, number int, t trouble.Trouble) ([]Outcome, Change) {
+func (m *Model) Begin(now time.Duration, number int, t fault.Trouble) ([]Outcome, Change) {
 	out := m.Advance(now)
 	var c Change
-	if t.Kind == trouble.Cold {
+	if t.Kind == fault.Cold {
 		if !m.out { // within an outage its end does the same
 			m.cool(now)
 		}
@@ -177,11 +177,11 @@
 // recombine takes in what the troubles now come to.
 func (m *Model) recombine(now time.Duration) ([]Outcome, Change) {
 	was := m.cond
-	var on []trouble.Trouble
+	var on []fault.Trouble
 	for _, n := range sortedKeys(m.on) {
 		on = append(on, m.on[n])
 	}
-	m.cond = trouble.Combine(on)
+	m.cond = fault.Combine(on)
 	var out []Outcome
 	c := Change{}
 	switch {
@@ -251,14 +251,14 @@
 		return append(out, Outcome{Call: call, Dropped: true}), c
 	}
 	switch m.cond.Enter(m.rng.Float64()) {
-	case trouble.Silence:
+	case fault.Silence:
 		m.held = append(m.held, job{call, e, m.service()})
 		return out, c
-	case trouble.ToldOff:
+	case fault.ToldOff:
 		return append(out, Outcome{Call: call, Status: 429, Wait: m.cond.Wait}), c
-	case trouble.Refused:
+	case fault.Refused:
 		return append(out, Outcome{Call: call, Status: 503}), c
-	case trouble.Failed:
+	case fault.Failed:
 		return append(out, Outcome{Call: call, Status: 500}), c
 	}
 	if wait, ok := m.admit(now); !ok {
--- a/internal/rehearsal/receiver/model_test.go
+++ b/internal/faulttest/receiver/model_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/trouble"
+	"saffronyard.example/saffronyard/internal/faulttest/fault"
 )
 
 const sec = time.Second
@@ -43,9 +43,9 @@
 			return "refuse"
 		case o.Status == 500:
 			return "fail"
-		case o.Exit == trouble.Broken:
+		case o.Exit == fault.Broken:
 			return "reset"
-		case o.Exit == trouble.Spoilt:
+		case o.Exit == fault.Spoilt:
 			return "spoil"
 		}
 		return "served"
@@ -57,20 +57,20 @@
 }
 
 // sample is each trouble in its strongest form.
-func sample(k trouble.Kind) trouble.Trouble {
-	return trouble.Trouble{Kind: k, Share: 1, Factor: 3, Wait: 100 * time.Millisecond}
+func sample(k fault.Kind) fault.Trouble {
+	return fault.Trouble{Kind: k, Share: 1, Factor: 3, Wait: 100 * time.Millisecond}
 }
 
 // alone is what a call meets in one trouble. Slow ones, drains, cold ones and closed idle connections are
 // served by the model.
-var alone = map[trouble.Kind]string{trouble.Vanish: "vanish", trouble.Shut: "shut", trouble.Hang: "hang", trouble.CloseIdle: "served",
-	trouble.Wait: "wait", trouble.Refuse: "refuse", trouble.Fail: "fail", trouble.Slow: "served", trouble.Reset: "reset",
-	trouble.Spoil: "spoil", trouble.Drain: "served", trouble.Cold: "served"}
+var alone = map[fault.Kind]string{fault.Vanish: "vanish", fault.Shut: "shut", fault.Hang: "hang", fault.CloseIdle: "served",
+	fault.Wait: "wait", fault.Refuse: "refuse", fault.Fail: "fail", fault.Slow: "served", fault.Reset: "reset",
+	fault.Spoil: "spoil", fault.Drain: "served", fault.Cold: "served"}
 
 // layers is the order of the table in docs/design/rehearsal.md: the first that is on decides.
-var layers = []trouble.Kind{trouble.Vanish, trouble.Shut, trouble.Hang, trouble.Wait, trouble.Refuse, trouble.Fail, trouble.Reset, trouble.Spoil}
+var layers = []fault.Kind{fault.Vanish, fault.Shut, fault.Hang, fault.Wait, fault.Refuse, fault.Fail, fault.Reset, fault.Spoil}
 
-func wins(a, b trouble.Kind) string {
+func wins(a, b fault.Kind) string {
 	for _, k := range layers {
 		if k == a || k == b {
 			return alone[k]
@@ -79,9 +79,9 @@
 	return "served"
 }
 
-func outage(k trouble.Kind) bool {
+func outage(k fault.Kind) bool {
 	switch k {
-	case trouble.Vanish, trouble.Shut, trouble.Hang, trouble.Refuse, trouble.Fail, trouble.Reset, trouble.Spoil:
+	case fault.Vanish, fault.Shut, fault.Hang, fault.Refuse, fault.Fail, fault.Reset, fault.Spoil:
 		return true
 	}
 	return false
@@ -91,8 +91,8 @@
 // wins; when a ends b goes on as if alone; the outage is one, from its first begin to its last end, and
 // leaves the receiver cold once, at its end.
 func TestEachPairOfTroubles(t *testing.T) {
-	for _, a := range trouble.All() {
-		for _, b := range trouble.All() {
+	for _, a := range fault.All() {
+		for _, b := range fault.All() {
 			t.Run(fmt.Sprintf("%v+%v", a, b), func(t *testing.T) {
 				m := NewModel(plain(), 1, 7)
 				began, ended := 0, 0
@@ -118,7 +118,7 @@
 				count(m.End(5*sec, 1))
 				expect(5500*time.Millisecond, 4, alone[b])
 				count(m.End(7*sec, 2))
-				if len(m.on) != 0 || m.Condition() != trouble.Combine(nil) {
+				if len(m.on) != 0 || m.Condition() != fault.Combine(nil) {
 					t.Errorf("after both ends %+v is on", m.Condition())
 				}
 				outages, from := 0, time.Duration(-1)
@@ -130,10 +130,10 @@
 				case outage(b):
 					outages, from = 1, 7*sec
 				}
-				if a == trouble.Cold && from < 0 {
+				if a == fault.Cold && from < 0 {
 					from = 1 * sec
 				}
-				if b == trouble.Cold && !outage(a) {
+				if b == fault.Cold && !outage(a) {
 					from = 3 * sec
 				}
 				if began != outages || ended != outages {
@@ -155,8 +155,8 @@
 
 // Shares of the same trouble join, factors multiply, the longest wait is told.
 func TestTheSameTroubleTwice(t *testing.T) {
-	c := trouble.Combine([]trouble.Trouble{{Kind: trouble.Fail, Share: 0.5}, {Kind: trouble.Fail, Share: 0.5}, {Kind: trouble.Slow, Factor: 2},
-		{Kind: trouble.Slow, Factor: 3}, {Kind: trouble.Wait, Wait: sec}, {Kind: trouble.Wait, Wait: 3 * sec}})
+	c := fault.Combine([]fault.Trouble{{Kind: fault.Fail, Share: 0.5}, {Kind: fault.Fail, Share: 0.5}, {Kind: fault.Slow, Factor: 2},
+		{Kind: fault.Slow, Factor: 3}, {Kind: fault.Wait, Wait: sec}, {Kind: fault.Wait, Wait: 3 * sec}})
 	if c.Fails != 0.75 || c.Slow != 6 || c.Wait != 3*sec {
 		t.Errorf("%+v", c)
 	}
@@ -168,8 +168,8 @@
 		fail, reset, spoil float64
 		want               bool
 	}{{0.49, 0, 0, false}, {0.5, 0, 0, true}, {0.3, 0.2, 0, false}, {0.3, 0.25, 0, false}, {0.3, 0.2, 0.2, true}} {
-		on := []trouble.Trouble{{Kind: trouble.Fail, Share: c.fail}, {Kind: trouble.Reset, Share: c.reset}, {Kind: trouble.Spoil, Share: c.spoil}}
-		if got := trouble.Combine(on).Outage(); got != c.want {
+		on := []fault.Trouble{{Kind: fault.Fail, Share: c.fail}, {Kind: fault.Reset, Share: c.reset}, {Kind: fault.Spoil, Share: c.spoil}}
+		if got := fault.Combine(on).Outage(); got != c.want {
 			t.Errorf("%+v is an outage: %v", c, got)
 		}
 	}
@@ -179,7 +179,7 @@
 func TestHangStopsWhatIsInService(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
 	m.Arrive(0, 0, 1)
-	m.Begin(50*time.Millisecond, 1, sample(trouble.Hang))
+	m.Begin(50*time.Millisecond, 1, sample(fault.Hang))
 	m.Arrive(100*time.Millisecond, 0, 2)
 	if out := m.Advance(10 * sec); len(out) != 0 {
 		t.Fatalf("answered in a hang: %+v", out)
@@ -201,7 +201,7 @@
 func TestVanishDropsOnReturn(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
 	m.Arrive(0, 0, 1)
-	m.Begin(10*time.Millisecond, 1, sample(trouble.Vanish))
+	m.Begin(10*time.Millisecond, 1, sample(fault.Vanish))
 	m.Arrive(20*time.Millisecond, 0, 2)
 	out, c := m.End(5*sec, 1)
 	if len(out) != 2 || !out[0].Dropped || !out[1].Dropped || !c.Reset || !c.OutageEnded {
@@ -213,7 +213,7 @@
 func TestFallsOver(t *testing.T) {
 	for _, over := range []int{0, 1} {
 		m := NewModel(plain(), 1, 1)
-		m.Begin(0, 1, sample(trouble.Refuse))
+		m.Begin(0, 1, sample(fault.Refuse))
 		m.End(5*sec, 1)
 		// Right after its return it bears 2 x 0.2 x 100 x 3 s = 120 and a slack of 10.95.
 		fell := false
@@ -224,7 +224,7 @@
 		if fell != (over > 0) {
 			t.Errorf("%d calls over: fell %v", over, fell)
 		}
-		m.Begin(6*sec, 2, sample(trouble.Refuse))
+		m.Begin(6*sec, 2, sample(fault.Refuse))
 		m.End(7*sec, 2)
 		if m.Condition().Shut != (over > 0) {
 			t.Errorf("%d calls over: shut %v", over, m.Condition().Shut)
@@ -238,7 +238,7 @@
 	for i := range 500 {
 		m.Arrive(0, 0, int64(i))
 	}
-	m.Begin(sec, 1, sample(trouble.Refuse))
+	m.Begin(sec, 1, sample(fault.Refuse))
 	for i := range 500 {
 		m.Arrive(2*sec, 0, int64(1000+i))
 	}
@@ -257,7 +257,7 @@
 	if m.Warmth(0) != 1 {
 		t.Error("cold without an outage")
 	}
-	m.Begin(0, 1, trouble.Trouble{Kind: trouble.Cold})
+	m.Begin(0, 1, fault.Trouble{Kind: fault.Cold})
 	for at, want := range map[time.Duration]float64{0: 0.2, 5 * sec: 0.6, 10 * sec: 1, time.Hour: 1} {
 		if got := m.Warmth(at); got < want-1e-9 || got > want+1e-9 {
 			t.Errorf("at %v %v, want %v", at, got, want)
@@ -383,8 +383,8 @@
 				case x == 0:
 					n := rng.IntN(5)
 					if !on[n] {
-						k := trouble.Kind(rng.IntN(12))
-						out, _ := m.Begin(now, n, trouble.Trouble{Kind: k, Share: 0.3 + 0.7*rng.Float64(), Factor: 4, Wait: sec})
+						k := fault.Kind(rng.IntN(12))
+						out, _ := m.Begin(now, n, fault.Trouble{Kind: k, Share: 0.3 + 0.7*rng.Float64(), Factor: 4, Wait: sec})
 						note(out)
 						on[n] = true
 					}
@@ -433,7 +433,7 @@
 // Next never tells a time at which nothing has come nearer.
 func TestNextMakesProgress(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
-	m.Begin(0, 1, trouble.Trouble{Kind: trouble.Cold})
+	m.Begin(0, 1, fault.Trouble{Kind: fault.Cold})
 	m.Arrive(0, 0, 1)
 	for i := 0; ; i++ {
 		at, ok := m.Next()
--- a/internal/rehearsal/receiver/server.go
+++ b/internal/faulttest/receiver/server.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/form"
-	"dockshift.example/dockshift/internal/rehearsal/trouble"
+	"saffronyard.example/saffronyard/internal/faulttest/encoding"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/fault"
 )
 
 const (
@@ -143,12 +143,12 @@
 }
 
 // Begin and End let a trouble run and end.
-func (s *Server) Begin(number int, t trouble.Trouble) {
+func (s *Server) Begin(number int, t fault.Trouble) {
 	s.change(t.Kind.String(), "on", func(now time.Duration) ([]Outcome, Change) { return s.model.Begin(now, number, t) })
 }
 
 // End ends the trouble that began under the number.
-func (s *Server) End(number int, t trouble.Trouble) {
+func (s *Server) End(number int, t fault.Trouble) {
 	s.change(t.Kind.String(), "off", func(now time.Duration) ([]Outcome, Change) { return s.model.End(now, number) })
 }
 
@@ -162,7 +162,7 @@
 	s.log.At(now, eventlog.Event{Kind: eventlog.Trouble, Dest: s.dest, Note: what, State: state})
 	wasCold := s.model.back
 	out, c := step(now)
-	if what == trouble.Cold.String() && s.model.back != wasCold {
+	if what == fault.Cold.String() && s.model.back != wasCold {
 		// An outage of no length: the judge counts from its end.
 		s.log.At(now, eventlog.Event{Kind: eventlog.Outage, Dest: s.dest, State: "on"})
 		s.log.At(now, eventlog.Event{Kind: eventlog.Outage, Dest: s.dest, State: "off", Capacity: s.spec.Capacity})
@@ -561,9 +561,9 @@
 // status is the word of a receiver of a form for an outcome: web hooks have several for delivered.
 func (s *Server) status(status int) int {
 	switch {
-	case status == 200 && s.spec.Form == form.Binary:
+	case status == 200 && s.spec.Form == encoding.Binary:
 		return 202
-	case status == 200 && s.spec.Form == form.Structured:
+	case status == 200 && s.spec.Form == encoding.Structured:
 		return 204
 	}
 	return status
@@ -573,12 +573,12 @@
 func (c *conn) answer(done []eventlog.Event, o Outcome) bool {
 	s := c.e.s
 	wait := int64((o.Wait + time.Millisecond - 1) / time.Millisecond)
-	if o.Status == 200 && o.Exit == trouble.Broken {
+	if o.Status == 200 && o.Exit == fault.Broken {
 		s.ended(done, func(d *eventlog.Event) { d.Note = eventlog.NoteReset })
 		c.reset()
 		return false
 	}
-	if o.Status == 200 && o.Exit == trouble.Spoilt {
+	if o.Status == 200 && o.Exit == fault.Spoilt {
 		return c.spoil(done)
 	}
 	status := s.status(o.Status)
@@ -587,7 +587,7 @@
 		head = "HTTP/1.1 204 No Content\r\n"
 	}
 	switch {
-	case o.Wait > 0 && s.spec.Form != form.Plain && s.spec.Form != "": // a web hook's word for it
+	case o.Wait > 0 && s.spec.Form != encoding.Plain && s.spec.Form != "": // a web hook's word for it
 		head += "Retry-After: " + strconv.FormatFloat(float64(wait)/1000, 'f', 3, 64) + "\r\n"
 	case o.Wait > 0:
 		head += "X-RateLimit-Wait-Ms: " + strconv.FormatInt(wait, 10) + "\r\n"
--- a/internal/rehearsal/receiver/server_test.go
+++ b/internal/faulttest/receiver/server_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/trouble"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/fault"
 )
 
 const (
@@ -170,8 +170,8 @@
 
 func TestAnswersOfTroubles(t *testing.T) {
 	t.Parallel()
-	for kind, want := range map[trouble.Kind]string{trouble.Refuse: "503", trouble.Fail: "500", trouble.Wait: "429100", trouble.Reset: "reset",
-		trouble.Hang: "silence", trouble.Slow: "200"} {
+	for kind, want := range map[fault.Kind]string{fault.Refuse: "503", fault.Fail: "500", fault.Wait: "429100", fault.Reset: "reset",
+		fault.Hang: "silence", fault.Slow: "200"} {
 		s, e, _, _ := start(t, nil)
 		c := dial(t, e)
 		c.send(t, "m0")
@@ -197,7 +197,7 @@
 	idle := dial(t, e)
 	idle.send(t, "m1")
 	idle.expect(t, "200")
-	s.Begin(1, sample(trouble.Vanish))
+	s.Begin(1, sample(fault.Vanish))
 	open.send(t, "m2")
 	open.expect(t, "silence")
 	// The backlog is plugged by the time that one of our own does not come up.
@@ -214,7 +214,7 @@
 			t.Fatal("a connection came up")
 		}
 	}
-	s.End(1, sample(trouble.Vanish))
+	s.End(1, sample(fault.Vanish))
 	open.expect(t, "reset")
 	idle.expect(t, "reset")
 	c := dial(t, e)
@@ -258,10 +258,10 @@
 	c := dial(t, e)
 	c.send(t, "m0")
 	logged(t, s.log, func(ev eventlog.Event) bool { return ev.Kind == eventlog.Call })
-	s.Begin(1, sample(trouble.Shut))
+	s.Begin(1, sample(fault.Shut))
 	c.expect(t, "reset")
 	refused(t, e)
-	s.End(1, sample(trouble.Shut))
+	s.End(1, sample(fault.Shut))
 	dial(t, e)
 }
 
@@ -270,9 +270,9 @@
 func TestVanishAndShut(t *testing.T) {
 	t.Parallel()
 	s, e, _, _ := start(t, nil)
-	s.Begin(1, sample(trouble.Shut))
+	s.Begin(1, sample(fault.Shut))
 	refused(t, e)
-	s.Begin(2, sample(trouble.Vanish))
+	s.Begin(2, sample(fault.Vanish))
 	waitFor(t, func() bool {
 		c, err := net.DialTimeout("tcp", e.Addr, plugTime)
 		if err == nil {
@@ -280,9 +280,9 @@
 		}
 		return timedOut(err)
 	})
-	s.End(2, sample(trouble.Vanish))
+	s.End(2, sample(fault.Vanish))
 	refused(t, e)
-	s.End(1, sample(trouble.Shut))
+	s.End(1, sample(fault.Shut))
 	c := dial(t, e)
 	c.send(t, "m1")
 	c.expect(t, "200")
@@ -292,13 +292,13 @@
 func TestNewEndpointInTrouble(t *testing.T) {
 	t.Parallel()
 	s, _, _, _ := start(t, nil)
-	s.Begin(1, sample(trouble.Shut))
+	s.Begin(1, sample(fault.Shut))
 	e, err := s.Add()
 	if err != nil {
 		t.Fatal(err)
 	}
 	refused(t, e)
-	s.End(1, sample(trouble.Shut))
+	s.End(1, sample(fault.Shut))
 	c := dial(t, e)
 	c.send(t, "m1")
 	c.expect(t, "200")
@@ -314,7 +314,7 @@
 	c := dial(t, e)
 	c.send(t, "m0")
 	c.expect(t, "200")
-	s.Begin(1, sample(trouble.CloseIdle))
+	s.Begin(1, sample(fault.CloseIdle))
 	waitFor(t, func() bool { return log.Now() > 100*time.Millisecond })
 	time.Sleep(50 * time.Millisecond) // idle it must be
 	c.send(t, "m1")
@@ -342,7 +342,7 @@
 func TestSpoil(t *testing.T) {
 	t.Parallel()
 	s, e, log, b := start(t, nil)
-	s.Begin(1, sample(trouble.Spoil))
+	s.Begin(1, sample(fault.Spoil))
 	heads := map[string]bool{}
 	for i := range 40 {
 		c := dial(t, e)
--- a/internal/rehearsal/report/html.go
+++ b/internal/faulttest/report/html.go
@@ -7,7 +7,7 @@
 	"io"
 	"strings"
 
-	"dockshift.example/dockshift/internal/rehearsal/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
 )
 
 //go:embed report.html
--- a/internal/rehearsal/report/report.go
+++ b/internal/faulttest/report/report.go
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 // Second is what happened within one second of a day.
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/faulttest/report/report_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/judge"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/judge"
 )
 
 // log is a day of 12 s: one message a second of member a, delivered at once but for those of seconds 3 and 4,
--- a/internal/rehearsal/fuzzdays/draw.go
+++ b/internal/faulttest/scenariofuzz/draw.go
@@ -1,6 +1,6 @@
-// Package fuzzdays draws deployments and days that nobody has seen, from a known site file and a seed: other
+// Package scenariofuzz draws deployments and days that nobody has seen, from a known site file and a seed: other
 // zones, delays, machines, disks and bounds, with own mixes of troubles. The same seed draws the same day.
-package fuzzdays
+package scenariofuzz
 
 import (
 	"math"
--- a/internal/rehearsal/fuzzdays/pressure.go
+++ b/internal/faulttest/scenariofuzz/pressure.go
@@ -1,4 +1,4 @@
-package fuzzdays
+package scenariofuzz
 
 // plannedKinds is work that the operator plans; a day of nothing else binds what is lost around it most strictly.
 var plannedKinds = []string{"roll_term", "release", "hup", "add_nodes", "retire", "scale_out", "scale_in", "seed_turnover",
--- a/internal/rehearsal/fuzzdays/sorts.go
+++ b/internal/faulttest/scenariofuzz/sorts.go
@@ -1,4 +1,4 @@
-package fuzzdays
+package scenariofuzz
 
 // sortTurns has each kind of turn kept or not, and its stream resumable or not.
 func (r random) sortTurns(site Table) {
--- a/internal/rehearsal/fuzzdays/tight.go
+++ b/internal/faulttest/scenariofuzz/tight.go
@@ -1,4 +1,4 @@
-package fuzzdays
+package scenariofuzz
 
 // machineSize is what a machine of a class has on a deployment of many machines.
 type machineSize struct {
--- a/internal/rehearsal/fuzzdays/troubles.go
+++ b/internal/faulttest/scenariofuzz/troubles.go
@@ -1,4 +1,4 @@
-package fuzzdays
+package scenariofuzz
 
 import (
 	"math"
--- a/internal/rehearsal/script/link.go
+++ b/internal/faulttest/script/link.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/links"
+	"saffronyard.example/saffronyard/internal/faulttest/links"
 )
 
 // Link is what happens to the links between senders: cut, refuse, slow, trickle, freeze, reset; lose, repeat and reorder strike
--- a/internal/rehearsal/script/plan.go
+++ b/internal/faulttest/script/plan.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/form"
-	"dockshift.example/dockshift/internal/rehearsal/links"
-	"dockshift.example/dockshift/internal/rehearsal/receiver"
-	"dockshift.example/dockshift/internal/rehearsal/trouble"
+	"saffronyard.example/saffronyard/internal/faulttest/encoding"
+	"saffronyard.example/saffronyard/internal/faulttest/fault"
+	"saffronyard.example/saffronyard/internal/faulttest/links"
+	"saffronyard.example/saffronyard/internal/faulttest/receiver"
 )
 
 // Plan is a day with everything drawn: the same script and seed give the same plan.
@@ -56,7 +56,7 @@
 type Act struct {
 	At      time.Duration
 	Do      string // trouble, end, replace, down, up, late, punctual, move, kill, restart, lose, join, keep, old, pause, resume, link, reset
-	Trouble trouble.Trouble
+	Trouble fault.Trouble
 	Number  int // of the trouble; its end carries the same
 	Dests   []int
 	Only    int
@@ -387,9 +387,9 @@
 			return err
 		}
 		a := Act{At: t.At.D(), Do: "trouble", Number: i, Dests: dests, Only: t.Only,
-			Trouble: trouble.Trouble{Kind: t.What, Share: t.Share, Factor: t.Factor, Wait: t.Wait.D()}}
+			Trouble: fault.Trouble{Kind: t.What, Share: t.Share, Factor: t.Factor, Wait: t.Wait.D()}}
 		p.Acts = append(p.Acts, a)
-		if t.What != trouble.Cold {
+		if t.What != fault.Cold {
 			a.At, a.Do = a.At+t.For.D(), "end"
 			p.Acts = append(p.Acts, a)
 		}
@@ -452,18 +452,18 @@
 // of its clients and receivers need.
 func (p *Plan) FeaturesText() string {
 	text := p.Day.Features
-	if p.Day.Speak != form.Plain && p.Day.Speak != "" {
-		var classes []form.Class
+	if p.Day.Speak != encoding.Plain && p.Day.Speak != "" {
+		var classes []encoding.Class
 		for _, c := range p.Classes {
-			classes = append(classes, form.Class{Name: c.Name, Keyed: c.Effect == "keyed", Ordered: c.Ordered, Deadline: c.Deadline.D()})
+			classes = append(classes, encoding.Class{Name: c.Name, Keyed: c.Effect == "keyed", Ordered: c.Ordered, Deadline: c.Deadline.D()})
 		}
-		text += "\n" + form.Rules(classes)
+		text += "\n" + encoding.Rules(classes)
 	}
-	kinds := map[string]form.Form{}
+	kinds := map[string]encoding.Form{}
 	for _, r := range p.Receivers {
 		kinds[r.Kind] = r.Spec.Form
 	}
-	if delivery := form.Delivery(kinds); delivery != "" {
+	if delivery := encoding.Delivery(kinds); delivery != "" {
 		text += "\n" + delivery
 	}
 	return text
--- a/internal/rehearsal/script/script.go
+++ b/internal/faulttest/script/script.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/form"
-	"dockshift.example/dockshift/internal/rehearsal/trouble"
-	"dockshift.example/dockshift/internal/tomlfile"
+	"saffronyard.example/saffronyard/internal/faulttest/encoding"
+	"saffronyard.example/saffronyard/internal/faulttest/fault"
+	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
 // Span is a time as the file states it.
@@ -64,17 +64,17 @@
 	Grace        Span    `toml:"grace"`         // each limit is so much longer, and the kit may run so late; default 50ms
 	Settle       Span    `toml:"settle"`        // an ordered key rests so long after doubt; default 1s
 
-	ListDelay   Span      `toml:"list_delay"`   // discovery tells a change so long after it was made; default 300ms
-	MemoryMB    int       `toml:"memory_mb"`    // the sender's limit; default 192
-	Sockets     int       `toml:"sockets"`      // default 512
-	Disk        int       `toml:"disk_mb"`      // default 3
-	SlotsRoom   float64   `toml:"slots_room"`   // slots over what the load keeps busy; default 2
-	ReportEach  Span      `toml:"report_each"`  // load reports are refreshed so often; default 400ms
-	Speak       form.Form `toml:"speak"`        // how clients hand messages in: plain, binary, structured, batched or mixed; default plain
-	LostAnswers float64   `toml:"lost_answers"` // share of the answers to events that their clients never see: they hand the same in again; default 0
-	Features    string    `toml:"features"`     // text of the operators' file that the senders are started with
-	Names       bool      `toml:"names"`        // endpoints are told by a zone file that the senders follow, in place of discovery
-	ReportLate  Span      `toml:"report_late"`  // and tell what was so long ago; default 100ms
+	ListDelay   Span          `toml:"list_delay"`   // discovery tells a change so long after it was made; default 300ms
+	MemoryMB    int           `toml:"memory_mb"`    // the sender's limit; default 192
+	Sockets     int           `toml:"sockets"`      // default 512
+	Disk        int           `toml:"disk_mb"`      // default 3
+	SlotsRoom   float64       `toml:"slots_room"`   // slots over what the load keeps busy; default 2
+	ReportEach  Span          `toml:"report_each"`  // load reports are refreshed so often; default 400ms
+	Speak       encoding.Form `toml:"speak"`        // how clients hand messages in: plain, binary, structured, batched or mixed; default plain
+	LostAnswers float64       `toml:"lost_answers"` // share of the answers to events that their clients never see: they hand the same in again; default 0
+	Features    string        `toml:"features"`     // text of the operators' file that the senders are started with
+	Names       bool          `toml:"names"`        // endpoints are told by a zone file that the senders follow, in place of discovery
+	ReportLate  Span          `toml:"report_late"`  // and tell what was so long ago; default 100ms
 }
 
 // Class is a class of message.
@@ -92,24 +92,24 @@
 
 // Kind is a kind of receiver.
 type Kind struct {
-	Name        string    `toml:"name"`
-	Share       float64   `toml:"share"`       // of the receivers; default 1
-	Large       bool      `toml:"large"`       // they get the most traffic
-	Service     Span      `toml:"service"`     // mean time of a call; default 150ms
-	Spread      float64   `toml:"spread"`      // its coefficient of variation; default 0.6
-	Times       string    `toml:"times"`       // exp, lognormal or fixed; default lognormal
-	Headroom    []float64 `toml:"headroom"`    // capacity over its calls at full load; default [1.3, 2]
-	LeastRate   float64   `toml:"least_rate"`  // calls a second; default 4
-	Queue       Span      `toml:"queue"`       // calls that wait, as time at capacity; default 500ms
-	Limit       string    `toml:"limit"`       // none, rate or window; default none
-	LimitRoom   []float64 `toml:"limit_room"`  // limit over its calls at full load; default [1.2, 2]
-	Window      Span      `toml:"window"`      // default 1s
-	TellsWait   Span      `toml:"tells_wait"`  // above the limit, 429 with this wait; 0: 503 and no word
-	Connections float64   `toml:"connections"` // most, over the calls served at once; 0: any number
-	LeastConns  int       `toml:"least_conns"` // default 10
-	IdleClose   Span      `toml:"idle_close"`  // default 15s
-	Reports     bool      `toml:"reports"`     // answers hold x0 and x1 where there is a limit
-	Form        form.Form `toml:"form"`        // of calls to them: plain, binary, structured or batched; default plain
+	Name        string        `toml:"name"`
+	Share       float64       `toml:"share"`       // of the receivers; default 1
+	Large       bool          `toml:"large"`       // they get the most traffic
+	Service     Span          `toml:"service"`     // mean time of a call; default 150ms
+	Spread      float64       `toml:"spread"`      // its coefficient of variation; default 0.6
+	Times       string        `toml:"times"`       // exp, lognormal or fixed; default lognormal
+	Headroom    []float64     `toml:"headroom"`    // capacity over its calls at full load; default [1.3, 2]
+	LeastRate   float64       `toml:"least_rate"`  // calls a second; default 4
+	Queue       Span          `toml:"queue"`       // calls that wait, as time at capacity; default 500ms
+	Limit       string        `toml:"limit"`       // none, rate or window; default none
+	LimitRoom   []float64     `toml:"limit_room"`  // limit over its calls at full load; default [1.2, 2]
+	Window      Span          `toml:"window"`      // default 1s
+	TellsWait   Span          `toml:"tells_wait"`  // above the limit, 429 with this wait; 0: 503 and no word
+	Connections float64       `toml:"connections"` // most, over the calls served at once; 0: any number
+	LeastConns  int           `toml:"least_conns"` // default 10
+	IdleClose   Span          `toml:"idle_close"`  // default 15s
+	Reports     bool          `toml:"reports"`     // answers hold x0 and x1 where there is a limit
+	Form        encoding.Form `toml:"form"`        // of calls to them: plain, binary, structured or batched; default plain
 }
 
 // Member owns receivers; their traffic is its own.
@@ -129,14 +129,14 @@
 
 // Trouble befalls receivers for a time.
 type Trouble struct {
-	What   trouble.Kind `toml:"what"`
-	At     Span         `toml:"at"`
-	For    Span         `toml:"for"`
-	Who    Who          `toml:"who"`
-	Share  float64      `toml:"share"`  // default 1
-	Factor float64      `toml:"factor"` // default 8
-	Wait   Span         `toml:"wait"`   // default 800ms
-	Only   int          `toml:"only"`   // so many of the receiver's endpoints; 0: all
+	What   fault.Kind `toml:"what"`
+	At     Span       `toml:"at"`
+	For    Span       `toml:"for"`
+	Who    Who        `toml:"who"`
+	Share  float64    `toml:"share"`  // default 1
+	Factor float64    `toml:"factor"` // default 8
+	Wait   Span       `toml:"wait"`   // default 800ms
+	Only   int        `toml:"only"`   // so many of the receiver's endpoints; 0: all
 
 	where string
 }
@@ -405,7 +405,7 @@
 			return fmt.Errorf("%s: day: %s = %v is not in (%v, %v]", at, c.name, c.v, c.from, c.to)
 		}
 	}
-	set(&d.Speak, form.Plain)
+	set(&d.Speak, encoding.Plain)
 	if !d.Speak.Known(true) {
 		return fmt.Errorf("%s: day: speak = %q; there are plain, binary, structured, batched and mixed", at, d.Speak)
 	}
@@ -446,7 +446,7 @@
 }
 
 func (k *Kind) check(at string) error {
-	set(&k.Form, form.Plain)
+	set(&k.Form, encoding.Plain)
 	if !k.Form.Known(false) {
 		return fmt.Errorf("%s: kind %q: form = %q; there are plain, binary, structured and batched", at, k.Name, k.Form)
 	}
@@ -522,13 +522,13 @@
 	if !inside(t.Factor, 1, 1000) {
 		return fmt.Errorf("%s: %s: factor = %v is not in (1, 1000]", t.where, t.What, t.Factor)
 	}
-	if t.For == 0 && t.What != trouble.Cold {
+	if t.For == 0 && t.What != fault.Cold {
 		return fmt.Errorf("%s: %s needs for", t.where, t.What)
 	}
 	if t.Only < 0 {
 		return fmt.Errorf("%s: %s: only = %d is negative", t.where, t.What, t.Only)
 	}
-	if t.Only > 0 && t.What != trouble.Drain {
+	if t.Only > 0 && t.What != fault.Drain {
 		return fmt.Errorf("%s: only goes with drain; %s strikes the whole receiver", t.where, t.What)
 	}
 	return nil
--- a/internal/rehearsal/tierdemo/process.go
+++ b/internal/faulttest/tierdemo/process.go
@@ -14,9 +14,9 @@
 	"github.com/joomcode/errorx"
 	"github.com/phuslu/log"
 
-	"dockshift.example/dockshift/internal/tier/process"
-	"dockshift.example/dockshift/internal/tier/rpcserver"
-	"dockshift.example/dockshift/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/process"
+	"saffronyard.example/saffronyard/internal/tier/rpcserver"
+	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
 // Ports of a machine, counted from the first. They are the same on all machines.
--- a/internal/rehearsal/tierdemo/standins_test.go
+++ b/internal/faulttest/tierdemo/standins_test.go
@@ -13,7 +13,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/routing"
 )
 
 func testEndpoint(t *testing.T, w *witness, service string, slots int) *endpoint {
--- a/internal/rehearsal/tierdemo/status.go
+++ b/internal/faulttest/tierdemo/status.go
@@ -7,7 +7,7 @@
 
 	"github.com/joomcode/errorx"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 const (
--- a/internal/rehearsal/tierdemo/tierdemo.go
+++ b/internal/faulttest/tierdemo/tierdemo.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/logformat"
 	"github.com/joomcode/errorx"
 	"github.com/phuslu/log"
+	"saffronyard.example/saffronyard/internal/tier/logformat"
 )
 
 const (
@@ -57,7 +57,7 @@
 	if options.Rate <= 0 || options.Calm < 0 || options.Trouble < 0 || options.Calm+options.Trouble <= 0 {
 		return nil, errorx.IllegalArgument.New("a rehearsal needs a rate and a time above 0")
 	}
-	dir, err := os.MkdirTemp("", "yard-rehearse-")
+	dir, err := os.MkdirTemp("", "serving-tier-demo-")
 	if err != nil {
 		return nil, errorx.Decorate(err, "temporary folder")
 	}
--- a/internal/rehearsal/traffic/book.go
+++ b/internal/faulttest/traffic/book.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
 // end is how a message that was taken on came to its end, as far as its client hears.
--- a/internal/rehearsal/traffic/clients.go
+++ b/internal/faulttest/traffic/clients.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/form"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/encoding"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 const (
@@ -218,8 +218,8 @@
 		}
 		f := c.plan.Day.Speak.Of(n)
 		id := c.id()
-		if f == form.Batched {
-			id += form.BatchTail
+		if f == encoding.Batched {
+			id += encoding.BatchTail
 		}
 		h := first
 		if h != nil {
@@ -239,7 +239,7 @@
 				return
 			}
 			continue
-		case ans.status == 0 && f != form.Plain && f != "": // no answer: the same event again
+		case ans.status == 0 && f != encoding.Plain && f != "": // no answer: the same event again
 			first, at, mark = h, p, "again"
 			if !Sleep(ctx, lostPause) {
 				return
@@ -348,10 +348,10 @@
 	}
 	var text []byte
 	f := c.plan.Day.Speak.Of(n)
-	if f == form.Plain || f == "" {
+	if f == encoding.Plain || f == "" {
 		text = Request(id, class.Name, r.Member, left, key, a.Order, mark, a.Dest, body)
 	} else {
-		text = f.Request(form.Message{ID: h.id, Request: id, Class: class.Name, Member: r.Member, Key: key, Order: a.Order, Dest: a.Dest, Expires: time.Now().Add(left), Body: body})
+		text = f.Request(encoding.Message{ID: h.id, Request: id, Class: class.Name, Member: r.Member, Key: key, Order: a.Order, Dest: a.Dest, Expires: time.Now().Add(left), Body: body})
 	}
 	e := eventlog.Event{Kind: eventlog.HandIn, Sender: p.name, ID: id, Msg: msg, Class: class.Name, Tenant: r.Member, Dest: a.Dest,
 		Order: a.Order, Deadline: left.Milliseconds(), Try: try}
@@ -368,7 +368,7 @@
 	if ans.note == "down" && !logged {
 		return ans
 	}
-	if share := c.plan.Day.LostAnswers; share > 0 && ans.status != 0 && f != form.Plain && f != "" && c.draw(1) < share {
+	if share := c.plan.Day.LostAnswers; share > 0 && ans.status != 0 && f != encoding.Plain && f != "" && c.draw(1) < share {
 		ans = reply{note: "lost"}
 	}
 	ans2 := eventlog.Event{Kind: eventlog.Answer, Sender: p.name, ID: id, Status: ans.status, RetryMS: ans.retry.Milliseconds(), Note: ans.note}
--- a/internal/rehearsal/traffic/traffic_test.go
+++ b/internal/faulttest/traffic/traffic_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/eventlog"
-	"dockshift.example/dockshift/internal/rehearsal/form"
-	"dockshift.example/dockshift/internal/rehearsal/receiver"
-	"dockshift.example/dockshift/internal/rehearsal/script"
+	"saffronyard.example/saffronyard/internal/faulttest/encoding"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/receiver"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
 // target is a scripted sender: answer gets each request with its number, from 1, and writes on the connection;
@@ -337,7 +337,7 @@
 	t.Parallel()
 	var first string
 	w := play(t, "unsafe", func(p *script.Plan) {
-		p.Day.Speak, p.Day.LostAnswers = form.Binary, 0.9
+		p.Day.Speak, p.Day.LostAnswers = encoding.Binary, 0.9
 	}, func(w *world) []*target {
 		return []*target{newTarget(t, func(n int, r *http.Request, c net.Conn) bool {
 			id, event := r.Header.Get("X-Request-Id"), r.Header.Get("Ce-Id")
--- a/internal/features/dns.go
+++ b/internal/features/dns.go
@@ -9,10 +9,10 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/membership"
-	"dockshift.example/dockshift/internal/nameserver"
-	"dockshift.example/dockshift/internal/tomlfile"
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/membership"
+	"saffronyard.example/saffronyard/internal/nameserver"
+	"saffronyard.example/saffronyard/internal/tomlfile"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 // DNS is how members are followed by name.
--- a/internal/features/dns_test.go
+++ b/internal/features/dns_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/membership"
+	"saffronyard.example/saffronyard/internal/membership"
 )
 
 const dnsFile = `[dns]
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/internal/knowledge"
-	"dockshift.example/dockshift/internal/mapping"
-	"dockshift.example/dockshift/internal/peers"
-	"dockshift.example/dockshift/internal/tomlfile"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	"saffronyard.example/saffronyard/internal/mapping"
+	"saffronyard.example/saffronyard/internal/peers"
+	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
 // Features is what the file names.
--- a/internal/features/fleet.go
+++ b/internal/features/fleet.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"strings"
 
-	"dockshift.example/dockshift/internal/fleet"
-	"dockshift.example/dockshift/internal/peers"
-	"dockshift.example/dockshift/internal/tomlfile"
+	"saffronyard.example/saffronyard/internal/fleet"
+	"saffronyard.example/saffronyard/internal/peers"
+	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
 // Fleet is how this sender takes part in what all senders agree on.
--- a/internal/features/work.go
+++ b/internal/features/work.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/internal/tomlfile"
-	"dockshift.example/dockshift/internal/undelivered"
-	"dockshift.example/dockshift/internal/work"
+	"saffronyard.example/saffronyard/internal/tomlfile"
+	"saffronyard.example/saffronyard/internal/undelivered"
+	"saffronyard.example/saffronyard/internal/work"
 )
 
 // Work is how background work runs.
--- a/internal/features/work_test.go
+++ b/internal/features/work_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/undelivered"
-	"dockshift.example/dockshift/internal/work"
+	"saffronyard.example/saffronyard/internal/undelivered"
+	"saffronyard.example/saffronyard/internal/work"
 )
 
 const workFile = `[work]
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	"dockshift.example/dockshift/internal/peers"
+	"saffronyard.example/saffronyard/internal/lease"
+	"saffronyard.example/saffronyard/internal/peers"
 )
 
 // Bounds of the terms.
--- a/internal/fleet/copy.go
+++ b/internal/fleet/copy.go
@@ -7,9 +7,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed"
-	"dockshift.example/dockshift/internal/duty"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/replicatedlog"
+	"saffronyard.example/saffronyard/internal/worker"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // copyReport is what the copy has, as others read it.
@@ -22,7 +22,7 @@
 
 // stepper is the Copy as a duty, that shows after each step what it has.
 type stepper struct {
-	*agreed.Copy
+	*replicatedlog.Copy
 	n *Node
 }
 
@@ -39,17 +39,17 @@
 }
 
 func (n *Node) startCopy() {
-	c := agreed.NewCopy(n.c.Name, n.life, n.c.Settings, n.c.Terms)
+	c := replicatedlog.NewCopy(n.c.Name, n.life, n.c.Settings, n.c.Terms)
 	c.TakesPart(n.addr)
-	d := &duty.Duty[any, any]{Name: "copy", In: duty.NewRing[any]("copy", copyMost, duty.Wait, nil), Stepper: stepper{c, n}, Do: n.doCopy}
+	d := &worker.Duty[any, any]{Name: "copy", In: worker.NewRing[any]("copy", copyMost, worker.Wait, nil), Stepper: stepper{c, n}, Do: n.doCopy}
 	n.copy = d
-	n.group.Start(d, duty.EndDuty)
+	n.group.Start(d, worker.EndDuty)
 }
 
 // doCopy carries out what the copy wants done. What takes time goes to a goroutine of its own, and comes back as an event.
 func (n *Node) doCopy(_ context.Context, a any) error {
 	switch a := a.(type) {
-	case agreed.Stage:
+	case replicatedlog.Stage:
 		n.aside(func(ctx context.Context) {
 			raw, err := proto.Marshal(&pb.Change{Id: a.Change, Document: a.Document})
 			if err == nil {
@@ -58,9 +58,9 @@
 			if err != nil {
 				n.log.Error("fleet: a change of the policy can't be staged: it is refused", "change", a.Change, "err", err)
 			}
-			n.copy.In.Put(ctx, agreed.Staged{Change: a.Change, Err: err})
+			n.copy.In.Put(ctx, replicatedlog.Staged{Change: a.Change, Err: err})
 		})
-	case agreed.Question:
+	case replicatedlog.Question:
 		n.aside(func(ctx context.Context) {
 			a.Request.Cluster = n.c.Cluster
 			var r *pb.AskReply
@@ -71,36 +71,36 @@
 			})
 			if err != nil {
 				n.log.Debug("fleet: no lease", "err", err)
-				n.copy.In.Put(ctx, agreed.Unanswered{Asked: a.Asked})
+				n.copy.In.Put(ctx, replicatedlog.Unanswered{Asked: a.Asked})
 				return
 			}
 			n.mu.Lock()
 			n.waiting = r.Waits
 			n.mu.Unlock()
-			n.copy.In.Put(ctx, agreed.Granted{Asked: a.Asked, Need: r.Need, Length: time.Duration(r.LengthUs) * time.Microsecond})
+			n.copy.In.Put(ctx, replicatedlog.Granted{Asked: a.Asked, Need: r.Need, Length: time.Duration(r.LengthUs) * time.Microsecond})
 		})
-	case agreed.Publish:
+	case replicatedlog.Publish:
 		was, could := n.gate.View()
 		n.limits.published(a.View) // before any call goes by it
 		drained := n.gate.publish(a.View, a.Until, a.Drain)
 		if a.Drain {
 			n.aside(func(ctx context.Context) {
 				drained()
-				n.copy.In.Put(ctx, agreed.Drained{Index: a.View.Index})
+				n.copy.In.Put(ctx, replicatedlog.Drained{Index: a.View.Index})
 			})
 		}
 		n.limits.nudge()
 		if _, can := n.gate.View(); a.Drain || can != could || was != nil && was.Verdicts != a.View.Verdicts {
 			n.changed()
 		}
-	case agreed.Lapsed:
+	case replicatedlog.Lapsed:
 		n.log.Warn("fleet: cut off: no lease is left, and no call is begun")
 		n.changed()
-	case agreed.Join:
+	case replicatedlog.Join:
 		n.aside(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, n.c.Terms.Length)
 			defer cancel()
-			if r, err := n.Submit(ctx, agreed.KindJoin, a.Command); err == nil && r.Refused != "" {
+			if r, err := n.Submit(ctx, replicatedlog.KindJoin, a.Command); err == nil && r.Refused != "" {
 				n.log.Error("fleet: this sender is no member", "why", r.Refused)
 			}
 		})
@@ -134,7 +134,7 @@
 				n.mu.Lock()
 				n.heard = n.c.Now()
 				n.mu.Unlock()
-				return n.voter() != nil && (len(p.Entries)+len(p.Snapshot) == 0 || n.copy.In.Put(n.ctx, agreed.Told{Piece: p}) == nil)
+				return n.voter() != nil && (len(p.Entries)+len(p.Snapshot) == 0 || n.copy.In.Put(n.ctx, replicatedlog.Told{Piece: p}) == nil)
 			})
 			continue
 		}
@@ -188,7 +188,7 @@
 		n.current, n.heard = name, n.c.Now()
 		n.mu.Unlock()
 		if len(p.Entries)+len(p.Snapshot) > 0 {
-			if err := n.copy.In.Put(ctx, agreed.Told{Piece: p}); err != nil {
+			if err := n.copy.In.Put(ctx, replicatedlog.Told{Piece: p}); err != nil {
 				return err
 			}
 		}
--- a/internal/fleet/feed.go
+++ b/internal/fleet/feed.go
@@ -4,8 +4,8 @@
 	"context"
 	"sync"
 
-	"dockshift.example/dockshift/internal/agreed"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/replicatedlog"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 const (
@@ -26,11 +26,11 @@
 func newFeed() *feed { return &feed{changed: make(chan struct{})} }
 
 // commit takes what is agreed now.
-func (f *feed) commit(c agreed.Commit) {
+func (f *feed) commit(c replicatedlog.Commit) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c.Snapshot != nil {
-		f.base, f.snapshot, f.entries = agreed.SnapshotIndex(c.Snapshot), c.Snapshot, nil
+		f.base, f.snapshot, f.entries = replicatedlog.SnapshotIndex(c.Snapshot), c.Snapshot, nil
 	}
 	f.entries = append(f.entries, c.Entries...)
 	close(f.changed)
@@ -44,7 +44,7 @@
 	if len(f.entries) < feedMost {
 		return
 	}
-	at := agreed.SnapshotIndex(snapshot)
+	at := replicatedlog.SnapshotIndex(snapshot)
 	if at <= f.base || at > f.base+uint64(len(f.entries)) {
 		return
 	}
@@ -73,7 +73,7 @@
 	for {
 		p, changed := f.after(index)
 		if len(p.Snapshot) > 0 {
-			index = max(index, agreed.SnapshotIndex(p.Snapshot))
+			index = max(index, replicatedlog.SnapshotIndex(p.Snapshot))
 		}
 		if n := len(p.Entries); n > 0 {
 			index = p.Entries[n-1].Index
--- a/internal/fleet/gate.go
+++ b/internal/fleet/gate.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"dockshift.example/dockshift/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
 )
 
 // Gate is what calls pass before they are written, from any goroutine, without a lock. A call that has passed is inside until it
--- a/internal/fleet/gate_test.go
+++ b/internal/fleet/gate_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
 )
 
 func policyOf(t testing.TB, text string) *fleetpolicy.Policy {
--- a/internal/fleet/http.go
+++ b/internal/fleet/http.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 const (
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -13,13 +13,13 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"dockshift.example/dockshift/internal/agreed"
-	"dockshift.example/dockshift/internal/agreed/lease"
-	"dockshift.example/dockshift/internal/duty"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	"dockshift.example/dockshift/internal/peers"
-	"dockshift.example/dockshift/internal/quota"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/lease"
+	"saffronyard.example/saffronyard/internal/peers"
+	"saffronyard.example/saffronyard/internal/quota"
+	"saffronyard.example/saffronyard/internal/replicatedlog"
+	"saffronyard.example/saffronyard/internal/worker"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // limiting is a sender's part in the fleet's limits: two duties, one that asks for units and one that lends those of the limits that
@@ -30,8 +30,8 @@
 	terms quota.Terms
 	till  *quota.Till
 	reach peers.Reaches
-	asks  *duty.Duty[any, any]
-	lends *duty.Duty[any, any]
+	asks  *worker.Duty[any, any]
+	lends *worker.Duty[any, any]
 
 	evidence *evidence
 
@@ -81,7 +81,7 @@
 	if n.c.Loan != nil {
 		asker.Wrong(n.c.Loan)
 	}
-	l.asks = &duty.Duty[any, any]{Name: "limits, asking", In: duty.NewRing[any]("limits, asking", pokesMost, duty.Merge, pokeKey), Stepper: &asking{l: l, Asker: asker}, Do: l.doAsk}
+	l.asks = &worker.Duty[any, any]{Name: "limits, asking", In: worker.NewRing[any]("limits, asking", pokesMost, worker.Merge, pokeKey), Stepper: &asking{l: l, Asker: asker}, Do: l.doAsk}
 	lender := quota.NewLender(l.me, l.terms)
 	if n.c.Day == nil {
 		n.c.Day = func() int64 { return time.Now().UTC().Unix() / int64(24*time.Hour/time.Second) }
@@ -89,15 +89,15 @@
 	if n.c.Quiet != nil {
 		lender.Wrong(n.c.Quiet)
 	}
-	l.lends = &duty.Duty[any, any]{Name: "limits, lending", In: duty.NewRing[any]("limits, lending", lendsMost, duty.DropOldest, nil), Stepper: &lending{l: l, Lender: lender}, Do: l.doLend}
+	l.lends = &worker.Duty[any, any]{Name: "limits, lending", In: worker.NewRing[any]("limits, lending", lendsMost, worker.DropOldest, nil), Stepper: &lending{l: l, Lender: lender}, Do: l.doLend}
 	l.evidence = newEvidence(l)
 	return l, nil
 }
 
 func (l *limiting) start() {
-	l.n.group.Start(l.lends, duty.EndDuty)
-	l.n.group.Start(l.asks, duty.EndDuty)
-	l.n.group.Start(l.evidence.duty, duty.EndDuty)
+	l.n.group.Start(l.lends, worker.EndDuty)
+	l.n.group.Start(l.asks, worker.EndDuty)
+	l.n.group.Start(l.evidence.duty, worker.EndDuty)
 }
 
 // pokeKey has events of one sort about one thing be one.
@@ -277,7 +277,7 @@
 	for _, draw := range d.Draws() {
 		actions = append(actions, draw)
 	}
-	return actions, duty.Never
+	return actions, worker.Never
 }
 
 func (l *limiting) doLend(_ context.Context, a any) error {
@@ -288,7 +288,7 @@
 		l.n.aside(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, l.n.c.Terms.Length)
 			defer cancel()
-			r, err := l.n.Submit(ctx, agreed.KindRoster, &pb.Roster{What: &pb.Roster_Draw{Draw: &pb.Draw{Epoch: a.Epoch, Key: a.Key, Period: a.Period, Units: a.Units, Most: a.Most}}})
+			r, err := l.n.Submit(ctx, replicatedlog.KindRoster, &pb.Roster{What: &pb.Roster_Draw{Draw: &pb.Draw{Epoch: a.Epoch, Key: a.Key, Period: a.Period, Units: a.Units, Most: a.Most}}})
 			units := int64(0)
 			if err == nil && r.Refused == "" {
 				units, _ = binary.Varint(r.Result)
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -22,12 +22,12 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed"
-	"dockshift.example/dockshift/internal/agreed/lease"
-	"dockshift.example/dockshift/internal/duty"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	"dockshift.example/dockshift/internal/peers"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/lease"
+	"saffronyard.example/saffronyard/internal/peers"
+	"saffronyard.example/saffronyard/internal/replicatedlog"
+	"saffronyard.example/saffronyard/internal/worker"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // Config is how a sender takes part.
@@ -105,7 +105,7 @@
 
 	ctx     context.Context
 	stop    context.CancelFunc
-	group   *duty.Group
+	group   *worker.Group
 	limits  *limiting
 	server  *grpc.Server
 	wires   *wires
@@ -117,14 +117,14 @@
 
 	mu      sync.Mutex
 	addr    string
-	core    *duty.Duty[any, any] // nil: this sender is no voter, or has not heard the others yet
-	folder  *agreed.Folder       // of a voter
+	core    *worker.Duty[any, any] // nil: this sender is no voter, or has not heard the others yet
+	folder  *replicatedlog.Folder  // of a voter
 	store   *store
-	copy    *duty.Duty[any, any]
+	copy    *worker.Duty[any, any]
 	replies map[uint64]chan any
-	last    uint64                                 // reply
-	out     map[string]*duty.Ring[*raftpb.Message] // to other voters
-	status  agreed.Status
+	last    uint64                                   // reply
+	out     map[string]*worker.Ring[*raftpb.Message] // to other voters
+	status  replicatedlog.Status
 	failed  string        // why it is no voter any more
 	old     string        // why the folder was found to be old
 	waiting []*pb.Waiting // for whom the open change waits, as the one that leads said last
@@ -152,11 +152,11 @@
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	n := &Node{c: c, log: log, life: draw(), gate: NewGate(c.Now), keys: &keyring{cluster: c.Cluster, keys: c.Keys}, feed: newFeed(), lives: lives{by: map[string]uint64{}},
-		replies: map[uint64]chan any{}, out: map[string]*duty.Ring[*raftpb.Message]{}, addr: l.Addr().String()}
+		replies: map[uint64]chan any{}, out: map[string]*worker.Ring[*raftpb.Message]{}, addr: l.Addr().String()}
 	n.gate.rough = rough
 	n.wires = newWires(n.keys)
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.group = &duty.Group{Log: log, Clock: c.Now, Stall: stallTime}
+	n.group = &worker.Group{Log: log, Clock: c.Now, Stall: stallTime}
 	n.group.Ended = func(name string, err error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -214,7 +214,7 @@
 func (n *Node) firstVoters() *raftpb.ConfState {
 	conf := &raftpb.ConfState{}
 	for _, v := range n.c.Voters {
-		conf.Voters = append(conf.Voters, agreed.VoterID(v.Name))
+		conf.Voters = append(conf.Voters, replicatedlog.VoterID(v.Name))
 	}
 	slices.Sort(conf.Voters)
 	return conf
@@ -246,7 +246,7 @@
 	n.work.Add(1)
 	go func() {
 		defer n.work.Done()
-		var heard map[string]agreed.Heard
+		var heard map[string]replicatedlog.Heard
 		if trusted {
 			n.log.Warn("fleet: somebody vouches for the folder: the other voters' word is not waited for", "by", by)
 			n.work.Add(1)
@@ -258,7 +258,7 @@
 			return
 		}
 		policy := fleetpolicy.NewMachine()
-		core, start, err := agreed.NewCore(n.c.Name, saved, heard, n.c.Terms, policy, raftLog{n.log})
+		core, start, err := replicatedlog.NewCore(n.c.Name, saved, heard, n.c.Terms, policy, raftLog{n.log})
 		if err != nil {
 			n.log.Error("fleet: this sender can't be a voter", "err", err)
 			return
@@ -266,18 +266,18 @@
 		if start.Old != "" {
 			n.log.Error("fleet: the folder is older than what it has promised; it votes for nobody until it has caught up", "why", start.Old)
 		}
-		d := &duty.Duty[any, any]{Name: logDuty, In: duty.NewRing[any](logDuty, inboxMost, duty.Wait, nil), Stepper: core, Do: n.doCore}
+		d := &worker.Duty[any, any]{Name: logDuty, In: worker.NewRing[any](logDuty, inboxMost, worker.Wait, nil), Stepper: core, Do: n.doCore}
 		n.mu.Lock()
 		n.core, n.old = d, start.Old
 		n.mu.Unlock()
-		n.group.Start(d, duty.EndDuty)
+		n.group.Start(d, worker.EndDuty)
 	}()
 	return nil
 }
 
 // hello asks all other voters that the folder names, until each has answered; nil if the node stops first.
-func (n *Node) hello(saved *agreed.Saved) map[string]agreed.Heard {
-	f, heard := saved.Folder(), map[string]agreed.Heard{}
+func (n *Node) hello(saved *replicatedlog.Saved) map[string]replicatedlog.Heard {
+	f, heard := saved.Folder(), map[string]replicatedlog.Heard{}
 	conf := saved.Conf
 	if saved.Snapshot != nil {
 		conf = saved.Snapshot.GetMetadata().GetConfState()
@@ -303,7 +303,7 @@
 				client, err := n.wires.to(n.address(name))
 				var r *pb.HelloReply
 				if err == nil {
-					r, err = client.Hello(ctx, &pb.HelloRequest{Cluster: n.c.Cluster, Name: n.c.Name, Life: n.life, Id: agreed.VoterID(n.c.Name), Term: f.Term, Last: f.Last})
+					r, err = client.Hello(ctx, &pb.HelloRequest{Cluster: n.c.Cluster, Name: n.c.Name, Life: n.life, Id: replicatedlog.VoterID(n.c.Name), Term: f.Term, Last: f.Last})
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -311,7 +311,7 @@
 					missing += " " + name
 					return
 				}
-				heard[name] = agreed.Heard{Term: r.Term, LastTerm: r.LastTerm, Last: r.Last, Match: r.Match}
+				heard[name] = replicatedlog.Heard{Term: r.Term, LastTerm: r.LastTerm, Last: r.Last, Match: r.Match}
 			}()
 		}
 		round.Wait()
@@ -333,7 +333,7 @@
 // for those that were removed.
 func (n *Node) others(conf *raftpb.ConfState) []uint64 {
 	ids := slices.Concat(conf.GetVoters(), conf.GetVotersOutgoing())
-	gone := []uint64{agreed.VoterID(n.c.Name)}
+	gone := []uint64{replicatedlog.VoterID(n.c.Name)}
 	n.mu.Lock()
 	for _, v := range n.report.voters {
 		if v.Gone {
@@ -366,7 +366,7 @@
 
 func (n *Node) nameOf(id uint64) string {
 	for _, v := range n.c.Voters {
-		if agreed.VoterID(v.Name) == id {
+		if replicatedlog.VoterID(v.Name) == id {
 			return v.Name
 		}
 	}
@@ -380,7 +380,7 @@
 	return fmt.Sprintf("voter %x", id)
 }
 
-func (n *Node) voter() *duty.Duty[any, any] {
+func (n *Node) voter() *worker.Duty[any, any] {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core
@@ -438,16 +438,16 @@
 // doCore carries out what the voter's log wants done.
 func (n *Node) doCore(_ context.Context, a any) error {
 	switch a := a.(type) {
-	case agreed.Save:
+	case replicatedlog.Save:
 		if err := n.store.save(a); err != nil {
 			return fmt.Errorf("fleet: the log can't be written, this voter takes part no longer: %w", err)
 		}
 		if a.Snapshot != nil {
 			n.feed.cut(a.Snapshot.Data)
 		}
-	case agreed.Send:
+	case replicatedlog.Send:
 		n.box(n.nameOf(a.Message.GetTo())).Offer(a.Message)
-	case agreed.Answer:
+	case replicatedlog.Answer:
 		n.mu.Lock()
 		c := n.replies[a.To]
 		delete(n.replies, a.To)
@@ -455,9 +455,9 @@
 		if c != nil {
 			c <- a.What
 		}
-	case agreed.Commit:
+	case replicatedlog.Commit:
 		n.feed.commit(a)
-	case agreed.Status:
+	case replicatedlog.Status:
 		n.mu.Lock()
 		was := n.status
 		n.status = a
@@ -470,12 +470,12 @@
 }
 
 // box is what goes to one voter, in order; the oldest is dropped when it does not keep up.
-func (n *Node) box(name string) *duty.Ring[*raftpb.Message] {
+func (n *Node) box(name string) *worker.Ring[*raftpb.Message] {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	b := n.out[name]
 	if b == nil {
-		b = duty.NewRing[*raftpb.Message]("to "+name, outboxMost, duty.DropOldest, nil)
+		b = worker.NewRing[*raftpb.Message]("to "+name, outboxMost, worker.DropOldest, nil)
 		n.out[name] = b
 		n.work.Add(1)
 		go func() {
@@ -594,8 +594,8 @@
 // Close ends it: another voter is given the lead first, and leases lapse by themselves.
 func (n *Node) Close() error {
 	if core := n.voter(); core != nil {
-		core.In.Offer(agreed.HandOn{})
-		time.Sleep(2 * agreed.Tick)
+		core.In.Offer(replicatedlog.HandOn{})
+		time.Sleep(2 * replicatedlog.Tick)
 	}
 	n.stop()
 	n.server.Stop()
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -16,11 +16,11 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	"dockshift.example/dockshift/internal/boltfile"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	"dockshift.example/dockshift/internal/rehearsal/links"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/boltfile"
+	"saffronyard.example/saffronyard/internal/faulttest/links"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 var hosts atomic.Int64
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -10,31 +10,31 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed"
-	"dockshift.example/dockshift/internal/duty"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/replicatedlog"
+	"saffronyard.example/saffronyard/internal/worker"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // Report is a sender's part in the fleet as commands show it.
 type Report struct {
-	Name     string        `json:"name"`
-	Cluster  string        `json:"cluster"`
-	Address  string        `json:"address"`
-	HeardMS  int64         `json:"heard_ms"` // since a voter told it last that this is all: its age, as far as that voter knew
-	Index    uint64        `json:"index"`    // how far its copy of the state has come
-	Acts     bool          `json:"acts"`     // it may begin calls now
-	LeaseMS  int64         `json:"lease_ms"` // that is left; 0: none
-	Unfit    string        `json:"unfit,omitempty"`
-	Follows  string        `json:"follows,omitempty"` // voter whose word it follows
-	Voter    *VoterReport  `json:"voter,omitempty"`
-	Members  []Member      `json:"members"`
-	Voters   []string      `json:"voters"`
-	Policy   PolicyReport  `json:"policy"`
-	Rings    []duty.Stats  `json:"rings,omitempty"` // to other voters
-	Duties   []duty.Report `json:"duties"`
-	LengthMS int64         `json:"lease_length_ms"`
-	Bound    string        `json:"bound"` // how long a change waits for one that is cut off
+	Name     string          `json:"name"`
+	Cluster  string          `json:"cluster"`
+	Address  string          `json:"address"`
+	HeardMS  int64           `json:"heard_ms"` // since a voter told it last that this is all: its age, as far as that voter knew
+	Index    uint64          `json:"index"`    // how far its copy of the state has come
+	Acts     bool            `json:"acts"`     // it may begin calls now
+	LeaseMS  int64           `json:"lease_ms"` // that is left; 0: none
+	Unfit    string          `json:"unfit,omitempty"`
+	Follows  string          `json:"follows,omitempty"` // voter whose word it follows
+	Voter    *VoterReport    `json:"voter,omitempty"`
+	Members  []Member        `json:"members"`
+	Voters   []string        `json:"voters"`
+	Policy   PolicyReport    `json:"policy"`
+	Rings    []worker.Stats  `json:"rings,omitempty"` // to other voters
+	Duties   []worker.Report `json:"duties"`
+	LengthMS int64           `json:"lease_length_ms"`
+	Bound    string          `json:"bound"` // how long a change waits for one that is cut off
 }
 
 // VoterReport is of one that keeps the log.
@@ -132,7 +132,7 @@
 		s := n.status
 		r.Voter = &VoterReport{Leads: s.Leads, Term: s.Term, Applied: s.Applied, WaitsFor: n.waits, Old: n.old, Failed: n.failed, Waits: s.Waits}
 		for _, name := range r.Voters {
-			if agreed.VoterID(name) == s.Leader {
+			if replicatedlog.VoterID(name) == s.Leader {
 				r.Voter.Leader = name
 			}
 		}
@@ -192,27 +192,27 @@
 	if _, err := fleetpolicy.Parse("document", p.Document); err != nil {
 		return 0, err
 	}
-	return n.command(ctx, agreed.KindPolicy, &pb.Policy{What: &pb.Policy_Propose{Propose: p}})
+	return n.command(ctx, replicatedlog.KindPolicy, &pb.Policy{What: &pb.Policy_Propose{Propose: p}})
 }
 
 // Abort ends the open change, if it has not taken hold.
 func (n *Node) Abort(ctx context.Context, change uint64, why string) error {
-	_, err := n.command(ctx, agreed.KindPolicy, &pb.Policy{What: &pb.Policy_Abort{Abort: &pb.Step{Change: change, Why: why}}})
+	_, err := n.command(ctx, replicatedlog.KindPolicy, &pb.Policy{What: &pb.Policy_Abort{Abort: &pb.Step{Change: change, Why: why}}})
 	return err
 }
 
 // Leave declares a sender gone for good.
 func (n *Node) Leave(ctx context.Context, l *pb.Leave) error {
-	_, err := n.command(ctx, agreed.KindLeave, l)
+	_, err := n.command(ctx, replicatedlog.KindLeave, l)
 	return err
 }
 
 // ChangeVoters adds and removes voters, all at once.
 func (n *Node) ChangeVoters(ctx context.Context, v *pb.Voters) error {
 	for _, a := range v.Add {
-		a.Id = agreed.VoterID(a.Name)
+		a.Id = replicatedlog.VoterID(a.Name)
 	}
-	_, err := n.command(ctx, agreed.KindVoters, v)
+	_, err := n.command(ctx, replicatedlog.KindVoters, v)
 	return err
 }
 
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -11,8 +11,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed"
-	"dockshift.example/dockshift/internal/boltfile"
+	"saffronyard.example/saffronyard/internal/boltfile"
+	"saffronyard.example/saffronyard/internal/replicatedlog"
 )
 
 // The voter's file, log.db in the folder: two buckets. "log" has the entries by index (eight octets, the highest first), each a
@@ -84,8 +84,8 @@
 }
 
 // load reads what the folder has.
-func (s *store) load() (*agreed.Saved, error) {
-	saved := &agreed.Saved{Hard: &raftpb.HardState{}}
+func (s *store) load() (*replicatedlog.Saved, error) {
+	saved := &replicatedlog.Saved{Hard: &raftpb.HardState{}}
 	err := boltfile.Guarded(func() error {
 		return s.db.View(func(tx *bolt.Tx) error {
 			meta := tx.Bucket(metaBucket)
@@ -128,7 +128,7 @@
 }
 
 // save carries a Save out; it is on the disk when this returns.
-func (s *store) save(a agreed.Save) error {
+func (s *store) save(a replicatedlog.Save) error {
 	return s.update(func(tx *bolt.Tx) error {
 		meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 		put := func(key string, m proto.Message) error {
@@ -181,7 +181,7 @@
 	})
 }
 
-func cut(meta, log *bolt.Bucket, a agreed.Save) error {
+func cut(meta, log *bolt.Bucket, a replicatedlog.Save) error {
 	term := a.Snapshot.GetMetadata().GetTerm()
 	if raw := log.Get(boltfile.Number(int64(a.Cut))); raw != nil && !a.Whole {
 		e := &raftpb.Entry{}
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -16,9 +16,9 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed"
-	"dockshift.example/dockshift/internal/duty"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/replicatedlog"
+	"saffronyard.example/saffronyard/internal/worker"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // Limits of what senders say to each other.
@@ -71,11 +71,11 @@
 }
 
 // send keeps a stream to a voter and passes messages on.
-func (n *Node) send(ctx context.Context, name string, ring *duty.Ring[*raftpb.Message]) {
+func (n *Node) send(ctx context.Context, name string, ring *worker.Ring[*raftpb.Message]) {
 	for ctx.Err() == nil {
 		err := n.stream(ctx, name, ring)
 		if ctx.Err() == nil && n.core != nil {
-			n.core.In.Offer(agreed.Unreachable{ID: agreed.VoterID(name)})
+			n.core.In.Offer(replicatedlog.Unreachable{ID: replicatedlog.VoterID(name)})
 			n.log.Debug("fleet: a voter can't be reached", "voter", name, "err", err)
 		}
 		select {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (n *Node) stream(ctx context.Context, name string, ring *duty.Ring[*raftpb.Message]) error {
+func (n *Node) stream(ctx context.Context, name string, ring *worker.Ring[*raftpb.Message]) error {
 	address := n.address(name)
 	if address == "" {
 		return fmt.Errorf("no address of %s is known", name)
@@ -153,10 +153,10 @@
 			continue
 		}
 		m := &raftpb.Message{}
-		if err := proto.Unmarshal(p.Message, m); err != nil || m.GetFrom() != agreed.VoterID(p.From) {
+		if err := proto.Unmarshal(p.Message, m); err != nil || m.GetFrom() != replicatedlog.VoterID(p.From) {
 			return status.Errorf(codes.InvalidArgument, "a message that can't be read, or is not its sender's: %v", err)
 		}
-		if !s.n.lives.pass(p.From, p.Life, func() { core.In.Offer(agreed.Packet{Message: m}) }) { // one that is dropped is sent again
+		if !s.n.lives.pass(p.From, p.Life, func() { core.In.Offer(replicatedlog.Packet{Message: m}) }) { // one that is dropped is sent again
 			return status.Errorf(codes.Aborted, "%s has another process by now", p.From)
 		}
 	}
@@ -177,7 +177,7 @@
 	if core == nil { // it has not heard all others itself yet: what its folder has is what it can vouch for
 		return &pb.HelloReply{Term: folder.Term, LastTerm: folder.LastTerm, Last: folder.Last, Starting: true}, nil
 	}
-	v, err := s.n.put(ctx, func(to uint64) any { return agreed.Hello{To: to, ID: r.Id} })
+	v, err := s.n.put(ctx, func(to uint64) any { return replicatedlog.Hello{To: to, ID: r.Id} })
 	if err != nil {
 		return nil, err
 	}
@@ -219,8 +219,8 @@
 	if err := s.mine(r.Cluster); err != nil {
 		return nil, err
 	}
-	v, err := s.n.put(ctx, func(to uint64) any { return agreed.Ask{To: to, Request: r} })
-	if errors.Is(err, agreed.ErrNotLeading) && !r.PassedOn {
+	v, err := s.n.put(ctx, func(to uint64) any { return replicatedlog.Ask{To: to, Request: r} })
+	if errors.Is(err, replicatedlog.ErrNotLeading) && !r.PassedOn {
 		client, bad := s.n.leader()
 		if bad != nil {
 			return nil, bad
@@ -245,12 +245,12 @@
 		return nil, status.Errorf(codes.InvalidArgument, "a command that can't be read, or has no session: %v", err)
 	}
 	v, err := s.n.put(ctx, func(to uint64) any {
-		if c.Kind == agreed.KindVoters {
-			return agreed.Voters{To: to, Command: c}
+		if c.Kind == replicatedlog.KindVoters {
+			return replicatedlog.Voters{To: to, Command: c}
 		}
-		return agreed.Submit{To: to, Command: c}
+		return replicatedlog.Submit{To: to, Command: c}
 	})
-	if errors.Is(err, agreed.ErrNotLeading) && !r.PassedOn {
+	if errors.Is(err, replicatedlog.ErrNotLeading) && !r.PassedOn {
 		client, bad := s.n.leader()
 		if bad != nil {
 			return nil, bad
@@ -264,7 +264,7 @@
 }
 
 func coded(err error) error {
-	if errors.Is(err, agreed.ErrNotLeading) {
+	if errors.Is(err, replicatedlog.ErrNotLeading) {
 		return status.Error(codes.Unavailable, err.Error())
 	}
 	return err
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -9,21 +9,21 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"dockshift.example/dockshift/internal/agreed"
-	"dockshift.example/dockshift/internal/duty"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	"dockshift.example/dockshift/internal/knowledge"
-	"dockshift.example/dockshift/internal/verdict"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/health"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	"saffronyard.example/saffronyard/internal/replicatedlog"
+	"saffronyard.example/saffronyard/internal/worker"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // evidence is a sender's part in verdicts: a duty that passes on what this sender has seen, and, where the roster puts it in charge,
 // hears the others and hands what it finds to the log.
 type evidence struct {
 	l     *limiting
-	court *verdict.Court
-	duty  *duty.Duty[any, any]
-	own   map[uint32]verdict.Testimony // seen here, and not told yet
+	court *health.Court
+	duty  *worker.Duty[any, any]
+	own   map[uint32]health.Testimony // seen here, and not told yet
 }
 
 const (
@@ -34,7 +34,7 @@
 
 type (
 	// seen is what this sender has seen itself.
-	seen struct{ all []verdict.Testimony }
+	seen struct{ all []health.Testimony }
 	// told is what another has.
 	told struct{ request *pb.TestifyRequest }
 	// tell goes to the one in charge.
@@ -45,8 +45,8 @@
 )
 
 func newEvidence(l *limiting) *evidence {
-	e := &evidence{l: l, court: verdict.NewCourt(), own: map[uint32]verdict.Testimony{}}
-	e.duty = &duty.Duty[any, any]{Name: "verdicts", In: duty.NewRing[any]("verdicts", testimoniesMost, duty.DropOldest, nil), Stepper: e, Do: e.do}
+	e := &evidence{l: l, court: health.NewCourt(), own: map[uint32]health.Testimony{}}
+	e.duty = &worker.Duty[any, any]{Name: "verdicts", In: worker.NewRing[any]("verdicts", testimoniesMost, worker.DropOldest, nil), Stepper: e, Do: e.do}
 	return e
 }
 
@@ -60,7 +60,7 @@
 		v = r.view.Load()
 	}
 	if v == nil || v.Roster == nil || !v.Policy.Guards() && len(v.Verdicts.GetVerdicts()) == 0 {
-		return nil, duty.Never
+		return nil, worker.Never
 	}
 	charge, me := v.Charge(), e.l.me
 	for _, x := range events {
@@ -74,7 +74,7 @@
 		case told:
 			if x.request.Epoch == v.Roster.GetEpoch() && x.request.ToLife == me.Life {
 				for _, t := range x.request.Testimonies {
-					e.court.Hear(x.request.Name, verdict.Testimony{Destination: t.Destination, State: knowledge.State(t.State),
+					e.court.Hear(x.request.Name, health.Testimony{Destination: t.Destination, State: knowledge.State(t.State),
 						Age: time.Duration(t.AgeUs) * time.Microsecond, For: time.Duration(t.ForUs) * time.Microsecond}, now)
 				}
 			}
@@ -140,7 +140,7 @@
 		n.aside(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, n.c.Terms.Length)
 			defer cancel()
-			r, err := n.Submit(ctx, agreed.KindVerdict, a)
+			r, err := n.Submit(ctx, replicatedlog.KindVerdict, a)
 			if err == nil && r.Refused != "" {
 				err = errors.New(r.Refused)
 			}
@@ -165,17 +165,17 @@
 }
 
 // Testify takes what this sender has seen itself of destinations. It never waits.
-func (n *Node) Testify(all []verdict.Testimony) { n.limits.evidence.duty.In.Offer(seen{all}) }
+func (n *Node) Testify(all []health.Testimony) { n.limits.evidence.duty.In.Offer(seen{all}) }
 
 // Suspend has a person's verdict on a destination stand until it is lifted: no sender begins a call there.
 func (n *Node) Suspend(ctx context.Context, destination uint32, by, why string) error {
-	_, err := n.command(ctx, agreed.KindVerdict, &pb.Judgement{What: &pb.Judgement_Pronounce{Pronounce: &pb.Pronounce{Destination: destination, Sort: uint32(verdict.Suspended), By: by, Why: why}}})
+	_, err := n.command(ctx, replicatedlog.KindVerdict, &pb.Judgement{What: &pb.Judgement_Pronounce{Pronounce: &pb.Pronounce{Destination: destination, Sort: uint32(health.Suspended), By: by, Why: why}}})
 	return err
 }
 
 // Lift ends it.
 func (n *Node) Lift(ctx context.Context, destination uint32, by, why string) error {
-	_, err := n.command(ctx, agreed.KindVerdict, &pb.Judgement{What: &pb.Judgement_Lift{Lift: &pb.Lift{Destination: destination, Person: true, By: by, Why: why}}})
+	_, err := n.command(ctx, replicatedlog.KindVerdict, &pb.Judgement{What: &pb.Judgement_Lift{Lift: &pb.Lift{Destination: destination, Person: true, By: by, Why: why}}})
 	return err
 }
 
@@ -200,9 +200,9 @@
 	}
 	charge, all := v.Charge(), []VerdictReport{}
 	for _, is := range v.Verdicts.GetVerdicts() {
-		r := VerdictReport{Destination: is.Destination, Verdict: verdict.Sort(is.Sort).String(), By: is.By, Why: is.Why, Since: is.Since, At: is.At,
+		r := VerdictReport{Destination: is.Destination, Verdict: health.Sort(is.Sort).String(), By: is.By, Why: is.Why, Since: is.Since, At: is.At,
 			LastsMS: (time.Duration(is.TtlUs) * time.Microsecond).Milliseconds()}
-		if verdict.Sort(is.Sort) == verdict.Suspended {
+		if health.Sort(is.Sort) == health.Suspended {
 			r.Bound = fmt.Sprintf("a sender that has not heard of it begins no call %v after it was last granted a lease", n.c.Terms.Length)
 		} else {
 			if p := charge.Of(key(is.Destination)); p != nil {
--- a/internal/fleetpolicy/coordinator.go
+++ b/internal/fleetpolicy/coordinator.go
@@ -5,8 +5,8 @@
 	"maps"
 	"time"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // Coordinator drives the open change at the voter that leads: what each sender has told of it, and which step comes next. What
--- a/internal/fleetpolicy/document.go
+++ b/internal/fleetpolicy/document.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/internal/tomlfile"
-	"dockshift.example/dockshift/internal/verdict"
+	"saffronyard.example/saffronyard/internal/health"
+	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
 // Document is a policy as operators write it. What it does not name is as the platform has it.
@@ -68,7 +68,7 @@
 	suspended map[string]bool
 	classes   map[string]time.Duration
 	limits    limits
-	verdicts  map[uint32]verdict.Rule
+	verdicts  map[uint32]health.Rule
 }
 
 type rule struct {
--- a/internal/fleetpolicy/document_test.go
+++ b/internal/fleetpolicy/document_test.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 func parse(t *testing.T, text string) *Policy {
--- a/internal/fleetpolicy/limits.go
+++ b/internal/fleetpolicy/limits.go
@@ -10,8 +10,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"dockshift.example/dockshift/internal/quota"
-	"dockshift.example/dockshift/internal/tomlfile"
+	"saffronyard.example/saffronyard/internal/quota"
+	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
 // Limit is what all senders together do no more of. It is one of calls, bytes, at_once and a_day, for each of the destinations or endpoints
--- a/internal/fleetpolicy/machine.go
+++ b/internal/fleetpolicy/machine.go
@@ -8,10 +8,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/quota"
-	"dockshift.example/dockshift/internal/roster"
-	"dockshift.example/dockshift/internal/verdict"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/coordinator"
+	"saffronyard.example/saffronyard/internal/health"
+	"saffronyard.example/saffronyard/internal/quota"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 const (
@@ -170,7 +170,7 @@
 }
 
 // Charge says who is in charge of what is shared out by name.
-func (v *View) Charge() *roster.Charge { return roster.NewCharge(v.Roster.GetParts()) }
+func (v *View) Charge() *coordinator.Charge { return coordinator.NewCharge(v.Roster.GetParts()) }
 
 // View is the state as a sender with these settings goes by it.
 func (m *Machine) View(index uint64, s Settings) *View {
@@ -192,7 +192,7 @@
 	if v.Frozen.Call(c) {
 		return false, "a change of the fleet's policy is about to take hold"
 	}
-	if s := verdict.Of(v.Verdicts, c.Destination, true); s != nil {
+	if s := health.Of(v.Verdicts, c.Destination, true); s != nil {
 		return false, fmt.Sprintf("%s has suspended its destination", s.By)
 	}
 	return v.Policy.May(c)
@@ -208,19 +208,19 @@
 
 // Open reports whether calls for a destination are begun at all, as long as nothing changes.
 func (v *View) Open(destination uint32) bool {
-	return v.Policy.Open(destination) && verdict.Of(v.Verdicts, destination, true) == nil
+	return v.Policy.Open(destination) && health.Of(v.Verdicts, destination, true) == nil
 }
 
 // guard is the limit that a verdict puts on its destination: one call of the whole fleet now and then while it is out, and few that
 // become more as it comes back.
 func (v *View) guard(destination uint32) (l quota.Limit, ok bool) {
-	is := verdict.Of(v.Verdicts, destination, false)
+	is := health.Of(v.Verdicts, destination, false)
 	r, ruled := v.Policy.VerdictRule(destination)
 	if is == nil || !ruled {
 		return l, false
 	}
 	l = quota.Limit{Key: fmt.Sprintf("destination %d, probes", destination), Units: 1, Span: r.Probe, Transit: r.Transit}
-	if verdict.Sort(is.Sort) == verdict.Cold {
+	if health.Sort(is.Sort) == health.Cold {
 		l = quota.Limit{Key: fmt.Sprintf("destination %d, return", destination), Units: r.Cold, Span: time.Second, Transit: r.Transit, RampTo: r.Warm, RampFor: r.WarmFor}
 	}
 	return l, true
@@ -230,7 +230,7 @@
 func (v *View) Limits() []quota.Limit {
 	all := v.Policy.Limits()
 	for _, is := range v.Verdicts.GetVerdicts() {
-		if l, ok := v.guard(is.Destination); ok && verdict.Sort(is.Sort) != verdict.Suspended {
+		if l, ok := v.guard(is.Destination); ok && health.Sort(is.Sort) != health.Suspended {
 			all = append(all, l)
 		}
 	}
--- a/internal/fleetpolicy/model_test.go
+++ b/internal/fleetpolicy/model_test.go
@@ -12,8 +12,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // The model plays leases and changes with the code that ships (Holder, Granter, Coordinator, Machine, View) against every order
--- a/internal/fleetpolicy/verdicts.go
+++ b/internal/fleetpolicy/verdicts.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/internal/tomlfile"
-	"dockshift.example/dockshift/internal/verdict"
+	"saffronyard.example/saffronyard/internal/health"
+	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
 // Verdict has the fleet hold together of some destinations that they are out, or come back cold, and go there accordingly. Without it each
@@ -35,13 +35,13 @@
 	warmMost     = time.Hour
 )
 
-func verdictRules(all []Verdict) (map[uint32]verdict.Rule, error) {
-	rules := map[uint32]verdict.Rule{}
+func verdictRules(all []Verdict) (map[uint32]health.Rule, error) {
+	rules := map[uint32]health.Rule{}
 	for i, v := range all {
-		bad := func(format string, args ...any) (map[uint32]verdict.Rule, error) {
+		bad := func(format string, args ...any) (map[uint32]health.Rule, error) {
 			return nil, fmt.Errorf("verdict %d: "+format, append([]any{i + 1}, args...)...)
 		}
-		r := verdict.Rule{Agree: cmp.Or(v.Agree, agreeDefault), Probe: cmp.Or(v.Probe.D(), probeDefault), Cold: v.Cold, Warm: v.Warm, WarmFor: cmp.Or(v.WarmFor.D(), warmDefault), Lasts: cmp.Or(v.Lasts.D(), lastsDefault),
+		r := health.Rule{Agree: cmp.Or(v.Agree, agreeDefault), Probe: cmp.Or(v.Probe.D(), probeDefault), Cold: v.Cold, Warm: v.Warm, WarmFor: cmp.Or(v.WarmFor.D(), warmDefault), Lasts: cmp.Or(v.Lasts.D(), lastsDefault),
 			Transit: cmp.Or(v.Transit.D(), transitDefault)}
 		switch {
 		case len(v.Destinations) == 0:
@@ -56,8 +56,8 @@
 			return bad("warm_for = %v is not up to %v", r.WarmFor, warmMost)
 		case r.Transit > transitMost:
 			return bad("transit = %v is not up to %v", r.Transit, transitMost)
-		case r.Lasts < lastsLeast || r.Lasts > verdict.LastsMost:
-			return bad("lasts = %v is not from %v to %v", r.Lasts, lastsLeast, verdict.LastsMost)
+		case r.Lasts < lastsLeast || r.Lasts > health.LastsMost:
+			return bad("lasts = %v is not from %v to %v", r.Lasts, lastsLeast, health.LastsMost)
 		}
 		for _, d := range v.Destinations {
 			if _, twice := rules[d]; twice {
@@ -73,7 +73,7 @@
 }
 
 // VerdictRule is how verdicts on a destination are found; ok is false if each sender finds out by itself.
-func (p *Policy) VerdictRule(destination uint32) (r verdict.Rule, ok bool) {
+func (p *Policy) VerdictRule(destination uint32) (r health.Rule, ok bool) {
 	r, ok = p.verdicts[destination]
 	return r, ok
 }
--- a/internal/verdict/court.go
+++ b/internal/health/court.go
@@ -1,12 +1,12 @@
-package verdict
+package health
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/internal/knowledge"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // Rule is how verdicts on a destination are found, and what they do.
--- a/internal/verdict/verdict.go
+++ b/internal/health/verdict.go
@@ -1,4 +1,4 @@
-// Package verdict is what the fleet holds of a receiver together: that it is out, that it comes back cold, or that a person has suspended
+// Package health is what the fleet holds of a receiver together: that it is out, that it comes back cold, or that a person has suspended
 // it. It is free of I/O and of clocks.
 //
 // Senders tell what they have seen to one of them, which the roster puts in charge of the receiver. It weighs their words, as one
@@ -8,7 +8,7 @@
 //
 // What a verdict does is done by limits (package quota): while a receiver is out, one call of the whole fleet goes there now and then; as
 // it comes back, its calls grow from few to its usual ones, shared out to all.
-package verdict
+package health
 
 import (
 	"cmp"
@@ -18,7 +18,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // Sort is what a verdict says.
--- a/internal/verdict/verdict_test.go
+++ b/internal/health/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package health
 
 import (
 	"strings"
@@ -7,8 +7,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/knowledge"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // log is the machine with its commands' places.
--- a/internal/knowledge/codec.go
+++ b/internal/knowledge/codec.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	pb "dockshift.example/dockshift/proto/saffronyard/knowledge/v1"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/knowledge/v1"
 )
 
 func micros(d time.Duration) uint64 { return uint64(max(0, d) / time.Microsecond) }
--- a/internal/knowledge/file.go
+++ b/internal/knowledge/file.go
@@ -13,7 +13,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	pb "dockshift.example/dockshift/proto/saffronyard/knowledge/v1"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/knowledge/v1"
 )
 
 // A snapshot's file: 8 bytes "SYKNOW" and a format of two bytes, 4 bytes of length and 4 of checksum (CRC-32C), both
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	pb "dockshift.example/dockshift/proto/saffronyard/knowledge/v1"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/knowledge/v1"
 )
 
 const at0 = 1000 * time.Hour // now, in tests
--- a/internal/mapping/mapping.go
+++ b/internal/mapping/mapping.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/internal/cloudevents"
+	"saffronyard.example/saffronyard/internal/cloudevents"
 )
 
 // Rule is one rule. The first whose conditions all hold is the one; an empty condition always holds.
--- a/internal/mapping/mapping_test.go
+++ b/internal/mapping/mapping_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/cloudevents"
+	"saffronyard.example/saffronyard/internal/cloudevents"
 )
 
 // event makes an event of name=value texts.
--- a/internal/membership/resolve.go
+++ b/internal/membership/resolve.go
@@ -7,7 +7,7 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 // Member is a name that says where a destination is.
--- a/internal/membership/resolve_test.go
+++ b/internal/membership/resolve_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 const soa = "@ 300 IN SOA ns h 1 1 1 1 1\n@ 300 IN NS ns\n"
--- a/internal/nameserver/keys.go
+++ b/internal/nameserver/keys.go
@@ -16,7 +16,7 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 // Key is a TSIG key (RFC 8945).
--- a/internal/nameserver/notify.go
+++ b/internal/nameserver/notify.go
@@ -8,7 +8,7 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 const (
--- a/internal/nameserver/primary.go
+++ b/internal/nameserver/primary.go
@@ -11,7 +11,7 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 const (
--- a/internal/nameserver/primary_test.go
+++ b/internal/nameserver/primary_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/membership"
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/membership"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 // liar is a primary whose answers a test writes: transfer gives the messages of an answer, each as it goes on the wire,
--- a/internal/nameserver/server.go
+++ b/internal/nameserver/server.go
@@ -13,7 +13,7 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 // What one who asks may cost.
--- a/internal/nameserver/service.go
+++ b/internal/nameserver/service.go
@@ -15,8 +15,8 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/membership"
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/membership"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 // Config is what is held, served and followed.
--- a/internal/nameserver/service_test.go
+++ b/internal/nameserver/service_test.go
@@ -17,8 +17,8 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/membership"
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/membership"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 const wait = 20 * time.Second // for what should come
--- a/internal/nameserver/store.go
+++ b/internal/nameserver/store.go
@@ -12,7 +12,7 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 // A store holds one zone in a folder:
--- a/internal/nameserver/store_test.go
+++ b/internal/nameserver/store_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 // memoryDisk is a disk that dies, or fails, at its n-th step. What was not synced may be lost in part or whole: cut says
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -13,8 +13,8 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/status"
 
-	"dockshift.example/dockshift/internal/knowledge"
-	pb "dockshift.example/dockshift/proto/saffronyard/peers/v1"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/peers/v1"
 )
 
 // Limits of the exchange. A peer can cost no more than these, whatever it does.
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -18,8 +18,8 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/keepalive"
 
-	"dockshift.example/dockshift/internal/knowledge"
-	pb "dockshift.example/dockshift/proto/saffronyard/peers/v1"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/peers/v1"
 )
 
 // Node is one sender's part among its peers.
--- a/internal/peers/pause_test.go
+++ b/internal/peers/pause_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"dockshift.example/dockshift/internal/knowledge"
+	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
 // One that dies without a word is known to be dead, its stream ends, and it is followed anew as it is back; what it told
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -18,9 +18,9 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"dockshift.example/dockshift/internal/knowledge"
-	kpb "dockshift.example/dockshift/proto/saffronyard/knowledge/v1"
-	pb "dockshift.example/dockshift/proto/saffronyard/peers/v1"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	kpb "saffronyard.example/saffronyard/proto/saffronyard/knowledge/v1"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/peers/v1"
 )
 
 const wait = 20 * time.Second
--- a/internal/quota/asker.go
+++ b/internal/quota/asker.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	"dockshift.example/dockshift/internal/roster"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/coordinator"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // Events of an Asker.
@@ -45,7 +45,7 @@
 	till  *Till
 
 	epoch  uint64
-	charge *roster.Charge
+	charge *coordinator.Charge
 	out    map[string]*question // by authority
 	due    map[string]time.Duration
 	keeps  map[string]int64 // units that it goes on with, as it was lent last
@@ -83,7 +83,7 @@
 	if a.charge != nil && a.epoch == s.GetEpoch() {
 		return
 	}
-	a.epoch, a.charge = s.GetEpoch(), roster.NewCharge(s.GetParts())
+	a.epoch, a.charge = s.GetEpoch(), coordinator.NewCharge(s.GetParts())
 	clear(a.out)
 	for key := range a.due {
 		a.due[key] = 0
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
+	"saffronyard.example/saffronyard/internal/lease"
 )
 
 // Ask is what a holder says of one limit.
--- a/internal/quota/explore.go
+++ b/internal/quota/explore.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
+	"saffronyard.example/saffronyard/internal/lease"
 )
 
 // What is below serves those who explore what can become of a limit: copies, and states written so that equal ones are equal.
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	"dockshift.example/dockshift/internal/roster"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/coordinator"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // Lender is a sender as the authority of those limits that the roster puts it in charge of.
@@ -19,8 +19,8 @@
 	me     lease.Who
 	terms  Terms
 	limits map[string]Limit
-	coming *roster.Charge // nil: none is
-	begun  []begun        // rosters, the one in force last
+	coming *coordinator.Charge // nil: none is
+	begun  []begun             // rosters, the one in force last
 	books  map[string]*Book
 	pots   map[string]*Pot
 	day    int64                    // as this sender's calendar has it
@@ -33,7 +33,7 @@
 // begun is a roster and when it began, as this process saw it.
 type begun struct {
 	epoch  uint64
-	charge *roster.Charge
+	charge *coordinator.Charge
 	at     time.Duration
 }
 
@@ -82,7 +82,7 @@
 		if n > 0 && s.GetEpoch() != l.begun[n-1].epoch+1 {
 			l.begun = nil // others were in charge meanwhile, of nobody knows what
 		}
-		l.begun = append(l.begun, begun{s.GetEpoch(), roster.NewCharge(s.GetParts()), now})
+		l.begun = append(l.begun, begun{s.GetEpoch(), coordinator.NewCharge(s.GetParts()), now})
 		if n := len(l.begun) - rostersMost; n > 0 {
 			l.begun = slices.Delete(l.begun, 0, n)
 		}
@@ -99,13 +99,13 @@
 	}
 	l.coming = nil
 	if s.GetComing() != 0 {
-		l.coming = roster.NewCharge(s.GetNext())
+		l.coming = coordinator.NewCharge(s.GetNext())
 	}
 }
 
 func (l *Lender) now() begun { return l.begun[len(l.begun)-1] }
 
-func (l *Lender) mine(c *roster.Charge, key string) bool {
+func (l *Lender) mine(c *coordinator.Charge, key string) bool {
 	p := c.Of(key)
 	return p != nil && p.Name == l.me.Name && p.Life == l.me.Life
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
+	"saffronyard.example/saffronyard/internal/lease"
 )
 
 // The model plays one limit with the code that ships (Purse, Book) against every order of what can happen, breadth first: questions and
--- a/internal/quota/pot.go
+++ b/internal/quota/pot.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
+	"saffronyard.example/saffronyard/internal/lease"
 )
 
 // Pot is what an authority has of one day's quota. A day's units are used once and don't come back, so what outlasts every process is how
--- a/internal/quota/pot_test.go
+++ b/internal/quota/pot_test.go
@@ -8,9 +8,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	"dockshift.example/dockshift/internal/roster"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/coordinator"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // A day's quota under answers that are lost, holders that die and come back, authorities that are replaced, and days that begin: never
@@ -20,7 +20,7 @@
 	day := Limit{Key: "x", Sort: Daily, Units: 1000}
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		log, index, epoch := roster.NewMachine(), uint64(0), uint64(0)
+		log, index, epoch := coordinator.NewMachine(), uint64(0), uint64(0)
 		apply := func(r *pb.Roster) (int64, string) {
 			raw, err := proto.Marshal(r)
 			if err != nil {
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -12,9 +12,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	"dockshift.example/dockshift/internal/roster"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/coordinator"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // sim is a fleet in virtual time: the code that ships, one goroutine, a network that a seed draws. Each sender's clock has an offset
@@ -508,7 +508,7 @@
 		p.wants("x", 40)
 	}
 	s.run(8 * time.Second)
-	charge := roster.NewCharge(s.roster.Parts)
+	charge := coordinator.NewCharge(s.roster.Parts)
 	dead := slices.IndexFunc(s.senders, func(p *simSender) bool { return p.name == charge.Of("x").Name })
 	s.senders[dead].down = true
 	s.at(1010*time.Millisecond, s.begin) // its lease has lapsed
--- a/internal/agreed/copy.go
+++ b/internal/replicatedlog/copy.go
@@ -1,13 +1,13 @@
-package agreed
+package replicatedlog
 
 import (
 	"time"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	"dockshift.example/dockshift/internal/roster"
-	"dockshift.example/dockshift/internal/verdict"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/coordinator"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/health"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // Events of a Copy.
@@ -64,8 +64,8 @@
 
 	state    *State
 	policy   *fleetpolicy.Machine
-	roster   *roster.Machine
-	verdicts *verdict.Machine
+	roster   *coordinator.Machine
+	verdicts *health.Machine
 	heard    map[uint64]time.Duration // when a verdict was heard, by its entry
 	stand    *pb.VerdictsState        // as published: those that have not lapsed
 	from     *pb.VerdictsState        // of which state that is
--- a/internal/agreed/core.go
+++ b/internal/replicatedlog/core.go
@@ -1,4 +1,4 @@
-package agreed
+package replicatedlog
 
 import (
 	"errors"
@@ -11,10 +11,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	"dockshift.example/dockshift/internal/roster"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/coordinator"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 const (
@@ -127,7 +127,7 @@
 	mem     *raft.MemoryStorage
 	state   *State
 	policy  *fleetpolicy.Machine
-	roster  *roster.Machine
+	roster  *coordinator.Machine
 	conf    *raftpb.ConfState
 	hard    *raftpb.HardState // as of now; its commit may be ahead of the disk's
 	cut     uint64            // entries up to here are in no memory any more
@@ -137,7 +137,7 @@
 	// While it leads.
 	granter *lease.Granter
 	coord   *fleetpolicy.Coordinator
-	rosters *roster.Coordinator
+	rosters *coordinator.Coordinator
 	places  map[lease.Who]string // where those who asked are reached
 	asks    map[uint64][]Ask     // by the read that confirms them
 	read    uint64
@@ -346,10 +346,10 @@
 
 // comeAndGo hands in who takes part in rosters, as leases come and lapse.
 func (c *Core) comeAndGo(now time.Duration) {
-	var here []roster.Part
+	var here []coordinator.Part
 	for _, h := range c.status.Holds {
 		if at := c.places[h.Who]; at != "" {
-			here = append(here, roster.Part{Who: h.Who, Address: at})
+			here = append(here, coordinator.Part{Who: h.Who, Address: at})
 		}
 	}
 	if len(c.places) > 2*len(c.status.Holds)+16 { // of those that have gone
@@ -489,7 +489,7 @@
 	if c.leads() {
 		if c.granter == nil || c.led != term {
 			c.granter, c.coord, c.led = lease.NewGranter(c.terms, now), &fleetpolicy.Coordinator{}, term
-			c.rosters, c.places = &roster.Coordinator{}, map[lease.Who]string{}
+			c.rosters, c.places = &coordinator.Coordinator{}, map[lease.Who]string{}
 		}
 		return
 	}
@@ -514,7 +514,7 @@
 			continue
 		}
 		who := lease.Who{Name: a.Request.Name, Life: a.Request.Life}
-		if !c.coord.Grants(who, a.Request.Acts, c.policy.State()) || !roster.Grants(a.Request.Acts, c.roster.State()) {
+		if !c.coord.Grants(who, a.Request.Acts, c.policy.State()) || !coordinator.Grants(a.Request.Acts, c.roster.State()) {
 			c.do(Answer{a.To, &pb.AskReply{Need: index, Waits: c.waits()}}) // a lease of no length
 			continue
 		}
--- a/internal/agreed/hello.go
+++ b/internal/replicatedlog/hello.go
@@ -1,4 +1,4 @@
-package agreed
+package replicatedlog
 
 import (
 	"fmt"
--- a/internal/agreed/sim_test.go
+++ b/internal/replicatedlog/sim_test.go
@@ -1,4 +1,4 @@
-package agreed
+package replicatedlog
 
 import (
 	"container/heap"
@@ -13,9 +13,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/agreed/lease"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/lease"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // sim is a fleet in virtual time: voters and copies as they ship, with a network that delays, loses and cuts, disks that take a
--- a/internal/agreed/state.go
+++ b/internal/replicatedlog/state.go
@@ -1,9 +1,9 @@
-// Package agreed is what all senders of a fleet agree on: a log that a few of them, the voters, keep by raft
+// Package replicatedlog is what all senders of a fleet agree on: a log that a few of them, the voters, keep by raft
 // (go.etcd.io/raft), and the state that its entries make, the same at each who has come as far.
 //
 // State, Core and Copy are free of I/O and clocks: they are given events with the time and give actions, in the order in which
 // they are to be carried out. What stands on the disk and what goes over the network is package fleet's.
-package agreed
+package replicatedlog
 
 import (
 	"cmp"
@@ -13,10 +13,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	"dockshift.example/dockshift/internal/roster"
-	"dockshift.example/dockshift/internal/verdict"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/coordinator"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/health"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 // Kinds of command. A new one gets the next number, and a higher Speaks.
@@ -76,9 +76,9 @@
 }
 
 // machines are those of this program, that work on the policy given.
-func machines(policy *fleetpolicy.Machine) (map[uint32]Machine, *roster.Machine, *verdict.Machine) {
-	r := roster.NewMachine()
-	v := verdict.NewMachine(func() uint64 { return r.State().GetEpoch() })
+func machines(policy *fleetpolicy.Machine) (map[uint32]Machine, *coordinator.Machine, *health.Machine) {
+	r := coordinator.NewMachine()
+	v := health.NewMachine(func() uint64 { return r.State().GetEpoch() })
 	return map[uint32]Machine{KindPolicy: policy, KindRoster: r, KindVerdict: v}, r, v
 }
 
--- a/internal/agreed/state_test.go
+++ b/internal/replicatedlog/state_test.go
@@ -1,4 +1,4 @@
-package agreed
+package replicatedlog
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	pb "dockshift.example/dockshift/proto/saffronyard/fleet/v1"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 func newTestState() *State {
--- a/internal/resend/resend.go
+++ b/internal/resend/resend.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/undelivered"
-	"dockshift.example/dockshift/internal/work"
-	"dockshift.example/dockshift/internal/work/run"
+	"saffronyard.example/saffronyard/internal/undelivered"
+	"saffronyard.example/saffronyard/internal/work"
+	"saffronyard.example/saffronyard/internal/work/run"
 )
 
 // Sender is what it needs of the sender.
--- a/internal/sender/again_test.go
+++ b/internal/sender/again_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // A client comes again with a message that was handed back before the sender knows that its notice was taken. It is refused, so that
--- a/internal/sender/batch.go
+++ b/internal/sender/batch.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/calls"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/calls"
 )
 
 // Several messages travel in one call where an endpoint's form says so. The module decides each of them by itself, as
--- a/internal/sender/classes.go
+++ b/internal/sender/classes.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dockshift.example/dockshift/brain"
+	"saffronyard.example/saffronyard/brain"
 )
 
 // The journal holds names of classes, and a process may start under other settings than the one before it: a class may be
--- a/internal/sender/classes_test.go
+++ b/internal/sender/classes_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // What stands in the journal goes on by the stricter of what it was taken on under and what the settings say now, whichever
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/knowledge"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // cluster is senders in virtual time: the real module, the real merge and what is told, and no sockets. A tenth of the
--- a/internal/sender/config.go
+++ b/internal/sender/config.go
@@ -12,11 +12,11 @@
 	"strconv"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/calls"
-	"dockshift.example/dockshift/internal/peers"
-	"dockshift.example/dockshift/internal/settings"
-	"dockshift.example/dockshift/internal/work"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/calls"
+	"saffronyard.example/saffronyard/internal/peers"
+	"saffronyard.example/saffronyard/internal/settings"
+	"saffronyard.example/saffronyard/internal/work"
 )
 
 // foldAfter is how long a destination is quiet before it is remembered in short: longer than a usual lull, as what
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/calls"
-	"dockshift.example/dockshift/internal/cloudevents"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/calls"
+	"saffronyard.example/saffronyard/internal/cloudevents"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // delivers turns a form on for all destinations.
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/membership"
+	"saffronyard.example/saffronyard/internal/membership"
 )
 
 const (
--- a/internal/sender/ends.go
+++ b/internal/sender/ends.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/identity"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/identity"
 )
 
 func (s *Sender) callEnded(e callEnd) brain.Event {
--- a/internal/sender/events.go
+++ b/internal/sender/events.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"dockshift.example/dockshift/internal/identity"
+	"saffronyard.example/saffronyard/internal/identity"
 )
 
 // eventsName is the file of the ends of events.
--- a/internal/sender/events_test.go
+++ b/internal/sender/events_test.go
@@ -18,10 +18,10 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/identity"
-	"dockshift.example/dockshift/internal/mapping"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/identity"
+	"saffronyard.example/saffronyard/internal/mapping"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // takesEvents turns events on: the type names the class, the subject the destination.
--- a/internal/sender/eventsfront.go
+++ b/internal/sender/eventsfront.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/cloudevents"
-	"dockshift.example/dockshift/internal/identity"
-	"dockshift.example/dockshift/internal/mapping"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/cloudevents"
+	"saffronyard.example/saffronyard/internal/identity"
+	"saffronyard.example/saffronyard/internal/mapping"
 )
 
 // eventsPath is where events are handed in.
--- a/internal/sender/fleetpart.go
+++ b/internal/sender/fleetpart.go
@@ -9,11 +9,11 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/fleet"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	"dockshift.example/dockshift/internal/knowledge"
-	"dockshift.example/dockshift/internal/verdict"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/fleet"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/health"
+	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
 // Fleet is what senders agree on, as far as it concerns messages and calls. Nothing of it waits.
@@ -29,7 +29,7 @@
 	// OnPaces has f called, from any goroutine, when some have.
 	OnPaces(f func())
 	// Testify takes what this sender has seen of receivers itself.
-	Testify([]verdict.Testimony)
+	Testify([]health.Testimony)
 	// Told is that a receiver has told this sender its limit, in calls a second.
 	Told(destination uint32, perSecond float64)
 	// View is what calls go by; acts is whether any is begun at all. It is nil while nothing is known.
@@ -44,7 +44,7 @@
 type fleetPart struct {
 	noPart
 	s     *Sender
-	stand map[uint32]verdict.Sort // verdicts as the module was told
+	stand map[uint32]health.Sort // verdicts as the module was told
 }
 
 // paceEvent is that this sender may send more or less where the fleet shares a limit out.
@@ -88,7 +88,7 @@
 			}
 		}
 	}()
-	return &fleetPart{s: s, stand: map[uint32]verdict.Sort{}}
+	return &fleetPart{s: s, stand: map[uint32]health.Sort{}}
 }
 
 func (p *fleetPart) leaving() error {
@@ -157,16 +157,16 @@
 // verdicts tells the module what the fleet holds of receivers, as far as it was not told.
 func (p *fleetPart) verdicts() (events []brain.Event) {
 	v, _ := p.s.c.Fleet.View()
-	is := map[uint32]verdict.Sort{}
+	is := map[uint32]health.Sort{}
 	for _, one := range v.GetVerdicts() {
-		if sort := verdict.Sort(one.Sort); sort != verdict.Suspended {
+		if sort := health.Sort(one.Sort); sort != health.Suspended {
 			is[one.Destination] = sort
 		}
 	}
-	health := map[verdict.Sort]brain.Health{verdict.Out: brain.OutOfService, verdict.Cold: brain.Warming, verdict.None: brain.Serving}
-	tell := func(d uint32, sort verdict.Sort) {
+	brainHealth := map[health.Sort]brain.Health{health.Out: brain.OutOfService, health.Cold: brain.Warming, health.None: brain.Serving}
+	tell := func(d uint32, sort health.Sort) {
 		if _, listed := p.s.list.Cells[d]; listed {
-			events = append(events, brain.Learnt{Destination: brain.DestinationID(d), Health: health[sort]})
+			events = append(events, brain.Learnt{Destination: brain.DestinationID(d), Health: brainHealth[sort]})
 		}
 	}
 	for _, d := range slices.Sorted(maps.Keys(is)) {
@@ -175,8 +175,8 @@
 		}
 	}
 	for _, d := range slices.Sorted(maps.Keys(p.stand)) {
-		if is[d] == verdict.None {
-			tell(d, verdict.None)
+		if is[d] == health.None {
+			tell(d, health.None)
 		}
 	}
 	p.stand = is
@@ -201,13 +201,13 @@
 	if v == nil || !v.Policy.Guards() {
 		return
 	}
-	var all []verdict.Testimony
+	var all []health.Testimony
 	for _, k := range known {
 		d := uint32(k.Destination)
-		if _, ruled := v.Policy.VerdictRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || some && k.Health == brain.Serving && p.stand[d] == verdict.None && k.HealthAge > time.Second {
+		if _, ruled := v.Policy.VerdictRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || some && k.Health == brain.Serving && p.stand[d] == health.None && k.HealthAge > time.Second {
 			continue
 		}
-		all = append(all, verdict.Testimony{Destination: d, State: knowledge.State(k.Health), Age: k.HealthAge, For: max(0, k.For-k.HealthAge)})
+		all = append(all, health.Testimony{Destination: d, State: knowledge.State(k.Health), Age: k.HealthAge, For: max(0, k.For-k.HealthAge)})
 	}
 	if len(all) > 0 {
 		p.s.c.Fleet.Testify(all)
--- a/internal/sender/fleetpart_test.go
+++ b/internal/sender/fleetpart_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/fleet"
-	"dockshift.example/dockshift/internal/fleetpolicy"
-	st "dockshift.example/dockshift/internal/sendertest"
-	"dockshift.example/dockshift/internal/verdict"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/fleet"
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/health"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // toldFleet is a fleet that says what a test has it say.
@@ -39,7 +39,7 @@
 func (f *toldFleet) Recount(map[fleetpolicy.Call]int64) {}
 func (f *toldFleet) OnPaces(told func())                { f.paced = told }
 func (f *toldFleet) Told(uint32, float64)               {}
-func (f *toldFleet) Testify([]verdict.Testimony)        {}
+func (f *toldFleet) Testify([]health.Testimony)         {}
 func (f *toldFleet) Paces(bool) []fleet.Pace {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/sender/handin.go
+++ b/internal/sender/handin.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"net/http"
 
-	"dockshift.example/dockshift/brain"
+	"saffronyard.example/saffronyard/brain"
 )
 
 // submitted puts a message into the journal before the Brain hears of it; step writes it, with what is decided
--- a/internal/sender/heardlist.go
+++ b/internal/sender/heardlist.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"slices"
 
-	"dockshift.example/dockshift/internal/membership"
+	"saffronyard.example/saffronyard/internal/membership"
 )
 
 // heardList is discovery's list as it was told last. The journal keeps it: a process that restarts knows from its first
--- a/internal/sender/heardlist_test.go
+++ b/internal/sender/heardlist_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"dockshift.example/dockshift/internal/membership"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/membership"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 func servingList(ids ...string) (list []Target) {
--- a/internal/sender/inspect.go
+++ b/internal/sender/inspect.go
@@ -14,10 +14,10 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/knowledge"
-	"dockshift.example/dockshift/internal/peers"
-	"dockshift.example/dockshift/internal/work"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	"saffronyard.example/saffronyard/internal/peers"
+	"saffronyard.example/saffronyard/internal/work"
 )
 
 // SocketName is the Unix socket in the state folder by which the command line asks a sender that runs what it knows.
--- a/internal/sender/journal.go
+++ b/internal/sender/journal.go
@@ -17,8 +17,8 @@
 	"strconv"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/cloudevents"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/cloudevents"
 )
 
 // The journal is one file of lines, each a checksum and a JSON record. A process that is killed leaves at
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"saffronyard.example/saffronyard/brain"
 )
 
 func openTest(t *testing.T, dir string, budget int64) *journal {
--- a/internal/sender/leave_test.go
+++ b/internal/sender/leave_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // What has come to the loop as the process leaves still counts: a message that was answered in that moment is not the next
--- a/internal/sender/lives_test.go
+++ b/internal/sender/lives_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
-	"dockshift.example/dockshift/internal/undelivered"
+	st "saffronyard.example/saffronyard/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
 // A message's next life in the journal: its attempts of before are there for what is lawful, and do not count as made.
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -9,10 +9,10 @@
 	"net/http"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/calls"
-	"dockshift.example/dockshift/internal/knowledge"
-	"dockshift.example/dockshift/internal/membership"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/calls"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	"saffronyard.example/saffronyard/internal/membership"
 )
 
 const (
--- a/internal/sender/message.go
+++ b/internal/sender/message.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/calls"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/calls"
 )
 
 // message is one that the Brain holds.
--- a/internal/sender/moves_test.go
+++ b/internal/sender/moves_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/membership"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/membership"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 const (
--- a/internal/sender/names_test.go
+++ b/internal/sender/names_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/miekg/dns"
 
-	"dockshift.example/dockshift/internal/membership"
-	"dockshift.example/dockshift/internal/nameserver"
-	st "dockshift.example/dockshift/internal/sendertest"
-	"dockshift.example/dockshift/internal/zone"
+	"saffronyard.example/saffronyard/internal/membership"
+	"saffronyard.example/saffronyard/internal/nameserver"
+	st "saffronyard.example/saffronyard/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/zone"
 )
 
 // named is a name server with a zone that key "ops." may change; _hooks._tcp.example. says where destination 0 is.
--- a/internal/sender/order_test.go
+++ b/internal/sender/order_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // ordered adds a class that keeps an order.
--- a/internal/sender/outages.go
+++ b/internal/sender/outages.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/knowledge"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
 // A process that restarts while a receiver is out, or comes back cold, finds messages for it taken on and knows nothing of
--- a/internal/sender/outages_test.go
+++ b/internal/sender/outages_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // resumed makes a sender over a folder and has it take up what that holds; nobody listens to it.
--- a/internal/sender/participant.go
+++ b/internal/sender/participant.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"dockshift.example/dockshift/brain"
+	"saffronyard.example/saffronyard/brain"
 )
 
 // participant is a feature that takes part in the loop's turns. The loop calls it in its own goroutine: nothing here
--- a/internal/sender/past.go
+++ b/internal/sender/past.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/knowledge"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
 // Knowledge is how what this sender knows of receivers outlasts its process.
--- a/internal/sender/peers_test.go
+++ b/internal/sender/peers_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/knowledge"
-	"dockshift.example/dockshift/internal/peers"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	"saffronyard.example/saffronyard/internal/peers"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // asked gets an answer over a sender's socket.
--- a/internal/sender/peerspart.go
+++ b/internal/sender/peerspart.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/knowledge"
-	"dockshift.example/dockshift/internal/peers"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	"saffronyard.example/saffronyard/internal/peers"
 )
 
 // peersPart is the other senders: what they tell goes to the module as hearsay, and what the module has seen goes to
--- a/internal/sender/permit_test.go
+++ b/internal/sender/permit_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // lateDials has connects of a sender hang, while they are held, until their call is called off or for so long: what a
--- a/internal/sender/recorder.go
+++ b/internal/sender/recorder.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/undelivered"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
 // Recorder keeps messages that were not delivered. It is told of an end only after that stands in the journal, and
--- a/internal/sender/recorder_test.go
+++ b/internal/sender/recorder_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	st "dockshift.example/dockshift/internal/sendertest"
-	"dockshift.example/dockshift/internal/undelivered"
+	"saffronyard.example/saffronyard/brain"
+	st "saffronyard.example/saffronyard/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
 // memoryRecorder keeps in memory, by message, and can be held up or fail.
--- a/internal/sender/repeat_test.go
+++ b/internal/sender/repeat_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	st "dockshift.example/dockshift/internal/sendertest"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // A repeat is decided on while its key is remembered, and its connection comes up when it no longer is: it is not
--- a/internal/sender/resendpart.go
+++ b/internal/sender/resendpart.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/cloudevents"
-	"dockshift.example/dockshift/internal/knowledge"
-	"dockshift.example/dockshift/internal/undelivered"
-	"dockshift.example/dockshift/internal/work"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/cloudevents"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	"saffronyard.example/saffronyard/internal/undelivered"
+	"saffronyard.example/saffronyard/internal/work"
 )
 
 // Background is what work behind the messages asks of the sender, from any goroutine. It is there once the sender runs.
--- a/internal/sender/sdk_test.go
+++ b/internal/sender/sdk_test.go
@@ -20,8 +20,8 @@
 	cehttp "github.com/cloudevents/sdk-go/v2/protocol/http"
 	"github.com/cloudevents/sdk-go/v2/types"
 
-	"dockshift.example/dockshift/internal/calls"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/calls"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // sdkEvent draws an event of the SDK's. It writes and reads headers without percent-encoding, so that in binary mode
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/calls"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/calls"
 )
 
 // send starts one call. One that could not be written down is not made: after a kill nobody would know
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -17,10 +17,10 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/calls"
-	"dockshift.example/dockshift/internal/membership"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/calls"
+	"saffronyard.example/saffronyard/internal/membership"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // newTest makes a sender that leaves quickly; edit may change its configuration.
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -16,8 +16,8 @@
 	"sync/atomic"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/calls"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/calls"
 )
 
 // Requests are parsed by net/http, but connections are kept here rather than by http.Server. A client of the
--- a/internal/sender/server_test.go
+++ b/internal/sender/server_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/calls"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/calls"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // head is a request that hands in message id, up to its last header lines.
--- a/internal/sender/sources.go
+++ b/internal/sender/sources.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/membership"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/membership"
 )
 
 // Source says where endpoints are. Discovery is one; all feed one list, and which of them wins for a destination is
--- a/internal/sender/trace.go
+++ b/internal/sender/trace.go
@@ -4,7 +4,7 @@
 	"context"
 	"log/slog"
 
-	"dockshift.example/dockshift/brain"
+	"saffronyard.example/saffronyard/brain"
 )
 
 // trace writes a line on a step of one message, for operators who follow it by its id through the senders that had it.
--- a/internal/sender/watch_test.go
+++ b/internal/sender/watch_test.go
@@ -16,8 +16,8 @@
 	"testing/synctest"
 	"time"
 
-	"dockshift.example/dockshift/internal/membership"
-	st "dockshift.example/dockshift/internal/sendertest"
+	"saffronyard.example/saffronyard/internal/membership"
+	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
 // toldAfter is when a change counts as told: so long after discovery had it and could be reached, whatever call failed.
--- a/internal/sendertest/platform.go
+++ b/internal/sendertest/platform.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/cloudevents"
+	"saffronyard.example/saffronyard/internal/cloudevents"
 )
 
 // Wait is how long a test waits for an event that should come.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/wire"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/wire"
 )
 
 // Span turns milliseconds into a duration, to the microsecond that the simulator counts in.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/brain"
-	"dockshift.example/dockshift/internal/wire"
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/wire"
 )
 
 // The configuration's JSON and the simulator's lines give the same settings.
--- a/internal/tier/capacity/controlplane_test.go
+++ b/internal/tier/capacity/controlplane_test.go
@@ -18,10 +18,10 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/controlplane"
-	"dockshift.example/dockshift/internal/tier/rpcserver"
-	"dockshift.example/dockshift/internal/tier/settings"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/controlplane"
+	"saffronyard.example/saffronyard/internal/tier/rpcserver"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // memoryStore is a control state in memory, whose process is always the primary.
--- a/internal/tier/capacity/gateway_test.go
+++ b/internal/tier/capacity/gateway_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/loadbalancer"
-	"dockshift.example/dockshift/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
+	"saffronyard.example/saffronyard/internal/tier/routing"
 )
 
 // BenchmarkConfigurationParse measures how a gateway parses a new configuration, and the memory that one takes.
--- a/internal/tier/capacity/push_test.go
+++ b/internal/tier/capacity/push_test.go
@@ -17,8 +17,8 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/rpcserver"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/rpcserver"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // listServer is a control-plane primary that sends the same list to every session that lacks it.
--- a/internal/tier/capacity/turnstore_test.go
+++ b/internal/tier/capacity/turnstore_test.go
@@ -16,9 +16,9 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/turnstore"
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/turnstore"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // osWithoutSync is the file system of the machine without its syncs: turn stores in service have other disks.
--- a/cmd/yard/demo.go
+++ b/internal/tier/cli/demo.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/internal/rehearsal/tierdemo"
 	"golang.org/x/sys/unix"
+	"saffronyard.example/saffronyard/internal/faulttest/tierdemo"
 )
 
 // demoCmd plays a small tier on loopback.
--- a/cmd/yard/deps_test.go
+++ b/internal/tier/cli/deps_test.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"os/exec"
@@ -10,7 +10,7 @@
 
 // Agreement, membership, discovery, replication and proxying are the tier's own work: no library for them is linked.
 func TestNoLibraryDoesTheTiersWork(t *testing.T) {
-	out, err := exec.Command("go", "list", "-deps", "-f", "{{.ImportPath}}", ".").Output()
+	out, err := exec.Command("go", "list", "-deps", "-f", "{{.ImportPath}}", "saffronyard.example/saffronyard/cmd/serving-tier").Output()
 	assert.NilError(t, err)
 	deps := strings.Fields(string(out))
 	assert.Assert(t, len(deps) > 100, "%d packages listed", len(deps))
@@ -22,16 +22,16 @@
 		}
 		for _, part := range strings.Split(strings.ToLower(dep), "/") {
 			for _, b := range bad {
-				assert.Assert(t, !strings.Contains(part, b) || strings.HasPrefix(dep, "dockshift.example/"), "%s is linked", dep)
+				assert.Assert(t, !strings.Contains(part, b) || strings.HasPrefix(dep, "saffronyard.example/"), "%s is linked", dep)
 			}
 		}
 	}
 	// The reverse proxy of the standard library isn't used by packages of our own.
-	out, err = exec.Command("go", "list", "-deps", "-f", `{{.ImportPath}} {{join .Imports ","}}`, ".").Output()
+	out, err = exec.Command("go", "list", "-deps", "-f", `{{.ImportPath}} {{join .Imports ","}}`, "saffronyard.example/saffronyard/cmd/serving-tier").Output()
 	assert.NilError(t, err)
 	for line := range strings.Lines(string(out)) {
 		name, imports, _ := strings.Cut(strings.TrimSpace(line), " ")
-		if strings.HasPrefix(name, "dockshift.example/") {
+		if strings.HasPrefix(name, "saffronyard.example/") {
 			assert.Assert(t, !strings.Contains(imports, "net/http/httputil"), "%s imports net/http/httputil", name)
 		}
 	}
