--- a/cmd/yard/operate.go
+++ b/internal/tier/cli/operate.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"text/tabwriter"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/process"
-	"dockshift.example/dockshift/internal/tier/routing"
-	"dockshift.example/dockshift/internal/tier/settings"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/encoding/protojson"
+	"saffronyard.example/saffronyard/internal/tier/process"
+	"saffronyard.example/saffronyard/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // statusTimeout is how long a control-plane process may take to answer.
@@ -71,7 +71,7 @@
 }
 
 // Run implements the command. Its error lists the processes that do not answer.
-func (command statusCmd) Run(flags *cli) error {
+func (command statusCmd) Run(flags *commandLine) error {
 	addresses := command.At
 	if len(addresses) == 0 {
 		loaded, err := settings.Load(flags.settingsPath())
--- a/cmd/yard/operate_test.go
+++ b/internal/tier/cli/operate_test.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 func TestStatusTellsRoleAndRisk(t *testing.T) {
--- a/cmd/yard/roles.go
+++ b/internal/tier/cli/roles.go
@@ -1,31 +1,31 @@
-package main
+package cli
 
 import (
 	"context"
 
-	"dockshift.example/dockshift/internal/tier/process"
+	"saffronyard.example/saffronyard/internal/tier/process"
 )
 
 // gatewayCmd runs the gateway role.
 type gatewayCmd struct{}
 
 // Run implements the command.
-func (gatewayCmd) Run(flags *cli) error { return flags.run(process.RoleGateway) }
+func (gatewayCmd) Run(flags *commandLine) error { return flags.run(process.RoleGateway) }
 
 // controlPlaneCmd runs the control-plane role.
 type controlPlaneCmd struct{}
 
 // Run implements the command.
-func (controlPlaneCmd) Run(flags *cli) error { return flags.run(process.RoleControlPlane) }
+func (controlPlaneCmd) Run(flags *commandLine) error { return flags.run(process.RoleControlPlane) }
 
 // turnStoreCmd runs the turn-store role.
 type turnStoreCmd struct{}
 
 // Run implements the command.
-func (turnStoreCmd) Run(flags *cli) error { return flags.run(process.RoleTurnStore) }
+func (turnStoreCmd) Run(flags *commandLine) error { return flags.run(process.RoleTurnStore) }
 
 // run runs a process of the tier to its end. It shuts down gracefully on SIGTERM or SIGINT.
-func (flags *cli) run(role string) error {
+func (flags *commandLine) run(role string) error {
 	terminated, loaded, logger, err := flags.start()
 	if err != nil {
 		return err
--- a/cmd/yard/simulate.go
+++ b/internal/tier/cli/simulate.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 
 	"github.com/phuslu/log"
 
-	"dockshift.example/dockshift/internal/tier/simulation"
+	"saffronyard.example/saffronyard/internal/tier/simulation"
 )
 
 // progressEvery is how often the simulator prints its progress.
@@ -165,7 +165,7 @@
 		err = errors.Join(err, shrunk.Write(name+".short.json"))
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "yard:", err)
+		fmt.Fprintln(os.Stderr, programName+":", err)
 	}
 }
 
--- a/cmd/yard/simulate_test.go
+++ b/internal/tier/cli/simulate_test.go
@@ -1,4 +1,4 @@
-package main
+package cli
 
 import (
 	"testing"
--- a/internal/tier/consensus/catchup_test.go
+++ b/internal/tier/consensus/catchup_test.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // absence is one way in which a member misses changes.
--- a/internal/tier/consensus/check_test.go
+++ b/internal/tier/consensus/check_test.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // check holds what a machine has become against what was promised.
--- a/internal/tier/consensus/disk.go
+++ b/internal/tier/consensus/disk.go
@@ -9,7 +9,7 @@
 	"github.com/joomcode/errorx"
 	"github.com/twitchtv/twirp"
 
-	"dockshift.example/dockshift/internal/tier/wal"
+	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
 // A disk that fails is a state of the node, not its end. While it lasts there is no machine: no leadership, no promise, no
--- a/internal/tier/consensus/disk_test.go
+++ b/internal/tier/consensus/disk_test.go
@@ -13,8 +13,8 @@
 	"github.com/phuslu/log"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // solo is a node whose loop is turned by hand, in virtual time, with all other nodes away.
--- a/internal/tier/consensus/durable.go
+++ b/internal/tier/consensus/durable.go
@@ -9,7 +9,7 @@
 	"github.com/joomcode/errorx"
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // identity is drawn when a folder is made and synced before anything is answered.
--- a/internal/tier/consensus/explore_digest_test.go
+++ b/internal/tier/consensus/explore_digest_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // digest tells states of a machine apart. Times count by how long ago.
--- a/internal/tier/consensus/explore_liveness_test.go
+++ b/internal/tier/consensus/explore_liveness_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // The exploration asks of a part of the states that it reaches whether they are dead ends: with all trouble ended, is a
--- a/internal/tier/consensus/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // The exploration plays all orders of what may happen to a few machines, breadth-first. A machine's next state depends on
--- a/internal/tier/consensus/far_test.go
+++ b/internal/tier/consensus/far_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // far plays machines whose only trouble is their distance: each way takes what oneWay tells, each sync of a disk takes
--- a/internal/tier/consensus/health.go
+++ b/internal/tier/consensus/health.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Unknown is Health.Tolerates of a node that does not lead, or whose lease has ended.
--- a/internal/tier/consensus/leadership.go
+++ b/internal/tier/consensus/leadership.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // leadership is what a process holds while it is primary, over all records that it had chosen in one go.
--- a/internal/tier/consensus/lease_test.go
+++ b/internal/tier/consensus/lease_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // A process that was paused between its round trip and its answer finds that it is late: no read under the lease, no
--- a/internal/tier/consensus/machine.go
+++ b/internal/tier/consensus/machine.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // machine decides. It does no I/O: all of what it needs comes in by Step, all that it wants done goes out.
--- a/internal/tier/consensus/maintain.go
+++ b/internal/tier/consensus/maintain.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // maintain tells what record the primary wants next: lost backups replaced, a swap of members settled, members named where
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -12,8 +12,8 @@
 	"github.com/phuslu/log"
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Config is what a node is opened with.
--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -12,8 +12,8 @@
 	"github.com/twitchtv/twirp"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // network joins nodes of one process by plain calls.
--- a/internal/tier/consensus/planted_test.go
+++ b/internal/tier/consensus/planted_test.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // plant makes a machine wrong from outside: by the events it gets, by what it puts out, or by what it holds between two steps.
--- a/internal/tier/consensus/quorum.go
+++ b/internal/tier/consensus/quorum.go
@@ -4,7 +4,7 @@
 	"hash/fnv"
 	"slices"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // epochBits are the low bits of an epoch that come from the proposer's folder, so that no two propose the same one.
--- a/internal/tier/consensus/register.go
+++ b/internal/tier/consensus/register.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // promise answers whether this folder will from now on refuse what is below an epoch. Epoch 0 only asks whether it
--- a/internal/tier/consensus/repeat_test.go
+++ b/internal/tier/consensus/repeat_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // A member without a copy is gone for good, and one answer is lost of those that the record with the joiner in its place needs: the
--- a/internal/tier/consensus/round.go
+++ b/internal/tier/consensus/round.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // waiter is a put, or a confirm where there are no sets.
--- a/internal/tier/consensus/server.go
+++ b/internal/tier/consensus/server.go
@@ -6,7 +6,7 @@
 	"github.com/twitchtv/twirp"
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // server hands what other nodes ask to the loop.
--- a/internal/tier/consensus/size.go
+++ b/internal/tier/consensus/size.go
@@ -4,8 +4,8 @@
 	"github.com/joomcode/errorx"
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // The whole state is one message and one record of the file wherever a copy of it is made, so it must stay below
--- a/internal/tier/consensus/size_test.go
+++ b/internal/tier/consensus/size_test.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // limitInTests is reached with little data.
--- a/internal/tier/consensus/store.go
+++ b/internal/tier/consensus/store.go
@@ -7,7 +7,7 @@
 	"context"
 	"errors"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Store is what the control plane role uses of this package.
--- a/internal/tier/consensus/target.go
+++ b/internal/tier/consensus/target.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // decide fixes the members of the target. They change only where the base is known to be chosen and is settled, and a
--- a/internal/tier/consensus/timing.go
+++ b/internal/tier/consensus/timing.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // transferRate is the slowest rate, in bytes a second, at which a copy of the state still reaches a disk elsewhere before
--- a/internal/tier/consensus/view.go
+++ b/internal/tier/consensus/view.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // view is what callers see of the machine, as of its last step that is on disk.
--- a/internal/tier/consensus/whole_core_test.go
+++ b/internal/tier/consensus/whole_core_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // serveAgain puts until one is acknowledged, and gives how long that took; a fault where it takes longer than limit.
--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -9,7 +9,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // world is a network, disks and clocks in virtual time for machines, and the checker of what they promise.
--- a/internal/tier/controlplane/answer.go
+++ b/internal/tier/controlplane/answer.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // retryAfter is told, in seconds, with each answer that leaves a call open.
--- a/internal/tier/controlplane/answers_test.go
+++ b/internal/tier/controlplane/answers_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // operatorCalls are calls of operators, one of each kind of final answer that the primary gives when it is in touch, in a state
--- a/internal/tier/controlplane/assign.go
+++ b/internal/tier/controlplane/assign.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"dockshift.example/dockshift/internal/tier/settings"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/proto"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // partitionCount is the number of partitions, fixed when the map is first made. It is a multiple of what a few turn stores
--- a/internal/tier/controlplane/cluster_test.go
+++ b/internal/tier/controlplane/cluster_test.go
@@ -16,10 +16,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/consensus"
-	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/consensus"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // cluster is a set of control-plane processes over the real consensus and disks in memory, joined by a network in memory.
--- a/internal/tier/controlplane/configuration.go
+++ b/internal/tier/controlplane/configuration.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/routing"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/routing"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 func (plane *ControlPlane) replaceConfiguration(w http.ResponseWriter, r *http.Request) answer {
--- a/internal/tier/controlplane/controlplane.go
+++ b/internal/tier/controlplane/controlplane.go
@@ -12,13 +12,13 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/consensus"
-	"dockshift.example/dockshift/internal/tier/routing"
-	"dockshift.example/dockshift/internal/tier/settings"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"github.com/joomcode/errorx"
 	"github.com/phuslu/log"
 	"google.golang.org/protobuf/proto"
+	"saffronyard.example/saffronyard/internal/tier/consensus"
+	"saffronyard.example/saffronyard/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Parts of the contact window.
--- a/internal/tier/controlplane/distant_test.go
+++ b/internal/tier/controlplane/distant_test.go
@@ -10,9 +10,9 @@
 	"github.com/phuslu/log"
 	"gotest.tools/v3/assert"
 
-	gatewaysession "dockshift.example/dockshift/internal/tier/session"
-	"dockshift.example/dockshift/internal/tier/settings"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	gatewaysession "saffronyard.example/saffronyard/internal/tier/session"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // distantLink is the way of a process to the control plane. A call takes half a round trip to it and half back; without an
--- a/internal/tier/controlplane/ejections_test.go
+++ b/internal/tier/controlplane/ejections_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // One gateway's report is its own matter; all hear of what two report within a quarter of the contact window.
--- a/internal/tier/controlplane/endpoint_list.go
+++ b/internal/tier/controlplane/endpoint_list.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/proto"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // endpointList is what a primary knows of the platform's list, which it reads page by page. What a page tells is taken at once:
--- a/internal/tier/controlplane/endpoint_list_test.go
+++ b/internal/tier/controlplane/endpoint_list_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // entry is an endpoint by its instance, its address, and whether it drains: "i1@a1" or "i1@a1!".
--- a/internal/tier/controlplane/endpoints.go
+++ b/internal/tier/controlplane/endpoints.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // packFrom is the encoded size, in bytes, from which a list of endpoints is packed for sessions.
--- a/internal/tier/controlplane/endpoints_test.go
+++ b/internal/tier/controlplane/endpoints_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // longList is a list as the platform gives it for many endpoints.
--- a/internal/tier/controlplane/interval_test.go
+++ b/internal/tier/controlplane/interval_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
 // Where the platform takes few calls and gives short pages, its rate bounds how often the whole list is read. What a
--- a/internal/tier/controlplane/lapse_test.go
+++ b/internal/tier/controlplane/lapse_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // lapse has the sessions of machines end a moment ago.
--- a/internal/tier/controlplane/limits_test.go
+++ b/internal/tier/controlplane/limits_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/consensus"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/consensus"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // paddedConfiguration is a valid configuration of just that many bytes.
--- a/internal/tier/controlplane/metrics.go
+++ b/internal/tier/controlplane/metrics.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/metrics"
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/metrics"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Metrics gives the figures of this moment, from the state that Status tells, and under the same locks.
--- a/internal/tier/controlplane/model_planted_test.go
+++ b/internal/tier/controlplane/model_planted_test.go
@@ -7,8 +7,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/tier/tiertest/observer"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/tiertest/observer"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // plant is a fault of the model's turn stores or of placement, made from outside. The zero plant leaves all right.
--- a/internal/tier/controlplane/model_test.go
+++ b/internal/tier/controlplane/model_test.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // stepTime is what a step of the model takes, and stallTime when a copy under way counts as slow.
--- a/internal/tier/controlplane/orders_test.go
+++ b/internal/tier/controlplane/orders_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 var cmpOrders = cmp.AllowUnexported(configurationOrder{})
--- a/internal/tier/controlplane/pace.go
+++ b/internal/tier/controlplane/pace.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // A machine is to be emptied in half of the time that its order has left, so that a loss meanwhile can be made good in the
--- a/internal/tier/controlplane/platform.go
+++ b/internal/tier/controlplane/platform.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"github.com/joomcode/errorx"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 const (
--- a/internal/tier/controlplane/random_test.go
+++ b/internal/tier/controlplane/random_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/proto"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // TestRandomEvents lets machines stop, be cut off, be out of each other's reach, lose their disks, leave, come, be retired and
--- a/internal/tier/controlplane/rebalance.go
+++ b/internal/tier/controlplane/rebalance.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // maxMoves is the number of partitions that may move at a time.
--- a/internal/tier/controlplane/reconcile.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // reconciler is the state of the loop that reconciles the turn store map, within one epoch.
--- a/internal/tier/controlplane/redirect_test.go
+++ b/internal/tier/controlplane/redirect_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // leaderless is a backup whose primary, 10.0.0.2, does not answer any more, while 10.0.0.3 does.
--- a/internal/tier/controlplane/registry.go
+++ b/internal/tier/controlplane/registry.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // brokenLapse is how long a session stands after its connection broke, so that a new call finds it standing.
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // repair gives one partition a primary that is alive, and its copies on turn stores that stay, as far as there are any.
--- a/internal/tier/controlplane/retain.go
+++ b/internal/tier/controlplane/retain.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // A copy whose turn store falls silent, or that does not get on, is taken out of its partition, as nothing is acknowledged
--- a/internal/tier/controlplane/retire.go
+++ b/internal/tier/controlplane/retire.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/proto"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Lifecycle states of an order to retire, as operators read them.
--- a/internal/tier/controlplane/retire_model_test.go
+++ b/internal/tier/controlplane/retire_model_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // wipe replaces a machine by an empty one: of the same name, or of another.
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -16,11 +16,11 @@
 	"testing/synctest"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/consensus"
-	"dockshift.example/dockshift/internal/tier/settings"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
+	"saffronyard.example/saffronyard/internal/tier/consensus"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 var errUnclear = errors.New("the outcome is unknown")
--- a/internal/tier/controlplane/risk.go
+++ b/internal/tier/controlplane/risk.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Risk tells how far the turn stores are from bearing Spread.Losses further losses, as the partition map has it.
--- a/internal/tier/controlplane/risk_clock.go
+++ b/internal/tier/controlplane/risk_clock.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/consensus"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/consensus"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // riskClock remembers since when partitions are at risk, and when the last of them came to be.
--- a/internal/tier/controlplane/risk_test.go
+++ b/internal/tier/controlplane/risk_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"gotest.tools/v3/assert"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 func TestAtRisk(t *testing.T) {
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Roles of those who hold sessions.
--- a/internal/tier/controlplane/sessions_test.go
+++ b/internal/tier/controlplane/sessions_test.go
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"gotest.tools/v3/assert"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 func TestTheFirstCallOfALifeIsConfirmed(t *testing.T) {
--- a/internal/tier/controlplane/staleness_test.go
+++ b/internal/tier/controlplane/staleness_test.go
@@ -14,9 +14,9 @@
 	"github.com/phuslu/log"
 	"gotest.tools/v3/assert"
 
-	gatewaysession "dockshift.example/dockshift/internal/tier/session"
-	"dockshift.example/dockshift/internal/tier/settings"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	gatewaysession "saffronyard.example/saffronyard/internal/tier/session"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // edge is a gateway's session as the program holds it, on an address of its own.
--- a/internal/tier/controlplane/stall.go
+++ b/internal/tier/controlplane/stall.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Attempts at a copy under way may take longer each time that attemptsPerDoubling of them have stalled, up to a bound.
--- a/internal/tier/controlplane/stand_in_test.go
+++ b/internal/tier/controlplane/stand_in_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // whileEmptied gives three machines, one loss to be borne, and the first being emptied as the second falls silent for longer
--- a/internal/tier/controlplane/store.go
+++ b/internal/tier/controlplane/store.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Store is the replicated control state, as package consensus keeps it.
--- a/internal/tier/gateway/account.go
+++ b/internal/tier/gateway/account.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // budgetHeader names the tokens that all turns of a program together may generate.
--- a/internal/tier/gateway/account_test.go
+++ b/internal/tier/gateway/account_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/tiertest"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // budgeted is a turn by a route that keeps nothing, of program p.
--- a/internal/tier/gateway/again_test.go
+++ b/internal/tier/gateway/again_test.go
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/tiertest"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // What a try reserved that has not run, or was broken off, is free again when its client hears of it: a 402 at the next try
--- a/internal/tier/gateway/attack_test.go
+++ b/internal/tier/gateway/attack_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/tiertest"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
 // A connection that was kept and is reset under the next request says nothing of whether that has run.
--- a/internal/tier/gateway/avoid_test.go
+++ b/internal/tier/gateway/avoid_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/tiertest"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
 // After an attempt failed at an endpoint the next one of its program goes elsewhere, also through another gateway and though its line
--- a/internal/tier/gateway/contact.go
+++ b/internal/tier/gateway/contact.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // contact tells for how long no turn store has answered. Its methods may be called from any goroutine.
--- a/internal/tier/gateway/counters.go
+++ b/internal/tier/gateway/counters.go
@@ -4,9 +4,9 @@
 	"sync/atomic"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/metrics"
-	"dockshift.example/dockshift/internal/tier/routing"
-	"dockshift.example/dockshift/internal/tier/upstream"
+	"saffronyard.example/saffronyard/internal/tier/metrics"
+	"saffronyard.example/saffronyard/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/upstream"
 )
 
 // requestKind is what a request is counted as.
--- a/internal/tier/gateway/ejections.go
+++ b/internal/tier/gateway/ejections.go
@@ -4,8 +4,8 @@
 	"context"
 	"slices"
 
-	"dockshift.example/dockshift/internal/tier/loadbalancer"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // maxUnreported is how many changes of endpoints' health wait to be reported, at most; further ones are not.
--- a/internal/tier/gateway/ejections_test.go
+++ b/internal/tier/gateway/ejections_test.go
@@ -6,8 +6,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/tiertest"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // What one gateway ejects by itself it reports, and what it is told of by the control plane it ejects without having sent
--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -9,15 +9,15 @@
 	"sync/atomic"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/ingress"
-	"dockshift.example/dockshift/internal/tier/loadbalancer"
-	"dockshift.example/dockshift/internal/tier/routing"
-	"dockshift.example/dockshift/internal/tier/rpcserver"
-	"dockshift.example/dockshift/internal/tier/session"
-	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/upstream"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"github.com/phuslu/log"
+	"saffronyard.example/saffronyard/internal/tier/ingress"
+	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
+	"saffronyard.example/saffronyard/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/rpcserver"
+	"saffronyard.example/saffronyard/internal/tier/session"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/upstream"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Config is what a gateway is given; all of it is needed.
--- a/internal/tier/gateway/homes_test.go
+++ b/internal/tier/gateway/homes_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/ingress"
+	"saffronyard.example/saffronyard/internal/tier/ingress"
 )
 
 // The first known key counts, and the least recently used lines are forgotten.
--- a/internal/tier/gateway/lease_test.go
+++ b/internal/tier/gateway/lease_test.go
@@ -9,11 +9,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/ingress"
-	"dockshift.example/dockshift/internal/tier/loadbalancer"
-	"dockshift.example/dockshift/internal/tier/routing"
-	"dockshift.example/dockshift/internal/tier/tiertest"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/ingress"
+	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
+	"saffronyard.example/saffronyard/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // A gateway whose session does not get on writes to no endpoint beyond the lease of its list, whenever that endpoint was picked:
--- a/internal/tier/gateway/metrics.go
+++ b/internal/tier/gateway/metrics.go
@@ -3,8 +3,8 @@
 import (
 	"net/http"
 
-	"dockshift.example/dockshift/internal/tier/ingress"
-	"dockshift.example/dockshift/internal/tier/metrics"
+	"saffronyard.example/saffronyard/internal/tier/ingress"
+	"saffronyard.example/saffronyard/internal/tier/metrics"
 )
 
 // probe answers at the readiness address: the platform's question, and metrics by their path. The frontend has no path of
--- a/internal/tier/gateway/metrics_test.go
+++ b/internal/tier/gateway/metrics_test.go
@@ -6,8 +6,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/metrics"
-	"dockshift.example/dockshift/internal/tier/tiertest"
+	"saffronyard.example/saffronyard/internal/tier/metrics"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
 // scrape asks the readiness address for metrics.
--- a/internal/tier/gateway/mutation_test.go
+++ b/internal/tier/gateway/mutation_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/tiertest"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
 // fault is what happens to one message.
--- a/internal/tier/gateway/permit_test.go
+++ b/internal/tier/gateway/permit_test.go
@@ -5,11 +5,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/ingress"
-	"dockshift.example/dockshift/internal/tier/loadbalancer"
-	"dockshift.example/dockshift/internal/tier/routing"
-	"dockshift.example/dockshift/internal/tier/tiertest"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/ingress"
+	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
+	"saffronyard.example/saffronyard/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // The list that stands at the last moment before a request is written decides, whatever stood when its endpoint was picked.
--- a/internal/tier/gateway/ready_test.go
+++ b/internal/tier/gateway/ready_test.go
@@ -8,9 +8,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/tiertest"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 func (r *rig) ready() int {
--- a/internal/tier/gateway/release.go
+++ b/internal/tier/gateway/release.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 const (
--- a/internal/tier/gateway/released_test.go
+++ b/internal/tier/gateway/released_test.go
@@ -11,11 +11,11 @@
 	"github.com/phuslu/log"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/ingress"
-	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/tiertest"
-	"dockshift.example/dockshift/internal/tier/turnstore"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/ingress"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
+	"saffronyard.example/saffronyard/internal/tier/turnstore"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // slowTurnStore settles when it is let.
--- a/internal/tier/gateway/request.go
+++ b/internal/tier/gateway/request.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/ingress"
-	"dockshift.example/dockshift/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/ingress"
+	"saffronyard.example/saffronyard/internal/tier/routing"
 )
 
 // clientRequest is one request on its way.
--- a/internal/tier/gateway/resume_bytes_test.go
+++ b/internal/tier/gateway/resume_bytes_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/tiertest"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
 // wire is the whole answer of resumed to an attempt, as it goes over the connection.
--- a/internal/tier/gateway/resume_test.go
+++ b/internal/tier/gateway/resume_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/tiertest"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
 // resumed answers with the events of a stream of five that follow Last-Event-Id.
--- a/internal/tier/gateway/rig_test.go
+++ b/internal/tier/gateway/rig_test.go
@@ -9,10 +9,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/gateway"
-	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/tiertest"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/gateway"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // configurationOf is a configuration with a route of each kind, of services "s" and "deep".
--- a/internal/tier/gateway/runtiming.go
+++ b/internal/tier/gateway/runtiming.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/loadbalancer"
-	"dockshift.example/dockshift/internal/tier/routing"
-	"dockshift.example/dockshift/internal/tier/upstream"
+	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
+	"saffronyard.example/saffronyard/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/upstream"
 )
 
 // A client gives a stream up after a silence (PROTOCOL, Requests) of two seconds, four times the objective or eight times the pause
--- a/internal/tier/gateway/send.go
+++ b/internal/tier/gateway/send.go
@@ -5,11 +5,11 @@
 	"strings"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/ingress"
-	"dockshift.example/dockshift/internal/tier/loadbalancer"
-	"dockshift.example/dockshift/internal/tier/routing"
-	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/upstream"
+	"saffronyard.example/saffronyard/internal/tier/ingress"
+	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
+	"saffronyard.example/saffronyard/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/upstream"
 )
 
 const (
--- a/internal/tier/gateway/serve.go
+++ b/internal/tier/gateway/serve.go
@@ -5,9 +5,9 @@
 	"strconv"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/ingress"
-	"dockshift.example/dockshift/internal/tier/loadbalancer"
-	"dockshift.example/dockshift/internal/tier/routing"
+	"saffronyard.example/saffronyard/internal/tier/ingress"
+	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
+	"saffronyard.example/saffronyard/internal/tier/routing"
 )
 
 // currentPause is from one look at whether the list of endpoints is current to the next.
--- a/internal/tier/gateway/stream.go
+++ b/internal/tier/gateway/stream.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/loadbalancer"
-	"dockshift.example/dockshift/internal/tier/upstream"
+	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
+	"saffronyard.example/saffronyard/internal/tier/upstream"
 )
 
 // lastEventID names the event after which a stream is to go on.
--- a/internal/tier/gateway/stream_test.go
+++ b/internal/tier/gateway/stream_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/tiertest"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
 func TestEventsArePassedOnAsTheyCome(t *testing.T) {
--- a/internal/tier/gateway/textcache.go
+++ b/internal/tier/gateway/textcache.go
@@ -4,7 +4,7 @@
 	"container/list"
 	"sync"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // textCache holds the texts of turns that went through this gateway, so that a turn store need not send them again: most turns of
--- a/internal/tier/gateway/transcript.go
+++ b/internal/tier/gateway/transcript.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // transcript is the text of a turn that its turn store keeps: what it goes on from, and what its answer adds.
--- a/internal/tier/gateway/turn.go
+++ b/internal/tier/gateway/turn.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // turn is what a streamed answer is charged to and kept as. The zero value is an answer that is neither.
--- a/internal/tier/gateway/turn_test.go
+++ b/internal/tier/gateway/turn_test.go
@@ -11,8 +11,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/tiertest"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // talk streams events that tell the attempt.
--- a/internal/tier/gateway/turnclient.go
+++ b/internal/tier/gateway/turnclient.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
-	"dockshift.example/dockshift/internal/tier/settings"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"github.com/phuslu/log"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // TurnClient is the gateway's side of the turn stores without its traffic: what the simulator of the tier calls them by.
--- a/internal/tier/gateway/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/settings"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"github.com/phuslu/log"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // storeClient is the gateway's side of the turn stores: which one keeps a program's turns, and how long its answer is waited for.
--- a/internal/tier/loadbalancer/endpoint.go
+++ b/internal/tier/loadbalancer/endpoint.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/brain/restart"
+	"saffronyard.example/saffronyard/brain/restart"
 )
 
 const (
--- a/internal/tier/loadbalancer/load_test.go
+++ b/internal/tier/loadbalancer/load_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/brain/restart"
+	"saffronyard.example/saffronyard/brain/restart"
 )
 
 // The window starts at half of the slots, grows by one with each success up to three quarters, is halved by a refusal once
--- a/internal/tier/loadbalancer/loadbalancer.go
+++ b/internal/tier/loadbalancer/loadbalancer.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"dockshift.example/dockshift/brain/restart"
+	"saffronyard.example/saffronyard/brain/restart"
 )
 
 // Endpoint is an entry of the platform's list.
--- a/internal/tier/loadbalancer/timeout_test.go
+++ b/internal/tier/loadbalancer/timeout_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/brain/restart"
+	"saffronyard.example/saffronyard/brain/restart"
 )
 
 // The time-out is the oracle's argmin where a restart is allowed, else the time left; it is never over the time left.
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -11,7 +11,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Path is where each role serves its metrics, by GET.
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -10,7 +10,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // samples returns the lines of figures that are values, by metric with its label. It checks that each line is well formed,
--- a/internal/tier/metrics/turnstore.go
+++ b/internal/tier/metrics/turnstore.go
@@ -4,7 +4,7 @@
 	"io"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // TurnStore is the set of figures of a turn store.
--- a/internal/tier/process/controlplane.go
+++ b/internal/tier/process/controlplane.go
@@ -4,12 +4,12 @@
 	"context"
 	"net/http"
 
-	"dockshift.example/dockshift/internal/tier/consensus"
-	"dockshift.example/dockshift/internal/tier/controlplane"
-	"dockshift.example/dockshift/internal/tier/metrics"
-	"dockshift.example/dockshift/internal/tier/rpcserver"
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/consensus"
+	"saffronyard.example/saffronyard/internal/tier/controlplane"
+	"saffronyard.example/saffronyard/internal/tier/metrics"
+	"saffronyard.example/saffronyard/internal/tier/rpcserver"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // startControlPlane starts the control-plane role: consensus, the service for other processes, and the one for operators.
--- a/internal/tier/process/dial.go
+++ b/internal/tier/process/dial.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"sync"
 
-	"dockshift.example/dockshift/internal/tier/rpcserver"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/rpcserver"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // dialer returns a function that returns the client for an address (host:port). There is one client for each address, and all
--- a/internal/tier/process/disk.go
+++ b/internal/tier/process/disk.go
@@ -9,7 +9,7 @@
 	"github.com/joomcode/errorx"
 	"github.com/phuslu/log"
 
-	"dockshift.example/dockshift/internal/tier/wal"
+	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
 // A disk that has failed is opened again after diskRetryMin. The pause doubles up to diskRetryMax; it is reset when the disk
--- a/internal/tier/process/disk_test.go
+++ b/internal/tier/process/disk_test.go
@@ -11,7 +11,7 @@
 	"github.com/phuslu/log"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/wal"
+	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
 var (
--- a/internal/tier/process/process.go
+++ b/internal/tier/process/process.go
@@ -8,13 +8,13 @@
 	"net/http"
 	"sync"
 
-	"dockshift.example/dockshift/internal/tier/gateway"
-	"dockshift.example/dockshift/internal/tier/metrics"
-	"dockshift.example/dockshift/internal/tier/rpcserver"
-	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/wal"
 	"github.com/joomcode/errorx"
 	"github.com/phuslu/log"
+	"saffronyard.example/saffronyard/internal/tier/gateway"
+	"saffronyard.example/saffronyard/internal/tier/metrics"
+	"saffronyard.example/saffronyard/internal/tier/rpcserver"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
 // Names of the roles, as used in sessions and logs.
--- a/internal/tier/process/process_test.go
+++ b/internal/tier/process/process_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/metrics"
-	"dockshift.example/dockshift/internal/tier/process"
-	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/wal"
 	"github.com/phuslu/log"
 	"gotest.tools/v3/assert"
+	"saffronyard.example/saffronyard/internal/tier/metrics"
+	"saffronyard.example/saffronyard/internal/tier/process"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
 // silent logs nothing.
--- a/internal/tier/process/turnstore.go
+++ b/internal/tier/process/turnstore.go
@@ -6,12 +6,12 @@
 	"sync"
 	"sync/atomic"
 
-	"dockshift.example/dockshift/internal/tier/metrics"
-	"dockshift.example/dockshift/internal/tier/rpcserver"
-	"dockshift.example/dockshift/internal/tier/session"
-	"dockshift.example/dockshift/internal/tier/turnstore"
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/metrics"
+	"saffronyard.example/saffronyard/internal/tier/rpcserver"
+	"saffronyard.example/saffronyard/internal/tier/session"
+	"saffronyard.example/saffronyard/internal/tier/turnstore"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 const (
--- a/internal/tier/process/turnstore_config_test.go
+++ b/internal/tier/process/turnstore_config_test.go
@@ -6,8 +6,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/turnstore"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/turnstore"
 )
 
 // A turn store is told how long releases take by the contact window of its deployment.
--- a/internal/tier/session/ejections_test.go
+++ b/internal/tier/session/ejections_test.go
@@ -6,8 +6,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/session"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/session"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Ejections are asked for by those that act on them only; each version comes once, and is acknowledged.
--- a/internal/tier/session/endpoints_test.go
+++ b/internal/tier/session/endpoints_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 func compressed(t *testing.T, body []byte) []byte {
--- a/internal/tier/session/search.go
+++ b/internal/tier/session/search.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // candidates are all that may be or know the primary, the hint first.
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/rpcserver"
-	"dockshift.example/dockshift/internal/tier/settings"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"github.com/phuslu/log"
+	"saffronyard.example/saffronyard/internal/tier/rpcserver"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Parts of the contact window: a session must be found again well inside it.
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -13,9 +13,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/session"
-	"dockshift.example/dockshift/internal/tier/tiertest"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/session"
+	"saffronyard.example/saffronyard/internal/tier/tiertest"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // rig is a session with control-plane processes control-1, control-2, ... of which only the first is a seed.
--- a/internal/tier/session/unpack_test.go
+++ b/internal/tier/session/unpack_test.go
@@ -7,9 +7,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/settings"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"github.com/phuslu/log"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // A configuration that was spoilt on its way is neither taken nor acknowledged, wherever it was cut or changed.
--- a/internal/tier/session/watch.go
+++ b/internal/tier/session/watch.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
 	"github.com/joomcode/errorx"
 	"google.golang.org/protobuf/proto"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // watch makes one held call, and reports whether the session goes on there.
--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/wal"
+	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
 // syncMost is how long a sync takes at most.
--- a/internal/tier/simulation/faults_domain_test.go
+++ b/internal/tier/simulation/faults_domain_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // placed is a system of a script whose machines are there, and don't run.
--- a/internal/tier/simulation/gateway.go
+++ b/internal/tier/simulation/gateway.go
@@ -8,9 +8,9 @@
 	"net/http"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/gateway"
-	"dockshift.example/dockshift/internal/tier/session"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/gateway"
+	"saffronyard.example/saffronyard/internal/tier/session"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // What clients do, and how long a gateway waits.
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -9,7 +9,7 @@
 
 	"github.com/phuslu/log"
 
-	"dockshift.example/dockshift/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
 // restartPause is from the end of a process to its next start on a machine that is up.
--- a/internal/tier/simulation/planted_accounts_test.go
+++ b/internal/tier/simulation/planted_accounts_test.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"testing"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // lossy is a turn store that forgets what some of its calls charge.
--- a/internal/tier/simulation/planted_late_test.go
+++ b/internal/tier/simulation/planted_late_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/turnstore"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/turnstore"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // lateReports is how late a turn store reports whole copies: later than the next loss may come.
--- a/internal/tier/simulation/planted_test.go
+++ b/internal/tier/simulation/planted_test.go
@@ -12,11 +12,11 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/controlplane"
-	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/turnstore"
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/controlplane"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/turnstore"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // plantedSeeds is in how many seeds a planted fault has to be found.
--- a/internal/tier/simulation/play.go
+++ b/internal/tier/simulation/play.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/tier/simulation/virtualtime"
+	"saffronyard.example/saffronyard/internal/tier/simulation/virtualtime"
 )
 
 // recoveryTime is how long after the last fault everything is well again.
--- a/internal/tier/simulation/recovery.go
+++ b/internal/tier/simulation/recovery.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // recovered checks that orders and turns are served, that nothing is missing, and that every partition has all its copies.
--- a/internal/tier/simulation/roles.go
+++ b/internal/tier/simulation/roles.go
@@ -6,11 +6,11 @@
 	"net/http"
 	"strconv"
 
-	"dockshift.example/dockshift/internal/tier/consensus"
-	"dockshift.example/dockshift/internal/tier/controlplane"
-	"dockshift.example/dockshift/internal/tier/session"
-	"dockshift.example/dockshift/internal/tier/turnstore"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/consensus"
+	"saffronyard.example/saffronyard/internal/tier/controlplane"
+	"saffronyard.example/saffronyard/internal/tier/session"
+	"saffronyard.example/saffronyard/internal/tier/turnstore"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Ports of the roles.
--- a/internal/tier/simulation/seams.go
+++ b/internal/tier/simulation/seams.go
@@ -1,11 +1,11 @@
 package simulation
 
 import (
-	"dockshift.example/dockshift/internal/tier/controlplane"
-	"dockshift.example/dockshift/internal/tier/settings"
-	"dockshift.example/dockshift/internal/tier/turnstore"
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/controlplane"
+	"saffronyard.example/saffronyard/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/turnstore"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Seams are where a test plants a fault. A nil one is as if it were not there.
--- a/internal/tier/simulation/turns.go
+++ b/internal/tier/simulation/turns.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sync"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // turns checks what gateways are answered by turn stores: no turn that was kept is missing or changed, no budget is exceeded, and
--- a/internal/tier/simulation/views.go
+++ b/internal/tier/simulation/views.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // views checks what processes are shown: versions rise within a life, one version is one value everywhere, and one epoch of a
--- a/internal/tier/simulation/weakest.go
+++ b/internal/tier/simulation/weakest.go
@@ -1,6 +1,6 @@
 package simulation
 
-import tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+import tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 
 // weakest gives the machine that Weakest means now.
 func (w *world) weakest() *machine {
--- a/internal/tier/simulation/world.go
+++ b/internal/tier/simulation/world.go
@@ -13,7 +13,7 @@
 
 	"github.com/phuslu/log"
 
-	"dockshift.example/dockshift/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
 // Settings of all processes. Every bound that the checker holds them to follows from these.
--- a/internal/tier/tiertest/controlplane.go
+++ b/internal/tier/tiertest/controlplane.go
@@ -9,7 +9,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // ControlPlane is a fake control-plane process. It is the primary, unless its Via answers otherwise.
--- a/internal/tier/tiertest/tiertest.go
+++ b/internal/tier/tiertest/tiertest.go
@@ -13,7 +13,7 @@
 
 	"github.com/phuslu/log"
 
-	"dockshift.example/dockshift/internal/tier/settings"
+	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
 // Patience is how long a condition is waited for before the test fails. A test that passes comes nowhere near it.
--- a/internal/tier/tiertest/turnstores.go
+++ b/internal/tier/tiertest/turnstores.go
@@ -11,9 +11,9 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/turnstore"
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/turnstore"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // ErrNet is the error of a call whose message was lost.
--- a/internal/tier/tiertest/wire.go
+++ b/internal/tier/tiertest/wire.go
@@ -13,7 +13,7 @@
 
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Arrival is a request that an endpoint has read to its end, with the connection to answer on.
--- a/internal/tier/turnstore/apply.go
+++ b/internal/tier/turnstore/apply.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Apply takes a map of the partitions. Older ones than those taken before are ignored.
--- a/internal/tier/turnstore/avoid_test.go
+++ b/internal/tier/turnstore/avoid_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Where an attempt of a program failed is told with its next ones, for a while, and to no other program.
--- a/internal/tier/turnstore/backup.go
+++ b/internal/tier/turnstore/backup.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Replicate takes facts from the primary of an epoch that is not older than the one known here, and answers when they
--- a/internal/tier/turnstore/budget.go
+++ b/internal/tier/turnstore/budget.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // DefaultReleaseTime is the release time for contact windows of up to 4 s.
--- a/internal/tier/turnstore/changes_test.go
+++ b/internal/tier/turnstore/changes_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // TestHundredsOfMapChanges hands two partitions round three turn stores, with turns in between; the one that has no copy for now is
--- a/internal/tier/turnstore/disk.go
+++ b/internal/tier/turnstore/disk.go
@@ -7,8 +7,8 @@
 	"github.com/joomcode/errorx"
 	"google.golang.org/protobuf/proto"
 
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // A turn store's disk may be full, failing or stuck: states of the process, not its end. While it is in one, the turn store
--- a/internal/tier/turnstore/disk_test.go
+++ b/internal/tier/turnstore/disk_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // tellsUnsound tells whether a turn store tells control that its disk is not sound. It reports no copies then.
--- a/internal/tier/turnstore/metrics.go
+++ b/internal/tier/turnstore/metrics.go
@@ -1,6 +1,6 @@
 package turnstore
 
-import "dockshift.example/dockshift/internal/tier/metrics"
+import "saffronyard.example/saffronyard/internal/tier/metrics"
 
 // Metrics gives the figures of this moment, but for those of the session.
 func (store *TurnStore) Metrics() metrics.TurnStore {
--- a/internal/tier/turnstore/planted_test.go
+++ b/internal/tier/turnstore/planted_test.go
@@ -12,9 +12,9 @@
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/tier/tiertest/observer"
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/tiertest/observer"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // plantedSeeds is in how many seeds a planted fault has to be found, and soundSeeds how many are played without a fault.
--- a/internal/tier/turnstore/serve.go
+++ b/internal/tier/turnstore/serve.go
@@ -6,7 +6,7 @@
 
 	"github.com/twitchtv/twirp"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // decision is what a primary makes of a Begin, before anyone is asked.
--- a/internal/tier/turnstore/store.go
+++ b/internal/tier/turnstore/store.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // entryOverhead is what one entry costs in memory besides its body and names, in bytes.
--- a/internal/tier/turnstore/term.go
+++ b/internal/tier/turnstore/term.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // role is what this turn store is for a partition, as known in this life of the process.
--- a/internal/tier/turnstore/turnstore.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -12,8 +12,8 @@
 	"github.com/joomcode/errorx"
 	"github.com/phuslu/log"
 
-	"dockshift.example/dockshift/internal/tier/wal"
-	tierv1 "dockshift.example/dockshift/proto/saffronyard/tier/v1"
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
 // Config is what a turn store is made of. Durations left out have defaults.
--- a/internal/tier/upstream/endpoint_test.go
+++ b/internal/tier/upstream/endpoint_test.go
@@ -13,7 +13,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dockshift.example/dockshift/internal/calls"
+	"saffronyard.example/saffronyard/internal/calls"
 )
 
 // line is one connection of a stand-in endpoint.
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"dockshift.example/dockshift/internal/calls"
+	"saffronyard.example/saffronyard/internal/calls"
 )
 
 const (
--- a/internal/undelivered/audit.go
+++ b/internal/undelivered/audit.go
@@ -7,7 +7,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"dockshift.example/dockshift/internal/boltfile"
+	"saffronyard.example/saffronyard/internal/boltfile"
 )
 
 // Count is how many entries there are, and how many were dropped, by member and reason.
--- a/internal/undelivered/bounds.go
+++ b/internal/undelivered/bounds.go
@@ -8,7 +8,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"dockshift.example/dockshift/internal/boltfile"
+	"saffronyard.example/saffronyard/internal/boltfile"
 )
 
 // Expire drops what is too old, so many at most; more says that there is more of it.
--- a/internal/undelivered/store.go
+++ b/internal/undelivered/store.go
@@ -10,7 +10,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"dockshift.example/dockshift/internal/boltfile"
+	"saffronyard.example/saffronyard/internal/boltfile"
 )
 
 // The store is one bbolt file. Buckets:
--- a/internal/undelivered/store_test.go
+++ b/internal/undelivered/store_test.go
@@ -14,7 +14,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"dockshift.example/dockshift/internal/boltfile"
+	"saffronyard.example/saffronyard/internal/boltfile"
 )
 
 func entry(n int, ended int64) Entry {
--- a/internal/work/run/run.go
+++ b/internal/work/run/run.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"dockshift.example/dockshift/internal/work"
-	"dockshift.example/dockshift/internal/work/store"
+	"saffronyard.example/saffronyard/internal/work"
+	"saffronyard.example/saffronyard/internal/work/store"
 )
 
 // Task is a slice that is to be done.
--- a/internal/work/run/run_test.go
+++ b/internal/work/run/run_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"dockshift.example/dockshift/internal/work"
-	"dockshift.example/dockshift/internal/work/store"
+	"saffronyard.example/saffronyard/internal/work"
+	"saffronyard.example/saffronyard/internal/work/store"
 )
 
 const wait = 20 * time.Second
--- a/internal/work/store/store.go
+++ b/internal/work/store/store.go
@@ -15,8 +15,8 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"dockshift.example/dockshift/internal/boltfile"
-	"dockshift.example/dockshift/internal/work"
+	"saffronyard.example/saffronyard/internal/boltfile"
+	"saffronyard.example/saffronyard/internal/work"
 )
 
 // Record is a job as it is kept. Times are Unix nanoseconds; 0: none.
--- a/internal/work/store/store_test.go
+++ b/internal/work/store/store_test.go
@@ -10,7 +10,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"dockshift.example/dockshift/internal/boltfile"
+	"saffronyard.example/saffronyard/internal/boltfile"
 )
 
 // A file that is cut short anywhere, or was written by a newer version, is an error that names it; it ends nothing.
--- a/internal/duty/duty_test.go
+++ b/internal/worker/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package worker
 
 import (
 	"bytes"
