--- /dev/null
+++ b/internal/tier/consensus/stored_test.go
@@ -0,0 +1,114 @@
+package consensus
+
+import (
+	"fmt"
+	"hash/crc32"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"saffronyard.example/saffronyard/internal/tier/wal"
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
+)
+
+const storedFolders = "testdata/stored"
+
+// TestStoredFolders_ReadAsWritten opens folders that revision eea23b3 wrote (testdata/stored: of a primary, a backup, a witness, a
+// backup that was lost, a rewritten file, a torn tail, an accepted record that was not chosen) and compares all that is in them
+// with the listing that this revision made of them.
+func TestStoredFolders_ReadAsWritten(t *testing.T) {
+	listings, err := filepath.Glob(filepath.Join(storedFolders, "*.golden"))
+	assert.NilError(t, err)
+	assert.Equal(t, len(listings), 7)
+	for _, listing := range listings {
+		name := strings.TrimSuffix(filepath.Base(listing), ".golden")
+		t.Run(name, func(t *testing.T) {
+			want, err := os.ReadFile(listing)
+			assert.NilError(t, err)
+			folder := copyStored(t, name)
+			state, records := readStored(t, folder)
+			assert.Equal(t, listStored(state, records), string(want))
+
+			node, err := Open(Config{Self: &tierv1.Member{Address: "a.example:7400"}, Dir: folder, FS: wal.OS{}, ContactWindow: 3 * time.Second,
+				Dial: func(string) tierv1.Election { return nil }})
+			assert.NilError(t, err)
+			assert.NilError(t, node.DiskError())
+			assert.Equal(t, node.Self().Folder, state.Folder)
+			assert.NilError(t, node.file.Close())
+		})
+	}
+}
+
+// TestStoredFolders_RewriteAsWritten compares the records of a rewrite with those that revision eea23b3 made of the same state.
+func TestStoredFolders_RewriteAsWritten(t *testing.T) {
+	state, _ := readStored(t, copyStored(t, "primary"))
+	_, want := readStored(t, copyStored(t, "rewritten"))
+	assert.Equal(t, len(want), 6) // the last was appended after the rewrite
+	assert.DeepEqual(t, state.snapshot(), want[:5])
+}
+
+// copyStored copies a stored folder to a temporary one and returns its path.
+func copyStored(t *testing.T, name string) string {
+	t.Helper()
+	stored, err := os.ReadFile(filepath.Join(storedFolders, name, fileName))
+	assert.NilError(t, err)
+	folder := t.TempDir()
+	assert.NilError(t, os.WriteFile(filepath.Join(folder, fileName), stored, 0o600))
+	return folder
+}
+
+// readStored replays the file of a folder and returns the state and the records as they were stored.
+func readStored(t *testing.T, folder string) (*durable, [][]byte) {
+	t.Helper()
+	state := new(durable)
+	var records [][]byte
+	file, err := wal.Open(wal.OS{}, folder, fileName, func(record []byte) error {
+		records = append(records, record)
+		return state.replay(record)
+	})
+	assert.NilError(t, err)
+	assert.NilError(t, file.Close())
+	return state, records
+}
+
+// listStored lists a state and the records that it was read from.
+func listStored(state *durable, records [][]byte) string {
+	var listing strings.Builder
+	kinds := make([]string, len(records))
+	for i, record := range records {
+		kinds[i] = fmt.Sprintf("%c%d:%08x", record[0], len(record), crc32.ChecksumIEEE(record))
+	}
+	fmt.Fprintf(&listing, "records: %s\n", strings.Join(kinds, " "))
+	fmt.Fprintf(&listing, "folder: %s genesis=%v seeds=%v\n", state.Folder, state.Genesis, state.Seeds)
+	fmt.Fprintf(&listing, "promised: %d to %q\n", state.promised, state.promisedTo)
+	fmt.Fprintf(&listing, "accepted: %s\n", listStoredRecord(state.accepted))
+	fmt.Fprintf(&listing, "chosen: %s\n", listStoredRecord(state.chosen))
+	fmt.Fprintf(&listing, "state: sequence=%d epoch=%d size=%d\n", state.sequence, state.copyEpoch, state.size)
+	for _, key := range slices.Sorted(maps.Keys(state.data)) {
+		entry := state.data[key]
+		fmt.Fprintf(&listing, "entry: %q sequence=%d bytes=%d crc=%08x %.40q\n", entry.Key, entry.Sequence, len(entry.Value), crc32.ChecksumIEEE(entry.Value), entry.Value)
+	}
+	return listing.String()
+}
+
+func listStoredRecord(record *tierv1.Record) string {
+	if record == nil {
+		return "none"
+	}
+	return fmt.Sprintf("epoch=%d primary=%s backups=%v members=%s former=%s", record.Epoch, record.Primary, record.Backups,
+		listStoredMembers(record.Members), listStoredMembers(record.Former))
+}
+
+func listStoredMembers(members []*tierv1.Member) string {
+	list := make([]string, len(members))
+	for i, member := range members {
+		list[i] = fmt.Sprintf("%s@%s/%s/%s/%s", member.Folder, member.Address, member.Node, member.Zone, member.Region)
+	}
+	return "[" + strings.Join(list, " ") + "]"
+}
