--- a/internal/tier/controlplane/cluster_test.go
+++ b/internal/tier/controlplane/cluster_test.go
@@ -64,13 +64,18 @@
 
 // setUp starts the processes of machines for the first time.
 func (c *cluster) setUp(t *testing.T, ctx context.Context, seed uint64, machines int) {
+	c.prepare(t, ctx, seed, machines)
+	for _, m := range c.machines {
+		c.start(m, true)
+	}
+}
+
+// prepare makes machines with empty disks and no process.
+func (c *cluster) prepare(t *testing.T, ctx context.Context, seed uint64, machines int) {
 	c.t, c.ctx, c.random, c.blocked = t, ctx, rand.New(rand.NewPCG(seed, 7)), map[[2]string]bool{}
 	for i := range machines {
 		c.machines = append(c.machines, &coreMachine{node: fmt.Sprint("core-", i+1), ip: fmt.Sprint("10.0.0.", i+1), disk: wal.NewMemory()})
 	}
-	for _, m := range c.machines {
-		c.start(m, true)
-	}
 }
 
 // draw gives a number below n.
