--- a/internal/tier/capacity/controlplane_test.go
+++ b/internal/tier/capacity/controlplane_test.go
@@ -35,7 +35,7 @@
 
 func (store *memoryStore) Primary() (uint64, bool) { return 1 << 12, true }
 func (store *memoryStore) Hint() string            { return "" }
-func (store *memoryStore) Record() *tierv1.Record  { return &tierv1.Record{Epoch: 1 << 12} }
+func (store *memoryStore) Record() *tierv1.View    { return &tierv1.View{Epoch: 1 << 12} }
 func (store *memoryStore) Self() *tierv1.Member {
 	return &tierv1.Member{Folder: "c1", Address: "10.0.0.1:7000"}
 }
@@ -149,7 +149,7 @@
 		b.Cleanup(client.CloseIdleConnections)
 		cluster.clients = append(cluster.clients, tierv1.NewControlPlaneProtobufClient("http://"+listener.Addr().String(), client))
 		session := &fakeSession{}
-		session.request.Node, session.request.Role, session.request.Life, session.request.Address = fmt.Sprintf("edge-%03d", i), "gateway", rpcserver.Life(), fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)
+		session.request.Node, session.request.Role, session.request.Incarnation, session.request.Address = fmt.Sprintf("edge-%03d", i), "gateway", rpcserver.Life(), fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)
 		session.request.Zone, session.request.Region = fmt.Sprintf("zone-%02d", i%zones), fmt.Sprintf("region-%d", i%3)
 		cluster.sessions = append(cluster.sessions, session)
 	}
@@ -159,13 +159,13 @@
 // watch makes one call of a session, and records the versions that came.
 func (cluster *cluster) watch(ctx context.Context, i int, hold time.Duration) (*tierv1.WatchReply, error) {
 	request := &cluster.sessions[i].request
-	request.HoldMs = uint32(hold.Milliseconds())
+	request.PollTimeoutMs = uint32(hold.Milliseconds())
 	reply, err := cluster.clients[i].Watch(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	request.Configuration, request.Endpoints = max(request.Configuration, reply.Configuration.GetVersion()), max(request.Endpoints, reply.Endpoints.GetVersion())
-	request.PartitionMap, request.Members = max(request.PartitionMap, reply.PartitionMap.GetVersion()), max(request.Members, reply.Members.GetVersion())
+	request.ConfigurationVersion, request.EndpointsVersion = max(request.ConfigurationVersion, reply.Configuration.GetVersion()), max(request.EndpointsVersion, reply.Endpoints.GetVersion())
+	request.PartitionMapVersion, request.MembersVersion = max(request.PartitionMapVersion, reply.PartitionMap.GetVersion()), max(request.MembersVersion, reply.Members.GetVersion())
 	return reply, nil
 }
 
@@ -188,7 +188,7 @@
 // synchronize calls until every session has the list of endpoints.
 func (cluster *cluster) synchronize(b *testing.B) {
 	cluster.each(func(i int) {
-		for cluster.sessions[i].request.Endpoints == 0 {
+		for cluster.sessions[i].request.EndpointsVersion == 0 {
 			_, err := cluster.watch(b.Context(), i, 50*time.Millisecond)
 			assert.Check(b, err)
 		}
@@ -216,7 +216,7 @@
 	cluster.synchronize(b)
 	sessions := cluster.primary.Sessions()
 	for _, session := range cluster.sessions {
-		session.request.HoldMs = 0
+		session.request.PollTimeoutMs = 0
 	}
 	i := 0
 	report := measureProcessor(b)
@@ -263,10 +263,10 @@
 			cluster.push(b, func() func(*tierv1.WatchRequest) bool {
 				before := uint64(0)
 				for _, session := range cluster.sessions {
-					before = max(before, session.request.Endpoints)
+					before = max(before, session.request.EndpointsVersion)
 				}
 				cluster.cloud.change <- struct{}{}
-				return func(r *tierv1.WatchRequest) bool { return r.Endpoints > before }
+				return func(r *tierv1.WatchRequest) bool { return r.EndpointsVersion > before }
 			})
 		})
 	}
@@ -284,9 +284,9 @@
 			cluster.push(b, func() func(*tierv1.WatchRequest) bool {
 				<-answered // of the one before
 				revision++
-				before := cluster.sessions[0].request.Configuration
+				before := cluster.sessions[0].request.ConfigurationVersion
 				go func() { cluster.replace(b, revision, c.routes); answered <- struct{}{} }()
-				return func(r *tierv1.WatchRequest) bool { return r.Configuration > before }
+				return func(r *tierv1.WatchRequest) bool { return r.ConfigurationVersion > before }
 			})
 			<-answered
 		})
--- a/internal/tier/capacity/figures_test.go
+++ b/internal/tier/capacity/figures_test.go
@@ -59,7 +59,7 @@
 	for i := range n {
 		list.List = append(list.List, &tierv1.Endpoint{Instance: fmt.Sprintf("i-%08x", i*7919), Service: fmt.Sprintf("service-%02d", i%models),
 			Address: fmt.Sprintf("10.%d.%d.%d:8000", i%zones, i/250, i%250), Zone: fmt.Sprintf("zone-%02d", i%zones), Capacity: 96,
-			ColdRemainingMs: cold, Revision: "r-4711", Phase: "serving",
+			SlowStartRemainingMs: cold, Revision: "r-4711", Phase: "serving",
 			Models: []*tierv1.Model{{Name: fmt.Sprintf("model-%02d", i%models), Revision: 3}}})
 	}
 	return list
@@ -75,7 +75,7 @@
 	}
 	for i := range partitions {
 		made.Partitions = append(made.Partitions, &tierv1.Partition{Epoch: 40, Primary: folder(i % storeNodes),
-			Backups: []*tierv1.Copy{{Folder: folder((i + 1) % storeNodes), Synced: true}}})
+			Backups: []*tierv1.Replica{{Folder: folder((i + 1) % storeNodes), Synced: true}}})
 	}
 	return made
 }
--- a/internal/tier/capacity/push_test.go
+++ b/internal/tier/capacity/push_test.go
@@ -28,7 +28,7 @@
 }
 
 func (server *listServer) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
-	if r.Endpoints < server.reply.Endpoints.Version {
+	if r.EndpointsVersion < server.reply.Endpoints.Version {
 		return server.reply, nil
 	}
 	<-ctx.Done()
@@ -49,7 +49,7 @@
 // case once, the list is encoded once, not for each session.
 func BenchmarkServe(b *testing.B) {
 	for _, n := range []int{65, endpoints, 3000} {
-		news := &tierv1.WatchReply{Primary: true, Epoch: 1, Endpoints: endpointList(n, 0)}
+		news := &tierv1.WatchReply{IsPrimary: true, Epoch: 1, Endpoints: endpointList(n, 0)}
 		body, err := proto.Marshal(news)
 		assert.NilError(b, err)
 		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&listServer{reply: news}), "once": encodedReply{body}} {
@@ -59,7 +59,7 @@
 				conn, err := net.Dial("tcp", server.Addr)
 				assert.NilError(b, err)
 				defer conn.Close()
-				ask, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "gateway", Life: rpcserver.Life(), Configuration: math.MaxUint64})
+				ask, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "gateway", Incarnation: rpcserver.Life(), ConfigurationVersion: math.MaxUint64})
 				request := fmt.Appendf(nil, "POST %sWatch HTTP/1.1\r\nHost: c\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s",
 					tierv1.ControlPlanePathPrefix, len(ask), ask)
 				r := bufio.NewReaderSize(conn, 64<<10)
@@ -85,14 +85,14 @@
 func BenchmarkWithin(b *testing.B) {
 	const wait = 800 * time.Millisecond // of a contact window of 3 s
 	for _, c := range []struct{ sessions, lines int }{{100, 1000}, {sessionCount, endpoints}, {300, 3000}} {
-		news := &tierv1.WatchReply{Primary: true, Epoch: 1, Endpoints: endpointList(c.lines, 0)}
+		news := &tierv1.WatchReply{IsPrimary: true, Epoch: 1, Endpoints: endpointList(c.lines, 0)}
 		body, err := proto.Marshal(news)
 		assert.NilError(b, err)
 		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&listServer{reply: news}), "once": encodedReply{body}} {
 			b.Run(fmt.Sprintf("sessions=%d,endpoints=%d,%s", c.sessions, c.lines, name), func(b *testing.B) {
 				server, err := rpcserver.Serve(b.Context(), "127.0.0.1:0", handler)
 				assert.NilError(b, err)
-				ask, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "gateway", Life: rpcserver.Life(), Configuration: math.MaxUint64})
+				ask, _ := proto.Marshal(&tierv1.WatchRequest{Node: "edge-001", Role: "gateway", Incarnation: rpcserver.Life(), ConfigurationVersion: math.MaxUint64})
 				clients := make([]*http.Client, c.sessions)
 				for i := range clients {
 					clients[i] = rpcserver.NewClient()
--- a/internal/tier/capacity/turnstore_test.go
+++ b/internal/tier/capacity/turnstore_test.go
@@ -93,7 +93,7 @@
 	}
 	for range partitions {
 		partitionMap.Partitions = append(partitionMap.Partitions, &tierv1.Partition{Epoch: 1, Primary: stores.primary.Folder(),
-			Backups: []*tierv1.Copy{{Folder: stores.backup.Folder(), Synced: true}}})
+			Backups: []*tierv1.Replica{{Folder: stores.backup.Folder(), Synced: true}}})
 	}
 	stores.primary.Apply(partitionMap)
 	stores.backup.Apply(partitionMap)
--- a/internal/tier/cli/operate_test.go
+++ b/internal/tier/cli/operate_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestStatusTellsRoleAndRisk(t *testing.T) {
-	record := &tierv1.Record{Epoch: 7, Primary: "a", Backups: []string{"b"}, Members: []*tierv1.Member{{Folder: "a", Node: "core-1"}}}
+	record := &tierv1.View{Epoch: 7, Primary: "a", Backups: []string{"b"}, Members: []*tierv1.Member{{Folder: "a", Node: "core-1"}}}
 	for _, c := range []struct {
 		name  string
 		reply *tierv1.StatusReply
--- a/internal/tier/consensus/catchup_test.go
+++ b/internal/tier/consensus/catchup_test.go
@@ -85,7 +85,7 @@
 	c.leave(w, s)
 	w.changes(n)
 	w.delivered = func(to *site, body proto.Message) {
-		if q, ok := body.(*tierv1.WriteRequest); ok && q.Whole && (to == s || to.member.Address == "new") {
+		if q, ok := body.(*tierv1.WriteRequest); ok && q.Snapshot && (to == s || to.member.Address == "new") {
 			sent += proto.Size(q)
 		}
 	}
@@ -154,7 +154,7 @@
 	d := durable{identity: identity{Folder: "fb"}}
 	m = newMachine(d, &tierv1.Member{Address: "b"}, []string{"a", "b", "c"}, 1, timings(3*time.Second, 0), 1)
 	m.out = new(actions)
-	m.promise(&tierv1.PromiseRequest{Epoch: epoch, From: &tierv1.Member{Folder: "fa", Address: "a"}})
+	m.promise(&tierv1.PrepareRequest{Epoch: epoch, From: &tierv1.Member{Folder: "fa", Address: "a"}})
 	assert.Assert(t, m.bound(epoch, "fa"))
 	return m, epoch
 }
@@ -166,8 +166,8 @@
 // A snapshot that comes late, doubled, out of order or from an older epoch never takes back what was taken after it.
 func TestSnapshotsOutOfPlace(t *testing.T) {
 	m, epoch := following(t)
-	snapshot := &tierv1.WriteRequest{Epoch: epoch, Sequence: 1, Whole: true, Entries: entry("one", 1), From: "fa"}
-	change := &tierv1.WriteRequest{Epoch: epoch, Base: 1, Sequence: 2, Entries: entry("two", 2), From: "fa"}
+	snapshot := &tierv1.WriteRequest{Epoch: epoch, Sequence: 1, Snapshot: true, Entries: entry("one", 1), From: "fa"}
+	change := &tierv1.WriteRequest{Epoch: epoch, PreviousSequence: 1, Sequence: 2, Entries: entry("two", 2), From: "fa"}
 	holds := func(sequence uint64, keys ...string) {
 		t.Helper()
 		assert.Equal(t, m.sequence, sequence)
@@ -178,30 +178,30 @@
 	}
 	// A change before any snapshot, and one with a gap before it.
 	assert.Assert(t, m.write(change).Behind)
-	assert.Assert(t, m.write(snapshot).Taken)
-	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: epoch, Base: 2, Sequence: 3, Entries: entry("three", 3), From: "fa"}).Behind)
+	assert.Assert(t, m.write(snapshot).Acknowledged)
+	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: epoch, PreviousSequence: 2, Sequence: 3, Entries: entry("three", 3), From: "fa"}).Behind)
 	holds(1, "one")
-	assert.Assert(t, m.write(change).Taken)
+	assert.Assert(t, m.write(change).Acknowledged)
 	holds(2, "one", "two")
 	// Doubled, older than what followed it, and from another folder.
-	assert.Assert(t, m.write(snapshot).Taken)
-	assert.Assert(t, m.write(change).Taken)
+	assert.Assert(t, m.write(snapshot).Acknowledged)
+	assert.Assert(t, m.write(change).Acknowledged)
 	holds(2, "one", "two")
 	foreign := proto.CloneOf(snapshot)
 	foreign.From, foreign.Sequence = "fc", 9
-	assert.Assert(t, !m.write(foreign).Taken)
+	assert.Assert(t, !m.write(foreign).Acknowledged)
 	holds(2, "one", "two")
 	// A new epoch: the snapshot of the old one comes after the changes of the new one, or after the promise alone.
-	m.promise(&tierv1.PromiseRequest{Epoch: 2 * epoch, From: &tierv1.Member{Folder: "fc", Address: "c"}})
+	m.promise(&tierv1.PrepareRequest{Epoch: 2 * epoch, From: &tierv1.Member{Folder: "fc", Address: "c"}})
 	late := proto.CloneOf(snapshot)
 	late.Sequence = 50
-	assert.Assert(t, !m.write(late).Taken)
-	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: 2 * epoch, Base: 2, Sequence: 2, From: "fc"}).Behind) // same sequence, other history
-	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: 2 * epoch, Sequence: 2, Whole: true, Entries: entry("other", 2), From: "fc"}).Taken)
+	assert.Assert(t, !m.write(late).Acknowledged)
+	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: 2 * epoch, PreviousSequence: 2, Sequence: 2, From: "fc"}).Behind) // same sequence, other history
+	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: 2 * epoch, Sequence: 2, Snapshot: true, Entries: entry("other", 2), From: "fc"}).Acknowledged)
 	holds(2, "other")
 	for _, q := range []*tierv1.WriteRequest{late, snapshot, change} {
 		a := m.write(q)
-		assert.Assert(t, !a.Taken && !a.Behind && a.Highest == 2*epoch)
+		assert.Assert(t, !a.Acknowledged && !a.Behind && a.HighestPromised == 2*epoch)
 		holds(2, "other")
 	}
 }
@@ -219,7 +219,7 @@
 			var sent map[string]bool
 			write := func(q *tierv1.WriteRequest) bool {
 				a, err := askNode(s, func(n *Node) (*tierv1.WriteReply, error) { return (server{n}).Write(context.Background(), q) })
-				if err != nil || !a.Taken {
+				if err != nil || !a.Acknowledged {
 					return false
 				}
 				taken, epoch = q.Sequence, q.Epoch
@@ -228,21 +228,21 @@
 			s.disk.DieAt(at)
 			life := func(first uint64) bool {
 				e := first << epochBits
-				a, err := askNode(s, func(n *Node) (*tierv1.PromiseReply, error) {
-					return (server{n}).Promise(context.Background(), &tierv1.PromiseRequest{Epoch: e, From: &tierv1.Member{Folder: "fa", Address: "b"}})
+				a, err := askNode(s, func(n *Node) (*tierv1.PrepareReply, error) {
+					return (server{n}).Promise(context.Background(), &tierv1.PrepareRequest{Epoch: e, From: &tierv1.Member{Folder: "fa", Address: "b"}})
 				})
 				if err != nil || !a.Promised {
 					return false
 				}
 				sent = map[string]bool{"base": true}
-				if !write(&tierv1.WriteRequest{Epoch: e, Sequence: 10 * first, Whole: true, Entries: []*tierv1.Entry{{Key: "base", Value: value}}, From: "fa"}) {
+				if !write(&tierv1.WriteRequest{Epoch: e, Sequence: 10 * first, Snapshot: true, Entries: []*tierv1.Entry{{Key: "base", Value: value}}, From: "fa"}) {
 					return false
 				}
 				for i := 10 * first; i < 10*first+6; i++ {
 					s.node.disk.rewriteAt = 1 // each change rewrites the file
 					key := fmt.Sprint("k", i+1)
 					sent[key] = true
-					if !write(&tierv1.WriteRequest{Epoch: e, Base: i, Sequence: i + 1, From: "fa",
+					if !write(&tierv1.WriteRequest{Epoch: e, PreviousSequence: i, Sequence: i + 1, From: "fa",
 						Entries: []*tierv1.Entry{{Key: key, Value: value, Sequence: i + 1}}}) {
 						return false
 					}
--- a/internal/tier/consensus/check_test.go
+++ b/internal/tier/consensus/check_test.go
@@ -45,7 +45,7 @@
 // overtaken tells whether nothing can be acknowledged or confirmed under a record any more: a backup has promised a higher
 // epoch. Its leadership may begin all the same, where the answer by which its primary learns that it was chosen comes late;
 // what it shows under its lease is held against the formula by leaseReads.
-func (w *world) overtaken(r *tierv1.Record) bool {
+func (w *world) overtaken(r *tierv1.View) bool {
 	for _, s := range w.sites {
 		if s.m != nil && slices.Contains(r.Backups, s.m.Folder) && s.m.promised > r.Epoch {
 			return true
--- a/internal/tier/consensus/disk_test.go
+++ b/internal/tier/consensus/disk_test.go
@@ -91,9 +91,9 @@
 }
 
 // ask asks for a promise.
-func (s *solo) ask(epoch uint64) (*tierv1.PromiseReply, error) {
-	return askNode(s, func(n *Node) (*tierv1.PromiseReply, error) {
-		return (server{n}).Promise(context.Background(), &tierv1.PromiseRequest{Epoch: epoch, From: &tierv1.Member{Folder: "x", Address: "b"}})
+func (s *solo) ask(epoch uint64) (*tierv1.PrepareReply, error) {
+	return askNode(s, func(n *Node) (*tierv1.PrepareReply, error) {
+		return (server{n}).Promise(context.Background(), &tierv1.PrepareRequest{Epoch: epoch, From: &tierv1.Member{Folder: "x", Address: "b"}})
 	})
 }
 
@@ -187,7 +187,7 @@
 	assert.NilError(t, s.node.DiskError())
 	a, err = s.ask(1 << 20)
 	assert.NilError(t, err)
-	assert.Assert(t, !a.Promised && a.Highest >= 1<<20, "%v", a)
+	assert.Assert(t, !a.Promised && a.HighestPromised >= 1<<20, "%v", a)
 	a, err = s.ask(4 << 20)
 	assert.NilError(t, err)
 	assert.Assert(t, a.Promised)
--- a/internal/tier/consensus/durable.go
+++ b/internal/tier/consensus/durable.go
@@ -25,8 +25,8 @@
 	identity
 	promised   uint64
 	promisedTo string
-	accepted   *tierv1.Record
-	chosen     *tierv1.Record // may be forgotten
+	accepted   *tierv1.View
+	chosen     *tierv1.View // may be forgotten
 	data       map[string]*tierv1.Entry
 	size       int // of data, by entrySize
 	sequence   uint64
@@ -85,7 +85,7 @@
 		}
 		state.copyEpoch = epoch
 	case kindAccepted, kindChosen:
-		r := new(tierv1.Record)
+		r := new(tierv1.View)
 		if err := proto.Unmarshal(body, r); err != nil {
 			return err
 		}
@@ -109,7 +109,7 @@
 // apply makes the copy what a write says. The map is replaced, never changed: others may hold the former one.
 func (state *durable) apply(w *tierv1.WriteRequest) {
 	data, size := make(map[string]*tierv1.Entry, len(w.Entries)), 0
-	if !w.Whole && state.data != nil {
+	if !w.Snapshot && state.data != nil {
 		data, size = maps.Clone(state.data), state.size
 	}
 	for _, e := range w.Entries {
@@ -127,7 +127,7 @@
 
 // whole is the write that makes another copy the same as this one.
 func (state *durable) whole(epoch uint64) *tierv1.WriteRequest {
-	w := &tierv1.WriteRequest{Epoch: epoch, Sequence: state.sequence, Whole: true, From: state.Folder}
+	w := &tierv1.WriteRequest{Epoch: epoch, Sequence: state.sequence, Snapshot: true, From: state.Folder}
 	for _, k := range slices.Sorted(maps.Keys(state.data)) {
 		w.Entries = append(w.Entries, state.data[k])
 	}
--- a/internal/tier/consensus/explore_digest_test.go
+++ b/internal/tier/consensus/explore_digest_test.go
@@ -14,7 +14,7 @@
 func (x *explorer) digest(l *lane, s *subject) string {
 	var b strings.Builder
 	m := s.m
-	record := func(r *tierv1.Record) int {
+	record := func(r *tierv1.View) int {
 		if r == nil {
 			return 0
 		}
@@ -69,13 +69,13 @@
 	for _, id := range slices.Sorted(maps.Keys(m.pending)) {
 		current := false
 		switch q := s.asked[id].(type) {
-		case *tierv1.PromiseRequest:
+		case *tierv1.PrepareRequest:
 			current = m.proposal != nil && m.proposal.epoch == q.Epoch
 		case *tierv1.AcceptRequest:
-			current = m.proposal != nil && m.proposal.epoch == q.Record.Epoch
+			current = m.proposal != nil && m.proposal.epoch == q.View.Epoch
 		case *tierv1.WriteRequest:
 			current = m.proposal != nil && m.proposal.epoch == q.Epoch || m.primary != nil && m.primary.record.Epoch == q.Epoch
-			fmt.Fprint(&b, q.Sequence, q.Whole)
+			fmt.Fprint(&b, q.Sequence, q.Snapshot)
 		}
 		fmt.Fprint(&b, "c", id, current)
 	}
--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -12,7 +12,7 @@
 
 func kind(m proto.Message) string {
 	switch m.(type) {
-	case *tierv1.PromiseRequest:
+	case *tierv1.PrepareRequest:
 		return "promise"
 	case *tierv1.AcceptRequest:
 		return "accept"
--- a/internal/tier/consensus/leadership.go
+++ b/internal/tier/consensus/leadership.go
@@ -13,7 +13,7 @@
 type leadership struct {
 	began     time.Duration
 	first     uint64                   // epoch of its first record: who writes under it or a later one has seen no other primary between
-	record    *tierv1.Record           // in force
+	record    *tierv1.View             // in force
 	confirmed map[string]time.Duration // when the newest round trip began that a backup answered under the record
 	lost      map[string]bool          // backups that failed a call
 	renew     bool                     // a backup has promised a higher epoch
@@ -116,22 +116,22 @@
 	}
 	peer.asking = true
 	began := machine.now
-	machine.call(address, &tierv1.HeartbeatRequest{Record: machine.primary.record, From: machine.self}, false, func(body proto.Message) {
+	machine.call(address, &tierv1.HeartbeatRequest{View: machine.primary.record, From: machine.self}, false, func(body proto.Message) {
 		peer.asking = false
 		reply, _ := body.(*tierv1.HeartbeatReply)
 		if reply == nil || reply.Self == nil {
 			return
 		}
 		machine.replied(reply.Self, began)
-		peer.voter = reply.Member
-		machine.highest = max(machine.highest, reply.Highest)
+		peer.voter = reply.IsMember
+		machine.highest = max(machine.highest, reply.HighestPromised)
 		primary := machine.primary
 		if primary == nil || !slices.Contains(primary.record.Backups, reply.Self.Folder) {
 			return
 		}
-		if reply.Highest == primary.record.Epoch || machine.promisedProposal(reply.Self.Folder, reply.Highest) {
+		if reply.HighestPromised == primary.record.Epoch || machine.promisedProposal(reply.Self.Folder, reply.HighestPromised) {
 			primary.confirmed[reply.Self.Folder] = max(primary.confirmed[reply.Self.Folder], began)
-		} else if reply.Highest > primary.record.Epoch {
+		} else if reply.HighestPromised > primary.record.Epoch {
 			primary.renew = true
 		}
 	})
--- a/internal/tier/consensus/lease_test.go
+++ b/internal/tier/consensus/lease_test.go
@@ -61,7 +61,7 @@
 	m.out = new(actions)
 	m.now = time.Second
 	m.leadership(&proposal{epoch: 1 << epochBits, confirmed: map[string]time.Duration{"fb": m.now},
-		target: &tierv1.Record{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}})
+		target: &tierv1.View{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}})
 	for _, v := range members[1:] {
 		m.replied(v, m.now)
 		m.peers[v.Address].voter = true
@@ -87,7 +87,7 @@
 	m.propose(plan{drop: map[string]bool{"fb": true}})
 	epoch, before := m.proposal.epoch, m.confirmedAt()
 	now := m.now + 100*time.Millisecond
-	heartbeat := answer{heartbeatTo(out.calls, "b"), &tierv1.HeartbeatReply{Self: &tierv1.Member{Folder: "fb", Address: "b"}, Highest: epoch, Member: true}}
+	heartbeat := answer{heartbeatTo(out.calls, "b"), &tierv1.HeartbeatReply{Self: &tierv1.Member{Folder: "fb", Address: "b"}, HighestPromised: epoch, IsMember: true}}
 	m.primary.confirmed["fb"] -= 50 * time.Millisecond // the heartbeat began after the last confirmation
 	before -= 50 * time.Millisecond
 	m.Step(now, heartbeat)
@@ -97,11 +97,11 @@
 	m = leading(t)
 	out = m.Step(m.now)
 	m.propose(plan{})
-	m.proposal.replies["fb"] = &tierv1.PromiseReply{Promised: true, Self: &tierv1.Member{Folder: "fb", Address: "b"}}
+	m.proposal.replies["fb"] = &tierv1.PrepareReply{Promised: true, Self: &tierv1.Member{Folder: "fb", Address: "b"}}
 	m.primary.confirmed["fb"] -= 50 * time.Millisecond
 	heartbeat.id = heartbeatTo(out.calls, "b")
 	heartbeat.body = proto.Clone(heartbeat.body)
-	heartbeat.body.(*tierv1.HeartbeatReply).Highest = m.proposal.epoch
+	heartbeat.body.(*tierv1.HeartbeatReply).HighestPromised = m.proposal.epoch
 	m.Step(m.now+100*time.Millisecond, heartbeat)
 	assert.Assert(t, m.primary == nil || m.primary.confirmed["fb"] > before)
 }
@@ -151,7 +151,7 @@
 	m := leading(t)
 	m.losses = 2
 	m.now = 10 * time.Second
-	m.primary.record = &tierv1.Record{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}
+	m.primary.record = &tierv1.View{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}
 	for _, v := range members[1:] {
 		m.replied(v, m.now)
 	}
--- a/internal/tier/consensus/machine.go
+++ b/internal/tier/consensus/machine.go
@@ -93,7 +93,7 @@
 // serve answers a call of another node; nil where it knows no such call.
 func (machine *machine) serve(body proto.Message) proto.Message {
 	switch q := body.(type) {
-	case *tierv1.PromiseRequest:
+	case *tierv1.PrepareRequest:
 		return machine.promise(q)
 	case *tierv1.AcceptRequest:
 		return machine.accept(q)
@@ -127,7 +127,7 @@
 
 // base is the newest record that this folder accepted or knows to be chosen; the genesis record where there is none
 // and the folder was made at the first start; else nil.
-func (machine *machine) base() *tierv1.Record {
+func (machine *machine) base() *tierv1.View {
 	if r := newest(machine.accepted, machine.chosen); r != nil {
 		return r
 	}
@@ -135,7 +135,7 @@
 }
 
 // known is the newest chosen record known, the genesis record included.
-func (machine *machine) known() *tierv1.Record {
+func (machine *machine) known() *tierv1.View {
 	if machine.chosen != nil {
 		return machine.chosen
 	}
@@ -143,11 +143,11 @@
 }
 
 // genesis is the record of epoch 0 that names the seeds; nil in a folder that was not made at the first start.
-func (machine *machine) genesis() *tierv1.Record {
+func (machine *machine) genesis() *tierv1.View {
 	if !machine.Genesis {
 		return nil
 	}
-	r := &tierv1.Record{}
+	r := &tierv1.View{}
 	for _, a := range machine.Seeds {
 		r.Members = append(r.Members, &tierv1.Member{Address: a})
 	}
@@ -162,7 +162,7 @@
 }
 
 // learn takes a record that another node knows to be chosen.
-func (machine *machine) learn(record *tierv1.Record) {
+func (machine *machine) learn(record *tierv1.View) {
 	if record == nil || record.Epoch <= epochOf(machine.chosen) {
 		return
 	}
--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -51,7 +51,7 @@
 	return method(node, ctx, request)
 }
 
-func (w wire) Promise(ctx context.Context, request *tierv1.PromiseRequest) (*tierv1.PromiseReply, error) {
+func (w wire) Promise(ctx context.Context, request *tierv1.PrepareRequest) (*tierv1.PrepareReply, error) {
 	return through(ctx, w, tierv1.Election.Promise, request)
 }
 
@@ -280,7 +280,7 @@
 	s := httptest.NewServer(c.nodes["a"].Handler())
 	defer s.Close()
 	client := tierv1.NewElectionProtobufClient(s.URL, s.Client())
-	a, err := client.Promise(context.Background(), &tierv1.PromiseRequest{Epoch: 0, From: &tierv1.Member{Folder: "x", Address: "b"}})
+	a, err := client.Promise(context.Background(), &tierv1.PrepareRequest{Epoch: 0, From: &tierv1.Member{Folder: "x", Address: "b"}})
 	assert.NilError(t, err)
 	assert.Assert(t, a.Genesis && a.Promised)
 	assert.Equal(t, a.Self.Folder, c.nodes["a"].Self().Folder)
@@ -309,7 +309,7 @@
 			return
 		}
 		assert.Equal(t, n.Self().Folder, "", "operation %d", at)
-		_, err := (server{n}).Promise(context.Background(), &tierv1.PromiseRequest{Epoch: 1, From: &tierv1.Member{Folder: "x", Address: "b"}})
+		_, err := (server{n}).Promise(context.Background(), &tierv1.PrepareRequest{Epoch: 1, From: &tierv1.Member{Folder: "x", Address: "b"}})
 		assert.ErrorContains(t, err, "disk failed")
 		disk.Crash(rand.New(rand.NewPCG(uint64(at), 1)))
 		assert.NilError(t, open().DiskError(), "operation %d", at)
--- a/internal/tier/consensus/planted_hardening_test.go
+++ b/internal/tier/consensus/planted_hardening_test.go
@@ -25,8 +25,8 @@
 	joinerWithoutCopy = plant{name: "a backup is counted that took no copy",
 		before: func(s *subject, e event) (event, *outcome) {
 			if q, ok := e.(request); ok {
-				if a, ok := q.body.(*tierv1.AcceptRequest); ok && named(a.Record, s.m.Folder) && s.m.bound(a.Record.Epoch, a.From.GetFolder()) {
-					s.m.copyEpoch = a.Record.Epoch
+				if a, ok := q.body.(*tierv1.AcceptRequest); ok && named(a.View, s.m.Folder) && s.m.bound(a.View.Epoch, a.From.GetFolder()) {
+					s.m.copyEpoch = a.View.Epoch
 				}
 			}
 			return e, nil
@@ -38,7 +38,7 @@
 			}
 			var kept []call
 			for _, c := range out.early {
-				if q, ok := c.body.(*tierv1.WriteRequest); !ok || !q.Whole {
+				if q, ok := c.body.(*tierv1.WriteRequest); !ok || !q.Snapshot {
 					kept = append(kept, c)
 				}
 			}
@@ -50,7 +50,7 @@
 	oldSnapshotReplaces = plant{name: "a snapshot of an old epoch replaces a newer copy",
 		before: func(s *subject, e event) (event, *outcome) {
 			if q, ok := e.(request); ok {
-				if body, ok := q.body.(*tierv1.WriteRequest); ok && body.Whole && body.From != s.m.Folder && body.Epoch < s.m.copyEpoch {
+				if body, ok := q.body.(*tierv1.WriteRequest); ok && body.Snapshot && body.From != s.m.Folder && body.Epoch < s.m.copyEpoch {
 					s.m.apply(body)
 					s.m.copyEpoch = s.m.promised
 				}
@@ -63,7 +63,7 @@
 			if !ok {
 				return e, nil
 			}
-			r, ok := a.body.(*tierv1.PromiseReply)
+			r, ok := a.body.(*tierv1.PrepareReply)
 			p := s.m.proposal
 			if !ok || p == nil || p.phase > promising || s.m.primary != nil {
 				return e, nil
--- a/internal/tier/consensus/planted_test.go
+++ b/internal/tier/consensus/planted_test.go
@@ -71,7 +71,7 @@
 			var from string
 			switch b := q.body.(type) {
 			case *tierv1.AcceptRequest:
-				epoch, from = b.Record.GetEpoch(), b.From.GetFolder()
+				epoch, from = b.View.GetEpoch(), b.From.GetFolder()
 			case *tierv1.WriteRequest:
 				epoch, from = b.Epoch, b.From
 			}
@@ -106,7 +106,7 @@
 		before: func(s *subject, e event) (event, *outcome) {
 			if a, ok := e.(answer); ok && a.body == nil {
 				if _, write := s.asked[a.id].(*tierv1.WriteRequest); write {
-					return answer{a.id, &tierv1.WriteReply{Taken: true}}, nil
+					return answer{a.id, &tierv1.WriteReply{Acknowledged: true}}, nil
 				}
 			}
 			return e, nil
@@ -117,7 +117,7 @@
 			if !ok {
 				return e, nil
 			}
-			r, ok := a.body.(*tierv1.PromiseReply)
+			r, ok := a.body.(*tierv1.PrepareReply)
 			if !ok || r.Self == nil {
 				return e, nil
 			}
--- a/internal/tier/consensus/proposal.go
+++ b/internal/tier/consensus/proposal.go
@@ -32,13 +32,13 @@
 	plan
 	phase    phase
 	epoch    uint64
-	base     *tierv1.Record // newest accepted record seen: the target follows it
-	target   *tierv1.Record
+	base     *tierv1.View // newest accepted record seen: the target follows it
+	target   *tierv1.View
 	deadline time.Duration
 	grace    time.Duration                   // until when answers are waited for beyond the majority
 	asked    map[string]bool                 // addresses
 	open     int                             // calls of this phase under way
-	replies  map[string]*tierv1.PromiseReply // that promised, by folder
+	replies  map[string]*tierv1.PrepareReply // that promised, by folder
 	copies   map[string]bool                 // folders to which a copy is under way
 	bad      map[string]bool                 // folders that took no copy
 	accepted map[string]bool                 // folders
@@ -89,8 +89,8 @@
 	proposal.base = machine.base()
 	proposal.deadline = machine.now + 3*machine.timing.call
 	proposal.asked = make(map[string]bool)
-	proposal.replies = map[string]*tierv1.PromiseReply{machine.Folder: {Promised: true, Self: machine.self, Genesis: machine.Genesis,
-		Highest: machine.promised, Accepted: machine.accepted, Chosen: machine.chosen, Sequence: machine.sequence}}
+	proposal.replies = map[string]*tierv1.PrepareReply{machine.Folder: {Promised: true, Self: machine.self, Genesis: machine.Genesis,
+		HighestPromised: machine.promised, Accepted: machine.accepted, Chosen: machine.chosen, Sequence: machine.sequence}}
 	proposal.confirmed, proposal.copies = make(map[string]time.Duration), make(map[string]bool)
 	proposal.bad, proposal.accepted = make(map[string]bool), make(map[string]bool)
 	proposal.silent, proposal.repeated = make(map[string]bool), make(map[phase]bool)
@@ -117,8 +117,8 @@
 			proposal.asked[address] = true
 			proposal.open++
 			began := machine.now
-			machine.call(address, &tierv1.PromiseRequest{Epoch: proposal.epoch, From: machine.self}, true, func(body proto.Message) {
-				reply, _ := body.(*tierv1.PromiseReply)
+			machine.call(address, &tierv1.PrepareRequest{Epoch: proposal.epoch, From: machine.self}, true, func(body proto.Message) {
+				reply, _ := body.(*tierv1.PrepareReply)
 				machine.answered(proposal, reply, began)
 			})
 		}
@@ -126,10 +126,10 @@
 }
 
 // answered takes the answer to a call for a promise that began at that time; nil: there was none.
-func (machine *machine) answered(proposal *proposal, reply *tierv1.PromiseReply, began time.Duration) {
+func (machine *machine) answered(proposal *proposal, reply *tierv1.PrepareReply, began time.Duration) {
 	if reply != nil {
 		machine.replied(reply.Self, began)
-		machine.highest = max(machine.highest, reply.Highest)
+		machine.highest = max(machine.highest, reply.HighestPromised)
 		machine.learn(reply.Chosen)
 	}
 	if machine.proposal != proposal {
@@ -155,7 +155,7 @@
 }
 
 // standsFor tells whether the reply of a folder counts as a member's.
-func (machine *machine) standsFor(reply *tierv1.PromiseReply, member *tierv1.Member) bool {
+func (machine *machine) standsFor(reply *tierv1.PrepareReply, member *tierv1.Member) bool {
 	return voter(member, reply.Self.Folder, reply.Self.Address, reply.Genesis)
 }
 
@@ -295,7 +295,7 @@
 }
 
 // eligible tells whether this folder's copy holds all that was acknowledged before and under a record.
-func (machine *machine) eligible(base *tierv1.Record) bool {
+func (machine *machine) eligible(base *tierv1.View) bool {
 	return base != nil && (base.Epoch == 0 || named(base, machine.Folder) && machine.copyEpoch >= base.Epoch)
 }
 
--- a/internal/tier/consensus/quorum.go
+++ b/internal/tier/consensus/quorum.go
@@ -40,7 +40,7 @@
 }
 
 // configurations are the sets of members of which a record needs a majority each.
-func configurations(records ...*tierv1.Record) (sets [][]*tierv1.Member) {
+func configurations(records ...*tierv1.View) (sets [][]*tierv1.Member) {
 	for _, r := range records {
 		if r == nil {
 			continue
@@ -70,12 +70,12 @@
 }
 
 // named tells whether a record names a folder as primary or backup.
-func named(r *tierv1.Record, folder string) bool {
+func named(r *tierv1.View, folder string) bool {
 	return r != nil && (r.Primary == folder || slices.Contains(r.Backups, folder))
 }
 
 // epochOf is the epoch of a record; 0 of none.
-func epochOf(r *tierv1.Record) uint64 {
+func epochOf(r *tierv1.View) uint64 {
 	if r == nil {
 		return 0
 	}
@@ -83,7 +83,7 @@
 }
 
 // newest is the record of the higher epoch; a where they are equal, nil where both are.
-func newest(a, b *tierv1.Record) *tierv1.Record {
+func newest(a, b *tierv1.View) *tierv1.View {
 	if a == nil || b != nil && b.Epoch > a.Epoch {
 		return b
 	}
--- a/internal/tier/consensus/register.go
+++ b/internal/tier/consensus/register.go
@@ -11,9 +11,9 @@
 
 // promise answers whether this folder will from now on refuse what is below an epoch. Epoch 0 only asks whether it
 // would (so that a node that cannot win takes no promises), and what it knows.
-func (machine *machine) promise(request *tierv1.PromiseRequest) *tierv1.PromiseReply {
+func (machine *machine) promise(request *tierv1.PrepareRequest) *tierv1.PrepareReply {
 	machine.met(request.From)
-	reply := &tierv1.PromiseReply{Self: machine.self, Genesis: machine.Genesis, Sequence: machine.sequence}
+	reply := &tierv1.PrepareReply{Self: machine.self, Genesis: machine.Genesis, Sequence: machine.sequence}
 	if request.Epoch > 0 {
 		machine.highest = max(machine.highest, request.Epoch)
 	}
@@ -24,7 +24,7 @@
 	if reply.Promised && request.Epoch > 0 {
 		machine.grantPromise(request.Epoch, request.From.Folder)
 	}
-	reply.Highest, reply.Accepted, reply.Chosen = machine.promised, machine.accepted, machine.chosen
+	reply.HighestPromised, reply.Accepted, reply.Chosen = machine.promised, machine.accepted, machine.chosen
 	return reply
 }
 
@@ -70,11 +70,11 @@
 func (machine *machine) accept(request *tierv1.AcceptRequest) *tierv1.AcceptReply {
 	machine.met(request.From)
 	reply := &tierv1.AcceptReply{}
-	if request.Record != nil && request.From != nil && request.Record.Primary == request.From.Folder && machine.bound(request.Record.Epoch, request.From.Folder) {
+	if request.View != nil && request.From != nil && request.View.Primary == request.From.Folder && machine.bound(request.View.Epoch, request.From.Folder) {
 		reply.Accepted = true
-		machine.acceptRecord(request.Record)
+		machine.acceptRecord(request.View)
 	}
-	reply.Highest = machine.promised
+	reply.HighestPromised = machine.promised
 	return reply
 }
 
@@ -84,7 +84,7 @@
 }
 
 // acceptRecord records that a record is accepted.
-func (machine *machine) acceptRecord(record *tierv1.Record) {
+func (machine *machine) acceptRecord(record *tierv1.View) {
 	if epochOf(machine.accepted) == record.Epoch {
 		return // doubled
 	}
@@ -95,9 +95,9 @@
 // heartbeat takes notice of a primary.
 func (machine *machine) heartbeat(request *tierv1.HeartbeatRequest) *tierv1.HeartbeatReply {
 	machine.met(request.From)
-	machine.learn(request.Record)
+	machine.learn(request.View)
 	record := machine.chosen
-	if record != nil && request.Record != nil && request.From != nil && request.Record.Epoch == record.Epoch && request.From.Folder == record.Primary && machine.primary == nil {
+	if record != nil && request.View != nil && request.From != nil && request.View.Epoch == record.Epoch && request.From.Folder == record.Primary && machine.primary == nil {
 		// One who is about to take over has this folder's promise: the heartbeats of the primary before it count no more.
 		if machine.promised <= record.Epoch || machine.promisedTo == request.From.Folder || machine.now-machine.granted > machine.timing.silence {
 			machine.observedAt, machine.observed = machine.now, true
@@ -111,29 +111,29 @@
 			}
 		}
 	}
-	return &tierv1.HeartbeatReply{Self: machine.self, Highest: machine.promised, Sequence: machine.sequence, Member: machine.isVoter(machine.knownMembers())}
+	return &tierv1.HeartbeatReply{Self: machine.self, HighestPromised: machine.promised, Sequence: machine.sequence, IsMember: machine.isVoter(machine.knownMembers())}
 }
 
 // write takes a write of the primary into the copy.
 func (machine *machine) write(request *tierv1.WriteRequest) *tierv1.WriteReply {
-	reply := &tierv1.WriteReply{Highest: machine.promised}
+	reply := &tierv1.WriteReply{HighestPromised: machine.promised}
 	if !machine.bound(request.Epoch, request.From) || request.From == machine.Folder || request.Epoch < machine.copyEpoch {
 		return reply
 	}
-	if !request.Whole {
+	if !request.Snapshot {
 		switch {
-		case machine.copyEpoch != request.Epoch || machine.sequence < request.Base:
+		case machine.copyEpoch != request.Epoch || machine.sequence < request.PreviousSequence:
 			reply.Behind = true
 			return reply
 		case machine.sequence >= request.Sequence: // doubled, or it only asks whether the epoch stands
-			reply.Taken = true
+			reply.Acknowledged = true
 			return reply
-		case machine.sequence != request.Base:
+		case machine.sequence != request.PreviousSequence:
 			reply.Behind = true
 			return reply
 		}
 	} else if machine.copyEpoch == request.Epoch && machine.sequence >= request.Sequence {
-		reply.Taken = true // doubled, or overtaken by the writes that followed it
+		reply.Acknowledged = true // doubled, or overtaken by the writes that followed it
 		return reply
 	}
 	if !fitsRecord(request) { // of a program without StateLimit
@@ -143,7 +143,7 @@
 	machine.apply(request)
 	machine.store(encodeMessage(kindWrite, request), true)
 	machine.out.changed = true
-	reply.Taken = true
+	reply.Acknowledged = true
 	return reply
 }
 
@@ -157,7 +157,7 @@
 			}
 		}
 	}
-	return &tierv1.JoinReply{Primary: machine.primary != nil, Record: machine.chosen}
+	return &tierv1.JoinReply{IsPrimary: machine.primary != nil, View: machine.chosen}
 }
 
 // askToJoin tells all known processes of this one, and learns the newest chosen record from their answers.
@@ -172,7 +172,7 @@
 			if peer := machine.peers[address]; peer != nil && peer.member != nil {
 				machine.replied(peer.member, began)
 			}
-			machine.learn(reply.Record)
+			machine.learn(reply.View)
 		})
 	}
 }
--- a/internal/tier/consensus/repeat_test.go
+++ b/internal/tier/consensus/repeat_test.go
@@ -17,11 +17,11 @@
 	for name, needed := range map[string]func(body proto.Message) bool{
 		"accept": func(body proto.Message) bool {
 			request, ok := body.(*tierv1.AcceptRequest)
-			return ok && len(request.Record.Former) > 0
+			return ok && len(request.View.Former) > 0
 		},
 		"copies": func(body proto.Message) bool {
 			request, ok := body.(*tierv1.WriteRequest)
-			return ok && request.Whole
+			return ok && request.Snapshot
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/tier/consensus/round.go
+++ b/internal/tier/consensus/round.go
@@ -46,14 +46,14 @@
 	if primary == nil || primary.round != nil || machine.proposal != nil || len(primary.queue) == 0 || machine.promised != primary.record.Epoch {
 		return // after a promise of its own for a higher epoch only a record of that epoch or above lets it write again
 	}
-	request := &tierv1.WriteRequest{Epoch: primary.record.Epoch, Base: machine.sequence, Sequence: machine.sequence, From: machine.Folder}
+	request := &tierv1.WriteRequest{Epoch: primary.record.Epoch, PreviousSequence: machine.sequence, Sequence: machine.sequence, From: machine.Folder}
 	round := &round{need: make(map[string]bool)}
 	round.waiters, primary.queue = machine.gather(request, primary.queue)
 	if len(round.waiters) == 0 {
 		return // all were refused
 	}
 	primary.round = round
-	if request.Sequence > request.Base {
+	if request.Sequence > request.PreviousSequence {
 		machine.store(encodeMessage(kindWrite, request), true)
 	}
 	for _, folder := range primary.record.Backups {
@@ -100,7 +100,7 @@
 }
 
 // sendWrite sends a write to a backup of the record, and the whole state where its copy is behind.
-func (machine *machine) sendWrite(record *tierv1.Record, folder string, request *tierv1.WriteRequest) {
+func (machine *machine) sendWrite(record *tierv1.View, folder string, request *tierv1.WriteRequest) {
 	i := slices.IndexFunc(record.Members, func(v *tierv1.Member) bool { return v.Folder == folder })
 	if i < 0 {
 		return
@@ -116,7 +116,7 @@
 		switch {
 		case reply == nil:
 			primary.lost[folder] = true
-		case reply.Taken:
+		case reply.Acknowledged:
 			primary.confirmed[folder] = max(primary.confirmed[folder], began)
 			if primary.round == round && round != nil {
 				delete(round.need, folder)
@@ -127,9 +127,9 @@
 		case reply.Behind:
 			machine.sendWrite(record, folder, machine.whole(record.Epoch))
 		default: // it has promised another, or it is another folder
-			machine.highest = max(machine.highest, reply.Highest)
-			primary.renew = primary.renew || reply.Highest > record.Epoch
-			primary.lost[folder] = primary.lost[folder] || reply.Highest < record.Epoch
+			machine.highest = max(machine.highest, reply.HighestPromised)
+			primary.renew = primary.renew || reply.HighestPromised > record.Epoch
+			primary.lost[folder] = primary.lost[folder] || reply.HighestPromised < record.Epoch
 		}
 	})
 }
--- a/internal/tier/consensus/server.go
+++ b/internal/tier/consensus/server.go
@@ -40,8 +40,8 @@
 	}
 }
 
-func (server server) Promise(ctx context.Context, request *tierv1.PromiseRequest) (*tierv1.PromiseReply, error) {
-	return serve[*tierv1.PromiseReply](ctx, server.node, request)
+func (server server) Promise(ctx context.Context, request *tierv1.PrepareRequest) (*tierv1.PrepareReply, error) {
+	return serve[*tierv1.PrepareReply](ctx, server.node, request)
 }
 
 func (server server) Accept(ctx context.Context, request *tierv1.AcceptRequest) (*tierv1.AcceptReply, error) {
@@ -81,7 +81,7 @@
 // invoke makes the call of a node that a request is for.
 func invoke(ctx context.Context, client tierv1.Election, body proto.Message) (proto.Message, error) {
 	switch q := body.(type) {
-	case *tierv1.PromiseRequest:
+	case *tierv1.PrepareRequest:
 		return client.Promise(ctx, q)
 	case *tierv1.AcceptRequest:
 		return client.Accept(ctx, q)
--- a/internal/tier/consensus/size_test.go
+++ b/internal/tier/consensus/size_test.go
@@ -161,7 +161,7 @@
 	queue := []waiter{half(1), {token: 2}, {token: 3, sets: map[string][]byte{"k": valueFor("k", limitInTests+1)}}, half(4), half(5), {token: 6}, half(7)}
 	rounds := [][]uint64{{1, 2, 4}, {5, 6, 7}}
 	for _, want := range rounds {
-		q := &tierv1.WriteRequest{Epoch: 7, Base: m.sequence, Sequence: m.sequence}
+		q := &tierv1.WriteRequest{Epoch: 7, PreviousSequence: m.sequence, Sequence: m.sequence}
 		var begun []waiter
 		begun, queue = m.gather(q, queue)
 		var got []uint64
@@ -169,7 +169,7 @@
 			got = append(got, w.token)
 		}
 		assert.DeepEqual(t, got, want)
-		assert.Equal(t, q.Sequence, q.Base+2)
+		assert.Equal(t, q.Sequence, q.PreviousSequence+2)
 		assert.Equal(t, m.sequence, q.Sequence)
 		assert.Assert(t, proto.Size(q) <= limitInTests)
 		assert.Equal(t, m.size, limitInTests/2)
@@ -185,7 +185,7 @@
 	random := rand.New(rand.NewPCG(5, 6))
 	var d durable
 	for range 2000 {
-		w := &tierv1.WriteRequest{Whole: random.IntN(50) == 0, Sequence: d.sequence + 1}
+		w := &tierv1.WriteRequest{Snapshot: random.IntN(50) == 0, Sequence: d.sequence + 1}
 		for range random.IntN(4) { // also doubled keys, and removals of what is not there
 			w.Entries = append(w.Entries, &tierv1.Entry{Key: fmt.Sprint(random.IntN(12)), Value: make([]byte, random.IntN(40))})
 		}
@@ -223,17 +223,17 @@
 func TestWriteThatFitsNoRecordIsNotTaken(t *testing.T) {
 	d := durable{identity: identity{Folder: "fa"}, promised: 1 << epochBits, promisedTo: "fb"}
 	m := newMachine(d, &tierv1.Member{Address: "a"}, nil, 1, timings(3*time.Second, 0), 1)
-	q := &tierv1.WriteRequest{Epoch: 1 << epochBits, Sequence: 1, Whole: true, From: "fb",
+	q := &tierv1.WriteRequest{Epoch: 1 << epochBits, Sequence: 1, Snapshot: true, From: "fb",
 		Entries: []*tierv1.Entry{{Key: "k", Value: make([]byte, wal.MaxRecord)}}}
 	out := m.Step(time.Second, request{1, q})
 	assert.Equal(t, len(out.records), 0)
 	a := out.replies[0].body.(*tierv1.WriteReply)
-	assert.Assert(t, !a.Taken && !a.Behind)
+	assert.Assert(t, !a.Acknowledged && !a.Behind)
 	assert.Equal(t, len(m.data), 0)
 	assert.Equal(t, m.sequence, uint64(0))
 	q.Entries[0].Value = []byte("v")
 	out = m.Step(2*time.Second, request{2, q})
-	assert.Assert(t, out.replies[0].body.(*tierv1.WriteReply).Taken)
+	assert.Assert(t, out.replies[0].body.(*tierv1.WriteReply).Acknowledged)
 }
 
 // A record that the file refuses as too large is no failing disk: the node goes on from its file with all that was
--- a/internal/tier/consensus/store.go
+++ b/internal/tier/consensus/store.go
@@ -28,7 +28,7 @@
 	// Hint is the internal address of the primary as known, or empty.
 	Hint() string
 	// Record is the newest record known to be chosen, or nil.
-	Record() *tierv1.Record
+	Record() *tierv1.View
 	// Members are all control plane folders that are known and alive, or members of the record.
 	Members() []*tierv1.Member
 	// Self is this folder. It has no Folder until the disk could be written for the first time.
--- a/internal/tier/consensus/stored_test.go
+++ b/internal/tier/consensus/stored_test.go
@@ -97,7 +97,7 @@
 	return listing.String()
 }
 
-func listStoredRecord(record *tierv1.Record) string {
+func listStoredRecord(record *tierv1.View) string {
 	if record == nil {
 		return "none"
 	}
--- a/internal/tier/consensus/target.go
+++ b/internal/tier/consensus/target.go
@@ -14,7 +14,7 @@
 // could choose beside it.
 func (machine *machine) decide() {
 	proposal := machine.proposal
-	target := &tierv1.Record{Epoch: proposal.epoch, Primary: machine.Folder, Members: machine.fill(proposal.base.Members)}
+	target := &tierv1.View{Epoch: proposal.epoch, Primary: machine.Folder, Members: machine.fill(proposal.base.Members)}
 	switch chosen := proposal.base.Epoch == epochOf(machine.known()); {
 	case !chosen:
 		target.Former = machine.fill(proposal.base.Former)
@@ -131,7 +131,7 @@
 	machine.call(to.Address, machine.whole(proposal.epoch), true, func(body proto.Message) {
 		reply, _ := body.(*tierv1.WriteReply)
 		if reply != nil {
-			machine.highest = max(machine.highest, reply.Highest)
+			machine.highest = max(machine.highest, reply.HighestPromised)
 		}
 		if machine.proposal != proposal {
 			return
@@ -139,7 +139,7 @@
 		switch {
 		case reply == nil:
 			proposal.bad[to.Folder], proposal.silent[to.Folder] = true, true
-		case reply.Taken:
+		case reply.Acknowledged:
 			proposal.confirmed[to.Folder] = began
 		default:
 			proposal.bad[to.Folder] = true
@@ -152,10 +152,10 @@
 	proposal := machine.proposal
 	proposal.open++
 	began := machine.now
-	machine.call(to.Address, &tierv1.AcceptRequest{Record: proposal.target, From: machine.self}, false, func(body proto.Message) {
+	machine.call(to.Address, &tierv1.AcceptRequest{View: proposal.target, From: machine.self}, false, func(body proto.Message) {
 		reply, _ := body.(*tierv1.AcceptReply)
 		if reply != nil {
-			machine.highest = max(machine.highest, reply.Highest)
+			machine.highest = max(machine.highest, reply.HighestPromised)
 		}
 		if machine.proposal != proposal {
 			return
--- a/internal/tier/consensus/view.go
+++ b/internal/tier/consensus/view.go
@@ -13,7 +13,7 @@
 	alone     bool // no backups to be asked
 	confirmed time.Duration
 	data      map[string]*tierv1.Entry
-	record    *tierv1.Record
+	record    *tierv1.View
 	hint      string
 	members   []*tierv1.Member
 	self      *tierv1.Member
@@ -67,7 +67,7 @@
 }
 
 // Record implements Store.
-func (node *Node) Record() *tierv1.Record {
+func (node *Node) Record() *tierv1.View {
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	return node.view.record
--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -38,8 +38,8 @@
 	ackedAt      map[string]time.Duration
 	ackedUnder   map[string]uint64 // epoch
 	refused      map[string]bool
-	chosen       map[uint64]*tierv1.Record
-	top          *tierv1.Record
+	chosen       map[uint64]*tierv1.View
+	top          *tierv1.View
 	wiped        map[string]bool
 	delivered    func(to *site, body proto.Message) // sees each message as it comes
 	faults       []string
@@ -106,14 +106,14 @@
 	paused   bool // stopped, as by SIGSTOP: nothing runs, what comes in waits
 	stalled  bool // its disk hangs: a sync that has begun does not end
 	resumed  []func()
-	seen     *tierv1.Record
+	seen     *tierv1.View
 	led      uint64 // epoch of its newest leadership
 }
 
 func newWorld(seed uint64, n, losses int) *world {
 	w := &world{random: rand.New(rand.NewPCG(seed, 7)), cuts: make(map[[2]string]bool), losses: losses, window: 3 * time.Second,
 		waiting: make(map[uint64]*operation), replying: make(map[uint64]func(proto.Message)), acked: make(map[string]uint64), ackedAt: make(map[string]time.Duration), ackedUnder: make(map[string]uint64),
-		refused: make(map[string]bool), chosen: make(map[uint64]*tierv1.Record), wiped: make(map[string]bool), now: time.Millisecond}
+		refused: make(map[string]bool), chosen: make(map[uint64]*tierv1.View), wiped: make(map[string]bool), now: time.Millisecond}
 	for i := range n {
 		w.sites = append(w.sites, &site{world: w, member: &tierv1.Member{Address: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%3), Region: "r"}})
 		if i < 3 {
@@ -220,7 +220,7 @@
 	if w.top == nil || len(w.top.Members) < 2*w.losses+1 || len(w.top.Former) > 0 || len(w.top.Backups) < w.losses {
 		return false
 	}
-	records := []*tierv1.Record{w.top}
+	records := []*tierv1.View{w.top}
 	for _, s := range w.sites {
 		if s.m == nil {
 			return false
--- a/internal/tier/controlplane/answer.go
+++ b/internal/tier/controlplane/answer.go
@@ -135,11 +135,11 @@
 	ctx, cancel := context.WithTimeout(ctx, probeLimit)
 	defer cancel()
 	reply, err := plane.Dial(address).Watch(ctx, lookRequest())
-	return err == nil && reply.Primary
+	return err == nil && reply.IsPrimary
 }
 
 // lookRequest is of one that only asks who is the primary: it claims to have all that there is, and so is brought nothing.
 func lookRequest() *tierv1.WatchRequest {
 	const all = 1<<64 - 1
-	return &tierv1.WatchRequest{Configuration: all, Endpoints: all, PartitionMap: all, Members: all}
+	return &tierv1.WatchRequest{ConfigurationVersion: all, EndpointsVersion: all, PartitionMapVersion: all, MembersVersion: all}
 }
--- a/internal/tier/controlplane/answers_test.go
+++ b/internal/tier/controlplane/answers_test.go
@@ -52,7 +52,7 @@
 }
 
 func (l look) Watch(context.Context, *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
-	return &tierv1.WatchReply{Primary: l.primary}, l.err
+	return &tierv1.WatchReply{IsPrimary: l.primary}, l.err
 }
 
 // TestAnswersByProcess is the table of docs/design/hardening/1-answers.md: which answer each call gets from each kind of
--- a/internal/tier/controlplane/assign.go
+++ b/internal/tier/controlplane/assign.go
@@ -36,7 +36,7 @@
 // Report is a turn store's report, From by its folder, that a copy holds all that was acknowledged, synced on its disk.
 type Report struct {
 	From string
-	Copy *tierv1.SyncedCopy
+	Copy *tierv1.SyncedReplica
 }
 
 // Input is what the partition map is made from, beside the map before.
@@ -119,7 +119,7 @@
 	if len(a.RecoverFrom) > 0 && !slices.Equal(a.RecoverFrom, b.RecoverFrom) {
 		return false // the primary begins its term anew
 	}
-	return a.Primary == b.Primary && slices.EqualFunc(a.Backups, b.Backups, func(x, y *tierv1.Copy) bool { return x.Folder == y.Folder })
+	return a.Primary == b.Primary && slices.EqualFunc(a.Backups, b.Backups, func(x, y *tierv1.Replica) bool { return x.Folder == y.Folder })
 }
 
 // assignment is one run of Assign.
@@ -250,7 +250,7 @@
 	return all
 }
 
-func backup(p *tierv1.Partition, folder string) *tierv1.Copy {
+func backup(p *tierv1.Partition, folder string) *tierv1.Replica {
 	for _, c := range p.Backups {
 		if c.Folder == folder {
 			return c
@@ -303,7 +303,7 @@
 		p.Primary = a.pick(p)
 		for range a.Losses {
 			if next := a.pick(p); next != "" {
-				p.Backups = append(p.Backups, &tierv1.Copy{Folder: next, Synced: true})
+				p.Backups = append(p.Backups, &tierv1.Replica{Folder: next, Synced: true})
 			}
 		}
 	}
--- a/internal/tier/controlplane/assign_test.go
+++ b/internal/tier/controlplane/assign_test.go
@@ -123,7 +123,7 @@
 		w.assign(w.input())
 		under := 0
 		for i, p := range w.m.Partitions {
-			if slices.ContainsFunc(p.Backups, func(c *tierv1.Copy) bool { return !c.Synced }) {
+			if slices.ContainsFunc(p.Backups, func(c *tierv1.Replica) bool { return !c.Synced }) {
 				under++
 			}
 			whole := 0
@@ -245,10 +245,10 @@
 		for _, c := range p.Backups {
 			if !c.Synced {
 				w.reports = append(w.reports, []Report{
-					{p.Primary, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: p.Epoch - 1, Folder: c.Folder}},
-					{c.Folder, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: p.Epoch, Folder: c.Folder}},
-					{p.Primary, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: p.Epoch, Folder: "other"}},
-					{p.Primary, &tierv1.SyncedCopy{Partition: 1 << 20, Epoch: p.Epoch, Folder: c.Folder}},
+					{p.Primary, &tierv1.SyncedReplica{Partition: uint32(i), Epoch: p.Epoch - 1, Folder: c.Folder}},
+					{c.Folder, &tierv1.SyncedReplica{Partition: uint32(i), Epoch: p.Epoch, Folder: c.Folder}},
+					{p.Primary, &tierv1.SyncedReplica{Partition: uint32(i), Epoch: p.Epoch, Folder: "other"}},
+					{p.Primary, &tierv1.SyncedReplica{Partition: 1 << 20, Epoch: p.Epoch, Folder: c.Folder}},
 				}...)
 			}
 		}
--- a/internal/tier/controlplane/distant_test.go
+++ b/internal/tier/controlplane/distant_test.go
@@ -113,7 +113,7 @@
 	mu       sync.Mutex
 	inForce  int64  // revision
 	endpoint uint64 // version of the list
-	synced   []*tierv1.SyncedCopy
+	synced   []*tierv1.SyncedReplica
 	changed  chan struct{} // closed at the next change of synced
 }
 
@@ -146,11 +146,11 @@
 
 // copyAll has all copies of a turn store's partitions whole at once.
 func (p *distantProcess) copyAll(folder string, m *tierv1.PartitionMap) {
-	var synced []*tierv1.SyncedCopy
+	var synced []*tierv1.SyncedReplica
 	for i, one := range m.Partitions {
 		for _, c := range one.Backups {
 			if one.Primary == folder && !c.Synced {
-				synced = append(synced, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: one.Epoch, Folder: c.Folder})
+				synced = append(synced, &tierv1.SyncedReplica{Partition: uint32(i), Epoch: one.Epoch, Folder: c.Folder})
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 }
 
 // copies gives the copies that are whole.
-func (p *distantProcess) copies() ([]*tierv1.SyncedCopy, <-chan struct{}) {
+func (p *distantProcess) copies() ([]*tierv1.SyncedReplica, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.synced, p.changed
@@ -239,7 +239,7 @@
 		for _, hold := range []time.Duration{0, window / 60, window / 20, longest, window} {
 			r := newRegistry(window)
 			now := time.Now()
-			req := &tierv1.WatchRequest{Role: role, Node: "n", Folder: "n.1", Life: "1", HoldMs: uint32(hold.Milliseconds())}
+			req := &tierv1.WatchRequest{Role: role, Node: "n", Folder: "n.1", Incarnation: "1", PollTimeoutMs: uint32(hold.Milliseconds())}
 			s, _ := r.enter(now, req)
 			r.leave(now.Add(min(hold, longest)), s, false)
 			bound := longest + window/lapsePart
--- a/internal/tier/controlplane/ejections.go
+++ b/internal/tier/controlplane/ejections.go
@@ -45,7 +45,7 @@
 // report takes a gateway's report of one instance, and tells whether all are to be told: enough gateways have reported it, or it is
 // one that they are told of, and the report comes from one that probes it.
 func (ejections *ejections) report(now time.Time, node, instance string, needed int) bool {
-	if told := ejections.find(now, instance); told != nil && !told.Restored && slices.Contains(told.Probers, node) {
+	if told := ejections.find(now, instance); told != nil && !told.Restored && slices.Contains(told.HealthCheckers, node) {
 		return true
 	}
 	reporters := ejections.reports[instance]
@@ -151,10 +151,10 @@
 	now := time.Now()
 	gateways := plane.sessions.gateways()
 	needed := min(ejectionReporters, max(1, len(gateways)))
-	for _, instance := range report.Instances {
+	for _, instance := range report.Ejected {
 		if plane.ejections.report(now, report.Node, instance, needed) {
 			ejection := &tierv1.Ejection{Instance: instance, Version: version(epoch, &plane.versions.ejections)}
-			ejection.Probers = probersOf(gateways, instance, ejection.Version)
+			ejection.HealthCheckers = probersOf(gateways, instance, ejection.Version)
 			plane.nextEjections = plane.ejections.tell(now, ejection)
 		}
 	}
@@ -165,7 +165,7 @@
 		}
 	}
 	plane.publishEjections(now)
-	return &tierv1.EjectionReportReply{Primary: true}, nil
+	return &tierv1.EjectionReportReply{IsPrimary: true}, nil
 }
 
 // publishEjections shows sessions what is to be told, now or as soon as the last publication is long enough ago. The lock is held.
--- a/internal/tier/controlplane/ejections_test.go
+++ b/internal/tier/controlplane/ejections_test.go
@@ -73,8 +73,8 @@
 		}
 		for i, takes := range []bool{true, true, false} {
 			request := lookRequest()
-			request.Node, request.Role, request.Life, request.HoldMs = fmt.Sprint("e", i), roleGateway, "a", 600
-			request.TakesEjections = takes
+			request.Node, request.Role, request.Incarnation, request.PollTimeoutMs = fmt.Sprint("e", i), roleGateway, "a", 600
+			request.AcceptsEjections = takes
 			mutex.Lock()
 			all = append(all, nil)
 			mutex.Unlock()
@@ -88,9 +88,9 @@
 		}
 		synctest.Wait()
 		for _, node := range []string{"e0", "e1"} {
-			reply, err := service.ReportEjections(r.ctx, &tierv1.EjectionReport{Node: node, Instances: []string{"i1"}})
+			reply, err := service.ReportEjections(r.ctx, &tierv1.EjectionReport{Node: node, Ejected: []string{"i1"}})
 			assert.NilError(t, err)
-			assert.Assert(t, reply.Primary)
+			assert.Assert(t, reply.IsPrimary)
 		}
 		time.Sleep(100 * time.Millisecond)
 		for i := range 2 {
@@ -101,9 +101,9 @@
 		time.Sleep(time.Second)
 		assert.Assert(t, replyTo(2).Ejections == nil)
 		r.s.set(func() { r.s.ok = false })
-		reply, err := service.ReportEjections(r.ctx, &tierv1.EjectionReport{Node: "e1", Instances: []string{"i1"}})
+		reply, err := service.ReportEjections(r.ctx, &tierv1.EjectionReport{Node: "e1", Ejected: []string{"i1"}})
 		assert.NilError(t, err)
-		assert.Assert(t, !reply.Primary)
+		assert.Assert(t, !reply.IsPrimary)
 	})
 }
 
@@ -113,13 +113,13 @@
 	now := time.Unix(0, 0)
 	e := newEjections(window)
 	gateways := []string{"e1", "e2", "e3", "e4", "e5"}
-	first := &tierv1.Ejection{Instance: "i1", Version: 1, Probers: probersOf(gateways, "i1", 1)}
-	assert.Equal(t, len(first.Probers), ejectionProbers)
+	first := &tierv1.Ejection{Instance: "i1", Version: 1, HealthCheckers: probersOf(gateways, "i1", 1)}
+	assert.Equal(t, len(first.HealthCheckers), ejectionProbers)
 	e.tell(now, first)
 	now = now.Add(window)
-	assert.Assert(t, e.report(now, first.Probers[0], "i1", 2))
+	assert.Assert(t, e.report(now, first.HealthCheckers[0], "i1", 2))
 	for _, node := range gateways {
-		if node != first.Probers[0] && node != first.Probers[1] {
+		if node != first.HealthCheckers[0] && node != first.HealthCheckers[1] {
 			assert.Assert(t, !e.report(now, node, "i1", 2))
 			break
 		}
@@ -129,7 +129,7 @@
 	assert.Assert(t, !e.restored(now, "i1"), "known")
 	assert.Assert(t, !e.restored(now, "i2"), "never told")
 	e.reports = map[string]map[string]time.Time{}
-	assert.Assert(t, !e.report(now, first.Probers[0], "i1", 2), "one alone, as of any")
+	assert.Assert(t, !e.report(now, first.HealthCheckers[0], "i1", 2), "one alone, as of any")
 	assert.Assert(t, !e.restored(now.Add(window+1), "i1"), "forgotten")
 	assert.DeepEqual(t, probersOf([]string{"e1"}, "i1", 1), []string{"e1"})
 	assert.Equal(t, len(probersOf(nil, "i1", 1)), 0)
--- a/internal/tier/controlplane/endpoint_list.go
+++ b/internal/tier/controlplane/endpoint_list.go
@@ -107,24 +107,24 @@
 // at gives the endpoint as it is now.
 func (one listedEndpoint) at(now time.Time) *tierv1.Endpoint {
 	elapsed := uint64(max(0, now.Sub(one.readAt)).Milliseconds())
-	cold := uint64(one.endpoint.ColdRemainingMs)
+	cold := uint64(one.endpoint.SlowStartRemainingMs)
 	if cold == 0 || elapsed == 0 {
 		return one.endpoint
 	}
 	warmer := proto.Clone(one.endpoint).(*tierv1.Endpoint)
-	warmer.ColdRemainingMs = uint32(cold - min(cold, elapsed))
+	warmer.SlowStartRemainingMs = uint32(cold - min(cold, elapsed))
 	return warmer
 }
 
 // sameEndpoint tells whether two entries differ in nothing but that b is warmer than a.
 func sameEndpoint(a, b *tierv1.Endpoint) bool {
-	if b.ColdRemainingMs > a.ColdRemainingMs {
+	if b.SlowStartRemainingMs > a.SlowStartRemainingMs {
 		return false
 	}
-	if a.ColdRemainingMs == b.ColdRemainingMs {
+	if a.SlowStartRemainingMs == b.SlowStartRemainingMs {
 		return proto.Equal(a, b)
 	}
 	c := proto.Clone(a).(*tierv1.Endpoint)
-	c.ColdRemainingMs = b.ColdRemainingMs
+	c.SlowStartRemainingMs = b.SlowStartRemainingMs
 	return proto.Equal(c, b)
 }
--- a/internal/tier/controlplane/endpoint_list_test.go
+++ b/internal/tier/controlplane/endpoint_list_test.go
@@ -154,15 +154,15 @@
 	now := time.Unix(1000, 0)
 	l.beginReading(now)
 	cold := entry("i1@a1")
-	cold.ColdRemainingMs = 2000
+	cold.SlowStartRemainingMs = 2000
 	l.takePage(now, []*tierv1.Endpoint{cold, entry("i2@a2")})
 	l.endReading(now)
 	l.push(now)
-	assert.Equal(t, l.list(now.Add(500 * time.Millisecond))[0].ColdRemainingMs, uint32(1500))
-	assert.Equal(t, l.list(now.Add(5 * time.Second))[0].ColdRemainingMs, uint32(0))
-	assert.Equal(t, cold.ColdRemainingMs, uint32(2000), "the entry that others hold was changed")
+	assert.Equal(t, l.list(now.Add(500 * time.Millisecond))[0].SlowStartRemainingMs, uint32(1500))
+	assert.Equal(t, l.list(now.Add(5 * time.Second))[0].SlowStartRemainingMs, uint32(0))
+	assert.Equal(t, cold.SlowStartRemainingMs, uint32(2000), "the entry that others hold was changed")
 	l.beginReading(now)
-	l.takePage(now.Add(time.Second), []*tierv1.Endpoint{{Instance: "i1", Address: "a1", ColdRemainingMs: 1000}})
+	l.takePage(now.Add(time.Second), []*tierv1.Endpoint{{Instance: "i1", Address: "a1", SlowStartRemainingMs: 1000}})
 	_, pending := l.pushDelay(now.Add(time.Second))
 	assert.Assert(t, !pending, "a list that only grew warmer is pushed")
 }
--- a/internal/tier/controlplane/endpoints.go
+++ b/internal/tier/controlplane/endpoints.go
@@ -99,7 +99,7 @@
 
 // endpointsFor gives the list as the caller can read it.
 func (v *view) endpointsFor(req *tierv1.WatchRequest) *tierv1.Endpoints {
-	if !req.UnpacksEndpoints {
+	if !req.AcceptsPackedEndpoints {
 		return v.endpoints
 	}
 	return v.packedList.get()
--- a/internal/tier/controlplane/endpoints_test.go
+++ b/internal/tier/controlplane/endpoints_test.go
@@ -33,7 +33,7 @@
 	leastWait := site().ContactWindow / 10 // session.graceOver
 	v := &view{}
 	v.setEndpoints(&tierv1.Endpoints{Version: 7, List: longList(3000)})
-	reply, some := v.replyFor(&tierv1.WatchRequest{UnpacksEndpoints: true})
+	reply, some := v.replyFor(&tierv1.WatchRequest{AcceptsPackedEndpoints: true})
 	assert.Assert(t, some)
 	bytes := proto.Size(reply)
 	took := time.Duration(float64(sessionCount*bytes) / linkPerSecond * float64(time.Second))
@@ -43,7 +43,7 @@
 
 // A list is packed once for all sessions that can read it; others, and short lists, get the entries as they are.
 func TestAListIsPackedOnceForThoseWhoReadIt(t *testing.T) {
-	reads := &tierv1.WatchRequest{UnpacksEndpoints: true}
+	reads := &tierv1.WatchRequest{AcceptsPackedEndpoints: true}
 	long, short := &view{}, &view{}
 	long.setEndpoints(&tierv1.Endpoints{Version: 7, List: longList(3000)})
 	short.setEndpoints(&tierv1.Endpoints{Version: 7, List: longList(3)})
--- a/internal/tier/controlplane/lapse_test.go
+++ b/internal/tier/controlplane/lapse_test.go
@@ -286,7 +286,7 @@
 		r.join(roleTurnStore, "v2", nil)
 		r.pass(3 * time.Second)
 		leaver.mu.Lock()
-		leaver.req.Leaving = true
+		leaver.req.Draining = true
 		leaver.mu.Unlock()
 		r.pass(time.Second)
 		leaver.end()
--- a/internal/tier/controlplane/limits_test.go
+++ b/internal/tier/controlplane/limits_test.go
@@ -122,8 +122,8 @@
 	for range partitionCount {
 		p := &tierv1.Partition{Primary: name(0), Epoch: 1 << 63, AcknowledgedUntil: 1 << 63}
 		for i := range maxRetained {
-			p.Backups = append(p.Backups, &tierv1.Copy{Folder: name(i), Since: 1 << 63, Synced: true})
-			p.Retained = append(p.Retained, &tierv1.RetainedCopy{Folder: name(i), Since: 1 << 63, Until: 1 << 63})
+			p.Backups = append(p.Backups, &tierv1.Replica{Folder: name(i), Since: 1 << 63, Synced: true})
+			p.Retained = append(p.Retained, &tierv1.RetainedReplica{Folder: name(i), Since: 1 << 63, Until: 1 << 63})
 			p.RecoverFrom = append(p.RecoverFrom, name(i))
 		}
 		m.Partitions = append(m.Partitions, p)
--- a/internal/tier/controlplane/lost_calls_test.go
+++ b/internal/tier/controlplane/lost_calls_test.go
@@ -94,10 +94,10 @@
 			withinSite(t, set, p, func(r *rig) {
 				r.pass(5 * time.Second)
 				gateway := r.join(roleGateway, "e1", nil)
-				before := gateway.has().Endpoints
+				before := gateway.has().EndpointsVersion
 				assert.Assert(t, before > 0)
 				shown := <-p.drainAfterItsPage(lost)
-				for gateway.has().Endpoints == before && time.Since(shown) < 2*set.DrainTimeout {
+				for gateway.has().EndpointsVersion == before && time.Since(shown) < 2*set.DrainTimeout {
 					r.pass(10 * time.Millisecond)
 				}
 				took := time.Since(shown)
@@ -169,10 +169,10 @@
 	withinSite(t, set, p, func(r *rig) {
 		r.pass(10 * time.Second)
 		gateway := r.join(roleGateway, "e1", nil)
-		before := gateway.has().Endpoints
+		before := gateway.has().EndpointsVersion
 		assert.Assert(t, before > 0, "the list was never read")
 		shown := <-p.drainAfterItsPage(nil)
-		for gateway.has().Endpoints == before && time.Since(shown) < time.Minute {
+		for gateway.has().EndpointsVersion == before && time.Since(shown) < time.Minute {
 			r.pass(10 * time.Millisecond)
 		}
 		// one interval of nine pages, and a reading of which some are spaced
--- a/internal/tier/controlplane/model_test.go
+++ b/internal/tier/controlplane/model_test.go
@@ -233,7 +233,7 @@
 			w.exchange(i, m.folder, c.Folder)
 		}
 		if !m.cut {
-			w.reports = append(w.reports, Report{m.folder, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: p.Epoch, Folder: c.Folder}})
+			w.reports = append(w.reports, Report{m.folder, &tierv1.SyncedReplica{Partition: uint32(i), Epoch: p.Epoch, Folder: c.Folder}})
 		}
 	}
 }
--- a/internal/tier/controlplane/operators_test.go
+++ b/internal/tier/controlplane/operators_test.go
@@ -183,7 +183,7 @@
 		took := time.Since(began)
 		assert.Assert(t, took >= 200*time.Millisecond && took < 300*time.Millisecond, "%v", took)
 		_, version := r.s.Get(keyConfiguration)
-		assert.Equal(t, slow.has().Configuration, version)
+		assert.Equal(t, slow.has().ConfigurationVersion, version)
 		// The same again is answered when they have it too.
 		assert.Equal(t, taken(fast), 2)
 		began = time.Now()
@@ -204,7 +204,7 @@
 		r.join(roleGateway, "e2", nil)
 		service := r.k.Sessions()
 		_, version := r.s.Get(keyConfiguration)
-		go service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e3", Role: roleGateway, Life: "x", Configuration: version, HoldMs: 500})
+		go service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e3", Role: roleGateway, Incarnation: "x", ConfigurationVersion: version, PollTimeoutMs: 500})
 		synctest.Wait()
 		began := time.Now()
 		status(t, r.replace(3, 4), 200)
--- a/internal/tier/controlplane/pace_test.go
+++ b/internal/tier/controlplane/pace_test.go
@@ -35,9 +35,9 @@
 	m := &tierv1.PartitionMap{
 		StoreNodes: []*tierv1.StoreNode{{Folder: "f1", Node: "n1"}, {Folder: "f2", Node: "n2"}, {Folder: "f3", Node: "n3"}},
 		Partitions: []*tierv1.Partition{
-			{Primary: "f1", Backups: []*tierv1.Copy{{Folder: "f2"}}},
-			{Primary: "f2", Backups: []*tierv1.Copy{{Folder: "f3"}}},
-			{Primary: "f3", Backups: []*tierv1.Copy{{Folder: "f1"}}},
+			{Primary: "f1", Backups: []*tierv1.Replica{{Folder: "f2"}}},
+			{Primary: "f2", Backups: []*tierv1.Replica{{Folder: "f3"}}},
+			{Primary: "f3", Backups: []*tierv1.Replica{{Folder: "f1"}}},
 		},
 		Retiring: []string{"n1", "n2", "gone"},
 	}
@@ -101,7 +101,7 @@
 		stores := map[string]*process{}
 		join := func(node string) {
 			stores[node] = r.join(roleTurnStore, node, func(p *process) {
-				p.copying, p.req.HoldMs = slowCopies, uint32(slowCopiesHold.Milliseconds())
+				p.copying, p.req.PollTimeoutMs = slowCopies, uint32(slowCopiesHold.Milliseconds())
 			})
 		}
 		for _, node := range []string{"v1", "v2", "v3"} {
--- a/internal/tier/controlplane/platform.go
+++ b/internal/tier/controlplane/platform.go
@@ -113,7 +113,7 @@
 			continue
 		}
 		one := &tierv1.Endpoint{Instance: i.Instance, Service: i.Service, Address: i.Address, Zone: i.Zone,
-			Capacity: whole32(i.Capacity), Draining: i.State == "draining", ColdRemainingMs: whole32(i.ColdForMs),
+			Capacity: whole32(i.Capacity), Draining: i.State == "draining", SlowStartRemainingMs: whole32(i.ColdForMs),
 			Revision: i.Revision, Phase: i.Phase}
 		for _, m := range i.Models {
 			one.Models = append(one.Models, &tierv1.Model{Name: m.Name, Revision: whole32(m.Revision)})
--- a/internal/tier/controlplane/platform_test.go
+++ b/internal/tier/controlplane/platform_test.go
@@ -77,27 +77,27 @@
 		one := v.endpoints.List[0]
 		assert.Assert(t, one.Instance == "i-1" && one.Draining && one.Capacity == 96 && one.Models[0].Name == "m" && one.Phase == "both")
 		gateway := r.join(roleGateway, "e1", nil)
-		assert.Equal(t, gateway.has().Endpoints, first)
+		assert.Equal(t, gateway.has().EndpointsVersion, first)
 
 		p.set(func() { p.pages[""] = listing("p-1", instance("i-2", "ready", 100)) })
 		r.pass(1100 * time.Millisecond)
 		now, _ := endpoints()
 		assert.Equal(t, now, first, "a list that only grew warmer was pushed")
 		v, _ = r.k.snapshot()
-		assert.Equal(t, v.endpoints.List[1].ColdRemainingMs, uint32(100))
+		assert.Equal(t, v.endpoints.List[1].SlowStartRemainingMs, uint32(100))
 
 		p.set(func() { delete(p.pages, "p-1"); p.pages[""] = listing("p-1", instance("i-3", "ready", 0)) })
 		r.pass(5 * time.Second)
 		now, n = endpoints()
 		// What the page tells is published once, and what is missing is not gone by a list read in part.
 		assert.Assert(t, now == first+1 && n == 3, "version %d after %d, %d endpoints", now, first, n)
-		assert.Equal(t, gateway.has().Endpoints, now)
+		assert.Equal(t, gateway.has().EndpointsVersion, now)
 
 		p.set(func() { p.pages["p-1"] = listing("null") })
 		r.pass(4 * time.Second)
 		now, n = endpoints()
 		assert.Assert(t, now == first+2 && n == 1)
-		assert.Equal(t, gateway.has().Endpoints, now)
+		assert.Equal(t, gateway.has().EndpointsVersion, now)
 
 		p.set(func() { p.code = 429 })
 		before := p.count()
--- a/internal/tier/controlplane/rebalance.go
+++ b/internal/tier/controlplane/rebalance.go
@@ -14,7 +14,7 @@
 func (a *assignment) movesUnderWay() int {
 	n := 0
 	for i, p := range a.m.Partitions {
-		if a.alive(p.Primary) && !a.Slow[uint32(i)] && slices.ContainsFunc(p.Backups, func(c *tierv1.Copy) bool { return !c.Synced }) {
+		if a.alive(p.Primary) && !a.Slow[uint32(i)] && slices.ContainsFunc(p.Backups, func(c *tierv1.Replica) bool { return !c.Synced }) {
 			n++
 		}
 	}
@@ -111,7 +111,7 @@
 // addReplacement adds a copy right behind the one whose place it takes.
 func (a *assignment) addReplacement(p *tierv1.Partition, from, to string) bool {
 	at := slices.Index(members(p), from)
-	p.Backups = slices.Insert(p.Backups, at, &tierv1.Copy{Folder: to})
+	p.Backups = slices.Insert(p.Backups, at, &tierv1.Replica{Folder: to})
 	return true
 }
 
--- a/internal/tier/controlplane/registry.go
+++ b/internal/tier/controlplane/registry.go
@@ -35,8 +35,8 @@
 	lapse                                  time.Duration // how long it stands after its last call was answered
 	seen, ended                            time.Time
 	broken, leaving                        bool
-	synced                                 []*tierv1.SyncedCopy // reported last
-	disk                                   tierv1.DiskState     // of a turn store, as told last
+	synced                                 []*tierv1.SyncedReplica // reported last
+	disk                                   tierv1.DiskState        // of a turn store, as told last
 }
 
 func newRegistry(window time.Duration) registry {
@@ -50,11 +50,11 @@
 	}
 	at := place{req.Node, req.Role}
 	s = r.of[at]
-	if s == nil || s.life != req.Life {
+	if s == nil || s.life != req.Incarnation {
 		if s != nil && s.storeNode != nil && s.storeNode.Folder != req.Folder {
 			r.former[s.storeNode.Folder] = true
 		}
-		s = &session{place: at, life: req.Life}
+		s = &session{place: at, life: req.Incarnation}
 		r.of[at] = s
 		fresh = true
 	}
@@ -66,19 +66,19 @@
 			s.storeNode = &tierv1.StoreNode{Folder: req.Folder, Node: req.Node, Address: req.Address, Zone: req.Zone, Region: req.Region}
 		}
 		disk := diskOf(req)
-		fresh = fresh || req.Leaving != s.leaving || disk != s.disk || len(req.Synced) != len(s.synced)
+		fresh = fresh || req.Draining != s.leaving || disk != s.disk || len(req.Synced) != len(s.synced)
 		for i := 0; !fresh && i < len(req.Synced); i++ {
 			a, b := req.Synced[i], s.synced[i]
 			fresh = a.Partition != b.Partition || a.Epoch != b.Epoch || a.Folder != b.Folder
 		}
 		s.synced, s.disk = req.Synced, disk
 	}
-	if s.configuration != req.Configuration && r.acked != nil {
+	if s.configuration != req.ConfigurationVersion && r.acked != nil {
 		close(r.acked)
 		r.acked = nil
 	}
-	s.address, s.leaving = req.Address, req.Leaving
-	s.configuration, s.endpoints, s.partitionMap = req.Configuration, req.Endpoints, req.PartitionMap
+	s.address, s.leaving = req.Address, req.Draining
+	s.configuration, s.endpoints, s.partitionMap = req.ConfigurationVersion, req.EndpointsVersion, req.PartitionMapVersion
 	s.held++
 	s.seen, s.lapse = now, r.lapseAfter(req)
 	return s, fresh
@@ -92,7 +92,7 @@
 	if req.Role == roleTurnStore {
 		longest = r.window / turnStoreHoldPart
 	}
-	hold := time.Duration(req.HoldMs) * time.Millisecond
+	hold := time.Duration(req.PollTimeoutMs) * time.Millisecond
 	return r.window/lapsePart + max(0, longest-hold)
 }
 
@@ -102,7 +102,7 @@
 	if req.Disk != tierv1.DiskState_DISK_UNSPECIFIED {
 		return req.Disk
 	}
-	if slices.ContainsFunc(req.Synced, func(c *tierv1.SyncedCopy) bool { return c.Folder == req.Folder }) {
+	if slices.ContainsFunc(req.Synced, func(c *tierv1.SyncedReplica) bool { return c.Folder == req.Folder }) {
 		return tierv1.DiskState_DISK_FAILING
 	}
 	return tierv1.DiskState_DISK_UNSPECIFIED
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -29,7 +29,7 @@
 		a.removeBackup(p, c.Folder)
 		if a.stayingCopies(p) <= a.Losses {
 			if next := a.spare(p); next != "" {
-				p.Backups = append(p.Backups, &tierv1.Copy{Folder: next})
+				p.Backups = append(p.Backups, &tierv1.Replica{Folder: next})
 			} else if a.aliveCopies(p) <= a.Losses && a.waitsFor(c.Folder) {
 				p.Backups = before
 				continue
@@ -49,7 +49,7 @@
 		a.addCopy(p, next)
 	}
 	for next := a.standIn(p); next != ""; next = a.standIn(p) {
-		p.Backups = append(p.Backups, &tierv1.Copy{Folder: next})
+		p.Backups = append(p.Backups, &tierv1.Replica{Folder: next})
 	}
 	a.trim(p)
 	a.pruneRetained(p)
@@ -112,7 +112,7 @@
 			break
 		}
 	}
-	p.Backups = slices.Insert(p.Backups, at, &tierv1.Copy{Folder: folder})
+	p.Backups = slices.Insert(p.Backups, at, &tierv1.Replica{Folder: folder})
 }
 
 // retarget tries other turn stores for a copy that doesn't get on: its primary or the copy's turn store may be out of reach of
@@ -238,7 +238,7 @@
 }
 
 func (a *assignment) removeBackup(p *tierv1.Partition, folder string) {
-	p.Backups = slices.DeleteFunc(p.Backups, func(c *tierv1.Copy) bool { return c.Folder == folder })
+	p.Backups = slices.DeleteFunc(p.Backups, func(c *tierv1.Replica) bool { return c.Folder == folder })
 }
 
 // trim drops what a partition has beyond its copies, once enough others are synced.
--- a/internal/tier/controlplane/retain.go
+++ b/internal/tier/controlplane/retain.go
@@ -31,16 +31,16 @@
 	if a.replaced[folder] || since > until {
 		return
 	}
-	p.Retained = slices.DeleteFunc(p.Retained, func(r *tierv1.RetainedCopy) bool {
+	p.Retained = slices.DeleteFunc(p.Retained, func(r *tierv1.RetainedReplica) bool {
 		if r.Folder != folder || since > r.Until+1 {
 			return false
 		}
 		since = min(since, r.Since) // the spans follow each other
 		return true
 	})
-	p.Retained = append(p.Retained, &tierv1.RetainedCopy{Folder: folder, Since: since, Until: until})
+	p.Retained = append(p.Retained, &tierv1.RetainedReplica{Folder: folder, Since: since, Until: until})
 	if len(p.Retained) > maxRetained {
-		oldest := max(0, slices.IndexFunc(p.Retained, func(r *tierv1.RetainedCopy) bool { return r.Since > 0 }))
+		oldest := max(0, slices.IndexFunc(p.Retained, func(r *tierv1.RetainedReplica) bool { return r.Since > 0 }))
 		p.Retained = slices.Delete(p.Retained, oldest, oldest+1)
 	}
 }
@@ -51,7 +51,7 @@
 		p.Retained = nil
 		return
 	}
-	p.Retained = slices.DeleteFunc(p.Retained, func(r *tierv1.RetainedCopy) bool { return a.replaced[r.Folder] })
+	p.Retained = slices.DeleteFunc(p.Retained, func(r *tierv1.RetainedReplica) bool { return a.replaced[r.Folder] })
 }
 
 // recoverPrimary gives a partition whose synced copies are all lost a primary out of copies that are alive and hold
@@ -75,7 +75,7 @@
 	}
 	for _, folder := range p.RecoverFrom {
 		if backup(p, folder) == nil {
-			p.Backups = append(p.Backups, &tierv1.Copy{Folder: folder})
+			p.Backups = append(p.Backups, &tierv1.Replica{Folder: folder})
 		}
 	}
 	return true
@@ -87,11 +87,11 @@
 	spans := slices.Clone(p.Retained)
 	for _, c := range p.Backups {
 		if !c.Synced {
-			spans = append(spans, &tierv1.RetainedCopy{Folder: c.Folder, Since: c.Since, Until: until})
+			spans = append(spans, &tierv1.RetainedReplica{Folder: c.Folder, Since: c.Since, Until: until})
 		}
 	}
 	for next := uint64(0); next <= until; {
-		var best *tierv1.RetainedCopy
+		var best *tierv1.RetainedReplica
 		for _, r := range spans {
 			if a.alive(r.Folder) && r.Since <= next && r.Until >= next && (best == nil || r.Until > best.Until) {
 				best = r
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -61,7 +61,7 @@
 
 func (s *store) Primary() (uint64, bool) { s.mu.Lock(); defer s.mu.Unlock(); return s.epoch, s.ok }
 func (s *store) Hint() string            { s.mu.Lock(); defer s.mu.Unlock(); return s.hint }
-func (s *store) Record() *tierv1.Record  { return &tierv1.Record{Epoch: s.epoch} }
+func (s *store) Record() *tierv1.View    { return &tierv1.View{Epoch: s.epoch} }
 func (s *store) Self() *tierv1.Member    { return s.members[0] }
 func (s *store) Members() []*tierv1.Member {
 	s.mu.Lock()
@@ -203,7 +203,7 @@
 	slow    time.Duration // from an answer to the call that acknowledges it
 	lost    int           // answers that said that this is not the primary
 	bodies  []string
-	copies  map[*tierv1.SyncedCopy]time.Time // under way, since when; they are reported after copying
+	copies  map[*tierv1.SyncedReplica]time.Time // under way, since when; they are reported after copying
 	copying time.Duration
 	cancel  context.CancelFunc
 	done    chan struct{}
@@ -212,7 +212,7 @@
 func (r *rig) join(role, node string, change func(*process)) *process {
 	ctx, cancel := context.WithCancel(r.ctx)
 	p := &process{cancel: cancel, done: make(chan struct{}),
-		req: &tierv1.WatchRequest{Role: role, Node: node, Life: node + "-1", Address: node + ":1", HoldMs: 500}}
+		req: &tierv1.WatchRequest{Role: role, Node: node, Incarnation: node + "-1", Address: node + ":1", PollTimeoutMs: 500}}
 	if role == roleTurnStore {
 		p.req.Folder = node + ".1"
 	}
@@ -231,7 +231,7 @@
 			if err != nil {
 				continue
 			}
-			if !n.Primary {
+			if !n.IsPrimary {
 				p.mu.Lock()
 				p.lost++
 				p.mu.Unlock()
@@ -258,26 +258,26 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n.Configuration != nil {
-		p.req.Configuration = n.Configuration.Version
+		p.req.ConfigurationVersion = n.Configuration.Version
 		p.bodies = append(p.bodies, bodyOf(n.Configuration))
 	}
 	if n.Endpoints != nil {
-		p.req.Endpoints = n.Endpoints.Version
+		p.req.EndpointsVersion = n.Endpoints.Version
 	}
 	if n.Members != nil {
-		p.req.Members = n.Members.Version
+		p.req.MembersVersion = n.Members.Version
 	}
 	if n.PartitionMap != nil {
-		p.req.PartitionMap = n.PartitionMap.Version
+		p.req.PartitionMapVersion = n.PartitionMap.Version
 		before := p.copies
-		p.copies = map[*tierv1.SyncedCopy]time.Time{}
+		p.copies = map[*tierv1.SyncedReplica]time.Time{}
 		for i, one := range n.PartitionMap.Partitions {
 			if p.req.Folder == "" || one.Primary != p.req.Folder {
 				continue
 			}
 			for _, c := range one.Backups {
 				if !c.Synced {
-					p.beginCopy(before, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: one.Epoch, Folder: c.Folder})
+					p.beginCopy(before, &tierv1.SyncedReplica{Partition: uint32(i), Epoch: one.Epoch, Folder: c.Folder})
 				}
 			}
 		}
@@ -285,7 +285,7 @@
 }
 
 // beginCopy begins a copy, or goes on with it where it is one of those before.
-func (p *process) beginCopy(before map[*tierv1.SyncedCopy]time.Time, c *tierv1.SyncedCopy) {
+func (p *process) beginCopy(before map[*tierv1.SyncedReplica]time.Time, c *tierv1.SyncedReplica) {
 	p.copies[c] = time.Now()
 	for one, since := range before {
 		if proto.Equal(one, c) {
@@ -302,7 +302,7 @@
 			p.req.Synced = append(p.req.Synced, c)
 		}
 	}
-	slices.SortFunc(p.req.Synced, func(a, b *tierv1.SyncedCopy) int { return cmp.Compare(a.Partition, b.Partition) })
+	slices.SortFunc(p.req.Synced, func(a, b *tierv1.SyncedReplica) int { return cmp.Compare(a.Partition, b.Partition) })
 }
 
 // tells has the calls from the next one on tell another state of the disk.
@@ -354,8 +354,8 @@
 }
 
 func cloneWatch(q *tierv1.WatchRequest) *tierv1.WatchRequest {
-	return &tierv1.WatchRequest{Node: q.Node, Role: q.Role, Folder: q.Folder, Address: q.Address, Zone: q.Zone, Life: q.Life,
-		Configuration: q.Configuration, Endpoints: q.Endpoints, PartitionMap: q.PartitionMap, Members: q.Members, HoldMs: q.HoldMs, Synced: q.Synced, Leaving: q.Leaving, Disk: q.Disk}
+	return &tierv1.WatchRequest{Node: q.Node, Role: q.Role, Folder: q.Folder, Address: q.Address, Zone: q.Zone, Incarnation: q.Incarnation,
+		ConfigurationVersion: q.ConfigurationVersion, EndpointsVersion: q.EndpointsVersion, PartitionMapVersion: q.PartitionMapVersion, MembersVersion: q.MembersVersion, PollTimeoutMs: q.PollTimeoutMs, Synced: q.Synced, Draining: q.Draining, Disk: q.Disk}
 }
 
 // bodyOf is a configuration as the operator sent it.
--- a/internal/tier/controlplane/risk_clock_test.go
+++ b/internal/tier/controlplane/risk_clock_test.go
@@ -82,15 +82,15 @@
 
 // A process of a version before the field disk names its own folder among the synced copies instead.
 func TestAnOlderStoreTellsAnUnsoundDisk(t *testing.T) {
-	own := &tierv1.SyncedCopy{Folder: "v1.1"}
-	other := &tierv1.SyncedCopy{Folder: "v2.1", Partition: 3, Epoch: 1}
+	own := &tierv1.SyncedReplica{Folder: "v1.1"}
+	other := &tierv1.SyncedReplica{Folder: "v2.1", Partition: 3, Epoch: 1}
 	for _, test := range []struct {
 		req  *tierv1.WatchRequest
 		want tierv1.DiskState
 	}{
 		{&tierv1.WatchRequest{Folder: "v1.1"}, tierv1.DiskState_DISK_UNSPECIFIED},
-		{&tierv1.WatchRequest{Folder: "v1.1", Synced: []*tierv1.SyncedCopy{other}}, tierv1.DiskState_DISK_UNSPECIFIED},
-		{&tierv1.WatchRequest{Folder: "v1.1", Synced: []*tierv1.SyncedCopy{own}}, tierv1.DiskState_DISK_FAILING},
+		{&tierv1.WatchRequest{Folder: "v1.1", Synced: []*tierv1.SyncedReplica{other}}, tierv1.DiskState_DISK_UNSPECIFIED},
+		{&tierv1.WatchRequest{Folder: "v1.1", Synced: []*tierv1.SyncedReplica{own}}, tierv1.DiskState_DISK_FAILING},
 		{&tierv1.WatchRequest{Folder: "v1.1", Disk: tierv1.DiskState_DISK_FULL}, tierv1.DiskState_DISK_FULL},
 	} {
 		assert.Equal(t, diskOf(test.req), test.want, "%v", test.req)
@@ -98,10 +98,10 @@
 	r := newRegistry(time.Second)
 	now := time.Now()
 	for _, test := range []struct {
-		synced []*tierv1.SyncedCopy
+		synced []*tierv1.SyncedReplica
 		alive  bool
-	}{{nil, true}, {[]*tierv1.SyncedCopy{own}, false}, {[]*tierv1.SyncedCopy{other}, true}} {
-		r.enter(now, &tierv1.WatchRequest{Role: roleTurnStore, Node: "v1", Folder: "v1.1", Life: "1", Synced: test.synced})
+	}{{nil, true}, {[]*tierv1.SyncedReplica{own}, false}, {[]*tierv1.SyncedReplica{other}, true}} {
+		r.enter(now, &tierv1.WatchRequest{Role: roleTurnStore, Node: "v1", Folder: "v1.1", Incarnation: "1", Synced: test.synced})
 		alive, _, reports := r.storeNodes(now)
 		assert.Equal(t, alive["v1.1"] != nil, test.alive)
 		assert.Assert(t, test.alive || len(reports) == 0, "%v", reports)
--- a/internal/tier/controlplane/risk_test.go
+++ b/internal/tier/controlplane/risk_test.go
@@ -10,7 +10,9 @@
 
 func TestAtRisk(t *testing.T) {
 	const syncTime = 3 * time.Second
-	copyOf := func(folder string, synced bool) *tierv1.Copy { return &tierv1.Copy{Folder: folder, Synced: synced} }
+	copyOf := func(folder string, synced bool) *tierv1.Replica {
+		return &tierv1.Replica{Folder: folder, Synced: synced}
+	}
 	partitionMap := func(partitions ...*tierv1.Partition) *tierv1.PartitionMap {
 		m := &tierv1.PartitionMap{Partitions: partitions}
 		for folder, zone := range map[string]string{"a": "1", "b": "2", "c": "2"} {
@@ -25,11 +27,11 @@
 		}
 		return all
 	}
-	whole := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Copy{copyOf("b", true)}}
-	underRepair := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Copy{copyOf("c", false)}}
+	whole := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Replica{copyOf("b", true)}}
+	underRepair := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Replica{copyOf("c", false)}}
 	alone := &tierv1.Partition{Primary: "a"}
-	oneZone := &tierv1.Partition{Primary: "b", Backups: []*tierv1.Copy{copyOf("c", true)}}
-	threeCopies := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Copy{copyOf("b", true), copyOf("c", true)}}
+	oneZone := &tierv1.Partition{Primary: "b", Backups: []*tierv1.Replica{copyOf("c", true)}}
+	threeCopies := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Replica{copyOf("b", true), copyOf("c", true)}}
 	for _, test := range []struct {
 		name   string
 		m      *tierv1.PartitionMap
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -40,14 +40,14 @@
 			plane.mu.Lock()
 			plane.sessions.leave(time.Now(), me, broken)
 			plane.mu.Unlock()
-			if broken && req.Role == roleTurnStore && req.Leaving {
+			if broken && req.Role == roleTurnStore && req.Draining {
 				wake(plane.reconcileNow)
 			}
 		}()
 	}
-	hold := time.NewTimer(min(time.Duration(req.HoldMs)*time.Millisecond, plane.window(holdPart)))
+	hold := time.NewTimer(min(time.Duration(req.PollTimeoutMs)*time.Millisecond, plane.window(holdPart)))
 	defer hold.Stop()
-	confirmed := req.Configuration != 0
+	confirmed := req.ConfigurationVersion != 0
 	over := false
 	for {
 		v, changed := plane.snapshot()
@@ -63,11 +63,11 @@
 				confirmed = true
 				continue
 			}
-			if n, some := v.replyFor(req); some || over || req.HoldMs == 0 {
-				n.Hint = plane.Store.Hint()
+			if n, some := v.replyFor(req); some || over || req.PollTimeoutMs == 0 {
+				n.PrimaryHint = plane.Store.Hint()
 				return n, nil
 			}
-		} else if over || req.HoldMs == 0 {
+		} else if over || req.PollTimeoutMs == 0 {
 			return plane.notPrimary(), nil
 		}
 		select {
@@ -82,24 +82,24 @@
 
 // notPrimary is the answer of one that is not the primary, or can't be sure of it.
 func (plane *ControlPlane) notPrimary() *tierv1.WatchReply {
-	return &tierv1.WatchReply{Hint: plane.Store.Hint()}
+	return &tierv1.WatchReply{PrimaryHint: plane.Store.Hint()}
 }
 
 func (v *view) replyFor(req *tierv1.WatchRequest) (n *tierv1.WatchReply, some bool) {
-	n = &tierv1.WatchReply{Primary: true, Epoch: v.epoch}
-	if v.configuration != nil && v.configuration.Version > req.Configuration {
+	n = &tierv1.WatchReply{IsPrimary: true, Epoch: v.epoch}
+	if v.configuration != nil && v.configuration.Version > req.ConfigurationVersion {
 		n.Configuration, some = v.packed, true
 	}
-	if v.endpoints != nil && v.endpoints.Version > req.Endpoints {
+	if v.endpoints != nil && v.endpoints.Version > req.EndpointsVersion {
 		n.Endpoints, some = v.endpointsFor(req), true
 	}
-	if v.partitionMap != nil && v.partitionMap.Version > req.PartitionMap {
+	if v.partitionMap != nil && v.partitionMap.Version > req.PartitionMapVersion {
 		n.PartitionMap, some = v.partitionMap, true
 	}
-	if v.members != nil && v.members.Version > req.Members {
+	if v.members != nil && v.members.Version > req.MembersVersion {
 		n.Members, some = v.members, true
 	}
-	if req.TakesEjections && v.ejections != nil && v.ejections.Version > req.Ejections {
+	if req.AcceptsEjections && v.ejections != nil && v.ejections.Version > req.EjectionsVersion {
 		n.Ejections, some = v.ejections, true
 	}
 	return n, some
--- a/internal/tier/controlplane/sessions_test.go
+++ b/internal/tier/controlplane/sessions_test.go
@@ -16,20 +16,20 @@
 		status(t, r.replace(0, 3), 200)
 		service := r.k.Sessions()
 		confirms := r.s.confirmCount()
-		n, err := service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e1", Role: roleGateway, Life: "a", HoldMs: 500})
+		n, err := service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e1", Role: roleGateway, Incarnation: "a", PollTimeoutMs: 500})
 		assert.NilError(t, err)
-		assert.Assert(t, n.Primary)
+		assert.Assert(t, n.IsPrimary)
 		assert.Equal(t, bodyOf(n.Configuration), string(configuration(3, "s")))
 		assert.Equal(t, n.Members.List[0].Folder, "c1")
 		assert.Equal(t, r.s.confirmCount(), confirms+1)
-		n, err = service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e1", Role: roleGateway, Life: "a", Configuration: n.Configuration.Version, HoldMs: 500})
+		n, err = service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e1", Role: roleGateway, Incarnation: "a", ConfigurationVersion: n.Configuration.Version, PollTimeoutMs: 500})
 		assert.NilError(t, err)
-		assert.Assert(t, n.Primary && n.Configuration == nil)
+		assert.Assert(t, n.IsPrimary && n.Configuration == nil)
 		assert.Equal(t, r.s.confirmCount(), confirms+1)
 		r.s.set(func() { r.s.deaf = true })
-		n, err = service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e2", Role: roleGateway, Life: "b", HoldMs: 500})
+		n, err = service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e2", Role: roleGateway, Incarnation: "b", PollTimeoutMs: 500})
 		assert.NilError(t, err)
-		assert.Assert(t, !n.Primary && n.Configuration == nil)
+		assert.Assert(t, !n.IsPrimary && n.Configuration == nil)
 	})
 }
 
@@ -37,7 +37,7 @@
 	within(t, func(r *rig) {
 		before := r.s.confirmCount()
 		for _, node := range []string{"e1", "e2", "e3", "e4", "e5", "e6"} {
-			r.join(roleGateway, node, func(p *process) { p.req.Members = math.MaxUint64 })
+			r.join(roleGateway, node, func(p *process) { p.req.MembersVersion = math.MaxUint64 })
 		}
 		assert.Assert(t, r.s.confirmCount()-before <= 6)
 		assert.Assert(t, r.s.confirmCount()-before >= 1)
@@ -47,17 +47,17 @@
 func TestACallIsHeldUntilThereIsNewsOrItsTimeIsOver(t *testing.T) {
 	within(t, func(r *rig) {
 		service := r.k.Sessions()
-		all := &tierv1.WatchRequest{Node: "e1", Life: "a", Configuration: math.MaxUint64, Endpoints: math.MaxUint64,
-			PartitionMap: math.MaxUint64, Members: math.MaxUint64}
+		all := &tierv1.WatchRequest{Node: "e1", Incarnation: "a", ConfigurationVersion: math.MaxUint64, EndpointsVersion: math.MaxUint64,
+			PartitionMapVersion: math.MaxUint64, MembersVersion: math.MaxUint64}
 		began := time.Now()
 		n, err := service.Watch(r.ctx, all) // one that looks for the primary
 		assert.NilError(t, err)
-		assert.Assert(t, n.Primary && time.Since(began) == 0)
-		all.HoldMs = 400
+		assert.Assert(t, n.IsPrimary && time.Since(began) == 0)
+		all.PollTimeoutMs = 400
 		n, err = service.Watch(r.ctx, all)
 		assert.NilError(t, err)
-		assert.Assert(t, n.Primary && time.Since(began) == 400*time.Millisecond)
-		all.Members = 1
+		assert.Assert(t, n.IsPrimary && time.Since(began) == 400*time.Millisecond)
+		all.MembersVersion = 1
 		n, err = service.Watch(r.ctx, all)
 		assert.NilError(t, err)
 		assert.Assert(t, n.Members != nil && time.Since(began) == 400*time.Millisecond)
@@ -87,7 +87,7 @@
 	within(t, func(r *rig) {
 		status(t, r.replace(0, 3), 200)
 		p := r.join(roleGateway, "e1", nil)
-		before := p.has().Configuration
+		before := p.has().ConfigurationVersion
 		r.s.set(func() {
 			r.s.epoch += 1 << 12
 			r.s.unclear = func(map[string][]byte) (bool, bool) { return true, true }
@@ -99,7 +99,7 @@
 		r.s.set(func() { r.s.unclear = nil })
 		r.pass(time.Second)
 		assert.Equal(t, taken(p), 2)
-		assert.Assert(t, p.has().Configuration > before)
+		assert.Assert(t, p.has().ConfigurationVersion > before)
 		status(t, r.replace(3, 10), 412)
 		status(t, r.replace(9, 10), 200)
 	})
@@ -117,14 +117,14 @@
 		v := r.turnStores()
 		assert.Equal(t, len(v.Partitions), partitionCount)
 		assert.Equal(t, len(v.StoreNodes), 3)
-		assert.Equal(t, first.has().PartitionMap, v.Version)
+		assert.Equal(t, first.has().PartitionMapVersion, v.Version)
 		r.pass(5 * time.Second)
 		assert.Assert(t, r.turnStores() == v, "a map at rest was changed")
 
 		// A restart within the time changes nothing.
 		third.end()
 		r.pass(450 * time.Millisecond)
-		third = r.join(roleTurnStore, "v3", func(p *process) { p.req.Life = "again" })
+		third = r.join(roleTurnStore, "v3", func(p *process) { p.req.Incarnation = "again" })
 		r.pass(2 * time.Second)
 		assert.Assert(t, r.turnStores() == v)
 
@@ -136,7 +136,7 @@
 		}
 
 		// Back with another disk, it gets its share.
-		r.join(roleTurnStore, "v3", func(p *process) { p.req.Folder, p.req.Life = "v3.2", "third" })
+		r.join(roleTurnStore, "v3", func(p *process) { p.req.Folder, p.req.Incarnation = "v3.2", "third" })
 		r.pass(20 * time.Second)
 		load := map[string]int{}
 		for _, p := range r.turnStores().Partitions {
@@ -148,7 +148,7 @@
 		assert.Assert(t, load["v3.2"] >= 21, "%v", load)
 
 		// The old folder is dead for ever.
-		old := r.join(roleTurnStore, "v3", func(p *process) { p.req.Life = "old" })
+		old := r.join(roleTurnStore, "v3", func(p *process) { p.req.Incarnation = "old" })
 		v = r.turnStores()
 		r.pass(5 * time.Second)
 		assert.Assert(t, r.turnStores() == v)
--- a/internal/tier/controlplane/staleness_test.go
+++ b/internal/tier/controlplane/staleness_test.go
@@ -66,7 +66,7 @@
 
 func (w watched) Watch(ctx context.Context, q *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
 	reply, err := w.ControlPlane.Watch(ctx, q)
-	if err == nil && reply.Primary && q.Role != "" {
+	if err == nil && reply.IsPrimary && q.Role != "" {
 		w.e.mu.Lock()
 		defer w.e.mu.Unlock()
 		w.e.answered, w.e.from = time.Now(), w.address
--- a/internal/tier/controlplane/stall_test.go
+++ b/internal/tier/controlplane/stall_test.go
@@ -11,7 +11,7 @@
 func TestStallTracker(t *testing.T) {
 	const usual = 3 * time.Second
 	start := time.Unix(0, 0)
-	m := &tierv1.PartitionMap{Partitions: []*tierv1.Partition{{Epoch: 1, Primary: "a", Backups: []*tierv1.Copy{{Folder: "b"}}}}}
+	m := &tierv1.PartitionMap{Partitions: []*tierv1.Partition{{Epoch: 1, Primary: "a", Backups: []*tierv1.Replica{{Folder: "b"}}}}}
 	alive := map[string]*tierv1.StoreNode{"a": {}, "b": {}}
 	var tracker stallTracker
 	at := func(seconds float64) (slow, stalled bool) {
--- a/internal/tier/controlplane/stand_in_test.go
+++ b/internal/tier/controlplane/stand_in_test.go
@@ -111,7 +111,7 @@
 		w.step()
 		for i, p := range w.m.Partitions {
 			had := slices.Contains(members(before[i]), w.machines[0].folder)
-			has := slices.ContainsFunc(p.Backups, func(c *tierv1.Copy) bool { return c.Folder == w.machines[0].folder })
+			has := slices.ContainsFunc(p.Backups, func(c *tierv1.Replica) bool { return c.Folder == w.machines[0].folder })
 			assert.Assert(t, had || !has, "partition %d: %v", i, p)
 		}
 	}
--- a/internal/tier/controlplane/store.go
+++ b/internal/tier/controlplane/store.go
@@ -22,7 +22,7 @@
 	Changed() <-chan struct{}
 	// Hint is the internal address of the primary as known, empty if it is not.
 	Hint() string
-	Record() *tierv1.Record
+	Record() *tierv1.View
 	Members() []*tierv1.Member
 	Self() *tierv1.Member
 }
--- a/internal/tier/gateway/ejections.go
+++ b/internal/tier/gateway/ejections.go
@@ -57,7 +57,7 @@
 			gateway.loadbalancer.RestoreReported(ejection.Instance)
 			continue
 		}
-		probes := slices.Contains(ejection.Probers, settings.Node)
+		probes := slices.Contains(ejection.HealthCheckers, settings.Node)
 		gateway.loadbalancer.EjectReported(gateway.now(), ejection.Instance, probes, settings.ContactWindow)
 	}
 	gateway.ejectionsTaken = newest
--- a/internal/tier/gateway/ready_test.go
+++ b/internal/tier/gateway/ready_test.go
@@ -118,7 +118,7 @@
 	c.Send(turn("t-1", "", "p", "", "in"))
 	tiertest.Closed(t, "the stream begins", begun)
 	r.stop()
-	r.consensus.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return q.Role == "gateway" && q.Leaving })
+	r.consensus.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return q.Role == "gateway" && q.Draining })
 	close(further)
 	assert.Assert(t, c.Whole().Err != nil)
 	tiertest.Closed(t, "it ends", r.done)
--- a/internal/tier/session/ejections_test.go
+++ b/internal/tier/session/ejections_test.go
@@ -24,7 +24,7 @@
 		c.Taken(t)                                               // the session stands: its next call acknowledges
 		r.client.ReportHealth(t.Context(), []string{"i-1"}, nil) // the fake tells each report at once
 		if takes {
-			c.Await(t, "they are acknowledged", func(q *tierv1.WatchRequest) bool { return held(q) && q.TakesEjections && q.Ejections == 1 })
+			c.Await(t, "they are acknowledged", func(q *tierv1.WatchRequest) bool { return held(q) && q.AcceptsEjections && q.EjectionsVersion == 1 })
 			assert.DeepEqual(t, r.notes(), []string{"configuration 1", "ejections 1"})
 			continue
 		}
--- a/internal/tier/session/endpoints_test.go
+++ b/internal/tier/session/endpoints_test.go
@@ -31,7 +31,7 @@
 	var got []*tierv1.Endpoints
 	s := New(Config{Log: &log.Logger{Level: log.PanicLevel}, Endpoints: func(e *tierv1.Endpoints) { got = append(got, e) }})
 	give := func(packed []byte) {
-		s.apply("a", &tierv1.WatchReply{Primary: true, Endpoints: &tierv1.Endpoints{Version: want.Version, Packed: packed}})
+		s.apply("a", &tierv1.WatchReply{IsPrimary: true, Endpoints: &tierv1.Endpoints{Version: want.Version, Packed: packed}})
 	}
 	whole := compressed(t, entries)
 	for cut := 1; cut < len(whole); cut++ {
@@ -39,9 +39,9 @@
 	}
 	give(compressed(t, []byte("no list")))
 	assert.Equal(t, len(got), 0)
-	assert.Equal(t, s.applied.Endpoints, uint64(0))
+	assert.Equal(t, s.applied.EndpointsVersion, uint64(0))
 	give(whole)
 	assert.Equal(t, len(got), 1)
 	assert.Assert(t, proto.Equal(got[0], want), "%v", got[0])
-	assert.Equal(t, s.applied.Endpoints, want.Version)
+	assert.Equal(t, s.applied.EndpointsVersion, want.Version)
 }
--- a/internal/tier/session/search.go
+++ b/internal/tier/session/search.go
@@ -84,10 +84,10 @@
 		if got.reply == nil {
 			continue
 		}
-		if got.reply.Primary {
+		if got.reply.IsPrimary {
 			return got
 		}
-		round.ask(ctx, got.reply.Hint)
+		round.ask(ctx, got.reply.PrimaryHint)
 	}
 	return answer{}
 }
@@ -108,14 +108,14 @@
 	for {
 		begun := time.Now()
 		// It claims to hold all: what is new is brought by the held call.
-		reply, err := config.Dial(at).Watch(round.calls, &tierv1.WatchRequest{Node: config.Settings.Node, Life: round.client.life,
-			Configuration: math.MaxUint64, Endpoints: math.MaxUint64, PartitionMap: math.MaxUint64, Members: math.MaxUint64})
+		reply, err := config.Dial(at).Watch(round.calls, &tierv1.WatchRequest{Node: config.Settings.Node, Incarnation: round.client.life,
+			ConfigurationVersion: math.MaxUint64, EndpointsVersion: math.MaxUint64, PartitionMapVersion: math.MaxUint64, MembersVersion: math.MaxUint64})
 		if err != nil {
 			reply = nil
 		}
 		took := time.Since(begun)
 		if ctx.Err() != nil {
-			if reply.GetPrimary() && round.calls.Err() == nil {
+			if reply.GetIsPrimary() && round.calls.Err() == nil {
 				round.client.noteLateAnswer(at, took)
 			}
 			return
@@ -125,7 +125,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if reply.GetPrimary() {
+		if reply.GetIsPrimary() {
 			return
 		}
 		pause(ctx, config.Settings.ContactWindow/pausePart)
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -32,8 +32,8 @@
 	Address  string // of this process's internal listener, empty if none
 	Empty    bool   // the folder was empty at the start
 	Dial     func(address string) tierv1.ControlPlane
-	Synced   func() ([]*tierv1.SyncedCopy, <-chan struct{}) // of a turn store: copies that are whole, and a channel closed at the next change
-	Disk     func() tierv1.DiskState                        // of a turn store: how its disk is; a change closes Synced's channel, too
+	Synced   func() ([]*tierv1.SyncedReplica, <-chan struct{}) // of a turn store: copies that are whole, and a channel closed at the next change
+	Disk     func() tierv1.DiskState                           // of a turn store: how its disk is; a change closes Synced's channel, too
 	Log      *log.Logger
 
 	// Called with newer views, one after the other. They must not block.
@@ -127,7 +127,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, client.config.Settings.ContactWindow/lookPart)
 	defer cancel()
-	report := &tierv1.EjectionReport{Node: client.config.Settings.Node, Instances: ejected, Restored: restored}
+	report := &tierv1.EjectionReport{Node: client.config.Settings.Node, Ejected: ejected, Restored: restored}
 	if _, err := client.config.Dial(at).ReportEjections(ctx, report); err != nil {
 		client.config.Log.Debug().Str("event", "ejections_unreported").Err(err).Msg("")
 	}
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -36,7 +36,7 @@
 	r := &rig{t: t, controls: map[string]*tiertest.ControlPlane{}}
 	for i := range n {
 		c := tiertest.NewControlPlane()
-		c.Change(func(v *tierv1.WatchReply) { v.Primary = false })
+		c.Change(func(v *tierv1.WatchReply) { v.IsPrimary = false })
 		r.controls[address(i+1)] = c
 	}
 	return r
@@ -93,12 +93,12 @@
 
 func (r *rig) primary(n int) *tiertest.ControlPlane {
 	c := r.at(n)
-	c.Change(func(v *tierv1.WatchReply) { v.Primary, v.Hint = true, "" })
+	c.Change(func(v *tierv1.WatchReply) { v.IsPrimary, v.PrimaryHint = true, "" })
 	return c
 }
 
 func (r *rig) hint(n, to int) {
-	r.at(n).Change(func(v *tierv1.WatchReply) { v.Primary, v.Hint = false, address(to) })
+	r.at(n).Change(func(v *tierv1.WatchReply) { v.IsPrimary, v.PrimaryHint = false, address(to) })
 }
 
 // held is a call that holds a session, rather than one that only looks.
@@ -113,8 +113,8 @@
 	first := c.Await(t, "a session", held)
 	assert.Equal(t, first.Node, "edge-1")
 	assert.Equal(t, first.Role, "gateway")
-	assert.Assert(t, first.Life != "")
-	assert.Assert(t, first.HoldMs > 0)
+	assert.Assert(t, first.Incarnation != "")
+	assert.Assert(t, first.PollTimeoutMs > 0)
 	c.SetConfiguration("1")
 	c.Taken(t)
 	assert.Equal(t, r.client.Primary(), address(3))
@@ -137,21 +137,21 @@
 		seen := len(c.Calls())
 		r.run()
 		c.Await(t, "views are acknowledged", func(q *tierv1.WatchRequest) bool {
-			return held(q) && q.Configuration == 1 && q.Endpoints == 1 && !lives[q.Life]
+			return held(q) && q.ConfigurationVersion == 1 && q.EndpointsVersion == 1 && !lives[q.Incarnation]
 		})
 		r.life()
 		tiertest.Closed(t, "the session ends", r.ended)
 		first := true
 		for _, q := range c.Calls()[seen:] {
 			if !held(q) {
-				assert.Equal(t, q.Configuration, uint64(math.MaxUint64), "one that only looks acknowledges nothing")
+				assert.Equal(t, q.ConfigurationVersion, uint64(math.MaxUint64), "one that only looks acknowledges nothing")
 				continue
 			}
 			if first {
-				assert.Equal(t, q.Configuration+q.Endpoints+q.PartitionMap+q.Members, uint64(0), "life %d", life)
+				assert.Equal(t, q.ConfigurationVersion+q.EndpointsVersion+q.PartitionMapVersion+q.MembersVersion, uint64(0), "life %d", life)
 				first = false
 			}
-			lives[q.Life] = true
+			lives[q.Incarnation] = true
 		}
 		assert.Equal(t, len(lives), life+1)
 	}
@@ -173,7 +173,7 @@
 	c.SetEndpoints()
 	tiertest.Closed(t, "the list is brought", asked)
 	for _, q := range c.Calls() {
-		assert.Assert(t, !held(q) || q.Endpoints == 0, "acknowledged before it was taken")
+		assert.Assert(t, !held(q) || q.EndpointsVersion == 0, "acknowledged before it was taken")
 	}
 	close(release)
 	c.Taken(t)
@@ -184,7 +184,7 @@
 	r := newRig(t, 1)
 	c := r.primary(1)
 	news := func(n uint64) *tierv1.WatchReply {
-		return &tierv1.WatchReply{Primary: true, Configuration: &tierv1.Configuration{Version: n}, Endpoints: &tierv1.Endpoints{Version: n},
+		return &tierv1.WatchReply{IsPrimary: true, Configuration: &tierv1.Configuration{Version: n}, Endpoints: &tierv1.Endpoints{Version: n},
 			PartitionMap: &tierv1.PartitionMap{Version: n}, Members: &tierv1.Members{Version: n}}
 	}
 	versions := []uint64{5, 4, 5, 7, 1, 6, 8}
@@ -200,14 +200,14 @@
 		return news(versions[n-1]), nil
 	})
 	r.run()
-	c.Await(t, "the newest is acknowledged", func(q *tierv1.WatchRequest) bool { return held(q) && q.PartitionMap == 8 })
+	c.Await(t, "the newest is acknowledged", func(q *tierv1.WatchRequest) bool { return held(q) && q.PartitionMapVersion == 8 })
 	assert.DeepEqual(t, r.notes(), []string{"configuration 5", "endpoints 5", "turn stores 5", "configuration 7", "endpoints 7", "turn stores 7",
 		"configuration 8", "endpoints 8", "turn stores 8"})
 	last := uint64(0)
 	for _, q := range c.Calls() {
 		if held(q) {
-			assert.Assert(t, q.Configuration >= last && q.Endpoints >= last && q.PartitionMap >= last && q.Members >= last, "%v after %d", q, last)
-			last = q.Configuration
+			assert.Assert(t, q.ConfigurationVersion >= last && q.EndpointsVersion >= last && q.PartitionMapVersion >= last && q.MembersVersion >= last, "%v after %d", q, last)
+			last = q.ConfigurationVersion
 		}
 	}
 }
@@ -229,7 +229,7 @@
 			})
 		},
 		"deposed, knows":     func(r *rig) { r.hint(1, 2) },
-		"deposed, knows not": func(r *rig) { r.at(1).Change(func(v *tierv1.WatchReply) { v.Primary = false }) },
+		"deposed, knows not": func(r *rig) { r.at(1).Change(func(v *tierv1.WatchReply) { v.IsPrimary = false }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 2)
@@ -244,7 +244,7 @@
 			next := r.primary(2) // known from the members alone
 			ends(r)
 			got := next.Await(t, "a session with the next", held)
-			assert.Equal(t, got.Endpoints, uint64(2), "what was taken stays taken")
+			assert.Equal(t, got.EndpointsVersion, uint64(2), "what was taken stays taken")
 			next.Change(func(v *tierv1.WatchReply) { v.Endpoints = &tierv1.Endpoints{Version: 3} })
 			next.Taken(t)
 			assert.DeepEqual(t, r.notes(), []string{"endpoints 2", "endpoints 3"})
@@ -265,7 +265,7 @@
 				return serve()
 			}
 			<-time.After(10 * time.Second)
-			return &tierv1.WatchReply{Primary: true, Epoch: 1, Configuration: &tierv1.Configuration{Version: 5, Body: []byte("old")}}, nil
+			return &tierv1.WatchReply{IsPrimary: true, Epoch: 1, Configuration: &tierv1.Configuration{Version: 5, Body: []byte("old")}}, nil
 		})
 		r.run()
 		c.Taken(t)
@@ -305,25 +305,25 @@
 	r := newRig(t, 1)
 	c := r.primary(1)
 	var mu sync.Mutex
-	var reports []*tierv1.SyncedCopy
+	var reports []*tierv1.SyncedReplica
 	changed := make(chan struct{})
 	r.run(func(s *session.Config) {
 		s.Role, s.Folder, s.Address, s.Empty = "turnstore", "f-1", "10.0.0.1:9001", true
 		s.Settings.ContactWindow *= 100 // a call is held for longer than the test has patience
-		s.Synced = func() ([]*tierv1.SyncedCopy, <-chan struct{}) {
+		s.Synced = func() ([]*tierv1.SyncedReplica, <-chan struct{}) {
 			mu.Lock()
 			defer mu.Unlock()
-			return append([]*tierv1.SyncedCopy(nil), reports...), changed
+			return append([]*tierv1.SyncedReplica(nil), reports...), changed
 		}
 	})
 	first := c.Await(t, "a session", held)
 	assert.Equal(t, first.Folder, "f-1")
 	assert.Equal(t, first.Address, "10.0.0.1:9001")
-	assert.Equal(t, first.IdleDisk, true)
+	assert.Equal(t, first.EmptyDisk, true)
 	assert.Equal(t, len(first.Synced), 0)
 	for n := range 3 {
 		mu.Lock()
-		reports = append(reports, &tierv1.SyncedCopy{Partition: uint32(n), Epoch: 1, Folder: "f-2"})
+		reports = append(reports, &tierv1.SyncedReplica{Partition: uint32(n), Epoch: 1, Folder: "f-2"})
 		close(changed)
 		changed = make(chan struct{})
 		mu.Unlock()
@@ -342,7 +342,7 @@
 	r.run(func(s *session.Config) {
 		s.Role, s.Folder = "turnstore", "f-1"
 		s.Settings.ContactWindow *= 100 // a call is held for longer than the test has patience
-		s.Synced = func() ([]*tierv1.SyncedCopy, <-chan struct{}) {
+		s.Synced = func() ([]*tierv1.SyncedReplica, <-chan struct{}) {
 			mu.Lock()
 			defer mu.Unlock()
 			return nil, changed
@@ -370,9 +370,9 @@
 	c := r.primary(1)
 	r.run()
 	first := c.Await(t, "a session", held)
-	assert.Equal(t, first.Leaving, false)
+	assert.Equal(t, first.Draining, false)
 	r.client.Leave()
-	c.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return held(q) && q.Leaving })
+	c.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return held(q) && q.Draining })
 }
 
 // What remains of a session falls from the last answer on, and is nothing once it is lost.
--- a/internal/tier/session/unpack_test.go
+++ b/internal/tier/session/unpack_test.go
@@ -24,7 +24,7 @@
 	s := New(Config{Settings: settings.Settings{}, Log: &log.Logger{Level: log.PanicLevel},
 		Configuration: func(c *tierv1.Configuration) { got = append(got, string(c.Body)) }})
 	give := func(packed []byte) {
-		s.apply("a", &tierv1.WatchReply{Primary: true, Configuration: &tierv1.Configuration{Version: 3, Packed: packed}})
+		s.apply("a", &tierv1.WatchReply{IsPrimary: true, Configuration: &tierv1.Configuration{Version: 3, Packed: packed}})
 	}
 	whole := b.Bytes()
 	for cut := 1; cut < len(whole); cut++ {
@@ -39,9 +39,9 @@
 		give(spoilt)
 	}
 	assert.Equal(t, len(got), 0, "%q", got)
-	assert.Equal(t, s.applied.Configuration, uint64(0))
+	assert.Equal(t, s.applied.ConfigurationVersion, uint64(0))
 	give(whole)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0], string(body))
-	assert.Equal(t, s.applied.Configuration, uint64(3))
+	assert.Equal(t, s.applied.ConfigurationVersion, uint64(3))
 }
--- a/internal/tier/session/watch.go
+++ b/internal/tier/session/watch.go
@@ -57,10 +57,10 @@
 		client.markLost("answered too late")
 		return false
 	}
-	if !reply.Primary {
+	if !reply.IsPrimary {
 		client.mu.Lock()
-		if reply.Hint != "" {
-			client.hint = reply.Hint
+		if reply.PrimaryHint != "" {
+			client.hint = reply.PrimaryHint
 		}
 		client.mu.Unlock()
 		client.markLost("no longer primary")
@@ -88,15 +88,15 @@
 func (client *Client) request(hold time.Duration) *tierv1.WatchRequest {
 	client.mu.Lock()
 	request := proto.Clone(&client.applied).(*tierv1.WatchRequest)
-	request.Leaving = client.leaving
+	request.Draining = client.leaving
 	client.mu.Unlock()
 	settings := &client.config.Settings
 	request.Node, request.Zone, request.Region = settings.Node, settings.Zone, settings.Region
 	request.Role, request.Folder, request.Address = client.config.Role, client.config.Folder, client.config.Address
-	request.Life, request.IdleDisk = client.life, client.config.Empty
-	request.HoldMs = uint32(hold.Milliseconds())
-	request.UnpacksEndpoints = true
-	request.TakesEjections = client.config.Ejections != nil
+	request.Incarnation, request.EmptyDisk = client.life, client.config.Empty
+	request.PollTimeoutMs = uint32(hold.Milliseconds())
+	request.AcceptsPackedEndpoints = true
+	request.AcceptsEjections = client.config.Ejections != nil
 	return request
 }
 
@@ -143,8 +143,8 @@
 		client.config.Log.Info().Str("event", "session").Str("primary", at).Uint64("epoch", reply.Epoch).Msg("")
 	}
 	client.stands, client.lastReply, client.hint = true, time.Now(), at
-	if members := reply.Members; members != nil && members.Version > client.applied.Members {
-		client.applied.Members = members.Version
+	if members := reply.Members; members != nil && members.Version > client.applied.MembersVersion {
+		client.applied.MembersVersion = members.Version
 		client.members = client.members[:0]
 		for _, member := range members.List {
 			client.members = append(client.members, member.Address)
@@ -154,16 +154,16 @@
 
 // newer gives the views of a reply that have not been taken. The caller holds mu.
 func (client *Client) newer(reply *tierv1.WatchReply) (newer views) {
-	if v := reply.Configuration; v != nil && v.Version > client.applied.Configuration {
+	if v := reply.Configuration; v != nil && v.Version > client.applied.ConfigurationVersion {
 		newer.configuration = v
 	}
-	if v := reply.Endpoints; v != nil && v.Version > client.applied.Endpoints {
+	if v := reply.Endpoints; v != nil && v.Version > client.applied.EndpointsVersion {
 		newer.endpoints = v
 	}
-	if v := reply.PartitionMap; v != nil && v.Version > client.applied.PartitionMap {
+	if v := reply.PartitionMap; v != nil && v.Version > client.applied.PartitionMapVersion {
 		newer.partitionMap = v
 	}
-	if v := reply.Ejections; v != nil && v.Version > client.applied.Ejections {
+	if v := reply.Ejections; v != nil && v.Version > client.applied.EjectionsVersion {
 		newer.ejections = v
 	}
 	return newer
@@ -188,16 +188,16 @@
 // acknowledge notes views as taken. The caller holds mu.
 func (client *Client) acknowledge(taken views) {
 	if taken.configuration != nil {
-		client.applied.Configuration = taken.configuration.Version
+		client.applied.ConfigurationVersion = taken.configuration.Version
 	}
 	if taken.endpoints != nil {
-		client.applied.Endpoints = taken.endpoints.Version
+		client.applied.EndpointsVersion = taken.endpoints.Version
 	}
 	if taken.partitionMap != nil {
-		client.applied.PartitionMap = taken.partitionMap.Version
+		client.applied.PartitionMapVersion = taken.partitionMap.Version
 	}
 	if taken.ejections != nil {
-		client.applied.Ejections = taken.ejections.Version
+		client.applied.EjectionsVersion = taken.ejections.Version
 	}
 }
 
--- a/internal/tier/simulation/faults_domain_test.go
+++ b/internal/tier/simulation/faults_domain_test.go
@@ -107,7 +107,7 @@
 		synced          bool
 	}{{"folder-1", "folder-2", true}, {"folder-2", "folder-1", false}, {"folder-2", "folder-3", false}, {"folder-3", "folder-1", false}} {
 		newest.Partitions = append(newest.Partitions, &tierv1.Partition{Primary: copies.primary,
-			Backups: []*tierv1.Copy{{Folder: copies.backup, Synced: copies.synced}}})
+			Backups: []*tierv1.Replica{{Folder: copies.backup, Synced: copies.synced}}})
 	}
 	assert.DeepEqual(t, w.neededCopies(newest), map[string]int{"store-2": 2, "store-3": 1})
 	w.checks.views.newest = newest
--- a/internal/tier/simulation/planted_late_test.go
+++ b/internal/tier/simulation/planted_late_test.go
@@ -21,12 +21,12 @@
 	since map[string]time.Time // when each was first reported
 }
 
-func (l *late) reports() ([]*tierv1.SyncedCopy, <-chan struct{}) {
+func (l *late) reports() ([]*tierv1.SyncedReplica, <-chan struct{}) {
 	all, _ := l.synced()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	since := map[string]time.Time{}
-	var list []*tierv1.SyncedCopy
+	var list []*tierv1.SyncedReplica
 	for _, c := range all {
 		key := fmt.Sprint(c.Partition, " ", c.Epoch, " ", c.Folder)
 		first, ok := l.since[key]
--- a/internal/tier/simulation/planted_test.go
+++ b/internal/tier/simulation/planted_test.go
@@ -116,7 +116,7 @@
 			}
 		},
 		Synced: func(store *turnstore.TurnStore, synced SyncedFunc) SyncedFunc {
-			return func() ([]*tierv1.SyncedCopy, <-chan struct{}) {
+			return func() ([]*tierv1.SyncedReplica, <-chan struct{}) {
 				_, changed := synced()
 				mu.Lock()
 				defer mu.Unlock()
@@ -127,13 +127,13 @@
 }
 
 // allSynced reports all copies of a folder's partitions.
-func allSynced(folder string, m *tierv1.PartitionMap) (list []*tierv1.SyncedCopy) {
+func allSynced(folder string, m *tierv1.PartitionMap) (list []*tierv1.SyncedReplica) {
 	for i, p := range m.GetPartitions() {
 		if p.Primary != folder {
 			continue
 		}
 		for _, c := range p.Backups {
-			list = append(list, &tierv1.SyncedCopy{Partition: uint32(i), Epoch: p.Epoch, Folder: c.Folder})
+			list = append(list, &tierv1.SyncedReplica{Partition: uint32(i), Epoch: p.Epoch, Folder: c.Folder})
 		}
 	}
 	return list
--- a/internal/tier/simulation/seams.go
+++ b/internal/tier/simulation/seams.go
@@ -21,7 +21,7 @@
 }
 
 // SyncedFunc gives a turn store's reports, and a channel that is closed when they have changed.
-type SyncedFunc func() ([]*tierv1.SyncedCopy, <-chan struct{})
+type SyncedFunc func() ([]*tierv1.SyncedReplica, <-chan struct{})
 
 func (s Seams) store(inner controlplane.Store) controlplane.Store {
 	if s.Store == nil {
--- a/internal/tier/tiertest/controlplane.go
+++ b/internal/tier/tiertest/controlplane.go
@@ -26,7 +26,7 @@
 
 // NewControlPlane returns a control plane without any view: configuration, endpoints, partition map.
 func NewControlPlane() *ControlPlane {
-	return &ControlPlane{views: &tierv1.WatchReply{Primary: true, Epoch: 1}, changed: make(chan struct{})}
+	return &ControlPlane{views: &tierv1.WatchReply{IsPrimary: true, Epoch: 1}, changed: make(chan struct{})}
 }
 
 var _ tierv1.ControlPlane = (*ControlPlane)(nil)
@@ -88,31 +88,31 @@
 
 // serve returns the views that are newer than those of the request, as soon as there are any, or none when the hold ends.
 func (plane *ControlPlane) serve(ctx context.Context, request *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
-	holdTimer := time.NewTimer(time.Duration(request.HoldMs) * time.Millisecond)
+	holdTimer := time.NewTimer(time.Duration(request.PollTimeoutMs) * time.Millisecond)
 	defer holdTimer.Stop()
 	for expired := false; ; {
 		plane.mu.Lock()
 		views := plane.views
-		news := &tierv1.WatchReply{Primary: views.Primary, Hint: views.Hint, Epoch: views.Epoch}
-		if views.GetConfiguration().GetVersion() > request.Configuration {
+		news := &tierv1.WatchReply{IsPrimary: views.IsPrimary, PrimaryHint: views.PrimaryHint, Epoch: views.Epoch}
+		if views.GetConfiguration().GetVersion() > request.ConfigurationVersion {
 			news.Configuration = views.Configuration
 		}
-		if views.GetEndpoints().GetVersion() > request.Endpoints {
+		if views.GetEndpoints().GetVersion() > request.EndpointsVersion {
 			news.Endpoints = views.Endpoints
 		}
-		if views.GetPartitionMap().GetVersion() > request.PartitionMap {
+		if views.GetPartitionMap().GetVersion() > request.PartitionMapVersion {
 			news.PartitionMap = views.PartitionMap
 		}
-		if views.GetMembers().GetVersion() > request.Members {
+		if views.GetMembers().GetVersion() > request.MembersVersion {
 			news.Members = views.Members
 		}
-		if request.TakesEjections && views.GetEjections().GetVersion() > request.Ejections {
+		if request.AcceptsEjections && views.GetEjections().GetVersion() > request.EjectionsVersion {
 			news.Ejections = views.Ejections
 		}
 		news = proto.Clone(news).(*tierv1.WatchReply)
 		changed := plane.changed
 		plane.mu.Unlock()
-		if expired || !news.Primary || news.Configuration != nil || news.Endpoints != nil || news.PartitionMap != nil || news.Members != nil || news.Ejections != nil {
+		if expired || !news.IsPrimary || news.Configuration != nil || news.Endpoints != nil || news.PartitionMap != nil || news.Members != nil || news.Ejections != nil {
 			return news, nil
 		}
 		select {
@@ -130,12 +130,12 @@
 	plane.Change(func(v *tierv1.WatchReply) {
 		version := v.GetEjections().GetVersion() + 1
 		next := &tierv1.Ejections{Version: version}
-		for _, instance := range report.Instances {
+		for _, instance := range report.Ejected {
 			next.List = append(next.List, &tierv1.Ejection{Instance: instance, Version: version})
 		}
 		v.Ejections = next
 	})
-	return &tierv1.EjectionReportReply{Primary: true}, nil
+	return &tierv1.EjectionReportReply{IsPrimary: true}, nil
 }
 
 // Status implements tierv1.ControlPlane. Its answer is empty.
@@ -179,7 +179,7 @@
 	views := proto.Clone(plane.views).(*tierv1.WatchReply)
 	plane.mu.Unlock()
 	plane.Await(t, "views are acknowledged", func(r *tierv1.WatchRequest) bool {
-		return r.Role != "" && r.Configuration != math.MaxUint64 && r.Configuration >= views.GetConfiguration().GetVersion() &&
-			r.Endpoints >= views.GetEndpoints().GetVersion() && r.PartitionMap >= views.GetPartitionMap().GetVersion()
+		return r.Role != "" && r.ConfigurationVersion != math.MaxUint64 && r.ConfigurationVersion >= views.GetConfiguration().GetVersion() &&
+			r.EndpointsVersion >= views.GetEndpoints().GetVersion() && r.PartitionMapVersion >= views.GetPartitionMap().GetVersion()
 	})
 }
--- a/internal/tier/tiertest/turnstores.go
+++ b/internal/tier/tiertest/turnstores.go
@@ -174,7 +174,7 @@
 	for partition := range partitions {
 		pair := pairs[partition%len(pairs)]
 		partitionMap.Partitions = append(partitionMap.Partitions, &tierv1.Partition{Epoch: stores.version, Primary: stores.List[pair[0]].Folder(),
-			Backups: []*tierv1.Copy{{Folder: stores.List[pair[1]].Folder(), Synced: stores.version == 1}}})
+			Backups: []*tierv1.Replica{{Folder: stores.List[pair[1]].Folder(), Synced: stores.version == 1}}})
 	}
 	for _, store := range stores.List {
 		store.mu.Lock()
--- a/internal/tier/turnstore/apply.go
+++ b/internal/tier/turnstore/apply.go
@@ -44,19 +44,19 @@
 			p.term.unconfirmed, p.term.primarySince = false, store.cfg.Now()
 		}
 		for _, s := range p.term.senders {
-			s.unsynced = slices.ContainsFunc(part.Backups, func(c *tierv1.Copy) bool { return c.Folder == s.folder && !c.Synced })
+			s.unsynced = slices.ContainsFunc(part.Backups, func(c *tierv1.Replica) bool { return c.Folder == s.folder && !c.Synced })
 		}
 		return
 	}
 	continued := store.continued(p, part)
 	p.end()
 	p.epoch, p.primary, p.term = part.Epoch, part.Primary, nil
-	p.backup = slices.ContainsFunc(part.Backups, func(c *tierv1.Copy) bool { return c.Folder == store.folder })
+	p.backup = slices.ContainsFunc(part.Backups, func(c *tierv1.Replica) bool { return c.Folder == store.folder })
 	if p.primary == store.folder {
 		store.beginTerm(p, part)
 		p.term.goOnFrom(continued)
 	}
-	retained := slices.ContainsFunc(part.Retained, func(c *tierv1.RetainedCopy) bool { return c.Folder == store.folder })
+	retained := slices.ContainsFunc(part.Retained, func(c *tierv1.RetainedReplica) bool { return c.Folder == store.folder })
 	switch {
 	case p.primary == store.folder || p.backup || retained:
 		p.assigned()
@@ -115,7 +115,7 @@
 
 // Synced gives the copies that the map doesn't know to be synced, and that are now; none while the disk is not sound. The
 // channel is closed when that, or the state of the disk, changes.
-func (store *TurnStore) Synced() (reports []*tierv1.SyncedCopy, changed <-chan struct{}) {
+func (store *TurnStore) Synced() (reports []*tierv1.SyncedReplica, changed <-chan struct{}) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	if store.diskState != tierv1.DiskState_DISK_SOUND {
@@ -127,7 +127,7 @@
 		}
 		for _, s := range p.term.senders {
 			if s.unsynced && s.exchanged {
-				reports = append(reports, &tierv1.SyncedCopy{Partition: p.id, Epoch: p.term.epoch, Folder: s.folder})
+				reports = append(reports, &tierv1.SyncedReplica{Partition: p.id, Epoch: p.term.epoch, Folder: s.folder})
 			}
 		}
 	}
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -148,7 +148,7 @@
 			if !synced {
 				b = b[1:]
 			}
-			p.Backups = append(p.Backups, &tierv1.Copy{Folder: c.nodes[b].turnstore.Folder(), Synced: synced})
+			p.Backups = append(p.Backups, &tierv1.Replica{Folder: c.nodes[b].turnstore.Folder(), Synced: synced})
 		}
 		m.Partitions = append(m.Partitions, p)
 	}
--- a/internal/tier/turnstore/loss_test.go
+++ b/internal/tier/turnstore/loss_test.go
@@ -21,7 +21,7 @@
 	}
 	for range partitions {
 		m.Partitions = append(m.Partitions, &tierv1.Partition{Epoch: 1, Primary: folder("a"),
-			Backups: []*tierv1.Copy{{Folder: folder("b")}, {Folder: folder("c")}}})
+			Backups: []*tierv1.Replica{{Folder: folder("b")}, {Folder: folder("c")}}})
 	}
 	c.m = m
 	c.mu.Lock()
@@ -105,8 +105,8 @@
 }
 
 func TestDuty(t *testing.T) {
-	synced, unsynced := func(f string) *tierv1.Copy { return &tierv1.Copy{Folder: f, Synced: true} }, func(f string) *tierv1.Copy { return &tierv1.Copy{Folder: f} }
-	partition := func(primary string, backups ...*tierv1.Copy) *tierv1.Partition {
+	synced, unsynced := func(f string) *tierv1.Replica { return &tierv1.Replica{Folder: f, Synced: true} }, func(f string) *tierv1.Replica { return &tierv1.Replica{Folder: f} }
+	partition := func(primary string, backups ...*tierv1.Replica) *tierv1.Partition {
 		return &tierv1.Partition{Primary: primary, Backups: backups}
 	}
 	for _, test := range []struct {
--- a/internal/tier/turnstore/planted_test.go
+++ b/internal/tier/turnstore/planted_test.go
@@ -31,7 +31,7 @@
 	fetch     func(c *cluster) func(*TurnStore, context.Context, *tierv1.FetchRequest) (*tierv1.FetchReply, error)
 	files     func(wal.FS) wal.FS
 	control   func(m *tierv1.PartitionMap)                  // changes a map before a turn store is told it
-	reports   func(*TurnStore) []*tierv1.SyncedCopy         // what a turn store reports to control
+	reports   func(*TurnStore) []*tierv1.SyncedReplica      // what a turn store reports to control
 	successor func(s *script, lost string) (primary string) // whom control makes the primary after a loss
 }
 
@@ -54,7 +54,7 @@
 }
 
 // reports gives what a turn store reports to control, and a channel that is closed when that changes.
-func (c *cluster) reports(name string) ([]*tierv1.SyncedCopy, <-chan struct{}) {
+func (c *cluster) reports(name string) ([]*tierv1.SyncedReplica, <-chan struct{}) {
 	store := c.nodes[name].turnstore
 	reports, changed := store.Synced()
 	if c.plant.reports != nil {
@@ -211,7 +211,7 @@
 
 // reportsEarly makes a primary report all copies under way as whole.
 func reportsEarly() plant {
-	return plant{reports: func(store *TurnStore) (reports []*tierv1.SyncedCopy) {
+	return plant{reports: func(store *TurnStore) (reports []*tierv1.SyncedReplica) {
 		store.mu.Lock()
 		defer store.mu.Unlock()
 		for _, p := range store.store.partitions {
@@ -220,7 +220,7 @@
 			}
 			for _, s := range p.term.senders {
 				if s.unsynced {
-					reports = append(reports, &tierv1.SyncedCopy{Partition: p.id, Epoch: p.term.epoch, Folder: s.folder})
+					reports = append(reports, &tierv1.SyncedReplica{Partition: p.id, Epoch: p.term.epoch, Folder: s.folder})
 				}
 			}
 		}
--- a/internal/tier/turnstore/recover_test.go
+++ b/internal/tier/turnstore/recover_test.go
@@ -22,7 +22,7 @@
 	c.nodes["b"].cut = true
 	c.mu.Unlock()
 	c.assign("a", "?c") // b is retained
-	retained := []*tierv1.RetainedCopy{{Folder: folder("b"), Until: c.m.Version - 1}}
+	retained := []*tierv1.RetainedReplica{{Folder: folder("b"), Until: c.m.Version - 1}}
 	for _, p := range c.m.Partitions {
 		p.Retained = retained
 	}
@@ -49,7 +49,7 @@
 	next := &tierv1.PartitionMap{Version: c.m.Version + 1, StoreNodes: c.m.StoreNodes}
 	for _, p := range c.m.Partitions {
 		next.Partitions = append(next.Partitions, &tierv1.Partition{Epoch: p.Epoch, Primary: p.Primary,
-			Backups: []*tierv1.Copy{{Folder: folder("c"), Synced: true}}})
+			Backups: []*tierv1.Replica{{Folder: folder("c"), Synced: true}}})
 	}
 	c.m = next
 	c.push("b", "c")
@@ -77,7 +77,7 @@
 		c.assign("a", "?c")
 		for _, p := range c.m.Partitions {
 			if retained {
-				p.Retained = []*tierv1.RetainedCopy{{Folder: c.nodes["b"].turnstore.Folder(), Until: p.Epoch - 1}}
+				p.Retained = []*tierv1.RetainedReplica{{Folder: c.nodes["b"].turnstore.Folder(), Until: p.Epoch - 1}}
 			}
 		}
 		c.push()
