--- a/brain/equal_test.go
+++ b/brain/equal_test.go
@@ -61,6 +61,9 @@
 	held   map[brain.MessageID]*holding
 	counts map[string]int
 	rules  *rules // what is checked beside; nil for nothing
+
+	record func(events []brain.Event, actions []brain.Action) // sees each batch and its actions, if set
+	fleet  func() []brain.Event                               // further events of a batch, if set
 }
 
 type holding struct {
@@ -215,7 +218,13 @@
 	all := w.both[0].Step(w.now, append([]brain.Event(nil), events...))
 	got := withoutRecalls(all) // the reference knows none
 	w.counts["brain.Recall"] += len(all) - len(got)
-	want := withoutRecalls(w.both[1].Step(w.now, append([]brain.Event(nil), events...)))
+	if w.record != nil {
+		w.record(events, all)
+	}
+	want := got
+	if w.both[1] != nil {
+		want = withoutRecalls(w.both[1].Step(w.now, append([]brain.Event(nil), events...)))
+	}
 	if len(got) != len(want) || len(got) > 0 && !reflect.DeepEqual(got, want) {
 		i := 0
 		for i < min(len(got), len(want)) && got[i] == want[i] {
@@ -267,7 +276,11 @@
 
 // restart begins two new processes with what the old ones held, as the journal would tell it.
 func (w *world) restart() {
-	rates, old := w.both[0].Rates(), w.both[1].Rates()
+	rates := w.both[0].Rates()
+	old := rates
+	if w.both[1] != nil {
+		old = w.both[1].Rates()
+	}
 	if !reflect.DeepEqual(rates, old) {
 		w.t.Fatalf("seed %d at %v: rates %v, want %v", w.seed, w.now, rates, old)
 	}
@@ -382,6 +395,9 @@
 			w.restart()
 			events = nil // the new process was handed all that is held
 		}
+		if w.fleet != nil {
+			events = append(events, w.fleet()...)
+		}
 		if rng.IntN(5) == 0 {
 			rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
 		}
--- /dev/null
+++ b/brain/recorded_test.go
@@ -0,0 +1,247 @@
+package brain_test
+
+import (
+	"bufio"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"saffronyard.example/saffronyard/brain"
+)
+
+// The recorded decisions pin down every action of generated days: a change of the code that is meant to change no decision
+// leaves testdata as it is. One that is meant to change them records them anew with -update, and the commit says why. They
+// were recorded on amd64; where the compiler fuses multiplications and additions, floating-point results may differ.
+
+var update = flag.Bool("update", false, "record the decisions in testdata anew")
+
+const (
+	plainDays   = 1500 // seeds of days as each of the settings has them
+	serviceDays = 500  // seeds of days with a fleet, folding and reports of what is known
+	batches     = 250  // in each day
+	listedLines = 600  // of the first service day that are kept in full
+)
+
+// writeEvent writes an event in a form that does not depend on the names of types and fields.
+func writeEvent(out io.Writer, e brain.Event) {
+	switch e := e.(type) {
+	case brain.Message:
+		fmt.Fprintln(out, "  message", e.ID, e.Class, e.Tenant, e.Destination, e.Key, e.Deadline, e.Tried, e.MayRun, e.FirstRun, e.RanZone, e.Resumed)
+	case brain.AttemptEnd:
+		fmt.Fprintln(out, "  end", e.Message, e.Attempt, e.Endpoint, uint8(e.Outcome), e.Elapsed, e.Over, e.Recalled, e.Crowded, e.Wait, e.Reported, e.Left, e.Limit)
+	case brain.Earlier:
+		fmt.Fprintln(out, "  rate", e.Destination, e.Rate)
+	case brain.Learnt:
+		writeLearnt(out, "  learnt", e)
+	case brain.Granted:
+		fmt.Fprintln(out, "  granted", e.Destination, e.Limited, e.Mine, e.All)
+	case brain.Withdrawn:
+		fmt.Fprintln(out, "  withdrawn", e.Message)
+	case brain.ListNews:
+		fmt.Fprintln(out, "  list", e.Failed, e.InVain, e.Whole, len(e.Endpoints))
+		for _, line := range e.Endpoints {
+			fmt.Fprintln(out, "    endpoint", line.ID, line.Destination, line.Kind, line.Zone, line.Ready, line.Rating)
+		}
+	case brain.Alarm:
+		fmt.Fprintln(out, "  alarm")
+	default:
+		panic(fmt.Sprintf("event %T has no recorded form", e))
+	}
+}
+
+// writeAction writes an action in a form that does not depend on the names of types and fields.
+func writeAction(out io.Writer, a brain.Action) {
+	switch a := a.(type) {
+	case brain.Send:
+		fmt.Fprintln(out, "send", a.Message, a.Endpoint, int64(a.Timeout))
+	case brain.Recall:
+		fmt.Fprintln(out, "recall", a.Message, a.Attempt, uint8(a.Why))
+	case brain.Refuse:
+		fmt.Fprintln(out, "refuse", a.Message, int64(a.HoldOff))
+	case brain.Fail:
+		fmt.Fprintln(out, "fail", a.Message)
+	case brain.Cancel:
+		fmt.Fprintln(out, "cancel", a.Message, a.Attempt)
+	case brain.CloseIdle:
+		fmt.Fprintln(out, "closeidle", a.Endpoint)
+	case brain.SetAlarm:
+		fmt.Fprintln(out, "setalarm", int64(a.At))
+	case brain.WatchList:
+		fmt.Fprintln(out, "watchlist")
+	case brain.Log:
+		fmt.Fprintln(out, "log", a.Line)
+	default:
+		panic(fmt.Sprintf("action %T has no recorded form", a))
+	}
+}
+
+func writeLearnt(out io.Writer, word string, k brain.Learnt) {
+	fmt.Fprintln(out, word, k.Destination, k.Endpoint, k.Own, k.Calls, int64(k.Mean), int64(k.Median), int64(k.Quickest), int64(k.Bound), int64(k.PaceAge),
+		k.Window, int64(k.WindowAge), k.Limit, int64(k.LimitAge), int64(k.Wait), uint8(k.Health), int64(k.For), int64(k.OutFor), int64(k.HealthAge), k.Rate, k.Others)
+}
+
+// recordDay plays a day against a Brain alone and writes its actions, and with it the events where listed is set.
+func recordDay(w *world, out io.Writer, listed bool) (actions int) {
+	steps := 0
+	w.record = func(events []brain.Event, acts []brain.Action) {
+		fmt.Fprintln(out, "at", int64(w.now))
+		if listed {
+			for _, e := range events {
+				writeEvent(out, e)
+			}
+		}
+		for _, a := range acts {
+			writeAction(out, a)
+		}
+		actions += len(acts)
+		b := w.both[0].(*brain.Brain)
+		for _, k := range b.News() {
+			writeLearnt(out, "news", k)
+		}
+		if steps++; steps%50 > 0 {
+			return
+		}
+		for _, k := range b.Known() {
+			writeLearnt(out, "known", k)
+		}
+		for _, k := range b.Outages() {
+			writeLearnt(out, "outage", k)
+		}
+		for _, k := range b.Rates() {
+			fmt.Fprintln(out, "rate", k.Destination, k.Rate)
+		}
+	}
+	w.play(batches)
+	return actions
+}
+
+func plainDay(t *testing.T, seed uint64) *world {
+	w := newWorld(t, seed)
+	w.make = func() [2]decider { return [2]decider{brain.New(w.s, seed), nil} }
+	return w
+}
+
+// serviceDay is a day as in service: destinations fold, the fleet lends limits, and other senders tell what they know.
+func serviceDay(t *testing.T, seed uint64) *world {
+	w := plainDay(t, seed)
+	w.s.Senders = []int{1, 3, 30, 200}[seed%4]
+	w.s.TellsNews, w.s.MayCancel = true, true
+	w.s.ZoneFees = []float64{0, 0.3}
+	if seed%3 > 0 {
+		w.s.FoldAfter = time.Duration(1+seed%5) * time.Second
+		w.s.IdleConnections = 500 * ms
+	}
+	w.fleet = func() []brain.Event {
+		d := brain.DestinationID(w.rng.IntN(w.dests))
+		switch w.rng.IntN(25) {
+		case 0:
+			limited := w.rng.IntN(3) > 0
+			return []brain.Event{brain.Granted{Destination: d, Limited: limited, Mine: float64(w.rng.IntN(10)), All: float64(w.rng.IntN(40))}}
+		case 1:
+			var at brain.EndpointID
+			if w.rng.IntN(2) == 0 {
+				at = brain.EndpointID(w.rng.IntN(int(w.nextE) + 1))
+				d = w.dest[at]
+			}
+			some := func(most time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(most))) }
+			k := brain.Learnt{Destination: d, Endpoint: at, Own: w.rng.IntN(2) == 0, Health: brain.Health(w.rng.IntN(4)), For: some(20 * time.Second),
+				HealthAge: some(40 * time.Second), Rate: float64(w.rng.IntN(20)), Others: w.rng.IntN(5)}
+			if w.rng.IntN(2) == 0 {
+				k.Calls, k.Mean, k.Median, k.Quickest, k.Bound, k.PaceAge = w.rng.IntN(100), some(time.Second), some(time.Second), some(200*ms), some(5*time.Second), some(3*time.Hour)
+				k.Window, k.WindowAge = float64(w.rng.IntN(20)), some(10*time.Minute)
+			}
+			if w.rng.IntN(3) == 0 {
+				k.Limit, k.LimitAge = float64(w.rng.IntN(30)), some(time.Hour)
+			}
+			if w.rng.IntN(4) == 0 {
+				k.Wait = some(4 * time.Second)
+			}
+			if w.rng.IntN(2) == 0 {
+				k.OutFor = some(time.Minute)
+			}
+			return []brain.Event{k}
+		}
+		return nil
+	}
+	return w
+}
+
+// compareRecord compares what was decided with what testdata holds, line by line, or records it.
+func compareRecord(t *testing.T, file string, got []string) {
+	t.Helper()
+	file = "testdata/" + file
+	if *update {
+		if err := os.WriteFile(file, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	recorded, err := os.Open(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer recorded.Close()
+	lines := bufio.NewScanner(recorded)
+	wrong := 0
+	for i, line := range got {
+		if !lines.Scan() {
+			t.Fatalf("%s ends before line %d", file, i+1)
+		}
+		if line != lines.Text() {
+			if wrong++; wrong <= 5 {
+				t.Errorf("%s:%d: decided\n%s\nrecorded\n%s", file, i+1, line, lines.Text())
+			}
+		}
+	}
+	if wrong > 5 {
+		t.Errorf("%s: %d lines differ", file, wrong)
+	}
+}
+
+func TestStep_RecordedDays(t *testing.T) {
+	for _, kind := range []struct {
+		name string
+		days int
+		day  func(*testing.T, uint64) *world
+	}{{"plain", plainDays, plainDay}, {"service", serviceDays, serviceDay}} {
+		t.Run(kind.name, func(t *testing.T) {
+			days := kind.days
+			if testing.Short() && !*update {
+				days /= 8
+			}
+			var got []string
+			kinds := map[string]int{}
+			for seed := range uint64(days) {
+				hash := fnv.New64a()
+				w := kind.day(t, seed)
+				n := recordDay(w, hash, false)
+				got = append(got, fmt.Sprintf("day %d: %d actions, %016x", seed, n, hash.Sum64()))
+				for action, n := range w.counts {
+					kinds[action] += n
+				}
+			}
+			for _, action := range []string{"Send", "Recall", "Refuse", "Fail", "Cancel", "CloseIdle", "SetAlarm", "WatchList", "Log"} {
+				if kinds["brain."+action] < days/10 {
+					t.Errorf("the days hardly ever came to %s: %d of it", action, kinds["brain."+action])
+				}
+			}
+			compareRecord(t, kind.name+"_days.golden", got)
+		})
+	}
+}
+
+// The first lines of one day in full, events and actions, to read and to find the first difference by.
+func TestStep_RecordedActions(t *testing.T) {
+	var day strings.Builder
+	recordDay(serviceDay(t, 1), &day, true)
+	lines := strings.Split(day.String(), "\n")
+	if len(lines) < listedLines {
+		t.Fatalf("the day has %d lines", len(lines))
+	}
+	compareRecord(t, "service_day_1.golden", lines[:listedLines])
+}
