--- a/cmd/saffronyard/limits_test.go
+++ b/cmd/saffronyard/limits_test.go
@@ -100,9 +100,9 @@
 // full while one that is cut off still uses what it holds.
 func TestWrongLendersAreFound(t *testing.T) {
 	t.Parallel()
-	var names []*pb.Part
+	var names []*pb.Participant
 	for i := range 5 {
-		names = append(names, &pb.Part{Name: fmt.Sprintf("n%d", i)})
+		names = append(names, &pb.Participant{Name: fmt.Sprintf("n%d", i)})
 	}
 	in := coordinator.NewCharge(names).Of("destination 0").Name
 	if in == "n4" {
--- a/internal/coordinator/roster.go
+++ b/internal/coordinator/roster.go
@@ -26,48 +26,48 @@
 const partsMost = 2000
 
 // Machine is the roster as the fleet agrees on it. The same commands in the same order make the same state everywhere.
-type Machine struct{ state *pb.RosterState }
+type Machine struct{ state *pb.MembershipState }
 
 // NewMachine makes the state before the first command: nobody takes part.
-func NewMachine() *Machine { return &Machine{&pb.RosterState{}} }
+func NewMachine() *Machine { return &Machine{&pb.MembershipState{}} }
 
 // State is what is agreed; it is read only, and holds until the next command.
-func (m *Machine) State() *pb.RosterState { return m.state }
+func (m *Machine) State() *pb.MembershipState { return m.state }
 
 // Apply carries out a command at its index of the log. Each makes a new state, so that who has the old one may go on reading it.
 func (m *Machine) Apply(index uint64, body []byte) (result []byte, refused string, err error) {
-	c := &pb.Roster{}
+	c := &pb.MembershipCommand{}
 	if err := proto.Unmarshal(body, c); err != nil {
 		return nil, "", fmt.Errorf("a command on the roster can't be read: %w", err)
 	}
 	s := m.state
-	switch w := c.GetWhat().(type) {
-	case *pb.Roster_Come:
+	switch w := c.GetCommand().(type) {
+	case *pb.MembershipCommand_Propose:
 		switch {
-		case s.Coming != 0:
-			return nil, fmt.Sprintf("roster %d is about to begin", s.Coming), nil
-		case w.Come.GetBase() != s.Epoch:
-			return nil, fmt.Sprintf("it follows roster %d; roster %d is in force", w.Come.GetBase(), s.Epoch), nil
-		case len(w.Come.GetParts()) > partsMost:
-			return nil, fmt.Sprintf("%d take part; %d are the most", len(w.Come.GetParts()), partsMost), nil
+		case s.NextEpoch != 0:
+			return nil, fmt.Sprintf("roster %d is about to begin", s.NextEpoch), nil
+		case w.Propose.GetBaseEpoch() != s.Epoch:
+			return nil, fmt.Sprintf("it follows roster %d; roster %d is in force", w.Propose.GetBaseEpoch(), s.Epoch), nil
+		case len(w.Propose.GetParticipants()) > partsMost:
+			return nil, fmt.Sprintf("%d take part; %d are the most", len(w.Propose.GetParticipants()), partsMost), nil
 		}
 		seen := map[string]bool{}
-		for _, p := range w.Come.GetParts() {
+		for _, p := range w.Propose.GetParticipants() {
 			if p.GetName() == "" || seen[p.GetName()] {
 				return nil, fmt.Sprintf("%q takes part twice, or has no name", p.GetName()), nil
 			}
 			seen[p.GetName()] = true
 		}
-		m.state = &pb.RosterState{Epoch: s.Epoch, Since: s.Since, Parts: s.Parts, Coming: s.Epoch + 1, From: index, Next: w.Come.GetParts(), Drawn: s.Drawn}
+		m.state = &pb.MembershipState{Epoch: s.Epoch, StartIndex: s.StartIndex, Participants: s.Participants, NextEpoch: s.Epoch + 1, FenceIndex: index, NextParticipants: w.Propose.GetParticipants(), DrawnQuotas: s.DrawnQuotas}
 		return nil, "", nil
-	case *pb.Roster_Begin:
-		if s.Coming == 0 || s.Coming != w.Begin.GetEpoch() {
-			return nil, fmt.Sprintf("roster %d is not about to begin", w.Begin.GetEpoch()), nil
+	case *pb.MembershipCommand_Activate:
+		if s.NextEpoch == 0 || s.NextEpoch != w.Activate.GetEpoch() {
+			return nil, fmt.Sprintf("roster %d is not about to begin", w.Activate.GetEpoch()), nil
 		}
-		m.state = &pb.RosterState{Epoch: s.Coming, Since: index, Parts: s.Next, Drawn: s.Drawn}
+		m.state = &pb.MembershipState{Epoch: s.NextEpoch, StartIndex: index, Participants: s.NextParticipants, DrawnQuotas: s.DrawnQuotas}
 		return nil, "", nil
 	}
-	if w, ok := c.GetWhat().(*pb.Roster_Draw); ok {
+	if w, ok := c.GetCommand().(*pb.MembershipCommand_Draw); ok {
 		units, refused := m.draw(w.Draw)
 		return binary.AppendVarint(nil, units), refused, nil
 	}
@@ -78,35 +78,35 @@
 const drawnMost = 20_000
 
 // draw gives units of a day's quota, as far as there are any. A day that is over does not come back, whatever calendar asks.
-func (m *Machine) draw(d *pb.Draw) (units int64, refused string) {
+func (m *Machine) draw(d *pb.DrawQuota) (units int64, refused string) {
 	s := m.state
 	if d.GetEpoch() != s.Epoch {
 		return 0, fmt.Sprintf("it was drawn under roster %d, and roster %d is in force", d.GetEpoch(), s.Epoch)
 	}
-	i, known := slices.BinarySearchFunc(s.Drawn, d.GetKey(), func(o *pb.Drawn, key string) int { return cmp.Compare(o.Key, key) })
-	is := &pb.Drawn{Key: d.GetKey(), Period: d.GetPeriod()}
+	i, known := slices.BinarySearchFunc(s.DrawnQuotas, d.GetKey(), func(o *pb.DrawnQuota, key string) int { return cmp.Compare(o.Key, key) })
+	is := &pb.DrawnQuota{Key: d.GetKey(), Period: d.GetPeriod()}
 	if known {
-		switch was := s.Drawn[i]; {
+		switch was := s.DrawnQuotas[i]; {
 		case d.GetPeriod() < was.Period:
 			return 0, fmt.Sprintf("day %d is over; it is day %d", d.GetPeriod(), was.Period)
 		case d.GetPeriod() == was.Period:
 			is.Units = was.Units
 		}
-	} else if len(s.Drawn) >= drawnMost {
+	} else if len(s.DrawnQuotas) >= drawnMost {
 		return 0, fmt.Sprintf("%d quotas are kept, which is the most", drawnMost)
 	}
-	units = min(d.GetUnits(), d.GetMost()-is.Units)
+	units = min(d.GetUnits(), d.GetLimit()-is.Units)
 	if units <= 0 {
-		return 0, fmt.Sprintf("all %d of day %d are drawn", d.GetMost(), d.GetPeriod())
+		return 0, fmt.Sprintf("all %d of day %d are drawn", d.GetLimit(), d.GetPeriod())
 	}
 	is.Units += units
-	drawn := slices.Clone(s.Drawn)
+	drawn := slices.Clone(s.DrawnQuotas)
 	if known {
 		drawn[i] = is
 	} else {
 		drawn = slices.Insert(drawn, i, is)
 	}
-	m.state = &pb.RosterState{Epoch: s.Epoch, Since: s.Since, Parts: s.Parts, Coming: s.Coming, From: s.From, Next: s.Next, Drawn: drawn}
+	m.state = &pb.MembershipState{Epoch: s.Epoch, StartIndex: s.StartIndex, Participants: s.Participants, NextEpoch: s.NextEpoch, FenceIndex: s.FenceIndex, NextParticipants: s.NextParticipants, DrawnQuotas: drawn}
 	return units, ""
 }
 
@@ -117,7 +117,7 @@
 
 // Restore puts the state in place of what is held.
 func (m *Machine) Restore(raw []byte) error {
-	s := &pb.RosterState{}
+	s := &pb.MembershipState{}
 	if err := proto.Unmarshal(raw, s); err != nil {
 		return fmt.Errorf("the roster can't be read: %w", err)
 	}
@@ -127,13 +127,13 @@
 
 // Charge says who is in charge of what, among some who take part.
 type Charge struct {
-	parts map[string]*pb.Part
+	parts map[string]*pb.Participant
 	by    *rendezvous.Rendezvous
 }
 
 // NewCharge makes it. A process that takes the place of another of its name has the same things.
-func NewCharge(parts []*pb.Part) *Charge {
-	c := &Charge{parts: map[string]*pb.Part{}}
+func NewCharge(parts []*pb.Participant) *Charge {
+	c := &Charge{parts: map[string]*pb.Participant{}}
 	var names []string
 	for _, p := range parts {
 		c.parts[p.Name] = p
@@ -145,7 +145,7 @@
 }
 
 // Of is who is in charge of a thing; nil if nobody takes part.
-func (c *Charge) Of(thing string) *pb.Part {
+func (c *Charge) Of(thing string) *pb.Participant {
 	if c == nil || len(c.parts) == 0 {
 		return nil
 	}
@@ -158,7 +158,7 @@
 		return false
 	}
 	p := c.parts[w.Name]
-	return p != nil && p.Life == w.Life
+	return p != nil && p.Incarnation == w.Life
 }
 
 // Part is one that wants to take part: it holds a lease.
@@ -183,53 +183,57 @@
 
 // Step gives the next command; nil while there is none. here are those that hold a lease and have an address, the one
 // whose lease lapses last first.
-func (c *Coordinator) Step(now time.Duration, s *pb.RosterState, g *lease.Granter, here []Part) *pb.Roster {
+func (c *Coordinator) Step(now time.Duration, s *pb.MembershipState, g *lease.Granter, here []Part) *pb.MembershipCommand {
 	if s.GetEpoch() != c.epoch || c.since == 0 {
 		c.epoch, c.since = s.GetEpoch(), now
 	}
-	send := func(what uint64, r *pb.Roster) *pb.Roster {
+	send := func(what uint64, r *pb.MembershipCommand) *pb.MembershipCommand {
 		if c.what == what && now-c.sent < again {
 			return nil
 		}
 		c.what, c.sent = what, now
 		return r
 	}
-	if s.GetComing() != 0 {
-		if len(g.Below(s.GetFrom(), now)) > 0 {
+	if s.GetNextEpoch() != 0 {
+		if len(g.Below(s.GetFenceIndex(), now)) > 0 {
 			return nil
 		}
-		return send(2*s.Coming+1, &pb.Roster{What: &pb.Roster_Begin{Begin: &pb.RosterStep{Epoch: s.Coming}}})
+		return send(2*s.NextEpoch+1, &pb.MembershipCommand{Command: &pb.MembershipCommand_Activate{Activate: &pb.ActivateMembership{Epoch: s.NextEpoch}}})
 	}
 	// While there may be leases of an earlier leader it is not known who is here.
 	if g.Quiet(now) || s.GetEpoch() > 0 && now-c.since < settles {
 		return nil
 	}
 	next := newest(here)
-	if same(next, s.GetParts()) {
+	if same(next, s.GetParticipants()) {
 		return nil
 	}
-	return send(2*(s.GetEpoch()+1), &pb.Roster{What: &pb.Roster_Come{Come: &pb.Come{Base: s.GetEpoch(), Parts: next}}})
+	return send(2*(s.GetEpoch()+1), &pb.MembershipCommand{Command: &pb.MembershipCommand_Propose{Propose: &pb.ProposeMembership{BaseEpoch: s.GetEpoch(), Participants: next}}})
 }
 
 // Grants reports whether one who acts at an index is granted a lease while a roster is coming: once it knows of it. Otherwise one whose
 // questions arrive while no answer reaches it would have its lease counted on and on.
-func Grants(acts uint64, s *pb.RosterState) bool { return s.GetComing() == 0 || acts >= s.GetFrom() }
+func Grants(acts uint64, s *pb.MembershipState) bool {
+	return s.GetNextEpoch() == 0 || acts >= s.GetFenceIndex()
+}
 
 // newest are those that are here, one process of each name: of two the one whose lease lapses last, as it was renewed last, which
 // comes first.
-func newest(here []Part) []*pb.Part {
+func newest(here []Part) []*pb.Participant {
 	seen := map[string]bool{}
-	all := make([]*pb.Part, 0, len(here))
+	all := make([]*pb.Participant, 0, len(here))
 	for _, p := range here {
 		if !seen[p.Name] {
 			seen[p.Name] = true
-			all = append(all, &pb.Part{Name: p.Name, Life: p.Life, Address: p.Address})
+			all = append(all, &pb.Participant{Name: p.Name, Incarnation: p.Life, Address: p.Address})
 		}
 	}
-	slices.SortFunc(all, func(a, b *pb.Part) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b *pb.Participant) int { return cmp.Compare(a.Name, b.Name) })
 	return all[:min(len(all), partsMost)]
 }
 
-func same(a, b []*pb.Part) bool {
-	return slices.EqualFunc(a, b, func(x, y *pb.Part) bool { return x.Name == y.Name && x.Life == y.Life && x.Address == y.Address })
+func same(a, b []*pb.Participant) bool {
+	return slices.EqualFunc(a, b, func(x, y *pb.Participant) bool {
+		return x.Name == y.Name && x.Incarnation == y.Incarnation && x.Address == y.Address
+	})
 }
--- a/internal/coordinator/roster_test.go
+++ b/internal/coordinator/roster_test.go
@@ -62,8 +62,8 @@
 
 func (f *fleet) is() string {
 	var names []string
-	for _, p := range f.State().Parts {
-		names = append(names, fmt.Sprintf("%s%d", p.Name, p.Life))
+	for _, p := range f.State().Participants {
+		names = append(names, fmt.Sprintf("%s%d", p.Name, p.Incarnation))
 	}
 	return fmt.Sprintf("%d: %s", f.State().Epoch, strings.Join(names, " "))
 }
@@ -95,7 +95,7 @@
 	}
 	// b does not hear that a has gone: nothing begins before its lease has lapsed, and it is granted none.
 	f.goes(t, 1100*time.Millisecond, nil, b)
-	if f.State().Coming == 0 || f.State().Epoch != 3 {
+	if f.State().NextEpoch == 0 || f.State().Epoch != 3 {
 		t.Errorf("%v", f.State())
 	}
 	f.goes(t, 3*time.Second, nil, b)
@@ -106,9 +106,9 @@
 
 // A thing moves only with who was in charge of it.
 func TestCharge(t *testing.T) {
-	var parts []*pb.Part
+	var parts []*pb.Participant
 	for i := range 20 {
-		parts = append(parts, &pb.Part{Name: fmt.Sprintf("n%d", i), Life: uint64(i)})
+		parts = append(parts, &pb.Participant{Name: fmt.Sprintf("n%d", i), Incarnation: uint64(i)})
 	}
 	all, without := NewCharge(parts), NewCharge(parts[1:])
 	counts := map[string]int{}
@@ -133,18 +133,18 @@
 // What does not fit the state changes nothing.
 func TestRefused(t *testing.T) {
 	m := NewMachine()
-	come := func(base uint64, names ...string) *pb.Roster {
-		c := &pb.Come{Base: base}
+	come := func(base uint64, names ...string) *pb.MembershipCommand {
+		c := &pb.ProposeMembership{BaseEpoch: base}
 		for _, n := range names {
-			c.Parts = append(c.Parts, &pb.Part{Name: n})
+			c.Participants = append(c.Participants, &pb.Participant{Name: n})
 		}
-		return &pb.Roster{What: &pb.Roster_Come{Come: c}}
+		return &pb.MembershipCommand{Command: &pb.MembershipCommand_Propose{Propose: c}}
 	}
-	begin := func(epoch uint64) *pb.Roster {
-		return &pb.Roster{What: &pb.Roster_Begin{Begin: &pb.RosterStep{Epoch: epoch}}}
+	begin := func(epoch uint64) *pb.MembershipCommand {
+		return &pb.MembershipCommand{Command: &pb.MembershipCommand_Activate{Activate: &pb.ActivateMembership{Epoch: epoch}}}
 	}
 	for i, c := range []struct {
-		r    *pb.Roster
+		r    *pb.MembershipCommand
 		says string
 	}{{begin(1), "not about to begin"}, {come(3, "a"), "roster 0 is in force"}, {come(0, "a", "a"), "twice"}, {come(0, "a"), ""}, {come(0, "b"), "about to begin"},
 		{begin(2), "not about to begin"}, {begin(1), ""}, {begin(1), "not about to begin"}, {come(0, "b"), "roster 1 is in force"}} {
@@ -162,7 +162,7 @@
 	if err == nil {
 		err = again.Restore(raw)
 	}
-	if err != nil || again.State().Epoch != 1 || again.State().Since != 7 {
+	if err != nil || again.State().Epoch != 1 || again.State().StartIndex != 7 {
 		t.Errorf("%v: %v", err, again.State())
 	}
 }
--- a/internal/fleet/copy.go
+++ b/internal/fleet/copy.go
@@ -63,7 +63,7 @@
 	case replicatedlog.Question:
 		n.aside(func(ctx context.Context) {
 			a.Request.Cluster = n.c.Cluster
-			var r *pb.AskReply
+			var r *pb.LeaseReply
 			err := n.through(ctx, func(ctx context.Context, client pb.FleetClient) error {
 				var err error
 				r, err = client.Ask(ctx, a.Request)
@@ -75,9 +75,9 @@
 				return
 			}
 			n.mu.Lock()
-			n.waiting = r.Waits
+			n.waiting = r.WaitingOn
 			n.mu.Unlock()
-			n.copy.In.Put(ctx, replicatedlog.Granted{Asked: a.Asked, Need: r.Need, Length: time.Duration(r.LengthUs) * time.Microsecond})
+			n.copy.In.Put(ctx, replicatedlog.Granted{Asked: a.Asked, Need: r.RequiredIndex, Length: time.Duration(r.DurationUs) * time.Microsecond})
 		})
 	case replicatedlog.Publish:
 		was, could := n.gate.View()
@@ -100,8 +100,8 @@
 		n.aside(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, n.c.Terms.Length)
 			defer cancel()
-			if r, err := n.Submit(ctx, replicatedlog.KindJoin, a.Command); err == nil && r.Refused != "" {
-				n.log.Error("fleet: this sender is no member", "why", r.Refused)
+			if r, err := n.Submit(ctx, replicatedlog.KindJoin, a.Command); err == nil && r.Rejection != "" {
+				n.log.Error("fleet: this sender is no member", "why", r.Rejection)
 			}
 		})
 	}
@@ -130,7 +130,7 @@
 func (n *Node) followAll() {
 	for n.ctx.Err() == nil {
 		if n.voter() != nil {
-			n.feed.follow(n.ctx, n.reached(), beats(), func(p *pb.Piece) bool {
+			n.feed.follow(n.ctx, n.reached(), beats(), func(p *pb.LogChunk) bool {
 				n.mu.Lock()
 				n.heard = n.c.Now()
 				n.mu.Unlock()
@@ -174,7 +174,7 @@
 	defer stop()
 	silent := time.AfterFunc(silentTime, stop)
 	defer silent.Stop()
-	from, err := client.Follow(ctx, &pb.FollowRequest{Cluster: n.c.Cluster, Name: n.c.Name, After: n.reached()})
+	from, err := client.Follow(ctx, &pb.FollowRequest{Cluster: n.c.Cluster, Name: n.c.Name, AfterIndex: n.reached()})
 	if err != nil {
 		return err
 	}
@@ -206,7 +206,7 @@
 	if is {
 		is = false
 		for _, v := range n.report.voters {
-			is = is || v.Name == n.c.Name && !v.Gone
+			is = is || v.Name == n.c.Name && !v.Removed
 		}
 	}
 	n.mu.Unlock()
--- a/internal/fleet/feed.go
+++ b/internal/fleet/feed.go
@@ -53,10 +53,10 @@
 }
 
 // after gives what comes behind an index, up to a piece; and what is closed when there is more.
-func (f *feed) after(index uint64) (p *pb.Piece, changed chan struct{}) {
+func (f *feed) after(index uint64) (p *pb.LogChunk, changed chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p = &pb.Piece{Committed: f.base + uint64(len(f.entries))}
+	p = &pb.LogChunk{CommitIndex: f.base + uint64(len(f.entries))}
 	if index < f.base {
 		p.Snapshot, index = f.snapshot, f.base
 	}
@@ -69,7 +69,7 @@
 }
 
 // follow passes pieces on from an index until ctx ends or told says no; beat is called when nothing came for a while.
-func (f *feed) follow(ctx context.Context, index uint64, beat func() <-chan struct{}, told func(*pb.Piece) bool) {
+func (f *feed) follow(ctx context.Context, index uint64, beat func() <-chan struct{}, told func(*pb.LogChunk) bool) {
 	for {
 		p, changed := f.after(index)
 		if len(p.Snapshot) > 0 {
@@ -81,7 +81,7 @@
 		if !told(p) {
 			return
 		}
-		if index < p.Committed {
+		if index < p.CommitIndex {
 			continue
 		}
 		select {
--- a/internal/fleet/http.go
+++ b/internal/fleet/http.go
@@ -89,7 +89,7 @@
 		if err != nil {
 			return nil, err
 		}
-		change, err := n.Propose(ctx, &pb.Propose{Base: base, Document: doc, By: by, Why: q.Get("why"), WaitUs: wait.Microseconds(), BackTo: back})
+		change, err := n.Propose(ctx, &pb.ProposePolicy{BaseVersion: base, Document: doc, Author: by, Reason: q.Get("why"), StageTimeoutUs: wait.Microseconds(), RollbackTo: back})
 		return map[string]uint64{"change": change}, err
 	})
 	post("/policy/abort", func(ctx context.Context, r *http.Request, by string) (any, error) {
@@ -111,11 +111,11 @@
 	}
 	post("/fleet/gone", func(ctx context.Context, r *http.Request, by string) (any, error) {
 		q := r.URL.Query()
-		return struct{}{}, n.Leave(ctx, &pb.Leave{Name: q.Get("name"), By: by, Why: q.Get("why")})
+		return struct{}{}, n.Leave(ctx, &pb.Leave{Name: q.Get("name"), Author: by, Reason: q.Get("why")})
 	})
 	post("/fleet/voters", func(ctx context.Context, r *http.Request, by string) (any, error) {
 		q := r.URL.Query()
-		v := &pb.Voters{Remove: q["remove"], By: by}
+		v := &pb.VoterChange{Remove: q["remove"], Author: by}
 		for i, name := range q["add"] {
 			if i >= len(q["address"]) {
 				return nil, fmt.Errorf("no address of %s", name)
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -39,7 +39,7 @@
 	rank    int
 	known   bool
 
-	verdicts *pb.VerdictsState
+	verdicts *pb.HealthState
 
 	mu      sync.Mutex
 	changed map[string]struct{} // limits of which this sender may use another share, and nobody has heard so
@@ -56,11 +56,11 @@
 type (
 	nudge   struct{}
 	lendAsk struct {
-		request *pb.LendRequest
+		request *pb.QuotaRequest
 		answer  chan lendAnswer
 	}
 	lendAnswer struct {
-		reply *pb.LendReply
+		reply *pb.QuotaReply
 		err   error
 	}
 	showBooks struct{ done chan []quota.Report }
@@ -132,7 +132,7 @@
 type asking struct {
 	*quota.Asker
 	l      *limiting
-	roster *pb.RosterState
+	roster *pb.MembershipState
 }
 
 // Step takes events in, by the roster that is published.
@@ -156,7 +156,7 @@
 			if err != nil {
 				l.n.log.Debug("fleet: nothing is lent", "by", a.To.Name, "err", err)
 			}
-			l.asks.In.Offer(quota.Answered{To: a.To.Name, Seq: a.Request.Seq, Reply: reply})
+			l.asks.In.Offer(quota.Answered{To: a.To.Name, Seq: a.Request.Sequence, Reply: reply})
 		})
 	case quota.Changed:
 		l.mu.Lock()
@@ -173,7 +173,7 @@
 }
 
 // put asks an authority, which may be this sender itself.
-func (l *limiting) put(ctx context.Context, q quota.Question) (*pb.LendReply, error) {
+func (l *limiting) put(ctx context.Context, q quota.Question) (*pb.QuotaReply, error) {
 	q.Request.Cluster = l.n.c.Cluster
 	if q.To.Name == l.me.Name {
 		return l.lend(ctx, q.Request)
@@ -186,7 +186,7 @@
 }
 
 // lend answers a holder.
-func (l *limiting) lend(ctx context.Context, r *pb.LendRequest) (*pb.LendReply, error) {
+func (l *limiting) lend(ctx context.Context, r *pb.QuotaRequest) (*pb.QuotaReply, error) {
 	ask := lendAsk{r, make(chan lendAnswer, 1)}
 	if !l.lends.In.Offer(ask) {
 		return nil, status.Error(codes.Unavailable, "this sender is leaving")
@@ -202,7 +202,7 @@
 }
 
 // Lend is asked by holders.
-func (s *service) Lend(ctx context.Context, r *pb.LendRequest) (*pb.LendReply, error) {
+func (s *service) Lend(ctx context.Context, r *pb.QuotaRequest) (*pb.QuotaReply, error) {
 	if err := s.mine(r.Cluster); err != nil {
 		return nil, err
 	}
@@ -213,12 +213,12 @@
 type lending struct {
 	*quota.Lender
 	l       *limiting
-	roster  *pb.RosterState
+	roster  *pb.MembershipState
 	version uint64
 	known   bool
 	tidied  time.Duration
 
-	verdicts *pb.VerdictsState
+	verdicts *pb.HealthState
 }
 
 // lendReply goes back to who asked.
@@ -288,12 +288,12 @@
 		l.n.aside(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, l.n.c.Terms.Length)
 			defer cancel()
-			r, err := l.n.Submit(ctx, replicatedlog.KindRoster, &pb.Roster{What: &pb.Roster_Draw{Draw: &pb.Draw{Epoch: a.Epoch, Key: a.Key, Period: a.Period, Units: a.Units, Most: a.Most}}})
+			r, err := l.n.Submit(ctx, replicatedlog.KindRoster, &pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: a.Epoch, Key: a.Key, Period: a.Period, Units: a.Units, Limit: a.Most}}})
 			units := int64(0)
-			if err == nil && r.Refused == "" {
+			if err == nil && r.Rejection == "" {
 				units, _ = binary.Varint(r.Result)
 			} else { // what the log gave without our hearing of it is lost for the day
-				l.n.log.Debug("fleet: nothing is drawn of a day's quota", "limit", a.Key, "err", err, "refused", r.GetRefused())
+				l.n.log.Debug("fleet: nothing is drawn of a day's quota", "limit", a.Key, "err", err, "refused", r.GetRejection())
 			}
 			l.lends.In.Offer(drawn{a, units})
 		})
@@ -466,7 +466,7 @@
 	all := []LimitReport{}
 	for _, s := range n.limits.till.Stands(now) {
 		r := LimitReport{Key: s.Limit.Key, Words: fleetpolicy.LimitWords(s.Limit), Units: s.Limit.Units, Holds: s.Units, Busy: s.Busy, LeftMS: s.Left.Milliseconds(), Waiting: s.Waiting,
-			Used: s.Used, Refused: s.Refused, Turns: s.Turns, Bound: n.limits.bound(s.Limit, len(v.Roster.GetParts()))}
+			Used: s.Used, Refused: s.Refused, Turns: s.Turns, Bound: n.limits.bound(s.Limit, len(v.Roster.GetParticipants()))}
 		if p := charge.Of(s.Limit.Key); p != nil {
 			r.Authority = p.Name
 		}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -125,10 +125,10 @@
 	last    uint64                                   // reply
 	out     map[string]*worker.Ring[*raftpb.Message] // to other voters
 	status  replicatedlog.Status
-	failed  string        // why it is no voter any more
-	old     string        // why the folder was found to be old
-	waiting []*pb.Waiting // for whom the open change waits, as the one that leads said last
-	waits   string        // for which voters this one waits before it takes part
+	failed  string              // why it is no voter any more
+	old     string              // why the folder was found to be old
+	waiting []*pb.PendingSender // for whom the open change waits, as the one that leads said last
+	waits   string              // for which voters this one waits before it takes part
 	report  copyReport
 	current string        // voter that is followed
 	heard   time.Duration // a voter's word came last; a voter hears its own log
@@ -303,7 +303,7 @@
 				client, err := n.wires.to(n.address(name))
 				var r *pb.HelloReply
 				if err == nil {
-					r, err = client.Hello(ctx, &pb.HelloRequest{Cluster: n.c.Cluster, Name: n.c.Name, Life: n.life, Id: replicatedlog.VoterID(n.c.Name), Term: f.Term, Last: f.Last})
+					r, err = client.Hello(ctx, &pb.HelloRequest{Cluster: n.c.Cluster, Name: n.c.Name, Incarnation: n.life, VoterId: replicatedlog.VoterID(n.c.Name), Term: f.Term, LastIndex: f.Last})
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -311,7 +311,7 @@
 					missing += " " + name
 					return
 				}
-				heard[name] = replicatedlog.Heard{Term: r.Term, LastTerm: r.LastTerm, Last: r.Last, Match: r.Match}
+				heard[name] = replicatedlog.Heard{Term: r.Term, LastTerm: r.LastTerm, Last: r.LastIndex, Match: r.MatchIndex}
 			}()
 		}
 		round.Wait()
@@ -336,7 +336,7 @@
 	gone := []uint64{replicatedlog.VoterID(n.c.Name)}
 	n.mu.Lock()
 	for _, v := range n.report.voters {
-		if v.Gone {
+		if v.Removed {
 			gone = append(gone, v.Id)
 		} else {
 			ids = append(ids, v.Id)
@@ -357,7 +357,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, v := range n.report.voters {
-		if v.Name == name && !v.Gone {
+		if v.Name == name && !v.Removed {
 			return v.Address
 		}
 	}
@@ -574,7 +574,7 @@
 	add(n.current)
 	gone := map[string]bool{n.c.Name: true}
 	for _, v := range n.report.voters {
-		if v.Gone {
+		if v.Removed {
 			gone[v.Name] = true
 		}
 	}
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -155,12 +155,12 @@
 func (s *squad) propose(i int, base uint64, doc string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	return s.nodes[i].Propose(ctx, &pb.Propose{Base: base, Document: []byte(doc), By: "test", WaitUs: (10 * time.Second).Microseconds()})
+	return s.nodes[i].Propose(ctx, &pb.ProposePolicy{BaseVersion: base, Document: []byte(doc), Author: "test", StageTimeoutUs: (10 * time.Second).Microseconds()})
 }
 
-func (s *squad) over(i int, change uint64) *pb.Past {
+func (s *squad) over(i int, change uint64) *pb.FinishedChange {
 	s.t.Helper()
-	var past *pb.Past
+	var past *pb.FinishedChange
 	until(s.t, fmt.Sprintf("change %d is over at %s", change, name(i)), func() bool {
 		var over bool
 		past, over = s.nodes[i].Ended(change)
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	for i, n := range s.nodes {
-		if past := s.over(i, change); past.Version != 1 || past.Ended != "" {
+		if past := s.over(i, change); past.Version != 1 || past.AbortReason != "" {
 			t.Errorf("%s: %v", name(i), past)
 		}
 		if _, why := n.gate.Enter(fleetpolicy.Call{Destination: 7}); !strings.Contains(why, "closed") {
@@ -204,7 +204,7 @@
 		t.Fatal(err)
 	}
 	for i := range s.nodes {
-		if past := s.over(i, change); past.Version != 0 || !strings.Contains(past.Ended, `"nobody" is not in this sender's settings`) {
+		if past := s.over(i, change); past.Version != 0 || !strings.Contains(past.AbortReason, `"nobody" is not in this sender's settings`) {
 			t.Errorf("%s: %v", name(i), past)
 		}
 	}
@@ -309,7 +309,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if past := s.over(0, change); past.Version != 0 || !strings.Contains(past.Ended, "n3 refuses it: it can't be kept on the disk") {
+	if past := s.over(0, change); past.Version != 0 || !strings.Contains(past.AbortReason, "n3 refuses it: it can't be kept on the disk") {
 		t.Errorf("%v", past)
 	}
 	failing.Store(false)
@@ -453,7 +453,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := &pb.Voters{Add: []*pb.Voter{{Name: "n3", Address: s.hosts[3]}}, Remove: []string{name(gone)}, By: "test"}
+	v := &pb.VoterChange{Add: []*pb.Voter{{Name: "n3", Address: s.hosts[3]}}, Remove: []string{name(gone)}, Author: "test"}
 	if err := s.nodes[lead].ChangeVoters(ctx, v); err != nil {
 		t.Fatal(err)
 	}
@@ -465,10 +465,10 @@
 		}
 	}
 	until(t, "n3 is a voter", func() bool { r := s.nodes[3].Report(); return r.Voter != nil && r.Voter.Applied > 0 })
-	if err := s.nodes[3].ChangeVoters(ctx, &pb.Voters{Add: []*pb.Voter{{Name: name(gone), Address: "127.0.0.1:1"}}}); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "a name of its own") {
+	if err := s.nodes[3].ChangeVoters(ctx, &pb.VoterChange{Add: []*pb.Voter{{Name: name(gone), Address: "127.0.0.1:1"}}}); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "a name of its own") {
 		t.Errorf("one that was removed comes back: %v", err)
 	}
-	if err := s.nodes[3].ChangeVoters(ctx, &pb.Voters{Remove: []string{"nobody"}}); !errors.Is(err, ErrRefused) {
+	if err := s.nodes[3].ChangeVoters(ctx, &pb.VoterChange{Remove: []string{"nobody"}}); !errors.Is(err, ErrRefused) {
 		t.Errorf("nobody is removed: %v", err)
 	}
 	// The new one counts: with the leader alone it makes a majority.
@@ -616,14 +616,14 @@
 	}
 	failing.Store(false)
 	for i := range s.nodes {
-		if past := s.over(i, change); past.Version != 0 || past.Ended != "not now" {
+		if past := s.over(i, change); past.Version != 0 || past.AbortReason != "not now" {
 			t.Errorf("%s: %v", name(i), past)
 		}
 	}
 	if err := s.nodes[1].Abort(ctx, change, "again"); !errors.Is(err, ErrRefused) {
 		t.Errorf("aborted twice: %v", err)
 	}
-	if err := s.nodes[1].Leave(ctx, &pb.Leave{Name: "n4", By: "test"}); err != nil {
+	if err := s.nodes[1].Leave(ctx, &pb.Leave{Name: "n4", Author: "test"}); err != nil {
 		t.Error(err)
 	}
 	until(t, "one that was declared gone acts no longer", func() bool { _, acts := s.nodes[4].View(); return !acts })
@@ -656,7 +656,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 			defer cancel()
 			for i := range entries / 64 {
-				if _, err := s.nodes[0].Submit(ctx, 1, &pb.Join{Name: fmt.Sprintf("m%d-%d", w, i%10), Speaks: 4}); err != nil {
+				if _, err := s.nodes[0].Submit(ctx, 1, &pb.Join{Name: fmt.Sprintf("m%d-%d", w, i%10), MaxCommandKind: 4}); err != nil {
 					t.Error(err)
 					return
 				}
@@ -699,7 +699,7 @@
 			defer cancel()
 			for n.Add(1) <= int64(b.N) {
 				from := time.Now()
-				if _, err := s.nodes[lead].Submit(ctx, 1, &pb.Join{Name: "m", Speaks: 4}); err != nil {
+				if _, err := s.nodes[lead].Submit(ctx, 1, &pb.Join{Name: "m", MaxCommandKind: 4}); err != nil {
 					b.Error(err)
 					return
 				}
@@ -730,7 +730,7 @@
 	version, most := uint64(0), int64(0)
 	for day := range days {
 		for m := range 300 {
-			if _, err := s.nodes[0].Submit(ctx, 1, &pb.Join{Name: name(m), Speaks: 4}); err != nil {
+			if _, err := s.nodes[0].Submit(ctx, 1, &pb.Join{Name: name(m), MaxCommandKind: 4}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -114,7 +114,7 @@
 		}
 	}
 	for _, m := range n.report.members {
-		r.Members = append(r.Members, Member{m.Name, m.Speaks, m.Gone})
+		r.Members = append(r.Members, Member{m.Name, m.MaxCommandKind, m.Removed})
 	}
 	for _, v := range n.c.Voters {
 		r.Voters = append(r.Voters, v.Name)
@@ -122,9 +122,9 @@
 	for _, v := range n.report.voters {
 		i := slices.Index(r.Voters, v.Name)
 		switch {
-		case v.Gone && i >= 0:
+		case v.Removed && i >= 0:
 			r.Voters = slices.Delete(r.Voters, i, i+1)
-		case !v.Gone && i < 0:
+		case !v.Removed && i < 0:
 			r.Voters = append(r.Voters, v.Name)
 		}
 	}
@@ -141,18 +141,18 @@
 		}
 	}
 	p := n.report.policy
-	r.Policy = PolicyReport{Version: p.GetVersion(), Document: string(p.GetDocument()), Since: p.GetSince()}
-	if o := p.GetOpen(); o != nil {
-		r.Policy.Open = &ChangeReport{ID: o.Id, Base: o.Base, By: o.By, Why: o.Why, Frozen: o.Frozen != 0, Document: string(o.Document)}
+	r.Policy = PolicyReport{Version: p.GetVersion(), Document: string(p.GetDocument()), Since: p.GetStartIndex()}
+	if o := p.GetOpenChange(); o != nil {
+		r.Policy.Open = &ChangeReport{ID: o.Id, Base: o.BaseVersion, By: o.Author, Why: o.Reason, Frozen: o.FreezeIndex != 0, Document: string(o.Document)}
 		r.Policy.Open.Waits = n.status.Waits
 		if !n.status.Leads {
 			for _, w := range n.waiting {
-				r.Policy.Open.Waits = append(r.Policy.Open.Waits, fleetpolicy.Waiting{Name: w.Name, For: w.For, Left: time.Duration(w.LeftUs) * time.Microsecond})
+				r.Policy.Open.Waits = append(r.Policy.Open.Waits, fleetpolicy.Waiting{Name: w.Name, For: w.Reason, Left: time.Duration(w.RemainingUs) * time.Microsecond})
 			}
 		}
 	}
-	for _, o := range p.GetPast() {
-		r.Policy.Past = append(r.Policy.Past, PastReport{o.Id, o.Version, o.By, o.Why, o.Ended, string(o.Document)})
+	for _, o := range p.GetHistory() {
+		r.Policy.Past = append(r.Policy.Past, PastReport{o.Id, o.Version, o.Author, o.Reason, o.AbortReason, string(o.Document)})
 	}
 	for _, name := range slices.Sorted(maps.Keys(n.out)) {
 		r.Rings = append(r.Rings, n.out[name].Stats())
@@ -166,9 +166,9 @@
 func (n *Node) Current(ctx context.Context) error {
 	var need uint64
 	if err := n.through(ctx, func(ctx context.Context, client pb.FleetClient) error {
-		r, err := client.Ask(ctx, &pb.AskRequest{Cluster: n.c.Cluster, Name: n.c.Name, Life: n.life})
+		r, err := client.Ask(ctx, &pb.LeaseRequest{Cluster: n.c.Cluster, Name: n.c.Name, Incarnation: n.life})
 		if err == nil {
-			need = r.Need
+			need = r.RequiredIndex
 		}
 		return err
 	}); err != nil {
@@ -188,16 +188,16 @@
 var ErrRefused = errors.New("refused")
 
 // Propose hands a change of the policy in. Its number is told once the log has it; how it ends Ended tells.
-func (n *Node) Propose(ctx context.Context, p *pb.Propose) (change uint64, err error) {
+func (n *Node) Propose(ctx context.Context, p *pb.ProposePolicy) (change uint64, err error) {
 	if _, err := fleetpolicy.Parse("document", p.Document); err != nil {
 		return 0, err
 	}
-	return n.command(ctx, replicatedlog.KindPolicy, &pb.Policy{What: &pb.Policy_Propose{Propose: p}})
+	return n.command(ctx, replicatedlog.KindPolicy, &pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: p}})
 }
 
 // Abort ends the open change, if it has not taken hold.
 func (n *Node) Abort(ctx context.Context, change uint64, why string) error {
-	_, err := n.command(ctx, replicatedlog.KindPolicy, &pb.Policy{What: &pb.Policy_Abort{Abort: &pb.Step{Change: change, Why: why}}})
+	_, err := n.command(ctx, replicatedlog.KindPolicy, &pb.PolicyCommand{Command: &pb.PolicyCommand_Abort{Abort: &pb.ChangeStep{ChangeId: change, Reason: why}}})
 	return err
 }
 
@@ -208,7 +208,7 @@
 }
 
 // ChangeVoters adds and removes voters, all at once.
-func (n *Node) ChangeVoters(ctx context.Context, v *pb.Voters) error {
+func (n *Node) ChangeVoters(ctx context.Context, v *pb.VoterChange) error {
 	for _, a := range v.Add {
 		a.Id = replicatedlog.VoterID(a.Name)
 	}
@@ -221,17 +221,17 @@
 	if err != nil {
 		return 0, err
 	}
-	if r.Refused != "" {
-		return r.Index, fmt.Errorf("%w: %s", ErrRefused, r.Refused)
+	if r.Rejection != "" {
+		return r.Index, fmt.Errorf("%w: %s", ErrRefused, r.Rejection)
 	}
 	return r.Index, nil
 }
 
 // Ended reports whether a change is over, as far as this sender knows, and how.
-func (n *Node) Ended(change uint64) (past *pb.Past, over bool) {
+func (n *Node) Ended(change uint64) (past *pb.FinishedChange, over bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, p := range n.report.policy.GetPast() {
+	for _, p := range n.report.policy.GetHistory() {
 		if p.Id == change {
 			return p, true
 		}
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -259,7 +259,7 @@
 	}
 	c := &pb.Command{}
 	unmarshal(t, raw, c)
-	bodies := map[uint32]proto.Message{1: &pb.Join{}, 2: &pb.Leave{}, 3: &pb.Policy{}, 4: &pb.Voters{}, 5: &pb.Roster{}, 6: &pb.Judgement{}}
+	bodies := map[uint32]proto.Message{1: &pb.Join{}, 2: &pb.Leave{}, 3: &pb.PolicyCommand{}, 4: &pb.VoterChange{}, 5: &pb.MembershipCommand{}, 6: &pb.HealthCommand{}}
 	body := bodies[c.Kind]
 	if body == nil {
 		t.Fatalf("a command of kind %d", c.Kind)
@@ -292,9 +292,9 @@
 	case 3:
 		return &pb.PolicyState{}
 	case 5:
-		return &pb.RosterState{}
+		return &pb.MembershipState{}
 	case 6:
-		return &pb.VerdictsState{}
+		return &pb.HealthState{}
 	}
 	t.Fatalf("a state of kind %d", kind)
 	return nil
@@ -327,7 +327,7 @@
 // replayedState is the replicated state after all of a voter's file, as a sender that follows it has it.
 func replayedState(t *testing.T, saved *replicatedlog.Saved) string {
 	t.Helper()
-	log := &pb.Piece{Snapshot: saved.Snapshot.GetData()}
+	log := &pb.LogChunk{Snapshot: saved.Snapshot.GetData()}
 	for _, e := range saved.Entries {
 		raw := e.Data
 		if e.GetType() == raftpb.EntryConfChangeV2 {
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -101,14 +101,14 @@
 		return err
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- to.RecvMsg(&pb.Taken{}) }()
+	go func() { ended <- to.RecvMsg(&pb.Ack{}) }()
 	for {
 		for _, m := range ring.Take(64) {
 			raw, err := proto.Marshal(m)
 			if err != nil {
 				return err
 			}
-			if err := to.Send(&pb.Packet{Cluster: n.c.Cluster, From: n.c.Name, Life: n.life, ToLife: n.lives.of(name), Message: raw}); err != nil {
+			if err := to.Send(&pb.RaftEnvelope{Cluster: n.c.Cluster, From: n.c.Name, Incarnation: n.life, ToIncarnation: n.lives.of(name), Message: raw}); err != nil {
 				return <-ended
 			}
 		}
@@ -136,7 +136,7 @@
 }
 
 // Raft takes the messages of a voter. Those of a process before the one that said hello last are none.
-func (s *service) Raft(from grpc.ClientStreamingServer[pb.Packet, pb.Taken]) error {
+func (s *service) Raft(from grpc.ClientStreamingServer[pb.RaftEnvelope, pb.Ack]) error {
 	for {
 		p, err := from.Recv()
 		if err != nil {
@@ -149,14 +149,14 @@
 		if core == nil {
 			return status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
 		}
-		if p.ToLife != 0 && p.ToLife != s.n.life { // for the process before this one: what that promised this one may not know
+		if p.ToIncarnation != 0 && p.ToIncarnation != s.n.life { // for the process before this one: what that promised this one may not know
 			continue
 		}
 		m := &raftpb.Message{}
 		if err := proto.Unmarshal(p.Message, m); err != nil || m.GetFrom() != replicatedlog.VoterID(p.From) {
 			return status.Errorf(codes.InvalidArgument, "a message that can't be read, or is not its sender's: %v", err)
 		}
-		if !s.n.lives.pass(p.From, p.Life, func() { core.In.Offer(replicatedlog.Packet{Message: m}) }) { // one that is dropped is sent again
+		if !s.n.lives.pass(p.From, p.Incarnation, func() { core.In.Offer(replicatedlog.Packet{Message: m}) }) { // one that is dropped is sent again
 			return status.Errorf(codes.Aborted, "%s has another process by now", p.From)
 		}
 	}
@@ -173,11 +173,11 @@
 	if folder == nil {
 		return nil, status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
 	}
-	s.n.lives.begin(r.Name, r.Life)
+	s.n.lives.begin(r.Name, r.Incarnation)
 	if core == nil { // it has not heard all others itself yet: what its folder has is what it can vouch for
-		return &pb.HelloReply{Term: folder.Term, LastTerm: folder.LastTerm, Last: folder.Last, Starting: true}, nil
+		return &pb.HelloReply{Term: folder.Term, LastTerm: folder.LastTerm, LastIndex: folder.Last, Starting: true}, nil
 	}
-	v, err := s.n.put(ctx, func(to uint64) any { return replicatedlog.Hello{To: to, ID: r.Id} })
+	v, err := s.n.put(ctx, func(to uint64) any { return replicatedlog.Hello{To: to, ID: r.VoterId} })
 	if err != nil {
 		return nil, err
 	}
@@ -185,7 +185,7 @@
 }
 
 // Follow tells the committed log.
-func (s *service) Follow(r *pb.FollowRequest, to grpc.ServerStreamingServer[pb.Piece]) error {
+func (s *service) Follow(r *pb.FollowRequest, to grpc.ServerStreamingServer[pb.LogChunk]) error {
 	if err := s.mine(r.Cluster); err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 	}
 	defer s.n.follows.Add(-1)
 	var err error
-	s.n.feed.follow(to.Context(), r.After, beats(), func(p *pb.Piece) bool {
+	s.n.feed.follow(to.Context(), r.AfterIndex, beats(), func(p *pb.LogChunk) bool {
 		err = to.Send(p)
 		return err == nil
 	})
@@ -215,24 +215,24 @@
 }
 
 // Ask grants a lease, if this sender leads, or asks the one that does.
-func (s *service) Ask(ctx context.Context, r *pb.AskRequest) (*pb.AskReply, error) {
+func (s *service) Ask(ctx context.Context, r *pb.LeaseRequest) (*pb.LeaseReply, error) {
 	if err := s.mine(r.Cluster); err != nil {
 		return nil, err
 	}
 	v, err := s.n.put(ctx, func(to uint64) any { return replicatedlog.Ask{To: to, Request: r} })
-	if errors.Is(err, replicatedlog.ErrNotLeading) && !r.PassedOn {
+	if errors.Is(err, replicatedlog.ErrNotLeading) && !r.Forwarded {
 		client, bad := s.n.leader()
 		if bad != nil {
 			return nil, bad
 		}
-		on := proto.Clone(r).(*pb.AskRequest)
-		on.PassedOn = true
+		on := proto.Clone(r).(*pb.LeaseRequest)
+		on.Forwarded = true
 		return client.Ask(ctx, on)
 	}
 	if err != nil {
 		return nil, coded(err)
 	}
-	return v.(*pb.AskReply), nil
+	return v.(*pb.LeaseReply), nil
 }
 
 // Submit takes a command in, if this sender leads, or passes it on to the one that does.
@@ -250,12 +250,12 @@
 		}
 		return replicatedlog.Submit{To: to, Command: c}
 	})
-	if errors.Is(err, replicatedlog.ErrNotLeading) && !r.PassedOn {
+	if errors.Is(err, replicatedlog.ErrNotLeading) && !r.Forwarded {
 		client, bad := s.n.leader()
 		if bad != nil {
 			return nil, bad
 		}
-		return client.Submit(ctx, &pb.SubmitRequest{Cluster: r.Cluster, Command: r.Command, PassedOn: true})
+		return client.Submit(ctx, &pb.SubmitRequest{Cluster: r.Cluster, Command: r.Command, Forwarded: true})
 	}
 	if err != nil {
 		return nil, coded(err)
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -36,11 +36,11 @@
 	// seen is what this sender has seen itself.
 	seen struct{ all []health.Testimony }
 	// told is what another has.
-	told struct{ request *pb.TestifyRequest }
+	told struct{ request *pb.HealthReport }
 	// tell goes to the one in charge.
 	tell struct {
-		to *pb.Part
-		r  *pb.TestifyRequest
+		to *pb.Participant
+		r  *pb.HealthReport
 	}
 )
 
@@ -59,7 +59,7 @@
 	if r := g.room.Load(); r != nil {
 		v = r.view.Load()
 	}
-	if v == nil || v.Roster == nil || !v.Policy.Guards() && len(v.Verdicts.GetVerdicts()) == 0 {
+	if v == nil || v.Roster == nil || !v.Policy.Guards() && len(v.Verdicts.GetStatuses()) == 0 {
 		return nil, worker.Never
 	}
 	charge, me := v.Charge(), e.l.me
@@ -72,10 +72,10 @@
 				}
 			}
 		case told:
-			if x.request.Epoch == v.Roster.GetEpoch() && x.request.ToLife == me.Life {
-				for _, t := range x.request.Testimonies {
+			if x.request.Epoch == v.Roster.GetEpoch() && x.request.ToIncarnation == me.Life {
+				for _, t := range x.request.Observations {
 					e.court.Hear(x.request.Name, health.Testimony{Destination: t.Destination, State: knowledge.State(t.State),
-						Age: time.Duration(t.AgeUs) * time.Microsecond, For: time.Duration(t.ForUs) * time.Microsecond}, now)
+						Age: time.Duration(t.AgeUs) * time.Microsecond, For: time.Duration(t.DurationUs) * time.Microsecond}, now)
 				}
 			}
 		}
@@ -86,30 +86,30 @@
 		if p == nil {
 			continue
 		}
-		if p.Name == me.Name && p.Life == me.Life {
+		if p.Name == me.Name && p.Incarnation == me.Life {
 			e.court.Hear(me.Name, t, now)
 			delete(e.own, d)
 			continue
 		}
 		to := by[p.Name]
 		if to == nil {
-			to = &tell{p, &pb.TestifyRequest{Name: me.Name, Life: me.Life, ToLife: p.Life, Epoch: v.Roster.GetEpoch()}}
+			to = &tell{p, &pb.HealthReport{Name: me.Name, Incarnation: me.Life, ToIncarnation: p.Incarnation, Epoch: v.Roster.GetEpoch()}}
 			by[p.Name] = to
 		}
-		if len(to.r.Testimonies) < tellAt {
-			to.r.Testimonies = append(to.r.Testimonies, &pb.Testimony{Destination: d, State: uint32(t.State), AgeUs: t.Age.Microseconds(), ForUs: t.For.Microseconds()})
+		if len(to.r.Observations) < tellAt {
+			to.r.Observations = append(to.r.Observations, &pb.HealthObservation{Destination: d, State: uint32(t.State), AgeUs: t.Age.Microseconds(), DurationUs: t.For.Microseconds()})
 			delete(e.own, d)
 		}
 	}
 	for _, t := range by {
 		actions = append(actions, *t)
 	}
-	if v.Unfit != nil || now >= until || v.Roster.GetComing() != 0 {
+	if v.Unfit != nil || now >= until || v.Roster.GetNextEpoch() != 0 {
 		return actions, now + judgeEvery
 	}
 	mine := func(d uint32) bool {
 		p := charge.Of(key(d))
-		return p != nil && p.Name == me.Name && p.Life == me.Life
+		return p != nil && p.Name == me.Name && p.Incarnation == me.Life
 	}
 	for _, w := range e.court.Judge(now, v.Roster.GetEpoch(), me.Name, mine, v.Policy.VerdictRule, v.Verdicts) {
 		actions = append(actions, w)
@@ -136,13 +136,13 @@
 				n.log.Debug("fleet: what was seen is not told", "to", a.to.Name, "err", err)
 			}
 		})
-	case *pb.Judgement:
+	case *pb.HealthCommand:
 		n.aside(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, n.c.Terms.Length)
 			defer cancel()
 			r, err := n.Submit(ctx, replicatedlog.KindVerdict, a)
-			if err == nil && r.Refused != "" {
-				err = errors.New(r.Refused)
+			if err == nil && r.Rejection != "" {
+				err = errors.New(r.Rejection)
 			}
 			if err != nil {
 				n.log.Debug("fleet: a verdict does not count", "err", err)
@@ -153,15 +153,15 @@
 }
 
 // Testify is told what other senders have seen.
-func (s *service) Testify(_ context.Context, r *pb.TestifyRequest) (*pb.Taken, error) {
+func (s *service) Testify(_ context.Context, r *pb.HealthReport) (*pb.Ack, error) {
 	if err := s.mine(r.Cluster); err != nil {
 		return nil, err
 	}
-	if len(r.Testimonies) > tellAt {
-		return nil, status.Errorf(codes.InvalidArgument, "%d testimonies; %d are the most", len(r.Testimonies), tellAt)
+	if len(r.Observations) > tellAt {
+		return nil, status.Errorf(codes.InvalidArgument, "%d testimonies; %d are the most", len(r.Observations), tellAt)
 	}
 	s.n.limits.evidence.duty.In.Offer(told{r})
-	return &pb.Taken{}, nil
+	return &pb.Ack{}, nil
 }
 
 // Testify takes what this sender has seen itself of destinations. It never waits.
@@ -169,13 +169,13 @@
 
 // Suspend has a person's verdict on a destination stand until it is lifted: no sender begins a call there.
 func (n *Node) Suspend(ctx context.Context, destination uint32, by, why string) error {
-	_, err := n.command(ctx, replicatedlog.KindVerdict, &pb.Judgement{What: &pb.Judgement_Pronounce{Pronounce: &pb.Pronounce{Destination: destination, Sort: uint32(health.Suspended), By: by, Why: why}}})
+	_, err := n.command(ctx, replicatedlog.KindVerdict, &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: &pb.SetHealth{Destination: destination, Kind: uint32(health.Suspended), Author: by, Reason: why}}})
 	return err
 }
 
 // Lift ends it.
 func (n *Node) Lift(ctx context.Context, destination uint32, by, why string) error {
-	_, err := n.command(ctx, replicatedlog.KindVerdict, &pb.Judgement{What: &pb.Judgement_Lift{Lift: &pb.Lift{Destination: destination, Person: true, By: by, Why: why}}})
+	_, err := n.command(ctx, replicatedlog.KindVerdict, &pb.HealthCommand{Command: &pb.HealthCommand_Clear{Clear: &pb.ClearHealth{Destination: destination, ByOperator: true, Author: by, Reason: why}}})
 	return err
 }
 
@@ -199,10 +199,10 @@
 		return nil, status.Error(codes.Unavailable, "the fleet's policy is not known yet")
 	}
 	charge, all := v.Charge(), []VerdictReport{}
-	for _, is := range v.Verdicts.GetVerdicts() {
-		r := VerdictReport{Destination: is.Destination, Verdict: health.Sort(is.Sort).String(), By: is.By, Why: is.Why, Since: is.Since, At: is.At,
+	for _, is := range v.Verdicts.GetStatuses() {
+		r := VerdictReport{Destination: is.Destination, Verdict: health.Sort(is.Kind).String(), By: is.Author, Why: is.Reason, Since: is.StartIndex, At: is.UpdateIndex,
 			LastsMS: (time.Duration(is.TtlUs) * time.Microsecond).Milliseconds()}
-		if health.Sort(is.Sort) == health.Suspended {
+		if health.Sort(is.Kind) == health.Suspended {
 			r.Bound = fmt.Sprintf("a sender that has not heard of it begins no call %v after it was last granted a lease", n.c.Terms.Length)
 		} else {
 			if p := charge.Of(key(is.Destination)); p != nil {
--- a/internal/fleetpolicy/coordinator.go
+++ b/internal/fleetpolicy/coordinator.go
@@ -57,11 +57,11 @@
 // is frozen, holds up what it touches. Nobody healthy misses a lease for that, as it asks again as soon as it has; but one
 // whose questions arrive while no answer reaches it would have its lease counted on and on, and the change would wait for it to no end.
 func (c *Coordinator) Grants(w lease.Who, acts uint64, s *pb.PolicyState) bool {
-	o := s.GetOpen()
+	o := s.GetOpenChange()
 	if o == nil || o.Id < c.change {
 		return true
 	}
-	return o.Id == c.change && c.staged[w] && acts >= o.Frozen
+	return o.Id == c.change && c.staged[w] && acts >= o.FreezeIndex
 }
 
 // Clone is a coordinator with the same state, for those who explore what can become of it.
@@ -79,8 +79,8 @@
 }
 
 // Step gives the next command; nil while there is none. waits says for whom.
-func (c *Coordinator) Step(now time.Duration, s *pb.PolicyState, g *lease.Granter) (next *pb.Policy, waits []Waiting) {
-	o := s.GetOpen()
+func (c *Coordinator) Step(now time.Duration, s *pb.PolicyState, g *lease.Granter) (next *pb.PolicyCommand, waits []Waiting) {
+	o := s.GetOpenChange()
 	if o == nil {
 		return nil, nil
 	}
@@ -90,21 +90,21 @@
 	if c.since < 0 {
 		c.since = now
 	}
-	step := func(name string, p *pb.Policy) *pb.Policy {
+	step := func(name string, p *pb.PolicyCommand) *pb.PolicyCommand {
 		if c.sent.change == o.Id && c.sent.step == name && now-c.sent.at < again {
 			return nil
 		}
 		c.sent = sentStep{o.Id, name, now}
 		return p
 	}
-	abort := func(why string) *pb.Policy {
-		return step("abort", &pb.Policy{What: &pb.Policy_Abort{Abort: &pb.Step{Change: o.Id, Why: why}}})
+	abort := func(why string) *pb.PolicyCommand {
+		return step("abort", &pb.PolicyCommand{Command: &pb.PolicyCommand_Abort{Abort: &pb.ChangeStep{ChangeId: o.Id, Reason: why}}})
 	}
 	for _, name := range sorted(c.refused) {
 		return abort(fmt.Sprintf("%s refuses it: %s", name, c.refused[name])), nil
 	}
-	if o.Frozen != 0 {
-		for _, h := range g.Below(o.Frozen, now) {
+	if o.FreezeIndex != 0 {
+		for _, h := range g.Below(o.FreezeIndex, now) {
 			waits = append(waits, Waiting{h.Name, h.Left, "to hold up what the change touches"})
 		}
 	} else if g.Quiet(now) {
@@ -117,16 +117,16 @@
 			waits = append(waits, Waiting{h.Name, h.Left, "to stage it"})
 		}
 	}
-	if o.Frozen != 0 {
+	if o.FreezeIndex != 0 {
 		if len(waits) > 0 {
 			return nil, waits
 		}
-		return step("commit", &pb.Policy{What: &pb.Policy_Commit{Commit: &pb.Step{Change: o.Id}}}), nil
+		return step("commit", &pb.PolicyCommand{Command: &pb.PolicyCommand_Commit{Commit: &pb.ChangeStep{ChangeId: o.Id}}}), nil
 	}
 	if len(waits) == 0 {
-		return step("freeze", &pb.Policy{What: &pb.Policy_Freeze{Freeze: &pb.Step{Change: o.Id}}}), nil
+		return step("freeze", &pb.PolicyCommand{Command: &pb.PolicyCommand_Freeze{Freeze: &pb.ChangeStep{ChangeId: o.Id}}}), nil
 	}
-	if wait := time.Duration(o.WaitUs) * time.Microsecond; now-c.since >= wait {
+	if wait := time.Duration(o.StageTimeoutUs) * time.Microsecond; now-c.since >= wait {
 		return abort(fmt.Sprintf("it was not staged everywhere within %v; missing: %s", wait, names(waits))), waits
 	}
 	return nil, waits
--- a/internal/fleetpolicy/document_test.go
+++ b/internal/fleetpolicy/document_test.go
@@ -204,7 +204,7 @@
 	}
 }
 
-func step(t *testing.T, m *Machine, index uint64, p *pb.Policy) string {
+func step(t *testing.T, m *Machine, index uint64, p *pb.PolicyCommand) string {
 	t.Helper()
 	raw, err := proto.Marshal(p)
 	if err != nil {
@@ -219,17 +219,21 @@
 
 // The rules of the change, a step each: what fits is done, what does not changes nothing and says why.
 func TestMachine(t *testing.T) {
-	propose := func(base uint64, doc string, wait int64) *pb.Policy {
-		return &pb.Policy{What: &pb.Policy_Propose{Propose: &pb.Propose{Base: base, Document: []byte(doc), By: "ann", WaitUs: wait}}}
+	propose := func(base uint64, doc string, wait int64) *pb.PolicyCommand {
+		return &pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: base, Document: []byte(doc), Author: "ann", StageTimeoutUs: wait}}}
 	}
-	freeze := func(c uint64) *pb.Policy { return &pb.Policy{What: &pb.Policy_Freeze{Freeze: &pb.Step{Change: c}}} }
-	commit := func(c uint64) *pb.Policy { return &pb.Policy{What: &pb.Policy_Commit{Commit: &pb.Step{Change: c}}} }
-	abort := func(c uint64) *pb.Policy {
-		return &pb.Policy{What: &pb.Policy_Abort{Abort: &pb.Step{Change: c, Why: "no"}}}
+	freeze := func(c uint64) *pb.PolicyCommand {
+		return &pb.PolicyCommand{Command: &pb.PolicyCommand_Freeze{Freeze: &pb.ChangeStep{ChangeId: c}}}
+	}
+	commit := func(c uint64) *pb.PolicyCommand {
+		return &pb.PolicyCommand{Command: &pb.PolicyCommand_Commit{Commit: &pb.ChangeStep{ChangeId: c}}}
+	}
+	abort := func(c uint64) *pb.PolicyCommand {
+		return &pb.PolicyCommand{Command: &pb.PolicyCommand_Abort{Abort: &pb.ChangeStep{ChangeId: c, Reason: "no"}}}
 	}
 	m := NewMachine()
 	for i, c := range []struct {
-		do      *pb.Policy
+		do      *pb.PolicyCommand
 		says    string
 		version uint64
 		frozen  bool // destination 7 is held up
@@ -277,7 +281,7 @@
 			}
 		}
 	}
-	if past := m.State().Past; len(past) != 3 || past[1].Ended != "no" || string(past[0].Document) != closed7 {
+	if past := m.State().History; len(past) != 3 || past[1].AbortReason != "no" || string(past[0].Document) != closed7 {
 		t.Errorf("%v", past)
 	}
 	if _, _, err := m.Apply(19, []byte{0xff}); err == nil {
@@ -298,21 +302,21 @@
 			text = "# small\n"
 		}
 		index += 3
-		for i, p := range []*pb.Policy{{What: &pb.Policy_Propose{Propose: &pb.Propose{Base: v, Document: []byte(text), WaitUs: 1}}},
-			{What: &pb.Policy_Freeze{Freeze: &pb.Step{Change: index}}}, {What: &pb.Policy_Commit{Commit: &pb.Step{Change: index}}}} {
+		for i, p := range []*pb.PolicyCommand{{Command: &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: v, Document: []byte(text), StageTimeoutUs: 1}}},
+			{Command: &pb.PolicyCommand_Freeze{Freeze: &pb.ChangeStep{ChangeId: index}}}, {Command: &pb.PolicyCommand_Commit{Commit: &pb.ChangeStep{ChangeId: index}}}} {
 			if refused := step(t, m, index+uint64(i), p); refused != "" {
 				t.Fatal(refused)
 			}
 		}
 		size := 0
-		for _, p := range m.State().Past {
+		for _, p := range m.State().History {
 			size += len(p.Document)
 		}
-		if last := m.State().Past[len(m.State().Past)-1]; size > pastDocuments || len(last.Document) == 0 {
+		if last := m.State().History[len(m.State().History)-1]; size > pastDocuments || len(last.Document) == 0 {
 			t.Fatalf("version %d: %d bytes are kept", v+1, size)
 		}
 	}
-	if n := len(m.State().Past); n != pastMost {
+	if n := len(m.State().History); n != pastMost {
 		t.Errorf("%d changes are remembered", n)
 	}
 }
--- a/internal/fleetpolicy/machine.go
+++ b/internal/fleetpolicy/machine.go
@@ -39,21 +39,21 @@
 // Apply carries out a command at its index of the log. refused says why it changed nothing; err is that this program can't read
 // it, and must not go on as if it had.
 func (m *Machine) Apply(index uint64, body []byte) (result []byte, refused string, err error) {
-	c := &pb.Policy{}
+	c := &pb.PolicyCommand{}
 	if err := proto.Unmarshal(body, c); err != nil {
 		return nil, "", fmt.Errorf("a command on the policy can't be read: %w", err)
 	}
 	s := m.state
-	switch w := c.GetWhat().(type) {
-	case *pb.Policy_Propose:
+	switch w := c.GetCommand().(type) {
+	case *pb.PolicyCommand_Propose:
 		p := w.Propose
-		if s.Open != nil {
-			return nil, fmt.Sprintf("change %d, proposed by %s, is under way", s.Open.GetId(), s.Open.GetBy()), nil
+		if s.OpenChange != nil {
+			return nil, fmt.Sprintf("change %d, proposed by %s, is under way", s.OpenChange.GetId(), s.OpenChange.GetAuthor()), nil
 		}
-		if p.GetBase() != s.GetVersion() {
-			return nil, fmt.Sprintf("it was made from version %d; version %d is in force", p.GetBase(), s.GetVersion()), nil
+		if p.GetBaseVersion() != s.GetVersion() {
+			return nil, fmt.Sprintf("it was made from version %d; version %d is in force", p.GetBaseVersion(), s.GetVersion()), nil
 		}
-		if wait := time.Duration(p.GetWaitUs()) * time.Microsecond; wait <= 0 || wait > WaitMost {
+		if wait := time.Duration(p.GetStageTimeoutUs()) * time.Microsecond; wait <= 0 || wait > WaitMost {
 			return nil, fmt.Sprintf("it waits %v to be staged; up to %v is possible", wait, WaitMost), nil
 		}
 		next, err := Parse("document", p.GetDocument())
@@ -61,63 +61,63 @@
 			return nil, err.Error(), nil
 		}
 		m.next = next
-		s.Open = &pb.Change{Id: index, Base: p.GetBase(), Document: p.GetDocument(), By: p.GetBy(), Why: p.GetWhy(), WaitUs: p.GetWaitUs(), BackTo: p.GetBackTo()}
+		s.OpenChange = &pb.Change{Id: index, BaseVersion: p.GetBaseVersion(), Document: p.GetDocument(), Author: p.GetAuthor(), Reason: p.GetReason(), StageTimeoutUs: p.GetStageTimeoutUs(), RollbackTo: p.GetRollbackTo()}
 		return nil, "", nil
-	case *pb.Policy_Freeze:
+	case *pb.PolicyCommand_Freeze:
 		if refused := m.names(w.Freeze); refused != "" {
 			return nil, refused, nil
 		}
-		if s.Open.Frozen != 0 {
-			return nil, fmt.Sprintf("change %d is frozen already", s.Open.Id), nil
+		if s.OpenChange.FreezeIndex != 0 {
+			return nil, fmt.Sprintf("change %d is frozen already", s.OpenChange.Id), nil
 		}
-		s.Open.Frozen = index
+		s.OpenChange.FreezeIndex = index
 		return nil, "", nil
-	case *pb.Policy_Commit:
+	case *pb.PolicyCommand_Commit:
 		if refused := m.names(w.Commit); refused != "" {
 			return nil, refused, nil
 		}
-		if s.Open.Frozen == 0 {
-			return nil, fmt.Sprintf("change %d is not frozen", s.Open.Id), nil
+		if s.OpenChange.FreezeIndex == 0 {
+			return nil, fmt.Sprintf("change %d is not frozen", s.OpenChange.Id), nil
 		}
-		open := s.Open
-		s.Version, s.Document, s.Since = s.Version+1, open.Document, index
+		open := s.OpenChange
+		s.Version, s.Document, s.StartIndex = s.Version+1, open.Document, index
 		m.policy = m.next
-		m.over(&pb.Past{Id: open.Id, Version: s.Version, By: open.By, Why: open.Why, At: index, Document: open.Document})
+		m.over(&pb.FinishedChange{Id: open.Id, Version: s.Version, Author: open.Author, Reason: open.Reason, EndIndex: index, Document: open.Document})
 		return nil, "", nil
-	case *pb.Policy_Abort:
+	case *pb.PolicyCommand_Abort:
 		if refused := m.names(w.Abort); refused != "" {
 			return nil, refused, nil
 		}
-		open := s.Open
-		m.over(&pb.Past{Id: open.Id, By: open.By, Why: open.Why, Ended: w.Abort.GetWhy(), At: index})
+		open := s.OpenChange
+		m.over(&pb.FinishedChange{Id: open.Id, Author: open.Author, Reason: open.Reason, AbortReason: w.Abort.GetReason(), EndIndex: index})
 		return nil, "", nil
 	}
 	return nil, "", fmt.Errorf("a command on the policy is of a sort that this program does not know")
 }
 
 // names says why a step does not belong to the change that is open.
-func (m *Machine) names(s *pb.Step) string {
-	if m.state.Open == nil {
-		return fmt.Sprintf("change %d is over", s.GetChange())
+func (m *Machine) names(s *pb.ChangeStep) string {
+	if m.state.OpenChange == nil {
+		return fmt.Sprintf("change %d is over", s.GetChangeId())
 	}
-	if m.state.Open.Id != s.GetChange() {
-		return fmt.Sprintf("change %d is over; change %d is under way", s.GetChange(), m.state.Open.Id)
+	if m.state.OpenChange.Id != s.GetChangeId() {
+		return fmt.Sprintf("change %d is over; change %d is under way", s.GetChangeId(), m.state.OpenChange.Id)
 	}
 	return ""
 }
 
 // over ends the open change.
-func (m *Machine) over(p *pb.Past) {
+func (m *Machine) over(p *pb.FinishedChange) {
 	s := m.state
-	s.Open, m.next = nil, nil
-	s.Past = append(s.Past, p)
-	if n := len(s.Past) - pastMost; n > 0 {
-		s.Past = append(s.Past[:0:0], s.Past[n:]...)
+	s.OpenChange, m.next = nil, nil
+	s.History = append(s.History, p)
+	if n := len(s.History) - pastMost; n > 0 {
+		s.History = append(s.History[:0:0], s.History[n:]...)
 	}
 	room := pastDocuments
-	for i := len(s.Past) - 1; i >= 0; i-- {
-		if room -= len(s.Past[i].Document); room < 0 && s.Past[i].Version != s.Version {
-			s.Past[i].Document = nil
+	for i := len(s.History) - 1; i >= 0; i-- {
+		if room -= len(s.History[i].Document); room < 0 && s.History[i].Version != s.Version {
+			s.History[i].Document = nil
 		}
 	}
 }
@@ -140,8 +140,8 @@
 			return err
 		}
 	}
-	if s.Open != nil {
-		if next, err = Parse("document proposed", s.Open.Document); err != nil {
+	if s.OpenChange != nil {
+		if next, err = Parse("document proposed", s.OpenChange.Document); err != nil {
 			return err
 		}
 	}
@@ -164,20 +164,20 @@
 	Frozen  *Touched // what that holds up; nil: nothing
 	Unfit   error    // the policy can't be followed here: nothing is begun
 
-	Roster   *pb.RosterState   // who takes part in what is shared out by name
-	Verdicts *pb.VerdictsState // that stand here
-	Rank     int               // of this sender among those that have joined; -1: it has not
+	Roster   *pb.MembershipState // who takes part in what is shared out by name
+	Verdicts *pb.HealthState     // that stand here
+	Rank     int                 // of this sender among those that have joined; -1: it has not
 }
 
 // Charge says who is in charge of what is shared out by name.
-func (v *View) Charge() *coordinator.Charge { return coordinator.NewCharge(v.Roster.GetParts()) }
+func (v *View) Charge() *coordinator.Charge { return coordinator.NewCharge(v.Roster.GetParticipants()) }
 
 // View is the state as a sender with these settings goes by it.
 func (m *Machine) View(index uint64, s Settings) *View {
 	v := &View{Index: index, Version: m.state.Version, Policy: m.policy, Unfit: m.policy.Fits(s)}
-	if o := m.state.Open; o != nil {
+	if o := m.state.OpenChange; o != nil {
 		v.Change = o.Id
-		if o.Frozen != 0 {
+		if o.FreezeIndex != 0 {
 			v.Frozen = Touches(m.policy, m.next)
 		}
 	}
@@ -193,17 +193,17 @@
 		return false, "a change of the fleet's policy is about to take hold"
 	}
 	if s := health.Of(v.Verdicts, c.Destination, true); s != nil {
-		return false, fmt.Sprintf("%s has suspended its destination", s.By)
+		return false, fmt.Sprintf("%s has suspended its destination", s.Author)
 	}
 	return v.Policy.May(c)
 }
 
 // GetVerdicts are those that stand; none of a view that is not known yet.
-func (v *View) GetVerdicts() []*pb.Verdict {
+func (v *View) GetVerdicts() []*pb.HealthStatus {
 	if v == nil {
 		return nil
 	}
-	return v.Verdicts.GetVerdicts()
+	return v.Verdicts.GetStatuses()
 }
 
 // Open reports whether calls for a destination are begun at all, as long as nothing changes.
@@ -220,7 +220,7 @@
 		return l, false
 	}
 	l = quota.Limit{Key: fmt.Sprintf("destination %d, probes", destination), Units: 1, Span: r.Probe, Transit: r.Transit}
-	if health.Sort(is.Sort) == health.Cold {
+	if health.Sort(is.Kind) == health.Cold {
 		l = quota.Limit{Key: fmt.Sprintf("destination %d, return", destination), Units: r.Cold, Span: time.Second, Transit: r.Transit, RampTo: r.Warm, RampFor: r.WarmFor}
 	}
 	return l, true
@@ -229,8 +229,8 @@
 // Limits are those of the policy and of verdicts, by key.
 func (v *View) Limits() []quota.Limit {
 	all := v.Policy.Limits()
-	for _, is := range v.Verdicts.GetVerdicts() {
-		if l, ok := v.guard(is.Destination); ok && health.Sort(is.Sort) != health.Suspended {
+	for _, is := range v.Verdicts.GetStatuses() {
+		if l, ok := v.guard(is.Destination); ok && health.Sort(is.Kind) != health.Suspended {
 			all = append(all, l)
 		}
 	}
@@ -241,7 +241,7 @@
 // Uses are the units that a call takes of each limit that it is under.
 func (v *View) Uses(c Call) []quota.Use {
 	uses := v.Policy.Uses(c)
-	if len(v.Verdicts.GetVerdicts()) > 0 {
+	if len(v.Verdicts.GetStatuses()) > 0 {
 		if l, ok := v.guard(c.Destination); ok {
 			uses = append(uses, quota.Use{Key: l.Key, Units: 1})
 		}
--- a/internal/fleetpolicy/model_test.go
+++ b/internal/fleetpolicy/model_test.go
@@ -116,21 +116,21 @@
 	}
 	ma := NewMachine()
 	for i, step := range strings.Split(log, "") {
-		index, c := uint64(i+1), &pb.Policy{}
-		o := ma.state.Open
+		index, c := uint64(i+1), &pb.PolicyCommand{}
+		o := ma.state.OpenChange
 		switch step {
 		case "p":
 			doc := []byte("[[route]]\ndestinations = [7]\nstate = \"closed\"\n")
 			if ma.state.Version%2 == 1 { // and back: each version differs for the same call
 				doc = []byte("# open again\n")
 			}
-			c.What = &pb.Policy_Propose{Propose: &pb.Propose{Base: ma.state.Version, Document: doc, WaitUs: m.waitUS()}}
+			c.Command = &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: ma.state.Version, Document: doc, StageTimeoutUs: m.waitUS()}}
 		case "f":
-			c.What = &pb.Policy_Freeze{Freeze: &pb.Step{Change: o.Id}}
+			c.Command = &pb.PolicyCommand_Freeze{Freeze: &pb.ChangeStep{ChangeId: o.Id}}
 		case "c":
-			c.What = &pb.Policy_Commit{Commit: &pb.Step{Change: o.Id}}
+			c.Command = &pb.PolicyCommand_Commit{Commit: &pb.ChangeStep{ChangeId: o.Id}}
 		case "a":
-			c.What = &pb.Policy_Abort{Abort: &pb.Step{Change: o.Id}}
+			c.Command = &pb.PolicyCommand_Abort{Abort: &pb.ChangeStep{ChangeId: o.Id}}
 		}
 		body, err := proto.Marshal(c)
 		if err != nil {
@@ -271,7 +271,7 @@
 	if w.now < m.ticks {
 		do("a second goes by", func(n *world) string { n.now++; return "" })
 	}
-	if n := strings.Count(w.log, "p"); n < m.changes && m.machine(w.log).State().Open == nil {
+	if n := strings.Count(w.log, "p"); n < m.changes && m.machine(w.log).State().OpenChange == nil {
 		do(fmt.Sprintf("change %d is proposed", n+1), func(n *world) string {
 			n.log += "p"
 			n.leader.applied = len(n.log)
@@ -308,12 +308,12 @@
 	}
 	cmd, _ := l.coord.Step(n.clock(), st, granter)
 	step := ""
-	switch cmd.GetWhat().(type) {
-	case *pb.Policy_Freeze:
+	switch cmd.GetCommand().(type) {
+	case *pb.PolicyCommand_Freeze:
 		step = "f"
-	case *pb.Policy_Commit:
+	case *pb.PolicyCommand_Commit:
 		step = "c"
-	case *pb.Policy_Abort:
+	case *pb.PolicyCommand_Abort:
 		step = "a"
 	default:
 		return "-"
@@ -326,7 +326,7 @@
 	}
 	if step == "c" {
 		for i := range m.senders {
-			if t := &n.senders[i]; t.holder.Until(uint64(t.applied)) > n.clock() && t.staged != st.Open.Id {
+			if t := &n.senders[i]; t.holder.Until(uint64(t.applied)) > n.clock() && t.staged != st.OpenChange.Id {
 				return fmt.Sprintf("%s holds a lease and has not staged the change", m.names[i])
 			}
 		}
@@ -337,7 +337,7 @@
 // closed is whether all changes are over.
 func (m *model) closed(w *world) bool {
 	st := m.machine(w.log).State()
-	return st.Open == nil && len(st.Past) == m.changes
+	return st.OpenChange == nil && len(st.History) == m.changes
 }
 
 func (m *model) sender(w *world, i int, do func(string, func(*world) string)) {
@@ -347,14 +347,14 @@
 			t := &n.senders[i]
 			t.applied++
 			t.woke = n.now
-			if o := m.machine(n.log[:t.applied]).State().Open; o != nil && m.fault != stagedNotSynced {
+			if o := m.machine(n.log[:t.applied]).State().OpenChange; o != nil && m.fault != stagedNotSynced {
 				t.staged, t.told = o.Id, o.Id
 			}
 			return ""
 		})
 	}
 	state := m.machine(w.log[:s.applied]).State()
-	if o := state.Open; o != nil && s.staged < o.Id && m.fault == stagedNotSynced {
+	if o := state.OpenChange; o != nil && s.staged < o.Id && m.fault == stagedNotSynced {
 		do(name+" stages the change", func(n *world) string {
 			n.senders[i].staged, n.senders[i].told = o.Id, o.Id
 			n.senders[i].woke = n.now
--- a/internal/health/court.go
+++ b/internal/health/court.go
@@ -87,9 +87,9 @@
 
 // Judge gives what is to be handed to the log now. mine says of which destinations this sender is in charge; epoch is of the
 // roster that makes it so.
-func (c *Court) Judge(now time.Duration, epoch uint64, me string, mine func(uint32) bool, rule func(uint32) (Rule, bool), s *pb.VerdictsState) (words []*pb.Judgement) {
-	for _, v := range s.GetVerdicts() { // also those that nobody testifies on any more
-		if Sort(v.Sort) != Suspended && c.cases[v.Destination] == nil {
+func (c *Court) Judge(now time.Duration, epoch uint64, me string, mine func(uint32) bool, rule func(uint32) (Rule, bool), s *pb.HealthState) (words []*pb.HealthCommand) {
+	for _, v := range s.GetStatuses() { // also those that nobody testifies on any more
+		if Sort(v.Kind) != Suspended && c.cases[v.Destination] == nil {
 			c.of(v.Destination).spoke = now // one that takes over has heard nobody yet, which is no sign
 		}
 	}
@@ -108,25 +108,25 @@
 			}
 			continue
 		}
-		if is.GetSince() != h.seen {
-			h.seen, h.since = is.GetSince(), now
+		if is.GetStartIndex() != h.seen {
+			h.seen, h.since = is.GetStartIndex(), now
 		}
-		if is.GetAt() != h.at {
-			h.at, h.again = is.GetAt(), now
+		if is.GetUpdateIndex() != h.at {
+			h.at, h.again = is.GetUpdateIndex(), now
 		}
 		if h.sent > 0 && h.basis == h.at && now-h.sent < resend {
 			continue // it is on its way
 		}
 		sort, why := None, "no rule asks for it any more"
 		if ruled {
-			sort, why = c.find(d, h, r, Sort(is.GetSort()), now)
+			sort, why = c.find(d, h, r, Sort(is.GetKind()), now)
 		}
-		var w *pb.Judgement
+		var w *pb.HealthCommand
 		switch {
 		case sort == None && is != nil:
-			w = &pb.Judgement{What: &pb.Judgement_Lift{Lift: &pb.Lift{Destination: d, Epoch: epoch, By: me, Why: why, Base: is.At}}}
-		case sort != None && (uint32(sort) != is.GetSort() || now-h.again > r.Lasts/3):
-			w = &pb.Judgement{What: &pb.Judgement_Pronounce{Pronounce: &pb.Pronounce{Destination: d, Sort: uint32(sort), Epoch: epoch, By: me, Why: why, TtlUs: r.Lasts.Microseconds(), Base: is.GetAt()}}}
+			w = &pb.HealthCommand{Command: &pb.HealthCommand_Clear{Clear: &pb.ClearHealth{Destination: d, Epoch: epoch, Author: me, Reason: why, BaseIndex: is.UpdateIndex}}}
+		case sort != None && (uint32(sort) != is.GetKind() || now-h.again > r.Lasts/3):
+			w = &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: &pb.SetHealth{Destination: d, Kind: uint32(sort), Epoch: epoch, Author: me, Reason: why, TtlUs: r.Lasts.Microseconds(), BaseIndex: is.GetUpdateIndex()}}}
 		default:
 			continue
 		}
--- a/internal/health/verdict.go
+++ b/internal/health/verdict.go
@@ -50,36 +50,36 @@
 
 // Machine is the verdicts as the fleet agrees on them. The same commands in the same order make the same state everywhere.
 type Machine struct {
-	state *pb.VerdictsState
+	state *pb.HealthState
 	epoch func() uint64 // of the roster that is in force at this place of the log
 }
 
 // NewMachine makes the state before the first command.
-func NewMachine(epoch func() uint64) *Machine { return &Machine{&pb.VerdictsState{}, epoch} }
+func NewMachine(epoch func() uint64) *Machine { return &Machine{&pb.HealthState{}, epoch} }
 
 // State is what is agreed; it is read only, and holds until the next command.
-func (m *Machine) State() *pb.VerdictsState { return m.state }
+func (m *Machine) State() *pb.HealthState { return m.state }
 
 // Of is the verdict on a destination, a person's or another; nil if there is none.
-func Of(s *pb.VerdictsState, destination uint32, person bool) *pb.Verdict {
+func Of(s *pb.HealthState, destination uint32, person bool) *pb.HealthStatus {
 	i := find(s, destination, person)
-	if i < len(s.GetVerdicts()) && same(s.Verdicts[i], destination, person) {
-		return s.Verdicts[i]
+	if i < len(s.GetStatuses()) && same(s.Statuses[i], destination, person) {
+		return s.Statuses[i]
 	}
 	return nil
 }
 
-func same(v *pb.Verdict, destination uint32, person bool) bool {
-	return v.Destination == destination && (Sort(v.Sort) == Suspended) == person
+func same(v *pb.HealthStatus, destination uint32, person bool) bool {
+	return v.Destination == destination && (Sort(v.Kind) == Suspended) == person
 }
 
 // find is the place of a verdict, or where it would stand: by destination, a person's behind the other.
-func find(s *pb.VerdictsState, destination uint32, person bool) int {
-	i, _ := slices.BinarySearchFunc(s.GetVerdicts(), destination, func(v *pb.Verdict, d uint32) int {
+func find(s *pb.HealthState, destination uint32, person bool) int {
+	i, _ := slices.BinarySearchFunc(s.GetStatuses(), destination, func(v *pb.HealthStatus, d uint32) int {
 		if v.Destination != d {
 			return cmp.Compare(v.Destination, d)
 		}
-		if (Sort(v.Sort) == Suspended) == person {
+		if (Sort(v.Kind) == Suspended) == person {
 			return 0
 		}
 		if person {
@@ -92,34 +92,34 @@
 
 // Apply carries out a command at its index of the log. Each makes a new state, so that who has the old one may go on reading it.
 func (m *Machine) Apply(index uint64, body []byte) (result []byte, refused string, err error) {
-	c := &pb.Judgement{}
+	c := &pb.HealthCommand{}
 	if err := proto.Unmarshal(body, c); err != nil {
 		return nil, "", fmt.Errorf("a verdict can't be read: %w", err)
 	}
-	switch w := c.GetWhat().(type) {
-	case *pb.Judgement_Pronounce:
-		return nil, m.pronounce(index, w.Pronounce), nil
-	case *pb.Judgement_Lift:
-		return nil, m.lift(w.Lift), nil
+	switch w := c.GetCommand().(type) {
+	case *pb.HealthCommand_Set:
+		return nil, m.pronounce(index, w.Set), nil
+	case *pb.HealthCommand_Clear:
+		return nil, m.lift(w.Clear), nil
 	}
 	return nil, "", fmt.Errorf("a verdict is of a sort that this program does not know")
 }
 
 // stands says why a word on a verdict does not count: it was given by what has changed meanwhile.
-func (m *Machine) stands(destination uint32, person bool, epoch, base uint64) (was *pb.Verdict, refused string) {
+func (m *Machine) stands(destination uint32, person bool, epoch, base uint64) (was *pb.HealthStatus, refused string) {
 	was = Of(m.state, destination, person)
 	switch {
 	case !person && epoch != m.epoch():
 		return was, fmt.Sprintf("it was given under roster %d, and roster %d is in force", epoch, m.epoch())
-	case !person && base != was.GetAt():
-		return was, fmt.Sprintf("it follows the verdict of entry %d, and that of entry %d stands", base, was.GetAt())
+	case !person && base != was.GetUpdateIndex():
+		return was, fmt.Sprintf("it follows the verdict of entry %d, and that of entry %d stands", base, was.GetUpdateIndex())
 	}
 	return was, ""
 }
 
-func (m *Machine) pronounce(index uint64, p *pb.Pronounce) (refused string) {
-	sort, person := Sort(p.Sort), Sort(p.Sort) == Suspended
-	was, refused := m.stands(p.Destination, person, p.Epoch, p.Base)
+func (m *Machine) pronounce(index uint64, p *pb.SetHealth) (refused string) {
+	sort, person := Sort(p.Kind), Sort(p.Kind) == Suspended
+	was, refused := m.stands(p.Destination, person, p.Epoch, p.BaseIndex)
 	ttl := time.Duration(p.TtlUs) * time.Microsecond
 	switch {
 	case refused != "":
@@ -128,39 +128,39 @@
 		return fmt.Sprintf("a verdict of %v is none", sort)
 	case person != (ttl == 0) || ttl < 0 || ttl > LastsMost:
 		return fmt.Sprintf("it lasts %v: a person's lasts until it is lifted, any other up to %v", ttl, LastsMost)
-	case len(p.Why) > textMost:
-		return fmt.Sprintf("why has %d bytes; %d are the most", len(p.Why), textMost)
+	case len(p.Reason) > textMost:
+		return fmt.Sprintf("why has %d bytes; %d are the most", len(p.Reason), textMost)
 	case person && was != nil:
-		return fmt.Sprintf("%s has suspended destination %d already: %s", was.By, p.Destination, was.Why)
-	case was == nil && len(m.state.Verdicts) >= verdictsMost:
+		return fmt.Sprintf("%s has suspended destination %d already: %s", was.Author, p.Destination, was.Reason)
+	case was == nil && len(m.state.Statuses) >= verdictsMost:
 		return fmt.Sprintf("there are %d verdicts, which is the most", verdictsMost)
 	}
-	v := &pb.Verdict{Destination: p.Destination, Sort: p.Sort, At: index, Since: index, Epoch: p.Epoch, By: p.By, Why: p.Why, TtlUs: p.TtlUs}
-	all := slices.Clone(m.state.Verdicts)
+	v := &pb.HealthStatus{Destination: p.Destination, Kind: p.Kind, UpdateIndex: index, StartIndex: index, Epoch: p.Epoch, Author: p.Author, Reason: p.Reason, TtlUs: p.TtlUs}
+	all := slices.Clone(m.state.Statuses)
 	i := find(m.state, p.Destination, person)
 	if was != nil {
-		if was.Sort == p.Sort {
-			v.Since = was.Since
+		if was.Kind == p.Kind {
+			v.StartIndex = was.StartIndex
 		}
 		all[i] = v
 	} else {
 		all = slices.Insert(all, i, v)
 	}
-	m.state = &pb.VerdictsState{Verdicts: all}
+	m.state = &pb.HealthState{Statuses: all}
 	return ""
 }
 
-func (m *Machine) lift(l *pb.Lift) (refused string) {
-	was, refused := m.stands(l.Destination, l.Person, l.Epoch, l.Base)
+func (m *Machine) lift(l *pb.ClearHealth) (refused string) {
+	was, refused := m.stands(l.Destination, l.ByOperator, l.Epoch, l.BaseIndex)
 	if refused != "" {
 		return refused
 	}
 	if was == nil {
 		return fmt.Sprintf("there is no such verdict on destination %d", l.Destination)
 	}
-	all := slices.Clone(m.state.Verdicts)
-	i := find(m.state, l.Destination, l.Person)
-	m.state = &pb.VerdictsState{Verdicts: slices.Delete(all, i, i+1)}
+	all := slices.Clone(m.state.Statuses)
+	i := find(m.state, l.Destination, l.ByOperator)
+	m.state = &pb.HealthState{Statuses: slices.Delete(all, i, i+1)}
 	return ""
 }
 
@@ -171,7 +171,7 @@
 
 // Restore puts the state in place of what is held.
 func (m *Machine) Restore(raw []byte) error {
-	s := &pb.VerdictsState{}
+	s := &pb.HealthState{}
 	if err := proto.Unmarshal(raw, s); err != nil {
 		return fmt.Errorf("the verdicts can't be read: %w", err)
 	}
--- a/internal/health/verdict_test.go
+++ b/internal/health/verdict_test.go
@@ -25,7 +25,7 @@
 	return l
 }
 
-func (l *log) apply(c *pb.Judgement) string {
+func (l *log) apply(c *pb.HealthCommand) string {
 	l.t.Helper()
 	raw, err := proto.Marshal(c)
 	if err != nil {
@@ -39,16 +39,16 @@
 	return refused
 }
 
-func pronounce(d uint32, sort Sort, epoch, base uint64) *pb.Judgement {
-	p := &pb.Pronounce{Destination: d, Sort: uint32(sort), Epoch: epoch, Base: base, By: "x"}
+func pronounce(d uint32, sort Sort, epoch, base uint64) *pb.HealthCommand {
+	p := &pb.SetHealth{Destination: d, Kind: uint32(sort), Epoch: epoch, BaseIndex: base, Author: "x"}
 	if sort != Suspended {
 		p.TtlUs = time.Second.Microseconds()
 	}
-	return &pb.Judgement{What: &pb.Judgement_Pronounce{Pronounce: p}}
+	return &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: p}}
 }
 
-func lift(d uint32, person bool, epoch, base uint64) *pb.Judgement {
-	return &pb.Judgement{What: &pb.Judgement_Lift{Lift: &pb.Lift{Destination: d, Person: person, Epoch: epoch, Base: base}}}
+func lift(d uint32, person bool, epoch, base uint64) *pb.HealthCommand {
+	return &pb.HealthCommand{Command: &pb.HealthCommand_Clear{Clear: &pb.ClearHealth{Destination: d, ByOperator: person, Epoch: epoch, BaseIndex: base}}}
 }
 
 // A verdict and its lifting do not cross; one that was in charge says nothing any more; a person's stands beside, and for ever.
@@ -56,7 +56,7 @@
 	l := newLog(t)
 	for _, step := range []struct {
 		what    string
-		word    *pb.Judgement
+		word    *pb.HealthCommand
 		refused string
 		stand   string
 	}{
@@ -78,14 +78,14 @@
 			t.Errorf("%s: refused %q, want %q", step.what, got, step.refused)
 		}
 		var is []string
-		for _, v := range l.State().Verdicts {
-			is = append(is, strings.TrimSpace(string(rune('0'+v.Destination))+" "+Sort(v.Sort).String()))
+		for _, v := range l.State().Statuses {
+			is = append(is, strings.TrimSpace(string(rune('0'+v.Destination))+" "+Sort(v.Kind).String()))
 		}
 		if got := strings.Join(is, ", "); got != step.stand {
 			t.Errorf("%s: %q stand, want %q", step.what, got, step.stand)
 		}
 	}
-	if v := Of(l.State(), 3, false); v.Since != 9 || v.At != 9 {
+	if v := Of(l.State(), 3, false); v.StartIndex != 9 || v.UpdateIndex != 9 {
 		t.Errorf("%v", v)
 	}
 	raw, err := l.Snapshot()
@@ -119,7 +119,7 @@
 			tr.apply(w)
 		}
 	}
-	return Sort(Of(tr.State(), 7, false).GetSort()).String()
+	return Sort(Of(tr.State(), 7, false).GetKind()).String()
 }
 
 func (tr *trial) says(who string, d uint32, s knowledge.State, age time.Duration) {
@@ -206,7 +206,7 @@
 				tr.says("b", 7, knowledge.Out, 0)
 				tr.is(1000 * ms)
 			}
-			if v := Of(tr.State(), 7, false); v.At < v.Since+3 {
+			if v := Of(tr.State(), 7, false); v.UpdateIndex < v.StartIndex+3 {
 				tr.t.Errorf("it was not said again: %v", v)
 			}
 		}, "out"},
@@ -242,7 +242,7 @@
 			tr.c, tr.epoch = NewCourt(), 2
 			tr.says("a", 7, knowledge.Out, 0)
 			tr.is(3000 * ms)
-			if v := Of(tr.State(), 7, false); v.GetEpoch() != 2 || v.GetSince() != 1 {
+			if v := Of(tr.State(), 7, false); v.GetEpoch() != 2 || v.GetStartIndex() != 1 {
 				tr.t.Errorf("%v", v)
 			}
 		}, "out"},
--- a/internal/quota/asker.go
+++ b/internal/quota/asker.go
@@ -20,7 +20,7 @@
 	Answered struct {
 		To    string
 		Seq   uint64
-		Reply *pb.LendReply // nil: there is no answer
+		Reply *pb.QuotaReply // nil: there is no answer
 	}
 )
 
@@ -28,8 +28,8 @@
 type (
 	// Question goes to the authority of the limits that it names.
 	Question struct {
-		To      *pb.Part
-		Request *pb.LendRequest
+		To      *pb.Participant
+		Request *pb.QuotaRequest
 		Within  time.Duration // an answer that comes later is none
 	}
 	// Changed is that what this sender may use of some limits is another.
@@ -79,11 +79,11 @@
 func (a *Asker) Wrong(lasts func(time.Duration) time.Duration) { a.lasts = lasts }
 
 // Roster takes over who is in charge now. Questions to those of before are over.
-func (a *Asker) Roster(s *pb.RosterState) {
+func (a *Asker) Roster(s *pb.MembershipState) {
 	if a.charge != nil && a.epoch == s.GetEpoch() {
 		return
 	}
-	a.epoch, a.charge = s.GetEpoch(), coordinator.NewCharge(s.GetParts())
+	a.epoch, a.charge = s.GetEpoch(), coordinator.NewCharge(s.GetParticipants())
 	clear(a.out)
 	for key := range a.due {
 		a.due[key] = 0
@@ -188,40 +188,40 @@
 // ask makes the question to one authority.
 func (a *Asker) ask(to string, keys []string, now time.Duration) (Question, bool) {
 	a.seq++
-	r := &pb.LendRequest{Name: a.me.Name, Life: a.me.Life, Epoch: a.epoch, Seq: a.seq}
+	r := &pb.QuotaRequest{Name: a.me.Name, Incarnation: a.me.Life, Epoch: a.epoch, Sequence: a.seq}
 	var asked []string
-	var part *pb.Part
+	var part *pb.Participant
 	for _, key := range keys {
 		s := a.till.slot(key)
 		part = a.charge.Of(key)
 		one, idle := s.question(key, a.keeps[key], now)
-		a.wants[key] = one.Want
+		a.wants[key] = one.Wanted
 		if idle {
 			a.forget(key) // until something waits for it
 			continue
 		}
-		r.Asks, asked = append(r.Asks, one), append(asked, key)
+		r.Demands, asked = append(r.Demands, one), append(asked, key)
 		a.due[key] = now + eagerly
 	}
 	if len(asked) == 0 {
 		return Question{}, false
 	}
-	r.ToLife = part.Life
+	r.ToIncarnation = part.Incarnation
 	a.out[to] = &question{a.seq, now, asked}
 	return Question{part, r, a.Patience()}, true
 }
 
 // question is what is said of one limit; idle is that there is nothing to say any more.
-func (s *slot) question(key string, keep int64, now time.Duration) (q *pb.LendAsk, idle bool) {
+func (s *slot) question(key string, keep int64, now time.Duration) (q *pb.QuotaDemand, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p, q := s.purse, &pb.LendAsk{Key: key}
+	p, q := s.purse, &pb.QuotaDemand{Key: key}
 	lent, busy, _ := p.Holds(now)
 	waiting := max(s.waiting.Load(), s.lacked)
 	s.lacked = 0
-	q.Piece = 1
+	q.MinUseful = 1
 	if s.limit.Sort == Bytes {
-		q.Piece, s.most = s.most, max(1, s.most*9/10)
+		q.MinUseful, s.most = s.most, max(1, s.most*9/10)
 	}
 	want := min(s.limit.most(), waiting+p.Pace(now)) // what was used of late is wanted again: so a want does not flap
 	if s.limit.Sort == Daily {
@@ -232,25 +232,25 @@
 	case waiting == 0 || lent > 0 && busy*2 >= lent:
 		s.idle = 0
 	case s.limit.Sort == Daily: // what it has used does not show in what it has
-	case lent > q.Piece && s.idle == 0:
+	case lent > q.MinUseful && s.idle == 0:
 		s.idle = now
 	}
 	if s.idle > 0 && now-s.idle > 2*s.limit.Rest(0) {
-		want = min(want, max(2*busy, q.Piece))
+		want = min(want, max(2*busy, q.MinUseful))
 	}
 	if s.turns && waiting == 0 {
 		want = 0
 	}
-	q.Want = want
+	q.Wanted = want
 	if s.turns {
 		keep = max(0, lent-busy) // what was used goes on to the next
 	} else if want == 0 && waiting == 0 {
 		keep = 0
 	}
-	q.Holds, q.Rests, q.LeftUs = asked(p.Promise(keep, now))
+	q.Held, q.Cooling, q.CoolingUs = asked(p.Promise(keep, now))
 	q.Spent = p.Spent()
 	if s.told > 0 {
-		q.Told, q.ToldAgeUs = s.told, (now - s.toldAt).Microseconds()
+		q.ObservedLimit, q.ObservedAgeUs = s.told, (now - s.toldAt).Microseconds()
 	}
 	return q, want == 0 && lent == 0 && busy == 0 && waiting == 0
 }
@@ -269,15 +269,15 @@
 	if e.Reply == nil || e.Reply.Epoch != a.epoch {
 		return // it is asked again soon
 	}
-	for _, l := range e.Reply.Lent {
+	for _, l := range e.Reply.Grants {
 		s := a.till.slot(l.Key)
 		if s == nil || !slices.Contains(q.keys, l.Key) {
 			continue
 		}
 		s.mu.Lock()
 		before := s.purse.lent(now)
-		s.turns = l.Turns
-		length := a.lasts(min(a.terms.Length, time.Duration(l.LengthUs)*time.Microsecond))
+		s.turns = l.Rotating
+		length := a.lasts(min(a.terms.Length, time.Duration(l.DurationUs)*time.Microsecond))
 		s.purse.Lent(l.Units, q.at, length, now)
 		waiting, lent, want := s.waiting.Load(), s.purse.lent(now), a.wants[l.Key]
 		s.mu.Unlock()
@@ -292,7 +292,7 @@
 		next := calmly
 		if want > lent && waiting > 0 {
 			next = eagerly
-			if again := time.Duration(l.AgainUs) * time.Microsecond; again > 0 {
+			if again := time.Duration(l.RetryAfterUs) * time.Microsecond; again > 0 {
 				next = min(max(again, atOnce), calmly)
 			}
 		}
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -77,12 +77,12 @@
 }
 
 // Roster takes over who takes part now.
-func (l *Lender) Roster(s *pb.RosterState, now time.Duration) {
+func (l *Lender) Roster(s *pb.MembershipState, now time.Duration) {
 	if n := len(l.begun); n == 0 || l.begun[n-1].epoch != s.GetEpoch() {
 		if n > 0 && s.GetEpoch() != l.begun[n-1].epoch+1 {
 			l.begun = nil // others were in charge meanwhile, of nobody knows what
 		}
-		l.begun = append(l.begun, begun{s.GetEpoch(), coordinator.NewCharge(s.GetParts()), now})
+		l.begun = append(l.begun, begun{s.GetEpoch(), coordinator.NewCharge(s.GetParticipants()), now})
 		if n := len(l.begun) - rostersMost; n > 0 {
 			l.begun = slices.Delete(l.begun, 0, n)
 		}
@@ -98,8 +98,8 @@
 		}
 	}
 	l.coming = nil
-	if s.GetComing() != 0 {
-		l.coming = coordinator.NewCharge(s.GetNext())
+	if s.GetNextEpoch() != 0 {
+		l.coming = coordinator.NewCharge(s.GetNextParticipants())
 	}
 }
 
@@ -107,7 +107,7 @@
 
 func (l *Lender) mine(c *coordinator.Charge, key string) bool {
 	p := c.Of(key)
-	return p != nil && p.Name == l.me.Name && p.Life == l.me.Life
+	return p != nil && p.Name == l.me.Name && p.Incarnation == l.me.Life
 }
 
 // since is from when it has been in charge of a limit without a break, as far as that is known.
@@ -128,16 +128,16 @@
 }
 
 // Lend answers a holder, by the roster and the limits told last. An error is that it is not for this sender, or not now.
-func (l *Lender) Lend(r *pb.LendRequest, now time.Duration) (*pb.LendReply, error) {
-	if l.Epoch() != r.Epoch || r.ToLife != l.me.Life {
-		return nil, fmt.Errorf("this sender goes by roster %d as process %x, the question by roster %d for %x", l.Epoch(), l.me.Life, r.Epoch, r.ToLife)
+func (l *Lender) Lend(r *pb.QuotaRequest, now time.Duration) (*pb.QuotaReply, error) {
+	if l.Epoch() != r.Epoch || r.ToIncarnation != l.me.Life {
+		return nil, fmt.Errorf("this sender goes by roster %d as process %x, the question by roster %d for %x", l.Epoch(), l.me.Life, r.Epoch, r.ToIncarnation)
 	}
-	reply := &pb.LendReply{Epoch: r.Epoch}
-	who := lease.Who{Name: r.Name, Life: r.Life}
+	reply := &pb.QuotaReply{Epoch: r.Epoch}
+	who := lease.Who{Name: r.Name, Life: r.Incarnation}
 	if !l.now().charge.Has(who) {
 		return nil, fmt.Errorf("%s takes no part in roster %d with that process", r.Name, r.Epoch)
 	}
-	for _, a := range r.Asks {
+	for _, a := range r.Demands {
 		limit, known := l.limits[a.Key]
 		if !known || !l.mine(l.now().charge, a.Key) {
 			continue
@@ -146,13 +146,13 @@
 			continue // it moves: nothing more is lent here
 		}
 		if limit.Sort == Daily {
-			if lent, ok := l.daily(limit, who, r.Seq, a, now); ok {
-				reply.Lent = append(reply.Lent, lent)
+			if lent, ok := l.daily(limit, who, r.Sequence, a, now); ok {
+				reply.Grants = append(reply.Grants, lent)
 			}
 			continue
 		}
-		if a.Told > 0 {
-			if t := (told{a.Told, now - max(0, time.Duration(a.ToldAgeUs)*time.Microsecond)}); t.at >= l.told[a.Key].at {
+		if a.ObservedLimit > 0 {
+			if t := (told{a.ObservedLimit, now - max(0, time.Duration(a.ObservedAgeUs)*time.Microsecond)}); t.at >= l.told[a.Key].at {
 				l.told[a.Key] = t
 			}
 		}
@@ -164,9 +164,9 @@
 		if is := l.effectiveAt(limit, now); is != b.limit {
 			b.Change(is)
 		}
-		lent, ok := b.Ask(who, Ask{Seq: r.Seq, Holds: a.Holds, Rests: a.Rests, Left: time.Duration(a.LeftUs) * time.Microsecond, Want: a.Want, Piece: a.Piece, Spent: a.Spent}, now)
+		lent, ok := b.Ask(who, Ask{Seq: r.Sequence, Holds: a.Held, Rests: a.Cooling, Left: time.Duration(a.CoolingUs) * time.Microsecond, Want: a.Wanted, Piece: a.MinUseful, Spent: a.Spent}, now)
 		if ok {
-			reply.Lent = append(reply.Lent, &pb.Lent{Key: a.Key, Units: lent.Units, LengthUs: lent.Length.Microseconds(), Turns: lent.Turns, AgainUs: lent.Again.Microseconds(), UnitsInAll: b.limit.Units})
+			reply.Grants = append(reply.Grants, &pb.QuotaGrant{Key: a.Key, Units: lent.Units, DurationUs: lent.Length.Microseconds(), Rotating: lent.Turns, RetryAfterUs: lent.Again.Microseconds(), LimitUnits: b.limit.Units})
 		}
 	}
 	return reply, nil
@@ -199,7 +199,7 @@
 }
 
 // daily lends of a day's quota.
-func (l *Lender) daily(limit Limit, who lease.Who, seq uint64, a *pb.LendAsk, now time.Duration) (*pb.Lent, bool) {
+func (l *Lender) daily(limit Limit, who lease.Who, seq uint64, a *pb.QuotaDemand, now time.Duration) (*pb.QuotaGrant, bool) {
 	p := l.pots[limit.Key]
 	if p == nil {
 		p = NewPot(limit, l.terms)
@@ -207,11 +207,11 @@
 	}
 	p.limit = limit
 	p.Begin(l.day)
-	lent, draw, ok := p.Ask(who, Ask{Seq: seq, Holds: a.Holds, Want: a.Want, Piece: a.Piece, Spent: a.Spent}, now)
+	lent, draw, ok := p.Ask(who, Ask{Seq: seq, Holds: a.Held, Want: a.Wanted, Piece: a.MinUseful, Spent: a.Spent}, now)
 	if draw > 0 {
 		l.draws = append(l.draws, Draw{limit.Key, l.Epoch(), p.period, draw, limit.Units})
 	}
-	return &pb.Lent{Key: limit.Key, Units: lent.Units, LengthUs: lent.Length.Microseconds(), UnitsInAll: limit.Units}, ok
+	return &pb.QuotaGrant{Key: limit.Key, Units: lent.Units, DurationUs: lent.Length.Microseconds(), LimitUnits: limit.Units}, ok
 }
 
 // effectiveAt is a limit with what its receiver tells, if it is one that learns: the lower of both.
--- a/internal/quota/pot_test.go
+++ b/internal/quota/pot_test.go
@@ -21,7 +21,7 @@
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		log, index, epoch := coordinator.NewMachine(), uint64(0), uint64(0)
-		apply := func(r *pb.Roster) (int64, string) {
+		apply := func(r *pb.MembershipCommand) (int64, string) {
 			raw, err := proto.Marshal(r)
 			if err != nil {
 				t.Fatal(err)
@@ -36,9 +36,9 @@
 		}
 		pot := NewPot(day, simTerms)
 		replace := func() {
-			apply(&pb.Roster{What: &pb.Roster_Come{Come: &pb.Come{Base: epoch}}})
+			apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Propose{Propose: &pb.ProposeMembership{BaseEpoch: epoch}}})
 			epoch++
-			if _, refused := apply(&pb.Roster{What: &pb.Roster_Begin{Begin: &pb.RosterStep{Epoch: epoch}}}); refused != "" {
+			if _, refused := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Activate{Activate: &pb.ActivateMembership{Epoch: epoch}}}); refused != "" {
 				t.Fatal(refused)
 			}
 			pot = NewPot(day, simTerms)
@@ -94,7 +94,7 @@
 					t.Fatalf("seed %d: a new question is taken for an old one", seed)
 				}
 				if draw > 0 {
-					units, _ := apply(&pb.Roster{What: &pb.Roster_Draw{Draw: &pb.Draw{Epoch: epoch, Key: "x", Period: period, Units: draw, Most: day.Units}}})
+					units, _ := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: epoch, Key: "x", Period: period, Units: draw, Limit: day.Units}}})
 					if !sound && rng.IntN(5) == 0 {
 						units = 0 // the answer is lost, and so are they
 					}
@@ -125,10 +125,10 @@
 			t.Errorf("seed %d: nothing is used", seed)
 		}
 		// An authority of before, and a day that is over, get nothing.
-		if _, refused := apply(&pb.Roster{What: &pb.Roster_Draw{Draw: &pb.Draw{Epoch: epoch - 1, Key: "x", Period: period, Units: 1, Most: 1 << 30}}}); refused == "" {
+		if _, refused := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: epoch - 1, Key: "x", Period: period, Units: 1, Limit: 1 << 30}}}); refused == "" {
 			t.Errorf("seed %d: an authority of before draws", seed)
 		}
-		if _, refused := apply(&pb.Roster{What: &pb.Roster_Draw{Draw: &pb.Draw{Epoch: epoch, Key: "x", Period: period - 1, Units: 1, Most: 1 << 30}}}); refused == "" {
+		if _, refused := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: epoch, Key: "x", Period: period - 1, Units: 1, Limit: 1 << 30}}}); refused == "" {
 			t.Errorf("seed %d: a day that is over is drawn from", seed)
 		}
 	}
@@ -144,8 +144,8 @@
 	for i := range 5 {
 		now := time.Hour + time.Duration(i)*time.Second
 		s.purse.Lent(20, now, simTerms.Length, now)
-		if q, _ := s.question("x", 20, now); q.Want != 50 {
-			t.Fatalf("after %d s it wants %d of 50", i, q.Want)
+		if q, _ := s.question("x", 20, now); q.Wanted != 50 {
+			t.Fatalf("after %d s it wants %d of 50", i, q.Wanted)
 		}
 	}
 }
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -28,7 +28,7 @@
 	terms   Terms
 	limits  []Limit
 	senders []*simSender
-	roster  *pb.RosterState
+	roster  *pb.MembershipState
 	cut     map[[2]int]bool
 	loss    float64
 	uses    map[string][]time.Duration // at the receiver, by limit
@@ -38,8 +38,8 @@
 	sent    int
 	bytes   int
 	lives   uint64
-	coming  []*pb.Part // nil: none is
-	again   bool       // another is to come
+	coming  []*pb.Participant // nil: none is
+	again   bool              // another is to come
 }
 
 type simSender struct {
@@ -91,7 +91,7 @@
 
 func newSim(t *testing.T, seed uint64, n int, terms Terms, limits ...Limit) *sim {
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), terms: terms, limits: limits, cut: map[[2]int]bool{}, uses: map[string][]time.Duration{}, counts: map[string]int{}, by: map[string]map[int]int{}}
-	s.roster = &pb.RosterState{}
+	s.roster = &pb.MembershipState{}
 	for i := range n {
 		p := &simSender{s: s, i: i, name: fmt.Sprintf("n%03d", i), rate: 1 + (s.rng.Float64()*2-1)*terms.Drift, offset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
 		s.senders = append(s.senders, p)
@@ -124,23 +124,23 @@
 		s.again = true
 		return
 	}
-	s.coming = []*pb.Part{}
+	s.coming = []*pb.Participant{}
 	for _, p := range s.senders {
 		if !p.down && p.lease > s.now {
-			s.coming = append(s.coming, &pb.Part{Name: p.name, Life: p.who.Life})
+			s.coming = append(s.coming, &pb.Participant{Name: p.name, Incarnation: p.who.Life})
 		}
 	}
-	r := &pb.RosterState{Epoch: s.roster.Epoch, Parts: s.roster.Parts, Coming: s.roster.Epoch + 1, Next: s.coming}
+	r := &pb.MembershipState{Epoch: s.roster.Epoch, Participants: s.roster.Participants, NextEpoch: s.roster.Epoch + 1, NextParticipants: s.coming}
 	s.tell(r)
 	var fence func()
 	fence = func() {
 		for _, p := range s.senders {
-			if p.heard < r.Coming && p.lease > s.now {
+			if p.heard < r.NextEpoch && p.lease > s.now {
 				s.at(10*time.Millisecond, fence)
 				return
 			}
 		}
-		s.roster, s.coming = &pb.RosterState{Epoch: r.Coming, Parts: s.coming}, nil
+		s.roster, s.coming = &pb.MembershipState{Epoch: r.NextEpoch, Participants: s.coming}, nil
 		s.tell(s.roster)
 		if s.again {
 			s.again = false
@@ -151,7 +151,7 @@
 }
 
 // tell has each sender hear of a roster, with a delay of its own; one that is paused hears so when it wakes.
-func (s *sim) tell(r *pb.RosterState) {
+func (s *sim) tell(r *pb.MembershipState) {
 	for _, p := range s.senders {
 		life := p.who.Life
 		var hear func()
@@ -161,7 +161,7 @@
 			case p.paused > s.now:
 				s.at(p.paused-s.now+s.delay(), hear)
 			default:
-				p.heard = max(p.heard, r.Coming)
+				p.heard = max(p.heard, r.NextEpoch)
 				p.asker.Roster(r)
 				p.lender.Roster(r, p.clock())
 				p.step()
@@ -277,7 +277,7 @@
 		s.bytes += proto.Size(reply)
 		s.at(s.delay(), func() {
 			if p.who.Life == life {
-				p.step(Answered{q.To.Name, q.Request.Seq, reply})
+				p.step(Answered{q.To.Name, q.Request.Sequence, reply})
 			}
 		})
 	}
@@ -508,7 +508,7 @@
 		p.wants("x", 40)
 	}
 	s.run(8 * time.Second)
-	charge := coordinator.NewCharge(s.roster.Parts)
+	charge := coordinator.NewCharge(s.roster.Participants)
 	dead := slices.IndexFunc(s.senders, func(p *simSender) bool { return p.name == charge.Of("x").Name })
 	s.senders[dead].down = true
 	s.at(1010*time.Millisecond, s.begin) // its lease has lapsed
--- a/internal/replicatedlog/copy.go
+++ b/internal/replicatedlog/copy.go
@@ -13,7 +13,7 @@
 // Events of a Copy.
 type (
 	// Told is a part of the committed log.
-	Told struct{ Piece *pb.Piece }
+	Told struct{ Piece *pb.LogChunk }
 	// Granted is the answer to a question for a lease.
 	Granted struct {
 		Asked  time.Duration
@@ -41,7 +41,7 @@
 	// Question goes to the one who leads.
 	Question struct {
 		Asked   time.Duration
-		Request *pb.AskRequest
+		Request *pb.LeaseRequest
 	}
 	// Publish is what calls go by from now on; Drained is wanted if Drain is set.
 	Publish struct {
@@ -67,8 +67,8 @@
 	roster   *coordinator.Machine
 	verdicts *health.Machine
 	heard    map[uint64]time.Duration // when a verdict was heard, by its entry
-	stand    *pb.VerdictsState        // as published: those that have not lapsed
-	from     *pb.VerdictsState        // of which state that is
+	stand    *pb.HealthState          // as published: those that have not lapsed
+	from     *pb.HealthState          // of which state that is
 	lapses   time.Duration            // when one of them does; 0: none
 	holder   *lease.Holder
 	view     *fleetpolicy.View // as published
@@ -121,7 +121,7 @@
 			c.asked = min(c.asked, now-c.renew()+c.renew()/8) // soon again, and not at once
 		case Staged:
 			c.staging = 0
-			if o := c.policy.State().GetOpen(); o != nil && o.Id == e.Change {
+			if o := c.policy.State().GetOpenChange(); o != nil && o.Id == e.Change {
 				if e.Err != nil {
 					c.refuse(e.Change, "it can't be kept on the disk: "+e.Err.Error())
 				} else {
@@ -156,7 +156,7 @@
 }
 
 // follow applies what is committed. What can't be applied ends the copy with a panic: it stops, and its leases lapse.
-func (c *Copy) follow(p *pb.Piece) {
+func (c *Copy) follow(p *pb.LogChunk) {
 	if len(p.Snapshot) > 0 && SnapshotIndex(p.Snapshot) > c.state.Index() {
 		must(c.state.Restore(p.Snapshot))
 	}
@@ -174,7 +174,7 @@
 
 // stage checks the open change, and has it kept.
 func (c *Copy) stage() {
-	o := c.policy.State().GetOpen()
+	o := c.policy.State().GetOpenChange()
 	if o == nil || c.staged == o.Id || c.staging == o.Id || c.refusal == o.Id {
 		return
 	}
@@ -191,8 +191,8 @@
 // publish says what calls go by, if that is another than before.
 func (c *Copy) publish(now time.Duration) {
 	p := Publish{View: c.view}
-	o := c.policy.State().GetOpen()
-	is := [3]uint64{c.policy.State().GetVersion(), o.GetId(), o.GetFrozen()}
+	o := c.policy.State().GetOpenChange()
+	is := [3]uint64{c.policy.State().GetVersion(), o.GetId(), o.GetFreezeIndex()}
 	switch {
 	case c.view == nil || is != c.shows:
 		p.View = c.policy.View(c.state.Index(), c.settings)
@@ -227,19 +227,19 @@
 }
 
 // standing are the verdicts that have not lapsed here: one that is not said again is over, also for who hears nothing any more.
-func (c *Copy) standing(now time.Duration) *pb.VerdictsState {
+func (c *Copy) standing(now time.Duration) *pb.HealthState {
 	all := c.verdicts.State()
 	if all == c.from && (c.lapses == 0 || now < c.lapses) {
 		return c.stand
 	}
 	c.from, c.lapses = all, 0
-	heard, stand := map[uint64]time.Duration{}, &pb.VerdictsState{}
-	for _, v := range all.GetVerdicts() {
-		at, known := c.heard[v.At]
+	heard, stand := map[uint64]time.Duration{}, &pb.HealthState{}
+	for _, v := range all.GetStatuses() {
+		at, known := c.heard[v.UpdateIndex]
 		if !known {
 			at = now
 		}
-		heard[v.At] = at
+		heard[v.UpdateIndex] = at
 		if v.TtlUs > 0 {
 			until := at + time.Duration(v.TtlUs)*time.Microsecond
 			if now >= until {
@@ -249,7 +249,7 @@
 				c.lapses = until
 			}
 		}
-		stand.Verdicts = append(stand.Verdicts, v)
+		stand.Statuses = append(stand.Statuses, v)
 	}
 	c.heard = heard
 	return stand
@@ -261,11 +261,11 @@
 // ask asks for a lease when it is time, or when there is something that a change waits for.
 func (c *Copy) ask(now time.Duration) (next time.Duration) {
 	told := [4]uint64{0, c.staged, c.refusal, 0}
-	if s := c.roster.State(); s.Coming != 0 && c.acts >= s.From {
-		told[3] = s.From
+	if s := c.roster.State(); s.NextEpoch != 0 && c.acts >= s.FenceIndex {
+		told[3] = s.FenceIndex
 	}
-	if o := c.policy.State().GetOpen(); o != nil && o.Frozen != 0 && c.acts >= o.Frozen {
-		told[0] = o.Frozen
+	if o := c.policy.State().GetOpenChange(); o != nil && o.FreezeIndex != 0 && c.acts >= o.FreezeIndex {
+		told[0] = o.FreezeIndex
 	} else if o != nil {
 		told[0] = 1
 	}
@@ -273,12 +273,12 @@
 		return due
 	}
 	c.asked, c.told = now, told
-	r := &pb.AskRequest{Name: c.name, Life: c.life, Acts: c.acts, Speaks: Speaks, Address: c.address}
+	r := &pb.LeaseRequest{Name: c.name, Incarnation: c.life, ActingIndex: c.acts, MaxCommandKind: Speaks, Address: c.address}
 	if c.staged != 0 {
-		r.Staged = append(r.Staged, &pb.Staged{Change: c.staged})
+		r.Staged = append(r.Staged, &pb.StagedChange{ChangeId: c.staged})
 	}
 	if c.refusal != 0 {
-		r.Staged = append(r.Staged, &pb.Staged{Change: c.refusal, Refused: c.refused})
+		r.Staged = append(r.Staged, &pb.StagedChange{ChangeId: c.refusal, Rejection: c.refused})
 	}
 	c.actions = append(c.actions, Question{c.holder.Ask(now), r})
 	return now + c.renew()
@@ -286,12 +286,12 @@
 
 // join hands in that this sender belongs to the fleet, until the state says so.
 func (c *Copy) join(now time.Duration) {
-	if m := c.state.Member(c.name); m != nil && (m.Speaks == Speaks || m.Gone) || c.state.Index() == 0 {
+	if m := c.state.Member(c.name); m != nil && (m.MaxCommandKind == Speaks || m.Removed) || c.state.Index() == 0 {
 		return
 	}
 	if c.joined >= 0 && now-c.joined < c.renew() {
 		return
 	}
 	c.joined = now
-	c.actions = append(c.actions, Join{&pb.Join{Name: c.name, Speaks: Speaks}})
+	c.actions = append(c.actions, Join{&pb.Join{Name: c.name, MaxCommandKind: Speaks}})
 }
--- a/internal/replicatedlog/core.go
+++ b/internal/replicatedlog/core.go
@@ -62,7 +62,7 @@
 	// Ask is a question for a lease.
 	Ask struct {
 		To      uint64
-		Request *pb.AskRequest
+		Request *pb.LeaseRequest
 	}
 	// Hello is another voter's.
 	Hello struct {
@@ -278,24 +278,24 @@
 			c.do(Answer{e.To, errors.New("too many questions wait")})
 			return
 		}
-		if m := c.state.Member(e.Request.Name); m.GetGone() {
+		if m := c.state.Member(e.Request.Name); m.GetRemoved() {
 			c.do(Answer{e.To, fmt.Errorf("%s was declared gone for good", m.Name)})
 			return
 		}
-		who := lease.Who{Name: e.Request.Name, Life: e.Request.Life}
-		c.granter.Asked(who, e.Request.Acts)
+		who := lease.Who{Name: e.Request.Name, Life: e.Request.Incarnation}
+		c.granter.Asked(who, e.Request.ActingIndex)
 		if e.Request.Address != "" {
 			c.places[who] = e.Request.Address
 		}
 		for _, s := range e.Request.Staged {
-			c.coord.Told(who, s.Change, s.Refused)
+			c.coord.Told(who, s.ChangeId, s.Rejection)
 		}
 		c.asks[c.read+1] = append(c.asks[c.read+1], e)
 	case Hello:
 		reply := &pb.HelloReply{Term: c.rn.BasicStatus().HardState.GetTerm()}
-		reply.LastTerm, reply.Last = c.last()
+		reply.LastTerm, reply.LastIndex = c.last()
 		if c.leads() {
-			reply.Match = c.rn.Status().Progress[e.ID].Match
+			reply.MatchIndex = c.rn.Status().Progress[e.ID].Match
 		}
 		c.do(Answer{e.To, reply})
 	case Voters:
@@ -313,7 +313,7 @@
 		return
 	}
 	if why := c.state.Speak(e.Command.Kind); why != "" {
-		c.do(Answer{e.To, &pb.SubmitReply{Refused: why}})
+		c.do(Answer{e.To, &pb.SubmitReply{Rejection: why}})
 		return
 	}
 	raw, err := proto.Marshal(e.Command)
@@ -386,10 +386,10 @@
 		return
 	}
 	if done, ok := c.state.Done(e.Command.Session, e.Command.Sequence); ok { // its answer was lost
-		c.do(Answer{e.To, &pb.SubmitReply{Index: done.Index, Result: done.Result, Refused: done.Refused}})
+		c.do(Answer{e.To, &pb.SubmitReply{Index: done.Index, Result: done.Result, Rejection: done.Refused}})
 		return
 	}
-	v := &pb.Voters{}
+	v := &pb.VoterChange{}
 	if err := proto.Unmarshal(e.Command.Body, v); err != nil {
 		c.do(Answer{e.To, err})
 		return
@@ -402,13 +402,13 @@
 	for _, a := range v.Add {
 		switch was := c.state.voters[a.Id]; {
 		case a.Id != VoterID(a.Name) || a.Name == "" || len(a.Name) > nameMost:
-			c.do(Answer{e.To, &pb.SubmitReply{Refused: fmt.Sprintf("%q can't be a voter's name", a.Name)}})
+			c.do(Answer{e.To, &pb.SubmitReply{Rejection: fmt.Sprintf("%q can't be a voter's name", a.Name)}})
 			return
-		case was != nil && was.Gone:
-			c.do(Answer{e.To, &pb.SubmitReply{Refused: a.Name + " was a voter and was removed: what it promised counts on, so a machine in its place needs a name of its own"}})
+		case was != nil && was.Removed:
+			c.do(Answer{e.To, &pb.SubmitReply{Rejection: a.Name + " was a voter and was removed: what it promised counts on, so a machine in its place needs a name of its own"}})
 			return
 		case voters[a.Id]:
-			c.do(Answer{e.To, &pb.SubmitReply{Refused: a.Name + " is a voter already"}})
+			c.do(Answer{e.To, &pb.SubmitReply{Rejection: a.Name + " is a voter already"}})
 			return
 		}
 		voters[a.Id] = true
@@ -417,14 +417,14 @@
 	for _, name := range v.Remove {
 		id := VoterID(name)
 		if !voters[id] {
-			c.do(Answer{e.To, &pb.SubmitReply{Refused: fmt.Sprintf("%q is no voter", name)}})
+			c.do(Answer{e.To, &pb.SubmitReply{Rejection: fmt.Sprintf("%q is no voter", name)}})
 			return
 		}
 		delete(voters, id)
 		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: new(id)})
 	}
 	if len(voters) == 0 || len(cc.Changes) == 0 {
-		c.do(Answer{e.To, &pb.SubmitReply{Refused: "a change of voters adds or removes some, and leaves one"}})
+		c.do(Answer{e.To, &pb.SubmitReply{Rejection: "a change of voters adds or removes some, and leaves one"}})
 		return
 	}
 	var err error
@@ -513,21 +513,21 @@
 			c.do(Answer{a.To, ErrNotLeading})
 			continue
 		}
-		who := lease.Who{Name: a.Request.Name, Life: a.Request.Life}
-		if !c.coord.Grants(who, a.Request.Acts, c.policy.State()) || !coordinator.Grants(a.Request.Acts, c.roster.State()) {
-			c.do(Answer{a.To, &pb.AskReply{Need: index, Waits: c.waits()}}) // a lease of no length
+		who := lease.Who{Name: a.Request.Name, Life: a.Request.Incarnation}
+		if !c.coord.Grants(who, a.Request.ActingIndex, c.policy.State()) || !coordinator.Grants(a.Request.ActingIndex, c.roster.State()) {
+			c.do(Answer{a.To, &pb.LeaseReply{RequiredIndex: index, WaitingOn: c.waits()}}) // a lease of no length
 			continue
 		}
 		need := c.granter.Grant(who, index, now)
-		c.do(Answer{a.To, &pb.AskReply{Need: need, LengthUs: c.terms.Length.Microseconds(), Waits: c.waits()}})
+		c.do(Answer{a.To, &pb.LeaseReply{RequiredIndex: need, DurationUs: c.terms.Length.Microseconds(), WaitingOn: c.waits()}})
 	}
 	delete(c.asks, read)
 }
 
 // waits are those that the open change waits for, the first few.
-func (c *Core) waits() (all []*pb.Waiting) {
+func (c *Core) waits() (all []*pb.PendingSender) {
 	for _, w := range c.status.Waits[:min(len(c.status.Waits), waitsTold)] {
-		all = append(all, &pb.Waiting{Name: w.Name, For: w.For, LeftUs: w.Left.Microseconds()})
+		all = append(all, &pb.PendingSender{Name: w.Name, Reason: w.For, RemainingUs: w.Left.Microseconds()})
 	}
 	return all
 }
@@ -552,7 +552,7 @@
 		must(err)
 		if to, ok := c.waiting[[2]uint64{done.Session, done.Sequence}]; ok && done.Session != 0 {
 			delete(c.waiting, [2]uint64{done.Session, done.Sequence})
-			c.do(Answer{to, &pb.SubmitReply{Index: done.Index, Result: done.Result, Refused: done.Refused}})
+			c.do(Answer{to, &pb.SubmitReply{Index: done.Index, Result: done.Result, Rejection: done.Refused}})
 		}
 		told = append(told, &pb.Entry{Index: e.GetIndex(), Term: e.GetTerm(), Command: raw})
 	}
--- a/internal/replicatedlog/sim_test.go
+++ b/internal/replicatedlog/sim_test.go
@@ -247,7 +247,7 @@
 			continue
 		}
 		if n := uint64(len(s.voters[i].feed)); n > c.at {
-			p := &pb.Piece{Entries: s.voters[i].feed[c.at:n], Committed: n}
+			p := &pb.LogChunk{Entries: s.voters[i].feed[c.at:n], CommitIndex: n}
 			c.at = n
 			s.count(p)
 			life := c.life
@@ -317,9 +317,9 @@
 		case Question:
 			s.count(a.Request)
 			s.ask(place, c.follows, a.Request, true, func(what any) {
-				if r, ok := what.(*pb.AskReply); ok {
+				if r, ok := what.(*pb.LeaseReply); ok {
 					s.count(r)
-					back(0, Granted{a.Asked, r.Need, time.Duration(r.LengthUs) * time.Microsecond})
+					back(0, Granted{a.Asked, r.RequiredIndex, time.Duration(r.DurationUs) * time.Microsecond})
 				}
 			})
 		case Join:
@@ -327,7 +327,7 @@
 			s.submit(place, c.follows, &pb.Command{Kind: KindJoin, Session: uint64(j+1)<<32 | uint64(c.life), Sequence: 1, Body: body}, func(any) {})
 		}
 	}
-	for _, p := range c.copy.Policy().State().GetPast() {
+	for _, p := range c.copy.Policy().State().GetHistory() {
 		c.over[p.Id] = p.Version
 	}
 	s.check()
@@ -342,7 +342,7 @@
 }
 
 // ask puts a question to a voter, which passes it on to the one that leads.
-func (s *sim) ask(from, at int, r *pb.AskRequest, on bool, answer func(any)) {
+func (s *sim) ask(from, at int, r *pb.LeaseRequest, on bool, answer func(any)) {
 	s.pass(from, at, on, func(to uint64) any { return Ask{to, r} }, answer)
 }
 
@@ -425,9 +425,9 @@
 	if base%2 == 1 {
 		doc = "# open\n"
 	}
-	body, _ := proto.Marshal(&pb.Policy{What: &pb.Policy_Propose{Propose: &pb.Propose{Base: base, Document: []byte(doc), By: "sim", WaitUs: 20e6}}})
+	body, _ := proto.Marshal(&pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: base, Document: []byte(doc), Author: "sim", StageTimeoutUs: 20e6}}})
 	s.submit(len(s.voters)+at, s.copies[at].follows, &pb.Command{Kind: KindPolicy, Session: s.rng.Uint64() | 1, Sequence: 1, Body: body}, func(what any) {
-		if r, ok := what.(*pb.SubmitReply); ok && r.Refused == "" {
+		if r, ok := what.(*pb.SubmitReply); ok && r.Rejection == "" {
 			*number = r.Index
 		}
 	})
@@ -536,7 +536,7 @@
 			s.loss = 0
 			if !s.run(s.now+60*time.Second, func() bool {
 				for _, c := range s.copies {
-					if c.copy.Policy().State().Open != nil || c.copy.State().Index() != s.copies[0].copy.State().Index() {
+					if c.copy.Policy().State().OpenChange != nil || c.copy.State().Index() != s.copies[0].copy.State().Index() {
 						return false
 					}
 				}
@@ -544,13 +544,13 @@
 			}) {
 				t.Fatalf("they do not come to one mind: %d act", s.acting())
 			}
-			want, took := fmt.Sprint(s.copies[0].copy.Policy().State().Past), 0
+			want, took := fmt.Sprint(s.copies[0].copy.Policy().State().History), 0
 			for _, c := range s.copies {
-				if got := fmt.Sprint(c.copy.Policy().State().Past); got != want {
+				if got := fmt.Sprint(c.copy.Policy().State().History); got != want {
 					t.Errorf("different pasts:\n%s\n%s", got, want)
 				}
 			}
-			for _, p := range s.copies[0].copy.Policy().State().Past {
+			for _, p := range s.copies[0].copy.Policy().State().History {
 				if p.Version > 0 {
 					took++
 				}
--- a/internal/replicatedlog/state.go
+++ b/internal/replicatedlog/state.go
@@ -112,7 +112,7 @@
 		o := s.sessions[at]
 		switch {
 		case c.Sequence == o.Sequence: // its answer was lost: it counts once
-			done.Index, done.Result, done.Refused = o.Index, o.Result, o.Refused
+			done.Index, done.Result, done.Refused = o.Index, o.Result, o.Rejection
 			return done, nil
 		case c.Sequence < o.Sequence:
 			done.Refused = fmt.Sprintf("command %d of a session that has come to %d", c.Sequence, o.Sequence)
@@ -143,7 +143,7 @@
 		} else if len(s.sessions) >= sessionsMost {
 			s.sessions = slices.Delete(s.sessions, 0, 1)
 		}
-		s.sessions = append(s.sessions, &pb.Session{Id: c.Session, Sequence: c.Sequence, Result: done.Result, Refused: done.Refused, Index: index})
+		s.sessions = append(s.sessions, &pb.Session{Id: c.Session, Sequence: c.Sequence, Result: done.Result, Rejection: done.Refused, Index: index})
 	}
 	return done, nil
 }
@@ -152,7 +152,7 @@
 func (s *State) Done(session, sequence uint64) (Done, bool) {
 	for _, o := range s.sessions {
 		if o.Id == session && o.Sequence == sequence {
-			return Done{Index: o.Index, Session: session, Sequence: sequence, Result: o.Result, Refused: o.Refused}, true
+			return Done{Index: o.Index, Session: session, Sequence: sequence, Result: o.Result, Refused: o.Rejection}, true
 		}
 	}
 	return Done{}, false
@@ -166,15 +166,15 @@
 	switch m := s.members[j.Name]; {
 	case j.Name == "" || len(j.Name) > nameMost:
 		return fmt.Sprintf("a name has from 1 to %d bytes", nameMost), nil
-	case m != nil && m.Gone:
+	case m != nil && m.Removed:
 		return fmt.Sprintf("%s was declared gone for good: a machine that takes its place needs a name of its own", j.Name), nil
 	case m == nil && len(s.members) >= membersMost:
 		return fmt.Sprintf("the fleet has %d members, which is the most", membersMost), nil
 	}
 	if was := s.members[j.Name]; was != nil {
-		index = was.At
+		index = was.JoinIndex
 	}
-	s.members[j.Name] = &pb.Member{Name: j.Name, Speaks: j.Speaks, At: index}
+	s.members[j.Name] = &pb.Member{Name: j.Name, MaxCommandKind: j.MaxCommandKind, JoinIndex: index}
 	return "", nil
 }
 
@@ -187,13 +187,13 @@
 	if m == nil {
 		return fmt.Sprintf("%q is no member", l.Name), nil
 	}
-	s.members[l.Name] = &pb.Member{Name: m.Name, Speaks: m.Speaks, Gone: true, At: m.At}
+	s.members[l.Name] = &pb.Member{Name: m.Name, MaxCommandKind: m.MaxCommandKind, Removed: true, JoinIndex: m.JoinIndex}
 	return "", nil
 }
 
 // change books a change of voters. It was checked before it was handed in: raft has taken it over by now.
 func (s *State) change(body []byte) error {
-	v := &pb.Voters{}
+	v := &pb.VoterChange{}
 	if err := proto.Unmarshal(body, v); err != nil {
 		return fmt.Errorf("a change of voters can't be read: %w", err)
 	}
@@ -202,7 +202,7 @@
 	}
 	for _, name := range v.Remove {
 		id := VoterID(name)
-		s.voters[id] = &pb.Voter{Id: id, Name: name, Gone: true}
+		s.voters[id] = &pb.Voter{Id: id, Name: name, Removed: true}
 	}
 	return nil
 }
@@ -228,7 +228,7 @@
 	}
 	before := 0
 	for _, o := range s.members {
-		if o.At < m.At || o.At == m.At && o.Name < m.Name { // of programs that did not note it yet: by name
+		if o.JoinIndex < m.JoinIndex || o.JoinIndex == m.JoinIndex && o.Name < m.Name { // of programs that did not note it yet: by name
 			before++
 		}
 	}
@@ -238,8 +238,8 @@
 // Speak says why a command of a kind may not be handed in yet; "" if it may.
 func (s *State) Speak(kind uint32) string {
 	for _, m := range s.Members() {
-		if !m.Gone && m.Speaks < kind {
-			return fmt.Sprintf("%s runs a program that does not know commands of kind %d: it knows up to %d", m.Name, kind, m.Speaks)
+		if !m.Removed && m.MaxCommandKind < kind {
+			return fmt.Sprintf("%s runs a program that does not know commands of kind %d: it knows up to %d", m.Name, kind, m.MaxCommandKind)
 		}
 	}
 	return ""
@@ -271,7 +271,7 @@
 		if len(raw) == 0 {
 			continue // untouched: a program that does not know it can take the snapshot
 		}
-		snap.Machines = append(snap.Machines, &pb.Machine{Kind: k, State: raw})
+		snap.Machines = append(snap.Machines, &pb.MachineState{Kind: k, State: raw})
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(snap)
 }
--- a/internal/replicatedlog/state_test.go
+++ b/internal/replicatedlog/state_test.go
@@ -32,8 +32,8 @@
 	return s.Apply(s.Index()+1, 1, raw(t, &pb.Command{Kind: kind, Session: session, Sequence: sequence, Body: raw(t, body)}))
 }
 
-func propose(base uint64) *pb.Policy {
-	return &pb.Policy{What: &pb.Policy_Propose{Propose: &pb.Propose{Base: base, Document: []byte("# none\n"), By: "a", WaitUs: 1e6}}}
+func propose(base uint64) *pb.PolicyCommand {
+	return &pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: base, Document: []byte("# none\n"), Author: "a", StageTimeoutUs: 1e6}}}
 }
 
 // A command that comes again after a lost answer counts once, and is answered as it was, refused or not; an older one changes nothing.
@@ -56,7 +56,7 @@
 		t.Errorf("an older one: %+v", old)
 	}
 	for i := range uint64(sessionsMost) {
-		if _, err := apply(t, s, KindJoin, 100+i, 1, &pb.Join{Name: "n", Speaks: Speaks}); err != nil {
+		if _, err := apply(t, s, KindJoin, 100+i, 1, &pb.Join{Name: "n", MaxCommandKind: Speaks}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -69,17 +69,17 @@
 func TestMixedFleet(t *testing.T) {
 	s := newTestState()
 	for name, speaks := range map[string]uint32{"new": Speaks, "old": KindPolicy - 1} {
-		if _, err := apply(t, s, KindJoin, 0, 0, &pb.Join{Name: name, Speaks: speaks}); err != nil {
+		if _, err := apply(t, s, KindJoin, 0, 0, &pb.Join{Name: name, MaxCommandKind: speaks}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if why := s.Speak(KindPolicy); !strings.Contains(why, "old runs a program that does not know commands of kind 3") {
 		t.Errorf("%q", why)
 	}
-	if done, _ := apply(t, s, KindLeave, 0, 0, &pb.Leave{Name: "old", By: "a"}); done.Refused != "" || s.Speak(KindPolicy) != "" {
+	if done, _ := apply(t, s, KindLeave, 0, 0, &pb.Leave{Name: "old", Author: "a"}); done.Refused != "" || s.Speak(KindPolicy) != "" {
 		t.Errorf("once it is gone: %+v %q", done, s.Speak(KindPolicy))
 	}
-	if done, _ := apply(t, s, KindJoin, 0, 0, &pb.Join{Name: "old", Speaks: Speaks}); !strings.Contains(done.Refused, "gone for good") {
+	if done, _ := apply(t, s, KindJoin, 0, 0, &pb.Join{Name: "old", MaxCommandKind: Speaks}); !strings.Contains(done.Refused, "gone for good") {
 		t.Errorf("it comes back: %+v", done)
 	}
 	if done, _ := apply(t, s, KindLeave, 0, 0, &pb.Leave{Name: "nobody"}); !strings.Contains(done.Refused, "no member") {
@@ -105,15 +105,15 @@
 		var err error
 		switch i % 5 {
 		case 0:
-			done, err = apply(t, s, KindJoin, uint64(i), 1, &pb.Join{Name: fmt.Sprint("n", i), Speaks: Speaks})
+			done, err = apply(t, s, KindJoin, uint64(i), 1, &pb.Join{Name: fmt.Sprint("n", i), MaxCommandKind: Speaks})
 		case 1:
 			done, err = apply(t, s, KindPolicy, uint64(i%7+1), uint64(i), propose(uint64(i/10)))
 		case 2:
-			done, err = apply(t, s, KindPolicy, 0, 0, &pb.Policy{What: &pb.Policy_Freeze{Freeze: &pb.Step{Change: s.Index()}}})
+			done, err = apply(t, s, KindPolicy, 0, 0, &pb.PolicyCommand{Command: &pb.PolicyCommand_Freeze{Freeze: &pb.ChangeStep{ChangeId: s.Index()}}})
 		case 3:
-			done, err = apply(t, s, KindPolicy, 0, 0, &pb.Policy{What: &pb.Policy_Commit{Commit: &pb.Step{Change: s.Index() - 1}}})
+			done, err = apply(t, s, KindPolicy, 0, 0, &pb.PolicyCommand{Command: &pb.PolicyCommand_Commit{Commit: &pb.ChangeStep{ChangeId: s.Index() - 1}}})
 		case 4:
-			done, err = apply(t, s, KindVoters, uint64(i), 1, &pb.Voters{Add: []*pb.Voter{{Id: VoterID(fmt.Sprint("v", i)), Name: fmt.Sprint("v", i), Address: "127.0.0.1:1"}}, Remove: []string{fmt.Sprint("v", i-5)}})
+			done, err = apply(t, s, KindVoters, uint64(i), 1, &pb.VoterChange{Add: []*pb.Voter{{Id: VoterID(fmt.Sprint("v", i)), Name: fmt.Sprint("v", i), Address: "127.0.0.1:1"}}, Remove: []string{fmt.Sprint("v", i-5)}})
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -141,7 +141,7 @@
 	if err := newTestState().Restore(raw(t, &pb.Snapshot{Format: snapshotFormat + 1})); err == nil || !strings.Contains(err.Error(), "format 2") {
 		t.Errorf("a newer format: %v", err)
 	}
-	if err := newTestState().Restore(raw(t, &pb.Snapshot{Format: snapshotFormat, Machines: []*pb.Machine{{Kind: 99}}})); !errors.Is(err, ErrUnknown) {
+	if err := newTestState().Restore(raw(t, &pb.Snapshot{Format: snapshotFormat, Machines: []*pb.MachineState{{Kind: 99}}})); !errors.Is(err, ErrUnknown) {
 		t.Errorf("a kind that is not known: %v", err)
 	}
 }
--- a/internal/sender/fleetpart.go
+++ b/internal/sender/fleetpart.go
@@ -159,7 +159,7 @@
 	v, _ := p.s.c.Fleet.View()
 	is := map[uint32]health.Sort{}
 	for _, one := range v.GetVerdicts() {
-		if sort := health.Sort(one.Sort); sort != health.Suspended {
+		if sort := health.Sort(one.Kind); sort != health.Suspended {
 			is[one.Destination] = sort
 		}
 	}
