--- a/internal/tier/capacity/controlplane_test.go
+++ b/internal/tier/capacity/controlplane_test.go
@@ -297,8 +297,8 @@
 // which its copies are restored.
 func BenchmarkAssign(b *testing.B) {
 	for _, n := range []int{32, 256, 1024} {
-		in := controlplane.Input{Spread: controlplane.Spread{Losses: 1, Domain: func(k *tierv1.StoreNode) string { return k.Zone }},
-			Alive: map[string]*tierv1.StoreNode{}, Leaving: map[string]bool{}, Certain: true, Move: true}
+		in := controlplane.Input{FaultTolerance: controlplane.FaultTolerance{Losses: 1, Domain: func(k *tierv1.StoreNode) string { return k.Zone }},
+			Alive: map[string]*tierv1.StoreNode{}, Draining: map[string]bool{}, GraceOver: true, MayMove: true}
 		m := partitionMap(n, turnStores)
 		for _, k := range m.StoreNodes {
 			in.Alive[k.Folder] = k
--- a/internal/tier/controlplane/answer.go
+++ b/internal/tier/controlplane/answer.go
@@ -11,27 +11,27 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// retryAfter is told, in seconds, with each answer that leaves a call open.
-const retryAfter = "0.2"
+// retryAfterSeconds is told, in seconds, with each answer that leaves a call open.
+const retryAfterSeconds = "0.2"
 
-// answer is what an operator's call gets.
-type answer struct {
+// response is what an operator's call gets.
+type response struct {
 	status   int
 	body     []byte // JSON
 	location string // of a redirect
 }
 
 // final tells whether the answer settles the call: the caller does not send it again.
-func (a answer) final() bool {
+func (a response) final() bool {
 	return a.status != http.StatusServiceUnavailable && a.status != http.StatusTemporaryRedirect
 }
 
-func (a answer) write(w http.ResponseWriter) {
+func (a response) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(a.body)))
 	if a.status == http.StatusServiceUnavailable {
-		header.Set("Retry-After", retryAfter)
+		header.Set("Retry-After", retryAfterSeconds)
 	}
 	if a.location != "" {
 		header.Set("Location", a.location)
@@ -40,60 +40,60 @@
 	w.Write(a.body)
 }
 
-// accepted is a 200 with a value as JSON.
-func accepted(value any) answer { return jsonAnswer(http.StatusOK, value) }
+// okResponse is a 200 with a value as JSON.
+func okResponse(value any) response { return jsonResponse(http.StatusOK, value) }
 
-// refused is a final refusal. Only the primary may give one, see gate.
-func refused(status int, message string) answer {
-	return jsonAnswer(status, map[string]string{"error_message": message})
+// errorResponse is a final refusal. Only the primary may give one, see gate.
+func errorResponse(status int, message string) response {
+	return jsonResponse(status, map[string]string{"error_message": message})
 }
 
-// unavailable leaves a call open: the outcome of a write is unknown, or nobody is known who could answer.
-func unavailable(message string) answer {
-	return jsonAnswer(http.StatusServiceUnavailable, map[string]string{"error_message": message})
+// unavailableResponse leaves a call open: the outcome of a write is unknown, or nobody is known who could answer.
+func unavailableResponse(message string) response {
+	return jsonResponse(http.StatusServiceUnavailable, map[string]string{"error_message": message})
 }
 
-func jsonAnswer(status int, value any) answer {
+func jsonResponse(status int, value any) response {
 	body, err := json.Marshal(value)
 	if err != nil {
-		return answer{status: http.StatusInternalServerError}
+		return response{status: http.StatusInternalServerError}
 	}
-	return answer{status: status, body: body}
+	return response{status: status, body: body}
 }
 
-// gate lets a final answer out only while this process is the primary and in touch with its backups. The decision may be
+// withholdUnlessPrimary lets a final answer out only while this process is the primary and in touch with its backups. The decision may be
 // old by now: the process may have been paused, or have waited for its gateways. What it withholds stays true, and is
 // found again by the next try: an order that was taken is in the order history, one that was refused is refused again.
-func (plane *ControlPlane) gate(a answer) answer {
+func (plane *ControlPlane) withholdUnlessPrimary(a response) response {
 	if _, inTouch := plane.Store.Primary(); !inTouch && a.final() {
-		return unavailable("out of touch with the backups")
+		return unavailableResponse("out of touch with the backups")
 	}
 	return a
 }
 
-// redirect sends the caller to the primary. Around a takeover none is known for a while: the call is held until there is
+// redirectToPrimary sends the caller to the primary. Around a takeover none is known for a while: the call is held until there is
 // one, for up to redirectLimit, as a caller that is turned away takes longer from try to try. A process without a primary
 // for longer than a takeover takes is cut off, and turns callers away at once.
-func (plane *ControlPlane) redirect(r *http.Request) answer {
-	ctx, cancel := context.WithTimeout(r.Context(), redirectLimit)
+func (plane *ControlPlane) redirectToPrimary(r *http.Request) response {
+	ctx, cancel := context.WithTimeout(r.Context(), redirectTimeout)
 	defer cancel()
-	again := time.NewTicker(plane.window(askPart))
+	again := time.NewTicker(plane.windowFraction(primaryProbeDivisor))
 	defer again.Stop()
 	for {
 		changed := plane.Store.Changed()
 		if address, ok := plane.findPrimary(ctx); ok {
-			a := refused(http.StatusTemporaryRedirect, "the primary is another process")
+			a := errorResponse(http.StatusTemporaryRedirect, "the primary is another process")
 			a.location = "http://" + address + r.URL.RequestURI()
 			return a
 		}
-		if !plane.takeoverLikely(time.Now()) {
-			return unavailable("no primary is known")
+		if !plane.withinTakeover(time.Now()) {
+			return unavailableResponse("no primary is known")
 		}
 		select {
 		case <-changed:
 		case <-again.C:
 		case <-ctx.Done():
-			return unavailable("no primary is known")
+			return unavailableResponse("no primary is known")
 		}
 	}
 }
@@ -108,38 +108,38 @@
 	case host == plane.Settings.IP:
 		_, ok = plane.primary()
 	default:
-		ok = plane.isPrimary(ctx, hint)
+		ok = plane.probePrimary(ctx, hint)
 	}
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	now := time.Now()
-	if ok || now.Sub(plane.missing.last) > plane.Settings.ContactWindow { // what was missed before is another story
-		plane.missing.first = now
+	if ok || now.Sub(plane.primaryMissing.last) > plane.Settings.ContactWindow { // what was missed before is another story
+		plane.primaryMissing.first = now
 	}
-	plane.missing.last = now
+	plane.primaryMissing.last = now
 	return net.JoinHostPort(host, port), ok
 }
 
-// takeoverLikely tells whether the primary has been missed for no longer than a takeover may take.
-func (plane *ControlPlane) takeoverLikely(now time.Time) bool {
+// withinTakeover tells whether the primary has been missed for no longer than a takeover may take.
+func (plane *ControlPlane) withinTakeover(now time.Time) bool {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
-	return now.Sub(plane.missing.first) < plane.window(takeoverPart)
+	return now.Sub(plane.primaryMissing.first) < plane.windowFraction(takeoverDivisor)
 }
 
-// isPrimary asks the process at an internal address whether it is the primary and in touch.
-func (plane *ControlPlane) isPrimary(ctx context.Context, address string) bool {
+// probePrimary asks the process at an internal address whether it is the primary and in touch.
+func (plane *ControlPlane) probePrimary(ctx context.Context, address string) bool {
 	if plane.Dial == nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, primaryProbeTimeout)
 	defer cancel()
-	reply, err := plane.Dial(address).Watch(ctx, lookRequest())
+	reply, err := plane.Dial(address).Watch(ctx, probeRequest())
 	return err == nil && reply.IsPrimary
 }
 
-// lookRequest is of one that only asks who is the primary: it claims to have all that there is, and so is brought nothing.
-func lookRequest() *tierv1.WatchRequest {
+// probeRequest is of one that only asks who is the primary: it claims to have all that there is, and so is brought nothing.
+func probeRequest() *tierv1.WatchRequest {
 	const all = 1<<64 - 1
 	return &tierv1.WatchRequest{ConfigurationVersion: all, EndpointsVersion: all, PartitionMapVersion: all, MembersVersion: all}
 }
--- a/internal/tier/controlplane/assign.go
+++ b/internal/tier/controlplane/assign.go
@@ -12,17 +12,17 @@
 // share evenly, and small enough for the map to be pushed whole.
 const partitionCount = 32
 
-// moveShare is the part of the partitions that move, or change their primary, at a time.
-const moveShare = 8
+// concurrentMoveDivisor is the part of the partitions that move, or change their primary, at a time.
+const concurrentMoveDivisor = 8
 
-// Spread tells how many copies there are beside the primary, and what they must not share.
-type Spread struct {
+// FaultTolerance tells how many copies there are beside the primary, and what they must not share.
+type FaultTolerance struct {
 	Losses int                            // to be borne at once
 	Domain func(*tierv1.StoreNode) string // what is lost as one
 }
 
-// spreadOf derives the spread from the losses to be borne.
-func spreadOf(s settings.Settings) Spread {
+// faultToleranceOf derives the spread from the losses to be borne.
+func faultToleranceOf(s settings.Settings) FaultTolerance {
 	d := func(k *tierv1.StoreNode) string { return k.Node }
 	switch {
 	case s.LoseRegions > 0:
@@ -30,28 +30,28 @@
 	case s.LoseZones > 0:
 		d = func(k *tierv1.StoreNode) string { return k.Zone }
 	}
-	return Spread{Losses: s.Losses(), Domain: d}
+	return FaultTolerance{Losses: s.Losses(), Domain: d}
 }
 
 // Report is a turn store's report, From by its folder, that a copy holds all that was acknowledged, synced on its disk.
 type Report struct {
-	From string
-	Copy *tierv1.SyncedReplica
+	From    string
+	Replica *tierv1.SyncedReplica
 }
 
 // Input is what the partition map is made from, beside the map before.
 type Input struct {
-	Spread
-	Alive   map[string]*tierv1.StoreNode // by folder; those whose disk is not sound are not among them
-	Leaving map[string]bool              // of these: SIGTERM was heard
-	Reports []Report
-	Slow    map[uint32]bool // partitions with a copy under way for longer than usual
-	Stalled map[uint32]bool // of these: it is time to try other turn stores
-	Lapsed  map[string]bool // folders of turn stores whose sessions lapsed less than the wait (reducePart) ago
-	Certain bool            // whoever is not alive is lost; else it may only not have come yet
-	Create  bool            // the first map may be made
-	Move    bool            // copies and primaries may move only to make shares even
-	Pace    int             // partitions that have to move at a time for orders to retire to end in time (retirePace)
+	FaultTolerance
+	Alive           map[string]*tierv1.StoreNode // by folder; those whose disk is not sound are not among them
+	Draining        map[string]bool              // of these: SIGTERM was heard
+	Reports         []Report
+	Slow            map[uint32]bool // partitions with a copy under way for longer than usual
+	Stalled         map[uint32]bool // of these: it is time to try other turn stores
+	RecentlyExpired map[string]bool // folders of turn stores whose sessions lapsed less than the wait (reducePart) ago
+	GraceOver       bool            // whoever is not alive is lost; else it may only not have come yet
+	MayCreate       bool            // the first map may be made
+	MayMove         bool            // copies and primaries may move only to make shares even
+	RequiredMoves   int             // partitions that have to move at a time for orders to retire to end in time (retirePace)
 }
 
 // Assign brings the partition map in line with the turn stores that are alive, and tells whether anything changed. It is pure:
@@ -65,9 +65,9 @@
 	}
 	a := &assignment{Input: in, m: m}
 	a.observeNodes()
-	a.noteOutgoing()
+	a.recordSurplus()
 	if len(m.Partitions) == 0 {
-		if !in.Create || !a.create() {
+		if !in.MayCreate || !a.createFirstMap() {
 			a.pruneNodes()
 			if before == nil || proto.Equal(m, before) {
 				return before, false
@@ -75,19 +75,19 @@
 			return m, true
 		}
 	}
-	a.takeReports()
+	a.applyReports()
 	a.lostDomains = a.countLost()
 	a.countSlow()
 	for i, p := range m.Partitions {
 		a.repair(p, a.Stalled[uint32(i)])
 	}
-	if a.Certain && a.Move {
+	if a.GraceOver && a.MayMove {
 		a.rebalance()
 	}
 	a.pruneNodes()
 	for i, p := range m.Partitions {
 		if before != nil && i < len(before.Partitions) {
-			number(p, before.Partitions[i])
+			advanceEpoch(p, before.Partitions[i])
 		}
 	}
 	if before != nil && proto.Equal(m, before) {
@@ -96,14 +96,14 @@
 	return m, true
 }
 
-// number raises the epoch of a partition whose primary or backups have changed, and notes in it from which epoch on each
+// advanceEpoch raises the epoch of a partition whose primary or backups have changed, and notes in it from which epoch on each
 // copy under way has been a member.
-func number(p, before *tierv1.Partition) {
-	if !sameCopies(p, before) {
+func advanceEpoch(p, before *tierv1.Partition) {
+	if !sameReplicas(p, before) {
 		p.Epoch = before.Epoch + 1
 	}
 	for _, c := range p.Backups {
-		old := backup(before, c.Folder)
+		old := findBackup(before, c.Folder)
 		switch {
 		case c.Synced:
 			c.Since = 0
@@ -115,7 +115,7 @@
 	}
 }
 
-func sameCopies(a, b *tierv1.Partition) bool {
+func sameReplicas(a, b *tierv1.Partition) bool {
 	if len(a.RecoverFrom) > 0 && !slices.Equal(a.RecoverFrom, b.RecoverFrom) {
 		return false // the primary begins its term anew
 	}
@@ -125,13 +125,13 @@
 // assignment is one run of Assign.
 type assignment struct {
 	Input
-	m           *tierv1.PartitionMap
-	storeNodes  map[string]*tierv1.StoreNode // by folder
-	replaced    map[string]bool              // folders whose node has another one now
-	outgoing    map[*tierv1.Partition]string // of those that had one copy too many, before reports were taken
-	slowTargets map[string]int               // by folder: copies under way there in slow partitions
-	slowSources map[string]int               // by folder: slow partitions that it is the primary of
-	lostDomains int                          // domains with a lost turn store that has copies
+	m             *tierv1.PartitionMap
+	storeNodes    map[string]*tierv1.StoreNode // by folder
+	replaced      map[string]bool              // folders whose node has another one now
+	surplusBefore map[*tierv1.Partition]string // of those that had one copy too many, before reports were taken
+	slowTargets   map[string]int               // by folder: copies under way there in slow partitions
+	slowSources   map[string]int               // by folder: slow partitions that it is the primary of
+	lostDomains   int                          // domains with a lost turn store that has copies
 }
 
 // observeNodes takes in turn stores that are new, or whose address is, and finds the folders that were replaced.
@@ -152,7 +152,7 @@
 		}
 		a.storeNodes[one.Folder] = one
 	}
-	for _, folder := range sorted(a.Alive) {
+	for _, folder := range sortedKeys(a.Alive) {
 		if a.storeNodes[folder] == nil {
 			one := proto.Clone(a.Alive[folder]).(*tierv1.StoreNode)
 			a.storeNodes[folder] = one
@@ -165,7 +165,7 @@
 func (a *assignment) pruneNodes() {
 	used := map[string]bool{}
 	for _, p := range a.m.Partitions {
-		for _, folder := range members(p) {
+		for _, folder := range replicaFolders(p) {
 			used[folder] = true
 		}
 	}
@@ -175,7 +175,7 @@
 	})
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
@@ -188,7 +188,7 @@
 
 // lost tells whether a turn store is called lost. One that is neither alive nor lost has not come yet.
 func (a *assignment) lost(folder string) bool {
-	return !a.alive(folder) && (a.Certain || a.replaced[folder])
+	return !a.alive(folder) && (a.GraceOver || a.replaced[folder])
 }
 
 // countSlow counts, for each turn store, the slow partitions that it is the primary of, and the copies under way there in such.
@@ -208,7 +208,7 @@
 }
 
 // departing tells whether a turn store gives its copies up: it is to be emptied, or has heard SIGTERM.
-func (a *assignment) departing(folder string) bool { return a.retiring(folder) || a.Leaving[folder] }
+func (a *assignment) departing(folder string) bool { return a.retiring(folder) || a.Draining[folder] }
 
 func (a *assignment) retiring(folder string) bool {
 	one := a.storeNodes[folder]
@@ -231,7 +231,7 @@
 func (a *assignment) countLost() int {
 	domains := map[string]bool{}
 	for _, p := range a.m.Partitions {
-		for _, folder := range members(p) {
+		for _, folder := range replicaFolders(p) {
 			if a.lost(folder) && !a.replaced[folder] {
 				domains[a.domain(folder)] = true
 			}
@@ -240,8 +240,8 @@
 	return len(domains)
 }
 
-// members are the folders of a partition, the primary first.
-func members(p *tierv1.Partition) []string {
+// replicaFolders are the folders of a partition, the primary first.
+func replicaFolders(p *tierv1.Partition) []string {
 	all := make([]string, 1, len(p.Backups)+1)
 	all[0] = p.Primary
 	for _, c := range p.Backups {
@@ -250,7 +250,7 @@
 	return all
 }
 
-func backup(p *tierv1.Partition, folder string) *tierv1.Replica {
+func findBackup(p *tierv1.Partition, folder string) *tierv1.Replica {
 	for _, c := range p.Backups {
 		if c.Folder == folder {
 			return c
@@ -259,35 +259,35 @@
 	return nil
 }
 
-// takeReports marks copies that the partition's primary has reported synced in this epoch.
-func (a *assignment) takeReports() {
+// applyReports marks copies that the partition's primary has reported synced in this epoch.
+func (a *assignment) applyReports() {
 	for _, r := range a.Reports {
-		if int(r.Copy.Partition) >= len(a.m.Partitions) {
+		if int(r.Replica.Partition) >= len(a.m.Partitions) {
 			continue
 		}
-		p := a.m.Partitions[r.Copy.Partition]
-		if p.Epoch != r.Copy.Epoch || p.Primary != r.From {
+		p := a.m.Partitions[r.Replica.Partition]
+		if p.Epoch != r.Replica.Epoch || p.Primary != r.From {
 			continue
 		}
-		if c := backup(p, r.Copy.Folder); c != nil {
+		if c := findBackup(p, r.Replica.Folder); c != nil {
 			c.Synced, c.Since = true, 0
 			p.RecoverFrom, p.AcknowledgedUntil = nil, 0 // it reports copies only when it has recovered
 		}
 	}
 }
 
-// noteOutgoing notes which copies are to be dropped: their successors may be reported synced in this run.
-func (a *assignment) noteOutgoing() {
-	a.outgoing = map[*tierv1.Partition]string{}
+// recordSurplus notes which copies are to be dropped: their successors may be reported synced in this run.
+func (a *assignment) recordSurplus() {
+	a.surplusBefore = map[*tierv1.Partition]string{}
 	for _, p := range a.m.Partitions {
-		if a.stayingCopies(p) > a.Losses+1 {
-			a.outgoing[p] = a.surplus(p)
+		if a.stayingReplicas(p) > a.Losses+1 {
+			a.surplusBefore[p] = a.surplusReplica(p)
 		}
 	}
 }
 
-// create makes the first map. All copies are whole, as they are empty.
-func (a *assignment) create() bool {
+// createFirstMap makes the first map. All copies are whole, as they are empty.
+func (a *assignment) createFirstMap() bool {
 	n := 0
 	for folder := range a.Alive {
 		if a.usable(folder) {
@@ -300,9 +300,9 @@
 	for range partitionCount {
 		p := &tierv1.Partition{Epoch: 1}
 		a.m.Partitions = append(a.m.Partitions, p)
-		p.Primary = a.pick(p)
+		p.Primary = a.pickStore(p)
 		for range a.Losses {
-			if next := a.pick(p); next != "" {
+			if next := a.pickStore(p); next != "" {
 				p.Backups = append(p.Backups, &tierv1.Replica{Folder: next, Synced: true})
 			}
 		}
@@ -310,7 +310,7 @@
 	for range partitionCount * partitionCount { // as moves would make it even, but at once
 		before := proto.Clone(a.m).(*tierv1.PartitionMap)
 		a.rebalance()
-		a.noteOutgoing()
+		a.recordSurplus()
 		for _, p := range a.m.Partitions {
 			for _, c := range p.Backups {
 				c.Synced = true
--- a/internal/tier/controlplane/assign_test.go
+++ b/internal/tier/controlplane/assign_test.go
@@ -11,7 +11,7 @@
 func TestTheFirstMapIsEvenAndStays(t *testing.T) {
 	for n := 2; n < 8; n++ {
 		for losses := 0; losses < min(n, 3); losses++ {
-			w := newWorld(t, nil, n, 3, Spread{losses, byNode})
+			w := newWorld(t, nil, n, 3, FaultTolerance{losses, byNode})
 			assert.Assert(t, w.assign(w.input()))
 			assert.Equal(t, len(w.m.Partitions), partitionCount)
 			w.even(false)
@@ -21,12 +21,12 @@
 }
 
 func TestNoMapBeforeThereAreEnoughOrTheyHaveSettled(t *testing.T) {
-	w := newWorld(t, nil, 1, 1, Spread{1, byNode})
+	w := newWorld(t, nil, 1, 1, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	assert.Equal(t, len(w.m.GetPartitions()), 0)
 	w.add(1, 1)
 	in := w.input()
-	in.Create = false
+	in.MayCreate = false
 	w.assign(in)
 	assert.Equal(t, len(w.m.GetPartitions()), 0)
 	w.assign(w.input())
@@ -34,7 +34,7 @@
 }
 
 func TestCopiesLieInDifferentDomains(t *testing.T) {
-	w := newWorld(t, nil, 7, 3, Spread{1, byZone})
+	w := newWorld(t, nil, 7, 3, FaultTolerance{1, byZone})
 	w.assign(w.input())
 	w.even(true)
 	w.machines[0].up = false
@@ -46,16 +46,16 @@
 }
 
 func TestNobodyIsDeadBeforeTheGraceIsOver(t *testing.T) {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.machines[1].up = false
 	in := w.input()
-	in.Certain = false
+	in.GraceOver = false
 	assert.Assert(t, !w.assign(in))
 }
 
 func TestAnUnsyncedCopyNeverSucceeds(t *testing.T) {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.machines[0].up = false
 	w.assign(w.input()) // the two that are left have each other's copies, unsynced
@@ -75,7 +75,7 @@
 }
 
 func TestALostTurnStoreDoesNotBlockTwo(t *testing.T) {
-	w := newWorld(t, nil, 2, 2, Spread{1, byNode})
+	w := newWorld(t, nil, 2, 2, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.machines[0].up = false
 	w.settle()
@@ -89,25 +89,25 @@
 }
 
 func TestMoreLossesThanBorneBlock(t *testing.T) {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.machines[0].up, w.machines[1].up = false, false
 	w.assign(w.input())
 	for i, p := range w.m.Partitions {
-		all := members(p)
+		all := replicaFolders(p)
 		assert.Assert(t, len(all) == 2, "partition %d: %v", i, p)
 	}
 }
 
 func TestANewFolderTakesThePlaceOfTheOld(t *testing.T) {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.machines[0].folder = "n0.2"
 	in := w.input()
-	in.Certain = false // the old one can't come back: no grace is due
+	in.GraceOver = false // the old one can't come back: no grace is due
 	w.assign(in)
 	for _, p := range w.m.Partitions {
-		assert.Assert(t, !slices.Contains(members(p), "n0.1"))
+		assert.Assert(t, !slices.Contains(replicaFolders(p), "n0.1"))
 	}
 	assert.Assert(t, !slices.ContainsFunc(w.m.StoreNodes, func(k *tierv1.StoreNode) bool { return k.Folder == "n0.1" }))
 	w.settle()
@@ -115,10 +115,10 @@
 }
 
 func TestARetiringTurnStoreIsEmptied(t *testing.T) {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.m.Retiring = append(w.m.Retiring, "n1")
-	assert.Equal(t, lifecycle(w.m, "n1", 1), "in_progress")
+	assert.Equal(t, lifecycleState(w.m, "n1", 1), "in_progress")
 	for range 1000 {
 		w.assign(w.input())
 		under := 0
@@ -127,14 +127,14 @@
 				under++
 			}
 			whole := 0
-			for _, folder := range members(p) {
+			for _, folder := range replicaFolders(p) {
 				if w.whole(i, folder) {
 					whole++
 				}
 			}
 			assert.Assert(t, whole >= 2, "partition %d has fewer whole copies than before", i)
 		}
-		assert.Assert(t, under <= partitionCount/moveShare)
+		assert.Assert(t, under <= partitionCount/concurrentMoveDivisor)
 		w.reports = nil
 		for _, m := range w.machines {
 			m.hear(w)
@@ -142,32 +142,32 @@
 				w.copy(m, i)
 			}
 		}
-		if lifecycle(w.m, "n1", 1) == "completed" {
+		if lifecycleState(w.m, "n1", 1) == "completed" {
 			break
 		}
 	}
-	assert.Equal(t, lifecycle(w.m, "n1", 1), "completed")
+	assert.Equal(t, lifecycleState(w.m, "n1", 1), "completed")
 	w.settle()
 	w.even(false)
 	w.machines[1].up = false
 	w.settle()
 	assert.Assert(t, !slices.ContainsFunc(w.m.StoreNodes, func(k *tierv1.StoreNode) bool { return k.Node == "n1" }))
-	assert.Equal(t, lifecycle(w.m, "n1", 1), "completed")
+	assert.Equal(t, lifecycleState(w.m, "n1", 1), "completed")
 }
 
 func TestALeavingPrimaryHandsOver(t *testing.T) {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.machines[2].leaving = true
 	w.assign(w.input())
 	for _, p := range w.m.Partitions {
 		assert.Assert(t, p.Primary != w.machines[2].folder)
-		left := backup(p, w.machines[2].folder) == nil
+		left := findBackup(p, w.machines[2].folder) == nil
 		assert.Equal(t, len(p.Backups), map[bool]int{true: 1, false: 2}[left], "a copy is made before it goes: %v", p)
 	}
 	w.settle()
 	for i, p := range w.m.Partitions {
-		assert.Assert(t, !slices.Contains(members(p), w.machines[2].folder), "partition %d", i)
+		assert.Assert(t, !slices.Contains(replicaFolders(p), w.machines[2].folder), "partition %d", i)
 		assert.Equal(t, len(p.Backups), 1)
 		assert.Assert(t, p.Backups[0].Synced)
 	}
@@ -175,7 +175,7 @@
 
 // Without a turn store to spare, the one that leaves keeps its copies as a backup until it has gone.
 func TestALeavingTurnStoreWithoutASpare(t *testing.T) {
-	w := newWorld(t, nil, 2, 2, Spread{1, byNode})
+	w := newWorld(t, nil, 2, 2, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.machines[1].leaving = true
 	w.settle()
@@ -187,7 +187,7 @@
 
 // A store whose disk fails is passed over as if it were lost, and comes back by reporting it no more.
 func TestAFailingDiskIsPassedOver(t *testing.T) {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.machines[1].unsound = true
 	for range 100 {
@@ -196,7 +196,7 @@
 		}
 	}
 	for _, p := range w.m.Partitions {
-		assert.Assert(t, !slices.Contains(members(p), w.machines[1].folder), "%v", p)
+		assert.Assert(t, !slices.Contains(replicaFolders(p), w.machines[1].folder), "%v", p)
 		assert.Equal(t, len(p.Backups), 1)
 		assert.Assert(t, p.Backups[0].Synced)
 	}
@@ -207,7 +207,7 @@
 
 // The last holder of a partition stays its primary though its disk fails: nobody else has all that was acknowledged.
 func TestAFailingLastHolderIsWaitedFor(t *testing.T) {
-	w := newWorld(t, nil, 2, 2, Spread{1, byNode})
+	w := newWorld(t, nil, 2, 2, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.machines[0].up = false
 	w.settle()
@@ -223,7 +223,7 @@
 }
 
 func TestAnAddedTurnStoreGetsItsShareAPieceAtATime(t *testing.T) {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.add(3, 3)
 	w.assign(w.input())
@@ -231,13 +231,13 @@
 	for _, p := range w.m.Partitions {
 		extra += len(p.Backups) - 1
 	}
-	assert.Equal(t, extra, partitionCount/moveShare)
+	assert.Equal(t, extra, partitionCount/concurrentMoveDivisor)
 	w.settle()
 	w.even(false)
 }
 
 func TestReportsOfAnotherEpochOrOfOthersAreNotTaken(t *testing.T) {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.machines[0].up = false
 	w.assign(w.input())
--- a/internal/tier/controlplane/configuration.go
+++ b/internal/tier/controlplane/configuration.go
@@ -12,33 +12,33 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-func (plane *ControlPlane) replaceConfiguration(w http.ResponseWriter, r *http.Request) answer {
-	body, err := readBody(w, r, plane.configurationLimit())
+func (plane *ControlPlane) replaceConfiguration(w http.ResponseWriter, r *http.Request) response {
+	body, err := readBody(w, r, plane.configurationSizeLimit())
 	begun := time.Now()
 	if _, ok := plane.primary(); !ok {
-		return plane.redirect(r)
+		return plane.redirectToPrimary(r)
 	}
 	if err != nil {
-		return refusedBody(err)
+		return bodyErrorResponse(err)
 	}
 	base, err := strconv.ParseInt(strings.TrimSpace(r.Header.Get("X-Base-Revision")), 10, 64)
 	if err != nil {
-		return refused(http.StatusBadRequest, "X-Base-Revision is no number")
+		return errorResponse(http.StatusBadRequest, "X-Base-Revision is no number")
 	}
 	table, err := routing.Parse(body)
 	if err != nil { // also where its base is not the current one: it never becomes valid
-		return refused(http.StatusBadRequest, err.Error())
+		return errorResponse(http.StatusBadRequest, err.Error())
 	}
 	// What was begun is ended even if the caller has gone: its next try finds out.
-	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), begun.Add(writeLimit))
+	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), begun.Add(operatorWriteTimeout))
 	defer cancel()
-	order := configurationOrder{revision: table.Revision, base: base, digest: digestOf(body)}
-	version, a, ok := plane.takeOrder(ctx, order, body)
+	order := configurationChange{revision: table.Revision, baseRevision: base, digest: digestOf(body)}
+	version, a, ok := plane.applyChange(ctx, order, body)
 	if !ok {
-		return plane.redirect(r)
+		return plane.redirectToPrimary(r)
 	}
 	if a.status == http.StatusOK {
-		plane.waitAcknowledged(version, begun)
+		plane.awaitAcknowledgements(version, begun)
 	}
 	return a
 }
@@ -52,86 +52,86 @@
 	errStateTooLarge  = errors.New("the control state would be too large")
 )
 
-// takeOrder decides on an order and carries it out. It gives the answer, and the version of the configuration that
+// applyChange decides on an order and carries it out. It gives the answer, and the version of the configuration that
 // gateways are to acknowledge before a 200; ok is false where this process is not the primary.
-func (plane *ControlPlane) takeOrder(ctx context.Context, order configurationOrder, body []byte) (version uint64, a answer, ok bool) {
-	verdict, v, err := plane.writeIfNext(ctx, order, body)
-	if err == nil && verdict != verdictTake {
+func (plane *ControlPlane) applyChange(ctx context.Context, order configurationChange, body []byte) (version uint64, a response, ok bool) {
+	verdict, v, err := plane.decideAndWriteChange(ctx, order, body)
+	if err == nil && verdict != decisionAccept {
 		// A primary that was deposed must neither refuse what has been taken by its successor, nor acknowledge what its
 		// successor does not have. The view was read before the round trip begins, and all that was acknowledged is in it.
-		if plane.confirm.wait(ctx, v.epoch) != nil {
+		if plane.barrier.wait(ctx, v.epoch) != nil {
 			err = errUnconfirmed
 		}
 	}
 	switch {
 	case errors.Is(err, errNotPrimary):
-		return 0, answer{}, false
+		return 0, response{}, false
 	case err != nil:
-		return 0, unavailable(err.Error()), true
+		return 0, unavailableResponse(err.Error()), true
 	}
-	current := strconv.FormatInt(v.orders.current, 10)
+	current := strconv.FormatInt(v.changes.current, 10)
 	switch verdict {
-	case verdictTake, verdictTaken:
-		if order.revision == v.orders.current {
+	case decisionAccept, decisionAlreadyAccepted:
+		if order.revision == v.changes.current {
 			version = v.configuration.Version
 		}
-		return version, takenAnswer(order), true
-	case verdictConflict:
-		return 0, refused(http.StatusPreconditionFailed, "the current revision is "+current), true
-	case verdictNotAbove:
-		return 0, refused(http.StatusBadRequest, "revision is not above the current one, "+current), true
-	case verdictTooLarge:
-		return 0, refused(http.StatusRequestEntityTooLarge, errStateTooLarge.Error()), true
+		return version, revisionResponse(order), true
+	case decisionConflict:
+		return 0, errorResponse(http.StatusPreconditionFailed, "the current revision is "+current), true
+	case decisionNotNewer:
+		return 0, errorResponse(http.StatusBadRequest, "revision is not above the current one, "+current), true
+	case decisionStateTooLarge:
+		return 0, errorResponse(http.StatusRequestEntityTooLarge, errStateTooLarge.Error()), true
 	default:
-		return 0, unavailable("older than the orders that are remembered; the current revision is " + current), true
+		return 0, unavailableResponse("older than the orders that are remembered; the current revision is " + current), true
 	}
 }
 
-// configurationLimit is the largest body of a configuration, in bytes, that this process takes.
-func (plane *ControlPlane) configurationLimit() int64 {
-	ofMemory := int64(plane.Settings.MemoryMB) << 20 / bodyPart
-	return min(max(bodyLeast, ofMemory), bodyMost)
+// configurationSizeLimit is the largest body of a configuration, in bytes, that this process takes.
+func (plane *ControlPlane) configurationSizeLimit() int64 {
+	ofMemory := int64(plane.Settings.MemoryMB) << 20 / configurationMemoryDivisor
+	return min(max(minConfigurationLimit, ofMemory), maxConfigurationLimit)
 }
 
-// writeIfNext decides on an order, and writes it if it is the next, in one step with the decision. It gives the view that
+// decideAndWriteChange decides on an order, and writes it if it is the next, in one step with the decision. It gives the view that
 // was decided on; with verdictTake, which says that it was written, the view that has it.
-func (plane *ControlPlane) writeIfNext(ctx context.Context, order configurationOrder, body []byte) (verdict, *view, error) {
-	decide := func(v *view) verdict { return v.orders.decide(order) }
-	write := func(ctx context.Context, v *view) (verdict, *view, error) {
-		return plane.writeOrder(ctx, v, order, body)
+func (plane *ControlPlane) decideAndWriteChange(ctx context.Context, order configurationChange, body []byte) (decision, *view, error) {
+	decide := func(v *view) decision { return v.changes.decide(order) }
+	write := func(ctx context.Context, v *view) (decision, *view, error) {
+		return plane.writeConfiguration(ctx, v, order, body)
 	}
-	return decideAndWrite(ctx, plane, verdictTake, decide, write)
+	return decideAndWrite(ctx, plane, decisionAccept, decide, write)
 }
 
-func takenAnswer(order configurationOrder) answer {
-	return accepted(map[string]int64{"revision": order.revision})
+func revisionResponse(order configurationChange) response {
+	return okResponse(map[string]int64{"revision": order.revision})
 }
 
-// writeOrder writes a configuration together with the record of its order, shows it, and gives a view that has it; or else
+// writeConfiguration writes a configuration together with the record of its order, shows it, and gives a view that has it; or else
 // verdictTooLarge with the view as it was. The caller has the right to write.
-func (plane *ControlPlane) writeOrder(ctx context.Context, before *view, order configurationOrder, body []byte) (verdict, *view, error) {
-	orders, sets := before.orders.take(order)
+func (plane *ControlPlane) writeConfiguration(ctx context.Context, before *view, order configurationChange, body []byte) (decision, *view, error) {
+	orders, sets := before.changes.accept(order)
 	sets[keyConfiguration] = body
-	version, err := plane.put(ctx, before.epoch, sets)
+	version, err := plane.write(ctx, before.epoch, sets)
 	if errors.Is(err, errStateTooLarge) {
-		return verdictTooLarge, before, nil
+		return decisionStateTooLarge, before, nil
 	}
 	if err != nil {
-		return verdictTake, nil, errOutcomeUnknown
+		return decisionAccept, nil, errOutcomeUnknown
 	}
 	after := *before
 	after.configuration = &tierv1.Configuration{Version: version, Body: body}
-	after.packed, after.orders = pack(after.configuration), orders
-	plane.changeView(before.epoch, func(v *view) {
-		v.configuration, v.packed, v.orders = after.configuration, after.packed, after.orders
+	after.compressedConfiguration, after.changes = compressConfiguration(after.configuration), orders
+	plane.updateView(before.epoch, func(v *view) {
+		v.configuration, v.compressedConfiguration, v.changes = after.configuration, after.compressedConfiguration, after.changes
 	})
 	plane.Log.Info().Str("event", "configuration").Int64("revision", order.revision).Uint64("version", version).Msg("")
-	return verdictTake, &after, nil
+	return decisionAccept, &after, nil
 }
 
-// waitAcknowledged waits until all gateways whose sessions stand have acknowledged a version, or the time for that is over.
-func (plane *ControlPlane) waitAcknowledged(version uint64, begun time.Time) {
-	limit := min(plane.Settings.ConfigApply/applyPart, answerLimit-time.Since(begun))
+// awaitAcknowledgements waits until all gateways whose sessions stand have acknowledged a version, or the time for that is over.
+func (plane *ControlPlane) awaitAcknowledgements(version uint64, begun time.Time) {
+	limit := min(plane.Settings.ConfigApply/acknowledgementWaitDivisor, replaceTimeout-time.Since(begun))
 	if limit <= 0 {
 		return
 	}
@@ -139,8 +139,8 @@
 	defer end.Stop()
 	for {
 		plane.mu.Lock()
-		behind := plane.sessions.behind(time.Now(), version)
-		acked := plane.sessions.acknowledged()
+		behind := plane.sessions.countBehind(time.Now(), version)
+		acked := plane.sessions.acknowledgedChannel()
 		plane.mu.Unlock()
 		if behind == 0 {
 			return
@@ -159,31 +159,31 @@
 }
 
 // confirmedView gives a view that a round trip to all backups, begun after the call, has confirmed; or else the answer.
-func (plane *ControlPlane) confirmedView(r *http.Request) (*view, answer) {
-	ctx, cancel := context.WithTimeout(r.Context(), writeLimit)
+func (plane *ControlPlane) confirmedView(r *http.Request) (*view, response) {
+	ctx, cancel := context.WithTimeout(r.Context(), operatorWriteTimeout)
 	defer cancel()
 	v, ok := plane.primary()
 	if !ok {
-		return nil, plane.redirect(r)
+		return nil, plane.redirectToPrimary(r)
 	}
-	if err := plane.confirm.wait(ctx, v.epoch); err != nil {
-		return nil, unavailable("the backups do not confirm it")
+	if err := plane.barrier.wait(ctx, v.epoch); err != nil {
+		return nil, unavailableResponse("the backups do not confirm it")
 	}
 	now, ok := plane.primary()
 	if !ok || now.epoch != v.epoch {
-		return nil, plane.redirect(r)
+		return nil, plane.redirectToPrimary(r)
 	}
-	return now, answer{}
+	return now, response{}
 }
 
-func (plane *ControlPlane) describeConfiguration(r *http.Request) answer {
+func (plane *ControlPlane) describeConfiguration(r *http.Request) response {
 	v, a := plane.confirmedView(r)
 	switch {
 	case v == nil:
 		return a
 	case v.configuration == nil:
-		return refused(http.StatusNotFound, "there is no configuration")
+		return errorResponse(http.StatusNotFound, "there is no configuration")
 	default:
-		return answer{status: http.StatusOK, body: v.configuration.Body}
+		return response{status: http.StatusOK, body: v.configuration.Body}
 	}
 }
--- a/internal/tier/controlplane/confirm.go
+++ b/internal/tier/controlplane/confirm.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// confirmer shares round trips among those who ask for one: each gets one that began after it asked.
-type confirmer struct {
+// readBarrier shares round trips among those who ask for one: each gets one that began after it asked.
+type readBarrier struct {
 	store Store
 	limit time.Duration
 
 	mu      sync.Mutex
 	running bool
-	next    *round
+	next    *barrierCall
 }
 
-type round struct {
+type barrierCall struct {
 	epoch uint64
 	done  chan struct{}
 	err   error
 }
 
 // wait is nil after a round trip to all backups under this epoch that began after the call.
-func (c *confirmer) wait(ctx context.Context, epoch uint64) error {
+func (c *readBarrier) wait(ctx context.Context, epoch uint64) error {
 	c.mu.Lock()
 	if c.next != nil && c.next.epoch != epoch {
 		c.mu.Unlock()
 		return c.store.Confirm(ctx, epoch)
 	}
 	if c.next == nil {
-		c.next = &round{epoch: epoch, done: make(chan struct{})}
+		c.next = &barrierCall{epoch: epoch, done: make(chan struct{})}
 	}
 	mine := c.next
 	if !c.running {
@@ -46,7 +46,7 @@
 	}
 }
 
-func (c *confirmer) run() {
+func (c *readBarrier) run() {
 	for {
 		c.mu.Lock()
 		r := c.next
--- a/internal/tier/controlplane/decide_test.go
+++ b/internal/tier/controlplane/decide_test.go
@@ -45,7 +45,7 @@
 		assert.Equal(t, verdict, "no")
 		assert.Assert(t, len(refused.views) == 1 && v == refused.views[0] && len(refused.written) == 0)
 
-		ctx, cancel := context.WithTimeout(r.ctx, writeLimit)
+		ctx, cancel := context.WithTimeout(r.ctx, operatorWriteTimeout)
 		defer cancel()
 		late := &decisions{verdicts: []string{"take"}}
 		_, _, err = late.run(ctx, r.k)
@@ -60,7 +60,7 @@
 		}()
 		synctest.Wait() // it waits for the right to write
 		assert.Equal(t, len(overtaken.views), 1)
-		r.k.changeView(overtaken.views[0].epoch, func(*view) {})
+		r.k.updateView(overtaken.views[0].epoch, func(*view) {})
 		r.k.unlockWriter()
 		<-done
 		assert.NilError(t, err)
--- a/internal/tier/controlplane/distant_test.go
+++ b/internal/tier/controlplane/distant_test.go
@@ -181,8 +181,8 @@
 func (r *rig) silent() (nodes []string) {
 	r.k.mu.Lock()
 	defer r.k.mu.Unlock()
-	for at, s := range r.k.sessions.of {
-		if !r.k.sessions.stands(time.Now(), s) || !r.k.sessions.alive(time.Now(), s) {
+	for at, s := range r.k.sessions.sessions {
+		if !r.k.sessions.active(time.Now(), s) || !r.k.sessions.storeAlive(time.Now(), s) {
 			nodes = append(nodes, at.node)
 		}
 	}
@@ -232,19 +232,19 @@
 func TestADistantSessionLapsesInTime(t *testing.T) {
 	window := site().ContactWindow
 	for _, role := range []string{roleGateway, roleTurnStore} {
-		longest := window / holdPart
+		longest := window / longPollDivisor
 		if role == roleTurnStore {
-			longest = window / turnStoreHoldPart
+			longest = window / turnStoreLongPollDivisor
 		}
 		for _, hold := range []time.Duration{0, window / 60, window / 20, longest, window} {
 			r := newRegistry(window)
 			now := time.Now()
 			req := &tierv1.WatchRequest{Role: role, Node: "n", Folder: "n.1", Incarnation: "1", PollTimeoutMs: uint32(hold.Milliseconds())}
-			s, _ := r.enter(now, req)
-			r.leave(now.Add(min(hold, longest)), s, false)
-			bound := longest + window/lapsePart
-			assert.Assert(t, r.stands(now.Add(min(hold, longest)+window/lapsePart-time.Millisecond), s))
-			assert.Assert(t, !r.stands(now.Add(bound), s) && !r.alive(now.Add(bound), s), "%s holds for %v", role, hold)
+			s, _ := r.beginCall(now, req)
+			r.endCall(now.Add(min(hold, longest)), s, false)
+			bound := longest + window/sessionTTLDivisor
+			assert.Assert(t, r.active(now.Add(min(hold, longest)+window/sessionTTLDivisor-time.Millisecond), s))
+			assert.Assert(t, !r.active(now.Add(bound), s) && !r.storeAlive(now.Add(bound), s), "%s holds for %v", role, hold)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 				roundTrip := window * percent / 100
 				one.link.set(func() { one.link.roundTrip, one.link.idle = roundTrip, 0 })
 				// The lease; or a held call that is given up, and a search whose answer comes late.
-				bound := max(window*6/10, window/holdPart+window/lapsePart+2*roundTrip) + window/10
+				bound := max(window*6/10, window/longPollDivisor+window/sessionTTLDivisor+2*roundTrip) + window/10
 				epoch := r.s.epoch
 				type push struct {
 					version uint64
@@ -271,7 +271,7 @@
 				stood := 0
 				for began := time.Now(); time.Since(began) < 30*window; {
 					version := uint64(0)
-					r.k.changeView(epoch, func(v *view) {
+					r.k.updateView(epoch, func(v *view) {
 						version = uint64(len(pushes) + 1)
 						v.setEndpoints(&tierv1.Endpoints{Version: version})
 					})
--- a/internal/tier/controlplane/ejections_test.go
+++ b/internal/tier/controlplane/ejections_test.go
@@ -32,7 +32,7 @@
 	now := time.Unix(0, 0)
 	e := newEjections(window)
 	tell := func(at time.Time, instance string, version uint64) *tierv1.Ejections {
-		return e.tell(at, &tierv1.Ejection{Instance: instance, Version: version})
+		return e.announce(at, &tierv1.Ejection{Instance: instance, Version: version})
 	}
 	tell(now, "i1", 1)
 	tell(now.Add(time.Second), "i2", 2)
@@ -52,10 +52,10 @@
 	e := newEjections(4 * time.Second)
 	for i := range 10 * maxEjections {
 		e.report(now, "e1", fmt.Sprint("i", i), 2)
-		e.tell(now, &tierv1.Ejection{Instance: fmt.Sprint("i", i), Version: uint64(i)})
+		e.announce(now, &tierv1.Ejection{Instance: fmt.Sprint("i", i), Version: uint64(i)})
 	}
 	assert.Equal(t, len(e.reports), maxEjections)
-	assert.Equal(t, len(e.told), maxEjections)
+	assert.Equal(t, len(e.announced), maxEjections)
 	assert.Assert(t, !e.report(now.Add(time.Minute), "e1", "new", 2))
 	assert.Equal(t, len(e.reports), 1) // the old ones made room
 }
@@ -72,7 +72,7 @@
 			return all[i]
 		}
 		for i, takes := range []bool{true, true, false} {
-			request := lookRequest()
+			request := probeRequest()
 			request.Node, request.Role, request.Incarnation, request.PollTimeoutMs = fmt.Sprint("e", i), roleGateway, "a", 600
 			request.AcceptsEjections = takes
 			mutex.Lock()
@@ -113,9 +113,9 @@
 	now := time.Unix(0, 0)
 	e := newEjections(window)
 	gateways := []string{"e1", "e2", "e3", "e4", "e5"}
-	first := &tierv1.Ejection{Instance: "i1", Version: 1, HealthCheckers: probersOf(gateways, "i1", 1)}
+	first := &tierv1.Ejection{Instance: "i1", Version: 1, HealthCheckers: chooseProbers(gateways, "i1", 1)}
 	assert.Equal(t, len(first.HealthCheckers), ejectionProbers)
-	e.tell(now, first)
+	e.announce(now, first)
 	now = now.Add(window)
 	assert.Assert(t, e.report(now, first.HealthCheckers[0], "i1", 2))
 	for _, node := range gateways {
@@ -125,13 +125,13 @@
 		}
 	}
 	assert.Assert(t, e.restored(now, "i1"))
-	e.tell(now, &tierv1.Ejection{Instance: "i1", Version: 2, Restored: true})
+	e.announce(now, &tierv1.Ejection{Instance: "i1", Version: 2, Restored: true})
 	assert.Assert(t, !e.restored(now, "i1"), "known")
 	assert.Assert(t, !e.restored(now, "i2"), "never told")
 	e.reports = map[string]map[string]time.Time{}
 	assert.Assert(t, !e.report(now, first.HealthCheckers[0], "i1", 2), "one alone, as of any")
 	assert.Assert(t, !e.restored(now.Add(window+1), "i1"), "forgotten")
-	assert.DeepEqual(t, probersOf([]string{"e1"}, "i1", 1), []string{"e1"})
-	assert.Equal(t, len(probersOf(nil, "i1", 1)), 0)
-	assert.Assert(t, probersOf(gateways, "i1", 1)[0] != probersOf(gateways, "i1", 2)[0])
+	assert.DeepEqual(t, chooseProbers([]string{"e1"}, "i1", 1), []string{"e1"})
+	assert.Equal(t, len(chooseProbers(nil, "i1", 1)), 0)
+	assert.Assert(t, chooseProbers(gateways, "i1", 1)[0] != chooseProbers(gateways, "i1", 2)[0])
 }
--- a/internal/tier/controlplane/endpoint_list.go
+++ b/internal/tier/controlplane/endpoint_list.go
@@ -14,39 +14,39 @@
 // reading has come. Until then an address may stand there for its former instance as well: a request names the instance
 // that it is for, and another refuses it. It has no clock and no lock of its own.
 type endpointList struct {
-	pushGap time.Duration // from one push to the next within a reading, at least
-	quick   time.Duration // a reading that takes no longer is pushed at its end, if the one before took no longer either
-	known   map[string]listedEndpoint
-	reading uint64        // number of the reading that is under way, or was the last
-	whole   bool          // a reading has come to its end: known is a whole list
-	changed bool          // since the last push
-	pushed  time.Time     // the last push; zero: none
-	began   time.Time     // the reading
-	took    time.Duration // the last that came to its end
+	minPushInterval time.Duration // from one push to the next within a reading, at least
+	quickScan       time.Duration // a reading that takes no longer is pushed at its end, if the one before took no longer either
+	entries         map[string]listedEndpoint
+	scan            uint64        // number of the reading that is under way, or was the last
+	complete        bool          // a reading has come to its end: known is a whole list
+	changed         bool          // since the last push
+	lastPush        time.Time     // the last push; zero: none
+	scanBegan       time.Time     // the reading
+	lastScanTime    time.Duration // the last that came to its end
 }
 
 // listedEndpoint is an endpoint as it was read last.
 type listedEndpoint struct {
 	endpoint *tierv1.Endpoint
 	readAt   time.Time
-	reading  uint64 // number of that reading
+	scan     uint64 // number of that reading
 }
 
 func newEndpointList(pushGap, quick time.Duration) endpointList {
-	return endpointList{pushGap: pushGap, quick: quick, known: map[string]listedEndpoint{}}
+	return endpointList{minPushInterval: pushGap, quickScan: quick, entries: map[string]listedEndpoint{}}
 }
 
-// beginReading starts a reading. One that was given up before its end leaves what it has told, and nothing is gone by it.
-func (l *endpointList) beginReading(now time.Time) {
-	l.reading++
-	l.began = now
+// beginScan starts a reading. One that was given up before its end leaves what it has told, and nothing is gone by it.
+func (l *endpointList) beginScan(now time.Time) {
+	l.scan++
+	l.scanBegan = now
 }
 
-// takePage takes one page of the reading that is under way.
-func (l *endpointList) takePage(now time.Time, page []*tierv1.Endpoint) {
+// addPage takes one page of the reading that is under way.
+func (l *endpointList) addPage(now time.Time, page []*tierv1.Endpoint) {
 	for _, endpoint := range page {
-		before, known := l.known[endpoint.Instance]
-		if known && before.reading == l.reading && before.endpoint.Draining && !endpoint.Draining {
+		before, known := l.entries[endpoint.Instance]
+		if known && before.scan == l.scan && before.endpoint.Draining && !endpoint.Draining {
 			// The list changed while it was read, and has the instance on two pages: one that drains does not return.
 			endpoint = proto.Clone(endpoint).(*tierv1.Endpoint)
 			endpoint.Draining = true
@@ -54,58 +54,58 @@
 		if !known || !sameEndpoint(before.endpoint, endpoint) {
 			l.changed = true
 		}
-		l.known[endpoint.Instance] = listedEndpoint{endpoint, now, l.reading}
+		l.entries[endpoint.Instance] = listedEndpoint{endpoint, now, l.scan}
 	}
 }
 
-// endReading takes the end of the list: what this reading has not shown is gone.
-func (l *endpointList) endReading(now time.Time) {
-	l.took, l.began = now.Sub(l.began), time.Time{}
-	for instance, one := range l.known {
-		if one.reading != l.reading {
-			delete(l.known, instance)
+// endScan takes the end of the list: what this reading has not shown is gone.
+func (l *endpointList) endScan(now time.Time) {
+	l.lastScanTime, l.scanBegan = now.Sub(l.scanBegan), time.Time{}
+	for instance, one := range l.entries {
+		if one.scan != l.scan {
+			delete(l.entries, instance)
 			l.changed = true
 		}
 	}
-	if !l.whole {
-		l.whole, l.changed = true, true // also an empty list is news
+	if !l.complete {
+		l.complete, l.changed = true, true // also an empty list is news
 	}
 }
 
 // pushDelay tells whether there is something to push, and how long it is to wait: changes that come close to each other go
 // together. Without a whole list there is nothing to push, as whoever got a part would take the rest for gone.
 func (l *endpointList) pushDelay(now time.Time) (delay time.Duration, pending bool) {
-	if !l.changed || !l.whole {
+	if !l.changed || !l.complete {
 		return 0, false
 	}
-	if l.pushed.IsZero() {
+	if l.lastPush.IsZero() {
 		return 0, true
 	}
-	delay = l.pushGap - now.Sub(l.pushed)
-	if !l.began.IsZero() && l.took <= l.quick { // its end is near, and one push is less for all sessions
-		delay = max(delay, l.quick-now.Sub(l.began))
+	delay = l.minPushInterval - now.Sub(l.lastPush)
+	if !l.scanBegan.IsZero() && l.lastScanTime <= l.quickScan { // its end is near, and one push is less for all sessions
+		delay = max(delay, l.quickScan-now.Sub(l.scanBegan))
 	}
 	return max(0, delay), true
 }
 
 // push gives the list that goes out now.
 func (l *endpointList) push(now time.Time) []*tierv1.Endpoint {
-	l.changed, l.pushed = false, now
+	l.changed, l.lastPush = false, now
 	return l.list(now)
 }
 
 // list gives all endpoints in the order of instances. Those that were read some time ago have been getting warmer since.
 func (l *endpointList) list(now time.Time) []*tierv1.Endpoint {
-	list := make([]*tierv1.Endpoint, 0, len(l.known))
-	for _, one := range l.known {
-		list = append(list, one.at(now))
+	list := make([]*tierv1.Endpoint, 0, len(l.entries))
+	for _, one := range l.entries {
+		list = append(list, one.agedTo(now))
 	}
 	slices.SortFunc(list, func(a, b *tierv1.Endpoint) int { return cmp.Compare(a.Instance, b.Instance) })
 	return list
 }
 
-// at gives the endpoint as it is now.
-func (one listedEndpoint) at(now time.Time) *tierv1.Endpoint {
+// agedTo gives the endpoint as it is now.
+func (one listedEndpoint) agedTo(now time.Time) *tierv1.Endpoint {
 	elapsed := uint64(max(0, now.Sub(one.readAt)).Milliseconds())
 	cold := uint64(one.endpoint.SlowStartRemainingMs)
 	if cold == 0 || elapsed == 0 {
--- a/internal/tier/controlplane/endpoint_list_test.go
+++ b/internal/tier/controlplane/endpoint_list_test.go
@@ -63,16 +63,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := newEndpointList(time.Second, 0)
 			now := time.Unix(1000, 0)
-			l.beginReading(now)
+			l.beginScan(now)
 			for step := range strings.SplitSeq(c.steps, "|") {
 				now = now.Add(time.Second)
 				switch step {
 				case "begin":
-					l.beginReading(now)
+					l.beginScan(now)
 				case "end":
-					l.endReading(now)
+					l.endScan(now)
 				default:
-					l.takePage(now, entries(step))
+					l.addPage(now, entries(step))
 				}
 				if _, pending := l.pushDelay(now); pending {
 					l.push(now)
@@ -86,11 +86,11 @@
 func TestNothingIsPushedBeforeTheFirstWholeList(t *testing.T) {
 	l := newEndpointList(time.Second, 0)
 	now := time.Unix(1000, 0)
-	l.beginReading(now)
-	l.takePage(now, entries("i1@a1 i2@a2!"))
+	l.beginScan(now)
+	l.addPage(now, entries("i1@a1 i2@a2!"))
 	_, pending := l.pushDelay(now)
 	assert.Assert(t, !pending, "a part would have the rest taken for gone")
-	l.endReading(now)
+	l.endScan(now)
 	delay, pending := l.pushDelay(now)
 	assert.Assert(t, pending && delay == 0)
 }
@@ -99,24 +99,24 @@
 func TestPushesKeepTheirGap(t *testing.T) {
 	l := newEndpointList(time.Second, 0)
 	now := time.Unix(1000, 0)
-	l.beginReading(now)
-	l.takePage(now, entries("i1@a1 i2@a2 i3@a3"))
-	l.endReading(now)
+	l.beginScan(now)
+	l.addPage(now, entries("i1@a1 i2@a2 i3@a3"))
+	l.endScan(now)
 	l.push(now)
-	l.beginReading(now)
-	l.takePage(now, entries("i1@a1"))
+	l.beginScan(now)
+	l.addPage(now, entries("i1@a1"))
 	_, pending := l.pushDelay(now)
 	assert.Assert(t, !pending)
 	now = now.Add(300 * time.Millisecond)
-	l.takePage(now, entries("i2@a2!"))
+	l.addPage(now, entries("i2@a2!"))
 	delay, pending := l.pushDelay(now)
 	assert.Assert(t, pending && delay == 700*time.Millisecond, "%v", delay)
 	now = now.Add(delay)
-	l.takePage(now, entries("i3@a3!"))
+	l.addPage(now, entries("i3@a3!"))
 	delay, pending = l.pushDelay(now)
 	assert.Assert(t, pending && delay == 0)
 	assert.Equal(t, entryTexts(l.push(now)), "i1@a1 i2@a2! i3@a3!")
-	l.endReading(now)
+	l.endScan(now)
 	_, pending = l.pushDelay(now)
 	assert.Assert(t, !pending)
 }
@@ -126,24 +126,24 @@
 	const quick = 800 * time.Millisecond
 	l := newEndpointList(100*time.Millisecond, quick)
 	now := time.Unix(1000, 0)
-	l.beginReading(now)
-	l.takePage(now, entries("i1@a1 i2@a2"))
+	l.beginScan(now)
+	l.addPage(now, entries("i1@a1 i2@a2"))
 	now = now.Add(quick)
-	l.endReading(now)
+	l.endScan(now)
 	l.push(now)
 	now = now.Add(time.Second)
-	l.beginReading(now)
-	l.takePage(now, entries("i1@a1!"))
+	l.beginScan(now)
+	l.addPage(now, entries("i1@a1!"))
 	delay, pending := l.pushDelay(now)
 	assert.Assert(t, pending && delay == quick, "%v", delay)
 	now = now.Add(quick + time.Millisecond)
 	delay, pending = l.pushDelay(now)
 	assert.Assert(t, pending && delay == 0, "%v", delay)
 	l.push(now)
-	l.endReading(now)
+	l.endScan(now)
 	now = now.Add(time.Second)
-	l.beginReading(now)
-	l.takePage(now, entries("i2@a2!"))
+	l.beginScan(now)
+	l.addPage(now, entries("i2@a2!"))
 	delay, pending = l.pushDelay(now)
 	assert.Assert(t, pending && delay == 0, "the last one was slow: %v", delay)
 }
@@ -152,17 +152,17 @@
 func TestEndpointsGetWarmerBetweenReadings(t *testing.T) {
 	l := newEndpointList(time.Second, 0)
 	now := time.Unix(1000, 0)
-	l.beginReading(now)
+	l.beginScan(now)
 	cold := entry("i1@a1")
 	cold.SlowStartRemainingMs = 2000
-	l.takePage(now, []*tierv1.Endpoint{cold, entry("i2@a2")})
-	l.endReading(now)
+	l.addPage(now, []*tierv1.Endpoint{cold, entry("i2@a2")})
+	l.endScan(now)
 	l.push(now)
 	assert.Equal(t, l.list(now.Add(500 * time.Millisecond))[0].SlowStartRemainingMs, uint32(1500))
 	assert.Equal(t, l.list(now.Add(5 * time.Second))[0].SlowStartRemainingMs, uint32(0))
 	assert.Equal(t, cold.SlowStartRemainingMs, uint32(2000), "the entry that others hold was changed")
-	l.beginReading(now)
-	l.takePage(now.Add(time.Second), []*tierv1.Endpoint{{Instance: "i1", Address: "a1", SlowStartRemainingMs: 1000}})
+	l.beginScan(now)
+	l.addPage(now.Add(time.Second), []*tierv1.Endpoint{{Instance: "i1", Address: "a1", SlowStartRemainingMs: 1000}})
 	_, pending := l.pushDelay(now.Add(time.Second))
 	assert.Assert(t, !pending, "a list that only grew warmer is pushed")
 }
@@ -181,13 +181,13 @@
 		}
 		for reading := range 30 {
 			platform.reading = reading
-			l.beginReading(now)
+			l.beginScan(now)
 			for page := range platform.pages(func() {
 				if reading < 29 {
 					platform.change()
 				}
 			}) {
-				l.takePage(now, page)
+				l.addPage(now, page)
 				shown := map[string]*tierv1.Endpoint{}
 				for _, one := range l.list(now) {
 					shown[one.Instance] = one
@@ -204,7 +204,7 @@
 			if platform.gaveUp {
 				continue
 			}
-			l.endReading(now)
+			l.endScan(now)
 			platform.read = reading + 1
 		}
 		sorted := slices.Clone(platform.list)
--- a/internal/tier/controlplane/endpoints.go
+++ b/internal/tier/controlplane/endpoints.go
@@ -11,45 +11,45 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// packFrom is the encoded size, in bytes, from which a list of endpoints is packed for sessions.
-const packFrom = 4 << 10
+// compressThreshold is the encoded size, in bytes, from which a list of endpoints is packed for sessions.
+const compressThreshold = 4 << 10
 
-// packedEndpoints is a list of endpoints as sessions get it. It is made when the first session needs it, and once for all:
+// compressedEndpoints is a list of endpoints as sessions get it. It is made when the first session needs it, and once for all:
 // a changed list goes to all sessions at the same time, and to encode a long one for each of them would overload the primary.
-type packedEndpoints struct {
-	whole *tierv1.Endpoints
+type compressedEndpoints struct {
+	full *tierv1.Endpoints
 
-	once   sync.Once
-	packed *tierv1.Endpoints
+	once       sync.Once
+	compressed *tierv1.Endpoints
 }
 
 // setEndpoints replaces the list of a view that nobody has been shown yet.
 func (v *view) setEndpoints(list *tierv1.Endpoints) {
 	v.endpoints = list
-	v.packedList = &packedEndpoints{whole: list}
+	v.compressedEndpoints = &compressedEndpoints{full: list}
 }
 
-// beginReading starts a reading of the platform's list, if the epoch goes on.
-func (plane *ControlPlane) beginReading(epoch uint64) {
+// beginScan starts a reading of the platform's list, if the epoch goes on.
+func (plane *ControlPlane) beginScan(epoch uint64) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	if plane.view.epoch == epoch {
-		plane.endpointList.beginReading(time.Now())
+		plane.endpointList.beginScan(time.Now())
 	}
 }
 
-// takePage takes a page of a reading that was begun in an epoch, and publishes what it tells, at once or as soon as the last
+// addPage takes a page of a reading that was begun in an epoch, and publishes what it tells, at once or as soon as the last
 // push is long enough ago. What a reading of an older epoch tells is dropped.
-func (plane *ControlPlane) takePage(epoch uint64, page []*tierv1.Endpoint, last bool) {
+func (plane *ControlPlane) addPage(epoch uint64, page []*tierv1.Endpoint, last bool) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	if plane.view.epoch != epoch {
 		return
 	}
 	now := time.Now()
-	plane.endpointList.takePage(now, page)
+	plane.endpointList.addPage(now, page)
 	if last {
-		plane.endpointList.endReading(now)
+		plane.endpointList.endScan(now)
 		plane.publishEndpoints(now)
 		return
 	}
@@ -58,13 +58,13 @@
 	case !pending:
 	case delay == 0:
 		plane.publishEndpoints(now)
-	case plane.laterPush == nil:
-		plane.laterPush = time.AfterFunc(delay, func() { plane.publishRest(epoch) })
+	case plane.endpointPushTimer == nil:
+		plane.endpointPushTimer = time.AfterFunc(delay, func() { plane.publishPending(epoch) })
 	}
 }
 
-// publishRest publishes what has been read in an epoch and not been published.
-func (plane *ControlPlane) publishRest(epoch uint64) {
+// publishPending publishes what has been read in an epoch and not been published.
+func (plane *ControlPlane) publishPending(epoch uint64) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	now := time.Now()
@@ -76,7 +76,7 @@
 // publishEndpoints shows the list as it is known now. One that has only grown warmer keeps its version: nobody has to hear
 // of it, but who comes next gets the newer figures. The caller holds mu.
 func (plane *ControlPlane) publishEndpoints(now time.Time) {
-	plane.stopLaterPush()
+	plane.stopEndpointPushTimer()
 	if _, pending := plane.endpointList.pushDelay(now); !pending {
 		next := *plane.view
 		next.setEndpoints(&tierv1.Endpoints{Version: next.endpoints.Version, List: plane.endpointList.list(now)})
@@ -85,15 +85,15 @@
 	}
 	list := plane.endpointList.push(now)
 	plane.replaceView(func(v *view) {
-		v.setEndpoints(&tierv1.Endpoints{Version: version(v.epoch, &plane.versions.endpoints), List: list})
+		v.setEndpoints(&tierv1.Endpoints{Version: nextVersion(v.epoch, &plane.versions.endpoints), List: list})
 	})
 }
 
-// stopLaterPush ends the wait for a later push, if there is one. The caller holds mu.
-func (plane *ControlPlane) stopLaterPush() {
-	if plane.laterPush != nil {
-		plane.laterPush.Stop()
-		plane.laterPush = nil
+// stopEndpointPushTimer ends the wait for a later push, if there is one. The caller holds mu.
+func (plane *ControlPlane) stopEndpointPushTimer() {
+	if plane.endpointPushTimer != nil {
+		plane.endpointPushTimer.Stop()
+		plane.endpointPushTimer = nil
 	}
 }
 
@@ -102,30 +102,30 @@
 	if !req.AcceptsPackedEndpoints {
 		return v.endpoints
 	}
-	return v.packedList.get()
+	return v.compressedEndpoints.get()
 }
 
-func (p *packedEndpoints) get() *tierv1.Endpoints {
-	p.once.Do(func() { p.packed = packEndpoints(p.whole) })
-	return p.packed
+func (p *compressedEndpoints) get() *tierv1.Endpoints {
+	p.once.Do(func() { p.compressed = compressEndpoints(p.full) })
+	return p.compressed
 }
 
-// packEndpoints gives a list with its entries compressed, or the list itself where it is short or can't be packed.
-func packEndpoints(whole *tierv1.Endpoints) *tierv1.Endpoints {
-	body, err := proto.Marshal(&tierv1.Endpoints{List: whole.List})
-	if err != nil || len(body) < packFrom {
-		return whole
+// compressEndpoints gives a list with its entries compressed, or the list itself where it is short or can't be packed.
+func compressEndpoints(full *tierv1.Endpoints) *tierv1.Endpoints {
+	body, err := proto.Marshal(&tierv1.Endpoints{List: full.List})
+	if err != nil || len(body) < compressThreshold {
+		return full
 	}
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
 	if err != nil {
-		return whole
+		return full
 	}
 	if _, err := w.Write(body); err != nil {
-		return whole
+		return full
 	}
 	if err := w.Close(); err != nil {
-		return whole
+		return full
 	}
-	return &tierv1.Endpoints{Version: whole.Version, Packed: b.Bytes()}
+	return &tierv1.Endpoints{Version: full.Version, Packed: b.Bytes()}
 }
--- a/internal/tier/controlplane/interval_test.go
+++ b/internal/tier/controlplane/interval_test.go
@@ -19,12 +19,12 @@
 			for _, pages := range []int{1, 2, 5, 8, 20} {
 				name := fmt.Sprint("drain ", drain, ", rate ", rate, ", pages ", pages)
 				k := &ControlPlane{Config: Config{Settings: settings.Settings{DrainTimeout: drain, CloudRate: rate}}}
-				d := k.interval(pages, 0)
+				d := k.pollInterval(pages, 0)
 				assert.Assert(t, float64(pages) < rate*d.Seconds(), name)
 				if 2*float64(pages) <= rate*drain.Seconds() {
 					assert.Assert(t, d <= drain*3/4, "%s: %v", name, d)
 				}
-				assert.Assert(t, d >= drain/pollPart, name)
+				assert.Assert(t, d >= drain/pollDivisor, name)
 			}
 		}
 	}
--- a/internal/tier/controlplane/lapse_test.go
+++ b/internal/tier/controlplane/lapse_test.go
@@ -17,16 +17,16 @@
 		m.cut = true
 	}
 	in := w.input()
-	in.Lapsed = map[string]bool{}
+	in.RecentlyExpired = map[string]bool{}
 	for _, m := range machines {
-		in.Lapsed[m.folder] = true
+		in.RecentlyExpired[m.folder] = true
 	}
 	return in
 }
 
 // afterOneLapse gives three machines, one loss to be borne, and the first machine's copies taken out as its session lapsed.
 func afterOneLapse(t *testing.T) *world {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.settle()
 	assert.Assert(t, w.assign(w.lapse(w.machines[0])))
@@ -34,7 +34,7 @@
 		w.step()
 	}
 	for _, p := range w.m.Partitions {
-		assert.Assert(t, !slices.Contains(members(p), w.machines[0].folder))
+		assert.Assert(t, !slices.Contains(replicaFolders(p), w.machines[0].folder))
 	}
 	return w
 }
@@ -82,11 +82,11 @@
 	waiting := w.m
 	second.cut = false
 	in := w.lapse(w.machines[0])
-	in.Move = false // primaries are made even later
+	in.MayMove = false // primaries are made even later
 	w.assign(in)
 	for i, p := range w.m.Partitions {
 		assert.Assert(t, proto.Equal(p, waiting.Partitions[i]), "partition %d: %v", i, p)
-		assert.Assert(t, backup(p, second.folder).Synced, "partition %d: %v", i, p)
+		assert.Assert(t, findBackup(p, second.folder).Synced, "partition %d: %v", i, p)
 		if was := before.Partitions[i]; was.Primary == third.folder {
 			assert.Assert(t, proto.Equal(p, was), "partition %d: %v", i, p)
 		}
@@ -116,12 +116,12 @@
 		{2, 1, 1, true}, {3, 2, 1, true}, {3, 2, 2, true}, {4, 2, 2, true},
 		{3, 1, 1, false}, {4, 1, 1, false}, {4, 2, 1, false}, {5, 2, 2, false},
 	} {
-		w := newWorld(t, nil, test.machines, test.machines, Spread{test.losses, byNode})
+		w := newWorld(t, nil, test.machines, test.machines, FaultTolerance{test.losses, byNode})
 		w.assign(w.input())
 		w.settle()
 		in := w.lapse(w.machines[:test.lapsed]...)
 		now, _ := Assign(w.m, in)
-		in.Lapsed = nil
+		in.RecentlyExpired = nil
 		later, changed := Assign(w.m, in)
 		assert.Assert(t, changed, "%+v", test)
 		waits := !slices.Equal(partitionStrings(now), partitionStrings(later))
@@ -144,17 +144,17 @@
 
 // A lapsed turn store that comes back with another disk is not waited for.
 func TestALostDiskIsNotWaitedFor(t *testing.T) {
-	w := newWorld(t, nil, 2, 2, Spread{1, byNode})
+	w := newWorld(t, nil, 2, 2, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.settle()
 	first := w.machines[0]
 	in := w.lapse(first)
 	assert.Assert(t, w.assign(in)) // its partitions have the other as the primary
-	lapsed := in.Lapsed
+	lapsed := in.RecentlyExpired
 	w.wipe(first, false)
 	first.cut = false
 	in = w.input()
-	in.Lapsed = lapsed
+	in.RecentlyExpired = lapsed
 	assert.Assert(t, w.assign(in))
 	for i, p := range w.m.Partitions {
 		assert.Assert(t, len(p.Backups) == 1 && p.Backups[0].Folder == first.folder, "partition %d: %v", i, p)
@@ -166,7 +166,7 @@
 func TestSeveralLapsesAreNoLosses(t *testing.T) {
 	for seed := range uint64(10) {
 		r := rand.New(rand.NewPCG(seed, 9))
-		w := newWorld(t, r, 3, 3, Spread{1, byNode})
+		w := newWorld(t, r, 3, 3, FaultTolerance{1, byNode})
 		w.assign(w.input())
 		w.settle()
 		for range 10 {
@@ -208,7 +208,7 @@
 	begun := time.Now()
 	for time.Since(begun) < limit {
 		waits := slices.ContainsFunc(r.turnStores().Partitions, func(p *tierv1.Partition) bool {
-			return slices.ContainsFunc(members(p), func(folder string) bool { return slices.Contains(gone, folder) })
+			return slices.ContainsFunc(replicaFolders(p), func(folder string) bool { return slices.Contains(gone, folder) })
 		})
 		if !waits {
 			break
@@ -220,8 +220,8 @@
 
 // How long partitions are unserved: no longer than the detection where another turn store is there, else with a bounded wait.
 func TestTimeUnserved(t *testing.T) {
-	detection := site().ContactWindow/lapsePart + site().ContactWindow/tickPart + 50*time.Millisecond
-	wait := site().ContactWindow / reducePart
+	detection := site().ContactWindow/sessionTTLDivisor + site().ContactWindow/sessionCheckDivisor + 50*time.Millisecond
+	wait := site().ContactWindow / lostReplicaWaitDivisor
 	const unbounded = 30 * time.Second // both have copies: the return of one is waited for
 	for _, test := range []struct {
 		name            string
@@ -274,8 +274,8 @@
 		r.s.set(func() { r.s.ok, r.s.epoch = true, r.s.epoch+1<<12 })
 		took := r.unserved([]string{"v1.1", "v2.1"}, 30*time.Second)
 		window := site().ContactWindow
-		shortest := window/gracePart + window/reducePart
-		assert.Assert(t, took >= shortest && took <= shortest+window/tickPart+100*time.Millisecond, "unserved for %v", took)
+		shortest := window/takeoverGraceDivisor + window/lostReplicaWaitDivisor
+		assert.Assert(t, took >= shortest && took <= shortest+window/sessionCheckDivisor+100*time.Millisecond, "unserved for %v", took)
 	})
 }
 
@@ -291,6 +291,6 @@
 		r.pass(time.Second)
 		leaver.end()
 		took := r.unserved([]string{"v1.1"}, 30*time.Second)
-		assert.Assert(t, took < brokenLapse+site().ContactWindow/tickPart+50*time.Millisecond, "unserved for %v", took)
+		assert.Assert(t, took < disconnectedTTL+site().ContactWindow/sessionCheckDivisor+50*time.Millisecond, "unserved for %v", took)
 	})
 }
--- a/internal/tier/controlplane/limits_test.go
+++ b/internal/tier/controlplane/limits_test.go
@@ -24,10 +24,10 @@
 }
 
 func TestConfigurationLimitByMemory(t *testing.T) {
-	for memory, want := range map[int]int64{1: bodyLeast, 64: bodyLeast, 128: 8 << 20, 512: bodyMost, 4096: bodyMost, 1 << 20: bodyMost} {
+	for memory, want := range map[int]int64{1: minConfigurationLimit, 64: minConfigurationLimit, 128: 8 << 20, 512: maxConfigurationLimit, 4096: maxConfigurationLimit, 1 << 20: maxConfigurationLimit} {
 		plane := &ControlPlane{}
 		plane.Settings.MemoryMB = memory
-		assert.Equal(t, plane.configurationLimit(), want, "%d MB", memory)
+		assert.Equal(t, plane.configurationSizeLimit(), want, "%d MB", memory)
 	}
 }
 
@@ -36,7 +36,7 @@
 func TestAConfigurationAtItsLimit(t *testing.T) {
 	within(t, func(r *rig) {
 		status(t, r.replace(0, 3), 200)
-		limit := int(r.k.configurationLimit())
+		limit := int(r.k.configurationSizeLimit())
 		w := r.replaceBody(3, paddedConfiguration(5, limit+1))
 		status(t, w, 413)
 		assert.Assert(t, strings.Contains(w.Body.String(), fmt.Sprint(limit)), "%s", w.Body)
@@ -116,7 +116,7 @@
 	for i := range storeNodes {
 		m.StoreNodes = append(m.StoreNodes, &tierv1.StoreNode{Folder: name(i), Node: name(i), Address: name(i), Zone: name(i)})
 	}
-	for i := range retireRecordsLimit + storeNodes { // beyond the limit only machines that are there
+	for i := range maxRetireRecords + storeNodes { // beyond the limit only machines that are there
 		m.Retiring, m.Retired = append(m.Retiring, name(i)), append(m.Retired, name(i))
 	}
 	for range partitionCount {
@@ -128,7 +128,7 @@
 		}
 		m.Partitions = append(m.Partitions, p)
 	}
-	total := bodyMost + orderHistoryBytes + proto.Size(m)
+	total := maxConfigurationLimit + maxChangeHistoryBytes + proto.Size(m)
 	t.Logf("%d bytes of map, %d in all, limit %d", proto.Size(m), total, consensus.StateLimit)
 	assert.Assert(t, total+1<<20 <= consensus.StateLimit) // a mebibyte for framing and whatever is small
 }
--- a/internal/tier/controlplane/lost_calls_test.go
+++ b/internal/tier/controlplane/lost_calls_test.go
@@ -117,7 +117,7 @@
 		p.set(func() { p.calls = 0 })
 		const span = 40
 		r.pass(span * time.Second)
-		assert.Assert(t, float64(p.count()) <= span*set.CloudRate/rateRoom, "%d calls", p.count())
+		assert.Assert(t, float64(p.count()) <= span*set.CloudRate/rateHeadroom, "%d calls", p.count())
 	})
 }
 
--- a/internal/tier/controlplane/metrics.go
+++ b/internal/tier/controlplane/metrics.go
@@ -37,18 +37,18 @@
 func (plane *ControlPlane) primaryMetrics(now time.Time, v *view) *metrics.Primary {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
-	risk := plane.risk(now, v.partitionMap)
-	figures := &metrics.Primary{Revision: v.orders.current, PartitionsAtRisk: int(risk.Partitions), Losses: int(risk.Losses),
+	risk := plane.riskReport(now, v.partitionMap)
+	figures := &metrics.Primary{Revision: v.changes.current, PartitionsAtRisk: int(risk.Partitions), Losses: int(risk.Losses),
 		PartitionsBear: int(risk.PartitionsBorne), ControlBears: int(risk.ControlBorne),
 		Until: time.Duration(risk.PartitionsUntilMs) * time.Millisecond}
-	for _, s := range plane.sessions.of {
+	for _, s := range plane.sessions.sessions {
 		switch {
-		case !plane.sessions.stands(now, s):
+		case !plane.sessions.active(now, s):
 		case s.role == roleGateway:
 			figures.Gateways++
 		case s.role == roleTurnStore:
 			figures.TurnStores++
-			if !usable(s.disk) {
+			if !diskUsable(s.disk) {
 				figures.UnsoundStores++
 			}
 		}
--- a/internal/tier/controlplane/model_planted_test.go
+++ b/internal/tier/controlplane/model_planted_test.go
@@ -64,9 +64,9 @@
 func takesOldReports(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
 	in.Reports = slices.Clone(in.Reports)
 	for i, r := range in.Reports {
-		if int(r.Copy.Partition) < len(before.GetPartitions()) {
-			r.Copy = proto.CloneOf(r.Copy)
-			r.Copy.Epoch = before.Partitions[r.Copy.Partition].Epoch
+		if int(r.Replica.Partition) < len(before.GetPartitions()) {
+			r.Replica = proto.CloneOf(r.Replica)
+			r.Replica.Epoch = before.Partitions[r.Replica.Partition].Epoch
 			in.Reports[i] = r
 		}
 	}
--- a/internal/tier/controlplane/model_test.go
+++ b/internal/tier/controlplane/model_test.go
@@ -38,7 +38,7 @@
 	t        reporter
 	plant    plant
 	r        *rand.Rand
-	spread   Spread
+	spread   FaultTolerance
 	machines []*machine
 	m        *tierv1.PartitionMap
 	acked    []*big.Int            // by partition, a bit for each acknowledged fact
@@ -52,12 +52,12 @@
 func byZone(k *tierv1.StoreNode) string { return k.Zone }
 func byNode(k *tierv1.StoreNode) string { return k.Node }
 
-func newWorld(t reporter, r *rand.Rand, n, zones int, spread Spread) *world {
+func newWorld(t reporter, r *rand.Rand, n, zones int, spread FaultTolerance) *world {
 	return newPlantedWorld(t, plant{}, r, n, zones, spread)
 }
 
 // newPlantedWorld is newWorld with a planted fault.
-func newPlantedWorld(t reporter, p plant, r *rand.Rand, n, zones int, spread Spread) *world {
+func newPlantedWorld(t reporter, p plant, r *rand.Rand, n, zones int, spread FaultTolerance) *world {
 	w := &world{t: t, plant: p, r: r, spread: spread}
 	for i := range n {
 		w.add(i, zones)
@@ -76,12 +76,12 @@
 }
 
 func (w *world) input() Input {
-	in := Input{Spread: w.spread, Alive: map[string]*tierv1.StoreNode{}, Leaving: map[string]bool{}, Reports: w.reports, Certain: true, Create: true, Move: true}
+	in := Input{FaultTolerance: w.spread, Alive: map[string]*tierv1.StoreNode{}, Draining: map[string]bool{}, Reports: w.reports, GraceOver: true, MayCreate: true, MayMove: true}
 	for _, m := range w.machines {
 		if m.up && !m.cut && !m.unsound {
 			in.Alive[m.folder] = m.storeNode()
 			if m.leaving {
-				in.Leaving[m.folder] = true
+				in.Draining[m.folder] = true
 			}
 		}
 	}
@@ -120,12 +120,12 @@
 func (w *world) check(before *tierv1.PartitionMap) {
 	w.t.Helper()
 	for i, p := range w.m.Partitions {
-		all := members(p)
+		all := replicaFolders(p)
 		if len(all) != len(slices.Compact(slices.Sorted(slices.Values(all)))) {
 			w.t.Fatalf("a folder twice in %v\n%v", p, w.trace)
 		}
 		for _, folder := range all {
-			c := backup(p, folder)
+			c := findBackup(p, folder)
 			wiped := w.machine(folder) == nil
 			if !wiped && (c != nil && c.Synced || c == nil && len(p.RecoverFrom) == 0) && !w.whole(i, folder) {
 				w.t.Fatalf("partition %d: %s is called whole and is not: %v\n%v", i, folder, p, w.trace)
@@ -139,7 +139,7 @@
 		}
 		old, epoch := before.Partitions[i], before.Partitions[i].Epoch
 		recoversAnew := len(p.RecoverFrom) > 0 && !slices.Equal(old.RecoverFrom, p.RecoverFrom) // in a term of its own
-		if old.Primary != p.Primary || !slices.Equal(members(old), all) || recoversAnew {
+		if old.Primary != p.Primary || !slices.Equal(replicaFolders(old), all) || recoversAnew {
 			epoch++
 		}
 		if p.Epoch != epoch {
@@ -191,7 +191,7 @@
 	assert.Assert(w.t, w.whole(i, m.folder), "partition %d: %s serves and is not whole\n%v", i, m.folder, w.trace)
 	fact := new(big.Int).SetBit(new(big.Int), w.acked[i].BitLen(), 1)
 	w.acked[i] = new(big.Int).Or(w.acked[i], fact)
-	for _, folder := range members(p) {
+	for _, folder := range replicaFolders(p) {
 		w.give(i, folder, fact)
 	}
 	return true
@@ -301,11 +301,11 @@
 		assert.Equal(w.t, len(p.Backups), w.spread.Losses, "partition %d: %v", i, p)
 		primaries[p.Primary]++
 		domains := map[string]bool{}
-		for _, folder := range members(p) {
+		for _, folder := range replicaFolders(p) {
 			_, stays := copies[folder]
 			assert.Assert(w.t, stays, "partition %d: %s: %v of losses %d\n%v", i, folder, p, w.spread.Losses, w.trace)
 			copies[folder]++
-			c := backup(p, folder)
+			c := findBackup(p, folder)
 			assert.Assert(w.t, c == nil || c.Synced)
 			domains[w.spread.Domain(w.machine(folder).storeNode())] = true
 		}
--- a/internal/tier/controlplane/operators.go
+++ b/internal/tier/controlplane/operators.go
@@ -13,20 +13,20 @@
 // Operators call with a silence of one second in mind, after which they move on: all that is done before an answer
 // fits into these.
 const (
-	probeLimit    = 200 * time.Millisecond // asking the supposed primary whether it is there, before a caller is sent to it
-	redirectLimit = 900 * time.Millisecond // holding a caller until there is a primary to send it to
-	writeLimit    = 450 * time.Millisecond // waiting for the right to write, and the write
-	answerLimit   = 600 * time.Millisecond // with the wait for the sessions
-	askPart       = 60                     // of the contact window: while a caller is held, the supposed primary is asked so often
-	takeoverPart  = 2                      // of the contact window: a takeover is over in it
-	applyPart     = 3                      // of the time in which a configuration must be applied, for the wait for the sessions
-	orderBytes    = 64 << 10               // of a body that is no configuration
-	bodyPart      = 16                     // of the memory, for a configuration
-	bodyLeast     = 4 << 20                // bytes, whatever the memory
-	// bodyMost bounds a configuration, in bytes, whatever the memory: two thirds of consensus.StateLimit. The last third
+	primaryProbeTimeout        = 200 * time.Millisecond // asking the supposed primary whether it is there, before a caller is sent to it
+	redirectTimeout            = 900 * time.Millisecond // holding a caller until there is a primary to send it to
+	operatorWriteTimeout       = 450 * time.Millisecond // waiting for the right to write, and the write
+	replaceTimeout             = 600 * time.Millisecond // with the wait for the sessions
+	primaryProbeDivisor        = 60                     // of the contact window: while a caller is held, the supposed primary is asked so often
+	takeoverDivisor            = 2                      // of the contact window: a takeover is over in it
+	acknowledgementWaitDivisor = 3                      // of the time in which a configuration must be applied, for the wait for the sessions
+	maxRequestBody             = 64 << 10               // of a body that is no configuration
+	configurationMemoryDivisor = 16                     // of the memory, for a configuration
+	minConfigurationLimit      = 4 << 20                // bytes, whatever the memory
+	// maxConfigurationLimit bounds a configuration, in bytes, whatever the memory: two thirds of consensus.StateLimit. The last third
 	// is for what the primary writes beside it, so that a configuration never keeps the turn store map from being
 	// written: records of orders (at most orderHistoryBytes) and the map (some hundred bytes for each turn store).
-	bodyMost = 32 << 20
+	maxConfigurationLimit = 32 << 20
 )
 
 // Operators is the handler of the control_plane address. docs/design/hardening/1-answers.md tells which answer a call
@@ -37,32 +37,32 @@
 	path, ok := strings.CutPrefix(r.URL.Path, "/saffronyard/")
 	call, argument, _ := strings.Cut(path, "/")
 	var method string
-	var serve func() answer
+	var serve func() response
 	switch {
 	case !ok:
 	case call == "Configuration.Replace" && argument == "":
-		method, serve = http.MethodPost, func() answer { return plane.replaceConfiguration(w, r) }
+		method, serve = http.MethodPost, func() response { return plane.replaceConfiguration(w, r) }
 	case call == "Configuration.Describe" && argument == "":
-		method, serve = http.MethodGet, func() answer { return plane.describeConfiguration(r) }
+		method, serve = http.MethodGet, func() response { return plane.describeConfiguration(r) }
 	case call == "Retire.Create" && argument != "":
-		method, serve = http.MethodPost, func() answer { return plane.createRetire(w, r, argument) }
+		method, serve = http.MethodPost, func() response { return plane.createRetire(w, r, argument) }
 	case call == "Retire.Describe" && argument != "":
-		method, serve = http.MethodGet, func() answer { return plane.describeRetire(r, argument) }
+		method, serve = http.MethodGet, func() response { return plane.describeRetire(r, argument) }
 	}
 	switch {
 	case serve == nil: // holds for each process in any state, so that it needs no primary
-		refused(http.StatusNotFound, "no such call").write(w)
+		errorResponse(http.StatusNotFound, "no such call").write(w)
 	case r.Method != method:
 		w.Header().Set("Allow", method)
-		refused(http.StatusMethodNotAllowed, "the method is "+method).write(w)
+		errorResponse(http.StatusMethodNotAllowed, "the method is "+method).write(w)
 	default:
-		plane.gate(serve()).write(w)
+		plane.withholdUnlessPrimary(serve()).write(w)
 	}
 }
 
 var (
-	errBodyTooLarge = errors.New("the body is too large")
-	errBodyCut      = errors.New("the body did not come whole")
+	errBodyTooLarge   = errors.New("the body is too large")
+	errBodyIncomplete = errors.New("the body did not come whole")
 )
 
 // readBody reads a body up to its end. It fails with errBodyTooLarge or errBodyCut.
@@ -82,18 +82,18 @@
 	case errors.As(err, &large):
 		return nil, tooLarge
 	case err != nil, r.ContentLength >= 0 && int64(b.Len()) != r.ContentLength:
-		return nil, errBodyCut
+		return nil, errBodyIncomplete
 	}
 	return b.Bytes(), nil
 }
 
-// refusedBody is the answer to a call whose body readBody did not give.
-func refusedBody(err error) answer {
+// bodyErrorResponse is the answer to a call whose body readBody did not give.
+func bodyErrorResponse(err error) response {
 	if errors.Is(err, errBodyTooLarge) {
-		return refused(http.StatusRequestEntityTooLarge, err.Error())
+		return errorResponse(http.StatusRequestEntityTooLarge, err.Error())
 	}
-	return refused(http.StatusBadRequest, err.Error())
+	return errorResponse(http.StatusBadRequest, err.Error())
 }
 
 // discardBody reads what comes of a body that is not used, so that the answer is not lost to a reset.
-func discardBody(r *http.Request) { io.Copy(io.Discard, io.LimitReader(r.Body, orderBytes)) }
+func discardBody(r *http.Request) { io.Copy(io.Discard, io.LimitReader(r.Body, maxRequestBody)) }
--- a/internal/tier/controlplane/operators_test.go
+++ b/internal/tier/controlplane/operators_test.go
@@ -63,7 +63,7 @@
 func TestABodyWhoseConnectionEndsIsNotTaken(t *testing.T) {
 	s := newStore()
 	plane := New(Config{Settings: site(), Store: s})
-	assert.NilError(t, plane.settle(t.Context(), s.epoch))
+	assert.NilError(t, plane.startEpoch(t.Context(), s.epoch))
 	server := httptest.NewServer(plane.Operators())
 	defer server.Close()
 	body := configuration(4, "s")
@@ -209,7 +209,7 @@
 		began := time.Now()
 		status(t, r.replace(3, 4), 200)
 		took := time.Since(began)
-		assert.Assert(t, took <= answerLimit, "%v", took)
+		assert.Assert(t, took <= replaceTimeout, "%v", took)
 	})
 }
 
--- a/internal/tier/controlplane/orders_planted_test.go
+++ b/internal/tier/controlplane/orders_planted_test.go
@@ -18,7 +18,7 @@
 
 func (s dropsRecords) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
 	sets = maps.Clone(sets)
-	maps.DeleteFunc(sets, func(key string, _ []byte) bool { return strings.HasPrefix(key, keyOrderPrefix) })
+	maps.DeleteFunc(sets, func(key string, _ []byte) bool { return strings.HasPrefix(key, keyChangePrefix) })
 	return s.Store.Put(ctx, epoch, sets)
 }
 
@@ -28,7 +28,7 @@
 
 func (s hidesRecords) Get(key string) ([]byte, uint64) {
 	value, sequence := s.Store.Get(key)
-	if revision, is := strings.CutPrefix(key, keyOrderPrefix); is && value != nil && revision != "" {
+	if revision, is := strings.CutPrefix(key, keyChangePrefix); is && value != nil && revision != "" {
 		value = append(make([]byte, 8), value[8:]...)
 	}
 	return value, sequence
--- a/internal/tier/controlplane/orders_run_test.go
+++ b/internal/tier/controlplane/orders_run_test.go
@@ -203,22 +203,22 @@
 	return 0, ""
 }
 
-func (c *cluster) ask(method, url, base, body string) (answer, error) {
+func (c *cluster) ask(method, url, base, body string) (response, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, runPatience)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader([]byte(body)))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	if base != "" {
 		q.Header.Set("X-Base-Revision", base)
 	}
-	response, err := transport{c, "operator"}.RoundTrip(q)
+	reply, err := transport{c, "operator"}.RoundTrip(q)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	all, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, body: all, location: response.Header.Get("Location")}, errors.Join(err)
+	all, err := io.ReadAll(reply.Body)
+	return response{status: reply.StatusCode, body: all, location: reply.Header.Get("Location")}, errors.Join(err)
 }
 
 // fail lets one machine after the other fail, the primary most of all, and now and then all at once.
--- a/internal/tier/controlplane/orders_test.go
+++ b/internal/tier/controlplane/orders_test.go
@@ -14,17 +14,17 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-var cmpOrders = cmp.AllowUnexported(configurationOrder{})
+var cmpOrders = cmp.AllowUnexported(configurationChange{})
 
 // orderOf is an order whose body is told apart by a name.
-func orderOf(base, revision int64, body string) configurationOrder {
-	return configurationOrder{revision: revision, base: base, digest: digestOf([]byte(body))}
+func orderOf(base, revision int64, body string) configurationChange {
+	return configurationChange{revision: revision, baseRevision: base, digest: digestOf([]byte(body))}
 }
 
 // takenOrders is the history of orders that came one after the other.
-func takenOrders(orders ...configurationOrder) (h orderHistory) {
+func takenOrders(orders ...configurationChange) (h changeHistory) {
 	for _, order := range orders {
-		h, _ = h.take(order)
+		h, _ = h.accept(order)
 	}
 	return h
 }
@@ -32,42 +32,42 @@
 func TestDecideOnAnOrder(t *testing.T) {
 	three := takenOrders(orderOf(0, 3, "a"), orderOf(3, 5, "b"), orderOf(5, 9, "c"))
 	// What was taken before 5 is forgotten.
-	forgetful := orderHistory{current: 9, records: three.records[2:]}
+	forgetful := changeHistory{current: 9, records: three.records[2:]}
 	// Written by a program that kept no records.
-	unrecorded, err := loadOrders(9, []byte("c"), func(string) ([]byte, uint64) { return nil, 0 })
+	unrecorded, err := loadChangeHistory(9, []byte("c"), func(string) ([]byte, uint64) { return nil, 0 })
 	assert.NilError(t, err)
 	for _, c := range []struct {
 		name    string
-		history orderHistory
-		order   configurationOrder
-		want    verdict
+		history changeHistory
+		order   configurationChange
+		want    decision
 	}{
-		{"the first", orderHistory{}, orderOf(0, 3, "a"), verdictTake},
-		{"the first, on a base", orderHistory{}, orderOf(1, 3, "a"), verdictConflict},
-		{"the next", three, orderOf(9, 10, "d"), verdictTake},
-		{"the one in force again", three, orderOf(5, 9, "c"), verdictTaken},
-		{"one that another was taken on", three, orderOf(3, 5, "b"), verdictTaken},
-		{"the oldest", three, orderOf(0, 3, "a"), verdictTaken},
-		{"equal body, other base", three, orderOf(4, 5, "b"), verdictTaken},
-		{"equal body, base in force", three, orderOf(9, 9, "c"), verdictTaken},
-		{"equal number, other body", three, orderOf(3, 5, "x"), verdictConflict},
-		{"equal number and base as the one in force, other body", three, orderOf(5, 9, "x"), verdictConflict},
-		{"a number never taken", three, orderOf(3, 6, "x"), verdictConflict},
-		{"a base that is not there yet", three, orderOf(10, 11, "x"), verdictConflict},
-		{"not above its base", three, orderOf(9, 9, "x"), verdictNotAbove},
-		{"below its base", three, orderOf(9, 4, "x"), verdictNotAbove},
-		{"forgotten", forgetful, orderOf(0, 3, "a"), verdictForgotten},
-		{"forgotten, the last one", forgetful, orderOf(3, 5, "b"), verdictForgotten},
-		{"never taken, but nobody knows any more", forgetful, orderOf(3, 4, "x"), verdictForgotten},
-		{"on a forgotten base, but above the span's begin", forgetful, orderOf(3, 6, "x"), verdictConflict},
-		{"within the span", forgetful, orderOf(5, 6, "x"), verdictConflict},
-		{"in the span", forgetful, orderOf(5, 9, "c"), verdictTaken},
-		{"the next of a forgetful one", forgetful, orderOf(9, 10, "d"), verdictTake},
-		{"in force without a record", unrecorded, orderOf(5, 9, "c"), verdictTaken},
-		{"before one without a record", unrecorded, orderOf(3, 5, "b"), verdictForgotten},
-		{"beside one without a record", unrecorded, orderOf(5, 9, "x"), verdictForgotten},
-		{"above one without a record, on another base", unrecorded, orderOf(3, 10, "x"), verdictConflict},
-		{"on one without a record", unrecorded, orderOf(9, 10, "d"), verdictTake},
+		{"the first", changeHistory{}, orderOf(0, 3, "a"), decisionAccept},
+		{"the first, on a base", changeHistory{}, orderOf(1, 3, "a"), decisionConflict},
+		{"the next", three, orderOf(9, 10, "d"), decisionAccept},
+		{"the one in force again", three, orderOf(5, 9, "c"), decisionAlreadyAccepted},
+		{"one that another was taken on", three, orderOf(3, 5, "b"), decisionAlreadyAccepted},
+		{"the oldest", three, orderOf(0, 3, "a"), decisionAlreadyAccepted},
+		{"equal body, other base", three, orderOf(4, 5, "b"), decisionAlreadyAccepted},
+		{"equal body, base in force", three, orderOf(9, 9, "c"), decisionAlreadyAccepted},
+		{"equal number, other body", three, orderOf(3, 5, "x"), decisionConflict},
+		{"equal number and base as the one in force, other body", three, orderOf(5, 9, "x"), decisionConflict},
+		{"a number never taken", three, orderOf(3, 6, "x"), decisionConflict},
+		{"a base that is not there yet", three, orderOf(10, 11, "x"), decisionConflict},
+		{"not above its base", three, orderOf(9, 9, "x"), decisionNotNewer},
+		{"below its base", three, orderOf(9, 4, "x"), decisionNotNewer},
+		{"forgotten", forgetful, orderOf(0, 3, "a"), decisionTooOld},
+		{"forgotten, the last one", forgetful, orderOf(3, 5, "b"), decisionTooOld},
+		{"never taken, but nobody knows any more", forgetful, orderOf(3, 4, "x"), decisionTooOld},
+		{"on a forgotten base, but above the span's begin", forgetful, orderOf(3, 6, "x"), decisionConflict},
+		{"within the span", forgetful, orderOf(5, 6, "x"), decisionConflict},
+		{"in the span", forgetful, orderOf(5, 9, "c"), decisionAlreadyAccepted},
+		{"the next of a forgetful one", forgetful, orderOf(9, 10, "d"), decisionAccept},
+		{"in force without a record", unrecorded, orderOf(5, 9, "c"), decisionAlreadyAccepted},
+		{"before one without a record", unrecorded, orderOf(3, 5, "b"), decisionTooOld},
+		{"beside one without a record", unrecorded, orderOf(5, 9, "x"), decisionTooOld},
+		{"above one without a record, on another base", unrecorded, orderOf(3, 10, "x"), decisionConflict},
+		{"on one without a record", unrecorded, orderOf(9, 10, "d"), decisionAccept},
 	} {
 		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.history.decide(c.order), c.want) })
 	}
@@ -76,45 +76,45 @@
 // The oldest record goes in the same write that brings the newest, and what is read back is what was kept.
 func TestOrderHistoryIsBoundedAndReadBack(t *testing.T) {
 	state := map[string][]byte{}
-	var h orderHistory
-	const orders = orderHistoryLimit + 50
+	var h changeHistory
+	const orders = changeHistoryLimit + 50
 	for i := int64(1); i <= orders; i++ {
 		order := orderOf(3*(i-1), 3*i, fmt.Sprint(i))
 		var sets map[string][]byte
-		h, sets = h.take(order)
+		h, sets = h.accept(order)
 		maps.Copy(state, sets)
 		maps.DeleteFunc(state, func(_ string, value []byte) bool { return value == nil })
 		assert.Assert(t, len(sets) <= 2)
-		assert.Assert(t, len(state) <= orderHistoryLimit)
+		assert.Assert(t, len(state) <= changeHistoryLimit)
 	}
-	assert.Equal(t, len(h.records), orderHistoryLimit)
-	assert.Equal(t, h.spanStart(), int64(3*50))
-	back, err := loadOrders(3*orders, nil, func(key string) ([]byte, uint64) { return state[key], 1 })
+	assert.Equal(t, len(h.records), changeHistoryLimit)
+	assert.Equal(t, h.startRevision(), int64(3*50))
+	back, err := loadChangeHistory(3*orders, nil, func(key string) ([]byte, uint64) { return state[key], 1 })
 	assert.NilError(t, err)
 	assert.Equal(t, back.current, h.current)
 	assert.DeepEqual(t, back.records, h.records, cmpOrders)
-	assert.Equal(t, back.decide(orderOf(0, 3, "1")), verdictForgotten)
-	assert.Equal(t, back.decide(orderOf(3*50, 3*51, "51")), verdictTaken)
+	assert.Equal(t, back.decide(orderOf(0, 3, "1")), decisionTooOld)
+	assert.Equal(t, back.decide(orderOf(3*50, 3*51, "51")), decisionAlreadyAccepted)
 }
 
 func TestOrderRecordsKeepWithinTheirBytes(t *testing.T) {
 	const largest = 1 << 53 // the largest revision that a configuration may have
 	order := orderOf(largest-1, largest, "x")
-	entry := &tierv1.Entry{Key: orderKey(largest), Value: order.encode(), Sequence: 1<<63 + 1}
+	entry := &tierv1.Entry{Key: changeKey(largest), Value: order.encode(), Sequence: 1<<63 + 1}
 	whole := &tierv1.WriteRequest{Entries: []*tierv1.Entry{entry}}
-	assert.Assert(t, proto.Size(whole) <= orderRecordBytes, "%d", proto.Size(whole))
-	assert.Assert(t, orderHistoryLimit*orderRecordBytes <= orderHistoryBytes)
-	assert.Assert(t, orderHistoryLimit >= 1700)
+	assert.Assert(t, proto.Size(whole) <= maxChangeRecordBytes, "%d", proto.Size(whole))
+	assert.Assert(t, changeHistoryLimit*maxChangeRecordBytes <= maxChangeHistoryBytes)
+	assert.Assert(t, changeHistoryLimit >= 1700)
 	all := &tierv1.WriteRequest{}
-	for i := range int64(orderHistoryLimit) { // as a day of 2,048 changes leaves them
-		all.Entries = append(all.Entries, &tierv1.Entry{Key: orderKey(2 * i), Value: order.encode(), Sequence: uint64(i)})
+	for i := range int64(changeHistoryLimit) { // as a day of 2,048 changes leaves them
+		all.Entries = append(all.Entries, &tierv1.Entry{Key: changeKey(2 * i), Value: order.encode(), Sequence: uint64(i)})
 	}
 	t.Logf("the largest record has %d bytes, a full history %d", proto.Size(whole), proto.Size(all))
 }
 
 func TestDamagedOrderRecordsAreNotRead(t *testing.T) {
 	for _, value := range [][]byte{{}, {1}, orderOf(5, 5, "a").encode(), orderOf(9, 5, "a").encode(), append(orderOf(3, 5, "a").encode(), 0)} {
-		_, err := loadOrders(5, nil, func(string) ([]byte, uint64) { return value, 1 })
+		_, err := loadChangeHistory(5, nil, func(string) ([]byte, uint64) { return value, 1 })
 		assert.Assert(t, err != nil, "%x", value)
 	}
 }
@@ -122,11 +122,11 @@
 // An older history is not changed by a newer one that was made from it: sessions and calls under way hold it.
 func TestHistoriesDoNotShare(t *testing.T) {
 	base := takenOrders(orderOf(0, 3, "a"), orderOf(3, 5, "b"))
-	left, _ := base.take(orderOf(5, 6, "left"))
-	right, _ := base.take(orderOf(5, 7, "right"))
-	assert.Equal(t, left.decide(orderOf(5, 6, "left")), verdictTaken)
-	assert.Equal(t, right.decide(orderOf(5, 6, "left")), verdictConflict)
-	assert.Equal(t, base.decide(orderOf(5, 6, "left")), verdictTake)
+	left, _ := base.accept(orderOf(5, 6, "left"))
+	right, _ := base.accept(orderOf(5, 7, "right"))
+	assert.Equal(t, left.decide(orderOf(5, 6, "left")), decisionAlreadyAccepted)
+	assert.Equal(t, right.decide(orderOf(5, 6, "left")), decisionConflict)
+	assert.Equal(t, base.decide(orderOf(5, 6, "left")), decisionAccept)
 }
 
 func TestATakenOrderIsAcknowledgedAgainAfterLaterOnes(t *testing.T) {
@@ -157,7 +157,7 @@
 		status(t, r.replace(3, 5), 200)
 		status(t, r.replace(5, 6), 200)
 		r.s.set(func() {
-			delete(r.s.values, orderKey(3))
+			delete(r.s.values, changeKey(3))
 			r.s.epoch += 1 << 12
 		})
 		r.pass(500 * time.Millisecond)
@@ -179,7 +179,7 @@
 		status(t, r.replace(0, 3), 200)
 		status(t, r.replace(3, 5), 200)
 		assert.Equal(t, len(writes), 2)
-		for i, key := range []string{orderKey(3), orderKey(5)} {
+		for i, key := range []string{changeKey(3), changeKey(5)} {
 			assert.Assert(t, writes[i][keyConfiguration] != nil && writes[i][key] != nil)
 		}
 	})
@@ -242,10 +242,10 @@
 
 func BenchmarkOrderHistory(b *testing.B) {
 	state := map[string][]byte{}
-	var h orderHistory
-	for i := int64(1); i <= orderHistoryLimit; i++ {
+	var h changeHistory
+	for i := int64(1); i <= changeHistoryLimit; i++ {
 		var sets map[string][]byte
-		h, sets = h.take(orderOf(i-1, i, fmt.Sprint(i)))
+		h, sets = h.accept(orderOf(i-1, i, fmt.Sprint(i)))
 		maps.Copy(state, sets)
 	}
 	next := orderOf(h.current, h.current+1, "next")
@@ -256,12 +256,12 @@
 	})
 	b.Run("take", func(b *testing.B) {
 		for b.Loop() {
-			h.take(next)
+			h.accept(next)
 		}
 	})
 	b.Run("load", func(b *testing.B) {
 		for b.Loop() {
-			if _, err := loadOrders(h.current, nil, func(key string) ([]byte, uint64) { return state[key], 1 }); err != nil {
+			if _, err := loadChangeHistory(h.current, nil, func(key string) ([]byte, uint64) { return state[key], 1 }); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/tier/controlplane/pace_test.go
+++ b/internal/tier/controlplane/pace_test.go
@@ -26,7 +26,7 @@
 		{20, 0, time.Second, 20},
 		{20, -time.Second, time.Second, 20},
 	} {
-		assert.Equal(t, movesAtATime(test.moves, test.within, test.moveTime), test.want, "%+v", test)
+		assert.Equal(t, concurrentMoves(test.moves, test.within, test.moveTime), test.want, "%+v", test)
 	}
 }
 
@@ -41,38 +41,38 @@
 		},
 		Retiring: []string{"n1", "n2", "gone"},
 	}
-	pace := func(left map[string]time.Duration) int { return retirePace(m, left, time.Second) }
+	pace := func(left map[string]time.Duration) int { return requiredMoves(m, left, time.Second) }
 	assert.Equal(t, pace(nil), 0)
 	assert.Equal(t, pace(map[string]time.Duration{"gone": 0, "n3": 0}), 0)
 	assert.Equal(t, pace(map[string]time.Duration{"n1": time.Minute}), 1)
 	assert.Equal(t, pace(map[string]time.Duration{"n1": 0}), 2)
 	assert.Equal(t, pace(map[string]time.Duration{"n1": 0, "n2": 0}), 4)
-	assert.Equal(t, retirePace(nil, map[string]time.Duration{"n1": 0}, time.Second), 0)
+	assert.Equal(t, requiredMoves(nil, map[string]time.Duration{"n1": 0}, time.Second), 0)
 }
 
 // An order that another process took has no time left, as its age is not known; one without a time never runs out.
 func TestRetireTimes(t *testing.T) {
 	now := time.Now()
-	times := retireTimes{}
-	times.note("timed", now, retireDuration(7))
+	times := retireDeadlines{}
+	times.record("timed", now, retireDuration(7))
 	for i, seconds := range []float64{0, -1, 1e300} {
-		times.note(fmt.Sprint("endless", i), now, retireDuration(seconds))
+		times.record(fmt.Sprint("endless", i), now, retireDuration(seconds))
 	}
-	left := times.left(now.Add(5*time.Second), []string{"timed", "endless0", "endless1", "endless2", "another's"})
+	left := times.remaining(now.Add(5*time.Second), []string{"timed", "endless0", "endless1", "endless2", "another's"})
 	assert.DeepEqual(t, left, map[string]time.Duration{"timed": 2 * time.Second, "another's": 0})
 }
 
 // An order that comes again before it could be taken has the time that it had at first; after that it is a new one.
 func TestRetireTimesOfAnOrderThatComesAgain(t *testing.T) {
 	now := time.Now()
-	times := retireTimes{}
-	left := func(after time.Duration) time.Duration { return times.left(now.Add(after), []string{"n"})["n"] }
-	times.note("n", now, 7*time.Second)
-	times.note("n", now.Add(5*time.Second), 7*time.Second)
+	times := retireDeadlines{}
+	left := func(after time.Duration) time.Duration { return times.remaining(now.Add(after), []string{"n"})["n"] }
+	times.record("n", now, 7*time.Second)
+	times.record("n", now.Add(5*time.Second), 7*time.Second)
 	assert.Equal(t, left(5*time.Second), 2*time.Second)
 	times.prune(now.Add(6*time.Second), nil)
 	assert.Equal(t, len(times), 1)
-	times.note("n", now.Add(8*time.Second), 7*time.Second)
+	times.record("n", now.Add(8*time.Second), 7*time.Second)
 	assert.Equal(t, left(8*time.Second), 7*time.Second)
 	times.prune(now.Add(time.Minute), []string{"n"})
 	assert.Equal(t, len(times), 1)
@@ -130,7 +130,7 @@
 				}
 			}
 			if back {
-				most = max(most, unsynced(r.turnStores()))
+				most = max(most, countUnsynced(r.turnStores()))
 			}
 			if taken {
 				r.pass(20 * time.Millisecond)
@@ -170,6 +170,6 @@
 	for _, duration := range []time.Duration{0, 2 * time.Minute} {
 		took, most := retireWithin(t, duration, away{})
 		t.Logf("in %v: took %v, at most %d copies at a time", duration, took, most)
-		assert.Assert(t, most <= partitionCount/moveShare, "%d copies at a time", most)
+		assert.Assert(t, most <= partitionCount/concurrentMoveDivisor, "%d copies at a time", most)
 	}
 }
--- a/internal/tier/controlplane/platform.go
+++ b/internal/tier/controlplane/platform.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	pollPart  = 3                      // of the drain time: the list is asked for so often, if the platform's rate allows it
-	rateRoom  = 1.5                    // the platform takes so many times the calls that are made: only the primary makes any
-	callLimit = 500 * time.Millisecond // for one page
+	pollDivisor  = 3                      // of the drain time: the list is asked for so often, if the platform's rate allows it
+	rateHeadroom = 1.5                    // the platform takes so many times the calls that are made: only the primary makes any
+	callTimeout  = 500 * time.Millisecond // for one page
 	// In a process that is overloaded a call may miss its limit while the platform is well. Without a repeat the whole
 	// reading would be lost with it, and a draining endpoint be heard of a reading and its backoff later.
-	repeatsMost = 3 // calls for pages that did not come, in one reading
-	repeatPause = 50 * time.Millisecond
-	backoff     = 1.5 // longer after each failure in a row
-	backoffMax  = 3   // failures that count
-	pageBytes   = 16 << 20
-	pagesMost   = 10_000
-	// pushPart is a part of the drain time: what pages tell is pushed no more often, as a push goes to all sessions.
-	pushPart = 12
-	// quickPart is a part of the drain time: a list that is read within it is pushed when it is whole.
-	quickPart = 4
+	maxRetries      = 3 // calls for pages that did not come, in one reading
+	retryDelay      = 50 * time.Millisecond
+	backoffFactor   = 1.5 // longer after each failure in a row
+	maxBackoffSteps = 3   // failures that count
+	maxPageBytes    = 16 << 20
+	maxPages        = 10_000
+	// pushIntervalDivisor is a part of the drain time: what pages tell is pushed no more often, as a push goes to all sessions.
+	pushIntervalDivisor = 12
+	// quickScanDivisor is a part of the drain time: a list that is read within it is pushed when it is whole.
+	quickScanDivisor = 4
 )
 
-// poll asks the platform for its list while this process is the primary.
-func (k *ControlPlane) poll(ctx context.Context) {
-	if k.Settings.CloudAddress == "" {
+// pollPlatform asks the platform for its list while this process is the primary.
+func (plane *ControlPlane) pollPlatform(ctx context.Context) {
+	if plane.Settings.CloudAddress == "" {
 		return
 	}
 	timer := time.NewTimer(time.Hour)
@@ -42,25 +42,25 @@
 	failures := 0
 	for {
 		pause := time.Hour // until this process is the primary
-		v, ok := k.primary()
+		v, ok := plane.primary()
 		if v.ready {
-			pause = k.interval(1, 0)
+			pause = plane.pollInterval(1, 0)
 		}
 		if ok {
 			began := time.Now()
-			calls, wait, err := k.readList(ctx, v.epoch)
-			pause = k.interval(calls, failures)
+			calls, wait, err := plane.scanPlatform(ctx, v.epoch)
+			pause = plane.pollInterval(calls, failures)
 			switch {
 			case errorx.IsOfType(err, errNoLongerPrimary): // nothing is wrong with the platform
 			case err != nil:
 				if ctx.Err() == nil && failures == 0 {
-					k.Log.Warn().Str("event", "platform_silent").Str("error", err.Error()).Msg("")
+					plane.Log.Warn().Str("event", "platform_silent").Str("error", err.Error()).Msg("")
 				}
 				failures++
-				pause = max(wait, k.interval(calls, failures))
+				pause = max(wait, plane.pollInterval(calls, failures))
 			default:
 				if failures > 0 {
-					k.Log.Info().Str("event", "platform_answers").Int("failures", failures).Msg("")
+					plane.Log.Info().Str("event", "platform_answers").Int("failures", failures).Msg("")
 				}
 				failures = 0
 			}
@@ -71,22 +71,22 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-k.polled:
+		case <-plane.pollNow:
 		}
 	}
 }
 
-// interval is the time from one reading of the list to the next.
-func (k *ControlPlane) interval(pages, failures int) time.Duration {
-	d := k.Settings.DrainTimeout / pollPart
-	if rate := k.Settings.CloudRate; rate > 0 {
-		d = max(d, time.Duration(float64(max(pages, 1))*rateRoom/rate*float64(time.Second)))
+// pollInterval is the time from one reading of the list to the next.
+func (plane *ControlPlane) pollInterval(pages, failures int) time.Duration {
+	d := plane.Settings.DrainTimeout / pollDivisor
+	if rate := plane.Settings.CloudRate; rate > 0 {
+		d = max(d, time.Duration(float64(max(pages, 1))*rateHeadroom/rate*float64(time.Second)))
 	}
-	return time.Duration(float64(max(d, 50*time.Millisecond)) * math.Pow(backoff, float64(min(failures, backoffMax))))
+	return time.Duration(float64(max(d, 50*time.Millisecond)) * math.Pow(backoffFactor, float64(min(failures, maxBackoffSteps))))
 }
 
-// page is one page of the platform's answer.
-type page struct {
+// instancePage is one page of the platform's answer.
+type instancePage struct {
 	Instances []struct {
 		Instance  string  `json:"instance_id"`
 		Service   string  `json:"service_name"`
@@ -106,46 +106,46 @@
 }
 
 // endpoints gives the entries of a page that can be used.
-func (p *page) endpoints() []*tierv1.Endpoint {
+func (p *instancePage) endpoints() []*tierv1.Endpoint {
 	var list []*tierv1.Endpoint
 	for _, i := range p.Instances {
 		if i.Instance == "" || i.Address == "" {
 			continue
 		}
 		one := &tierv1.Endpoint{Instance: i.Instance, Service: i.Service, Address: i.Address, Zone: i.Zone,
-			Capacity: whole32(i.Capacity), Draining: i.State == "draining", SlowStartRemainingMs: whole32(i.ColdForMs),
+			Capacity: clampUint32(i.Capacity), Draining: i.State == "draining", SlowStartRemainingMs: clampUint32(i.ColdForMs),
 			Revision: i.Revision, Phase: i.Phase}
 		for _, m := range i.Models {
-			one.Models = append(one.Models, &tierv1.Model{Name: m.Name, Revision: whole32(m.Revision)})
+			one.Models = append(one.Models, &tierv1.Model{Name: m.Name, Revision: clampUint32(m.Revision)})
 		}
 		list = append(list, one)
 	}
 	return list
 }
 
-// readList reads the list, and publishes what its pages tell as they come. Before it gives up, it asks again for pages that
+// scanPlatform reads the list, and publishes what its pages tell as they come. Before it gives up, it asks again for pages that
 // did not come, repeatsMost times in all. It tells how many calls the platform had to answer, and how long it asks to wait
 // after a refusal.
-func (k *ControlPlane) readList(ctx context.Context, epoch uint64) (calls int, wait time.Duration, err error) {
-	defer k.publishRest(epoch)
-	k.beginReading(epoch)
+func (plane *ControlPlane) scanPlatform(ctx context.Context, epoch uint64) (calls int, wait time.Duration, err error) {
+	defer plane.publishPending(epoch)
+	plane.beginScan(epoch)
 	token, repeats := "", 0
 	spacing := time.Duration(0) // between calls: none until the platform refuses one
 	seen := map[string]bool{}
-	for calls < pagesMost {
-		if now, primary := k.Store.Primary(); !primary || now != epoch {
+	for calls < maxPages {
+		if now, primary := plane.Store.Primary(); !primary || now != epoch {
 			return calls, 0, errNoLongerPrimary.New("epoch %d", epoch) // the calls are another's to make
 		}
 		calls++
-		p, wait, err := k.page(ctx, token)
+		p, wait, err := plane.fetchPage(ctx, token)
 		refused := errorx.IsOfType(err, errPlatformRefuses)
-		if err != nil && repeats < repeatsMost && !(refused && token == "") { // a refusal of the first page ends the reading
+		if err != nil && repeats < maxRetries && !(refused && token == "") { // a refusal of the first page ends the reading
 			repeats++
 			if refused {
-				spacing = k.callSpacing()
+				spacing = plane.callSpacing()
 				calls-- // it took none of what the rate allows
 			}
-			if k.awaitRepeat(ctx, err, wait) {
+			if plane.awaitRetry(ctx, err, wait) {
 				continue
 			}
 		}
@@ -153,7 +153,7 @@
 			return calls, wait, err
 		}
 		last := p.Next == nil || *p.Next == ""
-		k.takePage(epoch, p.endpoints(), last)
+		plane.addPage(epoch, p.endpoints(), last)
 		if last {
 			return calls, 0, nil
 		}
@@ -169,7 +169,7 @@
 	return calls, 0, errorx.IllegalFormat.New("the list has no end")
 }
 
-func whole32(f float64) uint32 { return uint32(min(max(f, 0), math.MaxUint32)) }
+func clampUint32(f float64) uint32 { return uint32(min(max(f, 0), math.MaxUint32)) }
 
 // errPlatformRefuses is the type of the error of a call that the platform refuses, as too many came.
 var errPlatformRefuses = errorx.NewType(errorx.NewNamespace("platform"), "refuses")
@@ -178,23 +178,23 @@
 var errNoLongerPrimary = errorx.NewType(errorx.NewNamespace("controlplane"), "no_longer_primary")
 
 // callSpacing is the time from one call to the next at the platform's rate, with room; 0 where no rate is known.
-func (k *ControlPlane) callSpacing() time.Duration {
-	rate := k.Settings.CloudRate
+func (plane *ControlPlane) callSpacing() time.Duration {
+	rate := plane.Settings.CloudRate
 	if rate <= 0 {
 		return 0
 	}
-	return time.Duration(rateRoom / rate * float64(time.Second))
+	return time.Duration(rateHeadroom / rate * float64(time.Second))
 }
 
-// awaitRepeat waits until a call that failed with err may be made again, and tells whether it may within this reading. One
+// awaitRetry waits until a call that failed with err may be made again, and tells whether it may within this reading. One
 // that was refused is made again at the platform's rate, unless the platform asks to wait for longer than a reading is worth:
 // a list with more pages than calls are taken at once would never be read otherwise.
-func (k *ControlPlane) awaitRepeat(ctx context.Context, err error, wait time.Duration) bool {
+func (plane *ControlPlane) awaitRetry(ctx context.Context, err error, wait time.Duration) bool {
 	if !errorx.IsOfType(err, errPlatformRefuses) {
-		return sleep(ctx, repeatPause)
+		return sleep(ctx, retryDelay)
 	}
-	spacing := k.callSpacing()
-	if spacing == 0 || wait > k.Settings.DrainTimeout/pollPart {
+	spacing := plane.callSpacing()
+	if spacing == 0 || wait > plane.Settings.DrainTimeout/pollDivisor {
 		return false
 	}
 	return sleep(ctx, max(wait, spacing))
@@ -212,11 +212,11 @@
 	}
 }
 
-// page asks for one page of the list.
-func (k *ControlPlane) page(ctx context.Context, token string) (p *page, wait time.Duration, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// fetchPage asks for one page of the list.
+func (plane *ControlPlane) fetchPage(ctx context.Context, token string) (p *instancePage, wait time.Duration, err error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	at := url.URL{Scheme: "http", Host: k.Settings.CloudAddress, Path: "/instances"}
+	at := url.URL{Scheme: "http", Host: plane.Settings.CloudAddress, Path: "/instances"}
 	if token != "" {
 		at.RawQuery = url.Values{"page_token": {token}}.Encode()
 	}
@@ -224,15 +224,15 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	resp, err := k.Cloud.Do(req)
+	resp, err := plane.Cloud.Do(req)
 	if err != nil {
 		return nil, 0, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, pageBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes))
 	if resp.StatusCode != http.StatusOK {
 		if s, bad := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); bad == nil && s > 0 {
-			wait = time.Duration(min(s, k.Settings.DrainTimeout.Seconds()) * float64(time.Second))
+			wait = time.Duration(min(s, plane.Settings.DrainTimeout.Seconds()) * float64(time.Second))
 		}
 		if resp.StatusCode == http.StatusTooManyRequests || wait > 0 {
 			return nil, wait, errPlatformRefuses.New("the platform answered %d", resp.StatusCode)
@@ -242,7 +242,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	p = &page{}
+	p = &instancePage{}
 	if err := json.Unmarshal(body, p); err != nil {
 		return nil, 0, errorx.IllegalFormat.Wrap(err, "list of the platform")
 	}
--- a/internal/tier/controlplane/platform_test.go
+++ b/internal/tier/controlplane/platform_test.go
@@ -67,13 +67,13 @@
 	p := &platform{pages: map[string]string{"": listing("p-1", instance("i-2", "ready", 900)), "p-1": listing("null", instance("i-1", "draining", 0))}}
 	withinSite(t, set, p, func(r *rig) {
 		endpoints := func() (uint64, int) {
-			v, _ := r.k.snapshot()
+			v, _ := r.k.currentView()
 			return v.endpoints.GetVersion(), len(v.endpoints.GetList())
 		}
 		first, n := endpoints() // asked for at once
 		assert.Equal(t, n, 2)
 		assert.Assert(t, first > r.s.epoch<<24)
-		v, _ := r.k.snapshot()
+		v, _ := r.k.currentView()
 		one := v.endpoints.List[0]
 		assert.Assert(t, one.Instance == "i-1" && one.Draining && one.Capacity == 96 && one.Models[0].Name == "m" && one.Phase == "both")
 		gateway := r.join(roleGateway, "e1", nil)
@@ -83,7 +83,7 @@
 		r.pass(1100 * time.Millisecond)
 		now, _ := endpoints()
 		assert.Equal(t, now, first, "a list that only grew warmer was pushed")
-		v, _ = r.k.snapshot()
+		v, _ = r.k.currentView()
 		assert.Equal(t, v.endpoints.List[1].SlowStartRemainingMs, uint32(100))
 
 		p.set(func() { delete(p.pages, "p-1"); p.pages[""] = listing("p-1", instance("i-3", "ready", 0)) })
--- a/internal/tier/controlplane/random_test.go
+++ b/internal/tier/controlplane/random_test.go
@@ -24,7 +24,7 @@
 	r := rand.New(rand.NewPCG(seed, 1))
 	losses := 1 + r.IntN(2)
 	n := losses + 1 + r.IntN(4)
-	spread := Spread{losses, byNode}
+	spread := FaultTolerance{losses, byNode}
 	if r.IntN(3) == 0 {
 		spread.Domain = byZone
 	}
@@ -109,7 +109,7 @@
 			w.acknowledge(w.machines[r.IntN(len(w.machines))], r.IntN(partitionCount))
 		}
 		in := w.input()
-		in.Certain = r.IntN(4) > 0
+		in.GraceOver = r.IntN(4) > 0
 		if r.IntN(2) == 0 {
 			w.assign(in)
 			if r.IntN(2) == 0 {
@@ -142,7 +142,7 @@
 
 // takeAway takes a machine that control has told to be empty away for good, with its disk.
 func (w *world) takeAway(m *machine) bool {
-	if !slices.Contains(w.m.Retiring, m.node) || lifecycle(w.m, m.node, w.spread.Losses) != retireCompleted {
+	if !slices.Contains(w.m.Retiring, m.node) || lifecycleState(w.m, m.node, w.spread.Losses) != retireCompleted {
 		return false
 	}
 	w.note("%s is taken away", m.node)
--- a/internal/tier/controlplane/rebalance.go
+++ b/internal/tier/controlplane/rebalance.go
@@ -8,10 +8,12 @@
 )
 
 // maxMoves is the number of partitions that may move at a time.
-func (a *assignment) maxMoves() int { return max(1, len(a.m.Partitions)/moveShare, a.Pace) }
+func (a *assignment) maxMoves() int {
+	return max(1, len(a.m.Partitions)/concurrentMoveDivisor, a.RequiredMoves)
+}
 
-// movesUnderWay counts the partitions of which a copy is under way, and gets on.
-func (a *assignment) movesUnderWay() int {
+// activeMoves counts the partitions of which a copy is under way, and gets on.
+func (a *assignment) activeMoves() int {
 	n := 0
 	for i, p := range a.m.Partitions {
 		if a.alive(p.Primary) && !a.Slow[uint32(i)] && slices.ContainsFunc(p.Backups, func(c *tierv1.Replica) bool { return !c.Synced }) {
@@ -21,11 +23,11 @@
 	return n
 }
 
-// settled tells whether each partition has its synced copies, on turn stores that stay, or is under way to another.
-func (a *assignment) settled() bool {
+// stable tells whether each partition has its synced copies, on turn stores that stay, or is under way to another.
+func (a *assignment) stable() bool {
 	for _, p := range a.m.Partitions {
 		n := 0
-		for _, folder := range members(p) {
+		for _, folder := range replicaFolders(p) {
 			if a.departing(folder) || !a.alive(folder) {
 				return false
 			}
@@ -42,10 +44,10 @@
 
 // rebalance makes copies and primaries even, a few partitions at a time.
 func (a *assignment) rebalance() {
-	if !a.settled() {
+	if !a.stable() {
 		return
 	}
-	for a.movesUnderWay() < a.maxMoves() && a.startMove() {
+	for a.activeMoves() < a.maxMoves() && a.startMove() {
 	}
 	for range a.maxMoves() {
 		if !a.balancePrimary() {
@@ -57,17 +59,17 @@
 // startMove begins a copy that, once whole, takes the place of another. It is one that parts copies of the same domain, or
 // that makes the turn stores' shares more even.
 func (a *assignment) startMove() bool {
-	load := a.copiesByStore()
+	load := a.replicasByStore()
 	var usable []string
-	for _, folder := range sorted(a.Alive) {
+	for _, folder := range sortedKeys(a.Alive) {
 		if a.usable(folder) {
 			usable = append(usable, folder)
 		}
 	}
 	slices.SortStableFunc(usable, func(x, y string) int { return cmp.Compare(load[x], load[y]) })
 	for _, p := range a.m.Partitions {
-		all := members(p)
-		if a.stayingCopies(p) != a.Losses+1 {
+		all := replicaFolders(p)
+		if a.stayingReplicas(p) != a.Losses+1 {
 			continue
 		}
 		for _, to := range usable {
@@ -75,7 +77,7 @@
 				continue
 			}
 			for _, from := range all {
-				if a.conflicts(all, from) > a.conflictsWithout(all, from, to) {
+				if a.domainConflicts(all, from) > a.domainConflictsAfterMove(all, from, to) {
 					return a.addReplacement(p, from, to)
 				}
 			}
@@ -88,9 +90,9 @@
 				break
 			}
 			for _, p := range a.m.Partitions {
-				all := members(p)
-				if a.stayingCopies(p) == a.Losses+1 && slices.Contains(all, from) && !slices.Contains(all, to) &&
-					a.conflictsWithout(all, from, to) <= a.conflicts(all, from) {
+				all := replicaFolders(p)
+				if a.stayingReplicas(p) == a.Losses+1 && slices.Contains(all, from) && !slices.Contains(all, to) &&
+					a.domainConflictsAfterMove(all, from, to) <= a.domainConflicts(all, from) {
 					return a.addReplacement(p, from, to)
 				}
 			}
@@ -99,9 +101,9 @@
 	return false
 }
 
-// conflictsWithout counts the conflicts of one that takes the place of another.
-func (a *assignment) conflictsWithout(all []string, from, to string) int {
-	n := a.conflicts(all, to)
+// domainConflictsAfterMove counts the conflicts of one that takes the place of another.
+func (a *assignment) domainConflictsAfterMove(all []string, from, to string) int {
+	n := a.domainConflicts(all, to)
 	if a.domain(from) == a.domain(to) {
 		n--
 	}
@@ -110,7 +112,7 @@
 
 // addReplacement adds a copy right behind the one whose place it takes.
 func (a *assignment) addReplacement(p *tierv1.Partition, from, to string) bool {
-	at := slices.Index(members(p), from)
+	at := slices.Index(replicaFolders(p), from)
 	p.Backups = slices.Insert(p.Backups, at, &tierv1.Replica{Folder: to})
 	return true
 }
@@ -143,7 +145,7 @@
 				return true
 			}
 			for _, p := range a.m.Partitions {
-				if p.Primary != at || a.stayingCopies(p) != a.Losses+1 {
+				if p.Primary != at || a.stayingReplicas(p) != a.Losses+1 {
 					continue
 				}
 				for _, c := range p.Backups {
--- a/internal/tier/controlplane/reconcile.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -15,10 +15,10 @@
 
 // reconciler is the state of the loop that reconciles the turn store map, within one epoch.
 type reconciler struct {
-	last  string // what the map was made from
-	done  bool   // and nothing was to be changed
-	wrote time.Time
-	stall stallTracker
+	lastInput string // what the map was made from
+	unchanged bool   // and nothing was to be changed
+	lastWrite time.Time
+	stall     stallTracker
 }
 
 // reconcile brings the turn store map in line with the turn stores that are alive, and tells whether that went well.
@@ -30,27 +30,27 @@
 	}
 	plane.mu.Lock()
 	alive, leaving, reports := plane.sessions.storeNodes(now)
-	lapsed := plane.lapsed(now, v, alive)
-	arrived := plane.sessions.arrived
-	left := plane.retireTimes.left(now, v.partitionMap.GetRetiring())
-	plane.riskClock.observe(now, AtRisk(v.partitionMap, plane.spread, alive, plane.Settings.SyncTime).Partitions)
+	lapsed := plane.recentlyExpired(now, v, alive)
+	arrived := plane.sessions.lastStoreArrival
+	left := plane.retireDeadlines.remaining(now, v.partitionMap.GetRetiring())
+	plane.riskTimer.observe(now, AssessRisk(v.partitionMap, plane.faultTolerance, alive, plane.Settings.SyncTime).Partitions)
 	plane.mu.Unlock()
-	in := Input{Spread: plane.spread, Alive: alive, Leaving: leaving, Reports: reports, Lapsed: lapsed}
-	in.Certain = now.Sub(v.since) >= plane.window(gracePart)
-	in.Create = now.Sub(arrived) >= plane.window(settlePart)
-	in.Move = now.Sub(t.wrote) >= plane.window(tickPart)
-	in.Pace = retirePace(v.partitionMap, left, plane.window(moveTimePart))
+	in := Input{FaultTolerance: plane.faultTolerance, Alive: alive, Draining: leaving, Reports: reports, RecentlyExpired: lapsed}
+	in.GraceOver = now.Sub(v.since) >= plane.windowFraction(takeoverGraceDivisor)
+	in.MayCreate = now.Sub(arrived) >= plane.windowFraction(firstMapDelayDivisor)
+	in.MayMove = now.Sub(t.lastWrite) >= plane.windowFraction(sessionCheckDivisor)
+	in.RequiredMoves = requiredMoves(v.partitionMap, left, plane.windowFraction(moveTimeDivisor))
 	in.Slow, in.Stalled = t.stall.observe(now, plane.Settings.ContactWindow, v.partitionMap, alive)
-	seen := strconv.FormatUint(v.partitionMap.GetVersion(), 10) + ";" + in.signature()
-	if t.done && t.last == seen {
+	seen := strconv.FormatUint(v.partitionMap.GetVersion(), 10) + ";" + in.fingerprint()
+	if t.unchanged && t.lastInput == seen {
 		return true
 	}
 	if _, changed := nextMap(v.partitionMap, in); !changed {
-		t.last, t.done = seen, in.Move
+		t.lastInput, t.unchanged = seen, in.MayMove
 		return true
 	}
-	t.done = false
-	ctx, cancel := context.WithTimeout(ctx, plane.window(writePart))
+	t.unchanged = false
+	ctx, cancel := context.WithTimeout(ctx, plane.windowFraction(writeTimeoutDivisor))
 	defer cancel()
 	if plane.lockWriter(ctx) != nil {
 		return false
@@ -61,11 +61,11 @@
 		return true
 	}
 	if next, changed := nextMap(v.partitionMap, in); changed {
-		t.wrote = now
+		t.lastWrite = now
 		err := plane.putPartitionMap(ctx, epoch, next)
 		if err == nil {
-			plane.Log.Info().Str("event", "turnstores").Int("store_nodes", len(next.StoreNodes)).Int("alive", len(alive)).Int("moved", moved(v.partitionMap, next)).
-				Int("unsynced", unsynced(next)).Int("pace", in.Pace).Msg("")
+			plane.Log.Info().Str("event", "turnstores").Int("store_nodes", len(next.StoreNodes)).Int("alive", len(alive)).Int("moved", countMoved(v.partitionMap, next)).
+				Int("unsynced", countUnsynced(next)).Int("pace", in.RequiredMoves).Msg("")
 			for _, node := range next.Retired[len(v.partitionMap.GetRetired()):] {
 				plane.Log.Info().Str("event", "retired").Str("node", node).Msg("")
 			}
@@ -75,26 +75,26 @@
 	return true
 }
 
-// lapsed gives the turn stores of the map that have been lost for less than the wait (reducePart): since their sessions lapsed,
+// recentlyExpired gives the turn stores of the map that have been lost for less than the wait (reducePart): since their sessions lapsed,
 // or since the grace after a takeover was over. One that had told that it leaves, or that its disk is not sound, has not
 // lapsed. The caller holds the lock.
-func (plane *ControlPlane) lapsed(now time.Time, v *view, alive map[string]*tierv1.StoreNode) map[string]bool {
-	graceOver := v.since.Add(plane.window(gracePart))
+func (plane *ControlPlane) recentlyExpired(now time.Time, v *view, alive map[string]*tierv1.StoreNode) map[string]bool {
+	graceOver := v.since.Add(plane.windowFraction(takeoverGraceDivisor))
 	found := map[string]bool{}
 	for _, one := range v.partitionMap.GetStoreNodes() {
 		if alive[one.Folder] != nil {
 			continue
 		}
 		since := graceOver
-		if s := plane.sessions.sessionOf(one); s != nil {
-			if s.leaving || !usable(s.disk) {
+		if s := plane.sessions.storeSession(one); s != nil {
+			if s.draining || !diskUsable(s.disk) {
 				continue
 			}
-			if lapse := s.ended.Add(s.lapse); lapse.After(since) {
+			if lapse := s.lastCallEnded.Add(s.ttl); lapse.After(since) {
 				since = lapse
 			}
 		}
-		if now.Sub(since) < plane.window(reducePart) {
+		if now.Sub(since) < plane.windowFraction(lostReplicaWaitDivisor) {
 			found[one.Folder] = true
 		}
 	}
@@ -115,26 +115,26 @@
 	return after, true
 }
 
-// signature is the same for inputs that lead to the same.
-func (in Input) signature() string {
+// fingerprint is the same for inputs that lead to the same.
+func (in Input) fingerprint() string {
 	var parts []string
 	for folder, one := range in.Alive {
 		mark := "="
-		if in.Leaving[folder] {
+		if in.Draining[folder] {
 			mark = "-"
 		}
 		parts = append(parts, folder+mark+one.Address)
 	}
 	for _, r := range in.Reports {
-		parts = append(parts, fmt.Sprint(r.From, "/", r.Copy.Partition, "/", r.Copy.Epoch, "/", r.Copy.Folder))
+		parts = append(parts, fmt.Sprint(r.From, "/", r.Replica.Partition, "/", r.Replica.Epoch, "/", r.Replica.Folder))
 	}
 	slices.Sort(parts)
-	parts = append(parts, fmt.Sprint(in.Certain, in.Create, in.Pace, in.Slow, in.Stalled, in.Lapsed))
+	parts = append(parts, fmt.Sprint(in.GraceOver, in.MayCreate, in.RequiredMoves, in.Slow, in.Stalled, in.RecentlyExpired))
 	return strings.Join(parts, ";")
 }
 
-// moved is how many partitions have another epoch.
-func moved(before, after *tierv1.PartitionMap) (n int) {
+// countMoved is how many partitions have another epoch.
+func countMoved(before, after *tierv1.PartitionMap) (n int) {
 	for i, p := range after.GetPartitions() {
 		if old := before.GetPartitions(); i >= len(old) || old[i].Epoch != p.Epoch {
 			n++
@@ -143,8 +143,8 @@
 	return n
 }
 
-// unsynced is how many copies are not whole yet.
-func unsynced(m *tierv1.PartitionMap) (n int) {
+// countUnsynced is how many copies are not whole yet.
+func countUnsynced(m *tierv1.PartitionMap) (n int) {
 	for _, p := range m.GetPartitions() {
 		for _, c := range p.Backups {
 			if !c.Synced {
--- a/internal/tier/controlplane/redirect_test.go
+++ b/internal/tier/controlplane/redirect_test.go
@@ -50,7 +50,7 @@
 		w := r.replace(0, 3)
 		status(t, w, 307)
 		assert.Equal(t, w.Header().Get("Location"), "http://10.0.0.1:8144/saffronyard/Configuration.Replace")
-		assert.Assert(t, time.Since(began) < 300*time.Millisecond+2*r.k.window(askPart), "%v", time.Since(began))
+		assert.Assert(t, time.Since(began) < 300*time.Millisecond+2*r.k.windowFraction(primaryProbeDivisor), "%v", time.Since(began))
 		status(t, r.replace(0, 3), 200)
 	})
 }
@@ -65,12 +65,12 @@
 			return time.Since(began)
 		}
 		r.leaderless()
-		assert.Equal(t, took(), redirectLimit)
-		assert.Equal(t, took(), r.k.window(takeoverPart)-redirectLimit)
+		assert.Equal(t, took(), redirectTimeout)
+		assert.Equal(t, took(), r.k.windowFraction(takeoverDivisor)-redirectTimeout)
 		assert.Equal(t, took(), time.Duration(0))
 		r.s.set(func() { r.s.hint = "10.0.0.3:7380" })
 		status(t, r.replace(0, 3), 307)
 		r.leaderless()
-		assert.Equal(t, took(), redirectLimit)
+		assert.Equal(t, took(), redirectTimeout)
 	})
 }
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -15,7 +15,7 @@
 			return // the return of one is waited for: no others have all that was acknowledged
 		}
 	}
-	if a.Leaving[p.Primary] {
+	if a.Draining[p.Primary] {
 		a.failOver(p, a.usable)
 	}
 	if stalled && len(p.RecoverFrom) == 0 {
@@ -27,86 +27,86 @@
 		}
 		before := slices.Clone(p.Backups)
 		a.removeBackup(p, c.Folder)
-		if a.stayingCopies(p) <= a.Losses {
-			if next := a.spare(p); next != "" {
+		if a.stayingReplicas(p) <= a.Losses {
+			if next := a.pickReplacement(p); next != "" {
 				p.Backups = append(p.Backups, &tierv1.Replica{Folder: next})
-			} else if a.aliveCopies(p) <= a.Losses && a.waitsFor(c.Folder) {
+			} else if a.aliveReplicas(p) <= a.Losses && a.awaitsReturn(c.Folder) {
 				p.Backups = before
 				continue
 			}
 		}
-		a.retain(p, c.Folder, c.Since) // a synced copy has no Since
+		a.retainReplica(p, c.Folder, c.Since) // a synced copy has no Since
 	}
-	for a.stayingCopies(p) <= a.Losses {
+	for a.stayingReplicas(p) <= a.Losses {
 		// An order to retire is followed at the pace of moves, but a lost copy is made good at once.
-		if a.syncedCopies(p) > a.Losses && !slices.ContainsFunc(members(p), a.hasLeft) && a.movesUnderWay() >= a.maxMoves() {
+		if a.syncedReplicas(p) > a.Losses && !slices.ContainsFunc(replicaFolders(p), a.draining) && a.activeMoves() >= a.maxMoves() {
 			break
 		}
-		next := a.pick(p)
+		next := a.pickStore(p)
 		if next == "" {
 			break
 		}
-		a.addCopy(p, next)
+		a.addReplica(p, next)
 	}
-	for next := a.standIn(p); next != ""; next = a.standIn(p) {
+	for next := a.pickSubstitute(p); next != ""; next = a.pickSubstitute(p) {
 		p.Backups = append(p.Backups, &tierv1.Replica{Folder: next})
 	}
 	a.trim(p)
 	a.pruneRetained(p)
 }
 
-// spare chooses a turn store for a copy in place of one that is lost: one that stays, or else a stand-in.
-func (a *assignment) spare(p *tierv1.Partition) string {
-	if next := a.pick(p); next != "" {
+// pickReplacement chooses a turn store for a copy in place of one that is lost: one that stays, or else a stand-in.
+func (a *assignment) pickReplacement(p *tierv1.Partition) string {
+	if next := a.pickStore(p); next != "" {
 		return next
 	}
-	return a.standIn(p)
+	return a.pickSubstitute(p)
 }
 
-// standIn chooses a turn store that is being emptied for a copy of a partition that has fewer copies than it should, and no
+// pickSubstitute chooses a turn store that is being emptied for a copy of a partition that has fewer copies than it should, and no
 // other turn store for one: empty where there is none, or no need. The copy goes when enough others are synced, as all do
 // that are on such turn stores; the order to empty it isn't completed before.
-func (a *assignment) standIn(p *tierv1.Partition) string {
-	if a.aliveCopies(p) > a.Losses || a.pick(p) != "" {
+func (a *assignment) pickSubstitute(p *tierv1.Partition) string {
+	if a.aliveReplicas(p) > a.Losses || a.pickStore(p) != "" {
 		return ""
 	}
-	return a.pickWhere(p, a.standsIn)
+	return a.pickStoreWhere(p, a.canSubstitute)
 }
 
-// standsIn tells whether a turn store is being emptied, and may not be taken away yet.
-func (a *assignment) standsIn(folder string) bool {
-	return a.alive(folder) && a.retiring(folder) && !a.hasLeft(folder) && !slices.Contains(a.m.Retired, a.storeNodes[folder].Node)
+// canSubstitute tells whether a turn store is being emptied, and may not be taken away yet.
+func (a *assignment) canSubstitute(folder string) bool {
+	return a.alive(folder) && a.retiring(folder) && !a.draining(folder) && !slices.Contains(a.m.Retired, a.storeNodes[folder].Node)
 }
 
-// aliveCopies counts a partition's copies on turn stores that are alive and have not heard SIGTERM.
-func (a *assignment) aliveCopies(p *tierv1.Partition) int {
+// aliveReplicas counts a partition's copies on turn stores that are alive and have not heard SIGTERM.
+func (a *assignment) aliveReplicas(p *tierv1.Partition) int {
 	n := 0
-	for _, folder := range members(p) {
-		if a.alive(folder) && !a.hasLeft(folder) {
+	for _, folder := range replicaFolders(p) {
+		if a.alive(folder) && !a.draining(folder) {
 			n++
 		}
 	}
 	return n
 }
 
-// waitsFor tells whether a partition that has no turn store for another copy waits for a lost one, as its backup, rather than
+// awaitsReturn tells whether a partition that has no turn store for another copy waits for a lost one, as its backup, rather than
 // go on without it. It does where more turn stores with copies are lost than is borne. It also does for a moment after a
 // session has lapsed: that may be for want of messages, and is no loss yet. What the others acknowledged without it would be
 // lost with them, though no more are lost than is borne.
-func (a *assignment) waitsFor(folder string) bool {
+func (a *assignment) awaitsReturn(folder string) bool {
 	if a.replaced[folder] {
 		return false
 	}
-	return a.Lapsed[folder] || a.lostDomains > a.Losses
+	return a.RecentlyExpired[folder] || a.lostDomains > a.Losses
 }
 
-// hasLeft tells whether a turn store has heard SIGTERM: its time is short.
-func (a *assignment) hasLeft(folder string) bool { return a.Leaving[folder] }
+// draining tells whether a turn store has heard SIGTERM: its time is short.
+func (a *assignment) draining(folder string) bool { return a.Draining[folder] }
 
-// addCopy adds an unsynced copy: right behind a departing one, as the one that takes its place, else as the last.
-func (a *assignment) addCopy(p *tierv1.Partition, folder string) {
+// addReplica adds an unsynced copy: right behind a departing one, as the one that takes its place, else as the last.
+func (a *assignment) addReplica(p *tierv1.Partition, folder string) {
 	at := len(p.Backups)
-	for i, member := range members(p) {
+	for i, member := range replicaFolders(p) {
 		if a.departing(member) && (i == len(p.Backups) || p.Backups[i].Synced) {
 			at = i
 			break
@@ -127,7 +127,7 @@
 			sources = append(sources, c.Folder)
 		}
 	}
-	source, wrapped := following(sources, p.Primary)
+	source, wrapped := nextInCycle(sources, p.Primary)
 	if source != p.Primary {
 		a.promote(p, source)
 	}
@@ -138,15 +138,15 @@
 		if c.Synced {
 			continue
 		}
-		if next, _ := following(a.alternatives(p, c.Folder), c.Folder); next != c.Folder {
-			a.retain(p, c.Folder, c.Since)
+		if next, _ := nextInCycle(a.alternatives(p, c.Folder), c.Folder); next != c.Folder {
+			a.retainReplica(p, c.Folder, c.Since)
 			c.Folder = next
 		}
 	}
 }
 
-// following gives what comes after one in a list in order, and whether that is from the start again.
-func following(list []string, one string) (next string, wrapped bool) {
+// nextInCycle gives what comes after one in a list in order, and whether that is from the start again.
+func nextInCycle(list []string, one string) (next string, wrapped bool) {
 	slices.Sort(list)
 	at := slices.Index(list, one) + 1
 	return list[at%len(list)], at == len(list)
@@ -154,13 +154,13 @@
 
 // alternatives are a copy's folder and those that could take its place with no more conflicts than any other.
 func (a *assignment) alternatives(p *tierv1.Partition, folder string) []string {
-	others := slices.DeleteFunc(members(p), func(member string) bool { return member == folder })
+	others := slices.DeleteFunc(replicaFolders(p), func(member string) bool { return member == folder })
 	list, fewest := []string{folder}, -1
-	for _, one := range sorted(a.Alive) {
+	for _, one := range sortedKeys(a.Alive) {
 		if !a.usable(one) || slices.Contains(others, one) || one == folder {
 			continue
 		}
-		n := a.conflicts(others, one)
+		n := a.domainConflicts(others, one)
 		if fewest < 0 || n < fewest {
 			list, fewest = []string{folder}, n
 		}
@@ -171,10 +171,10 @@
 	return list
 }
 
-// syncedCopies counts a partition's synced copies on turn stores that are alive, departing ones included.
-func (a *assignment) syncedCopies(p *tierv1.Partition) int {
+// syncedReplicas counts a partition's synced copies on turn stores that are alive, departing ones included.
+func (a *assignment) syncedReplicas(p *tierv1.Partition) int {
 	n := 0
-	for _, folder := range members(p) {
+	for _, folder := range replicaFolders(p) {
 		if a.synced(p, folder) {
 			n++
 		}
@@ -182,10 +182,10 @@
 	return n
 }
 
-// stayingCopies counts a partition's copies on turn stores that are not departing.
-func (a *assignment) stayingCopies(p *tierv1.Partition) int {
+// stayingReplicas counts a partition's copies on turn stores that are not departing.
+func (a *assignment) stayingReplicas(p *tierv1.Partition) int {
 	n := 0
-	for _, folder := range members(p) {
+	for _, folder := range replicaFolders(p) {
 		if !a.departing(folder) {
 			n++
 		}
@@ -195,7 +195,7 @@
 
 // synced tells whether a member of a partition is there and has all that was acknowledged.
 func (a *assignment) synced(p *tierv1.Partition, folder string) bool {
-	c := backup(p, folder)
+	c := findBackup(p, folder)
 	return a.alive(folder) && (folder == p.Primary && len(p.RecoverFrom) == 0 || c != nil && c.Synced)
 }
 
@@ -233,7 +233,7 @@
 }
 
 func (a *assignment) promote(p *tierv1.Partition, folder string) {
-	c := backup(p, folder)
+	c := findBackup(p, folder)
 	c.Folder, c.Synced, p.Primary = p.Primary, true, folder
 }
 
@@ -245,28 +245,28 @@
 func (a *assignment) trim(p *tierv1.Partition) {
 	enough := func(without string) bool {
 		n := 0
-		for _, folder := range members(p) {
+		for _, folder := range replicaFolders(p) {
 			if folder != without && a.synced(p, folder) && !a.departing(folder) {
 				n++
 			}
 		}
 		return n > a.Losses
 	}
-	for _, folder := range members(p) {
+	for _, folder := range replicaFolders(p) {
 		if a.departing(folder) && enough(folder) {
-			a.release(p, folder)
+			a.dropReplica(p, folder)
 		}
 	}
-	for a.stayingCopies(p) > a.Losses+1 {
-		victim := a.surplus(p)
-		if !enough(victim) || !a.release(p, victim) {
+	for a.stayingReplicas(p) > a.Losses+1 {
+		victim := a.surplusReplica(p)
+		if !enough(victim) || !a.dropReplica(p, victim) {
 			break
 		}
 	}
 }
 
-// release drops a member, after its duty as the primary has gone to another.
-func (a *assignment) release(p *tierv1.Partition, folder string) bool {
+// dropReplica drops a member, after its duty as the primary has gone to another.
+func (a *assignment) dropReplica(p *tierv1.Partition, folder string) bool {
 	if folder == p.Primary && !a.failOver(p, a.usable) {
 		return false
 	}
@@ -274,21 +274,21 @@
 	return true
 }
 
-// surplus is the copy that goes when a partition has one too many: the one before that which takes its place. Where that
+// surplusReplica is the copy that goes when a partition has one too many: the one before that which takes its place. Where that
 // is not to be told any more, it is the one that shares its domain with most others, then the one whose turn store has most copies.
-func (a *assignment) surplus(p *tierv1.Partition) string {
-	all := members(p)
+func (a *assignment) surplusReplica(p *tierv1.Partition) string {
+	all := replicaFolders(p)
 	for i, c := range p.Backups {
 		if !c.Synced && !a.departing(all[i]) {
 			return all[i]
 		}
 	}
-	if v := a.outgoing[p]; slices.Contains(all, v) && !a.departing(v) {
+	if v := a.surplusBefore[p]; slices.Contains(all, v) && !a.departing(v) {
 		return v
 	}
 	load := map[string]int{}
 	for _, other := range a.m.Partitions {
-		for _, folder := range members(other) {
+		for _, folder := range replicaFolders(other) {
 			load[folder]++
 		}
 	}
@@ -297,7 +297,7 @@
 		if a.departing(folder) {
 			continue
 		}
-		n := a.conflicts(all, folder)
+		n := a.domainConflicts(all, folder)
 		if best == "" || cmp.Or(cmp.Compare(n, shared), cmp.Compare(load[folder], load[best])) > 0 {
 			best, shared = folder, n
 		}
@@ -305,8 +305,8 @@
 	return best
 }
 
-// conflicts counts the others among folders that share a domain with one.
-func (a *assignment) conflicts(folders []string, one string) int {
+// domainConflicts counts the others among folders that share a domain with one.
+func (a *assignment) domainConflicts(folders []string, one string) int {
 	n := 0
 	for _, folder := range folders {
 		if folder != one && folder != "" && a.domain(folder) == a.domain(one) {
@@ -316,8 +316,8 @@
 	return n
 }
 
-// copiesByStore counts the copies of each usable turn store, those left out that are dropped when their successor is synced.
-func (a *assignment) copiesByStore() map[string]int {
+// replicasByStore counts the copies of each usable turn store, those left out that are dropped when their successor is synced.
+func (a *assignment) replicasByStore() map[string]int {
 	load := map[string]int{}
 	for folder := range a.Alive {
 		if a.usable(folder) {
@@ -325,15 +325,15 @@
 		}
 	}
 	for _, p := range a.m.Partitions {
-		for _, folder := range members(p) {
+		for _, folder := range replicaFolders(p) {
 			if folder != "" {
 				load[folder]++
 			}
 		}
 	}
 	for _, p := range a.m.Partitions {
-		if a.stayingCopies(p) > a.Losses+1 {
-			load[a.surplus(p)]--
+		if a.stayingReplicas(p) > a.Losses+1 {
+			load[a.surplusReplica(p)]--
 		}
 	}
 	return load
@@ -347,15 +347,15 @@
 	return load
 }
 
-// pick chooses a turn store for another copy of a partition, or for its primary where there is none yet; empty if there is none.
-func (a *assignment) pick(p *tierv1.Partition) string { return a.pickWhere(p, a.usable) }
+// pickStore chooses a turn store for another copy of a partition, or for its primary where there is none yet; empty if there is none.
+func (a *assignment) pickStore(p *tierv1.Partition) string { return a.pickStoreWhere(p, a.usable) }
 
-// pickWhere is pick among the turn stores that may take a copy.
-func (a *assignment) pickWhere(p *tierv1.Partition, may func(folder string) bool) string {
-	load, first := a.copiesByStore(), a.primariesByStore()
-	all := members(p)
+// pickStoreWhere is pick among the turn stores that may take a copy.
+func (a *assignment) pickStoreWhere(p *tierv1.Partition, may func(folder string) bool) string {
+	load, first := a.replicasByStore(), a.primariesByStore()
+	all := replicaFolders(p)
 	best := ""
-	for _, folder := range sorted(a.Alive) {
+	for _, folder := range sortedKeys(a.Alive) {
 		if !may(folder) || slices.Contains(all, folder) {
 			continue
 		}
@@ -363,7 +363,7 @@
 			best = folder
 			continue
 		}
-		order := cmp.Or(cmp.Compare(a.conflicts(all, folder), a.conflicts(all, best)),
+		order := cmp.Or(cmp.Compare(a.domainConflicts(all, folder), a.domainConflicts(all, best)),
 			cmp.Compare(a.slowTargets[folder], a.slowTargets[best]), cmp.Compare(load[folder], load[best]),
 			cmp.Compare(a.sameZone(all, folder), a.sameZone(all, best)))
 		if p.Primary == "" {
--- a/internal/tier/controlplane/retain.go
+++ b/internal/tier/controlplane/retain.go
@@ -24,9 +24,9 @@
 	return p.Epoch
 }
 
-// retain remembers a copy that is taken out: a synced one, or one that took all that was acknowledged since an epoch. One
+// retainReplica remembers a copy that is taken out: a synced one, or one that took all that was acknowledged since an epoch. One
 // whose disk is gone holds nothing.
-func (a *assignment) retain(p *tierv1.Partition, folder string, since uint64) {
+func (a *assignment) retainReplica(p *tierv1.Partition, folder string, since uint64) {
 	until := acknowledgedUntil(p)
 	if a.replaced[folder] || since > until {
 		return
@@ -47,7 +47,7 @@
 
 // pruneRetained forgets retained copies that are not needed any more: enough others are synced, or their disks are gone.
 func (a *assignment) pruneRetained(p *tierv1.Partition) {
-	if a.syncedCopies(p) > a.Losses {
+	if a.syncedReplicas(p) > a.Losses {
 		p.Retained = nil
 		return
 	}
@@ -58,15 +58,15 @@
 // together all that was acknowledged. It is false where there are none.
 func (a *assignment) recoverPrimary(p *tierv1.Partition) bool {
 	until := acknowledgedUntil(p)
-	chain := a.coveringCopies(p, until)
+	chain := a.coveringReplicas(p, until)
 	if len(chain) == 0 {
 		return false
 	}
 	if len(p.RecoverFrom) == 0 {
-		a.retain(p, p.Primary, 0)
+		a.retainReplica(p, p.Primary, 0)
 	}
-	if c := backup(p, chain[0]); c != nil {
-		a.retain(p, c.Folder, c.Since)
+	if c := findBackup(p, chain[0]); c != nil {
+		a.retainReplica(p, c.Folder, c.Since)
 		a.removeBackup(p, c.Folder)
 	}
 	p.Primary, p.RecoverFrom, p.AcknowledgedUntil = chain[0], chain[1:], 0
@@ -74,16 +74,16 @@
 		p.AcknowledgedUntil = until
 	}
 	for _, folder := range p.RecoverFrom {
-		if backup(p, folder) == nil {
+		if findBackup(p, folder) == nil {
 			p.Backups = append(p.Backups, &tierv1.Replica{Folder: folder})
 		}
 	}
 	return true
 }
 
-// coveringCopies gives the fewest copies that are alive and whose spans cover all epochs until one, the first of the oldest
+// coveringReplicas gives the fewest copies that are alive and whose spans cover all epochs until one, the first of the oldest
 // span; nil where there are none.
-func (a *assignment) coveringCopies(p *tierv1.Partition, until uint64) (chain []string) {
+func (a *assignment) coveringReplicas(p *tierv1.Partition, until uint64) (chain []string) {
 	spans := slices.Clone(p.Retained)
 	for _, c := range p.Backups {
 		if !c.Synced {
--- a/internal/tier/controlplane/retain_test.go
+++ b/internal/tier/controlplane/retain_test.go
@@ -10,7 +10,7 @@
 // The sessions of two turn stores lapse one after the other, and the first of them loses its disk before the copies that
 // were made meanwhile are synced: the second has what was acknowledged before, a copy under way what came since.
 func TestALossRightAfterLapses(t *testing.T) {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.settle()
 	serve := func() (served int) {
@@ -52,7 +52,7 @@
 // playLapses is one play of TestLapsesAreNoLosses.
 func playLapses(t reporter, planted plant, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
-	w := newPlantedWorld(t, planted, r, 3+r.IntN(3), 3, Spread{1, byNode})
+	w := newPlantedWorld(t, planted, r, 3+r.IntN(3), 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.settle()
 	for range 4 {
@@ -104,7 +104,7 @@
 // A copy under way does not get on, and another turn store is tried for it; then the primary loses its disk. The copy that was
 // given up has what was acknowledged while it was under way, and the one that had lapsed before what came earlier.
 func TestALossAfterAStalledCopyWasReplaced(t *testing.T) {
-	w := newWorld(t, nil, 4, 4, Spread{1, byNode})
+	w := newWorld(t, nil, 4, 4, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.settle()
 	primary, lapsed := w.machines[0], w.machines[1]
@@ -131,7 +131,7 @@
 
 // What was retained is forgotten once enough copies are synced, and with its disk.
 func TestRetainedCopiesAreForgotten(t *testing.T) {
-	w := newWorld(t, nil, 4, 4, Spread{1, byNode})
+	w := newWorld(t, nil, 4, 4, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.settle()
 	retained := func() (n int) {
--- a/internal/tier/controlplane/retire.go
+++ b/internal/tier/controlplane/retire.go
@@ -18,142 +18,142 @@
 	retireCompleted  = "completed"
 )
 
-// retireRecordsLimit bounds the orders to retire that are remembered, and with them the turn store map that every session
+// maxRetireRecords bounds the orders to retire that are remembered, and with them the turn store map that every session
 // gets. An order is sent again for ack_timeout_ms or less: 256 machines are not emptied and taken away in that time.
-const retireRecordsLimit = 256
+const maxRetireRecords = 256
 
 // retireRequest is an order to empty a machine, with all that the decision on it needs.
 type retireRequest struct {
-	ordered  bool // it was taken before
-	known    bool // the machine is known to keep data
-	remain   int  // turn stores that are alive and would be left without it
-	mapped   int  // machines that keep data by the map and would be left without it: some may be down for now
-	losses   int  // to be borne at once
-	settling bool // after a takeover, not all that are there need have come yet
+	alreadyOrdered  bool // it was taken before
+	knownNode       bool // the machine is known to keep data
+	remainingStores int  // turn stores that are alive and would be left without it
+	remainingMapped int  // machines that keep data by the map and would be left without it: some may be down for now
+	losses          int  // to be borne at once
+	takeoverGrace   bool // after a takeover, not all that are there need have come yet
 }
 
-// retireVerdict is the decision on an order to empty a machine.
-type retireVerdict int
+// retireDecision is the decision on an order to empty a machine.
+type retireDecision int
 
 const (
-	retireTake        retireVerdict = iota
-	retireTaken                     // before: it is acknowledged again, also when the machine has been taken away since
-	retireWait                      // a refusal would end the order, though it may be possible in a moment
-	retireUnknownNode               // no such machine
-	retireTooFew                    // too few would remain
-	retireTooLarge                  // the control state would be too large with it
+	retireAccept         retireDecision = iota
+	retireAlreadyOrdered                // before: it is acknowledged again, also when the machine has been taken away since
+	retireTryLater                      // a refusal would end the order, though it may be possible in a moment
+	retireUnknownNode                   // no such machine
+	retireTooFewRemain                  // too few would remain
+	retireStateTooLarge                 // the control state would be too large with it
 )
 
-func (r retireRequest) decide() retireVerdict {
-	enough := r.remain >= r.losses+1
+func (r retireRequest) decide() retireDecision {
+	enough := r.remainingStores >= r.losses+1
 	switch {
-	case r.ordered:
-		return retireTaken
-	case r.known && enough:
-		return retireTake
-	case r.settling, r.known && r.mapped > r.losses:
-		return retireWait
-	case !r.known:
+	case r.alreadyOrdered:
+		return retireAlreadyOrdered
+	case r.knownNode && enough:
+		return retireAccept
+	case r.takeoverGrace, r.knownNode && r.remainingMapped > r.losses:
+		return retireTryLater
+	case !r.knownNode:
 		return retireUnknownNode
 	default:
-		return retireTooFew
+		return retireTooFewRemain
 	}
 }
 
 // createRetire takes the order to empty a storage machine.
-func (plane *ControlPlane) createRetire(w http.ResponseWriter, r *http.Request, node string) answer {
-	body, err := readBody(w, r, orderBytes)
+func (plane *ControlPlane) createRetire(w http.ResponseWriter, r *http.Request, node string) response {
+	body, err := readBody(w, r, maxRequestBody)
 	if _, ok := plane.primary(); !ok {
-		return plane.redirect(r)
+		return plane.redirectToPrimary(r)
 	}
 	if err != nil {
-		return refusedBody(err)
+		return bodyErrorResponse(err)
 	}
 	var order struct {
 		Duration float64 `json:"duration_s"`
 	}
 	if len(body) > 0 && json.Unmarshal(body, &order) != nil {
-		return refused(http.StatusBadRequest, "the body is no JSON object with duration_s")
+		return errorResponse(http.StatusBadRequest, "the body is no JSON object with duration_s")
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), writeLimit)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), operatorWriteTimeout)
 	defer cancel()
-	verdict, v, err := plane.writeIfRetirable(ctx, node, order.Duration)
-	if err == nil && verdict != retireTake && verdict != retireWait && plane.confirm.wait(ctx, v.epoch) != nil {
+	verdict, v, err := plane.decideAndWriteRetire(ctx, node, order.Duration)
+	if err == nil && verdict != retireAccept && verdict != retireTryLater && plane.barrier.wait(ctx, v.epoch) != nil {
 		err = errUnconfirmed
 	}
 	switch {
 	case errors.Is(err, errNotPrimary):
-		return plane.redirect(r)
+		return plane.redirectToPrimary(r)
 	case err != nil:
-		return unavailable(err.Error())
+		return unavailableResponse(err.Error())
 	}
 	switch verdict {
-	case retireTake, retireTaken:
-		return retireAnswer(v.partitionMap, node)
-	case retireWait:
-		return unavailable("the storage machines are not all heard yet")
+	case retireAccept, retireAlreadyOrdered:
+		return lifecycleResponse(v.partitionMap, node)
+	case retireTryLater:
+		return unavailableResponse("the storage machines are not all heard yet")
 	case retireUnknownNode:
-		return refused(http.StatusNotFound, "no storage machine of that name is known")
-	case retireTooLarge:
-		return refused(http.StatusRequestEntityTooLarge, errStateTooLarge.Error())
+		return errorResponse(http.StatusNotFound, "no storage machine of that name is known")
+	case retireStateTooLarge:
+		return errorResponse(http.StatusRequestEntityTooLarge, errStateTooLarge.Error())
 	default:
-		return refused(http.StatusConflict, "too few storage machines would remain")
+		return errorResponse(http.StatusConflict, "too few storage machines would remain")
 	}
 }
 
-// writeIfRetirable decides on an order to retire, and writes it if it can be carried out, in one step with the decision. It
+// decideAndWriteRetire decides on an order to retire, and writes it if it can be carried out, in one step with the decision. It
 // gives the view that was decided on; with retireTake, which says that it was written, the view that has it.
-func (plane *ControlPlane) writeIfRetirable(ctx context.Context, node string, duration float64) (retireVerdict, *view, error) {
-	decide := func(v *view) retireVerdict {
+func (plane *ControlPlane) decideAndWriteRetire(ctx context.Context, node string, duration float64) (retireDecision, *view, error) {
+	decide := func(v *view) retireDecision {
 		verdict := plane.retireRequest(v, node).decide()
-		if verdict == retireTake || verdict == retireWait {
-			plane.noteRetireTime(node, duration, v.partitionMap.GetRetiring())
+		if verdict == retireAccept || verdict == retireTryLater {
+			plane.recordRetireDeadline(node, duration, v.partitionMap.GetRetiring())
 		}
 		return verdict
 	}
-	write := func(ctx context.Context, v *view) (retireVerdict, *view, error) {
+	write := func(ctx context.Context, v *view) (retireDecision, *view, error) {
 		return plane.writeRetire(ctx, v, node, duration)
 	}
-	return decideAndWrite(ctx, plane, retireTake, decide, write)
+	return decideAndWrite(ctx, plane, retireAccept, decide, write)
 }
 
 // writeRetire writes the map with an order to retire, shows it, and gives a view that has it; or else retireTooLarge with the
 // view as it was. The caller has the right to write.
-func (plane *ControlPlane) writeRetire(ctx context.Context, before *view, node string, duration float64) (retireVerdict, *view, error) {
+func (plane *ControlPlane) writeRetire(ctx context.Context, before *view, node string, duration float64) (retireDecision, *view, error) {
 	after := *before
-	after.partitionMap = orderRetire(before.partitionMap, node)
-	after.partitionMap.Retired = append(after.partitionMap.Retired, newlyRetired(after.partitionMap, plane.spread.Losses)...)
+	after.partitionMap = withRetireOrder(before.partitionMap, node)
+	after.partitionMap.Retired = append(after.partitionMap.Retired, newlyRetired(after.partitionMap, plane.faultTolerance.Losses)...)
 	err := plane.putPartitionMap(ctx, before.epoch, after.partitionMap)
 	if errors.Is(err, errStateTooLarge) {
-		return retireTooLarge, before, nil
+		return retireStateTooLarge, before, nil
 	}
 	if err != nil {
-		return retireTake, nil, errOutcomeUnknown
+		return retireAccept, nil, errOutcomeUnknown
 	}
 	wake(plane.reconcileNow)
 	plane.Log.Info().Str("event", "retire").Str("node", node).Float64("duration_s", duration).Msg("")
-	return retireTake, &after, nil
+	return retireAccept, &after, nil
 }
 
-// noteRetireTime keeps until when a machine is to be emptied, by its order's duration in seconds. It does so before the order
+// recordRetireDeadline keeps until when a machine is to be emptied, by its order's duration in seconds. It does so before the order
 // is written, as it is followed from then on.
-func (plane *ControlPlane) noteRetireTime(node string, duration float64, orders []string) {
+func (plane *ControlPlane) recordRetireDeadline(node string, duration float64, orders []string) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	now := time.Now()
-	plane.retireTimes.prune(now, orders)
-	plane.retireTimes.note(node, now, retireDuration(duration))
+	plane.retireDeadlines.prune(now, orders)
+	plane.retireDeadlines.record(node, now, retireDuration(duration))
 }
 
 func (plane *ControlPlane) retireRequest(v *view, node string) retireRequest {
-	known, remain := plane.remaining(v.partitionMap, node)
-	return retireRequest{ordered: slices.Contains(v.partitionMap.GetRetiring(), node), known: known, remain: remain,
-		mapped: mapped(v.partitionMap, node), losses: plane.spread.Losses, settling: time.Since(v.since) < plane.window(gracePart)}
+	known, remain := plane.remainingStores(v.partitionMap, node)
+	return retireRequest{alreadyOrdered: slices.Contains(v.partitionMap.GetRetiring(), node), knownNode: known, remainingStores: remain,
+		remainingMapped: remainingMappedNodes(v.partitionMap, node), losses: plane.faultTolerance.Losses, takeoverGrace: time.Since(v.since) < plane.windowFraction(takeoverGraceDivisor)}
 }
 
-// orderRetire gives a map with an order to retire added. Beyond retireRecordsLimit the oldest orders are forgotten whose
+// withRetireOrder gives a map with an order to retire added. Beyond retireRecordsLimit the oldest orders are forgotten whose
 // machines have been emptied and are not in the map any more.
-func orderRetire(m *tierv1.PartitionMap, node string) *tierv1.PartitionMap {
+func withRetireOrder(m *tierv1.PartitionMap, node string) *tierv1.PartitionMap {
 	next := &tierv1.PartitionMap{}
 	if m != nil {
 		next = proto.Clone(m).(*tierv1.PartitionMap)
@@ -163,7 +163,7 @@
 	for _, one := range next.StoreNodes {
 		present[one.Node] = true
 	}
-	for i := 0; i < len(next.Retiring) && len(next.Retiring) > retireRecordsLimit; {
+	for i := 0; i < len(next.Retiring) && len(next.Retiring) > maxRetireRecords; {
 		name := next.Retiring[i]
 		at := slices.Index(next.Retired, name)
 		if at < 0 || present[name] {
@@ -181,23 +181,23 @@
 // elsewhere later does not make it needed again.
 func newlyRetired(m *tierv1.PartitionMap, losses int) (nodes []string) {
 	for _, node := range m.GetRetiring() {
-		if !slices.Contains(m.Retired, node) && lifecycle(m, node, losses) == retireCompleted {
+		if !slices.Contains(m.Retired, node) && lifecycleState(m, node, losses) == retireCompleted {
 			nodes = append(nodes, node)
 		}
 	}
 	return nodes
 }
 
-func retireAnswer(m *tierv1.PartitionMap, node string) answer {
+func lifecycleResponse(m *tierv1.PartitionMap, node string) response {
 	state := retireInProgress
 	if slices.Contains(m.GetRetired(), node) {
 		state = retireCompleted
 	}
-	return accepted(map[string]string{"lifecycle_state": state})
+	return okResponse(map[string]string{"lifecycle_state": state})
 }
 
-// mapped is how many machines besides a node the map keeps data on, and is not asked to take it off: some may be down for now.
-func mapped(m *tierv1.PartitionMap, node string) int {
+// remainingMappedNodes is how many machines besides a node the map keeps data on, and is not asked to take it off: some may be down for now.
+func remainingMappedNodes(m *tierv1.PartitionMap, node string) int {
 	nodes := map[string]bool{}
 	for _, one := range m.GetStoreNodes() {
 		if one.Node != node && !slices.Contains(m.GetRetiring(), one.Node) {
@@ -207,11 +207,11 @@
 	return len(nodes)
 }
 
-// remaining tells whether a node is known to keep data, and how many turn stores would be left without it.
-func (plane *ControlPlane) remaining(m *tierv1.PartitionMap, node string) (known bool, remain int) {
+// remainingStores tells whether a node is known to keep data, and how many turn stores would be left without it.
+func (plane *ControlPlane) remainingStores(m *tierv1.PartitionMap, node string) (known bool, remain int) {
 	plane.mu.Lock()
 	alive, leaving, _ := plane.sessions.storeNodes(time.Now())
-	for at := range plane.sessions.of {
+	for at := range plane.sessions.sessions {
 		known = known || at.role == roleTurnStore && at.node == node
 	}
 	plane.mu.Unlock()
@@ -226,21 +226,21 @@
 	return known, remain
 }
 
-func (plane *ControlPlane) describeRetire(r *http.Request, node string) answer {
+func (plane *ControlPlane) describeRetire(r *http.Request, node string) response {
 	discardBody(r)
 	v, a := plane.confirmedView(r)
 	if v == nil {
 		return a
 	}
 	if !slices.Contains(v.partitionMap.GetRetiring(), node) {
-		return refused(http.StatusNotFound, "that machine is not asked to be emptied")
+		return errorResponse(http.StatusNotFound, "that machine is not asked to be emptied")
 	}
-	return retireAnswer(v.partitionMap, node)
+	return lifecycleResponse(v.partitionMap, node)
 }
 
-// lifecycle tells, by the copies in a map, whether a node that is to be emptied may be taken away with its disk: no partition has a copy there, and each has its synced
+// lifecycleState tells, by the copies in a map, whether a node that is to be emptied may be taken away with its disk: no partition has a copy there, and each has its synced
 // copies elsewhere.
-func lifecycle(m *tierv1.PartitionMap, node string, losses int) string {
+func lifecycleState(m *tierv1.PartitionMap, node string, losses int) string {
 	mine := map[string]bool{}
 	for _, one := range m.StoreNodes {
 		if one.Node == node {
@@ -274,11 +274,11 @@
 	if err != nil {
 		return err
 	}
-	version, err := plane.put(ctx, epoch, map[string][]byte{keyPartitionMap: body})
+	version, err := plane.write(ctx, epoch, map[string][]byte{keyPartitionMap: body})
 	if err != nil {
 		return err
 	}
 	m.Version = version
-	plane.changeView(epoch, func(v *view) { v.partitionMap = m })
+	plane.updateView(epoch, func(v *view) { v.partitionMap = m })
 	return nil
 }
--- a/internal/tier/controlplane/retire_model_test.go
+++ b/internal/tier/controlplane/retire_model_test.go
@@ -50,7 +50,7 @@
 // retireEnds gives the steps after which an order to retire is completed, or false after limit.
 func (w *world) retireEnds(m *machine, limit int) (int, bool) {
 	for n := range limit {
-		if lifecycle(w.m, m.node, w.spread.Losses) == "completed" {
+		if lifecycleState(w.m, m.node, w.spread.Losses) == "completed" {
 			return n, true
 		}
 		w.step()
@@ -67,7 +67,7 @@
 	for seed := range uint64(seeds) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		losses := 1 + r.IntN(2)
-		w := newWorld(t, r, 2*losses+2+r.IntN(2), 3, Spread{losses, byNode})
+		w := newWorld(t, r, 2*losses+2+r.IntN(2), 3, FaultTolerance{losses, byNode})
 		w.assign(w.input())
 		w.settle()
 		for range r.IntN(6) {
@@ -124,7 +124,7 @@
 	w.t.Helper()
 	for i, p := range w.m.Partitions {
 		held := 0
-		for _, folder := range members(p) {
+		for _, folder := range replicaFolders(p) {
 			assert.Assert(w.t, folder != m.folder)
 			if w.whole(i, folder) {
 				held++
--- a/internal/tier/controlplane/retire_test.go
+++ b/internal/tier/controlplane/retire_test.go
@@ -16,18 +16,18 @@
 	for _, c := range []struct {
 		name    string
 		request retireRequest
-		want    retireVerdict
+		want    retireDecision
 	}{
-		{"enough remain", retireRequest{known: true, remain: 2, mapped: 2, losses: 1}, retireTake},
-		{"just too few", retireRequest{known: true, remain: 1, mapped: 1, losses: 1}, retireTooFew},
-		{"others are down", retireRequest{known: true, remain: 1, mapped: 2, losses: 1}, retireWait},
-		{"unknown", retireRequest{remain: 5, mapped: 5, losses: 1}, retireUnknownNode},
-		{"unknown yet", retireRequest{remain: 5, losses: 1, settling: true}, retireWait},
-		{"too few yet", retireRequest{known: true, remain: 1, losses: 1, settling: true}, retireWait},
-		{"again", retireRequest{ordered: true, known: true, remain: 2, mapped: 2, losses: 1}, retireTaken},
-		{"again, when too few are left", retireRequest{ordered: true, known: true, losses: 1}, retireTaken},
-		{"again, when it is gone", retireRequest{ordered: true, remain: 2, mapped: 2, losses: 1}, retireTaken},
-		{"again, after a takeover", retireRequest{ordered: true, losses: 1, settling: true}, retireTaken},
+		{"enough remain", retireRequest{knownNode: true, remainingStores: 2, remainingMapped: 2, losses: 1}, retireAccept},
+		{"just too few", retireRequest{knownNode: true, remainingStores: 1, remainingMapped: 1, losses: 1}, retireTooFewRemain},
+		{"others are down", retireRequest{knownNode: true, remainingStores: 1, remainingMapped: 2, losses: 1}, retireTryLater},
+		{"unknown", retireRequest{remainingStores: 5, remainingMapped: 5, losses: 1}, retireUnknownNode},
+		{"unknown yet", retireRequest{remainingStores: 5, losses: 1, takeoverGrace: true}, retireTryLater},
+		{"too few yet", retireRequest{knownNode: true, remainingStores: 1, losses: 1, takeoverGrace: true}, retireTryLater},
+		{"again", retireRequest{alreadyOrdered: true, knownNode: true, remainingStores: 2, remainingMapped: 2, losses: 1}, retireAlreadyOrdered},
+		{"again, when too few are left", retireRequest{alreadyOrdered: true, knownNode: true, losses: 1}, retireAlreadyOrdered},
+		{"again, when it is gone", retireRequest{alreadyOrdered: true, remainingStores: 2, remainingMapped: 2, losses: 1}, retireAlreadyOrdered},
+		{"again, after a takeover", retireRequest{alreadyOrdered: true, losses: 1, takeoverGrace: true}, retireAlreadyOrdered},
 	} {
 		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.request.decide(), c.want) })
 	}
@@ -114,15 +114,15 @@
 
 func TestRetireRecordsAreBounded(t *testing.T) {
 	m := &tierv1.PartitionMap{StoreNodes: []*tierv1.StoreNode{{Node: "n0", Folder: "f0"}}}
-	const orders = retireRecordsLimit + 40
+	const orders = maxRetireRecords + 40
 	for i := range orders {
-		m = orderRetire(m, fmt.Sprint("n", i))
+		m = withRetireOrder(m, fmt.Sprint("n", i))
 		if i != 1 { // that one is never emptied
 			m.Retired = append(m.Retired, fmt.Sprint("n", i))
 		}
 	}
-	assert.Equal(t, len(m.Retiring), retireRecordsLimit)
+	assert.Equal(t, len(m.Retiring), maxRetireRecords)
 	assert.DeepEqual(t, m.Retiring[:2], []string{"n0", "n1"}) // n0 is still there, n1 is under way
-	assert.Equal(t, m.Retiring[retireRecordsLimit-1], fmt.Sprint("n", orders-1))
-	assert.Equal(t, len(m.Retired), retireRecordsLimit-1)
+	assert.Equal(t, m.Retiring[maxRetireRecords-1], fmt.Sprint("n", orders-1))
+	assert.Equal(t, len(m.Retired), maxRetireRecords-1)
 }
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -344,7 +344,7 @@
 }
 
 func (r *rig) turnStores() *tierv1.PartitionMap {
-	v, _ := r.k.snapshot()
+	v, _ := r.k.currentView()
 	return v.partitionMap
 }
 
--- a/internal/tier/controlplane/risk.go
+++ b/internal/tier/controlplane/risk.go
@@ -8,17 +8,17 @@
 
 // Risk tells how far the turn stores are from bearing Spread.Losses further losses, as the partition map has it.
 type Risk struct {
-	Partitions int           // partitions whose synced copies lie in fewer than Losses + 1 domains
-	Stopped    int           // of these: partitions without a reachable primary; they get no copies until a holder returns
-	MinCopies  int           // fewest domains with a synced copy that any partition has; Losses + 1 or more without risk
-	Unsynced   int           // copies under way in the partitions at risk
-	Until      time.Duration // estimate until no partition is at risk; 0 without risk, Unknown where nothing is under way
+	Partitions   int           // partitions whose synced copies lie in fewer than Losses + 1 domains
+	Unavailable  int           // of these: partitions without a reachable primary; they get no copies until a holder returns
+	MinReplicas  int           // fewest domains with a synced copy that any partition has; Losses + 1 or more without risk
+	Unsynced     int           // copies under way in the partitions at risk
+	RecoveryTime time.Duration // estimate until no partition is at risk; 0 without risk, Unknown where nothing is under way
 }
 
-// Unknown is the Until of a risk that does not end by itself: a partition at risk has no copy under way.
-const Unknown time.Duration = -1
+// RecoveryUnknown is the Until of a risk that does not end by itself: a partition at risk has no copy under way.
+const RecoveryUnknown time.Duration = -1
 
-// AtRisk counts the partitions that would be lost, or lose their last synced copy, if Spread.Losses more domains were lost now.
+// AssessRisk counts the partitions that would be lost, or lose their last synced copy, if Spread.Losses more domains were lost now.
 // A copy counts where its turn store is alive and it is the primary's or marked synced; copies in one domain count once, as
 // they are lost at once. Where no Domain is given, each folder is a domain of its own.
 //
@@ -27,7 +27,7 @@
 // upper bound by promise, not a measurement.
 //
 // AtRisk is pure and reads the map only.
-func AtRisk(partitionMap *tierv1.PartitionMap, spread Spread, alive map[string]*tierv1.StoreNode, syncTime time.Duration) Risk {
+func AssessRisk(partitionMap *tierv1.PartitionMap, spread FaultTolerance, alive map[string]*tierv1.StoreNode, syncTime time.Duration) Risk {
 	nodes := map[string]*tierv1.StoreNode{}
 	for _, node := range partitionMap.GetStoreNodes() {
 		nodes[node.Folder] = node
@@ -38,7 +38,7 @@
 		}
 		return folder
 	}
-	risk := Risk{MinCopies: spread.Losses + 1}
+	risk := Risk{MinReplicas: spread.Losses + 1}
 	for i, partition := range partitionMap.GetPartitions() {
 		synced, underWay := map[string]bool{}, map[string]bool{}
 		unsynced := 0
@@ -56,9 +56,9 @@
 			}
 		}
 		if i == 0 {
-			risk.MinCopies = len(synced)
+			risk.MinReplicas = len(synced)
 		}
-		risk.MinCopies = min(risk.MinCopies, len(synced))
+		risk.MinReplicas = min(risk.MinReplicas, len(synced))
 		if len(synced) > spread.Losses {
 			continue
 		}
@@ -66,15 +66,15 @@
 		risk.Unsynced += unsynced
 		reachable := alive[partition.Primary] != nil
 		if !reachable {
-			risk.Stopped++
+			risk.Unavailable++
 		}
 		for name := range synced {
 			underWay[name] = true
 		}
 		if !reachable || len(underWay) <= spread.Losses {
-			risk.Until = Unknown
-		} else if risk.Until != Unknown {
-			risk.Until = syncTime
+			risk.RecoveryTime = RecoveryUnknown
+		} else if risk.RecoveryTime != RecoveryUnknown {
+			risk.RecoveryTime = syncTime
 		}
 	}
 	return risk
--- a/internal/tier/controlplane/risk_clock_test.go
+++ b/internal/tier/controlplane/risk_clock_test.go
@@ -101,7 +101,7 @@
 		synced []*tierv1.SyncedReplica
 		alive  bool
 	}{{nil, true}, {[]*tierv1.SyncedReplica{own}, false}, {[]*tierv1.SyncedReplica{other}, true}} {
-		r.enter(now, &tierv1.WatchRequest{Role: roleTurnStore, Node: "v1", Folder: "v1.1", Incarnation: "1", Synced: test.synced})
+		r.beginCall(now, &tierv1.WatchRequest{Role: roleTurnStore, Node: "v1", Folder: "v1.1", Incarnation: "1", Synced: test.synced})
 		alive, _, reports := r.storeNodes(now)
 		assert.Equal(t, alive["v1.1"] != nil, test.alive)
 		assert.Assert(t, test.alive || len(reports) == 0, "%v", reports)
--- a/internal/tier/controlplane/risk_test.go
+++ b/internal/tier/controlplane/risk_test.go
@@ -35,36 +35,36 @@
 	for _, test := range []struct {
 		name   string
 		m      *tierv1.PartitionMap
-		spread Spread
+		spread FaultTolerance
 		alive  map[string]*tierv1.StoreNode
 		want   Risk
 	}{
-		{"no map", nil, Spread{1, byNode}, alive("a"), Risk{MinCopies: 2}},
-		{"nothing at risk", partitionMap(whole), Spread{1, byNode}, alive("a", "b"), Risk{MinCopies: 2}},
-		{"more copies than needed", partitionMap(whole), Spread{0, byNode}, alive("a", "b"), Risk{MinCopies: 2}},
-		{"two losses to bear", partitionMap(whole), Spread{2, byNode}, alive("a", "b", "c"), Risk{Partitions: 1, MinCopies: 2, Until: Unknown}},
-		{"a copy under way", partitionMap(whole, underRepair), Spread{1, byNode}, alive("a", "b", "c"),
-			Risk{Partitions: 1, MinCopies: 1, Unsynced: 1, Until: syncTime}},
-		{"its turn store is gone", partitionMap(whole, underRepair), Spread{1, byNode}, alive("a", "b"),
-			Risk{Partitions: 1, MinCopies: 1, Until: Unknown}},
-		{"no copy under way", partitionMap(alone, underRepair), Spread{1, byNode}, alive("a", "c"),
-			Risk{Partitions: 2, MinCopies: 1, Unsynced: 1, Until: Unknown}},
-		{"a synced backup is gone", partitionMap(whole), Spread{1, byNode}, alive("a"), Risk{Partitions: 1, MinCopies: 1, Until: Unknown}},
-		{"the primary is gone", partitionMap(whole), Spread{1, byNode}, alive("b"),
-			Risk{Partitions: 1, Stopped: 1, MinCopies: 1, Until: Unknown}},
-		{"all holders are gone", partitionMap(whole), Spread{1, byNode}, alive("c"),
-			Risk{Partitions: 1, Stopped: 1, Until: Unknown}},
-		{"two copies in one zone", partitionMap(oneZone), Spread{1, byZone}, alive("b", "c"),
-			Risk{Partitions: 1, MinCopies: 1, Until: Unknown}},
-		{"the same by machine", partitionMap(oneZone), Spread{1, byNode}, alive("b", "c"), Risk{MinCopies: 2}},
-		{"three copies", partitionMap(threeCopies), Spread{2, byNode}, alive("a", "b", "c"), Risk{MinCopies: 3}},
-		{"the primary is gone, the backup is not whole", partitionMap(underRepair), Spread{1, byNode}, alive("c"),
-			Risk{Partitions: 1, Stopped: 1, Unsynced: 1, Until: Unknown}},
-		{"copies in two zones", partitionMap(whole), Spread{1, byZone}, alive("a", "b"), Risk{MinCopies: 2}},
-		{"no domain given", partitionMap(oneZone), Spread{Losses: 1}, alive("b", "c"), Risk{MinCopies: 2}},
+		{"no map", nil, FaultTolerance{1, byNode}, alive("a"), Risk{MinReplicas: 2}},
+		{"nothing at risk", partitionMap(whole), FaultTolerance{1, byNode}, alive("a", "b"), Risk{MinReplicas: 2}},
+		{"more copies than needed", partitionMap(whole), FaultTolerance{0, byNode}, alive("a", "b"), Risk{MinReplicas: 2}},
+		{"two losses to bear", partitionMap(whole), FaultTolerance{2, byNode}, alive("a", "b", "c"), Risk{Partitions: 1, MinReplicas: 2, RecoveryTime: RecoveryUnknown}},
+		{"a copy under way", partitionMap(whole, underRepair), FaultTolerance{1, byNode}, alive("a", "b", "c"),
+			Risk{Partitions: 1, MinReplicas: 1, Unsynced: 1, RecoveryTime: syncTime}},
+		{"its turn store is gone", partitionMap(whole, underRepair), FaultTolerance{1, byNode}, alive("a", "b"),
+			Risk{Partitions: 1, MinReplicas: 1, RecoveryTime: RecoveryUnknown}},
+		{"no copy under way", partitionMap(alone, underRepair), FaultTolerance{1, byNode}, alive("a", "c"),
+			Risk{Partitions: 2, MinReplicas: 1, Unsynced: 1, RecoveryTime: RecoveryUnknown}},
+		{"a synced backup is gone", partitionMap(whole), FaultTolerance{1, byNode}, alive("a"), Risk{Partitions: 1, MinReplicas: 1, RecoveryTime: RecoveryUnknown}},
+		{"the primary is gone", partitionMap(whole), FaultTolerance{1, byNode}, alive("b"),
+			Risk{Partitions: 1, Unavailable: 1, MinReplicas: 1, RecoveryTime: RecoveryUnknown}},
+		{"all holders are gone", partitionMap(whole), FaultTolerance{1, byNode}, alive("c"),
+			Risk{Partitions: 1, Unavailable: 1, RecoveryTime: RecoveryUnknown}},
+		{"two copies in one zone", partitionMap(oneZone), FaultTolerance{1, byZone}, alive("b", "c"),
+			Risk{Partitions: 1, MinReplicas: 1, RecoveryTime: RecoveryUnknown}},
+		{"the same by machine", partitionMap(oneZone), FaultTolerance{1, byNode}, alive("b", "c"), Risk{MinReplicas: 2}},
+		{"three copies", partitionMap(threeCopies), FaultTolerance{2, byNode}, alive("a", "b", "c"), Risk{MinReplicas: 3}},
+		{"the primary is gone, the backup is not whole", partitionMap(underRepair), FaultTolerance{1, byNode}, alive("c"),
+			Risk{Partitions: 1, Unavailable: 1, Unsynced: 1, RecoveryTime: RecoveryUnknown}},
+		{"copies in two zones", partitionMap(whole), FaultTolerance{1, byZone}, alive("a", "b"), Risk{MinReplicas: 2}},
+		{"no domain given", partitionMap(oneZone), FaultTolerance{Losses: 1}, alive("b", "c"), Risk{MinReplicas: 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			assert.DeepEqual(t, AtRisk(test.m, test.spread, test.alive, syncTime), test.want)
+			assert.DeepEqual(t, AssessRisk(test.m, test.spread, test.alive, syncTime), test.want)
 		})
 	}
 }
--- a/internal/tier/controlplane/scant_rate_test.go
+++ b/internal/tier/controlplane/scant_rate_test.go
@@ -139,7 +139,7 @@
 	version := uint64(0)
 	for began := time.Now(); time.Since(began) < span; {
 		r.pass(20 * time.Millisecond)
-		v, _ := r.k.snapshot()
+		v, _ := r.k.currentView()
 		if v.endpoints.GetVersion() != version {
 			version = v.endpoints.GetVersion()
 			seen.pushes++
@@ -203,11 +203,11 @@
 					worst = told{max(worst.longest, seen.longest), worst.known + seen.known, max(worst.pushes, seen.pushes)}
 					pages := math.Ceil(float64(p.most) / float64(c.pageSize))
 					// Its page comes an interval after the last time, or two calls later: one is refused, or the list grew.
-					bound = r.k.interval(int(pages), 0) + set.DrainTimeout/pushPart + 2*r.k.callSpacing() + 100*time.Millisecond
+					bound = r.k.pollInterval(int(pages), 0) + set.DrainTimeout/pushIntervalDivisor + 2*r.k.callSpacing() + 100*time.Millisecond
 					checkSameList(t, r, p)
 				})
 				assert.Check(t, worst.longest <= bound, "seed %d: known after %v, bound %v", seed, worst.longest, bound)
-				most := int(span/(set.DrainTimeout/pushPart)) + int(span/(set.DrainTimeout/pollPart)) + 2
+				most := int(span/(set.DrainTimeout/pushIntervalDivisor)) + int(span/(set.DrainTimeout/pollDivisor)) + 2
 				assert.Check(t, worst.pushes <= most, "%d pushes", worst.pushes)
 			}
 			t.Logf("known after %v at most, bound %v, %d endpoints, %d pushes", worst.longest, bound, worst.known, worst.pushes)
@@ -218,7 +218,7 @@
 // checkSameList checks that what is shown is what the platform has.
 func checkSameList(t *testing.T, r *rig, p *scantPlatform) {
 	t.Helper()
-	v, _ := r.k.snapshot()
+	v, _ := r.k.currentView()
 	var shown, listed []string
 	for _, e := range v.endpoints.List {
 		shown = append(shown, fmt.Sprint(e.Instance, e.Draining))
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -18,18 +18,18 @@
 )
 
 // Sessions is the service that gateways, turn stores and the command line call.
-func (plane *ControlPlane) Sessions() tierv1.ControlPlane { return &sessions{plane} }
+func (plane *ControlPlane) Sessions() tierv1.ControlPlane { return &watchService{plane} }
 
-type sessions struct{ plane *ControlPlane }
+type watchService struct{ plane *ControlPlane }
 
 // Watch answers at once where there is news for the caller, else when its time is over.
-func (s *sessions) Watch(ctx context.Context, req *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+func (s *watchService) Watch(ctx context.Context, req *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
 	plane := s.plane
 	if _, ok := plane.Store.Primary(); !ok {
 		return plane.notPrimary(), nil
 	}
 	plane.mu.Lock()
-	me, fresh := plane.sessions.enter(time.Now(), req)
+	me, fresh := plane.sessions.beginCall(time.Now(), req)
 	plane.mu.Unlock()
 	if me != nil {
 		if fresh && req.Role == roleTurnStore {
@@ -38,26 +38,26 @@
 		defer func() {
 			broken := ctx.Err() != nil
 			plane.mu.Lock()
-			plane.sessions.leave(time.Now(), me, broken)
+			plane.sessions.endCall(time.Now(), me, broken)
 			plane.mu.Unlock()
 			if broken && req.Role == roleTurnStore && req.Draining {
 				wake(plane.reconcileNow)
 			}
 		}()
 	}
-	hold := time.NewTimer(min(time.Duration(req.PollTimeoutMs)*time.Millisecond, plane.window(holdPart)))
+	hold := time.NewTimer(min(time.Duration(req.PollTimeoutMs)*time.Millisecond, plane.windowFraction(longPollDivisor)))
 	defer hold.Stop()
 	confirmed := req.ConfigurationVersion != 0
 	over := false
 	for {
-		v, changed := plane.snapshot()
+		v, changed := plane.currentView()
 		epoch, ok := plane.Store.Primary()
 		if !ok {
 			return plane.notPrimary(), nil
 		}
 		if v.ready && v.epoch == epoch {
 			if !confirmed { // the first of a life: it has nothing to compare with
-				if err := plane.confirm.wait(ctx, epoch); err != nil {
+				if err := plane.barrier.wait(ctx, epoch); err != nil {
 					return plane.notPrimary(), nil
 				}
 				confirmed = true
@@ -88,7 +88,7 @@
 func (v *view) replyFor(req *tierv1.WatchRequest) (n *tierv1.WatchReply, some bool) {
 	n = &tierv1.WatchReply{IsPrimary: true, Epoch: v.epoch}
 	if v.configuration != nil && v.configuration.Version > req.ConfigurationVersion {
-		n.Configuration, some = v.packed, true
+		n.Configuration, some = v.compressedConfiguration, true
 	}
 	if v.endpoints != nil && v.endpoints.Version > req.EndpointsVersion {
 		n.Endpoints, some = v.endpointsFor(req), true
@@ -106,28 +106,28 @@
 }
 
 // Status tells operators what this process is and knows.
-func (s *sessions) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
+func (s *watchService) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
 	plane := s.plane
 	v, primary := plane.primary()
 	r := &tierv1.StatusReply{Self: plane.Store.Self(), Primary: primary, Record: plane.Store.Record(), DiskError: plane.diskError()}
 	r.Highest = r.Record.GetEpoch()
-	for _, key := range []string{keyConfiguration, keyPartitionMap, keySettled} {
+	for _, key := range []string{keyConfiguration, keyPartitionMap, keyEpochMarker} {
 		_, sequence := plane.Store.Get(key)
 		r.Sequence = max(r.Sequence, sequence)
 	}
 	if !primary {
 		return r, nil
 	}
-	r.PartitionMap, r.Configuration, r.Endpoints, r.Revision = v.partitionMap, v.configuration.GetVersion(), v.endpoints.GetVersion(), v.orders.current
-	r.Orders = uint32(len(v.orders.records))
+	r.PartitionMap, r.Configuration, r.Endpoints, r.Revision = v.partitionMap, v.configuration.GetVersion(), v.endpoints.GetVersion(), v.changes.current
+	r.Orders = uint32(len(v.changes.records))
 	now := time.Now()
 	plane.mu.Lock()
-	r.Risk = plane.risk(now, v.partitionMap)
-	for _, one := range plane.sessions.of {
+	r.Risk = plane.riskReport(now, v.partitionMap)
+	for _, one := range plane.sessions.sessions {
 		t := &tierv1.Session{Node: one.node, Role: one.role, Address: one.address, Configuration: one.configuration,
 			Endpoints: one.endpoints, PartitionMap: one.partitionMap, Disk: one.disk}
-		if one.held == 0 {
-			t.SilentMs = now.Sub(one.ended).Milliseconds()
+		if one.openCalls == 0 {
+			t.SilentMs = now.Sub(one.lastCallEnded).Milliseconds()
 		}
 		r.Sessions = append(r.Sessions, t)
 	}
@@ -138,8 +138,8 @@
 	return r, nil
 }
 
-// pack gives a configuration as sessions get it. Routes are much alike, and all sessions take it at each change.
-func pack(c *tierv1.Configuration) *tierv1.Configuration {
+// compressConfiguration gives a configuration as sessions get it. Routes are much alike, and all sessions take it at each change.
+func compressConfiguration(c *tierv1.Configuration) *tierv1.Configuration {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
 	if err == nil {
--- a/internal/tier/controlplane/sessions_test.go
+++ b/internal/tier/controlplane/sessions_test.go
@@ -132,7 +132,7 @@
 		third.end()
 		r.pass(time.Second)
 		for _, p := range r.turnStores().Partitions {
-			assert.Assert(t, !slices.Contains(members(p), "v3.1"))
+			assert.Assert(t, !slices.Contains(replicaFolders(p), "v3.1"))
 		}
 
 		// Back with another disk, it gets its share.
@@ -140,7 +140,7 @@
 		r.pass(20 * time.Second)
 		load := map[string]int{}
 		for _, p := range r.turnStores().Partitions {
-			for _, folder := range members(p) {
+			for _, folder := range replicaFolders(p) {
 				load[folder]++
 			}
 			assert.Equal(t, len(p.Backups), 1)
--- a/internal/tier/controlplane/stall.go
+++ b/internal/tier/controlplane/stall.go
@@ -14,11 +14,11 @@
 
 // stallTracker observes how long copies are under way. It is pure: the time is passed in.
 type stallTracker struct {
-	attempts map[uint32]attempt // by partition
+	attempts map[uint32]syncAttempt // by partition
 }
 
-// attempt is a partition's copy under way.
-type attempt struct {
+// syncAttempt is a partition's copy under way.
+type syncAttempt struct {
 	epoch uint64    // of the partition
 	first time.Time // since when a copy is under way
 	since time.Time // since when it is in this epoch
@@ -31,7 +31,7 @@
 func (t *stallTracker) observe(now time.Time, usual time.Duration, m *tierv1.PartitionMap, alive map[string]*tierv1.StoreNode) (slow, stalled map[uint32]bool) {
 	slow, stalled = map[uint32]bool{}, map[uint32]bool{}
 	before := t.attempts
-	t.attempts = map[uint32]attempt{}
+	t.attempts = map[uint32]syncAttempt{}
 	for i, p := range m.GetPartitions() {
 		id := uint32(i)
 		if alive[p.Primary] == nil || !hasUnsynced(p) {
@@ -40,7 +40,7 @@
 		a, known := before[id]
 		switch {
 		case !known:
-			a = attempt{epoch: p.Epoch, first: now, since: now}
+			a = syncAttempt{epoch: p.Epoch, first: now, since: now}
 		case a.epoch != p.Epoch:
 			a.epoch, a.since = p.Epoch, now
 			a.count++
--- a/internal/tier/controlplane/stand_in_test.go
+++ b/internal/tier/controlplane/stand_in_test.go
@@ -12,7 +12,7 @@
 // whileEmptied gives three machines, one loss to be borne, and the first being emptied as the second falls silent for longer
 // than is waited for.
 func whileEmptied(t *testing.T) *world {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.settle()
 	w.retire(w.machines[0])
@@ -24,7 +24,7 @@
 // rests counts the partitions that have a copy on a machine.
 func (w *world) rests(m *machine) (n int) {
 	for _, p := range w.m.Partitions {
-		if slices.Contains(members(p), m.folder) {
+		if slices.Contains(replicaFolders(p), m.folder) {
 			n++
 		}
 	}
@@ -37,20 +37,20 @@
 	emptied, silent, last := w.machines[0], w.machines[1], w.machines[2]
 	w.assign(w.input())
 	for i, p := range w.m.Partitions {
-		assert.Equal(t, len(members(p)), 2, "partition %d: %v", i, p)
-		assert.Assert(t, slices.Contains(members(p), emptied.folder) && slices.Contains(members(p), last.folder), "partition %d: %v", i, p)
+		assert.Equal(t, len(replicaFolders(p)), 2, "partition %d: %v", i, p)
+		assert.Assert(t, slices.Contains(replicaFolders(p), emptied.folder) && slices.Contains(replicaFolders(p), last.folder), "partition %d: %v", i, p)
 	}
 	for range 5 {
 		w.step()
 	}
 	assert.Equal(t, w.served(), partitionCount)
 	assert.Equal(t, w.rests(emptied), partitionCount)
-	assert.Equal(t, lifecycle(w.m, emptied.node, w.spread.Losses), retireInProgress)
+	assert.Equal(t, lifecycleState(w.m, emptied.node, w.spread.Losses), retireInProgress)
 
 	silent.cut = false
 	w.settle()
 	assert.Equal(t, w.rests(emptied), 0)
-	assert.Equal(t, lifecycle(w.m, emptied.node, w.spread.Losses), retireCompleted)
+	assert.Equal(t, lifecycleState(w.m, emptied.node, w.spread.Losses), retireCompleted)
 	w.checkRetired(emptied)
 	w.even(false)
 }
@@ -78,7 +78,7 @@
 
 // A machine that was told to be empty may be taken away at any moment: it stands in for none.
 func TestAnEmptiedMachineDoesNotStandIn(t *testing.T) {
-	w := newWorld(t, nil, 3, 3, Spread{1, byNode})
+	w := newWorld(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.settle()
 	w.retire(w.machines[0])
@@ -101,7 +101,7 @@
 
 // Where a turn store stays, none that is being emptied gets a copy.
 func TestATurnStoreThatStaysIsPreferred(t *testing.T) {
-	w := newWorld(t, nil, 4, 4, Spread{1, byNode})
+	w := newWorld(t, nil, 4, 4, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.settle()
 	w.retire(w.machines[0])
@@ -110,7 +110,7 @@
 		w.machines[1].cut = true
 		w.step()
 		for i, p := range w.m.Partitions {
-			had := slices.Contains(members(before[i]), w.machines[0].folder)
+			had := slices.Contains(replicaFolders(before[i]), w.machines[0].folder)
 			has := slices.ContainsFunc(p.Backups, func(c *tierv1.Replica) bool { return c.Folder == w.machines[0].folder })
 			assert.Assert(t, had || !has, "partition %d: %v", i, p)
 		}
--- a/internal/tier/controlplane/store.go
+++ b/internal/tier/controlplane/store.go
@@ -31,5 +31,5 @@
 const (
 	keyConfiguration = "configuration" // the operator's configuration, the bytes that came
 	keyPartitionMap  = "turnstores"    // tierv1.PartitionMap
-	keySettled       = "settled"       // epoch in which the state was last written through
+	keyEpochMarker   = "settled"       // epoch in which the state was last written through
 )
--- a/internal/tier/controlplane/stored_state_test.go
+++ b/internal/tier/controlplane/stored_state_test.go
@@ -59,10 +59,10 @@
 // listView lists all that a view has of the control state.
 func listView(v *view) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "revision %d\n", v.orders.current)
+	fmt.Fprintf(&b, "revision %d\n", v.changes.current)
 	fmt.Fprintf(&b, "configuration version %d, %d bytes\n%s\n", v.configuration.Version, len(v.configuration.Body), v.configuration.Body)
-	for _, order := range v.orders.records {
-		fmt.Fprintf(&b, "order revision %d base %d digest %x\n", order.revision, order.base, order.digest)
+	for _, order := range v.changes.records {
+		fmt.Fprintf(&b, "order revision %d base %d digest %x\n", order.revision, order.baseRevision, order.digest)
 	}
 	listPartitionMap(&b, v.partitionMap)
 	return b.String()
@@ -90,7 +90,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := storedKeys(t)
 		plane := New(Config{Settings: site(), Store: s})
-		assert.NilError(t, plane.settle(t.Context(), s.epoch))
+		assert.NilError(t, plane.startEpoch(t.Context(), s.epoch))
 		v, ok := plane.primary()
 		assert.Assert(t, ok)
 		compareGolden(t, listView(v), filepath.Join(storedStateDir, "listing.txt"))
@@ -131,7 +131,7 @@
 func listKeys(s Store) string {
 	keys := []string{keyConfiguration, keyPartitionMap}
 	for revision := range int64(100) {
-		keys = append(keys, orderKey(revision))
+		keys = append(keys, changeKey(revision))
 	}
 	var lines []string
 	for _, key := range keys {
@@ -168,7 +168,7 @@
 		assert.NilError(t, err)
 		var stable []byte
 		for line := range bytes.Lines(want) {
-			if !bytes.HasPrefix(line, []byte(keySettled+" ")) {
+			if !bytes.HasPrefix(line, []byte(keyEpochMarker+" ")) {
 				stable = append(stable, line...)
 			}
 		}
