--- a/internal/tier/capacity/turnstore_test.go
+++ b/internal/tier/capacity/turnstore_test.go
@@ -95,8 +95,8 @@
 		partitionMap.Partitions = append(partitionMap.Partitions, &tierv1.Partition{Epoch: 1, Primary: stores.primary.Folder(),
 			Backups: []*tierv1.Replica{{Folder: stores.backup.Folder(), Synced: true}}})
 	}
-	stores.primary.Apply(partitionMap)
-	stores.backup.Apply(partitionMap)
+	stores.primary.ApplyPartitionMap(partitionMap)
+	stores.backup.ApplyPartitionMap(partitionMap)
 	return stores
 }
 
@@ -196,7 +196,7 @@
 	report := measureProcessor(b)
 	for b.Loop() {
 		for range 8 { // all parts have had their turn then
-			p.primary.Sweep(time.Now())
+			p.primary.RemoveExpired(time.Now())
 		}
 	}
 	report()
--- a/internal/tier/gateway/released_test.go
+++ b/internal/tier/gateway/released_test.go
@@ -70,12 +70,12 @@
 	for _, contactWindow := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, time.Minute} {
 		client := newStoreClient(settings.Settings{ContactWindow: contactWindow}, nil, nil)
 		takes := client.try + client.wait
-		assert.Assert(t, takes <= turnstore.ReleaseTime(contactWindow), "contact window %v", contactWindow)
+		assert.Assert(t, takes <= turnstore.ReleaseGracePeriod(contactWindow), "contact window %v", contactWindow)
 		if contactWindow >= 4*time.Second { // no more than that: a 402 that is right waits for it
-			assert.Equal(t, takes, turnstore.ReleaseTime(contactWindow))
+			assert.Equal(t, takes, turnstore.ReleaseGracePeriod(contactWindow))
 		}
 	}
-	assert.Equal(t, turnstore.ReleaseTime(4*time.Second), turnstore.DefaultReleaseTime)
+	assert.Equal(t, turnstore.ReleaseGracePeriod(4*time.Second), turnstore.DefaultReleaseGracePeriod)
 }
 
 // refusingTurnStore takes no settlement until it is let, and then tells what it took.
--- a/internal/tier/process/turnstore.go
+++ b/internal/tier/process/turnstore.go
@@ -60,7 +60,7 @@
 			t.session.Leave()
 			handOver, cancel := context.WithTimeout(t.ctx, config.Settings.Grace/graceDivisor)
 			defer cancel()
-			t.store.Released(handOver)
+			t.store.AwaitHandover(handOver)
 		}
 		process.cancel()
 	}
@@ -71,14 +71,14 @@
 func (process *Process) turnStoreConfig(config Config) turnstore.Config {
 	settings := config.Settings
 	return turnstore.Config{
-		Node:        settings.Node,
-		Dir:         settings.DataDir,
-		FS:          config.FS,
-		Dial:        dialer(process.client, dialTurnStore),
-		DiskBytes:   int64(settings.DiskMB) << megabyteShift,
-		MemoryBytes: int64(settings.MemoryMB) << megabyteShift / memoryDivisor,
-		Log:         config.Log,
-		ReleaseTime: turnstore.ReleaseTime(settings.ContactWindow),
+		Node:               settings.Node,
+		Dir:                settings.DataDir,
+		FS:                 config.FS,
+		Dial:               dialer(process.client, dialTurnStore),
+		DiskBytes:          int64(settings.DiskMB) << megabyteShift,
+		MemoryBytes:        int64(settings.MemoryMB) << megabyteShift / memoryDivisor,
+		Log:                config.Log,
+		ReleaseGracePeriod: turnstore.ReleaseGracePeriod(settings.ContactWindow),
 	}
 }
 
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	sessionClient := session.New(session.Config{Settings: settings, Role: RoleTurnStore, Folder: store.Folder(), Address: address, Empty: store.WasEmpty(),
-		Dial: dialer(process.client, dialControlPlane), Synced: store.Synced, Disk: store.DiskState, Log: config.Log, PartitionMap: store.Apply})
+		Dial: dialer(process.client, dialControlPlane), Synced: store.SyncedReplicas, Disk: store.DiskState, Log: config.Log, PartitionMap: store.ApplyPartitionMap})
 	mux := http.NewServeMux()
 	mux.Handle(tierv1.TurnStorePathPrefix, tierv1.NewTurnStoreServer(store))
 	mux.Handle(metricsPattern, metrics.Handler(func() metrics.Figures {
--- a/internal/tier/process/turnstore_config_test.go
+++ b/internal/tier/process/turnstore_config_test.go
@@ -13,12 +13,12 @@
 // A turn store is told how long releases take by the contact window of its deployment.
 func TestTheReleaseTimeFollowsTheContactWindow(t *testing.T) {
 	for contactWindow, want := range map[time.Duration]time.Duration{
-		3 * time.Second:  turnstore.DefaultReleaseTime,
-		4 * time.Second:  turnstore.DefaultReleaseTime,
+		3 * time.Second:  turnstore.DefaultReleaseGracePeriod,
+		4 * time.Second:  turnstore.DefaultReleaseGracePeriod,
 		20 * time.Second: 5500 * time.Millisecond,
 	} {
 		p := &Process{}
 		got := p.turnStoreConfig(Config{Settings: settings.Settings{ContactWindow: contactWindow}})
-		assert.Equal(t, got.ReleaseTime, want, "contact window %v", contactWindow)
+		assert.Equal(t, got.ReleaseGracePeriod, want, "contact window %v", contactWindow)
 	}
 }
--- a/internal/tier/simulation/roles.go
+++ b/internal/tier/simulation/roles.go
@@ -84,7 +84,7 @@
 	m := p.machine
 	s := m.settings
 	store, err := turnstore.Open(turnstore.Config{Node: s.Node, Dir: dataFolder, FS: v.seams.files(m.name, p.files()), Dial: p.dialTurnStore,
-		MemoryBytes: memoryBytes, Log: p.log, ReleaseTime: turnstore.ReleaseTime(s.ContactWindow)})
+		MemoryBytes: memoryBytes, Log: p.log, ReleaseGracePeriod: turnstore.ReleaseGracePeriod(s.ContactWindow)})
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 			if v.seams.Map != nil {
 				v.seams.Map(store, t)
 			}
-			store.Apply(t)
+			store.ApplyPartitionMap(t)
 		}})
 	go v.held.Run(p.ctx)
 	go func() {
@@ -117,7 +117,7 @@
 	v.held.Leave()
 	ctx, cancel := context.WithTimeout(ctx, grace/2)
 	defer cancel()
-	v.store.Released(ctx)
+	v.store.AwaitHandover(ctx)
 }
 
 // outsideRole serves one handler for ever.
--- a/internal/tier/simulation/seams.go
+++ b/internal/tier/simulation/seams.go
@@ -46,7 +46,7 @@
 
 func (s Seams) synced(store *turnstore.TurnStore) SyncedFunc {
 	if s.Synced == nil {
-		return store.Synced
+		return store.SyncedReplicas
 	}
-	return s.Synced(store, store.Synced)
+	return s.Synced(store, store.SyncedReplicas)
 }
--- a/internal/tier/tiertest/turnstores.go
+++ b/internal/tier/tiertest/turnstores.go
@@ -142,7 +142,7 @@
 	for i := range n {
 		store := &TurnStore{Address: fmt.Sprintf("turnstore-%d", i)}
 		opened, err := turnstore.Open(turnstore.Config{Node: store.Address, Dir: "/data", FS: wal.NewMemory(), Dial: stores.Dial, Log: Silent(),
-			ReleaseTime: releaseTime})
+			ReleaseGracePeriod: releaseTime})
 		assert.NilError(t, err)
 		store.TurnStore = opened
 		stores.List = append(stores.List, store)
@@ -181,7 +181,7 @@
 		dark := store.dark
 		store.mu.Unlock()
 		if !dark {
-			store.Apply(partitionMap)
+			store.ApplyPartitionMap(partitionMap)
 		}
 	}
 	return partitionMap
--- a/internal/tier/turnstore/apply.go
+++ b/internal/tier/turnstore/apply.go
@@ -8,30 +8,30 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Apply takes a map of the partitions. Older ones than those taken before are ignored.
-func (store *TurnStore) Apply(m *tierv1.PartitionMap) {
-	if m == nil {
+// ApplyPartitionMap takes a map of the partitions. Older ones than those taken before are ignored.
+func (store *TurnStore) ApplyPartitionMap(partitionMap *tierv1.PartitionMap) {
+	if partitionMap == nil {
 		return
 	}
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	if store.closed || store.mapped && m.Version <= store.version {
+	if store.closed || store.hasMap && partitionMap.Version <= store.mapVersion {
 		return
 	}
-	store.mapped, store.version, store.partitionMap = true, m.Version, m
+	store.hasMap, store.mapVersion, store.partitionMap = true, partitionMap.Version, partitionMap
 	clear(store.storeNodes)
-	for _, k := range m.StoreNodes {
+	for _, k := range partitionMap.StoreNodes {
 		store.storeNodes[k.Folder] = k.Address
 	}
 	for address := range store.clients {
-		if !slices.ContainsFunc(m.StoreNodes, func(k *tierv1.StoreNode) bool { return k.Address == address }) {
+		if !slices.ContainsFunc(partitionMap.StoreNodes, func(k *tierv1.StoreNode) bool { return k.Address == address }) {
 			delete(store.clients, address)
 		}
 	}
-	for i, part := range m.Partitions {
-		store.assign(store.store.partition(uint32(i)), part)
+	for i, part := range partitionMap.Partitions {
+		store.assign(store.state.partition(uint32(i)), part)
 	}
-	store.signal()
+	store.notifyChanged()
 }
 
 // assign takes this turn store's role from the map, unless a newer epoch is known already.
@@ -43,23 +43,23 @@
 		if p.term.unconfirmed && len(part.RecoverFrom) == 0 {
 			p.term.unconfirmed, p.term.primarySince = false, store.cfg.Now()
 		}
-		for _, s := range p.term.senders {
+		for _, s := range p.term.replicators {
 			s.unsynced = slices.ContainsFunc(part.Backups, func(c *tierv1.Replica) bool { return c.Folder == s.folder && !c.Synced })
 		}
 		return
 	}
-	continued := store.continued(p, part)
-	p.end()
+	continued := store.continuedTerm(p, part)
+	p.endTerm()
 	p.epoch, p.primary, p.term = part.Epoch, part.Primary, nil
 	p.backup = slices.ContainsFunc(part.Backups, func(c *tierv1.Replica) bool { return c.Folder == store.folder })
 	if p.primary == store.folder {
 		store.beginTerm(p, part)
-		p.term.goOnFrom(continued)
+		p.term.continueFrom(continued)
 	}
 	retained := slices.ContainsFunc(part.Retained, func(c *tierv1.RetainedReplica) bool { return c.Folder == store.folder })
 	switch {
 	case p.primary == store.folder || p.backup || retained:
-		p.assigned()
+		p.markAssigned()
 	case p.unassignedSince.IsZero():
 		p.unassignedSince = store.cfg.Now()
 	}
@@ -67,66 +67,66 @@
 
 // beginTerm starts a term: facts added from now on go to all its backups, and what was there before is exchanged with them.
 func (store *TurnStore) beginTerm(p *partition, part *tierv1.Partition) {
-	store.terms++
-	t := &term{id: store.terms, firstID: store.terms, epoch: part.Epoch, closed: make(chan struct{}), primarySince: store.cfg.Now()}
+	store.lastTermID++
+	t := &term{id: store.lastTermID, firstID: store.lastTermID, epoch: part.Epoch, closed: make(chan struct{}), primarySince: store.cfg.Now()}
 	for _, c := range part.Backups {
 		if c.Folder == store.folder {
 			continue
 		}
-		s := &sender{v: store, p: p, t: t, folder: c.Folder, unsynced: !c.Synced}
-		t.senders = append(t.senders, s)
+		s := &replicator{store: store, partition: p, term: t, folder: c.Folder, unsynced: !c.Synced}
+		t.replicators = append(t.replicators, s)
 	}
 	p.term = t
 	t.unconfirmed = len(part.RecoverFrom) > 0
-	for _, s := range t.senders {
-		s.recover = slices.Contains(part.RecoverFrom, s.folder)
-		if s.recover {
-			t.recovering++
+	for _, s := range t.replicators {
+		s.recovering = slices.Contains(part.RecoverFrom, s.folder)
+		if s.recovering {
+			t.pendingRecoveries++
 		}
 	}
-	store.startExchanges(t, func(s *sender) bool { return t.recovering == 0 || s.recover })
+	store.startSynchronizations(t, func(s *replicator) bool { return t.pendingRecoveries == 0 || s.recovering })
 }
 
-// startExchanges begins the exchange with those backups of a term that are picked. The lock is held.
-func (store *TurnStore) startExchanges(t *term, picked func(*sender) bool) {
-	for _, s := range t.senders {
-		if picked(s) && !store.closed {
-			store.loops.Add(1)
-			go s.exchange()
+// startSynchronizations begins the exchange with those backups of a term that are picked. The lock is held.
+func (store *TurnStore) startSynchronizations(t *term, selected func(*replicator) bool) {
+	for _, s := range t.replicators {
+		if selected(s) && !store.closed {
+			store.background.Add(1)
+			go s.synchronize()
 		}
 	}
 }
 
 // observeEpoch takes up a newer epoch that another copy has named: a term that this turn store holds ends. The lock is held.
 func (store *TurnStore) observeEpoch(p *partition, epoch uint64, primary string) {
-	p.end()
+	p.endTerm()
 	p.epoch, p.primary, p.backup, p.term = epoch, primary, true, nil
-	p.assigned()
+	p.markAssigned()
 }
 
-// assigned notes that the partition has a place here. The lock is held.
-func (p *partition) assigned() { p.unassignedSince = time.Time{} }
+// markAssigned notes that the partition has a place here. The lock is held.
+func (p *partition) markAssigned() { p.unassignedSince = time.Time{} }
 
-// signal wakes those who wait for news of synced copies. The lock is held.
-func (store *TurnStore) signal() {
+// notifyChanged wakes those who wait for news of synced copies. The lock is held.
+func (store *TurnStore) notifyChanged() {
 	close(store.changed)
 	store.changed = make(chan struct{})
 }
 
-// Synced gives the copies that the map doesn't know to be synced, and that are now; none while the disk is not sound. The
+// SyncedReplicas gives the copies that the map doesn't know to be synced, and that are now; none while the disk is not sound. The
 // channel is closed when that, or the state of the disk, changes.
-func (store *TurnStore) Synced() (reports []*tierv1.SyncedReplica, changed <-chan struct{}) {
+func (store *TurnStore) SyncedReplicas() (reports []*tierv1.SyncedReplica, changed <-chan struct{}) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	if store.diskState != tierv1.DiskState_DISK_SOUND {
 		return nil, store.changed
 	}
-	for _, p := range store.store.partitions {
+	for _, p := range store.state.partitions {
 		if p.term == nil || p.term.ended {
 			continue
 		}
-		for _, s := range p.term.senders {
-			if s.unsynced && s.exchanged {
+		for _, s := range p.term.replicators {
+			if s.unsynced && s.synchronized {
 				reports = append(reports, &tierv1.SyncedReplica{Partition: p.id, Epoch: p.term.epoch, Folder: s.folder})
 			}
 		}
@@ -134,33 +134,33 @@
 	return reports, store.changed
 }
 
-// lastHolderShare is how much longer than its context allows, as a part of that time, the last holder of a partition stays.
-const lastHolderShare = 0.5
+// lastReplicaExtension is how much longer than its context allows, as a part of that time, the last holder of a partition stays.
+const lastReplicaExtension = 0.5
 
-// Released waits until this turn store may end after control was told that it leaves: control has made a map since, and no
+// AwaitHandover waits until this turn store may end after control was told that it leaves: control has made a map since, and no
 // partition in the newest map has this folder as its primary, or has a copy under way that is to take this one's place.
 // It returns when ctx is over all the same; but where a partition has no synced copy elsewhere then, it goes on for half of the
 // time that ctx had, as this turn store is the last to hold what was acknowledged there.
-func (store *TurnStore) Released(ctx context.Context) {
+func (store *TurnStore) AwaitHandover(ctx context.Context) {
 	began := time.Now()
 	last, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	if deadline, ok := ctx.Deadline(); ok {
 		allowed := max(0, deadline.Sub(began))
-		last, cancel = context.WithDeadline(last, deadline.Add(time.Duration(lastHolderShare*float64(allowed))))
+		last, cancel = context.WithDeadline(last, deadline.Add(time.Duration(lastReplicaExtension*float64(allowed))))
 		defer cancel()
 	}
 	store.mu.Lock()
-	before := store.version
+	before := store.mapVersion
 	store.mu.Unlock()
 	over := ctx.Done()
 	for {
 		store.mu.Lock()
-		duty := dutyOf(store.partitionMap, store.folder)
-		fresh := store.version > before
+		duty := responsibilityOf(store.partitionMap, store.folder)
+		fresh := store.mapVersion > before
 		changed := store.changed
 		store.mu.Unlock()
-		if duty.released(fresh, over == nil) {
+		if duty.mayStop(fresh, over == nil) {
 			return
 		}
 		select {
@@ -175,33 +175,33 @@
 	}
 }
 
-// duty is what a folder is still needed for.
-type duty int
+// responsibility is what a folder is still needed for.
+type responsibility int
 
 const (
-	noDuty     duty = iota // no partition names it
-	backupDuty             // it is a backup, and no copy is under way to take its place
-	neededDuty             // it is a primary, or a copy is under way in one of its partitions
-	lastHolder             // a partition has no synced copy elsewhere
+	notAssigned       responsibility = iota // no partition names it
+	backupOnly                              // it is a backup, and no copy is under way to take its place
+	requiredReplica                         // it is a primary, or a copy is under way in one of its partitions
+	lastSyncedReplica                       // a partition has no synced copy elsewhere
 )
 
-// released tells whether a turn store with this duty may end: fresh where control has made a map since it was told, late where
+// mayStop tells whether a turn store with this duty may end: fresh where control has made a map since it was told, late where
 // the time that was given is over.
-func (d duty) released(fresh, late bool) bool {
+func (d responsibility) mayStop(mapIsNewer, timedOut bool) bool {
 	switch d {
-	case noDuty:
+	case notAssigned:
 		return true
-	case backupDuty:
-		return fresh || late
-	case neededDuty:
-		return late
+	case backupOnly:
+		return mapIsNewer || timedOut
+	case requiredReplica:
+		return timedOut
 	}
 	return false
 }
 
-// dutyOf gives the greatest duty that a partition map puts on a folder. A map that is not known puts none.
-func dutyOf(m *tierv1.PartitionMap, folder string) duty {
-	greatest := noDuty
+// responsibilityOf gives the greatest duty that a partition map puts on a folder. A map that is not known puts none.
+func responsibilityOf(m *tierv1.PartitionMap, folder string) responsibility {
+	greatest := notAssigned
 	for _, p := range m.GetPartitions() {
 		own, elsewhere, underWay := p.Primary == folder, p.Primary != folder, false
 		holds := own
@@ -218,11 +218,11 @@
 		switch {
 		case !own:
 		case holds && !elsewhere:
-			return lastHolder
+			return lastSyncedReplica
 		case p.Primary == folder, underWay:
-			greatest = max(greatest, neededDuty)
+			greatest = max(greatest, requiredReplica)
 		default:
-			greatest = max(greatest, backupDuty)
+			greatest = max(greatest, backupOnly)
 		}
 	}
 	return greatest
--- a/internal/tier/turnstore/avoid_test.go
+++ b/internal/tier/turnstore/avoid_test.go
@@ -11,8 +11,8 @@
 )
 
 // Where an attempt of a program failed is told with its next ones, for a while, and to no other program.
-func TestFailedEndpointsAreTold(t *testing.T) {
-	c, k := pair(t)
+func TestFailedEndpoints_ReportedForAWhile(t *testing.T) {
+	c, k := newPair(t)
 	v := c.nodes["a"].turnstore
 	begin := func(program, attempt string) []string {
 		reply, err := v.Begin(c.ctx, &tierv1.BeginRequest{Program: program, Attempt: attempt})
@@ -25,7 +25,7 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, begin("p", "t2"), []string{"i1"})
 	assert.Equal(t, len(begin("q", "u1")), 0)
-	c.advance(avoidTime)
+	c.advance(failedEndpointTTL)
 	assert.DeepEqual(t, begin("p", "t3"), []string{"i1"})
 	c.advance(time.Nanosecond)
 	assert.Equal(t, len(begin("p", "t4")), 0)
@@ -33,16 +33,16 @@
 }
 
 // The newest few are remembered.
-func TestFailedEndpointsAreBounded(t *testing.T) {
-	s, now := newStore(), time.Now()
-	s.add(reserve("a", 1), now)
+func TestFailedEndpoints_Bounded(t *testing.T) {
+	s, now := newState(), time.Now()
+	s.add(reservedFact("a", 1), now)
 	p := s.partition(0)
 	for i := range 10 {
-		p.noteFailed("p", fmt.Sprint("i", i), now)
+		p.recordFailedEndpoint("p", fmt.Sprint("i", i), now)
 	}
-	p.noteFailed("p", "i7", now)
-	p.noteFailed("p", "", now)
-	p.noteFailed("unknown", "i1", now)
-	assert.DeepEqual(t, p.avoided("p", now), []string{"i6", "i8", "i9", "i7"})
+	p.recordFailedEndpoint("p", "i7", now)
+	p.recordFailedEndpoint("p", "", now)
+	p.recordFailedEndpoint("unknown", "i1", now)
+	assert.DeepEqual(t, p.failedEndpoints("p", now), []string{"i6", "i8", "i9", "i7"})
 	assert.Equal(t, len(p.programs), 1)
 }
--- a/internal/tier/turnstore/backup.go
+++ b/internal/tier/turnstore/backup.go
@@ -12,16 +12,16 @@
 // are synced. Before the first map in this life nothing is taken: an epoch could be known that this process forgot.
 func (store *TurnStore) Replicate(ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 	store.mu.Lock()
-	if !store.mapped || store.closed || req.From == store.folder || !store.writable() {
+	if !store.hasMap || store.closed || req.From == store.folder || !store.canWrite() {
 		store.mu.Unlock()
 		return &tierv1.ReplicateReply{}, nil
 	}
-	p := store.store.partition(req.Partition)
+	p := store.state.partition(req.Partition)
 	if req.To != "" && req.To != store.folder { // it was meant for a folder that is no longer here
 		store.mu.Unlock()
 		return &tierv1.ReplicateReply{}, nil
 	}
-	if !store.admits(p, req.Epoch, req.From) {
+	if !store.admitsPrimary(p, req.Epoch, req.From) {
 		store.mu.Unlock()
 		return &tierv1.ReplicateReply{Stale: true}, nil
 	}
@@ -32,7 +32,7 @@
 	fresh := make([]*tierv1.Fact, 0, len(req.Facts))
 	now := store.cfg.Now()
 	for _, f := range req.Facts {
-		if f.Partition == req.Partition && store.store.add(f, now) {
+		if f.Partition == req.Partition && store.state.add(f, now) {
 			fresh = append(fresh, f)
 		}
 	}
@@ -46,9 +46,9 @@
 	}
 }
 
-// admits tells whether a primary may write here in an epoch, and learns newer epochs. An empty primary is not known.
+// admitsPrimary tells whether a primary may write here in an epoch, and learns newer epochs. An empty primary is not known.
 // The lock is held.
-func (store *TurnStore) admits(p *partition, epoch uint64, primary string) bool {
+func (store *TurnStore) admitsPrimary(p *partition, epoch uint64, primary string) bool {
 	switch {
 	case epoch < p.epoch:
 		return false
@@ -65,12 +65,12 @@
 // Held tells the keys of a partition's facts, all synced here.
 func (store *TurnStore) Held(ctx context.Context, req *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
 	store.mu.Lock()
-	if !store.mapped || store.closed || !store.writable() {
+	if !store.hasMap || store.closed || !store.canWrite() {
 		store.mu.Unlock()
 		return &tierv1.HeldReply{}, nil
 	}
-	p := store.store.partition(req.Partition)
-	if req.To != "" && req.To != store.folder || !store.admits(p, req.Epoch, "") {
+	p := store.state.partition(req.Partition)
+	if req.To != "" && req.To != store.folder || !store.admitsPrimary(p, req.Epoch, "") {
 		store.mu.Unlock()
 		return &tierv1.HeldReply{}, nil
 	}
@@ -92,7 +92,7 @@
 func (store *TurnStore) Fetch(_ context.Context, req *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	p := store.store.partitions[req.Partition]
+	p := store.state.partitions[req.Partition]
 	if p == nil || store.closed {
 		return &tierv1.FetchReply{}, nil
 	}
--- a/internal/tier/turnstore/budget_test.go
+++ b/internal/tier/turnstore/budget_test.go
@@ -11,7 +11,7 @@
 
 // release ends a reservation of which nothing was handed out.
 func (k *checker) release(to, attempt string) tierv1.Verdict {
-	w := &wire{c: k.c, to: to}
+	w := &transport{c: k.c, to: to}
 	reply, err := w.Settle(k.c.ctx, &tierv1.SettleRequest{Program: "p", Attempt: attempt})
 	if err != nil {
 		return tierv1.Verdict_VERDICT_UNSPECIFIED
@@ -22,8 +22,8 @@
 	return reply.Verdict
 }
 
-// askMost is a Begin of a turn that may cost so many of 100 tokens.
-func askMost(attempt string, most uint64) *tierv1.BeginRequest {
+// askMaxTokens is a Begin of a turn that may cost so many of 100 tokens.
+func askMaxTokens(attempt string, most uint64) *tierv1.BeginRequest {
 	r := ask(attempt, "")
 	r.Most = most
 	return r
@@ -31,91 +31,91 @@
 
 // takeover is a primary whose turn t1 has cost 10 tokens, and t2 may cost 80 more; then its disk is lost, and b takes over.
 func takeover(t *testing.T) (*cluster, *checker) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
-	assert.Equal(t, k.begin("a", askMost("t2", 80)), ok)
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
+	assert.Equal(t, k.begin("a", askMaxTokens("t2", 80)), ok)
 	c.crash("a", true)
 	c.assign("b", "?c")
-	c.push("b", "c")
+	c.publish("b", "c")
 	return c, k
 }
 
 // While a gateway releases t2, and found no turn store for it, the budget is not spent: there is room once it is through.
-func TestABudgetIsNotSpentWhileATakeoverHoldsUpARelease(t *testing.T) {
+func TestBudget_BusyWhileTakeoverDelaysRelease(t *testing.T) {
 	_, k := takeover(t)
-	assert.Equal(t, k.begin("b", askMost("t3", 20)), busy)
+	assert.Equal(t, k.begin("b", askMaxTokens("t3", 20)), busy)
 	assert.Equal(t, k.release("b", "t2"), ok)
-	assert.Equal(t, k.begin("b", askMost("t3", 20)), ok)
-	assert.Equal(t, k.begin("b", askMost("t4", 71)), spent) // t3 was begun here, and t1 is settled
+	assert.Equal(t, k.begin("b", askMaxTokens("t3", 20)), ok)
+	assert.Equal(t, k.begin("b", askMaxTokens("t4", 71)), spent) // t3 was begun here, and t1 is settled
 }
 
 // A release that reached the primary alone before it was lost comes again to the next one.
-func TestATakeoverInTheMiddleOfARelease(t *testing.T) {
-	c, k := pair(t)
-	assert.Equal(t, k.begin("a", askMost("t1", 100)), ok)
+func TestBudget_TakeoverDuringRelease(t *testing.T) {
+	c, k := newPair(t)
+	assert.Equal(t, k.begin("a", askMaxTokens("t1", 100)), ok)
 	c.mu.Lock()
-	c.nodes["b"].cut = true
+	c.nodes["b"].partitioned = true
 	c.mu.Unlock()
 	assert.Equal(t, k.release("a", "t1"), busy)
 	c.crash("a", true)
 	c.mu.Lock()
-	c.nodes["b"].cut = false
+	c.nodes["b"].partitioned = false
 	c.mu.Unlock()
 	c.assign("b", "?c")
-	c.push("b", "c")
-	assert.Equal(t, k.begin("b", askMost("t2", 100)), busy)
+	c.publish("b", "c")
+	assert.Equal(t, k.begin("b", askMaxTokens("t2", 100)), busy)
 	assert.Equal(t, k.release("b", "t1"), ok)
-	assert.Equal(t, k.begin("b", askMost("t2", 100)), ok)
+	assert.Equal(t, k.begin("b", askMaxTokens("t2", 100)), ok)
 }
 
 // A reservation whose release has not come within the time for it counts as one of a turn that is under way.
-func TestABudgetIsSpentWhenTheTimeForReleasesIsOver(t *testing.T) {
+func TestBudget_SpentAfterReleaseGracePeriod(t *testing.T) {
 	c, k := takeover(t)
-	c.advance(DefaultReleaseTime - time.Nanosecond)
-	assert.Equal(t, k.begin("b", askMost("t3", 20)), busy)
+	c.advance(DefaultReleaseGracePeriod - time.Nanosecond)
+	assert.Equal(t, k.begin("b", askMaxTokens("t3", 20)), busy)
 	c.advance(time.Nanosecond)
-	assert.Equal(t, k.begin("b", askMost("t3", 20)), spent)
-	assert.Equal(t, k.begin("b", askMost("t4", 10)), ok)
+	assert.Equal(t, k.begin("b", askMaxTokens("t3", 20)), spent)
+	assert.Equal(t, k.begin("b", askMaxTokens("t4", 10)), ok)
 }
 
 // What is settled leaves no room: that is told at once, right after a takeover too.
-func TestASettledBudgetIsSpentAtOnceAfterATakeover(t *testing.T) {
-	c, k := pair(t)
+func TestBudget_SettledTokensAreSpentRightAfterTakeover(t *testing.T) {
+	c, k := newPair(t)
 	assert.Equal(t, k.begin("a", ask("t1", "")), ok)
 	assert.Equal(t, k.settle("a", "p", "t1", "", 20), ok)
-	assert.Equal(t, k.begin("a", askMost("t2", 1)), ok)
+	assert.Equal(t, k.begin("a", askMaxTokens("t2", 1)), ok)
 	c.crash("a", true)
 	c.assign("b", "?c")
-	c.push("b", "c")
-	assert.Equal(t, k.begin("b", askMost("t3", 81)), spent)
-	assert.Equal(t, k.begin("b", askMost("t4", 80)), busy)
-	assert.Equal(t, k.begin("b", askMost("t5", 79)), ok)
+	c.publish("b", "c")
+	assert.Equal(t, k.begin("b", askMaxTokens("t3", 81)), spent)
+	assert.Equal(t, k.begin("b", askMaxTokens("t4", 80)), busy)
+	assert.Equal(t, k.begin("b", askMaxTokens("t5", 79)), ok)
 }
 
 // A turn that was begun at this primary is under way until its release comes, however young it is.
-func TestABudgetIsSpentAtOnceWhileATurnIsUnderWay(t *testing.T) {
-	_, k := pair(t)
-	assert.Equal(t, k.begin("a", askMost("t1", 100)), ok)
-	assert.Equal(t, k.begin("a", askMost("t2", 1)), spent)
+func TestBudget_SpentWhileReservationOfThisTermIsOpen(t *testing.T) {
+	_, k := newPair(t)
+	assert.Equal(t, k.begin("a", askMaxTokens("t1", 100)), ok)
+	assert.Equal(t, k.begin("a", askMaxTokens("t2", 1)), spent)
 }
 
 // A primary that goes on with another backup has taken every release: its answer needs no wait. Where it may have missed
 // an epoch, another may have been the primary.
-func TestABudgetIsSpentAtOnceWhileThePrimaryGoesOn(t *testing.T) {
-	c, k := pair(t)
-	assert.Equal(t, k.begin("a", askMost("t1", 100)), ok)
+func TestBudget_NoGracePeriodForContinuedTerm(t *testing.T) {
+	c, k := newPair(t)
+	assert.Equal(t, k.begin("a", askMaxTokens("t1", 100)), ok)
 	c.assign("a", "?c")
-	c.push()
-	assert.Equal(t, k.begin("a", askMost("t2", 1)), spent)
+	c.publish()
+	assert.Equal(t, k.begin("a", askMaxTokens("t2", 1)), spent)
 	c.assign("a", "?b")
 	c.assign("a", "?c")
-	c.push()
-	assert.Equal(t, k.begin("a", askMost("t2", 1)), busy)
-	c.advance(DefaultReleaseTime)
-	assert.Equal(t, k.begin("a", askMost("t2", 1)), spent)
+	c.publish()
+	assert.Equal(t, k.begin("a", askMaxTokens("t2", 1)), busy)
+	c.advance(DefaultReleaseGracePeriod)
+	assert.Equal(t, k.begin("a", askMaxTokens("t2", 1)), spent)
 }
 
-func TestTheTermThatIsContinued(t *testing.T) {
+func TestTurnStore_ContinuedTerm(t *testing.T) {
 	v := &TurnStore{folder: "a"}
 	for name, test := range map[string]struct {
 		term *term
@@ -131,13 +131,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &partition{role: role{epoch: 5, primary: "a", term: test.term}}
-			assert.Equal(t, v.continued(p, test.next) != nil, test.want)
+			assert.Equal(t, v.continuedTerm(p, test.next) != nil, test.want)
 		})
 	}
 }
 
 // A primary that recovers takes no release before control knows that it has: the time for releases begins then, once.
-func TestTheTimeForReleasesBeginsWhenARecoveryIsConfirmed(t *testing.T) {
+func TestBudget_GracePeriodStartsWhenRecoveryIsConfirmed(t *testing.T) {
 	now := time.Now()
 	v := &TurnStore{folder: "a", cfg: Config{Now: func() time.Time { return now }}}
 	began := now
@@ -154,7 +154,7 @@
 	assert.Assert(t, p.term.primarySince.Equal(confirmed))
 }
 
-func TestBudgetVerdict(t *testing.T) {
+func TestPartition_BudgetVerdict(t *testing.T) {
 	const releaseTime = time.Second
 	began := time.Now()
 	for name, test := range map[string]struct {
@@ -181,21 +181,21 @@
 		"a number beyond all that is so": {0, 100, 0, 0, ^uint64(0), 0, spent},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStore()
+			s := newState()
 			p := s.partition(0)
 			p.term = &term{id: 8, firstID: 7, primarySince: began}
 			reserved := func(attempt string, most, term uint64) {
 				if most > 0 {
-					s.add(reserve(attempt, most), began)
+					s.add(reservedFact(attempt, most), began)
 					p.entries[attempt].term = term
 				}
 			}
 			reserved("before", test.before, 6)
 			reserved("here", test.here, 7)
 			reserved("own", test.own, 0)
-			s.add(settled("settled", "", test.settled, false), began)
-			s.add(&tierv1.Fact{Program: "other", Attempt: "another's", Of: reserve("", 100).Of}, began)
-			r := askMost("own", test.most)
+			s.add(settledFact("settled", "", test.settled, false), began)
+			s.add(&tierv1.Fact{Program: "other", Attempt: "another's", Of: reservedFact("", 100).Of}, began)
+			r := askMaxTokens("own", test.most)
 			assert.Equal(t, p.budgetVerdict(r, test.own, releaseTime, began.Add(test.after)), test.want)
 		})
 	}
--- a/internal/tier/turnstore/changes_test.go
+++ b/internal/tier/turnstore/changes_test.go
@@ -10,18 +10,18 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// TestHundredsOfMapChanges hands two partitions round three turn stores, with turns in between; the one that has no copy for now is
+// TestTurnStore_HundredsOfPartitionMaps hands two partitions round three turn stores, with turns in between; the one that has no copy for now is
 // restarted, frozen over many maps, or comes back with an empty disk.
-func TestHundredsOfMapChanges(t *testing.T) {
+func TestTurnStore_HundredsOfPartitionMaps(t *testing.T) {
 	const changes = 300
-	c, k := pair(t)
+	c, k := newPair(t)
 	previous := ""
 	for i := range changes {
 		primary, backup, spare := c.names[i%3], c.names[(i+1)%3], c.names[(i+2)%3]
 		if i%5 == 0 {
 			r := ask(name(i), previous)
 			r.Budget = 10_000
-			assert.Equal(t, k.sure(primary, r), ok, "change %d", i)
+			assert.Equal(t, k.beginUntilCertain(primary, r), ok, "change %d", i)
 			assert.Equal(t, k.settle(primary, "p", name(i), previous, 1), ok, "change %d", i)
 			previous = name(i)
 		}
@@ -35,54 +35,54 @@
 		case 17: // it hears of no map, and comes back with what it knew
 			for range 10 {
 				c.assign(primary, backup)
-				c.push(primary, backup)
+				c.publish(primary, backup)
 			}
 		}
 		c.assign(primary, backup, "?"+spare)
-		c.push()
+		c.publish()
 		c.synced(primary, parts)
 		c.assign(backup, spare)
-		c.push()
+		c.publish()
 	}
 	r := ask("last", previous)
 	r.Budget, r.Most = 10_000, 10_000-changes/5+1
-	assert.Equal(t, k.sure(c.names[changes%3], r), spent)
+	assert.Equal(t, k.beginUntilCertain(c.names[changes%3], r), spent)
 	r.Most--
-	assert.Equal(t, k.sure(c.names[changes%3], r), ok)
+	assert.Equal(t, k.beginUntilCertain(c.names[changes%3], r), ok)
 }
 
 // An exchange of an old epoch that ends after a newer map came is reported for neither.
-func TestExchangeOfAnOldEpoch(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
+func TestSynchronize_OfOldEpochIsNotReported(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
 	a := c.nodes["a"].turnstore
-	for range maxExchanges {
-		a.slots <- struct{}{} // compared, and held up before anything is sent
+	for range maxTransfers {
+		a.transferSlots <- struct{}{} // compared, and held up before anything is sent
 	}
 	c.assign("a", "?c")
-	c.push()
+	c.publish()
 	c.assign("a", "?b")
-	c.push()
-	for range maxExchanges {
-		<-a.slots
+	c.publish()
+	for range maxTransfers {
+		<-a.transferSlots
 	}
 	c.synced("a", parts)
-	reports, _ := a.Synced()
+	reports, _ := a.SyncedReplicas()
 	for _, r := range reports {
 		assert.Equal(t, r.Folder, c.nodes["b"].turnstore.Folder())
-		assert.Equal(t, r.Epoch, c.m.Version)
+		assert.Equal(t, r.Epoch, c.partitionMap.Version)
 	}
 	assert.Equal(t, len(reports), parts)
 }
 
-// TestCompactionWithFailingDisk has a disk fail once, or be full from then on, at each operation of a compaction.
-func TestCompactionWithFailingDisk(t *testing.T) {
+// TestCompact_DiskFaultAtEachOperation has a disk fail once, or be full from then on, at each operation of a compaction.
+func TestCompact_DiskFaultAtEachOperation(t *testing.T) {
 	for _, full := range []bool{true, false} {
 		for at := 1; at <= 16; at++ {
 			t.Run(fmt.Sprintf("full=%v/%d", full, at), func(t *testing.T) {
 				t.Parallel()
 				s := newScript(t, false)
-				s.play()
+				s.storeThreeTurns()
 				v, disk := s.c.nodes["b"].turnstore, s.c.nodes["b"].disk
 				if full {
 					disk.FailFrom(at, syscall.ENOSPC)
@@ -100,9 +100,9 @@
 				v.CheckDisk(s.c.now())
 				v.CheckDisk(s.c.now())
 				assert.NilError(t, v.Compact(s.c.ctx, true))
-				assert.Assert(t, !tellsUnsound(t, v))
-				assert.Equal(t, s.k.sure("a", &tierv1.BeginRequest{Program: "q", Attempt: "x", RetentionMs: 1}), ok)
-				s.after()
+				assert.Assert(t, !reportsDiskFault(t, v))
+				assert.Equal(t, s.k.beginUntilCertain("a", &tierv1.BeginRequest{Program: "q", Attempt: "x", RetentionMs: 1}), ok)
+				s.verify()
 			})
 		}
 	}
--- a/internal/tier/turnstore/commit.go
+++ b/internal/tier/turnstore/commit.go
@@ -15,20 +15,20 @@
 	Sync() error
 }
 
-// batch is records that are written and synced together.
-type batch struct {
+// logBatch is records that are written and synced together.
+type logBatch struct {
 	records [][]byte
 	to      appender
 	done    chan struct{}
 	err     error // set before done is closed
 }
 
-// committer writes batches in order: while one is synced, the next gathers. After a failure it takes nothing more.
-type committer struct {
+// groupCommitter writes batches in order: while one is synced, the next gathers. After a failure it takes nothing more.
+type groupCommitter struct {
 	mu      sync.Mutex
 	file    appender
-	next    *batch // gathers
-	last    *batch // being written, or written last
+	next    *logBatch // gathers
+	last    *logBatch // being written, or written last
 	running bool
 	began   time.Time // when the batch being written was begun; zero: none is
 	now     func() time.Time
@@ -36,12 +36,12 @@
 	err     error
 }
 
-func newCommitter(file appender, now func() time.Time) *committer {
-	return &committer{file: file, now: now, failed: make(chan struct{})}
+func newGroupCommitter(file appender, now func() time.Time) *groupCommitter {
+	return &groupCommitter{file: file, now: now, failed: make(chan struct{})}
 }
 
 // add takes facts into the batch that gathers; without facts it gives the batch after which all added before is synced.
-func (c *committer) add(facts ...*tierv1.Fact) *batch {
+func (c *groupCommitter) add(facts ...*tierv1.Fact) *logBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(facts) == 0 {
@@ -51,12 +51,12 @@
 		case c.last != nil:
 			return c.last
 		}
-		b := &batch{done: make(chan struct{}), err: c.err}
+		b := &logBatch{done: make(chan struct{}), err: c.err}
 		close(b.done)
 		return b
 	}
 	if c.next == nil {
-		c.next = &batch{done: make(chan struct{}), to: c.file}
+		c.next = &logBatch{done: make(chan struct{}), to: c.file}
 	}
 	b := c.next
 	for _, f := range facts {
@@ -76,7 +76,7 @@
 
 // switchTo makes what is added from now on go to another file. It gives the batch after which nothing is written to the
 // one before.
-func (c *committer) switchTo(file appender) *batch {
+func (c *groupCommitter) switchTo(file appender) *logBatch {
 	c.mu.Lock()
 	c.file = file
 	if c.next != nil {
@@ -85,20 +85,20 @@
 	b := c.last
 	c.mu.Unlock()
 	if b == nil {
-		b = &batch{done: make(chan struct{})}
+		b = &logBatch{done: make(chan struct{})}
 		close(b.done)
 	}
 	return b
 }
 
-func (c *committer) fail(err error) {
+func (c *groupCommitter) fail(err error) {
 	if c.err == nil {
 		c.err = err
 		close(c.failed)
 	}
 }
 
-func (c *committer) run() {
+func (c *groupCommitter) run() {
 	for {
 		c.mu.Lock()
 		b := c.next
@@ -126,13 +126,13 @@
 	}
 }
 
-func (c *committer) failure() error {
+func (c *groupCommitter) failure() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-func (c *committer) broken() bool {
+func (c *groupCommitter) broken() bool {
 	select {
 	case <-c.failed:
 		return true
@@ -142,7 +142,7 @@
 }
 
 // writing is how long the batch that is being written has been so; 0 where none is.
-func (c *committer) writing(now time.Time) time.Duration {
+func (c *groupCommitter) writing(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.began.IsZero() {
--- a/internal/tier/turnstore/compact.go
+++ b/internal/tier/turnstore/compact.go
@@ -22,7 +22,7 @@
 		store.mu.Unlock()
 		return nil // CheckDisk opens it again first
 	}
-	size, live := store.size(), store.store.disk
+	size, live := store.logSize(), store.state.disk
 	due := size > 2*live+minDeadBytes
 	if d := store.cfg.DiskBytes; d > 0 {
 		due = due || size+live > d*7/10 && size-live > d/20
@@ -31,35 +31,35 @@
 		store.mu.Unlock()
 		return nil
 	}
-	from := store.active
-	store.active = 1 - from
-	store.store.generation++
-	generation := store.store.generation
-	before := store.commit.switchTo(store.files[store.active])
-	ids := make([]uint32, 0, len(store.store.partitions))
-	for id := range store.store.partitions {
+	from := store.activeFile
+	store.activeFile = 1 - from
+	store.state.generation++
+	generation := store.state.generation
+	before := store.commit.switchTo(store.logFiles[store.activeFile])
+	ids := make([]uint32, 0, len(store.state.partitions))
+	for id := range store.state.partitions {
 		ids = append(ids, id)
 	}
 	store.mu.Unlock()
 	began := time.Now()
 	for _, id := range ids {
-		if err := store.copyPartition(ctx, id, generation); err != nil {
+		if err := store.rewritePartition(ctx, id, generation); err != nil {
 			return err
 		}
 	}
 	<-before.done
-	if err := store.files[from].Rewrite(func(func([]byte) error) error { return nil }); err != nil {
+	if err := store.logFiles[from].Rewrite(func(func([]byte) error) error { return nil }); err != nil {
 		return err
 	}
-	store.cfg.Log.Info().Str("event", "turnstore_compacted").Int64("before", size).Int64("after", store.size()).
+	store.cfg.Log.Info().Str("event", "turnstore_compacted").Int64("before", size).Int64("after", store.logSize()).
 		Dur("took", time.Since(began)).Msg("")
 	return nil
 }
 
-// copyPartition writes the entries older than the generation to the active write-ahead log, a chunk at a time.
-func (store *TurnStore) copyPartition(ctx context.Context, id, generation uint32) error {
+// rewritePartition writes the entries older than the generation to the active write-ahead log, a chunk at a time.
+func (store *TurnStore) rewritePartition(ctx context.Context, id, generation uint32) error {
 	store.mu.Lock()
-	p := store.store.partitions[id]
+	p := store.state.partitions[id]
 	old := make([]*entry, 0, len(p.entries))
 	for _, e := range p.entries {
 		if e.generation != generation {
@@ -87,22 +87,22 @@
 		if b.err != nil {
 			return b.err
 		}
-		if !pause(ctx, store.ctx.Done(), time.Since(began)) {
+		if !sleep(ctx, store.ctx.Done(), time.Since(began)) {
 			return context.Cause(ctx)
 		}
 	}
 	return nil
 }
 
-// pause waits, and tells whether it was not broken off.
-func pause(ctx context.Context, over <-chan struct{}, d time.Duration) bool {
+// sleep waits, and tells whether it was not broken off.
+func sleep(ctx context.Context, stop <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return true
 	case <-ctx.Done():
-	case <-over:
+	case <-stop:
 	}
 	return false
 }
--- a/internal/tier/turnstore/disk.go
+++ b/internal/tier/turnstore/disk.go
@@ -28,33 +28,33 @@
 	DiskBusy = diskErrors.NewType("disk_busy")
 )
 
-// disk tells how the disk is. The lock is held.
-func (store *TurnStore) disk(now time.Time) tierv1.DiskState {
+// currentDiskState tells how the disk is. The lock is held.
+func (store *TurnStore) currentDiskState(now time.Time) tierv1.DiskState {
 	switch {
 	case store.commit.broken():
-		return failedState(store.commit.failure())
-	case store.commit.writing(now) > store.cfg.StuckAfter:
+		return diskStateOf(store.commit.failure())
+	case store.commit.writing(now) > store.cfg.WriteTimeout:
 		return tierv1.DiskState_DISK_STUCK
 	}
 	return tierv1.DiskState_DISK_SOUND
 }
 
-// failedState tells a disk that is full from one that fails otherwise.
-func failedState(failure error) tierv1.DiskState {
+// diskStateOf tells a disk that is full from one that fails otherwise.
+func diskStateOf(failure error) tierv1.DiskState {
 	if wal.Full(failure) {
 		return tierv1.DiskState_DISK_FULL
 	}
 	return tierv1.DiskState_DISK_FAILING
 }
 
-// failed tells whether a write or sync has failed, so that the write-ahead log is to be opened again.
-func failed(state tierv1.DiskState) bool {
+// needsReopen tells whether a write or sync has failed, so that the write-ahead log is to be opened again.
+func needsReopen(state tierv1.DiskState) bool {
 	return state == tierv1.DiskState_DISK_FULL || state == tierv1.DiskState_DISK_FAILING
 }
 
-// writable tells whether facts can be synced. The lock is held.
-func (store *TurnStore) writable() bool {
-	return store.disk(store.cfg.Now()) == tierv1.DiskState_DISK_SOUND
+// canWrite tells whether facts can be synced. The lock is held.
+func (store *TurnStore) canWrite() bool {
+	return store.currentDiskState(store.cfg.Now()) == tierv1.DiskState_DISK_SOUND
 }
 
 // DiskState is the state of the disk as it was noted last. The channel that Synced gives is closed when it changes.
@@ -68,10 +68,10 @@
 // a broken disk again. Run calls it each second, and at once when a write fails.
 func (store *TurnStore) CheckDisk(now time.Time) {
 	store.mu.Lock()
-	before, state := store.diskState, store.disk(now)
+	before, state := store.diskState, store.currentDiskState(now)
 	failure := store.commit.failure()
 	store.mu.Unlock()
-	if failed(state) && failed(before) {
+	if needsReopen(state) && needsReopen(before) {
 		if store.Reopen(now) != nil {
 			return
 		}
@@ -86,13 +86,13 @@
 		store.diskSince = now
 	}
 	lasted := now.Sub(store.diskSince)
-	store.signal()
+	store.notifyChanged()
 	store.mu.Unlock()
 	switch state {
 	case tierv1.DiskState_DISK_FULL, tierv1.DiskState_DISK_FAILING:
 		store.cfg.Log.Error().Str("event", "turnstore_disk_failed").Err(failure).Msg("")
 	case tierv1.DiskState_DISK_STUCK:
-		store.cfg.Log.Error().Str("event", "turnstore_disk_stuck").Dur("after", store.cfg.StuckAfter).Msg("")
+		store.cfg.Log.Error().Str("event", "turnstore_disk_stuck").Dur("after", store.cfg.WriteTimeout).Msg("")
 	default:
 		store.cfg.Log.Info().Str("event", "turnstore_disk_recovered").Dur("after", lasted).Msg("")
 	}
@@ -109,9 +109,9 @@
 	default:
 		return DiskBusy.New("a write is under way")
 	}
-	next := newStore()
-	for i, file := range store.files {
-		if err := file.Reopen(next.replay(factFiles[i], now)); err != nil {
+	next := newState()
+	for i, file := range store.logFiles {
+		if err := file.Reopen(next.replay(logFileNames[i], now)); err != nil {
 			return err
 		}
 	}
@@ -121,15 +121,15 @@
 		return wal.Misuse.New("the turn store is closed")
 	}
 	next.markReplayed(now)
-	for id, p := range store.store.partitions {
-		p.end()
+	for id, p := range store.state.partitions {
+		p.endTerm()
 		fresh := next.partition(id)
 		fresh.role = p.role // an epoch that was observed stays known
 		fresh.term = nil
 	}
-	store.store = next
-	store.active = largest(store.files)
-	store.commit = newCommitter(store.files[store.active], store.cfg.Now)
+	store.state = next
+	store.activeFile = largest(store.logFiles)
+	store.commit = newGroupCommitter(store.logFiles[store.activeFile], store.cfg.Now)
 	for i, part := range store.partitionMap.GetPartitions() {
 		p := next.partition(uint32(i))
 		if p.epoch == part.Epoch && p.primary == store.folder && part.Primary == store.folder {
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// factFiles are the names of the files that facts are written to in turn.
-var factFiles = [2]string{"facts-0", "facts-1"}
+// logFileNames are the names of the files that facts are written to in turn.
+var logFileNames = [2]string{"facts-0", "facts-1"}
 
 // largest is the index of the larger file, which is the one that was appended to last.
 func largest(files [2]*wal.File) int {
@@ -151,7 +151,7 @@
 }
 
 // replay gives the function that takes in a file's records.
-func (s *store) replay(file string, now time.Time) func(record []byte) error {
+func (s *state) replay(file string, now time.Time) func(record []byte) error {
 	return func(record []byte) error {
 		fact := &tierv1.Fact{}
 		if err := proto.Unmarshal(record, fact); err != nil {
@@ -163,7 +163,7 @@
 }
 
 // markReplayed notes that all entries come from the disk, at now, and that no partition is assigned as yet.
-func (s *store) markReplayed(now time.Time) {
+func (s *state) markReplayed(now time.Time) {
 	for _, p := range s.partitions {
 		for _, e := range p.entries {
 			e.replayed = true
@@ -185,7 +185,7 @@
 			store.CheckDisk(store.cfg.Now())
 		case <-tick.C:
 			store.CheckDisk(store.cfg.Now())
-			store.Sweep(store.cfg.Now())
+			store.RemoveExpired(store.cfg.Now())
 			if err := store.Compact(ctx, false); err != nil && ctx.Err() == nil {
 				store.cfg.Log.Warn().Str("event", "turnstore_compact_failed").Err(err).Msg("")
 			}
@@ -197,7 +197,7 @@
 func (store *TurnStore) diskFailure() <-chan struct{} {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	if failed(store.diskState) {
+	if needsReopen(store.diskState) {
 		return nil
 	}
 	return store.commit.failed
--- a/internal/tier/turnstore/disk_test.go
+++ b/internal/tier/turnstore/disk_test.go
@@ -12,17 +12,17 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// tellsUnsound tells whether a turn store tells control that its disk is not sound. It reports no copies then.
-func tellsUnsound(t reporter, v *TurnStore) bool {
+// reportsDiskFault tells whether a turn store tells control that its disk is not sound. It reports no copies then.
+func reportsDiskFault(t reporter, v *TurnStore) bool {
 	unsound := v.DiskState() != tierv1.DiskState_DISK_SOUND
-	if reports, _ := v.Synced(); unsound {
+	if reports, _ := v.SyncedReplicas(); unsound {
 		assert.Equal(t, len(reports), 0)
 	}
 	return unsound
 }
 
 // A state is told by its name, and a change of it closes the channel of Synced.
-func TestDiskStateIsTold(t *testing.T) {
+func TestDiskState_ReportsCause(t *testing.T) {
 	for _, failure := range []struct {
 		cause error
 		state tierv1.DiskState
@@ -31,16 +31,16 @@
 		{syscall.EDQUOT, tierv1.DiskState_DISK_FULL},
 		{syscall.EIO, tierv1.DiskState_DISK_FAILING},
 	} {
-		c, k := pair(t)
+		c, k := newPair(t)
 		a := c.nodes["a"].turnstore
 		assert.Equal(t, a.DiskState(), tierv1.DiskState_DISK_SOUND)
-		_, changed := a.Synced()
+		_, changed := a.SyncedReplicas()
 		c.nodes["a"].disk.FailFrom(1, failure.cause)
 		assert.Equal(t, k.begin("a", ask("t1", "")), busy)
 		a.CheckDisk(c.now())
 		assert.Equal(t, a.DiskState(), failure.state)
 		<-changed
-		_, changed = a.Synced()
+		_, changed = a.SyncedReplicas()
 		c.nodes["a"].disk.Recover()
 		a.CheckDisk(c.now())
 		assert.Equal(t, a.DiskState(), tierv1.DiskState_DISK_SOUND)
@@ -48,9 +48,9 @@
 	}
 }
 
-// passOver does what control does for turn stores whose disk fails: others take their places. Then the disk is sound again,
+// replaceFailedDisks does what control does for turn stores whose disk fails: others take their places. Then the disk is sound again,
 // and the turn store is the one to spare.
-func (s *script) passOver() {
+func (s *script) replaceFailedDisks() {
 	c := s.c
 	for _, name := range []string{s.primary, s.backup} {
 		n := c.nodes[name]
@@ -58,51 +58,51 @@
 			continue
 		}
 		n.turnstore.CheckDisk(c.now())
-		assert.Assert(c.t, tellsUnsound(c.t, n.turnstore))
+		assert.Assert(c.t, reportsDiskFault(c.t, n.turnstore))
 		if name == s.primary {
 			s.primary, s.backup, s.spare = s.backup, s.spare, name
 		} else {
 			s.backup, s.spare = s.spare, name
 		}
 		c.assign(s.primary, "?"+s.backup)
-		c.push()
+		c.publish()
 		c.synced(s.primary, parts)
 		c.assign(s.primary, s.backup)
-		c.push()
+		c.publish()
 		n.disk.Recover()
 		n.turnstore.CheckDisk(c.now())
-		assert.Assert(c.t, !tellsUnsound(c.t, n.turnstore))
+		assert.Assert(c.t, !reportsDiskFault(c.t, n.turnstore))
 		assert.Assert(c.t, !n.turnstore.commit.broken())
 	}
 }
 
 // A disk that is full from an operation on, or fails once at it, is a state of the process: it hands its places over, and
 // is of use again when there is room, without a restart. Nothing acknowledged is lost, also when the others are lost then.
-func TestFullOrFailingDiskAtEachOperation(t *testing.T) {
+func TestDiskState_FaultAtEachOperation(t *testing.T) {
 	for _, full := range []bool{true, false} {
 		for _, victim := range []string{"a", "b"} {
 			for at := 1; at <= 14; at++ {
 				t.Run(fmt.Sprintf("full=%v/%s/%d", full, victim, at), func(t *testing.T) {
 					t.Parallel()
 					s := newScript(t, false)
-					s.mend = s.passOver
+					s.repairDisks = s.replaceFailedDisks
 					if disk := s.c.nodes[victim].disk; full {
 						disk.FailFrom(at, syscall.ENOSPC)
 					} else {
 						disk.FailAt(at, syscall.EIO)
 					}
-					s.play()
+					s.storeThreeTurns()
 					s.c.nodes[victim].disk.Recover() // where its place was not reached
-					s.passOver()
+					s.replaceFailedDisks()
 					// The spare one, back from its trouble, takes the backup's place by exchange, and then the primary's.
 					s.c.assign(s.primary, "?"+s.spare)
-					s.c.push()
+					s.c.publish()
 					s.c.synced(s.primary, parts)
 					s.c.assign(s.primary, s.spare)
-					s.c.push()
+					s.c.publish()
 					s.backup, s.spare = s.spare, s.backup
-					s.mend = nil
-					s.after()
+					s.repairDisks = nil
+					s.verify()
 				})
 			}
 		}
@@ -110,55 +110,55 @@
 }
 
 // The last holder of a partition goes on as its primary when there is room again, in the same epoch.
-func TestFullDiskOfTheLastHolder(t *testing.T) {
+func TestDiskState_FullDiskOfLastReplica(t *testing.T) {
 	for at := 1; at <= 6; at++ {
-		c, k := pair(t)
-		k.keep("a", "t1", "")
+		c, k := newPair(t)
+		k.mustStore("a", "t1", "")
 		c.assign("a")
-		c.push()
+		c.publish()
 		a := c.nodes["a"]
 		a.disk.FailFrom(at, syscall.ENOSPC)
 		for i := 0; !a.turnstore.commit.broken(); i++ {
 			k.begin("a", ask(name(10+i), "t1"))
 		}
 		a.turnstore.CheckDisk(c.now())
-		assert.Assert(t, tellsUnsound(t, a.turnstore))
+		assert.Assert(t, reportsDiskFault(t, a.turnstore))
 		a.turnstore.CheckDisk(c.now()) // still no room
-		assert.Assert(t, tellsUnsound(t, a.turnstore))
+		assert.Assert(t, reportsDiskFault(t, a.turnstore))
 		assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
 		assert.Equal(t, k.settle("a", "p", "t2", "t1", 1), busy)
 		a.disk.Recover()
 		a.turnstore.CheckDisk(c.now())
-		assert.Assert(t, !tellsUnsound(t, a.turnstore))
+		assert.Assert(t, !reportsDiskFault(t, a.turnstore))
 		assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
 		assert.Equal(t, k.settle("a", "p", "t2", "t1", 1), ok)
 		c.crash("a", false)
 		c.restart("a")
-		assert.Equal(t, k.sure("a", ask("t3", "t2")), ok)
+		assert.Equal(t, k.beginUntilCertain("a", ask("t3", "t2")), ok)
 	}
 }
 
 // What was answered BUSY because its sync failed is not there after the tail was read again, unless the disk has it; and what
 // the file system shows of it only in memory is not called synced.
-func TestTailIsReadAgainAfterAFailedSync(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
+func TestReopen_RereadsTailAfterFailedSync(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
 	b := c.nodes["b"]
 	b.disk.FailAt(2, syscall.EIO) // the sync of its copy
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
 	b.turnstore.CheckDisk(c.now())
 	b.turnstore.CheckDisk(c.now())
-	assert.Assert(t, !tellsUnsound(t, b.turnstore))
-	assert.Equal(t, k.sure("a", ask("t2", "t1")), ok) // the round is sent again
+	assert.Assert(t, !reportsDiskFault(t, b.turnstore))
+	assert.Equal(t, k.beginUntilCertain("a", ask("t2", "t1")), ok) // the round is sent again
 	c.crash("a", true)
 	c.crash("b", false)
 	c.restart("b")
 	c.assign("b")
-	c.push("b")
+	c.publish("b")
 	assert.Equal(t, k.settle("b", "p", "t2", "t1", 20), ok)
 	r := ask("t3", "t2")
 	r.Most = 71 // 10 and 20 are told
-	assert.Equal(t, k.sure("b", r), spent)
+	assert.Equal(t, k.beginUntilCertain("b", r), spent)
 }
 
 // awaitUnstuck waits until a turn store counts no write as under way: that is a step of its committer after the write is done.
@@ -172,24 +172,24 @@
 }
 
 // A sync that does not return is reported after a while, and no more when it has.
-func TestStuckDisk(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
+func TestDiskState_StuckSync(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
 	a := c.nodes["a"]
 	release := a.disk.StallSync()
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
 	a.turnstore.CheckDisk(c.now())
-	assert.Assert(t, !tellsUnsound(t, a.turnstore))
+	assert.Assert(t, !reportsDiskFault(t, a.turnstore))
 	c.advance(3 * time.Second)
 	a.turnstore.CheckDisk(c.now())
-	assert.Assert(t, tellsUnsound(t, a.turnstore))
+	assert.Assert(t, reportsDiskFault(t, a.turnstore))
 	assert.Equal(t, a.turnstore.DiskState(), tierv1.DiskState_DISK_STUCK)
 	assert.ErrorContains(t, a.turnstore.Reopen(c.now()), "under way")
 	assert.Equal(t, k.begin("a", ask("t3", "t1")), busy)
 	release()
 	<-a.turnstore.commit.add().done
 	awaitUnstuck(t, a.turnstore)
-	assert.Equal(t, k.sure("a", ask("t2", "t1")), ok)
+	assert.Equal(t, k.beginUntilCertain("a", ask("t2", "t1")), ok)
 	a.turnstore.CheckDisk(c.now())
-	assert.Assert(t, !tellsUnsound(t, a.turnstore))
+	assert.Assert(t, !reportsDiskFault(t, a.turnstore))
 }
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -23,54 +23,54 @@
 type fault int
 
 const (
-	sound         fault = iota
-	lostRequest         // the receiver never sees it
-	lostReply           // it is served, and nobody hears the answer
-	doubled             // it comes twice
-	held                // it comes once more, after everything else
-	senderDies          // it is served, the sender loses power
-	receiverDies        // served and synced, then the receiver loses power before it answers
-	receiverDumb        // the receiver loses power before it serves
-	receiverWiped       // the receiver's disk is gone before it serves
-	senderLost          // the sender's disk is gone before it goes out
+	noFault           fault = iota
+	lostRequest             // the receiver never sees it
+	lostReply               // it is served, and nobody hears the answer
+	duplicated              // it comes twice
+	delayed                 // it comes once more, after everything else
+	senderDies              // it is served, the sender loses power
+	receiverDies            // served and synced, then the receiver loses power before it answers
+	receiverDiesFirst       // the receiver loses power before it serves
+	receiverWiped           // the receiver's disk is gone before it serves
+	senderWiped             // the sender's disk is gone before it goes out
 	faults
 )
 
 // node is a machine of the test.
 type node struct {
-	name      string
-	disk      *wal.Memory
-	turnstore *TurnStore
-	down      bool
-	cut       bool // nobody reaches it, and it reaches nobody
-	dark      bool // who calls it hears nothing until its time is over
+	name         string
+	disk         *wal.Memory
+	turnstore    *TurnStore
+	down         bool
+	partitioned  bool // nobody reaches it, and it reaches nobody
+	unresponsive bool // who calls it hears nothing until its time is over
 }
 
 // cluster is turn stores with a network in memory, and the control state's map.
 type cluster struct {
-	t      reporter
-	plant  plant
-	rng    *rand.Rand
-	mu     sync.Mutex
-	nodes  map[string]*node
-	names  []string
-	m      *tierv1.PartitionMap
-	calls  int
-	at     int // number of the message that the fault hits; 0: none
-	fault  fault
-	struck chan struct{} // closed when the fault has hit
-	late   []func()
-	clock  time.Time
-	ctx    context.Context
+	t            reporter
+	injection    injection
+	rng          *rand.Rand
+	mu           sync.Mutex
+	nodes        map[string]*node
+	names        []string
+	partitionMap *tierv1.PartitionMap
+	calls        int
+	faultAt      int // number of the message that the fault hits; 0: none
+	fault        fault
+	faultHit     chan struct{} // closed when the fault has hit
+	delayed      []func()
+	clock        time.Time
+	ctx          context.Context
 }
 
 func newCluster(t reporter, names ...string) *cluster {
-	return newPlantedCluster(t, plant{}, names...)
+	return newClusterWith(t, injection{}, names...)
 }
 
-// newPlantedCluster is newCluster with a planted fault.
-func newPlantedCluster(t reporter, p plant, names ...string) *cluster {
-	c := &cluster{t: t, plant: p, rng: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*node{}, names: names, struck: make(chan struct{}),
+// newClusterWith is newCluster with a planted fault.
+func newClusterWith(t reporter, p injection, names ...string) *cluster {
+	c := &cluster{t: t, injection: p, rng: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*node{}, names: names, faultHit: make(chan struct{}),
 		clock: time.Now(), ctx: context.Background()}
 	for _, n := range names {
 		c.nodes[n] = &node{name: n, disk: wal.NewMemory()}
@@ -100,14 +100,14 @@
 	n := c.nodes[name]
 	v, err := Open(Config{Node: name, Dir: "/data", FS: c.files(n.disk), Now: c.now, ReplyTimeout: 40 * time.Millisecond,
 		RequestTimeout: 250 * time.Millisecond, Log: &log.Logger{Writer: log.IOWriter{Writer: io.Discard}},
-		Dial: func(addr string) tierv1.TurnStore { return &wire{c: c, from: name, to: addr} }})
+		Dial: func(addr string) tierv1.TurnStore { return &transport{c: c, from: name, to: addr} }})
 	assert.NilError(c.t, err)
 	c.mu.Lock()
 	n.turnstore, n.down = v, false
-	m := c.told()
+	m := c.publishedMap()
 	c.mu.Unlock()
 	if m != nil {
-		v.Apply(m)
+		v.ApplyPartitionMap(m)
 	}
 }
 
@@ -135,8 +135,8 @@
 func (c *cluster) assign(primary string, backups ...string) {
 	c.mu.Lock()
 	m := &tierv1.PartitionMap{Version: 1}
-	if c.m != nil {
-		m.Version = c.m.Version + 1
+	if c.partitionMap != nil {
+		m.Version = c.partitionMap.Version + 1
 	}
 	for _, name := range c.names {
 		m.StoreNodes = append(m.StoreNodes, &tierv1.StoreNode{Folder: c.nodes[name].turnstore.Folder(), Node: name, Address: name})
@@ -152,17 +152,17 @@
 		}
 		m.Partitions = append(m.Partitions, p)
 	}
-	c.m = m
+	c.partitionMap = m
 	c.mu.Unlock()
 }
 
-// push brings the newest map to these nodes, or to all.
-func (c *cluster) push(names ...string) {
+// publish brings the newest map to these nodes, or to all.
+func (c *cluster) publish(names ...string) {
 	if len(names) == 0 {
 		names = c.names
 	}
 	for _, n := range names {
-		c.nodes[n].turnstore.Apply(c.told())
+		c.nodes[n].turnstore.ApplyPartitionMap(c.publishedMap())
 	}
 }
 
@@ -182,29 +182,31 @@
 	}
 }
 
-// wire is a client that reaches a turn store through the network in memory.
-type wire struct {
+// transport is a client that reaches a turn store through the network in memory.
+type transport struct {
 	c        *cluster
 	from, to string
 }
 
 var errNet = errorx.IllegalState.New("no answer")
 
-// carry serves one message, spoilt if it is the one to be spoilt.
-func carry[Req, Rep proto.Message](w *wire, ctx context.Context, req Req, serve func(*TurnStore, context.Context, Req) (Rep, error)) (rep Rep, err error) {
+// deliver serves one message, spoilt if it is the one to be spoilt.
+func deliver[Req, Rep proto.Message](w *transport, ctx context.Context, req Req, serve func(*TurnStore, context.Context, Req) (Rep, error)) (rep Rep, err error) {
 	c := w.c
 	req = proto.Clone(req).(Req)
 	c.mu.Lock()
 	c.calls++
-	f := sound
-	if c.calls == c.at {
+	f := noFault
+	if c.calls == c.faultAt {
 		f = c.fault
-		defer func() { close(c.struck) }()
+		defer func() { close(c.faultHit) }()
 	}
 	to := c.nodes[w.to]
-	off := func() bool { return to.down || to.cut || w.from != "" && (c.nodes[w.from].down || c.nodes[w.from].cut) }
+	off := func() bool {
+		return to.down || to.partitioned || w.from != "" && (c.nodes[w.from].down || c.nodes[w.from].partitioned)
+	}
 	gone := off()
-	dark := to.dark
+	dark := to.unresponsive
 	v := to.turnstore
 	c.mu.Unlock()
 	if dark {
@@ -215,20 +217,20 @@
 		return rep, errNet
 	}
 	switch f {
-	case senderLost:
+	case senderWiped:
 		if w.from != "" {
 			c.crash(w.from, true)
 		}
 		return rep, errNet
-	case receiverDumb, receiverWiped:
+	case receiverDiesFirst, receiverWiped:
 		c.crash(w.to, f == receiverWiped)
 		return rep, errNet
-	case doubled:
+	case duplicated:
 		_, _ = serve(v, ctx, proto.Clone(req).(Req))
-	case held:
+	case delayed:
 		again := proto.Clone(req).(Req)
 		c.mu.Lock()
-		c.late = append(c.late, func() { _, _ = serve(c.nodes[w.to].turnstore, context.Background(), again) })
+		c.delayed = append(c.delayed, func() { _, _ = serve(c.nodes[w.to].turnstore, context.Background(), again) })
 		c.mu.Unlock()
 	}
 	rep, err = serve(v, ctx, req)
@@ -256,54 +258,54 @@
 	return rep, err
 }
 
-func (w *wire) Begin(ctx context.Context, r *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
-	return carry(w, ctx, r, (*TurnStore).Begin)
+func (w *transport) Begin(ctx context.Context, r *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
+	return deliver(w, ctx, r, (*TurnStore).Begin)
 }
-func (w *wire) Settle(ctx context.Context, r *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
-	return carry(w, ctx, r, (*TurnStore).Settle)
+func (w *transport) Settle(ctx context.Context, r *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
+	return deliver(w, ctx, r, (*TurnStore).Settle)
 }
-func (w *wire) Find(ctx context.Context, r *tierv1.FindRequest) (*tierv1.FindReply, error) {
-	return carry(w, ctx, r, (*TurnStore).Find)
+func (w *transport) Find(ctx context.Context, r *tierv1.FindRequest) (*tierv1.FindReply, error) {
+	return deliver(w, ctx, r, (*TurnStore).Find)
 }
-func (w *wire) Replicate(ctx context.Context, r *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
-	if w.c.plant.replicate != nil {
-		return carry(w, ctx, r, w.c.plant.replicate(w.c))
+func (w *transport) Replicate(ctx context.Context, r *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
+	if w.c.injection.replicate != nil {
+		return deliver(w, ctx, r, w.c.injection.replicate(w.c))
 	}
-	return carry(w, ctx, r, (*TurnStore).Replicate)
+	return deliver(w, ctx, r, (*TurnStore).Replicate)
 }
-func (w *wire) Held(ctx context.Context, r *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
-	if w.c.plant.held != nil {
-		return carry(w, ctx, r, w.c.plant.held(w.c))
+func (w *transport) Held(ctx context.Context, r *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+	if w.c.injection.held != nil {
+		return deliver(w, ctx, r, w.c.injection.held(w.c))
 	}
-	return carry(w, ctx, r, (*TurnStore).Held)
+	return deliver(w, ctx, r, (*TurnStore).Held)
 }
-func (w *wire) Fetch(ctx context.Context, r *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
-	if w.c.plant.fetch != nil {
-		return carry(w, ctx, r, w.c.plant.fetch(w.c))
+func (w *transport) Fetch(ctx context.Context, r *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
+	if w.c.injection.fetch != nil {
+		return deliver(w, ctx, r, w.c.injection.fetch(w.c))
 	}
-	return carry(w, ctx, r, (*TurnStore).Fetch)
+	return deliver(w, ctx, r, (*TurnStore).Fetch)
 }
 
 // checker remembers what was answered.
 type checker struct {
-	c       *cluster
-	kept    []string          // attempts whose turn was answered kept
-	whole   map[string]string // previous by attempt
-	granted map[string]uint64 // most of attempts answered OK, then the tokens they told
+	c        *cluster
+	stored   []string          // attempts whose turn was answered kept
+	previous map[string]string // previous by attempt
+	granted  map[string]uint64 // most of attempts answered OK, then the tokens they told
 }
 
 func newChecker(c *cluster) *checker {
-	return &checker{c: c, whole: map[string]string{}, granted: map[string]uint64{}}
+	return &checker{c: c, previous: map[string]string{}, granted: map[string]uint64{}}
 }
 
 func (k *checker) begin(to string, r *tierv1.BeginRequest) tierv1.Verdict {
-	w := &wire{c: k.c, to: to}
+	w := &transport{c: k.c, to: to}
 	reply, err := w.Begin(k.c.ctx, r)
 	if err != nil {
 		return tierv1.Verdict_VERDICT_UNSPECIFIED
 	}
 	if reply.Verdict == tierv1.Verdict_UNKNOWN {
-		for _, a := range k.kept {
+		for _, a := range k.stored {
 			assert.Assert(k.c.t, a != r.Previous, "kept turn %s is unknown", a)
 		}
 	}
@@ -320,7 +322,7 @@
 		}
 		if !r.ChainHeld {
 			want := []string{}
-			for a := r.Previous; a != ""; a = k.whole[a] {
+			for a := r.Previous; a != ""; a = k.previous[a] {
 				want = append([]string{a}, want...)
 			}
 			got := []string{}
@@ -335,22 +337,22 @@
 }
 
 func (k *checker) settle(to, program, attempt, previous string, tokens uint64) tierv1.Verdict {
-	w := &wire{c: k.c, to: to}
+	w := &transport{c: k.c, to: to}
 	reply, err := w.Settle(k.c.ctx, &tierv1.SettleRequest{Program: program, Attempt: attempt, Kept: true, Tokens: tokens,
 		Turn: turn(program, attempt, previous)})
 	if err != nil {
 		return tierv1.Verdict_VERDICT_UNSPECIFIED
 	}
 	if reply.Verdict == tierv1.Verdict_OK {
-		k.kept = append(k.kept, attempt)
-		k.whole[attempt] = previous
+		k.stored = append(k.stored, attempt)
+		k.previous[attempt] = previous
 		k.granted[attempt] = tokens
 	}
 	return reply.Verdict
 }
 
-// sure begins again as long as the answer is BUSY.
-func (k *checker) sure(to string, r *tierv1.BeginRequest) tierv1.Verdict {
+// beginUntilCertain begins again as long as the answer is BUSY.
+func (k *checker) beginUntilCertain(to string, r *tierv1.BeginRequest) tierv1.Verdict {
 	v := busy
 	for range 100 {
 		if v = k.begin(to, r); v != busy {
--- a/internal/tier/turnstore/loss_test.go
+++ b/internal/tier/turnstore/loss_test.go
@@ -11,7 +11,7 @@
 )
 
 // A backup that is silent holds up the exchanges with no other one.
-func TestASilentBackupHoldsUpNoOther(t *testing.T) {
+func TestSynchronize_UnresponsiveBackupDelaysNoOther(t *testing.T) {
 	const partitions = 32
 	c := newCluster(t, "a", "b", "c")
 	folder := func(name string) string { return c.nodes[name].turnstore.Folder() }
@@ -23,15 +23,15 @@
 		m.Partitions = append(m.Partitions, &tierv1.Partition{Epoch: 1, Primary: folder("a"),
 			Backups: []*tierv1.Replica{{Folder: folder("b")}, {Folder: folder("c")}}})
 	}
-	c.m = m
+	c.partitionMap = m
 	c.mu.Lock()
-	c.nodes["b"].dark = true
+	c.nodes["b"].unresponsive = true
 	c.mu.Unlock()
 	began := time.Now()
-	c.push()
+	c.publish()
 	c.synced("a", partitions)
 	took := time.Since(began)
-	reports, _ := c.nodes["a"].turnstore.Synced()
+	reports, _ := c.nodes["a"].turnstore.SyncedReplicas()
 	for _, r := range reports {
 		assert.Equal(t, r.Folder, folder("c"))
 	}
@@ -41,41 +41,41 @@
 }
 
 // A settlement that a later one raised while a copy was away comes to that copy before it is reported synced.
-func TestARaisedSettlementIsExchanged(t *testing.T) {
+func TestSynchronize_TransfersRaisedSettlement(t *testing.T) {
 	for _, primaryLacks := range []bool{false, true} {
-		c, k := pair(t)
+		c, k := newPair(t)
 		assert.Equal(t, k.begin("a", ask("t1", "")), ok)
 		assert.Equal(t, k.settle("a", "p", "t1", "", 5), ok)
 		c.mu.Lock()
-		c.nodes["b"].cut = true
+		c.nodes["b"].partitioned = true
 		c.mu.Unlock()
 		c.assign("a", "?c")
-		c.push("a", "c")
+		c.publish("a", "c")
 		c.synced("a", parts)
 		assert.Equal(t, k.settle("a", "p", "t1", "", 20), ok)
 		c.mu.Lock()
-		c.nodes["b"].cut = false
+		c.nodes["b"].partitioned = false
 		c.mu.Unlock()
 		if primaryLacks {
 			c.assign("b", "?a", "?c") // b lacks what it is the primary of: no map of control's, but copies must still agree
-			c.push()
+			c.publish()
 			c.synced("b", 2*parts)
 		} else {
 			c.assign("a", "c", "?b")
-			c.push()
+			c.publish()
 			c.synced("a", parts)
 		}
 		for _, name := range c.names {
 			v := c.nodes[name].turnstore
 			v.mu.Lock()
-			charged := v.store.partition(0).programs["p"].charged
+			charged := v.state.partition(0).programs["p"].charged
 			v.mu.Unlock()
 			assert.Equal(t, charged, uint64(20), "%s, %v", name, primaryLacks)
 		}
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestFactKeys(t *testing.T) {
 	for key, want := range map[string]struct {
 		kind, attempt string
 		tokens        uint64
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestDuty(t *testing.T) {
+func TestResponsibilityOf(t *testing.T) {
 	synced, unsynced := func(f string) *tierv1.Replica { return &tierv1.Replica{Folder: f, Synced: true} }, func(f string) *tierv1.Replica { return &tierv1.Replica{Folder: f} }
 	partition := func(primary string, backups ...*tierv1.Replica) *tierv1.Partition {
 		return &tierv1.Partition{Primary: primary, Backups: backups}
@@ -112,42 +112,42 @@
 	for _, test := range []struct {
 		name       string
 		partitions []*tierv1.Partition
-		want       duty
+		want       responsibility
 	}{
-		{"no map", nil, noDuty},
-		{"not named", []*tierv1.Partition{partition("x", unsynced("y"))}, noDuty},
-		{"a backup", []*tierv1.Partition{partition("x", synced("me"))}, backupDuty},
-		{"a backup that is not synced", []*tierv1.Partition{partition("x", unsynced("me"))}, backupDuty},
-		{"its successor is under way", []*tierv1.Partition{partition("x", synced("me"), unsynced("y"))}, neededDuty},
-		{"a primary", []*tierv1.Partition{partition("me", synced("x"))}, neededDuty},
-		{"the last holder", []*tierv1.Partition{partition("me", unsynced("x"))}, lastHolder},
-		{"alone", []*tierv1.Partition{partition("x", synced("me")), partition("me")}, lastHolder},
+		{"no map", nil, notAssigned},
+		{"not named", []*tierv1.Partition{partition("x", unsynced("y"))}, notAssigned},
+		{"a backup", []*tierv1.Partition{partition("x", synced("me"))}, backupOnly},
+		{"a backup that is not synced", []*tierv1.Partition{partition("x", unsynced("me"))}, backupOnly},
+		{"its successor is under way", []*tierv1.Partition{partition("x", synced("me"), unsynced("y"))}, requiredReplica},
+		{"a primary", []*tierv1.Partition{partition("me", synced("x"))}, requiredReplica},
+		{"the last holder", []*tierv1.Partition{partition("me", unsynced("x"))}, lastSyncedReplica},
+		{"alone", []*tierv1.Partition{partition("x", synced("me")), partition("me")}, lastSyncedReplica},
 	} {
-		assert.Equal(t, dutyOf(&tierv1.PartitionMap{Partitions: test.partitions}, "me"), test.want, test.name)
+		assert.Equal(t, responsibilityOf(&tierv1.PartitionMap{Partitions: test.partitions}, "me"), test.want, test.name)
 	}
 }
 
-func TestDutyReleased(t *testing.T) {
-	for d, want := range map[duty][4]bool{ // not fresh, fresh, late, both
-		noDuty:     {true, true, true, true},
-		backupDuty: {false, true, true, true},
-		neededDuty: {false, false, true, true},
-		lastHolder: {},
+func TestResponsibility_MayStop(t *testing.T) {
+	for d, want := range map[responsibility][4]bool{ // not fresh, fresh, late, both
+		notAssigned:       {true, true, true, true},
+		backupOnly:        {false, true, true, true},
+		requiredReplica:   {false, false, true, true},
+		lastSyncedReplica: {},
 	} {
-		got := [4]bool{d.released(false, false), d.released(true, false), d.released(false, true), d.released(true, true)}
+		got := [4]bool{d.mayStop(false, false), d.mayStop(true, false), d.mayStop(false, true), d.mayStop(true, true)}
 		assert.Equal(t, got, want, d)
 	}
 }
 
 // A store that leaves waits for control's word, for its successors, and longer than it is given where it is the last holder.
-func TestReleased(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
+func TestAwaitHandover(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
 	a := c.nodes["a"].turnstore
 	released := func(ctx context.Context) <-chan struct{} {
 		end := make(chan struct{})
 		go func() {
-			a.Released(ctx)
+			a.AwaitHandover(ctx)
 			close(end)
 		}()
 		return end
@@ -165,55 +165,55 @@
 	end := released(long)
 	waits(end, "it is the primary")
 	c.assign("b", "a", "?c")
-	c.push()
+	c.publish()
 	waits(end, "the copy that takes its place is under way")
 	c.synced("b", parts)
 	c.assign("b", "a", "c")
-	c.push()
+	c.publish()
 	<-end
 
 	end = released(long)
 	waits(end, "control has not made a map since")
 	c.assign("b", "c")
-	c.push()
+	c.publish()
 	<-end
 
 	c.assign("a", "?b")
-	c.push()
+	c.publish()
 	over, end2 := context.WithCancel(c.ctx)
 	end2()
 	end = released(over)
 	waits(end, "it is the last holder")
 	c.synced("a", parts)
 	c.assign("a", "b")
-	c.push()
+	c.publish()
 	<-end // still the primary, but its time is over
 
 	c.assign("a")
-	c.push()
+	c.publish()
 	short, cancel := context.WithTimeout(c.ctx, time.Millisecond)
 	defer cancel()
 	<-released(short) // at last, also as the last holder
 }
 
 // Neither a reservation nor a settlement is confirmed while a backup, synced or not, has not taken it.
-func TestNothingIsConfirmedWithoutEachBackup(t *testing.T) {
+func TestReplication_AcknowledgedByEachBackup(t *testing.T) {
 	for _, backups := range [][]string{{"b", "c"}, {"b", "?c"}, {"?c", "b"}} {
 		c := newCluster(t, "a", "b", "c")
 		c.assign("a", backups...)
-		c.push()
+		c.publish()
 		k := newChecker(c)
-		k.keep("a", "t1", "")
+		k.mustStore("a", "t1", "")
 		assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
 		c.mu.Lock()
-		c.nodes["c"].cut = true
+		c.nodes["c"].partitioned = true
 		c.mu.Unlock()
 		assert.Equal(t, k.settle("a", "p", "t2", "t1", 20), busy)
 		assert.Equal(t, k.begin("a", ask("t3", "t1")), busy)
 		c.mu.Lock()
-		c.nodes["c"].cut = false
+		c.nodes["c"].partitioned = false
 		c.mu.Unlock()
-		assert.Equal(t, k.sure("a", ask("t3", "t1")), ok)
+		assert.Equal(t, k.beginUntilCertain("a", ask("t3", "t1")), ok)
 		for k.settle("a", "p", "t2", "t1", 20) != ok {
 		}
 	}
--- a/internal/tier/turnstore/metrics.go
+++ b/internal/tier/turnstore/metrics.go
@@ -6,8 +6,8 @@
 func (store *TurnStore) Metrics() metrics.TurnStore {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	figures := metrics.TurnStore{Memory: store.store.memory, MapVersion: store.version, Disk: store.diskState}
-	for _, p := range store.store.partitions {
+	figures := metrics.TurnStore{Memory: store.state.memory, MapVersion: store.mapVersion, Disk: store.diskState}
+	for _, p := range store.state.partitions {
 		figures.Entries += len(p.entries)
 		switch {
 		case p.primary == store.folder:
--- a/internal/tier/turnstore/metrics_test.go
+++ b/internal/tier/turnstore/metrics_test.go
@@ -9,12 +9,12 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-func TestMetrics(t *testing.T) {
-	c, k := pair(t)
+func TestTurnStore_Metrics(t *testing.T) {
+	c, k := newPair(t)
 	empty := c.nodes["a"].turnstore.Metrics()
 	assert.Equal(t, empty.Entries, 0)
-	k.keep("a", "t1", "")
-	k.keep("a", "t2", "t1")
+	k.mustStore("a", "t1", "")
+	k.mustStore("a", "t2", "t1")
 	primary, backup := c.nodes["a"].turnstore.Metrics(), c.nodes["b"].turnstore.Metrics()
 	assert.Equal(t, primary.Primaries, parts)
 	assert.Equal(t, primary.Backups, 0)
@@ -23,7 +23,7 @@
 	assert.Equal(t, primary.Entries, 2)
 	assert.Equal(t, backup.Entries, 2)
 	assert.Assert(t, primary.Memory > empty.Memory)
-	assert.Equal(t, primary.MapVersion, c.m.Version)
+	assert.Equal(t, primary.MapVersion, c.partitionMap.Version)
 	assert.Equal(t, primary.Disk, tierv1.DiskState_DISK_SOUND)
 	c.nodes["a"].disk.FailFrom(1, syscall.ENOSPC)
 	assert.Equal(t, k.begin("a", ask("t3", "t2")), busy)
--- a/internal/tier/turnstore/mutation_test.go
+++ b/internal/tier/turnstore/mutation_test.go
@@ -11,25 +11,25 @@
 
 // script plays three turns of one program against a cluster that control repairs after each failure.
 type script struct {
-	c       *cluster
-	k       *checker
-	primary string
-	backup  string
-	spare   string
-	leaving string // a former primary that still has its copies
-	mend    func() // what is done between tries, where it is not repair
-	replace bool   // machines that went down are replaced; otherwise they come back
+	c           *cluster
+	k           *checker
+	primary     string
+	backup      string
+	spare       string
+	draining    string // a former primary that still has its copies
+	repairDisks func() // what is done between tries, where it is not repair
+	replace     bool   // machines that went down are replaced; otherwise they come back
 }
 
 func newScript(t reporter, replace bool) *script {
-	return newPlantedScript(t, plant{}, replace)
+	return newScriptWith(t, injection{}, replace)
 }
 
-// newPlantedScript is newScript on a cluster with a planted fault.
-func newPlantedScript(t reporter, p plant, replace bool) *script {
-	c := newPlantedCluster(t, p, "a", "b", "c")
+// newScriptWith is newScript on a cluster with a planted fault.
+func newScriptWith(t reporter, p injection, replace bool) *script {
+	c := newClusterWith(t, p, "a", "b", "c")
 	c.assign("a", "b")
-	c.push()
+	c.publish()
 	return &script{c: c, k: newChecker(c), primary: "a", backup: "b", spare: "c", replace: replace}
 }
 
@@ -57,10 +57,10 @@
 			s.backup, s.spare = s.spare, n
 		}
 		c.assign(s.primary, "?"+s.backup)
-		c.push()
+		c.publish()
 		c.synced(s.primary, parts)
 		c.assign(s.primary, s.backup)
-		c.push()
+		c.publish()
 	}
 }
 
@@ -71,8 +71,8 @@
 			return
 		}
 		assert.Assert(s.c.t, v != tierv1.Verdict_UNKNOWN && v != tierv1.Verdict_SPENT, "%s: %v", what, v)
-		if s.mend != nil {
-			s.mend()
+		if s.repairDisks != nil {
+			s.repairDisks()
 			continue
 		}
 		s.repair()
@@ -80,7 +80,7 @@
 	s.c.t.Fatalf("%s: never done", what)
 }
 
-func (s *script) play() {
+func (s *script) storeThreeTurns() {
 	previous := ""
 	for i := range 3 {
 		a := name(i)
@@ -90,9 +90,9 @@
 	}
 }
 
-// goOn goes on from each turn that was kept, in a program of its own.
-func (s *script) goOn(round string) {
-	for i, a := range s.k.kept {
+// continueEachTurn goes on from each turn that was kept, in a program of its own.
+func (s *script) continueEachTurn(round string) {
+	for i, a := range s.k.stored {
 		s.until("go on from "+a, func() tierv1.Verdict {
 			r := ask(fmt.Sprintf("%s-%d", round, i), a)
 			r.Program, r.Budget = round+a, 1_000
@@ -101,26 +101,26 @@
 	}
 }
 
-// after checks what must stand: here, after late messages, and after the loss of the primary with its disk.
-func (s *script) after() {
+// verify checks what must stand: here, after late messages, and after the loss of the primary with its disk.
+func (s *script) verify() {
 	c := s.c
 	c.mu.Lock()
-	underWay := c.at > 0 && c.calls >= c.at
-	c.at = 0
+	underWay := c.faultAt > 0 && c.calls >= c.faultAt
+	c.faultAt = 0
 	c.mu.Unlock()
 	if underWay {
-		<-c.struck // otherwise a machine may lose power after it was repaired
+		<-c.faultHit // otherwise a machine may lose power after it was repaired
 	}
 	c.mu.Lock()
-	late := c.late
-	c.late = nil
+	late := c.delayed
+	c.delayed = nil
 	c.mu.Unlock()
 	s.repair()
 	for _, deliver := range late {
 		deliver()
 	}
 	check := func(round string) {
-		s.goOn(round)
+		s.continueEachTurn(round)
 		// 60 tokens are told: 40 are left, and not 41.
 		for range 100 {
 			r := ask("more-"+round, "")
@@ -145,7 +145,7 @@
 	check("three")
 }
 
-func TestOneMessageAtATime(t *testing.T) {
+func TestReplication_FaultAtEachMessage(t *testing.T) {
 	for _, replace := range []bool{false, true} {
 		for f := lostRequest; f < faults; f++ {
 			for at := 1; at <= 16; at++ {
@@ -153,23 +153,23 @@
 					t.Parallel()
 					s := newScript(t, replace)
 					s.c.mu.Lock()
-					s.c.fault, s.c.at = f, s.c.calls+at
+					s.c.fault, s.c.faultAt = f, s.c.calls+at
 					s.c.mu.Unlock()
-					s.play()
-					s.after()
+					s.storeThreeTurns()
+					s.verify()
 				})
 			}
 		}
 	}
 }
 
-func TestPowerLossAtEachOperationOfADisk(t *testing.T) {
+func TestReplication_PowerLossAtEachDiskOperation(t *testing.T) {
 	for _, both := range []bool{false, true} {
 		for _, victim := range []string{"a", "b"} {
 			for at := 1; at <= diskOperations; at++ {
 				t.Run(fmt.Sprintf("both=%v/%s/%d", both, victim, at), func(t *testing.T) {
 					t.Parallel()
-					playPowerLoss(t, plant{}, both, victim, at)
+					runPowerLoss(t, injection{}, both, victim, at)
 				})
 			}
 		}
@@ -179,24 +179,24 @@
 // diskOperations is how many of the first operations of a disk are its last before a loss of power, one in each play.
 const diskOperations = 14
 
-// playPowerLoss is one play of TestPowerLossAtEachOperationOfADisk.
-func playPowerLoss(t reporter, p plant, both bool, victim string, at int) {
-	s := newPlantedScript(t, p, false)
+// runPowerLoss is one play of TestPowerLossAtEachOperationOfADisk.
+func runPowerLoss(t reporter, p injection, both bool, victim string, at int) {
+	s := newScriptWith(t, p, false)
 	s.c.nodes[victim].disk.DieAt(at)
 	if both {
 		s.c.nodes["a"].disk.DieAt(at)
 		s.c.nodes["b"].disk.DieAt(at)
 	}
-	s.play()
-	s.after()
+	s.storeThreeTurns()
+	s.verify()
 }
 
-func TestCompactionWithPowerLoss(t *testing.T) {
+func TestCompact_PowerLossAtEachOperation(t *testing.T) {
 	for at := 0; at <= 14; at++ {
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
 			t.Parallel()
 			s := newScript(t, false)
-			s.play()
+			s.storeThreeTurns()
 			if at > 0 {
 				s.c.nodes["b"].disk.DieAt(at)
 			}
@@ -210,7 +210,7 @@
 				s.c.crash("b", false)
 				s.repair()
 			}
-			s.after()
+			s.verify()
 		})
 	}
 }
--- a/internal/tier/turnstore/planted_test.go
+++ b/internal/tier/turnstore/planted_test.go
@@ -17,15 +17,15 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// plantedSeeds is in how many seeds a planted fault has to be found, and soundSeeds how many are played without a fault.
+// injectionSeeds is in how many seeds a planted fault has to be found, and soundSeeds how many are played without a fault.
 const (
-	plantedSeeds = 200
-	soundSeeds   = 40
+	injectionSeeds = 200
+	faultFreeSeeds = 40
 )
 
-// plant is a fault of the turn stores, their disks or control, made from outside. The zero plant leaves all right. What takes a
+// injection is a fault of the turn stores, their disks or control, made from outside. The zero plant leaves all right. What takes a
 // cluster is called for each message, and gives what serves it in place of the turn store's own method.
-type plant struct {
+type injection struct {
 	replicate func(c *cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error)
 	held      func(c *cluster) func(*TurnStore, context.Context, *tierv1.HeldRequest) (*tierv1.HeldReply, error)
 	fetch     func(c *cluster) func(*TurnStore, context.Context, *tierv1.FetchRequest) (*tierv1.FetchReply, error)
@@ -37,34 +37,34 @@
 
 // files gives the file system that a turn store works on.
 func (c *cluster) files(disk wal.FS) wal.FS {
-	if c.plant.files == nil {
+	if c.injection.files == nil {
 		return disk
 	}
-	return c.plant.files(disk)
+	return c.injection.files(disk)
 }
 
-// told is the newest map as turn stores are told it. It is nil before the first one.
-func (c *cluster) told() *tierv1.PartitionMap {
-	if c.m == nil || c.plant.control == nil {
-		return c.m
+// publishedMap is the newest map as turn stores are told it. It is nil before the first one.
+func (c *cluster) publishedMap() *tierv1.PartitionMap {
+	if c.partitionMap == nil || c.injection.control == nil {
+		return c.partitionMap
 	}
-	m := proto.CloneOf(c.m)
-	c.plant.control(m)
+	m := proto.CloneOf(c.partitionMap)
+	c.injection.control(m)
 	return m
 }
 
 // reports gives what a turn store reports to control, and a channel that is closed when that changes.
 func (c *cluster) reports(name string) ([]*tierv1.SyncedReplica, <-chan struct{}) {
 	store := c.nodes[name].turnstore
-	reports, changed := store.Synced()
-	if c.plant.reports != nil {
-		reports = c.plant.reports(store)
+	reports, changed := store.SyncedReplicas()
+	if c.injection.reports != nil {
+		reports = c.injection.reports(store)
 	}
 	return reports, changed
 }
 
 // dropsFacts makes a backup say that it has taken facts which it drops, in about one of n messages that carry some.
-func dropsFacts(n int, seed uint64) plant {
+func dropsFacts(n int, seed uint64) injection {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 5))
 	spoilt := func() bool {
@@ -72,7 +72,7 @@
 		defer mu.Unlock()
 		return r.IntN(n) == 0
 	}
-	return plant{replicate: func(*cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
+	return injection{replicate: func(*cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 		return func(store *TurnStore, ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 			if len(req.Facts) > 0 && spoilt() {
 				req.Facts = nil
@@ -83,8 +83,8 @@
 }
 
 // takesStale makes a backup say that it has taken what comes under an epoch that is over.
-func takesStale() plant {
-	return plant{replicate: func(*cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
+func takesStale() injection {
+	return injection{replicate: func(*cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 		return func(store *TurnStore, ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 			reply, err := store.Replicate(ctx, req)
 			if err == nil && reply.Stale {
@@ -95,9 +95,9 @@
 	}}
 }
 
-// namesUnheld makes a backup name keys that it does not hold: those of one of n facts of the primary's.
-func namesUnheld(n int) plant {
-	return plant{held: func(c *cluster) func(*TurnStore, context.Context, *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+// reportsMissingKeys makes a backup name keys that it does not hold: those of one of n facts of the primary's.
+func reportsMissingKeys(n int) injection {
+	return injection{held: func(c *cluster) func(*TurnStore, context.Context, *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
 		return func(store *TurnStore, ctx context.Context, req *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
 			reply, err := store.Held(ctx, req)
 			if err != nil || !reply.Ok {
@@ -116,7 +116,7 @@
 // keysAtPrimary gives the keys that the primary of a partition holds, in order.
 func (c *cluster) keysAtPrimary(id uint32) (keys []string) {
 	c.mu.Lock()
-	folder := c.m.Partitions[id].Primary
+	folder := c.partitionMap.Partitions[id].Primary
 	var primary *TurnStore
 	for _, n := range c.nodes {
 		if n.turnstore.Folder() == folder {
@@ -129,7 +129,7 @@
 	}
 	primary.mu.Lock()
 	defer primary.mu.Unlock()
-	for _, e := range primary.store.partition(id).entries {
+	for _, e := range primary.state.partition(id).entries {
 		keys = e.keys(keys)
 	}
 	slices.Sort(keys)
@@ -137,8 +137,8 @@
 }
 
 // losesFetched makes a backup leave out all facts of one attempt when it is asked for them.
-func losesFetched(attempt string) plant {
-	return plant{fetch: func(*cluster) func(*TurnStore, context.Context, *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
+func losesFetched(attempt string) injection {
+	return injection{fetch: func(*cluster) func(*TurnStore, context.Context, *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
 		return func(store *TurnStore, ctx context.Context, req *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
 			reply, err := store.Fetch(ctx, req)
 			if err == nil {
@@ -149,17 +149,19 @@
 	}}
 }
 
-// factsDisk is a file system with another way to sync the files of facts.
-type factsDisk struct {
+// logFilesFS is a file system with another way to sync the files of facts.
+type logFilesFS struct {
 	wal.FS
 	wrap func(wal.Handle) wal.Handle
 }
 
-func (d factsDisk) Open(name string) (wal.Handle, error)   { return d.wrapped(name)(d.FS.Open(name)) }
-func (d factsDisk) Create(name string) (wal.Handle, error) { return d.wrapped(name)(d.FS.Create(name)) }
+func (d logFilesFS) Open(name string) (wal.Handle, error) { return d.wrapped(name)(d.FS.Open(name)) }
+func (d logFilesFS) Create(name string) (wal.Handle, error) {
+	return d.wrapped(name)(d.FS.Create(name))
+}
 
 // wrapped wraps the handle of a file if it is one of facts.
-func (d factsDisk) wrapped(name string) func(wal.Handle, error) (wal.Handle, error) {
+func (d logFilesFS) wrapped(name string) func(wal.Handle, error) (wal.Handle, error) {
 	return func(handle wal.Handle, err error) (wal.Handle, error) {
 		if err != nil || !strings.Contains(name, "facts-") {
 			return handle, err
@@ -168,33 +170,33 @@
 	}
 }
 
-// unsynced is a file whose syncs do nothing.
-type unsynced struct{ wal.Handle }
+// ignoredSync is a file whose syncs do nothing.
+type ignoredSync struct{ wal.Handle }
 
-func (unsynced) Sync() error { return nil }
+func (ignoredSync) Sync() error { return nil }
 
 // syncsNothing makes disks forget all facts at a loss of power.
-func syncsNothing() plant {
-	return plant{files: func(disk wal.FS) wal.FS {
-		return factsDisk{disk, func(h wal.Handle) wal.Handle { return unsynced{h} }}
+func syncsNothing() injection {
+	return injection{files: func(disk wal.FS) wal.FS {
+		return logFilesFS{disk, func(h wal.Handle) wal.Handle { return ignoredSync{h} }}
 	}}
 }
 
-// lateSynced is a file of which a sync keeps only what was there at the sync before.
-type lateSynced struct {
+// delayedSync is a file of which a sync keeps only what was there at the sync before.
+type delayedSync struct {
 	wal.Handle
-	owed bool
+	syncPending bool
 }
 
-func (l *lateSynced) Sync() error {
-	l.owed = true
+func (l *delayedSync) Sync() error {
+	l.syncPending = true
 	return nil
 }
 
 // WriteAt makes up for the sync before.
-func (l *lateSynced) WriteAt(data []byte, at int64) (int, error) {
-	if l.owed {
-		l.owed = false
+func (l *delayedSync) WriteAt(data []byte, at int64) (int, error) {
+	if l.syncPending {
+		l.syncPending = false
 		if err := l.Handle.Sync(); err != nil {
 			return 0, err
 		}
@@ -203,22 +205,22 @@
 }
 
 // syncsLate makes disks forget what was synced last at a loss of power.
-func syncsLate() plant {
-	return plant{files: func(disk wal.FS) wal.FS {
-		return factsDisk{disk, func(h wal.Handle) wal.Handle { return &lateSynced{Handle: h} }}
+func syncsLate() injection {
+	return injection{files: func(disk wal.FS) wal.FS {
+		return logFilesFS{disk, func(h wal.Handle) wal.Handle { return &delayedSync{Handle: h} }}
 	}}
 }
 
 // reportsEarly makes a primary report all copies under way as whole.
-func reportsEarly() plant {
-	return plant{reports: func(store *TurnStore) (reports []*tierv1.SyncedReplica) {
+func reportsEarly() injection {
+	return injection{reports: func(store *TurnStore) (reports []*tierv1.SyncedReplica) {
 		store.mu.Lock()
 		defer store.mu.Unlock()
-		for _, p := range store.store.partitions {
+		for _, p := range store.state.partitions {
 			if p.term == nil || p.term.ended {
 				continue
 			}
-			for _, s := range p.term.senders {
+			for _, s := range p.term.replicators {
 				if s.unsynced {
 					reports = append(reports, &tierv1.SyncedReplica{Partition: p.id, Epoch: p.term.epoch, Folder: s.folder})
 				}
@@ -229,8 +231,8 @@
 }
 
 // unsyncedSucceeds makes control name a machine as the primary that has no synced copy.
-func unsyncedSucceeds() plant {
-	return plant{successor: func(s *script, lost string) string {
+func unsyncedSucceeds() injection {
+	return injection{successor: func(s *script, lost string) string {
 		for _, name := range s.c.names {
 			if name != lost && name != s.backup {
 				return name
@@ -241,82 +243,82 @@
 }
 
 // forgetsRetained makes control forget the copies that were taken out while they were silent.
-func forgetsRetained() plant {
-	return plant{control: func(m *tierv1.PartitionMap) {
+func forgetsRetained() injection {
+	return injection{control: func(m *tierv1.PartitionMap) {
 		for _, p := range m.Partitions {
 			p.Retained, p.RecoverFrom, p.AcknowledgedUntil = nil, nil, 0
 		}
 	}}
 }
 
-// drawnPlay is a play of one of this package's tests of losses.
-type drawnPlay struct {
+// randomScenario is a play of one of this package's tests of losses.
+type randomScenario struct {
 	name string
-	run  func(t reporter, p plant)
+	run  func(t reporter, p injection)
 }
 
-// drawPlay draws a play, the faults of its machines and messages included.
-func drawPlay(seed uint64) drawnPlay {
+// drawScenario draws a play, the faults of its machines and messages included.
+func drawScenario(seed uint64) randomScenario {
 	r := rand.New(rand.NewPCG(seed, 3))
-	at := 1 + r.IntN(troubledMessages)
+	at := 1 + r.IntN(faultedMessages)
 	switch r.IntN(9) {
 	case 0:
-		return drawnPlay{"a takeover from a frozen primary", playTakeover}
+		return randomScenario{"a takeover from a frozen primary", runTakeover}
 	case 1:
-		return drawnPlay{"a recovery from two copies", playRecovery}
+		return randomScenario{"a recovery from two copies", runRecovery}
 	case 2:
-		return drawnPlay{"retained copies", playRetained}
+		return randomScenario{"retained copies", runRetained}
 	case 3:
 		both, victim, operation := r.IntN(2) == 0, []string{"a", "b"}[r.IntN(2)], 1+r.IntN(diskOperations)
-		return drawnPlay{fmt.Sprintf("a loss of power at operation %d of %s, both machines %v", operation, victim, both),
-			func(t reporter, p plant) { playPowerLoss(t, p, both, victim, operation) }}
+		return randomScenario{fmt.Sprintf("a loss of power at operation %d of %s, both machines %v", operation, victim, both),
+			func(t reporter, p injection) { runPowerLoss(t, p, both, victim, operation) }}
 	case 4:
-		at = r.IntN(troubledMessages + 1)
-		return drawnPlay{fmt.Sprintf("two losses, the second at message %d", at),
-			func(t reporter, p plant) { playTwoLosses(t, p, at) }}
+		at = r.IntN(faultedMessages + 1)
+		return randomScenario{fmt.Sprintf("two losses, the second at message %d", at),
+			func(t reporter, p injection) { runTwoLosses(t, p, at) }}
 	}
 	step := repairSteps[r.IntN(len(repairSteps))]
 	f := lostRequest + fault(r.IntN(int(faults-lostRequest)))
-	for !step.bears(f) {
+	for !step.tolerates(f) {
 		f = lostRequest + fault(r.IntN(int(faults-lostRequest)))
 	}
-	return drawnPlay{fmt.Sprintf("%s, fault %d at message %d", step.name, f, at),
-		func(t reporter, p plant) { playLoss(t, p, step, f, at) }}
+	return randomScenario{fmt.Sprintf("%s, fault %d at message %d", step.name, f, at),
+		func(t reporter, p injection) { runLoss(t, p, step, f, at) }}
 }
 
 // What the checks say of facts that are lost, of budgets that are granted twice, and of turns that are not served.
 const (
-	keptIsUnknown   = "is unknown"
+	storedIsUnknown = "is unknown"
 	budgetForgotten = "the budget is forgotten"
 	overdrawn       = "tokens granted of"
 	notSpent        = "SPENT"
-	notKept         = "whether a copy is kept"
+	replicaDropped  = "whether a copy is kept"
 )
 
 // always gives one plant for all seeds.
-func always(p plant) func(uint64) plant { return func(uint64) plant { return p } }
+func always(p injection) func(uint64) injection { return func(uint64) injection { return p } }
 
-// TestPlantedStoreFaults plants faults, and expects the checks of losses to find each by what it takes away.
-func TestPlantedStoreFaults(t *testing.T) {
+// TestInjectedFaults_AreFound plants faults, and expects the checks of losses to find each by what it takes away.
+func TestInjectedFaults_AreFound(t *testing.T) {
 	for _, fault := range []struct {
 		name string
-		make func(seed uint64) plant
+		make func(seed uint64) injection
 		by   []string // one of these is in what the check says
 	}{
-		{"a backup drops one message of facts in six", func(seed uint64) plant { return dropsFacts(6, seed) }, []string{keptIsUnknown, budgetForgotten}},
-		{"a backup takes a stale epoch", always(takesStale()), []string{keptIsUnknown, overdrawn}},
-		{"a backup names a third of the keys without holding them", always(namesUnheld(3)), []string{keptIsUnknown}},
-		{"a backup leaves out one attempt that is fetched", always(losesFetched("t2")), []string{keptIsUnknown}},
-		{"syncs do nothing", always(syncsNothing()), []string{keptIsUnknown}},
-		{"the last sync does nothing", always(syncsLate()), []string{keptIsUnknown}},
-		{"copies are reported whole too early", always(reportsEarly()), []string{keptIsUnknown}},
-		{"an unsynced copy succeeds", always(unsyncedSucceeds()), []string{keptIsUnknown}},
-		{"control forgets retained copies", always(forgetsRetained()), []string{keptIsUnknown, notKept}},
+		{"a backup drops one message of facts in six", func(seed uint64) injection { return dropsFacts(6, seed) }, []string{storedIsUnknown, budgetForgotten}},
+		{"a backup takes a stale epoch", always(takesStale()), []string{storedIsUnknown, overdrawn}},
+		{"a backup names a third of the keys without holding them", always(reportsMissingKeys(3)), []string{storedIsUnknown}},
+		{"a backup leaves out one attempt that is fetched", always(losesFetched("t2")), []string{storedIsUnknown}},
+		{"syncs do nothing", always(syncsNothing()), []string{storedIsUnknown}},
+		{"the last sync does nothing", always(syncsLate()), []string{storedIsUnknown}},
+		{"copies are reported whole too early", always(reportsEarly()), []string{storedIsUnknown}},
+		{"an unsynced copy succeeds", always(unsyncedSucceeds()), []string{storedIsUnknown}},
+		{"control forgets retained copies", always(forgetsRetained()), []string{storedIsUnknown, replicaDropped}},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(plantedSeeds) {
-				play := drawPlay(seed)
+			for seed := range uint64(injectionSeeds) {
+				play := drawScenario(seed)
 				failure := observer.Observe(func(r reporter) { play.run(r, fault.make(seed)) })
 				if failure == "" {
 					continue
@@ -326,7 +328,7 @@
 					return
 				}
 			}
-			t.Fatalf("not found in %d seeds", plantedSeeds)
+			t.Fatalf("not found in %d seeds", injectionSeeds)
 		})
 	}
 }
@@ -336,9 +338,9 @@
 }
 
 // TestPlaysWithoutAFault: what finds planted faults finds nothing where there is none.
-func TestPlaysWithoutAFault(t *testing.T) {
-	for seed := range uint64(soundSeeds) {
-		play := drawPlay(seed)
-		assert.Equal(t, observer.Observe(func(r reporter) { play.run(r, plant{}) }), "", "seed %d, %s", seed, play.name)
+func TestInjectedFaults_NoneFoundWithout(t *testing.T) {
+	for seed := range uint64(faultFreeSeeds) {
+		play := drawScenario(seed)
+		assert.Equal(t, observer.Observe(func(r reporter) { play.run(r, injection{}) }), "", "seed %d, %s", seed, play.name)
 	}
 }
--- a/internal/tier/turnstore/sequence_test.go
+++ b/internal/tier/turnstore/sequence_test.go
@@ -31,36 +31,38 @@
 	case "":
 		return
 	case s.primary:
-		assert.Assert(c.t, s.leaving != "", "the only holder is lost")
-		s.primary, s.leaving, s.spare = s.leaving, "", wiped
-	case s.leaving:
-		s.leaving = ""
+		assert.Assert(c.t, s.draining != "", "the only holder is lost")
+		s.primary, s.draining, s.spare = s.draining, "", wiped
+	case s.draining:
+		s.draining = ""
 	}
-	s.underWay()
+	s.addReplica()
 }
 
 // named tells whether the newest map names a folder in its partitions.
-func (c *cluster) named(folder string) bool { return dutyOf(c.m, folder) != noDuty }
+func (c *cluster) named(folder string) bool {
+	return responsibilityOf(c.partitionMap, folder) != notAssigned
+}
 
-// underWay makes the map of a copy under way to the backup, beside one on the machine that leaves, if any.
-func (s *script) underWay() {
-	if s.leaving != "" {
-		s.c.assign(s.primary, s.leaving, "?"+s.backup)
+// addReplica makes the map of a copy under way to the backup, beside one on the machine that leaves, if any.
+func (s *script) addReplica() {
+	if s.draining != "" {
+		s.c.assign(s.primary, s.draining, "?"+s.backup)
 	} else {
 		s.c.assign(s.primary, "?"+s.backup)
 	}
-	s.c.push()
+	s.c.publish()
 }
 
-// disarm ends the fault. It tells whether all machines are up.
-func (s *script) disarm() bool {
+// disarmFault ends the fault. It tells whether all machines are up.
+func (s *script) disarmFault() bool {
 	c := s.c
 	c.mu.Lock()
-	hit := c.at > 0 && c.calls >= c.at
-	c.at = 0
+	hit := c.faultAt > 0 && c.calls >= c.faultAt
+	c.faultAt = 0
 	c.mu.Unlock()
 	if hit {
-		<-c.struck
+		<-c.faultHit
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,20 +83,20 @@
 	s.primary = s.successor(lost)
 	for _, name := range c.names {
 		if name != s.primary && name != lost {
-			s.backup, s.spare, s.leaving = name, lost, ""
+			s.backup, s.spare, s.draining = name, lost, ""
 		}
 	}
-	s.underWay()
-	s.goOn("at once")
+	s.addReplica()
+	s.continueEachTurn("at once")
 	c.synced(s.primary, parts)
 	c.assign(s.primary, s.backup)
-	c.push()
+	c.publish()
 }
 
 // successor is the machine that takes the place of a lost primary.
 func (s *script) successor(lost string) string {
-	if s.c.plant.successor != nil {
-		return s.c.plant.successor(s, lost)
+	if s.c.injection.successor != nil {
+		return s.c.injection.successor(s, lost)
 	}
 	return s.backup
 }
@@ -110,7 +112,7 @@
 				whole++
 			}
 		}
-		if whole >= parts && s.disarm() {
+		if whole >= parts && s.disarmFault() {
 			return
 		}
 		select {
@@ -121,134 +123,134 @@
 	s.c.t.Fatal("the copies are never reported synced")
 }
 
-// arm has a fault hit the message that is so many from now.
-func (c *cluster) arm(f fault, at int) {
+// armFault has a fault hit the message that is so many from now.
+func (c *cluster) armFault(f fault, at int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fault, c.at = f, c.calls+at
+	c.fault, c.faultAt = f, c.calls+at
 }
 
-// awaitStrike waits until the fault has hit.
-func (c *cluster) awaitStrike() {
+// awaitFault waits until the fault has hit.
+func (c *cluster) awaitFault() {
 	c.t.Helper()
 	select {
-	case <-c.struck:
+	case <-c.faultHit:
 	case <-time.After(10 * time.Second):
 		c.t.Fatal("the message that the fault is to hit is never sent")
 	}
 }
 
-// TestLossInEachStepOf plays a repair, a hand-over and a planned replacement, with a fault at each of the first messages. When the
+// TestReplicaLoss_InEachStepOfRepair plays a repair, a hand-over and a planned replacement, with a fault at each of the first messages. When the
 // copies are reported synced, the primary is lost with its disk at once, before any other message.
-func TestLossInEachStepOf(t *testing.T) {
+func TestReplicaLoss_InEachStepOfRepair(t *testing.T) {
 	for _, step := range repairSteps {
 		for f := lostRequest; f < faults; f++ {
-			if !step.bears(f) {
+			if !step.tolerates(f) {
 				continue
 			}
-			for at := 1; at <= troubledMessages; at++ {
+			for at := 1; at <= faultedMessages; at++ {
 				t.Run(fmt.Sprintf("%s/fault=%d/message=%d", step.name, f, at), func(t *testing.T) {
 					t.Parallel()
-					playLoss(t, plant{}, step, f, at)
+					runLoss(t, injection{}, step, f, at)
 				})
 			}
 		}
 	}
 }
 
-// troubledMessages is how many of the first messages of a repair are hit by a fault, one in each play.
-const troubledMessages = 8
+// faultedMessages is how many of the first messages of a repair are hit by a fault, one in each play.
+const faultedMessages = 8
 
 // repairStep is an occasion on which a copy is made.
 type repairStep struct {
-	name       string
-	onlyHolder bool // the primary is the only one that holds all
-	begin      func(s *script)
+	name              string
+	onlySyncedReplica bool // the primary is the only one that holds all
+	begin             func(s *script)
 }
 
-// bears tells whether a fault is no more than can be borne in this step.
-func (r repairStep) bears(f fault) bool { return f != senderLost || !r.onlyHolder }
+// tolerates tells whether a fault is no more than can be borne in this step.
+func (r repairStep) tolerates(f fault) bool { return f != senderWiped || !r.onlySyncedReplica }
 
 var repairSteps = []repairStep{
-	{name: "a repair", onlyHolder: true, begin: func(s *script) { // the backup's disk is lost, the spare one gets a copy
+	{name: "a repair", onlySyncedReplica: true, begin: func(s *script) { // the backup's disk is lost, the spare one gets a copy
 		s.c.crash("b", true)
 		s.c.restart("b")
 		s.backup, s.spare = "c", "b"
 	}},
 	{name: "a hand-over", begin: func(s *script) { // the primary heard SIGTERM
-		s.primary, s.backup, s.spare, s.leaving = "b", "c", "a", "a"
+		s.primary, s.backup, s.spare, s.draining = "b", "c", "a", "a"
 	}},
 	{name: "a planned replacement", begin: func(s *script) { // the new one has come, then the primary hears SIGTERM and is removed
 		s.c.crash("c", true)
 		s.c.restart("c")
-		s.primary, s.backup, s.spare, s.leaving = "b", "c", "a", "a"
+		s.primary, s.backup, s.spare, s.draining = "b", "c", "a", "a"
 	}},
 }
 
-// playLoss plays one step with a fault at one of its messages, and the loss of the primary right after it.
-func playLoss(t reporter, p plant, step repairStep, f fault, at int) {
-	s := newPlantedScript(t, p, false)
-	s.play()
-	s.c.arm(f, at)
+// runLoss plays one step with a fault at one of its messages, and the loss of the primary right after it.
+func runLoss(t reporter, p injection, step repairStep, f fault, at int) {
+	s := newScriptWith(t, p, false)
+	s.storeThreeTurns()
+	s.c.armFault(f, at)
 	step.begin(s)
-	s.underWay()
+	s.addReplica()
 	s.await()
 	s.losePrimary()
-	s.after()
+	s.verify()
 }
 
-// TestTwoLossesBorne loses, of four machines with two losses borne, one with its disk, a second at each message of the repair
+// TestReplicaLoss_TwoOfFour loses, of four machines with two losses borne, one with its disk, a second at each message of the repair
 // and a third right after the first repair is reported whole: that is two at once at most.
-func TestTwoLossesBorne(t *testing.T) {
-	for at := 0; at <= troubledMessages; at++ {
+func TestReplicaLoss_TwoOfFour(t *testing.T) {
+	for at := 0; at <= faultedMessages; at++ {
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
 			t.Parallel()
-			playTwoLosses(t, plant{}, at)
+			runTwoLosses(t, injection{}, at)
 		})
 	}
 }
 
-// playTwoLosses is one play of TestTwoLossesBorne, with the second loss at a message, or after the repair where that is 0.
-func playTwoLosses(t reporter, p plant, at int) {
-	c := newPlantedCluster(t, p, "a", "b", "c", "d")
+// runTwoLosses is one play of TestTwoLossesBorne, with the second loss at a message, or after the repair where that is 0.
+func runTwoLosses(t reporter, p injection, at int) {
+	c := newClusterWith(t, p, "a", "b", "c", "d")
 	c.assign("a", "b", "c")
-	c.push()
+	c.publish()
 	k := newChecker(c)
-	k.keep("a", "t1", "")
-	k.keep("a", "t2", "t1")
+	k.mustStore("a", "t1", "")
+	k.mustStore("a", "t2", "t1")
 	c.crash("b", true)
 	c.restart("b")
 	if at > 0 {
-		c.arm(senderDies, at)
+		c.armFault(senderDies, at)
 	}
 	c.assign("a", "c", "?d")
-	c.push()
+	c.publish()
 	if at > 0 {
-		c.awaitStrike() // the second loss, in the middle of the repair
+		c.awaitFault() // the second loss, in the middle of the repair
 		c.crash("a", true)
 		c.restart("a")
 		c.assign("c", "?d", "?a")
-		c.push()
+		c.publish()
 		c.synced("c", 2*parts)
 		c.assign("c", "d", "a")
-		c.push()
+		c.publish()
 		c.crash("c", true)
 		c.restart("c")
 		c.assign("d", "a", "?c")
-		c.push()
+		c.publish()
 	} else {
 		c.synced("a", parts)
 		c.assign("a", "c", "d")
-		c.push()
+		c.publish()
 		c.crash("a", true)
 		c.crash("c", true)
 		c.restart("a")
 		c.restart("c")
 		c.assign("d", "?a", "?c")
-		c.push()
+		c.publish()
 	}
 	r := ask("t3", "t2")
 	r.Most = 81 // 20 are handed out
-	assert.Equal(t, k.sure("d", r), spent)
-	assert.Equal(t, k.sure("d", ask("t4", "t2")), ok)
+	assert.Equal(t, k.beginUntilCertain("d", r), spent)
+	assert.Equal(t, k.beginUntilCertain("d", ask("t4", "t2")), ok)
 }
--- a/internal/tier/turnstore/serve.go
+++ b/internal/tier/turnstore/serve.go
@@ -25,17 +25,17 @@
 	known := e != nil && e.reserved
 	var d decision
 	if req.Previous != "" {
-		var stands standing
+		var stands chainStatus
 		d.chain, stands = p.chain(req.Previous, known, store.cfg.RetentionSlack, now)
 		switch {
-		case stands == whole:
+		case stands == chainComplete:
 			d.facts = store.factsToResend(p, d.chain, now)
 		case len(req.Adopt) > 0:
 			for _, t := range req.Adopt {
 				d.facts = append(d.facts, &tierv1.Fact{Partition: p.id, Program: t.Program, Attempt: t.Attempt,
 					Of: &tierv1.Fact_Adopted{Adopted: t}})
 			}
-		case stands == broken:
+		case stands == chainIncomplete:
 			return decision{verdict: tierv1.Verdict_BUSY}
 		default:
 			return decision{verdict: tierv1.Verdict_UNKNOWN}
@@ -48,11 +48,11 @@
 		if known && e.program.name == req.Program {
 			own = e.charge()
 		}
-		if verdict := p.budgetVerdict(req, own, store.cfg.ReleaseTime, now); verdict != tierv1.Verdict_OK {
+		if verdict := p.budgetVerdict(req, own, store.cfg.ReleaseGracePeriod, now); verdict != tierv1.Verdict_OK {
 			return decision{verdict: verdict}
 		}
 	}
-	if !known && (store.full() || p.term.queuedBytes() > maxQueuedBytes) {
+	if !known && (store.atCapacity() || p.term.maxQueuedBytes() > replicationQueueLimit) {
 		return decision{verdict: tierv1.Verdict_BUSY}
 	}
 	d.verdict = tierv1.Verdict_OK
@@ -66,19 +66,19 @@
 // this term, and all of a turn that is older than it seems here.
 func (store *TurnStore) factsToResend(p *partition, chain []*entry, now time.Time) []*tierv1.Fact {
 	last := chain[len(chain)-1]
-	old := last.replayed || now.Sub(last.knownSince) > retention(last.turn)
+	old := last.replayed || now.Sub(last.storedAt) > retention(last.turn)
 	var list []*tierv1.Fact
 	for _, e := range chain {
-		if e.term != p.term.id && (old || e.adopted && !p.term.exchanged()) || old && e == last && !last.replayed {
+		if e.term != p.term.id && (old || e.adopted && !p.term.backupsSynchronized()) || old && e == last && !last.replayed {
 			list = append(list, p.facts(e)...)
 		}
 	}
 	return list
 }
 
-func (t *term) exchanged() bool {
-	for _, s := range t.senders {
-		if !s.exchanged {
+func (t *term) backupsSynchronized() bool {
+	for _, s := range t.replicators {
+		if !s.synchronized {
 			return false
 		}
 	}
@@ -97,7 +97,7 @@
 	defer cancel()
 	for {
 		store.mu.Lock()
-		p, verdict := store.serving(req.Partition)
+		p, verdict := store.servingPartition(req.Partition)
 		if verdict != tierv1.Verdict_OK {
 			store.mu.Unlock()
 			return &tierv1.BeginReply{Verdict: verdict}, nil
@@ -110,10 +110,10 @@
 			return reply, nil
 		}
 		t := p.term
-		var b *batch
+		var b *logBatch
 		if d.verdict == tierv1.Verdict_OK {
-			b = store.record(p, d.facts, now)
-			reply.Avoid = p.avoided(req.Program, now)
+			b = store.appendFacts(p, d.facts, now)
+			reply.Avoid = p.failedEndpoints(req.Program, now)
 			if req.Previous != "" {
 				if d.chain, _ = p.chain(req.Previous, true, 0, now); d.chain == nil {
 					store.mu.Unlock()
@@ -130,7 +130,7 @@
 		rounds := t.enqueue(d.facts...)
 		store.mu.Unlock()
 		switch t.wait(ctx, b, rounds) {
-		case done:
+		case acknowledged:
 			return reply, nil
 		case timedOut, diskFailed:
 			return &tierv1.BeginReply{Verdict: tierv1.Verdict_BUSY}, nil
@@ -138,11 +138,11 @@
 	}
 }
 
-// record adds facts and gives the batch after which they are synced. The lock is held.
-func (store *TurnStore) record(p *partition, facts []*tierv1.Fact, now time.Time) *batch {
+// appendFacts adds facts and gives the batch after which they are synced. The lock is held.
+func (store *TurnStore) appendFacts(p *partition, facts []*tierv1.Fact, now time.Time) *logBatch {
 	fresh := make([]*tierv1.Fact, 0, len(facts))
 	for _, f := range facts {
-		if store.store.add(f, now) {
+		if store.state.add(f, now) {
 			fresh = append(fresh, f)
 		}
 		p.entries[f.Attempt].term = p.term.id
@@ -194,19 +194,19 @@
 	defer cancel()
 	for {
 		store.mu.Lock()
-		p, verdict := store.serving(req.Partition)
+		p, verdict := store.servingPartition(req.Partition)
 		if verdict != tierv1.Verdict_OK {
 			store.mu.Unlock()
 			return &tierv1.SettleReply{Verdict: verdict}, nil
 		}
 		t := p.term
 		now := store.cfg.Now()
-		b := store.record(p, []*tierv1.Fact{f}, now)
-		p.noteFailed(req.Program, req.FailedAt, now)
+		b := store.appendFacts(p, []*tierv1.Fact{f}, now)
+		p.recordFailedEndpoint(req.Program, req.FailedAt, now)
 		rounds := t.enqueue(f)
 		store.mu.Unlock()
 		switch t.wait(ctx, b, rounds) {
-		case done:
+		case acknowledged:
 			return &tierv1.SettleReply{Verdict: tierv1.Verdict_OK}, nil
 		case timedOut, diskFailed:
 			return &tierv1.SettleReply{Verdict: tierv1.Verdict_BUSY}, nil
@@ -220,23 +220,23 @@
 	type asked struct {
 		id     uint32
 		t      *term
-		rounds []*round
+		rounds []*replicationBatch
 	}
 	var list []asked
 	store.mu.Lock()
 	now := store.cfg.Now()
-	for id := range store.store.partitions {
-		p, verdict := store.serving(id)
+	for id := range store.state.partitions {
+		p, verdict := store.servingPartition(id)
 		if verdict != tierv1.Verdict_OK {
 			continue
 		}
 		chain, stands := p.chain(req.Attempt, false, store.cfg.RetentionSlack, now)
 		switch stands {
-		case whole:
+		case chainComplete:
 			reply := &tierv1.FindReply{Chain: turns(chain)}
 			store.mu.Unlock()
 			return reply, nil
-		case absent:
+		case chainAbsent:
 			list = append(list, asked{id: id, t: p.term})
 		}
 	}
@@ -248,7 +248,7 @@
 	defer cancel()
 	reply := &tierv1.FindReply{}
 	for _, a := range list {
-		if a.t.wait(ctx, nil, a.rounds) == done {
+		if a.t.wait(ctx, nil, a.rounds) == acknowledged {
 			reply.Partitions = append(reply.Partitions, a.id)
 		}
 	}
--- a/internal/tier/turnstore/serve_test.go
+++ b/internal/tier/turnstore/serve_test.go
@@ -19,23 +19,23 @@
 	busy    = tierv1.Verdict_BUSY
 )
 
-// keep takes a turn from its begin to its end.
-func (k *checker) keep(to, attempt, previous string) {
+// mustStore takes a turn from its begin to its end.
+func (k *checker) mustStore(to, attempt, previous string) {
 	assert.Equal(k.c.t, k.begin(to, ask(attempt, previous)), ok)
 	assert.Equal(k.c.t, k.settle(to, "p", attempt, previous, 10), ok)
 }
 
-func pair(t reporter) (*cluster, *checker) { return plantedPair(t, plant{}) }
+func newPair(t reporter) (*cluster, *checker) { return newPairWith(t, injection{}) }
 
-// plantedPair is pair with a planted fault.
-func plantedPair(t reporter, p plant) (*cluster, *checker) {
-	c := newPlantedCluster(t, p, "a", "b", "c")
+// newPairWith is pair with a planted fault.
+func newPairWith(t reporter, p injection) (*cluster, *checker) {
+	c := newClusterWith(t, p, "a", "b", "c")
 	c.assign("a", "b")
-	c.push()
+	c.publish()
 	return c, newChecker(c)
 }
 
-func TestBeforeTheFirstMap(t *testing.T) {
+func TestTurnStore_BeforeFirstPartitionMap(t *testing.T) {
 	c := newCluster(t, "a")
 	v := c.nodes["a"].turnstore
 	assert.Assert(t, v.WasEmpty())
@@ -53,10 +53,10 @@
 	assert.Assert(t, c.nodes["a"].turnstore.Folder() != folder)
 }
 
-func TestTurnsAndTheirChain(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
-	k.keep("a", "t2", "t1")
+func TestBegin_ReturnsChain(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
+	k.mustStore("a", "t2", "t1")
 	assert.Equal(t, k.begin("a", ask("t3", "t2")), ok)
 	assert.Equal(t, k.begin("a", ask("t3", "t2")), ok) // once more
 	assert.Equal(t, k.begin("a", ask("t4", "t3")), unknown)
@@ -67,9 +67,9 @@
 	assert.Equal(t, (&checker{c: c}).begin("a", ask("t5", "t3")), unknown) // past its retention
 }
 
-func TestEpochs(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
+func TestReplicate_RejectsStaleEpochs(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
 	v := c.nodes["b"].turnstore
 	a, x := c.nodes["a"].turnstore.Folder(), "x"
 	say := func(epoch uint64, from string) *tierv1.ReplicateReply {
@@ -84,14 +84,14 @@
 	assert.Assert(t, say(1, a).Stale)
 	assert.Assert(t, say(3, a).Stale)
 	c.assign("b", "a") // epoch 2: older than what b knows
-	c.push()
+	c.publish()
 	assert.Equal(t, k.begin("b", ask("t2", "t1")), moved)
 }
 
 // What was meant for a folder that is lost is not taken by another at its address, and teaches it nothing.
-func TestMeantForAnotherFolder(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
+func TestReplicate_IgnoresMessagesForAnotherFolder(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
 	v := c.nodes["b"].turnstore
 	a := c.nodes["a"].turnstore.Folder()
 	for to, taken := range map[string]bool{"lost": false, v.Folder(): true, "": true} {
@@ -103,24 +103,24 @@
 		assert.NilError(t, err)
 		assert.Equal(t, h.Ok, taken, to)
 	}
-	r, err := v.Replicate(c.ctx, &tierv1.ReplicateRequest{Epoch: 9, From: "x", To: "lost", Facts: []*tierv1.Fact{reserve("x", 1)}})
+	r, err := v.Replicate(c.ctx, &tierv1.ReplicateRequest{Epoch: 9, From: "x", To: "lost", Facts: []*tierv1.Fact{reservedFact("x", 1)}})
 	assert.NilError(t, err)
 	assert.Assert(t, !r.Taken)
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok) // epoch 1 stands
 }
 
-func TestTakeoverBetweenBeginAndSettle(t *testing.T) { playTakeover(t, plant{}) }
+func TestTakeover_BetweenBeginAndSettle(t *testing.T) { runTakeover(t, injection{}) }
 
-// playTakeover lets a backup take over from a primary that is frozen, which then wakes with its old epoch.
-func playTakeover(t reporter, p plant) {
-	c, k := plantedPair(t, p)
-	k.keep("a", "t1", "")
+// runTakeover lets a backup take over from a primary that is frozen, which then wakes with its old epoch.
+func runTakeover(t reporter, p injection) {
+	c, k := newPairWith(t, p)
+	k.mustStore("a", "t1", "")
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
 	c.assign("b", "?c")
-	c.push("b", "c") // a is frozen, and hears nothing
+	c.publish("b", "c") // a is frozen, and hears nothing
 	assert.Equal(t, k.settle("b", "p", "t2", "t1", 20), ok)
 	for _, a := range []string{"t3", "t4", "t5"} {
-		k.keep("b", a, "t2")
+		k.mustStore("b", a, "t2")
 	}
 	assert.Equal(t, k.begin("b", ask("t6", "t5")), ok)
 	assert.Equal(t, k.begin("b", ask("t7", "t5")), ok) // 30 + 3 * 10 + 2 * 20: all of it
@@ -136,35 +136,35 @@
 	assert.Assert(t, !slices.Contains(f.Partitions, 0))
 }
 
-func TestBackupReplacedWhileARequestWaits(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
+func TestBegin_WhileBackupIsReplaced(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
 	c.crash("b", true)
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
 	c.assign("a", "?c")
-	c.push("a", "c")
+	c.publish("a", "c")
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
 	c.synced("a", parts)
 	c.assign("a", "c")
-	c.push("a", "c")
-	reports, _ := c.nodes["a"].turnstore.Synced()
+	c.publish("a", "c")
+	reports, _ := c.nodes["a"].turnstore.SyncedReplicas()
 	assert.Equal(t, len(reports), 0)
 	c.crash("a", true)
 	c.assign("c")
-	c.push("c")
+	c.publish("c")
 	assert.Equal(t, k.settle("c", "p", "t2", "t1", 20), ok)
 	assert.Equal(t, k.begin("c", ask("t3", "t2")), ok)
 }
 
-func TestLastTokens(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "") // 10 of 100
+func TestBegin_ConcurrentRequestsForLastTokens(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "") // 10 of 100
 	var mu sync.Mutex
 	n := map[tierv1.Verdict]int{}
 	var wg sync.WaitGroup
 	for i := range 12 {
 		wg.Go(func() {
-			reply, err := (&wire{c: c, to: "a"}).Begin(c.ctx, ask(name(100+i), "t1"))
+			reply, err := (&transport{c: c, to: "a"}).Begin(c.ctx, ask(name(100+i), "t1"))
 			if err == nil {
 				mu.Lock()
 				n[reply.Verdict]++
@@ -177,17 +177,17 @@
 	assert.Equal(t, n[ok]+n[spent]+n[busy], 12)
 }
 
-func TestSubAgentsOfATurnJustKept(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
-	k.keep("a", "t2", "t1")
+func TestBegin_SubAgentsOfTurnJustStored(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
+	k.mustStore("a", "t2", "t1")
 	var wg sync.WaitGroup
 	for i := range 4 {
 		wg.Go(func() {
 			r := ask(name(100+i), "t2")
 			r.Limited = false
 			for {
-				reply, err := (&wire{c: c, to: "a"}).Begin(c.ctx, r)
+				reply, err := (&transport{c: c, to: "a"}).Begin(c.ctx, r)
 				if err == nil && reply.Verdict == busy {
 					continue
 				}
@@ -199,10 +199,10 @@
 	wg.Wait()
 }
 
-func TestForeignPrevious(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
-	k.keep("a", "t2", "t1")
+func TestBegin_AdoptsTurnOfAnotherPartition(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
+	k.mustStore("a", "t2", "t1")
 	r := ask("f1", "t2")
 	r.Partition, r.Program = 1, "f"
 	assert.Equal(t, (&checker{c: c}).begin("a", r), unknown) // that partition doesn't hold it
@@ -215,21 +215,21 @@
 	assert.ErrorContains(t, err, "no chain")
 	c.crash("a", true)
 	c.assign("b", "?c")
-	c.push("b", "c")
+	c.publish("b", "c")
 	r = ask("f2", "t2")
 	r.Partition, r.Program = 1, "f"
 	assert.Equal(t, k.begin("b", r), ok)
 }
 
-func TestFindIsCertainOnlyWhenConfirmed(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
+func TestFind_CertainOnlyWhenConfirmed(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
 	v := c.nodes["a"].turnstore
 	r, err := v.Find(c.ctx, &tierv1.FindRequest{Attempt: "nothing"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(r.Partitions), parts)
 	c.mu.Lock()
-	c.nodes["b"].cut = true
+	c.nodes["b"].partitioned = true
 	c.mu.Unlock()
 	r, err = v.Find(c.ctx, &tierv1.FindRequest{Attempt: "nothing"})
 	assert.NilError(t, err)
@@ -243,56 +243,56 @@
 	assert.Equal(t, k.begin("a", q), busy) // spent, but not for sure
 }
 
-func TestNoRoom(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
+func TestBegin_RejectsAtCapacity(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
 	v := c.nodes["a"].turnstore
 	v.mu.Lock()
-	v.cfg.MemoryBytes = v.store.memory
+	v.cfg.MemoryBytes = v.state.memory
 	v.mu.Unlock()
 	assert.Equal(t, k.begin("a", ask("t3", "t1")), busy)
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
 	assert.Equal(t, k.settle("a", "p", "t2", "t1", 10), ok)
 	c.advance(24 * time.Hour)
 	for range 8 {
-		v.Sweep(c.now())
+		v.RemoveExpired(c.now())
 	}
-	assert.Equal(t, v.store.memory, int64(0))
+	assert.Equal(t, v.state.memory, int64(0))
 	assert.Equal(t, k.begin("a", ask("t9", "")), ok) // there is room again
 }
 
-func TestAssignedElsewhere(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
+func TestRemoveExpired_DropsUnassignedPartition(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
 	c.assign("a", "?c")
-	c.push()
+	c.publish()
 	c.synced("a", parts)
 	v := c.nodes["b"].turnstore
 	c.advance(29 * time.Second)
 	for range 8 {
-		v.Sweep(c.now())
+		v.RemoveExpired(c.now())
 	}
-	assert.Equal(t, len(v.store.partition(0).entries), 1)
+	assert.Equal(t, len(v.state.partition(0).entries), 1)
 	c.advance(2 * time.Second)
 	for range 8 {
-		v.Sweep(c.now())
+		v.RemoveExpired(c.now())
 	}
-	assert.Equal(t, len(v.store.partition(0).entries), 0)
+	assert.Equal(t, len(v.state.partition(0).entries), 0)
 }
 
-func TestFactsOfABackupComeToThePrimary(t *testing.T) {
-	c, k := pair(t)
-	k.keep("a", "t1", "")
+func TestSynchronize_PullsFactsOfBackup(t *testing.T) {
+	c, k := newPair(t)
+	k.mustStore("a", "t1", "")
 	c.mu.Lock()
-	c.nodes["b"].cut = true
+	c.nodes["b"].partitioned = true
 	c.mu.Unlock()
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy) // a holds a reservation that nobody was told of
 	c.mu.Lock()
-	c.nodes["b"].cut = false
+	c.nodes["b"].partitioned = false
 	c.mu.Unlock()
 	c.assign("b", "?a", "?c")
-	c.push()
+	c.publish()
 	c.synced("b", 2*parts)
 	found, err := c.nodes["b"].turnstore.Find(c.ctx, &tierv1.FindRequest{Attempt: "none"})
 	assert.NilError(t, err)
@@ -306,13 +306,13 @@
 	r := ask("t3", "t1")
 	r.Most = 71                            // 10 told, 20 reserved
 	assert.Equal(t, k.begin("b", r), busy) // the reservation's gateway was answered BUSY, and may be releasing it
-	c.advance(DefaultReleaseTime)
+	c.advance(DefaultReleaseGracePeriod)
 	assert.Equal(t, k.begin("b", r), spent)
 }
 
-func TestLargeCopiesAreSentInSteps(t *testing.T) {
-	c, k := pair(t)
-	w := &wire{c: c, to: "a"}
+func TestSynchronize_SendsInChunks(t *testing.T) {
+	c, k := newPair(t)
+	w := &transport{c: c, to: "a"}
 	for i := range 12 {
 		body := turn("p", name(i), "")
 		body.Output = make([]byte, 100<<10)
@@ -327,13 +327,13 @@
 	}
 	c.crash("b", true)
 	c.assign("a", "?c")
-	c.push("a", "c")
+	c.publish("a", "c")
 	c.synced("a", parts)
-	assert.Equal(t, len(c.nodes["c"].turnstore.store.partition(0).entries), 12)
+	assert.Equal(t, len(c.nodes["c"].turnstore.state.partition(0).entries), 12)
 	c.crash("a", true)
 	c.assign("c")
-	c.push("c")
+	c.publish("c")
 	r := ask("t99", name(11))
 	r.ChainHeld = true
-	assert.Equal(t, k.sure("c", r), ok)
+	assert.Equal(t, k.beginUntilCertain("c", r), ok)
 }
--- a/internal/tier/turnstore/store.go
+++ b/internal/tier/turnstore/store.go
@@ -16,8 +16,8 @@
 // recordOverhead is what one record costs on disk besides its bytes, at most.
 const recordOverhead = 16
 
-// store holds the facts of all partitions. It is pure: the time is passed in, and its caller locks.
-type store struct {
+// state holds the facts of all partitions. It is pure: the time is passed in, and its caller locks.
+type state struct {
 	partitions map[uint32]*partition
 	memory     int64         // estimated bytes held
 	disk       int64         // estimated bytes that a rewritten write-ahead log has
@@ -30,17 +30,17 @@
 	id       uint32
 	entries  map[string]*entry   // by attempt
 	programs map[string]*program // by name
-	mark     uint32              // of the last sweep
+	gcCycle  uint32              // of the last sweep
 	role
 }
 
 // program is a budget and what is charged to it.
 type program struct {
-	name    string
-	charged uint64 // tokens: handed out of settled turns + reserved of unsettled ones
-	entries int
-	last    time.Time
-	failed  []failedEndpoint // of late, oldest first
+	name            string
+	charged         uint64 // tokens: handed out of settled turns + reserved of unsettled ones
+	entries         int
+	lastUsed        time.Time
+	failedEndpoints []failedEndpoint // of late, oldest first
 }
 
 // entry is what is known of an attempt: its reservation, its settlement, its turn.
@@ -51,20 +51,20 @@
 	budget, maxTokens uint64
 	retentionMs       uint32 // of the route by which the turn came
 	tokens            uint64
-	knownSince        time.Time // when its turn came to be known here, in this life
+	storedAt          time.Time // when its turn came to be known here, in this life
 	lastUsed          time.Time // when its turn was gone on from, or sent here again, last
 	term              uint64    // number of the term in which its facts went to the backups, and its budget was looked at
 	size              int32     // on disk
-	mark              uint32
+	gcCycle           uint32
 	generation        uint32
 	reserved, settled bool
 	limited, adopted  bool
 	replayed          bool // at is not the end of the turn, but the start of this process
 }
 
-func newStore() *store { return &store{partitions: map[uint32]*partition{}} }
+func newState() *state { return &state{partitions: map[uint32]*partition{}} }
 
-func (s *store) partition(id uint32) *partition {
+func (s *state) partition(id uint32) *partition {
 	p := s.partitions[id]
 	if p == nil {
 		p = &partition{id: id, entries: map[string]*entry{}, programs: map[string]*program{}}
@@ -86,13 +86,13 @@
 
 func retention(t *tierv1.Turn) time.Duration { return time.Duration(t.RetentionMs) * time.Millisecond }
 
-func bodySize(t *tierv1.Turn) int64 {
+func turnSize(t *tierv1.Turn) int64 {
 	return int64(len(t.Input) + len(t.Output) + len(t.Attempt) + len(t.Previous) + len(t.Program))
 }
 
 // add merges a fact into its partition and tells whether anything changed. A turn wins over none, and the larger
 // number of tokens wins; otherwise the first one stands, so that copies that hold the same facts agree whatever the order.
-func (s *store) add(f *tierv1.Fact, now time.Time) bool {
+func (s *state) add(f *tierv1.Fact, now time.Time) bool {
 	if f.Attempt == "" {
 		return false
 	}
@@ -123,14 +123,14 @@
 		before := e.charge()
 		e.settled, e.tokens = true, max(e.tokens, of.Settled.Tokens)
 		e.program.charged += e.charge() - before
-		s.body(e, of.Settled.Turn, now)
+		s.setTurn(e, of.Settled.Turn, now)
 	case *tierv1.Fact_Adopted:
 		if of.Adopted == nil || e != nil && e.turn != nil {
 			return false
 		}
 		e = s.entry(p, f, false, now)
 		e.adopted = true
-		s.body(e, of.Adopted, now)
+		s.setTurn(e, of.Adopted, now)
 	default:
 		return false
 	}
@@ -141,7 +141,7 @@
 }
 
 // entry gives the entry of a fact's attempt, made where there is none, charged to its program where charged is true.
-func (s *store) entry(p *partition, f *tierv1.Fact, charged bool, now time.Time) *entry {
+func (s *state) entry(p *partition, f *tierv1.Fact, charged bool, now time.Time) *entry {
 	e := p.entries[f.Attempt]
 	if e == nil {
 		e = &entry{attempt: f.Attempt, generation: s.generation}
@@ -159,18 +159,18 @@
 		e.program = g
 	}
 	if e.program != nil {
-		e.program.last = now
+		e.program.lastUsed = now
 	}
 	return e
 }
 
-func (s *store) body(e *entry, t *tierv1.Turn, now time.Time) {
+func (s *state) setTurn(e *entry, t *tierv1.Turn, now time.Time) {
 	if t == nil || e.turn != nil {
 		return
 	}
-	e.turn, e.knownSince = t, now
+	e.turn, e.storedAt = t, now
 	s.longest = max(s.longest, retention(t))
-	s.memory += bodySize(t)
+	s.memory += turnSize(t)
 }
 
 // facts are an entry's facts as a write-ahead log or another copy gets them.
@@ -196,7 +196,7 @@
 const (
 	reservedKey = "r/"
 	settledKey  = "s/"
-	bodyKey     = "a/" // a body held, whichever fact brought it
+	turnKey     = "a/" // a body held, whichever fact brought it
 	tokensKey   = "t/" // tokens of a settlement, as a later one may have raised them; left out where they are 0
 )
 
@@ -211,7 +211,7 @@
 	}
 	kind, attempt = key[:len(reservedKey)], key[len(reservedKey):]
 	switch kind {
-	case reservedKey, settledKey, bodyKey:
+	case reservedKey, settledKey, turnKey:
 		return kind, attempt, 0, true
 	case tokensKey:
 		at := strings.LastIndexByte(attempt, '/')
@@ -236,7 +236,7 @@
 		list = append(list, e.tokensKey())
 	}
 	if e.turn != nil {
-		list = append(list, bodyKey+e.attempt)
+		list = append(list, turnKey+e.attempt)
 	}
 	return list
 }
@@ -247,7 +247,7 @@
 	return e.reserved && lacks(reservedKey+e.attempt) ||
 		e.settled && lacks(settledKey+e.attempt) ||
 		e.settled && e.tokens > 0 && lacks(e.tokensKey()) ||
-		e.turn != nil && lacks(bodyKey+e.attempt)
+		e.turn != nil && lacks(turnKey+e.attempt)
 }
 
 // has tells whether the partition holds what a key names. What is no key of a known kind is not asked for.
@@ -271,27 +271,27 @@
 	return e.turn != nil
 }
 
-// standing is how a turn stands in a partition.
-type standing int
+// chainStatus is how a turn stands in a partition.
+type chainStatus int
 
 const (
-	absent standing = iota // no such turn, or one past its retention
-	broken                 // the turn stands, but not all that came before it is here
-	whole
+	chainAbsent     chainStatus = iota // no such turn, or one past its retention
+	chainIncomplete                    // the turn stands, but not all that came before it is here
+	chainComplete
 )
 
 // chain gives a turn and all before it, oldest first. Turns past their retention by more than slack are absent, unless
 // expired ones are asked for.
-func (p *partition) chain(attempt string, expired bool, slack time.Duration, now time.Time) ([]*entry, standing) {
+func (p *partition) chain(attempt string, expired bool, slack time.Duration, now time.Time) ([]*entry, chainStatus) {
 	e := p.entries[attempt]
-	if e == nil || e.turn == nil || !expired && now.Sub(e.knownSince) > retention(e.turn)+slack {
-		return nil, absent
+	if e == nil || e.turn == nil || !expired && now.Sub(e.storedAt) > retention(e.turn)+slack {
+		return nil, chainAbsent
 	}
 	n := 1
 	for at := e; at.turn.Previous != ""; n++ {
 		at = p.entries[at.turn.Previous]
 		if at == nil || at.turn == nil || n > len(p.entries) {
-			return nil, broken
+			return nil, chainIncomplete
 		}
 	}
 	list := make([]*entry, n)
@@ -299,14 +299,14 @@
 		list[i] = e
 		e = p.entries[e.turn.Previous]
 	}
-	return list, whole
+	return list, chainComplete
 }
 
-// room tells whether a budget, in tokens, bears a reservation of max tokens more; own is what this attempt is charged already.
-func (p *partition) room(program string, budget, most, own uint64) bool {
+// budgetAllows tells whether a budget, in tokens, bears a reservation of max tokens more; own is what this attempt is charged already.
+func (p *partition) budgetAllows(program string, budget, maxTokens, own uint64) bool {
 	var charged uint64
 	if g := p.programs[program]; g != nil {
 		charged = g.charged - own
 	}
-	return charged <= budget && most <= budget-charged
+	return charged <= budget && maxTokens <= budget-charged
 }
--- a/internal/tier/turnstore/stored_data_test.go
+++ b/internal/tier/turnstore/stored_data_test.go
@@ -67,7 +67,7 @@
 func listing(t *testing.T, store *TurnStore) string {
 	t.Helper()
 	assert.Assert(t, !store.WasEmpty())
-	header := fmt.Sprintf("folder %s memory %d disk %d longest retention %s\n", store.Folder(), store.store.memory, store.store.disk, store.store.longest)
+	header := fmt.Sprintf("folder %s memory %d disk %d longest retention %s\n", store.Folder(), store.state.memory, store.state.disk, store.state.longest)
 	return header + facts(t, store)
 }
 
@@ -75,8 +75,8 @@
 func facts(t *testing.T, store *TurnStore) string {
 	t.Helper()
 	var out strings.Builder
-	for _, id := range sortedKeys(store.store.partitions) {
-		p := store.store.partitions[id]
+	for _, id := range sortedKeys(store.state.partitions) {
+		p := store.state.partitions[id]
 		fmt.Fprintf(&out, "partition %d\n", id)
 		for _, name := range sortedKeys(p.programs) {
 			fmt.Fprintf(&out, "  program %q charged %d entries %d\n", name, p.programs[name].charged, p.programs[name].entries)
--- a/internal/tier/turnstore/sweep.go
+++ b/internal/tier/turnstore/sweep.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// sweep drops the bodies of turns that are past their retention by more than linger and that no living one goes on
+// removeExpired drops the bodies of turns that are past their retention by more than linger and that no living one goes on
 // from, and the budgets of programs that were silent for the longest retention + silence.
-func (s *store) sweep(p *partition, linger, silence time.Duration, now time.Time) {
-	p.mark++
+func (s *state) removeExpired(p *partition, linger, silence time.Duration, now time.Time) {
+	p.gcCycle++
 	for _, e := range p.entries {
-		if e.turn == nil || e.mark == p.mark || now.Sub(e.knownSince) > retention(e.turn)+linger && (e.lastUsed.IsZero() || now.Sub(e.lastUsed) > retention(e.turn)+linger) {
+		if e.turn == nil || e.gcCycle == p.gcCycle || now.Sub(e.storedAt) > retention(e.turn)+linger && (e.lastUsed.IsZero() || now.Sub(e.lastUsed) > retention(e.turn)+linger) {
 			continue
 		}
-		for at := e; at != nil && at.turn != nil && at.mark != p.mark; at = p.entries[at.turn.Previous] {
-			at.mark = p.mark
+		for at := e; at != nil && at.turn != nil && at.gcCycle != p.gcCycle; at = p.entries[at.turn.Previous] {
+			at.gcCycle = p.gcCycle
 		}
 	}
 	for _, e := range p.entries {
-		if e.turn != nil && e.mark != p.mark {
-			s.dropBody(e)
+		if e.turn != nil && e.gcCycle != p.gcCycle {
+			s.dropTurn(e)
 		}
 		if e.turn != nil {
 			continue
 		}
-		if e.program == nil || now.Sub(e.program.last) > s.longest+silence {
+		if e.program == nil || now.Sub(e.program.lastUsed) > s.longest+silence {
 			s.drop(p, e)
 		}
 	}
 }
 
-func (s *store) dropBody(e *entry) {
-	size := bodySize(e.turn)
+func (s *state) dropTurn(e *entry) {
+	size := turnSize(e.turn)
 	s.memory -= size
 	freed := int32(min(size, int64(e.size)))
 	e.size -= freed
@@ -36,9 +36,9 @@
 	e.turn, e.adopted = nil, false
 }
 
-func (s *store) drop(p *partition, e *entry) {
+func (s *state) drop(p *partition, e *entry) {
 	if e.turn != nil {
-		s.dropBody(e)
+		s.dropTurn(e)
 	}
 	delete(p.entries, e.attempt)
 	s.memory -= entryOverhead + int64(len(e.attempt))
@@ -52,8 +52,8 @@
 	}
 }
 
-// empty drops all facts of a partition.
-func (s *store) empty(p *partition) {
+// dropAll drops all facts of a partition.
+func (s *state) dropAll(p *partition) {
 	for _, e := range p.entries {
 		s.drop(p, e)
 	}
--- a/internal/tier/turnstore/term.go
+++ b/internal/tier/turnstore/term.go
@@ -20,14 +20,14 @@
 
 // term is the time for which this turn store is primary of a partition in one epoch.
 type term struct {
-	id      uint64
-	firstID uint64 // id of the first term since which this turn store has been the primary without a break
-	epoch   uint64
-	senders []*sender
-	closed  chan struct{} // closed when it ends: by a newer epoch
-	ended   bool
-	// recovering counts the backups that hold what this turn store may lack and with which all facts have yet to be exchanged.
-	recovering int
+	id          uint64
+	firstID     uint64 // id of the first term since which this turn store has been the primary without a break
+	epoch       uint64
+	replicators []*replicator
+	closed      chan struct{} // closed when it ends: by a newer epoch
+	ended       bool
+	// pendingRecoveries counts the backups that hold what this turn store may lack and with which all facts have yet to be exchanged.
+	pendingRecoveries int
 	// unconfirmed is set until control knows that this turn store has recovered: nothing is answered before, so that control
 	// knows in which epochs something can have been acknowledged.
 	unconfirmed bool
@@ -36,82 +36,82 @@
 	primarySince time.Time
 }
 
-// end closes the term in force, if any. The lock is held.
-func (p *partition) end() {
+// endTerm closes the term in force, if any. The lock is held.
+func (p *partition) endTerm() {
 	if t := p.term; t != nil && !t.ended {
 		t.ended = true
 		close(t.closed)
-		for _, s := range t.senders {
-			s.rounds = nil
+		for _, s := range t.replicators {
+			s.queue = nil
 		}
 	}
 }
 
-// sender brings facts to one backup in one term.
-type sender struct {
-	v         *TurnStore
-	p         *partition
-	t         *term
-	folder    string
-	rounds    []*round // the first may be under way
-	running   bool
-	exchanged bool // the backup holds all that this turn store held when its term began
-	unsynced  bool // says the map
-	recover   bool // this turn store may lack what the backup holds: the first exchange is to bring it here
+// replicator brings facts to one backup in one term.
+type replicator struct {
+	store        *TurnStore
+	partition    *partition
+	term         *term
+	folder       string
+	queue        []*replicationBatch // the first may be under way
+	running      bool
+	synchronized bool // the backup holds all that this turn store held when its term began
+	unsynced     bool // says the map
+	recovering   bool // this turn store may lack what the backup holds: the first exchange is to bring it here
 }
 
-// round is facts that go to a backup in one message; none: only the epoch is asked for.
-type round struct {
-	facts  []*tierv1.Fact
-	size   int
-	sealed bool
-	done   chan struct{} // closed when the backup has taken it
+// replicationBatch is facts that go to a backup in one message; none: only the epoch is asked for.
+type replicationBatch struct {
+	facts        []*tierv1.Fact
+	size         int
+	inFlight     bool
+	acknowledged chan struct{} // closed when the backup has taken it
 }
 
-// maxQueuedBytes is how many bytes may wait for one backup before new turns are turned away.
-const maxQueuedBytes = 8 << 20
+// replicationQueueLimit is how many bytes may wait for one backup before new turns are turned away.
+const replicationQueueLimit = 8 << 20
 
 // enqueue brings facts to all backups. A round that it gives begins after the call. The lock is held.
-func (t *term) enqueue(facts ...*tierv1.Fact) []*round {
-	if len(t.senders) == 0 {
+func (t *term) enqueue(facts ...*tierv1.Fact) []*replicationBatch {
+	if len(t.replicators) == 0 {
 		return nil
 	}
 	size := 0
 	for _, f := range facts {
 		size += proto.Size(f)
 	}
-	rounds := make([]*round, len(t.senders))
-	for i, s := range t.senders {
+	rounds := make([]*replicationBatch, len(t.replicators))
+	for i, s := range t.replicators {
 		rounds[i] = s.enqueue(facts, size)
 	}
 	return rounds
 }
 
-func (s *sender) enqueue(facts []*tierv1.Fact, size int) *round {
-	var r *round
-	if n := len(s.rounds); n > 0 {
-		r = s.rounds[n-1]
+func (r *replicator) enqueue(facts []*tierv1.Fact, size int) *replicationBatch {
+	var batch *replicationBatch
+	if n := len(r.queue); n > 0 {
+		batch = r.queue[n-1]
 	}
-	if r == nil || r.sealed || r.size > 0 && r.size+size > chunkBytes {
-		r = &round{done: make(chan struct{})}
-		s.rounds = append(s.rounds, r)
+	if batch == nil || batch.inFlight || batch.size > 0 && batch.size+size > chunkBytes {
+		batch = &replicationBatch{acknowledged: make(chan struct{})}
+		r.queue = append(r.queue, batch)
 	}
-	r.facts = append(r.facts, facts...)
-	r.size += size
-	if !s.running && !s.v.closed {
-		s.running = true
-		s.v.loops.Add(1)
-		go s.run()
+	batch.facts = append(batch.facts, facts...)
+	batch.size += size
+	if !r.running && !r.store.closed {
+		r.running = true
+		r.store.background.Add(1)
+		go r.run()
 	}
-	return r
+	return batch
 }
 
-// queuedBytes is how many bytes wait for the slowest backup.
-func (t *term) queuedBytes() int {
+// maxQueuedBytes is how many bytes wait for the slowest backup.
+func (t *term) maxQueuedBytes() int {
 	most := 0
-	for _, s := range t.senders {
+	for _, s := range t.replicators {
 		n := 0
-		for _, r := range s.rounds {
+		for _, r := range s.queue {
 			n += r.size
 		}
 		most = max(most, n)
@@ -120,57 +120,57 @@
 }
 
 // run sends rounds until there are none, or the term ends. A round without an answer is sent again.
-func (s *sender) run() {
-	defer s.v.loops.Done()
+func (r *replicator) run() {
+	defer r.store.background.Done()
 	fails := 0
 	for {
-		s.v.mu.Lock()
-		if s.t.ended || len(s.rounds) == 0 {
-			s.running = false
-			s.v.mu.Unlock()
+		r.store.mu.Lock()
+		if r.term.ended || len(r.queue) == 0 {
+			r.running = false
+			r.store.mu.Unlock()
 			return
 		}
-		r := s.rounds[0]
-		r.sealed = true
-		s.v.mu.Unlock()
-		if !s.replicate(r.facts, r.size, fails) {
+		batch := r.queue[0]
+		batch.inFlight = true
+		r.store.mu.Unlock()
+		if !r.replicate(batch.facts, batch.size, fails) {
 			fails++
-			if !pause(s.v.ctx, s.t.closed, min(20*time.Millisecond<<min(fails, 5), 400*time.Millisecond)) {
+			if !sleep(r.store.ctx, r.term.closed, min(20*time.Millisecond<<min(fails, 5), 400*time.Millisecond)) {
 				continue // the term is over, or the turn store
 			}
 			continue
 		}
 		fails = 0
-		s.v.mu.Lock()
-		if !s.t.ended {
-			s.rounds = s.rounds[1:]
-			close(r.done)
+		r.store.mu.Lock()
+		if !r.term.ended {
+			r.queue = r.queue[1:]
+			close(batch.acknowledged)
 		}
-		s.v.mu.Unlock()
+		r.store.mu.Unlock()
 	}
 }
 
 // replicate tells whether the backup has taken the facts. A stale epoch ends the term.
-func (s *sender) replicate(facts []*tierv1.Fact, size, fails int) bool {
-	client := s.v.client(s.folder)
+func (r *replicator) replicate(facts []*tierv1.Fact, size, fails int) bool {
+	client := r.store.client(r.folder)
 	if client == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(s.v.ctx, s.v.replyTimeout(size, fails))
+	ctx, cancel := context.WithTimeout(r.store.ctx, r.store.replyTimeout(size, fails))
 	defer cancel()
-	reply, err := client.Replicate(ctx, &tierv1.ReplicateRequest{To: s.folder,
-		Partition: s.p.id, Epoch: s.t.epoch, From: s.v.folder, Facts: facts})
+	reply, err := client.Replicate(ctx, &tierv1.ReplicateRequest{To: r.folder,
+		Partition: r.partition.id, Epoch: r.term.epoch, From: r.store.folder, Facts: facts})
 	if err != nil {
 		return false
 	}
 	if reply.Stale {
-		s.v.mu.Lock()
-		if s.p.term == s.t && !s.t.ended {
-			s.p.end()
-			s.v.cfg.Log.Info().Str("event", "turnstore_deposed").Uint32("partition", s.p.id).Uint64("epoch", s.t.epoch).
-				Str("by", s.folder).Msg("")
+		r.store.mu.Lock()
+		if r.partition.term == r.term && !r.term.ended {
+			r.partition.endTerm()
+			r.store.cfg.Log.Info().Str("event", "turnstore_deposed").Uint32("partition", r.partition.id).Uint64("epoch", r.term.epoch).
+				Str("by", r.folder).Msg("")
 		}
-		s.v.mu.Unlock()
+		r.store.mu.Unlock()
 		return false
 	}
 	return reply.Taken
@@ -198,12 +198,12 @@
 	return c
 }
 
-// serving gives the partition where this turn store may speak for it. The lock is held.
-func (store *TurnStore) serving(id uint32) (*partition, tierv1.Verdict) {
-	if !store.mapped || store.closed || !store.writable() {
+// servingPartition gives the partition where this turn store may speak for it. The lock is held.
+func (store *TurnStore) servingPartition(id uint32) (*partition, tierv1.Verdict) {
+	if !store.hasMap || store.closed || !store.canWrite() {
 		return nil, tierv1.Verdict_BUSY
 	}
-	p := store.store.partitions[id]
+	p := store.state.partitions[id]
 	if p == nil || p.term == nil || p.term.ended {
 		return nil, tierv1.Verdict_MOVED
 	}
@@ -213,26 +213,26 @@
 	return p, tierv1.Verdict_OK
 }
 
-// outcome is how a wait ended.
-type outcome int
+// waitOutcome is how a wait ended.
+type waitOutcome int
 
 const (
-	done       outcome = iota
-	termEnded          // the term ended: to be looked at again
-	timedOut           // the time is over
-	diskFailed         // the disk is
+	acknowledged waitOutcome = iota
+	termEnded                // the term ended: to be looked at again
+	timedOut                 // the time is over
+	diskFailed               // the disk is
 )
 
 // wait returns when facts are synced here, where b is given, and taken by all backups.
-func (t *term) wait(ctx context.Context, b *batch, rounds []*round) outcome {
+func (t *term) wait(ctx context.Context, b *logBatch, rounds []*replicationBatch) waitOutcome {
 	for _, r := range rounds {
 		select {
-		case <-r.done: // also where the time is over
+		case <-r.acknowledged: // also where the time is over
 			continue
 		default:
 		}
 		select {
-		case <-r.done:
+		case <-r.acknowledged:
 		case <-t.closed:
 			return termEnded
 		case <-ctx.Done():
@@ -240,14 +240,14 @@
 		}
 	}
 	if b == nil {
-		return done
+		return acknowledged
 	}
 	select {
 	case <-b.done:
 		if b.err != nil {
 			return diskFailed
 		}
-		return done
+		return acknowledged
 	case <-ctx.Done():
 		return timedOut
 	}
