--- a/cmd/saffronyard/fleet.go
+++ b/cmd/saffronyard/fleet.go
@@ -202,14 +202,14 @@
 		}
 	}
 	for _, s := range r.Rings {
-		fmt.Fprintf(w, "ring %s\t%d of %d, at most %d; %d dropped\n", s.Name, s.Held, s.Capacity, s.High, s.Dropped)
+		fmt.Fprintf(w, "ring %s\t%d of %d, at most %d; %d dropped\n", s.Name, s.Length, s.Capacity, s.HighWatermark, s.Dropped)
 	}
 	for _, d := range r.Duties {
-		state := fmt.Sprintf("%d turns, the longest %v", d.Turns, time.Duration(d.LongestUS)*time.Microsecond)
-		if d.Ended != "" {
-			state = "ended: " + d.Ended
+		state := fmt.Sprintf("%d turns, the longest %v", d.Steps, time.Duration(d.LongestStepUS)*time.Microsecond)
+		if d.ExitReason != "" {
+			state = "ended: " + d.ExitReason
 		}
-		fmt.Fprintf(w, "duty %s\t%s; inbox %d of %d, at most %d\n", d.Name, state, d.Inbox.Held, d.Inbox.Capacity, d.Inbox.High)
+		fmt.Fprintf(w, "duty %s\t%s; inbox %d of %d, at most %d\n", d.Name, state, d.Inbox.Length, d.Inbox.Capacity, d.Inbox.HighWatermark)
 	}
 }
 
--- a/cmd/saffronyard/limits_test.go
+++ b/cmd/saffronyard/limits_test.go
@@ -104,7 +104,7 @@
 	for i := range 5 {
 		names = append(names, &pb.Participant{Name: fmt.Sprintf("n%d", i)})
 	}
-	in := coordinator.NewCharge(names).Of("destination 0").Name
+	in := coordinator.NewOwnership(names).Owner("destination 0").Name
 	if in == "n4" {
 		t.Fatal("the one that is cut off is in charge: the day shows nothing")
 	}
--- a/internal/coordinator/roster.go
+++ b/internal/coordinator/roster.go
@@ -22,8 +22,8 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// partsMost is how many take part at the most.
-const partsMost = 2000
+// maxParticipants is how many take part at the most.
+const maxParticipants = 2000
 
 // Machine is the roster as the fleet agrees on it. The same commands in the same order make the same state everywhere.
 type Machine struct{ state *pb.MembershipState }
@@ -48,8 +48,8 @@
 			return nil, fmt.Sprintf("roster %d is about to begin", s.NextEpoch), nil
 		case w.Propose.GetBaseEpoch() != s.Epoch:
 			return nil, fmt.Sprintf("it follows roster %d; roster %d is in force", w.Propose.GetBaseEpoch(), s.Epoch), nil
-		case len(w.Propose.GetParticipants()) > partsMost:
-			return nil, fmt.Sprintf("%d take part; %d are the most", len(w.Propose.GetParticipants()), partsMost), nil
+		case len(w.Propose.GetParticipants()) > maxParticipants:
+			return nil, fmt.Sprintf("%d take part; %d are the most", len(w.Propose.GetParticipants()), maxParticipants), nil
 		}
 		seen := map[string]bool{}
 		for _, p := range w.Propose.GetParticipants() {
@@ -68,17 +68,17 @@
 		return nil, "", nil
 	}
 	if w, ok := c.GetCommand().(*pb.MembershipCommand_Draw); ok {
-		units, refused := m.draw(w.Draw)
+		units, refused := m.drawQuota(w.Draw)
 		return binary.AppendVarint(nil, units), refused, nil
 	}
 	return nil, "", fmt.Errorf("a command on the roster is of a sort that this program does not know")
 }
 
-// drawnMost is of how many quotas it is kept what was drawn.
-const drawnMost = 20_000
+// maxDrawnQuotas is of how many quotas it is kept what was drawn.
+const maxDrawnQuotas = 20_000
 
-// draw gives units of a day's quota, as far as there are any. A day that is over does not come back, whatever calendar asks.
-func (m *Machine) draw(d *pb.DrawQuota) (units int64, refused string) {
+// drawQuota gives units of a day's quota, as far as there are any. A day that is over does not come back, whatever calendar asks.
+func (m *Machine) drawQuota(d *pb.DrawQuota) (units int64, refused string) {
 	s := m.state
 	if d.GetEpoch() != s.Epoch {
 		return 0, fmt.Sprintf("it was drawn under roster %d, and roster %d is in force", d.GetEpoch(), s.Epoch)
@@ -92,8 +92,8 @@
 		case d.GetPeriod() == was.Period:
 			is.Units = was.Units
 		}
-	} else if len(s.DrawnQuotas) >= drawnMost {
-		return 0, fmt.Sprintf("%d quotas are kept, which is the most", drawnMost)
+	} else if len(s.DrawnQuotas) >= maxDrawnQuotas {
+		return 0, fmt.Sprintf("%d quotas are kept, which is the most", maxDrawnQuotas)
 	}
 	units = min(d.GetUnits(), d.GetLimit()-is.Units)
 	if units <= 0 {
@@ -125,114 +125,114 @@
 	return nil
 }
 
-// Charge says who is in charge of what, among some who take part.
-type Charge struct {
-	parts map[string]*pb.Participant
-	by    *rendezvous.Rendezvous
+// Ownership says who is in charge of what, among some who take part.
+type Ownership struct {
+	participants map[string]*pb.Participant
+	hash         *rendezvous.Rendezvous
 }
 
-// NewCharge makes it. A process that takes the place of another of its name has the same things.
-func NewCharge(parts []*pb.Participant) *Charge {
-	c := &Charge{parts: map[string]*pb.Participant{}}
+// NewOwnership makes it. A process that takes the place of another of its name has the same things.
+func NewOwnership(parts []*pb.Participant) *Ownership {
+	c := &Ownership{participants: map[string]*pb.Participant{}}
 	var names []string
 	for _, p := range parts {
-		c.parts[p.Name] = p
+		c.participants[p.Name] = p
 		names = append(names, p.Name)
 	}
 	slices.Sort(names)
-	c.by = rendezvous.New(names, xxhash.Sum64String)
+	c.hash = rendezvous.New(names, xxhash.Sum64String)
 	return c
 }
 
-// Of is who is in charge of a thing; nil if nobody takes part.
-func (c *Charge) Of(thing string) *pb.Participant {
-	if c == nil || len(c.parts) == 0 {
+// Owner is who is in charge of a thing; nil if nobody takes part.
+func (c *Ownership) Owner(thing string) *pb.Participant {
+	if c == nil || len(c.participants) == 0 {
 		return nil
 	}
-	return c.parts[c.by.Lookup(thing)]
+	return c.participants[c.hash.Lookup(thing)]
 }
 
-// Has reports whether a process is among them.
-func (c *Charge) Has(w lease.Who) bool {
+// Includes reports whether a process is among them.
+func (c *Ownership) Includes(w lease.HolderID) bool {
 	if c == nil {
 		return false
 	}
-	p := c.parts[w.Name]
-	return p != nil && p.Incarnation == w.Life
+	p := c.participants[w.Name]
+	return p != nil && p.Incarnation == w.Incarnation
 }
 
-// Part is one that wants to take part: it holds a lease.
-type Part struct {
-	lease.Who
+// Participant is one that wants to take part: it holds a lease.
+type Participant struct {
+	lease.HolderID
 	Address string
 }
 
 const (
-	settles = time.Second // a roster stands so long before the next is proposed: one that restarts is two changes
-	again   = time.Second // a step that the log does not show is given again: it may have been lost with a change of leader
+	minStableTime  = time.Second // a roster stands so long before the next is proposed: one that restarts is two changes
+	resendInterval = time.Second // a step that the log does not show is given again: it may have been lost with a change of leader
 )
 
 // Coordinator says, at the voter that leads, which roster comes next, and when it begins. What it decides is a command like any
 // other: it counts when the log has it, and only if the roster is then where the coordinator took it to be.
 type Coordinator struct {
-	epoch uint64 // as seen last
-	since time.Duration
-	sent  time.Duration
-	what  uint64 // that was proposed: its epoch, twice, and one more for its begin
+	epoch       uint64 // as seen last
+	activeSince time.Duration
+	sentAt      time.Duration
+	sentStep    uint64 // that was proposed: its epoch, twice, and one more for its begin
 }
 
 // Step gives the next command; nil while there is none. here are those that hold a lease and have an address, the one
 // whose lease lapses last first.
-func (c *Coordinator) Step(now time.Duration, s *pb.MembershipState, g *lease.Granter, here []Part) *pb.MembershipCommand {
-	if s.GetEpoch() != c.epoch || c.since == 0 {
-		c.epoch, c.since = s.GetEpoch(), now
+func (c *Coordinator) Step(now time.Duration, s *pb.MembershipState, g *lease.Granter, here []Participant) *pb.MembershipCommand {
+	if s.GetEpoch() != c.epoch || c.activeSince == 0 {
+		c.epoch, c.activeSince = s.GetEpoch(), now
 	}
 	send := func(what uint64, r *pb.MembershipCommand) *pb.MembershipCommand {
-		if c.what == what && now-c.sent < again {
+		if c.sentStep == what && now-c.sentAt < resendInterval {
 			return nil
 		}
-		c.what, c.sent = what, now
+		c.sentStep, c.sentAt = what, now
 		return r
 	}
 	if s.GetNextEpoch() != 0 {
-		if len(g.Below(s.GetFenceIndex(), now)) > 0 {
+		if len(g.LeasesBelow(s.GetFenceIndex(), now)) > 0 {
 			return nil
 		}
 		return send(2*s.NextEpoch+1, &pb.MembershipCommand{Command: &pb.MembershipCommand_Activate{Activate: &pb.ActivateMembership{Epoch: s.NextEpoch}}})
 	}
 	// While there may be leases of an earlier leader it is not known who is here.
-	if g.Quiet(now) || s.GetEpoch() > 0 && now-c.since < settles {
+	if g.InGracePeriod(now) || s.GetEpoch() > 0 && now-c.activeSince < minStableTime {
 		return nil
 	}
-	next := newest(here)
-	if same(next, s.GetParticipants()) {
+	next := newestIncarnations(here)
+	if equalParticipants(next, s.GetParticipants()) {
 		return nil
 	}
 	return send(2*(s.GetEpoch()+1), &pb.MembershipCommand{Command: &pb.MembershipCommand_Propose{Propose: &pb.ProposeMembership{BaseEpoch: s.GetEpoch(), Participants: next}}})
 }
 
-// Grants reports whether one who acts at an index is granted a lease while a roster is coming: once it knows of it. Otherwise one whose
+// MayGrant reports whether one who acts at an index is granted a lease while a roster is coming: once it knows of it. Otherwise one whose
 // questions arrive while no answer reaches it would have its lease counted on and on.
-func Grants(acts uint64, s *pb.MembershipState) bool {
+func MayGrant(acts uint64, s *pb.MembershipState) bool {
 	return s.GetNextEpoch() == 0 || acts >= s.GetFenceIndex()
 }
 
-// newest are those that are here, one process of each name: of two the one whose lease lapses last, as it was renewed last, which
+// newestIncarnations are those that are here, one process of each name: of two the one whose lease lapses last, as it was renewed last, which
 // comes first.
-func newest(here []Part) []*pb.Participant {
+func newestIncarnations(here []Participant) []*pb.Participant {
 	seen := map[string]bool{}
 	all := make([]*pb.Participant, 0, len(here))
 	for _, p := range here {
 		if !seen[p.Name] {
 			seen[p.Name] = true
-			all = append(all, &pb.Participant{Name: p.Name, Incarnation: p.Life, Address: p.Address})
+			all = append(all, &pb.Participant{Name: p.Name, Incarnation: p.Incarnation, Address: p.Address})
 		}
 	}
 	slices.SortFunc(all, func(a, b *pb.Participant) int { return cmp.Compare(a.Name, b.Name) })
-	return all[:min(len(all), partsMost)]
+	return all[:min(len(all), maxParticipants)]
 }
 
-func same(a, b []*pb.Participant) bool {
+func equalParticipants(a, b []*pb.Participant) bool {
 	return slices.EqualFunc(a, b, func(x, y *pb.Participant) bool {
 		return x.Name == y.Name && x.Incarnation == y.Incarnation && x.Address == y.Address
 	})
--- a/internal/coordinator/roster_test.go
+++ b/internal/coordinator/roster_test.go
@@ -21,7 +21,7 @@
 	now time.Duration
 }
 
-var terms = lease.Terms{Length: time.Second}
+var terms = lease.Terms{Duration: time.Second}
 
 func newFleet() *fleet {
 	f := &fleet{Machine: NewMachine(), now: time.Hour}
@@ -30,22 +30,22 @@
 }
 
 // goes lets a time go by in which some ask for leases, acting at the log's end or, behind, before what comes.
-func (f *fleet) goes(t *testing.T, span time.Duration, here []lease.Who, behind ...lease.Who) {
+func (f *fleet) goes(t *testing.T, span time.Duration, here []lease.HolderID, behind ...lease.HolderID) {
 	t.Helper()
 	for end := f.now + span; f.now < end; {
 		f.now += 100 * time.Millisecond
 		for _, w := range here {
-			f.g.Asked(w, f.at)
+			f.g.RecordRequest(w, f.at)
 			f.g.Grant(w, f.at, f.now)
 		}
 		for _, w := range behind {
-			if Grants(0, f.State()) {
+			if MayGrant(0, f.State()) {
 				f.g.Grant(w, 0, f.now)
 			}
 		}
-		var parts []Part
-		for _, h := range f.g.Holders(f.now) {
-			parts = append(parts, Part{h.Who, "at " + h.Name})
+		var parts []Participant
+		for _, h := range f.g.ActiveLeases(f.now) {
+			parts = append(parts, Participant{h.HolderID, "at " + h.Name})
 		}
 		if c := f.Step(f.now, f.State(), f.g, parts); c != nil {
 			raw, err := proto.Marshal(c)
@@ -71,25 +71,25 @@
 // Rosters follow leases: nobody is in one that holds none, none begins while one may act who does not know of it, and one that starts
 // again takes the place of its former process.
 func TestRosters(t *testing.T) {
-	a, b, a2 := lease.Who{Name: "a", Life: 1}, lease.Who{Name: "b", Life: 1}, lease.Who{Name: "a", Life: 2}
+	a, b, a2 := lease.HolderID{Name: "a", Incarnation: 1}, lease.HolderID{Name: "b", Incarnation: 1}, lease.HolderID{Name: "a", Incarnation: 2}
 	f := newFleet()
-	f.goes(t, 900*time.Millisecond, []lease.Who{a, b})
+	f.goes(t, 900*time.Millisecond, []lease.HolderID{a, b})
 	if f.is() != "0: " {
 		t.Errorf("while an earlier leader's leases may last there is %s", f.is())
 	}
-	f.goes(t, time.Second, []lease.Who{a, b})
+	f.goes(t, time.Second, []lease.HolderID{a, b})
 	if f.is() != "1: a1 b1" {
 		t.Error(f.is())
 	}
-	f.goes(t, 900*time.Millisecond, []lease.Who{b})
+	f.goes(t, 900*time.Millisecond, []lease.HolderID{b})
 	if f.is() != "1: a1 b1" {
 		t.Errorf("before a's lease has lapsed there is %s", f.is())
 	}
-	f.goes(t, 900*time.Millisecond, []lease.Who{b})
+	f.goes(t, 900*time.Millisecond, []lease.HolderID{b})
 	if f.is() != "2: b1" {
 		t.Error(f.is())
 	}
-	f.goes(t, 2*time.Second, []lease.Who{b, a2})
+	f.goes(t, 2*time.Second, []lease.HolderID{b, a2})
 	if f.is() != "3: a2 b1" {
 		t.Error(f.is())
 	}
@@ -110,11 +110,11 @@
 	for i := range 20 {
 		parts = append(parts, &pb.Participant{Name: fmt.Sprintf("n%d", i), Incarnation: uint64(i)})
 	}
-	all, without := NewCharge(parts), NewCharge(parts[1:])
+	all, without := NewOwnership(parts), NewOwnership(parts[1:])
 	counts := map[string]int{}
 	for i := range 2000 {
 		thing := fmt.Sprintf("destination %d", i)
-		was, is := all.Of(thing), without.Of(thing)
+		was, is := all.Owner(thing), without.Owner(thing)
 		counts[was.Name]++
 		if was.Name != "n0" && was != is || is.Name == "n0" {
 			t.Fatalf("%s moves from %s to %s as n0 goes", thing, was.Name, is.Name)
@@ -125,7 +125,7 @@
 			t.Errorf("%s is in charge of %d of 2000", p.Name, n)
 		}
 	}
-	if NewCharge(nil).Of("x") != nil || (*Charge)(nil).Of("x") != nil || all.Has(lease.Who{Name: "n3", Life: 4}) || !all.Has(lease.Who{Name: "n3", Life: 3}) {
+	if NewOwnership(nil).Owner("x") != nil || (*Ownership)(nil).Owner("x") != nil || all.Includes(lease.HolderID{Name: "n3", Incarnation: 4}) || !all.Includes(lease.HolderID{Name: "n3", Incarnation: 3}) {
 		t.Error("who takes part")
 	}
 }
--- a/internal/features/fleet.go
+++ b/internal/features/fleet.go
@@ -31,7 +31,7 @@
 // Config is what the file says; host is where clients connect, which an address without a host means.
 func (f *Fleet) Config(name, host string) fleet.Config {
 	c := fleet.Config{Name: name, Cluster: f.Cluster, Listen: peers.WithHost(f.Listen, host), Folder: f.Folder}
-	c.Terms.Length, c.Lend, c.Reach = f.Lease.D(), f.Lend.D(), reaches(f.Reach)
+	c.Terms.Duration, c.Lend, c.Reach = f.Lease.D(), f.Lend.D(), reaches(f.Reach)
 	for _, v := range f.Voters {
 		c.Voters = append(c.Voters, fleet.Voter(v))
 	}
@@ -50,8 +50,8 @@
 		key  string
 		edit func(*fleet.Config)
 	}{{"cluster", func(c *fleet.Config) { c.Cluster = f.Cluster }}, {"listen", func(c *fleet.Config) { c.Listen = peers.WithHost(f.Listen, "127.0.0.1") }},
-		{"lease", func(c *fleet.Config) { c.Terms.Length = f.Lease.D() }},
-		{"lend", func(c *fleet.Config) { c.Terms.Length, c.Lend = f.Lease.D(), f.Lend.D() }}, {"reach", func(c *fleet.Config) { c.Reach = reaches(f.Reach) }},
+		{"lease", func(c *fleet.Config) { c.Terms.Duration = f.Lease.D() }},
+		{"lend", func(c *fleet.Config) { c.Terms.Duration, c.Lend = f.Lease.D(), f.Lend.D() }}, {"reach", func(c *fleet.Config) { c.Reach = reaches(f.Reach) }},
 		{"voter", func(c *fleet.Config) { c.Voters = f.Config("n", "127.0.0.1").Voters }}} {
 		sound := fleet.Config{Name: "n", Cluster: "c", Listen: "127.0.0.1:0", Voters: []fleet.Voter{{Name: "n", Address: "127.0.0.1:1"}}}
 		sound.Defaults()
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -28,11 +28,11 @@
 	if err := loopback(c.Listen); err != nil {
 		return fmt.Errorf("fleet: listen = %q: %w", c.Listen, err)
 	}
-	if c.Terms.Length < LengthLeast || c.Terms.Length > LengthMost {
-		return fmt.Errorf("fleet: lease = %v is not from %v to %v", c.Terms.Length, LengthLeast, LengthMost)
+	if c.Terms.Duration < LengthLeast || c.Terms.Duration > LengthMost {
+		return fmt.Errorf("fleet: lease = %v is not from %v to %v", c.Terms.Duration, LengthLeast, LengthMost)
 	}
-	if c.Terms.Drift < 0 || c.Terms.Drift > 0.2 {
-		return fmt.Errorf("fleet: drift %v is not from 0 to 0.2", c.Terms.Drift)
+	if c.Terms.MaxDrift < 0 || c.Terms.MaxDrift > 0.2 {
+		return fmt.Errorf("fleet: drift %v is not from 0 to 0.2", c.Terms.MaxDrift)
 	}
 	if len(c.Voters) == 0 || len(c.Voters) > votersMost {
 		return fmt.Errorf("fleet: %d voters; from 1 to %d are possible", len(c.Voters), votersMost)
@@ -61,15 +61,15 @@
 
 // lendLeast is how long the death of an authority lasts: its lease lapses, and a roster without it begins. Holders would be without
 // units meanwhile.
-func (c *Config) lendLeast() time.Duration { return c.Terms.Wait() + 300*time.Millisecond }
+func (c *Config) lendLeast() time.Duration { return c.Terms.GranterDuration() + 300*time.Millisecond }
 
 // limitsDrift is the drift that limits allow: it costs them twice as much of each span. The fleet is tested at it; where clocks are
 // known to be worse, the lease's holds.
 func (c *Config) limitsDrift() float64 {
-	if c.Terms.Drift > lease.DefaultDrift {
-		return c.Terms.Drift
+	if c.Terms.MaxDrift > lease.DefaultDrift {
+		return c.Terms.MaxDrift
 	}
-	return min(c.Terms.Drift, lease.DefaultDrift/2)
+	return min(c.Terms.MaxDrift, lease.DefaultDrift/2)
 }
 
 // lend is how long units are lent for: half as long again as a lease, and some questions.
@@ -77,17 +77,17 @@
 	if c.Lend > 0 {
 		return c.Lend
 	}
-	return c.Terms.Length*3/2 + 500*time.Millisecond
+	return c.Terms.Duration*3/2 + 500*time.Millisecond
 }
 
 func loopback(addr string) error { return peers.Loopback(addr) }
 
 // Defaults fills in what is not stated.
 func (c *Config) Defaults() {
-	if c.Terms.Length == 0 {
-		c.Terms.Length = LengthDefault
+	if c.Terms.Duration == 0 {
+		c.Terms.Duration = LengthDefault
 	}
-	if c.Terms.Drift == 0 {
-		c.Terms.Drift = lease.DefaultDrift
+	if c.Terms.MaxDrift == 0 {
+		c.Terms.MaxDrift = lease.DefaultDrift
 	}
 }
--- a/internal/fleet/copy.go
+++ b/internal/fleet/copy.go
@@ -22,13 +22,13 @@
 
 // stepper is the Copy as a duty, that shows after each step what it has.
 type stepper struct {
-	*replicatedlog.Copy
+	*replicatedlog.Replica
 	n *Node
 }
 
 // Step takes events in.
 func (s stepper) Step(now time.Duration, events []any) ([]any, time.Duration) {
-	actions, alarm := s.Copy.Step(now, events)
+	actions, alarm := s.Replica.Step(now, events)
 	st := s.State()
 	s.n.mu.Lock()
 	if st.Index() != s.n.report.index {
@@ -39,28 +39,28 @@
 }
 
 func (n *Node) startCopy() {
-	c := replicatedlog.NewCopy(n.c.Name, n.life, n.c.Settings, n.c.Terms)
-	c.TakesPart(n.addr)
-	d := &worker.Duty[any, any]{Name: "copy", In: worker.NewRing[any]("copy", copyMost, worker.Wait, nil), Stepper: stepper{c, n}, Do: n.doCopy}
+	c := replicatedlog.NewReplica(n.c.Name, n.life, n.c.Settings, n.c.Terms)
+	c.Participate(n.addr)
+	d := &worker.Worker[any, any]{Name: "copy", Inbox: worker.NewRingBuffer[any]("copy", copyMost, worker.Block, nil), Stepper: stepper{c, n}, Execute: n.doCopy}
 	n.copy = d
-	n.group.Start(d, worker.EndDuty)
+	n.group.Start(d, worker.StopWorker)
 }
 
 // doCopy carries out what the copy wants done. What takes time goes to a goroutine of its own, and comes back as an event.
 func (n *Node) doCopy(_ context.Context, a any) error {
 	switch a := a.(type) {
-	case replicatedlog.Stage:
+	case replicatedlog.StageChange:
 		n.aside(func(ctx context.Context) {
-			raw, err := proto.Marshal(&pb.Change{Id: a.Change, Document: a.Document})
+			raw, err := proto.Marshal(&pb.Change{Id: a.ChangeID, Document: a.Document})
 			if err == nil {
 				err = n.c.Disk.Write(filepath.Join(n.c.Folder, stagedName), raw)
 			}
 			if err != nil {
-				n.log.Error("fleet: a change of the policy can't be staged: it is refused", "change", a.Change, "err", err)
+				n.log.Error("fleet: a change of the policy can't be staged: it is refused", "change", a.ChangeID, "err", err)
 			}
-			n.copy.In.Put(ctx, replicatedlog.Staged{Change: a.Change, Err: err})
+			n.copy.Inbox.Put(ctx, replicatedlog.ChangeStaged{ChangeID: a.ChangeID, Err: err})
 		})
-	case replicatedlog.Question:
+	case replicatedlog.SendLeaseRequest:
 		n.aside(func(ctx context.Context) {
 			a.Request.Cluster = n.c.Cluster
 			var r *pb.LeaseReply
@@ -71,34 +71,34 @@
 			})
 			if err != nil {
 				n.log.Debug("fleet: no lease", "err", err)
-				n.copy.In.Put(ctx, replicatedlog.Unanswered{Asked: a.Asked})
+				n.copy.Inbox.Put(ctx, replicatedlog.LeaseRequestFailed{RequestedAt: a.RequestedAt})
 				return
 			}
 			n.mu.Lock()
 			n.waiting = r.WaitingOn
 			n.mu.Unlock()
-			n.copy.In.Put(ctx, replicatedlog.Granted{Asked: a.Asked, Need: r.RequiredIndex, Length: time.Duration(r.DurationUs) * time.Microsecond})
+			n.copy.Inbox.Put(ctx, replicatedlog.LeaseGranted{RequestedAt: a.RequestedAt, RequiredIndex: r.RequiredIndex, Duration: time.Duration(r.DurationUs) * time.Microsecond})
 		})
-	case replicatedlog.Publish:
+	case replicatedlog.PublishView:
 		was, could := n.gate.View()
 		n.limits.published(a.View) // before any call goes by it
-		drained := n.gate.publish(a.View, a.Until, a.Drain)
+		drained := n.gate.publish(a.View, a.LeaseUntil, a.Drain)
 		if a.Drain {
 			n.aside(func(ctx context.Context) {
 				drained()
-				n.copy.In.Put(ctx, replicatedlog.Drained{Index: a.View.Index})
+				n.copy.Inbox.Put(ctx, replicatedlog.Drained{Index: a.View.Index})
 			})
 		}
 		n.limits.nudge()
 		if _, can := n.gate.View(); a.Drain || can != could || was != nil && was.Verdicts != a.View.Verdicts {
 			n.changed()
 		}
-	case replicatedlog.Lapsed:
+	case replicatedlog.LeaseExpired:
 		n.log.Warn("fleet: cut off: no lease is left, and no call is begun")
 		n.changed()
-	case replicatedlog.Join:
+	case replicatedlog.SubmitJoin:
 		n.aside(func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, n.c.Terms.Length)
+			ctx, cancel := context.WithTimeout(ctx, n.c.Terms.Duration)
 			defer cancel()
 			if r, err := n.Submit(ctx, replicatedlog.KindJoin, a.Command); err == nil && r.Rejection != "" {
 				n.log.Error("fleet: this sender is no member", "why", r.Rejection)
@@ -134,7 +134,7 @@
 				n.mu.Lock()
 				n.heard = n.c.Now()
 				n.mu.Unlock()
-				return n.voter() != nil && (len(p.Entries)+len(p.Snapshot) == 0 || n.copy.In.Put(n.ctx, replicatedlog.Told{Piece: p}) == nil)
+				return n.voter() != nil && (len(p.Entries)+len(p.Snapshot) == 0 || n.copy.Inbox.Put(n.ctx, replicatedlog.LogReceived{Chunk: p}) == nil)
 			})
 			continue
 		}
@@ -188,7 +188,7 @@
 		n.current, n.heard = name, n.c.Now()
 		n.mu.Unlock()
 		if len(p.Entries)+len(p.Snapshot) > 0 {
-			if err := n.copy.In.Put(ctx, replicatedlog.Told{Piece: p}); err != nil {
+			if err := n.copy.Inbox.Put(ctx, replicatedlog.LogReceived{Chunk: p}); err != nil {
 				return err
 			}
 		}
--- a/internal/fleet/feed.go
+++ b/internal/fleet/feed.go
@@ -26,7 +26,7 @@
 func newFeed() *feed { return &feed{changed: make(chan struct{})} }
 
 // commit takes what is agreed now.
-func (f *feed) commit(c replicatedlog.Commit) {
+func (f *feed) commit(c replicatedlog.Committed) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c.Snapshot != nil {
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -26,12 +26,12 @@
 // the roster puts this sender in charge of. Calls take units from the till, in their own goroutines.
 type limiting struct {
 	n     *Node
-	me    lease.Who
+	me    lease.HolderID
 	terms quota.Terms
 	till  *quota.Till
 	reach peers.Reaches
-	asks  *worker.Duty[any, any]
-	lends *worker.Duty[any, any]
+	asks  *worker.Worker[any, any]
+	lends *worker.Worker[any, any]
 
 	evidence *evidence
 
@@ -75,13 +75,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	l := &limiting{n: n, me: lease.Who{Name: n.c.Name, Life: n.life}, terms: quota.Terms{Length: n.c.lend(), Drift: n.c.limitsDrift()}, reach: reach, changed: map[string]struct{}{}}
-	l.till = quota.NewTill(l.terms.Drift, func(key string) { l.asks.In.Offer(quota.Poke{Key: key}) })
+	l := &limiting{n: n, me: lease.HolderID{Name: n.c.Name, Incarnation: n.life}, terms: quota.Terms{Length: n.c.lend(), Drift: n.c.limitsDrift()}, reach: reach, changed: map[string]struct{}{}}
+	l.till = quota.NewTill(l.terms.Drift, func(key string) { l.asks.Inbox.Offer(quota.Poke{Key: key}) })
 	asker := quota.NewAsker(l.me, l.terms, l.till)
 	if n.c.Loan != nil {
 		asker.Wrong(n.c.Loan)
 	}
-	l.asks = &worker.Duty[any, any]{Name: "limits, asking", In: worker.NewRing[any]("limits, asking", pokesMost, worker.Merge, pokeKey), Stepper: &asking{l: l, Asker: asker}, Do: l.doAsk}
+	l.asks = &worker.Worker[any, any]{Name: "limits, asking", Inbox: worker.NewRingBuffer[any]("limits, asking", pokesMost, worker.MergeByKey, pokeKey), Stepper: &asking{l: l, Asker: asker}, Execute: l.doAsk}
 	lender := quota.NewLender(l.me, l.terms)
 	if n.c.Day == nil {
 		n.c.Day = func() int64 { return time.Now().UTC().Unix() / int64(24*time.Hour/time.Second) }
@@ -89,15 +89,15 @@
 	if n.c.Quiet != nil {
 		lender.Wrong(n.c.Quiet)
 	}
-	l.lends = &worker.Duty[any, any]{Name: "limits, lending", In: worker.NewRing[any]("limits, lending", lendsMost, worker.DropOldest, nil), Stepper: &lending{l: l, Lender: lender}, Do: l.doLend}
+	l.lends = &worker.Worker[any, any]{Name: "limits, lending", Inbox: worker.NewRingBuffer[any]("limits, lending", lendsMost, worker.DropOldest, nil), Stepper: &lending{l: l, Lender: lender}, Execute: l.doLend}
 	l.evidence = newEvidence(l)
 	return l, nil
 }
 
 func (l *limiting) start() {
-	l.n.group.Start(l.lends, worker.EndDuty)
-	l.n.group.Start(l.asks, worker.EndDuty)
-	l.n.group.Start(l.evidence.duty, worker.EndDuty)
+	l.n.group.Start(l.lends, worker.StopWorker)
+	l.n.group.Start(l.asks, worker.StopWorker)
+	l.n.group.Start(l.evidence.duty, worker.StopWorker)
 }
 
 // pokeKey has events of one sort about one thing be one.
@@ -118,14 +118,14 @@
 	}
 	l.version, l.rank, l.verdicts, l.known = v.Version, v.Rank, v.Verdicts, true
 	l.till.Limits(v.Limits(), func(q quota.Limit) bool { return v.Rank >= 0 && int64(v.Rank) < q.FloorFor }, l.n.c.Now())
-	l.asks.In.Offer(quota.Relimited{})
+	l.asks.Inbox.Offer(quota.Relimited{})
 }
 
 // nudge has both look at what is published.
 func (l *limiting) nudge() {
-	l.lends.In.Offer(nudge{})
-	l.asks.In.Offer(nudge{})
-	l.evidence.duty.In.Offer(nudge{})
+	l.lends.Inbox.Offer(nudge{})
+	l.asks.Inbox.Offer(nudge{})
+	l.evidence.duty.Inbox.Offer(nudge{})
 }
 
 // asking is the asker as a duty.
@@ -156,7 +156,7 @@
 			if err != nil {
 				l.n.log.Debug("fleet: nothing is lent", "by", a.To.Name, "err", err)
 			}
-			l.asks.In.Offer(quota.Answered{To: a.To.Name, Seq: a.Request.Sequence, Reply: reply})
+			l.asks.Inbox.Offer(quota.Answered{To: a.To.Name, Seq: a.Request.Sequence, Reply: reply})
 		})
 	case quota.Changed:
 		l.mu.Lock()
@@ -188,7 +188,7 @@
 // lend answers a holder.
 func (l *limiting) lend(ctx context.Context, r *pb.QuotaRequest) (*pb.QuotaReply, error) {
 	ask := lendAsk{r, make(chan lendAnswer, 1)}
-	if !l.lends.In.Offer(ask) {
+	if !l.lends.Inbox.Offer(ask) {
 		return nil, status.Error(codes.Unavailable, "this sender is leaving")
 	}
 	select {
@@ -286,16 +286,16 @@
 		a.to <- a.lendAnswer
 	case quota.Draw:
 		l.n.aside(func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, l.n.c.Terms.Length)
+			ctx, cancel := context.WithTimeout(ctx, l.n.c.Terms.Duration)
 			defer cancel()
-			r, err := l.n.Submit(ctx, replicatedlog.KindRoster, &pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: a.Epoch, Key: a.Key, Period: a.Period, Units: a.Units, Limit: a.Most}}})
+			r, err := l.n.Submit(ctx, replicatedlog.KindMembership, &pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: a.Epoch, Key: a.Key, Period: a.Period, Units: a.Units, Limit: a.Most}}})
 			units := int64(0)
 			if err == nil && r.Rejection == "" {
 				units, _ = binary.Varint(r.Result)
 			} else { // what the log gave without our hearing of it is lost for the day
 				l.n.log.Debug("fleet: nothing is drawn of a day's quota", "limit", a.Key, "err", err, "refused", r.GetRejection())
 			}
-			l.lends.In.Offer(drawn{a, units})
+			l.lends.Inbox.Offer(drawn{a, units})
 		})
 	}
 	return nil
@@ -454,7 +454,7 @@
 		return nil, status.Error(codes.Unavailable, "the fleet's policy is not known yet")
 	}
 	show := showBooks{make(chan []quota.Report, 1)}
-	n.limits.lends.In.Offer(show)
+	n.limits.lends.Inbox.Offer(show)
 	var books []quota.Report
 	select {
 	case books = <-show.done:
@@ -467,7 +467,7 @@
 	for _, s := range n.limits.till.Stands(now) {
 		r := LimitReport{Key: s.Limit.Key, Words: fleetpolicy.LimitWords(s.Limit), Units: s.Limit.Units, Holds: s.Units, Busy: s.Busy, LeftMS: s.Left.Milliseconds(), Waiting: s.Waiting,
 			Used: s.Used, Refused: s.Refused, Turns: s.Turns, Bound: n.limits.bound(s.Limit, len(v.Roster.GetParticipants()))}
-		if p := charge.Of(s.Limit.Key); p != nil {
+		if p := charge.Owner(s.Limit.Key); p != nil {
 			r.Authority = p.Name
 		}
 		if i := slices.IndexFunc(books, func(b quota.Report) bool { return b.Key == s.Limit.Key }); i >= 0 {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -117,13 +117,13 @@
 
 	mu      sync.Mutex
 	addr    string
-	core    *worker.Duty[any, any] // nil: this sender is no voter, or has not heard the others yet
-	folder  *replicatedlog.Folder  // of a voter
+	core    *worker.Worker[any, any]      // nil: this sender is no voter, or has not heard the others yet
+	folder  *replicatedlog.StoredPosition // of a voter
 	store   *store
-	copy    *worker.Duty[any, any]
+	copy    *worker.Worker[any, any]
 	replies map[uint64]chan any
-	last    uint64                                   // reply
-	out     map[string]*worker.Ring[*raftpb.Message] // to other voters
+	last    uint64                                         // reply
+	out     map[string]*worker.RingBuffer[*raftpb.Message] // to other voters
 	status  replicatedlog.Status
 	failed  string              // why it is no voter any more
 	old     string              // why the folder was found to be old
@@ -152,12 +152,12 @@
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	n := &Node{c: c, log: log, life: draw(), gate: NewGate(c.Now), keys: &keyring{cluster: c.Cluster, keys: c.Keys}, feed: newFeed(), lives: lives{by: map[string]uint64{}},
-		replies: map[uint64]chan any{}, out: map[string]*worker.Ring[*raftpb.Message]{}, addr: l.Addr().String()}
+		replies: map[uint64]chan any{}, out: map[string]*worker.RingBuffer[*raftpb.Message]{}, addr: l.Addr().String()}
 	n.gate.rough = rough
 	n.wires = newWires(n.keys)
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.group = &worker.Group{Log: log, Clock: c.Now, Stall: stallTime}
-	n.group.Ended = func(name string, err error) {
+	n.group = &worker.Group{Log: log, Clock: c.Now, StallThreshold: stallTime}
+	n.group.OnExit = func(name string, err error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if name == logDuty { // the copy goes on with another voter's word
@@ -190,7 +190,7 @@
 		defer n.work.Done()
 		n.followAll()
 	}()
-	log.Info("fleet", "listen", n.addr, "cluster", c.Cluster, "voters", len(c.Voters), "lease", c.Terms.Length)
+	log.Info("fleet", "listen", n.addr, "cluster", c.Cluster, "voters", len(c.Voters), "lease", c.Terms.Duration)
 	return n, nil
 }
 
@@ -231,22 +231,22 @@
 		s.close()
 		return err
 	}
-	if saved.Conf == nil {
-		saved.Conf = first
+	if saved.ConfState == nil {
+		saved.ConfState = first
 	}
 	by, trusted, err := vouched(n.c.Folder)
 	if err != nil {
 		s.close()
 		return fmt.Errorf("fleet: %w", err)
 	}
-	f := saved.Folder()
+	f := saved.Position()
 	n.mu.Lock()
 	n.store, n.folder = s, &f
 	n.mu.Unlock()
 	n.work.Add(1)
 	go func() {
 		defer n.work.Done()
-		var heard map[string]replicatedlog.Heard
+		var heard map[string]replicatedlog.PeerState
 		if trusted {
 			n.log.Warn("fleet: somebody vouches for the folder: the other voters' word is not waited for", "by", by)
 			n.work.Add(1)
@@ -258,27 +258,27 @@
 			return
 		}
 		policy := fleetpolicy.NewMachine()
-		core, start, err := replicatedlog.NewCore(n.c.Name, saved, heard, n.c.Terms, policy, raftLog{n.log})
+		core, start, err := replicatedlog.NewVoter(n.c.Name, saved, heard, n.c.Terms, policy, raftLog{n.log})
 		if err != nil {
 			n.log.Error("fleet: this sender can't be a voter", "err", err)
 			return
 		}
-		if start.Old != "" {
-			n.log.Error("fleet: the folder is older than what it has promised; it votes for nobody until it has caught up", "why", start.Old)
+		if start.StaleReason != "" {
+			n.log.Error("fleet: the folder is older than what it has promised; it votes for nobody until it has caught up", "why", start.StaleReason)
 		}
-		d := &worker.Duty[any, any]{Name: logDuty, In: worker.NewRing[any](logDuty, inboxMost, worker.Wait, nil), Stepper: core, Do: n.doCore}
+		d := &worker.Worker[any, any]{Name: logDuty, Inbox: worker.NewRingBuffer[any](logDuty, inboxMost, worker.Block, nil), Stepper: core, Execute: n.doCore}
 		n.mu.Lock()
-		n.core, n.old = d, start.Old
+		n.core, n.old = d, start.StaleReason
 		n.mu.Unlock()
-		n.group.Start(d, worker.EndDuty)
+		n.group.Start(d, worker.StopWorker)
 	}()
 	return nil
 }
 
 // hello asks all other voters that the folder names, until each has answered; nil if the node stops first.
-func (n *Node) hello(saved *replicatedlog.Saved) map[string]replicatedlog.Heard {
-	f, heard := saved.Folder(), map[string]replicatedlog.Heard{}
-	conf := saved.Conf
+func (n *Node) hello(saved *replicatedlog.StoredLog) map[string]replicatedlog.PeerState {
+	f, heard := saved.Position(), map[string]replicatedlog.PeerState{}
+	conf := saved.ConfState
 	if saved.Snapshot != nil {
 		conf = saved.Snapshot.GetMetadata().GetConfState()
 	}
@@ -303,7 +303,7 @@
 				client, err := n.wires.to(n.address(name))
 				var r *pb.HelloReply
 				if err == nil {
-					r, err = client.Hello(ctx, &pb.HelloRequest{Cluster: n.c.Cluster, Name: n.c.Name, Incarnation: n.life, VoterId: replicatedlog.VoterID(n.c.Name), Term: f.Term, LastIndex: f.Last})
+					r, err = client.Hello(ctx, &pb.HelloRequest{Cluster: n.c.Cluster, Name: n.c.Name, Incarnation: n.life, VoterId: replicatedlog.VoterID(n.c.Name), Term: f.Term, LastIndex: f.LastIndex})
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -311,7 +311,7 @@
 					missing += " " + name
 					return
 				}
-				heard[name] = replicatedlog.Heard{Term: r.Term, LastTerm: r.LastTerm, Last: r.LastIndex, Match: r.MatchIndex}
+				heard[name] = replicatedlog.PeerState{Term: r.Term, LastTerm: r.LastTerm, LastIndex: r.LastIndex, MatchIndex: r.MatchIndex}
 			}()
 		}
 		round.Wait()
@@ -380,7 +380,7 @@
 	return fmt.Sprintf("voter %x", id)
 }
 
-func (n *Node) voter() *worker.Duty[any, any] {
+func (n *Node) voter() *worker.Worker[any, any] {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core
@@ -403,7 +403,7 @@
 		delete(n.replies, to)
 		n.mu.Unlock()
 	}()
-	if err := core.In.Put(ctx, event(to)); err != nil {
+	if err := core.Inbox.Put(ctx, event(to)); err != nil {
 		return nil, err
 	}
 	select {
@@ -438,44 +438,44 @@
 // doCore carries out what the voter's log wants done.
 func (n *Node) doCore(_ context.Context, a any) error {
 	switch a := a.(type) {
-	case replicatedlog.Save:
+	case replicatedlog.Persist:
 		if err := n.store.save(a); err != nil {
 			return fmt.Errorf("fleet: the log can't be written, this voter takes part no longer: %w", err)
 		}
 		if a.Snapshot != nil {
 			n.feed.cut(a.Snapshot.Data)
 		}
-	case replicatedlog.Send:
+	case replicatedlog.SendMessage:
 		n.box(n.nameOf(a.Message.GetTo())).Offer(a.Message)
-	case replicatedlog.Answer:
+	case replicatedlog.Reply:
 		n.mu.Lock()
 		c := n.replies[a.To]
 		delete(n.replies, a.To)
 		n.mu.Unlock()
 		if c != nil {
-			c <- a.What
+			c <- a.Value
 		}
-	case replicatedlog.Commit:
+	case replicatedlog.Committed:
 		n.feed.commit(a)
 	case replicatedlog.Status:
 		n.mu.Lock()
 		was := n.status
 		n.status = a
 		n.mu.Unlock()
-		if was.Leads != a.Leads || was.Leader != a.Leader {
-			n.log.Info("fleet: the lead", "leads", a.Leads, "leader", n.nameOf(a.Leader), "term", a.Term)
+		if was.IsLeader != a.IsLeader || was.Leader != a.Leader {
+			n.log.Info("fleet: the lead", "leads", a.IsLeader, "leader", n.nameOf(a.Leader), "term", a.Term)
 		}
 	}
 	return nil
 }
 
 // box is what goes to one voter, in order; the oldest is dropped when it does not keep up.
-func (n *Node) box(name string) *worker.Ring[*raftpb.Message] {
+func (n *Node) box(name string) *worker.RingBuffer[*raftpb.Message] {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	b := n.out[name]
 	if b == nil {
-		b = worker.NewRing[*raftpb.Message]("to "+name, outboxMost, worker.DropOldest, nil)
+		b = worker.NewRingBuffer[*raftpb.Message]("to "+name, outboxMost, worker.DropOldest, nil)
 		n.out[name] = b
 		n.work.Add(1)
 		go func() {
@@ -556,7 +556,7 @@
 }
 
 // patience is how long one voter is given: a question is asked of another before the next is due.
-func (n *Node) patience() time.Duration { return max(n.c.Terms.Length/6, 100*time.Millisecond) }
+func (n *Node) patience() time.Duration { return max(n.c.Terms.Duration/6, 100*time.Millisecond) }
 
 // voterNames are the voters in the order in which they are asked: this one if it is, then the one that is followed, then all.
 func (n *Node) voterNames() []string {
@@ -594,7 +594,7 @@
 // Close ends it: another voter is given the lead first, and leases lapse by themselves.
 func (n *Node) Close() error {
 	if core := n.voter(); core != nil {
-		core.In.Offer(replicatedlog.HandOn{})
+		core.Inbox.Offer(replicatedlog.LeadershipTransferRequested{})
 		time.Sleep(2 * replicatedlog.Tick)
 	}
 	n.stop()
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -41,7 +41,7 @@
 
 func newSquad(t testing.TB, voters, all int, edit func(int, *Config)) *squad {
 	t.Helper()
-	s := &squad{t: t, net: links.New(1, nil), voters: voters, terms: lease.Terms{Length: 1500 * time.Millisecond, Drift: lease.DefaultDrift}, nodes: make([]*Node, all), edit: edit}
+	s := &squad{t: t, net: links.New(1, nil), voters: voters, terms: lease.Terms{Duration: 1500 * time.Millisecond, MaxDrift: lease.DefaultDrift}, nodes: make([]*Node, all), edit: edit}
 	for i := range all { // an address of its own for each, which no other process's connections take while it is down
 		n := hosts.Add(1)
 		s.hosts = append(s.hosts, fmt.Sprintf("127.%d.%d.%d:7948", 100+os.Getpid()%100, 1+n/200, 1+n%200))
@@ -234,7 +234,7 @@
 	if _, acts := s.nodes[3].gate.View(); acts {
 		t.Error("one that is cut off acts when a change has taken hold without it")
 	}
-	t.Logf("the change took %v, the lease lasts %v", time.Since(began), s.terms.Length)
+	t.Logf("the change took %v, the lease lasts %v", time.Since(began), s.terms.Duration)
 	s.net.Heal()
 	s.over(3, change)
 	s.acting()
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -101,8 +101,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.c.Now()
-	r := Report{Name: n.c.Name, Cluster: n.c.Cluster, Address: n.addr, Index: n.report.index, Follows: n.current, LengthMS: n.c.Terms.Length.Milliseconds(),
-		Bound: fmt.Sprintf("lease %v, counted %v by who grants it (drift %g); then two round trips", n.c.Terms.Length, n.c.Terms.Wait(), n.c.Terms.Drift)}
+	r := Report{Name: n.c.Name, Cluster: n.c.Cluster, Address: n.addr, Index: n.report.index, Follows: n.current, LengthMS: n.c.Terms.Duration.Milliseconds(),
+		Bound: fmt.Sprintf("lease %v, counted %v by who grants it (drift %g); then two round trips", n.c.Terms.Duration, n.c.Terms.GranterDuration(), n.c.Terms.MaxDrift)}
 	if n.heard > 0 {
 		r.HeardMS = (now - n.heard).Milliseconds()
 	}
@@ -130,22 +130,22 @@
 	}
 	if n.store != nil {
 		s := n.status
-		r.Voter = &VoterReport{Leads: s.Leads, Term: s.Term, Applied: s.Applied, WaitsFor: n.waits, Old: n.old, Failed: n.failed, Waits: s.Waits}
+		r.Voter = &VoterReport{Leads: s.IsLeader, Term: s.Term, Applied: s.AppliedIndex, WaitsFor: n.waits, Old: n.old, Failed: n.failed, Waits: s.WaitingOn}
 		for _, name := range r.Voters {
 			if replicatedlog.VoterID(name) == s.Leader {
 				r.Voter.Leader = name
 			}
 		}
-		for _, h := range s.Holds {
-			r.Voter.Leases = append(r.Voter.Leases, Lease{h.Name, h.Left.Milliseconds(), h.Index})
+		for _, h := range s.Leases {
+			r.Voter.Leases = append(r.Voter.Leases, Lease{h.Name, h.Remaining.Milliseconds(), h.MinIndex})
 		}
 	}
 	p := n.report.policy
 	r.Policy = PolicyReport{Version: p.GetVersion(), Document: string(p.GetDocument()), Since: p.GetStartIndex()}
 	if o := p.GetOpenChange(); o != nil {
 		r.Policy.Open = &ChangeReport{ID: o.Id, Base: o.BaseVersion, By: o.Author, Why: o.Reason, Frozen: o.FreezeIndex != 0, Document: string(o.Document)}
-		r.Policy.Open.Waits = n.status.Waits
-		if !n.status.Leads {
+		r.Policy.Open.Waits = n.status.WaitingOn
+		if !n.status.IsLeader {
 			for _, w := range n.waiting {
 				r.Policy.Open.Waits = append(r.Policy.Open.Waits, fleetpolicy.Waiting{Name: w.Name, For: w.Reason, Left: time.Duration(w.RemainingUs) * time.Microsecond})
 			}
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -84,19 +84,19 @@
 }
 
 // load reads what the folder has.
-func (s *store) load() (*replicatedlog.Saved, error) {
-	saved := &replicatedlog.Saved{Hard: &raftpb.HardState{}}
+func (s *store) load() (*replicatedlog.StoredLog, error) {
+	saved := &replicatedlog.StoredLog{HardState: &raftpb.HardState{}}
 	err := boltfile.Guarded(func() error {
 		return s.db.View(func(tx *bolt.Tx) error {
 			meta := tx.Bucket(metaBucket)
 			if raw := meta.Get([]byte("hard")); raw != nil {
-				if err := proto.Unmarshal(raw, saved.Hard); err != nil {
+				if err := proto.Unmarshal(raw, saved.HardState); err != nil {
 					return fmt.Errorf("term and vote: %w", err)
 				}
 			}
 			if raw := meta.Get([]byte("conf")); raw != nil {
-				saved.Conf = &raftpb.ConfState{}
-				if err := proto.Unmarshal(raw, saved.Conf); err != nil {
+				saved.ConfState = &raftpb.ConfState{}
+				if err := proto.Unmarshal(raw, saved.ConfState); err != nil {
 					return fmt.Errorf("voters: %w", err)
 				}
 			}
@@ -107,9 +107,9 @@
 				}
 			}
 			if raw := meta.Get([]byte("base")); len(raw) == 16 {
-				saved.Base, saved.BaseTerm = binary.BigEndian.Uint64(raw), binary.BigEndian.Uint64(raw[8:])
+				saved.BaseIndex, saved.BaseTerm = binary.BigEndian.Uint64(raw), binary.BigEndian.Uint64(raw[8:])
 			}
-			next := saved.Base + 1
+			next := saved.BaseIndex + 1
 			return tx.Bucket(logBucket).ForEach(func(k, v []byte) error {
 				e := &raftpb.Entry{}
 				if err := proto.Unmarshal(v, e); err != nil || binary.BigEndian.Uint64(k) != next || e.GetIndex() != next {
@@ -128,7 +128,7 @@
 }
 
 // save carries a Save out; it is on the disk when this returns.
-func (s *store) save(a replicatedlog.Save) error {
+func (s *store) save(a replicatedlog.Persist) error {
 	return s.update(func(tx *bolt.Tx) error {
 		meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 		put := func(key string, m proto.Message) error {
@@ -138,13 +138,13 @@
 			}
 			return meta.Put([]byte(key), raw)
 		}
-		if a.Hard != nil {
-			if err := put("hard", a.Hard); err != nil {
+		if a.HardState != nil {
+			if err := put("hard", a.HardState); err != nil {
 				return err
 			}
 		}
-		if a.Conf != nil {
-			if err := put("conf", a.Conf); err != nil {
+		if a.ConfState != nil {
+			if err := put("conf", a.ConfState); err != nil {
 				return err
 			}
 		}
@@ -153,7 +153,7 @@
 				return err
 			}
 		}
-		if a.Cut > 0 {
+		if a.CompactTo > 0 {
 			if err := cut(meta, log, a); err != nil {
 				return err
 			}
@@ -181,20 +181,20 @@
 	})
 }
 
-func cut(meta, log *bolt.Bucket, a replicatedlog.Save) error {
+func cut(meta, log *bolt.Bucket, a replicatedlog.Persist) error {
 	term := a.Snapshot.GetMetadata().GetTerm()
-	if raw := log.Get(boltfile.Number(int64(a.Cut))); raw != nil && !a.Whole {
+	if raw := log.Get(boltfile.Number(int64(a.CompactTo))); raw != nil && !a.ReplaceLog {
 		e := &raftpb.Entry{}
 		if err := proto.Unmarshal(raw, e); err != nil {
 			return err
 		}
 		term = e.GetTerm()
 	}
-	if err := meta.Put([]byte("base"), binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, a.Cut), term)); err != nil {
+	if err := meta.Put([]byte("base"), binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, a.CompactTo), term)); err != nil {
 		return err
 	}
 	c := log.Cursor()
-	for k, _ := c.First(); k != nil && (a.Whole || binary.BigEndian.Uint64(k) <= a.Cut); k, _ = c.First() {
+	for k, _ := c.First(); k != nil && (a.ReplaceLog || binary.BigEndian.Uint64(k) <= a.CompactTo); k, _ = c.First() {
 		if err := c.Delete(); err != nil {
 			return err
 		}
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -39,23 +39,23 @@
 // A voter that starts with the old file leads its own log on: its state is the one that the old program had.
 func TestStoredVoterLog_VoterStarts(t *testing.T) {
 	saved := loadStored(t)
-	core, start, err := replicatedlog.NewCore("voter-a", saved, nil, lease.Terms{Length: time.Second}, fleetpolicy.NewMachine(), nil)
+	core, start, err := replicatedlog.NewVoter("voter-a", saved, nil, lease.Terms{Duration: time.Second}, fleetpolicy.NewMachine(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if start.Term != saved.Hard.GetTerm() || start.Vote != saved.Hard.GetVote() {
-		t.Errorf("it starts with %+v; the file has %v", start, saved.Hard)
+	if start.Term != saved.HardState.GetTerm() || start.Vote != saved.HardState.GetVote() {
+		t.Errorf("it starts with %+v; the file has %v", start, saved.HardState)
 	}
 	last := saved.Entries[len(saved.Entries)-1].GetIndex()
 	applied := saved.Snapshot.GetMetadata().GetIndex()
 	actions, _ := core.Step(time.Second, nil)
 	for _, a := range actions {
-		if c, ok := a.(replicatedlog.Commit); ok && len(c.Entries) > 0 {
+		if c, ok := a.(replicatedlog.Committed); ok && len(c.Entries) > 0 {
 			applied = c.Entries[len(c.Entries)-1].Index
 		}
 	}
-	if applied != saved.Hard.GetCommit() || applied > last {
-		t.Errorf("it applied up to entry %d; the file says that %d are committed", applied, saved.Hard.GetCommit())
+	if applied != saved.HardState.GetCommit() || applied > last {
+		t.Errorf("it applied up to entry %d; the file says that %d are committed", applied, saved.HardState.GetCommit())
 	}
 }
 
@@ -119,7 +119,7 @@
 }
 
 // loadStored opens a copy of the voter's file.
-func loadStored(t *testing.T) *replicatedlog.Saved {
+func loadStored(t *testing.T) *replicatedlog.StoredLog {
 	t.Helper()
 	packed, err := os.Open(filepath.Join("testdata", "stored", "log.db.gz"))
 	if err != nil {
@@ -301,12 +301,12 @@
 }
 
 // storedLog lists all that a voter's file has.
-func storedLog(t *testing.T, saved *replicatedlog.Saved) string {
+func storedLog(t *testing.T, saved *replicatedlog.StoredLog) string {
 	t.Helper()
 	var b strings.Builder
-	fmt.Fprintf(&b, "base %d of term %d\n", saved.Base, saved.BaseTerm)
-	b.WriteString(listing("hard state", saved.Hard))
-	b.WriteString(listing("configuration", saved.Conf))
+	fmt.Fprintf(&b, "base %d of term %d\n", saved.BaseIndex, saved.BaseTerm)
+	b.WriteString(listing("hard state", saved.HardState))
+	b.WriteString(listing("configuration", saved.ConfState))
 	b.WriteString(listing("snapshot's metadata", saved.Snapshot.GetMetadata()))
 	b.WriteString(storedSnapshot(t, saved.Snapshot.GetData()))
 	b.WriteString("== entries\n")
@@ -325,7 +325,7 @@
 }
 
 // replayedState is the replicated state after all of a voter's file, as a sender that follows it has it.
-func replayedState(t *testing.T, saved *replicatedlog.Saved) string {
+func replayedState(t *testing.T, saved *replicatedlog.StoredLog) string {
 	t.Helper()
 	log := &pb.LogChunk{Snapshot: saved.Snapshot.GetData()}
 	for _, e := range saved.Entries {
@@ -337,8 +337,8 @@
 		}
 		log.Entries = append(log.Entries, &pb.Entry{Index: e.GetIndex(), Term: e.GetTerm(), Command: raw})
 	}
-	c := replicatedlog.NewCopy("reader", 1, fleetpolicy.Settings{}, lease.Terms{Length: time.Second})
-	c.Step(time.Second, []any{replicatedlog.Told{Piece: log}})
+	c := replicatedlog.NewReplica("reader", 1, fleetpolicy.Settings{}, lease.Terms{Duration: time.Second})
+	c.Step(time.Second, []any{replicatedlog.LogReceived{Chunk: log}})
 	if last := saved.Entries[len(saved.Entries)-1].GetIndex(); c.State().Index() != last {
 		t.Fatalf("the state has come to entry %d; the log ends at %d", c.State().Index(), last)
 	}
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -71,11 +71,11 @@
 }
 
 // send keeps a stream to a voter and passes messages on.
-func (n *Node) send(ctx context.Context, name string, ring *worker.Ring[*raftpb.Message]) {
+func (n *Node) send(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) {
 	for ctx.Err() == nil {
 		err := n.stream(ctx, name, ring)
 		if ctx.Err() == nil && n.core != nil {
-			n.core.In.Offer(replicatedlog.Unreachable{ID: replicatedlog.VoterID(name)})
+			n.core.Inbox.Offer(replicatedlog.PeerUnreachable{VoterID: replicatedlog.VoterID(name)})
 			n.log.Debug("fleet: a voter can't be reached", "voter", name, "err", err)
 		}
 		select {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (n *Node) stream(ctx context.Context, name string, ring *worker.Ring[*raftpb.Message]) error {
+func (n *Node) stream(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) error {
 	address := n.address(name)
 	if address == "" {
 		return fmt.Errorf("no address of %s is known", name)
@@ -156,7 +156,7 @@
 		if err := proto.Unmarshal(p.Message, m); err != nil || m.GetFrom() != replicatedlog.VoterID(p.From) {
 			return status.Errorf(codes.InvalidArgument, "a message that can't be read, or is not its sender's: %v", err)
 		}
-		if !s.n.lives.pass(p.From, p.Incarnation, func() { core.In.Offer(replicatedlog.Packet{Message: m}) }) { // one that is dropped is sent again
+		if !s.n.lives.pass(p.From, p.Incarnation, func() { core.Inbox.Offer(replicatedlog.MessageReceived{Message: m}) }) { // one that is dropped is sent again
 			return status.Errorf(codes.Aborted, "%s has another process by now", p.From)
 		}
 	}
@@ -175,9 +175,9 @@
 	}
 	s.n.lives.begin(r.Name, r.Incarnation)
 	if core == nil { // it has not heard all others itself yet: what its folder has is what it can vouch for
-		return &pb.HelloReply{Term: folder.Term, LastTerm: folder.LastTerm, LastIndex: folder.Last, Starting: true}, nil
+		return &pb.HelloReply{Term: folder.Term, LastTerm: folder.LastTerm, LastIndex: folder.LastIndex, Starting: true}, nil
 	}
-	v, err := s.n.put(ctx, func(to uint64) any { return replicatedlog.Hello{To: to, ID: r.VoterId} })
+	v, err := s.n.put(ctx, func(to uint64) any { return replicatedlog.HandshakeRequested{ReplyTo: to, VoterID: r.VoterId} })
 	if err != nil {
 		return nil, err
 	}
@@ -219,8 +219,8 @@
 	if err := s.mine(r.Cluster); err != nil {
 		return nil, err
 	}
-	v, err := s.n.put(ctx, func(to uint64) any { return replicatedlog.Ask{To: to, Request: r} })
-	if errors.Is(err, replicatedlog.ErrNotLeading) && !r.Forwarded {
+	v, err := s.n.put(ctx, func(to uint64) any { return replicatedlog.LeaseRequested{ReplyTo: to, Request: r} })
+	if errors.Is(err, replicatedlog.ErrNotLeader) && !r.Forwarded {
 		client, bad := s.n.leader()
 		if bad != nil {
 			return nil, bad
@@ -246,11 +246,11 @@
 	}
 	v, err := s.n.put(ctx, func(to uint64) any {
 		if c.Kind == replicatedlog.KindVoters {
-			return replicatedlog.Voters{To: to, Command: c}
+			return replicatedlog.VoterChangeRequested{ReplyTo: to, Command: c}
 		}
-		return replicatedlog.Submit{To: to, Command: c}
+		return replicatedlog.CommandSubmitted{ReplyTo: to, Command: c}
 	})
-	if errors.Is(err, replicatedlog.ErrNotLeading) && !r.Forwarded {
+	if errors.Is(err, replicatedlog.ErrNotLeader) && !r.Forwarded {
 		client, bad := s.n.leader()
 		if bad != nil {
 			return nil, bad
@@ -264,7 +264,7 @@
 }
 
 func coded(err error) error {
-	if errors.Is(err, replicatedlog.ErrNotLeading) {
+	if errors.Is(err, replicatedlog.ErrNotLeader) {
 		return status.Error(codes.Unavailable, err.Error())
 	}
 	return err
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -21,9 +21,9 @@
 // hears the others and hands what it finds to the log.
 type evidence struct {
 	l     *limiting
-	court *health.Court
-	duty  *worker.Duty[any, any]
-	own   map[uint32]health.Testimony // seen here, and not told yet
+	court *health.Aggregator
+	duty  *worker.Worker[any, any]
+	own   map[uint32]health.Observation // seen here, and not told yet
 }
 
 const (
@@ -34,7 +34,7 @@
 
 type (
 	// seen is what this sender has seen itself.
-	seen struct{ all []health.Testimony }
+	seen struct{ all []health.Observation }
 	// told is what another has.
 	told struct{ request *pb.HealthReport }
 	// tell goes to the one in charge.
@@ -45,8 +45,8 @@
 )
 
 func newEvidence(l *limiting) *evidence {
-	e := &evidence{l: l, court: health.NewCourt(), own: map[uint32]health.Testimony{}}
-	e.duty = &worker.Duty[any, any]{Name: "verdicts", In: worker.NewRing[any]("verdicts", testimoniesMost, worker.DropOldest, nil), Stepper: e, Do: e.do}
+	e := &evidence{l: l, court: health.NewAggregator(), own: map[uint32]health.Observation{}}
+	e.duty = &worker.Worker[any, any]{Name: "verdicts", Inbox: worker.NewRingBuffer[any]("verdicts", testimoniesMost, worker.DropOldest, nil), Stepper: e, Execute: e.do}
 	return e
 }
 
@@ -72,32 +72,32 @@
 				}
 			}
 		case told:
-			if x.request.Epoch == v.Roster.GetEpoch() && x.request.ToIncarnation == me.Life {
+			if x.request.Epoch == v.Roster.GetEpoch() && x.request.ToIncarnation == me.Incarnation {
 				for _, t := range x.request.Observations {
-					e.court.Hear(x.request.Name, health.Testimony{Destination: t.Destination, State: knowledge.State(t.State),
-						Age: time.Duration(t.AgeUs) * time.Microsecond, For: time.Duration(t.DurationUs) * time.Microsecond}, now)
+					e.court.Observe(x.request.Name, health.Observation{Destination: t.Destination, State: knowledge.State(t.State),
+						Age: time.Duration(t.AgeUs) * time.Microsecond, Duration: time.Duration(t.DurationUs) * time.Microsecond}, now)
 				}
 			}
 		}
 	}
 	by := map[string]*tell{}
 	for d, t := range e.own {
-		p := charge.Of(key(d))
+		p := charge.Owner(key(d))
 		if p == nil {
 			continue
 		}
-		if p.Name == me.Name && p.Incarnation == me.Life {
-			e.court.Hear(me.Name, t, now)
+		if p.Name == me.Name && p.Incarnation == me.Incarnation {
+			e.court.Observe(me.Name, t, now)
 			delete(e.own, d)
 			continue
 		}
 		to := by[p.Name]
 		if to == nil {
-			to = &tell{p, &pb.HealthReport{Name: me.Name, Incarnation: me.Life, ToIncarnation: p.Incarnation, Epoch: v.Roster.GetEpoch()}}
+			to = &tell{p, &pb.HealthReport{Name: me.Name, Incarnation: me.Incarnation, ToIncarnation: p.Incarnation, Epoch: v.Roster.GetEpoch()}}
 			by[p.Name] = to
 		}
 		if len(to.r.Observations) < tellAt {
-			to.r.Observations = append(to.r.Observations, &pb.HealthObservation{Destination: d, State: uint32(t.State), AgeUs: t.Age.Microseconds(), DurationUs: t.For.Microseconds()})
+			to.r.Observations = append(to.r.Observations, &pb.HealthObservation{Destination: d, State: uint32(t.State), AgeUs: t.Age.Microseconds(), DurationUs: t.Duration.Microseconds()})
 			delete(e.own, d)
 		}
 	}
@@ -108,10 +108,10 @@
 		return actions, now + judgeEvery
 	}
 	mine := func(d uint32) bool {
-		p := charge.Of(key(d))
-		return p != nil && p.Name == me.Name && p.Incarnation == me.Life
+		p := charge.Owner(key(d))
+		return p != nil && p.Name == me.Name && p.Incarnation == me.Incarnation
 	}
-	for _, w := range e.court.Judge(now, v.Roster.GetEpoch(), me.Name, mine, v.Policy.VerdictRule, v.Verdicts) {
+	for _, w := range e.court.Evaluate(now, v.Roster.GetEpoch(), me.Name, mine, v.Policy.VerdictRule, v.Verdicts) {
 		actions = append(actions, w)
 	}
 	return actions, now + judgeEvery
@@ -138,9 +138,9 @@
 		})
 	case *pb.HealthCommand:
 		n.aside(func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, n.c.Terms.Length)
+			ctx, cancel := context.WithTimeout(ctx, n.c.Terms.Duration)
 			defer cancel()
-			r, err := n.Submit(ctx, replicatedlog.KindVerdict, a)
+			r, err := n.Submit(ctx, replicatedlog.KindHealth, a)
 			if err == nil && r.Rejection != "" {
 				err = errors.New(r.Rejection)
 			}
@@ -160,22 +160,22 @@
 	if len(r.Observations) > tellAt {
 		return nil, status.Errorf(codes.InvalidArgument, "%d testimonies; %d are the most", len(r.Observations), tellAt)
 	}
-	s.n.limits.evidence.duty.In.Offer(told{r})
+	s.n.limits.evidence.duty.Inbox.Offer(told{r})
 	return &pb.Ack{}, nil
 }
 
 // Testify takes what this sender has seen itself of destinations. It never waits.
-func (n *Node) Testify(all []health.Testimony) { n.limits.evidence.duty.In.Offer(seen{all}) }
+func (n *Node) Testify(all []health.Observation) { n.limits.evidence.duty.Inbox.Offer(seen{all}) }
 
 // Suspend has a person's verdict on a destination stand until it is lifted: no sender begins a call there.
 func (n *Node) Suspend(ctx context.Context, destination uint32, by, why string) error {
-	_, err := n.command(ctx, replicatedlog.KindVerdict, &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: &pb.SetHealth{Destination: destination, Kind: uint32(health.Suspended), Author: by, Reason: why}}})
+	_, err := n.command(ctx, replicatedlog.KindHealth, &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: &pb.SetHealth{Destination: destination, Kind: uint32(health.KindSuspended), Author: by, Reason: why}}})
 	return err
 }
 
 // Lift ends it.
 func (n *Node) Lift(ctx context.Context, destination uint32, by, why string) error {
-	_, err := n.command(ctx, replicatedlog.KindVerdict, &pb.HealthCommand{Command: &pb.HealthCommand_Clear{Clear: &pb.ClearHealth{Destination: destination, ByOperator: true, Author: by, Reason: why}}})
+	_, err := n.command(ctx, replicatedlog.KindHealth, &pb.HealthCommand{Command: &pb.HealthCommand_Clear{Clear: &pb.ClearHealth{Destination: destination, ByOperator: true, Author: by, Reason: why}}})
 	return err
 }
 
@@ -200,12 +200,12 @@
 	}
 	charge, all := v.Charge(), []VerdictReport{}
 	for _, is := range v.Verdicts.GetStatuses() {
-		r := VerdictReport{Destination: is.Destination, Verdict: health.Sort(is.Kind).String(), By: is.Author, Why: is.Reason, Since: is.StartIndex, At: is.UpdateIndex,
+		r := VerdictReport{Destination: is.Destination, Verdict: health.Kind(is.Kind).String(), By: is.Author, Why: is.Reason, Since: is.StartIndex, At: is.UpdateIndex,
 			LastsMS: (time.Duration(is.TtlUs) * time.Microsecond).Milliseconds()}
-		if health.Sort(is.Kind) == health.Suspended {
-			r.Bound = fmt.Sprintf("a sender that has not heard of it begins no call %v after it was last granted a lease", n.c.Terms.Length)
+		if health.Kind(is.Kind) == health.KindSuspended {
+			r.Bound = fmt.Sprintf("a sender that has not heard of it begins no call %v after it was last granted a lease", n.c.Terms.Duration)
 		} else {
-			if p := charge.Of(key(is.Destination)); p != nil {
+			if p := charge.Owner(key(is.Destination)); p != nil {
 				r.Authority = p.Name
 			}
 			r.Bound = fmt.Sprintf("each sender that reaches a majority goes by it within a round trip to the one in charge, %v, a commit and a round trip to a voter; one that is cut off drops it after %v",
--- a/internal/fleetpolicy/coordinator.go
+++ b/internal/fleetpolicy/coordinator.go
@@ -19,7 +19,7 @@
 type Coordinator struct {
 	change  uint64
 	since   time.Duration // this leader knows of the change
-	staged  map[lease.Who]bool
+	staged  map[lease.HolderID]bool
 	refused map[string]string // by name, why
 	sent    sentStep
 }
@@ -41,7 +41,7 @@
 }
 
 // Told takes what a sender tells of a change.
-func (c *Coordinator) Told(w lease.Who, change uint64, refused string) {
+func (c *Coordinator) Told(w lease.HolderID, change uint64, refused string) {
 	c.begin(change)
 	if change != c.change {
 		return
@@ -56,7 +56,7 @@
 // Grants reports whether one who acts at an index is granted a lease while a change is under way: once it has staged it, and, once it
 // is frozen, holds up what it touches. Nobody healthy misses a lease for that, as it asks again as soon as it has; but one
 // whose questions arrive while no answer reaches it would have its lease counted on and on, and the change would wait for it to no end.
-func (c *Coordinator) Grants(w lease.Who, acts uint64, s *pb.PolicyState) bool {
+func (c *Coordinator) Grants(w lease.HolderID, acts uint64, s *pb.PolicyState) bool {
 	o := s.GetOpenChange()
 	if o == nil || o.Id < c.change {
 		return true
@@ -74,7 +74,7 @@
 // begin takes notice of a change; older ones are over.
 func (c *Coordinator) begin(change uint64) {
 	if change > c.change {
-		*c = Coordinator{change: change, since: -1, staged: map[lease.Who]bool{}, refused: map[string]string{}, sent: c.sent}
+		*c = Coordinator{change: change, since: -1, staged: map[lease.HolderID]bool{}, refused: map[string]string{}, sent: c.sent}
 	}
 }
 
@@ -104,17 +104,17 @@
 		return abort(fmt.Sprintf("%s refuses it: %s", name, c.refused[name])), nil
 	}
 	if o.FreezeIndex != 0 {
-		for _, h := range g.Below(o.FreezeIndex, now) {
-			waits = append(waits, Waiting{h.Name, h.Left, "to hold up what the change touches"})
+		for _, h := range g.LeasesBelow(o.FreezeIndex, now) {
+			waits = append(waits, Waiting{h.Name, h.Remaining, "to hold up what the change touches"})
 		}
-	} else if g.Quiet(now) {
-		for _, h := range g.Below(0, now) {
-			waits = append(waits, Waiting{h.Name, h.Left, "to stage it"})
+	} else if g.InGracePeriod(now) {
+		for _, h := range g.LeasesBelow(0, now) {
+			waits = append(waits, Waiting{h.Name, h.Remaining, "to stage it"})
 		}
 	}
-	for _, h := range g.Holders(now) { // also once it is frozen: one may have come meanwhile
-		if !c.staged[h.Who] {
-			waits = append(waits, Waiting{h.Name, h.Left, "to stage it"})
+	for _, h := range g.ActiveLeases(now) { // also once it is frozen: one may have come meanwhile
+		if !c.staged[h.HolderID] {
+			waits = append(waits, Waiting{h.Name, h.Remaining, "to stage it"})
 		}
 	}
 	if o.FreezeIndex != 0 {
--- a/internal/fleetpolicy/machine.go
+++ b/internal/fleetpolicy/machine.go
@@ -170,7 +170,9 @@
 }
 
 // Charge says who is in charge of what is shared out by name.
-func (v *View) Charge() *coordinator.Charge { return coordinator.NewCharge(v.Roster.GetParticipants()) }
+func (v *View) Charge() *coordinator.Ownership {
+	return coordinator.NewOwnership(v.Roster.GetParticipants())
+}
 
 // View is the state as a sender with these settings goes by it.
 func (m *Machine) View(index uint64, s Settings) *View {
@@ -192,7 +194,7 @@
 	if v.Frozen.Call(c) {
 		return false, "a change of the fleet's policy is about to take hold"
 	}
-	if s := health.Of(v.Verdicts, c.Destination, true); s != nil {
+	if s := health.StatusOf(v.Verdicts, c.Destination, true); s != nil {
 		return false, fmt.Sprintf("%s has suspended its destination", s.Author)
 	}
 	return v.Policy.May(c)
@@ -208,20 +210,20 @@
 
 // Open reports whether calls for a destination are begun at all, as long as nothing changes.
 func (v *View) Open(destination uint32) bool {
-	return v.Policy.Open(destination) && health.Of(v.Verdicts, destination, true) == nil
+	return v.Policy.Open(destination) && health.StatusOf(v.Verdicts, destination, true) == nil
 }
 
 // guard is the limit that a verdict puts on its destination: one call of the whole fleet now and then while it is out, and few that
 // become more as it comes back.
 func (v *View) guard(destination uint32) (l quota.Limit, ok bool) {
-	is := health.Of(v.Verdicts, destination, false)
+	is := health.StatusOf(v.Verdicts, destination, false)
 	r, ruled := v.Policy.VerdictRule(destination)
 	if is == nil || !ruled {
 		return l, false
 	}
-	l = quota.Limit{Key: fmt.Sprintf("destination %d, probes", destination), Units: 1, Span: r.Probe, Transit: r.Transit}
-	if health.Sort(is.Kind) == health.Cold {
-		l = quota.Limit{Key: fmt.Sprintf("destination %d, return", destination), Units: r.Cold, Span: time.Second, Transit: r.Transit, RampTo: r.Warm, RampFor: r.WarmFor}
+	l = quota.Limit{Key: fmt.Sprintf("destination %d, probes", destination), Units: 1, Span: r.ProbeInterval, Transit: r.TransitJitter}
+	if health.Kind(is.Kind) == health.KindWarmingUp {
+		l = quota.Limit{Key: fmt.Sprintf("destination %d, return", destination), Units: r.InitialRate, Span: time.Second, Transit: r.TransitJitter, RampTo: r.FullRate, RampFor: r.SlowStart}
 	}
 	return l, true
 }
@@ -230,7 +232,7 @@
 func (v *View) Limits() []quota.Limit {
 	all := v.Policy.Limits()
 	for _, is := range v.Verdicts.GetStatuses() {
-		if l, ok := v.guard(is.Destination); ok && health.Sort(is.Kind) != health.Suspended {
+		if l, ok := v.guard(is.Destination); ok && health.Kind(is.Kind) != health.KindSuspended {
 			all = append(all, l)
 		}
 	}
--- a/internal/fleetpolicy/model_test.go
+++ b/internal/fleetpolicy/model_test.go
@@ -24,7 +24,7 @@
 
 const tick = time.Second
 
-var modelTerms = lease.Terms{Length: 2 * tick}
+var modelTerms = lease.Terms{Duration: 2 * tick}
 
 // fault is what a wrong program does.
 type fault string
@@ -194,12 +194,12 @@
 				e = append(e, 'h')
 			}
 		}
-		if g := s.grant; g != nil && now-g.asked < modelTerms.Length {
+		if g := s.grant; g != nil && now-g.asked < modelTerms.Duration {
 			e = append(e, 'g', byte(g.life), byte(g.asked/tick), byte(g.need))
 		}
 		e = w.leader.granter.AppendState(append(e, 'l'), now, name)
 		for life := range s.life + 1 {
-			if c.staged[lease.Who{Name: name, Life: life}] {
+			if c.staged[lease.HolderID{Name: name, Incarnation: life}] {
 				e = append(e, 's', byte(life))
 			}
 		}
@@ -374,7 +374,7 @@
 		do(name+" asks", func(n *world) string {
 			t := &n.senders[i]
 			t.holder = t.holder.Clone()
-			t.ask = &askMsg{t.life, t.holder.Ask(n.clock()), acts, t.told, false}
+			t.ask = &askMsg{t.life, t.holder.Request(n.clock()), acts, t.told, false}
 			t.woke = n.now
 			return ""
 		})
@@ -395,9 +395,9 @@
 			asked := g.asked
 			t.holder = t.holder.Clone()
 			if m.fault == countsFromAnswer {
-				asked = t.holder.Ask(n.clock())
+				asked = t.holder.Request(n.clock())
 			}
-			t.holder.Granted(asked, g.need, modelTerms.Length, n.clock())
+			t.holder.RecordGrant(asked, g.need, modelTerms.Duration, n.clock())
 			t.grant = nil // again it would say nothing: the question is answered
 			t.woke = n.now
 			return ""
@@ -438,8 +438,8 @@
 	ask := *s.ask
 	ask.heard = true
 	s.ask = &ask
-	who := lease.Who{Name: m.names[i], Life: s.ask.life}
-	l.granter.Asked(who, uint64(s.ask.acts))
+	who := lease.HolderID{Name: m.names[i], Incarnation: s.ask.life}
+	l.granter.RecordRequest(who, uint64(s.ask.acts))
 	if s.ask.staged > 0 {
 		l.coord.Told(who, s.ask.staged, "")
 	}
--- a/internal/fleetpolicy/verdicts.go
+++ b/internal/fleetpolicy/verdicts.go
@@ -41,23 +41,23 @@
 		bad := func(format string, args ...any) (map[uint32]health.Rule, error) {
 			return nil, fmt.Errorf("verdict %d: "+format, append([]any{i + 1}, args...)...)
 		}
-		r := health.Rule{Agree: cmp.Or(v.Agree, agreeDefault), Probe: cmp.Or(v.Probe.D(), probeDefault), Cold: v.Cold, Warm: v.Warm, WarmFor: cmp.Or(v.WarmFor.D(), warmDefault), Lasts: cmp.Or(v.Lasts.D(), lastsDefault),
-			Transit: cmp.Or(v.Transit.D(), transitDefault)}
+		r := health.Rule{Quorum: cmp.Or(v.Agree, agreeDefault), ProbeInterval: cmp.Or(v.Probe.D(), probeDefault), InitialRate: v.Cold, FullRate: v.Warm, SlowStart: cmp.Or(v.WarmFor.D(), warmDefault), TTL: cmp.Or(v.Lasts.D(), lastsDefault),
+			TransitJitter: cmp.Or(v.Transit.D(), transitDefault)}
 		switch {
 		case len(v.Destinations) == 0:
 			return bad("it names no destinations")
-		case r.Agree < 1 || r.Agree > agreeMost:
-			return bad("agree = %d is not from 1 to %d", r.Agree, agreeMost)
-		case r.Probe < probeLeast || r.Probe > time.Minute:
-			return bad("probe = %v is not from %v to 1m", r.Probe, probeLeast)
-		case r.Cold < 1 || r.Warm < r.Cold || r.Warm > unitsMost:
-			return bad("cold = %d and warm = %d: both are needed, calls a second, the second no fewer", r.Cold, r.Warm)
-		case r.WarmFor <= 0 || r.WarmFor > warmMost:
-			return bad("warm_for = %v is not up to %v", r.WarmFor, warmMost)
-		case r.Transit > transitMost:
-			return bad("transit = %v is not up to %v", r.Transit, transitMost)
-		case r.Lasts < lastsLeast || r.Lasts > health.LastsMost:
-			return bad("lasts = %v is not from %v to %v", r.Lasts, lastsLeast, health.LastsMost)
+		case r.Quorum < 1 || r.Quorum > agreeMost:
+			return bad("agree = %d is not from 1 to %d", r.Quorum, agreeMost)
+		case r.ProbeInterval < probeLeast || r.ProbeInterval > time.Minute:
+			return bad("probe = %v is not from %v to 1m", r.ProbeInterval, probeLeast)
+		case r.InitialRate < 1 || r.FullRate < r.InitialRate || r.FullRate > unitsMost:
+			return bad("cold = %d and warm = %d: both are needed, calls a second, the second no fewer", r.InitialRate, r.FullRate)
+		case r.SlowStart <= 0 || r.SlowStart > warmMost:
+			return bad("warm_for = %v is not up to %v", r.SlowStart, warmMost)
+		case r.TransitJitter > transitMost:
+			return bad("transit = %v is not up to %v", r.TransitJitter, transitMost)
+		case r.TTL < lastsLeast || r.TTL > health.MaxTTL:
+			return bad("lasts = %v is not from %v to %v", r.TTL, lastsLeast, health.MaxTTL)
 		}
 		for _, d := range v.Destinations {
 			if _, twice := rules[d]; twice {
@@ -90,7 +90,7 @@
 		if !ok {
 			return "each sender by itself"
 		}
-		return fmt.Sprintf("%d agree, a probe every %v, back with %d calls a second, %d after %v, lasts %v", r.Agree, r.Probe, r.Cold, r.Warm, r.WarmFor, r.Lasts)
+		return fmt.Sprintf("%d agree, a probe every %v, back with %d calls a second, %d after %v, lasts %v", r.Quorum, r.ProbeInterval, r.InitialRate, r.FullRate, r.SlowStart, r.TTL)
 	}
 	for _, d := range slices.Sorted(maps.Keys(changed)) {
 		lines = append(lines, fmt.Sprintf("destination %d, verdicts: %s -> %s", d, word(was, d), word(is, d)))
--- a/internal/health/court.go
+++ b/internal/health/court.go
@@ -11,162 +11,162 @@
 
 // Rule is how verdicts on a destination are found, and what they do.
 type Rule struct {
-	Agree   int           // believed senders that have to hold it to be out; or one alone for Lone, if nobody else tells of it
-	Probe   time.Duration // while it is out one call of all senders goes there so often
-	Cold    int64         // calls a second of all senders as it comes back,
-	Warm    int64         // which grow to so many
-	WarmFor time.Duration // in this time
-	Lasts   time.Duration // a verdict that is not said again is over
-	Transit time.Duration // by so much may the ways of two calls differ
+	Quorum        int           // believed senders that have to hold it to be out; or one alone for Lone, if nobody else tells of it
+	ProbeInterval time.Duration // while it is out one call of all senders goes there so often
+	InitialRate   int64         // calls a second of all senders as it comes back,
+	FullRate      int64         // which grow to so many
+	SlowStart     time.Duration // in this time
+	TTL           time.Duration // a verdict that is not said again is over
+	TransitJitter time.Duration // by so much may the ways of two calls differ
 }
 
-// Lone is how long the word of one sender alone waits for others.
-const Lone = 2 * time.Second
+// SoleReporterDelay is how long the word of one sender alone waits for others.
+const SoleReporterDelay = 2 * time.Second
 
-// Testimony is what one sender has seen of a destination itself.
-type Testimony struct {
+// Observation is what one sender has seen of a destination itself.
+type Observation struct {
 	Destination uint32
 	State       knowledge.State
 	Age         time.Duration // of what it rests on
-	For         time.Duration // it has been so
+	Duration    time.Duration // it has been so
 }
 
-// Court is a sender as the one in charge of some destinations: what it was told of them, and what it makes of that. What it finds is
+// Aggregator is a sender as the one in charge of some destinations: what it was told of them, and what it makes of that. What it finds is
 // handed to the log, and counts as the log has it.
-type Court struct {
-	reports *knowledge.Reports
-	cases   map[uint32]*hearing
+type Aggregator struct {
+	reports      *knowledge.Reports
+	destinations map[uint32]*destinationRecord
 }
 
-// hearing is one destination.
-type hearing struct {
-	first time.Duration // it was first told to be out, since it was told to serve last; 0: it is not
-	spoke time.Duration // somebody testified last
-	seen  uint64        // verdict that is known, by the entry from which it says what it says
-	since time.Duration // that one was seen first
-	at    uint64        // and it as it was said last
-	again time.Duration // that was seen first
-	sent  time.Duration // a word was given last
-	basis uint64        // on what
-	evid  time.Duration // newest evidence that it serves
+// destinationRecord is one destination.
+type destinationRecord struct {
+	outSince           time.Duration // it was first told to be out, since it was told to serve last; 0: it is not
+	observedAt         time.Duration // somebody testified last
+	statusStart        uint64        // verdict that is known, by the entry from which it says what it says
+	statusStartSeenAt  time.Duration // that one was seen first
+	statusUpdate       uint64        // and it as it was said last
+	statusUpdateSeenAt time.Duration // that was seen first
+	sentAt             time.Duration // a word was given last
+	sentBase           uint64        // on what
+	servedAt           time.Duration // newest evidence that it serves
 }
 
 const (
-	destinationsMost = 100_000 // of one sender's testimony
-	resend           = time.Second
+	maxDestinationsPerSender = 100_000 // of one sender's testimony
+	resendInterval           = time.Second
 )
 
-// NewCourt makes one that has heard nobody.
-func NewCourt() *Court {
-	return &Court{knowledge.NewReports(destinationsMost), map[uint32]*hearing{}}
+// NewAggregator makes one that has heard nobody.
+func NewAggregator() *Aggregator {
+	return &Aggregator{knowledge.NewReports(maxDestinationsPerSender), map[uint32]*destinationRecord{}}
 }
 
-func (c *Court) of(d uint32) *hearing {
-	h := c.cases[d]
+func (c *Aggregator) destination(d uint32) *destinationRecord {
+	h := c.destinations[d]
 	if h == nil {
-		h = &hearing{}
-		c.cases[d] = h
+		h = &destinationRecord{}
+		c.destinations[d] = h
 	}
 	return h
 }
 
-// Hear takes a testimony in.
-func (c *Court) Hear(who string, t Testimony, now time.Duration) {
+// Observe takes a testimony in.
+func (c *Aggregator) Observe(who string, t Observation, now time.Duration) {
 	at := now - max(0, t.Age)
 	c.reports.Add(knowledge.Fact{Subject: knowledge.Subject{Destination: t.Destination}, Source: knowledge.Source{Name: who, Life: 1}, Sort: knowledge.Health,
-		At: at, Value: knowledge.Value{State: t.State, Since: at - max(0, t.For)}}, now)
-	h := c.of(t.Destination)
-	h.spoke = now
+		At: at, Value: knowledge.Value{State: t.State, Since: at - max(0, t.Duration)}}, now)
+	h := c.destination(t.Destination)
+	h.observedAt = now
 	switch {
 	case t.State != knowledge.Out:
-		h.evid = max(h.evid, at)
-	case h.first == 0:
-		h.first = now
+		h.servedAt = max(h.servedAt, at)
+	case h.outSince == 0:
+		h.outSince = now
 	}
 }
 
-// Judge gives what is to be handed to the log now. mine says of which destinations this sender is in charge; epoch is of the
+// Evaluate gives what is to be handed to the log now. mine says of which destinations this sender is in charge; epoch is of the
 // roster that makes it so.
-func (c *Court) Judge(now time.Duration, epoch uint64, me string, mine func(uint32) bool, rule func(uint32) (Rule, bool), s *pb.HealthState) (words []*pb.HealthCommand) {
+func (c *Aggregator) Evaluate(now time.Duration, epoch uint64, me string, mine func(uint32) bool, rule func(uint32) (Rule, bool), s *pb.HealthState) (words []*pb.HealthCommand) {
 	for _, v := range s.GetStatuses() { // also those that nobody testifies on any more
-		if Sort(v.Kind) != Suspended && c.cases[v.Destination] == nil {
-			c.of(v.Destination).spoke = now // one that takes over has heard nobody yet, which is no sign
+		if Kind(v.Kind) != KindSuspended && c.destinations[v.Destination] == nil {
+			c.destination(v.Destination).observedAt = now // one that takes over has heard nobody yet, which is no sign
 		}
 	}
-	ds := make([]uint32, 0, len(c.cases))
-	for d := range c.cases {
+	ds := make([]uint32, 0, len(c.destinations))
+	for d := range c.destinations {
 		ds = append(ds, d)
 	}
 	slices.Sort(ds)
 	for _, d := range ds {
-		h := c.cases[d]
+		h := c.destinations[d]
 		r, ruled := rule(d)
-		is := Of(s, d, false)
+		is := StatusOf(s, d, false)
 		if !mine(d) || !ruled && is == nil {
-			if is == nil && now-h.spoke > LastsMost {
-				delete(c.cases, d)
+			if is == nil && now-h.observedAt > MaxTTL {
+				delete(c.destinations, d)
 			}
 			continue
 		}
-		if is.GetStartIndex() != h.seen {
-			h.seen, h.since = is.GetStartIndex(), now
+		if is.GetStartIndex() != h.statusStart {
+			h.statusStart, h.statusStartSeenAt = is.GetStartIndex(), now
 		}
-		if is.GetUpdateIndex() != h.at {
-			h.at, h.again = is.GetUpdateIndex(), now
+		if is.GetUpdateIndex() != h.statusUpdate {
+			h.statusUpdate, h.statusUpdateSeenAt = is.GetUpdateIndex(), now
 		}
-		if h.sent > 0 && h.basis == h.at && now-h.sent < resend {
+		if h.sentAt > 0 && h.sentBase == h.statusUpdate && now-h.sentAt < resendInterval {
 			continue // it is on its way
 		}
-		sort, why := None, "no rule asks for it any more"
+		sort, why := KindNone, "no rule asks for it any more"
 		if ruled {
-			sort, why = c.find(d, h, r, Sort(is.GetKind()), now)
+			sort, why = c.evaluate(d, h, r, Kind(is.GetKind()), now)
 		}
 		var w *pb.HealthCommand
 		switch {
-		case sort == None && is != nil:
+		case sort == KindNone && is != nil:
 			w = &pb.HealthCommand{Command: &pb.HealthCommand_Clear{Clear: &pb.ClearHealth{Destination: d, Epoch: epoch, Author: me, Reason: why, BaseIndex: is.UpdateIndex}}}
-		case sort != None && (uint32(sort) != is.GetKind() || now-h.again > r.Lasts/3):
-			w = &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: &pb.SetHealth{Destination: d, Kind: uint32(sort), Epoch: epoch, Author: me, Reason: why, TtlUs: r.Lasts.Microseconds(), BaseIndex: is.GetUpdateIndex()}}}
+		case sort != KindNone && (uint32(sort) != is.GetKind() || now-h.statusUpdateSeenAt > r.TTL/3):
+			w = &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: &pb.SetHealth{Destination: d, Kind: uint32(sort), Epoch: epoch, Author: me, Reason: why, TtlUs: r.TTL.Microseconds(), BaseIndex: is.GetUpdateIndex()}}}
 		default:
 			continue
 		}
-		h.sent, h.basis = now, h.at
+		h.sentAt, h.sentBase = now, h.statusUpdate
 		words = append(words, w)
 	}
 	return words
 }
 
-// find is what a destination is, by what was told of it and by what it was held to be.
-func (c *Court) find(d uint32, h *hearing, r Rule, was Sort, now time.Duration) (Sort, string) {
+// evaluate is what a destination is, by what was told of it and by what it was held to be.
+func (c *Aggregator) evaluate(d uint32, h *destinationRecord, r Rule, was Kind, now time.Duration) (Kind, string) {
 	subject := knowledge.Subject{Destination: d}
 	f, told := c.reports.Verdict(subject, now)
 	outs := c.reports.Outs(subject, now)
 	out := told && f.State == knowledge.Out
 	if !out {
-		h.first = 0
+		h.outSince = 0
 	}
-	agreed := out && (outs >= max(1, r.Agree) || outs > 0 && h.first > 0 && now-h.first >= Lone)
+	agreed := out && (outs >= max(1, r.Quorum) || outs > 0 && h.outSince > 0 && now-h.outSince >= SoleReporterDelay)
 	switch was {
-	case None:
+	case KindNone:
 		if agreed {
-			return Out, fmt.Sprintf("%d senders hold it to be out", outs)
+			return KindEjected, fmt.Sprintf("%d senders hold it to be out", outs)
 		}
-	case Out:
-		if h.evid > h.since {
-			return Cold, "a call was served"
+	case KindEjected:
+		if h.servedAt > h.statusStartSeenAt {
+			return KindWarmingUp, "a call was served"
 		}
-		if now-h.spoke > r.Lasts {
-			return None, "nobody tells of it any more"
+		if now-h.observedAt > r.TTL {
+			return KindNone, "nobody tells of it any more"
 		}
-		return Out, fmt.Sprintf("%d senders hold it to be out", outs)
-	case Cold:
-		if agreed && f.At > h.since {
-			return Out, fmt.Sprintf("%d senders hold it to be out again", outs)
+		return KindEjected, fmt.Sprintf("%d senders hold it to be out", outs)
+	case KindWarmingUp:
+		if agreed && f.At > h.statusStartSeenAt {
+			return KindEjected, fmt.Sprintf("%d senders hold it to be out again", outs)
 		}
-		if now-h.since < r.WarmFor {
-			return Cold, "it warms up"
+		if now-h.statusStartSeenAt < r.SlowStart {
+			return KindWarmingUp, "it warms up"
 		}
-		return None, "it is warm"
+		return KindNone, "it is warm"
 	}
-	return None, ""
+	return KindNone, ""
 }
--- a/internal/health/verdict.go
+++ b/internal/health/verdict.go
@@ -21,31 +21,31 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Sort is what a verdict says.
-type Sort uint32
+// Kind is what a verdict says.
+type Kind uint32
 
 // The sorts.
 const (
-	None      Sort = iota
-	Out            // calls fail, are refused or go unanswered
-	Cold           // it serves again since a short while
-	Suspended      // a person said so
+	KindNone      Kind = iota
+	KindEjected        // calls fail, are refused or go unanswered
+	KindWarmingUp      // it serves again since a short while
+	KindSuspended      // a person said so
 )
 
-func (s Sort) String() string {
-	if int(s) < len(sortNames) {
-		return sortNames[s]
+func (s Kind) String() string {
+	if int(s) < len(kindNames) {
+		return kindNames[s]
 	}
 	return fmt.Sprintf("sort %d", uint32(s))
 }
 
-var sortNames = [...]string{"none", "out", "cold", "suspended"}
+var kindNames = [...]string{"none", "out", "cold", "suspended"}
 
 const (
-	verdictsMost = 20_000
-	textMost     = 500 // bytes of a reason
-	// LastsMost is how long a verdict may last that is not said again.
-	LastsMost = 10 * time.Minute
+	maxStatuses    = 20_000
+	maxReasonBytes = 500 // bytes of a reason
+	// MaxTTL is how long a verdict may last that is not said again.
+	MaxTTL = 10 * time.Minute
 )
 
 // Machine is the verdicts as the fleet agrees on them. The same commands in the same order make the same state everywhere.
@@ -60,26 +60,26 @@
 // State is what is agreed; it is read only, and holds until the next command.
 func (m *Machine) State() *pb.HealthState { return m.state }
 
-// Of is the verdict on a destination, a person's or another; nil if there is none.
-func Of(s *pb.HealthState, destination uint32, person bool) *pb.HealthStatus {
-	i := find(s, destination, person)
-	if i < len(s.GetStatuses()) && same(s.Statuses[i], destination, person) {
+// StatusOf is the verdict on a destination, a person's or another; nil if there is none.
+func StatusOf(s *pb.HealthState, destination uint32, person bool) *pb.HealthStatus {
+	i := search(s, destination, person)
+	if i < len(s.GetStatuses()) && matches(s.Statuses[i], destination, person) {
 		return s.Statuses[i]
 	}
 	return nil
 }
 
-func same(v *pb.HealthStatus, destination uint32, person bool) bool {
-	return v.Destination == destination && (Sort(v.Kind) == Suspended) == person
+func matches(v *pb.HealthStatus, destination uint32, person bool) bool {
+	return v.Destination == destination && (Kind(v.Kind) == KindSuspended) == person
 }
 
-// find is the place of a verdict, or where it would stand: by destination, a person's behind the other.
-func find(s *pb.HealthState, destination uint32, person bool) int {
+// search is the place of a verdict, or where it would stand: by destination, a person's behind the other.
+func search(s *pb.HealthState, destination uint32, person bool) int {
 	i, _ := slices.BinarySearchFunc(s.GetStatuses(), destination, func(v *pb.HealthStatus, d uint32) int {
 		if v.Destination != d {
 			return cmp.Compare(v.Destination, d)
 		}
-		if (Sort(v.Kind) == Suspended) == person {
+		if (Kind(v.Kind) == KindSuspended) == person {
 			return 0
 		}
 		if person {
@@ -98,16 +98,16 @@
 	}
 	switch w := c.GetCommand().(type) {
 	case *pb.HealthCommand_Set:
-		return nil, m.pronounce(index, w.Set), nil
+		return nil, m.set(index, w.Set), nil
 	case *pb.HealthCommand_Clear:
-		return nil, m.lift(w.Clear), nil
+		return nil, m.clear(w.Clear), nil
 	}
 	return nil, "", fmt.Errorf("a verdict is of a sort that this program does not know")
 }
 
-// stands says why a word on a verdict does not count: it was given by what has changed meanwhile.
-func (m *Machine) stands(destination uint32, person bool, epoch, base uint64) (was *pb.HealthStatus, refused string) {
-	was = Of(m.state, destination, person)
+// checkBase says why a word on a verdict does not count: it was given by what has changed meanwhile.
+func (m *Machine) checkBase(destination uint32, person bool, epoch, base uint64) (was *pb.HealthStatus, refused string) {
+	was = StatusOf(m.state, destination, person)
 	switch {
 	case !person && epoch != m.epoch():
 		return was, fmt.Sprintf("it was given under roster %d, and roster %d is in force", epoch, m.epoch())
@@ -117,27 +117,27 @@
 	return was, ""
 }
 
-func (m *Machine) pronounce(index uint64, p *pb.SetHealth) (refused string) {
-	sort, person := Sort(p.Kind), Sort(p.Kind) == Suspended
-	was, refused := m.stands(p.Destination, person, p.Epoch, p.BaseIndex)
+func (m *Machine) set(index uint64, p *pb.SetHealth) (refused string) {
+	sort, person := Kind(p.Kind), Kind(p.Kind) == KindSuspended
+	was, refused := m.checkBase(p.Destination, person, p.Epoch, p.BaseIndex)
 	ttl := time.Duration(p.TtlUs) * time.Microsecond
 	switch {
 	case refused != "":
 		return refused
-	case sort != Out && sort != Cold && sort != Suspended:
+	case sort != KindEjected && sort != KindWarmingUp && sort != KindSuspended:
 		return fmt.Sprintf("a verdict of %v is none", sort)
-	case person != (ttl == 0) || ttl < 0 || ttl > LastsMost:
-		return fmt.Sprintf("it lasts %v: a person's lasts until it is lifted, any other up to %v", ttl, LastsMost)
-	case len(p.Reason) > textMost:
-		return fmt.Sprintf("why has %d bytes; %d are the most", len(p.Reason), textMost)
+	case person != (ttl == 0) || ttl < 0 || ttl > MaxTTL:
+		return fmt.Sprintf("it lasts %v: a person's lasts until it is lifted, any other up to %v", ttl, MaxTTL)
+	case len(p.Reason) > maxReasonBytes:
+		return fmt.Sprintf("why has %d bytes; %d are the most", len(p.Reason), maxReasonBytes)
 	case person && was != nil:
 		return fmt.Sprintf("%s has suspended destination %d already: %s", was.Author, p.Destination, was.Reason)
-	case was == nil && len(m.state.Statuses) >= verdictsMost:
-		return fmt.Sprintf("there are %d verdicts, which is the most", verdictsMost)
+	case was == nil && len(m.state.Statuses) >= maxStatuses:
+		return fmt.Sprintf("there are %d verdicts, which is the most", maxStatuses)
 	}
 	v := &pb.HealthStatus{Destination: p.Destination, Kind: p.Kind, UpdateIndex: index, StartIndex: index, Epoch: p.Epoch, Author: p.Author, Reason: p.Reason, TtlUs: p.TtlUs}
 	all := slices.Clone(m.state.Statuses)
-	i := find(m.state, p.Destination, person)
+	i := search(m.state, p.Destination, person)
 	if was != nil {
 		if was.Kind == p.Kind {
 			v.StartIndex = was.StartIndex
@@ -150,8 +150,8 @@
 	return ""
 }
 
-func (m *Machine) lift(l *pb.ClearHealth) (refused string) {
-	was, refused := m.stands(l.Destination, l.ByOperator, l.Epoch, l.BaseIndex)
+func (m *Machine) clear(l *pb.ClearHealth) (refused string) {
+	was, refused := m.checkBase(l.Destination, l.ByOperator, l.Epoch, l.BaseIndex)
 	if refused != "" {
 		return refused
 	}
@@ -159,7 +159,7 @@
 		return fmt.Sprintf("there is no such verdict on destination %d", l.Destination)
 	}
 	all := slices.Clone(m.state.Statuses)
-	i := find(m.state, l.Destination, l.ByOperator)
+	i := search(m.state, l.Destination, l.ByOperator)
 	m.state = &pb.HealthState{Statuses: slices.Delete(all, i, i+1)}
 	return ""
 }
--- a/internal/health/verdict_test.go
+++ b/internal/health/verdict_test.go
@@ -39,9 +39,9 @@
 	return refused
 }
 
-func pronounce(d uint32, sort Sort, epoch, base uint64) *pb.HealthCommand {
+func pronounce(d uint32, sort Kind, epoch, base uint64) *pb.HealthCommand {
 	p := &pb.SetHealth{Destination: d, Kind: uint32(sort), Epoch: epoch, BaseIndex: base, Author: "x"}
-	if sort != Suspended {
+	if sort != KindSuspended {
 		p.TtlUs = time.Second.Microseconds()
 	}
 	return &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: p}}
@@ -61,16 +61,16 @@
 		stand   string
 	}{
 		{"nothing is lifted", lift(7, false, 1, 0), "there is no such verdict", ""},
-		{"out", pronounce(7, Out, 1, 0), "", "7 out"},
-		{"by one who did not know of it", pronounce(7, Out, 1, 0), "that of entry 2 stands", "7 out"},
+		{"out", pronounce(7, KindEjected, 1, 0), "", "7 out"},
+		{"by one who did not know of it", pronounce(7, KindEjected, 1, 0), "that of entry 2 stands", "7 out"},
 		{"a lifting of what it was not", lift(7, false, 1, 1), "that of entry 2 stands", "7 out"},
-		{"said again", pronounce(7, Out, 1, 2), "", "7 out"},
-		{"of an old roster", pronounce(7, Cold, 0, 5), "under roster 0", "7 out"},
-		{"a person", pronounce(7, Suspended, 0, 0), "", "7 out, 7 suspended"},
-		{"again", pronounce(7, Suspended, 0, 0), "has suspended destination 7 already", "7 out, 7 suspended"},
-		{"another place", pronounce(3, Out, 1, 0), "", "3 out, 7 out, 7 suspended"},
-		{"cold", pronounce(7, Cold, 1, 5), "", "3 out, 7 cold, 7 suspended"},
-		{"no sort", pronounce(8, None, 1, 0), "is none", "3 out, 7 cold, 7 suspended"},
+		{"said again", pronounce(7, KindEjected, 1, 2), "", "7 out"},
+		{"of an old roster", pronounce(7, KindWarmingUp, 0, 5), "under roster 0", "7 out"},
+		{"a person", pronounce(7, KindSuspended, 0, 0), "", "7 out, 7 suspended"},
+		{"again", pronounce(7, KindSuspended, 0, 0), "has suspended destination 7 already", "7 out, 7 suspended"},
+		{"another place", pronounce(3, KindEjected, 1, 0), "", "3 out, 7 out, 7 suspended"},
+		{"cold", pronounce(7, KindWarmingUp, 1, 5), "", "3 out, 7 cold, 7 suspended"},
+		{"no sort", pronounce(8, KindNone, 1, 0), "is none", "3 out, 7 cold, 7 suspended"},
 		{"lifted by its authority", lift(7, false, 1, 10), "", "3 out, 7 suspended"},
 		{"lifted by a person", lift(7, true, 0, 0), "", "3 out"},
 	} {
@@ -79,13 +79,13 @@
 		}
 		var is []string
 		for _, v := range l.State().Statuses {
-			is = append(is, strings.TrimSpace(string(rune('0'+v.Destination))+" "+Sort(v.Kind).String()))
+			is = append(is, strings.TrimSpace(string(rune('0'+v.Destination))+" "+Kind(v.Kind).String()))
 		}
 		if got := strings.Join(is, ", "); got != step.stand {
 			t.Errorf("%s: %q stand, want %q", step.what, got, step.stand)
 		}
 	}
-	if v := Of(l.State(), 3, false); v.StartIndex != 9 || v.UpdateIndex != 9 {
+	if v := StatusOf(l.State(), 3, false); v.StartIndex != 9 || v.UpdateIndex != 9 {
 		t.Errorf("%v", v)
 	}
 	raw, err := l.Snapshot()
@@ -101,29 +101,29 @@
 // trial is a court with its log, and a clock.
 type trial struct {
 	*log
-	c    *Court
+	c    *Aggregator
 	now  time.Duration
 	rule Rule
 	mine bool
 }
 
 func newTrial(t *testing.T) *trial {
-	return &trial{log: newLog(t), c: NewCourt(), now: time.Hour, mine: true, rule: Rule{Agree: 2, Probe: time.Second, Cold: 1, Warm: 10, WarmFor: 5 * time.Second, Lasts: 6 * time.Second}}
+	return &trial{log: newLog(t), c: NewAggregator(), now: time.Hour, mine: true, rule: Rule{Quorum: 2, ProbeInterval: time.Second, InitialRate: 1, FullRate: 10, SlowStart: 5 * time.Second, TTL: 6 * time.Second}}
 }
 
 // is lets a time go by with the court judging, and gives what destination 7 is held to be.
 func (tr *trial) is(after time.Duration) string {
 	for end := tr.now + after; tr.now < end; {
 		tr.now += 100 * time.Millisecond
-		for _, w := range tr.c.Judge(tr.now, tr.epoch, "x", func(uint32) bool { return tr.mine }, func(uint32) (Rule, bool) { return tr.rule, tr.rule.Agree > 0 }, tr.State()) {
+		for _, w := range tr.c.Evaluate(tr.now, tr.epoch, "x", func(uint32) bool { return tr.mine }, func(uint32) (Rule, bool) { return tr.rule, tr.rule.Quorum > 0 }, tr.State()) {
 			tr.apply(w)
 		}
 	}
-	return Sort(Of(tr.State(), 7, false).GetKind()).String()
+	return Kind(StatusOf(tr.State(), 7, false).GetKind()).String()
 }
 
 func (tr *trial) says(who string, d uint32, s knowledge.State, age time.Duration) {
-	tr.c.Hear(who, Testimony{Destination: d, State: s, Age: age, For: time.Second}, tr.now)
+	tr.c.Observe(who, Observation{Destination: d, State: s, Age: age, Duration: time.Second}, tr.now)
 }
 
 // What the court makes of testimonies.
@@ -206,7 +206,7 @@
 				tr.says("b", 7, knowledge.Out, 0)
 				tr.is(1000 * ms)
 			}
-			if v := Of(tr.State(), 7, false); v.UpdateIndex < v.StartIndex+3 {
+			if v := StatusOf(tr.State(), 7, false); v.UpdateIndex < v.StartIndex+3 {
 				tr.t.Errorf("it was not said again: %v", v)
 			}
 		}, "out"},
@@ -232,17 +232,17 @@
 			tr.says("a", 7, knowledge.Out, 0)
 			tr.says("b", 7, knowledge.Out, 0)
 			tr.is(1000 * ms)
-			tr.c, tr.epoch = NewCourt(), 2
+			tr.c, tr.epoch = NewAggregator(), 2
 			tr.is(3000 * ms)
 		}, "out"},
 		"one that takes over goes on": {func(tr *trial) {
 			tr.says("a", 7, knowledge.Out, 0)
 			tr.says("b", 7, knowledge.Out, 0)
 			tr.is(1000 * ms)
-			tr.c, tr.epoch = NewCourt(), 2
+			tr.c, tr.epoch = NewAggregator(), 2
 			tr.says("a", 7, knowledge.Out, 0)
 			tr.is(3000 * ms)
-			if v := Of(tr.State(), 7, false); v.GetEpoch() != 2 || v.GetStartIndex() != 1 {
+			if v := StatusOf(tr.State(), 7, false); v.GetEpoch() != 2 || v.GetStartIndex() != 1 {
 				tr.t.Errorf("%v", v)
 			}
 		}, "out"},
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -12,34 +12,34 @@
 // ended before the granter says so, and it never acts below the index that the fence stands at once that is passed.
 func TestLapsesAtItsHolderFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Terms{Length: time.Duration(rapid.Int64Range(1e6, 60e9).Draw(t, "length")), Drift: rapid.SampledFrom([]float64{0, 0.01, DefaultDrift}).Draw(t, "drift")}
-		rate := func(label string) float64 { return 1 + terms.Drift*rapid.Float64Range(-1, 1).Draw(t, label) }
+		terms := Terms{Duration: time.Duration(rapid.Int64Range(1e6, 60e9).Draw(t, "length")), MaxDrift: rapid.SampledFrom([]float64{0, 0.01, DefaultDrift}).Draw(t, "drift")}
+		rate := func(label string) float64 { return 1 + terms.MaxDrift*rapid.Float64Range(-1, 1).Draw(t, label) }
 		holderRate, granterRate := rate("holder's clock"), rate("granter's clock")
 		shift := time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "granter's clock is ahead by"))
 		holder := func(at time.Duration) time.Duration { return time.Duration(float64(at) * holderRate) }
 		granter := func(at time.Duration) time.Duration { return time.Duration(float64(at)*granterRate) + shift }
-		h, g := NewHolder(terms), NewGranter(terms, granter(0)-terms.Wait())
-		who := Who{"a", 1}
+		h, g := NewHolder(terms), NewGranter(terms, granter(0)-terms.GranterDuration())
+		who := HolderID{"a", 1}
 		now := time.Duration(0) // true time
 		applied, log := uint64(0), uint64(0)
 		for range rapid.IntRange(1, 12).Draw(t, "rounds") {
 			pass := func(label string) {
-				now += time.Duration(rapid.Int64Range(0, int64(terms.Length)*3/2).Draw(t, label))
+				now += time.Duration(rapid.Int64Range(0, int64(terms.Duration)*3/2).Draw(t, label))
 			}
 			log += rapid.Uint64Range(0, 2).Draw(t, "entries")
-			asked, acts := h.Ask(holder(now)), applied
+			asked, acts := h.Request(holder(now)), applied
 			pass("question's way")
-			g.Asked(who, acts)
+			g.RecordRequest(who, acts)
 			need := g.Grant(who, log, granter(now))
 			applied = rapid.Uint64Range(applied, log).Draw(t, "applied")
 			pass("answer's way")
-			h.Granted(asked, need, terms.Length, holder(now))
+			h.RecordGrant(asked, need, terms.Duration, holder(now))
 			for range 3 {
 				pass("then")
 				// A rounding of the clocks is no drift: 1 ms of a million seconds is far below it.
 				if may := h.Until(applied) > holder(now)+time.Microsecond; may {
 					for fence := uint64(0); fence <= log+1; fence++ {
-						if len(g.Below(fence, granter(now))) == 0 && applied < fence {
+						if len(g.LeasesBelow(fence, granter(now))) == 0 && applied < fence {
 							t.Fatalf("at %v it acts at %d under a lease to %v (now %v), and the fence at %d is passed", now, applied, h.Until(applied), holder(now), fence)
 						}
 					}
@@ -51,34 +51,34 @@
 
 // What a holder may do, question by question.
 func TestHolder(t *testing.T) {
-	terms := Terms{Length: 10 * time.Second, Drift: DefaultDrift}
+	terms := Terms{Duration: 10 * time.Second, MaxDrift: DefaultDrift}
 	s := time.Second
 	h := NewHolder(terms)
 	if h.Until(99) != 0 {
 		t.Error("one that has just begun holds a lease")
 	}
-	first := h.Ask(1 * s)
-	second := h.Ask(4 * s)
-	h.Granted(second, 5, terms.Length, 6*s)
+	first := h.Request(1 * s)
+	second := h.Request(4 * s)
+	h.RecordGrant(second, 5, terms.Duration, 6*s)
 	if got := h.Until(4); got != 0 {
 		t.Errorf("behind what it needs it may act to %v", got)
 	}
 	if got := h.Until(5); got != 14*s {
 		t.Errorf("to %v, from before it asked it is 14 s", got)
 	}
-	h.Granted(first, 0, terms.Length, 7*s)
+	h.RecordGrant(first, 0, terms.Duration, 7*s)
 	if got := h.Until(4); got != 0 {
 		t.Errorf("by the answer to an older question to %v", got)
 	}
-	h.Granted(h.Ask(8*s), 6, time.Hour, 9*s)
+	h.RecordGrant(h.Request(8*s), 6, time.Hour, 9*s)
 	if got := h.Until(6); got != 18*s {
 		t.Errorf("a granter gives no more than the terms: %v", got)
 	}
 	if got := h.Until(5); got != 14*s {
 		t.Errorf("the earlier one counts on: %v", got)
 	}
-	late := h.Ask(20 * s)
-	h.Granted(late, 0, terms.Length, 31*s)
+	late := h.Request(20 * s)
+	h.RecordGrant(late, 0, terms.Duration, 31*s)
 	if got := h.Until(9); got > 31*s {
 		t.Errorf("an answer as late as a lease is long gives one to %v", got)
 	}
@@ -86,14 +86,14 @@
 
 // The fence waits for each that may act below it, and for nobody else.
 func TestFence(t *testing.T) {
-	terms := Terms{Length: 10 * time.Second}
+	terms := Terms{Duration: 10 * time.Second}
 	s := time.Second
 	g := NewGranter(terms, 100*s)
-	a, b := Who{"a", 1}, Who{"b", 1}
+	a, b := HolderID{"a", 1}, HolderID{"b", 1}
 	g.Grant(a, 3, 101*s)
 	g.Grant(b, 3, 105*s)
 	below := func(index uint64, now time.Duration) (names []string) {
-		for _, h := range g.Below(index, now) {
+		for _, h := range g.LeasesBelow(index, now) {
 			names = append(names, h.Name)
 		}
 		return names
@@ -108,9 +108,9 @@
 		{"an earlier leader's leases may live", func() {}, 3, 106 * s, []string{""}},
 		{"all are at 3", func() {}, 3, 110 * s, nil},
 		{"b alone has one", func() {}, 4, 112 * s, []string{"b"}},
-		{"b acts at 4", func() { g.Asked(b, 4) }, 4, 112 * s, nil},
+		{"b acts at 4", func() { g.RecordRequest(b, 4) }, 4, 112 * s, nil},
 		{"a comes back at 4", func() { g.Grant(a, 4, 112*s) }, 5, 113 * s, []string{"a", "b"}},
-		{"another process of b is another holder", func() { g.Grant(Who{"b", 2}, 4, 113*s); g.Asked(b, 9) }, 5, 114 * s, []string{"b", "a"}},
+		{"another process of b is another holder", func() { g.Grant(HolderID{"b", 2}, 4, 113*s); g.RecordRequest(b, 9) }, 5, 114 * s, []string{"b", "a"}},
 		{"all have lapsed", func() {}, 9, 124 * s, nil},
 	} {
 		c.do()
--- a/internal/quota/asker.go
+++ b/internal/quota/asker.go
@@ -40,12 +40,12 @@
 // back what it does not need. Each authority has one question at a time: an answer counts only if no other was put since, as with
 // each question this sender promises to go by no older answer.
 type Asker struct {
-	me    lease.Who
+	me    lease.HolderID
 	terms Terms
 	till  *Till
 
 	epoch  uint64
-	charge *coordinator.Charge
+	charge *coordinator.Ownership
 	out    map[string]*question // by authority
 	due    map[string]time.Duration
 	keeps  map[string]int64 // units that it goes on with, as it was lent last
@@ -70,7 +70,7 @@
 )
 
 // NewAsker makes one that knows of nobody to ask.
-func NewAsker(me lease.Who, t Terms, till *Till) *Asker {
+func NewAsker(me lease.HolderID, t Terms, till *Till) *Asker {
 	return &Asker{me: me, terms: t, till: till, out: map[string]*question{}, due: map[string]time.Duration{}, keeps: map[string]int64{}, wants: map[string]int64{}, stands: map[string]Share{}, lapses: map[string]time.Duration{},
 		lasts: func(d time.Duration) time.Duration { return d }}
 }
@@ -83,7 +83,7 @@
 	if a.charge != nil && a.epoch == s.GetEpoch() {
 		return
 	}
-	a.epoch, a.charge = s.GetEpoch(), coordinator.NewCharge(s.GetParticipants())
+	a.epoch, a.charge = s.GetEpoch(), coordinator.NewOwnership(s.GetParticipants())
 	clear(a.out)
 	for key := range a.due {
 		a.due[key] = 0
@@ -128,7 +128,7 @@
 			a.forget(key)
 			continue
 		}
-		p := a.charge.Of(key)
+		p := a.charge.Owner(key)
 		if p == nil || a.out[p.Name] != nil {
 			continue // as soon as that is over
 		}
@@ -188,12 +188,12 @@
 // ask makes the question to one authority.
 func (a *Asker) ask(to string, keys []string, now time.Duration) (Question, bool) {
 	a.seq++
-	r := &pb.QuotaRequest{Name: a.me.Name, Incarnation: a.me.Life, Epoch: a.epoch, Sequence: a.seq}
+	r := &pb.QuotaRequest{Name: a.me.Name, Incarnation: a.me.Incarnation, Epoch: a.epoch, Sequence: a.seq}
 	var asked []string
 	var part *pb.Participant
 	for _, key := range keys {
 		s := a.till.slot(key)
-		part = a.charge.Of(key)
+		part = a.charge.Owner(key)
 		one, idle := s.question(key, a.keeps[key], now)
 		a.wants[key] = one.Wanted
 		if idle {
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -32,10 +32,10 @@
 	limit Limit
 	terms Terms
 	quiet time.Duration // until then there may be loans of an earlier authority that it knows nothing of
-	by    map[lease.Who]*account
+	by    map[lease.HolderID]*account
 
-	shares map[lease.Who]int64 // as cut last
-	slack  int64               // that each who wants some gets beyond its share
+	shares map[lease.HolderID]int64 // as cut last
+	slack  int64                    // that each who wants some gets beyond its share
 	cut    time.Duration
 	scarce bool
 	stale  bool
@@ -68,7 +68,7 @@
 
 // NewBook makes the book of an authority that begins now; until quiet an earlier one's loans may last.
 func NewBook(l Limit, t Terms, quiet time.Duration) *Book {
-	return &Book{limit: l, terms: t, quiet: quiet, by: map[lease.Who]*account{}, stale: true}
+	return &Book{limit: l, terms: t, quiet: quiet, by: map[lease.HolderID]*account{}, stale: true}
 }
 
 // Change takes over what the limit is now. What is lent stays so; too much of it comes back as it is asked for.
@@ -90,7 +90,7 @@
 func (b *Book) asks(a *account, now time.Duration) bool { return now-a.asked < b.terms.Length }
 
 // Ask takes a holder's word and lends. ok is false for one that is not newer than the last: it gets no answer.
-func (b *Book) Ask(w lease.Who, q Ask, now time.Duration) (l Lent, ok bool) {
+func (b *Book) Ask(w lease.HolderID, q Ask, now time.Duration) (l Lent, ok bool) {
 	a := b.by[w]
 	if a != nil && q.Seq <= a.seq {
 		return Lent{}, false
@@ -192,12 +192,12 @@
 }
 
 // sharesAt cuts the limit by what is wanted, now and then.
-func (b *Book) sharesAt(now time.Duration) map[lease.Who]int64 {
+func (b *Book) sharesAt(now time.Duration) map[lease.HolderID]int64 {
 	if !b.stale && now-b.cut < cutEvery {
 		return b.shares
 	}
 	b.cut, b.stale = now, false
-	whos := make([]lease.Who, 0, len(b.by))
+	whos := make([]lease.HolderID, 0, len(b.by))
 	pool := b.limit.Lendable()
 	for w, a := range b.by {
 		if b.asks(a, now) {
@@ -209,7 +209,9 @@
 	if pool >= spareFor {
 		pool -= pool / spareFor
 	}
-	slices.SortFunc(whos, func(x, y lease.Who) int { return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Life, y.Life)) })
+	slices.SortFunc(whos, func(x, y lease.HolderID) int {
+		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
+	})
 	all, pieces := make([]Demand, len(whos)), int64(0)
 	turn := b.limit.Rest(b.terms.Drift)
 	for i, w := range whos {
@@ -221,7 +223,7 @@
 	}
 	b.scarce = pieces > max(0, pool)
 	cut := Shares(max(0, pool), all)
-	b.shares = make(map[lease.Who]int64, len(whos))
+	b.shares = make(map[lease.HolderID]int64, len(whos))
 	wanting := int64(0)
 	for i, w := range whos {
 		b.shares[w] = cut[i]
@@ -274,7 +276,7 @@
 
 // Line is one process of a sender in a book.
 type Line struct {
-	lease.Who
+	lease.HolderID
 	Units int64         // lent
 	Rests int64         // let go of, and at rest
 	Left  time.Duration // until all of it is free at the latest
@@ -286,7 +288,7 @@
 func (b *Book) Lines(now time.Duration) []Line {
 	lines := make([]Line, 0, len(b.by))
 	for w, a := range b.by {
-		l := Line{Who: w, Rests: a.resting(now), Units: a.out(now) - a.resting(now), Want: a.want}
+		l := Line{HolderID: w, Rests: a.resting(now), Units: a.out(now) - a.resting(now), Want: a.want}
 		for _, o := range a.loans {
 			l.Left = max(l.Left, o.until-now)
 		}
@@ -298,7 +300,9 @@
 		}
 		lines = append(lines, l)
 	}
-	slices.SortFunc(lines, func(x, y Line) int { return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Life, y.Life)) })
+	slices.SortFunc(lines, func(x, y Line) int {
+		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
+	})
 	return lines
 }
 
--- a/internal/quota/explore.go
+++ b/internal/quota/explore.go
@@ -37,7 +37,7 @@
 // Clone is a book with the same state.
 func (b *Book) Clone() *Book {
 	c := *b
-	c.by = make(map[lease.Who]*account, len(b.by))
+	c.by = make(map[lease.HolderID]*account, len(b.by))
 	for w, a := range b.by {
 		d := *a
 		d.loans = slices.Clone(a.loans)
@@ -50,20 +50,20 @@
 // AppendState writes the state in short, as it matters from now on.
 func (b *Book) AppendState(to []byte, now time.Duration) []byte {
 	to = binary.AppendVarint(to, int64(max(0, b.quiet-now)))
-	whos := make([]lease.Who, 0, len(b.by))
+	whos := make([]lease.HolderID, 0, len(b.by))
 	for w := range b.by {
 		whos = append(whos, w)
 	}
-	slices.SortFunc(whos, func(x, y lease.Who) int {
+	slices.SortFunc(whos, func(x, y lease.HolderID) int {
 		if x.Name != y.Name {
 			return int(x.Name[0]) - int(y.Name[0])
 		}
-		return int(x.Life) - int(y.Life)
+		return int(x.Incarnation) - int(y.Incarnation)
 	})
 	for _, w := range whos {
 		a := b.by[w]
 		a.out(now)
-		to = binary.AppendUvarint(append(to, w.Name...), w.Life)
+		to = binary.AppendUvarint(append(to, w.Name...), w.Incarnation)
 		since := func(at time.Duration) int64 { // before that it is all one
 			if at == 0 {
 				return -1
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -16,11 +16,11 @@
 // A step that stands still after that moment does no harm: what it lends is counted from before it was asked, and whoever is in charge
 // next waits for longer than that from a later moment on.
 type Lender struct {
-	me     lease.Who
+	me     lease.HolderID
 	terms  Terms
 	limits map[string]Limit
-	coming *coordinator.Charge // nil: none is
-	begun  []begun             // rosters, the one in force last
+	coming *coordinator.Ownership // nil: none is
+	begun  []begun                // rosters, the one in force last
 	books  map[string]*Book
 	pots   map[string]*Pot
 	day    int64                    // as this sender's calendar has it
@@ -33,7 +33,7 @@
 // begun is a roster and when it began, as this process saw it.
 type begun struct {
 	epoch  uint64
-	charge *coordinator.Charge
+	charge *coordinator.Ownership
 	at     time.Duration
 }
 
@@ -48,7 +48,7 @@
 )
 
 // NewLender makes one that is in charge of nothing.
-func NewLender(me lease.Who, t Terms) *Lender {
+func NewLender(me lease.HolderID, t Terms) *Lender {
 	return &Lender{me: me, terms: t, limits: map[string]Limit{}, books: map[string]*Book{}, pots: map[string]*Pot{}, told: map[string]told{}, heard: map[string]time.Duration{}, wait: func(d time.Duration) time.Duration { return d }}
 }
 
@@ -82,7 +82,7 @@
 		if n > 0 && s.GetEpoch() != l.begun[n-1].epoch+1 {
 			l.begun = nil // others were in charge meanwhile, of nobody knows what
 		}
-		l.begun = append(l.begun, begun{s.GetEpoch(), coordinator.NewCharge(s.GetParticipants()), now})
+		l.begun = append(l.begun, begun{s.GetEpoch(), coordinator.NewOwnership(s.GetParticipants()), now})
 		if n := len(l.begun) - rostersMost; n > 0 {
 			l.begun = slices.Delete(l.begun, 0, n)
 		}
@@ -99,15 +99,15 @@
 	}
 	l.coming = nil
 	if s.GetNextEpoch() != 0 {
-		l.coming = coordinator.NewCharge(s.GetNextParticipants())
+		l.coming = coordinator.NewOwnership(s.GetNextParticipants())
 	}
 }
 
 func (l *Lender) now() begun { return l.begun[len(l.begun)-1] }
 
-func (l *Lender) mine(c *coordinator.Charge, key string) bool {
-	p := c.Of(key)
-	return p != nil && p.Name == l.me.Name && p.Incarnation == l.me.Life
+func (l *Lender) mine(c *coordinator.Ownership, key string) bool {
+	p := c.Owner(key)
+	return p != nil && p.Name == l.me.Name && p.Incarnation == l.me.Incarnation
 }
 
 // since is from when it has been in charge of a limit without a break, as far as that is known.
@@ -129,12 +129,12 @@
 
 // Lend answers a holder, by the roster and the limits told last. An error is that it is not for this sender, or not now.
 func (l *Lender) Lend(r *pb.QuotaRequest, now time.Duration) (*pb.QuotaReply, error) {
-	if l.Epoch() != r.Epoch || r.ToIncarnation != l.me.Life {
-		return nil, fmt.Errorf("this sender goes by roster %d as process %x, the question by roster %d for %x", l.Epoch(), l.me.Life, r.Epoch, r.ToIncarnation)
+	if l.Epoch() != r.Epoch || r.ToIncarnation != l.me.Incarnation {
+		return nil, fmt.Errorf("this sender goes by roster %d as process %x, the question by roster %d for %x", l.Epoch(), l.me.Incarnation, r.Epoch, r.ToIncarnation)
 	}
 	reply := &pb.QuotaReply{Epoch: r.Epoch}
-	who := lease.Who{Name: r.Name, Life: r.Incarnation}
-	if !l.now().charge.Has(who) {
+	who := lease.HolderID{Name: r.Name, Incarnation: r.Incarnation}
+	if !l.now().charge.Includes(who) {
 		return nil, fmt.Errorf("%s takes no part in roster %d with that process", r.Name, r.Epoch)
 	}
 	for _, a := range r.Demands {
@@ -199,7 +199,7 @@
 }
 
 // daily lends of a day's quota.
-func (l *Lender) daily(limit Limit, who lease.Who, seq uint64, a *pb.QuotaDemand, now time.Duration) (*pb.QuotaGrant, bool) {
+func (l *Lender) daily(limit Limit, who lease.HolderID, seq uint64, a *pb.QuotaDemand, now time.Duration) (*pb.QuotaGrant, bool) {
 	p := l.pots[limit.Key]
 	if p == nil {
 		p = NewPot(limit, l.terms)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -217,13 +217,13 @@
 			if m.fault == noTail || m.fault == noRest {
 				n.book.limit.Span = 0
 			}
-			if acc := n.book.by[lease.Who{Name: name, Life: life}]; acc != nil && (m.fault == oldQuestions || m.fault == lifeIgnored) {
+			if acc := n.book.by[lease.HolderID{Name: name, Incarnation: life}]; acc != nil && (m.fault == oldQuestions || m.fault == lifeIgnored) {
 				acc.seq = 0
 			}
 			if m.fault == claimsTwice && n.clock() < n.book.quiet {
 				n.book.quiet = 0
 			}
-			l, ok := n.book.Ask(lease.Who{Name: name, Life: life}, q.ask, n.clock())
+			l, ok := n.book.Ask(lease.HolderID{Name: name, Incarnation: life}, q.ask, n.clock())
 			n.book.limit.Span = m.limit.Span
 			if ok {
 				t.lent = &modelLent{q.life, q.ask.Seq, q.at, q.epoch, l}
--- a/internal/quota/pot.go
+++ b/internal/quota/pot.go
@@ -18,7 +18,7 @@
 	period  int64
 	free    int64 // drawn, and not lent
 	drawing bool
-	by      map[lease.Who]*pouch
+	by      map[lease.HolderID]*pouch
 }
 
 // pouch is one process of a sender.
@@ -35,7 +35,7 @@
 const drawnAtOnce = 100
 
 // NewPot makes a pot with nothing in it.
-func NewPot(l Limit, t Terms) *Pot { return &Pot{limit: l, terms: t, by: map[lease.Who]*pouch{}} }
+func NewPot(l Limit, t Terms) *Pot { return &Pot{limit: l, terms: t, by: map[lease.HolderID]*pouch{}} }
 
 // Begin begins a day, unless it has begun. What is lent from the one before may be used until it lapses.
 func (p *Pot) Begin(period int64) {
@@ -45,7 +45,7 @@
 }
 
 // Ask takes a holder's word and lends. draw is how many units are to be drawn from the log now; 0: none.
-func (p *Pot) Ask(w lease.Who, q Ask, now time.Duration) (l Lent, draw int64, ok bool) {
+func (p *Pot) Ask(w lease.HolderID, q Ask, now time.Duration) (l Lent, draw int64, ok bool) {
 	a := p.by[w]
 	if a != nil && q.Seq <= a.seq {
 		return Lent{}, 0, false
@@ -95,8 +95,10 @@
 func (p *Pot) Lines(now time.Duration) []Line {
 	var lines []Line
 	for w, a := range p.by {
-		lines = append(lines, Line{Who: w, Units: a.lent, Left: max(0, a.until-now), Want: a.want})
+		lines = append(lines, Line{HolderID: w, Units: a.lent, Left: max(0, a.until-now), Want: a.want})
 	}
-	slices.SortFunc(lines, func(x, y Line) int { return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Life, y.Life)) })
+	slices.SortFunc(lines, func(x, y Line) int {
+		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
+	})
 	return lines
 }
--- a/internal/quota/pot_test.go
+++ b/internal/quota/pot_test.go
@@ -47,7 +47,7 @@
 		now, period := time.Hour, int64(10)
 		pot.Begin(period)
 		type one struct {
-			who   lease.Who
+			who   lease.HolderID
 			purse *Purse
 			seq   uint64
 		}
@@ -55,7 +55,7 @@
 		lives := uint64(0)
 		begin := func(i int) {
 			lives++
-			holders[i] = one{lease.Who{Name: string(rune('a' + i)), Life: lives}, NewPurse(day, simTerms.Drift, false, now), 0}
+			holders[i] = one{lease.HolderID{Name: string(rune('a' + i)), Incarnation: lives}, NewPurse(day, simTerms.Drift, false, now), 0}
 		}
 		for i := range holders {
 			begin(i)
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -46,7 +46,7 @@
 	s      *sim
 	i      int
 	name   string
-	who    lease.Who
+	who    lease.HolderID
 	rate   float64
 	offset time.Duration
 	till   *Till
@@ -127,7 +127,7 @@
 	s.coming = []*pb.Participant{}
 	for _, p := range s.senders {
 		if !p.down && p.lease > s.now {
-			s.coming = append(s.coming, &pb.Participant{Name: p.name, Incarnation: p.who.Life})
+			s.coming = append(s.coming, &pb.Participant{Name: p.name, Incarnation: p.who.Incarnation})
 		}
 	}
 	r := &pb.MembershipState{Epoch: s.roster.Epoch, Participants: s.roster.Participants, NextEpoch: s.roster.Epoch + 1, NextParticipants: s.coming}
@@ -153,11 +153,11 @@
 // tell has each sender hear of a roster, with a delay of its own; one that is paused hears so when it wakes.
 func (s *sim) tell(r *pb.MembershipState) {
 	for _, p := range s.senders {
-		life := p.who.Life
+		life := p.who.Incarnation
 		var hear func()
 		hear = func() {
 			switch {
-			case p.down || p.who.Life != life || r.Epoch < p.asker.epoch:
+			case p.down || p.who.Incarnation != life || r.Epoch < p.asker.epoch:
 			case p.paused > s.now:
 				s.at(p.paused-s.now+s.delay(), hear)
 			default:
@@ -173,7 +173,7 @@
 
 // renew renews a sender's lease, unless a roster comes that it does not know of.
 func (p *simSender) renew(life uint64) {
-	if p.down || p.who.Life != life {
+	if p.down || p.who.Incarnation != life {
 		return
 	}
 	if p.paused <= p.s.now && (p.s.coming == nil || p.heard > p.s.roster.Epoch) {
@@ -188,7 +188,7 @@
 
 func (p *simSender) start() {
 	p.s.lives++
-	p.who, p.down, p.load = lease.Who{Name: p.name, Life: p.s.lives}, false, map[string]*simLoad{}
+	p.who, p.down, p.load = lease.HolderID{Name: p.name, Incarnation: p.s.lives}, false, map[string]*simLoad{}
 	p.till = NewTill(p.s.terms.Drift, func(key string) { p.pokes = append(p.pokes, Poke{key}) })
 	p.till.Limits(p.s.limits, func(Limit) bool { return false }, p.clock())
 	p.asker, p.lender = NewAsker(p.who, p.s.terms, p.till), NewLender(p.who, p.s.terms)
@@ -232,9 +232,9 @@
 		case Changed:
 			for _, key := range a.Keys {
 				if l := p.load[key]; l != nil {
-					life := p.who.Life
+					life := p.who.Incarnation
 					p.s.at(0, func() {
-						if p.who.Life == life {
+						if p.who.Incarnation == life {
 							p.sends(key, l)
 						}
 					})
@@ -250,7 +250,7 @@
 
 // put sends a question, and the answer back.
 func (p *simSender) put(q Question) {
-	s, life := p.s, p.who.Life
+	s, life := p.s, p.who.Incarnation
 	to := s.senders[slices.IndexFunc(s.senders, func(o *simSender) bool { return o.name == q.To.Name })]
 	s.sent++
 	s.bytes += proto.Size(q.Request)
@@ -276,7 +276,7 @@
 		s.sent++
 		s.bytes += proto.Size(reply)
 		s.at(s.delay(), func() {
-			if p.who.Life == life {
+			if p.who.Incarnation == life {
 				p.step(Answered{q.To.Name, q.Request.Sequence, reply})
 			}
 		})
@@ -296,10 +296,10 @@
 		l.every = time.Duration(float64(time.Second) / perSecond)
 	}
 	if was == 0 && l.every > 0 {
-		life := p.who.Life
+		life := p.who.Incarnation
 		var come func()
 		come = func() {
-			if p.who.Life != life || l.every == 0 {
+			if p.who.Incarnation != life || l.every == 0 {
 				return
 			}
 			if p.paused <= p.s.now && l.waiting < 100 {
@@ -316,7 +316,7 @@
 
 // sends has a sender use what it may, as soon as it may.
 func (p *simSender) sends(key string, l *simLoad) {
-	s, life := p.s, p.who.Life
+	s, life := p.s, p.who.Incarnation
 	if p.down || l.stuck {
 		return
 	}
@@ -343,7 +343,7 @@
 	at := max(time.Millisecond, l.paced-s.now, time.Duration(float64(again-p.clock())/p.rate), p.paused-s.now)
 	l.again = s.now + at
 	s.at(at, func() {
-		if p.who.Life == life {
+		if p.who.Incarnation == life {
 			p.sends(key, l)
 		}
 	})
@@ -508,8 +508,8 @@
 		p.wants("x", 40)
 	}
 	s.run(8 * time.Second)
-	charge := coordinator.NewCharge(s.roster.Participants)
-	dead := slices.IndexFunc(s.senders, func(p *simSender) bool { return p.name == charge.Of("x").Name })
+	charge := coordinator.NewOwnership(s.roster.Participants)
+	dead := slices.IndexFunc(s.senders, func(p *simSender) bool { return p.name == charge.Owner("x").Name })
 	s.senders[dead].down = true
 	s.at(1010*time.Millisecond, s.begin) // its lease has lapsed
 	if got := used(s, 8*time.Second, 10*time.Second); got < 0.75*40 {
--- a/internal/replicatedlog/copy.go
+++ b/internal/replicatedlog/copy.go
@@ -12,20 +12,20 @@
 
 // Events of a Copy.
 type (
-	// Told is a part of the committed log.
-	Told struct{ Piece *pb.LogChunk }
-	// Granted is the answer to a question for a lease.
-	Granted struct {
-		Asked  time.Duration
-		Need   uint64
-		Length time.Duration
+	// LogReceived is a part of the committed log.
+	LogReceived struct{ Chunk *pb.LogChunk }
+	// LeaseGranted is the answer to a question for a lease.
+	LeaseGranted struct {
+		RequestedAt   time.Duration
+		RequiredIndex uint64
+		Duration      time.Duration
 	}
-	// Unanswered is that a question got none.
-	Unanswered struct{ Asked time.Duration }
-	// Staged is that a proposal stands on the disk, or can't.
-	Staged struct {
-		Change uint64
-		Err    error
+	// LeaseRequestFailed is that a question got none.
+	LeaseRequestFailed struct{ RequestedAt time.Duration }
+	// ChangeStaged is that a proposal stands on the disk, or can't.
+	ChangeStaged struct {
+		ChangeID uint64
+		Err      error
 	}
 	// Drained is that no call that was begun under a view before this one's waits to be written.
 	Drained struct{ Index uint64 }
@@ -33,132 +33,132 @@
 
 // Actions of a Copy.
 type (
-	// Stage keeps a proposal on the disk; Staged says when it is there.
-	Stage struct {
-		Change   uint64
+	// StageChange keeps a proposal on the disk; Staged says when it is there.
+	StageChange struct {
+		ChangeID uint64
 		Document []byte
 	}
-	// Question goes to the one who leads.
-	Question struct {
-		Asked   time.Duration
-		Request *pb.LeaseRequest
+	// SendLeaseRequest goes to the one who leads.
+	SendLeaseRequest struct {
+		RequestedAt time.Duration
+		Request     *pb.LeaseRequest
 	}
-	// Publish is what calls go by from now on; Drained is wanted if Drain is set.
-	Publish struct {
-		View  *fleetpolicy.View
-		Until time.Duration // under a lease to here; in the past or 0: under none
-		Drain bool
+	// PublishView is what calls go by from now on; Drained is wanted if Drain is set.
+	PublishView struct {
+		View       *fleetpolicy.View
+		LeaseUntil time.Duration // under a lease to here; in the past or 0: under none
+		Drain      bool
 	}
-	// Lapsed is that nothing may be begun any more, for want of a lease.
-	Lapsed struct{}
-	// Join hands in that this sender belongs to the fleet.
-	Join struct{ Command *pb.Join }
+	// LeaseExpired is that nothing may be begun any more, for want of a lease.
+	LeaseExpired struct{}
+	// SubmitJoin hands in that this sender belongs to the fleet.
+	SubmitJoin struct{ Command *pb.Join }
 )
 
-// Copy is a sender's own copy of the state, and what it may do by it. Each sender has one, voters too.
-type Copy struct {
-	name     string
-	life     uint64
-	settings fleetpolicy.Settings
-	terms    lease.Terms
+// Replica is a sender's own copy of the state, and what it may do by it. Each sender has one, voters too.
+type Replica struct {
+	name        string
+	incarnation uint64
+	settings    fleetpolicy.Settings
+	terms       lease.Terms
 
-	state    *State
-	policy   *fleetpolicy.Machine
-	roster   *coordinator.Machine
-	verdicts *health.Machine
-	heard    map[uint64]time.Duration // when a verdict was heard, by its entry
-	stand    *pb.HealthState          // as published: those that have not lapsed
-	from     *pb.HealthState          // of which state that is
-	lapses   time.Duration            // when one of them does; 0: none
-	holder   *lease.Holder
-	view     *fleetpolicy.View // as published
-	shows    [3]uint64         // version, open change and freeze that it shows
-	address  string            // where others reach this sender; empty: it takes no part in rosters
-	until    time.Duration     // as published
-	ends     time.Duration     // when it may begin nothing any more; 0: told
-	acts     uint64            // no call waits that was begun under an older state
-	drains   uint64            // index of the view that is not drained yet; 0: none
+	state            *State
+	policy           *fleetpolicy.Machine
+	membership       *coordinator.Machine
+	health           *health.Machine
+	healthSeenAt     map[uint64]time.Duration // when a verdict was heard, by its entry
+	liveHealth       *pb.HealthState          // as published: those that have not lapsed
+	liveHealthSource *pb.HealthState          // of which state that is
+	nextHealthExpiry time.Duration            // when one of them does; 0: none
+	holder           *lease.Holder
+	view             *fleetpolicy.View // as published
+	shown            [3]uint64         // version, open change and freeze that it shows
+	address          string            // where others reach this sender; empty: it takes no part in rosters
+	leaseUntil       time.Duration     // as published
+	stopsActingAt    time.Duration     // when it may begin nothing any more; 0: told
+	actingIndex      uint64            // no call waits that was begun under an older state
+	drainingIndex    uint64            // index of the view that is not drained yet; 0: none
 
-	staging uint64 // change that is on its way to the disk
-	staged  uint64 // change that is there
-	refused string // why change refusal is refused here
-	refusal uint64
+	staging        uint64 // change that is on its way to the disk
+	staged         uint64 // change that is there
+	rejection      string // why change refusal is refused here
+	rejectedChange uint64
 
-	asked  time.Duration // when it asked last; -1: never
-	told   [4]uint64     // what it told then: acts if a change is open, staged, refusal; acts if a roster comes
-	joined time.Duration // when it handed its join in last; -1: never
+	requestedAt     time.Duration // when it asked last; -1: never
+	reported        [4]uint64     // what it told then: acts if a change is open, staged, refusal; acts if a roster comes
+	joinSubmittedAt time.Duration // when it handed its join in last; -1: never
 
 	actions []any
 }
 
-// NewCopy makes the copy of a process that has just begun: it holds no lease, whatever its folder says. life is drawn by it.
-func NewCopy(name string, life uint64, settings fleetpolicy.Settings, terms lease.Terms) *Copy {
-	c := &Copy{name: name, life: life, settings: settings, terms: terms, policy: fleetpolicy.NewMachine(),
-		holder: lease.NewHolder(terms), asked: -1, joined: -1}
+// NewReplica makes the copy of a process that has just begun: it holds no lease, whatever its folder says. life is drawn by it.
+func NewReplica(name string, life uint64, settings fleetpolicy.Settings, terms lease.Terms) *Replica {
+	c := &Replica{name: name, incarnation: life, settings: settings, terms: terms, policy: fleetpolicy.NewMachine(),
+		holder: lease.NewHolder(terms), requestedAt: -1, joinSubmittedAt: -1}
 	all, r, v := machines(c.policy)
-	c.state, c.roster, c.verdicts, c.heard = NewState(all), r, v, map[uint64]time.Duration{}
+	c.state, c.membership, c.health, c.healthSeenAt = NewState(all), r, v, map[uint64]time.Duration{}
 	return c
 }
 
-// TakesPart has this sender be in rosters, reached at an address.
-func (c *Copy) TakesPart(address string) { c.address = address }
+// Participate has this sender be in rosters, reached at an address.
+func (c *Replica) Participate(address string) { c.address = address }
 
 // State is the agreed state, as far as it is known here. It is read only, between steps.
-func (c *Copy) State() *State { return c.state }
+func (c *Replica) State() *State { return c.state }
 
 // Policy is the part of it that says where calls go.
-func (c *Copy) Policy() *fleetpolicy.Machine { return c.policy }
+func (c *Replica) Policy() *fleetpolicy.Machine { return c.policy }
 
 // Step takes events in and gives what is to be done.
-func (c *Copy) Step(now time.Duration, events []any) ([]any, time.Duration) {
+func (c *Replica) Step(now time.Duration, events []any) ([]any, time.Duration) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case Told:
-			c.follow(e.Piece)
-		case Granted:
-			c.holder.Granted(e.Asked, e.Need, e.Length, now)
-		case Unanswered:
-			c.asked = min(c.asked, now-c.renew()+c.renew()/8) // soon again, and not at once
-		case Staged:
+		case LogReceived:
+			c.applyChunk(e.Chunk)
+		case LeaseGranted:
+			c.holder.RecordGrant(e.RequestedAt, e.RequiredIndex, e.Duration, now)
+		case LeaseRequestFailed:
+			c.requestedAt = min(c.requestedAt, now-c.renewInterval()+c.renewInterval()/8) // soon again, and not at once
+		case ChangeStaged:
 			c.staging = 0
-			if o := c.policy.State().GetOpenChange(); o != nil && o.Id == e.Change {
+			if o := c.policy.State().GetOpenChange(); o != nil && o.Id == e.ChangeID {
 				if e.Err != nil {
-					c.refuse(e.Change, "it can't be kept on the disk: "+e.Err.Error())
+					c.reject(e.ChangeID, "it can't be kept on the disk: "+e.Err.Error())
 				} else {
-					c.staged = e.Change
+					c.staged = e.ChangeID
 				}
 			}
 		case Drained:
-			if e.Index == c.drains {
-				c.drains = 0
+			if e.Index == c.drainingIndex {
+				c.drainingIndex = 0
 			}
 		}
 	}
-	c.stage()
+	c.stageOpenChange()
 	c.publish(now)
-	if c.drains == 0 {
-		c.acts = c.state.Index()
+	if c.drainingIndex == 0 {
+		c.actingIndex = c.state.Index()
 	}
-	c.join(now)
-	alarm := c.ask(now)
-	if c.ends > 0 && now >= c.ends {
-		c.ends = 0
-		c.actions = append(c.actions, Lapsed{})
-	} else if c.ends > 0 {
-		alarm = min(alarm, c.ends)
+	c.submitJoin(now)
+	alarm := c.requestLease(now)
+	if c.stopsActingAt > 0 && now >= c.stopsActingAt {
+		c.stopsActingAt = 0
+		c.actions = append(c.actions, LeaseExpired{})
+	} else if c.stopsActingAt > 0 {
+		alarm = min(alarm, c.stopsActingAt)
 	}
-	if c.lapses > 0 {
-		alarm = min(alarm, c.lapses)
+	if c.nextHealthExpiry > 0 {
+		alarm = min(alarm, c.nextHealthExpiry)
 	}
 	actions := c.actions
 	c.actions = nil
 	return actions, alarm
 }
 
-// follow applies what is committed. What can't be applied ends the copy with a panic: it stops, and its leases lapse.
-func (c *Copy) follow(p *pb.LogChunk) {
+// applyChunk applies what is committed. What can't be applied ends the copy with a panic: it stops, and its leases lapse.
+func (c *Replica) applyChunk(p *pb.LogChunk) {
 	if len(p.Snapshot) > 0 && SnapshotIndex(p.Snapshot) > c.state.Index() {
-		must(c.state.Restore(p.Snapshot))
+		mustSucceed(c.state.Restore(p.Snapshot))
 	}
 	for _, e := range p.Entries {
 		if e.Index <= c.state.Index() { // told twice
@@ -168,33 +168,33 @@
 			return // something is missing: it is told again from where the copy stands
 		}
 		_, err := c.state.Apply(e.Index, e.Term, e.Command)
-		must(err)
+		mustSucceed(err)
 	}
 }
 
-// stage checks the open change, and has it kept.
-func (c *Copy) stage() {
+// stageOpenChange checks the open change, and has it kept.
+func (c *Replica) stageOpenChange() {
 	o := c.policy.State().GetOpenChange()
-	if o == nil || c.staged == o.Id || c.staging == o.Id || c.refusal == o.Id {
+	if o == nil || c.staged == o.Id || c.staging == o.Id || c.rejectedChange == o.Id {
 		return
 	}
 	if err := c.policy.Next().Fits(c.settings); err != nil {
-		c.refuse(o.Id, err.Error())
+		c.reject(o.Id, err.Error())
 		return
 	}
 	c.staging = o.Id
-	c.actions = append(c.actions, Stage{o.Id, o.Document})
+	c.actions = append(c.actions, StageChange{o.Id, o.Document})
 }
 
-func (c *Copy) refuse(change uint64, why string) { c.refusal, c.refused = change, why }
+func (c *Replica) reject(change uint64, why string) { c.rejectedChange, c.rejection = change, why }
 
 // publish says what calls go by, if that is another than before.
-func (c *Copy) publish(now time.Duration) {
-	p := Publish{View: c.view}
+func (c *Replica) publish(now time.Duration) {
+	p := PublishView{View: c.view}
 	o := c.policy.State().GetOpenChange()
 	is := [3]uint64{c.policy.State().GetVersion(), o.GetId(), o.GetFreezeIndex()}
 	switch {
-	case c.view == nil || is != c.shows:
+	case c.view == nil || is != c.shown:
 		p.View = c.policy.View(c.state.Index(), c.settings)
 		p.Drain = c.view != nil
 	case c.view.Index != c.state.Index():
@@ -202,40 +202,40 @@
 		moved.Index = c.state.Index()
 		p.View = &moved
 	}
-	if stand := c.standing(now); stand != c.stand {
-		if c.stand = stand; p.View == c.view {
+	if stand := c.unexpiredHealth(now); stand != c.liveHealth {
+		if c.liveHealth = stand; p.View == c.view {
 			same := *c.view
 			p.View = &same
 		}
 	}
 	if p.View != c.view {
-		p.View.Verdicts = c.stand
-		p.View.Roster, p.View.Rank = c.roster.State(), c.state.Rank(c.name)
+		p.View.Verdicts = c.liveHealth
+		p.View.Roster, p.View.Rank = c.membership.State(), c.state.Rank(c.name)
 	}
-	p.Until = c.holder.Until(c.state.Index())
-	if p.View == c.view && p.Until == c.until {
+	p.LeaseUntil = c.holder.Until(c.state.Index())
+	if p.View == c.view && p.LeaseUntil == c.leaseUntil {
 		return
 	}
 	if p.Drain {
-		c.drains = p.View.Index
+		c.drainingIndex = p.View.Index
 	}
-	c.view, c.shows, c.until = p.View, is, p.Until
-	if c.until > now {
-		c.ends = c.until + p.View.Policy.GoesOn()
+	c.view, c.shown, c.leaseUntil = p.View, is, p.LeaseUntil
+	if c.leaseUntil > now {
+		c.stopsActingAt = c.leaseUntil + p.View.Policy.GoesOn()
 	}
 	c.actions = append(c.actions, p)
 }
 
-// standing are the verdicts that have not lapsed here: one that is not said again is over, also for who hears nothing any more.
-func (c *Copy) standing(now time.Duration) *pb.HealthState {
-	all := c.verdicts.State()
-	if all == c.from && (c.lapses == 0 || now < c.lapses) {
-		return c.stand
+// unexpiredHealth are the verdicts that have not lapsed here: one that is not said again is over, also for who hears nothing any more.
+func (c *Replica) unexpiredHealth(now time.Duration) *pb.HealthState {
+	all := c.health.State()
+	if all == c.liveHealthSource && (c.nextHealthExpiry == 0 || now < c.nextHealthExpiry) {
+		return c.liveHealth
 	}
-	c.from, c.lapses = all, 0
+	c.liveHealthSource, c.nextHealthExpiry = all, 0
 	heard, stand := map[uint64]time.Duration{}, &pb.HealthState{}
 	for _, v := range all.GetStatuses() {
-		at, known := c.heard[v.UpdateIndex]
+		at, known := c.healthSeenAt[v.UpdateIndex]
 		if !known {
 			at = now
 		}
@@ -245,53 +245,53 @@
 			if now >= until {
 				continue
 			}
-			if c.lapses == 0 || until < c.lapses {
-				c.lapses = until
+			if c.nextHealthExpiry == 0 || until < c.nextHealthExpiry {
+				c.nextHealthExpiry = until
 			}
 		}
 		stand.Statuses = append(stand.Statuses, v)
 	}
-	c.heard = heard
+	c.healthSeenAt = heard
 	return stand
 }
 
-// renew is how often a lease is asked for: three times in its length, so that two answers may be lost.
-func (c *Copy) renew() time.Duration { return c.terms.Length / 3 }
+// renewInterval is how often a lease is asked for: three times in its length, so that two answers may be lost.
+func (c *Replica) renewInterval() time.Duration { return c.terms.Duration / 3 }
 
-// ask asks for a lease when it is time, or when there is something that a change waits for.
-func (c *Copy) ask(now time.Duration) (next time.Duration) {
-	told := [4]uint64{0, c.staged, c.refusal, 0}
-	if s := c.roster.State(); s.NextEpoch != 0 && c.acts >= s.FenceIndex {
+// requestLease asks for a lease when it is time, or when there is something that a change waits for.
+func (c *Replica) requestLease(now time.Duration) (next time.Duration) {
+	told := [4]uint64{0, c.staged, c.rejectedChange, 0}
+	if s := c.membership.State(); s.NextEpoch != 0 && c.actingIndex >= s.FenceIndex {
 		told[3] = s.FenceIndex
 	}
-	if o := c.policy.State().GetOpenChange(); o != nil && o.FreezeIndex != 0 && c.acts >= o.FreezeIndex {
+	if o := c.policy.State().GetOpenChange(); o != nil && o.FreezeIndex != 0 && c.actingIndex >= o.FreezeIndex {
 		told[0] = o.FreezeIndex
 	} else if o != nil {
 		told[0] = 1
 	}
-	if due := c.asked + c.renew(); c.asked >= 0 && told == c.told && now < due {
+	if due := c.requestedAt + c.renewInterval(); c.requestedAt >= 0 && told == c.reported && now < due {
 		return due
 	}
-	c.asked, c.told = now, told
-	r := &pb.LeaseRequest{Name: c.name, Incarnation: c.life, ActingIndex: c.acts, MaxCommandKind: Speaks, Address: c.address}
+	c.requestedAt, c.reported = now, told
+	r := &pb.LeaseRequest{Name: c.name, Incarnation: c.incarnation, ActingIndex: c.actingIndex, MaxCommandKind: MaxCommandKind, Address: c.address}
 	if c.staged != 0 {
 		r.Staged = append(r.Staged, &pb.StagedChange{ChangeId: c.staged})
 	}
-	if c.refusal != 0 {
-		r.Staged = append(r.Staged, &pb.StagedChange{ChangeId: c.refusal, Rejection: c.refused})
+	if c.rejectedChange != 0 {
+		r.Staged = append(r.Staged, &pb.StagedChange{ChangeId: c.rejectedChange, Rejection: c.rejection})
 	}
-	c.actions = append(c.actions, Question{c.holder.Ask(now), r})
-	return now + c.renew()
+	c.actions = append(c.actions, SendLeaseRequest{c.holder.Request(now), r})
+	return now + c.renewInterval()
 }
 
-// join hands in that this sender belongs to the fleet, until the state says so.
-func (c *Copy) join(now time.Duration) {
-	if m := c.state.Member(c.name); m != nil && (m.MaxCommandKind == Speaks || m.Removed) || c.state.Index() == 0 {
+// submitJoin hands in that this sender belongs to the fleet, until the state says so.
+func (c *Replica) submitJoin(now time.Duration) {
+	if m := c.state.Member(c.name); m != nil && (m.MaxCommandKind == MaxCommandKind || m.Removed) || c.state.Index() == 0 {
 		return
 	}
-	if c.joined >= 0 && now-c.joined < c.renew() {
+	if c.joinSubmittedAt >= 0 && now-c.joinSubmittedAt < c.renewInterval() {
 		return
 	}
-	c.joined = now
-	c.actions = append(c.actions, Join{&pb.Join{Name: c.name, MaxCommandKind: Speaks}})
+	c.joinSubmittedAt = now
+	c.actions = append(c.actions, SubmitJoin{&pb.Join{Name: c.name, MaxCommandKind: MaxCommandKind}})
 }
--- a/internal/replicatedlog/hello.go
+++ b/internal/replicatedlog/hello.go
@@ -23,41 +23,41 @@
 // All others have to answer. While one can't, the voter waits outside, which costs one of the failures that the voters can bear;
 // an operator who knows that the folder is the newest vouches for it, once (saffronyard fleet vouch).
 
-// Heard is the answer of another voter.
-type Heard struct {
-	Term, LastTerm, Last uint64
-	Match                uint64 // up to which the asker is known to hold the log, by one who leads
+// PeerState is the answer of another voter.
+type PeerState struct {
+	Term, LastTerm, LastIndex uint64
+	MatchIndex                uint64 // up to which the asker is known to hold the log, by one who leads
 }
 
-// Folder is what the folder has.
-type Folder struct {
-	Term, Vote, LastTerm, Last uint64
+// StoredPosition is what the folder has.
+type StoredPosition struct {
+	Term, Vote, LastTerm, LastIndex uint64
 }
 
-// Start is with what a voter begins.
-type Start struct {
-	Term, Vote uint64 // in place of the folder's
-	BarTerm    uint64 // it votes for nobody whose log ends before this
-	Bar        uint64
-	Old        string // why the folder is known to be older than what it promised; "" if nothing shows that
+// StartState is with what a voter begins.
+type StartState struct {
+	Term, Vote  uint64 // in place of the folder's
+	MinLogTerm  uint64 // it votes for nobody whose log ends before this
+	MinLogIndex uint64
+	StaleReason string // why the folder is known to be older than what it promised; "" if nothing shows that
 }
 
-// begin is what a voter takes from the answers of all others.
-func begin(id uint64, f Folder, all map[string]Heard) Start {
-	s := Start{Term: f.Term, Vote: f.Vote, BarTerm: f.LastTerm, Bar: f.Last}
+// reconcile is what a voter takes from the answers of all others.
+func reconcile(id uint64, f StoredPosition, all map[string]PeerState) StartState {
+	s := StartState{Term: f.Term, Vote: f.Vote, MinLogTerm: f.LastTerm, MinLogIndex: f.LastIndex}
 	for name, h := range all {
 		s.Term = max(s.Term, h.Term)
-		if h.LastTerm > s.BarTerm || h.LastTerm == s.BarTerm && h.Last > s.Bar {
-			s.BarTerm, s.Bar = h.LastTerm, h.Last
+		if h.LastTerm > s.MinLogTerm || h.LastTerm == s.MinLogTerm && h.LastIndex > s.MinLogIndex {
+			s.MinLogTerm, s.MinLogIndex = h.LastTerm, h.LastIndex
 		}
-		if h.Match > f.Last {
-			s.Old = fmt.Sprintf("%s leads, and had from it that it holds the log to %d; the folder ends at %d", name, h.Match, f.Last)
+		if h.MatchIndex > f.LastIndex {
+			s.StaleReason = fmt.Sprintf("%s leads, and had from it that it holds the log to %d; the folder ends at %d", name, h.MatchIndex, f.LastIndex)
 		}
 	}
 	if len(all) == 0 { // it is alone, or somebody vouched
 		return s
 	}
-	if s.Old != "" {
+	if s.StaleReason != "" {
 		s.Term++
 	}
 	if s.Term > f.Term || s.Vote == 0 && s.Term > 0 {
@@ -66,9 +66,9 @@
 	return s
 }
 
-// over reports whether a log that ends there reaches the bar.
-func (s Start) over(lastTerm, last uint64) bool {
-	return lastTerm > s.BarTerm || lastTerm == s.BarTerm && last >= s.Bar
+// upToDate reports whether a log that ends there reaches the bar.
+func (s StartState) upToDate(lastTerm, last uint64) bool {
+	return lastTerm > s.MinLogTerm || lastTerm == s.MinLogTerm && last >= s.MinLogIndex
 }
 
 // VoterID is the number of a voter in the log.
--- a/internal/replicatedlog/sim_test.go
+++ b/internal/replicatedlog/sim_test.go
@@ -37,8 +37,8 @@
 }
 
 type simVoter struct {
-	core  *Core
-	saved *Saved // its disk
+	core  *Voter
+	saved *StoredLog // its disk
 	up    bool
 	life  int
 	feed  []*pb.Entry
@@ -53,7 +53,7 @@
 }
 
 type simCopy struct {
-	copy    *Copy
+	copy    *Replica
 	life    int
 	up      bool
 	follows int
@@ -106,14 +106,14 @@
 func voterName(i int) string { return fmt.Sprintf("v%d", i) }
 
 func newSim(t testing.TB, seed uint64, voters, copies int) *sim {
-	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), terms: lease.Terms{Length: 3 * time.Second, Drift: lease.DefaultDrift}, cut: map[[2]int]bool{}}
+	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), terms: lease.Terms{Duration: 3 * time.Second, MaxDrift: lease.DefaultDrift}, cut: map[[2]int]bool{}}
 	conf := &raftpb.ConfState{}
 	for i := range voters {
 		conf.Voters = append(conf.Voters, VoterID(voterName(i)))
 	}
 	for i := range voters {
-		s.voters = append(s.voters, &simVoter{saved: &Saved{Hard: &raftpb.HardState{}, Conf: conf}, rate: 1 + 0.01*float64(i%3-1)})
-		s.startVoter(i, map[string]Heard{"all": {}})
+		s.voters = append(s.voters, &simVoter{saved: &StoredLog{HardState: &raftpb.HardState{}, ConfState: conf}, rate: 1 + 0.01*float64(i%3-1)})
+		s.startVoter(i, map[string]PeerState{"all": {}})
 	}
 	for i := range copies {
 		s.copies = append(s.copies, &simCopy{rate: 1 + 0.01*float64(i%3-1), over: map[uint64]uint64{}})
@@ -136,10 +136,10 @@
 }
 
 // startVoter starts one from its disk; heard are the others' answers to its hello.
-func (s *sim) startVoter(i int, heard map[string]Heard) {
+func (s *sim) startVoter(i int, heard map[string]PeerState) {
 	v := s.voters[i]
 	saved := *v.saved
-	core, _, err := NewCore(voterName(i), &saved, heard, s.terms, fleetpolicy.NewMachine(), noLog{})
+	core, _, err := NewVoter(voterName(i), &saved, heard, s.terms, fleetpolicy.NewMachine(), noLog{})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -149,8 +149,8 @@
 }
 
 // hello gathers the others' answers, of those that run.
-func (s *sim) hello(i int) map[string]Heard {
-	heard := map[string]Heard{}
+func (s *sim) hello(i int) map[string]PeerState {
+	heard := map[string]PeerState{}
 	for j, v := range s.voters {
 		if j == i {
 			continue
@@ -158,10 +158,10 @@
 		if !v.up {
 			return nil
 		}
-		h := Heard{Term: v.core.rn.BasicStatus().HardState.GetTerm()}
-		h.LastTerm, h.Last = v.core.last()
-		if v.core.leads() {
-			h.Match = v.core.rn.Status().Progress[VoterID(voterName(i))].Match
+		h := PeerState{Term: v.core.node.BasicStatus().HardState.GetTerm()}
+		h.LastTerm, h.LastIndex = v.core.lastEntry()
+		if v.core.isLeader() {
+			h.MatchIndex = v.core.node.Status().Progress[VoterID(voterName(i))].Match
 		}
 		heard[voterName(j)] = h
 	}
@@ -179,7 +179,7 @@
 	disk := time.Duration(0)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Save:
+		case Persist:
 			v.saves++
 			if v.saves == v.dies {
 				if !v.torn {
@@ -191,23 +191,23 @@
 			}
 			s.save(v.saved, a)
 			disk += 500 * time.Microsecond
-		case Send:
+		case SendMessage:
 			to := slices.IndexFunc(s.voters, func(o *simVoter) bool { return o.core.id == a.Message.GetTo() })
 			if to >= 0 {
 				m := proto.Clone(a.Message).(*raftpb.Message)
 				toLife := s.voters[to].life
 				s.send(i, to, func() {
 					if v.life == life && s.voters[to].life == toLife {
-						s.stepVoter(to, Packet{m})
+						s.stepVoter(to, MessageReceived{m})
 					}
 				})
 			}
-		case Answer:
+		case Reply:
 			if f := v.asked[a.To]; f != nil {
 				delete(v.asked, a.To)
-				s.after(disk, func() { f(a.What) })
+				s.after(disk, func() { f(a.Value) })
 			}
-		case Commit:
+		case Committed:
 			if a.Snapshot != nil {
 				v.feed = nil // none is taken in runs this short
 			}
@@ -227,16 +227,16 @@
 	}
 }
 
-func (s *sim) save(disk *Saved, a Save) {
-	if a.Hard != nil {
-		disk.Hard = proto.Clone(a.Hard).(*raftpb.HardState)
+func (s *sim) save(disk *StoredLog, a Persist) {
+	if a.HardState != nil {
+		disk.HardState = proto.Clone(a.HardState).(*raftpb.HardState)
 	}
-	if a.Conf != nil {
-		disk.Conf = a.Conf
+	if a.ConfState != nil {
+		disk.ConfState = a.ConfState
 	}
 	if n := len(a.Entries); n > 0 {
 		first := a.Entries[0].GetIndex()
-		disk.Entries = append(slices.Clone(disk.Entries[:first-1-disk.Base]), a.Entries...)
+		disk.Entries = append(slices.Clone(disk.Entries[:first-1-disk.BaseIndex]), a.Entries...)
 	}
 }
 
@@ -253,7 +253,7 @@
 			life := c.life
 			s.send(i, len(s.voters)+j, func() {
 				if c.life == life {
-					s.stepCopy(j, Told{p})
+					s.stepCopy(j, LogReceived{p})
 				}
 			})
 		}
@@ -269,7 +269,7 @@
 	c := s.copies[j]
 	c.life++
 	c.up, c.at, c.view, c.until = true, 0, nil, 0
-	c.copy = NewCopy(fmt.Sprintf("s%d", j), uint64(c.life), fleetpolicy.Settings{}, s.terms)
+	c.copy = NewReplica(fmt.Sprintf("s%d", j), uint64(c.life), fleetpolicy.Settings{}, s.terms)
 	c.follows = j % len(s.voters)
 	s.stepCopy(j)
 	s.tellAgain(j, c.life)
@@ -307,22 +307,22 @@
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Stage:
-			back(2*time.Millisecond, Staged{Change: a.Change})
-		case Publish:
-			c.view, c.until = a.View, a.Until
+		case StageChange:
+			back(2*time.Millisecond, ChangeStaged{ChangeID: a.ChangeID})
+		case PublishView:
+			c.view, c.until = a.View, a.LeaseUntil
 			if a.Drain {
 				back(time.Millisecond, Drained{a.View.Index})
 			}
-		case Question:
+		case SendLeaseRequest:
 			s.count(a.Request)
 			s.ask(place, c.follows, a.Request, true, func(what any) {
 				if r, ok := what.(*pb.LeaseReply); ok {
 					s.count(r)
-					back(0, Granted{a.Asked, r.RequiredIndex, time.Duration(r.DurationUs) * time.Microsecond})
+					back(0, LeaseGranted{a.RequestedAt, r.RequiredIndex, time.Duration(r.DurationUs) * time.Microsecond})
 				}
 			})
-		case Join:
+		case SubmitJoin:
 			body, _ := proto.Marshal(a.Command)
 			s.submit(place, c.follows, &pb.Command{Kind: KindJoin, Session: uint64(j+1)<<32 | uint64(c.life), Sequence: 1, Body: body}, func(any) {})
 		}
@@ -343,11 +343,11 @@
 
 // ask puts a question to a voter, which passes it on to the one that leads.
 func (s *sim) ask(from, at int, r *pb.LeaseRequest, on bool, answer func(any)) {
-	s.pass(from, at, on, func(to uint64) any { return Ask{to, r} }, answer)
+	s.pass(from, at, on, func(to uint64) any { return LeaseRequested{to, r} }, answer)
 }
 
 func (s *sim) submit(from, at int, c *pb.Command, answer func(any)) {
-	s.pass(from, at, true, func(to uint64) any { return Submit{to, c} }, answer)
+	s.pass(from, at, true, func(to uint64) any { return CommandSubmitted{to, c} }, answer)
 }
 
 func (s *sim) pass(from, at int, on bool, event func(uint64) any, answer func(any)) {
@@ -358,7 +358,7 @@
 		}
 		v.last++
 		v.asked[v.last] = func(what any) {
-			if err, bad := what.(error); bad && on && errors.Is(err, ErrNotLeading) {
+			if err, bad := what.(error); bad && on && errors.Is(err, ErrNotLeader) {
 				lead := slices.IndexFunc(s.voters, func(o *simVoter) bool { return o.core.id == v.lead })
 				if lead >= 0 && lead != at {
 					s.pass(at, lead, false, event, func(what any) { s.send(at, from, func() { answer(what) }) })
@@ -482,8 +482,8 @@
 		t.Fatal("with a third cut off it does not take hold")
 	}
 	took := s.now - began
-	t.Logf("with a third cut off: in force at the others after %v; a lease is counted for %v", took, s.terms.Wait())
-	if most := s.terms.Wait() + time.Second; took > most {
+	t.Logf("with a third cut off: in force at the others after %v; a lease is counted for %v", took, s.terms.GranterDuration())
+	if most := s.terms.GranterDuration() + time.Second; took > most {
 		t.Errorf("with a third cut off it took %v, over %v", took, most)
 	}
 	s.cut = map[[2]int]bool{}
--- a/internal/replicatedlog/state.go
+++ b/internal/replicatedlog/state.go
@@ -21,28 +21,28 @@
 
 // Kinds of command. A new one gets the next number, and a higher Speaks.
 const (
-	KindJoin    uint32 = 1
-	KindLeave   uint32 = 2
-	KindPolicy  uint32 = 3
-	KindVoters  uint32 = 4 // with a change of raft's own
-	KindRoster  uint32 = 5
-	KindVerdict uint32 = 6
+	KindJoin       uint32 = 1
+	KindLeave      uint32 = 2
+	KindPolicy     uint32 = 3
+	KindVoters     uint32 = 4 // with a change of raft's own
+	KindMembership uint32 = 5
+	KindHealth     uint32 = 6
 )
 
-// Speaks is up to which kind of command this program knows. A command of a higher kind is handed in only when all members
+// MaxCommandKind is up to which kind of command this program knows. A command of a higher kind is handed in only when all members
 // speak it, and a program that meets one it does not know stops following the log.
-const Speaks uint32 = 6
+const MaxCommandKind uint32 = 6
 
 const (
-	snapshotFormat = 1
-	sessionsMost   = 1000    // of which the last result is remembered, those used last
-	membersMost    = 10_000  // that a fleet may have
-	commandMost    = 2 << 20 // bytes
-	nameMost       = 128     // bytes of a sender's name
+	snapshotFormat  = 1
+	maxSessions     = 1000    // of which the last result is remembered, those used last
+	maxMembers      = 10_000  // that a fleet may have
+	maxCommandBytes = 2 << 20 // bytes
+	maxNameBytes    = 128     // bytes of a sender's name
 )
 
-// ErrUnknown is that the log has a command of a kind that this program does not know. It must not go on as if it were not there.
-var ErrUnknown = errors.New("the fleet's log has a command that this program does not know: it needs a newer one")
+// ErrUnknownCommand is that the log has a command of a kind that this program does not know. It must not go on as if it were not there.
+var ErrUnknownCommand = errors.New("the fleet's log has a command that this program does not know: it needs a newer one")
 
 // Machine is the part of the state that one kind of command works on. The same commands in the same order make the same state.
 type Machine interface {
@@ -61,13 +61,13 @@
 	machines    map[uint32]Machine
 }
 
-// Done is what became of a command.
-type Done struct {
-	Index    uint64
-	Session  uint64
-	Sequence uint64
-	Result   []byte
-	Refused  string
+// Outcome is what became of a command.
+type Outcome struct {
+	Index     uint64
+	Session   uint64
+	Sequence  uint64
+	Result    []byte
+	Rejection string
 }
 
 // NewState makes the state before the first entry. machines are by kind.
@@ -79,60 +79,60 @@
 func machines(policy *fleetpolicy.Machine) (map[uint32]Machine, *coordinator.Machine, *health.Machine) {
 	r := coordinator.NewMachine()
 	v := health.NewMachine(func() uint64 { return r.State().GetEpoch() })
-	return map[uint32]Machine{KindPolicy: policy, KindRoster: r, KindVerdict: v}, r, v
+	return map[uint32]Machine{KindPolicy: policy, KindMembership: r, KindHealth: v}, r, v
 }
 
 // Index is how far the state has come.
 func (s *State) Index() uint64 { return s.index }
 
 // Apply carries out the entry behind the last one. An entry without a command counts all the same.
-func (s *State) Apply(index, term uint64, raw []byte) (Done, error) {
+func (s *State) Apply(index, term uint64, raw []byte) (Outcome, error) {
 	if index != s.index+1 {
-		return Done{}, fmt.Errorf("entry %d can't follow entry %d", index, s.index)
+		return Outcome{}, fmt.Errorf("entry %d can't follow entry %d", index, s.index)
 	}
-	done := Done{Index: index}
+	done := Outcome{Index: index}
 	if len(raw) > 0 {
 		c := &pb.Command{}
 		if err := proto.Unmarshal(raw, c); err != nil {
-			return Done{}, fmt.Errorf("entry %d can't be read: %w", index, err)
+			return Outcome{}, fmt.Errorf("entry %d can't be read: %w", index, err)
 		}
 		var err error
-		if done, err = s.command(index, c); err != nil {
-			return Done{}, fmt.Errorf("entry %d: %w", index, err)
+		if done, err = s.applyCommand(index, c); err != nil {
+			return Outcome{}, fmt.Errorf("entry %d: %w", index, err)
 		}
 	}
 	s.index, s.term = index, term
 	return done, nil
 }
 
-func (s *State) command(index uint64, c *pb.Command) (Done, error) {
-	done := Done{Index: index, Session: c.Session, Sequence: c.Sequence}
+func (s *State) applyCommand(index uint64, c *pb.Command) (Outcome, error) {
+	done := Outcome{Index: index, Session: c.Session, Sequence: c.Sequence}
 	at := slices.IndexFunc(s.sessions, func(o *pb.Session) bool { return o.Id == c.Session })
 	if c.Session != 0 && at >= 0 {
 		o := s.sessions[at]
 		switch {
 		case c.Sequence == o.Sequence: // its answer was lost: it counts once
-			done.Index, done.Result, done.Refused = o.Index, o.Result, o.Rejection
+			done.Index, done.Result, done.Rejection = o.Index, o.Result, o.Rejection
 			return done, nil
 		case c.Sequence < o.Sequence:
-			done.Refused = fmt.Sprintf("command %d of a session that has come to %d", c.Sequence, o.Sequence)
+			done.Rejection = fmt.Sprintf("command %d of a session that has come to %d", c.Sequence, o.Sequence)
 			return done, nil
 		}
 	}
 	var err error
 	switch c.Kind {
 	case KindJoin:
-		done.Refused, err = s.join(index, c.Body)
+		done.Rejection, err = s.join(index, c.Body)
 	case KindLeave:
-		done.Refused, err = s.leave(c.Body)
+		done.Rejection, err = s.leave(c.Body)
 	case KindVoters:
-		err = s.change(c.Body)
+		err = s.changeVoters(c.Body)
 	default:
 		m := s.machines[c.Kind]
 		if m == nil {
-			return done, fmt.Errorf("%w (kind %d; this one knows up to %d)", ErrUnknown, c.Kind, Speaks)
+			return done, fmt.Errorf("%w (kind %d; this one knows up to %d)", ErrUnknownCommand, c.Kind, MaxCommandKind)
 		}
-		done.Result, done.Refused, err = m.Apply(index, c.Body)
+		done.Result, done.Rejection, err = m.Apply(index, c.Body)
 	}
 	if err != nil {
 		return done, err
@@ -140,22 +140,22 @@
 	if c.Session != 0 {
 		if at >= 0 {
 			s.sessions = slices.Delete(s.sessions, at, at+1)
-		} else if len(s.sessions) >= sessionsMost {
+		} else if len(s.sessions) >= maxSessions {
 			s.sessions = slices.Delete(s.sessions, 0, 1)
 		}
-		s.sessions = append(s.sessions, &pb.Session{Id: c.Session, Sequence: c.Sequence, Result: done.Result, Rejection: done.Refused, Index: index})
+		s.sessions = append(s.sessions, &pb.Session{Id: c.Session, Sequence: c.Sequence, Result: done.Result, Rejection: done.Rejection, Index: index})
 	}
 	return done, nil
 }
 
-// Done is what became of a session's last command, if it is that one.
-func (s *State) Done(session, sequence uint64) (Done, bool) {
+// Outcome is what became of a session's last command, if it is that one.
+func (s *State) Outcome(session, sequence uint64) (Outcome, bool) {
 	for _, o := range s.sessions {
 		if o.Id == session && o.Sequence == sequence {
-			return Done{Index: o.Index, Session: session, Sequence: sequence, Result: o.Result, Refused: o.Rejection}, true
+			return Outcome{Index: o.Index, Session: session, Sequence: sequence, Result: o.Result, Rejection: o.Rejection}, true
 		}
 	}
-	return Done{}, false
+	return Outcome{}, false
 }
 
 func (s *State) join(index uint64, body []byte) (refused string, err error) {
@@ -164,12 +164,12 @@
 		return "", fmt.Errorf("a join can't be read: %w", err)
 	}
 	switch m := s.members[j.Name]; {
-	case j.Name == "" || len(j.Name) > nameMost:
-		return fmt.Sprintf("a name has from 1 to %d bytes", nameMost), nil
+	case j.Name == "" || len(j.Name) > maxNameBytes:
+		return fmt.Sprintf("a name has from 1 to %d bytes", maxNameBytes), nil
 	case m != nil && m.Removed:
 		return fmt.Sprintf("%s was declared gone for good: a machine that takes its place needs a name of its own", j.Name), nil
-	case m == nil && len(s.members) >= membersMost:
-		return fmt.Sprintf("the fleet has %d members, which is the most", membersMost), nil
+	case m == nil && len(s.members) >= maxMembers:
+		return fmt.Sprintf("the fleet has %d members, which is the most", maxMembers), nil
 	}
 	if was := s.members[j.Name]; was != nil {
 		index = was.JoinIndex
@@ -191,8 +191,8 @@
 	return "", nil
 }
 
-// change books a change of voters. It was checked before it was handed in: raft has taken it over by now.
-func (s *State) change(body []byte) error {
+// changeVoters books a change of voters. It was checked before it was handed in: raft has taken it over by now.
+func (s *State) changeVoters(body []byte) error {
 	v := &pb.VoterChange{}
 	if err := proto.Unmarshal(body, v); err != nil {
 		return fmt.Errorf("a change of voters can't be read: %w", err)
@@ -235,8 +235,8 @@
 	return before
 }
 
-// Speak says why a command of a kind may not be handed in yet; "" if it may.
-func (s *State) Speak(kind uint32) string {
+// CheckKind says why a command of a kind may not be handed in yet; "" if it may.
+func (s *State) CheckKind(kind uint32) string {
 	for _, m := range s.Members() {
 		if !m.Removed && m.MaxCommandKind < kind {
 			return fmt.Sprintf("%s runs a program that does not know commands of kind %d: it knows up to %d", m.Name, kind, m.MaxCommandKind)
@@ -292,7 +292,7 @@
 	}
 	for _, m := range snap.Machines {
 		if s.machines[m.Kind] == nil {
-			return fmt.Errorf("%w (its state has kind %d; this one knows up to %d)", ErrUnknown, m.Kind, Speaks)
+			return fmt.Errorf("%w (its state has kind %d; this one knows up to %d)", ErrUnknownCommand, m.Kind, MaxCommandKind)
 		}
 		if err := s.machines[m.Kind].Restore(m.State); err != nil {
 			return fmt.Errorf("snapshot: kind %d: %w", m.Kind, err)
--- a/internal/replicatedlog/state_test.go
+++ b/internal/replicatedlog/state_test.go
@@ -27,7 +27,7 @@
 }
 
 // apply carries a command out as the next entry.
-func apply(t *testing.T, s *State, kind uint32, session, sequence uint64, body proto.Message) (Done, error) {
+func apply(t *testing.T, s *State, kind uint32, session, sequence uint64, body proto.Message) (Outcome, error) {
 	t.Helper()
 	return s.Apply(s.Index()+1, 1, raw(t, &pb.Command{Kind: kind, Session: session, Sequence: sequence, Body: raw(t, body)}))
 }
@@ -40,27 +40,27 @@
 func TestSessions(t *testing.T) {
 	s := newTestState()
 	first, err := apply(t, s, KindPolicy, 7, 1, propose(0))
-	if err != nil || first.Refused != "" {
+	if err != nil || first.Rejection != "" {
 		t.Fatal(first, err)
 	}
 	again, _ := apply(t, s, KindPolicy, 7, 1, propose(0))
-	if again.Refused != "" || again.Index != first.Index {
+	if again.Rejection != "" || again.Index != first.Index {
 		t.Errorf("again: %+v", again)
 	}
 	refused, _ := apply(t, s, KindPolicy, 7, 2, propose(0))
 	same, _ := apply(t, s, KindPolicy, 7, 2, propose(0))
-	if refused.Refused == "" || same.Refused != refused.Refused || same.Index != refused.Index {
+	if refused.Rejection == "" || same.Rejection != refused.Rejection || same.Index != refused.Index {
 		t.Errorf("refused %+v, and again %+v", refused, same)
 	}
-	if old, _ := apply(t, s, KindPolicy, 7, 1, propose(0)); !strings.Contains(old.Refused, "command 1 of a session that has come to 2") {
+	if old, _ := apply(t, s, KindPolicy, 7, 1, propose(0)); !strings.Contains(old.Rejection, "command 1 of a session that has come to 2") {
 		t.Errorf("an older one: %+v", old)
 	}
-	for i := range uint64(sessionsMost) {
-		if _, err := apply(t, s, KindJoin, 100+i, 1, &pb.Join{Name: "n", MaxCommandKind: Speaks}); err != nil {
+	for i := range uint64(maxSessions) {
+		if _, err := apply(t, s, KindJoin, 100+i, 1, &pb.Join{Name: "n", MaxCommandKind: MaxCommandKind}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, known := s.Done(7, 2); known || len(s.sessions) != sessionsMost {
+	if _, known := s.Outcome(7, 2); known || len(s.sessions) != maxSessions {
 		t.Errorf("%d sessions are remembered", len(s.sessions))
 	}
 }
@@ -68,25 +68,25 @@
 // A program stops at a command that it does not know and never skips it; a new kind is not handed in while a member lacks it.
 func TestMixedFleet(t *testing.T) {
 	s := newTestState()
-	for name, speaks := range map[string]uint32{"new": Speaks, "old": KindPolicy - 1} {
+	for name, speaks := range map[string]uint32{"new": MaxCommandKind, "old": KindPolicy - 1} {
 		if _, err := apply(t, s, KindJoin, 0, 0, &pb.Join{Name: name, MaxCommandKind: speaks}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if why := s.Speak(KindPolicy); !strings.Contains(why, "old runs a program that does not know commands of kind 3") {
+	if why := s.CheckKind(KindPolicy); !strings.Contains(why, "old runs a program that does not know commands of kind 3") {
 		t.Errorf("%q", why)
 	}
-	if done, _ := apply(t, s, KindLeave, 0, 0, &pb.Leave{Name: "old", Author: "a"}); done.Refused != "" || s.Speak(KindPolicy) != "" {
-		t.Errorf("once it is gone: %+v %q", done, s.Speak(KindPolicy))
+	if done, _ := apply(t, s, KindLeave, 0, 0, &pb.Leave{Name: "old", Author: "a"}); done.Rejection != "" || s.CheckKind(KindPolicy) != "" {
+		t.Errorf("once it is gone: %+v %q", done, s.CheckKind(KindPolicy))
 	}
-	if done, _ := apply(t, s, KindJoin, 0, 0, &pb.Join{Name: "old", MaxCommandKind: Speaks}); !strings.Contains(done.Refused, "gone for good") {
+	if done, _ := apply(t, s, KindJoin, 0, 0, &pb.Join{Name: "old", MaxCommandKind: MaxCommandKind}); !strings.Contains(done.Rejection, "gone for good") {
 		t.Errorf("it comes back: %+v", done)
 	}
-	if done, _ := apply(t, s, KindLeave, 0, 0, &pb.Leave{Name: "nobody"}); !strings.Contains(done.Refused, "no member") {
+	if done, _ := apply(t, s, KindLeave, 0, 0, &pb.Leave{Name: "nobody"}); !strings.Contains(done.Rejection, "no member") {
 		t.Errorf("%+v", done)
 	}
 	at := s.Index()
-	if _, err := apply(t, s, Speaks+1, 0, 0, &pb.Join{}); !errors.Is(err, ErrUnknown) || s.Index() != at {
+	if _, err := apply(t, s, MaxCommandKind+1, 0, 0, &pb.Join{}); !errors.Is(err, ErrUnknownCommand) || s.Index() != at {
 		t.Errorf("%v, at %d", err, s.Index())
 	}
 	if _, err := s.Apply(at+2, 1, nil); err == nil {
@@ -101,11 +101,11 @@
 func TestSnapshotIsWhole(t *testing.T) {
 	a := newTestState()
 	step := func(s *State, i int) string {
-		var done Done
+		var done Outcome
 		var err error
 		switch i % 5 {
 		case 0:
-			done, err = apply(t, s, KindJoin, uint64(i), 1, &pb.Join{Name: fmt.Sprint("n", i), MaxCommandKind: Speaks})
+			done, err = apply(t, s, KindJoin, uint64(i), 1, &pb.Join{Name: fmt.Sprint("n", i), MaxCommandKind: MaxCommandKind})
 		case 1:
 			done, err = apply(t, s, KindPolicy, uint64(i%7+1), uint64(i), propose(uint64(i/10)))
 		case 2:
@@ -141,7 +141,7 @@
 	if err := newTestState().Restore(raw(t, &pb.Snapshot{Format: snapshotFormat + 1})); err == nil || !strings.Contains(err.Error(), "format 2") {
 		t.Errorf("a newer format: %v", err)
 	}
-	if err := newTestState().Restore(raw(t, &pb.Snapshot{Format: snapshotFormat, Machines: []*pb.MachineState{{Kind: 99}}})); !errors.Is(err, ErrUnknown) {
+	if err := newTestState().Restore(raw(t, &pb.Snapshot{Format: snapshotFormat, Machines: []*pb.MachineState{{Kind: 99}}})); !errors.Is(err, ErrUnknownCommand) {
 		t.Errorf("a kind that is not known: %v", err)
 	}
 }
@@ -151,30 +151,30 @@
 	const id = 42
 	for _, c := range []struct {
 		what   string
-		folder Folder
-		heard  map[string]Heard
-		want   Start
+		folder StoredPosition
+		heard  map[string]PeerState
+		want   StartState
 	}{
-		{"alone, or vouched for, it goes by its folder", Folder{3, 7, 2, 9}, nil, Start{Term: 3, Vote: 7, BarTerm: 2, Bar: 9}},
-		{"an honest restart keeps its vote", Folder{3, 7, 3, 9}, map[string]Heard{"a": {3, 3, 9, 9}, "b": {2, 2, 5, 0}}, Start{Term: 3, Vote: 7, BarTerm: 3, Bar: 9}},
-		{"a vote that it may have forgotten is spent", Folder{3, 0, 3, 9}, map[string]Heard{"a": {3, 3, 9, 0}}, Start{Term: 3, Vote: id, BarTerm: 3, Bar: 9}},
-		{"terms that it does not know of are spent", Folder{3, 7, 3, 9}, map[string]Heard{"a": {5, 3, 9, 0}}, Start{Term: 5, Vote: id, BarTerm: 3, Bar: 9}},
-		{"the furthest log is the bar, by term first", Folder{3, 7, 3, 9}, map[string]Heard{"a": {3, 2, 99, 0}, "b": {3, 3, 12, 0}}, Start{Term: 3, Vote: 7, BarTerm: 3, Bar: 12}},
-		{"an empty folder", Folder{}, map[string]Heard{"a": {4, 4, 20, 0}, "b": {4, 4, 18, 0}}, Start{Term: 4, Vote: id, BarTerm: 4, Bar: 20}},
-		{"all are new", Folder{}, map[string]Heard{"a": {}, "b": {}}, Start{}},
-		{"the one that leads knows more", Folder{4, 7, 4, 9}, map[string]Heard{"a": {4, 4, 20, 15}},
-			Start{Term: 5, Vote: id, BarTerm: 4, Bar: 20, Old: "a leads, and had from it that it holds the log to 15; the folder ends at 9"}},
+		{"alone, or vouched for, it goes by its folder", StoredPosition{3, 7, 2, 9}, nil, StartState{Term: 3, Vote: 7, MinLogTerm: 2, MinLogIndex: 9}},
+		{"an honest restart keeps its vote", StoredPosition{3, 7, 3, 9}, map[string]PeerState{"a": {3, 3, 9, 9}, "b": {2, 2, 5, 0}}, StartState{Term: 3, Vote: 7, MinLogTerm: 3, MinLogIndex: 9}},
+		{"a vote that it may have forgotten is spent", StoredPosition{3, 0, 3, 9}, map[string]PeerState{"a": {3, 3, 9, 0}}, StartState{Term: 3, Vote: id, MinLogTerm: 3, MinLogIndex: 9}},
+		{"terms that it does not know of are spent", StoredPosition{3, 7, 3, 9}, map[string]PeerState{"a": {5, 3, 9, 0}}, StartState{Term: 5, Vote: id, MinLogTerm: 3, MinLogIndex: 9}},
+		{"the furthest log is the bar, by term first", StoredPosition{3, 7, 3, 9}, map[string]PeerState{"a": {3, 2, 99, 0}, "b": {3, 3, 12, 0}}, StartState{Term: 3, Vote: 7, MinLogTerm: 3, MinLogIndex: 12}},
+		{"an empty folder", StoredPosition{}, map[string]PeerState{"a": {4, 4, 20, 0}, "b": {4, 4, 18, 0}}, StartState{Term: 4, Vote: id, MinLogTerm: 4, MinLogIndex: 20}},
+		{"all are new", StoredPosition{}, map[string]PeerState{"a": {}, "b": {}}, StartState{}},
+		{"the one that leads knows more", StoredPosition{4, 7, 4, 9}, map[string]PeerState{"a": {4, 4, 20, 15}},
+			StartState{Term: 5, Vote: id, MinLogTerm: 4, MinLogIndex: 20, StaleReason: "a leads, and had from it that it holds the log to 15; the folder ends at 9"}},
 	} {
-		if got := begin(id, c.folder, c.heard); got != c.want {
+		if got := reconcile(id, c.folder, c.heard); got != c.want {
 			t.Errorf("%s: %+v, want %+v", c.what, got, c.want)
 		}
 	}
-	s := Start{BarTerm: 3, Bar: 10}
+	s := StartState{MinLogTerm: 3, MinLogIndex: 10}
 	for _, c := range []struct {
 		term, last uint64
 		over       bool
 	}{{3, 9, false}, {3, 10, true}, {2, 99, false}, {4, 1, true}} {
-		if got := s.over(c.term, c.last); got != c.over {
+		if got := s.upToDate(c.term, c.last); got != c.over {
 			t.Errorf("a log to %d of term %d: over the bar %v", c.last, c.term, got)
 		}
 	}
--- a/internal/sender/fleetpart.go
+++ b/internal/sender/fleetpart.go
@@ -29,7 +29,7 @@
 	// OnPaces has f called, from any goroutine, when some have.
 	OnPaces(f func())
 	// Testify takes what this sender has seen of receivers itself.
-	Testify([]health.Testimony)
+	Testify([]health.Observation)
 	// Told is that a receiver has told this sender its limit, in calls a second.
 	Told(destination uint32, perSecond float64)
 	// View is what calls go by; acts is whether any is begun at all. It is nil while nothing is known.
@@ -44,7 +44,7 @@
 type fleetPart struct {
 	noPart
 	s     *Sender
-	stand map[uint32]health.Sort // verdicts as the module was told
+	stand map[uint32]health.Kind // verdicts as the module was told
 }
 
 // paceEvent is that this sender may send more or less where the fleet shares a limit out.
@@ -88,7 +88,7 @@
 			}
 		}
 	}()
-	return &fleetPart{s: s, stand: map[uint32]health.Sort{}}
+	return &fleetPart{s: s, stand: map[uint32]health.Kind{}}
 }
 
 func (p *fleetPart) leaving() error {
@@ -157,14 +157,14 @@
 // verdicts tells the module what the fleet holds of receivers, as far as it was not told.
 func (p *fleetPart) verdicts() (events []brain.Event) {
 	v, _ := p.s.c.Fleet.View()
-	is := map[uint32]health.Sort{}
+	is := map[uint32]health.Kind{}
 	for _, one := range v.GetVerdicts() {
-		if sort := health.Sort(one.Kind); sort != health.Suspended {
+		if sort := health.Kind(one.Kind); sort != health.KindSuspended {
 			is[one.Destination] = sort
 		}
 	}
-	brainHealth := map[health.Sort]brain.Health{health.Out: brain.OutOfService, health.Cold: brain.Warming, health.None: brain.Serving}
-	tell := func(d uint32, sort health.Sort) {
+	brainHealth := map[health.Kind]brain.Health{health.KindEjected: brain.OutOfService, health.KindWarmingUp: brain.Warming, health.KindNone: brain.Serving}
+	tell := func(d uint32, sort health.Kind) {
 		if _, listed := p.s.list.Cells[d]; listed {
 			events = append(events, brain.Learnt{Destination: brain.DestinationID(d), Health: brainHealth[sort]})
 		}
@@ -175,8 +175,8 @@
 		}
 	}
 	for _, d := range slices.Sorted(maps.Keys(p.stand)) {
-		if is[d] == health.None {
-			tell(d, health.None)
+		if is[d] == health.KindNone {
+			tell(d, health.KindNone)
 		}
 	}
 	p.stand = is
@@ -201,13 +201,13 @@
 	if v == nil || !v.Policy.Guards() {
 		return
 	}
-	var all []health.Testimony
+	var all []health.Observation
 	for _, k := range known {
 		d := uint32(k.Destination)
-		if _, ruled := v.Policy.VerdictRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || some && k.Health == brain.Serving && p.stand[d] == health.None && k.HealthAge > time.Second {
+		if _, ruled := v.Policy.VerdictRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || some && k.Health == brain.Serving && p.stand[d] == health.KindNone && k.HealthAge > time.Second {
 			continue
 		}
-		all = append(all, health.Testimony{Destination: d, State: knowledge.State(k.Health), Age: k.HealthAge, For: max(0, k.For-k.HealthAge)})
+		all = append(all, health.Observation{Destination: d, State: knowledge.State(k.Health), Age: k.HealthAge, Duration: max(0, k.For-k.HealthAge)})
 	}
 	if len(all) > 0 {
 		p.s.c.Fleet.Testify(all)
--- a/internal/sender/fleetpart_test.go
+++ b/internal/sender/fleetpart_test.go
@@ -39,7 +39,7 @@
 func (f *toldFleet) Recount(map[fleetpolicy.Call]int64) {}
 func (f *toldFleet) OnPaces(told func())                { f.paced = told }
 func (f *toldFleet) Told(uint32, float64)               {}
-func (f *toldFleet) Testify([]health.Testimony)         {}
+func (f *toldFleet) Testify([]health.Observation)       {}
 func (f *toldFleet) Paces(bool) []fleet.Pace {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/worker/duty_test.go
+++ b/internal/worker/duty_test.go
@@ -21,14 +21,14 @@
 func TestRingAgainstAList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 5).Draw(t, "most")
-		rule := Rule(rapid.IntRange(0, 2).Draw(t, "rule"))
+		rule := OverflowPolicy(rapid.IntRange(0, 2).Draw(t, "rule"))
 		type entry struct{ key, value int }
 		key := func(e entry) string { return fmt.Sprint(e.key) }
 		var of func(entry) string
-		if rule == Merge {
+		if rule == MergeByKey {
 			of = key
 		}
-		r := NewRing("r", most, rule, of)
+		r := NewRingBuffer("r", most, rule, of)
 		var list []entry
 		high, dropped, merged, waited := 0, 0, 0, 0
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -45,13 +45,13 @@
 			at := slices.IndexFunc(list, func(o entry) bool { return o.key == e.key })
 			took := true
 			switch {
-			case rule == Merge && at >= 0:
+			case rule == MergeByKey && at >= 0:
 				list = slices.Clone(list)
 				list[at] = e
 				merged++
 			case len(list) < most:
 				list = append(slices.Clone(list), e)
-			case rule == Wait:
+			case rule == Block:
 				took = false
 				waited++
 			default:
@@ -64,7 +64,7 @@
 			}
 		}
 		s := r.Stats()
-		if s.Held != len(list) || s.High != high || s.Dropped != uint64(dropped) || s.Merged != uint64(merged) || s.Waited != uint64(waited) {
+		if s.Length != len(list) || s.HighWatermark != high || s.Dropped != uint64(dropped) || s.Merged != uint64(merged) || s.Blocked != uint64(waited) {
 			t.Fatalf("%+v; list %d, high %d, dropped %d, merged %d, waited %d", s, len(list), high, dropped, merged, waited)
 		}
 	})
@@ -72,7 +72,7 @@
 
 // Who puts into a full ring waits until something is taken, its time is over, or the ring is closed.
 func TestPutWaits(t *testing.T) {
-	r := NewRing[int]("full", 1, Wait, nil)
+	r := NewRingBuffer[int]("full", 1, Block, nil)
 	if err := r.Put(context.Background(), 1); err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	}
 	put := make(chan error, 1)
 	go func() { put <- r.Put(context.Background(), 3) }()
-	for r.Stats().Waited < 2 {
+	for r.Stats().Blocked < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	r.Take(1)
@@ -91,7 +91,7 @@
 		t.Error(err)
 	}
 	go func() { put <- r.Put(context.Background(), 4) }()
-	for r.Stats().Waited < 3 {
+	for r.Stats().Blocked < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	r.Close()
@@ -121,20 +121,20 @@
 func TestScheduleRepeats(t *testing.T) {
 	run := func(seed uint64) string {
 		var log strings.Builder
-		var duties []*Duty[int, int]
+		var duties []*Worker[int, int]
 		for _, n := range []string{"a", "b", "c"} {
-			duties = append(duties, &Duty[int, int]{Name: n, In: NewRing[int](n, 4, DropOldest, nil), Stepper: &counter{}})
+			duties = append(duties, &Worker[int, int]{Name: n, Inbox: NewRingBuffer[int](n, 4, DropOldest, nil), Stepper: &counter{}})
 		}
 		for i, d := range duties {
-			d.Do = func(_ context.Context, sum int) error {
+			d.Execute = func(_ context.Context, sum int) error {
 				fmt.Fprintf(&log, "%s%d ", d.Name, sum)
 				if sum < 40 {
-					duties[(i+1)%3].In.Offer(sum%7 + 1)
+					duties[(i+1)%3].Inbox.Offer(sum%7 + 1)
 				}
 				return nil
 			}
 		}
-		s := NewSchedule(seed, duties[0], duties[1], duties[2])
+		s := NewScheduler(seed, duties[0], duties[1], duties[2])
 		if done, err := s.Run(context.Background(), 30*time.Second, func() bool { return duties[0].Stepper.(*counter).sum > 30 }); !done || err != nil {
 			t.Fatalf("%v %v", done, err)
 		}
@@ -152,8 +152,8 @@
 	if run(1) == run(2) {
 		t.Error("two seeds, one run")
 	}
-	idle := &Duty[int, int]{Name: "idle", In: NewRing[int]("idle", 1, Wait, nil), Stepper: idler{}, Do: func(context.Context, int) error { return nil }}
-	if done, err := NewSchedule(1, idle).Run(context.Background(), time.Hour, func() bool { return false }); done || err != nil {
+	idle := &Worker[int, int]{Name: "idle", Inbox: NewRingBuffer[int]("idle", 1, Block, nil), Stepper: idler{}, Execute: func(context.Context, int) error { return nil }}
+	if done, err := NewScheduler(1, idle).Run(context.Background(), time.Hour, func() bool { return false }); done || err != nil {
 		t.Errorf("with nothing to do: %v %v", done, err)
 	}
 }
@@ -175,19 +175,19 @@
 func TestGroup(t *testing.T) {
 	var log safe
 	began := time.Now()
-	g := &Group{Log: slog.New(slog.NewTextHandler(&log, nil)), Clock: func() time.Duration { return time.Since(began) }, Stall: 20 * time.Millisecond}
+	g := &Group{Log: slog.New(slog.NewTextHandler(&log, nil)), Clock: func() time.Duration { return time.Since(began) }, StallThreshold: 20 * time.Millisecond}
 	got := make(chan int, 100)
 	hold := make(chan struct{})
-	make1 := func(name string, do func(context.Context, int) error) *Duty[int, int] {
-		return &Duty[int, int]{Name: name, In: NewRing[int](name, 8, Wait, nil), Stepper: idlerOf{}, Do: do}
+	make1 := func(name string, do func(context.Context, int) error) *Worker[int, int] {
+		return &Worker[int, int]{Name: name, Inbox: NewRingBuffer[int](name, 8, Block, nil), Stepper: idlerOf{}, Execute: do}
 	}
 	sound := make1("sound", func(_ context.Context, n int) error { got <- n; return nil })
 	fails := make1("fails", func(context.Context, int) error { return errors.New("no disk") })
 	panics := make1("panics", func(context.Context, int) error { panic("half made") })
 	stalls := make1("stalls", func(context.Context, int) error { <-hold; return nil })
-	for _, d := range []*Duty[int, int]{sound, fails, panics, stalls} {
-		g.Start(d, EndDuty)
-		d.In.Offer(7)
+	for _, d := range []*Worker[int, int]{sound, fails, panics, stalls} {
+		g.Start(d, StopWorker)
+		d.Inbox.Offer(7)
 	}
 	until := func(text string) {
 		t.Helper()
@@ -200,7 +200,7 @@
 	until("no disk")
 	until("half made")
 	until("a duty stalls\" duty=stalls")
-	sound.In.Offer(8)
+	sound.Inbox.Offer(8)
 	if a, b := <-got, <-got; a != 7 || b != 8 {
 		t.Errorf("%d, %d", a, b)
 	}
@@ -213,10 +213,10 @@
 	}
 	var ended []string
 	for _, r := range g.Reports() {
-		if r.Turns == 0 && r.Name == "sound" || r.Inbox.Capacity != 8 {
+		if r.Steps == 0 && r.Name == "sound" || r.Inbox.Capacity != 8 {
 			t.Errorf("%+v", r)
 		}
-		if r.Ended != "" {
+		if r.ExitReason != "" {
 			ended = append(ended, r.Name)
 		}
 	}
--- a/internal/worker/ring.go
+++ b/internal/worker/ring.go
@@ -10,66 +10,68 @@
 	"sync"
 )
 
-// Rule is what a ring does with one more when it is full.
-type Rule uint8
+// OverflowPolicy is what a ring does with one more when it is full.
+type OverflowPolicy uint8
 
 // The rules.
 const (
-	Wait       Rule = iota // who puts it waits; Offer says no
-	DropOldest             // the oldest goes, and is counted
-	Merge                  // a newer one takes the place of one with its key; of one more key the oldest goes, and is counted
+	Block      OverflowPolicy = iota // who puts it waits; Offer says no
+	DropOldest                       // the oldest goes, and is counted
+	MergeByKey                       // a newer one takes the place of one with its key; of one more key the oldest goes, and is counted
 )
 
-func (r Rule) String() string { return [...]string{"wait", "drop the oldest", "merge by key"}[r] }
+func (r OverflowPolicy) String() string {
+	return [...]string{"wait", "drop the oldest", "merge by key"}[r]
+}
 
 // ErrClosed is that a ring takes nothing more.
 var ErrClosed = errors.New("the ring is closed")
 
-// Ring is a bounded queue. It may be used from any goroutine; only Put waits.
-type Ring[T any] struct {
-	name string
-	most int
-	rule Rule
-	key  func(T) string
-
-	mu     sync.Mutex
-	queue  []T // those from head on
-	head   int
-	at     map[string]int // place of a key, counted from the ring's begin; Merge only
-	first  int            // place of queue[head]
-	closed bool
-	stats  Stats
-	ready  chan struct{} // holds a word while there may be something to take
-	space  chan struct{} // closed when something was taken; nil: nobody waits
+// RingBuffer is a bounded queue. It may be used from any goroutine; only Put waits.
+type RingBuffer[T any] struct {
+	name     string
+	capacity int
+	policy   OverflowPolicy
+	key      func(T) string
+
+	mu           sync.Mutex
+	queue        []T // those from head on
+	head         int
+	positions    map[string]int // place of a key, counted from the ring's begin; Merge only
+	headPosition int            // place of queue[head]
+	closed       bool
+	stats        Stats
+	ready        chan struct{} // holds a word while there may be something to take
+	spaceFreed   chan struct{} // closed when something was taken; nil: nobody waits
 }
 
 // Stats is a ring as a command shows it.
 type Stats struct {
-	Name     string `json:"name"`
-	Capacity int    `json:"capacity"`
-	Rule     string `json:"rule"`
-	Held     int    `json:"held"`
-	High     int    `json:"high"`    // most that were held
-	Taken    uint64 `json:"taken"`   // in, whatever became of them
-	Dropped  uint64 `json:"dropped"` // by DropOldest, or for want of room for one more key
-	Merged   uint64 `json:"merged"`
-	Waited   uint64 `json:"waited"` // for room, or turned away by Offer
+	Name          string `json:"name"`
+	Capacity      int    `json:"capacity"`
+	Policy        string `json:"rule"`
+	Length        int    `json:"held"`
+	HighWatermark int    `json:"high"`    // most that were held
+	Accepted      uint64 `json:"taken"`   // in, whatever became of them
+	Dropped       uint64 `json:"dropped"` // by DropOldest, or for want of room for one more key
+	Merged        uint64 `json:"merged"`
+	Blocked       uint64 `json:"waited"` // for room, or turned away by Offer
 }
 
-// NewRing makes a ring for most entries, over 0. key is for Merge alone.
-func NewRing[T any](name string, most int, rule Rule, key func(T) string) *Ring[T] {
-	if most < 1 || (rule == Merge) != (key != nil) {
-		panic(fmt.Sprintf("duty: ring %s: capacity %d, rule %s", name, most, rule))
+// NewRingBuffer makes a ring for most entries, over 0. key is for Merge alone.
+func NewRingBuffer[T any](name string, capacity int, policy OverflowPolicy, key func(T) string) *RingBuffer[T] {
+	if capacity < 1 || (policy == MergeByKey) != (key != nil) {
+		panic(fmt.Sprintf("duty: ring %s: capacity %d, rule %s", name, capacity, policy))
 	}
-	r := &Ring[T]{name: name, most: most, rule: rule, key: key, ready: make(chan struct{}, 1)}
-	if rule == Merge {
-		r.at = map[string]int{}
+	r := &RingBuffer[T]{name: name, capacity: capacity, policy: policy, key: key, ready: make(chan struct{}, 1)}
+	if policy == MergeByKey {
+		r.positions = map[string]int{}
 	}
 	return r
 }
 
 // Offer puts an entry in if that needs no waiting, and reports whether it did. A ring that drops or merges takes each.
-func (r *Ring[T]) Offer(v T) bool {
+func (r *RingBuffer[T]) Offer(v T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -78,12 +80,12 @@
 	if r.put(v) {
 		return true
 	}
-	r.stats.Waited++
+	r.stats.Blocked++
 	return false
 }
 
 // Put puts an entry in, and waits for room where the rule is to wait.
-func (r *Ring[T]) Put(ctx context.Context, v T) error {
+func (r *RingBuffer[T]) Put(ctx context.Context, v T) error {
 	for first := true; ; first = false {
 		r.mu.Lock()
 		if r.closed {
@@ -95,12 +97,12 @@
 			return nil
 		}
 		if first {
-			r.stats.Waited++
+			r.stats.Blocked++
 		}
-		if r.space == nil {
-			r.space = make(chan struct{})
+		if r.spaceFreed == nil {
+			r.spaceFreed = make(chan struct{})
 		}
-		space := r.space
+		space := r.spaceFreed
 		r.mu.Unlock()
 		select {
 		case <-space:
@@ -111,33 +113,33 @@
 }
 
 // put does so under the lock; false if there is no room and the rule is to wait.
-func (r *Ring[T]) put(v T) bool {
-	if r.rule == Merge {
-		if place, ok := r.at[r.key(v)]; ok {
-			r.queue[r.head+place-r.first] = v
+func (r *RingBuffer[T]) put(v T) bool {
+	if r.policy == MergeByKey {
+		if place, ok := r.positions[r.key(v)]; ok {
+			r.queue[r.head+place-r.headPosition] = v
 			r.stats.Merged++
-			r.stats.Taken++
+			r.stats.Accepted++
 			return true
 		}
 	}
-	if held := len(r.queue) - r.head; held >= r.most {
-		if r.rule == Wait {
+	if held := len(r.queue) - r.head; held >= r.capacity {
+		if r.policy == Block {
 			return false
 		}
 		r.pop()
 		r.stats.Dropped++
 	}
-	if r.rule == Merge {
-		r.at[r.key(v)] = r.first + len(r.queue) - r.head
+	if r.policy == MergeByKey {
+		r.positions[r.key(v)] = r.headPosition + len(r.queue) - r.head
 	}
 	r.queue = append(r.queue, v)
-	r.stats.Taken++
-	r.stats.High = max(r.stats.High, len(r.queue)-r.head)
+	r.stats.Accepted++
+	r.stats.HighWatermark = max(r.stats.HighWatermark, len(r.queue)-r.head)
 	r.wake()
 	return true
 }
 
-func (r *Ring[T]) wake() {
+func (r *RingBuffer[T]) wake() {
 	select {
 	case r.ready <- struct{}{}:
 	default:
@@ -145,16 +147,16 @@
 }
 
 // pop takes the oldest out; there is one.
-func (r *Ring[T]) pop() T {
+func (r *RingBuffer[T]) pop() T {
 	v := r.queue[r.head]
 	var none T
 	r.queue[r.head] = none
 	r.head++
-	r.first++
-	if r.rule == Merge {
-		delete(r.at, r.key(v))
+	r.headPosition++
+	if r.policy == MergeByKey {
+		delete(r.positions, r.key(v))
 	}
-	if r.head >= r.most { // the room in front is given back now and then: each entry moves once at most
+	if r.head >= r.capacity { // the room in front is given back now and then: each entry moves once at most
 		r.queue = append(r.queue[:0], r.queue[r.head:]...)
 		clear(r.queue[len(r.queue):cap(r.queue)])
 		r.head = 0
@@ -163,7 +165,7 @@
 }
 
 // Take gives the oldest entries, so many at most; none if there is none.
-func (r *Ring[T]) Take(most int) []T {
+func (r *RingBuffer[T]) Take(most int) []T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := min(most, len(r.queue)-r.head)
@@ -174,9 +176,9 @@
 	for range n {
 		out = append(out, r.pop())
 	}
-	if r.space != nil {
-		close(r.space)
-		r.space = nil
+	if r.spaceFreed != nil {
+		close(r.spaceFreed)
+		r.spaceFreed = nil
 	}
 	if len(r.queue) > r.head {
 		r.wake()
@@ -185,24 +187,24 @@
 }
 
 // Ready gives a word when there may be something to take.
-func (r *Ring[T]) Ready() <-chan struct{} { return r.ready }
+func (r *RingBuffer[T]) Ready() <-chan struct{} { return r.ready }
 
 // Close lets the ring take nothing more; what it holds can still be taken.
-func (r *Ring[T]) Close() {
+func (r *RingBuffer[T]) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
-	if r.space != nil {
-		close(r.space)
-		r.space = nil
+	if r.spaceFreed != nil {
+		close(r.spaceFreed)
+		r.spaceFreed = nil
 	}
 }
 
 // Stats is the ring as it is.
-func (r *Ring[T]) Stats() Stats {
+func (r *RingBuffer[T]) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.stats
-	s.Name, s.Capacity, s.Rule, s.Held = r.name, r.most, r.rule.String(), len(r.queue)-r.head
+	s.Name, s.Capacity, s.Policy, s.Length = r.name, r.capacity, r.policy.String(), len(r.queue)-r.head
 	return s
 }
--- a/internal/worker/schedule.go
+++ b/internal/worker/schedule.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Schedule runs duties step by step in virtual time: which of those that have something to do is next is drawn by a seed, and
+// Scheduler runs duties step by step in virtual time: which of those that have something to do is next is drawn by a seed, and
 // time moves on when none has. One seed gives the same run.
-type Schedule struct {
-	rng    *rand.Rand
-	now    time.Duration
-	duties []Turner
+type Scheduler struct {
+	rng     *rand.Rand
+	now     time.Duration
+	workers []Runner
 }
 
-// NewSchedule makes one for these duties.
-func NewSchedule(seed uint64, duties ...Turner) *Schedule {
-	return &Schedule{rng: rand.New(rand.NewPCG(seed, 0)), duties: duties}
+// NewScheduler makes one for these duties.
+func NewScheduler(seed uint64, duties ...Runner) *Scheduler {
+	return &Scheduler{rng: rand.New(rand.NewPCG(seed, 0)), workers: duties}
 }
 
 // Now is the virtual time.
-func (s *Schedule) Now() time.Duration { return s.now }
+func (s *Scheduler) Now() time.Duration { return s.now }
 
 // Run takes turns until done says so, and reports false if nothing was left to do before, or until.
-func (s *Schedule) Run(ctx context.Context, until time.Duration, done func() bool) (bool, error) {
+func (s *Scheduler) Run(ctx context.Context, until time.Duration, done func() bool) (bool, error) {
 	for !done() {
-		order := s.rng.Perm(len(s.duties))
+		order := s.rng.Perm(len(s.workers))
 		worked := false
 		for _, i := range order {
-			did, err := s.duties[i].turn(ctx, s.Now)
+			did, err := s.workers[i].runOnce(ctx, s.Now)
 			if err != nil {
 				return false, err
 			}
@@ -41,8 +41,8 @@
 			continue
 		}
 		next := Never
-		for _, d := range s.duties {
-			next = min(next, d.next())
+		for _, d := range s.workers {
+			next = min(next, d.wakeTime())
 		}
 		if next == Never || next > until {
 			return false, nil
