--- a/internal/tier/controlplane/assign.go
+++ b/internal/tier/controlplane/assignment.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"google.golang.org/protobuf/proto"
+
 	"saffronyard.example/saffronyard/internal/tier/settings"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
@@ -161,104 +162,6 @@
 	}
 }
 
-// pruneNodes drops store nodes without a copy whose folder was replaced, or that are lost after they were emptied.
-func (a *assignment) pruneNodes() {
-	used := map[string]bool{}
-	for _, p := range a.m.Partitions {
-		for _, folder := range replicaFolders(p) {
-			used[folder] = true
-		}
-	}
-	a.m.StoreNodes = slices.DeleteFunc(a.m.StoreNodes, func(one *tierv1.StoreNode) bool {
-		emptied := a.retiring(one.Folder) && a.lost(one.Folder)
-		return !used[one.Folder] && (a.replaced[one.Folder] || emptied)
-	})
-}
-
-func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
-}
-
-func (a *assignment) alive(folder string) bool { return a.Alive[folder] != nil }
-
-// lost tells whether a turn store is called lost. One that is neither alive nor lost has not come yet.
-func (a *assignment) lost(folder string) bool {
-	return !a.alive(folder) && (a.GraceOver || a.replaced[folder])
-}
-
-// countSlow counts, for each turn store, the slow partitions that it is the primary of, and the copies under way there in such.
-func (a *assignment) countSlow() {
-	a.slowTargets, a.slowSources = map[string]int{}, map[string]int{}
-	for i, p := range a.m.Partitions {
-		if !a.Slow[uint32(i)] {
-			continue
-		}
-		a.slowSources[p.Primary]++
-		for _, c := range p.Backups {
-			if !c.Synced {
-				a.slowTargets[c.Folder]++
-			}
-		}
-	}
-}
-
-// departing tells whether a turn store gives its copies up: it is to be emptied, or has heard SIGTERM.
-func (a *assignment) departing(folder string) bool { return a.retiring(folder) || a.Draining[folder] }
-
-func (a *assignment) retiring(folder string) bool {
-	one := a.storeNodes[folder]
-	return one != nil && slices.Contains(a.m.Retiring, one.Node)
-}
-
-// usable tells whether a turn store may get new duties.
-func (a *assignment) usable(folder string) bool {
-	return a.alive(folder) && !a.departing(folder)
-}
-
-func (a *assignment) domain(folder string) string {
-	if one := a.storeNodes[folder]; one != nil {
-		return a.Domain(one)
-	}
-	return folder
-}
-
-// countLost counts the domains in which a turn store that has copies is lost, and may yet return.
-func (a *assignment) countLost() int {
-	domains := map[string]bool{}
-	for _, p := range a.m.Partitions {
-		for _, folder := range replicaFolders(p) {
-			if a.lost(folder) && !a.replaced[folder] {
-				domains[a.domain(folder)] = true
-			}
-		}
-	}
-	return len(domains)
-}
-
-// replicaFolders are the folders of a partition, the primary first.
-func replicaFolders(p *tierv1.Partition) []string {
-	all := make([]string, 1, len(p.Backups)+1)
-	all[0] = p.Primary
-	for _, c := range p.Backups {
-		all = append(all, c.Folder)
-	}
-	return all
-}
-
-func findBackup(p *tierv1.Partition, folder string) *tierv1.Replica {
-	for _, c := range p.Backups {
-		if c.Folder == folder {
-			return c
-		}
-	}
-	return nil
-}
-
 // applyReports marks copies that the partition's primary has reported synced in this epoch.
 func (a *assignment) applyReports() {
 	for _, r := range a.Reports {
@@ -323,3 +226,17 @@
 	}
 	return true
 }
+
+// pruneNodes drops store nodes without a copy whose folder was replaced, or that are lost after they were emptied.
+func (a *assignment) pruneNodes() {
+	used := map[string]bool{}
+	for _, p := range a.m.Partitions {
+		for _, folder := range replicaFolders(p) {
+			used[folder] = true
+		}
+	}
+	a.m.StoreNodes = slices.DeleteFunc(a.m.StoreNodes, func(one *tierv1.StoreNode) bool {
+		emptied := a.retiring(one.Folder) && a.lost(one.Folder)
+		return !used[one.Folder] && (a.replaced[one.Folder] || emptied)
+	})
+}
--- a/internal/tier/controlplane/configuration.go
+++ b/internal/tier/controlplane/configuration.go
@@ -43,15 +43,6 @@
 	return a
 }
 
-// Reasons for which an order was not decided on.
-var (
-	errNotPrimary     = errors.New("this process is not the primary")
-	errWriterBusy     = errors.New("another write is under way")
-	errOutcomeUnknown = errors.New("the outcome is unknown")
-	errUnconfirmed    = errors.New("the backups do not confirm it")
-	errStateTooLarge  = errors.New("the control state would be too large")
-)
-
 // applyChange decides on an order and carries it out. It gives the answer, and the version of the configuration that
 // gateways are to acknowledge before a 200; ok is false where this process is not the primary.
 func (plane *ControlPlane) applyChange(ctx context.Context, order configurationChange, body []byte) (version uint64, a response, ok bool) {
--- a/internal/tier/controlplane/endpoints.go
+++ b/internal/tier/controlplane/endpoint_push.go
@@ -1,34 +1,11 @@
 package controlplane
 
 import (
-	"bytes"
-	"compress/gzip"
-	"sync"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// compressThreshold is the encoded size, in bytes, from which a list of endpoints is packed for sessions.
-const compressThreshold = 4 << 10
-
-// compressedEndpoints is a list of endpoints as sessions get it. It is made when the first session needs it, and once for all:
-// a changed list goes to all sessions at the same time, and to encode a long one for each of them would overload the primary.
-type compressedEndpoints struct {
-	full *tierv1.Endpoints
-
-	once       sync.Once
-	compressed *tierv1.Endpoints
-}
-
-// setEndpoints replaces the list of a view that nobody has been shown yet.
-func (v *view) setEndpoints(list *tierv1.Endpoints) {
-	v.endpoints = list
-	v.compressedEndpoints = &compressedEndpoints{full: list}
-}
-
 // beginScan starts a reading of the platform's list, if the epoch goes on.
 func (plane *ControlPlane) beginScan(epoch uint64) {
 	plane.mu.Lock()
@@ -96,36 +73,3 @@
 		plane.endpointPushTimer = nil
 	}
 }
-
-// endpointsFor gives the list as the caller can read it.
-func (v *view) endpointsFor(req *tierv1.WatchRequest) *tierv1.Endpoints {
-	if !req.AcceptsPackedEndpoints {
-		return v.endpoints
-	}
-	return v.compressedEndpoints.get()
-}
-
-func (p *compressedEndpoints) get() *tierv1.Endpoints {
-	p.once.Do(func() { p.compressed = compressEndpoints(p.full) })
-	return p.compressed
-}
-
-// compressEndpoints gives a list with its entries compressed, or the list itself where it is short or can't be packed.
-func compressEndpoints(full *tierv1.Endpoints) *tierv1.Endpoints {
-	body, err := proto.Marshal(&tierv1.Endpoints{List: full.List})
-	if err != nil || len(body) < compressThreshold {
-		return full
-	}
-	var b bytes.Buffer
-	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
-	if err != nil {
-		return full
-	}
-	if _, err := w.Write(body); err != nil {
-		return full
-	}
-	if err := w.Close(); err != nil {
-		return full
-	}
-	return &tierv1.Endpoints{Version: full.Version, Packed: b.Bytes()}
-}
--- a/internal/tier/controlplane/reconcile.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -154,3 +154,19 @@
 	}
 	return n
 }
+
+// putPartitionMap writes a turn store map and shows it. The caller has the right to write.
+func (plane *ControlPlane) putPartitionMap(ctx context.Context, epoch uint64, m *tierv1.PartitionMap) error {
+	m.Version = 0
+	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+	if err != nil {
+		return err
+	}
+	version, err := plane.write(ctx, epoch, map[string][]byte{keyPartitionMap: body})
+	if err != nil {
+		return err
+	}
+	m.Version = version
+	plane.updateView(epoch, func(v *view) { v.partitionMap = m })
+	return nil
+}
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -55,40 +55,6 @@
 	a.pruneRetained(p)
 }
 
-// pickReplacement chooses a turn store for a copy in place of one that is lost: one that stays, or else a stand-in.
-func (a *assignment) pickReplacement(p *tierv1.Partition) string {
-	if next := a.pickStore(p); next != "" {
-		return next
-	}
-	return a.pickSubstitute(p)
-}
-
-// pickSubstitute chooses a turn store that is being emptied for a copy of a partition that has fewer copies than it should, and no
-// other turn store for one: empty where there is none, or no need. The copy goes when enough others are synced, as all do
-// that are on such turn stores; the order to empty it isn't completed before.
-func (a *assignment) pickSubstitute(p *tierv1.Partition) string {
-	if a.aliveReplicas(p) > a.Losses || a.pickStore(p) != "" {
-		return ""
-	}
-	return a.pickStoreWhere(p, a.canSubstitute)
-}
-
-// canSubstitute tells whether a turn store is being emptied, and may not be taken away yet.
-func (a *assignment) canSubstitute(folder string) bool {
-	return a.alive(folder) && a.retiring(folder) && !a.draining(folder) && !slices.Contains(a.m.Retired, a.storeNodes[folder].Node)
-}
-
-// aliveReplicas counts a partition's copies on turn stores that are alive and have not heard SIGTERM.
-func (a *assignment) aliveReplicas(p *tierv1.Partition) int {
-	n := 0
-	for _, folder := range replicaFolders(p) {
-		if a.alive(folder) && !a.draining(folder) {
-			n++
-		}
-	}
-	return n
-}
-
 // awaitsReturn tells whether a partition that has no turn store for another copy waits for a lost one, as its backup, rather than
 // go on without it. It does where more turn stores with copies are lost than is borne. It also does for a moment after a
 // session has lapsed: that may be for want of messages, and is no loss yet. What the others acknowledged without it would be
@@ -100,19 +66,32 @@
 	return a.RecentlyExpired[folder] || a.lostDomains > a.Losses
 }
 
-// draining tells whether a turn store has heard SIGTERM: its time is short.
-func (a *assignment) draining(folder string) bool { return a.Draining[folder] }
-
-// addReplica adds an unsynced copy: right behind a departing one, as the one that takes its place, else as the last.
-func (a *assignment) addReplica(p *tierv1.Partition, folder string) {
-	at := len(p.Backups)
-	for i, member := range replicaFolders(p) {
-		if a.departing(member) && (i == len(p.Backups) || p.Backups[i].Synced) {
-			at = i
-			break
+// failOver gives a partition another primary, out of its synced backups. The former is a synced backup then.
+func (a *assignment) failOver(p *tierv1.Partition, may func(folder string) bool) bool {
+	load := a.primariesByStore()
+	best := ""
+	for _, c := range p.Backups {
+		if !c.Synced || !may(c.Folder) {
+			continue
+		}
+		if best == "" || cmp.Or(
+			cmp.Compare(a.slowSources[c.Folder], a.slowSources[best]),
+			-compareBool(a.usable(c.Folder), a.usable(best)),
+			cmp.Compare(load[c.Folder], load[best]),
+			cmp.Compare(c.Folder, best)) < 0 {
+			best = c.Folder
 		}
 	}
-	p.Backups = slices.Insert(p.Backups, at, &tierv1.Replica{Folder: folder})
+	if best == "" {
+		return false
+	}
+	a.promote(p, best)
+	return true
+}
+
+func (a *assignment) promote(p *tierv1.Partition, folder string) {
+	c := findBackup(p, folder)
+	c.Folder, c.Synced, p.Primary = p.Primary, true, folder
 }
 
 // retarget tries other turn stores for a copy that doesn't get on: its primary or the copy's turn store may be out of reach of
@@ -145,96 +124,16 @@
 	}
 }
 
-// nextInCycle gives what comes after one in a list in order, and whether that is from the start again.
-func nextInCycle(list []string, one string) (next string, wrapped bool) {
-	slices.Sort(list)
-	at := slices.Index(list, one) + 1
-	return list[at%len(list)], at == len(list)
-}
-
-// alternatives are a copy's folder and those that could take its place with no more conflicts than any other.
-func (a *assignment) alternatives(p *tierv1.Partition, folder string) []string {
-	others := slices.DeleteFunc(replicaFolders(p), func(member string) bool { return member == folder })
-	list, fewest := []string{folder}, -1
-	for _, one := range sortedKeys(a.Alive) {
-		if !a.usable(one) || slices.Contains(others, one) || one == folder {
-			continue
-		}
-		n := a.domainConflicts(others, one)
-		if fewest < 0 || n < fewest {
-			list, fewest = []string{folder}, n
-		}
-		if n == fewest {
-			list = append(list, one)
-		}
-	}
-	return list
-}
-
-// syncedReplicas counts a partition's synced copies on turn stores that are alive, departing ones included.
-func (a *assignment) syncedReplicas(p *tierv1.Partition) int {
-	n := 0
-	for _, folder := range replicaFolders(p) {
-		if a.synced(p, folder) {
-			n++
-		}
-	}
-	return n
-}
-
-// stayingReplicas counts a partition's copies on turn stores that are not departing.
-func (a *assignment) stayingReplicas(p *tierv1.Partition) int {
-	n := 0
-	for _, folder := range replicaFolders(p) {
-		if !a.departing(folder) {
-			n++
-		}
-	}
-	return n
-}
-
-// synced tells whether a member of a partition is there and has all that was acknowledged.
-func (a *assignment) synced(p *tierv1.Partition, folder string) bool {
-	c := findBackup(p, folder)
-	return a.alive(folder) && (folder == p.Primary && len(p.RecoverFrom) == 0 || c != nil && c.Synced)
-}
-
-// failOver gives a partition another primary, out of its synced backups. The former is a synced backup then.
-func (a *assignment) failOver(p *tierv1.Partition, may func(folder string) bool) bool {
-	load := a.primariesByStore()
-	best := ""
-	for _, c := range p.Backups {
-		if !c.Synced || !may(c.Folder) {
-			continue
-		}
-		if best == "" || cmp.Or(
-			cmp.Compare(a.slowSources[c.Folder], a.slowSources[best]),
-			-compareBool(a.usable(c.Folder), a.usable(best)),
-			cmp.Compare(load[c.Folder], load[best]),
-			cmp.Compare(c.Folder, best)) < 0 {
-			best = c.Folder
+// addReplica adds an unsynced copy: right behind a departing one, as the one that takes its place, else as the last.
+func (a *assignment) addReplica(p *tierv1.Partition, folder string) {
+	at := len(p.Backups)
+	for i, member := range replicaFolders(p) {
+		if a.departing(member) && (i == len(p.Backups) || p.Backups[i].Synced) {
+			at = i
+			break
 		}
 	}
-	if best == "" {
-		return false
-	}
-	a.promote(p, best)
-	return true
-}
-
-func compareBool(x, y bool) int {
-	switch {
-	case x == y:
-		return 0
-	case x:
-		return 1
-	}
-	return -1
-}
-
-func (a *assignment) promote(p *tierv1.Partition, folder string) {
-	c := findBackup(p, folder)
-	c.Folder, c.Synced, p.Primary = p.Primary, true, folder
+	p.Backups = slices.Insert(p.Backups, at, &tierv1.Replica{Folder: folder})
 }
 
 func (a *assignment) removeBackup(p *tierv1.Partition, folder string) {
@@ -304,85 +203,3 @@
 	}
 	return best
 }
-
-// domainConflicts counts the others among folders that share a domain with one.
-func (a *assignment) domainConflicts(folders []string, one string) int {
-	n := 0
-	for _, folder := range folders {
-		if folder != one && folder != "" && a.domain(folder) == a.domain(one) {
-			n++
-		}
-	}
-	return n
-}
-
-// replicasByStore counts the copies of each usable turn store, those left out that are dropped when their successor is synced.
-func (a *assignment) replicasByStore() map[string]int {
-	load := map[string]int{}
-	for folder := range a.Alive {
-		if a.usable(folder) {
-			load[folder] = 0
-		}
-	}
-	for _, p := range a.m.Partitions {
-		for _, folder := range replicaFolders(p) {
-			if folder != "" {
-				load[folder]++
-			}
-		}
-	}
-	for _, p := range a.m.Partitions {
-		if a.stayingReplicas(p) > a.Losses+1 {
-			load[a.surplusReplica(p)]--
-		}
-	}
-	return load
-}
-
-func (a *assignment) primariesByStore() map[string]int {
-	load := map[string]int{}
-	for _, p := range a.m.Partitions {
-		load[p.Primary]++
-	}
-	return load
-}
-
-// pickStore chooses a turn store for another copy of a partition, or for its primary where there is none yet; empty if there is none.
-func (a *assignment) pickStore(p *tierv1.Partition) string { return a.pickStoreWhere(p, a.usable) }
-
-// pickStoreWhere is pick among the turn stores that may take a copy.
-func (a *assignment) pickStoreWhere(p *tierv1.Partition, may func(folder string) bool) string {
-	load, first := a.replicasByStore(), a.primariesByStore()
-	all := replicaFolders(p)
-	best := ""
-	for _, folder := range sortedKeys(a.Alive) {
-		if !may(folder) || slices.Contains(all, folder) {
-			continue
-		}
-		if best == "" {
-			best = folder
-			continue
-		}
-		order := cmp.Or(cmp.Compare(a.domainConflicts(all, folder), a.domainConflicts(all, best)),
-			cmp.Compare(a.slowTargets[folder], a.slowTargets[best]), cmp.Compare(load[folder], load[best]),
-			cmp.Compare(a.sameZone(all, folder), a.sameZone(all, best)))
-		if p.Primary == "" {
-			order = cmp.Or(cmp.Compare(first[folder], first[best]), order)
-		}
-		if order < 0 {
-			best = folder
-		}
-	}
-	return best
-}
-
-// sameZone counts the others among folders in the zone of one: where it costs nothing, copies lie in different zones.
-func (a *assignment) sameZone(folders []string, one string) int {
-	n := 0
-	for _, folder := range folders {
-		if k := a.storeNodes[folder]; k != nil && folder != one && k.Zone == a.storeNodes[one].Zone {
-			n++
-		}
-	}
-	return n
-}
--- /dev/null
+++ b/internal/tier/controlplane/request_body.go
@@ -0,0 +1,47 @@
+package controlplane
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+)
+
+var (
+	errBodyTooLarge   = errors.New("the body is too large")
+	errBodyIncomplete = errors.New("the body did not come whole")
+)
+
+// readBody reads a body up to its end. It fails with errBodyTooLarge or errBodyCut.
+func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
+	tooLarge := fmt.Errorf("%w: it has more than %d bytes", errBodyTooLarge, limit)
+	if r.ContentLength > limit {
+		w.Header().Set("Connection", "close")
+		return nil, tooLarge
+	}
+	var b bytes.Buffer
+	if r.ContentLength > 0 {
+		b.Grow(int(r.ContentLength) + bytes.MinRead)
+	}
+	_, err := b.ReadFrom(http.MaxBytesReader(w, r.Body, limit))
+	var large *http.MaxBytesError
+	switch {
+	case errors.As(err, &large):
+		return nil, tooLarge
+	case err != nil, r.ContentLength >= 0 && int64(b.Len()) != r.ContentLength:
+		return nil, errBodyIncomplete
+	}
+	return b.Bytes(), nil
+}
+
+// bodyErrorResponse is the answer to a call whose body readBody did not give.
+func bodyErrorResponse(err error) response {
+	if errors.Is(err, errBodyTooLarge) {
+		return errorResponse(http.StatusRequestEntityTooLarge, err.Error())
+	}
+	return errorResponse(http.StatusBadRequest, err.Error())
+}
+
+// discardBody reads what comes of a body that is not used, so that the answer is not lost to a reset.
+func discardBody(r *http.Request) { io.Copy(io.Discard, io.LimitReader(r.Body, maxRequestBody)) }
--- a/internal/tier/controlplane/risk_clock.go
+++ b/internal/tier/controlplane/status.go
@@ -1,31 +1,45 @@
 package controlplane
 
 import (
+	"context"
+	"slices"
+	"strings"
 	"time"
 
-	"saffronyard.example/saffronyard/internal/tier/consensus"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// riskTimer remembers since when partitions are at risk, and when the last of them came to be.
-type riskTimer struct {
-	since      time.Time // zero: none is
-	newest     time.Time // when their number rose last
-	partitions int
-}
-
-// observe takes the number of partitions that are at risk now.
-func (c *riskTimer) observe(now time.Time, number int) {
-	switch {
-	case number == 0:
-		*c = riskTimer{}
-		return
-	case c.partitions == 0:
-		c.since, c.newest = now, now
-	case number > c.partitions:
-		c.newest = now
+// Status tells operators what this process is and knows.
+func (s *watchService) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
+	plane := s.plane
+	v, primary := plane.primary()
+	r := &tierv1.StatusReply{Self: plane.Store.Self(), Primary: primary, Record: plane.Store.Record(), DiskError: plane.diskError()}
+	r.Highest = r.Record.GetEpoch()
+	for _, key := range []string{keyConfiguration, keyPartitionMap, keyEpochMarker} {
+		_, sequence := plane.Store.Get(key)
+		r.Sequence = max(r.Sequence, sequence)
 	}
-	c.partitions = number
+	if !primary {
+		return r, nil
+	}
+	r.PartitionMap, r.Configuration, r.Endpoints, r.Revision = v.partitionMap, v.configuration.GetVersion(), v.endpoints.GetVersion(), v.changes.current
+	r.Orders = uint32(len(v.changes.records))
+	now := time.Now()
+	plane.mu.Lock()
+	r.Risk = plane.riskReport(now, v.partitionMap)
+	for _, one := range plane.sessions.sessions {
+		t := &tierv1.Session{Node: one.node, Role: one.role, Address: one.address, Configuration: one.configuration,
+			Endpoints: one.endpoints, PartitionMap: one.partitionMap, Disk: one.disk}
+		if one.openCalls == 0 {
+			t.SilentMs = now.Sub(one.lastCallEnded).Milliseconds()
+		}
+		r.Sessions = append(r.Sessions, t)
+	}
+	plane.mu.Unlock()
+	slices.SortFunc(r.Sessions, func(a, b *tierv1.Session) int {
+		return strings.Compare(a.Role+" "+a.Node, b.Role+" "+b.Node)
+	})
+	return r, nil
 }
 
 // riskReport tells what could be lost now. The caller holds the lock.
@@ -43,11 +57,6 @@
 	return r
 }
 
-// healthStore is a Store that knows which of its members and backups answer.
-type healthStore interface {
-	Health() consensus.Health
-}
-
 // addControlRisk tells what the control state bears, as the store knows it; without a word from it, as the record has it.
 func (plane *ControlPlane) addControlRisk(r *tierv1.Risk) {
 	record := plane.Store.Record()
--- a/internal/tier/controlplane/store.go
+++ b/internal/tier/controlplane/store.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 
+	"saffronyard.example/saffronyard/internal/tier/consensus"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
@@ -33,3 +34,8 @@
 	keyPartitionMap  = "turnstores"    // tierv1.PartitionMap
 	keyEpochMarker   = "settled"       // epoch in which the state was last written through
 )
+
+// healthStore is a Store that knows which of its members and backups answer.
+type healthStore interface {
+	Health() consensus.Health
+}
--- /dev/null
+++ b/internal/tier/controlplane/store_selection.go
@@ -0,0 +1,108 @@
+package controlplane
+
+import (
+	"cmp"
+	"slices"
+
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
+)
+
+// pickStore chooses a turn store for another copy of a partition, or for its primary where there is none yet; empty if there is none.
+func (a *assignment) pickStore(p *tierv1.Partition) string { return a.pickStoreWhere(p, a.usable) }
+
+// pickStoreWhere is pick among the turn stores that may take a copy.
+func (a *assignment) pickStoreWhere(p *tierv1.Partition, may func(folder string) bool) string {
+	load, first := a.replicasByStore(), a.primariesByStore()
+	all := replicaFolders(p)
+	best := ""
+	for _, folder := range sortedKeys(a.Alive) {
+		if !may(folder) || slices.Contains(all, folder) {
+			continue
+		}
+		if best == "" {
+			best = folder
+			continue
+		}
+		order := cmp.Or(cmp.Compare(a.domainConflicts(all, folder), a.domainConflicts(all, best)),
+			cmp.Compare(a.slowTargets[folder], a.slowTargets[best]), cmp.Compare(load[folder], load[best]),
+			cmp.Compare(a.sameZone(all, folder), a.sameZone(all, best)))
+		if p.Primary == "" {
+			order = cmp.Or(cmp.Compare(first[folder], first[best]), order)
+		}
+		if order < 0 {
+			best = folder
+		}
+	}
+	return best
+}
+
+// pickReplacement chooses a turn store for a copy in place of one that is lost: one that stays, or else a stand-in.
+func (a *assignment) pickReplacement(p *tierv1.Partition) string {
+	if next := a.pickStore(p); next != "" {
+		return next
+	}
+	return a.pickSubstitute(p)
+}
+
+// pickSubstitute chooses a turn store that is being emptied for a copy of a partition that has fewer copies than it should, and no
+// other turn store for one: empty where there is none, or no need. The copy goes when enough others are synced, as all do
+// that are on such turn stores; the order to empty it isn't completed before.
+func (a *assignment) pickSubstitute(p *tierv1.Partition) string {
+	if a.aliveReplicas(p) > a.Losses || a.pickStore(p) != "" {
+		return ""
+	}
+	return a.pickStoreWhere(p, a.canSubstitute)
+}
+
+// canSubstitute tells whether a turn store is being emptied, and may not be taken away yet.
+func (a *assignment) canSubstitute(folder string) bool {
+	return a.alive(folder) && a.retiring(folder) && !a.draining(folder) && !slices.Contains(a.m.Retired, a.storeNodes[folder].Node)
+}
+
+// alternatives are a copy's folder and those that could take its place with no more conflicts than any other.
+func (a *assignment) alternatives(p *tierv1.Partition, folder string) []string {
+	others := slices.DeleteFunc(replicaFolders(p), func(member string) bool { return member == folder })
+	list, fewest := []string{folder}, -1
+	for _, one := range sortedKeys(a.Alive) {
+		if !a.usable(one) || slices.Contains(others, one) || one == folder {
+			continue
+		}
+		n := a.domainConflicts(others, one)
+		if fewest < 0 || n < fewest {
+			list, fewest = []string{folder}, n
+		}
+		if n == fewest {
+			list = append(list, one)
+		}
+	}
+	return list
+}
+
+// nextInCycle gives what comes after one in a list in order, and whether that is from the start again.
+func nextInCycle(list []string, one string) (next string, wrapped bool) {
+	slices.Sort(list)
+	at := slices.Index(list, one) + 1
+	return list[at%len(list)], at == len(list)
+}
+
+// domainConflicts counts the others among folders that share a domain with one.
+func (a *assignment) domainConflicts(folders []string, one string) int {
+	n := 0
+	for _, folder := range folders {
+		if folder != one && folder != "" && a.domain(folder) == a.domain(one) {
+			n++
+		}
+	}
+	return n
+}
+
+// sameZone counts the others among folders in the zone of one: where it costs nothing, copies lie in different zones.
+func (a *assignment) sameZone(folders []string, one string) int {
+	n := 0
+	for _, folder := range folders {
+		if k := a.storeNodes[folder]; k != nil && folder != one && k.Zone == a.storeNodes[one].Zone {
+			n++
+		}
+	}
+	return n
+}
