--- a/internal/tier/capacity/gateway_test.go
+++ b/internal/tier/capacity/gateway_test.go
@@ -70,13 +70,13 @@
 			report := measureProcessor(b)
 			for b.Loop() {
 				now += 3 * time.Millisecond
-				c := x.Pick(now, loadbalancer.Ask{Route: fmt.Sprintf("r-%07d", i%2000), Service: fmt.Sprintf("service-%02d", i%n.services), First: true,
-					Left: 6 * time.Second, Aim: time.Second, Affinity: fmt.Sprint(i % 400), Tokens: 4000})
-				if c.Verdict != loadbalancer.Send {
-					b.Fatal(c.Verdict)
+				c := x.Pick(now, loadbalancer.Request{Route: fmt.Sprintf("r-%07d", i%2000), Service: fmt.Sprintf("service-%02d", i%n.services), FirstAttempt: true,
+					Remaining: 6 * time.Second, LatencyTarget: time.Second, AffinityKey: fmt.Sprint(i % 400), CacheTokens: 4000})
+				if c.Decision != loadbalancer.Send {
+					b.Fatal(c.Decision)
 				}
-				x.FirstPiece(now, c.Call)
-				x.Done(now+time.Millisecond, c.Call, loadbalancer.Outcome{Kind: loadbalancer.Served, First: time.Millisecond})
+				x.ResponseStarted(now, c.Call)
+				x.Done(now+time.Millisecond, c.Call, loadbalancer.Outcome{Kind: loadbalancer.Served, Latency: time.Millisecond})
 				i++
 			}
 			report()
--- a/internal/tier/gateway/counters.go
+++ b/internal/tier/gateway/counters.go
@@ -46,7 +46,7 @@
 
 // runEnds is the number of ends that a send to an endpoint is counted by: those of upstream, and refusedEnd.
 const (
-	refusedEnd = int(upstream.Abandoned) + 1 // the endpoint said that it has not run
+	refusedEnd = int(upstream.Canceled) + 1 // the endpoint said that it has not run
 	runEnds    = refusedEnd + 1
 )
 
@@ -72,11 +72,11 @@
 
 // countRun counts a send to an endpoint by how it ended.
 func (counters *counters) countRun(result *upstream.Result) {
-	end := int(result.End)
+	end := int(result.Outcome)
 	if result.Stream != nil {
-		end = int(result.Stream.End())
+		end = int(result.Stream.Outcome())
 	}
-	if result.End == upstream.Whole && result.Answer != nil && result.Answer.NotExecuted {
+	if result.Outcome == upstream.Complete && result.Response != nil && result.Response.NotExecuted {
 		end = refusedEnd
 	}
 	counters.runs[end].Add(1)
@@ -105,7 +105,7 @@
 	for end := range runEnds {
 		name := "refused"
 		if end != refusedEnd {
-			name = upstream.End(end).String()
+			name = upstream.Outcome(end).String()
 		}
 		if count := counters.runs[end].Load(); count > 0 {
 			totals.Runs = append(totals.Runs, metrics.RunTotal{End: name, Count: count})
--- a/internal/tier/gateway/lease_test.go
+++ b/internal/tier/gateway/lease_test.go
@@ -37,9 +37,9 @@
 		request := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, service: "s", ctx: ctx,
 			route: &routing.Route{Name: "r", Aim: 400 * time.Millisecond, MaxAttempts: 2}, until: time.Now().Add(time.Hour)}
 		picked := request.choose()
-		assert.Equal(t, picked.Verdict, loadbalancer.Send)
-		first := request.upstreamRequest(loadbalancer.Choice{Instance: "i-1"}).Permit
-		second := request.upstreamRequest(loadbalancer.Choice{Instance: "i-2"}).Permit
+		assert.Equal(t, picked.Decision, loadbalancer.Send)
+		first := request.upstreamRequest(loadbalancer.Selection{Instance: "i-1"}).Permit
+		second := request.upstreamRequest(loadbalancer.Selection{Instance: "i-2"}).Permit
 		assert.Assert(t, first() && second())
 
 		var paused atomic.Bool
@@ -54,7 +54,7 @@
 		<-time.After(pause / 2)
 		assert.Assert(t, !first(), "written by a list that is not current")
 		assert.Assert(t, !second(), "written by a list that is not current")
-		assert.Assert(t, request.choose().Verdict != loadbalancer.Send)
+		assert.Assert(t, request.choose().Decision != loadbalancer.Send)
 
 		<-time.After(pause)
 		assert.Assert(t, !first() && second())
--- a/internal/tier/gateway/permit_test.go
+++ b/internal/tier/gateway/permit_test.go
@@ -16,7 +16,7 @@
 func TestTheListIsAskedBeforeTheWrite(t *testing.T) {
 	k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.Silent()})
 	w := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
-	permit := w.upstreamRequest(loadbalancer.Choice{Instance: "i-1"}).Permit
+	permit := w.upstreamRequest(loadbalancer.Selection{Instance: "i-1"}).Permit
 	entry := func(draining bool) *tierv1.Endpoint {
 		return &tierv1.Endpoint{Instance: "i-1", Service: "s", Address: "127.0.0.1:1", Draining: draining}
 	}
--- a/internal/tier/gateway/request.go
+++ b/internal/tier/gateway/request.go
@@ -57,7 +57,7 @@
 			left = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
-	request.until = request.x.Arrived.Add(left)
+	request.until = request.x.ArrivedAt.Add(left)
 	return true
 }
 
--- a/internal/tier/gateway/runtiming.go
+++ b/internal/tier/gateway/runtiming.go
@@ -45,7 +45,7 @@
 // runTiming bounds the silences of one run, and measures them.
 type runTiming struct {
 	request      *clientRequest
-	choice       loadbalancer.Choice
+	choice       loadbalancer.Selection
 	pauseTimeout time.Duration // 0: a silence within the run does not end it
 	first        time.Duration // from the send to the first piece; 0: none has come
 	lastPiece    time.Time
@@ -53,7 +53,7 @@
 }
 
 // newRunTiming is for a run that was sent just now. resumable: another run may go on from what this one brings.
-func newRunTiming(request *clientRequest, choice loadbalancer.Choice, resumable bool) *runTiming {
+func newRunTiming(request *clientRequest, choice loadbalancer.Selection, resumable bool) *runTiming {
 	timing := &runTiming{request: request, choice: choice}
 	if resumable && request.sent < request.route.MaxAttempts {
 		timing.pauseTimeout = request.gateway.pauseTimeout(request)
@@ -90,7 +90,7 @@
 // outcome is what the load balancer is given of the run, which has ended.
 func (timing *runTiming) outcome(result *upstream.Result) loadbalancer.Outcome {
 	ended := outcome(result, time.Since(timing.request.began))
-	ended.First, ended.Pause = timing.first, timing.longest
+	ended.Latency, ended.LongestGap = timing.first, timing.longest
 	if ended.Kind == loadbalancer.TimedOut && timing.first > 0 && time.Now().Before(timing.request.until) {
 		ended.Kind = loadbalancer.Stalled
 	}
@@ -101,9 +101,9 @@
 // left counts where the endpoint had been silent for long.
 func (request *clientRequest) noteFailure(result *upstream.Result, timing *runTiming) {
 	request.failedAt = ""
-	end := result.End
+	end := result.Outcome
 	if result.Stream != nil {
-		end = result.Stream.End()
+		end = result.Stream.Outcome()
 	}
 	silentSince := timing.lastPiece
 	if silentSince.IsZero() {
@@ -112,7 +112,7 @@
 	silent := time.Since(silentSince) > request.firstTimeout()
 	switch {
 	case !result.Written:
-	case end == upstream.Broken, end == upstream.Malformed, end == upstream.TimedOut, end == upstream.Abandoned && silent:
+	case end == upstream.Broken, end == upstream.Malformed, end == upstream.TimedOut, end == upstream.Canceled && silent:
 		request.failedAt = timing.choice.Instance
 	}
 }
@@ -121,7 +121,7 @@
 func (gateway *Gateway) pauseTimeout(request *clientRequest) time.Duration {
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
-	return gateway.loadbalancer.PauseTimeout(request.route.Name, request.firstPauseTimeout())
+	return gateway.loadbalancer.StallTimeout(request.route.Name, request.firstPauseTimeout())
 }
 
 // earlier is the earlier of two moments.
--- a/internal/tier/gateway/send.go
+++ b/internal/tier/gateway/send.go
@@ -19,11 +19,11 @@
 
 // newPool makes the connections to endpoints; they may take three tenths of the process's descriptors.
 func newPool(s settings.Settings) *upstream.Pool {
-	return upstream.NewPool(upstream.Config{Connections: max(32, s.Descriptors*3/10)})
+	return upstream.NewPool(upstream.Config{MaxConnections: max(32, s.Descriptors*3/10)})
 }
 
 // upstreamRequest is the request as an endpoint gets it.
-func (request *clientRequest) upstreamRequest(choice loadbalancer.Choice) *upstream.Request {
+func (request *clientRequest) upstreamRequest(choice loadbalancer.Selection) *upstream.Request {
 	x := request.x
 	ends := x.Header.AppendEndToEnd(make([]ingress.Field, 0, len(x.Header)+1))
 	head := make([]upstream.Field, 0, len(ends))
@@ -40,17 +40,17 @@
 	}
 	if request.route.Kind == routing.Streaming {
 		q.Priority = min(max(request.route.Priority, 0), 9)
-		q.Stream = true
+		q.ForceStream = true
 	}
 	if request.resumeAfter != "" {
 		q.Header = append(q.Header, upstream.Field{Name: lastEventID, Value: request.resumeAfter})
-		q.After = request.resumeAfter
+		q.LastEventID = request.resumeAfter
 	}
 	return q
 }
 
 // stands asks at the last moment whether the endpoint is still one that requests may go to: it is by a list that is current.
-func (gateway *Gateway) stands(choice loadbalancer.Choice) bool {
+func (gateway *Gateway) stands(choice loadbalancer.Selection) bool {
 	if !gateway.session.Current() {
 		return false
 	}
@@ -60,8 +60,8 @@
 }
 
 // send makes one send at the endpoint of choice. A result that is streaming is the caller's to finish.
-func (request *clientRequest) send(choice loadbalancer.Choice) *upstream.Result {
-	target := upstream.Target{Address: choice.Address, Instance: choice.Instance, Connections: request.maxConnections()}
+func (request *clientRequest) send(choice loadbalancer.Selection) *upstream.Result {
+	target := upstream.Target{Address: choice.Address, Instance: choice.Instance, MaxConnections: request.maxConnections()}
 	request.began = time.Now()
 	r := request.gateway.pool.Call(request.ctx, target, request.upstreamRequest(choice), choice.Timeout)
 	if r.Written {
@@ -71,11 +71,11 @@
 	if request.resumeAfter != "" && r.Written {
 		request.gateway.counters.resumed.Add(1)
 	}
-	if r.End != upstream.Streaming {
+	if r.Outcome != upstream.Streaming {
 		request.gateway.counters.countRun(r)
 		o := outcome(r, time.Since(request.began))
 		if o.Kind == loadbalancer.NotSent && !request.gateway.session.Current() { // it says nothing of the endpoint
-			o.Kind = loadbalancer.Abandoned
+			o.Kind = loadbalancer.Canceled
 		}
 		request.gateway.done(choice.Call, o)
 	}
@@ -98,26 +98,26 @@
 // outcome is what the load balancer is given of a call that has ended; took is from its send to its first piece, or to its
 // end.
 func outcome(r *upstream.Result, took time.Duration) loadbalancer.Outcome {
-	o := loadbalancer.Outcome{First: took}
-	end := r.End
+	o := loadbalancer.Outcome{Latency: took}
+	end := r.Outcome
 	if r.Stream != nil {
-		end = r.Stream.End()
+		end = r.Stream.Outcome()
 	}
-	a := r.Answer
-	if a != nil && a.Loaded {
+	a := r.Response
+	if a != nil && a.HasLoad {
 		o.Load = &loadbalancer.Load{Running: a.Load.Running, Waiting: a.Load.Waiting, Slots: a.Load.Slots}
 	}
 	switch end {
-	case upstream.Whole:
+	case upstream.Complete:
 		o.Kind, o.Misdirected = wholeOutcome(a)
 	case upstream.TimedOut:
 		o.Kind = loadbalancer.TimedOut
 		if !r.Written {
 			o.Kind = loadbalancer.Broken
 		}
-	case upstream.Abandoned:
-		o.Kind = loadbalancer.Abandoned
-	case upstream.NotSent, upstream.NoRoom:
+	case upstream.Canceled:
+		o.Kind = loadbalancer.Canceled
+	case upstream.NotSent, upstream.NoConnection:
 		o.Kind = loadbalancer.NotSent
 	default:
 		o.Kind = loadbalancer.Broken
@@ -126,12 +126,12 @@
 }
 
 // wholeOutcome is the outcome of an answer that came whole. misdirected: the endpoint is not the instance asked for.
-func wholeOutcome(a *upstream.Answer) (kind loadbalancer.Kind, misdirected bool) {
+func wholeOutcome(a *upstream.Response) (kind loadbalancer.OutcomeKind, misdirected bool) {
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
 		return loadbalancer.Gone, true
 	case a.NotExecuted:
-		return loadbalancer.Refused, false
+		return loadbalancer.Rejected, false
 	case a.Status/100 == 2 || a.Status/100 == 4 || a.Signature != "":
 		return loadbalancer.Served, false
 	}
@@ -141,25 +141,25 @@
 // firstPiece tells the load balancer that the first piece of a call's answer has come.
 func (gateway *Gateway) firstPiece(call *loadbalancer.Call) {
 	gateway.mu.Lock()
-	gateway.loadbalancer.FirstPiece(gateway.now(), call)
+	gateway.loadbalancer.ResponseStarted(gateway.now(), call)
 	gateway.mu.Unlock()
 }
 
 // mayRetry reports whether another send is allowed and has a chance.
 func (request *clientRequest) mayRetry(r *upstream.Result, tries int) bool {
-	return r.Verdict(false).Retry(request.repeatable()) && request.sent < request.route.MaxAttempts && tries < maxTries &&
+	return r.Disposition(false).MayRetry(request.repeatable()) && request.sent < request.route.MaxAttempts && tries < maxTries &&
 		time.Until(request.until) > 0
 }
 
 // finish answers the client when nothing is left to try.
 func (request *clientRequest) finish(r *upstream.Result) {
-	switch r.Verdict(false).Reply {
-	case upstream.PassOn:
-		request.x.Respond(r.Answer.Status, fields(r.Answer), r.Body)
-	case upstream.Refuse:
+	switch r.Disposition(false).Reply {
+	case upstream.ForwardResponse:
+		request.x.Respond(r.Response.Status, fields(r.Response), r.Body)
+	case upstream.ServiceUnavailable:
 		after := request.gateway.stores.wait
-		if r.Answer != nil && r.Answer.RetryAfter > 0 {
-			after = r.Answer.RetryAfter
+		if r.Response != nil && r.Response.RetryAfter > 0 {
+			after = r.Response.RetryAfter
 		}
 		request.gateway.refuse(request.x, after)
 	case upstream.GatewayTimeout:
@@ -172,7 +172,7 @@
 }
 
 // fields are those of an endpoint's answer as the client gets them.
-func fields(a *upstream.Answer) []ingress.Field {
+func fields(a *upstream.Response) []ingress.Field {
 	head := make([]ingress.Field, 0, len(a.Header)+1)
 	for _, f := range a.Header {
 		head = append(head, ingress.Field(f))
@@ -181,7 +181,7 @@
 }
 
 // unsent answers a request for which no endpoint is to be had.
-func (request *clientRequest) unsent(choice loadbalancer.Choice) {
+func (request *clientRequest) unsent(choice loadbalancer.Selection) {
 	after := choice.RetryAfter
 	if after <= 0 {
 		after = request.gateway.stores.wait
@@ -194,7 +194,7 @@
 	var last *upstream.Result
 	for tries := 1; ; tries++ {
 		choice := request.choose()
-		if choice.Verdict != loadbalancer.Send {
+		if choice.Decision != loadbalancer.Send {
 			if last != nil && request.sent > 0 { // it may have run
 				request.finish(last)
 			} else {
@@ -203,12 +203,12 @@
 			return
 		}
 		r := request.send(choice)
-		if r.End == upstream.Streaming {
+		if r.Outcome == upstream.Streaming {
 			request.pass(r, choice)
 			return
 		}
 		// What an earlier send may have done stands, whatever a later one says.
-		if last == nil || r.Verdict(false).Ran != upstream.No || last.Verdict(false).Ran == upstream.No {
+		if last == nil || r.Disposition(false).Execution != upstream.NotExecuted || last.Disposition(false).Execution == upstream.NotExecuted {
 			last = r
 		}
 		if !request.mayRetry(r, tries) {
--- a/internal/tier/gateway/serve.go
+++ b/internal/tier/gateway/serve.go
@@ -18,7 +18,7 @@
 	gateway.calls.Add(1)
 	defer gateway.calls.Add(-1)
 	kind := kindNone
-	defer func() { gateway.counters.countRequest(kind, outcomeOf(x.Status(), x.Stamped(), x.Whole())) }()
+	defer func() { gateway.counters.countRequest(kind, outcomeOf(x.Status(), x.Signed(), x.Complete())) }()
 	table := gateway.routing.Load()
 	if table == nil {
 		gateway.refuse(x, 500*time.Millisecond)
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	request.ctx = ctx
-	x.OnGone(watchFrom, cancel)
+	x.OnClientGone(watchFrom, cancel)
 	request.serve()
 }
 
@@ -73,18 +73,18 @@
 }
 
 // choose picks an endpoint for the next send, waiting a little for a place where all are taken.
-func (request *clientRequest) choose() loadbalancer.Choice {
+func (request *clientRequest) choose() loadbalancer.Selection {
 	gateway := request.gateway
 	// A request that waits is refused within its aim, so that its client's new try may still be in time.
 	refuseAt := time.Now().Add(min(request.route.Aim/4, time.Until(request.until)/3))
 	if !request.awaitCurrent(refuseAt) {
-		return loadbalancer.Choice{Verdict: loadbalancer.NoEndpoint}
+		return loadbalancer.Selection{Decision: loadbalancer.NoEndpoint}
 	}
 	for {
 		gateway.mu.Lock()
 		choice := gateway.loadbalancer.Pick(gateway.now(), request.ask())
 		gateway.noteHealth()
-		if choice.Verdict == loadbalancer.Send || choice.Verdict == loadbalancer.Hopeless {
+		if choice.Decision == loadbalancer.Send || choice.Decision == loadbalancer.DeadlineTooShort {
 			gateway.mu.Unlock()
 			return choice
 		}
@@ -107,12 +107,12 @@
 }
 
 // ask is what the load balancer needs to know for the next send.
-func (request *clientRequest) ask() loadbalancer.Ask {
+func (request *clientRequest) ask() loadbalancer.Request {
 	route := request.route
-	return loadbalancer.Ask{Route: route.Name, Service: request.service,
-		Repeatable: request.repeatable() && request.sent+1 < route.MaxAttempts, First: request.sent == 0, FirstTimeout: request.askFirstTimeout(),
-		Left: time.Until(request.until), Priority: route.Priority, Affinity: request.affinity, Home: request.home,
-		Prefix: request.prefix, Tokens: request.tokens, Tried: request.tried}
+	return loadbalancer.Request{Route: route.Name, Service: request.service,
+		Retryable: request.repeatable() && request.sent+1 < route.MaxAttempts, FirstAttempt: request.sent == 0, InitialTimeout: request.askFirstTimeout(),
+		Remaining: time.Until(request.until), Priority: route.Priority, AffinityKey: request.affinity, StickyInstance: request.home,
+		PromptPrefixes: request.prefix, CacheTokens: request.tokens, AttemptedInstances: request.tried}
 }
 
 // awaitCurrent waits until the list of endpoints is current, and tells whether it is. After a pause of this process the session
--- a/internal/tier/gateway/stream.go
+++ b/internal/tier/gateway/stream.go
@@ -41,10 +41,10 @@
 }
 
 // pass hands on an answer that is too long to be held whole.
-func (request *clientRequest) pass(result *upstream.Result, choice loadbalancer.Choice) {
+func (request *clientRequest) pass(result *upstream.Result, choice loadbalancer.Selection) {
 	relay := &relay{request: request, progress: newProgress(false, ""), last: result}
 	relay.copyRun(result, choice, newRunTiming(request, choice, false))
-	if result.Stream.End() != upstream.Whole || relay.lost {
+	if result.Stream.Outcome() != upstream.Complete || relay.lost {
 		relay.cutShort()
 		return
 	}
@@ -56,7 +56,7 @@
 	request := relay.request
 	for tries := 1; ; tries++ {
 		choice := request.choose()
-		if choice.Verdict != loadbalancer.Send {
+		if choice.Decision != loadbalancer.Send {
 			relay.noEndpoint(choice)
 			return
 		}
@@ -64,7 +64,7 @@
 		result := request.send(choice)
 		relay.note(result)
 		timing := newRunTiming(request, choice, relay.progress.mayResume())
-		if result.End == upstream.Streaming {
+		if result.Outcome == upstream.Streaming {
 			relay.copyRun(result, choice, timing)
 		}
 		request.noteFailure(result, timing)
@@ -86,7 +86,7 @@
 // note keeps the result that the client is told of if nothing else comes: what an earlier run may have done stands, whatever
 // a later one says.
 func (relay *relay) note(result *upstream.Result) {
-	if relay.last == nil || result.Verdict(false).Ran != upstream.No || relay.last.Verdict(false).Ran == upstream.No {
+	if relay.last == nil || result.Disposition(false).Execution != upstream.NotExecuted || relay.last.Disposition(false).Execution == upstream.NotExecuted {
 		relay.last = result
 	}
 }
@@ -94,18 +94,18 @@
 // runEnd sums up how a run ended.
 func (relay *relay) runEnd(result *upstream.Result, tries int) runEnd {
 	request := relay.request
-	verdict := result.Verdict(false)
-	whole := result.Stream != nil && result.Stream.End() == upstream.Whole
+	verdict := result.Disposition(false)
+	whole := result.Stream != nil && result.Stream.Outcome() == upstream.Complete
 	return runEnd{
 		whole:     whole,
-		gone:      relay.lost || !whole && (request.ctx.Err() != nil || verdict.Reply == upstream.Nothing),
-		retryable: verdict.Retry(request.repeatable()),
+		gone:      relay.lost || !whole && (request.ctx.Err() != nil || verdict.Reply == upstream.NoReply),
+		retryable: verdict.MayRetry(request.repeatable()),
 		room:      request.sent < request.route.MaxAttempts && tries < maxTries && time.Until(request.until) > 0,
 	}
 }
 
 // copyRun hands the pieces of one run to the client until the run or the client has ended. What is at hand goes out in one write.
-func (relay *relay) copyRun(result *upstream.Result, choice loadbalancer.Choice, timing *runTiming) {
+func (relay *relay) copyRun(result *upstream.Result, choice loadbalancer.Selection, timing *runTiming) {
 	request, stream := relay.request, result.Stream
 	defer stream.Close()
 	stream.SetDeadline(timing.firstBy())
@@ -121,17 +121,17 @@
 			request.gateway.firstPiece(choice.Call)
 		}
 		relay.add(piece)
-		if stream.AtHand() && !stream.Last() {
+		if stream.Ready() && !stream.BodyReceived() {
 			continue
 		}
-		relay.flushFrom(result.Answer)
+		relay.flushFrom(result.Response)
 		if relay.lost {
 			break
 		}
 		stream.SetDeadline(timing.nextBy())
 	}
-	if relay.unsent > 0 && stream.End() == upstream.Whole {
-		relay.flushFrom(result.Answer)
+	if relay.unsent > 0 && stream.Outcome() == upstream.Complete {
+		relay.flushFrom(result.Response)
 	}
 	stream.Close()
 	request.gateway.counters.countRun(result)
@@ -142,11 +142,11 @@
 }
 
 // add takes in a piece that follows on what has been taken.
-func (relay *relay) add(piece upstream.Piece) {
+func (relay *relay) add(piece upstream.Event) {
 	if relay.turn.transcript != nil && piece.HasData {
 		relay.turn.transcript.add(piece.Data)
 	}
-	if relay.skipTo != "" && piece.ID != "" && !upstream.Rises(relay.skipTo, piece.ID) {
+	if relay.skipTo != "" && piece.ID != "" && !upstream.IDIncreases(relay.skipTo, piece.ID) {
 		return
 	}
 	relay.events++
@@ -155,7 +155,7 @@
 }
 
 // flushFrom writes what has come, behind the head of the answer where no head has been written.
-func (relay *relay) flushFrom(head *upstream.Answer) {
+func (relay *relay) flushFrom(head *upstream.Response) {
 	if !relay.begun {
 		relay.begin(head)
 	}
@@ -165,7 +165,7 @@
 // flush writes what has come.
 func (relay *relay) flush() {
 	if !relay.begun && len(relay.buffer) > 0 {
-		relay.begin(relay.last.Answer)
+		relay.begin(relay.last.Response)
 	}
 	if !relay.lost && len(relay.buffer) > 0 {
 		relay.handed = relay.events
@@ -175,14 +175,14 @@
 }
 
 // begin writes the head.
-func (relay *relay) begin(head *upstream.Answer) {
+func (relay *relay) begin(head *upstream.Response) {
 	relay.begun = true
 	relay.lost = relay.request.x.Begin(head.Status, fields(head)) != nil
 }
 
 // noEndpoint answers where no endpoint is to be had for the next run.
-func (relay *relay) noEndpoint(choice loadbalancer.Choice) {
-	if relay.last == nil || relay.last.Verdict(false).Ran == upstream.No {
+func (relay *relay) noEndpoint(choice loadbalancer.Selection) {
+	if relay.last == nil || relay.last.Disposition(false).Execution == upstream.NotExecuted {
 		relay.turn.account.release(0)
 		relay.request.unsent(choice)
 		return
@@ -210,7 +210,7 @@
 func (relay *relay) complete(instance string) {
 	request, turn := relay.request, relay.turn
 	if !relay.begun { // a stream without events
-		relay.begin(relay.last.Answer)
+		relay.begin(relay.last.Response)
 	}
 	if relay.lost {
 		turn.account.release(relay.events * request.perEvent)
--- a/internal/tier/ingress/bench_test.go
+++ b/internal/tier/ingress/bench_test.go
@@ -75,7 +75,7 @@
 		b.Run(name, func(b *testing.B) {
 			exchanges(b, start(b, &Server{Handler: func(x *Exchange) {
 				if watched {
-					x.OnGone(0, func() {})
+					x.OnClientGone(0, func() {})
 				}
 				x.Begin(200, benchFields)
 				for range 20 {
--- a/internal/tier/ingress/body.go
+++ b/internal/tier/ingress/body.go
@@ -8,7 +8,7 @@
 
 // readRequest reads a whole request. It returns the status of a refusal, or the error of the connection.
 func (conn *conn) readRequest(exchange *Exchange) (status int, err error) {
-	exchange.Arrived = conn.readAt
+	exchange.ArrivedAt = conn.readAt
 	head, status, err := conn.readHead()
 	if status != 0 || err != nil {
 		return status, err
@@ -17,12 +17,12 @@
 	if status != 0 {
 		return status, nil
 	}
-	exchange.keep = !f.close
-	conn.due, conn.earned = time.Time{}, 0
+	exchange.keepAlive = !f.close
+	conn.readDeadline, conn.progress = time.Time{}, 0
 	if f.length > int64(conn.limits.MaxBody) {
 		return 413, nil
 	}
-	if f.expect && conn.taken == conn.filled && (f.length > 0 || f.chunked) {
+	if f.expect && conn.consumed == conn.buffered && (f.length > 0 || f.chunked) {
 		if err := conn.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 			return 0, err
 		}
@@ -40,13 +40,13 @@
 // readHead reads a head up to and with the empty line that ends it. It has one time-out, which counts from the first wait for
 // more of it: its first bytes may have come, behind a request, long before they are looked at.
 func (conn *conn) readHead() (head string, status int, err error) {
-	conn.due, conn.earned = time.Time{}, 0
+	conn.readDeadline, conn.progress = time.Time{}, 0
 	from, line, end, blank := 0, 0, 0, false
 	for {
-		b := (*conn.in)[conn.taken:conn.filled]
+		b := (*conn.buffer)[conn.consumed:conn.buffered]
 		if !blank && from == 0 && len(b) >= 2 && b[0] == '\r' && b[1] == '\n' { // one empty line may come before
 			blank = true
-			conn.taken += 2
+			conn.consumed += 2
 			continue
 		}
 		var bad bool
@@ -62,17 +62,17 @@
 		if len(b) == 1 { // a CR may begin an empty line
 			from, line = 0, 0
 		}
-		if conn.due.IsZero() {
-			conn.due = time.Now().Add(conn.limits.HeaderTimeout)
-			conn.socket.SetReadDeadline(conn.due)
+		if conn.readDeadline.IsZero() {
+			conn.readDeadline = time.Now().Add(conn.limits.HeaderTimeout)
+			conn.socket.SetReadDeadline(conn.readDeadline)
 		}
-		conn.earned = 0 // what comes of a head earns no new time-out
+		conn.progress = 0 // what comes of a head earns no new time-out
 		if err := conn.fill(); err != nil {
 			return "", 0, err
 		}
 	}
-	head = string((*conn.in)[conn.taken : conn.taken+end])
-	conn.taken += end
+	head = string((*conn.buffer)[conn.consumed : conn.consumed+end])
+	conn.consumed += end
 	return head, 0, nil
 }
 
@@ -81,7 +81,7 @@
 func (conn *conn) readLength(body []byte, n int, more bool) ([]byte, error) {
 	for n > 0 {
 		if cap(body) == len(body) {
-			room := min(n, max(firstBody, len(body)))
+			room := min(n, max(initialBodyCapacity, len(body)))
 			if more {
 				room = max(room, len(body))
 			}
@@ -91,9 +91,9 @@
 		}
 		room := body[len(body):min(cap(body), len(body)+n)]
 		var got int
-		if conn.taken < conn.filled {
-			got = copy(room, (*conn.in)[conn.taken:conn.filled])
-			conn.taken += got
+		if conn.consumed < conn.buffered {
+			got = copy(room, (*conn.buffer)[conn.consumed:conn.buffered])
+			conn.consumed += got
 		} else {
 			var err error
 			if got, err = conn.read(room); err != nil {
@@ -113,7 +113,7 @@
 func (conn *conn) readChunked(exchange *Exchange) (status int, err error) {
 	extra := conn.limits.MaxHeader // bytes of extensions and trailers that may come
 	for {
-		line, status, err := conn.line(conn.limits.MaxHeader)
+		line, status, err := conn.readLine(conn.limits.MaxHeader)
 		if status != 0 || err != nil {
 			return status, err
 		}
@@ -133,15 +133,15 @@
 		if exchange.Body, err = conn.readLength(exchange.Body, int(size), true); err != nil {
 			return 0, err
 		}
-		for conn.filled-conn.taken < 2 {
+		for conn.buffered-conn.consumed < 2 {
 			if err := conn.fill(); err != nil {
 				return 0, err
 			}
 		}
-		if b := (*conn.in)[conn.taken:]; b[0] != '\r' || b[1] != '\n' {
+		if b := (*conn.buffer)[conn.consumed:]; b[0] != '\r' || b[1] != '\n' {
 			return 400, nil
 		}
-		conn.taken += 2
+		conn.consumed += 2
 	}
 	return conn.skipTrailers(extra)
 }
@@ -149,7 +149,7 @@
 // skipTrailers reads the trailers of a body and its end. They may have so many bytes in all.
 func (conn *conn) skipTrailers(extra int) (status int, err error) {
 	for {
-		line, status, err := conn.line(extra)
+		line, status, err := conn.readLine(extra)
 		if status != 0 || err != nil {
 			return status, err
 		}
@@ -165,11 +165,11 @@
 	}
 }
 
-// line reads a line of at most limit bytes and returns it without its CRLF.
-func (conn *conn) line(limit int) (line string, status int, err error) {
+// readLine reads a line of at most limit bytes and returns it without its CRLF.
+func (conn *conn) readLine(limit int) (line string, status int, err error) {
 	for at := 0; ; {
-		if conn.in != nil {
-			b := (*conn.in)[conn.taken:conn.filled]
+		if conn.buffer != nil {
+			b := (*conn.buffer)[conn.consumed:conn.buffered]
 			for ; at < len(b); at++ {
 				if b[at] != '\n' {
 					continue
@@ -181,7 +181,7 @@
 					return "", 431, nil
 				}
 				line = string(b[:at-1])
-				conn.taken += at + 1
+				conn.consumed += at + 1
 				return line, 0, nil
 			}
 			if len(b) > limit {
--- a/internal/tier/ingress/conn.go
+++ b/internal/tier/ingress/conn.go
@@ -11,83 +11,83 @@
 )
 
 const (
-	bufferSize   = 4 << 10  // of a pooled buffer
-	keptBuffer   = 16 << 10 // a larger one is not put back
-	bodyProgress = 4 << 10  // bytes of a body that earn it a new time-out
-	firstBody    = 64 << 10 // room for a body before more of it has come
-	writeStep    = 64 << 10 // bytes written under one time-out
-	lingerBytes  = 1 << 20  // read and discarded after a refusal
+	bufferSize          = 4 << 10  // of a pooled buffer
+	maxPooledBuffer     = 16 << 10 // a larger one is not put back
+	bodyProgressBytes   = 4 << 10  // bytes of a body that earn it a new time-out
+	initialBodyCapacity = 64 << 10 // room for a body before more of it has come
+	maxWriteSize        = 64 << 10 // bytes written under one time-out
+	maxLingerBytes      = 1 << 20  // read and discarded after a refusal
 )
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, bufferSize); return &b }}
 
 // putBuffer gives a buffer back to the pool, unless it has grown large.
 func putBuffer(b *[]byte) {
-	if cap(*b) <= keptBuffer {
+	if cap(*b) <= maxPooledBuffer {
 		*b = (*b)[:cap(*b)]
 		buffers.Put(b)
 	}
 }
 
-// state is what a connection does, as far as those who would end it must know.
-type state uint8
+// connState is what a connection does, as far as those who would end it must know.
+type connState uint8
 
 const (
-	active state = iota
-	waiting
-	over // closed, or about to be, by whoever has set it
+	active connState = iota
+	idle
+	closed // closed, or about to be, by whoever has set it
 )
 
 // conn is a client's connection. All but what mu guards belongs to its goroutine.
 type conn struct {
-	server  *Server
-	socket  net.Conn
-	raw     syscall.RawConn
-	try     func(uintptr) bool
-	refused bool // for want of descriptors
+	server         *Server
+	socket         net.Conn
+	raw            syscall.RawConn
+	readFirstBytes func(uintptr) bool
+	overCapacity   bool // for want of descriptors
 
-	in      *[]byte   // nil while nothing has been read
-	taken   int       // bytes of in that a request has taken
-	filled  int       // bytes of in that were read
-	readAt  time.Time // of the last read into in
-	due     time.Time // of reads under way
-	earned  int       // bytes of a body since due was set
-	limits  Limits    // of the request being read
-	writeBy time.Time
-	readErr error // of try
+	buffer        *[]byte   // nil while nothing has been read
+	consumed      int       // bytes of in that a request has taken
+	buffered      int       // bytes of in that were read
+	readAt        time.Time // of the last read into in
+	readDeadline  time.Time // of reads under way
+	progress      int       // bytes of a body since due was set
+	limits        Limits    // of the request being read
+	writeDeadline time.Time
+	readErr       error // of try
 
-	mu     sync.Mutex // held over the read that takes the first bytes of a request
-	state  state
-	served int
+	mu             sync.Mutex // held over the read that takes the first bytes of a request
+	state          connState
+	requestsServed int
 
 	listed     bool // guarded by the server's lock, as are its neighbours
 	prev, next *conn
 }
 
-var errNoSocket = errors.New("ingress: no socket")
+var errNotASocket = errors.New("ingress: no socket")
 
 // newConn makes a client's connection of one that was accepted; errNoSocket if it is not one of the system.
 func newConn(s *Server, nc net.Conn) (*conn, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
-		return nil, errNoSocket
+		return nil, errNotASocket
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	c := &conn{server: s, socket: nc, raw: raw}
-	c.try = c.tryRead
+	c.readFirstBytes = c.readFirst
 	return c, nil
 }
 
 // serve is the connection's goroutine.
 func (conn *conn) serve() {
-	defer conn.server.remove(conn)
+	defer conn.server.removeConn(conn)
 	defer conn.socket.Close()
-	defer conn.release()
+	defer conn.releaseBuffer()
 	for {
-		if conn.taken == conn.filled && !conn.await() {
+		if conn.consumed == conn.buffered && !conn.awaitRequest() {
 			return
 		}
 		conn.limits = conn.server.limits()
@@ -95,33 +95,33 @@
 		status, err := conn.readRequest(exchange)
 		switch {
 		case status != 0:
-			conn.refuse(status)
+			conn.reject(status)
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			conn.refuse(408)
+			conn.reject(408)
 			return
 		case err != nil:
 			return
 		}
-		if conn.taken == conn.filled {
-			conn.release()
+		if conn.consumed == conn.buffered {
+			conn.releaseBuffer()
 		}
-		conn.run(exchange)
+		conn.serveExchange(exchange)
 		if !exchange.finish() {
 			return
 		}
-		if !exchange.keep {
-			conn.leave()
+		if !exchange.keepAlive {
+			conn.lingeringClose()
 			return
 		}
 		conn.mu.Lock()
-		conn.served++
+		conn.requestsServed++
 		conn.mu.Unlock()
 	}
 }
 
-// run calls the handler, or refuses where there are no descriptors left. A panic of the handler ends its exchange only.
-func (conn *conn) run(exchange *Exchange) {
+// serveExchange calls the handler, or refuses where there are no descriptors left. A panic of the handler ends its exchange only.
+func (conn *conn) serveExchange(exchange *Exchange) {
 	defer func() {
 		if p := recover(); p != nil {
 			exchange.Abort()
@@ -130,29 +130,29 @@
 			}
 		}
 	}()
-	if conn.refused {
+	if conn.overCapacity {
 		retry := conn.server.RetryAfter
 		if retry <= 0 {
 			retry = 250 * time.Millisecond
 		}
-		exchange.keep = false
-		exchange.Respond(503, []Field{{"Retry-After", seconds(retry)}}, nil)
+		exchange.keepAlive = false
+		exchange.Respond(503, []Field{{"Retry-After", formatSeconds(retry)}}, nil)
 		return
 	}
 	conn.server.Handler(exchange)
 }
 
-// release gives the read buffer back; nothing may be left in it.
-func (conn *conn) release() {
-	if conn.in != nil {
-		putBuffer(conn.in)
-		conn.in, conn.taken, conn.filled = nil, 0, 0
+// releaseBuffer gives the read buffer back; nothing may be left in it.
+func (conn *conn) releaseBuffer() {
+	if conn.buffer != nil {
+		putBuffer(conn.buffer)
+		conn.buffer, conn.consumed, conn.buffered = nil, 0, 0
 	}
 }
 
-// await waits for the first bytes of a request without holding a buffer. It reports false when the connection is over.
-func (conn *conn) await() bool {
-	conn.release()
+// awaitRequest waits for the first bytes of a request without holding a buffer. It reports false when the connection is over.
+func (conn *conn) awaitRequest() bool {
+	conn.releaseBuffer()
 	wait := conn.server.limits().IdleTimeout
 	if conn.server.draining.Load() {
 		wait = min(wait, conn.server.linger())
@@ -160,31 +160,31 @@
 	conn.socket.SetReadDeadline(time.Now().Add(wait))
 	conn.server.mu.Lock()
 	conn.mu.Lock()
-	conn.state = waiting
+	conn.state = idle
 	conn.mu.Unlock()
 	conn.server.idle.add(conn)
 	conn.server.mu.Unlock()
 	if conn.server.draining.Load() { // it may have begun as the deadline was set
-		conn.hurry(time.Now().Add(conn.server.linger()), true)
+		conn.shortenIdle(time.Now().Add(conn.server.linger()), true)
 	}
-	err := conn.raw.Read(conn.try)
+	err := conn.raw.Read(conn.readFirstBytes)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		err = conn.raw.Control(func(fd uintptr) { // what has come up to now is a request
-			for !conn.tryRead(fd) && !conn.endIdle() {
+			for !conn.readFirst(fd) && !conn.closeIfIdle() {
 			}
 		})
 	}
 	conn.server.mu.Lock()
 	conn.server.idle.remove(conn)
 	conn.server.mu.Unlock()
-	return err == nil && conn.readErr == nil && conn.filled > 0
+	return err == nil && conn.readErr == nil && conn.buffered > 0
 }
 
-// tryRead reads the first bytes of a request, if there are any, and makes the connection an active one in the same step.
-func (conn *conn) tryRead(fd uintptr) bool {
+// readFirst reads the first bytes of a request, if there are any, and makes the connection an active one in the same step.
+func (conn *conn) readFirst(fd uintptr) bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	if conn.state == over {
+	if conn.state == closed {
 		return true
 	}
 	b := buffers.Get().(*[]byte)
@@ -197,36 +197,36 @@
 			buffers.Put(b)
 			return false
 		case err == nil && n > 0:
-			conn.in, conn.taken, conn.filled, conn.readAt = b, 0, n, time.Now()
+			conn.buffer, conn.consumed, conn.buffered, conn.readAt = b, 0, n, time.Now()
 			conn.state = active
 			return true
 		case err == nil:
 			err = io.EOF
 		}
 		buffers.Put(b)
-		conn.readErr, conn.state = err, over
+		conn.readErr, conn.state = err, closed
 		return true
 	}
 }
 
-// endIdle ends a connection that waits if no byte of a request has come; the caller closes it, outside of all locks, since
+// closeIfIdle ends a connection that waits if no byte of a request has come; the caller closes it, outside of all locks, since
 // closing waits for its readers.
-func (conn *conn) endIdle() bool {
+func (conn *conn) closeIfIdle() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	if conn.state != waiting || peek(conn.raw) == pending {
+	if conn.state != idle || peek(conn.raw) == dataPending {
 		return false
 	}
-	conn.state = over
+	conn.state = closed
 	return true
 }
 
-// hurry has a connection that waits send its request by a time, one that has carried others only if used is true. It reports
+// shortenIdle has a connection that waits send its request by a time, one that has carried others only if used is true. It reports
 // whether it is such a one.
-func (conn *conn) hurry(by time.Time, used bool) bool {
+func (conn *conn) shortenIdle(by time.Time, used bool) bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	if conn.state != waiting || conn.served > 0 && !used {
+	if conn.state != idle || conn.requestsServed > 0 && !used {
 		return false
 	}
 	conn.socket.SetReadDeadline(by)
@@ -235,12 +235,12 @@
 
 // read reads with the time-out of the part of a request that is under way.
 func (conn *conn) read(p []byte) (int, error) {
-	if conn.due.IsZero() || conn.earned >= bodyProgress {
-		conn.due, conn.earned = time.Now().Add(conn.limits.HeaderTimeout), 0
-		conn.socket.SetReadDeadline(conn.due)
+	if conn.readDeadline.IsZero() || conn.progress >= bodyProgressBytes {
+		conn.readDeadline, conn.progress = time.Now().Add(conn.limits.HeaderTimeout), 0
+		conn.socket.SetReadDeadline(conn.readDeadline)
 	}
 	n, err := conn.socket.Read(p)
-	conn.earned += n
+	conn.progress += n
 	if n > 0 {
 		err = nil
 	}
@@ -249,26 +249,26 @@
 
 // fill reads more into the buffer, which grows as needed.
 func (conn *conn) fill() error {
-	if conn.in == nil {
-		conn.in = buffers.Get().(*[]byte)
+	if conn.buffer == nil {
+		conn.buffer = buffers.Get().(*[]byte)
 	}
-	b := *conn.in
-	if conn.taken == conn.filled {
-		conn.taken, conn.filled = 0, 0
+	b := *conn.buffer
+	if conn.consumed == conn.buffered {
+		conn.consumed, conn.buffered = 0, 0
 	}
-	if conn.filled == len(b) {
-		if conn.taken > 0 {
-			conn.filled = copy(b, b[conn.taken:conn.filled])
-			conn.taken = 0
+	if conn.buffered == len(b) {
+		if conn.consumed > 0 {
+			conn.buffered = copy(b, b[conn.consumed:conn.buffered])
+			conn.consumed = 0
 		} else {
 			grown := make([]byte, 2*len(b))
 			copy(grown, b)
-			conn.in = &grown
+			conn.buffer = &grown
 			b = grown
 		}
 	}
-	n, err := conn.read(b[conn.filled:])
-	conn.filled += n
+	n, err := conn.read(b[conn.buffered:])
+	conn.buffered += n
 	conn.readAt = time.Now()
 	return err
 }
@@ -276,14 +276,14 @@
 // write writes all of p. What a client does not take in time ends the connection.
 func (conn *conn) write(p []byte) error {
 	for {
-		step := p[:min(len(p), writeStep)]
+		step := p[:min(len(p), maxWriteSize)]
 		timeout := conn.server.WriteTimeout
 		if timeout <= 0 {
 			timeout = conn.limits.IdleTimeout
 		}
-		if now := time.Now(); conn.writeBy.Sub(now) < timeout*3/4 { // few changes of the timer
-			conn.writeBy = now.Add(timeout)
-			conn.socket.SetWriteDeadline(conn.writeBy)
+		if now := time.Now(); conn.writeDeadline.Sub(now) < timeout*3/4 { // few changes of the timer
+			conn.writeDeadline = now.Add(timeout)
+			conn.socket.SetWriteDeadline(conn.writeDeadline)
 		}
 		if _, err := conn.socket.Write(step); err != nil {
 			return err
@@ -294,9 +294,9 @@
 	}
 }
 
-// refuse answers a request that was not read whole, and reads and discards what still comes for a while: closed with bytes
+// reject answers a request that was not read whole, and reads and discards what still comes for a while: closed with bytes
 // unread, the connection would be reset and the answer lost.
-func (conn *conn) refuse(status int) {
+func (conn *conn) reject(status int) {
 	b := append([]byte(nil), "HTTP/1.1 "...)
 	b = appendStatus(b, status)
 	b = append(b, "Content-Length: 0\r\nConnection: close\r\n\r\n"...)
@@ -304,21 +304,21 @@
 		return
 	}
 	conn.socket.SetReadDeadline(time.Now().Add(conn.server.linger()))
-	if conn.in == nil {
-		conn.in = buffers.Get().(*[]byte)
+	if conn.buffer == nil {
+		conn.buffer = buffers.Get().(*[]byte)
 	}
-	for discarded := 0; discarded < lingerBytes; {
-		n, err := conn.socket.Read(*conn.in)
+	for discarded := 0; discarded < maxLingerBytes; {
+		n, err := conn.socket.Read(*conn.buffer)
 		if discarded += n; err != nil {
 			return
 		}
 	}
 }
 
-// leave ends a connection after its last answer. Requests that were sent on behind stay unread, so that the client knows
+// lingeringClose ends a connection after its last answer. Requests that were sent on behind stay unread, so that the client knows
 // them not taken; it gets a moment to read the answer before the reset that this means.
-func (conn *conn) leave() {
-	if peek(conn.raw) != pending || conn.closeWrite() != nil {
+func (conn *conn) lingeringClose() {
+	if peek(conn.raw) != dataPending || conn.closeWrite() != nil {
 		return
 	}
 	conn.socket.SetReadDeadline(time.Now().Add(conn.server.linger()))
--- a/internal/tier/ingress/ends_test.go
+++ b/internal/tier/ingress/ends_test.go
@@ -118,7 +118,7 @@
 	conn.send(get)
 	<-begun
 	conn.send(get)
-	until(t, "request", func() bool { return peek(only(t, s).raw) == pending })
+	until(t, "request", func() bool { return peek(only(t, s).raw) == dataPending })
 	s.Drain()
 	finish <- true
 	a, body := conn.answer()
@@ -138,20 +138,20 @@
 	defer nc.Close()
 	c, err := newConn(&Server{}, nc)
 	assert.NilError(t, err)
-	c.state = waiting
+	c.state = idle
 	there.send("G")
-	until(t, "byte", func() bool { return peek(c.raw) == pending })
-	assert.Assert(t, !c.endIdle())
-	assert.NilError(t, c.raw.Read(c.try))
-	assert.Assert(t, c.state == active && c.filled == 1)
-	assert.Assert(t, !c.endIdle())
-	c.state = waiting
-	assert.Assert(t, c.endIdle())
+	until(t, "byte", func() bool { return peek(c.raw) == dataPending })
+	assert.Assert(t, !c.closeIfIdle())
+	assert.NilError(t, c.raw.Read(c.readFirstBytes))
+	assert.Assert(t, c.state == active && c.buffered == 1)
+	assert.Assert(t, !c.closeIfIdle())
+	c.state = idle
+	assert.Assert(t, c.closeIfIdle())
 	there.send("G")
-	until(t, "byte", func() bool { return peek(c.raw) == pending })
-	c.release()
-	assert.NilError(t, c.raw.Read(c.try)) // ended first: what comes after stays unread
-	assert.Assert(t, c.state == over && c.filled == 0 && peek(c.raw) == pending)
+	until(t, "byte", func() bool { return peek(c.raw) == dataPending })
+	c.releaseBuffer()
+	assert.NilError(t, c.raw.Read(c.readFirstBytes)) // ended first: what comes after stays unread
+	assert.Assert(t, c.state == closed && c.buffered == 0 && peek(c.raw) == dataPending)
 }
 
 func TestShutdownEndsWithItsContext(t *testing.T) {
@@ -225,10 +225,10 @@
 			return
 		}
 		if x.Path == "/watch" {
-			x.OnGone(0, func() { notified <- true })
+			x.OnClientGone(0, func() { notified <- true })
 		}
 		for <-check {
-			result <- x.Gone()
+			result <- x.ClientGone()
 		}
 		echo(x)
 	}})
@@ -264,7 +264,7 @@
 	for _, after := range []time.Duration{0, time.Hour} {
 		begun, finish := make(chan bool), make(chan bool)
 		addr := start(t, &Server{Handler: func(x *Exchange) {
-			x.OnGone(after, func() { t.Error("gone") })
+			x.OnClientGone(after, func() { t.Error("gone") })
 			begun <- true
 			<-finish
 			echo(x)
@@ -349,7 +349,7 @@
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		c.mu.Lock()
-		assert.Assert(t, c.state == waiting && c.in == nil)
+		assert.Assert(t, c.state == idle && c.buffer == nil)
 		c.mu.Unlock()
 	}
 }
--- a/internal/tier/ingress/exchange.go
+++ b/internal/tier/ingress/exchange.go
@@ -11,26 +11,26 @@
 // Exchange is one request and its answer. Its methods are called from the handler's goroutine until the handler returns;
 // the strings and the body may be kept.
 type Exchange struct {
-	Method  string
-	Target  string // path and query as sent; of an absolute target what follows the host
-	Path    string // of Target, as sent
-	Host    string // with its port if one was sent
-	Header  Header
-	Body    []byte
-	Arrived time.Time // when the first byte was read
+	Method    string
+	Target    string // path and query as sent; of an absolute target what follows the host
+	Path      string // of Target, as sent
+	Host      string // with its port if one was sent
+	Header    Header
+	Body      []byte
+	ArrivedAt time.Time // when the first byte was read
 
-	conn   *conn
-	http10 bool
-	head   bool // HEAD
-	keep   bool // the connection goes on after it
-	phase  phase
-	status int  // of the answer that was begun
-	stamp  bool // it has X-Response-Signature
-	bare   bool // no body is written
-	broken bool
-	out    *[]byte // the head of a stream until its first piece
-	watch  *watch
-	fields [12]Field
+	conn        *conn
+	http10      bool
+	head        bool // HEAD
+	keepAlive   bool // the connection goes on after it
+	phase       phase
+	status      int  // of the answer that was begun
+	signed      bool // it has X-Response-Signature
+	noBody      bool // no body is written
+	broken      bool
+	pendingHead *[]byte // the head of a stream until its first piece
+	watch       *clientWatch
+	fields      [12]Field
 }
 
 // signatureField marks an answer as an endpoint's own.
@@ -40,54 +40,54 @@
 type phase uint8
 
 const (
-	unanswered phase = iota
+	notStarted phase = iota
 	streaming
-	answered
+	finished
 )
 
 var (
-	// ErrAnswered is returned where an answer was made before, or the handler has returned.
-	ErrAnswered = errors.New("ingress: answered already")
-	// ErrField is returned where a status or a field can't be written; nothing was.
-	ErrField = errors.New("ingress: no valid status or field")
-	// ErrVersion is returned where a stream is begun for a client of HTTP/1.0, which was answered 505.
-	ErrVersion = errors.New("ingress: no streams in HTTP/1.0")
-	errBroken  = errors.New("ingress: connection is broken")
+	// ErrAlreadyResponded is returned where an answer was made before, or the handler has returned.
+	ErrAlreadyResponded = errors.New("ingress: answered already")
+	// ErrInvalidHeader is returned where a status or a field can't be written; nothing was.
+	ErrInvalidHeader = errors.New("ingress: no valid status or field")
+	// ErrStreamVersion is returned where a stream is begun for a client of HTTP/1.0, which was answered 505.
+	ErrStreamVersion    = errors.New("ingress: no streams in HTTP/1.0")
+	errConnectionBroken = errors.New("ingress: connection is broken")
 )
 
 // CanStream reports whether the client takes an answer in chunks.
 func (exchange *Exchange) CanStream() bool { return !exchange.http10 }
 
-// Answered reports whether an answer, or a stream, was begun.
-func (exchange *Exchange) Answered() bool { return exchange.phase != unanswered }
+// Responded reports whether an answer, or a stream, was begun.
+func (exchange *Exchange) Responded() bool { return exchange.phase != notStarted }
 
 // Status is that of the answer that was begun; 0: none was.
 func (exchange *Exchange) Status() int { return exchange.status }
 
-// Stamped reports whether the answer that was begun has an endpoint's signature.
-func (exchange *Exchange) Stamped() bool { return exchange.stamp }
+// Signed reports whether the answer that was begun has an endpoint's signature.
+func (exchange *Exchange) Signed() bool { return exchange.signed }
 
-// Whole reports whether an answer was written to its end.
-func (exchange *Exchange) Whole() bool { return exchange.phase == answered && !exchange.broken }
+// Complete reports whether an answer was written to its end.
+func (exchange *Exchange) Complete() bool { return exchange.phase == finished && !exchange.broken }
 
 // Respond answers whole, in one write if it is small. Fields of the connection and of framing are left out of the header.
 // An error tells that the client may not have it.
 func (exchange *Exchange) Respond(status int, header []Field, body []byte) error {
-	if exchange.conn == nil || exchange.phase != unanswered {
-		return ErrAnswered
+	if exchange.conn == nil || exchange.phase != notStarted {
+		return ErrAlreadyResponded
 	}
 	buffer := buffers.Get().(*[]byte)
 	defer putBuffer(buffer)
-	exchange.decide()
+	exchange.decideKeepAlive()
 	b, err := exchange.appendHead((*buffer)[:0], status, header, int64(len(body)))
 	if err != nil {
 		return err
 	}
-	exchange.phase = answered
-	if exchange.bare {
+	exchange.phase = finished
+	if exchange.noBody {
 		body = nil
 	}
-	first := min(len(body), keptBuffer-min(len(b), keptBuffer))
+	first := min(len(body), maxPooledBuffer-min(len(b), maxPooledBuffer))
 	b = append(b, body[:first]...)
 	*buffer = b
 	if err = exchange.write(b); err == nil && first < len(body) {
@@ -98,33 +98,33 @@
 
 // Begin begins an answer in chunks; its head is sent with the first piece or with the end.
 func (exchange *Exchange) Begin(status int, header []Field) error {
-	if exchange.conn == nil || exchange.phase != unanswered {
-		return ErrAnswered
+	if exchange.conn == nil || exchange.phase != notStarted {
+		return ErrAlreadyResponded
 	}
 	if exchange.http10 {
 		exchange.Respond(505, nil, nil)
-		return ErrVersion
+		return ErrStreamVersion
 	}
 	buffer := buffers.Get().(*[]byte)
-	exchange.decide()
+	exchange.decideKeepAlive()
 	b, err := exchange.appendHead((*buffer)[:0], status, header, -1)
 	if err != nil {
 		putBuffer(buffer)
 		return err
 	}
 	*buffer = b
-	exchange.out, exchange.phase = buffer, streaming
+	exchange.pendingHead, exchange.phase = buffer, streaming
 	return nil
 }
 
 // Write sends a piece of a stream at once, in one write if it is small. An empty one sends the head if that was held.
 func (exchange *Exchange) Write(p []byte) error {
 	if exchange.conn == nil || exchange.phase != streaming {
-		return ErrAnswered
+		return ErrAlreadyResponded
 	}
-	buffer, b := exchange.take()
+	buffer, b := exchange.takeBuffer()
 	defer putBuffer(buffer)
-	if len(p) == 0 || exchange.bare {
+	if len(p) == 0 || exchange.noBody {
 		if len(b) == 0 {
 			return nil
 		}
@@ -132,7 +132,7 @@
 	}
 	b = strconv.AppendInt(b, int64(len(p)), 16)
 	b = append(b, '\r', '\n')
-	first := min(len(p), keptBuffer-min(len(b)+2, keptBuffer))
+	first := min(len(p), maxPooledBuffer-min(len(b)+2, maxPooledBuffer))
 	b = append(b, p[:first]...)
 	if first == len(p) {
 		b = append(b, '\r', '\n')
@@ -152,12 +152,12 @@
 // End ends a stream as complete.
 func (exchange *Exchange) End() error {
 	if exchange.conn == nil || exchange.phase != streaming {
-		return ErrAnswered
+		return ErrAlreadyResponded
 	}
-	buffer, b := exchange.take()
+	buffer, b := exchange.takeBuffer()
 	defer putBuffer(buffer)
-	exchange.phase = answered
-	if !exchange.bare {
+	exchange.phase = finished
+	if !exchange.noBody {
 		b = append(b, "0\r\n\r\n"...)
 	}
 	*buffer = b
@@ -169,15 +169,15 @@
 
 // Abort has the connection closed when the handler returns. An answer that is not whole never looks complete.
 func (exchange *Exchange) Abort() {
-	if exchange.phase != answered {
+	if exchange.phase != finished {
 		exchange.broken = true
 	}
 }
 
-// take gives a buffer that begins with what of the head has not left yet.
-func (exchange *Exchange) take() (buffer *[]byte, b []byte) {
-	if buffer = exchange.out; buffer != nil {
-		exchange.out = nil
+// takeBuffer gives a buffer that begins with what of the head has not left yet.
+func (exchange *Exchange) takeBuffer() (buffer *[]byte, b []byte) {
+	if buffer = exchange.pendingHead; buffer != nil {
+		exchange.pendingHead = nil
 		return buffer, *buffer
 	}
 	buffer = buffers.Get().(*[]byte)
@@ -186,7 +186,7 @@
 
 func (exchange *Exchange) write(b []byte) error {
 	if exchange.broken {
-		return errBroken
+		return errConnectionBroken
 	}
 	err := exchange.conn.write(b)
 	if err != nil {
@@ -195,45 +195,45 @@
 	return err
 }
 
-// decide settles whether the connection goes on: not while draining, unless a further request has been read already.
-func (exchange *Exchange) decide() {
-	if exchange.conn.server.draining.Load() && exchange.conn.taken == exchange.conn.filled {
-		exchange.keep = false
+// decideKeepAlive settles whether the connection goes on: not while draining, unless a further request has been read already.
+func (exchange *Exchange) decideKeepAlive() {
+	if exchange.conn.server.draining.Load() && exchange.conn.consumed == exchange.conn.buffered {
+		exchange.keepAlive = false
 	}
 }
 
 // finish ends the exchange after its handler, and reports whether its answer is whole.
 func (exchange *Exchange) finish() bool {
-	if exchange.phase == unanswered && !exchange.broken {
+	if exchange.phase == notStarted && !exchange.broken {
 		exchange.Respond(500, nil, nil)
 	}
 	c := exchange.conn
 	exchange.watch.stop(c)
-	if exchange.out != nil {
-		putBuffer(exchange.out)
-		exchange.out = nil
+	if exchange.pendingHead != nil {
+		putBuffer(exchange.pendingHead)
+		exchange.pendingHead = nil
 	}
 	exchange.conn = nil
-	return exchange.phase == answered && !exchange.broken
+	return exchange.phase == finished && !exchange.broken
 }
 
 // appendHead renders the head of an answer whose body has a length, or comes in chunks if that is negative.
 func (exchange *Exchange) appendHead(b []byte, status int, header []Field, length int64) ([]byte, error) {
 	if status < 200 || status > 999 {
-		return nil, ErrField
+		return nil, ErrInvalidHeader
 	}
 	empty := status == 204 || status == 304
-	exchange.bare = empty || exchange.head
+	exchange.noBody = empty || exchange.head
 	exchange.status = status
 	b = append(b, "HTTP/1.1 "...)
 	b = appendStatus(b, status)
 	given := false // the length of a body that is left out is known to the handler alone
 	for _, f := range header {
-		if !all(f.Name, tokenChar) || f.Value != "" && !all(f.Value, valueChar) {
-			return nil, ErrField
+		if !isAll(f.Name, tokenChar) || f.Value != "" && !isAll(f.Value, valueChar) {
+			return nil, ErrInvalidHeader
 		}
-		exchange.stamp = exchange.stamp || strings.EqualFold(f.Name, signatureField)
-		if hop(f.Name) {
+		exchange.signed = exchange.signed || strings.EqualFold(f.Name, signatureField)
+		if isHopByHop(f.Name) {
 			if !exchange.head || status == 204 || given || length > 0 || !strings.EqualFold(f.Name, "Content-Length") {
 				continue
 			}
@@ -254,7 +254,7 @@
 		b = append(b, '\r', '\n')
 	}
 	// Clients obey the announced time, which ends before we close, so that no request crosses the close.
-	if seconds := int64(exchange.conn.limits.IdleTimeout * 9 / 10 / time.Second); !exchange.keep {
+	if seconds := int64(exchange.conn.limits.IdleTimeout * 9 / 10 / time.Second); !exchange.keepAlive {
 		b = append(b, "Connection: close\r\n"...)
 	} else if seconds > 0 {
 		b = append(b, "Keep-Alive: timeout="...)
@@ -272,7 +272,7 @@
 	return append(b, '\r', '\n')
 }
 
-// seconds renders a time as seconds with their fraction.
-func seconds(d time.Duration) string {
+// formatSeconds renders a time as seconds with their fraction.
+func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', -1, 64)
 }
--- a/internal/tier/ingress/gone.go
+++ b/internal/tier/ingress/gone.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-type peeked uint8
+type peekResult uint8
 
 const (
-	quiet   peeked = iota // nothing has come
-	pending               // bytes are to be read
-	gone                  // closed or reset
+	noData      peekResult = iota // nothing has come
+	dataPending                   // bytes are to be read
+	peerClosed                    // closed or reset
 )
 
 // peek looks at what a socket has to read, without waiting and without taking it.
-func peek(raw syscall.RawConn) peeked {
-	p := gone
+func peek(raw syscall.RawConn) peekResult {
+	p := peerClosed
 	raw.Control(func(fd uintptr) { p = peekAt(fd) })
 	return p
 }
 
-func peekAt(fd uintptr) peeked {
+func peekAt(fd uintptr) peekResult {
 	var b [1]byte
 	for {
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -31,46 +31,46 @@
 		case err == syscall.EINTR:
 			continue
 		case err == syscall.EAGAIN:
-			return quiet
+			return noData
 		case err == nil && n > 0:
-			return pending
+			return dataPending
 		}
-		return gone
+		return peerClosed
 	}
 }
 
-// watch waits for the end of a connection beside its goroutine.
-type watch struct {
+// clientWatch waits for the end of a connection beside its goroutine.
+type clientWatch struct {
 	timer *time.Timer
 	done  chan struct{}
 	gone  atomic.Bool
 }
 
-// Gone reports whether the client has closed or reset its connection (one that has only ended its own side counts too).
+// ClientGone reports whether the client has closed or reset its connection (one that has only ended its own side counts too).
 // While bytes of a next request lie unread it is not gone. It costs one call to the system.
-func (exchange *Exchange) Gone() bool {
-	return exchange.conn == nil || exchange.broken || exchange.watch != nil && exchange.watch.gone.Load() || peek(exchange.conn.raw) == gone
+func (exchange *Exchange) ClientGone() bool {
+	return exchange.conn == nil || exchange.broken || exchange.watch != nil && exchange.watch.gone.Load() || peek(exchange.conn.raw) == peerClosed
 }
 
-// OnGone has f called, from another goroutine and at most once, when the client closes or resets its connection before the
+// OnClientGone has f called, from another goroutine and at most once, when the client closes or resets its connection before the
 // handler returns. Watching begins after a time, so that a short exchange costs a timer and no goroutine; it stops where
 // the bytes of a next request have come. f must not block. It may be asked for once an exchange.
-func (exchange *Exchange) OnGone(after time.Duration, f func()) {
+func (exchange *Exchange) OnClientGone(after time.Duration, f func()) {
 	if exchange.watch != nil || exchange.conn == nil {
 		return
 	}
 	c := exchange.conn
 	c.socket.SetReadDeadline(time.Time{})
-	w := &watch{done: make(chan struct{})}
+	w := &clientWatch{done: make(chan struct{})}
 	exchange.watch = w
 	w.timer = time.AfterFunc(max(0, after), func() {
 		defer close(w.done)
-		found := quiet
+		found := noData
 		err := c.raw.Read(func(fd uintptr) bool {
 			found = peekAt(fd)
-			return found != quiet
+			return found != noData
 		})
-		if err == nil && found == gone || err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+		if err == nil && found == peerClosed || err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			w.gone.Store(true)
 			f()
 		}
@@ -78,7 +78,7 @@
 }
 
 // stop ends a watch before anything else reads the connection.
-func (w *watch) stop(c *conn) {
+func (w *clientWatch) stop(c *conn) {
 	if w == nil || w.timer.Stop() {
 		return
 	}
--- a/internal/tier/ingress/parse.go
+++ b/internal/tier/ingress/parse.go
@@ -25,7 +25,7 @@
 	hostChar               // of a host with its port
 )
 
-var classes = func() (t [256]uint8) {
+var charClasses = func() (t [256]uint8) {
 	for c := range 256 {
 		alnum := c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 		if alnum || c < 128 && strings.IndexByte("!#$%&'*+-.^_`|~", byte(c)) >= 0 {
@@ -44,10 +44,10 @@
 	return
 }()
 
-// all reports whether s is made of one or more characters of a class.
-func all(s string, class uint8) bool {
+// isAll reports whether s is made of one or more characters of a class.
+func isAll(s string, class uint8) bool {
 	for i := 0; i < len(s); i++ {
-		if classes[s[i]]&class == 0 {
+		if charClasses[s[i]]&class == 0 {
 			return false
 		}
 	}
@@ -72,8 +72,8 @@
 	return 0, len(b), line, false
 }
 
-// cutLine cuts a line with its CRLF off a head.
-func cutLine(h string) (line, rest string) {
+// splitLine cuts a line with its CRLF off a head.
+func splitLine(h string) (line, rest string) {
 	i := strings.IndexByte(h, '\n')
 	return h[:i-1], h[i+1:]
 }
@@ -81,7 +81,7 @@
 // parseField reads a field line; no line may be folded.
 func parseField(line string) (f Field, ok bool) {
 	name, value, ok := strings.Cut(line, ":")
-	if !ok || !all(name, tokenChar) {
+	if !ok || !isAll(name, tokenChar) {
 		return f, false
 	}
 	for value != "" && (value[0] == ' ' || value[0] == '\t') {
@@ -90,7 +90,7 @@
 	for value != "" && (value[len(value)-1] == ' ' || value[len(value)-1] == '\t') {
 		value = value[:len(value)-1]
 	}
-	return Field{name, value}, value == "" || all(value, valueChar)
+	return Field{name, value}, value == "" || isAll(value, valueChar)
 }
 
 // framing is what a head says of its body and its connection.
@@ -101,20 +101,20 @@
 	expect  bool // 100-continue
 }
 
-// counts are how often the fields stand in a head that may stand there once.
-type counts struct{ hosts, ids, deadlines, lengths, codings int }
+// fieldCounts are how often the fields stand in a head that may stand there once.
+type fieldCounts struct{ hosts, ids, deadlines, lengths, codings int }
 
 // parseHead reads a head, which ends with an empty line, into exchange. It returns the status of the refusal, 0 if there is none.
 func parseHead(head string, exchange *Exchange) (f framing, status int) {
 	f.length = -1
-	line, head := cutLine(head)
-	if status = parseLine(line, exchange); status != 0 {
+	line, head := splitLine(head)
+	if status = parseRequestLine(line, exchange); status != 0 {
 		return f, status
 	}
 	exchange.Header = exchange.fields[:0]
-	var seen counts
+	var seen fieldCounts
 	for {
-		if line, head = cutLine(head); line == "" {
+		if line, head = splitLine(head); line == "" {
 			break
 		}
 		field, ok := parseField(line)
@@ -122,7 +122,7 @@
 			return f, 400
 		}
 		exchange.Header = append(exchange.Header, field)
-		if status := f.take(field, exchange, &seen); status != 0 {
+		if status := f.applyField(field, exchange, &seen); status != 0 {
 			return f, status
 		}
 	}
@@ -135,14 +135,14 @@
 	return f, 0
 }
 
-// take takes in a field that the server itself goes by. It returns the status of the refusal, 0 if there is none.
-func (f *framing) take(field Field, exchange *Exchange, seen *counts) (status int) {
+// applyField takes in a field that the server itself goes by. It returns the status of the refusal, 0 if there is none.
+func (f *framing) applyField(field Field, exchange *Exchange, seen *fieldCounts) (status int) {
 	var ok bool
 	switch name := field.Name; len(name) {
 	case 4:
 		if strings.EqualFold(name, "Host") {
 			seen.hosts++
-			if seen.hosts > 1 || !all(field.Value, hostChar) || exchange.Host != "" && !strings.EqualFold(exchange.Host, field.Value) {
+			if seen.hosts > 1 || !isAll(field.Value, hostChar) || exchange.Host != "" && !strings.EqualFold(exchange.Host, field.Value) {
 				return 400
 			}
 			exchange.Host = field.Value
@@ -183,11 +183,11 @@
 	return 0
 }
 
-// parseLine reads a request line.
-func parseLine(line string, exchange *Exchange) int {
+// parseRequestLine reads a request line.
+func parseRequestLine(line string, exchange *Exchange) int {
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || !all(method, tokenChar) || !all(target, targetChar) {
+	if !ok || !ok2 || !isAll(method, tokenChar) || !isAll(target, targetChar) {
 		return 400
 	}
 	if len(version) != 8 || version[:5] != "HTTP/" || version[6] != '.' || version[5]-'0' > 9 || version[7]-'0' > 9 {
@@ -213,7 +213,7 @@
 			}
 			authority, target = authority[:i], authority[i:]
 		}
-		if !all(authority, hostChar) {
+		if !isAll(authority, hostChar) {
 			return 400
 		}
 		exchange.Host = authority
@@ -247,7 +247,7 @@
 // parseChunkSize reads the line of a chunk, extensions being discarded. Sizes have up to 15 digits.
 func parseChunkSize(line string) (int64, bool) {
 	size, ext, has := strings.Cut(line, ";")
-	if len(size) > 15 || has && !all(ext, valueChar) {
+	if len(size) > 15 || has && !isAll(ext, valueChar) {
 		return 0, false
 	}
 	n := int64(0)
@@ -280,8 +280,8 @@
 	return false
 }
 
-// hop reports whether a field concerns one connection only, or the framing on it.
-func hop(name string) bool {
+// isHopByHop reports whether a field concerns one connection only, or the framing on it.
+func isHopByHop(name string) bool {
 	switch len(name) {
 	case 2:
 		return strings.EqualFold(name, "TE")
@@ -303,7 +303,7 @@
 // Connection names, Expect (answered here), and Host and Content-Length, which stand in the exchange.
 func (h Header) AppendEndToEnd(to []Field) []Field {
 	for _, f := range h {
-		if hop(f.Name) || strings.EqualFold(f.Name, "Host") || strings.EqualFold(f.Name, "Expect") || h.named(f.Name) {
+		if isHopByHop(f.Name) || strings.EqualFold(f.Name, "Host") || strings.EqualFold(f.Name, "Expect") || h.named(f.Name) {
 			continue
 		}
 		to = append(to, f)
--- a/internal/tier/ingress/server.go
+++ b/internal/tier/ingress/server.go
@@ -54,19 +54,19 @@
 	draining atomic.Bool
 	stopping atomic.Bool
 
-	mu        sync.Mutex // taken before a connection's
-	listeners []net.Listener
-	stopBy    time.Time // no listener's queue is emptied after it
-	conns     map[*conn]struct{}
-	idle      idleList
-	ended     chan struct{} // closed when stopping and nothing is left; nil if nobody waits
+	mu          sync.Mutex // taken before a connection's
+	listeners   []net.Listener
+	acceptUntil time.Time // no listener's queue is emptied after it
+	conns       map[*conn]struct{}
+	idle        idleList
+	ended       chan struct{} // closed when stopping and nothing is left; nil if nobody waits
 }
 
 // ErrStopped is what Serve returns when Shutdown or Close has been called before it.
 var ErrStopped = errors.New("ingress: server is stopped")
 
-// emptied is how long a listener's queue has to stay empty in a shutdown.
-const emptied = 20 * time.Millisecond
+// queueEmptyTime is how long a listener's queue has to stay empty in a shutdown.
+const queueEmptyTime = 20 * time.Millisecond
 
 // limits are those in force now.
 func (server *Server) limits() Limits {
@@ -101,38 +101,38 @@
 	}
 	server.listeners = append(server.listeners, l)
 	server.mu.Unlock()
-	defer server.left(l)
+	defer server.removeListener(l)
 	empty := 0 // how often in a row the queue was found empty at the end: a process held up may miss the first time's deadline
 	for {
 		nc, err := l.Accept()
 		if err != nil {
 			if server.stopping.Load() {
 				if empty++; empty < 2 && errors.Is(err, os.ErrDeadlineExceeded) {
-					server.lastAccepts(l)
+					server.acceptQueued(l)
 					continue
 				}
 				return nil
 			}
-			if !shortage(err) {
+			if !outOfResources(err) {
 				return err
 			}
 			if server.Log != nil {
 				server.Log.Warn().Err(err).Msg("ingress accept")
 			}
-			if !server.evict() {
+			if !server.closeLongestIdle() {
 				time.Sleep(50 * time.Millisecond)
 			}
 			continue
 		}
 		if empty = 0; server.stopping.Load() {
-			server.lastAccepts(l)
+			server.acceptQueued(l)
 		}
-		server.take(nc)
+		server.startConn(nc)
 	}
 }
 
-// left says that a listener is served no longer.
-func (server *Server) left(l net.Listener) {
+// removeListener says that a listener is served no longer.
+func (server *Server) removeListener(l net.Listener) {
 	l.Close()
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -142,19 +142,19 @@
 			break
 		}
 	}
-	server.checkEnded()
+	server.notifyEnded()
 }
 
-// checkEnded notifies a shutdown that nothing is left. The caller holds the lock.
-func (server *Server) checkEnded() {
+// notifyEnded notifies a shutdown that nothing is left. The caller holds the lock.
+func (server *Server) notifyEnded() {
 	if server.ended != nil && len(server.listeners) == 0 && len(server.conns) == 0 {
 		close(server.ended)
 		server.ended = nil
 	}
 }
 
-// shortage reports whether an accept failed for want of descriptors or memory.
-func shortage(err error) bool {
+// outOfResources reports whether an accept failed for want of descriptors or memory.
+func outOfResources(err error) bool {
 	for _, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, lack) {
 			return true
@@ -163,9 +163,9 @@
 	return false
 }
 
-// take starts a connection. Where descriptors run out, the connection idle for longest gives way; where none is idle, the
+// startConn starts a connection. Where descriptors run out, the connection idle for longest gives way; where none is idle, the
 // new one is answered 503 out of a small reserve, and beyond that closed unread.
-func (server *Server) take(nc net.Conn) {
+func (server *Server) startConn(nc net.Conn) {
 	c, err := newConn(server, nc)
 	if err != nil {
 		nc.Close()
@@ -173,14 +173,14 @@
 	}
 	if server.MaxConns > 0 {
 		usual := max(1, server.MaxConns-server.MaxConns/16-1)
-		for server.count() >= usual {
-			if server.evict() {
+		for server.connCount() >= usual {
+			if server.closeLongestIdle() {
 				continue
 			}
-			c.refused = true
+			c.overCapacity = true
 			break
 		}
-		if server.count() >= server.MaxConns {
+		if server.connCount() >= server.MaxConns {
 			nc.Close()
 			return
 		}
@@ -194,8 +194,8 @@
 	go c.serve()
 }
 
-// count is how many connections are open.
-func (server *Server) count() int {
+// connCount is how many connections are open.
+func (server *Server) connCount() int {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return len(server.conns)
@@ -208,17 +208,17 @@
 	return len(server.conns), server.idle.n
 }
 
-// remove forgets a connection that has ended.
-func (server *Server) remove(c *conn) {
+// removeConn forgets a connection that has ended.
+func (server *Server) removeConn(c *conn) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	delete(server.conns, c)
 	server.idle.remove(c)
-	server.checkEnded()
+	server.notifyEnded()
 }
 
-// evict closes the connection idle for longest, and reports whether there was one.
-func (server *Server) evict() bool {
+// closeLongestIdle closes the connection idle for longest, and reports whether there was one.
+func (server *Server) closeLongestIdle() bool {
 	for {
 		server.mu.Lock()
 		c := server.idle.first
@@ -227,7 +227,7 @@
 			return false
 		}
 		server.idle.remove(c)
-		if !c.endIdle() { // its next request has just come
+		if !c.closeIfIdle() { // its next request has just come
 			server.mu.Unlock()
 			continue
 		}
@@ -244,10 +244,10 @@
 	var closing []*conn
 	by := time.Now().Add(fresh)
 	for c := server.idle.first; c != nil; c = c.next {
-		if fresh > 0 && c.hurry(by, false) {
+		if fresh > 0 && c.shortenIdle(by, false) {
 			continue
 		}
-		if c.endIdle() {
+		if c.closeIfIdle() {
 			closing = append(closing, c)
 		}
 	}
@@ -275,14 +275,14 @@
 		server.mu.Unlock()
 		return ErrStopped
 	}
-	server.stopBy = time.Now().Add(server.linger())
+	server.acceptUntil = time.Now().Add(server.linger())
 	server.stopping.Store(true)
 	server.ended = ended
 	listeners := append([]net.Listener(nil), server.listeners...)
-	server.checkEnded()
+	server.notifyEnded()
 	server.mu.Unlock()
 	for _, l := range listeners {
-		server.lastAccepts(l)
+		server.acceptQueued(l)
 	}
 	server.closeIdle(server.linger())
 	select {
@@ -298,12 +298,12 @@
 	}
 }
 
-// lastAccepts has a listener accept what has queued, and end.
-func (server *Server) lastAccepts(l net.Listener) {
+// acceptQueued has a listener accept what has queued, and end.
+func (server *Server) acceptQueued(l net.Listener) {
 	server.mu.Lock()
-	by := time.Now().Add(emptied)
-	if by.After(server.stopBy) {
-		by = server.stopBy
+	by := time.Now().Add(queueEmptyTime)
+	if by.After(server.acceptUntil) {
+		by = server.acceptUntil
 	}
 	server.mu.Unlock()
 	if d, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(by) != nil {
--- a/internal/tier/ingress/server_test.go
+++ b/internal/tier/ingress/server_test.go
@@ -228,7 +228,7 @@
 	addr := start(t, &Server{Handler: func(x *Exchange) {
 		if x.Path == "/stream" {
 			assert.Check(t, !x.CanStream())
-			assert.Check(t, x.Begin(200, nil) == ErrVersion)
+			assert.Check(t, x.Begin(200, nil) == ErrStreamVersion)
 			return
 		}
 		echo(x)
@@ -276,13 +276,13 @@
 func TestFieldsOfAnAnswer(t *testing.T) {
 	addr := start(t, &Server{Handler: func(x *Exchange) {
 		for _, f := range []Field{{"X", "a\r\nY: b"}, {"X\r\nY", "b"}, {"", "b"}, {"X Y", "b"}} {
-			assert.Check(t, x.Respond(200, []Field{f}, nil) == ErrField)
-			assert.Check(t, x.Begin(200, []Field{f}) == ErrField)
+			assert.Check(t, x.Respond(200, []Field{f}, nil) == ErrInvalidHeader)
+			assert.Check(t, x.Begin(200, []Field{f}) == ErrInvalidHeader)
 		}
-		assert.Check(t, x.Respond(100, nil, nil) == ErrField)
+		assert.Check(t, x.Respond(100, nil, nil) == ErrInvalidHeader)
 		x.Respond(418, []Field{{"Transfer-Encoding", "chunked"}, {"content-length", "77"}, {"Connection", "close"}, {"X", "1"}}, []byte("ab"))
-		assert.Check(t, x.Respond(200, nil, nil) == ErrAnswered)
-		assert.Check(t, x.Begin(200, nil) == ErrAnswered)
+		assert.Check(t, x.Respond(200, nil, nil) == ErrAlreadyResponded)
+		assert.Check(t, x.Begin(200, nil) == ErrAlreadyResponded)
 	}})
 	conn := dial(t, addr)
 	conn.send(get)
@@ -300,7 +300,7 @@
 			assert.Check(t, x.Write([]byte(p)) == nil)
 		}
 		assert.Check(t, x.End() == nil)
-		assert.Check(t, x.Write([]byte("x")) == ErrAnswered)
+		assert.Check(t, x.Write([]byte("x")) == ErrAlreadyResponded)
 	}})
 	conn := dial(t, addr)
 	conn.send(get + get)
@@ -391,7 +391,7 @@
 		if x.Path == "/held" {
 			close(begun)
 			<-further
-			until(t, "the time-out", func() bool { return time.Since(x.Arrived) > limits.HeaderTimeout })
+			until(t, "the time-out", func() bool { return time.Since(x.ArrivedAt) > limits.HeaderTimeout })
 		}
 		echo(x)
 	}})
@@ -428,7 +428,7 @@
 
 func TestArrived(t *testing.T) {
 	var arrived time.Time
-	addr := start(t, &Server{Handler: func(x *Exchange) { arrived = x.Arrived; echo(x) }})
+	addr := start(t, &Server{Handler: func(x *Exchange) { arrived = x.ArrivedAt; echo(x) }})
 	before := time.Now()
 	conn := dial(t, addr)
 	conn.send(get)
--- a/internal/tier/loadbalancer/affinity_test.go
+++ b/internal/tier/loadbalancer/affinity_test.go
@@ -47,23 +47,23 @@
 func TestHome(t *testing.T) {
 	r := newRig(t, 3, 96)
 	a := ask()
-	a.Repeatable, a.Home = false, "i1"
+	a.Retryable, a.StickyInstance = false, "i1"
 	for range 5 {
 		c := r.send(a)
 		assert.Equal(t, c.Instance, "i1")
-		r.balancer.FirstPiece(r.now, c.Call)
+		r.balancer.ResponseStarted(r.now, c.Call)
 	}
 	for range 5 {
-		r.balancer.FirstPiece(r.now, r.send(a).Call)
+		r.balancer.ResponseStarted(r.now, r.send(a).Call)
 	}
 	assert.Assert(t, r.send(a).Instance != "i1") // ten are out there, and none elsewhere
 	r.now += loadDecayTime
-	a.Home = "i2"
+	a.StickyInstance = "i2"
 	assert.Equal(t, r.send(a).Instance, "i2")
 	r.list[2].Draining = true
 	r.balancer.SetEndpoints(r.now, r.list)
 	assert.Assert(t, r.send(a).Instance != "i2")
-	a.Home = "i77"
+	a.StickyInstance = "i77"
 	r.send(a)
 }
 
@@ -76,12 +76,12 @@
 	}
 	r.balancer.SetEndpoints(r.now, r.list)
 	a := ask()
-	a.Repeatable, a.Tokens = false, 7_000 // a quarter of the memory
+	a.Retryable, a.CacheTokens = false, 7_000 // a quarter of the memory
 	for _, line := range r.list {
-		a.Home = line.Instance
+		a.StickyInstance = line.Instance
 		c := r.send(a)
 		assert.Equal(t, c.Instance, line.Instance)
-		r.balancer.FirstPiece(r.now, c.Call)
+		r.balancer.ResponseStarted(r.now, c.Call)
 	}
 	for _, of := range []struct {
 		running int // at home; the others have four each
@@ -91,9 +91,9 @@
 			r.balancer.ReportLoad(r.now, line.Instance, Load{Running: 4, Slots: 8})
 		}
 		r.balancer.ReportLoad(r.now, "i0", Load{Running: of.running, Slots: 8})
-		a.Home = "i0"
+		a.StickyInstance = "i0"
 		c := r.send(a)
 		assert.Equal(t, c.Instance == "i0", of.stays, "%d running", of.running)
-		r.balancer.Done(r.now, c.Call, Outcome{Kind: Abandoned})
+		r.balancer.Done(r.now, c.Call, Outcome{Kind: Canceled})
 	}
 }
--- a/internal/tier/loadbalancer/decisions_golden_test.go
+++ b/internal/tier/loadbalancer/decisions_golden_test.go
@@ -46,7 +46,7 @@
 		}
 		endpoint.Draining = play.oneIn(12)
 		if play.oneIn(6) {
-			endpoint.ColdRemaining = time.Duration(play.random.IntN(3000)) * time.Millisecond
+			endpoint.WarmupRemaining = time.Duration(play.random.IntN(3000)) * time.Millisecond
 		}
 		if !play.oneIn(12) {
 			play.list = append(play.list, endpoint)
@@ -60,33 +60,33 @@
 
 // pick has one attempt decided on.
 func (play *play) pick() {
-	request := Ask{Route: "r", Service: "s", Repeatable: play.oneIn(2), First: !play.oneIn(4), Left: time.Duration(1+play.random.IntN(8000)) * time.Millisecond, Priority: play.random.IntN(3)}
+	request := Request{Route: "r", Service: "s", Retryable: play.oneIn(2), FirstAttempt: !play.oneIn(4), Remaining: time.Duration(1+play.random.IntN(8000)) * time.Millisecond, Priority: play.random.IntN(3)}
 	if play.oneIn(3) {
-		request.Route, request.Service, request.Tokens = "engine", "engine", int64(play.random.IntN(24_000))
-		request.Prefix = []string{"system", fmt.Sprintf("prompt %d", play.random.IntN(4))}
+		request.Route, request.Service, request.CacheTokens = "engine", "engine", int64(play.random.IntN(24_000))
+		request.PromptPrefixes = []string{"system", fmt.Sprintf("prompt %d", play.random.IntN(4))}
 	}
 	if play.oneIn(3) {
-		request.FirstTimeout = time.Second
+		request.InitialTimeout = time.Second
 	}
 	if play.oneIn(3) {
-		request.Aim = 300 * time.Millisecond
+		request.LatencyTarget = 300 * time.Millisecond
 	}
 	if play.oneIn(3) {
-		request.Affinity = fmt.Sprintf("session %d", play.random.IntN(9))
+		request.AffinityKey = fmt.Sprintf("session %d", play.random.IntN(9))
 	}
 	if play.oneIn(3) {
-		request.Home = play.instance()
+		request.StickyInstance = play.instance()
 	}
-	for !request.First && play.oneIn(2) {
-		request.Tried = append(request.Tried, play.instance())
+	for !request.FirstAttempt && play.oneIn(2) {
+		request.AttemptedInstances = append(request.AttemptedInstances, play.instance())
 	}
 	if play.oneIn(40) { // an outage
 		for name := range 12 {
-			request.Tried = append(request.Tried, fmt.Sprintf("i%d.%d", name, play.replaced[name]))
+			request.AttemptedInstances = append(request.AttemptedInstances, fmt.Sprintf("i%d.%d", name, play.replaced[name]))
 		}
 	}
 	choice := play.balancer.Pick(play.now, request)
-	fmt.Fprintf(&play.out, "%v %d %s %s %v %t %v; %t\n", play.now, choice.Verdict, choice.Instance, choice.Address, choice.Timeout, choice.Explore, choice.RetryAfter, play.balancer.Stands(request.Home))
+	fmt.Fprintf(&play.out, "%v %d %s %s %v %t %v; %t\n", play.now, choice.Decision, choice.Instance, choice.Address, choice.Timeout, choice.Exploratory, choice.RetryAfter, play.balancer.Available(request.StickyInstance))
 	if choice.Call != nil {
 		play.calls = append(play.calls, choice.Call)
 	}
@@ -105,18 +105,18 @@
 	i := play.random.IntN(len(play.calls))
 	call := play.calls[i]
 	if play.oneIn(3) {
-		play.balancer.FirstPiece(play.now, call)
+		play.balancer.ResponseStarted(play.now, call)
 		return
 	}
-	outcome := Outcome{Kind: Served, First: time.Duration(5+play.random.IntN(200)) * time.Millisecond}
+	outcome := Outcome{Kind: Served, Latency: time.Duration(5+play.random.IntN(200)) * time.Millisecond}
 	if play.oneIn(3) {
-		outcome.Kind = Kind(play.random.IntN(9))
+		outcome.Kind = OutcomeKind(play.random.IntN(9))
 	}
 	if outcome.Kind == Gone && !play.oneIn(20) {
 		outcome.Kind = NotSent
 	}
 	if play.oneIn(3) {
-		outcome.Pause = time.Duration(play.random.IntN(300)) * time.Millisecond
+		outcome.LongestGap = time.Duration(play.random.IntN(300)) * time.Millisecond
 	}
 	if play.oneIn(3) {
 		load := play.load()
@@ -132,7 +132,7 @@
 // check has the owner check what it suspects.
 func (play *play) check() {
 	var names []string
-	for _, suspect := range play.balancer.Suspects(play.now) {
+	for _, suspect := range play.balancer.StartHealthChecks(play.now) {
 		names = append(names, suspect.Instance)
 	}
 	slices.Sort(names)
@@ -140,7 +140,7 @@
 		fmt.Fprintf(&play.out, "%v health checks %v\n", play.now, names)
 	}
 	for _, name := range names {
-		play.balancer.Checked(play.now, name, play.oneIn(2))
+		play.balancer.RecordHealthCheck(play.now, name, play.oneIn(2))
 	}
 }
 
@@ -148,7 +148,7 @@
 func (play *play) reports() {
 	reports := play.balancer.TakeReports()
 	slices.Sort(reports.Ejected) // services are searched in no order
-	fmt.Fprintf(&play.out, "%v reports %v %v; stall %v\n", play.now, reports.Ejected, reports.Restored, play.balancer.PauseTimeout("r", time.Second))
+	fmt.Fprintf(&play.out, "%v reports %v %v; stall %v\n", play.now, reports.Ejected, reports.Restored, play.balancer.StallTimeout("r", time.Second))
 	switch name := play.instance(); {
 	case play.oneIn(2):
 		play.balancer.EjectReported(play.now, name, play.oneIn(2), 4*time.Second)
@@ -191,7 +191,7 @@
 		case play.oneIn(2):
 			play.relist()
 		case play.oneIn(5):
-			play.balancer.KeepRoutes(func(route string) bool { return route != "r" })
+			play.balancer.RetainRoutes(func(route string) bool { return route != "r" })
 		}
 	}
 	golden.Assert(t, play.out.String(), "decisions.golden")
--- a/internal/tier/loadbalancer/endpoint.go
+++ b/internal/tier/loadbalancer/endpoint.go
@@ -11,66 +11,66 @@
 )
 
 const (
-	loadDecayTime    = 2 * time.Second  // time constant by which a reported load decays, as the calls of others end
-	latestWeight     = 0.1              // weight of the latest call in the means of latency and tokens
-	healthWeight     = 0.06             // weight of the latest call in the share of failures
-	failureDecayTime = 10 * time.Second // time constant by which that share decays, as a failing endpoint gets few calls
-	failingThreshold = 0.3              // share of failed calls from which the window is halved
-	failurePenalty   = 4.0              // added to the cost factor of an endpoint that always fails
-	coldPenalty      = 2.0              // cost factor of an endpoint that has just started
-	maxLatencyRatio  = 4.0              // bound of the cost factor of a slow endpoint
-	ejectThreshold   = 4.0              // weight of consecutive failures that ejects an endpoint
-
-	minPatience            = 300 * time.Millisecond // a lost SYN is retransmitted within about so long
-	minProbePause          = 250 * time.Millisecond // from an ejection to the first probe; doubles with each failed one
-	maxProbePause          = 4 * time.Second
-	maxSharedProbePause    = time.Second           // of an endpoint that other senders do not probe
-	unrepeatableProbeDelay = time.Second           // added before a request that can't be repeated is used as a probe
-	minRefusalPause        = 25 * time.Millisecond // after a refusal; doubles with each consecutive one
-	maxRefusalPause        = 500 * time.Millisecond
+	loadDecayTime        = 2 * time.Second  // time constant by which a reported load decays, as the calls of others end
+	latencySmoothing     = 0.1              // weight of the latest call in the means of latency and tokens
+	failureRateSmoothing = 0.06             // weight of the latest call in the share of failures
+	failureRateDecayTime = 10 * time.Second // time constant by which that share decays, as a failing endpoint gets few calls
+	failingRateThreshold = 0.3              // share of failed calls from which the window is halved
+	failurePenalty       = 4.0              // added to the cost factor of an endpoint that always fails
+	warmupPenalty        = 2.0              // cost factor of an endpoint that has just started
+	maxLatencyRatio      = 4.0              // bound of the cost factor of a slow endpoint
+	ejectThreshold       = 4.0              // weight of consecutive failures that ejects an endpoint
+
+	minUnresponsiveTimeout = 300 * time.Millisecond // a lost SYN is retransmitted within about so long
+	minProbeBackoff        = 250 * time.Millisecond // from an ejection to the first probe; doubles with each failed one
+	maxProbeBackoff        = 4 * time.Second
+	maxSharedProbeBackoff  = time.Second           // of an endpoint that other senders do not probe
+	nonRetryableProbeDelay = time.Second           // added before a request that can't be repeated is used as a probe
+	minRejectionBackoff    = 25 * time.Millisecond // after a refusal; doubles with each consecutive one
+	maxRejectionBackoff    = 500 * time.Millisecond
 )
 
 // failureWeights is how much each kind of failure counts towards an ejection.
-var failureWeights = map[Kind]float64{NotSent: 2, Broken: 1.5, TimedOut: 1.5, Stalled: 1.5, Failed: 1}
+var failureWeights = map[OutcomeKind]float64{NotSent: 2, Broken: 1.5, TimedOut: 1.5, Stalled: 1.5, Failed: 1}
 
 // endpoint is what a sender has observed of one instance.
 type endpoint struct {
 	Endpoint
-	nameHash     uint64 // hash of Instance, for rendezvous hashing
-	listed       bool
-	sameZone     bool // as the sender
-	misdirected  bool // its address is now that of another instance
-	window       restart.Window
-	calls        int           // under way, of this sender
-	unanswered   []*Call       // of these, those without any part of an answer, oldest first
-	observedAt   time.Duration // when anything came from it last
-	slots        int           // reported, 0 if never
-	otherLoad    float64       // requests of other senders, as of loadTime
-	queueLimit   int           // how many may wait, as observed at a refusal; -1 if never
-	waiting      int           // as of loadTime
-	loadTime     time.Duration // of the last report
-	latencyRatio float64       // mean of its latencies, each over the mean of its route
-	failureShare float64       // mean share of failed calls, as of failureTime
-	failureTime  time.Duration
-	meanTokens   float64 // that a request needs of the cache
-	coldUntil    time.Duration
-
-	reports *Reports // of the balancer
-	shared  bool     // it is ejected by the word of others, and the next news of it is theirs, too
-
-	failureWeight float64 // of the consecutive failures
-	ejected       bool
-	probes        int           // under way
-	ownerProbing  bool          // one of them is a health check of the owner
-	nextProbe     time.Duration // not before
-	backoff       time.Duration // from an ejection to the next probe
-	pauseLength   time.Duration // after the last refusal
-	pausedUntil   time.Duration
+	nameHash            uint64 // hash of Instance, for rendezvous hashing
+	listed              bool
+	sameZone            bool // as the sender
+	misdirected         bool // its address is now that of another instance
+	window              restart.Window
+	inFlight            int           // under way, of this sender
+	awaitingResponse    []*Call       // of these, those without any part of an answer, oldest first
+	lastSeenAt          time.Duration // when anything came from it last
+	slots               int           // reported, 0 if never
+	othersLoad          float64       // requests of other senders, as of loadTime
+	queueLimit          int           // how many may wait, as observed at a refusal; -1 if never
+	waiting             int           // as of loadTime
+	loadReportedAt      time.Duration // of the last report
+	latencyRatio        float64       // mean of its latencies, each over the mean of its route
+	failureRateEstimate float64       // mean share of failed calls, as of failureTime
+	failureRateAt       time.Duration
+	meanTokens          float64 // that a request needs of the cache
+	warmupUntil         time.Duration
+
+	reports        *Reports // of the balancer
+	ejectionShared bool     // it is ejected by the word of others, and the next news of it is theirs, too
+
+	consecutiveFailureWeight float64 // of the consecutive failures
+	ejected                  bool
+	probesInFlight           int           // under way
+	healthCheckInFlight      bool          // one of them is a health check of the owner
+	nextProbeAt              time.Duration // not before
+	probeBackoff             time.Duration // from an ejection to the next probe
+	rejectionBackoff         time.Duration // after the last refusal
+	backoffUntil             time.Duration
 }
 
 // newEndpoint makes the record of an endpoint that is listed for the first time.
 func newEndpoint(line Endpoint, now time.Duration) *endpoint {
-	made := &endpoint{Endpoint: line, nameHash: hash(line.Instance), latencyRatio: 1, queueLimit: -1, observedAt: now}
+	made := &endpoint{Endpoint: line, nameHash: hash(line.Instance), latencyRatio: 1, queueLimit: -1, lastSeenAt: now}
 	// With a window of one, a sender that has just started would refuse requests while nearly all slots are free.
 	made.window.Size = max(1, float64(line.Capacity)/2)
 	return made
@@ -85,13 +85,13 @@
 
 // failureRate is the share of failed calls, decayed to now.
 func (endpoint *endpoint) failureRate(now time.Duration) float64 {
-	return endpoint.failureShare * math.Exp(-(now-endpoint.failureTime).Seconds()/failureDecayTime.Seconds())
+	return endpoint.failureRateEstimate * math.Exp(-(now-endpoint.failureRateAt).Seconds()/failureRateDecayTime.Seconds())
 }
 
 // recordResult updates the share of failed calls by one call: 1 for a failed one, 0 for one served.
 func (endpoint *endpoint) recordResult(now time.Duration, failed float64) {
 	old := endpoint.failureRate(now)
-	endpoint.failureShare, endpoint.failureTime = old+healthWeight*(failed-old), now
+	endpoint.failureRateEstimate, endpoint.failureRateAt = old+failureRateSmoothing*(failed-old), now
 }
 
 // capacity is how many requests the endpoint runs at once.
@@ -99,7 +99,7 @@
 
 // load is how many requests the endpoint has: those of this sender, and those of others by the last report, decayed to now.
 func (endpoint *endpoint) load(now time.Duration) float64 {
-	return float64(endpoint.calls) + endpoint.otherLoad*math.Exp(-(now-endpoint.loadTime).Seconds()/loadDecayTime.Seconds())
+	return float64(endpoint.inFlight) + endpoint.othersLoad*math.Exp(-(now-endpoint.loadReportedAt).Seconds()/loadDecayTime.Seconds())
 }
 
 // utilization is the part of the endpoint's slots, or of its cache if that is more, that is in use with so many more requests.
@@ -120,23 +120,23 @@
 // penalty is the factor by which the cost is raised.
 func (endpoint *endpoint) penalty(now time.Duration) float64 {
 	penalty := min(maxLatencyRatio, max(1/maxLatencyRatio, endpoint.latencyRatio)) * (1 + failurePenalty*endpoint.failureRate(now))
-	if now < endpoint.coldUntil {
-		penalty *= coldPenalty
+	if now < endpoint.warmupUntil {
+		penalty *= warmupPenalty
 	}
 	return penalty
 }
 
-// hasRoom reports whether the endpoint may get one more request. Requests below the highest priority leave an eighth of the
+// hasCapacity reports whether the endpoint may get one more request. Requests below the highest priority leave an eighth of the
 // window free.
-func (endpoint *endpoint) hasRoom(now time.Duration, priority int) bool {
-	room := endpoint.window.Room(endpoint.capacity(), endpoint.failureRate(now) > failingThreshold)
+func (endpoint *endpoint) hasCapacity(now time.Duration, priority int) bool {
+	room := endpoint.window.Room(endpoint.capacity(), endpoint.failureRate(now) > failingRateThreshold)
 	if priority > 0 {
 		room -= room / 8
 	}
-	if endpoint.calls >= room || now < endpoint.pausedUntil {
+	if endpoint.inFlight >= room || now < endpoint.backoffUntil {
 		return false
 	}
-	atCapacity := now-endpoint.loadTime < loadDecayTime/4 && endpoint.queueLimit >= 0 && endpoint.waiting > 0 && endpoint.waiting >= endpoint.queueLimit
+	atCapacity := now-endpoint.loadReportedAt < loadDecayTime/4 && endpoint.queueLimit >= 0 && endpoint.waiting > 0 && endpoint.waiting >= endpoint.queueLimit
 	return !atCapacity || endpoint.load(now) < float64(endpoint.capacity()+endpoint.queueLimit)
 }
 
@@ -148,7 +148,7 @@
 	if load.Slots > 0 {
 		endpoint.slots = load.Slots
 	}
-	endpoint.otherLoad, endpoint.waiting, endpoint.loadTime = max(0, float64(load.Running+load.Waiting-endpoint.calls)), load.Waiting, now
+	endpoint.othersLoad, endpoint.waiting, endpoint.loadReportedAt = max(0, float64(load.Running+load.Waiting-endpoint.inFlight)), load.Waiting, now
 	if refused {
 		if load.Slots > 0 && load.Running >= load.Slots {
 			endpoint.queueLimit = load.Waiting
@@ -160,45 +160,47 @@
 	}
 	// An endpoint that reports less than half of its slots as running can take half of them.
 	if slots := endpoint.capacity(); load.Waiting == 0 && 2*load.Running < slots {
-		endpoint.window.Size = max(endpoint.window.Size, float64(slots)/2-endpoint.otherLoad)
+		endpoint.window.Size = max(endpoint.window.Size, float64(slots)/2-endpoint.othersLoad)
 	}
 }
 
-// answerBegan records that a part of a call's answer has come: from then on its call does not count as unanswered.
-func (endpoint *endpoint) answerBegan(now time.Duration, call *Call) {
-	endpoint.observedAt = max(endpoint.observedAt, now)
-	endpoint.removeUnanswered(call)
+// responseStarted records that a part of a call's answer has come: from then on its call does not count as unanswered.
+func (endpoint *endpoint) responseStarted(now time.Duration, call *Call) {
+	endpoint.lastSeenAt = max(endpoint.lastSeenAt, now)
+	endpoint.removeAwaiting(call)
 }
 
-// removeUnanswered removes a call from those without any answer.
-func (endpoint *endpoint) removeUnanswered(call *Call) {
-	if i := slices.Index(endpoint.unanswered, call); i >= 0 {
-		endpoint.unanswered = slices.Delete(endpoint.unanswered, i, i+1)
+// removeAwaiting removes a call from those without any answer.
+func (endpoint *endpoint) removeAwaiting(call *Call) {
+	if i := slices.Index(endpoint.awaitingResponse, call); i >= 0 {
+		endpoint.awaitingResponse = slices.Delete(endpoint.awaitingResponse, i, i+1)
 	}
 }
 
-// patience is how long a call may be unanswered before its endpoint counts as silent: the time-out of its route before any doubling,
+// unresponsiveTimeout is how long a call may be unanswered before its endpoint counts as silent: the time-out of its route before any doubling,
 // whether or not the call itself may be restarted.
-func (call *Call) patience() time.Duration { return patience(call.oracle, call.firstTimeout) }
+func (call *Call) unresponsiveTimeout() time.Duration {
+	return unresponsiveTimeout(call.oracle, call.initialTimeout)
+}
 
-// patience is the same for a route whose time-out is first while few samples are known. For a stream it is never less than that: its
+// unresponsiveTimeout is the same for a route whose time-out is first while few samples are known. For a stream it is never less than that: its
 // first piece may wait for a place at an endpoint that is sound, and how long others have waited in a calm time tells nothing of it.
-func patience(oracle *restart.Oracle, first time.Duration) time.Duration {
-	return max(minPatience, first, min(undoubled(oracle, first), restart.FirstTimeout))
+func unresponsiveTimeout(oracle *restart.Oracle, first time.Duration) time.Duration {
+	return max(minUnresponsiveTimeout, first, min(optimalTimeout(oracle, first), restart.FirstTimeout))
 }
 
-// detectSilence ejects the endpoints that are silent, as long as that leaves half of them: where most do not answer in time, they are
+// ejectUnresponsive ejects the endpoints that are silent, as long as that leaves half of them: where most do not answer in time, they are
 // overloaded or the sender's own links are at fault, and to be without them would make it worse.
-func (service *service) detectSilence(now time.Duration) {
+func (service *service) ejectUnresponsive(now time.Duration) {
 	for _, endpoint := range service.endpoints {
-		if endpoint.silent(now) && service.maySpare() {
-			endpoint.eject(now)
+		if endpoint.unresponsive(now) && service.mayEject() {
+			endpoint.ejectAndReport(now)
 		}
 	}
 }
 
-// maySpare reports whether one more endpoint may be ejected with half of them left.
-func (service *service) maySpare() bool {
+// mayEject reports whether one more endpoint may be ejected with half of them left.
+func (service *service) mayEject() bool {
 	ejected := 0
 	for _, endpoint := range service.endpoints {
 		if endpoint.ejected {
@@ -208,54 +210,54 @@
 	return 2*(ejected+1) <= len(service.endpoints)
 }
 
-// silent reports whether the endpoint, which is not ejected, is silent: nothing has come from it since the oldest unanswered call was sent,
+// unresponsive reports whether the endpoint, which is not ejected, is silent: nothing has come from it since the oldest unanswered call was sent,
 // for longer than the patience. One call is enough: a sender of many has few calls at any one endpoint, other endpoints are at hand,
 // and the first piece of an answer restores it.
-func (endpoint *endpoint) silent(now time.Duration) bool {
-	if endpoint.ejected || len(endpoint.unanswered) == 0 {
+func (endpoint *endpoint) unresponsive(now time.Duration) bool {
+	if endpoint.ejected || len(endpoint.awaitingResponse) == 0 {
 		return false
 	}
-	oldest := endpoint.unanswered[0]
-	return now-max(oldest.sent, endpoint.observedAt) > oldest.patience()
+	oldest := endpoint.awaitingResponse[0]
+	return now-max(oldest.sentAt, endpoint.lastSeenAt) > oldest.unresponsiveTimeout()
 }
 
-// eject takes the endpoint out by what was observed here.
-func (endpoint *endpoint) eject(now time.Duration) {
-	endpoint.takeOut(now)
+// ejectAndReport takes the endpoint out by what was observed here.
+func (endpoint *endpoint) ejectAndReport(now time.Duration) {
+	endpoint.eject(now)
 	endpoint.reports.Ejected = append(endpoint.reports.Ejected, endpoint.Instance)
 }
 
-// takeOut takes the endpoint out of the choice until a probe is served. If it is out already, the next probe waits longer.
-func (endpoint *endpoint) takeOut(now time.Duration) {
+// eject takes the endpoint out of the choice until a probe is served. If it is out already, the next probe waits longer.
+func (endpoint *endpoint) eject(now time.Duration) {
 	endpoint.ejected = true
-	longest := maxProbePause
-	if endpoint.shared { // others wait for what the probe finds
-		longest = maxSharedProbePause
+	longest := maxProbeBackoff
+	if endpoint.ejectionShared { // others wait for what the probe finds
+		longest = maxSharedProbeBackoff
 	}
-	endpoint.backoff = min(max(2*endpoint.backoff, minProbePause), longest)
-	endpoint.nextProbe = now + endpoint.backoff
+	endpoint.probeBackoff = min(max(2*endpoint.probeBackoff, minProbeBackoff), longest)
+	endpoint.nextProbeAt = now + endpoint.probeBackoff
 }
 
 // restore ends an ejection.
 func (endpoint *endpoint) restore() {
-	if endpoint.ejected && endpoint.shared {
-		endpoint.shared = false
+	if endpoint.ejected && endpoint.ejectionShared {
+		endpoint.ejectionShared = false
 		endpoint.reports.Restored = append(endpoint.reports.Restored, endpoint.Instance)
 	}
-	endpoint.ejected, endpoint.failureWeight, endpoint.backoff = false, 0, 0
+	endpoint.ejected, endpoint.consecutiveFailureWeight, endpoint.probeBackoff = false, 0, 0
 }
 
 // probeDue reports whether the endpoint is ejected and an attempt may now be sent there as a probe.
-func (endpoint *endpoint) probeDue(now time.Duration, ask *Ask) bool {
-	due := endpoint.nextProbe
-	if !ask.Repeatable {
-		due += unrepeatableProbeDelay
+func (endpoint *endpoint) probeDue(now time.Duration, ask *Request) bool {
+	due := endpoint.nextProbeAt
+	if !ask.Retryable {
+		due += nonRetryableProbeDelay
 	}
-	return endpoint.ejected && endpoint.probes == 0 && now >= due
+	return endpoint.ejected && endpoint.probesInFlight == 0 && now >= due
 }
 
-// rateSpan is the time constant of a rateMeter.
-const rateSpan = time.Second
+// rateDecayTime is the time constant of a rateMeter.
+const rateDecayTime = time.Second
 
 // rateMeter counts events, each with a weight that decays over rateSpan.
 type rateMeter struct {
@@ -265,7 +267,7 @@
 
 // decayed is the count as of now.
 func (meter *rateMeter) decayed(now time.Duration) float64 {
-	return meter.count * math.Exp(-(now-meter.countedAt).Seconds()/rateSpan.Seconds())
+	return meter.count * math.Exp(-(now-meter.countedAt).Seconds()/rateDecayTime.Seconds())
 }
 
 // add counts one event.
--- a/internal/tier/loadbalancer/health_test.go
+++ b/internal/tier/loadbalancer/health_test.go
@@ -12,11 +12,11 @@
 	r := newRig(t, 1, 8)
 	only := r.list[:1]
 	r.balancer.SetEndpoints(r.now, only)
-	r.balancer.Done(r.now, r.send(ask()).Call, Outcome{Kind: Refused, Misdirected: true})
+	r.balancer.Done(r.now, r.send(ask()).Call, Outcome{Kind: Rejected, Misdirected: true})
 	r.now += time.Minute
-	assert.Equal(t, r.balancer.Pick(r.now, ask()).Verdict, NoEndpoint)
+	assert.Equal(t, r.balancer.Pick(r.now, ask()).Decision, NoEndpoint)
 	r.balancer.SetEndpoints(r.now, only)
-	assert.Equal(t, r.balancer.Pick(r.now, ask()).Verdict, NoEndpoint)
+	assert.Equal(t, r.balancer.Pick(r.now, ask()).Decision, NoEndpoint)
 	next := only[0]
 	next.Instance = "next"
 	r.balancer.SetEndpoints(r.now, []Endpoint{next})
@@ -26,17 +26,17 @@
 func TestDrainingIsNeverPicked(t *testing.T) {
 	r := newRig(t, 1, 8)
 	out := r.send(ask())
-	assert.Assert(t, r.balancer.Stands(out.Instance))
+	assert.Assert(t, r.balancer.Available(out.Instance))
 	for i := range r.list {
 		r.list[i].Draining = true
 	}
 	r.balancer.SetEndpoints(r.now, r.list)
-	assert.Equal(t, r.balancer.Pick(r.now, ask()).Verdict, NoEndpoint)
-	assert.Assert(t, !r.balancer.Stands(out.Instance))
+	assert.Equal(t, r.balancer.Pick(r.now, ask()).Decision, NoEndpoint)
+	assert.Assert(t, !r.balancer.Available(out.Instance))
 	r.balancer.SetEndpoints(r.now, nil)
 	assert.Equal(t, len(r.balancer.endpoints), 1) // a call is out there
-	r.balancer.Done(r.now, out.Call, Outcome{Kind: Served, First: ms})
-	r.balancer.Done(r.now, out.Call, Outcome{Kind: Served, First: ms})
+	r.balancer.Done(r.now, out.Call, Outcome{Kind: Served, Latency: ms})
+	r.balancer.Done(r.now, out.Call, Outcome{Kind: Served, Latency: ms})
 	assert.Equal(t, len(r.balancer.endpoints), 0)
 }
 
@@ -52,7 +52,7 @@
 				at = append(at, r.now)
 				r.balancer.Done(r.now, c.Call, Outcome{Kind: NotSent})
 			} else {
-				r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, First: 5 * ms})
+				r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, Latency: 5 * ms})
 			}
 			r.now += 10 * ms
 		}
@@ -60,14 +60,14 @@
 	}
 	tries, at := dead() // 30 s
 	assert.Assert(t, tries >= 8 && tries <= 14, "%d", tries)
-	assert.Assert(t, at[len(at)-1]-at[len(at)-2] >= maxProbePause)
-	r.now += maxProbePause
+	assert.Assert(t, at[len(at)-1]-at[len(at)-2] >= maxProbeBackoff)
+	r.now += maxProbeBackoff
 	c := r.send(ask())
 	assert.Equal(t, c.Instance, "i0")
 	other := r.send(ask())
 	assert.Assert(t, other.Instance != "i0", "one at a time")
-	r.balancer.Done(r.now, other.Call, Outcome{Kind: Served, First: 5 * ms})
-	r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, First: 5 * ms})
+	r.balancer.Done(r.now, other.Call, Outcome{Kind: Served, Latency: 5 * ms})
+	r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, Latency: 5 * ms})
 	assert.Equal(t, r.send(ask()).Instance, "i0") // it is the one in our zone
 }
 
@@ -77,16 +77,16 @@
 	for range 2 {
 		r.balancer.Done(r.now, r.send(session(1)).Call, Outcome{Kind: NotSent})
 	}
-	assert.Equal(t, len(r.balancer.Suspects(r.now)), 0)
-	r.now += minProbePause
+	assert.Equal(t, len(r.balancer.StartHealthChecks(r.now)), 0)
+	r.now += minProbeBackoff
 	assert.Assert(t, r.send(session(1)).Instance != "i0")
 	for _, healthy := range []bool{false, true} {
-		r.now += maxProbePause
-		suspects := r.balancer.Suspects(r.now)
+		r.now += maxProbeBackoff
+		suspects := r.balancer.StartHealthChecks(r.now)
 		assert.Equal(t, len(suspects), 1)
 		assert.Equal(t, suspects[0].Instance, "i0")
-		assert.Equal(t, len(r.balancer.Suspects(r.now)), 0)
-		r.balancer.Checked(r.now, "i0", healthy)
+		assert.Equal(t, len(r.balancer.StartHealthChecks(r.now)), 0)
+		r.balancer.RecordHealthCheck(r.now, "i0", healthy)
 	}
 	assert.Equal(t, r.send(session(1)).Instance, "i0")
 }
@@ -97,13 +97,13 @@
 	r.serve(40, session(1), 20*ms)
 	first, second := r.send(session(1)), r.send(session(2))
 	assert.Equal(t, first.Instance, second.Instance)
-	r.now += minPatience / 2
-	r.balancer.FirstPiece(r.now, first.Call)
-	r.now += minPatience / 2
+	r.now += minUnresponsiveTimeout / 2
+	r.balancer.ResponseStarted(r.now, first.Call)
+	r.now += minUnresponsiveTimeout / 2
 	assert.Equal(t, r.send(session(3)).Instance, "i0")
-	r.now += minPatience + ms
+	r.now += minUnresponsiveTimeout + ms
 	assert.Assert(t, r.send(session(3)).Instance != "i0")
-	r.balancer.FirstPiece(r.now, second.Call) // it was only slow
+	r.balancer.ResponseStarted(r.now, second.Call) // it was only slow
 	assert.Equal(t, r.send(session(3)).Instance, "i0")
 }
 
@@ -117,10 +117,10 @@
 		assert.Assert(t, e.ejected)
 	}
 	a := ask()
-	a.Tried = []string{"i0", "i1", "i2"}
+	a.AttemptedInstances = []string{"i0", "i1", "i2"}
 	c := r.send(a)
 	assert.Equal(t, c.Instance, "i3")
-	r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, First: ms})
+	r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, Latency: ms})
 	assert.Equal(t, r.send(ask()).Instance, "i3")
 }
 
@@ -128,7 +128,7 @@
 func TestTriedAndTooLarge(t *testing.T) {
 	r := newRig(t, 2, 8)
 	a := ask()
-	a.First, a.Tried = false, []string{"i0"}
+	a.FirstAttempt, a.AttemptedInstances = false, []string{"i0"}
 	for range 5 {
 		c := r.send(a)
 		assert.Equal(t, c.Instance, "i4")
@@ -139,9 +139,9 @@
 		r.list[i].CacheTokens = 1000
 	}
 	r.balancer.SetEndpoints(r.now, r.list)
-	a.Tokens = 1001
-	assert.Equal(t, r.balancer.Pick(r.now, a).Verdict, NoEndpoint)
-	a.Tokens = 1000
+	a.CacheTokens = 1001
+	assert.Equal(t, r.balancer.Pick(r.now, a).Decision, NoEndpoint)
+	a.CacheTokens = 1000
 	r.send(a)
 }
 
@@ -151,7 +151,7 @@
 	r.serve(40, session(1), 20*ms)
 	only := r.send(session(1))
 	assert.Equal(t, only.Instance, "i0")
-	r.now += minPatience
+	r.now += minUnresponsiveTimeout
 	assert.Equal(t, r.send(session(2)).Instance, "i0")
 	r.now += ms
 	assert.Assert(t, r.send(session(2)).Instance != "i0")
@@ -162,7 +162,7 @@
 	for _, first := range []time.Duration{0, time.Second} {
 		r := newRig(t, 1, 96)
 		a := session(1)
-		a.FirstTimeout = first
+		a.InitialTimeout = first
 		silent := r.send(a)
 		r.now += time.Second + ms
 		again := r.send(a)
@@ -176,11 +176,11 @@
 	for _, instance := range []string{"i0", "i1", "i2", "i3"} {
 		for range 40 {
 			a := session(1)
-			a.Home = instance
-			r.balancer.Done(r.now, r.send(a).Call, Outcome{Kind: Served, First: 20 * ms})
+			a.StickyInstance = instance
+			r.balancer.Done(r.now, r.send(a).Call, Outcome{Kind: Served, Latency: 20 * ms})
 		}
 		a := session(1)
-		a.Home = instance
+		a.StickyInstance = instance
 		r.send(a)
 	}
 	r.now += time.Minute
@@ -205,23 +205,23 @@
 	for range 4 {
 		c := r.send(session(1))
 		assert.Assert(t, c.Instance == "i2" || c.Instance == "i3", c.Instance)
-		r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, First: ms})
+		r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, Latency: ms})
 	}
-	r.now += minProbePause
+	r.now += minProbeBackoff
 	probe := r.send(ask())
 	assert.Equal(t, probe.Instance, "i0", "i1 is for others to probe")
 	r.balancer.Done(r.now, probe.Call, Outcome{Kind: Broken})
 	assert.DeepEqual(t, r.balancer.TakeReports(), Reports{Ejected: []string{"i0"}}) // that is of its own
 	for range 8 {                                                                   // it goes on probing, and others do not wait for long
-		r.now += maxSharedProbePause
+		r.now += maxSharedProbeBackoff
 		probe = r.send(ask())
 		assert.Equal(t, probe.Instance, "i0")
 		r.balancer.Done(r.now, probe.Call, Outcome{Kind: Broken})
 		r.balancer.EjectReported(r.now, "i1", false, hold)
 	}
-	r.now += maxSharedProbePause
+	r.now += maxSharedProbeBackoff
 	r.balancer.TakeReports()
-	r.balancer.Done(r.now, r.send(ask()).Call, Outcome{Kind: Served, First: ms})
+	r.balancer.Done(r.now, r.send(ask()).Call, Outcome{Kind: Served, Latency: ms})
 	assert.DeepEqual(t, r.balancer.TakeReports(), Reports{Restored: []string{"i0"}})
 	assert.Assert(t, r.balancer.endpoints["i1"].ejected)
 	r.balancer.RestoreReported("i1")
--- a/internal/tier/loadbalancer/load_test.go
+++ b/internal/tier/loadbalancer/load_test.go
@@ -14,12 +14,12 @@
 func TestWindow(t *testing.T) {
 	r := newRig(t, 1, 20)
 	r.balancer.SetEndpoints(r.now, r.list[:1])
-	fill := func() (out []Choice) {
+	fill := func() (out []Selection) {
 		for {
 			c := r.balancer.Pick(r.now, ask())
-			if c.Verdict != Send {
-				assert.Equal(t, c.Verdict, Full)
-				assert.Assert(t, c.RetryAfter > 0 && c.RetryAfter <= ask().Left/3, c.RetryAfter)
+			if c.Decision != Send {
+				assert.Equal(t, c.Decision, AtCapacity)
+				assert.Assert(t, c.RetryAfter > 0 && c.RetryAfter <= ask().Remaining/3, c.RetryAfter)
 				return out
 			}
 			out = append(out, c)
@@ -29,7 +29,7 @@
 	assert.Equal(t, len(out), 10)
 	for range 20 {
 		for _, c := range out {
-			r.balancer.Done(r.now+ms, c.Call, Outcome{Kind: Served, First: ms})
+			r.balancer.Done(r.now+ms, c.Call, Outcome{Kind: Served, Latency: ms})
 		}
 		r.now += 2 * ms
 		out = fill()
@@ -38,23 +38,23 @@
 	assert.Equal(t, len(out), 14)
 	r.now += ms
 	for _, c := range out {
-		r.balancer.Done(r.now, c.Call, Outcome{Kind: Refused})
+		r.balancer.Done(r.now, c.Call, Outcome{Kind: Rejected})
 	}
 	assert.Equal(t, len(fill()), 0) // it has just said that it is full
-	r.now += maxRefusalPause
+	r.now += maxRejectionBackoff
 	out = fill()
 	assert.Equal(t, len(out), 7)
 	for range 10 {
 		r.now += time.Second
 		for _, c := range out {
-			r.balancer.Done(r.now, c.Call, Outcome{Kind: Refused})
+			r.balancer.Done(r.now, c.Call, Outcome{Kind: Rejected})
 		}
 		r.now += time.Second
 		out = fill()
 	}
 	assert.Equal(t, len(out), 1)
 	// An endpoint that reports less than half of its slots as running can take half of them.
-	r.balancer.Done(r.now, out[0].Call, Outcome{Kind: Served, First: ms, Load: &Load{Running: 1, Slots: 20}})
+	r.balancer.Done(r.now, out[0].Call, Outcome{Kind: Served, Latency: ms, Load: &Load{Running: 1, Slots: 20}})
 	assert.Assert(t, len(fill()) >= 9)
 }
 
@@ -63,9 +63,9 @@
 	r := newRig(t, 1, 96)
 	a := ask()
 	a.Priority = 2
-	for r.balancer.Pick(r.now, a).Verdict == Send {
+	for r.balancer.Pick(r.now, a).Decision == Send {
 	}
-	assert.Equal(t, r.balancer.Pick(r.now, a).Verdict, Full)
+	assert.Equal(t, r.balancer.Pick(r.now, a).Decision, AtCapacity)
 	r.send(ask())
 }
 
@@ -73,9 +73,9 @@
 func TestBoundedLoadAndZones(t *testing.T) {
 	r := newRig(t, 3, 96)
 	zones, at := map[string]int{}, map[string]int{}
-	send := func(a Ask) {
+	send := func(a Request) {
 		c := r.send(a)
-		r.balancer.FirstPiece(r.now, c.Call)
+		r.balancer.ResponseStarted(r.now, c.Call)
 		zones[r.balancer.endpoints[c.Instance].Zone]++
 		at[c.Instance]++
 	}
@@ -127,7 +127,7 @@
 	r := newRig(t, 2, 16)
 	got := map[string]int{}
 	for range 100 {
-		var out []Choice
+		var out []Selection
 		for range 6 {
 			out = append(out, r.send(ask()))
 		}
@@ -138,7 +138,7 @@
 				took = 60 * ms
 			}
 			got[c.Instance]++
-			r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, First: took})
+			r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, Latency: took})
 		}
 	}
 	assert.Assert(t, got["i0"] > 0 && 3*got["i0"] < 2*got["i4"], "%v", got)
--- a/internal/tier/loadbalancer/loadbalancer.go
+++ b/internal/tier/loadbalancer/loadbalancer.go
@@ -19,83 +19,83 @@
 	Instance, Service, Address, Zone string
 	Capacity                         int // requests that it runs at once, 0 if not reported
 	Draining                         bool
-	ColdRemaining                    time.Duration // until it has warmed up: it is slow so far
+	WarmupRemaining                  time.Duration // until it has warmed up: it is slow so far
 	CacheTokens                      int64         // size of an engine's cache, 0 if it is no engine
 }
 
 // Load is what an endpoint reports of itself: requests that run and that wait, and how many may run at once.
 type Load struct{ Running, Waiting, Slots int }
 
-// Ask is one attempt of a request.
-type Ask struct {
-	Route, Service string
-	Repeatable     bool          // it may be aborted and sent once more: idempotent, with attempts left
-	First          bool          // its first attempt
-	FirstTimeout   time.Duration // time-out while few samples are known, where it is below restart.FirstTimeout; 0: that
-	Left           time.Duration // until its deadline
-	Aim            time.Duration // target latency of its answer, 0 if not known
-	Priority       int           // 0 is the highest
-	Affinity       string        // key of the requests that share an endpoint's cache, such as a session; empty if none
-	Home           string        // instance that ran the request before it; empty if none
-	Prefix         []string      // shared parts of the prompt, outermost first
-	Tokens         int64         // that it needs of an engine's cache
-	Tried          []string      // instances that it was sent to, one entry for each attempt
+// Request is one attempt of a request.
+type Request struct {
+	Route, Service     string
+	Retryable          bool          // it may be aborted and sent once more: idempotent, with attempts left
+	FirstAttempt       bool          // its first attempt
+	InitialTimeout     time.Duration // time-out while few samples are known, where it is below restart.FirstTimeout; 0: that
+	Remaining          time.Duration // until its deadline
+	LatencyTarget      time.Duration // target latency of its answer, 0 if not known
+	Priority           int           // 0 is the highest
+	AffinityKey        string        // key of the requests that share an endpoint's cache, such as a session; empty if none
+	StickyInstance     string        // instance that ran the request before it; empty if none
+	PromptPrefixes     []string      // shared parts of the prompt, outermost first
+	CacheTokens        int64         // that it needs of an engine's cache
+	AttemptedInstances []string      // instances that it was sent to, one entry for each attempt
 }
 
-// Verdict is the decision on an attempt.
-type Verdict uint8
+// Decision is the decision on an attempt.
+type Decision uint8
 
 const (
-	Send       Verdict = iota
-	Full               // all endpoints are at their limit; RetryAfter is when one may have room
-	Hopeless           // less time is left than the quickest call has taken
-	NoEndpoint         // no endpoint that accepts the request is listed
+	Send             Decision = iota
+	AtCapacity                // all endpoints are at their limit; RetryAfter is when one may have room
+	DeadlineTooShort          // less time is left than the quickest call has taken
+	NoEndpoint                // no endpoint that accepts the request is listed
 )
 
-// Choice is the answer to an Ask. Its Call must be passed to Done, whatever the outcome.
-type Choice struct {
-	Verdict           Verdict
+// Selection is the answer to an Ask. Its Call must be passed to Done, whatever the outcome.
+type Selection struct {
+	Decision          Decision
 	Instance, Address string
 	Timeout           time.Duration // after which the attempt is aborted
-	Explore           bool          // it could be restarted, and runs until its deadline instead, as a sample
+	Exploratory       bool          // it could be restarted, and runs until its deadline instead, as a sample
 	RetryAfter        time.Duration
 	Call              *Call
 }
 
 // Call is an attempt that has been sent and has not ended.
 type Call struct {
-	endpoint     *endpoint
-	oracle       *restart.Oracle
-	pauses       *restart.Oracle // of its route's pauses
-	sent         time.Duration
-	firstTimeout time.Duration // as in Ask
-	sampleWeight float64       // of its latency sample, 0 if it gives none
-	unbounded    bool          // its time-out is its deadline
-	probe        bool          // sent to an ejected endpoint
-	done         bool
-	service      *service
+	endpoint       *endpoint
+	oracle         *restart.Oracle
+	gapOracle      *restart.Oracle // of its route's pauses
+	sentAt         time.Duration
+	initialTimeout time.Duration // as in Ask
+	sampleWeight   float64       // of its latency sample, 0 if it gives none
+	runsToDeadline bool          // its time-out is its deadline
+	probe          bool          // sent to an ejected endpoint
+	done           bool
+	service        *service
 }
 
-// Kind is how a call ended.
-type Kind uint8
+// OutcomeKind is how a call ended.
+type OutcomeKind uint8
 
 const (
-	Served    Kind = iota
-	Refused        // it has not run and will not: X-Not-Executed
-	TimedOut       // it was aborted at its time-out
-	Broken         // the connection ended after the request was sent
-	Failed         // the endpoint answered with a failure, or not by the protocol
-	Abandoned      // the client left
-	NotSent        // no connection was made, or it ended before the first byte
-	Gone           // the endpoint is gone for good
-	Stalled        // it was aborted after a silence between two pieces
+	Served   OutcomeKind = iota
+	Rejected             // it has not run and will not: X-Not-Executed
+	TimedOut             // it was aborted at its time-out
+	Broken               // the connection ended after the request was sent
+	Failed               // the endpoint answered with a failure, or not by the protocol
+	Canceled             // the client left
+	NotSent              // no connection was made, or it ended before the first byte
+	Gone                 // the endpoint is gone for good
+	Stalled              // it was aborted after a silence between two pieces
 )
 
 // Outcome is the end of a call.
 type Outcome struct {
-	Kind        Kind
-	First       time.Duration // latency of a served one: to the first piece of a stream, or to the whole answer
-	Pause       time.Duration // longest silence between two pieces of a served stream; 0 where it had fewer
+	Kind        OutcomeKind
+	Latency     time.Duration // latency of a served one: to the first piece of a stream, or to the whole answer
+	LongestGap  time.Duration // longest silence between two pieces of a served stream; 0 where it had fewer
 	Load        *Load         // reported with the answer; nil if there was none
 	Misdirected bool          // 421: another endpoint has that address
 }
@@ -108,20 +108,20 @@
 
 // Balancer is the load balancer of one sender, with what it has observed of endpoints and routes.
 type Balancer struct {
-	zone        string
-	randomState uint64
-	rotation    int // offset at which a search begins; it grows with each pick
-	endpoints   map[string]*endpoint
-	services    map[string]*service
-	routes      map[string]*restart.Oracle
-	reports     Reports                    // since TakeReports
-	pauses      map[string]*restart.Oracle // by route: of the longest silence between two pieces of a stream
+	zone         string
+	randomState  uint64
+	rotation     int // offset at which a search begins; it grows with each pick
+	endpoints    map[string]*endpoint
+	services     map[string]*service
+	routeOracles map[string]*restart.Oracle
+	reports      Reports                    // since TakeReports
+	gapOracles   map[string]*restart.Oracle // by route: of the longest silence between two pieces of a stream
 }
 
 // New makes the load balancer of a sender in a zone. What it draws at random differs from sender to sender, by their names.
 func New(zone, sender string) *Balancer {
 	return &Balancer{zone: zone, randomState: hash(sender), endpoints: map[string]*endpoint{}, services: map[string]*service{},
-		routes: map[string]*restart.Oracle{}, pauses: map[string]*restart.Oracle{}}
+		routeOracles: map[string]*restart.Oracle{}, gapOracles: map[string]*restart.Oracle{}}
 }
 
 // SetEndpoints replaces the list of endpoints. What has been observed of an instance is kept with it. One that is no longer
@@ -143,7 +143,7 @@
 		if endpoint.listed { // twice in the list
 			continue
 		}
-		endpoint.Endpoint, endpoint.listed, endpoint.coldUntil = line, true, now+line.ColdRemaining
+		endpoint.Endpoint, endpoint.listed, endpoint.warmupUntil = line, true, now+line.WarmupRemaining
 		endpoint.sameZone = line.Zone == balancer.zone
 		if line.Draining {
 			continue
@@ -152,7 +152,7 @@
 		service.endpoints = append(service.endpoints, endpoint)
 	}
 	for name, endpoint := range balancer.endpoints {
-		if !endpoint.listed && endpoint.calls == 0 {
+		if !endpoint.listed && endpoint.inFlight == 0 {
 			delete(balancer.endpoints, name)
 		}
 	}
@@ -164,18 +164,18 @@
 	}
 }
 
-// Stands reports whether requests may still go to an instance: it is listed, is not draining, and still has its address.
-func (balancer *Balancer) Stands(instance string) bool {
+// Available reports whether requests may still go to an instance: it is listed, is not draining, and still has its address.
+func (balancer *Balancer) Available(instance string) bool {
 	endpoint := balancer.endpoints[instance]
 	return endpoint != nil && endpoint.listed && !endpoint.Draining && !endpoint.misdirected
 }
 
-// KeepRoutes drops what was observed of the routes that keep does not report, for when the configuration has changed.
-func (balancer *Balancer) KeepRoutes(keep func(route string) bool) {
-	for name := range balancer.routes {
+// RetainRoutes drops what was observed of the routes that keep does not report, for when the configuration has changed.
+func (balancer *Balancer) RetainRoutes(keep func(route string) bool) {
+	for name := range balancer.routeOracles {
 		if !keep(name) {
-			delete(balancer.routes, name)
-			delete(balancer.pauses, name)
+			delete(balancer.routeOracles, name)
+			delete(balancer.gapOracles, name)
 		}
 	}
 }
@@ -190,9 +190,9 @@
 	return s
 }
 
-// oracle returns the latency estimate of a route, made where it is new.
-func (balancer *Balancer) oracle(route string) *restart.Oracle {
-	return oracleOf(balancer.routes, route)
+// routeOracle returns the latency estimate of a route, made where it is new.
+func (balancer *Balancer) routeOracle(route string) *restart.Oracle {
+	return oracleOf(balancer.routeOracles, route)
 }
 
 // oracleOf returns the estimate of a route, made where it is new.
@@ -205,25 +205,25 @@
 	return oracle
 }
 
-// PauseTimeout is the silence between two pieces of a route's stream after which it is better to have another endpoint go on:
+// StallTimeout is the silence between two pieces of a route's stream after which it is better to have another endpoint go on:
 // the optimum of the same estimate over pauses. first is the time-out while few are known.
-func (balancer *Balancer) PauseTimeout(route string, first time.Duration) time.Duration {
-	return timeoutOf(oracleOf(balancer.pauses, route), first)
+func (balancer *Balancer) StallTimeout(route string, first time.Duration) time.Duration {
+	return attemptTimeout(oracleOf(balancer.gapOracles, route), first)
 }
 
-// timeoutOf is the time-out of an estimate. While it has few samples it is in proportion to first instead of
+// attemptTimeout is the time-out of an estimate. While it has few samples it is in proportion to first instead of
 // restart.FirstTimeout, and at least twice the mean of those.
-func timeoutOf(oracle *restart.Oracle, first time.Duration) time.Duration {
-	return scaled(oracle, oracle.Timeout(), first)
+func attemptTimeout(oracle *restart.Oracle, first time.Duration) time.Duration {
+	return scaleTimeout(oracle, oracle.Timeout(), first)
 }
 
-// undoubled is that time-out without the doublings by expired calls.
-func undoubled(oracle *restart.Oracle, first time.Duration) time.Duration {
-	return scaled(oracle, oracle.Optimum(), first)
+// optimalTimeout is that time-out without the doublings by expired calls.
+func optimalTimeout(oracle *restart.Oracle, first time.Duration) time.Duration {
+	return scaleTimeout(oracle, oracle.Optimum(), first)
 }
 
-// scaled is timeoutOf for a time-out of the estimate.
-func scaled(oracle *restart.Oracle, timeout, first time.Duration) time.Duration {
+// scaleTimeout is timeoutOf for a time-out of the estimate.
+func scaleTimeout(oracle *restart.Oracle, timeout, first time.Duration) time.Duration {
 	if oracle.Seen >= restart.FewSamples || first <= 0 || first >= restart.FirstTimeout {
 		return timeout
 	}
@@ -246,28 +246,28 @@
 
 // EjectReported ejects an endpoint that other senders have ejected, as long as that leaves half of its service's. Unless this sender
 // is to probe it, it sends nothing there for hold, within which it should hear more.
-func (balancer *Balancer) EjectReported(now time.Duration, instance string, probes bool, hold time.Duration) {
+func (balancer *Balancer) EjectReported(now time.Duration, instance string, isProber bool, probeDelay time.Duration) {
 	endpoint := balancer.endpoints[instance]
 	if endpoint == nil {
 		return
 	}
 	service := balancer.services[endpoint.Service]
-	if service == nil || !endpoint.ejected && !service.maySpare() {
+	if service == nil || !endpoint.ejected && !service.mayEject() {
 		return
 	}
 	if !endpoint.ejected {
-		endpoint.takeOut(now)
+		endpoint.eject(now)
 	}
-	endpoint.shared = true
-	if !probes {
-		endpoint.nextProbe = max(endpoint.nextProbe, now+hold)
+	endpoint.ejectionShared = true
+	if !isProber {
+		endpoint.nextProbeAt = max(endpoint.nextProbeAt, now+probeDelay)
 	}
 }
 
 // RestoreReported ends an ejection, as the endpoint has answered another sender.
 func (balancer *Balancer) RestoreReported(instance string) {
-	if endpoint := balancer.endpoints[instance]; endpoint != nil && endpoint.shared {
-		endpoint.shared = false
+	if endpoint := balancer.endpoints[instance]; endpoint != nil && endpoint.ejectionShared {
+		endpoint.ejectionShared = false
 		endpoint.restore()
 	}
 }
--- a/internal/tier/loadbalancer/rig_test.go
+++ b/internal/tier/loadbalancer/rig_test.go
@@ -29,36 +29,36 @@
 	return r
 }
 
-func ask() Ask {
-	return Ask{Route: "r", Service: "s", Repeatable: true, First: true, Left: 10 * time.Second}
+func ask() Request {
+	return Request{Route: "r", Service: "s", Retryable: true, FirstAttempt: true, Remaining: 10 * time.Second}
 }
 
-func session(i int) Ask {
+func session(i int) Request {
 	a := ask()
-	a.Repeatable, a.Affinity = false, fmt.Sprintf("session %d", i)
+	a.Retryable, a.AffinityKey = false, fmt.Sprintf("session %d", i)
 	return a
 }
 
-func (r *rig) send(a Ask) Choice {
+func (r *rig) send(a Request) Selection {
 	r.Helper()
 	c := r.balancer.Pick(r.now, a)
-	assert.Equal(r, c.Verdict, Send)
+	assert.Equal(r, c.Decision, Send)
 	return c
 }
 
-func (r *rig) serve(n int, a Ask, took time.Duration) {
+func (r *rig) serve(n int, a Request, took time.Duration) {
 	r.Helper()
 	for range n {
 		c := r.send(a)
 		r.now += took
-		r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, First: took})
+		r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, Latency: took})
 	}
 }
 
 func (r *rig) place(i int) string {
 	r.Helper()
 	c := r.send(session(i))
-	r.balancer.FirstPiece(r.now, c.Call)
-	r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, First: ms})
+	r.balancer.ResponseStarted(r.now, c.Call)
+	r.balancer.Done(r.now, c.Call, Outcome{Kind: Served, Latency: ms})
 	return c.Instance
 }
--- a/internal/tier/loadbalancer/timeout_test.go
+++ b/internal/tier/loadbalancer/timeout_test.go
@@ -22,22 +22,22 @@
 	explored := 0
 	for range 40 {
 		c := r.send(ask())
-		if c.Explore {
+		if c.Exploratory {
 			explored++
 			assert.Equal(t, c.Timeout, 10*time.Second)
 		} else {
 			assert.Equal(t, c.Timeout, want)
 		}
-		r.balancer.Done(r.now, c.Call, Outcome{Kind: Abandoned})
+		r.balancer.Done(r.now, c.Call, Outcome{Kind: Canceled})
 	}
 	assert.Assert(t, explored < 10)
 	a := ask()
-	a.Repeatable = false
-	assert.Equal(t, r.send(a).Timeout, a.Left)
+	a.Retryable = false
+	assert.Equal(t, r.send(a).Timeout, a.Remaining)
 	a = ask()
-	a.Left = 60 * ms
-	assert.Equal(t, r.send(a).Timeout, a.Left)
-	a.Route, a.Left = "other", 10*time.Second // routes are apart
+	a.Remaining = 60 * ms
+	assert.Equal(t, r.send(a).Timeout, a.Remaining)
+	a.Route, a.Remaining = "other", 10*time.Second // routes are apart
 	assert.Assert(t, r.send(a).Timeout >= restart.FirstTimeout)
 }
 
@@ -46,15 +46,15 @@
 	r := newRig(t, 1, 8)
 	r.serve(60, ask(), 50*ms)
 	repeat := ask()
-	repeat.First = false
+	repeat.FirstAttempt = false
 	base := r.send(repeat)
 	r.now += base.Timeout
 	r.balancer.Done(r.now, base.Call, Outcome{Kind: TimedOut})
 	again := r.send(repeat)
 	assert.Equal(t, again.Timeout, 2*base.Timeout)
-	seen := r.balancer.routes["r"].Seen
-	r.balancer.Done(r.now+ms, again.Call, Outcome{Kind: Served, First: ms})
-	assert.Equal(t, r.balancer.routes["r"].Seen, seen)
+	seen := r.balancer.routeOracles["r"].Seen
+	r.balancer.Done(r.now+ms, again.Call, Outcome{Kind: Served, Latency: ms})
+	assert.Equal(t, r.balancer.routeOracles["r"].Seen, seen)
 	assert.Equal(t, r.send(repeat).Timeout, 2*base.Timeout)
 	r.serve(1, ask(), 50*ms)
 	assert.Equal(t, r.send(repeat).Timeout, base.Timeout)
@@ -66,11 +66,11 @@
 	explored := 0
 	for range 2000 {
 		c := r.send(ask())
-		if c.Explore {
+		if c.Exploratory {
 			explored++
 			assert.Equal(t, c.Call.sampleWeight, float64(restart.ExploreWeight))
 		}
-		r.balancer.Done(r.now, c.Call, Outcome{Kind: Abandoned})
+		r.balancer.Done(r.now, c.Call, Outcome{Kind: Canceled})
 	}
 	assert.Assert(t, explored > 60 && explored < 140, "%d", explored)
 }
@@ -79,11 +79,11 @@
 func TestHopelessIsUnsent(t *testing.T) {
 	r := newRig(t, 1, 8)
 	a := ask()
-	a.Left = 10 * ms
+	a.Remaining = 10 * ms
 	c := r.send(a)
-	r.balancer.Done(r.now, c.Call, Outcome{Kind: Abandoned})
+	r.balancer.Done(r.now, c.Call, Outcome{Kind: Canceled})
 	r.serve(1, ask(), 50*ms)
-	assert.Equal(t, r.balancer.Pick(r.now, a).Verdict, Hopeless)
+	assert.Equal(t, r.balancer.Pick(r.now, a).Decision, DeadlineTooShort)
 	a.Route = "other"
 	r.send(a)
 }
--- a/internal/tier/upstream/answer.go
+++ b/internal/tier/upstream/answer.go
@@ -10,49 +10,49 @@
 )
 
 const (
-	maxHead    = 16 << 10 // bytes of a head
-	maxFields  = 100      // lines of a head
-	maxInterim = 4        // 1xx ahead of an answer
-	maxForeign = 3        // answers to former requests that are read over
-	maxLength  = 1 << 40  // bytes that a body may claim
+	maxHeadBytes        = 16 << 10 // bytes of a head
+	maxHeadFields       = 100      // lines of a head
+	maxInterimResponses = 4        // 1xx ahead of an answer
+	maxStaleResponses   = 3        // answers to former requests that are read over
+	maxContentLength    = 1 << 40  // bytes that a body may claim
 )
 
 var (
-	errNoRoom    = errors.New("as many connections as there may be")
-	errEnded     = errors.New("the endpoint ended the connection")
-	errMalformed = errors.New("no sound answer to the request")
-	errTooLong   = errors.New("an answer of unknown length is too long")
-	errOverdue   = errors.New("no time is left")
-	errNoPermit  = errors.New("not permitted any longer")
+	errConnectionLimit = errors.New("as many connections as there may be")
+	errConnectionEnded = errors.New("the endpoint ended the connection")
+	errMalformed       = errors.New("no sound answer to the request")
+	errBodyTooLarge    = errors.New("an answer of unknown length is too long")
+	errDeadlinePassed  = errors.New("no time is left")
+	errNotPermitted    = errors.New("not permitted any longer")
 )
 
 // Load is what an endpoint reports in X-Instance-Load.
 type Load struct{ Running, Waiting, Slots int }
 
-// Answer is the head of an endpoint's answer.
-type Answer struct {
-	Status      int
-	Reason      string
-	Header      []Field // without those that concern one connection and the body's framing
-	Length      int64   // of the body as announced; -1: none was
-	AttemptID   string
-	Signature   string // X-Response-Signature
-	NotExecuted bool   // X-Not-Executed
-	Events      bool   // the body is text/event-stream
-	RetryAfter  time.Duration
-	Load        Load
-	Loaded      bool   // the endpoint reported Load
-	Versions    string // of the weights, as reported
+// Response is the head of an endpoint's answer.
+type Response struct {
+	Status        int
+	Reason        string
+	Header        []Field // without those that concern one connection and the body's framing
+	Length        int64   // of the body as announced; -1: none was
+	AttemptID     string
+	Signature     string // X-Response-Signature
+	NotExecuted   bool   // X-Not-Executed
+	IsEventStream bool   // the body is text/event-stream
+	RetryAfter    time.Duration
+	Load          Load
+	HasLoad       bool   // the endpoint reported Load
+	Versions      string // of the weights, as reported
 
-	closes     bool // no further answer comes on the connection
-	closeNamed bool // Connection: close stands there
-	chunked    bool
-	encoded    bool
-	alive      time.Duration
+	closesConnection bool // no further answer comes on the connection
+	explicitClose    bool // Connection: close stands there
+	chunked          bool
+	encoded          bool
+	keepAlive        time.Duration
 }
 
-// Field is the value of the first field of that name, in any case; empty if there is none.
-func (answer *Answer) Field(name string) string {
+// Get is the value of the first field of that name, in any case; empty if there is none.
+func (answer *Response) Get(name string) string {
 	for _, f := range answer.Header {
 		if strings.EqualFold(f.Name, name) {
 			return f.Value
@@ -62,13 +62,13 @@
 }
 
 // readHead reads one head, whole. What is no head gives errMalformed, anything else is the connection's.
-func readHead(r *bufio.Reader, scratch []byte) (*Answer, []byte, error) {
+func readHead(r *bufio.Reader, scratch []byte) (*Response, []byte, error) {
 	head := scratch[:0]
 	// What can't become a status line is not waited for: behind noise the connection may stay open and silent.
 	if _, err := r.Peek(1); err != nil {
 		return nil, head, err
 	}
-	if first, _ := r.Peek(r.Buffered()); !begins(first) {
+	if first, _ := r.Peek(r.Buffered()); !mayBeStatusLine(first) {
 		return nil, head, errMalformed
 	}
 	for {
@@ -76,13 +76,13 @@
 		if err == bufio.ErrBufferFull {
 			return nil, head, errMalformed
 		}
-		if len(head) == 0 && !begins(line) {
+		if len(head) == 0 && !mayBeStatusLine(line) {
 			return nil, head, errMalformed // whatever the connection does next
 		}
 		if err != nil {
 			return nil, head, err
 		}
-		if len(line) < 2 || line[len(line)-2] != '\r' || len(head)+len(line) > maxHead {
+		if len(line) < 2 || line[len(line)-2] != '\r' || len(head)+len(line) > maxHeadBytes {
 			return nil, head, errMalformed
 		}
 		head = append(head, line...)
@@ -97,24 +97,24 @@
 	return a, head, nil
 }
 
-// begins reports whether a line may be the beginning of a status line.
-func begins(line []byte) bool {
+// mayBeStatusLine reports whether a line may be the beginning of a status line.
+func mayBeStatusLine(line []byte) bool {
 	const begin = "HTTP/1."
 	n := min(len(line), len(begin))
 	return string(line[:n]) == begin[:n]
 }
 
 // parseHead reads lines that end with CRLF, the last of them empty.
-func parseHead(head string) (*Answer, bool) {
+func parseHead(head string) (*Response, bool) {
 	line, head, _ := strings.Cut(head, "\r\n")
 	if len(line) < 12 || line[7] != '0' && line[7] != '1' || line[8] != ' ' || len(line) > 12 && line[12] != ' ' || !plain(line) {
 		return nil, false
 	}
-	status, ok := digits(line[9:12], 599)
+	status, ok := parseDigits(line[9:12], 599)
 	if !ok || status < 100 {
 		return nil, false
 	}
-	a := &Answer{Status: int(status), Length: -1, closes: line[7] == '0', Header: make([]Field, 0, 12)}
+	a := &Response{Status: int(status), Length: -1, closesConnection: line[7] == '0', Header: make([]Field, 0, 12)}
 	if len(line) > 13 {
 		a.Reason = line[13:]
 	}
@@ -127,10 +127,10 @@
 		}
 		name, value, ok := strings.Cut(line, ":")
 		value = strings.Trim(value, " \t")
-		if !ok || n == maxFields || !token(name) || !plain(value) {
+		if !ok || n == maxHeadFields || !token(name) || !plain(value) {
 			return nil, false
 		}
-		pass, ok := a.field(name, value, &seen, &connection)
+		pass, ok := a.parseField(name, value, &seen, &connection)
 		if !ok {
 			return nil, false
 		}
@@ -144,13 +144,13 @@
 
 // applyConnection goes by the options of Connection: close, and the names of fields that concern this connection only, which
 // are taken out.
-func (answer *Answer) applyConnection(connection string) {
+func (answer *Response) applyConnection(connection string) {
 	for connection != "" {
 		var option string
 		option, connection, _ = strings.Cut(connection, ",")
 		option = strings.Trim(option, " \t")
 		if strings.EqualFold(option, "close") {
-			answer.closes, answer.closeNamed = true, true
+			answer.closesConnection, answer.explicitClose = true, true
 		}
 		for i := len(answer.Header) - 1; i >= 0 && option != ""; i-- {
 			if strings.EqualFold(answer.Header[i].Name, option) {
@@ -160,9 +160,9 @@
 	}
 }
 
-// field takes one field in and says whether it is passed on, and whether it can stand there: fields that the outcome
+// parseField takes one field in and says whether it is passed on, and whether it can stand there: fields that the outcome
 // rests on stand once.
-func (answer *Answer) field(name, value string, seen *uint16, connection *string) (pass, ok bool) {
+func (answer *Response) parseField(name, value string, seen *uint16, connection *string) (pass, ok bool) {
 	once := func(bit int) bool {
 		was := *seen & (1 << bit)
 		*seen |= 1 << bit
@@ -184,12 +184,12 @@
 		*connection += value + ","
 		return false, true
 	case "keep-alive":
-		answer.alive = keepAlive(value)
+		answer.keepAlive = parseKeepAlive(value)
 		return false, true
 	case "proxy-connection", "te", "trailer", "upgrade":
 		return false, true
 	case "content-length":
-		n, ok := digits(value, maxLength)
+		n, ok := parseDigits(value, maxContentLength)
 		answer.Length = n
 		return false, ok && once(0)
 	case "transfer-encoding":
@@ -207,14 +207,14 @@
 		answer.NotExecuted = true
 	case "content-type":
 		kind, _, _ := strings.Cut(value, ";")
-		answer.Events = strings.EqualFold(strings.TrimSpace(kind), "text/event-stream")
+		answer.IsEventStream = strings.EqualFold(strings.TrimSpace(kind), "text/event-stream")
 		return true, once(4)
 	case "retry-after":
 		if s, err := strconv.ParseFloat(value, 64); err == nil && s > 0 && s <= 3600 {
 			answer.RetryAfter = time.Duration(s * float64(time.Second))
 		}
 	case "x-instance-load":
-		answer.Load, answer.Loaded = parseLoad(value)
+		answer.Load, answer.HasLoad = parseLoad(value)
 	case "versions":
 		answer.Versions = value
 	}
@@ -227,7 +227,7 @@
 		var part string
 		var more bool
 		part, text, more = strings.Cut(text, ",")
-		n, ok := digits(strings.Trim(part, " \t"), math.MaxInt32)
+		n, ok := parseDigits(strings.Trim(part, " \t"), math.MaxInt32)
 		if !ok || more == (i == 2) {
 			return Load{}, false
 		}
@@ -236,8 +236,8 @@
 	return l, true
 }
 
-// keepAlive reads the seconds of "timeout=5, max=100" or "5".
-func keepAlive(text string) time.Duration {
+// parseKeepAlive reads the seconds of "timeout=5, max=100" or "5".
+func parseKeepAlive(text string) time.Duration {
 	for text != "" {
 		var part string
 		part, text, _ = strings.Cut(text, ",")
@@ -245,15 +245,15 @@
 		if !named {
 			name, value = "timeout", name
 		}
-		if n, ok := digits(strings.Trim(value, " \t"), 86400); ok && n > 0 && strings.EqualFold(strings.Trim(name, " \t"), "timeout") {
+		if n, ok := parseDigits(strings.Trim(value, " \t"), 86400); ok && n > 0 && strings.EqualFold(strings.Trim(name, " \t"), "timeout") {
 			return time.Duration(n) * time.Second
 		}
 	}
 	return 0
 }
 
-// digits reads a number of digits only that is not above limit.
-func digits(s string, limit int64) (int64, bool) {
+// parseDigits reads a number of digits only that is not above limit.
+func parseDigits(s string, limit int64) (int64, bool) {
 	n := int64(0)
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
--- a/internal/tier/upstream/attack_test.go
+++ b/internal/tier/upstream/attack_test.go
@@ -15,17 +15,17 @@
 	const trailers = "0\r\nX-Not-Executed: 1\r\nX-Attempt-Id: b\r\nContent-Length: 9\r\n\r\n"
 	for _, tc := range []struct {
 		status string
-		want   Verdict
+		want   Disposition
 	}{
-		{"200 OK", Verdict{Ran: Yes, Reply: PassOn, Reuse: KeepConnection}},
-		{"503 Full", Verdict{Ran: Unknown, Reply: BadGateway, Again: true, Reuse: KeepConnection}},
+		{"200 OK", Disposition{Execution: Executed, Reply: ForwardResponse, Reuse: KeepConnection}},
+		{"503 Full", Disposition{Execution: ExecutionUnknown, Reply: BadGateway, RetryIdempotent: true, Reuse: KeepConnection}},
 	} {
 		target := answering(t, "HTTP/1.1 "+tc.status+"\r\nX-Attempt-Id: a\r\nX-Response-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n"+
 			chunk("ok")+trailers)
 		r := call(t, pool(t), target, "a")
-		assert.Equal(t, r.End, Whole, "%v", r.Err)
+		assert.Equal(t, r.Outcome, Complete, "%v", r.Err)
 		assert.Equal(t, string(r.Body), "ok")
-		assert.Equal(t, r.Verdict(false), tc.want)
+		assert.Equal(t, r.Disposition(false), tc.want)
 	}
 }
 
@@ -44,9 +44,9 @@
 	for i, method := range []string{"HEAD", "GET", "HEAD", "HEAD", "GET"} {
 		q := &Request{Method: method, Target: "/a", Host: "h.example", AttemptID: fmt.Sprint(i), Priority: -1}
 		r := p.Call(t.Context(), target, q, long)
-		assert.Equal(t, r.End, Whole, "%v", r.Err)
+		assert.Equal(t, r.Outcome, Complete, "%v", r.Err)
 		assert.Equal(t, len(r.Body) > 0, method == "GET")
-		assert.Equal(t, r.Opened, i == 0)
+		assert.Equal(t, r.NewConnection, i == 0)
 	}
 }
 
@@ -64,14 +64,14 @@
 		})
 		p := pool(t)
 		head := &Request{Method: "HEAD", Target: "/a", Host: "h.example", AttemptID: "a", Priority: -1}
-		assert.Equal(t, p.Call(t.Context(), target, head, long).End, Whole)
+		assert.Equal(t, p.Call(t.Context(), target, head, long).Outcome, Complete)
 		r := call(t, p, target, "b")
-		assert.Assert(t, !r.Opened)
-		if r.End == Whole {
+		assert.Assert(t, !r.NewConnection)
+		if r.Outcome == Complete {
 			assert.Equal(t, string(r.Body), "of b")
 		} else {
-			assert.Equal(t, r.Verdict(false).Reply, BadGateway)
-			assert.Equal(t, r.Verdict(false).Once, false)
+			assert.Equal(t, r.Disposition(false).Reply, BadGateway)
+			assert.Equal(t, r.Disposition(false).RetryAny, false)
 		}
 		_, idle := p.Open(target)
 		assert.Equal(t, idle, 0)
@@ -105,7 +105,7 @@
 		close(further)
 		for _, id := range []string{"b", "c"} {
 			r := call(t, p, target, id)
-			assert.Equal(t, r.End, Whole, "split at %d: %v", split, r.Err)
+			assert.Equal(t, r.Outcome, Complete, "split at %d: %v", split, r.Err)
 			assert.Equal(t, string(r.Body), "of "+id, "split at %d", split)
 		}
 	}
--- a/internal/tier/upstream/body.go
+++ b/internal/tier/upstream/body.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	maxChunkLine = 1 << 10  // bytes of a chunk's size line, extensions included
-	maxTrailer   = 4 << 10  // bytes behind the last chunk
-	maxChunk     = 1 << 31  // bytes of a chunk
-	readAhead    = 64 << 10 // bytes that are decoded at once
+	maxChunkLine     = 1 << 10  // bytes of a chunk's size line, extensions included
+	maxTrailerBytes  = 4 << 10  // bytes behind the last chunk
+	maxChunkBytes    = 1 << 31  // bytes of a chunk
+	maxDecodedAtOnce = 64 << 10 // bytes that are decoded at once
 )
 
 // framing is how the end of a body is found.
@@ -24,81 +24,81 @@
 
 // body decodes the framing of a body.
 type body struct {
-	r       *bufio.Reader
-	framing framing
-	left    int64 // bytes left of the body or the chunk
-	tail    bool  // the CRLF behind a chunk is due
-	whole   bool  // it has come to its proper end
+	reader      *bufio.Reader
+	framing     framing
+	remaining   int64 // bytes left of the body or the chunk
+	chunkEndDue bool  // the CRLF behind a chunk is due
+	complete    bool  // it has come to its proper end
 }
 
 // newBody is for an answer to a request by the method.
-func newBody(r *bufio.Reader, a *Answer, method string) body {
-	b := body{r: r}
+func newBody(r *bufio.Reader, a *Response, method string) body {
+	b := body{reader: r}
 	switch {
 	case method == "HEAD" || a.Status == 204 || a.Status == 304 || a.Status < 200:
 	case a.chunked:
 		b.framing = byChunks
 	case a.Length >= 0:
-		b.left = a.Length
+		b.remaining = a.Length
 	default:
 		b.framing = byClose
 	}
-	b.whole = b.framing == byLength && b.left == 0
+	b.complete = b.framing == byLength && b.remaining == 0
 	return b
 }
 
-// more appends what has come to dst, and waits only if nothing has. io.EOF comes with or after the last bytes of a whole
+// read appends what has come to dst, and waits only if nothing has. io.EOF comes with or after the last bytes of a whole
 // body; for one that ends with its connection it says that this ended without an error.
-func (body *body) more(dst []byte) ([]byte, error) {
+func (body *body) read(dst []byte) ([]byte, error) {
 	for begin := len(dst); ; {
-		if body.whole {
+		if body.complete {
 			return dst, io.EOF
 		}
 		got := len(dst) > begin
-		if got && (len(dst)-begin >= readAhead || !body.atHand()) {
+		if got && (len(dst)-begin >= maxDecodedAtOnce || !body.canDecode()) {
 			return dst, nil
 		}
-		if body.framing == byChunks && body.left == 0 {
-			if err := body.chunkLine(); err != nil {
+		if body.framing == byChunks && body.remaining == 0 {
+			if err := body.nextChunk(); err != nil {
 				return dst, err
 			}
 			continue
 		}
-		if body.r.Buffered() == 0 {
-			if _, err := body.r.Peek(1); err != nil {
+		if body.reader.Buffered() == 0 {
+			if _, err := body.reader.Peek(1); err != nil {
 				if err == io.EOF && body.framing == byClose {
-					body.whole = true
+					body.complete = true
 					return dst, io.EOF
 				}
 				return dst, unexpected(err)
 			}
 		}
-		n := body.r.Buffered()
+		n := body.reader.Buffered()
 		if body.framing != byClose {
-			n = int(min(body.left, int64(n)))
-			body.left -= int64(n)
+			n = int(min(body.remaining, int64(n)))
+			body.remaining -= int64(n)
 		}
-		part, _ := body.r.Peek(n)
+		part, _ := body.reader.Peek(n)
 		dst = append(dst, part...)
-		body.r.Discard(n)
+		body.reader.Discard(n)
 		switch {
-		case body.left > 0 || body.framing == byClose:
+		case body.remaining > 0 || body.framing == byClose:
 		case body.framing == byChunks:
-			body.tail = true
+			body.chunkEndDue = true
 		default:
-			body.whole = true
+			body.complete = true
 		}
 	}
 }
 
-// atHand reports whether decoding can go on without waiting.
-func (body *body) atHand() bool {
-	n := body.r.Buffered()
-	if n == 0 || body.framing != byChunks || body.left > 0 {
+// canDecode reports whether decoding can go on without waiting.
+func (body *body) canDecode() bool {
+	n := body.reader.Buffered()
+	if n == 0 || body.framing != byChunks || body.remaining > 0 {
 		return n > 0
 	}
-	ahead, _ := body.r.Peek(n)
-	if body.tail {
+	ahead, _ := body.reader.Peek(n)
+	if body.chunkEndDue {
 		i := bytes.IndexByte(ahead, '\n')
 		if i < 0 {
 			return false
@@ -112,19 +112,19 @@
 	return bytes.IndexByte(ahead, '\n') >= 0
 }
 
-// chunkLine reads up to the bytes of the next chunk, or to the end of the body.
-func (body *body) chunkLine() error {
-	if body.tail {
-		line, err := body.line()
+// nextChunk reads up to the bytes of the next chunk, or to the end of the body.
+func (body *body) nextChunk() error {
+	if body.chunkEndDue {
+		line, err := body.readLine()
 		if err != nil {
 			return err
 		}
 		if len(line) != 0 {
 			return errMalformed
 		}
-		body.tail = false
+		body.chunkEndDue = false
 	}
-	line, err := body.line()
+	line, err := body.readLine()
 	if err != nil {
 		return err
 	}
@@ -132,11 +132,11 @@
 	if !ok {
 		return errMalformed
 	}
-	body.left = size
+	body.remaining = size
 	if size > 0 {
 		return nil
 	}
-	return body.trailers()
+	return body.discardTrailers()
 }
 
 // chunkSize reads the line of a chunk, extensions being discarded. It is false for one above maxChunk, too.
@@ -160,18 +160,18 @@
 		}
 		n = n<<4 | int64(c)
 	}
-	return n, n <= maxChunk
+	return n, n <= maxChunkBytes
 }
 
-// trailers reads over what stands behind the last chunk, up to the end of the body.
-func (body *body) trailers() error {
-	for size := 0; size <= maxTrailer; {
-		line, err := body.line()
+// discardTrailers reads over what stands behind the last chunk, up to the end of the body.
+func (body *body) discardTrailers() error {
+	for size := 0; size <= maxTrailerBytes; {
+		line, err := body.readLine()
 		if err != nil {
 			return err
 		}
 		if len(line) == 0 {
-			body.whole = true
+			body.complete = true
 			return nil
 		}
 		if bytes.IndexByte(line, ':') <= 0 {
@@ -182,9 +182,9 @@
 	return errMalformed
 }
 
-// line reads one without its CRLF.
-func (body *body) line() ([]byte, error) {
-	line, err := body.r.ReadSlice('\n')
+// readLine reads one without its CRLF.
+func (body *body) readLine() ([]byte, error) {
+	line, err := body.reader.ReadSlice('\n')
 	switch {
 	case err == bufio.ErrBufferFull:
 		return nil, errMalformed
@@ -204,42 +204,42 @@
 	return err
 }
 
-// all reads a body of at most limit bytes.
-func (body *body) all(limit int) ([]byte, error) {
+// readAll reads a body of at most limit bytes.
+func (body *body) readAll(limit int) ([]byte, error) {
 	var dst []byte
 	if body.framing == byLength {
-		if body.left > int64(limit) {
-			return nil, errTooLong
+		if body.remaining > int64(limit) {
+			return nil, errBodyTooLarge
 		}
-		dst = make([]byte, body.left)
-		if _, err := io.ReadFull(body.r, dst); err != nil {
+		dst = make([]byte, body.remaining)
+		if _, err := io.ReadFull(body.reader, dst); err != nil {
 			return nil, unexpected(err)
 		}
-		body.left, body.whole = 0, true
+		body.remaining, body.complete = 0, true
 		return dst, nil
 	}
 	for {
 		var err error
-		if dst, err = body.more(dst); err == io.EOF && len(dst) <= limit {
+		if dst, err = body.read(dst); err == io.EOF && len(dst) <= limit {
 			return dst, nil
 		} else if len(dst) > limit {
-			return nil, errTooLong
+			return nil, errBodyTooLarge
 		} else if err != nil {
 			return nil, err
 		}
 	}
 }
 
-// skip reads over a body of at most limit bytes.
-func (body *body) skip(limit int) error {
+// discard reads over a body of at most limit bytes.
+func (body *body) discard(limit int) error {
 	var scratch []byte
 	for n := 0; n <= limit; n += len(scratch) {
 		var err error
-		if scratch, err = body.more(scratch[:0]); err == io.EOF && body.framing != byClose {
+		if scratch, err = body.read(scratch[:0]); err == io.EOF && body.framing != byClose {
 			return nil
 		} else if err != nil {
 			return err
 		}
 	}
-	return errTooLong
+	return errBodyTooLarge
 }
--- a/internal/tier/upstream/call.go
+++ b/internal/tier/upstream/call.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	aftermath   = 200 * time.Millisecond // an answer that came before the request had been written whole is at hand within it
-	keepScratch = 8 << 10                // bytes that a connection keeps for heads to be put together in
+	earlyResponseWait = 200 * time.Millisecond // an answer that came before the request had been written whole is at hand within it
+	maxScratchBytes   = 8 << 10                // bytes that a connection keeps for heads to be put together in
 )
 
 // Result is how a call went.
 type Result struct {
-	End     End
-	Written bool    // a byte of the request may have left
-	Opened  bool    // a connection was opened for it
-	Answer  *Answer // nil if no sound head with the request's id came
-	Body    []byte  // the whole body, where End is Whole
-	Stream  *Stream // the body, where End is Streaming; it must be closed
-	Err     error   // where End is neither Whole nor Streaming
+	Outcome       Outcome
+	Written       bool      // a byte of the request may have left
+	NewConnection bool      // a connection was opened for it
+	Response      *Response // nil if no sound head with the request's id came
+	Body          []byte    // the whole body, where End is Whole
+	Stream        *Stream   // the body, where End is Streaming; it must be closed
+	Err           error     // where End is neither Whole nor Streaming
 
 	turn       bool
 	identified bool // Answer carries the request's X-Attempt-Id
@@ -30,28 +30,30 @@
 
 // connectionState is how a call left its connection. It stands from the end of the call on.
 type connectionState struct {
-	bodyDue   bool // some bytes of the request were written and others were not
-	surplus   int  // whole answers read, less requests begun
-	unread    bool // bytes are buffered that belong to no answer
-	cancelled bool // the cancellation may still set the deadline
+	partlyWritten    bool // some bytes of the request were written and others were not
+	surplusResponses int  // whole answers read, less requests begun
+	unreadBytes      bool // bytes are buffered that belong to no answer
+	cancelStarted    bool // the cancellation may still set the deadline
 }
 
 // Observation is what Classify takes. Begun says that a part of the answer has gone to the client.
-func (result *Result) Observation(begun bool) Observation {
+func (result *Result) Observation(replyStarted bool) Observation {
 	state := &result.connection
-	o := Observation{End: result.End, Written: result.Written, Begun: begun, Turn: result.turn, Identified: result.identified, Unframed: result.unframed,
-		BodyDue: state.bodyDue, Surplus: state.surplus, Unread: state.unread, Cancelled: state.cancelled}
+	o := Observation{Outcome: result.Outcome, Written: result.Written, ReplyStarted: replyStarted, Turn: result.turn, Identified: result.identified, Unframed: result.unframed,
+		PartlyWritten: state.partlyWritten, SurplusResponses: state.surplusResponses, UnreadBytes: state.unreadBytes, CancelStarted: state.cancelStarted}
 	if result.Stream != nil {
-		o.End = result.Stream.End()
+		o.Outcome = result.Stream.Outcome()
 	}
-	if a := result.Answer; a != nil {
-		o.Status, o.Stamped, o.NotExecuted, o.Closing = a.Status, a.Signature != "", a.NotExecuted, a.closes
+	if a := result.Response; a != nil {
+		o.Status, o.Signed, o.NotExecuted, o.CloseAnnounced = a.Status, a.Signature != "", a.NotExecuted, a.closesConnection
 	}
 	return o
 }
 
-// Verdict is what follows from how it went.
-func (result *Result) Verdict(begun bool) Verdict { return Classify(result.Observation(begun)) }
+// Disposition is what follows from how it went.
+func (result *Result) Disposition(replyStarted bool) Disposition {
+	return Classify(result.Observation(replyStarted))
+}
 
 // Call sends a request once. timeout counts from now, connecting included; a Stream takes it over until it is given
 // another. ctx ends the call early, and with it its connection.
@@ -61,15 +63,15 @@
 	r := &Result{turn: q.Turn}
 	switch {
 	case ctx.Err() != nil:
-		return r.end(ended(ctx, ctx.Err()), ctx.Err())
+		return r.end(outcomeOf(ctx, ctx.Err()), ctx.Err())
 	case timeout <= 0 || !q.Deadline.IsZero() && !now.Before(q.Deadline):
-		return r.end(TimedOut, errOverdue)
-	case !q.sound(t):
-		return r.end(NotSent, errRequest)
+		return r.end(TimedOut, errDeadlinePassed)
+	case !q.valid(t):
+		return r.end(NotSent, errInvalidRequest)
 	}
-	c, opened, end, err := pool.get(ctx, t, q.AttemptID, until)
-	r.Opened = opened
-	if end != Whole {
+	c, opened, end, err := pool.acquire(ctx, t, q.AttemptID, until)
+	r.NewConnection = opened
+	if end != Complete {
 		return r.end(end, err)
 	}
 	exchange := &exchange{pool: pool, conn: c, ctx: ctx, result: r}
@@ -77,20 +79,20 @@
 }
 
 // end ends a call.
-func (result *Result) end(e End, err error) *Result {
-	result.End, result.Err = e, err
+func (result *Result) end(e Outcome, err error) *Result {
+	result.Outcome, result.Err = e, err
 	return result
 }
 
-// ended tells why reading or writing ended.
-func ended(ctx context.Context, err error) End {
+// outcomeOf tells why reading or writing ended.
+func outcomeOf(ctx context.Context, err error) Outcome {
 	switch {
-	case errors.Is(err, errMalformed), errors.Is(err, errTooLong):
+	case errors.Is(err, errMalformed), errors.Is(err, errBodyTooLarge):
 		return Malformed
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return TimedOut
 	case ctx.Err() != nil:
-		return Abandoned
+		return Canceled
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return TimedOut
 	}
--- a/internal/tier/upstream/call_test.go
+++ b/internal/tier/upstream/call_test.go
@@ -33,7 +33,7 @@
 			{"Content-Length", "8"}, {"Host", "H.example"}, {"Priority", "9"}, {"Transfer-Encoding", "chunked"}, {"Expect-Version", "4"}},
 		Body: [][]byte{[]byte("the "), nil, []byte("body")}, Deadline: time.Now().Add(10 * time.Second)}
 	r := p.Call(context.Background(), target, q, long)
-	assert.Equal(t, r.End, Whole, "%v", r.Err)
+	assert.Equal(t, r.Outcome, Complete, "%v", r.Err)
 	lines := strings.Split(<-got, "\r\n")
 	ms, err := strconv.Atoi(strings.TrimPrefix(lines[6], "X-Deadline-Ms: "))
 	assert.NilError(t, err)
@@ -56,11 +56,11 @@
 	q := post("a", "")
 	q.Body = [][]byte{[]byte(sent[:40000]), []byte(sent[40000:])}
 	r := p.Call(context.Background(), target, q, long)
-	assert.Equal(t, r.End, Streaming)
+	assert.Equal(t, r.Outcome, Streaming)
 	got, err := pieces(r.Stream)
 	assert.Equal(t, err, io.EOF)
 	assert.Assert(t, strings.Join(got, "") == back)
-	assert.Equal(t, r.Verdict(true), Verdict{Ran: Yes, Reply: PassOn, Reuse: KeepConnection})
+	assert.Equal(t, r.Disposition(true), Disposition{Execution: Executed, Reply: ForwardResponse, Reuse: KeepConnection})
 	_, idle := p.Open(target)
 	assert.Equal(t, idle, 1)
 }
@@ -82,8 +82,8 @@
 		q := post("a", "")
 		spoil(q)
 		r := p.Call(context.Background(), target, q, long)
-		assert.Assert(t, !r.Written && r.Answer == nil && r.Err != nil && !r.Opened)
-		assert.Equal(t, r.Verdict(false).Ran, No)
+		assert.Assert(t, !r.Written && r.Response == nil && r.Err != nil && !r.NewConnection)
+		assert.Equal(t, r.Disposition(false).Execution, NotExecuted)
 	}
 }
 
@@ -93,18 +93,18 @@
 	for _, tc := range []struct {
 		name, text string
 		close      bool
-		end        End
+		end        Outcome
 		kept       int
 	}{
-		{"whole", head + "Content-Length: 2\r\n\r\nok", false, Whole, 1},
-		{"whole by chunks", head + "Transfer-Encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n", false, Whole, 1},
-		{"interim", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-Attempt-Id: z\r\n\r\n" + head + "Content-Length: 2\r\n\r\nok", false, Whole, 1},
+		{"whole", head + "Content-Length: 2\r\n\r\nok", false, Complete, 1},
+		{"whole by chunks", head + "Transfer-Encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n", false, Complete, 1},
+		{"interim", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-Attempt-Id: z\r\n\r\n" + head + "Content-Length: 2\r\n\r\nok", false, Complete, 1},
 		{"interim without end", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9), false, Malformed, 0},
 		{"switch", "HTTP/1.1 101 Switching Protocols\r\n\r\n", false, Malformed, 0},
-		{"told to close", head + "Connection: Foo, Close\r\nContent-Length: 2\r\n\r\nok", false, Whole, 0},
-		{"old protocol", strings.Replace(head, "1.1", "1.0", 1) + "Content-Length: 2\r\n\r\nok", false, Whole, 0},
-		{"more behind it", head + "Content-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", false, Whole, 0},
-		{"ended by close as told", head + "Connection: close\r\n\r\nok", true, Whole, 0},
+		{"told to close", head + "Connection: Foo, Close\r\nContent-Length: 2\r\n\r\nok", false, Complete, 0},
+		{"old protocol", strings.Replace(head, "1.1", "1.0", 1) + "Content-Length: 2\r\n\r\nok", false, Complete, 0},
+		{"more behind it", head + "Content-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", false, Complete, 0},
+		{"ended by close as told", head + "Connection: close\r\n\r\nok", true, Complete, 0},
 		{"ended by close untold", head + "\r\nok", true, Malformed, 0},
 		{"without stamp", "HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nContent-Length: 2\r\n\r\nok", false, Malformed, 0},
 		{"both ways", head + "X-Not-Executed: 1\r\nContent-Length: 2\r\n\r\nok", false, Malformed, 0},
@@ -126,8 +126,8 @@
 		{"long line", head + "A: " + strings.Repeat("a", 5000) + "\r\n\r\n", false, Malformed, 0},
 		{"long head", head + strings.Repeat("A: "+strings.Repeat("a", 2000)+"\r\n", 9), false, Malformed, 0},
 		{"many fields", head + strings.Repeat("A: a\r\n", 101) + "\r\n", false, Malformed, 0},
-		{"another's", strings.Replace(head, "Id: a", "Id: b", 1) + "Content-Length: 2\r\n\r\nNO" + head + "Content-Length: 2\r\n\r\nok", false, Whole, 0},
-		{"another's by chunks", strings.Replace(head, "Id: a", "Id: b", 1) + "Transfer-Encoding: chunked\r\n\r\n2\r\nNO\r\n0\r\n\r\n" + head + "Content-Length: 2\r\n\r\nok", false, Whole, 0},
+		{"another's", strings.Replace(head, "Id: a", "Id: b", 1) + "Content-Length: 2\r\n\r\nNO" + head + "Content-Length: 2\r\n\r\nok", false, Complete, 0},
+		{"another's by chunks", strings.Replace(head, "Id: a", "Id: b", 1) + "Transfer-Encoding: chunked\r\n\r\n2\r\nNO\r\n0\r\n\r\n" + head + "Content-Length: 2\r\n\r\nok", false, Complete, 0},
 		{"only another's", strings.Replace(head, "Id: a", "Id: b", 1) + "Content-Length: 2\r\n\r\nNO", true, Broken, 0},
 		{"many others'", strings.Repeat(strings.Replace(head, "Id: a", "Id: b", 1)+"Content-Length: 2\r\n\r\nNO", 5), false, Malformed, 0},
 		{"too long by chunks", head + "Transfer-Encoding: chunked\r\n\r\n200000\r\n" + strings.Repeat("x", 1<<21) + "\r\n0\r\n\r\n", false, Malformed, 0},
@@ -136,15 +136,15 @@
 			target := endpoint(t, sayer(tc.text, tc.close))
 			p := pool(t)
 			r := call(t, p, target, "a")
-			assert.Equal(t, r.End, tc.end, "%v", r.Err)
-			assert.Assert(t, r.Written && r.Opened)
-			if tc.end == Whole {
+			assert.Equal(t, r.Outcome, tc.end, "%v", r.Err)
+			assert.Assert(t, r.Written && r.NewConnection)
+			if tc.end == Complete {
 				assert.Equal(t, string(r.Body), "ok")
-				assert.Equal(t, r.Verdict(false), Verdict{Ran: Yes, Reply: PassOn, Reuse: Reuse(tc.kept)})
+				assert.Equal(t, r.Disposition(false), Disposition{Execution: Executed, Reply: ForwardResponse, Reuse: Reuse(tc.kept)})
 			} else {
 				assert.Assert(t, r.Err != nil && r.Body == nil)
-				assert.Equal(t, r.Verdict(false).Reply, BadGateway)
-				assert.Equal(t, r.Verdict(false).Once, false)
+				assert.Equal(t, r.Disposition(false).Reply, BadGateway)
+				assert.Equal(t, r.Disposition(false).RetryAny, false)
 			}
 			open, idle := p.Open(target)
 			assert.Equal(t, idle, tc.kept)
@@ -168,12 +168,12 @@
 			p := pool(t)
 			for n := range len(text) {
 				r := call(t, p, target, "a")
-				assert.Equal(t, r.End, Broken, "%d: %v", n, r.Err)
-				v := r.Verdict(false)
-				assert.Assert(t, r.Written && v.Ran != No && v.Reply == BadGateway && !v.Once, "%d", n)
+				assert.Equal(t, r.Outcome, Broken, "%d: %v", n, r.Err)
+				v := r.Disposition(false)
+				assert.Assert(t, r.Written && v.Execution != NotExecuted && v.Reply == BadGateway && !v.RetryAny, "%d", n)
 			}
 			r := call(t, p, target, "a")
-			assert.Assert(t, r.End == Whole || reset && r.End == Broken)
+			assert.Assert(t, r.Outcome == Complete || reset && r.Outcome == Broken)
 		}
 	}
 }
@@ -183,11 +183,11 @@
 		name, text string
 		close      bool
 		want       []string
-		end        End
+		end        Outcome
 	}{
 		{"several at once", streamHead + chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\n\n") + "0\r\n\r\n", false,
-			[]string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3\n\n"}, Whole},
-		{"none", streamHead + "0\r\n\r\n", false, nil, Whole},
+			[]string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3\n\n"}, Complete},
+		{"none", streamHead + "0\r\n\r\n", false, nil, Complete},
 		{"no last chunk", streamHead + chunk("id: 1\n\n") + chunk("id: 2\n\n"), true, []string{"id: 1\n\n", "id: 2\n\n"}, Broken},
 		{"cut in an event", streamHead + chunk("id: 1\n\nid: 2\nda"), true, []string{"id: 1\n\n"}, Broken},
 		{"event without end", streamHead + chunk("id: 1\n\nid: 2\nda") + "0\r\n\r\n", false, []string{"id: 1\n\n"}, Malformed},
@@ -195,28 +195,28 @@
 		{"noise between", streamHead + chunk("id: 1\n\n") + "HTTP/1.1 200 OK\r\n", false, []string{"id: 1\n\n"}, Malformed},
 		{"by close", strings.Replace(streamHead, "Transfer-Encoding: chunked", "Connection: close", 1) + "id: 1\n\n", true, []string{"id: 1\n\n"}, Broken},
 		{"by length", strings.Replace(streamHead, "Transfer-Encoding: chunked", "Content-Length: 14", 1) + "id: 1\n\nid: 2\n\n", false,
-			[]string{"id: 1\n\n", "id: 2\n\n"}, Whole},
+			[]string{"id: 1\n\n", "id: 2\n\n"}, Complete},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			target := endpoint(t, sayer(tc.text, tc.close))
 			p := pool(t)
 			r := call(t, p, target, "a")
-			assert.Equal(t, r.End, Streaming, "%v", r.Err)
-			assert.Equal(t, r.Verdict(false).Reply, PassOn)
+			assert.Equal(t, r.Outcome, Streaming, "%v", r.Err)
+			assert.Equal(t, r.Disposition(false).Reply, ForwardResponse)
 			got, err := pieces(r.Stream)
 			assert.DeepEqual(t, got, tc.want)
-			assert.Equal(t, r.Stream.End(), tc.end)
-			assert.Equal(t, r.Stream.Last(), tc.end == Whole)
-			assert.Equal(t, err == io.EOF, tc.end == Whole)
-			assert.Assert(t, r.Stream.AtHand())
-			if tc.end == Whole {
-				assert.Equal(t, r.Verdict(true).Reply, PassOn)
+			assert.Equal(t, r.Stream.Outcome(), tc.end)
+			assert.Equal(t, r.Stream.BodyReceived(), tc.end == Complete)
+			assert.Equal(t, err == io.EOF, tc.end == Complete)
+			assert.Assert(t, r.Stream.Ready())
+			if tc.end == Complete {
+				assert.Equal(t, r.Disposition(true).Reply, ForwardResponse)
 			} else {
-				assert.Equal(t, r.Verdict(true), Verdict{Ran: Yes, Reply: BreakOff})
+				assert.Equal(t, r.Disposition(true), Disposition{Execution: Executed, Reply: AbortConnection})
 			}
 			open, idle := p.Open(target)
 			assert.Equal(t, open, idle)
-			assert.Equal(t, idle == 1, tc.end == Whole)
+			assert.Equal(t, idle == 1, tc.end == Complete)
 		})
 	}
 }
@@ -235,13 +235,13 @@
 	p := pool(t)
 	for n := range len(text) - len(streamHead) {
 		r := call(t, p, target, "a")
-		if n%2 == 1 && r.End == Broken { // the reset took the head with it
+		if n%2 == 1 && r.Outcome == Broken { // the reset took the head with it
 			continue
 		}
-		assert.Equal(t, r.End, Streaming)
+		assert.Equal(t, r.Outcome, Streaming)
 		got, err := pieces(r.Stream)
 		assert.Assert(t, err != nil && err != io.EOF)
-		assert.Equal(t, r.Stream.End(), Broken)
+		assert.Equal(t, r.Stream.Outcome(), Broken)
 		assert.Assert(t, len(got) <= 3)
 		for i := range got {
 			assert.Equal(t, got[i], all[i])
@@ -261,34 +261,34 @@
 	p := pool(t)
 	go func() { step <- streamHead }()
 	q := post("a", "")
-	q.After = "4"
+	q.LastEventID = "4"
 	r := p.Call(context.Background(), target, q, long)
 	s := r.Stream
-	assert.Assert(t, !s.AtHand() && !s.Last())
+	assert.Assert(t, !s.Ready() && !s.BodyReceived())
 	go func() { step <- chunk("id: 5\ndata: x\n\nid: 6\n\nid: 7\n") }()
 	piece, err := s.Next()
 	assert.NilError(t, err)
 	assert.Equal(t, piece.ID+string(piece.Data), "5x")
-	assert.Assert(t, s.AtHand() && !s.Last())
+	assert.Assert(t, s.Ready() && !s.BodyReceived())
 	piece, err = s.Next()
 	assert.NilError(t, err)
 	assert.Equal(t, piece.ID, "6")
-	assert.Assert(t, !s.AtHand())
+	assert.Assert(t, !s.Ready())
 	go func() { step <- chunk("\n") + "0\r\n\r\n"; close(step) }()
 	piece, err = s.Next()
 	assert.NilError(t, err)
 	assert.Equal(t, piece.ID, "7")
 	_, err = s.Next()
 	assert.Equal(t, err, io.EOF)
-	assert.Assert(t, s.Last())
+	assert.Assert(t, s.BodyReceived())
 	s.Close() // of no effect any more
-	assert.Equal(t, s.End(), Whole)
+	assert.Equal(t, s.Outcome(), Complete)
 }
 
 func TestResumedStreamRisesAboveWhatWasHeard(t *testing.T) {
 	target := answering(t, streamHead+chunk("id: 4\n\n")+"0\r\n\r\n")
 	q := post("a", "")
-	q.After = "4"
+	q.LastEventID = "4"
 	r := pool(t).Call(context.Background(), target, q, long)
 	_, err := r.Stream.Next()
 	assert.Equal(t, err, errMalformed)
@@ -307,7 +307,7 @@
 			ended <- true
 		})
 		p := pool(t)
-		finish := func(want End, call func(time.Duration) *Result) {
+		finish := func(want Outcome, call func(time.Duration) *Result) {
 			t.Helper()
 			for within := 20 * time.Millisecond; ; within *= 2 {
 				r := call(within)
@@ -316,11 +316,11 @@
 					assert.Assert(t, err != nil)
 				}
 				o := r.Observation(false)
-				assert.Equal(t, o.End, want, "%v", r.Err)
+				assert.Equal(t, o.Outcome, want, "%v", r.Err)
 				open, _ := p.Open(target)
 				assert.Equal(t, open, 0)
 				if !o.Written { // a busy machine
-					assert.Equal(t, r.Verdict(false).Ran, No)
+					assert.Equal(t, r.Disposition(false).Execution, NotExecuted)
 					continue
 				}
 				<-ended
@@ -338,7 +338,7 @@
 		})
 		<-come
 		ctx, cancel := context.WithCancel(context.Background())
-		finish(Abandoned, func(time.Duration) *Result {
+		finish(Canceled, func(time.Duration) *Result {
 			go func() {
 				<-come
 				cancel()
@@ -346,7 +346,7 @@
 			return p.Call(ctx, target, post("a", ""), long)
 		})
 		r := p.Call(ctx, target, post("a", ""), long)
-		assert.Assert(t, r.End == Abandoned && !r.Written)
+		assert.Assert(t, r.Outcome == Canceled && !r.Written)
 	}
 }
 
@@ -365,11 +365,11 @@
 	r.Stream.SetDeadline(time.Now().Add(20 * time.Millisecond))
 	_, err = r.Stream.Next()
 	assert.Assert(t, err != nil)
-	assert.Equal(t, r.Stream.End(), TimedOut)
+	assert.Equal(t, r.Stream.Outcome(), TimedOut)
 	<-ended
 	r = call(t, p, target, "a")
 	r.Stream.Close()
-	assert.Equal(t, r.Stream.End(), Abandoned)
+	assert.Equal(t, r.Stream.Outcome(), Canceled)
 	<-ended
 	_, err = r.Stream.Next()
 	assert.Assert(t, errors.Is(err, context.Canceled))
@@ -384,10 +384,10 @@
 	q := post("a", strings.Repeat("x", 8<<20))
 	r := pool(t).Call(context.Background(), target, q, long)
 	// The connection may have been seen to be ended before a byte was written.
-	v := r.Verdict(false)
-	assert.Equal(t, v.Ran, No, "%v %v", r.End, r.Err)
-	if r.Answer != nil {
-		assert.Equal(t, r.Answer.RetryAfter, 250*time.Millisecond)
+	v := r.Disposition(false)
+	assert.Equal(t, v.Execution, NotExecuted, "%v %v", r.Outcome, r.Err)
+	if r.Response != nil {
+		assert.Equal(t, r.Response.RetryAfter, 250*time.Millisecond)
 	}
 }
 
@@ -395,29 +395,29 @@
 	target := answering(t, "HTTP/1.1 503 Too Full\r\nX-Attempt-Id: a\r\nX-Not-Executed: 1\r\nX-Instance-Load: 3, 0,8\r\nVersions: 7\r\nRetry-After: 1.5\r\n"+
 		"Keep-Alive: timeout=7\r\nConnection: X-Private\r\nX-Private: p\r\nx-other: o\r\nContent-Length: 0\r\n\r\n")
 	r := call(t, pool(t), target, "a")
-	assert.Equal(t, r.End, Whole)
-	a := r.Answer
+	assert.Equal(t, r.Outcome, Complete)
+	a := r.Response
 	assert.Equal(t, a.Load, Load{3, 0, 8})
-	assert.Assert(t, a.Loaded && a.NotExecuted)
+	assert.Assert(t, a.HasLoad && a.NotExecuted)
 	assert.Equal(t, a.Versions+a.Reason, "7Too Full")
 	assert.Equal(t, a.RetryAfter, 1500*time.Millisecond)
-	assert.Equal(t, a.alive, 7*time.Second)
-	assert.Equal(t, a.Field("X-Other")+a.Field("x-private"), "o")
+	assert.Equal(t, a.keepAlive, 7*time.Second)
+	assert.Equal(t, a.Get("X-Other")+a.Get("x-private"), "o")
 	for _, text := range []string{"", "1,2", "1,2,3,4", "1,2,", "-1,0,8", "a,b,c"} {
 		_, ok := parseLoad(text)
 		assert.Assert(t, !ok, text)
 	}
 	for text, want := range map[string]time.Duration{"5": 5, "timeout=4, max=9": 4, "max=9,Timeout = 3": 3, "max=9": 0, "timeout=0": 0, "x": 0, "timeout=99999999": 0} {
-		assert.Equal(t, keepAlive(text), want*time.Second, text)
+		assert.Equal(t, parseKeepAlive(text), want*time.Second, text)
 	}
 }
 
 func TestProbe(t *testing.T) {
 	target := answering(t, "HTTP/1.1 200 OK\r\nX-Instance-Id: i-1\r\nContent-Length: 0\r\n\r\n")
-	q := &Request{Method: "GET", Target: "/health", Host: "h", Unstamped: true, Priority: -1}
+	q := &Request{Method: "GET", Target: "/health", Host: "h", AllowUnsigned: true, Priority: -1}
 	r := pool(t).Call(context.Background(), target, q, long)
-	assert.Equal(t, r.End, Whole, "%v", r.Err)
-	assert.Equal(t, r.Answer.Field("X-Instance-Id"), "i-1")
+	assert.Equal(t, r.Outcome, Complete, "%v", r.Err)
+	assert.Equal(t, r.Response.Get("X-Instance-Id"), "i-1")
 }
 
 // TestPartlyWritten: what an endpoint had a part of may have run, for all that is known.
@@ -428,13 +428,13 @@
 		l.reset()
 	})
 	r := pool(t).Call(context.Background(), target, q, long)
-	assert.Assert(t, r.End == Broken && r.Written, "%v %v", r.End, r.Err)
-	assert.Equal(t, r.Verdict(false), Verdict{Ran: Unknown, Reply: BadGateway, Again: true})
+	assert.Assert(t, r.Outcome == Broken && r.Written, "%v %v", r.Outcome, r.Err)
+	assert.Equal(t, r.Disposition(false), Disposition{Execution: ExecutionUnknown, Reply: BadGateway, RetryIdempotent: true})
 
 	release := make(chan bool)
 	target = endpoint(t, func(_ int, l *line) { <-release }) // reads nothing
 	r = pool(t).Call(context.Background(), target, q, time.Second)
 	close(release)
-	assert.Assert(t, r.End == TimedOut && r.Written, "%v %v", r.End, r.Err)
-	assert.Equal(t, r.Verdict(false), Verdict{Ran: Unknown, Reply: GatewayTimeout, Again: true})
+	assert.Assert(t, r.Outcome == TimedOut && r.Written, "%v %v", r.Outcome, r.Err)
+	assert.Equal(t, r.Disposition(false), Disposition{Execution: ExecutionUnknown, Reply: GatewayTimeout, RetryIdempotent: true})
 }
--- a/internal/tier/upstream/endpoint_test.go
+++ b/internal/tier/upstream/endpoint_test.go
@@ -137,7 +137,7 @@
 // waitNoise waits until something, or the end, has come on the idle connection to a target.
 func waitNoise(p *Pool, target Target) {
 	p.mu.Lock()
-	c := p.hosts[key{target.Address, target.Instance}].idle[0]
+	c := p.hosts[hostKey{target.Address, target.Instance}].idle[0]
 	p.mu.Unlock()
 	for calls.Quiet(c.TCPConn) {
 		runtime.Gosched()
--- a/internal/tier/upstream/events.go
+++ b/internal/tier/upstream/events.go
@@ -2,11 +2,11 @@
 
 import "bytes"
 
-const maxEvent = 1 << 20 // bytes of one event
+const maxEventBytes = 1 << 20 // bytes of one event
 
-// Piece is one event of a stream with its blank line, or some bytes of a body of another type. Its slices hold until the
+// Event is one event of a stream with its blank line, or some bytes of a body of another type. Its slices hold until the
 // next Next.
-type Piece struct {
+type Event struct {
 	Raw      []byte // as it came, to be passed on
 	ID       string // empty: it has none
 	Data     []byte // its data lines, joined by line feeds
@@ -14,22 +14,22 @@
 	Versions string // of the weights, where they change with this event
 }
 
-// events cuts a stream into its events.
-type events struct {
+// eventSplitter cuts a stream into its events.
+type eventSplitter struct {
 	buf    []byte
 	begin  int // of the first byte not handed out
 	seen   int // bytes from there on that hold no end of an event
-	last   string
+	lastID string
 	joined []byte
 }
 
 // next is the next whole event, if it has come. Ids must rise; false in sound says that they don't.
-func (events *events) next() (p Piece, ok, sound bool) {
+func (events *eventSplitter) next() (p Event, ok, sound bool) {
 	for {
 		rest := events.buf[events.begin+events.seen:]
 		i := bytes.IndexByte(rest, '\n')
 		if i < 0 {
-			return Piece{}, false, len(events.buf)-events.begin <= maxEvent
+			return Event{}, false, len(events.buf)-events.begin <= maxEventBytes
 		}
 		events.seen += i + 1
 		if i > 0 && !(i == 1 && rest[0] == '\r') {
@@ -40,27 +40,27 @@
 		events.seen = 0
 		p = events.parse(raw)
 		if p.ID != "" {
-			if events.last != "" && !Rises(events.last, p.ID) {
+			if events.lastID != "" && !IDIncreases(events.lastID, p.ID) {
 				return p, true, false
 			}
-			events.last = p.ID
+			events.lastID = p.ID
 		}
-		return p, true, len(raw) <= maxEvent
+		return p, true, len(raw) <= maxEventBytes
 	}
 }
 
 // compact makes room for more. What was handed out no longer holds.
-func (events *events) compact() {
+func (events *eventSplitter) compact() {
 	events.buf = events.buf[:copy(events.buf, events.buf[events.begin:])]
 	events.begin = 0
 }
 
 // unfinished reports whether bytes are left that make no whole event.
-func (events *events) unfinished() bool { return events.begin < len(events.buf) }
+func (events *eventSplitter) unfinished() bool { return events.begin < len(events.buf) }
 
 // parse reads the lines of one event.
-func (events *events) parse(raw []byte) Piece {
-	p := Piece{Raw: raw}
+func (events *eventSplitter) parse(raw []byte) Event {
+	p := Event{Raw: raw}
 	for rest := raw; len(rest) > 0; {
 		i := bytes.IndexByte(rest, '\n')
 		line := bytes.TrimSuffix(rest[:i], []byte{'\r'})
@@ -89,10 +89,10 @@
 	return p
 }
 
-// Rises reports whether an id comes after another: by number where both are numbers, else it is only another one.
-func Rises(last, id string) bool {
-	a, ok := digits(last, 1<<53)
-	b, too := digits(id, 1<<53)
+// IDIncreases reports whether an id comes after another: by number where both are numbers, else it is only another one.
+func IDIncreases(last, id string) bool {
+	a, ok := parseDigits(last, 1<<53)
+	b, too := parseDigits(id, 1<<53)
 	if ok && too {
 		return b > a
 	}
--- a/internal/tier/upstream/events_test.go
+++ b/internal/tier/upstream/events_test.go
@@ -11,10 +11,10 @@
 )
 
 // decode reads a body from text by the framing, with reads as wrap cuts them.
-func decode(text string, f framing, left int64, wrap func(io.Reader) io.Reader) ([]Piece, error) {
-	b := body{r: bufio.NewReaderSize(wrap(strings.NewReader(text)), 64), framing: f, left: left}
-	var e events
-	var out []Piece
+func decode(text string, f framing, left int64, wrap func(io.Reader) io.Reader) ([]Event, error) {
+	b := body{reader: bufio.NewReaderSize(wrap(strings.NewReader(text)), 64), framing: f, remaining: left}
+	var e eventSplitter
+	var out []Event
 	for {
 		p, ok, sound := e.next()
 		switch {
@@ -27,7 +27,7 @@
 		}
 		e.compact()
 		var err error
-		if e.buf, err = b.more(e.buf); err == nil {
+		if e.buf, err = b.read(e.buf); err == nil {
 			continue
 		}
 		for {
--- a/internal/tier/upstream/head_golden_test.go
+++ b/internal/tier/upstream/head_golden_test.go
@@ -56,8 +56,8 @@
 			continue
 		}
 		fmt.Fprintf(&out, "  %d %q length %d id %q signature %q not executed %t events %t retry after %v load %v %t versions %q closes %t named %t chunked %t encoded %t alive %v\n  fields",
-			answer.Status, answer.Reason, answer.Length, answer.AttemptID, answer.Signature, answer.NotExecuted, answer.Events, answer.RetryAfter, answer.Load, answer.Loaded,
-			answer.Versions, answer.closes, answer.closeNamed, answer.chunked, answer.encoded, answer.alive)
+			answer.Status, answer.Reason, answer.Length, answer.AttemptID, answer.Signature, answer.NotExecuted, answer.IsEventStream, answer.RetryAfter, answer.Load, answer.HasLoad,
+			answer.Versions, answer.closesConnection, answer.explicitClose, answer.chunked, answer.encoded, answer.keepAlive)
 		for i, field := range answer.Header {
 			if i == 5 {
 				fmt.Fprintf(&out, " and %d more", len(answer.Header)-i)
--- a/internal/tier/upstream/idle.go
+++ b/internal/tier/upstream/idle.go
@@ -7,104 +7,104 @@
 	"time"
 )
 
-// put keeps a connection that has carried a whole answer and nothing more. alive is how long the endpoint said that it
+// putUsed keeps a connection that has carried a whole answer and nothing more. alive is how long the endpoint said that it
 // keeps it, 0 if it didn't.
-func (pool *Pool) put(c *conn, alive time.Duration) {
-	c.since = time.Now()
-	c.expires = c.since.Add(cmp.Or(alive, pool.config.IdleTimeout) * 4 / 5)
-	pool.keep(c)
+func (pool *Pool) putUsed(c *conn, alive time.Duration) {
+	c.idleSince = time.Now()
+	c.expiresAt = c.idleSince.Add(cmp.Or(alive, pool.config.IdleTimeout) * 4 / 5)
+	pool.makeIdle(c)
 }
 
-// unused gives back a connection on which nothing was written: its time goes on.
-func (pool *Pool) unused(c *conn) {
-	if c.expires.IsZero() { // it is new
-		pool.put(c, 0)
+// putUnused gives back a connection on which nothing was written: its time goes on.
+func (pool *Pool) putUnused(c *conn) {
+	if c.expiresAt.IsZero() { // it is new
+		pool.putUsed(c, 0)
 		return
 	}
-	pool.keep(c)
+	pool.makeIdle(c)
 }
 
-// keep makes a connection idle, or closes it where its time is over or the pool is closed.
-func (pool *Pool) keep(c *conn) {
-	pool.release(c)
+// makeIdle makes a connection idle, or closes it where its time is over or the pool is closed.
+func (pool *Pool) makeIdle(c *conn) {
+	pool.releaseReader(c)
 	pool.mu.Lock()
-	if learnt := c.since.Add(c.host.learn); c.host.learn > 0 && learnt.Before(c.expires) {
-		c.expires = learnt
+	if learnt := c.idleSince.Add(c.host.learnedIdleTime); c.host.learnedIdleTime > 0 && learnt.Before(c.expiresAt) {
+		c.expiresAt = learnt
 	}
-	left := time.Until(c.expires)
+	left := time.Until(c.expiresAt)
 	if pool.closed || left <= 0 {
 		pool.mu.Unlock()
-		pool.drop(c)
+		pool.closeConn(c)
 		return
 	}
 	defer pool.mu.Unlock()
 	c.host.idle = append(c.host.idle, c)
 	pool.counts.Idle++
-	pool.arm(left)
+	pool.scheduleSweep(left)
 }
 
-// equip gives a connection that goes into use a reader.
-func (pool *Pool) equip(c *conn) {
-	c.r = pool.readers.Get().(*bufio.Reader)
-	c.r.Reset(c.TCPConn)
+// attachReader gives a connection that goes into use a reader.
+func (pool *Pool) attachReader(c *conn) {
+	c.reader = pool.readers.Get().(*bufio.Reader)
+	c.reader.Reset(c.TCPConn)
 }
 
-// release gives the reader back.
-func (pool *Pool) release(c *conn) {
-	if c.r != nil {
-		c.r.Reset(nil)
-		pool.readers.Put(c.r)
-		c.r = nil
+// releaseReader gives the reader back.
+func (pool *Pool) releaseReader(c *conn) {
+	if c.reader != nil {
+		c.reader.Reset(nil)
+		pool.readers.Put(c.reader)
+		c.reader = nil
 	}
 }
 
-// drop closes a connection that isn't idle.
-func (pool *Pool) drop(c *conn) {
-	pool.release(c)
+// closeConn closes a connection that isn't idle.
+func (pool *Pool) closeConn(c *conn) {
+	pool.releaseReader(c)
 	pool.mu.Lock()
-	c.host.open--
+	c.host.openCount--
 	pool.counts.Open--
 	pool.mu.Unlock()
 	c.Close()
 }
 
-// stale drops an idle connection, taken out already, that the endpoint ended first, and learns from that.
-func (pool *Pool) stale(c *conn) {
+// closeStale drops an idle connection, taken out already, that the endpoint ended first, and learns from that.
+func (pool *Pool) closeStale(c *conn) {
 	pool.mu.Lock()
 	pool.counts.Stale++
-	span := max(shortest, time.Since(c.since)*4/5)
-	if c.host.learn == 0 || span < c.host.learn {
-		c.host.learn = span
+	span := max(minLearnedIdleTime, time.Since(c.idleSince)*4/5)
+	if c.host.learnedIdleTime == 0 || span < c.host.learnedIdleTime {
+		c.host.learnedIdleTime = span
 	}
 	pool.mu.Unlock()
-	pool.drop(c)
+	pool.closeConn(c)
 }
 
-// oldest is the idle connection that was used longest ago. Under mu.
-func (pool *Pool) oldest() *conn {
+// longestIdle is the idle connection that was used longest ago. Under mu.
+func (pool *Pool) longestIdle() *conn {
 	var found *conn
 	for _, h := range pool.hosts {
-		if len(h.idle) > 0 && (found == nil || h.idle[0].since.Before(found.since)) {
+		if len(h.idle) > 0 && (found == nil || h.idle[0].idleSince.Before(found.idleSince)) {
 			found = h.idle[0]
 		}
 	}
 	return found
 }
 
-// unlink takes an idle connection, which is to be closed, off the books. Under mu.
-func (pool *Pool) unlink(c *conn) {
+// removeIdle takes an idle connection, which is to be closed, off the books. Under mu.
+func (pool *Pool) removeIdle(c *conn) {
 	c.host.idle = slices.DeleteFunc(c.host.idle, func(other *conn) bool { return other == c })
-	c.host.open--
+	c.host.openCount--
 	pool.counts.Open--
 	pool.counts.Idle--
 }
 
-// expire takes out what has been idle for its time. Under mu; the caller closes it.
-func (pool *Pool) expire(h *host, now time.Time, old []*conn) []*conn {
+// takeExpired takes out what has been idle for its time. Under mu; the caller closes it.
+func (pool *Pool) takeExpired(h *host, now time.Time, old []*conn) []*conn {
 	h.idle = slices.DeleteFunc(h.idle, func(c *conn) bool {
-		over := !now.Before(c.expires)
+		over := !now.Before(c.expiresAt)
 		if over {
-			h.open--
+			h.openCount--
 			pool.counts.Open--
 			pool.counts.Idle--
 			old = append(old, c)
@@ -114,18 +114,18 @@
 	return old
 }
 
-// arm sees to it that the sweep runs, at the latest at its next time. Under mu.
-func (pool *Pool) arm(after time.Duration) {
-	if pool.armed || pool.closed {
+// scheduleSweep sees to it that the sweep runs, at the latest at its next time. Under mu.
+func (pool *Pool) scheduleSweep(after time.Duration) {
+	if pool.sweepScheduled || pool.closed {
 		return
 	}
-	pool.armed = true
-	after = max(after, sweepEvery)
-	if pool.sweep == nil {
-		pool.sweep = time.AfterFunc(after, pool.Sweep)
+	pool.sweepScheduled = true
+	after = max(after, minSweepInterval)
+	if pool.sweepTimer == nil {
+		pool.sweepTimer = time.AfterFunc(after, pool.Sweep)
 		return
 	}
-	pool.sweep.Reset(after)
+	pool.sweepTimer.Reset(after)
 }
 
 // Sweep closes the connections that have been idle for their time. It runs by itself.
@@ -135,43 +135,43 @@
 	now := time.Now()
 	next := time.Duration(-1)
 	for k, h := range pool.hosts {
-		old = pool.expire(h, now, old)
-		if h.open == 0 && now.Sub(h.used) > forgetAfter {
+		old = pool.takeExpired(h, now, old)
+		if h.openCount == 0 && now.Sub(h.lastUsedAt) > hostRetention {
 			delete(pool.hosts, k)
 			continue
 		}
-		left := forgetAfter
+		left := hostRetention
 		for _, c := range h.idle {
-			left = min(left, c.expires.Sub(now))
+			left = min(left, c.expiresAt.Sub(now))
 		}
 		if next < 0 || left < next {
 			next = left
 		}
 	}
-	pool.armed = false
+	pool.sweepScheduled = false
 	if next >= 0 {
-		pool.arm(next)
+		pool.scheduleSweep(next)
 	}
 	pool.mu.Unlock()
-	shut(old)
+	closeAll(old)
 }
 
 // Forget closes the idle connections to an endpoint that has ended or is draining.
 func (pool *Pool) Forget(address, instance string) {
 	pool.mu.Lock()
-	k := key{address, instance}
+	k := hostKey{address, instance}
 	var old []*conn
 	if h := pool.hosts[k]; h != nil {
 		old = slices.Clone(h.idle)
 		for _, c := range old {
-			pool.unlink(c)
+			pool.removeIdle(c)
 		}
-		if h.open == 0 {
+		if h.openCount == 0 {
 			delete(pool.hosts, k)
 		}
 	}
 	pool.mu.Unlock()
-	shut(old)
+	closeAll(old)
 }
 
 // Close closes all idle connections; those in use are closed when their calls end.
@@ -181,20 +181,20 @@
 	var old []*conn
 	for _, h := range pool.hosts {
 		old = append(old, h.idle...)
-		h.open -= len(h.idle)
+		h.openCount -= len(h.idle)
 		h.idle = nil
 	}
 	pool.counts.Open -= len(old)
 	pool.counts.Idle = 0
-	if pool.sweep != nil {
-		pool.sweep.Stop()
+	if pool.sweepTimer != nil {
+		pool.sweepTimer.Stop()
 	}
 	pool.mu.Unlock()
-	shut(old)
+	closeAll(old)
 }
 
-// shut closes connections that are off the books.
-func shut(old []*conn) {
+// closeAll closes connections that are off the books.
+func closeAll(old []*conn) {
 	for _, c := range old {
 		c.Close()
 	}
