--- a/internal/tier/upstream/outcome.go
+++ b/internal/tier/upstream/outcome.go
@@ -2,52 +2,52 @@
 
 import "net/http"
 
-// End is how a call ended.
-type End uint8
+// Outcome is how a call ended.
+type Outcome uint8
 
 // The ends of a call.
 const (
-	NotSent       End = iota // the permit was refused, or the request or its time didn't allow a send; no byte was written
-	NoRoom                   // no connection was idle and none may be opened; no byte was written
-	ConnectFailed            // no connection came up; no byte was written
-	Whole                    // the answer came whole
-	Streaming                // the head of an answer came, its body is read by Stream.Next
-	Broken                   // the connection ended before the answer had
-	Malformed                // what came is no sound answer to the request
-	TimedOut                 // the time of the call was over
-	Abandoned                // the context was cancelled
+	NotSent       Outcome = iota // the permit was refused, or the request or its time didn't allow a send; no byte was written
+	NoConnection                 // no connection was idle and none may be opened; no byte was written
+	ConnectFailed                // no connection came up; no byte was written
+	Complete                     // the answer came whole
+	Streaming                    // the head of an answer came, its body is read by Stream.Next
+	Broken                       // the connection ended before the answer had
+	Malformed                    // what came is no sound answer to the request
+	TimedOut                     // the time of the call was over
+	Canceled                     // the context was cancelled
 )
 
-func (e End) String() string {
+func (e Outcome) String() string {
 	return [...]string{"not_sent", "no_room", "connect_failed", "whole", "streaming", "broken", "malformed", "timed_out", "abandoned"}[e]
 }
 
-// Ran says whether the endpoint has begun to work on the request, or may yet.
-type Ran uint8
+// Execution says whether the endpoint has begun to work on the request, or may yet.
+type Execution uint8
 
 // What is known of it.
 const (
-	Unknown Ran = iota
-	No          // it has not run there and never will
-	Yes
+	ExecutionUnknown Execution = iota
+	NotExecuted                // it has not run there and never will
+	Executed
 )
 
-func (r Ran) String() string { return [...]string{"unknown", "no", "yes"}[r] }
+func (r Execution) String() string { return [...]string{"unknown", "no", "yes"}[r] }
 
-// Reply is what the client gets if nothing is left to try.
-type Reply uint8
+// ClientReply is what the client gets if nothing is left to try.
+type ClientReply uint8
 
 // The replies.
 const (
-	PassOn         Reply = iota // the endpoint's own answer, or what is left of it
-	Refuse                      // 503 with Retry-After: it has not run
-	BadGateway                  // 502: it may have run
-	GatewayTimeout              // 504: it may have run, and the time is over
-	BreakOff                    // the connection ends with the answer visibly not whole
-	Nothing                     // the client has left
+	ForwardResponse    ClientReply = iota // the endpoint's own answer, or what is left of it
+	ServiceUnavailable                    // 503 with Retry-After: it has not run
+	BadGateway                            // 502: it may have run
+	GatewayTimeout                        // 504: it may have run, and the time is over
+	AbortConnection                       // the connection ends with the answer visibly not whole
+	NoReply                               // the client has left
 )
 
-func (r Reply) String() string {
+func (r ClientReply) String() string {
 	return [...]string{"pass_on", "refuse", "bad_gateway", "gateway_timeout", "break_off", "nothing"}[r]
 }
 
@@ -64,35 +64,37 @@
 
 // Observation is all that the outcome of a call rests on.
 type Observation struct {
-	End         End
-	Written     bool // a byte of the request may have left
-	Status      int  // of an answer whose head is sound; 0: none came
-	Identified  bool // it carries the request's X-Attempt-Id
-	Stamped     bool // it has X-Response-Signature
-	NotExecuted bool // it has X-Not-Executed
-	Unframed    bool // its body has neither a length nor chunks: it ends with the connection
-	Begun       bool // a part of the answer has gone to the client
-	Turn        bool // the request is a turn of a program, whose 402, 404 and 410 are the system's to say
+	Outcome      Outcome
+	Written      bool // a byte of the request may have left
+	Status       int  // of an answer whose head is sound; 0: none came
+	Identified   bool // it carries the request's X-Attempt-Id
+	Signed       bool // it has X-Response-Signature
+	NotExecuted  bool // it has X-Not-Executed
+	Unframed     bool // its body has neither a length nor chunks: it ends with the connection
+	ReplyStarted bool // a part of the answer has gone to the client
+	Turn         bool // the request is a turn of a program, whose 402, 404 and 410 are the system's to say
 
 	// Of the connection, at the end of the call:
-	BodyDue   bool // some bytes of the request were written and others were not
-	Closing   bool // the endpoint announced that no further answer comes (Connection: close, HTTP/1.0)
-	Surplus   int  // whole answers read on the connection, less requests begun on it
-	Unread    bool // bytes were read that belong to no answer
-	Cancelled bool // the call's cancellation has begun, and may still touch the connection
+	PartlyWritten    bool // some bytes of the request were written and others were not
+	CloseAnnounced   bool // the endpoint announced that no further answer comes (Connection: close, HTTP/1.0)
+	SurplusResponses int  // whole answers read on the connection, less requests begun on it
+	UnreadBytes      bool // bytes were read that belong to no answer
+	CancelStarted    bool // the call's cancellation has begun, and may still touch the connection
 }
 
-// Verdict is what follows from an Observation.
-type Verdict struct {
-	Ran   Ran
-	Reply Reply
-	Again bool // an idempotent request may be sent again
-	Once  bool // one that isn't may be sent again, too
-	Reuse Reuse
+// Disposition is what follows from an Observation.
+type Disposition struct {
+	Execution       Execution
+	Reply           ClientReply
+	RetryIdempotent bool // an idempotent request may be sent again
+	RetryAny        bool // one that isn't may be sent again, too
+	Reuse           Reuse
 }
 
-// Retry reports whether the request may be sent again, as far as its kind goes.
-func (v Verdict) Retry(idempotent bool) bool { return v.Once || idempotent && v.Again }
+// MayRetry reports whether the request may be sent again, as far as its kind goes.
+func (v Disposition) MayRetry(idempotent bool) bool {
+	return v.RetryAny || idempotent && v.RetryIdempotent
+}
 
 // Classify is the table of outcomes: whether the request has run, what its client gets, whether it may be sent again, and
 // whether its connection may carry another one.
@@ -100,41 +102,41 @@
 // Only X-Not-Executed and 421 on a whole answer say that what was written has not run; 408, 429, 503 (and 402) promise that
 // to the client and are never passed on without. How a connection ends after the first byte was written (reset, close or
 // silence, on a new connection or on one that had been idle) is no evidence that the request has not run.
-func Classify(o Observation) Verdict {
+func Classify(o Observation) Disposition {
 	v := classify(o)
 	v.Reuse = o.reuse()
 	return v
 }
 
 // classify gives all of a Verdict but Reuse.
-func classify(o Observation) Verdict {
+func classify(o Observation) Disposition {
 	switch {
-	case o.End == Abandoned && !o.Written:
-		return Verdict{Ran: No, Reply: Nothing}
-	case o.End == Abandoned:
-		return Verdict{Ran: Unknown, Reply: Nothing}
+	case o.Outcome == Canceled && !o.Written:
+		return Disposition{Execution: NotExecuted, Reply: NoReply}
+	case o.Outcome == Canceled:
+		return Disposition{Execution: ExecutionUnknown, Reply: NoReply}
 	case !o.Written:
-		return Verdict{Ran: No, Reply: Refuse, Again: true, Once: true}
-	case o.End == Whole || o.End == Streaming:
-		return o.answered()
-	case o.Begun:
-		return Verdict{Ran: o.ranAtLeast(), Reply: BreakOff}
-	case o.End == TimedOut:
-		return Verdict{Ran: o.ranAtLeast(), Reply: GatewayTimeout, Again: true}
+		return Disposition{Execution: NotExecuted, Reply: ServiceUnavailable, RetryIdempotent: true, RetryAny: true}
+	case o.Outcome == Complete || o.Outcome == Streaming:
+		return o.respondedDisposition()
+	case o.ReplyStarted:
+		return Disposition{Execution: o.minExecution(), Reply: AbortConnection}
+	case o.Outcome == TimedOut:
+		return Disposition{Execution: o.minExecution(), Reply: GatewayTimeout, RetryIdempotent: true}
 	}
-	return Verdict{Ran: o.ranAtLeast(), Reply: BadGateway, Again: true}
+	return Disposition{Execution: o.minExecution(), Reply: BadGateway, RetryIdempotent: true}
 }
 
 // reuse keeps a connection only where every request begun on it was written whole and answered whole, one answer each, and
 // nothing else has come. A connection on which nothing was written is as clean as it was.
 func (o *Observation) reuse() Reuse {
-	if o.BodyDue || o.Closing || o.Surplus != 0 || o.Unread || o.Cancelled {
+	if o.PartlyWritten || o.CloseAnnounced || o.SurplusResponses != 0 || o.UnreadBytes || o.CancelStarted {
 		return CloseConnection
 	}
 	switch {
-	case !o.Written && (o.End == NotSent || o.End == TimedOut):
+	case !o.Written && (o.Outcome == NotSent || o.Outcome == TimedOut):
 		return KeepConnection
-	case o.Written && o.End == Whole && o.Identified && !o.Unframed:
+	case o.Written && o.Outcome == Complete && o.Identified && !o.Unframed:
 		return KeepConnection
 	}
 	return CloseConnection
@@ -143,35 +145,35 @@
 // complete reports whether the end of an answer proves that it is whole. A body without framing ends with its connection:
 // it is whole if the endpoint announced that end, and if no failed write can have taken the connection's error, as after a
 // reset that was reported to a write the next read gives a plain end.
-func (o *Observation) complete() bool { return !o.Unframed || o.Closing && !o.BodyDue }
+func (o *Observation) complete() bool { return !o.Unframed || o.CloseAnnounced && !o.PartlyWritten }
 
 // success reports whether the answer is one of the endpoint's own to this very request.
 func (o *Observation) success() bool {
-	return o.Status/100 == 2 && o.Identified && o.Stamped && !o.NotExecuted
+	return o.Status/100 == 2 && o.Identified && o.Signed && !o.NotExecuted
 }
 
-// ranAtLeast is for an answer that didn't come whole: a sound head of a success says that the request has run.
-func (o *Observation) ranAtLeast() Ran {
+// minExecution is for an answer that didn't come whole: a sound head of a success says that the request has run.
+func (o *Observation) minExecution() Execution {
 	if o.success() {
-		return Yes
+		return Executed
 	}
-	return Unknown
+	return ExecutionUnknown
 }
 
-// answered is for answers that are whole, or whole as yet.
-func (o *Observation) answered() Verdict {
-	unsure := Verdict{Ran: Unknown, Reply: BadGateway, Again: true}
+// respondedDisposition is for answers that are whole, or whole as yet.
+func (o *Observation) respondedDisposition() Disposition {
+	unsure := Disposition{Execution: ExecutionUnknown, Reply: BadGateway, RetryIdempotent: true}
 	switch success := o.Status/100 == 2; {
-	case o.success() && o.complete() && !o.BodyDue:
-		return Verdict{Ran: Yes, Reply: PassOn}
-	case o.Begun: // only successes are passed on piece by piece
-		return Verdict{Ran: Unknown, Reply: BreakOff}
-	case success || o.Status < 200 || o.Status > 599 || o.End == Streaming || !o.Identified || !o.complete():
+	case o.success() && o.complete() && !o.PartlyWritten:
+		return Disposition{Execution: Executed, Reply: ForwardResponse}
+	case o.ReplyStarted: // only successes are passed on piece by piece
+		return Disposition{Execution: ExecutionUnknown, Reply: AbortConnection}
+	case success || o.Status < 200 || o.Status > 599 || o.Outcome == Streaming || !o.Identified || !o.complete():
 		return unsure
 	case o.NotExecuted && o.Status == http.StatusBadRequest: // it has no id, and would have none elsewhere
-		return Verdict{Ran: No, Reply: PassOn}
+		return Disposition{Execution: NotExecuted, Reply: ForwardResponse}
 	case o.NotExecuted || o.Status == http.StatusMisdirectedRequest:
-		return Verdict{Ran: No, Reply: Refuse, Again: true, Once: true}
+		return Disposition{Execution: NotExecuted, Reply: ServiceUnavailable, RetryIdempotent: true, RetryAny: true}
 	}
 	switch o.Status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusPaymentRequired:
@@ -181,11 +183,11 @@
 			return unsure
 		}
 	}
-	v := Verdict{Ran: Yes, Reply: PassOn, Again: true}
+	v := Disposition{Execution: Executed, Reply: ForwardResponse, RetryIdempotent: true}
 	switch o.Status {
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusNotFound, http.StatusRequestEntityTooLarge,
 		http.StatusRequestHeaderFieldsTooLarge:
-		v.Again = false // it would be the same elsewhere
+		v.RetryIdempotent = false // it would be the same elsewhere
 	}
 	return v
 }
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	readerSize = 4 << 10                // bytes read at once, and of a line of a head at most
-	sweepEvery = 250 * time.Millisecond // idle connections are looked through no more often
-	shortest   = 50 * time.Millisecond  // no idle span is learnt below it
+	readerSize         = 4 << 10                // bytes read at once, and of a line of a head at most
+	minSweepInterval   = 250 * time.Millisecond // idle connections are looked through no more often
+	minLearnedIdleTime = 50 * time.Millisecond  // no idle span is learnt below it
 	// A late second answer comes in place of the one due next; the same attempt stays off the connection for longer.
-	recentRequests = 4
-	forgetAfter    = time.Minute // what was learnt of an endpoint without connections
-	tcpUserTime    = 18          // TCP_USER_TIMEOUT, which package syscall lacks
+	recentAttemptCount   = 4
+	hostRetention        = time.Minute // what was learnt of an endpoint without connections
+	tcpUserTimeoutOption = 18          // TCP_USER_TIMEOUT, which package syscall lacks
 )
 
 // Config is what a pool is given; zero fields take the values named.
 type Config struct {
-	ConnectTimeout time.Duration // of one connection; 400 ms
-	IdleTimeout    time.Duration // after which endpoints close an idle connection unless they announce another; 4 s
-	UserTimeout    time.Duration // unacknowledged bytes break a connection after it; 5 s
-	Connections    int           // in all, idle ones included; 0: no bound
-	Body           int           // bytes of an answer that are held whole; 1 MB
+	ConnectTimeout  time.Duration // of one connection; 400 ms
+	IdleTimeout     time.Duration // after which endpoints close an idle connection unless they announce another; 4 s
+	TCPUserTimeout  time.Duration // unacknowledged bytes break a connection after it; 5 s
+	MaxConnections  int           // in all, idle ones included; 0: no bound
+	MaxBufferedBody int           // bytes of an answer that are held whole; 1 MB
 }
 
 // Target is an endpoint as a call is made to it.
 type Target struct {
-	Address     string // host:port
-	Instance    string // its instance_id
-	Connections int    // the most that this pool may have to it; 0: no bound
+	Address        string // host:port
+	Instance       string // its instance_id
+	MaxConnections int    // the most that this pool may have to it; 0: no bound
 }
 
-// key tells endpoints apart: another instance at the same address is another endpoint.
-type key struct{ address, instance string }
+// hostKey tells endpoints apart: another instance at the same address is another endpoint.
+type hostKey struct{ address, instance string }
 
 // Pool holds the connections of one process to all endpoints. Its methods may be called from any goroutine.
 type Pool struct {
@@ -50,20 +50,20 @@
 	dialer  net.Dialer
 	readers sync.Pool
 
-	mu     sync.Mutex
-	hosts  map[key]*host
-	counts Counts
-	sweep  *time.Timer // runs while a connection is idle or something learnt is kept
-	armed  bool
-	closed bool
+	mu             sync.Mutex
+	hosts          map[hostKey]*host
+	counts         Counts
+	sweepTimer     *time.Timer // runs while a connection is idle or something learnt is kept
+	sweepScheduled bool
+	closed         bool
 }
 
 // host is what the pool knows of an endpoint.
 type host struct {
-	idle  []*conn       // the one used last at the end
-	open  int           // idle, in use or coming up
-	learn time.Duration // connections idle for longer were found ended; 0: none was
-	used  time.Time     // when a connection was last asked for
+	idle            []*conn       // the one used last at the end
+	openCount       int           // idle, in use or coming up
+	learnedIdleTime time.Duration // connections idle for longer were found ended; 0: none was
+	lastUsedAt      time.Time     // when a connection was last asked for
 }
 
 // Counts are of a pool's life, but for Open and Idle, which are as they stand.
@@ -79,13 +79,13 @@
 func NewPool(c Config) *Pool {
 	c.ConnectTimeout = cmp.Or(c.ConnectTimeout, 400*time.Millisecond)
 	c.IdleTimeout = cmp.Or(c.IdleTimeout, 4*time.Second)
-	c.UserTimeout = cmp.Or(c.UserTimeout, 5*time.Second)
-	c.Body = cmp.Or(c.Body, 1<<20)
-	p := &Pool{config: c, hosts: map[key]*host{}}
+	c.TCPUserTimeout = cmp.Or(c.TCPUserTimeout, 5*time.Second)
+	c.MaxBufferedBody = cmp.Or(c.MaxBufferedBody, 1<<20)
+	p := &Pool{config: c, hosts: map[hostKey]*host{}}
 	p.readers.New = func() any { return bufio.NewReaderSize(nil, readerSize) }
 	p.dialer = net.Dialer{KeepAlive: -1, FallbackDelay: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { // where it isn't known, deadlines alone must do
-			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTime, int(c.UserTimeout.Milliseconds()))
+			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(c.TCPUserTimeout.Milliseconds()))
 		})
 	}}
 	return p
@@ -102,39 +102,39 @@
 func (pool *Pool) Open(t Target) (open, idle int) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if h := pool.hosts[key{t.Address, t.Instance}]; h != nil {
-		return h.open, len(h.idle)
+	if h := pool.hosts[hostKey{t.Address, t.Instance}]; h != nil {
+		return h.openCount, len(h.idle)
 	}
 	return 0, 0
 }
 
-// get takes the idle connection used last or opens one. An attempt never goes where a recent send of it went: a second answer
+// acquire takes the idle connection used last or opens one. An attempt never goes where a recent send of it went: a second answer
 // to that one would be taken for the answer to this one. Any end but Whole says why there is none.
-func (pool *Pool) get(ctx context.Context, t Target, attempt string, until time.Time) (c *conn, opened bool, end End, err error) {
-	k := key{t.Address, t.Instance}
+func (pool *Pool) acquire(ctx context.Context, t Target, attempt string, until time.Time) (c *conn, opened bool, end Outcome, err error) {
+	k := hostKey{t.Address, t.Instance}
 	for {
-		c, end := pool.take(k, t.Connections, attempt)
+		c, end := pool.takeIdle(k, t.MaxConnections, attempt)
 		switch {
-		case end != Whole:
-			return nil, false, end, errNoRoom
+		case end != Complete:
+			return nil, false, end, errConnectionLimit
 		case c == nil:
 			c, end, err := pool.dial(ctx, k, until)
-			return c, end == Whole, end, err
+			return c, end == Complete, end, err
 		case calls.Quiet(c.TCPConn):
 			pool.mu.Lock()
 			pool.counts.Reused++
 			pool.mu.Unlock()
-			pool.equip(c)
-			return c, false, Whole, nil
+			pool.attachReader(c)
+			return c, false, Complete, nil
 		}
-		pool.stale(c)
+		pool.closeStale(c)
 	}
 }
 
-// take takes an idle connection out, or notes that one is coming up (nil, Whole).
-func (pool *Pool) take(k key, limit int, attempt string) (*conn, End) {
+// takeIdle takes an idle connection out, or notes that one is coming up (nil, Whole).
+func (pool *Pool) takeIdle(k hostKey, limit int, attempt string) (*conn, Outcome) {
 	var old []*conn
-	defer func() { shut(old) }()
+	defer func() { closeAll(old) }()
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now, hash := time.Now(), attemptHash(attempt)
@@ -142,49 +142,49 @@
 	if h == nil {
 		h = &host{}
 		pool.hosts[k] = h
-		pool.arm(forgetAfter)
+		pool.scheduleSweep(hostRetention)
 	}
-	h.used = now
-	old = pool.expire(h, now, old)
+	h.lastUsedAt = now
+	old = pool.takeExpired(h, now, old)
 	for i := len(h.idle) - 1; i >= 0; i-- {
-		if c := h.idle[i]; attempt == "" || !slices.Contains(c.recent[:], hash) {
+		if c := h.idle[i]; attempt == "" || !slices.Contains(c.recentAttempts[:], hash) {
 			h.idle = slices.Delete(h.idle, i, i+1)
 			pool.counts.Idle--
-			return c, Whole
+			return c, Complete
 		}
 	}
 	var room bool
-	if old, room = pool.makeRoom(h, limit, old); !room {
-		return nil, NoRoom
+	if old, room = pool.evictIdle(h, limit, old); !room {
+		return nil, NoConnection
 	}
-	h.open++
+	h.openCount++
 	pool.counts.Open++
-	return nil, Whole
+	return nil, Complete
 }
 
-// makeRoom takes idle connections out for one that is to come up, where the bound of the endpoint or of the pool is
+// evictIdle takes idle connections out for one that is to come up, where the bound of the endpoint or of the pool is
 // reached, and adds them to old. room is false where there is none to take. Under mu; the caller closes them.
-func (pool *Pool) makeRoom(h *host, limit int, old []*conn) (_ []*conn, room bool) {
-	if limit > 0 && h.open >= limit {
+func (pool *Pool) evictIdle(h *host, limit int, old []*conn) (_ []*conn, room bool) {
+	if limit > 0 && h.openCount >= limit {
 		if len(h.idle) == 0 {
 			return old, false
 		}
 		old = append(old, h.idle[0])
-		pool.unlink(h.idle[0])
+		pool.removeIdle(h.idle[0])
 	}
-	if pool.config.Connections > 0 && pool.counts.Open >= pool.config.Connections {
-		c := pool.oldest()
+	if pool.config.MaxConnections > 0 && pool.counts.Open >= pool.config.MaxConnections {
+		c := pool.longestIdle()
 		if c == nil {
 			return old, false
 		}
-		pool.unlink(c)
+		pool.removeIdle(c)
 		old = append(old, c)
 	}
 	return old, true
 }
 
 // dial opens a connection that take has noted. Any end but Whole says why there is none.
-func (pool *Pool) dial(ctx context.Context, k key, until time.Time) (*conn, End, error) {
+func (pool *Pool) dial(ctx context.Context, k hostKey, until time.Time) (*conn, Outcome, error) {
 	within := min(pool.config.ConnectTimeout, time.Until(until))
 	dctx, cancel := context.WithTimeout(ctx, within)
 	nc, err := pool.dialer.DialContext(dctx, "tcp", k.address)
@@ -193,12 +193,12 @@
 	h := pool.hosts[k]
 	if err != nil {
 		pool.counts.Failed++
-		h.open--
+		h.openCount--
 		pool.counts.Open--
 		pool.mu.Unlock()
 		switch {
 		case ctx.Err() != nil:
-			return nil, ended(ctx, err), err
+			return nil, outcomeOf(ctx, err), err
 		case !time.Now().Before(until):
 			return nil, TimedOut, err
 		}
@@ -209,9 +209,9 @@
 	c := &conn{TCPConn: nc.(*net.TCPConn), key: k, host: h}
 	// An endpoint with no room for it ends it at once: that is better known before a byte is written than after.
 	if !calls.Quiet(c.TCPConn) {
-		pool.drop(c)
-		return nil, ConnectFailed, errEnded
+		pool.closeConn(c)
+		return nil, ConnectFailed, errConnectionEnded
 	}
-	pool.equip(c)
-	return c, Whole, nil
+	pool.attachReader(c)
+	return c, Complete, nil
 }
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -26,32 +26,32 @@
 	p := pool(t)
 	for i := range 5 {
 		r := call(t, p, target, fmt.Sprint(i))
-		assert.Equal(t, r.End, Whole, "%v", r.Err)
-		assert.Equal(t, r.Opened, i == 0)
+		assert.Equal(t, r.Outcome, Complete, "%v", r.Err)
+		assert.Equal(t, r.NewConnection, i == 0)
 	}
 	assert.Equal(t, p.Counts(), Counts{Open: 1, Idle: 1, Opened: 1, Reused: 4})
 	other := target
 	other.Instance = "i-2" // the same address, another instance
-	assert.Assert(t, call(t, p, other, "x").Opened)
+	assert.Assert(t, call(t, p, other, "x").NewConnection)
 	p.Forget(target.Address, target.Instance)
 	open, idle := p.Open(target)
 	assert.Equal(t, open+idle, 0)
-	assert.Assert(t, call(t, p, target, "y").Opened)
+	assert.Assert(t, call(t, p, target, "y").NewConnection)
 }
 
 // TestNotWhereItsLastSendWent: a late second answer to the first send must not be taken for that to the second.
 func TestNotWhereItsLastSendWent(t *testing.T) {
 	target := echoing(t, "")
 	p := pool(t)
-	assert.Equal(t, call(t, p, target, "a").Answer.Field("X-Line"), "0")
-	assert.Equal(t, call(t, p, target, "a").Answer.Field("X-Line"), "1")
-	assert.Equal(t, call(t, p, target, "b").Answer.Field("X-Line"), "1") // the one used last
-	target.Connections = 2
+	assert.Equal(t, call(t, p, target, "a").Response.Get("X-Line"), "0")
+	assert.Equal(t, call(t, p, target, "a").Response.Get("X-Line"), "1")
+	assert.Equal(t, call(t, p, target, "b").Response.Get("X-Line"), "1") // the one used last
+	target.MaxConnections = 2
 	r := call(t, p, target, "b")
-	assert.Equal(t, r.Answer.Field("X-Line"), "0")
-	target.Connections = 1 // as many as there are: it is closed for the new one
+	assert.Equal(t, r.Response.Get("X-Line"), "0")
+	target.MaxConnections = 1 // as many as there are: it is closed for the new one
 	r = call(t, p, target, "b")
-	assert.Equal(t, r.End, Whole)
+	assert.Equal(t, r.Outcome, Complete)
 }
 
 func TestLateExtraAnswer(t *testing.T) {
@@ -70,7 +70,7 @@
 	for i := range 10 {
 		id := fmt.Sprint(i)
 		r := call(t, p, target, id)
-		assert.Equal(t, r.End, Whole)
+		assert.Equal(t, r.Outcome, Complete)
 		assert.Equal(t, string(r.Body), "of "+id)
 	}
 	assert.Equal(t, p.Counts().Opened, uint64(5))
@@ -86,12 +86,12 @@
 			}
 		})
 		p := pool(t)
-		assert.Equal(t, call(t, p, target, "a").End, Whole)
+		assert.Equal(t, call(t, p, target, "a").Outcome, Complete)
 		if _, idle := p.Open(target); idle == 1 {
 			waitNoise(p, target)
 			r := call(t, p, target, "b")
-			assert.Equal(t, r.End, Whole)
-			assert.Assert(t, r.Opened)
+			assert.Equal(t, r.Outcome, Complete)
+			assert.Assert(t, r.NewConnection)
 			assert.Equal(t, p.Counts().Stale, uint64(1))
 		}
 	}
@@ -115,10 +115,10 @@
 			}
 		})
 		p := pool(t)
-		assert.Equal(t, call(t, p, target, "a").End, Whole)
+		assert.Equal(t, call(t, p, target, "a").Outcome, Complete)
 		r := call(t, p, target, "b")
-		assert.Assert(t, r.End == Broken && r.Written && !r.Opened, "%v", r.End)
-		assert.Equal(t, r.Verdict(false), Verdict{Ran: Unknown, Reply: BadGateway, Again: true})
+		assert.Assert(t, r.Outcome == Broken && r.Written && !r.NewConnection, "%v", r.Outcome)
+		assert.Equal(t, r.Disposition(false), Disposition{Execution: ExecutionUnknown, Reply: BadGateway, RetryIdempotent: true})
 	}
 }
 
@@ -135,13 +135,13 @@
 	}
 	for range 2 {
 		r := p.Call(context.Background(), target, q, long)
-		assert.Assert(t, r.End == NotSent && !r.Written && r.Answer == nil)
-		assert.Equal(t, r.Verdict(false), Verdict{Ran: No, Reply: Refuse, Again: true, Once: true, Reuse: KeepConnection})
+		assert.Assert(t, r.Outcome == NotSent && !r.Written && r.Response == nil)
+		assert.Equal(t, r.Disposition(false), Disposition{Execution: NotExecuted, Reply: ServiceUnavailable, RetryIdempotent: true, RetryAny: true, Reuse: KeepConnection})
 		_, idle := p.Open(target)
 		assert.Equal(t, idle, 1) // it is kept
 	}
 	r := p.Call(context.Background(), target, q, long)
-	assert.Equal(t, r.End, Whole)
+	assert.Equal(t, r.Outcome, Complete)
 	assert.Equal(t, p.Counts().Opened, uint64(1))
 	assert.Equal(t, asked, 3)
 }
@@ -153,8 +153,8 @@
 	listener.Close()
 	p := pool(t)
 	r := call(t, p, target, "a")
-	assert.Assert(t, r.End == ConnectFailed && !r.Written)
-	assert.Equal(t, r.Verdict(false).Ran, No)
+	assert.Assert(t, r.Outcome == ConnectFailed && !r.Written)
+	assert.Equal(t, r.Disposition(false).Execution, NotExecuted)
 	assert.Equal(t, p.Counts(), Counts{Failed: 1})
 }
 
@@ -171,22 +171,22 @@
 		})
 	}
 	one, two := slow(), slow()
-	one.Connections = 1
-	p := NewPool(Config{Connections: 2})
+	one.MaxConnections = 1
+	p := NewPool(Config{MaxConnections: 2})
 	defer p.Close()
 	var done sync.WaitGroup
 	sent := make(chan bool)
 	done.Go(func() {
 		q := post("held", "")
 		q.Permit = func() bool { close(sent); return true }
-		assert.Check(t, p.Call(context.Background(), one, q, long).End == Whole)
+		assert.Check(t, p.Call(context.Background(), one, q, long).Outcome == Complete)
 	})
 	<-sent
 	r := call(t, p, one, "b")
-	assert.Assert(t, r.End == NoRoom && !r.Written && r.Verdict(false).Ran == No)
-	assert.Equal(t, call(t, p, two, "c").End, Whole)
+	assert.Assert(t, r.Outcome == NoConnection && !r.Written && r.Disposition(false).Execution == NotExecuted)
+	assert.Equal(t, call(t, p, two, "c").Outcome, Complete)
 	three := slow()
-	assert.Equal(t, call(t, p, three, "d").End, Whole) // the idle one to two gives way
+	assert.Equal(t, call(t, p, three, "d").Outcome, Complete) // the idle one to two gives way
 	open, _ := p.Open(two)
 	assert.Equal(t, open, 0)
 	close(hold)
@@ -200,33 +200,33 @@
 	span := func(target Target) time.Duration {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		c := p.hosts[key{target.Address, target.Instance}].idle[0]
-		return c.expires.Sub(c.since)
+		c := p.hosts[hostKey{target.Address, target.Instance}].idle[0]
+		return c.expiresAt.Sub(c.idleSince)
 	}
 	plain, announcing := echoing(t, ""), echoing(t, "Keep-Alive: timeout=2\r\n")
-	assert.Equal(t, call(t, p, plain, "a").End, Whole)
-	assert.Equal(t, call(t, p, announcing, "a").End, Whole)
+	assert.Equal(t, call(t, p, plain, "a").Outcome, Complete)
+	assert.Equal(t, call(t, p, announcing, "a").Outcome, Complete)
 	assert.Equal(t, span(plain), 8*time.Second)
 	assert.Equal(t, span(announcing), 1600*time.Millisecond)
 
 	// One that the endpoint ended first teaches.
 	p.mu.Lock()
-	h := p.hosts[key{plain.Address, plain.Instance}]
+	h := p.hosts[hostKey{plain.Address, plain.Instance}]
 	c := h.idle[0]
-	c.since = time.Now().Add(-time.Second)
+	c.idleSince = time.Now().Add(-time.Second)
 	c.CloseRead() // reads as its end
 	p.mu.Unlock()
-	assert.Assert(t, call(t, p, plain, "b").Opened)
+	assert.Assert(t, call(t, p, plain, "b").NewConnection)
 	assert.Assert(t, span(plain) >= 800*time.Millisecond && span(plain) < 8*time.Second, "%v", span(plain))
 
 	// What is over its time is closed by the sweep, and not used before that.
 	for _, target := range []Target{plain, announcing} {
 		p.mu.Lock()
-		c := p.hosts[key{target.Address, target.Instance}].idle[0]
-		c.expires = time.Now()
+		c := p.hosts[hostKey{target.Address, target.Instance}].idle[0]
+		c.expiresAt = time.Now()
 		p.mu.Unlock()
 	}
-	assert.Assert(t, call(t, p, announcing, "c").Opened)
+	assert.Assert(t, call(t, p, announcing, "c").NewConnection)
 	p.Sweep()
 	open, _ := p.Open(plain)
 	assert.Equal(t, open, 0)
@@ -245,7 +245,7 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				r := p.Call(ctx, target, post(id, "x"), long)
 				cancel()
-				assert.Check(t, r.End == Whole && r.Answer.AttemptID == id)
+				assert.Check(t, r.Outcome == Complete && r.Response.AttemptID == id)
 			}
 		})
 	}
@@ -281,9 +281,9 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		r := p.Call(context.Background(), target, q, long)
-		if r.End != Whole {
-			b.Fatal(r.End, r.Err)
+		if r.Outcome != Complete {
+			b.Fatal(r.Outcome, r.Err)
 		}
-		p.hosts[key{target.Address, target.Instance}].idle[0].recent = [recentRequests]uint64{}
+		p.hosts[hostKey{target.Address, target.Instance}].idle[0].recentAttempts = [recentAttemptCount]uint64{}
 	}
 }
--- a/internal/tier/upstream/request.go
+++ b/internal/tier/upstream/request.go
@@ -13,29 +13,29 @@
 
 // Request is a request as the client sent it.
 type Request struct {
-	Method    string
-	Target    string // path and query, byte by byte as they came
-	Host      string
-	Header    []Field // as they came, without those that concern one connection
-	AttemptID string  // X-Attempt-Id; empty if there was none
-	Body      [][]byte
-	Deadline  time.Time // what is left until then goes out as X-Deadline-Ms; zero: none
-	Priority  int       // 0 to 9; below 0: the client's own stays
-	Stream    bool      // a success is given piece by piece, whatever its type
-	After     string    // the id above which the ids of events must rise; empty: any
-	Turn      bool      // the request is a turn of a program
-	Unstamped bool      // a success needs no X-Response-Signature: health checks and reports
+	Method        string
+	Target        string // path and query, byte by byte as they came
+	Host          string
+	Header        []Field // as they came, without those that concern one connection
+	AttemptID     string  // X-Attempt-Id; empty if there was none
+	Body          [][]byte
+	Deadline      time.Time // what is left until then goes out as X-Deadline-Ms; zero: none
+	Priority      int       // 0 to 9; below 0: the client's own stays
+	ForceStream   bool      // a success is given piece by piece, whatever its type
+	LastEventID   string    // the id above which the ids of events must rise; empty: any
+	Turn          bool      // the request is a turn of a program
+	AllowUnsigned bool      // a success needs no X-Response-Signature: health checks and reports
 
 	// Permit is asked at the last moment before the first byte is written; false: the call ends as NotSent. Nil: written.
 	Permit func() bool
 }
 
-const copyBody = 32 << 10 // bytes of a body that are copied so that one plain write does
+const maxCopiedBody = 32 << 10 // bytes of a body that are copied so that one plain write does
 
-var errRequest = errors.New("a request that can't be written as it is")
+var errInvalidRequest = errors.New("a request that can't be written as it is")
 
-// replaced reports whether the field is written here rather than passed on, or concerns one connection only.
-func (request *Request) replaced(name string) bool {
+// rewritten reports whether the field is written here rather than passed on, or concerns one connection only.
+func (request *Request) rewritten(name string) bool {
 	switch len(name) {
 	case 2:
 		return strings.EqualFold(name, "TE")
@@ -63,8 +63,8 @@
 	return false
 }
 
-// sound reports whether nothing in the request could be read as the end of a line.
-func (request *Request) sound(t Target) bool {
+// valid reports whether nothing in the request could be read as the end of a line.
+func (request *Request) valid(t Target) bool {
 	if !token(request.Method) || request.Target == "" || !plain(request.Host) || !plain(request.AttemptID) || !plain(t.Instance) {
 		return false
 	}
@@ -86,7 +86,7 @@
 	b = append(append(append(append(b, request.Method...), ' '), request.Target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, request.Host...), "\r\n"...)
 	for _, f := range request.Header {
-		if !request.replaced(f.Name) {
+		if !request.rewritten(f.Name) {
 			b = appendField(b, f.Name, f.Value)
 		}
 	}
@@ -118,7 +118,7 @@
 
 // write sends a request and tells how many bytes of it the system took, and where head is now.
 func write(c net.Conn, head []byte, body [][]byte, size int) (int64, []byte, error) {
-	if size <= copyBody {
+	if size <= maxCopiedBody {
 		for _, part := range body {
 			head = append(head, part...)
 		}
--- a/internal/tier/upstream/seeds_test.go
+++ b/internal/tier/upstream/seeds_test.go
@@ -67,8 +67,8 @@
 func (f fault) careless(p *Pool) func(context.Context, Target, *Request) *Result {
 	return func(ctx context.Context, target Target, q *Request) *Result {
 		r := &Result{}
-		c, opened, end, err := p.get(ctx, target, q.AttemptID, time.Now().Add(long))
-		if r.Opened = opened; end != Whole {
+		c, opened, end, err := p.acquire(ctx, target, q.AttemptID, time.Now().Add(long))
+		if r.NewConnection = opened; end != Complete {
 			return r.end(end, err)
 		}
 		within := long
@@ -77,69 +77,69 @@
 		}
 		c.SetDeadline(time.Now().Add(within))
 		stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-		exchange := &exchange{pool: p, conn: c, ctx: ctx, result: r, stop: stop}
+		exchange := &exchange{pool: p, conn: c, ctx: ctx, result: r, stopCancel: stop}
 		body, size, sent := q.Body, 0, 0
 		for _, part := range body {
 			size += len(part)
 		}
-		if f.keepEarly && size > copyBody {
+		if f.keepEarly && size > maxCopiedBody {
 			body = body[:len(body)/2]
 		}
 		for _, part := range body {
 			sent += len(part)
 		}
 		r.Written = true
-		c.begin(q.AttemptID)
+		c.recordRequest(q.AttemptID)
 		n, _, err := write(c.TCPConn, q.appendHead(nil, target, size, time.Now()), body, sent)
-		if r.connection.bodyDue = err != nil; err != nil {
+		if r.connection.partlyWritten = err != nil; err != nil {
 			r.Written = n > 0
-			return exchange.end(ended(ctx, err), err)
+			return exchange.end(outcomeOf(ctx, err), err)
 		}
 		if f.anyID {
-			a, scratch, err := readHead(c.r, nil) // of whatever comes first
+			a, scratch, err := readHead(c.reader, nil) // of whatever comes first
 			for err == nil && a.Status < 200 {
-				a, scratch, err = readHead(c.r, scratch)
+				a, scratch, err = readHead(c.reader, scratch)
 			}
 			if err != nil {
-				return exchange.end(ended(ctx, unexpected(err)), err)
+				return exchange.end(outcomeOf(ctx, unexpected(err)), err)
 			}
-			r.Answer, r.identified = a, true
-			b := newBody(c.r, a, q.Method)
-			if r.Body, err = b.all(1 << 20); err != nil {
-				return exchange.end(ended(ctx, err), err)
+			r.Response, r.identified = a, true
+			b := newBody(c.reader, a, q.Method)
+			if r.Body, err = b.readAll(1 << 20); err != nil {
+				return exchange.end(outcomeOf(ctx, err), err)
 			}
-			c.answers++
-			return exchange.end(Whole, nil)
+			c.responses++
+			return exchange.end(Complete, nil)
 		}
-		a, err := exchange.head(q)
+		a, err := exchange.readResponseHead(q)
 		if err != nil {
-			return exchange.end(ended(ctx, err), err)
+			return exchange.end(outcomeOf(ctx, err), err)
 		}
-		r.Answer, r.identified = a, true
+		r.Response, r.identified = a, true
 		if a.Status/100 == 2 && a.Signature == "" {
 			return exchange.end(Malformed, errMalformed)
 		}
-		b := newBody(c.r, a, q.Method)
-		if r.unframed = b.framing == byClose; r.unframed && !a.closeNamed {
+		b := newBody(c.reader, a, q.Method)
+		if r.unframed = b.framing == byClose; r.unframed && !a.explicitClose {
 			return exchange.end(Malformed, errMalformed)
 		}
 		if f.anyEnd && r.unframed {
 			for err == nil {
-				r.Body, err = b.more(r.Body)
+				r.Body, err = b.read(r.Body)
 			}
-		} else if a.Events && b.framing == byClose {
-			return exchange.end(Broken, errEnded)
-		} else if r.Body, err = b.all(1 << 20); err != nil {
-			return exchange.end(ended(ctx, err), err)
+		} else if a.IsEventStream && b.framing == byClose {
+			return exchange.end(Broken, errConnectionEnded)
+		} else if r.Body, err = b.readAll(1 << 20); err != nil {
+			return exchange.end(outcomeOf(ctx, err), err)
 		}
-		c.answers++
+		c.responses++
 		if f.keepAnyCount {
-			c.requests = c.answers
+			c.requests = c.responses
 		}
 		if f.keepUnread {
-			c.r.Discard(c.r.Buffered())
+			c.reader.Discard(c.reader.Buffered())
 		}
-		return exchange.end(Whole, nil)
+		return exchange.end(Complete, nil)
 	}
 }
 
@@ -168,7 +168,7 @@
 			w := newWireClient(t)
 			if f.retryBroken {
 				right := w.retry
-				w.retry = func(r *Result) bool { return right(r) || r.End == Broken }
+				w.retry = func(r *Result) bool { return right(r) || r.Outcome == Broken }
 			} else {
 				w.call = f.careless(w.pool)
 			}
--- a/internal/tier/upstream/stream.go
+++ b/internal/tier/upstream/stream.go
@@ -8,21 +8,21 @@
 
 // Stream is the body of an answer as it comes. It is for one goroutine.
 type Stream struct {
-	exchange *exchange
-	body     body
-	answer   *Answer
-	cut      bool // into events
-	events   events
-	raw      []byte
-	err      error // of the body; io.EOF: it is whole
-	end      End
+	exchange    *exchange
+	body        body
+	response    *Response
+	splitEvents bool // into events
+	events      eventSplitter
+	raw         []byte
+	err         error // of the body; io.EOF: it is whole
+	outcome     Outcome
 }
 
 // Next waits for the next piece. io.EOF says that the body has come whole; after any other error it has not, and End
 // tells why.
-func (stream *Stream) Next() (Piece, error) {
-	for stream.end == Streaming {
-		if stream.cut {
+func (stream *Stream) Next() (Event, error) {
+	for stream.outcome == Streaming {
+		if stream.splitEvents {
 			p, ok, sound := stream.events.next()
 			if !sound {
 				stream.close(Malformed, errMalformed)
@@ -32,51 +32,51 @@
 				return p, nil
 			}
 		} else if len(stream.raw) > 0 {
-			p := Piece{Raw: stream.raw}
+			p := Event{Raw: stream.raw}
 			stream.raw = stream.raw[:0]
 			return p, nil
 		}
-		stream.more()
+		stream.read()
 	}
-	return Piece{}, stream.err
+	return Event{}, stream.err
 }
 
-// more reads on, or ends the stream.
-func (stream *Stream) more() {
+// read reads on, or ends the stream.
+func (stream *Stream) read() {
 	if stream.err != nil {
 		switch {
 		case stream.err != io.EOF:
-			stream.close(ended(stream.exchange.ctx, stream.err), stream.err)
-		case stream.cut && stream.events.unfinished():
+			stream.close(outcomeOf(stream.exchange.ctx, stream.err), stream.err)
+		case stream.splitEvents && stream.events.unfinished():
 			stream.close(Malformed, errMalformed)
 		case stream.body.framing == byClose: // a cut would look the same
 			stream.close(Broken, io.ErrUnexpectedEOF)
 		default:
-			stream.end = Whole
-			stream.exchange.conn.answers++
+			stream.outcome = Complete
+			stream.exchange.conn.responses++
 			stream.exchange.finish()
 		}
 		return
 	}
-	if stream.cut {
+	if stream.splitEvents {
 		stream.events.compact()
-		stream.events.buf, stream.err = stream.body.more(stream.events.buf)
+		stream.events.buf, stream.err = stream.body.read(stream.events.buf)
 		return
 	}
-	stream.raw, stream.err = stream.body.more(stream.raw[:0])
+	stream.raw, stream.err = stream.body.read(stream.raw[:0])
 }
 
-// Last reports whether the end of the body has come already, whole: no piece comes but those at hand.
-func (stream *Stream) Last() bool {
-	return stream.end == Whole || stream.end == Streaming && stream.err == io.EOF && stream.body.framing != byClose
+// BodyReceived reports whether the end of the body has come already, whole: no piece comes but those at hand.
+func (stream *Stream) BodyReceived() bool {
+	return stream.outcome == Complete || stream.outcome == Streaming && stream.err == io.EOF && stream.body.framing != byClose
 }
 
-// AtHand reports whether Next gives a piece, or the end, without waiting. The slices of the last piece stay good.
-func (stream *Stream) AtHand() bool {
+// Ready reports whether Next gives a piece, or the end, without waiting. The slices of the last piece stay good.
+func (stream *Stream) Ready() bool {
 	switch {
-	case stream.end != Streaming || stream.err != nil:
+	case stream.outcome != Streaming || stream.err != nil:
 		return true
-	case !stream.cut:
+	case !stream.splitEvents:
 		return len(stream.raw) > 0
 	}
 	rest := stream.events.buf[stream.events.begin:]
@@ -99,18 +99,18 @@
 	}
 }
 
-// End tells how the stream ended; Streaming while it hasn't.
-func (stream *Stream) End() End { return stream.end }
+// Outcome tells how the stream ended; Streaming while it hasn't.
+func (stream *Stream) Outcome() Outcome { return stream.outcome }
 
 // Close ends a stream that isn't at its end, and its connection, as Abandoned.
 func (stream *Stream) Close() {
-	if stream.end == Streaming {
-		stream.close(Abandoned, context.Canceled)
+	if stream.outcome == Streaming {
+		stream.close(Canceled, context.Canceled)
 	}
 }
 
 // close ends the stream and its call.
-func (stream *Stream) close(end End, err error) {
-	stream.end, stream.err = end, err
+func (stream *Stream) close(end Outcome, err error) {
+	stream.outcome, stream.err = end, err
 	stream.exchange.finish()
 }
--- a/internal/tier/upstream/unframed_test.go
+++ b/internal/tier/upstream/unframed_test.go
@@ -21,10 +21,10 @@
 			l.reset()
 		})
 		r := pool(t).Call(context.Background(), target, post("a", body), long)
-		if r.connection.bodyDue {
+		if r.connection.partlyWritten {
 			due++
 		}
-		assert.Assert(t, r.Verdict(false).Reply != PassOn, "%v %q", r.End, r.Body)
+		assert.Assert(t, r.Disposition(false).Reply != ForwardResponse, "%v %q", r.Outcome, r.Body)
 	}
 	assert.Assert(t, due > 0, "no write failed")
 }
--- a/internal/tier/upstream/wire_test.go
+++ b/internal/tier/upstream/wire_test.go
@@ -267,7 +267,7 @@
 
 // observed is what a client would have of a call.
 type observed struct {
-	reply Reply
+	reply ClientReply
 	body  string
 	whole bool
 }
@@ -318,13 +318,13 @@
 		}()
 	}
 	r := w.call(&overContext{inner, cause}, w.ep.target, wireRequest(id, size))
-	got := observed{body: string(r.Body), whole: r.End == Whole}
+	got := observed{body: string(r.Body), whole: r.Outcome == Complete}
 	if r.Stream != nil {
 		pieces, err := pieces(r.Stream)
 		got.body, got.whole = strings.Join(pieces, ""), err == io.EOF
 	}
-	got.reply = r.Verdict(r.Stream != nil && got.body != "").Reply
-	if got.reply != PassOn {
+	got.reply = r.Disposition(r.Stream != nil && got.body != "").Reply
+	if got.reply != ForwardResponse {
 		got.whole = false
 		if r.Stream == nil {
 			got.body = ""
@@ -344,11 +344,11 @@
 		return fmt.Sprintf("bytes that are not its own answer's: %q", got.body)
 	case got.whole && !f.complete(sent, how):
 		return "an answer that was not whole looks whole"
-	case got.reply == Refuse && !(f.notRun && f.complete(sent, how)) && arrivals > 0:
+	case got.reply == ServiceUnavailable && !(f.notRun && f.complete(sent, how)) && arrivals > 0:
 		return "a promise that it has not run"
 	case arrivals > 1 && !(f.notRun && f.complete(sent, how)):
 		return fmt.Sprintf("reached endpoints %d times", arrivals)
-	case got.reply == PassOn && !got.whole:
+	case got.reply == ForwardResponse && !got.whole:
 		return "passed on though not whole"
 	}
 	return ""
@@ -372,7 +372,7 @@
 	after, r := w.send(next, 4, nil)
 	// The endpoint may have ended a connection just as the next request was sent: that one may have run, for all its sender
 	// knows. Such connections come to an end.
-	for n := 0; r.Written && !r.Opened && r.End == Broken && n < 10; n++ {
+	for n := 0; r.Written && !r.NewConnection && r.Outcome == Broken && n < 10; n++ {
 		next = fmt.Sprintf("%c%s", 'a'+n, name)
 		after, r = w.send(next, 4, nil)
 	}
@@ -389,7 +389,7 @@
 
 func newWireClient(t *testing.T) *wireClient {
 	p := pool(t)
-	return &wireClient{t: t, pool: p, ep: newStandIn(t), retry: func(r *Result) bool { return r.Verdict(false).Retry(false) },
+	return &wireClient{t: t, pool: p, ep: newStandIn(t), retry: func(r *Result) bool { return r.Disposition(false).MayRetry(false) },
 		call: func(ctx context.Context, target Target, q *Request) *Result { return p.Call(ctx, target, q, long) }}
 }
 
