--- a/cmd/saffronyard/background.go
+++ b/cmd/saffronyard/background.go
@@ -22,13 +22,13 @@
 // behind is the work behind the messages.
 type behind struct {
 	features *features.Features
-	keeper   *undelivered.Keeper // nil: nothing is kept
+	keeper   *undelivered.LazyStore // nil: nothing is kept
 	engine   *resend.Engine
 	runner   atomic.Pointer[worker.Runner]
 
 	stop    context.CancelFunc
 	mu      sync.Mutex
-	last    work.Facts
+	last    work.LoadSignals
 	closing sync.Once
 }
 
@@ -45,7 +45,7 @@
 	began := time.Now()
 	b.engine = &resend.Engine{Rules: b.features.Undelivered.Rules(), Store: b.keeper.Store,
 		Clock: func() time.Duration { return time.Since(began) }, Wall: func() time.Time { return time.Now().UTC() }, Window: c.KeyWindow}
-	b.keeper.Ended = b.engine.Ended
+	b.keeper.OnResendEnd = b.engine.RecordResendEnd
 	return b.engine
 }
 
@@ -71,7 +71,7 @@
 		kinds = append(kinds, snapshots(s.Background(), c.Knowledge.Every))
 	}
 	r, err := worker.Start(worker.Config{Settings: b.settings(b.features), Path: filepath.Join(folder, "work.db"), Bytes: w.Bytes, Targets: w.Pressure(),
-		Facts: b.facts, Workers: w.Workers, Slow: w.Slow.D()}, kinds, log)
+		Load: b.facts, Workers: w.Workers, SlowSlice: w.Slow.D()}, kinds, log)
 	if err != nil {
 		stop()
 		return err
@@ -83,9 +83,9 @@
 // settings are the file's; resends are tried for as long as it takes, as the store says what is left to do.
 func (b *behind) settings(f *features.Features) work.Settings {
 	set := f.Work.Settings()
-	for _, name := range []string{resend.Look, resend.Member, resend.Expire, snapshotKind} {
+	for _, name := range []string{resend.FindMembersKind, resend.ResendKind, resend.ExpireKind, snapshotKind} {
 		k := set.Kinds[name]
-		k.Retry = work.Retry{First: 200 * time.Millisecond, Most: 10 * time.Second, Ratio: 0.1, Credit: 100}
+		k.Retry = work.Retry{InitialBackoff: 200 * time.Millisecond, MaxBackoff: 10 * time.Second, Ratio: 0.1, Credit: 100}
 		set.Kinds[name] = k
 	}
 	return set
@@ -95,13 +95,13 @@
 const snapshotKind = "knowledge.snapshot"
 
 func snapshots(s *sender.Background, every time.Duration) *worker.Kind {
-	return &worker.Kind{Name: snapshotKind, Memory: true, Repeat: true,
+	return &worker.Kind{Name: snapshotKind, Volatile: true, Idempotent: true,
 		Slice: func(ctx context.Context, _ worker.Task) (worker.Result, error) {
 			n, err := s.Snapshot(ctx)
 			return worker.Result{Used: work.Cost{work.DiskWrite: int64(n)}}, err
 		},
 		Timer: &worker.Timer{Schedule: work.Schedule{Every: every, Missed: work.MissedOnce},
-			Job: worker.New{Kind: snapshotKind, Owner: "knowledge", Priority: work.Low, Lock: snapshotKind, Resource: "state folder", Slice: work.Cost{work.DiskWrite: 4096}}}}
+			Job: worker.JobSpec{Kind: snapshotKind, Owner: "knowledge", Priority: work.Low, Lock: snapshotKind, Resource: "state folder", SliceCost: work.Cost{work.DiskWrite: 4096}}}}
 }
 
 // look asks the sender how busy it is, time and again.
@@ -117,7 +117,7 @@
 		asked := time.Now()
 		f, err := s.Facts(ctx)
 		if err != nil { // it does not even answer
-			f = work.Facts{TurnLate: time.Since(asked)}
+			f = work.LoadSignals{TurnLate: time.Since(asked)}
 		}
 		b.mu.Lock()
 		b.last = f
@@ -125,7 +125,7 @@
 	}
 }
 
-func (b *behind) facts() work.Facts {
+func (b *behind) facts() work.LoadSignals {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.last
--- a/cmd/saffronyard/main.go
+++ b/cmd/saffronyard/main.go
@@ -195,12 +195,12 @@
 			if folder == "" {
 				folder = filepath.Join(c.State, "undelivered")
 			}
-			k := undelivered.NewKeeper(folder, undelivered.Limits{Bytes: u.Bytes, Age: u.Age.D()})
+			k := undelivered.NewLazyStore(folder, undelivered.Limits{MaxBytes: u.Bytes, MaxAge: u.Age.D()})
 			defer k.Close()
 			c.Recorder = k
 			if f.Work != nil {
 				background = &behind{features: f, keeper: k}
-				k.ByWork(background.engineOf(c))
+				k.SetResender(background.engineOf(c))
 			}
 			go func() { // without it the sender goes on, and the command line gets no answer
 				if err := k.Serve(ctx); err != nil {
--- a/cmd/saffronyard/resend_test.go
+++ b/cmd/saffronyard/resend_test.go
@@ -52,7 +52,7 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	s, err := undelivered.Open(filepath.Join(folder, undelivered.FileName), undelivered.Limits{Bytes: 1 << 24})
+	s, err := undelivered.Open(filepath.Join(folder, undelivered.FileName), undelivered.Limits{MaxBytes: 1 << 24})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,11 +60,11 @@
 	now := time.Now()
 	var all []undelivered.Entry
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		for _, how := range []undelivered.Outcome{undelivered.Refused, undelivered.TimedOut} {
+		for _, how := range []undelivered.Outcome{undelivered.Rejected, undelivered.TimedOut} {
 			for i := range each {
 				id := fmt.Sprintf("%s-%s-%d", class, strings.ReplaceAll(string(how), " ", "-"), i)
-				e := undelivered.Entry{Message: id, Member: "acme", Class: class, Key: "key-" + id, Body: []byte("body of " + id), How: undelivered.GivenUp,
-					Effect: undelivered.Effect(class), Taken: now.Add(-time.Hour).UnixNano(), Ended: now.Add(-time.Hour + time.Duration(len(all))*time.Millisecond).UnixNano(), Deadline: now.Add(-time.Hour).UnixNano(),
+				e := undelivered.Entry{Message: id, Member: "acme", Class: class, Key: "key-" + id, Body: []byte("body of " + id), Ending: undelivered.GivenUp,
+					Effect: undelivered.Effect(class), AcceptedAt: now.Add(-time.Hour).UnixNano(), EndedAt: now.Add(-time.Hour + time.Duration(len(all))*time.Millisecond).UnixNano(), Deadline: now.Add(-time.Hour).UnixNano(),
 					Attempts: []undelivered.Attempt{{At: now.Add(-time.Hour).UnixNano(), Endpoint: "s-0", Outcome: how}}}
 				e.Reason = undelivered.ReasonOf(e.History())
 				all = append(all, e)
@@ -72,7 +72,7 @@
 			}
 		}
 	}
-	if err := s.Keep(all, now.UnixNano()); err != nil {
+	if err := s.Record(all, now.UnixNano()); err != nil {
 		t.Fatal(err)
 	}
 	return ids
--- a/cmd/saffronyard/undelivered.go
+++ b/cmd/saffronyard/undelivered.go
@@ -65,7 +65,7 @@
 		fmt.Fprintln(errs, err)
 		return 1
 	}
-	filter := undelivered.Filter{Member: *member, Class: *class, Most: *most}
+	filter := undelivered.Filter{Member: *member, Class: *class, Limit: *most}
 	var err error
 	if *reason != "" {
 		if filter.Reason, err = undelivered.ParseReason(*reason); err != nil {
@@ -100,7 +100,7 @@
 	}
 	var from undelivered.Source
 	if *file != "" {
-		store, err := undelivered.OpenCopy(*file)
+		store, err := undelivered.OpenReadOnly(*file)
 		if err != nil {
 			return fail(err)
 		}
@@ -132,7 +132,7 @@
 		err = countEntries(from, *asJSON, out)
 	case "settle":
 		for _, k := range keys {
-			if err = from.Settle(k, *by, *why, now.UnixNano()); err != nil {
+			if err = from.Resolve(k, *by, *why, now.UnixNano()); err != nil {
 				break
 			}
 			fmt.Fprintln(out, k, "settled")
@@ -176,7 +176,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tENDED (UTC)\tMEMBER\tDEST\tCLASS\tREASON\tTRIES\tSTATE")
 	err := from.List(f, func(k undelivered.Key, e undelivered.Entry) bool {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\n", k, when(e.Ended), e.Member, e.Destination, e.Class, e.Reason, len(e.Attempts), e.State)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\n", k, when(e.EndedAt), e.Member, e.Destination, e.Class, e.Reason, len(e.Attempts), e.State)
 		return true
 	})
 	return errors.Join(err, w.Flush())
@@ -202,19 +202,19 @@
 			return fmt.Errorf("entry %s is not there", k)
 		}
 		fmt.Fprintf(out, "%s\n  message      %s\n  member       %s, destination %d\n  class        %s (%s)\n  reason       %s\n  taken on     %s\n  ended        %s (%s)\n  deadline     %s\n  body         %d bytes\n",
-			k, e.Message, e.Member, e.Destination, e.Class, e.Effect, e.Reason, when(e.Taken), when(e.Ended), e.How, when(e.Deadline), len(e.Body))
+			k, e.Message, e.Member, e.Destination, e.Class, e.Effect, e.Reason, when(e.AcceptedAt), when(e.EndedAt), e.Ending, when(e.Deadline), len(e.Body))
 		if e.Key != "" {
 			fmt.Fprintf(out, "  key          %s\n", e.Key)
 		}
 		for _, a := range e.Attempts {
 			ran := "it never ran"
-			if a.Outcome.Ran() {
+			if a.Outcome.MayHaveRun() {
 				ran = "it may have run"
 			}
 			fmt.Fprintf(out, "  attempt      %s  %s  %s: %s\n", when(a.At), a.Endpoint, a.Outcome, ran)
 		}
-		if e.State == undelivered.Settled {
-			fmt.Fprintf(out, "  settled      %s by %s: %s\n", when(e.When), e.By, e.Why)
+		if e.State == undelivered.Resolved {
+			fmt.Fprintf(out, "  settled      %s by %s: %s\n", when(e.ResolvedAt), e.ResolvedBy, e.Resolution)
 		}
 	}
 	return nil
@@ -223,7 +223,7 @@
 // resendEntries has entries go again, or says what would become of them.
 func resendEntries(from *undelivered.Remote, f undelivered.Filter, dry, stop bool, out io.Writer) error {
 	if !dry {
-		n, err := from.Want(f, !stop)
+		n, err := from.RequestResend(f, !stop)
 		if err == nil && stop {
 			fmt.Fprintf(out, "%d are stopped\n", n)
 		} else if err == nil {
@@ -232,8 +232,8 @@
 		return err
 	}
 	goes, stays := 0, map[string]int{}
-	err := from.Plans(f, func(p undelivered.Plan) {
-		if p.Goes {
+	err := from.Plans(f, func(p undelivered.ResendPlan) {
+		if p.WillResend {
 			goes++
 		} else {
 			stays[p.Why]++
@@ -261,7 +261,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tREASON\tKEPT\tDROPPED")
 	for _, c := range t.Counts {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", c.Member, c.Reason, c.Kept, c.Dropped)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", c.Member, c.Reason, c.Stored, c.Dropped)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/cmd/saffronyard/undelivered_test.go
+++ b/cmd/saffronyard/undelivered_test.go
@@ -62,7 +62,7 @@
 		}
 	}
 	all := wait(3)
-	if all[0].Message != "a" || all[0].Reason != undelivered.RepeatUnlawful || all[0].Body != nil {
+	if all[0].Message != "a" || all[0].Reason != undelivered.ReasonUnsafeRetry || all[0].Body != nil {
 		t.Errorf("%+v", all[0])
 	}
 	if info, err := os.Stat(filepath.Join(folder, undelivered.SocketName)); err != nil || info.Mode().Perm() != 0o600 {
@@ -111,7 +111,7 @@
 	if err := os.WriteFile(copied, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got := list("-store", copied); len(got) != 2 || got[0].State != undelivered.Settled {
+	if got := list("-store", copied); len(got) != 2 || got[0].State != undelivered.Resolved {
 		t.Errorf("%+v", got)
 	}
 	start(t, p, state, "-features", file)
--- a/cmd/saffronyard/work.go
+++ b/cmd/saffronyard/work.go
@@ -107,7 +107,7 @@
 			return fmt.Errorf("there is no such job")
 		}
 		j := r.Jobs[0]
-		fmt.Fprintf(out, "job %d: %s of %s, %s, %s %s\n%d slices done, %d failures in a row %s\n", j.ID, j.Kind, j.Owner, j.Priority, j.State, j.Why, j.Slices, j.Fails, j.Err)
+		fmt.Fprintf(out, "job %d: %s of %s, %s, %s %s\n%d slices done, %d failures in a row %s\n", j.ID, j.Kind, j.Owner, j.Priority, j.State, j.Reason, j.SlicesDone, j.Failures, j.Err)
 		for i, v := range j.Used {
 			if v > 0 {
 				fmt.Fprintf(out, "used %s: %d\n", work.Currency(i), v)
@@ -115,9 +115,9 @@
 		}
 		return nil
 	}
-	fmt.Fprintf(out, "%d jobs, %d run; live traffic leaves %.0f%% of the budget", r.Held, r.Running, 100*r.Allow)
+	fmt.Fprintf(out, "%d jobs, %d run; live traffic leaves %.0f%% of the budget", r.JobCount, r.Running, 100*r.Allowance)
 	if r.Worst != "" {
-		fmt.Fprintf(out, " (%s at %.2f of what is wanted)", r.Worst, r.Over)
+		fmt.Fprintf(out, " (%s at %.2f of what is wanted)", r.Worst, r.WorstRatio)
 	}
 	fmt.Fprintln(out)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
@@ -131,7 +131,7 @@
 	}
 	fmt.Fprintln(w, "\nJOB\tKIND\tOWNER\tPRIORITY\tSTATE\tWHY\tREADY FOR\tSLICES\tERROR")
 	for _, j := range r.Jobs {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.60s\n", j.ID, j.Kind, j.Owner, j.Priority, j.State, j.Why, millis(j.ForMS), j.Slices, j.Err)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.60s\n", j.ID, j.Kind, j.Owner, j.Priority, j.State, j.Reason, millis(j.ForMS), j.SlicesDone, j.Err)
 	}
 	return w.Flush()
 }
--- a/internal/features/work.go
+++ b/internal/features/work.go
@@ -72,7 +72,7 @@
 	t, usual := &w.Targets, work.DefaultTargets()
 	set(&t.TurnLate, tomlfile.Span(usual.TurnLate))
 	set(&t.Calls, usual.Calls)
-	set(&t.Held, usual.Held)
+	set(&t.Held, usual.Pending)
 	set(&t.Journal, usual.Journal)
 	set(&t.DiskLatency, tomlfile.Span(usual.DiskLatency))
 	for _, n := range []struct {
@@ -190,7 +190,7 @@
 // Pressure is what live work is to have.
 func (w *Work) Pressure() work.Targets {
 	t := w.Targets
-	return work.Targets{TurnLate: t.TurnLate.D(), Calls: t.Calls, Held: t.Held, Journal: t.Journal, DiskLatency: t.DiskLatency.D()}
+	return work.Targets{TurnLate: t.TurnLate.D(), Calls: t.Calls, Pending: t.Held, Journal: t.Journal, DiskLatency: t.DiskLatency.D()}
 }
 
 func (w *Work) lines() []string {
@@ -261,8 +261,8 @@
 	var rules []undelivered.Rule
 	for i := range u.Resend {
 		r := &u.Resend[i]
-		rule := undelivered.Rule{Name: r.Name, Members: r.Members, Classes: r.Classes, WellFor: r.WellFor.D(), ByHand: r.ByHand, Share: r.Share,
-			Newest: r.Newest, Most: r.Most, Age: r.Age.D(), Deadline: r.Deadline.D(), Drop: r.Then == "drop"}
+		rule := undelivered.Rule{Name: r.Name, Members: r.Members, Classes: r.Classes, HealthyFor: r.WellFor.D(), ManualOnly: r.ByHand, RateFraction: r.Share,
+			NewestFirst: r.Newest, MaxResends: r.Most, MaxAge: r.Age.D(), Deadline: r.Deadline.D(), DropExhausted: r.Then == "drop"}
 		for _, name := range r.Reasons {
 			rule.Reasons = append(rule.Reasons, undelivered.Reason(name))
 		}
--- a/internal/features/work_test.go
+++ b/internal/features/work_test.go
@@ -50,7 +50,7 @@
 		t.Errorf("%+v", p)
 	}
 	rules := f.Undelivered.Rules()
-	if len(rules) != 2 || rules[0].From != time.Hour || rules[0].Reasons[1] != undelivered.LastTimedOut || rules[0].Most != 3 || rules[0].WellFor != 30*time.Second || !rules[1].Drop || rules[1].Share != 0.5 {
+	if len(rules) != 2 || rules[0].From != time.Hour || rules[0].Reasons[1] != undelivered.ReasonTimedOut || rules[0].MaxResends != 3 || rules[0].HealthyFor != 30*time.Second || !rules[1].DropExhausted || rules[1].RateFraction != 0.5 {
 		t.Errorf("%+v", rules)
 	}
 	if lines := strings.Join(f.Lines(), "\n"); !strings.Contains(lines, "50 calls a second") || !strings.Contains(lines, "rule all: sent again once") || !strings.Contains(lines, "from 22:00 to 05:30, UTC") {
--- a/internal/resend/resend.go
+++ b/internal/resend/resend.go
@@ -22,25 +22,25 @@
 type Sender interface {
 	// Receivers is what is known of destinations now.
 	Receivers(ctx context.Context) (map[uint32]undelivered.Receiver, error)
-	// Again takes a message on; an error says that it did not.
-	Again(ctx context.Context, e undelivered.Entry, deadline time.Duration) error
-	// Held is the messages that went again and have not been booked as ended.
-	Held(ctx context.Context) (map[string]bool, error)
+	// Resend takes a message on; an error says that it did not.
+	Resend(ctx context.Context, e undelivered.Entry, deadline time.Duration) error
+	// InFlight is the messages that went again and have not been booked as ended.
+	InFlight(ctx context.Context) (map[string]bool, error)
 }
 
 // Kinds of work.
 const (
-	Look   = "resend.look" // finds members of whom something is kept
-	Member = "resend"      // has one member's messages go
-	Expire = "undelivered.expire"
+	FindMembersKind = "resend.look" // finds members of whom something is kept
+	ResendKind      = "resend"      // has one member's messages go
+	ExpireKind      = "undelivered.expire"
 )
 
 const (
-	page       = 200              // entries looked at in one slice
-	againAfter = 30 * time.Second // those that may not go are looked at again so often
-	handed     = 28 * time.Second // what is sent by hand may take so long, where no rule says otherwise
-	handShare  = 0.5
-	expireMost = 500 // entries dropped in one slice
+	pageSize           = 200              // entries looked at in one slice
+	recheckInterval    = 30 * time.Second // those that may not go are looked at again so often
+	manualDeadline     = 28 * time.Second // what is sent by hand may take so long, where no rule says otherwise
+	manualRateFraction = 0.5
+	expireBatch        = 500 // entries dropped in one slice
 )
 
 // Engine has messages go again.
@@ -55,28 +55,28 @@
 
 	mu         sync.Mutex
 	reconciled bool
-	gates      map[uint32]*undelivered.Gate
-	active     map[string]bool // members who have a job
-	asked      []string        // those for whom the last look made one
-	passed     map[string]passed
-	changes    int // something ended, was wanted by hand, or the rules are others: what was passed over is looked at again
+	pacers     map[uint32]*undelivered.Pacer
+	scheduled  map[string]bool // members who have a job
+	requested  []string        // those for whom the last look made one
+	positions  map[string]position
+	generation int // something ended, was wanted by hand, or the rules are others: what was passed over is looked at again
 }
 
-// passed is how far a member's entries were looked at, none of which could go.
-type passed struct {
-	after   undelivered.Key
-	at      time.Duration
-	changes int // as there had been then
+// position is how far a member's entries were looked at, none of which could go.
+type position struct {
+	after      undelivered.Key
+	scannedAt  time.Duration
+	generation int // as there had been then
 }
 
-// Ended is told of each message that went again, as it has ended.
-func (e *Engine) Ended(x *undelivered.Entry) {
+// RecordResendEnd is told of each message that went again, as it has ended.
+func (e *Engine) RecordResendEnd(x *undelivered.Entry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if g := e.gates[x.Destination]; g != nil {
-		g.Ended(x.How == undelivered.Delivered)
+	if g := e.pacers[x.Destination]; g != nil {
+		g.RecordResult(x.Ending == undelivered.Delivered)
 	}
-	e.changes++
+	e.generation++
 }
 
 // SetRules changes the rules in service. What is on its way goes on; what has not gone yet goes by the new ones.
@@ -84,7 +84,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Rules = rules
-	e.changes++
+	e.generation++
 }
 
 func (e *Engine) rules() []undelivered.Rule {
@@ -95,23 +95,23 @@
 
 // Kinds are the kinds of work that it does.
 func (e *Engine) Kinds() []*run.Kind {
-	e.gates, e.active, e.passed = map[uint32]*undelivered.Gate{}, map[string]bool{}, map[string]passed{}
+	e.pacers, e.scheduled, e.positions = map[uint32]*undelivered.Pacer{}, map[string]bool{}, map[string]position{}
 	return []*run.Kind{
 		// Memory: the store says what is to be done. Repeat: what was marked is not marked again.
-		{Name: Look, Memory: true, Repeat: true, Slice: e.look, Timer: &run.Timer{Schedule: work.Schedule{Every: time.Second, Missed: work.MissedOnce},
-			Job: run.New{Kind: Look, Owner: "resends", Priority: work.Normal, Lock: Look}}},
-		{Name: Member, Memory: true, Repeat: true, Slice: e.member},
-		{Name: Expire, Memory: true, Repeat: true, Slice: e.expire, Timer: &run.Timer{Schedule: work.Schedule{Every: time.Minute, Missed: work.MissedOnce},
-			Job: run.New{Kind: Expire, Owner: "undelivered", Priority: work.Low, Lock: Expire, Resource: "undelivered store"}}},
+		{Name: FindMembersKind, Volatile: true, Idempotent: true, Slice: e.findMembers, Timer: &run.Timer{Schedule: work.Schedule{Every: time.Second, Missed: work.MissedOnce},
+			Job: run.JobSpec{Kind: FindMembersKind, Owner: "resends", Priority: work.Normal, Lock: FindMembersKind}}},
+		{Name: ResendKind, Volatile: true, Idempotent: true, Slice: e.resendMember},
+		{Name: ExpireKind, Volatile: true, Idempotent: true, Slice: e.expire, Timer: &run.Timer{Schedule: work.Schedule{Every: time.Minute, Missed: work.MissedOnce},
+			Job: run.JobSpec{Kind: ExpireKind, Owner: "undelivered", Priority: work.Low, Lock: ExpireKind, Resource: "undelivered store"}}},
 	}
 }
 
-// look finds members of whom something is kept and who have no job yet.
-func (e *Engine) look(ctx context.Context, t run.Task) (res run.Result, err error) {
-	if t.Fails > 0 { // the jobs that it made last were not taken
+// findMembers finds members of whom something is kept and who have no job yet.
+func (e *Engine) findMembers(ctx context.Context, t run.Task) (res run.Result, err error) {
+	if t.Failures > 0 { // the jobs that it made last were not taken
 		e.mu.Lock()
-		for _, m := range e.asked {
-			delete(e.active, m)
+		for _, m := range e.requested {
+			delete(e.scheduled, m)
 		}
 		e.mu.Unlock()
 	}
@@ -120,7 +120,7 @@
 		return res, err
 	}
 	if !e.isReconciled() {
-		held, err := e.Sender.Held(ctx)
+		held, err := e.Sender.InFlight(ctx)
 		if err != nil {
 			return res, err
 		}
@@ -141,12 +141,12 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked = nil
+	e.requested = nil
 	for _, m := range members {
-		if !e.active[m] {
-			e.active[m] = true
-			e.asked = append(e.asked, m)
-			res.Jobs = append(res.Jobs, run.New{Kind: Member, Owner: m, Priority: work.Normal, Slice: work.Cost{work.Calls: 1}, Resource: "undelivered store"})
+		if !e.scheduled[m] {
+			e.scheduled[m] = true
+			e.requested = append(e.requested, m)
+			res.Jobs = append(res.Jobs, run.JobSpec{Kind: ResendKind, Owner: m, Priority: work.Normal, SliceCost: work.Cost{work.Calls: 1}, Resource: "undelivered store"})
 		}
 	}
 	return res, nil
@@ -158,14 +158,14 @@
 	return e.reconciled
 }
 
-// chosen is a message that may go, and the rule by which it does.
-type chosen struct {
+// candidate is a message that may go, and the rule by which it does.
+type candidate struct {
 	key  undelivered.Key
 	rule *undelivered.Rule
 }
 
-// member has some of one member's messages go.
-func (e *Engine) member(ctx context.Context, t run.Task) (run.Result, error) {
+// resendMember has some of one member's messages go.
+func (e *Engine) resendMember(ctx context.Context, t run.Task) (run.Result, error) {
 	s, err := e.Store()
 	if err != nil {
 		return run.Result{}, err
@@ -176,27 +176,27 @@
 	}
 	now, wall, rules := e.Clock(), e.Wall(), e.rules()
 	e.mu.Lock()
-	from := e.passed[t.Owner]
-	if from.changes != e.changes || now-from.at > againAfter {
-		from = passed{at: now, changes: e.changes}
+	from := e.positions[t.Owner]
+	if from.generation != e.generation || now-from.scannedAt > recheckInterval {
+		from = position{scannedAt: now, generation: e.generation}
 	}
 	e.mu.Unlock()
 
 	var drop []undelivered.Key
-	going := map[uint32][]chosen{}
+	going := map[uint32][]candidate{}
 	last, n := from.after, 0
 	newest := false
-	err = s.List(undelivered.Filter{Member: t.Owner, After: from.after, Most: page}, func(k undelivered.Key, x undelivered.Entry) bool {
+	err = s.List(undelivered.Filter{Member: t.Owner, After: from.after, Limit: pageSize}, func(k undelivered.Key, x undelivered.Entry) bool {
 		n++
-		switch choice, _ := undelivered.Choose(rules, &x, e.Window(x.Class), wall.UnixNano(), x.Hand); choice {
-		case undelivered.GoAgain:
-			rule := undelivered.RuleOf(rules, &x)
-			if x.Hand || rule == nil {
-				rule = &undelivered.Rule{Name: "by hand", Share: handShare, Deadline: handed}
+		switch choice, _ := undelivered.Choose(rules, &x, e.Window(x.Class), wall.UnixNano(), x.ResendRequested); choice {
+		case undelivered.ResendNow:
+			rule := undelivered.FindRule(rules, &x)
+			if x.ResendRequested || rule == nil {
+				rule = &undelivered.Rule{Name: "by hand", RateFraction: manualRateFraction, Deadline: manualDeadline}
 			}
-			newest = newest || rule.Newest
-			going[x.Destination] = append(going[x.Destination], chosen{k, rule})
-		case undelivered.DropIt:
+			newest = newest || rule.NewestFirst
+			going[x.Destination] = append(going[x.Destination], candidate{k, rule})
+		case undelivered.DropEntry:
 			drop = append(drop, k)
 		}
 		last = k
@@ -213,34 +213,34 @@
 	if len(going) == 0 { // none of these may go: the next ones are looked at, and at the end it rests
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if n == page {
-			e.passed[t.Owner] = passed{last, from.at, from.changes}
+		if n == pageSize {
+			e.positions[t.Owner] = position{last, from.scannedAt, from.generation}
 			return run.Result{More: true}, nil
 		}
-		e.passed[t.Owner] = passed{at: now, changes: from.changes}
-		delete(e.active, t.Owner)
+		e.positions[t.Owner] = position{scannedAt: now, generation: from.generation}
+		delete(e.scheduled, t.Owner)
 		return run.Result{}, nil
 	}
-	res := run.Result{More: true, After: time.Second}
+	res := run.Result{More: true, Delay: time.Second}
 	for dest, list := range going {
 		e.mu.Lock()
-		g := e.gates[dest]
+		g := e.pacers[dest]
 		if g == nil {
-			g = &undelivered.Gate{}
-			e.gates[dest] = g
+			g = &undelivered.Pacer{}
+			e.pacers[dest] = g
 		}
-		may, _, again := g.Pass(now, wall, list[0].rule, receivers[dest])
+		may, _, again := g.Admit(now, wall, list[0].rule, receivers[dest])
 		e.mu.Unlock()
 		if may == 0 {
-			res.After = min(res.After, max(again, 10*time.Millisecond))
+			res.Delay = min(res.Delay, max(again, 10*time.Millisecond))
 			continue
 		}
-		res.After = min(res.After, 50*time.Millisecond)
+		res.Delay = min(res.Delay, 50*time.Millisecond)
 		pick := list[:min(may, len(list))]
 		if newest {
 			pick = list[len(list)-min(may, len(list)):]
 		}
-		sent, err := e.send(ctx, s, pick)
+		sent, err := e.handOver(ctx, s, pick)
 		res.Used[work.Calls] += int64(sent)
 		res.Used[work.Syncs]++
 		if err != nil {
@@ -250,28 +250,28 @@
 	return res, nil
 }
 
-// send marks entries of one destination, hands them over, and takes the mark back from those that the sender does not take.
-func (e *Engine) send(ctx context.Context, s *undelivered.Store, pick []chosen) (sent int, err error) {
+// handOver marks entries of one destination, hands them over, and takes the mark back from those that the sender does not take.
+func (e *Engine) handOver(ctx context.Context, s *undelivered.Store, pick []candidate) (sent int, err error) {
 	var keys []undelivered.Key
 	for _, c := range pick {
 		keys = append(keys, c.key)
 	}
-	begun, err := s.Begin(keys)
+	begun, err := s.BeginResend(keys)
 	if err != nil {
 		return 0, err
 	}
 	var back []undelivered.Key
 	for i := range begun {
 		x := begun[i]
-		if err := e.Sender.Again(ctx, x, pick[0].rule.Deadline); err != nil {
+		if err := e.Sender.Resend(ctx, x, pick[0].rule.Deadline); err != nil {
 			e.Log.Debug("a kept message does not go again now", "message", x.Message, "why", err)
-			back = append(back, undelivered.KeyOf(x.Message, x.Ended))
+			back = append(back, undelivered.KeyOf(x.Message, x.EndedAt))
 			continue
 		}
 		sent++
 	}
 	if len(back) > 0 {
-		err = s.Back(back)
+		err = s.CancelResend(back)
 	}
 	return sent, err
 }
@@ -282,7 +282,7 @@
 	if err != nil {
 		return run.Result{}, err
 	}
-	n, more, err := s.Expire(e.Wall().UnixNano(), expireMost)
+	n, more, err := s.Expire(e.Wall().UnixNano(), expireBatch)
 	if n > 0 {
 		e.Log.Info("undelivered messages are dropped: they are too old", "messages", n)
 	}
@@ -290,22 +290,22 @@
 }
 
 // Plans says of entries what would become of them if an operator had them sent: nothing is changed.
-func (e *Engine) Plans(f undelivered.Filter) ([]undelivered.Plan, error) {
+func (e *Engine) Plans(f undelivered.Filter) ([]undelivered.ResendPlan, error) {
 	s, err := e.Store()
 	if err != nil {
 		return nil, err
 	}
-	plans, rules := []undelivered.Plan{}, e.rules()
+	plans, rules := []undelivered.ResendPlan{}, e.rules()
 	err = s.List(f, func(k undelivered.Key, x undelivered.Entry) bool {
 		c, why := undelivered.Choose(rules, &x, e.Window(x.Class), e.Wall().UnixNano(), true)
-		plans = append(plans, undelivered.Plan{Name: k.String(), Member: x.Member, Goes: c == undelivered.GoAgain, Why: why})
+		plans = append(plans, undelivered.ResendPlan{Name: k.String(), Member: x.Member, WillResend: c == undelivered.ResendNow, Why: why})
 		return true
 	})
 	return plans, err
 }
 
-// Want has entries go again by hand, as far as they may, or takes that back.
-func (e *Engine) Want(f undelivered.Filter, want bool) (n int, err error) {
+// RequestResend has entries go again by hand, as far as they may, or takes that back.
+func (e *Engine) RequestResend(f undelivered.Filter, want bool) (n int, err error) {
 	s, err := e.Store()
 	if err != nil {
 		return 0, err
@@ -314,9 +314,9 @@
 	if err := s.List(f, func(k undelivered.Key, _ undelivered.Entry) bool { keys = append(keys, k); return true }); err != nil {
 		return 0, err
 	}
-	n, err = s.Want(keys, want)
+	n, err = s.RequestResend(keys, want)
 	e.mu.Lock()
-	e.changes++
+	e.generation++
 	e.mu.Unlock()
 	return n, err
 }
--- a/internal/sender/inspect.go
+++ b/internal/sender/inspect.go
@@ -162,7 +162,7 @@
 		return
 	}
 	most, _ := strconv.Atoi(q.Get("most"))
-	v, err := c.Work(work.Filter{ID: work.ID(id), Kind: q.Get("kind"), Owner: q.Get("owner"), State: q.Get("state"), Most: most})
+	v, err := c.Work(work.Filter{ID: work.ID(id), Kind: q.Get("kind"), Owner: q.Get("owner"), State: q.Get("state"), Limit: most})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/sender/lives_test.go
+++ b/internal/sender/lives_test.go
@@ -65,7 +65,7 @@
 		leavesMessage(t, c, old, func(*journal) {})
 	}, func(s *Sender) {
 		go func() {
-			again <- s.Background().Again(t.Context(), undelivered.Entry{Message: "x", Member: "acme", Class: "unsafe", How: undelivered.GivenUp, Effect: undelivered.Unsafe}, 10*time.Second)
+			again <- s.Background().Resend(t.Context(), undelivered.Entry{Message: "x", Member: "acme", Class: "unsafe", Ending: undelivered.GivenUp, Effect: undelivered.Unsafe}, 10*time.Second)
 		}()
 		for over := time.Now().Add(st.Wait); len(s.events) == 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(over) {
--- a/internal/sender/recorder.go
+++ b/internal/sender/recorder.go
@@ -11,13 +11,13 @@
 // Recorder keeps messages that were not delivered. It is told of an end only after that stands in the journal, and
 // each end until it has said once that it keeps it: an end that it has seen before changes nothing.
 type Recorder interface {
-	// Keep puts ends where they outlast the process. It may take its time: it is not called by the loop.
-	Keep(entries []undelivered.Entry, now int64) error
-	// Missed counts ends that were not offered, by member and reason.
-	Missed(counts map[[2]string]int64) error
-	// HandedIn tells of messages that clients handed in under a key, by member and key: one that is kept under it is its
+	// Record puts ends where they outlast the process. It may take its time: it is not called by the loop.
+	Record(entries []undelivered.Entry, now int64) error
+	// RecordDropped counts ends that were not offered, by member and reason.
+	RecordDropped(counts map[[2]string]int64) error
+	// ResolveResubmitted tells of messages that clients handed in under a key, by member and key: one that is kept under it is its
 	// client's again.
-	HandedIn(keys [][2]string) error
+	ResolveResubmitted(keys [][2]string) error
 }
 
 const (
@@ -67,15 +67,15 @@
 			return
 		}
 		for pause, told := recordAgain, false; ; pause = min(2*pause, recordPause) {
-			err := b.to.Missed(o.missed)
+			err := b.to.RecordDropped(o.missed)
 			if err == nil {
 				o.missed = nil
-				if err = b.to.HandedIn(o.handed); err == nil {
+				if err = b.to.ResolveResubmitted(o.handed); err == nil {
 					o.handed = nil
 				}
 			}
 			if err == nil {
-				err = b.to.Keep(o.entries, time.Now().UnixNano())
+				err = b.to.Record(o.entries, time.Now().UnixNano())
 			}
 			if err == nil {
 				break
@@ -102,7 +102,7 @@
 	case brain.Errored:
 		return undelivered.Errored
 	case brain.Refused:
-		return undelivered.Refused
+		return undelivered.Rejected
 	case brain.TimedOut:
 		return undelivered.TimedOut
 	case brain.ConnectFailed:
@@ -183,12 +183,12 @@
 // entry is a message that has ended, for the recorder.
 func (s *Sender) entry(m *stored) undelivered.Entry {
 	e := undelivered.Entry{Message: m.ID, Member: m.Tenant, Class: m.Class, Destination: m.Dest, Key: m.Key, Order: m.Order, Body: m.Body,
-		How: undelivered.GivenUp, Answered: m.how == answered, Lives: m.Life, Ended: int64(m.at), Deadline: int64(m.Deadline), Effect: undelivered.Unsafe}
+		Ending: undelivered.GivenUp, EndedInResponse: m.how == answered, Resends: m.Life, EndedAt: int64(m.at), Deadline: int64(m.Deadline), Effect: undelivered.Unsafe}
 	switch m.how {
 	case handedBack:
-		e.How = undelivered.HandedBack
+		e.Ending = undelivered.HandedBack
 	case delivered:
-		e.How = undelivered.Delivered
+		e.Ending = undelivered.Delivered
 	}
 	if m.Event != nil {
 		e.Event = m.Event.AppendHead(nil)
@@ -202,7 +202,7 @@
 		case brain.Keyed:
 			e.Effect = undelivered.Keyed
 		}
-		e.Taken = int64(m.Deadline - c.Deadline)
+		e.AcceptedAt = int64(m.Deadline - c.Deadline)
 	}
 	for _, t := range m.Tries {
 		a := undelivered.Attempt{At: int64(t.At), Endpoint: t.Endpoint, Outcome: undelivered.Outcome(t.Out)}
--- a/internal/sender/recorder_test.go
+++ b/internal/sender/recorder_test.go
@@ -30,7 +30,7 @@
 	return &memoryRecorder{kept: map[string]undelivered.Entry{}, missed: map[[2]string]int64{}}
 }
 
-func (r *memoryRecorder) Keep(entries []undelivered.Entry, _ int64) error {
+func (r *memoryRecorder) Record(entries []undelivered.Entry, _ int64) error {
 	if r.hold != nil {
 		<-r.hold
 	}
@@ -47,9 +47,9 @@
 	return nil
 }
 
-func (r *memoryRecorder) HandedIn([][2]string) error { return nil }
+func (r *memoryRecorder) ResolveResubmitted([][2]string) error { return nil }
 
-func (r *memoryRecorder) Missed(counts map[[2]string]int64) error {
+func (r *memoryRecorder) RecordDropped(counts map[[2]string]int64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k, n := range counts {
@@ -89,10 +89,10 @@
 	until(t, func() bool { _, ok := r.get("lost"); return ok })
 	e, _ := r.get("lost")
 	if e.Member != "acme" || e.Class != "unsafe" || e.Effect != undelivered.Unsafe || e.Destination != 0 || e.Key != "key-lost" || string(e.Body) != "body of lost" ||
-		e.Reason != undelivered.RepeatUnlawful || len(e.Attempts) != 1 || e.Attempts[0].Outcome != undelivered.Reset || e.Attempts[0].Endpoint != "s-0" || e.Ended < e.Attempts[0].At || e.Answered {
+		e.Reason != undelivered.ReasonUnsafeRetry || len(e.Attempts) != 1 || e.Attempts[0].Outcome != undelivered.Reset || e.Attempts[0].Endpoint != "s-0" || e.EndedAt < e.Attempts[0].At || e.EndedInResponse {
 		t.Errorf("%+v", e)
 	}
-	if may, _ := undelivered.MayGoAgain(e.History(), time.Hour, time.Now().UnixNano()); may != undelivered.Never {
+	if may, _ := undelivered.MayResend(e.History(), time.Hour, time.Now().UnixNano()); may != undelivered.Forbidden {
 		t.Error("it may go again")
 	}
 	id := handEvent(t, addr, "1", "unsafe", 202).Header.Get("X-Request-Id")
@@ -130,7 +130,7 @@
 		defer r.mu.Unlock()
 		all := int64(len(r.kept))
 		for who, n := range r.missed {
-			if who != [2]string{"acme", string(undelivered.RepeatUnlawful)} {
+			if who != [2]string{"acme", string(undelivered.ReasonUnsafeRetry)} {
 				t.Fatalf("missed %v", who)
 			}
 			all += n
@@ -148,7 +148,7 @@
 const storeOp = "store"
 
 func (l storeLog) Keep(entries []undelivered.Entry, now int64) error {
-	if err := l.Recorder.Keep(entries, now); err != nil {
+	if err := l.Recorder.Record(entries, now); err != nil {
 		return err
 	}
 	for _, e := range entries {
@@ -164,7 +164,7 @@
 	const n = 3
 	log := &diskLog{}
 	e := st.NewEndpoint(t, st.Reset)
-	store := undelivered.NewKeeper(t.TempDir(), undelivered.Limits{})
+	store := undelivered.NewLazyStore(t.TempDir(), undelivered.Limits{})
 	s := newTest(t, st.NewPlatform(t, e.Addr), records(storeLog{store, log}))
 	s.journal.file = &loggedJournal{s.journal.file, log, s.journal.size}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -195,7 +195,7 @@
 				t.Parallel()
 				state, folder := t.TempDir(), t.TempDir()
 				var raw []byte
-				kept := undelivered.NewKeeper(folder, undelivered.Limits{})
+				kept := undelivered.NewLazyStore(folder, undelivered.Limits{})
 				t.Cleanup(func() { kept.Close() })
 				for i, op := range ops[:min(len(ops), cut+1)] {
 					data := op.data
@@ -206,7 +206,7 @@
 						data = data[:len(data)/2]
 					}
 					if op.file == storeOp {
-						if err := kept.Keep([]undelivered.Entry{entryOf(t, raw, string(data), s)}, 0); err != nil {
+						if err := kept.Record([]undelivered.Entry{entryOf(t, raw, string(data), s)}, 0); err != nil {
 							t.Fatal(err)
 						}
 						continue
--- a/internal/sender/resendpart.go
+++ b/internal/sender/resendpart.go
@@ -102,7 +102,7 @@
 }
 
 // Facts is how busy live work is.
-func (b *Background) Facts(ctx context.Context) (f work.Facts, err error) {
+func (b *Background) Facts(ctx context.Context) (f work.LoadSignals, err error) {
 	err = b.within(ctx, func(p *backgroundPart, _ time.Duration) []brain.Event {
 		s := p.s
 		f.TurnLate, f.DiskLatency = p.turnLate, p.took
@@ -110,7 +110,7 @@
 			f.Calls = float64(s.out) / float64(n)
 		}
 		if n := s.c.Settings.MostHeld; n > 0 {
-			f.Held = float64(s.held) / float64(n)
+			f.Pending = float64(s.held) / float64(n)
 		}
 		if s.journal.budget > 0 {
 			f.Journal = float64(s.journal.live) * 2 / float64(s.journal.budget)
@@ -120,9 +120,9 @@
 	return f, err
 }
 
-// Held is the messages that went again and that the sender still has: out, waiting, or ended and not yet with the
+// InFlight is the messages that went again and that the sender still has: out, waiting, or ended and not yet with the
 // recorder.
-func (b *Background) Held(ctx context.Context) (held map[string]bool, err error) {
+func (b *Background) InFlight(ctx context.Context) (held map[string]bool, err error) {
 	held = map[string]bool{}
 	err = b.within(ctx, func(p *backgroundPart, _ time.Duration) []brain.Event {
 		for id, m := range p.s.journal.byID {
@@ -145,7 +145,7 @@
 			ready[uint32(e.Line.Destination)] = ready[uint32(e.Line.Destination)] || e.Line.Ready
 		}
 		for dest, ok := range ready { // one of which nothing is known is well, as far as anybody can say
-			all[dest] = undelivered.Receiver{Well: ok, For: math.MaxInt64}
+			all[dest] = undelivered.Receiver{Healthy: ok, HealthyFor: math.MaxInt64}
 		}
 		for _, f := range s.knownNow(now) {
 			r, ok := all[f.Destination]
@@ -154,11 +154,11 @@
 			}
 			switch {
 			case f.Sort == knowledge.Wait && now < f.Until:
-				r.Well, r.For = false, 0
+				r.Healthy, r.HealthyFor = false, 0
 			case f.Sort == knowledge.Health && f.State == knowledge.Out:
-				r.Well, r.For = false, 0
+				r.Healthy, r.HealthyFor = false, 0
 			case f.Sort == knowledge.Health:
-				r.For = min(r.For, max(0, now-f.Since))
+				r.HealthyFor = min(r.HealthyFor, max(0, now-f.Since))
 				r.Rate += f.Rate
 			}
 			all[f.Destination] = r
@@ -170,7 +170,7 @@
 				continue
 			}
 			if m.Life > 0 {
-				r.Out++
+				r.InFlight++
 			} else if len(m.calls) == 0 {
 				r.Waiting++
 			}
@@ -189,9 +189,9 @@
 	return 0
 }
 
-// Again takes a kept message on once more, as its next life: it passes the journal and the module as any. An error says that it
+// Resend takes a kept message on once more, as its next life: it passes the journal and the module as any. An error says that it
 // was not taken, and why; nothing of it is left then.
-func (b *Background) Again(ctx context.Context, e undelivered.Entry, deadline time.Duration) error {
+func (b *Background) Resend(ctx context.Context, e undelivered.Entry, deadline time.Duration) error {
 	var refused error
 	err := b.within(ctx, func(p *backgroundPart, now time.Duration) []brain.Event {
 		var ev brain.Event
@@ -223,7 +223,7 @@
 		return nil, fmt.Errorf("destination %d does not exist any more", e.Destination)
 	}
 	// Asked again at the moment of taking it on: between the choice and this lie a write to the store and the loop's queue.
-	if v, why := undelivered.MayGoAgain(e.History(), s.c.Settings.Classes[class].KeyWindow, int64(now)); v == undelivered.Never {
+	if v, why := undelivered.MayResend(e.History(), s.c.Settings.Classes[class].KeyWindow, int64(now)); v == undelivered.Forbidden {
 		return nil, errors.New(why)
 	}
 	if e.Key != "" {
@@ -237,7 +237,7 @@
 		return nil, errors.New("the room for messages is half taken")
 	}
 	rec := record{ID: e.Message, Key: e.Key, Class: e.Class, Tenant: e.Member, Dest: e.Destination, Deadline: now + deadline, Body: e.Body,
-		Life: e.Lives + 1, Before: len(e.Attempts)}
+		Life: e.Resends + 1, Before: len(e.Attempts)}
 	if len(e.Event) > 0 {
 		ev, err := cloudevents.ReadHead(e.Event)
 		if err != nil {
@@ -246,7 +246,7 @@
 		rec.Event = ev
 	}
 	for _, a := range e.Attempts {
-		rec.Tries = append(rec.Tries, try{At: time.Duration(a.At), Endpoint: a.Endpoint, Never: !a.Outcome.Ran(), Out: string(a.Outcome)})
+		rec.Tries = append(rec.Tries, try{At: time.Duration(a.At), Endpoint: a.Endpoint, Never: !a.Outcome.MayHaveRun(), Out: string(a.Outcome)})
 	}
 	rec.ruled(s.c.Settings.Classes[class])
 	st, err := s.journal.put(rec)
--- a/internal/undelivered/again.go
+++ b/internal/undelivered/again.go
@@ -8,13 +8,13 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Begin marks entries as about to be handed to the sender again, before they are; those that are no longer there, or not
+// BeginResend marks entries as about to be handed to the sender again, before they are; those that are no longer there, or not
 // just kept, are left out of what it gives back.
-func (s *Store) Begin(keys []Key) (begun []Entry, err error) {
+func (s *Store) BeginResend(keys []Key) (begun []Entry, err error) {
 	err = s.update(func(tx *bolt.Tx) error {
 		begun = nil
 		for _, k := range keys {
-			e, ok, err := s.mark(tx, k, Kept, Resending)
+			e, ok, err := s.setState(tx, k, Stored, Resending)
 			if err != nil {
 				return err
 			}
@@ -30,14 +30,14 @@
 	return begun, nil
 }
 
-// Want notes that an operator wants entries to go again, or does no longer; how many that changed.
-func (s *Store) Want(keys []Key, want bool) (n int, err error) {
+// RequestResend notes that an operator wants entries to go again, or does no longer; how many that changed.
+func (s *Store) RequestResend(keys []Key, want bool) (n int, err error) {
 	err = s.update(func(tx *bolt.Tx) error {
 		n = 0
 		for _, k := range keys {
-			_, ok, err := change(tx, k, func(e *Entry) bool {
-				differs := e.Hand != want && e.State == Kept
-				e.Hand = want
+			_, ok, err := updateEntry(tx, k, func(e *Entry) bool {
+				differs := e.ResendRequested != want && e.State == Stored
+				e.ResendRequested = want
 				return differs
 			})
 			if err != nil {
@@ -70,11 +70,11 @@
 	return members, nil
 }
 
-// Back marks entries as kept again that the sender has not taken.
-func (s *Store) Back(keys []Key) error {
+// CancelResend marks entries as kept again that the sender has not taken.
+func (s *Store) CancelResend(keys []Key) error {
 	err := s.update(func(tx *bolt.Tx) error {
 		for _, k := range keys {
-			if _, _, err := s.mark(tx, k, Resending, Kept); err != nil {
+			if _, _, err := s.setState(tx, k, Resending, Stored); err != nil {
 				return err
 			}
 		}
@@ -86,17 +86,17 @@
 	return nil
 }
 
-// mark changes an entry's state; ok is whether it was there, in the state that it is to be in before.
-func (s *Store) mark(tx *bolt.Tx, key Key, from, to State) (e Entry, ok bool, err error) {
-	return change(tx, key, func(e *Entry) bool {
+// setState changes an entry's state; ok is whether it was there, in the state that it is to be in before.
+func (s *Store) setState(tx *bolt.Tx, key Key, from, to State) (e Entry, ok bool, err error) {
+	return updateEntry(tx, key, func(e *Entry) bool {
 		was := e.State
 		e.State = to
 		return was == from
 	})
 }
 
-// change changes what does not stand in an index; f says whether the entry is to be written. ok is whether it was.
-func change(tx *bolt.Tx, key Key, f func(*Entry) bool) (e Entry, ok bool, err error) {
+// updateEntry changes what does not stand in an index; f says whether the entry is to be written. ok is whether it was.
+func updateEntry(tx *bolt.Tx, key Key, f func(*Entry) bool) (e Entry, ok bool, err error) {
 	raw := tx.Bucket(bucketEntries).Get(key[:])
 	if raw == nil {
 		return e, false, nil
@@ -120,10 +120,10 @@
 
 // Reconcile marks those as kept again that were about to be handed to the sender as an earlier process ended, and that its
 // journal does not hold. It is called before anything is handed over in this process.
-func (s *Store) Reconcile(held map[string]bool) (n int, err error) {
+func (s *Store) Reconcile(inFlight map[string]bool) (n int, err error) {
 	var back []Key
 	err = s.List(Filter{}, func(k Key, e Entry) bool {
-		if e.State == Resending && !held[e.Message] {
+		if e.State == Resending && !inFlight[e.Message] {
 			back = append(back, k)
 		}
 		return true
@@ -131,11 +131,11 @@
 	if err != nil {
 		return 0, err
 	}
-	return len(back), s.Back(back)
+	return len(back), s.CancelResend(back)
 }
 
-// HandedIn settles entries whose member's client has handed in another message under the same key: it is the client's again.
-func (s *Store) HandedIn(keys [][2]string, now int64) error {
+// ResolveResubmitted settles entries whose member's client has handed in another message under the same key: it is the client's again.
+func (s *Store) ResolveResubmitted(keys [][2]string, now int64) error {
 	var found []Key
 	err := s.view(func(tx *bolt.Tx) error {
 		b := tx.Bucket(bucketKeys)
@@ -144,7 +144,7 @@
 		}
 		c := b.Cursor()
 		for _, k := range keys {
-			prefix := join(k[0], k[1])
+			prefix := indexKey(k[0], k[1])
 			for at, _ := c.Seek(prefix); bytes.HasPrefix(at, prefix) && len(at) == len(prefix)+16; at, _ = c.Next() {
 				found = append(found, Key(at[len(prefix):]))
 			}
@@ -155,13 +155,13 @@
 		return fmt.Errorf("undelivered: %w", err)
 	}
 	for _, k := range found {
-		if e, ok, err := s.Get(k); err != nil || !ok || e.State != Kept {
+		if e, ok, err := s.Get(k); err != nil || !ok || e.State != Stored {
 			if err != nil {
 				return err
 			}
 			continue
 		}
-		if err := s.Settle(k, "client", "its client has handed it in anew", now); err != nil {
+		if err := s.Resolve(k, "client", "its client has handed it in anew", now); err != nil {
 			return err
 		}
 	}
--- a/internal/undelivered/audit.go
+++ b/internal/undelivered/audit.go
@@ -14,7 +14,7 @@
 type Count struct {
 	Member  string `json:"member"`
 	Reason  Reason `json:"reason"`
-	Kept    int64  `json:"kept"`
+	Stored  int64  `json:"kept"`
 	Dropped int64  `json:"dropped"`
 }
 
@@ -51,7 +51,7 @@
 		err := tx.Bucket(bucketPairs).ForEach(func(k, _ []byte) error {
 			member, reason, err := split(k)
 			if err == nil {
-				add(member, reason).Kept++
+				add(member, reason).Stored++
 			}
 			return err
 		})
@@ -86,8 +86,8 @@
 			if err := json.Unmarshal(raw, &e); err != nil {
 				return fmt.Errorf("entry %x: %w", k, err)
 			}
-			if want := KeyOf(e.Message, e.Ended); !bytes.Equal(k, want[:]) {
-				return fmt.Errorf("entry %x is message %s, which ended at %d", k, e.Message, e.Ended)
+			if want := KeyOf(e.Message, e.EndedAt); !bytes.Equal(k, want[:]) {
+				return fmt.Errorf("entry %x is message %s, which ended at %d", k, e.Message, e.EndedAt)
 			}
 			if !bytes.Equal(tx.Bucket(bucketMessages).Get([]byte(e.Message)), k) {
 				return fmt.Errorf("entry %x: message %s is not listed", k, e.Message)
@@ -96,7 +96,7 @@
 			size += int64(len(raw))
 			t := members[e.Member]
 			members[e.Member] = [2]int64{t[0] + 1, t[1] + int64(len(raw))}
-			return indexes(tx, &e, func(b *bolt.Bucket, prefix []byte) error {
+			return forEachIndex(tx, &e, func(b *bolt.Bucket, prefix []byte) error {
 				if b.Get(append(prefix, k...)) == nil {
 					return fmt.Errorf("entry %x is not in the index %q", k, prefix)
 				}
--- a/internal/undelivered/bounds.go
+++ b/internal/undelivered/bounds.go
@@ -12,15 +12,15 @@
 )
 
 // Expire drops what is too old, so many at most; more says that there is more of it.
-func (s *Store) Expire(now int64, most int) (n int, more bool, err error) {
-	if s.limits.Age <= 0 {
+func (s *Store) Expire(now int64, limit int) (n int, more bool, err error) {
+	if s.limits.MaxAge <= 0 {
 		return 0, false, nil
 	}
 	err = s.update(func(tx *bolt.Tx) error {
 		n, more = 0, false
 		c := tx.Bucket(bucketEntries).Cursor()
-		for k, _ := c.First(); k != nil && int64(binary.BigEndian.Uint64(k)) <= now-int64(s.limits.Age); k, _ = c.First() {
-			if n == most {
+		for k, _ := c.First(); k != nil && int64(binary.BigEndian.Uint64(k)) <= now-int64(s.limits.MaxAge); k, _ = c.First() {
+			if n == limit {
 				more = true
 				return nil
 			}
@@ -72,7 +72,7 @@
 	if err := tx.Bucket(bucketMessages).Delete([]byte(e.Message)); err != nil {
 		return e, err
 	}
-	if err := indexes(tx, &e, func(b *bolt.Bucket, prefix []byte) error { return b.Delete(append(prefix, key...)) }); err != nil {
+	if err := forEachIndex(tx, &e, func(b *bolt.Bucket, prefix []byte) error { return b.Delete(append(prefix, key...)) }); err != nil {
 		return e, err
 	}
 	return e, count(tx, e.Member, -1, -size)
@@ -88,12 +88,12 @@
 }
 
 func countDropped(tx *bolt.Tx, member string, reason Reason, n int64) error {
-	b, name := tx.Bucket(bucketDropped), join(member, string(reason))
+	b, name := tx.Bucket(bucketDropped), indexKey(member, string(reason))
 	return b.Put(name, boltfile.Number(boltfile.Value(b.Get(name))+n))
 }
 
-// Missed counts messages that could not even be offered.
-func (s *Store) Missed(counts map[[2]string]int64) error {
+// RecordDropped counts messages that could not even be offered.
+func (s *Store) RecordDropped(counts map[[2]string]int64) error {
 	if len(counts) == 0 {
 		return nil
 	}
@@ -111,18 +111,18 @@
 	return nil
 }
 
-// retain drops what is too old, and, while there are too many bytes, the oldest of the member that is furthest over an
+// enforceLimits drops what is too old, and, while there are too many bytes, the oldest of the member that is furthest over an
 // even share of them: one member's flood costs that member.
-func (s *Store) retain(tx *bolt.Tx, now int64) error {
-	if s.limits.Age > 0 && !s.expires {
+func (s *Store) enforceLimits(tx *bolt.Tx, now int64) error {
+	if s.limits.MaxAge > 0 && !s.expiredByResender {
 		c := tx.Bucket(bucketEntries).Cursor()
-		for k, _ := c.First(); k != nil && int64(binary.BigEndian.Uint64(k)) <= now-int64(s.limits.Age); k, _ = c.First() {
+		for k, _ := c.First(); k != nil && int64(binary.BigEndian.Uint64(k)) <= now-int64(s.limits.MaxAge); k, _ = c.First() {
 			if err := drop(tx, k); err != nil {
 				return err
 			}
 		}
 	}
-	for s.limits.Bytes > 0 && boltfile.Value(tx.Bucket(bucketMeta).Get(keyBytes)) > s.limits.Bytes {
+	for s.limits.MaxBytes > 0 && boltfile.Value(tx.Bucket(bucketMeta).Get(keyBytes)) > s.limits.MaxBytes {
 		var member []byte
 		most := int64(-1)
 		err := tx.Bucket(bucketTotals).ForEach(func(k, v []byte) error {
@@ -134,7 +134,7 @@
 		if err != nil {
 			return err
 		}
-		prefix := join(string(member))
+		prefix := indexKey(string(member))
 		k, _ := tx.Bucket(bucketMembers).Cursor().Seek(prefix)
 		if !bytes.HasPrefix(k, prefix) {
 			return fmt.Errorf("the totals name member %q, of whom there is nothing", member)
--- a/internal/undelivered/entry.go
+++ b/internal/undelivered/entry.go
@@ -13,44 +13,44 @@
 
 // The states.
 const (
-	Kept    State = "kept"
-	Settled State = "settled" // by hand
+	Stored   State = "kept"
+	Resolved State = "settled" // by hand
 	// Resending is one that was handed to the sender again, or is about to be. Until it has ended it is the journal's.
 	Resending State = "resending"
 )
 
 // Entry is one message that was not delivered.
 type Entry struct {
-	Message     string          `json:"message"` // its id
-	Member      string          `json:"member"`
-	Class       string          `json:"class"`
-	Effect      Effect          `json:"effect"`
-	Ordered     bool            `json:"ordered,omitempty"`
-	Destination uint32          `json:"destination"`
-	Key         string          `json:"key,omitempty"`
-	Order       string          `json:"order,omitempty"`
-	Event       json.RawMessage `json:"event,omitempty"` // attributes, of one that came as an event
-	Body        []byte          `json:"body,omitempty"`
-	How         string          `json:"how"`
-	Answered    bool            `json:"answered,omitempty"` // it ended in the answer to its hand-in
-	Reason      Reason          `json:"reason"`
-	Taken       int64           `json:"taken"` // Unix nanoseconds
-	Ended       int64           `json:"ended"`
-	Deadline    int64           `json:"deadline"`
-	Attempts    []Attempt       `json:"attempts,omitempty"`
+	Message         string          `json:"message"` // its id
+	Member          string          `json:"member"`
+	Class           string          `json:"class"`
+	Effect          Effect          `json:"effect"`
+	Ordered         bool            `json:"ordered,omitempty"`
+	Destination     uint32          `json:"destination"`
+	Key             string          `json:"key,omitempty"`
+	Order           string          `json:"order,omitempty"`
+	Event           json.RawMessage `json:"event,omitempty"` // attributes, of one that came as an event
+	Body            []byte          `json:"body,omitempty"`
+	Ending          string          `json:"how"`
+	EndedInResponse bool            `json:"answered,omitempty"` // it ended in the answer to its hand-in
+	Reason          Reason          `json:"reason"`
+	AcceptedAt      int64           `json:"taken"` // Unix nanoseconds
+	EndedAt         int64           `json:"ended"`
+	Deadline        int64           `json:"deadline"`
+	Attempts        []Attempt       `json:"attempts,omitempty"`
 
-	State State  `json:"state"`
-	Lives int    `json:"lives,omitempty"` // times that it went again
-	Hand  bool   `json:"hand,omitempty"`  // an operator wants it to go again
-	Began int64  `json:"began,omitempty"` // of one that went again: when it ended first; Unix nanoseconds
-	By    string `json:"by,omitempty"`    // who settled it
-	Why   string `json:"why,omitempty"`   // and why
-	When  int64  `json:"when,omitempty"`  // Unix nanoseconds
+	State           State  `json:"state"`
+	Resends         int    `json:"lives,omitempty"` // times that it went again
+	ResendRequested bool   `json:"hand,omitempty"`  // an operator wants it to go again
+	FirstEndedAt    int64  `json:"began,omitempty"` // of one that went again: when it ended first; Unix nanoseconds
+	ResolvedBy      string `json:"by,omitempty"`    // who settled it
+	Resolution      string `json:"why,omitempty"`   // and why
+	ResolvedAt      int64  `json:"when,omitempty"`  // Unix nanoseconds
 }
 
 // History is what is asked of an entry.
 func (e *Entry) History() History {
-	return History{How: e.How, Answered: e.Answered, Taken: e.Taken, Ended: e.Ended, Deadline: e.Deadline, Effect: e.Effect, Ordered: e.Ordered, Key: e.Key, Attempts: e.Attempts}
+	return History{Ending: e.Ending, EndedInResponse: e.EndedInResponse, AcceptedAt: e.AcceptedAt, EndedAt: e.EndedAt, Deadline: e.Deadline, Effect: e.Effect, Ordered: e.Ordered, Key: e.Key, Attempts: e.Attempts}
 }
 
 // Key names an entry in the store.
--- a/internal/undelivered/query.go
+++ b/internal/undelivered/query.go
@@ -20,10 +20,10 @@
 	Since       int64 // ended at or after; Unix nanoseconds
 	Until       int64 // ended before
 	After       Key   // entries behind this one, in the order of their ends
-	Most        int   // so many; 0: all
+	Limit       int   // so many; 0: all
 }
 
-func (f *Filter) holds(e *Entry) bool {
+func (f *Filter) matches(e *Entry) bool {
 	return (f.Member == "" || f.Member == e.Member) && (f.Reason == "" || f.Reason == e.Reason) && (f.Class == "" || f.Class == e.Class) &&
 		(f.Destination == nil || *f.Destination == e.Destination)
 }
@@ -32,15 +32,15 @@
 func (f *Filter) index() (bucket, prefix []byte) {
 	switch {
 	case f.Member != "" && f.Reason != "":
-		return bucketPairs, join(f.Member, string(f.Reason))
+		return bucketPairs, indexKey(f.Member, string(f.Reason))
 	case f.Member != "":
-		return bucketMembers, join(f.Member)
+		return bucketMembers, indexKey(f.Member)
 	case f.Destination != nil:
-		return bucketDestinations, join(fmt.Sprint(*f.Destination))
+		return bucketDestinations, indexKey(fmt.Sprint(*f.Destination))
 	case f.Class != "":
-		return bucketClasses, join(f.Class)
+		return bucketClasses, indexKey(f.Class)
 	case f.Reason != "":
-		return bucketReasons, join(string(f.Reason))
+		return bucketReasons, indexKey(string(f.Reason))
 	}
 	return bucketEntries, nil
 }
@@ -69,10 +69,10 @@
 			if err := json.Unmarshal(entries.Get(key[:]), &e); err != nil {
 				return fmt.Errorf("entry %s: %w", key, err)
 			}
-			if !f.holds(&e) {
+			if !f.matches(&e) {
 				continue
 			}
-			if n++; !do(key, e) || f.Most > 0 && n >= f.Most {
+			if n++; !do(key, e) || f.Limit > 0 && n >= f.Limit {
 				return nil
 			}
 		}
@@ -99,21 +99,21 @@
 	return e, ok, nil
 }
 
-// Settle marks an entry as dealt with by hand: who, why and when stand in its record.
-func (s *Store) Settle(key Key, by, why string, now int64) error {
+// Resolve marks an entry as dealt with by hand: who, why and when stand in its record.
+func (s *Store) Resolve(key Key, by, why string, now int64) error {
 	if by == "" || why == "" {
 		return errors.New("undelivered: settling needs who does so and why")
 	}
 	err := s.update(func(tx *bolt.Tx) error {
 		var refused error
-		_, ok, err := change(tx, key, func(e *Entry) bool {
+		_, ok, err := updateEntry(tx, key, func(e *Entry) bool {
 			switch e.State {
 			case Resending:
 				refused = fmt.Errorf("entry %s is on its way", key)
-			case Settled:
-				refused = fmt.Errorf("entry %s was settled by %s at %s", key, e.By, time.Unix(0, e.When).UTC().Format(time.RFC3339))
+			case Resolved:
+				refused = fmt.Errorf("entry %s was settled by %s at %s", key, e.ResolvedBy, time.Unix(0, e.ResolvedAt).UTC().Format(time.RFC3339))
 			}
-			e.State, e.By, e.Why, e.When = Settled, by, why, now
+			e.State, e.ResolvedBy, e.Resolution, e.ResolvedAt = Resolved, by, why, now
 			return refused == nil
 		})
 		if err == nil && refused == nil && !ok {
--- a/internal/undelivered/reason.go
+++ b/internal/undelivered/reason.go
@@ -24,7 +24,7 @@
 const (
 	Unknown       Outcome = "unknown"
 	Errored       Outcome = "errored"
-	Refused       Outcome = "refused"
+	Rejected      Outcome = "refused"
 	TimedOut      Outcome = "timed out"
 	ConnectFailed Outcome = "connect failed"
 	Reset         Outcome = "reset"
@@ -32,10 +32,10 @@
 	NotSent       Outcome = "not sent"
 )
 
-// Ran is whether an attempt that ended so may have run. Refused, ConnectFailed and NotSent prove that it never did.
-func (o Outcome) Ran() bool {
+// MayHaveRun is whether an attempt that ended so may have run. Refused, ConnectFailed and NotSent prove that it never did.
+func (o Outcome) MayHaveRun() bool {
 	switch o {
-	case Refused, ConnectFailed, NotSent:
+	case Rejected, ConnectFailed, NotSent:
 		return false
 	}
 	return true
@@ -60,21 +60,21 @@
 
 // The reasons, in the order in which they are tried: the first that fits is the one.
 const (
-	NotComeAgain   Reason = "handed-back"     // handed back to its client, who has not come again
-	NeverSent      Reason = "never-sent"      // failed at once, with no attempt: its client was told so
-	OutOfTime      Reason = "out-of-time"     // its time was over before the first attempt
-	RepeatUnlawful Reason = "repeat-unlawful" // it had time left, and an attempt that may have run forbade another
-	RefusedAll     Reason = "refused"         // every attempt was turned away
-	NoConnection   Reason = "connect-failed"  // no attempt ran, the last for want of a connection
-	LastErrored    Reason = "errored"         // the last attempt that says anything was answered with an error
-	LastTimedOut   Reason = "timed-out"       // or was not answered in time
-	LastReset      Reason = "reset"           // or ended without an answer
-	Undetermined   Reason = "unknown"         // or its end was never written down
+	ReasonHandedBack    Reason = "handed-back"     // handed back to its client, who has not come again
+	ReasonNeverSent     Reason = "never-sent"      // failed at once, with no attempt: its client was told so
+	ReasonExpired       Reason = "out-of-time"     // its time was over before the first attempt
+	ReasonUnsafeRetry   Reason = "repeat-unlawful" // it had time left, and an attempt that may have run forbade another
+	ReasonRejected      Reason = "refused"         // every attempt was turned away
+	ReasonConnectFailed Reason = "connect-failed"  // no attempt ran, the last for want of a connection
+	ReasonErrored       Reason = "errored"         // the last attempt that says anything was answered with an error
+	ReasonTimedOut      Reason = "timed-out"       // or was not answered in time
+	ReasonReset         Reason = "reset"           // or ended without an answer
+	ReasonUnknown       Reason = "unknown"         // or its end was never written down
 )
 
 // Reasons is all of them.
 func Reasons() []Reason {
-	return []Reason{NotComeAgain, NeverSent, OutOfTime, RepeatUnlawful, RefusedAll, NoConnection, LastErrored, LastTimedOut, LastReset, Undetermined}
+	return []Reason{ReasonHandedBack, ReasonNeverSent, ReasonExpired, ReasonUnsafeRetry, ReasonRejected, ReasonConnectFailed, ReasonErrored, ReasonTimedOut, ReasonReset, ReasonUnknown}
 }
 
 // ParseReason reads a reason's name.
@@ -89,87 +89,87 @@
 
 // History is what the reason and the question of another try go by.
 type History struct {
-	How      string // GivenUp or HandedBack
-	Answered bool   // it ended in the answer to its hand-in
-	Taken    int64  // Unix nanoseconds
-	Ended    int64
-	Deadline int64
-	Effect   Effect
-	Ordered  bool
-	Key      string
-	Attempts []Attempt
+	Ending          string // GivenUp or HandedBack
+	EndedInResponse bool   // it ended in the answer to its hand-in
+	AcceptedAt      int64  // Unix nanoseconds
+	EndedAt         int64
+	Deadline        int64
+	Effect          Effect
+	Ordered         bool
+	Key             string
+	Attempts        []Attempt
 }
 
 // ReasonOf finds why a message was not delivered, from what is known of its attempts.
 func ReasonOf(h History) Reason {
-	if h.How == HandedBack {
-		return NotComeAgain
+	if h.Ending == HandedBack {
+		return ReasonHandedBack
 	}
 	if len(h.Attempts) == 0 {
-		if h.Ended >= h.Deadline {
-			return OutOfTime
+		if h.EndedAt >= h.Deadline {
+			return ReasonExpired
 		}
-		return NeverSent
+		return ReasonNeverSent
 	}
 	ran, refused := false, true
 	for _, a := range h.Attempts {
-		ran = ran || a.Outcome.Ran()
-		refused = refused && a.Outcome == Refused
+		ran = ran || a.Outcome.MayHaveRun()
+		refused = refused && a.Outcome == Rejected
 	}
-	if ran && h.Effect != Safe && h.Ended < h.Deadline {
-		return RepeatUnlawful
+	if ran && h.Effect != Safe && h.EndedAt < h.Deadline {
+		return ReasonUnsafeRetry
 	}
 	if refused {
-		return RefusedAll
+		return ReasonRejected
 	}
 	for i := len(h.Attempts) - 1; i >= 0; i-- {
 		switch h.Attempts[i].Outcome {
 		case Errored:
-			return LastErrored
+			return ReasonErrored
 		case TimedOut:
-			return LastTimedOut
+			return ReasonTimedOut
 		case Reset:
-			return LastReset
+			return ReasonReset
 		case ConnectFailed:
 			if !ran {
-				return NoConnection
+				return ReasonConnectFailed
 			}
 		case Unknown:
-			return Undetermined
+			return ReasonUnknown
 		case Cancelled: // called off as it was overdue
-			return LastTimedOut
+			return ReasonTimedOut
 		}
 	}
 	if ran {
-		return Undetermined
+		return ReasonUnknown
 	}
-	return RefusedAll
+	return ReasonRejected
 }
 
-// Verdict is whether a message may go again.
-type Verdict uint8
+// Permission is whether a message may go again.
+type Permission uint8
 
 // The verdicts.
 const (
-	Never Verdict = iota // by nothing; it can be looked at, exported and settled
-	Now                  // it may go now
+	Forbidden Permission = iota // by nothing; it can be looked at, exported and settled
+	Allowed                     // it may go now
 )
 
-// KeyMargin is how long before its key is forgotten a repeat has to be on its way: it still has to be decided on,
+// KeyExpiryMargin is how long before its key is forgotten a repeat has to be on its way: it still has to be decided on,
 // connected and written, as long as a call may take to begin.
-const KeyMargin = 3 * time.Second
+const KeyExpiryMargin = 3 * time.Second
 
-// MayGoAgain is whether a message may be sent again now, and why not. It is the only place that says so: rules choose
+// MayResend is whether a message may be sent again now, and why not. It is the only place that says so: rules choose
 // among what it allows, and nobody else sends. window is how long a receiver remembers a key after the first attempt
 // that may have run; now is Unix nanoseconds.
 //
 // A clock that was set back makes an attempt look younger than it is, never older: where the time since the first
 // attempt is below nothing, or the end lies before it, the key counts as forgotten.
-func MayGoAgain(h History, window time.Duration, now int64) (Verdict, string) {
+func MayResend(h History, window time.Duration, now int64) (Permission, string) {
 	first := int64(0)
 	ran := false
 	for _, a := range h.Attempts {
-		if a.Outcome.Ran() {
+		if a.Outcome.MayHaveRun() {
 			if !ran || a.At < first {
 				first = a.At
 			}
@@ -178,21 +178,21 @@
 	}
 	switch {
 	case h.Ordered:
-		return Never, "its class keeps an order, and what came after it may have gone"
+		return Forbidden, "its class keeps an order, and what came after it may have gone"
 	case !ran:
-		return Now, ""
+		return Allowed, ""
 	case h.Effect == Safe:
-		return Now, ""
+		return Allowed, ""
 	case h.Effect == Keyed && h.Key == "":
-		return Never, "it may have run, and has no key by which the receiver would know it"
-	case h.Effect == Keyed && window <= KeyMargin:
-		return Never, "it may have run, and its key is remembered too shortly"
-	case h.Effect == Keyed && (now < first || now < h.Ended):
-		return Never, "it may have run, and the clock does not say for how long its key has been remembered"
-	case h.Effect == Keyed && now-first < int64(window-KeyMargin):
-		return Now, ""
+		return Forbidden, "it may have run, and has no key by which the receiver would know it"
+	case h.Effect == Keyed && window <= KeyExpiryMargin:
+		return Forbidden, "it may have run, and its key is remembered too shortly"
+	case h.Effect == Keyed && (now < first || now < h.EndedAt):
+		return Forbidden, "it may have run, and the clock does not say for how long its key has been remembered"
+	case h.Effect == Keyed && now-first < int64(window-KeyExpiryMargin):
+		return Allowed, ""
 	case h.Effect == Keyed:
-		return Never, "it may have run, and the receiver may have forgotten its key"
+		return Forbidden, "it may have run, and the receiver may have forgotten its key"
 	}
-	return Never, "it may have run, and its class may not be repeated"
+	return Forbidden, "it may have run, and its class may not be repeated"
 }
--- a/internal/undelivered/reason_test.go
+++ b/internal/undelivered/reason_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-var outcomes = []Outcome{Unknown, Errored, Refused, TimedOut, ConnectFailed, Reset, Cancelled, NotSent}
+var outcomes = []Outcome{Unknown, Errored, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent}
 
 const second = int64(time.Second)
 
@@ -27,17 +27,17 @@
 
 // Every class, every history of up to three attempts, key windows and ages on both sides of them: held against the
 // rule's own words, written down another way.
-func TestMayGoAgainExhaustively(t *testing.T) {
+func TestMayResend_Exhaustively(t *testing.T) {
 	const from = 1000 * second
-	seen := map[Verdict]int{}
+	seen := map[Permission]int{}
 	for _, effect := range []Effect{Safe, Keyed, Unsafe, "new"} {
 		for _, ordered := range []bool{false, true} {
 			for _, key := range []string{"", "k"} {
-				for _, window := range []time.Duration{0, KeyMargin, 7500 * time.Millisecond, time.Hour} {
+				for _, window := range []time.Duration{0, KeyExpiryMargin, 7500 * time.Millisecond, time.Hour} {
 					histories(from, func(tries []Attempt) {
-						for _, age := range []int64{-5 * second, -1, 0, second, 3 * second, 4*second + second/2 - 1, 4*second + second/2, 3600*second - int64(KeyMargin) - 1, 3600*second - int64(KeyMargin), 7200 * second} {
-							h := History{How: GivenUp, Ended: from, Effect: effect, Ordered: ordered, Key: key, Attempts: tries}
-							got, why := MayGoAgain(h, window, from+age)
+						for _, age := range []int64{-5 * second, -1, 0, second, 3 * second, 4*second + second/2 - 1, 4*second + second/2, 3600*second - int64(KeyExpiryMargin) - 1, 3600*second - int64(KeyExpiryMargin), 7200 * second} {
+							h := History{Ending: GivenUp, EndedAt: from, Effect: effect, Ordered: ordered, Key: key, Attempts: tries}
+							got, why := MayResend(h, window, from+age)
 							seen[got]++
 							mayHaveRun, since := false, int64(0)
 							for i, a := range tries {
@@ -45,17 +45,17 @@
 									mayHaveRun, since = true, age-int64(i)*second
 								}
 							}
-							want := Now
+							want := Allowed
 							if mayHaveRun {
-								remembered := effect == Keyed && key != "" && age >= 0 && since >= 0 && since+int64(KeyMargin) < int64(window)
+								remembered := effect == Keyed && key != "" && age >= 0 && since >= 0 && since+int64(KeyExpiryMargin) < int64(window)
 								if effect != Safe && !remembered {
-									want = Never
+									want = Forbidden
 								}
 							}
 							if ordered {
-								want = Never
+								want = Forbidden
 							}
-							if got != want || (why == "") != (got == Now) {
+							if got != want || (why == "") != (got == Allowed) {
 								t.Fatalf("%s, ordered %v, key %q, window %v, age %v, %v: %d %q, want %d", effect, ordered, key, window, time.Duration(age), tries, got, why, want)
 							}
 						}
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	if seen[Now] == 0 || seen[Never] == 0 {
+	if seen[Allowed] == 0 || seen[Forbidden] == 0 {
 		t.Error(seen)
 	}
 }
@@ -76,7 +76,7 @@
 		for _, effect := range []Effect{Safe, Keyed, Unsafe} {
 			for _, ended := range []int64{5 * second, 30 * second} {
 				histories(0, func(tries []Attempt) {
-					r := ReasonOf(History{How: how, Ended: ended, Deadline: 28 * second, Effect: effect, Attempts: tries})
+					r := ReasonOf(History{Ending: how, EndedAt: ended, Deadline: 28 * second, Effect: effect, Attempts: tries})
 					if _, err := ParseReason(string(r)); err != nil {
 						t.Fatal(err)
 					}
@@ -107,18 +107,18 @@
 		h    History
 		want Reason
 	}{
-		{History{How: HandedBack, Attempts: tries(Refused)}, NotComeAgain},
-		{History{How: GivenUp, Ended: 1, Deadline: 5}, NeverSent},
-		{History{How: GivenUp, Ended: 5, Deadline: 5}, OutOfTime},
-		{History{How: GivenUp, Ended: 1, Deadline: 5, Effect: Unsafe, Attempts: tries(Reset)}, RepeatUnlawful},
-		{History{How: GivenUp, Ended: 5, Deadline: 5, Effect: Unsafe, Attempts: tries(Reset)}, LastReset},
-		{History{How: GivenUp, Ended: 1, Deadline: 5, Effect: Safe, Attempts: tries(Errored)}, LastErrored},
-		{History{How: GivenUp, Ended: 5, Deadline: 5, Effect: Keyed, Attempts: tries(Refused, Refused)}, RefusedAll},
-		{History{How: GivenUp, Ended: 5, Deadline: 5, Effect: Keyed, Attempts: tries(Refused, ConnectFailed)}, NoConnection},
-		{History{How: GivenUp, Ended: 5, Deadline: 5, Effect: Keyed, Attempts: tries(TimedOut, ConnectFailed)}, LastTimedOut},
-		{History{How: GivenUp, Ended: 5, Deadline: 5, Effect: Keyed, Attempts: tries(Errored, Unknown)}, Undetermined},
-		{History{How: GivenUp, Ended: 5, Deadline: 5, Effect: Safe, Attempts: tries(Cancelled)}, LastTimedOut},
-		{History{How: GivenUp, Ended: 5, Deadline: 5, Effect: Safe, Attempts: tries(NotSent)}, RefusedAll},
+		{History{Ending: HandedBack, Attempts: tries(Rejected)}, ReasonHandedBack},
+		{History{Ending: GivenUp, EndedAt: 1, Deadline: 5}, ReasonNeverSent},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5}, ReasonExpired},
+		{History{Ending: GivenUp, EndedAt: 1, Deadline: 5, Effect: Unsafe, Attempts: tries(Reset)}, ReasonUnsafeRetry},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Unsafe, Attempts: tries(Reset)}, ReasonReset},
+		{History{Ending: GivenUp, EndedAt: 1, Deadline: 5, Effect: Safe, Attempts: tries(Errored)}, ReasonErrored},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: tries(Rejected, Rejected)}, ReasonRejected},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: tries(Rejected, ConnectFailed)}, ReasonConnectFailed},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: tries(TimedOut, ConnectFailed)}, ReasonTimedOut},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Keyed, Attempts: tries(Errored, Unknown)}, ReasonUnknown},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Safe, Attempts: tries(Cancelled)}, ReasonTimedOut},
+		{History{Ending: GivenUp, EndedAt: 5, Deadline: 5, Effect: Safe, Attempts: tries(NotSent)}, ReasonRejected},
 	} {
 		if got := ReasonOf(c.h); got != c.want {
 			t.Errorf("%+v: %s, want %s", c.h, got, c.want)
--- a/internal/undelivered/serve.go
+++ b/internal/undelivered/serve.go
@@ -29,12 +29,12 @@
 	List(f Filter, do func(Key, Entry) bool) error
 	Get(key Key) (Entry, bool, error)
 	Count() (Totals, error)
-	Settle(key Key, by, why string, now int64) error
+	Resolve(key Key, by, why string, now int64) error
 	Drop(keys []Key) (int, error)
 }
 
 // Serve answers the command line on a Unix socket in the keeper's folder, for nobody but its owner, until ctx ends.
-func (k *Keeper) Serve(ctx context.Context) error {
+func (k *LazyStore) Serve(ctx context.Context) error {
 	path := filepath.Join(k.folder, SocketName)
 	if err := os.MkdirAll(k.folder, 0o700); err != nil {
 		return fmt.Errorf("undelivered: %w", err)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-func (k *Keeper) handler() http.Handler {
+func (k *LazyStore) handler() http.Handler {
 	mux := http.NewServeMux()
 	handle := func(pattern string, f func(*Store, http.ResponseWriter, url.Values) error) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
@@ -74,13 +74,13 @@
 	}
 	answer := func(w io.Writer, v any) error { return json.NewEncoder(w).Encode(v) }
 	handle("GET /list", func(s *Store, w http.ResponseWriter, q url.Values) error {
-		f, err := filterOf(q)
+		f, err := parseFilter(q)
 		if err != nil {
 			return err
 		}
 		// The answer is gathered first: a reader that takes its time is not to hold a transaction open.
 		var all []Named
-		f.Most = min(max(1, f.Most), pageMost)
+		f.Limit = min(max(1, f.Limit), maxPageEntries)
 		if err := s.List(f, func(k Key, e Entry) bool { all = append(all, Named{k.String(), e}); return true }); err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 	handle("POST /settle", func(s *Store, w http.ResponseWriter, q url.Values) error {
 		key, err := ParseKey(q.Get("name"))
 		if err == nil {
-			err = s.Settle(key, q.Get("by"), q.Get("why"), time.Now().UnixNano())
+			err = s.Resolve(key, q.Get("by"), q.Get("why"), time.Now().UnixNano())
 		}
 		if err != nil {
 			return err
@@ -132,11 +132,11 @@
 	// What goes again is not asked of the store: its engine says what may, and has it go.
 	again := func(pattern string, f func(Filter, http.ResponseWriter, url.Values) error) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			if k.byWork == nil {
+			if k.resender == nil {
 				http.Error(w, "nothing goes again: the operators' file has no [work]", http.StatusNotFound)
 				return
 			}
-			filter, err := filterOf(r.URL.Query())
+			filter, err := parseFilter(r.URL.Query())
 			if err == nil {
 				err = f(filter, w, r.URL.Query())
 			}
@@ -146,15 +146,15 @@
 		})
 	}
 	again("GET /plans", func(f Filter, w http.ResponseWriter, _ url.Values) error {
-		f.Most = min(max(1, f.Most), pageMost)
-		plans, err := k.byWork.Plans(f)
+		f.Limit = min(max(1, f.Limit), maxPageEntries)
+		plans, err := k.resender.Plans(f)
 		if err != nil {
 			return err
 		}
 		return answer(w, plans)
 	})
 	again("POST /want", func(f Filter, w http.ResponseWriter, q url.Values) error {
-		n, err := k.byWork.Want(f, q.Get("stop") == "")
+		n, err := k.resender.RequestResend(f, q.Get("stop") == "")
 		if err != nil {
 			return err
 		}
@@ -163,8 +163,8 @@
 	return mux
 }
 
-// pageMost is the entries in one answer.
-const pageMost = 200
+// maxPageEntries is the entries in one answer.
+const maxPageEntries = 200
 
 // query writes a filter as a query, and filterOf reads it.
 func (f Filter) query() url.Values {
@@ -180,7 +180,7 @@
 	if f.Destination != nil {
 		set("destination", strconv.FormatUint(uint64(*f.Destination), 10))
 	}
-	for name, v := range map[string]int64{"since": f.Since, "until": f.Until, "most": int64(f.Most)} {
+	for name, v := range map[string]int64{"since": f.Since, "until": f.Until, "most": int64(f.Limit)} {
 		if v != 0 {
 			set(name, strconv.FormatInt(v, 10))
 		}
@@ -191,7 +191,7 @@
 	return q
 }
 
-func filterOf(q url.Values) (Filter, error) {
+func parseFilter(q url.Values) (Filter, error) {
 	f := Filter{Member: q.Get("member"), Class: q.Get("class")}
 	var err error
 	if v := q.Get("reason"); v != "" {
@@ -215,7 +215,7 @@
 			}
 		}
 	}
-	f.Most = int(most)
+	f.Limit = int(most)
 	if v := q.Get("after"); v != "" {
 		if f.After, err = ParseKey(v); err != nil {
 			return f, err
@@ -225,7 +225,7 @@
 }
 
 // Remote is a sender's store, asked by its socket.
-type Remote struct{ c *http.Client }
+type Remote struct{ client *http.Client }
 
 // Dial asks the sender whose socket is in a folder.
 func Dial(folder string) *Remote {
@@ -237,12 +237,12 @@
 		}}}}
 }
 
-func (r *Remote) ask(method, path string, q url.Values, into any) error {
+func (r *Remote) call(method, path string, q url.Values, into any) error {
 	req, err := http.NewRequest(method, "http://sender"+path+"?"+q.Encode(), nil)
 	if err != nil {
 		return fmt.Errorf("undelivered: %w", err)
 	}
-	resp, err := r.c.Do(req)
+	resp, err := r.client.Do(req)
 	if err != nil {
 		return fmt.Errorf("undelivered: no sender answers: %w", err)
 	}
@@ -265,8 +265,8 @@
 }
 
 // Plans asks page by page what would become of entries if they were to go again by hand.
-func (r *Remote) Plans(f Filter, do func(Plan)) error {
-	return pages(r, "/plans", f, func(p Plan) (string, func(Key) bool) {
+func (r *Remote) Plans(f Filter, do func(ResendPlan)) error {
+	return pages(r, "/plans", f, func(p ResendPlan) (string, func(Key) bool) {
 		return p.Name, func(Key) bool { do(p); return true }
 	})
 }
@@ -274,13 +274,13 @@
 // pages asks for what a filter chooses, page by page. each gives a line's name, and what is done with it; that says whether
 // to go on.
 func pages[T any](r *Remote, path string, f Filter, each func(T) (name string, do func(Key) bool)) error {
-	for left := f.Most; ; {
+	for left := f.Limit; ; {
 		page := f
-		if page.Most = pageMost; left > 0 {
-			page.Most = min(left, pageMost)
+		if page.Limit = maxPageEntries; left > 0 {
+			page.Limit = min(left, maxPageEntries)
 		}
 		var all []T
-		if err := r.ask(http.MethodGet, path, page.query(), &all); err != nil {
+		if err := r.call(http.MethodGet, path, page.query(), &all); err != nil {
 			return err
 		}
 		for _, one := range all {
@@ -299,37 +299,37 @@
 				return nil
 			}
 		}
-		if len(all) < page.Most {
+		if len(all) < page.Limit {
 			return nil
 		}
 	}
 }
 
-// Want has entries go again by hand, as far as they may, or stops that; how many that changed.
-func (r *Remote) Want(f Filter, want bool) (n int, err error) {
+// RequestResend has entries go again by hand, as far as they may, or stops that; how many that changed.
+func (r *Remote) RequestResend(f Filter, want bool) (n int, err error) {
 	q := f.query()
 	if !want {
 		q.Set("stop", "1")
 	}
-	return n, r.ask(http.MethodPost, "/want", q, &n)
+	return n, r.call(http.MethodPost, "/want", q, &n)
 }
 
 // Get is one entry.
 func (r *Remote) Get(key Key) (Entry, bool, error) {
 	var e *Entry
-	if err := r.ask(http.MethodGet, "/get", url.Values{"name": {key.String()}}, &e); err != nil || e == nil {
+	if err := r.call(http.MethodGet, "/get", url.Values{"name": {key.String()}}, &e); err != nil || e == nil {
 		return Entry{}, false, err
 	}
 	return *e, true, nil
 }
 
 // Count counts by member and reason.
-func (r *Remote) Count() (t Totals, err error) { return t, r.ask(http.MethodGet, "/count", nil, &t) }
+func (r *Remote) Count() (t Totals, err error) { return t, r.call(http.MethodGet, "/count", nil, &t) }
 
-// Settle marks an entry as dealt with; the sender's clock says when.
-func (r *Remote) Settle(key Key, by, why string, _ int64) error {
+// Resolve marks an entry as dealt with; the sender's clock says when.
+func (r *Remote) Resolve(key Key, by, why string, _ int64) error {
 	var n int
-	return r.ask(http.MethodPost, "/settle", url.Values{"name": {key.String()}, "by": {by}, "why": {why}}, &n)
+	return r.call(http.MethodPost, "/settle", url.Values{"name": {key.String()}, "by": {by}, "why": {why}}, &n)
 }
 
 // Drop takes entries out.
@@ -338,5 +338,5 @@
 	for _, k := range keys {
 		q.Add("name", k.String())
 	}
-	return n, r.ask(http.MethodPost, "/drop", q, &n)
+	return n, r.call(http.MethodPost, "/drop", q, &n)
 }
--- a/internal/undelivered/store.go
+++ b/internal/undelivered/store.go
@@ -48,26 +48,26 @@
 
 // Limits bound a store.
 type Limits struct {
-	Bytes int64         // of all entries; at least a megabyte
-	Age   time.Duration // an entry is dropped so long after it ended
+	MaxBytes int64         // of all entries; at least a megabyte
+	MaxAge   time.Duration // an entry is dropped so long after it ended
 }
 
 // Store keeps entries. It is safe for several goroutines.
 type Store struct {
-	db      *bolt.DB
-	limits  Limits
-	expires bool // Expire is called now and then: Keep need not look for what is too old
+	db                *bolt.DB
+	limits            Limits
+	expiredByResender bool // Expire is called now and then: Keep need not look for what is too old
 }
 
-// ErrNewer is that a file was written by a later version.
-var ErrNewer = errors.New("the file was written by a newer version")
+// ErrNewerVersion is that a file was written by a later version.
+var ErrNewerVersion = errors.New("the file was written by a newer version")
 
 // Open opens a store's file, or makes it. A damaged one, one of a newer version, or one that another process holds is
 // an error, and is left as it is.
 func Open(path string, limits Limits) (*Store, error) { return open(path, limits, false) }
 
-// OpenCopy opens a file to look at it only.
-func OpenCopy(path string) (*Store, error) { return open(path, Limits{}, true) }
+// OpenReadOnly opens a file to look at it only.
+func OpenReadOnly(path string) (*Store, error) { return open(path, Limits{}, true) }
 
 func open(path string, limits Limits, readOnly bool) (s *Store, err error) {
 	if readOnly {
@@ -80,14 +80,14 @@
 		return nil, fmt.Errorf("undelivered: %w", err)
 	}
 	s = &Store{db: db, limits: limits}
-	if err := s.begin(readOnly); err != nil {
+	if err := s.initialize(readOnly); err != nil {
 		db.Close()
 		return nil, fmt.Errorf("undelivered: %s: %w", path, err)
 	}
 	return s, nil
 }
 
-func (s *Store) begin(readOnly bool) error {
+func (s *Store) initialize(readOnly bool) error {
 	if readOnly {
 		return s.view(func(tx *bolt.Tx) error { return checkVersion(tx) })
 	}
@@ -112,7 +112,7 @@
 			if err := json.Unmarshal(raw, &e); err != nil || e.Key == "" {
 				return err
 			}
-			return keys.Put(append(join(e.Member, e.Key), k...), nil)
+			return keys.Put(append(indexKey(e.Member, e.Key), k...), nil)
 		})
 	})
 }
@@ -124,7 +124,7 @@
 	}
 	switch v := boltfile.Value(meta.Get(keyVersion)); {
 	case v > version:
-		return fmt.Errorf("%w: %d, and this one knows %d", ErrNewer, v, version)
+		return fmt.Errorf("%w: %d, and this one knows %d", ErrNewerVersion, v, version)
 	case v != version:
 		return fmt.Errorf("it says version %d", v)
 	}
@@ -148,8 +148,8 @@
 	return boltfile.Guarded(func() error { return s.db.View(f) })
 }
 
-// join makes an index's key.
-func join(parts ...string) []byte {
+// indexKey makes an index's key.
+func indexKey(parts ...string) []byte {
 	var b []byte
 	for _, p := range parts {
 		b = append(append(b, p...), 0)
@@ -157,35 +157,35 @@
 	return b
 }
 
-// indexes calls f with each bucket that names an entry, and what stands before its key there.
-func indexes(tx *bolt.Tx, e *Entry, f func(b *bolt.Bucket, prefix []byte) error) error {
+// forEachIndex calls f with each bucket that names an entry, and what stands before its key there.
+func forEachIndex(tx *bolt.Tx, e *Entry, f func(b *bolt.Bucket, prefix []byte) error) error {
 	for _, i := range []struct {
 		bucket []byte
 		prefix []byte
 	}{
-		{bucketMembers, join(e.Member)}, {bucketReasons, join(string(e.Reason))}, {bucketClasses, join(e.Class)},
-		{bucketDestinations, join(fmt.Sprint(e.Destination))}, {bucketPairs, join(e.Member, string(e.Reason))},
+		{bucketMembers, indexKey(e.Member)}, {bucketReasons, indexKey(string(e.Reason))}, {bucketClasses, indexKey(e.Class)},
+		{bucketDestinations, indexKey(fmt.Sprint(e.Destination))}, {bucketPairs, indexKey(e.Member, string(e.Reason))},
 	} {
 		if err := f(tx.Bucket(i.bucket), i.prefix); err != nil {
 			return err
 		}
 	}
 	if b := tx.Bucket(bucketKeys); b != nil && e.Key != "" {
-		return f(b, join(e.Member, e.Key))
+		return f(b, indexKey(e.Member, e.Key))
 	}
 	return nil
 }
 
-// Keep puts entries into the store, in one transaction; one that is there already stays as it is. What has to go for
+// Record puts entries into the store, in one transaction; one that is there already stays as it is. What has to go for
 // them, or is too old by now, is dropped and counted. now is Unix nanoseconds.
-func (s *Store) Keep(entries []Entry, now int64) error {
+func (s *Store) Record(entries []Entry, now int64) error {
 	err := s.update(func(tx *bolt.Tx) error {
 		for i := range entries {
 			if err := s.put(tx, &entries[i]); err != nil {
 				return err
 			}
 		}
-		return s.retain(tx, now)
+		return s.enforceLimits(tx, now)
 	})
 	if err != nil {
 		return fmt.Errorf("undelivered: %w", err)
@@ -195,13 +195,13 @@
 
 func (s *Store) put(tx *bolt.Tx, e *Entry) error {
 	if was := tx.Bucket(bucketMessages).Get([]byte(e.Message)); was != nil {
-		return s.ended(tx, bytes.Clone(was), e) // or offered again after a kill
+		return s.recordResendEnd(tx, bytes.Clone(was), e) // or offered again after a kill
 	}
-	if e.Lives > 0 { // it went again, and was dropped or delivered meanwhile
+	if e.Resends > 0 { // it went again, and was dropped or delivered meanwhile
 		return nil
 	}
 	if e.State == "" {
-		e.State = Kept
+		e.State = Stored
 	}
 	raw, err := json.Marshal(e)
 	if err != nil {
@@ -210,25 +210,25 @@
 	return insert(tx, e, raw)
 }
 
-// ended books how a message ended that went again: delivered it is gone, else it is kept as it is now. An end that is known
+// recordResendEnd books how a message ended that went again: delivered it is gone, else it is kept as it is now. An end that is known
 // already changes nothing.
-func (s *Store) ended(tx *bolt.Tx, key []byte, e *Entry) error {
+func (s *Store) recordResendEnd(tx *bolt.Tx, key []byte, e *Entry) error {
 	var was Entry
 	if err := json.Unmarshal(tx.Bucket(bucketEntries).Get(key), &was); err != nil {
 		return fmt.Errorf("entry %x: %w", key, err)
 	}
-	if was.State != Resending || e.Lives != was.Lives+1 {
+	if was.State != Resending || e.Resends != was.Resends+1 {
 		return nil
 	}
 	if _, err := remove(tx, key); err != nil {
 		return err
 	}
-	if e.How == Delivered {
+	if e.Ending == Delivered {
 		b := tx.Bucket(bucketMeta)
 		return b.Put(keyResent, boltfile.Number(boltfile.Value(b.Get(keyResent))+1))
 	}
-	e.Began = was.First()
-	e.State = Kept
+	e.FirstEndedAt = was.FirstEnd()
+	e.State = Stored
 	raw, err := json.Marshal(e)
 	if err != nil {
 		return fmt.Errorf("message %s: %w", e.Message, err)
@@ -238,14 +238,14 @@
 
 // insert puts an entry and its indexes in.
 func insert(tx *bolt.Tx, e *Entry, raw []byte) error {
-	key := KeyOf(e.Message, e.Ended)
+	key := KeyOf(e.Message, e.EndedAt)
 	if err := tx.Bucket(bucketEntries).Put(key[:], raw); err != nil {
 		return err
 	}
 	if err := tx.Bucket(bucketMessages).Put([]byte(e.Message), key[:]); err != nil {
 		return err
 	}
-	if err := indexes(tx, e, func(b *bolt.Bucket, prefix []byte) error { return b.Put(append(prefix, key[:]...), nil) }); err != nil {
+	if err := forEachIndex(tx, e, func(b *bolt.Bucket, prefix []byte) error { return b.Put(append(prefix, key[:]...), nil) }); err != nil {
 		return err
 	}
 	return count(tx, e.Member, 1, int64(len(raw)))
--- a/internal/undelivered/store_test.go
+++ b/internal/undelivered/store_test.go
@@ -20,7 +20,7 @@
 func entry(n int, ended int64) Entry {
 	member := []string{"evergreen", "sound", "ridge"}[n%3]
 	e := Entry{Message: fmt.Sprint("m", n), Member: member, Class: []string{"card", "balance"}[n%2], Effect: Safe, Destination: uint32(n % 4),
-		Body: []byte("body of " + fmt.Sprint(n)), How: GivenUp, Taken: ended - 8*second, Ended: ended, Deadline: ended,
+		Body: []byte("body of " + fmt.Sprint(n)), Ending: GivenUp, AcceptedAt: ended - 8*second, EndedAt: ended, Deadline: ended,
 		Attempts: []Attempt{{At: ended - second, Endpoint: "r0-e0", Outcome: outcomes[n%len(outcomes)]}}}
 	e.Reason = ReasonOf(e.History())
 	return e
@@ -53,7 +53,7 @@
 	for n := range 200 {
 		all = append(all, entry(n, int64(n)*second))
 	}
-	if err := s.Keep(all, 0); err != nil {
+	if err := s.Record(all, 0); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Check(); err != nil {
@@ -68,7 +68,7 @@
 						f := Filter{Member: member, Reason: reason, Class: class, Destination: dest, Since: span[0], Until: span[1]}
 						var want []string
 						for _, e := range all {
-							if f.holds(&e) && e.Ended >= f.Since && (f.Until == 0 || e.Ended < f.Until) {
+							if f.matches(&e) && e.EndedAt >= f.Since && (f.Until == 0 || e.EndedAt < f.Until) {
 								want = append(want, e.Message)
 							}
 						}
@@ -76,7 +76,7 @@
 							t.Fatalf("%+v: %v, want %v", f, got, want)
 						}
 						var paged []string
-						f.Most = 7
+						f.Limit = 7
 						for {
 							n := 0
 							err := s.List(f, func(k Key, e Entry) bool {
@@ -106,7 +106,7 @@
 func TestGeneratedDays(t *testing.T) {
 	for seed := range uint64(12) {
 		r := rand.New(rand.NewPCG(seed, 10))
-		limits := Limits{Bytes: 4000 + r.Int64N(8000), Age: time.Duration(20+r.IntN(60)) * time.Second}
+		limits := Limits{MaxBytes: 4000 + r.Int64N(8000), MaxAge: time.Duration(20+r.IntN(60)) * time.Second}
 		s, path := newStore(t, limits)
 		now, n, kept := int64(1000)*second, 0, map[string]bool{}
 		for range 60 {
@@ -122,23 +122,23 @@
 				if r.IntN(2) == 0 {
 					batch = append(batch, batch[0]) // offered twice
 				}
-				if err := s.Keep(batch, now); err != nil {
+				if err := s.Record(batch, now); err != nil {
 					t.Fatal(err)
 				}
-				if err := s.Keep(batch, now); err != nil { // and again, as after a kill
+				if err := s.Record(batch, now); err != nil { // and again, as after a kill
 					t.Fatal(err)
 				}
 			case 2:
 				var keys []Key
-				s.List(Filter{Most: 3}, func(k Key, _ Entry) bool { keys = append(keys, k); return true })
+				s.List(Filter{Limit: 3}, func(k Key, _ Entry) bool { keys = append(keys, k); return true })
 				if _, err := s.Drop(keys); err != nil {
 					t.Fatal(err)
 				}
 			case 3:
 				var key Key
 				var e Entry
-				s.List(Filter{Most: 1}, func(k Key, is Entry) bool { key, e = k, is; return false })
-				if err := s.Settle(key, "ann", "paid by hand", now); (err == nil) == (e.State != Kept) {
+				s.List(Filter{Limit: 1}, func(k Key, is Entry) bool { key, e = k, is; return false })
+				if err := s.Resolve(key, "ann", "paid by hand", now); (err == nil) == (e.State != Stored) {
 					t.Errorf("%+v: %v", e, err)
 				}
 			default: // a restart
@@ -159,10 +159,10 @@
 			}
 			here, dropped := int64(0), int64(0)
 			for _, c := range totals.Counts {
-				here, dropped = here+c.Kept, dropped+c.Dropped
+				here, dropped = here+c.Stored, dropped+c.Dropped
 			}
-			if totals.Bytes > limits.Bytes+500 && len(list(t, s, Filter{})) > 0 || int(here) != len(list(t, s, Filter{})) || here+dropped != int64(len(kept)) {
-				t.Fatalf("seed %d: %d here, %d dropped of %d; %d bytes of %d", seed, here, dropped, len(kept), totals.Bytes, limits.Bytes)
+			if totals.Bytes > limits.MaxBytes+500 && len(list(t, s, Filter{})) > 0 || int(here) != len(list(t, s, Filter{})) || here+dropped != int64(len(kept)) {
+				t.Fatalf("seed %d: %d here, %d dropped of %d; %d bytes of %d", seed, here, dropped, len(kept), totals.Bytes, limits.MaxBytes)
 			}
 		}
 		s.Close()
@@ -171,17 +171,17 @@
 
 // One member's flood costs that member, and nobody else's entries go.
 func TestFloodOfOneMember(t *testing.T) {
-	s, _ := newStore(t, Limits{Bytes: 20_000})
+	s, _ := newStore(t, Limits{MaxBytes: 20_000})
 	var few []Entry
 	for n := range 6 {
 		few = append(few, entry(n, int64(n)*second))
 	}
-	if err := s.Keep(few, 0); err != nil {
+	if err := s.Record(few, 0); err != nil {
 		t.Fatal(err)
 	}
 	for n := range 300 {
 		e := entry(1000+3*n, int64(100+n)*second) // all of one member
-		if err := s.Keep([]Entry{e}, 0); err != nil {
+		if err := s.Record([]Entry{e}, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -206,14 +206,14 @@
 
 // A transaction cut off anywhere leaves the store as it was before: each page that it wrote left out, or written half,
 // with the page that makes it count not written, left out, or torn.
-func TestTransactionCutOffAnywhere(t *testing.T) {
+func TestStore_TransactionTruncatedAnywhere(t *testing.T) {
 	s, path := newStore(t, Limits{})
 	var first, second []Entry
 	for n := range 40 {
 		first = append(first, entry(n, int64(n)))
 		second = append(second, entry(100+n, int64(100+n)))
 	}
-	if err := s.Keep(first, 0); err != nil {
+	if err := s.Record(first, 0); err != nil {
 		t.Fatal(err)
 	}
 	before, err := os.ReadFile(path)
@@ -221,7 +221,7 @@
 		t.Fatal(err)
 	}
 	want := list(t, s, Filter{})
-	if err := s.Keep(second, 0); err != nil {
+	if err := s.Record(second, 0); err != nil {
 		t.Fatal(err)
 	}
 	after, err := os.ReadFile(path)
@@ -288,7 +288,7 @@
 // Files that are damaged, newer, held by another or no store at all are named and left as they are.
 func TestFilesThatCannotBeOpened(t *testing.T) {
 	s, path := newStore(t, Limits{})
-	if err := s.Keep([]Entry{entry(1, 1)}, 0); err != nil {
+	if err := s.Record([]Entry{entry(1, 1)}, 0); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(path, Limits{}); err == nil || !strings.Contains(err.Error(), "held by another process") {
@@ -307,7 +307,7 @@
 	}
 	db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyVersion, boltfile.Number(version+1)) })
 	db.Close()
-	if _, err := Open(newer, Limits{}); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), newer) {
+	if _, err := Open(newer, Limits{}); !errors.Is(err, ErrNewerVersion) || !strings.Contains(err.Error(), newer) {
 		t.Errorf("%v", err)
 	}
 	for name, raw := range map[string][]byte{"noise": []byte(strings.Repeat("noise", 10_000)), "short": good[:100], "no pages": good[:2*os.Getpagesize()]} {
@@ -322,10 +322,10 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := OpenCopy(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
+	if _, err := OpenReadOnly(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("%v", err)
 	}
-	copied, err := OpenCopy(path)
+	copied, err := OpenReadOnly(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -333,24 +333,24 @@
 	if got := list(t, copied, Filter{}); !slices.Equal(got, []string{"m1"}) {
 		t.Errorf("%v", got)
 	}
-	if err := copied.Keep([]Entry{entry(2, 2)}, 0); err == nil {
+	if err := copied.Record([]Entry{entry(2, 2)}, 0); err == nil {
 		t.Error("a copy to look at is written")
 	}
 }
 
 // A keeper's file that can't be opened is opened once it can.
-func TestKeeper(t *testing.T) {
+func TestLazyStore_OpensWithFirstUse(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, FileName)
 	if err := os.WriteFile(path, []byte(strings.Repeat("noise", 10_000)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	k := NewKeeper(dir, Limits{})
-	if err := k.Keep([]Entry{entry(1, 1)}, 0); err == nil {
+	k := NewLazyStore(dir, Limits{})
+	if err := k.Record([]Entry{entry(1, 1)}, 0); err == nil {
 		t.Fatal("it is kept")
 	}
 	os.Remove(path)
-	if err := errors.Join(k.Keep([]Entry{entry(1, 1)}, 0), k.Missed(map[[2]string]int64{{"sound", "refused"}: 3})); err != nil {
+	if err := errors.Join(k.Record([]Entry{entry(1, 1)}, 0), k.RecordDropped(map[[2]string]int64{{"sound", "refused"}: 3})); err != nil {
 		t.Fatal(err)
 	}
 	s, err := k.Store()
@@ -365,31 +365,31 @@
 	}
 }
 
-func TestSettle(t *testing.T) {
+func TestStore_Resolve(t *testing.T) {
 	s, _ := newStore(t, Limits{})
 	e := entry(1, 5)
-	if err := s.Keep([]Entry{e}, 0); err != nil {
+	if err := s.Record([]Entry{e}, 0); err != nil {
 		t.Fatal(err)
 	}
-	key := KeyOf(e.Message, e.Ended)
+	key := KeyOf(e.Message, e.EndedAt)
 	if back, err := ParseKey(key.String()); err != nil || back != key {
 		t.Errorf("%v %v", back, err)
 	}
 	for _, bad := range [][2]string{{"", "why"}, {"ann", ""}} {
-		if s.Settle(key, bad[0], bad[1], 7) == nil {
+		if s.Resolve(key, bad[0], bad[1], 7) == nil {
 			t.Errorf("settled by %q for %q", bad[0], bad[1])
 		}
 	}
-	if err := s.Settle(key, "ann", "paid by hand", 7); err != nil {
+	if err := s.Resolve(key, "ann", "paid by hand", 7); err != nil {
 		t.Fatal(err)
 	}
-	if got, ok, err := s.Get(key); err != nil || !ok || got.State != Settled || got.By != "ann" || got.Why != "paid by hand" || got.When != 7 {
+	if got, ok, err := s.Get(key); err != nil || !ok || got.State != Resolved || got.ResolvedBy != "ann" || got.Resolution != "paid by hand" || got.ResolvedAt != 7 {
 		t.Errorf("%+v %v %v", got, ok, err)
 	}
-	if err := s.Settle(key, "bob", "again", 8); err == nil || !strings.Contains(err.Error(), "ann") {
+	if err := s.Resolve(key, "bob", "again", 8); err == nil || !strings.Contains(err.Error(), "ann") {
 		t.Errorf("%v", err)
 	}
-	if err := s.Settle(Key{1}, "ann", "why", 7); err == nil {
+	if err := s.Resolve(Key{1}, "ann", "why", 7); err == nil {
 		t.Error("settled what is not there")
 	}
 	if err := s.Check(); err != nil {
@@ -414,7 +414,7 @@
 			batch = append(batch, e)
 			n++
 		}
-		if err := s.Keep(batch, 0); err != nil {
+		if err := s.Record(batch, 0); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -442,13 +442,13 @@
 		for n := from; n < from+20_000; n++ {
 			batch = append(batch, entry(n, int64(n)))
 		}
-		if err := s.Keep(batch, 0); err != nil {
+		if err := s.Record(batch, 0); err != nil {
 			b.Fatal(err)
 		}
 	}
 	for b.Loop() {
 		n := 0
-		if err := s.List(Filter{Member: "ridge", Reason: LastReset, Most: 100}, func(Key, Entry) bool { n++; return true }); err != nil || n == 0 {
+		if err := s.List(Filter{Member: "ridge", Reason: ReasonReset, Limit: 100}, func(Key, Entry) bool { n++; return true }); err != nil || n == 0 {
 			b.Fatal(n, err)
 		}
 	}
--- a/internal/undelivered/stored_test.go
+++ b/internal/undelivered/stored_test.go
@@ -21,8 +21,8 @@
 		name string
 		open func() (*Store, error)
 	}{
-		{"read only", func() (*Store, error) { return OpenCopy(path) }},
-		{"read and write", func() (*Store, error) { return Open(path, Limits{Bytes: 1 << 20}) }},
+		{"read only", func() (*Store, error) { return OpenReadOnly(path) }},
+		{"read and write", func() (*Store, error) { return Open(path, Limits{MaxBytes: 1 << 20}) }},
 	} {
 		t.Run(open.name, func(t *testing.T) {
 			s, err := open.open()
--- a/internal/work/bucket.go
+++ b/internal/work/bucket.go
@@ -7,9 +7,9 @@
 
 // bucket is a token bucket that may be in debt: what is used is known only afterwards.
 type bucket struct {
-	rate  Rate
-	level float64
-	at    time.Duration
+	rate      Rate
+	level     float64
+	updatedAt time.Duration
 }
 
 // buckets are those of all currencies. A currency without a rate is not bounded.
@@ -18,7 +18,7 @@
 func newBuckets(r Rates, now time.Duration) *buckets {
 	b := &buckets{}
 	for i := range b {
-		b[i] = bucket{rate: r[i], level: r[i].Burst, at: now}
+		b[i] = bucket{rate: r[i], level: r[i].Burst, updatedAt: now}
 	}
 	return b
 }
@@ -27,11 +27,11 @@
 
 // fill adds what has come since, scaled, and gives what was over the burst.
 func (b *bucket) fill(now time.Duration, scale float64) (spilt float64) {
-	if !b.bounded() || now <= b.at {
+	if !b.bounded() || now <= b.updatedAt {
 		return 0
 	}
-	b.level += b.rate.PerSecond * scale * (now - b.at).Seconds()
-	b.at = now
+	b.level += b.rate.PerSecond * scale * (now - b.updatedAt).Seconds()
+	b.updatedAt = now
 	if b.level > b.rate.Burst {
 		spilt = b.level - b.rate.Burst
 		b.level = b.rate.Burst
@@ -39,8 +39,8 @@
 	return spilt
 }
 
-// free reports whether a slice may start: nothing is in debt.
-func (b *buckets) free() bool {
+// solvent reports whether a slice may start: nothing is in debt.
+func (b *buckets) solvent() bool {
 	for i := range b {
 		if b[i].bounded() && b[i].level <= 0 {
 			return false
@@ -49,8 +49,8 @@
 	return true
 }
 
-// when is how long it takes until nothing is in debt.
-func (b *buckets) when(scale float64) time.Duration {
+// timeToSolvent is how long it takes until nothing is in debt.
+func (b *buckets) timeToSolvent(scale float64) time.Duration {
 	var most time.Duration
 	for i := range b {
 		if t := &b[i]; t.bounded() && t.level <= 0 {
@@ -73,8 +73,8 @@
 	}
 }
 
-// share is the largest part of a second's budget that a cost is, over all currencies: what an owner is charged.
-func (r *Rates) share(c Cost) float64 {
+// dominantShare is the largest part of a second's budget that a cost is, over all currencies: what an owner is charged.
+func (r *Rates) dominantShare(c Cost) float64 {
 	most := 0.0
 	for i := range r {
 		if rate := r[i].PerSecond; rate > 0 {
--- a/internal/work/pressure_test.go
+++ b/internal/work/pressure_test.go
@@ -6,13 +6,13 @@
 )
 
 // plant is live traffic and background work on one machine: a signal, over its target, that grows with both.
-func plant(live, allow float64) Facts {
-	return Facts{TurnLate: time.Duration((live + 0.6*allow) * float64(5*time.Millisecond))}
+func plant(live, allow float64) LoadSignals {
+	return LoadSignals{TurnLate: time.Duration((live + 0.6*allow) * float64(5*time.Millisecond))}
 }
 
 // response is what the controller gives over time, every 100 ms, to a live load.
 func response(p *Pressure, from, to time.Duration, live func(time.Duration) float64) (allow []float64) {
-	a := p.Allow()
+	a := p.Allowance()
 	for now := from; now < to; now += 100 * time.Millisecond {
 		a = p.Step(now, plant(live(now), a))
 		allow = append(allow, a)
@@ -33,13 +33,13 @@
 	if got[99] != 1 {
 		t.Errorf("before it %v", got[99])
 	}
-	if got[106] != pressureFloor || got[199] != pressureFloor {
+	if got[106] != minAllowance || got[199] != minAllowance {
 		t.Errorf("600 ms into it %v, at its end %v", got[106], got[199])
 	}
 	if got[200+50] < 0.95 {
 		t.Errorf("5 s after it %v", got[250])
 	}
-	if name, over := p.Worst(); name != "turns" || over > pressureUrgent {
+	if name, over := p.Worst(); name != "turns" || over > decreaseAbove {
 		t.Error(name, over)
 	}
 }
@@ -65,8 +65,8 @@
 			}
 		}
 		room := min(1, (1-live)/0.6)
-		calm := min(1, (pressureCalm-live)/0.6) // it stops growing within the dead band
-		if mean := sum / float64(len(settled)); mean < 0.9*max(calm, pressureFloor) || mean > room+0.05 {
+		calm := min(1, (increaseBelow-live)/0.6) // it stops growing within the dead band
+		if mean := sum / float64(len(settled)); mean < 0.9*max(calm, minAllowance) || mean > room+0.05 {
 			t.Errorf("live %v: it gives %.3f, there is room for %.3f", live, mean, room)
 		}
 		if most > 1 || swings > 5 {
@@ -81,7 +81,7 @@
 	got := response(p, 0, 60*sec, func(now time.Duration) float64 { return now.Seconds() / 60 * 1.5 })
 	for i, a := range got {
 		live := float64(i) / 600 * 1.5
-		if live < 0.15 && a < 0.9 || live > 1.05 && i > 430 && a > pressureFloor {
+		if live < 0.15 && a < 0.9 || live > 1.05 && i > 430 && a > minAllowance {
 			t.Fatalf("live %.2f: %v", live, a)
 		}
 	}
@@ -165,7 +165,7 @@
 		"five missed, all":             {every(MissedAll), begin.Add(5*time.Hour + 10*time.Minute), 5, begin.Add(5 * time.Hour)},
 		"five missed, none":            {every(MissedNone), begin.Add(5*time.Hour + 10*time.Minute), 0, begin.Add(5 * time.Hour)},
 		"the clock is set back":        {every(MissedAll), begin.Add(-3 * time.Hour), 0, begin},
-		"the clock was years off":      {every(MissedAll), begin.Add(3 * 365 * 24 * time.Hour), missedMost, begin.Add(3 * 365 * 24 * time.Hour)},
+		"the clock was years off":      {every(MissedAll), begin.Add(3 * 365 * 24 * time.Hour), maxMissedRuns, begin.Add(3 * 365 * 24 * time.Hour)},
 		"an hour ahead, for the first": {Schedule{Every: time.Minute, Missed: MissedOnce}, begin.Add(time.Hour), 1, begin.Add(time.Hour)},
 	} {
 		runs, last, next := c.s.Due(begin, c.now)
--- a/internal/work/report.go
+++ b/internal/work/report.go
@@ -7,17 +7,17 @@
 
 // View is a job as operators see it.
 type View struct {
-	ID       ID     `json:"id"`
-	Kind     string `json:"kind"`
-	Owner    string `json:"owner"`
-	Priority string `json:"priority"`
-	State    string `json:"state"` // running, waiting or parked
-	Why      string `json:"why,omitempty"`
-	ForMS    int64  `json:"for_ms,omitempty"` // it has been ready
-	Slices   int    `json:"slices"`
-	Fails    int    `json:"fails,omitempty"`
-	Err      string `json:"err,omitempty"`
-	Used     Cost   `json:"used"`
+	ID         ID     `json:"id"`
+	Kind       string `json:"kind"`
+	Owner      string `json:"owner"`
+	Priority   string `json:"priority"`
+	State      string `json:"state"` // running, waiting or parked
+	Reason     string `json:"why,omitempty"`
+	ForMS      int64  `json:"for_ms,omitempty"` // it has been ready
+	SlicesDone int    `json:"slices"`
+	Failures   int    `json:"fails,omitempty"`
+	Err        string `json:"err,omitempty"`
+	Used       Cost   `json:"used"`
 }
 
 // Filter chooses jobs; what is empty holds for all.
@@ -26,34 +26,34 @@
 	Kind  string
 	Owner string
 	State string
-	Most  int
+	Limit int
 }
 
 // Views are the jobs that a filter chooses, by number.
 func (s *Scheduler) Views(f Filter) []View {
 	var ids []ID
 	for id, j := range s.jobs {
-		if (f.ID == 0 || f.ID == id) && (f.Kind == "" || f.Kind == j.Kind) && (f.Owner == "" || f.Owner == j.Owner) && (f.State == "" || f.State == j.word()) {
+		if (f.ID == 0 || f.ID == id) && (f.Kind == "" || f.Kind == j.Kind) && (f.Owner == "" || f.Owner == j.Owner) && (f.State == "" || f.State == j.stateName()) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
-	if f.Most > 0 && len(ids) > f.Most {
-		ids = ids[:f.Most]
+	if f.Limit > 0 && len(ids) > f.Limit {
+		ids = ids[:f.Limit]
 	}
 	views := make([]View, 0, len(ids))
 	for _, id := range ids {
 		j := s.jobs[id]
-		v := View{ID: id, Kind: j.Kind, Owner: j.Owner, Priority: j.Priority.String(), State: j.word(), Why: s.why(j), Slices: j.slices, Fails: j.fails, Err: j.err, Used: j.used}
+		v := View{ID: id, Kind: j.Kind, Owner: j.Owner, Priority: j.Priority.String(), State: j.stateName(), Reason: s.waitReason(j), SlicesDone: j.slicesDone, Failures: j.failures, Err: j.lastFailure, Used: j.used}
 		if j.state == ready {
-			v.ForMS = (s.now - j.since).Milliseconds()
+			v.ForMS = (s.now - j.readySince).Milliseconds()
 		}
 		views = append(views, v)
 	}
 	return views
 }
 
-func (j *job) word() string {
+func (j *job) stateName() string {
 	switch j.state {
 	case running:
 		return "running"
@@ -63,40 +63,40 @@
 	return "waiting"
 }
 
-// why says what a job waits for.
-func (s *Scheduler) why(j *job) string {
+// waitReason says what a job waits for.
+func (s *Scheduler) waitReason(j *job) string {
 	switch j.state {
 	case running:
 		return ""
 	case parked:
 		return "it failed too often, or can't be settled by itself: run or drop it"
 	case delayed:
-		if j.retry && j.fails > 0 {
+		if j.isRetry && j.failures > 0 {
 			return "pause after a failure"
 		}
 		return "its time"
-	case locked:
+	case awaitingLock:
 		return "lock " + j.Lock
-	case broken:
+	case awaitingResource:
 		return "breaker of " + j.Resource
-	case credited:
+	case awaitingRetryBudget:
 		return "retry budget of " + j.Kind
 	}
 	k, o := s.kind(j.Kind), s.owner(j.Owner)
 	switch {
 	case k.paused || o.paused:
 		return "paused"
-	case !s.all.free() && s.allow < 1:
+	case !s.totalBudget.solvent() && s.allowance < 1:
 		return "pressure of live traffic"
-	case !s.all.free():
+	case !s.totalBudget.solvent():
 		return "budget of all work"
-	case !o.budget.free():
+	case !o.budget.solvent():
 		return "budget of " + o.name
-	case k.Window != nil && k.opens > s.now:
+	case k.Window != nil && k.windowOpensAt > s.now:
 		return "window of " + k.name
-	case !s.may(k) && k.Running > 0 && k.running >= k.Running:
+	case !s.mayStart(k) && k.Running > 0 && k.running >= k.Running:
 		return "others of its kind"
-	case !s.may(k):
+	case !s.mayStart(k):
 		return "budget of " + k.name
 	}
 	return "its turn"
@@ -129,4 +129,4 @@
 }
 
 // Len is how many jobs are held, and how many slices run.
-func (s *Scheduler) Len() (jobs, slices int) { return len(s.jobs), s.running }
+func (s *Scheduler) Len() (jobs, slices int) { return len(s.jobs), s.runningCount }
--- a/internal/work/run/run.go
+++ b/internal/work/run/run.go
@@ -19,33 +19,33 @@
 
 // Task is a slice that is to be done.
 type Task struct {
-	ID    work.ID
-	Owner string
-	State []byte // where the last slice said to go on
-	Fails int    // in a row
+	ID       work.ID
+	Owner    string
+	State    []byte // where the last slice said to go on
+	Failures int    // in a row
 }
 
 // Result is how a slice went.
 type Result struct {
 	State []byte // where to go on
 	More  bool   // there is more; else the job is done
-	After time.Duration
+	Delay time.Duration
 	Used  work.Cost
-	Jobs  []New // made by it
+	Jobs  []JobSpec // made by it
 }
 
-// New is a job to be taken on.
-type New struct {
-	Kind     string
-	Owner    string
-	Priority work.Priority
-	After    time.Duration
-	Within   time.Duration // it should be done; 0: no deadline
-	Left     time.Duration
-	Slice    work.Cost // what a slice is said to use
-	Lock     string
-	Resource string
-	State    []byte
+// JobSpec is a job to be taken on.
+type JobSpec struct {
+	Kind          string
+	Owner         string
+	Priority      work.Priority
+	Delay         time.Duration
+	DeadlineAfter time.Duration // it should be done; 0: no deadline
+	Remaining     time.Duration
+	SliceCost     work.Cost // what a slice is said to use
+	Lock          string
+	Resource      string
+	State         []byte
 }
 
 // ErrPark says that a slice is not to be tried again by itself.
@@ -56,12 +56,12 @@
 	Name    string
 	Version int // of its state's form; a job of a newer one waits
 	// Memory: its jobs are not kept. One that the process leaves behind is taken on anew by whoever wants it.
-	Memory bool
+	Volatile bool
 	// Repeat: a slice does no harm if it is done once more. Without it what is about to be done is written down first.
-	Repeat bool
-	// Settle says after a kill whether the slice that was about to be done was done, and if so where to go on, as its
+	Idempotent bool
+	// CheckDone says after a kill whether the slice that was about to be done was done, and if so where to go on, as its
 	// result. Nil: nobody can say, and the job is parked.
-	Settle func(ctx context.Context, t Task) (done bool, r Result, err error)
+	CheckDone func(ctx context.Context, t Task) (done bool, r Result, err error)
 	// Slice does one slice. It ends soon after ctx.
 	Slice func(ctx context.Context, t Task) (Result, error)
 	// Timer has a job of this kind taken on by schedule; nil: none.
@@ -71,79 +71,79 @@
 // Timer is a schedule and the job that it makes.
 type Timer struct {
 	work.Schedule
-	Job New
+	Job JobSpec
 }
 
 // Config is a runner's.
 type Config struct {
-	Settings work.Settings
-	Path     string // of the store
-	Bytes    int64  // of all jobs in it
-	Targets  work.Targets
-	Facts    func() work.Facts // how busy live work is; nil: not at all
-	Workers  int
-	Slow     time.Duration // a slice that runs for longer is named
-	Random   func() float64
-	Wall     func() time.Time
-	NoLimit  bool // pressure is not heeded: for measurements
-
-	around func(keeper) keeper // for tests
-}
-
-// keeper is what is kept of jobs; package store has it.
-type keeper interface {
+	Settings       work.Settings
+	Path           string // of the store
+	Bytes          int64  // of all jobs in it
+	Targets        work.Targets
+	Load           func() work.LoadSignals // how busy live work is; nil: not at all
+	Workers        int
+	SlowSlice      time.Duration // a slice that runs for longer is named
+	Random         func() float64
+	Wall           func() time.Time
+	IgnorePressure bool // pressure is not heeded: for measurements
+
+	wrapStore func(jobStore) jobStore // for tests
+}
+
+// jobStore is what is kept of jobs; package store has it.
+type jobStore interface {
 	Add(records []store.Record, timer string, ran time.Time) error
-	Ran(timer string) (time.Time, error)
-	Intend(id work.ID) error
-	Unintend(id work.ID) error
-	Fail(id work.ID, fails int, parked string) error
+	LastRun(timer string) (time.Time, error)
+	MarkIntended(id work.ID) error
+	ClearIntended(id work.ID) error
+	RecordFailure(id work.ID, fails int, parked string) error
 	Park(id work.ID, why string) error
 	Checkpoint(id work.ID, state []byte, earliest int64, made []store.Record) error
-	End(id work.ID, made []store.Record) error
+	Complete(id work.ID, made []store.Record) error
 	Load(f func(store.Record) error) error
 	Close() error
 }
 
 const (
-	factsEvery = 100 * time.Millisecond
-	timerLook  = 30 * time.Second // wall clocks jump: schedules and windows are looked at so often
-	stackMost  = 1 << 20
+	loadInterval  = 100 * time.Millisecond
+	timerInterval = 30 * time.Second // wall clocks jump: schedules and windows are looked at so often
+	maxStackBytes = 1 << 20
 )
 
 // Runner does background work.
 type Runner struct {
-	c     Config
-	log   *slog.Logger
-	kinds map[string]*Kind
-	store keeper
-	start time.Time
-
-	asks    chan func()
-	results chan ended
-	stop    context.CancelFunc
-	ctx     context.Context
-	done    chan struct{}
-	workers sync.WaitGroup
+	config    Config
+	log       *slog.Logger
+	kinds     map[string]*Kind
+	store     jobStore
+	startedAt time.Time
+
+	requests chan func()
+	results  chan sliceResult
+	stop     context.CancelFunc
+	ctx      context.Context
+	done     chan struct{}
+	workers  sync.WaitGroup
 
 	// The loop's.
-	sched    *work.Scheduler
-	pressure work.Pressure
-	running  map[work.ID]*slice
-	records  map[work.ID]*store.Record // of all jobs that are held
-	memory   work.ID                   // numbers of those that are not kept count down from here
-	last     map[string]time.Time      // schedules: of which time the last run was
-	due      map[string]time.Time
-	failing  bool // the store
+	sched          *work.Scheduler
+	pressure       work.Pressure
+	running        map[work.ID]*runningSlice
+	records        map[work.ID]*store.Record // of all jobs that are held
+	nextVolatileID work.ID                   // numbers of those that are not kept count down from here
+	lastRuns       map[string]time.Time      // schedules: of which time the last run was
+	dueTimes       map[string]time.Time
+	timerFailing   bool // the store
 }
 
-type slice struct {
-	cancel context.CancelFunc
-	begun  time.Time
-	named  bool
-	kind   *Kind
+type runningSlice struct {
+	cancel    context.CancelFunc
+	startedAt time.Time
+	reported  bool
+	kind      *Kind
 }
 
-type ended struct {
+type sliceResult struct {
 	id  work.ID
 	res Result
 	err error
@@ -160,13 +160,13 @@
 	if c.Workers <= 0 {
 		c.Workers = 2
 	}
-	if c.Slow <= 0 {
-		c.Slow = 30 * time.Second
+	if c.SlowSlice <= 0 {
+		c.SlowSlice = 30 * time.Second
 	}
 	c.Settings.Limits.Running = c.Workers
-	r := &Runner{c: c, log: log, kinds: map[string]*Kind{}, start: time.Now(), asks: make(chan func()), results: make(chan ended, c.Workers),
-		done: make(chan struct{}), sched: work.New(c.Settings, c.Random), pressure: work.Pressure{Targets: c.Targets}, running: map[work.ID]*slice{},
-		records: map[work.ID]*store.Record{}, memory: 1 << 62, last: map[string]time.Time{}, due: map[string]time.Time{}}
+	r := &Runner{config: c, log: log, kinds: map[string]*Kind{}, startedAt: time.Now(), requests: make(chan func()), results: make(chan sliceResult, c.Workers),
+		done: make(chan struct{}), sched: work.New(c.Settings, c.Random), pressure: work.Pressure{Targets: c.Targets}, running: map[work.ID]*runningSlice{},
+		records: map[work.ID]*store.Record{}, nextVolatileID: 1 << 62, lastRuns: map[string]time.Time{}, dueTimes: map[string]time.Time{}}
 	for _, k := range kinds {
 		r.kinds[k.Name] = k
 	}
@@ -174,8 +174,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.store = st; c.around != nil {
-		r.store = c.around(st)
+	if r.store = st; c.wrapStore != nil {
+		r.store = c.wrapStore(st)
 	}
 	r.ctx, r.stop = context.WithCancel(context.Background())
 	if err := r.resume(); err != nil {
@@ -186,24 +186,24 @@
 	return r, nil
 }
 
-func (r *Runner) now() time.Duration { return time.Since(r.start) }
+func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
 // resume takes up what an earlier process left.
 func (r *Runner) resume() error {
 	var events []work.Event
 	err := r.store.Load(func(rec store.Record) error {
-		parked := rec.Parked
+		parked := rec.ParkedReason
 		k := r.kinds[rec.Kind]
 		switch {
 		case k == nil:
 			parked = "nobody here does " + rec.Kind
 		case rec.Version > k.Version:
 			parked = fmt.Sprintf("it is of version %d of %s, and this is %d", rec.Version, rec.Kind, k.Version)
-		case rec.Intended && k.Settle == nil && parked == "":
+		case rec.Intended && k.CheckDone == nil && parked == "":
 			parked = "the process ended while a slice of it was under way: it may have been done"
 		}
 		r.records[rec.ID] = &rec
-		events = append(events, work.Submit{Job: r.job(&rec), Fails: rec.Fails, Parked: parked})
+		events = append(events, work.Submit{Job: r.job(&rec), Failures: rec.Failures, ParkedReason: parked})
 		return nil
 	})
 	if err != nil {
@@ -211,24 +211,24 @@
 	}
 	for _, k := range r.kinds {
 		if k.Timer != nil {
-			if r.last[k.Name], err = r.store.Ran(k.Name); err != nil {
+			if r.lastRuns[k.Name], err = r.store.LastRun(k.Name); err != nil {
 				return err
 			}
 		}
 	}
 	// What is held already is held, whatever the bounds are now; but no more run than there are workers.
-	open := r.c.Settings
-	open.Limits = work.Limits{Running: r.c.Workers}
+	open := r.config.Settings
+	open.Limits = work.Limits{Running: r.config.Workers}
 	r.step(append([]work.Event{work.Configure{Settings: open}}, events...)...)
-	r.step(work.Configure{Settings: r.c.Settings})
+	r.step(work.Configure{Settings: r.config.Settings})
 	return nil
 }
 
 // job is a record as the scheduler takes it: its times are of the runner's clock.
 func (r *Runner) job(rec *store.Record) work.Job {
-	j := work.Job{ID: rec.ID, Kind: rec.Kind, Owner: rec.Owner, Priority: rec.Priority, Slice: rec.Slice, Left: time.Duration(rec.Left), Lock: rec.Lock,
+	j := work.Job{ID: rec.ID, Kind: rec.Kind, Owner: rec.Owner, Priority: rec.Priority, SliceCost: rec.SliceCost, Remaining: time.Duration(rec.Remaining), Lock: rec.Lock,
 		Resource: rec.Resource, Depth: rec.Depth, Size: int64(len(rec.State)) + 200}
-	wall, now := r.c.Wall().UnixNano(), r.now()
+	wall, now := r.config.Wall().UnixNano(), r.now()
 	if rec.Earliest > 0 {
 		j.Earliest = now + time.Duration(rec.Earliest-wall)
 	}
@@ -238,46 +238,46 @@
 	return j
 }
 
-func (r *Runner) record(n *New, depth int) store.Record {
-	wall := r.c.Wall().UnixNano()
-	rec := store.Record{Kind: n.Kind, Owner: n.Owner, Priority: n.Priority, Slice: n.Slice, Left: int64(n.Left), Lock: n.Lock, Resource: n.Resource, Depth: depth, State: n.State}
+func (r *Runner) record(n *JobSpec, depth int) store.Record {
+	wall := r.config.Wall().UnixNano()
+	rec := store.Record{Kind: n.Kind, Owner: n.Owner, Priority: n.Priority, SliceCost: n.SliceCost, Remaining: int64(n.Remaining), Lock: n.Lock, Resource: n.Resource, Depth: depth, State: n.State}
 	if k := r.kinds[n.Kind]; k != nil {
 		rec.Version = k.Version
 	}
-	if n.After > 0 {
-		rec.Earliest = wall + int64(n.After)
+	if n.Delay > 0 {
+		rec.Earliest = wall + int64(n.Delay)
 	}
-	if n.Within > 0 {
-		rec.Deadline = wall + int64(n.Within)
+	if n.DeadlineAfter > 0 {
+		rec.Deadline = wall + int64(n.DeadlineAfter)
 	}
 	return rec
 }
 
-// ErrLeaving says that the runner has ended.
-var ErrLeaving = errors.New("background work is ending")
+// ErrShuttingDown says that the runner has ended.
+var ErrShuttingDown = errors.New("background work is ending")
 
-// within runs f in the loop.
-func (r *Runner) within(f func()) error {
+// call runs f in the loop.
+func (r *Runner) call(f func()) error {
 	done := make(chan struct{})
 	select {
-	case r.asks <- func() { f(); close(done) }:
+	case r.requests <- func() { f(); close(done) }:
 		<-done
 		return nil
 	case <-r.ctx.Done():
-		return ErrLeaving
+		return ErrShuttingDown
 	}
 }
 
 // Submit takes jobs on, all or none. When it returns without an error those that are kept are on the disk.
-func (r *Runner) Submit(jobs ...New) error {
-	err := ErrLeaving
-	if e := r.within(func() { err = r.submit(jobs, 0, "", time.Time{}) }); e != nil {
+func (r *Runner) Submit(jobs ...JobSpec) error {
+	err := ErrShuttingDown
+	if e := r.call(func() { err = r.submit(jobs, 0, "", time.Time{}) }); e != nil {
 		return e
 	}
 	return err
 }
 
-func (r *Runner) submit(jobs []New, depth int, timer string, ran time.Time) error {
+func (r *Runner) submit(jobs []JobSpec, depth int, timer string, ran time.Time) error {
 	var keep []store.Record
 	var all []*store.Record
 	var ask []work.Job
@@ -288,15 +288,15 @@
 		}
 		rec := r.record(&jobs[i], depth)
 		ask = append(ask, r.job(&rec))
-		if k.Memory {
-			r.memory--
-			rec.ID = r.memory
+		if k.Volatile {
+			r.nextVolatileID--
+			rec.ID = r.nextVolatileID
 			all = append(all, &rec)
 		} else {
 			keep = append(keep, rec)
 		}
 	}
-	if why := r.sched.Room(ask...); why != "" {
+	if why := r.sched.CheckCapacity(ask...); why != "" {
 		return errors.New(why)
 	}
 	if len(keep) > 0 || timer != "" {
@@ -307,12 +307,12 @@
 	for i := range keep {
 		all = append(all, &keep[i])
 	}
-	r.taken(all)
+	r.accept(all)
 	return nil
 }
 
-// taken tells the scheduler of jobs that stand where they are to.
-func (r *Runner) taken(all []*store.Record) {
+// accept tells the scheduler of jobs that stand where they are to.
+func (r *Runner) accept(all []*store.Record) {
 	var events []work.Event
 	for _, rec := range all {
 		r.records[rec.ID] = rec
@@ -322,25 +322,25 @@
 }
 
 func (r *Runner) step(events ...work.Event) {
-	r.act(r.sched.Step(r.now(), r.c.Wall(), events...))
+	r.apply(r.sched.Step(r.now(), r.config.Wall(), events...))
 }
 
-// act does what the scheduler says.
-func (r *Runner) act(actions []work.Action) {
+// apply does what the scheduler says.
+func (r *Runner) apply(actions []work.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case work.Start:
-			r.begin(a.ID)
-		case work.Refuse: // it was asked before whether there is room
-			r.log.Error("a job is refused", "job", a.ID, "why", a.Why)
+			r.startSlice(a.ID)
+		case work.Reject: // it was asked before whether there is room
+			r.log.Error("a job is refused", "job", a.ID, "why", a.Reason)
 			delete(r.records, a.ID)
-		case work.Over:
+		case work.Finished:
 			if a.Dropped {
-				r.forget(a.ID)
+				r.deleteDropped(a.ID)
 			}
 			delete(r.records, a.ID)
 		case work.Park:
-			r.log.Warn("a job waits for an operator", "job", a.ID, "kind", r.records[a.ID].Kind, "owner", r.records[a.ID].Owner, "why", a.Why)
+			r.log.Warn("a job waits for an operator", "job", a.ID, "kind", r.records[a.ID].Kind, "owner", r.records[a.ID].Owner, "why", a.Reason)
 		case work.Stop:
 			if s := r.running[a.ID]; s != nil {
 				s.cancel()
@@ -349,67 +349,67 @@
 	}
 }
 
-// kept reports whether a job stands in the store.
-func (r *Runner) kept(id work.ID) bool { return id < 1<<61 }
+// persisted reports whether a job stands in the store.
+func (r *Runner) persisted(id work.ID) bool { return id < 1<<61 }
 
-func (r *Runner) forget(id work.ID) {
-	if r.kept(id) {
-		if err := r.store.End(id, nil); err != nil && !errors.Is(err, store.ErrGone) {
+func (r *Runner) deleteDropped(id work.ID) {
+	if r.persisted(id) {
+		if err := r.store.Complete(id, nil); err != nil && !errors.Is(err, store.ErrNotFound) {
 			r.log.Error("a dropped job is still in the store and comes back with the next process", "job", id, "err", err)
 		}
 	}
 }
 
-// begin has a worker do a slice.
-func (r *Runner) begin(id work.ID) {
+// startSlice has a worker do a slice.
+func (r *Runner) startSlice(id work.ID) {
 	if r.ctx.Err() != nil { // it is leaving: the next process begins it
 		return
 	}
 	rec := r.records[id]
 	k := r.kinds[rec.Kind]
 	if k == nil { // it was started by hand, and nobody does it
-		r.results <- ended{id, Result{}, fmt.Errorf("nobody here does %s: %w", rec.Kind, ErrPark)}
+		r.results <- sliceResult{id, Result{}, fmt.Errorf("nobody here does %s: %w", rec.Kind, ErrPark)}
 		return
 	}
-	settle := rec.Intended && r.kept(id) && !k.Repeat
-	if !settle && !k.Repeat && r.kept(id) {
-		if err := r.store.Intend(id); err != nil {
-			r.results <- ended{id, Result{}, fmt.Errorf("what is intended can't be written down: %w", err)}
+	settle := rec.Intended && r.persisted(id) && !k.Idempotent
+	if !settle && !k.Idempotent && r.persisted(id) {
+		if err := r.store.MarkIntended(id); err != nil {
+			r.results <- sliceResult{id, Result{}, fmt.Errorf("what is intended can't be written down: %w", err)}
 			return
 		}
 		rec.Intended = true
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
-	r.running[id] = &slice{cancel: cancel, begun: time.Now(), kind: k}
-	t := Task{ID: id, Owner: rec.Owner, State: rec.State, Fails: rec.Fails}
+	r.running[id] = &runningSlice{cancel: cancel, startedAt: time.Now(), kind: k}
+	t := Task{ID: id, Owner: rec.Owner, State: rec.State, Failures: rec.Failures}
 	r.workers.Add(1)
 	go func() {
 		defer r.workers.Done()
-		e := ended{id: id}
-		e.res, e.err = do(ctx, k, t, settle)
+		e := sliceResult{id: id}
+		e.res, e.err = runSlice(ctx, k, t, settle)
 		r.results <- e
 	}()
 }
 
-// errUndone says that a slice that was about to be done was not.
-var errUndone = errors.New("the slice was not done")
+// errNotDone says that a slice that was about to be done was not.
+var errNotDone = errors.New("the slice was not done")
 
-// do does a slice, or finds out whether it was done. What panics has failed.
-func do(ctx context.Context, k *Kind, t Task, settle bool) (res Result, err error) {
+// runSlice does a slice, or finds out whether it was done. What panics has failed.
+func runSlice(ctx context.Context, k *Kind, t Task, check bool) (res Result, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			res, err = Result{}, fmt.Errorf("panic: %v\n%s", p, debug.Stack())
 		}
 	}()
-	if !settle {
+	if !check {
 		return k.Slice(ctx, t)
 	}
-	if k.Settle == nil { // an operator has it run all the same
+	if k.CheckDone == nil { // an operator has it run all the same
 		return k.Slice(ctx, t)
 	}
-	done, res, err := k.Settle(ctx, t)
+	done, res, err := k.CheckDone(ctx, t)
 	if err == nil && !done {
-		err = errUndone
+		err = errNotDone
 	}
 	return res, err
 }
@@ -417,40 +417,40 @@
 func (r *Runner) loop() {
 	defer close(r.done)
 	timer := time.NewTimer(0)
-	facts := time.NewTicker(factsEvery)
-	look := time.NewTicker(timerLook)
+	facts := time.NewTicker(loadInterval)
+	look := time.NewTicker(timerInterval)
 	defer timer.Stop()
 	defer facts.Stop()
 	defer look.Stop()
-	r.timers()
+	r.submitDueTimers()
 	for {
 		timer.Reset(max(0, min(r.sched.Next()-r.now(), r.nextTimer())))
 		select {
 		case <-r.ctx.Done():
 			return
-		case f := <-r.asks:
+		case f := <-r.requests:
 			f()
 		case e := <-r.results:
-			r.ended(e)
+			r.handleResult(e)
 		case <-facts.C:
-			r.watch()
+			r.reportSlowSlices()
 			part := 1.0
-			if r.c.Facts != nil && !r.c.NoLimit {
-				part = r.pressure.Step(r.now(), r.c.Facts())
+			if r.config.Load != nil && !r.config.IgnorePressure {
+				part = r.pressure.Step(r.now(), r.config.Load())
 			}
-			r.step(work.Allow{Part: part})
+			r.step(work.SetAllowance{Fraction: part})
 		case <-look.C:
-			r.timers()
+			r.submitDueTimers()
 			r.step()
 		case <-timer.C:
-			r.timers()
+			r.submitDueTimers()
 			r.step()
 		}
 	}
 }
 
-// ended books how a slice went: first where it lasts, then with the scheduler.
-func (r *Runner) ended(e ended) {
+// handleResult books how a slice went: first where it lasts, then with the scheduler.
+func (r *Runner) handleResult(e sliceResult) {
 	rec := r.records[e.id]
 	if s := r.running[e.id]; s != nil {
 		s.cancel()
@@ -459,12 +459,12 @@
 	if rec == nil {
 		return
 	}
-	ev := work.Ended{ID: e.id, Used: e.res.Used, More: e.res.More, After: e.res.After}
-	if errors.Is(e.err, errUndone) { // it is to be done now
+	ev := work.SliceEnded{ID: e.id, Used: e.res.Used, More: e.res.More, Delay: e.res.Delay}
+	if errors.Is(e.err, errNotDone) { // it is to be done now
 		rec.Intended = false
-		if err := r.store.Unintend(e.id); err != nil {
+		if err := r.store.ClearIntended(e.id); err != nil {
 			rec.Intended = true
-			ev.Err = err.Error()
+			ev.Failure = err.Error()
 		} else {
 			ev.More = true
 		}
@@ -473,54 +473,54 @@
 	}
 	var made []store.Record
 	if e.err == nil {
-		made, e.err = r.made(rec, e.res.Jobs)
+		made, e.err = r.spawnedRecords(rec, e.res.Jobs)
 	}
-	if e.err == nil && r.kept(e.id) {
+	if e.err == nil && r.persisted(e.id) {
 		if e.res.More {
 			earliest := int64(0)
-			if e.res.After > 0 {
-				earliest = r.c.Wall().UnixNano() + int64(e.res.After)
+			if e.res.Delay > 0 {
+				earliest = r.config.Wall().UnixNano() + int64(e.res.Delay)
 			}
 			e.err = r.store.Checkpoint(e.id, e.res.State, earliest, made)
 		} else {
-			e.err = r.store.End(e.id, made)
+			e.err = r.store.Complete(e.id, made)
 		}
 		if e.err != nil { // the slice is done, and that can't be written down: if it can't be done twice, nobody may try
 			e.err = fmt.Errorf("what was done can't be written down: %w", e.err)
-			if !r.kinds[rec.Kind].Repeat {
+			if !r.kinds[rec.Kind].Idempotent {
 				ev.Park = true
 			}
-			ev.Err = e.err.Error()
+			ev.Failure = e.err.Error()
 			r.step(ev)
 			return
 		}
 	}
 	if e.err == nil {
-		rec.State, rec.Intended, rec.Fails = e.res.State, false, 0
+		rec.State, rec.Intended, rec.Failures = e.res.State, false, 0
 		var all []*store.Record
 		for i := range made {
-			if k := r.kinds[made[i].Kind]; k.Memory {
-				r.memory--
-				made[i].ID = r.memory
+			if k := r.kinds[made[i].Kind]; k.Volatile {
+				r.nextVolatileID--
+				made[i].ID = r.nextVolatileID
 			}
 			all = append(all, &made[i])
 		}
 		r.step(ev)
-		r.taken(all)
+		r.accept(all)
 		return
 	}
-	ev.Err, ev.Park = e.err.Error(), errors.Is(e.err, ErrPark)
-	rec.Fails++
+	ev.Failure, ev.Park = e.err.Error(), errors.Is(e.err, ErrPark)
+	rec.Failures++
 	if r.ctx.Err() != nil { // called off as the runner leaves: it is no failure, and nothing is written
 		return
 	}
 	parked := ""
-	if limit := r.retry(rec.Kind); ev.Park || limit > 0 && rec.Fails >= limit {
-		parked, ev.Park = ev.Err, true
+	if limit := r.maxFailures(rec.Kind); ev.Park || limit > 0 && rec.Failures >= limit {
+		parked, ev.Park = ev.Failure, true
 	}
-	if r.kept(e.id) {
+	if r.persisted(e.id) {
 		// A slice that failed says that it was not done: what is intended no more.
-		if err := r.store.Fail(e.id, rec.Fails, parked); err != nil && !errors.Is(err, store.ErrGone) {
+		if err := r.store.RecordFailure(e.id, rec.Failures, parked); err != nil && !errors.Is(err, store.ErrNotFound) {
 			r.log.Warn("that a job failed can't be written down", "job", e.id, "err", err)
 		} else {
 			rec.Intended = false
@@ -529,15 +529,15 @@
 	r.step(ev)
 }
 
-func (r *Runner) retry(kind string) int {
-	if k, ok := r.c.Settings.Kinds[kind]; ok && k.Retry != (work.Retry{}) {
-		return k.Retry.Fails
+func (r *Runner) maxFailures(kind string) int {
+	if k, ok := r.config.Settings.Kinds[kind]; ok && k.Retry != (work.Retry{}) {
+		return k.Retry.MaxFailures
 	}
-	return work.DefaultRetry().Fails
+	return work.DefaultRetry().MaxFailures
 }
 
-// made is the records of jobs that a slice made, if there is room for them.
-func (r *Runner) made(by *store.Record, jobs []New) ([]store.Record, error) {
+// spawnedRecords is the records of jobs that a slice made, if there is room for them.
+func (r *Runner) spawnedRecords(by *store.Record, jobs []JobSpec) ([]store.Record, error) {
 	var recs []store.Record
 	var ask []work.Job
 	for i := range jobs {
@@ -545,81 +545,81 @@
 		if k == nil {
 			return nil, fmt.Errorf("there is no kind of work %q: %w", jobs[i].Kind, ErrPark)
 		}
-		if k.Memory != r.kinds[by.Kind].Memory {
+		if k.Volatile != r.kinds[by.Kind].Volatile {
 			return nil, fmt.Errorf("%s is kept and %s is not, or the other way round: %w", by.Kind, jobs[i].Kind, ErrPark)
 		}
 		rec := r.record(&jobs[i], by.Depth+1)
 		recs = append(recs, rec)
 		ask = append(ask, r.job(&rec))
 	}
-	if why := r.sched.Room(ask...); why != "" {
+	if why := r.sched.CheckCapacity(ask...); why != "" {
 		return nil, fmt.Errorf("the jobs that it makes are not taken: %s", why)
 	}
 	return recs, nil
 }
 
-// timers takes on what schedules say.
-func (r *Runner) timers() {
-	wall := r.c.Wall()
+// submitDueTimers takes on what schedules say.
+func (r *Runner) submitDueTimers() {
+	wall := r.config.Wall()
 	for name, k := range r.kinds {
-		if k.Timer == nil || wall.Before(r.due[name]) && r.due[name].Sub(wall) < timerLook {
+		if k.Timer == nil || wall.Before(r.dueTimes[name]) && r.dueTimes[name].Sub(wall) < timerInterval {
 			continue
 		}
-		runs, last, next := k.Timer.Due(r.last[name], wall)
-		r.due[name] = next
-		if runs == 0 && last.Equal(r.last[name]) {
+		runs, last, next := k.Timer.Due(r.lastRuns[name], wall)
+		r.dueTimes[name] = next
+		if runs == 0 && last.Equal(r.lastRuns[name]) {
 			continue
 		}
-		jobs := make([]New, runs)
+		jobs := make([]JobSpec, runs)
 		for i := range jobs {
 			jobs[i] = k.Timer.Job
 		}
 		if err := r.submit(jobs, 0, name, last); err != nil {
-			if !r.failing {
+			if !r.timerFailing {
 				r.log.Warn("timed work is not taken on", "kind", name, "err", err)
 			}
-			r.failing = true
-			r.due[name] = wall.Add(time.Second)
+			r.timerFailing = true
+			r.dueTimes[name] = wall.Add(time.Second)
 			continue
 		}
-		r.failing = false
-		r.last[name] = last
+		r.timerFailing = false
+		r.lastRuns[name] = last
 	}
 }
 
 func (r *Runner) nextTimer() time.Duration {
-	next := timerLook
-	wall := r.c.Wall()
-	for _, t := range r.due {
+	next := timerInterval
+	wall := r.config.Wall()
+	for _, t := range r.dueTimes {
 		next = min(next, t.Sub(wall))
 	}
 	return next
 }
 
-// watch names slices that overrun, each once, with what all goroutines do: among them is the one that hangs.
-func (r *Runner) watch() {
+// reportSlowSlices names slices that overrun, each once, with what all goroutines do: among them is the one that hangs.
+func (r *Runner) reportSlowSlices() {
 	for id, s := range r.running {
-		if s.named || time.Since(s.begun) < r.c.Slow {
+		if s.reported || time.Since(s.startedAt) < r.config.SlowSlice {
 			continue
 		}
-		s.named = true
-		stack := make([]byte, stackMost)
+		s.reported = true
+		stack := make([]byte, maxStackBytes)
 		stack = stack[:runtime.Stack(stack, true)]
-		r.log.Error("a slice takes long", "job", id, "kind", s.kind.Name, "owner", r.records[id].Owner, "for", time.Since(s.begun).Round(time.Millisecond), "stack", string(stack))
+		r.log.Error("a slice takes long", "job", id, "kind", s.kind.Name, "owner", r.records[id].Owner, "for", time.Since(s.startedAt).Round(time.Millisecond), "stack", string(stack))
 	}
 }
 
 // Command does what an operator wants.
 func (r *Runner) Command(c work.Command) error {
-	return r.within(func() {
+	return r.call(func() {
 		if c.Verb == work.Run { // what was parked is so no more, in the store too
 			for _, v := range r.sched.Views(work.Filter{ID: c.ID, Kind: c.Kind, Owner: c.Owner, State: "parked"}) {
-				if r.kept(v.ID) {
+				if r.persisted(v.ID) {
 					if err := r.store.Park(v.ID, ""); err != nil {
 						r.log.Warn("that a job is parked no more can't be written down", "job", v.ID, "err", err)
 					}
 				}
-				r.records[v.ID].Fails = 0
+				r.records[v.ID].Failures = 0
 			}
 		}
 		r.step(c)
@@ -628,40 +628,40 @@
 
 // Configure takes other settings.
 func (r *Runner) Configure(set work.Settings) error {
-	set.Limits.Running = r.c.Workers
-	return r.within(func() {
-		r.c.Settings = set
+	set.Limits.Running = r.config.Workers
+	return r.call(func() {
+		r.config.Settings = set
 		r.step(work.Configure{Settings: set})
 	})
 }
 
 // Report is what is known of all work.
 type Report struct {
-	Jobs    []work.View  `json:"jobs"`
-	Kinds   []work.Total `json:"kinds"`
-	Owners  []work.Total `json:"owners"`
-	Held    int          `json:"held"`
-	Running int          `json:"running"`
-	Allow   float64      `json:"allow"` // the part of its budget that live traffic leaves
-	Worst   string       `json:"worst,omitempty"`
-	Over    float64      `json:"over"`
+	Jobs       []work.View  `json:"jobs"`
+	Kinds      []work.Total `json:"kinds"`
+	Owners     []work.Total `json:"owners"`
+	JobCount   int          `json:"held"`
+	Running    int          `json:"running"`
+	Allowance  float64      `json:"allow"` // the part of its budget that live traffic leaves
+	Worst      string       `json:"worst,omitempty"`
+	WorstRatio float64      `json:"over"`
 }
 
 // Report tells of the jobs that a filter chooses.
 func (r *Runner) Report(f work.Filter) (rep Report, err error) {
-	err = r.within(func() {
+	err = r.call(func() {
 		rep.Jobs = r.sched.Views(f)
 		rep.Kinds, rep.Owners = r.sched.Totals()
-		rep.Held, rep.Running = r.sched.Len()
-		rep.Allow = r.pressure.Allow()
-		rep.Worst, rep.Over = r.pressure.Worst()
+		rep.JobCount, rep.Running = r.sched.Len()
+		rep.Allowance = r.pressure.Allowance()
+		rep.Worst, rep.WorstRatio = r.pressure.Worst()
 	})
 	return rep, err
 }
 
 // Close calls off what runs and waits for it, but not for longer than a time: what overruns is named, and its slice counts
 // as one that a kill has cut off.
-func (r *Runner) Close(most time.Duration) error {
+func (r *Runner) Close(timeout time.Duration) error {
 	r.stop()
 	<-r.done
 	drained := make(chan struct{})
@@ -669,17 +669,17 @@
 		r.workers.Wait()
 		close(drained)
 	}()
-	over := time.NewTimer(most)
+	over := time.NewTimer(timeout)
 	defer over.Stop()
 	for left := true; left; {
 		select {
 		case e := <-r.results: // done in the last moment: it is written down
-			r.ended(e)
+			r.handleResult(e)
 		case <-drained:
 			for drain := true; drain; {
 				select {
 				case e := <-r.results:
-					r.ended(e)
+					r.handleResult(e)
 				default:
 					drain = false
 				}
@@ -687,7 +687,7 @@
 			left = false
 		case <-over.C:
 			for id, s := range r.running {
-				r.log.Error("a slice does not end", "job", id, "kind", s.kind.Name, "for", time.Since(s.begun).Round(time.Millisecond))
+				r.log.Error("a slice does not end", "job", id, "kind", s.kind.Name, "for", time.Since(s.startedAt).Round(time.Millisecond))
 			}
 			left = false
 		}
--- a/internal/work/run/run_test.go
+++ b/internal/work/run/run_test.go
@@ -52,25 +52,27 @@
 
 // dying is a store of a mortal process.
 type dying struct {
-	keeper
+	jobStore
 	m *mortal
 }
 
 func (d dying) Add(r []store.Record, timer string, ran time.Time) error {
-	return d.m.do(func() error { return d.keeper.Add(r, timer, ran) })
+	return d.m.do(func() error { return d.jobStore.Add(r, timer, ran) })
+}
+func (d dying) Intend(id work.ID) error {
+	return d.m.do(func() error { return d.jobStore.MarkIntended(id) })
 }
-func (d dying) Intend(id work.ID) error { return d.m.do(func() error { return d.keeper.Intend(id) }) }
 func (d dying) Unintend(id work.ID) error {
-	return d.m.do(func() error { return d.keeper.Unintend(id) })
+	return d.m.do(func() error { return d.jobStore.ClearIntended(id) })
 }
 func (d dying) Fail(id work.ID, n int, p string) error {
-	return d.m.do(func() error { return d.keeper.Fail(id, n, p) })
+	return d.m.do(func() error { return d.jobStore.RecordFailure(id, n, p) })
 }
 func (d dying) Checkpoint(id work.ID, s []byte, e int64, m []store.Record) error {
-	return d.m.do(func() error { return d.keeper.Checkpoint(id, s, e, m) })
+	return d.m.do(func() error { return d.jobStore.Checkpoint(id, s, e, m) })
 }
 func (d dying) End(id work.ID, m []store.Record) error {
-	return d.m.do(func() error { return d.keeper.End(id, m) })
+	return d.m.do(func() error { return d.jobStore.Complete(id, m) })
 }
 
 // world is what slices do to others: so often each.
@@ -104,16 +106,16 @@
 		}
 		r := Result{State: append(bytes.Clone(t.State), 'p'), More: n < 2, Used: work.Cost{work.CPU: 1}}
 		if n == 1 {
-			r.Jobs = []New{{Kind: name, Owner: t.Owner, Priority: work.Low, State: []byte("c")}}
+			r.Jobs = []JobSpec{{Kind: name, Owner: t.Owner, Priority: work.Low, State: []byte("c")}}
 		}
 		return r, what
 	}
-	k := &Kind{Name: name, Repeat: repeat, Slice: func(_ context.Context, t Task) (Result, error) {
+	k := &Kind{Name: name, Idempotent: repeat, Slice: func(_ context.Context, t Task) (Result, error) {
 		r, what := next(t)
 		return r, w.happen(m, what)
 	}}
 	if settles {
-		k.Settle = func(_ context.Context, t Task) (bool, Result, error) {
+		k.CheckDone = func(_ context.Context, t Task) (bool, Result, error) {
 			r, what := next(t)
 			return w.happened(what), r, nil
 		}
@@ -154,7 +156,7 @@
 // The process dies at each step that writes or has an effect, before it and after it: the next one goes on, and each slice
 // has been done once; or once more where its kind says that this does no harm; or, where nobody can say, its job is parked.
 func TestDiesAtEachStep(t *testing.T) {
-	jobs := []New{{Kind: "repeat", Owner: "a"}, {Kind: "settle", Owner: "b"}, {Kind: "neither", Owner: "c"}}
+	jobs := []JobSpec{{Kind: "repeat", Owner: "a"}, {Kind: "settle", Owner: "b"}, {Kind: "neither", Owner: "c"}}
 	play := func(t *testing.T, dies int, after bool) (steps int) {
 		path := filepath.Join(t.TempDir(), "work.db")
 		w := &world{effects: map[string]int{}}
@@ -163,7 +165,7 @@
 		}
 		first := &mortal{dies: dies, after: after, killed: make(chan struct{})}
 		c := config(path)
-		c.around = func(k keeper) keeper { return dying{k, first} }
+		c.wrapStore = func(k jobStore) jobStore { return dying{k, first} }
 		r, err := Start(c, kinds(first), quiet())
 		if err != nil {
 			t.Fatal(err)
@@ -245,19 +247,19 @@
 	m := &mortal{killed: make(chan struct{})}
 	c := config(filepath.Join(t.TempDir(), "work.db"))
 	fails := &failing{}
-	c.around = func(k keeper) keeper { fails.keeper = k; return fails }
-	c.Settings.Kinds["repeat"] = work.Kind{Retry: work.Retry{First: 1, Most: 1, Credit: 100}}
+	c.wrapStore = func(k jobStore) jobStore { fails.jobStore = k; return fails }
+	c.Settings.Kinds["repeat"] = work.Kind{Retry: work.Retry{InitialBackoff: 1, MaxBackoff: 1, Credit: 100}}
 	r, err := Start(c, []*Kind{counting("repeat", w, m, true, false), counting("neither", w, m, false, false)}, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close(wait)
 	fails.set(true)
-	if err := r.Submit(New{Kind: "repeat", Owner: "a"}); !errors.Is(err, errFull) {
+	if err := r.Submit(JobSpec{Kind: "repeat", Owner: "a"}); !errors.Is(err, errFull) {
 		t.Error(err)
 	}
 	fails.set(false)
-	if err := r.Submit(New{Kind: "repeat", Owner: "a"}, New{Kind: "neither", Owner: "b", After: time.Hour}); err != nil {
+	if err := r.Submit(JobSpec{Kind: "repeat", Owner: "a"}, JobSpec{Kind: "neither", Owner: "b", Delay: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	settle := func() { // all but the one that waits for an hour
@@ -272,7 +274,7 @@
 	}
 	settle()
 	fails.checkpoints(true)
-	if err := r.Submit(New{Kind: "repeat", Owner: "z"}); err != nil {
+	if err := r.Submit(JobSpec{Kind: "repeat", Owner: "z"}); err != nil {
 		t.Fatal(err)
 	}
 	for over := time.Now().Add(wait); !w.happened("repeat z 0"); time.Sleep(time.Millisecond) {
@@ -298,7 +300,7 @@
 		t.Fatal(err)
 	}
 	defer r2.Close(wait)
-	if err := r2.Submit(New{Kind: "repeat", Owner: "a", State: make([]byte, 2000)}); !errors.Is(err, store.ErrFull) {
+	if err := r2.Submit(JobSpec{Kind: "repeat", Owner: "a", State: make([]byte, 2000)}); !errors.Is(err, store.ErrFull) {
 		t.Error(err)
 	}
 }
@@ -306,7 +308,7 @@
 var errFull = errors.New("no space left on device")
 
 type failing struct {
-	keeper
+	jobStore
 	mu          sync.Mutex
 	all, checks bool
 }
@@ -320,7 +322,7 @@
 	if f.all {
 		return errFull
 	}
-	return f.keeper.Add(r, timer, ran)
+	return f.jobStore.Add(r, timer, ran)
 }
 
 func (f *failing) Checkpoint(id work.ID, s []byte, e int64, m []store.Record) error {
@@ -329,28 +331,28 @@
 	if f.checks {
 		return errFull
 	}
-	return f.keeper.Checkpoint(id, s, e, m)
+	return f.jobStore.Checkpoint(id, s, e, m)
 }
 
 // What panics, hangs, makes jobs that make jobs, or is of a newer version.
 func TestBadJobs(t *testing.T) {
 	var logged syncBuffer
 	c := config(filepath.Join(t.TempDir(), "work.db"))
-	c.Slow = 50 * time.Millisecond
+	c.SlowSlice = 50 * time.Millisecond
 	c.Settings.Limits.OwnerJobs = 20
 	for _, k := range []string{"panics", "breeds"} {
-		c.Settings.Kinds[k] = work.Kind{Retry: work.Retry{First: 1, Most: 1, Fails: 2, Credit: 100}}
+		c.Settings.Kinds[k] = work.Kind{Retry: work.Retry{InitialBackoff: 1, MaxBackoff: 1, MaxFailures: 2, Credit: 100}}
 	}
 	hangs := make(chan struct{})
 	var bred atomic.Int32
 	kinds := []*Kind{
-		{Name: "panics", Repeat: true, Slice: func(context.Context, Task) (Result, error) { panic("at the disco") }},
-		{Name: "hangs", Repeat: true, Slice: func(ctx context.Context, _ Task) (Result, error) { <-hangs; return Result{}, nil }},
-		{Name: "breeds", Repeat: true, Slice: func(context.Context, Task) (Result, error) {
+		{Name: "panics", Idempotent: true, Slice: func(context.Context, Task) (Result, error) { panic("at the disco") }},
+		{Name: "hangs", Idempotent: true, Slice: func(ctx context.Context, _ Task) (Result, error) { <-hangs; return Result{}, nil }},
+		{Name: "breeds", Idempotent: true, Slice: func(context.Context, Task) (Result, error) {
 			bred.Add(1)
 			return Result{Jobs: make10("breeds")}, nil
 		}},
-		{Name: "parks", Repeat: true, Slice: func(context.Context, Task) (Result, error) {
+		{Name: "parks", Idempotent: true, Slice: func(context.Context, Task) (Result, error) {
 			return Result{}, fmt.Errorf("ask somebody: %w", ErrPark)
 		}},
 	}
@@ -359,10 +361,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Submit(New{Kind: "nonsense"}); err == nil || !strings.Contains(err.Error(), "no kind of work") {
+	if err := r.Submit(JobSpec{Kind: "nonsense"}); err == nil || !strings.Contains(err.Error(), "no kind of work") {
 		t.Error(err)
 	}
-	if err := r.Submit(New{Kind: "panics", Owner: "a"}, New{Kind: "parks", Owner: "a"}, New{Kind: "hangs", Owner: "h"}); err != nil {
+	if err := r.Submit(JobSpec{Kind: "panics", Owner: "a"}, JobSpec{Kind: "parks", Owner: "a"}, JobSpec{Kind: "hangs", Owner: "h"}); err != nil {
 		t.Fatal(err)
 	}
 	for over := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
@@ -381,12 +383,12 @@
 		t.Errorf("it is named %d times", n)
 	}
 	close(hangs)
-	if err := r.Submit(New{Kind: "breeds", Owner: "b"}); err != nil {
+	if err := r.Submit(JobSpec{Kind: "breeds", Owner: "b"}); err != nil {
 		t.Fatal(err)
 	}
 	rep := settled(t, r)
-	if bred.Load() > 40 || rep.Held > 25 {
-		t.Errorf("%d slices, %d jobs are held", bred.Load(), rep.Held)
+	if bred.Load() > 40 || rep.JobCount > 25 {
+		t.Errorf("%d slices, %d jobs are held", bred.Load(), rep.JobCount)
 	}
 	for _, j := range rep.Jobs {
 		if j.Kind == "breeds" && !strings.Contains(j.Err, "not taken") {
@@ -424,10 +426,10 @@
 	}
 }
 
-func make10(kind string) []New {
-	var out []New
+func make10(kind string) []JobSpec {
+	var out []JobSpec
 	for range 10 {
-		out = append(out, New{Kind: kind, Owner: "b"})
+		out = append(out, JobSpec{Kind: kind, Owner: "b"})
 	}
 	return out
 }
@@ -468,16 +470,16 @@
 			return Result{}, ctx.Err()
 		}
 	}
-	r, err := Start(c, []*Kind{{Name: "slow", Repeat: true, Slice: slow(false)}, {Name: "deaf", Repeat: true, Slice: slow(true)}}, slog.New(slog.NewTextHandler(&logged, nil)))
+	r, err := Start(c, []*Kind{{Name: "slow", Idempotent: true, Slice: slow(false)}, {Name: "deaf", Idempotent: true, Slice: slow(true)}}, slog.New(slog.NewTextHandler(&logged, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 9 {
-		if err := r.Submit(New{Kind: "slow", Owner: "a"}); err != nil {
+		if err := r.Submit(JobSpec{Kind: "slow", Owner: "a"}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.Submit(New{Kind: "deaf", Owner: "a"})
+	r.Submit(JobSpec{Kind: "deaf", Owner: "a"})
 	for range 10 {
 		<-begun
 	}
@@ -488,15 +490,15 @@
 	if took := time.Since(from); took > 10*time.Second || strings.Count(logged.String(), "a slice does not end") != 1 {
 		t.Errorf("%v\n%s", took, logged.String())
 	}
-	if err := r.Submit(New{Kind: "slow"}); !errors.Is(err, ErrLeaving) {
+	if err := r.Submit(JobSpec{Kind: "slow"}); !errors.Is(err, ErrShuttingDown) {
 		t.Error(err)
 	}
 	quick := func(context.Context, Task) (Result, error) { return Result{}, nil }
-	if r, err = Start(c, []*Kind{{Name: "slow", Repeat: true, Slice: quick}, {Name: "deaf", Repeat: true, Slice: quick}}, quiet()); err != nil {
+	if r, err = Start(c, []*Kind{{Name: "slow", Idempotent: true, Slice: quick}, {Name: "deaf", Idempotent: true, Slice: quick}}, quiet()); err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close(wait)
-	if rep := settled(t, r); rep.Kinds == nil || rep.Held != 0 {
+	if rep := settled(t, r); rep.Kinds == nil || rep.JobCount != 0 {
 		t.Errorf("%+v", rep)
 	}
 }
@@ -514,7 +516,7 @@
 	st.Close()
 	var now, most atomic.Int32
 	begun := make(chan struct{}, 10)
-	r, err := Start(c, []*Kind{{Name: "slow", Repeat: true, Slice: func(context.Context, Task) (Result, error) {
+	r, err := Start(c, []*Kind{{Name: "slow", Idempotent: true, Slice: func(context.Context, Task) (Result, error) {
 		n := now.Add(1)
 		defer now.Add(-1)
 		for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
@@ -555,7 +557,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Submit(New{Kind: "once", Owner: "a"}); err != nil {
+	if err := r.Submit(JobSpec{Kind: "once", Owner: "a"}); err != nil {
 		t.Fatal(err)
 	}
 	<-begun
@@ -582,12 +584,12 @@
 		wall = wall.Add(d)
 		mu.Unlock()
 		if r != nil {
-			r.within(func() { r.timers() }) // it looks every so often
+			r.call(func() { r.submitDueTimers() }) // it looks every so often
 		}
 	}
 	ran := make(chan struct{}, 100)
 	kind := func(memory bool) *Kind {
-		return &Kind{Name: "timed", Repeat: true, Memory: memory, Timer: &Timer{work.Schedule{Every: time.Hour}, New{Kind: "timed", Owner: "a"}},
+		return &Kind{Name: "timed", Idempotent: true, Volatile: memory, Timer: &Timer{work.Schedule{Every: time.Hour}, JobSpec{Kind: "timed", Owner: "a"}},
 			Slice: func(context.Context, Task) (Result, error) { ran <- struct{}{}; return Result{}, nil }}
 	}
 	for _, memory := range []bool{false, true} {
@@ -620,7 +622,7 @@
 		if r, err = Start(c, []*Kind{kind(memory)}, quiet()); err != nil {
 			t.Fatal(err)
 		}
-		r.within(func() {})
+		r.call(func() {})
 		count(1)
 		if err := r.Close(wait); err != nil {
 			t.Fatal(err)
--- a/internal/work/scheduler.go
+++ b/internal/work/scheduler.go
@@ -15,20 +15,20 @@
 	// Submit is a new job, or one from an earlier process.
 	Submit struct {
 		Job
-		Fails  int    // in a row, as an earlier process left it
-		Parked string // and why it is parked; empty: it is not
-	}
-	// Ended says how a slice ended.
-	Ended struct {
-		ID    ID
-		Used  Cost
-		More  bool          // there is more of it
-		After time.Duration // but not before so long
-		Err   string        // it failed; empty: it did not
-		Park  bool          // and is not to be tried again by itself
-	}
-	// Allow is the part of its budget that pressure leaves to all work.
-	Allow struct{ Part float64 }
+		Failures     int    // in a row, as an earlier process left it
+		ParkedReason string // and why it is parked; empty: it is not
+	}
+	// SliceEnded says how a slice ended.
+	SliceEnded struct {
+		ID      ID
+		Used    Cost
+		More    bool          // there is more of it
+		Delay   time.Duration // but not before so long
+		Failure string        // it failed; empty: it did not
+		Park    bool          // and is not to be tried again by itself
+	}
+	// SetAllowance is the part of its budget that pressure leaves to all work.
+	SetAllowance struct{ Fraction float64 }
 	// Command is an operator's.
 	Command struct {
 		Verb  Verb
@@ -40,11 +40,11 @@
 	Configure struct{ Settings }
 )
 
-func (Submit) event()    {}
-func (Ended) event()     {}
-func (Allow) event()     {}
-func (Command) event()   {}
-func (Configure) event() {}
+func (Submit) event()       {}
+func (SliceEnded) event()   {}
+func (SetAllowance) event() {}
+func (Command) event()      {}
+func (Configure) event()    {}
 
 // Verb is what an operator wants.
 type Verb int
@@ -66,104 +66,104 @@
 type (
 	// Start has a slice of a job begun.
 	Start struct{ ID ID }
-	// Refuse turns a job away: nothing of it is held.
-	Refuse struct {
-		ID  ID
-		Why string
+	// Reject turns a job away: nothing of it is held.
+	Reject struct {
+		ID     ID
+		Reason string
 	}
-	// Over says that a job is done, or dropped: it can be forgotten.
-	Over struct {
+	// Finished says that a job is done, or dropped: it can be forgotten.
+	Finished struct {
 		ID      ID
 		Dropped bool
 	}
 	// Park says that a job waits for an operator.
 	Park struct {
-		ID  ID
-		Why string
+		ID     ID
+		Reason string
 	}
 	// Stop has the slice that runs called off: its job was dropped.
 	Stop struct{ ID ID }
 )
 
-func (Start) action()  {}
-func (Refuse) action() {}
-func (Over) action()   {}
-func (Park) action()   {}
-func (Stop) action()   {}
+func (Start) action()    {}
+func (Reject) action()   {}
+func (Finished) action() {}
+func (Park) action()     {}
+func (Stop) action()     {}
 
 // state is where a job is.
 type state int
 
 const (
-	ready    state = iota // in its owner's queue
-	delayed               // until a time
-	running               // a slice of it
-	locked                // it waits for a lock
-	broken                // it waits for a resource
-	credited              // it waits for its kind's retry budget
-	parked                // it waits for an operator
+	ready               state = iota // in its owner's queue
+	delayed                          // until a time
+	running                          // a slice of it
+	awaitingLock                     // it waits for a lock
+	awaitingResource                 // it waits for a resource
+	awaitingRetryBudget              // it waits for its kind's retry budget
+	parked                           // it waits for an operator
 )
 
 type job struct {
 	Job
-	state   state
-	seq     uint64        // the order in which jobs became ready
-	since   time.Duration // it has been ready
-	until   time.Duration // delayed
-	fails   int
-	err     string
-	lent    Priority // its own, or that of one that waits for its lock
-	holds   bool     // its lock
-	dropped bool     // while it runs
-	retry   bool     // its next start is a further try
-	used    Cost
-	slices  int
-	queue   *queue
-	at      int           // in its queue's or the delayed heap
-	place   *list.Element // among those that wait for the same
+	state        state
+	seq          uint64        // the order in which jobs became ready
+	readySince   time.Duration // it has been ready
+	delayedUntil time.Duration // delayed
+	failures     int
+	lastFailure  string
+	effective    Priority // its own, or that of one that waits for its lock
+	holdsLock    bool     // its lock
+	dropped      bool     // while it runs
+	isRetry      bool     // its next start is a further try
+	used         Cost
+	slicesDone   int
+	queue        *queue
+	heapIndex    int           // in its queue's or the delayed heap
+	waitElement  *list.Element // among those that wait for the same
 }
 
 // queue is the ready jobs of one owner, kind and priority.
 type queue struct {
-	owner *owner
-	level *level
-	jobs  ordered[*job]
-	key   float64 // the owner's virtual time when it was put in order
-	at    int     // in the level's heap; -1: the owner is in debt
+	owner       *owner
+	level       *level
+	jobs        indexedHeap[*job]
+	virtualTime float64 // the owner's virtual time when it was put in order
+	heapIndex   int     // in the level's heap; -1: the owner is in debt
 }
 
 // level is the ready jobs of one kind and priority.
 type level struct {
 	kind   *kind
 	queues map[string]*queue
-	order  ordered[*queue]
+	order  indexedHeap[*queue]
 }
 
 type owner struct {
-	name    string
-	weight  float64
-	virtual float64
-	budget  *buckets
-	jobs    int
-	active  int // ready or running
-	paused  bool
-	rests   int      // its place among the idle; -1: it has jobs
-	debtors []*queue // of this owner, taken out of their levels' orders while it is in debt or paused
-	used    Cost
+	name            string
+	weight          float64
+	virtualTime     float64
+	budget          *buckets
+	jobs            int
+	active          int // ready or running
+	paused          bool
+	idleIndex       int      // its place among the idle; -1: it has jobs
+	throttledQueues []*queue // of this owner, taken out of their levels' orders while it is in debt or paused
+	used            Cost
 }
 
 type kind struct {
 	name string
 	Kind
-	known   bool
-	budget  *buckets
-	running int
-	paused  bool
-	opens   time.Duration // its window, when closed
-	credit  retryBudget
-	earned  time.Duration
-	waiting *list.List // jobs that wait for credit
-	used    Cost
+	known           bool
+	budget          *buckets
+	running         int
+	paused          bool
+	windowOpensAt   time.Duration // its window, when closed
+	retryBudget     retryBudget
+	creditUpdatedAt time.Duration
+	waiting         *list.List // jobs that wait for credit
+	used            Cost
 }
 
 type lock struct {
@@ -171,49 +171,51 @@
 	waiters *list.List
 }
 
-// lowerEvery is how many starts there are to one of a lower priority than the best that has something to run.
+// lowerPriorityInterval is how many starts there are to one of a lower priority than the best that has something to run.
 const (
-	lowerEvery  = 8
-	never       = time.Duration(math.MaxInt64)
-	leastCharge = 1e-6 // of a second, for a slice that used nothing: owners then take turns
+	lowerPriorityInterval = 8
+	never                 = time.Duration(math.MaxInt64)
+	minCharge             = 1e-6 // of a second, for a slice that used nothing: owners then take turns
 )
 
 // Scheduler decides what runs next. It is for one goroutine; times are of one clock that does not go back, and Step's wall
 // time is that of the world, for windows.
 type Scheduler struct {
-	set    Settings
-	random func() float64
-
-	now     time.Duration
-	wall    time.Time
-	jobs    map[ID]*job
-	bytes   int64
-	delayed ordered[*job]
-	levels  [priorities]map[string]*level
-	kinds   map[string]*kind
-	owners  map[string]*owner
-	waiting int // jobs that are ready
-	locks   map[string]*lock
-	breaks  map[string]*breaker
-	indebt  map[*owner]struct{}
-	idle    ordered[*owner] // without jobs, and ahead of the others: they are forgotten when those have caught up
-	all     *buckets
-	pool    [Currencies]float64
-	allow   float64
-	virtual float64
-	running int
-	starts  uint64
-	lowers  uint64 // of them, those of a lower priority
-	seq     uint64
-	acts    []Action
+	settings Settings
+	random   func() float64
+
+	now                 time.Duration
+	wall                time.Time
+	jobs                map[ID]*job
+	bytes               int64
+	delayed             indexedHeap[*job]
+	levels              [priorities]map[string]*level
+	kinds               map[string]*kind
+	owners              map[string]*owner
+	readyCount          int // jobs that are ready
+	locks               map[string]*lock
+	breakers            map[string]*breaker
+	throttledOwners     map[*owner]struct{}
+	idleOwners          indexedHeap[*owner] // without jobs, and ahead of the others: they are forgotten when those have caught up
+	totalBudget         *buckets
+	pool                [Currencies]float64
+	allowance           float64
+	virtualTime         float64
+	runningCount        int
+	starts              uint64
+	lowerPriorityStarts uint64 // of them, those of a lower priority
+	nextSequence        uint64
+	actions             []Action
 }
 
 // New makes a scheduler without jobs. random gives numbers from 0 to under 1.
 func New(set Settings, random func() float64) *Scheduler {
-	s := &Scheduler{set: set, random: random, jobs: map[ID]*job{}, kinds: map[string]*kind{}, owners: map[string]*owner{},
-		locks: map[string]*lock{}, breaks: map[string]*breaker{}, indebt: map[*owner]struct{}{}, allow: 1, all: newBuckets(set.Rates, 0)}
-	s.delayed = ordered[*job]{less: func(a, b *job) bool { return a.until < b.until || a.until == b.until && a.ID < b.ID }, put: func(j *job, at int) { j.at = at }}
-	s.idle = ordered[*owner]{less: func(a, b *owner) bool { return a.virtual < b.virtual }, put: func(o *owner, at int) { o.rests = at }}
+	s := &Scheduler{settings: set, random: random, jobs: map[ID]*job{}, kinds: map[string]*kind{}, owners: map[string]*owner{},
+		locks: map[string]*lock{}, breakers: map[string]*breaker{}, throttledOwners: map[*owner]struct{}{}, allowance: 1, totalBudget: newBuckets(set.Rates, 0)}
+	s.delayed = indexedHeap[*job]{less: func(a, b *job) bool {
+		return a.delayedUntil < b.delayedUntil || a.delayedUntil == b.delayedUntil && a.ID < b.ID
+	}, setIndex: func(j *job, at int) { j.heapIndex = at }}
+	s.idleOwners = indexedHeap[*owner]{less: func(a, b *owner) bool { return a.virtualTime < b.virtualTime }, setIndex: func(o *owner, at int) { o.idleIndex = at }}
 	for i := range s.levels {
 		s.levels[i] = map[string]*level{}
 	}
@@ -226,85 +228,85 @@
 // Step takes in what happened and says what is to be done.
 func (s *Scheduler) Step(now time.Duration, wall time.Time, events ...Event) []Action {
 	s.now, s.wall = max(now, s.now), wall
-	s.acts = nil
-	s.fill()
+	s.actions = nil
+	s.refillBuckets()
 	for _, e := range events {
 		switch e := e.(type) {
 		case Submit:
 			s.submit(e)
-		case Ended:
-			s.ended(e)
-		case Allow:
-			s.allowed(e.Part)
+		case SliceEnded:
+			s.sliceEnded(e)
+		case SetAllowance:
+			s.setAllowance(e.Fraction)
 		case Command:
 			s.command(e)
 		case Configure:
 			s.configure(e.Settings)
 		}
 	}
-	s.wake()
+	s.wakeWaiting()
 	for s.start() {
 	}
-	s.forget()
-	return s.acts
+	s.removeIdleOwners()
+	return s.actions
 }
 
-// forget drops owners without jobs, once that changes nothing: one that used more than its part, or is in debt or paused,
+// removeIdleOwners drops owners without jobs, once that changes nothing: one that used more than its part, or is in debt or paused,
 // would come back without that.
-func (s *Scheduler) forget() {
+func (s *Scheduler) removeIdleOwners() {
 	if len(s.jobs) == 0 {
-		for _, o := range s.idle.list {
-			s.virtual = max(s.virtual, o.virtual)
+		for _, o := range s.idleOwners.items {
+			s.virtualTime = max(s.virtualTime, o.virtualTime)
 		}
 	}
 	for {
-		o, ok := s.idle.top()
-		if !ok || o.virtual > s.virtual || o.paused || !o.budget.free() {
+		o, ok := s.idleOwners.top()
+		if !ok || o.virtualTime > s.virtualTime || o.paused || !o.budget.solvent() {
 			return
 		}
-		s.idle.remove(0)
+		s.idleOwners.remove(0)
 		delete(s.owners, o.name)
-		delete(s.indebt, o)
+		delete(s.throttledOwners, o)
 	}
 }
 
-// fill adds to the buckets. What a kind does not use goes to the pool, as far as that has room for a second of all of it.
-func (s *Scheduler) fill() {
-	for i := range s.all {
-		s.all[i].fill(s.now, s.allow)
+// refillBuckets adds to the buckets. What a kind does not use goes to the pool, as far as that has room for a second of all of it.
+func (s *Scheduler) refillBuckets() {
+	for i := range s.totalBudget {
+		s.totalBudget[i].fill(s.now, s.allowance)
 	}
 	for _, k := range s.kinds {
 		for i := range k.budget {
-			if spilt := k.budget[i].fill(s.now, s.allow); spilt > 0 && s.allow == 1 {
-				s.pool[i] = min(s.pool[i]+spilt, s.set.Rates[i].PerSecond)
+			if spilt := k.budget[i].fill(s.now, s.allowance); spilt > 0 && s.allowance == 1 {
+				s.pool[i] = min(s.pool[i]+spilt, s.settings.Rates[i].PerSecond)
 			}
 		}
-		if d := s.now - k.earned; d > 0 {
-			k.credit.credit = min(k.credit.credit+float64(d)/float64(earnBack), max(k.Retry.Credit, 1))
-			k.earned = s.now
+		if d := s.now - k.creditUpdatedAt; d > 0 {
+			k.retryBudget.credit = min(k.retryBudget.credit+float64(d)/float64(creditInterval), max(k.Retry.Credit, 1))
+			k.creditUpdatedAt = s.now
 		}
 	}
-	for o := range s.indebt {
+	for o := range s.throttledOwners {
 		for i := range o.budget {
 			o.budget[i].fill(s.now, 1)
 		}
 	}
 }
 
-// allowed books pressure. Under any, what was lent is back at once.
-func (s *Scheduler) allowed(part float64) {
-	s.allow = min(max(part, 0), 1)
-	if s.allow < 1 {
+// setAllowance books pressure. Under any, what was lent is back at once.
+func (s *Scheduler) setAllowance(part float64) {
+	s.allowance = min(max(part, 0), 1)
+	if s.allowance < 1 {
 		s.pool = [Currencies]float64{}
 	}
 }
 
 func (s *Scheduler) configure(set Settings) {
-	for i := range s.all {
-		level := s.all[i].level
-		s.all[i] = bucket{rate: set.Rates[i], level: min(level, set.Rates[i].Burst), at: s.now}
+	for i := range s.totalBudget {
+		level := s.totalBudget[i].level
+		s.totalBudget[i] = bucket{rate: set.Rates[i], level: min(level, set.Rates[i].Burst), updatedAt: s.now}
 	}
-	s.set = set
+	s.settings = set
 	for name := range set.Kinds {
 		s.kind(name)
 	}
@@ -314,20 +316,20 @@
 	for _, o := range s.owners {
 		o.weight = s.weight(o.name)
 		for i := range o.budget {
-			o.budget[i] = bucket{rate: set.Owners[i], level: min(o.budget[i].level, set.Owners[i].Burst), at: s.now}
+			o.budget[i] = bucket{rate: set.Owners[i], level: min(o.budget[i].level, set.Owners[i].Burst), updatedAt: s.now}
 		}
 	}
 }
 
 func (s *Scheduler) weight(name string) float64 {
-	if w := s.set.Weights[name]; w > 0 {
+	if w := s.settings.Weights[name]; w > 0 {
 		return w
 	}
 	return 1
 }
 
 func (s *Scheduler) setKind(k *kind) {
-	k.Kind, k.known = s.set.Kinds[k.name]
+	k.Kind, k.known = s.settings.Kinds[k.name]
 	if k.Retry == (Retry{}) {
 		k.Retry = DefaultRetry()
 	}
@@ -338,15 +340,15 @@
 			k.budget[i].level = min(old[i].level, k.Rates[i].Burst)
 		}
 	}
-	k.opens = 0
+	k.windowOpensAt = 0
 }
 
 func (s *Scheduler) kind(name string) *kind {
 	k := s.kinds[name]
 	if k == nil {
-		k = &kind{name: name, waiting: list.New(), earned: s.now}
+		k = &kind{name: name, waiting: list.New(), creditUpdatedAt: s.now}
 		s.setKind(k)
-		k.credit.credit = max(k.Retry.Credit, 1)
+		k.retryBudget.credit = max(k.Retry.Credit, 1)
 		s.kinds[name] = k
 	}
 	return k
@@ -355,14 +357,14 @@
 func (s *Scheduler) owner(name string) *owner {
 	o := s.owners[name]
 	if o == nil {
-		o = &owner{name: name, weight: s.weight(name), virtual: s.virtual, budget: newBuckets(s.set.Owners, s.now), rests: -1}
+		o = &owner{name: name, weight: s.weight(name), virtualTime: s.virtualTime, budget: newBuckets(s.settings.Owners, s.now), idleIndex: -1}
 		s.owners[name] = o
 	}
 	return o
 }
 
-// Room says why jobs can't be taken on; empty if they can.
-func (s *Scheduler) Room(jobs ...Job) string {
+// CheckCapacity says why jobs can't be taken on; empty if they can.
+func (s *Scheduler) CheckCapacity(jobs ...Job) string {
 	n, size := len(s.jobs), s.bytes
 	by := map[string]int{}
 	for i := range jobs {
@@ -374,7 +376,7 @@
 		if o := s.owners[j.Owner]; o != nil {
 			held = o.jobs
 		}
-		l := &s.set.Limits
+		l := &s.settings.Limits
 		switch {
 		case j.Priority < 0 || j.Priority >= priorities:
 			return j.Priority.String()
@@ -393,31 +395,31 @@
 
 func (s *Scheduler) submit(e Submit) {
 	if s.jobs[e.ID] != nil || e.ID == 0 {
-		s.acts = append(s.acts, Refuse{e.ID, "its number is taken"})
+		s.actions = append(s.actions, Reject{e.ID, "its number is taken"})
 		return
 	}
-	if why := s.Room(e.Job); why != "" {
-		s.acts = append(s.acts, Refuse{e.ID, why})
+	if why := s.CheckCapacity(e.Job); why != "" {
+		s.actions = append(s.actions, Reject{e.ID, why})
 		return
 	}
-	j := &job{Job: e.Job, fails: e.Fails, err: e.Parked, lent: e.Priority, at: -1}
+	j := &job{Job: e.Job, failures: e.Failures, lastFailure: e.ParkedReason, effective: e.Priority, heapIndex: -1}
 	s.jobs[j.ID] = j
 	s.bytes += j.Size
 	o := s.owner(j.Owner)
-	if o.jobs++; o.rests >= 0 {
-		s.idle.remove(o.rests)
+	if o.jobs++; o.idleIndex >= 0 {
+		s.idleOwners.remove(o.idleIndex)
 	}
-	if e.Parked != "" {
+	if e.ParkedReason != "" {
 		j.state = parked
 		return
 	}
-	s.later(j, j.Earliest)
+	s.readyAt(j, j.Earliest)
 }
 
-// later has a job become ready at a time.
-func (s *Scheduler) later(j *job, at time.Duration) {
+// readyAt has a job become ready at a time.
+func (s *Scheduler) readyAt(j *job, at time.Duration) {
 	if at > s.now {
-		j.state, j.until = delayed, at
+		j.state, j.delayedUntil = delayed, at
 		s.delayed.add(j)
 		return
 	}
@@ -427,52 +429,52 @@
 // ready puts a job into its owner's queue.
 func (s *Scheduler) ready(j *job) {
 	j.state = ready
-	s.seq++
-	j.seq, j.since = s.seq, s.now
+	s.nextSequence++
+	j.seq, j.readySince = s.nextSequence, s.now
 	s.enqueue(j)
 }
 
 func (s *Scheduler) enqueue(j *job) {
-	l := s.levels[j.lent][j.Kind]
+	l := s.levels[j.effective][j.Kind]
 	if l == nil {
 		l = &level{kind: s.kind(j.Kind), queues: map[string]*queue{}}
-		l.order = ordered[*queue]{less: func(a, b *queue) bool {
-			return a.key < b.key || a.key == b.key && a.owner.name < b.owner.name
-		}, put: func(q *queue, at int) { q.at = at }}
-		s.levels[j.lent][j.Kind] = l
+		l.order = indexedHeap[*queue]{less: func(a, b *queue) bool {
+			return a.virtualTime < b.virtualTime || a.virtualTime == b.virtualTime && a.owner.name < b.owner.name
+		}, setIndex: func(q *queue, at int) { q.heapIndex = at }}
+		s.levels[j.effective][j.Kind] = l
 	}
 	q := l.queues[j.Owner]
 	if q == nil {
-		q = &queue{owner: s.owner(j.Owner), level: l, at: -1}
-		q.jobs = ordered[*job]{less: before, put: func(j *job, at int) { j.at = at }}
+		q = &queue{owner: s.owner(j.Owner), level: l, heapIndex: -1}
+		q.jobs = indexedHeap[*job]{less: lessLaxity, setIndex: func(j *job, at int) { j.heapIndex = at }}
 		l.queues[j.Owner] = q
 	}
 	o := q.owner
 	if o.active == 0 { // it was idle: it has no claim to what it did not use
-		o.virtual = max(o.virtual, s.virtual)
+		o.virtualTime = max(o.virtualTime, s.virtualTime)
 	}
 	o.active++
-	s.waiting++
+	s.readyCount++
 	j.queue = q
 	q.jobs.add(j)
 	if q.jobs.Len() == 1 {
-		s.order(q)
+		s.orderQueue(q)
 	}
 }
 
-// order puts a queue among those of its level, or aside where its owner may not start anything.
-func (s *Scheduler) order(q *queue) {
-	if q.owner.paused || !q.owner.budget.free() {
-		q.owner.debtors = append(q.owner.debtors, q)
-		s.indebt[q.owner] = struct{}{}
+// orderQueue puts a queue among those of its level, or aside where its owner may not start anything.
+func (s *Scheduler) orderQueue(q *queue) {
+	if q.owner.paused || !q.owner.budget.solvent() {
+		q.owner.throttledQueues = append(q.owner.throttledQueues, q)
+		s.throttledOwners[q.owner] = struct{}{}
 		return
 	}
-	q.key = q.owner.virtual
+	q.virtualTime = q.owner.virtualTime
 	q.level.order.add(q)
 }
 
-// before is the order within a queue: what has the least time to spare, then what came first.
-func before(a, b *job) bool {
+// lessLaxity is the order within a queue: what has the least time to spare, then what came first.
+func lessLaxity(a, b *job) bool {
 	x, y := a.laxity(), b.laxity()
 	return x < y || x == y && a.seq < b.seq
 }
@@ -482,79 +484,79 @@
 	if j.Deadline == 0 {
 		return never
 	}
-	return j.Deadline - j.Left
+	return j.Deadline - j.Remaining
 }
 
 // dequeue takes a ready job out of all that it stands in.
 func (s *Scheduler) dequeue(j *job) {
 	q := j.queue
-	q.jobs.remove(j.at)
+	q.jobs.remove(j.heapIndex)
 	q.owner.active--
-	s.waiting--
+	s.readyCount--
 	j.queue = nil
 	if q.jobs.Len() > 0 {
 		return
 	}
-	if q.at >= 0 {
-		q.level.order.remove(q.at)
+	if q.heapIndex >= 0 {
+		q.level.order.remove(q.heapIndex)
 	} else {
-		q.owner.debtors = slices.DeleteFunc(q.owner.debtors, func(x *queue) bool { return x == q })
+		q.owner.throttledQueues = slices.DeleteFunc(q.owner.throttledQueues, func(x *queue) bool { return x == q })
 	}
 	delete(q.level.queues, q.owner.name)
 	if len(q.level.queues) == 0 {
-		delete(s.levels[j.lent], j.Kind)
+		delete(s.levels[j.effective], j.Kind)
 	}
 }
 
-// wake makes ready what has waited for its time, its credit, or its resource.
-func (s *Scheduler) wake() {
+// wakeWaiting makes ready what has waited for its time, its credit, or its resource.
+func (s *Scheduler) wakeWaiting() {
 	for {
 		j, ok := s.delayed.top()
-		if !ok || j.until > s.now {
+		if !ok || j.delayedUntil > s.now {
 			break
 		}
 		s.delayed.remove(0)
 		s.ready(j)
 	}
 	for _, k := range s.kinds {
-		for e := k.waiting.Front(); e != nil && k.credit.credit >= 1; e = k.waiting.Front() {
-			k.credit.credit--
+		for e := k.waiting.Front(); e != nil && k.retryBudget.credit >= 1; e = k.waiting.Front() {
+			k.retryBudget.credit--
 			if j, ok := k.waiting.Remove(e).(*job); ok {
-				j.place = nil
+				j.waitElement = nil
 				s.ready(j)
 			}
 		}
 	}
-	for _, b := range s.breaks {
-		if b.open && b.trying == 0 && s.now >= b.until && len(b.waiting) > 0 { // one tries
+	for _, b := range s.breakers {
+		if b.open && b.trial == 0 && s.now >= b.until && len(b.waiting) > 0 { // one tries
 			j := b.waiting[0]
 			b.waiting = b.waiting[1:]
-			b.trying = j.ID
+			b.trial = j.ID
 			s.ready(j)
 		}
 	}
-	for o := range s.indebt {
-		if o.paused || !o.budget.free() {
+	for o := range s.throttledOwners {
+		if o.paused || !o.budget.solvent() {
 			continue
 		}
-		delete(s.indebt, o)
-		back := o.debtors
-		o.debtors = nil
+		delete(s.throttledOwners, o)
+		back := o.throttledQueues
+		o.throttledQueues = nil
 		for _, q := range back {
-			s.order(q)
+			s.orderQueue(q)
 		}
 	}
 }
 
-// may reports whether a kind may start a slice.
-func (s *Scheduler) may(k *kind) bool {
+// mayStart reports whether a kind may start a slice.
+func (s *Scheduler) mayStart(k *kind) bool {
 	if k.paused || k.Running > 0 && k.running >= k.Running {
 		return false
 	}
 	if k.Window != nil {
 		open, next := k.Window.Open(s.wall)
 		if !open {
-			k.opens = s.now + next.Sub(s.wall)
+			k.windowOpensAt = s.now + next.Sub(s.wall)
 			return false
 		}
 	}
@@ -568,65 +570,65 @@
 
 // start begins one slice, if any may; it reports whether to look again.
 func (s *Scheduler) start() bool {
-	if s.set.Limits.Running > 0 && s.running >= s.set.Limits.Running || !s.all.free() {
+	if s.settings.Limits.Running > 0 && s.runningCount >= s.settings.Limits.Running || !s.totalBudget.solvent() {
 		return false
 	}
-	j := s.next()
+	j := s.nextJob()
 	if j == nil {
 		return false
 	}
 	s.dequeue(j)
-	if j.Lock != "" && !j.holds {
+	if j.Lock != "" && !j.holdsLock {
 		l := s.locks[j.Lock]
 		if l == nil {
 			l = &lock{waiters: list.New()}
 			s.locks[j.Lock] = l
 		}
 		if l.holder != nil {
-			j.state = locked
-			j.place = l.waiters.PushBack(j)
-			s.lend(l.holder, j.lent)
+			j.state = awaitingLock
+			j.waitElement = l.waiters.PushBack(j)
+			s.inheritPriority(l.holder, j.effective)
 			return true
 		}
-		l.holder, j.holds = j, true
+		l.holder, j.holdsLock = j, true
 	}
 	if j.Resource != "" {
-		b := s.breaks[j.Resource]
+		b := s.breakers[j.Resource]
 		if b == nil {
 			b = &breaker{}
-			s.breaks[j.Resource] = b
+			s.breakers[j.Resource] = b
 		}
-		if !b.passes(s.now, j.ID) {
-			j.state = broken
+		if !b.admit(s.now, j.ID) {
+			j.state = awaitingResource
 			b.waiting = append(b.waiting, j)
 			return true
 		}
 	}
 	k, o := s.kind(j.Kind), s.owner(j.Owner)
 	j.state = running
-	s.running++
+	s.runningCount++
 	k.running++
 	o.active++
 	s.starts++
-	s.virtual = max(s.virtual, o.virtual)
-	s.charge(j, k, o, j.Slice, Cost{})
-	s.acts = append(s.acts, Start{j.ID})
+	s.virtualTime = max(s.virtualTime, o.virtualTime)
+	s.charge(j, k, o, j.SliceCost, Cost{})
+	s.actions = append(s.actions, Start{j.ID})
 	return true
 }
 
-// next is the job that goes next: by priority, fairness and time to spare. Every so often it is one of a lower priority, each
+// nextJob is the job that goes next: by priority, fairness and time to spare. Every so often it is one of a lower priority, each
 // of those that have any in turn: within a priority the turns are those of fairness always.
-func (s *Scheduler) next() *job {
+func (s *Scheduler) nextJob() *job {
 	var best *queue
 	var lower [priorities]*queue
 	n := 0
 	for p := range s.levels {
-		q := s.turn(p)
+		q := s.nextQueue(p)
 		switch {
 		case q == nil:
 		case best == nil:
 			best = q
-			if s.starts%lowerEvery != lowerEvery-1 {
+			if s.starts%lowerPriorityInterval != lowerPriorityInterval-1 {
 				j, _ := q.jobs.top()
 				return j
 			}
@@ -639,21 +641,21 @@
 		return nil
 	}
 	if n > 0 {
-		best = lower[s.lowers%uint64(n)]
-		s.lowers++
+		best = lower[s.lowerPriorityStarts%uint64(n)]
+		s.lowerPriorityStarts++
 	}
 	j, _ := best.jobs.top()
 	return j
 }
 
-// turn is the queue whose turn it is in a priority; nil if nothing there may run.
-func (s *Scheduler) turn(p int) *queue {
+// nextQueue is the queue whose turn it is in a priority; nil if nothing there may run.
+func (s *Scheduler) nextQueue(p int) *queue {
 	var best *queue
 	for _, l := range s.levels[p] {
-		if !s.may(l.kind) {
+		if !s.mayStart(l.kind) {
 			continue
 		}
-		if q := s.first(l); q != nil && (best == nil || q.key < best.key || q.key == best.key && q.name() < best.name()) {
+		if q := s.frontQueue(l); q != nil && (best == nil || q.virtualTime < best.virtualTime || q.virtualTime == best.virtualTime && q.name() < best.name()) {
 			best = q
 		}
 	}
@@ -662,21 +664,21 @@
 
 func (q *queue) name() string { return q.owner.name + "\x00" + q.level.kind.name }
 
-// first is the queue of the owner that is furthest behind. Virtual times grow while a queue waits: it is put in order again
+// frontQueue is the queue of the owner that is furthest behind. Virtual times grow while a queue waits: it is put in order again
 // when that shows at the top.
-func (s *Scheduler) first(l *level) *queue {
+func (s *Scheduler) frontQueue(l *level) *queue {
 	for {
 		q, ok := l.order.top()
 		if !ok {
 			return nil
 		}
-		if q.owner.paused || !q.owner.budget.free() {
+		if q.owner.paused || !q.owner.budget.solvent() {
 			l.order.remove(0)
-			s.order(q)
+			s.orderQueue(q)
 			continue
 		}
-		if q.key != q.owner.virtual {
-			q.key = q.owner.virtual
+		if q.virtualTime != q.owner.virtualTime {
+			q.virtualTime = q.owner.virtualTime
 			l.order.fix(0)
 			continue
 		}
@@ -690,7 +692,7 @@
 	for i := range d {
 		d[i] = max(0, used[i]) - max(0, before[i])
 	}
-	s.all.take(d)
+	s.totalBudget.take(d)
 	for i := range o.budget { // those of owners who are not in debt are filled only here
 		o.budget[i].fill(s.now, 1)
 	}
@@ -703,112 +705,112 @@
 			b.level += n
 		}
 	}
-	was, is := s.set.Rates.share(before), s.set.Rates.share(used)
+	was, is := s.settings.Rates.dominantShare(before), s.settings.Rates.dominantShare(used)
 	if before == (Cost{}) {
-		is += leastCharge
+		is += minCharge
 	}
-	o.virtual += (is - was) / o.weight
-	if !o.budget.free() {
-		s.indebt[o] = struct{}{}
+	o.virtualTime += (is - was) / o.weight
+	if !o.budget.solvent() {
+		s.throttledOwners[o] = struct{}{}
 	}
 }
 
-// lend gives the one that holds a lock the priority of one that waits for it.
-func (s *Scheduler) lend(j *job, p Priority) {
-	if p >= j.lent {
+// inheritPriority gives the one that holds a lock the priority of one that waits for it.
+func (s *Scheduler) inheritPriority(j *job, p Priority) {
+	if p >= j.effective {
 		return
 	}
 	if j.state == ready {
 		s.dequeue(j)
-		j.lent = p
+		j.effective = p
 		s.enqueue(j) // in its turn: it has been ready since it was
 		return
 	}
-	j.lent = p
+	j.effective = p
 }
 
-func (s *Scheduler) ended(e Ended) {
+func (s *Scheduler) sliceEnded(e SliceEnded) {
 	j := s.jobs[e.ID]
 	if j == nil || j.state != running {
 		return
 	}
 	k, o := s.kind(j.Kind), s.owner(j.Owner)
-	s.running--
+	s.runningCount--
 	k.running--
 	o.active--
-	s.charge(j, k, o, e.Used, j.Slice)
+	s.charge(j, k, o, e.Used, j.SliceCost)
 	j.used.Add(e.Used)
 	k.used.Add(e.Used)
 	o.used.Add(e.Used)
-	j.slices++
-	failed := e.Err != ""
+	j.slicesDone++
+	failed := e.Failure != ""
 	if j.Resource != "" {
-		if b := s.breaks[j.Resource]; b != nil {
-			b.ended(s.now, j.ID, failed, &s.set.Breaker)
+		if b := s.breakers[j.Resource]; b != nil {
+			b.recordResult(s.now, j.ID, failed, &s.settings.Breaker)
 			if !b.open { // all that waited may try
 				back := b.waiting
 				b.waiting = nil
 				for _, w := range back {
 					s.ready(w)
 				}
-				if b.fails == 0 {
-					delete(s.breaks, j.Resource)
+				if b.failures == 0 {
+					delete(s.breakers, j.Resource)
 				}
 			}
 		}
 	}
 	switch {
 	case j.dropped:
-		s.over(j, true)
+		s.finish(j, true)
 	case failed:
-		j.fails++
-		j.err = e.Err
-		if e.Park || k.Retry.Fails > 0 && j.fails >= k.Retry.Fails {
-			s.park(j, e.Err)
+		j.failures++
+		j.lastFailure = e.Failure
+		if e.Park || k.Retry.MaxFailures > 0 && j.failures >= k.Retry.MaxFailures {
+			s.park(j, e.Failure)
 			return
 		}
-		j.retry = true
-		s.again(j, k)
+		j.isRetry = true
+		s.scheduleRetry(j, k)
 	case e.More:
-		k.credit.succeeded(&k.Retry, j.retry)
-		j.fails, j.err, j.retry = 0, "", false
-		s.later(j, s.now+max(0, e.After))
+		k.retryBudget.recordSuccess(&k.Retry, j.isRetry)
+		j.failures, j.lastFailure, j.isRetry = 0, "", false
+		s.readyAt(j, s.now+max(0, e.Delay))
 	default:
-		k.credit.succeeded(&k.Retry, j.retry)
-		s.over(j, false)
+		k.retryBudget.recordSuccess(&k.Retry, j.isRetry)
+		s.finish(j, false)
 	}
 }
 
-// again has a failed job wait for its pause, and then for its kind's credit.
-func (s *Scheduler) again(j *job, k *kind) {
-	pause := k.Retry.pause(j.fails, s.random())
-	if k.credit.credit >= 1 {
-		k.credit.credit--
-		s.later(j, s.now+pause)
+// scheduleRetry has a failed job wait for its pause, and then for its kind's credit.
+func (s *Scheduler) scheduleRetry(j *job, k *kind) {
+	pause := k.Retry.backoff(j.failures, s.random())
+	if k.retryBudget.credit >= 1 {
+		k.retryBudget.credit--
+		s.readyAt(j, s.now+pause)
 		return
 	}
-	j.state = credited
-	j.place = k.waiting.PushBack(j)
+	j.state = awaitingRetryBudget
+	j.waitElement = k.waiting.PushBack(j)
 }
 
 func (s *Scheduler) park(j *job, why string) {
 	s.unlock(j)
-	j.state, j.err = parked, why
-	s.acts = append(s.acts, Park{j.ID, why})
+	j.state, j.lastFailure = parked, why
+	s.actions = append(s.actions, Park{j.ID, why})
 }
 
 // unlock lets go of a job's lock; the first of the best priority that waits for it is ready.
 func (s *Scheduler) unlock(j *job) {
-	j.lent = j.Priority
-	if !j.holds {
+	j.effective = j.Priority
+	if !j.holdsLock {
 		return
 	}
-	j.holds = false
+	j.holdsLock = false
 	l := s.locks[j.Lock]
 	l.holder = nil
 	var next *list.Element
 	for e := l.waiters.Front(); e != nil; e = e.Next() {
-		if next == nil || e.Value.(*job).lent < next.Value.(*job).lent {
+		if next == nil || e.Value.(*job).effective < next.Value.(*job).effective {
 			next = e
 		}
 	}
@@ -817,48 +819,48 @@
 		return
 	}
 	w, _ := l.waiters.Remove(next).(*job)
-	w.place = nil
-	l.holder, w.holds = w, true
+	w.waitElement = nil
+	l.holder, w.holdsLock = w, true
 	for e := l.waiters.Front(); e != nil; e = e.Next() {
 		if o, ok := e.Value.(*job); ok {
-			w.lent = min(w.lent, o.lent)
+			w.effective = min(w.effective, o.effective)
 		}
 	}
 	s.ready(w)
 }
 
-// over ends a job.
-func (s *Scheduler) over(j *job, dropped bool) {
+// finish ends a job.
+func (s *Scheduler) finish(j *job, dropped bool) {
 	s.unlock(j)
 	if j.Resource != "" {
-		if b := s.breaks[j.Resource]; b != nil && b.trying == j.ID {
-			b.trying = 0
+		if b := s.breakers[j.Resource]; b != nil && b.trial == j.ID {
+			b.trial = 0
 		}
 	}
 	delete(s.jobs, j.ID)
 	s.bytes -= j.Size
 	o := s.owner(j.Owner)
 	if o.jobs--; o.jobs == 0 {
-		s.idle.add(o)
+		s.idleOwners.add(o)
 	}
-	s.acts = append(s.acts, Over{j.ID, dropped})
+	s.actions = append(s.actions, Finished{j.ID, dropped})
 }
 
-// out takes a job that does not run out of where it waits.
-func (s *Scheduler) out(j *job) {
+// removeWaiting takes a job that does not run out of where it waits.
+func (s *Scheduler) removeWaiting(j *job) {
 	switch j.state {
 	case ready:
 		s.dequeue(j)
 	case delayed:
-		s.delayed.remove(j.at)
-	case locked:
-		s.locks[j.Lock].waiters.Remove(j.place)
-		j.place = nil
-	case credited:
-		s.kind(j.Kind).waiting.Remove(j.place)
-		j.place = nil
-	case broken:
-		b := s.breaks[j.Resource]
+		s.delayed.remove(j.heapIndex)
+	case awaitingLock:
+		s.locks[j.Lock].waiters.Remove(j.waitElement)
+		j.waitElement = nil
+	case awaitingRetryBudget:
+		s.kind(j.Kind).waiting.Remove(j.waitElement)
+		j.waitElement = nil
+	case awaitingResource:
+		b := s.breakers[j.Resource]
 		b.waiting = slices.DeleteFunc(b.waiting, func(x *job) bool { return x == j })
 	}
 }
@@ -874,7 +876,7 @@
 			o := s.owner(c.Owner)
 			o.paused = paused
 			if !paused {
-				s.indebt[o] = struct{}{} // wake looks at it
+				s.throttledOwners[o] = struct{}{} // wake looks at it
 			}
 		}
 		return
@@ -890,13 +892,13 @@
 		switch {
 		case c.Verb == Drop && j.state == running:
 			j.dropped = true
-			s.acts = append(s.acts, Stop{j.ID})
+			s.actions = append(s.actions, Stop{j.ID})
 		case c.Verb == Drop:
-			s.out(j)
-			s.over(j, true)
-		case j.state == parked, j.state == delayed, j.state == credited:
-			s.out(j)
-			j.fails, j.err = 0, ""
+			s.removeWaiting(j)
+			s.finish(j, true)
+		case j.state == parked, j.state == delayed, j.state == awaitingRetryBudget:
+			s.removeWaiting(j)
+			j.failures, j.lastFailure = 0, ""
 			s.ready(j)
 		}
 	}
@@ -906,7 +908,7 @@
 func (s *Scheduler) Next() time.Duration {
 	next := never
 	if j, ok := s.delayed.top(); ok {
-		next = j.until
+		next = j.delayedUntil
 	}
 	sooner := func(t time.Duration) {
 		if t > s.now && t < next {
@@ -914,25 +916,25 @@
 		}
 	}
 	for _, k := range s.kinds {
-		if k.waiting.Len() > 0 && k.credit.credit < 1 {
-			sooner(s.now + time.Duration((1-k.credit.credit)*float64(earnBack)) + time.Millisecond)
+		if k.waiting.Len() > 0 && k.retryBudget.credit < 1 {
+			sooner(s.now + time.Duration((1-k.retryBudget.credit)*float64(creditInterval)) + time.Millisecond)
 		}
 	}
-	for _, b := range s.breaks {
-		if b.open && len(b.waiting) > 0 && b.trying == 0 {
+	for _, b := range s.breakers {
+		if b.open && len(b.waiting) > 0 && b.trial == 0 {
 			sooner(b.until)
 		}
 	}
-	for o := range s.indebt {
-		if !o.paused && len(o.debtors) > 0 {
-			sooner(add(s.now, o.budget.when(1)))
+	for o := range s.throttledOwners {
+		if !o.paused && len(o.throttledQueues) > 0 {
+			sooner(addSaturating(s.now, o.budget.timeToSolvent(1)))
 		}
 	}
-	if s.waiting == 0 || s.set.Limits.Running > 0 && s.running >= s.set.Limits.Running {
+	if s.readyCount == 0 || s.settings.Limits.Running > 0 && s.runningCount >= s.settings.Limits.Running {
 		return next
 	}
-	if !s.all.free() {
-		sooner(add(s.now, s.all.when(s.allow)))
+	if !s.totalBudget.solvent() {
+		sooner(addSaturating(s.now, s.totalBudget.timeToSolvent(s.allowance)))
 		return next
 	}
 	for p := range s.levels {
@@ -941,17 +943,17 @@
 			if k.paused || k.Running > 0 && k.running >= k.Running {
 				continue
 			}
-			if k.opens > s.now {
-				sooner(k.opens)
-			} else if !k.budget.free() {
-				sooner(add(s.now, k.budget.when(s.allow)))
+			if k.windowOpensAt > s.now {
+				sooner(k.windowOpensAt)
+			} else if !k.budget.solvent() {
+				sooner(addSaturating(s.now, k.budget.timeToSolvent(s.allowance)))
 			}
 		}
 	}
 	return next
 }
 
-func add(t, d time.Duration) time.Duration {
+func addSaturating(t, d time.Duration) time.Duration {
 	if d > never-t {
 		return never
 	}
