--- a/internal/work/scheduler_test.go
+++ b/internal/work/scheduler_test.go
@@ -39,16 +39,16 @@
 		switch a := a.(type) {
 		case Start:
 			r.running = append(r.running, a.ID)
-		case Over:
+		case Finished:
 			if a.Dropped {
 				r.dropped = append(r.dropped, a.ID)
 			} else {
 				r.over = append(r.over, a.ID)
 			}
 		case Park:
-			r.parked[a.ID] = a.Why
-		case Refuse:
-			r.refused[a.ID] = a.Why
+			r.parked[a.ID] = a.Reason
+		case Reject:
+			r.refused[a.ID] = a.Reason
 		case Stop:
 			r.stopped = append(r.stopped, a.ID)
 		}
@@ -70,7 +70,7 @@
 }
 
 // end ends the slice that runs for longest, and gives its job.
-func (r *rig) end(e Ended) ID {
+func (r *rig) end(e SliceEnded) ID {
 	r.t.Helper()
 	if len(r.running) == 0 {
 		r.t.Fatal("nothing runs")
@@ -91,7 +91,7 @@
 func (r *rig) why(id ID, want string) *rig {
 	r.t.Helper()
 	v := r.s.Views(Filter{ID: id})
-	if len(v) != 1 || !strings.Contains(v[0].Why, want) {
+	if len(v) != 1 || !strings.Contains(v[0].Reason, want) {
 		r.t.Errorf("job %d: %+v, want %q", id, v, want)
 	}
 	return r
@@ -106,10 +106,10 @@
 	r := newRig(t, one(Settings{}))
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a", Priority: Low}, Job{ID: 2, Kind: "k", Owner: "a", Priority: Low},
 		Job{ID: 3, Kind: "k", Owner: "a", Priority: Urgent}, Job{ID: 4, Kind: "k", Owner: "a", Priority: Normal, Deadline: 50 * sec},
-		Job{ID: 5, Kind: "k", Owner: "a", Priority: Normal, Deadline: 60 * sec, Left: 20 * sec}, Job{ID: 6, Kind: "k", Owner: "a", Priority: Normal})
+		Job{ID: 5, Kind: "k", Owner: "a", Priority: Normal, Deadline: 60 * sec, Remaining: 20 * sec}, Job{ID: 6, Kind: "k", Owner: "a", Priority: Normal})
 	var got []ID
 	for len(r.running) > 0 {
-		got = append(got, r.end(Ended{}))
+		got = append(got, r.end(SliceEnded{}))
 	}
 	if want := []ID{1, 3, 5, 4, 6, 2}; !slices.Equal(got, want) { // 1 was alone; then priority, then time to spare, then who came first
 		t.Errorf("%v, want %v", got, want)
@@ -133,9 +133,9 @@
 	at := map[ID]int{}
 	for n := 1; n <= 60; n++ {
 		feed()
-		at[r.end(Ended{})] = n
+		at[r.end(SliceEnded{})] = n
 	}
-	if at[1] == 0 || at[1] > lowerEvery+2 || at[2] == 0 || at[2] > 2*lowerEvery+2 {
+	if at[1] == 0 || at[1] > lowerPriorityInterval+2 || at[2] == 0 || at[2] > 2*lowerPriorityInterval+2 {
 		t.Errorf("they ended as numbers %d and %d", at[1], at[2])
 	}
 }
@@ -149,15 +149,15 @@
 	}{"kind": {Settings{Kinds: map[string]Kind{"k": {Rates: rate}}}, "budget of k"}, "owner": {Settings{Owners: rate}, "budget of a"}, "all": {Settings{Rates: rate}, "budget of all work"}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, one(c.set))
-			r.submit(Job{ID: 1, Kind: "k", Owner: "a", Slice: Cost{DiskWrite: 10}}, Job{ID: 2, Kind: "k", Owner: "a"}).runs(1)
-			r.end(Ended{Used: Cost{DiskWrite: 1000}})
+			r.submit(Job{ID: 1, Kind: "k", Owner: "a", SliceCost: Cost{DiskWrite: 10}}, Job{ID: 2, Kind: "k", Owner: "a"}).runs(1)
+			r.end(SliceEnded{Used: Cost{DiskWrite: 1000}})
 			r.runs().why(2, c.why)
 			if next := r.s.Next(); next < 9*sec || next > 9*sec+10*time.Millisecond {
 				t.Errorf("it looks again at %v", next)
 			}
 			r.at(9 * sec).runs()
 			r.at(r.s.Next()).runs(2)
-			r.end(Ended{}) // and what was said and not used is given back
+			r.end(SliceEnded{}) // and what was said and not used is given back
 			if got := len(r.over); got != 2 {
 				t.Error(got)
 			}
@@ -169,11 +169,11 @@
 	set := one(Settings{Rates: Rates{CPU: {PerSecond: 10, Burst: 10}}})
 	r := newRig(t, set)
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a"}, Job{ID: 2, Kind: "k", Owner: "a"}).runs(1)
-	r.step(Allow{0})
-	r.end(Ended{Used: Cost{CPU: 11}})
+	r.step(SetAllowance{0})
+	r.end(SliceEnded{Used: Cost{CPU: 11}})
 	r.runs().why(2, "pressure of live traffic")
 	r.at(time.Hour).runs()
-	r.step(Allow{0.5}).at(time.Hour + 300*time.Millisecond).runs(2)
+	r.step(SetAllowance{0.5}).at(time.Hour + 300*time.Millisecond).runs(2)
 }
 
 // What one kind does not use is lent to others, and given back at once under pressure.
@@ -188,9 +188,9 @@
 			if pressed {
 				part = 0.99
 			}
-			r.step(Allow{part})
+			r.step(SetAllowance{part})
 			for len(r.running) > 0 {
-				r.end(Ended{Used: Cost{CPU: 5}, More: true})
+				r.end(SliceEnded{Used: Cost{CPU: 5}, More: true})
 				n += 5
 			}
 			r.at(now)
@@ -210,12 +210,12 @@
 		r := newRig(t, set)
 		r.at(10 * sec) // b has not used anything: the pool is full
 		if pressed {
-			r.step(Allow{0.5})
+			r.step(SetAllowance{0.5})
 		}
 		r.submit(Job{ID: 1, Kind: "a", Owner: "x"})
 		n := 0
 		for len(r.running) > 0 && n < 1000 {
-			r.end(Ended{Used: Cost{CPU: 10}, More: true})
+			r.end(SliceEnded{Used: Cost{CPU: 10}, More: true})
 			n += 10
 		}
 		if want := map[bool]int{false: 150, true: 50}[pressed]; n < want-10 || n > want+10 {
@@ -229,12 +229,12 @@
 	r := newRig(t, one(Settings{Rates: Rates{CPU: {PerSecond: 100, Burst: 1e9}}}))
 	r.submit(Job{ID: 1, Kind: "k", Owner: "idle", Earliest: 100 * sec}, Job{ID: 2, Kind: "k", Owner: "busy"})
 	for r.now < 100*sec {
-		r.end(Ended{Used: Cost{CPU: 100}, More: true})
+		r.end(SliceEnded{Used: Cost{CPU: 100}, More: true})
 		r.at(r.now + sec)
 	}
 	got := map[ID]int{}
 	for range 20 {
-		got[r.end(Ended{Used: Cost{CPU: 100}, More: true})]++
+		got[r.end(SliceEnded{Used: Cost{CPU: 100}, More: true})]++
 	}
 	if got[1] < 8 || got[1] > 12 {
 		t.Errorf("of 20 slices the one that was idle has %d", got[1])
@@ -246,15 +246,15 @@
 	r := newRig(t, one(Settings{}))
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a", Priority: Low, Lock: "l"}).runs(1)
 	r.submit(Job{ID: 2, Kind: "k", Owner: "b", Priority: Normal}, Job{ID: 3, Kind: "k", Owner: "c", Priority: Urgent, Lock: "l"})
-	r.end(Ended{More: true}) // 3 goes first, and finds the lock held: 1 goes on in its name, before 2
+	r.end(SliceEnded{More: true}) // 3 goes first, and finds the lock held: 1 goes on in its name, before 2
 	r.runs(1).why(3, "lock l")
-	r.end(Ended{More: true})
+	r.end(SliceEnded{More: true})
 	r.runs(1)
-	r.end(Ended{})
+	r.end(SliceEnded{})
 	r.runs(3)
-	r.end(Ended{})
+	r.end(SliceEnded{})
 	r.runs(2)
-	r.end(Ended{})
+	r.end(SliceEnded{})
 	if len(r.over) != 3 || len(r.s.locks) != 0 {
 		t.Error(r.over, len(r.s.locks))
 	}
@@ -266,13 +266,13 @@
 	r := newRig(t, set)
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a", Priority: Low, Lock: "l"}).runs(1)
 	r.submit(Job{ID: 2, Kind: "k", Owner: "b", Priority: Urgent})
-	r.end(Ended{More: true})
+	r.end(SliceEnded{More: true})
 	r.runs(2) // 1 is ready, and holds its lock
 	for id := ID(10); id < 16; id++ {
 		r.submit(Job{ID: id, Kind: "k", Owner: "a", Priority: Normal})
 	}
 	r.submit(Job{ID: 3, Kind: "k", Owner: "c", Priority: Urgent, Lock: "l"})
-	r.end(Ended{}) // 3 finds the lock held, and lends its priority
+	r.end(SliceEnded{}) // 3 finds the lock held, and lends its priority
 	r.runs(1)
 }
 
@@ -285,12 +285,12 @@
 			if !slices.Equal(r.stopped, []ID{1}) {
 				t.Fatal("the slice that runs is not called off")
 			}
-			r.end(Ended{Err: "called off"})
+			r.end(SliceEnded{Failure: "called off"})
 		} else {
-			r.end(Ended{Err: "broken", Park: true})
+			r.end(SliceEnded{Failure: "broken", Park: true})
 		}
 		r.runs(3)
-		r.end(Ended{})
+		r.end(SliceEnded{})
 		r.runs(2)
 		if drop != slices.Equal(r.dropped, []ID{1}) || drop == (r.parked[1] == "broken") {
 			t.Error(r.dropped, r.parked)
@@ -299,25 +299,25 @@
 }
 
 func TestFailures(t *testing.T) {
-	set := one(Settings{Kinds: map[string]Kind{"k": {Retry: Retry{First: sec, Most: 10 * sec, Fails: 4, Ratio: 0.1, Credit: 100}}}})
+	set := one(Settings{Kinds: map[string]Kind{"k": {Retry: Retry{InitialBackoff: sec, MaxBackoff: 10 * sec, MaxFailures: 4, Ratio: 0.1, Credit: 100}}}})
 	r := newRig(t, set)
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a"})
 	for _, pause := range []time.Duration{sec / 2, sec, 2 * sec} { // half of 1, 2, 4 s: the random number is a half
-		r.end(Ended{Err: "no"})
+		r.end(SliceEnded{Failure: "no"})
 		r.runs().why(1, "pause after a failure")
 		if r.s.Next() != r.now+pause {
 			t.Fatalf("again at %v, want after %v", r.s.Next()-r.now, pause)
 		}
 		r.at(r.now + pause).runs(1)
 	}
-	r.end(Ended{Err: "still no"})
+	r.end(SliceEnded{Failure: "still no"})
 	if r.parked[1] != "still no" || r.s.Next() != never {
 		t.Error(r.parked, r.s.Next())
 	}
 	r.step(Command{Verb: Run, ID: 1}).runs(1)
-	r.end(Ended{Err: "no"})
+	r.end(SliceEnded{Failure: "no"})
 	r.at(r.s.Next()).runs(1) // its failures count anew
-	r.end(Ended{})
+	r.end(SliceEnded{})
 	if len(r.over) != 1 {
 		t.Error(r.over)
 	}
@@ -326,7 +326,7 @@
 // Ten thousand jobs that all fail: what is tried again is bounded by the kind's budget, not by how many there are; and
 // each goes on, at last, when the outage ends.
 func TestNoStorm(t *testing.T) {
-	set := Settings{Limits: Limits{Running: 10}, Kinds: map[string]Kind{"k": {Retry: Retry{First: 100 * time.Millisecond, Most: sec, Ratio: 0.1, Credit: 20}}}}
+	set := Settings{Limits: Limits{Running: 10}, Kinds: map[string]Kind{"k": {Retry: Retry{InitialBackoff: 100 * time.Millisecond, MaxBackoff: sec, Ratio: 0.1, Credit: 20}}}}
 	r := newRig(t, set)
 	const jobs = 10_000
 	for i := range jobs {
@@ -336,9 +336,9 @@
 	until := func(end time.Duration, outage bool) {
 		for r.now < end {
 			for len(r.running) > 0 {
-				e := Ended{}
+				e := SliceEnded{}
 				if outage {
-					e.Err = "down"
+					e.Failure = "down"
 				}
 				r.end(e)
 				tries++
@@ -347,7 +347,7 @@
 		}
 	}
 	until(5*time.Minute, true)
-	if most := jobs + 20 + 5*60/int(earnBack/sec) + 2; tries > most {
+	if most := jobs + 20 + 5*60/int(creditInterval/sec) + 2; tries > most {
 		t.Errorf("%d tries of %d jobs in an outage, %d are allowed", tries, jobs, most)
 	}
 	until(3*time.Hour, false)
@@ -357,32 +357,32 @@
 }
 
 func TestBreaker(t *testing.T) {
-	set := one(Settings{Breaker: Breaker{Fails: 2, Pause: 10 * sec}, Kinds: map[string]Kind{"k": {Retry: Retry{First: 1, Most: 1, Credit: 100}}}})
+	set := one(Settings{Breaker: Breaker{FailureThreshold: 2, OpenTime: 10 * sec}, Kinds: map[string]Kind{"k": {Retry: Retry{InitialBackoff: 1, MaxBackoff: 1, Credit: 100}}}})
 	r := newRig(t, set)
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a", Resource: "disk"}, Job{ID: 2, Kind: "k", Owner: "a", Resource: "disk"}, Job{ID: 3, Kind: "k", Owner: "b"})
-	r.end(Ended{Err: "EIO"})
+	r.end(SliceEnded{Failure: "EIO"})
 	r.runs(3)
-	r.end(Ended{})
+	r.end(SliceEnded{})
 	r.at(sec).runs(2)
-	r.end(Ended{Err: "EIO"}) // the second in a row
+	r.end(SliceEnded{Failure: "EIO"}) // the second in a row
 	r.at(2*sec).runs().why(1, "breaker of disk").why(2, "breaker of disk")
 	if r.s.Next() != 11*sec {
 		t.Errorf("looks again at %v", r.s.Next())
 	}
 	r.at(11 * sec).runs(1) // one tries
-	r.end(Ended{Err: "EIO"})
+	r.end(SliceEnded{Failure: "EIO"})
 	r.at(12 * sec).runs()
 	r.at(21 * sec)
 	if len(r.running) != 1 {
 		t.Fatal(r.running)
 	}
-	r.end(Ended{More: true}) // well again: both go on
+	r.end(SliceEnded{More: true}) // well again: both go on
 	r.at(22 * sec)
 	for len(r.running) > 0 {
-		r.end(Ended{})
+		r.end(SliceEnded{})
 	}
-	if len(r.over) != 3 || len(r.s.breaks) != 0 {
-		t.Error(r.over, len(r.s.breaks))
+	if len(r.over) != 3 || len(r.s.breakers) != 0 {
+		t.Error(r.over, len(r.s.breakers))
 	}
 }
 
@@ -396,9 +396,9 @@
 		t.Errorf("the window opens in %v", r.s.Next())
 	}
 	r.step(Command{Verb: Resume, Kind: "k"}).runs(1)
-	r.end(Ended{})
+	r.end(SliceEnded{})
 	r.step(Command{Verb: Resume, Owner: "o"}).runs(2)
-	r.end(Ended{})
+	r.end(SliceEnded{})
 	r.at(10 * time.Hour).runs(3)
 }
 
@@ -415,7 +415,7 @@
 	if n, _ := r.s.Len(); n != 5 || len(r.refused) != 6 {
 		t.Error(n, r.refused)
 	}
-	if why := r.s.Room(Job{Owner: "x"}); why == "" {
+	if why := r.s.CheckCapacity(Job{Owner: "x"}); why == "" {
 		t.Error("there is room")
 	}
 }
@@ -458,7 +458,7 @@
 			for range workers + rapid.IntRange(0, 3).Draw(t, "jobs") { // always one that waits, or runs
 				id++
 				owner[id] = o
-				book(s.Step(0, monday, Submit{Job: Job{ID: id, Kind: "k", Owner: o, Priority: Normal, Slice: Cost{CPU: int64(rnd.IntN(50))}}}))
+				book(s.Step(0, monday, Submit{Job: Job{ID: id, Kind: "k", Owner: o, Priority: Normal, SliceCost: Cost{CPU: int64(rnd.IntN(50))}}}))
 			}
 		}
 		got, largest := map[string]float64{}, map[string]float64{}
@@ -468,10 +468,10 @@
 			running = slices.Delete(running, i, i+1)
 			used := Cost{CPU: int64(rnd.IntN(100)), Net: int64(rnd.IntN(20))}
 			o := owner[x]
-			share := set.Rates.share(used)
+			share := set.Rates.dominantShare(used)
 			got[o] += share
 			largest[o] = max(largest[o], share, 0.05)
-			book(s.Step(time.Duration(n)*time.Millisecond, monday, Ended{ID: x, Used: used, More: true}))
+			book(s.Step(time.Duration(n)*time.Millisecond, monday, SliceEnded{ID: x, Used: used, More: true}))
 		}
 		for _, a := range owners {
 			for _, b := range owners {
@@ -490,10 +490,10 @@
 		r.submit(Job{ID: ID(i + 1), Kind: "k", Owner: "many", Priority: Normal})
 	}
 	for range 100 {
-		r.end(Ended{Used: Cost{CPU: 1}})
+		r.end(SliceEnded{Used: Cost{CPU: 1}})
 	}
 	r.submit(Job{ID: 50_000, Kind: "k", Owner: "single", Priority: Normal})
-	r.end(Ended{})
+	r.end(SliceEnded{})
 	if r.running[0] != 50_000 {
 		t.Errorf("job %d goes first", r.running[0])
 	}
@@ -507,8 +507,8 @@
 func TestSchedulerLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(1, 3).Draw(t, "workers")
-		set := Settings{Limits: Limits{Running: workers}, Breaker: Breaker{Fails: 2, Pause: 5 * sec},
-			Kinds: map[string]Kind{"k0": {Retry: Retry{First: sec, Most: 4 * sec, Fails: 3, Ratio: 0.5, Credit: 3}}, "k1": {Running: 1}}}
+		set := Settings{Limits: Limits{Running: workers}, Breaker: Breaker{FailureThreshold: 2, OpenTime: 5 * sec},
+			Kinds: map[string]Kind{"k0": {Retry: Retry{InitialBackoff: sec, MaxBackoff: 4 * sec, MaxFailures: 3, Ratio: 0.5, Credit: 3}}, "k1": {Running: 1}}}
 		if rapid.Bool().Draw(t, "budget") {
 			set.Rates[CPU] = Rate{PerSecond: 10, Burst: 10}
 		}
@@ -525,7 +525,7 @@
 						t.Fatalf("job %d is started, and can't be", a.ID)
 					}
 					running[a.ID] = true
-				case Over:
+				case Finished:
 					if _, ok := held[a.ID]; !ok || a.Dropped != dropping[a.ID] {
 						t.Fatalf("job %d is over (%v)", a.ID, a.Dropped)
 					}
@@ -535,7 +535,7 @@
 				case Park:
 					parked[a.ID] = true
 					delete(running, a.ID)
-				case Refuse:
+				case Reject:
 					t.Fatalf("%+v", a)
 				}
 			}
@@ -563,10 +563,10 @@
 					t.Fatalf("%+v; running %v, parked %v", v, running[v.ID], parked[v.ID])
 				}
 				// A job that has nothing to wait for but its turn waits only for a worker.
-				if v.Why == "its turn" && len(running) < workers {
+				if v.Reason == "its turn" && len(running) < workers {
 					t.Fatalf("job %d waits for nothing, and %d of %d run", v.ID, len(running), workers)
 				}
-				if v.State == "waiting" && v.Why == "" {
+				if v.State == "waiting" && v.Reason == "" {
 					t.Fatalf("%+v: nobody says why", v)
 				}
 			}
@@ -578,7 +578,7 @@
 				id++
 				j := Job{ID: id, Kind: fmt.Sprint("k", rapid.IntRange(0, 1).Draw(t, "kind")), Owner: fmt.Sprint("o", rapid.IntRange(0, 2).Draw(t, "owner")),
 					Priority: Priority(rapid.IntRange(0, 3).Draw(t, "priority")), Lock: rapid.SampledFrom([]string{"", "", "l"}).Draw(t, "lock"),
-					Resource: rapid.SampledFrom([]string{"", "r"}).Draw(t, "resource"), Slice: Cost{CPU: 1}}
+					Resource: rapid.SampledFrom([]string{"", "r"}).Draw(t, "resource"), SliceCost: Cost{CPU: 1}}
 				if rapid.Bool().Draw(t, "later") {
 					j.Earliest = now + sec
 				}
@@ -588,10 +588,10 @@
 				for x := range running {
 					x = slices.Min(keys(running))
 					delete(running, x)
-					e := Ended{ID: x, Used: Cost{CPU: int64(rapid.IntRange(0, 8).Draw(t, "used"))}}
+					e := SliceEnded{ID: x, Used: Cost{CPU: int64(rapid.IntRange(0, 8).Draw(t, "used"))}}
 					switch rapid.IntRange(0, 2).Draw(t, "how") {
 					case 0:
-						e.Err = "no"
+						e.Failure = "no"
 					case 1:
 						e.More = true
 					}
@@ -612,16 +612,16 @@
 					}
 				}
 			case 5:
-				check(s.Step(now, monday, Allow{rapid.SampledFrom([]float64{0.02, 0.5, 1}).Draw(t, "allow")}))
+				check(s.Step(now, monday, SetAllowance{rapid.SampledFrom([]float64{0.02, 0.5, 1}).Draw(t, "allow")}))
 			}
 		}
 		// Left alone, with all slices ending well, all that is not parked is done.
-		check(s.Step(now, monday, Allow{1}))
+		check(s.Step(now, monday, SetAllowance{1}))
 		for range 2000 {
 			if len(running) > 0 {
 				x := slices.Min(keys(running))
 				delete(running, x)
-				check(s.Step(now, monday, Ended{ID: x}))
+				check(s.Step(now, monday, SliceEnded{ID: x}))
 				continue
 			}
 			next := s.Next()
@@ -660,13 +660,13 @@
 				}
 			}
 			for i := range n {
-				book(s.Step(0, monday, Submit{Job: Job{ID: ID(i + 1), Kind: "k", Owner: fmt.Sprint(i % 1000), Priority: Priority(i % 4), Slice: Cost{CPU: 10}}}))
+				book(s.Step(0, monday, Submit{Job: Job{ID: ID(i + 1), Kind: "k", Owner: fmt.Sprint(i % 1000), Priority: Priority(i % 4), SliceCost: Cost{CPU: 10}}}))
 			}
 			b.ResetTimer()
 			now := time.Duration(0)
 			for range b.N {
 				now += time.Microsecond
-				book(s.Step(now, monday, Ended{ID: running, Used: Cost{CPU: 12}, More: true}))
+				book(s.Step(now, monday, SliceEnded{ID: running, Used: Cost{CPU: 12}, More: true}))
 			}
 		})
 	}
--- a/internal/work/store/store.go
+++ b/internal/work/store/store.go
@@ -21,23 +21,23 @@
 
 // Record is a job as it is kept. Times are Unix nanoseconds; 0: none.
 type Record struct {
-	ID       work.ID       `json:"id"`
-	Kind     string        `json:"kind"`
-	Version  int           `json:"version"` // of its state's form
-	Owner    string        `json:"owner"`
-	Priority work.Priority `json:"priority"`
-	Earliest int64         `json:"earliest,omitempty"`
-	Deadline int64         `json:"deadline,omitempty"`
-	Slice    work.Cost     `json:"slice"`
-	Left     int64         `json:"left,omitempty"` // nanoseconds
-	Lock     string        `json:"lock,omitempty"`
-	Resource string        `json:"resource,omitempty"`
-	Depth    int           `json:"depth,omitempty"`
-	State    []byte        `json:"state,omitempty"` // where to go on
-	Slices   int           `json:"slices,omitempty"`
-	Fails    int           `json:"fails,omitempty"`
-	Parked   string        `json:"parked,omitempty"`
-	Intended bool          `json:"intended,omitempty"` // a slice was about to begin
+	ID           work.ID       `json:"id"`
+	Kind         string        `json:"kind"`
+	Version      int           `json:"version"` // of its state's form
+	Owner        string        `json:"owner"`
+	Priority     work.Priority `json:"priority"`
+	Earliest     int64         `json:"earliest,omitempty"`
+	Deadline     int64         `json:"deadline,omitempty"`
+	SliceCost    work.Cost     `json:"slice"`
+	Remaining    int64         `json:"left,omitempty"` // nanoseconds
+	Lock         string        `json:"lock,omitempty"`
+	Resource     string        `json:"resource,omitempty"`
+	Depth        int           `json:"depth,omitempty"`
+	State        []byte        `json:"state,omitempty"` // where to go on
+	SlicesDone   int           `json:"slices,omitempty"`
+	Failures     int           `json:"fails,omitempty"`
+	ParkedReason string        `json:"parked,omitempty"`
+	Intended     bool          `json:"intended,omitempty"` // a slice was about to begin
 }
 
 var (
@@ -53,24 +53,24 @@
 
 // Errors that a caller tells apart.
 var (
-	ErrNewer = errors.New("the file was written by a newer version")
-	ErrFull  = errors.New("there is no room for more jobs")
-	ErrGone  = errors.New("there is no such job")
+	ErrNewerVersion = errors.New("the file was written by a newer version")
+	ErrFull         = errors.New("there is no room for more jobs")
+	ErrNotFound     = errors.New("there is no such job")
 )
 
 // Store is open. It is safe for several goroutines.
 type Store struct {
-	db   *bolt.DB
-	most int64 // bytes of all records
+	db       *bolt.DB
+	maxBytes int64 // bytes of all records
 }
 
 // Open opens the file, or makes it; most bounds the bytes of all jobs.
-func Open(path string, most int64) (s *Store, err error) {
+func Open(path string, maxBytes int64) (s *Store, err error) {
 	db, err := boltfile.Open(path, false)
 	if err != nil {
 		return nil, fmt.Errorf("work: %w", err)
 	}
-	s = &Store{db: db, most: most}
+	s = &Store{db: db, maxBytes: maxBytes}
 	err = s.update(func(tx *bolt.Tx) error {
 		for _, name := range [][]byte{bucketMeta, bucketJobs, bucketTimers} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -82,7 +82,7 @@
 		case v == 0:
 			return meta.Put(keyVersion, boltfile.Number(version))
 		case v > version:
-			return fmt.Errorf("%w: %d, and this one knows %d", ErrNewer, v, version)
+			return fmt.Errorf("%w: %d, and this one knows %d", ErrNewerVersion, v, version)
 		}
 		return nil
 	})
@@ -110,15 +110,15 @@
 }
 
 // put writes a record in place of what is there, and keeps count of bytes.
-func (s *Store) put(tx *bolt.Tx, r *Record, more bool) error {
+func (s *Store) put(tx *bolt.Tx, r *Record, enforceLimit bool) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return err
 	}
 	jobs, meta, key := tx.Bucket(bucketJobs), tx.Bucket(bucketMeta), boltfile.Number(int64(r.ID))
 	size := boltfile.Value(meta.Get(keyBytes)) + int64(len(raw)) - int64(len(jobs.Get(key)))
-	if more && s.most > 0 && size > s.most {
-		return fmt.Errorf("%w: they have %d of %d bytes", ErrFull, boltfile.Value(meta.Get(keyBytes)), s.most)
+	if enforceLimit && s.maxBytes > 0 && size > s.maxBytes {
+		return fmt.Errorf("%w: they have %d of %d bytes", ErrFull, boltfile.Value(meta.Get(keyBytes)), s.maxBytes)
 	}
 	if err := meta.Put(keyBytes, boltfile.Number(size)); err != nil {
 		return err
@@ -129,7 +129,7 @@
 func (s *Store) get(tx *bolt.Tx, id work.ID) (*Record, error) {
 	raw := tx.Bucket(bucketJobs).Get(boltfile.Number(int64(id)))
 	if raw == nil {
-		return nil, fmt.Errorf("%w: %d", ErrGone, id)
+		return nil, fmt.Errorf("%w: %d", ErrNotFound, id)
 	}
 	r := &Record{}
 	if err := json.Unmarshal(raw, r); err != nil {
@@ -142,7 +142,7 @@
 	jobs, meta, key := tx.Bucket(bucketJobs), tx.Bucket(bucketMeta), boltfile.Number(int64(id))
 	raw := jobs.Get(key)
 	if raw == nil {
-		return fmt.Errorf("%w: %d", ErrGone, id)
+		return fmt.Errorf("%w: %d", ErrNotFound, id)
 	}
 	if err := meta.Put(keyBytes, boltfile.Number(boltfile.Value(meta.Get(keyBytes))-int64(len(raw)))); err != nil {
 		return err
@@ -178,8 +178,8 @@
 	})
 }
 
-// Ran is when a schedule ran last; zero if never.
-func (s *Store) Ran(timer string) (t time.Time, err error) {
+// LastRun is when a schedule ran last; zero if never.
+func (s *Store) LastRun(timer string) (t time.Time, err error) {
 	err = s.view(func(tx *bolt.Tx) error {
 		if v := boltfile.Value(tx.Bucket(bucketTimers).Get([]byte(timer))); v != 0 {
 			t = time.Unix(0, v)
@@ -189,24 +189,24 @@
 	return t, err
 }
 
-// Intend notes that a slice is about to begin.
-func (s *Store) Intend(id work.ID) error {
+// MarkIntended notes that a slice is about to begin.
+func (s *Store) MarkIntended(id work.ID) error {
 	return s.change(id, func(r *Record) { r.Intended = true })
 }
 
-// Unintend notes that it was not done.
-func (s *Store) Unintend(id work.ID) error {
+// ClearIntended notes that it was not done.
+func (s *Store) ClearIntended(id work.ID) error {
 	return s.change(id, func(r *Record) { r.Intended = false })
 }
 
-// Fail notes how often a job has failed, and why it is parked, if it is.
-func (s *Store) Fail(id work.ID, fails int, parked string) error {
-	return s.change(id, func(r *Record) { r.Fails, r.Parked, r.Intended = fails, parked, false })
+// RecordFailure notes how often a job has failed, and why it is parked, if it is.
+func (s *Store) RecordFailure(id work.ID, fails int, parked string) error {
+	return s.change(id, func(r *Record) { r.Failures, r.ParkedReason, r.Intended = fails, parked, false })
 }
 
 // Park notes that a job waits for an operator; what was intended stays so.
 func (s *Store) Park(id work.ID, why string) error {
-	return s.change(id, func(r *Record) { r.Parked = why })
+	return s.change(id, func(r *Record) { r.ParkedReason = why })
 }
 
 func (s *Store) change(id work.ID, f func(*Record)) error {
@@ -221,28 +221,28 @@
 }
 
 // Checkpoint notes that a slice is done, where to go on, not before when, and the jobs that it made: all of it or nothing.
-func (s *Store) Checkpoint(id work.ID, state []byte, earliest int64, made []Record) error {
+func (s *Store) Checkpoint(id work.ID, state []byte, earliest int64, spawned []Record) error {
 	return s.update(func(tx *bolt.Tx) error {
 		r, err := s.get(tx, id)
 		if err != nil {
 			return err
 		}
-		r.State, r.Earliest, r.Intended, r.Fails, r.Parked = state, earliest, false, 0, ""
-		r.Slices++
+		r.State, r.Earliest, r.Intended, r.Failures, r.ParkedReason = state, earliest, false, 0, ""
+		r.SlicesDone++
 		if err := s.put(tx, r, false); err != nil {
 			return err
 		}
-		return s.add(tx, made)
+		return s.add(tx, spawned)
 	})
 }
 
-// End takes a job away, with the jobs that its last slice made in the same step.
-func (s *Store) End(id work.ID, made []Record) error {
+// Complete takes a job away, with the jobs that its last slice made in the same step.
+func (s *Store) Complete(id work.ID, spawned []Record) error {
 	return s.update(func(tx *bolt.Tx) error {
 		if err := s.remove(tx, id); err != nil {
 			return err
 		}
-		return s.add(tx, made)
+		return s.add(tx, spawned)
 	})
 }
 
--- a/internal/work/store/store_test.go
+++ b/internal/work/store/store_test.go
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	db.Close()
-	if _, err := Open(path, 0); !errors.Is(err, ErrNewer) {
+	if _, err := Open(path, 0); !errors.Is(err, ErrNewerVersion) {
 		t.Error(err)
 	}
 }
--- a/internal/work/store/stored_test.go
+++ b/internal/work/store/stored_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	for _, timer := range []string{"nightly", "never"} {
-		ran, err := s.Ran(timer)
+		ran, err := s.LastRun(timer)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -73,18 +73,18 @@
 
 // Job is a piece of background work. It is done in slices.
 type Job struct {
-	ID       ID
-	Kind     string
-	Owner    string // a member, or a subsystem
-	Priority Priority
-	Earliest time.Duration // it may not begin before
-	Deadline time.Duration // it should be done by; 0: none. It orders jobs of one owner and priority, and ends none
-	Slice    Cost          // what one slice is said to use
-	Left     time.Duration // how long all of it is said to take
-	Lock     string        // held by one job at a time, from its first slice to its end; empty: none
-	Resource string        // what it leans on: a disk, a peer, a receiver; empty: nothing
-	Size     int64         // bytes that it takes in memory and store
-	Depth    int           // of jobs made by jobs
+	ID        ID
+	Kind      string
+	Owner     string // a member, or a subsystem
+	Priority  Priority
+	Earliest  time.Duration // it may not begin before
+	Deadline  time.Duration // it should be done by; 0: none. It orders jobs of one owner and priority, and ends none
+	SliceCost Cost          // what one slice is said to use
+	Remaining time.Duration // how long all of it is said to take
+	Lock      string        // held by one job at a time, from its first slice to its end; empty: none
+	Resource  string        // what it leans on: a disk, a peer, a receiver; empty: nothing
+	Size      int64         // bytes that it takes in memory and store
+	Depth     int           // of jobs made by jobs
 }
 
 // Bounds of a scheduler, and what a kind, an owner and all of it may use.
@@ -139,16 +139,16 @@
 		return true, t
 	}
 	for day := range 3 {
-		if at := wall(local.Year(), local.Month(), local.Day()+day, w.From, w.Zone); at.After(t) {
+		if at := wallTime(local.Year(), local.Month(), local.Day()+day, w.From, w.Zone); at.After(t) {
 			return false, at
 		}
 	}
 	return false, t.Add(24 * time.Hour)
 }
 
-// wall is a time of day on a day. One that a clock set ahead leaves out is the first moment after the gap; of one that comes
+// wallTime is a time of day on a day. One that a clock set ahead leaves out is the first moment after the gap; of one that comes
 // twice it is the first.
-func wall(year int, month time.Month, day int, since time.Duration, zone *time.Location) time.Time {
+func wallTime(year int, month time.Month, day int, since time.Duration, zone *time.Location) time.Time {
 	h, m, s := int(since/time.Hour), int(since/time.Minute)%60, int(since/time.Second)%60
 	t := time.Date(year, month, day, h, m, s, 0, zone)
 	if t.Hour() != h || t.Minute() != m { // it is left out: Date gives a moment off by the gap, on either side
@@ -188,8 +188,8 @@
 	MissedNone               // the next one is the next
 )
 
-// missedMost bounds how many missed ones are run: a clock that was years off is no reason for thousands.
-const missedMost = 100
+// maxMissedRuns bounds how many missed ones are run: a clock that was years off is no reason for thousands.
+const maxMissedRuns = 100
 
 // Due says how many runs are due at a time, given the wall time of the run before, which is that of the schedule and not
 // of the moment at which it was run; and what to remember as the last one, and when to look again. A clock that was set
@@ -200,7 +200,7 @@
 	}
 	newLast = last // a clock that was set back comes to nothing below until it has come to this again
 	for t := s.after(last); !t.After(now); t = s.after(t) {
-		if runs++; runs > missedMost {
+		if runs++; runs > maxMissedRuns {
 			if s.Every > 0 { // the rest are left out, and the rhythm is kept
 				newLast = last.Add(now.Sub(last) / s.Every * s.Every)
 			} else {
@@ -217,19 +217,19 @@
 		runs = 1
 	case s.Missed == MissedNone:
 		// The one whose time has just come is not a missed one.
-		if now.Sub(newLast) > missedGrace {
+		if now.Sub(newLast) > missedRunGrace {
 			runs = 0
 		} else {
 			runs = 1
 		}
 	default:
-		runs = min(runs, missedMost)
+		runs = min(runs, maxMissedRuns)
 	}
 	return runs, newLast, next
 }
 
-// missedGrace is how late a run may be and still not be a missed one.
-const missedGrace = time.Minute
+// missedRunGrace is how late a run may be and still not be a missed one.
+const missedRunGrace = time.Minute
 
 // after is the first time of the schedule after one.
 func (s *Schedule) after(t time.Time) time.Time {
@@ -238,7 +238,7 @@
 	}
 	local := t.In(s.Zone)
 	for day := range 3 {
-		if at := wall(local.Year(), local.Month(), local.Day()+day, s.At, s.Zone); at.After(t) {
+		if at := wallTime(local.Year(), local.Month(), local.Day()+day, s.At, s.Zone); at.After(t) {
 			return at
 		}
 	}
