--- a/internal/sender/recorder_test.go
+++ b/internal/sender/recorder_test.go
@@ -147,7 +147,7 @@
 
 const storeOp = "store"
 
-func (l storeLog) Keep(entries []undelivered.Entry, now int64) error {
+func (l storeLog) Record(entries []undelivered.Entry, now int64) error {
 	if err := l.Recorder.Record(entries, now); err != nil {
 		return err
 	}
--- a/internal/work/run/run_test.go
+++ b/internal/work/run/run_test.go
@@ -59,19 +59,19 @@
 func (d dying) Add(r []store.Record, timer string, ran time.Time) error {
 	return d.m.do(func() error { return d.jobStore.Add(r, timer, ran) })
 }
-func (d dying) Intend(id work.ID) error {
+func (d dying) MarkIntended(id work.ID) error {
 	return d.m.do(func() error { return d.jobStore.MarkIntended(id) })
 }
-func (d dying) Unintend(id work.ID) error {
+func (d dying) ClearIntended(id work.ID) error {
 	return d.m.do(func() error { return d.jobStore.ClearIntended(id) })
 }
-func (d dying) Fail(id work.ID, n int, p string) error {
+func (d dying) RecordFailure(id work.ID, n int, p string) error {
 	return d.m.do(func() error { return d.jobStore.RecordFailure(id, n, p) })
 }
 func (d dying) Checkpoint(id work.ID, s []byte, e int64, m []store.Record) error {
 	return d.m.do(func() error { return d.jobStore.Checkpoint(id, s, e, m) })
 }
-func (d dying) End(id work.ID, m []store.Record) error {
+func (d dying) Complete(id work.ID, m []store.Record) error {
 	return d.m.do(func() error { return d.jobStore.Complete(id, m) })
 }
 
