--- a/cmd/saffronyard/fleet_test.go
+++ b/cmd/saffronyard/fleet_test.go
@@ -76,7 +76,7 @@
 // are seen under the version that they have left.
 func TestWrongSenderIsFound(t *testing.T) {
 	t.Parallel()
-	r, v := concordRun(t, policytest.Options{Seed: 3, Senders: 4, Voters: 3, Seconds: 6, CutOff: true, Quiet: true, Command: itself("SAFFRONYARD_TEST_WRONG=n3")})
+	r, v := concordRun(t, policytest.Options{Seed: 3, Senders: 4, Voters: 3, Seconds: 6, PartitionLast: true, Quiet: true, Command: itself("SAFFRONYARD_TEST_WRONG=n3")})
 	found := 0
 	for _, b := range v.Broken { // once one call is under a version that was left, which one others are under can't be told for sure
 		if strings.Contains(b, " called receiver ") {
--- a/cmd/saffronyard/limits_test.go
+++ b/cmd/saffronyard/limits_test.go
@@ -71,7 +71,7 @@
 				turn(t)
 				o := quotatest.Options{Seed: 1, Senders: 4, Voters: 3, Rate: 40, Free: true, Verdict: together, Outage: 9 * time.Second, Seconds: 10, Quiet: true, Command: itself(), Folder: t.TempDir()}
 				if together {
-					o.CutOff = true // and the last one, without the others, begins no call once its lease is over
+					o.PartitionLast = true // and the last one, without the others, begins no call once its lease is over
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 				defer cancel()
@@ -86,10 +86,10 @@
 	if t.Failed() {
 		return
 	}
-	days[1].Held = days[0].Held
+	days[1].Verdicts = days[0].Verdicts
 	for i, r := range days {
 		v := quotatest.CheckReturn(r)
-		t.Logf("%d calls under a verdict, %d of them while it was out, %d broken; %d calls in the first two seconds, %d in any second, %v until it serves as before", v.Judged, v.Probes, len(v.Broken), v.Early, v.Most, v.Full)
+		t.Logf("%d calls under a verdict, %d of them while it was out, %d broken; %d calls in the first two seconds, %d in any second, %v until it serves as before", v.Judged, v.Probes, len(v.Broken), v.Early, v.PeakCalls, v.Full)
 		if (len(v.Broken) == 0) != (i == 0) || v.Probes == 0 || v.Judged == v.Probes {
 			t.Errorf("day %d: %d under a verdict, %d probes, broken: %q", i, v.Judged, v.Probes, v.Broken[:min(3, len(v.Broken))])
 		}
@@ -115,7 +115,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o.Voters, o.Units, o.Span, o.Transit, o.Quiet, o.CutOff, o.GoOn, o.Rate = 3, 40, time.Second, 20*time.Millisecond, true, true, true, 70
+			o.Voters, o.Units, o.Span, o.Transit, o.Quiet, o.PartitionLast, o.GoOn, o.Rate = 3, 40, time.Second, 20*time.Millisecond, true, true, true, 70
 			if v := rationRun(t, o); (len(v.Broken) == 0) != (name == "none") {
 				t.Errorf("found: %q", v.Broken)
 			}
--- a/cmd/scenario-fuzz/main.go
+++ b/cmd/scenario-fuzz/main.go
@@ -203,7 +203,7 @@
 		return "", false, err
 	}
 	line = fmt.Sprintf("seed %d: %s: worth %.2f served %.2f, own ends %d, slowest acknowledgement %.0f ms",
-		seed, drawn.Scenario, r.Worth, r.Served, r.Ends, r.AckMS)
+		seed, drawn.Scenario, r.Value, r.Served, r.Exits, r.AckMS)
 	findings := r.Findings(drawn.AckMS())
 	if len(findings) == 0 {
 		_ = os.RemoveAll(folder)
--- a/cmd/scenario-fuzz/main_test.go
+++ b/cmd/scenario-fuzz/main_test.go
@@ -16,7 +16,7 @@
 	return &c
 }
 
-func TestAllWrongFlagsAreToldAtOnce(t *testing.T) {
+func TestCheck_ReportsAllInvalidFlagsTogether(t *testing.T) {
 	err := parsed(t, "--days=0", "--jobs=0", "--until=0s", "--scenario=none", "missing.toml").check()
 	for _, part := range []string{"--bench", "missing.toml", "--days is 0", "--jobs is 0", "--until is 0s", `"none"`} {
 		assert.ErrorContains(t, err, part)
@@ -29,7 +29,7 @@
 	assert.ErrorContains(t, err, "fewer than 120")
 }
 
-func TestUnknownFlagsAreToldTogether(t *testing.T) {
+func TestUnknownFlags_ReportsAllTogether(t *testing.T) {
 	parser, err := kong.New(&command{})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, unknownFlags(parser, []string{"--day=3", "--seed=1", "x.toml", "--boat"}), []string{"--day", "--boat"})
--- a/internal/faulttest/cli/compare.go
+++ b/internal/faulttest/cli/compare.go
@@ -21,20 +21,20 @@
 // variant is one way to speak on a day.
 type variant struct {
 	name  string
-	speak encoding.Form
-	calls []encoding.Form // of the kinds of receivers, in turns
+	speak encoding.Format
+	calls []encoding.Format // of the kinds of receivers, in turns
 }
 
 // variants is how a day is compared: plain as often as asked, for its spread, then each form in and out, and all mixed.
 func variants(plain int) []variant {
 	var all []variant
 	for range plain {
-		all = append(all, variant{"plain", encoding.Plain, []encoding.Form{encoding.Plain}})
+		all = append(all, variant{"plain", encoding.Plain, []encoding.Format{encoding.Plain}})
 	}
-	for _, f := range []encoding.Form{encoding.Binary, encoding.Structured, encoding.Batched} {
-		all = append(all, variant{string(f), f, []encoding.Form{f}})
+	for _, f := range []encoding.Format{encoding.Binary, encoding.Structured, encoding.Batched} {
+		all = append(all, variant{string(f), f, []encoding.Format{f}})
 	}
-	return append(all, variant{"mixed", encoding.Mixed, []encoding.Form{encoding.Binary, encoding.Plain, encoding.Batched, encoding.Structured}})
+	return append(all, variant{"mixed", encoding.Mixed, []encoding.Format{encoding.Binary, encoding.Plain, encoding.Batched, encoding.Structured}})
 }
 
 // over gives a day's script the variant's forms. The kinds of a script that names none are the usual ones.
@@ -51,7 +51,7 @@
 		s.Kinds = usual
 	}
 	for i := range s.Kinds {
-		s.Kinds[i].Form = v.calls[i%len(v.calls)]
+		s.Kinds[i].Format = v.calls[i%len(v.calls)]
 	}
 	return &s, nil
 }
@@ -109,7 +109,7 @@
 		return 0, err
 	}
 	if *plain < 2 || *slack < 0 {
-		return judge.ExitScript, fmt.Errorf("compare: -plain %d, -slack %v: at least 2 and 0", *plain, *slack)
+		return judge.ExitScript, badArgument("compare: -plain %d, -slack %v: at least 2 and 0", *plain, *slack)
 	}
 	all, err := days(f.Args(), false)
 	if err != nil {
@@ -154,7 +154,7 @@
 			}
 			code = worst([]int{code, p.verdict.Exit()})
 		}
-		fmt.Fprintf(out, "%-11s %-24s %9d %7.2f%% %7.3fs %7.3fs %8d %7.0fus  %s\n", v.name, counts(p.answers), p.sum.Delivered, p.sum.Share*100,
+		fmt.Fprintf(out, "%-11s %-24s %9d %7.2f%% %7.3fs %7.3fs %8d %7.0fus  %s\n", v.name, counts(p.answers), p.sum.Delivered, p.sum.ServedFraction*100,
 			p.sum.Latency50, p.sum.Lat99, runs[0].differ(p), p.use.Senders.Seconds()*1e6/float64(max(1, p.sum.Delivered)), rules)
 	}
 	for _, why := range outside(runs[:plain], runs[plain:], slack) {
@@ -230,7 +230,7 @@
 		for _, q := range plain {
 			differ = max(differ, p.differ(q))
 		}
-		least, most, slowest = min(least, p.sum.Share), max(most, p.sum.Share), max(slowest, p.sum.Latency50)
+		least, most, slowest = min(least, p.sum.ServedFraction), max(most, p.sum.ServedFraction), max(slowest, p.sum.Latency50)
 	}
 	// Few messages differ by chance; what a front or a form does wrong it does to many.
 	allowed := differ + max(2, len(plain[0].first)/200)
@@ -242,8 +242,8 @@
 		if n > allowed {
 			all = append(all, fmt.Sprintf("%s: %d messages were answered otherwise; plain runs differ in %d", p.name, n, differ))
 		}
-		if p.sum.Share < least-slack || p.sum.Share > most+slack {
-			all = append(all, fmt.Sprintf("%s: %.2f%% of the worth; plain runs %.2f%% to %.2f%%", p.name, p.sum.Share*100, least*100, most*100))
+		if p.sum.ServedFraction < least-slack || p.sum.ServedFraction > most+slack {
+			all = append(all, fmt.Sprintf("%s: %.2f%% of the worth; plain runs %.2f%% to %.2f%%", p.name, p.sum.ServedFraction*100, least*100, most*100))
 		}
 		if p.sum.Latency50 > slowest*1.2+0.02 {
 			all = append(all, fmt.Sprintf("%s: half are delivered within %.3f s; plain runs %.3f s", p.name, p.sum.Latency50, slowest))
--- a/internal/faulttest/cli/cost.go
+++ b/internal/faulttest/cli/cost.go
@@ -50,22 +50,22 @@
 	var cases []cost.Case
 	for _, w := range words {
 		c := cost.Case{Clients: *clients, Body: *body, Churn: *churn, Memory: *memory, For: time.Duration(*seconds * float64(time.Second)), Warm: 2 * time.Second}
-		if n, err := fmt.Sscanf(w, "%d/%d/%d", &c.Listed, &c.Busy, &c.Held); n != 3 || c.Listed < 1 || c.Busy < 1 || c.Busy > c.Listed || c.Listed > 60000 || c.Held < 0 || c.Held > 150000 {
-			return judge.ExitScript, fmt.Errorf("cost: %q is not LISTED/BUSY/HELD (1 to 60000, of those, 0 to 150000): %v", w, err)
+		if n, err := fmt.Sscanf(w, "%d/%d/%d", &c.Listed, &c.Busy, &c.Backlog); n != 3 || c.Listed < 1 || c.Busy < 1 || c.Busy > c.Listed || c.Listed > 60000 || c.Backlog < 0 || c.Backlog > 150000 {
+			return judge.ExitScript, badArgument("cost: %q is not LISTED/BUSY/HELD (1 to 60000, of those, 0 to 150000): %v", w, err)
 		}
 		cases = append(cases, c)
 	}
 	if *forms != "" {
 		for _, name := range strings.Split(*forms, ",") {
 			c := cases[0]
-			if c.Form = encoding.Form(name); !c.Form.Known(false) {
-				return judge.ExitScript, fmt.Errorf("cost: there is no form %q; there are plain, binary, structured and batched", name)
+			if c.Format = encoding.Format(name); !c.Format.Known(false) {
+				return judge.ExitScript, badArgument("cost: there is no form %q; there are plain, binary, structured and batched", name)
 			}
 			cases, words = append(cases, c), append(words, words[0]+" "+name)
 		}
 	}
 	if *clients < 1 || *body < 0 || *body > 64<<10 || *seconds <= 0 {
-		return judge.ExitScript, fmt.Errorf("cost: %d clients, %d bytes, %v s", *clients, *body, *seconds)
+		return judge.ExitScript, badArgument("cost: %d clients, %d bytes, %v s", *clients, *body, *seconds)
 	}
 	path, err := sender(ctx, *program, errs)
 	if err != nil {
--- a/internal/faulttest/cli/limits.go
+++ b/internal/faulttest/cli/limits.go
@@ -80,7 +80,7 @@
 				back := quotatest.CheckReturn(r)
 				v.Broken = append(v.Broken, back.Broken...)
 				mu.Lock()
-				fmt.Fprintf(out, "seed %d: %d calls under a verdict, %d of them while it was out; %d in the first two seconds of its return, %d in any second of it at most; %v until it serves four fifths again\n", seed, back.Judged, back.Probes, back.Early, back.Most, back.Full.Round(time.Millisecond))
+				fmt.Fprintf(out, "seed %d: %d calls under a verdict, %d of them while it was out; %d in the first two seconds of its return, %d in any second of it at most; %v until it serves four fifths again\n", seed, back.Judged, back.Probes, back.Early, back.PeakCalls, back.Full.Round(time.Millisecond))
 				mu.Unlock()
 			}
 		} else {
@@ -93,7 +93,7 @@
 			word, failed = "BROKEN", failed+1
 		}
 		over += v.Refused
-		fmt.Fprintf(out, "seed %d, %d senders, %d in %v: %s; %d calls, %d at most in a span, %d spans full; healed, %.3f of it are used; %d served, %d refused\n", seed, one.Senders, one.Units, one.Span, word, v.Calls, v.Most, v.Spans, v.Used, v.Served, v.Refused)
+		fmt.Fprintf(out, "seed %d, %d senders, %d in %v: %s; %d calls, %d at most in a span, %d spans full; healed, %.3f of it are used; %d served, %d refused\n", seed, one.Senders, one.Units, one.Span, word, v.Calls, v.MaxUnits, v.Spans, v.Used, v.Served, v.Refused)
 		for i, b := range v.Broken {
 			if i < 10 {
 				fmt.Fprintf(out, "  %s\n", b)
--- a/internal/faulttest/cli/list.go
+++ b/internal/faulttest/cli/list.go
@@ -27,7 +27,7 @@
 		if _, err := os.Stat(dir); err != nil {
 			root, err := sources()
 			if err != nil {
-				return judge.ExitScript, fmt.Errorf("no folder %s here: name one", folder)
+				return judge.ExitScript, badArgument("no folder %s here: name one", folder)
 			}
 			dir = filepath.Join(root, folder)
 		}
@@ -42,7 +42,7 @@
 		paths = append(paths, found...)
 	}
 	if len(paths) == 0 {
-		return judge.ExitScript, fmt.Errorf("no scripts in %s", dir)
+		return judge.ExitScript, badArgument("no scripts in %s", dir)
 	}
 	code := 0
 	for _, p := range paths {
--- a/internal/faulttest/cli/main.go
+++ b/internal/faulttest/cli/main.go
@@ -37,9 +37,6 @@
 // programName is the name of the program in its usage and its messages.
 const programName = "fault-test"
 
-// errUsage is a bad flag or script; it has been told.
-var errUsage = errors.New("usage")
-
 // Main runs the subcommand that the arguments of the process name and ends the process with its exit code.
 func Main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -55,7 +52,7 @@
 	}
 	run, ok := map[string]func(context.Context, []string, io.Writer, io.Writer) (int, error){
 		"run": runDays, "list": listScripts, "judge": judgeLog, "report": reportLog, "up": up, "selftest": selftest, "measure": measure, "cost": costs, "compare": compare, "teach": teach, "fleet": fleetDays, "limits": limitDays,
-		wrongCommand: wrongSender, proxyCommand: plainProxy,
+		mutantCommand: runMutant, proxyCommand: plainProxy,
 	}[args[0]]
 	if !ok {
 		if args[0] == "help" || args[0] == "-h" || args[0] == "--help" {
--- a/internal/faulttest/cli/main_test.go
+++ b/internal/faulttest/cli/main_test.go
@@ -68,15 +68,15 @@
 // slowMachine is the grace of days that a machine plays which does much else: their verdict is not to hang on it.
 const slowMachine = 300 * time.Millisecond
 
-// manyTries is how often such a day is played at most while the kit itself runs late: those days decide nothing. A day that
+// maxDayAttempts is how often such a day is played at most while the kit itself runs late: those days decide nothing. A day that
 // decides is not played again, whatever it says.
-const manyTries = 8
+const maxDayAttempts = 8
 
 // Each wrong sender is found out by the rule that it breaks, and by no other; the right one passes.
 func TestSelftest(t *testing.T) {
 	_, rehearse := built(t)
 	var out bytes.Buffer
-	code, err := selftestWith(context.Background(), rehearse, 4, manyTries, slowMachine, &out)
+	code, err := selftestWith(context.Background(), rehearse, 4, maxDayAttempts, slowMachine, &out)
 	t.Log("\n" + out.String())
 	if err != nil || code != judge.ExitPass {
 		t.Fatalf("exit %d: %v", code, err)
@@ -121,7 +121,7 @@
 	sender, _ := built(t)
 	dir := t.TempDir()
 	log, page := filepath.Join(dir, "events.jsonl"), filepath.Join(dir, "report.html")
-	code, out, errs := call(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(manyTries), "-log", log, "-report", page, "testdata/troubles.toml", "testdata/senders.toml")
+	code, out, errs := call(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(maxDayAttempts), "-log", log, "-report", page, "testdata/troubles.toml", "testdata/senders.toml")
 	t.Log("\n" + out + errs)
 	if code != judge.ExitPass {
 		t.Fatalf("exit %d", code)
@@ -216,10 +216,10 @@
 		{[]string{"judge", torn}, torn + ":2: not an event"},
 		{[]string{"list", dir + "/nowhere"}, "no scripts in"},
 		{[]string{"up", bad}, bad + ":3"},
-		{[]string{wrongCommand, "nothing"}, "configuration"},
+		{[]string{mutantCommand, "nothing"}, "configuration"},
 	} {
 		code, out, errs := call(t, c.args...)
-		if c.args != nil && c.args[0] == wrongCommand {
+		if c.args != nil && c.args[0] == mutantCommand {
 			c.says = "no fault is called"
 		}
 		if code != judge.ExitScript || !strings.Contains(out+errs, c.says) {
@@ -374,7 +374,7 @@
 func TestShortDayOfEvents(t *testing.T) {
 	sender, _ := built(t)
 	log := filepath.Join(t.TempDir(), "events.jsonl")
-	code, out, errs := call(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(manyTries), "-log", log, "testdata/forms.toml")
+	code, out, errs := call(t, "run", "-sender", sender, "-quiet", "-tries", strconv.Itoa(maxDayAttempts), "-log", log, "testdata/forms.toml")
 	t.Log("\n" + out + errs)
 	if code != judge.ExitPass {
 		t.Fatalf("exit %d", code)
@@ -386,7 +386,7 @@
 func TestOutside(t *testing.T) {
 	run := func(share, p50 float64, fates ...string) *played {
 		p := &played{variant: variant{name: "x"}, first: map[string]string{}}
-		p.sum.Share, p.sum.Latency50 = share, p50
+		p.sum.ServedFraction, p.sum.Latency50 = share, p50
 		for i, f := range fates {
 			p.first[fmt.Sprint(i)] = f
 		}
--- a/internal/faulttest/cli/measure.go
+++ b/internal/faulttest/cli/measure.go
@@ -34,8 +34,8 @@
 headroom = [3.0, 3.0]
 `
 
-// slipMost is the lateness at p99 up to which the kit counts as keeping its schedule.
-const slipMost = 5 * time.Millisecond
+// maxSlip is the lateness at p99 up to which the kit counts as keeping its schedule.
+const maxSlip = 5 * time.Millisecond
 
 // measure plays calm days at rising rates until the kit's own schedule slips, and tells what each costs.
 func measure(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
@@ -48,7 +48,7 @@
 		return 0, err
 	}
 	if *first < 1 || *last < *first || *seconds < 2 {
-		return judge.ExitScript, fmt.Errorf("measure: from %d to %d, %d seconds: from is 1 at least, to not less, seconds 2 at least", *first, *last, *seconds)
+		return judge.ExitScript, badArgument("measure: from %d to %d, %d seconds: from is 1 at least, to not less, seconds 2 at least", *first, *last, *seconds)
 	}
 	path, err := sender(ctx, *program, errs)
 	if err != nil {
@@ -105,7 +105,7 @@
 		if verdict.Exit() == judge.ExitFail {
 			word = "FAIL"
 		}
-		if time.Duration(p99)*time.Microsecond > slipMost {
+		if time.Duration(p99)*time.Microsecond > maxSlip {
 			word = "slips"
 		}
 		fmt.Fprintf(out, "%9.0f %9.0f %9.2fms %9.2fms %12s %12s %12s %10s\n", float64(sum.Messages)/float64(*seconds), float64(sum.Delivered)/float64(*seconds),
--- a/internal/faulttest/cli/run.go
+++ b/internal/faulttest/cli/run.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -96,7 +95,7 @@
 		}
 		up := filepath.Dir(dir)
 		if up == dir {
-			return "", errors.New("no sender: name it with -sender, put saffronyard beside this program, or start this in the sources' folder")
+			return "", errNoSender
 		}
 		dir = up
 	}
@@ -144,7 +143,7 @@
 	sender, log, html, logs string
 	seed                    uint64
 	together, plan, quiet   bool
-	tries                   int
+	attempts                int
 }
 
 func runDays(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
@@ -158,7 +157,7 @@
 	f.BoolVar(&o.together, "together", false, "lay all files over the first one, also those that have a [day]")
 	f.BoolVar(&o.plan, "plan", false, "print what would happen, and play nothing")
 	f.BoolVar(&o.quiet, "quiet", false, "no progress line")
-	f.IntVar(&o.tries, "tries", 1, "play an inconclusive day again, so many `times` in all")
+	f.IntVar(&o.attempts, "tries", 1, "play an inconclusive day again, so many `times` in all")
 	if err := parse(f, args); err != nil {
 		return 0, err
 	}
@@ -199,7 +198,7 @@
 		code := 0
 		for try := 1; ; try++ {
 			code, err = o.one(ctx, p, []string{path}, out, errs)
-			if err != nil || code != judge.ExitInconclusive || try >= o.tries {
+			if err != nil || code != judge.ExitInconclusive || try >= o.attempts {
 				break
 			}
 			fmt.Fprintln(out, "played again, as it was inconclusive")
@@ -237,7 +236,7 @@
 		if r.Spec.Limit > 0 {
 			limit = fmt.Sprintf("%s limit %.1f/s", r.Spec.LimitKind, r.Spec.Limit)
 		}
-		fmt.Fprintf(out, "  %-4s %-10s %-10s %4.1f%% of the traffic, %d endpoints, capacity %.1f/s, %s\n", r.Name, r.Kind, r.Member, r.Share*100, r.Endpoints, r.Spec.Capacity, limit)
+		fmt.Fprintf(out, "  %-4s %-10s %-10s %4.1f%% of the traffic, %d endpoints, capacity %.1f/s, %s\n", r.Name, r.Kind, r.Member, r.Weight*100, r.Endpoints, r.Spec.Capacity, limit)
 	}
 	for _, a := range p.Acts {
 		who := a.Who()
@@ -317,7 +316,7 @@
 }
 
 func printVerdict(out io.Writer, v judge.Report, s report.Summary) {
-	fmt.Fprintf(out, "%s: %d messages, %d delivered, %.1f%% of the worth served\n", s.Name, s.Messages, s.Delivered, s.Share*100)
+	fmt.Fprintf(out, "%s: %d messages, %d delivered, %.1f%% of the worth served\n", s.Name, s.Messages, s.Delivered, s.ServedFraction*100)
 	for _, r := range v.Results {
 		fmt.Fprintf(out, "  %d  %-42s %-9s  %d chances", r.Rule, r.Name, r.Verdict, r.Tried)
 		if r.Broken > 0 {
@@ -329,7 +328,7 @@
 		fmt.Fprintln(out, "  INCONCLUSIVE:", v.Late)
 	}
 	fmt.Fprintf(out, "  worst 10 s %.1f%% (from %.0f s), worst member %s %.1f%%, refused above a limit %d of %d calls, latency p50 %.2f s, p99 %.2f s\n",
-		s.Worst*100, s.WorstFrom, s.WorstMember.Name, s.WorstMember.Share()*100, s.AboveLimit, s.Calls, s.Latency50, s.Lat99)
+		s.Worst*100, s.WorstFrom, s.WorstMember.Name, s.WorstMember.ServedFraction()*100, s.AboveLimit, s.Calls, s.Latency50, s.Lat99)
 	if len(s.Woken) > 0 {
 		switch w, ok := s.WorstWoken(); {
 		case ok:
@@ -380,7 +379,7 @@
 // read reads the log that the first of n arguments names.
 func read(args []string, n int, errs io.Writer) ([]eventlog.Event, error) {
 	if len(args) != n {
-		return nil, fmt.Errorf("%d arguments are wanted, %d given", n, len(args))
+		return nil, badArgument("%d arguments are wanted, %d given", n, len(args))
 	}
 	file, err := os.Open(args[0])
 	if err != nil {
@@ -400,29 +399,29 @@
 	length float64
 	on     bool
 
-	mu                                    sync.Mutex
-	last                                  time.Time
-	arrived, delivered, refused, troubles int
+	mu                                  sync.Mutex
+	last                                time.Time
+	arrived, delivered, refused, faults int
 }
 
 func (p *progress) watch(e eventlog.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case e.Kind == eventlog.HandIn && e.Try == 0:
+	case e.Kind == eventlog.HandIn && e.Attempt == 0:
 		p.arrived++
 	case e.Kind == eventlog.Done && e.Status == 200:
 		p.delivered++
 	case e.Kind == eventlog.Done && (e.Status == 429 || e.Status == 503):
 		p.refused++
-	case e.Kind == eventlog.Trouble && e.State == "on":
-		p.troubles++
-	case e.Kind == eventlog.Trouble:
-		p.troubles--
+	case e.Kind == eventlog.FaultChanged && e.State == "on":
+		p.faults++
+	case e.Kind == eventlog.FaultChanged:
+		p.faults--
 	}
 	if p.on && time.Since(p.last) >= 200*time.Millisecond {
 		p.last = time.Now()
-		fmt.Fprintf(p.out, "\r%5.1f of %.0f s: %d asked, %d delivered, %d calls refused, %d troubles   ", float64(e.T)/1e6, p.length, p.arrived, p.delivered, p.refused, p.troubles)
+		fmt.Fprintf(p.out, "\r%5.1f of %.0f s: %d asked, %d delivered, %d calls refused, %d troubles   ", float64(e.T)/1e6, p.length, p.arrived, p.delivered, p.refused, p.faults)
 	}
 }
 
--- a/internal/faulttest/cli/selftest.go
+++ b/internal/faulttest/cli/selftest.go
@@ -15,8 +15,8 @@
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
-// wrongCommand starts a wrong sender: the self-test starts this program again with it.
-const wrongCommand = "wrong-sender"
+// mutantCommand starts a wrong sender: the self-test starts this program again with it.
+const mutantCommand = "wrong-sender"
 
 // selfDay gives each rule its chance, on a receiver of its own, so that a fault in one shows in that one only.
 const selfDay = `
@@ -87,9 +87,9 @@
 at = "8s"
 `
 
-func wrongSender(ctx context.Context, args []string, _, _ io.Writer) (int, error) {
+func runMutant(ctx context.Context, args []string, _, _ io.Writer) (int, error) {
 	if len(args) != 1 {
-		return judge.ExitScript, fmt.Errorf("%s FAULT, one of %v", wrongCommand, mutant.Faults())
+		return judge.ExitScript, badArgument("%s FAULT, one of %v", mutantCommand, mutant.Faults())
 	}
 	if err := mutant.Run(ctx, mutant.Fault(args[0]), os.Getenv); err != nil {
 		return judge.ExitScript, err
@@ -144,7 +144,7 @@
 			t.err = err
 			return
 		}
-		events, _, err := day.Play(ctx, plan, day.Options{Command: []string{self, wrongCommand, string(t.fault)}, Folder: t.folder, Log: file})
+		events, _, err := day.Play(ctx, plan, day.Options{Command: []string{self, mutantCommand, string(t.fault)}, Folder: t.folder, Log: file})
 		file.Close()
 		if err != nil {
 			t.err = err
@@ -165,7 +165,7 @@
 		return 0, err
 	}
 	if *grace < 50*time.Millisecond || *grace > 400*time.Millisecond {
-		return judge.ExitScript, fmt.Errorf("selftest: -grace %v is not from 50ms to 400ms", *grace)
+		return judge.ExitScript, badArgument("selftest: -grace %v is not from 50ms to 400ms", *grace)
 	}
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/faulttest/cli/teach.go
+++ b/internal/faulttest/cli/teach.go
@@ -29,7 +29,7 @@
 
 // newcomerOf counts the calls of the last sender to become ready.
 func newcomerOf(events []eventlog.Event, verdict judge.Report) (newcomer, error) {
-	n := newcomer{late: verdict.Late, delivered: report.Make(events).Share}
+	n := newcomer{late: verdict.Late, delivered: report.Make(events).ServedFraction}
 	for _, r := range verdict.Results {
 		if r.Verdict == judge.Fail {
 			n.broken = append(n.broken, r.Rule)
@@ -37,12 +37,12 @@
 	}
 	joined, since := "", int64(-1)
 	for _, e := range events {
-		if e.Kind == eventlog.Ready && e.T > 0 && e.Run == 1 && e.Note == "" {
+		if e.Kind == eventlog.Ready && e.T > 0 && e.Run == 1 && e.Detail == "" {
 			joined, since = e.Sender, e.T
 		}
 	}
 	if since < 0 {
-		return n, fmt.Errorf("no sender joins on this day")
+		return n, errNoJoin
 	}
 	until := since + firstSpan.Microseconds()
 	mine := map[int64]bool{}
@@ -76,14 +76,14 @@
 		names = []string{"rehearsals/join.toml"}
 	}
 	if len(names) > 1 || *seeds < 1 || *jobs < 1 || *from < 1 {
-		return judge.ExitScript, fmt.Errorf("teach: one day, and at least one seed and job")
+		return judge.ExitScript, badArgument("teach: one day, and at least one seed and job")
 	}
 	all, err := days(names, false)
 	if err != nil {
 		return judge.ExitScript, err
 	}
 	if all[0].Day.Features == "" {
-		return judge.ExitScript, fmt.Errorf("teach: %s has no features that could teach", names[0])
+		return judge.ExitScript, badArgument("teach: %s has no features that could teach", names[0])
 	}
 	path, err := sender(ctx, *program, errs)
 	if err != nil {
--- a/internal/faulttest/cli/up.go
+++ b/internal/faulttest/cli/up.go
@@ -86,7 +86,7 @@
 	show.print("Hand a message in:")
 	show.print("  " + d.Curl())
 	show.print("Troubles of the script run from now on. ^C ends it; all that happens is written to " + file.Name())
-	d.Troubles()
+	d.Faults()
 	<-ctx.Done()
 	if err := d.Close(); err != nil {
 		return judge.ExitInconclusive, err
@@ -113,16 +113,16 @@
 		s.print(fmt.Sprintf("%8.3f s  %s got message %s", at.Seconds(), e.Endpoint, e.ID))
 	case eventlog.Done:
 		how := fmt.Sprint(e.Status)
-		if e.Note != "" {
-			how = e.Note
+		if e.Detail != "" {
+			how = e.Detail
 		}
 		s.print(fmt.Sprintf("%8.3f s  message %s ended there: %s", at.Seconds(), e.ID, how))
 	case eventlog.Notice:
 		s.print(fmt.Sprintf("%8.3f s  notice: message %s is %s", at.Seconds(), e.ID, e.Outcome))
-	case eventlog.Trouble:
-		s.print(fmt.Sprintf("%8.3f s  r%d: %s %s", at.Seconds(), e.Dest, e.Note, e.State))
-	case eventlog.Fault:
-		s.print(fmt.Sprintf("%8.3f s  the kit failed: %s", at.Seconds(), e.Note))
+	case eventlog.FaultChanged:
+		s.print(fmt.Sprintf("%8.3f s  r%d: %s %s", at.Seconds(), e.Dest, e.Detail, e.State))
+	case eventlog.KitFailure:
+		s.print(fmt.Sprintf("%8.3f s  the kit failed: %s", at.Seconds(), e.Detail))
 	case eventlog.Exit:
 		s.print(fmt.Sprintf("%8.3f s  sender %s ended (code %d)", at.Seconds(), e.Sender, e.Status))
 	}
--- a/internal/faulttest/cost/beside.go
+++ b/internal/faulttest/cost/beside.go
@@ -71,7 +71,7 @@
 		was = is
 	}
 	if len(ratios) == 0 {
-		return nil, errors.New("cost: nothing was delivered")
+		return nil, errNothingDelivered
 	}
 	return ratios, errors.Join(loads[0].stop(), loads[1].stop())
 }
@@ -94,7 +94,7 @@
 		defer resp.Body.Close()
 		raw, err := io.ReadAll(resp.Body)
 		if err == nil && resp.StatusCode != http.StatusOK {
-			err = errors.New(strings.TrimSpace(string(raw)))
+			err = &refusalError{text: strings.TrimSpace(string(raw))}
 		}
 		return string(raw), err
 	}
@@ -114,7 +114,7 @@
 			return nil
 		}
 	}
-	return errors.Join(err, ctx.Err(), errors.New("the sender takes no document"))
+	return errors.Join(err, ctx.Err(), errNoDocument)
 }
 
 // Middle is the median of some figures, and the bounds within which it lies nineteen times of twenty, by their order alone.
@@ -131,7 +131,7 @@
 func exactly(pid int) (sum time.Duration, err error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err == nil && len(tasks) == 0 {
-		err = fmt.Errorf("cost: process %d tells no times", pid)
+		err = &noTimesError{pid: pid}
 	}
 	for _, t := range tasks {
 		raw, bad := os.ReadFile(t)
--- a/internal/faulttest/cost/cost.go
+++ b/internal/faulttest/cost/cost.go
@@ -36,16 +36,16 @@
 // Case is one measurement.
 type Case struct {
 	Listed, Busy int
-	Held         int // messages for a receiver that hangs
+	Backlog      int // messages for a receiver that hangs
 	Clients      int // each hands in its next message as soon as the last one is answered
 	Body         int // bytes
 	For          time.Duration
-	Warm         time.Duration // before the measurement
-	Churn        int           // endpoints that are replaced each second
-	Memory       int           // MB that the sender is told it has
-	Form         encoding.Form // in which messages come in and leave; "" for the platform's
-	Fleet        bool          // the sender is one of a fleet that agrees, of itself alone
-	Limits       int           // of the first destinations, each its own, that hold nothing back; with Fleet
+	Warm         time.Duration   // before the measurement
+	Churn        int             // endpoints that are replaced each second
+	Memory       int             // MB that the sender is told it has
+	Format       encoding.Format // in which messages come in and leave; "" for the platform's
+	Fleet        bool            // the sender is one of a fleet that agrees, of itself alone
+	Limits       int             // of the first destinations, each its own, that hold nothing back; with Fleet
 }
 
 // Result is what a case came to.
@@ -220,12 +220,12 @@
 		}
 		return withFile(command, folder, fmt.Sprintf("[fleet]\ncluster = \"cost\"\nlisten = %q\n[[fleet.voter]]\nname = \"n0\"\naddress = %q\n", address, address))
 	}
-	if c.Form == "" || c.Form == encoding.Plain {
+	if c.Format == "" || c.Format == encoding.Plain {
 		return command, nil
 	}
 	text := encoding.Rules([]encoding.Class{{Name: "safe", Deadline: 20 * time.Second}})
 	text = strings.Replace(text, "remember = \"1m\"\nremember_most = 10000", "remember = \"10s\"\nremember_most = 1000000", 1)
-	text += encoding.Delivery(map[string]encoding.Form{"plain": c.Form})
+	text += encoding.Delivery(map[string]encoding.Format{"plain": c.Format})
 	return withFile(command, folder, text)
 }
 
@@ -277,7 +277,7 @@
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) < 13 {
-		return 0, 0, 0, errors.New("a stat file that is too short")
+		return 0, 0, 0, errShortStat
 	}
 	ticks := int64(0)
 	for _, f := range fields[11:13] { // utime and stime, in hundredths of a second
@@ -329,12 +329,12 @@
 func (c Case) request() func(n int64) []byte {
 	body := bytes.Repeat([]byte("x"), c.Body)
 	return func(n int64) []byte {
-		if c.Form != "" && c.Form != encoding.Plain {
+		if c.Format != "" && c.Format != encoding.Plain {
 			id := strconv.FormatInt(n, 16)
-			if c.Form == encoding.Batched {
+			if c.Format == encoding.Batched {
 				id += encoding.BatchTail
 			}
-			return c.Form.Request(encoding.Message{ID: id, Class: "safe", Member: "acme", Dest: int(n) % max(1, c.Busy), Expires: time.Now().Add(20 * time.Second), Body: body})
+			return c.Format.Request(encoding.Message{ID: id, Class: "safe", Member: "acme", Dest: int(n) % max(1, c.Busy), Expires: time.Now().Add(20 * time.Second), Body: body})
 		}
 		return traffic.Request(strconv.FormatInt(n, 16), "safe", "acme", 20*time.Second, "", "", "", int(n)%max(1, c.Busy), body)
 	}
@@ -347,7 +347,7 @@
 		return err
 	}
 	defer conn.Close()
-	for n := range c.Held {
+	for n := range c.Backlog {
 		text := traffic.Request("held-"+strconv.Itoa(n), "safe", "acme", 20*time.Minute, "", "", "", b.targets, make([]byte, c.Body))
 		for try := 0; ; try++ {
 			status, err := conn.ask(text)
@@ -358,7 +358,7 @@
 				break
 			}
 			if try > 20 {
-				return fmt.Errorf("cost: holding: message %d is answered %d", n, status)
+				return &answerError{message: n, status: status}
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -496,7 +496,7 @@
 	}
 	waits := l.waits
 	if delivered == 0 || len(waits) == 0 {
-		return res, errors.New("cost: nothing was delivered")
+		return res, errNothingDelivered
 	}
 	slices.Sort(waits)
 	res.CPU, res.Rate = (after-cpu)/time.Duration(delivered), float64(delivered)/took.Seconds()
@@ -565,5 +565,5 @@
 
 // Folder is a new one for a case below a folder.
 func Folder(below string, c Case) string {
-	return filepath.Join(below, fmt.Sprintf("%d-%d-%d%s-%v", c.Listed, c.Busy, c.Held, c.Form, c.Fleet))
+	return filepath.Join(below, fmt.Sprintf("%d-%d-%d%s-%v", c.Listed, c.Busy, c.Backlog, c.Format, c.Fleet))
 }
--- a/internal/faulttest/day/day.go
+++ b/internal/faulttest/day/day.go
@@ -28,16 +28,16 @@
 )
 
 const (
-	mostAttempts = 6
-	answerGrace  = 300 * time.Millisecond
-	readyGrace   = 1500 * time.Millisecond
-	waitLetIn    = 50 * time.Millisecond // and the grace
-	connIdle     = 15 * time.Second
-	connectTime  = 1500 * time.Millisecond
-	removeAfter  = 3 * time.Second // a replaced endpoint is gone so long after it began to drain
-	lostBack     = 2 * time.Second // a machine that was lost comes back, empty, after this
-	settleTime   = 500 * time.Millisecond
-	beat         = 5 * time.Millisecond
+	maxAttempts       = 6
+	answerGrace       = 300 * time.Millisecond
+	readyGrace        = 1500 * time.Millisecond
+	waitLetIn         = 50 * time.Millisecond // and the grace
+	connIdle          = 15 * time.Second
+	connectTime       = 1500 * time.Millisecond
+	removeAfter       = 3 * time.Second // a replaced endpoint is gone so long after it began to drain
+	lostBack          = 2 * time.Second // a machine that was lost comes back, empty, after this
+	stabilizationTime = 500 * time.Millisecond
+	tickInterval      = 5 * time.Millisecond
 )
 
 // Options say how a day is played.
@@ -60,23 +60,23 @@
 
 // Day is a day being played.
 type Day struct {
-	plan    *script.Plan
-	opt     Options
-	log     *eventlog.Log
-	hosts   *hosts
-	text    string // of the features, with places
-	links   *links.Net
-	book    *traffic.Book
-	clients *traffic.Clients
-	disc    *platform.Platform
-	late    *lateness
+	plan      *script.Plan
+	options   Options
+	log       *eventlog.Log
+	hosts     *hosts
+	text      string // of the features, with places
+	links     *links.Net
+	registry  *traffic.Registry
+	clients   *traffic.Clients
+	discovery *platform.Platform
+	late      *lateness
 
 	mu        sync.Mutex
 	senders   []*fleet.Sender
 	receivers []*receiver.Server
-	drains    map[string]int // endpoint to the number of drains that hold it
+	draining  map[string]int // endpoint to the number of drains that hold it
 	delay     time.Duration  // of discovery's news
-	bg        sync.WaitGroup
+	tasks     sync.WaitGroup
 	ctx       context.Context
 }
 
@@ -106,7 +106,7 @@
 	case <-over:
 	case <-ctx.Done():
 	}
-	traffic.Sleep(ctx, settleTime) // what crossed the last end is written down
+	traffic.Sleep(ctx, stabilizationTime) // what crossed the last end is written down
 	if ctx.Err() == nil {
 		d.late.flush()
 		d.log.Add(eventlog.Event{Kind: eventlog.End})
@@ -128,7 +128,7 @@
 		return nil, fmt.Errorf("rehearsal: %w", err)
 	}
 	// The day's clock starts with its arrivals: what is set up before has its events at time 0 and after.
-	d := &Day{plan: plan, hosts: newHosts(), drains: map[string]int{}, delay: plan.Day.ListDelay.D(), ctx: ctx}
+	d := &Day{plan: plan, hosts: newHosts(), draining: map[string]int{}, delay: plan.Day.ListDelay.D(), ctx: ctx}
 	zone := &zoneFile{path: filepath.Join(opt.Folder, "kit.zone")}
 	text := plan.FeaturesText()
 	if plan.Day.Names {
@@ -139,33 +139,33 @@
 		text += "\n" + zone.features(plan)
 	}
 	d.text = text
-	d.opt = opt
+	d.options = opt
 	d.log = eventlog.New(opt.Log, opt.Watch)
 	d.links = links.New(plan.Day.Seed, func(from, to, what string) {
-		d.log.Add(eventlog.Event{Kind: eventlog.Link, Sender: from, Endpoint: to, Note: what})
+		d.log.Add(eventlog.Event{Kind: eventlog.Link, Sender: from, Endpoint: to, Detail: what})
 	})
 	d.late = newLateness(d.log)
-	d.book = traffic.NewBook(d.log, mostAttempts, opt.Open)
-	d.disc = platform.New(d.log, d.hosts.next, d.book.Notice)
+	d.registry = traffic.NewRegistry(d.log, maxAttempts, opt.Open)
+	d.discovery = platform.New(d.log, d.hosts.next, d.registry.Notice)
 	if plan.Day.Names {
-		d.disc.Names(zone.write)
+		d.discovery.Names(zone.write)
 	}
 	d.log.Add(eventlog.Event{Kind: eventlog.World, Figures: d.figures()})
 	fail := func(err error) (*Day, error) { return nil, errors.Join(err, d.Close()) }
 	numbers := &atomic.Int64{}
 	for i, r := range plan.Receivers {
-		s, err := receiver.NewServer(i, r.Name, r.Spec, r.Endpoints, plan.Day.Seed*1000+uint64(i), d.log, d.book, numbers, d.hosts.next)
+		s, err := receiver.NewServer(i, r.Name, r.Spec, r.Endpoints, plan.Day.Seed*1000+uint64(i), d.log, d.registry, numbers, d.hosts.next)
 		if err != nil {
 			return fail(err)
 		}
 		d.receivers = append(d.receivers, s)
 		for _, e := range s.Endpoints() {
-			d.disc.Set(d.line(i, e, platform.Serving))
+			d.discovery.Set(d.line(i, e, platform.Serving))
 		}
 	}
 	var wg sync.WaitGroup
 	errs := make([]error, plan.Senders)
-	d.clients = traffic.New(plan, d.log, d.book, d.late.add)
+	d.clients = traffic.New(plan, d.log, d.registry, d.late.add)
 	for i := range plan.Senders {
 		s, err := d.machine(i)
 		if err != nil {
@@ -188,7 +188,7 @@
 
 // Close ends all processes and stand-ins, and writes the log out.
 func (d *Day) Close() error {
-	d.bg.Wait()
+	d.tasks.Wait()
 	d.late.stop()
 	d.mu.Lock()
 	senders, receivers := slices.Clone(d.senders), slices.Clone(d.receivers)
@@ -205,7 +205,7 @@
 	if d.links != nil {
 		d.links.Close()
 	}
-	d.disc.Close()
+	d.discovery.Close()
 	for _, r := range receivers {
 		r.Close()
 	}
@@ -237,7 +237,7 @@
 func (d *Day) Places() []string {
 	var lines []string
 	for _, s := range d.senders {
-		lines = append(lines, fmt.Sprintf("sender %s      http://%s   discovery http://%s   log %s", s.Name, s.Listen, d.disc.Addr(s.Name), s.Log()))
+		lines = append(lines, fmt.Sprintf("sender %s      http://%s   discovery http://%s   log %s", s.Name, s.Listen, d.discovery.Addr(s.Name), s.Log()))
 	}
 	for i, r := range d.receivers {
 		for _, e := range r.Endpoints() {
@@ -254,8 +254,8 @@
 		c.Name, d.plan.Receivers[0].Member, c.Deadline.D().Milliseconds(), d.senders[0].Listen)
 }
 
-// Troubles lets what the plan says happen from now on, in the background.
-func (d *Day) Troubles() {
+// Faults lets what the plan says happen from now on, in the background.
+func (d *Day) Faults() {
 	d.background(func() error {
 		d.act()
 		return nil
@@ -273,11 +273,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("sender %s: %w", name, err)
 	}
-	if _, err := d.disc.Open(name); err != nil {
+	if _, err := d.discovery.Open(name); err != nil {
 		return nil, err
 	}
-	s, err := fleet.New(name, listen, d.opt.Folder, slices.Concat(d.opt.Command, args), d.log, func(run int, fresh bool) (map[string]any, error) {
-		return d.config(i, d.disc.Addr(name), d.disc.Started(name, run, fresh), run)
+	s, err := fleet.New(name, listen, d.options.Folder, slices.Concat(d.options.Command, args), d.log, func(run int, fresh bool) (map[string]any, error) {
+		return d.config(i, d.discovery.Addr(name), d.discovery.Started(name, run, fresh), run)
 	})
 	if err != nil {
 		return nil, err
@@ -298,11 +298,11 @@
 	day := d.plan.Day
 	f := &eventlog.Figures{Name: d.plan.Name, Seed: day.Seed, Seconds: day.Seconds, AnswerGrace: answerGrace.Milliseconds(), Grace: day.Grace.D().Milliseconds(),
 		ReadyGrace: readyGrace.Milliseconds(), DrainGrace: day.DrainGrace.D().Milliseconds(), WaitLetIn: (waitLetIn + day.Grace.D()).Milliseconds(),
-		FallMultiple: day.FallMultiple, FallSpan: day.FallSpan.D().Milliseconds(), ColdFrom: day.ColdFrom, Cold: day.Cold.D().Milliseconds(),
-		Settle: day.Settle.D().Milliseconds(), Patience: day.Patience.D().Milliseconds(), Classes: map[string]eventlog.Class{}}
+		FallMultiple: day.FallMultiple, FallSpan: day.FallSpan.D().Milliseconds(), SlowStartCapacity: day.SlowStartCapacity, SlowStart: day.SlowStart.D().Milliseconds(),
+		OrderRest: day.OrderRest.D().Milliseconds(), Patience: day.Patience.D().Milliseconds(), Classes: map[string]eventlog.Class{}}
 	for _, c := range d.plan.Classes {
-		f.Classes[c.Name] = eventlog.Class{Effect: c.Effect, KeyWindow: c.KeyWindow.D().Milliseconds(), Ordered: c.Ordered, Aim: c.Aim.D().Milliseconds(),
-			Deadline: c.Deadline.D().Milliseconds(), Worth: c.LateWorth}
+		f.Classes[c.Name] = eventlog.Class{Effect: c.Effect, KeyWindow: c.KeyWindow.D().Milliseconds(), Ordered: c.Ordered, LatencyTarget: c.LatencyTarget.D().Milliseconds(),
+			Deadline: c.Deadline.D().Milliseconds(), Value: c.LateValue}
 	}
 	for _, w := range d.plan.Wakes {
 		f.Wakes = append(f.Wakes, eventlog.Wake{AtMS: w.At.Milliseconds(), Dest: w.Dest, Messages: w.Messages})
@@ -317,18 +317,18 @@
 func (d *Day) config(i int, discovery string, known platform.Targets, run int) (map[string]any, error) {
 	day, p := d.plan.Day, d.plan
 	rate := day.Rate / day.Load / float64(p.Senders)
-	if day.SenderShares != nil && i < len(day.SenderShares) {
+	if day.SenderWeights != nil && i < len(day.SenderWeights) {
 		sum := 0.0
-		for _, s := range day.SenderShares {
+		for _, s := range day.SenderWeights {
 			sum += s
 		}
-		rate = day.Rate / day.Load * day.SenderShares[i] / sum
+		rate = day.Rate / day.Load * day.SenderWeights[i] / sum
 	}
 	busy := 0.0
 	var models []any
 	var apart, perCall []any
 	for _, r := range p.Receivers {
-		busy += r.Share * r.Spec.Service.Seconds()
+		busy += r.Weight * r.Spec.Service.Seconds()
 		if !slices.Contains(models, any(r.Kind)) {
 			models, apart, perCall = append(models, r.Kind), append(apart, false), append(perCall, 1)
 		}
@@ -338,15 +338,15 @@
 	longest := time.Duration(0)
 	for _, c := range p.Classes {
 		longest = max(longest, c.Deadline.D())
-		services = append(services, map[string]any{"name": c.Name, "slo": millis(c.Aim.D()), "giveUp": millis(c.Deadline.D()), "effect": effect[c.Effect],
-			"dedupWindow": millis(c.KeyWindow.D()), "dedupScope": "all", "worth": 1.0, "lateValue": c.LateWorth, "oneAtATime": c.Ordered, "stream": false})
+		services = append(services, map[string]any{"name": c.Name, "slo": millis(c.LatencyTarget.D()), "giveUp": millis(c.Deadline.D()), "effect": effect[c.Effect],
+			"dedupWindow": millis(c.KeyWindow.D()), "dedupScope": "all", "worth": 1.0, "lateValue": c.LateValue, "oneAtATime": c.Ordered, "stream": false})
 	}
 	all := 0.0
 	for _, m := range p.Members {
-		all += m.Share
+		all += m.Weight
 	}
 	for _, m := range p.Members {
-		orgs = append(orgs, map[string]any{"name": m.Name, "share": m.Share / all, "allowancePerS": m.Share / all * day.Rate / day.Load})
+		orgs = append(orgs, map[string]any{"name": m.Name, "share": m.Weight / all, "allowancePerS": m.Weight / all * day.Rate / day.Load})
 	}
 	list, err := json.Marshal(known)
 	if err != nil {
@@ -357,12 +357,12 @@
 		"known":  json.RawMessage(list),
 		"settings": map[string]any{"balancers": p.Senders, "discovery": "on_request", "step": 5.0, "zone": 0, "zones": []any{"a"},
 			"models": models, "overShareWorth": 0.05, "weights": "none",
-			"familyInfo": map[string]any{"callsOut": max(4, int(day.SlotsRoom*rate*busy+0.5)), "fades": "halving", "routesApart": apart, "perCall": perCall,
+			"familyInfo": map[string]any{"callsOut": max(4, int(day.SlotHeadroom*rate*busy+0.5)), "fades": "halving", "routesApart": apart, "perCall": perCall,
 				"toll": []any{0.0}, "refusedPrice": 0.05},
-			"limits": map[string]any{"cancel": true, "connIdle": millis(connIdle), "connectTimeout": millis(connectTime), "maxAttempts": mostAttempts,
+			"limits": map[string]any{"cancel": true, "connIdle": millis(connIdle), "connectTimeout": millis(connectTime), "maxAttempts": maxAttempts,
 				"mostHeld": max(32, int(rate*longest.Seconds())), "retryAfter": true, "maxRetryAfter": 2000.0, "mayDuplicate": true},
-			"rules": map[string]any{"fallMultiple": day.FallMultiple, "startCapacity": day.ColdFrom, "overloadFor": millis(day.FallSpan.D()),
-				"cold": millis(day.Cold.D()), "drainGrace": millis(day.DrainGrace.D()), "settleAfterDoubt": millis(day.Settle.D()), "askWithin": 10000.0,
+			"rules": map[string]any{"fallMultiple": day.FallMultiple, "startCapacity": day.SlowStartCapacity, "overloadFor": millis(day.FallSpan.D()),
+				"cold": millis(day.SlowStart.D()), "drainGrace": millis(day.DrainGrace.D()), "settleAfterDoubt": millis(day.OrderRest.D()), "askWithin": 10000.0,
 				"graceToAnswer": 20.0},
 			"services": services, "orgs": orgs,
 			"telemetry": map[string]any{"fields": []any{"x0", "x1"}, "via": "answers"}}}, nil
@@ -371,14 +371,14 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func (d *Day) fault(format string, args ...any) {
-	d.log.Add(eventlog.Event{Kind: eventlog.Fault, Note: fmt.Sprintf(format, args...)})
+	d.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: fmt.Sprintf(format, args...)})
 }
 
 // background does what takes time beside the plan.
 func (d *Day) background(f func() error) {
-	d.bg.Add(1)
+	d.tasks.Add(1)
 	go func() {
-		defer d.bg.Done()
+		defer d.tasks.Done()
 		if err := f(); err != nil && d.ctx.Err() == nil {
 			d.fault("%v", err)
 		}
@@ -399,13 +399,13 @@
 	switch a.Do {
 	case "trouble", "end":
 		for _, dest := range a.Dests {
-			if a.Trouble.Kind == fault.Drain {
+			if a.Fault.Kind == fault.Drain {
 				d.drain(dest, a.Only, a.Do == "trouble")
 			}
 			if a.Do == "trouble" {
-				d.receivers[dest].Begin(a.Number, a.Trouble)
+				d.receivers[dest].Begin(a.Number, a.Fault)
 			} else {
-				d.receivers[dest].End(a.Number, a.Trouble)
+				d.receivers[dest].End(a.Number, a.Fault)
 			}
 		}
 	case "replace":
@@ -413,7 +413,7 @@
 			d.replace(dest)
 		}
 	case "down", "up":
-		d.disc.Down(a.Do == "down")
+		d.discovery.Down(a.Do == "down")
 	case "late":
 		d.mu.Lock()
 		d.delay += a.Delay
@@ -428,7 +428,7 @@
 				continue // its next process is told the address it finds then
 			}
 			d.background(func() error {
-				addr, err := d.disc.Move(s.Name)
+				addr, err := d.discovery.Move(s.Name)
 				if err != nil {
 					return err
 				}
@@ -455,11 +455,11 @@
 			d.links.Reset(name(w.From), name(w.To))
 		}
 	case "pause":
-		d.senders[a.Sender].Pause()
+		d.senders[a.Sender].Suspend()
 	case "resume":
 		d.senders[a.Sender].Resume()
 	case "keep":
-		d.background(d.senders[a.Sender].Keep)
+		d.background(d.senders[a.Sender].SaveSnapshot)
 	case "kill", "restart", "lose", "old":
 		s := d.senders[a.Sender]
 		d.background(func() error {
@@ -469,10 +469,10 @@
 				if err := s.Kill(false); err != nil {
 					return err
 				}
-				if err := s.Old(); err != nil {
+				if err := s.RestoreSnapshot(); err != nil {
 					return err
 				}
-				d.book.Lost(s.Name)
+				d.registry.Lost(s.Name)
 			case "restart":
 				s.Term()
 			case "lose":
@@ -480,7 +480,7 @@
 				if err := s.Kill(true); err != nil {
 					return err
 				}
-				d.book.Lost(s.Name)
+				d.registry.Lost(s.Name)
 			default:
 				if err := s.Kill(false); err != nil {
 					return err
@@ -494,14 +494,14 @@
 	}
 }
 
-// news changes a line of the list, as late as discovery tells it.
-func (d *Day) news(t platform.Target) {
+// updateList changes a line of the list, as late as discovery tells it.
+func (d *Day) updateList(t platform.Target) {
 	d.mu.Lock()
 	delay := d.delay
 	d.mu.Unlock()
 	d.background(func() error {
 		if traffic.Sleep(d.ctx, delay) {
-			d.disc.Set(t)
+			d.discovery.Set(t)
 		}
 		return nil
 	})
@@ -515,19 +515,19 @@
 			return
 		}
 		d.mu.Lock()
-		was := d.drains[e.ID]
+		was := d.draining[e.ID]
 		if begins {
-			d.drains[e.ID]++
+			d.draining[e.ID]++
 		} else if was > 0 {
-			d.drains[e.ID]--
+			d.draining[e.ID]--
 		}
-		is := d.drains[e.ID]
+		is := d.draining[e.ID]
 		d.mu.Unlock()
 		switch {
 		case was == 0 && is == 1:
-			d.news(d.line(dest, e, platform.Draining))
+			d.updateList(d.line(dest, e, platform.Draining))
 		case was == 1 && is == 0:
-			d.news(d.line(dest, e, platform.Serving))
+			d.updateList(d.line(dest, e, platform.Serving))
 		}
 	}
 }
@@ -546,13 +546,13 @@
 		d.fault("%v", err)
 		return
 	}
-	d.news(d.line(dest, next, platform.Serving))
-	d.news(d.line(dest, old, platform.Draining))
+	d.updateList(d.line(dest, next, platform.Serving))
+	d.updateList(d.line(dest, old, platform.Draining))
 	d.background(func() error {
 		if !traffic.Sleep(d.ctx, removeAfter) {
 			return nil
 		}
-		d.news(d.line(dest, old, platform.Deleted))
+		d.updateList(d.line(dest, old, platform.Deleted))
 		if traffic.Sleep(d.ctx, removeAfter) {
 			r.Remove(old)
 		}
--- a/internal/faulttest/day/day_test.go
+++ b/internal/faulttest/day/day_test.go
@@ -69,7 +69,7 @@
 
 // Two drains that overlap are one, from the first begin to the last end, whatever else strikes the receiver;
 // a replaced endpoint is drained, then gone, and the new one is listed.
-func TestDrainsAndReplacements(t *testing.T) {
+func TestPlay_DrainingAndReplacement(t *testing.T) {
 	t.Parallel()
 	p := makePlan(t, `
 [day]
@@ -112,7 +112,7 @@
 		if got := lines(events, eventlog.Changed, endpoint); got != want {
 			t.Errorf("the list says of %s: %s, want %s", endpoint, got, want)
 		}
-		if got := lines(events, eventlog.Told, endpoint); got != want {
+		if got := lines(events, eventlog.ListSent, endpoint); got != want {
 			t.Errorf("the sender is told of %s: %s, want %s", endpoint, got, want)
 		}
 	}
@@ -217,8 +217,8 @@
 		switch e.Kind {
 		case eventlog.Ready:
 			ready[e.Sender]++
-		case eventlog.Fault:
-			t.Error(e.Note)
+		case eventlog.KitFailure:
+			t.Error(e.Detail)
 		}
 	}
 	if fmt.Sprint(ready) != "map[n0:1 n1:2 n2:1]" {
@@ -304,8 +304,8 @@
 	var got []string
 	for _, e := range events {
 		switch e.Kind {
-		case eventlog.Link, eventlog.Folder, eventlog.Fault:
-			got = append(got, strings.TrimSpace(e.Sender+" "+e.Endpoint+" "+e.Note))
+		case eventlog.Link, eventlog.Folder, eventlog.KitFailure:
+			got = append(got, strings.TrimSpace(e.Sender+" "+e.Endpoint+" "+e.Detail))
 		}
 	}
 	if want := "n1  kept, n0 n1 cut, n0 n1 heal, n1  old"; strings.Join(got, ", ") != want {
--- a/internal/faulttest/day/hosts.go
+++ b/internal/faulttest/day/hosts.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// place stands in the features of a day for where a sender reaches another: {n1} for its host, {n1:7948} for a port of it by
+// hostSlot stands in the features of a day for where a sender reaches another: {n1} for its host, {n1:7948} for a port of it by
 // the link between the two.
-var place = regexp.MustCompile(`\{n(\d+)(?::(\d+))?\}`)
+var hostSlot = regexp.MustCompile(`\{n(\d+)(?::(\d+))?\}`)
 
 // reach stands for tables by which a sender reaches all others at ports of theirs, TCP and UDP, by links: {reach peers 7946 7947}
 // for [[peers.reach]].
@@ -67,7 +67,7 @@
 	text := reach.ReplaceAllStringFunc(d.text, func(match string) string {
 		parts := reach.FindStringSubmatch(match)
 		var b strings.Builder
-		for to := range d.plan.Most() {
+		for to := range d.plan.MaxSenders() {
 			for _, port := range strings.Fields(parts[2]) {
 				if to == i {
 					continue
@@ -82,8 +82,8 @@
 		}
 		return b.String()
 	})
-	text = place.ReplaceAllStringFunc(text, func(match string) string {
-		parts := place.FindStringSubmatch(match)
+	text = hostSlot.ReplaceAllStringFunc(text, func(match string) string {
+		parts := hostSlot.FindStringSubmatch(match)
 		to, _ := strconv.Atoi(parts[1])
 		host := d.hosts.sender(to)
 		if parts[2] == "" {
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	path, err := filepath.Abs(filepath.Join(d.opt.Folder, "features-"+name(i)+".toml"))
+	path, err := filepath.Abs(filepath.Join(d.options.Folder, "features-"+name(i)+".toml"))
 	if err == nil {
 		err = os.WriteFile(path, []byte(text), 0o644)
 	}
--- a/internal/faulttest/day/late.go
+++ b/internal/faulttest/day/late.go
@@ -38,9 +38,9 @@
 	l.mu.Unlock()
 	go func() {
 		defer close(l.done)
-		t := time.NewTimer(beat)
+		t := time.NewTimer(tickInterval)
 		defer t.Stop()
-		due, told := time.Now().Add(beat), time.Now()
+		due, told := time.Now().Add(tickInterval), time.Now()
 		for {
 			select {
 			case <-t.C:
@@ -54,8 +54,8 @@
 				told = now
 				l.flush()
 			}
-			due = time.Now().Add(beat)
-			t.Reset(beat)
+			due = time.Now().Add(tickInterval)
+			t.Reset(tickInterval)
 		}
 	}()
 }
--- a/internal/faulttest/encoding/form.go
+++ b/internal/faulttest/encoding/encoding.go
@@ -15,20 +15,20 @@
 	"time"
 )
 
-// Form is how a message is written.
-type Form string
+// Format is how a message is written.
+type Format string
 
 // The forms: the platform's own, and the content modes of the CloudEvents HTTP binding. Mixed takes turns.
 const (
-	Plain      Form = "plain"
-	Binary     Form = "binary"
-	Structured Form = "structured"
-	Batched    Form = "batched"
-	Mixed      Form = "mixed"
+	Plain      Format = "plain"
+	Binary     Format = "binary"
+	Structured Format = "structured"
+	Batched    Format = "batched"
+	Mixed      Format = "mixed"
 )
 
 // Known is whether a script may name the form; mixed is for clients only.
-func (f Form) Known(client bool) bool {
+func (f Format) Known(client bool) bool {
 	switch f {
 	case Plain, Binary, Structured, Batched:
 		return true
@@ -37,9 +37,9 @@
 }
 
 // Of is the form of the n-th message.
-func (f Form) Of(n int) Form {
+func (f Format) Of(n int) Format {
 	if f == Mixed {
-		return []Form{Plain, Binary, Structured, Batched}[n%4]
+		return []Format{Plain, Binary, Structured, Batched}[n%4]
 	}
 	return f
 }
@@ -89,9 +89,9 @@
 }
 
 // Delivery is the text of an operators' file that has a sender write its calls to kinds of receivers in forms.
-func Delivery(kinds map[string]Form) string {
+func Delivery(kinds map[string]Format) string {
 	var b strings.Builder
-	for _, f := range []Form{Binary, Structured, Batched} {
+	for _, f := range []Format{Binary, Structured, Batched} {
 		var names []string
 		for name, is := range kinds {
 			if is == f {
@@ -119,7 +119,7 @@
 }
 
 // Request writes a message as the request that hands it in.
-func (f Form) Request(m Message) []byte {
+func (f Format) Request(m Message) []byte {
 	kind, subject := typePrefix+m.Class, "dest/"+strconv.Itoa(m.Dest)
 	attributes := [][2]string{{"specversion", "1.0"}, {"id", m.ID}, {"source", Source}, {"type", kind}, {"subject", subject}, {"member", m.Member},
 		{"expirytime", m.Expires.UTC().Format(time.RFC3339Nano)}, {"sum", sum(m.ID, Source, kind, subject, m.Member, m.Key, m.Order, m.Body)}}
@@ -168,7 +168,7 @@
 
 // Read finds the messages in a call that should have a form, by their ids. An error says what is wrong with it: a
 // sender that sends such a thing has spoilt an event.
-func (f Form) Read(h http.Header, body []byte) ([]string, error) {
+func (f Format) Read(h http.Header, body []byte) ([]string, error) {
 	if f == Plain || f == "" {
 		id := h.Get("X-Request-Id")
 		if h.Get("Ce-Id") == "" {
@@ -202,7 +202,7 @@
 			events = append(events, event{m})
 		}
 	default:
-		return nil, fmt.Errorf("a call of %q is not %s", media, f)
+		return nil, invalidEvent("a call of %q is not %s", media, f)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", f, err)
@@ -215,7 +215,7 @@
 		ids = append(ids, e.get("id"))
 	}
 	if len(ids) == 0 {
-		return nil, fmt.Errorf("%s: no event in the call", f)
+		return nil, invalidEvent("%s: no event in the call", f)
 	}
 	return ids, nil
 }
@@ -247,18 +247,29 @@
 func (e event) check() error {
 	for _, name := range []string{"id", "source", "type"} {
 		if e.get(name) == "" {
-			return fmt.Errorf("an event without %s", name)
+			return invalidEvent("an event without %s", name)
 		}
 	}
 	if v := e.get("specversion"); v != "1.0" {
-		return fmt.Errorf("event %s has the specversion %q", e.get("id"), v)
+		return invalidEvent("event %s has the specversion %q", e.get("id"), v)
 	}
 	if e.get("source") != Source {
 		return nil // made of a plain message
 	}
 	want := sum(e.get("id"), Source, e.get("type"), e.get("subject"), e.get("member"), e.get("idkey"), e.get("orderkey"), []byte(e.get("data")))
 	if got := e.get("sum"); got != want {
-		return fmt.Errorf("event %s is not what its client sent: sum %s, not %s", e.get("id"), got, want)
+		return invalidEvent("event %s is not what its client sent: sum %s, not %s", e.get("id"), got, want)
 	}
 	return nil
 }
+
+// InvalidEventError reports a call of a sender that holds no sound event.
+type InvalidEventError struct{ Problem string }
+
+// Error implements error.
+func (e *InvalidEventError) Error() string { return e.Problem }
+
+// invalidEvent makes an InvalidEventError from a format and its arguments.
+func invalidEvent(format string, args ...any) error {
+	return &InvalidEventError{Problem: fmt.Sprintf(format, args...)}
+}
--- a/internal/faulttest/encoding/form_test.go
+++ b/internal/faulttest/encoding/encoding_test.go
@@ -30,7 +30,7 @@
 
 // What a client writes a receiver of that form reads; any change to it is found.
 func TestWriteAndRead(t *testing.T) {
-	for _, f := range []Form{Binary, Structured, Batched} {
+	for _, f := range []Format{Binary, Structured, Batched} {
 		r, body := parse(t, f.Request(message()))
 		ids, err := f.Read(r.Header, body)
 		if err != nil || len(ids) != 1 || ids[0] != "7f00-0" || r.URL.Path != Path {
@@ -39,7 +39,7 @@
 		if want := map[bool]string{true: "7f00", false: "7f00-0"}[f == Batched]; r.Header.Get("X-Request-Id") != want {
 			t.Errorf("%s: id %q", f, r.Header.Get("X-Request-Id"))
 		}
-		for _, other := range []Form{Binary, Structured, Batched} {
+		for _, other := range []Format{Binary, Structured, Batched} {
 			if _, err := other.Read(r.Header, body); (err == nil) != (other == f) {
 				t.Errorf("%s read as %s: %v", f, other, err)
 			}
@@ -81,13 +81,13 @@
 			t.Errorf("%q stands %d times in\n%s", want, strings.Count(rules, want), rules)
 		}
 	}
-	if d := Delivery(map[string]Form{"x": Binary, "y": Plain, "z": ""}); strings.Count(d, "[[delivery.to]]") != 1 || !strings.Contains(d, `kinds = ["x"]`) {
+	if d := Delivery(map[string]Format{"x": Binary, "y": Plain, "z": ""}); strings.Count(d, "[[delivery.to]]") != 1 || !strings.Contains(d, `kinds = ["x"]`) {
 		t.Error(d)
 	}
-	if Delivery(map[string]Form{"y": Plain}) != "" {
+	if Delivery(map[string]Format{"y": Plain}) != "" {
 		t.Error("plain needs no delivery")
 	}
-	if Mixed.Of(0) != Plain || Mixed.Of(7) != Batched || Binary.Of(3) != Binary || Mixed.Known(false) || !Mixed.Known(true) || Form("xml").Known(true) {
+	if Mixed.Of(0) != Plain || Mixed.Of(7) != Batched || Binary.Of(3) != Binary || Mixed.Known(false) || !Mixed.Known(true) || Format("xml").Known(true) {
 		t.Error("forms")
 	}
 }
--- a/internal/faulttest/eventlog/eventlog.go
+++ b/internal/faulttest/eventlog/eventlog.go
@@ -18,35 +18,35 @@
 
 // The kinds of event. The fields that each sets are named beside it; T is set by all.
 const (
-	World   Kind = "world"   // Figures: the first line
-	Start   Kind = "start"   // Sender, Run: a process was started; Note "new" if its folder was empty
-	Ready   Kind = "ready"   // Sender, Run: it answers its readiness check
-	Term    Kind = "term"    // Sender, Run: SIGTERM is about to be sent
-	Killed  Kind = "kill"    // Sender, Run: SIGKILL is about to be sent; Note "lost" if its folder goes too
-	Paused  Kind = "pause"   // Sender, Run, State on or off: SIGSTOP, SIGCONT is about to be sent
-	Folder  Kind = "folder"  // Sender, Note: "kept" a copy of its folder is taken, "old" its next process gets that copy
-	Link    Kind = "link"    // Sender (from), Endpoint (to), Note: the direction between the two is so from now on
-	Exit    Kind = "exit"    // Sender, Run, Status: it has ended; Note "crash" if nobody asked it to
-	HandIn  Kind = "handin"  // Sender, ID, Msg, Class, Tenant, Dest, DeadlineMS, Order, Try: stamped before it is written
-	Answer  Kind = "answer"  // Sender, ID, Status, RetryMS; Status 0: none came, and Note says why
-	Call    Kind = "call"    // Dest, Endpoint, Sender, ID, Call, First, With: the last byte of a call has come; Note "unknown" and State, why, for one that is nothing handed in
-	Done    Kind = "done"    // Call, ID, Dest, Status, WaitMS, Note: stamped before the answer is written
-	Notice  Kind = "notice"  // Sender, ID, Outcome, RetryMS
-	Changed Kind = "change"  // Endpoint, Dest, State: discovery's list was changed
-	Told    Kind = "told"    // Sender, Run, Endpoint, Dest, State: stamped after it is written; Note "deemed" if it never was
-	Trouble Kind = "trouble" // Dest, Note (what), State on or off
-	Outage  Kind = "outage"  // Dest, State on or off; off: Capacity
-	Fell    Kind = "fell"    // Dest: knocked over for good
-	Slip    Kind = "slip"    // once a second: MaxUS and P99US of the kit's own lateness, Count of samples
-	Fault   Kind = "fault"   // Note: the kit itself failed at something
-	End     Kind = "end"     // the day is over
+	World        Kind = "world"   // Figures: the first line
+	Start        Kind = "start"   // Sender, Run: a process was started; Note "new" if its folder was empty
+	Ready        Kind = "ready"   // Sender, Run: it answers its readiness check
+	Term         Kind = "term"    // Sender, Run: SIGTERM is about to be sent
+	Killed       Kind = "kill"    // Sender, Run: SIGKILL is about to be sent; Note "lost" if its folder goes too
+	Paused       Kind = "pause"   // Sender, Run, State on or off: SIGSTOP, SIGCONT is about to be sent
+	Folder       Kind = "folder"  // Sender, Note: "kept" a copy of its folder is taken, "old" its next process gets that copy
+	Link         Kind = "link"    // Sender (from), Endpoint (to), Note: the direction between the two is so from now on
+	Exit         Kind = "exit"    // Sender, Run, Status: it has ended; Note "crash" if nobody asked it to
+	HandIn       Kind = "handin"  // Sender, ID, Msg, Class, Tenant, Dest, DeadlineMS, Order, Try: stamped before it is written
+	Answer       Kind = "answer"  // Sender, ID, Status, RetryMS; Status 0: none came, and Note says why
+	Call         Kind = "call"    // Dest, Endpoint, Sender, ID, Call, First, With: the last byte of a call has come; Note "unknown" and State, why, for one that is nothing handed in
+	Done         Kind = "done"    // Call, ID, Dest, Status, WaitMS, Note: stamped before the answer is written
+	Notice       Kind = "notice"  // Sender, ID, Outcome, RetryMS
+	Changed      Kind = "change"  // Endpoint, Dest, State: discovery's list was changed
+	ListSent     Kind = "told"    // Sender, Run, Endpoint, Dest, State: stamped after it is written; Note "deemed" if it never was
+	FaultChanged Kind = "trouble" // Dest, Note (what), State on or off
+	Outage       Kind = "outage"  // Dest, State on or off; off: Capacity
+	Fell         Kind = "fell"    // Dest: knocked over for good
+	Slip         Kind = "slip"    // once a second: MaxUS and P99US of the kit's own lateness, Count of samples
+	KitFailure   Kind = "fault"   // Note: the kit itself failed at something
+	End          Kind = "end"     // the day is over
 )
 
 // Notes on calls that ended without a sound answer.
 const (
-	NoteReset  = "reset"  // the connection was broken after the last byte
-	NoteSpoilt = "spoilt" // an answer that can't be read; Status tells its first line if that is sound
-	NoteLeft   = "left"   // the sender closed its connection
+	DetailReset          = "reset"  // the connection was broken after the last byte
+	DetailCorrupt        = "spoilt" // an answer that can't be read; Status tells its first line if that is sound
+	DetailClosedBySender = "left"   // the sender closed its connection
 )
 
 // Event is one line. Times are microseconds since the day's start on the kit's one monotonic clock.
@@ -70,10 +70,10 @@
 	WaitMS   int64    `json:"wait_ms,omitempty"`
 	RetryMS  int64    `json:"retry_ms,omitempty"`
 	Deadline int64    `json:"deadline_ms,omitempty"`
-	Try      int      `json:"try,omitempty"` // from 0
+	Attempt  int      `json:"try,omitempty"` // from 0
 	Outcome  string   `json:"outcome,omitempty"`
 	State    string   `json:"state,omitempty"`
-	Note     string   `json:"note,omitempty"`
+	Detail   string   `json:"note,omitempty"`
 	Capacity float64  `json:"capacity,omitempty"` // calls a second when warm
 	MaxUS    int64    `json:"max_us,omitempty"`
 	P99US    int64    `json:"p99_us,omitempty"`
@@ -83,33 +83,33 @@
 
 // Figures are what the rules of a day go by. Spans are milliseconds.
 type Figures struct {
-	Name         string           `json:"name"`
-	Seed         uint64           `json:"seed"`
-	Seconds      float64          `json:"seconds"` // of arrivals
-	AnswerGrace  int64            `json:"answer_grace_ms"`
-	Grace        int64            `json:"grace_ms"` // added to each limit
-	ReadyGrace   int64            `json:"ready_grace_ms"`
-	DrainGrace   int64            `json:"drain_grace_ms"`
-	WaitLetIn    int64            `json:"wait_let_in_ms"`
-	FallMultiple float64          `json:"fall_multiple"`
-	FallSpan     int64            `json:"fall_span_ms"`
-	ColdFrom     float64          `json:"cold_from"`
-	Cold         int64            `json:"cold_ms"`
-	Settle       int64            `json:"settle_ms"`
-	Patience     int64            `json:"patience_ms"`
-	Classes      map[string]Class `json:"classes"`
-	Receivers    []Receiver       `json:"receivers"` // by number
-	Wakes        []Wake           `json:"wakes,omitempty"`
+	Name              string           `json:"name"`
+	Seed              uint64           `json:"seed"`
+	Seconds           float64          `json:"seconds"` // of arrivals
+	AnswerGrace       int64            `json:"answer_grace_ms"`
+	Grace             int64            `json:"grace_ms"` // added to each limit
+	ReadyGrace        int64            `json:"ready_grace_ms"`
+	DrainGrace        int64            `json:"drain_grace_ms"`
+	WaitLetIn         int64            `json:"wait_let_in_ms"`
+	FallMultiple      float64          `json:"fall_multiple"`
+	FallSpan          int64            `json:"fall_span_ms"`
+	SlowStartCapacity float64          `json:"cold_from"`
+	SlowStart         int64            `json:"cold_ms"`
+	OrderRest         int64            `json:"settle_ms"`
+	Patience          int64            `json:"patience_ms"`
+	Classes           map[string]Class `json:"classes"`
+	Receivers         []Receiver       `json:"receivers"` // by number
+	Wakes             []Wake           `json:"wakes,omitempty"`
 }
 
 // Class is a class of message as the rules see it.
 type Class struct {
-	Effect    string  `json:"effect"` // safe, keyed or unsafe
-	KeyWindow int64   `json:"key_window_ms,omitempty"`
-	Ordered   bool    `json:"ordered,omitempty"`
-	Aim       int64   `json:"aim_ms"`
-	Deadline  int64   `json:"deadline_ms"`
-	Worth     float64 `json:"worth"`
+	Effect        string  `json:"effect"` // safe, keyed or unsafe
+	KeyWindow     int64   `json:"key_window_ms,omitempty"`
+	Ordered       bool    `json:"ordered,omitempty"`
+	LatencyTarget int64   `json:"aim_ms"`
+	Deadline      int64   `json:"deadline_ms"`
+	Value         float64 `json:"worth"`
 }
 
 // Wake is a burst for a receiver.
@@ -132,13 +132,13 @@
 	start time.Time
 	shift atomic.Int64 // of the day's begin after start
 
-	mu    sync.Mutex
-	begun bool
-	early []Event // before the day began
-	out   *bufio.Writer
-	kept  []Event
-	watch func(Event)
-	err   error
+	mu       sync.Mutex
+	begun    bool
+	early    []Event // before the day began
+	out      *bufio.Writer
+	recorded []Event
+	watch    func(Event)
+	err      error
 }
 
 // New makes a log that counts time from now on, until Restart lets the day itself begin, and writes to w, which may be nil. watch, if not nil, is
@@ -194,7 +194,7 @@
 		l.early = append(l.early, e)
 		return
 	}
-	l.kept = append(l.kept, e)
+	l.recorded = append(l.recorded, e)
 	if l.watch != nil {
 		l.watch(e)
 	}
@@ -231,7 +231,7 @@
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Event(nil), l.kept...)
+	return append([]Event(nil), l.recorded...)
 }
 
 // Day is the events up to the end of the day: what comes behind is the kit clearing up.
--- a/internal/faulttest/eventlog/eventlog_test.go
+++ b/internal/faulttest/eventlog/eventlog_test.go
@@ -9,7 +9,7 @@
 )
 
 // What is written is read again, and what came before the day began stands at negative times.
-func TestRoundTrip(t *testing.T) {
+func TestLog_EncodesAndDecodes(t *testing.T) {
 	var b bytes.Buffer
 	var seen []Kind
 	l := New(&b, func(e Event) { seen = append(seen, e.Kind) })
--- a/internal/faulttest/fault/trouble.go
+++ b/internal/faulttest/fault/fault.go
@@ -24,7 +24,7 @@
 	Reset                 // a share of the served calls ends by a reset in place of the answer
 	Spoil                 // a share of the answers can't be read
 	Drain                 // the list says that endpoints drain
-	Cold                  // the receiver is cold, as after an outage
+	SlowStart             // the receiver is cold, as after an outage
 	kinds
 )
 
@@ -57,17 +57,17 @@
 	return all
 }
 
-// Trouble is one of them with its figures.
-type Trouble struct {
-	Kind   Kind
-	Share  float64       // of calls, for Fail, Reset, Spoil and CloseIdle: over 0, at most 1
-	Factor float64       // for Slow: over 1
-	Wait   time.Duration // for Wait
+// Fault is one of them with its figures.
+type Fault struct {
+	Kind     Kind
+	Fraction float64       // of calls, for Fail, Reset, Spoil and CloseIdle: over 0, at most 1
+	Factor   float64       // for Slow: over 1
+	Wait     time.Duration // for Wait
 }
 
 // Condition is what several troubles at once come to.
 type Condition struct {
-	Vanished, Shut, Hung, Refuses, Draining bool
+	Unreachable, Shut, Hung, Refuses, Draining bool
 
 	Wait                          time.Duration // over 0: calls are answered 429 with it
 	Fails, Resets, Spoils, Closes float64       // shares
@@ -75,31 +75,31 @@
 }
 
 // Combine is the meaning of troubles that run at the same time, in any order.
-func Combine(on []Trouble) Condition {
+func Combine(on []Fault) Condition {
 	c := Condition{Slow: 1}
 	join := func(a *float64, b float64) { *a = 1 - (1-*a)*(1-b) }
 	for _, t := range on {
 		switch t.Kind {
 		case Vanish:
-			c.Vanished = true
+			c.Unreachable = true
 		case Shut:
 			c.Shut = true
 		case Hang:
 			c.Hung = true
 		case CloseIdle:
-			join(&c.Closes, t.Share)
+			join(&c.Closes, t.Fraction)
 		case Wait:
 			c.Wait = max(c.Wait, t.Wait)
 		case Refuse:
 			c.Refuses = true
 		case Fail:
-			join(&c.Fails, t.Share)
+			join(&c.Fails, t.Fraction)
 		case Slow:
 			c.Slow *= t.Factor
 		case Reset:
-			join(&c.Resets, t.Share)
+			join(&c.Resets, t.Fraction)
 		case Spoil:
-			join(&c.Spoils, t.Share)
+			join(&c.Spoils, t.Fraction)
 		case Drain:
 			c.Draining = true
 		}
@@ -109,31 +109,31 @@
 
 // Outage is whether the receiver is out: it returns cold when that ends.
 func (c Condition) Outage() bool {
-	return c.Vanished || c.Shut || c.Hung || c.Refuses || c.Spoilt() >= 0.5
+	return c.Unreachable || c.Shut || c.Hung || c.Refuses || c.FailedFraction() >= 0.5
 }
 
-// Spoilt is the share of calls that fail where calls are answered at all.
-func (c Condition) Spoilt() float64 { return 1 - (1-c.Fails)*(1-c.Resets)*(1-c.Spoils) }
+// FailedFraction is the share of calls that fail where calls are answered at all.
+func (c Condition) FailedFraction() float64 { return 1 - (1-c.Fails)*(1-c.Resets)*(1-c.Spoils) }
 
 // Entry is what a call meets as it comes, before any service.
 type Entry uint8
 
 // What a call meets, from the outside in.
 const (
-	Serve   Entry = iota // it is served, or queues
-	Silence              // it is taken and nothing is said
-	ToldOff              // 429 with a wait
-	Refused              // 503
-	Failed               // 500
+	Serve        Entry = iota // it is served, or queues
+	Unresponsive              // it is taken and nothing is said
+	RateLimited               // 429 with a wait
+	Refused                   // 503
+	Failed                    // 500
 )
 
 // Enter decides what a call meets. Draw is uniform in [0,1) and decides where only a share is struck.
 func (c Condition) Enter(draw float64) Entry {
 	switch {
-	case c.Vanished || c.Hung:
-		return Silence
+	case c.Unreachable || c.Hung:
+		return Unresponsive
 	case c.Wait > 0:
-		return ToldOff
+		return RateLimited
 	case c.Refuses:
 		return Refused
 	case draw < c.Fails:
@@ -149,7 +149,7 @@
 const (
 	Sound Exit = iota
 	Broken
-	Spoilt
+	Corrupt
 )
 
 // Leave decides how the answer of a served call goes out; the draws are uniform in [0,1).
@@ -158,7 +158,7 @@
 	case reset < c.Resets:
 		return Broken
 	case spoil < c.Spoils:
-		return Spoilt
+		return Corrupt
 	}
 	return Sound
 }
--- a/internal/faulttest/fleet/fault.go
+++ b/internal/faulttest/fleet/fault.go
@@ -11,15 +11,15 @@
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 )
 
-// Pause stops the process where it stands: its sockets stay open, and it knows nothing of the time that goes by. It returns
+// Suspend stops the process where it stands: its sockets stay open, and it knows nothing of the time that goes by. It returns
 // when all of its threads stand still.
-func (s *Sender) Pause() {
+func (s *Sender) Suspend() {
 	s.signal(syscall.SIGSTOP, eventlog.Event{Kind: eventlog.Paused, State: "on"})
-	s.still()
+	s.waitStopped()
 }
 
-// still waits until each thread of the process is stopped: the signal alone takes a moment.
-func (s *Sender) still() {
+// waitStopped waits until each thread of the process is stopped: the signal alone takes a moment.
+func (s *Sender) waitStopped() {
 	pid := s.PID()
 	for end := time.Now().Add(2 * time.Second); pid != 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
@@ -42,35 +42,35 @@
 	s.signal(syscall.SIGCONT, eventlog.Event{Kind: eventlog.Paused, State: "off"})
 }
 
-// kept is where a copy of the lasting folder is.
-func (s *Sender) kept() string { return filepath.Join(s.folder, s.Name, "kept") }
+// snapshotPath is where a copy of the lasting folder is.
+func (s *Sender) snapshotPath() string { return filepath.Join(s.folder, s.Name, "kept") }
 
-// Keep takes a copy of the lasting folder as it is, for Old. The process stands still meanwhile, so that the copy is of one
+// SaveSnapshot takes a copy of the lasting folder as it is, for Old. The process stands still meanwhile, so that the copy is of one
 // moment, as a snapshot of the disk would be.
-func (s *Sender) Keep() error {
-	s.log.Add(eventlog.Event{Kind: eventlog.Folder, Sender: s.Name, Note: "kept"})
+func (s *Sender) SaveSnapshot() error {
+	s.log.Add(eventlog.Event{Kind: eventlog.Folder, Sender: s.Name, Detail: "kept"})
 	if pid := s.PID(); pid != 0 {
 		syscall.Kill(pid, syscall.SIGSTOP)
-		s.still()
+		s.waitStopped()
 		defer syscall.Kill(pid, syscall.SIGCONT)
 	}
-	return s.copy(s.state(), s.kept())
+	return s.copyFolder(s.state(), s.snapshotPath())
 }
 
-// Old puts the copy that Keep took in place of the folder; no process may run.
-func (s *Sender) Old() error {
+// RestoreSnapshot puts the copy that Keep took in place of the folder; no process may run.
+func (s *Sender) RestoreSnapshot() error {
 	if s.Running() {
-		return fmt.Errorf("sender %s runs: its folder can't be put back", s.Name)
+		return &ProcessError{Sender: s.Name, Problem: "runs: its folder can't be put back"}
 	}
-	if _, err := os.Stat(s.kept()); err != nil {
+	if _, err := os.Stat(s.snapshotPath()); err != nil {
 		return fmt.Errorf("sender %s: no copy of its folder was kept: %w", s.Name, err)
 	}
-	s.log.Add(eventlog.Event{Kind: eventlog.Folder, Sender: s.Name, Note: "old"})
-	return s.copy(s.kept(), s.state())
+	s.log.Add(eventlog.Event{Kind: eventlog.Folder, Sender: s.Name, Detail: "old"})
+	return s.copyFolder(s.snapshotPath(), s.state())
 }
 
-// copy makes to the same as from; sockets are left out.
-func (s *Sender) copy(from, to string) error {
+// copyFolder makes to the same as from; sockets are left out.
+func (s *Sender) copyFolder(from, to string) error {
 	err := os.RemoveAll(to)
 	if err == nil {
 		err = filepath.Walk(from, func(path string, info os.FileInfo, err error) error {
--- a/internal/faulttest/fleet/fleet.go
+++ b/internal/faulttest/fleet/fleet.go
@@ -3,7 +3,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -135,7 +134,7 @@
 	if fresh {
 		note = "new"
 	}
-	s.log.Add(eventlog.Event{Kind: eventlog.Start, Sender: s.Name, Run: run, Note: note})
+	s.log.Add(eventlog.Event{Kind: eventlog.Start, Sender: s.Name, Run: run, Detail: note})
 	if err := cmd.Start(); err != nil {
 		s.mu.Unlock()
 		return fmt.Errorf("sender %s: %w", s.Name, err)
@@ -158,11 +157,11 @@
 		}
 		select {
 		case <-ended:
-			return fmt.Errorf("sender %s ended before it was ready; its log is %s", s.Name, s.Log())
+			return &ProcessError{Sender: s.Name, Problem: "ended before it was ready; its log is " + s.Log()}
 		case <-time.After(readyLook):
 		}
 		if time.Now().After(limit) {
-			return fmt.Errorf("sender %s is not ready after %v; its log is %s", s.Name, readyTime, s.Log())
+			return &ProcessError{Sender: s.Name, Problem: fmt.Sprintf("is not ready after %v; its log is %s", readyTime, s.Log())}
 		}
 	}
 	s.mu.Lock()
@@ -180,7 +179,7 @@
 	defer s.mu.Unlock()
 	e := eventlog.Event{Kind: eventlog.Exit, Sender: s.Name, Run: run, Status: cmd.ProcessState.ExitCode()}
 	if !s.asked {
-		e.Note = "crash"
+		e.Detail = "crash"
 	}
 	s.log.Add(e)
 	s.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
@@ -219,7 +218,7 @@
 func (s *Sender) Kill(lost bool) error {
 	e := eventlog.Event{Kind: eventlog.Killed}
 	if lost {
-		e.Note = "lost"
+		e.Detail = "lost"
 	}
 	ended := s.signal(syscall.SIGKILL, e)
 	if ended == nil {
@@ -252,7 +251,7 @@
 		return fmt.Errorf("sender %s: configuration: %w", s.Name, err)
 	}
 	if s.signal(syscall.SIGHUP, eventlog.Event{}) == nil {
-		return errors.New("sender " + s.Name + " does not run")
+		return &ProcessError{Sender: s.Name, Problem: "does not run"}
 	}
 	return nil
 }
@@ -309,9 +308,9 @@
 // Ports that FreeAddr gives: below those that the system gives to callers and to listeners that name none, so that nobody is
 // given one between the look and the start of the process it is meant for.
 const (
-	firstFreePort = 10_000
-	freePortCount = 20_000
-	freePortTries = 100
+	firstFreePort   = 10_000
+	freePortCount   = 20_000
+	maxPortAttempts = 100
 )
 
 // givenPorts are the ports that FreeAddr has given in this process: none is given twice.
@@ -319,8 +318,8 @@
 
 // FreeAddr is an address at a host that nothing listens on, for a process that is started next.
 func FreeAddr(host string) (string, error) {
-	err := errors.New("each port tried was given before")
-	for range freePortTries {
+	err := errNoFreePort
+	for range maxPortAttempts {
 		port := firstFreePort + rand.N(freePortCount)
 		if _, given := givenPorts.LoadOrStore(port, true); given {
 			continue
@@ -333,5 +332,5 @@
 		defer listener.Close()
 		return listener.Addr().String(), nil
 	}
-	return "", fmt.Errorf("no free port at %s in %d tries: %w", host, freePortTries, err)
+	return "", fmt.Errorf("no free port at %s in %d tries: %w", host, maxPortAttempts, err)
 }
--- a/internal/faulttest/fleet/fleet_test.go
+++ b/internal/faulttest/fleet/fleet_test.go
@@ -75,7 +75,7 @@
 func kinds(log *eventlog.Log) string {
 	var all []string
 	for _, e := range log.Events() {
-		all = append(all, strings.TrimSpace(string(e.Kind)+" "+e.Note))
+		all = append(all, strings.TrimSpace(string(e.Kind)+" "+e.Detail))
 	}
 	return strings.Join(all, ", ")
 }
@@ -201,13 +201,13 @@
 
 // A copy of the folder is of the moment in which it was kept, and what came after is gone when it is put back; a paused
 // process is there, and says nothing until it goes on.
-func TestPauseAndOldFolder(t *testing.T) {
+func TestSender_SuspendAndOldFolder(t *testing.T) {
 	t.Parallel()
 	s, log := start(t, "sender")
-	if err := s.Old(); err == nil || !strings.Contains(err.Error(), "no copy") {
+	if err := s.RestoreSnapshot(); err == nil || !strings.Contains(err.Error(), "no copy") {
 		t.Errorf("without a copy: %v", err)
 	}
-	for _, step := range []func() error{func() error { return s.Start(true) }, s.Keep, func() error { return s.Kill(false) }, func() error { return s.Start(false) }} {
+	for _, step := range []func() error{func() error { return s.Start(true) }, s.SaveSnapshot, func() error { return s.Kill(false) }, func() error { return s.Start(false) }} {
 		if err := step(); err != nil {
 			t.Fatal(err)
 		}
@@ -215,10 +215,10 @@
 	if n := starts(t, s); n != 2 {
 		t.Errorf("%d starts on the folder", n)
 	}
-	if err := s.Old(); err == nil || !strings.Contains(err.Error(), "runs") {
+	if err := s.RestoreSnapshot(); err == nil || !strings.Contains(err.Error(), "runs") {
 		t.Errorf("under a process: %v", err)
 	}
-	s.Pause()
+	s.Suspend()
 	client := http.Client{Timeout: 200 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	if resp, err := client.Get("http://" + s.Listen); err == nil {
 		resp.Body.Close()
@@ -231,7 +231,7 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	for _, step := range []func() error{func() error { return s.Kill(false) }, s.Old, func() error { return s.Start(false) }} {
+	for _, step := range []func() error{func() error { return s.Kill(false) }, s.RestoreSnapshot, func() error { return s.Start(false) }} {
 		if err := step(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -77,7 +77,7 @@
 
 // never is whether the outcome proves that the call did not run.
 func (c *call) never() bool {
-	if !c.done || c.end.Note != "" {
+	if !c.done || c.end.Detail != "" {
 		return false
 	}
 	switch c.end.Status {
@@ -151,19 +151,19 @@
 
 // day is the log, indexed.
 type day struct {
-	fig     eventlog.Figures
-	ids     map[string]*hand
-	hands   []*hand
-	calls   []*call
-	unknown []eventlog.Event // calls that nobody handed in
-	told    []eventlog.Event
-	outages []eventlog.Event
-	senders map[string][]*process
-	names   []string
-	end     int64
-	ended   bool
-	slips   []eventlog.Event
-	faults  []eventlog.Event
+	figures  eventlog.Figures
+	ids      map[string]*hand
+	hands    []*hand
+	calls    []*call
+	unknown  []eventlog.Event // calls that nobody handed in
+	listSent []eventlog.Event
+	outages  []eventlog.Event
+	senders  map[string][]*process
+	names    []string
+	end      int64
+	ended    bool
+	slips    []eventlog.Event
+	faults   []eventlog.Event
 }
 
 func index(events []eventlog.Event) (*day, error) {
@@ -191,9 +191,9 @@
 		switch e.Kind {
 		case eventlog.World:
 			if e.Figures == nil {
-				return nil, fmt.Errorf("the event world has no figures")
+				return nil, errNoFigures
 			}
-			d.fig, found = *e.Figures, true
+			d.figures, found = *e.Figures, true
 		case eventlog.HandIn:
 			if first := d.ids[e.Event]; e.Event != "" && first != nil && first.Sender == e.Sender {
 				// The same event again, at the same sender: it counts as the first try, and what comes of either is one
@@ -205,12 +205,12 @@
 			d.ids[e.ID] = h
 			d.hands = append(d.hands, h)
 		case eventlog.Answer:
-			if h := d.ids[e.ID]; h != nil && (!h.answered || h.answer.Status == 0 && h.answer.Note != "closed") {
+			if h := d.ids[e.ID]; h != nil && (!h.answered || h.answer.Status == 0 && h.answer.Detail != "closed") {
 				h.answer, h.answered = e, true
 			}
 		case eventlog.Call:
 			h := d.ids[e.ID]
-			if e.Note == "unknown" || h == nil || h.Dest != e.Dest {
+			if e.Detail == "unknown" || h == nil || h.Dest != e.Dest {
 				d.unknown = append(d.unknown, e)
 				continue
 			}
@@ -226,8 +226,8 @@
 			if h := d.ids[e.ID]; h != nil {
 				h.notices = append(h.notices, e)
 			}
-		case eventlog.Told:
-			d.told = append(d.told, e)
+		case eventlog.ListSent:
+			d.listSent = append(d.listSent, e)
 		case eventlog.Outage:
 			d.outages = append(d.outages, e)
 		case eventlog.Start:
@@ -238,20 +238,20 @@
 			proc(e).term = e.T
 		case eventlog.Killed:
 			p := proc(e)
-			p.kill, p.lost = e.T, p.lost || e.Note == "lost"
+			p.kill, p.lost = e.T, p.lost || e.Detail == "lost"
 		case eventlog.Exit:
 			p := proc(e)
-			p.end, p.crash = e.T, e.Note == "crash"
+			p.end, p.crash = e.T, e.Detail == "crash"
 		case eventlog.Slip:
 			d.slips = append(d.slips, e)
-		case eventlog.Fault:
+		case eventlog.KitFailure:
 			d.faults = append(d.faults, e)
 		case eventlog.End:
 			d.ended = true
 		}
 	}
 	if !found {
-		return nil, fmt.Errorf("the log has no event world: nothing says what the rules' figures are")
+		return nil, errNoWorld
 	}
 	for _, c := range d.calls {
 		c.run = d.runAt(c.Sender, c.T)
@@ -282,12 +282,12 @@
 	if err != nil {
 		return Report{}, err
 	}
-	r := Report{Name: d.fig.Name, Late: d.late()}
+	r := Report{Name: d.figures.Name, Late: d.late()}
 	for i, rule := range []struct {
 		name  string
 		check func(*day) tally
 	}{
-		{"no message is lost", lost}, {"no effect twice", twice}, {"drains are kept", drains},
+		{"no message is lost", lost}, {"no effect twice", twice}, {"drains are kept", checkDraining},
 		{"a returning receiver is not pushed over", pushed}, {"a key's order is kept", order}, {"waits are kept", waits},
 	} {
 		t := rule.check(d)
@@ -312,9 +312,9 @@
 		return "the kit did not measure its own lateness"
 	}
 	for _, f := range d.faults {
-		return fmt.Sprintf("the kit failed at %s: %s", at(f.T), f.Note)
+		return fmt.Sprintf("the kit failed at %s: %s", at(f.T), f.Detail)
 	}
-	lateMost := time.Duration(d.fig.Grace) * time.Millisecond
+	lateMost := time.Duration(d.figures.Grace) * time.Millisecond
 	lateP99 := lateMost / lateP99
 	for _, s := range d.slips {
 		if s.MaxUS > lateMost.Microseconds() {
--- a/internal/faulttest/judge/judge_test.go
+++ b/internal/faulttest/judge/judge_test.go
@@ -22,7 +22,7 @@
 
 func figures() *eventlog.Figures {
 	return &eventlog.Figures{Name: "planted", AnswerGrace: 300, Grace: 50, ReadyGrace: 1500, DrainGrace: 2000, WaitLetIn: 100,
-		FallMultiple: 2, FallSpan: 3000, ColdFrom: 0.2, Cold: 10000, Settle: 800, Patience: 400, Classes: map[string]eventlog.Class{
+		FallMultiple: 2, FallSpan: 3000, SlowStartCapacity: 0.2, SlowStart: 10000, OrderRest: 800, Patience: 400, Classes: map[string]eventlog.Class{
 			"safe": {Effect: "safe", Deadline: 8000}, "keyed": {Effect: "keyed", KeyWindow: 3000, Deadline: 8000},
 			"unsafe": {Effect: "unsafe", Deadline: 8000}, "ordered": {Effect: "safe", Ordered: true, Deadline: 8000}}}
 }
@@ -67,7 +67,7 @@
 	w.calls++
 	w.add(eventlog.Event{T: t, Kind: eventlog.Call, Sender: sender, ID: id, Call: w.calls, Dest: dest, Endpoint: fmt.Sprintf("r%d-e0", dest), First: t})
 	if done != 0 {
-		w.add(eventlog.Event{T: done, Kind: eventlog.Done, ID: id, Call: w.calls, Dest: dest, Status: status, Note: note})
+		w.add(eventlog.Event{T: done, Kind: eventlog.Done, ID: id, Call: w.calls, Dest: dest, Status: status, Detail: note})
 	}
 }
 
@@ -109,7 +109,7 @@
 	}},
 	{"a key is forgotten", 2, func(w *writer, t, over int64) {
 		id := w.taken(t, "n0", "keyed", "", w.dest)
-		w.call(t+5*millisecond, t+100*millisecond, "n0", id, w.dest, 0, eventlog.NoteReset)
+		w.call(t+5*millisecond, t+100*millisecond, "n0", id, w.dest, 0, eventlog.DetailReset)
 		w.call(t+(5+3000+50+over)*millisecond, t+4000*millisecond, "n0", id, w.dest, 200, "")
 	}},
 	{"an unsafe message before its refusal", 2, func(w *writer, t, over int64) {
@@ -123,7 +123,7 @@
 		w.notice(t+(100-over)*millisecond, "n1", id, "handed_back")
 	}},
 	{"a drained endpoint", 3, func(w *writer, t, over int64) {
-		w.add(eventlog.Event{T: t, Kind: eventlog.Told, Sender: "n0", Run: 1, Endpoint: fmt.Sprintf("r%d-e0", w.dest), Dest: w.dest, State: "DRAINING"})
+		w.add(eventlog.Event{T: t, Kind: eventlog.ListSent, Sender: "n0", Run: 1, Endpoint: fmt.Sprintf("r%d-e0", w.dest), Dest: w.dest, State: "DRAINING"})
 		id := w.taken(t+1000*millisecond, "n0", "safe", "", w.dest)
 		w.call(t+(2000+50+over)*millisecond, t+2300*millisecond, "n0", id, w.dest, 200, "")
 		w.taken(t+3000*millisecond, "n0", "safe", "", w.dest)
@@ -146,7 +146,7 @@
 		key := fmt.Sprint("k", w.dest)
 		a := w.taken(t, "n0", "ordered", key, w.dest)
 		b := w.taken(t+10*millisecond, "n0", "ordered", key, w.dest)
-		w.call(t+20*millisecond, t+500*millisecond, "n0", a, w.dest, 0, eventlog.NoteLeft)
+		w.call(t+20*millisecond, t+500*millisecond, "n0", a, w.dest, 0, eventlog.DetailClosedBySender)
 		w.notice(t+510*millisecond, "n0", a, "given_up")
 		w.call(t+(500+800-50-over)*millisecond, t+1500*millisecond, "n0", b, w.dest, 200, "")
 	}},
@@ -211,7 +211,7 @@
 
 // In a day of many scenes laid over each other, right ones pass and a planted fault shows in its rule only,
 // whatever the order in which the lines stand.
-func TestPlantedFaults(t *testing.T) {
+func TestJudge_FindsInjectedFaults(t *testing.T) {
 	for seed := range uint64(600) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		w := newWriter()
@@ -268,7 +268,7 @@
 
 func TestLost(t *testing.T) {
 	process := func(w *writer, kind eventlog.Kind, at int64, run int, note string) {
-		w.add(eventlog.Event{T: at * millisecond, Kind: kind, Sender: "n0", Run: run, Note: note})
+		w.add(eventlog.Event{T: at * millisecond, Kind: kind, Sender: "n0", Run: run, Detail: note})
 	}
 	for name, c := range map[string]struct {
 		play func(w *writer)
@@ -287,16 +287,16 @@
 		}, Pass},
 		"not answered before its client's patience was out": {func(w *writer) {
 			id := w.handed(0, "n0", "safe", "", 0)
-			w.add(eventlog.Event{T: 400 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Note: "patience"})
+			w.add(eventlog.Event{T: 400 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Detail: "patience"})
 		}, NotTried},
 		"closed without an answer": {func(w *writer) {
 			id := w.handed(0, "n0", "safe", "", 0)
-			w.add(eventlog.Event{T: 10 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Note: "closed"})
+			w.add(eventlog.Event{T: 10 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Detail: "closed"})
 		}, Fail},
 		"closed by a kill": {func(w *writer) {
 			id := w.handed(0, "n0", "safe", "", 0)
 			process(w, eventlog.Killed, 5, 1, "")
-			w.add(eventlog.Event{T: 10 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Note: "closed"})
+			w.add(eventlog.Event{T: 10 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Detail: "closed"})
 		}, NotTried},
 		"lost with the machine": {func(w *writer) {
 			w.taken(0, "n0", "safe", "", 0)
@@ -337,7 +337,7 @@
 	}{
 		"an unsafe message again after a reset": {func(w *writer) {
 			id := w.taken(0, "n0", "unsafe", "", 0)
-			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.NoteReset)
+			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.DetailReset)
 			w.call(90*millisecond, 150*millisecond, "n0", id, 0, 200, "")
 		}, Fail},
 		"an unsafe message again while a call is out": {func(w *writer) {
@@ -347,7 +347,7 @@
 		}, Fail},
 		"an unsafe message again after a spoilt 503": {func(w *writer) {
 			id := w.taken(0, "n0", "unsafe", "", 0)
-			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 503, eventlog.NoteSpoilt)
+			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 503, eventlog.DetailCorrupt)
 			w.call(90*millisecond, 150*millisecond, "n0", id, 0, 200, "")
 		}, Fail},
 		"an unsafe message again after refusals": {func(w *writer) {
@@ -358,17 +358,17 @@
 		}, NotTried},
 		"an unsafe message given up after a reset": {func(w *writer) {
 			id := w.taken(0, "n0", "unsafe", "", 0)
-			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.NoteReset)
+			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.DetailReset)
 			w.notice(60*millisecond, "n0", id, "given_up")
 		}, Pass},
 		"an unsafe message refused after a reset": {func(w *writer) {
 			id := w.handed(0, "n0", "unsafe", "", 0)
-			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.NoteReset)
+			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.DetailReset)
 			w.add(eventlog.Event{T: 60 * millisecond, Kind: eventlog.Answer, Sender: "n0", ID: id, Status: 503})
 		}, Fail},
 		"a safe message again and again": {func(w *writer) {
 			id := w.taken(0, "n0", "safe", "", 0)
-			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.NoteReset)
+			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.DetailReset)
 			w.call(90*millisecond, 150*millisecond, "n0", id, 0, 200, "")
 			w.call(95*millisecond, 160*millisecond, "n0", id, 0, 200, "")
 		}, NotTried},
@@ -379,8 +379,8 @@
 		}, Fail},
 		"a hand-in whose client left counts for nothing": {func(w *writer) {
 			id := w.handed(0, "n0", "unsafe", "", 0)
-			w.add(eventlog.Event{T: 400 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Note: "patience"})
-			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.NoteReset)
+			w.add(eventlog.Event{T: 400 * millisecond, Kind: eventlog.Answer, ID: id, Sender: "n0", Detail: "patience"})
+			w.call(5*millisecond, 50*millisecond, "n0", id, 0, 0, eventlog.DetailReset)
 			w.call(90*millisecond, 150*millisecond, "n0", id, 0, 200, "")
 		}, NotTried},
 	} {
@@ -462,7 +462,7 @@
 			w.notice(35*millisecond, "n0", a, "given_up")
 		}, Pass},
 		"another try of the one whose turn it is": {func(w *writer, a, b string) {
-			w.call(30*millisecond, 40*millisecond, "n0", a, 0, 0, eventlog.NoteReset)
+			w.call(30*millisecond, 40*millisecond, "n0", a, 0, 0, eventlog.DetailReset)
 			w.call(50*millisecond, 60*millisecond, "n0", a, 0, 200, "")
 			w.call(900*millisecond, 950*millisecond, "n0", b, 0, 200, "")
 		}, Pass},
@@ -478,10 +478,10 @@
 }
 
 // Endpoints that serve again are no longer drained.
-func TestDrainThatEnds(t *testing.T) {
+func TestJudge_DrainingThatStops(t *testing.T) {
 	w := newWriter()
 	told := func(at int64, state string) {
-		w.add(eventlog.Event{T: at * millisecond, Kind: eventlog.Told, Sender: "n0", Run: 1, Endpoint: "r0-e0", State: state})
+		w.add(eventlog.Event{T: at * millisecond, Kind: eventlog.ListSent, Sender: "n0", Run: 1, Endpoint: "r0-e0", State: state})
 	}
 	told(0, "DRAINING")
 	told(1000, "DELETED") // counts from the first
@@ -525,8 +525,8 @@
 		"at the bound":                    {slip(50_000, 10_000), ExitPass, ""},
 		"late once":                       {slip(50_001, 100), ExitInconclusive, "50.0 ms late"},
 		"late at p99":                     {slip(20_000, 10_001), ExitInconclusive, "p99"},
-		"the kit failed":                  {append([]eventlog.Event{{Kind: eventlog.Fault, Note: "no port"}}, newWriter().log()...), ExitInconclusive, "no port"},
-		"the kit failed as it cleared up": {append(newWriter().log(), eventlog.Event{Kind: eventlog.Fault, Note: "no port"}), ExitPass, ""},
+		"the kit failed":                  {append([]eventlog.Event{{Kind: eventlog.KitFailure, Detail: "no port"}}, newWriter().log()...), ExitInconclusive, "no port"},
+		"the kit failed as it cleared up": {append(newWriter().log(), eventlog.Event{Kind: eventlog.KitFailure, Detail: "no port"}), ExitPass, ""},
 		"broken off":                      {newWriter().events, ExitInconclusive, "ends before"},
 		"late for a day of more grace":    {graced(slip(300_001, 100), 300), ExitInconclusive, "300.0 ms late"},
 		"its p99":                         {graced(slip(200_000, 60_001), 300), ExitInconclusive, "p99"},
@@ -551,7 +551,7 @@
 }
 
 // again hands the event of a hand-in in once more, at a sender, and is answered so.
-func (w *writer) again(t int64, sender, first string, dest, status int) string {
+func (w *writer) resubmit(t int64, sender, first string, dest, status int) string {
 	w.msgs++
 	id := fmt.Sprintf("id%d", w.msgs)
 	w.add(eventlog.Event{T: t, Kind: eventlog.HandIn, Sender: sender, ID: id, Event: first, Msg: "m-" + first, Class: "unsafe", Dest: dest, Deadline: 8000})
@@ -561,34 +561,34 @@
 
 // An event that is handed in again counts as the first try: one message, that is delivered once or ended, and a second
 // message of it breaks rule 2.
-func TestEventAgain(t *testing.T) {
+func TestJudge_RepeatedEvent(t *testing.T) {
 	for name, c := range map[string]struct {
 		play func(w *writer, first string)
 		rule int // that is broken; 0 for none
 	}{
 		"delivered": {func(w *writer, first string) {
 			w.call(20*millisecond, 60*millisecond, "n0", first, 0, 200, "")
-			w.again(100*millisecond, "n0", first, 0, 200)
+			w.resubmit(100*millisecond, "n0", first, 0, 200)
 		}, 0},
 		"held, and then delivered under either id": {func(w *writer, first string) {
-			id := w.again(100*millisecond, "n0", first, 0, 202)
+			id := w.resubmit(100*millisecond, "n0", first, 0, 202)
 			w.call(200*millisecond, 260*millisecond, "n0", id, 0, 200, "")
 		}, 0},
 		"held, and given up": {func(w *writer, first string) {
-			w.again(100*millisecond, "n0", first, 0, 202)
+			w.resubmit(100*millisecond, "n0", first, 0, 202)
 			w.notice(200*millisecond, "n0", first, "given_up")
 		}, 0},
-		"never ended": {func(w *writer, first string) { w.again(100*millisecond, "n0", first, 0, 202) }, 1},
+		"never ended": {func(w *writer, first string) { w.resubmit(100*millisecond, "n0", first, 0, 202) }, 1},
 		"two messages": {func(w *writer, first string) {
-			id := w.again(100*millisecond, "n0", first, 0, 202)
+			id := w.resubmit(100*millisecond, "n0", first, 0, 202)
 			w.call(120*millisecond, 160*millisecond, "n0", first, 0, 200, "")
 			w.call(220*millisecond, 260*millisecond, "n0", id, 0, 200, "")
 		}, 2},
-		"nobody hears": {func(w *writer, first string) { w.again(100*millisecond, "n0", first, 0, 0) }, 0},
+		"nobody hears": {func(w *writer, first string) { w.resubmit(100*millisecond, "n0", first, 0, 0) }, 0},
 	} {
 		w := newWriter()
 		first := w.handed(10*millisecond, "n0", "unsafe", "", 0)
-		w.add(eventlog.Event{T: 12 * millisecond, Kind: eventlog.Answer, Sender: "n0", ID: first, Note: "lost"})
+		w.add(eventlog.Event{T: 12 * millisecond, Kind: eventlog.Answer, Sender: "n0", ID: first, Detail: "lost"})
 		c.play(w, first)
 		for rule, r := range verdicts(t, w.log()) {
 			if (r.Verdict == Fail) != (rule == c.rule) {
@@ -602,7 +602,7 @@
 func TestCallsOfEvents(t *testing.T) {
 	w := newWriter()
 	id := w.taken(0, "n0", "safe", "", 0)
-	w.add(eventlog.Event{T: 10 * millisecond, Kind: eventlog.Call, Dest: 0, Endpoint: "r0-e0", ID: id, Note: "unknown", State: "event x is not what its client sent"})
+	w.add(eventlog.Event{T: 10 * millisecond, Kind: eventlog.Call, Dest: 0, Endpoint: "r0-e0", ID: id, Detail: "unknown", State: "event x is not what its client sent"})
 	w.notice(20*millisecond, "n0", id, "given_up")
 	if r := verdicts(t, w.log())[2]; r.Verdict != Fail || !strings.Contains(r.Evidence, "not what its client sent") {
 		t.Errorf("%+v", r)
--- a/internal/faulttest/judge/rules.go
+++ b/internal/faulttest/judge/rules.go
@@ -21,7 +21,7 @@
 		}
 	}
 	for _, h := range d.hands {
-		if h.answered && h.answer.Status == 0 && h.answer.Note == "closed" && !d.endedWithin(h.Sender, h.T, h.answer.T+ms(d.fig.Grace)) {
+		if h.answered && h.answer.Status == 0 && h.answer.Detail == "closed" && !d.endedWithin(h.Sender, h.T, h.answer.T+ms(d.figures.Grace)) {
 			t.breaks("message %s (%s), handed to %s at %s: its connection ended at %s without an answer", h.Msg, h.ID, h.Sender, at(h.T), at(h.answer.T))
 		}
 		if !h.taken() {
@@ -49,7 +49,7 @@
 			}
 		}
 		for _, c := range h.calls {
-			if len(h.notices) > 0 && c.First > h.notices[0].T+ms(d.fig.Grace) {
+			if len(h.notices) > 0 && c.First > h.notices[0].T+ms(d.figures.Grace) {
 				t.breaks("message %s (%s) was %s at %s and sent to %s at %s all the same", h.Msg, h.ID, h.notices[0].Outcome, at(h.notices[0].T), c.Endpoint, at(c.First))
 				break
 			}
@@ -61,7 +61,7 @@
 // due is when a message counts as lost: its time and the graces, or a little after its sender is back from
 // a restart. judged is false if the sender never came back.
 func (d *day) due(h *hand) (due int64, judged bool) {
-	due = h.T + ms(h.Deadline+d.fig.AnswerGrace+d.fig.Grace)
+	due = h.T + ms(h.Deadline+d.figures.AnswerGrace+d.figures.Grace)
 	all := d.senders[h.Sender]
 	for i, p := range all {
 		gone := p.gone()
@@ -71,7 +71,7 @@
 		if i+1 == len(all) || all[i+1].ready == 0 {
 			return due, false
 		}
-		due = max(due, all[i+1].ready+ms(d.fig.ReadyGrace+d.fig.Grace))
+		due = max(due, all[i+1].ready+ms(d.figures.ReadyGrace+d.figures.Grace))
 	}
 	return due, true
 }
@@ -110,7 +110,7 @@
 		t.breaks("%s got a call at %s with the message %q, which nobody handed in for it", e.Endpoint, at(e.T), e.ID)
 	}
 	for _, h := range d.hands {
-		class := d.fig.Classes[h.Class]
+		class := d.figures.Classes[h.Class]
 		if class.Effect == "safe" || h.void() {
 			continue
 		}
@@ -128,7 +128,7 @@
 				if class.Effect == "unsafe" {
 					t.breaks("message %s (%s, %s) was sent to %s at %s and may have run; it was sent again to %s at %s", h.Msg, h.ID, h.Class,
 						before.Endpoint, at(before.T), c.Endpoint, at(c.T))
-				} else if late := c.T - before.T - ms(class.KeyWindow+d.fig.Grace); late > 0 {
+				} else if late := c.T - before.T - ms(class.KeyWindow+d.figures.Grace); late > 0 {
 					t.breaks("message %s (%s, %s) was sent to %s at %s and may have run; it was sent again to %s at %s, %.3f s after its key was forgotten",
 						h.Msg, h.ID, h.Class, before.Endpoint, at(before.T), c.Endpoint, at(c.T), float64(late)/1e6)
 				} else {
@@ -158,9 +158,9 @@
 	return t
 }
 
-// drains is rule 3: nothing new to an endpoint once the sender has been told, after the grace. A send counts
+// checkDraining is rule 3: nothing new to an endpoint once the sender has been told, after the grace. A send counts
 // from its first byte.
-func drains(d *day) tally {
+func checkDraining(d *day) tally {
 	var t tally
 	type place struct{ sender, endpoint string }
 	// since is when a sender was told that an endpoint drains or is gone, until it is told that it serves.
@@ -170,7 +170,7 @@
 	}
 	spans := map[place][]span{}
 	var places []place
-	for _, e := range d.told {
+	for _, e := range d.listSent {
 		p := place{e.Sender, e.Endpoint}
 		all := spans[p]
 		open := len(all) > 0 && all[len(all)-1].to == math.MaxInt64
@@ -184,7 +184,7 @@
 			spans[p] = append(all, span{e.Dest, e.T, math.MaxInt64})
 		}
 	}
-	grace := ms(d.fig.DrainGrace + d.fig.Grace)
+	grace := ms(d.figures.DrainGrace + d.figures.Grace)
 	calls, dests := map[place][]*call{}, map[place][]*call{}
 	key := func(sender string, dest int) place { return place{sender, fmt.Sprint(dest)} }
 	for _, c := range d.calls {
@@ -232,7 +232,7 @@
 			began[e.Dest] = e.T
 			continue
 		}
-		until := min(d.end, e.T+ms(d.fig.Cold))
+		until := min(d.end, e.T+ms(d.figures.SlowStart))
 		for _, later := range d.outages[i+1:] {
 			if later.Dest == e.Dest {
 				until = min(until, later.T)
@@ -262,7 +262,7 @@
 	knew := map[who]bool{}
 	for _, c := range calls {
 		// A call that the sender gave up tells it as much as one that failed.
-		if c.done && c.end.T >= on && c.end.T <= off.T && !(c.served() && c.end.Note == "") {
+		if c.done && c.end.T >= on && c.end.T <= off.T && !(c.served() && c.end.Detail == "") {
 			knew[who{c.Sender, d.runAt(c.Sender, c.end.T)}] = true
 		}
 	}
@@ -278,7 +278,7 @@
 			knew[who{h.Sender, d.runAt(h.Sender, from)}] = true
 		}
 	}
-	span := ms(d.fig.FallSpan)
+	span := ms(d.figures.FallSpan)
 	var recent []*call
 	broken := false
 	for _, c := range calls {
@@ -292,8 +292,8 @@
 		for recent[0].T <= c.T-span {
 			recent = recent[1:]
 		}
-		warmth := min(1, d.fig.ColdFrom+(1-d.fig.ColdFrom)*float64(c.T-off.T)/float64(max(1, ms(d.fig.Cold))))
-		budget := d.fig.FallMultiple * warmth * off.Capacity * float64(d.fig.FallSpan) / 1000
+		warmth := min(1, d.figures.SlowStartCapacity+(1-d.figures.SlowStartCapacity)*float64(c.T-off.T)/float64(max(1, ms(d.figures.SlowStart))))
+		budget := d.figures.FallMultiple * warmth * off.Capacity * float64(d.figures.FallSpan) / 1000
 		if float64(len(recent)) <= budget+max(4, math.Sqrt(budget)) || broken {
 			continue
 		}
@@ -306,15 +306,15 @@
 		if 3*from >= 2*len(recent) {
 			broken = true
 			t.breaks("receiver %s came back at %s; in the %.1f s before %s it got %d calls and bears %.1f, %d of them from senders that had seen calls fail there (last %s, %s, by %s)",
-				d.receiver(off.Dest), at(off.T), float64(d.fig.FallSpan)/1000, at(c.T), len(recent), budget+max(4, math.Sqrt(budget)), from, c.hand.Msg, c.ID, c.Sender)
+				d.receiver(off.Dest), at(off.T), float64(d.figures.FallSpan)/1000, at(c.T), len(recent), budget+max(4, math.Sqrt(budget)), from, c.hand.Msg, c.ID, c.Sender)
 		}
 	}
 	return t
 }
 
 func (d *day) receiver(dest int) string {
-	if dest >= 0 && dest < len(d.fig.Receivers) {
-		return d.fig.Receivers[dest].Name
+	if dest >= 0 && dest < len(d.figures.Receivers) {
+		return d.figures.Receivers[dest].Name
 	}
 	return fmt.Sprint(dest)
 }
@@ -331,7 +331,7 @@
 	groups := map[key][]*hand{}
 	var keys []key
 	for _, h := range d.hands {
-		if h.Order == "" || !h.taken() || !d.fig.Classes[h.Class].Ordered {
+		if h.Order == "" || !h.taken() || !d.figures.Classes[h.Class].Ordered {
 			continue
 		}
 		k := key{h.Sender, d.runAt(h.Sender, h.answer.T), h.Order}
@@ -370,9 +370,9 @@
 			}
 			// The rest begins when the sender ends the call, and what is seen here is its connection's end, a little
 			// later: the grace is taken off.
-			if e.T <= c.T && e.end.Note != "" && !e.served() && c.T < e.end.T+ms(d.fig.Settle-d.fig.Grace) {
+			if e.T <= c.T && e.end.Detail != "" && !e.served() && c.T < e.end.T+ms(d.figures.OrderRest-d.figures.Grace) {
 				t.breaks("message %s of the key %s was sent at %s, %.3f s after a call of %s that may still run ended; it must rest for %.3f s", b.Msg, a.Order, at(c.T),
-					float64(c.T-e.end.T)/1e6, a.Msg, float64(d.fig.Settle)/1000)
+					float64(c.T-e.end.T)/1e6, a.Msg, float64(d.figures.OrderRest)/1000)
 				return
 			}
 			if sure && c.T < e.T {
@@ -406,10 +406,10 @@
 		calls[p] = append(calls[p], c)
 	}
 	for _, told := range d.calls {
-		if !told.done || told.end.Status != 429 || told.end.WaitMS <= d.fig.WaitLetIn {
+		if !told.done || told.end.Status != 429 || told.end.WaitMS <= d.figures.WaitLetIn {
 			continue
 		}
-		from, to := told.end.T+ms(d.fig.WaitLetIn), told.end.T+ms(told.end.WaitMS)
+		from, to := told.end.T+ms(d.figures.WaitLetIn), told.end.T+ms(told.end.WaitMS)
 		run := d.runAt(told.Sender, told.end.T)
 		if d.runAt(told.Sender, to) == run {
 			t.tried++ // its message, at the least, was there to be sent
--- a/internal/faulttest/links/links.go
+++ b/internal/faulttest/links/links.go
@@ -25,29 +25,29 @@
 
 // Condition is how a direction is. The zero one is a sound link.
 type Condition struct {
-	Cut    bool          // nothing passes, and nobody is told
-	Refuse bool          // new connections are refused; the others go on
-	Delay  time.Duration // of each chunk
-	Jitter time.Duration // up to so much more, drawn for each chunk; the order stays
-	Rate   int           // bytes a second at most; 0: any number
+	Blocked bool          // nothing passes, and nobody is told
+	Refuse  bool          // new connections are refused; the others go on
+	Delay   time.Duration // of each chunk
+	Jitter  time.Duration // up to so much more, drawn for each chunk; the order stays
+	Rate    int           // bytes a second at most; 0: any number
 	// Of datagrams: the shares that are lost, come twice, or are overtaken by those behind them.
 	Loss, Repeat, Reorder float64
 
 	Freeze int // over 0: so many bytes more pass on each connection, then nothing, in the middle of a frame as likely as not
 }
 
-// sound is whether nothing is wrong.
-func (c Condition) sound() bool { return c == Condition{} }
+// healthy is whether nothing is wrong.
+func (c Condition) healthy() bool { return c == Condition{} }
 
 func (c Condition) String() string {
-	if c.sound() {
+	if c.healthy() {
 		return "heal"
 	}
 	text := ""
 	for _, part := range []struct {
 		is   bool
 		text string
-	}{{c.Cut, "cut"}, {c.Refuse, "refuse"}, {c.Delay > 0, "delay " + c.Delay.String()}, {c.Jitter > 0, "jitter " + c.Jitter.String()},
+	}{{c.Blocked, "cut"}, {c.Refuse, "refuse"}, {c.Delay > 0, "delay " + c.Delay.String()}, {c.Jitter > 0, "jitter " + c.Jitter.String()},
 		{c.Rate > 0, fmt.Sprintf("trickle %d B/s", c.Rate)}, {c.Freeze > 0, fmt.Sprintf("freeze after %d B", c.Freeze)}, {c.Loss > 0, fmt.Sprintf("loss %g", c.Loss)},
 		{c.Repeat > 0, fmt.Sprintf("repeat %g", c.Repeat)}, {c.Reorder > 0, fmt.Sprintf("reorder %g", c.Reorder)}} {
 		if part.is && text != "" {
@@ -62,11 +62,11 @@
 
 // Net is all links of a fleet. One seed gives the same draws on each link, whatever the others do.
 type Net struct {
-	seed uint64
-	note func(from, to, what string)
-	ctx  context.Context
-	stop context.CancelFunc
-	done sync.WaitGroup
+	seed   uint64
+	record func(from, to, what string)
+	ctx    context.Context
+	stop   context.CancelFunc
+	done   sync.WaitGroup
 
 	mu      sync.Mutex
 	ways    map[pair]*way
@@ -81,7 +81,7 @@
 	if note == nil {
 		note = func(string, string, string) {}
 	}
-	n := &Net{seed: seed, note: note, ways: map[pair]*way{}}
+	n := &Net{seed: seed, record: note, ways: map[pair]*way{}}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	return n
 }
@@ -113,7 +113,7 @@
 
 // Set puts a direction into a condition, in place of what it was in.
 func (n *Net) Set(from, to string, c Condition) {
-	n.note(from, to, c.String())
+	n.record(from, to, c.String())
 	w := n.way(from, to)
 	w.mu.Lock()
 	w.is = c
@@ -139,7 +139,7 @@
 
 // Reset breaks all connections that from has to the other.
 func (n *Net) Reset(from, to string) {
-	n.note(from, to, "reset")
+	n.record(from, to, "reset")
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links {
@@ -154,7 +154,7 @@
 	n.mu.Lock()
 	var ill []pair
 	for p, w := range n.ways {
-		if c, _, _ := w.now(); !c.sound() {
+		if c, _, _ := w.now(); !c.healthy() {
 			ill = append(ill, p)
 		}
 	}
@@ -227,7 +227,7 @@
 	}
 	again, err := net.Listen("tcp", l.addr)
 	if err != nil { // the port is the link's own: nothing else is given it while connections on it live; tell, don't hide
-		l.net.note(l.from, l.to, "fault of the kit: "+err.Error())
+		l.net.record(l.from, l.to, "fault of the kit: "+err.Error())
 		return
 	}
 	l.accept(again)
@@ -326,7 +326,7 @@
 func (w *way) open(ctx context.Context) bool {
 	for {
 		c, _, changed := w.now()
-		if !c.Cut {
+		if !c.Blocked {
 			return true
 		}
 		select {
@@ -391,7 +391,7 @@
 			if c.Rate > 0 {
 				n = min(n, max(1, c.Rate/50))
 			}
-			if c.Cut || n <= 0 {
+			if c.Blocked || n <= 0 {
 				select {
 				case <-changed:
 				case <-ctx.Done():
--- a/internal/faulttest/links/links_test.go
+++ b/internal/faulttest/links/links_test.go
@@ -11,7 +11,7 @@
 
 const (
 	patience = 20 * time.Second
-	silence  = 100 * time.Millisecond // a word that has not come by then is held up; what is cut never comes, however long
+	noData   = 100 * time.Millisecond // a word that has not come by then is held up; what is cut never comes, however long
 )
 
 // echo answers each byte with itself, at an address.
@@ -86,7 +86,7 @@
 // quiet is that no byte comes while a condition lasts.
 func quiet(t *testing.T, c net.Conn) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(silence))
+	c.SetReadDeadline(time.Now().Add(noData))
 	var b [1]byte
 	if n, err := c.Read(b[:]); n > 0 || err == io.EOF {
 		t.Fatalf("%d bytes came, %v", n, err)
@@ -94,14 +94,14 @@
 }
 
 // What is cut is held either way, and comes whole and in order when the way is healed.
-func TestHeldAndHealed(t *testing.T) {
+func TestNet_BlockedAndHealed(t *testing.T) {
 	for name, c := range map[string]struct {
 		from, to string
 		is       Condition
 		first    string // of "hello" comes all the same
 	}{
-		"silent, there":             {"a", "b", Condition{Cut: true}, ""},
-		"silent, back":              {"b", "a", Condition{Cut: true}, ""},
+		"silent, there":             {"a", "b", Condition{Blocked: true}, ""},
+		"silent, back":              {"b", "a", Condition{Blocked: true}, ""},
 		"frozen within, there":      {"a", "b", Condition{Freeze: 2}, "he"},
 		"frozen within, on its way": {"b", "a", Condition{Freeze: 3}, "hel"},
 	} {
@@ -134,7 +134,7 @@
 	}
 	say(t, old, "still")
 	hear(t, old, "still")
-	n.Set("a", "b", Condition{Cut: true})
+	n.Set("a", "b", Condition{Blocked: true})
 	fresh := dial(t, addr) // by the kernel, as far as the proxy
 	say(t, fresh, "late")
 	quiet(t, fresh)
@@ -185,7 +185,7 @@
 		ordered     bool
 	}{
 		"sound":   {Condition{}, 100, 100, true},
-		"cut":     {Condition{Cut: true}, 0, 0, true},
+		"cut":     {Condition{Blocked: true}, 0, 0, true},
 		"loss":    {Condition{Loss: 0.5}, 30, 70, true},
 		"repeat":  {Condition{Repeat: 0.5}, 130, 170, true},
 		"reorder": {Condition{Reorder: 0.5}, 100, 100, false},
--- a/internal/faulttest/links/udp.go
+++ b/internal/faulttest/links/udp.go
@@ -12,10 +12,10 @@
 // strike each by itself.
 
 const (
-	datagramMost = 64 << 10
+	maxDatagram  = 64 << 10
 	reorderTime  = 5 * time.Millisecond // one that is overtaken comes so much later
-	bothTries    = 20                   // ports, until one is free for TCP and UDP
-	flowsMost    = 1024                 // sockets of senders that are told apart at once; further ones are not carried
+	bindAttempts = 20                   // ports, until one is free for TCP and UDP
+	maxFlows     = 1024                 // sockets of senders that are told apart at once; further ones are not carried
 )
 
 // LinkBoth opens the ways for connections and for datagrams at one address, as membership wants it.
@@ -28,7 +28,7 @@
 		tcp, err := net.Listen("tcp", in.LocalAddr().String())
 		if err != nil { // another has the port for TCP
 			in.Close()
-			if try < bothTries {
+			if try < bindAttempts {
 				continue
 			}
 			return "", fmt.Errorf("link %s to %s: %w", from, to, err)
@@ -93,7 +93,7 @@
 
 // carry passes on what comes, and what is answered.
 func (l *udpLink) carry() {
-	b := make([]byte, datagramMost)
+	b := make([]byte, maxDatagram)
 	for {
 		n, from, err := l.in.ReadFromUDP(b)
 		if err != nil {
@@ -109,7 +109,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := from.String()
-	if f := l.flows[key]; f != nil || l.over || len(l.flows) >= flowsMost {
+	if f := l.flows[key]; f != nil || l.over || len(l.flows) >= maxFlows {
 		return f
 	}
 	out, err := net.DialUDP("udp", nil, l.to)
@@ -120,7 +120,7 @@
 	l.net.done.Add(1)
 	go func() {
 		defer l.net.done.Done()
-		b := make([]byte, datagramMost)
+		b := make([]byte, maxDatagram)
 		for {
 			n, err := out.Read(b)
 			if err != nil { // nobody listens there: the next datagram may find somebody
@@ -152,7 +152,7 @@
 		jitter = time.Duration(l.rng.Int64N(int64(c.Jitter)))
 	}
 	l.mu.Unlock()
-	if c.Cut || c.Refuse || lost {
+	if c.Blocked || c.Refuse || lost {
 		return
 	}
 	delay := c.Delay + jitter
--- a/internal/faulttest/mutant/wrong.go
+++ b/internal/faulttest/mutant/mutant.go
@@ -26,27 +26,29 @@
 
 // The faults, one for each rule, and the right sender.
 const (
-	Right   Fault = "right"
-	Loses   Fault = "loses"   // rule 1: keeps nothing over a kill
-	Repeats Fault = "repeats" // rule 2: sends again what may have run and may not be repeated
-	Drains  Fault = "drains"  // rule 3: goes on sending to a drained endpoint
-	Rushes  Fault = "rushes"  // rule 4: sends all it holds to a receiver that is back
-	Jumbles Fault = "jumbles" // rule 5: keeps no order
-	Nags    Fault = "nags"    // rule 6: sends during a wait
+	Right             Fault = "right"
+	LosesMessages     Fault = "loses"   // rule 1: keeps nothing over a kill
+	RepeatsUnsafe     Fault = "repeats" // rule 2: sends again what may have run and may not be repeated
+	IgnoresDraining   Fault = "drains"  // rule 3: goes on sending to a drained endpoint
+	FloodsRecovered   Fault = "rushes"  // rule 4: sends all it holds to a receiver that is back
+	Reorders          Fault = "jumbles" // rule 5: keeps no order
+	IgnoresRetryAfter Fault = "nags"    // rule 6: sends during a wait
 )
 
 // Faults lists the faults by rule; the first, rule 0, is the right sender.
-func Faults() []Fault { return []Fault{Right, Loses, Repeats, Drains, Rushes, Jumbles, Nags} }
+func Faults() []Fault {
+	return []Fault{Right, LosesMessages, RepeatsUnsafe, IgnoresDraining, FloodsRecovered, Reorders, IgnoresRetryAfter}
+}
 
 const (
-	atOnce    = 6               // calls out to a receiver
-	callTime  = 2 * time.Second // a call is given up after this
-	dialTime  = 800 * time.Millisecond
-	probeEach = 400 * time.Millisecond // of a receiver that is out
-	warming   = 15 * time.Second       // one call at a time for so long after an outage
-	failsMost = 3                      // failures in a row that make an outage
-	margin    = 150 * time.Millisecond // a message ends so long before its time
-	listPause = 100 * time.Millisecond
+	atOnce       = 6               // calls out to a receiver
+	callTime     = 2 * time.Second // a call is given up after this
+	dialTime     = 800 * time.Millisecond
+	probeEach    = 400 * time.Millisecond // of a receiver that is out
+	warming      = 15 * time.Second       // one call at a time for so long after an outage
+	maxFailures  = 3                      // failures in a row that make an outage
+	margin       = 150 * time.Millisecond // a message ends so long before its time
+	listInterval = 100 * time.Millisecond
 )
 
 type class struct {
@@ -63,11 +65,11 @@
 	Settings  struct {
 		Services []class `json:"services"`
 		Rules    struct {
-			Settle float64 `json:"settleAfterDoubt"`
+			OrderRest float64 `json:"settleAfterDoubt"`
 		} `json:"rules"`
 		Limits struct {
-			Attempts int `json:"maxAttempts"`
-			Held     int `json:"mostHeld"`
+			Attempts   int `json:"maxAttempts"`
+			MaxPending int `json:"mostHeld"`
 		} `json:"limits"`
 	} `json:"settings"`
 }
@@ -89,7 +91,7 @@
 type message struct {
 	record
 	deadline  time.Time
-	tries     int
+	attempts  int
 	first     time.Time // of the first call that may have run; zero if none may
 	out       bool
 	over      bool
@@ -116,7 +118,7 @@
 // Sender is a running one.
 type Sender struct {
 	fault   Fault
-	c       config
+	config  config
 	classes map[string]class
 	journal *os.File
 
@@ -127,13 +129,13 @@
 	rest      map[string]time.Time
 	endpoints map[string]*endpoint
 	kick      chan struct{}
-	held      int
+	pending   int
 }
 
 // Run serves until ctx ends. It reads the environment as a real sender does.
 func Run(ctx context.Context, fault Fault, getenv func(string) string) error {
 	if !slices.Contains(Faults(), fault) {
-		return fmt.Errorf("no fault is called %q; there are %v", fault, Faults())
+		return &UnknownFaultError{Fault: fault}
 	}
 	raw, err := os.ReadFile(getenv("EDGE_CONFIG"))
 	if err != nil {
@@ -141,14 +143,14 @@
 	}
 	s := &Sender{fault: fault, classes: map[string]class{}, ids: map[string]*message{}, dests: map[int]*dest{}, turns: map[string][]*message{},
 		rest: map[string]time.Time{}, endpoints: map[string]*endpoint{}, kick: make(chan struct{}, 1)}
-	if err := json.Unmarshal(raw, &s.c); err != nil {
+	if err := json.Unmarshal(raw, &s.config); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	for _, c := range s.c.Settings.Services {
+	for _, c := range s.config.Settings.Services {
 		s.classes[c.Name] = c
 	}
-	path := filepath.Join(s.c.State, "wrong.journal")
-	if s.fault == Loses {
+	path := filepath.Join(s.config.State, "wrong.journal")
+	if s.fault == LosesMessages {
 		os.Remove(path)
 	}
 	if err := s.replay(path); err != nil {
@@ -165,7 +167,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/ready", func(w http.ResponseWriter, _ *http.Request) {})
 	mux.HandleFunc("POST /api", s.api)
-	l, err := net.Listen("tcp", s.c.Listen)
+	l, err := net.Listen("tcp", s.config.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -223,7 +225,7 @@
 			order = append(order, m)
 		case m == nil:
 		case r.Op == "send":
-			m.tries++
+			m.attempts++
 			if m.first.IsZero() {
 				m.first = time.UnixMicro(r.At)
 			}
@@ -238,15 +240,15 @@
 			s.hold(m)
 			s.dest(m.Dest).warmUntil = time.Now().Add(warming)
 			if m.Order != "" {
-				s.rest[m.Order] = time.Now().Add(s.settle())
+				s.rest[m.Order] = time.Now().Add(s.finish())
 			}
 		}
 	}
 	return nil
 }
 
-func (s *Sender) settle() time.Duration {
-	return time.Duration(s.c.Settings.Rules.Settle*float64(time.Millisecond)) + margin
+func (s *Sender) finish() time.Duration {
+	return time.Duration(s.config.Settings.Rules.OrderRest*float64(time.Millisecond)) + margin
 }
 
 func (s *Sender) dest(n int) *dest {
@@ -258,7 +260,7 @@
 
 func (s *Sender) hold(m *message) {
 	s.ids[m.ID] = m
-	s.held++
+	s.pending++
 	d := s.dest(m.Dest)
 	d.queue = append(d.queue, m)
 	if m.Order != "" {
@@ -282,7 +284,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held >= s.c.Settings.Limits.Held {
+	if s.pending >= s.config.Settings.Limits.MaxPending {
 		w.Header().Set("Retry-After", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -303,7 +305,7 @@
 
 // list asks discovery for what is newer than a version, or for the whole.
 func (s *Sender) list(ctx context.Context, after int64, version *int64) error {
-	url := "http://" + s.c.Discovery + "/api/targets"
+	url := "http://" + s.config.Discovery + "/api/targets"
 	if after >= 0 {
 		url += fmt.Sprintf("?after=%d&wait_ms=10000", after)
 	}
@@ -317,7 +319,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return errors.New(resp.Status)
+		return &statusError{status: resp.Status}
 	}
 	var t struct {
 		Version int64
@@ -343,7 +345,7 @@
 	for ctx.Err() == nil {
 		if s.list(ctx, version, &version) != nil {
 			version = -1
-			time.Sleep(listPause)
+			time.Sleep(listInterval)
 		}
 	}
 }
@@ -359,11 +361,11 @@
 				s.giveUp(m)
 			}
 		}
-		if now.Before(d.waitUntil) && s.fault != Nags {
+		if now.Before(d.waitUntil) && s.fault != IgnoresRetryAfter {
 			continue
 		}
 		for _, m := range slices.Clone(d.queue) {
-			if !s.room(d, now) {
+			if !s.hasCapacity(d, now) {
 				break
 			}
 			if m.out || m.over || now.Before(m.notBefore) || !s.turn(m, now) {
@@ -380,7 +382,7 @@
 			if s.write(record{Op: "send", ID: m.ID, At: now.UnixMicro()}) != nil {
 				break
 			}
-			m.out, m.tries = true, m.tries+1
+			m.out, m.attempts = true, m.attempts+1
 			d.out++
 			d.nextProbe = now.Add(probeEach)
 			go s.call(ctx, m, d, addr, now)
@@ -388,14 +390,14 @@
 	}
 }
 
-// room is whether one more call may go to a receiver now.
-func (s *Sender) room(d *dest, now time.Time) bool {
+// hasCapacity is whether one more call may go to a receiver now.
+func (s *Sender) hasCapacity(d *dest, now time.Time) bool {
 	switch {
 	case d.isOut:
 		return d.out == 0 && now.After(d.nextProbe)
-	case now.Before(d.warmUntil) && s.fault != Rushes:
+	case now.Before(d.warmUntil) && s.fault != FloodsRecovered:
 		return d.out == 0
-	case s.fault == Rushes:
+	case s.fault == FloodsRecovered:
 		return d.out < 1000
 	}
 	return d.out < atOnce
@@ -403,7 +405,7 @@
 
 // turn is whether a message is first of its key and the key need not rest.
 func (s *Sender) turn(m *message, now time.Time) bool {
-	if m.Order == "" || s.fault == Jumbles {
+	if m.Order == "" || s.fault == Reorders {
 		return true
 	}
 	return s.turns[m.Order][0] == m && !now.Before(s.rest[m.Order])
@@ -412,7 +414,7 @@
 func (s *Sender) pick(n int, d *dest) (string, bool) {
 	var ids []string
 	for id, e := range s.endpoints {
-		if e.cell == n && (e.state == "SERVING" || (s.fault == Drains && e.state == "DRAINING")) {
+		if e.cell == n && (e.state == "SERVING" || (s.fault == IgnoresDraining && e.state == "DRAINING")) {
 			ids = append(ids, id)
 		}
 	}
@@ -449,12 +451,12 @@
 		s.end(m)
 		return
 	case status != http.StatusTooManyRequests:
-		if d.fails++; d.fails >= failsMost {
+		if d.fails++; d.fails >= maxFailures {
 			d.isOut = true
 		}
 	}
 	if !never && m.Order != "" {
-		s.rest[m.Order] = now.Add(s.settle())
+		s.rest[m.Order] = now.Add(s.finish())
 	}
 	m.notBefore = now.Add(100 * time.Millisecond)
 	if !s.lawful(m, now) {
@@ -466,10 +468,10 @@
 func (s *Sender) lawful(m *message, now time.Time) bool {
 	c := s.classes[m.Class]
 	switch doubt := !m.first.IsZero(); {
-	case m.tries >= s.c.Settings.Limits.Attempts:
+	case m.attempts >= s.config.Settings.Limits.Attempts:
 		return false
 	case doubt && c.Effect == "non_idempotent":
-		return s.fault == Repeats
+		return s.fault == RepeatsUnsafe
 	case doubt && c.Effect == "idempotency_key":
 		return now.Sub(m.first) < time.Duration(c.Window*float64(time.Millisecond))-callTime
 	}
@@ -517,7 +519,7 @@
 		return
 	}
 	m.over = true
-	s.held--
+	s.pending--
 	s.write(record{Op: "over", ID: m.ID})
 	d := s.dest(m.Dest)
 	d.queue = slices.DeleteFunc(d.queue, func(x *message) bool { return x == m })
@@ -535,12 +537,12 @@
 	line := fmt.Sprintf(`{"message":%q,"outcome":"given_up"}`+"\n", m.ID)
 	go func() {
 		for range 5 {
-			resp, err := http.Post("http://"+s.c.Discovery+"/v1/notices", "application/x-ndjson", strings.NewReader(line))
+			resp, err := http.Post("http://"+s.config.Discovery+"/v1/notices", "application/x-ndjson", strings.NewReader(line))
 			if err == nil {
 				resp.Body.Close()
 				return
 			}
-			time.Sleep(listPause)
+			time.Sleep(listInterval)
 		}
 	}()
 }
--- a/internal/faulttest/platform/platform.go
+++ b/internal/faulttest/platform/platform.go
@@ -50,7 +50,7 @@
 	askWithin   = 10 * time.Second // a sender that neither watches nor asks counts as told after this
 	afterFailed = 4                // times as long after a call that failed
 	watchGap    = 200 * time.Millisecond
-	watchMost   = time.Minute
+	maxWatch    = time.Minute
 	oldCloses   = 1500 * time.Millisecond // an address that discovery has left closes its connections after this
 )
 
@@ -72,21 +72,21 @@
 	changes []change
 	wake    chan struct{}
 	down    bool
-	failed  int                // calls while it was down
-	offices map[string]*office // by sender
+	failed  int                    // calls while it was down
+	feeds   map[string]*senderFeed // by sender
 	stop    chan struct{}
 	zone    func([]Target) error // writes the zone file that senders follow in place of the list; nil: there is none
 }
 
-// office is where one sender asks.
-type office struct {
+// senderFeed is where one sender asks.
+type senderFeed struct {
 	sender string
 	addr   string
 	server *http.Server
 
 	// Under the Platform's lock. What a sender was told outlasts its moves and its processes.
 	run      int
-	told     map[string]string // endpoint to state
+	listSent map[string]string // endpoint to state
 	watching int
 	last     time.Duration // when a call last ended
 	failed   bool          // that one
@@ -95,7 +95,7 @@
 
 // New starts a platform without senders. notice hears of every line that is told.
 func New(log *eventlog.Log, host func() string, notice func(sender, id, outcome string, retry time.Duration)) *Platform {
-	p := &Platform{log: log, host: host, notice: notice, list: map[string]Target{}, wake: make(chan struct{}), offices: map[string]*office{}, stop: make(chan struct{})}
+	p := &Platform{log: log, host: host, notice: notice, list: map[string]Target{}, wake: make(chan struct{}), feeds: map[string]*senderFeed{}, stop: make(chan struct{})}
 	go p.deem()
 	return p
 }
@@ -110,17 +110,17 @@
 
 // Open gives a sender its address.
 func (p *Platform) Open(sender string) (string, error) {
-	o := &office{sender: sender, told: map[string]string{}, last: p.log.Now()}
+	o := &senderFeed{sender: sender, listSent: map[string]string{}, last: p.log.Now()}
 	if err := p.serve(o); err != nil {
 		return "", err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.offices[sender] = o
+	p.feeds[sender] = o
 	return o.addr, nil
 }
 
-func (p *Platform) serve(o *office) error {
+func (p *Platform) serve(o *senderFeed) error {
 	l, err := net.Listen("tcp", p.host()+":0")
 	if err != nil {
 		return fmt.Errorf("discovery for %s: %w", o.sender, err)
@@ -136,19 +136,19 @@
 // Move gives a sender a new address. The old one takes no new connections and closes the open ones later.
 func (p *Platform) Move(sender string) (string, error) {
 	p.mu.Lock()
-	old := p.offices[sender]
+	old := p.feeds[sender]
 	p.mu.Unlock()
 	if old == nil {
 		return "", fmt.Errorf("discovery has no address for %s", sender)
 	}
-	next := &office{sender: sender}
+	next := &senderFeed{sender: sender}
 	if err := p.serve(next); err != nil {
 		return "", err
 	}
 	p.mu.Lock()
-	next.run, next.told, next.last, next.version = old.run, old.told, p.log.Now(), old.version
-	old.told = map[string]string{} // what still waits there is told nothing that counts
-	p.offices[sender] = next
+	next.run, next.listSent, next.last, next.version = old.run, old.listSent, p.log.Now(), old.version
+	old.listSent = map[string]string{} // what still waits there is told nothing that counts
+	p.feeds[sender] = next
 	p.mu.Unlock()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), oldCloses)
@@ -164,26 +164,26 @@
 func (p *Platform) Started(sender string, run int, fresh bool) Targets {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	o := p.offices[sender]
+	o := p.feeds[sender]
 	o.run, o.last, o.failed = run, p.log.Now(), false
 	if p.zone != nil { // it reads the file as it is
-		p.tell(o, p.whole(), "zone")
+		p.notify(o, p.completeList(), "zone")
 		return Targets{Version: p.version, Full: true, Servers: []Target{}}
 	}
-	if fresh || len(o.told) == 0 {
-		o.told = map[string]string{}
-		whole := p.whole()
-		p.tell(o, whole, "known")
+	if fresh || len(o.listSent) == 0 {
+		o.listSent = map[string]string{}
+		whole := p.completeList()
+		p.notify(o, whole, "known")
 		return whole
 	}
 	known := Targets{Version: o.version, Full: true, Servers: []Target{}}
 	for _, t := range p.sorted() {
-		if state, ok := o.told[t.ID]; ok && state != Deleted {
+		if state, ok := o.listSent[t.ID]; ok && state != Deleted {
 			t.State = state
 			known.Servers = append(known.Servers, t)
 		}
 	}
-	p.tell(o, known, "known")
+	p.notify(o, known, "known")
 	return known
 }
 
@@ -191,7 +191,7 @@
 func (p *Platform) Addr(sender string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.offices[sender].addr
+	return p.feeds[sender].addr
 }
 
 // Set changes a line of the list.
@@ -210,11 +210,11 @@
 			}
 		}
 		if err := p.zone(listed); err != nil {
-			p.log.Add(eventlog.Event{Kind: eventlog.Fault, Note: fmt.Sprintf("zone file: %v", err)})
+			p.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: fmt.Sprintf("zone file: %v", err)})
 		}
-		for _, o := range p.offices {
+		for _, o := range p.feeds {
 			if o.run > 0 {
-				p.tell(o, Targets{Version: p.version, Servers: []Target{t}}, "zone")
+				p.notify(o, Targets{Version: p.version, Servers: []Target{t}}, "zone")
 			}
 		}
 	}
@@ -239,7 +239,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	close(p.stop)
-	for _, o := range p.offices {
+	for _, o := range p.feeds {
 		o.server.Close()
 	}
 }
@@ -253,7 +253,7 @@
 	return all
 }
 
-func (p *Platform) whole() Targets {
+func (p *Platform) completeList() Targets {
 	t := Targets{Version: p.version, Full: true, Servers: []Target{}}
 	for _, line := range p.sorted() {
 		if line.State != Deleted {
@@ -277,15 +277,15 @@
 	return t
 }
 
-// tell books what a sender has been told. The lock is held.
-func (p *Platform) tell(o *office, t Targets, how string) {
+// notify books what a sender has been told. The lock is held.
+func (p *Platform) notify(o *senderFeed, t Targets, how string) {
 	lines := t.Servers
 	if t.Full {
 		listed := map[string]bool{}
 		for _, line := range t.Servers {
 			listed[line.ID] = true
 		}
-		for id, state := range o.told {
+		for id, state := range o.listSent {
 			if !listed[id] && state != Deleted {
 				line := p.list[id]
 				line.State = Deleted
@@ -295,22 +295,22 @@
 	}
 	slices.SortStableFunc(lines, func(a, b Target) int { return cmp.Compare(a.ID, b.ID) })
 	for _, line := range lines {
-		if o.told[line.ID] == line.State {
+		if o.listSent[line.ID] == line.State {
 			continue
 		}
-		o.told[line.ID] = line.State
-		p.log.Add(eventlog.Event{Kind: eventlog.Told, Sender: o.sender, Run: o.run, Endpoint: line.ID, Dest: line.Cell, State: line.State, Note: how})
+		o.listSent[line.ID] = line.State
+		p.log.Add(eventlog.Event{Kind: eventlog.ListSent, Sender: o.sender, Run: o.run, Endpoint: line.ID, Dest: line.Cell, State: line.State, Detail: how})
 	}
 	if how != "deemed" {
 		o.version = max(o.version, t.Version)
 	}
 }
 
-func (p *Platform) targets(o *office, w http.ResponseWriter, r *http.Request) {
+func (p *Platform) targets(o *senderFeed, w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	watch := err == nil
 	wait, _ := strconv.ParseInt(r.URL.Query().Get("wait_ms"), 10, 64)
-	limit := time.NewTimer(min(time.Duration(wait)*time.Millisecond, watchMost))
+	limit := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWatch))
 	defer limit.Stop()
 	p.mu.Lock()
 	o.watching++
@@ -350,7 +350,7 @@
 		}
 		p.mu.Lock()
 	}
-	t := p.whole()
+	t := p.completeList()
 	if watch {
 		t = p.since(after)
 	}
@@ -368,7 +368,7 @@
 	}
 	p.mu.Lock()
 	if err == nil && !named {
-		p.tell(o, t, "")
+		p.notify(o, t, "")
 	}
 	end(err != nil)
 }
@@ -385,7 +385,7 @@
 		}
 		p.mu.Lock()
 		now := p.log.Now()
-		for _, o := range p.offices {
+		for _, o := range p.feeds {
 			within := askWithin
 			if o.failed {
 				within *= afterFailed
@@ -407,13 +407,13 @@
 			for _, t := range last {
 				listed.Servers = append(listed.Servers, t)
 			}
-			p.tell(o, listed, "deemed")
+			p.notify(o, listed, "deemed")
 		}
 		p.mu.Unlock()
 	}
 }
 
-func (p *Platform) notices(o *office, w http.ResponseWriter, r *http.Request) {
+func (p *Platform) notices(o *senderFeed, w http.ResponseWriter, r *http.Request) {
 	type line struct {
 		Message string  `json:"message"`
 		Outcome string  `json:"outcome"`
--- a/internal/faulttest/platform/platform_test.go
+++ b/internal/faulttest/platform/platform_test.go
@@ -56,10 +56,10 @@
 	return Target{ID: id, Addr: "127.0.0.1:1", Cell: cell, State: state}
 }
 
-// told is what the log says a sender was told, in order.
-func told(log *eventlog.Log, note string) (lines []string) {
+// listSent is what the log says a sender was told, in order.
+func listSent(log *eventlog.Log, note string) (lines []string) {
 	for _, e := range log.Events() {
-		if e.Kind == eventlog.Told && e.Note == note {
+		if e.Kind == eventlog.ListSent && e.Detail == note {
 			lines = append(lines, e.Endpoint+" "+e.State)
 		}
 	}
@@ -93,7 +93,7 @@
 	eventually(t, "nobody watches", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.offices["n0"].watching == 1
+		return p.feeds["n0"].watching == 1
 	})
 	p.Set(target("a", 0, Deleted))
 	if l := <-answer; l.Version != 3 || l.Full || len(l.Servers) != 1 || l.Servers[0].State != Deleted {
@@ -109,19 +109,19 @@
 		t.Errorf("whole: %+v", l)
 	}
 	eventually(t, "what was told is not written down", func() bool {
-		return strings.Join(told(log, ""), ", ") == "a SERVING, b SERVING, a DELETED"
+		return strings.Join(listSent(log, ""), ", ") == "a SERVING, b SERVING, a DELETED"
 	})
 }
 
 // A whole list tells of what it lacks: an endpoint that was there is gone.
-func TestWholeListTellsOfWhatIsGone(t *testing.T) {
+func TestCompleteList_OmitsRemovedEndpoints(t *testing.T) {
 	p, log, addr, _ := start(t)
 	p.Set(target("a", 0, Serving))
 	get(t, addr, "")
 	p.Set(target("a", 0, Draining))
 	p.Set(target("a", 0, Deleted))
 	get(t, addr, "")
-	eventually(t, "not told", func() bool { return strings.Join(told(log, ""), ", ") == "a SERVING, a DELETED" })
+	eventually(t, "not told", func() bool { return strings.Join(listSent(log, ""), ", ") == "a SERVING, a DELETED" })
 }
 
 // While it is down calls fail and watches end; then all works again.
@@ -135,7 +135,7 @@
 	eventually(t, "nobody watches", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.offices["n0"].watching == 1
+		return p.feeds["n0"].watching == 1
 	})
 	p.Down(true)
 	if s := <-status; s != http.StatusServiceUnavailable {
@@ -178,7 +178,7 @@
 	eventually(t, "nobody watches", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.offices["n0"].watching == 1
+		return p.feeds["n0"].watching == 1
 	})
 	next, err := p.Move("n0")
 	if err != nil {
@@ -215,7 +215,7 @@
 		t.Errorf("restarted, it last had: %+v", l)
 	}
 	get(t, addr, "")
-	eventually(t, "not told", func() bool { return len(told(log, "")) == 2 })
+	eventually(t, "not told", func() bool { return len(listSent(log, "")) == 2 })
 	if l := p.Started("n0", 3, false); len(l.Servers) != 2 || l.Servers[0].State != Draining {
 		t.Errorf("restarted, it last had: %+v", l)
 	}
--- a/internal/faulttest/policytest/check.go
+++ b/internal/faulttest/policytest/check.go
@@ -32,8 +32,8 @@
 func Check(r *Result) Verdict {
 	var v Verdict
 	broken := func(format string, args ...any) { v.Broken = append(v.Broken, fmt.Sprintf(format, args...)) }
-	if len(slices.Compact(slices.Clone(r.Ends))) > 1 {
-		broken("senders tell different pasts: %q", r.Ends)
+	if len(slices.Compact(slices.Clone(r.FinalHistories))) > 1 {
+		broken("senders tell different pasts: %q", r.FinalHistories)
 	}
 	last := uint64(0)
 	for n := range r.Seen {
@@ -139,7 +139,7 @@
 	}
 	var ops []porcupine.Operation
 	for i, c := range changes {
-		end := int64(c.Told)
+		end := int64(c.Acknowledged)
 		if !c.Known {
 			end = int64(time.Hour)
 			if n := c.Base + 1; n < top && !made[n] {
--- a/internal/faulttest/policytest/check_test.go
+++ b/internal/faulttest/policytest/check_test.go
@@ -19,10 +19,10 @@
 func sound() *Result {
 	return &Result{
 		Events: []eventlog.Event{call(1*second, 0), call(1*second, 1), call(11*second, 0), call(12*second, 0), call(21*second, 1), call(22*second, 1)},
-		Changes: []Change{{Base: 0, Asked: 9 * second, Version: 1, Known: true, Told: 10 * second}, {Base: 1, Asked: 19 * second, Version: 2, Known: true, Told: 20 * second},
-			{Base: 0, Asked: 11 * second, Known: true, Refused: "it was made from version 0; version 1 is in force", InForce: 1, Told: 12 * second}},
-		Seen: map[uint64]time.Duration{1: 10 * second, 2: 20 * second},
-		Ends: []string{"a", "a", "a"},
+		Changes: []Change{{Base: 0, Asked: 9 * second, Version: 1, Known: true, Acknowledged: 10 * second}, {Base: 1, Asked: 19 * second, Version: 2, Known: true, Acknowledged: 20 * second},
+			{Base: 0, Asked: 11 * second, Known: true, Refused: "it was made from version 0; version 1 is in force", InForce: 1, Acknowledged: 12 * second}},
+		Seen:           map[uint64]time.Duration{1: 10 * second, 2: 20 * second},
+		FinalHistories: []string{"a", "a", "a"},
 	}
 }
 
@@ -38,11 +38,11 @@
 		"a call under the version before":     {func(r *Result) { r.Events = append(r.Events, call(21500*time.Millisecond, 0)) }, "n1 called receiver 0"},
 		"one sender still, much later":        {func(r *Result) { r.Events = append(r.Events, call(23*second, 0)) }, "n1 called receiver 0"},
 		"a call under a version not proposed": {func(r *Result) { r.Events = append(r.Events, call(15*second, 1)) }, "n1 called receiver 1"},
-		"senders of two minds":                {func(r *Result) { r.Ends[1] = "b" }, "different pasts"},
+		"senders of two minds":                {func(r *Result) { r.FinalHistories[1] = "b" }, "different pasts"},
 		"a version that nobody made":          {func(r *Result) { r.Seen[3] = 21 * second }, "nobody has proposed it"},
 		"one that was aborted is in force":    {func(r *Result) { r.Changes[1].Aborted, r.Changes[1].Version = true, 0 }, "nobody has proposed it"},
 		"two changes made one version": {func(r *Result) {
-			r.Changes = append(r.Changes, Change{Base: 1, Asked: 21 * second, Version: 2, Known: true, Told: 22 * second})
+			r.Changes = append(r.Changes, Change{Base: 1, Asked: 21 * second, Version: 2, Known: true, Acknowledged: 22 * second})
 		}, "no order of the commands"},
 		"refused by a version that came later": {func(r *Result) { r.Changes[2].InForce = 2 }, "no order of the commands"},
 		"a version skipped":                    {func(r *Result) { r.Changes[1].Version = 3 }, "made version 3"},
--- a/internal/faulttest/policytest/concord.go
+++ b/internal/faulttest/policytest/policytest.go
@@ -27,51 +27,51 @@
 
 // Options say what is played.
 type Options struct {
-	Seed    uint64
-	Senders int
-	Voters  int
-	Seconds float64       // of faults and changes; healing comes behind
-	Lease   time.Duration // default 1s
-	Quiet   bool          // no faults
-	KillAll bool          // all are killed at once, twice
-	CutOff  bool          // the last sender is cut off from all others before the first change, and stays so
-	Down    int           // so many are killed before the first change and stay so
-	Command []string      // the sender's program
-	Folder  string
+	Seed          uint64
+	Senders       int
+	Voters        int
+	Seconds       float64       // of faults and changes; healing comes behind
+	Lease         time.Duration // default 1s
+	Quiet         bool          // no faults
+	KillAll       bool          // all are killed at once, twice
+	PartitionLast bool          // the last sender is cut off from all others before the first change, and stays so
+	Down          int           // so many are killed before the first change and stay so
+	Command       []string      // the sender's program
+	Folder        string
 }
 
 // Change is one that an operator handed in, as that operator and others saw it. Times are the day's.
 type Change struct {
-	Base    uint64
-	Asked   time.Duration
-	Version uint64        // that it made; 0: none, or unknown
-	Known   bool          // how it ended was told
-	Refused string        // by the fleet, at once
-	InForce uint64        // then, if Refused says so
-	Aborted bool          // it was
-	Told    time.Duration // its end, to the operator
+	Base         uint64
+	Asked        time.Duration
+	Version      uint64        // that it made; 0: none, or unknown
+	Known        bool          // how it ended was told
+	Refused      string        // by the fleet, at once
+	InForce      uint64        // then, if Refused says so
+	Aborted      bool          // it was
+	Acknowledged time.Duration // its end, to the operator
 }
 
 // Result is what became of a day.
 type Result struct {
-	Events  []eventlog.Event
-	Changes []Change
-	Seen    map[uint64]time.Duration // a version was first seen at some sender
-	Ends    []string                 // of each sender: its past, when all was healed
-	Faults  int
+	Events         []eventlog.Event
+	Changes        []Change
+	Seen           map[uint64]time.Duration // a version was first seen at some sender
+	FinalHistories []string                 // of each sender: its past, when all was healed
+	Faults         int
 }
 
 const (
-	look      = 15 * time.Millisecond // senders are asked for the version so often
-	askTime   = 300 * time.Millisecond
-	healTime  = 30 * time.Second // all senders are of one mind within it
-	pauseMost = 2500 * time.Millisecond
-	calm      = 4 * time.Second // of traffic behind the faults
+	look       = 15 * time.Millisecond // senders are asked for the version so often
+	askTime    = 300 * time.Millisecond
+	healTime   = 30 * time.Second // all senders are of one mind within it
+	maxSuspend = 2500 * time.Millisecond
+	calm       = 4 * time.Second // of traffic behind the faults
 
 	twoOperators = 2
-	// standTime is how long a version stands on a day with a sender cut off before the next is proposed. Once the next is
+	// minVersionTime is how long a version stands on a day with a sender cut off before the next is proposed. Once the next is
 	// proposed a call that the version forbids may be that one's: only what comes before tells a sender that has left it for sure.
-	standTime = 1500 * time.Millisecond
+	minVersionTime = 1500 * time.Millisecond
 )
 
 // Script is the day of a seed: traffic for two receivers, and faults.
@@ -87,7 +87,7 @@
 	for i := range o.Down {
 		fmt.Fprintf(&b, "[[sender]]\ndo = \"pause\"\nwhich = \"n%d\"\nat = \"50ms\"\nfor = \"%vs\"\n", o.Senders-1-i, o.Seconds+5)
 	}
-	if o.CutOff {
+	if o.PartitionLast {
 		fmt.Fprintf(&b, "[[link]]\ndo = \"cut\"\nfrom = \"n%d\"\nto = \"all\"\nboth = true\nat = \"1s\"\nfor = \"%vs\"\n", o.Senders-1, o.Seconds)
 	}
 	if o.KillAll {
@@ -121,7 +121,7 @@
 		for c == a {
 			c = which()
 		}
-		lasts := span(200*time.Millisecond, pauseMost)
+		lasts := span(200*time.Millisecond, maxSuspend)
 		switch n := rng.IntN(10); {
 		case n < 2: // one way
 			fmt.Fprintf(&b, "[[link]]\ndo = \"cut\"\nfrom = \"n%d\"\nto = \"n%d\"\nat = \"%v\"\nfor = \"%v\"\n", a, c, at, lasts)
@@ -186,7 +186,7 @@
 		Open    *struct {
 			ID uint64 `json:"id"`
 		} `json:"open"`
-		Past []struct {
+		History []struct {
 			ID      uint64 `json:"id"`
 			Version uint64 `json:"version"`
 			Ended   string `json:"ended"`
@@ -277,7 +277,7 @@
 // during makes changes until the day's time is over, then has all healed and waits until the senders are of one mind.
 func (p *play) during(ctx context.Context, d *day.Day) {
 	p.d = d
-	if p.o.CutOff {
+	if p.o.PartitionLast {
 		p.o.Down = max(1, p.o.Down) // operators are at the others
 		time.Sleep(time.Second)
 	}
@@ -295,8 +295,8 @@
 		}()
 	}
 	count, stands := twoOperators, time.Duration(0)
-	if p.o.CutOff { // two would nearly always have the next one proposed
-		count, stands = 1, standTime
+	if p.o.PartitionLast { // two would nearly always have the next one proposed
+		count, stands = 1, minVersionTime
 	}
 	for n := range count { // each at senders of its own choice
 		operators.Add(1)
@@ -334,7 +334,7 @@
 	q := url.Values{"base": {fmt.Sprint(c.Base)}, "wait": {"20s"}, "why": {"concord"}}
 	var in struct{ Change uint64 }
 	err = p.ask(ctx, at, http.MethodPost, "/policy/propose?"+q.Encode(), []byte(Document(c.Base+1)), 5*time.Second, &in)
-	c.Told = p.d.Now()
+	c.Acknowledged = p.d.Now()
 	var said *answerError
 	switch {
 	case errors.As(err, &said) && said.status == http.StatusConflict:
@@ -356,9 +356,9 @@
 			if err != nil {
 				continue
 			}
-			for _, past := range r.Policy.Past {
+			for _, past := range r.Policy.History {
 				if past.ID == id {
-					c.Known, c.Version, c.Aborted, c.Told = true, past.Version, past.Version == 0, p.d.Now()
+					c.Known, c.Version, c.Aborted, c.Acknowledged = true, past.Version, past.Version == 0, p.d.Now()
 					return c
 				}
 			}
@@ -389,17 +389,17 @@
 		same := true
 		for i := range ends {
 			r, err := p.look(ctx, i)
-			raw, _ := json.Marshal(r.Policy.Past)
+			raw, _ := json.Marshal(r.Policy.History)
 			if ends[i] = string(raw); err != nil || !r.Acts || r.Policy.Open != nil {
 				ends[i], same = fmt.Sprintf("acts %v, open %v, %v", r.Acts, r.Policy.Open, err), false
 			}
 		}
 		if same && len(slices.Compact(slices.Clone(ends))) == 1 {
-			p.r.Ends = ends
+			p.r.FinalHistories = ends
 			return nil
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			p.r.Ends = ends
+			p.r.FinalHistories = ends
 			return fmt.Errorf("%v after all was healed the senders are not of one mind: %q", healTime, ends)
 		}
 	}
--- a/internal/faulttest/quotatest/ration.go
+++ b/internal/faulttest/quotatest/quotatest.go
@@ -21,57 +21,57 @@
 
 // Options say what is played.
 type Options struct {
-	Seed    uint64
-	Senders int
-	Voters  int
-	Seconds float64 // of faults, once the limit is in force
-	Lease   time.Duration
-	Units   int // calls in a span that the limit of receiver 0 allows; default by seed
-	Span    time.Duration
-	Over    int
-	Rate    float64       // messages a second for each of the two receivers; default twice the limit
-	Halve   bool          // the limit is halved in the middle
-	Lend    time.Duration // how long units are lent for; default the sender's own
-	Transit time.Duration // of the limit; default 100ms, as the kit's processes share the machine's cores with the senders
-	GoOn    bool          // senders that are cut off go on, as far as limits let them
-	Kill    string        // a sender that is killed a little after the last one is cut off
-	Outage  time.Duration // receiver 0 hangs for so long, from a little after the begin of the faults
-	Verdict bool          // the fleet holds together whether it is out
-	Free    bool          // no limit of the fleet's
-	Own     bool          // both receivers keep that limit themselves, and refuse what is above it
-	Quiet   bool          // no faults
-	KillAll bool          // all are killed at once, twice
-	CutOff  bool          // the last sender is cut off from all others once the limit is in force
-	Command []string
-	Folder  string
+	Seed          uint64
+	Senders       int
+	Voters        int
+	Seconds       float64 // of faults, once the limit is in force
+	Lease         time.Duration
+	Units         int // calls in a span that the limit of receiver 0 allows; default by seed
+	Span          time.Duration
+	Over          int
+	Rate          float64       // messages a second for each of the two receivers; default twice the limit
+	Halve         bool          // the limit is halved in the middle
+	Lend          time.Duration // how long units are lent for; default the sender's own
+	Transit       time.Duration // of the limit; default 100ms, as the kit's processes share the machine's cores with the senders
+	GoOn          bool          // senders that are cut off go on, as far as limits let them
+	Kill          string        // a sender that is killed a little after the last one is cut off
+	Outage        time.Duration // receiver 0 hangs for so long, from a little after the begin of the faults
+	Verdict       bool          // the fleet holds together whether it is out
+	Free          bool          // no limit of the fleet's
+	Own           bool          // both receivers keep that limit themselves, and refuse what is above it
+	Quiet         bool          // no faults
+	KillAll       bool          // all are killed at once, twice
+	PartitionLast bool          // the last sender is cut off from all others once the limit is in force
+	Command       []string
+	Folder        string
 }
 
 // Result is what became of a day.
 type Result struct {
 	Events  []eventlog.Event
 	Options Options
-	Words   []Word // limits that were in force, and from when they bind
+	Limits  []Limit // limits that were in force, and from when they bind
 	Faults  int
 	Healed  time.Duration // all is sound from here on
 
-	mu   sync.Mutex
-	Held map[uint64]*Held // verdicts on receiver 0 as senders showed them, by the entry from which each stands
+	mu       sync.Mutex
+	Verdicts map[uint64]*ShownVerdict // verdicts on receiver 0 as senders showed them, by the entry from which each stands
 }
 
-// Held is a verdict that some sender was seen to go by.
-type Held struct {
-	Sort        string
+// ShownVerdict is a verdict that some sender was seen to go by.
+type ShownVerdict struct {
+	Kind        string
 	First, Last time.Duration
 	Gone        time.Duration // a sender that had shown it was seen without it, not before then; 0: none was
 }
 
-// ends is until when it surely stood: another that follows it, or its end, may have been known before it was seen.
-func (r *Result) ends(h *Held) time.Duration {
+// lastCertain is until when it surely stood: another that follows it, or its end, may have been known before it was seen.
+func (r *Result) lastCertain(h *ShownVerdict) time.Duration {
 	end := h.Last
 	if h.Gone > 0 {
 		end = min(end, h.Gone-eager)
 	}
-	for _, o := range r.Held {
+	for _, o := range r.Verdicts {
 		if o.First > h.First {
 			end = min(end, o.First-eager)
 		}
@@ -79,8 +79,8 @@
 	return end
 }
 
-// Word is a limit that binds from a time on.
-type Word struct {
+// Limit is a limit that binds from a time on.
+type Limit struct {
 	From  time.Duration
 	Units int
 }
@@ -143,7 +143,7 @@
 	if o.Own { // what a receiver takes is stated over its calls at full load
 		fmt.Fprintf(&b, "[[kind]]\nname = \"limited\"\nlimit = \"window\"\nwindow = \"%v\"\nlimit_room = [%[2]g, %[2]g]\nreports = true\n", o.Span, 1.001*float64(o.Units)/o.Span.Seconds()*load/o.Rate)
 	}
-	if o.CutOff {
+	if o.PartitionLast {
 		fmt.Fprintf(&b, "[[link]]\ndo = \"cut\"\nfrom = \"n%d\"\nto = \"all\"\nboth = true\nat = \"%v\"\nfor = \"%vs\"\n", o.Senders-1, begins+2*time.Second, o.Seconds)
 	}
 	if o.Outage > 0 {
@@ -170,7 +170,7 @@
 		text = "cut_off = \"go-on\"\ngo_on_for = \"5m\"\n"
 	}
 	if o.Verdict {
-		text += fmt.Sprintf("[[verdict]]\ndestinations = [0]\nprobe = \"%v\"\ncold = %d\nwarm = %d\nwarm_for = \"%v\"\nlasts = \"6s\"\ntransit = \"%v\"\n", Probe, Cold, Warm, WarmFor, o.Transit)
+		text += fmt.Sprintf("[[verdict]]\ndestinations = [0]\nprobe = \"%v\"\ncold = %d\nwarm = %d\nwarm_for = \"%v\"\nlasts = \"6s\"\ntransit = \"%v\"\n", Probe, SlowStartRate, Warm, WarmFor, o.Transit)
 	}
 	if o.Free {
 		return []byte(text)
@@ -193,7 +193,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{Options: o, Faults: len(plan.Acts), Held: map[uint64]*Held{}}
+	r := &Result{Options: o, Faults: len(plan.Acts), Verdicts: map[uint64]*ShownVerdict{}}
 	var failed error
 	r.Events, _, err = day.Play(ctx, plan, day.Options{Command: o.Command, Folder: o.Folder, During: func(ctx context.Context, d *day.Day) { failed = r.during(ctx, d) }})
 	return r, errors.Join(err, failed)
@@ -207,7 +207,7 @@
 		if err != nil {
 			return err
 		}
-		r.Words = append(r.Words, Word{at + o.binds(len(r.Words) > 0), units})
+		r.Limits = append(r.Limits, Limit{at + o.binds(len(r.Limits) > 0), units})
 		return nil
 	}
 	if err := limit(o.Units); err != nil {
@@ -259,14 +259,14 @@
 				continue
 			}
 			now = v.Since
-			h := r.Held[v.Since]
+			h := r.Verdicts[v.Since]
 			if h == nil {
-				h = &Held{Sort: v.Verdict, First: d.Now()}
-				r.Held[v.Since] = h
+				h = &ShownVerdict{Kind: v.Verdict, First: d.Now()}
+				r.Verdicts[v.Since] = h
 			}
 			h.Last = max(h.Last, before) // it was still so when it was asked
 		}
-		if h := r.Held[shown]; h != nil && now != shown && (h.Gone == 0 || last < h.Gone) {
+		if h := r.Verdicts[shown]; h != nil && now != shown && (h.Gone == 0 || last < h.Gone) {
 			h.Gone = last
 		}
 		last, shown = before, now
@@ -301,10 +301,10 @@
 
 // The rule of a day with verdicts.
 const (
-	Probe   = 500 * time.Millisecond
-	Cold    = 5
-	Warm    = 60
-	WarmFor = 8 * time.Second
+	Probe         = 500 * time.Millisecond
+	SlowStartRate = 5
+	Warm          = 60
+	WarmFor       = 8 * time.Second
 
 	// acts is how long after a verdict was first seen somewhere each sender goes by it: one that has not heard of it has no lease by then.
 	acts  = 1500 * time.Millisecond
@@ -314,12 +314,12 @@
 
 // Return is what became of a receiver's outage, as the receiver saw it.
 type Return struct {
-	Broken []string
-	Judged int           // calls that came under a verdict
-	Probes int           // and of those, while it was held to be out
-	Most   int           // calls that came in one second within WarmFor of its return
-	Early  int           // calls that came in the first two seconds of it
-	Full   time.Duration // from its return until four fifths of what is handed in for it are served again
+	Broken    []string
+	Judged    int           // calls that came under a verdict
+	Probes    int           // and of those, while it was held to be out
+	PeakCalls int           // calls that came in one second within WarmFor of its return
+	Early     int           // calls that came in the first two seconds of it
+	Full      time.Duration // from its return until four fifths of what is handed in for it are served again
 }
 
 // CheckReturn judges an outage: while a verdict was seen to stand at some sender, from a lease after it was first seen, one call of all
@@ -331,9 +331,9 @@
 		t := time.Duration(e.T) * time.Microsecond
 		switch {
 		case e.Dest != 0:
-		case e.Kind == eventlog.Trouble && e.State == "on":
+		case e.Kind == eventlog.FaultChanged && e.State == "on":
 			off = t
-		case e.Kind == eventlog.Trouble:
+		case e.Kind == eventlog.FaultChanged:
 			on = t
 		case e.Kind == eventlog.Call:
 			calls = append(calls, time.Duration(e.First)*time.Microsecond)
@@ -350,14 +350,14 @@
 	}
 	// most is how many may come in a span that ends at a time.
 	most := func(t time.Duration) (n int, span time.Duration) {
-		for _, h := range r.Held {
+		for _, h := range r.Verdicts {
 			switch since := t - h.First; {
-			case t > r.ends(h):
-			case h.Sort == "out" && since > acts+Probe:
+			case t > r.lastCertain(h):
+			case h.Kind == "out" && since > acts+Probe:
 				return 1, Probe
-			case h.Sort == "cold" && since > acts+time.Second:
-				grown := float64(Warm-Cold) * (since + eager).Seconds() / WarmFor.Seconds()
-				return min(Warm, Cold+int(grown)), time.Second
+			case h.Kind == "cold" && since > acts+time.Second:
+				grown := float64(Warm-SlowStartRate) * (since + eager).Seconds() / WarmFor.Seconds()
+				return min(Warm, SlowStartRate+int(grown)), time.Second
 			}
 		}
 		return 0, 0
@@ -375,7 +375,7 @@
 			second++
 		}
 		if t > back && t < back+WarmFor {
-			v.Most = max(v.Most, second)
+			v.PeakCalls = max(v.PeakCalls, second)
 		}
 		if span > 0 {
 			v.Judged++
@@ -404,10 +404,10 @@
 
 // Verdict is what the checker found.
 type Verdict struct {
-	Broken []string
-	Calls  int // of receiver 0 that were judged
-	Most   int // in a span
-	Spans  int // that were full
+	Broken   []string
+	Calls    int // of receiver 0 that were judged
+	MaxUnits int // in a span
+	Spans    int // that were full
 	// Used is what share of the limit was used while all was sound: behind the healing, or all the time on a quiet day.
 	Used    float64
 	Refused int // answers of receiver 0 that was over a limit of its own, once the fleet's would bind
@@ -435,10 +435,10 @@
 		}
 	}
 	slices.Sort(at)
-	for i, w := range r.Words {
+	for i, w := range r.Limits {
 		until := end
-		if i+1 < len(r.Words) {
-			until = r.Words[i+1].From // what is lower binds then
+		if i+1 < len(r.Limits) {
+			until = r.Limits[i+1].From // what is lower binds then
 		}
 		most := w.Units + o.Over*o.Senders
 		first := 0
@@ -452,7 +452,7 @@
 			}
 			n := j + 1 - first
 			v.Calls++
-			v.Most = max(v.Most, n)
+			v.MaxUnits = max(v.MaxUnits, n)
 			if n == w.Units {
 				v.Spans++
 			}
@@ -462,10 +462,10 @@
 			}
 		}
 	}
-	if n := len(r.Words); n > 0 {
-		from := max(r.Words[n-1].From, r.Healed+heals)
-		if o.Quiet && !o.KillAll && !o.CutOff {
-			from = r.Words[n-1].From
+	if n := len(r.Limits); n > 0 {
+		from := max(r.Limits[n-1].From, r.Healed+heals)
+		if o.Quiet && !o.KillAll && !o.PartitionLast {
+			from = r.Limits[n-1].From
 		}
 		until := begins + time.Duration(o.Seconds*float64(time.Second)) + calm
 		used := 0
@@ -475,7 +475,7 @@
 			}
 		}
 		if until > from+o.Span {
-			v.Used = float64(used) / (float64(r.Words[n-1].Units) * (until - from).Seconds() / o.Span.Seconds())
+			v.Used = float64(used) / (float64(r.Limits[n-1].Units) * (until - from).Seconds() / o.Span.Seconds())
 		}
 	}
 	return v
--- a/internal/faulttest/receiver/model.go
+++ b/internal/faulttest/receiver/model.go
@@ -27,18 +27,18 @@
 	Window    time.Duration // of a limit that counts in fixed spans
 	TellsWait time.Duration // over 0: above the limit the answer is 429 with a wait
 
-	MostConns  int           // connections of an endpoint, idle ones counted; 0: any number
-	IdleClose  time.Duration // an idle connection is closed after this
-	Reports    bool          // answers hold x0 and x1
-	ReportEach time.Duration // refreshed so often
-	ReportLate time.Duration // and shown so much later
+	MaxConnections int           // connections of an endpoint, idle ones counted; 0: any number
+	IdleClose      time.Duration // an idle connection is closed after this
+	Reports        bool          // answers hold x0 and x1
+	ReportEach     time.Duration // refreshed so often
+	ReportLate     time.Duration // and shown so much later
 
-	Form encoding.Form // of calls; "" for the platform's
+	Format encoding.Format // of calls; "" for the platform's
 
-	ColdFrom     float64       // share of its capacity right after an outage
-	Cold         time.Duration // warm after this
-	FallMultiple float64       // more than this multiple of its present capacity
-	FallSpan     time.Duration // for this long knocks it over while it is cold
+	SlowStartCapacity float64       // share of its capacity right after an outage
+	SlowStart         time.Duration // warm after this
+	FallMultiple      float64       // more than this multiple of its present capacity
+	FallSpan          time.Duration // for this long knocks it over while it is cold
 }
 
 // Outcome is how a call ends at the receiver.
@@ -75,16 +75,16 @@
 	rng  *rand.Rand
 	now  time.Duration
 
-	on        map[int]fault.Trouble // by number
-	cond      fault.Condition
-	endpoints []endpoint
-	held      []job // in silence: taken, not begun
+	on         map[int]fault.Fault // by number
+	cond       fault.Condition
+	endpoints  []endpoint
+	unanswered []job // in silence: taken, not begun
 
-	out    bool          // an outage is on
-	cold   bool          // since back
-	back   time.Duration // when the last outage ended
-	fell   bool
-	recent []time.Duration // calls since back, within the span
+	out     bool          // an outage is on
+	warming bool          // since back
+	back    time.Duration // when the last outage ended
+	fell    bool
+	recent  []time.Duration // calls since back, within the span
 
 	tokens  float64 // of a rate
 	filled  time.Duration
@@ -102,7 +102,7 @@
 
 // NewModel makes a receiver with so many endpoints.
 func NewModel(spec Spec, endpoints int, seed uint64) *Model {
-	m := &Model{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x7265686561727365)), on: map[int]fault.Trouble{},
+	m := &Model{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x7265686561727365)), on: map[int]fault.Fault{},
 		cond: fault.Combine(nil), endpoints: make([]endpoint, endpoints), shown: report{left: 1}}
 	m.tokens = m.burst()
 	return m
@@ -122,7 +122,7 @@
 		out = append(out, Outcome{Call: j.call, Dropped: true})
 	}
 	*ep = endpoint{gone: true}
-	m.held = slices.DeleteFunc(m.held, func(j job) bool {
+	m.unanswered = slices.DeleteFunc(m.unanswered, func(j job) bool {
 		if j.endpoint == e {
 			out = append(out, Outcome{Call: j.call, Dropped: true})
 		}
@@ -140,18 +140,18 @@
 
 // Warmth is the share of its capacity that the receiver has at a time, were it not out.
 func (m *Model) Warmth(now time.Duration) float64 {
-	if !m.cold || m.spec.Cold <= 0 {
+	if !m.warming || m.spec.SlowStart <= 0 {
 		return 1
 	}
-	part := float64(now-m.back) / float64(m.spec.Cold)
-	return min(1, m.spec.ColdFrom+(1-m.spec.ColdFrom)*part)
+	part := float64(now-m.back) / float64(m.spec.SlowStart)
+	return min(1, m.spec.SlowStartCapacity+(1-m.spec.SlowStartCapacity)*part)
 }
 
 // Begin lets a trouble run from now on, under a number of its own.
-func (m *Model) Begin(now time.Duration, number int, t fault.Trouble) ([]Outcome, Change) {
+func (m *Model) Begin(now time.Duration, number int, t fault.Fault) ([]Outcome, Change) {
 	out := m.Advance(now)
 	var c Change
-	if t.Kind == fault.Cold {
+	if t.Kind == fault.SlowStart {
 		if !m.out { // within an outage its end does the same
 			m.cool(now)
 		}
@@ -171,13 +171,13 @@
 }
 
 func (m *Model) cool(now time.Duration) {
-	m.cold, m.back, m.recent = true, now, nil
+	m.warming, m.back, m.recent = true, now, nil
 }
 
 // recombine takes in what the troubles now come to.
 func (m *Model) recombine(now time.Duration) ([]Outcome, Change) {
 	was := m.cond
-	var on []fault.Trouble
+	var on []fault.Fault
 	for _, n := range sortedKeys(m.on) {
 		on = append(on, m.on[n])
 	}
@@ -185,13 +185,13 @@
 	var out []Outcome
 	c := Change{}
 	switch {
-	case m.cond.Vanished:
-	case was.Vanished, m.cond.Shut && !was.Shut:
+	case m.cond.Unreachable:
+	case was.Unreachable, m.cond.Shut && !was.Shut:
 		// Back from nowhere its connections mean nothing to it; shutting, it breaks them itself.
 		out, c.Reset = m.dropAll(), true
 	case was.Hung && !m.cond.Hung:
-		held := m.held
-		m.held = nil
+		held := m.unanswered
+		m.unanswered = nil
 		for _, j := range held {
 			if o, full := m.enqueue(j); full {
 				out = append(out, o)
@@ -201,7 +201,7 @@
 	switch is := m.cond.Outage(); {
 	case m.fell: // nothing changes that any more
 	case is && !m.out:
-		m.out, m.cold, c.OutageBegan = true, false, true
+		m.out, m.warming, c.OutageBegan = true, false, true
 	case !is && m.out:
 		m.out, c.OutageEnded = false, true
 		m.cool(now)
@@ -228,10 +228,10 @@
 		}
 		e.serving, e.queue = nil, nil
 	}
-	for _, j := range m.held {
+	for _, j := range m.unanswered {
 		out = append(out, Outcome{Call: j.call, Dropped: true})
 	}
-	m.held = nil
+	m.unanswered = nil
 	return out
 }
 
@@ -251,10 +251,10 @@
 		return append(out, Outcome{Call: call, Dropped: true}), c
 	}
 	switch m.cond.Enter(m.rng.Float64()) {
-	case fault.Silence:
-		m.held = append(m.held, job{call, e, m.service()})
+	case fault.Unresponsive:
+		m.unanswered = append(m.unanswered, job{call, e, m.service()})
 		return out, c
-	case fault.ToldOff:
+	case fault.RateLimited:
 		return append(out, Outcome{Call: call, Status: 429, Wait: m.cond.Wait}), c
 	case fault.Refused:
 		return append(out, Outcome{Call: call, Status: 503}), c
@@ -276,7 +276,7 @@
 
 // weigh counts a call against what a cold receiver bears, and says whether this one knocks it over.
 func (m *Model) weigh(now time.Duration) bool {
-	if !m.cold || m.out || m.fell || m.Warmth(now) >= 1 {
+	if !m.warming || m.out || m.fell || m.Warmth(now) >= 1 {
 		return false
 	}
 	m.recent = append(m.recent, now)
@@ -397,7 +397,7 @@
 
 // speed is how fast service goes at a time.
 func (m *Model) speed(now time.Duration) float64 {
-	if m.cond.Vanished || m.cond.Hung || m.fell {
+	if m.cond.Unreachable || m.cond.Hung || m.fell {
 		return 0
 	}
 	return m.Warmth(now) / m.cond.Slow
@@ -413,7 +413,7 @@
 		v := m.speed(m.now)
 		step := now - m.now
 		if v > 0 {
-			if m.cold && m.Warmth(m.now) < 1 {
+			if m.warming && m.Warmth(m.now) < 1 {
 				step = min(step, slice)
 			}
 			if left, ok := m.shortest(); ok {
@@ -470,7 +470,7 @@
 		return 0, false
 	}
 	d := time.Duration(math.Ceil(float64(left) / v))
-	if m.cold && m.Warmth(m.now) < 1 {
+	if m.warming && m.Warmth(m.now) < 1 {
 		d = min(d, slice) // it gets faster meanwhile
 	}
 	return m.now + max(d, time.Microsecond), true
--- a/internal/faulttest/receiver/model_test.go
+++ b/internal/faulttest/receiver/model_test.go
@@ -14,7 +14,7 @@
 // plain is a receiver that serves each call in 100 ms, ten at once.
 func plain() Spec {
 	return Spec{Slots: 10, Queue: 5, Service: 100 * time.Millisecond, Times: "fixed", Capacity: 100, LimitKind: "none",
-		ColdFrom: 0.2, Cold: 10 * sec, FallMultiple: 2, FallSpan: 3 * sec}
+		SlowStartCapacity: 0.2, SlowStart: 10 * sec, FallMultiple: 2, FallSpan: 3 * sec}
 }
 
 func only(t *testing.T, out []Outcome) Outcome {
@@ -25,9 +25,9 @@
 	return out[0]
 }
 
-// word says what a call that arrives at a time meets: its outcome soon after, or silence.
-func word(m *Model, now time.Duration, call int64) string {
-	if c := m.Condition(); c.Shut && !c.Vanished {
+// answerLine says what a call that arrives at a time meets: its outcome soon after, or silence.
+func answerLine(m *Model, now time.Duration, call int64) string {
+	if c := m.Condition(); c.Shut && !c.Unreachable {
 		return "shut"
 	}
 	out, _ := m.Arrive(now, 0, call)
@@ -45,27 +45,27 @@
 			return "fail"
 		case o.Exit == fault.Broken:
 			return "reset"
-		case o.Exit == fault.Spoilt:
+		case o.Exit == fault.Corrupt:
 			return "spoil"
 		}
 		return "served"
 	}
-	if m.Condition().Vanished {
+	if m.Condition().Unreachable {
 		return "vanish"
 	}
 	return "hang"
 }
 
 // sample is each trouble in its strongest form.
-func sample(k fault.Kind) fault.Trouble {
-	return fault.Trouble{Kind: k, Share: 1, Factor: 3, Wait: 100 * time.Millisecond}
+func sample(k fault.Kind) fault.Fault {
+	return fault.Fault{Kind: k, Fraction: 1, Factor: 3, Wait: 100 * time.Millisecond}
 }
 
 // alone is what a call meets in one trouble. Slow ones, drains, cold ones and closed idle connections are
 // served by the model.
 var alone = map[fault.Kind]string{fault.Vanish: "vanish", fault.Shut: "shut", fault.Hang: "hang", fault.CloseIdle: "served",
 	fault.Wait: "wait", fault.Refuse: "refuse", fault.Fail: "fail", fault.Slow: "served", fault.Reset: "reset",
-	fault.Spoil: "spoil", fault.Drain: "served", fault.Cold: "served"}
+	fault.Spoil: "spoil", fault.Drain: "served", fault.SlowStart: "served"}
 
 // layers is the order of the table in docs/design/rehearsal.md: the first that is on decides.
 var layers = []fault.Kind{fault.Vanish, fault.Shut, fault.Hang, fault.Wait, fault.Refuse, fault.Fail, fault.Reset, fault.Spoil}
@@ -90,7 +90,7 @@
 // Every pair of troubles: a from 1 to 5 s, b from 3 to 7 s, in both orders. While both run the stated one
 // wins; when a ends b goes on as if alone; the outage is one, from its first begin to its last end, and
 // leaves the receiver cold once, at its end.
-func TestEachPairOfTroubles(t *testing.T) {
+func TestModel_EachPairOfFaults(t *testing.T) {
 	for _, a := range fault.All() {
 		for _, b := range fault.All() {
 			t.Run(fmt.Sprintf("%v+%v", a, b), func(t *testing.T) {
@@ -106,7 +106,7 @@
 				}
 				expect := func(at time.Duration, call int64, want string) {
 					t.Helper()
-					if got := word(m, at, call); got != want {
+					if got := answerLine(m, at, call); got != want {
 						t.Errorf("at %v a call meets %s, want %s", at, got, want)
 					}
 				}
@@ -130,23 +130,23 @@
 				case outage(b):
 					outages, from = 1, 7*sec
 				}
-				if a == fault.Cold && from < 0 {
+				if a == fault.SlowStart && from < 0 {
 					from = 1 * sec
 				}
-				if b == fault.Cold && !outage(a) {
+				if b == fault.SlowStart && !outage(a) {
 					from = 3 * sec
 				}
 				if began != outages || ended != outages {
 					t.Errorf("%d outages began and %d ended, want %d", began, ended, outages)
 				}
-				if m.cold != (from >= 0) || (m.cold && m.back != from) {
-					t.Errorf("cold %v since %v, want since %v", m.cold, m.back, from)
+				if m.warming != (from >= 0) || (m.warming && m.back != from) {
+					t.Errorf("cold %v since %v, want since %v", m.warming, m.back, from)
 				}
 				// A minute on all is as ever: what was held in silence has been served, or its connection is gone.
 				m.Advance(30 * sec)
 				expect(60*sec, 5, "served")
-				if len(m.held) != 0 {
-					t.Errorf("%d calls are held yet", len(m.held))
+				if len(m.unanswered) != 0 {
+					t.Errorf("%d calls are held yet", len(m.unanswered))
 				}
 			})
 		}
@@ -154,8 +154,8 @@
 }
 
 // Shares of the same trouble join, factors multiply, the longest wait is told.
-func TestTheSameTroubleTwice(t *testing.T) {
-	c := fault.Combine([]fault.Trouble{{Kind: fault.Fail, Share: 0.5}, {Kind: fault.Fail, Share: 0.5}, {Kind: fault.Slow, Factor: 2},
+func TestModel_SameFaultTwice(t *testing.T) {
+	c := fault.Combine([]fault.Fault{{Kind: fault.Fail, Fraction: 0.5}, {Kind: fault.Fail, Fraction: 0.5}, {Kind: fault.Slow, Factor: 2},
 		{Kind: fault.Slow, Factor: 3}, {Kind: fault.Wait, Wait: sec}, {Kind: fault.Wait, Wait: 3 * sec}})
 	if c.Fails != 0.75 || c.Slow != 6 || c.Wait != 3*sec {
 		t.Errorf("%+v", c)
@@ -168,7 +168,7 @@
 		fail, reset, spoil float64
 		want               bool
 	}{{0.49, 0, 0, false}, {0.5, 0, 0, true}, {0.3, 0.2, 0, false}, {0.3, 0.25, 0, false}, {0.3, 0.2, 0.2, true}} {
-		on := []fault.Trouble{{Kind: fault.Fail, Share: c.fail}, {Kind: fault.Reset, Share: c.reset}, {Kind: fault.Spoil, Share: c.spoil}}
+		on := []fault.Fault{{Kind: fault.Fail, Fraction: c.fail}, {Kind: fault.Reset, Fraction: c.reset}, {Kind: fault.Spoil, Fraction: c.spoil}}
 		if got := fault.Combine(on).Outage(); got != c.want {
 			t.Errorf("%+v is an outage: %v", c, got)
 		}
@@ -233,7 +233,7 @@
 }
 
 // The same number of calls does no harm to a warm receiver, nor to one that is out.
-func TestFallsOnlyWhileCold(t *testing.T) {
+func TestModel_CollapsesOnlyDuringSlowStart(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
 	for i := range 500 {
 		m.Arrive(0, 0, int64(i))
@@ -257,7 +257,7 @@
 	if m.Warmth(0) != 1 {
 		t.Error("cold without an outage")
 	}
-	m.Begin(0, 1, fault.Trouble{Kind: fault.Cold})
+	m.Begin(0, 1, fault.Fault{Kind: fault.SlowStart})
 	for at, want := range map[time.Duration]float64{0: 0.2, 5 * sec: 0.6, 10 * sec: 1, time.Hour: 1} {
 		if got := m.Warmth(at); got < want-1e-9 || got > want+1e-9 {
 			t.Errorf("at %v %v, want %v", at, got, want)
@@ -355,7 +355,7 @@
 
 // Whatever happens, each call comes to one end at most, and to one in the end; nothing panics, no time goes
 // back, and the same seed gives the same outcomes.
-func TestEachCallEndsOnce(t *testing.T) {
+func TestModel_EachCallFinishesOnce(t *testing.T) {
 	for seed := range uint64(400) {
 		play := func() (ends map[int64]Outcome, calls int64) {
 			rng := rand.New(rand.NewPCG(seed, 3))
@@ -384,7 +384,7 @@
 					n := rng.IntN(5)
 					if !on[n] {
 						k := fault.Kind(rng.IntN(12))
-						out, _ := m.Begin(now, n, fault.Trouble{Kind: k, Share: 0.3 + 0.7*rng.Float64(), Factor: 4, Wait: sec})
+						out, _ := m.Begin(now, n, fault.Fault{Kind: k, Fraction: 0.3 + 0.7*rng.Float64(), Factor: 4, Wait: sec})
 						note(out)
 						on[n] = true
 					}
@@ -433,7 +433,7 @@
 // Next never tells a time at which nothing has come nearer.
 func TestNextMakesProgress(t *testing.T) {
 	m := NewModel(plain(), 1, 1)
-	m.Begin(0, 1, fault.Trouble{Kind: fault.Cold})
+	m.Begin(0, 1, fault.Fault{Kind: fault.SlowStart})
 	m.Arrive(0, 0, 1)
 	for i := 0; ; i++ {
 		at, ok := m.Next()
--- a/internal/faulttest/receiver/server.go
+++ b/internal/faulttest/receiver/server.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	mostBody  = 256 << 10              // an event is longer in JSON than by itself
-	readWhole = 5 * time.Second        // a request comes whole within this
-	plugTime  = 100 * time.Millisecond // a connection to a full backlog has not come up within this
-	plugMost  = 8
-	backlog   = 1024
-	spoilMost = 1 << 20 // bytes of an answer that keeps coming
+	maxBody          = 256 << 10              // an event is longer in JSON than by itself
+	readTimeout      = 5 * time.Second        // a request comes whole within this
+	plugTime         = 100 * time.Millisecond // a connection to a full backlog has not come up within this
+	maxPlugs         = 8
+	backlog          = 1024
+	maxCorruptAnswer = 1 << 20 // bytes of an answer that keeps coming
 )
 
-// Book knows what was handed in.
-type Book interface {
+// Registry knows what was handed in.
+type Registry interface {
 	// Called says whose a message is and whether the call is within its attempts; ok is false for an id that
 	// nobody handed in.
 	Called(id string, dest int) (sender string, within, ok bool)
@@ -40,13 +40,13 @@
 
 // Server is one receiver with its sockets.
 type Server struct {
-	dest    int
-	name    string
-	spec    Spec
-	log     *eventlog.Log
-	book    Book
-	numbers *atomic.Int64
-	host    func() string // a loopback address that nothing else listens on
+	dest     int
+	name     string
+	spec     Spec
+	log      *eventlog.Log
+	registry Registry
+	numbers  *atomic.Int64
+	host     func() string // a loopback address that nothing else listens on
 
 	mu        sync.Mutex
 	model     *Model
@@ -78,8 +78,8 @@
 }
 
 // NewServer starts a receiver. numbers deals out call numbers to all receivers of a day.
-func NewServer(dest int, name string, spec Spec, endpoints int, seed uint64, log *eventlog.Log, book Book, numbers *atomic.Int64, host func() string) (*Server, error) {
-	s := &Server{dest: dest, name: name, spec: spec, log: log, book: book, numbers: numbers, host: host,
+func NewServer(dest int, name string, spec Spec, endpoints int, seed uint64, log *eventlog.Log, book Registry, numbers *atomic.Int64, host func() string) (*Server, error) {
+	s := &Server{dest: dest, name: name, spec: spec, log: log, registry: book, numbers: numbers, host: host,
 		model: NewModel(spec, 0, seed), rng: rand.New(rand.NewPCG(seed, 2)), waiting: map[int64]*call{}}
 	s.timer = time.AfterFunc(time.Hour, s.due)
 	for range endpoints {
@@ -137,18 +137,18 @@
 		return
 	}
 	e.gone = true
-	s.tell(s.model.Remove(s.log.Now(), e.number))
+	s.deliver(s.model.Remove(s.log.Now(), e.number))
 	e.to("shut")
 	e.reset()
 }
 
 // Begin and End let a trouble run and end.
-func (s *Server) Begin(number int, t fault.Trouble) {
+func (s *Server) Begin(number int, t fault.Fault) {
 	s.change(t.Kind.String(), "on", func(now time.Duration) ([]Outcome, Change) { return s.model.Begin(now, number, t) })
 }
 
 // End ends the trouble that began under the number.
-func (s *Server) End(number int, t fault.Trouble) {
+func (s *Server) End(number int, t fault.Fault) {
 	s.change(t.Kind.String(), "off", func(now time.Duration) ([]Outcome, Change) { return s.model.End(now, number) })
 }
 
@@ -159,21 +159,21 @@
 		return
 	}
 	now := s.log.Now()
-	s.log.At(now, eventlog.Event{Kind: eventlog.Trouble, Dest: s.dest, Note: what, State: state})
+	s.log.At(now, eventlog.Event{Kind: eventlog.FaultChanged, Dest: s.dest, Detail: what, State: state})
 	wasCold := s.model.back
 	out, c := step(now)
-	if what == fault.Cold.String() && s.model.back != wasCold {
+	if what == fault.SlowStart.String() && s.model.back != wasCold {
 		// An outage of no length: the judge counts from its end.
 		s.log.At(now, eventlog.Event{Kind: eventlog.Outage, Dest: s.dest, State: "on"})
 		s.log.At(now, eventlog.Event{Kind: eventlog.Outage, Dest: s.dest, State: "off", Capacity: s.spec.Capacity})
 	}
-	s.note(now, c)
-	s.tell(out)
+	s.logChange(now, c)
+	s.deliver(out)
 	s.apply(c)
 	s.rearm()
 }
 
-func (s *Server) note(now time.Duration, c Change) {
+func (s *Server) logChange(now time.Duration, c Change) {
 	if c.OutageBegan {
 		s.log.At(now, eventlog.Event{Kind: eventlog.Outage, Dest: s.dest, State: "on"})
 	}
@@ -196,7 +196,7 @@
 			e.reset()
 		}
 		switch {
-		case cond.Vanished:
+		case cond.Unreachable:
 			e.to("vanished")
 		case cond.Shut:
 			e.to("shut")
@@ -213,7 +213,7 @@
 	if s.closed {
 		return
 	}
-	s.tell(s.model.Advance(s.log.Now()))
+	s.deliver(s.model.Advance(s.log.Now()))
 	s.rearm()
 }
 
@@ -223,8 +223,8 @@
 	}
 }
 
-// tell passes outcomes on to those who wait for them.
-func (s *Server) tell(out []Outcome) {
+// deliver passes outcomes on to those who wait for them.
+func (s *Server) deliver(out []Outcome) {
 	for _, o := range out {
 		if c := s.waiting[o.Call]; c != nil {
 			delete(s.waiting, o.Call)
@@ -289,7 +289,7 @@
 func (e *Endpoint) relisten() {
 	l, err := listen(e.Addr)
 	if err != nil {
-		e.s.log.Add(eventlog.Event{Kind: eventlog.Fault, Note: "receiver " + e.ID + ": " + err.Error()})
+		e.s.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: "receiver " + e.ID + ": " + err.Error()})
 		return
 	}
 	e.listener = l
@@ -306,7 +306,7 @@
 		err = errors.Join(err, bad)
 	}
 	if err != nil {
-		e.s.log.Add(eventlog.Event{Kind: eventlog.Fault, Note: "receiver " + e.ID + ": backlog: " + err.Error()})
+		e.s.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: "receiver " + e.ID + ": backlog: " + err.Error()})
 	}
 }
 
@@ -315,7 +315,7 @@
 func (e *Endpoint) plug() {
 	addr := e.Addr
 	go func() {
-		for range plugMost {
+		for range maxPlugs {
 			c, err := net.DialTimeout("tcp", addr, plugTime)
 			if err != nil {
 				return
@@ -329,7 +329,7 @@
 			e.plugs = append(e.plugs, c)
 			e.s.mu.Unlock()
 		}
-		e.s.log.Add(eventlog.Event{Kind: eventlog.Fault, Note: "receiver " + e.ID + ": connections still come up though it has vanished"})
+		e.s.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: "receiver " + e.ID + ": connections still come up though it has vanished"})
 	}()
 }
 
@@ -354,7 +354,7 @@
 		}
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				e.s.log.Add(eventlog.Event{Kind: eventlog.Fault, Note: "receiver " + e.ID + ": accept: " + err.Error()})
+				e.s.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: "receiver " + e.ID + ": accept: " + err.Error()})
 			}
 			return
 		}
@@ -367,7 +367,7 @@
 			continue
 		}
 		e.conns[k] = true
-		k.crowded = e.s.spec.MostConns > 0 && len(e.conns) > e.s.spec.MostConns
+		k.crowded = e.s.spec.MaxConnections > 0 && len(e.conns) > e.s.spec.MaxConnections
 		e.s.mu.Unlock()
 		go k.serve()
 	}
@@ -404,7 +404,7 @@
 		}()
 		c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
 		if err := <-begun; err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) && s.silent() {
+			if errors.Is(err, os.ErrDeadlineExceeded) && s.unresponsive() {
 				continue // a machine that is gone closes nothing
 			}
 			return
@@ -418,10 +418,10 @@
 	}
 }
 
-func (s *Server) silent() bool {
+func (s *Server) unresponsive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.model.Condition().Vanished && !s.closed
+	return s.model.Condition().Unreachable && !s.closed
 }
 
 // request serves the one whose first byte has come. again says that another has begun.
@@ -431,22 +431,22 @@
 	s.mu.Lock()
 	cond := s.model.Condition()
 	closes := c.lastEnd > 0 && first-c.lastEnd > 30*time.Millisecond && s.rng.Float64() < cond.Closes &&
-		!cond.Vanished && !cond.Shut && !cond.Hung
+		!cond.Unreachable && !cond.Shut && !cond.Hung
 	s.mu.Unlock()
 	if closes {
 		c.reset()
 		return false, false
 	}
-	c.SetReadDeadline(time.Now().Add(readWhole))
+	c.SetReadDeadline(time.Now().Add(readTimeout))
 	req, err := http.ReadRequest(c.r)
 	if err != nil {
 		return false, false
 	}
-	body, err := io.ReadAll(io.LimitReader(req.Body, mostBody+1))
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
 	if err != nil {
 		return false, false
 	}
-	ids, err := s.spec.Form.Read(req.Header, body)
+	ids, err := s.spec.Format.Read(req.Header, body)
 	why := ""
 	if err != nil {
 		ids, why = []string{req.Header.Get("X-Request-Id")}, err.Error()
@@ -456,11 +456,11 @@
 	senders := make([]string, len(ids))
 	for i, id := range ids {
 		in, ok := false, false
-		senders[i], in, ok = s.book.Called(id, s.dest)
+		senders[i], in, ok = s.registry.Called(id, s.dest)
 		within, known = within && in, known && ok
 	}
 	if !known || why != "" || req.Method != http.MethodPost || req.URL.Path != "/hook" {
-		s.log.Add(eventlog.Event{Kind: eventlog.Call, Dest: s.dest, Endpoint: e.ID, ID: ids[0], First: first.Microseconds(), Note: "unknown", State: why})
+		s.log.Add(eventlog.Event{Kind: eventlog.Call, Dest: s.dest, Endpoint: e.ID, ID: ids[0], First: first.Microseconds(), Detail: "unknown", State: why})
 		io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		return false, false
 	}
@@ -483,13 +483,13 @@
 	s.waiting[number] = k
 	switch {
 	case !within:
-		s.tell([]Outcome{{Call: number, Status: 504}})
+		s.deliver([]Outcome{{Call: number, Status: 504}})
 	case c.crowded:
-		s.tell([]Outcome{{Call: number, Status: 503}})
+		s.deliver([]Outcome{{Call: number, Status: 503}})
 	default:
 		out, change := s.model.Arrive(now, e.number, number)
-		s.note(now, change)
-		s.tell(out)
+		s.logChange(now, change)
+		s.deliver(out)
 		if change != (Change{}) {
 			s.apply(change)
 		}
@@ -514,14 +514,14 @@
 			s.mu.Lock()
 			delete(s.waiting, number)
 			s.mu.Unlock()
-			s.ended(done, func(d *eventlog.Event) { d.Note = eventlog.NoteLeft })
+			s.ended(done, func(d *eventlog.Event) { d.Detail = eventlog.DetailClosedBySender })
 			return false, false
 		}
 		pipelined = true
 		o = <-k.end
 	}
 	if o.Dropped {
-		s.ended(done, func(d *eventlog.Event) { d.Note = eventlog.NoteReset })
+		s.ended(done, func(d *eventlog.Event) { d.Detail = eventlog.DetailReset })
 		c.reset()
 		return false, false
 	}
@@ -534,7 +534,7 @@
 	if !pipelined {
 		nextErr = <-next
 	}
-	for errors.Is(nextErr, os.ErrDeadlineExceeded) && s.silent() {
+	for errors.Is(nextErr, os.ErrDeadlineExceeded) && s.unresponsive() {
 		c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
 		_, nextErr = c.r.Peek(1)
 	}
@@ -554,16 +554,16 @@
 // delivered books the messages of a call of which the 200 is written.
 func (s *Server) delivered(done []eventlog.Event) {
 	for _, d := range done {
-		s.book.Delivered(d.ID)
+		s.registry.Delivered(d.ID)
 	}
 }
 
 // status is the word of a receiver of a form for an outcome: web hooks have several for delivered.
 func (s *Server) status(status int) int {
 	switch {
-	case status == 200 && s.spec.Form == encoding.Binary:
+	case status == 200 && s.spec.Format == encoding.Binary:
 		return 202
-	case status == 200 && s.spec.Form == encoding.Structured:
+	case status == 200 && s.spec.Format == encoding.Structured:
 		return 204
 	}
 	return status
@@ -574,11 +574,11 @@
 	s := c.e.s
 	wait := int64((o.Wait + time.Millisecond - 1) / time.Millisecond)
 	if o.Status == 200 && o.Exit == fault.Broken {
-		s.ended(done, func(d *eventlog.Event) { d.Note = eventlog.NoteReset })
+		s.ended(done, func(d *eventlog.Event) { d.Detail = eventlog.DetailReset })
 		c.reset()
 		return false
 	}
-	if o.Status == 200 && o.Exit == fault.Spoilt {
+	if o.Status == 200 && o.Exit == fault.Corrupt {
 		return c.spoil(done)
 	}
 	status := s.status(o.Status)
@@ -587,7 +587,7 @@
 		head = "HTTP/1.1 204 No Content\r\n"
 	}
 	switch {
-	case o.Wait > 0 && s.spec.Form != encoding.Plain && s.spec.Form != "": // a web hook's word for it
+	case o.Wait > 0 && s.spec.Format != encoding.Plain && s.spec.Format != "": // a web hook's word for it
 		head += "Retry-After: " + strconv.FormatFloat(float64(wait)/1000, 'f', 3, 64) + "\r\n"
 	case o.Wait > 0:
 		head += "X-RateLimit-Wait-Ms: " + strconv.FormatInt(wait, 10) + "\r\n"
@@ -628,13 +628,13 @@
 	case 3:
 		text = "HTTP/1.1 two hundred\r\nContent-Length: minus one\r\n\r\n"
 	}
-	s.ended(done, func(d *eventlog.Event) { d.Note, d.Status = eventlog.NoteSpoilt, status })
+	s.ended(done, func(d *eventlog.Event) { d.Detail, d.Status = eventlog.DetailCorrupt, status })
 	_, err := io.WriteString(c, text)
 	if status == 200 {
 		s.delivered(done)
 	}
 	c.SetWriteDeadline(time.Now().Add(time.Second))
-	for sent, block := 0, make([]byte, 4096); which == 2 && err == nil && sent < spoilMost; sent += len(block) {
+	for sent, block := 0, make([]byte, 4096); which == 2 && err == nil && sent < maxCorruptAnswer; sent += len(block) {
 		_, err = c.Write(block)
 	}
 	c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
--- a/internal/faulttest/receiver/server_test.go
+++ b/internal/faulttest/receiver/server_test.go
@@ -24,17 +24,17 @@
 	quiet = 250 * time.Millisecond // nothing comes within this where nothing should
 )
 
-// book knows every id that begins with m.
-type book struct {
+// registry knows every id that begins with m.
+type registry struct {
 	mu        sync.Mutex
 	delivered map[string]int
 }
 
-func (b *book) Called(id string, _ int) (string, bool, bool) {
+func (b *registry) Called(id string, _ int) (string, bool, bool) {
 	return "n0", !strings.HasPrefix(id, "m-over"), strings.HasPrefix(id, "m")
 }
 
-func (b *book) Delivered(id string) {
+func (b *registry) Delivered(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.delivered[id]++
@@ -42,7 +42,7 @@
 
 var hosts atomic.Uint32
 
-func start(t *testing.T, edit func(*Spec)) (*Server, *Endpoint, *eventlog.Log, *book) {
+func start(t *testing.T, edit func(*Spec)) (*Server, *Endpoint, *eventlog.Log, *registry) {
 	t.Helper()
 	spec := plain()
 	spec.Service = time.Millisecond
@@ -52,7 +52,7 @@
 	}
 	log := eventlog.New(nil, nil)
 	log.Restart()
-	b := &book{delivered: map[string]int{}}
+	b := &registry{delivered: map[string]int{}}
 	block := uint32(os.Getpid()) % 200
 	s, err := NewServer(0, "r0", spec, 1, 1, log, b, &atomic.Int64{}, func() string {
 		n := hosts.Add(1)
@@ -64,8 +64,8 @@
 	t.Cleanup(func() {
 		s.Close()
 		for _, e := range log.Events() {
-			if e.Kind == eventlog.Fault {
-				t.Error(e.Note)
+			if e.Kind == eventlog.KitFailure {
+				t.Error(e.Detail)
 			}
 		}
 	})
@@ -165,10 +165,10 @@
 	c := dial(t, e)
 	c.send(t, "other")
 	c.expect(t, "400")
-	logged(t, log, func(ev eventlog.Event) bool { return ev.Note == "unknown" })
+	logged(t, log, func(ev eventlog.Event) bool { return ev.Detail == "unknown" })
 }
 
-func TestAnswersOfTroubles(t *testing.T) {
+func TestServer_AnswersUnderFaults(t *testing.T) {
 	t.Parallel()
 	for kind, want := range map[fault.Kind]string{fault.Refuse: "503", fault.Fail: "500", fault.Wait: "429100", fault.Reset: "reset",
 		fault.Hang: "silence", fault.Slow: "200"} {
@@ -221,7 +221,7 @@
 	c.send(t, "m3")
 	c.expect(t, "200")
 	done := logged(t, log, func(ev eventlog.Event) bool { return ev.Kind == eventlog.Done && ev.ID == "m2" })
-	if done.Note != eventlog.NoteReset {
+	if done.Detail != eventlog.DetailReset {
 		t.Errorf("%+v", done)
 	}
 }
@@ -289,7 +289,7 @@
 }
 
 // An endpoint that joins while its receiver is out is struck too.
-func TestNewEndpointInTrouble(t *testing.T) {
+func TestServer_NewEndpointDuringFault(t *testing.T) {
 	t.Parallel()
 	s, _, _, _ := start(t, nil)
 	s.Begin(1, sample(fault.Shut))
@@ -359,7 +359,7 @@
 	}
 	true200 := 0
 	for _, ev := range log.Events() {
-		if ev.Kind == eventlog.Done && ev.Note == eventlog.NoteSpoilt && ev.Status == 200 {
+		if ev.Kind == eventlog.Done && ev.Detail == eventlog.DetailCorrupt && ev.Status == 200 {
 			true200++
 		}
 	}
@@ -373,7 +373,7 @@
 // Over its number of connections an endpoint turns calls away and ends the connection.
 func TestConnectionCap(t *testing.T) {
 	t.Parallel()
-	_, e, _, _ := start(t, func(s *Spec) { s.MostConns = 2 })
+	_, e, _, _ := start(t, func(s *Spec) { s.MaxConnections = 2 })
 	var kept []*client
 	for i := range 2 {
 		c := dial(t, e)
@@ -395,7 +395,7 @@
 }
 
 // A sender that leaves is noted; its call runs on and holds its slot.
-func TestSenderLeaves(t *testing.T) {
+func TestServer_SenderDisconnects(t *testing.T) {
 	t.Parallel()
 	_, e, log, b := start(t, func(s *Spec) { s.Service = 100 * time.Millisecond })
 	c := dial(t, e)
@@ -403,7 +403,7 @@
 	logged(t, log, func(ev eventlog.Event) bool { return ev.Kind == eventlog.Call })
 	c.Close()
 	done := logged(t, log, func(ev eventlog.Event) bool { return ev.Kind == eventlog.Done })
-	if done.Note != eventlog.NoteLeft || done.Status != 0 {
+	if done.Detail != eventlog.DetailClosedBySender || done.Status != 0 {
 		t.Errorf("%+v", done)
 	}
 	b.mu.Lock()
--- a/internal/faulttest/report/html.go
+++ b/internal/faulttest/report/html.go
@@ -44,11 +44,11 @@
 type line struct{ Name, Class, Points string }
 
 type row struct {
-	Name   string
-	Y      int
-	Bands  []shape
-	Points string // calls in flight
-	Most   int
+	Name         string
+	Y            int
+	Bands        []shape
+	Points       string // calls in flight
+	PeakInFlight int
 }
 
 type shape struct {
@@ -138,7 +138,7 @@
 		var p strings.Builder
 		fmt.Fprintf(&p, "%.1f,%d ", x(0), r.Y+rowHigh)
 		for i, n := range f.Out {
-			r.Most = max(r.Most, n)
+			r.PeakInFlight = max(r.PeakInFlight, n)
 			fmt.Fprintf(&p, "%.1f,%.1f ", x(float64(i)*step5), float64(r.Y)+rowHigh*(1-float64(n)/float64(most)))
 		}
 		fmt.Fprintf(&p, "%.1f,%d", x(s.Length), r.Y+rowHigh)
--- a/internal/faulttest/report/report.go
+++ b/internal/faulttest/report/report.go
@@ -23,8 +23,8 @@
 	Messages      int
 }
 
-// Share is the part of what was asked that was served.
-func (m Member) Share() float64 { return share(m.Served, m.Asked) }
+// ServedFraction is the part of what was asked that was served.
+func (m Member) ServedFraction() float64 { return fraction(m.Served, m.Asked) }
 
 // Band is a trouble of a receiver, or a sender's absence.
 type Band struct {
@@ -45,7 +45,7 @@
 	Messages, Calls  int
 	HandIns          int
 	Delivered        int
-	Share            float64 // of the worth asked
+	ServedFraction   float64 // of the worth asked
 	Worst            float64 // the same in the worst 10 s
 	WorstFrom        float64 // when those begin
 	WorstMember      Member
@@ -58,7 +58,7 @@
 	Latency50, Lat99 float64 // seconds from a message's first hand-in to its 200
 	Length           float64 // seconds
 	Woken            []Woken
-	MostLateMS       float64
+	MaxLatenessMS    float64
 }
 
 // Woken is how a receiver that got a burst came to its usual service.
@@ -125,17 +125,17 @@
 	return worst, ok
 }
 
-func share(served, asked float64) float64 {
+func fraction(served, asked float64) float64 {
 	if asked == 0 {
 		return 1
 	}
 	return served / asked
 }
 
-// worth is what a message is worth that is delivered so long after it was asked for: in full within the aim,
+// value is what a message is worth that is delivered so long after it was asked for: in full within the aim,
 // then half with each further aim, down to the late worth.
-func worth(c eventlog.Class, late int64) float64 {
-	aim := float64(c.Aim)
+func value(c eventlog.Class, late int64) float64 {
+	aim := float64(c.LatencyTarget)
 	ms := float64(late) / 1000
 	switch {
 	case ms <= aim:
@@ -143,7 +143,7 @@
 	case ms > float64(c.Deadline):
 		return 0
 	}
-	return max(c.Worth, math.Pow(0.5, (ms-aim)/aim))
+	return max(c.Value, math.Pow(0.5, (ms-aim)/aim))
 }
 
 // Make sums a day up.
@@ -189,7 +189,7 @@
 				valid[first] = true
 			}
 		case eventlog.Slip:
-			s.MostLateMS = max(s.MostLateMS, float64(e.MaxUS)/1000)
+			s.MaxLatenessMS = max(s.MaxLatenessMS, float64(e.MaxUS)/1000)
 		}
 	}
 	s.Name, s.Length = fig.Name, float64(end)/1e6
@@ -230,7 +230,7 @@
 		w := 0.0
 		if m.done {
 			s.Delivered++
-			w = worth(m.class, m.delivered-m.first)
+			w = value(m.class, m.delivered-m.first)
 			latencies = append(latencies, float64(m.delivered-m.first)/1e6)
 		} else {
 			s.Failed++
@@ -249,11 +249,13 @@
 		k.Served += w
 		k.Messages++
 	}
-	s.Share = share(served, asked)
+	s.ServedFraction = fraction(served, asked)
 	for _, m := range members {
 		s.Members = append(s.Members, *m)
 	}
-	slices.SortFunc(s.Members, func(a, b Member) int { return cmp.Or(cmp.Compare(a.Share(), b.Share()), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(s.Members, func(a, b Member) int {
+		return cmp.Or(cmp.Compare(a.ServedFraction(), b.ServedFraction()), cmp.Compare(a.Name, b.Name))
+	})
 	if len(s.Members) > 0 {
 		s.WorstMember = s.Members[0]
 	}
@@ -270,7 +272,7 @@
 
 // worst finds the ten seconds of arrivals with the least share served.
 func (s *Summary) worst(length float64) {
-	s.Worst = s.Share
+	s.Worst = s.ServedFraction
 	n := min(int(math.Ceil(length)), len(s.Seconds))
 	first := true
 	for from := 0; from+10 <= n; from++ {
@@ -278,7 +280,7 @@
 		for _, x := range s.Seconds[from : from+10] {
 			a, v = a+x.Asked, v+x.Served
 		}
-		if w := share(v, a); a > 0 && (first || w < s.Worst) {
+		if w := fraction(v, a); a > 0 && (first || w < s.Worst) {
 			s.Worst, s.WorstFrom, first = w, float64(from), false
 		}
 	}
@@ -309,9 +311,9 @@
 	}
 	for _, e := range events {
 		switch e.Kind {
-		case eventlog.Trouble:
-			o := open{name(e.Dest), e.Note, "trouble"}
-			if e.Note == "cold" {
+		case eventlog.FaultChanged:
+			o := open{name(e.Dest), e.Detail, "trouble"}
+			if e.Detail == "cold" {
 				continue
 			}
 			if e.State == "on" {
@@ -324,7 +326,7 @@
 			if e.State == "off" {
 				begin(o, e.T)
 			} else if at := from[o]; len(at) > 0 { // an outage while it was warming
-				finish(o, min(e.T, at[0]+fig.Cold*1000))
+				finish(o, min(e.T, at[0]+fig.SlowStart*1000))
 			}
 		case eventlog.Fell:
 			begin(open{name(e.Dest), "fallen", "outage"}, e.T)
@@ -340,7 +342,7 @@
 		for len(from[o]) > 0 {
 			to := end
 			if o.kind == "cold" {
-				to = min(end, from[o][0]+fig.Cold*1000)
+				to = min(end, from[o][0]+fig.SlowStart*1000)
 			}
 			finish(o, to)
 		}
--- a/internal/faulttest/report/report_test.go
+++ b/internal/faulttest/report/report_test.go
@@ -15,8 +15,8 @@
 // which fail and come late; member b has one, which is handed back and delivered at the second try.
 func log() []eventlog.Event {
 	const s = 1_000_000
-	events := []eventlog.Event{{Kind: eventlog.World, Figures: &eventlog.Figures{Name: "x", Seconds: 12, Cold: 5000,
-		Classes:   map[string]eventlog.Class{"c": {Aim: 1000, Deadline: 8000, Worth: 0.25}},
+	events := []eventlog.Event{{Kind: eventlog.World, Figures: &eventlog.Figures{Name: "x", Seconds: 12, SlowStart: 5000,
+		Classes:   map[string]eventlog.Class{"c": {LatencyTarget: 1000, Deadline: 8000, Value: 0.25}},
 		Receivers: []eventlog.Receiver{{Name: "r0"}, {Name: "<r1>"}}}}}
 	call := int64(0)
 	add := func(t int64, e eventlog.Event) { e.T = t; events = append(events, e) }
@@ -44,13 +44,13 @@
 	}
 	add(5*s, eventlog.Event{Kind: eventlog.HandIn, ID: "z1", Msg: "z", Class: "c", Tenant: "b"})
 	add(5*s+1, eventlog.Event{Kind: eventlog.Answer, ID: "z1", Status: 503})
-	add(6*s, eventlog.Event{Kind: eventlog.HandIn, ID: "z2", Msg: "z", Class: "c", Tenant: "b", Try: 1})
+	add(6*s, eventlog.Event{Kind: eventlog.HandIn, ID: "z2", Msg: "z", Class: "c", Tenant: "b", Attempt: 1})
 	add(6*s+1, eventlog.Event{Kind: eventlog.Answer, ID: "z2", Status: 202})
 	add(6*s+2, eventlog.Event{Kind: eventlog.Call, ID: "z2", Call: 99, Dest: 1})
 	add(8*s, eventlog.Event{Kind: eventlog.Done, ID: "z2", Call: 99, Dest: 1, Status: 200}) // 3 s: a quarter of its worth
-	add(2*s, eventlog.Event{Kind: eventlog.Trouble, Dest: 1, Note: "hang", State: "on"})
+	add(2*s, eventlog.Event{Kind: eventlog.FaultChanged, Dest: 1, Detail: "hang", State: "on"})
 	add(2*s, eventlog.Event{Kind: eventlog.Outage, Dest: 1, State: "on"})
-	add(4*s, eventlog.Event{Kind: eventlog.Trouble, Dest: 1, Note: "hang", State: "off"})
+	add(4*s, eventlog.Event{Kind: eventlog.FaultChanged, Dest: 1, Detail: "hang", State: "off"})
 	add(4*s, eventlog.Event{Kind: eventlog.Outage, Dest: 1, State: "off", Capacity: 5})
 	add(7*s, eventlog.Event{Kind: eventlog.Killed, Sender: "n0"})
 	add(8*s, eventlog.Event{Kind: eventlog.Ready, Sender: "n0"})
@@ -66,9 +66,9 @@
 			t.Errorf("%s: %v, want %v", what, got, want)
 		}
 	}
-	near("share", s.Share, (10+0.5+0.25)/13)
+	near("share", s.ServedFraction, (10+0.5+0.25)/13)
 	near("worst 10 s", s.Worst, (8+0.5+0.25)/11) // seconds 0 to 9, and the same from 1 and 2 on
-	near("worst member", s.WorstMember.Share(), 0.25)
+	near("worst member", s.WorstMember.ServedFraction(), 0.25)
 	if s.Messages != 13 || s.Delivered != 12 || s.Calls != 13 || s.HandIns != 14 || s.AboveLimit != 1 || s.Failed != 1 || s.WorstMember.Name != "b" {
 		t.Errorf("%+v", s)
 	}
@@ -130,10 +130,10 @@
 
 // An answer under an id that its client counts on no longer delivers nothing.
 func TestVoidHandInDeliversNothing(t *testing.T) {
-	events := []eventlog.Event{{Kind: eventlog.World, Figures: &eventlog.Figures{Classes: map[string]eventlog.Class{"c": {Aim: 1000, Deadline: 8000}}}},
-		{T: 1, Kind: eventlog.HandIn, ID: "a", Msg: "m", Class: "c"}, {T: 400_000, Kind: eventlog.Answer, ID: "a", Note: "patience"},
+	events := []eventlog.Event{{Kind: eventlog.World, Figures: &eventlog.Figures{Classes: map[string]eventlog.Class{"c": {LatencyTarget: 1000, Deadline: 8000}}}},
+		{T: 1, Kind: eventlog.HandIn, ID: "a", Msg: "m", Class: "c"}, {T: 400_000, Kind: eventlog.Answer, ID: "a", Detail: "patience"},
 		{T: 500_000, Kind: eventlog.Done, ID: "a", Status: 200}}
-	if s := Make(events); s.Delivered != 0 || s.Share != 0 {
+	if s := Make(events); s.Delivered != 0 || s.ServedFraction != 0 {
 		t.Errorf("%+v", s)
 	}
 }
