--- a/internal/faulttest/scenariofuzz/day.go
+++ b/internal/faulttest/scenariofuzz/day.go
@@ -17,7 +17,7 @@
 		all = append(all, chosen.timed(r, site)...)
 	}
 	if !chosen.alone {
-		all = append(all, r.drawnTroubles(site, chosen.timed != nil)...)
+		all = append(all, r.drawFaults(site, chosen.timed != nil)...)
 	}
 	all = append(all, r.changes(length)...)
 	for _, t := range all {
@@ -58,9 +58,9 @@
 	return lengthOf(site) - 1
 }
 
-// drawnTroubles are troubles of any kind at any moment. Many days are crowded, some are not: alone a trouble shows
+// drawFaults are troubles of any kind at any moment. Many days are crowded, some are not: alone a trouble shows
 // its own bound. On half of the days two to four troubles come at the same moment, or all within a few seconds.
-func (r random) drawnTroubles(site Table, few bool) []Table {
+func (r random) drawFaults(site Table, few bool) []Table {
 	length := lengthOf(site)
 	count := pick(r, 2, 4, 6, 9, 12)
 	if few {
@@ -73,7 +73,7 @@
 	for len(all) < count {
 		moment, together := r.between(0.5, length-3), 1
 		if r.Intn(3) == 0 {
-			together = r.whole(2, 4)
+			together = r.integer(2, 4)
 		}
 		for range together {
 			all = append(all, at(moment, r.entry(site))...)
@@ -93,7 +93,7 @@
 	var all []Table
 	least := pick(r, 0.4, 1.5, 3)
 	for moment := r.between(1, 5); moment < length-1; moment += r.between(least, 2*least+1) {
-		all = append(all, at(moment, trouble("config_change", "how", pick(r, "timeout", "idle", "route")))...)
+		all = append(all, at(moment, newFault("config_change", "how", pick(r, "timeout", "idle", "route")))...)
 	}
 	return all
 }
--- a/internal/faulttest/scenariofuzz/deployment.go
+++ b/internal/faulttest/scenariofuzz/deployment.go
@@ -29,7 +29,7 @@
 			agent["runaway"] = r.between(0, 0.08)
 			agent["fan"] = r.between(0, 0.2)
 			agent["think_ms"] = Table{"mean": r.between(30, 600), "spread": 0.6, "max": 2400.0}
-			class["worth"] = r.whole(1, 10)
+			class["worth"] = r.integer(1, 10)
 		} else if r.Intn(4) == 0 {
 			class["kind"] = pick(r, "unsafe", "unsafe", "safe")
 			if class["kind"] == "safe" {
@@ -37,14 +37,14 @@
 			}
 		}
 		if r.Intn(4) == 0 {
-			class["attempts"] = r.whole(1, 4)
+			class["attempts"] = r.integer(1, 4)
 		}
 	}
 	if chosen.tight {
 		r.tighten(site)
 	}
 	if chosen.sorts {
-		r.sortTurns(site)
+		r.drawTurnKinds(site)
 	}
 	if chosen.scarce {
 		r.makeScarce(site)
@@ -65,18 +65,18 @@
 
 // zones gives the site other zones, regions and delays, and returns the zones' names.
 func (r random) zones(site Table, chosen scenario) []string {
-	count, regions := r.whole(3, 5), r.whole(1, 3)
+	count, regions := r.integer(3, 5), r.integer(1, 3)
 	if chosen.zones > 0 {
 		count = chosen.zones
 	}
 	if chosen.far {
-		regions = r.whole(2, 3)
+		regions = r.integer(2, 3)
 	}
 	if chosen.few {
-		count = r.whole(2, 3)
+		count = r.integer(2, 3)
 	}
 	if chosen.large {
-		count = r.whole(4, 5)
+		count = r.integer(4, 5)
 	}
 	if chosen.loseRegion {
 		// Three regions of equal size: the loss of one leaves more than half.
@@ -134,7 +134,7 @@
 			first[class] = m
 		}
 	}
-	cores, stores := r.whole(3, 5), r.whole(3, 5)
+	cores, stores := r.integer(3, 5), r.integer(3, 5)
 	if chosen.cores > 0 {
 		cores = chosen.cores
 	}
@@ -146,7 +146,7 @@
 	}
 	losses := chosen.losses
 	if chosen.large {
-		cores, stores, losses = r.whole(5, 8), 9, 2
+		cores, stores, losses = r.integer(5, 8), 9, 2
 	}
 	tolerate := Table{"machines": 1, "zones": 0, "regions": 0}
 	if losses > 1 && cores > 2*losses && stores > 2*losses {
@@ -167,12 +167,12 @@
 		if !ok {
 			continue
 		}
-		share, memory := r.between(0.25, 0.8), r.whole(230, 420)
+		share, memory := r.between(0.25, 0.8), r.integer(230, 420)
 		processors := pick(r, 1, 1, 1, 2, 4)
 		if chosen.processors > 0 {
 			processors = chosen.processors
 		}
-		sync, speed := r.byFactor(0.3, 10), r.whole(60, 300)
+		sync, speed := r.byFactor(0.3, 10), r.integer(60, 300)
 		if chosen.slowDisk {
 			sync = 10.0
 		}
@@ -185,7 +185,7 @@
 		default:
 			most := pick(r, 1, 2, 3, 3, 9)
 			for range zones {
-				n := min(r.whole(1, most), max(1, budget-len(zones)))
+				n := min(r.integer(1, most), max(1, budget-len(zones)))
 				budget -= n
 				counts = append(counts, n)
 			}
@@ -196,9 +196,9 @@
 		link := like["link_mbps"]
 		if chosen.large {
 			size := largeSizes[class]
-			share, memory, processors, link = size.processorShare, size.memoryMB, 1, size.linkMbps
+			share, memory, processors, link = size.processorFraction, size.memoryMB, 1, size.linkMbps
 			if class == "front" {
-				counts = spread(r.whole(60, 72), len(zones))
+				counts = spread(r.integer(60, 72), len(zones))
 			}
 		}
 		for i, zone := range zones {
@@ -223,9 +223,9 @@
 // services gives each service other endpoints.
 func (r random) services(site Table, zones []string, chosen scenario) {
 	for _, service := range tables(site["services"]) {
-		total := r.whole(6, 14)
+		total := r.integer(6, 14)
 		if chosen.large {
-			total = r.whole(36, 70)
+			total = r.integer(36, 70)
 		}
 		counts := spread(total, len(zones))
 		var servers []any
@@ -236,7 +236,7 @@
 		}
 		service["servers"] = servers
 		if _, engine := service["llm"]; engine {
-			service["slots"] = r.whole(48, 128)
+			service["slots"] = r.integer(48, 128)
 			if chosen.large {
 				service["slots"] = 16
 			}
@@ -245,9 +245,9 @@
 			}
 			continue
 		}
-		service["slots"] = r.whole(3, 10)
-		service["queue"] = r.whole(8, 40)
-		service["conn_cap"] = r.whole(50, 150)
+		service["slots"] = r.integer(3, 10)
+		service["queue"] = r.integer(8, 40)
+		service["conn_cap"] = r.integer(50, 150)
 	}
 }
 
@@ -275,9 +275,9 @@
 	site["traffic"] = list
 }
 
-// leastAckMS is the least bound of an operator's order. The operator waits a second at a machine that is silent, may go to
+// minAckMS is the least bound of an operator's order. The operator waits a second at a machine that is silent, may go to
 // it a second time, and pauses in between, which has taken 2.4 s before an order came to any machine that runs.
-const leastAckMS = 4000
+const minAckMS = 4000
 
 // manyServers is the number of endpoints above which the platform's pages are not drawn small.
 const manyServers = 40
@@ -285,17 +285,17 @@
 // bounds gives the site other bounds of time, each of which can be kept.
 func (r random) bounds(site Table) {
 	bounds := site["bounds"].(Table)
-	touch := r.whole(12, 50) * 100
+	touch := r.integer(12, 50) * 100
 	bounds["touch_ms"] = touch
-	bounds["ack_ms"] = max(touch+r.whole(5, 20)*100, leastAckMS)
-	bounds["config_ms"] = r.whole(6, 30) * 100
-	bounds["drain_ms"] = r.whole(10, 40) * 100
+	bounds["ack_ms"] = max(touch+r.integer(5, 20)*100, minAckMS)
+	bounds["config_ms"] = r.integer(6, 30) * 100
+	bounds["drain_ms"] = r.integer(10, 40) * 100
 	bounds["grace_s"] = r.between(3, 10)
 	bounds["recover_s"] = r.between(8, 15)
 	site["timing"].(Table)["catch_up_s"] = r.between(3.8, 6)
 	discovery := site["discovery"].(Table)
-	discovery["beat_ms"] = r.whole(4, 20) * 100
-	discovery["lag_ms"] = r.whole(3, 15) * 100
+	discovery["beat_ms"] = r.integer(4, 20) * 100
+	discovery["lag_ms"] = r.integer(3, 15) * 100
 	discovery["page"] = pick(r, 3, 7, 20, 50)
 	// The rate lets the whole list, with those that a release adds, be read twice in the drain time: else no sender
 	// could keep it.
@@ -314,6 +314,6 @@
 	least := 2 * pages / (float64(bounds["drain_ms"].(int)) / 1000)
 	discovery["per_s"] = r.between(max(4, least), max(50, least))
 	if config, ok := site["config"].(Table); ok {
-		config["idle_routes"] = r.whole(0, 60)
+		config["idle_routes"] = r.integer(0, 60)
 	}
 }
--- a/internal/faulttest/scenariofuzz/deployment_test.go
+++ b/internal/faulttest/scenariofuzz/deployment_test.go
@@ -34,7 +34,7 @@
 }
 
 // The bench refuses a day with a trouble whose part of the rules is not in force.
-func TestTroublesOfClosedContractsAreDropped(t *testing.T) {
+func TestFaults_OfClosedContractsAreDropped(t *testing.T) {
 	t.Parallel()
 	dropped, kept := 0, 0
 	for _, drawn := range drawnFor(t, func(scenario) bool { return true }) {
@@ -80,7 +80,7 @@
 }
 
 // Only where a scenario says so do troubles come after the day's length.
-func TestTroublesComeDuringTheRecovery(t *testing.T) {
+func TestFaults_DuringRecovery(t *testing.T) {
 	t.Parallel()
 	late := 0
 	for _, drawn := range drawnFor(t, func(s scenario) bool { return s.afterEnd }) {
--- a/internal/faulttest/scenariofuzz/draw.go
+++ b/internal/faulttest/scenariofuzz/draw.go
@@ -118,8 +118,8 @@
 	return math.Round((low+r.Float64()*(high-low))*1000) / 1000
 }
 
-// whole is a whole number from low to high, both included.
-func (r random) whole(low, high int) int { return low + r.Intn(high-low+1) }
+// integer is a whole number from low to high, both included.
+func (r random) integer(low, high int) int { return low + r.Intn(high-low+1) }
 
 // byFactor is a figure from low to high in which each doubling is equally likely.
 func (r random) byFactor(low, high float64) float64 {
--- a/internal/faulttest/scenariofuzz/draw_test.go
+++ b/internal/faulttest/scenariofuzz/draw_test.go
@@ -60,7 +60,7 @@
 			}
 		}
 		assert.Assert(t, counts["store"]-retires >= loss+1, "seed %d: %d retired of %d", seed, retires, counts["store"])
-		assert.Assert(t, drawn.AckMS() >= leastAckMS)
+		assert.Assert(t, drawn.AckMS() >= minAckMS)
 		assert.Assert(t, len(tables(drawn.Day["plan"])) > 0)
 		last := lengthOf(drawn.Site)
 		if scenarioOf(drawn).afterEnd {
@@ -111,8 +111,8 @@
 	return append(tables(drawn.Day["plan"]), tables(drawn.Day["faults"])...)
 }
 
-// words are the parts of a trouble's variant.
-func words(entry Table) []string {
+// tokens are the parts of a trouble's variant.
+func tokens(entry Table) []string {
 	how, _ := entry["how"].(string)
 	return strings.Fields(how)
 }
@@ -156,7 +156,7 @@
 			variants, known := named[name]
 			assert.Assert(t, known, "seed %d: %v", seed, entry)
 			delete(missing, name)
-			for _, word := range words(entry) {
+			for _, word := range tokens(entry) {
 				assert.Assert(t, slices.Contains(strings.Fields(variants), word), "seed %d: %v", seed, entry)
 				delete(missing, name+" "+word)
 			}
@@ -240,7 +240,7 @@
 }
 
 // An entry never takes more counted machines than may be lost at once.
-func TestTroublesStayWithinWhatIsTolerated(t *testing.T) {
+func TestFaults_WithinTolerance(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(144) {
 		drawn, err := Draw(siteText(t), seed, "")
--- a/internal/faulttest/scenariofuzz/troubles.go
+++ b/internal/faulttest/scenariofuzz/faults.go
@@ -22,13 +22,13 @@
 var kinds = []kind{
 	{kind: "config_change", planned: true, how: []string{"route", "weights", "timeout", "tenant", "quota", "quota down", "topup", "idle"}},
 	{kind: "config_race", planned: true, fill: func(r random, t, _ Table) {
-		t["count"], t["gap_s"] = r.whole(1, 12), r.byFactor(0.05, 2)
+		t["count"], t["gap_s"] = r.integer(1, 12), r.byFactor(0.05, 2)
 	}},
 	{kind: "bad_config", planned: true,
 		how:  []string{"", "cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version", "same_version", "stale_match", "shared_key"},
-		fill: func(r random, t, _ Table) { t["count"], t["gap_s"] = r.whole(1, 4), r.between(0.6, 1.5) }},
+		fill: func(r random, t, _ Table) { t["count"], t["gap_s"] = r.integer(1, 4), r.between(0.6, 1.5) }},
 	{kind: "release", planned: true, how: []string{"", "all", "across"}, fill: func(r random, t, site Table) {
-		t["share"], t["x"], t["gap_s"] = r.between(0.2, 1), r.whole(1, 2), r.between(0.5, 1.5)
+		t["share"], t["x"], t["gap_s"] = r.between(0.2, 1), r.integer(1, 2), r.between(0.5, 1.5)
 		r.service(t, site)
 	}},
 	{kind: "roll_term", planned: true, on: []string{"front", "core", "store", ""}, how: []string{"", "busy"}, fill: func(r random, t, _ Table) {
@@ -37,7 +37,7 @@
 	{kind: "roll_term", planned: true, how: []string{"remove"}, fill: func(r random, t, _ Table) {
 		t["share"], t["gap_s"] = r.between(0.1, 0.3), r.between(1, 3)
 	}},
-	{kind: "add_nodes", planned: true, on: []string{"", "core", "store"}, fill: func(r random, t, _ Table) { t["count"] = r.whole(1, 2) }},
+	{kind: "add_nodes", planned: true, on: []string{"", "core", "store"}, fill: func(r random, t, _ Table) { t["count"] = r.integer(1, 2) }},
 	{kind: "replace_core", planned: true, on: []string{"", "store"}, how: []string{"planned"}, fill: func(r random, t, _ Table) { t["x"] = r.between(0.5, 3) }},
 	{kind: "retire", planned: true, how: []string{"", "wipe"}, fill: lasting(5, 10)},
 	{kind: "scale_out", planned: true, fill: func(r random, t, site Table) {
@@ -83,7 +83,7 @@
 	}},
 	{kind: "idle_race", fill: func(r random, t, site Table) {
 		endpoints(0.3, 1, 0, 0)(r, t, site)
-		t["x"] = r.whole(50, 800)
+		t["x"] = r.integer(50, 800)
 	}},
 	{kind: "srv_grey", how: []string{"errors", "shed", "busy", "hang", "reset", "mute", "slow"}, fill: func(r random, t, site Table) {
 		endpoints(0.1, 0.4, 0.2, 0.6)(r, t, site)
@@ -106,21 +106,21 @@
 		r.service(t, site)
 	}},
 
-	{kind: "node_kill", how: []string{"", "power"}, fill: machineShare(0.1, 0.5, 1, 5)},
+	{kind: "node_kill", how: []string{"", "power"}, fill: machineFraction(0.1, 0.5, 1, 5)},
 	{kind: "node_kill", on: []string{"core"}, how: append([]string{"power", "leader power hard"}, leaderVariants...), fill: counted(0.5, 5)},
 	{kind: "node_kill", on: []string{"core"}, how: []string{"reader", "turn", "seed", "turn race hard", "seed meet"}, fill: counted(0.5, 20)},
 	{kind: "node_kill", on: []string{"store"}, how: []string{"", "power"}, fill: counted(0.5, 5)},
 	{kind: "node_freeze", on: []string{"core"}, how: leaderVariants, fill: counted(0.3, 6)},
 	{kind: "node_freeze", on: []string{"store"}, fill: counted(0.3, 6)},
-	{kind: "node_freeze", fill: machineShare(0.1, 0.5, 0.3, 6)},
-	{kind: "node_slow", fill: func(r random, t, site Table) { machineShare(0.1, 0.3, 2, 6)(r, t, site); t["x"] = r.between(2, 8) }},
+	{kind: "node_freeze", fill: machineFraction(0.1, 0.5, 0.3, 6)},
+	{kind: "node_slow", fill: func(r random, t, site Table) { machineFraction(0.1, 0.3, 2, 6)(r, t, site); t["x"] = r.between(2, 8) }},
 	{kind: "node_slow", on: []string{"core", "store"}, fill: func(r random, t, site Table) { counted(2, 6)(r, t, site); t["x"] = r.between(2, 8) }},
-	{kind: "node_cut", how: []string{"", "all", "servers"}, fill: machineShare(0.1, 0.4, 1, 20)},
+	{kind: "node_cut", how: []string{"", "all", "servers"}, fill: machineFraction(0.1, 0.4, 1, 20)},
 	{kind: "herd_kill", how: []string{"", "power"}, fill: func(r random, t, _ Table) { t["share"], t["for_s"] = r.between(0.3, 0.8), r.between(0.3, 2) }},
 	{kind: "herd_kill", on: []string{"core"}, how: []string{"", "power", "taken", "taken all", "off", "race drain hard"}, fill: lasting(0.3, 2)},
 	{kind: "reset_conns", fill: func(r random, t, _ Table) { t["share"], t["x"] = r.between(0.1, 1), r.between(0.2, 1) }},
 	{kind: "clock_step", how: []string{"", "back", "ahead"}, fill: func(r random, t, _ Table) {
-		t["share"], t["x"], t["for_s"] = r.between(0.1, 0.6), r.whole(200, 20000), r.between(2, 8)
+		t["share"], t["x"], t["for_s"] = r.between(0.1, 0.6), r.integer(200, 20000), r.between(2, 8)
 	}},
 
 	{kind: "replace_core", on: []string{"", "store"}, how: []string{"", "oldest"}, fill: func(r random, t, _ Table) { t["x"] = r.between(0.3, 4) }},
@@ -130,7 +130,7 @@
 	{kind: "after_ack_wipe", on: []string{"store"}, how: []string{"", "timed", "taken", "oldest"}, fill: counted(0.5, 4)},
 	{kind: "core_cut", fill: func(r random, t, site Table) {
 		counted(1, 7)(r, t, site)
-		setHow(t, pick(r, cutScopes...), pick(r, cutFollowers...))
+		setHow(t, pick(r, partitionScopes...), pick(r, partitionFollowers...))
 		if r.Intn(4) == 0 {
 			t["for_s"] = 20.0
 		}
@@ -142,10 +142,10 @@
 }
 
 var closings = []Table{
-	trouble("power_off_all"), trouble("power_off_all", "how", "all"), trouble("power_off_all", "how", "timed"), trouble("power_off_all", "how", "taken"),
-	trouble("wipe_after_ack"), trouble("wipe_after_ack", "how", "all"), trouble("wipe_after_ack", "how", "timed"),
-	trouble("wipe_after_ack", "how", "taken"), trouble("wipe_after_ack", "how", "oldest"),
-	trouble("kill_all"),
+	newFault("power_off_all"), newFault("power_off_all", "how", "all"), newFault("power_off_all", "how", "timed"), newFault("power_off_all", "how", "taken"),
+	newFault("wipe_after_ack"), newFault("wipe_after_ack", "how", "all"), newFault("wipe_after_ack", "how", "timed"),
+	newFault("wipe_after_ack", "how", "taken"), newFault("wipe_after_ack", "how", "oldest"),
+	newFault("kill_all"),
 }
 
 // lasting fills in how long a trouble lasts.
@@ -156,12 +156,12 @@
 // counted takes no more machines than may be lost at once.
 func counted(low, high float64) func(random, Table, Table) {
 	return func(r random, t, site Table) {
-		t["count"], t["for_s"] = r.whole(1, lossesOf(site)), r.between(low, high)
+		t["count"], t["for_s"] = r.integer(1, lossesOf(site)), r.between(low, high)
 	}
 }
 
-// machineShare takes a share of all machines.
-func machineShare(least, most, low, high float64) func(random, Table, Table) {
+// machineFraction takes a share of all machines.
+func machineFraction(least, most, low, high float64) func(random, Table, Table) {
 	return func(r random, t, _ Table) { t["share"], t["for_s"] = r.between(least, most), r.between(low, high) }
 }
 
--- a/internal/faulttest/scenariofuzz/pressure.go
+++ b/internal/faulttest/scenariofuzz/pressure.go
@@ -11,10 +11,10 @@
 	for from := r.between(0.5, 2); from < length-2; from += r.between(0.5, 3) {
 		t := r.entryOf(pick(r, plannedKinds...), site)
 		if r.Intn(4) == 0 {
-			t = trouble("roll_term", "how", "busy", "share", r.between(0.3, 1), "x", float64(r.whole(1, 3)), "gap_s", r.between(0.3, 1.5))
+			t = newFault("roll_term", "how", "busy", "share", r.between(0.3, 1), "x", float64(r.integer(1, 3)), "gap_s", r.between(0.3, 1.5))
 		}
 		if r.Intn(8) == 0 {
-			t = trouble("replace_core", "how", "planned", "x", r.between(0.5, 2))
+			t = newFault("replace_core", "how", "planned", "x", r.between(0.5, 2))
 			setField(t, "on", pick(r, "", "store"))
 		}
 		all = append(all, at(from, t)...)
@@ -27,14 +27,14 @@
 	length := lengthOf(site)
 	var all []Table
 	for from := r.between(0.5, 2); from < length-5; from += r.between(3, 7) {
-		all = append(all, at(from, trouble("give_up", "share", r.between(0.3, 1), "x", float64(r.whole(1, 10)*100), "for_s", r.between(2, 7)))...)
+		all = append(all, at(from, newFault("give_up", "share", r.between(0.3, 1), "x", float64(r.integer(1, 10)*100), "for_s", r.between(2, 7)))...)
 		all = append(all, at(from+r.between(0, 1), pick(r,
-			trouble("srv_slow", "share", r.between(0.3, 1), "x", r.between(4, 20), "for_s", r.between(2, 6)),
-			trouble("srv_grey", "share", r.between(0.3, 0.8), "x", r.between(0.3, 1), "for_s", r.between(2, 6), "how", pick(r, "hang", "mute", "slow", "busy", "shed")),
-			trouble("srv_cut", "share", r.between(0.3, 0.8), "x", r.between(0.2, 0.8), "for_s", r.between(2, 6), "how", pick(r, "some", "some lossy", "fronts", "reset")),
-			trouble("burst", "x", r.between(2, 3), "for_s", r.between(2, 5)),
-			trouble("config_change", "how", "timeout"),
-			trouble("answer_lost", "share", 0.8, "x", 0.1, "for_s", 4.0)))...)
+			newFault("srv_slow", "share", r.between(0.3, 1), "x", r.between(4, 20), "for_s", r.between(2, 6)),
+			newFault("srv_grey", "share", r.between(0.3, 0.8), "x", r.between(0.3, 1), "for_s", r.between(2, 6), "how", pick(r, "hang", "mute", "slow", "busy", "shed")),
+			newFault("srv_cut", "share", r.between(0.3, 0.8), "x", r.between(0.2, 0.8), "for_s", r.between(2, 6), "how", pick(r, "some", "some lossy", "fronts", "reset")),
+			newFault("burst", "x", r.between(2, 3), "for_s", r.between(2, 5)),
+			newFault("config_change", "how", "timeout"),
+			newFault("answer_lost", "share", 0.8, "x", 0.1, "for_s", 4.0)))...)
 	}
 	return all
 }
@@ -46,7 +46,7 @@
 			agent["runaway"], agent["fan"] = r.between(0.2, 0.5), r.between(0.1, 0.5)
 		}
 	}
-	return turnsBesideStoreTroubles(r, site)
+	return turnsDuringStoreFaults(r, site)
 }
 
 // splitStores cuts stores from each other, freezes them and takes their power while many programs run away: what a
@@ -62,18 +62,18 @@
 	var all []Table
 	for from := r.between(1, 3); from < length-6; from += r.between(1.5, 5) {
 		t := pick(r,
-			trouble("core_cut", "on", "store", "count", losses, "how", pick(r, "split", "split", "both", "behind", "one_way", "all", "near", "reset", "refuse", "leader", "turn")),
-			trouble("core_cut", "on", "store", "count", losses, "how", pick(r, "split", "one_way", "all")),
-			trouble("node_freeze", "on", "store", "count", losses),
-			trouble("node_kill", "on", "store", "count", losses, "how", pick(r, "", "power")),
-			trouble("after_ack_kill", "on", "store", "count", losses, "how", pick(r, "taken", "timed")),
-			trouble("after_ack_wipe", "on", "store", "count", losses, "how", pick(r, "taken", "oldest")),
-			trouble("disk_stall", "on", "store", "count", losses),
-			trouble("clock_step", "share", 0.5, "x", r.whole(1000, 90000), "how", pick(r, "back", "ahead")),
-			trouble("core_cut", "count", 1, "how", pick(r, "leader", "leader one_way", "split", "all")),
-			trouble("node_freeze", "on", "core", "count", 1, "how", "leader"),
-			trouble("node_freeze", "share", 0.5),
-			trouble("herd_kill", "on", "core", "how", pick(r, "power", "taken", "taken all")))
+			newFault("core_cut", "on", "store", "count", losses, "how", pick(r, "split", "split", "both", "behind", "one_way", "all", "near", "reset", "refuse", "leader", "turn")),
+			newFault("core_cut", "on", "store", "count", losses, "how", pick(r, "split", "one_way", "all")),
+			newFault("node_freeze", "on", "store", "count", losses),
+			newFault("node_kill", "on", "store", "count", losses, "how", pick(r, "", "power")),
+			newFault("after_ack_kill", "on", "store", "count", losses, "how", pick(r, "taken", "timed")),
+			newFault("after_ack_wipe", "on", "store", "count", losses, "how", pick(r, "taken", "oldest")),
+			newFault("disk_stall", "on", "store", "count", losses),
+			newFault("clock_step", "share", 0.5, "x", r.integer(1000, 90000), "how", pick(r, "back", "ahead")),
+			newFault("core_cut", "count", 1, "how", pick(r, "leader", "leader one_way", "split", "all")),
+			newFault("node_freeze", "on", "core", "count", 1, "how", "leader"),
+			newFault("node_freeze", "share", 0.5),
+			newFault("herd_kill", "on", "core", "how", pick(r, "power", "taken", "taken all")))
 		t["for_s"] = r.between(0.2, 6)
 		all = append(all, at(from, t)...)
 	}
--- a/internal/faulttest/scenariofuzz/report.go
+++ b/internal/faulttest/scenariofuzz/report.go
@@ -11,7 +11,7 @@
 
 // Report is the part of a played day's report that tells of broken rules.
 type Report struct {
-	Worth   float64        `json:"G"`
+	Value   float64        `json:"G"`
 	Served  float64        `json:"served"`
 	Refused float64        `json:"refused"`
 	Failed  float64        `json:"failed"`
@@ -20,7 +20,7 @@
 	Breaks  map[string]any `json:"breaks"`
 	First   []any          `json:"first"`
 	Missed  []any          `json:"missed"`
-	Ends    int            `json:"exits_n"`
+	Exits   int            `json:"exits_n"`
 	AckMS   float64        `json:"config_ack_ms"`
 }
 
@@ -50,8 +50,8 @@
 	for _, s := range r.Short {
 		out = append(out, fmt.Sprintf("short: %v", s))
 	}
-	if r.Ends > 0 {
-		out = append(out, fmt.Sprintf("processes that ended by themselves: %d", r.Ends))
+	if r.Exits > 0 {
+		out = append(out, fmt.Sprintf("processes that ended by themselves: %d", r.Exits))
 	}
 	for _, m := range r.Missed {
 		out = append(out, fmt.Sprintf("missed: %v", m))
--- a/internal/faulttest/scenariofuzz/scenarios.go
+++ b/internal/faulttest/scenariofuzz/scenarios.go
@@ -30,8 +30,8 @@
 	alone   bool                               // nothing is drawn beside must and timed but single changes
 }
 
-// trouble makes an entry of a day from its kind and from pairs of field and value.
-func trouble(kind string, fields ...any) Table {
+// newFault makes an entry of a day from its kind and from pairs of field and value.
+func newFault(kind string, fields ...any) Table {
 	t := Table{"kind": kind}
 	for i := 0; i+1 < len(fields); i += 2 {
 		t[fields[i].(string)] = fields[i+1]
@@ -47,32 +47,32 @@
 	{name: "slow disks", slowDisk: true},
 	{name: "far zones", far: true},
 	{name: "far zones and slow disks", far: true, slowDisk: true, cores: 3},
-	{name: "a zone may be lost", zones: 3, loseZone: true, timed: wholePlaces},
-	{name: "five zones, one may be lost", zones: 5, loseZone: true, timed: wholePlaces},
-	{name: "a region may be lost", loseZone: true, loseRegion: true, far: true, timed: wholePlaces},
-	{name: "all machines restarted while they answer", must: []Table{trouble("roll_term", "how", "busy", "gap_s", 1.0)}},
+	{name: "a zone may be lost", zones: 3, loseZone: true, timed: zoneLosses},
+	{name: "five zones, one may be lost", zones: 5, loseZone: true, timed: zoneLosses},
+	{name: "a region may be lost", loseZone: true, loseRegion: true, far: true, timed: zoneLosses},
+	{name: "all machines restarted while they answer", must: []Table{newFault("roll_term", "how", "busy", "gap_s", 1.0)}},
 	{name: "core restarted across far zones", far: true, must: []Table{
-		trouble("roll_term", "on", "core", "share", 1.0, "gap_s", 2.0), trouble("config_race", "count", 5, "gap_s", 1.0)}},
+		newFault("roll_term", "on", "core", "share", 1.0, "gap_s", 2.0), newFault("config_race", "count", 5, "gap_s", 1.0)}},
 	{name: "core machines replaced", must: []Table{
-		trouble("replace_core", "x", 1.2), trouble("replace_core", "x", 2.0, "how", "planned")}},
+		newFault("replace_core", "x", 1.2), newFault("replace_core", "x", 2.0, "how", "planned")}},
 	{name: "core machine replaced while stores restart", must: []Table{
-		trouble("replace_core", "how", "planned", "x", 1.0), trouble("roll_term", "on", "store", "share", 1.0, "gap_s", 1.0),
-		trouble("replace_core", "on", "store", "how", "planned", "x", 1.0)}},
+		newFault("replace_core", "how", "planned", "x", 1.0), newFault("roll_term", "on", "store", "share", 1.0, "gap_s", 1.0),
+		newFault("replace_core", "on", "store", "how", "planned", "x", 1.0)}},
 	{name: "store emptied while others lose their disks", must: []Table{
-		trouble("retire", "for_s", 7.0, "how", "wipe"), trouble("add_nodes", "on", "store", "count", 1)}},
+		newFault("retire", "for_s", 7.0, "how", "wipe"), newFault("add_nodes", "on", "store", "count", 1)}},
 	{name: "machines added", must: []Table{
-		trouble("add_nodes"), trouble("add_nodes", "on", "core", "count", 1), trouble("add_nodes", "on", "store", "count", 1)}},
+		newFault("add_nodes"), newFault("add_nodes", "on", "core", "count", 1), newFault("add_nodes", "on", "store", "count", 1)}},
 	{name: "core cut at its leader", must: []Table{
-		trouble("core_cut", "for_s", 4.0, "how", "leader one_way race"), trouble("core_cut", "for_s", 4.0, "how", "leader reset hard")}},
+		newFault("core_cut", "for_s", 4.0, "how", "leader one_way race"), newFault("core_cut", "for_s", 4.0, "how", "leader reset hard")}},
 	{name: "core cut and refused", must: []Table{
-		trouble("core_cut", "for_s", 5.0, "how", "leader refuse race drain hard"), trouble("core_cut", "for_s", 4.0, "how", "leader meet one_way")}},
+		newFault("core_cut", "for_s", 5.0, "how", "leader refuse race drain hard"), newFault("core_cut", "for_s", 4.0, "how", "leader meet one_way")}},
 	{name: "closing fault after any acknowledgement", closing: []Table{
-		trouble("wipe_after_ack", "how", "timed"), trouble("wipe_after_ack", "how", "taken"), trouble("wipe_after_ack", "how", "oldest"),
-		trouble("power_off_all", "how", "timed"), trouble("power_off_all", "how", "taken"),
-		trouble("wipe_after_ack", "how", "all timed"), trouble("wipe_after_ack", "how", "all taken")}},
+		newFault("wipe_after_ack", "how", "timed"), newFault("wipe_after_ack", "how", "taken"), newFault("wipe_after_ack", "how", "oldest"),
+		newFault("power_off_all", "how", "timed"), newFault("power_off_all", "how", "taken"),
+		newFault("wipe_after_ack", "how", "all timed"), newFault("wipe_after_ack", "how", "all taken")}},
 	{name: "closing fault with two losses", cores: 5, stores: 5, losses: 2, closing: []Table{
-		trouble("wipe_after_ack", "how", "all"), trouble("wipe_after_ack", "how", "taken"), trouble("wipe_after_ack", "how", "all taken"),
-		trouble("wipe_after_ack", "how", "oldest")}},
+		newFault("wipe_after_ack", "how", "all"), newFault("wipe_after_ack", "how", "taken"), newFault("wipe_after_ack", "how", "all taken"),
+		newFault("wipe_after_ack", "how", "oldest")}},
 	{name: "control machine cut off for twenty seconds", timed: longCuts},
 	{name: "control machine of five cut off for twenty seconds", cores: 5, stores: 5, losses: 2, timed: longCuts},
 	{name: "machines cut off from control for twenty seconds", timed: longNodeCuts},
@@ -82,63 +82,63 @@
 	{name: "second loss after a repair, two may be lost", cores: 5, stores: 5, losses: 2, lengthSeconds: 60, timed: secondLosses},
 	{name: "restart after hundreds of changes", lengthSeconds: 200, timed: hundredsOfChanges, alone: true},
 	{name: "restart after hundreds of changes, two may be lost", cores: 7, stores: 5, losses: 2, lengthSeconds: 200, timed: hundredsOfChanges, alone: true},
-	{name: "answers out of place", timed: spoiltAnswers},
+	{name: "answers out of place", timed: corruptAnswers},
 	{name: "full disks", timed: fullDisks},
 	{name: "slow and silent disks", timed: hangingDisks},
-	{name: "endpoints in trouble", timed: endpointTroubles},
-	{name: "all core machines gone at once", timed: wholeCore},
-	{name: "long day", lengthSeconds: 200, timed: manyTroubles},
+	{name: "endpoints in trouble", timed: endpointFaults},
+	{name: "all core machines gone at once", timed: entireCore},
+	{name: "long day", lengthSeconds: 200, timed: manyFaults},
 	{name: "any trouble"},
-	{name: "orders while core machines come and go", lengthSeconds: 100, timed: ordersBesideCoreTroubles, alone: true},
+	{name: "orders while core machines come and go", lengthSeconds: 100, timed: ordersDuringCoreFaults, alone: true},
 	{name: "orders while core machines come and go, two may be lost", cores: 5, stores: 5, losses: 2, lengthSeconds: 100,
-		timed: ordersBesideCoreTroubles, alone: true},
-	{name: "turns while stores come and go", cores: 3, stores: 4, lengthSeconds: 100, timed: turnsBesideStoreTroubles, alone: true},
+		timed: ordersDuringCoreFaults, alone: true},
+	{name: "turns while stores come and go", cores: 3, stores: 4, lengthSeconds: 100, timed: turnsDuringStoreFaults, alone: true},
 	{name: "turns while stores come and go, two may be lost", cores: 5, stores: 6, losses: 2, lengthSeconds: 100,
-		timed: turnsBesideStoreTroubles, alone: true},
+		timed: turnsDuringStoreFaults, alone: true},
 	{name: "a loss right after sessions have lapsed", lengthSeconds: 60, timed: lossesAfterLapses, alone: true},
 	{name: "a loss right after sessions have lapsed, two may be lost", cores: 5, stores: 6, losses: 2, lengthSeconds: 60,
 		timed: lossesAfterLapses, alone: true},
 	{name: "many machines", large: true},
-	{name: "many machines, the same trouble again and again", large: true, timed: sameAgain, alone: true},
+	{name: "many machines, the same trouble again and again", large: true, timed: repeatedFault, alone: true},
 	{name: "many machines, a second trouble right after the first", large: true, timed: rightAfter, alone: true},
 	{name: "many machines, false health", large: true, tight: true, timed: falseHealth},
 	{name: "many machines, machines come and go", large: true, timed: manyMachinesComeAndGo},
 	{name: "few machines", few: true, tight: true},
-	{name: "few machines, the same trouble again and again", few: true, timed: sameAgain, alone: true},
-	{name: "the same trouble again and again, two may be lost", cores: 5, stores: 5, losses: 2, lengthSeconds: 50, timed: sameAgain},
+	{name: "few machines, the same trouble again and again", few: true, timed: repeatedFault, alone: true},
+	{name: "the same trouble again and again, two may be lost", cores: 5, stores: 5, losses: 2, lengthSeconds: 50, timed: repeatedFault},
 	{name: "a second trouble right after the first", timed: rightAfter, alone: true},
 	{name: "a second trouble right after the first, two may be lost", cores: 7, stores: 5, losses: 2, timed: rightAfter, alone: true},
-	{name: "troubles as traffic starts", timed: earlyTroubles},
-	{name: "troubles beside the closing fault", timed: lateTroubles, closing: closings, afterEnd: true},
-	{name: "full and silent disks beside kills", timed: diskTroublesBesideKills, alone: true},
-	{name: "full and silent disks beside kills, two may be lost", cores: 5, stores: 5, losses: 2, timed: diskTroublesBesideKills, alone: true},
+	{name: "troubles as traffic starts", timed: earlyFaults},
+	{name: "troubles beside the closing fault", timed: lateFaults, closing: closings, afterEnd: true},
+	{name: "full and silent disks beside kills", timed: diskFaultsWithKills, alone: true},
+	{name: "full and silent disks beside kills, two may be lost", cores: 5, stores: 5, losses: 2, timed: diskFaultsWithKills, alone: true},
 	{name: "cuts whose end costs more", cores: 5, stores: 4, losses: 2, timed: cutsThatCostMore, alone: true},
 	{name: "stale seeds", cores: 4, timed: staleSeeds, alone: true},
-	{name: "short timeouts and large bodies", tight: true, timed: spoiltAnswers},
+	{name: "short timeouts and large bodies", tight: true, timed: corruptAnswers},
 	{name: "clocks step beside troubles", timed: clockSteps, alone: true},
 	{name: "planned work alone", timed: plannedWork, alone: true},
 	{name: "planned work alone, short timeouts", tight: true, timed: plannedWork, alone: true},
 	{name: "planned work alone, many machines", large: true, timed: plannedWork, alone: true},
-	{name: "turns of every sort", sorts: true, timed: endpointTroubles},
+	{name: "turns of every sort", sorts: true, timed: endpointFaults},
 	{name: "turns of every sort, many machines", sorts: true, scarce: true, large: true},
 	{name: "turns of every sort as stores come and go, two losses", sorts: true, cores: 5, stores: 6, losses: 2, lengthSeconds: 60,
-		timed: turnsBesideStoreTroubles, alone: true},
+		timed: turnsDuringStoreFaults, alone: true},
 	{name: "turns of every sort of programs that run away", sorts: true, timed: programsThatRunAway},
-	{name: "turns of every sort as answers are spoilt", sorts: true, timed: spoiltAnswers},
-	{name: "few places, little memory and tight aims", scarce: true, timed: endpointTroubles},
+	{name: "turns of every sort as answers are spoilt", sorts: true, timed: corruptAnswers},
+	{name: "few places, little memory and tight aims", scarce: true, timed: endpointFaults},
 	{name: "clients that give up", timed: impatientClients, alone: true},
 	{name: "clients that give up, short timeouts", tight: true, timed: impatientClients, alone: true},
 	{name: "programs that run away", lengthSeconds: 60, timed: programsThatRunAway, alone: true, closing: closings},
-	{name: "short retention while stores come and go", tight: true, cores: 3, stores: 4, lengthSeconds: 60, timed: turnsBesideStoreTroubles, alone: true},
-	{name: "a zone of several may be lost", zones: 3, perZone: 2, loseZone: true, timed: wholePlaces},
-	{name: "a zone of several may be lost, the same trouble again", zones: 5, perZone: 2, losses: 2, loseZone: true, timed: sameAgain},
-	{name: "a region of several may be lost", perZone: 2, loseZone: true, loseRegion: true, timed: wholePlaces},
+	{name: "short retention while stores come and go", tight: true, cores: 3, stores: 4, lengthSeconds: 60, timed: turnsDuringStoreFaults, alone: true},
+	{name: "a zone of several may be lost", zones: 3, perZone: 2, loseZone: true, timed: zoneLosses},
+	{name: "a zone of several may be lost, the same trouble again", zones: 5, perZone: 2, losses: 2, loseZone: true, timed: repeatedFault},
+	{name: "a region of several may be lost", perZone: 2, loseZone: true, loseRegion: true, timed: zoneLosses},
 	{name: "three may be lost", cores: 7, stores: 7, losses: 3, timed: rightAfter},
 	{name: "three may be lost, turns while stores come and go", cores: 7, stores: 8, losses: 3, lengthSeconds: 60,
-		timed: turnsBesideStoreTroubles, alone: true},
+		timed: turnsDuringStoreFaults, alone: true},
 	{name: "one zone", zones: 1},
 	{name: "very far zones", far: true, veryFar: true},
-	{name: "very far zones, orders beside core troubles", far: true, veryFar: true, lengthSeconds: 60, timed: ordersBesideCoreTroubles, alone: true},
+	{name: "very far zones, orders beside core troubles", far: true, veryFar: true, lengthSeconds: 60, timed: ordersDuringCoreFaults, alone: true},
 	{name: "large bodies and many connections", pressed: true, timed: impatientClients},
 	{name: "large bodies and many connections, many machines", large: true, pressed: true, timed: impatientClients},
 	{name: "many routes on a long day", routes: 510, lengthSeconds: 200, timed: hundredsOfChanges, alone: true},
@@ -147,17 +147,17 @@
 	{name: "stores split while programs run away, many machines", large: true, timed: splitStores, alone: true},
 	{name: "the site as it is", asItIs: true},
 	{name: "the site as it is, two scenarios at once", asItIs: true, timed: overlaid, alone: true},
-	{name: "the site as it is, its own troubles again and again", asItIs: true, timed: ownTroubles, alone: true},
+	{name: "the site as it is, its own troubles again and again", asItIs: true, timed: singleFaults, alone: true},
 	{name: "two scenarios at once", timed: overlaid},
 	{name: "two scenarios at once, two may be lost", cores: 5, stores: 5, losses: 2, timed: overlaid},
 	{name: "two scenarios at once, many machines", large: true, timed: overlaid, alone: true},
 }
 
-// ownTroubles has the troubles that the site file names come two to four times each, at any moment.
-func ownTroubles(r random, site Table) []Table {
+// singleFaults has the troubles that the site file names come two to four times each, at any moment.
+func singleFaults(r random, site Table) []Table {
 	var all []Table
 	for _, own := range tables(site["troubles"]) {
-		for range r.whole(0, 4) {
+		for range r.integer(0, 4) {
 			t := maps.Clone(own)
 			all = append(all, at(r.between(0.5, lengthOf(site)-2), t)...)
 		}
@@ -169,9 +169,9 @@
 func overlaid(r random, site Table) []Table {
 	var all []Table
 	for range 2 {
-		way := pick(r, longCuts, longNodeCuts, pairedOrders, secondLosses, spoiltAnswers, fullDisks, hangingDisks, endpointTroubles, wholeCore,
-			manyTroubles, ordersBesideCoreTroubles, turnsBesideStoreTroubles, lossesAfterLapses, sameAgain, rightAfter, earlyTroubles,
-			diskTroublesBesideKills, cutsThatCostMore, staleSeeds, falseHealth, clockSteps, manyMachinesComeAndGo, plannedWork, impatientClients)
+		way := pick(r, longCuts, longNodeCuts, pairedOrders, secondLosses, corruptAnswers, fullDisks, hangingDisks, endpointFaults, entireCore,
+			manyFaults, ordersDuringCoreFaults, turnsDuringStoreFaults, lossesAfterLapses, repeatedFault, rightAfter, earlyFaults,
+			diskFaultsWithKills, cutsThatCostMore, staleSeeds, falseHealth, clockSteps, manyMachinesComeAndGo, plannedWork, impatientClients)
 		all = append(all, way(r, site)...)
 	}
 	return all
@@ -201,8 +201,8 @@
 	return 1
 }
 
-// wholePlaces takes a whole zone or region away, twice.
-func wholePlaces(r random, site Table) []Table {
+// zoneLosses takes a whole zone or region away, twice.
+func zoneLosses(r random, site Table) []Table {
 	var all []Table
 	zones := tables(site["zones"])
 	for _, from := range []float64{4, 18} {
@@ -212,7 +212,7 @@
 			field, place = "region", zone["region"]
 		}
 		kind := pick(r, "node_kill", "node_freeze", "node_cut")
-		t := trouble(kind, field, place, "share", 1.0, "for_s", r.between(2, 6))
+		t := newFault(kind, field, place, "share", 1.0, "for_s", r.between(2, 6))
 		switch kind {
 		case "node_kill":
 			t["how"] = "power"
@@ -225,65 +225,65 @@
 }
 
 var (
-	cutScopes = []string{"", "all", "near", "oldest", "one_way", "seeds", "both", "lure", "behind", "split", "relieve", "leader relieve", "giver", "leader", "leader all", "leader near",
+	partitionScopes = []string{"", "all", "near", "oldest", "one_way", "seeds", "both", "lure", "behind", "split", "relieve", "leader relieve", "giver", "leader", "leader all", "leader near",
 		"leader one_way", "leader seeds", "leader both", "leader lure", "leader reset", "leader refuse", "reader", "reader one_way", "reader all", "turn", "seed"}
-	cutFollowers = []string{"", "", "meet", "race", "race hard", "meet drain", "race drain hard", "meet hard"}
+	partitionFollowers = []string{"", "", "meet", "race", "race hard", "meet drain", "race drain hard", "meet hard"}
 )
 
 // longCuts cuts a control machine off for twenty seconds, with changes all along and a trouble as it returns.
 func longCuts(r random, site Table) []Table {
 	from := r.between(1, 8)
-	cut := trouble("core_cut", "for_s", 20.0, "count", 1)
-	setHow(cut, pick(r, cutScopes...), pick(r, cutFollowers...))
+	cut := newFault("core_cut", "for_s", 20.0, "count", 1)
+	setHow(cut, pick(r, partitionScopes...), pick(r, partitionFollowers...))
 	all := at(from, cut)
-	all = append(all, at(from+r.between(0.2, 3), trouble("config_race", "count", r.whole(8, 25), "gap_s", r.between(0.3, 0.9)))...)
+	all = append(all, at(from+r.between(0.2, 3), newFault("config_race", "count", r.integer(8, 25), "gap_s", r.between(0.3, 0.9)))...)
 	if r.Intn(2) == 0 {
-		all = append(all, at(from+r.between(5, 12), trouble("release", "share", r.between(0.3, 0.6), "x", 2.0, "gap_s", 0.6))...)
+		all = append(all, at(from+r.between(5, 12), newFault("release", "share", r.between(0.3, 0.6), "x", 2.0, "gap_s", 0.6))...)
 	}
 	all = append(all, at(from+20+r.between(-0.5, 0.5), pick(r,
-		trouble("node_kill", "on", "core", "count", 1, "for_s", 1.5, "how", "leader power"),
-		trouble("replace_core", "x", 0.8),
-		trouble("config_race", "count", 5, "gap_s", 0.2),
-		trouble("seed_turnover")))...)
+		newFault("node_kill", "on", "core", "count", 1, "for_s", 1.5, "how", "leader power"),
+		newFault("replace_core", "x", 0.8),
+		newFault("config_race", "count", 5, "gap_s", 0.2),
+		newFault("seed_turnover")))...)
 	return all
 }
 
 // longNodeCuts cuts machines of all classes off from control, some while endpoints are replaced.
 func longNodeCuts(r random, site Table) []Table {
 	from := r.between(1, 8)
-	cut := trouble("node_cut", "for_s", 20.0, "share", r.between(0.1, 0.5))
+	cut := newFault("node_cut", "for_s", 20.0, "share", r.between(0.1, 0.5))
 	setHow(cut, pick(r, "", "all", "servers"))
-	all := at(from, cut, trouble("config_race", "count", r.whole(4, 12), "gap_s", r.between(0.5, 1.5)))
-	all = append(all, at(from+r.between(1, 5), trouble("release", "share", r.between(0.3, 0.6), "x", 1.0, "gap_s", 0.8))...)
+	all := at(from, cut, newFault("config_race", "count", r.integer(4, 12), "gap_s", r.between(0.5, 1.5)))
+	all = append(all, at(from+r.between(1, 5), newFault("release", "share", r.between(0.3, 0.6), "x", 1.0, "gap_s", 0.8))...)
 	return append(all, at(from+r.between(3, 10), pick(r,
-		trouble("replace_with_reuse", "share", 0.3), trouble("scale_in", "share", 0.3, "how", "spot"),
-		trouble("core_cut", "for_s", 8.0, "how", "leader")))...)
+		newFault("replace_with_reuse", "share", 0.3), newFault("scale_in", "share", 0.3, "how", "spot"),
+		newFault("core_cut", "for_s", 8.0, "how", "leader")))...)
 }
 
 // pairedOrders sends orders of equal number together, up to eight at once, and loses most acknowledgements.
 func pairedOrders(r random, site Table) []Table {
 	length := lengthOf(site)
-	all := at(0.5, trouble("ack_lost", "x", r.between(0.6, 0.95), "for_s", length-4))
+	all := at(0.5, newFault("ack_lost", "x", r.between(0.6, 0.95), "for_s", length-4))
 	for from := r.between(1, 3); from < length-5; from += r.between(2, 5) {
 		switch r.Intn(3) {
 		case 0:
-			all = append(all, at(from, trouble("config_race", "count", r.whole(3, 8), "gap_s", r.between(0.05, 0.4)))...)
+			all = append(all, at(from, newFault("config_race", "count", r.integer(3, 8), "gap_s", r.between(0.05, 0.4)))...)
 		case 1:
 			for range 8 {
-				all = append(all, at(from, trouble("config_change", "how", pick(r, "route", "timeout", "idle", "weights")))...)
+				all = append(all, at(from, newFault("config_change", "how", pick(r, "route", "timeout", "idle", "weights")))...)
 			}
 		default:
 			for range 4 {
-				all = append(all, at(from, trouble("config_race", "count", 1))...)
+				all = append(all, at(from, newFault("config_race", "count", 1))...)
 			}
 		}
 	}
-	all = append(all, at(r.between(4, length/2), trouble("node_kill", "on", "core", "count", 1, "for_s", r.between(0.5, 4),
+	all = append(all, at(r.between(4, length/2), newFault("node_kill", "on", "core", "count", 1, "for_s", r.between(0.5, 4),
 		"how", pick(r, "leader race", "leader power", "leader race drain hard", "leader meet")))...)
 	return append(all, at(r.between(length/2, length-6), pick(r,
-		trouble("core_cut", "for_s", 4.0, "how", "leader race hard"),
-		trouble("node_freeze", "on", "core", "count", 1, "for_s", 3.0, "how", "leader race"),
-		trouble("after_ack_kill", "for_s", 2.0, "how", "timed")))...)
+		newFault("core_cut", "for_s", 4.0, "how", "leader race hard"),
+		newFault("node_freeze", "on", "core", "count", 1, "for_s", 3.0, "how", "leader race"),
+		newFault("after_ack_kill", "for_s", 2.0, "how", "timed")))...)
 }
 
 // secondLosses loses a machine again and again, each right after the time in which the one before is repaired.
@@ -299,11 +299,11 @@
 			on = pick(r, "core", "store")
 		}
 		t := pick(r,
-			trouble("after_ack_wipe", "on", on, "count", losses, "for_s", down),
-			trouble("after_ack_wipe", "on", on, "count", losses, "for_s", down, "how", "oldest"),
-			trouble("after_ack_wipe", "on", on, "count", losses, "for_s", down, "how", "timed"),
-			trouble("replace_core", "on", on, "x", down),
-			trouble("replace_core", "on", on, "x", down, "how", "oldest"))
+			newFault("after_ack_wipe", "on", on, "count", losses, "for_s", down),
+			newFault("after_ack_wipe", "on", on, "count", losses, "for_s", down, "how", "oldest"),
+			newFault("after_ack_wipe", "on", on, "count", losses, "for_s", down, "how", "timed"),
+			newFault("replace_core", "on", on, "x", down),
+			newFault("replace_core", "on", on, "x", down, "how", "oldest"))
 		if t["kind"] == "after_ack_wipe" && on == "core" {
 			delete(t, "on")
 		}
@@ -318,49 +318,49 @@
 	length := lengthOf(site)
 	var all []Table
 	for from := 1.0; from < length-10; from += 20 {
-		count := r.whole(12, 30)
-		all = append(all, at(from, trouble("config_race", "count", count, "gap_s", math3(18/float64(count))))...)
+		count := r.integer(12, 30)
+		all = append(all, at(from, newFault("config_race", "count", count, "gap_s", math3(18/float64(count))))...)
 	}
 	losses := lossesOf(site)
 	for from := r.between(15, 25); from < length-25; from += r.between(18, 30) {
 		all = append(all, at(from, pick(r,
-			trouble("node_kill", "on", "core", "count", losses, "for_s", r.between(5, 15)),
-			trouble("node_kill", "on", "core", "count", losses, "for_s", r.between(5, 15), "how", "power"),
-			trouble("node_freeze", "on", "core", "count", losses, "for_s", r.between(5, 15)),
-			trouble("core_cut", "count", losses, "for_s", r.between(5, 15), "how", "all"),
-			trouble("after_ack_wipe", "for_s", r.between(1, 8), "how", "oldest"),
-			trouble("replace_core", "x", r.between(1, 5)),
-			trouble("herd_kill", "on", "core", "how", "power"),
-			trouble("add_nodes", "on", "core", "count", 1)))...)
+			newFault("node_kill", "on", "core", "count", losses, "for_s", r.between(5, 15)),
+			newFault("node_kill", "on", "core", "count", losses, "for_s", r.between(5, 15), "how", "power"),
+			newFault("node_freeze", "on", "core", "count", losses, "for_s", r.between(5, 15)),
+			newFault("core_cut", "count", losses, "for_s", r.between(5, 15), "how", "all"),
+			newFault("after_ack_wipe", "for_s", r.between(1, 8), "how", "oldest"),
+			newFault("replace_core", "x", r.between(1, 5)),
+			newFault("herd_kill", "on", "core", "how", "power"),
+			newFault("add_nodes", "on", "core", "count", 1)))...)
 	}
 	return all
 }
 
-// spoiltAnswers spoils, doubles, loses and breaks off answers while machines and connections go.
-func spoiltAnswers(r random, site Table) []Table {
+// corruptAnswers spoils, doubles, loses and breaks off answers while machines and connections go.
+func corruptAnswers(r random, site Table) []Table {
 	var all []Table
 	for _, how := range []string{"", "extra", "unframed", "early", "extra late"} {
-		t := trouble("garble", "share", r.between(0.4, 1), "x", r.between(0.02, 0.15), "for_s", r.between(4, 10))
+		t := newFault("garble", "share", r.between(0.4, 1), "x", r.between(0.02, 0.15), "for_s", r.between(4, 10))
 		setHow(t, how)
 		all = append(all, at(r.between(1, 24), t)...)
 	}
-	all = append(all, at(r.between(1, 20), trouble("answer_lost", "share", 0.8, "x", r.between(0.03, 0.15), "for_s", 6.0),
-		trouble("reset_conns", "share", 0.5, "x", 0.5))...)
-	grey := trouble("srv_grey", "share", r.between(0.2, 0.6), "x", r.between(0.2, 0.6), "for_s", r.between(3, 8))
+	all = append(all, at(r.between(1, 20), newFault("answer_lost", "share", 0.8, "x", r.between(0.03, 0.15), "for_s", 6.0),
+		newFault("reset_conns", "share", 0.5, "x", 0.5))...)
+	grey := newFault("srv_grey", "share", r.between(0.2, 0.6), "x", r.between(0.2, 0.6), "for_s", r.between(3, 8))
 	setHow(grey, pick(r, "errors", "shed", "busy", "hang", "reset", "mute", "slow"))
 	all = append(all, at(r.between(1, 24), grey)...)
 	return append(all, at(r.between(4, 24), pick(r,
-		trouble("srv_crash", "share", 0.4, "for_s", 3.0, "how", "dark"), trouble("node_kill", "share", 0.3, "for_s", 2.0),
-		trouble("release", "share", 0.5, "x", 2.0, "gap_s", 0.6), trouble("reset_conns", "share", 1.0, "x", 1.0)))...)
+		newFault("srv_crash", "share", 0.4, "for_s", 3.0, "how", "dark"), newFault("node_kill", "share", 0.3, "for_s", 2.0),
+		newFault("release", "share", 0.5, "x", 2.0, "gap_s", 0.6), newFault("reset_conns", "share", 1.0, "x", 1.0)))...)
 }
 
 // fullDisks fills disks of core and store machines several times, with changes meanwhile.
 func fullDisks(r random, site Table) []Table {
 	losses := lossesOf(site)
-	all := at(r.between(1, 4), trouble("config_race", "count", 20, "gap_s", 1.2))
+	all := at(r.between(1, 4), newFault("config_race", "count", 20, "gap_s", 1.2))
 	on := pick(r, "core", "store")
 	for from := r.between(2, 5); from < lengthOf(site)-6; from += r.between(9, 14) {
-		all = append(all, at(from, trouble("disk_full", "on", on, "count", r.whole(1, losses), "for_s", r.between(3, 8)))...)
+		all = append(all, at(from, newFault("disk_full", "on", on, "count", r.integer(1, losses), "for_s", r.between(3, 8)))...)
 		on = map[string]string{"core": "store", "store": "core"}[on]
 	}
 	return all
@@ -369,9 +369,9 @@
 // hangingDisks slows and stops disks of core and store machines several times, with changes meanwhile.
 func hangingDisks(r random, site Table) []Table {
 	losses := lossesOf(site)
-	all := at(r.between(1, 4), trouble("config_race", "count", 15, "gap_s", 1.4))
+	all := at(r.between(1, 4), newFault("config_race", "count", 15, "gap_s", 1.4))
 	for from := r.between(2, 5); from < lengthOf(site)-6; from += r.between(8, 12) {
-		t := trouble(pick(r, "disk_stall", "disk_slow"), "on", pick(r, "core", "store"), "count", r.whole(1, losses), "for_s", r.between(2, 6))
+		t := newFault(pick(r, "disk_stall", "disk_slow"), "on", pick(r, "core", "store"), "count", r.integer(1, losses), "for_s", r.between(2, 6))
 		if t["kind"] == "disk_slow" {
 			t["x"] = r.byFactor(10, 200)
 		}
@@ -380,33 +380,33 @@
 	return all
 }
 
-// endpointTroubles has endpoints crash, slow down, fail, fall silent, leave and hand their addresses on.
-func endpointTroubles(r random, site Table) []Table {
+// endpointFaults has endpoints crash, slow down, fail, fall silent, leave and hand their addresses on.
+func endpointFaults(r random, site Table) []Table {
 	var all []Table
 	for _, kind := range []string{"srv_crash", "srv_slow", "srv_grey", "srv_cut", "replace_with_reuse", "scale_out", "scale_in", "give_up",
 		"srv_lying_health", "srv_flap", "idle_race"} {
-		for range r.whole(1, 2) {
+		for range r.integer(1, 2) {
 			all = append(all, at(r.between(1, lengthOf(site)-6), r.entryOf(kind, site))...)
 		}
 	}
 	return all
 }
 
-// wholeCore kills all core machines at once, in the middle of the day, twice.
-func wholeCore(r random, site Table) []Table {
+// entireCore kills all core machines at once, in the middle of the day, twice.
+func entireCore(r random, site Table) []Table {
 	var all []Table
 	for _, from := range []float64{5, 20} {
-		t := trouble("herd_kill", "on", "core", "for_s", r.between(0.3, 2))
+		t := newFault("herd_kill", "on", "core", "for_s", r.between(0.3, 2))
 		setHow(t, pick(r, "", "power", "taken", "taken all"))
 		all = append(all, at(from+r.between(0, 5), t)...)
 	}
 	return all
 }
 
-// manyTroubles fills a long day with hundreds of changes and with troubles in turn.
-func manyTroubles(r random, site Table) []Table {
+// manyFaults fills a long day with hundreds of changes and with troubles in turn.
+func manyFaults(r random, site Table) []Table {
 	length := lengthOf(site)
-	all := at(2, trouble("config_race", "count", 120, "gap_s", 1.5))
+	all := at(2, newFault("config_race", "count", 120, "gap_s", 1.5))
 	for from := 4.0; from < length-15; from += r.between(4, 9) {
 		kind := kinds[r.Intn(len(kinds))].kind
 		all = append(all, at(math3(from), r.entryOf(kind, site))...)
@@ -414,53 +414,53 @@
 	return all
 }
 
-// ordersBesideCoreTroubles has pairs of orders close to each other while a core machine is in trouble at all times.
-func ordersBesideCoreTroubles(r random, site Table) []Table {
+// ordersDuringCoreFaults has pairs of orders close to each other while a core machine is in trouble at all times.
+func ordersDuringCoreFaults(r random, site Table) []Table {
 	length, losses := lengthOf(site), lossesOf(site)
-	all := at(0.5, trouble("ack_lost", "x", r.between(0.5, 0.95), "for_s", length-4))
+	all := at(0.5, newFault("ack_lost", "x", r.between(0.5, 0.95), "for_s", length-4))
 	for from := r.between(1, 3); from < length-10; from += r.between(4, 8) {
-		all = append(all, at(from, trouble("config_race", "count", r.whole(4, 12), "gap_s", r.byFactor(0.05, 0.5)))...)
+		all = append(all, at(from, newFault("config_race", "count", r.integer(4, 12), "gap_s", r.byFactor(0.05, 0.5)))...)
 		all = append(all, at(from+r.between(0, 2), pick(r,
-			trouble("node_kill", "on", "core", "count", losses, "for_s", r.between(0.3, 2), "how", "leader power race hard"),
-			trouble("node_kill", "on", "core", "count", losses, "for_s", r.between(0.3, 2), "how", "leader race"),
-			trouble("core_cut", "count", losses, "for_s", r.between(1, 5), "how", pick(r, "leader one_way race", "leader race", "leader all race", "leader reset race", "leader near meet")),
-			trouble("node_freeze", "on", "core", "count", losses, "for_s", r.between(0.5, 4), "how", "leader race"),
-			trouble("herd_kill", "on", "core", "for_s", r.between(0.3, 1.5), "how", pick(r, "power", "taken")),
-			trouble("after_ack_kill", "for_s", r.between(0.5, 3), "how", pick(r, "timed", "taken", "kill")),
-			trouble("after_ack_wipe", "for_s", r.between(0.5, 3), "how", pick(r, "timed", "oldest")),
-			trouble("replace_core", "x", r.between(0.3, 2), "how", "oldest"),
-			trouble("node_slow", "on", "core", "count", losses, "x", 6.0, "for_s", 4.0),
-			trouble("disk_stall", "on", "core", "count", losses, "for_s", r.between(1, 4)),
-			trouble("clock_step", "share", 0.5, "x", 10000, "for_s", 5.0)))...)
+			newFault("node_kill", "on", "core", "count", losses, "for_s", r.between(0.3, 2), "how", "leader power race hard"),
+			newFault("node_kill", "on", "core", "count", losses, "for_s", r.between(0.3, 2), "how", "leader race"),
+			newFault("core_cut", "count", losses, "for_s", r.between(1, 5), "how", pick(r, "leader one_way race", "leader race", "leader all race", "leader reset race", "leader near meet")),
+			newFault("node_freeze", "on", "core", "count", losses, "for_s", r.between(0.5, 4), "how", "leader race"),
+			newFault("herd_kill", "on", "core", "for_s", r.between(0.3, 1.5), "how", pick(r, "power", "taken")),
+			newFault("after_ack_kill", "for_s", r.between(0.5, 3), "how", pick(r, "timed", "taken", "kill")),
+			newFault("after_ack_wipe", "for_s", r.between(0.5, 3), "how", pick(r, "timed", "oldest")),
+			newFault("replace_core", "x", r.between(0.3, 2), "how", "oldest"),
+			newFault("node_slow", "on", "core", "count", losses, "x", 6.0, "for_s", 4.0),
+			newFault("disk_stall", "on", "core", "count", losses, "for_s", r.between(1, 4)),
+			newFault("clock_step", "share", 0.5, "x", 10000, "for_s", 5.0)))...)
 	}
 	return all
 }
 
-// turnsBesideStoreTroubles has programs go on from turn to turn while a store is in trouble at all times, and while
+// turnsDuringStoreFaults has programs go on from turn to turn while a store is in trouble at all times, and while
 // endpoints spoil answers and machines that take requests go.
-func turnsBesideStoreTroubles(r random, site Table) []Table {
+func turnsDuringStoreFaults(r random, site Table) []Table {
 	length, losses := lengthOf(site), lossesOf(site)
 	var all []Table
 	for from := r.between(1, 3); from < length-10; from += r.between(4, 8) {
 		all = append(all, at(from, pick(r,
-			trouble("after_ack_kill", "on", "store", "count", losses, "for_s", r.between(0.5, 3), "how", pick(r, "taken", "timed", "taken gone")),
-			trouble("after_ack_wipe", "on", "store", "count", losses, "for_s", r.between(0.5, 3), "how", pick(r, "taken", "timed", "oldest")),
-			trouble("core_cut", "on", "store", "count", losses, "for_s", r.between(1, 6), "how", pick(r, "one_way", "reset", "refuse", "all", "near", "oldest")),
-			trouble("node_freeze", "on", "store", "count", losses, "for_s", r.between(0.3, 5)),
-			trouble("node_kill", "on", "store", "count", losses, "for_s", r.between(0.3, 3), "how", "power"),
-			trouble("replace_core", "on", "store", "x", r.between(0.3, 2), "how", "oldest"),
-			trouble("replace_core", "on", "store", "x", r.between(0.3, 2), "how", "planned"),
-			trouble("roll_term", "on", "store", "share", 1.0, "gap_s", r.between(0.8, 2)),
-			trouble("disk_stall", "on", "store", "count", losses, "for_s", r.between(1, 4)),
-			trouble("retire", "for_s", 7.0, "how", "wipe"),
-			trouble("herd_kill", "share", 0.8, "for_s", 0.6, "how", "power")))...)
+			newFault("after_ack_kill", "on", "store", "count", losses, "for_s", r.between(0.5, 3), "how", pick(r, "taken", "timed", "taken gone")),
+			newFault("after_ack_wipe", "on", "store", "count", losses, "for_s", r.between(0.5, 3), "how", pick(r, "taken", "timed", "oldest")),
+			newFault("core_cut", "on", "store", "count", losses, "for_s", r.between(1, 6), "how", pick(r, "one_way", "reset", "refuse", "all", "near", "oldest")),
+			newFault("node_freeze", "on", "store", "count", losses, "for_s", r.between(0.3, 5)),
+			newFault("node_kill", "on", "store", "count", losses, "for_s", r.between(0.3, 3), "how", "power"),
+			newFault("replace_core", "on", "store", "x", r.between(0.3, 2), "how", "oldest"),
+			newFault("replace_core", "on", "store", "x", r.between(0.3, 2), "how", "planned"),
+			newFault("roll_term", "on", "store", "share", 1.0, "gap_s", r.between(0.8, 2)),
+			newFault("disk_stall", "on", "store", "count", losses, "for_s", r.between(1, 4)),
+			newFault("retire", "for_s", 7.0, "how", "wipe"),
+			newFault("herd_kill", "share", 0.8, "for_s", 0.6, "how", "power")))...)
 		all = append(all, at(from+r.between(0, 3), pick(r,
-			trouble("garble", "share", 0.6, "x", 0.05, "for_s", 4.0, "how", pick(r, "extra", "unframed", "early")),
-			trouble("answer_lost", "share", 0.6, "x", 0.08, "for_s", 4.0, "how", "reset"),
-			trouble("reset_conns", "share", 0.5, "x", 0.8),
-			trouble("node_kill", "share", 0.3, "for_s", 1.0),
-			trouble("roll_term", "how", "busy", "share", 0.5, "gap_s", 0.8),
-			trouble("release", "share", 0.5, "x", 2.0, "gap_s", 0.6)))...)
+			newFault("garble", "share", 0.6, "x", 0.05, "for_s", 4.0, "how", pick(r, "extra", "unframed", "early")),
+			newFault("answer_lost", "share", 0.6, "x", 0.08, "for_s", 4.0, "how", "reset"),
+			newFault("reset_conns", "share", 0.5, "x", 0.8),
+			newFault("node_kill", "share", 0.3, "for_s", 1.0),
+			newFault("roll_term", "how", "busy", "share", 0.5, "gap_s", 0.8),
+			newFault("release", "share", 0.5, "x", 2.0, "gap_s", 0.6)))...)
 	}
 	return all
 }
@@ -471,18 +471,18 @@
 	repair, _ := site["timing"].(Table)["catch_up_s"].(float64)
 	var all []Table
 	for from := r.between(2, 4); from < lengthOf(site)-repair-6; from += repair + r.between(2.5, 5) {
-		lapse := trouble("reset_conns", "share", 1.0, "x", 1.0)
+		lapse := newFault("reset_conns", "share", 1.0, "x", 1.0)
 		if lossesOf(site) > 1 && r.Intn(2) == 0 {
-			lapse = trouble(pick(r, "node_freeze", "core_cut"), "on", "store", "count", 1, "for_s", r.between(0.3, 1.5))
+			lapse = newFault(pick(r, "node_freeze", "core_cut"), "on", "store", "count", 1, "for_s", r.between(0.3, 1.5))
 		}
 		all = append(all, at(from, lapse)...)
 		loss := pick(r,
-			trouble("after_ack_wipe", "on", "store", "count", 1, "for_s", r.between(0.3, 2), "how", pick(r, "taken", "timed", "oldest")),
-			trouble("replace_core", "on", "store", "x", r.between(0.3, 2)),
-			trouble("after_ack_wipe", "for_s", r.between(0.3, 2), "how", "timed"))
+			newFault("after_ack_wipe", "on", "store", "count", 1, "for_s", r.between(0.3, 2), "how", pick(r, "taken", "timed", "oldest")),
+			newFault("replace_core", "on", "store", "x", r.between(0.3, 2)),
+			newFault("after_ack_wipe", "for_s", r.between(0.3, 2), "how", "timed"))
 		all = append(all, at(from+r.between(0.05, 1), loss)...)
 		if r.Intn(2) == 0 {
-			all = append(all, at(from+r.between(0.05, 1), trouble("reset_conns", "share", 1.0, "x", 1.0))...)
+			all = append(all, at(from+r.between(0.05, 1), newFault("reset_conns", "share", 1.0, "x", 1.0))...)
 		}
 	}
 	return all
--- a/internal/faulttest/scenariofuzz/tight.go
+++ b/internal/faulttest/scenariofuzz/tight.go
@@ -2,16 +2,16 @@
 
 // machineSize is what a machine of a class has on a deployment of many machines.
 type machineSize struct {
-	processorShare float64
-	memoryMB       int
-	linkMbps       float64
+	processorFraction float64
+	memoryMB          int
+	linkMbps          float64
 }
 
 // largeSizes are the small machines of which a deployment of many machines is made, by class.
 var largeSizes = map[string]machineSize{
-	"front": {processorShare: 0.192, memoryMB: 184, linkMbps: 30},
-	"store": {processorShare: 0.48, memoryMB: 294, linkMbps: 600},
-	"core":  {processorShare: 0.176, memoryMB: 280, linkMbps: 86},
+	"front": {processorFraction: 0.192, memoryMB: 184, linkMbps: 30},
+	"store": {processorFraction: 0.48, memoryMB: 294, linkMbps: 600},
+	"core":  {processorFraction: 0.176, memoryMB: 280, linkMbps: 86},
 }
 
 // tighten gives the classes of requests short timeouts and retention, one try or four, and bodies up to the limit.
@@ -26,10 +26,10 @@
 			class["keep_s"] = r.between(2, 8)
 		}
 		if r.Intn(2) == 0 {
-			class["timeout_ms"] = float64(r.whole(3, 20) * 100)
+			class["timeout_ms"] = float64(r.integer(3, 20) * 100)
 			if class["kind"] == "stream" {
 				// A stream lasts half a second and more on an idle engine: below this most could never end in time.
-				class["timeout_ms"] = float64(r.whole(15, 30) * 100)
+				class["timeout_ms"] = float64(r.integer(15, 30) * 100)
 			}
 		}
 		if bytes, ok := class["req_bytes"].(Table); ok && class["stream"] == nil && class["method"] == "POST" {
@@ -58,10 +58,10 @@
 			bytes["mean"], bytes["spread"], bytes["max"] = 20000.0, 1.0, 120000.0
 			continue
 		}
-		bytes["mean"], bytes["spread"], bytes["max"] = float64(r.whole(1, 10)*100_000), 1.0, 4194304.0
+		bytes["mean"], bytes["spread"], bytes["max"] = float64(r.integer(1, 10)*100_000), 1.0, 4194304.0
 	}
 	for _, entry := range tables(site["traffic"]) {
-		entry["clients"] = r.whole(60, 300)
+		entry["clients"] = r.integer(60, 300)
 		entry["per_s"] = entry["per_s"].(float64) * r.between(0.5, 1.5)
 	}
 }
--- a/internal/faulttest/scenariofuzz/sorts.go
+++ b/internal/faulttest/scenariofuzz/turn_kinds.go
@@ -1,7 +1,7 @@
 package scenariofuzz
 
-// sortTurns has each kind of turn kept or not, and its stream resumable or not.
-func (r random) sortTurns(site Table) {
+// drawTurnKinds has each kind of turn kept or not, and its stream resumable or not.
+func (r random) drawTurnKinds(site Table) {
 	for _, class := range tables(site["classes"]) {
 		agent, isTurn := class["agent"].(Table)
 		stream, isStream := class["stream"].(Table)
@@ -20,9 +20,9 @@
 		if !ok {
 			continue
 		}
-		places := r.whole(4, 12)
-		service["slots"], service["queue"], engine["batch"] = places, r.whole(3, 12), places
-		engine["kv_tokens"] = places * r.whole(4000, 15000)
+		places := r.integer(4, 12)
+		service["slots"], service["queue"], engine["batch"] = places, r.integer(3, 12), places
+		engine["kv_tokens"] = places * r.integer(4000, 15000)
 	}
 	for _, class := range tables(site["classes"]) {
 		if agent, ok := class["agent"].(Table); ok {
--- a/internal/faulttest/scenariofuzz/sorts_test.go
+++ b/internal/faulttest/scenariofuzz/turn_kinds_test.go
@@ -8,7 +8,7 @@
 )
 
 // Over some seeds turns of every sort are drawn: kept or not, resumable or not.
-func TestTurnsOfEverySort(t *testing.T) {
+func TestTurns_OfEveryKind(t *testing.T) {
 	text, err := os.ReadFile("testdata/site.toml")
 	assert.NilError(t, err)
 	sorts := map[[2]bool]int{}
--- a/internal/faulttest/script/link.go
+++ b/internal/faulttest/script/link.go
@@ -1,7 +1,6 @@
 package script
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"strconv"
 	"time"
@@ -12,17 +11,17 @@
 // Link is what happens to the links between senders: cut, refuse, slow, trickle, freeze, reset; lose, repeat and reorder strike
 // datagrams alone.
 type Link struct {
-	Do     string  `toml:"do"`
-	At     Span    `toml:"at"`
-	For    Span    `toml:"for"`    // but for reset
-	From   string  `toml:"from"`   // n0 and up, "all", or "one": drawn
-	To     string  `toml:"to"`     // likewise; never From
-	Both   bool    `toml:"both"`   // the other direction too
-	Delay  Span    `toml:"delay"`  // slow
-	Jitter Span    `toml:"jitter"` // slow
-	Rate   int     `toml:"rate"`   // trickle: bytes a second; default 200
-	After  int     `toml:"after"`  // freeze: bytes that pass before; default 100
-	Share  float64 `toml:"share"`  // lose, repeat, reorder: of the datagrams, by itself for each; default 0.3
+	Do       string  `toml:"do"`
+	At       Span    `toml:"at"`
+	For      Span    `toml:"for"`    // but for reset
+	From     string  `toml:"from"`   // n0 and up, "all", or "one": drawn
+	To       string  `toml:"to"`     // likewise; never From
+	Both     bool    `toml:"both"`   // the other direction too
+	Delay    Span    `toml:"delay"`  // slow
+	Jitter   Span    `toml:"jitter"` // slow
+	Rate     int     `toml:"rate"`   // trickle: bytes a second; default 200
+	After    int     `toml:"after"`  // freeze: bytes that pass before; default 100
+	Fraction float64 `toml:"share"`  // lose, repeat, reorder: of the datagrams, by itself for each; default 0.3
 
 	where string
 }
@@ -30,38 +29,38 @@
 func (l *Link) check() error {
 	set(&l.Rate, 200)
 	set(&l.After, 100)
-	if (l.Do == "lose" || l.Do == "repeat" || l.Do == "reorder") && l.Share == 0 {
-		l.Share = 0.3
-	} else if l.Share != 0 && l.Do != "lose" && l.Do != "repeat" && l.Do != "reorder" {
-		return fmt.Errorf("%s: share is for lose, repeat and reorder alone", l.where)
+	if (l.Do == "lose" || l.Do == "repeat" || l.Do == "reorder") && l.Fraction == 0 {
+		l.Fraction = 0.3
+	} else if l.Fraction != 0 && l.Do != "lose" && l.Do != "repeat" && l.Do != "reorder" {
+		return invalid(l.where, "share is for lose, repeat and reorder alone")
 	}
-	if l.Share < 0 || l.Share > 1 {
-		return fmt.Errorf("%s: share = %v is not from 0 to 1", l.where, l.Share)
+	if l.Fraction < 0 || l.Fraction > 1 {
+		return invalid(l.where, "share = %v is not from 0 to 1", l.Fraction)
 	}
 	switch l.Do {
 	case "cut", "refuse", "trickle", "freeze", "lose", "repeat", "reorder":
 	case "slow":
 		if l.Delay+l.Jitter <= 0 {
-			return fmt.Errorf("%s: slow needs delay or jitter", l.where)
+			return invalid(l.where, "slow needs delay or jitter")
 		}
 	case "reset":
 		if l.For != 0 {
-			return fmt.Errorf("%s: reset happens at a moment: it has no for", l.where)
+			return invalid(l.where, "reset happens at a moment: it has no for")
 		}
 	default:
-		return fmt.Errorf("%s: do = %q; there are cut, refuse, slow, trickle, freeze, reset, lose, repeat, reorder", l.where, l.Do)
+		return invalid(l.where, "do = %q; there are cut, refuse, slow, trickle, freeze, reset, lose, repeat, reorder", l.Do)
 	}
 	if l.Do != "reset" && l.For == 0 {
-		return fmt.Errorf("%s: %s needs for", l.where, l.Do)
+		return invalid(l.where, "%s needs for", l.Do)
 	}
 	if l.From == "" || l.To == "" {
-		return fmt.Errorf("%s: %s needs from and to: \"n0\", \"all\" or \"one\"", l.where, l.Do)
+		return invalid(l.where, "%s needs from and to: \"n0\", \"all\" or \"one\"", l.Do)
 	}
 	if l.From == l.To && l.From != "all" && l.From != "one" {
-		return fmt.Errorf("%s: from and to are both %q: a sender has no link to itself", l.where, l.From)
+		return invalid(l.where, "from and to are both %q: a sender has no link to itself", l.From)
 	}
 	if l.Rate < 1 || l.After < 1 {
-		return fmt.Errorf("%s: rate and after are over 0", l.where)
+		return invalid(l.where, "rate and after are over 0")
 	}
 	return nil
 }
@@ -69,7 +68,7 @@
 func (l *Link) condition() links.Condition {
 	switch l.Do {
 	case "cut":
-		return links.Condition{Cut: true}
+		return links.Condition{Blocked: true}
 	case "refuse":
 		return links.Condition{Refuse: true}
 	case "trickle":
@@ -77,11 +76,11 @@
 	case "freeze":
 		return links.Condition{Freeze: l.After}
 	case "lose":
-		return links.Condition{Loss: l.Share}
+		return links.Condition{Loss: l.Fraction}
 	case "repeat":
-		return links.Condition{Repeat: l.Share}
+		return links.Condition{Repeat: l.Fraction}
 	case "reorder":
-		return links.Condition{Reorder: l.Share}
+		return links.Condition{Reorder: l.Fraction}
 	}
 	return links.Condition{Delay: l.Delay.D(), Jitter: l.Jitter.D()}
 }
@@ -129,7 +128,7 @@
 		}
 	}
 	if len(ways) == 0 {
-		return nil, fmt.Errorf("%s: no link lies between %q and %q", l.where, l.From, l.To)
+		return nil, invalid(l.where, "no link lies between %q and %q", l.From, l.To)
 	}
 	return ways, nil
 }
@@ -157,17 +156,17 @@
 	switch c.Do {
 	case "kill", "restart", "lose", "keep", "old", "pause":
 		if c.Which == "" {
-			return fmt.Errorf("%s: %s needs which = \"n0\" or \"all\"", c.where, c.Do)
+			return invalid(c.where, "%s needs which = \"n0\" or \"all\"", c.Do)
 		}
 	case "join":
 		if c.Which != "" {
-			return fmt.Errorf("%s: a sender that joins has no name yet", c.where)
+			return invalid(c.where, "a sender that joins has no name yet")
 		}
 	default:
-		return fmt.Errorf("%s: do = %q; there are kill, restart, lose, keep, old, pause, join", c.where, c.Do)
+		return invalid(c.where, "do = %q; there are kill, restart, lose, keep, old, pause, join", c.Do)
 	}
 	if (c.Do == "pause") != (c.For > 0) {
-		return fmt.Errorf("%s: pause needs for, and nothing else has it", c.where)
+		return invalid(c.where, "pause needs for, and nothing else has it")
 	}
 	return nil
 }
@@ -176,7 +175,7 @@
 func (a Act) String() string {
 	switch a.Do {
 	case "trouble", "end":
-		return a.Do + " " + a.Trouble.Kind.String()
+		return a.Do + " " + a.Fault.Kind.String()
 	case "link":
 		return a.Link.String()
 	}
@@ -198,8 +197,8 @@
 
 func name(sender int) string { return "n" + strconv.Itoa(sender) }
 
-// pauseActs are a pause's begin and end.
-func pauseActs(a Act, span time.Duration) []Act {
+// suspendActs are a pause's begin and end.
+func suspendActs(a Act, span time.Duration) []Act {
 	end := a
 	end.At, end.Do = a.At+span, "resume"
 	return []Act{a, end}
--- a/internal/faulttest/script/plan.go
+++ b/internal/faulttest/script/plan.go
@@ -31,7 +31,7 @@
 // Receiver is a destination as drawn; its number is its place.
 type Receiver struct {
 	Name, Kind, Member string
-	Share              float64 // of the traffic
+	Weight             float64 // of the traffic
 	Endpoints          int
 	Spec               receiver.Spec
 }
@@ -54,22 +54,22 @@
 
 // Act is something that happens at a time.
 type Act struct {
-	At      time.Duration
-	Do      string // trouble, end, replace, down, up, late, punctual, move, kill, restart, lose, join, keep, old, pause, resume, link, reset
-	Trouble fault.Trouble
-	Number  int // of the trouble; its end carries the same
-	Dests   []int
-	Only    int
-	Sender  int
-	Delay   time.Duration
-	Ways    []Way           // link, reset
-	Link    links.Condition // as it is from now on
+	At     time.Duration
+	Do     string // trouble, end, replace, down, up, late, punctual, move, kill, restart, lose, join, keep, old, pause, resume, link, reset
+	Fault  fault.Fault
+	Number int // of the trouble; its end carries the same
+	Dests  []int
+	Only   int
+	Sender int
+	Delay  time.Duration
+	Ways   []Way           // link, reset
+	Link   links.Condition // as it is from now on
 }
 
 // Make draws the day. It fails, with file and line, if a happening names what the day has not.
 func (s *Script) Make() (*Plan, error) {
 	if s.Day == nil {
-		return nil, fmt.Errorf("%s: no [day]", s.Path)
+		return nil, invalid(s.Path, "no [day]")
 	}
 	d := *s.Day
 	p := &Plan{Name: s.Name(), Day: d, Classes: s.Classes, Members: s.Members, Senders: d.Senders}
@@ -110,7 +110,7 @@
 
 // UsualKinds are the kinds of receiver of a script that names none.
 func UsualKinds() ([]Kind, error) {
-	kinds := []Kind{{Name: "processor", Share: 1, Large: true, Limit: "window", Reports: true}, {Name: "retailer", Share: 4, Connections: 3}}
+	kinds := []Kind{{Name: "processor", Weight: 1, Large: true, Limit: "window", Reports: true}, {Name: "retailer", Weight: 4, Connections: 3}}
 	for i := range kinds {
 		if err := kinds[i].check("usual kinds"); err != nil {
 			return nil, err
@@ -135,12 +135,12 @@
 	})
 	total := 0.0
 	for _, k := range order {
-		total += k.Share
+		total += k.Weight
 	}
 	var of []Kind
 	sum := 0.0
 	for i, k := range order {
-		sum += k.Share
+		sum += k.Weight
 		for to := int(math.Round(sum / total * float64(n))); len(of) < to || (i == len(order)-1 && len(of) < n); {
 			of = append(of, k)
 		}
@@ -153,7 +153,7 @@
 	// Members: each receiver goes to the member that is furthest below its share.
 	got, shares := make([]float64, len(p.Members)), 0.0
 	for _, m := range p.Members {
-		shares += m.Share
+		shares += m.Weight
 	}
 	full := d.Rate / d.Load
 	draw := func(r []float64) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
@@ -161,45 +161,45 @@
 		k, share := of[i], weights[i]/all
 		best := 0
 		for j, m := range p.Members {
-			if got[j]-m.Share/shares < got[best]-p.Members[best].Share/shares {
+			if got[j]-m.Weight/shares < got[best]-p.Members[best].Weight/shares {
 				best = j
 			}
 		}
 		got[best] += share
 		endpoints := d.Endpoints[0] + rng.IntN(d.Endpoints[1]-d.Endpoints[0]+1)
-		want := max(k.LeastRate, full*share*draw(k.Headroom))
+		want := max(k.MinRate, full*share*draw(k.Headroom))
 		slots := max(1, int(math.Ceil(want*k.Service.D().Seconds()/float64(endpoints))))
 		spec := receiver.Spec{
 			Slots: slots, Queue: max(1, int(want*k.Queue.D().Seconds()/float64(endpoints))),
 			Service: k.Service.D(), Spread: k.Spread, Times: k.Times,
 			LimitKind: k.Limit, Window: k.Window.D(), TellsWait: k.TellsWait.D(),
-			Form: k.Form, IdleClose: k.IdleClose.D(), Reports: k.Reports && k.Limit != "none",
+			Format: k.Format, IdleClose: k.IdleClose.D(), Reports: k.Reports && k.Limit != "none",
 			ReportEach: d.ReportEach.D(), ReportLate: d.ReportLate.D(),
-			ColdFrom: d.ColdFrom, Cold: d.Cold.D(), FallMultiple: d.FallMultiple, FallSpan: d.FallSpan.D(),
+			SlowStartCapacity: d.SlowStartCapacity, SlowStart: d.SlowStart.D(), FallMultiple: d.FallMultiple, FallSpan: d.FallSpan.D(),
 		}
 		spec.Capacity = float64(slots*endpoints) / k.Service.D().Seconds()
 		if k.Limit != "none" {
-			spec.Limit = max(k.LeastRate, full*share*draw(k.LimitRoom))
+			spec.Limit = max(k.MinRate, full*share*draw(k.LimitHeadroom))
 			spec.Capacity = max(spec.Capacity, spec.Limit)
 		}
 		if k.Connections > 0 {
-			spec.MostConns = max(k.LeastConns, int(k.Connections*float64(slots)))
+			spec.MaxConnections = max(k.MinConnections, int(k.Connections*float64(slots)))
 		}
 		p.Receivers = append(p.Receivers, Receiver{Name: "r" + strconv.Itoa(i), Kind: k.Name, Member: p.Members[best].Name,
-			Share: share, Endpoints: endpoints, Spec: spec})
+			Weight: share, Endpoints: endpoints, Spec: spec})
 	}
 }
 
 // arrivals draws a Poisson stream, thinned from the highest rate, with clumps among it.
 func (p *Plan) arrivals(surges []Surge, rng *rand.Rand) error {
 	d := p.Day
-	shares := d.SenderShares
+	shares := d.SenderWeights
 	if shares == nil {
 		shares = slices.Repeat([]float64{1}, d.Senders)
 	}
 	for _, g := range surges {
 		if g.Member != "" && !slices.ContainsFunc(p.Members, func(m Member) bool { return m.Name == g.Member }) {
-			return fmt.Errorf("%s: no member is called %q", g.where, g.Member)
+			return invalid(g.where, "no member is called %q", g.Member)
 		}
 		if g.Sender != "" {
 			if _, err := p.sender(g.Sender, g.where); err != nil {
@@ -225,11 +225,11 @@
 	}
 	receivers := make([]float64, len(p.Receivers))
 	for i, r := range p.Receivers {
-		receivers[i] = r.Share
+		receivers[i] = r.Weight
 	}
 	classes := make([]float64, len(p.Classes))
 	for i, c := range p.Classes {
-		classes[i] = c.Share
+		classes[i] = c.Weight
 	}
 	one := func(at time.Duration, sender, dest int) {
 		class := pick(rng, classes)
@@ -244,7 +244,7 @@
 	size := func(dest int) int { return max(2, int(p.Receivers[dest].rate()*d.ClumpSpan.D().Seconds())) }
 	mean := 0.0
 	for i, r := range p.Receivers {
-		mean += r.Share * float64(size(i))
+		mean += r.Weight * float64(size(i))
 	}
 	single, clump := d.Rate*(1-d.Clumps), d.Rate*d.Clumps/max(1, mean)
 	end := time.Duration(d.Seconds * float64(time.Second))
@@ -293,7 +293,7 @@
 func (p *Plan) bursts(all []Burst, rng *rand.Rand) error {
 	classes := make([]float64, len(p.Classes))
 	for i, c := range p.Classes {
-		classes[i] = c.Share
+		classes[i] = c.Weight
 	}
 	for _, b := range all {
 		dests, err := p.who(b.Who, b.where, rng)
@@ -343,7 +343,7 @@
 			return i, nil
 		}
 	}
-	return 0, fmt.Errorf("%s: no sender is called %q; there are n0 to n%d", where, name, p.Senders-1)
+	return 0, invalid(where, "no sender is called %q; there are n0 to n%d", name, p.Senders-1)
 }
 
 // who resolves the receivers that are struck. Random ones draw in the order of the file.
@@ -353,13 +353,13 @@
 	switch {
 	case w.Random > 0:
 		if w.Random > len(order) {
-			return nil, fmt.Errorf("%s: random = %d of %d receivers", where, w.Random, len(order))
+			return nil, invalid(where, "random = %d of %d receivers", w.Random, len(order))
 		}
 		dests = order[:w.Random]
 	case w.Traffic > 0:
 		sum := 0.0
 		for _, i := range order {
-			if share := p.Receivers[i].Share; sum+share <= w.Traffic {
+			if share := p.Receivers[i].Weight; sum+share <= w.Traffic {
 				dests, sum = append(dests, i), sum+share
 			}
 		}
@@ -374,22 +374,22 @@
 		}
 	}
 	if len(dests) == 0 {
-		return nil, fmt.Errorf("%s: who names no receiver of this day: name %q, kind %q, member %q", where, w.Name, w.Kind, w.Member)
+		return nil, invalid(where, "who names no receiver of this day: name %q, kind %q, member %q", w.Name, w.Kind, w.Member)
 	}
 	slices.Sort(dests)
 	return dests, nil
 }
 
 func (p *Plan) acts(s *Script, rng *rand.Rand) error {
-	for i, t := range s.Troubles {
+	for i, t := range s.Faults {
 		dests, err := p.who(t.Who, t.where, rng)
 		if err != nil {
 			return err
 		}
 		a := Act{At: t.At.D(), Do: "trouble", Number: i, Dests: dests, Only: t.Only,
-			Trouble: fault.Trouble{Kind: t.What, Share: t.Share, Factor: t.Factor, Wait: t.Wait.D()}}
+			Fault: fault.Fault{Kind: t.What, Fraction: t.Fraction, Factor: t.Factor, Wait: t.Wait.D()}}
 		p.Acts = append(p.Acts, a)
-		if t.What != fault.Cold {
+		if t.What != fault.SlowStart {
 			a.At, a.Do = a.At+t.For.D(), "end"
 			p.Acts = append(p.Acts, a)
 		}
@@ -416,7 +416,7 @@
 		a := Act{At: c.At.D(), Do: c.Do}
 		add := func() {
 			if c.Do == "pause" {
-				p.Acts = append(p.Acts, pauseActs(a, c.For.D())...)
+				p.Acts = append(p.Acts, suspendActs(a, c.For.D())...)
 			} else {
 				p.Acts = append(p.Acts, a)
 			}
@@ -459,9 +459,9 @@
 		}
 		text += "\n" + encoding.Rules(classes)
 	}
-	kinds := map[string]encoding.Form{}
+	kinds := map[string]encoding.Format{}
 	for _, r := range p.Receivers {
-		kinds[r.Kind] = r.Spec.Form
+		kinds[r.Kind] = r.Spec.Format
 	}
 	if delivery := encoding.Delivery(kinds); delivery != "" {
 		text += "\n" + delivery
@@ -469,8 +469,8 @@
 	return text
 }
 
-// Most is how many senders the day has at the most: those that are there from its begin, and all that join.
-func (p *Plan) Most() int {
+// MaxSenders is how many senders the day has at the most: those that are there from its begin, and all that join.
+func (p *Plan) MaxSenders() int {
 	n := p.Senders
 	for _, a := range p.Acts {
 		if a.Do == "join" {
--- a/internal/faulttest/script/script_test.go
+++ b/internal/faulttest/script/script_test.go
@@ -306,7 +306,7 @@
 		}
 		sum := 0.0
 		for _, d := range p.Acts[0].Dests {
-			sum += p.Receivers[d].Share
+			sum += p.Receivers[d].Weight
 		}
 		if sum > 0.3 || sum < 0.15 {
 			t.Errorf("seed %d: %v of the traffic is struck", seed+1, sum)
--- a/internal/faulttest/traffic/clients.go
+++ b/internal/faulttest/traffic/clients.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	avoidTime  = time.Second            // clients stay away so long from a sender that refused a connection
-	otherPause = 250 * time.Millisecond // and try another after this
-	againLeast = 540 * time.Millisecond // what a lost sender held comes again after this
-	againMost  = 1500 * time.Millisecond
-	lostPause  = 50 * time.Millisecond  // an event without an answer is handed in again after this
-	retryMost  = 2 * time.Second        // the longest Retry-After that is heeded
-	leftLeast  = 100 * time.Millisecond // with less time left a message is not handed in again
-	owedMost   = 3 * time.Second        // an end that comes later than this after the time is up is not waited for
-	idleConns  = 64                     // connections kept to a sender
+	avoidTime        = time.Second            // clients stay away so long from a sender that refused a connection
+	failoverDelay    = 250 * time.Millisecond // and try another after this
+	minResubmitDelay = 540 * time.Millisecond // what a lost sender held comes again after this
+	maxResubmitDelay = 1500 * time.Millisecond
+	lostAnswerDelay  = 50 * time.Millisecond  // an event without an answer is handed in again after this
+	maxRetryAfter    = 2 * time.Second        // the longest Retry-After that is heeded
+	minTimeLeft      = 100 * time.Millisecond // with less time left a message is not handed in again
+	maxOutcomeWait   = 3 * time.Second        // an end that comes later than this after the time is up is not waited for
+	idleConns        = 64                     // connections kept to a sender
 )
 
 // Target is a sender as clients see it.
@@ -42,14 +42,14 @@
 
 // Clients hand in the messages of a day.
 type Clients struct {
-	plan  *script.Plan
-	log   *eventlog.Log
-	book  *Book
-	late  func(time.Duration) // hears by how much each message was handed in late
-	kept  *rand.Rand          // under mu
-	mu    sync.Mutex
-	pools []*pool // by sender; grows when one joins
-	wg    sync.WaitGroup
+	plan     *script.Plan
+	log      *eventlog.Log
+	registry *Registry
+	late     func(time.Duration) // hears by how much each message was handed in late
+	random   *rand.Rand          // under mu
+	mu       sync.Mutex
+	pools    []*pool // by sender; grows when one joins
+	wg       sync.WaitGroup
 }
 
 type pool struct {
@@ -67,8 +67,8 @@
 }
 
 // New makes the clients of a plan.
-func New(plan *script.Plan, log *eventlog.Log, book *Book, late func(time.Duration)) *Clients {
-	return &Clients{plan: plan, log: log, book: book, late: late, kept: rand.New(rand.NewPCG(plan.Day.Seed, 77))}
+func New(plan *script.Plan, log *eventlog.Log, book *Registry, late func(time.Duration)) *Clients {
+	return &Clients{plan: plan, log: log, registry: book, late: late, random: rand.New(rand.NewPCG(plan.Day.Seed, 77))}
 }
 
 // Join lets clients use one more sender.
@@ -82,7 +82,7 @@
 func (c *Clients) draw(n float64) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.kept.Float64() * n
+	return c.random.Float64() * n
 }
 
 // Run hands in every message when its time has come, and returns when all have come to their end, their
@@ -189,14 +189,14 @@
 	began := c.log.Now()
 	expires := began + class.Deadline.D()
 	retries := *c.plan.Day.Retries
-	pause := c.plan.Day.Pause.D()
+	pause := c.plan.Day.FirstBackoff.D()
 	mark := ""
 	var first *handIn // an event that got no answer: its client hands in the same again
 	var at *pool      // to the same sender, which alone knows it
 	own := c.own(n, a)
 	for try := 0; ; {
 		left := expires - c.log.Now()
-		if left < leftLeast {
+		if left < minTimeLeft {
 			return
 		}
 		p := c.choose(own)
@@ -207,11 +207,11 @@
 		case unsafe: // elsewhere it might run twice
 			p = nil
 		case p != nil: // elsewhere it is another event
-			c.book.close(first)
+			c.registry.close(first)
 			first = nil
 		}
 		if p == nil {
-			if !Sleep(ctx, otherPause/2) {
+			if !Sleep(ctx, failoverDelay/2) {
 				return
 			}
 			continue
@@ -223,42 +223,42 @@
 		}
 		h := first
 		if h != nil {
-			c.book.again(h, id)
+			c.registry.alias(h, id)
 		} else {
-			h = &handIn{id: id, sender: p.name, dest: a.Dest, unsafe: unsafe, ends: make(chan end, 1)}
-			c.book.enter(h)
+			h = &handIn{id: id, sender: p.name, dest: a.Dest, unsafe: unsafe, outcome: make(chan end, 1)}
+			c.registry.enter(h)
 		}
 		ans := c.handIn(p, h, id, n, try, a, class, left, mark)
 		var wait time.Duration
 		switch {
-		case ans.note == "down": // nothing was sent, or nothing that could have been read
+		case ans.detail == "down": // nothing was sent, or nothing that could have been read
 			if first == nil {
-				c.book.close(h)
+				c.registry.close(h)
 			}
-			if !Sleep(ctx, otherPause) {
+			if !Sleep(ctx, failoverDelay) {
 				return
 			}
 			continue
 		case ans.status == 0 && f != encoding.Plain && f != "": // no answer: the same event again
 			first, at, mark = h, p, "again"
-			if !Sleep(ctx, lostPause) {
+			if !Sleep(ctx, lostAnswerDelay) {
 				return
 			}
 			continue // it is no refusal: it counts against nothing
 		case ans.status == 0: // no answer: what becomes of that id counts for nothing
-			c.book.close(h)
+			c.registry.close(h)
 			if unsafe {
 				return // it may have been taken on, and might run twice
 			}
 			wait, mark = 0, "again"
 		case ans.status == http.StatusAccepted || ans.status == http.StatusOK:
 			first = nil
-			e, ok := c.owed(ctx, h, expires)
+			e, ok := c.awaitOutcome(ctx, h, expires)
 			switch {
 			case !ok || e.how == "delivered" || e.how == "given_up":
 				return
 			case e.how == "lost":
-				wait, mark = againLeast+time.Duration(c.draw(float64(againMost-againLeast))), "again"
+				wait, mark = minResubmitDelay+time.Duration(c.draw(float64(maxResubmitDelay-minResubmitDelay))), "again"
 				if !Sleep(ctx, wait) {
 					return
 				}
@@ -271,14 +271,14 @@
 				}
 			}
 		case ans.status == http.StatusTooManyRequests || ans.status == http.StatusServiceUnavailable:
-			c.book.close(h)
+			c.registry.close(h)
 			first = nil
-			wait, mark = min(ans.retry, retryMost), "1"
+			wait, mark = min(ans.retry, maxRetryAfter), "1"
 			if ans.retry == 0 {
 				wait = pause
 			}
 		default: // failed
-			c.book.close(h)
+			c.registry.close(h)
 			return
 		}
 		if try++; retries == 0 {
@@ -293,12 +293,12 @@
 	}
 }
 
-// owed waits for the end of a message that was taken on.
-func (c *Clients) owed(ctx context.Context, h *handIn, expires time.Duration) (end, bool) {
-	t := time.NewTimer(expires - c.log.Now() + owedMost)
+// awaitOutcome waits for the end of a message that was taken on.
+func (c *Clients) awaitOutcome(ctx context.Context, h *handIn, expires time.Duration) (end, bool) {
+	t := time.NewTimer(expires - c.log.Now() + maxOutcomeWait)
 	defer t.Stop()
 	select {
-	case e := <-h.ends:
+	case e := <-h.outcome:
 		return e, true
 	case <-t.C:
 	case <-ctx.Done():
@@ -309,13 +309,13 @@
 func (c *Clients) id() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return fmt.Sprintf("%016x", c.kept.Uint64())
+	return fmt.Sprintf("%016x", c.random.Uint64())
 }
 
 type reply struct {
 	status int
 	retry  time.Duration
-	note   string
+	detail string
 }
 
 // Request is the text of a hand-in (PROTOCOL, "Clients to senders").
@@ -354,7 +354,7 @@
 		text = f.Request(encoding.Message{ID: h.id, Request: id, Class: class.Name, Member: r.Member, Key: key, Order: a.Order, Dest: a.Dest, Expires: time.Now().Add(left), Body: body})
 	}
 	e := eventlog.Event{Kind: eventlog.HandIn, Sender: p.name, ID: id, Msg: msg, Class: class.Name, Tenant: r.Member, Dest: a.Dest,
-		Order: a.Order, Deadline: left.Milliseconds(), Try: try}
+		Order: a.Order, Deadline: left.Milliseconds(), Attempt: try}
 	if id != h.id {
 		e.Event = h.id
 	}
@@ -365,22 +365,22 @@
 			c.log.Add(e)
 		}
 	})
-	if ans.note == "down" && !logged {
+	if ans.detail == "down" && !logged {
 		return ans
 	}
 	if share := c.plan.Day.LostAnswers; share > 0 && ans.status != 0 && f != encoding.Plain && f != "" && c.draw(1) < share {
-		ans = reply{note: "lost"}
+		ans = reply{detail: "lost"}
 	}
-	ans2 := eventlog.Event{Kind: eventlog.Answer, Sender: p.name, ID: id, Status: ans.status, RetryMS: ans.retry.Milliseconds(), Note: ans.note}
+	ans2 := eventlog.Event{Kind: eventlog.Answer, Sender: p.name, ID: id, Status: ans.status, RetryMS: ans.retry.Milliseconds(), Detail: ans.detail}
 	if ans.status == http.StatusAccepted || ans.status == http.StatusOK {
-		c.book.take(h)
+		c.registry.take(h)
 	}
 	c.log.Add(ans2)
 	return ans
 }
 
-// kept takes a connection that is kept and has not been closed by its other side; nil if there is none.
-func (p *pool) kept() *link {
+// takeIdle takes a connection that is kept and has not been closed by its other side; nil if there is none.
+func (p *pool) takeIdle() *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
@@ -414,7 +414,7 @@
 func (p *pool) do(text []byte, patience time.Duration, writing func()) reply {
 	crossed := false // a request on a kept connection came to nothing, and may have been read
 	for {
-		l := p.kept()
+		l := p.takeIdle()
 		kept := l != nil
 		if !kept {
 			conn, err := net.DialTimeout("tcp", p.target.Addr(), patience)
@@ -423,9 +423,9 @@
 				p.avoid = time.Now().Add(avoidTime)
 				p.mu.Unlock()
 				if crossed {
-					return reply{note: "gone"}
+					return reply{detail: "gone"}
 				}
-				return reply{note: "down"}
+				return reply{detail: "down"}
 			}
 			l = &link{conn, bufio.NewReader(conn)}
 		}
@@ -453,9 +453,9 @@
 		if err != nil {
 			l.Close()
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				return reply{note: "patience"}
+				return reply{detail: "patience"}
 			}
-			return reply{note: "closed"}
+			return reply{detail: "closed"}
 		}
 		a := reply{status: resp.StatusCode}
 		if v, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && v > 0 {
--- a/internal/faulttest/traffic/book.go
+++ b/internal/faulttest/traffic/registry.go
@@ -24,39 +24,39 @@
 	mayRun     bool
 	taken      bool
 	over       bool
-	ends       chan end // room for one
+	outcome    chan end // room for one
 }
 
-// Book is what the stand-ins know of each message: whose it is, and how it ended.
-type Book struct {
-	log          *eventlog.Log
-	mostAttempts int
-	open         bool // anybody may hand in
+// Registry is what the stand-ins know of each message: whose it is, and how it ended.
+type Registry struct {
+	log         *eventlog.Log
+	maxAttempts int
+	open        bool // anybody may hand in
 
 	mu   sync.Mutex
 	byID map[string]*handIn
 }
 
-// NewBook makes an empty book. An open one takes calls with messages that it has never heard of.
-func NewBook(log *eventlog.Log, mostAttempts int, open bool) *Book {
-	return &Book{log: log, mostAttempts: mostAttempts, open: open, byID: map[string]*handIn{}}
+// NewRegistry makes an empty book. An open one takes calls with messages that it has never heard of.
+func NewRegistry(log *eventlog.Log, mostAttempts int, open bool) *Registry {
+	return &Registry{log: log, maxAttempts: mostAttempts, open: open, byID: map[string]*handIn{}}
 }
 
-// again books that a hand-in repeats the event of h under another id of the request: what ends the one ends the other.
-func (b *Book) again(h *handIn, id string) {
+// alias books that a hand-in repeats the event of h under another id of the request: what ends the one ends the other.
+func (b *Registry) alias(h *handIn, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.byID[id] = h
 }
 
-func (b *Book) enter(h *handIn) {
+func (b *Registry) enter(h *handIn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.byID[h.id] = h
 }
 
 // Called says whose a message is, and whether the call is within its attempts.
-func (b *Book) Called(id string, dest int) (sender string, within, ok bool) {
+func (b *Registry) Called(id string, dest int) (sender string, within, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.byID[id]
@@ -68,31 +68,31 @@
 	}
 	h.calls++
 	h.mayRun = true
-	return h.sender, h.calls <= b.mostAttempts, true
+	return h.sender, h.calls <= b.maxAttempts, true
 }
 
 // Delivered says that a message's 200 is written.
-func (b *Book) Delivered(id string) { b.finish(id, end{how: "delivered"}) }
+func (b *Registry) Delivered(id string) { b.finish(id, end{how: "delivered"}) }
 
 // Notice takes a line that a sender told the platform.
-func (b *Book) Notice(sender, id, outcome string, retry time.Duration) {
+func (b *Registry) Notice(sender, id, outcome string, retry time.Duration) {
 	b.log.Add(eventlog.Event{Kind: eventlog.Notice, Sender: sender, ID: id, Outcome: outcome, RetryMS: retry.Milliseconds()})
 	b.finish(id, end{outcome, retry})
 }
 
 // finish ends a message for its client; only the first end counts.
-func (b *Book) finish(id string, e end) {
+func (b *Registry) finish(id string, e end) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h := b.byID[id]; h != nil && !h.over {
 		h.over = true
-		h.ends <- e
+		h.outcome <- e
 	}
 }
 
 // Lost says that a sender's folder is gone: what it had taken on comes back to its clients, unless it may
 // have run and may not be repeated; that ends.
-func (b *Book) Lost(sender string) {
+func (b *Registry) Lost(sender string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range b.byID {
@@ -101,22 +101,22 @@
 		}
 		h.over = true
 		if h.unsafe && h.mayRun {
-			h.ends <- end{how: "given_up"}
+			h.outcome <- end{how: "given_up"}
 		} else {
-			h.ends <- end{how: "lost"}
+			h.outcome <- end{how: "lost"}
 		}
 	}
 }
 
 // take marks a message as taken on.
-func (b *Book) take(h *handIn) {
+func (b *Registry) take(h *handIn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h.taken = true
 }
 
 // close ends a hand-in that its client counts on no longer; false if it had ended by itself.
-func (b *Book) close(h *handIn) bool {
+func (b *Registry) close(h *handIn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	was := h.over
@@ -125,7 +125,7 @@
 }
 
 // Open is how many messages are taken on and have not ended.
-func (b *Book) Open() int {
+func (b *Registry) Open() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
--- a/internal/faulttest/traffic/traffic_test.go
+++ b/internal/faulttest/traffic/traffic_test.go
@@ -84,15 +84,15 @@
 
 type world struct {
 	*Clients
-	book *Book
-	log  *eventlog.Log
+	registry *Registry
+	log      *eventlog.Log
 }
 
 // play hands in one message of a class with an effect to senders, and waits for its end.
 func play(t *testing.T, effect string, edit func(*script.Plan), targets func(w *world) []*target) *world {
 	t.Helper()
 	retries := 3
-	plan := &script.Plan{Day: script.Day{Seed: 1, Retries: &retries, Pause: script.Span(10 * time.Millisecond), Patience: script.Span(5 * time.Second), Body: 10},
+	plan := &script.Plan{Day: script.Day{Seed: 1, Retries: &retries, FirstBackoff: script.Span(10 * time.Millisecond), Patience: script.Span(5 * time.Second), Body: 10},
 		Classes:   []script.Class{{Name: "c", Effect: effect, Deadline: script.Span(5 * time.Second)}},
 		Receivers: []script.Receiver{{Name: "r0", Member: "m", Spec: receiver.Spec{}}},
 		Arrivals:  []script.Arrival{{}}}
@@ -101,8 +101,8 @@
 	}
 	log := eventlog.New(nil, nil)
 	log.Restart()
-	w := &world{book: NewBook(log, 6, false), log: log}
-	w.Clients = New(plan, log, w.book, func(time.Duration) {})
+	w := &world{registry: NewRegistry(log, 6, false), log: log}
+	w.Clients = New(plan, log, w.registry, func(time.Duration) {})
 	for i, s := range targets(w) {
 		w.Join(fmt.Sprint("n", i), s)
 	}
@@ -124,7 +124,7 @@
 	var all []string
 	for _, e := range w.log.Events() {
 		if e.Kind == eventlog.Answer {
-			all = append(all, strings.TrimSpace(fmt.Sprint(e.Sender, " ", e.Status, " ", e.Note)))
+			all = append(all, strings.TrimSpace(fmt.Sprint(e.Sender, " ", e.Status, " ", e.Detail)))
 		}
 	}
 	return strings.Join(all, ", ")
@@ -139,19 +139,19 @@
 	w = play(t, "keyed", nil, func(w *world) []*target {
 		s = newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 			id := r.Header.Get("X-Request-Id")
-			if sender, within, ok := w.book.Called(id, 0); sender != "n0" || !within || !ok {
+			if sender, within, ok := w.registry.Called(id, 0); sender != "n0" || !within || !ok {
 				t.Errorf("the book: %s %v %v", sender, within, ok)
 			}
-			if _, _, ok := w.book.Called(id, 1); ok {
+			if _, _, ok := w.registry.Called(id, 1); ok {
 				t.Error("a call at another receiver is known")
 			}
-			defer w.book.Delivered(id)
+			defer w.registry.Delivered(id)
 			return status(c, 202)
 		})
 		return []*target{s}
 	})
-	if got := w.answers(); got != "n0 202" || w.book.Open() != 0 {
-		t.Errorf("%s, %d open", got, w.book.Open())
+	if got := w.answers(); got != "n0 202" || w.registry.Open() != 0 {
+		t.Errorf("%s, %d open", got, w.registry.Open())
 	}
 	r := s.requests()[0]
 	if r.Header.Get("X-Class") != "c" || r.Header.Get("X-Tenant") != "m" || r.Header.Get("Idempotency-Key") == "" ||
@@ -206,7 +206,7 @@
 			if n == 3 {
 				outcome = "given_up"
 			}
-			defer w.book.Notice("n0", r.Header.Get("X-Request-Id"), outcome, 20*time.Millisecond)
+			defer w.registry.Notice("n0", r.Header.Get("X-Request-Id"), outcome, 20*time.Millisecond)
 			return status(c, 202)
 		})}
 	})
@@ -285,16 +285,16 @@
 			var first *target
 			first = newTarget(t, func(_ int, r *http.Request, nc net.Conn) bool {
 				if c.called {
-					w.book.Called(r.Header.Get("X-Request-Id"), 0)
+					w.registry.Called(r.Header.Get("X-Request-Id"), 0)
 				}
 				first.off.Store(true)
 				first.l.Close()
 				status(nc, 202)
 				go func() {
-					for w.book.Open() == 0 {
+					for w.registry.Open() == 0 {
 						time.Sleep(time.Millisecond)
 					}
-					w.book.Lost("n0")
+					w.registry.Lost("n0")
 				}()
 				return false
 			})
@@ -312,9 +312,9 @@
 }
 
 // More attempts than are allowed are told apart, and what nobody handed in is not known.
-func TestBook(t *testing.T) {
-	b := NewBook(eventlog.New(nil, nil), 2, false)
-	b.enter(&handIn{id: "a", sender: "n1", dest: 4, ends: make(chan end, 1)})
+func TestRegistry(t *testing.T) {
+	b := NewRegistry(eventlog.New(nil, nil), 2, false)
+	b.enter(&handIn{id: "a", sender: "n1", dest: 4, outcome: make(chan end, 1)})
 	for n, want := range []bool{true, true, false, false} {
 		if _, within, ok := b.Called("a", 4); within != want || !ok {
 			t.Errorf("call %d: within %v, known %v", n+1, within, ok)
@@ -323,7 +323,7 @@
 	if _, _, ok := b.Called("b", 4); ok {
 		t.Error("an id that nobody handed in is known")
 	}
-	if _, _, ok := NewBook(eventlog.New(nil, nil), 2, true).Called("b", 4); !ok {
+	if _, _, ok := NewRegistry(eventlog.New(nil, nil), 2, true).Called("b", 4); !ok {
 		t.Error("an open book does not take what comes")
 	}
 	b.Delivered("a")
@@ -349,8 +349,8 @@
 			}
 			ok := status(c, 202, "X-Request-Id: "+first)
 			if n == 1 {
-				w.book.Called(event, 0)
-				w.book.Delivered(event)
+				w.registry.Called(event, 0)
+				w.registry.Delivered(event)
 			}
 			return ok
 		})}
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -217,7 +217,7 @@
 	s := newSquad(t, 3, 4, nil)
 	s.acting()
 	for v := range 3 {
-		s.net.Both(name(3), name(v), links.Condition{Cut: true})
+		s.net.Both(name(3), name(v), links.Condition{Blocked: true})
 	}
 	began := time.Now()
 	change, err := s.propose(0, 0, closed7)
@@ -351,7 +351,7 @@
 func (s *squad) cut(i int) {
 	for j := range s.nodes {
 		if j != i {
-			s.net.Both(name(i), name(j), links.Condition{Cut: true})
+			s.net.Both(name(i), name(j), links.Condition{Blocked: true})
 		}
 	}
 }
@@ -523,21 +523,21 @@
 		cut  func(s *squad, lead int)
 		act  func(lead int) []bool // who acts once the change has taken hold at the one that leads
 	}{
-		{"one that reaches all but the leader", func(s *squad, lead int) { s.net.Both("n4", name(lead), links.Condition{Cut: true}) },
+		{"one that reaches all but the leader", func(s *squad, lead int) { s.net.Both("n4", name(lead), links.Condition{Blocked: true}) },
 			func(int) []bool { return []bool{true, true, true, true, true} }},
 		{"the leader's words don't reach another voter, whose words reach it", func(s *squad, lead int) {
-			s.net.Set(name(lead), name((lead+1)%3), links.Condition{Cut: true})
+			s.net.Set(name(lead), name((lead+1)%3), links.Condition{Blocked: true})
 		}, nil},
 		{"asks arrive at no voter, and all they say is heard", func(s *squad, _ int) {
 			for v := range 3 {
-				s.net.Set("n4", name(v), links.Condition{Cut: true})
+				s.net.Set("n4", name(v), links.Condition{Blocked: true})
 			}
 		}, func(int) []bool { return []bool{true, true, true, true, false} }},
 		{"a leader and a sender on one side, all others on the other", func(s *squad, lead int) {
 			for i := range 5 {
 				for j := range 5 {
 					if side := func(k int) bool { return k == lead || k == 4 }; i != j && side(i) != side(j) {
-						s.net.Set(name(i), name(j), links.Condition{Cut: true})
+						s.net.Set(name(i), name(j), links.Condition{Blocked: true})
 					}
 				}
 			}
