--- a/brain/api.go
+++ b/brain/api.go
@@ -12,60 +12,60 @@
 
 // Settings is what a sender is told at its start. Zero values mean "not stated".
 type Settings struct {
-	Senders          int           // senders in this deployment
-	Zone             int           // zone that this sender stands in
-	Slots            int           // calls out at once, at most
-	MostHeld         int           // messages held, sent or not, at most
-	MaxAttempts      int           // attempts for one message, at most
-	MayCancel        bool          // attempts may be called off
-	TellsHoldOff     bool          // clients are told how long to stay away after a refusal
-	MaxHoldOff       time.Duration // the longest hold-off that a client heeds
-	IdleConnections  time.Duration // a connection without a call is kept this long
-	AsksForList      bool          // the endpoint list comes only when asked for
-	Step             time.Duration // batches come at most this often
-	TellsNews        bool          // News is asked for after each step
-	FoldAfter        time.Duration // a destination that was quiet for so long is remembered in short; 0: never
-	SettleAfterDoubt time.Duration // an ordered key rests this long after an attempt that may still run
-	FallMultiple     float64       // a cold destination falls over above this multiple of its capacity
-	StartCapacity    float64       // share of its capacity that it has at the least on return
-	OverloadFor      time.Duration // length of the span over which that load is counted
-	Cold             time.Duration // after this a returned destination is warm
-	OverShareWorth   float64       // worth of a message beyond its tenant's share, as a fraction
-	CrossZonePrice   float64       // price of an attempt that leaves its zone
-	Halving          bool          // late worth halves with each further aim; otherwise it falls evenly
-	RatedLimits      bool          // Endpoint.Rating is the destination's limit in calls a second
-	ZoneFees         []float64     // by zone: fee for a message taken on by a route apart
-	Kinds            []Kind        // kinds of destination
-	Classes          []Class       // classes of message
-	Tenants          []Tenant      // tenants; may be empty
+	Senders           int           // senders in this deployment
+	Zone              int           // zone that this sender stands in
+	Slots             int           // calls out at once, at most
+	MaxPending        int           // messages held, sent or not, at most
+	MaxAttempts       int           // attempts for one message, at most
+	MayCancel         bool          // attempts may be called off
+	SendsRetryAfter   bool          // clients are told how long to stay away after a refusal
+	MaxRetryAfter     time.Duration // the longest hold-off that a client heeds
+	IdleConnTimeout   time.Duration // a connection without a call is kept this long
+	RequestsEndpoints bool          // the endpoint list comes only when asked for
+	StepInterval      time.Duration // batches come at most this often
+	ReportsChanges    bool          // News is asked for after each step
+	HibernateAfter    time.Duration // a destination that was quiet for so long is remembered in short; 0: never
+	OrderingCooldown  time.Duration // an ordered key rests this long after an attempt that may still run
+	OverloadMultiple  float64       // a cold destination falls over above this multiple of its capacity
+	SlowStartCapacity float64       // share of its capacity that it has at the least on return
+	OverloadWindow    time.Duration // length of the span over which that load is counted
+	SlowStartDuration time.Duration // after this a returned destination is warm
+	OverShareValue    float64       // worth of a message beyond its tenant's share, as a fraction
+	CrossZoneCost     float64       // price of an attempt that leaves its zone
+	ExponentialDecay  bool          // late worth halves with each further aim; otherwise it falls evenly
+	RatingIsLimit     bool          // Endpoint.Rating is the destination's limit in calls a second
+	ZoneFees          []float64     // by zone: fee for a message taken on by a route apart
+	Kinds             []Kind        // kinds of destination
+	Classes           []Class       // classes of message
+	Tenants           []Tenant      // tenants; may be empty
 }
 
 // Kind is a kind of destination.
 type Kind struct {
-	Apart   bool // endpoints are routes apart, each with its own limit, pace and outages
-	PerCall int  // messages that may travel in one call
+	PerEndpointRoutes bool // endpoints are routes apart, each with its own limit, pace and outages
+	MaxBatch          int  // messages that may travel in one call
 }
 
-// Effect says what a repeat of a message does.
-type Effect uint8
+// Idempotency says what a repeat of a message does.
+type Idempotency uint8
 
 // The effects: a Safe message may be repeated, a Keyed one while its key is remembered, an Unsafe one never.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	Idempotent Idempotency = iota
+	IdempotentByKey
+	NonIdempotent
 )
 
 // Class is a class of message.
 type Class struct {
-	Aim       time.Duration // full worth until then
-	Deadline  time.Duration // given up after this, from the first hand-in
-	Effect    Effect
-	KeyInZone bool          // a key is remembered by the endpoints of one zone only
-	KeyWindow time.Duration // a key is remembered this long after the first send that may have run
-	Ordered   bool          // messages with one key go in turn
-	Worth     float64
-	LateWorth float64 // share of the worth left at the deadline
+	LatencyTarget       time.Duration // full worth until then
+	Deadline            time.Duration // given up after this, from the first hand-in
+	Idempotency         Idempotency
+	IdempotencyKeyZonal bool          // a key is remembered by the endpoints of one zone only
+	IdempotencyKeyTTL   time.Duration // a key is remembered this long after the first send that may have run
+	Ordered             bool          // messages with one key go in turn
+	Value               float64
+	LateValue           float64 // share of the worth left at the deadline
 }
 
 // Tenant is one of those who share the service.
@@ -92,15 +92,15 @@
 	Class       int
 	Tenant      int
 	Destination DestinationID
-	Key         uint64        // key of the order; 0 for none
+	OrderingKey uint64        // key of the order; 0 for none
 	Deadline    time.Duration // clock time until which it may be delivered
 
 	// What a sender that restarted knows of a message it had before; zero for a new one.
-	Tried    int           // attempts already made
-	MayRun   bool          // one of them may have run
-	FirstRun time.Duration // and was sent at this clock time, the first of those that may have
-	RanZone  int           // to this zone
-	Resumed  bool          // it was taken on by an earlier process: it is tried, and not refused for want of room
+	PriorAttempts int           // attempts already made
+	MayHaveRun    bool          // one of them may have run
+	FirstRunAt    time.Duration // and was sent at this clock time, the first of those that may have
+	FirstRunZone  int           // to this zone
+	Resumed       bool          // it was taken on by an earlier process: it is tried, and not refused for want of room
 }
 
 // Outcome is how an attempt ended.
@@ -110,32 +110,32 @@
 const (
 	Served Outcome = iota
 	Errored
-	Refused
+	Rejected
 	TimedOut
 	ConnectFailed
-	Broken
+	ConnectionLost
 	Cancelled
 	NotSent
 )
 
-// AttemptEnd says that an attempt is over.
-type AttemptEnd struct {
-	Message  MessageID
-	Attempt  int // 0 for the first send of the message
-	Endpoint EndpointID
-	Outcome  Outcome
-	Elapsed  time.Duration // since it was sent
-	Over     bool          // the message needs no further answer
-	Recalled bool          // with NotSent: it was recalled before anything was written, and counts as no attempt
-	Crowded  bool          // with Refused: the endpoint ended a connection opened for it, unheard: it takes no more of them
-	Wait     time.Duration // with Refused: told to send nothing for so long; 0 if nothing was told
-	Reported bool          // Left and Limit were reported
-	Left     float64       // share of the destination's allowance that is left
-	Limit    float64       // its limit in calls a second, 0 if it has none
+// AttemptResult says that an attempt is over.
+type AttemptResult struct {
+	Message          MessageID
+	Attempt          int // 0 for the first send of the message
+	Endpoint         EndpointID
+	Outcome          Outcome
+	Elapsed          time.Duration // since it was sent
+	Final            bool          // the message needs no further answer
+	Revoked          bool          // with NotSent: it was recalled before anything was written, and counts as no attempt
+	ConnLimitReached bool          // with Refused: the endpoint ended a connection opened for it, unheard: it takes no more of them
+	RetryAfter       time.Duration // with Refused: told to send nothing for so long; 0 if nothing was told
+	LimitReported    bool          // Left and Limit were reported
+	Remaining        float64       // share of the destination's allowance that is left
+	Limit            float64       // its limit in calls a second, 0 if it has none
 }
 
-// Earlier is what this sender's earlier process knew of a destination, as Rates gave it.
-type Earlier struct {
+// UsualRate is what this sender's earlier process knew of a destination, as Rates gave it.
+type UsualRate struct {
 	Destination DestinationID
 	Rate        float64
 }
@@ -146,21 +146,21 @@
 // The states of health; the zero value is that nothing is known.
 const (
 	HealthUnknown Health = iota
-	Serving              // calls are served
-	Warming              // it serves again after an outage
-	OutOfService         // calls fail, are refused or go unanswered
+	Healthy              // calls are served
+	WarmingUp            // it serves again after an outage
+	Unhealthy            // calls fail, are refused or go unanswered
 )
 
-// Learnt is what is known of a destination, or of one route of it, with the age of its evidence. As an event it tells a
+// Observation is what is known of a destination, or of one route of it, with the age of its evidence. As an event it tells a
 // Brain what it has not seen itself; Known gives what it has. Whatever is zero is not known.
-type Learnt struct {
+type Observation struct {
 	Destination DestinationID
 	Endpoint    EndpointID // of a route apart; 0 for all of the destination's
-	Own         bool       // seen by this sender, in an earlier process
+	Local       bool       // seen by this sender, in an earlier process
 
-	Calls                         int // that the pace rests on
-	Mean, Median, Quickest, Bound time.Duration
-	PaceAge                       time.Duration
+	Samples                                         int // that the pace rests on
+	MeanLatency, MedianLatency, MinLatency, Timeout time.Duration
+	LatencyAge                                      time.Duration
 
 	Window    float64 // calls at once that it bore
 	WindowAge time.Duration
@@ -168,34 +168,34 @@
 	Limit    float64 // calls a second, told for all senders
 	LimitAge time.Duration
 
-	Wait time.Duration // told, and so much is left of it
+	RetryAfter time.Duration // told, and so much is left of it
 
-	Health    Health
-	For       time.Duration // how long ago it came to be so
-	OutFor    time.Duration // of one that is out or warms up: how long ago the outage began; 0: as For
-	HealthAge time.Duration // of the newest evidence for it
-	Rate      float64       // calls a second usually served there for who saw it, before any outage
-	Others    int           // other senders that hold it out just now
+	Health       Health
+	HealthFor    time.Duration // how long ago it came to be so
+	OutageFor    time.Duration // of one that is out or warms up: how long ago the outage began; 0: as For
+	HealthAge    time.Duration // of the newest evidence for it
+	Rate         float64       // calls a second usually served there for who saw it, before any outage
+	OtherProbers int           // other senders that hold it out just now
 }
 
-// Granted says what the fleet lends this sender of a destination's limit, until the next word: its calls are spread by that, in place
+// RateGrant says what the fleet lends this sender of a destination's limit, until the next word: its calls are spread by that, in place
 // of what this sender would make of the limit by itself.
-type Granted struct {
+type RateGrant struct {
 	Destination DestinationID
 	Limited     bool    // false: the fleet shares no limit of it out any more
-	Mine        float64 // calls a second that this sender may make; 0: none
-	All         float64 // that all may
+	Rate        float64 // calls a second that this sender may make; 0: none
+	TotalRate   float64 // that all may
 }
 
 // Withdrawn says that nobody wants the message any more.
 type Withdrawn struct{ Message MessageID }
 
-// ListNews is news of the endpoint list.
-type ListNews struct {
-	Failed    bool // a request for the list failed; nothing is set but InVain
-	InVain    bool // and discovery has worked on it: it has more of them than it can answer in time
-	Whole     bool // Endpoints is the whole list: what it lacks is gone
-	Endpoints []Endpoint
+// EndpointUpdate is news of the endpoint list.
+type EndpointUpdate struct {
+	Failed     bool // a request for the list failed; nothing is set but InVain
+	Overloaded bool // and discovery has worked on it: it has more of them than it can answer in time
+	Complete   bool // Endpoints is the whole list: what it lacks is gone
+	Endpoints  []Endpoint
 }
 
 // Endpoint is a line of the list. It tells nothing of health.
@@ -208,17 +208,17 @@
 	Rating      float64
 }
 
-// Alarm says that a time asked for has come.
-type Alarm struct{}
+// TimerFired says that a time asked for has come.
+type TimerFired struct{}
 
-func (Message) event()    {}
-func (AttemptEnd) event() {}
-func (Earlier) event()    {}
-func (Learnt) event()     {}
-func (Granted) event()    {}
-func (Withdrawn) event()  {}
-func (ListNews) event()   {}
-func (Alarm) event()      {}
+func (Message) event()        {}
+func (AttemptResult) event()  {}
+func (UsualRate) event()      {}
+func (Observation) event()    {}
+func (RateGrant) event()      {}
+func (Withdrawn) event()      {}
+func (EndpointUpdate) event() {}
+func (TimerFired) event()     {}
 
 // Action is one of Send, Recall, Refuse, Fail, Cancel, CloseIdle, SetAlarm, WatchList and Log.
 type Action interface{ action() }
@@ -230,34 +230,34 @@
 	Timeout  time.Duration
 }
 
-// Recall takes back the leave to write an attempt: what was decided when it was sent would not be decided now. One of
+// Revoke takes back the leave to write an attempt: what was decided when it was sent would not be decided now. One of
 // which nothing is written yet ends as NotSent, at once and without use of its connection; for any other it means
 // nothing. It may be carried out before all other actions of its step, and is never late.
-type Recall struct {
+type Revoke struct {
 	Message MessageID
 	Attempt int
-	Why     Reason
+	Reason  RevokeReason
 }
 
-// Reason is why an attempt is recalled.
-type Reason uint8
+// RevokeReason is why an attempt is recalled.
+type RevokeReason uint8
 
 // The reasons.
 const (
-	ToldToWait Reason = iota // the destination, or the route, asked for a wait meanwhile
-	OffTheList               // the endpoint drains or is gone
-	InOutage                 // its route has gone out, or another probe has gone there since
-	IsOver                   // all its messages have ended
+	RetryAfterReceived RevokeReason = iota // the destination, or the route, asked for a wait meanwhile
+	EndpointRemoved                        // the endpoint drains or is gone
+	RouteOutage                            // its route has gone out, or another probe has gone there since
+	MessagesEnded                          // all its messages have ended
 )
 
-func (r Reason) String() string {
+func (r RevokeReason) String() string {
 	return [...]string{"told to wait", "off the list", "in an outage", "over"}[r]
 }
 
-// Refuse ends a message and tells its client that trying again, after HoldOff, is harmless.
-type Refuse struct {
-	Message MessageID
-	HoldOff time.Duration
+// Reject ends a message and tells its client that trying again, after HoldOff, is harmless.
+type Reject struct {
+	Message    MessageID
+	RetryAfter time.Duration
 }
 
 // Fail ends a message and promises nothing.
@@ -269,24 +269,24 @@
 	Attempt int
 }
 
-// CloseIdle shuts the connections to an endpoint that have no call.
-type CloseIdle struct{ Endpoint EndpointID }
+// CloseIdleConns shuts the connections to an endpoint that have no call.
+type CloseIdleConns struct{ Endpoint EndpointID }
 
-// SetAlarm asks for an Alarm at clock time At.
-type SetAlarm struct{ At time.Duration }
+// SetTimer asks for an Alarm at clock time At.
+type SetTimer struct{ At time.Duration }
 
-// WatchList asks for the endpoint list and its changes.
-type WatchList struct{}
+// WatchEndpoints asks for the endpoint list and its changes.
+type WatchEndpoints struct{}
 
 // Log is a line for the operators.
 type Log struct{ Line string }
 
-func (Send) action()      {}
-func (Recall) action()    {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Cancel) action()    {}
-func (CloseIdle) action() {}
-func (SetAlarm) action()  {}
-func (WatchList) action() {}
-func (Log) action()       {}
+func (Send) action()           {}
+func (Revoke) action()         {}
+func (Reject) action()         {}
+func (Fail) action()           {}
+func (Cancel) action()         {}
+func (CloseIdleConns) action() {}
+func (SetTimer) action()       {}
+func (WatchEndpoints) action() {}
+func (Log) action()            {}
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -71,11 +71,11 @@
 func (b *Brain) rate(r *route) (rate, burst float64) {
 	rate, burst = math.Inf(1), math.Inf(1)
 	lent, shared := b.lent[r.of]
-	if r.limit > 0 && !(shared && lent.All <= r.limit) {
+	if r.limit > 0 && !(shared && lent.TotalRate <= r.limit) {
 		rate, burst = r.pace, max(1, r.pace)
 	}
 	if shared { // by the fleet: nothing is guessed of what others use
-		rate, burst = min(rate, lent.Mine/float64(b.routesOf(r.of))), 1
+		rate, burst = min(rate, lent.Rate/float64(b.routesOf(r.of))), 1
 	}
 	switch {
 	case r.state == out:
@@ -99,7 +99,7 @@
 // enough is how many failures in a row are an outage: as many calls as we make in an overload span, for a
 // sender with few there would not see eight fail before it is over; and more where senders are few.
 func (b *Brain) enough(r *route) int {
-	n := max(leastInRow+int(b.usual(r.tried)*b.s.OverloadFor.Seconds()), fleetProbes/max(1, b.s.Senders))
+	n := max(leastInRow+int(b.usual(r.tried)*b.s.OverloadWindow.Seconds()), fleetProbes/max(1, b.s.Senders))
 	return min(inRow, n)
 }
 
@@ -108,18 +108,18 @@
 // Where we usually get no message in such a time, most others have seen no failure and send as ever: the
 // few who have may together send a part of that. Any destination bears a few calls from all of us.
 func (b *Brain) bearable(r *route) float64 {
-	share := b.s.StartCapacity
-	if r.state == cold && b.s.Cold > 0 {
-		share += (1 - share) * min(1, (b.now-r.since).Seconds()/b.s.Cold.Seconds())
+	share := b.s.SlowStartCapacity
+	if r.state == cold && b.s.SlowStartDuration > 0 {
+		share += (1 - share) * min(1, (b.now-r.since).Seconds()/b.s.SlowStartDuration.Seconds())
 	}
 	unaware := besideOther / max(math.Expm1(r.before*(b.now-r.outAt).Seconds()), 1e-9)
-	few := b.evenPart(fleetProbes / max(b.s.Cold.Seconds(), 1))
-	return max(few, r.before*max(max(1, b.s.FallMultiple)*share, unaware))
+	few := b.evenPart(fleetProbes / max(b.s.SlowStartDuration.Seconds(), 1))
+	return max(few, r.before*max(max(1, b.s.OverloadMultiple)*share, unaware))
 }
 
 // open reports whether r may get a call now; if not but later, the alarm is set for then.
 func (b *Brain) open(r *route) bool {
-	if r.state == cold && b.now-r.since > b.s.Cold {
+	if r.state == cold && b.now-r.since > b.s.SlowStartDuration {
 		r.state, r.since = well, b.now
 		b.changed(r)
 	}
@@ -175,7 +175,7 @@
 	b.now, b.wake, b.acts = now, never, nil
 	if b.started == -never {
 		b.started = now
-		if b.s.AsksForList && b.s.Senders > fleetProbes { // many may have started at once
+		if b.s.RequestsEndpoints && b.s.Senders > fleetProbes { // many may have started at once
 			b.askAt = now + time.Duration(b.draw(uint64(askSpread)))
 		}
 	}
@@ -186,29 +186,29 @@
 		switch e := e.(type) {
 		case Message:
 			b.admit(e)
-		case AttemptEnd:
+		case AttemptResult:
 			b.ended(e)
-		case Alarm: // the clock may be coarser than ours: one that comes a little early is the one set
-			if b.alarm <= now+b.s.Step {
+		case TimerFired: // the clock may be coarser than ours: one that comes a little early is the one set
+			if b.alarm <= now+b.s.StepInterval {
 				b.alarm = never
 			}
-		case Earlier:
+		case UsualRate:
 			b.remember(e)
-		case Learnt:
+		case Observation:
 			b.learnt(e)
-		case Granted:
+		case RateGrant:
 			b.granted(e)
 		case Withdrawn:
 			if m := b.byID[e.Message]; m != nil {
 				b.close(m)
 			}
-		case ListNews:
+		case EndpointUpdate:
 			b.heard(e)
 		}
 	}
 	if b.askAt <= now {
 		b.askAt = never
-		b.acts = append(b.acts, WatchList{})
+		b.acts = append(b.acts, WatchEndpoints{})
 	}
 	b.wakeAt(b.askAt)
 	b.expire()
@@ -216,12 +216,12 @@
 	b.sendAll()
 	b.recallAll()
 	b.closeIdle()
-	if b.s.FoldAfter > 0 {
+	if b.s.HibernateAfter > 0 {
 		b.foldQuiet()
 	}
 	if b.wake < b.alarm {
-		b.alarm = max(b.wake, now+b.s.Step)
-		b.acts = append(b.acts, SetAlarm{b.alarm})
+		b.alarm = max(b.wake, now+b.s.StepInterval)
+		b.acts = append(b.acts, SetTimer{b.alarm})
 	}
 	return b.acts
 }
@@ -229,13 +229,13 @@
 // heard takes in news of the list, or asks for it again later. Discovery is one for all senders, and calls
 // that it works on and can't answer in time cost it as much: if all ask again at once, none is answered. One
 // that is turned away at once, or that never came there, costs it nothing.
-func (b *Brain) heard(n ListNews) {
+func (b *Brain) heard(n EndpointUpdate) {
 	if !n.Failed {
 		b.askPause = 0
 		b.news(n)
-	} else if b.s.AsksForList {
+	} else if b.s.RequestsEndpoints {
 		pause := min(max(2*b.askPause, askAgain), askAtMost)
-		if n.InVain {
+		if n.Overloaded {
 			pause = askInVain
 		}
 		b.askPause = max(b.askPause, pause)
@@ -251,12 +251,12 @@
 		return -never
 	}
 	quickest := m.route().Quickest
-	last := m.Deadline - max(quickest, b.s.Step)
-	if m.mayRun && m.class.Effect != Safe {
-		if m.class.Effect != Keyed {
+	last := m.Deadline - max(quickest, b.s.StepInterval)
+	if m.mayRun && m.class.Idempotency != Idempotent {
+		if m.class.Idempotency != IdempotentByKey {
 			return -never
 		}
-		last = min(last, m.firstRun+m.class.KeyWindow-quickest-b.s.Step)
+		last = min(last, m.firstRun+m.class.IdempotencyKeyTTL-quickest-b.s.StepInterval)
 	}
 	return last
 }
@@ -283,7 +283,7 @@
 // with the longest queue, of a tenant beyond its share first: its client can come back, and others would
 // be turned away unseen.
 func (b *Brain) makeRoom() {
-	for b.s.MostHeld > 0 && float64(b.held) > holdFull*float64(b.s.MostHeld) {
+	for b.s.MaxPending > 0 && float64(b.held) > holdFull*float64(b.s.MaxPending) {
 		var victim *message
 		longest := 0.0
 		for _, d := range b.active {
@@ -298,10 +298,10 @@
 			return
 		}
 		hold := time.Duration(0)
-		if b.s.TellsHoldOff {
-			hold = b.s.MaxHoldOff
+		if b.s.SendsRetryAfter {
+			hold = b.s.MaxRetryAfter
 		}
-		b.acts = append(b.acts, Refuse{victim.ID, hold})
+		b.acts = append(b.acts, Reject{victim.ID, hold})
 		b.close(victim)
 	}
 }
@@ -309,17 +309,17 @@
 // worth is what m is worth if served at the time.
 func (b *Brain) worth(m *message, at time.Duration) float64 {
 	c := m.class
-	late := at - (m.Deadline - c.Deadline) - c.Aim
-	w := c.Worth * b.tenantWorth(m.Tenant)
+	late := at - (m.Deadline - c.Deadline) - c.LatencyTarget
+	w := c.Value * b.tenantWorth(m.Tenant)
 	switch {
 	case at >= m.Deadline:
 		return 0
 	case late <= 0:
 		return w
-	case b.s.Halving:
-		return w * max(c.LateWorth, math.Exp2(-late.Seconds()/c.Aim.Seconds()))
+	case b.s.ExponentialDecay:
+		return w * max(c.LateValue, math.Exp2(-late.Seconds()/c.LatencyTarget.Seconds()))
 	}
-	return w * (1 - (1-c.LateWorth)*late.Seconds()/(c.Deadline-c.Aim).Seconds())
+	return w * (1 - (1-c.LateValue)*late.Seconds()/(c.Deadline-c.LatencyTarget).Seconds())
 }
 
 // tenantWorth is the worth of a tenant's messages as a fraction: beyond its share, the mean of those
@@ -340,7 +340,7 @@
 	if beyond <= 1 {
 		return 1
 	}
-	return (1 + (beyond-1)*b.s.OverShareWorth) / beyond
+	return (1 + (beyond-1)*b.s.OverShareValue) / beyond
 }
 
 // index orders messages for a scarce slot: the worth that a message loses if passed over, and a little of
@@ -458,8 +458,9 @@
 			return !short
 		}
 	}
-	if e.route.state == out && (m.class.Effect == Unsafe) != (than.class.Effect == Unsafe) {
-		return than.class.Effect == Unsafe
+	otherIsNot := than.class.Idempotency == NonIdempotent
+	if e.route.state == out && (m.class.Idempotency == NonIdempotent) != otherIsNot {
+		return otherIsNot
 	}
 	return x > thanX
 }
@@ -471,9 +472,9 @@
 func (b *Brain) keepFor(e *endpoint) (kept time.Duration, kind *time.Duration) {
 	few := min(1, b.evenPart(fewConns))
 	for len(b.keep) <= e.Kind {
-		b.keep = append(b.keep, time.Duration(few*float64(b.s.IdleConnections)))
+		b.keep = append(b.keep, time.Duration(few*float64(b.s.IdleConnTimeout)))
 	}
-	kept, kind = b.s.IdleConnections, &b.keep[e.Kind]
+	kept, kind = b.s.IdleConnTimeout, &b.keep[e.Kind]
 	if b.enough(e.route) < inRow/2 || few < 1 {
 		kept = *kind
 	}
@@ -486,12 +487,12 @@
 		keep, _ := b.keepFor(e)
 		until := e.idleAt + keep
 		switch {
-		case e.calls > 0 || b.now >= e.idleAt+b.s.IdleConnections:
+		case e.calls > 0 || b.now >= e.idleAt+b.s.IdleConnTimeout:
 			e.idleNo = 0
 		case b.now >= until:
-			b.acts = append(b.acts, CloseIdle{e.ID})
+			b.acts = append(b.acts, CloseIdleConns{e.ID})
 			e.idleAt, e.idleNo, e.conns = 0, 0, 0
-		case keep < b.s.IdleConnections:
+		case keep < b.s.IdleConnTimeout:
 			b.wakeAt(until)
 		}
 	}
@@ -516,7 +517,7 @@
 
 // opens: a call to e now needs a new connection.
 func (b *Brain) opens(e *endpoint) bool {
-	return e.calls >= e.conns || e.calls == 0 && b.now >= e.idleAt+b.s.IdleConnections
+	return e.calls >= e.conns || e.calls == 0 && b.now >= e.idleAt+b.s.IdleConnTimeout
 }
 
 // full books that e had no room for a connection. All senders are refused at once, and each comes again at a
@@ -553,7 +554,8 @@
 	var best *endpoint
 	least := 0.0
 	for _, e := range usable {
-		if m.mayRun && m.class.KeyInZone && m.class.Effect == Keyed && e.Zone != m.ranZone {
+		keptInZone := m.class.Idempotency == IdempotentByKey && m.class.IdempotencyKeyZonal
+		if m.mayRun && keptInZone && e.Zone != m.ranZone {
 			continue
 		}
 		cost := float64(e.calls+1) * max(e.recent, 0.02) / max(0.05, 1-e.fails)
@@ -561,7 +563,7 @@
 			cost *= 2
 		}
 		if e.Zone != b.s.Zone {
-			cost *= 1 + 10*b.s.CrossZonePrice
+			cost *= 1 + 10*b.s.CrossZoneCost
 		}
 		if e.Zone < len(b.s.ZoneFees) && e.route != m.dest.shared {
 			cost *= 1 + 10*b.s.ZoneFees[e.Zone]
@@ -577,7 +579,7 @@
 func (b *Brain) sendCall(m *message, e *endpoint) {
 	r := e.route
 	c := &call{route: r, at: e, sent: b.now, probe: r.state == out}
-	if e.calls == 0 && e.idleAt > 0 && b.now < e.idleAt+b.s.IdleConnections {
+	if e.calls == 0 && e.idleAt > 0 && b.now < e.idleAt+b.s.IdleConnTimeout {
 		c.idle = b.now - e.idleAt
 	}
 	b.calls++
@@ -623,14 +625,14 @@
 	if first {
 		a.weight = 1
 	}
-	restartable := m.class.Effect == Safe
-	if m.class.Effect == Keyed {
-		tau = min(tau, m.class.KeyWindow/2) // a repeat needs time to be served in the window
+	restartable := m.class.Idempotency == Idempotent
+	if m.class.Idempotency == IdempotentByKey {
+		tau = min(tau, m.class.IdempotencyKeyTTL/2) // a repeat needs time to be served in the window
 		from := b.now
 		if m.mayRun {
 			from = m.firstRun
 		}
-		restartable = b.now+tau+2*b.s.Step+r.Quickest < from+m.class.KeyWindow
+		restartable = b.now+tau+2*b.s.StepInterval+r.Quickest < from+m.class.IdempotencyKeyTTL
 	}
 	if b.s.MaxAttempts > 0 && m.tries()+1 >= b.s.MaxAttempts {
 		restartable = false
@@ -686,7 +688,7 @@
 			c.recalled = true
 			for _, m := range c.messages {
 				if n := len(m.attempts) - 1; !m.attempts[n].ended {
-					b.acts = append(b.acts, Recall{m.ID, n, why})
+					b.acts = append(b.acts, Revoke{m.ID, n, why})
 				}
 			}
 		}
@@ -695,27 +697,28 @@
 }
 
 // fallen: c would not be sent now, if it had not been.
-func (b *Brain) fallen(c *call) (why Reason, is bool) {
+func (b *Brain) fallen(c *call) (why RevokeReason, is bool) {
 	switch r := c.route; {
 	case !c.at.listed:
-		return OffTheList, true
+		return EndpointRemoved, true
 	case b.now < r.toldUntil:
-		return ToldToWait, true
+		return RetryAfterReceived, true
 	case r.state == out && (c.sent < r.since || c.sent < r.probedAt):
-		return InOutage, true
+		return RouteOutage, true
 	}
-	return IsOver, !slices.ContainsFunc(c.messages, func(m *message) bool { return !m.over })
+	return MessagesEnded, !slices.ContainsFunc(c.messages, func(m *message) bool { return !m.over })
 }
 
 // ---- Outcomes
 
-func (b *Brain) ended(e AttemptEnd) {
+func (b *Brain) ended(e AttemptResult) {
 	m := b.byID[e.Message]
 	if m == nil || e.Attempt < 0 || e.Attempt >= len(m.attempts) || m.attempts[e.Attempt].ended {
 		return
 	}
 	a := &m.attempts[e.Attempt]
-	a.ended, a.doubt, e.Elapsed = true, e.Outcome == TimedOut || e.Outcome == Broken, max(0, e.Elapsed)
+	a.ended, a.doubt = true, e.Outcome == TimedOut || e.Outcome == ConnectionLost
+	e.Elapsed = max(0, e.Elapsed)
 	m.out--
 	b.touch(m.dest)
 	if a.left--; a.left == 0 {
@@ -725,7 +728,7 @@
 			b.takenBack--
 		}
 		a.at.calls--
-		if e.Crowded || a.doubt || e.Outcome == ConnectFailed || e.Outcome == Cancelled {
+		if e.ConnLimitReached || a.doubt || e.Outcome == ConnectFailed || e.Outcome == Cancelled {
 			a.at.conns--
 		}
 		if a.at.calls == 0 {
@@ -736,11 +739,11 @@
 			a.route.probes--
 		}
 	}
-	if e.Reported && positive(e.Limit) {
+	if e.LimitReported && positive(e.Limit) {
 		b.learnLimit(a.route, e.Limit)
 	}
-	if e.Wait > 0 { // each outcome of a shared call may tell a later end
-		a.route.askedUntil = max(a.route.askedUntil, b.now+e.Wait+time.Millisecond)
+	if e.RetryAfter > 0 { // each outcome of a shared call may tell a later end
+		a.route.askedUntil = max(a.route.askedUntil, b.now+e.RetryAfter+time.Millisecond)
 		b.toWait(a.route, a.route.askedUntil)
 		b.changed(a.route)
 	}
@@ -751,22 +754,22 @@
 	a.route.heardAt = b.now
 	b.learn(m, a, e)
 	switch e.Outcome {
-	case Refused, ConnectFailed, NotSent:
-		if e.Recalled { // else recalls would use up its attempts
+	case Rejected, ConnectFailed, NotSent:
+		if e.Revoked { // else recalls would use up its attempts
 			m.spared++
 		}
 		b.neverRan(m)
-	case TimedOut, Broken, Cancelled:
+	case TimedOut, ConnectionLost, Cancelled:
 		if m.turn != nil {
 			b.rest(m.turn)
 		}
 	}
-	if e.Over || m.over {
+	if e.Final || m.over {
 		b.close(m)
 		return
 	}
 	if m.out == 0 {
-		if e.Outcome != TimedOut && !e.Crowded {
+		if e.Outcome != TimedOut && !e.ConnLimitReached {
 			m.notBefore = b.now + retryPause<<min(len(m.attempts)-1, 4)
 		}
 		b.wait(m)
@@ -774,7 +777,7 @@
 }
 
 // learn gives the oracle its sample: served first attempts only (Karn); an expiry doubles.
-func (b *Brain) learn(m *message, a *attempt, e AttemptEnd) {
+func (b *Brain) learn(m *message, a *attempt, e AttemptResult) {
 	switch {
 	case e.Outcome == Served && a.weight > 0:
 		first := a.route.Quickest == 0
@@ -812,14 +815,14 @@
 }
 
 // judge books a call's fate with its route and endpoint.
-func (b *Brain) judge(m *message, a *attempt, e AttemptEnd) {
+func (b *Brain) judge(m *message, a *attempt, e AttemptResult) {
 	r := a.route
 	bad := 0.0
-	if e.Outcome != Served && e.Outcome != Refused || e.Crowded {
+	if e.Outcome != Served && e.Outcome != Rejected || e.ConnLimitReached {
 		bad = 1
 	}
 	a.at.fails += healthPer * (bad - a.at.fails)
-	if e.Outcome != Refused {
+	if e.Outcome != Rejected {
 		r.fails += healthPer * (bad - r.fails)
 		r.lost++
 	}
@@ -827,33 +830,34 @@
 		b.judgeServed(m, a, e)
 		return
 	}
-	if e.Outcome == ConnectFailed || e.Crowded { // it may hold all the connections that it takes
+	if e.Outcome == ConnectFailed || e.ConnLimitReached { // it may hold all the connections that it takes
 		_, kind := b.keepFor(a.at)
 		*kind /= keepCut
-		b.crowd(a.at, b.s.IdleConnections)
+		b.crowd(a.at, b.s.IdleConnTimeout)
 	}
-	if e.Crowded { // which says nothing of calls
+	if e.ConnLimitReached { // which says nothing of calls
 		b.full(a.at)
 		return
 	}
-	if e.Outcome != Refused || !e.Reported || !positive(e.Limit) || e.Left >= plenty { // else it is used up
+	usedUp := e.Outcome == Rejected && e.LimitReported && positive(e.Limit) && !(e.Remaining >= plenty)
+	if !usedUp {
 		r.bad++
 	}
 	switch {
-	case e.Outcome == Refused:
+	case e.Outcome == Rejected:
 		b.refused(r, a, e)
 	case e.Outcome == TimedOut && r.Doubled():
 		r.window.Halve(a.sent, b.now)
 	}
 	// Refusals come in runs where a limit is met, too: there it takes a while without any served.
-	long := e.Outcome != Refused || b.now-r.lastServed > b.s.OverloadFor/2
+	long := e.Outcome != Rejected || b.now-r.lastServed > b.s.OverloadWindow/2
 	lasting := r.bad >= b.enough(r) && long || r.fails > mostFail
 	if r.state == well && lasting || r.state == cold && r.bad >= b.enough(r)/2+1 && long {
 		b.goOut(r)
 	}
 }
 
-func (b *Brain) judgeServed(m *message, a *attempt, e AttemptEnd) {
+func (b *Brain) judgeServed(m *message, a *attempt, e AttemptResult) {
 	r := a.route
 	s := e.Elapsed.Seconds()
 	for _, recent := range []*float64{&r.recent, &a.at.recent} {
@@ -862,9 +866,9 @@
 		}
 		*recent += recentPer * (s - *recent)
 	}
-	more := time.Duration(keepGrow * float64(b.s.IdleConnections))
+	more := time.Duration(keepGrow * float64(b.s.IdleConnTimeout))
 	_, kind := b.keepFor(a.at)
-	*kind = min(b.s.IdleConnections, *kind+more)
+	*kind = min(b.s.IdleConnTimeout, *kind+more)
 	b.crowd(a.at, max(0, a.at.crowded-more))
 	if a.at.fullPause = 0; a.at.room > 0 {
 		a.at.room += paceStep
@@ -875,7 +879,7 @@
 	// Quickly served after a try on a connection that had been idle was not: such are dropped unseen.
 	if n := len(m.attempts); n > 1 && m.attempts[n-2].idle > 0 && m.attempts[n-2].doubt && s < slowBy*r.Mean {
 		*kind = min(*kind, m.attempts[n-2].idle/2)
-		b.crowd(a.at, max(a.at.crowded, b.s.IdleConnections-*kind))
+		b.crowd(a.at, max(a.at.crowded, b.s.IdleConnTimeout-*kind))
 	}
 	b.countServed(r)
 	r.servedSent = max(r.servedSent, a.sent)
@@ -890,13 +894,13 @@
 		b.log(r, "answers again; warming up")
 	}
 	r.window.Served(r.calls, b.s.Slots)
-	if r.limit > 0 && (e.Limit == 0 || e.Left > plenty) {
+	if r.limit > 0 && (e.Limit == 0 || e.Remaining > plenty) {
 		step := paceStep * b.even(r.limit)
 		if e.Limit == 0 {
 			step *= 2 // no allowance to use up: the listed rate is a capacity
 		}
 		r.pace = min(r.limit, r.pace+step)
-	} else if r.limit > 0 && e.Left < scarce { // refusals may use it up, too
+	} else if r.limit > 0 && e.Remaining < scarce { // refusals may use it up, too
 		b.slower(r, 0)
 	}
 }
@@ -911,11 +915,11 @@
 }
 
 // refused closes the route for the told wait, or for a growing pause if none was told.
-func (b *Brain) refused(r *route, a *attempt, e AttemptEnd) {
+func (b *Brain) refused(r *route, a *attempt, e AttemptResult) {
 	r.window.Halve(a.sent, b.now)
 	b.slower(r, 1)
-	if e.Wait > 0 {
-		if e.Wait > b.s.OverloadFor && r.state != out {
+	if e.RetryAfter > 0 {
+		if e.RetryAfter > b.s.OverloadWindow && r.state != out {
 			b.goOut(r) // shut for longer than any limit is counted over: it comes back cold
 		}
 		return
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -16,14 +16,14 @@
 
 // settings is a plain deployment: one destination kind, classes safe, keyed, unsafe and ordered.
 func settings() Settings {
-	return Settings{Senders: 2, Slots: 10, MostHeld: 100, MaxAttempts: 6, MayCancel: true, Step: 5 * ms,
-		SettleAfterDoubt: 300 * ms, FallMultiple: 2, StartCapacity: 0.2,
-		OverloadFor: 2 * time.Second, Cold: 10 * time.Second, Kinds: []Kind{{PerCall: 1}, {Apart: true, PerCall: 3}},
+	return Settings{Senders: 2, Slots: 10, MaxPending: 100, MaxAttempts: 6, MayCancel: true, StepInterval: 5 * ms,
+		OrderingCooldown: 300 * ms, OverloadMultiple: 2, SlowStartCapacity: 0.2,
+		OverloadWindow: 2 * time.Second, SlowStartDuration: 10 * time.Second, Kinds: []Kind{{MaxBatch: 1}, {PerEndpointRoutes: true, MaxBatch: 3}},
 		Classes: []Class{
-			{Aim: 2 * time.Second, Deadline: 20 * time.Second, Effect: Safe, Worth: 1, LateWorth: 0.3},
-			{Aim: 2 * time.Second, Deadline: 20 * time.Second, Effect: Keyed, KeyWindow: 6 * time.Second, Worth: 1, LateWorth: 0.3},
-			{Aim: 2 * time.Second, Deadline: 20 * time.Second, Effect: Unsafe, Worth: 1, LateWorth: 0.3},
-			{Aim: 2 * time.Second, Deadline: 20 * time.Second, Effect: Safe, Ordered: true, Worth: 1, LateWorth: 0.3},
+			{LatencyTarget: 2 * time.Second, Deadline: 20 * time.Second, Idempotency: Idempotent, Value: 1, LateValue: 0.3},
+			{LatencyTarget: 2 * time.Second, Deadline: 20 * time.Second, Idempotency: IdempotentByKey, IdempotencyKeyTTL: 6 * time.Second, Value: 1, LateValue: 0.3},
+			{LatencyTarget: 2 * time.Second, Deadline: 20 * time.Second, Idempotency: NonIdempotent, Value: 1, LateValue: 0.3},
+			{LatencyTarget: 2 * time.Second, Deadline: 20 * time.Second, Idempotency: Idempotent, Ordered: true, Value: 1, LateValue: 0.3},
 		}}
 }
 
@@ -44,7 +44,7 @@
 func newRig(t *testing.T, s Settings) *rig {
 	r := &rig{T: t, b: New(s, 7), now: time.Hour, sentAt: map[MessageID]time.Duration{}, tries: map[MessageID]int{},
 		failed: map[MessageID]bool{}, refused: map[MessageID]bool{}}
-	r.step(ListNews{Whole: true, Endpoints: []Endpoint{{ID: 1, Ready: true}, {ID: 2, Destination: 1, Ready: true},
+	r.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 1, Ready: true}, {ID: 2, Destination: 1, Ready: true},
 		{ID: 3, Destination: 2, Kind: 1, Ready: true}, {ID: 4, Destination: 2, Kind: 1, Ready: true}}})
 	return r
 }
@@ -59,7 +59,7 @@
 			r.tries[a.Message]++
 		case Fail:
 			r.failed[a.Message] = true
-		case Refuse:
+		case Reject:
 			r.refused[a.Message] = true
 		case Cancel:
 			r.cancels++
@@ -71,12 +71,12 @@
 
 func (r *rig) message(class int, dest DestinationID, key uint64) Message {
 	r.next++
-	return Message{ID: r.next, Class: class, Destination: dest, Key: key, Deadline: r.now + 20*time.Second}
+	return Message{ID: r.next, Class: class, Destination: dest, OrderingKey: key, Deadline: r.now + 20*time.Second}
 }
 
-func (r *rig) end(s Send, o Outcome) AttemptEnd {
-	return AttemptEnd{Message: s.Message, Attempt: r.tries[s.Message] - 1, Endpoint: s.Endpoint, Outcome: o,
-		Elapsed: r.now - r.sentAt[s.Message], Over: o == Served}
+func (r *rig) end(s Send, o Outcome) AttemptResult {
+	return AttemptResult{Message: s.Message, Attempt: r.tries[s.Message] - 1, Endpoint: s.Endpoint, Outcome: o,
+		Elapsed: r.now - r.sentAt[s.Message], Final: o == Served}
 }
 
 // serve runs n messages through a destination, one at a time, each served after lat.
@@ -122,9 +122,9 @@
 	r := newRig(t, settings())
 	s := r.step(r.message(0, 0, 0))
 	r.now += 100 * ms
-	r.step(r.end(s[0], Refused))
+	r.step(r.end(s[0], Rejected))
 	r.now += time.Second
-	s = r.step(Alarm{})
+	s = r.step(TimerFired{})
 	r.now += 100 * ms
 	r.step(r.end(s[0], Served))
 	if n := r.b.dests[0].shared.Seen; n != 0 {
@@ -180,7 +180,7 @@
 	deadline := r.now + 20*time.Second
 	r.now = r.b.alarm
 	for !r.failed[a.ID] && r.now < deadline {
-		r.step(Alarm{})
+		r.step(TimerFired{})
 		r.now = max(r.b.alarm, r.now+ms)
 	}
 	if !r.failed[a.ID] {
@@ -202,7 +202,7 @@
 	for i := 0; i < 100 && !r.failed[a.ID]; i++ {
 		set := r.b.alarm
 		r.now = set - 64*time.Nanosecond
-		acts := r.b.Step(r.now, []Event{Alarm{}})
+		acts := r.b.Step(r.now, []Event{TimerFired{}})
 		for _, x := range acts {
 			if f, ok := x.(Fail); ok {
 				r.failed[f.Message] = true
@@ -230,9 +230,9 @@
 		{"keyed in its window", 1, Errored, time.Second, true},
 		{"keyed past its window", 1, Errored, 6 * time.Second, false},
 		{"unsafe after an error", 2, Errored, time.Second, false},
-		{"unsafe after a refusal", 2, Refused, time.Second, true},
+		{"unsafe after a refusal", 2, Rejected, time.Second, true},
 		{"unsafe without a connection", 2, ConnectFailed, time.Second, true},
-		{"unsafe after a broken connection", 2, Broken, time.Second, false},
+		{"unsafe after a broken connection", 2, ConnectionLost, time.Second, false},
 	} {
 		r := newRig(t, settings())
 		m := r.message(c.class, 0, 0)
@@ -241,7 +241,7 @@
 		r.step(r.end(s[0], c.outcome))
 		for range 40 {
 			r.now += 50 * ms
-			r.step(Alarm{})
+			r.step(TimerFired{})
 		}
 		if again := r.tries[m.ID] > 1; again != c.again {
 			t.Errorf("%s: repeated %v", c.name, again)
@@ -255,10 +255,10 @@
 // Rule 3: nothing goes to an endpoint from the batch that names it draining.
 func TestDrains(t *testing.T) {
 	r := newRig(t, settings())
-	if s := r.step(ListNews{Endpoints: []Endpoint{{ID: 1}}}, r.message(0, 0, 0)); len(s) != 0 {
+	if s := r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}, r.message(0, 0, 0)); len(s) != 0 {
 		t.Fatalf("sent to a draining endpoint: %+v", s)
 	}
-	if s := r.step(ListNews{Whole: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}}); len(s) != 1 {
+	if s := r.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}}); len(s) != 1 {
 		t.Fatalf("not sent to the endpoint that is back: %+v", s)
 	}
 	if s := r.step(r.message(0, 1, 0)); len(s) != 0 {
@@ -292,7 +292,7 @@
 		if r.b.held < 60 {
 			events = append(events, r.message(0, 0, 0))
 		}
-		open = r.step(append(events, Alarm{})...)
+		open = r.step(append(events, TimerFired{})...)
 		if up {
 			if returned == 0 {
 				returned = r.now
@@ -307,12 +307,12 @@
 	}
 	for i := range at {
 		n, j := 0, i
-		for ; j < len(at) && at[j] < at[i]+s.OverloadFor; j++ {
+		for ; j < len(at) && at[j] < at[i]+s.OverloadWindow; j++ {
 			n++
 		}
-		share := s.StartCapacity + (1-s.StartCapacity)*(at[i]+s.OverloadFor-returned).Seconds()/s.Cold.Seconds()
-		if bears := s.FallMultiple * share * usual * s.OverloadFor.Seconds(); float64(n) > bears+1 {
-			t.Fatalf("%d calls in %v from %v after the return, %.1f bearable", n, s.OverloadFor, at[i]-returned, bears)
+		share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*(at[i]+s.OverloadWindow-returned).Seconds()/s.SlowStartDuration.Seconds()
+		if bears := s.OverloadMultiple * share * usual * s.OverloadWindow.Seconds(); float64(n) > bears+1 {
+			t.Fatalf("%d calls in %v from %v after the return, %.1f bearable", n, s.OverloadWindow, at[i]-returned, bears)
 		}
 	}
 }
@@ -328,8 +328,8 @@
 	if c := r.b.calls; c != 1 {
 		t.Fatalf("a shared call holds %d slots", c)
 	}
-	e1, e2 := r.end(s[0], Refused), r.end(s[1], Refused)
-	e1.Wait, e2.Wait = 300*ms, 400*ms
+	e1, e2 := r.end(s[0], Rejected), r.end(s[1], Rejected)
+	e1.RetryAfter, e2.RetryAfter = 300*ms, 400*ms
 	r.step(e1)
 	r.now += 10 * ms
 	r.step(e2)
@@ -359,16 +359,16 @@
 	}
 	r.now += 4 * time.Second
 	e := r.end(s[0], TimedOut)
-	e.Over = true
+	e.Final = true
 	if s := r.step(e); len(s) != 0 {
 		t.Fatal("the key did not rest after a time-out")
 	}
 	r.now += 299 * ms
-	if s := r.step(Alarm{}); len(s) != 0 {
+	if s := r.step(TimerFired{}); len(s) != 0 {
 		t.Fatal("the key rested too short")
 	}
 	r.now += 6 * ms
-	if s := r.step(Alarm{}); len(s) != 1 || s[0].Message != b.ID {
+	if s := r.step(TimerFired{}); len(s) != 1 || s[0].Message != b.ID {
 		t.Fatalf("then %+v", s)
 	}
 }
@@ -396,7 +396,7 @@
 	m := r.message(0, 2, 0)
 	r.step(m)
 	r.now += 2 * restart.FirstTimeout
-	r.step(Alarm{})
+	r.step(TimerFired{})
 	if r.cancels != 1 {
 		t.Fatalf("%d calls taken back for one message", r.cancels)
 	}
@@ -404,7 +404,7 @@
 
 func TestNearlyFullSenderRefuses(t *testing.T) {
 	set := settings()
-	set.MostHeld = 10
+	set.MaxPending = 10
 	r := newRig(t, set)
 	for range 12 {
 		r.step(r.message(2, 9, 0))
@@ -418,10 +418,10 @@
 // just now.
 func TestResumedMessagesAreNotRefusedForRoom(t *testing.T) {
 	set := settings()
-	set.MostHeld = 20
+	set.MaxPending = 20
 	r := newRig(t, set)
 	var events []Event
-	for n := range set.MostHeld {
+	for n := range set.MaxPending {
 		m := r.message(n%3, DestinationID(n%3), 0)
 		m.Resumed = true
 		events = append(events, m)
@@ -437,18 +437,18 @@
 		r.now += 20 * ms
 		sends = append(sends[1:], r.step(r.end(s, Served))...)
 	}
-	if want := set.MostHeld; len(r.tries) != want || len(r.refused) != 1 || len(r.failed) != 0 {
+	if want := set.MaxPending; len(r.tries) != want || len(r.refused) != 1 || len(r.failed) != 0 {
 		t.Errorf("%d of %d messages are tried, %d refused, %d given up", len(r.tries), want, len(r.refused), len(r.failed))
 	}
 }
 
 func TestListIsAskedForAndAskedAgain(t *testing.T) {
 	set := settings()
-	set.AsksForList = true
+	set.RequestsEndpoints = true
 	b := New(set, 1)
 	asks := func(now time.Duration, e ...Event) (n int) {
 		for _, a := range b.Step(now, e) {
-			if _, ok := a.(WatchList); ok {
+			if _, ok := a.(WatchEndpoints); ok {
 				n++
 			}
 		}
@@ -457,15 +457,15 @@
 	if asks(0) != 1 || asks(time.Second) != 0 {
 		t.Fatal("the list is watched once from the start")
 	}
-	if asks(2*time.Second, ListNews{Failed: true}) != 0 || asks(2*time.Second+askAgain/2-ms) != 0 || asks(2*time.Second+2*askAgain) != 1 {
+	if asks(2*time.Second, EndpointUpdate{Failed: true}) != 0 || asks(2*time.Second+askAgain/2-ms) != 0 || asks(2*time.Second+2*askAgain) != 1 {
 		t.Fatal("a failed watch is asked for again")
 	}
 	// Each failure in a row doubles the pause, up to one with which a change is heard in the protocol's 6 s; where discovery has
 	// more to do than it can, it is one with which all senders together leave it room.
 	now, pause := 10*time.Second, askAgain
 	for n := range 12 {
-		news := ListNews{Failed: true, InVain: n >= 6}
-		if pause = min(2*pause, askAtMost); news.InVain {
+		news := EndpointUpdate{Failed: true, Overloaded: n >= 6}
+		if pause = min(2*pause, askAtMost); news.Overloaded {
 			pause = askInVain
 		}
 		if asks(now, news) != 0 || asks(now+pause/2-ms) != 0 || asks(now+pause/2+pause) != 1 {
@@ -473,10 +473,10 @@
 		}
 		now += 2 * pause
 	}
-	if asks(now, ListNews{Failed: true}) != 0 || asks(now+askInVain/2-ms) != 0 || asks(now+2*askInVain) != 1 {
+	if asks(now, EndpointUpdate{Failed: true}) != 0 || asks(now+askInVain/2-ms) != 0 || asks(now+2*askInVain) != 1 {
 		t.Fatal("it is left room until it has answered, also by a call that it turns away at once")
 	}
-	if now += 20 * time.Second; asks(now, ListNews{}) != 0 || asks(now+1, ListNews{Failed: true}) != 0 || asks(now+1+2*askAgain) != 1 {
+	if now += 20 * time.Second; asks(now, EndpointUpdate{}) != 0 || asks(now+1, EndpointUpdate{Failed: true}) != 0 || asks(now+1+2*askAgain) != 1 {
 		t.Fatal("once it was told, pauses begin anew")
 	}
 }
@@ -491,7 +491,7 @@
 		for i := range 6 {
 			endpoints = append(endpoints, Endpoint{ID: EndpointID(i), Destination: DestinationID(i / 2), Kind: i / 4, Ready: true})
 		}
-		events := []Event{ListNews{Whole: true, Endpoints: endpoints}}
+		events := []Event{EndpointUpdate{Complete: true, Endpoints: endpoints}}
 		type out struct {
 			Send
 			try int
@@ -500,18 +500,18 @@
 		tries, over := map[MessageID]int{}, map[MessageID]bool{}
 		for id := MessageID(1); id < 3000; id++ {
 			events = append(events, Message{ID: id, Class: rnd.Intn(4), Destination: DestinationID(rnd.Intn(4)),
-				Key: uint64(rnd.Intn(3)), Deadline: now + 20*time.Second})
+				OrderingKey: uint64(rnd.Intn(3)), Deadline: now + 20*time.Second})
 			for len(open) > 0 && rnd.Intn(3) > 0 {
 				i := rnd.Intn(len(open))
 				o := Outcome(rnd.Intn(8))
-				events = append(events, AttemptEnd{Message: open[i].Message, Attempt: open[i].try, Endpoint: open[i].Endpoint,
-					Outcome: o, Elapsed: 50 * ms, Over: o == Served || over[open[i].Message]})
+				events = append(events, AttemptResult{Message: open[i].Message, Attempt: open[i].try, Endpoint: open[i].Endpoint,
+					Outcome: o, Elapsed: 50 * ms, Final: o == Served || over[open[i].Message]})
 				over[open[i].Message] = over[open[i].Message] || o == Served
 				open = append(open[:i], open[i+1:]...)
 			}
 			if rnd.Intn(50) == 0 {
-				events = append(events, Withdrawn{MessageID(rnd.Intn(int(id)) + 1)}, AttemptEnd{Message: 1 << 40},
-					ListNews{Endpoints: []Endpoint{{ID: EndpointID(rnd.Intn(8)), Destination: 1, Ready: rnd.Intn(2) == 0}}})
+				events = append(events, Withdrawn{MessageID(rnd.Intn(int(id)) + 1)}, AttemptResult{Message: 1 << 40},
+					EndpointUpdate{Endpoints: []Endpoint{{ID: EndpointID(rnd.Intn(8)), Destination: 1, Ready: rnd.Intn(2) == 0}}})
 			}
 			acts := b.Step(now, events)
 			events = nil
@@ -595,7 +595,7 @@
 	r.step(m)
 	for range 8 {
 		r.now += 500 * ms
-		r.step(Alarm{})
+		r.step(TimerFired{})
 	}
 	if r.cancels != 1 {
 		t.Fatalf("%d calls taken back for one message", r.cancels)
@@ -631,9 +631,9 @@
 // Where the list rates a destination but answers report no limit, the pace stayed at half of the rate.
 func TestPaceGrowsWhereNoLimitIsReported(t *testing.T) {
 	set := settings()
-	set.RatedLimits = true
+	set.RatingIsLimit = true
 	r := newRig(t, set)
-	r.step(ListNews{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 10}}})
+	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 10}}})
 	route := r.b.dests[0].shared
 	before := route.pace
 	for range 20 {
@@ -641,7 +641,7 @@
 		r.now += 300 * ms
 		for _, x := range sends {
 			e := r.end(x, Served)
-			e.Reported = true
+			e.LimitReported = true
 			r.step(e)
 		}
 	}
@@ -673,8 +673,8 @@
 // A tenant that surged widened its own share, and the others' messages were refused with it.
 func TestSurgingTenantIsRefusedFirst(t *testing.T) {
 	set := settings()
-	set.MostHeld = 60
-	set.OverShareWorth = 0.05
+	set.MaxPending = 60
+	set.OverShareValue = 0.05
 	set.Tenants = []Tenant{{Allowance: 10}, {Allowance: 10}, {Allowance: 10}}
 	r := newRig(t, set)
 	owner := map[MessageID]int{}
@@ -707,13 +707,13 @@
 			for k, b := range bs {
 				var events []Event
 				if i == 0 {
-					events = append(events, ListNews{Whole: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}})
+					events = append(events, EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}})
 				}
 				events = append(events, Message{ID: MessageID(i), Class: i % 3, Deadline: now + 20*time.Second})
 				for _, m := range b.byID {
 					if n := len(m.attempts); n > 0 && m.out > 0 && i%2 == k%2 {
-						events = append(events, AttemptEnd{Message: m.ID, Attempt: n - 1, Outcome: Served,
-							Elapsed: 50 * ms, Over: true})
+						events = append(events, AttemptResult{Message: m.ID, Attempt: n - 1, Outcome: Served,
+							Elapsed: 50 * ms, Final: true})
 						break
 					}
 				}
@@ -741,11 +741,11 @@
 	}
 	acts := r.b.Step(late, []Event{r.message(0, 1, 0), r.message(0, 2, 0)})
 	for i, a := range acts {
-		if _, ok := a.(SetAlarm); ok && i != len(acts)-1 {
+		if _, ok := a.(SetTimer); ok && i != len(acts)-1 {
 			t.Fatalf("the alarm is not last: %+v", acts)
 		}
 	}
-	if b := New(settings(), 1); len(b.Step(-time.Hour, []Event{Alarm{}})) != 0 {
+	if b := New(settings(), 1); len(b.Step(-time.Hour, []Event{TimerFired{}})) != 0 {
 		t.Fatal("a clock that starts below zero")
 	}
 }
@@ -759,16 +759,16 @@
 		sent  bool
 	}{
 		"never sent":             {2, Message{}, true},
-		"unsafe, never ran":      {2, Message{Tried: 2}, true},
-		"unsafe, may have run":   {2, Message{Tried: 1, MayRun: true, FirstRun: time.Hour - time.Second}, false},
-		"keyed, in its window":   {1, Message{Tried: 1, MayRun: true, FirstRun: time.Hour - time.Second}, true},
-		"keyed, past its window": {1, Message{Tried: 1, MayRun: true, FirstRun: time.Hour - 6*time.Second}, false},
-		"safe, long ago":         {0, Message{Tried: 1, MayRun: true, FirstRun: time.Hour - 15*time.Second}, true},
-		"no attempt left":        {0, Message{Tried: 6, MayRun: true, FirstRun: time.Hour - time.Second}, false},
+		"unsafe, never ran":      {2, Message{PriorAttempts: 2}, true},
+		"unsafe, may have run":   {2, Message{PriorAttempts: 1, MayHaveRun: true, FirstRunAt: time.Hour - time.Second}, false},
+		"keyed, in its window":   {1, Message{PriorAttempts: 1, MayHaveRun: true, FirstRunAt: time.Hour - time.Second}, true},
+		"keyed, past its window": {1, Message{PriorAttempts: 1, MayHaveRun: true, FirstRunAt: time.Hour - 6*time.Second}, false},
+		"safe, long ago":         {0, Message{PriorAttempts: 1, MayHaveRun: true, FirstRunAt: time.Hour - 15*time.Second}, true},
+		"no attempt left":        {0, Message{PriorAttempts: 6, MayHaveRun: true, FirstRunAt: time.Hour - time.Second}, false},
 	} {
 		r := newRig(t, settings())
 		m := r.message(c.class, 0, 0)
-		m.Tried, m.MayRun, m.FirstRun = c.m.Tried, c.m.MayRun, c.m.FirstRun
+		m.PriorAttempts, m.MayHaveRun, m.FirstRunAt = c.m.PriorAttempts, c.m.MayHaveRun, c.m.FirstRunAt
 		if sends := r.step(m); len(sends) == 1 != c.sent || r.failed[m.ID] == c.sent {
 			t.Errorf("%s: %d sends, failed %v", name, len(sends), r.failed[m.ID])
 		}
@@ -776,12 +776,12 @@
 	// Its window counts from the first send of all, also after further attempts.
 	r := newRig(t, settings())
 	m := r.message(1, 0, 0)
-	m.Tried, m.MayRun, m.FirstRun = 1, true, r.now-5*time.Second
+	m.PriorAttempts, m.MayHaveRun, m.FirstRunAt = 1, true, r.now-5*time.Second
 	s := r.step(m)[0]
 	r.now += 500 * ms
 	r.step(r.end(s, Errored))
 	r.now += 600 * ms
-	if sends := r.step(Alarm{}); len(sends) != 0 || !r.failed[m.ID] {
+	if sends := r.step(TimerFired{}); len(sends) != 0 || !r.failed[m.ID] {
 		t.Errorf("past its window: %d sends, failed %v", len(sends), r.failed[m.ID])
 	}
 }
@@ -790,8 +790,8 @@
 // neither; a call that is out when its endpoint goes ends as it does, and a told wait outlasts the endpoint.
 func TestWhatLeavesTheListIsForgotten(t *testing.T) {
 	r := newRig(t, settings())
-	list := func(ids ...EndpointID) ListNews {
-		n := ListNews{Whole: true}
+	list := func(ids ...EndpointID) EndpointUpdate {
+		n := EndpointUpdate{Complete: true}
 		for _, id := range ids { // even ones of a shared destination, odd ones routes apart
 			n.Endpoints = append(n.Endpoints, Endpoint{ID: id, Destination: 10 + DestinationID(id%2), Kind: int(id % 2), Ready: true})
 		}
@@ -820,8 +820,8 @@
 	}
 
 	s := r.step(list(7001), r.message(0, 11, 0))
-	e := r.end(s[0], Refused)
-	e.Wait = 2 * forgetAfter
+	e := r.end(s[0], Rejected)
+	e.RetryAfter = 2 * forgetAfter
 	r.step(e)
 	r.step(list())
 	r.now += forgetAfter + time.Second
@@ -834,7 +834,7 @@
 // before it is answered, and the destination would seem silent for as long as they come.
 func TestProbeHasTimeForItsAnswer(t *testing.T) {
 	late := settings() // all that are late are worth the same
-	late.Halving, late.Classes[1].Aim, late.Classes[1].LateWorth = true, 200*ms, 0.5
+	late.ExponentialDecay, late.Classes[1].LatencyTarget, late.Classes[1].LateValue = true, 200*ms, 0.5
 	r := newRig(t, late)
 	r.serve(30, 0, 100*ms)
 	r.fallOut()
@@ -847,7 +847,7 @@
 	probes := 0
 	for range 60 {
 		r.now += 50 * ms
-		for _, s := range r.step(Alarm{}) {
+		for _, s := range r.step(TimerFired{}) {
 			probes++
 			if s.Timeout < probeFirst {
 				t.Errorf("a probe has %v", s.Timeout)
@@ -866,7 +866,7 @@
 	before := newRig(t, settings())
 	before.serve(300, 0, 80*ms) // ten a second
 	var kept []Event
-	for _, e := range before.b.Rates() {
+	for _, e := range before.b.UsualRates() {
 		if e.Destination == 0 && (e.Rate < 5 || e.Rate > 15) {
 			t.Errorf("a rate of %.1f where ten a second are served", e.Rate)
 		}
@@ -888,7 +888,7 @@
 		t.Errorf("%.2f calls a second, %.2f in the process that went on", knew, same)
 	}
 	for _, x := range []float64{math.NaN(), math.Inf(1), -1, 0} {
-		if odd := rate(Earlier{Rate: x}); odd != rate() {
+		if odd := rate(UsualRate{Rate: x}); odd != rate() {
 			t.Errorf("a rate of %v counts: %.2f", x, odd)
 		}
 	}
--- a/brain/due.go
+++ b/brain/due.go
@@ -141,7 +141,7 @@
 
 // rest lets a key rest after an attempt that may still run.
 func (b *Brain) rest(t *turn) {
-	t.restUntil = max(t.restUntil, b.now+b.s.SettleAfterDoubt)
+	t.restUntil = max(t.restUntil, b.now+b.s.OrderingCooldown)
 	if !t.rests {
 		t.rests = true
 		b.rests = append(b.rests, t)
@@ -414,7 +414,7 @@
 	if len(b.idle) > 2*b.idleKept+64 {
 		kept := b.idle[:0]
 		for _, e := range b.idle {
-			if e.idleNo == 0 || e.calls > 0 || b.now >= e.idleAt+b.s.IdleConnections {
+			if e.idleNo == 0 || e.calls > 0 || b.now >= e.idleAt+b.s.IdleConnTimeout {
 				e.maybeIdle, e.idleNo = false, 0
 				continue
 			}
@@ -430,7 +430,7 @@
 func (b *Brain) keptShorter() []*endpoint {
 	b.looked = b.looked[:0]
 	for _, k := range b.keep {
-		if k < b.s.IdleConnections {
+		if k < b.s.IdleConnTimeout {
 			for _, e := range b.idle {
 				if e.idleNo > 0 {
 					b.looked = append(b.looked, e)
--- a/brain/export_test.go
+++ b/brain/export_test.go
@@ -187,7 +187,7 @@
 		if e.listed == (b.unlisted[id] == e) {
 			return fmt.Errorf("endpoint %d is listed: %v, and among those that left the list: %v", id, e.listed, e.listed)
 		}
-		idle := e.idleNo > 0 && e.calls == 0 && b.now < e.idleAt+b.s.IdleConnections
+		idle := e.idleNo > 0 && e.calls == 0 && b.now < e.idleAt+b.s.IdleConnTimeout
 		if idle && !(e.maybeIdle && slices.Contains(b.idle, e)) {
 			return fmt.Errorf("endpoint %d has an idle connection and is not among those", id)
 		}
--- a/brain/fleet_test.go
+++ b/brain/fleet_test.go
@@ -7,11 +7,11 @@
 )
 
 // many is a deployment of n senders with a hundred destinations of one endpoint each.
-func many(n int) (Settings, ListNews) {
+func many(n int) (Settings, EndpointUpdate) {
 	s := settings()
-	s.Senders, s.Slots, s.IdleConnections = n, 4, 15*time.Second
-	s.Kinds = []Kind{{PerCall: 1}}
-	list := ListNews{Whole: true}
+	s.Senders, s.Slots, s.IdleConnTimeout = n, 4, 15*time.Second
+	s.Kinds = []Kind{{MaxBatch: 1}}
+	list := EndpointUpdate{Complete: true}
 	for i := range 100 {
 		list.Endpoints = append(list.Endpoints, Endpoint{ID: EndpointID(i + 1), Destination: DestinationID(i), Ready: true})
 	}
@@ -30,7 +30,7 @@
 // sent is a call of one sender of many, and how it ends.
 type sent struct {
 	by  int
-	end AttemptEnd
+	end AttemptResult
 	at  time.Duration
 }
 
@@ -62,7 +62,7 @@
 	var fromAware, fromOthers int
 	id := MessageID(0)
 	tries := map[MessageID]int{}
-	for now := start; now < start+outage+s.OverloadFor; now += 20 * ms {
+	for now := start; now < start+outage+s.OverloadWindow; now += 20 * ms {
 		events := make([][]Event, senders)
 		give := func(i, dest int) {
 			id++
@@ -84,16 +84,16 @@
 			aware[c.by] = aware[c.by] || c.end.Outcome == ConnectFailed && now < start+outage
 		}
 		for i, b := range brains {
-			for _, a := range b.Step(now, append(events[i], Alarm{})) {
+			for _, a := range b.Step(now, append(events[i], TimerFired{})) {
 				call, ok := a.(Send)
 				if !ok {
 					continue
 				}
 				down := call.Endpoint == 1 && now < start+outage
-				end := AttemptEnd{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint,
-					Elapsed: 40 * ms, Outcome: Served, Over: true}
+				end := AttemptResult{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint,
+					Elapsed: 40 * ms, Outcome: Served, Final: true}
 				if down {
-					end.Outcome, end.Over = ConnectFailed, false
+					end.Outcome, end.Final = ConnectFailed, false
 				}
 				tries[call.Message]++
 				open = append(open, sent{i, end, now + 40*ms})
@@ -107,8 +107,8 @@
 			}
 		}
 	}
-	share := s.StartCapacity + (1-s.StartCapacity)*s.OverloadFor.Seconds()/s.Cold.Seconds()
-	bears := s.FallMultiple * share * perSecond * s.OverloadFor.Seconds()
+	share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*s.OverloadWindow.Seconds()/s.SlowStartDuration.Seconds()
+	bears := s.OverloadMultiple * share * perSecond * s.OverloadWindow.Seconds()
 	if float64(fromAware+fromOthers) > bears && fromAware >= 2*fromOthers {
 		t.Fatalf("%d calls from senders that saw it fail, %d from others, %.1f bearable", fromAware, fromOthers, bears)
 	}
@@ -161,7 +161,7 @@
 		r.now += 300 * ms
 		for _, x := range r.sends[len(r.sends)-min(served, 1):] {
 			e := r.end(x, Served)
-			e.Reported, e.Left, e.Limit = true, 0.8, 5
+			e.LimitReported, e.Remaining, e.Limit = true, 0.8, 5
 			r.step(e)
 		}
 		r.now += 700 * ms
@@ -176,8 +176,8 @@
 	r := fleetRig(t, 50)
 	closes := func(d time.Duration) (n int) {
 		for end := r.now + d; r.now < end; r.now += 100 * ms {
-			for _, a := range r.b.Step(r.now, []Event{Alarm{}}) {
-				if _, ok := a.(CloseIdle); ok {
+			for _, a := range r.b.Step(r.now, []Event{TimerFired{}}) {
+				if _, ok := a.(CloseIdleConns); ok {
 					n++
 				}
 			}
@@ -207,7 +207,7 @@
 	s = r.step(r.end(s[0], TimedOut))
 	for i := 0; i < 100 && len(s) == 0; i++ {
 		r.now += 50 * ms
-		s = r.step(Alarm{})
+		s = r.step(TimerFired{})
 	}
 	r.now += 30 * ms
 	r.step(r.end(s[0], Served))
@@ -236,21 +236,21 @@
 		"negative tenant":     {Message{ID: 1, Tenant: -7, Deadline: time.Hour + time.Second}},
 		"no endpoint":         {Message{ID: 1, Destination: 900, Deadline: time.Hour + time.Second}},
 		"deadline in past":    {Message{ID: 1, Deadline: time.Second}},
-		"kind out of range":   {ListNews{Endpoints: []Endpoint{{ID: 1, Kind: -3, Zone: -1, Ready: true}, {ID: 2, Kind: 99, Zone: 99, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
-		"rating not a number": {ListNews{Endpoints: []Endpoint{{ID: 1, Rating: bad, Ready: true}, {ID: 2, Rating: math.Inf(1), Ready: true}, {ID: 3, Rating: -1, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
-		"unknown attempt":     {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptEnd{Message: 1, Attempt: 4}, AttemptEnd{Message: 1, Attempt: -4}, AttemptEnd{Message: 44}},
-		"report out of range": {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptEnd{Message: 1, Outcome: Served, Elapsed: -time.Hour, Reported: true, Left: bad, Limit: math.Inf(1), Over: true}},
-		"limit of nothing":    {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptEnd{Message: 1, Outcome: Refused, Wait: -time.Hour, Reported: true, Left: -1, Limit: bad}},
+		"kind out of range":   {EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Kind: -3, Zone: -1, Ready: true}, {ID: 2, Kind: 99, Zone: 99, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
+		"rating not a number": {EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Rating: bad, Ready: true}, {ID: 2, Rating: math.Inf(1), Ready: true}, {ID: 3, Rating: -1, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
+		"unknown attempt":     {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Attempt: 4}, AttemptResult{Message: 1, Attempt: -4}, AttemptResult{Message: 44}},
+		"report out of range": {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Outcome: Served, Elapsed: -time.Hour, LimitReported: true, Remaining: bad, Limit: math.Inf(1), Final: true}},
+		"limit of nothing":    {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Outcome: Rejected, RetryAfter: -time.Hour, LimitReported: true, Remaining: -1, Limit: bad}},
 	} {
 		s := settings()
-		s.RatedLimits, s.ZoneFees = true, []float64{0.1}
+		s.RatingIsLimit, s.ZoneFees = true, []float64{0.1}
 		s.Tenants = []Tenant{{Share: 1, Allowance: 10}}
 		r := newRig(t, s)
 		r.step(events...)
 		sent := len(r.sends)
 		for range 30 { // the time jumps, too
 			r.now += 100 * ms
-			r.step(Alarm{})
+			r.step(TimerFired{})
 		}
 		r.now += 5 * time.Hour
 		for _, x := range r.sends[sent:] {
@@ -259,7 +259,7 @@
 		for _, x := range r.sends[:sent] {
 			r.step(r.end(x, TimedOut))
 		}
-		r.step(Alarm{})
+		r.step(TimerFired{})
 		over := name == "report out of range" || r.failed[1] || r.refused[1]
 		if !over || r.b.held != 0 {
 			t.Errorf("%s: failed %v, refused %v, %d held", name, r.failed[1], r.refused[1], r.b.held)
@@ -272,10 +272,12 @@
 	for name, change := range map[string]func(*Settings){
 		"nothing stated": func(s *Settings) { *s = Settings{} },
 		"no slots":       func(s *Settings) { s.Slots = 0 },
-		"negative":       func(s *Settings) { s.Slots, s.Senders, s.MostHeld, s.MaxAttempts = -1, -1, -1, -1 },
+		"negative":       func(s *Settings) { s.Slots, s.Senders, s.MaxPending, s.MaxAttempts = -1, -1, -1, -1 },
 		"no deadlines":   func(s *Settings) { s.Classes = []Class{{}, {}, {}, {}} },
 		"no kinds":       func(s *Settings) { s.Kinds = nil },
-		"no rules":       func(s *Settings) { s.Cold, s.OverloadFor, s.FallMultiple, s.StartCapacity = 0, 0, 0, 0 },
+		"no rules": func(s *Settings) {
+			s.SlowStartDuration, s.OverloadWindow, s.OverloadMultiple, s.SlowStartCapacity = 0, 0, 0, 0
+		},
 	} {
 		s := settings()
 		change(&s)
@@ -288,10 +290,10 @@
 		}
 		for range 30 {
 			r.now += time.Second
-			r.step(Alarm{})
+			r.step(TimerFired{})
 			for id := range r.b.byID {
 				if m := r.b.byID[id]; r.now >= m.Deadline && m.out > 0 {
-					r.step(AttemptEnd{Message: id, Attempt: len(m.attempts) - 1, Outcome: TimedOut})
+					r.step(AttemptResult{Message: id, Attempt: len(m.attempts) - 1, Outcome: TimedOut})
 				}
 			}
 		}
@@ -307,7 +309,7 @@
 	s, _ := many(300)
 	r := newRig(t, s)
 	r.b = New(s, 7)
-	r.step(ListNews{Whole: true, Endpoints: []Endpoint{{ID: 1, Ready: true}, {ID: 2, Ready: true}, {ID: 3, Destination: 1, Ready: true}}})
+	r.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 1, Ready: true}, {ID: 2, Ready: true}, {ID: 3, Destination: 1, Ready: true}}})
 	r.serve(1, 0, 50*ms)
 	began := r.now
 	sends := r.step(r.message(1, 0, 0))
@@ -317,12 +319,12 @@
 			if r.now-began > 10*time.Second {
 				t.Fatalf("the message waits after %d refusals, its destination in state %d", i, r.b.dests[0].shared.state)
 			}
-			sends = r.step(Alarm{})
+			sends = r.step(TimerFired{})
 		}
 		at[sends[0].Endpoint]++
 		r.now += 50 * ms
-		end := r.end(sends[0], Refused)
-		end.Crowded = true
+		end := r.end(sends[0], Rejected)
+		end.ConnLimitReached = true
 		sends = r.step(end)
 	}
 	if at[1] == 0 || at[2] == 0 {
@@ -332,7 +334,7 @@
 		t.Errorf("the destination is in state %d, closed for %v", d.state, d.closedUntil-r.now)
 	}
 	// What was seen at one endpoint holds for the kind.
-	if kept, _ := r.b.keepFor(r.b.endpoints[3]); kept > s.IdleConnections/100 {
+	if kept, _ := r.b.keepFor(r.b.endpoints[3]); kept > s.IdleConnTimeout/100 {
 		t.Errorf("idle connections are still kept for %v", kept)
 	}
 }
@@ -361,8 +363,8 @@
 	}
 	refuse := func(s Send) []Send {
 		r.now += 50 * ms
-		end := r.end(s, Refused)
-		end.Crowded = true
+		end := r.end(s, Rejected)
+		end.ConnLimitReached = true
 		return r.step(end)
 	}
 	if s := refuse(first[0]); len(s) != 0 {
@@ -373,7 +375,7 @@
 		waiting = append(waiting, r.message(1, 0, 0))
 	}
 	sends := r.step(waiting...)
-	for began := r.now; len(sends) == 0; sends = r.step(Alarm{}) {
+	for began := r.now; len(sends) == 0; sends = r.step(TimerFired{}) {
 		if r.now += 10 * ms; r.now-began > 2*time.Second {
 			t.Fatal("no connection is tried for")
 		}
@@ -392,7 +394,7 @@
 		t.Fatalf("%d more calls than messages", len(sends))
 	}
 	r.now += 200 * ms
-	r.step(Alarm{})
+	r.step(TimerFired{})
 	if n := r.b.endpoints[1].conns; n != 0 {
 		t.Errorf("%d connections stay open with nothing left to send, in the way of other senders", n)
 	}
@@ -412,7 +414,7 @@
 	}
 	type sent struct {
 		by   int
-		end  AttemptEnd
+		end  AttemptResult
 		at   time.Duration
 		held bool // it stands on a connection
 	}
@@ -440,13 +442,13 @@
 		}
 		open = still
 		for i, b := range brains {
-			for _, a := range b.Step(now, append(events[i], Alarm{})) {
+			for _, a := range b.Step(now, append(events[i], TimerFired{})) {
 				switch a := a.(type) {
-				case CloseIdle:
+				case CloseIdleConns:
 					standing -= idle[i]
 					idle[i] = 0
 				case Send:
-					end := AttemptEnd{Message: a.Message, Attempt: tries[a.Message], Endpoint: 1, Outcome: Served, Over: true, Elapsed: 50 * ms}
+					end := AttemptResult{Message: a.Message, Attempt: tries[a.Message], Endpoint: 1, Outcome: Served, Final: true, Elapsed: 50 * ms}
 					tries[a.Message]++
 					call := sent{by: i, held: true}
 					switch {
@@ -456,7 +458,7 @@
 						standing++
 						end.Elapsed = 150 * ms
 					default:
-						end.Outcome, end.Over, end.Crowded, call.held = Refused, false, true, false
+						end.Outcome, end.Final, end.ConnLimitReached, call.held = Rejected, false, true, false
 					}
 					if end.Outcome == Served {
 						served++
--- a/brain/fold.go
+++ b/brain/fold.go
@@ -54,7 +54,7 @@
 // touch notes that d is in use, so that it is folded only so long after.
 func (b *Brain) touch(d *destination) {
 	d.touched = b.now
-	if b.s.FoldAfter > 0 && !d.queued {
+	if b.s.HibernateAfter > 0 && !d.queued {
 		d.queued = true
 		b.quiet = append(b.quiet, quietSince{b.now, d})
 	}
@@ -64,14 +64,14 @@
 func (b *Brain) foldQuiet() {
 	const most = 64 // in one step: a list of tens of thousands does not hold one up
 	some := false
-	for n := 0; n < most && len(b.quiet) > 0 && b.now-b.quiet[0].at >= b.s.FoldAfter; n++ {
+	for n := 0; n < most && len(b.quiet) > 0 && b.now-b.quiet[0].at >= b.s.HibernateAfter; n++ {
 		d := b.quiet[0].d
 		b.quiet[0] = quietSince{}
 		b.quiet = b.quiet[1:]
 		d.queued = false
 		switch {
 		case d.gone:
-		case b.now-d.touched < b.s.FoldAfter:
+		case b.now-d.touched < b.s.HibernateAfter:
 			d.queued = true
 			b.requeue(d)
 		case b.foldable(d):
@@ -102,7 +102,7 @@
 		return false
 	}
 	for _, e := range d.endpoints {
-		if e.calls > 0 || e.Kind > math.MaxInt16 || e.Zone > math.MaxInt16 || e.idleAt > 0 && b.now < e.idleAt+b.s.IdleConnections {
+		if e.calls > 0 || e.Kind > math.MaxInt16 || e.Zone > math.MaxInt16 || e.idleAt > 0 && b.now < e.idleAt+b.s.IdleConnTimeout {
 			return false
 		}
 	}
--- a/brain/fold_test.go
+++ b/brain/fold_test.go
@@ -12,7 +12,7 @@
 // sleepy is a rig whose destinations fold after a minute.
 func sleepy(t *testing.T) *rig {
 	s := settings()
-	s.FoldAfter = time.Minute
+	s.HibernateAfter = time.Minute
 	return newRig(t, s)
 }
 
@@ -22,7 +22,7 @@
 	end := r.now + d
 	for r.now < end {
 		r.now = min(end, r.now+20*time.Second)
-		r.step(Alarm{})
+		r.step(TimerFired{})
 	}
 	if r.b.folded[0] == nil || r.b.dests[0] != nil {
 		r.Fatal("it has not folded")
@@ -87,10 +87,10 @@
 // It folds while its told wait runs, and wakes within it: nothing goes before the wait is over.
 func TestFoldsWithinAWait(t *testing.T) {
 	r := sleepy(t)
-	r.b.s.OverloadFor = time.Hour // such a wait is no outage here
+	r.b.s.OverloadWindow = time.Hour // such a wait is no outage here
 	s := r.step(r.message(0, 0, 0))
-	e := r.end(s[0], Refused)
-	e.Wait, e.Over = 10*time.Minute, true
+	e := r.end(s[0], Rejected)
+	e.RetryAfter, e.Final = 10*time.Minute, true
 	r.step(e)
 	over := r.now + 10*time.Minute
 	r.sleep(4 * time.Minute)
@@ -129,7 +129,7 @@
 			t.Fatal("it is never tried")
 		}
 		r.now += 50 * ms
-		sends = r.step(Alarm{})
+		sends = r.step(TimerFired{})
 	}
 	if len(sends) != 1 {
 		t.Fatalf("%d calls to a receiver that was out", len(sends))
@@ -144,7 +144,7 @@
 		for _, s := range pending {
 			next = append(next, r.step(r.end(s, Served))...)
 		}
-		next = append(next, r.step(Alarm{})...)
+		next = append(next, r.step(TimerFired{})...)
 		count += len(next)
 		pending = next
 	}
@@ -168,7 +168,7 @@
 			s := r.step(r.message(0, 0, 0))
 			r.now += 50 * ms
 			e := r.end(s[0], Served)
-			e.Reported, e.Left, e.Limit = true, 0.9, 30
+			e.LimitReported, e.Remaining, e.Limit = true, 0.9, 30
 			r.step(e)
 		}
 		pace := r.b.dests[0].shared.pace
@@ -193,11 +193,11 @@
 	r := sleepy(t)
 	r.serve(5, 0, 50*ms)
 	r.sleep(3 * time.Minute)
-	r.step(ListNews{Endpoints: []Endpoint{{ID: 1, Ready: true}}})
+	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true}}})
 	if r.b.folded[0] == nil {
 		t.Error("a line that says nothing new unfolds")
 	}
-	r.step(ListNews{Endpoints: []Endpoint{{ID: 9, Ready: true}, {ID: 1}}})
+	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 9, Ready: true}, {ID: 1}}})
 	r.sleep(3 * time.Minute)
 	if s := r.step(r.message(0, 0, 0)); len(s) != 1 || s[0].Endpoint != 9 {
 		t.Errorf("%+v", s)
@@ -205,7 +205,7 @@
 	r.step(r.end(r.sends[len(r.sends)-1], Served))
 	r.sleep(3 * time.Minute)
 	// A whole list without it: gone.
-	r.step(ListNews{Whole: true, Endpoints: []Endpoint{{ID: 2, Destination: 1, Ready: true}}})
+	r.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 2, Destination: 1, Ready: true}}})
 	if s := r.step(r.message(0, 0, 0)); len(s) != 0 {
 		t.Errorf("sent to one that is gone: %+v", s)
 	}
@@ -217,7 +217,7 @@
 	r.serve(5, 0, 50*ms)
 	r.serve(5, 1, 50*ms)
 	r.sleep(3 * time.Minute)
-	r.step(ListNews{Endpoints: []Endpoint{{ID: 1, Destination: 1, Ready: true}, {ID: 7, Destination: 0, Ready: true}}})
+	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Destination: 1, Ready: true}, {ID: 7, Destination: 0, Ready: true}}})
 	for range 8 {
 		for _, dest := range []DestinationID{0, 1} {
 			s := r.step(r.message(0, dest, 0))
@@ -235,21 +235,21 @@
 // 500 sleepers wake in the same second, with few slots: each is served, none waits for long.
 func TestManyWakeAtOnce(t *testing.T) {
 	s := settings()
-	s.FoldAfter, s.Slots, s.MostHeld, s.Kinds = time.Minute, 40, 5000, []Kind{{PerCall: 1}}
+	s.HibernateAfter, s.Slots, s.MaxPending, s.Kinds = time.Minute, 40, 5000, []Kind{{MaxBatch: 1}}
 	r := newRig(t, s)
 	r.b = New(s, 7)
 	var list []Endpoint
 	for i := range 5000 {
 		list = append(list, Endpoint{ID: EndpointID(i + 1), Destination: DestinationID(i), Ready: true})
 	}
-	r.step(ListNews{Whole: true, Endpoints: list})
+	r.step(EndpointUpdate{Complete: true, Endpoints: list})
 	for d := range DestinationID(500) {
 		r.serve(3, d, 10*ms)
 	}
 	for range 40 {
 		r.now += 10 * time.Second
 		for range 4 {
-			r.step(Alarm{})
+			r.step(TimerFired{})
 		}
 	}
 	if n := len(r.b.folded); n != 5000 {
@@ -311,12 +311,12 @@
 	r.serve(60, 0, 50*ms)
 	r.serve(3, 1, 50*ms)
 	awake := map[DestinationID]float64{}
-	for _, e := range r.b.Rates() {
+	for _, e := range r.b.UsualRates() {
 		awake[e.Destination] = e.Rate
 	}
 	r.sleep(2 * time.Minute)
 	asleep := map[DestinationID]float64{}
-	for _, e := range r.b.Rates() {
+	for _, e := range r.b.UsualRates() {
 		if _, twice := asleep[e.Destination]; twice {
 			t.Errorf("the rate of %d is told twice", e.Destination)
 		}
@@ -333,17 +333,17 @@
 	n := r.b.routes
 	for range 3 {
 		r.serve(2, 0, 50*ms)
-		r.step(ListNews{Endpoints: []Endpoint{{ID: 5, Ready: true}}})
-		r.step(ListNews{Endpoints: []Endpoint{{ID: 5}}}) // it left, and names the route still
+		r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 5, Ready: true}}})
+		r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 5}}}) // it left, and names the route still
 		r.sleep(5 * time.Minute)
-		r.step(ListNews{})
+		r.step(EndpointUpdate{})
 		if r.b.routes != n {
 			t.Fatalf("%d routes, there were %d", r.b.routes, n)
 		}
 	}
-	r.step(ListNews{Whole: true})
+	r.step(EndpointUpdate{Complete: true})
 	r.now += 10 * time.Minute
-	r.step(ListNews{})
+	r.step(EndpointUpdate{})
 	if r.b.routes != 0 || len(r.b.order) != 0 || len(r.b.folded) != 0 || len(r.b.foldedAt) != 0 {
 		t.Errorf("of what is gone %d routes, %d destinations, %d records are left", r.b.routes, len(r.b.order), len(r.b.folded))
 	}
@@ -360,7 +360,7 @@
 		return m.HeapAlloc
 	}
 	s := settings()
-	s.FoldAfter, s.Kinds = time.Minute, []Kind{{PerCall: 1}}
+	s.HibernateAfter, s.Kinds = time.Minute, []Kind{{MaxBatch: 1}}
 	var list []Endpoint
 	for i := range n {
 		list = append(list, Endpoint{ID: EndpointID(i + 1), Destination: DestinationID(i), Ready: true})
@@ -368,10 +368,10 @@
 	for b.Loop() {
 		before := heap()
 		br := New(s, 1)
-		br.Step(time.Hour, []Event{ListNews{Whole: true, Endpoints: list}})
+		br.Step(time.Hour, []Event{EndpointUpdate{Complete: true, Endpoints: list}})
 		awake := heap()
 		for i := range n {
-			br.Step(time.Hour+2*time.Minute+time.Duration(i)*ms, []Event{Alarm{}})
+			br.Step(time.Hour+2*time.Minute+time.Duration(i)*ms, []Event{TimerFired{}})
 		}
 		if len(br.folded) != n {
 			b.Fatalf("%d are folded", len(br.folded))
@@ -393,11 +393,11 @@
 		{"20 listed, 50000 held", 20, 20, 50000}} {
 		b.Run(c.name, func(b *testing.B) {
 			s := settings()
-			s.Slots, s.MostHeld, s.Kinds, s.Tenants = 200, 0, []Kind{{PerCall: 1}}, []Tenant{{Share: 1, Allowance: 1e6}}
+			s.Slots, s.MaxPending, s.Kinds, s.Tenants = 200, 0, []Kind{{MaxBatch: 1}}, []Tenant{{Share: 1, Allowance: 1e6}}
 			br := New(s, 1)
 			now := time.Hour
 			var events []Event
-			list := ListNews{Whole: true}
+			list := EndpointUpdate{Complete: true}
 			for i := range c.listed + 1 { // and one that hangs
 				list.Endpoints = append(list.Endpoints, Endpoint{ID: EndpointID(i + 1), Destination: DestinationID(i), Ready: true})
 			}
@@ -417,7 +417,7 @@
 				events = events[:0]
 				for _, a := range acts {
 					if s, ok := a.(Send); ok && s.Message > MessageID(c.held) {
-						events = append(events, AttemptEnd{Message: s.Message, Endpoint: s.Endpoint, Outcome: Served, Elapsed: 100 * time.Microsecond, Over: true})
+						events = append(events, AttemptResult{Message: s.Message, Endpoint: s.Endpoint, Outcome: Served, Elapsed: 100 * time.Microsecond, Final: true})
 					}
 				}
 				br.Step(now, events)
--- a/brain/fold_world_test.go
+++ b/brain/fold_world_test.go
@@ -30,8 +30,8 @@
 func (r *rules) check(w *world, events []brain.Event, actions []brain.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case brain.ListNews:
-			if e.Whole && !e.Failed {
+		case brain.EndpointUpdate:
+			if e.Complete && !e.Failed {
 				clear(r.ready)
 			}
 			for _, line := range e.Endpoints {
@@ -40,10 +40,10 @@
 					r.ready[line.ID] = line.Destination
 				}
 			}
-		case brain.AttemptEnd:
+		case brain.AttemptResult:
 			k := attempt{e.Message, e.Attempt}
-			if d, out := r.out[k]; out && e.Wait > 0 { // one that is told twice counts once
-				r.closed[d] = max(r.closed[d], w.now+e.Wait)
+			if d, out := r.out[k]; out && e.RetryAfter > 0 { // one that is told twice counts once
+				r.closed[d] = max(r.closed[d], w.now+e.RetryAfter)
 			}
 			delete(r.out, k)
 		}
@@ -58,14 +58,14 @@
 			if !r.apart && w.now < r.closed[d] {
 				r.t.Fatalf("seed %d at %v: sent to %d, which asked to wait until %v", r.seed, w.now, d, r.closed[d])
 			}
-			if last, ok := r.last[d]; ok && w.now-last > w.s.FoldAfter+time.Second {
+			if last, ok := r.last[d]; ok && w.now-last > w.s.HibernateAfter+time.Second {
 				r.woken++
 			}
 			r.last[d] = w.now
 			r.out[attempt{a.Message, w.held[a.Message].sends}] = d
 		case brain.Fail:
 			r.end(w, a.Message)
-		case brain.Refuse:
+		case brain.Reject:
 			r.end(w, a.Message)
 		}
 	}
@@ -91,13 +91,13 @@
 	woken := 0
 	for seed := range uint64(600) {
 		w := newWorld(t, seed)
-		w.s.FoldAfter = time.Duration(1+seed%4) * time.Second
-		w.s.IdleConnections = 500 * time.Millisecond
+		w.s.HibernateAfter = time.Duration(1+seed%4) * time.Second
+		w.s.IdleConnTimeout = 500 * time.Millisecond
 		w.make = func() (b, twin *brain.Brain) { return brain.New(w.s, seed), brain.New(w.s, seed) }
 		w.rules = &rules{t: t, seed: seed, ready: map[brain.EndpointID]brain.DestinationID{}, closed: map[brain.DestinationID]time.Duration{},
 			ended: map[brain.MessageID]bool{}, out: map[attempt]brain.DestinationID{}, last: map[brain.DestinationID]time.Duration{}}
 		for _, k := range w.s.Kinds {
-			w.rules.apart = w.rules.apart || k.Apart
+			w.rules.apart = w.rules.apart || k.PerEndpointRoutes
 		}
 		w.play(250)
 		woken += w.rules.woken
--- a/brain/generated_day_test.go
+++ b/brain/generated_day_test.go
@@ -70,19 +70,19 @@
 const ms = time.Millisecond
 
 func settings(rng *rand.Rand) brain.Settings {
-	s := brain.Settings{Senders: 1 + rng.IntN(4), Zone: rng.IntN(2), Slots: []int{0, 3, 8, 40}[rng.IntN(4)], MostHeld: []int{0, 20, 60, 400}[rng.IntN(4)],
-		MaxAttempts: []int{0, 2, 6}[rng.IntN(3)], MayCancel: rng.IntN(2) == 0, TellsHoldOff: rng.IntN(2) == 0, MaxHoldOff: 2 * time.Second,
-		IdleConnections: []time.Duration{0, 500 * ms, 15 * time.Second}[rng.IntN(3)], AsksForList: rng.IntN(2) == 0, Step: []time.Duration{0, 5 * ms}[rng.IntN(2)],
-		SettleAfterDoubt: 400 * ms, FallMultiple: 2, StartCapacity: 0.2, OverloadFor: 3 * time.Second, Cold: 10 * time.Second, OverShareWorth: 0.05,
-		CrossZonePrice: 0.02 * float64(rng.IntN(2)), Halving: rng.IntN(2) == 0, RatedLimits: rng.IntN(3) == 0}
+	s := brain.Settings{Senders: 1 + rng.IntN(4), Zone: rng.IntN(2), Slots: []int{0, 3, 8, 40}[rng.IntN(4)], MaxPending: []int{0, 20, 60, 400}[rng.IntN(4)],
+		MaxAttempts: []int{0, 2, 6}[rng.IntN(3)], MayCancel: rng.IntN(2) == 0, SendsRetryAfter: rng.IntN(2) == 0, MaxRetryAfter: 2 * time.Second,
+		IdleConnTimeout: []time.Duration{0, 500 * ms, 15 * time.Second}[rng.IntN(3)], RequestsEndpoints: rng.IntN(2) == 0, StepInterval: []time.Duration{0, 5 * ms}[rng.IntN(2)],
+		OrderingCooldown: 400 * ms, OverloadMultiple: 2, SlowStartCapacity: 0.2, OverloadWindow: 3 * time.Second, SlowStartDuration: 10 * time.Second, OverShareValue: 0.05,
+		CrossZoneCost: 0.02 * float64(rng.IntN(2)), ExponentialDecay: rng.IntN(2) == 0, RatingIsLimit: rng.IntN(3) == 0}
 	apart := rng.IntN(3)
 	for k := range 2 {
-		s.Kinds = append(s.Kinds, brain.Kind{Apart: apart == 2 || apart == 1 && k == 1, PerCall: 1 + 2*rng.IntN(2)*rng.IntN(2)})
+		s.Kinds = append(s.Kinds, brain.Kind{PerEndpointRoutes: apart == 2 || apart == 1 && k == 1, MaxBatch: 1 + 2*rng.IntN(2)*rng.IntN(2)})
 	}
-	for _, e := range []brain.Effect{brain.Safe, brain.Keyed, brain.Unsafe} {
+	for _, e := range []brain.Idempotency{brain.Idempotent, brain.IdempotentByKey, brain.NonIdempotent} {
 		for _, ordered := range []bool{false, true} {
-			s.Classes = append(s.Classes, brain.Class{Aim: 2 * time.Second, Deadline: time.Duration(3+rng.IntN(20)) * time.Second, Effect: e, Ordered: ordered,
-				KeyInZone: rng.IntN(3) == 0, KeyWindow: time.Duration(1+rng.IntN(8)) * time.Second, Worth: 1 + float64(rng.IntN(2)), LateWorth: 0.5})
+			s.Classes = append(s.Classes, brain.Class{LatencyTarget: 2 * time.Second, Deadline: time.Duration(3+rng.IntN(20)) * time.Second, Idempotency: e, Ordered: ordered,
+				IdempotencyKeyZonal: rng.IntN(3) == 0, IdempotencyKeyTTL: time.Duration(1+rng.IntN(8)) * time.Second, Value: 1 + float64(rng.IntN(2)), LateValue: 0.5})
 		}
 	}
 	for range rng.IntN(4) {
@@ -103,11 +103,11 @@
 }
 
 // news is a list: a few changes, or all of it, with endpoints that come, drain, go and come again.
-func (w *world) news() brain.ListNews {
+func (w *world) news() brain.EndpointUpdate {
 	if w.rng.IntN(15) == 0 {
-		return brain.ListNews{Failed: true, InVain: w.rng.IntN(2) == 0}
+		return brain.EndpointUpdate{Failed: true, Overloaded: w.rng.IntN(2) == 0}
 	}
-	var n brain.ListNews
+	var n brain.EndpointUpdate
 	for range 1 + w.rng.IntN(4) {
 		d := brain.DestinationID(w.rng.IntN(w.dests))
 		var of []brain.EndpointID
@@ -126,7 +126,7 @@
 				delete(w.listed, id)
 				if back := e; w.rng.IntN(2) == 0 {
 					back.Ready = true
-					w.at(time.Duration(w.rng.IntN(5000))*ms, brain.ListNews{Endpoints: []brain.Endpoint{back}})
+					w.at(time.Duration(w.rng.IntN(5000))*ms, brain.EndpointUpdate{Endpoints: []brain.Endpoint{back}})
 				}
 			case 1: // its id comes back under another destination
 				e.Destination = brain.DestinationID(w.rng.IntN(w.dests))
@@ -143,7 +143,7 @@
 		}
 	}
 	if w.rng.IntN(6) == 0 {
-		n = brain.ListNews{Whole: true}
+		n = brain.EndpointUpdate{Complete: true}
 		for id := range w.nextE + 1 {
 			if e, ok := w.listed[id]; ok {
 				n.Endpoints = append(n.Endpoints, e)
@@ -162,27 +162,27 @@
 	m := brain.Message{ID: w.nextM, Class: class, Tenant: w.rng.IntN(len(w.s.Tenants)+2) - 1, Destination: brain.DestinationID(w.rng.IntN(w.dests)),
 		Deadline: w.now + time.Duration(w.rng.IntN(12_000))*ms}
 	if w.rng.IntN(2) == 0 {
-		m.Key = uint64(1 + w.rng.IntN(6))
+		m.OrderingKey = uint64(1 + w.rng.IntN(6))
 	}
 	w.held[m.ID] = &holding{msg: m, out: map[int]brain.EndpointID{}}
 	return m
 }
 
 // outcome is what becomes of a call at its destination, and when.
-func (w *world) outcome(s brain.Send, n int) (time.Duration, brain.AttemptEnd) {
-	e := brain.AttemptEnd{Message: s.Message, Attempt: n, Endpoint: s.Endpoint}
+func (w *world) outcome(s brain.Send, n int) (time.Duration, brain.AttemptResult) {
+	e := brain.AttemptResult{Message: s.Message, Attempt: n, Endpoint: s.Endpoint}
 	if w.rng.IntN(4) == 0 {
-		e.Reported, e.Left, e.Limit = true, w.rng.Float64(), float64(w.rng.IntN(30))
+		e.LimitReported, e.Remaining, e.Limit = true, w.rng.Float64(), float64(w.rng.IntN(30))
 	}
 	takes := time.Duration(w.rng.ExpFloat64()*80) * ms
 	switch w.mode[w.dest[s.Endpoint]] {
 	case 1: // fails
-		e.Outcome = []brain.Outcome{brain.Errored, brain.Broken, brain.Served}[w.rng.IntN(3)]
+		e.Outcome = []brain.Outcome{brain.Errored, brain.ConnectionLost, brain.Served}[w.rng.IntN(3)]
 	case 2: // refuses
-		if e.Outcome = brain.Refused; w.rng.IntN(3) == 0 {
-			e.Wait = time.Duration(w.rng.IntN(6000)) * ms
+		if e.Outcome = brain.Rejected; w.rng.IntN(3) == 0 {
+			e.RetryAfter = time.Duration(w.rng.IntN(6000)) * ms
 		} else if w.rng.IntN(2) == 0 {
-			e.Crowded = true
+			e.ConnLimitReached = true
 		}
 	case 3: // hangs
 		takes = time.Hour
@@ -201,7 +201,7 @@
 		takes, e.Outcome = s.Timeout, brain.TimedOut
 	}
 	e.Elapsed = takes
-	e.Over = e.Outcome == brain.Served || w.rng.IntN(200) == 0
+	e.Final = e.Outcome == brain.Served || w.rng.IntN(200) == 0
 	return takes, e
 }
 
@@ -231,16 +231,16 @@
 		case brain.Cancel:
 			if h := w.held[a.Message]; h != nil {
 				if e, ok := h.out[a.Attempt]; ok && w.rng.IntN(10) > 0 {
-					w.at(ms, brain.AttemptEnd{Message: a.Message, Attempt: a.Attempt, Endpoint: e, Outcome: brain.Cancelled, Elapsed: ms})
+					w.at(ms, brain.AttemptResult{Message: a.Message, Attempt: a.Attempt, Endpoint: e, Outcome: brain.Cancelled, Elapsed: ms})
 				}
 			}
-		case brain.Refuse:
+		case brain.Reject:
 			w.held[a.Message].over = true
 		case brain.Fail:
 			w.held[a.Message].over = true
-		case brain.SetAlarm:
-			w.at(a.At-w.now, brain.Alarm{})
-		case brain.WatchList:
+		case brain.SetTimer:
+			w.at(a.At-w.now, brain.TimerFired{})
+		case brain.WatchEndpoints:
 			w.at(50*ms, w.news())
 		}
 	}
@@ -267,9 +267,9 @@
 
 // restart begins a new process with what the old one held, as the journal would tell it.
 func (w *world) restart() {
-	rates := w.brain.Rates()
+	rates := w.brain.UsualRates()
 	if w.twin != nil {
-		if other := w.twin.Rates(); !slices.Equal(rates, other) {
+		if other := w.twin.UsualRates(); !slices.Equal(rates, other) {
 			w.t.Fatalf("seed %d at %v: rates %v, want %v", w.seed, w.now, rates, other)
 		}
 	}
@@ -279,7 +279,7 @@
 		w.rules.restart()
 	}
 	var events []brain.Event
-	list := brain.ListNews{Whole: true}
+	list := brain.EndpointUpdate{Complete: true}
 	for id := range w.nextE + 1 {
 		if e, ok := w.listed[id]; ok {
 			list.Endpoints = append(list.Endpoints, e)
@@ -299,11 +299,11 @@
 			continue
 		}
 		m := h.msg
-		m.Tried = h.tried + h.sends
+		m.PriorAttempts = h.tried + h.sends
 		if h.sends > 0 && w.rng.IntN(2) == 0 {
-			m.MayRun, m.FirstRun = true, w.now-time.Duration(w.rng.IntN(4000))*ms
+			m.MayHaveRun, m.FirstRunAt = true, w.now-time.Duration(w.rng.IntN(4000))*ms
 		}
-		*h = holding{msg: m, out: map[int]brain.EndpointID{}, tried: m.Tried}
+		*h = holding{msg: m, out: map[int]brain.EndpointID{}, tried: m.PriorAttempts}
 		events = append(events, m)
 	}
 	w.step(events)
@@ -337,7 +337,7 @@
 		}
 		for len(w.agenda) > 0 && w.agenda[0].at <= w.now {
 			e := heap.Pop(&w.agenda).(due).event
-			if end, ok := e.(brain.AttemptEnd); ok {
+			if end, ok := e.(brain.AttemptResult); ok {
 				h := w.held[end.Message]
 				if h == nil {
 					continue
@@ -346,7 +346,7 @@
 					continue // twice now and then
 				}
 				delete(h.out, end.Attempt)
-				h.over = h.over || end.Over
+				h.over = h.over || end.Final
 			}
 			events = append(events, e)
 		}
@@ -374,7 +374,7 @@
 				h.over = true
 			}
 		case x == 5:
-			events = append(events, brain.Alarm{})
+			events = append(events, brain.TimerFired{})
 		case x == 6 && rng.IntN(8) == 0:
 			w.restart()
 			events = nil // the new process was handed all that is held
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -25,7 +25,7 @@
 }
 
 // routeOf is the route that something was learnt of; nil if no list has named it, or it is quiet and remembered by us.
-func (b *Brain) routeOf(e Learnt) *route {
+func (b *Brain) routeOf(e Observation) *route {
 	if e.Endpoint != 0 {
 		if at := b.endpoints[e.Endpoint]; at != nil && at.Destination == e.Destination {
 			return at.route
@@ -39,28 +39,28 @@
 }
 
 // learnt takes in what was learnt of a route.
-func (b *Brain) learnt(e Learnt) {
+func (b *Brain) learnt(e Observation) {
 	r := b.routeOf(e)
 	if r == nil {
 		return
 	}
-	if e.Wait > 0 { // who asked for it asked for quiet, not for ours alone
-		if e.Own {
-			r.askedUntil = max(r.askedUntil, b.now+e.Wait)
+	if e.RetryAfter > 0 { // who asked for it asked for quiet, not for ours alone
+		if e.Local {
+			r.askedUntil = max(r.askedUntil, b.now+e.RetryAfter)
 		}
-		b.toWait(r, b.now+e.Wait)
+		b.toWait(r, b.now+e.RetryAfter)
 	}
-	if r.Seen == 0 && e.Calls > 0 {
-		r.Assume(e.Calls, e.Mean.Seconds(), e.Median, e.Quickest, e.Bound, trust(e.PaceAge))
+	if r.Seen == 0 && e.Samples > 0 {
+		r.Assume(e.Samples, e.MeanLatency.Seconds(), e.MedianLatency, e.MinLatency, e.Timeout, trust(e.LatencyAge))
 	}
 	if t := fades(e.LimitAge, limitHalf); r.limit == 0 && t >= limitTrust && positive(e.Limit) {
 		b.learnLimit(r, e.Limit)
 	}
 	b.learnHealth(r, e)
 	// A window of one, and one call more with each that is served, is right where nothing is known.
-	if r.state == well && r.served == 0 && e.Window > 1 && e.Health != OutOfService {
+	if r.state == well && r.served == 0 && e.Window > 1 && e.Health != Unhealthy {
 		part := fades(e.WindowAge, windowHalf)
-		if !e.Own {
+		if !e.Local {
 			part *= heardWindow
 		}
 		r.window.Size = max(r.window.Size, blend(1, min(e.Window, restart.Most(b.s.Slots)), part))
@@ -75,33 +75,33 @@
 }
 
 // learnHealth: own successes since then win, and so does an outage of our own.
-func (b *Brain) learnHealth(r *route, e Learnt) {
+func (b *Brain) learnHealth(r *route, e Observation) {
 	seenAt := b.now - e.HealthAge
 	if e.Health == HealthUnknown || r.served > 0 && r.lastServed >= seenAt {
 		return
 	}
 	switch e.Health {
-	case Serving, Warming:
+	case Healthy, WarmingUp:
 		r.others = 0
 		if r.state == out && r.sentAt < seenAt { // it may have recovered: one call tells, and need not wait its turn
 			r.tokens = max(r.tokens, 1)
 		}
-	case OutOfService:
-		r.others, r.othersAt = min(e.Others, othersMost), seenAt
+	case Unhealthy:
+		r.others, r.othersAt = min(e.OtherProbers, othersMost), seenAt
 		if r.state != well || fades(e.HealthAge, healthHalf) < healthTrust {
 			return
 		}
 		b.goOut(r)
 		r.before = max(r.before, e.Rate)
-		r.outAt = min(r.outAt, b.now-max(e.For, e.OutFor))
-		if !e.Own { // all of a fleet that restarts know of it, and go on in turn
+		r.outAt = min(r.outAt, b.now-max(e.HealthFor, e.OutageFor))
+		if !e.Local { // all of a fleet that restarts know of it, and go on in turn
 			r.tokens = 1 // the first message tries it: if it has recovered meanwhile, it is avoided for no longer than that
 		}
 	}
-	if e.Health == Warming && r.state == well && e.For < b.s.Cold {
+	if e.Health == WarmingUp && r.state == well && e.HealthFor < b.s.SlowStartDuration {
 		r.before = max(b.usual(r.done), b.evenPart(r.limit), b.earlier(r), e.Rate)
-		r.state, r.since, r.outAt, r.window.Size, r.tokens, r.filled = cold, b.now-e.For, b.now-max(e.For, e.OutFor), 1, 1, b.now
-		if e.Own {
+		r.state, r.since, r.outAt, r.window.Size, r.tokens, r.filled = cold, b.now-e.HealthFor, b.now-max(e.HealthFor, e.OutageFor), 1, 1, b.now
+		if e.Local {
 			r.tokens = b.phase()
 		}
 	}
--- a/brain/learn_test.go
+++ b/brain/learn_test.go
@@ -24,7 +24,7 @@
 		out bool
 	}{{0, true}, {10 * time.Second, true}, {29 * time.Second, true}, {40 * time.Second, false}, {time.Hour, false}} {
 		r := newRig(t, settings())
-		r.step(Learnt{Health: OutOfService, For: c.age + 5*time.Second, HealthAge: c.age, Rate: 4, Window: 9, Calls: 50, Mean: 50 * ms, Median: 60 * ms, Quickest: 20 * ms, Bound: 120 * ms})
+		r.step(Observation{Health: Unhealthy, HealthFor: c.age + 5*time.Second, HealthAge: c.age, Rate: 4, Window: 9, Samples: 50, MeanLatency: 50 * ms, MedianLatency: 60 * ms, MinLatency: 20 * ms, Timeout: 120 * ms})
 		d := r.b.destination(0).shared
 		if (d.state == out) != c.out {
 			t.Fatalf("%v old: state %d", c.age, d.state)
@@ -49,18 +49,18 @@
 	r := newRig(t, settings())
 	r.widen(3)
 	r.now += 2 * time.Second
-	r.step(Learnt{Health: OutOfService, For: 10 * time.Second, HealthAge: 5 * time.Second})
+	r.step(Observation{Health: Unhealthy, HealthFor: 10 * time.Second, HealthAge: 5 * time.Second})
 	if d := r.b.destination(0).shared; d.state != well {
 		t.Errorf("it served 2 s ago, and is held to be out by what was seen 5 s ago: state %d", d.state)
 	}
-	r.step(Learnt{Health: OutOfService, For: 10 * time.Second, HealthAge: time.Second})
+	r.step(Observation{Health: Unhealthy, HealthFor: 10 * time.Second, HealthAge: time.Second})
 	if d := r.b.destination(0).shared; d.state != out {
 		t.Errorf("it is out since it served: state %d", d.state)
 	}
 
 	r = newRig(t, settings())
 	r.fallOut()
-	r.step(Learnt{Health: Serving, HealthAge: 0, Window: 20})
+	r.step(Observation{Health: Healthy, HealthAge: 0, Window: 20})
 	if d := r.b.destination(0).shared; d.state != out || d.window.Size > 1 {
 		t.Errorf("an outage of one's own ends by hearsay: state %d, window %v", d.state, d.window.Size)
 	}
@@ -77,16 +77,16 @@
 	if len(sends) != 1 {
 		t.Fatal("no call")
 	}
-	if got := r.recalls(Learnt{Wait: 2 * time.Second}, r.message(0, 0, 0)); len(got) != 1 || got[0].Why != ToldToWait {
+	if got := r.recalls(Observation{RetryAfter: 2 * time.Second}, r.message(0, 0, 0)); len(got) != 1 || got[0].Reason != RetryAfterReceived {
 		t.Errorf("recalled: %v", got)
 	}
 	r.step(r.end(sends[0], Served))
 	for until := r.now + 2*time.Second; r.now < until; r.now += 50 * ms {
-		if n := len(r.step(Alarm{})); n > 0 {
+		if n := len(r.step(TimerFired{})); n > 0 {
 			t.Fatalf("a call with %v of the wait left", until-r.now)
 		}
 	}
-	if n := len(r.step(Alarm{})); n != 1 {
+	if n := len(r.step(TimerFired{})); n != 1 {
 		t.Errorf("%d calls after the wait", n)
 	}
 }
@@ -95,9 +95,9 @@
 func TestLearntReturn(t *testing.T) {
 	for _, ago := range []time.Duration{time.Second, 9 * time.Second, 11 * time.Second} {
 		r := newRig(t, settings())
-		r.step(Learnt{Health: Warming, For: ago, HealthAge: 100 * ms, Rate: 10, Window: 8})
+		r.step(Observation{Health: WarmingUp, HealthFor: ago, HealthAge: 100 * ms, Rate: 10, Window: 8})
 		d := r.b.destination(0).shared
-		if warm := ago >= r.b.s.Cold; (d.state == well) != warm || !warm && d.since != r.now-ago {
+		if warm := ago >= r.b.s.SlowStartDuration; (d.state == well) != warm || !warm && d.since != r.now-ago {
 			t.Errorf("%v ago: state %d since %v", ago, d.state, r.now-d.since)
 		}
 		if n := r.burst(6); d.state == cold && n > 1 {
@@ -109,21 +109,21 @@
 // Of a healthy one the pace and the window are learnt, the window only in part if another saw it, less the older it is,
 // and never over what was seen there.
 func TestLearntPace(t *testing.T) {
-	window := func(l Learnt) float64 {
+	window := func(l Observation) float64 {
 		r := newRig(t, settings())
-		l.Health, l.Calls, l.Mean, l.Median, l.Quickest, l.Bound = Serving, 100, 50*ms, 60*ms, 20*ms, 120*ms
+		l.Health, l.Samples, l.MeanLatency, l.MedianLatency, l.MinLatency, l.Timeout = Healthy, 100, 50*ms, 60*ms, 20*ms, 120*ms
 		r.step(l)
 		d := r.b.destination(0).shared
-		if l.PaceAge == 0 && (d.Seen == 0 || d.Best != 120*ms || d.patience() >= restart.FirstTimeout) {
+		if l.LatencyAge == 0 && (d.Seen == 0 || d.Best != 120*ms || d.patience() >= restart.FirstTimeout) {
 			t.Errorf("%+v: %d calls, bound %v", l, d.Seen, d.Best)
 		}
-		if l.PaceAge > 10*time.Hour && d.Seen > 0 {
+		if l.LatencyAge > 10*time.Hour && d.Seen > 0 {
 			t.Errorf("%+v: %d calls", l, d.Seen)
 		}
 		return d.window.Size
 	}
-	own, heard := window(Learnt{Own: true, Window: 5}), window(Learnt{Window: 5})
-	stale, none := window(Learnt{Window: 5, WindowAge: 30 * time.Minute, PaceAge: 20 * time.Hour}), window(Learnt{})
+	own, heard := window(Observation{Local: true, Window: 5}), window(Observation{Window: 5})
+	stale, none := window(Observation{Window: 5, WindowAge: 30 * time.Minute, LatencyAge: 20 * time.Hour}), window(Observation{})
 	if own != 5 || !(heard < own && heard > none) || !(stale < heard) || none != 1 {
 		t.Errorf("own %v, heard %v, stale %v, none %v", own, heard, stale, none)
 	}
@@ -132,7 +132,7 @@
 	r.widen(3)
 	d := r.b.destination(0).shared
 	before, seen := d.window.Size, d.Seen
-	if r.step(Learnt{Health: Serving, Window: 9, Calls: 3, Mean: ms, Median: ms, Bound: ms}); d.window.Size != before || d.Seen != seen {
+	if r.step(Observation{Health: Healthy, Window: 9, Samples: 3, MeanLatency: ms, MedianLatency: ms, Timeout: ms}); d.window.Size != before || d.Seen != seen {
 		t.Errorf("window %v, %d calls; it was %v, %d", d.window.Size, d.Seen, before, seen)
 	}
 }
@@ -140,11 +140,11 @@
 // What is known of one that no list names is let go of, and so are figures that can't be.
 func TestLearntOfNobody(t *testing.T) {
 	r := newRig(t, settings())
-	r.step(Learnt{Destination: 99, Health: OutOfService}, Learnt{Endpoint: 99, Wait: time.Hour}, Learnt{Endpoint: 1, Destination: 5, Wait: time.Hour})
+	r.step(Observation{Destination: 99, Health: Unhealthy}, Observation{Endpoint: 99, RetryAfter: time.Hour}, Observation{Endpoint: 1, Destination: 5, RetryAfter: time.Hour})
 	if n := r.burst(1); n != 1 || r.b.dests[99] != nil {
 		t.Errorf("%d calls", n)
 	}
-	r.step(Learnt{Destination: 1, Window: 1e9, Calls: 1, Mean: -1, Median: -5, Limit: -3, Health: 77})
+	r.step(Observation{Destination: 1, Window: 1e9, Samples: 1, MeanLatency: -1, MedianLatency: -5, Limit: -3, Health: 77})
 	if n := len(r.step(r.message(0, 1, 0))); n != 1 {
 		t.Errorf("%d calls", n)
 	}
@@ -153,16 +153,16 @@
 // What a process knows is what it has seen, not what it heard; and told to the next it comes out the same.
 func TestKnown(t *testing.T) {
 	r := newRig(t, settings())
-	r.step(Learnt{Health: OutOfService, HealthAge: time.Second, For: 5 * time.Second, Wait: time.Second}, Learnt{Destination: 1, Health: Serving, Window: 5, Calls: 9, Mean: ms, Median: ms, Bound: ms})
-	if known := r.b.Known(); len(known) != 0 {
+	r.step(Observation{Health: Unhealthy, HealthAge: time.Second, HealthFor: 5 * time.Second, RetryAfter: time.Second}, Observation{Destination: 1, Health: Healthy, Window: 5, Samples: 9, MeanLatency: ms, MedianLatency: ms, Timeout: ms})
+	if known := r.b.Observations(); len(known) != 0 {
 		t.Errorf("hearsay is known as one's own: %+v", known)
 	}
 	r = newRig(t, settings())
 	r.serve(30, 1, 50*ms)
 	r.fallOut()
-	r.step(Learnt{Destination: 1, Wait: 3 * time.Second, Own: true})
-	known := r.b.Known()
-	if len(known) != 2 || known[0].Health != OutOfService || known[1].Health != Serving || known[1].Calls == 0 || known[1].Wait != 3*time.Second {
+	r.step(Observation{Destination: 1, RetryAfter: 3 * time.Second, Local: true})
+	known := r.b.Observations()
+	if len(known) != 2 || known[0].Health != Unhealthy || known[1].Health != Healthy || known[1].Samples == 0 || known[1].RetryAfter != 3*time.Second {
 		t.Fatalf("%+v", known)
 	}
 	next := newRig(t, settings())
@@ -173,7 +173,7 @@
 	next.now += time.Second
 	next.step(events...)
 	d, e := next.b.destination(0).shared, next.b.destination(1).shared
-	if d.state != out || e.Best < known[1].Bound || e.Best > 2*known[1].Bound || e.toldUntil != next.now+3*time.Second {
+	if d.state != out || e.Best < known[1].Timeout || e.Best > 2*known[1].Timeout || e.toldUntil != next.now+3*time.Second {
 		t.Errorf("state %d, bound %v, wait until %v", d.state, e.Best, e.toldUntil)
 	}
 }
@@ -188,7 +188,7 @@
 			r.now += 50 * ms
 			var events []Event
 			if i%100 == 0 && others > 0 {
-				events = append(events, Learnt{Health: OutOfService, For: time.Minute, Others: others})
+				events = append(events, Observation{Health: Unhealthy, HealthFor: time.Minute, OtherProbers: others})
 			}
 			for _, s := range r.step(append(events, r.message(2, 0, 0))...) {
 				n++
@@ -201,10 +201,10 @@
 	if shared*2 > alone || shared < alone/6 || many < shared-1 {
 		t.Errorf("%d tries alone, %d beside three others, %d beside a hundred", alone, shared, many)
 	}
-	for _, h := range []Health{Serving, Warming} {
+	for _, h := range []Health{Healthy, WarmingUp} {
 		r := newRig(t, settings())
 		r.fallOut()
-		r.step(Learnt{Health: OutOfService, For: time.Minute, Others: 3})
+		r.step(Observation{Health: Unhealthy, HealthFor: time.Minute, OtherProbers: 3})
 		r.now += 2 * time.Second
 		r.burst(1)
 		r.now += 5 * time.Second // its patience with that one is over
@@ -215,7 +215,7 @@
 		if len(sends) != 0 {
 			t.Fatal("it is tried before its turn")
 		}
-		if sends = r.step(Learnt{Health: h}); len(sends) != 1 {
+		if sends = r.step(Observation{Health: h}); len(sends) != 1 {
 			t.Errorf("%d calls as another has seen it answer", len(sends))
 		}
 	}
@@ -224,36 +224,36 @@
 // What has changed is news once, and only what was seen; where nobody asks nothing is kept.
 func TestNews(t *testing.T) {
 	s := settings()
-	s.TellsNews = true
+	s.ReportsChanges = true
 	r := newRig(t, s)
 	r.serve(5, 1, 50*ms)
-	if n := r.b.News(); len(n) != 0 {
+	if n := r.b.ChangedObservations(); len(n) != 0 {
 		t.Errorf("calls that are served are news: %+v", n)
 	}
 	r.fallOut()
-	n := r.b.News()
-	if len(n) != 1 || n[0].Destination != 0 || n[0].Health != OutOfService || !n[0].Own {
+	n := r.b.ChangedObservations()
+	if len(n) != 1 || n[0].Destination != 0 || n[0].Health != Unhealthy || !n[0].Local {
 		t.Errorf("an outage: %+v", n)
 	}
-	if n := r.b.News(); len(n) != 0 {
+	if n := r.b.ChangedObservations(); len(n) != 0 {
 		t.Errorf("told again: %+v", n)
 	}
-	r.step(Learnt{Destination: 1, Health: OutOfService, HealthAge: -time.Second, For: time.Second})
-	for _, l := range r.b.News() {
-		if l.Health == OutOfService {
+	r.step(Observation{Destination: 1, Health: Unhealthy, HealthAge: -time.Second, HealthFor: time.Second})
+	for _, l := range r.b.ChangedObservations() {
+		if l.Health == Unhealthy {
 			t.Errorf("hearsay is news: %+v", l)
 		}
 	}
 	sends := r.step(r.message(0, 2, 0)) // routes apart
-	e := r.end(sends[0], Refused)
-	e.Wait = time.Second
+	e := r.end(sends[0], Rejected)
+	e.RetryAfter = time.Second
 	r.step(e)
-	if n := r.b.News(); len(n) != 1 || n[0].Destination != 2 || n[0].Endpoint != sends[0].Endpoint || n[0].Wait == 0 {
+	if n := r.b.ChangedObservations(); len(n) != 1 || n[0].Destination != 2 || n[0].Endpoint != sends[0].Endpoint || n[0].RetryAfter == 0 {
 		t.Errorf("a wait: %+v", n)
 	}
 	quiet := newRig(t, settings())
 	quiet.fallOut()
-	if len(quiet.b.newsOf) != 0 || quiet.b.News() != nil {
+	if len(quiet.b.newsOf) != 0 || quiet.b.ChangedObservations() != nil {
 		t.Error("news are kept for nobody")
 	}
 }
--- a/brain/limit_test.go
+++ b/brain/limit_test.go
@@ -38,7 +38,7 @@
 	const senders, perSecond, limit = 80, 28.0, 32.0
 	const start, until, lag = time.Hour, 60 * time.Second, 300 * ms
 	s, list := many(senders)
-	s.MostHeld = 60
+	s.MaxPending = 60
 	brains := make([]*Brain, senders)
 	for i := range brains {
 		brains[i] = New(s, uint64(i+1))
@@ -76,16 +76,16 @@
 			events[c.by] = append(events[c.by], c.end)
 		}
 		for i, b := range brains {
-			for _, a := range b.Step(now, append(events[i], Alarm{})) {
+			for _, a := range b.Step(now, append(events[i], TimerFired{})) {
 				call, ok := a.(Send)
 				if !ok {
 					continue
 				}
-				end := AttemptEnd{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint, Outcome: Refused,
-					Elapsed: 60 * ms, Reported: true, Left: told[lag/(50*ms)], Limit: limit}
+				end := AttemptResult{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint, Outcome: Rejected,
+					Elapsed: 60 * ms, LimitReported: true, Remaining: told[lag/(50*ms)], Limit: limit}
 				tries[call.Message]++
 				if l.call(now) {
-					end.Outcome, end.Over, end.Elapsed = Served, true, 150*ms
+					end.Outcome, end.Final, end.Elapsed = Served, true, 150*ms
 				}
 				if now >= start+30*time.Second {
 					if end.Outcome == Served {
@@ -119,8 +119,8 @@
 			r.now += 10 * time.Second
 			for _, a := range r.b.Step(r.now, []Event{Message{ID: m, Destination: 0, Deadline: r.now + 12*time.Second}}) {
 				if call, ok := a.(Send); ok {
-					r.b.Step(r.now+60*ms, []Event{AttemptEnd{Message: m, Endpoint: call.Endpoint, Outcome: Refused, Elapsed: 60 * ms,
-						Reported: true, Left: c.left, Limit: 32}})
+					r.b.Step(r.now+60*ms, []Event{AttemptResult{Message: m, Endpoint: call.Endpoint, Outcome: Rejected, Elapsed: 60 * ms,
+						LimitReported: true, Remaining: c.left, Limit: 32}})
 				}
 			}
 			r.b.Step(r.now+70*ms, []Event{Withdrawn{m}})
@@ -147,8 +147,8 @@
 			m := MessageID(n)
 			for _, a := range r.b.Step(r.now, []Event{Message{ID: m, Destination: 0, Deadline: r.now + 12*time.Second}}) {
 				if call, ok := a.(Send); ok {
-					r.b.Step(r.now, []Event{AttemptEnd{Message: m, Endpoint: call.Endpoint, Outcome: Served, Over: true, Elapsed: 40 * ms,
-						Reported: true, Left: left, Limit: limit}})
+					r.b.Step(r.now, []Event{AttemptResult{Message: m, Endpoint: call.Endpoint, Outcome: Served, Final: true, Elapsed: 40 * ms,
+						LimitReported: true, Remaining: left, Limit: limit}})
 					return
 				}
 			}
--- a/brain/list_test.go
+++ b/brain/list_test.go
@@ -32,7 +32,7 @@
 func ask(senders int, o *office, until time.Duration) (heard []time.Duration, inVain int) {
 	const start = time.Hour
 	s, list := many(senders)
-	s.AsksForList = true
+	s.RequestsEndpoints = true
 	brains := make([]*Brain, senders)
 	type end struct {
 		at               time.Duration
@@ -44,10 +44,10 @@
 	}
 	for now := start; now < start+until; now += 10 * ms {
 		for i, b := range brains {
-			events := []Event{Alarm{}}
+			events := []Event{TimerFired{}}
 			if e := ends[i]; e != nil && now >= e.at {
 				ends[i] = nil
-				if events = append(events, ListNews{Failed: true, InVain: e.inVain}); e.answered {
+				if events = append(events, EndpointUpdate{Failed: true, Overloaded: e.inVain}); e.answered {
 					events[1] = list
 					heard = append(heard, now-start)
 				} else if e.inVain {
@@ -55,7 +55,7 @@
 				}
 			}
 			for _, a := range b.Step(now, events) {
-				if _, ok := a.(WatchList); ok {
+				if _, ok := a.(WatchEndpoints); ok {
 					at, answered := o.ask(now)
 					ends[i] = &end{at, answered, !answered && at > now}
 				}
--- a/brain/ramp_test.go
+++ b/brain/ramp_test.go
@@ -56,8 +56,8 @@
 	b     *Brain
 	life  int
 	kept  map[MessageID]*rampMessage
-	rates []Earlier
-	outs  []Learnt // as of
+	rates []UsualRate
+	outs  []Observation // as of
 	outAt time.Duration
 	aware bool // it has seen a call fail in the outage
 }
@@ -76,10 +76,10 @@
 // play gives the calls that reached the destination from its return until it was warm.
 func (w ramp) play() (calls []rampCall, s Settings, back time.Duration) {
 	s = settings()
-	s.Senders, s.Slots, s.MostHeld, s.MaxAttempts, s.StartCapacity = w.senders, 10, 400, 12, 0.2
-	s.OverloadFor, s.Cold, s.IdleConnections = 3*time.Second, 14*time.Second, 15*time.Second
-	s.Kinds = []Kind{{PerCall: 1}}
-	list := ListNews{Whole: true}
+	s.Senders, s.Slots, s.MaxPending, s.MaxAttempts, s.SlowStartCapacity = w.senders, 10, 400, 12, 0.2
+	s.OverloadWindow, s.SlowStartDuration, s.IdleConnTimeout = 3*time.Second, 14*time.Second, 15*time.Second
+	s.Kinds = []Kind{{MaxBatch: 1}}
+	list := EndpointUpdate{Complete: true}
 	for i := range rampOthers + 1 {
 		list.Endpoints = append(list.Endpoints, Endpoint{ID: EndpointID(i + 1), Destination: DestinationID(i), Ready: true})
 	}
@@ -87,7 +87,7 @@
 	start := time.Hour
 	out := start + rampWarmUp
 	back = out + w.outage
-	end := back + s.Cold + s.OverloadFor
+	end := back + s.SlowStartDuration + s.OverloadWindow
 	var agenda rampAgenda
 	seq := 0
 	add := func(at time.Duration, sender, life int, e Event) {
@@ -152,7 +152,7 @@
 		var events []Event
 		switch e.life {
 		case -3:
-			n.rates, n.outs, n.outAt = n.b.Rates(), n.b.Outages(), e.at
+			n.rates, n.outs, n.outAt = n.b.UsualRates(), n.b.Outages(), e.at
 			continue
 		case -2:
 			n.life++
@@ -165,7 +165,7 @@
 			}
 			for _, o := range n.outs {
 				age := e.at - n.outAt
-				o.HealthAge, o.For, o.OutFor = age, o.For+age, o.OutFor+age
+				o.HealthAge, o.HealthFor, o.OutageFor = age, o.HealthFor+age, o.OutageFor+age
 				if w.noRates {
 					o.Rate = 0
 				}
@@ -174,7 +174,7 @@
 			for id := range MessageID(id + 1) {
 				if m := n.kept[id]; m != nil {
 					again := m.Message
-					again.Tried, again.MayRun, again.FirstRun = m.tries, m.tries > m.ended, m.first
+					again.PriorAttempts, again.MayHaveRun, again.FirstRunAt = m.tries, m.tries > m.ended, m.first
 					events = append(events, again)
 				}
 			}
@@ -186,7 +186,7 @@
 			if e.life != n.life {
 				continue
 			}
-			if end, ok := e.event.(AttemptEnd); ok {
+			if end, ok := e.event.(AttemptResult); ok {
 				m := n.kept[end.Message]
 				switch {
 				case m == nil:
@@ -203,18 +203,18 @@
 		}
 		for _, a := range n.b.Step(e.at, events) {
 			switch a := a.(type) {
-			case SetAlarm:
-				add(a.At, e.sender, n.life, Alarm{})
+			case SetTimer:
+				add(a.At, e.sender, n.life, TimerFired{})
 			case Fail:
 				delete(n.kept, a.Message)
-			case Refuse:
+			case Reject:
 				delete(n.kept, a.Message)
 			case Send:
 				m := n.kept[a.Message]
 				if m == nil {
 					continue
 				}
-				end := AttemptEnd{Message: a.Message, Attempt: len(n.b.byID[a.Message].attempts) - 1, Endpoint: a.Endpoint, Elapsed: 150 * ms, Outcome: Served, Over: true}
+				end := AttemptResult{Message: a.Message, Attempt: len(n.b.byID[a.Message].attempts) - 1, Endpoint: a.Endpoint, Elapsed: 150 * ms, Outcome: Served, Final: true}
 				if m.tries++; m.tries == m.ended+1 {
 					m.first = e.at
 				}
@@ -223,9 +223,9 @@
 					case e.at >= back:
 						calls = append(calls, rampCall{e.at, n.aware})
 					case w.hangs:
-						end.Outcome, end.Over, end.Elapsed = TimedOut, false, a.Timeout
+						end.Outcome, end.Final, end.Elapsed = TimedOut, false, a.Timeout
 					default:
-						end.Outcome, end.Over, end.Elapsed = ConnectFailed, false, 20*ms
+						end.Outcome, end.Final, end.Elapsed = ConnectFailed, false, 20*ms
 					}
 				}
 				add(e.at+end.Elapsed, e.sender, n.life, end)
@@ -241,15 +241,15 @@
 	beyond = math.Inf(-1)
 	first := 0
 	for i, c := range calls {
-		for calls[first].at <= c.at-s.OverloadFor {
+		for calls[first].at <= c.at-s.OverloadWindow {
 			first++
 		}
-		begin := max(back, c.at-s.OverloadFor)
-		share := min(1, s.StartCapacity+(1-s.StartCapacity)*(begin-back).Seconds()/s.Cold.Seconds())
-		if c.at >= back+s.Cold {
+		begin := max(back, c.at-s.OverloadWindow)
+		share := min(1, s.SlowStartCapacity+(1-s.SlowStartCapacity)*(begin-back).Seconds()/s.SlowStartDuration.Seconds())
+		if c.at >= back+s.SlowStartDuration {
 			break // it is warm
 		}
-		n := s.FallMultiple * share * rampCapacity * s.OverloadFor.Seconds()
+		n := s.OverloadMultiple * share * rampCapacity * s.OverloadWindow.Seconds()
 		most := n + 2*math.Sqrt(n) + 2
 		aware := 0
 		for _, c := range calls[first : i+1] {
@@ -293,7 +293,7 @@
 					if beyond > 0 {
 						t.Errorf("%d senders, seed %d: %.1f calls beyond the %.1f that the destination bears", w.senders, w.seed, beyond, most)
 					}
-					if within(calls, back, s.Cold) == 0 {
+					if within(calls, back, s.SlowStartDuration) == 0 {
 						t.Errorf("%d senders, seed %d: nothing reaches it while it warms up", w.senders, w.seed)
 					}
 				}
--- a/brain/recall_test.go
+++ b/brain/recall_test.go
@@ -7,11 +7,11 @@
 )
 
 // recalls gives the recalls of a step.
-func (r *rig) recalls(events ...Event) []Recall {
-	var all []Recall
+func (r *rig) recalls(events ...Event) []Revoke {
+	var all []Revoke
 	for _, a := range r.b.Step(r.now, events) {
 		switch a := a.(type) {
-		case Recall:
+		case Revoke:
 			all = append(all, a)
 		case Send:
 			r.sentAt[a.Message] = r.now
@@ -50,20 +50,26 @@
 func TestRecall(t *testing.T) {
 	for name, c := range map[string]struct {
 		then func(r *rig, calls []Send) []Event
-		want []Reason // of the second and third call; the first is what the destination answers
+		want []RevokeReason // of the second and third call; the first is what the destination answers
 	}{
-		"a wait":        {func(r *rig, c []Send) []Event { e := r.end(c[0], Refused); e.Wait = time.Second; return []Event{e} }, []Reason{ToldToWait, ToldToWait}},
-		"a pause":       {func(r *rig, c []Send) []Event { return []Event{r.end(c[0], Refused)} }, nil},
-		"an answer":     {func(r *rig, c []Send) []Event { return []Event{r.end(c[0], Served)} }, nil},
-		"a drain":       {func(r *rig, c []Send) []Event { return []Event{ListNews{Endpoints: []Endpoint{{ID: 1}}}} }, []Reason{OffTheList, OffTheList, OffTheList}},
-		"a list again":  {func(r *rig, c []Send) []Event { return []Event{ListNews{Endpoints: []Endpoint{{ID: 1, Ready: true}}}} }, nil},
-		"other's drain": {func(r *rig, c []Send) []Event { return []Event{ListNews{Endpoints: []Endpoint{{ID: 2}}}} }, nil},
-		"withdrawn":     {func(r *rig, c []Send) []Event { return []Event{Withdrawn{c[1].Message}} }, []Reason{IsOver}},
+		"a wait": {func(r *rig, c []Send) []Event {
+			e := r.end(c[0], Rejected)
+			e.RetryAfter = time.Second
+			return []Event{e}
+		}, []RevokeReason{RetryAfterReceived, RetryAfterReceived}},
+		"a pause":   {func(r *rig, c []Send) []Event { return []Event{r.end(c[0], Rejected)} }, nil},
+		"an answer": {func(r *rig, c []Send) []Event { return []Event{r.end(c[0], Served)} }, nil},
+		"a drain":   {func(r *rig, c []Send) []Event { return []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}} }, []RevokeReason{EndpointRemoved, EndpointRemoved, EndpointRemoved}},
+		"a list again": {func(r *rig, c []Send) []Event {
+			return []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true}}}}
+		}, nil},
+		"other's drain": {func(r *rig, c []Send) []Event { return []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: 2}}}} }, nil},
+		"withdrawn":     {func(r *rig, c []Send) []Event { return []Event{Withdrawn{c[1].Message}} }, []RevokeReason{MessagesEnded}},
 		"an outage": {func(r *rig, c []Send) []Event {
-			e := r.end(c[0], Refused)
-			e.Wait = r.b.s.OverloadFor + time.Second // shut
+			e := r.end(c[0], Rejected)
+			e.RetryAfter = r.b.s.OverloadWindow + time.Second // shut
 			r.step(e)
-			r.now += 2*r.b.s.OverloadFor + time.Second
+			r.now += 2*r.b.s.OverloadWindow + time.Second
 			return []Event{r.message(0, 0, 0)}
 		}, nil}, // they were recalled with the wait, once
 	} {
@@ -74,14 +80,14 @@
 			t.Fatalf("%s: %d calls", name, len(calls))
 		}
 		r.now += 10 * ms
-		var got []Reason
+		var got []RevokeReason
 		for _, a := range r.recalls(c.then(r, calls)...) {
-			got = append(got, a.Why)
+			got = append(got, a.Reason)
 		}
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
-		if again := r.recalls(ListNews{Endpoints: []Endpoint{{ID: 1}}}); name == "a drain" && len(again) > 0 {
+		if again := r.recalls(EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}); name == "a drain" && len(again) > 0 {
 			t.Errorf("%s: recalled twice", name)
 		}
 	}
@@ -99,9 +105,9 @@
 	out, last := map[MessageID]bool{}, MessageID(0)
 	for range 200 { // nothing is answered
 		r.now += 100 * ms
-		for _, a := range r.b.Step(r.now, []Event{Alarm{}}) {
+		for _, a := range r.b.Step(r.now, []Event{TimerFired{}}) {
 			switch a := a.(type) {
-			case Recall:
+			case Revoke:
 				out[a.Message] = true
 			case Send:
 				last = a.Message
@@ -126,11 +132,11 @@
 				break
 			}
 			e := r.end(sends[0], NotSent)
-			e.Recalled = recalled
+			e.Revoked = recalled
 			r.step(e)
 			for range 100 {
 				r.now += 50 * ms
-				if sends = r.step(Alarm{}); len(sends) > 0 {
+				if sends = r.step(TimerFired{}); len(sends) > 0 {
 					break
 				}
 			}
--- a/brain/recorded_test.go
+++ b/brain/recorded_test.go
@@ -31,23 +31,23 @@
 func writeEvent(out io.Writer, e brain.Event) {
 	switch e := e.(type) {
 	case brain.Message:
-		fmt.Fprintln(out, "  message", e.ID, e.Class, e.Tenant, e.Destination, e.Key, e.Deadline, e.Tried, e.MayRun, e.FirstRun, e.RanZone, e.Resumed)
-	case brain.AttemptEnd:
-		fmt.Fprintln(out, "  end", e.Message, e.Attempt, e.Endpoint, uint8(e.Outcome), e.Elapsed, e.Over, e.Recalled, e.Crowded, e.Wait, e.Reported, e.Left, e.Limit)
-	case brain.Earlier:
+		fmt.Fprintln(out, "  message", e.ID, e.Class, e.Tenant, e.Destination, e.OrderingKey, e.Deadline, e.PriorAttempts, e.MayHaveRun, e.FirstRunAt, e.FirstRunZone, e.Resumed)
+	case brain.AttemptResult:
+		fmt.Fprintln(out, "  end", e.Message, e.Attempt, e.Endpoint, uint8(e.Outcome), e.Elapsed, e.Final, e.Revoked, e.ConnLimitReached, e.RetryAfter, e.LimitReported, e.Remaining, e.Limit)
+	case brain.UsualRate:
 		fmt.Fprintln(out, "  rate", e.Destination, e.Rate)
-	case brain.Learnt:
+	case brain.Observation:
 		writeLearnt(out, "  learnt", e)
-	case brain.Granted:
-		fmt.Fprintln(out, "  granted", e.Destination, e.Limited, e.Mine, e.All)
+	case brain.RateGrant:
+		fmt.Fprintln(out, "  granted", e.Destination, e.Limited, e.Rate, e.TotalRate)
 	case brain.Withdrawn:
 		fmt.Fprintln(out, "  withdrawn", e.Message)
-	case brain.ListNews:
-		fmt.Fprintln(out, "  list", e.Failed, e.InVain, e.Whole, len(e.Endpoints))
+	case brain.EndpointUpdate:
+		fmt.Fprintln(out, "  list", e.Failed, e.Overloaded, e.Complete, len(e.Endpoints))
 		for _, line := range e.Endpoints {
 			fmt.Fprintln(out, "    endpoint", line.ID, line.Destination, line.Kind, line.Zone, line.Ready, line.Rating)
 		}
-	case brain.Alarm:
+	case brain.TimerFired:
 		fmt.Fprintln(out, "  alarm")
 	default:
 		panic(fmt.Sprintf("event %T has no recorded form", e))
@@ -59,19 +59,19 @@
 	switch a := a.(type) {
 	case brain.Send:
 		fmt.Fprintln(out, "send", a.Message, a.Endpoint, int64(a.Timeout))
-	case brain.Recall:
-		fmt.Fprintln(out, "recall", a.Message, a.Attempt, uint8(a.Why))
-	case brain.Refuse:
-		fmt.Fprintln(out, "refuse", a.Message, int64(a.HoldOff))
+	case brain.Revoke:
+		fmt.Fprintln(out, "recall", a.Message, a.Attempt, uint8(a.Reason))
+	case brain.Reject:
+		fmt.Fprintln(out, "refuse", a.Message, int64(a.RetryAfter))
 	case brain.Fail:
 		fmt.Fprintln(out, "fail", a.Message)
 	case brain.Cancel:
 		fmt.Fprintln(out, "cancel", a.Message, a.Attempt)
-	case brain.CloseIdle:
+	case brain.CloseIdleConns:
 		fmt.Fprintln(out, "closeidle", a.Endpoint)
-	case brain.SetAlarm:
+	case brain.SetTimer:
 		fmt.Fprintln(out, "setalarm", int64(a.At))
-	case brain.WatchList:
+	case brain.WatchEndpoints:
 		fmt.Fprintln(out, "watchlist")
 	case brain.Log:
 		fmt.Fprintln(out, "log", a.Line)
@@ -80,9 +80,9 @@
 	}
 }
 
-func writeLearnt(out io.Writer, word string, k brain.Learnt) {
-	fmt.Fprintln(out, word, k.Destination, k.Endpoint, k.Own, k.Calls, int64(k.Mean), int64(k.Median), int64(k.Quickest), int64(k.Bound), int64(k.PaceAge),
-		k.Window, int64(k.WindowAge), k.Limit, int64(k.LimitAge), int64(k.Wait), uint8(k.Health), int64(k.For), int64(k.OutFor), int64(k.HealthAge), k.Rate, k.Others)
+func writeLearnt(out io.Writer, word string, k brain.Observation) {
+	fmt.Fprintln(out, word, k.Destination, k.Endpoint, k.Local, k.Samples, int64(k.MeanLatency), int64(k.MedianLatency), int64(k.MinLatency), int64(k.Timeout), int64(k.LatencyAge),
+		k.Window, int64(k.WindowAge), k.Limit, int64(k.LimitAge), int64(k.RetryAfter), uint8(k.Health), int64(k.HealthFor), int64(k.OutageFor), int64(k.HealthAge), k.Rate, k.OtherProbers)
 }
 
 // recordDay plays a day against a Brain alone and writes its actions, and with it the events where listed is set.
@@ -103,19 +103,19 @@
 		if err := b.CheckIndexes(); err != nil {
 			w.t.Fatalf("seed %d at %v: %v", w.seed, w.now, err)
 		}
-		for _, k := range b.News() {
+		for _, k := range b.ChangedObservations() {
 			writeLearnt(out, "news", k)
 		}
 		if steps++; steps%50 > 0 {
 			return
 		}
-		for _, k := range b.Known() {
+		for _, k := range b.Observations() {
 			writeLearnt(out, "known", k)
 		}
 		for _, k := range b.Outages() {
 			writeLearnt(out, "outage", k)
 		}
-		for _, k := range b.Rates() {
+		for _, k := range b.UsualRates() {
 			fmt.Fprintln(out, "rate", k.Destination, k.Rate)
 		}
 	}
@@ -127,18 +127,18 @@
 func serviceDay(t *testing.T, seed uint64) *world {
 	w := newWorld(t, seed)
 	w.s.Senders = []int{1, 3, 30, 200}[seed%4]
-	w.s.TellsNews, w.s.MayCancel = true, true
+	w.s.ReportsChanges, w.s.MayCancel = true, true
 	w.s.ZoneFees = []float64{0, 0.3}
 	if seed%3 > 0 {
-		w.s.FoldAfter = time.Duration(1+seed%5) * time.Second
-		w.s.IdleConnections = 500 * ms
+		w.s.HibernateAfter = time.Duration(1+seed%5) * time.Second
+		w.s.IdleConnTimeout = 500 * ms
 	}
 	w.fleet = func() []brain.Event {
 		d := brain.DestinationID(w.rng.IntN(w.dests))
 		switch w.rng.IntN(25) {
 		case 0:
 			limited := w.rng.IntN(3) > 0
-			return []brain.Event{brain.Granted{Destination: d, Limited: limited, Mine: float64(w.rng.IntN(10)), All: float64(w.rng.IntN(40))}}
+			return []brain.Event{brain.RateGrant{Destination: d, Limited: limited, Rate: float64(w.rng.IntN(10)), TotalRate: float64(w.rng.IntN(40))}}
 		case 1:
 			var at brain.EndpointID
 			if w.rng.IntN(2) == 0 {
@@ -146,20 +146,20 @@
 				d = w.dest[at]
 			}
 			some := func(most time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(most))) }
-			k := brain.Learnt{Destination: d, Endpoint: at, Own: w.rng.IntN(2) == 0, Health: brain.Health(w.rng.IntN(4)), For: some(20 * time.Second),
-				HealthAge: some(40 * time.Second), Rate: float64(w.rng.IntN(20)), Others: w.rng.IntN(5)}
+			k := brain.Observation{Destination: d, Endpoint: at, Local: w.rng.IntN(2) == 0, Health: brain.Health(w.rng.IntN(4)), HealthFor: some(20 * time.Second),
+				HealthAge: some(40 * time.Second), Rate: float64(w.rng.IntN(20)), OtherProbers: w.rng.IntN(5)}
 			if w.rng.IntN(2) == 0 {
-				k.Calls, k.Mean, k.Median, k.Quickest, k.Bound, k.PaceAge = w.rng.IntN(100), some(time.Second), some(time.Second), some(200*ms), some(5*time.Second), some(3*time.Hour)
+				k.Samples, k.MeanLatency, k.MedianLatency, k.MinLatency, k.Timeout, k.LatencyAge = w.rng.IntN(100), some(time.Second), some(time.Second), some(200*ms), some(5*time.Second), some(3*time.Hour)
 				k.Window, k.WindowAge = float64(w.rng.IntN(20)), some(10*time.Minute)
 			}
 			if w.rng.IntN(3) == 0 {
 				k.Limit, k.LimitAge = float64(w.rng.IntN(30)), some(time.Hour)
 			}
 			if w.rng.IntN(4) == 0 {
-				k.Wait = some(4 * time.Second)
+				k.RetryAfter = some(4 * time.Second)
 			}
 			if w.rng.IntN(2) == 0 {
-				k.OutFor = some(time.Minute)
+				k.OutageFor = some(time.Minute)
 			}
 			return []brain.Event{k}
 		}
@@ -222,7 +222,7 @@
 					kinds[action] += n
 				}
 			}
-			for _, action := range []string{"Send", "Recall", "Refuse", "Fail", "Cancel", "CloseIdle", "SetAlarm", "WatchList", "Log"} {
+			for _, action := range []string{"Send", "Revoke", "Reject", "Fail", "Cancel", "CloseIdleConns", "SetTimer", "WatchEndpoints", "Log"} {
 				if kinds["brain."+action] < days/10 {
 					t.Errorf("the days hardly ever came to %s: %d of it", action, kinds["brain."+action])
 				}
--- a/brain/relist_test.go
+++ b/brain/relist_test.go
@@ -9,29 +9,29 @@
 // still remembered: its routes are apart as before, and a lull that would fold one with a shared route does it no harm.
 func TestARouteApartThatIsListedAgainStaysApart(t *testing.T) {
 	s := settings()
-	s.FoldAfter = 5 * time.Minute
+	s.HibernateAfter = 5 * time.Minute
 	r := newRig(t, s)
 	r.b = New(s, 7)
 	line := Endpoint{ID: 1, Destination: 4, Kind: 1, Ready: true}
-	r.step(ListNews{Endpoints: []Endpoint{line}})
+	r.step(EndpointUpdate{Endpoints: []Endpoint{line}})
 	gone := line
 	gone.Ready = false
-	r.step(ListNews{Endpoints: []Endpoint{gone}})
+	r.step(EndpointUpdate{Endpoints: []Endpoint{gone}})
 	r.now += time.Second
-	r.step(Alarm{})
+	r.step(TimerFired{})
 	if r.b.dests[4] != nil {
 		t.Fatal("a destination without endpoints and messages is remembered")
 	}
 	if r.b.endpoints[1] == nil {
 		t.Fatal("its endpoint is not")
 	}
-	r.step(ListNews{Endpoints: []Endpoint{line}})
+	r.step(EndpointUpdate{Endpoints: []Endpoint{line}})
 	if d := r.b.dests[4]; !d.apart || d.shared != nil {
 		t.Errorf("its routes are no longer apart")
 	}
 	for range 20 {
 		r.now += time.Minute
-		r.step(Alarm{})
+		r.step(TimerFired{})
 	}
 	if r.b.dests[4] == nil {
 		t.Error("it was folded")
--- a/brain/state.go
+++ b/brain/state.go
@@ -175,7 +175,7 @@
 
 // Brain is one sender's decisions.
 type Brain struct {
-	lent map[DestinationID]Granted // by the fleet
+	lent map[DestinationID]RateGrant // by the fleet
 
 	s         Settings
 	random    uint64
@@ -234,7 +234,7 @@
 		unlisted: map[EndpointID]*endpoint{}, bare: map[DestinationID]*destination{},
 		folded: map[DestinationID]*folded{}, foldedAt: map[EndpointID]DestinationID{},
 		turns: map[uint64]*turn{}, tenants: make([]tenant, len(s.Tenants))}
-	if s.AsksForList {
+	if s.RequestsEndpoints {
 		b.askAt = -never
 	}
 	return b
@@ -293,7 +293,7 @@
 	if e == nil || e.Destination != line.Destination {
 		e = &endpoint{}
 		b.endpoints[line.ID] = e
-		if line.Kind < len(b.s.Kinds) && b.s.Kinds[line.Kind].Apart {
+		if line.Kind < len(b.s.Kinds) && b.s.Kinds[line.Kind].PerEndpointRoutes {
 			e.route, d.apart = b.newRoute(uint32(line.ID), line.Destination), true
 		} else {
 			if d.shared == nil {
@@ -307,7 +307,7 @@
 		d.apart = true
 	}
 	e.Endpoint, e.listed = line, true
-	if b.s.RatedLimits && positive(line.Rating) {
+	if b.s.RatingIsLimit && positive(line.Rating) {
 		b.learnLimit(e.route, line.Rating)
 	}
 	d.endpoints = append(d.endpoints, e)
@@ -319,7 +319,7 @@
 }
 
 // remember takes over what an earlier process knew.
-func (b *Brain) remember(e Earlier) {
+func (b *Brain) remember(e UsualRate) {
 	if d := b.destination(e.Destination); positive(e.Rate) {
 		d.past = e.Rate
 		if d.shared != nil {
@@ -333,25 +333,25 @@
 	return r.past * math.Exp(-(b.now-b.started).Seconds()/arrivalSpan.Seconds())
 }
 
-// Rates tells the calls a second usually served at each destination whose endpoints share one route, for the
+// UsualRates tells the calls a second usually served at each destination whose endpoints share one route, for the
 // sender to keep: a process that restarts within an outage would else know nothing of what a destination
 // bears when it returns.
-func (b *Brain) Rates() []Earlier {
-	var rates []Earlier
+func (b *Brain) UsualRates() []UsualRate {
+	var rates []UsualRate
 	for _, d := range b.order {
 		if r := d.shared; r != nil {
 			rate := r.before
 			if r.state == well {
 				rate = max(b.usual(r.done), b.earlier(r))
 			}
-			rates = append(rates, Earlier{DestinationID(r.name), rate})
+			rates = append(rates, UsualRate{DestinationID(r.name), rate})
 		}
 	}
 	awake := len(rates)
 	for _, f := range b.folded {
-		rates = append(rates, Earlier{f.id, float64(f.rate) * trust(b.now-f.at)})
+		rates = append(rates, UsualRate{f.id, float64(f.rate) * trust(b.now-f.at)})
 	}
-	slices.SortFunc(rates[awake:], func(x, y Earlier) int { return cmp.Compare(x.Destination, y.Destination) })
+	slices.SortFunc(rates[awake:], func(x, y UsualRate) int { return cmp.Compare(x.Destination, y.Destination) })
 	return rates
 }
 
@@ -384,7 +384,7 @@
 
 func (b *Brain) batch(e *endpoint) int {
 	if e.Kind < len(b.s.Kinds) {
-		return max(1, b.s.Kinds[e.Kind].PerCall)
+		return max(1, b.s.Kinds[e.Kind].MaxBatch)
 	}
 	return 1
 }
@@ -407,7 +407,7 @@
 }
 
 // news takes in the list. What drains or is gone gets nothing new from this batch on.
-func (b *Brain) news(n ListNews) {
+func (b *Brain) news(n EndpointUpdate) {
 	listed := map[EndpointID]bool{}
 	for _, e := range n.Endpoints {
 		listed[e.ID] = e.Ready
@@ -419,7 +419,7 @@
 			b.add(e)
 		}
 	}
-	if n.Whole {
+	if n.Complete {
 		for id := range b.foldedAt {
 			if !listed[id] {
 				b.unfoldAt(id)
@@ -490,7 +490,7 @@
 		return
 	}
 	m := &message{Message: msg, class: &b.s.Classes[msg.Class], dest: b.destination(msg.Destination),
-		mayRun: msg.MayRun, firstRun: msg.FirstRun, ranZone: msg.RanZone}
+		mayRun: msg.MayHaveRun, firstRun: msg.FirstRunAt, ranZone: msg.FirstRunZone}
 	b.byID[m.ID] = m
 	b.arrivals++
 	b.held++
@@ -498,10 +498,10 @@
 	m.dest.held++
 	b.touch(m.dest)
 	b.came.add(b.now, arrivalSpan)
-	if m.class.Ordered && m.Key != 0 {
-		if m.turn = b.turns[m.Key]; m.turn == nil {
-			m.turn = &turn{key: m.Key}
-			b.turns[m.Key] = m.turn
+	if m.class.Ordered && m.OrderingKey != 0 {
+		if m.turn = b.turns[m.OrderingKey]; m.turn == nil {
+			m.turn = &turn{key: m.OrderingKey}
+			b.turns[m.OrderingKey] = m.turn
 		}
 		m.turn.queue = append(m.turn.queue, m)
 		if m.mayRun { // an attempt from before a restart may be running yet
@@ -537,7 +537,7 @@
 }
 
 // tries counts the attempts made, those before a restart too.
-func (m *message) tries() int { return m.Tried + len(m.attempts) - m.spared }
+func (m *message) tries() int { return m.PriorAttempts + len(m.attempts) - m.spared }
 
 // doubt has the calls that are out at r looked at again in this step.
 func (b *Brain) doubt(r *route) {
@@ -579,15 +579,15 @@
 }
 
 // granted books what the fleet lends.
-func (b *Brain) granted(g Granted) {
+func (b *Brain) granted(g RateGrant) {
 	if !g.Limited {
 		delete(b.lent, g.Destination)
 		return
 	}
 	if b.lent == nil {
-		b.lent = map[DestinationID]Granted{}
+		b.lent = map[DestinationID]RateGrant{}
 	}
-	if d := b.dests[g.Destination]; d != nil && d.shared != nil && b.lent[g.Destination].Mine == 0 && g.Mine > 0 {
+	if d := b.dests[g.Destination]; d != nil && d.shared != nil && b.lent[g.Destination].Rate == 0 && g.Rate > 0 {
 		d.shared.tokens = max(d.shared.tokens, 1) // it may be used at once
 	}
 	b.lent[g.Destination] = g
--- a/cmd/saffronyard/main.go
+++ b/cmd/saffronyard/main.go
@@ -129,7 +129,7 @@
 // apply turns on what the operators' file names.
 func apply(f *features.Features, c *sender.Config) error {
 	if f.Quiet != nil {
-		c.Settings.FoldAfter = f.Quiet.FoldAfter.D()
+		c.Settings.HibernateAfter = f.Quiet.FoldAfter.D()
 	}
 	if e := f.Events; e != nil {
 		c.Events = &sender.Events{Rules: e.Mapping(), BatchEvents: e.BatchEvents, BatchBytes: e.BatchBytes, Remember: e.Remember.D(), RememberMost: e.RememberMost}
--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -106,13 +106,13 @@
 			return nil, fmt.Errorf("scope %d is unknown", e.Scope)
 		}
 		if e.Scope == 3 {
-			return brain.ListNews{Failed: true, InVain: true}, nil // it bears no mark of why, so the dearer is taken for it
+			return brain.EndpointUpdate{Failed: true, Overloaded: true}, nil // it bears no mark of why, so the dearer is taken for it
 		}
 		nodes, ok := h.pages[e.Page]
 		if !ok {
 			return nil, fmt.Errorf("catalog %d was never sent", e.Page)
 		}
-		news := brain.ListNews{Whole: e.Scope != 0}
+		news := brain.EndpointUpdate{Complete: e.Scope != 0}
 		for _, n := range nodes {
 			news.Endpoints = append(news.Endpoints, brain.Endpoint{ID: brain.EndpointID(n.Endpoint),
 				Destination: brain.DestinationID(n.Cell), Kind: int(n.Kind), Zone: int(n.Zone),
@@ -127,19 +127,19 @@
 			return nil, fmt.Errorf("destination %g is out of bounds", e.FarEnd)
 		}
 		return brain.Message{ID: brain.MessageID(e.Call), Class: int(e.Priority), Tenant: int(e.Billing),
-			Destination: brain.DestinationID(e.FarEnd), Key: e.Object, Deadline: settings.Span(e.Expires)}, nil
+			Destination: brain.DestinationID(e.FarEnd), OrderingKey: e.Object, Deadline: settings.Span(e.Expires)}, nil
 	case wire.CodeEnd:
 		outcome, ok := outcomes[e.Result]
 		if !ok {
 			return nil, fmt.Errorf("result %d is unknown", e.Result)
 		}
-		end := brain.AttemptEnd{Message: brain.MessageID(e.Call), Attempt: int(e.Try),
-			Endpoint: brain.EndpointID(e.Endpoint), Outcome: outcome, Elapsed: settings.Span(e.Elapsed), Over: e.NoMore}
-		if outcome == brain.Refused {
-			end.Wait = time.Duration(e.WaitMs) * time.Millisecond
+		end := brain.AttemptResult{Message: brain.MessageID(e.Call), Attempt: int(e.Try),
+			Endpoint: brain.EndpointID(e.Endpoint), Outcome: outcome, Elapsed: settings.Span(e.Elapsed), Final: e.NoMore}
+		if outcome == brain.Rejected {
+			end.RetryAfter = time.Duration(e.WaitMs) * time.Millisecond
 		}
 		if in.left >= 0 && in.left < len(e.Report) {
-			end.Reported, end.Left = true, float64(e.Report[in.left])
+			end.LimitReported, end.Remaining = true, float64(e.Report[in.left])
 		}
 		if in.limit >= 0 && in.limit < len(e.Report) {
 			end.Limit = float64(e.Report[in.limit])
@@ -148,13 +148,13 @@
 	case wire.CodeGone:
 		return brain.Withdrawn{Message: brain.MessageID(e.Call)}, nil
 	case wire.CodeAlarm:
-		return brain.Alarm{}, nil
+		return brain.TimerFired{}, nil
 	}
 	return nil, nil
 }
 
-var outcomes = map[uint8]brain.Outcome{10: brain.Served, 20: brain.Errored, 30: brain.Refused, 40: brain.TimedOut,
-	50: brain.ConnectFailed, 60: brain.Broken, 70: brain.Cancelled, 80: brain.NotSent}
+var outcomes = map[uint8]brain.Outcome{10: brain.Served, 20: brain.Errored, 30: brain.Rejected, 40: brain.TimedOut,
+	50: brain.ConnectFailed, 60: brain.ConnectionLost, 70: brain.Cancelled, 80: brain.NotSent}
 
 // step runs the module and writes its actions; a panic in it becomes an internal_error.
 func (h *host) step(in *instance, now time.Duration) {
@@ -167,17 +167,17 @@
 		switch a := a.(type) {
 		case brain.Send:
 			h.reply.Send(in.number, uint64(a.Message), millis(a.Timeout), uint32(a.Endpoint))
-		case brain.Refuse:
-			h.reply.Decline(in.number, uint64(a.Message), millis(a.HoldOff))
+		case brain.Reject:
+			h.reply.Decline(in.number, uint64(a.Message), millis(a.RetryAfter))
 		case brain.Fail:
 			h.reply.FinishError(in.number, uint64(a.Message))
 		case brain.Cancel:
 			h.reply.Cancel(in.number, uint64(a.Message), uint8(a.Attempt))
-		case brain.CloseIdle:
+		case brain.CloseIdleConns:
 			h.reply.Close(in.number, uint32(a.Endpoint))
-		case brain.SetAlarm:
+		case brain.SetTimer:
 			h.reply.WakeMe(in.number, millis(a.At), 0)
-		case brain.WatchList:
+		case brain.WatchEndpoints:
 			h.reply.StreamChanges(in.number)
 		case brain.Log:
 			h.reply.WriteLog(in.number, a.Line)
--- a/internal/calls/answer.go
+++ b/internal/calls/answer.go
@@ -17,14 +17,14 @@
 
 // told adds the rate that an endpoint allows to a call's end, which has no figures of its own: the module decides
 // what it makes of that.
-func (e *Endpoint) told(f *form, end *brain.AttemptEnd) {
-	if !f.Validate || end.Reported {
+func (e *Endpoint) told(f *form, end *brain.AttemptResult) {
+	if !f.Validate || end.LimitReported {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.rate > 0 {
-		end.Reported, end.Left, end.Limit = true, 1, e.rate
+		end.LimitReported, end.Remaining, end.Limit = true, 1, e.rate
 	}
 }
 
@@ -48,7 +48,7 @@
 // as a whole: a spoilt one, which comes from an endpoint that has run the call, may read as a refusal, and
 // says nothing but that the call may have run. Once it has begun, the rest gets restTime: a body that keeps
 // coming, or a head without end, must not hold the slot and the outcome until the time-out.
-func (p *Pool) answer(ctx context.Context, c *conn, f *form, end *brain.AttemptEnd) (reusable, gone bool, err error) {
+func (p *Pool) answer(ctx context.Context, c *conn, f *form, end *brain.AttemptResult) (reusable, gone bool, err error) {
 	c.Left = maxAnswer
 	for range maxInterim {
 		status, err := c.status(ctx)
@@ -57,7 +57,7 @@
 		}
 		served := f.delivers(status)
 		if served {
-			end.Outcome, end.Over = brain.Served, true
+			end.Outcome, end.Final = brain.Served, true
 		}
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: http.MethodPost})
 		if err != nil || status == http.StatusSwitchingProtocols { // the latter nobody asked for
@@ -73,7 +73,7 @@
 		p.read(resp, end)
 		// An endpoint with no room for a connection answers the first call on it so, and ends it; one that has looked
 		// at the call tells how it stands.
-		end.Crowded = c.since.IsZero() && resp.Close && end.Outcome == brain.Refused && end.Wait == 0 && !end.Reported
+		end.ConnLimitReached = c.since.IsZero() && resp.Close && end.Outcome == brain.Rejected && end.RetryAfter == 0 && !end.LimitReported
 		gone := f.read(resp, end, time.Now())
 		// What stands behind an answer would be read as the next one.
 		return !resp.Close && c.r.Buffered() == 0, gone, nil
@@ -143,28 +143,28 @@
 }
 
 // read translates an answer. Figures that no sound endpoint sends count as not told.
-func (p *Pool) read(resp *http.Response, end *brain.AttemptEnd) {
+func (p *Pool) read(resp *http.Response, end *brain.AttemptResult) {
 	switch resp.StatusCode {
 	case http.StatusOK:
-		end.Outcome, end.Over = brain.Served, true
+		end.Outcome, end.Final = brain.Served, true
 	case http.StatusTooManyRequests:
-		end.Outcome = brain.Refused
+		end.Outcome = brain.Rejected
 		if ms, err := strconv.ParseFloat(resp.Header.Get("X-RateLimit-Wait-Ms"), 64); err == nil && ms > 0 && ms <= float64(maxWait.Milliseconds()) {
-			end.Wait = time.Duration(ms * float64(time.Millisecond))
+			end.RetryAfter = time.Duration(ms * float64(time.Millisecond))
 		}
 	case http.StatusServiceUnavailable:
-		end.Outcome = brain.Refused
+		end.Outcome = brain.Rejected
 		if resp.Header.Get("X-Over-Slots") == "1" {
 			end.Outcome = brain.NotSent
 		}
 	case http.StatusGatewayTimeout:
 		end.Outcome = brain.NotSent
 	case http.StatusGone:
-		end.Outcome, end.Over = brain.NotSent, true
+		end.Outcome, end.Final = brain.NotSent, true
 	default:
 		end.Outcome = brain.Errored
 	}
-	end.Left, end.Limit, end.Reported = p.load(resp.Header.Get("X-Load"))
+	end.Remaining, end.Limit, end.LimitReported = p.load(resp.Header.Get("X-Load"))
 }
 
 // load reads a load report. One with a figure that can't be is no report: the others are as doubtful.
--- a/internal/calls/forms.go
+++ b/internal/calls/forms.go
@@ -173,18 +173,18 @@
 }
 
 // read translates what a web hook says beyond the platform's words.
-func (f *form) read(resp *http.Response, end *brain.AttemptEnd, now time.Time) (gone bool) {
+func (f *form) read(resp *http.Response, end *brain.AttemptResult, now time.Time) (gone bool) {
 	if f.plain {
 		return false
 	}
 	switch {
 	case f.delivers(resp.StatusCode):
-		end.Outcome, end.Over = brain.Served, true
+		end.Outcome, end.Final = brain.Served, true
 	case resp.StatusCode == http.StatusGone: // the endpoint wants no more; the message may go elsewhere
-		end.Outcome, end.Over = brain.NotSent, false
+		end.Outcome, end.Final = brain.NotSent, false
 		return true
-	case end.Outcome == brain.Refused && end.Wait == 0:
-		end.Wait = retryAfter(resp.Header.Get("Retry-After"), now)
+	case end.Outcome == brain.Rejected && end.RetryAfter == 0:
+		end.RetryAfter = retryAfter(resp.Header.Get("Retry-After"), now)
 	}
 	return false
 }
--- a/internal/calls/forms_test.go
+++ b/internal/calls/forms_test.go
@@ -26,27 +26,27 @@
 	for _, c := range []struct {
 		status int
 		line   string
-		plain  brain.AttemptEnd
-		events brain.AttemptEnd
+		plain  brain.AttemptResult
+		events brain.AttemptResult
 		gone   bool // in event forms
 	}{
-		{200, "", brain.AttemptEnd{Outcome: brain.Served, Over: true}, brain.AttemptEnd{Outcome: brain.Served, Over: true}, false},
-		{201, "", brain.AttemptEnd{Outcome: brain.Errored}, brain.AttemptEnd{Outcome: brain.Served, Over: true}, false},
-		{202, "", brain.AttemptEnd{Outcome: brain.Errored}, brain.AttemptEnd{Outcome: brain.Served, Over: true}, false},
-		{204, "", brain.AttemptEnd{Outcome: brain.Errored}, brain.AttemptEnd{Outcome: brain.Served, Over: true}, false},
-		{206, "", brain.AttemptEnd{Outcome: brain.Errored}, brain.AttemptEnd{Outcome: brain.Errored}, false},
-		{400, "", brain.AttemptEnd{Outcome: brain.Errored}, brain.AttemptEnd{Outcome: brain.Errored}, false},
-		{410, "", brain.AttemptEnd{Outcome: brain.NotSent, Over: true}, brain.AttemptEnd{Outcome: brain.NotSent}, true},
-		{415, "", brain.AttemptEnd{Outcome: brain.Errored}, brain.AttemptEnd{Outcome: brain.Errored}, false},
-		{429, "", brain.AttemptEnd{Outcome: brain.Refused}, brain.AttemptEnd{Outcome: brain.Refused}, false},
-		{429, "X-RateLimit-Wait-Ms: 250", brain.AttemptEnd{Outcome: brain.Refused, Wait: 250 * ms}, brain.AttemptEnd{Outcome: brain.Refused, Wait: 250 * ms}, false},
-		{429, "Retry-After: 3", brain.AttemptEnd{Outcome: brain.Refused}, brain.AttemptEnd{Outcome: brain.Refused, Wait: 3000 * ms}, false},
-		{503, "Retry-After: 0.25", brain.AttemptEnd{Outcome: brain.Refused}, brain.AttemptEnd{Outcome: brain.Refused, Wait: 250 * ms}, false},
-		{503, "X-Over-Slots: 1", brain.AttemptEnd{Outcome: brain.NotSent}, brain.AttemptEnd{Outcome: brain.NotSent}, false},
-		{500, "Retry-After: 3", brain.AttemptEnd{Outcome: brain.Errored}, brain.AttemptEnd{Outcome: brain.Errored}, false},
-		{504, "", brain.AttemptEnd{Outcome: brain.NotSent}, brain.AttemptEnd{Outcome: brain.NotSent}, false},
-		{200, "X-Load: x0=0.4,x1=25", brain.AttemptEnd{Outcome: brain.Served, Over: true, Reported: true, Left: 0.4, Limit: 25},
-			brain.AttemptEnd{Outcome: brain.Served, Over: true, Reported: true, Left: 0.4, Limit: 25}, false},
+		{200, "", brain.AttemptResult{Outcome: brain.Served, Final: true}, brain.AttemptResult{Outcome: brain.Served, Final: true}, false},
+		{201, "", brain.AttemptResult{Outcome: brain.Errored}, brain.AttemptResult{Outcome: brain.Served, Final: true}, false},
+		{202, "", brain.AttemptResult{Outcome: brain.Errored}, brain.AttemptResult{Outcome: brain.Served, Final: true}, false},
+		{204, "", brain.AttemptResult{Outcome: brain.Errored}, brain.AttemptResult{Outcome: brain.Served, Final: true}, false},
+		{206, "", brain.AttemptResult{Outcome: brain.Errored}, brain.AttemptResult{Outcome: brain.Errored}, false},
+		{400, "", brain.AttemptResult{Outcome: brain.Errored}, brain.AttemptResult{Outcome: brain.Errored}, false},
+		{410, "", brain.AttemptResult{Outcome: brain.NotSent, Final: true}, brain.AttemptResult{Outcome: brain.NotSent}, true},
+		{415, "", brain.AttemptResult{Outcome: brain.Errored}, brain.AttemptResult{Outcome: brain.Errored}, false},
+		{429, "", brain.AttemptResult{Outcome: brain.Rejected}, brain.AttemptResult{Outcome: brain.Rejected}, false},
+		{429, "X-RateLimit-Wait-Ms: 250", brain.AttemptResult{Outcome: brain.Rejected, RetryAfter: 250 * ms}, brain.AttemptResult{Outcome: brain.Rejected, RetryAfter: 250 * ms}, false},
+		{429, "Retry-After: 3", brain.AttemptResult{Outcome: brain.Rejected}, brain.AttemptResult{Outcome: brain.Rejected, RetryAfter: 3000 * ms}, false},
+		{503, "Retry-After: 0.25", brain.AttemptResult{Outcome: brain.Rejected}, brain.AttemptResult{Outcome: brain.Rejected, RetryAfter: 250 * ms}, false},
+		{503, "X-Over-Slots: 1", brain.AttemptResult{Outcome: brain.NotSent}, brain.AttemptResult{Outcome: brain.NotSent}, false},
+		{500, "Retry-After: 3", brain.AttemptResult{Outcome: brain.Errored}, brain.AttemptResult{Outcome: brain.Errored}, false},
+		{504, "", brain.AttemptResult{Outcome: brain.NotSent}, brain.AttemptResult{Outcome: brain.NotSent}, false},
+		{200, "X-Load: x0=0.4,x1=25", brain.AttemptResult{Outcome: brain.Served, Final: true, LimitReported: true, Remaining: 0.4, Limit: 25},
+			brain.AttemptResult{Outcome: brain.Served, Final: true, LimitReported: true, Remaining: 0.4, Limit: 25}, false},
 	} {
 		var lines []string
 		if c.line != "" {
@@ -69,7 +69,7 @@
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
 		want   brain.Outcome
-	}{"reset": {st.Reset, brain.Broken}, "silence": {st.Silent, brain.TimedOut},
+	}{"reset": {st.Reset, brain.ConnectionLost}, "silence": {st.Silent, brain.TimedOut},
 		"noise":      {func(_ st.Call, c net.Conn) bool { io.WriteString(c, "noise\n"); return false }, brain.Errored},
 		"half a 204": {func(_ st.Call, c net.Conn) bool { io.WriteString(c, "HTTP/1.1 204 X\r\nA"); return false }, brain.Served}} {
 		e := st.NewEndpoint(t, c.answer)
@@ -132,7 +132,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if got := callOnce(pool, at, st.Wait, "x"); got != (brain.AttemptEnd{Outcome: brain.Served, Over: true, Reported: true, Left: 1, Limit: 1.5}) {
+			if got := callOnce(pool, at, st.Wait, "x"); got != (brain.AttemptResult{Outcome: brain.Served, Final: true, LimitReported: true, Remaining: 1, Limit: 1.5}) {
 				t.Errorf("%+v", got)
 			}
 		}()
@@ -152,7 +152,7 @@
 	at.mu.Lock()
 	at.addr = other.Addr // it moved: another may answer there
 	at.mu.Unlock()
-	if got := callOnce(pool, at, st.Wait, "x"); got != (brain.AttemptEnd{Outcome: brain.Served, Over: true}) || asked2.Load() != 1 {
+	if got := callOnce(pool, at, st.Wait, "x"); got != (brain.AttemptResult{Outcome: brain.Served, Final: true}) || asked2.Load() != 1 {
 		t.Errorf("%+v, asked %d times", got, asked2.Load())
 	}
 }
@@ -179,11 +179,11 @@
 			f := newForms(&Delivery{Source: "/s", Type: "t", To: []To{validated}})
 			at := &Endpoint{addr: e.Addr, form: f.of(0, ""), asking: make(chan struct{}, 1)}
 			pool := testPool()
-			if got := callOnce(pool, at, 300*time.Millisecond, "x"); got.Outcome != brain.ConnectFailed && got.Outcome != brain.NotSent || got.Over {
+			if got := callOnce(pool, at, 300*time.Millisecond, "x"); got.Outcome != brain.ConnectFailed && got.Outcome != brain.NotSent || got.Final {
 				t.Errorf("%+v", got)
 			}
 			yes.Store(true)
-			if got := callOnce(pool, at, st.Wait, "x"); got.Outcome != brain.Served || got.Reported || asked.Load() != 2 {
+			if got := callOnce(pool, at, st.Wait, "x"); got.Outcome != brain.Served || got.LimitReported || asked.Load() != 2 {
 				t.Errorf("%+v, asked %d times", got, asked.Load())
 			}
 			methods := []string{e.Next(t).Method, e.Next(t).Method, e.Next(t).Method}
--- a/internal/calls/list.go
+++ b/internal/calls/list.go
@@ -29,8 +29,8 @@
 // News books news of the list and translates for the Brain what they change: a whole list that comes again
 // costs it no more than that. An endpoint that is listed again as it was keeps its place among those of its
 // destination.
-func (l *List) News(t membership.Update, whole bool, names Names, p *Pool) brain.ListNews {
-	var news brain.ListNews
+func (l *List) News(t membership.Update, whole bool, names Names, p *Pool) brain.EndpointUpdate {
+	var news brain.EndpointUpdate
 	l.lists++
 	for _, line := range t.Servers {
 		if e, changed := l.line(line, names, p); changed {
@@ -77,7 +77,7 @@
 }
 
 // Retire books that an endpoint wants no more calls: as if the list had said so, until it does and takes that back.
-func (l *List) Retire(e *Endpoint, p *Pool) (news brain.ListNews, changed bool) {
+func (l *List) Retire(e *Endpoint, p *Pool) (news brain.EndpointUpdate, changed bool) {
 	if e == nil || e.gone || l.ByID[e.ID] != e {
 		return news, false
 	}
@@ -85,7 +85,7 @@
 	changed = e.Line.Ready
 	e.Line.Ready = false
 	p.CloseIdle(e, 0)
-	return brain.ListNews{Endpoints: []brain.Endpoint{e.Line}}, changed
+	return brain.EndpointUpdate{Endpoints: []brain.Endpoint{e.Line}}, changed
 }
 
 // shut reports whether the fleet has nothing sent to a destination.
@@ -101,7 +101,7 @@
 }
 
 // Closings translates for the Brain what the fleet has closed and opened since: to it an endpoint drains, or is back.
-func (l *List) Closings(names Names) brain.ListNews {
+func (l *List) Closings(names Names) brain.EndpointUpdate {
 	var changed []*Endpoint
 	for _, e := range l.ByID {
 		is, dest := e.Line, uint32(e.Line.Destination)
@@ -112,7 +112,7 @@
 		}
 	}
 	slices.SortFunc(changed, func(x, y *Endpoint) int { return cmp.Compare(x.Number, y.Number) })
-	var news brain.ListNews
+	var news brain.EndpointUpdate
 	for _, e := range changed {
 		news.Endpoints = append(news.Endpoints, e.Line)
 	}
--- a/internal/calls/list_test.go
+++ b/internal/calls/list_test.go
@@ -28,7 +28,7 @@
 	if len(first.Endpoints) != 10 {
 		t.Fatalf("%+v", first)
 	}
-	if again := l.News(list(10, nil), true, c, p); len(again.Endpoints) != 0 || again.Whole {
+	if again := l.News(list(10, nil), true, c, p); len(again.Endpoints) != 0 || again.Complete {
 		t.Errorf("the same list again: %+v", again)
 	}
 	changed := l.News(list(10, func(s []membership.Target) { s[3].State = "DRAINING"; s[4].Cell = 9; s[5].Addr = "127.0.0.1:9" }), true, c, p)
--- a/internal/calls/permit_test.go
+++ b/internal/calls/permit_test.go
@@ -75,7 +75,7 @@
 	p := NewPool(Config{ConnectTimeout: st.Wait})
 	p.most, p.keep = 10, st.Wait
 	at := &Endpoint{addr: e.Addr}
-	call := func(within time.Duration) brain.AttemptEnd {
+	call := func(within time.Duration) brain.AttemptResult {
 		ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 		defer cancel()
 		end, _ := p.Call(ctx, at, tickets(Message{ID: "id"}, within), st.Wait)
--- a/internal/calls/pool.go
+++ b/internal/calls/pool.go
@@ -213,14 +213,14 @@
 //
 // In a form that takes several messages in one call, tickets are those that this one carries; end is for those whose
 // permit was used.
-func (p *Pool) Call(ctx context.Context, e *Endpoint, tickets []Ticket, timeout time.Duration) (end brain.AttemptEnd, gone bool) {
+func (p *Pool) Call(ctx context.Context, e *Endpoint, tickets []Ticket, timeout time.Duration) (end brain.AttemptResult, gone bool) {
 	e.mu.Lock()
 	f := e.form
 	e.mu.Unlock()
 	if f == nil {
 		f = platformForm
 	}
-	end = brain.AttemptEnd{Endpoint: e.Number, Outcome: brain.ConnectFailed}
+	end = brain.AttemptResult{Endpoint: e.Number, Outcome: brain.ConnectFailed}
 	// Nothing has been written yet: however it fails up to the last byte, the call never ran.
 	until := tickets[0].Until
 	for _, t := range tickets[1:] {
@@ -283,7 +283,7 @@
 		case errors.Is(err, os.ErrDeadlineExceeded): // the connection's clock was a little ahead
 			end.Outcome = brain.TimedOut
 		default:
-			end.Outcome = brain.Broken
+			end.Outcome = brain.ConnectionLost
 		}
 	}
 	return end, gone
--- a/internal/calls/pool_test.go
+++ b/internal/calls/pool_test.go
@@ -18,7 +18,7 @@
 	return NewPool(Config{ConnectTimeout: time.Second, Most: 20, Fields: []string{"x0", "x1"}, Idle: 15 * time.Second})
 }
 
-func callOnce(p *Pool, e *Endpoint, timeout time.Duration, body string) brain.AttemptEnd {
+func callOnce(p *Pool, e *Endpoint, timeout time.Duration, body string) brain.AttemptResult {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	end, _ := p.Call(ctx, e, tickets(Message{ID: "id", Key: "key", Body: []byte(body)}, timeout), timeout)
@@ -28,35 +28,35 @@
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
-		want   brain.AttemptEnd
+		want   brain.AttemptResult
 	}{
-		"delivered":                 {st.Status(200, "X-Load: x0=0.4,x1=25,other=7"), brain.AttemptEnd{Outcome: brain.Served, Over: true, Reported: true, Left: 0.4, Limit: 25}},
-		"error":                     {st.Status(500), brain.AttemptEnd{Outcome: brain.Errored}},
-		"wait":                      {st.Status(429, "X-RateLimit-Wait-Ms: 250"), brain.AttemptEnd{Outcome: brain.Refused, Wait: 250 * time.Millisecond}},
-		"turned away":               {st.Status(503), brain.AttemptEnd{Outcome: brain.Refused}},
-		"takes no more connections": {st.Status(503, "Connection: close"), brain.AttemptEnd{Outcome: brain.Refused, Crowded: true}},
+		"delivered":                 {st.Status(200, "X-Load: x0=0.4,x1=25,other=7"), brain.AttemptResult{Outcome: brain.Served, Final: true, LimitReported: true, Remaining: 0.4, Limit: 25}},
+		"error":                     {st.Status(500), brain.AttemptResult{Outcome: brain.Errored}},
+		"wait":                      {st.Status(429, "X-RateLimit-Wait-Ms: 250"), brain.AttemptResult{Outcome: brain.Rejected, RetryAfter: 250 * time.Millisecond}},
+		"turned away":               {st.Status(503), brain.AttemptResult{Outcome: brain.Rejected}},
+		"takes no more connections": {st.Status(503, "Connection: close"), brain.AttemptResult{Outcome: brain.Rejected, ConnLimitReached: true}},
 		"above the limit, and leaves": {st.Status(503, "Connection: close", "X-Load: x0=0,x1=25"),
-			brain.AttemptEnd{Outcome: brain.Refused, Reported: true, Limit: 25}},
+			brain.AttemptResult{Outcome: brain.Rejected, LimitReported: true, Limit: 25}},
 		"told to wait, and leaves": {st.Status(429, "Connection: close", "X-RateLimit-Wait-Ms: 250"),
-			brain.AttemptEnd{Outcome: brain.Refused, Wait: 250 * time.Millisecond}},
-		"over slots":  {st.Status(503, "X-Over-Slots: 1"), brain.AttemptEnd{Outcome: brain.NotSent}},
-		"no attempts": {st.Status(504), brain.AttemptEnd{Outcome: brain.NotSent}},
-		"over":        {st.Status(410), brain.AttemptEnd{Outcome: brain.NotSent, Over: true}},
-		"redirect":    {st.Status(307, "Location: /elsewhere"), brain.AttemptEnd{Outcome: brain.Errored}},
+			brain.AttemptResult{Outcome: brain.Rejected, RetryAfter: 250 * time.Millisecond}},
+		"over slots":  {st.Status(503, "X-Over-Slots: 1"), brain.AttemptResult{Outcome: brain.NotSent}},
+		"no attempts": {st.Status(504), brain.AttemptResult{Outcome: brain.NotSent}},
+		"over":        {st.Status(410), brain.AttemptResult{Outcome: brain.NotSent, Final: true}},
+		"redirect":    {st.Status(307, "Location: /elsewhere"), brain.AttemptResult{Outcome: brain.Errored}},
 		"interim answers ahead": {func(c st.Call, nc net.Conn) bool {
 			io.WriteString(nc, strings.Repeat("HTTP/1.1 103 X\r\nLink: x\r\n\r\n", 3))
 			return st.Status(200)(c, nc)
-		}, brain.AttemptEnd{Outcome: brain.Served, Over: true}},
-		"reset": {st.Reset, brain.AttemptEnd{Outcome: brain.Broken}},
+		}, brain.AttemptResult{Outcome: brain.Served, Final: true}},
+		"reset": {st.Reset, brain.AttemptResult{Outcome: brain.ConnectionLost}},
 		// Delivered as soon as the first line is written, whatever breaks then.
 		"cut after 200": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-")
 			return false
-		}, brain.AttemptEnd{Outcome: brain.Served, Over: true}},
+		}, brain.AttemptResult{Outcome: brain.Served, Final: true}},
 		"cut before": {func(_ st.Call, c net.Conn) bool {
 			io.WriteString(c, "HTTP/1.1 ")
 			return false
-		}, brain.AttemptEnd{Outcome: brain.Broken}},
+		}, brain.AttemptResult{Outcome: brain.ConnectionLost}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := st.NewEndpoint(t, c.answer)
@@ -83,7 +83,7 @@
 		return st.Status(503, "Connection: close")(c, nc)
 	})
 	p, at := testPool(), &Endpoint{addr: e.Addr}
-	for _, want := range []brain.AttemptEnd{{Outcome: brain.Served, Over: true}, {Outcome: brain.Refused}, {Outcome: brain.Refused, Crowded: true}} {
+	for _, want := range []brain.AttemptResult{{Outcome: brain.Served, Final: true}, {Outcome: brain.Rejected}, {Outcome: brain.Rejected, ConnLimitReached: true}} {
 		if got := callOnce(p, at, st.Wait, "body"); got != want {
 			t.Fatalf("got %+v, want %+v", got, want)
 		}
@@ -94,13 +94,13 @@
 // first line is true, any other spoilt one may have run, whatever it reads like; none holds its slot until
 // the time-out, and the connection is not used again.
 func TestSpoiltAnswers(t *testing.T) {
-	errored := brain.AttemptEnd{Outcome: brain.Errored}
-	delivered := brain.AttemptEnd{Outcome: brain.Served, Over: true}
+	errored := brain.AttemptResult{Outcome: brain.Errored}
+	delivered := brain.AttemptResult{Outcome: brain.Served, Final: true}
 	good := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		answer  string
 		endless string // sent again and again behind it
-		want    brain.AttemptEnd
+		want    brain.AttemptResult
 	}{
 		"noise":                    {"\x00\xff\x13\x37", "", errored},
 		"noise, a line":            {"\x00\xff\x13\x37\r\n\r\n", "", errored},
@@ -136,8 +136,8 @@
 		"interim and silence":      {"HTTP/1.1 100 X\r\n\r\nHTTP/1.1 2", "", errored},
 		"a second copy":            {good + good, "", delivered},
 		"noise behind":             {good + "\x00\x01", "", delivered},
-		"a refusal, noise behind":  {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n\x00", "", brain.AttemptEnd{Outcome: brain.Refused}},
-		"a refusal after interims": {"HTTP/1.1 100 X\r\n\r\nHTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n\x00", "", brain.AttemptEnd{Outcome: brain.Refused}},
+		"a refusal, noise behind":  {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n\x00", "", brain.AttemptResult{Outcome: brain.Rejected}},
+		"a refusal after interims": {"HTTP/1.1 100 X\r\n\r\nHTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n\x00", "", brain.AttemptResult{Outcome: brain.Rejected}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -171,11 +171,11 @@
 
 // Figures that no sound endpoint sends count as not told: they would go into the module's sums.
 func TestFiguresFromEndpoints(t *testing.T) {
-	served := brain.AttemptEnd{Outcome: brain.Served, Over: true}
-	for line, want := range map[string]brain.AttemptEnd{
-		"X-Load: x0=0.5,x1=20":       {Outcome: brain.Served, Over: true, Reported: true, Left: 0.5, Limit: 20},
-		"X-Load: x1=20, x0=0":        {Outcome: brain.Served, Over: true, Reported: true, Limit: 20},
-		"X-Load: x0=1.04,x1=20":      {Outcome: brain.Served, Over: true, Reported: true, Left: 1, Limit: 20},
+	served := brain.AttemptResult{Outcome: brain.Served, Final: true}
+	for line, want := range map[string]brain.AttemptResult{
+		"X-Load: x0=0.5,x1=20":       {Outcome: brain.Served, Final: true, LimitReported: true, Remaining: 0.5, Limit: 20},
+		"X-Load: x1=20, x0=0":        {Outcome: brain.Served, Final: true, LimitReported: true, Limit: 20},
+		"X-Load: x0=1.04,x1=20":      {Outcome: brain.Served, Final: true, LimitReported: true, Remaining: 1, Limit: 20},
 		"X-Load: x0=NaN,x1=20":       served,
 		"X-Load: x0=0.5,x1=NaN":      served,
 		"X-Load: x0=0.5,x1=Inf":      served,
@@ -187,16 +187,16 @@
 		"X-Load: x0=0.5,x1=many":     served,
 		"X-Load: x0;x1":              served,
 		"X-Load: =,=,,=5":            served,
-		"X-RateLimit-Wait-Ms: 250":   {Outcome: brain.Refused, Wait: 250 * time.Millisecond},
-		"X-RateLimit-Wait-Ms: 60000": {Outcome: brain.Refused, Wait: time.Minute},
-		"X-RateLimit-Wait-Ms: -250":  {Outcome: brain.Refused},
-		"X-RateLimit-Wait-Ms: NaN":   {Outcome: brain.Refused},
-		"X-RateLimit-Wait-Ms: Inf":   {Outcome: brain.Refused},
-		"X-RateLimit-Wait-Ms: 9e8":   {Outcome: brain.Refused},
-		"X-RateLimit-Wait-Ms: soon":  {Outcome: brain.Refused},
+		"X-RateLimit-Wait-Ms: 250":   {Outcome: brain.Rejected, RetryAfter: 250 * time.Millisecond},
+		"X-RateLimit-Wait-Ms: 60000": {Outcome: brain.Rejected, RetryAfter: time.Minute},
+		"X-RateLimit-Wait-Ms: -250":  {Outcome: brain.Rejected},
+		"X-RateLimit-Wait-Ms: NaN":   {Outcome: brain.Rejected},
+		"X-RateLimit-Wait-Ms: Inf":   {Outcome: brain.Rejected},
+		"X-RateLimit-Wait-Ms: 9e8":   {Outcome: brain.Rejected},
+		"X-RateLimit-Wait-Ms: soon":  {Outcome: brain.Rejected},
 	} {
 		code := 200
-		if want.Outcome == brain.Refused {
+		if want.Outcome == brain.Rejected {
 			code = 429
 		}
 		e := st.NewEndpoint(t, st.Status(code, line))
@@ -222,7 +222,7 @@
 		if got := callOnce(p, at, st.Wait, body); got.Outcome != brain.Served {
 			t.Fatalf("first call: %+v", got)
 		}
-		if got := callOnce(p, at, st.Wait, body); got.Outcome != brain.Broken {
+		if got := callOnce(p, at, st.Wait, body); got.Outcome != brain.ConnectionLost {
 			t.Errorf("on a connection that breaks: %+v", got)
 		}
 		e.Next(t)
@@ -296,7 +296,7 @@
 	}
 	st.Receive(t, closed)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan brain.AttemptEnd, 1)
+	ended := make(chan brain.AttemptResult, 1)
 	go func() {
 		end, _ := p.Call(ctx, at, tickets(Message{ID: "id"}, st.Wait), st.Wait)
 		ended <- end
@@ -406,7 +406,7 @@
 			kept := old.idle[0]
 			p.idle.Add(-1)
 			old.idle = nil // as if it were in use, so that a second one is opened
-			ended := make(chan brain.AttemptEnd, 1)
+			ended := make(chan brain.AttemptResult, 1)
 			go func() { ended <- callOnce(p, old, st.Wait, "x") }()
 			e.Next(t)
 			e.Next(t)
--- a/internal/sender/again_test.go
+++ b/internal/sender/again_test.go
@@ -26,7 +26,7 @@
 	if got := handIn(); got != http.StatusAccepted {
 		t.Fatalf("it is answered %d", got)
 	}
-	s.close(s.last, handedBack, http.StatusServiceUnavailable, s.c.Settings.MaxHoldOff)
+	s.close(s.last, handedBack, http.StatusServiceUnavailable, s.c.Settings.MaxRetryAfter)
 	s.flush()
 	s.tell()
 	if got := handIn(); got != http.StatusServiceUnavailable || s.held != 0 {
--- a/internal/sender/batch.go
+++ b/internal/sender/batch.go
@@ -55,7 +55,7 @@
 
 // batchEnd is how the call of a batch ended.
 type batchEnd struct {
-	end  brain.AttemptEnd
+	end  brain.AttemptResult
 	gone bool
 }
 
@@ -72,7 +72,7 @@
 	done := make(chan struct{})
 	var how batchEnd
 	go func() {
-		how.end = brain.AttemptEnd{Endpoint: b.to.Number, Outcome: brain.NotSent}
+		how.end = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.NotSent}
 		if written {
 			how.end, how.gone = s.pool.Call(shared, b.to, recs, timeout)
 		}
@@ -85,13 +85,13 @@
 			end := callEnd{message: one.m, attempt: one.attempt}
 			select {
 			case <-done:
-				end.AttemptEnd, end.gone = how.end, how.gone
+				end.AttemptResult, end.gone = how.end, how.gone
 			case <-one.ctx.Done():
 				select { // both at once: what came back is known
 				case <-done:
-					end.AttemptEnd, end.gone = how.end, how.gone
+					end.AttemptResult, end.gone = how.end, how.gone
 				default:
-					end.AttemptEnd = brain.AttemptEnd{Endpoint: b.to.Number, Outcome: brain.Cancelled}
+					end.AttemptResult = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.Cancelled}
 					if one.ctx.Err() == context.DeadlineExceeded {
 						end.Outcome = brain.TimedOut
 					}
@@ -100,9 +100,9 @@
 			// A message whose leave is gone was not written with the others, and one whose time is over before
 			// the connection is up will not be: neither's end is the call's.
 			if one.leave.Gone() {
-				end.AttemptEnd = brain.AttemptEnd{Endpoint: b.to.Number, Outcome: brain.NotSent}
+				end.AttemptResult = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.NotSent}
 			} else if one.ctx.Err() != nil && one.leave.TakeBack() {
-				end.AttemptEnd = brain.AttemptEnd{Endpoint: b.to.Number, Outcome: brain.ConnectFailed}
+				end.AttemptResult = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.ConnectFailed}
 			}
 			end.Elapsed = time.Since(began)
 			s.post(ctx, end)
--- a/internal/sender/classes.go
+++ b/internal/sender/classes.go
@@ -13,18 +13,18 @@
 
 // ruled writes down what its class says of a message's repeats as it is taken on.
 func (r *record) ruled(c brain.Class) {
-	r.Effect = effectNames[c.Effect]
-	if c.Effect == brain.Keyed {
-		r.Window, r.InZone = c.KeyWindow, c.KeyInZone
+	r.Effect = effectNames[c.Idempotency]
+	if c.Idempotency == brain.IdempotentByKey {
+		r.Window, r.InZone = c.IdempotencyKeyTTL, c.IdempotencyKeyZonal
 	}
 }
 
-var effectNames = [...]string{brain.Safe: "safe", brain.Keyed: "keyed", brain.Unsafe: "unsafe"}
+var effectNames = [...]string{brain.Idempotent: "safe", brain.IdempotentByKey: "keyed", brain.NonIdempotent: "unsafe"}
 
 // effectOf is the effect that a journal names; false if it names none, as those of earlier versions do.
-func effectOf(name string) (brain.Effect, bool) {
+func effectOf(name string) (brain.Idempotency, bool) {
 	i := slices.Index(effectNames[:], name)
-	return brain.Effect(max(0, i)), i >= 0
+	return brain.Idempotency(max(0, i)), i >= 0
 }
 
 // classOf is the class by which a message from the journal goes on: its own, or one that is put behind those of the settings.
@@ -36,22 +36,22 @@
 	if at >= 0 {
 		is = c.Settings.Classes[at]
 	} else {
-		is = brain.Class{Effect: brain.Safe, Ordered: m.Order != "", Worth: c.leastWorth()}
+		is = brain.Class{Idempotency: brain.Idempotent, Ordered: m.Order != "", Value: c.leastWorth()}
 		if !known {
-			took, known = brain.Unsafe, true
+			took, known = brain.NonIdempotent, true
 		}
 	}
 	if known {
-		if took == brain.Keyed { // a window, or a scope, that is no longer told may still be the one that holds
-			if is.Effect != brain.Keyed || m.Window < is.KeyWindow {
-				is.KeyWindow = m.Window
+		if took == brain.IdempotentByKey { // a window, or a scope, that is no longer told may still be the one that holds
+			if is.Idempotency != brain.IdempotentByKey || m.Window < is.IdempotencyKeyTTL {
+				is.IdempotencyKeyTTL = m.Window
 			}
-			is.KeyInZone = is.Effect == brain.Keyed && is.KeyInZone || m.InZone
+			is.IdempotencyKeyZonal = is.Idempotency == brain.IdempotentByKey && is.IdempotencyKeyZonal || m.InZone
 		}
-		is.Effect = max(is.Effect, took)
+		is.Idempotency = max(is.Idempotency, took)
 	}
-	if is.Effect == brain.Keyed && m.Key == "" { // taken on where it needed none: nobody drops its repeats
-		is.Effect = brain.Unsafe
+	if is.Idempotency == brain.IdempotentByKey && m.Key == "" { // taken on where it needed none: nobody drops its repeats
+		is.Idempotency = brain.NonIdempotent
 	}
 	if at >= 0 && is == c.Settings.Classes[at] {
 		return at
@@ -68,8 +68,8 @@
 func (c *Config) leastWorth() float64 {
 	least := 1.0
 	for i, is := range c.Settings.Classes[:min(len(c.Classes), len(c.Settings.Classes))] {
-		if i == 0 || is.Worth < least {
-			least = is.Worth
+		if i == 0 || is.Value < least {
+			least = is.Value
 		}
 	}
 	return least
--- a/internal/sender/classes_test.go
+++ b/internal/sender/classes_test.go
@@ -73,7 +73,7 @@
 // Rules that are alike are one class of the module's more, and settings that are given stay as they are.
 func TestClassesMore(t *testing.T) {
 	c := &Config{Classes: []string{"a", "b"}, Zones: []string{"x", "y"}}
-	c.Settings.Classes = []brain.Class{{Effect: brain.Safe, Worth: 2}, {Effect: brain.Keyed, KeyWindow: time.Second, KeyInZone: true, Worth: 3}}
+	c.Settings.Classes = []brain.Class{{Idempotency: brain.Idempotent, Value: 2}, {Idempotency: brain.IdempotentByKey, IdempotencyKeyTTL: time.Second, IdempotencyKeyZonal: true, Value: 3}}
 	given := c.Settings.Classes
 	for i, tt := range []struct {
 		m    record
@@ -93,7 +93,7 @@
 			t.Errorf("%d: %+v goes on by class %d, want %d: %+v", i, tt.m, got, tt.want, c.Settings.Classes)
 		}
 	}
-	if len(given) != 2 || given[0].Effect != brain.Safe || c.Settings.Classes[5].Ordered != true {
+	if len(given) != 2 || given[0].Idempotency != brain.Idempotent || c.Settings.Classes[5].Ordered != true {
 		t.Error("the settings that were given have changed")
 	}
 	for _, tt := range []struct {
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -74,13 +74,13 @@
 
 func (c *cluster) play(t testing.TB, s *Sender, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	list := brain.ListNews{Whole: true}
+	list := brain.EndpointUpdate{Complete: true}
 	for r := range c.receivers {
 		list.Endpoints = append(list.Endpoints, brain.Endpoint{ID: brain.EndpointID(r + 1), Destination: brain.DestinationID(r), Ready: true})
 		s.list.Cells[uint32(r)] = struct{}{}
 	}
 	settings := s.c.Settings
-	settings.Senders, settings.Slots, settings.MostHeld = c.senders, 50, 100000
+	settings.Senders, settings.Slots, settings.MaxPending = c.senders, 50, 100000
 	for i := range c.senders {
 		c.brains = append(c.brains, brain.New(settings, seed*1000+uint64(i)))
 		c.parts = append(c.parts, &peersPart{s: s, view: knowledge.NewView(10000), reports: knowledge.NewReports(10000), later: map[knowledge.Subject]struct{}{}})
@@ -105,15 +105,15 @@
 				events[i] = append(events[i], brain.Message{ID: id, Class: 2, Destination: brain.DestinationID(rng.IntN(c.receivers)), Deadline: now + 10*time.Second})
 			}
 			line := !c.broken || i < c.senders-1
-			for _, a := range b.Step(now, append(events[i], brain.Alarm{})) {
+			for _, a := range b.Step(now, append(events[i], brain.TimerFired{})) {
 				call, ok := a.(brain.Send)
 				if !ok {
 					continue
 				}
-				end := brain.AttemptEnd{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint, Outcome: brain.Served, Over: true, Elapsed: takes}
+				end := brain.AttemptResult{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint, Outcome: brain.Served, Final: true, Elapsed: takes}
 				tries[call.Message]++
 				if !line || c.out(int(call.Endpoint)-1, now) {
-					end.Outcome, end.Over, end.Elapsed = brain.ConnectFailed, false, fails
+					end.Outcome, end.Final, end.Elapsed = brain.ConnectFailed, false, fails
 				}
 				c.put(now+end.Elapsed, i, end)
 				if line {
@@ -135,7 +135,7 @@
 // tell passes on what one sender has seen since each other was told.
 func (c *cluster) tell(from int, now time.Duration) {
 	var all []knowledge.Fact
-	for _, k := range c.brains[from].Known() {
+	for _, k := range c.brains[from].Observations() {
 		all = append(all, facts(k, "", now)...)
 	}
 	c.telling[from].Update(all, now)
--- a/internal/sender/config.go
+++ b/internal/sender/config.go
@@ -156,7 +156,7 @@
 	if c.Limits.Sockets <= 0 {
 		c.Limits.Sockets = 1024
 	}
-	c.Settings.FoldAfter = foldAfter
+	c.Settings.HibernateAfter = foldAfter
 	// The module foresees a shortage of slots; a call that finds no descriptor would fail for no fault of its
 	// endpoint's.
 	if most := c.Limits.calls(); c.Settings.Slots <= 0 || c.Settings.Slots > most {
--- a/internal/sender/ends.go
+++ b/internal/sender/ends.go
@@ -12,10 +12,10 @@
 	m := e.message
 	s.out--
 	e.Message, e.Attempt = m.number, e.attempt
-	e.Recalled = e.Outcome == brain.NotSent && (m.calls.recalled(e.attempt) || m.calls.against(e.attempt))
+	e.Revoked = e.Outcome == brain.NotSent && (m.calls.recalled(e.attempt) || m.calls.against(e.attempt))
 	s.lookAgain(m, e)
 	m.calls.ended(e.attempt)
-	if s.c.Fleet != nil && e.Reported && e.Limit > 0 {
+	if s.c.Fleet != nil && e.LimitReported && e.Limit > 0 {
 		s.c.Fleet.Told(m.Dest, e.Limit)
 	}
 	s.traceEnd(m, e)
@@ -41,12 +41,12 @@
 			} else {
 				s.end(m, s.overAs(m, delivered))
 			}
-		case e.Over:
+		case e.Final:
 			s.ends.end(m, s.clock.now(), identity.Failed, 0)
 			s.end(m, s.overAs(m, answered))
 		default:
-			never := e.Outcome == brain.Refused || e.Outcome == brain.ConnectFailed || e.Outcome == brain.NotSent
-			rec := record{Op: "end", Try: m.base + e.attempt, Never: never, Recalled: e.Recalled}
+			never := e.Outcome == brain.Rejected || e.Outcome == brain.ConnectFailed || e.Outcome == brain.NotSent
+			rec := record{Op: "end", Try: m.base + e.attempt, Never: never, Recalled: e.Revoked}
 			if s.records != nil {
 				rec.Out = string(outcomeOf(e.Outcome))
 			}
@@ -55,7 +55,7 @@
 	}
 	s.waits(m, !m.ended && len(m.calls) == 0)
 	s.forget(m)
-	return e.AttemptEnd
+	return e.AttemptResult
 }
 
 // endMargin is how much earlier a message's time may be up for others than it is here, where it counts from when its request had
@@ -155,6 +155,6 @@
 type callEnd struct {
 	message *message
 	attempt int
-	brain.AttemptEnd
+	brain.AttemptResult
 	gone bool // the endpoint wants no more calls
 }
--- a/internal/sender/events_test.go
+++ b/internal/sender/events_test.go
@@ -519,7 +519,7 @@
 	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) {
 		takesEvents(c)
 		c.Limits.DiskMB = 0.8
-		c.Settings.MostHeld = 100
+		c.Settings.MaxPending = 100
 	})
 	data := strings.Repeat("x", 50_000)
 	var all []string
@@ -734,7 +734,7 @@
 	takesEvents(c)
 	c.Events.Rules.Deadline = 10 * time.Minute
 	for i := range c.Settings.Classes {
-		c.Settings.Classes[i].KeyWindow, c.Settings.Classes[i].Deadline = 10*time.Minute, 10*time.Minute
+		c.Settings.Classes[i].IdempotencyKeyTTL, c.Settings.Classes[i].Deadline = 10*time.Minute, 10*time.Minute
 	}
 }
 
@@ -875,7 +875,7 @@
 
 // BenchmarkFronts is what a front makes of a request, from its bytes to a submission: plain against the modes.
 func BenchmarkFronts(b *testing.B) {
-	c := &Config{Classes: []string{"safe", "keyed"}, Tenants: []string{"acme"}, Settings: brain.Settings{Classes: []brain.Class{{}, {Effect: brain.Keyed}}}}
+	c := &Config{Classes: []string{"safe", "keyed"}, Tenants: []string{"acme"}, Settings: brain.Settings{Classes: []brain.Class{{}, {Idempotency: brain.IdempotentByKey}}}}
 	takesEvents(c)
 	c.Events.Rules.List = c.Events.Rules.List[3:]
 	s := &server{c: c, clock: newClock()}
--- a/internal/sender/eventsfront.go
+++ b/internal/sender/eventsfront.go
@@ -236,11 +236,11 @@
 	switch {
 	case t.Order != "" && !class.Ordered:
 		return unfit("%s: order %q is asked for, and class %s keeps none", name(), t.Order, t.Class)
-	case t.Key != "" && class.Effect == brain.Unsafe:
+	case t.Key != "" && class.Idempotency == brain.NonIdempotent:
 		return unfit("%s: key %q is given, and class %s may not be repeated", name(), t.Key, t.Class)
 	}
 	key := identity.KeyOf(e.Get("source"), e.Get("id"))
-	if sub.Order = t.Order; sub.Key == "" && class.Effect == brain.Keyed {
+	if sub.Order = t.Order; sub.Key == "" && class.Idempotency == brain.IdempotentByKey {
 		sub.Key = hex.EncodeToString(key[:])
 	}
 	content := e.Content(make([]byte, 0, 256+len(e.Data)))
--- a/internal/sender/fleetpart.go
+++ b/internal/sender/fleetpart.go
@@ -135,7 +135,7 @@
 		_, mayRun := m.firstRun()
 		switch {
 		case !mayRun:
-			s.close(m.number, handedBack, http.StatusServiceUnavailable, s.c.Settings.MaxHoldOff)
+			s.close(m.number, handedBack, http.StatusServiceUnavailable, s.c.Settings.MaxRetryAfter)
 		case suspended: // another attempt won't come, and whether it ran nobody knows
 			s.close(m.number, givenUp, http.StatusInternalServerError, 0)
 		default: // it waits for its destination, to its deadline
@@ -149,7 +149,7 @@
 // paces tells the module what it may send where the fleet shares a limit out.
 func (p *fleetPart) paces(all bool) (events []brain.Event) {
 	for _, f := range p.s.c.Fleet.Paces(all) {
-		events = append(events, brain.Granted{Destination: brain.DestinationID(f.Destination), Limited: f.Limited, Mine: f.Mine, All: f.All})
+		events = append(events, brain.RateGrant{Destination: brain.DestinationID(f.Destination), Limited: f.Limited, Rate: f.Mine, TotalRate: f.All})
 	}
 	return events
 }
@@ -163,10 +163,10 @@
 			is[one.Destination] = sort
 		}
 	}
-	brainHealth := map[health.Kind]brain.Health{health.KindEjected: brain.OutOfService, health.KindWarmingUp: brain.Warming, health.KindNone: brain.Serving}
+	brainHealth := map[health.Kind]brain.Health{health.KindEjected: brain.Unhealthy, health.KindWarmingUp: brain.WarmingUp, health.KindNone: brain.Healthy}
 	tell := func(d uint32, sort health.Kind) {
 		if _, listed := p.s.list.Cells[d]; listed {
-			events = append(events, brain.Learnt{Destination: brain.DestinationID(d), Health: brainHealth[sort]})
+			events = append(events, brain.Observation{Destination: brain.DestinationID(d), Health: brainHealth[sort]})
 		}
 	}
 	for _, d := range slices.Sorted(maps.Keys(is)) {
@@ -189,11 +189,11 @@
 // looked passes on what is known of those on which there is a verdict, or which do not serve.
 func (p *fleetPart) looked(time.Duration) {
 	if v, _ := p.s.c.Fleet.View(); v != nil && v.Policy.Guards() {
-		p.testify(p.s.brain.Known(), true)
+		p.testify(p.s.brain.Observations(), true)
 	}
 }
 
-func (p *fleetPart) testify(known []brain.Learnt, some bool) {
+func (p *fleetPart) testify(known []brain.Observation, some bool) {
 	if len(known) == 0 {
 		return
 	}
@@ -204,10 +204,10 @@
 	var all []health.Observation
 	for _, k := range known {
 		d := uint32(k.Destination)
-		if _, ruled := v.Policy.VerdictRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || some && k.Health == brain.Serving && p.stand[d] == health.KindNone && k.HealthAge > time.Second {
+		if _, ruled := v.Policy.VerdictRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || some && k.Health == brain.Healthy && p.stand[d] == health.KindNone && k.HealthAge > time.Second {
 			continue
 		}
-		all = append(all, health.Observation{Destination: d, State: knowledge.State(k.Health), Age: k.HealthAge, Duration: max(0, k.For-k.HealthAge)})
+		all = append(all, health.Observation{Destination: d, State: knowledge.State(k.Health), Age: k.HealthAge, Duration: max(0, k.HealthFor-k.HealthAge)})
 	}
 	if len(all) > 0 {
 		p.s.c.Fleet.Testify(all)
@@ -245,7 +245,7 @@
 // lookAgain has a message looked at whose call has ended while a word against it came: it was passed over then, and would be
 // sent again and again if the fleet was against it as it was about to be written.
 func (s *Sender) lookAgain(m *message, e callEnd) {
-	if s.c.Fleet == nil || m.ended || e.Outcome == brain.Served || e.Over {
+	if s.c.Fleet == nil || m.ended || e.Outcome == brain.Served || e.Final {
 		return
 	}
 	if why, _ := s.standsAgainst(m.stored.record); why != "" {
--- a/internal/sender/fleetpart_test.go
+++ b/internal/sender/fleetpart_test.go
@@ -260,7 +260,7 @@
 		t.Errorf("%+v", got)
 	}
 	f.paces = []fleet.Pace{{Destination: 1, Limited: true, Mine: 2, All: 5}, {Destination: 9}}
-	if got := p.take(paceEvent{}, 0); len(got) != 2 || got[0] != (brain.Granted{Destination: 1, Limited: true, Mine: 2, All: 5}) || got[1] != (brain.Granted{Destination: 9}) {
+	if got := p.take(paceEvent{}, 0); len(got) != 2 || got[0] != (brain.RateGrant{Destination: 1, Limited: true, Rate: 2, TotalRate: 5}) || got[1] != (brain.RateGrant{Destination: 9}) {
 		t.Errorf("%+v", got)
 	}
 	f.say(t, true, closes1)
--- a/internal/sender/handin.go
+++ b/internal/sender/handin.go
@@ -13,7 +13,7 @@
 // has not been sent, so its client may come again.
 func (s *Sender) submitted(sub submission) brain.Event {
 	refuse := func(why string) brain.Event {
-		sub.answer <- answerLine{status: http.StatusServiceUnavailable, retry: s.c.Settings.MaxHoldOff, text: why}
+		sub.answer <- answerLine{status: http.StatusServiceUnavailable, retry: s.c.Settings.MaxRetryAfter, text: why}
 		return nil
 	}
 	if sub.Ident != nil && s.known(sub) { // also while it is quitting: a refusal of what is held would be false
@@ -49,7 +49,7 @@
 	if why := s.byPolicy(&sub.record); why != "" {
 		return refuse(why)
 	}
-	if most := s.c.Settings.MostHeld; most > 0 && s.held >= most {
+	if most := s.c.Settings.MaxPending; most > 0 && s.held >= most {
 		return refuse("all room for messages is taken")
 	}
 	if sub.Ident != nil {
@@ -67,7 +67,7 @@
 	s.records.handedIn(sub.Tenant, sub.Key)
 	s.trace("taken on", sub.ID, slog.Uint64("dest", uint64(sub.Dest)), slog.String("tenant", sub.Tenant), slog.Duration("left", sub.Deadline-s.clock.now()))
 	return brain.Message{ID: s.hold(st, sub.answer, sub.class), Class: sub.class, Tenant: sub.tenant,
-		Destination: brain.DestinationID(sub.Dest), Key: st.orderKey(), Deadline: sub.Deadline}
+		Destination: brain.DestinationID(sub.Dest), OrderingKey: st.orderKey(), Deadline: sub.Deadline}
 }
 
 // accept tells the client of m that it is taken on; one that handed in an event hears under which id.
@@ -95,7 +95,7 @@
 // drop refuses a message that could not be written down. The Brain hears so with the next batch; a call that
 // it has decided on is not made either, and ends as not sent.
 func (s *Sender) drop(m *message) {
-	s.reply(m, answerLine{status: http.StatusServiceUnavailable, retry: s.c.Settings.MaxHoldOff, text: "no room to keep the message"})
+	s.reply(m, answerLine{status: http.StatusServiceUnavailable, retry: s.c.Settings.MaxRetryAfter, text: "no room to keep the message"})
 	s.ends.dropped(m)
 	s.journal.remove(m.stored)
 	m.ended = true
--- a/internal/sender/journal.go
+++ b/internal/sender/journal.go
@@ -496,8 +496,8 @@
 }
 
 // keepRates notes the rates of the busiest destinations, and who is out, in place of those noted before.
-func (j *journal) keepRates(rates []brain.Earlier, outs outages) error {
-	slices.SortFunc(rates, func(a, b brain.Earlier) int { return cmp.Compare(b.Rate, a.Rate) })
+func (j *journal) keepRates(rates []brain.UsualRate, outs outages) error {
+	slices.SortFunc(rates, func(a, b brain.UsualRate) int { return cmp.Compare(b.Rate, a.Rate) })
 	j.rates, j.outs = map[uint32]float64{}, outs.within(j.outsMost)
 	for _, r := range rates[:min(len(rates), ratesMost)] {
 		j.rates[uint32(r.Destination)] = roundRate(r.Rate)
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -70,11 +70,11 @@
 func TestJournalKeepsRates(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
-	var many []brain.Earlier
+	var many []brain.UsualRate
 	for d := range brain.DestinationID(1000) {
-		many = append(many, brain.Earlier{Destination: d, Rate: float64(d) / 7})
+		many = append(many, brain.UsualRate{Destination: d, Rate: float64(d) / 7})
 	}
-	for _, rates := range [][]brain.Earlier{{{Destination: 3, Rate: 1}, {Destination: 4, Rate: 2.25}}, many} {
+	for _, rates := range [][]brain.UsualRate{{{Destination: 3, Rate: 1}, {Destination: 4, Rate: 2.25}}, many} {
 		if err := j.keepRates(rates, outages{}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sender/leave_test.go
+++ b/internal/sender/leave_test.go
@@ -24,7 +24,7 @@
 		s.journal.note(m, record{Op: "send", Sent: &try{At: s.clock.now(), Endpoint: "s-0"}})
 		s.out++
 		if id == "answered" {
-			s.events <- callEnd{s.messages[number], 0, brain.AttemptEnd{Outcome: brain.Served, Over: true}, false}
+			s.events <- callEnd{s.messages[number], 0, brain.AttemptResult{Outcome: brain.Served, Final: true}, false}
 		}
 	}
 	late := submission{record: record{ID: "late", Class: "unsafe", Tenant: "acme", Deadline: deadline}, class: 2, answer: make(chan answerLine, 1)}
@@ -58,7 +58,7 @@
 			number := s.hold(m, nil, 0)
 			s.journal.note(m, record{Op: "send", Sent: &try{At: s.clock.now(), Endpoint: "s-0"}})
 			s.out++
-			s.take(callEnd{s.messages[number], 0, brain.AttemptEnd{Outcome: brain.Served, Over: true}, false})
+			s.take(callEnd{s.messages[number], 0, brain.AttemptResult{Outcome: brain.Served, Final: true}, false})
 			if told := len(s.owed) == 1 && s.owed[0] == (notice{Message: "m", Outcome: givenUp}); told != tt.told {
 				t.Errorf("notices %+v", s.owed)
 			}
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -67,8 +67,8 @@
 	learnt    []brain.Event // what the features have for the module, after the news that they heard
 	knownAt   time.Duration // when what the module knows was asked for last
 	knownAll  []knowledge.Fact
-	fresh     []brain.Learnt // news of receivers in this turn
-	withdrawn []brain.Event  // of messages that could not be written down, for the next step
+	fresh     []brain.Observation // news of receivers in this turn
+	withdrawn []brain.Event       // of messages that could not be written down, for the next step
 
 	grace, leaveAfter time.Duration
 	fleetStop         context.CancelFunc // ends the words of the fleet
@@ -104,13 +104,13 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Settings.TellsNews = c.Peers != nil || c.Fleet != nil
+	c.Settings.ReportsChanges = c.Peers != nil || c.Fleet != nil
 	for _, m := range j.held() { // the module is told all classes at its begin
 		if m.how == "" {
 			c.classOf(m)
 		}
 	}
-	s := &Sender{c: c, log: log, clock: newClock(), brain: brain.New(c.Settings, c.Seed), journal: j, pool: calls.NewPool(calls.Config{ConnectTimeout: c.ConnectTimeout, Idle: c.Settings.IdleConnections, Most: c.idleCalls(), Fields: c.Fields, Delivery: c.Delivery}),
+	s := &Sender{c: c, log: log, clock: newClock(), brain: brain.New(c.Settings, c.Seed), journal: j, pool: calls.NewPool(calls.Config{ConnectTimeout: c.ConnectTimeout, Idle: c.Settings.IdleConnTimeout, Most: c.idleCalls(), Fields: c.Fields, Delivery: c.Delivery}),
 		list: calls.NewList(), disc: newDiscovery(c.Discovery), events: make(chan any, eventRoom),
 		asked: make(chan struct{}, 1), notices: make(chan []notice, 1), messages: map[brain.MessageID]*message{},
 		byID: map[string]*message{}, alarm: time.NewTimer(time.Hour), grace: graceTime, leaveAfter: leaveTime}
@@ -190,14 +190,14 @@
 		case e := <-s.events:
 			s.turn(work, e)
 		case <-s.alarm.C:
-			s.turn(work, brain.Alarm{})
+			s.turn(work, brain.TimerFired{})
 		case <-idle.C:
 			s.pool.CloseOld()
 			looks++ // all rates are walked, so the less often the more there are
 			// Once it is quitting nothing is served as usual.
 			if !s.quitting && looks%(1+len(s.list.ByID)/ratesAtOnce) == 0 {
 				now := s.clock.now()
-				s.journal.keepRates(s.brain.Rates(), s.outages(now)) // what fails here fails again with the next message
+				s.journal.keepRates(s.brain.UsualRates(), s.outages(now)) // what fails here fails again with the next message
 				for _, p := range s.parts {
 					p.looked(now)
 				}
@@ -279,7 +279,7 @@
 	}
 	now := s.clock.now()
 	for dest, rate := range s.journal.rates {
-		events = append(events, brain.Earlier{Destination: brain.DestinationID(dest), Rate: rate})
+		events = append(events, brain.UsualRate{Destination: brain.DestinationID(dest), Rate: rate})
 	}
 	events = append(events, s.earlierOutages(now)...)
 	for _, m := range s.journal.held() {
@@ -302,8 +302,8 @@
 		first, may := m.firstRun()
 		class := s.c.classOf(m)
 		events = append(events, brain.Message{ID: s.hold(m, nil, class), Class: class,
-			Tenant: place(s.c.Tenants, m.Tenant, -1), Destination: brain.DestinationID(m.Dest), Key: m.orderKey(), Deadline: m.Deadline,
-			Tried: m.made(), MayRun: may, FirstRun: first.At, RanZone: s.c.zoneOf(first), Resumed: true})
+			Tenant: place(s.c.Tenants, m.Tenant, -1), Destination: brain.DestinationID(m.Dest), OrderingKey: m.orderKey(), Deadline: m.Deadline,
+			PriorAttempts: m.made(), MayHaveRun: may, FirstRunAt: first.At, FirstRunZone: s.c.zoneOf(first), Resumed: true})
 	}
 	events, s.learnt = append(events, s.learnt...), s.learnt[:0]
 	for _, p := range s.parts {
@@ -349,7 +349,7 @@
 // take books one event and translates it for the Brain; nil if that need not know.
 func (s *Sender) take(e any) brain.Event {
 	switch e := e.(type) {
-	case brain.Alarm:
+	case brain.TimerFired:
 		return e
 	case submission:
 		return s.submitted(e)
@@ -364,7 +364,7 @@
 		return news
 	case failedEvent:
 		s.log.Warn("discovery failed", "err", e.err)
-		return brain.ListNews{Failed: true, InVain: errors.Is(e.err, errInVain)}
+		return brain.EndpointUpdate{Failed: true, Overloaded: errors.Is(e.err, errInVain)}
 	case partEvent:
 		for _, p := range s.parts {
 			s.learnt = append(s.learnt, p.take(e, s.clock.now())...)
@@ -411,13 +411,13 @@
 		case brain.Send:
 			if m, e := s.messages[a.Message], s.list.ByNumber[a.Endpoint]; m != nil && e != nil {
 				sent := &try{At: now, Endpoint: e.ID[:min(len(e.ID), maxName)], Zone: e.Zone}
-				if s.c.Settings.Classes[m.class].KeyInZone && e.Zone < len(s.c.Zones) {
+				if s.c.Settings.Classes[m.class].IdempotencyKeyZonal && e.Zone < len(s.c.Zones) {
 					sent.In = s.c.Zones[e.Zone]
 				}
 				s.journal.note(m.stored, record{Op: "send", Sent: sent})
 			}
-		case brain.Refuse:
-			s.close(a.Message, handedBack, http.StatusServiceUnavailable, a.HoldOff)
+		case brain.Reject:
+			s.close(a.Message, handedBack, http.StatusServiceUnavailable, a.RetryAfter)
 		case brain.Fail:
 			s.close(a.Message, givenUp, http.StatusInternalServerError, 0)
 		}
@@ -446,11 +446,11 @@
 			if m := s.messages[a.Message]; m != nil {
 				m.calls.cancel(a.Attempt)
 			}
-		case brain.CloseIdle:
+		case brain.CloseIdleConns:
 			s.pool.CloseIdle(s.list.ByNumber[a.Endpoint], 0)
-		case brain.SetAlarm: // each is earlier than the one set before
+		case brain.SetTimer: // each is earlier than the one set before
 			s.alarm.Reset(max(0, a.At-s.clock.now()))
-		case brain.WatchList:
+		case brain.WatchEndpoints:
 			select {
 			case s.asked <- struct{}{}:
 			default:
@@ -470,7 +470,7 @@
 
 // after lets the features know that a turn is over.
 func (s *Sender) after(ctx context.Context) {
-	s.fresh = s.brain.News()
+	s.fresh = s.brain.ChangedObservations()
 	for _, p := range s.parts {
 		p.afterWrite(ctx)
 	}
@@ -479,9 +479,9 @@
 // recall takes back the leave of calls that the module would not make now.
 func (s *Sender) recall(actions []brain.Action) {
 	for _, a := range actions {
-		if r, ok := a.(brain.Recall); ok {
+		if r, ok := a.(brain.Revoke); ok {
 			if m := s.messages[r.Message]; m != nil && m.calls.recall(r.Attempt) {
-				s.log.Debug("a call is recalled", "message", m.ID, "why", r.Why.String())
+				s.log.Debug("a call is recalled", "message", m.ID, "why", r.Reason.String())
 			}
 		}
 	}
--- a/internal/sender/order_test.go
+++ b/internal/sender/order_test.go
@@ -14,8 +14,8 @@
 // ordered adds a class that keeps an order.
 func ordered(c *Config) {
 	c.Classes = append(c.Classes, "ordered")
-	c.Settings.Classes = append(c.Settings.Classes, brain.Class{Aim: 2500 * time.Millisecond, Deadline: 20 * time.Second,
-		Effect: brain.Safe, Ordered: true, Worth: 1, LateWorth: 0.5})
+	c.Settings.Classes = append(c.Settings.Classes, brain.Class{LatencyTarget: 2500 * time.Millisecond, Deadline: 20 * time.Second,
+		Idempotency: brain.Idempotent, Ordered: true, Value: 1, LateValue: 0.5})
 }
 
 // held is two destinations; calls to the first are answered when release is closed.
--- a/internal/sender/outages.go
+++ b/internal/sender/outages.go
@@ -53,9 +53,9 @@
 func (s *Sender) outages(now time.Duration) outages {
 	o := outages{at: now}
 	for _, k := range s.brain.Outages() {
-		out := outage{Dest: uint32(k.Destination), Began: now - k.OutFor, Rate: roundRate(k.Rate)}
-		if k.Health == brain.Warming {
-			out.Back = now - k.For
+		out := outage{Dest: uint32(k.Destination), Began: now - k.OutageFor, Rate: roundRate(k.Rate)}
+		if k.Health == brain.WarmingUp {
+			out.Back = now - k.HealthFor
 		}
 		if k.Endpoint != 0 {
 			e := s.list.ByNumber[k.Endpoint]
@@ -77,10 +77,10 @@
 		if !listed {
 			continue
 		}
-		k.Own, k.Health, k.HealthAge = true, brain.OutOfService, max(0, now-s.journal.outs.at)
-		k.For, k.OutFor, k.Rate = max(0, now-o.Began), max(0, now-o.Began), o.Rate
+		k.Local, k.Health, k.HealthAge = true, brain.Unhealthy, max(0, now-s.journal.outs.at)
+		k.HealthFor, k.OutageFor, k.Rate = max(0, now-o.Began), max(0, now-o.Began), o.Rate
 		if o.Back != 0 {
-			k.Health, k.For = brain.Warming, max(0, now-o.Back)
+			k.Health, k.HealthFor = brain.WarmingUp, max(0, now-o.Back)
 		}
 		events = append(events, k)
 	}
--- a/internal/sender/outages_test.go
+++ b/internal/sender/outages_test.go
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := j.keepRates([]brain.Earlier{{Destination: 0, Rate: 4}}, outs); err != nil {
+	if err := j.keepRates([]brain.UsualRate{{Destination: 0, Rate: 4}}, outs); err != nil {
 		t.Fatal(err)
 	}
 	if err := j.close(); err != nil {
@@ -52,13 +52,13 @@
 		outs outages
 		want brain.Health // of destination 0, as the next process has it
 	}{
-		{"out", outages{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), Rate: 4}}}, brain.OutOfService},
-		{"comes back", outages{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), Back: ago(2 * time.Second), Rate: 4}}}, brain.Warming},
+		{"out", outages{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), Rate: 4}}}, brain.Unhealthy},
+		{"comes back", outages{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), Back: ago(2 * time.Second), Rate: 4}}}, brain.WarmingUp},
 		{"came back long ago", outages{ago(time.Second), []outage{{Dest: 0, Began: ago(time.Minute), Back: ago(40 * time.Second), Rate: 4}}}, brain.HealthUnknown},
 		{"written long ago", outages{ago(time.Hour), []outage{{Dest: 0, Began: ago(2 * time.Hour), Rate: 4}}}, brain.HealthUnknown},
 		{"another receiver", outages{ago(time.Second), []outage{{Dest: 9, Began: ago(9 * time.Second), Rate: 4}}}, brain.HealthUnknown},
 		{"an endpoint that is not listed", outages{ago(time.Second), []outage{{Dest: 0, Endpoint: "s-9", Began: ago(9 * time.Second)}}}, brain.HealthUnknown},
-		{"a clock that ran ahead", outages{now + time.Hour, []outage{{Dest: 0, Began: now + time.Hour, Rate: 4}}}, brain.OutOfService},
+		{"a clock that ran ahead", outages{now + time.Hour, []outage{{Dest: 0, Began: now + time.Hour, Rate: 4}}}, brain.Unhealthy},
 		{"none", outages{}, brain.HealthUnknown},
 	}
 	for _, tt := range tests {
--- a/internal/sender/past.go
+++ b/internal/sender/past.go
@@ -90,7 +90,7 @@
 		if !listed {
 			continue
 		}
-		e.Own = true
+		e.Local = true
 		delete(p.left, subject)
 		learn(&e, p.view.Of(subject), now)
 		events = append(events, e)
@@ -99,7 +99,7 @@
 }
 
 // learntOf begins what is learnt of one that the list names; false if it does not.
-func (s *Sender) learntOf(of knowledge.Subject) (e brain.Learnt, listed bool) {
+func (s *Sender) learntOf(of knowledge.Subject) (e brain.Observation, listed bool) {
 	e.Destination = brain.DestinationID(of.Destination)
 	if of.Endpoint == "" {
 		_, listed = s.list.Cells[of.Destination]
@@ -114,33 +114,33 @@
 }
 
 // learn puts facts into the module's words.
-func learn(e *brain.Learnt, facts []knowledge.Fact, now time.Duration) {
+func learn(e *brain.Observation, facts []knowledge.Fact, now time.Duration) {
 	for _, f := range facts {
 		age := max(0, now-f.At)
 		switch f.Sort {
 		case knowledge.Pace:
-			e.Calls, e.Mean, e.Median, e.Quickest, e.Bound, e.PaceAge = int(f.Calls), f.Mean, f.Median, f.Quickest, f.Bound, age
+			e.Samples, e.MeanLatency, e.MedianLatency, e.MinLatency, e.Timeout, e.LatencyAge = int(f.Calls), f.Mean, f.Median, f.Quickest, f.Bound, age
 		case knowledge.Bears:
 			e.Window, e.WindowAge = f.Window, age
 		case knowledge.Limit:
 			e.Limit, e.LimitAge = f.PerSecond, age
 		case knowledge.Wait:
-			e.Wait = max(0, f.Until-now)
+			e.RetryAfter = max(0, f.Until-now)
 		case knowledge.Health:
-			e.Health, e.For, e.HealthAge, e.Rate = brain.Health(f.State), max(0, now-f.Since), age, f.Rate
+			e.Health, e.HealthFor, e.HealthAge, e.Rate = brain.Health(f.State), max(0, now-f.Since), age, f.Rate
 		}
 	}
 }
 
 // facts puts what the module knows of a route into facts of one's own.
-func facts(k brain.Learnt, endpoint string, now time.Duration) []knowledge.Fact {
+func facts(k brain.Observation, endpoint string, now time.Duration) []knowledge.Fact {
 	var all []knowledge.Fact
 	add := func(sort knowledge.Sort, age time.Duration, v knowledge.Value) {
 		all = append(all, knowledge.Fact{Subject: knowledge.Subject{Destination: uint32(k.Destination), Endpoint: endpoint}, Sort: sort,
-			At: now - max(0, age), Calls: uint32(max(0, k.Calls)), Value: v})
+			At: now - max(0, age), Calls: uint32(max(0, k.Samples)), Value: v})
 	}
-	if k.Calls > 0 {
-		add(knowledge.Pace, k.PaceAge, knowledge.Value{Mean: k.Mean, Median: k.Median, Quickest: k.Quickest, Bound: k.Bound})
+	if k.Samples > 0 {
+		add(knowledge.Pace, k.LatencyAge, knowledge.Value{Mean: k.MeanLatency, Median: k.MedianLatency, Quickest: k.MinLatency, Bound: k.Timeout})
 	}
 	if k.Window > 0 {
 		add(knowledge.Bears, k.WindowAge, knowledge.Value{Window: k.Window})
@@ -148,11 +148,11 @@
 	if k.Limit > 0 {
 		add(knowledge.Limit, k.LimitAge, knowledge.Value{PerSecond: k.Limit})
 	}
-	if k.Wait > 0 {
-		add(knowledge.Wait, 0, knowledge.Value{Until: now + k.Wait})
+	if k.RetryAfter > 0 {
+		add(knowledge.Wait, 0, knowledge.Value{Until: now + k.RetryAfter})
 	}
 	if k.Health != brain.HealthUnknown {
-		add(knowledge.Health, min(k.HealthAge, k.For), knowledge.Value{State: knowledge.State(k.Health), Since: now - max(0, k.For), Rate: k.Rate})
+		add(knowledge.Health, min(k.HealthAge, k.HealthFor), knowledge.Value{State: knowledge.State(k.Health), Since: now - max(0, k.HealthFor), Rate: k.Rate})
 	}
 	return all
 }
@@ -162,12 +162,12 @@
 	if s.knownAt == now && s.knownAll != nil { // several features ask in one look
 		return s.knownAll
 	}
-	s.knownAt, s.knownAll = now, s.factsOf(s.brain.Known(), now)
+	s.knownAt, s.knownAll = now, s.factsOf(s.brain.Observations(), now)
 	return s.knownAll
 }
 
 // factsOf puts what the module knows of some routes into facts of one's own.
-func (s *Sender) factsOf(known []brain.Learnt, now time.Duration) []knowledge.Fact {
+func (s *Sender) factsOf(known []brain.Observation, now time.Duration) []knowledge.Fact {
 	var all []knowledge.Fact
 	for _, k := range known {
 		id := ""
--- a/internal/sender/peers_test.go
+++ b/internal/sender/peers_test.go
@@ -175,7 +175,7 @@
 	}
 	s.list.News(Targets{Servers: []Target{{ID: "e3", Addr: "127.0.0.1:1", Cell: 3, State: "SERVING"}}}, false, s.c.names(), s.pool)
 	got := p.listed(now)
-	if len(got) != 1 || got[0].(brain.Learnt).Destination != 3 || got[0].(brain.Learnt).Health != brain.OutOfService || got[0].(brain.Learnt).Own {
+	if len(got) != 1 || got[0].(brain.Observation).Destination != 3 || got[0].(brain.Observation).Health != brain.Unhealthy || got[0].(brain.Observation).Local {
 		t.Errorf("%+v", got)
 	}
 	s.list.News(Targets{Servers: []Target{{ID: "e4", Addr: "127.0.0.1:1", Cell: 9, State: "SERVING"}}}, false, s.c.names(), s.pool)
--- a/internal/sender/peerspart.go
+++ b/internal/sender/peerspart.go
@@ -98,7 +98,7 @@
 			continue
 		}
 		learn(&e, facts, now)
-		e.Others = p.reports.Outs(subject, now)
+		e.OtherProbers = p.reports.Outs(subject, now)
 		events = append(events, e)
 	}
 	return events
--- a/internal/sender/recorder.go
+++ b/internal/sender/recorder.go
@@ -101,13 +101,13 @@
 	switch o {
 	case brain.Errored:
 		return undelivered.Errored
-	case brain.Refused:
+	case brain.Rejected:
 		return undelivered.Rejected
 	case brain.TimedOut:
 		return undelivered.TimedOut
 	case brain.ConnectFailed:
 		return undelivered.ConnectFailed
-	case brain.Broken:
+	case brain.ConnectionLost:
 		return undelivered.Reset
 	case brain.Cancelled:
 		return undelivered.Cancelled
@@ -196,10 +196,10 @@
 	if i := place(s.c.Classes, m.Class, -1); i >= 0 {
 		c := s.c.Settings.Classes[i]
 		e.Ordered = c.Ordered && m.Order != ""
-		switch c.Effect {
-		case brain.Safe:
+		switch c.Idempotency {
+		case brain.Idempotent:
 			e.Effect = undelivered.Safe
-		case brain.Keyed:
+		case brain.IdempotentByKey:
 			e.Effect = undelivered.Keyed
 		}
 		e.AcceptedAt = int64(m.Deadline - c.Deadline)
--- a/internal/sender/repeat_test.go
+++ b/internal/sender/repeat_test.go
@@ -20,7 +20,7 @@
 	began := make(chan time.Time, 1)
 	addr := runWith(t, p, func(c *Config) {
 		for i := range c.Settings.Classes {
-			c.Settings.Classes[i].KeyWindow = window
+			c.Settings.Classes[i].IdempotencyKeyTTL = window
 		}
 	}, func(s *Sender) {
 		s.pool.Dialer.Control = func(string, string, syscall.RawConn) error {
