--- a/internal/sender/resendpart.go
+++ b/internal/sender/resendpart.go
@@ -109,7 +109,7 @@
 		if n := s.c.Settings.Slots; n > 0 {
 			f.Calls = float64(s.out) / float64(n)
 		}
-		if n := s.c.Settings.MostHeld; n > 0 {
+		if n := s.c.Settings.MaxPending; n > 0 {
 			f.Pending = float64(s.held) / float64(n)
 		}
 		if s.journal.budget > 0 {
@@ -184,7 +184,7 @@
 // KeyWindow is how long receivers remember the keys of a class.
 func (c *Config) KeyWindow(class string) time.Duration {
 	if i := place(c.Classes, class, -1); i >= 0 {
-		return c.Settings.Classes[i].KeyWindow
+		return c.Settings.Classes[i].IdempotencyKeyTTL
 	}
 	return 0
 }
@@ -223,7 +223,7 @@
 		return nil, fmt.Errorf("destination %d does not exist any more", e.Destination)
 	}
 	// Asked again at the moment of taking it on: between the choice and this lie a write to the store and the loop's queue.
-	if v, why := undelivered.MayResend(e.History(), s.c.Settings.Classes[class].KeyWindow, int64(now)); v == undelivered.Forbidden {
+	if v, why := undelivered.MayResend(e.History(), s.c.Settings.Classes[class].IdempotencyKeyTTL, int64(now)); v == undelivered.Forbidden {
 		return nil, errors.New(why)
 	}
 	if e.Key != "" {
@@ -233,7 +233,7 @@
 			}
 		}
 	}
-	if most := s.c.Settings.MostHeld; most > 0 && s.held >= most/2 { // the rest is for live ones
+	if most := s.c.Settings.MaxPending; most > 0 && s.held >= most/2 { // the rest is for live ones
 		return nil, errors.New("the room for messages is half taken")
 	}
 	rec := record{ID: e.Message, Key: e.Key, Class: e.Class, Tenant: e.Member, Dest: e.Destination, Deadline: now + deadline, Body: e.Body,
@@ -256,5 +256,5 @@
 	first, may := st.firstRun()
 	id := s.hold(st, nil, class)
 	return brain.Message{ID: id, Class: class, Tenant: tenant, Destination: brain.DestinationID(e.Destination), Deadline: rec.Deadline,
-		MayRun: may, FirstRun: first.At, RanZone: s.c.zoneOf(first)}, nil
+		MayHaveRun: may, FirstRunAt: first.At, FirstRunZone: s.c.zoneOf(first)}, nil
 }
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -32,7 +32,7 @@
 	}
 	began, rec := time.Now(), []calls.Ticket{{Message: m.message(), Permit: leave}} // a copy: the loop may drop the body meanwhile
 	go func() {
-		end, gone := brain.AttemptEnd{Endpoint: e.Number, Outcome: brain.NotSent}, false
+		end, gone := brain.AttemptResult{Endpoint: e.Number, Outcome: brain.NotSent}, false
 		if written {
 			end, gone = s.pool.Call(call, e, rec, a.Timeout)
 		}
@@ -48,12 +48,12 @@
 // now; a connection may come up much later, when the key of an attempt that may have run is remembered no more.
 func (s *Sender) repeatWithin(m *message, n int, timeout time.Duration) time.Duration {
 	class := s.c.Settings.Classes[m.class]
-	if class.Effect != brain.Keyed {
+	if class.Idempotency != brain.IdempotentByKey {
 		return timeout
 	}
 	first, may := m.firstBefore(n)
 	if !may {
 		return timeout
 	}
-	return min(timeout, first.At+class.KeyWindow-keyMargin-s.clock.now())
+	return min(timeout, first.At+class.IdempotencyKeyTTL-keyMargin-s.clock.now())
 }
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -146,7 +146,7 @@
 func TestNoRoomIsARefusal(t *testing.T) {
 	t.Parallel()
 	for name, edit := range map[string]func(*Config){
-		"held limit": func(c *Config) { c.Settings.MostHeld = 3 },
+		"held limit": func(c *Config) { c.Settings.MaxPending = 3 },
 		"disk":       func(c *Config) { c.Limits.DiskMB = 0.012 },
 	} {
 		e := st.NewEndpoint(t, st.Silent)
@@ -205,7 +205,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, e.Addr)
-	addr := run(t, p, func(c *Config) { c.Settings.MostHeld = 20 })
+	addr := run(t, p, func(c *Config) { c.Settings.MaxPending = 20 })
 	for i := range 20 { // the module makes room from 95% on
 		resp, body := st.Do(t, st.Message(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second, ""))
 		if resp.StatusCode != http.StatusAccepted && resp.StatusCode != http.StatusServiceUnavailable {
@@ -392,7 +392,7 @@
 	s := newTest(t, p, nil)
 	s.list.News(Targets{Servers: []Target{{ID: "e", Addr: e.Addr, State: "SERVING"}}}, false, s.c.names(), s.pool)
 	at := s.list.ByID["e"]
-	callOnce := func(p *calls.Pool, e *calls.Endpoint, timeout time.Duration, body string) brain.AttemptEnd {
+	callOnce := func(p *calls.Pool, e *calls.Endpoint, timeout time.Duration, body string) brain.AttemptResult {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		end, _ := p.Call(ctx, e, []calls.Ticket{{Message: calls.Message{ID: "id", Body: []byte(body)}, Permit: &calls.Permit{Until: time.Now().Add(timeout), Cancel: func() {}}}}, timeout)
@@ -418,7 +418,7 @@
 	if n := s.pool.Idle(); n != 0 {
 		t.Errorf("%d idle connections after a time-out", n)
 	}
-	if got := callOnce(s.pool, at, st.Wait, ""); !got.Over {
+	if got := callOnce(s.pool, at, st.Wait, ""); !got.Final {
 		t.Errorf("the next call: %+v", got)
 	}
 }
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -579,7 +579,7 @@
 	if sub.tenant = place(s.c.Tenants, sub.Tenant, -1); sub.tenant < 0 && len(s.c.Tenants) > 0 {
 		return nil, bad("X-Tenant %q is not among the settings", sub.Tenant)
 	}
-	if s.c.Settings.Classes[sub.class].Effect == brain.Keyed && sub.Key == "" {
+	if s.c.Settings.Classes[sub.class].Idempotency == brain.IdempotentByKey && sub.Key == "" {
 		return nil, bad("Idempotency-Key is missing, and class %s is keyed", sub.Class)
 	}
 	ms, err := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
--- a/internal/sender/stored_data_test.go
+++ b/internal/sender/stored_data_test.go
@@ -88,7 +88,7 @@
 	forgotten := put(record{ID: "forgotten", Class: "unsafe", Deadline: second(82)})
 	j.note(forgotten, record{Op: "over", How: givenUp})
 	j.note(forgotten, record{Op: "told"})
-	if err := j.keepRates([]brain.Earlier{{Destination: 1, Rate: 2.25}, {Destination: 2, Rate: 1.0 / 3}}, outages{at: second(30), all: []outage{
+	if err := j.keepRates([]brain.UsualRate{{Destination: 1, Rate: 2.25}, {Destination: 2, Rate: 1.0 / 3}}, outages{at: second(30), all: []outage{
 		{Dest: 1, Began: second(22), Rate: 4}, {Dest: 2, Endpoint: "s-1", Began: second(23), Back: second(29), Rate: 0.5}}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sender/trace.go
+++ b/internal/sender/trace.go
@@ -27,6 +27,6 @@
 		at = end.ID
 	}
 	s.trace("call ended", m.ID, slog.Uint64("dest", uint64(m.Dest)), slog.Int("try", m.base+e.attempt), slog.String("endpoint", at),
-		slog.String("outcome", outcome), slog.Duration("took", e.Elapsed), slog.Duration("wait", e.Wait),
-		slog.Bool("crowded", e.Crowded), slog.Float64("left", e.Left), slog.Float64("limit", e.Limit))
+		slog.String("outcome", outcome), slog.Duration("took", e.Elapsed), slog.Duration("wait", e.RetryAfter),
+		slog.Bool("crowded", e.ConnLimitReached), slog.Float64("left", e.Remaining), slog.Float64("limit", e.Limit))
 }
--- a/internal/sender/wire_golden_test.go
+++ b/internal/sender/wire_golden_test.go
@@ -160,7 +160,7 @@
 	silent := st.NewEndpoint(t, st.Silent) // what it gets stays held
 	fullAddr := run(t, st.NewPlatform(t, silent.Addr), func(c *Config) {
 		takesEvents(c)
-		c.Settings.MostHeld = 3
+		c.Settings.MaxPending = 3
 	})
 	full := []wireRequest{
 		{name: "full: accepted", text: wireMessage("f1")},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -30,35 +30,35 @@
 	ms := func(key string) time.Duration { return Span(env.Float(key)) }
 	s := brain.Settings{
 		Senders: env.Int("balancers"), Zone: env.Int("zone"), Slots: env.Int("familyInfo.callsOut"),
-		MostHeld: env.Int("limits.mostHeld"), MaxAttempts: env.Int("limits.maxAttempts"),
-		MayCancel: env.Bool("limits.cancel"), IdleConnections: ms("limits.connIdle"),
-		TellsHoldOff: env.Bool("limits.retryAfter"), MaxHoldOff: ms("limits.maxRetryAfter"),
-		AsksForList: env.Word("discovery", "pushed", "on_request") == 1, Step: ms("step"),
-		SettleAfterDoubt: ms("rules.settleAfterDoubt"), FallMultiple: env.Float("rules.fallMultiple"),
-		StartCapacity: env.Float("rules.startCapacity"), OverloadFor: ms("rules.overloadFor"), Cold: ms("rules.cold"),
-		OverShareWorth: env.Float("overShareWorth"),
-		CrossZonePrice: env.Float("costs.crossZone"),
-		Halving:        env.Word("familyInfo.fades", "linear", "halving") == 1,
-		RatedLimits:    env.Word("weights", "none", "nominal", "rough", "live")%3 != 0,
-		ZoneFees:       env.Floats("familyInfo.toll"),
+		MaxPending: env.Int("limits.mostHeld"), MaxAttempts: env.Int("limits.maxAttempts"),
+		MayCancel: env.Bool("limits.cancel"), IdleConnTimeout: ms("limits.connIdle"),
+		SendsRetryAfter: env.Bool("limits.retryAfter"), MaxRetryAfter: ms("limits.maxRetryAfter"),
+		RequestsEndpoints: env.Word("discovery", "pushed", "on_request") == 1, StepInterval: ms("step"),
+		OrderingCooldown: ms("rules.settleAfterDoubt"), OverloadMultiple: env.Float("rules.fallMultiple"),
+		SlowStartCapacity: env.Float("rules.startCapacity"), OverloadWindow: ms("rules.overloadFor"), SlowStartDuration: ms("rules.cold"),
+		OverShareValue:   env.Float("overShareWorth"),
+		CrossZoneCost:    env.Float("costs.crossZone"),
+		ExponentialDecay: env.Word("familyInfo.fades", "linear", "halving") == 1,
+		RatingIsLimit:    env.Word("weights", "none", "nominal", "rough", "live")%3 != 0,
+		ZoneFees:         env.Floats("familyInfo.toll"),
 	}
 	apart, calls := env.Bools("familyInfo.routesApart"), env.Floats("familyInfo.perCall")
 	for i := range env.List("models") {
-		k := brain.Kind{PerCall: 1}
+		k := brain.Kind{MaxBatch: 1}
 		if i < len(apart) {
-			k.Apart = apart[i]
+			k.PerEndpointRoutes = apart[i]
 		}
 		if i < len(calls) {
-			k.PerCall = int(calls[i])
+			k.MaxBatch = int(calls[i])
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
 	for i := range env.Count("services") {
 		p := fmt.Sprintf("services.%d.", i)
-		s.Classes = append(s.Classes, brain.Class{Aim: ms(p + "slo"), Deadline: ms(p + "giveUp"),
-			Effect:    brain.Effect(env.Word(p+"effect", "read_like", "idempotency_key", "non_idempotent")),
-			KeyInZone: env.Word(p+"dedupScope", "all", "zone", "cell") != 0, KeyWindow: ms(p + "dedupWindow"),
-			Ordered: env.Bool(p + "oneAtATime"), Worth: env.Float(p + "worth"), LateWorth: env.Float(p + "lateValue")})
+		s.Classes = append(s.Classes, brain.Class{LatencyTarget: ms(p + "slo"), Deadline: ms(p + "giveUp"),
+			Idempotency:         brain.Idempotency(env.Word(p+"effect", "read_like", "idempotency_key", "non_idempotent")),
+			IdempotencyKeyZonal: env.Word(p+"dedupScope", "all", "zone", "cell") != 0, IdempotencyKeyTTL: ms(p + "dedupWindow"),
+			Ordered: env.Bool(p + "oneAtATime"), Value: env.Float(p + "worth"), LateValue: env.Float(p + "lateValue")})
 	}
 	for i := range env.Count("orgs") {
 		p := fmt.Sprintf("orgs.%d.", i)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -54,8 +54,8 @@
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 	s := Translate(got)
-	if got.Err() != nil || s.Slots != 18 || s.MaxHoldOff != 2000500*time.Microsecond || !s.Halving || !s.Kinds[1].Apart ||
-		s.Kinds[1].PerCall != 3 || s.Classes[0].Effect != brain.Keyed || s.Tenants[1].Allowance != 9 || !s.AsksForList {
+	if got.Err() != nil || s.Slots != 18 || s.MaxRetryAfter != 2000500*time.Microsecond || !s.ExponentialDecay || !s.Kinds[1].PerEndpointRoutes ||
+		s.Kinds[1].MaxBatch != 3 || s.Classes[0].Idempotency != brain.IdempotentByKey || s.Tenants[1].Allowance != 9 || !s.RequestsEndpoints {
 		t.Errorf("%v: %+v", got.Err(), s)
 	}
 }
