--- a/internal/tier/capacity/controlplane_test.go
+++ b/internal/tier/capacity/controlplane_test.go
@@ -34,8 +34,8 @@
 }
 
 func (store *memoryStore) Primary() (uint64, bool) { return 1 << 12, true }
-func (store *memoryStore) Hint() string            { return "" }
-func (store *memoryStore) Record() *tierv1.View    { return &tierv1.View{Epoch: 1 << 12} }
+func (store *memoryStore) PrimaryHint() string     { return "" }
+func (store *memoryStore) View() *tierv1.View      { return &tierv1.View{Epoch: 1 << 12} }
 func (store *memoryStore) Self() *tierv1.Member {
 	return &tierv1.Member{Folder: "c1", Address: "10.0.0.1:7000"}
 }
--- a/internal/tier/consensus/catchup_test.go
+++ b/internal/tier/consensus/catchup_test.go
@@ -36,11 +36,11 @@
 // fact: every member is there with its folder, and every site named holds its copy.
 func (w *world) settledAgain() bool {
 	l := w.leader()
-	if l == nil || l.busy || !w.whole() || l.m.health().Tolerates < w.losses || len(l.m.primary.record.Former) > 0 {
+	if l == nil || l.busy || !w.whole() || l.m.health().Tolerates < w.losses || len(l.m.primary.view.Former) > 0 {
 		return false
 	}
 	for _, s := range w.sites {
-		if s.m != nil && named(l.m.primary.record, s.m.Folder) && (s.busy || s.m.copyEpoch < l.m.primary.record.Epoch) {
+		if s.m != nil && isNamedIn(l.m.primary.view, s.m.Folder) && (s.busy || s.m.stateEpoch < l.m.primary.view.Epoch) {
 			return false
 		}
 	}
@@ -77,7 +77,7 @@
 	assert.Assert(t, leader != nil, w.tail())
 	var s *site
 	for _, o := range w.sites {
-		if o != leader && named(leader.m.primary.record, o.m.Folder) == backup {
+		if o != leader && isNamedIn(leader.m.primary.view, o.m.Folder) == backup {
 			s = o
 		}
 	}
@@ -97,7 +97,7 @@
 		w.run(w.now + 10*time.Millisecond)
 	}
 	took = w.now - began
-	whole = proto.Size(w.leader().m.whole(1))
+	whole = proto.Size(w.leader().m.snapshotWrite(1))
 	// The next loss comes at once: the leader's machine, for good. Another leads from what it has.
 	if len(w.faults) == 0 {
 		old := w.leader()
@@ -148,14 +148,14 @@
 const catchUpCopies = 3
 
 // following is a machine that is a backup of a leader, with a copy under its epoch.
-func following(t *testing.T) (m *machine, epoch uint64) {
+func following(t *testing.T) (m *replica, epoch uint64) {
 	t.Helper()
 	epoch = 5 << epochBits
-	d := durable{identity: identity{Folder: "fb"}}
-	m = newMachine(d, &tierv1.Member{Address: "b"}, []string{"a", "b", "c"}, 1, timings(3*time.Second, 0), 1)
-	m.out = new(actions)
-	m.promise(&tierv1.PrepareRequest{Epoch: epoch, From: &tierv1.Member{Folder: "fa", Address: "a"}})
-	assert.Assert(t, m.bound(epoch, "fa"))
+	d := durableState{identity: identity{Folder: "fb"}}
+	m = newReplica(d, &tierv1.Member{Address: "b"}, []string{"a", "b", "c"}, 1, newTiming(3*time.Second, 0), 1)
+	m.actions = new(actions)
+	m.handlePrepare(&tierv1.PrepareRequest{Epoch: epoch, From: &tierv1.Member{Folder: "fa", Address: "a"}})
+	assert.Assert(t, m.preparedExactly(epoch, "fa"))
 	return m, epoch
 }
 
@@ -171,37 +171,37 @@
 	holds := func(sequence uint64, keys ...string) {
 		t.Helper()
 		assert.Equal(t, m.sequence, sequence)
-		assert.Equal(t, len(m.data), len(keys))
+		assert.Equal(t, len(m.entries), len(keys))
 		for _, k := range keys {
-			assert.Assert(t, m.data[k] != nil, k)
+			assert.Assert(t, m.entries[k] != nil, k)
 		}
 	}
 	// A change before any snapshot, and one with a gap before it.
-	assert.Assert(t, m.write(change).Behind)
-	assert.Assert(t, m.write(snapshot).Acknowledged)
-	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: epoch, PreviousSequence: 2, Sequence: 3, Entries: entry("three", 3), From: "fa"}).Behind)
+	assert.Assert(t, m.handleWrite(change).Behind)
+	assert.Assert(t, m.handleWrite(snapshot).Acknowledged)
+	assert.Assert(t, m.handleWrite(&tierv1.WriteRequest{Epoch: epoch, PreviousSequence: 2, Sequence: 3, Entries: entry("three", 3), From: "fa"}).Behind)
 	holds(1, "one")
-	assert.Assert(t, m.write(change).Acknowledged)
+	assert.Assert(t, m.handleWrite(change).Acknowledged)
 	holds(2, "one", "two")
 	// Doubled, older than what followed it, and from another folder.
-	assert.Assert(t, m.write(snapshot).Acknowledged)
-	assert.Assert(t, m.write(change).Acknowledged)
+	assert.Assert(t, m.handleWrite(snapshot).Acknowledged)
+	assert.Assert(t, m.handleWrite(change).Acknowledged)
 	holds(2, "one", "two")
 	foreign := proto.CloneOf(snapshot)
 	foreign.From, foreign.Sequence = "fc", 9
-	assert.Assert(t, !m.write(foreign).Acknowledged)
+	assert.Assert(t, !m.handleWrite(foreign).Acknowledged)
 	holds(2, "one", "two")
 	// A new epoch: the snapshot of the old one comes after the changes of the new one, or after the promise alone.
-	m.promise(&tierv1.PrepareRequest{Epoch: 2 * epoch, From: &tierv1.Member{Folder: "fc", Address: "c"}})
+	m.handlePrepare(&tierv1.PrepareRequest{Epoch: 2 * epoch, From: &tierv1.Member{Folder: "fc", Address: "c"}})
 	late := proto.CloneOf(snapshot)
 	late.Sequence = 50
-	assert.Assert(t, !m.write(late).Acknowledged)
-	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: 2 * epoch, PreviousSequence: 2, Sequence: 2, From: "fc"}).Behind) // same sequence, other history
-	assert.Assert(t, m.write(&tierv1.WriteRequest{Epoch: 2 * epoch, Sequence: 2, Snapshot: true, Entries: entry("other", 2), From: "fc"}).Acknowledged)
+	assert.Assert(t, !m.handleWrite(late).Acknowledged)
+	assert.Assert(t, m.handleWrite(&tierv1.WriteRequest{Epoch: 2 * epoch, PreviousSequence: 2, Sequence: 2, From: "fc"}).Behind) // same sequence, other history
+	assert.Assert(t, m.handleWrite(&tierv1.WriteRequest{Epoch: 2 * epoch, Sequence: 2, Snapshot: true, Entries: entry("other", 2), From: "fc"}).Acknowledged)
 	holds(2, "other")
 	for _, q := range []*tierv1.WriteRequest{late, snapshot, change} {
-		a := m.write(q)
-		assert.Assert(t, !a.Acknowledged && !a.Behind && a.HighestPromised == 2*epoch)
+		a := m.handleWrite(q)
+		assert.Assert(t, !a.Acknowledged && !a.Behind && a.HighestPrepared == 2*epoch)
 		holds(2, "other")
 	}
 }
@@ -231,7 +231,7 @@
 				a, err := askNode(s, func(n *Node) (*tierv1.PrepareReply, error) {
 					return (server{n}).Promise(context.Background(), &tierv1.PrepareRequest{Epoch: e, From: &tierv1.Member{Folder: "fa", Address: "b"}})
 				})
-				if err != nil || !a.Promised {
+				if err != nil || !a.Prepared {
 					return false
 				}
 				sent = map[string]bool{"base": true}
@@ -254,12 +254,12 @@
 			s.disk.Crash(rand.New(rand.NewPCG(uint64(at), seed)))
 			s.open(false, "a", "b", "c")
 			assert.NilError(t, s.node.DiskError(), label)
-			d := &s.node.machine.durable
-			assert.Assert(t, d.copyEpoch >= epoch, "%s: copy of %d, taken under %d", label, d.copyEpoch, epoch)
-			assert.Assert(t, d.copyEpoch > epoch || d.sequence >= taken, "%s: at %d, took %d", label, d.sequence, taken)
-			assert.Assert(t, d.promised >= epoch, label)
-			if first := d.copyEpoch >> epochBits; first > 0 {
-				assert.Assert(t, d.data["base"] != nil && uint64(len(d.data)) == d.sequence-10*first+1, "%s: %d keys at %d", label, len(d.data), d.sequence)
+			d := &s.node.machine.durableState
+			assert.Assert(t, d.stateEpoch >= epoch, "%s: copy of %d, taken under %d", label, d.stateEpoch, epoch)
+			assert.Assert(t, d.stateEpoch > epoch || d.sequence >= taken, "%s: at %d, took %d", label, d.sequence, taken)
+			assert.Assert(t, d.preparedEpoch >= epoch, label)
+			if first := d.stateEpoch >> epochBits; first > 0 {
+				assert.Assert(t, d.entries["base"] != nil && uint64(len(d.entries)) == d.sequence-10*first+1, "%s: %d keys at %d", label, len(d.entries), d.sequence)
 			}
 			assert.Assert(t, life(3), label)
 		}
--- a/internal/tier/consensus/check_test.go
+++ b/internal/tier/consensus/check_test.go
@@ -17,7 +17,7 @@
 		s.seen = nil
 		return
 	}
-	r := s.m.primary.record
+	r := s.m.primary.view
 	if r == s.seen {
 		return
 	}
@@ -36,7 +36,7 @@
 		}
 	}
 	for key := range w.refused {
-		if s.m.primary.visible[key] != nil {
+		if s.m.primary.committed[key] != nil {
 			w.fault("%s shows %s, which was refused", s.m.Folder, key)
 		}
 	}
@@ -47,7 +47,7 @@
 // what it shows under its lease is held against the formula by leaseReads.
 func (w *world) overtaken(r *tierv1.View) bool {
 	for _, s := range w.sites {
-		if s.m != nil && slices.Contains(r.Backups, s.m.Folder) && s.m.promised > r.Epoch {
+		if s.m != nil && slices.Contains(r.Backups, s.m.Folder) && s.m.preparedEpoch > r.Epoch {
 			return true
 		}
 	}
@@ -57,9 +57,9 @@
 // visible is what the primary shows; one that stepped down in the step that acknowledged still has it in its copy.
 func (s *site) visible() map[string]*tierv1.Entry {
 	if s.m.primary == nil {
-		return s.m.data
+		return s.m.entries
 	}
-	return s.m.primary.visible
+	return s.m.primary.committed
 }
 
 func (w *world) holds(s *site, key string, sequence uint64) {
@@ -91,7 +91,7 @@
 		w.acked[op.key], w.ackedAt[op.key], w.ackedUnder[op.key] = o.sequence, w.now, s.led
 		for _, other := range w.sites {
 			if other == s || other.m != nil && other.m.primary != nil && !other.busy &&
-				other.m.primary.record.Epoch > s.led {
+				other.m.primary.view.Epoch > s.led {
 				w.holds(other, op.key, o.sequence)
 			}
 		}
@@ -103,18 +103,18 @@
 // put and confirm ask every process that takes itself for the primary.
 func (w *world) put(confirmed bool) (asked bool) {
 	for _, s := range w.sites {
-		if s.m == nil || s.m.primary == nil || confirmed && !s.m.confirmedWithin(s.m.timing.fresh) {
+		if s.m == nil || s.m.primary == nil || confirmed && !s.m.confirmedWithin(s.m.timing.lease) {
 			continue
 		}
 		asked = true
-		epoch := s.m.primary.record.Epoch
+		epoch := s.m.primary.view.Epoch
 		w.token++
 		key := fmt.Sprintf("k%d", w.token)
 		w.waiting[w.token] = &operation{key: key, began: w.now, site: s}
-		e := put{w.token, epoch, map[string][]byte{key: []byte(key)}}
+		e := putRequest{w.token, epoch, map[string][]byte{key: []byte(key)}}
 		w.token++
 		w.waiting[w.token] = &operation{began: w.now, site: s}
-		s.step(e, confirm{w.token, epoch})
+		s.step(e, confirmRequest{w.token, epoch})
 	}
 	return asked
 }
--- a/internal/tier/consensus/cutoff_test.go
+++ b/internal/tier/consensus/cutoff_test.go
@@ -18,14 +18,14 @@
 
 // leads tells whether a site would answer as primary at this instant.
 func (s *site) leads() bool {
-	return s.m != nil && !s.paused && s.m.primary != nil && s.world.now-s.m.lastConfirmed() < s.m.timing.fresh
+	return s.m != nil && !s.paused && s.m.primary != nil && s.world.now-s.m.lastConfirmed() < s.m.timing.lease
 }
 
 // lastConfirmed is what a Node's view holds: a machine without backups is always confirmed.
-func (m *machine) lastConfirmed() time.Duration {
+func (m *replica) lastConfirmed() time.Duration {
 	at := time.Duration(never)
-	for _, b := range m.primary.record.Backups {
-		at = min(at, m.primary.confirmed[b])
+	for _, b := range m.primary.view.Backups {
+		at = min(at, m.primary.confirmedAt[b])
 	}
 	return at
 }
@@ -61,7 +61,7 @@
 func (w *world) leader() *site {
 	var found *site
 	for _, s := range w.sites {
-		if s.m != nil && s.m.primary != nil && (found == nil || s.m.primary.record.Epoch > found.m.primary.record.Epoch) {
+		if s.m != nil && s.m.primary != nil && (found == nil || s.m.primary.view.Epoch > found.m.primary.view.Epoch) {
 			found = s
 		}
 	}
@@ -98,7 +98,7 @@
 // companion is a backup, or where there are too few a member, that is cut off together with the leader.
 func companion(w *world, old *site) *tierv1.Member {
 	for _, s := range w.sites {
-		if s != old && s.m != nil && named(old.m.primary.record, s.m.Folder) {
+		if s != old && s.m != nil && isNamedIn(old.m.primary.view, s.m.Folder) {
 			return s.member
 		}
 	}
@@ -145,7 +145,7 @@
 	}
 	c.end(w, old)
 	for healed := w.now; w.now < healed+4*time.Second && len(w.faults) == 0; {
-		if old.m.primary == nil && old.m.leaderAlive() && old.m.chosen.GetEpoch() == w.top.Epoch {
+		if old.m.primary == nil && old.m.primaryAlive() && old.m.chosen.GetEpoch() == w.top.Epoch {
 			back = w.now - healed + time.Millisecond
 			break
 		}
--- a/internal/tier/consensus/disk.go
+++ b/internal/tier/consensus/disk.go
@@ -18,8 +18,8 @@
 const (
 	// The first attempt to go on comes a heartbeat after the failure; the span between two attempts doubles up to
 	// diskRetryMax heartbeats. A failure diskHealthy heartbeats after the last recovery begins anew.
-	diskRetryMax = 16
-	diskHealthy  = 40
+	maxDiskBackoff   = 16
+	diskBackoffReset = 40
 
 	// The file is written anew when it is rewriteFactor times as long as it was after the last time, and rewriteSlack more.
 	// After a rewrite that failed the next is tried when it has grown by rewriteSlack.
@@ -27,15 +27,15 @@
 	rewriteSlack  = 256 << 10 // bytes
 )
 
-// disk is what the loop knows of the disk.
-type disk struct {
-	err       error         // nil: usable
-	retryAt   time.Duration // of the next attempt
-	retryWait time.Duration
-	since     time.Duration // when it last became usable
-	rewriteAt int64         // size at which the file is written anew
-	hadFolder bool          // this process had an identity on disk: a folder made later is not of the first start
-	lastCall  uint64        // the newest call of former machines: a late answer to one must not meet a call of another
+// diskStatus is what the loop knows of the disk.
+type diskStatus struct {
+	failure     error         // nil: usable
+	retryAt     time.Duration // of the next attempt
+	backoff     time.Duration
+	usableSince time.Duration // when it last became usable
+	rewriteAt   int64         // size at which the file is written anew
+	hadIdentity bool          // this process had an identity on disk: a folder made later is not of the first start
+	lastCallID  uint64        // the newest call of former machines: a late answer to one must not meet a call of another
 }
 
 // isDiskError tells errors that may pass from those of a file that this program cannot read.
@@ -45,7 +45,7 @@
 
 // openDisk reads the file, or makes it and the identity, and builds the machine from it. An error of the disk may pass.
 func (node *Node) openDisk() error {
-	var d durable
+	var d durableState
 	if err := node.replayFile(&d); err != nil {
 		return err
 	}
@@ -54,10 +54,10 @@
 			return errorx.Decorate(err, "consensus: make the folder")
 		}
 	}
-	node.disk.hadFolder = true
+	node.disk.hadIdentity = true
 	node.disk.rewriteAt = rewriteFactor*node.file.Size() + rewriteSlack
-	m := newMachine(d, node.config.Self, node.config.Seeds, node.config.Losses, node.timing, uint64(time.Now().UnixNano()))
-	m.resume(node.now(), node.disk.lastCall)
+	m := newReplica(d, node.config.Self, node.config.Seeds, node.config.Losses, node.timing, uint64(time.Now().UnixNano()))
+	m.resume(node.now(), node.disk.lastCallID)
 	if node.config.StateLimit > 0 {
 		m.stateLimit = node.config.StateLimit
 	}
@@ -66,7 +66,7 @@
 }
 
 // replayFile opens or reopens the file. Where only room is missing, a rewrite to the bare state may make some.
-func (node *Node) replayFile(d *durable) error {
+func (node *Node) replayFile(d *durableState) error {
 	if node.file == nil {
 		file, err := wal.Open(node.config.FS, node.config.Dir, fileName, d.replay)
 		if err != nil {
@@ -86,11 +86,11 @@
 }
 
 // makeIdentity draws a folder and syncs it.
-func (node *Node) makeIdentity(d *durable) error {
+func (node *Node) makeIdentity(d *durableState) error {
 	var b [16]byte
 	rand.Read(b[:])
 	d.identity = identity{Folder: hex.EncodeToString(b[:]), Seeds: node.config.Seeds,
-		Genesis: node.config.Bootstrap && !node.disk.hadFolder && slices.Contains(node.config.Seeds, node.config.Self.Address)}
+		Genesis: node.config.Bootstrap && !node.disk.hadIdentity && slices.Contains(node.config.Seeds, node.config.Self.Address)}
 	if err := node.file.Append(encodeIdentity(d.identity)); err != nil {
 		return err
 	}
@@ -98,9 +98,9 @@
 }
 
 // rewrite replaces the file by the records of a state.
-func (node *Node) rewrite(d *durable) error {
+func (node *Node) rewrite(d *durableState) error {
 	return node.file.Rewrite(func(add func([]byte) error) error {
-		for _, r := range d.snapshot() {
+		for _, r := range d.records() {
 			if err := add(r); err != nil {
 				return err
 			}
@@ -125,7 +125,7 @@
 	if node.file.Size() < node.disk.rewriteAt {
 		return nil
 	}
-	if err := node.rewrite(&node.machine.durable); err != nil {
+	if err := node.rewrite(&node.machine.durableState); err != nil {
 		if node.file.Err() != nil {
 			return errorx.Decorate(err, "consensus: rewrite")
 		}
@@ -141,19 +141,19 @@
 	node.dropMachine()
 	now := node.now()
 	switch {
-	case node.disk.retryWait == 0 || node.disk.err == nil && now-node.disk.since >= diskHealthy*node.timing.heartbeat:
-		node.disk.retryWait = node.timing.heartbeat
+	case node.disk.backoff == 0 || node.disk.failure == nil && now-node.disk.usableSince >= diskBackoffReset*node.timing.heartbeatInterval:
+		node.disk.backoff = node.timing.heartbeatInterval
 	default:
-		node.disk.retryWait = min(2*node.disk.retryWait, diskRetryMax*node.timing.heartbeat)
+		node.disk.backoff = min(2*node.disk.backoff, maxDiskBackoff*node.timing.heartbeatInterval)
 	}
-	node.disk.retryAt = now + node.disk.retryWait
-	first := node.disk.err == nil
-	node.disk.err = err
+	node.disk.retryAt = now + node.disk.backoff
+	first := node.disk.failure == nil
+	node.disk.failure = err
 	if !first {
 		return
 	}
 	node.mu.Lock()
-	node.view.primary, node.view.hint, node.view.health = false, "", Health{Disk: err, Losses: node.config.Losses, Tolerates: Unknown}
+	node.published.primary, node.published.primaryHint, node.published.health = false, "", Health{Disk: err, Losses: node.config.Losses, Tolerates: ToleranceUnknown}
 	node.inbox = nil
 	node.endCallers()
 	node.mu.Unlock()
@@ -162,10 +162,10 @@
 	}
 }
 
-// refuseRecord goes on after the file refused a record as too large. Nothing of the step was written, though early calls
+// restartWithoutRecord goes on after the file refused a record as too large. Nothing of the step was written, though early calls
 // have left: the machine is built anew from the file, as after a restart. The disk is sound, and not reported as failing.
 // The machine lets no such record come about by itself, see StateLimit.
-func (node *Node) refuseRecord(err error) {
+func (node *Node) restartWithoutRecord(err error) {
 	if node.config.Log != nil {
 		node.config.Log.Error().Str("event", "record_refused").Str("file", fileName).Err(err).Msg("record refused: " + err.Error())
 	}
@@ -186,13 +186,13 @@
 	if node.machine == nil {
 		return
 	}
-	node.disk.lastCall = node.machine.nextID
+	node.disk.lastCallID = node.machine.lastCallID
 	node.machine = nil
 }
 
-// retryDisk tries to go on. It returns only errors that cannot pass.
-func (node *Node) retryDisk() error {
-	before := node.disk.err
+// recoverDisk tries to go on. It returns only errors that cannot pass.
+func (node *Node) recoverDisk() error {
+	before := node.disk.failure
 	if err := node.openDisk(); err != nil {
 		if !isDiskError(err) {
 			return err
@@ -200,7 +200,7 @@
 		node.failDisk(err)
 		return nil
 	}
-	node.disk.err, node.disk.since = nil, node.now()
+	node.disk.failure, node.disk.usableSince = nil, node.now()
 	node.publish(true)
 	if node.config.Log != nil {
 		node.config.Log.Info().Str("event", "disk_recovered").Str("file", fileName).Str("folder", node.machine.Folder).
@@ -213,7 +213,7 @@
 func (node *Node) endCallers() {
 	for token, c := range node.outcomes {
 		delete(node.outcomes, token)
-		c <- outcome{token, 0, ErrUnknown}
+		c <- outcome{token, 0, ErrOutcomeUnknown}
 	}
 	for token, c := range node.replies {
 		delete(node.replies, token)
@@ -227,7 +227,7 @@
 func (node *Node) unavailable() error {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	if err := node.view.health.Disk; err != nil {
+	if err := node.published.health.Disk; err != nil {
 		return twirp.NewError(twirp.Unavailable, "disk failed: "+err.Error())
 	}
 	return twirp.NewError(twirp.Unavailable, "ending")
--- a/internal/tier/consensus/disk_test.go
+++ b/internal/tier/consensus/disk_test.go
@@ -46,7 +46,7 @@
 func (s *solo) turn(d time.Duration) {
 	s.t.Helper()
 	for end := s.now + d; s.now < end; s.now += 5 * time.Millisecond {
-		assert.NilError(s.t, s.node.turn(context.Background()))
+		assert.NilError(s.t, s.node.runOnce(context.Background()))
 	}
 }
 
@@ -62,7 +62,7 @@
 	defer n.mu.Unlock()
 	n.token++
 	n.outcomes[n.token] = c
-	if !n.postLocked(put{n.token, n.view.epoch, sets}) {
+	if !n.postLocked(putRequest{n.token, n.published.epoch, sets}) {
 		delete(n.outcomes, n.token)
 		c <- outcome{err: ErrNotPrimary}
 	}
@@ -173,7 +173,7 @@
 	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
 	a, err := s.ask(1 << 20)
 	assert.NilError(t, err)
-	assert.Assert(t, a.Promised)
+	assert.Assert(t, a.Prepared)
 	s.disk.FailFrom(1, syscall.ENOSPC)
 	_, err = s.ask(2 << 20)
 	assert.ErrorContains(t, err, "no space left on device")
@@ -187,10 +187,10 @@
 	assert.NilError(t, s.node.DiskError())
 	a, err = s.ask(1 << 20)
 	assert.NilError(t, err)
-	assert.Assert(t, !a.Promised && a.HighestPromised >= 1<<20, "%v", a)
+	assert.Assert(t, !a.Prepared && a.HighestPrepared >= 1<<20, "%v", a)
 	a, err = s.ask(4 << 20)
 	assert.NilError(t, err)
-	assert.Assert(t, a.Promised)
+	assert.Assert(t, a.Prepared)
 }
 
 // A genesis identity is made once: a file that is gone when the disk recovers makes another folder, without a vote.
@@ -223,7 +223,7 @@
 		s.disk.FailAt(1, syscall.ENOSPC)
 		c := s.put("lost")
 		s.turn(5 * time.Millisecond)
-		assert.ErrorIs(t, (<-c).err, ErrUnknown)
+		assert.ErrorIs(t, (<-c).err, ErrOutcomeUnknown)
 		s.disk.FailAt(at, syscall.ENOSPC)
 		s.turn(5 * time.Second)
 		assert.NilError(t, s.node.DiskError(), "operation %d", at)
@@ -275,7 +275,7 @@
 			repair()
 			c.until("the old leader to follow", func() bool {
 				leader, _ := c.primary()
-				return old.DiskError() == nil && old.Hint() == leader.Self().Address && old.Record().GetEpoch() == leader.Record().Epoch
+				return old.DiskError() == nil && old.PrimaryHint() == leader.Self().Address && old.View().GetEpoch() == leader.View().Epoch
 			})
 			assert.Equal(t, c.get("k"), "2")
 		})
--- a/internal/tier/consensus/durable.go
+++ b/internal/tier/consensus/durable.go
@@ -19,28 +19,28 @@
 	Seeds   []string // internal addresses of the genesis members
 }
 
-// durable is what a folder must not forget. It is changed in memory and on disk in the same step; nothing that rests on
+// durableState is what a folder must not forget. It is changed in memory and on disk in the same step; nothing that rests on
 // it leaves the process before it is synced.
-type durable struct {
+type durableState struct {
 	identity
-	promised   uint64
-	promisedTo string
-	accepted   *tierv1.View
-	chosen     *tierv1.View // may be forgotten
-	data       map[string]*tierv1.Entry
-	size       int // of data, by entrySize
-	sequence   uint64
-	copyEpoch  uint64 // under which the copy is held
+	preparedEpoch uint64
+	preparedFor   string
+	accepted      *tierv1.View
+	chosen        *tierv1.View // may be forgotten
+	entries       map[string]*tierv1.Entry
+	size          int // of data, by entrySize
+	sequence      uint64
+	stateEpoch    uint64 // under which the copy is held
 }
 
 // Kinds of records in the file: the first byte of each.
 const (
-	kindIdentity = 'I' // JSON
-	kindPromise  = 'P' // uvarint epoch, folder
-	kindAccepted = 'A' // Record
-	kindChosen   = 'C' // Record
-	kindWrite    = 'W' // WriteRequest
-	kindMark     = 'M' // uvarint epoch: the copy is held under it
+	kindIdentity   = 'I' // JSON
+	kindPrepared   = 'P' // uvarint epoch, folder
+	kindAccepted   = 'A' // Record
+	kindChosen     = 'C' // Record
+	kindWrite      = 'W' // WriteRequest
+	kindStateEpoch = 'M' // uvarint epoch: the copy is held under it
 )
 
 // encodeIdentity, encodePromise, encodeMark and encodeMessage make the records of the file; replay takes them.
@@ -49,11 +49,13 @@
 	return append([]byte{kindIdentity}, b...)
 }
 
-func encodePromise(epoch uint64, to string) []byte {
-	return append(binary.AppendUvarint([]byte{kindPromise}, epoch), to...)
+func encodePrepared(epoch uint64, to string) []byte {
+	return append(binary.AppendUvarint([]byte{kindPrepared}, epoch), to...)
 }
 
-func encodeMark(epoch uint64) []byte { return binary.AppendUvarint([]byte{kindMark}, epoch) }
+func encodeStateEpoch(epoch uint64) []byte {
+	return binary.AppendUvarint([]byte{kindStateEpoch}, epoch)
+}
 
 func encodeMessage(kind byte, m proto.Message) []byte {
 	b, err := proto.MarshalOptions{}.MarshalAppend([]byte{kind}, m)
@@ -64,7 +66,7 @@
 }
 
 // replay takes one record of the file.
-func (state *durable) replay(record []byte) error {
+func (state *durableState) replay(record []byte) error {
 	if len(record) == 0 {
 		return errorx.IllegalFormat.New("consensus: empty record")
 	}
@@ -72,18 +74,18 @@
 	switch record[0] {
 	case kindIdentity:
 		return json.Unmarshal(body, &state.identity)
-	case kindPromise:
+	case kindPrepared:
 		epoch, n := binary.Uvarint(body)
 		if n <= 0 {
 			return errorx.IllegalFormat.New("consensus: promise")
 		}
-		state.promised, state.promisedTo = epoch, string(body[n:])
-	case kindMark:
+		state.preparedEpoch, state.preparedFor = epoch, string(body[n:])
+	case kindStateEpoch:
 		epoch, n := binary.Uvarint(body)
 		if n <= 0 {
 			return errorx.IllegalFormat.New("consensus: mark")
 		}
-		state.copyEpoch = epoch
+		state.stateEpoch = epoch
 	case kindAccepted, kindChosen:
 		r := new(tierv1.View)
 		if err := proto.Unmarshal(body, r); err != nil {
@@ -107,10 +109,10 @@
 }
 
 // apply makes the copy what a write says. The map is replaced, never changed: others may hold the former one.
-func (state *durable) apply(w *tierv1.WriteRequest) {
+func (state *durableState) apply(w *tierv1.WriteRequest) {
 	data, size := make(map[string]*tierv1.Entry, len(w.Entries)), 0
-	if !w.Snapshot && state.data != nil {
-		data, size = maps.Clone(state.data), state.size
+	if !w.Snapshot && state.entries != nil {
+		data, size = maps.Clone(state.entries), state.size
 	}
 	for _, e := range w.Entries {
 		if before := data[e.Key]; before != nil {
@@ -122,23 +124,23 @@
 			data[e.Key] = e
 		}
 	}
-	state.data, state.size, state.sequence, state.copyEpoch = data, size, w.Sequence, w.Epoch
+	state.entries, state.size, state.sequence, state.stateEpoch = data, size, w.Sequence, w.Epoch
 }
 
-// whole is the write that makes another copy the same as this one.
-func (state *durable) whole(epoch uint64) *tierv1.WriteRequest {
+// snapshotWrite is the write that makes another copy the same as this one.
+func (state *durableState) snapshotWrite(epoch uint64) *tierv1.WriteRequest {
 	w := &tierv1.WriteRequest{Epoch: epoch, Sequence: state.sequence, Snapshot: true, From: state.Folder}
-	for _, k := range slices.Sorted(maps.Keys(state.data)) {
-		w.Entries = append(w.Entries, state.data[k])
+	for _, k := range slices.Sorted(maps.Keys(state.entries)) {
+		w.Entries = append(w.Entries, state.entries[k])
 	}
 	return w
 }
 
-// snapshot gives the records from which replay makes the same state.
-func (state *durable) snapshot() (records [][]byte) {
+// records gives the records from which replay makes the same state.
+func (state *durableState) records() (records [][]byte) {
 	records = append(records, encodeIdentity(state.identity))
-	if state.promised > 0 {
-		records = append(records, encodePromise(state.promised, state.promisedTo))
+	if state.preparedEpoch > 0 {
+		records = append(records, encodePrepared(state.preparedEpoch, state.preparedFor))
 	}
 	if state.accepted != nil {
 		records = append(records, encodeMessage(kindAccepted, state.accepted))
@@ -146,8 +148,8 @@
 	if state.chosen != nil {
 		records = append(records, encodeMessage(kindChosen, state.chosen))
 	}
-	if state.copyEpoch > 0 {
-		records = append(records, encodeMessage(kindWrite, state.whole(state.copyEpoch)))
+	if state.stateEpoch > 0 {
+		records = append(records, encodeMessage(kindWrite, state.snapshotWrite(state.stateEpoch)))
 	}
 	return records
 }
--- a/internal/tier/consensus/events.go
+++ b/internal/tier/consensus/events.go
@@ -8,24 +8,24 @@
 
 // The events of Step.
 type (
-	// request is a call of another node; it is answered by a reply with its token.
-	request struct {
+	// incomingCall is a call of another node; it is answered by a reply with its token.
+	incomingCall struct {
 		token uint64
 		body  proto.Message
 	}
-	// answer ends a call of this node. The body is nil where it failed.
-	answer struct {
+	// callResult ends a call of this node. The body is nil where it failed.
+	callResult struct {
 		id   uint64
 		body proto.Message
 	}
-	// put asks for sets to be written under an epoch; its outcome has its token.
-	put struct {
+	// putRequest asks for sets to be written under an epoch; its outcome has its token.
+	putRequest struct {
 		token uint64
 		epoch uint64
 		sets  map[string][]byte
 	}
-	// confirm asks for a round trip to all backups under an epoch; its outcome has its token.
-	confirm struct {
+	// confirmRequest asks for a round trip to all backups under an epoch; its outcome has its token.
+	confirmRequest struct {
 		token uint64
 		epoch uint64
 	}
@@ -37,15 +37,15 @@
 
 // What comes out of Step.
 type (
-	// call is a call to another node. It ends with an answer of its id.
-	call struct {
+	// outgoingCall is a call to another node. It ends with an answer of its id.
+	outgoingCall struct {
 		id      uint64
 		address string
 		body    proto.Message
 		timeout time.Duration
 	}
-	// reply answers the request with its token.
-	reply struct {
+	// callReply answers the request with its token.
+	callReply struct {
 		token uint64
 		body  proto.Message
 	}
@@ -57,13 +57,13 @@
 	}
 	// actions are what is to be done after a step, in the order of the fields.
 	actions struct {
-		early    []call   // that need not wait for the disk
-		records  [][]byte // to be appended to the file
-		sync     bool     // the file is to be synced behind them
-		calls    []call
-		replies  []reply
-		outcomes []outcome
-		changed  bool     // callers that wait for a change are to look again
-		news     []string // for the log
+		unsyncedCalls []outgoingCall // that need not wait for the disk
+		records       [][]byte       // to be appended to the file
+		sync          bool           // the file is to be synced behind them
+		calls         []outgoingCall
+		replies       []callReply
+		outcomes      []outcome
+		changed       bool     // callers that wait for a change are to look again
+		transitions   []string // for the log
 	}
 )
--- a/internal/tier/consensus/explore_digest_test.go
+++ b/internal/tier/consensus/explore_digest_test.go
@@ -20,14 +20,14 @@
 		}
 		return x.body(r).n
 	}
-	state := func(d *durable) {
-		fmt.Fprint(&b, d.Folder, d.promised, d.promisedTo, record(d.accepted), record(d.chosen), d.sequence, d.copyEpoch, ";")
-		for _, k := range slices.Sorted(maps.Keys(d.data)) {
-			fmt.Fprint(&b, k, d.data[k].Sequence, ",")
+	state := func(d *durableState) {
+		fmt.Fprint(&b, d.Folder, d.preparedEpoch, d.preparedFor, record(d.accepted), record(d.chosen), d.sequence, d.stateEpoch, ";")
+		for _, k := range slices.Sorted(maps.Keys(d.entries)) {
+			fmt.Fprint(&b, k, d.entries[k].Sequence, ",")
 		}
 	}
-	state(&m.durable)
-	var disk durable
+	state(&m.durableState)
+	var disk durableState
 	for _, r := range l.records {
 		if err := disk.replay(r); err != nil {
 			panic(err)
@@ -35,38 +35,38 @@
 	}
 	b.WriteByte('|')
 	state(&disk)
-	fmt.Fprint(&b, "|", l.site, l.led, m.nextID, m.highest, m.hint, m.observed, m.now-m.granted, "|")
+	fmt.Fprint(&b, "|", l.site, l.led, m.lastCallID, m.highestEpoch, m.primaryHint, m.primarySeen, m.now-m.preparedAt, "|")
 	for _, a := range slices.Sorted(maps.Keys(m.peers)) {
 		p := m.peers[a]
-		fmt.Fprint(&b, a, p.member.GetFolder(), m.now-p.first, m.now-p.answered, p.trip, p.replied, p.met, p.asking, p.voter, ",")
+		fmt.Fprint(&b, a, p.member.GetFolder(), m.now-p.firstSeen, m.now-p.answeredAt, p.roundTrip, p.hasReplied, p.inContact, p.heartbeatPending, p.knowsMembership, ",")
 	}
 	if p := m.proposal; p != nil {
-		fmt.Fprint(&b, "|p", p.phase, p.epoch, record(p.base), record(p.target), p.open, m.now-p.deadline, m.now-p.grace,
-			p.in.GetFolder(), p.out.GetFolder(), p.drop, p.asked, p.copies, p.bad, p.accepted, p.silent, p.repeated)
-		for _, f := range slices.Sorted(maps.Keys(p.confirmed)) {
-			fmt.Fprint(&b, f, m.now-p.confirmed[f], ",")
+		fmt.Fprint(&b, "|p", p.phase, p.epoch, record(p.predecessor), record(p.target), p.openCalls, m.now-p.deadline, m.now-p.graceUntil,
+			p.add.GetFolder(), p.remove.GetFolder(), p.replaceBackups, p.askedAddresses, p.transfers, p.failedTransfers, p.acceptedBy, p.unanswered, p.retried)
+		for _, f := range slices.Sorted(maps.Keys(p.confirmedAt)) {
+			fmt.Fprint(&b, f, m.now-p.confirmedAt[f], ",")
 		}
-		for _, f := range slices.Sorted(maps.Keys(p.replies)) {
-			fmt.Fprint(&b, f, x.body(p.replies[f]).n, ",")
+		for _, f := range slices.Sorted(maps.Keys(p.prepared)) {
+			fmt.Fprint(&b, f, x.body(p.prepared[f]).n, ",")
 		}
 	}
 	if r := m.primary; r != nil {
-		fmt.Fprint(&b, "|r", r.first, record(r.record), m.now-r.began, r.lost, r.renew, m.now-r.next, r.retryAt, m.now-r.moreAt, l.shown)
-		for _, f := range slices.Sorted(maps.Keys(r.confirmed)) {
-			fmt.Fprint(&b, f, m.now-r.confirmed[f], ",")
+		fmt.Fprint(&b, "|r", r.firstEpoch, record(r.view), m.now-r.since, r.failedBackups, r.needsHigherEpoch, m.now-r.heartbeatAt, r.proposeAt, m.now-r.growAt, l.shown)
+		for _, f := range slices.Sorted(maps.Keys(r.confirmedAt)) {
+			fmt.Fprint(&b, f, m.now-r.confirmedAt[f], ",")
 		}
 		for _, w := range r.queue {
 			fmt.Fprint(&b, "q", w.token)
 		}
-		if r.round != nil {
-			fmt.Fprint(&b, "n", r.round.need)
-			for _, w := range r.round.waiters {
+		if r.batch != nil {
+			fmt.Fprint(&b, "n", r.batch.unacknowledged)
+			for _, w := range r.batch.operations {
 				fmt.Fprint(&b, "w", w.token, w.sequence)
 			}
 		}
 	}
 	// What an answer will mean depends on whether the proposal or round that asked is still the one.
-	for _, id := range slices.Sorted(maps.Keys(m.pending)) {
+	for _, id := range slices.Sorted(maps.Keys(m.pendingCalls)) {
 		current := false
 		switch q := s.asked[id].(type) {
 		case *tierv1.PrepareRequest:
@@ -74,7 +74,7 @@
 		case *tierv1.AcceptRequest:
 			current = m.proposal != nil && m.proposal.epoch == q.View.Epoch
 		case *tierv1.WriteRequest:
-			current = m.proposal != nil && m.proposal.epoch == q.Epoch || m.primary != nil && m.primary.record.Epoch == q.Epoch
+			current = m.proposal != nil && m.proposal.epoch == q.Epoch || m.primary != nil && m.primary.view.Epoch == q.Epoch
 			fmt.Fprint(&b, q.Sequence, q.Snapshot)
 		}
 		fmt.Fprint(&b, "c", id, current)
--- a/internal/tier/consensus/explore_liveness_test.go
+++ b/internal/tier/consensus/explore_liveness_test.go
@@ -118,8 +118,8 @@
 
 // deafAfterOnePromise gives one promise in its life.
 var deafAfterOnePromise = plant{name: "promises once", before: func(s *subject, e event) (event, *outcome) {
-	if q, ok := e.(request); ok {
-		if _, ok := q.body.(*tierv1.PrepareRequest); ok && s.m.promised > 0 {
+	if q, ok := e.(incomingCall); ok {
+		if _, ok := q.body.(*tierv1.PrepareRequest); ok && s.m.preparedEpoch > 0 {
 			return nil, nil
 		}
 	}
--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -54,7 +54,7 @@
 		o.stage = orphaned
 		c.add(x.item(o))
 	}
-	l := x.advance(c.lanes[i.to], eventKey{"asked", 0, i.request.n, cut}, request{0, i.request.m})
+	l := x.advance(c.lanes[i.to], eventKey{"asked", 0, i.request.n, cut}, incomingCall{0, i.request.m})
 	if cut {
 		c.left.restarts--
 		c.how.also = ", whose power goes in the middle"
@@ -72,7 +72,7 @@
 	if b != nil {
 		n, m = b.n, b.m
 	}
-	return x.advance(w.lanes[i.from], eventKey{"answered", i.id, n, false}, answer{i.id, m})
+	return x.advance(w.lanes[i.from], eventKey{"answered", i.id, n, false}, callResult{i.id, m})
 }
 
 // timeout ends a call; its request may still come.
@@ -119,7 +119,7 @@
 	n := maxOperations - int(w.left.writes)
 	w = w.with(transition{})
 	w.left.writes--
-	c, err := x.event(w, site, [maxOperations]string{"write w0", "write w1"}[n], put{uint64(n), w.lanes[site].leadership,
+	c, err := x.event(w, site, [maxOperations]string{"write w0", "write w1"}[n], putRequest{uint64(n), w.lanes[site].leadership,
 		map[string][]byte{writes[n]: []byte("x")}})
 	c.parent = w.parent // one transition, not two
 	return c, err
@@ -134,7 +134,7 @@
 			w.began[n] |= 1 << k
 		}
 	}
-	c, err := x.event(w, site, [maxOperations]string{"confirm 0", "confirm 1"}[n], confirm{uint64(maxOperations + n), w.lanes[site].leadership})
+	c, err := x.event(w, site, [maxOperations]string{"confirm 0", "confirm 1"}[n], confirmRequest{uint64(maxOperations + n), w.lanes[site].leadership})
 	c.parent = w.parent // one transition, not two
 	return c, err
 }
--- a/internal/tier/consensus/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -84,7 +84,7 @@
 
 // output is what a step sends.
 type output struct {
-	early, calls []call
+	early, calls []outgoingCall
 	reply        proto.Message
 	outcomes     []outcome
 }
@@ -179,22 +179,22 @@
 
 // explored are the spans of a machine whose clock stands still: nothing waits for heartbeats or a grace.
 func explored() timing {
-	t := timings(3*time.Second, 0)
-	t.heartbeat = 3
+	t := newTiming(3*time.Second, 0)
+	t.heartbeatInterval = 3
 	return t
 }
 
 func (x *explorer) boot(disk [][]byte, site int, now time.Duration) *subject {
-	var d durable
+	var d durableState
 	for _, r := range disk {
 		if err := d.replay(r); err != nil {
 			panic(err)
 		}
 	}
 	a := x.addresses[site]
-	m := newMachine(d, &tierv1.Member{Address: a, Zone: "z" + a, Region: "r"}, x.seeds, x.losses, explored(), 1)
+	m := newReplica(d, &tierv1.Member{Address: a, Zone: "z" + a, Region: "r"}, x.seeds, x.losses, explored(), 1)
 	m.random = rand.New(zeros{})
-	m.now, m.tryAt, m.joinAt = now, never, never
+	m.now, m.candidacyAt, m.joinAt = now, never, never
 	return &subject{m: m, plant: x.plant, asked: make(map[uint64]proto.Message)}
 }
 
@@ -203,48 +203,48 @@
 	var out *actions
 	switch t.e.(type) {
 	case take:
-		s.m.now, s.m.out = t.now, new(actions)
-		if s.m.primary == nil && s.m.proposal == nil && slices.ContainsFunc(configurations(s.m.base()), s.m.isVoter) {
-			s.m.propose(plan{})
+		s.m.now, s.m.actions = t.now, new(actions)
+		if s.m.primary == nil && s.m.proposal == nil && slices.ContainsFunc(quorumSets(s.m.newestView()), s.m.isVoter) {
+			s.m.propose(reconfiguration{})
 		}
-		early := s.m.out
+		early := s.m.actions
 		if s.plant.after != nil {
 			s.plant.after(s, early)
 		}
 		out = s.step(t.now)
-		out.early, out.calls = append(early.early, out.early...), append(early.calls, out.calls...)
+		out.unsyncedCalls, out.calls = append(early.unsyncedCalls, out.unsyncedCalls...), append(early.calls, out.calls...)
 		out.records, out.sync = append(early.records, out.records...), out.sync || early.sync
-		for _, c := range early.early {
+		for _, c := range early.unsyncedCalls {
 			s.asked[c.id] = c.body
 		}
 	case age:
 		out = s.step(t.now, tick{})
 	case swap:
 		q := t.e.(swap)
-		p := plan{in: &tierv1.Member{Folder: q.in + "0", Address: q.in, Zone: "z" + q.in, Region: "r"}}
-		for _, v := range s.m.primary.record.Members {
+		p := reconfiguration{add: &tierv1.Member{Folder: q.in + "0", Address: q.in, Zone: "z" + q.in, Region: "r"}}
+		for _, v := range s.m.primary.view.Members {
 			if v.Address == q.out {
-				p.out = v
+				p.remove = v
 			}
 		}
-		s.m.now, s.m.out = t.now, new(actions)
+		s.m.now, s.m.actions = t.now, new(actions)
 		s.m.propose(p)
-		out = s.m.out
-		for _, c := range out.early {
+		out = s.m.actions
+		for _, c := range out.unsyncedCalls {
 			s.asked[c.id] = c.body
 		}
 	case tick:
 		if s.m.primary != nil {
-			s.m.primary.retryAt = 0
+			s.m.primary.proposeAt = 0
 		}
 		out = s.step(t.now, t.e)
 	default:
 		out = s.step(t.now, t.e)
 	}
 	x.steps++
-	s.m.tryAt, s.m.joinAt = never, never
+	s.m.candidacyAt, s.m.joinAt = never, never
 	if s.m.primary != nil {
-		s.m.primary.retryAt = never // but for a tick
+		s.m.primary.proposeAt = never // but for a tick
 	}
 	return out
 }
@@ -261,11 +261,11 @@
 }
 
 // possibleSwaps are the changes of members that a leader may begin: it does so only under a settled record.
-func (x *explorer) possibleSwaps(m *machine) (list []swap) {
-	if m.primary == nil || m.proposal != nil || len(m.primary.record.Former) > 0 {
+func (x *explorer) possibleSwaps(m *replica) (list []swap) {
+	if m.primary == nil || m.proposal != nil || len(m.primary.view.Former) > 0 {
 		return nil
 	}
-	members := m.primary.record.Members
+	members := m.primary.view.Members
 	for _, in := range x.addresses[len(x.seeds):] {
 		if slices.ContainsFunc(members, func(v *tierv1.Member) bool { return v.Address == in }) {
 			continue
@@ -283,11 +283,11 @@
 func (x *explorer) lane(l *lane, s *subject) *lane {
 	l.folder = s.m.Folder
 	l.leadership, l.shown, l.swaps = 0, make(map[string]uint64), x.possibleSwaps(s.m)
-	l.promised, l.backups = s.m.promised, nil
-	data := s.m.data
+	l.promised, l.backups = s.m.preparedEpoch, nil
+	data := s.m.entries
 	if s.m.primary != nil {
-		l.leadership, l.led, data = s.m.primary.record.Epoch, s.m.primary.record.Epoch, s.m.primary.visible
-		l.backups = s.m.primary.record.Backups
+		l.leadership, l.led, data = s.m.primary.view.Epoch, s.m.primary.view.Epoch, s.m.primary.committed
+		l.backups = s.m.primary.view.Backups
 	}
 	for k, e := range data {
 		l.shown[k] = e.Sequence
@@ -317,10 +317,10 @@
 	case tick:
 		now += 16
 	case age:
-		now += s.m.timing.fresh
+		now += s.m.timing.lease
 	}
 	out := x.play(s, timedEvent{now, e})
-	after := &output{early: out.early, calls: out.calls, outcomes: out.outcomes}
+	after := &output{early: out.unsyncedCalls, calls: out.calls, outcomes: out.outcomes}
 	for _, r := range out.replies {
 		after.reply = r.body
 	}
@@ -368,7 +368,7 @@
 func (x *explorer) move(w *systemState, l *lane) error {
 	before := w.lanes[l.site]
 	w.lanes[l.site] = l
-	for _, list := range [][]call{l.output.early, l.output.calls} {
+	for _, list := range [][]outgoingCall{l.output.early, l.output.calls} {
 		for _, c := range list {
 			switch c.body.(type) {
 			case *tierv1.HeartbeatRequest, *tierv1.JoinRequest:
--- a/internal/tier/consensus/far_test.go
+++ b/internal/tier/consensus/far_test.go
@@ -14,7 +14,7 @@
 
 // far plays machines whose only trouble is their distance: each way takes what oneWay tells, each sync of a disk takes
 // what sync tells. It gives the machines and how many records each had chosen for itself.
-func far(n, losses int, window, until, sync time.Duration, oneWay func(from, to int) time.Duration) (machines []*machine, leaderships []int) {
+func far(n, losses int, window, until, sync time.Duration, oneWay func(from, to int) time.Duration) (machines []*replica, leaderships []int) {
 	var queue moments
 	var now time.Duration
 	order := 0
@@ -32,19 +32,19 @@
 	busy := make([]bool, n)
 	inbox := make([][]event, n)
 	var step func(i int, events ...event)
-	send := func(i int, c call) {
+	send := func(i int, c outgoingCall) {
 		j, ended := index[c.address], false
 		end := func(body proto.Message) {
 			if !ended {
 				ended = true
-				step(i, answer{c.id, body})
+				step(i, callResult{c.id, body})
 			}
 		}
 		after(c.timeout, func() { end(nil) })
 		after(oneWay(i, j), func() {
 			token++
 			waiting[token] = func(body proto.Message) { after(oneWay(j, i), func() { end(proto.Clone(body)) }) }
-			step(j, request{token, proto.Clone(c.body)})
+			step(j, incomingCall{token, proto.Clone(c.body)})
 		})
 	}
 	step = func(i int, events ...event) {
@@ -55,12 +55,12 @@
 		events, inbox[i] = inbox[i], nil
 		m := machines[i]
 		out := m.Step(now, events...)
-		for _, what := range out.news {
+		for _, what := range out.transitions {
 			if what == "primary" {
 				leaderships[i]++
 			}
 		}
-		for _, c := range out.early {
+		for _, c := range out.unsyncedCalls {
 			send(i, c)
 		}
 		rest := func() {
@@ -76,8 +76,8 @@
 				step(i)
 				return
 			}
-			after(max(m.wake()-now, time.Millisecond), func() {
-				if now >= m.wake() {
+			after(max(m.nextStepAt()-now, time.Millisecond), func() {
+				if now >= m.nextStepAt() {
 					step(i, tick{})
 				}
 			})
@@ -92,8 +92,8 @@
 	for i := range n {
 		self := &tierv1.Member{Address: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%3), Region: fmt.Sprint("r", i%2)}
 		index[self.Address] = i
-		d := durable{identity: identity{Folder: fmt.Sprint("f", i), Seeds: seeds, Genesis: i < 3}}
-		machines = append(machines, newMachine(d, self, seeds, losses, timings(window, 1200*time.Millisecond), uint64(i)))
+		d := durableState{identity: identity{Folder: fmt.Sprint("f", i), Seeds: seeds, Genesis: i < 3}}
+		machines = append(machines, newReplica(d, self, seeds, losses, newTiming(window, 1200*time.Millisecond), uint64(i)))
 		leaderships = append(leaderships, 0)
 		after(0, func() { step(i, tick{}) })
 	}
@@ -125,8 +125,8 @@
 							total += leaderships[i]
 							if m.primary != nil {
 								primaries++
-								should, _ := m.wanted(len(m.primary.record.Members))
-								assert.Equal(t, len(m.primary.record.Backups), should, name)
+								should, _ := m.backupCounts(len(m.primary.view.Members))
+								assert.Equal(t, len(m.primary.view.Backups), should, name)
 							}
 						}
 						assert.Equal(t, primaries, 1, name)
--- a/internal/tier/consensus/health.go
+++ b/internal/tier/consensus/health.go
@@ -6,8 +6,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Unknown is Health.Tolerates of a node that does not lead, or whose lease has ended.
-const Unknown = -1
+// ToleranceUnknown is Health.Tolerates of a node that does not lead, or whose lease has ended.
+const ToleranceUnknown = -1
 
 // Health is what a node can tell about its disk and, where it leads, about the losses that the group bears.
 type Health struct {
@@ -28,24 +28,24 @@
 	now := node.now()
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	h := node.view.health
-	if h.Tolerates != Unknown && !node.view.leads(now, node.timing.fresh) {
-		h.Tolerates = Unknown
+	h := node.published.health
+	if h.Tolerates != ToleranceUnknown && !node.published.leads(now, node.timing.lease) {
+		h.Tolerates = ToleranceUnknown
 	}
-	h.Lease = node.view.lease(now, node.timing.fresh)
+	h.Lease = node.published.lease(now, node.timing.lease)
 	return h
 }
 
 // lease is how much longer leads holds if no backup answers any more. Without backups it has no end, and is given as just
 // confirmed.
-func (v *view) lease(now, fresh time.Duration) time.Duration {
+func (v *publishedState) lease(now, fresh time.Duration) time.Duration {
 	switch {
 	case !v.leads(now, fresh):
 		return 0
-	case v.alone:
+	case v.withoutBackups:
 		return fresh
 	}
-	return v.confirmed + fresh - now
+	return v.leaseStart + fresh - now
 }
 
 // health of the machine's view. With B the backups that answer, and for each set S of conf(record) live(S) the members of it
@@ -56,24 +56,24 @@
 // Any |B| of the |B|+1 copies may go without the loss of a write, and a majority of each set is left to choose the next
 // record. A joiner without a vote and a member without an answer count for nothing. A member counts as there until
 // recently has passed since its last answer, so a loss shows that late at most.
-func (machine *machine) health() Health {
-	h := Health{Losses: machine.losses, Tolerates: Unknown, MembersWanted: 2*machine.losses + 1}
+func (machine *replica) health() Health {
+	h := Health{Losses: machine.toleratedLosses, Tolerates: ToleranceUnknown, MembersWanted: 2*machine.toleratedLosses + 1}
 	if machine.primary == nil {
 		return h
 	}
-	record := machine.primary.record
+	record := machine.primary.view
 	h.Members, h.Changing = len(record.Members), len(record.Former) > 0
-	h.BackupsWanted, _ = machine.wanted(len(record.Members))
+	h.BackupsWanted, _ = machine.backupCounts(len(record.Members))
 	for _, folder := range record.Backups {
-		if machine.backupAnswers(folder) {
+		if machine.backupIsResponsive(folder) {
 			h.Backups++
 		}
 	}
-	h.Tolerates = min(h.Backups, machine.losses)
-	for _, set := range configurations(record) {
+	h.Tolerates = min(h.Backups, machine.toleratedLosses)
+	for _, set := range quorumSets(record) {
 		live := 0
 		for _, member := range set {
-			if machine.answers(member) {
+			if machine.isResponsive(member) {
 				live++
 			}
 		}
@@ -81,25 +81,25 @@
 	}
 	h.Tolerates = max(h.Tolerates, 0)
 	for _, member := range record.Members {
-		if !machine.answers(member) {
+		if !machine.isResponsive(member) {
 			h.Absent = append(h.Absent, member.Address)
 		}
 	}
 	return h
 }
 
-// recently is how old the last answer of a member may be that counts as there.
-func (machine *machine) recently() time.Duration {
-	return machine.timing.call + machine.timing.heartbeat/2
+// answerMaxAge is how old the last answer of a member may be that counts as there.
+func (machine *replica) answerMaxAge() time.Duration {
+	return machine.timing.callTimeout + machine.timing.heartbeatInterval/2
 }
 
-// answers tells whether a member answered of late, or is this one.
-func (machine *machine) answers(member *tierv1.Member) bool {
-	return member.Folder == machine.Folder || member.Folder == "" && member.Address == machine.self.Address || machine.alive(member, machine.recently())
+// isResponsive tells whether a member answered of late, or is this one.
+func (machine *replica) isResponsive(member *tierv1.Member) bool {
+	return member.Folder == machine.Folder || member.Folder == "" && member.Address == machine.self.Address || machine.answeredWithin(member, machine.answerMaxAge())
 }
 
-// backupAnswers tells whether a backup confirmed the record of late and holds what was acknowledged.
-func (machine *machine) backupAnswers(folder string) bool {
+// backupIsResponsive tells whether a backup confirmed the record of late and holds what was acknowledged.
+func (machine *replica) backupIsResponsive(folder string) bool {
 	primary := machine.primary
-	return !primary.lost[folder] && machine.now-primary.confirmed[folder] <= machine.recently() && !machine.replaced(folder)
+	return !primary.failedBackups[folder] && machine.now-primary.confirmedAt[folder] <= machine.answerMaxAge() && !machine.wasReplaced(folder)
 }
--- a/internal/tier/consensus/large_test.go
+++ b/internal/tier/consensus/large_test.go
@@ -23,7 +23,7 @@
 		key := fmt.Sprint("part", n)
 		w.token++
 		w.waiting[w.token] = &operation{key: key, began: w.now, site: l}
-		l.step(put{w.token, l.m.primary.record.Epoch, map[string][]byte{key: bytes.Repeat([]byte("x"), part)}})
+		l.step(putRequest{w.token, l.m.primary.view.Epoch, map[string][]byte{key: bytes.Repeat([]byte("x"), part)}})
 		w.run(w.now + 50*time.Millisecond)
 	}
 	assert.Assert(t, len(w.acked) == parts, w.tail())
@@ -47,7 +47,7 @@
 				w.readings(w.now + 40*time.Second)
 				leader := w.leader()
 				for _, s := range w.sites { // a backup is restarted
-					if s != leader && named(leader.m.primary.record, s.m.Folder) {
+					if s != leader && isNamedIn(leader.m.primary.view, s.m.Folder) {
 						s.stop(false)
 						w.startWithin(s, time.Second)
 						break
--- a/internal/tier/consensus/lease_test.go
+++ b/internal/tier/consensus/lease_test.go
@@ -17,9 +17,9 @@
 func TestPausedNodeAnswersNothing(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
 	n := s.node
-	n.view.primary, n.view.epoch, n.view.confirmed = true, 7, s.now
-	n.view.health.Tolerates = 1
-	s.now += n.timing.fresh - time.Millisecond
+	n.published.primary, n.published.epoch, n.published.leaseStart = true, 7, s.now
+	n.published.health.Tolerates = 1
+	s.now += n.timing.lease - time.Millisecond
 	_, ok := n.Primary()
 	assert.Assert(t, ok)
 	assert.Equal(t, n.Health().Tolerates, 1)
@@ -36,41 +36,41 @@
 	assert.ErrorIs(t, <-answers, ErrNotPrimary)
 	_, ok = n.Primary()
 	assert.Assert(t, !ok)
-	assert.Equal(t, n.Health().Tolerates, Unknown)
+	assert.Equal(t, n.Health().Tolerates, ToleranceUnknown)
 	assert.Equal(t, n.Health().Lease, time.Duration(0))
 }
 
 // A primary without backups leads without end: its lease is told as just confirmed.
 func TestLeaseOfOneAlone(t *testing.T) {
-	v := view{primary: true, alone: true}
+	v := publishedState{primary: true, withoutBackups: true}
 	assert.Equal(t, v.lease(time.Hour, time.Second), time.Second)
-	v.alone = false
+	v.withoutBackups = false
 	assert.Equal(t, v.lease(time.Hour, time.Second), time.Duration(0))
-	v.confirmed = time.Hour - 300*time.Millisecond
+	v.leaseStart = time.Hour - 300*time.Millisecond
 	assert.Equal(t, v.lease(time.Hour, time.Second), 700*time.Millisecond)
 	v.primary = false
 	assert.Equal(t, v.lease(time.Hour, time.Second), time.Duration(0))
 }
 
 // leading is a machine that leads b and c, with b as its backup.
-func leading(t *testing.T) *machine {
+func leading(t *testing.T) *replica {
 	t.Helper()
 	members := []*tierv1.Member{{Folder: "fa", Address: "a"}, {Folder: "fb", Address: "b"}, {Folder: "fc", Address: "c"}}
-	d := durable{identity: identity{Folder: "fa"}, promised: 1 << epochBits, promisedTo: "fa", copyEpoch: 1 << epochBits}
-	m := newMachine(d, members[0], []string{"a", "b", "c"}, 1, timings(3*time.Second, 0), 1)
-	m.out = new(actions)
+	d := durableState{identity: identity{Folder: "fa"}, preparedEpoch: 1 << epochBits, preparedFor: "fa", stateEpoch: 1 << epochBits}
+	m := newReplica(d, members[0], []string{"a", "b", "c"}, 1, newTiming(3*time.Second, 0), 1)
+	m.actions = new(actions)
 	m.now = time.Second
-	m.leadership(&proposal{epoch: 1 << epochBits, confirmed: map[string]time.Duration{"fb": m.now},
+	m.becomePrimary(&proposal{epoch: 1 << epochBits, confirmedAt: map[string]time.Duration{"fb": m.now},
 		target: &tierv1.View{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}})
 	for _, v := range members[1:] {
-		m.replied(v, m.now)
-		m.peers[v.Address].voter = true
+		m.recordReply(v, m.now)
+		m.peers[v.Address].knowsMembership = true
 	}
 	return m
 }
 
 // heartbeatTo gives the id of the heartbeat under way to an address.
-func heartbeatTo(calls []call, address string) (id uint64) {
+func heartbeatTo(calls []outgoingCall, address string) (id uint64) {
 	for _, c := range calls {
 		if _, ok := c.body.(*tierv1.HeartbeatRequest); ok && c.address == address {
 			id = c.id
@@ -84,52 +84,52 @@
 func TestTiedEpochDoesNotProlongTheLease(t *testing.T) {
 	m := leading(t)
 	out := m.Step(m.now)
-	m.propose(plan{drop: map[string]bool{"fb": true}})
-	epoch, before := m.proposal.epoch, m.confirmedAt()
+	m.propose(reconfiguration{replaceBackups: map[string]bool{"fb": true}})
+	epoch, before := m.proposal.epoch, m.leaseStart()
 	now := m.now + 100*time.Millisecond
-	heartbeat := answer{heartbeatTo(out.calls, "b"), &tierv1.HeartbeatReply{Self: &tierv1.Member{Folder: "fb", Address: "b"}, HighestPromised: epoch, IsMember: true}}
-	m.primary.confirmed["fb"] -= 50 * time.Millisecond // the heartbeat began after the last confirmation
+	heartbeat := callResult{heartbeatTo(out.calls, "b"), &tierv1.HeartbeatReply{Self: &tierv1.Member{Folder: "fb", Address: "b"}, HighestPrepared: epoch, IsMember: true}}
+	m.primary.confirmedAt["fb"] -= 50 * time.Millisecond // the heartbeat began after the last confirmation
 	before -= 50 * time.Millisecond
 	m.Step(now, heartbeat)
-	assert.Equal(t, m.primary.confirmed["fb"], before)
+	assert.Equal(t, m.primary.confirmedAt["fb"], before)
 
 	// Once it has promised the epoch to this proposal, a heartbeat counts again.
 	m = leading(t)
 	out = m.Step(m.now)
-	m.propose(plan{})
-	m.proposal.replies["fb"] = &tierv1.PrepareReply{Promised: true, Self: &tierv1.Member{Folder: "fb", Address: "b"}}
-	m.primary.confirmed["fb"] -= 50 * time.Millisecond
+	m.propose(reconfiguration{})
+	m.proposal.prepared["fb"] = &tierv1.PrepareReply{Prepared: true, Self: &tierv1.Member{Folder: "fb", Address: "b"}}
+	m.primary.confirmedAt["fb"] -= 50 * time.Millisecond
 	heartbeat.id = heartbeatTo(out.calls, "b")
 	heartbeat.body = proto.Clone(heartbeat.body)
-	heartbeat.body.(*tierv1.HeartbeatReply).HighestPromised = m.proposal.epoch
+	heartbeat.body.(*tierv1.HeartbeatReply).HighestPrepared = m.proposal.epoch
 	m.Step(m.now+100*time.Millisecond, heartbeat)
-	assert.Assert(t, m.primary == nil || m.primary.confirmed["fb"] > before)
+	assert.Assert(t, m.primary == nil || m.primary.confirmedAt["fb"] > before)
 }
 
 // What a leader tells about the losses it bears, by the formula at health.
 func TestHealth(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		change    func(m *machine)
+		change    func(m *replica)
 		tolerates int
 		backups   int
 		absent    int
 	}{
-		{"all there", func(*machine) {}, 1, 1, 0},
-		{"the backup failed a call", func(m *machine) { m.primary.lost["fb"] = true }, 0, 0, 0},
-		{"the backup is silent", func(m *machine) { m.primary.confirmed["fb"] = 0; m.peers["b"].answered = 0 }, 0, 0, 1},
-		{"the member without a copy is silent", func(m *machine) { m.peers["c"].answered = 0 }, 0, 1, 1},
-		{"another folder at a member's address", func(m *machine) { m.peers["c"].member = &tierv1.Member{Folder: "new", Address: "c"} }, 0, 1, 1},
-		{"a joiner does not count", func(m *machine) {
-			m.peers["c"].answered = 0
-			m.replied(&tierv1.Member{Folder: "fd", Address: "d"}, m.now)
+		{"all there", func(*replica) {}, 1, 1, 0},
+		{"the backup failed a call", func(m *replica) { m.primary.failedBackups["fb"] = true }, 0, 0, 0},
+		{"the backup is silent", func(m *replica) { m.primary.confirmedAt["fb"] = 0; m.peers["b"].answeredAt = 0 }, 0, 0, 1},
+		{"the member without a copy is silent", func(m *replica) { m.peers["c"].answeredAt = 0 }, 0, 1, 1},
+		{"another folder at a member's address", func(m *replica) { m.peers["c"].member = &tierv1.Member{Folder: "new", Address: "c"} }, 0, 1, 1},
+		{"a joiner does not count", func(m *replica) {
+			m.peers["c"].answeredAt = 0
+			m.recordReply(&tierv1.Member{Folder: "fd", Address: "d"}, m.now)
 		}, 0, 1, 1},
-		{"a change of members: the member that leaves is gone", func(m *machine) {
-			m.primary.record = proto.CloneOf(m.primary.record)
-			m.primary.record.Former = m.primary.record.Members
-			m.primary.record.Members = []*tierv1.Member{m.self, {Folder: "fb", Address: "b"}, {Folder: "fd", Address: "d"}}
-			m.replied(m.primary.record.Members[2], m.now)
-			m.peers["c"].answered = 0
+		{"a change of members: the member that leaves is gone", func(m *replica) {
+			m.primary.view = proto.CloneOf(m.primary.view)
+			m.primary.view.Former = m.primary.view.Members
+			m.primary.view.Members = []*tierv1.Member{m.self, {Folder: "fb", Address: "b"}, {Folder: "fd", Address: "d"}}
+			m.recordReply(m.primary.view.Members[2], m.now)
+			m.peers["c"].answeredAt = 0
 		}, 0, 1, 0},
 	} {
 		m := leading(t)
@@ -141,7 +141,7 @@
 	}
 	m := leading(t)
 	m.primary = nil
-	assert.Equal(t, m.health().Tolerates, Unknown)
+	assert.Equal(t, m.health().Tolerates, ToleranceUnknown)
 }
 
 // A member that answers is not taken away, for a better spread, while the others that answer are no majority.
@@ -149,19 +149,19 @@
 	members := []*tierv1.Member{{Folder: "fa", Address: "a", Zone: "1"}, {Folder: "fb", Address: "b", Zone: "2"}, {Folder: "fc", Address: "c", Zone: "1"},
 		{Folder: "fd", Address: "d", Zone: "3"}, {Folder: "fe", Address: "e", Zone: "4"}}
 	m := leading(t)
-	m.losses = 2
+	m.toleratedLosses = 2
 	m.now = 10 * time.Second
-	m.primary.record = &tierv1.View{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}
+	m.primary.view = &tierv1.View{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}
 	for _, v := range members[1:] {
-		m.replied(v, m.now)
+		m.recordReply(v, m.now)
 	}
 	joiners := []*tierv1.Member{{Folder: "fj", Address: "j", Zone: "5"}}
-	want, ok := m.spreadMembers(joiners)
-	assert.Assert(t, ok && want.out.Folder == "fc", "%v", want)
-	m.peers["d"].answered, m.peers["e"].answered = time.Second, time.Second // a, b and c are left: three of five
-	_, ok = m.spreadMembers(joiners)
+	want, ok := m.rebalanceMembers(joiners)
+	assert.Assert(t, ok && want.remove.Folder == "fc", "%v", want)
+	m.peers["d"].answeredAt, m.peers["e"].answeredAt = time.Second, time.Second // a, b and c are left: three of five
+	_, ok = m.rebalanceMembers(joiners)
 	assert.Assert(t, !ok)
-	m.replied(members[3], m.now)
-	_, ok = m.spreadMembers(joiners)
+	m.recordReply(members[3], m.now)
+	_, ok = m.rebalanceMembers(joiners)
 	assert.Assert(t, ok)
 }
--- a/internal/tier/consensus/machine.go
+++ b/internal/tier/consensus/machine.go
@@ -10,140 +10,140 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// machine decides. It does no I/O: all of what it needs comes in by Step, all that it wants done goes out.
-type machine struct {
-	durable
-	self   *tierv1.Member
-	seeds  []string
-	losses int
+// replica decides. It does no I/O: all of what it needs comes in by Step, all that it wants done goes out.
+type replica struct {
+	durableState
+	self            *tierv1.Member
+	seeds           []string
+	toleratedLosses int
 	// stateLimit bounds the control state, in bytes.
-	stateLimit int
-	timing     timing
-	random     *rand.Rand
-	now        time.Duration
-	out        *actions
-	nextID     uint64
-	pending    map[uint64]func(proto.Message)
-
-	peers      map[string]*peer
-	observedAt time.Duration // from the primary of the newest chosen record
-	observed   bool
-	probeAt    time.Duration // when the primary is asked whether it is there, unless a heartbeat comes before
-	granted    time.Duration // when the newest promise was given
-	hint       string
-	tryAt      time.Duration
-	joinAt     time.Duration
-	highest    uint64 // highest epoch observed
-	proposal   *proposal
-	primary    *leadership // nil where this process is not primary
-}
-
-// newMachine makes a machine of what its folder holds. Its clock stands at 0 until resume; seed is that of its jitter.
-func newMachine(d durable, self *tierv1.Member, seeds []string, losses int, t timing, seed uint64) *machine {
-	m := &machine{durable: d, seeds: seeds, losses: losses, stateLimit: StateLimit, timing: t, random: rand.New(rand.NewPCG(seed, 1)),
-		pending: make(map[uint64]func(proto.Message)), peers: make(map[string]*peer)}
+	stateLimit   int
+	timing       timing
+	random       *rand.Rand
+	now          time.Duration
+	actions      *actions
+	lastCallID   uint64
+	pendingCalls map[uint64]func(proto.Message)
+
+	peers          map[string]*peer
+	primarySeenAt  time.Duration // from the primary of the newest chosen record
+	primarySeen    bool
+	checkPrimaryAt time.Duration // when the primary is asked whether it is there, unless a heartbeat comes before
+	preparedAt     time.Duration // when the newest promise was given
+	primaryHint    string
+	candidacyAt    time.Duration
+	joinAt         time.Duration
+	highestEpoch   uint64 // highest epoch observed
+	proposal       *proposal
+	primary        *leadership // nil where this process is not primary
+}
+
+// newReplica makes a machine of what its folder holds. Its clock stands at 0 until resume; seed is that of its jitter.
+func newReplica(d durableState, self *tierv1.Member, seeds []string, losses int, t timing, seed uint64) *replica {
+	m := &replica{durableState: d, seeds: seeds, toleratedLosses: losses, stateLimit: StateLimit, timing: t, random: rand.New(rand.NewPCG(seed, 1)),
+		pendingCalls: make(map[uint64]func(proto.Message)), peers: make(map[string]*peer)}
 	m.self = proto.CloneOf(self)
 	m.self.Folder = d.Folder
-	m.highest = max(d.promised, epochOf(d.accepted), epochOf(d.chosen))
-	m.tryAt = m.jitter(t.heartbeat)
-	if b := m.base(); b != nil && b.Primary == d.Folder {
-		m.tryAt = 0 // it was primary: the others' patience is longer than its start
+	m.highestEpoch = max(d.preparedEpoch, epochOf(d.accepted), epochOf(d.chosen))
+	m.candidacyAt = m.jitter(t.heartbeatInterval)
+	if b := m.newestView(); b != nil && b.Primary == d.Folder {
+		m.candidacyAt = 0 // it was primary: the others' patience is longer than its start
 	}
-	m.joinAt = m.jitter(t.heartbeat)
+	m.joinAt = m.jitter(t.heartbeatInterval)
 	return m
 }
 
 // resume sets a new machine's clock, and the number of the last call that earlier machines of the process made.
-func (machine *machine) resume(now time.Duration, lastCall uint64) {
+func (machine *replica) resume(now time.Duration, lastCall uint64) {
 	machine.now = now
-	machine.tryAt += now
+	machine.candidacyAt += now
 	machine.joinAt += now
-	machine.nextID = lastCall
+	machine.lastCallID = lastCall
 }
 
 // jitter is a random span of at most d.
-func (machine *machine) jitter(d time.Duration) time.Duration {
+func (machine *replica) jitter(d time.Duration) time.Duration {
 	return time.Duration(machine.random.Int64N(int64(d) + 1))
 }
 
 // Step takes events at now, a steady time, and gives what is to be done. What it says must be written and synced
 // before the next step.
-func (machine *machine) Step(now time.Duration, events ...event) *actions {
-	machine.now, machine.out = now, new(actions)
+func (machine *replica) Step(now time.Duration, events ...event) *actions {
+	machine.now, machine.actions = now, new(actions)
 	for _, e := range events {
 		switch e := e.(type) {
-		case request:
-			machine.out.replies = append(machine.out.replies, reply{e.token, machine.serve(e.body)})
-		case answer:
-			if f := machine.pending[e.id]; f != nil {
-				delete(machine.pending, e.id)
+		case incomingCall:
+			machine.actions.replies = append(machine.actions.replies, callReply{e.token, machine.handle(e.body)})
+		case callResult:
+			if f := machine.pendingCalls[e.id]; f != nil {
+				delete(machine.pendingCalls, e.id)
 				f(e.body)
 			}
-		case put:
-			machine.put(e)
-		case confirm:
-			machine.confirm(e)
+		case putRequest:
+			machine.handlePut(e)
+		case confirmRequest:
+			machine.handleConfirm(e)
 		case tick:
 		}
 	}
-	machine.timers()
-	return machine.out
+	machine.runTimers()
+	return machine.actions
 }
 
-// serve answers a call of another node; nil where it knows no such call.
-func (machine *machine) serve(body proto.Message) proto.Message {
+// handle answers a call of another node; nil where it knows no such call.
+func (machine *replica) handle(body proto.Message) proto.Message {
 	switch q := body.(type) {
 	case *tierv1.PrepareRequest:
-		return machine.promise(q)
+		return machine.handlePrepare(q)
 	case *tierv1.AcceptRequest:
-		return machine.accept(q)
+		return machine.handleAccept(q)
 	case *tierv1.HeartbeatRequest:
-		return machine.heartbeat(q)
+		return machine.handleHeartbeat(q)
 	case *tierv1.WriteRequest:
-		return machine.write(q)
+		return machine.handleWrite(q)
 	case *tierv1.JoinRequest:
-		return machine.join(q)
+		return machine.handleJoin(q)
 	}
 	return nil
 }
 
-// store has a record appended to the file, and with sync synced before replies and calls leave.
-func (machine *machine) store(record []byte, sync bool) {
-	machine.out.records = append(machine.out.records, record)
-	machine.out.sync = machine.out.sync || sync
+// persist has a record appended to the file, and with sync synced before replies and calls leave.
+func (machine *replica) persist(record []byte, sync bool) {
+	machine.actions.records = append(machine.actions.records, record)
+	machine.actions.sync = machine.actions.sync || sync
 }
 
 // call asks another node; then is called with its answer, or nil where there is none.
-func (machine *machine) call(address string, body proto.Message, early bool, then func(proto.Message)) {
-	machine.nextID++
-	machine.pending[machine.nextID] = then
-	c := call{machine.nextID, address, body, machine.timing.timeout(body)}
+func (machine *replica) call(address string, body proto.Message, early bool, then func(proto.Message)) {
+	machine.lastCallID++
+	machine.pendingCalls[machine.lastCallID] = then
+	c := outgoingCall{machine.lastCallID, address, body, machine.timing.callTimeoutFor(body)}
 	if early {
-		machine.out.early = append(machine.out.early, c)
+		machine.actions.unsyncedCalls = append(machine.actions.unsyncedCalls, c)
 	} else {
-		machine.out.calls = append(machine.out.calls, c)
+		machine.actions.calls = append(machine.actions.calls, c)
 	}
 }
 
-// base is the newest record that this folder accepted or knows to be chosen; the genesis record where there is none
+// newestView is the newest record that this folder accepted or knows to be chosen; the genesis record where there is none
 // and the folder was made at the first start; else nil.
-func (machine *machine) base() *tierv1.View {
-	if r := newest(machine.accepted, machine.chosen); r != nil {
+func (machine *replica) newestView() *tierv1.View {
+	if r := newestOf(machine.accepted, machine.chosen); r != nil {
 		return r
 	}
-	return machine.genesis()
+	return machine.genesisView()
 }
 
-// known is the newest chosen record known, the genesis record included.
-func (machine *machine) known() *tierv1.View {
+// newestChosenView is the newest chosen record known, the genesis record included.
+func (machine *replica) newestChosenView() *tierv1.View {
 	if machine.chosen != nil {
 		return machine.chosen
 	}
-	return machine.genesis()
+	return machine.genesisView()
 }
 
-// genesis is the record of epoch 0 that names the seeds; nil in a folder that was not made at the first start.
-func (machine *machine) genesis() *tierv1.View {
+// genesisView is the record of epoch 0 that names the seeds; nil in a folder that was not made at the first start.
+func (machine *replica) genesisView() *tierv1.View {
 	if !machine.Genesis {
 		return nil
 	}
@@ -155,80 +155,80 @@
 }
 
 // isVoter tells whether this folder is among members.
-func (machine *machine) isVoter(members []*tierv1.Member) bool {
+func (machine *replica) isVoter(members []*tierv1.Member) bool {
 	return slices.ContainsFunc(members, func(v *tierv1.Member) bool {
-		return voter(v, machine.Folder, machine.self.Address, machine.Genesis)
+		return isMember(v, machine.Folder, machine.self.Address, machine.Genesis)
 	})
 }
 
-// learn takes a record that another node knows to be chosen.
-func (machine *machine) learn(record *tierv1.View) {
+// learnChosen takes a record that another node knows to be chosen.
+func (machine *replica) learnChosen(record *tierv1.View) {
 	if record == nil || record.Epoch <= epochOf(machine.chosen) {
 		return
 	}
 	machine.chosen = record
-	machine.highest = max(machine.highest, record.Epoch)
-	machine.store(encodeMessage(kindChosen, record), false)
-	machine.out.changed = true
-	if machine.primary != nil && record.Epoch > machine.primary.record.Epoch {
+	machine.highestEpoch = max(machine.highestEpoch, record.Epoch)
+	machine.persist(encodeMessage(kindChosen, record), false)
+	machine.actions.changed = true
+	if machine.primary != nil && record.Epoch > machine.primary.view.Epoch {
 		machine.stepDown("deposed")
 	}
 	if machine.proposal != nil && record.Epoch >= machine.proposal.epoch && machine.proposal.epoch > 0 {
-		machine.abandon("deposed")
+		machine.abandonProposal("deposed")
 	}
 }
 
-// timers does what is due.
-func (machine *machine) timers() {
-	machine.advanceAll()
+// runTimers does what is due.
+func (machine *replica) runTimers() {
+	machine.advanceProposals()
 	if machine.primary != nil {
-		machine.leadershipTimers()
+		machine.runPrimaryTimers()
 	}
-	if machine.primary == nil && machine.proposal == nil && machine.now >= machine.tryAt {
-		machine.candidate()
+	if machine.primary == nil && machine.proposal == nil && machine.now >= machine.candidacyAt {
+		machine.startPreVote()
 	}
-	machine.advanceAll()
-	if machine.primary == nil && machine.leaderAlive() && machine.now >= machine.probeAt {
-		machine.probe()
+	machine.advanceProposals()
+	if machine.primary == nil && machine.primaryAlive() && machine.now >= machine.checkPrimaryAt {
+		machine.checkPrimary()
 	}
 	if machine.primary == nil && machine.now >= machine.joinAt {
-		machine.joinAt = machine.now + machine.timing.join + machine.jitter(machine.timing.heartbeat)
-		if !machine.leaderAlive() { // a primary that heartbeats knows this node
-			machine.askToJoin()
+		machine.joinAt = machine.now + machine.timing.joinInterval + machine.jitter(machine.timing.heartbeatInterval)
+		if !machine.primaryAlive() { // a primary that heartbeats knows this node
+			machine.sendJoins()
 		}
 	}
 }
 
-// advanceAll lets the proposal, and one that follows it, go as far as they can without an answer.
-func (machine *machine) advanceAll() {
+// advanceProposals lets the proposal, and one that follows it, go as far as they can without an answer.
+func (machine *replica) advanceProposals() {
 	for machine.proposal != nil {
 		proposal, phase := machine.proposal, machine.proposal.phase
-		machine.advance()
+		machine.advanceProposal()
 		if machine.proposal == proposal && proposal.phase == phase {
 			return
 		}
 	}
 }
 
-// wake is when the next step is due at the latest.
-func (machine *machine) wake() time.Duration {
+// nextStepAt is when the next step is due at the latest.
+func (machine *replica) nextStepAt() time.Duration {
 	var at time.Duration
 	if machine.primary != nil {
-		at = machine.primary.next
-		if machine.primary.retryAt > machine.now {
-			at = min(at, machine.primary.retryAt)
+		at = machine.primary.heartbeatAt
+		if machine.primary.proposeAt > machine.now {
+			at = min(at, machine.primary.proposeAt)
 		}
 	} else {
 		at = machine.joinAt
-		if machine.leaderAlive() {
-			at = min(at, machine.probeAt)
+		if machine.primaryAlive() {
+			at = min(at, machine.checkPrimaryAt)
 		}
 		if machine.proposal == nil {
-			at = min(at, machine.tryAt)
+			at = min(at, machine.candidacyAt)
 		}
 	}
 	if machine.proposal != nil {
-		at = min(at, machine.proposal.wake())
+		at = min(at, machine.proposal.nextStepAt())
 	}
 	return at
 }
--- a/internal/tier/consensus/machine_test.go
+++ b/internal/tier/consensus/machine_test.go
@@ -233,7 +233,7 @@
 		w.sites[3].start(false)
 		began := w.now
 		in := func() bool {
-			return w.top != nil && len(w.top.Former) == 0 && contains(w.top.Members, w.sites[3].m.self)
+			return w.top != nil && len(w.top.Former) == 0 && containsMember(w.top.Members, w.sites[3].m.self)
 		}
 		for !in() && w.now < began+4*time.Second {
 			w.run(w.now + 50*time.Millisecond)
@@ -259,17 +259,17 @@
 				where := fmt.Sprintf("zones %s losses %d seed %d: %v\n%s", zones, losses, seed, r, w.tail())
 				assert.Assert(t, len(w.faults) == 0 && r != nil, where)
 				assert.Assert(t, len(r.Members) == 2*losses+1 && len(r.Backups) == losses && len(r.Former) == 0, where)
-				assert.Equal(t, crowding(r.Members), crowding(spread(nil, all, 2*losses+1, func(string) bool { return false })), where)
+				assert.Equal(t, crowding(r.Members), crowding(spreadOut(nil, all, 2*losses+1, func(string) bool { return false })), where)
 				var copies, others []*tierv1.Member
 				for _, v := range r.Members {
-					if named(r, v.Folder) {
+					if isNamedIn(r, v.Folder) {
 						copies = append(copies, v)
 					}
 					if v.Folder == r.Primary {
 						others = append(others, v)
 					}
 				}
-				best := append(others, spread(others, r.Members, losses, func(string) bool { return false })...)
+				best := append(others, spreadOut(others, r.Members, losses, func(string) bool { return false })...)
 				assert.Equal(t, crowding(copies), crowding(best), where)
 				w.run(w.now + 5*time.Second)
 				assert.Equal(t, w.top.Epoch, r.Epoch, "zones %s losses %d seed %d: does not settle\n%s", zones, losses, seed, w.tail())
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -41,25 +41,25 @@
 
 	// Of the loop alone.
 	file    *wal.File // nil until the folder could be opened
-	machine *machine  // nil while the disk fails
-	disk    disk
+	machine *replica  // nil while the disk fails
+	disk    diskStatus
 	clients map[string]tierv1.Election
 
-	mu       sync.Mutex
-	inbox    []event
-	stopped  bool
-	token    uint64
-	replies  map[uint64]chan proto.Message
-	outcomes map[uint64]chan outcome
-	view     view
-	changed  chan struct{}
+	mu        sync.Mutex
+	inbox     []event
+	stopped   bool
+	token     uint64
+	replies   map[uint64]chan proto.Message
+	outcomes  map[uint64]chan outcome
+	published publishedState
+	changed   chan struct{}
 
 	wake chan struct{}
 }
 
 // leads tells whether the process may act as primary at a time: its lease counts, or there is nobody else to ask.
-func (view *view) leads(now, fresh time.Duration) bool {
-	return view.primary && (view.alone || now-view.confirmed < fresh)
+func (view *publishedState) leads(now, fresh time.Duration) bool {
+	return view.primary && (view.withoutBackups || now-view.leaseStart < fresh)
 }
 
 var _ Store = (*Node)(nil)
@@ -80,10 +80,10 @@
 
 // open is Open with a clock of the caller's.
 func open(config Config, clock func() time.Duration) (*Node, error) {
-	n := &Node{config: config, timing: timings(config.ContactWindow, config.Heartbeat), clock: clock,
+	n := &Node{config: config, timing: newTiming(config.ContactWindow, config.Heartbeat), clock: clock,
 		replies: make(map[uint64]chan proto.Message), outcomes: make(map[uint64]chan outcome), changed: make(chan struct{}),
 		wake: make(chan struct{}, 1), clients: make(map[string]tierv1.Election)}
-	n.view = view{self: proto.CloneOf(config.Self), members: []*tierv1.Member{config.Self}}
+	n.published = publishedState{self: proto.CloneOf(config.Self), members: []*tierv1.Member{config.Self}}
 	if err := n.openDisk(); err != nil {
 		if !isDiskError(err) {
 			return nil, err
@@ -110,17 +110,17 @@
 		case <-timer.C:
 		case <-node.wake:
 		}
-		if err := node.turn(ctx); err != nil {
+		if err := node.runOnce(ctx); err != nil {
 			return err
 		}
-		timer.Reset(max(node.nextWake()-node.now(), time.Millisecond))
+		timer.Reset(max(node.nextStepAt()-node.now(), time.Millisecond))
 	}
 }
 
-// turn is one pass of the loop: it brings the disk back where that is due, then takes a step with all events that wait.
-func (node *Node) turn(ctx context.Context) error {
+// runOnce is one pass of the loop: it brings the disk back where that is due, then takes a step with all events that wait.
+func (node *Node) runOnce(ctx context.Context) error {
 	if node.machine == nil && node.now() >= node.disk.retryAt {
-		if err := node.retryDisk(); err != nil {
+		if err := node.recoverDisk(); err != nil {
 			return err
 		}
 	}
@@ -131,26 +131,26 @@
 	events := node.inbox
 	node.inbox = nil
 	node.mu.Unlock()
-	node.do(ctx, node.machine.Step(node.now(), events...))
+	node.perform(ctx, node.machine.Step(node.now(), events...))
 	return nil
 }
 
-// nextWake is when the loop is due at the latest.
-func (node *Node) nextWake() time.Duration {
+// nextStepAt is when the loop is due at the latest.
+func (node *Node) nextStepAt() time.Duration {
 	if node.machine == nil {
 		return node.disk.retryAt
 	}
-	return node.machine.wake()
+	return node.machine.nextStepAt()
 }
 
-// do carries out what a step wants, in its order. Where the disk fails, only the early calls have left.
-func (node *Node) do(ctx context.Context, out *actions) {
-	for _, c := range out.early {
+// perform carries out what a step wants, in its order. Where the disk fails, only the early calls have left.
+func (node *Node) perform(ctx context.Context, out *actions) {
+	for _, c := range out.unsyncedCalls {
 		node.send(ctx, c)
 	}
 	err := node.write(out)
 	if errorx.IsOfType(err, wal.TooLarge) {
-		node.refuseRecord(err)
+		node.restartWithoutRecord(err)
 		return
 	}
 	if err != nil {
@@ -176,8 +176,8 @@
 	}
 	node.mu.Unlock()
 	if node.config.Log != nil {
-		for _, what := range out.news {
-			node.config.Log.Info().Str("what", what).Uint64("promised", node.machine.promised).
+		for _, what := range out.transitions {
+			node.config.Log.Info().Str("what", what).Uint64("promised", node.machine.preparedEpoch).
 				Uint64("chosen", epochOf(node.machine.chosen)).Uint64("sequence", node.machine.sequence).Msg("control")
 		}
 	}
@@ -192,7 +192,7 @@
 
 // postLocked is post under mu.
 func (node *Node) postLocked(e event) bool {
-	if node.stopped || node.view.health.Disk != nil {
+	if node.stopped || node.published.health.Disk != nil {
 		return false
 	}
 	node.inbox = append(node.inbox, e)
@@ -208,15 +208,15 @@
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	node.stopped = true
-	node.view.primary = false
+	node.published.primary = false
 	node.endCallers()
 	if node.file != nil {
 		_ = node.file.Close()
 	}
 }
 
-// wait posts an event with a token of its own and waits for the outcome; ErrUnknown where ctx ends first.
-func (node *Node) wait(ctx context.Context, as func(token uint64) event) (uint64, error) {
+// await posts an event with a token of its own and waits for the outcome; ErrUnknown where ctx ends first.
+func (node *Node) await(ctx context.Context, as func(token uint64) event) (uint64, error) {
 	c := make(chan outcome, 1)
 	node.mu.Lock()
 	node.token++
@@ -235,20 +235,20 @@
 		node.mu.Lock()
 		delete(node.outcomes, token)
 		node.mu.Unlock()
-		return 0, fmt.Errorf("%w: %w", ErrUnknown, ctx.Err())
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, ctx.Err())
 	}
 }
 
 // Put implements Store.
 func (node *Node) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
 	sets = maps.Clone(sets)
-	return node.wait(ctx, func(token uint64) event { return put{token, epoch, sets} })
+	return node.await(ctx, func(token uint64) event { return putRequest{token, epoch, sets} })
 }
 
 // Confirm implements Store. The lease is asked again at the moment of the answer: a process that was paused after its round
 // trip finds that it is late.
 func (node *Node) Confirm(ctx context.Context, epoch uint64) error {
-	if _, err := node.wait(ctx, func(token uint64) event { return confirm{token, epoch} }); err != nil {
+	if _, err := node.await(ctx, func(token uint64) event { return confirmRequest{token, epoch} }); err != nil {
 		return err
 	}
 	if _, ok := node.Primary(); !ok {
--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -227,9 +227,9 @@
 	assert.Assert(t, renewed != lost.Folder)
 	c.until("the new folder to be a member", func() bool {
 		n, _ := c.primary()
-		for _, v := range n.Record().Members {
+		for _, v := range n.View().Members {
 			if v.Folder == renewed {
-				return len(n.Record().Former) == 0
+				return len(n.View().Former) == 0
 			}
 		}
 		return false
@@ -265,11 +265,11 @@
 	a := n.Self().Address
 	c.stop(a)
 	assert.Assert(t, n.disk.rewriteAt > rewriteSlack && n.file.Size() < 12*64<<10, "%d", n.file.Size())
-	var d durable
+	var d durableState
 	f, err := wal.Open(c.disks[a], "/data", fileName, d.replay)
 	assert.NilError(t, err)
 	assert.NilError(t, f.Close())
-	assert.Equal(t, string(d.data["k"].Value), "11"+string(value))
+	assert.Equal(t, string(d.entries["k"].Value), "11"+string(value))
 	assert.Equal(t, d.Folder, n.Self().Folder)
 }
 
@@ -282,7 +282,7 @@
 	client := tierv1.NewElectionProtobufClient(s.URL, s.Client())
 	a, err := client.Promise(context.Background(), &tierv1.PrepareRequest{Epoch: 0, From: &tierv1.Member{Folder: "x", Address: "b"}})
 	assert.NilError(t, err)
-	assert.Assert(t, a.Genesis && a.Promised)
+	assert.Assert(t, a.Genesis && a.Prepared)
 	assert.Equal(t, a.Self.Folder, c.nodes["a"].Self().Folder)
 }
 
--- a/internal/tier/consensus/planted_hardening_test.go
+++ b/internal/tier/consensus/planted_hardening_test.go
@@ -17,60 +17,60 @@
 	leaseNeverEnds = plant{name: "a lease never ends",
 		after: func(s *subject, _ *actions) {
 			if r := s.m.primary; r != nil {
-				for _, b := range r.record.Backups {
-					r.confirmed[b] = s.m.now + time.Hour
+				for _, b := range r.view.Backups {
+					r.confirmedAt[b] = s.m.now + time.Hour
 				}
 			}
 		}}
 	joinerWithoutCopy = plant{name: "a backup is counted that took no copy",
 		before: func(s *subject, e event) (event, *outcome) {
-			if q, ok := e.(request); ok {
-				if a, ok := q.body.(*tierv1.AcceptRequest); ok && named(a.View, s.m.Folder) && s.m.bound(a.View.Epoch, a.From.GetFolder()) {
-					s.m.copyEpoch = a.View.Epoch
+			if q, ok := e.(incomingCall); ok {
+				if a, ok := q.body.(*tierv1.AcceptRequest); ok && isNamedIn(a.View, s.m.Folder) && s.m.preparedExactly(a.View.Epoch, a.From.GetFolder()) {
+					s.m.stateEpoch = a.View.Epoch
 				}
 			}
 			return e, nil
 		},
 		after: func(s *subject, out *actions) {
 			p := s.m.proposal
-			if p == nil || p.phase != copying {
+			if p == nil || p.phase != transferring {
 				return
 			}
-			var kept []call
-			for _, c := range out.early {
+			var kept []outgoingCall
+			for _, c := range out.unsyncedCalls {
 				if q, ok := c.body.(*tierv1.WriteRequest); !ok || !q.Snapshot {
 					kept = append(kept, c)
 				}
 			}
-			out.early = kept
-			for folder := range p.copies {
-				p.confirmed[folder] = s.m.now
+			out.unsyncedCalls = kept
+			for folder := range p.transfers {
+				p.confirmedAt[folder] = s.m.now
 			}
 		}}
 	oldSnapshotReplaces = plant{name: "a snapshot of an old epoch replaces a newer copy",
 		before: func(s *subject, e event) (event, *outcome) {
-			if q, ok := e.(request); ok {
-				if body, ok := q.body.(*tierv1.WriteRequest); ok && body.Snapshot && body.From != s.m.Folder && body.Epoch < s.m.copyEpoch {
+			if q, ok := e.(incomingCall); ok {
+				if body, ok := q.body.(*tierv1.WriteRequest); ok && body.Snapshot && body.From != s.m.Folder && body.Epoch < s.m.stateEpoch {
 					s.m.apply(body)
-					s.m.copyEpoch = s.m.promised
+					s.m.stateEpoch = s.m.preparedEpoch
 				}
 			}
 			return e, nil
 		}}
 	leadsBehind = plant{name: "leads from a copy that is behind",
 		before: func(s *subject, e event) (event, *outcome) {
-			a, ok := e.(answer)
+			a, ok := e.(callResult)
 			if !ok {
 				return e, nil
 			}
 			r, ok := a.body.(*tierv1.PrepareReply)
 			p := s.m.proposal
-			if !ok || p == nil || p.phase > promising || s.m.primary != nil {
+			if !ok || p == nil || p.phase > preparing || s.m.primary != nil {
 				return e, nil
 			}
-			base := proto.CloneOf(newest(newest(newest(p.base, s.m.known()), r.Accepted), r.Chosen))
+			base := proto.CloneOf(newestOf(newestOf(newestOf(p.predecessor, s.m.newestChosenView()), r.Accepted), r.Chosen))
 			base.Backups = append(base.Backups, s.m.Folder)
-			p.base, s.m.copyEpoch = base, max(s.m.copyEpoch, base.Epoch)
+			p.predecessor, s.m.stateEpoch = base, max(s.m.stateEpoch, base.Epoch)
 			return e, nil
 		}}
 )
--- a/internal/tier/consensus/planted_test.go
+++ b/internal/tier/consensus/planted_test.go
@@ -19,7 +19,7 @@
 
 // subject is a machine with what is wrong about it.
 type subject struct {
-	m     *machine
+	m     *replica
 	plant plant
 	asked map[uint64]proto.Message // calls under way, by their id
 	// The promise to keep, of a machine that forgets those to others at once.
@@ -28,7 +28,7 @@
 }
 
 func (s *subject) step(now time.Duration, events ...event) *actions {
-	s.promised, s.promisedTo = s.m.promised, s.m.promisedTo
+	s.promised, s.promisedTo = s.m.preparedEpoch, s.m.preparedFor
 	var passed []event
 	var ended []outcome
 	for _, e := range events {
@@ -47,11 +47,11 @@
 		s.plant.after(s, out)
 	}
 	for _, e := range events {
-		if a, ok := e.(answer); ok {
+		if a, ok := e.(callResult); ok {
 			delete(s.asked, a.id)
 		}
 	}
-	for _, list := range [][]call{out.early, out.calls} {
+	for _, list := range [][]outgoingCall{out.unsyncedCalls, out.calls} {
 		for _, c := range list {
 			s.asked[c.id] = c.body
 		}
@@ -63,7 +63,7 @@
 var (
 	forgetsAtOnce = plant{name: "forgets a promise at once",
 		before: func(s *subject, e event) (event, *outcome) {
-			q, ok := e.(request)
+			q, ok := e.(incomingCall)
 			if !ok {
 				return e, nil
 			}
@@ -75,22 +75,22 @@
 			case *tierv1.WriteRequest:
 				epoch, from = b.Epoch, b.From
 			}
-			if epoch > 0 && epoch >= s.m.promised {
-				s.m.promised, s.m.promisedTo = epoch, from
+			if epoch > 0 && epoch >= s.m.preparedEpoch {
+				s.m.preparedEpoch, s.m.preparedFor = epoch, from
 				s.promised, s.promisedTo = epoch, from
 			}
 			return e, nil
 		},
 		after: func(s *subject, _ *actions) {
-			if s.m.promisedTo != s.m.Folder {
-				s.m.promised, s.m.promisedTo = s.promised, s.promisedTo
+			if s.m.preparedFor != s.m.Folder {
+				s.m.preparedEpoch, s.m.preparedFor = s.promised, s.promisedTo
 			}
 		}}
 	forgetsAtRestart = plant{name: "forgets a promise at a restart",
 		after: func(_ *subject, out *actions) {
 			var kept [][]byte
 			for _, r := range out.records {
-				if r[0] != kindPromise {
+				if r[0] != kindPrepared {
 					kept = append(kept, r)
 				}
 			}
@@ -98,22 +98,22 @@
 		}}
 	acknowledgesEarly = plant{name: "acknowledges before the backup's sync",
 		after: func(s *subject, _ *actions) {
-			if s.m.primary != nil && s.m.primary.round != nil {
+			if s.m.primary != nil && s.m.primary.batch != nil {
 				s.m.commit()
 			}
 		}}
 	skipsBackup = plant{name: "skips a dead backup",
 		before: func(s *subject, e event) (event, *outcome) {
-			if a, ok := e.(answer); ok && a.body == nil {
+			if a, ok := e.(callResult); ok && a.body == nil {
 				if _, write := s.asked[a.id].(*tierv1.WriteRequest); write {
-					return answer{a.id, &tierv1.WriteReply{Acknowledged: true}}, nil
+					return callResult{a.id, &tierv1.WriteReply{Acknowledged: true}}, nil
 				}
 			}
 			return e, nil
 		}}
 	countsEmpty = plant{name: "counts an empty folder for a member",
 		before: func(s *subject, e event) (event, *outcome) {
-			a, ok := e.(answer)
+			a, ok := e.(callResult)
 			if !ok {
 				return e, nil
 			}
@@ -122,29 +122,29 @@
 				return e, nil
 			}
 			p := s.m.proposal
-			if p == nil || p.phase > promising {
+			if p == nil || p.phase > preparing {
 				return e, nil
 			}
-			base := proto.CloneOf(newest(newest(newest(p.base, s.m.known()), r.Accepted), r.Chosen))
-			for _, set := range configurations(base) {
+			base := proto.CloneOf(newestOf(newestOf(newestOf(p.predecessor, s.m.newestChosenView()), r.Accepted), r.Chosen))
+			for _, set := range quorumSets(base) {
 				for _, v := range set {
 					if v.Address == r.Self.Address && v.Folder != r.Self.Folder {
 						v.Folder = r.Self.Folder
 					}
 				}
 			}
-			p.base = base
+			p.predecessor = base
 			return e, nil
 		}}
 	dropsFormer = plant{name: "drops former too early",
 		after: func(s *subject, _ *actions) {
-			if p := s.m.proposal; p != nil && p.phase == copying {
+			if p := s.m.proposal; p != nil && p.phase == transferring {
 				p.target.Former = nil
 			}
 		}}
 	readsUnasked = plant{name: "reads without asking",
 		before: func(s *subject, e event) (event, *outcome) {
-			if c, ok := e.(confirm); ok && s.m.primary != nil {
+			if c, ok := e.(confirmRequest); ok && s.m.primary != nil {
 				return nil, &outcome{c.token, 0, nil}
 			}
 			return e, nil
--- a/internal/tier/consensus/quorum.go
+++ b/internal/tier/consensus/quorum.go
@@ -17,30 +17,30 @@
 	return (highest>>epochBits+1)<<epochBits | uint64(h.Sum32())&(1<<epochBits-1)
 }
 
-// voter tells whether a folder is this member. A genesis member has no folder: only the folder made at the first start
+// isMember tells whether a folder is this member. A genesis member has no folder: only the folder made at the first start
 // at its address stands for it, so a folder that lost its disk never does.
-func voter(m *tierv1.Member, folder, address string, genesis bool) bool {
+func isMember(m *tierv1.Member, folder, address string, genesis bool) bool {
 	if m.Folder != "" {
 		return m.Folder == folder
 	}
 	return genesis && m.Address == address
 }
 
-// same tells whether two are the same member: the same folder or, where one has none yet, the same address.
-func same(a, b *tierv1.Member) bool {
+// sameMember tells whether two are the same member: the same folder or, where one has none yet, the same address.
+func sameMember(a, b *tierv1.Member) bool {
 	if a.Folder == "" || b.Folder == "" {
 		return a.Address == b.Address
 	}
 	return a.Folder == b.Folder
 }
 
-// contains tells whether a member is in a list.
-func contains(list []*tierv1.Member, m *tierv1.Member) bool {
-	return slices.ContainsFunc(list, func(o *tierv1.Member) bool { return same(o, m) })
+// containsMember tells whether a member is in a list.
+func containsMember(list []*tierv1.Member, m *tierv1.Member) bool {
+	return slices.ContainsFunc(list, func(o *tierv1.Member) bool { return sameMember(o, m) })
 }
 
-// configurations are the sets of members of which a record needs a majority each.
-func configurations(records ...*tierv1.View) (sets [][]*tierv1.Member) {
+// quorumSets are the sets of members of which a record needs a majority each.
+func quorumSets(records ...*tierv1.View) (sets [][]*tierv1.Member) {
 	for _, r := range records {
 		if r == nil {
 			continue
@@ -53,8 +53,8 @@
 	return sets
 }
 
-// majorities tells whether have holds for a majority of each set.
-func majorities(sets [][]*tierv1.Member, have func(*tierv1.Member) bool) bool {
+// hasMajorities tells whether have holds for a majority of each set.
+func hasMajorities(sets [][]*tierv1.Member, have func(*tierv1.Member) bool) bool {
 	for _, set := range sets {
 		n := 0
 		for _, m := range set {
@@ -69,8 +69,8 @@
 	return len(sets) > 0
 }
 
-// named tells whether a record names a folder as primary or backup.
-func named(r *tierv1.View, folder string) bool {
+// isNamedIn tells whether a record names a folder as primary or backup.
+func isNamedIn(r *tierv1.View, folder string) bool {
 	return r != nil && (r.Primary == folder || slices.Contains(r.Backups, folder))
 }
 
@@ -82,8 +82,8 @@
 	return r.Epoch
 }
 
-// newest is the record of the higher epoch; a where they are equal, nil where both are.
-func newest(a, b *tierv1.View) *tierv1.View {
+// newestOf is the record of the higher epoch; a where they are equal, nil where both are.
+func newestOf(a, b *tierv1.View) *tierv1.View {
 	if a == nil || b != nil && b.Epoch > a.Epoch {
 		return b
 	}
@@ -106,9 +106,9 @@
 	return n
 }
 
-// spread picks up to n of the candidates for copies beside those taken: other regions first, then other zones, then those that
+// spreadOut picks up to n of the candidates for copies beside those taken: other regions first, then other zones, then those that
 // hold a copy already.
-func spread(taken, candidates []*tierv1.Member, n int, holds func(folder string) bool) (picked []*tierv1.Member) {
+func spreadOut(taken, candidates []*tierv1.Member, n int, holds func(folder string) bool) (picked []*tierv1.Member) {
 	rest := slices.Clone(candidates)
 	slices.SortFunc(rest, func(a, b *tierv1.Member) int {
 		if a.Address < b.Address {
--- a/internal/tier/consensus/repeat_test.go
+++ b/internal/tier/consensus/repeat_test.go
@@ -32,7 +32,7 @@
 				leader := w.leader()
 				gone := -1
 				for i, s := range w.sites {
-					if s.m != nil && s != leader && contains(w.top.Members, s.m.self) && !named(w.top, s.m.Folder) {
+					if s.m != nil && s != leader && containsMember(w.top.Members, s.m.self) && !isNamedIn(w.top, s.m.Folder) {
 						gone = i
 					}
 				}
--- a/internal/tier/consensus/server.go
+++ b/internal/tier/consensus/server.go
@@ -20,7 +20,7 @@
 	node.token++
 	token := node.token
 	node.replies[token] = replied
-	if !node.postLocked(request{token, body}) {
+	if !node.postLocked(incomingCall{token, body}) {
 		delete(node.replies, token)
 		node.mu.Unlock()
 		return none, node.unavailable()
@@ -61,7 +61,7 @@
 }
 
 // send makes a call of the machine. Its end, whatever it is, is an event.
-func (node *Node) send(ctx context.Context, call call) {
+func (node *Node) send(ctx context.Context, call outgoingCall) {
 	client := node.clients[call.address]
 	if client == nil {
 		client = node.config.Dial(call.address)
@@ -74,7 +74,7 @@
 		if err != nil {
 			body = nil
 		}
-		node.post(answer{call.id, body})
+		node.post(callResult{call.id, body})
 	}()
 }
 
--- a/internal/tier/consensus/size.go
+++ b/internal/tier/consensus/size.go
@@ -35,8 +35,8 @@
 // entrySize bounds the bytes of an entry in a message.
 func entrySize(key string, value []byte) int { return len(key) + len(value) + entryFraming }
 
-// setsSize bounds the bytes of a write's entries, removals included.
-func setsSize(sets map[string][]byte) (size int) {
+// writeSize bounds the bytes of a write's entries, removals included.
+func writeSize(sets map[string][]byte) (size int) {
 	for key, value := range sets {
 		size += entrySize(key, value)
 	}
@@ -44,10 +44,10 @@
 }
 
 // sizeAfter is the size that the copy would have with a write.
-func (state *durable) sizeAfter(sets map[string][]byte) int {
+func (state *durableState) sizeAfter(sets map[string][]byte) int {
 	size := state.size
 	for key, value := range sets {
-		if before := state.data[key]; before != nil {
+		if before := state.entries[key]; before != nil {
 			size -= entrySize(key, before.Value)
 		}
 		if len(value) > 0 {
@@ -57,9 +57,9 @@
 	return size
 }
 
-// admit gives the error, of type StateTooLarge, that refuses a write which would make the state too large.
-func (machine *machine) admit(sets map[string][]byte) error {
-	if size := setsSize(sets); size > machine.stateLimit {
+// checkStateLimit gives the error, of type StateTooLarge, that refuses a write which would make the state too large.
+func (machine *replica) checkStateLimit(sets map[string][]byte) error {
+	if size := writeSize(sets); size > machine.stateLimit {
 		return StateTooLarge.New("a write of %d bytes, more than %d", size, machine.stateLimit)
 	}
 	if size := machine.sizeAfter(sets); size > machine.stateLimit && size > machine.size {
--- a/internal/tier/consensus/size_test.go
+++ b/internal/tier/consensus/size_test.go
@@ -153,17 +153,17 @@
 // What waited for a round goes into it as far as the limit allows, in order; what would make the state too large is in
 // neither, and the others are not held up by it.
 func TestRoundsKeepWithinTheLimit(t *testing.T) {
-	m := newMachine(durable{identity: identity{Folder: "fa"}}, &tierv1.Member{Address: "a"}, nil, 0, timings(3*time.Second, 0), 1)
-	m.stateLimit, m.out = limitInTests, new(actions)
-	half := func(token uint64) waiter {
-		return waiter{token: token, sets: map[string][]byte{"k": valueFor("k", limitInTests/2)}}
+	m := newReplica(durableState{identity: identity{Folder: "fa"}}, &tierv1.Member{Address: "a"}, nil, 0, newTiming(3*time.Second, 0), 1)
+	m.stateLimit, m.actions = limitInTests, new(actions)
+	half := func(token uint64) pendingOperation {
+		return pendingOperation{token: token, sets: map[string][]byte{"k": valueFor("k", limitInTests/2)}}
 	}
-	queue := []waiter{half(1), {token: 2}, {token: 3, sets: map[string][]byte{"k": valueFor("k", limitInTests+1)}}, half(4), half(5), {token: 6}, half(7)}
+	queue := []pendingOperation{half(1), {token: 2}, {token: 3, sets: map[string][]byte{"k": valueFor("k", limitInTests+1)}}, half(4), half(5), {token: 6}, half(7)}
 	rounds := [][]uint64{{1, 2, 4}, {5, 6, 7}}
 	for _, want := range rounds {
 		q := &tierv1.WriteRequest{Epoch: 7, PreviousSequence: m.sequence, Sequence: m.sequence}
-		var begun []waiter
-		begun, queue = m.gather(q, queue)
+		var begun []pendingOperation
+		begun, queue = m.fillBatch(q, queue)
 		var got []uint64
 		for _, w := range begun {
 			got = append(got, w.token)
@@ -175,15 +175,15 @@
 		assert.Equal(t, m.size, limitInTests/2)
 	}
 	assert.Equal(t, len(queue), 0)
-	assert.Equal(t, len(m.out.outcomes), 1)
-	assert.Equal(t, m.out.outcomes[0].token, uint64(3))
-	assertTooLarge(t, m.out.outcomes[0].err)
+	assert.Equal(t, len(m.actions.outcomes), 1)
+	assert.Equal(t, m.actions.outcomes[0].token, uint64(3))
+	assertTooLarge(t, m.actions.outcomes[0].err)
 }
 
 // The size of a copy is that of its entries, whatever writes led to it.
 func TestSizeOfACopy(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
-	var d durable
+	var d durableState
 	for range 2000 {
 		w := &tierv1.WriteRequest{Snapshot: random.IntN(50) == 0, Sequence: d.sequence + 1}
 		for range random.IntN(4) { // also doubled keys, and removals of what is not there
@@ -191,7 +191,7 @@
 		}
 		d.apply(w)
 		size := 0
-		for key, e := range d.data {
+		for key, e := range d.entries {
 			size += entrySize(key, e.Value)
 		}
 		assert.Equal(t, d.size, size)
@@ -202,14 +202,14 @@
 func TestLargestStateFitsARecord(t *testing.T) {
 	const last = 1<<64 - 1
 	whole := func(entries int) *tierv1.WriteRequest {
-		d := durable{identity: identity{Folder: strings.Repeat("f", 32)}, data: map[string]*tierv1.Entry{}, sequence: last}
+		d := durableState{identity: identity{Folder: strings.Repeat("f", 32)}, entries: map[string]*tierv1.Entry{}, sequence: last}
 		each := StateLimit / entries
 		value := make([]byte, each-entrySize("00000000", nil))
 		for i := range entries {
 			key := fmt.Sprintf("%08d", i)
-			d.data[key] = &tierv1.Entry{Key: key, Value: value, Sequence: last}
+			d.entries[key] = &tierv1.Entry{Key: key, Value: value, Sequence: last}
 		}
-		return d.whole(last)
+		return d.snapshotWrite(last)
 	}
 	for _, entries := range []int{1, 2, 100, 10_000} {
 		q := whole(entries)
@@ -221,18 +221,18 @@
 
 // A write that fits no record, as a program without the limit may send it, is not taken, and changes nothing.
 func TestWriteThatFitsNoRecordIsNotTaken(t *testing.T) {
-	d := durable{identity: identity{Folder: "fa"}, promised: 1 << epochBits, promisedTo: "fb"}
-	m := newMachine(d, &tierv1.Member{Address: "a"}, nil, 1, timings(3*time.Second, 0), 1)
+	d := durableState{identity: identity{Folder: "fa"}, preparedEpoch: 1 << epochBits, preparedFor: "fb"}
+	m := newReplica(d, &tierv1.Member{Address: "a"}, nil, 1, newTiming(3*time.Second, 0), 1)
 	q := &tierv1.WriteRequest{Epoch: 1 << epochBits, Sequence: 1, Snapshot: true, From: "fb",
 		Entries: []*tierv1.Entry{{Key: "k", Value: make([]byte, wal.MaxRecord)}}}
-	out := m.Step(time.Second, request{1, q})
+	out := m.Step(time.Second, incomingCall{1, q})
 	assert.Equal(t, len(out.records), 0)
 	a := out.replies[0].body.(*tierv1.WriteReply)
 	assert.Assert(t, !a.Acknowledged && !a.Behind)
-	assert.Equal(t, len(m.data), 0)
+	assert.Equal(t, len(m.entries), 0)
 	assert.Equal(t, m.sequence, uint64(0))
 	q.Entries[0].Value = []byte("v")
-	out = m.Step(2*time.Second, request{2, q})
+	out = m.Step(2*time.Second, incomingCall{2, q})
 	assert.Assert(t, out.replies[0].body.(*tierv1.WriteReply).Acknowledged)
 }
 
@@ -245,8 +245,8 @@
 	folder := s.node.Self().Folder
 	size := s.node.file.Size()
 	waits := s.put("waits")
-	s.node.do(context.Background(), &actions{records: [][]byte{encodeMark(1), make([]byte, wal.MaxRecord+1)}, sync: true})
-	assert.ErrorIs(t, (<-waits).err, ErrUnknown)
+	s.node.perform(context.Background(), &actions{records: [][]byte{encodeStateEpoch(1), make([]byte, wal.MaxRecord+1)}, sync: true})
+	assert.ErrorIs(t, (<-waits).err, ErrOutcomeUnknown)
 	assert.NilError(t, s.node.DiskError())
 	_, ok := s.node.Primary()
 	assert.Assert(t, !ok)
--- a/internal/tier/consensus/store.go
+++ b/internal/tier/consensus/store.go
@@ -25,10 +25,10 @@
 	Confirm(ctx context.Context, epoch uint64) error
 	// Changed is closed at the next change of role, record or state.
 	Changed() <-chan struct{}
-	// Hint is the internal address of the primary as known, or empty.
-	Hint() string
-	// Record is the newest record known to be chosen, or nil.
-	Record() *tierv1.View
+	// PrimaryHint is the internal address of the primary as known, or empty.
+	PrimaryHint() string
+	// View is the newest record known to be chosen, or nil.
+	View() *tierv1.View
 	// Members are all control plane folders that are known and alive, or members of the record.
 	Members() []*tierv1.Member
 	// Self is this folder. It has no Folder until the disk could be written for the first time.
@@ -38,6 +38,6 @@
 var (
 	// ErrNotPrimary says that the epoch is over and that nothing was written.
 	ErrNotPrimary = errors.New("consensus: not the primary of this epoch")
-	// ErrUnknown says that the write may or may not stand.
-	ErrUnknown = errors.New("consensus: the outcome is unknown")
+	// ErrOutcomeUnknown says that the write may or may not stand.
+	ErrOutcomeUnknown = errors.New("consensus: the outcome is unknown")
 )
--- a/internal/tier/consensus/stored_test.go
+++ b/internal/tier/consensus/stored_test.go
@@ -50,7 +50,7 @@
 	state, _ := readStored(t, copyStored(t, "primary"))
 	_, want := readStored(t, copyStored(t, "rewritten"))
 	assert.Equal(t, len(want), 6) // the last was appended after the rewrite
-	assert.DeepEqual(t, state.snapshot(), want[:5])
+	assert.DeepEqual(t, state.records(), want[:5])
 }
 
 // copyStored copies a stored folder to a temporary one and returns its path.
@@ -64,9 +64,9 @@
 }
 
 // readStored replays the file of a folder and returns the state and the records as they were stored.
-func readStored(t *testing.T, folder string) (*durable, [][]byte) {
+func readStored(t *testing.T, folder string) (*durableState, [][]byte) {
 	t.Helper()
-	state := new(durable)
+	state := new(durableState)
 	var records [][]byte
 	file, err := wal.Open(wal.OS{}, folder, fileName, func(record []byte) error {
 		records = append(records, record)
@@ -78,7 +78,7 @@
 }
 
 // listStored lists a state and the records that it was read from.
-func listStored(state *durable, records [][]byte) string {
+func listStored(state *durableState, records [][]byte) string {
 	var listing strings.Builder
 	kinds := make([]string, len(records))
 	for i, record := range records {
@@ -86,12 +86,12 @@
 	}
 	fmt.Fprintf(&listing, "records: %s\n", strings.Join(kinds, " "))
 	fmt.Fprintf(&listing, "folder: %s genesis=%v seeds=%v\n", state.Folder, state.Genesis, state.Seeds)
-	fmt.Fprintf(&listing, "promised: %d to %q\n", state.promised, state.promisedTo)
+	fmt.Fprintf(&listing, "promised: %d to %q\n", state.preparedEpoch, state.preparedFor)
 	fmt.Fprintf(&listing, "accepted: %s\n", listStoredRecord(state.accepted))
 	fmt.Fprintf(&listing, "chosen: %s\n", listStoredRecord(state.chosen))
-	fmt.Fprintf(&listing, "state: sequence=%d epoch=%d size=%d\n", state.sequence, state.copyEpoch, state.size)
-	for _, key := range slices.Sorted(maps.Keys(state.data)) {
-		entry := state.data[key]
+	fmt.Fprintf(&listing, "state: sequence=%d epoch=%d size=%d\n", state.sequence, state.stateEpoch, state.size)
+	for _, key := range slices.Sorted(maps.Keys(state.entries)) {
+		entry := state.entries[key]
 		fmt.Fprintf(&listing, "entry: %q sequence=%d bytes=%d crc=%08x %.40q\n", entry.Key, entry.Sequence, len(entry.Value), crc32.ChecksumIEEE(entry.Value), entry.Value)
 	}
 	return listing.String()
--- a/internal/tier/consensus/view.go
+++ b/internal/tier/consensus/view.go
@@ -6,30 +6,30 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// view is what callers see of the machine, as of its last step that is on disk.
-type view struct {
-	epoch     uint64
-	primary   bool
-	alone     bool // no backups to be asked
-	confirmed time.Duration
-	data      map[string]*tierv1.Entry
-	record    *tierv1.View
-	hint      string
-	members   []*tierv1.Member
-	self      *tierv1.Member
-	health    Health
+// publishedState is what callers see of the machine, as of its last step that is on disk.
+type publishedState struct {
+	epoch          uint64
+	primary        bool
+	withoutBackups bool // no backups to be asked
+	leaseStart     time.Duration
+	entries        map[string]*tierv1.Entry
+	view           *tierv1.View
+	primaryHint    string
+	members        []*tierv1.Member
+	self           *tierv1.Member
+	health         Health
 }
 
 // publish shows callers the machine as it is now; with changed those that wait on Changed are woken.
 func (node *Node) publish(changed bool) {
 	machine := node.machine
-	v := view{record: machine.chosen, hint: machine.hint, members: machine.members(), data: machine.data, self: machine.self, health: machine.health()}
+	v := publishedState{view: machine.chosen, primaryHint: machine.primaryHint, members: machine.liveMembers(), entries: machine.entries, self: machine.self, health: machine.health()}
 	if primary := machine.primary; primary != nil {
-		v.primary, v.epoch, v.data, v.record = true, primary.record.Epoch, primary.visible, primary.record
-		v.alone, v.confirmed = len(primary.record.Backups) == 0, machine.confirmedAt()
+		v.primary, v.epoch, v.entries, v.view = true, primary.view.Epoch, primary.committed, primary.view
+		v.withoutBackups, v.leaseStart = len(primary.view.Backups) == 0, machine.leaseStart()
 	}
 	node.mu.Lock()
-	node.view = v
+	node.published = v
 	if changed {
 		close(node.changed)
 		node.changed = make(chan struct{})
@@ -41,14 +41,14 @@
 func (node *Node) Primary() (uint64, bool) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	return node.view.epoch, node.view.leads(node.now(), node.timing.fresh)
+	return node.published.epoch, node.published.leads(node.now(), node.timing.lease)
 }
 
 // Get implements Store.
 func (node *Node) Get(key string) ([]byte, uint64) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	e := node.view.data[key]
+	e := node.published.entries[key]
 	return e.GetValue(), e.GetSequence()
 }
 
@@ -59,30 +59,30 @@
 	return node.changed
 }
 
-// Hint implements Store.
-func (node *Node) Hint() string {
+// PrimaryHint implements Store.
+func (node *Node) PrimaryHint() string {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	return node.view.hint
+	return node.published.primaryHint
 }
 
-// Record implements Store.
-func (node *Node) Record() *tierv1.View {
+// View implements Store.
+func (node *Node) View() *tierv1.View {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	return node.view.record
+	return node.published.view
 }
 
 // Members implements Store.
 func (node *Node) Members() []*tierv1.Member {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	return node.view.members
+	return node.published.members
 }
 
 // Self implements Store.
 func (node *Node) Self() *tierv1.Member {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	return node.view.self
+	return node.published.self
 }
--- a/internal/tier/consensus/whole_core_test.go
+++ b/internal/tier/consensus/whole_core_test.go
@@ -291,7 +291,7 @@
 			w.boot()
 			w.run(5 * time.Second)
 			w.readings(time.Hour)
-			recently := w.leader().m.recently() + w.leader().m.timing.heartbeat + tripSlack // the figure is of the last step
+			recently := w.leader().m.answerMaxAge() + w.leader().m.timing.heartbeatInterval + tripSlack // the figure is of the last step
 			for n := range 15 {
 				w.run(w.now + recently + time.Duration(w.random.Int64N(int64(1500*time.Millisecond))))
 				leader := w.leader()
--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -93,7 +93,7 @@
 type site struct {
 	world    *world
 	member   *tierv1.Member
-	m        *machine // nil: no process
+	m        *replica // nil: no process
 	run      *subject
 	life     int
 	synced   [][]byte
@@ -167,7 +167,7 @@
 		return
 	}
 	s.dark = false
-	var d durable
+	var d durableState
 	for _, r := range s.synced {
 		if err := d.replay(r); err != nil {
 			w.fault("replay: %v", err)
@@ -180,13 +180,13 @@
 		s.synced = append(s.synced, encodeIdentity(d.identity))
 	}
 	s.life++
-	timing := timings(w.window, 1200*time.Millisecond)
+	timing := newTiming(w.window, 1200*time.Millisecond)
 	if w.transferRate > 0 {
-		timing.rate = w.transferRate
+		timing.transferRate = w.transferRate
 	}
-	s.m = newMachine(d, s.member, w.seeds, w.losses, timing, w.random.Uint64())
+	s.m = newReplica(d, s.member, w.seeds, w.losses, timing, w.random.Uint64())
 	s.m.now = w.now
-	s.m.tryAt += w.now
+	s.m.candidacyAt += w.now
 	s.m.joinAt += w.now
 	s.run = &subject{m: s.m, plant: w.plant, asked: make(map[uint64]proto.Message)}
 	s.busy, s.inbox, s.seen = false, nil, nil
@@ -233,7 +233,7 @@
 	for _, r := range records {
 		n := 0
 		for folder := range w.wiped {
-			if named(r, folder) {
+			if isNamedIn(r, folder) {
 				n++
 			}
 		}
@@ -241,7 +241,7 @@
 			return false
 		}
 	}
-	for _, set := range configurations(records...) {
+	for _, set := range quorumSets(records...) {
 		n := 0
 		for _, v := range set {
 			if v.Folder == "" || w.wiped[v.Folder] {
@@ -268,7 +268,7 @@
 	if s.m == nil {
 		return
 	}
-	at, life := max(s.m.wake(), s.world.now+time.Millisecond), s.life
+	at, life := max(s.m.nextStepAt(), s.world.now+time.Millisecond), s.life
 	s.wakeAt = at
 	s.world.after(at-s.world.now, func() {
 		if s.life == life && s.wakeAt == at && s.m != nil {
@@ -285,11 +285,11 @@
 	events, s.inbox = s.inbox, nil
 	w := s.world
 	out := s.run.step(w.now, events...)
-	for _, n := range out.news {
-		w.logf("%s %s promised=%d chosen=%d seq=%d", s.m.Folder, n, s.m.promised, epochOf(s.m.chosen), s.m.sequence)
+	for _, n := range out.transitions {
+		w.logf("%s %s promised=%d chosen=%d seq=%d", s.m.Folder, n, s.m.preparedEpoch, epochOf(s.m.chosen), s.m.sequence)
 	}
 	life := s.life
-	for _, c := range out.early {
+	for _, c := range out.unsyncedCalls {
 		s.send(c)
 		if s.life != life {
 			return
@@ -374,13 +374,13 @@
 }
 
 // send carries a call: it always ends in an answer, empty where nothing came within the time-out.
-func (s *site) send(c call) {
+func (s *site) send(c outgoingCall) {
 	w := s.world
 	life, ended := s.life, false
 	end := func(body proto.Message) {
 		if s.life == life && !ended {
 			ended = true
-			s.step(answer{c.id, body})
+			s.step(callResult{c.id, body})
 		}
 	}
 	w.after(c.timeout, func() { end(nil) })
@@ -413,7 +413,7 @@
 		if w.delivered != nil {
 			w.delivered(to, c.body)
 		}
-		to.step(request{token, proto.Clone(c.body)})
+		to.step(incomingCall{token, proto.Clone(c.body)})
 		switch kind {
 		case receiverKilled:
 			to.stop(false)
--- a/internal/tier/controlplane/metrics.go
+++ b/internal/tier/controlplane/metrics.go
@@ -10,7 +10,7 @@
 
 // Metrics gives the figures of this moment, from the state that Status tells, and under the same locks.
 func (plane *ControlPlane) Metrics() metrics.ControlPlane {
-	record := plane.Store.Record()
+	record := plane.Store.View()
 	figures := metrics.ControlPlane{Epoch: record.GetEpoch(), Members: len(record.GetMembers()), Disk: tierv1.DiskState_DISK_SOUND}
 	if store, knows := plane.Store.(healthStore); knows {
 		health := store.Health()
--- a/internal/tier/controlplane/metrics_test.go
+++ b/internal/tier/controlplane/metrics_test.go
@@ -25,7 +25,7 @@
 		}
 		r.pass(3 * time.Second)
 		figures := r.k.Metrics()
-		assert.Equal(t, figures.Epoch, r.s.Record().Epoch)
+		assert.Equal(t, figures.Epoch, r.s.View().Epoch)
 		assert.Equal(t, figures.Disk, tierv1.DiskState_DISK_SOUND)
 		assert.Equal(t, figures.Primary.Gateways, 2)
 		assert.Equal(t, figures.Primary.TurnStores, 2)
--- a/internal/tier/controlplane/redirect.go
+++ b/internal/tier/controlplane/redirect.go
@@ -38,7 +38,7 @@
 
 // findPrimary gives the operators' address of the primary, if it is known at this moment. It may be this process by now.
 func (plane *ControlPlane) findPrimary(ctx context.Context) (address string, ok bool) {
-	hint := plane.Store.Hint()
+	hint := plane.Store.PrimaryHint()
 	host, _, err := net.SplitHostPort(hint)
 	_, port, err2 := net.SplitHostPort(plane.Settings.Control)
 	switch {
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -60,8 +60,8 @@
 }
 
 func (s *store) Primary() (uint64, bool) { s.mu.Lock(); defer s.mu.Unlock(); return s.epoch, s.ok }
-func (s *store) Hint() string            { s.mu.Lock(); defer s.mu.Unlock(); return s.hint }
-func (s *store) Record() *tierv1.View    { return &tierv1.View{Epoch: s.epoch} }
+func (s *store) PrimaryHint() string     { s.mu.Lock(); defer s.mu.Unlock(); return s.hint }
+func (s *store) View() *tierv1.View      { return &tierv1.View{Epoch: s.epoch} }
 func (s *store) Self() *tierv1.Member    { return s.members[0] }
 func (s *store) Members() []*tierv1.Member {
 	s.mu.Lock()
--- a/internal/tier/controlplane/status.go
+++ b/internal/tier/controlplane/status.go
@@ -13,7 +13,7 @@
 func (s *watchService) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
 	plane := s.plane
 	v, primary := plane.primary()
-	r := &tierv1.StatusReply{Self: plane.Store.Self(), Primary: primary, Record: plane.Store.Record(), DiskError: plane.diskError()}
+	r := &tierv1.StatusReply{Self: plane.Store.Self(), Primary: primary, Record: plane.Store.View(), DiskError: plane.diskError()}
 	r.Highest = r.Record.GetEpoch()
 	for _, key := range []string{keyConfiguration, keyPartitionMap, keyEpochMarker} {
 		_, sequence := plane.Store.Get(key)
@@ -59,7 +59,7 @@
 
 // addControlRisk tells what the control state bears, as the store knows it; without a word from it, as the record has it.
 func (plane *ControlPlane) addControlRisk(r *tierv1.Risk) {
-	record := plane.Store.Record()
+	record := plane.Store.View()
 	r.ControlMembers, r.ControlChanging = uint32(len(record.GetMembers())), len(record.GetFormer()) > 0
 	r.ControlCopies = uint32(len(record.GetBackups()))
 	r.ControlBorne = int32(min(len(record.GetBackups()), plane.faultTolerance.Losses))
--- a/internal/tier/controlplane/store.go
+++ b/internal/tier/controlplane/store.go
@@ -19,11 +19,12 @@
 	Put(ctx context.Context, epoch uint64, sets map[string][]byte) (sequence uint64, err error)
 	// Confirm is nil after a round trip to all backups under this epoch that began after the call.
 	Confirm(ctx context.Context, epoch uint64) error
-	// Changed is closed at the next change of role, record or state.
+	// Changed is closed at the next change of role, view or state.
 	Changed() <-chan struct{}
-	// Hint is the internal address of the primary as known, empty if it is not.
-	Hint() string
-	Record() *tierv1.View
+	// PrimaryHint is the internal address of the primary as known, empty if it is not.
+	PrimaryHint() string
+	// View is the newest view known to be chosen, or nil.
+	View() *tierv1.View
 	Members() []*tierv1.Member
 	Self() *tierv1.Member
 }
--- a/internal/tier/controlplane/watch.go
+++ b/internal/tier/controlplane/watch.go
@@ -54,7 +54,7 @@
 				continue
 			}
 			if n, some := v.replyFor(req); some || over || req.PollTimeoutMs == 0 {
-				n.PrimaryHint = plane.Store.Hint()
+				n.PrimaryHint = plane.Store.PrimaryHint()
 				return n, nil
 			}
 		} else if over || req.PollTimeoutMs == 0 {
@@ -72,7 +72,7 @@
 
 // notPrimary is the answer of one that is not the primary, or can't be sure of it.
 func (plane *ControlPlane) notPrimary() *tierv1.WatchReply {
-	return &tierv1.WatchReply{PrimaryHint: plane.Store.Hint()}
+	return &tierv1.WatchReply{PrimaryHint: plane.Store.PrimaryHint()}
 }
 
 func (v *view) replyFor(req *tierv1.WatchRequest) (n *tierv1.WatchReply, some bool) {
--- a/internal/tier/simulation/planted_test.go
+++ b/internal/tier/simulation/planted_test.go
@@ -68,7 +68,7 @@
 		s.epoch.Store(epoch)
 		return epoch, true
 	}
-	if last := s.epoch.Load(); last != 0 && s.Store.Record().GetEpoch() <= last { // it has heard of no other
+	if last := s.epoch.Load(); last != 0 && s.Store.View().GetEpoch() <= last { // it has heard of no other
 		return last, true
 	}
 	return epoch, false
--- a/internal/tier/simulation/recovery.go
+++ b/internal/tier/simulation/recovery.go
@@ -53,7 +53,7 @@
 	if p == nil {
 		return
 	}
-	record := p.role.(*controlPlaneRole).node.Record()
+	record := p.role.(*controlPlaneRole).node.View()
 	domains := map[string]string{} // by folder
 	for _, m := range record.GetMembers() {
 		if machine := w.machine(m.Node); machine != nil {
