--- a/internal/tier/turnstore/backup.go
+++ b/internal/tier/turnstore/backup.go
@@ -8,8 +8,10 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Replicate takes facts from the primary of an epoch that is not older than the one known here, and answers when they
-// are synced. Before the first map in this life nothing is taken: an epoch could be known that this process forgot.
+// Replicate implements tierv1.TurnStore: as a backup it adds facts of the primary, and replies Taken when they are synced. An epoch that
+// is older than the newest known here is Stale; a newer one is observed. Neither is replied before the first partition map of this
+// process, which has forgotten the epochs that it observed, while the disk is not sound, or if the call was meant for another
+// folder. The error is the cause of ctx.
 func (store *TurnStore) Replicate(ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 	store.mu.Lock()
 	if !store.hasMap || store.closed || req.From == store.folder || !store.canWrite() {
@@ -17,7 +19,7 @@
 		return &tierv1.ReplicateReply{}, nil
 	}
 	p := store.state.partition(req.Partition)
-	if req.To != "" && req.To != store.folder { // it was meant for a folder that is no longer here
+	if req.To != "" && req.To != store.folder { // for a folder that was at this address before
 		store.mu.Unlock()
 		return &tierv1.ReplicateReply{}, nil
 	}
@@ -46,8 +48,8 @@
 	}
 }
 
-// admitsPrimary tells whether a primary may write here in an epoch, and learns newer epochs. An empty primary is not known.
-// The lock is held.
+// admitsPrimary reports whether a primary may write here in an epoch, and observes a newer epoch. The primary may be unknown (empty). The
+// caller holds mu.
 func (store *TurnStore) admitsPrimary(p *partition, epoch uint64, primary string) bool {
 	switch {
 	case epoch < p.epoch:
@@ -62,7 +64,8 @@
 	return p.backup && (primary == "" || p.primary == primary)
 }
 
-// Held tells the keys of a partition's facts, all synced here.
+// Held implements tierv1.TurnStore: as a backup it returns the keys of all facts of a partition, once they are synced. The error is the
+// cause of ctx.
 func (store *TurnStore) Held(ctx context.Context, req *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
 	store.mu.Lock()
 	if !store.hasMap || store.closed || !store.canWrite() {
@@ -88,7 +91,8 @@
 	}
 }
 
-// Fetch gives facts by their keys, as many as fit one message.
+// Fetch implements tierv1.TurnStore: it returns all facts of the attempts that the keys name, until the reply has more than chunkBytes.
+// It returns no errors.
 func (store *TurnStore) Fetch(_ context.Context, req *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -105,7 +109,7 @@
 			continue
 		}
 		e := p.entries[attempt]
-		if _, again := seen[attempt]; e == nil || again {
+		if _, sent := seen[attempt]; e == nil || sent {
 			continue
 		}
 		seen[attempt] = struct{}{}
--- a/internal/tier/turnstore/budget.go
+++ b/internal/tier/turnstore/budget.go
@@ -6,25 +6,25 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// DefaultReleaseGracePeriod is the release time for contact windows of up to 4 s.
+// DefaultReleaseGracePeriod is the grace period for contact windows of up to 4 s, and the shortest one.
 const DefaultReleaseGracePeriod = 1100 * time.Millisecond
 
-// A gateway repeats a release until it is answered.
+// A gateway repeats a release until it is answered. The timing is that of its storeClient.
 const (
-	callsPerContactWindow    = 4  // a call lasts this part of the contact window at most
-	backoffsPerContactWindow = 40 // the pause after it lasts this part at most
+	callsPerContactWindow    = 4  // a call times out after this part of the contact window
+	backoffsPerContactWindow = 40 // the longest backoff after it is this part
 )
 
-// ReleaseGracePeriod is how long the release of a reservation may take to come through once its turn store is there again: a call
-// of a gateway and the pause after it, and never less than DefaultReleaseTime.
+// ReleaseGracePeriod returns the time within which a gateway's release arrives once there is a primary again: that of one call and the
+// backoff after it, and not less than DefaultReleaseGracePeriod.
 func ReleaseGracePeriod(contactWindow time.Duration) time.Duration {
 	return max(DefaultReleaseGracePeriod, contactWindow/callsPerContactWindow+contactWindow/backoffsPerContactWindow)
 }
 
-// budgetVerdict tells whether a budget bears the turn that is asked for; own is what its attempt is charged already:
-//   - OK: there is room, with every open reservation counted at its most.
-//   - BUSY: there is none now, and there would be some if the reservations that may be under release here were released.
-//   - SPENT: there is none, whatever becomes of these.
+// budgetVerdict decides whether a budget allows a turn; own is what its attempt is charged already, in tokens. The verdict is
+//   - OK: if it does, with every open reservation charged at its maximum;
+//   - BUSY: if it does not now, but would if the reservations that may be being released were;
+//   - SPENT: if it would not even then, or gracePeriod has passed since this turn store became the primary.
 func (p *partition) budgetVerdict(req *tierv1.BeginRequest, own uint64, gracePeriod time.Duration, now time.Time) tierv1.Verdict {
 	if p.budgetAllows(req.Program, req.Budget, req.Most, own) {
 		return tierv1.Verdict_OK
@@ -38,8 +38,8 @@
 	return tierv1.Verdict_SPENT
 }
 
-// releasableTokens is what is charged for reservations of a program, but for one attempt, that were made before this turn store
-// became the primary: their gateways may have ended them since, and may have found no turn store that took the release.
+// releasableTokens returns what is charged for the open reservations of a program, except one attempt's, from before this turn store
+// became the primary: their gateways may have tried to release them meanwhile, and found no primary.
 func (p *partition) releasableTokens(program, except string) uint64 {
 	charging := p.programs[program]
 	if charging == nil {
@@ -56,22 +56,12 @@
 	return sum
 }
 
-// continuedTerm gives the term that the next epoch of a partition goes on from: this turn store was the primary without a break,
-// and took all releases. It is nil where there is none.
-func (store *TurnStore) continuedTerm(p *partition, next *tierv1.Partition) *term {
-	t := p.term
-	if t == nil || t.ended || t.unconfirmed {
-		return nil
-	}
-	if next.Primary != store.folder || next.Epoch != p.epoch+1 {
-		return nil
-	}
-	return t
-}
-
-// continueFrom has a term count as one with the term before it, where there is one that it continues.
-func (t *term) continueFrom(before *term) {
-	if before != nil {
-		t.firstID, t.primarySince = before.firstID, before.primarySince
+// budgetAllows reports whether a budget allows a reservation of maxTokens more; own is what the attempt is charged already. All are
+// in tokens.
+func (p *partition) budgetAllows(program string, budget, maxTokens, own uint64) bool {
+	var charged uint64
+	if g := p.programs[program]; g != nil {
+		charged = g.charged - own
 	}
+	return charged <= budget && maxTokens <= budget-charged
 }
--- a/internal/tier/turnstore/commit.go
+++ b/internal/tier/turnstore/commit.go
@@ -9,7 +9,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// appender is the part of a write-ahead log file that commits need.
+// appender is the part of wal.File that a groupCommitter needs.
 type appender interface {
 	Append(records ...[]byte) error
 	Sync() error
@@ -19,28 +19,30 @@
 type logBatch struct {
 	records [][]byte
 	to      appender
-	done    chan struct{}
-	err     error // set before done is closed
+	done    chan struct{} // closed when the records are synced, or have failed to be
+	err     error         // of the write or sync; set before done is closed
 }
 
-// groupCommitter writes batches in order: while one is synced, the next gathers. After a failure it takes nothing more.
+// groupCommitter is the group commit of the write-ahead log: while a batch is written and synced, the next one collects records. After
+// a failure all further batches fail with the same error. Its methods are safe for concurrent use.
 type groupCommitter struct {
 	mu      sync.Mutex
 	file    appender
-	next    *logBatch // gathers
-	last    *logBatch // being written, or written last
+	next    *logBatch // collects records; nil: empty
+	last    *logBatch // being written, or the last one written
 	running bool
-	began   time.Time // when the batch being written was begun; zero: none is
+	began   time.Time // when the write in progress began; zero: there is none
 	now     func() time.Time
 	failed  chan struct{} // closed at the first failure
 	err     error
 }
 
+// newGroupCommitter returns one that writes to a file and reads the clock now.
 func newGroupCommitter(file appender, now func() time.Time) *groupCommitter {
 	return &groupCommitter{file: file, now: now, failed: make(chan struct{})}
 }
 
-// add takes facts into the batch that gathers; without facts it gives the batch after which all added before is synced.
+// add adds facts to the next batch and returns it. Without facts it returns the batch after which all that was added before is synced.
 func (c *groupCommitter) add(facts ...*tierv1.Fact) *logBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,8 +76,8 @@
 	return b
 }
 
-// switchTo makes what is added from now on go to another file. It gives the batch after which nothing is written to the
-// one before.
+// switchTo sends what is not being written yet, and all that is added later, to another file. It returns the batch after which nothing
+// is written to the former one.
 func (c *groupCommitter) switchTo(file appender) *logBatch {
 	c.mu.Lock()
 	c.file = file
@@ -91,6 +93,7 @@
 	return b
 }
 
+// fail records the first error. The caller holds mu.
 func (c *groupCommitter) fail(err error) {
 	if c.err == nil {
 		c.err = err
@@ -98,6 +101,7 @@
 	}
 }
 
+// run writes batches until there is none. It is the only writer while running is set.
 func (c *groupCommitter) run() {
 	for {
 		c.mu.Lock()
@@ -126,12 +130,14 @@
 	}
 }
 
+// failure returns the first error, or nil.
 func (c *groupCommitter) failure() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
+// broken reports whether a write or sync has failed.
 func (c *groupCommitter) broken() bool {
 	select {
 	case <-c.failed:
@@ -141,7 +147,7 @@
 	}
 }
 
-// writing is how long the batch that is being written has been so; 0 where none is.
+// writing returns how long the write in progress has lasted, or 0.
 func (c *groupCommitter) writing(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tier/turnstore/compact.go
+++ b/internal/tier/turnstore/compact.go
@@ -8,26 +8,23 @@
 )
 
 const (
-	chunkBytes   = 256 << 10 // bytes of facts that are written or sent in one go, where there is a choice
-	minDeadBytes = 1 << 20   // bytes that are worth a rewrite
+	chunkBytes   = 256 << 10 // bytes of facts that are written or sent at once, where they can be divided
+	minDeadBytes = 1 << 20   // bytes of dropped facts below which a compaction is not worthwhile
 )
 
-// Compact writes what is alive into the other write-ahead log and empties the one written before, where more than half is dead,
-// where the disk gets full, or where force is true. Requests go on all the while: they are appended to the other one.
+// Compact rewrites all live facts into the other write-ahead log and then empties the former one, if more than half of it is dead, if
+// Config.DiskBytes gets short, or if force is set. Requests are served meanwhile, and append to the other log. If the disk has
+// failed it does nothing, as CheckDisk has to reopen the log first. Its errors are those of the disk, and the cause of ctx.
 func (store *TurnStore) Compact(ctx context.Context, force bool) error {
 	store.maintenance.Lock()
 	defer store.maintenance.Unlock()
 	store.mu.Lock()
 	if store.commit.broken() {
 		store.mu.Unlock()
-		return nil // CheckDisk opens it again first
+		return nil
 	}
 	size, live := store.logSize(), store.state.disk
-	due := size > 2*live+minDeadBytes
-	if d := store.cfg.DiskBytes; d > 0 {
-		due = due || size+live > d*7/10 && size-live > d/20
-	}
-	if !due && !force {
+	if !force && !compactionDue(size, live, store.cfg.DiskBytes) {
 		store.mu.Unlock()
 		return nil
 	}
@@ -52,11 +49,21 @@
 		return err
 	}
 	store.cfg.Log.Info().Str("event", "turnstore_compacted").Int64("before", size).Int64("after", store.logSize()).
-		Dur("took", time.Since(began)).Msg("")
+		Dur("took", time.Since(began)).Msg("compacted the write-ahead log")
 	return nil
 }
 
-// rewritePartition writes the entries older than the generation to the active write-ahead log, a chunk at a time.
+// compactionDue reports whether a log of size bytes, of which live are alive, should be compacted: if more than half is dead, or if
+// the limit, if any, is close and there is something to gain.
+func compactionDue(size, live, limit int64) bool {
+	if size > 2*live+minDeadBytes {
+		return true
+	}
+	return limit > 0 && size+live > limit*7/10 && size-live > limit/20
+}
+
+// rewritePartition appends the entries that are older than a generation to the active write-ahead log, a chunk at a time. It
+// pauses after each for as long as that took.
 func (store *TurnStore) rewritePartition(ctx context.Context, id, generation uint32) error {
 	store.mu.Lock()
 	p := store.state.partitions[id]
@@ -93,16 +100,3 @@
 	}
 	return nil
 }
-
-// sleep waits, and tells whether it was not broken off.
-func sleep(ctx context.Context, stop <-chan struct{}, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-	case <-stop:
-	}
-	return false
-}
--- a/internal/tier/turnstore/durable_test.go
+++ b/internal/tier/turnstore/durable_test.go
@@ -18,6 +18,7 @@
 }
 
 func (s *stuckDisk) Append(...[]byte) error { return nil }
+
 func (s *stuckDisk) Sync() error {
 	s.once.Do(func() { close(s.entered) })
 	<-s.leave
--- a/internal/tier/turnstore/avoid.go
+++ b/internal/tier/turnstore/failedendpoints.go
@@ -1,20 +1,22 @@
 package turnstore
 
-import "time"
+import (
+	"time"
+)
 
 const (
-	failedEndpointTTL  = 10 * time.Second // an endpoint is avoided for so long after an attempt of the program ended there without its answer
-	maxFailedEndpoints = 4                // endpoints that are remembered of a program
+	failedEndpointTTL  = 10 * time.Second // how long an endpoint is avoided after an attempt of the program failed there
+	maxFailedEndpoints = 4                // endpoints that are remembered for a program
 )
 
-// failedEndpoint is an endpoint at which an attempt of a program ended without its answer.
+// failedEndpoint is an endpoint at which an attempt of a program ended without a complete answer.
 type failedEndpoint struct {
 	instance string
 	at       time.Time
 }
 
-// recordFailedEndpoint remembers where an attempt of a program ended without its answer. It is a hint for the next attempts of this program,
-// which may come through any gateway: it is neither synced nor replicated.
+// recordFailedEndpoint records that an attempt of a program failed at an instance, if that is not empty. It is a hint for the next
+// attempts of the program, through whichever gateway they come: it is neither synced nor replicated.
 func (p *partition) recordFailedEndpoint(name, instance string, now time.Time) {
 	program := p.programs[name]
 	if program == nil || instance == "" {
@@ -32,7 +34,7 @@
 	program.failedEndpoints = append(kept, failedEndpoint{instance, now})
 }
 
-// failedEndpoints gives the endpoints at which attempts of a program ended of late without their answers.
+// failedEndpoints returns the instances at which attempts of a program failed within failedEndpointTTL.
 func (p *partition) failedEndpoints(name string, now time.Time) (instances []string) {
 	program := p.programs[name]
 	if program == nil {
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -261,24 +261,29 @@
 func (w *transport) Begin(ctx context.Context, r *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
 	return deliver(w, ctx, r, (*TurnStore).Begin)
 }
+
 func (w *transport) Settle(ctx context.Context, r *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
 	return deliver(w, ctx, r, (*TurnStore).Settle)
 }
+
 func (w *transport) Find(ctx context.Context, r *tierv1.FindRequest) (*tierv1.FindReply, error) {
 	return deliver(w, ctx, r, (*TurnStore).Find)
 }
+
 func (w *transport) Replicate(ctx context.Context, r *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 	if w.c.injection.replicate != nil {
 		return deliver(w, ctx, r, w.c.injection.replicate(w.c))
 	}
 	return deliver(w, ctx, r, (*TurnStore).Replicate)
 }
+
 func (w *transport) Held(ctx context.Context, r *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
 	if w.c.injection.held != nil {
 		return deliver(w, ctx, r, w.c.injection.held(w.c))
 	}
 	return deliver(w, ctx, r, (*TurnStore).Held)
 }
+
 func (w *transport) Fetch(ctx context.Context, r *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
 	if w.c.injection.fetch != nil {
 		return deliver(w, ctx, r, w.c.injection.fetch(w.c))
--- a/internal/tier/turnstore/metrics.go
+++ b/internal/tier/turnstore/metrics.go
@@ -2,7 +2,7 @@
 
 import "saffronyard.example/saffronyard/internal/tier/metrics"
 
-// Metrics gives the figures of this moment, but for those of the session.
+// Metrics returns the current metrics, except those of the session.
 func (store *TurnStore) Metrics() metrics.TurnStore {
 	store.mu.Lock()
 	defer store.mu.Unlock()
--- a/internal/tier/turnstore/planted_test.go
+++ b/internal/tier/turnstore/planted_test.go
@@ -156,6 +156,7 @@
 }
 
 func (d logFilesFS) Open(name string) (wal.Handle, error) { return d.wrapped(name)(d.FS.Open(name)) }
+
 func (d logFilesFS) Create(name string) (wal.Handle, error) {
 	return d.wrapped(name)(d.FS.Create(name))
 }
--- a/internal/tier/turnstore/term.go
+++ b/internal/tier/turnstore/term.go
@@ -2,203 +2,97 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// role is what this turn store is for a partition, as known in this life of the process.
+// role is the role of this turn store in a partition, as far as this process knows. It is not stored.
 type role struct {
-	epoch           uint64    // newest epoch observed, by a map or by another copy
-	primary         string    // its primary's folder; empty if not known
-	backup          bool      // this folder is a backup in it
-	term            *term     // where this folder is its primary
-	unassignedSince time.Time // since when the partition is assigned elsewhere; zero while it is assigned here
+	epoch           uint64    // newest epoch observed, in a map or in a request of another replica
+	primary         string    // folder of the primary of that epoch; empty if unknown
+	backup          bool      // this folder is a backup of that epoch
+	term            *term     // not nil if this folder is or was the primary of that epoch
+	unassignedSince time.Time // when the partition was assigned elsewhere; zero while it is assigned here
 }
 
-// term is the time for which this turn store is primary of a partition in one epoch.
+// term is the time in which this process is the primary of a partition in one epoch. TurnStore.mu guards it.
 type term struct {
 	id          uint64
-	firstID     uint64 // id of the first term since which this turn store has been the primary without a break
+	firstID     uint64 // ID of the first of the terms that this one continues without a gap
 	epoch       uint64
 	replicators []*replicator
-	closed      chan struct{} // closed when it ends: by a newer epoch
+	closed      chan struct{} // closed when the term ends
 	ended       bool
-	// pendingRecoveries counts the backups that hold what this turn store may lack and with which all facts have yet to be exchanged.
+	// pendingRecoveries is the number of backups from which the missing facts have yet to be pulled (Partition.RecoverFrom).
 	pendingRecoveries int
-	// unconfirmed is set until control knows that this turn store has recovered: nothing is answered before, so that control
-	// knows in which epochs something can have been acknowledged.
+	// unconfirmed is set until the control plane has confirmed the recovery. Nothing is answered before, so that the control plane
+	// knows in which epochs anything can have been acknowledged.
 	unconfirmed bool
-	// primarySince is when this turn store became the primary, and could answer as such: at the first of the terms without a
-	// break, or when control knew that it had recovered.
+	// primarySince is when this turn store could first answer as the primary: at the start of the first of the continued terms, or
+	// when the recovery was confirmed.
 	primarySince time.Time
 }
 
-// endTerm closes the term in force, if any. The lock is held.
+// endTerm ends the current term, if any. The caller holds mu.
 func (p *partition) endTerm() {
 	if t := p.term; t != nil && !t.ended {
 		t.ended = true
 		close(t.closed)
-		for _, s := range t.replicators {
-			s.queue = nil
+		for _, r := range t.replicators {
+			r.queue = nil
 		}
 	}
 }
 
-// replicator brings facts to one backup in one term.
-type replicator struct {
-	store        *TurnStore
-	partition    *partition
-	term         *term
-	folder       string
-	queue        []*replicationBatch // the first may be under way
-	running      bool
-	synchronized bool // the backup holds all that this turn store held when its term began
-	unsynced     bool // says the map
-	recovering   bool // this turn store may lack what the backup holds: the first exchange is to bring it here
-}
-
-// replicationBatch is facts that go to a backup in one message; none: only the epoch is asked for.
-type replicationBatch struct {
-	facts        []*tierv1.Fact
-	size         int
-	inFlight     bool
-	acknowledged chan struct{} // closed when the backup has taken it
-}
-
-// replicationQueueLimit is how many bytes may wait for one backup before new turns are turned away.
-const replicationQueueLimit = 8 << 20
+// markAssigned records that the partition is assigned to this turn store. The caller holds mu.
+func (p *partition) markAssigned() { p.unassignedSince = time.Time{} }
 
-// enqueue brings facts to all backups. A round that it gives begins after the call. The lock is held.
-func (t *term) enqueue(facts ...*tierv1.Fact) []*replicationBatch {
-	if len(t.replicators) == 0 {
-		return nil
-	}
-	size := 0
-	for _, f := range facts {
-		size += proto.Size(f)
-	}
-	rounds := make([]*replicationBatch, len(t.replicators))
-	for i, s := range t.replicators {
-		rounds[i] = s.enqueue(facts, size)
-	}
-	return rounds
-}
-
-func (r *replicator) enqueue(facts []*tierv1.Fact, size int) *replicationBatch {
-	var batch *replicationBatch
-	if n := len(r.queue); n > 0 {
-		batch = r.queue[n-1]
-	}
-	if batch == nil || batch.inFlight || batch.size > 0 && batch.size+size > chunkBytes {
-		batch = &replicationBatch{acknowledged: make(chan struct{})}
-		r.queue = append(r.queue, batch)
-	}
-	batch.facts = append(batch.facts, facts...)
-	batch.size += size
-	if !r.running && !r.store.closed {
-		r.running = true
-		r.store.background.Add(1)
-		go r.run()
-	}
-	return batch
-}
-
-// maxQueuedBytes is how many bytes wait for the slowest backup.
-func (t *term) maxQueuedBytes() int {
-	most := 0
-	for _, s := range t.replicators {
-		n := 0
-		for _, r := range s.queue {
-			n += r.size
-		}
-		most = max(most, n)
-	}
-	return most
-}
-
-// run sends rounds until there are none, or the term ends. A round without an answer is sent again.
-func (r *replicator) run() {
-	defer r.store.background.Done()
-	fails := 0
-	for {
-		r.store.mu.Lock()
-		if r.term.ended || len(r.queue) == 0 {
-			r.running = false
-			r.store.mu.Unlock()
-			return
-		}
-		batch := r.queue[0]
-		batch.inFlight = true
-		r.store.mu.Unlock()
-		if !r.replicate(batch.facts, batch.size, fails) {
-			fails++
-			if !sleep(r.store.ctx, r.term.closed, min(20*time.Millisecond<<min(fails, 5), 400*time.Millisecond)) {
-				continue // the term is over, or the turn store
-			}
+// beginTerm begins a term: new facts are replicated to all backups, and the facts from before are synchronized with them, at first only
+// with those to recover from. The caller holds mu.
+func (store *TurnStore) beginTerm(p *partition, assignment *tierv1.Partition) {
+	store.lastTermID++
+	t := &term{id: store.lastTermID, firstID: store.lastTermID, epoch: assignment.Epoch, closed: make(chan struct{}), primarySince: store.cfg.Now()}
+	for _, backup := range assignment.Backups {
+		if backup.Folder == store.folder {
 			continue
 		}
-		fails = 0
-		r.store.mu.Lock()
-		if !r.term.ended {
-			r.queue = r.queue[1:]
-			close(batch.acknowledged)
+		t.replicators = append(t.replicators, &replicator{store: store, partition: p, term: t, folder: backup.Folder, unsynced: !backup.Synced})
+	}
+	p.term = t
+	t.unconfirmed = len(assignment.RecoverFrom) > 0
+	for _, r := range t.replicators {
+		r.recovering = slices.Contains(assignment.RecoverFrom, r.folder)
+		if r.recovering {
+			t.pendingRecoveries++
 		}
-		r.store.mu.Unlock()
 	}
+	store.startSynchronizations(t, func(r *replicator) bool { return t.pendingRecoveries == 0 || r.recovering })
 }
 
-// replicate tells whether the backup has taken the facts. A stale epoch ends the term.
-func (r *replicator) replicate(facts []*tierv1.Fact, size, fails int) bool {
-	client := r.store.client(r.folder)
-	if client == nil {
-		return false
-	}
-	ctx, cancel := context.WithTimeout(r.store.ctx, r.store.replyTimeout(size, fails))
-	defer cancel()
-	reply, err := client.Replicate(ctx, &tierv1.ReplicateRequest{To: r.folder,
-		Partition: r.partition.id, Epoch: r.term.epoch, From: r.store.folder, Facts: facts})
-	if err != nil {
-		return false
+// continuedTerm returns the term that the next epoch of a partition continues: this turn store was the primary without a gap, so it has
+// received all releases. It returns nil if there is none.
+func (store *TurnStore) continuedTerm(p *partition, next *tierv1.Partition) *term {
+	t := p.term
+	if t == nil || t.ended || t.unconfirmed {
+		return nil
 	}
-	if reply.Stale {
-		r.store.mu.Lock()
-		if r.partition.term == r.term && !r.term.ended {
-			r.partition.endTerm()
-			r.store.cfg.Log.Info().Str("event", "turnstore_deposed").Uint32("partition", r.partition.id).Uint64("epoch", r.term.epoch).
-				Str("by", r.folder).Msg("")
-		}
-		r.store.mu.Unlock()
-		return false
+	if next.Primary != store.folder || next.Epoch != p.epoch+1 {
+		return nil
 	}
-	return reply.Taken
+	return t
 }
 
-// replyTimeout is how long an answer is waited for: more for what is large, and after time-outs.
-func (store *TurnStore) replyTimeout(size, fails int) time.Duration {
-	d := store.cfg.ReplyTimeout + time.Duration(size)*time.Microsecond // a megabyte a second
-	return d << min(fails, 3)
-}
-
-// client gives the turn store of a folder, nil where its address is not known.
-func (store *TurnStore) client(folder string) tierv1.TurnStore {
-	store.mu.Lock()
-	defer store.mu.Unlock()
-	address := store.storeNodes[folder]
-	if address == "" || store.closed {
-		return nil
-	}
-	c := store.clients[address]
-	if c == nil {
-		c = store.cfg.Dial(address)
-		store.clients[address] = c
+// continueFrom makes t a continuation of the term before, which may be nil.
+func (t *term) continueFrom(before *term) {
+	if before != nil {
+		t.firstID, t.primarySince = before.firstID, before.primarySince
 	}
-	return c
 }
 
-// servingPartition gives the partition where this turn store may speak for it. The lock is held.
+// servingPartition returns a partition with verdict OK if this turn store can answer for it as the primary; otherwise the verdict is MOVED
+// if it is not the primary, or BUSY. The caller holds mu.
 func (store *TurnStore) servingPartition(id uint32) (*partition, tierv1.Verdict) {
 	if !store.hasMap || store.closed || !store.canWrite() {
 		return nil, tierv1.Verdict_BUSY
@@ -213,38 +107,51 @@
 	return p, tierv1.Verdict_OK
 }
 
-// waitOutcome is how a wait ended.
+// backupsSynchronized reports whether all backups have the facts from before the term.
+func (t *term) backupsSynchronized() bool {
+	return !slices.ContainsFunc(t.replicators, func(r *replicator) bool { return !r.synchronized })
+}
+
+// acknowledgement is what a reply waits for: that its facts are synced here and acknowledged by all backups of the term.
+type acknowledgement struct {
+	term       *term
+	logged     *logBatch           // nil: there is nothing to be synced
+	replicated []*replicationBatch // one for each backup
+}
+
+// waitOutcome is how a wait for an acknowledgement ended.
 type waitOutcome int
 
 const (
 	acknowledged waitOutcome = iota
-	termEnded                // the term ended: to be looked at again
-	timedOut                 // the time is over
-	diskFailed               // the disk is
+	termEnded                // another turn store may be the primary now
+	timedOut                 // the context ended
+	diskFailed               // the facts could not be synced here
 )
 
-// wait returns when facts are synced here, where b is given, and taken by all backups.
-func (t *term) wait(ctx context.Context, b *logBatch, rounds []*replicationBatch) waitOutcome {
-	for _, r := range rounds {
+// wait waits until the facts are acknowledged by all backups and synced here, in that order. Without facts it confirms
+// that this turn store is still the primary.
+func (a *acknowledgement) wait(ctx context.Context) waitOutcome {
+	for _, batch := range a.replicated {
 		select {
-		case <-r.acknowledged: // also where the time is over
+		case <-batch.acknowledged: // also after the end of ctx
 			continue
 		default:
 		}
 		select {
-		case <-r.acknowledged:
-		case <-t.closed:
+		case <-batch.acknowledged:
+		case <-a.term.closed:
 			return termEnded
 		case <-ctx.Done():
 			return timedOut
 		}
 	}
-	if b == nil {
+	if a.logged == nil {
 		return acknowledged
 	}
 	select {
-	case <-b.done:
-		if b.err != nil {
+	case <-a.logged.done:
+		if a.logged.err != nil {
 			return diskFailed
 		}
 		return acknowledged
--- a/internal/tier/turnstore/turnstore.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -1,5 +1,3 @@
-// Package turnstore keeps turns and budgets of agent programs. Each partition has a primary and backups, named by a map that
-// the control state decides on; what the primary answers is synced there and at all backups of its epoch first.
 package turnstore
 
 import (
@@ -16,28 +14,42 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Config is what a turn store is made of. Durations left out have defaults.
+// Config configures a turn store. Dir and Dial are required.
 type Config struct {
-	Node        string
-	Dir         string // of the write-ahead log
-	FS          wal.FS
-	Dial        func(addr string) tierv1.TurnStore // for the internal address of another turn store
-	DiskBytes   int64                              // bound on the write-ahead log; 0: none
-	MemoryBytes int64                              // bound on the estimated size of the facts; 0: none
-	Log         *log.Logger
-
-	Now                 func() time.Time // steady
-	ReplyTimeout        time.Duration    // in which a backup answers a small request: 250 ms
-	RequestTimeout      time.Duration    // in which a request is answered, BUSY at the latest: 1.5 s
-	RetentionSlack      time.Duration    // by which a turn is gone on from past its retention: 2 s
-	TurnLinger          time.Duration    // by which a turn's body is held past its retention, over Slack + the longest turn: 30 s
-	BudgetLinger        time.Duration    // by which a budget outlives the longest retention after its last news: 120 s
-	WriteTimeout        time.Duration    // after which a write or sync that has not returned counts as stuck: 2 s
-	ReleaseGracePeriod  time.Duration    // in which a release comes through after this turn store became the primary: DefaultReleaseTime
-	UnassignedRetention time.Duration    // after which facts of a partition that is assigned elsewhere are dropped: 30 s
+	Node string                                // name of the machine
+	Dir  string                                // data folder, created if missing
+	FS   wal.FS                                // of the data folder; default: wal.OS
+	Dial func(address string) tierv1.TurnStore // returns a client of the turn store at an internal address
+
+	DiskBytes   int64       // limit on the size of the write-ahead logs; 0: none
+	MemoryBytes int64       // limit on the estimated size of the facts in memory; 0: none
+	Log         *log.Logger // default: log.DefaultLogger
+
+	// Now is a monotonic clock. Default: time.Now.
+	Now func() time.Time
+	// ReplyTimeout bounds the time in which a backup answers a small request; larger ones get more. Default: 250 ms.
+	ReplyTimeout time.Duration
+	// RequestTimeout bounds the time in which a request of a gateway is answered, with BUSY at the latest. Default: 1.5 s.
+	RequestTimeout time.Duration
+	// RetentionSlack is how long a turn can be continued past its retention. Default: 2 s.
+	RetentionSlack time.Duration
+	// TurnLinger is how long the text of a turn is held past its retention. It must exceed RetentionSlack by the duration of the
+	// longest turn. Default: 30 s.
+	TurnLinger time.Duration
+	// BudgetLinger is how long a budget is remembered past the longest retention, from its program's last request on.
+	// Default: 120 s.
+	BudgetLinger time.Duration
+	// WriteTimeout is the time after which a write or sync that has not returned counts as stuck. Default: 2 s.
+	WriteTimeout time.Duration
+	// ReleaseGracePeriod is the time in which releases of gateways arrive after this turn store has become a primary; until then
+	// a budget is not spent by earlier reservations. Default: DefaultReleaseGracePeriod; see the function ReleaseGracePeriod.
+	ReleaseGracePeriod time.Duration
+	// UnassignedRetention is the time after which the facts of a partition that is assigned elsewhere are dropped. Default: 30 s.
+	UnassignedRetention time.Duration
 }
 
-func (c *Config) defaults() {
+// setDefaults replaces what is zero by its default.
+func (c *Config) setDefaults() {
 	set := func(d *time.Duration, to time.Duration) {
 		if *d == 0 {
 			*d = to
@@ -65,68 +77,66 @@
 // TurnStore serves the turns and budgets of one data folder. Its methods are safe for concurrent use.
 type TurnStore struct {
 	cfg           Config
-	folder        string
+	folder        string // ID of the data folder
 	wasEmpty      bool
-	logFiles      [2]*wal.File
-	ctx           context.Context // ends with the turn store
+	logFiles      [2]*wal.File    // "facts-0" and "facts-1"
+	ctx           context.Context // of the background goroutines; ends at Close
 	cancel        context.CancelFunc
-	transferSlots chan struct{} // of exchanges that may run at the same time
+	transferSlots chan struct{} // semaphore of the synchronizations that transfer facts
 
-	maintenance sync.Mutex // held while the write-ahead log is compacted or opened again; taken before mu
+	maintenance sync.Mutex // held while the write-ahead log is compacted or reopened; taken before mu
 
-	mu              sync.Mutex
+	mu              sync.Mutex // guards what follows
 	state           *state
-	commit          *groupCommitter  // replaced when the disk is sound again
-	diskState       tierv1.DiskState // noted last
-	diskSince       time.Time        // when it ceased to be sound
-	activeFile      int              // of files: appended to
+	commit          *groupCommitter  // replaced when the write-ahead log is reopened
+	diskState       tierv1.DiskState // as of the last CheckDisk
+	diskSince       time.Time        // when it was last found sound no more
+	activeFile      int              // index in logFiles of the one that is appended to
 	hasMap          bool
 	mapVersion      uint64
 	partitionMap    *tierv1.PartitionMap // applied last; it is not modified
 	storeNodes      map[string]string    // address by folder
 	clients         map[string]tierv1.TurnStore
-	comparisonSlots map[string]chan struct{} // semaphores by folder
-	lastTermID      uint64                   // number of the last term begun
-	changed         chan struct{}
-	expiryGroup     uint32 // partition swept last
+	comparisonSlots map[string]chan struct{} // by folder: semaphore of the comparisons with that turn store
+	lastTermID      uint64                   // ID of the last term begun
+	changed         chan struct{}            // closed, and replaced, at each change that SyncedReplicas or AwaitHandover wait for
+	expiryGroup     uint32                   // partitions that the next RemoveExpired looks at
 	background      sync.WaitGroup
 	closed          bool
 }
 
 var _ tierv1.TurnStore = (*TurnStore)(nil)
 
-// maxTransfers is how many exchanges of facts between copies may run at the same time.
-const maxTransfers = 2
-
-// Open reads the write-ahead log of a folder, or makes the folder. Errors are those of the disk, or of a write-ahead log that is none.
+// Open opens a data folder, which is created if it is missing, and replays its write-ahead logs. Nothing is served before
+// ApplyPartitionMap. Its errors are those of package wal, or of a record that cannot be decoded.
 func Open(cfg Config) (*TurnStore, error) {
-	cfg.defaults()
-	v := &TurnStore{cfg: cfg, state: newState(), storeNodes: map[string]string{}, clients: map[string]tierv1.TurnStore{},
+	cfg.setDefaults()
+	store := &TurnStore{cfg: cfg, state: newState(), storeNodes: map[string]string{}, clients: map[string]tierv1.TurnStore{},
 		comparisonSlots: map[string]chan struct{}{},
 		diskState:       tierv1.DiskState_DISK_SOUND,
 		changed:         make(chan struct{}), transferSlots: make(chan struct{}, maxTransfers)}
-	if err := v.loadIdentity(); err != nil {
+	if err := store.loadIdentity(); err != nil {
 		return nil, err
 	}
 	now := cfg.Now()
 	for i, name := range logFileNames {
-		file, err := wal.Open(cfg.FS, cfg.Dir, name, v.state.replay(name, now))
+		file, err := wal.Open(cfg.FS, cfg.Dir, name, store.state.replay(name, now))
 		if err != nil {
 			if i > 0 {
-				_ = v.logFiles[0].Close()
+				_ = store.logFiles[0].Close()
 			}
 			return nil, err
 		}
-		v.logFiles[i] = file
+		store.logFiles[i] = file
 	}
-	v.state.markReplayed(now)
-	v.activeFile = largest(v.logFiles)
-	v.commit = newGroupCommitter(v.logFiles[v.activeFile], cfg.Now)
-	v.ctx, v.cancel = context.WithCancel(context.Background())
-	return v, nil
+	store.state.markReplayed(now)
+	store.activeFile = largest(store.logFiles)
+	store.commit = newGroupCommitter(store.logFiles[store.activeFile], cfg.Now)
+	store.ctx, store.cancel = context.WithCancel(context.Background())
+	return store, nil
 }
 
-// loadIdentity reads the folder's, or draws it where there is none.
+// loadIdentity reads the ID of the data folder, or draws one for a new folder.
 func (store *TurnStore) loadIdentity() error {
 	file, err := wal.Open(store.cfg.FS, store.cfg.Dir, "identity", func(record []byte) error {
 		store.folder = string(record)
@@ -152,13 +162,14 @@
 	return file.Close()
 }
 
-// Folder is the identity that was drawn when the folder was made.
+// Folder returns the ID that was drawn when the data folder was created.
 func (store *TurnStore) Folder() string { return store.folder }
 
-// WasEmpty tells whether this process made the folder.
+// WasEmpty reports whether this process has created the data folder.
 func (store *TurnStore) WasEmpty() bool { return store.wasEmpty }
 
-// Close ends all work and closes the write-ahead log. What was answered is synced.
+// Close ends all terms, awaits the background goroutines, and closes the write-ahead logs. What was answered with OK is synced. It is
+// idempotent; errors are those of the disk.
 func (store *TurnStore) Close() error {
 	store.mu.Lock()
 	if store.closed {
@@ -179,37 +190,47 @@
 	return errorx.DecorateMany("close write-ahead log", store.logFiles[0].Close(), store.logFiles[1].Close())
 }
 
-// RemoveExpired drops what is past its time: a part of the partitions each time, so that all have had their turn after eight.
-func (store *TurnStore) RemoveExpired(now time.Time) {
-	const parts = 8
-	store.mu.Lock()
-	part := store.expiryGroup % parts
-	store.expiryGroup++
-	ids := make([]uint32, 0, len(store.state.partitions)/parts+1)
-	for id := range store.state.partitions {
-		if id%parts == part {
-			ids = append(ids, id)
+// Run maintains the turn store until ctx ends, then returns nil: each second it checks the disk, removes what has expired and
+// compacts the write-ahead log if that is due. A failed write is noticed at once.
+func (store *TurnStore) Run(ctx context.Context) error {
+	tick := time.NewTicker(time.Second)
+	defer tick.Stop()
+	for {
+		failure := store.diskFailure()
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-failure:
+			store.CheckDisk(store.cfg.Now())
+		case <-tick.C:
+			store.CheckDisk(store.cfg.Now())
+			store.RemoveExpired(store.cfg.Now())
+			if err := store.Compact(ctx, false); err != nil && ctx.Err() == nil {
+				store.cfg.Log.Warn().Str("event", "turnstore_compact_failed").Err(err).Msg("compaction of the write-ahead log failed")
+			}
 		}
 	}
-	store.mu.Unlock()
-	for _, id := range ids {
-		store.mu.Lock()
-		p := store.state.partitions[id]
-		if store.hasMap && !p.unassignedSince.IsZero() && now.Sub(p.unassignedSince) > store.cfg.UnassignedRetention {
-			store.state.dropAll(p)
-		}
-		store.state.removeExpired(p, store.cfg.TurnLinger, store.cfg.BudgetLinger, now)
-		store.mu.Unlock()
+}
+
+// diskFailure returns a channel that is closed when a write fails, or nil while the disk is known to have failed.
+func (store *TurnStore) diskFailure() <-chan struct{} {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	if needsReopen(store.diskState) {
+		return nil
 	}
+	return store.commit.failed
 }
 
-// atCapacity tells whether there is no room for new turns. The lock is held.
-func (store *TurnStore) atCapacity() bool {
-	const share = 0.9
-	if store.cfg.MemoryBytes > 0 && float64(store.state.memory) > share*float64(store.cfg.MemoryBytes) {
+// sleep waits for d, and reports whether it has elapsed before ctx ended or stop was closed.
+func sleep(ctx context.Context, stop <-chan struct{}, d time.Duration) bool {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-t.C:
 		return true
+	case <-ctx.Done():
+	case <-stop:
 	}
-	return store.cfg.DiskBytes > 0 && float64(store.logSize()+store.state.disk) > share*float64(store.cfg.DiskBytes)
+	return false
 }
-
-func (store *TurnStore) logSize() int64 { return store.logFiles[0].Size() + store.logFiles[1].Size() }
