--- a/internal/faulttest/cost/cost.go
+++ b/internal/faulttest/cost/cost.go
@@ -4,26 +4,15 @@
 package cost
 
 import (
-	"bufio"
 	"bytes"
 	"context"
-	"errors"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
-	"net/http/httputil"
-	"net/url"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"runtime"
 	"slices"
 	"strconv"
 	"strings"
-	"sync"
-	"sync/atomic"
-	"syscall"
 	"time"
 
 	"saffronyard.example/saffronyard/internal/faulttest/encoding"
@@ -61,76 +50,6 @@
 	Second   int64 // and in the second half
 }
 
-// instant answers every call at once, and counts; hung ones are never answered.
-type instant struct {
-	l     net.Listener
-	n     atomic.Int64
-	bytes atomic.Int64
-	hang  bool
-}
-
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-
-func newInstant(hang bool) (*instant, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return nil, err
-	}
-	i := &instant{l: l, hang: hang}
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go i.serve(c)
-		}
-	}()
-	return i, nil
-}
-
-// serve reads requests by their Content-Length, without the cost of a whole parser.
-func (i *instant) serve(c net.Conn) {
-	defer c.Close()
-	r := bufio.NewReaderSize(c, 8<<10)
-	for {
-		length, read, batch := 0, 0, false
-		for {
-			line, err := r.ReadSlice('\n')
-			if err != nil {
-				return
-			}
-			read += len(line)
-			if len(line) <= 2 {
-				break
-			}
-			batch = batch || bytes.Contains(line, []byte("cloudevents-batch"))
-			if v, is := bytes.CutPrefix(line, []byte("Content-Length: ")); is {
-				length, _ = strconv.Atoi(string(bytes.TrimSpace(v)))
-			}
-		}
-		messages := int64(1)
-		if batch { // several messages in one call
-			body := make([]byte, length)
-			if _, err := io.ReadFull(r, body); err != nil {
-				return
-			}
-			messages = int64(bytes.Count(body, []byte(`"specversion"`)))
-		} else if _, err := r.Discard(length); err != nil {
-			return
-		}
-		if i.hang {
-			io.Copy(io.Discard, r)
-			return
-		}
-		if _, err := io.WriteString(c, ok); err != nil {
-			return
-		}
-		i.n.Add(messages)
-		i.bytes.Add(int64(read + length))
-	}
-}
-
 // bench is one sender's process with what it talks to.
 type bench struct {
 	folder  string
@@ -242,33 +161,6 @@
 	return append(slices.Clone(command), "-features", path), nil
 }
 
-// client hands messages in on one connection, one after another.
-type client struct {
-	net.Conn
-	r *bufio.Reader
-}
-
-func dial(addr string) (*client, error) {
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
-		return nil, err
-	}
-	return &client{c, bufio.NewReader(c)}, nil
-}
-
-func (c *client) ask(text []byte) (int, error) {
-	c.SetDeadline(time.Now().Add(30 * time.Second))
-	if _, err := c.Write(text); err != nil {
-		return 0, err
-	}
-	resp, err := http.ReadResponse(c.r, nil)
-	if err != nil {
-		return 0, err
-	}
-	_, err = io.Copy(io.Discard, resp.Body)
-	return resp.StatusCode, err
-}
-
 // usage is the CPU time that a process has used, and its memory now and at the most.
 func usage(pid int) (cpu time.Duration, now, most int64, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -385,80 +277,6 @@
 	}
 }
 
-// load is closed-loop clients at a server.
-type load struct {
-	number, refused atomic.Int64
-	counting        atomic.Bool
-	mu              sync.Mutex
-	waits           []time.Duration // of those that ended while counting
-	wg              sync.WaitGroup
-	errs            chan error
-	cancel          context.CancelFunc
-}
-
-func newLoad(ctx context.Context, clients int, addr string, request func(int64) []byte, want int) *load {
-	l := &load{errs: make(chan error, clients)}
-	ctx, l.cancel = context.WithCancel(ctx)
-	for range clients {
-		l.wg.Add(1)
-		go func() {
-			defer l.wg.Done()
-			conn, err := dial(addr)
-			if err != nil {
-				l.errs <- err
-				return
-			}
-			defer func() { conn.Close() }()
-			var mine []time.Duration
-			for ctx.Err() == nil {
-				text := request(l.number.Add(1))
-				began := time.Now()
-				status, err := conn.ask(text)
-				if err != nil { // the server may end a connection after an answer
-					conn.Close()
-					if conn, err = dial(addr); err != nil {
-						l.errs <- err
-						return
-					}
-					continue
-				}
-				if status != want {
-					l.refused.Add(1)
-					time.Sleep(5 * time.Millisecond)
-				} else if l.counting.Load() {
-					mine = append(mine, time.Since(began))
-				}
-			}
-			l.mu.Lock()
-			l.waits = append(l.waits, mine...)
-			l.mu.Unlock()
-		}()
-	}
-	return l
-}
-
-// stop ends the clients; the error is the first that one of them met.
-func (l *load) stop() error {
-	l.cancel()
-	l.wg.Wait()
-	select {
-	case err := <-l.errs:
-		return fmt.Errorf("cost: a client: %w", err)
-	default:
-		return nil
-	}
-}
-
-// sleep ends early with the context.
-func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-	case <-ctx.Done():
-	}
-}
-
 // measure loads a server and reads what its process used.
 func measure(ctx context.Context, c Case, addr string, pid int, receiver *instant, request func(int64) []byte, want int) (Result, error) {
 	res := Result{Case: c}
@@ -505,64 +323,6 @@
 	return res, nil
 }
 
-// Proxy measures a plain reverse proxy, started by command with the receiver's address in its environment.
-func Proxy(ctx context.Context, command []string, c Case) (Result, error) {
-	good, err := newInstant(false)
-	if err != nil {
-		return Result{}, err
-	}
-	defer good.l.Close()
-	listen, err := fleet.FreeAddr("127.0.0.1")
-	if err != nil {
-		return Result{}, err
-	}
-	cmd := exec.Command(command[0], command[1:]...)
-	cmd.Env = append(os.Environ(), "PROXY_LISTEN="+listen, "PROXY_TO="+good.l.Addr().String())
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := cmd.Start(); err != nil {
-		return Result{}, err
-	}
-	defer func() {
-		cmd.Process.Kill()
-		cmd.Wait()
-	}()
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		conn, err := dial(listen)
-		if err == nil {
-			conn.Close()
-			break
-		}
-		if time.Now().After(end) {
-			return Result{}, fmt.Errorf("cost: the proxy does not listen: %w", err)
-		}
-	}
-	body := make([]byte, c.Body)
-	return measure(ctx, c, listen, cmd.Process.Pid, good, func(n int64) []byte {
-		return traffic.Request(strconv.FormatInt(n, 16), "safe", "acme", 20*time.Second, "", "", "", 0, body)
-	}, 200)
-}
-
-// RunProxy is the proxy's process: httputil.ReverseProxy on one core, without a journal.
-func RunProxy(ctx context.Context) error {
-	runtime.GOMAXPROCS(1)
-	to := &url.URL{Scheme: "http", Host: os.Getenv("PROXY_TO")}
-	p := &httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(to) },
-		Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
-	l, err := net.Listen("tcp", os.Getenv("PROXY_LISTEN"))
-	if err != nil {
-		return fmt.Errorf("proxy: %w", err)
-	}
-	s := &http.Server{Handler: p}
-	go func() {
-		<-ctx.Done()
-		s.Close()
-	}()
-	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		return err
-	}
-	return nil
-}
-
 // Folder is a new one for a case below a folder.
 func Folder(below string, c Case) string {
 	return filepath.Join(below, fmt.Sprintf("%d-%d-%d%s-%v", c.Listed, c.Busy, c.Backlog, c.Format, c.Fleet))
--- /dev/null
+++ b/internal/faulttest/day/acts.go
@@ -0,0 +1,203 @@
+package day
+
+import (
+	"fmt"
+	"slices"
+
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/fault"
+	"saffronyard.example/saffronyard/internal/faulttest/fleet"
+	"saffronyard.example/saffronyard/internal/faulttest/platform"
+	"saffronyard.example/saffronyard/internal/faulttest/script"
+	"saffronyard.example/saffronyard/internal/faulttest/traffic"
+)
+
+func (d *Day) fault(format string, args ...any) {
+	d.log.Add(eventlog.Event{Kind: eventlog.KitFailure, Detail: fmt.Sprintf(format, args...)})
+}
+
+// background does what takes time beside the plan.
+func (d *Day) background(f func() error) {
+	d.tasks.Add(1)
+	go func() {
+		defer d.tasks.Done()
+		if err := f(); err != nil && d.ctx.Err() == nil {
+			d.fault("%v", err)
+		}
+	}()
+}
+
+// act does what the plan says, when it says so.
+func (d *Day) act() {
+	for _, a := range d.plan.Acts {
+		if !traffic.Sleep(d.ctx, a.At-d.log.Now()) {
+			return
+		}
+		d.do(a)
+	}
+}
+
+func (d *Day) do(a script.Act) {
+	switch a.Do {
+	case "trouble", "end":
+		for _, dest := range a.Dests {
+			if a.Fault.Kind == fault.Drain {
+				d.drain(dest, a.Only, a.Do == "trouble")
+			}
+			if a.Do == "trouble" {
+				d.receivers[dest].Begin(a.Number, a.Fault)
+			} else {
+				d.receivers[dest].End(a.Number, a.Fault)
+			}
+		}
+	case "replace":
+		for _, dest := range a.Dests {
+			d.replace(dest)
+		}
+	case "down", "up":
+		d.discovery.Down(a.Do == "down")
+	case "late":
+		d.mu.Lock()
+		d.delay += a.Delay
+		d.mu.Unlock()
+	case "punctual":
+		d.mu.Lock()
+		d.delay -= a.Delay
+		d.mu.Unlock()
+	case "move":
+		for i, s := range slices.Clone(d.senders) {
+			if !s.Ready() {
+				continue // its next process is told the address it finds then
+			}
+			d.background(func() error {
+				addr, err := d.discovery.Move(s.Name)
+				if err != nil {
+					return err
+				}
+				config, err := d.config(i, addr, platform.Targets{Full: true, Servers: []platform.Target{}}, 0)
+				if err != nil {
+					return err
+				}
+				return s.Reload(config)
+			})
+		}
+	case "join":
+		s, err := d.machine(a.Sender)
+		if err != nil {
+			d.fault("%v", err)
+			return
+		}
+		d.background(func() error { return s.Start(true) })
+	case "link":
+		for _, w := range a.Ways {
+			d.links.Set(name(w.From), name(w.To), a.Link)
+		}
+	case "reset":
+		for _, w := range a.Ways {
+			d.links.Reset(name(w.From), name(w.To))
+		}
+	case "pause":
+		d.senders[a.Sender].Suspend()
+	case "resume":
+		d.senders[a.Sender].Resume()
+	case "keep":
+		d.background(d.senders[a.Sender].SaveSnapshot)
+	case "kill", "restart", "lose", "old":
+		s := d.senders[a.Sender]
+		d.background(func() error {
+			pause := fleet.DownTime
+			switch a.Do {
+			case "old":
+				if err := s.Kill(false); err != nil {
+					return err
+				}
+				if err := s.RestoreSnapshot(); err != nil {
+					return err
+				}
+				d.registry.Lost(s.Name)
+			case "restart":
+				s.Term()
+			case "lose":
+				pause = lostBack
+				if err := s.Kill(true); err != nil {
+					return err
+				}
+				d.registry.Lost(s.Name)
+			default:
+				if err := s.Kill(false); err != nil {
+					return err
+				}
+			}
+			if !traffic.Sleep(d.ctx, pause) {
+				return nil
+			}
+			return s.Start(a.Do == "lose")
+		})
+	}
+}
+
+// updateList changes a line of the list, as late as discovery tells it.
+func (d *Day) updateList(t platform.Target) {
+	d.mu.Lock()
+	delay := d.delay
+	d.mu.Unlock()
+	d.background(func() error {
+		if traffic.Sleep(d.ctx, delay) {
+			d.discovery.Set(t)
+		}
+		return nil
+	})
+}
+
+// drain begins or ends a drain of so many of a receiver's endpoints, the first ones, or all. Where two overlap
+// an endpoint serves again when both are over.
+func (d *Day) drain(dest, only int, begins bool) {
+	for i, e := range d.receivers[dest].Endpoints() {
+		if only > 0 && i >= only {
+			return
+		}
+		d.mu.Lock()
+		was := d.draining[e.ID]
+		if begins {
+			d.draining[e.ID]++
+		} else if was > 0 {
+			d.draining[e.ID]--
+		}
+		is := d.draining[e.ID]
+		d.mu.Unlock()
+		switch {
+		case was == 0 && is == 1:
+			d.updateList(d.line(dest, e, platform.Draining))
+		case was == 1 && is == 0:
+			d.updateList(d.line(dest, e, platform.Serving))
+		}
+	}
+}
+
+// replace puts a new endpoint in the place of a receiver's first one: the new one is listed, the old one
+// drains, and is gone some time later.
+func (d *Day) replace(dest int) {
+	r := d.receivers[dest]
+	all := r.Endpoints()
+	if len(all) == 0 {
+		return
+	}
+	old := all[0]
+	next, err := r.Add()
+	if err != nil {
+		d.fault("%v", err)
+		return
+	}
+	d.updateList(d.line(dest, next, platform.Serving))
+	d.updateList(d.line(dest, old, platform.Draining))
+	d.background(func() error {
+		if !traffic.Sleep(d.ctx, removeAfter) {
+			return nil
+		}
+		d.updateList(d.line(dest, old, platform.Deleted))
+		if traffic.Sleep(d.ctx, removeAfter) {
+			r.Remove(old)
+		}
+		return nil
+	})
+}
--- /dev/null
+++ b/internal/faulttest/receiver/connection.go
@@ -0,0 +1,254 @@
+package receiver
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"time"
+
+	"saffronyard.example/saffronyard/internal/faulttest/encoding"
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/fault"
+)
+
+// conn is a connection from a sender.
+type conn struct {
+	*net.TCPConn
+	r       *bufio.Reader
+	e       *Endpoint
+	crowded bool
+	lastEnd time.Duration // of its last answer; 0 before the first
+}
+
+func (c *conn) reset() {
+	c.SetLinger(0)
+	c.Close()
+}
+
+func (c *conn) serve() {
+	e, s := c.e, c.e.s
+	defer func() {
+		s.mu.Lock()
+		delete(e.conns, c)
+		s.mu.Unlock()
+		c.Close()
+	}()
+	for {
+		// The first byte of a request, or the end of the connection; also looked for while a call is served.
+		begun := make(chan error, 1)
+		go func() {
+			_, err := c.r.Peek(1)
+			begun <- err
+		}()
+		c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
+		if err := <-begun; err != nil {
+			if errors.Is(err, os.ErrDeadlineExceeded) && s.unresponsive() {
+				continue // a machine that is gone closes nothing
+			}
+			return
+		}
+		for again := true; again; {
+			var ok bool
+			if again, ok = c.request(); !ok {
+				return
+			}
+		}
+	}
+}
+
+// request serves the one whose first byte has come. again says that another has begun.
+func (c *conn) request() (again, ok bool) {
+	e, s := c.e, c.e.s
+	first := s.log.Now()
+	s.mu.Lock()
+	cond := s.model.Condition()
+	closes := c.lastEnd > 0 && first-c.lastEnd > 30*time.Millisecond && s.rng.Float64() < cond.Closes &&
+		!cond.Unreachable && !cond.Shut && !cond.Hung
+	s.mu.Unlock()
+	if closes {
+		c.reset()
+		return false, false
+	}
+	c.SetReadDeadline(time.Now().Add(readTimeout))
+	req, err := http.ReadRequest(c.r)
+	if err != nil {
+		return false, false
+	}
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
+	if err != nil {
+		return false, false
+	}
+	ids, err := s.spec.Format.Read(req.Header, body)
+	why := ""
+	if err != nil {
+		ids, why = []string{req.Header.Get("X-Request-Id")}, err.Error()
+	}
+	done := make([]eventlog.Event, len(ids))
+	within, known := true, true
+	senders := make([]string, len(ids))
+	for i, id := range ids {
+		in, ok := false, false
+		senders[i], in, ok = s.registry.Called(id, s.dest)
+		within, known = within && in, known && ok
+	}
+	if !known || why != "" || req.Method != http.MethodPost || req.URL.Path != "/hook" {
+		s.log.Add(eventlog.Event{Kind: eventlog.Call, Dest: s.dest, Endpoint: e.ID, ID: ids[0], First: first.Microseconds(), Detail: "unknown", State: why})
+		io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+		return false, false
+	}
+	k := &call{conn: c, end: make(chan Outcome, 1)}
+	number := s.numbers.Add(int64(len(ids))) - int64(len(ids)) + 1
+	s.mu.Lock()
+	now := s.log.Now()
+	for i, id := range ids { // one call with several messages has one fate
+		at := eventlog.Event{Kind: eventlog.Call, Dest: s.dest, Endpoint: e.ID, Sender: senders[i], ID: id, Call: number + int64(i), First: first.Microseconds()}
+		done[i] = eventlog.Event{Kind: eventlog.Done, Call: at.Call, ID: id, Dest: s.dest}
+		if i > 0 {
+			at.With = number
+		}
+		s.log.At(now, at)
+	}
+	if s.closed || e.gone {
+		s.mu.Unlock()
+		return false, false
+	}
+	s.waiting[number] = k
+	switch {
+	case !within:
+		s.deliver([]Outcome{{Call: number, Status: 504}})
+	case c.crowded:
+		s.deliver([]Outcome{{Call: number, Status: 503}})
+	default:
+		out, change := s.model.Arrive(now, e.number, number)
+		s.logChange(now, change)
+		s.deliver(out)
+		if change != (Change{}) {
+			s.apply(change)
+		}
+		s.rearm()
+	}
+	s.mu.Unlock()
+
+	c.SetReadDeadline(time.Time{})
+	next := make(chan error, 1)
+	go func() {
+		_, err := c.r.Peek(1)
+		next <- err
+	}()
+	var o Outcome
+	var nextErr error
+	pipelined := false
+	select {
+	case o = <-k.end:
+	case nextErr = <-next:
+		if nextErr != nil {
+			// The sender has left. The call itself may run on: the model keeps it.
+			s.mu.Lock()
+			delete(s.waiting, number)
+			s.mu.Unlock()
+			s.ended(done, func(d *eventlog.Event) { d.Detail = eventlog.DetailClosedBySender })
+			return false, false
+		}
+		pipelined = true
+		o = <-k.end
+	}
+	if o.Dropped {
+		s.ended(done, func(d *eventlog.Event) { d.Detail = eventlog.DetailReset })
+		c.reset()
+		return false, false
+	}
+	keep := c.answer(done, o)
+	c.lastEnd = s.log.Now()
+	c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
+	if !keep {
+		return false, false
+	}
+	if !pipelined {
+		nextErr = <-next
+	}
+	for errors.Is(nextErr, os.ErrDeadlineExceeded) && s.unresponsive() {
+		c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
+		_, nextErr = c.r.Peek(1)
+	}
+	return nextErr == nil, nextErr == nil
+}
+
+var reasons = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 429: "Too Many Requests", 500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout"}
+
+// answer writes an outcome; false if the connection ends with it.
+func (c *conn) answer(done []eventlog.Event, o Outcome) bool {
+	s := c.e.s
+	wait := int64((o.Wait + time.Millisecond - 1) / time.Millisecond)
+	if o.Status == 200 && o.Exit == fault.Broken {
+		s.ended(done, func(d *eventlog.Event) { d.Detail = eventlog.DetailReset })
+		c.reset()
+		return false
+	}
+	if o.Status == 200 && o.Exit == fault.Corrupt {
+		return c.spoil(done)
+	}
+	status := s.status(o.Status)
+	head := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: 0\r\n", status, reasons[status])
+	if status == 204 { // it has no body, and says so by being one (RFC 9110, section 8.6)
+		head = "HTTP/1.1 204 No Content\r\n"
+	}
+	switch {
+	case o.Wait > 0 && s.spec.Format != encoding.Plain && s.spec.Format != "": // a web hook's word for it
+		head += "Retry-After: " + strconv.FormatFloat(float64(wait)/1000, 'f', 3, 64) + "\r\n"
+	case o.Wait > 0:
+		head += "X-RateLimit-Wait-Ms: " + strconv.FormatInt(wait, 10) + "\r\n"
+	}
+	s.mu.Lock()
+	if left, limit, ok := s.model.Report(s.log.Now()); ok {
+		head += fmt.Sprintf("X-Load: x0=%.3f,x1=%.2f\r\n", left, limit)
+	}
+	s.mu.Unlock()
+	if c.crowded {
+		head += "Connection: close\r\n"
+	}
+	s.ended(done, func(d *eventlog.Event) { d.Status, d.WaitMS = o.Status, wait })
+	if _, err := io.WriteString(c, head+"\r\n"); err != nil {
+		return false
+	}
+	if o.Status == 200 {
+		s.delivered(done)
+	}
+	return !c.crowded
+}
+
+// spoil writes an answer that can't be read. The call has run; the connection stays open and is of no use.
+func (c *conn) spoil(done []eventlog.Event) bool {
+	s := c.e.s
+	s.mu.Lock()
+	which := s.rng.IntN(4)
+	s.mu.Unlock()
+	text, status := "", 0
+	switch which {
+	case 0:
+		text = "\x00\x17}{noise\xff\xfe\x01 of no meaning\r\n\r\n"
+	case 1: // half a head, then nothing
+		text = "HTTP/1.1 503 Service Unavailable\r\nContent-Len"
+	case 2: // true, and far too long
+		status = 200
+		text = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
+	case 3:
+		text = "HTTP/1.1 two hundred\r\nContent-Length: minus one\r\n\r\n"
+	}
+	s.ended(done, func(d *eventlog.Event) { d.Detail, d.Status = eventlog.DetailCorrupt, status })
+	_, err := io.WriteString(c, text)
+	if status == 200 {
+		s.delivered(done)
+	}
+	c.SetWriteDeadline(time.Now().Add(time.Second))
+	for sent, block := 0, make([]byte, 4096); which == 2 && err == nil && sent < maxCorruptAnswer; sent += len(block) {
+		_, err = c.Write(block)
+	}
+	c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
+	io.Copy(io.Discard, c.TCPConn)
+	return false
+}
--- /dev/null
+++ b/internal/faulttest/script/validate.go
@@ -0,0 +1,364 @@
+package script
+
+import (
+	"math"
+	"strings"
+	"time"
+
+	"saffronyard.example/saffronyard/internal/faulttest/encoding"
+	"saffronyard.example/saffronyard/internal/faulttest/fault"
+)
+
+// placer names the place of the i-th entry of a kind in its file, as in "day.toml:12: class 2".
+type placer func(kind string, i int) string
+
+// check fills in the defaults of a script and reports the first part of it that cannot be played.
+func (s *Script) check(where placer) error {
+	if s.Day != nil {
+		if err := s.Day.check(where("day", 0)); err != nil {
+			return err
+		}
+	}
+	if err := s.checkNamed(where); err != nil {
+		return err
+	}
+	if err := s.checkEvents(where); err != nil {
+		return err
+	}
+	return s.checkTraffic(where)
+}
+
+// names are those given so far, each with what it names.
+type names map[string]bool
+
+// add reports a name that is missing, too long, not one word, or given before to another of the kind.
+func (n names) add(at, kind, name string) error {
+	if name == "" {
+		return invalid(at, "a %s needs a name", kind)
+	}
+	if len(name) > maxName || strings.ContainsAny(name, " ,\r\n\t") {
+		return invalid(at, "%s name %q: at most 64 characters, none of them blank or a comma", kind, name)
+	}
+	if n[kind+" "+name] {
+		return invalid(at, "two of the name %s %q", kind, name)
+	}
+	n[kind+" "+name] = true
+	return nil
+}
+
+// maxName bounds the length of a name, in bytes.
+const maxName = 64
+
+// checkNamed checks what has a name: classes, kinds of receivers, and members.
+func (s *Script) checkNamed(where placer) error {
+	given := names{}
+	for i := range s.Classes {
+		if err := s.Classes[i].check(where("class", i)); err != nil {
+			return err
+		}
+		if err := given.add(where("class", i), "class", s.Classes[i].Name); err != nil {
+			return err
+		}
+	}
+	for i := range s.Kinds {
+		if err := s.Kinds[i].check(where("kind", i)); err != nil {
+			return err
+		}
+		if err := given.add(where("kind", i), "kind", s.Kinds[i].Name); err != nil {
+			return err
+		}
+	}
+	for i, m := range s.Members {
+		if err := given.add(where("member", i), "member", m.Name); err != nil {
+			return err
+		}
+		if !(m.Weight > 0) || m.Weight > 1000 {
+			return invalid(where("member", i), "member %q: share must be over 0", m.Name)
+		}
+	}
+	return nil
+}
+
+// checkEvents checks what happens to receivers, to the endpoint list, to senders and to links.
+func (s *Script) checkEvents(where placer) error {
+	for i := range s.Faults {
+		t := &s.Faults[i]
+		t.where = where("trouble", i)
+		if err := t.check(); err != nil {
+			return err
+		}
+	}
+	for i := range s.Lists {
+		l := &s.Lists[i]
+		l.where = where("list", i)
+		if err := l.check(); err != nil {
+			return err
+		}
+	}
+	for i := range s.Senders {
+		c := &s.Senders[i]
+		c.where = where("sender", i)
+		if err := c.check(); err != nil {
+			return err
+		}
+	}
+	for i := range s.Links {
+		l := &s.Links[i]
+		l.where = where("link", i)
+		if err := l.check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkTraffic checks what changes the traffic: surges, sleeps and bursts.
+func (s *Script) checkTraffic(where placer) error {
+	for i := range s.Surges {
+		g := &s.Surges[i]
+		g.where = where("surge", i)
+		if err := g.check(); err != nil {
+			return err
+		}
+	}
+	for i := range s.Sleeps {
+		z := &s.Sleeps[i]
+		z.where = where("sleep", i)
+		if z.For == 0 {
+			return invalid(z.where, "a sleep needs for")
+		}
+		if err := z.Who.check(z.where); err != nil {
+			return err
+		}
+	}
+	for i := range s.Bursts {
+		z := &s.Bursts[i]
+		z.where = where("burst", i)
+		set(&z.Within, Span(time.Second))
+		if z.Messages < 1 || z.Messages > 100_000 {
+			return invalid(z.where, "messages = %d is not from 1 to 100000", z.Messages)
+		}
+		if err := z.Who.check(z.where); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (g *Surge) check() error {
+	set(&g.Factor, 3)
+	if !(g.Factor > 0) || g.Factor > 100 {
+		return invalid(g.where, "factor %v is not in (0, 100]", g.Factor)
+	}
+	if g.For == 0 {
+		return invalid(g.where, "a surge needs for")
+	}
+	if g.Member != "" && g.Sender != "" {
+		return invalid(g.where, "a surge is a member's or a sender's, not both")
+	}
+	return nil
+}
+
+// inside is whether v lies in (from, to]; NaN does not.
+func inside(v, from, to float64) bool { return v > from && v <= to && !math.IsNaN(v) }
+
+// setDefaults fills in what a script leaves out; the fields' comments tell the values.
+func (d *Day) setDefaults() {
+	set(&d.Seconds, 15)
+	set(&d.Seed, 1)
+	set(&d.Rate, 30)
+	set(&d.Senders, 2)
+	set(&d.Receivers, 10)
+	set(&d.Zipf, 0.8)
+	set(&d.Load, 0.7)
+	set(&d.ClumpSpan, Span(1500*time.Millisecond))
+	set(&d.Body, 300)
+	set(&d.FirstBackoff, Span(500*time.Millisecond))
+	set(&d.Patience, Span(400*time.Millisecond))
+	set(&d.SlowStartCapacity, 0.18)
+	set(&d.SlowStart, Span(14*time.Second))
+	set(&d.FallMultiple, 2)
+	set(&d.FallSpan, Span(3*time.Second))
+	set(&d.DrainGrace, Span(2*time.Second))
+	set(&d.Grace, Span(50*time.Millisecond))
+	set(&d.OrderRest, Span(time.Second))
+	set(&d.ListDelay, Span(300*time.Millisecond))
+	set(&d.MemoryMB, 192)
+	set(&d.Sockets, 512)
+	set(&d.Disk, 3)
+	set(&d.SlotHeadroom, 2)
+	set(&d.ReportEach, Span(400*time.Millisecond))
+	set(&d.ReportLate, Span(100*time.Millisecond))
+	if d.Retries == nil {
+		three := 3
+		d.Retries = &three
+	}
+	if d.Endpoints == nil {
+		d.Endpoints = []int{1, 3}
+	}
+	set(&d.Speak, encoding.Plain)
+}
+
+func (d *Day) check(at string) error {
+	d.setDefaults()
+	for _, c := range []struct {
+		name     string
+		v        float64
+		from, to float64
+	}{
+		{"seconds", d.Seconds, 0, 3600}, {"rate", d.Rate, 0, 20000}, {"senders", float64(d.Senders), 0, 64},
+		{"receivers", float64(d.Receivers), 0, 1000}, {"load", d.Load, 0, 10}, {"body", float64(d.Body), 0, 64 << 10},
+		{"cold_from", d.SlowStartCapacity, 0, 1}, {"fall_multiple", d.FallMultiple, 0, 100}, {"memory_mb", float64(d.MemoryMB), 15, 1 << 20},
+		{"sockets", float64(d.Sockets), 63, 1 << 20}, {"disk_mb", float64(d.Disk), 0, 1 << 20}, {"slots_room", d.SlotHeadroom, 0, 1000},
+		{"clump_span", d.ClumpSpan.D().Seconds(), 0, 60}, {"patience", d.Patience.D().Seconds(), 0, 60},
+		{"fall_span", d.FallSpan.D().Seconds(), 0, 60}, {"zipf", d.Zipf, -1e-9, 10}, {"clumps", d.Clumps, -1e-9, 0.9},
+		{"retries", float64(*d.Retries), -1, 20}, {"lost_answers", d.LostAnswers, -1e-9, 0.9}, {"grace", d.Grace.D().Seconds(), 0.049, 0.4}, {"settle", d.OrderRest.D().Seconds(), d.Grace.D().Seconds(), 600},
+	} {
+		if !inside(c.v, c.from, c.to) {
+			return invalid(at, "day: %s = %v is not in (%v, %v]", c.name, c.v, c.from, c.to)
+		}
+	}
+	if !d.Speak.Known(true) {
+		return invalid(at, "day: speak = %q; there are plain, binary, structured, batched and mixed", d.Speak)
+	}
+	if len(d.Endpoints) != 2 || d.Endpoints[0] < 1 || d.Endpoints[1] < d.Endpoints[0] || d.Endpoints[1] > 16 {
+		return invalid(at, "day: endpoints = %v: least and most, from 1 to 16", d.Endpoints)
+	}
+	if d.SenderWeights != nil && len(d.SenderWeights) != d.Senders {
+		return invalid(at, "day: sender_shares names %d shares for %d senders", len(d.SenderWeights), d.Senders)
+	}
+	for _, v := range d.SenderWeights {
+		if !inside(v, 0, 1e6) {
+			return invalid(at, "day: sender_shares: %v is not over 0", v)
+		}
+	}
+	return nil
+}
+
+func (c *Class) check(at string) error {
+	set(&c.Weight, 1)
+	set(&c.Effect, "keyed")
+	set(&c.Keys, 2)
+	set(&c.LatencyTarget, Span(2500*time.Millisecond))
+	set(&c.Deadline, Span(8*time.Second))
+	set(&c.KeyWindow, Span(7500*time.Millisecond))
+	set(&c.LateValue, 0.5)
+	switch c.Effect {
+	case "safe", "keyed", "unsafe":
+	default:
+		return invalid(at, "class %q: effect = %q; there are safe, keyed, unsafe", c.Name, c.Effect)
+	}
+	if !inside(c.Weight, 0, 1000) || c.Keys < 1 || c.Keys > 10000 || !inside(c.LateValue, -1e-9, 1) {
+		return invalid(at, "class %q: share must be over 0, keys 1 to 10000, late_worth 0 to 1", c.Name)
+	}
+	if c.LatencyTarget.D() > c.Deadline.D() || c.Deadline.D() > time.Minute {
+		return invalid(at, "class %q: aim %v, deadline %v: the aim is not later than the deadline, and that at most 1m", c.Name, c.LatencyTarget.D(), c.Deadline.D())
+	}
+	return nil
+}
+
+func (k *Kind) check(at string) error {
+	set(&k.Format, encoding.Plain)
+	if !k.Format.Known(false) {
+		return invalid(at, "kind %q: form = %q; there are plain, binary, structured and batched", k.Name, k.Format)
+	}
+	set(&k.Weight, 1)
+	set(&k.Service, Span(150*time.Millisecond))
+	set(&k.Spread, 0.6)
+	set(&k.Times, "lognormal")
+	set(&k.MinRate, 4)
+	set(&k.Queue, Span(500*time.Millisecond))
+	set(&k.Limit, "none")
+	set(&k.Window, Span(time.Second))
+	set(&k.MinConnections, 10)
+	set(&k.IdleClose, Span(15*time.Second))
+	if k.Headroom == nil {
+		k.Headroom = []float64{1.3, 2}
+	}
+	if k.LimitHeadroom == nil {
+		k.LimitHeadroom = []float64{1.2, 2}
+	}
+	for name, r := range map[string][]float64{"headroom": k.Headroom, "limit_room": k.LimitHeadroom} {
+		if len(r) != 2 || !inside(r[0], 0, 1000) || !inside(r[1], 0, 1000) || r[1] < r[0] {
+			return invalid(at, "kind %q: %s = %v: least and most, over 0", k.Name, name, r)
+		}
+	}
+	switch k.Times {
+	case "exp", "lognormal", "fixed":
+	default:
+		return invalid(at, "kind %q: times = %q; there are exp, lognormal, fixed", k.Name, k.Times)
+	}
+	switch k.Limit {
+	case "none", "rate", "window":
+	default:
+		return invalid(at, "kind %q: limit = %q; there are none, rate, window", k.Name, k.Limit)
+	}
+	if !inside(k.Weight, 0, 1000) || !inside(k.Spread, 0, 10) || !inside(k.MinRate, 0, 1e5) || k.Connections < 0 || k.MinConnections < 1 {
+		return invalid(at, "kind %q: share, spread, least_rate and least_conns must be over 0, connections not under", k.Name)
+	}
+	if k.Service.D() > 10*time.Second || k.Window.D() > time.Minute {
+		return invalid(at, "kind %q: service is 10s at most, window 1m", k.Name)
+	}
+	return nil
+}
+
+func (w Who) check(at string) error {
+	n := 0
+	for _, set := range []bool{w.Name != "", w.Kind != "", w.Member != "", w.Traffic != 0, w.Random != 0} {
+		if set {
+			n++
+		}
+	}
+	if n != 1 {
+		return invalid(at, "who needs one of name, kind, member, traffic, random; it has %d", n)
+	}
+	if w.Traffic != 0 && !inside(w.Traffic, 0, 1) {
+		return invalid(at, "who: traffic = %v is not in (0, 1]", w.Traffic)
+	}
+	if w.Random < 0 {
+		return invalid(at, "who: random = %d is negative", w.Random)
+	}
+	return nil
+}
+
+func (t *Fault) check() error {
+	set(&t.Fraction, 1)
+	set(&t.Factor, 8)
+	set(&t.Wait, Span(800*time.Millisecond))
+	if err := t.Who.check(t.where); err != nil {
+		return err
+	}
+	if !inside(t.Fraction, 0, 1) {
+		return invalid(t.where, "%s: share = %v is not in (0, 1]", t.What, t.Fraction)
+	}
+	if !inside(t.Factor, 1, 1000) {
+		return invalid(t.where, "%s: factor = %v is not in (1, 1000]", t.What, t.Factor)
+	}
+	if t.For == 0 && t.What != fault.SlowStart {
+		return invalid(t.where, "%s needs for", t.What)
+	}
+	if t.Only < 0 {
+		return invalid(t.where, "%s: only = %d is negative", t.What, t.Only)
+	}
+	if t.Only > 0 && t.What != fault.Drain {
+		return invalid(t.where, "only goes with drain; %s strikes the whole receiver", t.What)
+	}
+	return nil
+}
+
+func (l *List) check() error {
+	set(&l.Each, Span(500*time.Millisecond))
+	set(&l.Delay, Span(2*time.Second))
+	switch l.Do {
+	case "replace":
+		return l.Who.check(l.where)
+	case "down", "late":
+		if l.For == 0 {
+			return invalid(l.where, "%s needs for", l.Do)
+		}
+	case "move":
+	default:
+		return invalid(l.where, "do = %q; there are replace, down, late, move", l.Do)
+	}
+	return nil
+}
