--- a/cmd/saffronyard/ask.go
+++ b/cmd/saffronyard/ask.go
@@ -107,11 +107,11 @@
 	if err := json.Unmarshal(raw, &r); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s of cluster %q tells %d facts of its own\n", r.Name, r.Cluster, r.Tells)
+	fmt.Fprintf(out, "%s of cluster %q tells %d facts of its own\n", r.Name, r.Cluster, r.OwnFacts)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "PEER\tSTATE\tFOR\tMEMBERSHIP\tEXCHANGE\tHEARD")
 	for _, m := range r.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\n", m.Name, m.State, millis(r.NowMS-m.Since.Milliseconds()), m.Address, m.Exchange, r.Heard[m.Name])
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\n", m.Name, m.State, millis(r.NowMS-m.Since.Milliseconds()), m.Address, m.Exchange, r.HeldFacts[m.Name])
 	}
 	return w.Flush()
 }
@@ -125,7 +125,7 @@
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "RECEIVER\tENDPOINT\tFACT\tSOURCE\tAGE\tTRUST\tSAYS")
 	for _, f := range all {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%.2f\t%s\n", f.Receiver, f.Endpoint, f.Sort, f.Source, millis(f.AgeMS), f.Trust, f.Says)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%.2f\t%s\n", f.Receiver, f.Endpoint, f.Kind, f.Source, millis(f.AgeMS), f.Trust, f.Says)
 	}
 	return w.Flush()
 }
--- a/cmd/saffronyard/ask_test.go
+++ b/cmd/saffronyard/ask_test.go
@@ -31,7 +31,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /peers", func(w http.ResponseWriter, _ *http.Request) {
-		json.NewEncoder(w).Encode(sender.PeersReport{Name: "n0", Cluster: "portland", Tells: 12, NowMS: 65_000, Heard: map[string]int{"n1": 7},
+		json.NewEncoder(w).Encode(sender.PeersReport{Name: "n0", Cluster: "portland", OwnFacts: 12, NowMS: 65_000, HeldFacts: map[string]int{"n1": 7},
 			Members: []peers.Member{{Name: "n1", State: "here", Since: 5 * time.Second, Address: "127.0.0.1:1", Exchange: "127.0.0.1:2"}}})
 	})
 	mux.HandleFunc("GET /knowledge", func(w http.ResponseWriter, r *http.Request) {
@@ -39,7 +39,7 @@
 			http.Error(w, "too busy", http.StatusServiceUnavailable)
 			return
 		}
-		json.NewEncoder(w).Encode([]sender.KnownFact{{Receiver: 7, Sort: "health", Says: "out for 900 ms", Source: "n1", AgeMS: 1500, Trust: 0.93}})
+		json.NewEncoder(w).Encode([]sender.KnownFact{{Receiver: 7, Kind: "health", Says: "out for 900 ms", Source: "n1", AgeMS: 1500, Trust: 0.93}})
 	})
 	s := &http.Server{Handler: mux}
 	go s.Serve(l)
--- a/cmd/saffronyard/background.go
+++ b/cmd/saffronyard/background.go
@@ -54,7 +54,7 @@
 	w := b.features.Work
 	folder := w.Folder
 	if folder == "" {
-		folder = filepath.Join(c.State, "work")
+		folder = filepath.Join(c.StateDir, "work")
 	}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return fmt.Errorf("work: %w", err)
@@ -68,7 +68,7 @@
 		kinds = b.engine.Kinds()
 	}
 	if c.Knowledge != nil {
-		kinds = append(kinds, snapshots(s.Background(), c.Knowledge.Every))
+		kinds = append(kinds, snapshots(s.Background(), c.Knowledge.Interval))
 	}
 	r, err := worker.Start(worker.Config{Settings: b.settings(b.features), Path: filepath.Join(folder, "work.db"), Bytes: w.Bytes, Targets: w.Pressure(),
 		Load: b.facts, Workers: w.Workers, SlowSlice: w.Slow.D()}, kinds, log)
--- a/cmd/saffronyard/fleet.go
+++ b/cmd/saffronyard/fleet.go
@@ -388,7 +388,7 @@
 	if err != nil {
 		return err
 	}
-	var held []sender.HeldBy
+	var held []sender.PendingCount
 	if err := a.ask(http.MethodGet, "/held", nil, &held); err != nil {
 		return err
 	}
--- a/cmd/saffronyard/main.go
+++ b/cmd/saffronyard/main.go
@@ -132,10 +132,10 @@
 		c.Settings.HibernateAfter = f.Quiet.FoldAfter.D()
 	}
 	if e := f.Events; e != nil {
-		c.Events = &sender.Events{Rules: e.Mapping(), BatchEvents: e.BatchEvents, BatchBytes: e.BatchBytes, Remember: e.Remember.D(), RememberMost: e.RememberMost}
+		c.Events = &sender.Events{Rules: e.Mapping(), MaxBatchEvents: e.BatchEvents, MaxBatchBytes: e.BatchBytes, Retention: e.Remember.D(), MaxRemembered: e.RememberMost}
 	}
 	if k := f.Knowledge; k != nil {
-		c.Knowledge = &sender.Knowledge{Every: k.Every.D(), Bytes: k.Bytes}
+		c.Knowledge = &sender.Knowledge{Interval: k.Every.D(), MaxBytes: k.Bytes}
 	}
 	if d := f.Delivery; d != nil {
 		c.Delivery = &calls.Delivery{Source: d.Source, Type: d.Type}
@@ -152,9 +152,9 @@
 		if err != nil {
 			return fmt.Errorf("peers: where clients connect: %w", err)
 		}
-		c.Peers = &peers.Config{Name: c.Name, Life: uint64(time.Now().UnixMicro()), Cluster: p.Cluster,
+		c.Peers = &peers.Config{Name: c.Name, Incarnation: uint64(time.Now().UnixMicro()), Cluster: p.Cluster,
 			Listen: peers.WithHost(p.Listen, host), Exchange: peers.WithHost(p.Exchange, host),
-			Seeds: p.Seeds, Keys: keys, Follow: p.Follow, Facts: p.Facts, Reach: p.Reaches()}
+			Seeds: p.Seeds, Keys: keys, MaxFollowed: p.Follow, MaxFacts: p.Facts, Routes: p.Reaches()}
 	}
 	return nil
 }
@@ -193,7 +193,7 @@
 		if u := f.Undelivered; u != nil {
 			folder := u.Folder
 			if folder == "" {
-				folder = filepath.Join(c.State, "undelivered")
+				folder = filepath.Join(c.StateDir, "undelivered")
 			}
 			k := undelivered.NewLazyStore(folder, undelivered.Limits{MaxBytes: u.Bytes, MaxAge: u.Age.D()})
 			defer k.Close()
@@ -215,7 +215,7 @@
 			}
 			c.Background = true
 			c.Work = background.report
-			c.WorkDo = background.command
+			c.WorkCommand = background.command
 		}
 		if f.Fleet != nil {
 			node, err := startFleet(f.Fleet, c, log)
@@ -293,7 +293,7 @@
 	}
 	fc := f.Config(c.Name, host)
 	if fc.Folder == "" {
-		fc.Folder = filepath.Join(c.State, "fleet")
+		fc.Folder = filepath.Join(c.StateDir, "fleet")
 	}
 	if fc.Keys, err = f.Keys(); err != nil {
 		return nil, err
@@ -310,7 +310,7 @@
 
 // startNames holds zones and follows members' names through them.
 func startNames(d *features.DNS, c *sender.Config, log *slog.Logger) (*nameserver.Service, error) {
-	nc, err := d.Config(filepath.Join(c.State, "zones"))
+	nc, err := d.Config(filepath.Join(c.StateDir, "zones"))
 	if err != nil {
 		return nil, err
 	}
@@ -322,7 +322,7 @@
 		return nil, err
 	}
 	by, fallback := d.Precedences()
-	c.Names = &sender.Names{Source: names, First: names.First(), Destinations: names.Destinations(), Precedence: by, Fallback: fallback,
+	c.Names = &sender.NameSource{Source: names, Initial: names.First(), Destinations: names.Destinations(), Precedence: by, Fallback: fallback,
 		Report: func() any { return names.Report() }}
 	return names, nil
 }
--- a/cmd/saffronyard/zone.go
+++ b/cmd/saffronyard/zone.go
@@ -184,7 +184,7 @@
 	fmt.Fprintln(w, "\nDESTINATION\tNAME\tANSWER\tENDPOINTS")
 	for _, m := range r.Members {
 		answer := m.Answer
-		if m.Held {
+		if m.Retained {
 			answer += ", held"
 		}
 		var at []string
--- a/cmd/saffronyard/zone_test.go
+++ b/cmd/saffronyard/zone_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := nameserver.Start(&nameserver.Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "zones"), Keys: ring, Spans: membership.DefaultSpans(),
+	s, err := nameserver.Start(&nameserver.Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "zones"), Keys: ring, Spans: membership.DefaultFollowerConfig(),
 		Zones:   []nameserver.ZoneConfig{{Name: "example.", File: a, Updates: []nameserver.Update{{Key: "ops.", Grant: zone.Grant{Names: []string{"hooks.example."}}}}}},
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}}, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/features/dns.go
+++ b/internal/features/dns.go
@@ -70,11 +70,11 @@
 func (d *DNS) check(c checker) error {
 	set(&d.Records, nameserver.DefaultRecords)
 	set(&d.Precedence, membership.NamesFirst.String())
-	usual := membership.DefaultSpans()
-	set(&d.Keep, tomlfile.Span(usual.Keep))
-	set(&d.Flaps, usual.Flaps)
-	set(&d.FlapSpan, tomlfile.Span(usual.FlapSpan))
-	set(&d.Settle, tomlfile.Span(usual.Settle))
+	usual := membership.DefaultFollowerConfig()
+	set(&d.Keep, tomlfile.Span(usual.Retention))
+	set(&d.Flaps, usual.MaxFlaps)
+	set(&d.FlapSpan, tomlfile.Span(usual.FlapWindow))
+	set(&d.Settle, tomlfile.Span(usual.Stabilization))
 	if d.Records < 10 || d.Records > 10_000_000 {
 		return c.at("dns", 0, "records", "dns.records = %d is not from 10 to 10000000", d.Records)
 	}
@@ -219,7 +219,7 @@
 		return nil, err
 	}
 	c := &nameserver.Config{Listen: d.Listen, Folder: d.Folder, Keys: keys, Records: d.Records,
-		Spans: membership.Spans{Keep: d.Keep.D(), Flaps: d.Flaps, FlapSpan: d.FlapSpan.D(), Settle: d.Settle.D()}}
+		Spans: membership.FollowerConfig{Retention: d.Keep.D(), MaxFlaps: d.Flaps, FlapWindow: d.FlapSpan.D(), Stabilization: d.Settle.D()}}
 	if c.Folder == "" {
 		c.Folder = folder
 	}
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -50,11 +50,11 @@
 }
 
 // Reaches are all of them.
-func (p *Peers) Reaches() []peers.Reach { return reaches(p.Reach) }
+func (p *Peers) Reaches() []peers.Route { return reaches(p.Reach) }
 
-func reaches(all []PeerReach) (is []peers.Reach) {
+func reaches(all []PeerReach) (is []peers.Route) {
 	for _, r := range all {
-		is = append(is, peers.Reach(r))
+		is = append(is, peers.Route(r))
 	}
 	return is
 }
@@ -223,15 +223,15 @@
 		if d := k.Every.D(); d < everyLeast || d > everyMost {
 			return nil, c.at("knowledge", 0, "every", "knowledge.every = %v is not from %v to %v", d, everyLeast, everyMost)
 		}
-		if k.Bytes < knowledge.LeastBytes || k.Bytes > knowledge.MostBytes {
-			return nil, c.at("knowledge", 0, "bytes", "knowledge.bytes = %d is not from %d to %d", k.Bytes, knowledge.LeastBytes, knowledge.MostBytes)
+		if k.Bytes < knowledge.MinSnapshotBytes || k.Bytes > knowledge.MaxSnapshotBytes {
+			return nil, c.at("knowledge", 0, "bytes", "knowledge.bytes = %d is not from %d to %d", k.Bytes, knowledge.MinSnapshotBytes, knowledge.MaxSnapshotBytes)
 		}
 	}
 	if p := f.Peers; p != nil {
 		set(&p.Listen, ":7946")
 		set(&p.Exchange, ":7947")
-		set(&p.Follow, peers.DefaultFollow)
-		set(&p.Facts, peers.DefaultFacts)
+		set(&p.Follow, peers.DefaultMaxFollowed)
+		set(&p.Facts, peers.DefaultMaxFacts)
 		if p.Follow < 1 || p.Follow > 16 {
 			return nil, c.at("peers", 0, "follow", "peers.follow = %d is not from 1 to 16", p.Follow)
 		}
@@ -243,7 +243,7 @@
 			edit func(*peers.Config)
 		}{{"cluster", func(c *peers.Config) { c.Cluster = p.Cluster }}, {"listen", func(c *peers.Config) { c.Listen = p.Listen }},
 			{"exchange", func(c *peers.Config) { c.Exchange = p.Exchange }}, {"seeds", func(c *peers.Config) { c.Seeds = p.Seeds }},
-			{"reach", func(c *peers.Config) { c.Reach = p.Reaches() }}} {
+			{"reach", func(c *peers.Config) { c.Routes = p.Reaches() }}} {
 			// Without a host it is the one that clients connect to, which the file does not know.
 			sound := peers.Config{Name: "n", Cluster: "c", Listen: "127.0.0.1:0", Exchange: "127.0.0.1:0"}
 			one.edit(&sound)
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -40,7 +40,7 @@
 	if least := c.lendLeast(); c.Lend != 0 && (c.Lend < least || c.Lend > LendMost) {
 		return fmt.Errorf("fleet: lend = %v is not from %v, which a lease that lapses and a roster take, to %v", c.Lend, least, LendMost)
 	}
-	if _, err := peers.NewReaches(c.Reach); err != nil {
+	if _, err := peers.NewRouteTable(c.Reach); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	seen := map[string]bool{}
@@ -80,7 +80,7 @@
 	return c.Terms.Duration*3/2 + 500*time.Millisecond
 }
 
-func loopback(addr string) error { return peers.Loopback(addr) }
+func loopback(addr string) error { return peers.CheckLoopback(addr) }
 
 // Defaults fills in what is not stated.
 func (c *Config) Defaults() {
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -29,7 +29,7 @@
 	me    lease.HolderID
 	terms quota.Terms
 	till  *quota.Till
-	reach peers.Reaches
+	reach peers.RouteTable
 	asks  *worker.Worker[any, any]
 	lends *worker.Worker[any, any]
 
@@ -71,7 +71,7 @@
 )
 
 func newLimiting(n *Node) (*limiting, error) {
-	reach, err := peers.NewReaches(n.c.Reach)
+	reach, err := peers.NewRouteTable(n.c.Reach)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -178,7 +178,7 @@
 	if q.To.Name == l.me.Name {
 		return l.lend(ctx, q.Request)
 	}
-	client, err := l.n.wires.to(l.reach.At(q.To.Address))
+	client, err := l.n.wires.to(l.reach.Resolve(q.To.Address))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -39,7 +39,7 @@
 	Folder  string
 	Terms   lease.Terms
 	Lend    time.Duration // how long units of a limit are lent for; 0: by the lease
-	Reach   []peers.Reach // of others that are not reached at their own address
+	Reach   []peers.Route // of others that are not reached at their own address
 	Keys    [][]byte      // of the fleet: the first is shown with each call, each is taken; none: nothing is shown
 
 	Settings fleetpolicy.Settings // of this sender: what a policy may name
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -128,7 +128,7 @@
 		n.aside(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, n.patience())
 			defer cancel()
-			client, err := n.wires.to(e.l.reach.At(a.to.Address))
+			client, err := n.wires.to(e.l.reach.Resolve(a.to.Address))
 			if err == nil {
 				_, err = client.Testify(ctx, a.r)
 			}
--- a/internal/health/court.go
+++ b/internal/health/court.go
@@ -73,12 +73,12 @@
 // Observe takes a testimony in.
 func (c *Aggregator) Observe(who string, t Observation, now time.Duration) {
 	at := now - max(0, t.Age)
-	c.reports.Add(knowledge.Fact{Subject: knowledge.Subject{Destination: t.Destination}, Source: knowledge.Source{Name: who, Life: 1}, Sort: knowledge.Health,
-		At: at, Value: knowledge.Value{State: t.State, Since: at - max(0, t.Duration)}}, now)
+	c.reports.Add(knowledge.Fact{Subject: knowledge.Subject{Destination: t.Destination}, Source: knowledge.Source{Name: who, Incarnation: 1}, Kind: knowledge.Health,
+		ObservedAt: at, Value: knowledge.Value{State: t.State, Since: at - max(0, t.Duration)}}, now)
 	h := c.destination(t.Destination)
 	h.observedAt = now
 	switch {
-	case t.State != knowledge.Out:
+	case t.State != knowledge.OutOfService:
 		h.servedAt = max(h.servedAt, at)
 	case h.outSince == 0:
 		h.outSince = now
@@ -140,8 +140,8 @@
 func (c *Aggregator) evaluate(d uint32, h *destinationRecord, r Rule, was Kind, now time.Duration) (Kind, string) {
 	subject := knowledge.Subject{Destination: d}
 	f, told := c.reports.Verdict(subject, now)
-	outs := c.reports.Outs(subject, now)
-	out := told && f.State == knowledge.Out
+	outs := c.reports.OutageCount(subject, now)
+	out := told && f.State == knowledge.OutOfService
 	if !out {
 		h.outSince = 0
 	}
@@ -160,7 +160,7 @@
 		}
 		return KindEjected, fmt.Sprintf("%d senders hold it to be out", outs)
 	case KindWarmingUp:
-		if agreed && f.At > h.statusStartSeenAt {
+		if agreed && f.ObservedAt > h.statusStartSeenAt {
 			return KindEjected, fmt.Sprintf("%d senders hold it to be out again", outs)
 		}
 		if now-h.statusStartSeenAt < r.SlowStart {
--- a/internal/identity/file.go
+++ b/internal/identity/file.go
@@ -17,22 +17,22 @@
 // File keeps a table's ends on disk: a ring of records, each at the place that the table names, so that it never
 // grows beyond the table's bound. A record that a kill leaves torn can't be read, and counts as not written.
 type File struct {
-	path    string
-	table   *Table
-	disk    Disk
-	pending []write
-	buf     []byte
-	failed  error     // of the last write
-	tried   time.Time // to write the file anew
+	path        string
+	table       *Table
+	disk        Disk
+	pending     []pendingWrite
+	buf         []byte
+	err         error     // of the last write
+	lastRewrite time.Time // to write the file anew
 }
 
-type write struct {
-	place int
-	end   End
+type pendingWrite struct {
+	slot int
+	end  End
 }
 
-// Size is the most that the file of so many ends may take, in bytes: the ring, and its copy while it is written anew.
-func Size(most int) int64 { return 2 * int64(most) * RecordSize }
+// MaxFileBytes is the most that the file of so many ends may take, in bytes: the ring, and its copy while it is written anew.
+func MaxFileBytes(most int) int64 { return 2 * int64(most) * RecordSize }
 
 // Open reads a file into an empty table and writes it anew in its place. A kill in between leaves the old one whole.
 // A disk that can't be written is no error: what was read counts, and Failed says so until a write succeeds.
@@ -43,37 +43,37 @@
 	}
 	t.Load(now, raw)
 	f := &File{path: path, table: t}
-	f.renew()
+	f.rewrite()
 	return f, nil
 }
 
-// renew writes the file anew. Where that fails the old one stays as it is: its places are not the table's, so nothing
+// rewrite writes the file anew. Where that fails the old one stays as it is: its places are not the table's, so nothing
 // is added to it, and all that ends waits for a disk.
-func (f *File) renew() {
-	f.tried = time.Now()
-	disk, err := fresh(f.path, f.table)
+func (f *File) rewrite() {
+	f.lastRewrite = time.Now()
+	disk, err := writeTable(f.path, f.table)
 	if err != nil {
-		f.failed = fmt.Errorf("ends of events: %w", err)
+		f.err = fmt.Errorf("ends of events: %w", err)
 		return
 	}
-	f.disk, f.failed, f.pending = disk, nil, nil // the table holds what was pending
+	f.disk, f.err, f.pending = disk, nil, nil // the table holds what was pending
 }
 
-// tryAgain is the pause between two tries to write the file anew.
-const tryAgain = 200 * time.Millisecond
+// rewriteRetryInterval is the pause between two tries to write the file anew.
+const rewriteRetryInterval = 200 * time.Millisecond
 
-// fresh writes a table to a new file and puts it in the old one's place.
-func fresh(path string, t *Table) (*os.File, error) {
+// writeTable writes a table to a new file and puts it in the old one's place.
+func writeTable(path string, t *Table) (*os.File, error) {
 	disk, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	var buf []byte
-	t.Ends(func(_ int, e End) { buf = AppendRecord(buf, e) })
+	t.ForEach(func(_ int, e End) { buf = AppendRecord(buf, e) })
 	if t.used != len(buf)/RecordSize { // a key that came again left a dead place behind: the records' places count
 		buf = make([]byte, 0, t.used*RecordSize)
 		next := 0
-		t.Ends(func(place int, e End) {
+		t.ForEach(func(place int, e End) {
 			buf = append(buf, make([]byte, (place-next)*RecordSize)...)
 			buf = AppendRecord(buf, e)
 			next = place + 1
@@ -91,44 +91,44 @@
 	return disk, nil
 }
 
-// Use puts another disk in place; for tests.
-func (f *File) Use(wrap func(Disk) Disk) { f.disk = wrap(f.disk) }
+// WrapDisk puts another disk in place; for tests.
+func (f *File) WrapDisk(wrap func(Disk) Disk) { f.disk = wrap(f.disk) }
 
 // Add notes an end at its place; Flush writes it.
-func (f *File) Add(place int, e End) { f.pending = append(f.pending, write{place, e}) }
+func (f *File) Add(place int, e End) { f.pending = append(f.pending, pendingWrite{place, e}) }
 
 // Flush writes what was noted, neighbours in one write. What fails is kept and tried again by the next Flush.
 func (f *File) Flush() error {
-	if f.disk == nil && time.Since(f.tried) >= tryAgain {
-		f.renew()
+	if f.disk == nil && time.Since(f.lastRewrite) >= rewriteRetryInterval {
+		f.rewrite()
 	}
 	for len(f.pending) > 0 {
 		if f.disk == nil {
-			return f.failed
+			return f.err
 		}
 		n := 1
-		for n < len(f.pending) && f.pending[n].place == f.pending[n-1].place+1 {
+		for n < len(f.pending) && f.pending[n].slot == f.pending[n-1].slot+1 {
 			n++
 		}
 		f.buf = f.buf[:0]
 		for _, w := range f.pending[:n] {
 			f.buf = AppendRecord(f.buf, w.end)
 		}
-		if _, err := f.disk.WriteAt(f.buf, int64(f.pending[0].place)*RecordSize); err != nil {
-			f.failed = fmt.Errorf("ends of events: %w", err)
-			return f.failed
+		if _, err := f.disk.WriteAt(f.buf, int64(f.pending[0].slot)*RecordSize); err != nil {
+			f.err = fmt.Errorf("ends of events: %w", err)
+			return f.err
 		}
 		f.pending = f.pending[n:]
 	}
 	f.pending = nil
 	if f.disk != nil {
-		f.failed = nil
+		f.err = nil
 	}
-	return f.failed
+	return f.err
 }
 
-// Failed is why nothing can be written now; nil if it can.
-func (f *File) Failed() error { return f.failed }
+// Err is why nothing can be written now; nil if it can.
+func (f *File) Err() error { return f.err }
 
 // Close writes what was noted and closes the file.
 func (f *File) Close() error {
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -50,24 +50,24 @@
 
 // End is how and when an event ended.
 type End struct {
-	Key     Key
-	Digest  Digest
-	Outcome Outcome
-	At      time.Duration // clock time
-	Retry   time.Duration // of HandedBack: so long after At it may come again; whole milliseconds, 4.6 hours at most
+	Key        Key
+	Digest     Digest
+	Outcome    Outcome
+	At         time.Duration // clock time
+	RetryAfter time.Duration // of HandedBack: so long after At it may come again; whole milliseconds, 4.6 hours at most
 }
 
 // RecordSize is the bytes of one record.
 const RecordSize = 40
 
-const retryMost = 1<<24 - 1 // milliseconds
+const maxRetryMS = 1<<24 - 1 // milliseconds
 
 // AppendRecord adds an end's record: key, digest, time, outcome and retry, checksum.
 func AppendRecord(b []byte, e End) []byte {
 	begin := len(b)
 	b = append(append(b, e.Key[:]...), e.Digest[:]...)
 	b = binary.BigEndian.AppendUint64(b, uint64(e.At))
-	retry := min(max(0, e.Retry.Milliseconds()), retryMost)
+	retry := min(max(0, e.RetryAfter.Milliseconds()), maxRetryMS)
 	b = binary.BigEndian.AppendUint32(b, uint32(e.Outcome)<<24|uint32(retry))
 	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[begin:]))
 }
@@ -79,7 +79,7 @@
 	}
 	last := binary.BigEndian.Uint32(b[32:])
 	e := End{Key: Key(b[:16]), Digest: Digest(b[16:24]), At: time.Duration(binary.BigEndian.Uint64(b[24:])),
-		Outcome: Outcome(last >> 24), Retry: time.Duration(last&retryMost) * time.Millisecond}
+		Outcome: Outcome(last >> 24), RetryAfter: time.Duration(last&maxRetryMS) * time.Millisecond}
 	return e, e.Outcome >= Delivered && e.Outcome <= HandedBack && e.At >= 0
 }
 
@@ -94,32 +94,32 @@
 // Table holds the ends of events, at most so many and each for a time. Slots are a ring in the order of ends, as the
 // file is: the oldest lapses first. It is not for concurrent use.
 type Table struct {
-	most     int
-	remember time.Duration
-	slots    []slot   // the ring; grows up to most as it fills
-	index    []uint32 // open addressing: place in slots + 1, 0 for none; a power of two, at most half full
-	first    int      // place of the oldest
-	used     int
-	reserved int // by events that are held
+	maxEnds   int
+	retention time.Duration
+	slots     []slot   // the ring; grows up to most as it fills
+	index     []uint32 // open addressing: place in slots + 1, 0 for none; a power of two, at most half full
+	first     int      // place of the oldest
+	used      int
+	reserved  int // by events that are held
 }
 
 // NewTable makes a table for most ends, each remembered for a time.
 func NewTable(most int, remember time.Duration) *Table {
-	return &Table{most: max(1, most), remember: remember, index: make([]uint32, 64)}
+	return &Table{maxEnds: max(1, most), retention: remember, index: make([]uint32, 64)}
 }
 
 // Len is how many ends are remembered; Held how many events have room reserved.
 func (t *Table) Len() int { return t.used }
 
-// Held is how many events that are held have room reserved.
-func (t *Table) Held() int { return t.reserved }
+// Reserved is how many events that are held have room reserved.
+func (t *Table) Reserved() int { return t.reserved }
 
 func (t *Table) home(k Key) uint32 {
 	return uint32(binary.BigEndian.Uint64(k[:8])) & uint32(len(t.index)-1)
 }
 
-// lookup finds a key's place in index; ok is whether it is there, else it is where it would go.
-func (t *Table) lookup(k Key) (at uint32, ok bool) {
+// find finds a key's place in index; ok is whether it is there, else it is where it would go.
+func (t *Table) find(k Key) (at uint32, ok bool) {
 	for at = t.home(k); ; at = (at + 1) & uint32(len(t.index)-1) {
 		switch s := t.index[at]; {
 		case s == 0:
@@ -146,8 +146,8 @@
 func (t *Table) grow() {
 	t.index = make([]uint32, 2*len(t.index))
 	for i := range t.used {
-		place := (t.first + i) % t.most
-		at, ok := t.lookup(t.slots[place].key)
+		place := (t.first + i) % t.maxEnds
+		at, ok := t.find(t.slots[place].key)
 		if !ok && t.live(place) {
 			t.index[at] = uint32(place + 1)
 		}
@@ -157,73 +157,73 @@
 // live is whether a slot still counts: one of which the key came again has lapsed before its time.
 func (t *Table) live(place int) bool { return t.slots[place].last != 0 }
 
-// Lapse forgets what is older than is remembered.
-func (t *Table) Lapse(now time.Duration) {
-	for t.used > 0 && time.Duration(t.slots[t.first].at)+t.remember <= now {
+// Expire forgets what is older than is remembered.
+func (t *Table) Expire(now time.Duration) {
+	for t.used > 0 && time.Duration(t.slots[t.first].at)+t.retention <= now {
 		t.dropFirst()
 	}
 }
 
 func (t *Table) dropFirst() {
 	if t.live(t.first) {
-		if at, ok := t.lookup(t.slots[t.first].key); ok && t.index[at] == uint32(t.first+1) {
+		if at, ok := t.find(t.slots[t.first].key); ok && t.index[at] == uint32(t.first+1) {
 			t.unindex(at)
 		}
 	}
 	t.slots[t.first] = slot{}
-	t.first = (t.first + 1) % t.most
+	t.first = (t.first + 1) % t.maxEnds
 	t.used--
 }
 
-// Look finds how an event ended, if that is remembered.
-func (t *Table) Look(now time.Duration, k Key) (End, bool) {
-	t.Lapse(now)
-	at, ok := t.lookup(k)
+// Lookup finds how an event ended, if that is remembered.
+func (t *Table) Lookup(now time.Duration, k Key) (End, bool) {
+	t.Expire(now)
+	at, ok := t.find(k)
 	if !ok {
 		return End{}, false
 	}
 	s := t.slots[t.index[at]-1]
 	return End{Key: s.key, Digest: s.digest, Outcome: Outcome(s.last >> 24), At: time.Duration(s.at),
-		Retry: time.Duration(s.last&retryMost) * time.Millisecond}, true
+		RetryAfter: time.Duration(s.last&maxRetryMS) * time.Millisecond}, true
 }
 
 // Reserve keeps room for the end of an event that is about to be taken on. Without room it says after how long there
 // will be some at the earliest.
 func (t *Table) Reserve(now time.Duration) (ok bool, after time.Duration) {
-	t.Lapse(now)
-	if t.used+t.reserved < t.most {
+	t.Expire(now)
+	if t.used+t.reserved < t.maxEnds {
 		t.reserved++
 		return true, 0
 	}
 	if t.used == 0 {
 		return false, 0 // all of it is held: nobody knows
 	}
-	return false, time.Duration(t.slots[t.first].at) + t.remember - now
+	return false, time.Duration(t.slots[t.first].at) + t.retention - now
 }
 
 // Release gives back room that was reserved, of an event that was not taken on after all.
 func (t *Table) Release() { t.reserved = max(0, t.reserved-1) }
 
-// End books the end of an event for which room was reserved, and says at which place of the file its record stands.
+// Record books the end of an event for which room was reserved, and says at which place of the file its record stands.
 // Ends come in the order of their times; one that comes earlier counts as of the last.
-func (t *Table) End(e End) (place int) {
+func (t *Table) Record(e End) (place int) {
 	t.Release()
 	return t.put(e)
 }
 
 func (t *Table) put(e End) int {
-	if t.used == t.most { // only if more was held than there was room: a file made for more
+	if t.used == t.maxEnds { // only if more was held than there was room: a file made for more
 		t.dropFirst()
 	}
 	if t.used > 0 {
-		e.At = max(e.At, time.Duration(t.slots[(t.first+t.used-1)%t.most].at))
+		e.At = max(e.At, time.Duration(t.slots[(t.first+t.used-1)%t.maxEnds].at))
 	}
-	if old, ok := t.lookup(e.Key); ok { // it was handed back and came again: the first end counts no more
+	if old, ok := t.find(e.Key); ok { // it was handed back and came again: the first end counts no more
 		t.slots[t.index[old]-1].last = 0
 		t.unindex(old)
 	}
-	place := (t.first + t.used) % t.most
-	s := slot{e.Key, e.Digest, int64(e.At), uint32(e.Outcome)<<24 | uint32(min(max(0, e.Retry.Milliseconds()), retryMost))}
+	place := (t.first + t.used) % t.maxEnds
+	s := slot{e.Key, e.Digest, int64(e.At), uint32(e.Outcome)<<24 | uint32(min(max(0, e.RetryAfter.Milliseconds()), maxRetryMS))}
 	if place == len(t.slots) {
 		t.slots = append(t.slots, s)
 	} else {
@@ -233,7 +233,7 @@
 	if 2*t.used >= len(t.index) {
 		t.grow()
 	}
-	at, _ := t.lookup(e.Key)
+	at, _ := t.find(e.Key)
 	t.index[at] = uint32(place + 1)
 	return place
 }
@@ -245,7 +245,7 @@
 	var all []End
 	for ; len(raw) >= RecordSize; raw = raw[RecordSize:] {
 		e, ok := ReadRecord(raw)
-		if !ok || e.At+t.remember <= now {
+		if !ok || e.At+t.retention <= now {
 			continue
 		}
 		e.At = min(e.At, now) // a clock that was ahead: it is not remembered for longer than it should
@@ -253,18 +253,18 @@
 	}
 	// The ring begins anywhere in the file. Of equal times the file's order may be off at its seam, and there only.
 	slices.SortStableFunc(all, func(a, b End) int { return cmp.Compare(a.At, b.At) })
-	for _, e := range all[max(0, len(all)-t.most):] {
+	for _, e := range all[max(0, len(all)-t.maxEnds):] {
 		t.put(e)
 	}
 }
 
-// Ends calls f with all that is remembered, the oldest first, and the place of each.
-func (t *Table) Ends(f func(place int, e End)) {
+// ForEach calls f with all that is remembered, the oldest first, and the place of each.
+func (t *Table) ForEach(f func(place int, e End)) {
 	for i := range t.used {
-		place := (t.first + i) % t.most
+		place := (t.first + i) % t.maxEnds
 		s := t.slots[place]
 		if t.live(place) {
-			f(place, End{Key: s.key, Digest: s.digest, Outcome: Outcome(s.last >> 24), At: time.Duration(s.at), Retry: time.Duration(s.last&retryMost) * time.Millisecond})
+			f(place, End{Key: s.key, Digest: s.digest, Outcome: Outcome(s.last >> 24), At: time.Duration(s.at), RetryAfter: time.Duration(s.last&maxRetryMS) * time.Millisecond})
 		}
 	}
 }
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -22,7 +22,7 @@
 }
 
 func end(n int, at time.Duration) End {
-	return End{Key: keyOf(n), Digest: Digest{byte(n)}, Outcome: Outcome(n%3) + Delivered, At: at, Retry: time.Duration(n%5) * time.Millisecond}
+	return End{Key: keyOf(n), Digest: Digest{byte(n)}, Outcome: Outcome(n%3) + Delivered, At: at, RetryAfter: time.Duration(n%5) * time.Millisecond}
 }
 
 func TestKeys(t *testing.T) {
@@ -72,8 +72,8 @@
 				if held > 0 {
 					held--
 					e := end(r.IntN(60), now)
-					table.Lapse(now)
-					table.End(e)
+					table.Expire(now)
+					table.Record(e)
 					all = append(all, e)
 				}
 			case 3:
@@ -83,14 +83,14 @@
 				}
 			default:
 				k := keyOf(r.IntN(60))
-				got, ok := table.Look(now, k)
+				got, ok := table.Lookup(now, k)
 				want, has := find(k)
 				if ok != has || got != want {
 					t.Fatalf("seed %d: %+v %v, want %+v %v", seed, got, ok, want, has)
 				}
 			}
-			if table.Held() != held || table.Len() > most {
-				t.Fatalf("seed %d: %d held, %d ends of %d", seed, table.Held(), table.Len(), most)
+			if table.Reserved() != held || table.Len() > most {
+				t.Fatalf("seed %d: %d held, %d ends of %d", seed, table.Reserved(), table.Len(), most)
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 			t.Fatal(err)
 		}
 		disk := &memory{left: cut, fails: errors.New("killed")}
-		f.Use(func(d Disk) Disk { d.Close(); return disk })
+		f.WrapDisk(func(d Disk) Disk { d.Close(); return disk })
 		var whole []End
 		now := time.Duration(1)
 		for n := range ends {
@@ -164,7 +164,7 @@
 				t.Fatal("no room")
 			}
 			e := end(n, now)
-			f.Add(table.End(e), e)
+			f.Add(table.Record(e), e)
 			if f.Flush() != nil {
 				break
 			}
@@ -180,7 +180,7 @@
 		}
 		g.Close()
 		for n := range ends {
-			got, ok := again.Look(now, keyOf(n))
+			got, ok := again.Lookup(now, keyOf(n))
 			i := slices.IndexFunc(whole, func(e End) bool { return e.Key == keyOf(n) })
 			want := i >= 0 && whole[i].At+remember > now
 			if ok != want || ok && got != whole[i] {
@@ -199,16 +199,16 @@
 		t.Fatal(err)
 	}
 	disk := &memory{left: RecordSize / 2, fails: errors.New("full")}
-	f.Use(func(d Disk) Disk { d.Close(); return disk })
+	f.WrapDisk(func(d Disk) Disk { d.Close(); return disk })
 	for n := range 3 {
 		table.Reserve(5)
-		f.Add(table.End(end(n, 5)), end(n, 5))
-		if f.Flush() == nil || f.Failed() == nil {
+		f.Add(table.Record(end(n, 5)), end(n, 5))
+		if f.Flush() == nil || f.Err() == nil {
 			t.Fatal("a failed write passes for one")
 		}
 	}
 	disk.left = -1
-	if err := f.Flush(); err != nil || f.Failed() != nil {
+	if err := f.Flush(); err != nil || f.Err() != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(path, disk.data, 0o600); err != nil {
@@ -219,7 +219,7 @@
 		t.Fatal(err)
 	}
 	for n := range 3 {
-		if _, ok := again.Look(6, keyOf(n)); !ok {
+		if _, ok := again.Lookup(6, keyOf(n)); !ok {
 			t.Errorf("end %d is lost", n)
 		}
 	}
@@ -237,19 +237,19 @@
 	}
 	table := NewTable(10, 1000)
 	f, err := Open(path, table, 6)
-	if err != nil || f.Failed() == nil {
-		t.Fatalf("%v, failed %v", err, f.Failed())
+	if err != nil || f.Err() == nil {
+		t.Fatalf("%v, failed %v", err, f.Err())
 	}
-	if _, ok := table.Look(6, keyOf(1)); !ok {
+	if _, ok := table.Lookup(6, keyOf(1)); !ok {
 		t.Error("what the file held is forgotten")
 	}
 	table.Reserve(7)
-	f.Add(table.End(end(2, 7)), end(2, 7))
+	f.Add(table.Record(end(2, 7)), end(2, 7))
 	if f.Flush() == nil {
 		t.Error("nothing is written, and no error")
 	}
 	os.Remove(path + ".new")
-	f.tried = time.Time{}
+	f.lastRewrite = time.Time{}
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -258,7 +258,7 @@
 		t.Fatal(err)
 	}
 	for n := 1; n <= 2; n++ {
-		if _, ok := again.Look(8, keyOf(n)); !ok {
+		if _, ok := again.Lookup(8, keyOf(n)); !ok {
 			t.Errorf("end %d is lost", n)
 		}
 	}
@@ -274,12 +274,12 @@
 	table := NewTable(4, 50)
 	table.Load(85, raw) // 0 to 3 have lapsed, 9 is in the future; 6 to 9 have room
 	for n := range 10 {
-		got, ok := table.Look(85, keyOf(n))
+		got, ok := table.Lookup(85, keyOf(n))
 		if ok != (n >= 6) || ok && got.At != min(end(n, time.Duration(n*10)).At, 85) {
 			t.Errorf("%d: %+v %v", n, got, ok)
 		}
 	}
-	if _, ok := table.Look(135, keyOf(9)); ok {
+	if _, ok := table.Lookup(135, keyOf(9)); ok {
 		t.Error("an end of a clock that was ahead is remembered for longer")
 	}
 }
@@ -303,7 +303,7 @@
 			continue
 		}
 		e := End{Key: KeyOf("/flood", fmt.Sprint(n)), Outcome: Delivered, At: now}
-		f.Add(table.End(e), e)
+		f.Add(table.Record(e), e)
 		if err := f.Flush(); err != nil {
 			t.Fatal(err)
 		}
@@ -318,7 +318,7 @@
 	if refused != 19*most {
 		t.Errorf("%d refused", refused)
 	}
-	if _, ok := table.Look(now, KeyOf("/flood", "0")); !ok {
+	if _, ok := table.Lookup(now, KeyOf("/flood", "0")); !ok {
 		t.Error("the flood drove out what was promised to be remembered")
 	}
 }
@@ -331,8 +331,8 @@
 		if table.Len() > max(1, int(most)) {
 			t.Errorf("%d ends", table.Len())
 		}
-		table.Ends(func(_ int, e End) {
-			if got, ok := table.Look(time.Duration(now), e.Key); ok && got != e {
+		table.ForEach(func(_ int, e End) {
+			if got, ok := table.Lookup(time.Duration(now), e.Key); ok && got != e {
 				t.Errorf("%+v and %+v", got, e)
 			}
 		})
@@ -349,7 +349,7 @@
 		table := NewTable(million, time.Hour)
 		for n := range million {
 			table.Reserve(time.Duration(n))
-			table.End(End{Key: KeyOf("/s", fmt.Sprint(n)), Outcome: Delivered, At: time.Duration(n)})
+			table.Record(End{Key: KeyOf("/s", fmt.Sprint(n)), Outcome: Delivered, At: time.Duration(n)})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/identity/stored_data_test.go
+++ b/internal/identity/stored_data_test.go
@@ -14,33 +14,33 @@
 // wrapped, a key that came again, a damaged record and a torn one. FILE.golden lists what it holds, FILE.renewed is the file
 // once an open has written it anew.
 const (
-	storedEnds     = "testdata/stored/events.ended"
-	storedMost     = 6
-	storedRemember = time.Hour
-	storedNow      = 100 * time.Second
+	storedEnds      = "testdata/stored/events.ended"
+	storedMaxEnds   = 6
+	storedRetention = time.Hour
+	storedNow       = 100 * time.Second
 )
 
 // writeStoredEnds writes ends of events to a new file and gives its bytes.
 func writeStoredEnds(t *testing.T, path string) []byte {
 	t.Helper()
-	table := NewTable(storedMost, storedRemember)
+	table := NewTable(storedMaxEnds, storedRetention)
 	f, err := Open(path, table, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n, e := range []End{
 		{Key: KeyOf("/s", "0"), Outcome: Delivered},
-		{Key: KeyOf("/s", "1"), Outcome: HandedBack, Retry: 1500 * time.Millisecond},
+		{Key: KeyOf("/s", "1"), Outcome: HandedBack, RetryAfter: 1500 * time.Millisecond},
 		{Key: KeyOf("/s", "2"), Outcome: Failed},
 		{Key: KeyOf("/s", "1"), Outcome: Delivered}, // it came again
-		{Key: KeyOf("/t", "2"), Outcome: HandedBack, Retry: 5 * time.Hour},
+		{Key: KeyOf("/t", "2"), Outcome: HandedBack, RetryAfter: 5 * time.Hour},
 		{Key: KeyOf("/s", "5"), Outcome: Delivered},
 		{Key: KeyOf("/s", "6"), Outcome: Failed}, // in the place of the first
 		{Key: KeyOf("/s", "7"), Outcome: Delivered},
 	} {
 		e.Digest, e.At = DigestOf([]byte{byte(n)}), time.Duration(10+n)*time.Second
 		table.Reserve(e.At)
-		f.Add(table.End(e), e)
+		f.Add(table.Record(e), e)
 	}
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
@@ -50,10 +50,10 @@
 
 func listEnds(table *Table) string {
 	var b strings.Builder
-	table.Ends(func(place int, e End) {
-		fmt.Fprintf(&b, "%d key %x digest %x outcome %d at %d retry %d\n", place, e.Key, e.Digest, e.Outcome, e.At, e.Retry)
+	table.ForEach(func(place int, e End) {
+		fmt.Fprintf(&b, "%d key %x digest %x outcome %d at %d retry %d\n", place, e.Key, e.Digest, e.Outcome, e.At, e.RetryAfter)
 	})
-	fmt.Fprintf(&b, "%d ends, %d reserved\n", table.Len(), table.Held())
+	fmt.Fprintf(&b, "%d ends, %d reserved\n", table.Len(), table.Reserved())
 	return b.String()
 }
 
@@ -71,7 +71,7 @@
 	if err := os.WriteFile(path, readStored(t, storedEnds), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	table := NewTable(storedMost, storedRemember)
+	table := NewTable(storedMaxEnds, storedRetention)
 	f, err := Open(path, table, storedNow)
 	if err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 func TestStoredData_EndsBytesAreUnchanged(t *testing.T) {
 	got := writeStoredEnds(t, filepath.Join(t.TempDir(), "events.ended"))
 	want := readStored(t, storedEnds)
-	if len(got) != storedMost*RecordSize || !bytes.Equal(got[:5*RecordSize], want[:5*RecordSize]) {
+	if len(got) != storedMaxEnds*RecordSize || !bytes.Equal(got[:5*RecordSize], want[:5*RecordSize]) {
 		t.Errorf("written is %x, want the begin of %x", got, want)
 	}
 }
--- a/internal/knowledge/file.go
+++ b/internal/knowledge/file.go
@@ -21,11 +21,11 @@
 // over it, so a kill at any point leaves one of the two whole. It is not synced: what a machine loses with its power is
 // noticed by the checksum, and a sender that finds no snapshot starts as one without.
 const (
-	magic      = "SYKNOW"
-	format     = 1
-	headLen    = len(magic) + 2 + 4 + 4
-	LeastBytes = 4 << 10 // of a snapshot's file that is of any use
-	MostBytes  = 64 << 20
+	magic            = "SYKNOW"
+	format           = 1
+	headLen          = len(magic) + 2 + 4 + 4
+	MinSnapshotBytes = 4 << 10 // of a snapshot's file that is of any use
+	MaxSnapshotBytes = 64 << 20
 )
 
 // ErrNewer is that a snapshot was written by a version that this one does not know.
@@ -37,19 +37,19 @@
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // urgency is the order in which facts are kept where not all find room: what spares failed calls first.
-var urgency = [sorts]int{Wait: 0, Health: 1, Limit: 2, Pace: 3, Bears: 4}
+var urgency = [kinds]int{RetryAfter: 0, Health: 1, RateLimit: 2, Latency: 3, Concurrency: 4}
 
 // Marshal writes a snapshot of at most so many bytes, the facts that count most first. dropped is how many found no room.
 func Marshal(facts []Fact, now time.Duration, wall time.Time, most int) (raw []byte, dropped int) {
 	facts = slices.Clone(facts)
 	worse := func(f *Fact) int { // an outage before one that serves
-		if f.Sort == Health && f.State == Serves {
-			return int(Bears)
+		if f.Kind == Health && f.State == Serving {
+			return int(Concurrency)
 		}
-		return urgency[f.Sort]
+		return urgency[f.Kind]
 	}
 	slices.SortStableFunc(facts, func(a, b Fact) int {
-		return cmp.Or(cmp.Compare(worse(&a), worse(&b)), cmp.Compare(b.At, a.At))
+		return cmp.Or(cmp.Compare(worse(&a), worse(&b)), cmp.Compare(b.ObservedAt, a.ObservedAt))
 	})
 	s := &pb.Snapshot{Format: format, UnixUs: uint64(max(0, wall.UnixMicro()))}
 	size := headLen + 32
@@ -104,7 +104,7 @@
 	}
 	for _, m := range s.GetFacts() {
 		f, err := Decode(m, Source{}, now, later)
-		if err != nil || !f.sound(now) {
+		if err != nil || !f.valid(now) {
 			skipped++
 			continue
 		}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("knowledge: %w", err)
 	}
-	if f.Size() > MostBytes {
+	if f.Size() > MaxSnapshotBytes {
 		return nil, 0, fmt.Errorf("knowledge: %s: %w: %d bytes", path, ErrDamaged, f.Size())
 	}
 	raw, err := os.ReadFile(path)
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -24,24 +24,24 @@
 	return cmp.Or(cmp.Compare(s.Destination, o.Destination), cmp.Compare(s.Endpoint, o.Endpoint))
 }
 
-// Sort is a sort of fact. Each has one value a subject and source.
-type Sort uint8
+// Kind is a sort of fact. Each has one value a subject and source.
+type Kind uint8
 
 // The sorts.
 const (
-	Pace   Sort = iota + 1 // how long calls take
-	Bears                  // how many calls at once were borne
-	Limit                  // the limit that was told
-	Wait                   // a wait that was told
-	Health                 // whether it serves
-	sorts
+	Latency     Kind = iota + 1 // how long calls take
+	Concurrency                 // how many calls at once were borne
+	RateLimit                   // the limit that was told
+	RetryAfter                  // a wait that was told
+	Health                      // whether it serves
+	kinds
 )
 
-var sortNames = [sorts]string{Pace: "pace", Bears: "bears", Limit: "limit", Wait: "wait", Health: "health"}
+var kindNames = [kinds]string{Latency: "pace", Concurrency: "bears", RateLimit: "limit", RetryAfter: "wait", Health: "health"}
 
-func (s Sort) String() string {
-	if s < sorts && sortNames[s] != "" {
-		return sortNames[s]
+func (s Kind) String() string {
+	if s < kinds && kindNames[s] != "" {
+		return kindNames[s]
 	}
 	return "unknown"
 }
@@ -51,73 +51,73 @@
 
 // The states, the better first.
 const (
-	Serves State = iota + 1 // a call was served
-	Cold                    // it serves again after an outage, and warms up
-	Out                     // an outage: calls fail, are refused or go unanswered
+	Serving      State = iota + 1 // a call was served
+	Warming                       // it serves again after an outage, and warms up
+	OutOfService                  // an outage: calls fail, are refused or go unanswered
 )
 
 func (s State) String() string {
-	if s < Serves || s > Out {
+	if s < Serving || s > OutOfService {
 		return "unknown"
 	}
-	return [...]string{Serves: "serves", Cold: "cold", Out: "out"}[s]
+	return [...]string{Serving: "serves", Warming: "cold", OutOfService: "out"}[s]
 }
 
 // Value is what a fact says. Only the fields of its sort are set.
 type Value struct {
-	Mean, Median, Quickest, Bound time.Duration // Pace; Bound is the time-out that fits
-	Window                        float64       // Bears: calls at once
-	PerSecond                     float64       // Limit: calls a second, of all senders
-	Until                         time.Duration // Wait: its end
-	State                         State         // Health
-	Since                         time.Duration // Health: when it came to be so
-	Rate                          float64       // Health: calls a second that were usually served for its holder, before any outage
+	Mean, Median, Min, Timeout time.Duration // Pace; Bound is the time-out that fits
+	Window                     float64       // Bears: calls at once
+	PerSecond                  float64       // Limit: calls a second, of all senders
+	Until                      time.Duration // Wait: its end
+	State                      State         // Health
+	Since                      time.Duration // Health: when it came to be so
+	Rate                       float64       // Health: calls a second that were usually served for its holder, before any outage
 }
 
 // Fact is one piece of knowledge.
 type Fact struct {
 	Subject
-	Sort
-	At     time.Duration // of the newest evidence, on the holder's clock
-	Calls  uint32        // how many calls it rests on
-	Source Source        // who saw it
+	Kind
+	ObservedAt time.Duration // of the newest evidence, on the holder's clock
+	Calls      uint32        // how many calls it rests on
+	Source     Source        // who saw it
 	Value
 }
 
 // Source is who has seen what a fact tells: a sender, in one of its lives. Its own facts have the zero value.
 type Source struct {
-	Name string
-	Life uint64 // grows with each start; that of an own earlier process is an own fact's
+	Name        string
+	Incarnation uint64 // grows with each start; that of an own earlier process is an own fact's
 }
 
 // Own reports whether the holder saw it itself, in this process or an earlier one.
 func (s Source) Own() bool { return s == Source{} }
 
-// halfLife is how long a fact of a sort takes to count half as much.
+// trustHalfLife is how long a fact of a sort takes to count half as much.
 //
 // A pace is a matter of the machine that serves: it changes with a release, so an hour. What is borne and what is
 // limited depend on who else sends: some minutes. An outage of this deployment lasts 8 to 22 s, so what is older than
 // one tells more of the past than of now.
-var halfLife = [sorts]time.Duration{Pace: time.Hour, Bears: 5 * time.Minute, Limit: 30 * time.Minute, Health: 15 * time.Second}
+var trustHalfLife = [kinds]time.Duration{Latency: time.Hour, Concurrency: 5 * time.Minute, RateLimit: 30 * time.Minute, Health: 15 * time.Second}
 
 // Trust is how far a fact counts at a time, from 1 for what is seen now to 0. A wait holds in full until its end, and
 // not at all after it: it was not an estimate but a promise asked for.
 func (f *Fact) Trust(now time.Duration) float64 {
-	if f.Sort == Wait {
+	if f.Kind == RetryAfter {
 		if now < f.Until {
 			return 1
 		}
 		return 0
 	}
-	if f.Sort == 0 || f.Sort >= sorts {
+	if f.Kind == 0 || f.Kind >= kinds {
 		return 0
 	}
-	age := max(0, now-f.At)
-	return math.Exp2(-age.Seconds() / halfLife[f.Sort].Seconds())
+	age := max(0, now-f.ObservedAt)
+	return math.Exp2(-age.Seconds() / trustHalfLife[f.Kind].Seconds())
 }
 
-// LeastTrust is what counts for nothing any more: a fact with less is forgotten.
-const LeastTrust = 0.02
+// MinTrust is what counts for nothing any more: a fact with less is forgotten.
+const MinTrust = 0.02
 
 // Better is the order in which views win: own evidence before hearsay, fresher before staler, better founded before
 // worse. It is total over facts that differ in anything, so a merge is the same in whatever order views come.
@@ -126,21 +126,21 @@
 // ends later wins whoever was told it.
 func Better(a, b *Fact) bool { return compare(a, b) > 0 }
 
-// ownAhead is by how much hearsay must be fresher than own evidence to win: longer than the telling takes, and shorter
+// ownFactAdvantage is by how much hearsay must be fresher than own evidence to win: longer than the telling takes, and shorter
 // than an outage.
-const ownAhead = 5 * time.Second
+const ownFactAdvantage = 5 * time.Second
 
 func compare(a, b *Fact) int {
-	if a.Sort == Wait {
+	if a.Kind == RetryAfter {
 		if c := cmp.Compare(a.Until, b.Until); c != 0 {
 			return c
 		}
 	}
 	at := func(f *Fact) time.Duration {
 		if f.Source.Own() {
-			return f.At + ownAhead
+			return f.ObservedAt + ownFactAdvantage
 		}
-		return f.At
+		return f.ObservedAt
 	}
 	bool01 := func(b bool) int {
 		if b {
@@ -150,50 +150,50 @@
 	}
 	return cmp.Or(cmp.Compare(at(a), at(b)), cmp.Compare(bool01(a.Source.Own()), bool01(b.Source.Own())),
 		cmp.Compare(a.Calls, b.Calls), cmp.Compare(a.Value.State, b.Value.State), // of equals the worse health: it is the safe side
-		cmp.Compare(a.Source.Life, b.Source.Life), cmp.Compare(a.Source.Name, b.Source.Name), compareValues(&a.Value, &b.Value))
+		cmp.Compare(a.Source.Incarnation, b.Source.Incarnation), cmp.Compare(a.Source.Name, b.Source.Name), compareValues(&a.Value, &b.Value))
 }
 
 func compareValues(a, b *Value) int {
-	return cmp.Or(cmp.Compare(a.Mean, b.Mean), cmp.Compare(a.Median, b.Median), cmp.Compare(a.Quickest, b.Quickest),
-		cmp.Compare(a.Bound, b.Bound), cmp.Compare(a.Window, b.Window), cmp.Compare(a.PerSecond, b.PerSecond),
+	return cmp.Or(cmp.Compare(a.Mean, b.Mean), cmp.Compare(a.Median, b.Median), cmp.Compare(a.Min, b.Min),
+		cmp.Compare(a.Timeout, b.Timeout), cmp.Compare(a.Window, b.Window), cmp.Compare(a.PerSecond, b.PerSecond),
 		cmp.Compare(a.Until, b.Until), cmp.Compare(a.Since, b.Since), cmp.Compare(a.Rate, b.Rate))
 }
 
 type slot struct {
 	Subject
-	Sort
+	Kind
 }
 
 // View is what one sender knows: for each subject and sort the best fact, and beside it the best own one, which is all
 // that it ever tells others. It is not for concurrent use.
 type View struct {
-	most int // subjects
-	best map[slot]*Fact
-	own  map[slot]*Fact
-	of   map[Subject]int // facts held of each
+	maxSubjects int // subjects
+	best        map[slot]*Fact
+	own         map[slot]*Fact
+	factCount   map[Subject]int // facts held of each
 }
 
 // NewView makes one that holds facts of so many subjects at most.
-func NewView(most int) *View {
-	return &View{most: most, best: map[slot]*Fact{}, own: map[slot]*Fact{}, of: map[Subject]int{}}
+func NewView(maxSubjects int) *View {
+	return &View{maxSubjects: maxSubjects, best: map[slot]*Fact{}, own: map[slot]*Fact{}, factCount: map[Subject]int{}}
 }
 
-// sound reports whether a fact can be: what is not is not taken in, whoever tells it.
-func (f *Fact) sound(now time.Duration) bool {
+// valid reports whether a fact can be: what is not is not taken in, whoever tells it.
+func (f *Fact) valid(now time.Duration) bool {
 	const longest = 24 * time.Hour
 	finite := func(x, most float64) bool { return x >= 0 && x <= most } // neither NaN
-	switch f.Sort {
-	case Pace:
-		return f.Calls > 0 && f.Quickest >= 0 && f.Quickest <= f.Bound && f.Mean > 0 && f.Mean <= time.Hour && f.Median >= 0 &&
-			f.Median <= time.Hour && f.Bound > 0 && f.Bound <= time.Hour && f.At <= now
-	case Bears:
-		return f.Window >= 1 && finite(f.Window, 1e6) && f.At <= now
-	case Limit:
-		return f.PerSecond > 0 && finite(f.PerSecond, 1e6) && f.At <= now
-	case Wait:
-		return f.Until-now <= longest && f.At <= now
+	switch f.Kind {
+	case Latency:
+		return f.Calls > 0 && f.Min >= 0 && f.Min <= f.Timeout && f.Mean > 0 && f.Mean <= time.Hour && f.Median >= 0 &&
+			f.Median <= time.Hour && f.Timeout > 0 && f.Timeout <= time.Hour && f.ObservedAt <= now
+	case Concurrency:
+		return f.Window >= 1 && finite(f.Window, 1e6) && f.ObservedAt <= now
+	case RateLimit:
+		return f.PerSecond > 0 && finite(f.PerSecond, 1e6) && f.ObservedAt <= now
+	case RetryAfter:
+		return f.Until-now <= longest && f.ObservedAt <= now
 	case Health:
-		return f.State >= Serves && f.State <= Out && f.Since <= f.At && f.At <= now && now-f.Since <= 30*longest && finite(f.Rate, 1e6)
+		return f.State >= Serving && f.State <= OutOfService && f.Since <= f.ObservedAt && f.ObservedAt <= now && now-f.Since <= 30*longest && finite(f.Rate, 1e6)
 	}
 	return false
 }
@@ -201,13 +201,13 @@
 // Add takes a fact in and reports whether it changed what is known. What is not sound, no longer trusted, or over the
 // room for subjects changes nothing.
 func (v *View) Add(f Fact, now time.Duration) bool {
-	if !f.sound(now) || f.Trust(now) < LeastTrust {
+	if !f.valid(now) || f.Trust(now) < MinTrust {
 		return false
 	}
-	if _, known := v.of[f.Subject]; !known && len(v.of) >= v.most {
+	if _, known := v.factCount[f.Subject]; !known && len(v.factCount) >= v.maxSubjects {
 		return false
 	}
-	at := slot{f.Subject, f.Sort}
+	at := slot{f.Subject, f.Kind}
 	if f.Source.Own() {
 		if old := v.own[at]; old == nil || Better(&f, old) {
 			held := f
@@ -223,7 +223,7 @@
 
 func (v *View) put(in map[slot]*Fact, at slot, f *Fact) {
 	if in[at] == nil {
-		v.of[at.Subject]++
+		v.factCount[at.Subject]++
 	}
 	in[at] = f
 }
@@ -233,12 +233,12 @@
 func (v *View) Forget(now time.Duration) {
 	for _, in := range []map[slot]*Fact{v.best, v.own} {
 		for at, f := range in {
-			if f.Trust(now) >= LeastTrust {
+			if f.Trust(now) >= MinTrust {
 				continue
 			}
 			delete(in, at)
-			if v.of[at.Subject]--; v.of[at.Subject] == 0 {
-				delete(v.of, at.Subject)
+			if v.factCount[at.Subject]--; v.factCount[at.Subject] == 0 {
+				delete(v.factCount, at.Subject)
 			}
 		}
 	}
@@ -250,19 +250,19 @@
 }
 
 // Subjects is how many are known of.
-func (v *View) Subjects() int { return len(v.of) }
+func (v *View) Subjects() int { return len(v.factCount) }
 
 // Facts is all that is known, in order.
-func (v *View) Facts() []Fact { return inOrder(v.best) }
+func (v *View) Facts() []Fact { return sortedFacts(v.best) }
 
-// Told is what this sender tells others: what it saw itself, and nothing that it heard. So nothing comes back to its
+// OwnFacts is what this sender tells others: what it saw itself, and nothing that it heard. So nothing comes back to its
 // source as another's evidence, and no rumour outlives who began it.
-func (v *View) Told() []Fact { return inOrder(v.own) }
+func (v *View) OwnFacts() []Fact { return sortedFacts(v.own) }
 
-// Of is what is known of one subject, in the order of sorts.
-func (v *View) Of(s Subject) []Fact {
+// FactsOf is what is known of one subject, in the order of sorts.
+func (v *View) FactsOf(s Subject) []Fact {
 	var facts []Fact
-	for k := Pace; k < sorts; k++ {
+	for k := Latency; k < kinds; k++ {
 		if f := v.best[slot{s, k}]; f != nil {
 			facts = append(facts, *f)
 		}
@@ -270,13 +270,13 @@
 	return facts
 }
 
-func inOrder(in map[slot]*Fact) []Fact {
+func sortedFacts(in map[slot]*Fact) []Fact {
 	facts := make([]Fact, 0, len(in))
 	for _, f := range in {
 		facts = append(facts, *f)
 	}
 	slices.SortFunc(facts, func(a, b Fact) int {
-		return cmp.Or(a.Subject.Compare(b.Subject), cmp.Compare(a.Sort, b.Sort))
+		return cmp.Or(a.Subject.Compare(b.Subject), cmp.Compare(a.Kind, b.Kind))
 	})
 	return facts
 }
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -19,43 +19,43 @@
 
 const at0 = 1000 * time.Hour // now, in tests
 
-func fact(sort Sort, age time.Duration, source string) Fact {
-	f := Fact{Subject: Subject{Destination: 7}, Sort: sort, At: at0 - age, Calls: 5}
+func fact(sort Kind, age time.Duration, source string) Fact {
+	f := Fact{Subject: Subject{Destination: 7}, Kind: sort, ObservedAt: at0 - age, Calls: 5}
 	if source != "" {
 		f.Source = Source{source, 1}
 	}
 	switch sort {
-	case Pace:
-		f.Mean, f.Median, f.Quickest, f.Bound = 100*time.Millisecond, 90*time.Millisecond, 50*time.Millisecond, time.Second
-	case Bears:
+	case Latency:
+		f.Mean, f.Median, f.Min, f.Timeout = 100*time.Millisecond, 90*time.Millisecond, 50*time.Millisecond, time.Second
+	case Concurrency:
 		f.Window = 4
-	case Limit:
+	case RateLimit:
 		f.PerSecond = 25
-	case Wait:
+	case RetryAfter:
 		f.Until = at0 + time.Second
 	case Health:
-		f.State, f.Since, f.Rate = Out, f.At-time.Second, 3
+		f.State, f.Since, f.Rate = OutOfService, f.ObservedAt-time.Second, 3
 	}
 	return f
 }
 
 // drawn is any sound fact; few values, so that ties come up.
 func drawn(t *rapid.T) Fact {
-	f := fact(Sort(rapid.IntRange(1, int(sorts)-1).Draw(t, "sort")), time.Duration(rapid.IntRange(0, 12).Draw(t, "age"))*time.Second,
+	f := fact(Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "sort")), time.Duration(rapid.IntRange(0, 12).Draw(t, "age"))*time.Second,
 		rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "source"))
 	f.Destination = uint32(rapid.IntRange(0, 2).Draw(t, "destination"))
 	f.Endpoint = rapid.SampledFrom([]string{"", "e1"}).Draw(t, "endpoint")
 	f.Calls = uint32(rapid.IntRange(1, 3).Draw(t, "calls"))
-	switch f.Sort {
+	switch f.Kind {
 	case Health:
-		f.State = State(rapid.IntRange(int(Serves), int(Out)).Draw(t, "state"))
-	case Wait:
+		f.State = State(rapid.IntRange(int(Serving), int(OutOfService)).Draw(t, "state"))
+	case RetryAfter:
 		f.Until = at0 + time.Duration(rapid.IntRange(1, 3).Draw(t, "until"))*time.Second
-	case Bears:
+	case Concurrency:
 		f.Window = float64(rapid.IntRange(1, 3).Draw(t, "window"))
 	}
 	if !f.Source.Own() {
-		f.Source.Life = uint64(rapid.IntRange(1, 2).Draw(t, "life"))
+		f.Source.Incarnation = uint64(rapid.IntRange(1, 2).Draw(t, "life"))
 	}
 	return f
 }
@@ -74,7 +74,7 @@
 		all := rapid.SliceOfN(rapid.Custom(drawn), 0, 12).Draw(t, "facts")
 		want := viewOf(all...)
 		shuffled := rapid.Permutation(all).Draw(t, "order")
-		if got := viewOf(shuffled...); !reflect.DeepEqual(got.Facts(), want.Facts()) || !reflect.DeepEqual(got.Told(), want.Told()) {
+		if got := viewOf(shuffled...); !reflect.DeepEqual(got.Facts(), want.Facts()) || !reflect.DeepEqual(got.OwnFacts(), want.OwnFacts()) {
 			t.Fatalf("in another order %v, not %v", got.Facts(), want.Facts())
 		}
 		if got := viewOf(append(slices.Clone(all), shuffled...)...); !reflect.DeepEqual(got.Facts(), want.Facts()) {
@@ -85,7 +85,7 @@
 		if got := viewOf(parts...); !reflect.DeepEqual(got.Facts(), want.Facts()) {
 			t.Fatalf("in parts %v, not %v", got.Facts(), want.Facts())
 		}
-		for _, f := range want.Told() {
+		for _, f := range want.OwnFacts() {
 			if !f.Source.Own() {
 				t.Fatalf("%v was heard, and is told on", f)
 			}
@@ -99,7 +99,7 @@
 	var some []Fact
 	for _, source := range []string{"", "a", "b"} {
 		for _, age := range []time.Duration{0, 3 * time.Second, 6 * time.Second} {
-			for _, state := range []State{Serves, Out} {
+			for _, state := range []State{Serving, OutOfService} {
 				f := fact(Health, age, source)
 				f.State = state
 				some = append(some, f)
@@ -132,14 +132,14 @@
 	if !Better(&own, &heard) {
 		t.Error("hearsay that is little fresher wins over own evidence")
 	}
-	if own.At -= 2 * time.Second; Better(&own, &heard) {
+	if own.ObservedAt -= 2 * time.Second; Better(&own, &heard) {
 		t.Error("own evidence wins over what is fresher by more than an outage's telling")
 	}
 	more := heard
 	if more.Calls++; !Better(&more, &heard) {
 		t.Error("of equal age the better founded does not win")
 	}
-	short, long := fact(Wait, 0, ""), fact(Wait, 9*time.Second, "a")
+	short, long := fact(RetryAfter, 0, ""), fact(RetryAfter, 9*time.Second, "a")
 	if long.Until += time.Second; !Better(&long, &short) {
 		t.Error("the longer wait does not win")
 	}
@@ -147,18 +147,18 @@
 
 // What is known is trusted less the older it is, and a wait until its end.
 func TestTrust(t *testing.T) {
-	for sort := Pace; sort < sorts; sort++ {
+	for sort := Latency; sort < kinds; sort++ {
 		f := fact(sort, 0, "a")
 		if got := f.Trust(at0); got != 1 {
 			t.Errorf("%v: %v at once", sort, got)
 		}
-		if sort == Wait {
+		if sort == RetryAfter {
 			if f.Trust(f.Until-1) != 1 || f.Trust(f.Until) != 0 {
 				t.Error("a wait does not hold until its end")
 			}
 			continue
 		}
-		if got := f.Trust(at0 + halfLife[sort]); math.Abs(got-0.5) > 1e-9 {
+		if got := f.Trust(at0 + trustHalfLife[sort]); math.Abs(got-0.5) > 1e-9 {
 			t.Errorf("%v: %v after its half-life", sort, got)
 		}
 	}
@@ -166,12 +166,12 @@
 
 // A view drops what is trusted no more, and where hearsay goes the own fact stands again.
 func TestForget(t *testing.T) {
-	v := viewOf(fact(Pace, 2*time.Hour, ""), fact(Pace, time.Hour, "a"), fact(Health, 0, "a"))
-	if n := len(v.Facts()); n != 2 || len(v.Told()) != 1 {
+	v := viewOf(fact(Latency, 2*time.Hour, ""), fact(Latency, time.Hour, "a"), fact(Health, 0, "a"))
+	if n := len(v.Facts()); n != 2 || len(v.OwnFacts()) != 1 {
 		t.Fatalf("%d facts", n)
 	}
 	v.Forget(at0 + 10*time.Minute)
-	if f := v.Facts(); len(f) != 1 || f[0].Sort != Pace {
+	if f := v.Facts(); len(f) != 1 || f[0].Kind != Latency {
 		t.Errorf("%v", f)
 	}
 	v.Forget(at0 + 24*time.Hour)
@@ -184,28 +184,28 @@
 func TestUnsound(t *testing.T) {
 	v := NewView(1)
 	for name, spoil := range map[string]func(*Fact){
-		"no sort":          func(f *Fact) { f.Sort = 0 },
-		"a newer sort":     func(f *Fact) { f.Sort = sorts },
-		"from the future":  func(f *Fact) { f.At = at0 + time.Second },
+		"no sort":          func(f *Fact) { f.Kind = 0 },
+		"a newer sort":     func(f *Fact) { f.Kind = kinds },
+		"from the future":  func(f *Fact) { f.ObservedAt = at0 + time.Second },
 		"since the future": func(f *Fact) { f.Since = at0 + time.Second },
 		"no state":         func(f *Fact) { f.State = 0 },
-		"another state":    func(f *Fact) { f.State = Out + 1 },
+		"another state":    func(f *Fact) { f.State = OutOfService + 1 },
 		"rate no number":   func(f *Fact) { f.Rate = math.NaN() },
 		"rate endless":     func(f *Fact) { f.Rate = math.Inf(1) },
 		"rate negative":    func(f *Fact) { f.Rate = -1 },
-		"too old":          func(f *Fact) { f.At = at0 - time.Hour; f.Since = f.At },
+		"too old":          func(f *Fact) { f.ObservedAt = at0 - time.Hour; f.Since = f.ObservedAt },
 	} {
 		f := fact(Health, 0, "a")
 		if spoil(&f); v.Add(f, at0) || v.Subjects() != 0 {
 			t.Errorf("%s is taken in", name)
 		}
 	}
-	if f := fact(Wait, 0, "a"); v.Add(func() Fact { f.Until = at0 + 25*time.Hour; return f }(), at0) {
+	if f := fact(RetryAfter, 0, "a"); v.Add(func() Fact { f.Until = at0 + 25*time.Hour; return f }(), at0) {
 		t.Error("a wait of 25 hours is taken in")
 	}
-	other := fact(Pace, 0, "a")
+	other := fact(Latency, 0, "a")
 	other.Destination = 8
-	if !v.Add(fact(Pace, 0, "a"), at0) || v.Add(other, at0) {
+	if !v.Add(fact(Latency, 0, "a"), at0) || v.Add(other, at0) {
 		t.Error("the bound on subjects does not hold")
 	}
 }
@@ -213,7 +213,7 @@
 // Ages travel: a fact read at another clock says the same, older by the way it took.
 func TestCodec(t *testing.T) {
 	const there, way = 5 * time.Hour, 3 * time.Second
-	for sort := Pace; sort < sorts; sort++ {
+	for sort := Latency; sort < kinds; sort++ {
 		f := fact(sort, 2*time.Second, "")
 		got, err := Decode(Encode(&f, at0), Source{"a", 9}, there+way, way)
 		if err != nil {
@@ -221,8 +221,8 @@
 		}
 		want := f
 		shift := there - at0
-		want.At, want.Source = f.At+shift, Source{"a", 9}
-		if sort == Wait {
+		want.ObservedAt, want.Source = f.ObservedAt+shift, Source{"a", 9}
+		if sort == RetryAfter {
 			want.Until += shift
 		}
 		if sort == Health {
@@ -266,7 +266,7 @@
 // A snapshot that is cut off anywhere, or has a byte changed, is none; one of a newer format is left aside.
 func TestDamagedSnapshot(t *testing.T) {
 	wall := time.UnixMicro(1700000000000000)
-	raw, _ := Marshal([]Fact{fact(Pace, 0, ""), fact(Wait, 0, "")}, at0, wall, 4096)
+	raw, _ := Marshal([]Fact{fact(Latency, 0, ""), fact(RetryAfter, 0, "")}, at0, wall, 4096)
 	for n := range raw {
 		if _, _, err := Unmarshal(raw[:n], at0, wall); !errors.Is(err, ErrDamaged) {
 			t.Fatalf("cut at %d: %v", n, err)
@@ -281,7 +281,7 @@
 		t.Error("a snapshot from ahead of the clock is read")
 	}
 	facts, _, err := Unmarshal(raw, at0, wall.Add(time.Hour))
-	if err != nil || len(facts) != 2 || at0-facts[0].At < time.Hour && facts[0].Sort == Pace {
+	if err != nil || len(facts) != 2 || at0-facts[0].ObservedAt < time.Hour && facts[0].Kind == Latency {
 		t.Errorf("%+v, %v", facts, err)
 	}
 	if v := viewOf(facts...); len(v.Facts()) != 1 { // the wait is over
@@ -292,8 +292,8 @@
 // A kill at any point of writing a snapshot leaves the one before, or the new one.
 func TestKillWhileSaving(t *testing.T) {
 	path, wall := filepath.Join(t.TempDir(), "knowledge"), time.UnixMicro(1700000000000000)
-	old, _ := Marshal([]Fact{fact(Bears, 0, "")}, at0, wall, 4096)
-	next, _ := Marshal([]Fact{fact(Pace, 0, ""), fact(Wait, 0, "")}, at0, wall, 4096)
+	old, _ := Marshal([]Fact{fact(Concurrency, 0, "")}, at0, wall, 4096)
+	next, _ := Marshal([]Fact{fact(Latency, 0, ""), fact(RetryAfter, 0, "")}, at0, wall, 4096)
 	if err := Save(path, old); err != nil {
 		t.Fatal(err)
 	}
@@ -331,7 +331,7 @@
 func TestRoom(t *testing.T) {
 	var all []Fact
 	for d := range uint32(100) {
-		for sort := Pace; sort < sorts; sort++ {
+		for sort := Latency; sort < kinds; sort++ {
 			f := fact(sort, 0, "")
 			f.Destination = d
 			all = append(all, f)
@@ -344,7 +344,7 @@
 	}
 	waits := 0
 	for _, f := range got {
-		if f.Sort == Wait {
+		if f.Kind == RetryAfter {
 			waits++
 		}
 	}
@@ -355,7 +355,7 @@
 
 func FuzzUnmarshal(f *testing.F) {
 	wall := time.UnixMicro(1700000000000000)
-	raw, _ := Marshal([]Fact{fact(Pace, 0, ""), fact(Wait, 0, ""), fact(Health, 0, "")}, at0, wall, 4096)
+	raw, _ := Marshal([]Fact{fact(Latency, 0, ""), fact(RetryAfter, 0, ""), fact(Health, 0, "")}, at0, wall, 4096)
 	f.Add(raw[headLen:])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		var s pb.Snapshot
@@ -369,7 +369,7 @@
 			}
 		}
 		for _, got := range v.Facts() {
-			if !got.sound(at0) || got.Trust(at0) < LeastTrust || v.Subjects() > 10 {
+			if !got.valid(at0) || got.Trust(at0) < MinTrust || v.Subjects() > 10 {
 				t.Fatalf("%+v", got)
 			}
 		}
@@ -379,14 +379,14 @@
 func BenchmarkMarshal5000(b *testing.B) {
 	var all []Fact
 	for d := range uint32(5000) {
-		for _, sort := range []Sort{Pace, Bears, Health} {
+		for _, sort := range []Kind{Latency, Concurrency, Health} {
 			f := fact(sort, 0, "")
 			f.Destination = d
 			all = append(all, f)
 		}
 	}
 	for b.Loop() {
-		raw, _ := Marshal(all, at0, time.Now(), MostBytes)
+		raw, _ := Marshal(all, at0, time.Now(), MaxSnapshotBytes)
 		b.ReportMetric(float64(len(raw))/5000, "B/receiver")
 	}
 }
--- a/internal/knowledge/stored_data_test.go
+++ b/internal/knowledge/stored_data_test.go
@@ -25,14 +25,14 @@
 	ms := time.Millisecond
 	route := Subject{Destination: 7, Endpoint: "s-ü"}
 	return []Fact{
-		{Subject: Subject{Destination: 7}, Sort: Pace, At: at(time.Minute), Calls: 12, Value: Value{Mean: 30 * ms, Median: 20 * ms, Quickest: 5 * ms, Bound: 250 * ms}},
-		{Subject: Subject{Destination: 7}, Sort: Bears, At: at(2 * time.Second), Calls: 3, Value: Value{Window: 12.5}},
-		{Subject: Subject{Destination: 7}, Sort: Limit, At: at(3 * time.Second), Calls: 1, Value: Value{PerSecond: 40.25}},
-		{Subject: Subject{Destination: 7}, Sort: Wait, At: at(0), Calls: 1, Value: Value{Until: storedNow + 1500*ms}},
-		{Subject: Subject{Destination: 7}, Sort: Health, At: at(time.Second), Calls: 5, Value: Value{State: Serves, Since: at(9 * time.Second), Rate: 3}},
-		{Subject: Subject{Destination: 8}, Sort: Health, At: at(2 * time.Second), Calls: 6, Value: Value{State: Out, Since: at(8 * time.Second), Rate: 0.5}},
-		{Subject: route, Sort: Health, At: at(4 * time.Second), Calls: 7, Value: Value{State: Cold, Since: at(7 * time.Second)}},
-		{Subject: route, Sort: Pace, At: at(5 * time.Second), Calls: 8, Value: Value{Mean: 31 * ms, Median: 21 * ms, Quickest: 6 * ms, Bound: 251 * ms}},
+		{Subject: Subject{Destination: 7}, Kind: Latency, ObservedAt: at(time.Minute), Calls: 12, Value: Value{Mean: 30 * ms, Median: 20 * ms, Min: 5 * ms, Timeout: 250 * ms}},
+		{Subject: Subject{Destination: 7}, Kind: Concurrency, ObservedAt: at(2 * time.Second), Calls: 3, Value: Value{Window: 12.5}},
+		{Subject: Subject{Destination: 7}, Kind: RateLimit, ObservedAt: at(3 * time.Second), Calls: 1, Value: Value{PerSecond: 40.25}},
+		{Subject: Subject{Destination: 7}, Kind: RetryAfter, ObservedAt: at(0), Calls: 1, Value: Value{Until: storedNow + 1500*ms}},
+		{Subject: Subject{Destination: 7}, Kind: Health, ObservedAt: at(time.Second), Calls: 5, Value: Value{State: Serving, Since: at(9 * time.Second), Rate: 3}},
+		{Subject: Subject{Destination: 8}, Kind: Health, ObservedAt: at(2 * time.Second), Calls: 6, Value: Value{State: OutOfService, Since: at(8 * time.Second), Rate: 0.5}},
+		{Subject: route, Kind: Health, ObservedAt: at(4 * time.Second), Calls: 7, Value: Value{State: Warming, Since: at(7 * time.Second)}},
+		{Subject: route, Kind: Latency, ObservedAt: at(5 * time.Second), Calls: 8, Value: Value{Mean: 31 * ms, Median: 21 * ms, Min: 6 * ms, Timeout: 251 * ms}},
 	}
 }
 
@@ -40,8 +40,8 @@
 	var b strings.Builder
 	for i := range facts {
 		f := &facts[i]
-		fmt.Fprintf(&b, "%d %q %s at %d calls %d source %q %d trust %.6f\n  %d %d %d %d window %v limit %v until %d state %s since %d rate %v\n", f.Destination, f.Endpoint, f.Sort, f.At, f.Calls,
-			f.Source.Name, f.Source.Life, f.Trust(storedNow), f.Mean, f.Median, f.Quickest, f.Bound, f.Window, f.PerSecond, f.Until, f.State, f.Since, f.Rate)
+		fmt.Fprintf(&b, "%d %q %s at %d calls %d source %q %d trust %.6f\n  %d %d %d %d window %v limit %v until %d state %s since %d rate %v\n", f.Destination, f.Endpoint, f.Kind, f.ObservedAt, f.Calls,
+			f.Source.Name, f.Source.Incarnation, f.Trust(storedNow), f.Mean, f.Median, f.Min, f.Timeout, f.Window, f.PerSecond, f.Until, f.State, f.Since, f.Rate)
 	}
 	fmt.Fprintf(&b, "%d skipped\n", skipped)
 	return b.String()
--- a/internal/knowledge/telling_test.go
+++ b/internal/knowledge/telling_test.go
@@ -11,22 +11,22 @@
 // Whoever follows, in whatever portions, comes to hold what is told; what only ages is not told again.
 func TestTelling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tell, heard, version, now := NewTelling(), map[slot]Fact{}, uint64(0), at0
+		tell, heard, version, now := NewChangeLog(), map[slot]Fact{}, uint64(0), at0
 		var last []Fact
 		for range rapid.IntRange(1, 8).Draw(t, "updates") {
 			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "passes")) * time.Second
 			v := NewView(100)
 			for _, f := range rapid.SliceOfN(rapid.Custom(drawn), 0, 6).Draw(t, "facts") {
-				f.At, f.Since = f.At+now-at0, f.Since+now-at0
+				f.ObservedAt, f.Since = f.ObservedAt+now-at0, f.Since+now-at0
 				v.Add(f, now)
 			}
-			last = v.Told()
+			last = v.OwnFacts()
 			tell.Update(last, now)
 			for range rapid.IntRange(0, 3).Draw(t, "reads") {
 				var facts []Fact
 				facts, version = tell.After(version, rapid.IntRange(1, 4).Draw(t, "most"))
 				for _, f := range facts {
-					heard[slot{f.Subject, f.Sort}] = f
+					heard[slot{f.Subject, f.Kind}] = f
 				}
 			}
 		}
@@ -34,15 +34,15 @@
 			var facts []Fact
 			facts, version = tell.After(version, 3)
 			for _, f := range facts {
-				heard[slot{f.Subject, f.Sort}] = f
+				heard[slot{f.Subject, f.Kind}] = f
 			}
 		}
 		for _, f := range last {
-			got, ok := heard[slot{f.Subject, f.Sort}]
-			if f.Trust(now) < LeastTrust {
+			got, ok := heard[slot{f.Subject, f.Kind}]
+			if f.Trust(now) < MinTrust {
 				continue
 			}
-			if !ok || got.Value.State != f.Value.State || news(&got, &f) {
+			if !ok || got.Value.State != f.Value.State || isSignificant(&got, &f) {
 				t.Fatalf("%+v came as %+v", f, got)
 			}
 		}
@@ -53,23 +53,23 @@
 }
 
 func TestWhatOnlyAgesIsNoNews(t *testing.T) {
-	tell := NewTelling()
-	f := fact(Pace, 0, "")
+	tell := NewChangeLog()
+	f := fact(Latency, 0, "")
 	if !tell.Update([]Fact{f}, at0) || tell.Update([]Fact{f}, at0+time.Hour) {
 		t.Error("a fact that grows older is told again")
 	}
-	if f.At += 20 * time.Minute; tell.Update([]Fact{f}, f.At) {
+	if f.ObservedAt += 20 * time.Minute; tell.Update([]Fact{f}, f.ObservedAt) {
 		t.Error("a pace that is confirmed is told again at once")
 	}
-	if f.At += 20 * time.Minute; !tell.Update([]Fact{f}, f.At) {
+	if f.ObservedAt += 20 * time.Minute; !tell.Update([]Fact{f}, f.ObservedAt) {
 		t.Error("a pace that others trust by half only is not told again")
 	}
 	heard := fact(Health, 0, "a")
-	heard.At, heard.Since = f.At, f.At
-	if tell.Update([]Fact{f, heard}, f.At) {
+	heard.ObservedAt, heard.Since = f.ObservedAt, f.ObservedAt
+	if tell.Update([]Fact{f, heard}, f.ObservedAt) {
 		t.Error("what was heard is told on")
 	}
-	if facts, _ := tell.After(0, 10); len(facts) != 1 || facts[0].At != f.At {
+	if facts, _ := tell.After(0, 10); len(facts) != 1 || facts[0].ObservedAt != f.ObservedAt {
 		t.Errorf("%+v", facts)
 	}
 }
@@ -87,12 +87,12 @@
 		return fmt.Sprint(f.State, " ", ok)
 	}
 	for d := range uint32(10) {
-		say("broken", d, Out, 0)
+		say("broken", d, OutOfService, 0)
 		if d > 0 {
-			say("sound", d, Serves, time.Second)
+			say("sound", d, Serving, time.Second)
 		}
 	}
-	say("sound", 0, Out, time.Second)
+	say("sound", 0, OutOfService, time.Second)
 	if got := verdict(0); got != "out true" {
 		t.Errorf("what two see is out: %s", got)
 	}
@@ -101,18 +101,18 @@
 			t.Errorf("receiver %d: %s", d, got)
 		}
 	}
-	say("broken", 20, Out, 0)
+	say("broken", 20, OutOfService, 0)
 	if got := verdict(20); got != "unknown false" {
 		t.Errorf("what the one with a broken line tells alone: %s", got)
 	}
-	say("sound", 21, Out, 0)
+	say("sound", 21, OutOfService, 0)
 	if got := verdict(21); got != "out true" {
 		t.Errorf("what a sound one tells alone: %s", got)
 	}
 	for d := uint32(50); d < 60; d++ { // one that sees most fail, and not all
-		state := Out
+		state := OutOfService
 		if d >= 56 {
-			state = Serves
+			state = Serving
 		}
 		say("shaky", d, state, 0)
 	}
@@ -120,20 +120,20 @@
 		t.Errorf("what one tells alone that sees most fail: %s", got)
 	}
 	// One that serves for two is not out for a third; and reports of a life that has ended count for nothing.
-	say("a", 30, Out, 0)
-	say("b", 30, Serves, 0)
-	say("c", 30, Serves, time.Second)
+	say("a", 30, OutOfService, 0)
+	say("b", 30, Serving, 0)
+	say("c", 30, Serving, time.Second)
 	if got := verdict(30); got != "serves true" {
 		t.Errorf("two against one: %s", got)
 	}
 	f := fact(Health, 0, "a")
-	f.Destination, f.State, f.Source.Life = 40, Serves, 2
+	f.Destination, f.State, f.Source.Incarnation = 40, Serving, 2
 	r.Add(f, at0)
-	if _, ok := r.by[Source{"a", 1}]; ok {
+	if _, ok := r.bySource[Source{"a", 1}]; ok {
 		t.Error("an earlier life's reports stand")
 	}
-	f.Source.Life = 1
-	if r.Add(f, at0); r.by[Source{"a", 1}] != nil {
+	f.Source.Incarnation = 1
+	if r.Add(f, at0); r.bySource[Source{"a", 1}] != nil {
 		t.Error("an earlier life comes back")
 	}
 	r.Forget("sound")
--- a/internal/knowledge/weigh.go
+++ b/internal/knowledge/weigh.go
@@ -10,43 +10,45 @@
 // reports on health are weighed against each other, not only by which is the freshest.
 
 const (
-	brokenOf    = 4   // receivers of which a sender tells, from which its own line is judged
-	brokenShare = 0.5 // share of them that it holds to be out, from which that is its line's doing: it is not believed
-	sourcesMost = 64  // senders that are heard at once
+	minSubjectsJudged = 4   // receivers of which a sender tells, from which its own line is judged
+	brokenFraction    = 0.5 // share of them that it holds to be out, from which that is its line's doing: it is not believed
+	maxSources        = 64  // senders that are heard at once
 )
 
 // Reports is what others tell of health, by sender. It is not for concurrent use.
 type Reports struct {
-	most int // subjects of each sender
-	by   map[Source]map[Subject]Fact
+	maxSubjects int // subjects of each sender
+	bySource    map[Source]map[Subject]Fact
 }
 
 // NewReports makes one that holds so many subjects of each sender at most.
-func NewReports(most int) *Reports { return &Reports{most, map[Source]map[Subject]Fact{}} }
+func NewReports(maxSubjects int) *Reports {
+	return &Reports{maxSubjects, map[Source]map[Subject]Fact{}}
+}
 
 // Add books a report. Of a sender only its latest life counts.
 func (r *Reports) Add(f Fact, now time.Duration) {
-	if f.Sort != Health || f.Source.Own() || !f.sound(now) {
+	if f.Kind != Health || f.Source.Own() || !f.valid(now) {
 		return
 	}
-	for s := range r.by {
-		if s.Name == f.Source.Name && s.Life != f.Source.Life {
-			if s.Life > f.Source.Life {
+	for s := range r.bySource {
+		if s.Name == f.Source.Name && s.Incarnation != f.Source.Incarnation {
+			if s.Incarnation > f.Source.Incarnation {
 				return
 			}
-			delete(r.by, s)
+			delete(r.bySource, s)
 		}
 	}
-	of := r.by[f.Source]
+	of := r.bySource[f.Source]
 	if of == nil {
-		if len(r.by) >= sourcesMost {
+		if len(r.bySource) >= maxSources {
 			return
 		}
 		of = map[Subject]Fact{}
-		r.by[f.Source] = of
+		r.bySource[f.Source] = of
 	}
 	old, ok := of[f.Subject]
-	if !ok && len(of) >= r.most || ok && f.At < old.At {
+	if !ok && len(of) >= r.maxSubjects || ok && f.ObservedAt < old.ObservedAt {
 		return
 	}
 	of[f.Subject] = f
@@ -54,28 +56,28 @@
 
 // Forget drops all that a sender told, in whatever life.
 func (r *Reports) Forget(name string) {
-	for s := range r.by {
+	for s := range r.bySource {
 		if s.Name == name {
-			delete(r.by, s)
+			delete(r.bySource, s)
 		}
 	}
 }
 
-// standing is how far a sender's reports of outages are believed: less the more of its receivers it holds to be out.
-func (r *Reports) standing(s Source, now time.Duration) float64 {
+// credibility is how far a sender's reports of outages are believed: less the more of its receivers it holds to be out.
+func (r *Reports) credibility(s Source, now time.Duration) float64 {
 	out, all := 0.0, 0.0
-	for _, f := range r.by[s] {
+	for _, f := range r.bySource[s] {
 		t := f.Trust(now)
 		all += t
-		if f.State == Out {
+		if f.State == OutOfService {
 			out += t
 		}
 	}
-	if len(r.by[s]) < brokenOf || all == 0 {
+	if len(r.bySource[s]) < minSubjectsJudged || all == 0 {
 		return 1
 	}
 	share := out / all
-	if share >= brokenShare {
+	if share >= brokenFraction {
 		return 0
 	}
 	return 1 - share
@@ -86,14 +88,14 @@
 func (r *Reports) Verdict(s Subject, now time.Duration) (Fact, bool) {
 	var best [2]Fact
 	var weight [2]float64
-	for source, of := range r.by {
+	for source, of := range r.bySource {
 		f, ok := of[s]
-		if !ok || f.Trust(now) < LeastTrust {
+		if !ok || f.Trust(now) < MinTrust {
 			continue
 		}
 		side, w := 0, f.Trust(now)
-		if f.State == Out {
-			side, w = 1, w*r.standing(source, now)
+		if f.State == OutOfService {
+			side, w = 1, w*r.credibility(source, now)
 		}
 		if w == 0 {
 			continue
@@ -112,11 +114,11 @@
 	return Fact{}, false
 }
 
-// Outs is how many senders that are believed hold a subject to be out.
-func (r *Reports) Outs(s Subject, now time.Duration) int {
+// OutageCount is how many senders that are believed hold a subject to be out.
+func (r *Reports) OutageCount(s Subject, now time.Duration) int {
 	n := 0
-	for source, of := range r.by {
-		if f, ok := of[s]; ok && f.State == Out && f.Trust(now) >= 0.5 && r.standing(source, now) > 0 {
+	for source, of := range r.bySource {
+		if f, ok := of[s]; ok && f.State == OutOfService && f.Trust(now) >= 0.5 && r.credibility(source, now) > 0 {
 			n++
 		}
 	}
@@ -126,7 +128,7 @@
 // All is every report that is held, in order of subjects and senders.
 func (r *Reports) All() []Fact {
 	var all []Fact
-	for _, of := range r.by {
+	for _, of := range r.bySource {
 		for _, f := range of {
 			all = append(all, f)
 		}
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -9,45 +9,45 @@
 	"time"
 )
 
-// Spans are a follower's times.
-type Spans struct {
-	Keep     time.Duration // an address that comes back within it is the endpoint that it was
-	Flaps    int           // one that went so often
-	FlapSpan time.Duration // within this
-	Settle   time.Duration // serves again only when it has stood so long; unless there is no other
+// FollowerConfig are a follower's times.
+type FollowerConfig struct {
+	Retention     time.Duration // an address that comes back within it is the endpoint that it was
+	MaxFlaps      int           // one that went so often
+	FlapWindow    time.Duration // within this
+	Stabilization time.Duration // serves again only when it has stood so long; unless there is no other
 }
 
-// DefaultSpans suit members who move now and then.
-func DefaultSpans() Spans {
-	return Spans{Keep: 2 * time.Minute, Flaps: 3, FlapSpan: 30 * time.Second, Settle: 10 * time.Second}
+// DefaultFollowerConfig suit members who move now and then.
+func DefaultFollowerConfig() FollowerConfig {
+	return FollowerConfig{Retention: 2 * time.Minute, MaxFlaps: 3, FlapWindow: 30 * time.Second, Stabilization: 10 * time.Second}
 }
 
 // Follower turns what names come to into lines of a list. Removals act at once, whatever else: nothing new goes to an
 // address that a source says is gone. It is for one goroutine; times are of one clock that does not go back.
 type Follower struct {
-	spans   Spans
-	members []member
-	dests   map[uint32]*followed
-	due     time.Duration // nothing happens by itself before
+	config       FollowerConfig
+	members      []member
+	destinations map[uint32]*destinationAddresses
+	nextStep     time.Duration // nothing happens by itself before
 }
 
 type member struct {
 	Member
-	current    map[netip.AddrPort]rated
+	current    map[netip.AddrPort]addressRating
 	last       Answer
-	asked      bool
+	answered   bool
 	emptySince time.Duration // an empty answer is not believed yet; never: none waits
 }
 
-type rated struct {
+type addressRating struct {
 	priority uint16
 	weight   float64
 }
 
-// followed is a destination's addresses.
-type followed struct {
+// destinationAddresses is a destination's addresses.
+type destinationAddresses struct {
 	members []int
-	list    map[netip.AddrPort]*entry
+	entries map[netip.AddrPort]*entry
 }
 
 type phase int
@@ -59,46 +59,46 @@
 )
 
 type entry struct {
-	line  Target
-	phase phase
-	until time.Duration   // dropped: forgotten then; settling: serves then
-	went  []time.Duration // when it went, the last ones
+	target    Target
+	phase     phase
+	until     time.Duration   // dropped: forgotten then; settling: serves then
+	removedAt []time.Duration // when it went, the last ones
 }
 
 const never = time.Duration(math.MaxInt64)
 
 // NewFollower follows members, which are told of by their places here.
-func NewFollower(members []Member, spans Spans) *Follower {
-	f := &Follower{spans: spans, dests: map[uint32]*followed{}, due: never}
+func NewFollower(members []Member, spans FollowerConfig) *Follower {
+	f := &Follower{config: spans, destinations: map[uint32]*destinationAddresses{}, nextStep: never}
 	for i, m := range members {
-		f.members = append(f.members, member{Member: m, current: map[netip.AddrPort]rated{}, emptySince: never})
-		d := f.dests[m.Destination]
+		f.members = append(f.members, member{Member: m, current: map[netip.AddrPort]addressRating{}, emptySince: never})
+		d := f.destinations[m.Destination]
 		if d == nil {
-			d = &followed{list: map[netip.AddrPort]*entry{}}
-			f.dests[m.Destination] = d
+			d = &destinationAddresses{entries: map[netip.AddrPort]*entry{}}
+			f.destinations[m.Destination] = d
 		}
 		d.members = append(d.members, i)
 	}
 	return f
 }
 
-// Heard is what a member's name came to.
-type Heard struct {
+// Observation is what a member's name came to.
+type Observation struct {
 	Member int
 	Answer
 }
 
 // Step takes in answers, and that time has passed, and gives the lines that change. A line's State is Serving, Dropped or
 // Deleted.
-func (f *Follower) Step(now time.Duration, heard []Heard) []Target {
+func (f *Follower) Step(now time.Duration, heard []Observation) []Target {
 	touched := map[uint32]struct{}{}
 	for _, h := range heard {
-		f.hear(now, h)
+		f.observe(now, h)
 		touched[f.members[h.Member].Destination] = struct{}{}
 	}
-	if now >= f.due { // rare: all are looked at
-		f.due = never
-		for n := range f.dests {
+	if now >= f.nextStep { // rare: all are looked at
+		f.nextStep = never
+		for n := range f.destinations {
 			touched[n] = struct{}{}
 		}
 	}
@@ -109,18 +109,18 @@
 	slices.Sort(order)
 	var lines []Target
 	for _, n := range order {
-		lines = append(lines, f.settle(now, n)...)
+		lines = append(lines, f.reconcile(now, n)...)
 	}
 	return lines
 }
 
-func (f *Follower) hear(now time.Duration, h Heard) {
+func (f *Follower) observe(now time.Duration, h Observation) {
 	m := &f.members[h.Member]
-	m.last, m.asked = h.Answer, true
+	m.last, m.answered = h.Answer, true
 	switch h.Result {
 	case Found:
 		m.emptySince = never
-		next := weigh(h.Addresses, m.Weight)
+		next := rateAddresses(h.Addresses, m.Weight)
 		if h.Partial { // what could not be asked for may still be there
 			for a, r := range m.current {
 				if _, ok := next[a]; !ok {
@@ -138,9 +138,9 @@
 	}
 }
 
-// weigh keeps the addresses of the lowest priority, each once, and makes ratings of their weights: relative to their mean,
+// rateAddresses keeps the addresses of the lowest priority, each once, and makes ratings of their weights: relative to their mean,
 // so that the rating of a destination as a whole is the setting's. One of weight 0 gets a little (RFC 2782).
-func weigh(list []Address, rating float64) map[netip.AddrPort]rated {
+func rateAddresses(list []Address, rating float64) map[netip.AddrPort]addressRating {
 	least, sum := uint16(math.MaxUint16), 0.0
 	weights := map[netip.AddrPort]float64{}
 	for _, a := range list {
@@ -154,28 +154,28 @@
 	for _, w := range weights {
 		sum += w
 	}
-	out := make(map[netip.AddrPort]rated, len(weights))
+	out := make(map[netip.AddrPort]addressRating, len(weights))
 	for a, w := range weights {
 		share := 1.0
 		if sum > 0 {
 			share = max(w/sum*float64(len(weights)), 0.01)
 		}
-		out[a] = rated{least, rating * share}
+		out[a] = addressRating{least, rating * share}
 	}
 	return out
 }
 
-// settle works a destination's lines out anew.
-func (f *Follower) settle(now time.Duration, n uint32) []Target {
-	d := f.dests[n]
+// reconcile works a destination's lines out anew.
+func (f *Follower) reconcile(now time.Duration, n uint32) []Target {
+	d := f.destinations[n]
 	want := map[netip.AddrPort]Target{}
 	for _, i := range d.members {
 		m := &f.members[i]
 		if m.emptySince != never {
 			if now-m.emptySince >= m.EmptyAfter {
-				m.current, m.emptySince = map[netip.AddrPort]rated{}, never
+				m.current, m.emptySince = map[netip.AddrPort]addressRating{}, never
 			} else {
-				f.due = min(f.due, m.emptySince+m.EmptyAfter)
+				f.nextStep = min(f.nextStep, m.emptySince+m.EmptyAfter)
 			}
 		}
 		for a, r := range m.current {
@@ -186,14 +186,14 @@
 	}
 	var lines []Target
 	say := func(e *entry, t Target) {
-		if e.line != t {
-			e.line = t
+		if e.target != t {
+			e.target = t
 			lines = append(lines, t)
 		}
 	}
 	others := 0 // that serve
-	for _, a := range addresses(d.list) {
-		e := d.list[a]
+	for _, a := range addresses(d.entries) {
+		e := d.entries[a]
 		_, wanted := want[a]
 		switch {
 		case wanted:
@@ -202,32 +202,32 @@
 			}
 		case e.phase != dropped:
 			if e.phase == serving { // one that settles has not come yet, so it does not go
-				e.went = append(e.went, now)
-				if len(e.went) > f.spans.Flaps {
-					e.went = e.went[1:]
+				e.removedAt = append(e.removedAt, now)
+				if len(e.removedAt) > f.config.MaxFlaps {
+					e.removedAt = e.removedAt[1:]
 				}
 			}
-			e.phase, e.until = dropped, now+f.spans.Keep
-			t := e.line
+			e.phase, e.until = dropped, now+f.config.Retention
+			t := e.target
 			t.State = Dropped
 			say(e, t)
 		case now >= e.until:
-			t := e.line
+			t := e.target
 			t.State = Deleted
 			say(e, t)
-			delete(d.list, a)
+			delete(d.entries, a)
 		}
 	}
 	var waits []netip.AddrPort // that settle
 	for _, a := range addresses(want) {
-		e, ok := d.list[a]
+		e, ok := d.entries[a]
 		if !ok {
 			e = &entry{phase: serving}
-			d.list[a] = e
+			d.entries[a] = e
 			others++
 		} else if e.phase == dropped {
-			if f.flaps(now, e) {
-				e.phase, e.until = settling, now+f.spans.Settle
+			if f.isFlapping(now, e) {
+				e.phase, e.until = settling, now+f.config.Stabilization
 			} else {
 				e.phase = serving
 				others++
@@ -244,49 +244,49 @@
 		say(e, want[a])
 	}
 	for _, a := range waits {
-		if e := d.list[a]; others == 0 { // there is no other
+		if e := d.entries[a]; others == 0 { // there is no other
 			e.phase = serving
 			say(e, want[a])
 		}
 	}
-	for _, e := range d.list {
+	for _, e := range d.entries {
 		if e.phase != serving {
-			f.due = min(f.due, e.until)
+			f.nextStep = min(f.nextStep, e.until)
 		}
 	}
 	return lines
 }
 
-func (f *Follower) flaps(now time.Duration, e *entry) bool {
-	return f.spans.Flaps > 0 && len(e.went) >= f.spans.Flaps && now-e.went[len(e.went)-f.spans.Flaps] <= f.spans.FlapSpan
+func (f *Follower) isFlapping(now time.Duration, e *entry) bool {
+	return f.config.MaxFlaps > 0 && len(e.removedAt) >= f.config.MaxFlaps && now-e.removedAt[len(e.removedAt)-f.config.MaxFlaps] <= f.config.FlapWindow
 }
 
 // Next is when Step wants to be called at the latest.
-func (f *Follower) Next() time.Duration { return f.due }
+func (f *Follower) Next() time.Duration { return f.nextStep }
 
-// State is what is known of a member, for operators.
-type State struct {
+// MemberState is what is known of a member, for operators.
+type MemberState struct {
 	Destination uint32   `json:"destination"`
 	Name        string   `json:"name"`
 	Answer      string   `json:"answer"` // what the name came to last
 	Why         string   `json:"why,omitempty"`
-	Held        bool     `json:"held,omitempty"` // addresses are kept although the answer has none
+	Retained    bool     `json:"held,omitempty"` // addresses are kept although the answer has none
 	Lines       []Target `json:"lines"`          // of the destination
 }
 
-// States is what is known of all members.
-func (f *Follower) States() []State {
-	var all []State
+// MemberStates is what is known of all members.
+func (f *Follower) MemberStates() []MemberState {
+	var all []MemberState
 	for i := range f.members {
 		m := &f.members[i]
-		s := State{Destination: m.Destination, Name: m.Name, Answer: "not asked yet", Why: m.last.Why, Lines: []Target{}}
-		if m.asked {
+		s := MemberState{Destination: m.Destination, Name: m.Name, Answer: "not asked yet", Why: m.last.Why, Lines: []Target{}}
+		if m.answered {
 			s.Answer = m.last.Result.String()
-			s.Held = m.last.Result != Found && len(m.current) > 0
+			s.Retained = m.last.Result != Found && len(m.current) > 0
 		}
-		d := f.dests[m.Destination]
-		for _, a := range addresses(d.list) {
-			s.Lines = append(s.Lines, d.list[a].line)
+		d := f.destinations[m.Destination]
+		for _, a := range addresses(d.entries) {
+			s.Lines = append(s.Lines, d.entries[a].target)
 		}
 		all = append(all, s)
 	}
--- a/internal/membership/follow_test.go
+++ b/internal/membership/follow_test.go
@@ -30,10 +30,10 @@
 }
 
 func follow(t *testing.T, members ...Member) *following {
-	return &following{t, NewFollower(members, DefaultSpans()), list{}}
+	return &following{t, NewFollower(members, DefaultFollowerConfig()), list{}}
 }
 
-func (f *following) step(now time.Duration, heard ...Heard) *following {
+func (f *following) step(now time.Duration, heard ...Observation) *following {
 	f.t.Helper()
 	f.l.take(f.t, f.f.Step(now, heard))
 	return f
@@ -61,16 +61,16 @@
 	held.EmptyAfter = time.Minute
 	two := Member{Destination: 7, Name: "g.example.", Port: 80, Weight: 1}
 	const s = time.Second
-	h := func(member int, a Answer) Heard { return Heard{member, a} }
+	h := func(member int, a Answer) Observation { return Observation{member, a} }
 
 	t.Run("a removed address drains at once and is kept for a while", func(t *testing.T) {
 		f := follow(t, one)
 		f.step(0, h(0, found(1, 2))).is([]int{1, 2}, nil)
 		f.step(s, h(0, found(2))).is([]int{2}, []int{1})
-		if f.f.Next() != s+DefaultSpans().Keep {
+		if f.f.Next() != s+DefaultFollowerConfig().Retention {
 			t.Errorf("next is %v", f.f.Next())
 		}
-		f.step(s+DefaultSpans().Keep).is([]int{2}, nil)
+		f.step(s+DefaultFollowerConfig().Retention).is([]int{2}, nil)
 	})
 	t.Run("back within keep it is the same endpoint", func(t *testing.T) {
 		f := follow(t, one)
@@ -126,29 +126,29 @@
 	t.Run("one that flaps waits, while there is another", func(t *testing.T) {
 		f := follow(t, one)
 		now := time.Duration(0)
-		for range DefaultSpans().Flaps {
+		for range DefaultFollowerConfig().MaxFlaps {
 			f.step(now, h(0, found(1, 2))).is([]int{1, 2}, nil)
 			f.step(now+s, h(0, found(2))).is([]int{2}, []int{1})
 			now += 2 * s
 		}
 		f.step(now, h(0, found(1, 2))).is([]int{2}, []int{1})
-		f.step(now+DefaultSpans().Settle).is([]int{1, 2}, nil)
+		f.step(now+DefaultFollowerConfig().Stabilization).is([]int{1, 2}, nil)
 	})
 	t.Run("what has not come back does not count as gone again", func(t *testing.T) {
 		f := follow(t, one)
 		now := time.Duration(0)
-		for range DefaultSpans().Flaps {
+		for range DefaultFollowerConfig().MaxFlaps {
 			f.step(now, h(0, found(1, 2))).step(now+s, h(0, found(2)))
 			now += 2 * s
 		}
 		f.step(now, h(0, found(1, 2))).is([]int{2}, []int{1}) // it settles,
 		f.step(now+s, h(0, found(2)))                         // and goes before it has come
-		f.step(now+DefaultSpans().FlapSpan, h(0, found(1, 2))).is([]int{1, 2}, nil)
+		f.step(now+DefaultFollowerConfig().FlapWindow, h(0, found(1, 2))).is([]int{1, 2}, nil)
 	})
 	t.Run("one that flaps serves where there is no other", func(t *testing.T) {
 		f := follow(t, one)
 		now := time.Duration(0)
-		for range 2 * DefaultSpans().Flaps {
+		for range 2 * DefaultFollowerConfig().MaxFlaps {
 			f.step(now, h(0, found(1))).is([]int{1}, nil)
 			f.step(now+s, h(0, Answer{Result: NoData})).is(nil, []int{1})
 			now += 2 * s
@@ -170,11 +170,11 @@
 	})
 	t.Run("states for operators", func(t *testing.T) {
 		f := follow(t, held)
-		if s := f.f.States()[0]; s.Answer != "not asked yet" {
+		if s := f.f.MemberStates()[0]; s.Answer != "not asked yet" {
 			t.Error(s)
 		}
 		f.step(0, h(0, found(1))).step(s, h(0, Answer{Result: NoData, Why: "gone"}))
-		if s := f.f.States()[0]; s.Answer != "NODATA" || !s.Held || len(s.Lines) != 1 || s.Why != "gone" {
+		if s := f.f.MemberStates()[0]; s.Answer != "NODATA" || !s.Retained || len(s.Lines) != 1 || s.Why != "gone" {
 			t.Errorf("%+v", s)
 		}
 	})
@@ -191,7 +191,7 @@
 				members[i].EmptyAfter = 3 * time.Second
 			}
 		}
-		f, l := NewFollower(members, Spans{Keep: 5 * time.Second, Flaps: 2, FlapSpan: 4 * time.Second, Settle: 3 * time.Second}), map[string]Target{}
+		f, l := NewFollower(members, FollowerConfig{Retention: 5 * time.Second, MaxFlaps: 2, FlapWindow: 4 * time.Second, Stabilization: 3 * time.Second}), map[string]Target{}
 		current := make([]map[int]bool, len(members))
 		empty := []time.Duration{-1, -1, -1}
 		now := time.Duration(0)
@@ -243,7 +243,7 @@
 			default:
 				empty[i] = -1
 			}
-			take(f.Step(now, []Heard{{i, a}}))
+			take(f.Step(now, []Observation{{i, a}}))
 			for dest := uint32(1); dest <= 2; dest++ {
 				want := map[int]bool{}
 				for i, m := range members {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -29,6 +29,6 @@
 	Full    bool     `json:"full"`
 	Servers []Target `json:"servers"`
 
-	Anew  bool   `json:"-"` // versions are another machine's from here on, and say nothing beside earlier ones
-	Heard string `json:"-"` // address of the machine that told it, where the source has several; else empty
+	VersionsReset bool   `json:"-"` // versions are another machine's from here on, and say nothing beside earlier ones
+	Origin        string `json:"-"` // address of the machine that told it, where the source has several; else empty
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -44,52 +44,52 @@
 	return Precedences()[p]
 }
 
-// Merge makes one list of what several sources tell. At one destination one address is one endpoint, whoever lists it and
+// Merger makes one list of what several sources tell. At one destination one address is one endpoint, whoever lists it and
 // how often, under the id it had first: with one window, limit and health. It is for one goroutine.
-type Merge struct {
+type Merger struct {
 	precedence map[uint32]Precedence
 	fallback   Precedence
 
-	lines [sources]map[string]Target // by the source's own id
-	dests map[uint32]*destination
-	held  map[string]place // where each id of the merged list is
+	targets      [sources]map[string]Target // by the source's own id
+	destinations map[uint32]*destination
+	locations    map[string]location // where each id of the merged list is
 }
 
-type place struct {
-	dest uint32
-	addr string
+type location struct {
+	destination uint32
+	address     string
 }
 
 // destination is what is merged for one.
 type destination struct {
-	spoke [sources]bool                // it has named the destination
-	ids   [sources]map[string]struct{} // its lines
-	list  map[string]Target            // the merged lines, by address
+	hasListed [sources]bool                // it has named the destination
+	ids       [sources]map[string]struct{} // its lines
+	merged    map[string]Target            // the merged lines, by address
 }
 
-// NewMerge gives a merge without lines. precedence is by destination, fallback for all others.
-func NewMerge(precedence map[uint32]Precedence, fallback Precedence) *Merge {
-	m := &Merge{precedence: precedence, fallback: fallback, dests: map[uint32]*destination{}, held: map[string]place{}}
-	for s := range m.lines {
-		m.lines[s] = map[string]Target{}
+// NewMerger gives a merge without lines. precedence is by destination, fallback for all others.
+func NewMerger(precedence map[uint32]Precedence, fallback Precedence) *Merger {
+	m := &Merger{precedence: precedence, fallback: fallback, destinations: map[uint32]*destination{}, locations: map[string]location{}}
+	for s := range m.targets {
+		m.targets[s] = map[string]Target{}
 	}
 	return m
 }
 
 // Apply takes in news of a source and gives what changes in the merged list, as changes: deleted lines among them, each
 // before another line takes its address or id over.
-func (m *Merge) Apply(from Source, u Update) []Target {
+func (m *Merger) Apply(from Source, u Update) []Target {
 	touched := map[uint32]struct{}{}
 	listed := map[string]struct{}{}
 	for _, t := range u.Servers {
 		listed[t.ID] = struct{}{}
-		m.line(from, t, touched)
+		m.applyTarget(from, t, touched)
 	}
 	if u.Full {
-		for id, t := range m.lines[from] {
+		for id, t := range m.targets[from] {
 			if _, ok := listed[id]; !ok {
 				t.State = Deleted
-				m.line(from, t, touched)
+				m.applyTarget(from, t, touched)
 			}
 		}
 	}
@@ -101,12 +101,12 @@
 	want := make([]map[string]Target, len(order))
 	var changes []Target
 	for i, n := range order { // first what goes everywhere, so that ids are free that another destination takes
-		want[i] = m.want(n)
-		changes = append(changes, m.leave(m.dests[n], want[i])...)
+		want[i] = m.desired(n)
+		changes = append(changes, m.removals(m.destinations[n], want[i])...)
 	}
 	gone := len(changes)
 	for i, n := range order {
-		changes = append(changes, m.become(n, m.dests[n], want[i])...)
+		changes = append(changes, m.additions(n, m.destinations[n], want[i])...)
 	}
 	back := map[string]struct{}{} // the same endpoint, at another destination
 	for _, t := range changes[gone:] {
@@ -118,46 +118,46 @@
 	})
 }
 
-// line books a source's line.
-func (m *Merge) line(from Source, t Target, touched map[uint32]struct{}) {
-	if old, ok := m.lines[from][t.ID]; ok {
+// applyTarget books a source's line.
+func (m *Merger) applyTarget(from Source, t Target, touched map[uint32]struct{}) {
+	if old, ok := m.targets[from][t.ID]; ok {
 		if t.Addr == "" { // discovery's changes may leave it out
 			t.Addr = old.Addr
 		}
 		if old.Cell != t.Cell && t.State != Deleted {
-			delete(m.dest(old.Cell).ids[from], t.ID)
+			delete(m.destination(old.Cell).ids[from], t.ID)
 			touched[old.Cell] = struct{}{}
 		}
 		if t.State == Deleted {
 			t.Cell = old.Cell
 		}
 	}
-	d := m.dest(t.Cell)
+	d := m.destination(t.Cell)
 	touched[t.Cell] = struct{}{}
 	if t.State == Deleted {
-		delete(m.lines[from], t.ID)
+		delete(m.targets[from], t.ID)
 		delete(d.ids[from], t.ID)
 		return
 	}
-	d.spoke[from] = true
+	d.hasListed[from] = true
 	d.ids[from][t.ID] = struct{}{}
-	m.lines[from][t.ID] = t
+	m.targets[from][t.ID] = t
 }
 
-func (m *Merge) dest(n uint32) *destination {
-	d := m.dests[n]
+func (m *Merger) destination(n uint32) *destination {
+	d := m.destinations[n]
 	if d == nil {
-		d = &destination{list: map[string]Target{}}
+		d = &destination{merged: map[string]Target{}}
 		for s := range d.ids {
 			d.ids[s] = map[string]struct{}{}
 		}
-		m.dests[n] = d
+		m.destinations[n] = d
 	}
 	return d
 }
 
-// counts says which sources count for a destination now.
-func (m *Merge) counts(n uint32, d *destination) [sources]bool {
+// activeSources says which sources count for a destination now.
+func (m *Merger) activeSources(n uint32, d *destination) [sources]bool {
 	p, ok := m.precedence[n]
 	if !ok {
 		p = m.fallback
@@ -165,20 +165,20 @@
 	switch {
 	case p == Both:
 		return [sources]bool{Discovery: true, Names: true}
-	case p == NamesFirst && d.spoke[Names], p == DiscoveryFirst && !d.spoke[Discovery]:
+	case p == NamesFirst && d.hasListed[Names], p == DiscoveryFirst && !d.hasListed[Discovery]:
 		return [sources]bool{Names: true}
 	}
 	return [sources]bool{Discovery: true}
 }
 
-// want is what the merged lines of a destination are to be, by address.
-func (m *Merge) want(n uint32) map[string]Target {
-	d := m.dests[n]
-	counts := m.counts(n, d)
+// desired is what the merged lines of a destination are to be, by address.
+func (m *Merger) desired(n uint32) map[string]Target {
+	d := m.destinations[n]
+	counts := m.activeSources(n, d)
 	want := map[string]Target{}
 	for s := range sources {
 		for _, id := range sorted(d.ids[s]) {
-			t := m.lines[s][id]
+			t := m.targets[s][id]
 			have, ok := want[t.Addr]
 			switch {
 			case !counts[s]:
@@ -196,7 +196,7 @@
 	for s := range sources {
 		if !counts[s] {
 			for id := range d.ids[s] {
-				if t := m.lines[s][id]; t.State == Draining {
+				if t := m.targets[s][id]; t.State == Draining {
 					if have, ok := want[t.Addr]; ok {
 						have.State = Draining
 						want[t.Addr] = have
@@ -208,44 +208,44 @@
 	return want
 }
 
-// leave takes away what is not wanted any more. A line whose id is wanted at an address that is new has moved: it stays the
+// removals takes away what is not wanted any more. A line whose id is wanted at an address that is new has moved: it stays the
 // endpoint that it is.
-func (m *Merge) leave(d *destination, want map[string]Target) []Target {
+func (m *Merger) removals(d *destination, want map[string]Target) []Target {
 	var changes []Target
 	for _, addr := range sorted(want) {
 		t := want[addr]
-		if _, ok := d.list[addr]; ok {
+		if _, ok := d.merged[addr]; ok {
 			continue
 		}
-		if was, ok := m.held[t.ID]; ok && was.dest == t.Cell {
-			if _, still := want[was.addr]; !still {
-				d.list[addr] = d.list[was.addr]
-				delete(d.list, was.addr)
-				m.held[t.ID] = place{t.Cell, addr}
+		if was, ok := m.locations[t.ID]; ok && was.destination == t.Cell {
+			if _, still := want[was.address]; !still {
+				d.merged[addr] = d.merged[was.address]
+				delete(d.merged, was.address)
+				m.locations[t.ID] = location{t.Cell, addr}
 			}
 		}
 	}
-	for _, addr := range sorted(d.list) {
+	for _, addr := range sorted(d.merged) {
 		if _, ok := want[addr]; !ok {
-			t := d.list[addr]
+			t := d.merged[addr]
 			t.State = Deleted
 			changes = append(changes, t)
-			delete(d.list, addr)
-			delete(m.held, t.ID)
+			delete(d.merged, addr)
+			delete(m.locations, t.ID)
 		}
 	}
 	return changes
 }
 
-// become makes the merged list of a destination what is wanted.
-func (m *Merge) become(n uint32, d *destination, want map[string]Target) []Target {
+// additions makes the merged list of a destination what is wanted.
+func (m *Merger) additions(n uint32, d *destination, want map[string]Target) []Target {
 	var changes []Target
 	for _, addr := range sorted(want) {
 		t := want[addr]
-		old, ok := d.list[addr]
+		old, ok := d.merged[addr]
 		if ok {
 			t.ID = old.ID
-		} else if _, taken := m.held[t.ID]; taken { // by another address, which another source lists
+		} else if _, taken := m.locations[t.ID]; taken { // by another address, which another source lists
 			t.ID = fmt.Sprintf("at:%d:%s", n, addr)
 		}
 		if t.State == Dropped {
@@ -253,17 +253,17 @@
 		}
 		if !ok || old != t {
 			changes = append(changes, t)
-			d.list[addr], m.held[t.ID] = t, place{n, addr}
+			d.merged[addr], m.locations[t.ID] = t, location{n, addr}
 		}
 	}
 	return changes
 }
 
 // List is the merged lines, by destination and address.
-func (m *Merge) List() []Target {
+func (m *Merger) List() []Target {
 	var all []Target
-	for _, d := range m.dests {
-		for _, t := range d.list {
+	for _, d := range m.destinations {
+		for _, t := range d.merged {
 			all = append(all, t)
 		}
 	}
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -78,7 +78,7 @@
 		"deletion of what is not there": {Both, []news{{Discovery, part(at("s1", a, 7, Deleted))}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, l := NewMerge(nil, c.precedence), list{}
+			m, l := NewMerger(nil, c.precedence), list{}
 			for _, n := range c.news {
 				l.take(t, m.Apply(n.from, n.Update))
 			}
@@ -103,7 +103,7 @@
 func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Precedence(rapid.IntRange(0, 2).Draw(t, "precedence"))
-		m, l := NewMerge(nil, p), list{}
+		m, l := NewMerger(nil, p), list{}
 		told := [sources]map[string]Target{{}, {}}
 		spoke := [sources]map[uint32]bool{{}, {}}
 		for range rapid.IntRange(1, 25).Draw(t, "news") {
@@ -135,7 +135,7 @@
 			}
 			l.take(t, m.Apply(from, u))
 			// The model: what is said of each address, straight from the rules.
-			want := map[place]string{}
+			want := map[location]string{}
 			for dest := range uint32(2) {
 				counts := [sources]bool{true, true}
 				if p == NamesFirst {
@@ -144,11 +144,11 @@
 					counts = [sources]bool{spoke[Discovery][dest], !spoke[Discovery][dest]}
 				}
 				for addr := range 3 {
-					at := place{dest, fmt.Sprint("h:", addr)}
+					at := location{dest, fmt.Sprint("h:", addr)}
 					serves, drains, drops := false, false, false
 					for s := range sources {
 						for _, line := range told[s] {
-							if line.Cell == dest && line.Addr == at.addr {
+							if line.Cell == dest && line.Addr == at.address {
 								drains = drains || line.State == Draining
 								serves = serves || counts[s] && line.State == Serving
 								drops = drops || counts[s] && line.State != Serving
@@ -162,9 +162,9 @@
 					}
 				}
 			}
-			got := map[place]string{}
+			got := map[location]string{}
 			for _, line := range l {
-				at := place{line.Cell, line.Addr}
+				at := location{line.Cell, line.Addr}
 				if _, twice := got[at]; twice {
 					t.Fatalf("%v is two endpoints", at)
 				}
--- a/internal/membership/resolve.go
+++ b/internal/membership/resolve.go
@@ -54,29 +54,29 @@
 	Why       string // words for a result without addresses
 }
 
-// Held is a zone as it is held.
-type Held struct {
+// ZoneState is a zone as it is held.
+type ZoneState struct {
 	*zone.Zone // nil: it was never had
 	Expired    bool
 }
 
 // Zones finds the zone for a name: that of the longest origin; ok is false if there is none.
-type Zones func(name string) (held Held, ok bool)
+type Zones func(name string) (held ZoneState, ok bool)
 
 const (
-	chainMost  = 16  // CNAMEs between zones
-	targetMost = 256 // records of an SRV set that are followed, and addresses of a member
+	maxCNAMEChain = 16  // CNAMEs between zones
+	maxTargets    = 256 // records of an SRV set that are followed, and addresses of a member
 )
 
 // Resolve asks for a member's addresses. It says also which names the answer rests on, so that it is asked again when one
 // of them changes.
 func Resolve(zones Zones, m *Member) (a Answer, names []string) {
-	r := resolving{zones: zones}
+	r := resolver{zones: zones}
 	if !m.SRV {
 		a = r.addresses(m.Name, m.Port)
 		return a, r.names
 	}
-	rrs, res, why := r.ask(m.Name, dns.TypeSRV)
+	rrs, res, why := r.lookup(m.Name, dns.TypeSRV)
 	if res != Found {
 		return Answer{Result: res, Why: why}, r.names
 	}
@@ -89,7 +89,7 @@
 		if srv.Target == "." { // RFC 2782: the service is decidedly not available
 			continue
 		}
-		if i >= targetMost {
+		if i >= maxTargets {
 			a.Partial = true
 			break
 		}
@@ -111,16 +111,16 @@
 	return a, r.names
 }
 
-type resolving struct {
+type resolver struct {
 	zones Zones
 	names []string
 }
 
 // addresses asks for A and AAAA; one that has some is found, whatever the other says.
-func (r *resolving) addresses(name string, port uint16) Answer {
+func (r *resolver) addresses(name string, port uint16) Answer {
 	a := Answer{Result: NoData, Why: name + " has no address"}
 	for _, kind := range []uint16{dns.TypeA, dns.TypeAAAA} {
-		rrs, res, why := r.ask(name, kind)
+		rrs, res, why := r.lookup(name, kind)
 		if res != Found {
 			if res == ServFail || res == Timeout {
 				a.Partial = true
@@ -139,7 +139,7 @@
 			case *dns.AAAA:
 				ip, ok = netip.AddrFromSlice(rr.AAAA)
 			}
-			if ok && len(a.Addresses) < targetMost {
+			if ok && len(a.Addresses) < maxTargets {
 				a.Addresses = append(a.Addresses, Address{AddrPort: netip.AddrPortFrom(ip.Unmap(), port)})
 			}
 		}
@@ -150,9 +150,9 @@
 	return a
 }
 
-// ask follows a name through the zones to records of a type.
-func (r *resolving) ask(name string, kind uint16) ([]dns.RR, Result, string) {
-	for range chainMost {
+// lookup follows a name through the zones to records of a type.
+func (r *resolver) lookup(name string, kind uint16) ([]dns.RR, Result, string) {
+	for range maxCNAMEChain {
 		held, ok := r.zones(name)
 		if !ok {
 			r.names = append(r.names, name)
--- a/internal/membership/resolve_test.go
+++ b/internal/membership/resolve_test.go
@@ -11,19 +11,19 @@
 
 const soa = "@ 300 IN SOA ns h 1 1 1 1 1\n@ 300 IN NS ns\n"
 
-func held(t *testing.T, origin, text string) Held {
+func held(t *testing.T, origin, text string) ZoneState {
 	t.Helper()
 	z, err := zone.Parse(strings.NewReader(soa+text), origin, origin, nil, 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Held{Zone: z}
+	return ZoneState{Zone: z}
 }
 
 func TestResolve(t *testing.T) {
 	expired := held(t, "old.", "a 1 IN A 192.0.2.9\n")
 	expired.Expired = true
-	all := map[string]Held{
+	all := map[string]ZoneState{
 		"one.": held(t, "one.", `
 a      1 IN A     192.0.2.1
 a      1 IN A     192.0.2.2
@@ -48,13 +48,13 @@
 		"old.":   expired,
 		"never.": {},
 	}
-	zones := func(name string) (Held, bool) {
+	zones := func(name string) (ZoneState, bool) {
 		for origin, h := range all {
 			if zone.Within(origin, name) {
 				return h, true
 			}
 		}
-		return Held{}, false
+		return ZoneState{}, false
 	}
 	for _, c := range []struct {
 		name    string
--- a/internal/membership/told.go
+++ b/internal/membership/told.go
@@ -2,48 +2,50 @@
 
 import "time"
 
-// Told keeps a list from going back. A source that several machines answer for may give an older version after a newer
+// RollbackGuard keeps a list from going back. A source that several machines answer for may give an older version after a newer
 // one: from a machine that lags behind, or from a backup. What it was told to leave alone since, a sender must not take up
 // again by such a list. It is for one source and one goroutine.
-type Told struct {
-	left  map[string]leaving  // by id, of what drains or is gone
-	lines map[string]struct{} // ids that the list has
+type RollbackGuard struct {
+	drained map[string]drainMark // by id, of what drains or is gone
+	listed  map[string]struct{}  // ids that the list has
 }
 
-// leaving is when an endpoint was told to drain or go, and by which version.
-type leaving struct {
+// drainMark is when an endpoint was told to drain or go, and by which version.
+type drainMark struct {
 	version int64
 	at      time.Duration
 }
 
-// heldBack is how long an older version's word that an endpoint serves does not count. A source that numbers its versions
+// rollbackWindow is how long an older version's word that an endpoint serves does not count. A source that numbers its versions
 // anew without saying so, as after the loss of its state, is believed after that.
-const heldBack = time.Minute
+const rollbackWindow = time.Minute
 
-// NewTold gives the memory of a source that has told nothing yet.
-func NewTold() *Told { return &Told{left: map[string]leaving{}, lines: map[string]struct{}{}} }
+// NewRollbackGuard gives the memory of a source that has told nothing yet.
+func NewRollbackGuard() *RollbackGuard {
+	return &RollbackGuard{drained: map[string]drainMark{}, listed: map[string]struct{}{}}
+}
 
 // Apply takes in an update and gives what of it counts: its lines, but for those that say an endpoint serves which a newer
 // version had drain or go; such a line counts as draining. That something drains or is gone counts whatever the version,
 // as it does no harm. now is any clock that does not go back.
-func (t *Told) Apply(now time.Duration, u Update) (counts Update, older int) {
-	if u.Anew {
-		clear(t.left)
+func (t *RollbackGuard) Apply(now time.Duration, u Update) (counts Update, older int) {
+	if u.VersionsReset {
+		clear(t.drained)
 	}
-	for id, l := range t.left {
-		if now-l.at >= heldBack {
-			delete(t.left, id)
+	for id, l := range t.drained {
+		if now-l.at >= rollbackWindow {
+			delete(t.drained, id)
 		}
 	}
 	leave := func(id string) {
-		if l, left := t.left[id]; !left || u.Version >= l.version {
-			t.left[id] = leaving{u.Version, now}
+		if l, left := t.drained[id]; !left || u.Version >= l.version {
+			t.drained[id] = drainMark{u.Version, now}
 		}
 	}
 	listed := map[string]struct{}{}
 	for i, line := range u.Servers {
 		listed[line.ID] = struct{}{}
-		l, left := t.left[line.ID]
+		l, left := t.drained[line.ID]
 		switch {
 		case line.State != Serving:
 			leave(line.ID)
@@ -53,18 +55,18 @@
 			}
 			u.Servers[i].State = Draining
 		default:
-			delete(t.left, line.ID)
+			delete(t.drained, line.ID)
 		}
 		if line.State == Deleted {
-			delete(t.lines, line.ID)
+			delete(t.listed, line.ID)
 		} else {
-			t.lines[line.ID] = struct{}{}
+			t.listed[line.ID] = struct{}{}
 		}
 	}
 	if u.Full {
-		for id := range t.lines {
+		for id := range t.listed {
 			if _, ok := listed[id]; !ok {
-				delete(t.lines, id)
+				delete(t.listed, id)
 				leave(id)
 			}
 		}
--- a/internal/membership/told_test.go
+++ b/internal/membership/told_test.go
@@ -33,10 +33,10 @@
 		"an older drain counts": {first, {0, full(3, line("a", Draining), line("b", Serving)), map[string]string{"a": Draining, "b": Serving}, 0},
 			{0, full(5, line("a", Serving), line("b", Serving)), map[string]string{"a": Serving, "b": Serving}, 0}},
 		"and does not make a newer one younger": {first, drained, {0, full(3, line("a", Draining), line("b", Serving)), map[string]string{"a": Draining, "b": Serving}, 0}, stale},
-		"versions of another machine":           {first, drained, {0, Update{Version: 1, Full: true, Anew: true, Servers: []Target{line("a", Serving)}}, map[string]string{"a": Serving}, 0}},
+		"versions of another machine":           {first, drained, {0, Update{Version: 1, Full: true, VersionsReset: true, Servers: []Target{line("a", Serving)}}, map[string]string{"a": Serving}, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			told, now := NewTold(), time.Hour
+			told, now := NewRollbackGuard(), time.Hour
 			for i, s := range steps {
 				now += s.after
 				given := append([]Target(nil), s.tell.Servers...)
--- a/internal/nameserver/primary_test.go
+++ b/internal/nameserver/primary_test.go
@@ -250,7 +250,7 @@
 			t.Parallel()
 			l := newLiar(t, keys)
 			l.gives(10, whole(good), 100, 0, true)
-			s := begun(t, &Config{Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultSpans(),
+			s := begun(t, &Config{Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultFollowerConfig(),
 				Zones:   []ZoneConfig{{Name: "example.", Primary: l.addr, Key: "xfer.", Bounds: &fast}},
 				Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
 			f := following(t, s)
@@ -291,7 +291,7 @@
 	l.transfer = func(_ *dns.Msg, c net.Conn) {}
 	l.mu.Unlock()
 	z := parseZone(t, strings.Replace(zoneText, "60 10 300 60", "1 1 0 1", 1))
-	s := begun(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Spans: membership.DefaultSpans(),
+	s := begun(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Spans: membership.DefaultFollowerConfig(),
 		Zones:   []ZoneConfig{{Name: "example.", Primary: l.addr, Bounds: &fast}},
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
 	if got := s.Report().Members[0]; got.Answer != "time-out" || len(s.First().Servers) > 0 {
@@ -333,7 +333,7 @@
 		t.Error(r)
 	}
 	f.until(t, "127.0.0.2")
-	if got := s.Report(); got.Members[0].Answer != "SERVFAIL" || !got.Members[0].Held || got.Zones[0].State != "expired" {
+	if got := s.Report(); got.Members[0].Answer != "SERVFAIL" || !got.Members[0].Retained || got.Zones[0].State != "expired" {
 		t.Errorf("%+v", got)
 	}
 	l.gives(10, whole(z), 100, 0, false)
@@ -348,7 +348,7 @@
 	l.gives(10, whole(zoneAt(t, 10, "127.0.0.2")), 100, 0, true)
 	slow := zone.DefaultBounds()
 	slow.RefreshLeast = time.Minute
-	s := begun(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultSpans(),
+	s := begun(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultFollowerConfig(),
 		Zones:   []ZoneConfig{{Name: "example.", Primary: l.addr, Key: "xfer.", Bounds: &slow}},
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
 	f := following(t, s)
--- a/internal/nameserver/service.go
+++ b/internal/nameserver/service.go
@@ -26,7 +26,7 @@
 	Keys    []Key
 	Zones   []ZoneConfig
 	Members []membership.Member
-	Spans   membership.Spans
+	Spans   membership.FollowerConfig
 	Records int // of a zone, at most
 }
 
@@ -308,7 +308,7 @@
 
 // ask asks for the members that are stale and gives the lines that change. The caller holds mu.
 func (s *Service) ask() []membership.Target {
-	var heard []membership.Heard
+	var heard []membership.Observation
 	for i := range s.stale {
 		for _, n := range s.on[i] {
 			delete(s.rests[n], i)
@@ -324,21 +324,21 @@
 			}
 			s.rests[n][i] = struct{}{}
 		}
-		heard = append(heard, membership.Heard{Member: i, Answer: a})
+		heard = append(heard, membership.Observation{Member: i, Answer: a})
 	}
 	clear(s.stale)
-	slices.SortFunc(heard, func(a, b membership.Heard) int { return cmp.Compare(a.Member, b.Member) })
+	slices.SortFunc(heard, func(a, b membership.Observation) int { return cmp.Compare(a.Member, b.Member) })
 	return s.follower.Step(s.now(), heard)
 }
 
 // held finds the zone for a name.
-func (s *Service) held(name string) (membership.Held, bool) {
+func (s *Service) held(name string) (membership.ZoneState, bool) {
 	h := s.server.find(name)
 	if h == nil {
-		return membership.Held{}, false
+		return membership.ZoneState{}, false
 	}
 	v := h.now.Load()
-	return membership.Held{Zone: v.Zone, Expired: v.expired}, true
+	return membership.ZoneState{Zone: v.Zone, Expired: v.expired}, true
 }
 
 // Follow passes on what changes, until ctx ends.
@@ -396,10 +396,10 @@
 
 // Report is all that is known.
 type Report struct {
-	Address string             `json:"address,omitempty"`
-	Zones   []ZoneState        `json:"zones"`
-	Members []membership.State `json:"members"`
-	Counts  map[string]int64   `json:"counts"`
+	Address string                   `json:"address,omitempty"`
+	Zones   []ZoneState              `json:"zones"`
+	Members []membership.MemberState `json:"members"`
+	Counts  map[string]int64         `json:"counts"`
 }
 
 // Report tells what is held and where members are.
@@ -430,10 +430,10 @@
 		r.Counts[name] = c
 	}
 	s.mu.Lock()
-	r.Members = s.follower.States()
+	r.Members = s.follower.MemberStates()
 	s.mu.Unlock()
 	if r.Members == nil {
-		r.Members = []membership.State{}
+		r.Members = []membership.MemberState{}
 	}
 	return r
 }
--- a/internal/nameserver/service_test.go
+++ b/internal/nameserver/service_test.go
@@ -58,7 +58,7 @@
 	if _, err := os.Stat(path); err != nil {
 		put(t, path, zoneText)
 	}
-	return &Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "state"), Keys: usualKeys(t), Spans: membership.DefaultSpans(),
+	return &Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "state"), Keys: usualKeys(t), Spans: membership.DefaultFollowerConfig(),
 		Zones:   []ZoneConfig{{Name: "example.", File: path, Transfer: []string{"xfer."}, Updates: []Update{{Key: "ops.", Grant: everything()}}}},
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}}
 }
@@ -860,7 +860,7 @@
 	update(add("new.example. 60 IN A 127.0.0.60"))
 	f.until(t, "127.0.0.30", "127.0.0.31", "127.0.0.40", "127.0.0.60")
 	for _, m := range s.Report().Members {
-		if m.Name == "d.deep.example." && (m.Answer != "SERVFAIL" || !m.Held) {
+		if m.Name == "d.deep.example." && (m.Answer != "SERVFAIL" || !m.Retained) {
 			t.Errorf("%+v", m)
 		}
 	}
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -24,65 +24,65 @@
 
 // Node is one sender's part among its peers.
 type Node struct {
-	c      Config
-	to     Reaches
-	log    *slog.Logger
-	now    func() time.Duration
-	heard  func([]knowledge.Fact) bool
-	teller *teller
-	server *grpc.Server
-	list   *memberlist.Memberlist
-	ring   *memberlist.Keyring // nil: in clear
-	stop   context.CancelFunc
-	ctx    context.Context
-	wake   chan struct{}
-	done   sync.WaitGroup
-	meta   metaDelegate
+	config     Config
+	routes     RouteTable
+	log        *slog.Logger
+	now        func() time.Duration
+	onFacts    func([]knowledge.Fact) bool
+	factServer *factServer
+	server     *grpc.Server
+	members    *memberlist.Memberlist
+	keyring    *memberlist.Keyring // nil: in clear
+	cancel     context.CancelFunc
+	ctx        context.Context
+	wake       chan struct{}
+	done       sync.WaitGroup
+	meta       metaDelegate
 
-	mu     sync.Mutex
-	known  map[string]*followed
-	parts  map[string]*progress // by name
-	closed bool
+	mu       sync.Mutex
+	peers    map[string]*peer
+	progress map[string]*streamProgress // by name
+	closed   bool
 }
 
-// meta is what a member tells of itself with its membership.
-type meta struct {
-	Exchange string `json:"x"`
-	Life     uint64 `json:"l"`
-	Leaves   bool   `json:"b,omitempty"` // the membership does not say afterwards whether one left or died
+// memberMeta is what a member tells of itself with its membership.
+type memberMeta struct {
+	Exchange    string `json:"x"`
+	Incarnation uint64 `json:"l"`
+	Leaving     bool   `json:"b,omitempty"` // the membership does not say afterwards whether one left or died
 }
 
 // Start makes a sender take part: it listens, joins by its seeds, and follows some others until Close. heard is called
 // with what they tell, from other goroutines, and reports false to end that. now is the clock of the facts.
 func Start(c Config, log *slog.Logger, now func() time.Duration, heard func([]knowledge.Fact) bool) (*Node, error) {
-	if c.Follow == 0 {
-		c.Follow = DefaultFollow
+	if c.MaxFollowed == 0 {
+		c.MaxFollowed = DefaultMaxFollowed
 	}
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	to, err := NewReaches(c.Reach)
+	to, err := NewRouteTable(c.Routes)
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{c: c, to: to, log: log, now: now, heard: heard, wake: make(chan struct{}, 1), known: map[string]*followed{}, parts: map[string]*progress{}}
-	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.teller = newTeller(&n.c, now)
+	n := &Node{config: c, routes: to, log: log, now: now, onFacts: heard, wake: make(chan struct{}, 1), peers: map[string]*peer{}, progress: map[string]*streamProgress{}}
+	n.ctx, n.cancel = context.WithCancel(context.Background())
+	n.factServer = newFactServer(&n.config, now)
 	l, err := net.Listen("tcp", c.Exchange)
 	if err != nil {
-		n.stop()
+		n.cancel()
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	n.server = grpc.NewServer(grpc.MaxRecvMsgSize(4<<10), grpc.MaxConcurrentStreams(4), grpc.ConnectionTimeout(connectTime),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: silence, Timeout: pingTime}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: silence / 2, PermitWithoutStream: true}))
-	pb.RegisterExchangeServer(n.server, n.teller)
+	n.server = grpc.NewServer(grpc.MaxRecvMsgSize(4<<10), grpc.MaxConcurrentStreams(4), grpc.ConnectionTimeout(connectTimeout),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveInterval / 2, PermitWithoutStream: true}))
+	pb.RegisterExchangeServer(n.server, n.factServer)
 	n.done.Add(1)
 	go func() {
 		defer n.done.Done()
 		n.server.Serve(l)
 	}()
-	if err := n.join(l.Addr().String()); err != nil {
+	if err := n.joinMembership(l.Addr().String()); err != nil {
 		n.Close()
 		return nil, err
 	}
@@ -91,25 +91,25 @@
 	return n, nil
 }
 
-func (n *Node) join(exchange string) error {
-	at, err := netip.ParseAddrPort(n.c.Listen)
+func (n *Node) joinMembership(exchange string) error {
+	at, err := netip.ParseAddrPort(n.config.Listen)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	n.meta.set(meta{Exchange: exchange, Life: n.c.Life})
+	n.meta.set(memberMeta{Exchange: exchange, Incarnation: n.config.Incarnation})
 	m := memberlist.DefaultLANConfig()
-	m.Name, m.Label = n.c.Name, n.c.Cluster
+	m.Name, m.Label = n.config.Name, n.config.Cluster
 	m.BindAddr, m.BindPort = at.Addr().String(), int(at.Port())
 	m.AdvertiseAddr, m.AdvertisePort = m.BindAddr, m.BindPort
-	m.Logger = stdlog.New(logLines{n.log}, "", 0)
-	if len(n.to) > 0 {
-		t, err := newTransport(at, n.to, m.Logger)
+	m.Logger = stdlog.New(logWriter{n.log}, "", 0)
+	if len(n.routes) > 0 {
+		t, err := newTransport(at, n.routes, m.Logger)
 		if err != nil {
 			return fmt.Errorf("peers: membership: %w", err)
 		}
 		m.Transport = t
 		defer func() {
-			if n.list == nil {
+			if n.members == nil {
 				t.Shutdown()
 			}
 		}()
@@ -119,29 +119,29 @@
 		}
 	}
 	m.Delegate = &n.meta
-	m.GossipInterval = gossipEvery // it is sent only when there is something to tell
-	m.Events = (*events)(n)
-	m.Conflict = (*events)(n)
+	m.GossipInterval = gossipInterval // it is sent only when there is something to tell
+	m.Events = (*eventDelegate)(n)
+	m.Conflict = (*eventDelegate)(n)
 	m.DeadNodeReclaimTime = time.Millisecond // one that died may come back under its name at another address, at once
-	if len(n.c.Keys) > 0 {
-		if n.ring, err = memberlist.NewKeyring(n.c.Keys, n.c.Keys[0]); err != nil {
+	if len(n.config.Keys) > 0 {
+		if n.keyring, err = memberlist.NewKeyring(n.config.Keys, n.config.Keys[0]); err != nil {
 			return fmt.Errorf("peers: %w", err)
 		}
-		m.Keyring = n.ring
+		m.Keyring = n.keyring
 	}
-	if n.list, err = memberlist.Create(m); err != nil {
+	if n.members, err = memberlist.Create(m); err != nil {
 		return fmt.Errorf("peers: membership: %w", err)
 	}
 	return nil
 }
 
 // Address is where the membership listens.
-func (n *Node) Address() string { return n.list.LocalNode().Address() }
+func (n *Node) Address() string { return n.members.LocalNode().Address() }
 
-// Keys changes the keys of membership while it runs: those that are new are taken first, so that all members know them
+// SetKeys changes the keys of membership while it runs: those that are new are taken first, so that all members know them
 // before one is sent with; the first is what is sent with.
-func (n *Node) Keys(keys [][]byte) error {
-	ring := n.ring
+func (n *Node) SetKeys(keys [][]byte) error {
+	ring := n.keyring
 	if ring == nil || len(keys) == 0 {
 		return fmt.Errorf("peers: membership is in clear; keys are changed only where there are some")
 	}
@@ -164,30 +164,30 @@
 }
 
 const (
-	joinEvery  = time.Second // while nobody else is known
-	rejoin     = 30 * time.Second
-	watchEvery = 200 * time.Millisecond
+	joinInterval      = time.Second // while nobody else is known
+	rejoinInterval    = 30 * time.Second
+	reconcileInterval = 200 * time.Millisecond
 )
 
 // run joins by the seeds, again while it is alone and now and then after that, so that the halves of a partition find
 // each other; and keeps so many peers followed.
 func (n *Node) run() {
 	defer n.done.Done()
-	tick := time.NewTicker(watchEvery)
+	tick := time.NewTicker(reconcileInterval)
 	defer tick.Stop()
 	var joined time.Time
 	for {
-		every := rejoin
-		if n.list.NumMembers() < 2 {
-			every = joinEvery
+		every := rejoinInterval
+		if n.members.NumMembers() < 2 {
+			every = joinInterval
 		}
-		if len(n.c.Seeds) > 0 && time.Since(joined) >= every {
+		if len(n.config.Seeds) > 0 && time.Since(joined) >= every {
 			joined = time.Now()
-			if _, err := n.list.Join(n.c.Seeds); err != nil {
+			if _, err := n.members.Join(n.config.Seeds); err != nil {
 				n.log.Debug("peers: no seed answers", "err", err)
 			}
 		}
-		n.begin()
+		n.followChosen()
 		select {
 		case <-tick.C:
 		case <-n.wake:
@@ -197,38 +197,38 @@
 	}
 }
 
-// begin begins to follow those that are chosen.
-func (n *Node) begin() {
+// followChosen begins to follow those that are chosen.
+func (n *Node) followChosen() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var all []followed
-	for _, f := range n.known {
+	var all []peer
+	for _, f := range n.peers {
 		all = append(all, *f)
 	}
 	if n.closed {
 		return
 	}
-	for _, name := range choose(all, n.c.Follow, n.now()) {
-		f := n.known[name]
+	for _, name := range choosePeers(all, n.config.MaxFollowed, n.now()) {
+		f := n.peers[name]
 		f.following = true
-		m, p := f.Member, n.parts[name]
-		m.Exchange = n.to.At(m.Exchange)
+		m, p := f.Member, n.progress[name]
+		m.Exchange = n.routes.Resolve(m.Exchange)
 		if p == nil {
-			p = &progress{}
-			n.parts[name] = p
+			p = &streamProgress{}
+			n.progress[name] = p
 		}
 		n.done.Add(1)
 		go func() {
 			defer n.done.Done()
-			before := p.pieces
-			err := follow(n.ctx, &n.c, m, n.now, p, n.heard)
+			before := p.chunks
+			err := followPeer(n.ctx, &n.config, m, n.now, p, n.onFacts)
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			if f.following = false; p.pieces > before {
+			if f.following = false; p.chunks > before {
 				f.failures = 0
 			}
 			f.failures++
-			f.again = n.now() + pause(f.failures)
+			f.retryAt = n.now() + backoff(f.failures)
 			if n.ctx.Err() == nil {
 				n.log.Debug("peers: a stream has ended", "peer", m.Name, "err", err)
 			}
@@ -236,18 +236,18 @@
 	}
 }
 
-// Tell takes what this sender has seen by now, all of it.
-func (n *Node) Tell(facts []knowledge.Fact) { n.teller.update(facts, true, n.now()) }
+// Publish takes what this sender has seen by now, all of it.
+func (n *Node) Publish(facts []knowledge.Fact) { n.factServer.publish(facts, true, n.now()) }
 
-// TellNews takes some that it has just seen.
-func (n *Node) TellNews(facts []knowledge.Fact) { n.teller.update(facts, false, n.now()) }
+// PublishSome takes some that it has just seen.
+func (n *Node) PublishSome(facts []knowledge.Fact) { n.factServer.publish(facts, false, n.now()) }
 
 // Members is who is known, by name.
 func (n *Node) Members() []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	all := make([]Member, 0, len(n.known))
-	for _, f := range n.known {
+	all := make([]Member, 0, len(n.peers))
+	for _, f := range n.peers {
 		all = append(all, f.Member)
 	}
 	slices.SortFunc(all, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
@@ -255,8 +255,8 @@
 }
 
 const (
-	leaveTime   = 150 * time.Millisecond // twice: saying so, and going
-	gossipEvery = 50 * time.Millisecond
+	leaveTimeout   = 150 * time.Millisecond // twice: saying so, and going
+	gossipInterval = 50 * time.Millisecond
 )
 
 // Close leaves: the others hear of it, and it ends within about half a second. Once it is closed it does nothing.
@@ -268,54 +268,54 @@
 	if closed {
 		return
 	}
-	n.stop()
-	if n.list != nil {
-		n.meta.set(meta{Life: n.c.Life, Leaves: true})
-		n.list.UpdateNode(leaveTime) // an error of either is that not all have heard: they find out
-		n.list.Leave(leaveTime)
-		n.list.Shutdown()
+	n.cancel()
+	if n.members != nil {
+		n.meta.set(memberMeta{Incarnation: n.config.Incarnation, Leaving: true})
+		n.members.UpdateNode(leaveTimeout) // an error of either is that not all have heard: they find out
+		n.members.Leave(leaveTimeout)
+		n.members.Shutdown()
 	}
 	n.server.Stop()
 	n.done.Wait()
 }
 
-// events is what the membership tells.
-type events Node
+// eventDelegate is what the membership tells.
+type eventDelegate Node
 
-func (e *events) NotifyJoin(m *memberlist.Node)   { e.changed(m, here) }
-func (e *events) NotifyUpdate(m *memberlist.Node) { e.changed(m, here) }
-func (e *events) NotifyLeave(m *memberlist.Node) {
-	e.changed(m, dead)
+func (e *eventDelegate) NotifyJoin(m *memberlist.Node)   { e.recordChange(m, stateAlive) }
+func (e *eventDelegate) NotifyUpdate(m *memberlist.Node) { e.recordChange(m, stateAlive) }
+func (e *eventDelegate) NotifyLeave(m *memberlist.Node) {
+	e.recordChange(m, stateDead)
 }
 
 // NotifyConflict is told where two have one name: the one that was there first stays, and both hear of it.
-func (e *events) NotifyConflict(existing, other *memberlist.Node) {
+func (e *eventDelegate) NotifyConflict(existing, other *memberlist.Node) {
 	e.log.Error("peers: two senders have one name: the later one is refused", "name", existing.Name, "at", existing.Address(), "refused", other.Address())
 }
 
-func (e *events) changed(m *memberlist.Node, state string) {
-	if m.Name == e.c.Name {
+func (e *eventDelegate) recordChange(m *memberlist.Node, state string) {
+	if m.Name == e.config.Name {
 		return
 	}
-	var told meta
-	if err := json.Unmarshal(m.Meta, &told); err != nil || Loopback(told.Exchange) != nil {
+	var told memberMeta
+	if err := json.Unmarshal(m.Meta, &told); err != nil || CheckLoopback(told.Exchange) != nil {
 		told.Exchange = "" // it is there, and tells nothing that can be followed
 	}
-	if told.Leaves {
-		state = left
+	if told.Leaving {
+		state = stateLeft
 	}
 	e.mu.Lock()
-	f := e.known[m.Name]
+	f := e.peers[m.Name]
 	if f == nil {
-		f = &followed{}
-		e.known[m.Name] = f
+		f = &peer{}
+		e.peers[m.Name] = f
 	}
-	if f.State != state || f.Life != told.Life {
-		f.Since, f.again, f.failures = e.now(), 0, 0
+	if f.State != state || f.Incarnation != told.Incarnation {
+		f.Since, f.retryAt, f.failures = e.now(), 0, 0
 	}
-	f.Member = Member{Name: m.Name, Life: told.Life, Address: m.Address(), Exchange: told.Exchange, Since: f.Since, State: state}
-	if len(e.known) > membersMost {
-		e.dropGone()
+	f.Member = Member{Name: m.Name, Incarnation: told.Incarnation, Address: m.Address(), Exchange: told.Exchange, Since: f.Since, State: state}
+	if len(e.peers) > maxMembers {
+		e.forgetDeparted()
 	}
 	e.mu.Unlock()
 	e.log.Info("peers", "peer", m.Name, "state", state, "address", m.Address())
@@ -325,14 +325,14 @@
 	}
 }
 
-// membersMost is how many are remembered with those that have gone.
-const membersMost = 1024
+// maxMembers is how many are remembered with those that have gone.
+const maxMembers = 1024
 
-func (e *events) dropGone() {
-	for name, f := range e.known {
-		if f.State != here && !f.following {
-			delete(e.known, name)
-			delete(e.parts, name)
+func (e *eventDelegate) forgetDeparted() {
+	for name, f := range e.peers {
+		if f.State != stateAlive && !f.following {
+			delete(e.peers, name)
+			delete(e.progress, name)
 		}
 	}
 }
@@ -340,19 +340,19 @@
 // metaDelegate gives what a member tells of itself.
 type metaDelegate struct {
 	mu sync.Mutex
-	meta
+	memberMeta
 }
 
-func (d *metaDelegate) set(m meta) {
+func (d *metaDelegate) set(m memberMeta) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.meta = m
+	d.memberMeta = m
 }
 
 func (d *metaDelegate) NodeMeta(limit int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	raw, err := json.Marshal(d.meta)
+	raw, err := json.Marshal(d.memberMeta)
 	if err != nil || len(raw) > limit { // neither can be: it holds an address and two figures
 		return nil
 	}
@@ -363,12 +363,12 @@
 func (*metaDelegate) LocalState(bool) []byte          { return nil }
 func (*metaDelegate) MergeRemoteState([]byte, bool)   {}
 
-// logLines passes the membership's own lines on, those that tell of trouble as such.
-type logLines struct{ log *slog.Logger }
+// logWriter passes the membership's own lines on, those that tell of trouble as such.
+type logWriter struct{ log *slog.Logger }
 
-var _ io.Writer = logLines{}
+var _ io.Writer = logWriter{}
 
-func (l logLines) Write(p []byte) (int, error) {
+func (l logWriter) Write(p []byte) (int, error) {
 	line := strings.TrimSpace(string(p))
 	if strings.Contains(line, "[ERR]") {
 		l.log.Warn("peers: membership", "says", line)
--- a/internal/peers/pause_test.go
+++ b/internal/peers/pause_test.go
@@ -15,31 +15,31 @@
 	t.Parallel()
 	a := begin(t, config("a"), time.Hour)
 	b := begin(t, config("b", a.Address()), time.Hour)
-	b.Tell([]knowledge.Fact{out(b, 1, 0)})
+	b.Publish([]knowledge.Fact{out(b, 1, 0)})
 	until(t, "b is heard", func() bool { return len(a.heard()) > 0 })
 	// As SIGKILL does: nothing is said, all its sockets are gone.
 	b.mu.Lock()
 	b.closed = true
 	b.mu.Unlock()
-	b.stop()
-	if err := b.list.Shutdown(); err != nil {
+	b.cancel()
+	if err := b.members.Shutdown(); err != nil {
 		t.Fatal(err)
 	}
 	b.server.Stop()
-	until(t, "b is known to be dead", func() bool { return a.state("b") == dead })
+	until(t, "b is known to be dead", func() bool { return a.state("b") == stateDead })
 	next := config("b", a.Address())
-	next.Life = 2
+	next.Incarnation = 2
 	again := begin(t, next, time.Hour)
-	again.TellNews([]knowledge.Fact{out(again, 2, 0)})
+	again.PublishSome([]knowledge.Fact{out(again, 2, 0)})
 	until(t, "b is heard in its next life", func() bool {
 		for _, f := range a.heard() {
-			if f.Source.Life == 2 && f.Destination == 2 {
+			if f.Source.Incarnation == 2 && f.Destination == 2 {
 				return true
 			}
 		}
 		return false
 	})
-	if a.state("b") != here {
+	if a.state("b") != stateAlive {
 		t.Error(a.state("b"))
 	}
 }
@@ -50,16 +50,16 @@
 	t.Parallel()
 	a := begin(t, config("a"), time.Hour)
 	b := begin(t, config("b", a.Address()), time.Hour)
-	until(t, "they know each other", func() bool { return a.state("b") == here && b.state("a") == here })
-	for _, pair := range [][2]*peer{{a, b}, {b, a}} { // each is told that the other is dead, and hears nothing else of it
-		(*events)(pair[0].Node).NotifyLeave(&memberlist.Node{Name: pair[1].c.Name})
+	until(t, "they know each other", func() bool { return a.state("b") == stateAlive && b.state("a") == stateAlive })
+	for _, pair := range [][2]*testPeer{{a, b}, {b, a}} { // each is told that the other is dead, and hears nothing else of it
+		(*eventDelegate)(pair[0].Node).NotifyLeave(&memberlist.Node{Name: pair[1].c.Name})
 	}
-	if a.state("b") != dead || b.state("a") != dead {
+	if a.state("b") != stateDead || b.state("a") != stateDead {
 		t.Fatalf("%s and %s", a.state("b"), b.state("a"))
 	}
-	for _, pair := range [][2]*peer{{a, b}, {b, a}} {
-		(*events)(pair[0].Node).NotifyJoin(pair[1].list.LocalNode())
+	for _, pair := range [][2]*testPeer{{a, b}, {b, a}} {
+		(*eventDelegate)(pair[0].Node).NotifyJoin(pair[1].members.LocalNode())
 	}
-	b.Tell([]knowledge.Fact{out(b, 3, 0)})
+	b.Publish([]knowledge.Fact{out(b, 3, 0)})
 	until(t, "what b tells is heard", func() bool { return len(a.heard()) > 0 })
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -19,22 +19,22 @@
 
 // Config is how a sender takes part.
 type Config struct {
-	Name     string   // of this sender; no two have the same
-	Life     uint64   // of this process; a later one's is higher
-	Cluster  string   // of the deployment: others on the same network do not mix in
-	Listen   string   // host:port for membership, TCP and UDP; port 0 for any
-	Exchange string   // host:port where others ask what is known; port 0 for any
-	Seeds    []string // host:port of some other senders' membership
-	Keys     [][]byte // of the membership's messages, the first for what is sent: 16, 24 or 32 bytes each; none: in clear
-	Follow   int      // so many peers are followed at once
-	Facts    int      // held of what each tells, at most
-	Reach    []Reach  // of others that are not reached at their own address
+	Name        string   // of this sender; no two have the same
+	Incarnation uint64   // of this process; a later one's is higher
+	Cluster     string   // of the deployment: others on the same network do not mix in
+	Listen      string   // host:port for membership, TCP and UDP; port 0 for any
+	Exchange    string   // host:port where others ask what is known; port 0 for any
+	Seeds       []string // host:port of some other senders' membership
+	Keys        [][]byte // of the membership's messages, the first for what is sent: 16, 24 or 32 bytes each; none: in clear
+	MaxFollowed int      // so many peers are followed at once
+	MaxFacts    int      // held of what each tells, at most
+	Routes      []Route  // of others that are not reached at their own address
 }
 
 // The defaults.
 const (
-	DefaultFollow = 3
-	DefaultFacts  = 50_000
+	DefaultMaxFollowed = 3
+	DefaultMaxFacts    = 50_000
 )
 
 // ErrBeyondLoopback is that the exchange would be open to a network without TLS.
@@ -49,7 +49,7 @@
 		return fmt.Errorf("peers: cluster %q is empty or over 128 bytes", c.Cluster)
 	}
 	for _, a := range [][2]string{{"listen", c.Listen}, {"exchange", c.Exchange}} {
-		if err := Loopback(a[1]); err != nil {
+		if err := CheckLoopback(a[1]); err != nil {
 			return fmt.Errorf("peers: %s = %q: %w", a[0], a[1], err)
 		}
 	}
@@ -58,7 +58,7 @@
 			return fmt.Errorf("peers: seed %q: %w", s, err)
 		}
 	}
-	if _, err := NewReaches(c.Reach); err != nil {
+	if _, err := NewRouteTable(c.Routes); err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
 	for i, k := range c.Keys {
@@ -77,8 +77,8 @@
 	return addr
 }
 
-// Loopback says why an address is none that senders may talk at without TLS.
-func Loopback(addr string) error {
+// CheckLoopback says why an address is none that senders may talk at without TLS.
+func CheckLoopback(addr string) error {
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return fmt.Errorf("host:port with a numeric address is wanted: %w", err)
@@ -91,43 +91,43 @@
 
 // Member is a sender as another knows it.
 type Member struct {
-	Name     string        `json:"name"`
-	Life     uint64        `json:"life"`
-	Address  string        `json:"address"`  // of its membership
-	Exchange string        `json:"exchange"` // where it tells what it knows
-	Since    time.Duration `json:"since"`    // it is known to be there, on our clock
-	State    string        `json:"state"`    // here, left, dead
+	Name        string        `json:"name"`
+	Incarnation uint64        `json:"life"`
+	Address     string        `json:"address"`  // of its membership
+	Exchange    string        `json:"exchange"` // where it tells what it knows
+	Since       time.Duration `json:"since"`    // it is known to be there, on our clock
+	State       string        `json:"state"`    // here, left, dead
 }
 
-// followed is what the choice of peers goes by.
-type followed struct {
+// peer is what the choice of peers goes by.
+type peer struct {
 	Member
 	following bool
 	failures  int           // in a row
-	again     time.Duration // it is not tried before
+	retryAt   time.Duration // it is not tried before
 }
 
 const (
-	firstPause = 200 * time.Millisecond // after a stream that failed; doubles
-	pauseMost  = 30 * time.Second
+	minBackoff = 200 * time.Millisecond // after a stream that failed; doubles
+	maxBackoff = 30 * time.Second
 )
 
-// choose gives those to begin to follow, so that most are: those that are here and are not pausing after a failure,
+// choosePeers gives those to begin to follow, so that most are: those that are here and are not pausing after a failure,
 // first those that failed least, then those that have been there the longest: they have seen most, while one that has
 // just come is as new as we may be.
-func choose(all []followed, most int, now time.Duration) []string {
+func choosePeers(all []peer, most int, now time.Duration) []string {
 	n := 0
-	var may []followed
+	var may []peer
 	for _, f := range all {
 		switch {
 		case f.following:
 			n++
-		case f.State == here && f.Exchange != "" && now >= f.again:
+		case f.State == stateAlive && f.Exchange != "" && now >= f.retryAt:
 			may = append(may, f)
 		}
 	}
-	slices.SortFunc(may, func(a, b followed) int {
-		return cmp.Or(cmp.Compare(a.failures, b.failures), cmp.Compare(a.Life, b.Life), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(may, func(a, b peer) int {
+		return cmp.Or(cmp.Compare(a.failures, b.failures), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Name, b.Name))
 	})
 	var names []string
 	for _, f := range may[:min(len(may), max(0, most-n))] {
@@ -136,13 +136,13 @@
 	return names
 }
 
-// pause is how long one is left alone after so many failures in a row.
-func pause(failures int) time.Duration {
-	return min(firstPause<<min(max(0, failures-1), 10), pauseMost)
+// backoff is how long one is left alone after so many failures in a row.
+func backoff(failures int) time.Duration {
+	return min(minBackoff<<min(max(0, failures-1), 10), maxBackoff)
 }
 
 const (
-	here = "here"
-	left = "left"
-	dead = "dead"
+	stateAlive = "here"
+	stateLeft  = "left"
+	stateDead  = "dead"
 )
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// peer is a node in a test, with a clock of its own that is off by an hour or more.
-type peer struct {
+// testPeer is a node in a test, with a clock of its own that is off by an hour or more.
+type testPeer struct {
 	*Node
 	c     Config
 	start time.Time
@@ -45,23 +45,23 @@
 	facts []knowledge.Fact
 }
 
-func (p *peer) now() time.Duration { return p.off + time.Since(p.start) }
+func (p *testPeer) now() time.Duration { return p.off + time.Since(p.start) }
 
-func (p *peer) heard() []knowledge.Fact {
+func (p *testPeer) heard() []knowledge.Fact {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.facts)
 }
 
 func config(name string, seeds ...string) Config {
-	return Config{Name: name, Life: 1, Cluster: "test", Listen: "127.0.0.1:0", Exchange: "127.0.0.1:0", Seeds: seeds}
+	return Config{Name: name, Incarnation: 1, Cluster: "test", Listen: "127.0.0.1:0", Exchange: "127.0.0.1:0", Seeds: seeds}
 }
 
 var quietLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-func begin(t *testing.T, c Config, off time.Duration) *peer {
+func begin(t *testing.T, c Config, off time.Duration) *testPeer {
 	t.Helper()
-	p := &peer{c: c, start: time.Now(), off: off}
+	p := &testPeer{c: c, start: time.Now(), off: off}
 	n, err := Start(c, quietLog, p.now, func(f []knowledge.Fact) bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -76,13 +76,13 @@
 	return p
 }
 
-func out(p *peer, dest uint32, age time.Duration) knowledge.Fact {
+func out(p *testPeer, dest uint32, age time.Duration) knowledge.Fact {
 	now := p.now()
-	return knowledge.Fact{Subject: knowledge.Subject{Destination: dest}, Sort: knowledge.Health, At: now - age, Calls: 3,
-		Value: knowledge.Value{State: knowledge.Out, Since: now - age - time.Second, Rate: 2}}
+	return knowledge.Fact{Subject: knowledge.Subject{Destination: dest}, Kind: knowledge.Health, ObservedAt: now - age, Calls: 3,
+		Value: knowledge.Value{State: knowledge.OutOfService, Since: now - age - time.Second, Rate: 2}}
 }
 
-func (p *peer) state(name string) string {
+func (p *testPeer) state(name string) string {
 	for _, m := range p.Members() {
 		if m.Name == name {
 			return m.State
@@ -97,18 +97,18 @@
 	t.Parallel()
 	a := begin(t, config("a"), time.Hour)
 	b := begin(t, config("b", a.Address()), 5*time.Hour)
-	a.Tell([]knowledge.Fact{out(a, 7, 4*time.Second)})
+	a.Publish([]knowledge.Fact{out(a, 7, 4*time.Second)})
 	c := begin(t, config("c", a.Address()), 100*time.Hour)
-	for _, p := range []*peer{b, c} {
+	for _, p := range []*testPeer{b, c} {
 		until(t, "a's fact is heard", func() bool { return len(p.heard()) > 0 })
 		f := p.heard()[0]
-		age := p.now() - f.At
-		if f.Source != (knowledge.Source{Name: "a", Life: 1}) || f.State != knowledge.Out || age < 4*time.Second || age > 10*time.Second {
+		age := p.now() - f.ObservedAt
+		if f.Source != (knowledge.Source{Name: "a", Incarnation: 1}) || f.State != knowledge.OutOfService || age < 4*time.Second || age > 10*time.Second {
 			t.Errorf("%+v, %v old", f, age)
 		}
 	}
-	b.Tell(nil) // it has heard, and seen nothing itself
-	a.Tell([]knowledge.Fact{out(a, 7, 0), out(a, 8, 0)})
+	b.Publish(nil) // it has heard, and seen nothing itself
+	a.Publish([]knowledge.Fact{out(a, 7, 0), out(a, 8, 0)})
 	until(t, "the change is heard", func() bool {
 		return slices.ContainsFunc(c.heard(), func(f knowledge.Fact) bool { return f.Destination == 8 })
 	})
@@ -117,9 +117,11 @@
 			t.Errorf("%s tells what it has heard", f.Source.Name)
 		}
 	}
-	until(t, "all know all", func() bool { return b.state("c") == here && c.state("b") == here && a.state("c") == here })
+	until(t, "all know all", func() bool {
+		return b.state("c") == stateAlive && c.state("b") == stateAlive && a.state("c") == stateAlive
+	})
 	b.Close()
-	until(t, "b is known to have left", func() bool { return a.state("b") == left && c.state("b") == left })
+	until(t, "b is known to have left", func() bool { return a.state("b") == stateLeft && c.state("b") == stateLeft })
 }
 
 // One that comes back, under its name, at another address and in another life, is followed anew from the start.
@@ -127,15 +129,15 @@
 	t.Parallel()
 	a := begin(t, config("a"), time.Hour)
 	b := begin(t, config("b", a.Address()), time.Hour)
-	b.Tell([]knowledge.Fact{out(b, 1, 0)})
+	b.Publish([]knowledge.Fact{out(b, 1, 0)})
 	until(t, "b is heard", func() bool { return len(a.heard()) > 0 })
 	b.Close()
 	next := config("b", a.Address())
-	next.Life = 2
+	next.Incarnation = 2
 	again := begin(t, next, time.Hour)
-	again.Tell([]knowledge.Fact{out(again, 2, 0)})
+	again.Publish([]knowledge.Fact{out(again, 2, 0)})
 	until(t, "b is heard in its next life", func() bool {
-		return slices.ContainsFunc(a.heard(), func(f knowledge.Fact) bool { return f.Source.Life == 2 && f.Destination == 2 })
+		return slices.ContainsFunc(a.heard(), func(f knowledge.Fact) bool { return f.Source.Incarnation == 2 && f.Destination == 2 })
 	})
 }
 
@@ -150,33 +152,33 @@
 	stranger.Cluster = "other"
 	s := begin(t, with(stranger, key(0)), 0)
 	n := begin(t, with(config("no-key", a.Address()), key(1)), 0)
-	until(t, "b joins", func() bool { return a.state("b") == here && b.state("a") == here })
-	for _, p := range []*peer{a, b} { // the new key is known to all before it is sent with, and the old goes last
-		if err := p.Keys([][]byte{key(0), key(2)}); err != nil {
+	until(t, "b joins", func() bool { return a.state("b") == stateAlive && b.state("a") == stateAlive })
+	for _, p := range []*testPeer{a, b} { // the new key is known to all before it is sent with, and the old goes last
+		if err := p.SetKeys([][]byte{key(0), key(2)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, p := range []*peer{a, b} {
-		if err := p.Keys([][]byte{key(2)}); err != nil {
+	for _, p := range []*testPeer{a, b} {
+		if err := p.SetKeys([][]byte{key(2)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c := begin(t, with(config("c", a.Address()), key(2)), 0)
-	until(t, "c joins by the new key", func() bool { return b.state("c") == here && c.state("b") == here })
+	until(t, "c joins by the new key", func() bool { return b.state("c") == stateAlive && c.state("b") == stateAlive })
 	if a.state("stranger") != "unknown" || a.state("no-key") != "unknown" || s.state("a") != "unknown" || n.state("a") != "unknown" {
 		t.Errorf("strangers: %v", a.Members())
 	}
 	// The exchange asks, too.
 	for _, other := range []Config{stranger, config("a")} {
-		var p progress
-		err := follow(context.Background(), &other, Member{Name: "a", Exchange: a.exchange(t)}, a.now, &p, func([]knowledge.Fact) bool { return true })
+		var p streamProgress
+		err := followPeer(context.Background(), &other, Member{Name: "a", Exchange: a.exchange(t)}, a.now, &p, func([]knowledge.Fact) bool { return true })
 		if got := status.Code(errors.Unwrap(err)); got != codes.PermissionDenied && got != codes.AlreadyExists {
 			t.Errorf("%s of %s: %v", other.Name, other.Cluster, err)
 		}
 	}
 }
 
-func (p *peer) exchange(t *testing.T) string {
+func (p *testPeer) exchange(t *testing.T) string {
 	p.meta.mu.Lock()
 	defer p.meta.mu.Unlock()
 	return p.meta.Exchange
@@ -208,31 +210,31 @@
 // Who is followed: as many as are wanted, the oldest first, none that has gone, none before its pause is over.
 func TestChoose(t *testing.T) {
 	t.Parallel()
-	one := func(name string, life uint64, edit func(*followed)) followed {
-		f := followed{Member: Member{Name: name, Life: life, Exchange: "127.0.0.1:1", State: here}}
+	one := func(name string, life uint64, edit func(*peer)) peer {
+		f := peer{Member: Member{Name: name, Incarnation: life, Exchange: "127.0.0.1:1", State: stateAlive}}
 		if edit != nil {
 			edit(&f)
 		}
 		return f
 	}
-	all := []followed{one("new", 9, nil), one("old", 1, nil), one("mid", 5, nil), one("gone", 0, func(f *followed) { f.State = left }),
-		one("dead", 0, func(f *followed) { f.State = dead }), one("mute", 0, func(f *followed) { f.Exchange = "" }),
-		one("pauses", 0, func(f *followed) { f.again = 10 * time.Second }), one("fails", 0, func(f *followed) { f.failures = 2 })}
+	all := []peer{one("new", 9, nil), one("old", 1, nil), one("mid", 5, nil), one("gone", 0, func(f *peer) { f.State = stateLeft }),
+		one("dead", 0, func(f *peer) { f.State = stateDead }), one("mute", 0, func(f *peer) { f.Exchange = "" }),
+		one("pauses", 0, func(f *peer) { f.retryAt = 10 * time.Second }), one("fails", 0, func(f *peer) { f.failures = 2 })}
 	for _, c := range []struct {
 		most int
 		now  time.Duration
 		want string
 	}{{2, 0, "[old mid]"}, {10, 0, "[old mid new fails]"}, {1, 10 * time.Second, "[pauses]"}, {0, 0, "[]"}} {
-		if got := fmt.Sprint(choose(all, c.most, c.now)); got != c.want {
+		if got := fmt.Sprint(choosePeers(all, c.most, c.now)); got != c.want {
 			t.Errorf("%d at %v: %s, want %s", c.most, c.now, got, c.want)
 		}
 	}
 	all[1].following = true
-	if got := fmt.Sprint(choose(all, 2, 0)); got != "[mid]" {
+	if got := fmt.Sprint(choosePeers(all, 2, 0)); got != "[mid]" {
 		t.Errorf("with one followed: %s", got)
 	}
-	for n, want := range map[int]time.Duration{1: firstPause, 2: 2 * firstPause, 100: pauseMost} {
-		if got := pause(n); got != want {
+	for n, want := range map[int]time.Duration{1: minBackoff, 2: 2 * minBackoff, 100: maxBackoff} {
+		if got := backoff(n); got != want {
 			t.Errorf("pause %d: %v", n, got)
 		}
 	}
@@ -260,9 +262,9 @@
 	return l.Addr().String()
 }
 
-func followOne(addr string, p *progress, heard func([]knowledge.Fact) bool) error {
+func followOne(addr string, p *streamProgress, heard func([]knowledge.Fact) bool) error {
 	c := config("z")
-	return follow(context.Background(), &c, Member{Name: "bad", Exchange: addr}, func() time.Duration { return time.Hour }, p, heard)
+	return followPeer(context.Background(), &c, Member{Name: "bad", Exchange: addr}, func() time.Duration { return time.Hour }, p, heard)
 }
 
 // Peers that do wrong: each ends its stream, in bounded time, with a bounded number of facts taken in.
@@ -286,9 +288,9 @@
 			for to.Send(&pb.Piece{Life: 1, Facts: []*kpb.Fact{fact}}) == nil {
 			}
 			return nil
-		}), errFloods.Error(), 2 * burstPieces},
+		}), errFlooding.Error(), 2 * maxChunkBurst},
 		"huge": {badPeer(t, func(to grpc.ServerStreamingServer[pb.Piece]) error {
-			return to.Send(&pb.Piece{Life: 1, Facts: slices.Repeat([]*kpb.Fact{fact}, pieceBytes/4)})
+			return to.Send(&pb.Piece{Life: 1, Facts: slices.Repeat([]*kpb.Fact{fact}, maxChunkBytes/4)})
 		}), "ResourceExhausted", 0},
 		"dies after one": {badPeer(t, func(to grpc.ServerStreamingServer[pb.Piece]) error {
 			to.Send(&pb.Piece{Life: 1, Facts: []*kpb.Fact{fact}})
@@ -302,7 +304,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			taken := 0
-			err := followOne(c.addr, &progress{}, func(f []knowledge.Fact) bool { taken += len(f); return true })
+			err := followOne(c.addr, &streamProgress{}, func(f []knowledge.Fact) bool { taken += len(f); return true })
 			if err == nil || !strings.Contains(err.Error(), c.want) || taken > c.most || c.most == 1 && taken != 1 {
 				t.Errorf("%v; %d facts", err, taken)
 			}
@@ -320,7 +322,7 @@
 	for d := range uint32(all) {
 		facts = append(facts, out(a, d, 0))
 	}
-	a.Tell(facts)
+	a.Publish(facts)
 	target := a.exchange(t)
 	whole := proxied(t, target, 1<<30, all)
 	for n := int64(0); n < whole; n += 1 + whole/200 {
@@ -355,7 +357,7 @@
 		n, _ := io.Copy(c, io.LimitReader(to, most))
 		passed.Add(n)
 	}()
-	var p progress
+	var p streamProgress
 	seen := map[uint32]int{}
 	heard := func(f []knowledge.Fact) bool {
 		for _, one := range f {
--- a/internal/peers/reach.go
+++ b/internal/peers/reach.go
@@ -10,24 +10,24 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Reach is where another sender is reached whose own address does not lead there: behind a translation of addresses, or at the
+// Route is where another sender is reached whose own address does not lead there: behind a translation of addresses, or at the
 // other end of a tunnel. It holds for TCP and UDP alike, and for membership and exchange each by its own line.
-type Reach struct{ Address, Via string }
+type Route struct{ Address, Via string }
 
-const reachMost = 2048 // lines; a fleet has two for each member
+const maxRoutes = 2048 // lines; a fleet has two for each member
 
-// Reaches is a table of them by address.
-type Reaches map[string]string
+// RouteTable is a table of them by address.
+type RouteTable map[string]string
 
-// NewReaches makes the table, of addresses that may be talked to without TLS.
-func NewReaches(all []Reach) (Reaches, error) {
-	if len(all) > reachMost {
-		return nil, fmt.Errorf("%d lines of reach; %d are the most", len(all), reachMost)
+// NewRouteTable makes the table, of addresses that may be talked to without TLS.
+func NewRouteTable(all []Route) (RouteTable, error) {
+	if len(all) > maxRoutes {
+		return nil, fmt.Errorf("%d lines of reach; %d are the most", len(all), maxRoutes)
 	}
-	t := Reaches{}
+	t := RouteTable{}
 	for i, r := range all {
 		for _, a := range []struct{ key, addr string }{{"address", r.Address}, {"via", r.Via}} {
-			if err := Loopback(a.addr); err != nil {
+			if err := CheckLoopback(a.addr); err != nil {
 				return nil, fmt.Errorf("reach %d: %s = %q: %w", i+1, a.key, a.addr, err)
 			}
 		}
@@ -39,8 +39,8 @@
 	return t, nil
 }
 
-// At is where an address is reached from here.
-func (t Reaches) At(addr string) string {
+// Resolve is where an address is reached from here.
+func (t RouteTable) Resolve(addr string) string {
 	if via, ok := t[addr]; ok {
 		return via
 	}
@@ -50,30 +50,30 @@
 // transport is membership's, by way of the table. What others answer comes by their own tables.
 type transport struct {
 	*memberlist.NetTransport
-	to Reaches
+	routes RouteTable
 }
 
 var _ memberlist.NodeAwareTransport = transport{}
 
-func newTransport(at netip.AddrPort, to Reaches, log *stdlog.Logger) (transport, error) {
+func newTransport(at netip.AddrPort, to RouteTable, log *stdlog.Logger) (transport, error) {
 	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{at.Addr().String()}, BindPort: int(at.Port()), Logger: log})
 	return transport{t, to}, err
 }
 
 func (t transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	return t.NetTransport.WriteTo(b, t.to.At(addr))
+	return t.NetTransport.WriteTo(b, t.routes.Resolve(addr))
 }
 
 func (t transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	a.Addr = t.to.At(a.Addr)
+	a.Addr = t.routes.Resolve(a.Addr)
 	return t.NetTransport.WriteToAddress(b, a)
 }
 
 func (t transport) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
-	return t.NetTransport.DialTimeout(t.to.At(addr), limit)
+	return t.NetTransport.DialTimeout(t.routes.Resolve(addr), limit)
 }
 
 func (t transport) DialAddressTimeout(a memberlist.Address, limit time.Duration) (net.Conn, error) {
-	a.Addr = t.to.At(a.Addr)
+	a.Addr = t.routes.Resolve(a.Addr)
 	return t.NetTransport.DialAddressTimeout(a, limit)
 }
--- a/internal/sender/again_test.go
+++ b/internal/sender/again_test.go
@@ -15,10 +15,10 @@
 	t.Parallel()
 	s := newTest(t, st.NewPlatform(t), nil)
 	s.notices = make(chan []notice, 1) // nobody tells them yet
-	s.step(t.Context(), s.listsAtStart())
+	s.step(t.Context(), s.initialListEvents())
 	handIn := func() int {
-		sub := submission{record: record{ID: "m", Op: "take", Tenant: "acme", Class: "unsafe", Deadline: s.clock.now() + time.Hour}, class: 2, answer: make(chan answerLine, 1)}
-		if event := s.take(sub); event != nil {
+		sub := submission{record: record{ID: "m", Op: "take", Tenant: "acme", Class: "unsafe", Deadline: s.clock.now() + time.Hour}, class: 2, answer: make(chan response, 1)}
+		if event := s.handle(sub); event != nil {
 			s.step(t.Context(), []brain.Event{event})
 		}
 		return (<-sub.answer).status
@@ -26,15 +26,15 @@
 	if got := handIn(); got != http.StatusAccepted {
 		t.Fatalf("it is answered %d", got)
 	}
-	s.close(s.last, handedBack, http.StatusServiceUnavailable, s.c.Settings.MaxRetryAfter)
+	s.finish(s.lastID, outcomeHandedBack, http.StatusServiceUnavailable, s.config.Settings.MaxRetryAfter)
 	s.flush()
-	s.tell()
-	if got := handIn(); got != http.StatusServiceUnavailable || s.held != 0 {
-		t.Errorf("before its notice is known to be taken it is answered %d, and %d are held", got, s.held)
+	s.sendNotices()
+	if got := handIn(); got != http.StatusServiceUnavailable || s.pending != 0 {
+		t.Errorf("before its notice is known to be taken it is answered %d, and %d are held", got, s.pending)
 	}
-	s.take(toldEvent{<-s.notices})
+	s.handle(noticesDelivered{<-s.notices})
 	s.flush()
-	if got := handIn(); got != http.StatusAccepted || s.held != 1 {
-		t.Errorf("after it, it is answered %d, and %d are held", got, s.held)
+	if got := handIn(); got != http.StatusAccepted || s.pending != 1 {
+		t.Errorf("after it, it is answered %d, and %d are held", got, s.pending)
 	}
 }
--- a/internal/sender/batch.go
+++ b/internal/sender/batch.go
@@ -12,36 +12,36 @@
 // ever: what it sends to one endpoint in one step goes together. Each Send is still one call at the most, with its own
 // time-out; a message of which that is over ends by itself, while the call goes on for the others.
 
-// sending is one Send on its way.
-type sending struct {
+// batchedSend is one Send on its way.
+type batchedSend struct {
 	m       *message
 	attempt int
 	ctx     context.Context // ends with its time-out, or as it is called off
 	timeout time.Duration
-	leave   *calls.Permit
+	permit  *calls.Permit
 }
 
-// sendBatch is what goes to one endpoint in one call.
-type sendBatch struct {
+// batch is what goes to one endpoint in one call.
+type batch struct {
 	to    *calls.Endpoint
-	all   []sending
+	sends []batchedSend
 	bytes int
 }
 
-// batchHead is about what an event takes in a batch beside its data.
-const batchHead = 512
+// eventOverheadBytes is about what an event takes in a batch beside its data.
+const eventOverheadBytes = 512
 
-// gather puts a Send with others to the same endpoint, as far as they fit in one call.
-func (s *Sender) gather(e *calls.Endpoint, one sending, events, bytes int) {
-	size := batchHead + len(one.m.Body)*4/3
+// addToBatch puts a Send with others to the same endpoint, as far as they fit in one call.
+func (s *Sender) addToBatch(e *calls.Endpoint, one batchedSend, events, bytes int) {
+	size := eventOverheadBytes + len(one.m.Body)*4/3
 	for i := range s.batches {
 		b := &s.batches[i]
-		if b.to == e && len(b.all) < events && b.bytes+size <= bytes {
-			b.all, b.bytes = append(b.all, one), b.bytes+size
+		if b.to == e && len(b.sends) < events && b.bytes+size <= bytes {
+			b.sends, b.bytes = append(b.sends, one), b.bytes+size
 			return
 		}
 	}
-	s.batches = append(s.batches, sendBatch{e, []sending{one}, size})
+	s.batches = append(s.batches, batch{e, []batchedSend{one}, size})
 }
 
 // sendBatches begins the calls that were gathered in this step.
@@ -53,43 +53,43 @@
 	}
 }
 
-// batchEnd is how the call of a batch ended.
-type batchEnd struct {
-	end  brain.AttemptResult
-	gone bool
+// batchResult is how the call of a batch ended.
+type batchResult struct {
+	end      brain.AttemptResult
+	draining bool
 }
 
-func (s *Sender) sendBatch(ctx context.Context, b sendBatch, written bool) {
+func (s *Sender) sendBatch(ctx context.Context, b batch, written bool) {
 	began := time.Now()
-	recs := make([]calls.Ticket, len(b.all))
-	timeout, longest := b.all[0].timeout, b.all[0].timeout
-	for i, one := range b.all {
-		recs[i] = calls.Ticket{Message: one.m.message(), Permit: one.leave}
+	recs := make([]calls.Ticket, len(b.sends))
+	timeout, longest := b.sends[0].timeout, b.sends[0].timeout
+	for i, one := range b.sends {
+		recs[i] = calls.Ticket{Message: one.m.callMessage(), Permit: one.permit}
 		timeout, longest = min(timeout, one.timeout), max(longest, one.timeout)
 	}
 	// The call lasts as long as one of its messages waits for it.
 	shared, cancel := context.WithTimeout(ctx, longest)
 	done := make(chan struct{})
-	var how batchEnd
+	var how batchResult
 	go func() {
 		how.end = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.NotSent}
 		if written {
-			how.end, how.gone = s.pool.Call(shared, b.to, recs, timeout)
+			how.end, how.draining = s.pool.Call(shared, b.to, recs, timeout)
 		}
 		close(done)
 	}()
-	left := make(chan struct{}, len(b.all))
-	for _, one := range b.all {
+	left := make(chan struct{}, len(b.sends))
+	for _, one := range b.sends {
 		go func() {
 			defer func() { left <- struct{}{} }()
-			end := callEnd{message: one.m, attempt: one.attempt}
+			end := callResult{message: one.m, attempt: one.attempt}
 			select {
 			case <-done:
-				end.AttemptResult, end.gone = how.end, how.gone
+				end.AttemptResult, end.draining = how.end, how.draining
 			case <-one.ctx.Done():
 				select { // both at once: what came back is known
 				case <-done:
-					end.AttemptResult, end.gone = how.end, how.gone
+					end.AttemptResult, end.draining = how.end, how.draining
 				default:
 					end.AttemptResult = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.Cancelled}
 					if one.ctx.Err() == context.DeadlineExceeded {
@@ -99,9 +99,9 @@
 			}
 			// A message whose leave is gone was not written with the others, and one whose time is over before
 			// the connection is up will not be: neither's end is the call's.
-			if one.leave.Gone() {
+			if one.permit.Gone() {
 				end.AttemptResult = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.NotSent}
-			} else if one.ctx.Err() != nil && one.leave.TakeBack() {
+			} else if one.ctx.Err() != nil && one.permit.TakeBack() {
 				end.AttemptResult = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.ConnectFailed}
 			}
 			end.Elapsed = time.Since(began)
@@ -110,7 +110,7 @@
 	}
 	go func() {
 		defer cancel()
-		for range b.all {
+		for range b.sends {
 			<-left
 		}
 	}()
--- a/internal/sender/classes.go
+++ b/internal/sender/classes.go
@@ -11,42 +11,42 @@
 // promised to its client, and what the settings say now holds at its destination: the stricter of both stands. So each message
 // carries the rule that it was taken on by, and the module is given a class more for each that differs.
 
-// ruled writes down what its class says of a message's repeats as it is taken on.
-func (r *record) ruled(c brain.Class) {
+// setRepeatRule writes down what its class says of a message's repeats as it is taken on.
+func (r *record) setRepeatRule(c brain.Class) {
 	r.Effect = effectNames[c.Idempotency]
 	if c.Idempotency == brain.IdempotentByKey {
-		r.Window, r.InZone = c.IdempotencyKeyTTL, c.IdempotencyKeyZonal
+		r.KeyWindow, r.KeyInZone = c.IdempotencyKeyTTL, c.IdempotencyKeyZonal
 	}
 }
 
 var effectNames = [...]string{brain.Idempotent: "safe", brain.IdempotentByKey: "keyed", brain.NonIdempotent: "unsafe"}
 
-// effectOf is the effect that a journal names; false if it names none, as those of earlier versions do.
-func effectOf(name string) (brain.Idempotency, bool) {
+// effectByName is the effect that a journal names; false if it names none, as those of earlier versions do.
+func effectByName(name string) (brain.Idempotency, bool) {
 	i := slices.Index(effectNames[:], name)
 	return brain.Idempotency(max(0, i)), i >= 0
 }
 
 // classOf is the class by which a message from the journal goes on: its own, or one that is put behind those of the settings.
 // Of one whose class is gone and that names no effect nothing is known: it is not repeated.
-func (c *Config) classOf(m *stored) int {
+func (c *Config) classOf(m *storedMessage) int {
 	var is brain.Class
-	at := place(c.Classes, m.Class, -1)
-	took, known := effectOf(m.Effect)
+	at := indexOf(c.Classes, m.Class, -1)
+	took, known := effectByName(m.Effect)
 	if at >= 0 {
 		is = c.Settings.Classes[at]
 	} else {
-		is = brain.Class{Idempotency: brain.Idempotent, Ordered: m.Order != "", Value: c.leastWorth()}
+		is = brain.Class{Idempotency: brain.Idempotent, Ordered: m.OrderKey != "", Value: c.minWorth()}
 		if !known {
 			took, known = brain.NonIdempotent, true
 		}
 	}
 	if known {
 		if took == brain.IdempotentByKey { // a window, or a scope, that is no longer told may still be the one that holds
-			if is.Idempotency != brain.IdempotentByKey || m.Window < is.IdempotencyKeyTTL {
-				is.IdempotencyKeyTTL = m.Window
+			if is.Idempotency != brain.IdempotentByKey || m.KeyWindow < is.IdempotencyKeyTTL {
+				is.IdempotencyKeyTTL = m.KeyWindow
 			}
-			is.IdempotencyKeyZonal = is.Idempotency == brain.IdempotentByKey && is.IdempotencyKeyZonal || m.InZone
+			is.IdempotencyKeyZonal = is.Idempotency == brain.IdempotentByKey && is.IdempotencyKeyZonal || m.KeyInZone
 		}
 		is.Idempotency = max(is.Idempotency, took)
 	}
@@ -65,7 +65,7 @@
 	return len(c.Settings.Classes) - 1
 }
 
-func (c *Config) leastWorth() float64 {
+func (c *Config) minWorth() float64 {
 	least := 1.0
 	for i, is := range c.Settings.Classes[:min(len(c.Classes), len(c.Settings.Classes))] {
 		if i == 0 || is.Value < least {
@@ -77,9 +77,9 @@
 
 // zoneOf is the number of the zone in which an attempt may have run. It is kept by name where it matters, as a number would be
 // another zone's under other settings; -1 is for one that is gone.
-func (c *Config) zoneOf(t try) int {
-	if t.In == "" {
+func (c *Config) zoneOf(t attemptRecord) int {
+	if t.ZoneName == "" {
 		return t.Zone
 	}
-	return place(c.Zones, t.In, -1)
+	return indexOf(c.Zones, t.ZoneName, -1)
 }
--- a/internal/sender/classes_test.go
+++ b/internal/sender/classes_test.go
@@ -29,16 +29,16 @@
 		{"of an earlier version", "keyed", "k", "", 0, 0, 200, 1, ""},
 		{"gone, and never tried", "gone", "k", "keyed", window, 0, 200, 1, ""},
 		{"gone, of an earlier version, never tried", "gone", "k", "", 0, 0, 200, 1, ""},
-		{"gone, of an earlier version, may have run", "gone", "k", "", 0, time.Second, 200, 0, givenUp},
+		{"gone, of an earlier version, may have run", "gone", "k", "", 0, time.Second, 200, 0, outcomeGivenUp},
 		{"gone, keyed, may have run", "gone", "k", "keyed", window, time.Second, 200, 1, ""},
-		{"gone, keyed, its window is over", "gone", "k", "keyed", window, time.Minute, 200, 0, givenUp},
+		{"gone, keyed, its window is over", "gone", "k", "keyed", window, time.Minute, 200, 0, outcomeGivenUp},
 		{"gone, safe, may have run", "gone", "", "safe", 0, time.Minute, 200, 1, ""},
-		{"unsafe then, safe now", "safe", "k", "unsafe", 0, 0, 500, 1, givenUp},
-		{"unsafe then, safe now, may have run", "safe", "k", "unsafe", 0, time.Second, 200, 0, givenUp},
-		{"keyed then, unsafe now, may have run", "unsafe", "k", "keyed", window, time.Second, 200, 0, givenUp},
-		{"safe then, keyed now, without a key", "keyed", "", "safe", 0, time.Second, 200, 0, givenUp},
-		{"a shorter window then", "keyed", "k", "keyed", time.Second, 3 * time.Second, 200, 0, givenUp},
-		{"a longer window then", "keyed", "k", "keyed", time.Hour, time.Minute, 200, 0, givenUp},
+		{"unsafe then, safe now", "safe", "k", "unsafe", 0, 0, 500, 1, outcomeGivenUp},
+		{"unsafe then, safe now, may have run", "safe", "k", "unsafe", 0, time.Second, 200, 0, outcomeGivenUp},
+		{"keyed then, unsafe now, may have run", "unsafe", "k", "keyed", window, time.Second, 200, 0, outcomeGivenUp},
+		{"safe then, keyed now, without a key", "keyed", "", "safe", 0, time.Second, 200, 0, outcomeGivenUp},
+		{"a shorter window then", "keyed", "k", "keyed", time.Second, 3 * time.Second, 200, 0, outcomeGivenUp},
+		{"a longer window then", "keyed", "k", "keyed", time.Hour, time.Minute, 200, 0, outcomeGivenUp},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -46,14 +46,14 @@
 			e := st.NewEndpoint(t, st.Status(tt.answers))
 			p := st.NewPlatform(t, e.Addr)
 			dir := t.TempDir()
-			var tries []try
+			var tries []attemptRecord
 			if tt.tried > 0 {
-				tries = []try{{At: newClock().now() - tt.tried, Endpoint: "s-0"}}
+				tries = []attemptRecord{{At: newClock().now() - tt.tried, Endpoint: "s-0"}}
 			}
-			leaves(t, dir, 1, outages{}, func(_ int, r *record) {
-				r.Class, r.Key, r.Effect, r.Window, r.Tries = tt.class, tt.key, tt.effect, tt.window, tries
+			leaves(t, dir, 1, outageSnapshot{}, func(_ int, r *record) {
+				r.Class, r.Key, r.Effect, r.KeyWindow, r.Attempts = tt.class, tt.key, tt.effect, tt.window, tries
 			})
-			addr := run(t, p, func(c *Config) { c.State = dir })
+			addr := run(t, p, func(c *Config) { c.StateDir = dir })
 			if tt.end != "" {
 				if n := st.Receive(t, p.Notices); n.Message != "m0" || n.Outcome != tt.end {
 					t.Errorf("notice %+v", n)
@@ -80,16 +80,16 @@
 		want int
 	}{
 		{record{Class: "a", Effect: "safe"}, 0},
-		{record{Class: "b", Effect: "keyed", Window: time.Second, InZone: true, Key: "k"}, 1},
-		{record{Class: "b", Effect: "keyed", Window: time.Minute, Key: "k"}, 1}, // the scope that holds now is the narrower
+		{record{Class: "b", Effect: "keyed", KeyWindow: time.Second, KeyInZone: true, Key: "k"}, 1},
+		{record{Class: "b", Effect: "keyed", KeyWindow: time.Minute, Key: "k"}, 1}, // the scope that holds now is the narrower
 		{record{Class: "gone", Effect: "unsafe"}, 2},
 		{record{Class: "other", Key: "k"}, 2},
-		{record{Class: "a", Effect: "keyed", Window: time.Second, Key: "k"}, 3},
-		{record{Class: "a", Effect: "keyed", Window: time.Second, InZone: true, Key: "k"}, 4},
-		{record{Class: "a", Effect: "keyed", Window: time.Second, Key: "k2"}, 3},
-		{record{Class: "gone", Effect: "unsafe", Order: "o"}, 5},
+		{record{Class: "a", Effect: "keyed", KeyWindow: time.Second, Key: "k"}, 3},
+		{record{Class: "a", Effect: "keyed", KeyWindow: time.Second, KeyInZone: true, Key: "k"}, 4},
+		{record{Class: "a", Effect: "keyed", KeyWindow: time.Second, Key: "k2"}, 3},
+		{record{Class: "gone", Effect: "unsafe", OrderKey: "o"}, 5},
 	} {
-		if got := c.classOf(&stored{record: tt.m}); got != tt.want {
+		if got := c.classOf(&storedMessage{record: tt.m}); got != tt.want {
 			t.Errorf("%d: %+v goes on by class %d, want %d: %+v", i, tt.m, got, tt.want, c.Settings.Classes)
 		}
 	}
@@ -97,9 +97,9 @@
 		t.Error("the settings that were given have changed")
 	}
 	for _, tt := range []struct {
-		t    try
+		t    attemptRecord
 		want int
-	}{{try{Zone: 1}, 1}, {try{Zone: 1, In: "x"}, 0}, {try{Zone: 1, In: "y"}, 1}, {try{Zone: 1, In: "gone"}, -1}} {
+	}{{attemptRecord{Zone: 1}, 1}, {attemptRecord{Zone: 1, ZoneName: "x"}, 0}, {attemptRecord{Zone: 1, ZoneName: "y"}, 1}, {attemptRecord{Zone: 1, ZoneName: "gone"}, -1}} {
 		if got := c.zoneOf(tt.t); got != tt.want {
 			t.Errorf("%+v ran in zone %d, want %d", tt.t, got, tt.want)
 		}
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -22,8 +22,8 @@
 	seconds            int
 
 	brains  []*brain.Brain
-	parts   []*peersPart
-	telling []*knowledge.Telling
+	parts   []*peersExtension
+	telling []*knowledge.ChangeLog
 	heard   [][]uint64 // versions, by listener and teller
 	agenda  queue
 	n       int
@@ -77,14 +77,14 @@
 	list := brain.EndpointUpdate{Complete: true}
 	for r := range c.receivers {
 		list.Endpoints = append(list.Endpoints, brain.Endpoint{ID: brain.EndpointID(r + 1), Destination: brain.DestinationID(r), Ready: true})
-		s.list.Cells[uint32(r)] = struct{}{}
+		s.endpoints.Cells[uint32(r)] = struct{}{}
 	}
-	settings := s.c.Settings
+	settings := s.config.Settings
 	settings.Senders, settings.Slots, settings.MaxPending = c.senders, 50, 100000
 	for i := range c.senders {
 		c.brains = append(c.brains, brain.New(settings, seed*1000+uint64(i)))
-		c.parts = append(c.parts, &peersPart{s: s, view: knowledge.NewView(10000), reports: knowledge.NewReports(10000), later: map[knowledge.Subject]struct{}{}})
-		c.telling = append(c.telling, knowledge.NewTelling())
+		c.parts = append(c.parts, &peersExtension{s: s, view: knowledge.NewView(10000), reports: knowledge.NewReports(10000), unlisted: map[knowledge.Subject]struct{}{}})
+		c.telling = append(c.telling, knowledge.NewChangeLog())
 		c.heard = append(c.heard, make([]uint64, c.senders))
 		c.brains[i].Step(start, []brain.Event{list})
 	}
@@ -94,7 +94,7 @@
 		for len(c.agenda) > 0 && c.agenda[0].at <= now {
 			q := heap.Pop(&c.agenda).(queued)
 			if facts, ok := q.e.([]knowledge.Fact); ok {
-				events[q.to] = append(events[q.to], c.parts[q.to].take(heardEvent{facts}, now)...)
+				events[q.to] = append(events[q.to], c.parts[q.to].handle(peerFacts{facts}, now)...)
 			} else {
 				events[q.to] = append(events[q.to], q.e.(brain.Event))
 			}
@@ -136,7 +136,7 @@
 func (c *cluster) tell(from int, now time.Duration) {
 	var all []knowledge.Fact
 	for _, k := range c.brains[from].Observations() {
-		all = append(all, facts(k, "", now)...)
+		all = append(all, factsFromLearnt(k, "", now)...)
 	}
 	c.telling[from].Update(all, now)
 	for to := range c.senders {
@@ -149,7 +149,7 @@
 			continue
 		}
 		for i := range news {
-			news[i].Source = knowledge.Source{Name: fmt.Sprint("n", from), Life: 1}
+			news[i].Source = knowledge.Source{Name: fmt.Sprint("n", from), Incarnation: 1}
 		}
 		c.facts += len(news)
 		c.put(now+travels, to, news)
--- a/internal/sender/config.go
+++ b/internal/sender/config.go
@@ -31,30 +31,30 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// clients is how many of the descriptors may be clients' connections.
-func (l Limits) clients() int { return max(1, l.Sockets/2) }
+// maxClients is how many of the descriptors may be clients' connections.
+func (l Limits) maxClients() int { return max(1, l.Sockets/2) }
 
-// idleClients is how many of those may be idle: clients hold a third of the descriptors at most, and those
+// maxIdleClients is how many of those may be idle: clients hold a third of the descriptors at most, and those
 // who wait for a connection must find some left of that.
-func (l Limits) idleClients() int { return max(1, l.Sockets/6) }
+func (l Limits) maxIdleClients() int { return max(1, l.Sockets/6) }
 
-// calls is how many may be connections to endpoints, in use or idle. The rest is for files, the listener
+// maxEndpointConns is how many may be connections to endpoints, in use or idle. The rest is for files, the listener
 // and discovery.
-func (l Limits) calls() int { return max(1, l.Sockets-l.clients()-min(24, l.Sockets/8)) }
+func (l Limits) maxEndpointConns() int { return max(1, l.Sockets-l.maxClients()-min(24, l.Sockets/8)) }
 
 // Config is what a sender is told at its start.
 type Config struct {
 	Name      string
 	Listen    string // where clients connect
 	Discovery string
-	State     string // the folder that outlasts the process
+	StateDir  string // the folder that outlasts the process
 	Seed      uint64
 	Limits    Limits
 	Known     Targets // the endpoint list as last had
 	Settings  brain.Settings
 
 	Classes, Tenants, Kinds, Zones []string // names, in the order of the settings
-	Fields                         []string // of load reports
+	ReportFields                   []string // of load reports
 	ConnectTimeout                 time.Duration
 
 	// What the operators' file turns on.
@@ -62,13 +62,13 @@
 	Recorder Recorder        // messages that are not delivered are kept; nil: they are not
 	Delivery *calls.Delivery // in which form messages go out; nil: all as in the platform's protocol
 
-	Peers      *peers.Config                         // other senders, who tell what they know; nil: none
-	Background bool                                  // work behind the messages asks of the sender: see Sender.Background
-	Work       func(filter work.Filter) (any, error) // what the command line is told of it, and what it wants done
-	WorkDo     func(work.Command) error
-	Fleet      Fleet      // what senders agree on; nil: nothing
-	Names      *Names     // names say where endpoints are, beside discovery; nil: discovery alone does
-	Knowledge  *Knowledge // what is known of receivers outlasts the process; nil: only their usual rates do
+	Peers       *peers.Config                         // other senders, who tell what they know; nil: none
+	Background  bool                                  // work behind the messages asks of the sender: see Sender.Background
+	Work        func(filter work.Filter) (any, error) // what the command line is told of it, and what it wants done
+	WorkCommand func(work.Command) error
+	Fleet       Fleet       // what senders agree on; nil: nothing
+	Names       *NameSource // names say where endpoints are, beside discovery; nil: discovery alone does
+	Knowledge   *Knowledge  // what is known of receivers outlasts the process; nil: only their usual rates do
 }
 
 // LoadConfig reads the file that EDGE_CONFIG names. The other variables win over what it says.
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	for name, field := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen,
-		"EDGE_DISCOVERY": &c.Discovery, "EDGE_STATE": &c.State} {
+		"EDGE_DISCOVERY": &c.Discovery, "EDGE_STATE": &c.StateDir} {
 		if v := getenv(name); v != "" {
 			*field = v
 		}
@@ -134,9 +134,9 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, State: file.State,
+	c := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, StateDir: file.State,
 		Limits: file.Limits, Known: file.Known, Settings: settings.Translate(env),
-		Kinds: env.List("models"), Zones: env.List("zones"), Fields: env.List("telemetry.fields"),
+		Kinds: env.List("models"), Zones: env.List("zones"), ReportFields: env.List("telemetry.fields"),
 		ConnectTimeout: settings.Span(env.Float("limits.connectTimeout"))}
 	for i := range env.Count("services") {
 		c.Classes = append(c.Classes, env.Text(fmt.Sprintf("services.%d.name", i)))
@@ -159,7 +159,7 @@
 	c.Settings.HibernateAfter = foldAfter
 	// The module foresees a shortage of slots; a call that finds no descriptor would fail for no fault of its
 	// endpoint's.
-	if most := c.Limits.calls(); c.Settings.Slots <= 0 || c.Settings.Slots > most {
+	if most := c.Limits.maxEndpointConns(); c.Settings.Slots <= 0 || c.Settings.Slots > most {
 		c.Settings.Slots = most
 	}
 	if c.Limits.DiskMB <= 0 {
@@ -171,14 +171,14 @@
 	return c, nil
 }
 
-// names are those by which endpoints are listed.
-func (c *Config) names() calls.Names { return calls.Names{Zones: c.Zones, Kinds: c.Kinds} }
+// endpointNames are those by which endpoints are listed.
+func (c *Config) endpointNames() calls.Names { return calls.Names{Zones: c.Zones, Kinds: c.Kinds} }
 
-// idleCalls is how many connections to endpoints may be idle: the descriptors are few.
-func (c *Config) idleCalls() int { return c.Limits.calls() - c.Settings.Slots }
+// maxIdleEndpointConns is how many connections to endpoints may be idle: the descriptors are few.
+func (c *Config) maxIdleEndpointConns() int { return c.Limits.maxEndpointConns() - c.Settings.Slots }
 
-// place is the place of a name in a list of the settings, or def if it is not there.
-func place(list []string, name string, def int) int {
+// indexOf is the place of a name in a list of the settings, or def if it is not there.
+func indexOf(list []string, name string, def int) int {
 	if i := slices.Index(list, name); i >= 0 {
 		return i
 	}
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -181,7 +181,7 @@
 	if !slices.Equal(sizes, []int{2, 3}) {
 		t.Errorf("calls of %v events", sizes)
 	}
-	for s.held > 0 {
+	for s.pending > 0 {
 		s.turn(context.Background(), st.Receive(t, s.events))
 	}
 }
@@ -190,16 +190,16 @@
 func (s *Sender) send2(t *testing.T, n int) {
 	t.Helper()
 	var at *calls.Endpoint
-	for _, e := range s.list.ByNumber {
+	for _, e := range s.endpoints.ByNumber {
 		at = e
 	}
 	for i := range n {
-		m, err := s.journal.put(record{ID: "m" + strconv.Itoa(i), Class: "safe", Tenant: "acme", Deadline: s.clock.now() + time.Minute, Body: []byte("x")})
+		m, err := s.journal.insert(record{ID: "m" + strconv.Itoa(i), Class: "safe", Tenant: "acme", Deadline: s.clock.now() + time.Minute, Body: []byte("x")})
 		if err != nil {
 			t.Fatal(err)
 		}
-		id := s.hold(m, nil, 0)
-		s.journal.note(m, record{Op: "send", Sent: &try{At: s.clock.now(), Endpoint: at.ID}})
+		id := s.register(m, nil, 0)
+		s.journal.update(m, record{Op: "send", Sent: &attemptRecord{At: s.clock.now(), Endpoint: at.ID}})
 		s.send(context.Background(), brain.Send{Message: id, Endpoint: at.Number, Timeout: 5 * time.Second}, true)
 	}
 	s.sendBatches(context.Background(), s.flush())
@@ -215,12 +215,12 @@
 	s.send2(t, 3)
 	e.Next(t)
 	s.byID["m1"].calls.cancel(0)
-	if end := st.Receive(t, s.events).(callEnd); end.message.ID != "m1" || end.Outcome != brain.Cancelled {
+	if end := st.Receive(t, s.events).(callResult); end.message.ID != "m1" || end.Outcome != brain.Cancelled {
 		t.Errorf("%+v", end)
 	}
 	how <- 200
 	for range 2 {
-		if end := st.Receive(t, s.events).(callEnd); end.Outcome != brain.Served {
+		if end := st.Receive(t, s.events).(callResult); end.Outcome != brain.Served {
 			t.Errorf("%+v", end)
 		}
 	}
@@ -268,7 +268,7 @@
 		}
 	}
 	for id, how := range ends {
-		if how != givenUp {
+		if how != outcomeGivenUp {
 			t.Errorf("%s: %s", id, how)
 		}
 	}
--- a/internal/sender/descriptors_test.go
+++ b/internal/sender/descriptors_test.go
@@ -16,7 +16,7 @@
 		if got := c.Settings.Slots; got != want {
 			t.Errorf("%d descriptors: %d slots, want %d", sockets, got, want)
 		}
-		if all := newServer(c, newClock(), slog.Default(), nil).most + c.idleCalls() + c.Settings.Slots; all >= sockets {
+		if all := newServer(c, newClock(), slog.Default(), nil).maxClients + c.maxIdleEndpointConns() + c.Settings.Slots; all >= sockets {
 			t.Errorf("%d descriptors: %d given out, none left for files", sockets, all)
 		}
 	}
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -18,15 +18,15 @@
 	// A change counts as told 6 s after discovery had it and could be reached. A watch that has fallen silent looks like one
 	// without news until its answer is overdue, so both are short: docs/design/ends.md has the sum. One that is renewed in time
 	// is no new call to discovery.
-	watchWait  = 2 * time.Second        // a watch call waits so long for news
-	answerTime = 2 * time.Second        // and an answer takes no longer than this besides: discovery gives up at 2 s itself
-	inVain     = time.Second            // a call that is refused after so long was worked on in vain
-	noticeSoon = 150 * time.Millisecond // notices are answered at once, or the connection says nothing any more
-	noticeTime = 500 * time.Millisecond // on a new one: it has to come up
-	backOff    = 100 * time.Millisecond // first pause after a failure; doubles
-	backOffTop = 2 * time.Second
-	noticeMost = 256     // notices in one call
-	maxList    = 8 << 20 // bytes of a list
+	longPollWait       = 2 * time.Second        // a watch call waits so long for news
+	answerTimeout      = 2 * time.Second        // and an answer takes no longer than this besides: discovery gives up at 2 s itself
+	overloadThreshold  = time.Second            // a call that is refused after so long was worked on in vain
+	firstNoticeTimeout = 150 * time.Millisecond // notices are answered at once, or the connection says nothing any more
+	noticeTimeout      = 500 * time.Millisecond // on a new one: it has to come up
+	minBackoff         = 100 * time.Millisecond // first pause after a failure; doubles
+	maxBackoff         = 2 * time.Second
+	maxNoticesPerCall  = 256     // notices in one call
+	maxListBytes       = 8 << 20 // bytes of a list
 )
 
 // Target is an endpoint as a source lists it, Targets is discovery's answer.
@@ -38,63 +38,63 @@
 // discovery speaks with the platform: the list and its changes, and notices. Where it listens may change
 // while calls are out.
 type discovery struct {
-	mu   sync.Mutex
-	now  *registry
-	dial func(ctx context.Context, network, addr string) (net.Conn, error) // in tests in virtual time another one
+	mu      sync.Mutex
+	current *registry
+	dial    func(ctx context.Context, network, addr string) (net.Conn, error) // in tests in virtual time another one
 }
 
-// errInVain is a failure for which discovery has worked: it has more calls than it can answer in time.
-var errInVain = errors.New("it has worked on the call in vain")
+// errOverloaded is a failure for which discovery has worked: it has more calls than it can answer in time.
+var errOverloaded = errors.New("it has worked on the call in vain")
 
 // registry is one address of discovery and the connections to it. left ends when discovery has moved away:
 // with it end the calls there and the pauses after failures of the old address.
 type registry struct {
-	addr    string
-	client  *http.Client // for the list
-	notices *http.Client // has no connection in common with that, of which only the watch finds out that it is silent
-	left    context.Context
-	leave   context.CancelFunc
+	addr      string
+	client    *http.Client // for the list
+	notices   *http.Client // has no connection in common with that, of which only the watch finds out that it is silent
+	moved     context.Context
+	markMoved context.CancelFunc
 }
 
 func newDiscovery(addr string) *discovery {
 	d := &discovery{dial: (&net.Dialer{}).DialContext}
-	d.now = d.at(addr)
+	d.current = d.newRegistry(addr)
 	return d
 }
 
-// at is the registry at an address, to which no connection is open yet.
-func (d *discovery) at(addr string) *registry {
+// newRegistry is the registry at an address, to which no connection is open yet.
+func (d *discovery) newRegistry(addr string) *registry {
 	client := func(kept int) *http.Client {
 		return &http.Client{
-			Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: kept, ResponseHeaderTimeout: watchWait + answerTime,
+			Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: kept, ResponseHeaderTimeout: longPollWait + answerTimeout,
 				DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) { return d.dial(ctx, network, addr) }},
 			CheckRedirect: func(*http.Request, []*http.Request) error {
 				return http.ErrUseLastResponse
 			}}
 	}
 	o := &registry{addr: addr, client: client(2), notices: client(1)}
-	o.left, o.leave = context.WithCancel(context.Background())
+	o.moved, o.markMoved = context.WithCancel(context.Background())
 	return o
 }
 
 func (d *discovery) registry() *registry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.now
+	return d.current
 }
 
 // move leaves the address for another one: the watch is begun anew there with the whole list, and notices
 // under way are sent again there. It reports whether the address is another.
 func (d *discovery) move(addr string) bool {
 	d.mu.Lock()
-	old := d.now
+	old := d.current
 	if old.addr == addr {
 		d.mu.Unlock()
 		return false
 	}
-	d.now = d.at(addr)
+	d.current = d.newRegistry(addr)
 	d.mu.Unlock()
-	old.leave()
+	old.markMoved()
 	old.closeIdle()
 	return true
 }
@@ -107,34 +107,34 @@
 // within gives a call there its context: it ends with ctx, after the limit, or when discovery moves.
 func (o *registry) within(ctx context.Context, limit time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
-	stop := context.AfterFunc(o.left, cancel)
+	stop := context.AfterFunc(o.moved, cancel)
 	return ctx, func() {
 		stop()
 		cancel()
-		if o.left.Err() != nil {
+		if o.moved.Err() != nil {
 			o.closeIdle() // the connection of a call that was just over
 		}
 	}
 }
 
-// pause waits after the n-th failure in a row, a little less or more each time, but not once discovery has
+// backoff waits after the n-th failure in a row, a little less or more each time, but not once discovery has
 // moved; false if ctx ended.
-func (o *registry) pause(ctx context.Context, n int) bool {
-	d := min(backOff<<min(n-1, 10), backOffTop)
+func (o *registry) backoff(ctx context.Context, n int) bool {
+	d := min(minBackoff<<min(n-1, 10), maxBackoff)
 	t := time.NewTimer(d/2 + rand.N(d/2+1))
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-o.left.Done():
+	case <-o.moved.Done():
 	case <-ctx.Done():
 	}
 	return ctx.Err() == nil
 }
 
-// list asks for the whole list, or after a version for what is newer, waiting so long for it.
-func (o *registry) list(ctx context.Context, after int64, wait time.Duration) (Targets, error) {
+// fetchList asks for the whole list, or after a version for what is newer, waiting so long for it.
+func (o *registry) fetchList(ctx context.Context, after int64, wait time.Duration) (Targets, error) {
 	var t Targets
-	url, limit := "http://"+o.addr+"/api/targets", answerTime
+	url, limit := "http://"+o.addr+"/api/targets", answerTimeout
 	if after >= 0 {
 		url += fmt.Sprintf("?after=%d&wait_ms=%d", after, wait.Milliseconds())
 		limit += wait
@@ -152,17 +152,17 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody))
+		io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes))
 		took := time.Since(began).Round(time.Millisecond)
-		if took >= inVain {
-			return t, fmt.Errorf("discovery answers %s after %v: %w", resp.Status, took, errInVain)
+		if took >= overloadThreshold {
+			return t, fmt.Errorf("discovery answers %s after %v: %w", resp.Status, took, errOverloaded)
 		}
 		return t, fmt.Errorf("discovery answers %s after %v", resp.Status, took)
 	}
-	if t, err = readTargets(io.LimitReader(resp.Body, maxList)); err != nil {
+	if t, err = decodeTargets(io.LimitReader(resp.Body, maxListBytes)); err != nil {
 		return t, fmt.Errorf("discovery's list: %w", err)
 	}
-	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)) // its end, so that the connection serves again
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes)) // its end, so that the connection serves again
 	return t, nil
 }
 
@@ -170,8 +170,8 @@
 // that was heard last. The next call goes out as soon as an answer is passed on: a gap would end the watch. The first call
 // waits for nothing, so that one that is never answered is found out the sooner.
 func (o *registry) watch(ctx context.Context, version int64, news func(Targets)) (int64, error) {
-	for wait := time.Duration(0); ; wait = watchWait {
-		t, err := o.list(ctx, version, wait)
+	for wait := time.Duration(0); ; wait = longPollWait {
+		t, err := o.fetchList(ctx, version, wait)
 		if err != nil {
 			return version, err
 		}
@@ -181,8 +181,8 @@
 			version = t.Version
 		}
 		news(t) // also what comes while discovery moves: it has been told
-		if o.left.Err() != nil {
-			return version, o.left.Err()
+		if o.moved.Err() != nil {
+			return version, o.moved.Err()
 		}
 	}
 }
@@ -203,13 +203,13 @@
 			o := d.registry()
 			var err error
 			version, err = o.watch(ctx, version, func(t Targets) {
-				t.Anew, t.Heard, heard = heard != nil && heard != o, o.addr, o
+				t.VersionsReset, t.Origin, heard = heard != nil && heard != o, o.addr, o
 				news(t)
 			})
 			if ctx.Err() != nil {
 				return
 			}
-			if moved = o.left.Err() != nil; moved {
+			if moved = o.moved.Err() != nil; moved {
 				version = -1
 			} else {
 				failed(err)
