--- a/internal/sender/ends.go
+++ b/internal/sender/ends.go
@@ -8,82 +8,82 @@
 	"saffronyard.example/saffronyard/internal/identity"
 )
 
-func (s *Sender) callEnded(e callEnd) brain.Event {
+func (s *Sender) handleCallResult(e callResult) brain.Event {
 	m := e.message
-	s.out--
+	s.inFlight--
 	e.Message, e.Attempt = m.number, e.attempt
-	e.Revoked = e.Outcome == brain.NotSent && (m.calls.recalled(e.attempt) || m.calls.against(e.attempt))
-	s.lookAgain(m, e)
-	m.calls.ended(e.attempt)
-	if s.c.Fleet != nil && e.LimitReported && e.Limit > 0 {
-		s.c.Fleet.Told(m.Dest, e.Limit)
+	e.Revoked = e.Outcome == brain.NotSent && (m.calls.recalled(e.attempt) || m.calls.rejectedByPolicy(e.attempt))
+	s.recheckPolicy(m, e)
+	m.calls.finish(e.attempt)
+	if s.config.Fleet != nil && e.LimitReported && e.Limit > 0 {
+		s.config.Fleet.Told(m.Dest, e.Limit)
 	}
 	s.traceEnd(m, e)
 	if e.Outcome == brain.TimedOut {
 		// Where a machine vanished or was cut off, the connections from before say nothing either, and are
 		// reset when it is back: each would cost a further call its time-out. Those used since may stay.
-		s.pool.CloseIdle(s.list.ByNumber[e.Endpoint], e.Elapsed)
+		s.pool.CloseIdle(s.endpoints.ByNumber[e.Endpoint], e.Elapsed)
 	}
-	if e.gone {
-		at := s.list.ByNumber[e.Endpoint]
-		if news, changed := s.list.Retire(at, s.pool); changed {
+	if e.draining {
+		at := s.endpoints.ByNumber[e.Endpoint]
+		if news, changed := s.endpoints.Retire(at, s.pool); changed {
 			s.log.Info("an endpoint wants no more calls", "endpoint", at.ID)
-			s.withdrawn = append(s.withdrawn, news) // with this call's end, or the next would go there
+			s.deferredEvents = append(s.deferredEvents, news) // with this call's end, or the next would go there
 		}
 	}
 	if !m.ended {
 		switch {
 		case e.Outcome == brain.Served:
-			s.ends.end(m, s.clock.now(), identity.Delivered, 0)
-			if s.atTheEnd(m) {
-				s.end(m, record{How: givenUp})
-				s.owed = append(s.owed, m.notice())
+			s.eventDedup.recordEnd(m, s.clock.now(), identity.Delivered, 0)
+			if s.mayHaveExpired(m) {
+				s.recordEnd(m, record{Outcome: outcomeGivenUp})
+				s.pendingNotices = append(s.pendingNotices, m.notice())
 			} else {
-				s.end(m, s.overAs(m, delivered))
+				s.recordEnd(m, s.endRecord(m, outcomeDelivered))
 			}
 		case e.Final:
-			s.ends.end(m, s.clock.now(), identity.Failed, 0)
-			s.end(m, s.overAs(m, answered))
+			s.eventDedup.recordEnd(m, s.clock.now(), identity.Failed, 0)
+			s.recordEnd(m, s.endRecord(m, outcomeAnswered))
 		default:
 			never := e.Outcome == brain.Rejected || e.Outcome == brain.ConnectFailed || e.Outcome == brain.NotSent
-			rec := record{Op: "end", Try: m.base + e.attempt, Never: never, Recalled: e.Revoked}
-			if s.records != nil {
-				rec.Out = string(outcomeOf(e.Outcome))
+			rec := record{Op: "end", Attempt: m.earlierAttempts + e.attempt, NeverRan: never, Recalled: e.Revoked}
+			if s.recorder != nil {
+				rec.AttemptOutcome = string(outcomeOf(e.Outcome))
 			}
-			s.journal.note(m.stored, rec)
+			s.journal.update(m.storedMessage, rec)
 		}
 	}
-	s.waits(m, !m.ended && len(m.calls) == 0)
+	s.setWaiting(m, !m.ended && len(m.calls) == 0)
 	s.forget(m)
 	return e.AttemptResult
 }
 
-// endMargin is how much earlier a message's time may be up for others than it is here, where it counts from when its request had
+// deadlineMargin is how much earlier a message's time may be up for others than it is here, where it counts from when its request had
 // been read: the slack of the protocol's time limits.
-const endMargin = 50 * time.Millisecond
+const deadlineMargin = 50 * time.Millisecond
 
-// atTheEnd reports whether a message that is answered now may have been out of time before: then it counts as not delivered, and
+// mayHaveExpired reports whether a message that is answered now may have been out of time before: then it counts as not delivered, and
 // without a notice as lost. A notice of one that was delivered does no harm.
-func (s *Sender) atTheEnd(m *message) bool {
-	return m.answer == nil && m.Life == 0 && s.clock.now() >= m.Deadline-endMargin
+func (s *Sender) mayHaveExpired(m *message) bool {
+	return m.reply == nil && m.Incarnation == 0 && s.clock.now() >= m.Deadline-deadlineMargin
 }
 
-// overAs is the end of a message that is not given up: of one that went again the recorder hears that, too.
-func (s *Sender) overAs(m *message, how string) record {
-	rec := record{How: how}
-	if m.Life > 0 && s.wants(m, how) {
-		rec.Keep, rec.At = true, s.clock.now()
+// endRecord is the end of a message that is not given up: of one that went again the recorder hears that, too.
+func (s *Sender) endRecord(m *message, how string) record {
+	rec := record{Outcome: how}
+	if m.Incarnation > 0 && s.shouldRecord(m, how) {
+		rec.AwaitsRecorder, rec.At = true, s.clock.now()
 	}
 	return rec
 }
 
-// end writes down that a message is over. A client that still waits hears it from the caller.
-func (s *Sender) end(m *message, rec record) {
+// recordEnd writes down that a message is over. A client that still waits hears it from the caller.
+func (s *Sender) recordEnd(m *message, rec record) {
 	rec.Op = "over"
-	s.journal.note(m.stored, rec)
+	s.journal.update(m.storedMessage, rec)
 	m.ended = true
-	s.held--
-	s.waits(m, false)
+	s.pending--
+	s.setWaiting(m, false)
 }
 
 func (s *Sender) forget(m *message) {
@@ -95,66 +95,66 @@
 	}
 }
 
-// close ends a message as the Brain has it: in the answer to its client, or where that has been told
+// finish ends a message as the Brain has it: in the answer to its client, or where that has been told
 // that the message is taken on, by a notice; either way at once.
-func (s *Sender) close(id brain.MessageID, how string, status int, hold time.Duration) {
+func (s *Sender) finish(id brain.MessageID, how string, status int, hold time.Duration) {
 	m := s.messages[id]
 	if m == nil || m.ended {
 		return
 	}
-	taken := m.answer == nil
-	s.trace(how, m.ID, slog.Int("tries", m.made()), slog.Duration("hold", hold))
+	taken := m.reply == nil
+	s.trace(how, m.ID, slog.Int("tries", m.attemptsMade()), slog.Duration("hold", hold))
 	switch {
-	case how == givenUp:
-		s.ends.end(m, s.clock.now(), identity.Failed, 0)
+	case how == outcomeGivenUp:
+		s.eventDedup.recordEnd(m, s.clock.now(), identity.Failed, 0)
 	case taken:
-		s.ends.end(m, s.clock.now(), identity.HandedBack, hold)
+		s.eventDedup.recordEnd(m, s.clock.now(), identity.HandedBack, hold)
 	default: // refused in its answer: it was never taken on
-		s.ends.dropped(m)
+		s.eventDedup.forget(m)
 	}
 	if !taken { // it hears once this is written down
-		for _, to := range append(m.also, m.answer) {
-			s.answers = append(s.answers, owedAnswer{to, answerLine{status: status, retry: hold, text: how}})
+		for _, to := range append(m.alsoWaiting, m.reply) {
+			s.pendingAnswers = append(s.pendingAnswers, pendingAnswer{to, response{status: status, retryAfter: hold, text: how}})
 		}
-		m.answer, m.also = nil, nil
-		rec := record{How: answered}
-		if how == givenUp && s.wants(m, answered) { // refused in its answer it was never taken on, and is its client's
-			rec.Keep, rec.At = true, s.clock.now()
+		m.reply, m.alsoWaiting = nil, nil
+		rec := record{Outcome: outcomeAnswered}
+		if how == outcomeGivenUp && s.shouldRecord(m, outcomeAnswered) { // refused in its answer it was never taken on, and is its client's
+			rec.AwaitsRecorder, rec.At = true, s.clock.now()
 		}
-		s.end(m, rec)
+		s.recordEnd(m, rec)
 	} else {
-		rec := record{How: how, RetryMS: hold.Milliseconds(), Told: m.Life > 0} // of one that went again nobody waits to hear
-		if s.wants(m, how) {
-			rec.Keep, rec.At = true, s.clock.now()
+		rec := record{Outcome: how, RetryAfterMS: hold.Milliseconds(), Notified: m.Incarnation > 0} // of one that went again nobody waits to hear
+		if s.shouldRecord(m, how) {
+			rec.AwaitsRecorder, rec.At = true, s.clock.now()
 		}
-		s.end(m, rec)
-		if m.Life == 0 {
-			s.owed = append(s.owed, m.notice())
+		s.recordEnd(m, rec)
+		if m.Incarnation == 0 {
+			s.pendingNotices = append(s.pendingNotices, m.notice())
 		}
 	}
 	s.forget(m)
 }
 
-func (m *stored) notice() notice {
-	n := notice{Message: m.ID, Outcome: m.how}
-	if m.how == handedBack && m.retry > 0 {
-		n.RetryMS = &m.retry
+func (m *storedMessage) notice() notice {
+	n := notice{Message: m.ID, Outcome: m.outcome}
+	if m.outcome == outcomeHandedBack && m.retryAfterMS > 0 {
+		n.RetryMS = &m.retryAfterMS
 	}
 	return n
 }
 
-// tell passes on the notices owed, one batch at a time.
-func (s *Sender) tell() {
-	if !s.telling && len(s.owed) > 0 {
-		s.telling = true
-		s.notices <- s.owed[:min(len(s.owed), noticeMost)]
+// sendNotices passes on the notices owed, one batch at a time.
+func (s *Sender) sendNotices() {
+	if !s.noticesInFlight && len(s.pendingNotices) > 0 {
+		s.noticesInFlight = true
+		s.notices <- s.pendingNotices[:min(len(s.pendingNotices), maxNoticesPerCall)]
 	}
 }
 
-// callEnd is how a call ended.
-type callEnd struct {
+// callResult is how a call ended.
+type callResult struct {
 	message *message
 	attempt int
 	brain.AttemptResult
-	gone bool // the endpoint wants no more calls
+	draining bool // the endpoint wants no more calls
 }
--- a/internal/sender/events_test.go
+++ b/internal/sender/events_test.go
@@ -26,7 +26,7 @@
 
 // takesEvents turns events on: the type names the class, the subject the destination.
 func takesEvents(c *Config) {
-	c.Events = &Events{BatchEvents: 10, BatchBytes: 256 << 10, Remember: time.Minute, RememberMost: 1000,
+	c.Events = &Events{MaxBatchEvents: 10, MaxBatchBytes: 256 << 10, Retention: time.Minute, MaxRemembered: 1000,
 		Rules: mapping.Rules{Deadline: 9 * time.Second, List: []mapping.Rule{
 			{Name: "asks", Type: "ask.order", Subject: "{dest}", Class: "safe", Tenant: "acme", Destination: "{dest}", Order: "o"},
 			{Name: "key", Type: "ask.key", Subject: "{dest}", Class: "unsafe", Tenant: "acme", Destination: "{dest}", Key: "{id}"},
@@ -85,7 +85,7 @@
 	if resp, text := post(t, addr, oneEvent, eventJSON("1", "safe", "")); resp.StatusCode != http.StatusNotFound || text != "there is nothing here\n" {
 		t.Errorf("%s %q", resp.Status, text)
 	}
-	if resp, _ := post(t, addr, oneEvent, strings.Repeat("x", maxBody+1)); resp.StatusCode != http.StatusRequestEntityTooLarge {
+	if resp, _ := post(t, addr, oneEvent, strings.Repeat("x", maxBodyBytes+1)); resp.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("%s", resp.Status)
 	}
 }
@@ -138,7 +138,7 @@
 		"version":          {oneEvent, `{"specversion":"0.3","id":"1","source":"/s","type":"safe"}`, 400, `specversion is "0.3"`},
 		"no source":        {oneEvent, `{"specversion":"1.0","id":"1","type":"safe"}`, 400, "source is missing"},
 		"id twice":         {oneEvent, eventJSON("1", "safe", `,"id":"2"`), 400, "more than once"},
-		"too long":         {oneEvent, eventJSON("1", "safe", `,"data":"`+strings.Repeat("x", maxBody)+`"`), 413, "65536 bytes"},
+		"too long":         {oneEvent, eventJSON("1", "safe", `,"data":"`+strings.Repeat("x", maxBodyBytes)+`"`), 413, "65536 bytes"},
 		"no rule":          {oneEvent, `{"specversion":"1.0","id":"1","source":"/s","type":"safe"}`, 422, "no rule fits"},
 		"no class":         {oneEvent, eventJSON("1", "other", ""), 422, `class "other"`},
 		"no destination":   {oneEvent, strings.Replace(eventJSON("1", "safe", ""), `"subject":"0"`, `"subject":"9"`, 1), 422, "destination 9 does not exist"},
@@ -285,13 +285,13 @@
 	e := st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, takesEvents)
-	if resp, text := post(t, addr, oneEvent, eventJSON("1", "safe", `,"expirytime":"2020-01-01T00:00:00Z"`)); resp.StatusCode != 500 || text != givenUp+"\n" {
+	if resp, text := post(t, addr, oneEvent, eventJSON("1", "safe", `,"expirytime":"2020-01-01T00:00:00Z"`)); resp.StatusCode != 500 || text != outcomeGivenUp+"\n" {
 		t.Errorf("%s %q", resp.Status, text)
 	}
 	handEvent(t, addr, "long", "safe", 202)
 	at := time.Now().Add(400 * time.Millisecond).Format(time.RFC3339Nano)
 	resp, _ := post(t, addr, oneEvent, eventJSON("2", "safe", `,"expirytime":"`+at+`"`))
-	if n := st.Receive(t, p.Notices); n.Message != resp.Header.Get("X-Request-Id") || n.Outcome != givenUp || resp.StatusCode != 202 {
+	if n := st.Receive(t, p.Notices); n.Message != resp.Header.Get("X-Request-Id") || n.Outcome != outcomeGivenUp || resp.StatusCode != 202 {
 		t.Errorf("%s, %+v", resp.Status, n)
 	}
 }
@@ -313,10 +313,10 @@
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, takesEvents)
 	id := handEvent(t, addr, "1", "unsafe", 202).Header.Get("X-Request-Id")
-	if n := st.Receive(t, p.Notices); n.Message != id || n.Outcome != givenUp {
+	if n := st.Receive(t, p.Notices); n.Message != id || n.Outcome != outcomeGivenUp {
 		t.Fatalf("%+v", n)
 	}
-	if resp, text := post(t, addr, oneEvent, eventJSON("1", "unsafe", `,"data":{"n":1}`)); resp.StatusCode != 500 || text != givenUp+"\n" {
+	if resp, text := post(t, addr, oneEvent, eventJSON("1", "unsafe", `,"data":{"n":1}`)); resp.StatusCode != 500 || text != outcomeGivenUp+"\n" {
 		t.Errorf("%s %q", resp.Status, text)
 	}
 	if len(e.Calls) != 1 {
@@ -325,21 +325,21 @@
 }
 
 // byHand is a sender whose loop the test turns itself, and a way to hand in an event, with its answer.
-func byHand(t *testing.T, answer func(st.Call, net.Conn) bool, edit func(*Config)) (s *Sender, e *st.Endpoint, hand func(body string) answerLine) {
+func byHand(t *testing.T, answer func(st.Call, net.Conn) bool, edit func(*Config)) (s *Sender, e *st.Endpoint, hand func(body string) response) {
 	t.Helper()
 	e = st.NewEndpoint(t, answer)
 	s = newTest(t, st.NewPlatform(t, e.Addr), edit)
 	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(func() { s.leave(cancel) })
-	s.step(ctx, s.listsAtStart())
-	front := &eventsFront{s.c, s.clock, s.c.Events}
-	return s, e, func(body string) answerLine {
+	t.Cleanup(func() { s.shutdown(cancel) })
+	s.step(ctx, s.initialListEvents())
+	front := &eventIngress{s.config, s.clock, s.config.Events}
+	return s, e, func(body string) response {
 		t.Helper()
-		h, err := front.begin(mustRequest(t, oneEvent))
+		h, err := front.readHead(mustRequest(t, oneEvent))
 		if err != nil {
 			t.Fatal(err)
 		}
-		subs, err := h.take([]byte(body), s.clock.now())
+		subs, err := h.submissions([]byte(body), s.clock.now())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -355,29 +355,29 @@
 	const hold = 300 * time.Millisecond
 	body := eventJSON("1", "safe", "")
 	first := hand(body)
-	m := s.byID[first.id]
+	m := s.byID[first.messageID]
 	if first.status != 202 || m == nil {
 		t.Fatalf("%+v", first)
 	}
-	s.close(m.number, handedBack, 503, hold)
+	s.finish(m.number, outcomeHandedBack, 503, hold)
 	s.flush()
-	if a := hand(body); a.status != 503 || a.text != handedBack || a.retry <= 0 || a.retry > hold {
+	if a := hand(body); a.status != 503 || a.text != outcomeHandedBack || a.retryAfter <= 0 || a.retryAfter > hold {
 		t.Errorf("%+v", a)
 	}
 	if a := hand(eventJSON("1", "safe", `,"data":1`)); a.status != 409 {
 		t.Errorf("with another body: %+v", a)
 	}
-	var again answerLine
+	var again response
 	until(t, func() bool { again = hand(body); return again.status == 202 })
-	if again.id == first.id {
+	if again.messageID == first.messageID {
 		t.Error("the message that was handed back lives on")
 	}
-	if a := hand(body); a.status != 202 || a.id != again.id {
+	if a := hand(body); a.status != 202 || a.messageID != again.messageID {
 		t.Errorf("the new try's repeat: %+v", a)
 	}
-	s.close(s.byID[again.id].number, givenUp, 500, 0)
+	s.finish(s.byID[again.messageID].number, outcomeGivenUp, 500, 0)
 	s.flush()
-	if a := hand(body); a.status != 500 || a.text != givenUp {
+	if a := hand(body); a.status != 500 || a.text != outcomeGivenUp {
 		t.Errorf("the end of the new try is not the one that counts: %+v", a)
 	}
 }
@@ -387,8 +387,8 @@
 	t.Parallel()
 	s, _, hand := byHand(t, st.Silent, takesEvents)
 	first := hand(eventJSON("1", "unsafe", ""))
-	s.quitting = true
-	if a := hand(eventJSON("1", "unsafe", "")); a.status != 202 || a.id != first.id {
+	s.stopping = true
+	if a := hand(eventJSON("1", "unsafe", "")); a.status != 202 || a.messageID != first.messageID {
 		t.Errorf("%+v", a)
 	}
 	if a := hand(eventJSON("2", "unsafe", "")); a.status != 503 {
@@ -403,18 +403,18 @@
 		e := st.NewEndpoint(t, st.Status(200))
 		s := newTest(t, st.NewPlatform(t, e.Addr), takesEvents)
 		ctx, cancel := context.WithCancel(context.Background())
-		s.step(ctx, s.listsAtStart())
+		s.step(ctx, s.initialListEvents())
 		if fails {
 			s.journal.file = &failingFile{s.journal.file}
 		}
-		front := &eventsFront{s.c, s.clock, s.c.Events}
+		front := &eventIngress{s.config, s.clock, s.config.Events}
 		var all []submission
 		for range 2 {
-			h, err := front.begin(mustRequest(t, oneEvent))
+			h, err := front.readHead(mustRequest(t, oneEvent))
 			if err != nil {
 				t.Fatal(err)
 			}
-			subs, err := h.take([]byte(eventJSON("1", "safe", "")), s.clock.now())
+			subs, err := h.submissions([]byte(eventJSON("1", "safe", "")), s.clock.now())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -431,11 +431,11 @@
 				t.Errorf("%s: hand-in %d is answered %+v", name, i, a)
 			}
 		}
-		if held, ends := len(s.ends.held), s.ends.table.Held(); fails && held+ends != 0 || !fails && held+ends != 2 {
+		if held, ends := len(s.eventDedup.pending), s.eventDedup.table.Reserved(); fails && held+ends != 0 || !fails && held+ends != 2 {
 			t.Errorf("%s: %d held, room for %d", name, held, ends)
 		}
 		cancel()
-		s.leave(cancel)
+		s.shutdown(cancel)
 	}
 }
 
@@ -459,7 +459,7 @@
 	batch := `[` + strings.Join([]string{eventJSON("a", "keyed", ""), `{"id":"b"}`, eventJSON("before", "keyed", `,"data":{"n":1}`),
 		eventJSON("c", "ask.order", ""), eventJSON("a", "keyed", ""), eventJSON("a", "keyed", `,"data":1`), `7`, eventJSON("d", "safe", "")}, ",") + `]`
 	resp, text := post(t, addr, someJSON, batch)
-	var got []eventAnswer
+	var got []eventResult
 	if err := json.Unmarshal([]byte(text), &got); err != nil || resp.Header.Get("Content-Type") != "application/json" {
 		t.Fatalf("%s %s: %v", resp.Status, text, err)
 	}
@@ -500,9 +500,9 @@
 		want int
 	}{{nil, 200}, {[]int{200, 200}, 200}, {[]int{200, 202}, 202}, {[]int{202, 200}, 202}, {[]int{202, 400, 200}, 400}, {[]int{400, 503, 500}, 503},
 		{[]int{500, 202, 409}, 500}, {[]int{422, 400}, 422}, {[]int{202, 503}, 503}} {
-		var all []eventAnswer
+		var all []eventResult
 		for _, s := range c.all {
-			all = append(all, eventAnswer{Status: s})
+			all = append(all, eventResult{Status: s})
 		}
 		if got := batchStatus(all); got != c.want {
 			t.Errorf("%v: %d, want %d", c.all, got, c.want)
@@ -526,9 +526,9 @@
 	for i := range 5 {
 		all = append(all, eventJSON(strconv.Itoa(i), "keyed", `,"data":"`+data+`"`))
 	}
-	answer := func() (int, []eventAnswer) {
+	answer := func() (int, []eventResult) {
 		resp, text := post(t, addr, someJSON, `[`+strings.Join(all, ",")+`]`)
-		var got []eventAnswer
+		var got []eventResult
 		if err := json.Unmarshal([]byte(text), &got); err != nil || len(got) != len(all) {
 			t.Fatalf("%s %s: %v", resp.Status, text, err)
 		}
@@ -539,8 +539,8 @@
 	for i, a := range first {
 		switch {
 		case a.Status == 202:
-			taken[strconv.Itoa(i)] = a.As
-		case a.Status != 503 || a.Retry <= 0 || !strings.Contains(a.Text, "room"):
+			taken[strconv.Itoa(i)] = a.MessageID
+		case a.Status != 503 || a.RetryAfterMS <= 0 || !strings.Contains(a.Text, "room"):
 			t.Errorf("event %d: %+v", i, a)
 		}
 	}
@@ -549,7 +549,7 @@
 	}
 	_, again := answer()
 	for i, a := range again {
-		if id := taken[strconv.Itoa(i)]; id != "" && (a.Status != 202 || a.As != id) {
+		if id := taken[strconv.Itoa(i)]; id != "" && (a.Status != 202 || a.MessageID != id) {
 			t.Errorf("event %d again: %+v, was %s", i, a, id)
 		}
 	}
@@ -562,7 +562,7 @@
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) {
 		takesEvents(c)
-		c.Events.RememberMost = 3
+		c.Events.MaxRemembered = 3
 	})
 	for i := range 3 {
 		handEvent(t, addr, strconv.Itoa(i), "safe", 202)
@@ -603,7 +603,7 @@
 	begin := func() (addr string, stop func()) {
 		s := newTest(t, p, func(c *Config) {
 			takesEvents(c)
-			c.State = state
+			c.StateDir = state
 		})
 		return serving(t, s)
 	}
@@ -642,7 +642,7 @@
 	if c := e.Next(t); c.Key != key || c.Header.Get("Ce-Id") != "held" || c.Body != `{"n":1}` || c.ID != held {
 		t.Errorf("%+v", c)
 	}
-	if n := st.Receive(t, p.Notices); n.Outcome != givenUp {
+	if n := st.Receive(t, p.Notices); n.Outcome != outcomeGivenUp {
 		t.Errorf("%+v", n)
 	}
 	if len(e.Calls) != 0 {
@@ -681,7 +681,7 @@
 }
 
 func (f *loggedJournal) Write(b []byte) (int, error) {
-	f.log.add(diskOp{journalName, f.size, append([]byte(nil), b...)})
+	f.log.add(diskOp{journalFileName, f.size, append([]byte(nil), b...)})
 	f.size += int64(len(b))
 	return f.journalFile.Write(b)
 }
@@ -692,7 +692,7 @@
 }
 
 func (d *loggedDisk) WriteAt(b []byte, at int64) (int, error) {
-	d.log.add(diskOp{eventsName, at, append([]byte(nil), b...)})
+	d.log.add(diskOp{eventsFileName, at, append([]byte(nil), b...)})
 	return d.Disk.WriteAt(b, at)
 }
 
@@ -745,16 +745,16 @@
 	e := st.NewEndpoint(t, st.Status(200))
 	s := newTest(t, st.NewPlatform(t, e.Addr), longLived)
 	s.journal.file = &loggedJournal{s.journal.file, log, s.journal.size}
-	s.ends.file.Use(func(d identity.Disk) identity.Disk { return &loggedDisk{d, log} })
+	s.eventDedup.file.WrapDisk(func(d identity.Disk) identity.Disk { return &loggedDisk{d, log} })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s.step(ctx, s.listsAtStart())
-	front := &eventsFront{s.c, s.clock, s.c.Events}
-	h, err := front.begin(mustRequest(t, contentType))
+	s.step(ctx, s.initialListEvents())
+	front := &eventIngress{s.config, s.clock, s.config.Events}
+	h, err := front.readHead(mustRequest(t, contentType))
 	if err != nil {
 		t.Fatal(err)
 	}
-	subs, err := h.take([]byte(body), s.clock.now())
+	subs, err := h.submissions([]byte(body), s.clock.now())
 	if err != nil || len(subs) != n {
 		t.Fatalf("%d submissions, %v", len(subs), err)
 	}
@@ -764,13 +764,13 @@
 			t.Fatalf("%+v", a)
 		}
 	}
-	for s.held > 0 {
+	for s.pending > 0 {
 		s.turn(ctx, st.Receive(t, s.events))
 	}
 	if len(e.Calls) != n || len(log.ops) < n+2 { // what ends in one turn is written in one
 		t.Fatalf("%d calls, %d writes", len(e.Calls), len(log.ops))
 	}
-	s.leave(cancel)
+	s.shutdown(cancel)
 	return log
 }
 
@@ -802,10 +802,10 @@
 	seen := map[string]bool{}   // keys that the receiver remembers
 	if ran {                    // what may have reached it before the kill did
 		held := map[string]record{}
-		for line := range strings.SplitSeq(string(files[journalName]), "\n") {
+		for line := range strings.SplitSeq(string(files[journalFileName]), "\n") {
 			var rec record
 			switch {
-			case !decode([]byte(line+"\n"), &rec): // torn: its call was not made yet
+			case !decodeLine([]byte(line+"\n"), &rec): // torn: its call was not made yet
 			case rec.Op == "take":
 				held[rec.ID] = rec
 			case rec.Op == "send":
@@ -815,14 +815,14 @@
 		}
 	}
 	before := len(effects)
-	if !ran && (len(files[eventsName]) > 0 || strings.Contains(string(files[journalName]), `"op":"over"`)) {
+	if !ran && (len(files[eventsFileName]) > 0 || strings.Contains(string(files[journalFileName]), `"op":"over"`)) {
 		return // something came to its end, so its call had run
 	}
 	e := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, func(c *Config) {
 		longLived(c)
-		c.State = state
+		c.StateDir = state
 	})
 	// The client hands in again until it knows how each event ended.
 	status := make([]int, n)
@@ -831,7 +831,7 @@
 		if n == 1 {
 			status[0] = resp.StatusCode
 		} else {
-			var all []eventAnswer
+			var all []eventResult
 			if err := json.Unmarshal([]byte(text), &all); err != nil || len(all) != n {
 				t.Fatalf("%s %s: %v", resp.Status, text, err)
 			}
@@ -878,8 +878,8 @@
 	c := &Config{Classes: []string{"safe", "keyed"}, Tenants: []string{"acme"}, Settings: brain.Settings{Classes: []brain.Class{{}, {Idempotency: brain.IdempotentByKey}}}}
 	takesEvents(c)
 	c.Events.Rules.List = c.Events.Rules.List[3:]
-	s := &server{c: c, clock: newClock()}
-	s.paths = s.fronts()
+	s := &server{config: c, clock: newClock()}
+	s.ingressByPath = s.ingresses()
 	data := strings.Repeat("x", 400)
 	for name, text := range map[string]string{
 		"plain": head("id", "Content-Length: 400\r\n") + data,
@@ -897,7 +897,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				h, err := s.paths[r.URL.Path].begin(r)
+				h, err := s.ingressByPath[r.URL.Path].readHead(r)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -905,7 +905,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if _, err := h.take(body, s.clock.now()); err != nil {
+				if _, err := h.submissions(body, s.clock.now()); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -917,14 +917,14 @@
 // as that was.
 func TestEventUnderAFailedMessagesID(t *testing.T) {
 	s := newTest(t, st.NewPlatform(t), takesEvents)
-	m, err := s.journal.put(record{ID: "m", Class: "keyed", Key: "k", Deadline: time.Hour})
+	m, err := s.journal.insert(record{ID: "m", Class: "keyed", Key: "k", Deadline: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.how = answered
-	for want, id := range map[int]*ident{http.StatusConflict: {key: identity.Key{1}}, http.StatusInternalServerError: nil} {
-		answer := make(chan answerLine, 1)
-		if e := s.submitted(submission{record: record{ID: "m", Ident: id}, answer: answer}); e != nil {
+	m.outcome = outcomeAnswered
+	for want, id := range map[int]*eventIdentity{http.StatusConflict: {key: identity.Key{1}}, http.StatusInternalServerError: nil} {
+		answer := make(chan response, 1)
+		if e := s.submit(submission{record: record{ID: "m", Identity: id}, answer: answer}); e != nil {
 			t.Errorf("the module is told %+v", e)
 		}
 		if got := st.Receive(t, answer); got.status != want {
--- a/internal/sender/eventsfront.go
+++ b/internal/sender/eventsfront.go
@@ -20,11 +20,11 @@
 
 // Events is how events are taken in.
 type Events struct {
-	Rules        mapping.Rules
-	BatchEvents  int           // events in a batch, at most
-	BatchBytes   int           // bytes of a batch, at most
-	Remember     time.Duration // the end of an event is remembered so long
-	RememberMost int           // ends and held events together, at most
+	Rules          mapping.Rules
+	MaxBatchEvents int           // events in a batch, at most
+	MaxBatchBytes  int           // bytes of a batch, at most
+	Retention      time.Duration // the end of an event is remembered so long
+	MaxRemembered  int           // ends and held events together, at most
 }
 
 // CheckRules finds a rule that names a class or tenant which the settings lack. Names that are filled in are looked up
@@ -34,7 +34,7 @@
 		return nil
 	}
 	known := func(list []string, name string) bool {
-		return name == "" || len(list) == 0 || place(list, name, -1) >= 0 || containsBrace(name)
+		return name == "" || len(list) == 0 || indexOf(list, name, -1) >= 0 || containsBrace(name)
 	}
 	r := &c.Events.Rules
 	for i, rule := range r.List {
@@ -57,54 +57,54 @@
 	return false
 }
 
-// eventsFront takes in CloudEvents in all three content modes of the HTTP binding.
-type eventsFront struct {
-	c     *Config
-	clock clock
-	e     *Events
+// eventIngress takes in CloudEvents in all three content modes of the HTTP binding.
+type eventIngress struct {
+	config *Config
+	clock  clock
+	events *Events
 }
 
-func (f *eventsFront) most() int64 { return int64(max(f.e.BatchBytes, maxBody)) }
+func (f *eventIngress) maxBody() int64 { return int64(max(f.events.MaxBatchBytes, maxBodyBytes)) }
 
-func (f *eventsFront) begin(r *http.Request) (handIn, error) {
+func (f *eventIngress) readHead(r *http.Request) (ingressRequest, error) {
 	if !r.ProtoAtLeast(1, 1) {
-		return nil, &refusal{http.StatusHTTPVersionNotSupported, "events are handed in with HTTP/1.1"}
+		return nil, &requestError{http.StatusHTTPVersionNotSupported, "events are handed in with HTTP/1.1"}
 	}
 	if r.Header.Get("Content-Length") == "" {
-		return nil, &refusal{http.StatusLengthRequired, "Content-Length is missing"}
+		return nil, &requestError{http.StatusLengthRequired, "Content-Length is missing"}
 	}
 	mode, err := cloudevents.ModeOf(r.Header)
 	if err != nil {
-		return nil, faulty(err)
+		return nil, eventError(err)
 	}
-	if mode != cloudevents.BatchedMode && r.ContentLength > maxBody {
-		return nil, &refusal{http.StatusRequestEntityTooLarge, fmt.Sprintf("the event is over %d bytes", maxBody)}
+	if mode != cloudevents.BatchedMode && r.ContentLength > maxBodyBytes {
+		return nil, &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("the event is over %d bytes", maxBodyBytes)}
 	}
 	// What a binary event's head says is known before its body: one that can't be right is answered without it.
 	var event *cloudevents.Event
 	if mode == cloudevents.BinaryMode {
 		if event, err = cloudevents.BinaryHead(r.Header); err != nil {
-			return nil, faulty(err)
+			return nil, eventError(err)
 		}
 	}
-	id, err := name(r, "X-Request-Id")
+	id, err := headerName(r, "X-Request-Id")
 	if err != nil {
 		return nil, err
 	}
-	if mode == cloudevents.BatchedMode && len(id) > maxName-idTail {
-		return nil, bad("X-Request-Id is longer than %d bytes, and a batch's messages get theirs from it", maxName-idTail)
+	if mode == cloudevents.BatchedMode && len(id) > maxNameBytes-batchIDSuffixBytes {
+		return nil, badRequest("X-Request-Id is longer than %d bytes, and a batch's messages get theirs from it", maxNameBytes-batchIDSuffixBytes)
 	}
-	return &eventsHandIn{f: f, mode: mode, event: event, id: id}, nil
+	return &eventRequest{ingress: f, mode: mode, event: event, id: id}, nil
 }
 
-// idTail is the bytes that the place in a batch may add to an id.
-const idTail = 8
+// batchIDSuffixBytes is the bytes that the place in a batch may add to an id.
+const batchIDSuffixBytes = 8
 
-// faulty is the answer to a request that holds no sound event.
-func faulty(err error) error {
+// eventError is the answer to a request that holds no sound event.
+func eventError(err error) error {
 	var f *cloudevents.Fault
 	if !errors.As(err, &f) {
-		return bad("%v", err)
+		return badRequest("%v", err)
 	}
 	status := http.StatusBadRequest
 	switch f.Kind {
@@ -113,31 +113,31 @@
 	case cloudevents.TooMany, cloudevents.TooLarge:
 		status = http.StatusRequestEntityTooLarge
 	}
-	return &refusal{status, f.Text}
+	return &requestError{status, f.Text}
 }
 
-// eventsHandIn is one request with events.
-type eventsHandIn struct {
-	f      *eventsFront
-	mode   cloudevents.Mode
-	event  *cloudevents.Event // in binary mode: all but its data
-	id     string             // that the client gives its message; "" for one of ours
-	events []eventAnswer      // in the order of the batch
+// eventRequest is one request with events.
+type eventRequest struct {
+	ingress *eventIngress
+	mode    cloudevents.Mode
+	event   *cloudevents.Event // in binary mode: all but its data
+	id      string             // that the client gives its message; "" for one of ours
+	results []eventResult      // in the order of the batch
 }
 
-// eventAnswer is what became of an event of a batch.
-type eventAnswer struct {
-	Source string `json:"source,omitempty"`
-	ID     string `json:"id,omitempty"`
-	As     string `json:"message,omitempty"` // id of the message: notices to the platform go by it
-	Status int    `json:"status"`
-	Text   string `json:"text,omitempty"`
-	Retry  int64  `json:"retry_after_ms,omitempty"`
+// eventResult is what became of an event of a batch.
+type eventResult struct {
+	Source       string `json:"source,omitempty"`
+	ID           string `json:"id,omitempty"`
+	MessageID    string `json:"message,omitempty"` // id of the message: notices to the platform go by it
+	Status       int    `json:"status"`
+	Text         string `json:"text,omitempty"`
+	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 
-	handed bool
+	submitted bool
 }
 
-func (h *eventsHandIn) take(body []byte, arrived time.Duration) ([]submission, error) {
+func (h *eventRequest) submissions(body []byte, arrived time.Duration) ([]submission, error) {
 	e := h.event
 	var err error
 	switch h.mode {
@@ -146,29 +146,29 @@
 	case cloudevents.StructuredMode:
 		e, err = cloudevents.ReadStructured(body)
 	default:
-		return h.takeBatch(body, arrived)
+		return h.batchSubmissions(body, arrived)
 	}
 	if err != nil {
-		return nil, faulty(err)
+		return nil, eventError(err)
 	}
-	sub, err := h.f.submission(e, arrived, h.id)
+	sub, err := h.ingress.submission(e, arrived, h.id)
 	if err != nil {
 		return nil, err
 	}
 	return []submission{sub}, nil
 }
 
-func (h *eventsHandIn) takeBatch(body []byte, arrived time.Duration) ([]submission, error) {
-	items, err := cloudevents.ReadBatch(body, h.f.e.BatchEvents, maxBody)
+func (h *eventRequest) batchSubmissions(body []byte, arrived time.Duration) ([]submission, error) {
+	items, err := cloudevents.ReadBatch(body, h.ingress.events.MaxBatchEvents, maxBodyBytes)
 	if err != nil {
-		return nil, faulty(err)
+		return nil, eventError(err)
 	}
 	var subs []submission
 	for n, it := range items {
-		var a eventAnswer
+		var a eventResult
 		err := it.Err
 		if err != nil {
-			err = faulty(err)
+			err = eventError(err)
 		} else {
 			a.Source, a.ID = it.Event.Get("source"), it.Event.Get("id")
 			var sub submission
@@ -176,39 +176,39 @@
 			if h.id != "" {
 				id = h.id + "-" + strconv.Itoa(n)
 			}
-			if sub, err = h.f.submission(it.Event, arrived, id); err == nil {
+			if sub, err = h.ingress.submission(it.Event, arrived, id); err == nil {
 				subs = append(subs, sub)
-				a.handed = true
+				a.submitted = true
 			}
 		}
-		var r *refusal
+		var r *requestError
 		if errors.As(err, &r) {
 			a.Status, a.Text = r.status, r.text
 		}
-		h.events = append(h.events, a)
+		h.results = append(h.results, a)
 	}
 	return subs, nil
 }
 
 // submission makes an event a message, under an id that its client gave or, without one, one of ours.
-func (f *eventsFront) submission(e *cloudevents.Event, arrived time.Duration, id string) (submission, error) {
+func (f *eventIngress) submission(e *cloudevents.Event, arrived time.Duration, id string) (submission, error) {
 	unfit := func(format string, args ...any) (submission, error) {
-		return submission{}, &refusal{http.StatusUnprocessableEntity, fmt.Sprintf(format, args...)}
+		return submission{}, &requestError{http.StatusUnprocessableEntity, fmt.Sprintf(format, args...)}
 	}
-	t, rule, err := f.e.Rules.Find(e)
+	t, rule, err := f.events.Rules.Find(e)
 	if err != nil {
 		return unfit("%v", err)
 	}
-	name := func() string { return f.e.Rules.Name(rule) }
-	sub := submission{answer: make(chan answerLine, 1)}
+	name := func() string { return f.events.Rules.Name(rule) }
+	sub := submission{answer: make(chan response, 1)}
 	sub.Class, sub.Tenant, sub.Dest, sub.Key = t.Class, t.Tenant, t.Destination, t.Key
-	if sub.class = place(f.c.Classes, t.Class, -1); sub.class < 0 {
+	if sub.class = indexOf(f.config.Classes, t.Class, -1); sub.class < 0 {
 		return unfit("%s: class %q is not among the settings", name(), t.Class)
 	}
-	if sub.tenant = place(f.c.Tenants, t.Tenant, -1); sub.tenant < 0 && len(f.c.Tenants) > 0 {
+	if sub.tenant = indexOf(f.config.Tenants, t.Tenant, -1); sub.tenant < 0 && len(f.config.Tenants) > 0 {
 		return unfit("%s: tenant %q is not among the settings", name(), t.Tenant)
 	}
-	class := f.c.Settings.Classes[sub.class]
+	class := f.config.Settings.Classes[sub.class]
 	if t.Deadline <= 0 {
 		t.Deadline = class.Deadline
 	}
@@ -224,8 +224,8 @@
 		t.Deadline = min(t.Deadline, max(0, time.Duration(at.UnixNano())-arrived))
 	}
 	for _, f := range [...]struct{ name, v string }{{"key", t.Key}, {"order", t.Order}} {
-		if len(f.v) > maxName {
-			return unfit("%s: %s is longer than %d bytes", name(), f.name, maxName)
+		if len(f.v) > maxNameBytes {
+			return unfit("%s: %s is longer than %d bytes", name(), f.name, maxNameBytes)
 		}
 		for _, c := range []byte(f.v) {
 			if c < 0x20 || c > 0x7e {
@@ -240,7 +240,7 @@
 		return unfit("%s: key %q is given, and class %s may not be repeated", name(), t.Key, t.Class)
 	}
 	key := identity.KeyOf(e.Get("source"), e.Get("id"))
-	if sub.Order = t.Order; sub.Key == "" && class.Idempotency == brain.IdempotentByKey {
+	if sub.OrderKey = t.Order; sub.Key == "" && class.Idempotency == brain.IdempotentByKey {
 		sub.Key = hex.EncodeToString(key[:])
 	}
 	content := e.Content(make([]byte, 0, 256+len(e.Data)))
@@ -249,7 +249,7 @@
 		content = append(strconv.AppendInt(append(content, ' '), int64(len(v)), 10), ':')
 		content = append(content, v...)
 	}
-	sub.Ident = &ident{key, identity.DigestOf(content)}
+	sub.Identity = &eventIdentity{key, identity.DigestOf(content)}
 	// Each hand-in has an id of its own, as each of the platform's protocol has: one that was handed back and comes
 	// again is a new message.
 	if sub.ID = id; id == "" {
@@ -261,34 +261,34 @@
 	return sub, nil
 }
 
-func (h *eventsHandIn) answer(all []answerLine) answerLine {
+func (h *eventRequest) response(all []response) response {
 	if h.mode != cloudevents.BatchedMode {
 		return all[0]
 	}
 	next := 0
-	for i := range h.events {
-		if h.events[i].handed {
+	for i := range h.results {
+		if h.results[i].submitted {
 			a := all[next]
 			next++
-			h.events[i].Status, h.events[i].Text, h.events[i].As = a.status, a.text, a.id
+			h.results[i].Status, h.results[i].Text, h.results[i].MessageID = a.status, a.text, a.messageID
 			if a.status == http.StatusServiceUnavailable {
-				if a.retry <= 0 {
-					a.retry = refusedRetry
+				if a.retryAfter <= 0 {
+					a.retryAfter = defaultRetryAfter
 				}
-				h.events[i].Retry = a.retry.Milliseconds()
+				h.results[i].RetryAfterMS = a.retryAfter.Milliseconds()
 			}
 		}
 	}
-	whole := answerLine{status: batchStatus(h.events), kind: "application/json"}
-	for _, e := range h.events {
-		whole.retry = max(whole.retry, time.Duration(e.Retry)*time.Millisecond)
+	whole := response{status: batchStatus(h.results), contentType: "application/json"}
+	for _, e := range h.results {
+		whole.retryAfter = max(whole.retryAfter, time.Duration(e.RetryAfterMS)*time.Millisecond)
 	}
-	if h.events == nil {
-		h.events = []eventAnswer{} // an empty batch has an empty answer
+	if h.results == nil {
+		h.results = []eventResult{} // an empty batch has an empty answer
 	}
-	text, err := json.Marshal(h.events)
+	text, err := json.Marshal(h.results)
 	if err != nil {
-		return answerLine{status: http.StatusInternalServerError, text: err.Error()}
+		return response{status: http.StatusInternalServerError, text: err.Error()}
 	}
 	whole.text = string(text)
 	return whole
@@ -297,7 +297,7 @@
 // batchStatus is the status of a batch from those of its events, for a client that looks at nothing else. If one may
 // come again the batch may: those that were taken on are known by their identity and get the same answer. Else, if
 // one failed, the batch says that: no failed event passes for one that is taken on. Only if all are taken on does it.
-func batchStatus(events []eventAnswer) int {
+func batchStatus(events []eventResult) int {
 	status := http.StatusOK
 	for _, e := range events {
 		switch {
--- a/internal/sender/fleetpart.go
+++ b/internal/sender/fleetpart.go
@@ -40,85 +40,85 @@
 	Register(*http.ServeMux)
 }
 
-// fleetPart is the fleet's policy as a participant: to the module what is closed drains, and what can't go is handed back.
-type fleetPart struct {
-	noPart
-	s     *Sender
-	stand map[uint32]health.Kind // verdicts as the module was told
+// fleetExtension is the fleet's policy as a participant: to the module what is closed drains, and what can't go is handed back.
+type fleetExtension struct {
+	noopExtension
+	s         *Sender
+	verdictOf map[uint32]health.Kind // verdicts as the module was told
 }
 
-// paceEvent is that this sender may send more or less where the fleet shares a limit out.
-type paceEvent struct{}
+// rateLimitChange is that this sender may send more or less where the fleet shares a limit out.
+type rateLimitChange struct{}
 
-func (paceEvent) partEvent() {}
+func (rateLimitChange) isExtensionEvent() {}
 
-// fleetEvent is that the policy is another, or that this sender may begin calls, or may not any more.
-type fleetEvent struct{}
+// policyChange is that the policy is another, or that this sender may begin calls, or may not any more.
+type policyChange struct{}
 
-func (fleetEvent) partEvent() {}
+func (policyChange) isExtensionEvent() {}
 
-func newFleetPart(s *Sender) *fleetPart {
+func newFleetExtension(s *Sender) *fleetExtension {
 	news := make(chan struct{}, 1) // one word is enough, however often it changes
-	s.fleetNews = func() {
+	s.signalPolicyChange = func() {
 		select {
 		case news <- struct{}{}:
 		default:
 		}
 	}
 	paced := make(chan struct{}, 1)
-	s.c.Fleet.OnPaces(func() {
+	s.config.Fleet.OnPaces(func() {
 		select {
 		case paced <- struct{}{}:
 		default:
 		}
 	})
-	s.c.Fleet.OnChange(s.fleetNews)
-	s.fleetNews() // it may have changed before
+	s.config.Fleet.OnChange(s.signalPolicyChange)
+	s.signalPolicyChange() // it may have changed before
 	ctx, stop := context.WithCancel(context.Background())
-	s.fleetStop = stop
+	s.stopFleetWatch = stop
 	go func() {
 		for {
 			select {
 			case <-news:
-				s.post(ctx, fleetEvent{})
+				s.post(ctx, policyChange{})
 			case <-paced:
-				s.post(ctx, paceEvent{})
+				s.post(ctx, rateLimitChange{})
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	return &fleetPart{s: s, stand: map[uint32]health.Kind{}}
+	return &fleetExtension{s: s, verdictOf: map[uint32]health.Kind{}}
 }
 
-func (p *fleetPart) leaving() error {
-	p.s.fleetStop()
+func (p *fleetExtension) shutdown() error {
+	p.s.stopFleetWatch()
 	return nil
 }
 
-// take tells the module what is closed now, and hands back what can't go.
-func (p *fleetPart) take(e any, _ time.Duration) []brain.Event {
+// handle tells the module what is closed now, and hands back what can't go.
+func (p *fleetExtension) handle(e any, _ time.Duration) []brain.Event {
 	switch e.(type) {
-	case paceEvent:
-		return p.paces(false)
-	case fleetEvent:
+	case rateLimitChange:
+		return p.rateLimits(false)
+	case policyChange:
 	default:
 		return nil
 	}
 	s := p.s
 	var events []brain.Event
-	if news := s.list.Closings(s.c.names()); len(news.Endpoints) > 0 {
+	if news := s.endpoints.Closings(s.config.endpointNames()); len(news.Endpoints) > 0 {
 		events = append(events, news)
 	}
-	events = append(events, p.paces(true)...)
+	events = append(events, p.rateLimits(true)...)
 	events = append(events, p.verdicts()...)
 	waiting := map[fleetpolicy.Call]int64{}
 	for _, m := range s.messages {
-		if m.waits {
-			waiting[limitedAs(m.stored.record)]++
+		if m.waiting {
+			waiting[limitedCall(m.storedMessage.record)]++
 		}
 	}
-	s.c.Fleet.Recount(waiting)
+	s.config.Fleet.Recount(waiting)
 	held := make([]*message, 0, len(s.messages))
 	for _, m := range s.messages {
 		held = append(held, m)
@@ -128,16 +128,16 @@
 		if m.ended || len(m.calls) > 0 {
 			continue // what is out ends as it does, and is looked at again then by the module
 		}
-		why, suspended := s.standsAgainst(m.stored.record)
+		why, suspended := s.policyObjection(m.storedMessage.record)
 		if why == "" {
 			continue
 		}
-		_, mayRun := m.firstRun()
+		_, mayRun := m.firstPossibleRun()
 		switch {
 		case !mayRun:
-			s.close(m.number, handedBack, http.StatusServiceUnavailable, s.c.Settings.MaxRetryAfter)
+			s.finish(m.number, outcomeHandedBack, http.StatusServiceUnavailable, s.config.Settings.MaxRetryAfter)
 		case suspended: // another attempt won't come, and whether it ran nobody knows
-			s.close(m.number, givenUp, http.StatusInternalServerError, 0)
+			s.finish(m.number, outcomeGivenUp, http.StatusInternalServerError, 0)
 		default: // it waits for its destination, to its deadline
 			continue
 		}
@@ -146,17 +146,17 @@
 	return events
 }
 
-// paces tells the module what it may send where the fleet shares a limit out.
-func (p *fleetPart) paces(all bool) (events []brain.Event) {
-	for _, f := range p.s.c.Fleet.Paces(all) {
+// rateLimits tells the module what it may send where the fleet shares a limit out.
+func (p *fleetExtension) rateLimits(all bool) (events []brain.Event) {
+	for _, f := range p.s.config.Fleet.Paces(all) {
 		events = append(events, brain.RateGrant{Destination: brain.DestinationID(f.Destination), Limited: f.Limited, Rate: f.Mine, TotalRate: f.All})
 	}
 	return events
 }
 
 // verdicts tells the module what the fleet holds of receivers, as far as it was not told.
-func (p *fleetPart) verdicts() (events []brain.Event) {
-	v, _ := p.s.c.Fleet.View()
+func (p *fleetExtension) verdicts() (events []brain.Event) {
+	v, _ := p.s.config.Fleet.View()
 	is := map[uint32]health.Kind{}
 	for _, one := range v.GetVerdicts() {
 		if sort := health.Kind(one.Kind); sort != health.KindSuspended {
@@ -165,106 +165,106 @@
 	}
 	brainHealth := map[health.Kind]brain.Health{health.KindEjected: brain.Unhealthy, health.KindWarmingUp: brain.WarmingUp, health.KindNone: brain.Healthy}
 	tell := func(d uint32, sort health.Kind) {
-		if _, listed := p.s.list.Cells[d]; listed {
+		if _, listed := p.s.endpoints.Cells[d]; listed {
 			events = append(events, brain.Observation{Destination: brain.DestinationID(d), Health: brainHealth[sort]})
 		}
 	}
 	for _, d := range slices.Sorted(maps.Keys(is)) {
-		if p.stand[d] != is[d] {
+		if p.verdictOf[d] != is[d] {
 			tell(d, is[d])
 		}
 	}
-	for _, d := range slices.Sorted(maps.Keys(p.stand)) {
+	for _, d := range slices.Sorted(maps.Keys(p.verdictOf)) {
 		if is[d] == health.KindNone {
 			tell(d, health.KindNone)
 		}
 	}
-	p.stand = is
+	p.verdictOf = is
 	return events
 }
 
-// afterWrite passes on what has just been seen of receivers.
-func (p *fleetPart) afterWrite(context.Context) { p.testify(p.s.fresh, false) }
+// afterTurn passes on what has just been seen of receivers.
+func (p *fleetExtension) afterTurn(context.Context) { p.report(p.s.newlyLearnt, false) }
 
-// looked passes on what is known of those on which there is a verdict, or which do not serve.
-func (p *fleetPart) looked(time.Duration) {
-	if v, _ := p.s.c.Fleet.View(); v != nil && v.Policy.Guards() {
-		p.testify(p.s.brain.Observations(), true)
+// onTick passes on what is known of those on which there is a verdict, or which do not serve.
+func (p *fleetExtension) onTick(time.Duration) {
+	if v, _ := p.s.config.Fleet.View(); v != nil && v.Policy.Guards() {
+		p.report(p.s.brain.Observations(), true)
 	}
 }
 
-func (p *fleetPart) testify(known []brain.Observation, some bool) {
+func (p *fleetExtension) report(known []brain.Observation, some bool) {
 	if len(known) == 0 {
 		return
 	}
-	v, _ := p.s.c.Fleet.View()
+	v, _ := p.s.config.Fleet.View()
 	if v == nil || !v.Policy.Guards() {
 		return
 	}
 	var all []health.Observation
 	for _, k := range known {
 		d := uint32(k.Destination)
-		if _, ruled := v.Policy.VerdictRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || some && k.Health == brain.Healthy && p.stand[d] == health.KindNone && k.HealthAge > time.Second {
+		if _, ruled := v.Policy.VerdictRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || some && k.Health == brain.Healthy && p.verdictOf[d] == health.KindNone && k.HealthAge > time.Second {
 			continue
 		}
 		all = append(all, health.Observation{Destination: d, State: knowledge.State(k.Health), Age: k.HealthAge, Duration: max(0, k.HealthFor-k.HealthAge)})
 	}
 	if len(all) > 0 {
-		p.s.c.Fleet.Testify(all)
+		p.s.config.Fleet.Testify(all)
 	}
 }
 
-// waits notes whether a message waits to be sent, as far as the fleet's limits go by that.
-func (s *Sender) waits(m *message, is bool) {
-	if s.c.Fleet == nil || m.waits == is {
+// setWaiting notes whether a message waits to be sent, as far as the fleet's limits go by that.
+func (s *Sender) setWaiting(m *message, is bool) {
+	if s.config.Fleet == nil || m.waiting == is {
 		return
 	}
-	m.waits = is
+	m.waiting = is
 	n := int64(1)
 	if !is {
 		n = -1
 	}
-	s.c.Fleet.Waits(limitedAs(m.stored.record), n)
+	s.config.Fleet.Waits(limitedCall(m.storedMessage.record), n)
 }
 
-// limitedAs is what limits go by of a message that waits.
-func limitedAs(r record) fleetpolicy.Call {
-	c := callOf(r)
+// limitedCall is what limits go by of a message that waits.
+func limitedCall(r record) fleetpolicy.Call {
+	c := policyCall(r)
 	c.Class, c.Bytes = r.Class, int64(len(r.Body))
 	return c
 }
 
-// kindByFleet is the kind of a destination that is listed as of another.
-func (s *Sender) kindByFleet(destination uint32, listed string) string {
-	if v, _ := s.c.Fleet.View(); v != nil {
+// fleetKind is the kind of a destination that is listed as of another.
+func (s *Sender) fleetKind(destination uint32, listed string) string {
+	if v, _ := s.config.Fleet.View(); v != nil {
 		return v.Policy.Kind(destination, listed)
 	}
 	return listed
 }
 
-// lookAgain has a message looked at whose call has ended while a word against it came: it was passed over then, and would be
+// recheckPolicy has a message looked at whose call has ended while a word against it came: it was passed over then, and would be
 // sent again and again if the fleet was against it as it was about to be written.
-func (s *Sender) lookAgain(m *message, e callEnd) {
-	if s.c.Fleet == nil || m.ended || e.Outcome == brain.Served || e.Final {
+func (s *Sender) recheckPolicy(m *message, e callResult) {
+	if s.config.Fleet == nil || m.ended || e.Outcome == brain.Served || e.Final {
 		return
 	}
-	if why, _ := s.standsAgainst(m.stored.record); why != "" {
-		s.fleetNews()
+	if why, _ := s.policyObjection(m.storedMessage.record); why != "" {
+		s.signalPolicyChange()
 	}
 }
 
-// callOf is what the policy judges of a message.
-func callOf(r record) fleetpolicy.Call {
+// policyCall is what the policy judges of a message.
+func policyCall(r record) fleetpolicy.Call {
 	return fleetpolicy.Call{Destination: r.Dest, Tenant: r.Tenant}
 }
 
-// standsAgainst says why a message can't go for longer than a change takes to take hold; "" if nothing stands against it.
-func (s *Sender) standsAgainst(r record) (why string, suspended bool) {
-	v, acts := s.c.Fleet.View()
+// policyObjection says why a message can't go for longer than a change takes to take hold; "" if nothing stands against it.
+func (s *Sender) policyObjection(r record) (why string, suspended bool) {
+	v, acts := s.config.Fleet.View()
 	if !acts {
 		return "this sender is cut off from the fleet", false
 	}
-	if ok, why := v.Policy.May(callOf(r)); !ok {
+	if ok, why := v.Policy.May(policyCall(r)); !ok {
 		return why, v.Policy.Open(r.Dest)
 	}
 	if !v.Open(r.Dest) {
@@ -273,29 +273,29 @@
 	return "", false
 }
 
-// shutByFleet reports whether nothing is sent to a destination just now.
-func (s *Sender) shutByFleet(destination uint32) bool {
-	v, acts := s.c.Fleet.View()
+// closedByFleet reports whether nothing is sent to a destination just now.
+func (s *Sender) closedByFleet(destination uint32) bool {
+	v, acts := s.config.Fleet.View()
 	return !acts || !v.Open(destination) || v.Frozen.Destination(destination)
 }
 
-// byPolicy applies the policy to a message that is handed in: it may go to another destination, or be given up sooner. why is
+// applyPolicy applies the policy to a message that is handed in: it may go to another destination, or be given up sooner. why is
 // why it is turned away; its client may come again, as it was not sent.
-func (s *Sender) byPolicy(r *record) (why string) {
-	if s.c.Fleet == nil {
+func (s *Sender) applyPolicy(r *record) (why string) {
+	if s.config.Fleet == nil {
 		return ""
 	}
-	v, acts := s.c.Fleet.View()
+	v, acts := s.config.Fleet.View()
 	if !acts {
 		return "this sender is cut off from the fleet"
 	}
 	if to := v.Policy.Moved(r.Dest); to != r.Dest {
-		if _, known := s.list.Cells[to]; !known {
+		if _, known := s.endpoints.Cells[to]; !known {
 			return fmt.Sprintf("the fleet's policy has moved its destination to %d, which no list names", to)
 		}
 		r.Dest = to
 	}
-	if ok, why := v.Policy.May(callOf(*r)); !ok {
+	if ok, why := v.Policy.May(policyCall(*r)); !ok {
 		return why
 	}
 	if !v.Open(r.Dest) {
@@ -307,39 +307,39 @@
 	return ""
 }
 
-// enter is what a call asks of the fleet before its first byte; nil where there is none.
-func (s *Sender) enter(m *message, endpoint string) func() (func(), func(bool), bool) {
-	if s.c.Fleet == nil {
+// admission is what a call asks of the fleet before its first byte; nil where there is none.
+func (s *Sender) admission(m *message, endpoint string) func() (func(), func(bool), bool) {
+	if s.config.Fleet == nil {
 		return nil
 	}
-	c := limitedAs(m.stored.record) // the loop may drop the message meanwhile
+	c := limitedCall(m.storedMessage.record) // the loop may drop the message meanwhile
 	c.Endpoint = endpoint
 	return func() (func(), func(bool), bool) {
-		left, over, why := s.c.Fleet.Enter(c)
+		left, over, why := s.config.Fleet.Enter(c)
 		return left, over, why == ""
 	}
 }
 
-// HeldBy is how many messages of a tenant for a destination are held.
-type HeldBy struct {
+// PendingCount is how many messages of a tenant for a destination are held.
+type PendingCount struct {
 	Destination uint32 `json:"destination"`
 	Tenant      string `json:"tenant"`
 	Messages    int    `json:"messages"`
 }
 
-// heldBy counts what is held, as far as a policy tells messages apart.
-func (s *Sender) heldBy() []HeldBy {
+// pendingCounts counts what is held, as far as a policy tells messages apart.
+func (s *Sender) pendingCounts() []PendingCount {
 	counts := map[fleetpolicy.Call]int{}
 	for _, m := range s.messages {
 		if !m.ended {
-			counts[callOf(m.stored.record)]++
+			counts[policyCall(m.storedMessage.record)]++
 		}
 	}
-	all := make([]HeldBy, 0, len(counts))
+	all := make([]PendingCount, 0, len(counts))
 	for c, n := range counts {
-		all = append(all, HeldBy{c.Destination, c.Tenant, n})
+		all = append(all, PendingCount{c.Destination, c.Tenant, n})
 	}
-	slices.SortFunc(all, func(a, b HeldBy) int {
+	slices.SortFunc(all, func(a, b PendingCount) int {
 		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Tenant, b.Tenant))
 	})
 	return all
--- a/internal/sender/fleetpart_test.go
+++ b/internal/sender/fleetpart_test.go
@@ -190,7 +190,7 @@
 			st.HandIn(t, addr, "waits", "unsafe", 0, 15*time.Second)
 			e.Next(t)
 			say(f)
-			if n := st.Receive(t, p.Notices); n.Message != "waits" || n.Outcome != handedBack {
+			if n := st.Receive(t, p.Notices); n.Message != "waits" || n.Outcome != outcomeHandedBack {
 				t.Errorf("%+v", n)
 			}
 		})
@@ -208,7 +208,7 @@
 	}{
 		"closed":    {true, "[[route]]\ndestinations = [0]\nstate = \"closed\"\n", ""},
 		"cut off":   {false, "", ""},
-		"suspended": {true, "[[tenant]]\nname = \"acme\"\nstate = \"suspended\"\n", givenUp},
+		"suspended": {true, "[[tenant]]\nname = \"acme\"\nstate = \"suspended\"\n", outcomeGivenUp},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -252,22 +252,22 @@
 	f := &toldFleet{}
 	f.say(t, true, "[[route]]\ndestinations = [1]\nstate = \"apart\"\nkind = \"single\"\n[[limit]]\ndestinations = [1, 9]\ncalls = 2.5\n")
 	s := newTest(t, st.NewPlatform(t), func(c *Config) { c.Fleet, c.Kinds = f, []string{"plain", "single"} })
-	p, _ := partOf[*fleetPart](s)
+	p, _ := extensionOf[*fleetExtension](s)
 	line := func(dest uint32) Target {
 		return Target{ID: "e", Addr: "127.0.0.1:1", Cell: dest, State: "SERVING", Kind: "plain"}
 	}
-	if got := s.list.News(Targets{Servers: []Target{line(1)}}, false, s.c.names(), s.pool).Endpoints; len(got) != 1 || got[0].Kind != 1 || !got[0].Ready {
+	if got := s.endpoints.News(Targets{Servers: []Target{line(1)}}, false, s.config.endpointNames(), s.pool).Endpoints; len(got) != 1 || got[0].Kind != 1 || !got[0].Ready {
 		t.Errorf("%+v", got)
 	}
 	f.paces = []fleet.Pace{{Destination: 1, Limited: true, Mine: 2, All: 5}, {Destination: 9}}
-	if got := p.take(paceEvent{}, 0); len(got) != 2 || got[0] != (brain.RateGrant{Destination: 1, Limited: true, Rate: 2, TotalRate: 5}) || got[1] != (brain.RateGrant{Destination: 9}) {
+	if got := p.handle(rateLimitChange{}, 0); len(got) != 2 || got[0] != (brain.RateGrant{Destination: 1, Limited: true, Rate: 2, TotalRate: 5}) || got[1] != (brain.RateGrant{Destination: 9}) {
 		t.Errorf("%+v", got)
 	}
 	f.say(t, true, closes1)
-	if got := s.list.Closings(s.c.names()).Endpoints; len(got) != 1 || got[0].Kind != 0 || got[0].Ready {
+	if got := s.endpoints.Closings(s.config.endpointNames()).Endpoints; len(got) != 1 || got[0].Kind != 0 || got[0].Ready {
 		t.Errorf("%+v", got)
 	}
-	if got := s.list.Closings(s.c.names()).Endpoints; len(got) != 0 {
+	if got := s.endpoints.Closings(s.config.endpointNames()).Endpoints; len(got) != 0 {
 		t.Errorf("told twice: %+v", got)
 	}
 }
--- a/internal/sender/front.go
+++ b/internal/sender/front.go
@@ -7,50 +7,50 @@
 
 // A front turns what a client sends into submissions and the loop's answers into the client's words. All fronts share
 // one listener, one path into the loop, and the checks on classes, tenants, deadlines and destinations.
-type front interface {
-	// begin reads a request's head, before its body: an error is the answer, and nothing is taken on.
-	begin(r *http.Request) (handIn, error)
-	// most is the bytes that a body may have.
-	most() int64
+type ingress interface {
+	// readHead reads a request's head, before its body: an error is the answer, and nothing is taken on.
+	readHead(r *http.Request) (ingressRequest, error)
+	// maxBody is the bytes that a body may have.
+	maxBody() int64
 }
 
-// handIn is one request on its way.
-type handIn interface {
-	// take reads a body that has come whole. Each submission's Deadline is a time on the clock, after arrived.
-	take(body []byte, arrived time.Duration) ([]submission, error)
-	// answer gives the client's answer, from those to its submissions.
-	answer(all []answerLine) answerLine
+// ingressRequest is one request on its way.
+type ingressRequest interface {
+	// submissions reads a body that has come whole. Each submission's Deadline is a time on the clock, after arrived.
+	submissions(body []byte, arrived time.Duration) ([]submission, error)
+	// response gives the client's answer, from those to its submissions.
+	response(all []response) response
 }
 
-// fronts is the fronts by path.
-func (s *server) fronts() map[string]front {
-	all := map[string]front{"/api": plainFront{s}}
-	if s.c.Events != nil {
-		s.c.Events.Rules.Prepare()
-		all[eventsPath] = &eventsFront{s.c, s.clock, s.c.Events}
+// ingresses is the fronts by path.
+func (s *server) ingresses() map[string]ingress {
+	all := map[string]ingress{"/api": messageIngress{s}}
+	if s.config.Events != nil {
+		s.config.Events.Rules.Prepare()
+		all[eventsPath] = &eventIngress{s.config, s.clock, s.config.Events}
 	}
 	return all
 }
 
-// plainFront is the platform's protocol: one message a request.
-type plainFront struct{ s *server }
+// messageIngress is the platform's protocol: one message a request.
+type messageIngress struct{ server *server }
 
-func (f plainFront) most() int64 { return maxBody }
+func (f messageIngress) maxBody() int64 { return maxBodyBytes }
 
-func (f plainFront) begin(r *http.Request) (handIn, error) {
-	sub, err := f.s.parse(r)
+func (f messageIngress) readHead(r *http.Request) (ingressRequest, error) {
+	sub, err := f.server.parseMessageHead(r)
 	if err != nil {
 		return nil, err
 	}
-	return &plainHandIn{one: [1]submission{*sub}}, nil
+	return &messageRequest{submission: [1]submission{*sub}}, nil
 }
 
-type plainHandIn struct{ one [1]submission }
+type messageRequest struct{ submission [1]submission }
 
-func (p *plainHandIn) take(body []byte, arrived time.Duration) ([]submission, error) {
-	p.one[0].Body = body
-	p.one[0].Deadline += arrived
-	return p.one[:], nil
+func (p *messageRequest) submissions(body []byte, arrived time.Duration) ([]submission, error) {
+	p.submission[0].Body = body
+	p.submission[0].Deadline += arrived
+	return p.submission[:], nil
 }
 
-func (p *plainHandIn) answer(all []answerLine) answerLine { return all[0] }
+func (p *messageRequest) response(all []response) response { return all[0] }
--- a/internal/sender/heardlist_test.go
+++ b/internal/sender/heardlist_test.go
@@ -52,14 +52,14 @@
 	} {
 		dir := t.TempDir()
 		j := openTest(t, dir, 1<<20)
-		j.beginList(here, known, known.Version)
+		j.initList(here, known, known.Version)
 		for _, u := range c.news {
-			j.keepList(here, u)
+			j.saveList(here, u)
 		}
 		takeTest(t, j, "m")
 		for _, how := range []string{"as after a kill", "from a compacted file"} {
 			j = openTest(t, dir, 1<<20)
-			list, version := j.list.atStart(known, c.from)
+			list, version := j.endpoints.startingPoint(known, c.from)
 			if got := states(list.Servers); !slices.Equal(got, c.want) || version != c.version {
 				t.Errorf("%s, %s: %v after %d, want %v after %d", c.name, how, got, version, c.want, c.version)
 			}
@@ -77,31 +77,31 @@
 // shorter.
 func TestAListTooLongIsNotKept(t *testing.T) {
 	j := openTest(t, t.TempDir(), 1<<20)
-	free := j.live
+	free := j.reserved
 	var many []Target
 	for i := range 2000 {
 		many = append(many, servingList(fmt.Sprintf("endpoint-%d", i))...)
 	}
-	j.keepList("x", membership.Update{Version: 1, Full: true, Servers: servingList("a")})
-	j.keepList("x", membership.Update{Version: 2, Full: true, Servers: many})
-	if j.list.record() != nil || j.live != free {
-		t.Errorf("%d lines are kept in %d bytes", len(j.list.lines), j.live-free)
+	j.saveList("x", membership.Update{Version: 1, Full: true, Servers: servingList("a")})
+	j.saveList("x", membership.Update{Version: 2, Full: true, Servers: many})
+	if j.endpoints.record() != nil || j.reserved != free {
+		t.Errorf("%d lines are kept in %d bytes", len(j.endpoints.lines), j.reserved-free)
 	}
-	j.keepList("x", membership.Update{Version: 3, Servers: servingList("b")}) // to a list that is not known
-	if list, _ := j.list.atStart(Targets{}, "x"); len(list.Servers) != 0 {
+	j.saveList("x", membership.Update{Version: 3, Servers: servingList("b")}) // to a list that is not known
+	if list, _ := j.endpoints.startingPoint(Targets{}, "x"); len(list.Servers) != 0 {
 		t.Errorf("half a list is kept: %v", list.Servers)
 	}
-	j.keepList("x", membership.Update{Version: 4, Full: true, Servers: servingList("a", "b")})
-	if list, version := j.list.atStart(Targets{}, "x"); len(list.Servers) != 2 || version != 4 {
+	j.saveList("x", membership.Update{Version: 4, Full: true, Servers: servingList("a", "b")})
+	if list, version := j.endpoints.startingPoint(Targets{}, "x"); len(list.Servers) != 2 || version != 4 {
 		t.Errorf("%d lines after %d", len(list.Servers), version)
 	}
-	most := many[:j.list.most*3/4/(j.list.size/2)]
+	most := many[:j.endpoints.maxBytes*3/4/(j.endpoints.size/2)]
 	for version := range int64(2) { // the same lines, all changed, are no longer than before
 		for i := range most {
 			most[i].State = []string{membership.Serving, membership.Draining}[version]
 		}
-		j.keepList("x", membership.Update{Version: 5 + version, Full: true, Servers: slices.Clone(most)})
-		if list, _ := j.list.atStart(Targets{}, "x"); len(list.Servers) != len(most) {
+		j.saveList("x", membership.Update{Version: 5 + version, Full: true, Servers: slices.Clone(most)})
+		if list, _ := j.endpoints.startingPoint(Targets{}, "x"); len(list.Servers) != len(most) {
 			t.Errorf("%d of %d lines are kept", len(list.Servers), len(most))
 		}
 	}
@@ -113,7 +113,7 @@
 	j := openTest(t, dir, 1<<20)
 	takeTest(t, j, "m")
 	whole := j.size
-	j.keepList("x", membership.Update{Version: 1, Full: true, Servers: servingList("a")})
+	j.saveList("x", membership.Update{Version: 1, Full: true, Servers: servingList("a")})
 	if err := j.flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -127,8 +127,8 @@
 		if err := os.WriteFile(j.path, spoilt, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if k := openTest(t, dir, 1<<20); k.byID["m"] == nil || k.list.record() != nil || k.spoilt != 1 {
-			t.Fatalf("byte %d spoilt: %d messages, the list %v, %d lines said to be spoilt", n, len(k.byID), k.list.record(), k.spoilt)
+		if k := openTest(t, dir, 1<<20); k.byID["m"] == nil || k.endpoints.record() != nil || k.corruptLines != 1 {
+			t.Fatalf("byte %d spoilt: %d messages, the list %v, %d lines said to be spoilt", n, len(k.byID), k.endpoints.record(), k.corruptLines)
 		}
 	}
 }
@@ -141,8 +141,8 @@
 		tail string
 		want int
 	}{{"spoilt", "00000000 {\"op\":\"take\"}\n", 1}, {"torn", "00000000 {\"op\":", 0}} {
-		s := &Config{State: t.TempDir(), Discovery: "127.0.0.1:1", Limits: Limits{Sockets: 256, DiskMB: 3}}
-		j := openTest(t, s.State, 1<<20)
+		s := &Config{StateDir: t.TempDir(), Discovery: "127.0.0.1:1", Limits: Limits{Sockets: 256, DiskMB: 3}}
+		j := openTest(t, s.StateDir, 1<<20)
 		takeTest(t, j, "m")
 		j.close()
 		f, err := os.OpenFile(j.path, os.O_APPEND|os.O_WRONLY, 0)
@@ -173,7 +173,7 @@
 		leavesMessage(t, c, old, func(j *journal) {
 			drained, other := listedAt("s-0", old), listedAt("s-1", other)
 			drained.State = membership.Draining
-			j.keepList(c.Discovery, membership.Update{Version: 9, Full: true, Servers: []Target{drained, other}})
+			j.saveList(c.Discovery, membership.Update{Version: 9, Full: true, Servers: []Target{drained, other}})
 		})
 	})
 	goesTo(t, other, old)
--- a/internal/sender/inspect.go
+++ b/internal/sender/inspect.go
@@ -27,7 +27,7 @@
 type KnownFact struct {
 	Receiver uint32  `json:"receiver"`
 	Endpoint string  `json:"endpoint,omitempty"`
-	Sort     string  `json:"sort"`
+	Kind     string  `json:"sort"`
 	Says     string  `json:"says"`
 	Source   string  `json:"source"` // self, earlier, or a peer's name
 	AgeMS    int64   `json:"age_ms"`
@@ -37,35 +37,35 @@
 
 // PeersReport is who is there and what is told.
 type PeersReport struct {
-	Name    string         `json:"name"`
-	Cluster string         `json:"cluster"`
-	Address string         `json:"address"` // of its membership
-	Tells   int            `json:"tells"`   // facts of its own
-	Members []peers.Member `json:"members"`
-	Heard   map[string]int `json:"heard"` // facts held, by who told them
-	NowMS   int64          `json:"now_ms"`
+	Name      string         `json:"name"`
+	Cluster   string         `json:"cluster"`
+	Address   string         `json:"address"` // of its membership
+	OwnFacts  int            `json:"tells"`   // facts of its own
+	Members   []peers.Member `json:"members"`
+	HeldFacts map[string]int `json:"heard"` // facts held, by who told them
+	NowMS     int64          `json:"now_ms"`
 }
 
 // inspection answers the command line. What it is asked for goes through the loop, which owns all that is known.
 type inspection struct {
-	noPart
+	noopExtension
 	s      *Sender
 	server *http.Server
 	done   sync.WaitGroup
 }
 
-// question is put to the loop; it answers in the same turn.
-type question struct {
+// adminQuery is put to the loop; it answers in the same turn.
+type adminQuery struct {
 	ask    func(s *Sender, now time.Duration) any
 	answer chan any
 }
 
-func (question) partEvent() {}
+func (adminQuery) isExtensionEvent() {}
 
-const askTime = 2 * time.Second
+const adminTimeout = 2 * time.Second
 
 func newInspection(s *Sender) (*inspection, error) {
-	path := filepath.Join(s.c.State, SocketName)
+	path := filepath.Join(s.config.StateDir, SocketName)
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) { // a process that was killed leaves its own
 		return nil, fmt.Errorf("command line: %w", err)
 	}
@@ -79,10 +79,10 @@
 	}
 	i := &inspection{s: s}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /peers", i.handle(func(*http.Request) (func(*Sender, time.Duration) any, error) {
+	mux.HandleFunc("GET /peers", i.queryHandler(func(*http.Request) (func(*Sender, time.Duration) any, error) {
 		return func(s *Sender, now time.Duration) any { return s.peersReport(now) }, nil
 	}))
-	mux.HandleFunc("GET /knowledge", i.handle(func(r *http.Request) (func(*Sender, time.Duration) any, error) {
+	mux.HandleFunc("GET /knowledge", i.queryHandler(func(r *http.Request) (func(*Sender, time.Duration) any, error) {
 		only := r.URL.Query().Get("receiver")
 		n, err := strconv.ParseUint(only, 10, 32)
 		if only != "" && err != nil {
@@ -91,21 +91,21 @@
 		return func(s *Sender, now time.Duration) any { return s.knowledgeReport(now, only == "", uint32(n)) }, nil
 	}))
 	mux.HandleFunc("GET /zones", func(w http.ResponseWriter, r *http.Request) { // it has locks of its own
-		if n := i.s.c.Names; n != nil && n.Report != nil {
+		if n := i.s.config.Names; n != nil && n.Report != nil {
 			json.NewEncoder(w).Encode(n.Report())
 			return
 		}
 		http.Error(w, "no names are followed: the operators' file has no [dns]", http.StatusNotFound)
 	})
-	if s.c.Fleet != nil {
-		s.c.Fleet.Register(mux)
-		mux.HandleFunc("GET /held", i.handle(func(*http.Request) (func(*Sender, time.Duration) any, error) {
-			return func(s *Sender, _ time.Duration) any { return s.heldBy() }, nil
+	if s.config.Fleet != nil {
+		s.config.Fleet.Register(mux)
+		mux.HandleFunc("GET /held", i.queryHandler(func(*http.Request) (func(*Sender, time.Duration) any, error) {
+			return func(s *Sender, _ time.Duration) any { return s.pendingCounts() }, nil
 		}))
 	}
 	mux.HandleFunc("GET /work", i.work)
 	mux.HandleFunc("POST /work", i.work)
-	i.server = &http.Server{Handler: mux, ReadHeaderTimeout: askTime}
+	i.server = &http.Server{Handler: mux, ReadHeaderTimeout: adminTimeout}
 	i.done.Add(1)
 	go func() {
 		defer i.done.Done()
@@ -114,16 +114,16 @@
 	return i, nil
 }
 
-func (i *inspection) handle(read func(*http.Request) (func(*Sender, time.Duration) any, error)) http.HandlerFunc {
+func (i *inspection) queryHandler(read func(*http.Request) (func(*Sender, time.Duration) any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ask, err := read(r)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), askTime)
+		ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 		defer cancel()
-		q := question{ask, make(chan any, 1)}
+		q := adminQuery{ask, make(chan any, 1)}
 		if i.s.post(ctx, q) {
 			select {
 			case v := <-q.answer:
@@ -138,7 +138,7 @@
 
 // work tells of background work, and passes on what an operator wants of it.
 func (i *inspection) work(w http.ResponseWriter, r *http.Request) {
-	c := i.s.c
+	c := i.s.config
 	if c.Work == nil {
 		http.Error(w, "there is no background work: the operators' file has no [work]", http.StatusNotFound)
 		return
@@ -155,7 +155,7 @@
 			http.Error(w, fmt.Sprintf("there are %q", work.VerbNames()), http.StatusBadRequest)
 			return
 		}
-		err = c.WorkDo(work.Command{Verb: work.Verb(verb), ID: work.ID(id), Kind: q.Get("kind"), Owner: q.Get("owner")})
+		err = c.WorkCommand(work.Command{Verb: work.Verb(verb), ID: work.ID(id), Kind: q.Get("kind"), Owner: q.Get("owner")})
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
@@ -170,21 +170,21 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-func (i *inspection) take(e any, now time.Duration) []brain.Event {
-	if q, ok := e.(question); ok {
+func (i *inspection) handle(e any, now time.Duration) []brain.Event {
+	if q, ok := e.(adminQuery); ok {
 		q.answer <- q.ask(i.s, now)
 	}
 	return nil
 }
 
-func (i *inspection) leaving() error {
+func (i *inspection) shutdown() error {
 	err := i.server.Close()
 	i.done.Wait()
 	return err
 }
 
-func partOf[T participant](s *Sender) (T, bool) {
-	for _, p := range s.parts {
+func extensionOf[T extension](s *Sender) (T, bool) {
+	for _, p := range s.extensions {
 		if got, ok := p.(T); ok {
 			return got, true
 		}
@@ -194,12 +194,12 @@
 }
 
 func (s *Sender) peersReport(now time.Duration) PeersReport {
-	r := PeersReport{Name: s.c.Name, Heard: map[string]int{}, NowMS: now.Milliseconds(), Tells: len(s.knownNow(now))}
-	s.knownAll = nil
-	if p, ok := partOf[*peersPart](s); ok {
-		r.Cluster, r.Address, r.Members = s.c.Peers.Cluster, p.node.Address(), p.node.Members()
+	r := PeersReport{Name: s.config.Name, HeldFacts: map[string]int{}, NowMS: now.Milliseconds(), OwnFacts: len(s.knownFacts(now))}
+	s.knownFactsCache = nil
+	if p, ok := extensionOf[*peersExtension](s); ok {
+		r.Cluster, r.Address, r.Members = s.config.Peers.Cluster, p.node.Address(), p.node.Members()
 		for _, f := range append(p.view.Facts(), p.reports.All()...) {
-			r.Heard[f.Source.Name]++
+			r.HeldFacts[f.Source.Name]++
 		}
 	}
 	return r
@@ -218,32 +218,32 @@
 			if from == "" {
 				from = f.Source.Name
 			}
-			list = append(list, KnownFact{f.Destination, f.Endpoint, f.Sort.String(), says(&f, now), from, (now - f.At).Milliseconds(), f.Trust(now), f.Calls})
+			list = append(list, KnownFact{f.Destination, f.Endpoint, f.Kind.String(), describe(&f, now), from, (now - f.ObservedAt).Milliseconds(), f.Trust(now), f.Calls})
 		}
 	}
-	add(s.knownNow(now), "self")
-	s.knownAll = nil
-	if p, ok := partOf[*past](s); ok {
+	add(s.knownFacts(now), "self")
+	s.knownFactsCache = nil
+	if p, ok := extensionOf[*knowledgeStore](s); ok {
 		add(p.view.Facts(), "earlier")
 	}
-	if p, ok := partOf[*peersPart](s); ok {
+	if p, ok := extensionOf[*peersExtension](s); ok {
 		add(p.view.Facts(), "")
 		add(p.reports.All(), "")
 	}
 	return list
 }
 
-// says puts a fact into words.
-func says(f *knowledge.Fact, now time.Duration) string {
+// describe puts a fact into words.
+func describe(f *knowledge.Fact, now time.Duration) string {
 	ms := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) + " ms" }
-	switch f.Sort {
-	case knowledge.Pace:
-		return fmt.Sprintf("calls take %s in the middle, %s at the least; time-out %s", ms(f.Median), ms(f.Quickest), ms(f.Bound))
-	case knowledge.Bears:
+	switch f.Kind {
+	case knowledge.Latency:
+		return fmt.Sprintf("calls take %s in the middle, %s at the least; time-out %s", ms(f.Median), ms(f.Min), ms(f.Timeout))
+	case knowledge.Concurrency:
 		return fmt.Sprintf("bore %.1f calls at once", f.Window)
-	case knowledge.Limit:
+	case knowledge.RateLimit:
 		return fmt.Sprintf("takes %.2f calls a second of all senders", f.PerSecond)
-	case knowledge.Wait:
+	case knowledge.RetryAfter:
 		return fmt.Sprintf("asked for a wait, of which %s are left", ms(max(0, f.Until-now)))
 	case knowledge.Health:
 		return fmt.Sprintf("%s for %s; %.2f calls a second usually", f.State, ms(now-f.Since), f.Rate)
--- a/internal/sender/journal.go
+++ b/internal/sender/journal.go
@@ -25,21 +25,21 @@
 // most a torn last line: a line whose checksum is wrong is skipped and what stands before it counts.
 
 const (
-	journalName = "messages.journal"
-	// maxName bounds ids, keys and endpoint names, or what is written of a message would have no bound.
-	maxName = 128
-	// tryAgain is the pause between compactions while they fail.
-	tryAgain = 200 * time.Millisecond
-	// ratesMost bounds a record of rates, and ratesRoom what it takes.
-	ratesMost = 100
-	ratesRoom = 32 * ratesMost
-	// outagesRoom is the bytes that receivers out of service may take beside the rates, and a part of the journal's room.
-	outagesRoom = 4 << 10
-	outagesPart = 32
+	journalFileName = "messages.journal"
+	// maxNameBytes bounds ids, keys and endpoint names, or what is written of a message would have no bound.
+	maxNameBytes = 128
+	// compactionRetryInterval is the pause between compactions while they fail.
+	compactionRetryInterval = 200 * time.Millisecond
+	// maxRates bounds a record of rates, and ratesRoom what it takes.
+	maxRates     = 100
+	ratesReserve = 32 * maxRates
+	// maxOutageReserve is the bytes that receivers out of service may take beside the rates, and a part of the journal's room.
+	maxOutageReserve    = 4 << 10
+	outageBudgetDivisor = 32
 )
 
-// overhead is what all records on one message's attempts and end may come to, beside its take record.
-func overhead(id string) int64 { return 1536 + 14*int64(len(id)) }
+// followUpBytes is what all records on one message's attempts and end may come to, beside its take record.
+func followUpBytes(id string) int64 { return 1536 + 14*int64(len(id)) }
 
 // record is one line. Times are the clock's: Unix nanoseconds.
 type record struct {
@@ -48,120 +48,122 @@
 
 	// take: the message as its client handed it in; in a compacted file with what came of it so far
 	Key      string        `json:"key,omitempty"`
-	Order    string        `json:"order,omitempty"` // key of the order, in an ordered class
+	OrderKey string        `json:"order,omitempty"` // key of the order, in an ordered class
 	Class    string        `json:"class,omitempty"`
 	Tenant   string        `json:"tenant,omitempty"`
 	Dest     uint32        `json:"dest,omitempty"`
 	Deadline time.Duration `json:"deadline,omitempty"`
 	Body     []byte        `json:"body,omitempty"`
 	// What its class said of its repeats: the effect, and of a keyed one for how long a key is remembered, and whether in its zone only.
-	Effect string        `json:"effect,omitempty"`
-	Window time.Duration `json:"window,omitempty"`
-	InZone bool          `json:"in_zone,omitempty"`
+	Effect    string        `json:"effect,omitempty"`
+	KeyWindow time.Duration `json:"window,omitempty"`
+	KeyInZone bool          `json:"in_zone,omitempty"`
 	// Of a message that came as an event: its attributes, its data being the body, and its identity.
-	Event *cloudevents.Event `json:"event,omitempty"`
-	Ident *ident             `json:"ident,omitempty"`
-	Tries []try              `json:"tries,omitempty"`
+	Event    *cloudevents.Event `json:"event,omitempty"`
+	Identity *eventIdentity     `json:"ident,omitempty"`
+	Attempts []attemptRecord    `json:"tries,omitempty"`
 	// Of a kept message that goes again: for which time, and how many of its attempts are those of earlier ones.
-	Life   int `json:"life,omitempty"`
-	Before int `json:"before,omitempty"`
+	Incarnation     int `json:"life,omitempty"`
+	EarlierAttempts int `json:"before,omitempty"`
 
-	Try int `json:"try,omitempty"` // end: which attempt, from 0
+	Attempt int `json:"try,omitempty"` // end: which attempt, from 0
 	// send: the new attempt; end: that it never ran
-	Sent  *try `json:"sent,omitempty"`
-	Never bool `json:"never,omitempty"`
+	Sent     *attemptRecord `json:"sent,omitempty"`
+	NeverRan bool           `json:"never,omitempty"`
 	// end: that it was recalled, and so counts as no attempt
 	Recalled bool `json:"recalled,omitempty"`
 
-	How     string `json:"how,omitempty"` // over
-	RetryMS int64  `json:"retry_ms,omitempty"`
+	Outcome      string `json:"how,omitempty"` // over
+	RetryAfterMS int64  `json:"retry_ms,omitempty"`
 
 	// With a recorder: over: it is to be kept, when it ended, and in a compacted file whether its notice is told; end:
 	// how the attempt ended.
-	Keep bool          `json:"keep,omitempty"`
-	Told bool          `json:"told,omitempty"`
-	At   time.Duration `json:"at,omitempty"`
-	Out  string        `json:"out,omitempty"`
+	AwaitsRecorder bool          `json:"keep,omitempty"`
+	Notified       bool          `json:"told,omitempty"`
+	At             time.Duration `json:"at,omitempty"`
+	AttemptOutcome string        `json:"out,omitempty"`
 
 	Rates   map[uint32]float64 `json:"rates,omitempty"`   // rates: by destination, as the module knows them
 	Outages []outage           `json:"outages,omitempty"` // and who is out, or comes back, as of At
-	List    *heardList         `json:"list,omitempty"`    // list: what discovery has told, or what that changes
+	List    *listRecord        `json:"list,omitempty"`    // list: what discovery has told, or what that changes
 }
 
-// try is an attempt of a message. One without an outcome may have run.
-type try struct {
+// attemptRecord is an attempt of a message. One without an outcome may have run.
+type attemptRecord struct {
 	At       time.Duration `json:"at"`
 	Endpoint string        `json:"endpoint"`
 	Zone     int           `json:"zone,omitempty"`
-	In       string        `json:"in,omitempty"`    // the zone's name, where a key is remembered in its zone only
-	Never    bool          `json:"never,omitempty"` // it surely never ran
+	ZoneName string        `json:"in,omitempty"`    // the zone's name, where a key is remembered in its zone only
+	NeverRan bool          `json:"never,omitempty"` // it surely never ran
 	Recalled bool          `json:"recalled,omitempty"`
-	Out      string        `json:"out,omitempty"` // how it ended, with a recorder
+	Outcome  string        `json:"out,omitempty"` // how it ended, with a recorder
 }
 
 // Ends of a message. Those that a notice tells of carry the notice's word.
 const (
-	delivered  = "delivered"
-	answered   = "answered" // refused or failed in the answer to its client, or withdrawn
-	givenUp    = "given_up"
-	handedBack = "handed_back"
+	outcomeDelivered  = "delivered"
+	outcomeAnswered   = "answered" // refused or failed in the answer to its client, or withdrawn
+	outcomeGivenUp    = "given_up"
+	outcomeHandedBack = "handed_back"
 )
 
-// stored is a message as the journal holds it.
-type stored struct {
-	record        // of op take
-	how    string // its end, if a notice of it is still owed, or the recorder has not taken it yet
-	retry  int64
-	keep   bool          // the recorder has not taken it yet
-	told   bool          // no notice is owed
-	at     time.Duration // it ended
-	cost   int64         // what it may take in the file
+// storedMessage is a message as the journal holds it.
+type storedMessage struct {
+	record                // of op take
+	outcome        string // its end, if a notice of it is still owed, or the recorder has not taken it yet
+	retryAfterMS   int64
+	awaitsRecorder bool          // the recorder has not taken it yet
+	notified       bool          // no notice is owed
+	endedAt        time.Duration // it ended
+	cost           int64         // what it may take in the file
 }
 
-// gone is whether nothing more is owed on a message that is over.
-func (m *stored) gone() bool { return m.how != "" && m.told && !m.keep }
+// settled is whether nothing more is owed on a message that is over.
+func (m *storedMessage) settled() bool { return m.outcome != "" && m.notified && !m.awaitsRecorder }
 
-func (m *stored) apply(r *record) {
+func (m *storedMessage) apply(r *record) {
 	switch r.Op {
 	case "send":
 		if r.Sent != nil {
-			m.Tries = append(m.Tries, *r.Sent)
+			m.Attempts = append(m.Attempts, *r.Sent)
 		}
 	case "end":
-		if r.Try >= 0 && r.Try < len(m.Tries) {
-			t := &m.Tries[r.Try]
-			t.Never, t.Recalled, t.Out = r.Never, r.Recalled, r.Out
+		if r.Attempt >= 0 && r.Attempt < len(m.Attempts) {
+			t := &m.Attempts[r.Attempt]
+			t.NeverRan, t.Recalled, t.Outcome = r.NeverRan, r.Recalled, r.AttemptOutcome
 		}
 	case "over":
-		m.how, m.retry, m.keep, m.at = r.How, r.RetryMS, r.Keep, r.At
-		m.told = r.Told || r.How == delivered || r.How == answered
-		if !m.keep {
+		m.outcome, m.retryAfterMS, m.awaitsRecorder, m.endedAt = r.Outcome, r.RetryAfterMS, r.AwaitsRecorder, r.At
+		m.notified = r.Notified || r.Outcome == outcomeDelivered || r.Outcome == outcomeAnswered
+		if !m.awaitsRecorder {
 			m.Body, m.Event = nil, nil
 		}
 	case "told":
-		m.told = true
+		m.notified = true
 	case "kept":
-		m.keep, m.Body, m.Event = false, nil, nil
+		m.awaitsRecorder, m.Body, m.Event = false, nil, nil
 	}
 }
 
-// firstRun is the first attempt that may have run.
-func (m *stored) firstRun() (try, bool) { return m.firstBefore(len(m.Tries)) }
+// firstPossibleRun is the first attempt that may have run.
+func (m *storedMessage) firstPossibleRun() (attemptRecord, bool) {
+	return m.firstPossibleRunBefore(len(m.Attempts))
+}
 
-// firstBefore is the first attempt before the n-th that may have run.
-func (m *stored) firstBefore(n int) (try, bool) {
-	for _, t := range m.Tries[:min(n, len(m.Tries))] {
-		if !t.Never {
+// firstPossibleRunBefore is the first attempt before the n-th that may have run.
+func (m *storedMessage) firstPossibleRunBefore(n int) (attemptRecord, bool) {
+	for _, t := range m.Attempts[:min(n, len(m.Attempts))] {
+		if !t.NeverRan {
 			return t, true
 		}
 	}
-	return try{}, false
+	return attemptRecord{}, false
 }
 
-// made is how many attempts count as such: those that were recalled before anything was written do not, and of one that
+// attemptsMade is how many attempts count as such: those that were recalled before anything was written do not, and of one that
 // went again those of its earlier lives do not.
-func (m *stored) made() int {
-	own := m.Tries[min(m.Before, len(m.Tries)):]
+func (m *storedMessage) attemptsMade() int {
+	own := m.Attempts[min(m.EarlierAttempts, len(m.Attempts)):]
 	n := len(own)
 	for _, t := range own {
 		if t.Recalled {
@@ -171,18 +173,18 @@
 	return n
 }
 
-// orderKey is the Brain's number for the key of the order, 0 for none. Two keys of one number go in one turn,
+// orderKeyHash is the Brain's number for the key of the order, 0 for none. Two keys of one number go in one turn,
 // which keeps both orders.
-func (m *stored) orderKey() uint64 {
-	if m.Order == "" {
+func (m *storedMessage) orderKeyHash() uint64 {
+	if m.OrderKey == "" {
 		return 0
 	}
 	h := fnv.New64a()
-	io.WriteString(h, m.Order)
+	io.WriteString(h, m.OrderKey)
 	return max(1, h.Sum64())
 }
 
-var errNoRoom = errors.New("no room in the journal")
+var errJournalFull = errors.New("no room in the journal")
 
 // journalFile is the file that is added to; in tests one that a disk fails.
 type journalFile interface {
@@ -192,30 +194,30 @@
 
 // journal keeps what was taken on. It belongs to the loop.
 type journal struct {
-	path     string
-	file     journalFile
-	budget   int64 // bytes that old and new file may hold together
-	size     int64
-	live     int64 // the sum of costs: an upper bound of a compacted file and all that follows on its messages
-	buf      bytes.Buffer
-	line     []byte    // of the message that is being put in
-	failed   bool      // the last write failed: nothing more is written until a compaction succeeds
-	tried    time.Time // the last compaction
-	rates    map[uint32]float64
-	outs     outages
-	outsMost int // bytes of those
-	list     keptList
-	spoilt   int // lines that could not be read at the start; a last one without its end is a kill's, and not counted
-	byID     map[string]*stored
-	order    []*stored // in the order taken, with some that have ended
-	ended    int       // of those
+	path           string
+	file           journalFile
+	budget         int64 // bytes that old and new file may hold together
+	size           int64
+	reserved       int64 // the sum of costs: an upper bound of a compacted file and all that follows on its messages
+	buf            bytes.Buffer
+	line           []byte    // of the message that is being put in
+	failed         bool      // the last write failed: nothing more is written until a compaction succeeds
+	lastCompaction time.Time // the last compaction
+	rates          map[uint32]float64
+	outages        outageSnapshot
+	maxOutageBytes int // bytes of those
+	endpoints      storedList
+	corruptLines   int // lines that could not be read at the start; a last one without its end is a kill's, and not counted
+	byID           map[string]*storedMessage
+	order          []*storedMessage // in the order taken, with some that have ended
+	ended          int              // of those
 }
 
 // openJournal reads what an earlier process left and begins a compacted file.
 func openJournal(dir string, budget int64) (*journal, error) {
-	j := &journal{path: filepath.Join(dir, journalName), budget: budget, outsMost: int(min(outagesRoom, budget/outagesPart)), byID: map[string]*stored{}}
-	j.live = ratesRoom + listHead + int64(j.outsMost)
-	j.list.most = min(listMost, budget/16)
+	j := &journal{path: filepath.Join(dir, journalFileName), budget: budget, maxOutageBytes: int(min(maxOutageReserve, budget/outageBudgetDivisor)), byID: map[string]*storedMessage{}}
+	j.reserved = ratesReserve + listRecordOverhead + int64(j.maxOutageBytes)
+	j.endpoints.maxBytes = min(maxStoredListBytes, budget/16)
 	old, err := os.Open(j.path)
 	if err == nil {
 		err = j.replay(old)
@@ -243,34 +245,34 @@
 			return err
 		}
 		var rec record
-		if !decode(line, &rec) {
-			j.spoilt++
+		if !decodeLine(line, &rec) {
+			j.corruptLines++
 			continue
 		}
 		switch m := j.byID[rec.ID]; {
 		case rec.Op == "rates":
-			j.rates, j.outs = rec.Rates, outages{rec.At, rec.Outages}
+			j.rates, j.outages = rec.Rates, outageSnapshot{rec.At, rec.Outages}
 		case rec.Op == "list":
 			if rec.List != nil {
-				j.live -= j.list.size
-				j.list.apply(rec.List)
-				j.live += j.list.size
+				j.reserved -= j.endpoints.size
+				j.endpoints.apply(rec.List)
+				j.reserved += j.endpoints.size
 			}
 		case rec.Op == "take":
 			if m != nil { // an id is used again only once its message is over
-				j.remove(m)
+				j.unindex(m)
 			}
-			j.add(&stored{record: rec, how: rec.How, retry: rec.RetryMS, keep: rec.Keep, told: rec.Told, at: rec.At, cost: int64(len(line)) + overhead(rec.ID)})
+			j.index(&storedMessage{record: rec, outcome: rec.Outcome, retryAfterMS: rec.RetryAfterMS, awaitsRecorder: rec.AwaitsRecorder, notified: rec.Notified, endedAt: rec.At, cost: int64(len(line)) + followUpBytes(rec.ID)})
 		case m == nil:
 		default:
-			if m.apply(&rec); m.gone() {
-				j.remove(m)
+			if m.apply(&rec); m.settled() {
+				j.unindex(m)
 			}
 		}
 	}
 }
 
-func decode(line []byte, rec *record) bool {
+func decodeLine(line []byte, rec *record) bool {
 	if len(line) < 10 {
 		return false
 	}
@@ -279,7 +281,7 @@
 	return err == nil && uint32(sum) == crc32.ChecksumIEEE(text) && json.Unmarshal(text, rec) == nil
 }
 
-func encode(w io.Writer, rec *record) (int, error) {
+func writeLine(w io.Writer, rec *record) (int, error) {
 	line, err := appendLine(nil, rec)
 	if err != nil {
 		return 0, err
@@ -311,11 +313,11 @@
 }
 
 func appendRecord(b []byte, r *record) []byte {
-	b = appendText(append(b, `{"op":`...), r.Op)
-	b = appendText(append(b, `,"id":`...), r.ID)
+	b = appendString(append(b, `{"op":`...), r.Op)
+	b = appendString(append(b, `,"id":`...), r.ID)
 	text := func(name, v string) {
 		if v != "" {
-			b = appendText(append(b, name...), v)
+			b = appendString(append(b, name...), v)
 		}
 	}
 	number := func(name string, v int64) {
@@ -324,14 +326,14 @@
 		}
 	}
 	text(`,"key":`, r.Key)
-	text(`,"order":`, r.Order)
+	text(`,"order":`, r.OrderKey)
 	text(`,"class":`, r.Class)
 	text(`,"tenant":`, r.Tenant)
 	number(`,"dest":`, int64(r.Dest))
 	number(`,"deadline":`, int64(r.Deadline))
 	text(`,"effect":`, r.Effect)
-	number(`,"window":`, int64(r.Window))
-	if r.InZone {
+	number(`,"window":`, int64(r.KeyWindow))
+	if r.KeyInZone {
 		b = append(b, `,"in_zone":true`...)
 	}
 	if len(r.Body) > 0 {
@@ -341,69 +343,69 @@
 	if r.Event != nil {
 		b = r.Event.AppendHead(append(b, `,"event":`...))
 	}
-	if r.Ident != nil {
-		b = r.Ident.append(append(b, `,"ident":"`...))
+	if r.Identity != nil {
+		b = r.Identity.append(append(b, `,"ident":"`...))
 		b = append(b, '"')
 	}
-	for i := range r.Tries {
+	for i := range r.Attempts {
 		if i == 0 {
 			b = append(b, `,"tries":[`...)
 		} else {
 			b = append(b, ',')
 		}
-		b = appendTry(b, &r.Tries[i])
+		b = appendAttempt(b, &r.Attempts[i])
 	}
-	if len(r.Tries) > 0 {
+	if len(r.Attempts) > 0 {
 		b = append(b, ']')
 	}
-	number(`,"life":`, int64(r.Life))
-	number(`,"before":`, int64(r.Before))
-	number(`,"try":`, int64(r.Try))
+	number(`,"life":`, int64(r.Incarnation))
+	number(`,"before":`, int64(r.EarlierAttempts))
+	number(`,"try":`, int64(r.Attempt))
 	if r.Sent != nil {
-		b = appendTry(append(b, `,"sent":`...), r.Sent)
+		b = appendAttempt(append(b, `,"sent":`...), r.Sent)
 	}
-	if r.Never {
+	if r.NeverRan {
 		b = append(b, `,"never":true`...)
 	}
 	if r.Recalled {
 		b = append(b, `,"recalled":true`...)
 	}
-	text(`,"how":`, r.How)
-	number(`,"retry_ms":`, r.RetryMS)
-	if r.Keep {
+	text(`,"how":`, r.Outcome)
+	number(`,"retry_ms":`, r.RetryAfterMS)
+	if r.AwaitsRecorder {
 		b = append(b, `,"keep":true`...)
 	}
-	if r.Told {
+	if r.Notified {
 		b = append(b, `,"told":true`...)
 	}
 	number(`,"at":`, int64(r.At))
-	text(`,"out":`, r.Out)
+	text(`,"out":`, r.AttemptOutcome)
 	return append(b, '}')
 }
 
-func appendTry(b []byte, t *try) []byte {
+func appendAttempt(b []byte, t *attemptRecord) []byte {
 	b = strconv.AppendInt(append(b, `{"at":`...), int64(t.At), 10)
-	b = appendText(append(b, `,"endpoint":`...), t.Endpoint)
+	b = appendString(append(b, `,"endpoint":`...), t.Endpoint)
 	if t.Zone != 0 {
 		b = strconv.AppendInt(append(b, `,"zone":`...), int64(t.Zone), 10)
 	}
-	if t.In != "" {
-		b = appendText(append(b, `,"in":`...), t.In)
+	if t.ZoneName != "" {
+		b = appendString(append(b, `,"in":`...), t.ZoneName)
 	}
-	if t.Never {
+	if t.NeverRan {
 		b = append(b, `,"never":true`...)
 	}
 	if t.Recalled {
 		b = append(b, `,"recalled":true`...)
 	}
-	if t.Out != "" {
-		b = appendText(append(b, `,"out":`...), t.Out)
+	if t.Outcome != "" {
+		b = appendString(append(b, `,"out":`...), t.Outcome)
 	}
 	return append(b, '}')
 }
 
-// appendText adds a JSON string. Names are plain ASCII but for those of a list or a settings file.
-func appendText(b []byte, s string) []byte {
+// appendString adds a JSON string. Names are plain ASCII but for those of a list or a settings file.
+func appendString(b []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < 0x20 || c > 0x7e || c == '"' || c == '\\' {
 			raw, _ := json.Marshal(s) // a string can't fail
@@ -415,26 +417,26 @@
 	return append(b, '"')
 }
 
-func (j *journal) add(m *stored) {
+func (j *journal) index(m *storedMessage) {
 	j.byID[m.ID] = m
 	j.order = append(j.order, m)
-	j.live += m.cost
+	j.reserved += m.cost
 }
 
-func (j *journal) remove(m *stored) {
+func (j *journal) unindex(m *storedMessage) {
 	if j.byID[m.ID] == m {
 		delete(j.byID, m.ID)
-		j.live -= m.cost
+		j.reserved -= m.cost
 		m.Body, m.Event = nil, nil
 		if j.ended++; j.ended > len(j.order)/2+256 {
-			j.order = j.held()
+			j.order = j.pending()
 		}
 	}
 }
 
-// held is the messages that have not ended, in the order taken.
-func (j *journal) held() []*stored {
-	kept := make([]*stored, 0, len(j.byID))
+// pending is the messages that have not ended, in the order taken.
+func (j *journal) pending() []*storedMessage {
+	kept := make([]*storedMessage, 0, len(j.byID))
 	for _, m := range j.order {
 		if j.byID[m.ID] == m {
 			kept = append(kept, m)
@@ -444,33 +446,33 @@
 	return kept
 }
 
-// take writes down a message that is about to be taken on; without room for it, it does not.
-func (j *journal) take(rec record) (*stored, error) {
-	m, err := j.put(rec)
+// insertAndFlush writes down a message that is about to be taken on; without room for it, it does not.
+func (j *journal) insertAndFlush(rec record) (*storedMessage, error) {
+	m, err := j.insert(rec)
 	if err != nil {
 		return nil, err
 	}
 	if err := j.flush(); err != nil {
-		j.remove(m)
+		j.unindex(m)
 		return nil, err
 	}
 	return m, nil
 }
 
-// put adds a message that is about to be taken on, if there is room for it; flush writes it.
-func (j *journal) put(rec record) (*stored, error) {
+// insert adds a message that is about to be taken on, if there is room for it; flush writes it.
+func (j *journal) insert(rec record) (*storedMessage, error) {
 	rec.Op = "take"
 	var err error
 	if j.line, err = appendLine(j.line[:0], &rec); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	m := &stored{record: rec, cost: int64(len(j.line)) + overhead(rec.ID)}
-	fits := func(size int64) bool { return size+j.live+2*m.cost <= j.budget }
-	if !fits(j.live) && !fits(j.size+int64(j.buf.Len())) {
-		return nil, errNoRoom
+	m := &storedMessage{record: rec, cost: int64(len(j.line)) + followUpBytes(rec.ID)}
+	fits := func(size int64) bool { return size+j.reserved+2*m.cost <= j.budget }
+	if !fits(j.reserved) && !fits(j.size+int64(j.buf.Len())) {
+		return nil, errJournalFull
 	}
-	if j.failed && time.Since(j.tried) < tryAgain {
-		return nil, errNoRoom
+	if j.failed && time.Since(j.lastCompaction) < compactionRetryInterval {
+		return nil, errJournalFull
 	}
 	if j.failed || !fits(j.size+int64(j.buf.Len())) {
 		if err := j.compact(); err != nil {
@@ -478,38 +480,38 @@
 		}
 	}
 	j.buf.Write(j.line)
-	j.add(m)
+	j.index(m)
 	return m, nil
 }
 
-// note adds a record on a message; flush writes it.
-func (j *journal) note(m *stored, rec record) {
+// update adds a record on a message; flush writes it.
+func (j *journal) update(m *storedMessage, rec record) {
 	rec.ID = m.ID
 	line, err := appendLine(j.buf.AvailableBuffer(), &rec)
 	if err != nil {
 		j.failed = true
 	}
 	j.buf.Write(line)
-	if m.apply(&rec); m.gone() {
-		j.remove(m)
+	if m.apply(&rec); m.settled() {
+		j.unindex(m)
 	}
 }
 
-// keepRates notes the rates of the busiest destinations, and who is out, in place of those noted before.
-func (j *journal) keepRates(rates []brain.UsualRate, outs outages) error {
+// saveRates notes the rates of the busiest destinations, and who is out, in place of those noted before.
+func (j *journal) saveRates(rates []brain.UsualRate, outs outageSnapshot) error {
 	slices.SortFunc(rates, func(a, b brain.UsualRate) int { return cmp.Compare(b.Rate, a.Rate) })
-	j.rates, j.outs = map[uint32]float64{}, outs.within(j.outsMost)
-	for _, r := range rates[:min(len(rates), ratesMost)] {
+	j.rates, j.outages = map[uint32]float64{}, outs.truncated(j.maxOutageBytes)
+	for _, r := range rates[:min(len(rates), maxRates)] {
 		j.rates[uint32(r.Destination)] = roundRate(r.Rate)
 	}
-	if _, err := encode(&j.buf, j.ratesRecord()); err != nil {
+	if _, err := writeLine(&j.buf, j.ratesRecord()); err != nil {
 		j.failed = true
 	}
 	return j.flush()
 }
 
 func (j *journal) ratesRecord() *record {
-	return &record{Op: "rates", Rates: j.rates, At: j.outs.at, Outages: j.outs.all}
+	return &record{Op: "rates", Rates: j.rates, At: j.outages.at, Outages: j.outages.list}
 }
 
 // flush writes what was noted. After a failed write the file may lack records, so nothing more is added
@@ -518,11 +520,11 @@
 	if j.buf.Len() == 0 {
 		return nil
 	}
-	if j.failed && time.Since(j.tried) < tryAgain {
+	if j.failed && time.Since(j.lastCompaction) < compactionRetryInterval {
 		j.buf.Reset()
-		return errNoRoom
+		return errJournalFull
 	}
-	if j.failed || j.size+int64(j.buf.Len())+j.live > j.budget {
+	if j.failed || j.size+int64(j.buf.Len())+j.reserved > j.budget {
 		j.buf.Reset()
 		return j.compact() // it holds what was noted, too
 	}
@@ -543,7 +545,7 @@
 // leaves the old file whole, and beside it at most a new one that nobody reads.
 func (j *journal) compact() error {
 	err := j.rewrite()
-	j.failed, j.tried = err != nil, time.Now()
+	j.failed, j.lastCompaction = err != nil, time.Now()
 	if err != nil {
 		os.Remove(j.path + ".new")
 		return fmt.Errorf("journal: %w", err)
@@ -558,28 +560,28 @@
 	}
 	w := bufio.NewWriterSize(f, 1<<16)
 	var size int64
-	if len(j.rates) > 0 || len(j.outs.all) > 0 {
-		n, err := encode(w, j.ratesRecord())
+	if len(j.rates) > 0 || len(j.outages.list) > 0 {
+		n, err := writeLine(w, j.ratesRecord())
 		size += int64(n)
 		if err != nil {
 			f.Close()
 			return err
 		}
 	}
-	if list := j.list.record(); list != nil {
-		n, err := encode(w, &record{Op: "list", List: list})
+	if list := j.endpoints.record(); list != nil {
+		n, err := writeLine(w, &record{Op: "list", List: list})
 		size += int64(n)
 		if err != nil {
 			f.Close()
 			return err
 		}
 	}
-	kept := j.held()
+	kept := j.pending()
 	for _, m := range kept {
 		rec := m.record
-		rec.How, rec.RetryMS, rec.Keep, rec.At = m.how, m.retry, m.keep, m.at
-		rec.Told = m.told && m.how != ""
-		n, err := encode(w, &rec)
+		rec.Outcome, rec.RetryAfterMS, rec.AwaitsRecorder, rec.At = m.outcome, m.retryAfterMS, m.awaitsRecorder, m.endedAt
+		rec.Notified = m.notified && m.outcome != ""
+		n, err := writeLine(w, &rec)
 		size += int64(n)
 		if err != nil {
 			f.Close()
@@ -598,7 +600,7 @@
 		j.file.Close()
 	}
 	j.file, j.size, j.order = f, size, kept
-	j.list.unwritten = false
+	j.endpoints.unwritten = false
 	j.buf.Reset()
 	return nil
 }
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -23,9 +23,9 @@
 	return j
 }
 
-func takeTest(t *testing.T, j *journal, id string) *stored {
+func takeTest(t *testing.T, j *journal, id string) *storedMessage {
 	t.Helper()
-	m, err := j.take(record{ID: id, Class: "keyed", Key: "k" + id, Dest: 3, Deadline: 99, Body: []byte("body " + id)})
+	m, err := j.insertAndFlush(record{ID: id, Class: "keyed", Key: "k" + id, Dest: 3, Deadline: 99, Body: []byte("body " + id)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,15 +36,15 @@
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	a, b, c, d := takeTest(t, j, "a"), takeTest(t, j, "b"), takeTest(t, j, "c"), takeTest(t, j, "d")
-	j.note(a, record{Op: "send", Sent: &try{At: 10, Endpoint: "s"}})
-	j.note(a, record{Op: "end", Try: 0, Never: true})
-	j.note(a, record{Op: "send", Sent: &try{At: 20, Endpoint: "s", Zone: 1}}) // no outcome: it may have run
-	j.note(a, record{Op: "send", Sent: &try{At: 30, Endpoint: "s"}})
-	j.note(a, record{Op: "end", Try: 2, Never: true, Recalled: true}) // it counts as no attempt
-	j.note(b, record{Op: "over", How: delivered})
-	j.note(c, record{Op: "over", How: handedBack, RetryMS: 500})
-	j.note(d, record{Op: "over", How: givenUp})
-	j.note(d, record{Op: "told"})
+	j.update(a, record{Op: "send", Sent: &attemptRecord{At: 10, Endpoint: "s"}})
+	j.update(a, record{Op: "end", Attempt: 0, NeverRan: true})
+	j.update(a, record{Op: "send", Sent: &attemptRecord{At: 20, Endpoint: "s", Zone: 1}}) // no outcome: it may have run
+	j.update(a, record{Op: "send", Sent: &attemptRecord{At: 30, Endpoint: "s"}})
+	j.update(a, record{Op: "end", Attempt: 2, NeverRan: true, Recalled: true}) // it counts as no attempt
+	j.update(b, record{Op: "over", Outcome: outcomeDelivered})
+	j.update(c, record{Op: "over", Outcome: outcomeHandedBack, RetryAfterMS: 500})
+	j.update(d, record{Op: "over", Outcome: outcomeGivenUp})
+	j.update(d, record{Op: "told"})
 	if err := j.flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -54,11 +54,11 @@
 			t.Fatalf("holds %d messages", len(j.byID))
 		}
 		m := j.byID["a"]
-		first, may := m.firstRun()
-		if !may || first.At != 20 || first.Zone != 1 || len(m.Tries) != 3 || m.made() != 2 || string(m.Body) != "body a" || m.Key != "ka" || m.Dest != 3 || m.Deadline != 99 {
+		first, may := m.firstPossibleRun()
+		if !may || first.At != 20 || first.Zone != 1 || len(m.Attempts) != 3 || m.attemptsMade() != 2 || string(m.Body) != "body a" || m.Key != "ka" || m.Dest != 3 || m.Deadline != 99 {
 			t.Errorf("a is %+v", m)
 		}
-		if m := j.byID["c"]; m.how != handedBack || m.retry != 500 {
+		if m := j.byID["c"]; m.outcome != outcomeHandedBack || m.retryAfterMS != 500 {
 			t.Errorf("c is %+v", m)
 		}
 	}
@@ -75,18 +75,18 @@
 		many = append(many, brain.UsualRate{Destination: d, Rate: float64(d) / 7})
 	}
 	for _, rates := range [][]brain.UsualRate{{{Destination: 3, Rate: 1}, {Destination: 4, Rate: 2.25}}, many} {
-		if err := j.keepRates(rates, outages{}); err != nil {
+		if err := j.saveRates(rates, outageSnapshot{}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	takeTest(t, j, "a")
 	for range 2 { // as after a kill, and from the compacted file
 		j = openTest(t, dir, 1<<20)
-		if len(j.rates) != ratesMost || j.rates[999] != 142.714 || j.rates[3] != 0 || len(j.byID) != 1 {
+		if len(j.rates) != maxRates || j.rates[999] != 142.714 || j.rates[3] != 0 || len(j.byID) != 1 {
 			t.Errorf("%d rates, %v, %d messages", len(j.rates), j.rates[999], len(j.byID))
 		}
 	}
-	if j.size > ratesRoom+1000 {
+	if j.size > ratesReserve+1000 {
 		t.Errorf("rates and one message take %d bytes", j.size)
 	}
 }
@@ -130,29 +130,29 @@
 	const budget = 64 << 10
 	dir := t.TempDir()
 	j := openTest(t, dir, budget)
-	var held []*stored
+	var held []*storedMessage
 	refused := 0
 	for i := range 3000 {
-		m, err := j.take(record{ID: fmt.Sprint(i), Body: bytes.Repeat([]byte("x"), i%700)})
-		if errors.Is(err, errNoRoom) {
+		m, err := j.insertAndFlush(record{ID: fmt.Sprint(i), Body: bytes.Repeat([]byte("x"), i%700)})
+		if errors.Is(err, errJournalFull) {
 			refused++
 		} else if err != nil {
 			t.Fatal(err)
 		} else {
 			held = append(held, m)
 			for n := range 6 {
-				j.note(m, record{Op: "send", Sent: &try{At: 1 << 60, Endpoint: "s-5be2a07c"}})
-				j.note(m, record{Op: "end", Try: n, Never: true})
+				j.update(m, record{Op: "send", Sent: &attemptRecord{At: 1 << 60, Endpoint: "s-5be2a07c"}})
+				j.update(m, record{Op: "end", Attempt: n, NeverRan: true})
 			}
 			if err := j.flush(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if j.size+j.live > budget {
-			t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.live)
+		if j.size+j.reserved > budget {
+			t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.reserved)
 		}
 		if i%3 == 0 && len(held) > 0 {
-			j.note(held[0], record{Op: "over", How: delivered})
+			j.update(held[0], record{Op: "over", Outcome: outcomeDelivered})
 			held = held[1:]
 		}
 	}
@@ -165,7 +165,7 @@
 	if again := openTest(t, dir, budget); len(again.byID) != len(held) {
 		t.Errorf("%d of %d came back", len(again.byID), len(held))
 	}
-	if _, err := os.Stat(filepath.Join(dir, journalName+".new")); !os.IsNotExist(err) {
+	if _, err := os.Stat(filepath.Join(dir, journalFileName+".new")); !os.IsNotExist(err) {
 		t.Errorf("the new file is left: %v", err)
 	}
 }
@@ -186,22 +186,22 @@
 	if err := os.MkdirAll(filepath.Join(j.path+".new", "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	j.note(a, record{Op: "send", Sent: &try{At: 5}})
+	j.update(a, record{Op: "send", Sent: &attemptRecord{At: 5}})
 	if err := j.flush(); err == nil {
 		t.Fatal("a full disk took a record")
 	}
 	for range 2 {
-		if _, err := j.take(record{ID: "b"}); err == nil {
+		if _, err := j.insertAndFlush(record{ID: "b"}); err == nil {
 			t.Fatal("a message was taken on a full disk")
 		}
 	}
 	if err := os.RemoveAll(j.path + ".new"); err != nil {
 		t.Fatal(err)
 	}
-	j.tried = j.tried.Add(-tryAgain)
+	j.lastCompaction = j.lastCompaction.Add(-compactionRetryInterval)
 	takeTest(t, j, "c")
 	again := openTest(t, dir, 1<<20)
-	if m := again.byID["a"]; len(again.byID) != 2 || m == nil || len(m.Tries) != 1 {
+	if m := again.byID["a"]; len(again.byID) != 2 || m == nil || len(m.Attempts) != 1 {
 		t.Errorf("came back with %d messages, a is %+v", len(again.byID), m)
 	}
 }
@@ -230,12 +230,12 @@
 		j := openTest(t, dir, 1<<20)
 		takeTest(t, j, "a")
 		j.file = &failing{j.file.(*os.File), room}
-		b, err := j.put(record{ID: "b", Body: []byte("body")})
+		b, err := j.insert(record{ID: "b", Body: []byte("body")})
 		if err != nil {
 			t.Fatal(err)
 		}
-		j.note(b, record{Op: "send", Sent: &try{At: 5, Endpoint: "s"}})
-		c, err := j.put(record{ID: "c", Body: []byte("body")})
+		j.update(b, record{Op: "send", Sent: &attemptRecord{At: 5, Endpoint: "s"}})
+		c, err := j.insert(record{ID: "c", Body: []byte("body")})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -246,8 +246,8 @@
 			}
 			return // all of it found room
 		}
-		j.remove(b)
-		j.remove(c)
+		j.unindex(b)
+		j.unindex(c)
 		if again := openTest(t, dir, 1<<20); len(again.byID) != 1 || again.byID["a"] == nil {
 			t.Fatalf("with room for %d bytes %d messages came back", room, len(again.byID))
 		}
@@ -267,8 +267,8 @@
 		return string(b)
 	}
 	for range 3000 {
-		want := record{Op: text(), ID: text(), Key: text(), Order: text(), Class: text(), Tenant: text(), Dest: rng.Uint32N(3), Deadline: time.Duration(rng.Int64()),
-			Try: rng.IntN(3), Never: rng.IntN(2) == 0, Recalled: rng.IntN(2) == 0, How: text(), RetryMS: rng.Int64N(3) * rng.Int64N(5000)}
+		want := record{Op: text(), ID: text(), Key: text(), OrderKey: text(), Class: text(), Tenant: text(), Dest: rng.Uint32N(3), Deadline: time.Duration(rng.Int64()),
+			Attempt: rng.IntN(3), NeverRan: rng.IntN(2) == 0, Recalled: rng.IntN(2) == 0, Outcome: text(), RetryAfterMS: rng.Int64N(3) * rng.Int64N(5000)}
 		if n := rng.IntN(40); n > 0 {
 			want.Body = make([]byte, n)
 			for i := range want.Body {
@@ -276,10 +276,10 @@
 			}
 		}
 		for range rng.IntN(3) {
-			want.Tries = append(want.Tries, try{At: time.Duration(rng.Int64()), Endpoint: text(), Zone: rng.IntN(2), Never: rng.IntN(2) == 0, Recalled: rng.IntN(2) == 0})
+			want.Attempts = append(want.Attempts, attemptRecord{At: time.Duration(rng.Int64()), Endpoint: text(), Zone: rng.IntN(2), NeverRan: rng.IntN(2) == 0, Recalled: rng.IntN(2) == 0})
 		}
 		if rng.IntN(2) == 0 {
-			want.Sent = &try{At: time.Duration(rng.Int64()), Endpoint: text()}
+			want.Sent = &attemptRecord{At: time.Duration(rng.Int64()), Endpoint: text()}
 		}
 		if rng.IntN(9) == 0 {
 			want.Rates = map[uint32]float64{1: 2.5}
@@ -289,7 +289,7 @@
 			t.Fatal(err)
 		}
 		var got record
-		if !decode(line[len("before"):], &got) || !reflect.DeepEqual(got, want) {
+		if !decodeLine(line[len("before"):], &got) || !reflect.DeepEqual(got, want) {
 			t.Fatalf("%q is read as %+v, want %+v", line, got, want)
 		}
 	}
@@ -308,13 +308,13 @@
 	j := openTest(t, t.TempDir(), 1<<30)
 	first := takeTest(t, j, "first")
 	for i := range 20_000 {
-		j.note(takeTest(t, j, fmt.Sprint(i)), record{Op: "over", How: delivered})
+		j.update(takeTest(t, j, fmt.Sprint(i)), record{Op: "over", Outcome: outcomeDelivered})
 		if len(j.order) > 2000 {
 			t.Fatalf("after %d messages %d are held", i, len(j.order))
 		}
 	}
 	last := takeTest(t, j, "last")
-	if kept := j.held(); len(kept) != 2 || kept[0] != first || kept[1] != last {
+	if kept := j.pending(); len(kept) != 2 || kept[0] != first || kept[1] != last {
 		t.Errorf("%d are held", len(kept))
 	}
 }
--- a/internal/sender/leave_test.go
+++ b/internal/sender/leave_test.go
@@ -16,27 +16,27 @@
 	s := newTest(t, p, nil)
 	deadline := s.clock.now() + time.Minute
 	for _, id := range []string{"answered", "open"} {
-		m, err := s.journal.take(record{ID: id, Class: "unsafe", Tenant: "acme", Deadline: deadline})
+		m, err := s.journal.insertAndFlush(record{ID: id, Class: "unsafe", Tenant: "acme", Deadline: deadline})
 		if err != nil {
 			t.Fatal(err)
 		}
-		number := s.hold(m, nil, 2)
-		s.journal.note(m, record{Op: "send", Sent: &try{At: s.clock.now(), Endpoint: "s-0"}})
-		s.out++
+		number := s.register(m, nil, 2)
+		s.journal.update(m, record{Op: "send", Sent: &attemptRecord{At: s.clock.now(), Endpoint: "s-0"}})
+		s.inFlight++
 		if id == "answered" {
-			s.events <- callEnd{s.messages[number], 0, brain.AttemptResult{Outcome: brain.Served, Final: true}, false}
+			s.events <- callResult{s.messages[number], 0, brain.AttemptResult{Outcome: brain.Served, Final: true}, false}
 		}
 	}
-	late := submission{record: record{ID: "late", Class: "unsafe", Tenant: "acme", Deadline: deadline}, class: 2, answer: make(chan answerLine, 1)}
+	late := submission{record: record{ID: "late", Class: "unsafe", Tenant: "acme", Deadline: deadline}, class: 2, answer: make(chan response, 1)}
 	s.events <- late
-	if err := s.leave(func() {}); err != nil {
+	if err := s.shutdown(func() {}); err != nil {
 		t.Fatal(err)
 	}
 	if a := st.Receive(t, late.answer); a.status != http.StatusServiceUnavailable {
 		t.Errorf("a message that comes as it leaves is answered %+v", a)
 	}
-	j := openTest(t, s.c.State, 1<<20)
-	if held := j.held(); len(held) != 1 || held[0].ID != "open" || len(held[0].Tries) != 1 {
+	j := openTest(t, s.config.StateDir, 1<<20)
+	if held := j.pending(); len(held) != 1 || held[0].ID != "open" || len(held[0].Attempts) != 1 {
 		t.Errorf("the next process finds %v", held)
 	}
 }
@@ -51,21 +51,21 @@
 	}{"long before": {time.Minute, false}, "as it is up": {0, true}, "after it": {-time.Second, true}} {
 		t.Run(name, func(t *testing.T) {
 			s := newTest(t, p, nil)
-			m, err := s.journal.take(record{ID: "m", Class: "safe", Tenant: "acme", Deadline: s.clock.now() + tt.left})
+			m, err := s.journal.insertAndFlush(record{ID: "m", Class: "safe", Tenant: "acme", Deadline: s.clock.now() + tt.left})
 			if err != nil {
 				t.Fatal(err)
 			}
-			number := s.hold(m, nil, 0)
-			s.journal.note(m, record{Op: "send", Sent: &try{At: s.clock.now(), Endpoint: "s-0"}})
-			s.out++
-			s.take(callEnd{s.messages[number], 0, brain.AttemptResult{Outcome: brain.Served, Final: true}, false})
-			if told := len(s.owed) == 1 && s.owed[0] == (notice{Message: "m", Outcome: givenUp}); told != tt.told {
-				t.Errorf("notices %+v", s.owed)
+			number := s.register(m, nil, 0)
+			s.journal.update(m, record{Op: "send", Sent: &attemptRecord{At: s.clock.now(), Endpoint: "s-0"}})
+			s.inFlight++
+			s.handle(callResult{s.messages[number], 0, brain.AttemptResult{Outcome: brain.Served, Final: true}, false})
+			if told := len(s.pendingNotices) == 1 && s.pendingNotices[0] == (notice{Message: "m", Outcome: outcomeGivenUp}); told != tt.told {
+				t.Errorf("notices %+v", s.pendingNotices)
 			}
 			s.flush() // and the process is killed
-			next := resumed(t, p, func(c *Config) { c.State = s.c.State })
-			if told := len(next.owed) == 1; told != tt.told || next.held != 0 {
-				t.Errorf("the next process owes %+v and holds %d", next.owed, next.held)
+			next := resumed(t, p, func(c *Config) { c.StateDir = s.config.StateDir })
+			if told := len(next.pendingNotices) == 1; told != tt.told || next.pending != 0 {
+				t.Errorf("the next process owes %+v and holds %d", next.pendingNotices, next.pending)
 			}
 		})
 	}
--- a/internal/sender/lives_test.go
+++ b/internal/sender/lives_test.go
@@ -16,12 +16,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := []try{{At: 1, Endpoint: "a", Never: true, Out: "refused"}, {At: 2, Endpoint: "a", Out: "timed out"}}
-	m, err := j.put(record{ID: "m", Class: "keyed", Key: "k", Deadline: time.Hour, Life: 2, Before: len(before), Tries: before})
+	before := []attemptRecord{{At: 1, Endpoint: "a", NeverRan: true, Outcome: "refused"}, {At: 2, Endpoint: "a", Outcome: "timed out"}}
+	m, err := j.insert(record{ID: "m", Class: "keyed", Key: "k", Deadline: time.Hour, Incarnation: 2, EarlierAttempts: len(before), Attempts: before})
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.note(m, record{Op: "send", Sent: &try{At: 9, Endpoint: "b"}})
+	j.update(m, record{Op: "send", Sent: &attemptRecord{At: 9, Endpoint: "b"}})
 	for range 2 { // as written, and as compacted
 		if err := j.flush(); err != nil {
 			t.Fatal(err)
@@ -33,19 +33,19 @@
 			t.Fatal(err)
 		}
 		got := j.byID["m"]
-		if got == nil || got.Life != 2 || got.Before != 2 || len(got.Tries) != 3 || got.made() != 1 {
+		if got == nil || got.Incarnation != 2 || got.EarlierAttempts != 2 || len(got.Attempts) != 3 || got.attemptsMade() != 1 {
 			t.Fatalf("%+v", got)
 		}
-		if first, may := got.firstRun(); !may || first.At != 2 {
+		if first, may := got.firstPossibleRun(); !may || first.At != 2 {
 			t.Errorf("first run %+v %v", first, may)
 		}
 	}
 	// Delivered, it stays until the recorder has heard so, with nobody else to be told.
-	j.note(j.byID["m"], record{Op: "over", How: delivered, Keep: true, At: 10})
-	if got := j.byID["m"]; got == nil || !got.keep || !got.told {
+	j.update(j.byID["m"], record{Op: "over", Outcome: outcomeDelivered, AwaitsRecorder: true, At: 10})
+	if got := j.byID["m"]; got == nil || !got.awaitsRecorder || !got.notified {
 		t.Errorf("%+v", got)
 	}
-	j.note(j.byID["m"], record{Op: "kept"})
+	j.update(j.byID["m"], record{Op: "kept"})
 	if j.byID["m"] != nil {
 		t.Error("it is not forgotten")
 	}
--- a/internal/sender/moves_test.go
+++ b/internal/sender/moves_test.go
@@ -162,7 +162,7 @@
 
 // noticed books a notice.
 func (l *moveLoad) noticed(n st.Notice) {
-	if n.Outcome != handedBack {
+	if n.Outcome != outcomeHandedBack {
 		l.t.Errorf("%s ends as %s", n.Message, n.Outcome)
 	}
 	l.handedBack[n.Message]++
--- a/internal/sender/names_test.go
+++ b/internal/sender/names_test.go
@@ -48,7 +48,7 @@
 		members = []membership.Member{{Name: "_hooks._tcp.example.", SRV: true, Kind: "plain", Zone: "a", Weight: 1}}
 	}
 	n := &named{t: t, ring: nameserver.NewKeyring(ring), c: &nameserver.Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "zones"), Keys: ring,
-		Spans: membership.DefaultSpans(), Members: members,
+		Spans: membership.DefaultFollowerConfig(), Members: members,
 		Zones: []nameserver.ZoneConfig{{Name: "example.", File: path, Updates: []nameserver.Update{{Key: "ops.", Grant: zone.Grant{Names: []string{"*.example."}}}}}}}}
 	if n.svc, err = nameserver.Start(n.c, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 // names is what the sender is told of it.
 func (n *named) names(p membership.Precedence) func(*Config) {
 	return func(c *Config) {
-		c.Names = &Names{Source: n.svc, First: n.svc.First(), Destinations: n.svc.Destinations(), Fallback: p, Report: func() any { return n.svc.Report() }}
+		c.Names = &NameSource{Source: n.svc, Initial: n.svc.First(), Destinations: n.svc.Destinations(), Fallback: p, Report: func() any { return n.svc.Report() }}
 	}
 }
 
@@ -144,38 +144,38 @@
 		membership.Member{Name: "hooks.example.", Port: uint16(number), Kind: "plain", Zone: "a", Weight: 1})
 	n.at(e.Addr, e.Addr)
 	s := newTest(t, st.NewPlatform(t, e.Addr), n.names(membership.Both))
-	s.step(t.Context(), s.listsAtStart())
-	if len(s.list.ByID) != 1 {
-		t.Fatalf("it is %d endpoints", len(s.list.ByID))
+	s.step(t.Context(), s.initialListEvents())
+	if len(s.endpoints.ByID) != 1 {
+		t.Fatalf("it is %d endpoints", len(s.endpoints.ByID))
 	}
-	number0 := s.list.ByID["s-0"].Number
+	number0 := s.endpoints.ByID["s-0"].Number
 	news := func(from membership.Source, u membership.Update) {
-		s.step(t.Context(), []brainEvent{s.news(listEvent{from, u})})
+		s.step(t.Context(), []brainEvent{s.applyListUpdate(listUpdate{from, u})})
 	}
 	news(membership.Discovery, membership.Update{Full: true}) // discovery drops it
-	if got := s.list.ByID["s-0"]; got == nil || got.Number != number0 || !got.Line.Ready {
+	if got := s.endpoints.ByID["s-0"]; got == nil || got.Number != number0 || !got.Line.Ready {
 		t.Fatalf("%+v", got)
 	}
 	follower := membership.NewFollower(n.c.Members, n.c.Spans)
 	one := func(addr string) membership.Answer {
 		return membership.Answer{Result: membership.Found, Addresses: []membership.Address{{AddrPort: mustParse(t, addr)}}}
 	}
-	follower.Step(0, []membership.Heard{{Member: 0, Answer: one(e.Addr)}, {Member: 1, Answer: one(e.Addr)}})
-	news(membership.Names, membership.Update{Servers: follower.Step(time.Second, []membership.Heard{{Member: 0, Answer: one(other.Addr)}})})
-	if got := s.list.ByID["s-0"]; !got.Line.Ready || len(s.list.ByID) != 2 {
+	follower.Step(0, []membership.Observation{{Member: 0, Answer: one(e.Addr)}, {Member: 1, Answer: one(e.Addr)}})
+	news(membership.Names, membership.Update{Servers: follower.Step(time.Second, []membership.Observation{{Member: 0, Answer: one(other.Addr)}})})
+	if got := s.endpoints.ByID["s-0"]; !got.Line.Ready || len(s.endpoints.ByID) != 2 {
 		t.Error("one of two names dropped it, and it does not serve")
 	}
-	news(membership.Names, membership.Update{Servers: follower.Step(2*time.Second, []membership.Heard{{Member: 1, Answer: one(other.Addr)}})})
-	if got := s.list.ByID["s-0"]; got == nil || got.Line.Ready {
+	news(membership.Names, membership.Update{Servers: follower.Step(2*time.Second, []membership.Observation{{Member: 1, Answer: one(other.Addr)}})})
+	if got := s.endpoints.ByID["s-0"]; got == nil || got.Line.Ready {
 		t.Error("both names dropped it, and it serves, or is forgotten")
 	}
-	news(membership.Names, membership.Update{Servers: follower.Step(3*time.Second, []membership.Heard{{Member: 1, Answer: one(e.Addr)}})})
-	if got := s.list.ByID["s-0"]; got.Number != number0 || !got.Line.Ready {
+	news(membership.Names, membership.Update{Servers: follower.Step(3*time.Second, []membership.Observation{{Member: 1, Answer: one(e.Addr)}})})
+	if got := s.endpoints.ByID["s-0"]; got.Number != number0 || !got.Line.Ready {
 		t.Error("it came back, and is another")
 	}
-	news(membership.Names, membership.Update{Servers: follower.Step(4*time.Second, []membership.Heard{{Member: 1, Answer: one(other.Addr)}})})
+	news(membership.Names, membership.Update{Servers: follower.Step(4*time.Second, []membership.Observation{{Member: 1, Answer: one(other.Addr)}})})
 	news(membership.Names, membership.Update{Servers: follower.Step(time.Hour, nil)})
-	if s.list.ByID["s-0"] != nil {
+	if s.endpoints.ByID["s-0"] != nil {
 		t.Error("it is not forgotten")
 	}
 }
@@ -203,18 +203,18 @@
 	n := newNamed(t, dir)
 	n.at(e.Addr)
 	p := st.NewPlatform(t)
-	s := newTest(t, p, func(c *Config) { c.State = state; n.names(membership.NamesFirst)(c) })
+	s := newTest(t, p, func(c *Config) { c.StateDir = state; n.names(membership.NamesFirst)(c) })
 	addr, leave := serving(t, s)
 	st.HandIn(t, addr, "m", "keyed", 0, 15*time.Second)
 	first := st.Receive(t, calls)
 	leave()
 	p.Change(st.Target("s-9", e.Addr, 0, "SERVING"))
-	s = newTest(t, p, func(c *Config) { c.State = state })
-	held := s.journal.held()
-	if len(held) != 1 || len(held[0].Tries) != 1 || !strings.HasPrefix(held[0].Tries[0].Endpoint, "dns:0:") {
+	s = newTest(t, p, func(c *Config) { c.StateDir = state })
+	held := s.journal.pending()
+	if len(held) != 1 || len(held[0].Attempts) != 1 || !strings.HasPrefix(held[0].Attempts[0].Endpoint, "dns:0:") {
 		t.Fatalf("%+v", held)
 	}
-	if f, may := held[0].firstRun(); !may || f.At == 0 {
+	if f, may := held[0].firstPossibleRun(); !may || f.At == 0 {
 		t.Error("that it may have run is lost")
 	}
 	_, leave = serving(t, s)
@@ -229,7 +229,7 @@
 	n := newNamed(t, t.TempDir())
 	n.at("127.0.0.1:9")
 	state := t.TempDir()
-	_ = run(t, st.NewPlatform(t), func(c *Config) { c.State = state; n.names(membership.NamesFirst)(c) })
+	_ = run(t, st.NewPlatform(t), func(c *Config) { c.StateDir = state; n.names(membership.NamesFirst)(c) })
 	var r nameserver.Report
 	asked(t, state, "/zones", &r)
 	if len(r.Zones) != 1 || r.Zones[0].State != "held" || len(r.Members) != 1 || r.Counts["updates"] != 1 {
--- a/internal/sender/notices.go
+++ b/internal/sender/notices.go
@@ -17,9 +17,9 @@
 	RetryMS *int64 `json:"retry_in_ms,omitempty"`
 }
 
-// tell posts notices until they are taken, wherever discovery is by then. The connection of the last ones may have fallen silent
+// postNotices posts notices until they are taken, wherever discovery is by then. The connection of the last ones may have fallen silent
 // since; the first failure is made up for at once, on a new one, as a notice has little time.
-func (d *discovery) tell(ctx context.Context, notices <-chan []notice, told func([]notice)) {
+func (d *discovery) postNotices(ctx context.Context, notices <-chan []notice, told func([]notice)) {
 	for {
 		var batch []notice
 		select {
@@ -34,19 +34,19 @@
 		}
 		for failures := 0; ; {
 			o := d.registry()
-			limit := noticeTime
+			limit := noticeTimeout
 			if failures == 0 {
-				limit = noticeSoon
+				limit = firstNoticeTimeout
 			}
 			if o.post(ctx, lines.Bytes(), limit) == nil {
 				told(batch)
 				break
 			}
 			o.notices.CloseIdleConnections()
-			if failures++; failures > 1 && !o.pause(ctx, failures-1) || ctx.Err() != nil {
+			if failures++; failures > 1 && !o.backoff(ctx, failures-1) || ctx.Err() != nil {
 				return
 			}
-			if o.left.Err() != nil {
+			if o.moved.Err() != nil {
 				failures = 0
 			}
 		}
@@ -66,7 +66,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody))
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes))
 	if resp.StatusCode != http.StatusNoContent {
 		return fmt.Errorf("notices are answered %s", resp.Status)
 	}
--- a/internal/sender/order_test.go
+++ b/internal/sender/order_test.go
@@ -73,9 +73,9 @@
 	first, second, p, release := held(t)
 	addr := run(t, p, func(c *Config) {
 		ordered(c)
-		j := openTest(t, c.State, 1<<20)
+		j := openTest(t, c.StateDir, 1<<20)
 		for dest, id := range []string{"a", "b"} {
-			if _, err := j.take(record{ID: id, Class: "ordered", Tenant: "acme", Order: "k", Dest: uint32(dest), Deadline: newClock().now() + 15*time.Second}); err != nil {
+			if _, err := j.insertAndFlush(record{ID: id, Class: "ordered", Tenant: "acme", OrderKey: "k", Dest: uint32(dest), Deadline: newClock().now() + 15*time.Second}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -96,7 +96,7 @@
 	addr := run(t, st.NewPlatform(t, e.Addr), ordered)
 	for class, status := range map[string]int{"ordered": http.StatusBadRequest, "safe": http.StatusAccepted} {
 		r := st.Message(t, addr, class, class, 0, 15*time.Second, "x")
-		r.Header.Set("X-Order-Key", strings.Repeat("k", maxName+1))
+		r.Header.Set("X-Order-Key", strings.Repeat("k", maxNameBytes+1))
 		if resp, text := st.Do(t, r); resp.StatusCode != status {
 			t.Errorf("class %s: %s %q", class, resp.Status, text)
 		}
--- a/internal/sender/outages.go
+++ b/internal/sender/outages.go
@@ -17,25 +17,25 @@
 
 // outage is a receiver that is out of service, or comes back. Times are the clock's.
 type outage struct {
-	Dest     uint32        `json:"dest"`
-	Endpoint string        `json:"endpoint,omitempty"` // of a route apart
-	Began    time.Duration `json:"began"`
-	Back     time.Duration `json:"back,omitempty"` // it has answered again since then
-	Rate     float64       `json:"rate,omitempty"` // calls a second usually served there, by this sender
+	Dest            uint32        `json:"dest"`
+	Endpoint        string        `json:"endpoint,omitempty"` // of a route apart
+	Began           time.Duration `json:"began"`
+	RecoveringSince time.Duration `json:"back,omitempty"` // it has answered again since then
+	Rate            float64       `json:"rate,omitempty"` // calls a second usually served there, by this sender
 }
 
-// outages is all of them as of a time.
-type outages struct {
-	at  time.Duration
-	all []outage
+// outageSnapshot is all of them as of a time.
+type outageSnapshot struct {
+	at   time.Duration
+	list []outage
 }
 
 func roundRate(r float64) float64 { return math.Round(r*1000) / 1000 }
 
-// within is those where most is sent, as many as fit into so many bytes.
-func (o outages) within(most int) outages {
-	kept := outages{at: o.at}
-	all := slices.Clone(o.all)
+// truncated is those where most is sent, as many as fit into so many bytes.
+func (o outageSnapshot) truncated(most int) outageSnapshot {
+	kept := outageSnapshot{at: o.at}
+	all := slices.Clone(o.list)
 	slices.SortStableFunc(all, func(x, y outage) int { return cmp.Compare(y.Rate, x.Rate) })
 	for _, out := range all {
 		raw, err := json.Marshal(out) // a rate that is no number is none
@@ -43,44 +43,44 @@
 			break
 		}
 		if err == nil {
-			kept.all = append(kept.all, out)
+			kept.list = append(kept.list, out)
 		}
 	}
 	return kept
 }
 
-// outages is what the journal is to keep.
-func (s *Sender) outages(now time.Duration) outages {
-	o := outages{at: now}
+// currentOutages is what the journal is to keep.
+func (s *Sender) currentOutages(now time.Duration) outageSnapshot {
+	o := outageSnapshot{at: now}
 	for _, k := range s.brain.Outages() {
 		out := outage{Dest: uint32(k.Destination), Began: now - k.OutageFor, Rate: roundRate(k.Rate)}
 		if k.Health == brain.WarmingUp {
-			out.Back = now - k.HealthFor
+			out.RecoveringSince = now - k.HealthFor
 		}
 		if k.Endpoint != 0 {
-			e := s.list.ByNumber[k.Endpoint]
-			if e == nil || len(e.ID) > maxName {
+			e := s.endpoints.ByNumber[k.Endpoint]
+			if e == nil || len(e.ID) > maxNameBytes {
 				continue
 			}
 			out.Endpoint = e.ID
 		}
-		o.all = append(o.all, out)
+		o.list = append(o.list, out)
 	}
 	return o
 }
 
-// earlierOutages tells the module who was out as the earlier process wrote that down last.
-func (s *Sender) earlierOutages(now time.Duration) []brain.Event {
+// restoredOutages tells the module who was out as the earlier process wrote that down last.
+func (s *Sender) restoredOutages(now time.Duration) []brain.Event {
 	var events []brain.Event
-	for _, o := range s.journal.outs.all {
-		k, listed := s.learntOf(knowledge.Subject{Destination: o.Dest, Endpoint: o.Endpoint})
+	for _, o := range s.journal.outages.list {
+		k, listed := s.newLearnt(knowledge.Subject{Destination: o.Dest, Endpoint: o.Endpoint})
 		if !listed {
 			continue
 		}
-		k.Local, k.Health, k.HealthAge = true, brain.Unhealthy, max(0, now-s.journal.outs.at)
+		k.Local, k.Health, k.HealthAge = true, brain.Unhealthy, max(0, now-s.journal.outages.at)
 		k.HealthFor, k.OutageFor, k.Rate = max(0, now-o.Began), max(0, now-o.Began), o.Rate
-		if o.Back != 0 {
-			k.Health, k.HealthFor = brain.WarmingUp, max(0, now-o.Back)
+		if o.RecoveringSince != 0 {
+			k.Health, k.HealthFor = brain.WarmingUp, max(0, now-o.RecoveringSince)
 		}
 		events = append(events, k)
 	}
--- a/internal/sender/outages_test.go
+++ b/internal/sender/outages_test.go
@@ -21,7 +21,7 @@
 }
 
 // leaves has an earlier process leave messages in a journal, and who was out as it wrote that down last.
-func leaves(t *testing.T, dir string, messages int, outs outages, edit func(n int, r *record)) {
+func leaves(t *testing.T, dir string, messages int, outs outageSnapshot, edit func(n int, r *record)) {
 	t.Helper()
 	j := openTest(t, dir, 1<<20)
 	for n := range messages {
@@ -29,11 +29,11 @@
 		if edit != nil {
 			edit(n, &r)
 		}
-		if _, err := j.take(r); err != nil {
+		if _, err := j.insertAndFlush(r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := j.keepRates([]brain.UsualRate{{Destination: 0, Rate: 4}}, outs); err != nil {
+	if err := j.saveRates([]brain.UsualRate{{Destination: 0, Rate: 4}}, outs); err != nil {
 		t.Fatal(err)
 	}
 	if err := j.close(); err != nil {
@@ -49,17 +49,17 @@
 	ago := func(d time.Duration) time.Duration { return now - d }
 	tests := []struct {
 		name string
-		outs outages
+		outs outageSnapshot
 		want brain.Health // of destination 0, as the next process has it
 	}{
-		{"out", outages{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), Rate: 4}}}, brain.Unhealthy},
-		{"comes back", outages{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), Back: ago(2 * time.Second), Rate: 4}}}, brain.WarmingUp},
-		{"came back long ago", outages{ago(time.Second), []outage{{Dest: 0, Began: ago(time.Minute), Back: ago(40 * time.Second), Rate: 4}}}, brain.HealthUnknown},
-		{"written long ago", outages{ago(time.Hour), []outage{{Dest: 0, Began: ago(2 * time.Hour), Rate: 4}}}, brain.HealthUnknown},
-		{"another receiver", outages{ago(time.Second), []outage{{Dest: 9, Began: ago(9 * time.Second), Rate: 4}}}, brain.HealthUnknown},
-		{"an endpoint that is not listed", outages{ago(time.Second), []outage{{Dest: 0, Endpoint: "s-9", Began: ago(9 * time.Second)}}}, brain.HealthUnknown},
-		{"a clock that ran ahead", outages{now + time.Hour, []outage{{Dest: 0, Began: now + time.Hour, Rate: 4}}}, brain.Unhealthy},
-		{"none", outages{}, brain.HealthUnknown},
+		{"out", outageSnapshot{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), Rate: 4}}}, brain.Unhealthy},
+		{"comes back", outageSnapshot{ago(time.Second), []outage{{Dest: 0, Began: ago(9 * time.Second), RecoveringSince: ago(2 * time.Second), Rate: 4}}}, brain.WarmingUp},
+		{"came back long ago", outageSnapshot{ago(time.Second), []outage{{Dest: 0, Began: ago(time.Minute), RecoveringSince: ago(40 * time.Second), Rate: 4}}}, brain.HealthUnknown},
+		{"written long ago", outageSnapshot{ago(time.Hour), []outage{{Dest: 0, Began: ago(2 * time.Hour), Rate: 4}}}, brain.HealthUnknown},
+		{"another receiver", outageSnapshot{ago(time.Second), []outage{{Dest: 9, Began: ago(9 * time.Second), Rate: 4}}}, brain.HealthUnknown},
+		{"an endpoint that is not listed", outageSnapshot{ago(time.Second), []outage{{Dest: 0, Endpoint: "s-9", Began: ago(9 * time.Second)}}}, brain.HealthUnknown},
+		{"a clock that ran ahead", outageSnapshot{now + time.Hour, []outage{{Dest: 0, Began: now + time.Hour, Rate: 4}}}, brain.Unhealthy},
+		{"none", outageSnapshot{}, brain.HealthUnknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -67,9 +67,9 @@
 			p := st.NewPlatform(t, st.NewEndpoint(t, st.Silent).Addr)
 			dir := t.TempDir()
 			leaves(t, dir, 12, tt.outs, nil)
-			s := resumed(t, p, func(c *Config) { c.State = dir })
-			if s.held != 12 {
-				t.Fatalf("%d messages are taken up", s.held)
+			s := resumed(t, p, func(c *Config) { c.StateDir = dir })
+			if s.pending != 12 {
+				t.Fatalf("%d messages are taken up", s.pending)
 			}
 			got := brain.HealthUnknown
 			for _, k := range s.brain.Outages() {
@@ -88,24 +88,24 @@
 // What the journal keeps of outages is what the module says, through a compaction too, and has a bound.
 func TestOutagesInTheJournal(t *testing.T) {
 	dir := t.TempDir()
-	o := outages{at: 5 * time.Second}
+	o := outageSnapshot{at: 5 * time.Second}
 	for n := range 200 {
-		o.all = append(o.all, outage{Dest: uint32(n), Began: time.Second, Rate: float64(n)})
+		o.list = append(o.list, outage{Dest: uint32(n), Began: time.Second, Rate: float64(n)})
 	}
 	leaves(t, dir, 0, o, nil)
 	for range 2 { // the second reads what the first has compacted
 		j := openTest(t, dir, 1<<20)
-		n := len(j.outs.all)
-		if j.outs.at != o.at || n == 0 || n == 200 || j.outs.all[7] != o.all[192] || j.rates[0] != 4 {
-			t.Fatalf("%+v, rates %v", j.outs, j.rates)
+		n := len(j.outages.list)
+		if j.outages.at != o.at || n == 0 || n == 200 || j.outages.list[7] != o.list[192] || j.rates[0] != 4 {
+			t.Fatalf("%+v, rates %v", j.outages, j.rates)
 		}
-		if raw, _ := json.Marshal(j.outs.all); len(raw) > outagesRoom {
+		if raw, _ := json.Marshal(j.outages.list); len(raw) > maxOutageReserve {
 			t.Errorf("%d bytes are kept", len(raw))
 		}
 		j.close()
 	}
-	if small := openTest(t, t.TempDir(), 12<<10); small.live > 4<<10 {
-		t.Errorf("of 12 KiB %d bytes are put by", small.live)
+	if small := openTest(t, t.TempDir(), 12<<10); small.reserved > 4<<10 {
+		t.Errorf("of 12 KiB %d bytes are put by", small.reserved)
 	}
 }
 
--- a/internal/sender/peers_test.go
+++ b/internal/sender/peers_test.go
@@ -44,7 +44,7 @@
 	var facts []KnownFact
 	asked(t, state, "/knowledge?receiver=0", &facts)
 	for _, f := range facts {
-		if f.Sort == sort && f.Source == source && strings.Contains(f.Says, says) {
+		if f.Kind == sort && f.Source == source && strings.Contains(f.Says, says) {
 			return true
 		}
 	}
@@ -55,8 +55,8 @@
 func begun(t *testing.T, p *st.Platform, state string, edit func(*Config)) (addr string, leave func()) {
 	t.Helper()
 	s := newTest(t, p, func(c *Config) {
-		c.State = state
-		c.Knowledge = &Knowledge{Every: 500 * time.Millisecond, Bytes: 64 << 10}
+		c.StateDir = state
+		c.Knowledge = &Knowledge{Interval: 500 * time.Millisecond, MaxBytes: 64 << 10}
 		edit(c)
 	})
 	addr, stop := serving(t, s)
@@ -100,7 +100,7 @@
 			from := time.Now()
 			until(t, func() bool { return knows(t, state, "wait", "self", "asked for a wait") })
 			leave()
-			if err := c.spoil(filepath.Join(state, knowledgeName)); err != nil {
+			if err := c.spoil(filepath.Join(state, knowledgeFileName)); err != nil {
 				t.Fatal(err)
 			}
 			begun(t, p, state, func(*Config) {})
@@ -123,7 +123,7 @@
 	among := func(name string, seeds ...string) func(*Config) {
 		return func(c *Config) {
 			c.Name = name
-			c.Peers = &peers.Config{Name: name, Life: 1, Cluster: "test", Listen: "127.0.0.1:0", Exchange: "127.0.0.1:0", Seeds: seeds}
+			c.Peers = &peers.Config{Name: name, Incarnation: 1, Cluster: "test", Listen: "127.0.0.1:0", Exchange: "127.0.0.1:0", Seeds: seeds}
 		}
 	}
 	oldState, newState := t.TempDir(), t.TempDir()
@@ -134,7 +134,7 @@
 	until(t, func() bool { return knows(t, oldState, "wait", "self", "asked for a wait") })
 	var report PeersReport
 	asked(t, oldState, "/peers", &report)
-	if report.Name != "old" || report.Cluster != "test" || report.Tells == 0 {
+	if report.Name != "old" || report.Cluster != "test" || report.OwnFacts == 0 {
 		t.Errorf("%+v", report)
 	}
 	fresh, _ := begun(t, p, newState, among("fresh", membershipAt(t, oldState)))
@@ -145,7 +145,7 @@
 		t.Errorf("a call came %v after a wait of %v was asked for", got, wait)
 	}
 	asked(t, newState, "/peers", &report)
-	if len(report.Members) != 1 || report.Members[0].Name != "old" || report.Heard["old"] == 0 {
+	if len(report.Members) != 1 || report.Members[0].Name != "old" || report.HeldFacts["old"] == 0 {
 		t.Errorf("%+v", report)
 	}
 }
@@ -162,27 +162,27 @@
 // trust. What the module is told is a single word for each.
 func TestHeardBeforeListed(t *testing.T) {
 	s := newTest(t, st.NewPlatform(t), nil)
-	p := &peersPart{s: s, view: knowledge.NewView(10), reports: knowledge.NewReports(10), later: map[knowledge.Subject]struct{}{}}
+	p := &peersExtension{s: s, view: knowledge.NewView(10), reports: knowledge.NewReports(10), unlisted: map[knowledge.Subject]struct{}{}}
 	now := s.clock.now()
 	fact := func(dest uint32, endpoint string) knowledge.Fact {
-		return knowledge.Fact{Subject: knowledge.Subject{Destination: dest, Endpoint: endpoint}, Sort: knowledge.Health, At: now, Calls: 1,
-			Source: knowledge.Source{Name: "a", Life: 1}, Value: knowledge.Value{State: knowledge.Out, Since: now}}
+		return knowledge.Fact{Subject: knowledge.Subject{Destination: dest, Endpoint: endpoint}, Kind: knowledge.Health, ObservedAt: now, Calls: 1,
+			Source: knowledge.Source{Name: "a", Incarnation: 1}, Value: knowledge.Value{State: knowledge.OutOfService, Since: now}}
 	}
 	own := fact(3, "")
 	own.Source = knowledge.Source{}
-	if got := p.take(heardEvent{[]knowledge.Fact{fact(3, ""), fact(4, "e4"), own}}, now); len(got) != 0 {
+	if got := p.handle(peerFacts{[]knowledge.Fact{fact(3, ""), fact(4, "e4"), own}}, now); len(got) != 0 {
 		t.Errorf("of those that no list names the module is told %+v", got)
 	}
-	s.list.News(Targets{Servers: []Target{{ID: "e3", Addr: "127.0.0.1:1", Cell: 3, State: "SERVING"}}}, false, s.c.names(), s.pool)
-	got := p.listed(now)
+	s.endpoints.News(Targets{Servers: []Target{{ID: "e3", Addr: "127.0.0.1:1", Cell: 3, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
+	got := p.onListUpdate(now)
 	if len(got) != 1 || got[0].(brain.Observation).Destination != 3 || got[0].(brain.Observation).Health != brain.Unhealthy || got[0].(brain.Observation).Local {
 		t.Errorf("%+v", got)
 	}
-	s.list.News(Targets{Servers: []Target{{ID: "e4", Addr: "127.0.0.1:1", Cell: 9, State: "SERVING"}}}, false, s.c.names(), s.pool)
-	if got := p.listed(now); len(got) != 0 {
+	s.endpoints.News(Targets{Servers: []Target{{ID: "e4", Addr: "127.0.0.1:1", Cell: 9, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
+	if got := p.onListUpdate(now); len(got) != 0 {
 		t.Errorf("of an endpoint that serves another receiver the module is told %+v", got)
 	}
-	if len(p.later) != 1 {
-		t.Errorf("%v wait for the list", p.later)
+	if len(p.unlisted) != 1 {
+		t.Errorf("%v wait for the list", p.unlisted)
 	}
 }
--- a/internal/sender/peerspart.go
+++ b/internal/sender/peerspart.go
@@ -9,43 +9,43 @@
 	"saffronyard.example/saffronyard/internal/peers"
 )
 
-// peersPart is the other senders: what they tell goes to the module as hearsay, and what the module has seen goes to
+// peersExtension is the other senders: what they tell goes to the module as hearsay, and what the module has seen goes to
 // them. Nothing here waits for any of them.
-type peersPart struct {
-	noPart
-	s       *Sender
-	node    *peers.Node
-	stop    context.CancelFunc
-	view    *knowledge.View // what was heard, but for health
-	reports *knowledge.Reports
-	later   map[knowledge.Subject]struct{} // heard of, and not on the list yet
+type peersExtension struct {
+	noopExtension
+	s        *Sender
+	node     *peers.Node
+	stop     context.CancelFunc
+	view     *knowledge.View // what was heard, but for health
+	reports  *knowledge.Reports
+	unlisted map[knowledge.Subject]struct{} // heard of, and not on the list yet
 }
 
 // PeerKeys changes the keys of the peers' membership; the first is what is sent with. It may be called from any
 // goroutine.
 func (s *Sender) PeerKeys(keys [][]byte) error {
-	if p, ok := partOf[*peersPart](s); ok {
-		return p.node.Keys(keys)
+	if p, ok := extensionOf[*peersExtension](s); ok {
+		return p.node.SetKeys(keys)
 	}
 	return nil
 }
 
-// heardEvent is what one peer tells.
-type heardEvent struct{ facts []knowledge.Fact }
+// peerFacts is what one peer tells.
+type peerFacts struct{ facts []knowledge.Fact }
 
-func (heardEvent) partEvent() {}
+func (peerFacts) isExtensionEvent() {}
 
-func newPeers(s *Sender) (*peersPart, error) {
-	c := *s.c.Peers
-	if c.Facts == 0 {
-		c.Facts = peers.DefaultFacts
+func newPeersExtension(s *Sender) (*peersExtension, error) {
+	c := *s.config.Peers
+	if c.MaxFacts == 0 {
+		c.MaxFacts = peers.DefaultMaxFacts
 	}
-	p := &peersPart{s: s, view: knowledge.NewView(c.Facts), reports: knowledge.NewReports(c.Facts), later: map[knowledge.Subject]struct{}{}}
+	p := &peersExtension{s: s, view: knowledge.NewView(c.MaxFacts), reports: knowledge.NewReports(c.MaxFacts), unlisted: map[knowledge.Subject]struct{}{}}
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	var err error
 	p.node, err = peers.Start(c, s.log, s.clock.now, func(facts []knowledge.Fact) bool {
-		return len(facts) == 0 || s.post(ctx, heardEvent{facts})
+		return len(facts) == 0 || s.post(ctx, peerFacts{facts})
 	})
 	if err != nil {
 		stop()
@@ -55,9 +55,9 @@
 	return p, nil
 }
 
-// take books what was heard and tells the module what it comes to.
-func (p *peersPart) take(e any, now time.Duration) []brain.Event {
-	h, ok := e.(heardEvent)
+// handle books what was heard and tells the module what it comes to.
+func (p *peersExtension) handle(e any, now time.Duration) []brain.Event {
+	h, ok := e.(peerFacts)
 	if !ok {
 		return nil
 	}
@@ -66,62 +66,64 @@
 		if f.Source.Own() { // it can't be: a peer has a name
 			continue
 		}
-		if f.Sort == knowledge.Health {
+		if f.Kind == knowledge.Health {
 			p.reports.Add(f, now)
 			touched[f.Subject] = struct{}{}
 		} else if p.view.Add(f, now) {
 			touched[f.Subject] = struct{}{}
 		}
 	}
-	return p.tell(touched, now)
+	return p.learntEvents(touched, now)
 }
 
-func (p *peersPart) listed(now time.Duration) []brain.Event { return p.tell(p.later, now) }
+func (p *peersExtension) onListUpdate(now time.Duration) []brain.Event {
+	return p.learntEvents(p.unlisted, now)
+}
 
-// tell gives what is heard of some to the module, of those that the list names.
-func (p *peersPart) tell(some map[knowledge.Subject]struct{}, now time.Duration) []brain.Event {
+// learntEvents gives what is heard of some to the module, of those that the list names.
+func (p *peersExtension) learntEvents(some map[knowledge.Subject]struct{}, now time.Duration) []brain.Event {
 	var events []brain.Event
 	for subject := range some {
-		e, listed := p.s.learntOf(subject)
+		e, listed := p.s.newLearnt(subject)
 		if !listed {
-			if len(p.later) < maxSubjects {
-				p.later[subject] = struct{}{}
+			if len(p.unlisted) < maxSubjects {
+				p.unlisted[subject] = struct{}{}
 			}
 			continue
 		}
-		delete(p.later, subject)
-		facts := p.view.Of(subject)
+		delete(p.unlisted, subject)
+		facts := p.view.FactsOf(subject)
 		if f, ok := p.reports.Verdict(subject, now); ok {
 			facts = append(facts, f)
 		}
 		if len(facts) == 0 {
 			continue
 		}
-		learn(&e, facts, now)
-		e.OtherProbers = p.reports.Outs(subject, now)
+		applyFacts(&e, facts, now)
+		e.OtherProbers = p.reports.OutageCount(subject, now)
 		events = append(events, e)
 	}
 	return events
 }
 
-// afterWrite tells at once what matters most to others: an outage, a return, a wait.
-func (p *peersPart) afterWrite(context.Context) {
-	if len(p.s.fresh) > 0 {
-		p.node.TellNews(p.s.factsOf(p.s.fresh, p.s.clock.now()))
+// afterTurn tells at once what matters most to others: an outage, a return, a wait.
+func (p *peersExtension) afterTurn(context.Context) {
+	if len(p.s.newlyLearnt) > 0 {
+		p.node.PublishSome(p.s.factsFrom(p.s.newlyLearnt, p.s.clock.now()))
 	}
 }
 
-func (p *peersPart) looked(now time.Duration) {
+func (p *peersExtension) onTick(now time.Duration) {
 	p.view.Forget(now)
-	for subject := range p.later { // what is heard of one that no list names is kept as long as it is trusted
-		if _, ok := p.reports.Verdict(subject, now); !ok && len(p.view.Of(subject)) == 0 {
-			delete(p.later, subject)
+	for subject := range p.unlisted { // what is heard of one that no list names is kept as long as it is trusted
+		if _, ok := p.reports.Verdict(subject, now); !ok && len(p.view.FactsOf(subject)) == 0 {
+			delete(p.unlisted, subject)
 		}
 	}
-	p.node.Tell(p.s.knownNow(now))
+	p.node.Publish(p.s.knownFacts(now))
 }
 
-func (p *peersPart) leaving() error {
+func (p *peersExtension) shutdown() error {
 	p.stop()
 	p.node.Close()
 	return nil
--- a/internal/sender/readtargets_test.go
+++ b/internal/sender/readtargets_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestReadTargets(t *testing.T) {
-	got, err := readTargets(strings.NewReader(`{"version":43,"more":{"a":[1,2]},"full":true,"servers":[
+	got, err := decodeTargets(strings.NewReader(`{"version":43,"more":{"a":[1,2]},"full":true,"servers":[
 		{"id":"s-1","addr":"10.1.0.18:8080","zone":"a","kind":"m2","cell":3,"state":"DRAINING","weight":1.5,"started_ms":0},{"id":"s-2"}]}`))
 	want := Targets{Version: 43, Full: true, Servers: []Target{{ID: "s-1", Addr: "10.1.0.18:8080", Zone: "a", Kind: "m2", Cell: 3, State: "DRAINING", Weight: 1.5}, {ID: "s-2"}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
@@ -19,11 +19,11 @@
 		"": "EOF", "[]": "wanted", `{"version":"x"}`: "version", `{"servers":{}}`: "no list", `{"servers":[{"id":"a"},{"cell":-1}]}`: "line 2",
 		`{"servers":[{"id":"a"}`: "EOF", `{"version":3`: "EOF", `{"servers":[{"id":"a"}]`: "EOF",
 	} {
-		if _, err := readTargets(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := decodeTargets(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if got, err := readTargets(strings.NewReader(`{"servers":null,"version":7}`)); err != nil || got.Version != 7 {
+	if got, err := decodeTargets(strings.NewReader(`{"servers":null,"version":7}`)); err != nil || got.Version != 7 {
 		t.Errorf("%+v %v", got, err)
 	}
 }
@@ -33,7 +33,7 @@
 	f.Add(`{"version":43,"full":true,"servers":[{"id":"s-1","cell":3,"state":"SERVING","weight":1.0}]}`)
 	f.Add(`{"servers":[{}],"x":[{"a":null}]}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		got, err := readTargets(strings.NewReader(text))
+		got, err := decodeTargets(strings.NewReader(text))
 		if err != nil {
 			return
 		}
@@ -64,7 +64,7 @@
 	b.SetBytes(int64(len(raw)))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := readTargets(strings.NewReader(string(raw))); err != nil {
+		if _, err := decodeTargets(strings.NewReader(string(raw))); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/sender/recorder_test.go
+++ b/internal/sender/recorder_test.go
@@ -83,7 +83,7 @@
 	addr := run(t, p, both(takesEvents, records(r)))
 	st.HandIn(t, addr, "lost", "unsafe", 0, 9*time.Second)
 	st.HandIn(t, addr, "fine", "unsafe", 1, 9*time.Second)
-	if n := st.Receive(t, p.Notices); n.Message != "lost" || n.Outcome != givenUp {
+	if n := st.Receive(t, p.Notices); n.Message != "lost" || n.Outcome != outcomeGivenUp {
 		t.Fatalf("%+v", n)
 	}
 	until(t, func() bool { _, ok := r.get("lost"); return ok })
@@ -120,7 +120,7 @@
 		if resp, text := st.Do(t, r); resp.StatusCode != 202 {
 			t.Fatalf("%s %s", resp.Status, text)
 		}
-		if n := st.Receive(t, p.Notices); n.Outcome != givenUp {
+		if n := st.Receive(t, p.Notices); n.Outcome != outcomeGivenUp {
 			t.Fatalf("%+v", n)
 		}
 	}
@@ -168,12 +168,12 @@
 	s := newTest(t, st.NewPlatform(t, e.Addr), records(storeLog{store, log}))
 	s.journal.file = &loggedJournal{s.journal.file, log, s.journal.size}
 	ctx, cancel := context.WithCancel(context.Background())
-	go s.records.run(ctx, func(err error) { t.Error(err) }, func() { s.post(ctx, keptEvent{}) })
-	go s.disc.tell(ctx, s.notices, func(n []notice) { s.post(ctx, toldEvent{n}) })
-	s.step(ctx, s.listsAtStart())
+	go s.recorder.run(ctx, func(err error) { t.Error(err) }, func() { s.post(ctx, recorderDone{}) })
+	go s.discovery.postNotices(ctx, s.notices, func(n []notice) { s.post(ctx, noticesDelivered{n}) })
+	s.step(ctx, s.initialListEvents())
 	for i := range n {
 		sub := submission{record: record{ID: fmt.Sprint("m", i), Class: "unsafe", Tenant: "acme", Deadline: s.clock.now() + time.Minute, Body: []byte("x")},
-			class: 2, answer: make(chan answerLine, 1)}
+			class: 2, answer: make(chan response, 1)}
 		s.turn(ctx, sub)
 		if a := st.Receive(t, sub.answer); a.status != 202 {
 			t.Fatalf("%+v", a)
@@ -183,7 +183,7 @@
 		s.turn(ctx, st.Receive(t, s.events))
 	}
 	cancel()
-	s.leave(cancel)
+	s.shutdown(cancel)
 	store.Close()
 	ops := log.all()
 	for cut := range len(ops) + 1 {
@@ -213,7 +213,7 @@
 					}
 					raw = append(raw, data...)
 				}
-				if err := os.WriteFile(filepath.Join(state, journalName), raw, 0o600); err != nil {
+				if err := os.WriteFile(filepath.Join(state, journalFileName), raw, 0o600); err != nil {
 					t.Fatal(err)
 				}
 				taken := map[string]bool{}
@@ -230,7 +230,7 @@
 					t.Fatal(err)
 				}
 				store.List(undelivered.Filter{}, func(_ undelivered.Key, e undelivered.Entry) bool { taken[e.Message] = true; return true })
-				run(t, st.NewPlatform(t, e.Addr), both(records(kept), func(c *Config) { c.State = state }))
+				run(t, st.NewPlatform(t, e.Addr), both(records(kept), func(c *Config) { c.StateDir = state }))
 				until(t, func() bool {
 					got := map[string]int{}
 					err := store.List(undelivered.Filter{}, func(_ undelivered.Key, e undelivered.Entry) bool { got[e.Message]++; return true })
@@ -256,7 +256,7 @@
 func copied(t *testing.T, raw []byte) string {
 	t.Helper()
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, journalName), raw, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, journalFileName), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return dir
@@ -271,7 +271,7 @@
 	}
 	defer j.close()
 	m := j.byID[id]
-	if m == nil || !m.keep {
+	if m == nil || !m.awaitsRecorder {
 		t.Fatalf("%s is offered before the journal says that it is to be kept", id)
 	}
 	return s.entry(m)
@@ -296,7 +296,7 @@
 	s.journal.file = &eachWrite{s.journal.file, func(b []byte) {
 		if strings.Contains(string(b), `"keep":true`) {
 			written = true
-			if len(s.records.offers) > 0 {
+			if len(s.recorder.offers) > 0 {
 				t.Error("it is offered before it is written")
 			}
 		}
@@ -304,11 +304,11 @@
 	if a := hand(eventJSON("1", "unsafe", "")); a.status != 202 {
 		t.Fatalf("%+v", a)
 	}
-	for s.held > 0 {
+	for s.pending > 0 {
 		s.turn(context.Background(), st.Receive(t, s.events))
 	}
-	if !written || len(s.records.offers) != 1 {
-		t.Errorf("written %v, %d offers", written, len(s.records.offers))
+	if !written || len(s.recorder.offers) != 1 {
+		t.Errorf("written %v, %d offers", written, len(s.recorder.offers))
 	}
 }
 
@@ -317,21 +317,21 @@
 func TestRefusedEventIsForgotten(t *testing.T) {
 	t.Parallel()
 	s, _, hand := byHand(t, st.Silent, takesEvents)
-	front := &eventsFront{s.c, s.clock, s.c.Events}
-	h, err := front.begin(mustRequest(t, oneEvent))
+	front := &eventIngress{s.config, s.clock, s.config.Events}
+	h, err := front.readHead(mustRequest(t, oneEvent))
 	if err != nil {
 		t.Fatal(err)
 	}
-	subs, err := h.take([]byte(eventJSON("1", "safe", "")), s.clock.now())
+	subs, err := h.submissions([]byte(eventJSON("1", "safe", "")), s.clock.now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.submitted(subs[0])
+	s.submit(subs[0])
 	m := s.byID[subs[0].ID]
-	s.close(m.number, handedBack, 503, time.Minute)
-	s.withdrawn = append(s.withdrawn, brain.Withdrawn{Message: m.number})
-	if len(s.ends.held) != 0 || s.ends.table.Held() != 0 || s.ends.table.Len() != 0 {
-		t.Errorf("%d held, room for %d, %d ends", len(s.ends.held), s.ends.table.Held(), s.ends.table.Len())
+	s.finish(m.number, outcomeHandedBack, 503, time.Minute)
+	s.deferredEvents = append(s.deferredEvents, brain.Withdrawn{Message: m.number})
+	if len(s.eventDedup.pending) != 0 || s.eventDedup.table.Reserved() != 0 || s.eventDedup.table.Len() != 0 {
+		t.Errorf("%d held, room for %d, %d ends", len(s.eventDedup.pending), s.eventDedup.table.Reserved(), s.eventDedup.table.Len())
 	}
 	if a := hand(eventJSON("1", "safe", "")); a.status != 202 {
 		t.Errorf("it comes again: %+v", a)
--- a/internal/sender/sdk_test.go
+++ b/internal/sender/sdk_test.go
@@ -177,7 +177,7 @@
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) {
 		takesEvents(c)
-		c.Events.RememberMost = 1
+		c.Events.MaxRemembered = 1
 	})
 	p, err := cehttp.New(cehttp.WithTarget("http://" + addr + "/events"))
 	if err != nil {
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -12,48 +12,48 @@
 // send starts one call. One that could not be written down is not made: after a kill nobody would know
 // that the message may have run.
 func (s *Sender) send(ctx context.Context, a brain.Send, written bool) {
-	m, e := s.messages[a.Message], s.list.ByNumber[a.Endpoint]
+	m, e := s.messages[a.Message], s.endpoints.ByNumber[a.Endpoint]
 	if m == nil || e == nil {
 		s.log.Error("the module names what is not there", "message", a.Message, "endpoint", a.Endpoint)
 		return
 	}
-	attempt := m.sends
-	m.sends++
-	s.waits(m, false)
-	s.trace("call", m.ID, slog.Int("try", m.base+attempt), slog.Uint64("dest", uint64(m.Dest)), slog.String("endpoint", e.ID), slog.Duration("timeout", a.Timeout))
+	attempt := m.attempts
+	m.attempts++
+	s.setWaiting(m, false)
+	s.trace("call", m.ID, slog.Int("try", m.earlierAttempts+attempt), slog.Uint64("dest", uint64(m.Dest)), slog.String("endpoint", e.ID), slog.Duration("timeout", a.Timeout))
 	call, cancel := context.WithTimeout(ctx, a.Timeout)
-	leave := &calls.Permit{Until: time.Now().Add(s.repeatWithin(m, m.base+attempt, a.Timeout)), Cancel: cancel, Enter: s.enter(m, e.ID)}
-	m.calls = append(m.calls, outCall{attempt: attempt, Permit: leave})
-	s.out++
-	one := sending{m, attempt, call, a.Timeout, leave}
+	leave := &calls.Permit{Until: time.Now().Add(s.writeTimeout(m, m.earlierAttempts+attempt, a.Timeout)), Cancel: cancel, Enter: s.admission(m, e.ID)}
+	m.calls = append(m.calls, inFlightCall{attempt: attempt, Permit: leave})
+	s.inFlight++
+	one := batchedSend{m, attempt, call, a.Timeout, leave}
 	if events, bytes, ok := e.Batches(); ok {
-		s.gather(e, one, events, bytes)
+		s.addToBatch(e, one, events, bytes)
 		return
 	}
-	began, rec := time.Now(), []calls.Ticket{{Message: m.message(), Permit: leave}} // a copy: the loop may drop the body meanwhile
+	began, rec := time.Now(), []calls.Ticket{{Message: m.callMessage(), Permit: leave}} // a copy: the loop may drop the body meanwhile
 	go func() {
 		end, gone := brain.AttemptResult{Endpoint: e.Number, Outcome: brain.NotSent}, false
 		if written {
 			end, gone = s.pool.Call(call, e, rec, a.Timeout)
 		}
 		end.Elapsed = time.Since(began)
-		s.post(ctx, callEnd{m, attempt, end, gone})
+		s.post(ctx, callResult{m, attempt, end, gone})
 	}()
 }
 
-// keyMargin is how long before its key is forgotten a repeat is written at the latest: it has to get there.
-const keyMargin = 50 * time.Millisecond
+// keyWindowMargin is how long before its key is forgotten a repeat is written at the latest: it has to get there.
+const keyWindowMargin = 50 * time.Millisecond
 
-// repeatWithin is how long the n-th attempt of a message may take to be written. The module judges a repeat as of
+// writeTimeout is how long the n-th attempt of a message may take to be written. The module judges a repeat as of
 // now; a connection may come up much later, when the key of an attempt that may have run is remembered no more.
-func (s *Sender) repeatWithin(m *message, n int, timeout time.Duration) time.Duration {
-	class := s.c.Settings.Classes[m.class]
+func (s *Sender) writeTimeout(m *message, n int, timeout time.Duration) time.Duration {
+	class := s.config.Settings.Classes[m.class]
 	if class.Idempotency != brain.IdempotentByKey {
 		return timeout
 	}
-	first, may := m.firstBefore(n)
+	first, may := m.firstPossibleRunBefore(n)
 	if !may {
 		return timeout
 	}
-	return min(timeout, first.At+class.IdempotencyKeyTTL-keyMargin-s.clock.now())
+	return min(timeout, first.At+class.IdempotencyKeyTTL-keyWindowMargin-s.clock.now())
 }
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.grace, s.leaveAfter = 0, 100*time.Millisecond
+	s.gracePeriod, s.shutdownTimeout = 0, 100*time.Millisecond
 	return s
 }
 
@@ -69,7 +69,7 @@
 	done := make(chan error, 1)
 	go func() {
 		done <- s.Run(ctx, func() (net.Listener, error) {
-			l, err := net.Listen("tcp", s.c.Listen)
+			l, err := net.Listen("tcp", s.config.Listen)
 			if err == nil {
 				at <- l.Addr().String()
 			}
@@ -88,7 +88,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), nil)
-	body := string([]byte{0, 255, '\r', '\n'}) + strings.Repeat("x", maxBody-4)
+	body := string([]byte{0, 255, '\r', '\n'}) + strings.Repeat("x", maxBodyBytes-4)
 	r := st.Message(t, addr, "m1", "keyed", 0, 5*time.Second, body)
 	r.Header.Set("X-Addressing", "other=1, dest=0")
 	if resp, text := st.Do(t, r); resp.StatusCode != http.StatusAccepted {
@@ -123,7 +123,7 @@
 		"dest a word":      {func(r *http.Request) { r.Header.Set("X-Addressing", "dest=here") }, 400},
 		"dest too high":    {func(r *http.Request) { r.Header.Set("X-Addressing", "dest=70000") }, 400},
 		"body too long": {func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBody+1))), maxBody+1
+			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBodyBytes+1))), maxBodyBytes+1
 		}, 413},
 		"chunked":      {func(r *http.Request) { r.ContentLength = -1 }, 400},
 		"wrong path":   {func(r *http.Request) { r.URL.Path = "/other" }, 404},
@@ -336,9 +336,9 @@
 func leavesMessage(t *testing.T, c *Config, old *st.Endpoint, before func(*journal)) {
 	t.Helper()
 	c.Known = Targets{Version: 1, Full: true, Servers: []Target{listedAt("s-0", old)}}
-	j := openTest(t, c.State, 1<<20)
+	j := openTest(t, c.StateDir, 1<<20)
 	before(j)
-	if _, err := j.take(record{ID: "m", Class: "keyed", Key: "k", Tenant: "acme", Deadline: newClock().now() + 15*time.Second}); err != nil {
+	if _, err := j.insertAndFlush(record{ID: "m", Class: "keyed", Key: "k", Tenant: "acme", Deadline: newClock().now() + 15*time.Second}); err != nil {
 		t.Fatal(err)
 	}
 	if err := j.close(); err != nil {
@@ -390,8 +390,8 @@
 	})
 	p := st.NewPlatform(t, e.Addr)
 	s := newTest(t, p, nil)
-	s.list.News(Targets{Servers: []Target{{ID: "e", Addr: e.Addr, State: "SERVING"}}}, false, s.c.names(), s.pool)
-	at := s.list.ByID["e"]
+	s.endpoints.News(Targets{Servers: []Target{{ID: "e", Addr: e.Addr, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
+	at := s.endpoints.ByID["e"]
 	callOnce := func(p *calls.Pool, e *calls.Endpoint, timeout time.Duration, body string) brain.AttemptResult {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
@@ -414,7 +414,7 @@
 	began := time.Now()
 	end := callOnce(s.pool, at, 30*time.Millisecond, "")
 	end.Elapsed = time.Since(began)
-	s.callEnded(callEnd{&message{stored: &stored{}, ended: true, calls: outCalls{{Permit: &calls.Permit{Cancel: func() {}}}}}, 0, end, false})
+	s.handleCallResult(callResult{&message{storedMessage: &storedMessage{}, ended: true, calls: inFlightCalls{{Permit: &calls.Permit{Cancel: func() {}}}}}, 0, end, false})
 	if n := s.pool.Idle(); n != 0 {
 		t.Errorf("%d idle connections after a time-out", n)
 	}
@@ -435,7 +435,7 @@
 	e := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
 	var block string
-	addr := runWith(t, p, func(c *Config) { block = filepath.Join(c.State, journalName+".new", "x") }, func(made *Sender) {
+	addr := runWith(t, p, func(c *Config) { block = filepath.Join(c.StateDir, journalFileName+".new", "x") }, func(made *Sender) {
 		made.journal.file.Close()
 		made.journal.file = full
 		if err := os.MkdirAll(block, 0o700); err != nil { // no new file can be made either
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -26,105 +26,105 @@
 // which one goes when room is short, has to be known and decided here, and http.Server tells none of it.
 
 const (
-	maxBody      = 64 << 10
-	maxHead      = 16 << 10
-	readTime     = 2 * time.Second        // a request comes whole within this: the first of a connection from its begin
-	lateTime     = 100 * time.Millisecond // or within this, if it began at the very end of that
-	answerWrite  = time.Second            // and its answer is taken within this
-	idleTime     = 30 * time.Second       // a connection without a request is kept so long, if there is room
-	idleLeast    = 2 * time.Second        // and so long in any case
-	silentTime   = 200 * time.Millisecond // when room is short, no connection may go longer without a request
-	halfTime     = 400 * time.Millisecond // nor a request take longer: its client has given up waiting by then
-	roomLook     = 20 * time.Millisecond  // when room is short, connections are looked at so often
-	lingerTime   = 300 * time.Millisecond // what still comes behind an error is read so long, lest a reset overtake it
-	lingerMost   = 256 << 10
-	readyPath    = "/-/ready"
-	healthPath   = "/-/healthy"
-	maxDest      = calls.MaxDest
-	maxDeadline  = 24 * time.Hour
-	refusedRetry = time.Second // Retry-After where the settings tell none
+	maxBodyBytes         = 64 << 10
+	maxHeaderBytes       = 16 << 10
+	requestTimeout       = 2 * time.Second        // a request comes whole within this: the first of a connection from its begin
+	lateRequestTimeout   = 100 * time.Millisecond // or within this, if it began at the very end of that
+	responseWriteTimeout = time.Second            // and its answer is taken within this
+	idleTimeout          = 30 * time.Second       // a connection without a request is kept so long, if there is room
+	minIdleTime          = 2 * time.Second        // and so long in any case
+	maxSilenceWhenFull   = 200 * time.Millisecond // when room is short, no connection may go longer without a request
+	maxPartialWhenFull   = 400 * time.Millisecond // nor a request take longer: its client has given up waiting by then
+	evictionInterval     = 20 * time.Millisecond  // when room is short, connections are looked at so often
+	lingerTimeout        = 300 * time.Millisecond // what still comes behind an error is read so long, lest a reset overtake it
+	maxLingerBytes       = 256 << 10
+	readyPath            = "/-/ready"
+	healthPath           = "/-/healthy"
+	maxDestination       = calls.MaxDest
+	maxDeadline          = 24 * time.Hour
+	defaultRetryAfter    = time.Second // Retry-After where the settings tell none
 )
 
 // submission is a message that a client hands in, on its way to the loop.
 type submission struct {
 	record
 	class, tenant int
-	answer        chan answerLine // buffered: the loop never waits for a client
+	answer        chan response // buffered: the loop never waits for a client
 }
 
-// answerLine is the answer to a client.
-type answerLine struct {
-	status int
-	retry  time.Duration // Retry-After of a refusal, 0 for the usual
-	text   string
-	kind   string // its Content-Type, "" for plain text
-	id     string // of the message, where its client can't know it
+// response is the answer to a client.
+type response struct {
+	status      int
+	retryAfter  time.Duration // Retry-After of a refusal, 0 for the usual
+	text        string
+	contentType string // its Content-Type, "" for plain text
+	messageID   string // of the message, where its client can't know it
 }
 
-// refusal is an error that a client is answered with.
-type refusal struct {
+// requestError is an error that a client is answered with.
+type requestError struct {
 	status int
 	text   string
 }
 
-func (r *refusal) Error() string { return r.text }
+func (r *requestError) Error() string { return r.text }
 
-func bad(format string, args ...any) error {
-	return &refusal{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+func badRequest(format string, args ...any) error {
+	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-var errLongHead = &refusal{http.StatusRequestHeaderFieldsTooLarge, fmt.Sprintf("the head is over %d bytes", maxHead)}
+var errHeaderTooLarge = &requestError{http.StatusRequestHeaderFieldsTooLarge, fmt.Sprintf("the head is over %d bytes", maxHeaderBytes)}
 
 // clientState is what a client's connection is about.
 type clientState uint8
 
 const (
-	fresh     clientState = iota // no request has come yet
-	reading                      // one is coming
-	answering                    // one has come whole and is owed its answer
-	idling                       // the last one is answered
+	stateNew       clientState = iota // no request has come yet
+	stateReading                      // one is coming
+	stateAnswering                    // one has come whole and is owed its answer
+	stateIdle                         // the last one is answered
 )
 
 // client is a connection from a client. state and what follows it belong to the server's lock.
 type client struct {
 	calls.Bounded
-	r     *bufio.Reader
-	born  time.Time
-	state clientState
-	since time.Time // of the state
-	stays bool      // it is counted as staying
-	asked bool      // it was asked to go
+	r          *bufio.Reader
+	acceptedAt time.Time
+	state      clientState
+	since      time.Time // of the state
+	keptAlive  bool      // it is counted as staying
+	evicting   bool      // it was asked to go
 }
 
 // server takes messages in from clients.
 type server struct {
-	c       *Config
-	clock   clock
-	log     *slog.Logger
-	most    int // connections at once: the other descriptors are for calls and files
-	idles   int // those of them that may wait for a further request
-	submit  func(context.Context, submission) bool
-	paths   map[string]front
-	ready   atomic.Bool
-	closing atomic.Bool     // answers say that the connection ends
-	ended   context.Context // no answer is waited for any more
-	end     context.CancelFunc
-	talks   sync.WaitGroup
-	freed   chan struct{} // a connection was closed, or became idle
-
-	mu       sync.Mutex
-	listener net.Listener
-	leaving  bool // no request is begun any more
-	staying  int  // connections that are idle, or will be after their answer
-	asked    int  // connections that were asked to go and have not yet said yes or no
-	clients  map[*client]struct{}
+	config         *Config
+	clock          clock
+	log            *slog.Logger
+	maxClients     int // connections at once: the other descriptors are for calls and files
+	maxIdleClients int // those of them that may wait for a further request
+	submit         func(context.Context, submission) bool
+	ingressByPath  map[string]ingress
+	ready          atomic.Bool
+	closing        atomic.Bool     // answers say that the connection ends
+	aborted        context.Context // no answer is waited for any more
+	abort          context.CancelFunc
+	connections    sync.WaitGroup
+	evicted        chan struct{} // a connection was closed, or became idle
+
+	mu        sync.Mutex
+	listener  net.Listener
+	draining  bool // no request is begun any more
+	keptAlive int  // connections that are idle, or will be after their answer
+	evicting  int  // connections that were asked to go and have not yet said yes or no
+	clients   map[*client]struct{}
 }
 
 func newServer(c *Config, k clock, log *slog.Logger, submit func(context.Context, submission) bool) *server {
-	s := &server{c: c, clock: k, log: log, most: c.Limits.clients(), idles: c.Limits.idleClients(), submit: submit,
-		freed: make(chan struct{}, 1), clients: map[*client]struct{}{}}
-	s.ended, s.end = context.WithCancel(context.Background())
-	s.paths = s.fronts()
+	s := &server{config: c, clock: k, log: log, maxClients: c.Limits.maxClients(), maxIdleClients: c.Limits.maxIdleClients(), submit: submit,
+		evicted: make(chan struct{}, 1), clients: map[*client]struct{}{}}
+	s.aborted, s.abort = context.WithCancel(context.Background())
+	s.ingressByPath = s.ingresses()
 	return s
 }
 
@@ -132,7 +132,7 @@
 func (s *server) serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
-	if s.leaving {
+	if s.draining {
 		l.Close()
 	}
 	s.mu.Unlock()
@@ -144,17 +144,17 @@
 			return nil
 		default: // out of descriptors, or a client that is gone already: neither ends the service
 			s.log.Warn("accept", "err", err)
-			time.Sleep(roomLook)
+			time.Sleep(evictionInterval)
 			continue
 		}
-		c := &client{Bounded: calls.Bounded{Conn: nc, Over: errLongHead}, born: time.Now()}
-		c.since, c.r = c.born, bufio.NewReaderSize(c, 4096)
-		c.SetReadDeadline(c.born.Add(readTime))
+		c := &client{Bounded: calls.Bounded{Conn: nc, Over: errHeaderTooLarge}, acceptedAt: time.Now()}
+		c.since, c.r = c.acceptedAt, bufio.NewReaderSize(c, 4096)
+		c.SetReadDeadline(c.acceptedAt.Add(requestTimeout))
 		if !s.admit(c) {
 			nc.Close()
 			return nil
 		}
-		go s.talk(c)
+		go s.serveConn(c)
 	}
 }
 
@@ -163,45 +163,45 @@
 func (s *server) admit(c *client) bool {
 	for {
 		s.mu.Lock()
-		if s.leaving {
+		if s.draining {
 			s.mu.Unlock()
 			return false
 		}
-		if len(s.clients) < s.most {
+		if len(s.clients) < s.maxClients {
 			s.clients[c] = struct{}{}
-			s.talks.Add(1)
+			s.connections.Add(1)
 			s.mu.Unlock()
 			return true
 		}
-		s.makeRoom()
+		s.evictOne()
 		s.mu.Unlock()
 		select {
-		case <-s.freed:
-		case <-time.After(roomLook):
-		case <-s.ended.Done():
+		case <-s.evicted:
+		case <-time.After(evictionInterval):
+		case <-s.aborted.Done():
 		}
 	}
 }
 
-// makeRoom asks the connection to go that has been without a request for longest: one that has not got its
+// evictOne asks the connection to go that has been without a request for longest: one that has not got its
 // request out in a time that is plenty for an honest client, or else one that has had none for a while.
-func (s *server) makeRoom() bool {
-	return s.askOldest(func(c *client, age time.Duration) bool {
-		return c.state == fresh && age > silentTime || c.state == reading && age > halfTime
-	}) || s.askIdle()
+func (s *server) evictOne() bool {
+	return s.evictOldest(func(c *client, age time.Duration) bool {
+		return c.state == stateNew && age > maxSilenceWhenFull || c.state == stateReading && age > maxPartialWhenFull
+	}) || s.evictIdle()
 }
 
-func (s *server) askIdle() bool {
-	return s.askOldest(func(c *client, age time.Duration) bool { return c.state == idling && age >= idleLeast })
+func (s *server) evictIdle() bool {
+	return s.evictOldest(func(c *client, age time.Duration) bool { return c.state == stateIdle && age >= minIdleTime })
 }
 
-// askOldest asks the oldest of some connections to go, one at a time, by ending its wait for bytes. It is not
+// evictOldest asks the oldest of some connections to go, one at a time, by ending its wait for bytes. It is not
 // closed from here: its request may have been read just now, and a request that has come whole is answered.
-func (s *server) askOldest(may func(*client, time.Duration) bool) bool {
+func (s *server) evictOldest(may func(*client, time.Duration) bool) bool {
 	var victim *client
 	now := time.Now()
 	for c := range s.clients {
-		if s.asked > 0 || !may(c, now.Sub(c.since)) || victim != nil && c.since.After(victim.since) {
+		if s.evicting > 0 || !may(c, now.Sub(c.since)) || victim != nil && c.since.After(victim.since) {
 			continue
 		}
 		if calls.Quiet(c.Conn) { // else something is here and only waits for us
@@ -211,67 +211,67 @@
 	if victim == nil {
 		return false
 	}
-	victim.asked = true
-	s.asked++
+	victim.evicting = true
+	s.evicting++
 	victim.SetReadDeadline(time.Unix(1, 0))
 	return true
 }
 
-// become books what a connection is about; false if it is to end.
-func (s *server) become(c *client, state clientState) bool {
+// setState books what a connection is about; false if it is to end.
+func (s *server) setState(c *client, state clientState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if state == idling && s.leaving {
+	if state == stateIdle && s.draining {
 		return false
 	}
-	if state != idling {
-		s.settle(c)
+	if state != stateIdle {
+		s.uncount(c)
 	}
 	c.state, c.since = state, time.Now()
 	return true
 }
 
-// settle takes a connection out of the counts of those that stay and of those that were asked to go.
-func (s *server) settle(c *client) {
-	if c.stays {
-		c.stays = false
-		s.staying--
+// uncount takes a connection out of the counts of those that stay and of those that were asked to go.
+func (s *server) uncount(c *client) {
+	if c.keptAlive {
+		c.keptAlive = false
+		s.keptAlive--
 	}
-	if c.asked {
-		c.asked = false
-		s.asked--
+	if c.evicting {
+		c.evicting = false
+		s.evicting--
 	}
 }
 
-// mayStay reports whether a connection may wait for a further request after its answer. Clients that ask
+// keepAlive reports whether a connection may wait for a further request after its answer. Clients that ask
 // once and keep their connection would soon hold all that they may: beyond a part of them, one that has been
 // idle for a while goes for each that stays; if there is none, the answer says that the connection ends,
 // which crosses no request.
-func (s *server) mayStay(c *client) bool {
+func (s *server) keepAlive(c *client) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.staying >= s.idles && !s.askIdle() {
+	if s.keptAlive >= s.maxIdleClients && !s.evictIdle() {
 		return false
 	}
-	c.stays = true
-	s.staying++
+	c.keptAlive = true
+	s.keptAlive++
 	return true
 }
 
-// drop closes a connection.
-func (s *server) drop(c *client) {
+// remove closes a connection.
+func (s *server) remove(c *client) {
 	c.Close()
 	s.mu.Lock()
-	s.settle(c)
+	s.uncount(c)
 	delete(s.clients, c)
 	s.mu.Unlock()
-	s.signal()
-	s.talks.Done()
+	s.signalEvicted()
+	s.connections.Done()
 }
 
-func (s *server) signal() {
+func (s *server) signalEvicted() {
 	select {
-	case s.freed <- struct{}{}:
+	case s.evicted <- struct{}{}:
 	default:
 	}
 }
@@ -279,25 +279,25 @@
 // shutdown takes no further request and waits until those that have come are answered.
 func (s *server) shutdown() {
 	s.mu.Lock()
-	s.leaving = true
+	s.draining = true
 	if s.listener != nil {
 		s.listener.Close()
 	}
 	for c := range s.clients {
-		if c.state == fresh || c.state == idling {
+		if c.state == stateNew || c.state == stateIdle {
 			c.SetReadDeadline(time.Unix(1, 0)) // wakes it: it ends if nothing has come
 		}
 	}
 	s.mu.Unlock()
-	s.talks.Wait()
+	s.connections.Wait()
 }
 
 // close ends all connections at once.
 func (s *server) close() {
-	s.end()
+	s.abort()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
+	s.draining = true
 	if s.listener != nil {
 		s.listener.Close()
 	}
@@ -306,101 +306,101 @@
 	}
 }
 
-// talk serves one connection, a request at a time.
-func (s *server) talk(c *client) {
-	defer s.drop(c)
+// serveConn serves one connection, a request at a time.
+func (s *server) serveConn(c *client) {
+	defer s.remove(c)
 	for first := true; ; first = false {
-		c.Left = maxHead
-		if !s.begins(c) || !s.become(c, reading) {
+		c.Left = maxHeaderBytes
+		if !s.awaitRequest(c) || !s.setState(c, stateReading) {
 			return
 		}
-		until := c.since.Add(readTime)
+		until := c.since.Add(requestTimeout)
 		if first { // its time counts from the connection's begin, if it is not over with this byte
-			until = c.born.Add(readTime)
-			if least := c.since.Add(lateTime); until.Before(least) {
+			until = c.acceptedAt.Add(requestTimeout)
+			if least := c.since.Add(lateRequestTimeout); until.Before(least) {
 				until = least
 			}
 		}
 		c.SetReadDeadline(until)
-		r, hand, body, err := s.request(c)
+		r, hand, body, err := s.readRequest(c)
 		if err != nil {
-			s.refuse(c, err)
+			s.reject(c, err)
 			return
 		}
 		arrived := s.clock.now()
-		s.become(c, answering)
+		s.setState(c, stateAnswering)
 		var subs []submission
 		if hand != nil {
-			if subs, err = hand.take(body, arrived); err != nil {
-				s.refuse(c, err)
+			if subs, err = hand.submissions(body, arrived); err != nil {
+				s.reject(c, err)
 				return
 			}
 		}
 		answer := s.answer(r, hand, subs)
-		stays := !r.Close && r.ProtoAtLeast(1, 1) && !s.closing.Load() && answer.status/100 != 4 && s.mayStay(c)
-		if !write(c, answer, !stays) || !stays {
+		stays := !r.Close && r.ProtoAtLeast(1, 1) && !s.closing.Load() && answer.status/100 != 4 && s.keepAlive(c)
+		if !writeResponse(c, answer, !stays) || !stays {
 			return
 		}
-		c.SetReadDeadline(time.Now().Add(idleTime))
-		if !s.become(c, idling) {
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
+		if !s.setState(c, stateIdle) {
 			return
 		}
-		s.signal()
+		s.signalEvicted()
 	}
 }
 
-// begins waits for a request's first byte.
-func (s *server) begins(c *client) bool {
+// awaitRequest waits for a request's first byte.
+func (s *server) awaitRequest(c *client) bool {
 	_, err := c.r.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) && !calls.Quiet(c.Conn) {
 		// It came just as the wait ended, by itself or as the connection was asked to go: it is owed an answer.
-		c.SetReadDeadline(time.Now().Add(readTime))
+		c.SetReadDeadline(time.Now().Add(requestTimeout))
 		_, err = c.r.Peek(1)
 	}
 	return err == nil
 }
 
-// request reads one request whole, and whose it is, if it hands in something. Nothing of one that is not sound goes
+// readRequest reads one request whole, and whose it is, if it hands in something. Nothing of one that is not sound goes
 // further than here; what it leaves unread is not read as a further request, as the connection ends.
-func (s *server) request(c *client) (*http.Request, handIn, []byte, error) {
+func (s *server) readRequest(c *client) (*http.Request, ingressRequest, []byte, error) {
 	r, err := http.ReadRequest(c.r)
-	var f front
-	most := int64(maxBody)
+	var f ingress
+	most := int64(maxBodyBytes)
 	if err == nil {
-		if f = s.paths[r.URL.Path]; f != nil {
-			most = f.most()
+		if f = s.ingressByPath[r.URL.Path]; f != nil {
+			most = f.maxBody()
 		}
 	}
 	switch {
 	case err != nil && c.Left <= 0: // whatever the parser makes of a line that was cut there
-		return nil, nil, nil, errLongHead
+		return nil, nil, nil, errHeaderTooLarge
 	case err != nil && errors.As(err, new(net.Error)):
 		return nil, nil, nil, err
 	case err != nil:
-		return nil, nil, nil, bad("the request can't be read: %v", err)
+		return nil, nil, nil, badRequest("the request can't be read: %v", err)
 	// net/http takes the length from the one and forgets the other: what a peer that heeds the other took
 	// for the body would be read as the next request, and a message hidden there would be sent on.
 	case len(r.TransferEncoding) > 0 || r.Header.Get("Transfer-Encoding") != "":
-		return nil, nil, nil, bad("requests come with a Content-Length, not with a Transfer-Encoding")
-	case !soundNames(r.Header):
-		return nil, nil, nil, bad("a header's name is not a word")
+		return nil, nil, nil, badRequest("requests come with a Content-Length, not with a Transfer-Encoding")
+	case !validHeaderNames(r.Header):
+		return nil, nil, nil, badRequest("a header's name is not a word")
 	case r.Host == "" && r.ProtoAtLeast(1, 1):
-		return nil, nil, nil, bad("Host is missing")
+		return nil, nil, nil, badRequest("Host is missing")
 	case r.ContentLength > most:
-		return nil, nil, nil, &refusal{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes", most)}
+		return nil, nil, nil, &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes", most)}
 	}
-	var hand handIn
+	var hand ingressRequest
 	switch path := r.URL.Path; {
 	case f != nil && r.Method == http.MethodPost:
-		if hand, err = f.begin(r); err != nil {
+		if hand, err = f.readHead(r); err != nil {
 			return nil, nil, nil, err
 		}
 	case f != nil:
-		return nil, nil, nil, &refusal{http.StatusMethodNotAllowed, "messages are handed in with POST"}
+		return nil, nil, nil, &requestError{http.StatusMethodNotAllowed, "messages are handed in with POST"}
 	case path != readyPath && path != healthPath:
-		return nil, nil, nil, &refusal{http.StatusNotFound, "there is nothing here"}
+		return nil, nil, nil, &requestError{http.StatusNotFound, "there is nothing here"}
 	case r.Method != http.MethodGet:
-		return nil, nil, nil, &refusal{http.StatusMethodNotAllowed, "this is asked with GET"}
+		return nil, nil, nil, &requestError{http.StatusMethodNotAllowed, "this is asked with GET"}
 	}
 	if r.ContentLength > 0 && strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
 		if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
@@ -414,8 +414,8 @@
 	}
 	// A client waits for its answer before it sends more. What stands behind a body of which the length is
 	// wrong is the rest of it: the message would go out cut short.
-	if c.r.Buffered() > 0 || !calls.Quiet(c.Conn) && !ending(c) {
-		return nil, nil, nil, bad("more comes than the Content-Length says")
+	if c.r.Buffered() > 0 || !calls.Quiet(c.Conn) && !atEOF(c) {
+		return nil, nil, nil, badRequest("more comes than the Content-Length says")
 	}
 	return r, hand, body, nil
 }
@@ -431,9 +431,9 @@
 	return body, err
 }
 
-// soundNames reports whether all header names are tokens. The parser lets others pass under a name of their
+// validHeaderNames reports whether all header names are tokens. The parser lets others pass under a name of their
 // own, such as "Transfer-Encoding " with a blank, which another reader may take for the header itself.
-func soundNames(h http.Header) bool {
+func validHeaderNames(h http.Header) bool {
 	for name := range h {
 		for _, c := range []byte(name) {
 			if c <= ' ' || c >= 0x7f || strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) >= 0 {
@@ -444,63 +444,63 @@
 	return true
 }
 
-// ending reports whether nothing but the end of the connection has come: a client may end its sending.
-func ending(c *client) bool {
+// atEOF reports whether nothing but the end of the connection has come: a client may end its sending.
+func atEOF(c *client) bool {
 	_, err := c.r.Peek(1)
 	return err != nil
 }
 
 // answer finds the answer to a request that has come whole.
-func (s *server) answer(r *http.Request, hand handIn, subs []submission) answerLine {
+func (s *server) answer(r *http.Request, hand ingressRequest, subs []submission) response {
 	if hand == nil {
 		if r.URL.Path == readyPath && (!s.ready.Load() || s.closing.Load()) {
-			return answerLine{status: http.StatusServiceUnavailable, text: "not ready"}
+			return response{status: http.StatusServiceUnavailable, text: "not ready"}
 		}
-		return answerLine{status: http.StatusOK}
+		return response{status: http.StatusOK}
 	}
-	var room [1]answerLine
-	all := append(room[:0], make([]answerLine, len(subs))...)
+	var room [1]response
+	all := append(room[:0], make([]response, len(subs))...)
 	handed := 0
-	for ; handed < len(subs) && s.submit(s.ended, subs[handed]); handed++ {
+	for ; handed < len(subs) && s.submit(s.aborted, subs[handed]); handed++ {
 	}
 	for i := range subs {
-		all[i] = answerLine{status: http.StatusServiceUnavailable, text: "shutting down"}
+		all[i] = response{status: http.StatusServiceUnavailable, text: "shutting down"}
 		if i >= handed {
 			continue
 		}
 		select {
 		case all[i] = <-subs[i].answer:
-		case <-s.ended.Done():
+		case <-s.aborted.Done():
 		}
 	}
-	return hand.answer(all)
+	return hand.response(all)
 }
 
-// refuse answers a request that can't be used, as far as there is somebody to answer, and waits a little for
+// reject answers a request that can't be used, as far as there is somebody to answer, and waits a little for
 // what else comes: with that unread, closing would be a reset, which may overtake the answer.
-func (s *server) refuse(c *client, err error) {
-	var r *refusal
+func (s *server) reject(c *client, err error) {
+	var r *requestError
 	switch {
 	case errors.As(err, &r):
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		r = &refusal{http.StatusRequestTimeout, "the request does not come whole in time"}
+		r = &requestError{http.StatusRequestTimeout, "the request does not come whole in time"}
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		r = &refusal{http.StatusBadRequest, err.Error()}
+		r = &requestError{http.StatusBadRequest, err.Error()}
 	default:
 		return
 	}
-	if !write(c, answerLine{status: r.status, text: r.text}, true) {
+	if !writeResponse(c, response{status: r.status, text: r.text}, true) {
 		return
 	}
 	if tc, ok := c.Conn.(*net.TCPConn); ok {
 		tc.CloseWrite()
 	}
-	c.SetReadDeadline(time.Now().Add(lingerTime))
-	io.Copy(io.Discard, io.LimitReader(c.Conn, lingerMost))
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 }
 
-// write sends an answer; last says that the connection ends with it.
-func write(c *client, a answerLine, last bool) bool {
+// writeResponse sends an answer; last says that the connection ends with it.
+func writeResponse(c *client, a response, last bool) bool {
 	b := append(make([]byte, 0, 256), "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(a.status), 10)
 	b = append(append(append(b, ' '), http.StatusText(a.status)...), "\r\n"...)
@@ -509,18 +509,18 @@
 	}
 	b = time.Now().UTC().AppendFormat(append(b, "Date: "...), http.TimeFormat)
 	if a.status == http.StatusServiceUnavailable {
-		if a.retry <= 0 {
-			a.retry = refusedRetry
+		if a.retryAfter <= 0 {
+			a.retryAfter = defaultRetryAfter
 		}
-		b = strconv.AppendFloat(append(b, "\r\nRetry-After: "...), a.retry.Seconds(), 'f', 3, 64)
+		b = strconv.AppendFloat(append(b, "\r\nRetry-After: "...), a.retryAfter.Seconds(), 'f', 3, 64)
 	}
-	if a.id != "" {
-		b = append(append(b, "\r\nX-Request-Id: "...), a.id...)
+	if a.messageID != "" {
+		b = append(append(b, "\r\nX-Request-Id: "...), a.messageID...)
 	}
 	if a.text == "" {
 		b = append(b, "\r\nContent-Length: 0\r\n\r\n"...)
 	} else {
-		kind := a.kind
+		kind := a.contentType
 		if kind == "" {
 			kind = "text/plain; charset=utf-8"
 		}
@@ -528,85 +528,85 @@
 		b = strconv.AppendInt(b, int64(len(a.text)+1), 10)
 		b = append(append(append(b, "\r\n\r\n"...), a.text...), '\n')
 	}
-	c.SetWriteDeadline(time.Now().Add(answerWrite))
+	c.SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	_, err := c.Write(b)
 	return err == nil
 }
 
-// name reads a header that names something: it goes into records and calls as it is.
-func name(r *http.Request, header string) (string, error) {
+// headerName reads a header that names something: it goes into records and calls as it is.
+func headerName(r *http.Request, header string) (string, error) {
 	values := r.Header.Values(header)
 	if len(values) == 0 {
 		return "", nil
 	}
 	if len(values) > 1 {
-		return "", bad("%s stands there more than once", header)
+		return "", badRequest("%s stands there more than once", header)
 	}
-	if len(values[0]) > maxName {
-		return "", bad("%s is longer than %d bytes", header, maxName)
+	if len(values[0]) > maxNameBytes {
+		return "", badRequest("%s is longer than %d bytes", header, maxNameBytes)
 	}
 	for _, c := range []byte(values[0]) {
 		if c < 0x20 || c > 0x7e {
-			return "", bad("%s holds bytes that are not plain ASCII", header)
+			return "", badRequest("%s holds bytes that are not plain ASCII", header)
 		}
 	}
 	return values[0], nil
 }
 
-// parse reads the head of a request that hands in a message. Its Deadline is what is left of it.
-func (s *server) parse(r *http.Request) (*submission, error) {
-	sub := &submission{answer: make(chan answerLine, 1), tenant: -1}
+// parseMessageHead reads the head of a request that hands in a message. Its Deadline is what is left of it.
+func (s *server) parseMessageHead(r *http.Request) (*submission, error) {
+	sub := &submission{answer: make(chan response, 1), tenant: -1}
 	for header, field := range map[string]*string{"X-Request-Id": &sub.ID, "X-Class": &sub.Class,
 		"X-Tenant": &sub.Tenant, "Idempotency-Key": &sub.Key} {
-		v, err := name(r, header)
+		v, err := headerName(r, header)
 		if err != nil {
 			return nil, err
 		}
 		*field = v
 	}
 	if !r.ProtoAtLeast(1, 1) {
-		return nil, &refusal{http.StatusHTTPVersionNotSupported, "messages are handed in with HTTP/1.1"}
+		return nil, &requestError{http.StatusHTTPVersionNotSupported, "messages are handed in with HTTP/1.1"}
 	}
 	if r.Header.Get("Content-Length") == "" {
-		return nil, &refusal{http.StatusLengthRequired, "Content-Length is missing"}
+		return nil, &requestError{http.StatusLengthRequired, "Content-Length is missing"}
 	}
 	if sub.ID == "" {
-		return nil, bad("X-Request-Id is missing")
+		return nil, badRequest("X-Request-Id is missing")
 	}
-	if sub.class = place(s.c.Classes, sub.Class, -1); sub.class < 0 {
-		return nil, bad("X-Class %q is not among the settings", sub.Class)
+	if sub.class = indexOf(s.config.Classes, sub.Class, -1); sub.class < 0 {
+		return nil, badRequest("X-Class %q is not among the settings", sub.Class)
 	}
-	if sub.tenant = place(s.c.Tenants, sub.Tenant, -1); sub.tenant < 0 && len(s.c.Tenants) > 0 {
-		return nil, bad("X-Tenant %q is not among the settings", sub.Tenant)
+	if sub.tenant = indexOf(s.config.Tenants, sub.Tenant, -1); sub.tenant < 0 && len(s.config.Tenants) > 0 {
+		return nil, badRequest("X-Tenant %q is not among the settings", sub.Tenant)
 	}
-	if s.c.Settings.Classes[sub.class].Idempotency == brain.IdempotentByKey && sub.Key == "" {
-		return nil, bad("Idempotency-Key is missing, and class %s is keyed", sub.Class)
+	if s.config.Settings.Classes[sub.class].Idempotency == brain.IdempotentByKey && sub.Key == "" {
+		return nil, badRequest("Idempotency-Key is missing, and class %s is keyed", sub.Class)
 	}
 	ms, err := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
 	if err != nil || ms < 0 || ms > maxDeadline.Milliseconds() {
-		return nil, bad("X-Deadline-Ms %q is not a sensible time", r.Header.Get("X-Deadline-Ms"))
+		return nil, badRequest("X-Deadline-Ms %q is not a sensible time", r.Header.Get("X-Deadline-Ms"))
 	}
 	sub.Deadline = time.Duration(ms) * time.Millisecond
-	if s.c.Settings.Classes[sub.class].Ordered {
+	if s.config.Settings.Classes[sub.class].Ordered {
 		// Without a key a message of such a class goes as it comes.
-		if sub.Order, err = name(r, "X-Order-Key"); err != nil {
+		if sub.OrderKey, err = headerName(r, "X-Order-Key"); err != nil {
 			return nil, err
 		}
 	}
-	sub.Dest, err = destination(r.Header.Get("X-Addressing"))
+	sub.Dest, err = parseDestination(r.Header.Get("X-Addressing"))
 	return sub, err
 }
 
-// destination reads dest from X-Addressing.
-func destination(text string) (uint32, error) {
+// parseDestination reads dest from X-Addressing.
+func parseDestination(text string) (uint32, error) {
 	for _, part := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ';' || r == ' ' }) {
 		if v, ok := strings.CutPrefix(part, "dest="); ok {
 			n, err := strconv.ParseUint(v, 10, 32)
-			if err != nil || n > maxDest {
-				return 0, bad("X-Addressing: dest %q is not a destination's number", v)
+			if err != nil || n > maxDestination {
+				return 0, badRequest("X-Addressing: dest %q is not a destination's number", v)
 			}
 			return uint32(n), nil
 		}
 	}
-	return 0, bad("X-Addressing names no dest")
+	return 0, badRequest("X-Addressing names no dest")
 }
--- a/internal/sender/server_test.go
+++ b/internal/sender/server_test.go
@@ -92,8 +92,8 @@
 		"two ids":                 {head("m", "Content-Length: 0\r\nX-Request-Id: other\r\n"), 400},
 		"no such destination":     {strings.Replace(head("m", "Content-Length: 0\r\n"), "dest=0", "dest=77", 1), 400},
 		"noise":                   {"\x00\x01\x02\xff\r\n\r\n", 400},
-		"a head without end":      {head("m", "X-More: "+strings.Repeat("m", maxHead)), 431},
-		"lines without end":       {head("m", strings.Repeat("X-More: m\r\n", maxHead)), 431},
+		"a head without end":      {head("m", "X-More: "+strings.Repeat("m", maxHeaderBytes)), 431},
+		"lines without end":       {head("m", strings.Repeat("X-More: m\r\n", maxHeaderBytes)), 431},
 		"half a head":             {"POST /api HTTP/1.1\r\nHost: x", 408},
 		"nothing":                 {"", 0},
 		"a long body":             {head("m", "Content-Length: 1000000\r\n") + strings.Repeat("x", 1000000), 413},
@@ -202,7 +202,7 @@
 		}
 		_, stays = ask()
 	}
-	first.SetReadDeadline(time.Now().Add(idleLeast)) // it was idle for so long when this is over
+	first.SetReadDeadline(time.Now().Add(minIdleTime)) // it was idle for so long when this is over
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("the first is closed early: %v", err)
 	}
@@ -221,7 +221,7 @@
 	e := st.NewEndpoint(t, st.Status(200))
 	s := newTest(t, st.NewPlatform(t, e.Addr), nil)
 	s.server.submit = func(_ context.Context, sub submission) bool {
-		sub.answer <- answerLine{status: 202}
+		sub.answer <- response{status: 202}
 		return true
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -234,12 +234,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &client{Bounded: calls.Bounded{Conn: nc}, born: time.Now().Add(-time.Hour), since: time.Now().Add(-time.Hour)}
+	c := &client{Bounded: calls.Bounded{Conn: nc}, acceptedAt: time.Now().Add(-time.Hour), since: time.Now().Add(-time.Hour)}
 	c.r = bufio.NewReader(c)
 	s.server.clients[c] = struct{}{}
-	s.server.talks.Add(1)
+	s.server.connections.Add(1)
 	s.server.mu.Lock()
-	if !s.server.makeRoom() { // its wait is over before anybody reads
+	if !s.server.evictOne() { // its wait is over before anybody reads
 		t.Fatal("nobody is asked")
 	}
 	s.server.mu.Unlock()
@@ -247,12 +247,12 @@
 	for calls.Quiet(nc) {
 		time.Sleep(time.Millisecond)
 	}
-	s.server.talk(c)
+	s.server.serveConn(c)
 	if codes := answers(t, other); len(codes) != 1 || codes[0] != 202 {
 		t.Errorf("answered %v", codes)
 	}
-	if s.server.asked != 0 || len(s.server.clients) != 0 {
-		t.Errorf("%d asked, %d connections booked", s.server.asked, len(s.server.clients))
+	if s.server.evicting != 0 || len(s.server.clients) != 0 {
+		t.Errorf("%d asked, %d connections booked", s.server.evicting, len(s.server.clients))
 	}
 }
 
@@ -274,16 +274,16 @@
 		want int // its place, -1: none may go
 	}{
 		"none":                      {nil, -1},
-		"answered is owed":          {[]kept{{answering, time.Hour, false}}, -1},
-		"young ones":                {[]kept{{fresh, silentTime / 2, false}, {reading, halfTime / 2, false}, {idling, idleLeast / 2, false}}, -1},
-		"its request is here":       {[]kept{{fresh, time.Hour, true}, {idling, time.Hour, true}}, -1},
-		"silent":                    {[]kept{{answering, time.Hour, false}, {fresh, 2 * silentTime, false}}, 1},
-		"the longest silent":        {[]kept{{fresh, 2 * silentTime, false}, {fresh, 3 * silentTime, false}}, 1},
-		"half":                      {[]kept{{reading, 2 * halfTime, false}, {fresh, silentTime / 2, false}}, 0},
-		"half, and more is here":    {[]kept{{reading, 2 * halfTime, true}}, -1},
-		"idle":                      {[]kept{{idling, 2 * idleLeast, false}, {answering, time.Hour, false}}, 0},
-		"the longest idle":          {[]kept{{idling, 2 * idleLeast, false}, {idling, 3 * idleLeast, false}}, 1},
-		"silent before longer idle": {[]kept{{idling, 3 * idleLeast, false}, {fresh, 2 * silentTime, false}}, 1},
+		"answered is owed":          {[]kept{{stateAnswering, time.Hour, false}}, -1},
+		"young ones":                {[]kept{{stateNew, maxSilenceWhenFull / 2, false}, {stateReading, maxPartialWhenFull / 2, false}, {stateIdle, minIdleTime / 2, false}}, -1},
+		"its request is here":       {[]kept{{stateNew, time.Hour, true}, {stateIdle, time.Hour, true}}, -1},
+		"silent":                    {[]kept{{stateAnswering, time.Hour, false}, {stateNew, 2 * maxSilenceWhenFull, false}}, 1},
+		"the longest silent":        {[]kept{{stateNew, 2 * maxSilenceWhenFull, false}, {stateNew, 3 * maxSilenceWhenFull, false}}, 1},
+		"half":                      {[]kept{{stateReading, 2 * maxPartialWhenFull, false}, {stateNew, maxSilenceWhenFull / 2, false}}, 0},
+		"half, and more is here":    {[]kept{{stateReading, 2 * maxPartialWhenFull, true}}, -1},
+		"idle":                      {[]kept{{stateIdle, 2 * minIdleTime, false}, {stateAnswering, time.Hour, false}}, 0},
+		"the longest idle":          {[]kept{{stateIdle, 2 * minIdleTime, false}, {stateIdle, 3 * minIdleTime, false}}, 1},
+		"silent before longer idle": {[]kept{{stateIdle, 3 * minIdleTime, false}, {stateNew, 2 * maxSilenceWhenFull, false}}, 1},
 	} {
 		s := newServer(&Config{Limits: Limits{Sockets: 64}}, newClock(), slog.Default(), nil)
 		var all []*client
@@ -302,15 +302,15 @@
 			all = append(all, &client{Bounded: calls.Bounded{Conn: nc}, state: k.state, since: time.Now().Add(-k.age)})
 			s.clients[all[len(all)-1]] = struct{}{}
 		}
-		if went := s.makeRoom(); went != (c.want >= 0) {
+		if went := s.evictOne(); went != (c.want >= 0) {
 			t.Errorf("%s: makeRoom says %v", name, went)
 		}
 		for i, k := range all {
-			if k.asked != (i == c.want) {
-				t.Errorf("%s: place %d is asked: %v", name, i, k.asked)
+			if k.evicting != (i == c.want) {
+				t.Errorf("%s: place %d is asked: %v", name, i, k.evicting)
 			}
 		}
-		if c.want >= 0 && s.makeRoom() {
+		if c.want >= 0 && s.evictOne() {
 			t.Errorf("%s: a second one is asked before the first has gone", name)
 		}
 		for _, k := range all {
