--- a/internal/sender/sources.go
+++ b/internal/sender/sources.go
@@ -15,10 +15,10 @@
 	Follow(ctx context.Context, news func(membership.Update))
 }
 
-// Names is a second source of endpoints.
-type Names struct {
+// NameSource is a second source of endpoints.
+type NameSource struct {
 	Source
-	First        membership.Update // what it knows at the start already
+	Initial      membership.Update // what it knows at the start already
 	Destinations []uint32          // of which it will speak: they exist even while they have no endpoint
 	Precedence   map[uint32]membership.Precedence
 	Fallback     membership.Precedence // for all others
@@ -27,26 +27,26 @@
 
 // sources is what feeds the list. With discovery alone there is no merge, and its lines are the list's.
 type sources struct {
-	all   [2]Source        // by membership.Source; nil: there is none
-	told  *membership.Told // by discovery
-	merge *membership.Merge
+	bySource      [2]Source                 // by membership.Source; nil: there is none
+	rollbackGuard *membership.RollbackGuard // by discovery
+	merge         *membership.Merger
 }
 
-// platformList is discovery as a source: the list is asked for when the module wants it.
-type platformList struct{ s *Sender }
+// discoverySource is discovery as a source: the list is asked for when the module wants it.
+type discoverySource struct{ s *Sender }
 
-func (p platformList) Follow(ctx context.Context, news func(membership.Update)) {
-	p.s.disc.follow(ctx, p.s.askFrom, p.s.asked, news, func(err error) { p.s.post(ctx, failedEvent{err}) })
+func (p discoverySource) Follow(ctx context.Context, news func(membership.Update)) {
+	p.s.discovery.follow(ctx, p.s.watchFrom, p.s.watchRequests, news, func(err error) { p.s.post(ctx, listFailure{err}) })
 }
 
 func newSources(s *Sender) sources {
-	all := sources{told: membership.NewTold()}
-	all.all[membership.Discovery] = platformList{s}
-	if n := s.c.Names; n != nil {
-		all.all[membership.Names] = n.Source
-		all.merge = membership.NewMerge(n.Precedence, n.Fallback)
+	all := sources{rollbackGuard: membership.NewRollbackGuard()}
+	all.bySource[membership.Discovery] = discoverySource{s}
+	if n := s.config.Names; n != nil {
+		all.bySource[membership.Names] = n.Source
+		all.merge = membership.NewMerger(n.Precedence, n.Fallback)
 		for _, d := range n.Destinations {
-			s.list.Cells[d] = struct{}{}
+			s.endpoints.Cells[d] = struct{}{}
 		}
 	}
 	return all
@@ -54,37 +54,37 @@
 
 // follow starts all sources; what they tell comes to the loop as events.
 func (all *sources) follow(ctx context.Context, post func(context.Context, any) bool) {
-	for from, source := range all.all {
+	for from, source := range all.bySource {
 		if source != nil {
-			go source.Follow(ctx, func(u membership.Update) { post(ctx, listEvent{membership.Source(from), u}) })
+			go source.Follow(ctx, func(u membership.Update) { post(ctx, listUpdate{membership.Source(from), u}) })
 		}
 	}
 }
 
-// listsAtStart is what the sources knew before the sender ran. The names' word is in before any message is resumed: an address
+// initialListEvents is what the sources knew before the sender ran. The names' word is in before any message is resumed: an address
 // that an update removed before a restart gets nothing after it.
-func (s *Sender) listsAtStart() []brain.Event {
-	events := []brain.Event{s.news(listEvent{membership.Discovery, s.first})}
-	if n := s.c.Names; n != nil {
-		events = append(events, s.news(listEvent{membership.Names, n.First}))
+func (s *Sender) initialListEvents() []brain.Event {
+	events := []brain.Event{s.applyListUpdate(listUpdate{membership.Discovery, s.initialList})}
+	if n := s.config.Names; n != nil {
+		events = append(events, s.applyListUpdate(listUpdate{membership.Names, n.Initial}))
 	}
 	return events
 }
 
-// news books news of a source and translates what that changes in the list for the Brain.
-func (s *Sender) news(e listEvent) brain.Event {
+// applyListUpdate books news of a source and translates what that changes in the list for the Brain.
+func (s *Sender) applyListUpdate(e listUpdate) brain.Event {
 	if e.from == membership.Discovery {
-		counts, older := s.sources.told.Apply(s.clock.now(), e.Targets)
+		counts, older := s.sources.rollbackGuard.Apply(s.clock.now(), e.Targets)
 		if older > 0 {
 			s.log.Warn("discovery's list is older than what it has told", "version", e.Version, "endpoints that stay left", older)
 		}
 		e.Targets = counts
-		if e.Heard != "" {
-			s.journal.keepList(e.Heard, counts)
+		if e.Origin != "" {
+			s.journal.saveList(e.Origin, counts)
 		}
 	}
 	if s.sources.merge == nil {
-		return s.list.News(e.Targets, e.Full, s.c.names(), s.pool)
+		return s.endpoints.News(e.Targets, e.Full, s.config.endpointNames(), s.pool)
 	}
-	return s.list.News(membership.Update{Servers: s.sources.merge.Apply(e.from, e.Targets)}, false, s.c.names(), s.pool)
+	return s.endpoints.News(membership.Update{Servers: s.sources.merge.Apply(e.from, e.Targets)}, false, s.config.endpointNames(), s.pool)
 }
--- a/internal/sender/targets.go
+++ b/internal/sender/targets.go
@@ -6,9 +6,9 @@
 	"io"
 )
 
-// readTargets reads a list line by line: a long one is not held as text as well. The words that its lines share
+// decodeTargets reads a list line by line: a long one is not held as text as well. The words that its lines share
 // are held once.
-func readTargets(r io.Reader) (Targets, error) {
+func decodeTargets(r io.Reader) (Targets, error) {
 	var t Targets
 	words := map[string]string{}
 	once := func(s *string) {
@@ -19,7 +19,7 @@
 		}
 	}
 	d := json.NewDecoder(r)
-	if err := expect(d, json.Delim('{')); err != nil {
+	if err := expectDelim(d, json.Delim('{')); err != nil {
 		return t, err
 	}
 	for d.More() {
@@ -50,7 +50,7 @@
 				once(&line.State)
 				t.Servers = append(t.Servers, line)
 			}
-			err = expect(d, json.Delim(']'))
+			err = expectDelim(d, json.Delim(']'))
 		default:
 			err = d.Decode(new(json.RawMessage))
 		}
@@ -58,10 +58,10 @@
 			return t, fmt.Errorf("%v: %w", key, err)
 		}
 	}
-	return t, expect(d, json.Delim('}'))
+	return t, expectDelim(d, json.Delim('}'))
 }
 
-func expect(d *json.Decoder, want json.Delim) error {
+func expectDelim(d *json.Decoder, want json.Delim) error {
 	got, err := d.Token()
 	if err == nil && got != want {
 		err = fmt.Errorf("%v where %v is wanted", got, want)
--- a/internal/sender/trace.go
+++ b/internal/sender/trace.go
@@ -17,16 +17,16 @@
 }
 
 // traceEnd is the line on how a call ended.
-func (s *Sender) traceEnd(m *message, e callEnd) {
+func (s *Sender) traceEnd(m *message, e callResult) {
 	outcome := "served"
 	if e.Outcome != brain.Served {
 		outcome = string(outcomeOf(e.Outcome))
 	}
 	at := ""
-	if end := s.list.ByNumber[e.Endpoint]; end != nil {
+	if end := s.endpoints.ByNumber[e.Endpoint]; end != nil {
 		at = end.ID
 	}
-	s.trace("call ended", m.ID, slog.Uint64("dest", uint64(m.Dest)), slog.Int("try", m.base+e.attempt), slog.String("endpoint", at),
+	s.trace("call ended", m.ID, slog.Uint64("dest", uint64(m.Dest)), slog.Int("try", m.earlierAttempts+e.attempt), slog.String("endpoint", at),
 		slog.String("outcome", outcome), slog.Duration("took", e.Elapsed), slog.Duration("wait", e.RetryAfter),
 		slog.Bool("crowded", e.ConnLimitReached), slog.Float64("left", e.Remaining), slog.Float64("limit", e.Limit))
 }
--- a/internal/sender/watch_test.go
+++ b/internal/sender/watch_test.go
@@ -243,7 +243,7 @@
 		j := openTest(t, dir, 1<<20)
 		for _, r := range held {
 			r.Deadline += newClock().now()
-			if _, err := j.take(r); err != nil {
+			if _, err := j.insertAndFlush(r); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -252,8 +252,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.disc.dial = v.dial
-		s.grace, s.leaveAfter = 0, time.Millisecond
+		s.discovery.dial = v.dial
+		s.gracePeriod, s.shutdownTimeout = 0, time.Millisecond
 		v.begin, heard.begin, v.mu = time.Now(), time.Now(), &sync.Mutex{}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
@@ -264,7 +264,7 @@
 			t.Error(err)
 		}
 		time.Sleep(time.Minute) // calls that were given up end
-		s.disc.registry().closeIdle()
+		s.discovery.registry().closeIdle()
 	})
 	return heard.at
 }
