--- a/internal/tier/loadbalancer/done.go
+++ b/internal/tier/loadbalancer/outcomes.go
@@ -1,9 +1,21 @@
 package loadbalancer
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
-// ResponseStarted records the first piece of a streamed answer, which shows that its endpoint is not silent. It has no effect once
-// the call is done.
+const (
+	minRejectionBackoff = 25 * time.Millisecond // after a rejection; doubles with each consecutive one
+	maxRejectionBackoff = 500 * time.Millisecond
+	ejectThreshold      = 4.0 // sum of the weights of consecutive failures that ejects an endpoint
+)
+
+// failureWeights is how much each kind of failure counts towards an ejection.
+var failureWeights = map[OutcomeKind]float64{NotSent: 2, Broken: 1.5, TimedOut: 1.5, Stalled: 1.5, Failed: 1}
+
+// ResponseStarted records the first event of a streamed response, which shows that its endpoint is responsive. It has no effect
+// once the call is done.
 func (balancer *Balancer) ResponseStarted(now time.Duration, call *Call) {
 	if call != nil && !call.done {
 		call.endpoint.responseStarted(now, call)
@@ -29,7 +41,7 @@
 	if outcome.Load != nil {
 		endpoint.updateLoad(now, *outcome.Load, outcome.Kind == Rejected)
 	}
-	silent := outcome.Kind == Canceled && now-max(call.sentAt, endpoint.lastSeenAt) > call.unresponsiveTimeout()
+	unresponsive := outcome.Kind == Canceled && now-max(call.sentAt, endpoint.lastSeenAt) > call.unresponsiveTimeout()
 	endpoint.inFlight--
 	endpoint.removeAwaiting(call)
 	if call.probe {
@@ -44,7 +56,7 @@
 		call.service.servedRate.add(now)
 	case outcome.Kind == Rejected:
 		endpoint.recordRejected(now, call)
-	case silent:
+	case unresponsive:
 		endpoint.recordFailed(now, failureWeights[TimedOut], call)
 	case outcome.Kind != Canceled:
 		if outcome.Kind == TimedOut && call.oracle.Doubled() {
@@ -55,14 +67,14 @@
 		}
 		endpoint.recordFailed(now, failureWeights[outcome.Kind], call)
 	case call.probe:
-		endpoint.nextProbeAt = now // it shows nothing: the next attempt may probe
+		endpoint.nextProbeAt = now // it has shown nothing: the next attempt may probe
 	}
 	if !endpoint.listed && endpoint.inFlight == 0 && balancer.endpoints[endpoint.Instance] == endpoint {
 		delete(balancer.endpoints, endpoint.Instance)
 	}
 }
 
-// recordLatency updates the oracle: only served first attempts are samples (Karn's algorithm), and an expired time-out is doubled.
+// recordLatency updates the time-outs of the route: only served first attempts are samples (Karn's algorithm), and an expired time-out is doubled.
 func (balancer *Balancer) recordLatency(now time.Duration, call *Call, outcome Outcome) {
 	if outcome.Kind == Served && outcome.LongestGap > 0 {
 		call.gapOracle.Sample(outcome.LongestGap, 1, false)
@@ -81,11 +93,24 @@
 	}
 }
 
+// responseStarted records that a part of a call's response was received: from then on the call does not count as one without response.
+func (endpoint *endpoint) responseStarted(now time.Duration, call *Call) {
+	endpoint.lastSeenAt = max(endpoint.lastSeenAt, now)
+	endpoint.removeAwaiting(call)
+}
+
+// removeAwaiting removes a call from those without any response.
+func (endpoint *endpoint) removeAwaiting(call *Call) {
+	if i := slices.Index(endpoint.awaitingResponse, call); i >= 0 {
+		endpoint.awaitingResponse = slices.Delete(endpoint.awaitingResponse, i, i+1)
+	}
+}
+
 // recordServed records a call that was served.
-func (endpoint *endpoint) recordServed(now time.Duration, call *Call, first time.Duration) {
+func (endpoint *endpoint) recordServed(now time.Duration, call *Call, latency time.Duration) {
 	endpoint.lastSeenAt = max(endpoint.lastSeenAt, now)
 	if mean := call.oracle.Mean; mean > 0 { // as of the last computation of its optimum
-		endpoint.latencyRatio += latencySmoothing * (min(2*maxLatencyRatio, first.Seconds()/mean) - endpoint.latencyRatio)
+		endpoint.latencyRatio += latencySmoothing * (min(2*maxLatencyRatio, latency.Seconds()/mean) - endpoint.latencyRatio)
 	}
 	endpoint.recordResult(now, 0)
 	endpoint.window.Grow(endpoint.capacity())
@@ -93,11 +118,11 @@
 	endpoint.restore()
 }
 
-// recordRejected records a refusal: the endpoint is alive, and at its limit.
+// recordRejected records a rejection: the endpoint is alive, and at its limit.
 func (endpoint *endpoint) recordRejected(now time.Duration, call *Call) {
 	endpoint.lastSeenAt = max(endpoint.lastSeenAt, now)
 	endpoint.window.Halve(call.sentAt, now)
-	if now >= endpoint.backoffUntil { // once for all calls that were under way together
+	if now >= endpoint.backoffUntil { // once for all calls that were in flight together
 		endpoint.rejectionBackoff = min(max(2*endpoint.rejectionBackoff, minRejectionBackoff), maxRejectionBackoff)
 		endpoint.backoffUntil = now + endpoint.rejectionBackoff
 	}
@@ -112,36 +137,3 @@
 		endpoint.ejectAndReport(now)
 	}
 }
-
-// StartHealthChecks returns the ejected endpoints that are due to be probed, for an owner that checks their health by a call of its
-// own, as it must where requests can't be repeated. Each is to be followed by Checked.
-func (balancer *Balancer) StartHealthChecks(now time.Duration) []Endpoint {
-	var suspects []Endpoint
-	for _, service := range balancer.services {
-		service.ejectUnresponsive(now)
-		for _, endpoint := range service.endpoints {
-			if endpoint.ejected && !endpoint.misdirected && endpoint.probesInFlight == 0 && now >= endpoint.nextProbeAt {
-				endpoint.healthCheckInFlight = true
-				endpoint.probesInFlight++
-				suspects = append(suspects, endpoint.Endpoint)
-			}
-		}
-	}
-	return suspects
-}
-
-// RecordHealthCheck records the result of such a health check.
-func (balancer *Balancer) RecordHealthCheck(now time.Duration, instance string, healthy bool) {
-	endpoint := balancer.endpoints[instance]
-	if endpoint == nil || !endpoint.healthCheckInFlight {
-		return
-	}
-	endpoint.healthCheckInFlight = false
-	endpoint.probesInFlight--
-	if !healthy {
-		endpoint.ejectAndReport(now)
-		return
-	}
-	endpoint.lastSeenAt = max(endpoint.lastSeenAt, now)
-	endpoint.restore()
-}
