--- a/internal/tier/gateway/account.go
+++ b/internal/tier/gateway/account.go
@@ -9,39 +9,39 @@
 // budgetHeader names the tokens that all turns of a program together may generate.
 const budgetHeader = "Budget"
 
-// account is the open reservation of a turn in its program's budget, at the program's turn store. Whoever holds one ends it
+// reservation is the open reservation of a turn in its program's budget, at the program's turn store. Whoever holds one ends it
 // exactly once: by release or releaseLater with what was handed out, or with the text of a turn that is kept.
-type account struct {
+type reservation struct {
 	request *clientRequest
 	program string
 }
 
 // release ends the reservation before the client hears of it; see clientRequest.release.
-func (account *account) release(tokens uint64) {
+func (account *reservation) release(tokens uint64) {
 	if account != nil {
 		account.request.release(account.program, tokens)
 	}
 }
 
-// releaseLater ends the reservation behind the request.
-func (account *account) releaseLater(tokens uint64) {
+// releaseInBackground ends the reservation behind the request.
+func (account *reservation) releaseInBackground(tokens uint64) {
 	if account != nil {
-		account.request.releaseLater(account.program, tokens)
+		account.request.releaseInBackground(account.program, tokens)
 	}
 }
 
-// accounted reports whether a streamed request is charged to a budget or goes on from a kept turn: a turn store is asked
+// needsTurnStore reports whether a streamed request is charged to a budget or goes on from a kept turn: a turn store is asked
 // before it is sent.
-func (request *clientRequest) accounted() bool {
+func (request *clientRequest) needsTurnStore() bool {
 	return request.route.Persisted || request.x.Header.Get(budgetHeader) != ""
 }
 
-// programOf is the program whose budget a turn is charged to. A turn that names none is one of its own.
-func (request *clientRequest) programOf() string {
+// program is the program whose budget a turn is charged to. A turn that names none is one of its own.
+func (request *clientRequest) program() string {
 	if program := request.x.Header.Get("Program"); program != "" {
 		return program
 	}
-	return request.attempt
+	return request.attemptID
 }
 
 // readBudget reads the Budget of the turn's program, in tokens; where it cannot stand, it gives the problem.
--- a/internal/tier/gateway/account_test.go
+++ b/internal/tier/gateway/account_test.go
@@ -11,31 +11,31 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// budgeted is a turn by a route that keeps nothing, of program p.
-func budgeted(target, id string, budget, most int) string {
+// turnWithBudget is a turn by a route that keeps nothing, of program p.
+func turnWithBudget(target, id string, budget, most int) string {
 	return tiertest.Post(target, id, fmt.Sprintf("Program: p\r\nBudget: %d\r\nX-Token-Usage: 5,%d\r\n", budget, most), "in")
 }
 
 // A budget is kept whatever route a turn comes by, also where turns of one program come by both kinds of routes.
-func TestABudgetOfTurnsThatAreNotKept(t *testing.T) {
+func TestBudget_OfTurnsNotPersisted(t *testing.T) {
 	for _, routes := range [][2]string{{"/stream/x", "/stream/x"}, {"/stream/x", "/turn/x"}, {"/turn/x", "/stream/x"}, {"/resumable/x", "/kept/x"}} {
 		t.Run(routes[0]+" "+routes[1], func(t *testing.T) {
 			e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-			r := start(t, e)
-			assert.Equal(t, r.do(budgeted(routes[0], "t-1", 10, 11)).Status, 402)
+			r := startGateway(t, e)
+			assert.Equal(t, r.do(turnWithBudget(routes[0], "t-1", 10, 11)).Status, 402)
 			assert.Equal(t, len(e.Arrivals()), 0)
-			whole(t, r.do(budgeted(routes[0], "t-2", 10, 10)), 200, events(said("t-2")...)) // two events: 2 tokens
-			assert.Equal(t, r.do(budgeted(routes[1], "t-3", 10, 9)).Status, 402)
-			assert.Equal(t, r.do(budgeted(routes[1], "t-4", 10, 8)).Status, 200) // exactly the room that is left
-			assert.Equal(t, r.do(budgeted(routes[0], "t-5", 10, 7)).Status, 402)
-			assert.Equal(t, r.do(budgeted(routes[0], "t-6", 10, 6)).Status, 200)
+			assertAnswer(t, r.do(turnWithBudget(routes[0], "t-2", 10, 10)), 200, events(said("t-2")...)) // two events: 2 tokens
+			assert.Equal(t, r.do(turnWithBudget(routes[1], "t-3", 10, 9)).Status, 402)
+			assert.Equal(t, r.do(turnWithBudget(routes[1], "t-4", 10, 8)).Status, 200) // exactly the room that is left
+			assert.Equal(t, r.do(turnWithBudget(routes[0], "t-5", 10, 7)).Status, 402)
+			assert.Equal(t, r.do(turnWithBudget(routes[0], "t-6", 10, 6)).Status, 200)
 			assert.Equal(t, len(e.Arrivals()), 3)
 		})
 	}
 }
 
 // What the client has of a turn that is not kept is charged before it hears the end, or hears that there is none.
-func TestATurnThatIsNotKeptIsChargedForWhatWasHanded(t *testing.T) {
+func TestBudget_TurnNotPersistedIsChargedForEventsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(*tiertest.Arrival, <-chan struct{})
 		charge int
@@ -47,10 +47,10 @@
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
 			e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { c.script(a, read) })
-			r := start(t, e)
+			r := startGateway(t, e)
 			ends := settled(r.turnStores.List[0])
 			client := tiertest.Connect(t, r.ingress)
-			client.Send(budgeted("/stream/x", "t-1", 100, 60))
+			client.Send(turnWithBudget("/stream/x", "t-1", 100, 60))
 			if c.charge > 0 {
 				head := client.Head()
 				for range c.charge {
@@ -66,37 +66,37 @@
 			assert.Equal(t, got.Kept, false)
 			assert.Equal(t, got.Tokens, uint64(c.charge))
 			e.SetScript(talk)
-			assert.Equal(t, r.do(budgeted("/stream/x", "t-2", 100, 101-c.charge)).Status, 402)
-			assert.Equal(t, r.do(budgeted("/stream/x", "t-3", 100, 100-c.charge)).Status, 200)
+			assert.Equal(t, r.do(turnWithBudget("/stream/x", "t-2", 100, 101-c.charge)).Status, 402)
+			assert.Equal(t, r.do(turnWithBudget("/stream/x", "t-3", 100, 100-c.charge)).Status, 200)
 		})
 	}
 }
 
 // Where nothing is kept a turn goes on from nothing: there is no 404, and the body goes to the endpoint as it came.
-func TestATurnThatIsNotKeptGoesOnFromNothing(t *testing.T) {
+func TestBudget_TurnNotPersistedContinuesNothing(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	got := r.do(tiertest.Post("/stream/x", "t-1", "Program: p\r\nPrevious: t-none\r\nBudget: 10\r\nX-Token-Usage: 5,9\r\n", "in"))
-	whole(t, got, 200, events(said("t-1")...))
+	assertAnswer(t, got, 200, events(said("t-1")...))
 	assert.Equal(t, e.Arrivals()[0].Text, "in")
 	assert.Equal(t, e.Arrivals()[0].Header.Get("Previous"), "t-none")
 	assert.Equal(t, r.do(tiertest.Post("/turn/x", "t-2", "Program: p\r\nPrevious: t-1\r\nBudget: 10\r\nX-Token-Usage: 5,2\r\n", "in")).Status, 404)
 }
 
 // Without a turn store it is not known whether there is room: nothing is sent, and the client hears when to come back.
-func TestATurnThatIsNotKeptNeedsItsTurnStore(t *testing.T) {
+func TestBudget_TurnNotPersistedNeedsTurnStore(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	r.turnStores.List[0].SetVia(func(tiertest.Message) error { return tiertest.ErrNet })
-	promise(t, r.do(tiertest.Post("/stream/x", "t-1", "Program: p\r\nX-Deadline-Ms: 600\r\nBudget: 10\r\nX-Token-Usage: 5,9\r\n", "in")))
+	assertNotExecuted(t, r.do(tiertest.Post("/stream/x", "t-1", "Program: p\r\nX-Deadline-Ms: 600\r\nBudget: 10\r\nX-Token-Usage: 5,9\r\n", "in")))
 	assert.Equal(t, len(e.Arrivals()), 0)
-	whole(t, r.do(tiertest.Post("/stream/x", "t-2", "Program: p\r\n", "in")), 200, events(said("t-2")...)) // no budget: nobody is asked
+	assertAnswer(t, r.do(tiertest.Post("/stream/x", "t-2", "Program: p\r\n", "in")), 200, events(said("t-2")...)) // no budget: nobody is asked
 }
 
 // The end does not wait for a turn store that is away, as nothing but the room in the budget rests on it.
-func TestTheEndOfATurnThatIsNotKeptDoesNotWaitForLong(t *testing.T) {
+func TestBudget_EndOfTurnNotPersistedWaitsBriefly(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	let := make(chan struct{})
 	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		if m.Method == "Settle" {
@@ -108,15 +108,15 @@
 		}
 		return m.Serve()
 	})
-	whole(t, r.do(budgeted("/stream/x", "t-1", 10, 10)), 200, events(said("t-1")...))
+	assertAnswer(t, r.do(turnWithBudget("/stream/x", "t-1", 10, 10)), 200, events(said("t-1")...))
 	close(let)
-	assert.Equal(t, r.do(budgeted("/stream/x", "t-2", 10, 8)).Status, 200) // what is being settled here is waited for
+	assert.Equal(t, r.do(turnWithBudget("/stream/x", "t-2", 10, 8)).Status, 200) // what is being settled here is waited for
 }
 
 // The same attempt twice reserves once.
-func TestTheSameAttemptByTwoGatewaysReservesOnce(t *testing.T) {
+func TestBudget_SameAttemptByTwoGatewaysReservesOnce(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	first, second := startTwo(t, e)
+	first, second := startTwoGateways(t, e)
 	blocked, begun := make(chan struct{}), make(chan struct{})
 	e.SetScript(func(a *tiertest.Arrival) {
 		if a.Order == 0 {
@@ -126,11 +126,11 @@
 		talk(a)
 	})
 	c := tiertest.Connect(t, first.ingress)
-	c.Send(budgeted("/resumable/x", "t-1", 12, 10))
+	c.Send(turnWithBudget("/resumable/x", "t-1", 12, 10))
 	tiertest.Closed(t, "it runs", begun)
-	assert.Equal(t, second.do(budgeted("/resumable/x", "t-1", 12, 10)).Status, 200)
+	assert.Equal(t, second.do(turnWithBudget("/resumable/x", "t-1", 12, 10)).Status, 200)
 	close(blocked)
-	whole(t, c.Whole(), 200, events(said("t-1")...))
+	assertAnswer(t, c.Whole(), 200, events(said("t-1")...))
 	reply, err := first.turnStores.List[0].Begin(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t-2", Limited: true, Budget: 12, Most: 10})
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Verdict, tierv1.Verdict_OK)
--- a/internal/tier/gateway/again_test.go
+++ b/internal/tier/gateway/again_test.go
@@ -14,7 +14,7 @@
 
 // What a try reserved that has not run, or was broken off, is free again when its client hears of it: a 402 at the next try
 // would end its program.
-func TestTheNextTryFindsTheBudgetFree(t *testing.T) {
+func TestRelease_NextAttemptFindsBudgetFree(t *testing.T) {
 	for name, fails := range map[string]func(*tiertest.Arrival){
 		"refused":         func(a *tiertest.Arrival) { a.Bare(503, "X-Not-Executed: full\r\n") },
 		"before an event": (*tiertest.Arrival).Reset,
@@ -28,11 +28,11 @@
 				}
 				talk(a)
 			})
-			r := start(t, e)
+			r := startGateway(t, e)
 			spent := 0
 			for n := range 50 {
 				ask := func(try, most int) tiertest.Reply {
-					return r.do(turn(fmt.Sprintf("t-%d-%d", n, try), "", fmt.Sprintf("p-%d", n),
+					return r.do(turnRequest(fmt.Sprintf("t-%d-%d", n, try), "", fmt.Sprintf("p-%d", n),
 						fmt.Sprintf("X-Try: %d\r\nBudget: 20\r\nX-Token-Usage: 9,%d\r\n", try, most), "in"))
 				}
 				got := ask(0, 20)
@@ -47,7 +47,7 @@
 }
 
 // A 402 waits for every reservation of the program that is being given up here, not for the newest alone.
-func TestASpentBudgetWaitsForAllThatIsGivenUp(t *testing.T) {
+func TestRelease_SpentBudgetWaitsForAllReleases(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
 		if strings.HasPrefix(a.ID, "t-3") {
 			talk(a)
@@ -55,7 +55,7 @@
 		}
 		a.Bare(503, "X-Not-Executed: full\r\n")
 	})
-	r := start(t, e)
+	r := startGateway(t, e)
 	begun := make(chan struct{})
 	var once sync.Once
 	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
@@ -76,10 +76,10 @@
 		return m.Serve()
 	})
 	ask := func(id string, most int) tiertest.Reply {
-		return r.do(turn(id, "", "p", fmt.Sprintf("Budget: 20\r\nX-Token-Usage: 9,%d\r\n", most), "in"))
+		return r.do(turnRequest(id, "", "p", fmt.Sprintf("Budget: 20\r\nX-Token-Usage: 9,%d\r\n", most), "in"))
 	}
-	promise(t, ask("t-1", 10))
-	promise(t, ask("t-2", 10))
+	assertNotExecuted(t, ask("t-1", 10))
+	assertNotExecuted(t, ask("t-2", 10))
 	got := ask("t-3", 20)
 	for n := 0; got.Status == 503 && n < 100; n++ { // its endpoint is paused after refusals; a 402 is what may not come
 		got = ask(fmt.Sprintf("t-3-%d", n), 20)
--- a/internal/tier/gateway/attack_test.go
+++ b/internal/tier/gateway/attack_test.go
@@ -14,7 +14,7 @@
 )
 
 // A connection that was kept and is reset under the next request says nothing of whether that has run.
-func TestAKeptConnectionThatIsResetIsNotSentAgain(t *testing.T) {
+func TestAttempts_ResetIdleConnectionIsNotRetried(t *testing.T) {
 	for _, target := range []string{"/once/x", "/stream/x", "/turn/x"} {
 		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
 			if a.ID == "first" {
@@ -23,17 +23,17 @@
 			}
 			a.Reset()
 		})
-		r := start(t, e)
-		whole(t, r.post("/plain/x", "first", "", "b"), 200, "kept")
+		r := startGateway(t, e)
+		assertAnswer(t, r.post("/plain/x", "first", "", "b"), 200, "kept")
 		got := r.post(target, "second", "", "b")
 		assert.Equal(t, got.Status, 502)
-		unstamped(t, got)
+		assertUnstamped(t, got)
 		assert.Equal(t, len(e.Arrivals()), 2)
 	}
 }
 
 // Endpoints that crash under an attempt, and such as nobody is at, are not run on beyond max_attempts.
-func TestCrashedEndpointsCountAsAttempts(t *testing.T) {
+func TestAttempts_CrashedEndpointsCount(t *testing.T) {
 	for target, most := range map[string]int{"/plain/x": 2, "/single/x": 1, "/once/x": 1} {
 		var list []*tiertest.Endpoint
 		for i := range 5 {
@@ -44,7 +44,7 @@
 			dead.Listener.Close()
 			list = append(list, dead)
 		}
-		r := start(t, list...)
+		r := startGateway(t, list...)
 		for try := range 10 {
 			id := fmt.Sprintf("a-%d", try)
 			assert.Equal(t, r.post(target, id, "", "b").Status, 502)
@@ -62,16 +62,16 @@
 }
 
 // What is told at a send that comes long after the first is what is left then, by the client's time and by the route's.
-func TestDeadlinesFallByTheTimeThatHasGone(t *testing.T) {
+func TestAttempts_DeadlineShrinksByElapsedTime(t *testing.T) {
 	const gone = 500 * time.Millisecond
 	for fields, own := range map[string]int{"X-Deadline-Ms: 3000\r\n": 3000, "X-Deadline-Ms: 90000\r\n": 20000, "": 20000} {
-		a, b := two(t, func(x *tiertest.Arrival) {
+		a, b := twoEndpoints(t, func(x *tiertest.Arrival) {
 			arrived := time.Now()
 			tiertest.Until(t, "time has gone", func() bool { return time.Since(arrived) > gone })
 			x.Reset()
 		})
-		r := start(t, a, b)
-		whole(t, r.post("/plain/x", "a-1", fields, "b"), 200, "second")
+		r := startGateway(t, a, b)
+		assertAnswer(t, r.post("/plain/x", "a-1", fields, "b"), 200, "second")
 		var told []int
 		for _, x := range append(a.Arrivals(), b.Arrivals()...) {
 			ms, err := strconv.Atoi(x.Header.Get("X-Deadline-Ms"))
@@ -85,7 +85,7 @@
 }
 
 // A client that takes nothing of a stream, and leaves, ends the endpoint's work too.
-func TestWorkEndsWithAClientThatReadsNothing(t *testing.T) {
+func TestStream_AbortedForClientThatReadsNothing(t *testing.T) {
 	at, gone := make(chan struct{}, 1), make(chan time.Time, 1)
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
 		at <- struct{}{}
@@ -99,8 +99,8 @@
 		}
 		gone <- time.Now()
 	})
-	r := start(t, e)
-	soon(t, func(try int) time.Duration {
+	r := startGateway(t, e)
+	retryTimingTest(t, func(try int) time.Duration {
 		c := tiertest.Connect(t, r.ingress)
 		c.Send(tiertest.Post("/stream/x", fmt.Sprintf("a-%d", try), "", "b"))
 		tiertest.Closed(t, "the request arrives", at)
--- a/internal/tier/gateway/client_wire_test.go
+++ b/internal/tier/gateway/client_wire_test.go
@@ -98,12 +98,12 @@
 			if c.endpoint != nil {
 				endpoints = append(endpoints, tiertest.NewEndpoint(t, "i-1", "s", c.endpoint))
 			}
-			r := start(t, endpoints...)
+			r := startGateway(t, endpoints...)
 			assertWire(t, readToEnd(t, r.ingress, c.request), c.name)
 		})
 	}
 	t.Run("rejected-no-configuration", func(t *testing.T) {
-		r := bare(t)
+		r := startUnconfigured(t)
 		assertWire(t, readToEnd(t, r.ingress, closing("/plain/x", "a-1", "", "b")), "rejected-no-configuration")
 	})
 }
@@ -120,7 +120,7 @@
 			}
 			a.End()
 		})
-		r := start(t, e)
+		r := startGateway(t, e)
 		client := tiertest.Connect(t, r.ingress)
 		client.Send(closing(target, "a-1", "Program: p\r\n", "b"))
 		var got []byte
@@ -145,7 +145,7 @@
 			a.Say("14\r\nid: 2\ndata: ha")
 			a.Close()
 		})
-		r := start(t, e)
+		r := startGateway(t, e)
 		client := tiertest.Connect(t, r.ingress)
 		client.Send(closing(target, "a-1", "Program: p\r\n", "b"))
 		got := readChunk(t, client, 1, "one")
--- a/internal/tier/gateway/contact_test.go
+++ b/internal/tier/gateway/contact_test.go
@@ -8,22 +8,22 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSilenceOfTurnStores(t *testing.T) {
+func TestReachability_UnansweredFor(t *testing.T) {
 	failure := errorx.ExternalError.New("no answer")
-	var c contact
-	assert.Equal(t, c.silence(), time.Duration(0), "none was asked")
-	c.observe(nil)
-	assert.Equal(t, c.silence(), time.Duration(0))
-	c.observe(failure)
-	began := c.silentSince
+	var c reachability
+	assert.Equal(t, c.unansweredFor(), time.Duration(0), "none was asked")
+	c.record(nil)
+	assert.Equal(t, c.unansweredFor(), time.Duration(0))
+	c.record(failure)
+	began := c.failingSince
 	assert.Assert(t, !began.IsZero())
-	c.observe(failure)
-	assert.Equal(t, c.silentSince, began, "a further failure does not begin the silence anew")
-	c.observe(nil)
-	assert.Equal(t, c.silence(), time.Duration(0), "one answer ends the silence")
+	c.record(failure)
+	assert.Equal(t, c.failingSince, began, "a further failure does not begin the silence anew")
+	c.record(nil)
+	assert.Equal(t, c.unansweredFor(), time.Duration(0), "one answer ends the silence")
 }
 
-func TestCutOffNeedsBothSilent(t *testing.T) {
+func TestIsolatedAfter(t *testing.T) {
 	const window = 4 * time.Second
 	for _, c := range []struct {
 		withoutControlPlane, withoutTurnStores time.Duration
@@ -36,7 +36,7 @@
 		{window, time.Hour, false},
 		{window + 1, window + 1, true},
 	} {
-		got := cutOffAfter(window, c.withoutControlPlane, c.withoutTurnStores)
+		got := isolatedAfter(window, c.withoutControlPlane, c.withoutTurnStores)
 		assert.Equal(t, got, c.want, "control plane silent for %v, turn stores for %v", c.withoutControlPlane, c.withoutTurnStores)
 	}
 }
--- a/internal/tier/gateway/counters.go
+++ b/internal/tier/gateway/counters.go
@@ -28,15 +28,15 @@
 type requestOutcome uint8
 
 const (
-	outcomeServed   requestOutcome = iota // a success, whole
-	outcomeEndpoint                       // an endpoint's own answer that is no success
-	outcomeRefused                        // 503: it has not run
-	outcomeSpent                          // 402
-	outcomeUnknown                        // 404: no route, or no such turn
-	outcomeRejected                       // another 4xx of the gateway's own
-	outcomeUnclear                        // 502: it may have run
-	outcomeLate                           // 504
-	outcomeCut                            // the connection ended with the answer not whole, or without one
+	outcomeServed      requestOutcome = iota // a success, whole
+	outcomeEndpoint                          // an endpoint's own answer that is no success
+	outcomeUnavailable                       // 503: it has not run
+	outcomeBudgetSpent                       // 402
+	outcomeNotFound                          // 404: no route, or no such turn
+	outcomeBadRequest                        // another 4xx of the gateway's own
+	outcomeBadGateway                        // 502: it may have run
+	outcomeTimedOut                          // 504
+	outcomeIncomplete                        // the connection ended with the answer not whole, or without one
 	requestOutcomes
 )
 
@@ -44,56 +44,58 @@
 var outcomeNames = [requestOutcomes]string{"served", "endpoint_status", "refused", "budget_spent", "not_found", "rejected", "bad_gateway",
 	"gateway_timeout", "cut"}
 
-// runEnds is the number of ends that a send to an endpoint is counted by: those of upstream, and refusedEnd.
+// attemptEndCount is the number of ends that a send to an endpoint is counted by: those of upstream, and refusedEnd.
 const (
-	refusedEnd = int(upstream.Canceled) + 1 // the endpoint said that it has not run
-	runEnds    = refusedEnd + 1
+	notExecutedEnd  = int(upstream.Canceled) + 1 // the endpoint said that it has not run
+	attemptEndCount = notExecutedEnd + 1
 )
 
-// firstBounds are the upper bounds of the histogram of times to the first piece of a streamed answer.
-var firstBounds = []time.Duration{25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond,
+// timeToFirstBounds are the upper bounds of the histogram of times to the first piece of a streamed answer.
+var timeToFirstBounds = []time.Duration{25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond,
 	400 * time.Millisecond, 800 * time.Millisecond, 1600 * time.Millisecond, 3200 * time.Millisecond}
 
 // counters are totals since the process began. They are safe for concurrent use.
 type counters struct {
-	requests   [requestKinds][requestOutcomes]atomic.Uint64
-	runs       [runEnds]atomic.Uint64
-	resumed    atomic.Uint64 // runs that went on where another one had ended
-	first      []atomic.Uint64
-	firstTotal atomic.Int64 // ns
+	requests       [requestKinds][requestOutcomes]atomic.Uint64
+	attempts       [attemptEndCount]atomic.Uint64
+	resumed        atomic.Uint64 // runs that went on where another one had ended
+	timeToFirst    []atomic.Uint64
+	timeToFirstSum atomic.Int64 // ns
 }
 
-func newCounters() *counters { return &counters{first: make([]atomic.Uint64, len(firstBounds)+1)} }
+func newCounters() *counters {
+	return &counters{timeToFirst: make([]atomic.Uint64, len(timeToFirstBounds)+1)}
+}
 
 // countRequest counts a request that was answered, or not.
 func (counters *counters) countRequest(kind requestKind, outcome requestOutcome) {
 	counters.requests[kind][outcome].Add(1)
 }
 
-// countRun counts a send to an endpoint by how it ended.
-func (counters *counters) countRun(result *upstream.Result) {
+// countAttempt counts a send to an endpoint by how it ended.
+func (counters *counters) countAttempt(result *upstream.Result) {
 	end := int(result.Outcome)
 	if result.Stream != nil {
 		end = int(result.Stream.Outcome())
 	}
 	if result.Outcome == upstream.Complete && result.Response != nil && result.Response.NotExecuted {
-		end = refusedEnd
+		end = notExecutedEnd
 	}
-	counters.runs[end].Add(1)
+	counters.attempts[end].Add(1)
 }
 
-// countFirst counts the time from a send to the first piece.
-func (counters *counters) countFirst(took time.Duration) {
+// countTimeToFirst counts the time from a send to the first piece.
+func (counters *counters) countTimeToFirst(took time.Duration) {
 	at := 0
-	for at < len(firstBounds) && took > firstBounds[at] {
+	for at < len(timeToFirstBounds) && took > timeToFirstBounds[at] {
 		at++
 	}
-	counters.first[at].Add(1)
-	counters.firstTotal.Add(int64(took))
+	counters.timeToFirst[at].Add(1)
+	counters.timeToFirstSum.Add(int64(took))
 }
 
-// figures gives the totals as metrics write them.
-func (counters *counters) figures() metrics.GatewayTotals {
+// totals gives the totals as metrics write them.
+func (counters *counters) totals() metrics.GatewayTotals {
 	var totals metrics.GatewayTotals
 	for kind := range requestKinds {
 		for outcome := range requestOutcomes {
@@ -102,19 +104,19 @@
 			}
 		}
 	}
-	for end := range runEnds {
+	for end := range attemptEndCount {
 		name := "refused"
-		if end != refusedEnd {
+		if end != notExecutedEnd {
 			name = upstream.Outcome(end).String()
 		}
-		if count := counters.runs[end].Load(); count > 0 {
+		if count := counters.attempts[end].Load(); count > 0 {
 			totals.Runs = append(totals.Runs, metrics.RunTotal{End: name, Count: count})
 		}
 	}
 	totals.Resumed = counters.resumed.Load()
-	totals.First = metrics.Histogram{Bounds: firstBounds, Sum: time.Duration(counters.firstTotal.Load())}
-	for i := range counters.first {
-		totals.First.Counts = append(totals.First.Counts, counters.first[i].Load())
+	totals.First = metrics.Histogram{Bounds: timeToFirstBounds, Sum: time.Duration(counters.timeToFirstSum.Load())}
+	for i := range counters.timeToFirst {
+		totals.First.Counts = append(totals.First.Counts, counters.timeToFirst[i].Load())
 	}
 	return totals
 }
@@ -122,7 +124,7 @@
 // kind is what the request is counted as.
 func (request *clientRequest) kind() requestKind {
 	switch {
-	case request.route.Persisted || request.route.Kind == routing.Streaming && request.accounted():
+	case request.route.Persisted || request.route.Kind == routing.Streaming && request.needsTurnStore():
 		return kindTurn
 	case request.route.Kind == routing.Streaming:
 		return kindStream
@@ -136,21 +138,21 @@
 func outcomeOf(status int, stamped, whole bool) requestOutcome {
 	switch {
 	case status == 0 || !whole:
-		return outcomeCut
+		return outcomeIncomplete
 	case status/100 == 2:
 		return outcomeServed
 	case stamped:
 		return outcomeEndpoint
 	case status == 503:
-		return outcomeRefused
+		return outcomeUnavailable
 	case status == 402:
-		return outcomeSpent
+		return outcomeBudgetSpent
 	case status == 404:
-		return outcomeUnknown
+		return outcomeNotFound
 	case status == 502:
-		return outcomeUnclear
+		return outcomeBadGateway
 	case status == 504:
-		return outcomeLate
+		return outcomeTimedOut
 	}
-	return outcomeRejected
+	return outcomeBadRequest
 }
--- a/internal/tier/gateway/ejections.go
+++ b/internal/tier/gateway/ejections.go
@@ -8,17 +8,17 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// maxUnreported is how many changes of endpoints' health wait to be reported, at most; further ones are not.
-const maxUnreported = 64
+// maxQueuedHealthReports is how many changes of endpoints' health wait to be reported, at most; further ones are not.
+const maxQueuedHealthReports = 64
 
-// noteHealth has reported what the load balancer has found of endpoints by itself. It does not block. The caller holds mu.
-func (gateway *Gateway) noteHealth() {
+// queueHealthReports has reported what the load balancer has found of endpoints by itself. It does not block. The caller holds mu.
+func (gateway *Gateway) queueHealthReports() {
 	reports := gateway.loadbalancer.TakeReports()
 	if len(reports.Ejected)+len(reports.Restored) == 0 {
 		return
 	}
 	select {
-	case gateway.health <- reports:
+	case gateway.healthReports <- reports:
 	default:
 	}
 }
@@ -28,12 +28,12 @@
 	for {
 		var all loadbalancer.Reports
 		select {
-		case all = <-gateway.health:
+		case all = <-gateway.healthReports:
 		case <-ctx.Done():
 			return
 		}
-		for range len(gateway.health) {
-			more := <-gateway.health
+		for range len(gateway.healthReports) {
+			more := <-gateway.healthReports
 			all.Ejected = append(all.Ejected, more.Ejected...)
 			all.Restored = append(all.Restored, more.Restored...)
 		}
@@ -41,15 +41,15 @@
 	}
 }
 
-// takeEjections takes what other gateways have found. Until the next news an endpoint that others probe gets nothing from here, for a
+// applyEjections takes what other gateways have found. Until the next news an endpoint that others probe gets nothing from here, for a
 // contact window at most.
-func (gateway *Gateway) takeEjections(ejections *tierv1.Ejections) {
+func (gateway *Gateway) applyEjections(ejections *tierv1.Ejections) {
 	settings := &gateway.config.Settings
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
-	newest := gateway.ejectionsTaken
+	newest := gateway.ejectionsVersion
 	for _, ejection := range ejections.List {
-		if ejection.Version <= gateway.ejectionsTaken {
+		if ejection.Version <= gateway.ejectionsVersion {
 			continue
 		}
 		newest = max(newest, ejection.Version)
@@ -60,6 +60,6 @@
 		probes := slices.Contains(ejection.HealthCheckers, settings.Node)
 		gateway.loadbalancer.EjectReported(gateway.now(), ejection.Instance, probes, settings.ContactWindow)
 	}
-	gateway.ejectionsTaken = newest
-	gateway.wake()
+	gateway.ejectionsVersion = newest
+	gateway.notifyWaiters()
 }
--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -30,61 +30,61 @@
 
 // Gateway carries requests between clients and endpoints. Its methods may be called from any goroutine.
 type Gateway struct {
-	config  Config
-	log     *log.Logger
-	started time.Time
-	session *session.Client
-	stores  *storeClient
-	pool    *upstream.Pool
-	texts   *textCache
-	homes   *homes
-
-	routing atomic.Pointer[routing.Table]
-	listed  atomic.Bool // a list of endpoints has come
-
-	mu           sync.Mutex // guards what follows
-	loadbalancer *loadbalancer.Balancer
-	endpoints    *tierv1.Endpoints
-	serving      map[string]bool // instances on the newest list that are not draining
-	freed        chan struct{}   // closed when a place may have come free, if somebody waits
-	waiting      int
-	releasing    map[string]map[chan struct{}]bool // by program: closed when a reservation that is being released here is settled
-
-	ejectionsTaken uint64 // version of the newest ejection that others reported and that was taken
-
-	counters  *counters
-	calls     atomic.Int64 // requests of clients under way
-	lastReady atomic.Bool  // the readiness last answered
-	leaving   atomic.Bool
-	settling  sync.WaitGroup // settlements that go on behind their requests
-
-	life         context.Context // ends with Run
-	end          context.CancelFunc
-	lateReleases chan struct{}             // semaphore of releases that go on beyond their usual time
-	health       chan loadbalancer.Reports // to be reported
+	config      Config
+	log         *log.Logger
+	started     time.Time
+	session     *session.Client
+	storeClient *storeClient
+	pool        *upstream.Pool
+	transcripts *transcriptCache
+	affinity    *affinityTable
+
+	routing      atomic.Pointer[routing.Table]
+	hasEndpoints atomic.Bool // a list of endpoints has come
+
+	mu              sync.Mutex // guards what follows
+	loadbalancer    *loadbalancer.Balancer
+	endpoints       *tierv1.Endpoints
+	routable        map[string]bool // instances on the newest list that are not draining
+	capacityFreed   chan struct{}   // closed when a place may have come free, if somebody waits
+	waiters         int
+	pendingReleases map[string]map[chan struct{}]bool // by program: closed when a reservation that is being released here is settled
+
+	ejectionsVersion uint64 // version of the newest ejection that others reported and that was taken
+
+	counters       *counters
+	activeRequests atomic.Int64 // requests of clients under way
+	lastReady      atomic.Bool  // the readiness last answered
+	draining       atomic.Bool
+	settlements    sync.WaitGroup // settlements that go on behind their requests
+
+	runContext       context.Context // ends with Run
+	cancelRun        context.CancelFunc
+	lateReleaseSlots chan struct{}             // semaphore of releases that go on beyond their usual time
+	healthReports    chan loadbalancer.Reports // to be reported
 }
 
 // New makes a gateway that Run starts.
 func New(c Config) *Gateway {
 	gateway := &Gateway{config: c, log: c.Log, started: time.Now(), loadbalancer: loadbalancer.New(c.Settings.Zone, c.Settings.Node),
-		freed: make(chan struct{}), releasing: map[string]map[chan struct{}]bool{}, lateReleases: make(chan struct{}, maxLateReleases),
-		health:   make(chan loadbalancer.Reports, maxUnreported),
-		counters: newCounters()}
-	gateway.life, gateway.end = context.WithCancel(context.Background())
-	gateway.stores = newStoreClient(c.Settings, c.TurnStore, c.Log)
+		capacityFreed: make(chan struct{}), pendingReleases: map[string]map[chan struct{}]bool{}, lateReleaseSlots: make(chan struct{}, maxLateReleases),
+		healthReports: make(chan loadbalancer.Reports, maxQueuedHealthReports),
+		counters:      newCounters()}
+	gateway.runContext, gateway.cancelRun = context.WithCancel(context.Background())
+	gateway.storeClient = newStoreClient(c.Settings, c.TurnStore, c.Log)
 	gateway.pool = newPool(c.Settings)
-	gateway.texts = newTextCache(c.Settings.MemoryMB << 20 / 16)
-	gateway.homes = newHomes()
+	gateway.transcripts = newTranscriptCache(c.Settings.MemoryMB << 20 / 16)
+	gateway.affinity = newAffinityTable()
 	gateway.session = session.New(session.Config{Settings: c.Settings, Role: "gateway", Dial: c.ControlPlane, Log: c.Log,
-		Configuration: gateway.takeConfiguration, Endpoints: gateway.takeEndpoints, PartitionMap: gateway.stores.apply, Ejections: gateway.takeEjections})
+		Configuration: gateway.applyConfiguration, Endpoints: gateway.applyEndpoints, PartitionMap: gateway.storeClient.apply, Ejections: gateway.applyEjections})
 	return gateway
 }
 
 // now is a steady time since the gateway was made.
 func (gateway *Gateway) now() time.Duration { return time.Since(gateway.started) }
 
-// takeConfiguration puts a newer configuration in force.
-func (gateway *Gateway) takeConfiguration(configuration *tierv1.Configuration) {
+// applyConfiguration puts a newer configuration in force.
+func (gateway *Gateway) applyConfiguration(configuration *tierv1.Configuration) {
 	table, err := routing.Parse(configuration.Body)
 	if err != nil { // the control plane has checked it
 		gateway.log.Error().Str("event", "catalog_unreadable").Err(err).Msg("")
@@ -92,20 +92,20 @@
 	}
 	gateway.routing.Store(table)
 	gateway.log.Info().Str("event", "configuration").Int64("revision", table.Revision).Uint64("version", configuration.Version).Msg("")
-	gateway.relist()
+	gateway.updateBalancer()
 }
 
-// takeEndpoints puts a newer list of endpoints in force.
-func (gateway *Gateway) takeEndpoints(endpoints *tierv1.Endpoints) {
+// applyEndpoints puts a newer list of endpoints in force.
+func (gateway *Gateway) applyEndpoints(endpoints *tierv1.Endpoints) {
 	gateway.mu.Lock()
 	gateway.endpoints = endpoints
 	gateway.mu.Unlock()
-	gateway.relist()
-	gateway.listed.Store(true)
+	gateway.updateBalancer()
+	gateway.hasEndpoints.Store(true)
 }
 
-// relist tells the load balancer the endpoints, with what the configuration says of their services.
-func (gateway *Gateway) relist() {
+// updateBalancer tells the load balancer the endpoints, with what the configuration says of their services.
+func (gateway *Gateway) updateBalancer() {
 	table := gateway.routing.Load()
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
@@ -113,17 +113,17 @@
 		return
 	}
 	list := make([]loadbalancer.Endpoint, 0, len(gateway.endpoints.List))
-	gateway.serving = make(map[string]bool, len(gateway.endpoints.List))
+	gateway.routable = make(map[string]bool, len(gateway.endpoints.List))
 	for _, e := range gateway.endpoints.List {
 		list = append(list, loadbalancer.Endpoint{Instance: e.Instance, Service: e.Service, Address: e.Address, Zone: e.Zone,
 			Capacity: int(e.Capacity), Draining: e.Draining, SlowStartRemaining: time.Duration(e.SlowStartRemainingMs) * time.Millisecond,
 			CacheTokens: cacheTokens(table, e.Service)})
 		if !e.Draining {
-			gateway.serving[e.Instance] = true
+			gateway.routable[e.Instance] = true
 		}
 	}
 	gateway.loadbalancer.SetEndpoints(gateway.now(), list)
-	gateway.wake()
+	gateway.notifyWaiters()
 }
 
 // cacheTokens is the memory of the engines of a service, in tokens; 0 where they are none or the configuration has not come.
@@ -138,18 +138,18 @@
 	return service.Engine.CacheTokens
 }
 
-// wake has all that wait for a place look again. The caller holds mu.
-func (gateway *Gateway) wake() {
-	if gateway.waiting > 0 {
-		close(gateway.freed)
-		gateway.freed = make(chan struct{})
-		gateway.waiting = 0
+// notifyWaiters has all that wait for a place look again. The caller holds mu.
+func (gateway *Gateway) notifyWaiters() {
+	if gateway.waiters > 0 {
+		close(gateway.capacityFreed)
+		gateway.capacityFreed = make(chan struct{})
+		gateway.waiters = 0
 	}
 }
 
 // ready: all views have come in this life, and it is neither leaving nor cut off.
 func (gateway *Gateway) ready() bool {
-	return !gateway.leaving.Load() && !gateway.cutOff() && gateway.routing.Load() != nil && gateway.listed.Load() && gateway.stores.ready()
+	return !gateway.draining.Load() && !gateway.isolated() && gateway.routing.Load() != nil && gateway.hasEndpoints.Load() && gateway.storeClient.ready()
 }
 
 // limits bound what clients send, by the configuration in force; until one has come, by defaults.
@@ -165,7 +165,7 @@
 // Run serves until ctx ends, then leaves: it is not ready any more, goes on for as long as the platform may still send
 // clients, and ends what it has read.
 func (gateway *Gateway) Run(ctx context.Context) error {
-	defer gateway.end()
+	defer gateway.cancelRun()
 	settings := gateway.config.Settings
 	sessions, stopSessions := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopSessions()
@@ -190,16 +190,16 @@
 		return err
 	case <-ctx.Done():
 	}
-	return gateway.leave(sessions, server)
+	return gateway.shutdown(sessions, server)
 }
 
 // anyError has the gateway retry to listen whatever the error is.
 func anyError(error) bool { return true }
 
-// leave ends the gateway in order. ctx is that of its sessions: they stand until the last answer has been given.
-func (gateway *Gateway) leave(ctx context.Context, server *ingress.Server) error {
+// shutdown ends the gateway in order. ctx is that of its sessions: they stand until the last answer has been given.
+func (gateway *Gateway) shutdown(ctx context.Context, server *ingress.Server) error {
 	settings := gateway.config.Settings
-	gateway.leaving.Store(true)
+	gateway.draining.Store(true)
 	gateway.session.Leave()
 	gateway.log.Info().Str("event", "leaving").Str("node", settings.Node).Msg("")
 	server.Drain()
@@ -210,7 +210,7 @@
 	defer cancel()
 	err := server.Shutdown(last)
 	settled := make(chan struct{})
-	go func() { gateway.settling.Wait(); close(settled) }()
+	go func() { gateway.settlements.Wait(); close(settled) }()
 	select {
 	case <-settled:
 	case <-last.Done():
--- a/internal/tier/gateway/gone_test.go
+++ b/internal/tier/gateway/gone_test.go
@@ -16,9 +16,9 @@
 // goneWithin is how soon after its client an endpoint's work has to end.
 const goneWithin = 500 * time.Millisecond
 
-// soon has a measurement made until one is within the bound: a busy machine may hold up any one of them, but none is shorter
+// retryTimingTest has a measurement made until one is within the bound: a busy machine may hold up any one of them, but none is shorter
 // than what the gateway itself waits for.
-func soon(t *testing.T, measure func(try int) time.Duration) {
+func retryTimingTest(t *testing.T, measure func(try int) time.Duration) {
 	t.Helper()
 	var took []time.Duration
 	for try := range 10 {
@@ -32,9 +32,9 @@
 
 // TestAWaitingTurnEndsWithItsClient: a client that leaves while its turn waits for the turn store has it end there. Nothing of
 // it reaches an endpoint, and what may have been reserved is released.
-func TestAWaitingTurnEndsWithItsClient(t *testing.T) {
+func TestTurn_WaitEndsWithClient(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	asked, ended, settled := make(chan struct{}, 100), make(chan time.Time, 100), make(chan *tierv1.SettleRequest, 100)
 	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		switch q := m.Request.(type) {
@@ -51,10 +51,10 @@
 		}
 		return m.Serve()
 	})
-	soon(t, func(try int) time.Duration {
+	retryTimingTest(t, func(try int) time.Duration {
 		id := fmt.Sprintf("t-%d", try)
 		c := tiertest.Connect(t, r.ingress)
-		c.Send(turn(id, "", "p", "", "in"))
+		c.Send(turnRequest(id, "", "p", "", "in"))
 		tiertest.Closed(t, "the turn store is asked", asked)
 		left := time.Now()
 		c.Conn.Close()
@@ -68,7 +68,7 @@
 
 // TestWorkEndsWithItsClient: the endpoint's connection ends soon after the client's, before and after its first piece,
 // whether the client closes or resets.
-func TestWorkEndsWithItsClient(t *testing.T) {
+func TestRequest_EndsWithClient(t *testing.T) {
 	for _, target := range []string{"/plain/x", "/once/x", "/stream/x", "/turn/x"} {
 		for _, begun := range []bool{false, true} {
 			for _, reset := range []bool{false, true} {
@@ -83,8 +83,8 @@
 						a.Gone()
 						gone <- time.Now()
 					})
-					r := start(t, e)
-					soon(t, func(try int) time.Duration {
+					r := startGateway(t, e)
+					retryTimingTest(t, func(try int) time.Duration {
 						c := tiertest.Connect(t, r.ingress)
 						c.Send(tiertest.Post(target, fmt.Sprintf("a-%d", try), "", "b"))
 						tiertest.Closed(t, "the request arrives", at)
@@ -104,14 +104,14 @@
 }
 
 // TestDeadlinesFall: what an endpoint is told is never more than what is left, and less at a later send.
-func TestDeadlinesFall(t *testing.T) {
-	a, b := two(t, func(x *tiertest.Arrival) { x.Reset() })
-	r := start(t, a, b)
+func TestAttempts_DeadlineShrinks(t *testing.T) {
+	a, b := twoEndpoints(t, func(x *tiertest.Arrival) { x.Reset() })
+	r := startGateway(t, a, b)
 	const own = 3000
 	for i := range 20 {
 		began := time.Now()
 		got := r.post("/plain/x", fmt.Sprintf("a-%d", i), fmt.Sprintf("X-Deadline-Ms: %d\r\n", own), "b")
-		whole(t, got, 200, "second")
+		assertAnswer(t, got, 200, "second")
 		took := time.Since(began)
 		for _, x := range append(a.Arrivals(), b.Arrivals()...) {
 			if x.ID == fmt.Sprintf("a-%d", i) {
@@ -126,9 +126,9 @@
 
 // TestASpentBudgetIsNoWordWhileAReservationIsReleased: while a reservation of the program is being released here and its turn
 // store is away, the budget may have room: a 402 would end the program, a 503 has it try again.
-func TestASpentBudgetIsNoWordWhileAReservationIsReleased(t *testing.T) {
+func TestRelease_SpentBudgetIsNotFinalWhileReleasing(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", resetOf("t-1"))
-	r := start(t, e)
+	r := startGateway(t, e)
 	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		if q, ok := m.Request.(*tierv1.SettleRequest); ok && q.Attempt == "t-1" {
 			<-m.Ctx.Done() // it never gets there
@@ -137,21 +137,21 @@
 		return m.Serve()
 	})
 	ask := func(id string) tiertest.Reply {
-		return r.do(turn(id, "", "p", "X-Deadline-Ms: 900\r\nBudget: 20\r\nX-Token-Usage: 9,20\r\n", "in"))
+		return r.do(turnRequest(id, "", "p", "X-Deadline-Ms: 900\r\nBudget: 20\r\nX-Token-Usage: 9,20\r\n", "in"))
 	}
 	assert.Equal(t, ask("t-1").Status, 502)
-	promise(t, ask("t-2"))
+	assertNotExecuted(t, ask("t-2"))
 	assert.Equal(t, len(e.Arrivals()), 1)
 }
 
 // TestAnAttemptRunsOnce: the id of a turn that has been settled, kept or not, is never run once more, whatever comes with it.
-func TestAnAttemptRunsOnce(t *testing.T) {
+func TestTurn_AttemptRunsOnce(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", resetOf("t-1"))
-	r := start(t, e)
-	assert.Equal(t, r.do(turn("t-1", "", "p", "", "in")).Status, 502)
-	assert.Equal(t, r.do(turn("t-2", "", "p", "", "in")).Status, 200)
+	r := startGateway(t, e)
+	assert.Equal(t, r.do(turnRequest("t-1", "", "p", "", "in")).Status, 502)
+	assert.Equal(t, r.do(turnRequest("t-2", "", "p", "", "in")).Status, 200)
 	for _, id := range []string{"t-1", "t-2"} {
-		promise(t, r.do(turn(id, "", "p", "X-Deadline-Ms: 500\r\n", "in")))
+		assertNotExecuted(t, r.do(turnRequest(id, "", "p", "X-Deadline-Ms: 500\r\n", "in")))
 	}
 	assert.Equal(t, len(e.Arrivals()), 2)
 }
@@ -159,7 +159,7 @@
 // TestATurnTriedAgainThroughAnotherGateway: while a turn may still run, its budget holds against the next try at another
 // gateway; once its client has left, that gateway's release makes room for it, less what was handed out, and its own id never
 // runs once more anywhere.
-func TestATurnTriedAgainThroughAnotherGateway(t *testing.T) {
+func TestTurn_RetriedThroughAnotherGateway(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
 		if a.ID == "t-1" {
 			say(a, 1)
@@ -168,10 +168,10 @@
 		}
 		talk(a)
 	})
-	first, second := startTwo(t, e)
+	first, second := startTwoGateways(t, e)
 	ends := settled(first.turnStores.List[0])
 	text := func(id string, most int) string {
-		return turn(id, "", "p", fmt.Sprintf("Budget: 20\r\nX-Token-Usage: 9,%d\r\n", most), "in")
+		return turnRequest(id, "", "p", fmt.Sprintf("Budget: 20\r\nX-Token-Usage: 9,%d\r\n", most), "in")
 	}
 	c := tiertest.Connect(t, first.ingress)
 	c.Send(text("t-1", 20))
@@ -181,16 +181,16 @@
 	got := tiertest.Closed(t, "the reservation ends", ends)
 	assert.Assert(t, got.Attempt == "t-1" && got.Tokens == 1 && !got.Kept)
 	assert.Equal(t, second.do(text("t-3", 20)).Status, 402)
-	whole(t, second.do(text("t-4", 19)), 200, events(said("t-4")...))
-	for _, r := range []*rig{first, second} {
-		promise(t, r.do(turn("t-1", "", "p", "X-Deadline-Ms: 500\r\n", "in")))
+	assertAnswer(t, second.do(text("t-4", 19)), 200, events(said("t-4")...))
+	for _, r := range []*harness{first, second} {
+		assertNotExecuted(t, r.do(turnRequest("t-1", "", "p", "X-Deadline-Ms: 500\r\n", "in")))
 	}
 	assert.Equal(t, len(e.Arrivals()), 2)
 }
 
 // TestASpentBudgetIsNoWordWhileAnotherGatewayReleases: a turn was refused at the first gateway while its turn store was away.
 // Until its release has come to the next primary the second gateway says 503; then there is room.
-func TestASpentBudgetIsNoWordWhileAnotherGatewayReleases(t *testing.T) {
+func TestRelease_SpentBudgetIsNotFinalWhileAnotherGatewayReleases(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
 		if a.ID == "t-1" {
 			a.Bare(503, "X-Not-Executed: full\r\n")
@@ -198,7 +198,7 @@
 		}
 		talk(a)
 	})
-	first, second := startTwo(t, e)
+	first, second := startTwoGateways(t, e)
 	first.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		if _, ok := m.Request.(*tierv1.SettleRequest); ok { // it is away from then on
 			<-m.Ctx.Done()
@@ -207,18 +207,18 @@
 		return m.Serve()
 	})
 	text := func(id string, most int) string {
-		return turn(id, "", "p", fmt.Sprintf("X-Deadline-Ms: 2000\r\nBudget: 20\r\nX-Token-Usage: 9,%d\r\n", most), "in")
+		return turnRequest(id, "", "p", fmt.Sprintf("X-Deadline-Ms: 2000\r\nBudget: 20\r\nX-Token-Usage: 9,%d\r\n", most), "in")
 	}
-	promise(t, first.do(text("t-1", 20)))
+	assertNotExecuted(t, first.do(text("t-1", 20)))
 	where := first.turnStores.Assign([2]int{1, 2})
 	second.consensus.SetPartitionMap(where)
-	promise(t, second.do(text("t-2", 20)))
+	assertNotExecuted(t, second.do(text("t-2", 20)))
 	assert.Equal(t, second.do(text("t-3", 21)).Status, 402) // there will be no room for it
 	ends := settled(first.turnStores.List[1])
 	first.consensus.SetPartitionMap(where)
 	for tiertest.Closed(t, "the reservation ends", ends).Attempt != "t-1" {
 	}
-	whole(t, second.do(text("t-4", 20)), 200, events(said("t-4")...))
+	assertAnswer(t, second.do(text("t-4", 20)), 200, events(said("t-4")...))
 	for _, a := range e.Arrivals() {
 		assert.Assert(t, a.ID == "t-1" || a.ID == "t-4", "%s has run", a.ID)
 	}
--- a/internal/tier/gateway/late_test.go
+++ b/internal/tier/gateway/late_test.go
@@ -13,9 +13,9 @@
 )
 
 // A turn that could not be kept in time charges what its client was handed, not its most.
-func TestATurnThatCannotBeKeptChargesWhatWasHanded(t *testing.T) {
+func TestTurn_NotStoredIsChargedForEventsWritten(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	released := make(chan *tierv1.SettleRequest, 1)
 	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		q, ok := m.Request.(*tierv1.SettleRequest)
@@ -32,20 +32,20 @@
 		return err
 	})
 	const budget = "Budget: 10\r\nX-Token-Usage: 5,%d\r\n"
-	got := r.do(turn("t-1", "", "p", "X-Deadline-Ms: 700\r\n"+fmt.Sprintf(budget, 9), "in"))
+	got := r.do(turnRequest("t-1", "", "p", "X-Deadline-Ms: 700\r\n"+fmt.Sprintf(budget, 9), "in"))
 	assert.Assert(t, got.Err != nil, "looks complete: %+v", got)
 	settlement := tiertest.Closed(t, "the reservation is released", released)
 	assert.Equal(t, settlement.Tokens, uint64(2))
-	assert.Equal(t, r.do(turn("t-2", "", "p", fmt.Sprintf(budget, 9), "in")).Status, 402)
-	assert.Equal(t, r.do(turn("t-3", "", "p", fmt.Sprintf(budget, 8), "in")).Status, 200)
+	assert.Equal(t, r.do(turnRequest("t-2", "", "p", fmt.Sprintf(budget, 9), "in")).Status, 402)
+	assert.Equal(t, r.do(turnRequest("t-3", "", "p", fmt.Sprintf(budget, 8), "in")).Status, 200)
 }
 
 // A stream that lasts longer than its time has its end soon after, though no turn store takes its release.
-func TestAnOverdueTurnEndsThoughItsReleaseIsHeldUp(t *testing.T) {
+func TestTurn_OverdueEndsThoughReleaseIsDelayed(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { say(a, 1); a.Gone() })
-	r := bare(t, func(s *settings.Settings) { s.ContactWindow = time.Minute })
+	r := startUnconfigured(t, func(s *settings.Settings) { s.ContactWindow = time.Minute })
 	r.consensus.SetConfiguration(configurationOf(1, ""))
-	r.list(e)
+	r.listEndpoints(e)
 	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
 	r.consensus.Taken(t)
 	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
@@ -56,9 +56,9 @@
 		return m.Serve()
 	})
 	const deadline = 300 * time.Millisecond
-	soon(t, func(try int) time.Duration {
+	retryTimingTest(t, func(try int) time.Duration {
 		began := time.Now()
-		got := r.do(turn(fmt.Sprintf("t-%d", try), "", "p", fmt.Sprintf("X-Deadline-Ms: %d\r\n", deadline.Milliseconds()), "in"))
+		got := r.do(turnRequest(fmt.Sprintf("t-%d", try), "", "p", fmt.Sprintf("X-Deadline-Ms: %d\r\n", deadline.Milliseconds()), "in"))
 		assert.Assert(t, got.Err != nil, "looks complete: %+v", got)
 		return time.Since(began) - deadline
 	})
--- a/internal/tier/gateway/lease_test.go
+++ b/internal/tier/gateway/lease_test.go
@@ -18,7 +18,7 @@
 
 // A gateway whose session does not get on writes to no endpoint beyond the lease of its list, whenever that endpoint was picked:
 // it may be draining by now. Once the session has heard from the primary, the endpoints that are left are written to again.
-func TestNothingIsWrittenByAListBeyondItsLease(t *testing.T) {
+func TestAttempts_NotSentByExpiredEndpointList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pause = 10 * time.Second
 		control := tiertest.NewControlPlane()
@@ -35,8 +35,8 @@
 		synctest.Wait()
 
 		request := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, service: "s", ctx: ctx,
-			route: &routing.Route{Name: "r", Aim: 400 * time.Millisecond, MaxAttempts: 2}, until: time.Now().Add(time.Hour)}
-		picked := request.choose()
+			route: &routing.Route{Name: "r", Aim: 400 * time.Millisecond, MaxAttempts: 2}, deadline: time.Now().Add(time.Hour)}
+		picked := request.selectEndpoint()
 		assert.Equal(t, picked.Decision, loadbalancer.Send)
 		first := request.upstreamRequest(loadbalancer.Selection{Instance: "i-1"}).Permit
 		second := request.upstreamRequest(loadbalancer.Selection{Instance: "i-2"}).Permit
@@ -54,11 +54,11 @@
 		<-time.After(pause / 2)
 		assert.Assert(t, !first(), "written by a list that is not current")
 		assert.Assert(t, !second(), "written by a list that is not current")
-		assert.Assert(t, request.choose().Decision != loadbalancer.Send)
+		assert.Assert(t, request.selectEndpoint().Decision != loadbalancer.Send)
 
 		<-time.After(pause)
 		assert.Assert(t, !first() && second())
-		assert.Equal(t, request.choose().Instance, "i-2")
+		assert.Equal(t, request.selectEndpoint().Instance, "i-2")
 		cancel()
 		synctest.Wait()
 	})
--- a/internal/tier/gateway/metrics.go
+++ b/internal/tier/gateway/metrics.go
@@ -19,8 +19,8 @@
 
 // Metrics gives the figures of this moment.
 func (gateway *Gateway) Metrics() metrics.Gateway {
-	figures := metrics.Gateway{Ready: gateway.ready(), Calls: gateway.calls.Load(), Session: gateway.session.Remaining(),
-		Totals: gateway.counters.figures()}
+	figures := metrics.Gateway{Ready: gateway.ready(), Calls: gateway.activeRequests.Load(), Session: gateway.session.Remaining(),
+		Totals: gateway.counters.totals()}
 	if table := gateway.routing.Load(); table != nil {
 		figures.Revision = table.Revision
 	}
--- a/internal/tier/gateway/metrics_test.go
+++ b/internal/tier/gateway/metrics_test.go
@@ -11,7 +11,7 @@
 )
 
 // scrape asks the readiness address for metrics.
-func (r *rig) scrape() string {
+func (r *harness) scrape() string {
 	r.t.Helper()
 	got := tiertest.Do(r.t, r.probe, "GET /metrics HTTP/1.1\r\nHost: probe\r\n\r\n")
 	assert.NilError(r.t, got.Err)
@@ -20,7 +20,7 @@
 	return got.Body
 }
 
-func holds(t *testing.T, text string, lines ...string) {
+func assertContains(t *testing.T, text string, lines ...string) {
 	t.Helper()
 	for _, line := range lines {
 		assert.Assert(t, strings.Contains(text, line+"\n"), "%q is not in %s", line, text)
@@ -28,35 +28,35 @@
 }
 
 // The readiness address serves metrics, and nothing else there changes.
-func TestMetricsAtTheReadinessAddress(t *testing.T) {
+func TestMetrics_AtReadinessAddress(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
 		close(begun)
 		<-further
 		a.Answer(200, "", "done")
 	})
-	r := bare(t)
-	holds(t, r.scrape(), "saffronyard_gateway_ready 0", "saffronyard_configuration_revision 0", "saffronyard_gateway_calls 0")
-	assert.Equal(t, r.ready(), 503)
+	r := startUnconfigured(t)
+	assertContains(t, r.scrape(), "saffronyard_gateway_ready 0", "saffronyard_configuration_revision 0", "saffronyard_gateway_calls 0")
+	assert.Equal(t, r.readiness(), 503)
 	r.configure(r.turnStores.Assign([2]int{0, 1}), e)
 	answer := make(chan tiertest.Reply, 1)
 	go func() { answer <- r.post("/plain/x", "a-1", "", "b") }()
 	<-begun
 	text := r.scrape()
-	holds(t, text, "saffronyard_gateway_ready 1", "saffronyard_configuration_revision 1", "saffronyard_gateway_calls 1")
+	assertContains(t, text, "saffronyard_gateway_ready 1", "saffronyard_configuration_revision 1", "saffronyard_gateway_calls 1")
 	assert.Assert(t, !strings.Contains(text, "saffronyard_session_remaining_seconds 0\n"), text)
-	assert.Equal(t, r.ready(), 200)
+	assert.Equal(t, r.readiness(), 200)
 	post := tiertest.Do(t, r.probe, "POST /metrics HTTP/1.1\r\nHost: probe\r\nContent-Length: 0\r\n\r\n")
 	assert.NilError(t, post.Err)
 	assert.Equal(t, post.Body, "") // as any other question about readiness
 	close(further)
-	whole(t, <-answer, 200, "done")
+	assertAnswer(t, <-answer, 200, "done")
 }
 
 // The frontend has no metrics: any path there may be a route's.
-func TestNoMetricsAtTheFrontend(t *testing.T) {
+func TestMetrics_NotAtFrontend(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", echo("i-1"))
-	r := start(t, e)
+	r := startGateway(t, e)
 	got := r.do("GET /metrics HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a-1\r\n\r\n")
 	assert.NilError(t, got.Err)
 	assert.Equal(t, got.Status, 404)
@@ -64,17 +64,17 @@
 }
 
 // Requests are counted by kind and by how their answers ended, sends by how they ended.
-func TestTotals(t *testing.T) {
-	a, b := firstRun(t, func(x *tiertest.Arrival) { begins(x, 2); x.Reset() })
-	r := start(t, a, b)
-	whole(t, r.post("/resumable/x", "a-1", "", "b"), 200, five())
-	assert.Equal(t, r.do(budgeted("/resumable/x", "a-2", 1, 2)).Status, 402)
+func TestCounters_Totals(t *testing.T) {
+	a, b := breakFirstAttempt(t, func(x *tiertest.Arrival) { sendEvents(x, 2); x.Reset() })
+	r := startGateway(t, a, b)
+	assertAnswer(t, r.post("/resumable/x", "a-1", "", "b"), 200, fiveEvents())
+	assert.Equal(t, r.do(turnWithBudget("/resumable/x", "a-2", 1, 2)).Status, 402)
 	assert.Equal(t, r.post("/none/x", "a-3", "", "b").Status, 404)
 	assert.Equal(t, r.post("/plain/x", "a-4", "X-Deadline-Ms: soon\r\n", "b").Status, 400)
 	a.SetScript(func(x *tiertest.Arrival) { x.Bare(503, "X-Not-Executed: full\r\n") })
 	b.SetScript(func(x *tiertest.Arrival) { x.Bare(503, "X-Not-Executed: full\r\n") })
-	promise(t, r.post("/once/x", "a-5", "", "b"))
-	holds(t, r.scrape(),
+	assertNotExecuted(t, r.post("/once/x", "a-5", "", "b"))
+	assertContains(t, r.scrape(),
 		`saffronyard_gateway_requests_total{kind="stream",outcome="served"} 1`,
 		`saffronyard_gateway_requests_total{kind="turn",outcome="budget_spent"} 1`,
 		`saffronyard_gateway_requests_total{kind="none",outcome="not_found"} 1`,
--- a/internal/tier/gateway/mutation_test.go
+++ b/internal/tier/gateway/mutation_test.go
@@ -47,9 +47,9 @@
 		}},
 }
 
-// TestOneMessageAtATime spoils one message of a program of four turns, whose client tries again, and checks that no turn
+// TestTurn_FaultAtEachMessage spoils one message of a program of four turns, whose client tries again, and checks that no turn
 // that was acknowledged whole is lost, that none runs twice, that each success has its stamp, and that a budget holds.
-func TestOneMessageAtATime(t *testing.T) {
+func TestTurn_FaultAtEachMessage(t *testing.T) {
 	for _, where := range []string{"Begin", "Settle", "Replicate", "answer"} {
 		for _, f := range faults {
 			for at := range 4 {
@@ -62,8 +62,8 @@
 	}
 }
 
-// spoiler has a fault happen to one message: the one at a place among those of a method.
-type spoiler struct {
+// faultInjector has a fault happen to one message: the one at a place among those of a method.
+type faultInjector struct {
 	method string
 	at     int
 	fault  fault
@@ -74,7 +74,7 @@
 }
 
 // via carries a message to a turn store.
-func (s *spoiler) via(m tiertest.Message) error {
+func (s *faultInjector) via(m tiertest.Message) error {
 	s.mu.Lock()
 	hit := m.Method == s.method && s.seen == s.at
 	if m.Method == s.method {
@@ -92,7 +92,7 @@
 }
 
 // release has what was held back come now.
-func (s *spoiler) release() {
+func (s *faultInjector) release() {
 	s.mu.Lock()
 	held := s.late
 	s.late = nil
@@ -117,35 +117,35 @@
 			talk(a)
 		})
 	}
-	r := start(t, e)
-	spoil := &spoiler{method: where, at: at, fault: f}
+	r := startGateway(t, e)
+	spoil := &faultInjector{method: where, at: at, fault: f}
 	for _, store := range r.turnStores.List {
 		store.SetVia(spoil.via)
 	}
-	chain, previous, granted := fourTurns(t, r, spoil)
+	chain, previous, granted := sendFourTurns(t, r, spoil)
 	spoil.release()
-	got, last := r.sure("t-last", previous, "")
-	whole(t, got, 200, events(said(last)...))
-	ranOnce(t, e, chain+"end", last)
+	got, last := r.retryUntilServed("t-last", previous, "")
+	assertAnswer(t, got, 200, events(said(last)...))
+	assertRanOnce(t, e, chain+"end", last)
 	// Of the budget, at most what was granted is gone, and at least what was handed in whole turns.
 	const handed = 2 * 4
-	over, _ := r.sure("t-over", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-handed+1))
+	over, _ := r.retryUntilServed("t-over", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-handed+1))
 	assert.Equal(t, over.Status, 402, "%+v", over)
-	room, _ := r.sure("t-room", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-granted-2*20))
+	room, _ := r.retryUntilServed("t-room", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-granted-2*20))
 	assert.Equal(t, room.Status, 200, "%+v", room)
 }
 
-// fourTurns has a client take four turns, each again until it has a whole answer. It gives the text of all, the id of the
+// sendFourTurns has a client take four turns, each again until it has a whole answer. It gives the text of all, the id of the
 // last and the tokens that were asked for. What was held back comes after the second turn.
-func fourTurns(t *testing.T, r *rig, spoil *spoiler) (chain, previous string, granted int) {
+func sendFourTurns(t *testing.T, r *harness, spoil *faultInjector) (chain, previous string, granted int) {
 	for i := range 4 {
 		for try := 0; ; try++ {
 			id := fmt.Sprintf("t-%d-%d", i, try)
 			in := fmt.Sprintf("in %d;", i)
 			fields := fmt.Sprintf("X-Deadline-Ms: 3000\r\nBudget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, mostTokens)
-			got := r.do(turn(id, previous, "p", fields, in))
+			got := r.do(turnRequest(id, previous, "p", fields, in))
 			if granted += mostTokens; got.Err == nil && got.Status == 200 {
-				whole(t, got, 200, events(said(id)...))
+				assertAnswer(t, got, 200, events(said(id)...))
 				chain, previous = chain+in+output(id), id
 				break
 			}
@@ -159,19 +159,19 @@
 	return chain, previous, granted
 }
 
-// sure asks as a client does, again after a promise: a machine that is busy may not be sure of its turn stores.
-func (r *rig) sure(id, previous, fields string) (got tiertest.Reply, last string) {
+// retryUntilServed asks as a client does, again after a promise: a machine that is busy may not be sure of its turn stores.
+func (r *harness) retryUntilServed(id, previous, fields string) (got tiertest.Reply, last string) {
 	for try := range 20 {
 		last = fmt.Sprintf("%s-%d", id, try)
-		if got = r.do(turn(last, previous, "p", fields, "end")); got.Err == nil && got.Status != 503 {
+		if got = r.do(turnRequest(last, previous, "p", fields, "end")); got.Err == nil && got.Status != 503 {
 			break
 		}
 	}
 	return got, last
 }
 
-// ranOnce checks that no attempt ran twice, that each had a beginning of the program's text, and the last one all of it.
-func ranOnce(t *testing.T, e *tiertest.Endpoint, text, last string) {
+// assertRanOnce checks that no attempt ran twice, that each had a beginning of the program's text, and the last one all of it.
+func assertRanOnce(t *testing.T, e *tiertest.Endpoint, text, last string) {
 	t.Helper()
 	runs := map[string]int{}
 	for _, a := range e.Arrivals() {
--- a/internal/tier/gateway/permit_test.go
+++ b/internal/tier/gateway/permit_test.go
@@ -13,7 +13,7 @@
 )
 
 // The list that stands at the last moment before a request is written decides, whatever stood when its endpoint was picked.
-func TestTheListIsAskedBeforeTheWrite(t *testing.T) {
+func TestAttempts_EndpointListIsCheckedBeforeWrite(t *testing.T) {
 	k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.Silent()})
 	w := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
 	permit := w.upstreamRequest(loadbalancer.Selection{Instance: "i-1"}).Permit
@@ -31,7 +31,7 @@
 		{nil, false},
 		{[]*tierv1.Endpoint{{Instance: "i-2", Service: "s", Address: "127.0.0.1:1"}}, false}, // another one at its address
 	} {
-		k.takeEndpoints(&tierv1.Endpoints{Version: uint64(i + 1), List: c.list})
+		k.applyEndpoints(&tierv1.Endpoints{Version: uint64(i + 1), List: c.list})
 		assert.Equal(t, permit(), c.want, "list %d", i+1)
 	}
 }
--- a/internal/tier/gateway/plain_test.go
+++ b/internal/tier/gateway/plain_test.go
@@ -9,13 +9,13 @@
 	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
-func TestRouteByHostAndLongestPrefix(t *testing.T) {
+func TestHandler_RoutesByHostAndLongestPrefix(t *testing.T) {
 	s := tiertest.NewEndpoint(t, "i-s", "s", echo("s"))
 	deep := tiertest.NewEndpoint(t, "i-deep", "deep", echo("deep"))
-	r := start(t, s, deep)
-	whole(t, r.post("/plain/x?q=1", "a-1", "", "b"), 200, "s:b")
-	whole(t, r.post("/plain/deep/x", "a-2", "", "b"), 200, "deep:b")
-	whole(t, r.post("/plain/deepest/x", "a-3", "", "b"), 200, "s:b")
+	r := startGateway(t, s, deep)
+	assertAnswer(t, r.post("/plain/x?q=1", "a-1", "", "b"), 200, "s:b")
+	assertAnswer(t, r.post("/plain/deep/x", "a-2", "", "b"), 200, "deep:b")
+	assertAnswer(t, r.post("/plain/deepest/x", "a-3", "", "b"), 200, "s:b")
 	assert.Equal(t, r.post("/none/x", "a-4", "", "b").Status, 404)
 	assert.Equal(t, r.post("/plain", "a-5", "", "b").Status, 404)
 	assert.Equal(t, r.do("GET /plain/x HTTP/1.1\r\nHost: other.example\r\nX-Attempt-Id: a-6\r\n\r\n").Status, 404)
@@ -26,11 +26,11 @@
 	assert.Equal(t, len(deep.Arrivals()), 1)
 }
 
-func TestWhatAnEndpointIsSent(t *testing.T) {
+func TestAttempts_RequestSentToEndpoint(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", echo("s"))
-	r := start(t, e)
-	whole(t, r.post("/plain/x", "a-1", "X-Deadline-Ms: 9000\r\nX-Own: kept\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-Target-Instance: i-other\r\n", "b"), 200, "s:b")
-	whole(t, r.post("/once/x", "a-2", "", "b"), 200, "s:b")
+	r := startGateway(t, e)
+	assertAnswer(t, r.post("/plain/x", "a-1", "X-Deadline-Ms: 9000\r\nX-Own: kept\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-Target-Instance: i-other\r\n", "b"), 200, "s:b")
+	assertAnswer(t, r.post("/once/x", "a-2", "", "b"), 200, "s:b")
 	got := e.Arrivals()
 	for i, most := range []int{9000, 20000} {
 		h := got[i].Header
@@ -45,18 +45,18 @@
 	assert.Equal(t, got[0].Header.Get("X-Hop"), "")
 }
 
-func TestTheAnswerGoesBackAsItIs(t *testing.T) {
+func TestHandler_PassesAnswerUnchanged(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { a.Answer(418, "X-Own: kept\r\n", "a teapot") })
-	r := start(t, e)
+	r := startGateway(t, e)
 	got := r.post("/once/x", "a-1", "", "b")
-	whole(t, got, 418, "a teapot")
+	assertAnswer(t, got, 418, "a teapot")
 	assert.Equal(t, got.Header.Get("X-Own"), "kept")
 	assert.Equal(t, got.Header.Get("X-Response-Signature"), "s.a-1")
 	assert.Equal(t, got.Header.Get("X-Attempt-Id"), "a-1")
 }
 
-// two are endpoints of which the one asked first does as told, and the other one answers.
-func two(t *testing.T, first func(*tiertest.Arrival)) (a, b *tiertest.Endpoint) {
+// twoEndpoints are endpoints of which the one asked first does as told, and the other one answers.
+func twoEndpoints(t *testing.T, first func(*tiertest.Arrival)) (a, b *tiertest.Endpoint) {
 	script := func(own, other **tiertest.Endpoint) func(*tiertest.Arrival) {
 		return func(x *tiertest.Arrival) {
 			if len((*other).Arrivals()) == 0 && x.Order == 0 {
@@ -73,7 +73,7 @@
 	return a, b
 }
 
-func TestABrokenConnection(t *testing.T) {
+func TestAttempts_BrokenConnection(t *testing.T) {
 	for name, ends := range map[string]func(*tiertest.Arrival){
 		"reset": (*tiertest.Arrival).Reset,
 		"close": (*tiertest.Arrival).Close,
@@ -91,25 +91,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Run("idempotent", func(t *testing.T) {
-				a, b := two(t, ends)
-				r := start(t, a, b)
-				whole(t, r.post("/plain/x", "a-1", "", "b"), 200, "second")
+				a, b := twoEndpoints(t, ends)
+				r := startGateway(t, a, b)
+				assertAnswer(t, r.post("/plain/x", "a-1", "", "b"), 200, "second")
 				assert.Equal(t, len(a.Arrivals()), 1)
 				assert.Equal(t, len(b.Arrivals()), 1)
 			})
 			for _, route := range []struct{ name, path string }{{"non-idempotent", "/once/x"}, {"max_attempts 1", "/single/x"}} {
 				t.Run(route.name, func(t *testing.T) {
-					a, b := two(t, ends)
-					r := start(t, a, b)
+					a, b := twoEndpoints(t, ends)
+					r := startGateway(t, a, b)
 					got := r.post(route.path, "a-1", "", "b")
 					assert.Equal(t, got.Status, 502)
-					unstamped(t, got)
+					assertUnstamped(t, got)
 					assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 1)
 				})
 			}
 			t.Run("streaming", func(t *testing.T) {
-				a, b := two(t, ends)
-				r := start(t, a, b)
+				a, b := twoEndpoints(t, ends)
+				r := startGateway(t, a, b)
 				got := r.post("/stream/x", "a-1", "", "b")
 				assert.Assert(t, got.Status == 502 || got.Err != nil, "looks complete: %+v", got)
 				assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 1)
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestARefusalGoesElsewhere(t *testing.T) {
+func TestAttempts_RejectionIsRetriedElsewhere(t *testing.T) {
 	for name, refuses := range map[string]func(*tiertest.Arrival){
 		"503":          func(x *tiertest.Arrival) { x.Bare(503, "X-Not-Executed: full\r\n") },
 		"429":          func(x *tiertest.Arrival) { x.Bare(429, "X-Not-Executed: full\r\nRetry-After: 0.5\r\n") },
@@ -128,9 +128,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, target := range []string{"/plain/x", "/once/x"} {
-				a, b := two(t, refuses)
-				r := start(t, a, b)
-				whole(t, r.post(target, "a-1", "", "b"), 200, "second")
+				a, b := twoEndpoints(t, refuses)
+				r := startGateway(t, a, b)
+				assertAnswer(t, r.post(target, "a-1", "", "b"), 200, "second")
 				assert.Equal(t, len(a.Arrivals()), 1)
 				assert.Equal(t, len(b.Arrivals()), 1)
 			}
@@ -138,21 +138,21 @@
 				a := tiertest.NewEndpoint(t, "i-a", "s", refuses)
 				b := tiertest.NewEndpoint(t, "i-b", "s", refuses)
 				c := tiertest.NewEndpoint(t, "i-c", "s", refuses)
-				r := start(t, a, b, c)
-				promise(t, r.post(target, "a-1", "", "b"))
+				r := startGateway(t, a, b, c)
+				assertNotExecuted(t, r.post(target, "a-1", "", "b"))
 				assert.Equal(t, len(a.Arrivals())+len(b.Arrivals())+len(c.Arrivals()), 2, "max_attempts is 2")
 			}
-			a, b := two(t, refuses)
-			r := start(t, a, b)
-			promise(t, r.post("/single/x", "a-1", "", "b"))
+			a, b := twoEndpoints(t, refuses)
+			r := startGateway(t, a, b)
+			assertNotExecuted(t, r.post("/single/x", "a-1", "", "b"))
 			assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 1)
 		})
 	}
 }
 
 // What an earlier send may have done stands, whatever a later one says.
-func TestARefusalAfterABreakPromisesNothing(t *testing.T) {
-	a, b := two(t, (*tiertest.Arrival).Reset)
+func TestAttempts_RejectionAfterBreakIsBadGateway(t *testing.T) {
+	a, b := twoEndpoints(t, (*tiertest.Arrival).Reset)
 	refuse := func(own, other *tiertest.Endpoint) func(*tiertest.Arrival) {
 		return func(x *tiertest.Arrival) {
 			if len(other.Arrivals()) == 0 && x.Order == 0 {
@@ -164,31 +164,31 @@
 	}
 	a.SetScript(refuse(a, b))
 	b.SetScript(refuse(b, a))
-	r := start(t, a, b)
+	r := startGateway(t, a, b)
 	assert.Equal(t, r.post("/plain/x", "a-1", "", "b").Status, 502)
 	assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 2)
 }
 
-func TestNoEndpoint(t *testing.T) {
+func TestHandler_NoEndpoint(t *testing.T) {
 	dead := tiertest.NewEndpoint(t, "i-dead", "s", echo("s"))
 	dead.Listener.Close()
-	r := start(t, dead)
+	r := startGateway(t, dead)
 	for _, target := range []string{"/plain/x", "/once/x", "/stream/x", "/turn/x", "/plain/deep/x"} {
-		promise(t, r.post(target, "a"+target, "X-Deadline-Ms: 1500\r\n", "b"))
+		assertNotExecuted(t, r.post(target, "a"+target, "X-Deadline-Ms: 1500\r\n", "b"))
 	}
 }
 
-func TestTimeIsOver(t *testing.T) {
+func TestHandler_DeadlineExceeded(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", (*tiertest.Arrival).Gone)
-	r := start(t, e)
+	r := startGateway(t, e)
 	assert.Equal(t, r.post("/once/x", "a-1", "X-Deadline-Ms: 100\r\n", "b").Status, 504)
 	assert.Equal(t, len(e.Arrivals()), 1)
 }
 
-func TestANewConfigurationIsInForceAtTheNextRequest(t *testing.T) {
+func TestConfiguration_AppliesToNextRequest(t *testing.T) {
 	s := tiertest.NewEndpoint(t, "i-s", "s", echo("s"))
 	deep := tiertest.NewEndpoint(t, "i-deep", "deep", echo("deep"))
-	r := start(t, s, deep)
+	r := startGateway(t, s, deep)
 	const target = "/new/x"
 	c := tiertest.Connect(t, r.ingress)
 	ask := func(id string) tiertest.Reply {
@@ -200,37 +200,37 @@
 		r.consensus.SetConfiguration(configurationOf(2+i, `{"name":"new","hostname":"h.example","path_prefix":"/new/","route_type":"idempotent","service_name":"`+
 			service+`","timeout_ms":20000,"max_attempts":2}`))
 		r.consensus.Taken(t)
-		whole(t, ask("b-"+service), 200, service+":b")
+		assertAnswer(t, ask("b-"+service), 200, service+":b")
 	}
 	r.consensus.SetConfiguration(configurationOf(9, ""))
 	r.consensus.Taken(t)
 	assert.Equal(t, ask("a-2").Status, 404)
 }
 
-func TestDrainingGetsNothingMore(t *testing.T) {
+func TestEndpoints_DrainingGetsNoRequests(t *testing.T) {
 	leaving := tiertest.NewEndpoint(t, "i-leaving", "s", echo("leaving"))
-	r := start(t, leaving)
-	whole(t, r.post("/plain/x", "a-1", "", "b"), 200, "leaving:b")
+	r := startGateway(t, leaving)
+	assertAnswer(t, r.post("/plain/x", "a-1", "", "b"), 200, "leaving:b")
 	r.consensus.SetEndpoints(leaving.Draining())
 	r.consensus.Taken(t)
-	promise(t, r.post("/plain/x", "a-2", "", "b"))
+	assertNotExecuted(t, r.post("/plain/x", "a-2", "", "b"))
 	next := tiertest.NewEndpoint(t, "i-next", "s", echo("next"))
 	r.consensus.SetEndpoints(leaving.Draining(), next.Entry())
 	r.consensus.Taken(t)
 	for _, id := range []string{"a-3", "a-4", "a-5", "a-6"} {
-		whole(t, r.post("/plain/x", id, "", "b"), 200, "next:b")
+		assertAnswer(t, r.post("/plain/x", id, "", "b"), 200, "next:b")
 	}
 	r.consensus.SetEndpoints(next.Entry())
 	r.consensus.Taken(t)
-	whole(t, r.post("/plain/x", "a-7", "", "b"), 200, "next:b")
+	assertAnswer(t, r.post("/plain/x", "a-7", "", "b"), 200, "next:b")
 	assert.Equal(t, len(leaving.Arrivals()), 1)
 }
 
 // The stream of an endpoint that begins to drain meanwhile goes on.
-func TestDrainingEndsWhatItHas(t *testing.T) {
+func TestEndpoints_DrainingCompletesItsStreams(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", pausedStream(begun, further))
-	r := start(t, e)
+	r := startGateway(t, e)
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(tiertest.Post("/stream/x", "a-1", "", "b"))
 	tiertest.Closed(t, "the stream begins", begun)
@@ -239,15 +239,15 @@
 	r.consensus.SetEndpoints()
 	r.consensus.Taken(t)
 	close(further)
-	whole(t, c.Whole(), 200, events("one", "two"))
+	assertAnswer(t, c.Whole(), 200, events("one", "two"))
 }
 
 // What no client waits for is no time to wait for.
-func TestDeadlinesThatAreNone(t *testing.T) {
+func TestHandler_DeadlinesOutOfRange(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", echo("s"))
-	r := start(t, e)
+	r := startGateway(t, e)
 	for _, v := range []string{"1e30", "99999999999999999999", "1e300"} { // longer than the route's time-out
-		whole(t, r.post("/plain/x", "a-"+v, "X-Deadline-Ms: "+v+"\r\n", "b"), 200, "s:b")
+		assertAnswer(t, r.post("/plain/x", "a-"+v, "X-Deadline-Ms: "+v+"\r\n", "b"), 200, "s:b")
 	}
 	for _, v := range []string{"NaN", "-1", "x", "1 2"} {
 		assert.Equal(t, r.post("/plain/x", "a", "X-Deadline-Ms: "+v+"\r\n", "b").Status, 400, v)
--- a/internal/tier/gateway/progress.go
+++ b/internal/tier/gateway/progress.go
@@ -6,75 +6,75 @@
 type nextStep uint8
 
 const (
-	finished  nextStep = iota // the answer is whole
-	sendAgain                 // nothing has been taken: the request is sent once more as it is
-	resume                    // a further run is to go on after the last event taken
-	giveUp                    // nothing is left to try
+	finished nextStep = iota // the answer is whole
+	retry                    // nothing has been taken: the request is sent once more as it is
+	resume                   // a further run is to go on after the last event taken
+	giveUp                   // nothing is left to try
 )
 
 func (step nextStep) String() string {
 	return [...]string{"finished", "send_again", "resume", "give_up"}[step]
 }
 
-// runEnd is how a run ended, and what is left for a further one.
-type runEnd struct {
-	whole     bool // the run's answer came to its regular end
-	gone      bool // the client has left
-	retryable bool // by the table of outcomes, for the kind of the request
-	room      bool // sends and time are left
+// attemptEnd is how a run ended, and what is left for a further one.
+type attemptEnd struct {
+	complete     bool // the run's answer came to its regular end
+	clientGone   bool // the client has left
+	retryable    bool // by the table of outcomes, for the kind of the request
+	attemptsLeft bool // sends and time are left
 }
 
 // progress is how far a streamed answer has come over all its runs. It is pure, and knows an event by its id only: ids rise, and a
 // run that goes on after one begins with the next.
 type progress struct {
-	resumable bool   // the route allows a run to be followed by another one
-	last      string // id of the last event taken; what the client named where none has been
-	taken     int    // events
-	gapless   bool   // the ids of all events taken so far followed each other in steps of one
-	blind     bool   // an event without an id was taken: nothing tells where a further run would begin
-	seam      bool   // the next event is the first one of a run
+	resumable      bool   // the route allows a run to be followed by another one
+	lastEventID    string // id of the last event taken; what the client named where none has been
+	events         int    // events
+	gapless        bool   // the ids of all events taken so far followed each other in steps of one
+	lacksID        bool   // an event without an id was taken: nothing tells where a further run would begin
+	atAttemptStart bool   // the next event is the first one of a run
 }
 
 // newProgress begins before the first run. after is the id that the client has already, empty if it has none.
 func newProgress(resumable bool, after string) progress {
-	return progress{resumable: resumable, last: after, gapless: true, seam: true}
+	return progress{resumable: resumable, lastEventID: after, gapless: true, atAttemptStart: true}
 }
 
-// begin notes that a further run begins.
-func (progress *progress) begin() { progress.seam = true }
+// beginAttempt notes that a further run begins.
+func (progress *progress) beginAttempt() { progress.atAttemptStart = true }
 
-// take takes an event in, and reports whether it may be passed on: the first event of a further run may leave no gap. An event
+// accept takes an event in, and reports whether it may be passed on: the first event of a further run may leave no gap. An event
 // without an id, such as a comment, is passed on only within a run.
-func (progress *progress) take(id string, hasData bool) bool {
-	seam := progress.seam && progress.taken > 0
-	progress.seam = false
+func (progress *progress) accept(id string, hasData bool) bool {
+	seam := progress.atAttemptStart && progress.events > 0
+	progress.atAttemptStart = false
 	if id == "" {
-		progress.blind = progress.blind || hasData
+		progress.lacksID = progress.lacksID || hasData
 		return !seam
 	}
-	follows := precedes(progress.last, id)
+	follows := precedes(progress.lastEventID, id)
 	if seam && progress.gapless && !follows {
 		return false
 	}
-	progress.gapless = progress.gapless && (progress.taken == 0 || follows)
-	progress.last = id
-	progress.taken++
+	progress.gapless = progress.gapless && (progress.events == 0 || follows)
+	progress.lastEventID = id
+	progress.events++
 	return true
 }
 
-// mayResume reports whether a further run could go on after what has been taken.
-func (progress *progress) mayResume() bool { return progress.resumable && !progress.blind }
+// canResume reports whether a further run could go on after what has been taken.
+func (progress *progress) canResume() bool { return progress.resumable && !progress.lacksID }
 
 // next decides what follows the end of a run.
-func (progress *progress) next(end runEnd) nextStep {
+func (progress *progress) next(end attemptEnd) nextStep {
 	switch {
-	case end.whole && !end.gone:
+	case end.complete && !end.clientGone:
 		return finished
-	case end.gone || !end.room || !end.retryable:
+	case end.clientGone || !end.attemptsLeft || !end.retryable:
 		return giveUp
-	case progress.taken == 0 && !progress.blind:
-		return sendAgain
-	case progress.mayResume():
+	case progress.events == 0 && !progress.lacksID:
+		return retry
+	case progress.canResume():
 		return resume
 	}
 	return giveUp
--- a/internal/tier/gateway/progress_test.go
+++ b/internal/tier/gateway/progress_test.go
@@ -8,41 +8,41 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWhatFollowsARun goes through each way in which a run can end, at each stage of an answer.
-func TestWhatFollowsARun(t *testing.T) {
+// TestProgress_NextStep goes through each way in which a run can end, at each stage of an answer.
+func TestProgress_NextStep(t *testing.T) {
 	type stage struct {
 		name      string
 		resumable bool
 		taken     func(*progress)
 	}
 	nothing := func(*progress) {}
-	numbered := func(p *progress) { p.take("1", true); p.take("2", true) }
-	unnumbered := func(p *progress) { p.take("1", true); p.take("", true) }
-	commented := func(p *progress) { p.take("1", true); p.take("", false) }
+	numbered := func(p *progress) { p.accept("1", true); p.accept("2", true) }
+	unnumbered := func(p *progress) { p.accept("1", true); p.accept("", true) }
+	commented := func(p *progress) { p.accept("1", true); p.accept("", false) }
 	for _, c := range []struct {
 		stage   stage
 		partial nextStep // where the run broke off, may be repeated, and there is room
 	}{
-		{stage{"resumable, nothing taken", true, nothing}, sendAgain},
+		{stage{"resumable, nothing taken", true, nothing}, retry},
 		{stage{"resumable, two events taken", true, numbered}, resume},
 		{stage{"resumable, an event without an id taken", true, unnumbered}, giveUp},
 		{stage{"resumable, a comment taken", true, commented}, resume},
-		{stage{"not resumable, nothing taken", false, nothing}, sendAgain},
+		{stage{"not resumable, nothing taken", false, nothing}, retry},
 		{stage{"not resumable, two events taken", false, numbered}, giveUp},
 	} {
 		for bits := range 16 {
-			end := runEnd{whole: bits&1 > 0, gone: bits&2 > 0, retryable: bits&4 > 0, room: bits&8 > 0}
+			end := attemptEnd{complete: bits&1 > 0, clientGone: bits&2 > 0, retryable: bits&4 > 0, attemptsLeft: bits&8 > 0}
 			p := newProgress(c.stage.resumable, "")
-			p.begin()
+			p.beginAttempt()
 			c.stage.taken(&p)
 			want := giveUp
 			switch {
-			case end.whole && !end.gone:
+			case end.complete && !end.clientGone:
 				want = finished
-			case !end.whole && !end.gone && end.retryable && end.room:
+			case !end.complete && !end.clientGone && end.retryable && end.attemptsLeft:
 				want = c.partial
 			}
-			if end.whole && end.gone {
+			if end.complete && end.clientGone {
 				want = giveUp
 			}
 			assert.Equal(t, p.next(end), want, "%s: %+v", c.stage.name, end)
@@ -51,7 +51,7 @@
 }
 
 // At a seam no event may be missing; within a run ids only rise, which the stream itself checks.
-func TestASeamLeavesNoGap(t *testing.T) {
+func TestProgress_NoGapBetweenAttempts(t *testing.T) {
 	for _, c := range []struct {
 		before []string
 		next   string
@@ -67,31 +67,31 @@
 		{[]string{"1", "2"}, "c", false},
 	} {
 		p := newProgress(true, "")
-		p.begin()
+		p.beginAttempt()
 		for _, id := range c.before {
-			assert.Assert(t, p.take(id, true))
+			assert.Assert(t, p.accept(id, true))
 		}
-		p.begin()
-		assert.Equal(t, p.take(c.next, true), c.passes, "%v then %q", c.before, c.next)
+		p.beginAttempt()
+		assert.Equal(t, p.accept(c.next, true), c.passes, "%v then %q", c.before, c.next)
 	}
 }
 
 // A client that comes back with the id of the last event that it has is served from the next one on.
-func TestAClientThatComesBack(t *testing.T) {
+func TestProgress_ClientThatReconnects(t *testing.T) {
 	p := newProgress(true, "4")
-	p.begin()
-	assert.Assert(t, p.take("5", true))
-	assert.Equal(t, p.last, "5")
-	p.begin()
-	assert.Assert(t, !p.take("7", true))
+	p.beginAttempt()
+	assert.Assert(t, p.accept("5", true))
+	assert.Equal(t, p.lastEventID, "5")
+	p.beginAttempt()
+	assert.Assert(t, !p.accept("7", true))
 }
 
-// playRuns plays runs that are cut, doubled, reordered and emptied, and tells the ids that were taken. rises is the check that a stream
+// simulateAttempts plays runs that are cut, doubled, reordered and emptied, and tells the ids that were taken. rises is the check that a stream
 // itself makes of its ids.
-func playRuns(seed uint64, total int, p *progress, take func(id string) bool, rises bool) (got []string) {
+func simulateAttempts(seed uint64, total int, p *progress, take func(id string) bool, rises bool) (got []string) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	for range 6 {
-		p.begin()
+		p.beginAttempt()
 		from := len(got) + 1
 		switch random.IntN(6) {
 		case 0: // begins too early, as one that does not know where it should
@@ -100,7 +100,7 @@
 			from += 1 + random.IntN(3)
 		}
 		for id := from; id <= min(total, from+random.IntN(6)); id++ {
-			last, _ := strconv.Atoi(p.last)
+			last, _ := strconv.Atoi(p.lastEventID)
 			if rises && id <= last { // the stream ends as malformed
 				break
 			}
@@ -113,8 +113,8 @@
 	return got
 }
 
-// inOrder reports whether ids are those of an answer from its beginning, each once. Where a first run begins is the endpoint's matter.
-func inOrder(got []string) bool {
+// ascending reports whether ids are those of an answer from its beginning, each once. Where a first run begins is the endpoint's matter.
+func ascending(got []string) bool {
 	for i, id := range got {
 		if got[0] == "1" && id != strconv.Itoa(i+1) {
 			return false
@@ -123,25 +123,25 @@
 	return true
 }
 
-// FuzzRuns holds what was taken over several runs against the answer.
-func FuzzRuns(f *testing.F) {
+// FuzzProgress holds what was taken over several runs against the answer.
+func FuzzProgress(f *testing.F) {
 	f.Add(uint64(1), uint8(5))
 	f.Add(uint64(99), uint8(20))
 	f.Fuzz(func(t *testing.T, seed uint64, events uint8) {
 		p := newProgress(true, "")
-		got := playRuns(seed, 1+int(events)%24, &p, func(id string) bool { return p.take(id, true) }, true)
-		assert.Assert(t, inOrder(got), "seed %d: %v", seed, got)
+		got := simulateAttempts(seed, 1+int(events)%24, &p, func(id string) bool { return p.accept(id, true) }, true)
+		assert.Assert(t, ascending(got), "seed %d: %v", seed, got)
 	})
 }
 
 // Planted: a machine that does not look at the seam, and a stream whose ids are not looked at, are found within 200 seeds.
-func TestPlantedSeams(t *testing.T) {
+func TestInjectedSeamFaults_AreFound(t *testing.T) {
 	for name, rises := range map[string]bool{"a gap at the seam": true, "a piece doubled at the seam": false} {
 		found := false
 		for seed := uint64(0); seed < 200 && !found; seed++ {
 			p := newProgress(true, "")
-			blind := func(id string) bool { p.last = id; return true }
-			found = !inOrder(playRuns(seed, 20, &p, blind, rises))
+			blind := func(id string) bool { p.lastEventID = id; return true }
+			found = !ascending(simulateAttempts(seed, 20, &p, blind, rises))
 		}
 		assert.Assert(t, found, name)
 	}
--- a/internal/tier/gateway/ready_test.go
+++ b/internal/tier/gateway/ready_test.go
@@ -13,22 +13,22 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-func (r *rig) ready() int {
+func (r *harness) readiness() int {
 	r.t.Helper()
 	got := tiertest.Do(r.t, r.probe, "GET /saffronyard/readiness HTTP/1.1\r\nHost: probe\r\n\r\n")
 	assert.NilError(r.t, got.Err)
 	return got.Status
 }
 
-func TestReadyWhenAllViewsHaveCome(t *testing.T) {
-	r := bare(t)
+func TestReadiness_NeedsAllViews(t *testing.T) {
+	r := startUnconfigured(t)
 	brought := map[string]func(){
 		"configuration": func() { r.consensus.SetConfiguration(configurationOf(1, "")) },
-		"endpoints":     func() { r.list() },
+		"endpoints":     func() { r.listEndpoints() },
 		"turnstores":    func() { r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1})) },
 	}
-	assert.Equal(t, r.ready(), 503)
-	promise(t, r.post("/plain/x", "a-1", "", "b"))
+	assert.Equal(t, r.readiness(), 503)
+	assertNotExecuted(t, r.post("/plain/x", "a-1", "", "b"))
 	n := 0
 	for name, bring := range brought { // in any order
 		bring()
@@ -38,15 +38,15 @@
 		if n == len(brought) {
 			want = 200
 		}
-		assert.Equal(t, r.ready(), want, "%d have come, %s the last", n, name)
+		assert.Equal(t, r.readiness(), want, "%d have come, %s the last", n, name)
 	}
 }
 
 // A gateway that reaches neither the control plane nor a turn store is not ready, until the control plane answers again.
-func TestNotReadyWhileCutOff(t *testing.T) {
-	r := bare(t, func(s *settings.Settings) { s.ContactWindow = 200 * time.Millisecond })
+func TestReadiness_FalseWhileIsolated(t *testing.T) {
+	r := startUnconfigured(t, func(s *settings.Settings) { s.ContactWindow = 200 * time.Millisecond })
 	r.configure(r.turnStores.Assign([2]int{0, 1}))
-	assert.Equal(t, r.ready(), 200)
+	assert.Equal(t, r.readiness(), 200)
 	r.consensus.SetVia(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -54,23 +54,23 @@
 	for _, store := range r.turnStores.List {
 		store.SetDark(true)
 	}
-	promise(t, r.do(turn("t-1", "", "p", "X-Deadline-Ms: 1000\r\n", "in")))
-	tiertest.Until(t, "not ready", func() bool { return r.ready() == 503 })
+	assertNotExecuted(t, r.do(turnRequest("t-1", "", "p", "X-Deadline-Ms: 1000\r\n", "in")))
+	tiertest.Until(t, "not ready", func() bool { return r.readiness() == 503 })
 	r.consensus.SetVia(nil)
-	tiertest.Until(t, "ready again", func() bool { return r.ready() == 200 })
+	tiertest.Until(t, "ready again", func() bool { return r.readiness() == 200 })
 }
 
-func TestLeaving(t *testing.T) {
+func TestShutdown_CompletesRequests(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", pausedStream(begun, further))
-	r := bare(t, func(s *settings.Settings) { s.Grace = 10 * time.Second })
+	r := startUnconfigured(t, func(s *settings.Settings) { s.Grace = 10 * time.Second })
 	r.configure(r.turnStores.Assign([2]int{0, 1}), e)
-	assert.Equal(t, r.ready(), 200)
+	assert.Equal(t, r.readiness(), 200)
 	c := tiertest.Connect(t, r.ingress)
-	c.Send(turn("t-1", "", "p", "", "in"))
+	c.Send(turnRequest("t-1", "", "p", "", "in"))
 	tiertest.Closed(t, "the stream begins", begun)
 	r.stop()
-	tiertest.Until(t, "not ready", func() bool { return r.ready() == 503 })
+	tiertest.Until(t, "not ready", func() bool { return r.readiness() == 503 })
 	// The platform may still send clients: they are served, and told to go.
 	tiertest.Until(t, "clients are told to go", func() bool {
 		got := r.post("/none/x", "a-2", "", "b")
@@ -78,13 +78,13 @@
 		return got.Close
 	})
 	close(further)
-	whole(t, c.Whole(), 200, events("one", "two"))
+	assertAnswer(t, c.Whole(), 200, events("one", "two"))
 	assert.NilError(t, tiertest.Closed(t, "it ends", r.done))
-	assert.Equal(t, r.ready(), 503)
+	assert.Equal(t, r.readiness(), 503)
 }
 
 // A reservation of a request under way is ended before the process does, and control hears that it leaves.
-func TestLeavingEndsReservations(t *testing.T) {
+func TestShutdown_ReleasesReservations(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
 		say(a, 2)
@@ -92,7 +92,7 @@
 		<-further
 		a.Reset()
 	})
-	r := bare(t, func(s *settings.Settings) { s.Grace = 10 * time.Second })
+	r := startUnconfigured(t, func(s *settings.Settings) { s.Grace = 10 * time.Second })
 	r.configure(r.turnStores.Assign([2]int{0, 1}), e)
 	ends := make(chan *tierv1.SettleRequest, 100)
 	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
@@ -115,7 +115,7 @@
 		return err
 	})
 	c := tiertest.Connect(t, r.ingress)
-	c.Send(turn("t-1", "", "p", "", "in"))
+	c.Send(turnRequest("t-1", "", "p", "", "in"))
 	tiertest.Closed(t, "the stream begins", begun)
 	r.stop()
 	r.consensus.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return q.Role == "gateway" && q.Draining })
--- a/internal/tier/gateway/release.go
+++ b/internal/tier/gateway/release.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	longestReleaseWait = 200 * time.Millisecond // that an answer waits for a release: beyond its route's time-out 250 ms cost, 500 ms break a rule
-	lateReleaseTime    = 2 * time.Minute        // a turn store forgets a program by then, if nothing else is heard of it
+	maxReleaseWait     = 200 * time.Millisecond // that an answer waits for a release: beyond its route's time-out 250 ms cost, 500 ms break a rule
+	lateReleaseTimeout = 2 * time.Minute        // a turn store forgets a program by then, if nothing else is heard of it
 	maxLateReleases    = 128                    // releases at once that go on beyond their usual time
 )
 
 // release ends a reservation before its client hears of it, so that its next try finds the room in its budget: tokens were
 // handed out of a turn that is not kept. It waits a little for the turn store, and goes on behind the request.
 func (request *clientRequest) release(program string, tokens uint64) {
-	timer := time.NewTimer(min(request.gateway.config.Settings.ContactWindow/12, longestReleaseWait))
+	timer := time.NewTimer(min(request.gateway.config.Settings.ContactWindow/12, maxReleaseWait))
 	defer timer.Stop()
 	select {
-	case <-request.releaseLater(program, tokens):
+	case <-request.releaseInBackground(program, tokens):
 	case <-timer.C:
 	}
 }
 
-// releaseLater releases a reservation behind the request: done is closed when it is settled, or when it is given up.
-func (request *clientRequest) releaseLater(program string, tokens uint64) (done <-chan struct{}) {
+// releaseInBackground releases a reservation behind the request: done is closed when it is settled, or when it is given up.
+func (request *clientRequest) releaseInBackground(program string, tokens uint64) (done <-chan struct{}) {
 	gateway, over := request.gateway, make(chan struct{})
-	settlement := &tierv1.SettleRequest{Program: program, Attempt: request.attempt, Tokens: tokens, FailedAt: request.failedAt}
-	gateway.noteRelease(program, over)
-	gateway.settling.Add(1)
+	settlement := &tierv1.SettleRequest{Program: program, Attempt: request.attemptID, Tokens: tokens, FailedAt: request.failedInstance}
+	gateway.registerRelease(program, over)
+	gateway.settlements.Add(1)
 	go func() {
 		defer gateway.endRelease(program, over)
-		settled := gateway.settleInTime(settlement)
-		gateway.settling.Done()
+		settled := gateway.settleWithRetries(settlement)
+		gateway.settlements.Done()
 		if !settled {
 			gateway.settleLate(settlement)
 		}
@@ -43,63 +43,63 @@
 	return over
 }
 
-// noteRelease notes that a reservation of a program is being released here.
-func (gateway *Gateway) noteRelease(program string, over chan struct{}) {
+// registerRelease notes that a reservation of a program is being released here.
+func (gateway *Gateway) registerRelease(program string, over chan struct{}) {
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
-	if gateway.releasing[program] == nil {
-		gateway.releasing[program] = map[chan struct{}]bool{}
+	if gateway.pendingReleases[program] == nil {
+		gateway.pendingReleases[program] = map[chan struct{}]bool{}
 	}
-	gateway.releasing[program][over] = true
+	gateway.pendingReleases[program][over] = true
 }
 
 // endRelease tells those who wait that a release is over.
 func (gateway *Gateway) endRelease(program string, over chan struct{}) {
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
-	delete(gateway.releasing[program], over)
-	if len(gateway.releasing[program]) == 0 {
-		delete(gateway.releasing, program)
+	delete(gateway.pendingReleases[program], over)
+	if len(gateway.pendingReleases[program]) == 0 {
+		delete(gateway.pendingReleases, program)
 	}
 	close(over)
 }
 
-// settleInTime tries for twice the contact window, within which a lost turn store is replaced.
-func (gateway *Gateway) settleInTime(settlement *tierv1.SettleRequest) bool {
+// settleWithRetries tries for twice the contact window, within which a lost turn store is replaced.
+func (gateway *Gateway) settleWithRetries(settlement *tierv1.SettleRequest) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*gateway.config.Settings.ContactWindow)
 	defer cancel()
-	return gateway.stores.settle(ctx, settlement)
+	return gateway.storeClient.settle(ctx, settlement)
 }
 
 // settleLate goes on at a slower pace, as the reservation takes room in the budget for as long as its program is known. It
 // gives up where too many do so already.
 func (gateway *Gateway) settleLate(settlement *tierv1.SettleRequest) {
 	select {
-	case gateway.lateReleases <- struct{}{}:
-		defer func() { <-gateway.lateReleases }()
+	case gateway.lateReleaseSlots <- struct{}{}:
+		defer func() { <-gateway.lateReleaseSlots }()
 	default:
 		return
 	}
-	ctx, cancel := context.WithTimeout(gateway.life, lateReleaseTime)
+	ctx, cancel := context.WithTimeout(gateway.runContext, lateReleaseTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		_, _, changed := gateway.stores.primary(settlement.Program)
-		if gateway.stores.settleOnce(ctx, settlement) {
+		_, _, changed := gateway.storeClient.primary(settlement.Program)
+		if gateway.storeClient.settleOnce(ctx, settlement) {
 			return
 		}
-		pauseUnless(ctx, gateway.stores.try, changed)
+		sleepOrMapChange(ctx, gateway.storeClient.callTimeout, changed)
 	}
 }
 
-// pending are the reservations of a program that are being released here; each is closed when it is settled.
-func (gateway *Gateway) pending(program string) []chan struct{} {
+// releasesOf are the reservations of a program that are being released here; each is closed when it is settled.
+func (gateway *Gateway) releasesOf(program string) []chan struct{} {
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
-	return slices.Collect(maps.Keys(gateway.releasing[program]))
+	return slices.Collect(maps.Keys(gateway.pendingReleases[program]))
 }
 
-// released waits until all are settled, and reports whether there was one and it is: the room that they held is free then.
-func released(ctx context.Context, pending []chan struct{}) bool {
+// awaitReleases waits until all are settled, and reports whether there was one and it is: the room that they held is free then.
+func awaitReleases(ctx context.Context, pending []chan struct{}) bool {
 	for _, over := range pending {
 		select {
 		case <-over:
--- a/internal/tier/gateway/request.go
+++ b/internal/tier/gateway/request.go
@@ -15,32 +15,32 @@
 
 // clientRequest is one request on its way.
 type clientRequest struct {
-	gateway   *Gateway
-	x         *ingress.Exchange
-	route     *routing.Route
-	service   string
-	attempt   string
-	until     time.Time // by then it is answered or aborted
-	tokens    int64     // of its prompt
-	maxTokens uint64    // that the turn may generate
-	perEvent  uint64    // tokens that one event of the answer counts for
-	affinity  string    // requests with the same one do best at one endpoint
-	prefix    []string  // shared parts of its prompt, outermost first
-	body      []byte    // as an endpoint gets it
-	tried     []string  // instances that it was sent to, or that earlier attempts of its program failed at
-	failedAt  string    // instance at which its last run ended without the answer; empty: none
-	home      string    // instance that ran what it goes on from
-	sent      int       // endpoints that it was sent to
-	began     time.Time // of the last send
+	gateway           *Gateway
+	x                 *ingress.Exchange
+	route             *routing.Route
+	service           string
+	attemptID         string
+	deadline          time.Time // by then it is answered or aborted
+	promptTokens      int64     // of its prompt
+	maxTokens         uint64    // that the turn may generate
+	tokensPerEvent    uint64    // tokens that one event of the answer counts for
+	affinity          string    // requests with the same one do best at one endpoint
+	prefix            []string  // shared parts of its prompt, outermost first
+	body              []byte    // as an endpoint gets it
+	avoid             []string  // instances that it was sent to, or that earlier attempts of its program failed at
+	failedInstance    string    // instance at which its last run ended without the answer; empty: none
+	preferredInstance string    // instance that ran what it goes on from
+	sent              int       // endpoints that it was sent to
+	sentAt            time.Time // of the last send
 
-	resumeAfter string // the next run goes on after this event; empty: it begins as the client asked
-	dropAfter   bool   // the client's Last-Event-Id is not passed on
+	resumeAfter     string // the next run goes on after this event; empty: it begins as the client asked
+	dropLastEventID bool   // the client's Last-Event-Id is not passed on
 
 	ctx context.Context // ends when the client has left, or with the handler
 }
 
-// repeatable reports whether the request may run more than once: its route is idempotent, or its stream may be resumed.
-func (request *clientRequest) repeatable() bool {
+// retryable reports whether the request may run more than once: its route is idempotent, or its stream may be resumed.
+func (request *clientRequest) retryable() bool {
 	return request.route.Kind == routing.Idempotent || request.route.Kind == routing.Streaming && request.route.Resumable
 }
 
@@ -57,7 +57,7 @@
 			left = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
-	request.until = request.x.ArrivedAt.Add(left)
+	request.deadline = request.x.ArrivedAt.Add(left)
 	return true
 }
 
@@ -69,7 +69,7 @@
 		return
 	}
 	in, out, _ := strings.Cut(header, ",")
-	request.tokens, _ = strconv.ParseInt(strings.TrimSpace(in), 10, 64)
+	request.promptTokens, _ = strconv.ParseInt(strings.TrimSpace(in), 10, 64)
 	request.maxTokens, _ = strconv.ParseUint(strings.TrimSpace(out), 10, 64)
 }
 
@@ -91,17 +91,17 @@
 	}
 }
 
-// chooseService picks one of the route's services by weight. On a sticky route all requests of a session go to one
+// selectService picks one of the route's services by weight. On a sticky route all requests of a session go to one
 // service, on others each attempt is on its own.
-func (request *clientRequest) chooseService(table *routing.Table) {
+func (request *clientRequest) selectService(table *routing.Table) {
 	sticky := cmp.Or(request.x.Header.Get("Session"), request.affinity)
 	if sticky == "" || !request.route.Sticky {
-		sticky = request.attempt
+		sticky = request.attemptID
 	}
 	hash := fnv.New64a()
 	hash.Write([]byte(sticky))
 	request.service = request.route.Pick(hash.Sum64())
 	if service := table.Services[request.service]; service != nil && service.Engine != nil {
-		request.perEvent = max(1, uint64(service.Engine.TokensPerEvent))
+		request.tokensPerEvent = max(1, uint64(service.Engine.TokensPerEvent))
 	}
 }
--- a/internal/tier/gateway/resume_bytes_test.go
+++ b/internal/tier/gateway/resume_bytes_test.go
@@ -24,7 +24,7 @@
 
 // Wherever in its bytes the first run is cut, the client has each event once and in order: nothing is doubled at the seam, nothing is
 // missing.
-func TestARunIsCutAtEachByte(t *testing.T) {
+func TestResume_AfterBreakAtEachByte(t *testing.T) {
 	var mu sync.Mutex
 	first := map[string]int{} // by attempt: bytes of its first run; taken out when that was made
 	script := func(a *tiertest.Arrival) {
@@ -39,7 +39,7 @@
 		a.Say(wire(a.ID)[:cut])
 		a.Close()
 	}
-	r := start(t, tiertest.NewEndpoint(t, "i-a", "s", script), tiertest.NewEndpoint(t, "i-b", "s", script))
+	r := startGateway(t, tiertest.NewEndpoint(t, "i-a", "s", script), tiertest.NewEndpoint(t, "i-b", "s", script))
 	for cut := range len(wire("a-000")) + 1 {
 		id := fmt.Sprintf("a-%03d", cut)
 		mu.Lock()
@@ -48,7 +48,7 @@
 		got := r.post("/resumable/x", id, "", "b")
 		assert.NilError(t, got.Err, "cut after %d bytes", cut)
 		assert.Equal(t, got.Status, 200, "cut after %d bytes", cut)
-		assert.Equal(t, got.Body, five(), "cut after %d bytes", cut)
+		assert.Equal(t, got.Body, fiveEvents(), "cut after %d bytes", cut)
 		assert.Equal(t, got.Header.Get("X-Response-Signature"), "s."+id)
 	}
 }
--- a/internal/tier/gateway/resume_test.go
+++ b/internal/tier/gateway/resume_test.go
@@ -21,12 +21,12 @@
 	a.End()
 }
 
-// five is the whole answer of resumed.
-func five() string { return events("event 1", "event 2", "event 3", "event 4", "event 5") }
+// fiveEvents is the whole answer of resumed.
+func fiveEvents() string { return events("event 1", "event 2", "event 3", "event 4", "event 5") }
 
-// firstRun has whichever endpoint is asked first do as told, and the other one answer as resumed.
-func firstRun(t *testing.T, first func(*tiertest.Arrival)) (a, b *tiertest.Endpoint) {
-	a, b = two(t, first)
+// breakFirstAttempt has whichever endpoint is asked first do as told, and the other one answer as resumed.
+func breakFirstAttempt(t *testing.T, first func(*tiertest.Arrival)) (a, b *tiertest.Endpoint) {
+	a, b = twoEndpoints(t, first)
 	for _, e := range [][2]*tiertest.Endpoint{{a, b}, {b, a}} {
 		own, other := e[0], e[1]
 		own.SetScript(func(x *tiertest.Arrival) {
@@ -40,16 +40,16 @@
 	return a, b
 }
 
-// begins writes the first n events of the stream.
-func begins(a *tiertest.Arrival, n int) {
+// sendEvents writes the first n events of the stream.
+func sendEvents(a *tiertest.Arrival, n int) {
 	a.Head()
 	for id := 1; id <= n; id++ {
 		a.Event(id, fmt.Sprint("event ", id))
 	}
 }
 
-// ways are those in which a run can end before its answer has.
-func ways() map[string]func(*tiertest.Arrival) {
+// failureModes are those in which a run can end before its answer has.
+func failureModes() map[string]func(*tiertest.Arrival) {
 	return map[string]func(*tiertest.Arrival){
 		"reset":          (*tiertest.Arrival).Reset,
 		"close":          (*tiertest.Arrival).Close,
@@ -61,14 +61,14 @@
 }
 
 // An answer goes on at another endpoint after whatever event the first one broke off, with the head of the first.
-func TestAResumableStreamGoesOnElsewhere(t *testing.T) {
-	for name, breaks := range ways() {
+func TestResume_ContinuesElsewhere(t *testing.T) {
+	for name, breaks := range failureModes() {
 		for taken := range 6 {
 			t.Run(fmt.Sprint(name, " after ", taken), func(t *testing.T) {
 				t.Parallel()
-				a, b := firstRun(t, func(x *tiertest.Arrival) { begins(x, taken); breaks(x) })
-				r := start(t, a, b)
-				whole(t, r.post("/resumable/x", "a-1", "", "b"), 200, five())
+				a, b := breakFirstAttempt(t, func(x *tiertest.Arrival) { sendEvents(x, taken); breaks(x) })
+				r := startGateway(t, a, b)
+				assertAnswer(t, r.post("/resumable/x", "a-1", "", "b"), 200, fiveEvents())
 				assert.Equal(t, len(a.Arrivals()), 1)
 				assert.Equal(t, len(b.Arrivals()), 1)
 				for _, e := range []*tiertest.Endpoint{a, b} {
@@ -81,7 +81,7 @@
 }
 
 // The second endpoint is told where to go on, and no more runs follow than the route allows.
-func TestOnlyTheLastEventIsNamed(t *testing.T) {
+func TestResume_SendsLastEventID(t *testing.T) {
 	cut := func(x *tiertest.Arrival) {
 		after := 0
 		fmt.Sscan(x.Header.Get("Last-Event-Id"), &after)
@@ -90,7 +90,7 @@
 		x.Reset()
 	}
 	a, b, c := tiertest.NewEndpoint(t, "i-a", "s", cut), tiertest.NewEndpoint(t, "i-b", "s", cut), tiertest.NewEndpoint(t, "i-c", "s", cut)
-	r := start(t, a, b, c)
+	r := startGateway(t, a, b, c)
 	client := tiertest.Connect(t, r.ingress)
 	client.Send(tiertest.Post("/resumable/x", "a-1", "", "b"))
 	head := client.Head()
@@ -109,9 +109,9 @@
 }
 
 // A second run that does not go on where the first one ended is no part of the answer.
-func TestASeamThatDoesNotFitIsBrokenOff(t *testing.T) {
+func TestResume_AbortsAtGap(t *testing.T) {
 	for name, second := range map[string]func(*tiertest.Arrival){
-		"from the beginning": func(x *tiertest.Arrival) { begins(x, 5); x.End() },
+		"from the beginning": func(x *tiertest.Arrival) { sendEvents(x, 5); x.End() },
 		"with a gap":         func(x *tiertest.Arrival) { x.Head(); x.Event(4, "event 4"); x.End() },
 		"without ids":        func(x *tiertest.Arrival) { x.Head(); x.Say("b\r\ndata: none\n\r\n"); x.Say("1\r\n\n\r\n"); x.End() },
 		"refused":            func(x *tiertest.Arrival) { x.Bare(503, "X-Not-Executed: full\r\n") },
@@ -123,10 +123,10 @@
 					second(x)
 					return
 				}
-				begins(x, 2)
+				sendEvents(x, 2)
 				x.Reset()
 			}
-			r := start(t, tiertest.NewEndpoint(t, "i-a", "s", run), tiertest.NewEndpoint(t, "i-b", "s", run))
+			r := startGateway(t, tiertest.NewEndpoint(t, "i-a", "s", run), tiertest.NewEndpoint(t, "i-b", "s", run))
 			client := tiertest.Connect(t, r.ingress)
 			client.Send(tiertest.Post("/resumable/x", "a-1", "", "b"))
 			head := client.Head()
@@ -138,25 +138,25 @@
 }
 
 // What the client is handed is charged once, over all runs.
-func TestResumedRunsAreChargedForWhatWasHanded(t *testing.T) {
-	a, b := firstRun(t, func(x *tiertest.Arrival) { begins(x, 3); x.Reset() })
-	r := start(t, a, b)
+func TestResume_ChargedForEventsWritten(t *testing.T) {
+	a, b := breakFirstAttempt(t, func(x *tiertest.Arrival) { sendEvents(x, 3); x.Reset() })
+	r := startGateway(t, a, b)
 	ends := settled(r.turnStores.List[0])
-	whole(t, r.do(budgeted("/resumable/x", "t-1", 9, 9)), 200, five())
+	assertAnswer(t, r.do(turnWithBudget("/resumable/x", "t-1", 9, 9)), 200, fiveEvents())
 	assert.Equal(t, tiertest.Closed(t, "the reservation ends", ends).Tokens, uint64(5))
-	assert.Equal(t, r.do(budgeted("/resumable/x", "t-2", 9, 5)).Status, 402)
-	assert.Equal(t, r.do(budgeted("/resumable/x", "t-3", 9, 4)).Status, 200)
+	assert.Equal(t, r.do(turnWithBudget("/resumable/x", "t-2", 9, 5)).Status, 402)
+	assert.Equal(t, r.do(turnWithBudget("/resumable/x", "t-3", 9, 4)).Status, 200)
 }
 
 // The text of a kept turn is what its client was handed, from whichever runs.
-func TestTheTextOfAResumedTurn(t *testing.T) {
-	a, b := firstRun(t, func(x *tiertest.Arrival) { begins(x, 3); x.Reset() })
-	r := start(t, a, b)
+func TestResume_TranscriptOfTurn(t *testing.T) {
+	a, b := breakFirstAttempt(t, func(x *tiertest.Arrival) { sendEvents(x, 3); x.Reset() })
+	r := startGateway(t, a, b)
 	post := func(id, fields, body string) tiertest.Reply {
 		return r.post("/kept/x", id, "Program: p\r\n"+fields, body)
 	}
-	whole(t, post("t-1", "", "in 1;"), 200, five())
-	whole(t, post("t-2", "Previous: t-1\r\n", "in 2;"), 200, five())
+	assertAnswer(t, post("t-1", "", "in 1;"), 200, fiveEvents())
+	assertAnswer(t, post("t-2", "Previous: t-1\r\n", "in 2;"), 200, fiveEvents())
 	want := "in 1;event 1\nevent 2\nevent 3\nevent 4\nevent 5\nin 2;"
 	var texts []string
 	for _, e := range []*tiertest.Endpoint{a, b} {
@@ -169,33 +169,33 @@
 }
 
 // A client that comes back with the last event it has gets what follows. Where the text is kept, the run that makes it is a whole one.
-func TestAClientComesBackForTheRest(t *testing.T) {
-	rest := five()[len(events("event 1", "event 2")):]
+func TestResume_ClientReconnectsForRest(t *testing.T) {
+	rest := fiveEvents()[len(events("event 1", "event 2")):]
 	for target, passed := range map[string]string{"/resumable/x": "2", "/kept/x": ""} {
 		e := tiertest.NewEndpoint(t, "i-1", "s", resumed)
-		r := start(t, e)
+		r := startGateway(t, e)
 		got := r.post(target, "a-1", "Program: p\r\nLast-Event-Id: 2\r\n", "in;")
-		whole(t, got, 200, rest)
+		assertAnswer(t, got, 200, rest)
 		assert.Equal(t, e.Arrivals()[0].Header.Get("Last-Event-Id"), passed)
 		if target == "/kept/x" {
-			whole(t, r.post(target, "a-2", "Program: p\r\nPrevious: a-1\r\n", "more"), 200, five())
+			assertAnswer(t, r.post(target, "a-2", "Program: p\r\nPrevious: a-1\r\n", "more"), 200, fiveEvents())
 			assert.Equal(t, e.Arrivals()[1].Text, "in;event 1\nevent 2\nevent 3\nevent 4\nevent 5\nmore")
 		}
 	}
 }
 
 // No run follows for a client that has left.
-func TestNoRunFollowsAClientThatLeft(t *testing.T) {
+func TestResume_NoneAfterClientIsGone(t *testing.T) {
 	gone := make(chan struct{})
-	a, b := firstRun(t, func(x *tiertest.Arrival) { begins(x, 1); x.Gone(); close(gone) })
-	r := start(t, a, b)
+	a, b := breakFirstAttempt(t, func(x *tiertest.Arrival) { sendEvents(x, 1); x.Gone(); close(gone) })
+	r := startGateway(t, a, b)
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(tiertest.Post("/resumable/x", "a-1", "X-Deadline-Ms: 400\r\n", "b"))
 	head := c.Head()
 	c.Event(head.Body)
 	c.Conn.Close()
 	tiertest.Closed(t, "the endpoint's connection ends", gone)
-	whole(t, r.post("/plain/x", "a-2", "", "b"), 200, five()) // and nothing of a-1 comes in between
+	assertAnswer(t, r.post("/plain/x", "a-2", "", "b"), 200, fiveEvents()) // and nothing of a-1 comes in between
 	for _, e := range []*tiertest.Endpoint{a, b} {
 		for _, arrival := range e.Arrivals() {
 			assert.Assert(t, arrival.ID == "a-2" || arrival.Header.Get("Last-Event-Id") == "")
--- a/internal/tier/gateway/rig_test.go
+++ b/internal/tier/gateway/rig_test.go
@@ -37,8 +37,8 @@
 	return fmt.Sprintf(`{"revision":%d,"routes":[%s],"services":[{"name":"s"},{"name":"deep"}]}`, revision, strings.Join(routes, ","))
 }
 
-// rig is a gateway with all that is around it.
-type rig struct {
+// harness is a gateway with all that is around it.
+type harness struct {
 	t          *testing.T
 	s          settings.Settings
 	consensus  *tiertest.ControlPlane
@@ -49,14 +49,14 @@
 	done       chan error
 }
 
-// bare starts a gateway whose control knows nothing yet.
-func bare(t *testing.T, change ...func(*settings.Settings)) *rig {
+// startUnconfigured starts a gateway whose control knows nothing yet.
+func startUnconfigured(t *testing.T, change ...func(*settings.Settings)) *harness {
 	t.Helper()
 	s := tiertest.Settings("edge-1")
 	for _, f := range change {
 		f(&s)
 	}
-	r := &rig{t: t, s: s, consensus: tiertest.NewControlPlane(), turnStores: tiertest.NewTurnStores(t, 3), ingress: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
+	r := &harness{t: t, s: s, consensus: tiertest.NewControlPlane(), turnStores: tiertest.NewTurnStores(t, 3), ingress: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	k := gateway.New(gateway.Config{Settings: s, ControlPlane: func(string) tierv1.ControlPlane { return r.consensus }, TurnStore: func(address string) tierv1.TurnStore { return r.turnStores.Dial(address) }, Log: tiertest.Silent()})
@@ -73,19 +73,19 @@
 	return r
 }
 
-// start starts a gateway, and returns when it has taken a configuration, these endpoints and a map of turn stores: turn store 0 is
+// startGateway starts a gateway, and returns when it has taken a configuration, these endpoints and a map of turn stores: turn store 0 is
 // primary, turn store 1 backup.
-func start(t *testing.T, endpoints ...*tiertest.Endpoint) *rig {
+func startGateway(t *testing.T, endpoints ...*tiertest.Endpoint) *harness {
 	t.Helper()
-	r := bare(t)
+	r := startUnconfigured(t)
 	r.configure(r.turnStores.Assign([2]int{0, 1}), endpoints...)
 	return r
 }
 
-// startTwo starts two gateways of the same turn stores, configured as by start.
-func startTwo(t *testing.T, endpoints ...*tiertest.Endpoint) (first, second *rig) {
+// startTwoGateways starts two gateways of the same turn stores, configured as by start.
+func startTwoGateways(t *testing.T, endpoints ...*tiertest.Endpoint) (first, second *harness) {
 	t.Helper()
-	first, second = bare(t), bare(t)
+	first, second = startUnconfigured(t), startUnconfigured(t)
 	second.turnStores = first.turnStores
 	partitionMap := first.turnStores.Assign([2]int{0, 1})
 	first.configure(partitionMap, endpoints...)
@@ -94,16 +94,16 @@
 }
 
 // configure gives the gateway a configuration, these endpoints and a partition map, and returns when it has taken them.
-func (r *rig) configure(partitionMap *tierv1.PartitionMap, endpoints ...*tiertest.Endpoint) {
+func (r *harness) configure(partitionMap *tierv1.PartitionMap, endpoints ...*tiertest.Endpoint) {
 	r.t.Helper()
 	r.consensus.SetConfiguration(configurationOf(1, ""))
-	r.list(endpoints...)
+	r.listEndpoints(endpoints...)
 	r.consensus.SetPartitionMap(partitionMap)
 	r.consensus.Taken(r.t)
 }
 
-// list has the control plane list these endpoints, and no others.
-func (r *rig) list(endpoints ...*tiertest.Endpoint) {
+// listEndpoints has the control plane list these endpoints, and no others.
+func (r *harness) listEndpoints(endpoints ...*tiertest.Endpoint) {
 	var list []*tierv1.Endpoint
 	for _, e := range endpoints {
 		list = append(list, e.Entry())
@@ -111,27 +111,27 @@
 	r.consensus.SetEndpoints(list...)
 }
 
-func (r *rig) do(text string) tiertest.Reply {
+func (r *harness) do(text string) tiertest.Reply {
 	r.t.Helper()
 	return tiertest.Do(r.t, r.ingress, text)
 }
 
 // post is a request by the route of a target.
-func (r *rig) post(target, id, fields, body string) tiertest.Reply {
+func (r *harness) post(target, id, fields, body string) tiertest.Reply {
 	r.t.Helper()
 	return r.do(tiertest.Post(target, id, fields, body))
 }
 
-// turn is the text of a turn.
-func turn(id, previous, program, fields, body string) string {
+// turnRequest is the text of a turn.
+func turnRequest(id, previous, program, fields, body string) string {
 	if previous != "" {
 		fields += "Previous: " + previous + "\r\n"
 	}
 	return tiertest.Post("/turn/x", id, fields+"Program: "+program+"\r\n", body)
 }
 
-// whole checks an answer; a success must bear the endpoint's stamp.
-func whole(t *testing.T, got tiertest.Reply, status int, body string) {
+// assertAnswer checks an answer; a success must bear the endpoint's stamp.
+func assertAnswer(t *testing.T, got tiertest.Reply, status int, body string) {
 	t.Helper()
 	assert.NilError(t, got.Err)
 	assert.Equal(t, got.Status, status)
@@ -141,17 +141,17 @@
 	}
 }
 
-// promise is an answer that says that nothing has run.
-func promise(t *testing.T, got tiertest.Reply) {
+// assertNotExecuted is an answer that says that nothing has run.
+func assertNotExecuted(t *testing.T, got tiertest.Reply) {
 	t.Helper()
 	assert.NilError(t, got.Err)
 	assert.Equal(t, got.Status, 503)
 	assert.Assert(t, got.Header.Get("Retry-After") != "", "503 without Retry-After")
-	unstamped(t, got)
+	assertUnstamped(t, got)
 }
 
-// unstamped checks that an answer of the gateway's own bears no endpoint's stamp (MIXED).
-func unstamped(t *testing.T, got tiertest.Reply) {
+// assertUnstamped checks that an answer of the gateway's own bears no endpoint's stamp (MIXED).
+func assertUnstamped(t *testing.T, got tiertest.Reply) {
 	t.Helper()
 	assert.Equal(t, got.Header.Get("X-Response-Signature"), "", "status %d", got.Status)
 }
@@ -187,7 +187,7 @@
 // sendTurn sends the first turn of program p, and reads its answer but for the end.
 func sendTurn(t *testing.T, c *tiertest.Client, id string) *http.Response {
 	t.Helper()
-	c.Send(turn(id, "", "p", "", "in"))
+	c.Send(turnRequest(id, "", "p", "", "in"))
 	head := c.Head()
 	for i, data := range said(id) {
 		assert.Equal(t, c.Event(head.Body), tiertest.EventText(i+1, data))
--- a/internal/tier/gateway/send.go
+++ b/internal/tier/gateway/send.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxTries  = 8                      // tries of one request that ended before a byte was written, and sends, at most
-	watchFrom = 300 * time.Millisecond // a client is watched for its end from then on
+	maxAttempts      = 8                      // tries of one request that ended before a byte was written, and sends, at most
+	clientWatchDelay = 300 * time.Millisecond // a client is watched for its end from then on
 )
 
 // newPool makes the connections to endpoints; they may take three tenths of the process's descriptors.
@@ -28,13 +28,13 @@
 	ends := x.Header.AppendEndToEnd(make([]ingress.Field, 0, len(x.Header)+1))
 	head := make([]upstream.Field, 0, len(ends))
 	for _, f := range ends {
-		if (request.dropAfter || request.resumeAfter != "") && strings.EqualFold(f.Name, lastEventID) {
+		if (request.dropLastEventID || request.resumeAfter != "") && strings.EqualFold(f.Name, lastEventIDHeader) {
 			continue
 		}
 		head = append(head, upstream.Field(f))
 	}
-	q := &upstream.Request{Method: x.Method, Target: x.Target, Host: x.Host, Header: head, AttemptID: request.attempt,
-		Deadline: request.until, Priority: -1, Turn: request.route.Persisted, Permit: func() bool { return request.gateway.stands(choice) }}
+	q := &upstream.Request{Method: x.Method, Target: x.Target, Host: x.Host, Header: head, AttemptID: request.attemptID,
+		Deadline: request.deadline, Priority: -1, Turn: request.route.Persisted, Permit: func() bool { return request.gateway.mayStillSend(choice) }}
 	if len(request.body) > 0 {
 		q.Body = [][]byte{request.body}
 	}
@@ -43,41 +43,41 @@
 		q.ForceStream = true
 	}
 	if request.resumeAfter != "" {
-		q.Header = append(q.Header, upstream.Field{Name: lastEventID, Value: request.resumeAfter})
+		q.Header = append(q.Header, upstream.Field{Name: lastEventIDHeader, Value: request.resumeAfter})
 		q.LastEventID = request.resumeAfter
 	}
 	return q
 }
 
-// stands asks at the last moment whether the endpoint is still one that requests may go to: it is by a list that is current.
-func (gateway *Gateway) stands(choice loadbalancer.Selection) bool {
+// mayStillSend asks at the last moment whether the endpoint is still one that requests may go to: it is by a list that is current.
+func (gateway *Gateway) mayStillSend(choice loadbalancer.Selection) bool {
 	if !gateway.session.Current() {
 		return false
 	}
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
-	return gateway.serving[choice.Instance]
+	return gateway.routable[choice.Instance]
 }
 
 // send makes one send at the endpoint of choice. A result that is streaming is the caller's to finish.
 func (request *clientRequest) send(choice loadbalancer.Selection) *upstream.Result {
 	target := upstream.Target{Address: choice.Address, Instance: choice.Instance, MaxConnections: request.maxConnections()}
-	request.began = time.Now()
+	request.sentAt = time.Now()
 	r := request.gateway.pool.Call(request.ctx, target, request.upstreamRequest(choice), choice.Timeout)
 	if r.Written {
 		request.sent++
-		request.tried = append(request.tried, choice.Instance)
+		request.avoid = append(request.avoid, choice.Instance)
 	}
 	if request.resumeAfter != "" && r.Written {
 		request.gateway.counters.resumed.Add(1)
 	}
 	if r.Outcome != upstream.Streaming {
-		request.gateway.counters.countRun(r)
-		o := outcome(r, time.Since(request.began))
+		request.gateway.counters.countAttempt(r)
+		o := callOutcome(r, time.Since(request.sentAt))
 		if o.Kind == loadbalancer.NotSent && !request.gateway.session.Current() { // it says nothing of the endpoint
 			o.Kind = loadbalancer.Canceled
 		}
-		request.gateway.done(choice.Call, o)
+		request.gateway.callDone(choice.Call, o)
 	}
 	return r
 }
@@ -95,9 +95,9 @@
 	return service.MaxConnections
 }
 
-// outcome is what the load balancer is given of a call that has ended; took is from its send to its first piece, or to its
+// callOutcome is what the load balancer is given of a call that has ended; took is from its send to its first piece, or to its
 // end.
-func outcome(r *upstream.Result, took time.Duration) loadbalancer.Outcome {
+func callOutcome(r *upstream.Result, took time.Duration) loadbalancer.Outcome {
 	o := loadbalancer.Outcome{Latency: took}
 	end := r.Outcome
 	if r.Stream != nil {
@@ -109,7 +109,7 @@
 	}
 	switch end {
 	case upstream.Complete:
-		o.Kind, o.Misdirected = wholeOutcome(a)
+		o.Kind, o.Misdirected = answerOutcome(a)
 	case upstream.TimedOut:
 		o.Kind = loadbalancer.TimedOut
 		if !r.Written {
@@ -125,8 +125,8 @@
 	return o
 }
 
-// wholeOutcome is the outcome of an answer that came whole. misdirected: the endpoint is not the instance asked for.
-func wholeOutcome(a *upstream.Response) (kind loadbalancer.OutcomeKind, misdirected bool) {
+// answerOutcome is the outcome of an answer that came whole. misdirected: the endpoint is not the instance asked for.
+func answerOutcome(a *upstream.Response) (kind loadbalancer.OutcomeKind, misdirected bool) {
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
 		return loadbalancer.Gone, true
@@ -138,8 +138,8 @@
 	return loadbalancer.Failed, false
 }
 
-// firstPiece tells the load balancer that the first piece of a call's answer has come.
-func (gateway *Gateway) firstPiece(call *loadbalancer.Call) {
+// firstEvent tells the load balancer that the first piece of a call's answer has come.
+func (gateway *Gateway) firstEvent(call *loadbalancer.Call) {
 	gateway.mu.Lock()
 	gateway.loadbalancer.ResponseStarted(gateway.now(), call)
 	gateway.mu.Unlock()
@@ -147,21 +147,21 @@
 
 // mayRetry reports whether another send is allowed and has a chance.
 func (request *clientRequest) mayRetry(r *upstream.Result, tries int) bool {
-	return r.Disposition(false).MayRetry(request.repeatable()) && request.sent < request.route.MaxAttempts && tries < maxTries &&
-		time.Until(request.until) > 0
+	return r.Disposition(false).MayRetry(request.retryable()) && request.sent < request.route.MaxAttempts && tries < maxAttempts &&
+		time.Until(request.deadline) > 0
 }
 
-// finish answers the client when nothing is left to try.
-func (request *clientRequest) finish(r *upstream.Result) {
+// respond answers the client when nothing is left to try.
+func (request *clientRequest) respond(r *upstream.Result) {
 	switch r.Disposition(false).Reply {
 	case upstream.ForwardResponse:
 		request.x.Respond(r.Response.Status, fields(r.Response), r.Body)
 	case upstream.ServiceUnavailable:
-		after := request.gateway.stores.wait
+		after := request.gateway.storeClient.maxBackoff
 		if r.Response != nil && r.Response.RetryAfter > 0 {
 			after = r.Response.RetryAfter
 		}
-		request.gateway.refuse(request.x, after)
+		request.gateway.reject(request.x, after)
 	case upstream.GatewayTimeout:
 		request.x.Respond(504, nil, nil)
 	case upstream.BadGateway:
@@ -180,31 +180,31 @@
 	return head
 }
 
-// unsent answers a request for which no endpoint is to be had.
-func (request *clientRequest) unsent(choice loadbalancer.Selection) {
+// rejectUnsent answers a request for which no endpoint is to be had.
+func (request *clientRequest) rejectUnsent(choice loadbalancer.Selection) {
 	after := choice.RetryAfter
 	if after <= 0 {
-		after = request.gateway.stores.wait
+		after = request.gateway.storeClient.maxBackoff
 	}
-	request.gateway.refuse(request.x, after)
+	request.gateway.reject(request.x, after)
 }
 
-// whole sends a request whose answer is passed on when it is here whole.
-func (request *clientRequest) whole() {
+// forwardBuffered sends a request whose answer is passed on when it is here whole.
+func (request *clientRequest) forwardBuffered() {
 	var last *upstream.Result
 	for tries := 1; ; tries++ {
-		choice := request.choose()
+		choice := request.selectEndpoint()
 		if choice.Decision != loadbalancer.Send {
 			if last != nil && request.sent > 0 { // it may have run
-				request.finish(last)
+				request.respond(last)
 			} else {
-				request.unsent(choice)
+				request.rejectUnsent(choice)
 			}
 			return
 		}
 		r := request.send(choice)
 		if r.Outcome == upstream.Streaming {
-			request.pass(r, choice)
+			request.streamLargeAnswer(r, choice)
 			return
 		}
 		// What an earlier send may have done stands, whatever a later one says.
@@ -212,7 +212,7 @@
 			last = r
 		}
 		if !request.mayRetry(r, tries) {
-			request.finish(last)
+			request.respond(last)
 			return
 		}
 	}
--- a/internal/tier/gateway/serve.go
+++ b/internal/tier/gateway/serve.go
@@ -10,18 +10,18 @@
 	"saffronyard.example/saffronyard/internal/tier/routing"
 )
 
-// currentPause is from one look at whether the list of endpoints is current to the next.
-const currentPause = 10 * time.Millisecond
+// currentCheckInterval is from one look at whether the list of endpoints is current to the next.
+const currentCheckInterval = 10 * time.Millisecond
 
 // handle answers one request.
 func (gateway *Gateway) handle(x *ingress.Exchange) {
-	gateway.calls.Add(1)
-	defer gateway.calls.Add(-1)
+	gateway.activeRequests.Add(1)
+	defer gateway.activeRequests.Add(-1)
 	kind := kindNone
 	defer func() { gateway.counters.countRequest(kind, outcomeOf(x.Status(), x.Signed(), x.Complete())) }()
 	table := gateway.routing.Load()
 	if table == nil {
-		gateway.refuse(x, 500*time.Millisecond)
+		gateway.reject(x, 500*time.Millisecond)
 		return
 	}
 	route := table.Match(x.Host, x.Path)
@@ -29,8 +29,8 @@
 		x.Respond(404, nil, []byte("no route\n"))
 		return
 	}
-	request := &clientRequest{gateway: gateway, x: x, route: route, attempt: x.Header.Get("X-Attempt-Id"), body: x.Body, perEvent: 1}
-	if request.attempt == "" {
+	request := &clientRequest{gateway: gateway, x: x, route: route, attemptID: x.Header.Get("X-Attempt-Id"), body: x.Body, tokensPerEvent: 1}
+	if request.attemptID == "" {
 		x.Respond(400, nil, []byte("no X-Attempt-Id\n"))
 		return
 	}
@@ -45,51 +45,51 @@
 	}
 	request.readTokens()
 	request.readAffinity()
-	request.chooseService(table)
+	request.selectService(table)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	request.ctx = ctx
-	x.OnClientGone(watchFrom, cancel)
-	request.serve()
+	x.OnClientGone(clientWatchDelay, cancel)
+	request.forward()
 }
 
-// serve answers a request by its kind: a turn is accounted for first, a stream is passed on as it comes, and any other answer
+// forward answers a request by its kind: a turn is accounted for first, a stream is passed on as it comes, and any other answer
 // when it is here whole.
-func (request *clientRequest) serve() {
+func (request *clientRequest) forward() {
 	switch {
 	case request.route.Kind != routing.Streaming && !request.route.Persisted:
-		request.whole()
-	case request.accounted():
-		request.turn()
+		request.forwardBuffered()
+	case request.needsTurnStore():
+		request.forwardTurn()
 	default:
-		request.stream(turn{})
+		request.forwardStream(accounting{})
 	}
 }
 
-// refuse says that the request has not run and never will, and when to come back.
-func (gateway *Gateway) refuse(x *ingress.Exchange, after time.Duration) {
+// reject says that the request has not run and never will, and when to come back.
+func (gateway *Gateway) reject(x *ingress.Exchange, after time.Duration) {
 	seconds := strconv.FormatFloat(max(after, time.Millisecond).Seconds(), 'f', 3, 64)
 	x.Respond(503, []ingress.Field{{Name: "Retry-After", Value: seconds}}, nil)
 }
 
-// choose picks an endpoint for the next send, waiting a little for a place where all are taken.
-func (request *clientRequest) choose() loadbalancer.Selection {
+// selectEndpoint picks an endpoint for the next send, waiting a little for a place where all are taken.
+func (request *clientRequest) selectEndpoint() loadbalancer.Selection {
 	gateway := request.gateway
 	// A request that waits is refused within its aim, so that its client's new try may still be in time.
-	refuseAt := time.Now().Add(min(request.route.Aim/4, time.Until(request.until)/3))
+	refuseAt := time.Now().Add(min(request.route.Aim/4, time.Until(request.deadline)/3))
 	if !request.awaitCurrent(refuseAt) {
 		return loadbalancer.Selection{Decision: loadbalancer.NoEndpoint}
 	}
 	for {
 		gateway.mu.Lock()
-		choice := gateway.loadbalancer.Pick(gateway.now(), request.ask())
-		gateway.noteHealth()
+		choice := gateway.loadbalancer.Pick(gateway.now(), request.selectionCriteria())
+		gateway.queueHealthReports()
 		if choice.Decision == loadbalancer.Send || choice.Decision == loadbalancer.DeadlineTooShort {
 			gateway.mu.Unlock()
 			return choice
 		}
-		gateway.waiting++
-		freed := gateway.freed
+		gateway.waiters++
+		freed := gateway.capacityFreed
 		gateway.mu.Unlock()
 		left := time.Until(refuseAt)
 		if left <= 0 {
@@ -106,13 +106,13 @@
 	}
 }
 
-// ask is what the load balancer needs to know for the next send.
-func (request *clientRequest) ask() loadbalancer.Request {
+// selectionCriteria is what the load balancer needs to know for the next send.
+func (request *clientRequest) selectionCriteria() loadbalancer.Request {
 	route := request.route
 	return loadbalancer.Request{Route: route.Name, Service: request.service,
-		Retryable: request.repeatable() && request.sent+1 < route.MaxAttempts, FirstAttempt: request.sent == 0, InitialTimeout: request.askFirstTimeout(),
-		Remaining: time.Until(request.until), Priority: route.Priority, AffinityKey: request.affinity, StickyInstance: request.home,
-		PromptPrefixes: request.prefix, CacheTokens: request.tokens, AttemptedInstances: request.tried}
+		Retryable: request.retryable() && request.sent+1 < route.MaxAttempts, FirstAttempt: request.sent == 0, InitialTimeout: request.firstEventTimeout(),
+		Remaining: time.Until(request.deadline), Priority: route.Priority, AffinityKey: request.affinity, StickyInstance: request.preferredInstance,
+		PromptPrefixes: request.prefix, CacheTokens: request.promptTokens, AttemptedInstances: request.avoid}
 }
 
 // awaitCurrent waits until the list of endpoints is current, and tells whether it is. After a pause of this process the session
@@ -123,7 +123,7 @@
 		if left <= 0 {
 			return false
 		}
-		again := time.NewTimer(min(left, currentPause))
+		again := time.NewTimer(min(left, currentCheckInterval))
 		select {
 		case <-again.C:
 		case <-request.ctx.Done():
@@ -134,11 +134,11 @@
 	return true
 }
 
-// done tells the load balancer how a call ended, and those that wait for a place that there may be one.
-func (gateway *Gateway) done(call *loadbalancer.Call, outcome loadbalancer.Outcome) {
+// callDone tells the load balancer how a call ended, and those that wait for a place that there may be one.
+func (gateway *Gateway) callDone(call *loadbalancer.Call, outcome loadbalancer.Outcome) {
 	gateway.mu.Lock()
 	gateway.loadbalancer.Done(gateway.now(), call, outcome)
-	gateway.noteHealth()
-	gateway.wake()
+	gateway.queueHealthReports()
+	gateway.notifyWaiters()
 	gateway.mu.Unlock()
 }
--- a/internal/tier/gateway/stream_test.go
+++ b/internal/tier/gateway/stream_test.go
@@ -9,7 +9,7 @@
 	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
-func TestEventsArePassedOnAsTheyCome(t *testing.T) {
+func TestStream_EventsArePassedOnAtOnce(t *testing.T) {
 	for _, target := range []string{"/stream/x", "/turn/x"} {
 		next := make(chan struct{})
 		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
@@ -20,7 +20,7 @@
 			}
 			a.End()
 		})
-		r := start(t, e)
+		r := startGateway(t, e)
 		c := tiertest.Connect(t, r.ingress)
 		c.Send(tiertest.Post(target, "a-1", "", "b"))
 		head := c.Head()
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestAStreamThatBreaksNeverLooksComplete(t *testing.T) {
+func TestStream_BrokenNeverLooksComplete(t *testing.T) {
 	for name, breaks := range map[string]func(*tiertest.Arrival){
 		"reset":          (*tiertest.Arrival).Reset,
 		"close":          (*tiertest.Arrival).Close,
@@ -55,7 +55,7 @@
 					<-read
 					breaks(a)
 				})
-				r := start(t, e)
+				r := startGateway(t, e)
 				c := tiertest.Connect(t, r.ingress)
 				c.Send(tiertest.Post(target, "a-1", "", "b"))
 				head := c.Head()
@@ -70,7 +70,7 @@
 }
 
 // A stream that breaks as a whole block is not passed on as a whole answer either.
-func TestAStreamThatBreaksAtOnce(t *testing.T) {
+func TestStream_BrokenAtOnce(t *testing.T) {
 	for _, said := range []int{0, 1, 2} {
 		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
 			a.Head()
@@ -79,7 +79,7 @@
 			}
 			a.Close()
 		})
-		r := start(t, e)
+		r := startGateway(t, e)
 		for _, target := range []string{"/stream/x", "/turn/x"} {
 			got := r.post(target, "a"+target, "", "b")
 			assert.Assert(t, got.Err != nil || got.Status == 502, "%d events: %+v", said, got)
@@ -88,15 +88,15 @@
 	}
 }
 
-func TestAStreamWithoutEvents(t *testing.T) {
+func TestStream_WithoutEvents(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { a.Stream() })
-	r := start(t, e)
-	whole(t, r.post("/stream/x", "a-1", "", "b"), 200, "")
-	whole(t, r.post("/turn/x", "a-2", "", "b"), 200, "")
+	r := startGateway(t, e)
+	assertAnswer(t, r.post("/stream/x", "a-1", "", "b"), 200, "")
+	assertAnswer(t, r.post("/turn/x", "a-2", "", "b"), 200, "")
 }
 
 // The endpoint's connection ends with the client's, so that it drops the request.
-func TestTheClientGoes(t *testing.T) {
+func TestStream_ClientGone(t *testing.T) {
 	gone := make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
 		a.Head()
@@ -104,7 +104,7 @@
 		a.Gone()
 		close(gone)
 	})
-	r := start(t, e)
+	r := startGateway(t, e)
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(tiertest.Post("/stream/x", "a-1", "", "b"))
 	head := c.Head()
--- a/internal/tier/gateway/turn_test.go
+++ b/internal/tier/gateway/turn_test.go
@@ -24,42 +24,42 @@
 // output is what a turn that talk answered adds to a chain.
 func output(id string) string { return "one of " + id + "\ntwo of " + id + "\n" }
 
-func TestAChainIsPutTogether(t *testing.T) {
+func TestTurn_PromptFromChain(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	want := map[string]string{"t-1": "in 1;"}
-	whole(t, r.do(turn("t-1", "", "p", "", "in 1;")), 200, events(said("t-1")...))
+	assertAnswer(t, r.do(turnRequest("t-1", "", "p", "", "in 1;")), 200, events(said("t-1")...))
 	want["t-2"] = want["t-1"] + output("t-1") + "in 2;"
-	whole(t, r.do(turn("t-2", "t-1", "p", "", "in 2;")), 200, events(said("t-2")...))
+	assertAnswer(t, r.do(turnRequest("t-2", "t-1", "p", "", "in 2;")), 200, events(said("t-2")...))
 	want["t-3"] = want["t-2"] + output("t-2") + "in 3;"
-	whole(t, r.do(turn("t-3", "t-2", "p", "", "in 3;")), 200, events(said("t-3")...))
+	assertAnswer(t, r.do(turnRequest("t-3", "t-2", "p", "", "in 3;")), 200, events(said("t-3")...))
 	want["t-2b"] = want["t-1"] + output("t-1") + "in 2b;" // beside t-2
-	whole(t, r.do(turn("t-2b", "t-1", "p", "", "in 2b;")), 200, events(said("t-2b")...))
+	assertAnswer(t, r.do(turnRequest("t-2b", "t-1", "p", "", "in 2b;")), 200, events(said("t-2b")...))
 	for _, a := range e.Arrivals() {
 		assert.Equal(t, a.Text, want[a.ID], a.ID)
 	}
 	assert.Equal(t, len(e.Arrivals()), 4)
-	assert.Equal(t, r.do(turn("t-9", "t-none", "p", "", "x")).Status, 404)
+	assert.Equal(t, r.do(turnRequest("t-9", "t-none", "p", "", "x")).Status, 404)
 	assert.Equal(t, len(e.Arrivals()), 4)
 }
 
 // The data lines of an event count, joined by line feeds; what has none counts for nothing.
-func TestOnlyDataCounts(t *testing.T) {
+func TestTurn_TranscriptHasOnlyData(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
 		a.Head()
 		text := ": note\n\nid: 1\nevent: x\ndata: a\ndata:b\n\nid: 2\n\ndata:\n\ndata:  c\r\n\r\n"
 		a.Say(fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
 		a.End()
 	})
-	r := start(t, e)
-	assert.Equal(t, r.do(turn("t-1", "", "p", "", "in;")).Status, 200)
-	assert.Equal(t, r.do(turn("t-2", "t-1", "p", "", "more")).Status, 200)
+	r := startGateway(t, e)
+	assert.Equal(t, r.do(turnRequest("t-1", "", "p", "", "in;")).Status, 200)
+	assert.Equal(t, r.do(turnRequest("t-2", "t-1", "p", "", "more")).Status, 200)
 	assert.Equal(t, e.Arrivals()[1].Text, "in;a\nb\n\n c\nmore")
 }
 
-func TestTheEndLeavesOnlyWhenTheTurnIsKept(t *testing.T) {
+func TestTurn_EndOnlyWhenStored(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	asked, release := make(chan struct{}, 16), make(chan struct{})
 	var released atomic.Bool
 	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
@@ -78,13 +78,13 @@
 	rest, err := io.ReadAll(head.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, string(rest), "")
-	assert.Equal(t, r.do(turn("t-2", "t-1", "p", "", "more")).Status, 200)
+	assert.Equal(t, r.do(turnRequest("t-2", "t-1", "p", "", "more")).Status, 200)
 }
 
 // The end waits for the backup, too.
-func TestTheEndLeavesOnlyWhenTheBackupHasIt(t *testing.T) {
+func TestTurn_EndOnlyWhenBackupHasIt(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	var off atomic.Bool
 	refused := make(chan struct{}, 1000)
 	r.turnStores.List[1].SetVia(func(m tiertest.Message) error {
@@ -110,9 +110,9 @@
 	assert.NilError(t, err)
 }
 
-func TestATurnThatCannotBeKeptIsBrokenOff(t *testing.T) {
+func TestTurn_AbortedIfNotStored(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	for name, fails := range map[string]func(tiertest.Message) error{
 		"silent": func(m tiertest.Message) error { <-m.Ctx.Done(); return m.Ctx.Err() },
 		"error":  func(tiertest.Message) error { return tiertest.ErrNet },
@@ -123,16 +123,16 @@
 			}
 			return m.Serve()
 		})
-		got := r.do(turn("t-"+name, "", "p", "X-Deadline-Ms: 700\r\n", "in"))
+		got := r.do(turnRequest("t-"+name, "", "p", "X-Deadline-Ms: 700\r\n", "in"))
 		assert.Assert(t, got.Err != nil, "%s: looks complete: %+v", name, got)
 	}
 }
 
-func TestASpentBudget(t *testing.T) {
+func TestTurn_BudgetSpent(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	ask := func(id string, most int) int {
-		return r.do(turn(id, "", "p", fmt.Sprintf("Budget: 10\r\nX-Token-Usage: 5,%d\r\n", most), "in")).Status
+		return r.do(turnRequest(id, "", "p", fmt.Sprintf("Budget: 10\r\nX-Token-Usage: 5,%d\r\n", most), "in")).Status
 	}
 	assert.Equal(t, ask("t-1", 11), 402)
 	assert.Equal(t, len(e.Arrivals()), 0)
@@ -140,7 +140,7 @@
 	assert.Equal(t, ask("t-3", 9), 402)
 	assert.Equal(t, ask("t-4", 8), 200)
 	assert.Equal(t, len(e.Arrivals()), 2)
-	assert.Equal(t, r.do(turn("t-5", "", "p", "Budget: ten\r\n", "in")).Status, 400)
+	assert.Equal(t, r.do(turnRequest("t-5", "", "p", "Budget: ten\r\n", "in")).Status, 400)
 	assert.Equal(t, len(e.Arrivals()), 2)
 }
 
@@ -157,7 +157,7 @@
 	return all
 }
 
-func TestABrokenOffTurnChargesWhatWasHanded(t *testing.T) {
+func TestTurn_AbortedIsChargedForEventsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(*tiertest.Arrival, <-chan struct{})
 		charge int
@@ -169,11 +169,11 @@
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
 			e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { c.script(a, read) })
-			r := start(t, e)
+			r := startGateway(t, e)
 			ends := settled(r.turnStores.List[0])
 			const budget = "Budget: 100\r\nX-Token-Usage: 5,%d\r\n"
 			client := tiertest.Connect(t, r.ingress)
-			client.Send(turn("t-1", "", "p", fmt.Sprintf(budget, 60), "in"))
+			client.Send(turnRequest("t-1", "", "p", fmt.Sprintf(budget, 60), "in"))
 			if c.charge > 0 {
 				head := client.Head()
 				for range c.charge {
@@ -189,9 +189,9 @@
 			assert.Equal(t, got.Kept, false)
 			assert.Equal(t, got.Tokens, uint64(c.charge))
 			e.SetScript(talk)
-			assert.Equal(t, r.do(turn("t-2", "", "p", fmt.Sprintf(budget, 101-c.charge), "in")).Status, 402)
-			assert.Equal(t, r.do(turn("t-3", "", "p", fmt.Sprintf(budget, 100-c.charge), "in")).Status, 200)
-			assert.Equal(t, r.do(turn("t-4", "t-1", "p", "", "in")).Status, 404)
+			assert.Equal(t, r.do(turnRequest("t-2", "", "p", fmt.Sprintf(budget, 101-c.charge), "in")).Status, 402)
+			assert.Equal(t, r.do(turnRequest("t-3", "", "p", fmt.Sprintf(budget, 100-c.charge), "in")).Status, 200)
+			assert.Equal(t, r.do(turnRequest("t-4", "t-1", "p", "", "in")).Status, 404)
 		})
 	}
 }
@@ -205,12 +205,12 @@
 }
 
 // A client that goes pays for what it was handed.
-func TestAClientThatGoesIsCharged(t *testing.T) {
+func TestTurn_ClientGoneIsCharged(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { say(a, 2); a.Gone() })
-	r := start(t, e)
+	r := startGateway(t, e)
 	ends := settled(r.turnStores.List[0])
 	c := tiertest.Connect(t, r.ingress)
-	c.Send(turn("t-1", "", "p", "Budget: 10\r\nX-Token-Usage: 5,9\r\n", "in"))
+	c.Send(turnRequest("t-1", "", "p", "Budget: 10\r\nX-Token-Usage: 5,9\r\n", "in"))
 	head := c.Head()
 	c.Event(head.Body)
 	c.Event(head.Body)
@@ -219,63 +219,63 @@
 }
 
 // A program goes on from the turn of another one, whichever partition that lies in.
-func TestATurnOfAnotherProgram(t *testing.T) {
+func TestTurn_ContinuesAnotherProgram(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := bare(t)
+	r := startUnconfigured(t)
 	r.configure(r.turnStores.Assign([2]int{0, 1}, [2]int{1, 2}, [2]int{2, 0}), e)
-	assert.Equal(t, r.do(turn("t-1", "", "p", "", "in 1;")).Status, 200)
-	assert.Equal(t, r.do(turn("t-2", "t-1", "p", "", "in 2;")).Status, 200)
+	assert.Equal(t, r.do(turnRequest("t-1", "", "p", "", "in 1;")).Status, 200)
+	assert.Equal(t, r.do(turnRequest("t-2", "t-1", "p", "", "in 2;")).Status, 200)
 	chain := "in 1;" + output("t-1") + "in 2;" + output("t-2")
 	for i := range 12 {
 		id, program := fmt.Sprintf("u-%d", i), fmt.Sprintf("q-%d", i)
-		assert.Equal(t, r.do(turn(id, "t-2", program, "", "in 3;")).Status, 200)
+		assert.Equal(t, r.do(turnRequest(id, "t-2", program, "", "in 3;")).Status, 200)
 		assert.Equal(t, e.Arrivals()[2+2*i].Text, chain+"in 3;")
-		assert.Equal(t, r.do(turn(id+"-next", id, program, "", "in 4;")).Status, 200)
+		assert.Equal(t, r.do(turnRequest(id+"-next", id, program, "", "in 4;")).Status, 200)
 		assert.Equal(t, e.Arrivals()[3+2*i].Text, chain+"in 3;"+output(id)+"in 4;")
 	}
 }
 
-func TestNoSuchTurnOnlyWhereAllAreCertain(t *testing.T) {
+func TestTurn_NotFoundOnlyIfAllAreCertain(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := bare(t)
+	r := startUnconfigured(t)
 	r.configure(r.turnStores.Assign([2]int{0, 1}, [2]int{1, 0}, [2]int{2, 0}), e)
 	ask := func(program string) tiertest.Reply {
-		return r.do(turn("t-"+program, "t-none", program, "X-Deadline-Ms: 900\r\n", "in"))
+		return r.do(turnRequest("t-"+program, "t-none", program, "X-Deadline-Ms: 900\r\n", "in"))
 	}
 	r.turnStores.List[2].SetDark(true)
 	for i := range 6 {
-		promise(t, ask(fmt.Sprintf("p-%d", i)))
+		assertNotExecuted(t, ask(fmt.Sprintf("p-%d", i)))
 	}
 	r.turnStores.List[2].SetDark(false)
 	for i := range 6 {
-		got := r.do(turn(fmt.Sprintf("u-%d", i), "t-none", fmt.Sprintf("p-%d", i), "", "in"))
+		got := r.do(turnRequest(fmt.Sprintf("u-%d", i), "t-none", fmt.Sprintf("p-%d", i), "", "in"))
 		assert.Equal(t, got.Status, 404)
 	}
 	assert.Equal(t, len(e.Arrivals()), 0)
 }
 
-func TestNothingIsSentWithoutTheTurnStore(t *testing.T) {
+func TestTurn_NotSentWithoutTurnStore(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	for name, via := range map[string]func(tiertest.Message) error{
 		"silent": func(m tiertest.Message) error { <-m.Ctx.Done(); return m.Ctx.Err() },
 		"error":  func(tiertest.Message) error { return errors.New("no") },
 	} {
 		r.turnStores.List[0].SetVia(via)
-		promise(t, r.do(turn("t-"+name, "", "p", "X-Deadline-Ms: 600\r\n", "in")))
+		assertNotExecuted(t, r.do(turnRequest("t-"+name, "", "p", "X-Deadline-Ms: 600\r\n", "in")))
 	}
 	assert.Equal(t, len(e.Arrivals()), 0)
 }
 
 // The primary turn store loses its power while the endpoint answers; the turn is kept at the one that a new map names.
-func TestATurnStoreDiesWithinATurn(t *testing.T) {
+func TestTurn_TurnStoreDiesWithinTurn(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
-	assert.Equal(t, r.do(turn("t-1", "", "p", "", "in 1;")).Status, 200)
+	r := startGateway(t, e)
+	assert.Equal(t, r.do(turnRequest("t-1", "", "p", "", "in 1;")).Status, 200)
 	e.SetScript(pausedStream(begun, further))
 	c := tiertest.Connect(t, r.ingress)
-	c.Send(turn("t-2", "t-1", "p", "", "in 2;"))
+	c.Send(turnRequest("t-2", "t-1", "p", "", "in 2;"))
 	tiertest.Closed(t, "the stream begins", begun)
 	r.turnStores.List[0].SetDark(true)
 	close(further)
@@ -287,14 +287,14 @@
 	_, err := io.ReadAll(head.Body)
 	assert.NilError(t, err)
 	e.SetScript(talk)
-	assert.Equal(t, r.do(turn("t-3", "t-2", "p", "", "in 3;")).Status, 200)
+	assert.Equal(t, r.do(turnRequest("t-3", "t-2", "p", "", "in 3;")).Status, 200)
 	assert.Equal(t, e.Arrivals()[2].Text, "in 1;"+output("t-1")+"in 2;one\ntwo\nin 3;")
 }
 
 // A new map ends a call to a turn store that says nothing: the turn need not wait for it.
-func TestANewMapEndsACallToASilentTurnStore(t *testing.T) {
+func TestStoreClient_NewMapEndsCallToUnresponsiveStore(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
-	r := start(t, e)
+	r := startGateway(t, e)
 	asked := make(chan context.Context, 100)
 	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
 		asked <- m.Ctx
@@ -302,10 +302,10 @@
 		return m.Ctx.Err()
 	})
 	c := tiertest.Connect(t, r.ingress)
-	c.Send(turn("t-1", "", "p", "", "in"))
+	c.Send(turnRequest("t-1", "", "p", "", "in"))
 	call := tiertest.Closed(t, "the turn store is asked", asked)
 	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{1, 2}))
-	whole(t, c.Whole(), 200, events(said("t-1")...))
+	assertAnswer(t, c.Whole(), 200, events(said("t-1")...))
 	until, ok := call.Deadline()
 	assert.Assert(t, ok && errors.Is(call.Err(), context.Canceled), "ended by %v, its time by %v", call.Err(), time.Until(until))
 }
--- a/internal/tier/gateway/turnclient.go
+++ b/internal/tier/gateway/turnclient.go
@@ -17,8 +17,8 @@
 	return &TurnClient{newStoreClient(s, dial, l)}
 }
 
-// Apply takes a newer map in.
-func (client *TurnClient) Apply(m *tierv1.PartitionMap) { client.stores.apply(m) }
+// ApplyPartitionMap takes a newer map in.
+func (client *TurnClient) ApplyPartitionMap(m *tierv1.PartitionMap) { client.stores.apply(m) }
 
 // Ready tells whether a map has come.
 func (client *TurnClient) Ready() bool { return client.stores.ready() }
--- a/internal/tier/simulation/gateway.go
+++ b/internal/tier/simulation/gateway.go
@@ -68,7 +68,7 @@
 	if !g.process.over() {
 		g.process.machine.world.checks.views.tookMap(g.process.machine.name, g.process, t)
 	}
-	g.client.Apply(t)
+	g.client.ApplyPartitionMap(t)
 }
 
 // sample looks again and again at what the gateway holds.
