--- a/cmd/saffronyard/ask.go
+++ b/cmd/saffronyard/ask.go
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	if by != "" {
-		req.Header.Set(fleet.ByHeader, by)
+		req.Header.Set(fleet.AuthorHeader, by)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
--- a/cmd/saffronyard/fleet.go
+++ b/cmd/saffronyard/fleet.go
@@ -96,8 +96,8 @@
 		}
 		return a.show(c, r.Members, func(w io.Writer) {
 			for _, m := range r.Members {
-				word := "speaks " + strconv.Itoa(int(m.Speaks))
-				if m.Gone {
+				word := "speaks " + strconv.Itoa(int(m.MaxCommandKind))
+				if m.Removed {
 					word = "gone for good"
 				}
 				fmt.Fprintf(w, "%s\t%s\n", m.Name, word)
@@ -168,43 +168,43 @@
 
 func printStatus(w io.Writer, r fleet.Report) {
 	word := "begins no call: it is cut off"
-	if r.Acts {
+	if r.MayAct {
 		word = fmt.Sprintf("acts, with %v of its lease left", time.Duration(r.LeaseMS)*time.Millisecond)
 	}
 	if r.Unfit != "" {
 		word = "begins no call: " + r.Unfit
 	}
 	fmt.Fprintf(w, "%s of cluster %q\t%s\n", r.Name, r.Cluster, word)
-	fmt.Fprintf(w, "state\tto entry %d, policy version %d; a voter's word came %v ago\n", r.Index, r.Policy.Version, time.Duration(r.HeardMS)*time.Millisecond)
-	if r.Follows != "" {
-		fmt.Fprintf(w, "follows\t%s\n", r.Follows)
+	fmt.Fprintf(w, "state\tto entry %d, policy version %d; a voter's word came %v ago\n", r.Index, r.Policy.Version, time.Duration(r.AgeMS)*time.Millisecond)
+	if r.Followed != "" {
+		fmt.Fprintf(w, "follows\t%s\n", r.Followed)
 	}
 	fmt.Fprintf(w, "a change waits\tfor one that is cut off: %s\n", r.Bound)
 	if v := r.Voter; v != nil {
 		switch {
 		case v.Failed != "":
 			fmt.Fprintf(w, "voter\tno longer: %s\n", v.Failed)
-		case v.WaitsFor != "":
-			fmt.Fprintf(w, "voter\ttakes no part yet: it waits for the word of%s\n", v.WaitsFor)
-		case v.Leads:
-			fmt.Fprintf(w, "voter\tleads in term %d, to entry %d\n", v.Term, v.Applied)
+		case v.MissingVoters != "":
+			fmt.Fprintf(w, "voter\ttakes no part yet: it waits for the word of%s\n", v.MissingVoters)
+		case v.IsLeader:
+			fmt.Fprintf(w, "voter\tleads in term %d, to entry %d\n", v.Term, v.AppliedIndex)
 		default:
-			fmt.Fprintf(w, "voter\tin term %d, to entry %d; %s leads\n", v.Term, v.Applied, or(v.Leader, "nobody"))
+			fmt.Fprintf(w, "voter\tin term %d, to entry %d; %s leads\n", v.Term, v.AppliedIndex, or(v.Leader, "nobody"))
 		}
-		if v.Old != "" {
-			fmt.Fprintf(w, "folder\tolder than what it promised: %s\n", v.Old)
+		if v.StaleReason != "" {
+			fmt.Fprintf(w, "folder\tolder than what it promised: %s\n", v.StaleReason)
 		}
 		for _, l := range v.Leases {
-			fmt.Fprintf(w, "lease\t%s: %v left, acts at %d or later\n", l.Name, time.Duration(l.LeftMS)*time.Millisecond, l.Acts)
+			fmt.Fprintf(w, "lease\t%s: %v left, acts at %d or later\n", l.Name, time.Duration(l.RemainingMS)*time.Millisecond, l.ActingIndex)
 		}
-		for _, h := range v.Waits {
-			fmt.Fprintf(w, "the change waits\t%s %s: %v until its lease has lapsed\n", or(h.Name, "holders of an earlier leader's leases"), h.For, h.Left.Round(time.Millisecond))
+		for _, h := range v.WaitingOn {
+			fmt.Fprintf(w, "the change waits\t%s %s: %v until its lease has lapsed\n", or(h.Name, "holders of an earlier leader's leases"), h.Reason, h.Remaining.Round(time.Millisecond))
 		}
 	}
 	for _, s := range r.Rings {
 		fmt.Fprintf(w, "ring %s\t%d of %d, at most %d; %d dropped\n", s.Name, s.Length, s.Capacity, s.HighWatermark, s.Dropped)
 	}
-	for _, d := range r.Duties {
+	for _, d := range r.Workers {
 		state := fmt.Sprintf("%d turns, the longest %v", d.Steps, time.Duration(d.LongestStepUS)*time.Microsecond)
 		if d.ExitReason != "" {
 			state = "ended: " + d.ExitReason
@@ -308,9 +308,9 @@
 				if o.Frozen {
 					phase = "is about to take hold"
 				}
-				fmt.Fprintf(w, "change %d by %s %s: %s\n", o.ID, o.By, phase, or(o.Why, "no reason is given"))
-				for _, h := range o.Waits {
-					fmt.Fprintf(w, "it waits for %s %s, whose lease has %v left\n", or(h.Name, "holders of an earlier leader's leases"), h.For, h.Left.Round(time.Millisecond))
+				fmt.Fprintf(w, "change %d by %s %s: %s\n", o.ID, o.Author, phase, or(o.Reason, "no reason is given"))
+				for _, h := range o.WaitingOn {
+					fmt.Fprintf(w, "it waits for %s %s, whose lease has %v left\n", or(h.Name, "holders of an earlier leader's leases"), h.Reason, h.Remaining.Round(time.Millisecond))
 				}
 			}
 		})
@@ -320,13 +320,13 @@
 		if err != nil {
 			return err
 		}
-		return a.show(c, r.Policy.Past, func(w io.Writer) {
-			for _, p := range r.Policy.Past {
+		return a.show(c, r.Policy.History, func(w io.Writer) {
+			for _, p := range r.Policy.History {
 				what := fmt.Sprintf("version %d", p.Version)
 				if p.Version == 0 {
-					what = "aborted: " + p.Ended
+					what = "aborted: " + p.AbortReason
 				}
-				fmt.Fprintf(w, "change %d\tby %s\t%s\t%s\n", p.ID, p.By, what, p.Why)
+				fmt.Fprintf(w, "change %d\tby %s\t%s\t%s\n", p.ID, p.Author, what, p.Reason)
 			}
 		})
 	}}
@@ -371,7 +371,7 @@
 	if version == 0 {
 		return 0, "", nil // before the first document
 	}
-	for _, p := range r.Policy.Past {
+	for _, p := range r.Policy.History {
 		if p.Version == version {
 			if p.Document == "" && version != r.Policy.Version {
 				return 0, "", fmt.Errorf("the document of version %d is kept no longer", version)
@@ -397,12 +397,12 @@
 		counts[fleetpolicy.Call{Destination: h.Destination, Tenant: h.Tenant}] += h.Messages
 	}
 	lines := fleetpolicy.Diff(was, p)
-	total, by := fleetpolicy.Touches(was, p).Affects(counts)
+	total, by := fleetpolicy.AffectedBySwitch(was, p).CountMessages(counts)
 	return a.show(c, struct {
-		Base    uint64              `json:"base"`
-		Lines   []string            `json:"lines"`
-		Touched int                 `json:"held_messages_touched"`
-		By      []fleetpolicy.Count `json:"by_destination,omitempty"`
+		Base    uint64                     `json:"base"`
+		Lines   []string                   `json:"lines"`
+		Touched int                        `json:"held_messages_touched"`
+		By      []fleetpolicy.MessageCount `json:"by_destination,omitempty"`
 	}{r.Policy.Version, lines, total, by}, func(w io.Writer) {
 		if len(lines) == 0 {
 			fmt.Fprintf(w, "nothing differs from version %d\n", r.Policy.Version)
@@ -432,12 +432,12 @@
 		if err != nil {
 			return fmt.Errorf("change %d is handed in; how it ends is not known: %w", in.Change, err)
 		}
-		for _, p := range r.Policy.Past {
+		for _, p := range r.Policy.History {
 			if p.ID != in.Change {
 				continue
 			}
 			if p.Version == 0 {
-				return fmt.Errorf("change %d is %w: %s", in.Change, errAborted, p.Ended)
+				return fmt.Errorf("change %d is %w: %s", in.Change, errAborted, p.AbortReason)
 			}
 			return a.show(c, p, func(w io.Writer) { fmt.Fprintf(w, "version %d is in force\n", p.Version) })
 		}
@@ -459,8 +459,8 @@
 	if o.Frozen {
 		line = "it is about to take hold"
 	}
-	for _, w := range o.Waits {
-		line += fmt.Sprintf("; waits for %s %s, whose lease has %v left", or(w.Name, "holders of an earlier leader's leases"), w.For, w.Left.Round(time.Second))
+	for _, w := range o.WaitingOn {
+		line += fmt.Sprintf("; waits for %s %s, whose lease has %v left", or(w.Name, "holders of an earlier leader's leases"), w.Reason, w.Remaining.Round(time.Second))
 	}
 	return line
 }
--- a/cmd/saffronyard/limits.go
+++ b/cmd/saffronyard/limits.go
@@ -28,7 +28,7 @@
 		return a.show(c, all, func(w io.Writer) {
 			fmt.Fprintln(w, "LIMIT\tIS\tIN CHARGE\tHELD HERE\tIN USE\tWAITS\tUSED\tREFUSED")
 			for _, l := range all {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\n", l.Key, l.Words, or(l.Authority, "nobody yet"), l.Holds, l.Busy, l.Waiting, l.Used, l.Refused)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\n", l.Key, l.Description, or(l.Owner, "nobody yet"), l.Granted, l.InUse, l.Waiting, l.Used, l.Rejected)
 			}
 		})
 	}}
@@ -63,7 +63,7 @@
 				fmt.Fprintf(w, "no limit of the fleet names destination %s\n", args[0])
 			}
 			for _, l := range of {
-				fmt.Fprintf(w, "%s\t%s\n", l.Key, l.Words)
+				fmt.Fprintf(w, "%s\t%s\n", l.Key, l.Description)
 				fmt.Fprintf(w, "\t%s\n", why(l))
 			}
 		})
@@ -77,33 +77,33 @@
 	switch {
 	case l.Waiting == 0:
 		return "nothing waits for it here"
-	case l.Holds == 0 && l.Authority == "":
+	case l.Granted == 0 && l.Owner == "":
 		return "nobody is in charge of it yet: senders are not heard of by a majority"
-	case l.Holds == 0 && l.QuietMS > 0:
-		return fmt.Sprintf("%s is in charge of it, and waits %v more until it knows what an earlier one lent", l.Authority, time.Duration(l.QuietMS)*time.Millisecond)
-	case l.Holds == 0:
-		return fmt.Sprintf("nothing is held here: %s, which is in charge, lends it to others, or can't be reached", l.Authority)
-	case l.Busy >= l.Holds:
-		return fmt.Sprintf("all %d that are held here are in use, or rest", l.Holds)
+	case l.Granted == 0 && l.GraceMS > 0:
+		return fmt.Sprintf("%s is in charge of it, and waits %v more until it knows what an earlier one lent", l.Owner, time.Duration(l.GraceMS)*time.Millisecond)
+	case l.Granted == 0:
+		return fmt.Sprintf("nothing is held here: %s, which is in charge, lends it to others, or can't be reached", l.Owner)
+	case l.InUse >= l.Granted:
+		return fmt.Sprintf("all %d that are held here are in use, or rest", l.Granted)
 	}
-	return fmt.Sprintf("%d of %d that are held here are free: the limit holds nothing back", l.Holds-l.Busy, l.Holds)
+	return fmt.Sprintf("%d of %d that are held here are free: the limit holds nothing back", l.Granted-l.InUse, l.Granted)
 }
 
 func printLimit(w io.Writer, l fleet.LimitReport) {
-	fmt.Fprintf(w, "%s\t%s\n", l.Key, l.Words)
+	fmt.Fprintf(w, "%s\t%s\n", l.Key, l.Description)
 	fmt.Fprintf(w, "bound\t%s\n", l.Bound)
-	fmt.Fprintf(w, "in charge\t%s\n", or(l.Authority, "nobody yet"))
-	fmt.Fprintf(w, "here\t%d held, %v left; %d in use or at rest; %d wait; %d used, %d calls held back\n", l.Holds, time.Duration(l.LeftMS)*time.Millisecond, l.Busy, l.Waiting, l.Used, l.Refused)
-	if l.Turns {
+	fmt.Fprintf(w, "in charge\t%s\n", or(l.Owner, "nobody yet"))
+	fmt.Fprintf(w, "here\t%d held, %v left; %d in use or at rest; %d wait; %d used, %d calls held back\n", l.Granted, time.Duration(l.RemainingMS)*time.Millisecond, l.InUse, l.Waiting, l.Used, l.Rejected)
+	if l.Rotating {
 		fmt.Fprintf(w, "\tthere are not enough for all: units go by turns\n")
 	}
-	if l.Out != nil {
-		fmt.Fprintf(w, "lent\t%d of %d are lent or at rest\n", *l.Out, l.Units)
-		if l.QuietMS > 0 {
-			fmt.Fprintf(w, "\tnothing new is lent for %v: what an earlier authority lent may last\n", time.Duration(l.QuietMS)*time.Millisecond)
+	if l.Outstanding != nil {
+		fmt.Fprintf(w, "lent\t%d of %d are lent or at rest\n", *l.Outstanding, l.Units)
+		if l.GraceMS > 0 {
+			fmt.Fprintf(w, "\tnothing new is lent for %v: what an earlier authority lent may last\n", time.Duration(l.GraceMS)*time.Millisecond)
 		}
-		for _, h := range l.Lent {
-			fmt.Fprintf(w, "%s\t%d held, %d at rest, free in %v at the latest; wants %d\n", h.Name, h.Units, h.Rests, time.Duration(h.LeftMS)*time.Millisecond, h.Want)
+		for _, h := range l.Grants {
+			fmt.Fprintf(w, "%s\t%d held, %d at rest, free in %v at the latest; wants %d\n", h.Name, h.Units, h.Cooling, time.Duration(h.RemainingMS)*time.Millisecond, h.Wanted)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 		if err != nil {
 			return err
 		}
-		l.Span, l.Lasts, l.Transit = tomlfile.Span(span), tomlfile.Span(lasts), tomlfile.Span(transit)
+		l.Span, l.MaxCallTime, l.TransitJitter = tomlfile.Span(span), tomlfile.Span(lasts), tomlfile.Span(transit)
 		raw, err := fleetpolicy.WithLimit([]byte(r.Policy.Document), d, l, none)
 		if err != nil {
 			return err
@@ -140,13 +140,13 @@
 	f := c.Flags()
 	f.Float64Var(&l.Calls, "calls", 0, "calls in a span")
 	f.Int64Var(&l.Bytes, "bytes", 0, "bytes of messages in a span")
-	f.Int64Var(&l.AtOnce, "at-once", 0, "calls at once")
-	f.Int64Var(&l.ADay, "a-day", 0, "calls in a day")
+	f.Int64Var(&l.Concurrent, "at-once", 0, "calls at once")
+	f.Int64Var(&l.Daily, "a-day", 0, "calls in a day")
 	f.DurationVar(&span, "span", 0, "of calls and bytes; default 1s")
 	f.DurationVar(&lasts, "lasts", 0, "with --at-once: no call lasts longer")
 	f.DurationVar(&transit, "transit", 0, "by so much may the ways of two calls differ; default 20ms")
-	f.Int64Var(&l.Over, "over", 0, "each sender that is cut off may go so much beyond")
-	f.BoolVar(&l.Learn, "learn", false, "what the receiver tells counts where it is lower")
+	f.Int64Var(&l.CutOffExtra, "over", 0, "each sender that is cut off may go so much beyond")
+	f.BoolVar(&l.Adaptive, "learn", false, "what the receiver tells counts where it is lower")
 	f.BoolVar(&none, "none", false, "no limit of it any more")
 	f.StringVar(&why, "why", "", "the reason, kept with it")
 	f.DurationVar(&wait, "wait", 30*time.Second, "give up if it is not staged everywhere by then")
--- a/cmd/saffronyard/limits_test.go
+++ b/cmd/saffronyard/limits_test.go
@@ -15,12 +15,12 @@
 
 // startsFromFull makes a wrong authority: it lends all units at once, whatever an earlier one has lent.
 func startsFromFull(c *fleet.Config) {
-	c.Quiet = func(time.Duration) time.Duration { return -time.Hour }
+	c.QuotaGrace = func(time.Duration) time.Duration { return -time.Hour }
 }
 
 // keepsLoans makes a wrong holder, whose loans last twenty times as long.
 func keepsLoans(c *fleet.Config) {
-	c.Loan = func(d time.Duration) time.Duration { return 20 * d }
+	c.GrantDuration = func(d time.Duration) time.Duration { return 20 * d }
 }
 
 // rationRun plays a day of processes of the program that share a limit out.
--- a/cmd/saffronyard/main.go
+++ b/cmd/saffronyard/main.go
@@ -234,7 +234,7 @@
 					if err != nil {
 						return fmt.Errorf("the fleet's keys are kept as they were: %w", err)
 					}
-					node.Keys(keys)
+					node.SetKeys(keys)
 					return nil
 				})
 			}
--- a/cmd/saffronyard/verdicts.go
+++ b/cmd/saffronyard/verdicts.go
@@ -16,7 +16,7 @@
 // verdicts are the commands on what the fleet holds of receivers.
 func (a *atSender) verdicts() *cobra.Command {
 	top := &cobra.Command{Use: "verdicts", Short: "what all senders hold of receivers together", RunE: needsVerb}
-	reports := func() (all []fleet.VerdictReport, err error) {
+	reports := func() (all []fleet.HealthReport, err error) {
 		return all, a.ask(http.MethodGet, "/verdicts", nil, &all)
 	}
 	list := &cobra.Command{Use: "list", Short: "the verdicts that stand at this sender", Args: exactly(), RunE: func(c *cobra.Command, _ []string) error {
@@ -27,7 +27,7 @@
 		return a.show(c, all, func(w io.Writer) {
 			fmt.Fprintln(w, "DESTINATION\tIS\tBY\tIN CHARGE\tWHY")
 			for _, v := range all {
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", v.Destination, v.Verdict, v.By, or(v.Authority, "-"), v.Why)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", v.Destination, v.Status, v.Author, or(v.Owner, "-"), v.Reason)
 			}
 		})
 	}}
@@ -40,7 +40,7 @@
 		if err != nil {
 			return err
 		}
-		of := []fleet.VerdictReport{}
+		of := []fleet.HealthReport{}
 		for _, v := range all {
 			if v.Destination == d {
 				of = append(of, v)
@@ -52,12 +52,12 @@
 			}
 			for _, v := range of {
 				lasts := "until it is lifted"
-				if v.LastsMS > 0 {
-					lasts = fmt.Sprintf("for %v, unless it is said again", time.Duration(v.LastsMS)*time.Millisecond)
+				if v.TTLMS > 0 {
+					lasts = fmt.Sprintf("for %v, unless it is said again", time.Duration(v.TTLMS)*time.Millisecond)
 				}
-				fmt.Fprintf(w, "%s\tby %s: %s\n", v.Verdict, v.By, or(v.Why, "no reason is given"))
-				fmt.Fprintf(w, "since\tentry %d, said last in entry %d; it lasts %s\n", v.Since, v.At, lasts)
-				fmt.Fprintf(w, "in charge\t%s\n", or(v.Authority, "a person"))
+				fmt.Fprintf(w, "%s\tby %s: %s\n", v.Status, v.Author, or(v.Reason, "no reason is given"))
+				fmt.Fprintf(w, "since\tentry %d, said last in entry %d; it lasts %s\n", v.StartIndex, v.UpdateIndex, lasts)
+				fmt.Fprintf(w, "in charge\t%s\n", or(v.Owner, "a person"))
 				fmt.Fprintf(w, "bound\t%s\n", v.Bound)
 			}
 		})
--- a/internal/features/fleet.go
+++ b/internal/features/fleet.go
@@ -31,11 +31,11 @@
 // Config is what the file says; host is where clients connect, which an address without a host means.
 func (f *Fleet) Config(name, host string) fleet.Config {
 	c := fleet.Config{Name: name, Cluster: f.Cluster, Listen: peers.WithHost(f.Listen, host), Folder: f.Folder}
-	c.Terms.Duration, c.Lend, c.Reach = f.Lease.D(), f.Lend.D(), reaches(f.Reach)
+	c.LeaseTerms.Duration, c.QuotaDuration, c.Reach = f.Lease.D(), f.Lend.D(), reaches(f.Reach)
 	for _, v := range f.Voters {
 		c.Voters = append(c.Voters, fleet.Voter(v))
 	}
-	c.Defaults()
+	c.ApplyDefaults()
 	return c
 }
 
@@ -44,17 +44,17 @@
 
 func (f *Fleet) check(c checker) error {
 	set(&f.Listen, ":7948")
-	set(&f.Lease, tomlfile.Span(fleet.LengthDefault))
+	set(&f.Lease, tomlfile.Span(fleet.DefaultLeaseDuration))
 	// One key after another is put into a sound configuration, so that the error names the line.
 	for _, one := range []struct {
 		key  string
 		edit func(*fleet.Config)
 	}{{"cluster", func(c *fleet.Config) { c.Cluster = f.Cluster }}, {"listen", func(c *fleet.Config) { c.Listen = peers.WithHost(f.Listen, "127.0.0.1") }},
-		{"lease", func(c *fleet.Config) { c.Terms.Duration = f.Lease.D() }},
-		{"lend", func(c *fleet.Config) { c.Terms.Duration, c.Lend = f.Lease.D(), f.Lend.D() }}, {"reach", func(c *fleet.Config) { c.Reach = reaches(f.Reach) }},
+		{"lease", func(c *fleet.Config) { c.LeaseTerms.Duration = f.Lease.D() }},
+		{"lend", func(c *fleet.Config) { c.LeaseTerms.Duration, c.QuotaDuration = f.Lease.D(), f.Lend.D() }}, {"reach", func(c *fleet.Config) { c.Reach = reaches(f.Reach) }},
 		{"voter", func(c *fleet.Config) { c.Voters = f.Config("n", "127.0.0.1").Voters }}} {
 		sound := fleet.Config{Name: "n", Cluster: "c", Listen: "127.0.0.1:0", Voters: []fleet.Voter{{Name: "n", Address: "127.0.0.1:1"}}}
-		sound.Defaults()
+		sound.ApplyDefaults()
 		one.edit(&sound)
 		if err := sound.Check(); err != nil {
 			return c.at("fleet", 0, one.key, "%w", err)
--- a/internal/fleet/feed.go
+++ b/internal/fleet/feed.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	feedMost  = 20_000 // entries that a voter keeps for those that follow; one that is further behind is told a snapshot
-	pieceMost = 500    // entries in a piece
-	pieceRoom = 1 << 20
+	maxFeedEntries  = 20_000 // entries that a voter keeps for those that follow; one that is further behind is told a snapshot
+	maxChunkEntries = 500    // entries in a piece
+	maxChunkBytes   = 1 << 20
 )
 
 // feed is the committed log as those follow it that are no voters; the voter's own copy as well.
 type feed struct {
-	mu       sync.Mutex
-	base     uint64 // index that the snapshot is of, or the first entry is behind
-	snapshot []byte // nil: entries from 1 on are all there are
-	entries  []*pb.Entry
-	changed  chan struct{} // closed with each change
+	mu        sync.Mutex
+	baseIndex uint64 // index that the snapshot is of, or the first entry is behind
+	snapshot  []byte // nil: entries from 1 on are all there are
+	entries   []*pb.Entry
+	changed   chan struct{} // closed with each change
 }
 
 func newFeed() *feed { return &feed{changed: make(chan struct{})} }
@@ -30,38 +30,38 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c.Snapshot != nil {
-		f.base, f.snapshot, f.entries = replicatedlog.SnapshotIndex(c.Snapshot), c.Snapshot, nil
+		f.baseIndex, f.snapshot, f.entries = replicatedlog.SnapshotIndex(c.Snapshot), c.Snapshot, nil
 	}
 	f.entries = append(f.entries, c.Entries...)
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// cut lets go of what lies before a snapshot, once that is much.
-func (f *feed) cut(snapshot []byte) {
+// compact lets go of what lies before a snapshot, once that is much.
+func (f *feed) compact(snapshot []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.entries) < feedMost {
+	if len(f.entries) < maxFeedEntries {
 		return
 	}
 	at := replicatedlog.SnapshotIndex(snapshot)
-	if at <= f.base || at > f.base+uint64(len(f.entries)) {
+	if at <= f.baseIndex || at > f.baseIndex+uint64(len(f.entries)) {
 		return
 	}
-	f.entries = append([]*pb.Entry(nil), f.entries[at-f.base:]...)
-	f.base, f.snapshot = at, snapshot
+	f.entries = append([]*pb.Entry(nil), f.entries[at-f.baseIndex:]...)
+	f.baseIndex, f.snapshot = at, snapshot
 }
 
 // after gives what comes behind an index, up to a piece; and what is closed when there is more.
 func (f *feed) after(index uint64) (p *pb.LogChunk, changed chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p = &pb.LogChunk{CommitIndex: f.base + uint64(len(f.entries))}
-	if index < f.base {
-		p.Snapshot, index = f.snapshot, f.base
+	p = &pb.LogChunk{CommitIndex: f.baseIndex + uint64(len(f.entries))}
+	if index < f.baseIndex {
+		p.Snapshot, index = f.snapshot, f.baseIndex
 	}
 	size := len(p.Snapshot)
-	for i := index - f.base; i < uint64(len(f.entries)) && len(p.Entries) < pieceMost && size < pieceRoom; i++ {
+	for i := index - f.baseIndex; i < uint64(len(f.entries)) && len(p.Entries) < maxChunkEntries && size < maxChunkBytes; i++ {
 		p.Entries = append(p.Entries, f.entries[i])
 		size += len(f.entries[i].Command)
 	}
--- a/internal/fleet/gate.go
+++ b/internal/fleet/gate.go
@@ -12,52 +12,52 @@
 // Gate is what calls pass before they are written, from any goroutine, without a lock. A call that has passed is inside until it
 // says that it is written: a view is not left behind while one that it let through waits.
 type Gate struct {
-	now   func() time.Duration
-	rough func() time.Duration // as now, cheaper, and behind it by how long the machine slept since the last lease
-	until atomic.Int64         // of the lease; counted with now
-	room  atomic.Pointer[room]
+	now        func() time.Duration
+	coarseNow  func() time.Duration // as now, cheaper, and behind it by how long the machine slept since the last lease
+	leaseUntil atomic.Int64         // of the lease; counted with now
+	generation atomic.Pointer[generation]
 }
 
-// room is those that were let through under a view.
-type room struct {
-	view    atomic.Pointer[fleetpolicy.View] // its index moves on while it stays the same to each call
-	inside  atomic.Int64
-	leave   func()        // left, made once
-	empty   chan struct{} // holds a word when it may be empty
-	closing atomic.Bool
+// generation is those that were let through under a view.
+type generation struct {
+	view        atomic.Pointer[fleetpolicy.View] // its index moves on while it stays the same to each call
+	admitted    atomic.Int64
+	releaseFunc func()        // left, made once
+	drained     chan struct{} // holds a word when it may be empty
+	closing     atomic.Bool
 }
 
 // NewGate makes a gate that lets nothing through yet.
-func NewGate(now func() time.Duration) *Gate { return &Gate{now: now, rough: now} }
+func NewGate(now func() time.Duration) *Gate { return &Gate{now: now, coarseNow: now} }
 
-// Enter asks whether a call may be written now; leave is to be called when it is, and why says what stands against it.
-func (g *Gate) Enter(c fleetpolicy.Call) (leave func(), why string) {
+// Admit asks whether a call may be written now; leave is to be called when it is, and why says what stands against it.
+func (g *Gate) Admit(c fleetpolicy.Call) (leave func(), why string) {
 	for {
-		r := g.room.Load()
+		r := g.generation.Load()
 		if r == nil {
 			return nil, "the fleet's policy is not known yet"
 		}
-		r.inside.Add(1)
-		if g.room.Load() != r { // replaced meanwhile: nobody may have seen us inside
-			r.left()
+		r.admitted.Add(1)
+		if g.generation.Load() != r { // replaced meanwhile: nobody may have seen us inside
+			r.release()
 			continue
 		}
 		v := r.view.Load()
-		ok, why := v.May(c)
+		ok, why := v.Allows(c)
 		if ok && !g.acts(v, g.now()) {
 			ok, why = false, "this sender is cut off from the fleet"
 		}
 		if !ok {
-			r.left()
+			r.release()
 			return nil, why
 		}
-		return r.leave, ""
+		return r.releaseFunc, ""
 	}
 }
 
 // current is what calls go by, whether or not any are begun; nil while nothing is known. It asks no clock.
 func (g *Gate) current() *fleetpolicy.View {
-	if r := g.room.Load(); r != nil {
+	if r := g.generation.Load(); r != nil {
 		return r.view.Load()
 	}
 	return nil
@@ -65,14 +65,14 @@
 
 // acts reports whether the lease lasts, at this very moment; or whether the policy has senders go on without one.
 func (g *Gate) acts(v *fleetpolicy.View, now time.Duration) bool {
-	until := time.Duration(g.until.Load())
-	return until > 0 && now < until+v.Policy.GoesOn()
+	until := time.Duration(g.leaseUntil.Load())
+	return until > 0 && now < until+v.Policy.CutOffGrace()
 }
 
-func (r *room) left() {
-	if r.inside.Add(-1) == 0 && r.closing.Load() {
+func (r *generation) release() {
+	if r.admitted.Add(-1) == 0 && r.closing.Load() {
 		select {
-		case r.empty <- struct{}{}:
+		case r.drained <- struct{}{}:
 		default:
 		}
 	}
@@ -80,34 +80,34 @@
 
 // View is what calls go by, and whether they are begun at all, by the rough clock: what is taken on by it is asked again by Enter.
 func (g *Gate) View() (v *fleetpolicy.View, acts bool) {
-	r := g.room.Load()
+	r := g.generation.Load()
 	if r == nil {
 		return nil, false
 	}
 	v = r.view.Load()
-	return v, v.Unfit == nil && g.acts(v, g.rough())
+	return v, v.Unfit == nil && g.acts(v, g.coarseNow())
 }
 
 // publish is what calls go by from now on. With drain it returns what waits until those that were let through before are
 // written; that may last until the time-out of a call whose receiver takes nothing.
 func (g *Gate) publish(v *fleetpolicy.View, until time.Duration, drain bool) (drained func()) {
-	was := g.room.Load()
+	was := g.generation.Load()
 	if was == nil || drain {
-		r := &room{empty: make(chan struct{}, 1)}
-		r.leave = r.left
+		r := &generation{drained: make(chan struct{}, 1)}
+		r.releaseFunc = r.release
 		r.view.Store(v)
-		g.room.Store(r)
+		g.generation.Store(r)
 	} else {
 		was.view.Store(v)
 	}
-	g.until.Store(int64(until)) // behind the view: a lease may need it
+	g.leaseUntil.Store(int64(until)) // behind the view: a lease may need it
 	if was == nil || !drain {
 		return func() {}
 	}
 	return func() {
 		was.closing.Store(true)
-		for was.inside.Load() > 0 {
-			<-was.empty
+		for was.admitted.Load() > 0 {
+			<-was.drained
 		}
 	}
 }
--- a/internal/fleet/gate_test.go
+++ b/internal/fleet/gate_test.go
@@ -25,9 +25,9 @@
 	var now atomic.Int64
 	g := NewGate(func() time.Duration { return time.Duration(now.Load()) })
 	seven, eight := fleetpolicy.Call{Destination: 7}, fleetpolicy.Call{Destination: 8}
-	open, closed, goes := fleetpolicy.None(), policyOf(t, closed7), policyOf(t, "cut_off = \"go-on\"\ngo_on_for = \"5s\"\n")
+	open, closed, goes := fleetpolicy.Empty(), policyOf(t, closed7), policyOf(t, "cut_off = \"go-on\"\ngo_on_for = \"5s\"\n")
 	says := func(c fleetpolicy.Call) string {
-		leave, why := g.Enter(c)
+		leave, why := g.Admit(c)
 		if why == "" {
 			leave()
 		}
@@ -45,10 +45,10 @@
 		{"a lease", func() { g.publish(&fleetpolicy.View{Policy: open}, 10*s, false) }, 9 * s, "", ""},
 		{"it has just lapsed", func() {}, 10 * s, "cut off", "cut off"},
 		{"frozen", func() {
-			g.publish(&fleetpolicy.View{Policy: open, Change: 5, Frozen: fleetpolicy.Touches(open, closed)}, 30*s, true)
+			g.publish(&fleetpolicy.View{Policy: open, OpenChange: 5, Suspended: fleetpolicy.AffectedBySwitch(open, closed)}, 30*s, true)
 		}, 11 * s, "about to take hold", ""},
 		{"the next version", func() { g.publish(&fleetpolicy.View{Policy: closed}, 30*s, true) }, 12 * s, "closed its destination", ""},
-		{"a policy that can't be followed here", func() { g.publish(&fleetpolicy.View{Policy: open, Unfit: ErrRefused}, 30*s, true) }, 13 * s, "can't be followed", "can't be followed"},
+		{"a policy that can't be followed here", func() { g.publish(&fleetpolicy.View{Policy: open, Unfit: ErrRejected}, 30*s, true) }, 13 * s, "can't be followed", "can't be followed"},
 		{"cut off, and to go on", func() { g.publish(&fleetpolicy.View{Policy: goes}, 30*s, true) }, 34 * s, "", ""},
 		{"for so long", func() {}, 35 * s, "cut off", "cut off"},
 	} {
@@ -66,12 +66,12 @@
 func TestGateDrains(t *testing.T) {
 	g := NewGate(func() time.Duration { return 0 })
 	call := fleetpolicy.Call{Destination: 7}
-	g.publish(&fleetpolicy.View{Index: 1, Policy: fleetpolicy.None()}, time.Second, false)
-	leave, _ := g.Enter(call)
-	wait := g.publish(&fleetpolicy.View{Index: 2, Policy: fleetpolicy.None()}, time.Second, true)
+	g.publish(&fleetpolicy.View{Index: 1, Policy: fleetpolicy.Empty()}, time.Second, false)
+	leave, _ := g.Admit(call)
+	wait := g.publish(&fleetpolicy.View{Index: 2, Policy: fleetpolicy.Empty()}, time.Second, true)
 	drained := make(chan struct{})
 	go func() { wait(); close(drained) }()
-	if next, why := g.Enter(call); why != "" {
+	if next, why := g.Admit(call); why != "" {
 		t.Fatal(why)
 	} else {
 		next()
@@ -90,7 +90,7 @@
 	g := NewGate(func() time.Duration { return 0 })
 	const views = 300
 	var left [views + 1]atomic.Bool
-	policies := []*fleetpolicy.Policy{fleetpolicy.None(), policyOf(t, closed7)}
+	policies := []*fleetpolicy.Policy{fleetpolicy.Empty(), policyOf(t, closed7)}
 	view := func(i int) *fleetpolicy.View {
 		return &fleetpolicy.View{Index: uint64(i), Version: uint64(i), Policy: policies[i%2]}
 	}
@@ -103,7 +103,7 @@
 		go func() {
 			defer calls.Done()
 			for !stop.Load() {
-				if leave, why := g.Enter(fleetpolicy.Call{Destination: 7}); why == "" { // under an even view
+				if leave, why := g.Admit(fleetpolicy.Call{Destination: 7}); why == "" { // under an even view
 					if v, _ := g.View(); v.Index%2 == 1 && left[v.Index-1].Load() {
 						t.Errorf("a call is inside under view %d, which is left behind", v.Index-1)
 					}
--- a/internal/fleet/http.go
+++ b/internal/fleet/http.go
@@ -17,8 +17,8 @@
 const (
 	commandTime  = 4 * time.Second // for a command to be in the log
 	documentRoom = 2 << 20
-	// ByHeader names who gives a command, as the operating system says on the command's side.
-	ByHeader = "X-By"
+	// AuthorHeader names who gives a command, as the operating system says on the command's side.
+	AuthorHeader = "X-By"
 )
 
 // Register adds what the command line asks: GET /fleet, and POST /policy/propose, /policy/abort, /fleet/gone, /fleet/voters. Who
@@ -28,7 +28,7 @@
 		if r.URL.Query().Get("current") != "" {
 			ctx, cancel := context.WithTimeout(r.Context(), commandTime)
 			defer cancel()
-			if err := n.Current(ctx); err != nil {
+			if err := n.WaitCurrent(ctx); err != nil {
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
 				return
 			}
@@ -46,7 +46,7 @@
 		json.NewEncoder(w).Encode(all)
 	})
 	mux.HandleFunc("GET /verdicts", func(w http.ResponseWriter, r *http.Request) {
-		all, err := n.Verdicts()
+		all, err := n.HealthReports()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
@@ -57,13 +57,13 @@
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 			ctx, cancel := context.WithTimeout(r.Context(), commandTime)
 			defer cancel()
-			by := r.Header.Get(ByHeader)
+			by := r.Header.Get(AuthorHeader)
 			if by == "" {
-				by = "somebody at " + n.c.Name
+				by = "somebody at " + n.cfg.Name
 			}
 			v, err := do(ctx, r, by)
 			switch {
-			case errors.Is(err, ErrRefused):
+			case errors.Is(err, ErrRejected):
 				http.Error(w, err.Error(), http.StatusConflict)
 			case errors.Is(err, context.DeadlineExceeded):
 				http.Error(w, err.Error(), http.StatusGatewayTimeout)
@@ -82,8 +82,8 @@
 		}
 		back, _ := strconv.ParseUint(q.Get("back"), 10, 64)
 		wait, err := time.ParseDuration(q.Get("wait"))
-		if err != nil || wait <= 0 || wait > fleetpolicy.WaitMost {
-			return nil, fmt.Errorf("wait %q is no time up to %v", q.Get("wait"), fleetpolicy.WaitMost)
+		if err != nil || wait <= 0 || wait > fleetpolicy.MaxStageTimeout {
+			return nil, fmt.Errorf("wait %q is no time up to %v", q.Get("wait"), fleetpolicy.MaxStageTimeout)
 		}
 		doc, err := io.ReadAll(io.LimitReader(r.Body, documentRoom))
 		if err != nil {
@@ -100,7 +100,7 @@
 		why := fmt.Sprintf("%s aborted it: %s", by, r.URL.Query().Get("why"))
 		return struct{}{}, n.Abort(ctx, change, why)
 	})
-	for path, do := range map[string]func(ctx context.Context, destination uint32, by, why string) error{"/verdicts/suspend": n.Suspend, "/verdicts/lift": n.Lift} {
+	for path, do := range map[string]func(ctx context.Context, destination uint32, by, why string) error{"/verdicts/suspend": n.SuspendDestination, "/verdicts/lift": n.LiftSuspension} {
 		post(path, func(ctx context.Context, r *http.Request, by string) (any, error) {
 			d, err := strconv.ParseUint(r.URL.Query().Get("destination"), 10, 32)
 			if err != nil {
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -34,7 +34,7 @@
 	k.keys = keys
 }
 
-func (k *keyring) all() [][]byte {
+func (k *keyring) snapshot() [][]byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.keys
@@ -46,17 +46,17 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// show adds the proof to a call.
-func (k *keyring) show(ctx context.Context, method string) context.Context {
-	if keys := k.all(); len(keys) > 0 {
+// attach adds the proof to a call.
+func (k *keyring) attach(ctx context.Context, method string) context.Context {
+	if keys := k.snapshot(); len(keys) > 0 {
 		return metadata.AppendToOutgoingContext(ctx, proofHeader, k.proof(keys[0], method))
 	}
 	return ctx
 }
 
-// check says why a call is not taken.
-func (k *keyring) check(ctx context.Context, method string) error {
-	keys := k.all()
+// verify says why a call is not taken.
+func (k *keyring) verify(ctx context.Context, method string) error {
+	keys := k.snapshot()
 	if len(keys) == 0 {
 		return nil
 	}
@@ -70,27 +70,27 @@
 	return status.Error(codes.Unauthenticated, "the caller does not show the fleet's key")
 }
 
-func (k *keyring) server() []grpc.ServerOption {
+func (k *keyring) serverOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{grpc.UnaryInterceptor(func(ctx context.Context, req any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
-		if err := k.check(ctx, info.FullMethod); err != nil {
+		if err := k.verify(ctx, info.FullMethod); err != nil {
 			return nil, err
 		}
 		return next(ctx, req)
 	}), grpc.StreamInterceptor(func(srv any, s grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler) error {
-		if err := k.check(s.Context(), info.FullMethod); err != nil {
+		if err := k.verify(s.Context(), info.FullMethod); err != nil {
 			return err
 		}
 		return next(srv, s)
 	})}
 }
 
-func (k *keyring) client() []grpc.DialOption {
+func (k *keyring) dialOptions() []grpc.DialOption {
 	return []grpc.DialOption{grpc.WithUnaryInterceptor(func(ctx context.Context, method string, req, reply any, c *grpc.ClientConn, next grpc.UnaryInvoker, opts ...grpc.CallOption) error {
-		return next(k.show(ctx, method), method, req, reply, c, opts...)
+		return next(k.attach(ctx, method), method, req, reply, c, opts...)
 	}), grpc.WithStreamInterceptor(func(ctx context.Context, d *grpc.StreamDesc, c *grpc.ClientConn, method string, next grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
-		return next(k.show(ctx, method), d, c, method, opts...)
+		return next(k.attach(ctx, method), d, c, method, opts...)
 	})}
 }
 
-// Keys changes the fleet's keys; the first is shown, each is taken.
-func (n *Node) Keys(keys [][]byte) { n.keys.set(keys) }
+// SetKeys changes the fleet's keys; the first is shown, each is taken.
+func (n *Node) SetKeys(keys [][]byte) { n.keys.set(keys) }
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -32,38 +32,38 @@
 
 // Config is how a sender takes part.
 type Config struct {
-	Name    string
-	Cluster string
-	Listen  string  // host:port, a loopback one: what senders say to each other is not encrypted
-	Voters  []Voter // the first ones, the same in every sender's file, as this sender reaches them
-	Folder  string
-	Terms   lease.Terms
-	Lend    time.Duration // how long units of a limit are lent for; 0: by the lease
-	Reach   []peers.Route // of others that are not reached at their own address
-	Keys    [][]byte      // of the fleet: the first is shown with each call, each is taken; none: nothing is shown
+	Name          string
+	Cluster       string
+	Listen        string  // host:port, a loopback one: what senders say to each other is not encrypted
+	Voters        []Voter // the first ones, the same in every sender's file, as this sender reaches them
+	Folder        string
+	LeaseTerms    lease.Terms
+	QuotaDuration time.Duration // how long units of a limit are lent for; 0: by the lease
+	Reach         []peers.Route // of others that are not reached at their own address
+	Keys          [][]byte      // of the fleet: the first is shown with each call, each is taken; none: nothing is shown
 
 	Settings fleetpolicy.Settings // of this sender: what a policy may name
 
 	// Seams: what tests put in place of the machine's.
-	Now   func() time.Duration
-	Disk  Disk
-	Quiet func(time.Duration) time.Duration // how long a new authority waits, of how long it should
-	Day   func() int64                      // of the calendar
-	Loan  func(time.Duration) time.Duration // how long a loan lasts at its holder, of how long it should
+	Now           func() time.Duration
+	Disk          Disk
+	QuotaGrace    func(time.Duration) time.Duration // how long a new authority waits, of how long it should
+	Today         func() int64                      // of the calendar
+	GrantDuration func(time.Duration) time.Duration // how long a loan lasts at its holder, of how long it should
 }
 
 // Voter is one that keeps the log.
 type Voter struct{ Name, Address string }
 
-const logDuty = "log"
+const voterWorker = "log"
 
 const (
-	inboxMost  = 8192        // events that wait for the voter's log
-	copyMost   = 1024        // for the copy
-	stallTime  = time.Second // a step that takes longer is named
-	stopTime   = time.Second // duties end within it
-	helloPause = 100 * time.Millisecond
-	helloTime  = time.Second
+	voterInboxSize    = 8192        // events that wait for the voter's log
+	replicaInboxSize  = 1024        // for the copy
+	stallThreshold    = time.Second // a step that takes longer is named
+	stopTimeout       = time.Second // duties end within it
+	handshakeInterval = 100 * time.Millisecond
+	handshakeTimeout  = time.Second
 )
 
 // Now is the machine's time since it was started, the time in which it slept included: a lease goes on while a machine does
@@ -76,8 +76,8 @@
 	return time.Duration(ts.Nano())
 }
 
-// roughly is Now without a call of the kernel, looked up again once a second: what the machine slept since then is missing.
-func roughly() func() time.Duration {
+// coarseClock is Now without a call of the kernel, looked up again once a second: what the machine slept since then is missing.
+func coarseClock() func() time.Duration {
 	type mark struct {
 		at  time.Time
 		now time.Duration
@@ -98,48 +98,48 @@
 
 // Node is a sender's part in the fleet.
 type Node struct {
-	c    Config
-	log  *slog.Logger
-	life uint64
-	gate *Gate
-
-	ctx     context.Context
-	stop    context.CancelFunc
-	group   *worker.Group
-	limits  *limiting
-	server  *grpc.Server
-	wires   *wires
-	keys    *keyring
-	feed    *feed
-	lives   lives
-	follows atomic.Int64
-	work    sync.WaitGroup
-
-	mu      sync.Mutex
-	addr    string
-	core    *worker.Worker[any, any]      // nil: this sender is no voter, or has not heard the others yet
-	folder  *replicatedlog.StoredPosition // of a voter
-	store   *store
-	copy    *worker.Worker[any, any]
-	replies map[uint64]chan any
-	last    uint64                                         // reply
-	out     map[string]*worker.RingBuffer[*raftpb.Message] // to other voters
-	status  replicatedlog.Status
-	failed  string              // why it is no voter any more
-	old     string              // why the folder was found to be old
-	waiting []*pb.PendingSender // for whom the open change waits, as the one that leads said last
-	waits   string              // for which voters this one waits before it takes part
-	report  copyReport
-	current string        // voter that is followed
-	heard   time.Duration // a voter's word came last; a voter hears its own log
-	told    func()        // that calls go by another view, or may or may not be begun at all
+	cfg         Config
+	log         *slog.Logger
+	incarnation uint64
+	gate        *Gate
+
+	ctx        context.Context
+	stop       context.CancelFunc
+	group      *worker.Group
+	quotas     *quotaNode
+	server     *grpc.Server
+	conns      *connections
+	keys       *keyring
+	feed       *feed
+	peers      incarnations
+	followers  atomic.Int64
+	background sync.WaitGroup
+
+	mu             sync.Mutex
+	addr           string
+	voter          *worker.Worker[any, any]      // nil: this sender is no voter, or has not heard the others yet
+	storedPosition *replicatedlog.StoredPosition // of a voter
+	store          *store
+	replica        *worker.Worker[any, any]
+	replies        map[uint64]chan any
+	lastReply      uint64                                         // reply
+	outboxes       map[string]*worker.RingBuffer[*raftpb.Message] // to other voters
+	status         replicatedlog.Status
+	voterFailure   string              // why it is no voter any more
+	staleReason    string              // why the folder was found to be old
+	waitingOn      []*pb.PendingSender // for whom the open change waits, as the one that leads said last
+	missingVoters  string              // for which voters this one waits before it takes part
+	replicaReport  replicaReport
+	followed       string        // voter that is followed
+	heardAt        time.Duration // a voter's word came last; a voter hears its own log
+	onChange       func()        // that calls go by another view, or may or may not be begun at all
 }
 
 // Start lets a sender take part. It returns at once; nothing may be begun until a lease is there.
 func Start(c Config, log *slog.Logger) (*Node, error) {
 	rough := c.Now
 	if c.Now == nil {
-		c.Now, rough = Now, roughly()
+		c.Now, rough = Now, coarseClock()
 	}
 	if c.Disk == nil {
 		c.Disk = realDisk{}
@@ -151,50 +151,50 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	n := &Node{c: c, log: log, life: draw(), gate: NewGate(c.Now), keys: &keyring{cluster: c.Cluster, keys: c.Keys}, feed: newFeed(), lives: lives{by: map[string]uint64{}},
-		replies: map[uint64]chan any{}, out: map[string]*worker.RingBuffer[*raftpb.Message]{}, addr: l.Addr().String()}
-	n.gate.rough = rough
-	n.wires = newWires(n.keys)
+	n := &Node{cfg: c, log: log, incarnation: randomID(), gate: NewGate(c.Now), keys: &keyring{cluster: c.Cluster, keys: c.Keys}, feed: newFeed(), peers: incarnations{current: map[string]uint64{}},
+		replies: map[uint64]chan any{}, outboxes: map[string]*worker.RingBuffer[*raftpb.Message]{}, addr: l.Addr().String()}
+	n.gate.coarseNow = rough
+	n.conns = newConnections(n.keys)
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.group = &worker.Group{Log: log, Clock: c.Now, StallThreshold: stallTime}
+	n.group = &worker.Group{Log: log, Clock: c.Now, StallThreshold: stallThreshold}
 	n.group.OnExit = func(name string, err error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if name == logDuty { // the copy goes on with another voter's word
-			n.core, n.folder, n.failed = nil, nil, err.Error()
+		if name == voterWorker { // the copy goes on with another voter's word
+			n.voter, n.storedPosition, n.voterFailure = nil, nil, err.Error()
 		}
 	}
-	n.server = grpc.NewServer(append(n.keys.server(), grpc.MaxRecvMsgSize(messageMost), grpc.MaxSendMsgSize(messageMost))...)
+	n.server = grpc.NewServer(append(n.keys.serverOptions(), grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxSendMsgSize(maxMessageBytes))...)
 	pb.RegisterFleetServer(n.server, &service{n: n})
-	if n.limits, err = newLimiting(n); err != nil {
+	if n.quotas, err = newQuotaNode(n); err != nil {
 		n.stop()
 		l.Close()
 		return nil, err
 	}
-	n.startCopy()
-	n.limits.start()
+	n.startReplica()
+	n.quotas.start()
 	if slices.ContainsFunc(c.Voters, func(v Voter) bool { return v.Name == c.Name }) || n.wasVoter() {
-		if err := n.beginVoter(n.firstVoters()); err != nil {
+		if err := n.startVoter(n.firstVoters()); err != nil {
 			n.stop()
 			l.Close()
 			return nil, err
 		}
 	}
-	n.work.Add(1)
+	n.background.Add(1)
 	go func() {
-		defer n.work.Done()
+		defer n.background.Done()
 		n.server.Serve(l)
 	}()
-	n.work.Add(1)
+	n.background.Add(1)
 	go func() {
-		defer n.work.Done()
-		n.followAll()
+		defer n.background.Done()
+		n.followLoop()
 	}()
-	log.Info("fleet", "listen", n.addr, "cluster", c.Cluster, "voters", len(c.Voters), "lease", c.Terms.Duration)
+	log.Info("fleet", "listen", n.addr, "cluster", c.Cluster, "voters", len(c.Voters), "lease", c.LeaseTerms.Duration)
 	return n, nil
 }
 
-func draw() uint64 {
+func randomID() uint64 {
 	var b [8]byte
 	for {
 		rand.Read(b[:])
@@ -206,23 +206,23 @@
 
 // wasVoter is whether the folder is a voter's, that was added to the first ones.
 func (n *Node) wasVoter() bool {
-	_, err := os.Stat(filepath.Join(n.c.Folder, logName))
+	_, err := os.Stat(filepath.Join(n.cfg.Folder, logName))
 	return err == nil
 }
 
 // firstVoters are those of the file: with them the log begins, also for one that is added later and goes through it from there.
 func (n *Node) firstVoters() *raftpb.ConfState {
 	conf := &raftpb.ConfState{}
-	for _, v := range n.c.Voters {
+	for _, v := range n.cfg.Voters {
 		conf.Voters = append(conf.Voters, replicatedlog.VoterID(v.Name))
 	}
 	slices.Sort(conf.Voters)
 	return conf
 }
 
-// beginVoter opens the folder and, as soon as all others have answered, takes part.
-func (n *Node) beginVoter(first *raftpb.ConfState) error {
-	s, err := openStore(n.c.Folder, n.c.Cluster, n.c.Name)
+// startVoter opens the folder and, as soon as all others have answered, takes part.
+func (n *Node) startVoter(first *raftpb.ConfState) error {
+	s, err := openStore(n.cfg.Folder, n.cfg.Cluster, n.cfg.Name)
 	if err != nil {
 		return err
 	}
@@ -234,31 +234,31 @@
 	if saved.ConfState == nil {
 		saved.ConfState = first
 	}
-	by, trusted, err := vouched(n.c.Folder)
+	by, trusted, err := vouched(n.cfg.Folder)
 	if err != nil {
 		s.close()
 		return fmt.Errorf("fleet: %w", err)
 	}
 	f := saved.Position()
 	n.mu.Lock()
-	n.store, n.folder = s, &f
+	n.store, n.storedPosition = s, &f
 	n.mu.Unlock()
-	n.work.Add(1)
+	n.background.Add(1)
 	go func() {
-		defer n.work.Done()
+		defer n.background.Done()
 		var heard map[string]replicatedlog.PeerState
 		if trusted {
 			n.log.Warn("fleet: somebody vouches for the folder: the other voters' word is not waited for", "by", by)
-			n.work.Add(1)
+			n.background.Add(1)
 			go func() { // they hear of this process all the same, or would take its word for nobody's
-				defer n.work.Done()
-				n.hello(saved)
+				defer n.background.Done()
+				n.handshake(saved)
 			}()
-		} else if heard = n.hello(saved); heard == nil {
+		} else if heard = n.handshake(saved); heard == nil {
 			return
 		}
 		policy := fleetpolicy.NewMachine()
-		core, start, err := replicatedlog.NewVoter(n.c.Name, saved, heard, n.c.Terms, policy, raftLog{n.log})
+		core, start, err := replicatedlog.NewVoter(n.cfg.Name, saved, heard, n.cfg.LeaseTerms, policy, raftLog{n.log})
 		if err != nil {
 			n.log.Error("fleet: this sender can't be a voter", "err", err)
 			return
@@ -266,17 +266,17 @@
 		if start.StaleReason != "" {
 			n.log.Error("fleet: the folder is older than what it has promised; it votes for nobody until it has caught up", "why", start.StaleReason)
 		}
-		d := &worker.Worker[any, any]{Name: logDuty, Inbox: worker.NewRingBuffer[any](logDuty, inboxMost, worker.Block, nil), Stepper: core, Execute: n.doCore}
+		d := &worker.Worker[any, any]{Name: voterWorker, Inbox: worker.NewRingBuffer[any](voterWorker, voterInboxSize, worker.Block, nil), Stepper: core, Execute: n.executeVoter}
 		n.mu.Lock()
-		n.core, n.old = d, start.StaleReason
+		n.voter, n.staleReason = d, start.StaleReason
 		n.mu.Unlock()
 		n.group.Start(d, worker.StopWorker)
 	}()
 	return nil
 }
 
-// hello asks all other voters that the folder names, until each has answered; nil if the node stops first.
-func (n *Node) hello(saved *replicatedlog.StoredLog) map[string]replicatedlog.PeerState {
+// handshake asks all other voters that the folder names, until each has answered; nil if the node stops first.
+func (n *Node) handshake(saved *replicatedlog.StoredLog) map[string]replicatedlog.PeerState {
 	f, heard := saved.Position(), map[string]replicatedlog.PeerState{}
 	conf := saved.ConfState
 	if saved.Snapshot != nil {
@@ -284,7 +284,7 @@
 	}
 	for {
 		missing := ""
-		ids := n.others(conf)
+		ids := n.otherVoters(conf)
 		var round sync.WaitGroup
 		var mu sync.Mutex
 		for _, id := range ids {
@@ -298,12 +298,12 @@
 			round.Add(1)
 			go func() {
 				defer round.Done()
-				ctx, cancel := context.WithTimeout(n.ctx, helloTime)
+				ctx, cancel := context.WithTimeout(n.ctx, handshakeTimeout)
 				defer cancel()
-				client, err := n.wires.to(n.address(name))
+				client, err := n.conns.client(n.address(name))
 				var r *pb.HelloReply
 				if err == nil {
-					r, err = client.Hello(ctx, &pb.HelloRequest{Cluster: n.c.Cluster, Name: n.c.Name, Incarnation: n.life, VoterId: replicatedlog.VoterID(n.c.Name), Term: f.Term, LastIndex: f.LastIndex})
+					r, err = client.Hello(ctx, &pb.HelloRequest{Cluster: n.cfg.Cluster, Name: n.cfg.Name, Incarnation: n.incarnation, VoterId: replicatedlog.VoterID(n.cfg.Name), Term: f.Term, LastIndex: f.LastIndex})
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -316,7 +316,7 @@
 		}
 		round.Wait()
 		n.mu.Lock()
-		n.waits = missing
+		n.missingVoters = missing
 		n.mu.Unlock()
 		if missing == "" {
 			return heard
@@ -324,18 +324,18 @@
 		select {
 		case <-n.ctx.Done():
 			return nil
-		case <-time.After(helloPause):
+		case <-time.After(handshakeInterval):
 		}
 	}
 }
 
-// others are the other voters: those that the folder names and those that were added since, as far as the copy has come, but
+// otherVoters are the other voters: those that the folder names and those that were added since, as far as the copy has come, but
 // for those that were removed.
-func (n *Node) others(conf *raftpb.ConfState) []uint64 {
+func (n *Node) otherVoters(conf *raftpb.ConfState) []uint64 {
 	ids := slices.Concat(conf.GetVoters(), conf.GetVotersOutgoing())
-	gone := []uint64{replicatedlog.VoterID(n.c.Name)}
+	gone := []uint64{replicatedlog.VoterID(n.cfg.Name)}
 	n.mu.Lock()
-	for _, v := range n.report.voters {
+	for _, v := range n.replicaReport.voters {
 		if v.Removed {
 			gone = append(gone, v.Id)
 		} else {
@@ -349,14 +349,14 @@
 
 // address is where a voter is reached: as the file says, or else as the one who added it did.
 func (n *Node) address(name string) string {
-	for _, v := range n.c.Voters {
+	for _, v := range n.cfg.Voters {
 		if v.Name == name {
 			return v.Address
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, v := range n.report.voters {
+	for _, v := range n.replicaReport.voters {
 		if v.Name == name && !v.Removed {
 			return v.Address
 		}
@@ -365,14 +365,14 @@
 }
 
 func (n *Node) nameOf(id uint64) string {
-	for _, v := range n.c.Voters {
+	for _, v := range n.cfg.Voters {
 		if replicatedlog.VoterID(v.Name) == id {
 			return v.Name
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, v := range n.report.voters {
+	for _, v := range n.replicaReport.voters {
 		if v.Id == id {
 			return v.Name
 		}
@@ -380,22 +380,22 @@
 	return fmt.Sprintf("voter %x", id)
 }
 
-func (n *Node) voter() *worker.Worker[any, any] {
+func (n *Node) currentVoter() *worker.Worker[any, any] {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.core
+	return n.voter
 }
 
-// put hands an event that is answered to the voter's log.
-func (n *Node) put(ctx context.Context, event func(to uint64) any) (any, error) {
-	core := n.voter()
+// callVoter hands an event that is answered to the voter's log.
+func (n *Node) callVoter(ctx context.Context, event func(to uint64) any) (any, error) {
+	core := n.currentVoter()
 	if core == nil {
 		return nil, status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
 	}
 	answer := make(chan any, 1)
 	n.mu.Lock()
-	n.last++
-	to := n.last
+	n.lastReply++
+	to := n.lastReply
 	n.replies[to] = answer
 	n.mu.Unlock()
 	defer func() {
@@ -419,34 +419,34 @@
 	}
 }
 
-// leader is the way to the one that leads, as this voter knows.
-func (n *Node) leader() (pb.FleetClient, error) {
+// leaderClient is the way to the one that leads, as this voter knows.
+func (n *Node) leaderClient() (pb.FleetClient, error) {
 	n.mu.Lock()
 	id := n.status.Leader
 	n.mu.Unlock()
 	name := n.nameOf(id)
-	if id == 0 || name == n.c.Name {
+	if id == 0 || name == n.cfg.Name {
 		return nil, status.Error(codes.Unavailable, "no voter is known to lead")
 	}
 	address := n.address(name)
 	if address == "" {
 		return nil, status.Errorf(codes.Unavailable, "no address of %s is known, which leads", name)
 	}
-	return n.wires.to(address)
+	return n.conns.client(address)
 }
 
-// doCore carries out what the voter's log wants done.
-func (n *Node) doCore(_ context.Context, a any) error {
+// executeVoter carries out what the voter's log wants done.
+func (n *Node) executeVoter(_ context.Context, a any) error {
 	switch a := a.(type) {
 	case replicatedlog.Persist:
 		if err := n.store.save(a); err != nil {
 			return fmt.Errorf("fleet: the log can't be written, this voter takes part no longer: %w", err)
 		}
 		if a.Snapshot != nil {
-			n.feed.cut(a.Snapshot.Data)
+			n.feed.compact(a.Snapshot.Data)
 		}
 	case replicatedlog.SendMessage:
-		n.box(n.nameOf(a.Message.GetTo())).Offer(a.Message)
+		n.outbox(n.nameOf(a.Message.GetTo())).Offer(a.Message)
 	case replicatedlog.Reply:
 		n.mu.Lock()
 		c := n.replies[a.To]
@@ -469,18 +469,18 @@
 	return nil
 }
 
-// box is what goes to one voter, in order; the oldest is dropped when it does not keep up.
-func (n *Node) box(name string) *worker.RingBuffer[*raftpb.Message] {
+// outbox is what goes to one voter, in order; the oldest is dropped when it does not keep up.
+func (n *Node) outbox(name string) *worker.RingBuffer[*raftpb.Message] {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	b := n.out[name]
+	b := n.outboxes[name]
 	if b == nil {
-		b = worker.NewRingBuffer[*raftpb.Message]("to "+name, outboxMost, worker.DropOldest, nil)
-		n.out[name] = b
-		n.work.Add(1)
+		b = worker.NewRingBuffer[*raftpb.Message]("to "+name, outboxSize, worker.DropOldest, nil)
+		n.outboxes[name] = b
+		n.background.Add(1)
 		go func() {
-			defer n.work.Done()
-			n.send(n.ctx, name, b)
+			defer n.background.Done()
+			n.sendLoop(n.ctx, name, b)
 		}()
 	}
 	return b
@@ -493,7 +493,7 @@
 func (n *Node) OnChange(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.told = f
+	n.onChange = f
 }
 
 // Address is where others reach this sender.
@@ -505,15 +505,15 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &pb.Command{Kind: kind, Session: draw(), Sequence: 1, Body: raw}
+	c := &pb.Command{Kind: kind, Session: randomID(), Sequence: 1, Body: raw}
 	if raw, err = proto.Marshal(c); err != nil {
 		return nil, err
 	}
 	for {
 		var r *pb.SubmitReply
-		err := n.through(ctx, func(ctx context.Context, client pb.FleetClient) error {
+		err := n.callAnyVoter(ctx, func(ctx context.Context, client pb.FleetClient) error {
 			var err error
-			r, err = client.Submit(ctx, &pb.SubmitRequest{Cluster: n.c.Cluster, Command: raw})
+			r, err = client.Submit(ctx, &pb.SubmitRequest{Cluster: n.cfg.Cluster, Command: raw})
 			return err
 		})
 		if err == nil {
@@ -524,28 +524,28 @@
 			return nil, fmt.Errorf("whether it counts is not known: %w", errors.Join(err, ctx.Err()))
 		case <-n.ctx.Done():
 			return nil, errors.New("this sender is leaving")
-		case <-time.After(beatTime / 2):
+		case <-time.After(heartbeatInterval / 2):
 		}
 	}
 }
 
-// through asks some voter, one after another until one answers.
-func (n *Node) through(ctx context.Context, ask func(context.Context, pb.FleetClient) error) error {
+// callAnyVoter asks some voter, one after another until one answers.
+func (n *Node) callAnyVoter(ctx context.Context, ask func(context.Context, pb.FleetClient) error) error {
 	err := errors.New("no voter is known")
 	for _, name := range n.voterNames() {
 		if ctx.Err() != nil {
 			return errors.Join(err, ctx.Err())
 		}
 		address := n.address(name)
-		if name == n.c.Name {
+		if name == n.cfg.Name {
 			address = n.addr
 		}
-		client, bad := n.wires.to(address)
+		client, bad := n.conns.client(address)
 		if bad != nil {
 			err = bad
 			continue
 		}
-		try, cancel := context.WithTimeout(ctx, n.patience())
+		try, cancel := context.WithTimeout(ctx, n.callTimeout())
 		err = ask(try, client)
 		cancel()
 		if err == nil {
@@ -555,8 +555,10 @@
 	return err
 }
 
-// patience is how long one voter is given: a question is asked of another before the next is due.
-func (n *Node) patience() time.Duration { return max(n.c.Terms.Duration/6, 100*time.Millisecond) }
+// callTimeout is how long one voter is given: a question is asked of another before the next is due.
+func (n *Node) callTimeout() time.Duration {
+	return max(n.cfg.LeaseTerms.Duration/6, 100*time.Millisecond)
+}
 
 // voterNames are the voters in the order in which they are asked: this one if it is, then the one that is followed, then all.
 func (n *Node) voterNames() []string {
@@ -568,22 +570,22 @@
 			names = append(names, name)
 		}
 	}
-	if n.core != nil {
-		add(n.c.Name)
+	if n.voter != nil {
+		add(n.cfg.Name)
 	}
-	add(n.current)
-	gone := map[string]bool{n.c.Name: true}
-	for _, v := range n.report.voters {
+	add(n.followed)
+	gone := map[string]bool{n.cfg.Name: true}
+	for _, v := range n.replicaReport.voters {
 		if v.Removed {
 			gone[v.Name] = true
 		}
 	}
-	for _, v := range n.c.Voters {
+	for _, v := range n.cfg.Voters {
 		if !gone[v.Name] {
 			add(v.Name)
 		}
 	}
-	for _, v := range n.report.voters {
+	for _, v := range n.replicaReport.voters {
 		if !gone[v.Name] {
 			add(v.Name)
 		}
@@ -593,15 +595,15 @@
 
 // Close ends it: another voter is given the lead first, and leases lapse by themselves.
 func (n *Node) Close() error {
-	if core := n.voter(); core != nil {
+	if core := n.currentVoter(); core != nil {
 		core.Inbox.Offer(replicatedlog.LeadershipTransferRequested{})
 		time.Sleep(2 * replicatedlog.Tick)
 	}
 	n.stop()
 	n.server.Stop()
-	err := n.group.Stop(stopTime)
-	n.wires.close()
-	n.work.Wait()
+	err := n.group.Stop(stopTimeout)
+	n.conns.close()
+	n.background.Wait()
 	if n.store != nil && err == nil {
 		err = n.store.close()
 	}
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -62,7 +62,7 @@
 func name(i int) string { return fmt.Sprintf("n%d", i) }
 
 func (s *squad) config(i int) Config {
-	c := Config{Name: name(i), Cluster: "test", Listen: s.hosts[i], Folder: s.dirs[i], Terms: s.terms, Settings: fleetpolicy.Settings{Classes: []string{"keyed"}, Tenants: []string{"acme"}}}
+	c := Config{Name: name(i), Cluster: "test", Listen: s.hosts[i], Folder: s.dirs[i], LeaseTerms: s.terms, Settings: fleetpolicy.Settings{Classes: []string{"keyed"}, Tenants: []string{"acme"}}}
 	for v := range s.voters {
 		addr := s.hosts[v]
 		if v != i {
@@ -139,7 +139,7 @@
 	until(s.t, "somebody leads", func() bool {
 		for i, n := range s.nodes {
 			if n != nil {
-				if r := n.Report(); r.Voter != nil && r.Voter.Leads {
+				if r := n.Report(); r.Voter != nil && r.Voter.IsLeader {
 					at = i
 					return true
 				}
@@ -163,7 +163,7 @@
 	var past *pb.FinishedChange
 	until(s.t, fmt.Sprintf("change %d is over at %s", change, name(i)), func() bool {
 		var over bool
-		past, over = s.nodes[i].Ended(change)
+		past, over = s.nodes[i].FinishedChange(change)
 		return over
 	})
 	return past
@@ -183,17 +183,17 @@
 		if past := s.over(i, change); past.Version != 1 || past.AbortReason != "" {
 			t.Errorf("%s: %v", name(i), past)
 		}
-		if _, why := n.gate.Enter(fleetpolicy.Call{Destination: 7}); !strings.Contains(why, "closed") {
+		if _, why := n.gate.Admit(fleetpolicy.Call{Destination: 7}); !strings.Contains(why, "closed") {
 			t.Errorf("%s: a call for a closed destination: %q", name(i), why)
 		}
-		leave, why := n.gate.Enter(fleetpolicy.Call{Destination: 8})
+		leave, why := n.gate.Admit(fleetpolicy.Call{Destination: 8})
 		if why != "" {
 			t.Errorf("%s: a call that is not touched: %q", name(i), why)
 			continue
 		}
 		leave()
 	}
-	if _, err := s.propose(0, 0, ""); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "version 1 is in force") {
+	if _, err := s.propose(0, 0, ""); !errors.Is(err, ErrRejected) || !strings.Contains(err.Error(), "version 1 is in force") {
 		t.Errorf("from an older version: %v", err)
 	}
 	if _, err := s.propose(1, 1, "route = 7"); err == nil {
@@ -227,7 +227,7 @@
 	for i := range 3 { // whichever leads, each can say for whom the change waits
 		until(t, name(i)+" says for whom", func() bool {
 			open := s.nodes[i].Report().Policy.Open
-			return open == nil || slices.ContainsFunc(open.Waits, func(w fleetpolicy.Waiting) bool { return w.Name == "n3" && w.Left > 0 })
+			return open == nil || slices.ContainsFunc(open.WaitingOn, func(w fleetpolicy.PendingSender) bool { return w.Name == "n3" && w.Remaining > 0 })
 		})
 	}
 	s.over(0, change)
@@ -238,7 +238,7 @@
 	s.net.Heal()
 	s.over(3, change)
 	s.acting()
-	if _, why := s.nodes[3].gate.Enter(fleetpolicy.Call{Destination: 7}); !strings.Contains(why, "closed") {
+	if _, why := s.nodes[3].gate.Admit(fleetpolicy.Call{Destination: 7}); !strings.Contains(why, "closed") {
 		t.Errorf("back, it goes by %q", why)
 	}
 }
@@ -394,13 +394,13 @@
 			// n1 and n2 are a majority, and know nothing of the change. As many elections as fit in three seconds lead to none.
 			for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 				for _, i := range []int{1, 2} {
-					if r := s.nodes[i].Report(); r.Voter != nil && r.Voter.Leads {
+					if r := s.nodes[i].Report(); r.Voter != nil && r.Voter.IsLeader {
 						t.Fatalf("%s leads without the change: %+v", name(i), r.Voter)
 					}
 				}
 			}
-			if r := s.nodes[1].Report(); r.Voter.WaitsFor != " n0" {
-				t.Errorf("it waits for %q", r.Voter.WaitsFor)
+			if r := s.nodes[1].Report(); r.Voter.MissingVoters != " n0" {
+				t.Errorf("it waits for %q", r.Voter.MissingVoters)
 			}
 			s.net.Heal()
 			for i := range s.nodes {
@@ -424,7 +424,7 @@
 	s.stop(2)
 	s.stop(1)
 	s.start(1)
-	until(t, "n1 waits for n2", func() bool { r := s.nodes[1].Report(); return r.Voter.WaitsFor == " n2" })
+	until(t, "n1 waits for n2", func() bool { r := s.nodes[1].Report(); return r.Voter.MissingVoters == " n2" })
 	s.stop(1)
 	if err := Vouch(s.dirs[1], "test"); err != nil {
 		t.Fatal(err)
@@ -464,11 +464,11 @@
 			}
 		}
 	}
-	until(t, "n3 is a voter", func() bool { r := s.nodes[3].Report(); return r.Voter != nil && r.Voter.Applied > 0 })
-	if err := s.nodes[3].ChangeVoters(ctx, &pb.VoterChange{Add: []*pb.Voter{{Name: name(gone), Address: "127.0.0.1:1"}}}); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "a name of its own") {
+	until(t, "n3 is a voter", func() bool { r := s.nodes[3].Report(); return r.Voter != nil && r.Voter.AppliedIndex > 0 })
+	if err := s.nodes[3].ChangeVoters(ctx, &pb.VoterChange{Add: []*pb.Voter{{Name: name(gone), Address: "127.0.0.1:1"}}}); !errors.Is(err, ErrRejected) || !strings.Contains(err.Error(), "a name of its own") {
 		t.Errorf("one that was removed comes back: %v", err)
 	}
-	if err := s.nodes[3].ChangeVoters(ctx, &pb.VoterChange{Remove: []string{"nobody"}}); !errors.Is(err, ErrRefused) {
+	if err := s.nodes[3].ChangeVoters(ctx, &pb.VoterChange{Remove: []string{"nobody"}}); !errors.Is(err, ErrRejected) {
 		t.Errorf("nobody is removed: %v", err)
 	}
 	// The new one counts: with the leader alone it makes a majority.
@@ -509,7 +509,7 @@
 		t.Fatal(err)
 	}
 	s.close()
-	if err := open("a", "n0"); !errors.Is(err, ErrNewer) {
+	if err := open("a", "n0"); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("%v", err)
 	}
 }
@@ -620,7 +620,7 @@
 			t.Errorf("%s: %v", name(i), past)
 		}
 	}
-	if err := s.nodes[1].Abort(ctx, change, "again"); !errors.Is(err, ErrRefused) {
+	if err := s.nodes[1].Abort(ctx, change, "again"); !errors.Is(err, ErrRejected) {
 		t.Errorf("aborted twice: %v", err)
 	}
 	if err := s.nodes[1].Leave(ctx, &pb.Leave{Name: "n4", Author: "test"}); err != nil {
@@ -664,7 +664,7 @@
 		}()
 	}
 	work.Wait()
-	index := s.nodes[0].Report().Voter.Applied
+	index := s.nodes[0].Report().Voter.AppliedIndex
 	t.Logf("%d entries in %v, %.0f a second", index, time.Since(began), float64(index)/time.Since(began).Seconds())
 	s.stop(0)
 	info, err := os.Stat(filepath.Join(s.dirs[0], logName))
@@ -673,7 +673,7 @@
 	}
 	began = time.Now()
 	s.start(0)
-	until(t, "it is back where it was", func() bool { r := s.nodes[0].Report(); return r.Index >= index && r.Acts })
+	until(t, "it is back where it was", func() bool { r := s.nodes[0].Report(); return r.Index >= index && r.MayAct })
 	t.Logf("acts again after %v; its file has %d bytes", time.Since(began), info.Size())
 	if r := s.nodes[0].Report(); len(r.Members) != 641 {
 		t.Errorf("%d members", len(r.Members))
@@ -782,7 +782,7 @@
 	}
 	for _, keys := range [][][]byte{{first, second}, {second, first}, {second}} {
 		for i := range 3 {
-			s.nodes[i].Keys(keys)
+			s.nodes[i].SetKeys(keys)
 		}
 		change, err := s.propose(0, s.nodes[0].Report().Policy.Version, "# "+string(keys[0]))
 		if err != nil {
--- a/internal/fleet/policy.go
+++ b/internal/fleet/policy.go
@@ -18,108 +18,108 @@
 
 // Report is a sender's part in the fleet as commands show it.
 type Report struct {
-	Name     string          `json:"name"`
-	Cluster  string          `json:"cluster"`
-	Address  string          `json:"address"`
-	HeardMS  int64           `json:"heard_ms"` // since a voter told it last that this is all: its age, as far as that voter knew
-	Index    uint64          `json:"index"`    // how far its copy of the state has come
-	Acts     bool            `json:"acts"`     // it may begin calls now
-	LeaseMS  int64           `json:"lease_ms"` // that is left; 0: none
-	Unfit    string          `json:"unfit,omitempty"`
-	Follows  string          `json:"follows,omitempty"` // voter whose word it follows
-	Voter    *VoterReport    `json:"voter,omitempty"`
-	Members  []Member        `json:"members"`
-	Voters   []string        `json:"voters"`
-	Policy   PolicyReport    `json:"policy"`
-	Rings    []worker.Stats  `json:"rings,omitempty"` // to other voters
-	Duties   []worker.Report `json:"duties"`
-	LengthMS int64           `json:"lease_length_ms"`
-	Bound    string          `json:"bound"` // how long a change waits for one that is cut off
+	Name            string          `json:"name"`
+	Cluster         string          `json:"cluster"`
+	Address         string          `json:"address"`
+	AgeMS           int64           `json:"heard_ms"` // since a voter told it last that this is all: its age, as far as that voter knew
+	Index           uint64          `json:"index"`    // how far its copy of the state has come
+	MayAct          bool            `json:"acts"`     // it may begin calls now
+	LeaseMS         int64           `json:"lease_ms"` // that is left; 0: none
+	Unfit           string          `json:"unfit,omitempty"`
+	Followed        string          `json:"follows,omitempty"` // voter whose word it follows
+	Voter           *VoterReport    `json:"voter,omitempty"`
+	Members         []Member        `json:"members"`
+	Voters          []string        `json:"voters"`
+	Policy          PolicyReport    `json:"policy"`
+	Rings           []worker.Stats  `json:"rings,omitempty"` // to other voters
+	Workers         []worker.Report `json:"duties"`
+	LeaseDurationMS int64           `json:"lease_length_ms"`
+	Bound           string          `json:"bound"` // how long a change waits for one that is cut off
 }
 
 // VoterReport is of one that keeps the log.
 type VoterReport struct {
-	Leads    bool                  `json:"leads"`
-	Leader   string                `json:"leader,omitempty"`
-	Term     uint64                `json:"term"`
-	Applied  uint64                `json:"applied"`
-	WaitsFor string                `json:"waits_for,omitempty"` // voters that have not answered its hello: it takes no part before
-	Old      string                `json:"old_folder,omitempty"`
-	Failed   string                `json:"failed,omitempty"`
-	Waits    []fleetpolicy.Waiting `json:"waits,omitempty"`  // of the open change; at the one that leads
-	Leases   []Lease               `json:"leases,omitempty"` // at the one that leads
+	IsLeader      bool                        `json:"leads"`
+	Leader        string                      `json:"leader,omitempty"`
+	Term          uint64                      `json:"term"`
+	AppliedIndex  uint64                      `json:"applied"`
+	MissingVoters string                      `json:"waits_for,omitempty"` // voters that have not answered its hello: it takes no part before
+	StaleReason   string                      `json:"old_folder,omitempty"`
+	Failed        string                      `json:"failed,omitempty"`
+	WaitingOn     []fleetpolicy.PendingSender `json:"waits,omitempty"`  // of the open change; at the one that leads
+	Leases        []Lease                     `json:"leases,omitempty"` // at the one that leads
 }
 
 // Lease is one that is out.
 type Lease struct {
-	Name   string `json:"name"`
-	LeftMS int64  `json:"left_ms"`
-	Acts   uint64 `json:"acts"` // at this index or later
+	Name        string `json:"name"`
+	RemainingMS int64  `json:"left_ms"`
+	ActingIndex uint64 `json:"acts"` // at this index or later
 }
 
 // Member is a sender of the fleet.
 type Member struct {
-	Name   string `json:"name"`
-	Speaks uint32 `json:"speaks"`
-	Gone   bool   `json:"gone,omitempty"`
+	Name           string `json:"name"`
+	MaxCommandKind uint32 `json:"speaks"`
+	Removed        bool   `json:"gone,omitempty"`
 }
 
 // PolicyReport is what is agreed of the policy.
 type PolicyReport struct {
-	Version  uint64        `json:"version"`
-	Document string        `json:"document,omitempty"`
-	Since    uint64        `json:"since"`
-	Open     *ChangeReport `json:"open,omitempty"`
-	Past     []PastReport  `json:"past,omitempty"`
+	Version    uint64                 `json:"version"`
+	Document   string                 `json:"document,omitempty"`
+	StartIndex uint64                 `json:"since"`
+	Open       *ChangeReport          `json:"open,omitempty"`
+	History    []FinishedChangeReport `json:"past,omitempty"`
 }
 
 // ChangeReport is the change that is under way.
 type ChangeReport struct {
-	ID       uint64 `json:"id"`
-	Base     uint64 `json:"base"`
-	By       string `json:"by"`
-	Why      string `json:"why,omitempty"`
-	Frozen   bool   `json:"frozen"`
-	Document string `json:"document"`
+	ID          uint64 `json:"id"`
+	BaseVersion uint64 `json:"base"`
+	Author      string `json:"by"`
+	Reason      string `json:"why,omitempty"`
+	Frozen      bool   `json:"frozen"`
+	Document    string `json:"document"`
 
 	// For whom it waits, as the one that leads said when this sender asked it last.
-	Waits []fleetpolicy.Waiting `json:"waits,omitempty"`
+	WaitingOn []fleetpolicy.PendingSender `json:"waits,omitempty"`
 }
 
-// PastReport is a change that is over.
-type PastReport struct {
-	ID       uint64 `json:"id"`
-	Version  uint64 `json:"version,omitempty"` // that it made
-	By       string `json:"by"`
-	Why      string `json:"why,omitempty"`
-	Ended    string `json:"ended,omitempty"` // why it was aborted
-	Document string `json:"document,omitempty"`
+// FinishedChangeReport is a change that is over.
+type FinishedChangeReport struct {
+	ID          uint64 `json:"id"`
+	Version     uint64 `json:"version,omitempty"` // that it made
+	Author      string `json:"by"`
+	Reason      string `json:"why,omitempty"`
+	AbortReason string `json:"ended,omitempty"` // why it was aborted
+	Document    string `json:"document,omitempty"`
 }
 
 // Report shows this sender's part.
 func (n *Node) Report() Report {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	now := n.c.Now()
-	r := Report{Name: n.c.Name, Cluster: n.c.Cluster, Address: n.addr, Index: n.report.index, Follows: n.current, LengthMS: n.c.Terms.Duration.Milliseconds(),
-		Bound: fmt.Sprintf("lease %v, counted %v by who grants it (drift %g); then two round trips", n.c.Terms.Duration, n.c.Terms.GranterDuration(), n.c.Terms.MaxDrift)}
-	if n.heard > 0 {
-		r.HeardMS = (now - n.heard).Milliseconds()
+	now := n.cfg.Now()
+	r := Report{Name: n.cfg.Name, Cluster: n.cfg.Cluster, Address: n.addr, Index: n.replicaReport.index, Followed: n.followed, LeaseDurationMS: n.cfg.LeaseTerms.Duration.Milliseconds(),
+		Bound: fmt.Sprintf("lease %v, counted %v by who grants it (drift %g); then two round trips", n.cfg.LeaseTerms.Duration, n.cfg.LeaseTerms.GranterDuration(), n.cfg.LeaseTerms.MaxDrift)}
+	if n.heardAt > 0 {
+		r.AgeMS = (now - n.heardAt).Milliseconds()
 	}
 	if v, acts := n.gate.View(); v != nil {
-		r.Acts = acts
-		r.LeaseMS = max(0, (time.Duration(n.gate.until.Load()) - now).Milliseconds())
+		r.MayAct = acts
+		r.LeaseMS = max(0, (time.Duration(n.gate.leaseUntil.Load()) - now).Milliseconds())
 		if v.Unfit != nil {
 			r.Unfit = v.Unfit.Error()
 		}
 	}
-	for _, m := range n.report.members {
+	for _, m := range n.replicaReport.members {
 		r.Members = append(r.Members, Member{m.Name, m.MaxCommandKind, m.Removed})
 	}
-	for _, v := range n.c.Voters {
+	for _, v := range n.cfg.Voters {
 		r.Voters = append(r.Voters, v.Name)
 	}
-	for _, v := range n.report.voters {
+	for _, v := range n.replicaReport.voters {
 		i := slices.Index(r.Voters, v.Name)
 		switch {
 		case v.Removed && i >= 0:
@@ -130,7 +130,7 @@
 	}
 	if n.store != nil {
 		s := n.status
-		r.Voter = &VoterReport{Leads: s.IsLeader, Term: s.Term, Applied: s.AppliedIndex, WaitsFor: n.waits, Old: n.old, Failed: n.failed, Waits: s.WaitingOn}
+		r.Voter = &VoterReport{IsLeader: s.IsLeader, Term: s.Term, AppliedIndex: s.AppliedIndex, MissingVoters: n.missingVoters, StaleReason: n.staleReason, Failed: n.voterFailure, WaitingOn: s.WaitingOn}
 		for _, name := range r.Voters {
 			if replicatedlog.VoterID(name) == s.Leader {
 				r.Voter.Leader = name
@@ -140,33 +140,33 @@
 			r.Voter.Leases = append(r.Voter.Leases, Lease{h.Name, h.Remaining.Milliseconds(), h.MinIndex})
 		}
 	}
-	p := n.report.policy
-	r.Policy = PolicyReport{Version: p.GetVersion(), Document: string(p.GetDocument()), Since: p.GetStartIndex()}
+	p := n.replicaReport.policy
+	r.Policy = PolicyReport{Version: p.GetVersion(), Document: string(p.GetDocument()), StartIndex: p.GetStartIndex()}
 	if o := p.GetOpenChange(); o != nil {
-		r.Policy.Open = &ChangeReport{ID: o.Id, Base: o.BaseVersion, By: o.Author, Why: o.Reason, Frozen: o.FreezeIndex != 0, Document: string(o.Document)}
-		r.Policy.Open.Waits = n.status.WaitingOn
+		r.Policy.Open = &ChangeReport{ID: o.Id, BaseVersion: o.BaseVersion, Author: o.Author, Reason: o.Reason, Frozen: o.FreezeIndex != 0, Document: string(o.Document)}
+		r.Policy.Open.WaitingOn = n.status.WaitingOn
 		if !n.status.IsLeader {
-			for _, w := range n.waiting {
-				r.Policy.Open.Waits = append(r.Policy.Open.Waits, fleetpolicy.Waiting{Name: w.Name, For: w.Reason, Left: time.Duration(w.RemainingUs) * time.Microsecond})
+			for _, w := range n.waitingOn {
+				r.Policy.Open.WaitingOn = append(r.Policy.Open.WaitingOn, fleetpolicy.PendingSender{Name: w.Name, Reason: w.Reason, Remaining: time.Duration(w.RemainingUs) * time.Microsecond})
 			}
 		}
 	}
 	for _, o := range p.GetHistory() {
-		r.Policy.Past = append(r.Policy.Past, PastReport{o.Id, o.Version, o.Author, o.Reason, o.AbortReason, string(o.Document)})
+		r.Policy.History = append(r.Policy.History, FinishedChangeReport{o.Id, o.Version, o.Author, o.Reason, o.AbortReason, string(o.Document)})
 	}
-	for _, name := range slices.Sorted(maps.Keys(n.out)) {
-		r.Rings = append(r.Rings, n.out[name].Stats())
+	for _, name := range slices.Sorted(maps.Keys(n.outboxes)) {
+		r.Rings = append(r.Rings, n.outboxes[name].Stats())
 	}
-	r.Duties = n.group.Reports()
+	r.Workers = n.group.Reports()
 	return r
 }
 
-// Current waits until this sender's copy has come to where the log was when it was asked, as a majority confirms: what is read then is
+// WaitCurrent waits until this sender's copy has come to where the log was when it was asked, as a majority confirms: what is read then is
 // no older than the question.
-func (n *Node) Current(ctx context.Context) error {
+func (n *Node) WaitCurrent(ctx context.Context) error {
 	var need uint64
-	if err := n.through(ctx, func(ctx context.Context, client pb.FleetClient) error {
-		r, err := client.Ask(ctx, &pb.LeaseRequest{Cluster: n.c.Cluster, Name: n.c.Name, Incarnation: n.life})
+	if err := n.callAnyVoter(ctx, func(ctx context.Context, client pb.FleetClient) error {
+		r, err := client.Ask(ctx, &pb.LeaseRequest{Cluster: n.cfg.Cluster, Name: n.cfg.Name, Incarnation: n.incarnation})
 		if err == nil {
 			need = r.RequiredIndex
 		}
@@ -174,36 +174,36 @@
 	}); err != nil {
 		return fmt.Errorf("no majority confirms what is newest: %w", err)
 	}
-	for n.reached() < need {
+	for n.appliedIndex() < need {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("this sender has come to entry %d, and %d is wanted: %w", n.reached(), need, ctx.Err())
+			return fmt.Errorf("this sender has come to entry %d, and %d is wanted: %w", n.appliedIndex(), need, ctx.Err())
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// ErrRefused is that the fleet turned a command away: it changed nothing.
-var ErrRefused = errors.New("refused")
+// ErrRejected is that the fleet turned a command away: it changed nothing.
+var ErrRejected = errors.New("refused")
 
 // Propose hands a change of the policy in. Its number is told once the log has it; how it ends Ended tells.
 func (n *Node) Propose(ctx context.Context, p *pb.ProposePolicy) (change uint64, err error) {
 	if _, err := fleetpolicy.Parse("document", p.Document); err != nil {
 		return 0, err
 	}
-	return n.command(ctx, replicatedlog.KindPolicy, &pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: p}})
+	return n.submitOperator(ctx, replicatedlog.KindPolicy, &pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: p}})
 }
 
 // Abort ends the open change, if it has not taken hold.
 func (n *Node) Abort(ctx context.Context, change uint64, why string) error {
-	_, err := n.command(ctx, replicatedlog.KindPolicy, &pb.PolicyCommand{Command: &pb.PolicyCommand_Abort{Abort: &pb.ChangeStep{ChangeId: change, Reason: why}}})
+	_, err := n.submitOperator(ctx, replicatedlog.KindPolicy, &pb.PolicyCommand{Command: &pb.PolicyCommand_Abort{Abort: &pb.ChangeStep{ChangeId: change, Reason: why}}})
 	return err
 }
 
 // Leave declares a sender gone for good.
 func (n *Node) Leave(ctx context.Context, l *pb.Leave) error {
-	_, err := n.command(ctx, replicatedlog.KindLeave, l)
+	_, err := n.submitOperator(ctx, replicatedlog.KindLeave, l)
 	return err
 }
 
@@ -212,26 +212,26 @@
 	for _, a := range v.Add {
 		a.Id = replicatedlog.VoterID(a.Name)
 	}
-	_, err := n.command(ctx, replicatedlog.KindVoters, v)
+	_, err := n.submitOperator(ctx, replicatedlog.KindVoters, v)
 	return err
 }
 
-func (n *Node) command(ctx context.Context, kind uint32, body proto.Message) (uint64, error) {
+func (n *Node) submitOperator(ctx context.Context, kind uint32, body proto.Message) (uint64, error) {
 	r, err := n.Submit(ctx, kind, body)
 	if err != nil {
 		return 0, err
 	}
 	if r.Rejection != "" {
-		return r.Index, fmt.Errorf("%w: %s", ErrRefused, r.Rejection)
+		return r.Index, fmt.Errorf("%w: %s", ErrRejected, r.Rejection)
 	}
 	return r.Index, nil
 }
 
-// Ended reports whether a change is over, as far as this sender knows, and how.
-func (n *Node) Ended(change uint64) (past *pb.FinishedChange, over bool) {
+// FinishedChange reports whether a change is over, as far as this sender knows, and how.
+func (n *Node) FinishedChange(change uint64) (past *pb.FinishedChange, over bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, p := range n.report.policy.GetHistory() {
+	for _, p := range n.replicaReport.policy.GetHistory() {
 		if p.Id == change {
 			return p, true
 		}
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -32,8 +32,8 @@
 	metaBucket = []byte("meta")
 )
 
-// ErrNewer is that a file was written by a newer program; it is left as it is.
-var ErrNewer = errors.New("it was written by a newer program")
+// ErrNewerFormat is that a file was written by a newer program; it is left as it is.
+var ErrNewerFormat = errors.New("it was written by a newer program")
 
 type store struct {
 	db   *bolt.DB
@@ -58,7 +58,7 @@
 		}
 		if raw := meta.Get([]byte(formatRecord)); raw != nil {
 			if f := boltfile.Value(raw); f > storeFormat {
-				return fmt.Errorf("format %d, this program knows %d: %w", f, storeFormat, ErrNewer)
+				return fmt.Errorf("format %d, this program knows %d: %w", f, storeFormat, ErrNewerFormat)
 			}
 			for key, want := range map[string]string{"cluster": cluster, "name": name} {
 				if got := string(meta.Get([]byte(key))); got != want {
@@ -154,7 +154,7 @@
 			}
 		}
 		if a.CompactTo > 0 {
-			if err := cut(meta, log, a); err != nil {
+			if err := compactLog(meta, log, a); err != nil {
 				return err
 			}
 		}
@@ -181,7 +181,7 @@
 	})
 }
 
-func cut(meta, log *bolt.Bucket, a replicatedlog.Persist) error {
+func compactLog(meta, log *bolt.Bucket, a replicatedlog.Persist) error {
 	term := a.Snapshot.GetMetadata().GetTerm()
 	if raw := log.Get(boltfile.Number(int64(a.CompactTo))); raw != nil && !a.ReplaceLog {
 		e := &raftpb.Entry{}
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -23,37 +23,39 @@
 
 // Limits of what senders say to each other.
 const (
-	messageMost  = 16 << 20               // bytes of one message: a snapshot is one
-	outboxMost   = 1024                   // raft's messages that wait for one voter; raft sends again what is dropped
-	beatTime     = 200 * time.Millisecond // a follower hears something at least this often
-	silentTime   = 5 * beatTime           // or follows another voter
-	connectMost  = time.Second            // between two attempts to connect
-	followsMost  = 2000                   // that follow one voter
-	passOnTime   = 5 * time.Second        // for a question that is passed on
-	pingTime     = 10 * time.Second       // without a word a connection is tried
-	pingPatience = 2 * time.Second
+	maxMessageBytes   = 16 << 20               // bytes of one message: a snapshot is one
+	outboxSize        = 1024                   // raft's messages that wait for one voter; raft sends again what is dropped
+	heartbeatInterval = 200 * time.Millisecond // a follower hears something at least this often
+	followTimeout     = 5 * heartbeatInterval  // or follows another voter
+	maxConnectBackoff = time.Second            // between two attempts to connect
+	maxFollowers      = 2000                   // that follow one voter
+	passOnTime        = 5 * time.Second        // for a question that is passed on
+	keepaliveInterval = 10 * time.Second       // without a word a connection is tried
+	keepaliveTimeout  = 2 * time.Second
 )
 
-// wires are the connections to other voters, by address.
-type wires struct {
+// connections are the connections to other voters, by address.
+type connections struct {
 	keys  *keyring
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn
 }
 
-func newWires(keys *keyring) *wires { return &wires{keys: keys, conns: map[string]*grpc.ClientConn{}} }
+func newConnections(keys *keyring) *connections {
+	return &connections{keys: keys, conns: map[string]*grpc.ClientConn{}}
+}
 
-func (w *wires) to(address string) (pb.FleetClient, error) {
+func (w *connections) client(address string) (pb.FleetClient, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := w.conns[address]
 	if c == nil {
 		var err error
-		c, err = grpc.NewClient("passthrough:///"+address, append(w.keys.client(), grpc.WithTransportCredentials(insecure.NewCredentials()),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(messageMost), grpc.MaxCallSendMsgSize(messageMost)),
+		c, err = grpc.NewClient("passthrough:///"+address, append(w.keys.dialOptions(), grpc.WithTransportCredentials(insecure.NewCredentials()),
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
 			grpc.WithDisableServiceConfig(), grpc.WithDisableRetry(),
-			grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: connectMost}, MinConnectTimeout: connectMost}),
-			grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingTime, Timeout: pingPatience}))...)
+			grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxConnectBackoff}, MinConnectTimeout: maxConnectBackoff}),
+			grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}))...)
 		if err != nil {
 			return nil, fmt.Errorf("fleet: %s: %w", address, err)
 		}
@@ -62,7 +64,7 @@
 	return pb.NewFleetClient(c), nil
 }
 
-func (w *wires) close() {
+func (w *connections) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.conns {
@@ -70,27 +72,27 @@
 	}
 }
 
-// send keeps a stream to a voter and passes messages on.
-func (n *Node) send(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) {
+// sendLoop keeps a stream to a voter and passes messages on.
+func (n *Node) sendLoop(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) {
 	for ctx.Err() == nil {
-		err := n.stream(ctx, name, ring)
-		if ctx.Err() == nil && n.core != nil {
-			n.core.Inbox.Offer(replicatedlog.PeerUnreachable{VoterID: replicatedlog.VoterID(name)})
+		err := n.sendStream(ctx, name, ring)
+		if ctx.Err() == nil && n.voter != nil {
+			n.voter.Inbox.Offer(replicatedlog.PeerUnreachable{VoterID: replicatedlog.VoterID(name)})
 			n.log.Debug("fleet: a voter can't be reached", "voter", name, "err", err)
 		}
 		select {
-		case <-time.After(beatTime / 2):
+		case <-time.After(heartbeatInterval / 2):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (n *Node) stream(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) error {
+func (n *Node) sendStream(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) error {
 	address := n.address(name)
 	if address == "" {
 		return fmt.Errorf("no address of %s is known", name)
 	}
-	client, err := n.wires.to(address)
+	client, err := n.conns.client(address)
 	if err != nil {
 		return err
 	}
@@ -108,7 +110,7 @@
 			if err != nil {
 				return err
 			}
-			if err := to.Send(&pb.RaftEnvelope{Cluster: n.c.Cluster, From: n.c.Name, Incarnation: n.life, ToIncarnation: n.lives.of(name), Message: raw}); err != nil {
+			if err := to.Send(&pb.RaftEnvelope{Cluster: n.cfg.Cluster, From: n.cfg.Name, Incarnation: n.incarnation, ToIncarnation: n.peers.get(name), Message: raw}); err != nil {
 				return <-ended
 			}
 		}
@@ -128,9 +130,9 @@
 	n *Node
 }
 
-func (s *service) mine(cluster string) error {
-	if cluster != s.n.c.Cluster {
-		return status.Errorf(codes.PermissionDenied, "this is cluster %q, not %q", s.n.c.Cluster, cluster)
+func (s *service) checkCluster(cluster string) error {
+	if cluster != s.n.cfg.Cluster {
+		return status.Errorf(codes.PermissionDenied, "this is cluster %q, not %q", s.n.cfg.Cluster, cluster)
 	}
 	return nil
 }
@@ -142,21 +144,21 @@
 		if err != nil {
 			return err
 		}
-		if err := s.mine(p.Cluster); err != nil {
+		if err := s.checkCluster(p.Cluster); err != nil {
 			return err
 		}
-		core := s.n.voter()
+		core := s.n.currentVoter()
 		if core == nil {
 			return status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
 		}
-		if p.ToIncarnation != 0 && p.ToIncarnation != s.n.life { // for the process before this one: what that promised this one may not know
+		if p.ToIncarnation != 0 && p.ToIncarnation != s.n.incarnation { // for the process before this one: what that promised this one may not know
 			continue
 		}
 		m := &raftpb.Message{}
 		if err := proto.Unmarshal(p.Message, m); err != nil || m.GetFrom() != replicatedlog.VoterID(p.From) {
 			return status.Errorf(codes.InvalidArgument, "a message that can't be read, or is not its sender's: %v", err)
 		}
-		if !s.n.lives.pass(p.From, p.Incarnation, func() { core.Inbox.Offer(replicatedlog.MessageReceived{Message: m}) }) { // one that is dropped is sent again
+		if !s.n.peers.deliver(p.From, p.Incarnation, func() { core.Inbox.Offer(replicatedlog.MessageReceived{Message: m}) }) { // one that is dropped is sent again
 			return status.Errorf(codes.Aborted, "%s has another process by now", p.From)
 		}
 	}
@@ -164,20 +166,20 @@
 
 // Hello answers a voter that starts: from now on its earlier processes say nothing.
 func (s *service) Hello(ctx context.Context, r *pb.HelloRequest) (*pb.HelloReply, error) {
-	if err := s.mine(r.Cluster); err != nil {
+	if err := s.checkCluster(r.Cluster); err != nil {
 		return nil, err
 	}
 	s.n.mu.Lock()
-	folder, core := s.n.folder, s.n.core
+	folder, core := s.n.storedPosition, s.n.voter
 	s.n.mu.Unlock()
 	if folder == nil {
 		return nil, status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
 	}
-	s.n.lives.begin(r.Name, r.Incarnation)
+	s.n.peers.set(r.Name, r.Incarnation)
 	if core == nil { // it has not heard all others itself yet: what its folder has is what it can vouch for
 		return &pb.HelloReply{Term: folder.Term, LastTerm: folder.LastTerm, LastIndex: folder.LastIndex, Starting: true}, nil
 	}
-	v, err := s.n.put(ctx, func(to uint64) any { return replicatedlog.HandshakeRequested{ReplyTo: to, VoterID: r.VoterId} })
+	v, err := s.n.callVoter(ctx, func(to uint64) any { return replicatedlog.HandshakeRequested{ReplyTo: to, VoterID: r.VoterId} })
 	if err != nil {
 		return nil, err
 	}
@@ -186,42 +188,42 @@
 
 // Follow tells the committed log.
 func (s *service) Follow(r *pb.FollowRequest, to grpc.ServerStreamingServer[pb.LogChunk]) error {
-	if err := s.mine(r.Cluster); err != nil {
+	if err := s.checkCluster(r.Cluster); err != nil {
 		return err
 	}
-	if s.n.voter() == nil {
+	if s.n.currentVoter() == nil {
 		return status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
 	}
-	if s.n.follows.Add(1) > followsMost {
-		s.n.follows.Add(-1)
-		return status.Errorf(codes.ResourceExhausted, "%d follow this sender already", followsMost)
+	if s.n.followers.Add(1) > maxFollowers {
+		s.n.followers.Add(-1)
+		return status.Errorf(codes.ResourceExhausted, "%d follow this sender already", maxFollowers)
 	}
-	defer s.n.follows.Add(-1)
+	defer s.n.followers.Add(-1)
 	var err error
-	s.n.feed.follow(to.Context(), r.AfterIndex, beats(), func(p *pb.LogChunk) bool {
+	s.n.feed.follow(to.Context(), r.AfterIndex, heartbeats(), func(p *pb.LogChunk) bool {
 		err = to.Send(p)
 		return err == nil
 	})
 	return err
 }
 
-// beats gives a word some time after it is asked for.
-func beats() func() <-chan struct{} {
+// heartbeats gives a word some time after it is asked for.
+func heartbeats() func() <-chan struct{} {
 	return func() <-chan struct{} {
 		c := make(chan struct{})
-		time.AfterFunc(beatTime, func() { close(c) })
+		time.AfterFunc(heartbeatInterval, func() { close(c) })
 		return c
 	}
 }
 
 // Ask grants a lease, if this sender leads, or asks the one that does.
 func (s *service) Ask(ctx context.Context, r *pb.LeaseRequest) (*pb.LeaseReply, error) {
-	if err := s.mine(r.Cluster); err != nil {
+	if err := s.checkCluster(r.Cluster); err != nil {
 		return nil, err
 	}
-	v, err := s.n.put(ctx, func(to uint64) any { return replicatedlog.LeaseRequested{ReplyTo: to, Request: r} })
+	v, err := s.n.callVoter(ctx, func(to uint64) any { return replicatedlog.LeaseRequested{ReplyTo: to, Request: r} })
 	if errors.Is(err, replicatedlog.ErrNotLeader) && !r.Forwarded {
-		client, bad := s.n.leader()
+		client, bad := s.n.leaderClient()
 		if bad != nil {
 			return nil, bad
 		}
@@ -230,66 +232,66 @@
 		return client.Ask(ctx, on)
 	}
 	if err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	return v.(*pb.LeaseReply), nil
 }
 
 // Submit takes a command in, if this sender leads, or passes it on to the one that does.
 func (s *service) Submit(ctx context.Context, r *pb.SubmitRequest) (*pb.SubmitReply, error) {
-	if err := s.mine(r.Cluster); err != nil {
+	if err := s.checkCluster(r.Cluster); err != nil {
 		return nil, err
 	}
 	c := &pb.Command{}
 	if err := proto.Unmarshal(r.Command, c); err != nil || c.Session == 0 {
 		return nil, status.Errorf(codes.InvalidArgument, "a command that can't be read, or has no session: %v", err)
 	}
-	v, err := s.n.put(ctx, func(to uint64) any {
+	v, err := s.n.callVoter(ctx, func(to uint64) any {
 		if c.Kind == replicatedlog.KindVoters {
 			return replicatedlog.VoterChangeRequested{ReplyTo: to, Command: c}
 		}
 		return replicatedlog.CommandSubmitted{ReplyTo: to, Command: c}
 	})
 	if errors.Is(err, replicatedlog.ErrNotLeader) && !r.Forwarded {
-		client, bad := s.n.leader()
+		client, bad := s.n.leaderClient()
 		if bad != nil {
 			return nil, bad
 		}
 		return client.Submit(ctx, &pb.SubmitRequest{Cluster: r.Cluster, Command: r.Command, Forwarded: true})
 	}
 	if err != nil {
-		return nil, coded(err)
+		return nil, withCode(err)
 	}
 	return v.(*pb.SubmitReply), nil
 }
 
-func coded(err error) error {
+func withCode(err error) error {
 	if errors.Is(err, replicatedlog.ErrNotLeader) {
 		return status.Error(codes.Unavailable, err.Error())
 	}
 	return err
 }
 
-// lives are the processes of voters whose word counts.
-type lives struct {
-	mu sync.Mutex
-	by map[string]uint64
+// incarnations are the processes of voters whose word counts.
+type incarnations struct {
+	mu      sync.Mutex
+	current map[string]uint64
 }
 
-// begin is that a process has said hello.
-func (l *lives) begin(name string, life uint64) {
+// set is that a process has said hello.
+func (l *incarnations) set(name string, life uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.by[name] = life
+	l.current[name] = life
 }
 
-// pass lets a message in if it is of the process that said hello last, or of the first that is heard if none did. It is in
+// deliver lets a message in if it is of the process that said hello last, or of the first that is heard if none did. It is in
 // before a hello that comes after it.
-func (l *lives) pass(name string, life uint64, in func()) bool {
+func (l *incarnations) deliver(name string, life uint64, in func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if is, known := l.by[name]; !known {
-		l.by[name] = life
+	if is, known := l.current[name]; !known {
+		l.current[name] = life
 	} else if is != life {
 		return false
 	}
@@ -297,9 +299,9 @@
 	return true
 }
 
-// of is the process that is known; 0 if none is.
-func (l *lives) of(name string) uint64 {
+// get is the process that is known; 0 if none is.
+func (l *incarnations) get(name string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.by[name]
+	return l.current[name]
 }
--- a/internal/fleetpolicy/coordinator.go
+++ b/internal/fleetpolicy/coordinator.go
@@ -17,11 +17,11 @@
 // touches is begun anywhere; then it is committed, and each sender goes on as soon as it hears so. It is frozen, and committed,
 // only when each that holds a lease has staged it, and committed only when no lease is left below the freeze.
 type Coordinator struct {
-	change  uint64
-	since   time.Duration // this leader knows of the change
-	staged  map[lease.HolderID]bool
-	refused map[string]string // by name, why
-	sent    sentStep
+	change     uint64
+	openSince  time.Duration // this leader knows of the change
+	staged     map[lease.HolderID]bool
+	rejections map[string]string // by name, why
+	lastStep   sentStep
 }
 
 type sentStep struct {
@@ -30,33 +30,33 @@
 	at     time.Duration
 }
 
-// again is after how long a step that the log does not show is proposed again: it may have been lost with a change of leader.
-const again = time.Second
+// resendInterval is after how long a step that the log does not show is proposed again: it may have been lost with a change of leader.
+const resendInterval = time.Second
 
-// Waiting is one that a change waits for.
-type Waiting struct {
-	Name string        `json:"name"` // empty: those to whom an earlier leader may have granted a lease
-	Left time.Duration `json:"left"` // until its lease has lapsed
-	For  string        `json:"for"`
+// PendingSender is one that a change waits for.
+type PendingSender struct {
+	Name      string        `json:"name"` // empty: those to whom an earlier leader may have granted a lease
+	Remaining time.Duration `json:"left"` // until its lease has lapsed
+	Reason    string        `json:"for"`
 }
 
-// Told takes what a sender tells of a change.
-func (c *Coordinator) Told(w lease.HolderID, change uint64, refused string) {
-	c.begin(change)
+// RecordStaged takes what a sender tells of a change.
+func (c *Coordinator) RecordStaged(w lease.HolderID, change uint64, refused string) {
+	c.observe(change)
 	if change != c.change {
 		return
 	}
 	if refused != "" {
-		c.refused[w.Name] = refused
+		c.rejections[w.Name] = refused
 		return
 	}
 	c.staged[w] = true
 }
 
-// Grants reports whether one who acts at an index is granted a lease while a change is under way: once it has staged it, and, once it
+// MayGrant reports whether one who acts at an index is granted a lease while a change is under way: once it has staged it, and, once it
 // is frozen, holds up what it touches. Nobody healthy misses a lease for that, as it asks again as soon as it has; but one
 // whose questions arrive while no answer reaches it would have its lease counted on and on, and the change would wait for it to no end.
-func (c *Coordinator) Grants(w lease.HolderID, acts uint64, s *pb.PolicyState) bool {
+func (c *Coordinator) MayGrant(w lease.HolderID, acts uint64, s *pb.PolicyState) bool {
 	o := s.GetOpenChange()
 	if o == nil || o.Id < c.change {
 		return true
@@ -67,54 +67,54 @@
 // Clone is a coordinator with the same state, for those who explore what can become of it.
 func (c *Coordinator) Clone() *Coordinator {
 	d := *c
-	d.staged, d.refused = maps.Clone(c.staged), maps.Clone(c.refused)
+	d.staged, d.rejections = maps.Clone(c.staged), maps.Clone(c.rejections)
 	return &d
 }
 
-// begin takes notice of a change; older ones are over.
-func (c *Coordinator) begin(change uint64) {
+// observe takes notice of a change; older ones are over.
+func (c *Coordinator) observe(change uint64) {
 	if change > c.change {
-		*c = Coordinator{change: change, since: -1, staged: map[lease.HolderID]bool{}, refused: map[string]string{}, sent: c.sent}
+		*c = Coordinator{change: change, openSince: -1, staged: map[lease.HolderID]bool{}, rejections: map[string]string{}, lastStep: c.lastStep}
 	}
 }
 
 // Step gives the next command; nil while there is none. waits says for whom.
-func (c *Coordinator) Step(now time.Duration, s *pb.PolicyState, g *lease.Granter) (next *pb.PolicyCommand, waits []Waiting) {
+func (c *Coordinator) Step(now time.Duration, s *pb.PolicyState, g *lease.Granter) (next *pb.PolicyCommand, waits []PendingSender) {
 	o := s.GetOpenChange()
 	if o == nil {
 		return nil, nil
 	}
-	if c.begin(o.Id); c.change != o.Id {
+	if c.observe(o.Id); c.change != o.Id {
 		return nil, nil // told of a later one: the state here is behind
 	}
-	if c.since < 0 {
-		c.since = now
+	if c.openSince < 0 {
+		c.openSince = now
 	}
 	step := func(name string, p *pb.PolicyCommand) *pb.PolicyCommand {
-		if c.sent.change == o.Id && c.sent.step == name && now-c.sent.at < again {
+		if c.lastStep.change == o.Id && c.lastStep.step == name && now-c.lastStep.at < resendInterval {
 			return nil
 		}
-		c.sent = sentStep{o.Id, name, now}
+		c.lastStep = sentStep{o.Id, name, now}
 		return p
 	}
 	abort := func(why string) *pb.PolicyCommand {
 		return step("abort", &pb.PolicyCommand{Command: &pb.PolicyCommand_Abort{Abort: &pb.ChangeStep{ChangeId: o.Id, Reason: why}}})
 	}
-	for _, name := range sorted(c.refused) {
-		return abort(fmt.Sprintf("%s refuses it: %s", name, c.refused[name])), nil
+	for _, name := range sortedKeys(c.rejections) {
+		return abort(fmt.Sprintf("%s refuses it: %s", name, c.rejections[name])), nil
 	}
 	if o.FreezeIndex != 0 {
 		for _, h := range g.LeasesBelow(o.FreezeIndex, now) {
-			waits = append(waits, Waiting{h.Name, h.Remaining, "to hold up what the change touches"})
+			waits = append(waits, PendingSender{h.Name, h.Remaining, "to hold up what the change touches"})
 		}
 	} else if g.InGracePeriod(now) {
 		for _, h := range g.LeasesBelow(0, now) {
-			waits = append(waits, Waiting{h.Name, h.Remaining, "to stage it"})
+			waits = append(waits, PendingSender{h.Name, h.Remaining, "to stage it"})
 		}
 	}
 	for _, h := range g.ActiveLeases(now) { // also once it is frozen: one may have come meanwhile
 		if !c.staged[h.HolderID] {
-			waits = append(waits, Waiting{h.Name, h.Remaining, "to stage it"})
+			waits = append(waits, PendingSender{h.Name, h.Remaining, "to stage it"})
 		}
 	}
 	if o.FreezeIndex != 0 {
@@ -126,13 +126,13 @@
 	if len(waits) == 0 {
 		return step("freeze", &pb.PolicyCommand{Command: &pb.PolicyCommand_Freeze{Freeze: &pb.ChangeStep{ChangeId: o.Id}}}), nil
 	}
-	if wait := time.Duration(o.StageTimeoutUs) * time.Microsecond; now-c.since >= wait {
-		return abort(fmt.Sprintf("it was not staged everywhere within %v; missing: %s", wait, names(waits))), waits
+	if wait := time.Duration(o.StageTimeoutUs) * time.Microsecond; now-c.openSince >= wait {
+		return abort(fmt.Sprintf("it was not staged everywhere within %v; missing: %s", wait, joinNames(waits))), waits
 	}
 	return nil, waits
 }
 
-func names(all []Waiting) string {
+func joinNames(all []PendingSender) string {
 	text := ""
 	for i, w := range all[:min(len(all), 10)] {
 		if i > 0 {
--- a/internal/fleetpolicy/diff.go
+++ b/internal/fleetpolicy/diff.go
@@ -9,15 +9,15 @@
 func Diff(was, is *Policy) []string {
 	var lines []string
 	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	if was.document.CutOff != is.document.CutOff || was.document.GoOnFor != is.document.GoOnFor {
+	if was.document.CutOff != is.document.CutOff || was.document.CutOffGrace != is.document.CutOffGrace {
 		say("a sender that is cut off: %s -> %s", was.cutOff(), is.cutOff())
 	}
-	t := Touches(was, is)
+	t := AffectedBySwitch(was, is)
 	// Destinations that change in the same way stand in one line.
 	type change struct{ from, to string }
 	by := map[change][]uint32{}
 	var order []change
-	for _, d := range sorted(t.destinations) {
+	for _, d := range sortedKeys(t.destinations) {
 		c := change{was.routed(d), is.routed(d)}
 		if by[c] == nil {
 			order = append(order, c)
@@ -28,21 +28,21 @@
 		say("destination %s: %s -> %s", ranges(by[c]), c.from, c.to)
 	}
 	word := map[bool]string{true: "suspended", false: "served"}
-	for _, n := range sorted(t.tenants) {
+	for _, n := range sortedKeys(t.tenants) {
 		say("tenant %q: %s -> %s", n, word[was.suspended[n]], word[is.suspended[n]])
 	}
 	lines = append(lines, diffLimits(was, is)...)
-	lines = append(lines, diffVerdicts(was, is)...)
+	lines = append(lines, diffHealthRules(was, is)...)
 	classes := map[string]struct{}{}
-	differ(classes, was.classes, is.classes)
-	for _, n := range sorted(classes) {
+	addDifferences(classes, was.classes, is.classes)
+	for _, n := range sortedKeys(classes) {
 		say("class %q, deadline at most: %s -> %s (messages that are handed in from then on)", n, bound(was, n), bound(is, n))
 	}
 	return lines
 }
 
 func (p *Policy) cutOff() string {
-	if d := p.GoesOn(); d > 0 {
+	if d := p.CutOffGrace(); d > 0 {
 		return fmt.Sprintf("goes on for %v", d)
 	}
 	return "begins no call"
@@ -88,25 +88,25 @@
 	return text
 }
 
-// Affects counts those of some messages that a switch touches, by destination, the most first: what operators are told before
+// CountMessages counts those of some messages that a switch touches, by destination, the most first: what operators are told before
 // they propose.
-func (t *Touched) Affects(held map[Call]int) (total int, by []Count) {
+func (t *Affected) CountMessages(held map[Call]int) (total int, by []MessageCount) {
 	counts := map[uint32]int{}
 	for c, n := range held {
-		if t.Call(c) {
+		if t.HasCall(c) {
 			counts[c.Destination] += n
 			total += n
 		}
 	}
-	for _, d := range sorted(counts) {
-		by = append(by, Count{d, counts[d]})
+	for _, d := range sortedKeys(counts) {
+		by = append(by, MessageCount{d, counts[d]})
 	}
-	slices.SortStableFunc(by, func(a, b Count) int { return b.Messages - a.Messages })
+	slices.SortStableFunc(by, func(a, b MessageCount) int { return b.Messages - a.Messages })
 	return total, by
 }
 
-// Count is how many messages for a destination are held.
-type Count struct {
+// MessageCount is how many messages for a destination are held.
+type MessageCount struct {
 	Destination uint32 `json:"destination"`
 	Messages    int    `json:"messages"`
 }
--- a/internal/fleetpolicy/document.go
+++ b/internal/fleetpolicy/document.go
@@ -18,15 +18,15 @@
 type Document struct {
 	// CutOff is what a sender does that has no lease: "hold" (the default) begins no call; "go-on" goes on under the version
 	// that it had, for GoOnFor at most. The latter gives up that no call is begun under a version that others have left.
-	CutOff  string        `toml:"cut_off,omitempty"`
-	GoOnFor tomlfile.Span `toml:"go_on_for,omitempty"`
+	CutOff      string        `toml:"cut_off,omitempty"`
+	CutOffGrace tomlfile.Span `toml:"go_on_for,omitempty"`
 
 	Routes  []Route  `toml:"route,omitempty"`
 	Tenants []Tenant `toml:"tenant,omitempty"`
 	Classes []Class  `toml:"class,omitempty"`
 	Limits  []Limit  `toml:"limit,omitempty"`
 
-	Verdicts []Verdict `toml:"verdict,omitempty"`
+	Health []HealthRule `toml:"verdict,omitempty"`
 }
 
 // Route says where the messages for some destinations go.
@@ -49,72 +49,72 @@
 
 // Class bounds a class of message.
 type Class struct {
-	Name         string        `toml:"name"`
-	DeadlineMost tomlfile.Span `toml:"deadline_most"` // a message is given up no later than this after it was handed in
+	Name        string        `toml:"name"`
+	MaxDeadline tomlfile.Span `toml:"deadline_most"` // a message is given up no later than this after it was handed in
 }
 
 // Bounds of a document. A larger one would not fit a step of the log.
 const (
-	documentMost     = 1 << 20 // bytes
-	destinationsMost = 100_000 // named, in all
-	textMost         = 500     // bytes of a reason
-	goOnMost         = 24 * time.Hour
+	maxDocumentBytes = 1 << 20 // bytes
+	maxDestinations  = 100_000 // named, in all
+	maxTextBytes     = 500     // bytes of a reason
+	maxCutOffGrace   = 24 * time.Hour
 )
 
 // Policy is a document that was checked, as calls are judged by it.
 type Policy struct {
-	document  *Document
-	routes    map[uint32]rule
-	suspended map[string]bool
-	classes   map[string]time.Duration
-	limits    limits
-	verdicts  map[uint32]health.Rule
+	document    *Document
+	routes      map[uint32]routeRule
+	suspended   map[string]bool
+	classes     map[string]time.Duration
+	limits      limitIndex
+	healthRules map[uint32]health.Rule
 }
 
-type rule struct {
+type routeRule struct {
 	closed bool
 	kind   string // of one that is apart
 	to     uint32 // of one that is moved
 }
 
-// None is the policy before the first document: all goes as the platform has it.
-func None() *Policy { return &Policy{document: &Document{CutOff: hold}} }
+// Empty is the policy before the first document: all goes as the platform has it.
+func Empty() *Policy { return &Policy{document: &Document{CutOff: cutOffHold}} }
 
 const (
-	hold = "hold"
-	goOn = "go-on"
+	cutOffHold     = "hold"
+	cutOffContinue = "go-on"
 )
 
 // Parse reads a document and checks it as a whole; name is for its errors.
 func Parse(name string, raw []byte) (*Policy, error) {
-	if len(raw) > documentMost {
-		return nil, fmt.Errorf("%s: %d bytes; %d are the most", name, len(raw), documentMost)
+	if len(raw) > maxDocumentBytes {
+		return nil, fmt.Errorf("%s: %d bytes; %d are the most", name, len(raw), maxDocumentBytes)
 	}
 	d := &Document{}
 	if err := tomlfile.Decode(name, raw, d); err != nil {
 		return nil, err
 	}
-	p := &Policy{document: d, routes: map[uint32]rule{}, suspended: map[string]bool{}, classes: map[string]time.Duration{}}
+	p := &Policy{document: d, routes: map[uint32]routeRule{}, suspended: map[string]bool{}, classes: map[string]time.Duration{}}
 	bad := func(format string, args ...any) error {
 		return fmt.Errorf("%s: "+format, append([]any{name}, args...)...)
 	}
 	switch d.CutOff {
 	case "":
-		d.CutOff = hold
-	case hold, goOn:
+		d.CutOff = cutOffHold
+	case cutOffHold, cutOffContinue:
 	default:
-		return nil, bad("cut_off = %q; there are %q and %q", d.CutOff, hold, goOn)
+		return nil, bad("cut_off = %q; there are %q and %q", d.CutOff, cutOffHold, cutOffContinue)
 	}
-	if (d.CutOff == goOn) != (d.GoOnFor > 0) || d.GoOnFor.D() > goOnMost {
-		return nil, bad("go_on_for = %v: it goes with cut_off = %q, and is %v at most", d.GoOnFor.D(), goOn, goOnMost)
+	if (d.CutOff == cutOffContinue) != (d.CutOffGrace > 0) || d.CutOffGrace.D() > maxCutOffGrace {
+		return nil, bad("go_on_for = %v: it goes with cut_off = %q, and is %v at most", d.CutOffGrace.D(), cutOffContinue, maxCutOffGrace)
 	}
 	for i, r := range d.Routes {
 		at := fmt.Sprintf("route %d", i+1)
 		switch {
 		case len(r.Destinations) == 0:
 			return nil, bad("%s names no destinations", at)
-		case len(r.Why) > textMost:
-			return nil, bad("%s: why has %d bytes; %d are the most", at, len(r.Why), textMost)
+		case len(r.Why) > maxTextBytes:
+			return nil, bad("%s: why has %d bytes; %d are the most", at, len(r.Why), maxTextBytes)
 		case r.State != "closed" && r.State != "moved" && r.State != "apart":
 			return nil, bad("%s: state = %q; there are \"closed\", \"moved\" and \"apart\"", at, r.State)
 		case (r.State == "apart") != (r.Kind != ""):
@@ -126,15 +126,15 @@
 			if _, twice := p.routes[dest]; twice {
 				return nil, bad("%s: destination %d is named twice", at, dest)
 			}
-			is := rule{closed: r.State == "closed", kind: r.Kind}
+			is := routeRule{closed: r.State == "closed", kind: r.Kind}
 			if r.To != nil {
 				is.to = *r.To
 			}
 			p.routes[dest] = is
 		}
 	}
-	if len(p.routes) > destinationsMost {
-		return nil, bad("%d destinations are named; %d are the most", len(p.routes), destinationsMost)
+	if len(p.routes) > maxDestinations {
+		return nil, bad("%d destinations are named; %d are the most", len(p.routes), maxDestinations)
 	}
 	for i, r := range d.Routes {
 		if r.To == nil {
@@ -146,8 +146,8 @@
 	}
 	for i, t := range d.Tenants {
 		switch {
-		case t.Name == "" || len(t.Name) > textMost || len(t.Why) > textMost:
-			return nil, bad("tenant %d: name and why have %d bytes at most, the name not none", i+1, textMost)
+		case t.Name == "" || len(t.Name) > maxTextBytes || len(t.Why) > maxTextBytes:
+			return nil, bad("tenant %d: name and why have %d bytes at most, the name not none", i+1, maxTextBytes)
 		case t.State != "suspended":
 			return nil, bad("tenant %q: state = %q; there is \"suspended\"", t.Name, t.State)
 		case p.suspended[t.Name]:
@@ -159,16 +159,16 @@
 		if _, twice := p.classes[c.Name]; twice || c.Name == "" {
 			return nil, bad("class %q is named twice, or not at all", c.Name)
 		}
-		if c.DeadlineMost <= 0 {
-			return nil, bad("class %q: deadline_most = %v is not over 0", c.Name, c.DeadlineMost.D())
+		if c.MaxDeadline <= 0 {
+			return nil, bad("class %q: deadline_most = %v is not over 0", c.Name, c.MaxDeadline.D())
 		}
-		p.classes[c.Name] = c.DeadlineMost.D()
+		p.classes[c.Name] = c.MaxDeadline.D()
 	}
 	var err error
-	if p.limits, err = newLimits(d.Limits); err != nil {
+	if p.limits, err = parseLimits(d.Limits); err != nil {
 		return nil, bad("%w", err)
 	}
-	if p.verdicts, err = verdictRules(d.Verdicts); err != nil {
+	if p.healthRules, err = parseHealthRules(d.Health); err != nil {
 		return nil, bad("%w", err)
 	}
 	return p, nil
@@ -177,9 +177,9 @@
 // Settings are the names of a sender's settings that a policy may use.
 type Settings struct{ Classes, Tenants, Kinds []string }
 
-// Fits says what is wrong with the policy at a sender with these settings: a sender that can't do what it says refuses it, and
+// CheckSettings says what is wrong with the policy at a sender with these settings: a sender that can't do what it says refuses it, and
 // then it takes hold nowhere.
-func (p *Policy) Fits(s Settings) error {
+func (p *Policy) CheckSettings(s Settings) error {
 	kinds := map[string]bool{}
 	for _, r := range p.routes {
 		if r.kind != "" {
@@ -187,12 +187,12 @@
 		}
 	}
 	classes, tenants := p.limits.names()
-	return cmp.Or(named("class", slices.Concat(sorted(p.classes), classes), s.Classes), named("tenant", slices.Concat(sorted(p.suspended), tenants), s.Tenants),
-		named("kind", sorted(kinds), s.Kinds))
+	return cmp.Or(checkNames("class", slices.Concat(sortedKeys(p.classes), classes), s.Classes), checkNames("tenant", slices.Concat(sortedKeys(p.suspended), tenants), s.Tenants),
+		checkNames("kind", sortedKeys(kinds), s.Kinds))
 }
 
-// named says which name the settings lack.
-func named(what string, names, has []string) error {
+// checkNames says which name the settings lack.
+func checkNames(what string, names, has []string) error {
 	for _, name := range names {
 		if !slices.Contains(has, name) {
 			return fmt.Errorf("%s %q is not in this sender's settings, which have %s", what, name, quoted(has))
@@ -212,7 +212,7 @@
 	return strings.Join(all, ", ")
 }
 
-func sorted[K cmp.Ordered, V any](m map[K]V) []K {
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
@@ -232,8 +232,8 @@
 	Bytes    int64
 }
 
-// Open reports whether calls for a destination are begun at all.
-func (p *Policy) Open(destination uint32) bool {
+// IsOpen reports whether calls for a destination are begun at all.
+func (p *Policy) IsOpen(destination uint32) bool {
 	r, ruled := p.routes[destination]
 	return !ruled || r.kind != ""
 }
@@ -246,8 +246,8 @@
 	return listed
 }
 
-// May reports whether a call is begun; why is for who is told.
-func (p *Policy) May(c Call) (ok bool, why string) {
+// Allows reports whether a call is begun; why is for who is told.
+func (p *Policy) Allows(c Call) (ok bool, why string) {
 	if r, ruled := p.routes[c.Destination]; ruled && r.kind == "" {
 		if r.closed {
 			return false, "the fleet's policy has closed its destination"
@@ -260,40 +260,40 @@
 	return true, ""
 }
 
-// Moved is where a message for a destination goes that is handed in now.
-func (p *Policy) Moved(destination uint32) uint32 {
+// MovedTo is where a message for a destination goes that is handed in now.
+func (p *Policy) MovedTo(destination uint32) uint32 {
 	if r, ruled := p.routes[destination]; ruled && !r.closed && r.kind == "" {
 		return r.to
 	}
 	return destination
 }
 
-// DeadlineMost is the bound of a class; 0 if it has none.
-func (p *Policy) DeadlineMost(class string) time.Duration { return p.classes[class] }
+// MaxDeadline is the bound of a class; 0 if it has none.
+func (p *Policy) MaxDeadline(class string) time.Duration { return p.classes[class] }
 
-// GoesOn is for how long a sender without a lease goes on; 0: it holds.
-func (p *Policy) GoesOn() time.Duration {
-	if p.document.CutOff == goOn {
-		return p.document.GoOnFor.D()
+// CutOffGrace is for how long a sender without a lease goes on; 0: it holds.
+func (p *Policy) CutOffGrace() time.Duration {
+	if p.document.CutOff == cutOffContinue {
+		return p.document.CutOffGrace.D()
 	}
 	return 0
 }
 
-// Touched is what differs between two policies: the calls that a switch from the one to the other holds up.
-type Touched struct {
+// Affected is what differs between two policies: the calls that a switch from the one to the other holds up.
+type Affected struct {
 	destinations map[uint32]struct{}
 	tenants      map[string]struct{}
 }
 
-// Touches is what a switch between two policies touches.
-func Touches(a, b *Policy) *Touched {
-	t := &Touched{map[uint32]struct{}{}, map[string]struct{}{}}
-	differ(t.destinations, a.routes, b.routes)
-	differ(t.tenants, a.suspended, b.suspended)
+// AffectedBySwitch is what a switch between two policies touches.
+func AffectedBySwitch(a, b *Policy) *Affected {
+	t := &Affected{map[uint32]struct{}{}, map[string]struct{}{}}
+	addDifferences(t.destinations, a.routes, b.routes)
+	addDifferences(t.tenants, a.suspended, b.suspended)
 	return t
 }
 
-func differ[K, V comparable](into map[K]struct{}, a, b map[K]V) {
+func addDifferences[K, V comparable](into map[K]struct{}, a, b map[K]V) {
 	for k, v := range a {
 		if w, ok := b[k]; !ok || v != w {
 			into[k] = struct{}{}
@@ -306,8 +306,8 @@
 	}
 }
 
-// Call reports whether a call is touched.
-func (t *Touched) Call(c Call) bool {
+// HasCall reports whether a call is touched.
+func (t *Affected) HasCall(c Call) bool {
 	if t == nil {
 		return false
 	}
@@ -316,8 +316,8 @@
 	return dest || tenant
 }
 
-// Destination reports whether all calls for a destination are touched.
-func (t *Touched) Destination(d uint32) bool {
+// HasDestination reports whether all calls for a destination are touched.
+func (t *Affected) HasDestination(d uint32) bool {
 	if t == nil {
 		return false
 	}
--- a/internal/fleetpolicy/document_test.go
+++ b/internal/fleetpolicy/document_test.go
@@ -62,7 +62,7 @@
 		"[[tenant]]\nname = \"a\"\nstate = \"suspended\"\n[[tenant]]\nname = \"a\"\nstate = \"suspended\"": `tenant "a" is named twice`,
 		"[[class]]\nname = \"a\"":                                                                          `class "a": deadline_most = 0s`,
 		"[[class]]\nname = \"a\"\ndeadline_most = \"soon\"":                                                "p.toml:3:",
-		strings.Repeat("#", documentMost+1):                                                                "are the most",
+		strings.Repeat("#", maxDocumentBytes+1):                                                            "are the most",
 	} {
 		if _, err := Parse("p.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%.60q: %v, want %q", text, err, says)
@@ -101,7 +101,7 @@
 calls = 0.5
 `)
 	uses := func(c Call) (all []string) {
-		for _, u := range p.Uses(c) {
+		for _, u := range p.Usages(c) {
 			all = append(all, fmt.Sprintf("%s: %d", u.Key, u.Units))
 		}
 		return all
@@ -121,20 +121,20 @@
 	}
 	var words []string
 	for _, l := range p.Limits() {
-		words = append(words, l.Key+": "+LimitWords(l))
+		words = append(words, l.Key+": "+DescribeLimit(l))
 	}
 	if want := []string{"class big, bytes: 1000 bytes in 1s, 10 of them kept by each of the first 5 senders", "destination 7: 30 calls in 1s, or as the receiver tells",
 		"destination 7, tenant a: 5 calls in 10s, and 2 more by each that is cut off", "destination 7, tenant b: 5 calls in 10s, and 2 more by each that is cut off",
 		"destination 8: 30 calls in 1s, or as the receiver tells", "destination 9: 1 calls in 2s", "endpoint s-1, at once: 3 calls at once, of 5s at most"}; !slices.Equal(words, want) {
 		t.Errorf("%q", words)
 	}
-	if l, ok := p.Paced(8); !ok || l.Key != "destination 8" {
+	if l, ok := p.RateLimit(8); !ok || l.Key != "destination 8" {
 		t.Error("destination 8 is not paced")
 	}
-	if _, ok := p.Paced(1); ok {
+	if _, ok := p.RateLimit(1); ok {
 		t.Error("destination 1 is paced")
 	}
-	if err := p.Fits(Settings{Tenants: []string{"a", "b"}, Classes: []string{"small"}}); err == nil || !strings.Contains(err.Error(), `class "big" is not`) {
+	if err := p.CheckSettings(Settings{Tenants: []string{"a", "b"}, Classes: []string{"small"}}); err == nil || !strings.Contains(err.Error(), `class "big" is not`) {
 		t.Error(err)
 	}
 }
@@ -151,14 +151,14 @@
 		{to(5, "a"), true, true, true}, {to(4, "a"), true, true, false},
 		{to(9, "acme"), false, true, true}, {to(9, "other"), true, false, true},
 	} {
-		before, _ := was.May(c.call)
-		after, _ := is.May(c.call)
-		if touched := Touches(was, is).Call(c.call); before != c.was || after != c.is || touched != c.touched {
+		before, _ := was.Allows(c.call)
+		after, _ := is.Allows(c.call)
+		if touched := AffectedBySwitch(was, is).HasCall(c.call); before != c.was || after != c.is || touched != c.touched {
 			t.Errorf("%+v: before %v, after %v, touched %v", c.call, before, after, touched)
 		}
 	}
-	if is.Moved(7) != 9 || is.Moved(2) != 2 || was.GoesOn() != time.Minute || is.GoesOn() != 0 || was.DeadlineMost("keyed") != 5*time.Second || is.DeadlineMost("keyed") != 0 ||
-		is.Kind(5, "x") != "single" || is.Kind(4, "x") != "x" || is.Moved(5) != 5 {
+	if is.MovedTo(7) != 9 || is.MovedTo(2) != 2 || was.CutOffGrace() != time.Minute || is.CutOffGrace() != 0 || was.MaxDeadline("keyed") != 5*time.Second || is.MaxDeadline("keyed") != 0 ||
+		is.Kind(5, "x") != "single" || is.Kind(4, "x") != "x" || is.MovedTo(5) != 5 {
 		t.Error("what a policy says beside calls")
 	}
 	want := []string{"a sender that is cut off: goes on for 1m0s -> begins no call", "destination 1, 3: closed -> open", `destination 5: open -> as of kind "single"`, "destination 7: closed -> moved to 9",
@@ -169,17 +169,17 @@
 	if got := Diff(is, is); got != nil {
 		t.Errorf("from itself: %q", got)
 	}
-	total, by := Touches(was, is).Affects(map[Call]int{to(1, "a"): 2, to(3, "a"): 5, to(9, "a"): 9, to(9, "acme"): 1})
-	if total != 8 || !slices.Equal(by, []Count{{3, 5}, {1, 2}, {9, 1}}) {
+	total, by := AffectedBySwitch(was, is).CountMessages(map[Call]int{to(1, "a"): 2, to(3, "a"): 5, to(9, "a"): 9, to(9, "acme"): 1})
+	if total != 8 || !slices.Equal(by, []MessageCount{{3, 5}, {1, 2}, {9, 1}}) {
 		t.Errorf("%d, %v", total, by)
 	}
-	if err := was.Fits(Settings{Classes: []string{"keyed"}, Tenants: []string{"acme"}}); err != nil {
+	if err := was.CheckSettings(Settings{Classes: []string{"keyed"}, Tenants: []string{"acme"}}); err != nil {
 		t.Error(err)
 	}
-	if err := is.Fits(Settings{Tenants: []string{"other"}, Kinds: []string{"x"}}); err == nil || !strings.Contains(err.Error(), `kind "single" is not`) {
+	if err := is.CheckSettings(Settings{Tenants: []string{"other"}, Kinds: []string{"x"}}); err == nil || !strings.Contains(err.Error(), `kind "single" is not`) {
 		t.Errorf("%v", err)
 	}
-	if err := was.Fits(Settings{Classes: []string{"safe"}, Tenants: []string{"acme"}}); err == nil || !strings.Contains(err.Error(), `class "keyed" is not in this sender's settings, which have "safe"`) {
+	if err := was.CheckSettings(Settings{Classes: []string{"safe"}, Tenants: []string{"acme"}}); err == nil || !strings.Contains(err.Error(), `class "keyed" is not in this sender's settings, which have "safe"`) {
 		t.Errorf("%v", err)
 	}
 }
@@ -196,10 +196,10 @@
 	}
 	b.WriteString("]\n")
 	p := parse(t, b.String())
-	if len(p.routes) != 5000 || len(Diff(None(), p)) != 1 {
-		t.Errorf("%d routes, %d lines", len(p.routes), len(Diff(None(), p)))
+	if len(p.routes) != 5000 || len(Diff(Empty(), p)) != 1 {
+		t.Errorf("%d routes, %d lines", len(p.routes), len(Diff(Empty(), p)))
 	}
-	if allocs := testing.AllocsPerRun(100, func() { p.May(Call{Destination: 3}) }); allocs > 0 {
+	if allocs := testing.AllocsPerRun(100, func() { p.Allows(Call{Destination: 3}) }); allocs > 0 {
 		t.Errorf("a call costs %v allocations", allocs)
 	}
 }
@@ -272,11 +272,11 @@
 		}
 		for name, m := range map[string]*Machine{"it": m, "its snapshot": again} {
 			v := m.View(index, Settings{})
-			may, _ := v.May(Call{Destination: 7})
-			if v.Version != c.version || v.Frozen.Destination(7) != c.frozen || may != c.open {
-				t.Errorf("step %d: %s: version %d, frozen %v, open %v", index, name, v.Version, v.Frozen.Destination(7), may)
+			may, _ := v.Allows(Call{Destination: 7})
+			if v.Version != c.version || v.Suspended.HasDestination(7) != c.frozen || may != c.open {
+				t.Errorf("step %d: %s: version %d, frozen %v, open %v", index, name, v.Version, v.Suspended.HasDestination(7), may)
 			}
-			if other, _ := v.May(Call{Destination: 8}); !other {
+			if other, _ := v.Allows(Call{Destination: 8}); !other {
 				t.Errorf("step %d: %s: a call that no change touches is held up", index, name)
 			}
 		}
@@ -295,8 +295,8 @@
 // What is remembered of changes is bounded, by number and by bytes; the version in force stays.
 func TestPastIsBounded(t *testing.T) {
 	m, index := NewMachine(), uint64(0)
-	doc := "# " + strings.Repeat("x", documentMost-100) + "\n"
-	for v := range uint64(pastMost + 20) {
+	doc := "# " + strings.Repeat("x", maxDocumentBytes-100) + "\n"
+	for v := range uint64(maxHistory + 20) {
 		text := doc
 		if v > 10 {
 			text = "# small\n"
@@ -312,11 +312,11 @@
 		for _, p := range m.State().History {
 			size += len(p.Document)
 		}
-		if last := m.State().History[len(m.State().History)-1]; size > pastDocuments || len(last.Document) == 0 {
+		if last := m.State().History[len(m.State().History)-1]; size > maxHistoryBytes || len(last.Document) == 0 {
 			t.Fatalf("version %d: %d bytes are kept", v+1, size)
 		}
 	}
-	if n := len(m.State().History); n != pastMost {
+	if n := len(m.State().History); n != maxHistory {
 		t.Errorf("%d changes are remembered", n)
 	}
 }
--- a/internal/fleetpolicy/limits.go
+++ b/internal/fleetpolicy/limits.go
@@ -22,29 +22,29 @@
 	Tenants      []string `toml:"tenants,omitempty"`
 	Classes      []string `toml:"classes,omitempty"`
 
-	Calls  float64 `toml:"calls,omitempty"`   // begun in any span
-	Bytes  int64   `toml:"bytes,omitempty"`   // of the messages of those
-	AtOnce int64   `toml:"at_once,omitempty"` // calls that are out
-	ADay   int64   `toml:"a_day,omitempty"`   // calls begun in a day, as the calendars of those in charge have it (UTC); it outlasts every process
+	Calls      float64 `toml:"calls,omitempty"`   // begun in any span
+	Bytes      int64   `toml:"bytes,omitempty"`   // of the messages of those
+	Concurrent int64   `toml:"at_once,omitempty"` // calls that are out
+	Daily      int64   `toml:"a_day,omitempty"`   // calls begun in a day, as the calendars of those in charge have it (UTC); it outlasts every process
 
-	Span    tomlfile.Span `toml:"span,omitempty"`    // of calls and bytes; default 1s
-	Transit tomlfile.Span `toml:"transit,omitempty"` // by so much may the ways of two calls differ; default 20ms
-	Lasts   tomlfile.Span `toml:"lasts,omitempty"`   // of at_once: no call lasts longer; needed there
+	Span          tomlfile.Span `toml:"span,omitempty"`    // of calls and bytes; default 1s
+	TransitJitter tomlfile.Span `toml:"transit,omitempty"` // by so much may the ways of two calls differ; default 20ms
+	MaxCallTime   tomlfile.Span `toml:"lasts,omitempty"`   // of at_once: no call lasts longer; needed there
 
-	Over     int64 `toml:"over,omitempty"`      // each sender that is cut off may go so much beyond; default 0
-	Floor    int64 `toml:"floor,omitempty"`     // each of the first floor_for members keeps so much for itself, also cut off
-	FloorFor int64 `toml:"floor_for,omitempty"` // goes with floor
-	Learn    bool  `toml:"learn,omitempty"`     // of calls: what the receiver tells counts where it is lower
+	CutOffExtra  int64 `toml:"over,omitempty"`      // each sender that is cut off may go so much beyond; default 0
+	Reserve      int64 `toml:"floor,omitempty"`     // each of the first floor_for members keeps so much for itself, also cut off
+	ReserveCount int64 `toml:"floor_for,omitempty"` // goes with floor
+	Adaptive     bool  `toml:"learn,omitempty"`     // of calls: what the receiver tells counts where it is lower
 }
 
 const (
-	unitsMost   = 1 << 40
-	spanMost    = 24 * time.Hour
-	transitMost = 10 * time.Second
-	limitsMost  = 20_000 // that tables come to
+	maxUnits         = 1 << 40
+	maxSpan          = 24 * time.Hour
+	maxTransitJitter = 10 * time.Second
+	maxLimits        = 20_000 // that tables come to
 
-	spanDefault    = time.Second
-	transitDefault = 20 * time.Millisecond
+	defaultSpan          = time.Second
+	defaultTransitJitter = 20 * time.Millisecond
 )
 
 // subject is what one limit is of; what is empty is not looked at.
@@ -66,18 +66,18 @@
 	byClass
 )
 
-// limits are those of a policy, as calls are held against them.
-type limits struct {
-	of     map[subject][]quota.Limit
-	shapes []shape // that occur
+// limitIndex are those of a policy, as calls are held against them.
+type limitIndex struct {
+	bySubject map[subject][]quota.Limit
+	shapes    []shape // that occur
 }
 
-func newLimits(all []Limit) (limits, error) {
-	ls := limits{of: map[subject][]quota.Limit{}}
+func parseLimits(all []Limit) (limitIndex, error) {
+	ls := limitIndex{bySubject: map[subject][]quota.Limit{}}
 	n := 0
 	for i, l := range all {
-		bad := func(format string, args ...any) (limits, error) {
-			return limits{}, fmt.Errorf("limit %d: "+format, append([]any{i + 1}, args...)...)
+		bad := func(format string, args ...any) (limitIndex, error) {
+			return limitIndex{}, fmt.Errorf("limit %d: "+format, append([]any{i + 1}, args...)...)
 		}
 		q, err := l.quota()
 		if err != nil {
@@ -89,18 +89,18 @@
 		}
 		for _, s := range subjects {
 			q.Key = s.String()
-			if q.Sort != quota.Calls {
-				q.Key += ", " + q.Sort.String()
+			if q.Kind != quota.Calls {
+				q.Key += ", " + q.Kind.String()
 			}
-			if slices.ContainsFunc(ls.of[s], func(o quota.Limit) bool { return o.Key == q.Key }) {
+			if slices.ContainsFunc(ls.bySubject[s], func(o quota.Limit) bool { return o.Key == q.Key }) {
 				return bad("%s is limited twice", q.Key)
 			}
-			ls.of[s] = append(ls.of[s], q)
+			ls.bySubject[s] = append(ls.bySubject[s], q)
 			if !slices.Contains(ls.shapes, s.shape) {
 				ls.shapes = append(ls.shapes, s.shape)
 			}
-			if n++; n > limitsMost {
-				return bad("the tables come to more than %d limits", limitsMost)
+			if n++; n > maxLimits {
+				return bad("the tables come to more than %d limits", maxLimits)
 			}
 		}
 	}
@@ -110,53 +110,53 @@
 
 // quota checks the figures.
 func (l Limit) quota() (q quota.Limit, err error) {
-	q = quota.Limit{Span: cmp.Or(l.Span.D(), spanDefault), Transit: cmp.Or(l.Transit.D(), transitDefault), Over: l.Over, Floor: l.Floor, FloorFor: l.FloorFor, Learns: l.Learn}
+	q = quota.Limit{Span: cmp.Or(l.Span.D(), defaultSpan), TransitJitter: cmp.Or(l.TransitJitter.D(), defaultTransitJitter), CutOffExtra: l.CutOffExtra, Reserve: l.Reserve, ReserveCount: l.ReserveCount, Adaptive: l.Adaptive}
 	given := 0
 	if l.Calls != 0 {
 		given++
-		if !(l.Calls > 0 && l.Calls <= unitsMost) || float64(q.Span)/min(l.Calls, 1) > float64(spanMost) {
-			return q, fmt.Errorf("calls = %v: up to %d in the span, and one in %v at least", l.Calls, unitsMost, spanMost)
+		if !(l.Calls > 0 && l.Calls <= maxUnits) || float64(q.Span)/min(l.Calls, 1) > float64(maxSpan) {
+			return q, fmt.Errorf("calls = %v: up to %d in the span, and one in %v at least", l.Calls, maxUnits, maxSpan)
 		}
-		q.Sort, q.Units = quota.Calls, int64(l.Calls)
+		q.Kind, q.Units = quota.Calls, int64(l.Calls)
 		if l.Calls < 1 { // fewer than one: one in a longer span
 			q.Units, q.Span = 1, time.Duration(float64(q.Span)/l.Calls)
 		}
 	}
 	if l.Bytes != 0 {
 		given++
-		q.Sort, q.Units = quota.Bytes, l.Bytes
+		q.Kind, q.Units = quota.Bytes, l.Bytes
 	}
-	if l.AtOnce != 0 {
+	if l.Concurrent != 0 {
 		given++
-		q.Sort, q.Units, q.Span = quota.AtOnce, l.AtOnce, 0
+		q.Kind, q.Units, q.Span = quota.Concurrent, l.Concurrent, 0
 	}
-	if l.ADay != 0 {
+	if l.Daily != 0 {
 		given++
-		q.Sort, q.Units, q.Span, q.Transit = quota.Daily, l.ADay, 0, 0
+		q.Kind, q.Units, q.Span, q.TransitJitter = quota.Daily, l.Daily, 0, 0
 	}
 	switch {
 	case given != 1:
 		return q, fmt.Errorf("one of calls, bytes, at_once and a_day is needed, and no more")
-	case q.Units < 1 || q.Units > unitsMost:
-		return q, fmt.Errorf("%s = %d is not from 1 to %d", strings.ReplaceAll(q.Sort.String(), " ", "_"), q.Units, unitsMost)
-	case l.Span < 0 || l.Span.D() > spanMost || l.Transit < 0 || l.Transit.D() > transitMost:
-		return q, fmt.Errorf("span = %v, transit = %v: up to %v and %v are possible", l.Span.D(), l.Transit.D(), spanMost, transitMost)
-	case (q.Sort == quota.AtOnce) != (l.Lasts > 0) || l.Lasts.D() > spanMost:
-		return q, fmt.Errorf("lasts = %v goes with at_once, is needed there, and is %v at most", l.Lasts.D(), spanMost)
+	case q.Units < 1 || q.Units > maxUnits:
+		return q, fmt.Errorf("%s = %d is not from 1 to %d", strings.ReplaceAll(q.Kind.String(), " ", "_"), q.Units, maxUnits)
+	case l.Span < 0 || l.Span.D() > maxSpan || l.TransitJitter < 0 || l.TransitJitter.D() > maxTransitJitter:
+		return q, fmt.Errorf("span = %v, transit = %v: up to %v and %v are possible", l.Span.D(), l.TransitJitter.D(), maxSpan, maxTransitJitter)
+	case (q.Kind == quota.Concurrent) != (l.MaxCallTime > 0) || l.MaxCallTime.D() > maxSpan:
+		return q, fmt.Errorf("lasts = %v goes with at_once, is needed there, and is %v at most", l.MaxCallTime.D(), maxSpan)
 	case q.Span == 0 && l.Span != 0:
 		return q, fmt.Errorf("at_once and a_day have no span")
-	case q.Sort == quota.Daily && (l.Over != 0 || l.Floor != 0):
+	case q.Kind == quota.Daily && (l.CutOffExtra != 0 || l.Reserve != 0):
 		return q, fmt.Errorf("a_day has neither over nor floor: who is cut off uses what it holds")
-	case l.Over < 0 || l.Over > unitsMost:
-		return q, fmt.Errorf("over = %d is not from 0 to %d", l.Over, unitsMost)
-	case l.Floor < 0 || (l.Floor > 0) != (l.FloorFor > 0) || l.FloorFor < 0 || l.Floor > 0 && l.FloorFor > q.Units/l.Floor:
-		return q, fmt.Errorf("floor = %d for floor_for = %d senders: both or none, and together no more than the limit of %d", l.Floor, l.FloorFor, q.Units)
-	case l.Learn && q.Sort != quota.Calls:
+	case l.CutOffExtra < 0 || l.CutOffExtra > maxUnits:
+		return q, fmt.Errorf("over = %d is not from 0 to %d", l.CutOffExtra, maxUnits)
+	case l.Reserve < 0 || (l.Reserve > 0) != (l.ReserveCount > 0) || l.ReserveCount < 0 || l.Reserve > 0 && l.ReserveCount > q.Units/l.Reserve:
+		return q, fmt.Errorf("floor = %d for floor_for = %d senders: both or none, and together no more than the limit of %d", l.Reserve, l.ReserveCount, q.Units)
+	case l.Adaptive && q.Kind != quota.Calls:
 		return q, fmt.Errorf("learn goes with calls")
-	case l.Learn && l.Floor > 0:
+	case l.Adaptive && l.Reserve > 0:
 		return q, fmt.Errorf("learn and floor: a floor can't hold below a limit that falls")
 	}
-	q.Lasts = l.Lasts.D()
+	q.MaxCallTime = l.MaxCallTime.D()
 	return q, nil
 }
 
@@ -186,13 +186,13 @@
 		}
 		all = next
 	}
-	if len(l.Destinations) > destinationsMost || len(l.Endpoints) > limitsMost || len(l.Tenants) > limitsMost || len(l.Classes) > limitsMost {
+	if len(l.Destinations) > maxDestinations || len(l.Endpoints) > maxLimits || len(l.Tenants) > maxLimits || len(l.Classes) > maxLimits {
 		return nil, fmt.Errorf("it names too much")
 	}
 	for _, names := range [][]string{l.Endpoints, l.Tenants, l.Classes} {
 		for _, n := range names {
-			if n == "" || len(n) > textMost {
-				return nil, fmt.Errorf("a name is empty, or has over %d bytes", textMost)
+			if n == "" || len(n) > maxTextBytes {
+				return nil, fmt.Errorf("a name is empty, or has over %d bytes", maxTextBytes)
 			}
 		}
 	}
@@ -239,16 +239,16 @@
 	return s
 }
 
-// Uses are the units that a call takes of each limit that it is under. Of one that is not about to be written, and goes to no
+// Usages are the units that a call takes of each limit that it is under. Of one that is not about to be written, and goes to no
 // endpoint yet, those of endpoints are missing.
-func (p *Policy) Uses(c Call) (uses []quota.Use) {
+func (p *Policy) Usages(c Call) (uses []quota.Usage) {
 	for _, is := range p.limits.shapes {
-		for _, l := range p.limits.of[c.subjectOf(is)] {
+		for _, l := range p.limits.bySubject[c.subjectOf(is)] {
 			units := int64(1)
-			if l.Sort == quota.Bytes {
+			if l.Kind == quota.Bytes {
 				units = max(1, c.Bytes)
 			}
-			uses = append(uses, quota.Use{Key: l.Key, Units: units})
+			uses = append(uses, quota.Usage{Key: l.Key, Units: units})
 		}
 	}
 	return uses
@@ -257,17 +257,17 @@
 // Limits are all limits, by key.
 func (p *Policy) Limits() []quota.Limit {
 	var all []quota.Limit
-	for _, ls := range p.limits.of {
+	for _, ls := range p.limits.bySubject {
 		all = append(all, ls...)
 	}
 	slices.SortFunc(all, func(a, b quota.Limit) int { return cmp.Compare(a.Key, b.Key) })
 	return all
 }
 
-// Paced is the limit of calls that a destination is under by itself; ok is false if it is under none. It is what its calls are spread by.
-func (p *Policy) Paced(destination uint32) (l quota.Limit, ok bool) {
-	for _, l := range p.limits.of[subject{destination: destination, shape: byDestination}] {
-		if l.Sort == quota.Calls {
+// RateLimit is the limit of calls that a destination is under by itself; ok is false if it is under none. It is what its calls are spread by.
+func (p *Policy) RateLimit(destination uint32) (l quota.Limit, ok bool) {
+	for _, l := range p.limits.bySubject[subject{destination: destination, shape: byDestination}] {
+		if l.Kind == quota.Calls {
 			return l, true
 		}
 	}
@@ -275,9 +275,9 @@
 }
 
 // names are the classes and tenants that limits name.
-func (ls limits) names() (classes, tenants []string) {
+func (ls limitIndex) names() (classes, tenants []string) {
 	c, t := map[string]bool{}, map[string]bool{}
-	for s := range ls.of {
+	for s := range ls.bySubject {
 		if s.class != "" {
 			c[s.class] = true
 		}
@@ -285,30 +285,30 @@
 			t[s.tenant] = true
 		}
 	}
-	return sorted(c), sorted(t)
+	return sortedKeys(c), sortedKeys(t)
 }
 
-// LimitWords tells a limit in words.
-func LimitWords(l quota.Limit) string {
+// DescribeLimit tells a limit in words.
+func DescribeLimit(l quota.Limit) string {
 	text := ""
-	switch l.Sort {
+	switch l.Kind {
 	case quota.Calls:
 		text = fmt.Sprintf("%d calls in %v", l.Units, l.Span)
 	case quota.Bytes:
 		text = fmt.Sprintf("%d bytes in %v", l.Units, l.Span)
-	case quota.AtOnce:
-		text = fmt.Sprintf("%d calls at once, of %v at most", l.Units, l.Lasts)
+	case quota.Concurrent:
+		text = fmt.Sprintf("%d calls at once, of %v at most", l.Units, l.MaxCallTime)
 	case quota.Daily:
 		text = fmt.Sprintf("%d calls a day", l.Units)
 	}
-	if l.Learns {
+	if l.Adaptive {
 		text += ", or as the receiver tells"
 	}
-	if l.Floor > 0 {
-		text += fmt.Sprintf(", %d of them kept by each of the first %d senders", l.Floor, l.FloorFor)
+	if l.Reserve > 0 {
+		text += fmt.Sprintf(", %d of them kept by each of the first %d senders", l.Reserve, l.ReserveCount)
 	}
-	if l.Over > 0 {
-		text += fmt.Sprintf(", and %d more by each that is cut off", l.Over)
+	if l.CutOffExtra > 0 {
+		text += fmt.Sprintf(", and %d more by each that is cut off", l.CutOffExtra)
 	}
 	return text
 }
@@ -324,10 +324,10 @@
 	}
 	a, b := by(was), by(is)
 	changed := map[string]struct{}{}
-	differ(changed, a, b)
+	addDifferences(changed, a, b)
 	word := func(m map[string]quota.Limit, key string) string {
 		if l, ok := m[key]; ok {
-			return LimitWords(l)
+			return DescribeLimit(l)
 		}
 		return "not limited"
 	}
@@ -345,13 +345,13 @@
 		return nil, err
 	}
 	l.Destinations, l.Endpoints, l.Tenants, l.Classes = []uint32{destination}, nil, nil, nil
-	var sort quota.Sort
+	var sort quota.Kind
 	if !none {
 		q, err := l.quota()
 		if err != nil {
 			return nil, err
 		}
-		sort = q.Sort
+		sort = q.Kind
 	}
 	var keep []Limit
 	for _, was := range d.Limits {
@@ -359,7 +359,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if len(was.Tenants)+len(was.Classes) == 0 && (none || q.Sort == sort) {
+		if len(was.Tenants)+len(was.Classes) == 0 && (none || q.Kind == sort) {
 			was.Destinations = slices.DeleteFunc(slices.Clone(was.Destinations), func(o uint32) bool { return o == destination })
 			if len(was.Destinations) == 0 && len(was.Endpoints) == 0 {
 				continue
--- a/internal/fleetpolicy/machine.go
+++ b/internal/fleetpolicy/machine.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	pastMost      = 100     // changes that are remembered
-	pastDocuments = 4 << 20 // bytes of their documents: those of the oldest go first, the one in force never
+	maxHistory      = 100     // changes that are remembered
+	maxHistoryBytes = 4 << 20 // bytes of their documents: those of the oldest go first, the one in force never
 
-	// WaitMost is how long a proposal may wait to be staged.
-	WaitMost = 10 * time.Minute
+	// MaxStageTimeout is how long a proposal may wait to be staged.
+	MaxStageTimeout = 10 * time.Minute
 )
 
 // Machine is the policy as the fleet agrees on it. The same commands in the same order make the same state everywhere.
@@ -31,7 +31,7 @@
 }
 
 // NewMachine makes the state before the first command.
-func NewMachine() *Machine { return &Machine{state: &pb.PolicyState{}, policy: None()} }
+func NewMachine() *Machine { return &Machine{state: &pb.PolicyState{}, policy: Empty()} }
 
 // State is what is agreed; it is read only, and holds until the next command.
 func (m *Machine) State() *pb.PolicyState { return m.state }
@@ -53,8 +53,8 @@
 		if p.GetBaseVersion() != s.GetVersion() {
 			return nil, fmt.Sprintf("it was made from version %d; version %d is in force", p.GetBaseVersion(), s.GetVersion()), nil
 		}
-		if wait := time.Duration(p.GetStageTimeoutUs()) * time.Microsecond; wait <= 0 || wait > WaitMost {
-			return nil, fmt.Sprintf("it waits %v to be staged; up to %v is possible", wait, WaitMost), nil
+		if wait := time.Duration(p.GetStageTimeoutUs()) * time.Microsecond; wait <= 0 || wait > MaxStageTimeout {
+			return nil, fmt.Sprintf("it waits %v to be staged; up to %v is possible", wait, MaxStageTimeout), nil
 		}
 		next, err := Parse("document", p.GetDocument())
 		if err != nil {
@@ -64,7 +64,7 @@
 		s.OpenChange = &pb.Change{Id: index, BaseVersion: p.GetBaseVersion(), Document: p.GetDocument(), Author: p.GetAuthor(), Reason: p.GetReason(), StageTimeoutUs: p.GetStageTimeoutUs(), RollbackTo: p.GetRollbackTo()}
 		return nil, "", nil
 	case *pb.PolicyCommand_Freeze:
-		if refused := m.names(w.Freeze); refused != "" {
+		if refused := m.checkStep(w.Freeze); refused != "" {
 			return nil, refused, nil
 		}
 		if s.OpenChange.FreezeIndex != 0 {
@@ -73,7 +73,7 @@
 		s.OpenChange.FreezeIndex = index
 		return nil, "", nil
 	case *pb.PolicyCommand_Commit:
-		if refused := m.names(w.Commit); refused != "" {
+		if refused := m.checkStep(w.Commit); refused != "" {
 			return nil, refused, nil
 		}
 		if s.OpenChange.FreezeIndex == 0 {
@@ -82,21 +82,21 @@
 		open := s.OpenChange
 		s.Version, s.Document, s.StartIndex = s.Version+1, open.Document, index
 		m.policy = m.next
-		m.over(&pb.FinishedChange{Id: open.Id, Version: s.Version, Author: open.Author, Reason: open.Reason, EndIndex: index, Document: open.Document})
+		m.finish(&pb.FinishedChange{Id: open.Id, Version: s.Version, Author: open.Author, Reason: open.Reason, EndIndex: index, Document: open.Document})
 		return nil, "", nil
 	case *pb.PolicyCommand_Abort:
-		if refused := m.names(w.Abort); refused != "" {
+		if refused := m.checkStep(w.Abort); refused != "" {
 			return nil, refused, nil
 		}
 		open := s.OpenChange
-		m.over(&pb.FinishedChange{Id: open.Id, Author: open.Author, Reason: open.Reason, AbortReason: w.Abort.GetReason(), EndIndex: index})
+		m.finish(&pb.FinishedChange{Id: open.Id, Author: open.Author, Reason: open.Reason, AbortReason: w.Abort.GetReason(), EndIndex: index})
 		return nil, "", nil
 	}
 	return nil, "", fmt.Errorf("a command on the policy is of a sort that this program does not know")
 }
 
-// names says why a step does not belong to the change that is open.
-func (m *Machine) names(s *pb.ChangeStep) string {
+// checkStep says why a step does not belong to the change that is open.
+func (m *Machine) checkStep(s *pb.ChangeStep) string {
 	if m.state.OpenChange == nil {
 		return fmt.Sprintf("change %d is over", s.GetChangeId())
 	}
@@ -106,15 +106,15 @@
 	return ""
 }
 
-// over ends the open change.
-func (m *Machine) over(p *pb.FinishedChange) {
+// finish ends the open change.
+func (m *Machine) finish(p *pb.FinishedChange) {
 	s := m.state
 	s.OpenChange, m.next = nil, nil
 	s.History = append(s.History, p)
-	if n := len(s.History) - pastMost; n > 0 {
+	if n := len(s.History) - maxHistory; n > 0 {
 		s.History = append(s.History[:0:0], s.History[n:]...)
 	}
-	room := pastDocuments
+	room := maxHistoryBytes
 	for i := len(s.History) - 1; i >= 0; i-- {
 		if room -= len(s.History[i].Document); room < 0 && s.History[i].Version != s.Version {
 			s.History[i].Document = nil
@@ -133,7 +133,7 @@
 	if err := proto.Unmarshal(raw, s); err != nil {
 		return fmt.Errorf("the policy's state can't be read: %w", err)
 	}
-	policy, next := None(), (*Policy)(nil)
+	policy, next := Empty(), (*Policy)(nil)
 	var err error
 	if s.Version > 0 {
 		if policy, err = Parse("document in force", s.Document); err != nil {
@@ -157,73 +157,73 @@
 
 // View is what a sender goes by at one index of the log. It does not change.
 type View struct {
-	Index   uint64
-	Version uint64
-	Policy  *Policy
-	Change  uint64   // open; 0: none
-	Frozen  *Touched // what that holds up; nil: nothing
-	Unfit   error    // the policy can't be followed here: nothing is begun
+	Index      uint64
+	Version    uint64
+	Policy     *Policy
+	OpenChange uint64    // open; 0: none
+	Suspended  *Affected // what that holds up; nil: nothing
+	Unfit      error     // the policy can't be followed here: nothing is begun
 
-	Roster   *pb.MembershipState // who takes part in what is shared out by name
-	Verdicts *pb.HealthState     // that stand here
-	Rank     int                 // of this sender among those that have joined; -1: it has not
+	Membership *pb.MembershipState // who takes part in what is shared out by name
+	Health     *pb.HealthState     // that stand here
+	Rank       int                 // of this sender among those that have joined; -1: it has not
 }
 
-// Charge says who is in charge of what is shared out by name.
-func (v *View) Charge() *coordinator.Ownership {
-	return coordinator.NewOwnership(v.Roster.GetParticipants())
+// Ownership says who is in charge of what is shared out by name.
+func (v *View) Ownership() *coordinator.Ownership {
+	return coordinator.NewOwnership(v.Membership.GetParticipants())
 }
 
 // View is the state as a sender with these settings goes by it.
 func (m *Machine) View(index uint64, s Settings) *View {
-	v := &View{Index: index, Version: m.state.Version, Policy: m.policy, Unfit: m.policy.Fits(s)}
+	v := &View{Index: index, Version: m.state.Version, Policy: m.policy, Unfit: m.policy.CheckSettings(s)}
 	if o := m.state.OpenChange; o != nil {
-		v.Change = o.Id
+		v.OpenChange = o.Id
 		if o.FreezeIndex != 0 {
-			v.Frozen = Touches(m.policy, m.next)
+			v.Suspended = AffectedBySwitch(m.policy, m.next)
 		}
 	}
 	return v
 }
 
-// May reports whether a call is begun under the view; why is for who is told.
-func (v *View) May(c Call) (ok bool, why string) {
+// Allows reports whether a call is begun under the view; why is for who is told.
+func (v *View) Allows(c Call) (ok bool, why string) {
 	if v.Unfit != nil {
 		return false, "the fleet's policy can't be followed here"
 	}
-	if v.Frozen.Call(c) {
+	if v.Suspended.HasCall(c) {
 		return false, "a change of the fleet's policy is about to take hold"
 	}
-	if s := health.StatusOf(v.Verdicts, c.Destination, true); s != nil {
+	if s := health.StatusOf(v.Health, c.Destination, true); s != nil {
 		return false, fmt.Sprintf("%s has suspended its destination", s.Author)
 	}
-	return v.Policy.May(c)
+	return v.Policy.Allows(c)
 }
 
-// GetVerdicts are those that stand; none of a view that is not known yet.
-func (v *View) GetVerdicts() []*pb.HealthStatus {
+// HealthStatuses are those that stand; none of a view that is not known yet.
+func (v *View) HealthStatuses() []*pb.HealthStatus {
 	if v == nil {
 		return nil
 	}
-	return v.Verdicts.GetStatuses()
+	return v.Health.GetStatuses()
 }
 
-// Open reports whether calls for a destination are begun at all, as long as nothing changes.
-func (v *View) Open(destination uint32) bool {
-	return v.Policy.Open(destination) && health.StatusOf(v.Verdicts, destination, true) == nil
+// IsOpen reports whether calls for a destination are begun at all, as long as nothing changes.
+func (v *View) IsOpen(destination uint32) bool {
+	return v.Policy.IsOpen(destination) && health.StatusOf(v.Health, destination, true) == nil
 }
 
-// guard is the limit that a verdict puts on its destination: one call of the whole fleet now and then while it is out, and few that
+// healthLimit is the limit that a verdict puts on its destination: one call of the whole fleet now and then while it is out, and few that
 // become more as it comes back.
-func (v *View) guard(destination uint32) (l quota.Limit, ok bool) {
-	is := health.StatusOf(v.Verdicts, destination, false)
-	r, ruled := v.Policy.VerdictRule(destination)
+func (v *View) healthLimit(destination uint32) (l quota.Limit, ok bool) {
+	is := health.StatusOf(v.Health, destination, false)
+	r, ruled := v.Policy.HealthRule(destination)
 	if is == nil || !ruled {
 		return l, false
 	}
-	l = quota.Limit{Key: fmt.Sprintf("destination %d, probes", destination), Units: 1, Span: r.ProbeInterval, Transit: r.TransitJitter}
+	l = quota.Limit{Key: fmt.Sprintf("destination %d, probes", destination), Units: 1, Span: r.ProbeInterval, TransitJitter: r.TransitJitter}
 	if health.Kind(is.Kind) == health.KindWarmingUp {
-		l = quota.Limit{Key: fmt.Sprintf("destination %d, return", destination), Units: r.InitialRate, Span: time.Second, Transit: r.TransitJitter, RampTo: r.FullRate, RampFor: r.SlowStart}
+		l = quota.Limit{Key: fmt.Sprintf("destination %d, return", destination), Units: r.InitialRate, Span: time.Second, TransitJitter: r.TransitJitter, SlowStartUnits: r.FullRate, SlowStartTime: r.SlowStart}
 	}
 	return l, true
 }
@@ -231,8 +231,8 @@
 // Limits are those of the policy and of verdicts, by key.
 func (v *View) Limits() []quota.Limit {
 	all := v.Policy.Limits()
-	for _, is := range v.Verdicts.GetStatuses() {
-		if l, ok := v.guard(is.Destination); ok && health.Kind(is.Kind) != health.KindSuspended {
+	for _, is := range v.Health.GetStatuses() {
+		if l, ok := v.healthLimit(is.Destination); ok && health.Kind(is.Kind) != health.KindSuspended {
 			all = append(all, l)
 		}
 	}
@@ -240,23 +240,23 @@
 	return all
 }
 
-// Uses are the units that a call takes of each limit that it is under.
-func (v *View) Uses(c Call) []quota.Use {
-	uses := v.Policy.Uses(c)
-	if len(v.Verdicts.GetStatuses()) > 0 {
-		if l, ok := v.guard(c.Destination); ok {
-			uses = append(uses, quota.Use{Key: l.Key, Units: 1})
+// Usages are the units that a call takes of each limit that it is under.
+func (v *View) Usages(c Call) []quota.Usage {
+	uses := v.Policy.Usages(c)
+	if len(v.Health.GetStatuses()) > 0 {
+		if l, ok := v.healthLimit(c.Destination); ok {
+			uses = append(uses, quota.Usage{Key: l.Key, Units: 1})
 		}
 	}
 	return uses
 }
 
-// Paced are the limits of calls that a destination is under by itself: what its calls are spread by.
-func (v *View) Paced(destination uint32) (all []quota.Limit) {
-	if l, ok := v.Policy.Paced(destination); ok {
+// RateLimits are the limits of calls that a destination is under by itself: what its calls are spread by.
+func (v *View) RateLimits(destination uint32) (all []quota.Limit) {
+	if l, ok := v.Policy.RateLimit(destination); ok {
 		all = append(all, l)
 	}
-	if l, ok := v.guard(destination); ok {
+	if l, ok := v.healthLimit(destination); ok {
 		all = append(all, l)
 	}
 	return all
--- a/internal/fleetpolicy/model_test.go
+++ b/internal/fleetpolicy/model_test.go
@@ -141,7 +141,7 @@
 		}
 	}
 	st := &modelState{Machine: ma, view: ma.View(uint64(len(log)), Settings{})}
-	st.frozen = st.view.Frozen.Call(Call{Destination: 7})
+	st.frozen = st.view.Suspended.HasCall(Call{Destination: 7})
 	m.states[log] = st
 	return st
 }
@@ -172,8 +172,8 @@
 	b := append(make([]byte, 0, 256), byte(w.now), byte(w.elections), byte(w.crashes), byte(w.repeats), byte(w.acted))
 	b = append(b, w.log...)
 	c := w.leader.coord
-	b = append(w.leader.granter.AppendState(append(b, ';'), now, ""), byte(w.leader.applied), byte(c.change), byte(c.sent.change), byte(c.sent.at/tick))
-	b = append(b, c.sent.step...)
+	b = append(w.leader.granter.AppendState(append(b, ';'), now, ""), byte(w.leader.applied), byte(c.change), byte(c.lastStep.change), byte(c.lastStep.at/tick))
+	b = append(b, c.lastStep.step...)
 	var each []string
 	for i := range m.senders {
 		s, name := &w.senders[i], m.names[i]
@@ -441,12 +441,12 @@
 	who := lease.HolderID{Name: m.names[i], Incarnation: s.ask.life}
 	l.granter.RecordRequest(who, uint64(s.ask.acts))
 	if s.ask.staged > 0 {
-		l.coord.Told(who, s.ask.staged, "")
+		l.coord.RecordStaged(who, s.ask.staged, "")
 	}
 	if !confirmed {
 		return ""
 	}
-	if !l.coord.Grants(who, uint64(s.ask.acts), m.machine(n.log[:l.applied]).State()) {
+	if !l.coord.MayGrant(who, uint64(s.ask.acts), m.machine(n.log[:l.applied]).State()) {
 		return ""
 	}
 	at := n.clock()
--- a/internal/quota/asker.go
+++ b/internal/quota/asker.go
@@ -12,166 +12,168 @@
 
 // Events of an Asker.
 type (
-	// Poke is that units of a limit are wanted now.
-	Poke struct{ Key string }
-	// Relimited is that other things are limited, or otherwise.
-	Relimited struct{}
-	// Answered is what became of a question.
-	Answered struct {
-		To    string
-		Seq   uint64
-		Reply *pb.QuotaReply // nil: there is no answer
+	// UnitsWanted is that units of a limit are wanted now.
+	UnitsWanted struct{ Key string }
+	// LimitsChanged is that other things are limited, or otherwise.
+	LimitsChanged struct{}
+	// ReplyReceived is what became of a question.
+	ReplyReceived struct {
+		Owner    string
+		Sequence uint64
+		Reply    *pb.QuotaReply // nil: there is no answer
 	}
 )
 
 // Actions of an Asker.
 type (
-	// Question goes to the authority of the limits that it names.
-	Question struct {
+	// SendRequest goes to the authority of the limits that it names.
+	SendRequest struct {
 		To      *pb.Participant
 		Request *pb.QuotaRequest
-		Within  time.Duration // an answer that comes later is none
+		Timeout time.Duration // an answer that comes later is none
 	}
-	// Changed is that what this sender may use of some limits is another.
-	Changed struct{ Keys []string }
+	// SharesChanged is that what this sender may use of some limits is another.
+	SharesChanged struct{ Keys []string }
 )
 
-// Asker keeps a sender's purses filled: it asks the authorities for what is wanted, in time for what it holds not to lapse, and gives
+// Client keeps a sender's purses filled: it asks the authorities for what is wanted, in time for what it holds not to lapse, and gives
 // back what it does not need. Each authority has one question at a time: an answer counts only if no other was put since, as with
 // each question this sender promises to go by no older answer.
-type Asker struct {
-	me    lease.HolderID
-	terms Terms
-	till  *Till
+type Client struct {
+	me         lease.HolderID
+	terms      Terms
+	allowances *Allowances
 
-	epoch  uint64
-	charge *coordinator.Ownership
-	out    map[string]*question // by authority
-	due    map[string]time.Duration
-	keeps  map[string]int64 // units that it goes on with, as it was lent last
-	wants  map[string]int64
-	stands map[string]Share // as told
-	lapses map[string]time.Duration
-	seq    uint64
-	lasts  func(time.Duration) time.Duration // a loan
+	epoch         uint64
+	ownership     *coordinator.Ownership
+	outstanding   map[string]*pendingRequest // by authority
+	dueAt         map[string]time.Duration
+	granted       map[string]int64 // units that it goes on with, as it was lent last
+	wanted        map[string]int64
+	reported      map[string]Share // as told
+	expiries      map[string]time.Duration
+	sequence      uint64
+	grantDuration func(time.Duration) time.Duration // a loan
 }
 
-type question struct {
-	seq  uint64
-	at   time.Duration
-	keys []string
+type pendingRequest struct {
+	sequence uint64
+	sentAt   time.Duration
+	keys     []string
 }
 
 const (
-	calmly  = 500 * time.Millisecond // a limit of which enough is held is asked about so often
-	eagerly = 100 * time.Millisecond // and one of which more is wanted
-	atOnce  = 5 * time.Millisecond   // after which something new is asked about
-	keysAt  = 1000                   // limits in one question
+	idleInterval       = 500 * time.Millisecond // a limit of which enough is held is asked about so often
+	busyInterval       = 100 * time.Millisecond // and one of which more is wanted
+	minRequestInterval = 5 * time.Millisecond   // after which something new is asked about
+	maxKeysPerRequest  = 1000                   // limits in one question
 )
 
-// NewAsker makes one that knows of nobody to ask.
-func NewAsker(me lease.HolderID, t Terms, till *Till) *Asker {
-	return &Asker{me: me, terms: t, till: till, out: map[string]*question{}, due: map[string]time.Duration{}, keeps: map[string]int64{}, wants: map[string]int64{}, stands: map[string]Share{}, lapses: map[string]time.Duration{},
-		lasts: func(d time.Duration) time.Duration { return d }}
+// NewClient makes one that knows of nobody to ask.
+func NewClient(me lease.HolderID, t Terms, till *Allowances) *Client {
+	return &Client{me: me, terms: t, allowances: till, outstanding: map[string]*pendingRequest{}, dueAt: map[string]time.Duration{}, granted: map[string]int64{}, wanted: map[string]int64{}, reported: map[string]Share{}, expiries: map[string]time.Duration{},
+		grantDuration: func(d time.Duration) time.Duration { return d }}
 }
 
-// Wrong has a test make a wrong holder, whose loans last otherwise.
-func (a *Asker) Wrong(lasts func(time.Duration) time.Duration) { a.lasts = lasts }
+// OverrideGrantDuration has a test make a wrong holder, whose loans last otherwise.
+func (a *Client) OverrideGrantDuration(lasts func(time.Duration) time.Duration) {
+	a.grantDuration = lasts
+}
 
-// Roster takes over who is in charge now. Questions to those of before are over.
-func (a *Asker) Roster(s *pb.MembershipState) {
-	if a.charge != nil && a.epoch == s.GetEpoch() {
+// SetMembership takes over who is in charge now. Questions to those of before are over.
+func (a *Client) SetMembership(s *pb.MembershipState) {
+	if a.ownership != nil && a.epoch == s.GetEpoch() {
 		return
 	}
-	a.epoch, a.charge = s.GetEpoch(), coordinator.NewOwnership(s.GetParticipants())
-	clear(a.out)
-	for key := range a.due {
-		a.due[key] = 0
+	a.epoch, a.ownership = s.GetEpoch(), coordinator.NewOwnership(s.GetParticipants())
+	clear(a.outstanding)
+	for key := range a.dueAt {
+		a.dueAt[key] = 0
 	}
 }
 
-// Patience is how long an answer is waited for.
-func (a *Asker) Patience() time.Duration { return min(a.terms.Length/4, 400*time.Millisecond) }
+// Timeout is how long an answer is waited for.
+func (a *Client) Timeout() time.Duration { return min(a.terms.Duration/4, 400*time.Millisecond) }
 
 // Step takes events in and gives what is to be done.
-func (a *Asker) Step(now time.Duration, events []any) (actions []any, alarm time.Duration) {
+func (a *Client) Step(now time.Duration, events []any) (actions []any, alarm time.Duration) {
 	touched := map[string]struct{}{} // limits of which this sender may use another share now
 	for _, e := range events {
 		switch e := e.(type) {
-		case Relimited:
-			for key := range *a.till.slots.Load() {
+		case LimitsChanged:
+			for key := range *a.allowances.entries.Load() {
 				touched[key] = struct{}{}
 			}
-			for key := range a.stands { // that are limited no longer
+			for key := range a.reported { // that are limited no longer
 				touched[key] = struct{}{}
 			}
-		case Poke:
-			if at, known := a.due[e.Key]; !known || at > now+atOnce {
-				a.due[e.Key] = now
+		case UnitsWanted:
+			if at, known := a.dueAt[e.Key]; !known || at > now+minRequestInterval {
+				a.dueAt[e.Key] = now
 			}
-		case Answered:
-			a.answered(e, now, touched)
+		case ReplyReceived:
+			a.handleReply(e, now, touched)
 		}
 	}
-	for to, q := range a.out { // the answer is late: it is asked again
-		if now-q.at >= a.Patience() {
-			delete(a.out, to)
+	for to, q := range a.outstanding { // the answer is late: it is asked again
+		if now-q.sentAt >= a.Timeout() {
+			delete(a.outstanding, to)
 			for _, key := range q.keys {
-				a.due[key] = now
+				a.dueAt[key] = now
 			}
 		}
 	}
 	by := map[string][]string{}
 	alarm = Never
-	for _, key := range slices.Sorted(maps.Keys(a.due)) {
-		if a.till.slot(key) == nil {
+	for _, key := range slices.Sorted(maps.Keys(a.dueAt)) {
+		if a.allowances.entry(key) == nil {
 			a.forget(key)
 			continue
 		}
-		p := a.charge.Owner(key)
-		if p == nil || a.out[p.Name] != nil {
+		p := a.ownership.Owner(key)
+		if p == nil || a.outstanding[p.Name] != nil {
 			continue // as soon as that is over
 		}
-		if at := a.due[key]; at > now {
+		if at := a.dueAt[key]; at > now {
 			alarm = min(alarm, at)
-		} else if len(by[p.Name]) < keysAt {
+		} else if len(by[p.Name]) < maxKeysPerRequest {
 			by[p.Name] = append(by[p.Name], key)
 		}
 	}
 	for _, to := range slices.Sorted(maps.Keys(by)) {
-		if q, ok := a.ask(to, by[to], now); ok {
+		if q, ok := a.buildRequest(to, by[to], now); ok {
 			actions = append(actions, q)
 		}
 	}
-	for _, q := range a.out {
-		alarm = min(alarm, q.at+a.Patience())
+	for _, q := range a.outstanding {
+		alarm = min(alarm, q.sentAt+a.Timeout())
 	}
-	for key, until := range a.lapses {
+	for key, until := range a.expiries {
 		if until <= now {
 			touched[key] = struct{}{}
-			delete(a.lapses, key)
+			delete(a.expiries, key)
 		} else {
 			alarm = min(alarm, until) // so that it is told when a share lapses
 		}
 	}
-	if changed := a.changed(touched, now); len(changed) > 0 {
-		actions = append(actions, Changed{changed})
+	if changed := a.changedShares(touched, now); len(changed) > 0 {
+		actions = append(actions, SharesChanged{changed})
 	}
 	return actions, alarm
 }
 
-// changed are those of some limits of which this sender may use another share than it was told.
-func (a *Asker) changed(touched map[string]struct{}, now time.Duration) (keys []string) {
+// changedShares are those of some limits of which this sender may use another share than it was told.
+func (a *Client) changedShares(touched map[string]struct{}, now time.Duration) (keys []string) {
 	for key := range touched {
-		is, ok := a.till.Share(key, now)
-		was, told := a.stands[key]
+		is, ok := a.allowances.Share(key, now)
+		was, told := a.reported[key]
 		switch {
-		case !ok && !told || ok && told && was.Units == is.Units && was.Rest == is.Rest:
+		case !ok && !told || ok && told && was.Units == is.Units && was.CoolDown == is.CoolDown:
 			continue
 		case !ok:
-			delete(a.stands, key)
+			delete(a.reported, key)
 		default:
-			a.stands[key] = is
+			a.reported[key] = is
 		}
 		keys = append(keys, key)
 	}
@@ -179,126 +181,126 @@
 	return keys
 }
 
-func (a *Asker) forget(key string) {
-	delete(a.due, key)
-	delete(a.keeps, key)
-	delete(a.wants, key)
+func (a *Client) forget(key string) {
+	delete(a.dueAt, key)
+	delete(a.granted, key)
+	delete(a.wanted, key)
 }
 
-// ask makes the question to one authority.
-func (a *Asker) ask(to string, keys []string, now time.Duration) (Question, bool) {
-	a.seq++
-	r := &pb.QuotaRequest{Name: a.me.Name, Incarnation: a.me.Incarnation, Epoch: a.epoch, Sequence: a.seq}
+// buildRequest makes the question to one authority.
+func (a *Client) buildRequest(to string, keys []string, now time.Duration) (SendRequest, bool) {
+	a.sequence++
+	r := &pb.QuotaRequest{Name: a.me.Name, Incarnation: a.me.Incarnation, Epoch: a.epoch, Sequence: a.sequence}
 	var asked []string
 	var part *pb.Participant
 	for _, key := range keys {
-		s := a.till.slot(key)
-		part = a.charge.Owner(key)
-		one, idle := s.question(key, a.keeps[key], now)
-		a.wants[key] = one.Wanted
+		s := a.allowances.entry(key)
+		part = a.ownership.Owner(key)
+		one, idle := s.demand(key, a.granted[key], now)
+		a.wanted[key] = one.Wanted
 		if idle {
 			a.forget(key) // until something waits for it
 			continue
 		}
 		r.Demands, asked = append(r.Demands, one), append(asked, key)
-		a.due[key] = now + eagerly
+		a.dueAt[key] = now + busyInterval
 	}
 	if len(asked) == 0 {
-		return Question{}, false
+		return SendRequest{}, false
 	}
 	r.ToIncarnation = part.Incarnation
-	a.out[to] = &question{a.seq, now, asked}
-	return Question{part, r, a.Patience()}, true
+	a.outstanding[to] = &pendingRequest{a.sequence, now, asked}
+	return SendRequest{part, r, a.Timeout()}, true
 }
 
-// question is what is said of one limit; idle is that there is nothing to say any more.
-func (s *slot) question(key string, keep int64, now time.Duration) (q *pb.QuotaDemand, idle bool) {
+// demand is what is said of one limit; idle is that there is nothing to say any more.
+func (s *allowanceEntry) demand(key string, keep int64, now time.Duration) (q *pb.QuotaDemand, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p, q := s.purse, &pb.QuotaDemand{Key: key}
-	lent, busy, _ := p.Holds(now)
-	waiting := max(s.waiting.Load(), s.lacked)
-	s.lacked = 0
+	p, q := s.allowance, &pb.QuotaDemand{Key: key}
+	lent, busy, _ := p.Status(now)
+	waiting := max(s.waiting.Load(), s.missing)
+	s.missing = 0
 	q.MinUseful = 1
-	if s.limit.Sort == Bytes {
-		q.MinUseful, s.most = s.most, max(1, s.most*9/10)
+	if s.limit.Kind == Bytes {
+		q.MinUseful, s.largestUse = s.largestUse, max(1, s.largestUse*9/10)
 	}
-	want := min(s.limit.most(), waiting+p.Pace(now)) // what was used of late is wanted again: so a want does not flap
-	if s.limit.Sort == Daily {
-		want = min(s.limit.Lendable(), waiting)
+	want := min(s.limit.maxGrantable(), waiting+p.RecentUsage(now)) // what was used of late is wanted again: so a want does not flap
+	if s.limit.Kind == Daily {
+		want = min(s.limit.Grantable(), waiting)
 	}
 	// Who has used little of what it had, though more waited, can't use it: its calls don't get through.
 	switch {
 	case waiting == 0 || lent > 0 && busy*2 >= lent:
-		s.idle = 0
-	case s.limit.Sort == Daily: // what it has used does not show in what it has
-	case lent > q.MinUseful && s.idle == 0:
-		s.idle = now
+		s.underusedSince = 0
+	case s.limit.Kind == Daily: // what it has used does not show in what it has
+	case lent > q.MinUseful && s.underusedSince == 0:
+		s.underusedSince = now
 	}
-	if s.idle > 0 && now-s.idle > 2*s.limit.Rest(0) {
+	if s.underusedSince > 0 && now-s.underusedSince > 2*s.limit.CoolDown(0) {
 		want = min(want, max(2*busy, q.MinUseful))
 	}
-	if s.turns && waiting == 0 {
+	if s.rotating && waiting == 0 {
 		want = 0
 	}
 	q.Wanted = want
-	if s.turns {
+	if s.rotating {
 		keep = max(0, lent-busy) // what was used goes on to the next
 	} else if want == 0 && waiting == 0 {
 		keep = 0
 	}
-	q.Held, q.Cooling, q.CoolingUs = asked(p.Promise(keep, now))
+	q.Held, q.Cooling, q.CoolingUs = relinquished(p.Relinquish(keep, now))
 	q.Spent = p.Spent()
-	if s.told > 0 {
-		q.ObservedLimit, q.ObservedAgeUs = s.told, (now - s.toldAt).Microseconds()
+	if s.observedLimit > 0 {
+		q.ObservedLimit, q.ObservedAgeUs = s.observedLimit, (now - s.observedAt).Microseconds()
 	}
 	return q, want == 0 && lent == 0 && busy == 0 && waiting == 0
 }
 
-func asked(holds, rests int64, left time.Duration) (int64, int64, int64) {
+func relinquished(holds, rests int64, left time.Duration) (int64, int64, int64) {
 	return holds, rests, left.Microseconds() + 1
 }
 
-// answered takes an answer over, if no other question was put since.
-func (a *Asker) answered(e Answered, now time.Duration, touched map[string]struct{}) {
-	q := a.out[e.To]
-	if q == nil || q.seq != e.Seq {
+// handleReply takes an answer over, if no other question was put since.
+func (a *Client) handleReply(e ReplyReceived, now time.Duration, touched map[string]struct{}) {
+	q := a.outstanding[e.Owner]
+	if q == nil || q.sequence != e.Sequence {
 		return
 	}
-	delete(a.out, e.To)
+	delete(a.outstanding, e.Owner)
 	if e.Reply == nil || e.Reply.Epoch != a.epoch {
 		return // it is asked again soon
 	}
 	for _, l := range e.Reply.Grants {
-		s := a.till.slot(l.Key)
+		s := a.allowances.entry(l.Key)
 		if s == nil || !slices.Contains(q.keys, l.Key) {
 			continue
 		}
 		s.mu.Lock()
-		before := s.purse.lent(now)
-		s.turns = l.Rotating
-		length := a.lasts(min(a.terms.Length, time.Duration(l.DurationUs)*time.Microsecond))
-		s.purse.Lent(l.Units, q.at, length, now)
-		waiting, lent, want := s.waiting.Load(), s.purse.lent(now), a.wants[l.Key]
+		before := s.allowance.grantedAt(now)
+		s.rotating = l.Rotating
+		length := a.grantDuration(min(a.terms.Duration, time.Duration(l.DurationUs)*time.Microsecond))
+		s.allowance.Renew(l.Units, q.sentAt, length, now)
+		waiting, lent, want := s.waiting.Load(), s.allowance.grantedAt(now), a.wanted[l.Key]
 		s.mu.Unlock()
-		a.keeps[l.Key], touched[l.Key] = l.Units, struct{}{}
+		a.granted[l.Key], touched[l.Key] = l.Units, struct{}{}
 		if lent > 0 {
-			a.lapses[l.Key] = q.at + length
+			a.expiries[l.Key] = q.sentAt + length
 		}
 		if l.Units < before { // it is to let go of some: that it has done so is said at once
-			a.due[l.Key] = now
+			a.dueAt[l.Key] = now
 			continue
 		}
-		next := calmly
+		next := idleInterval
 		if want > lent && waiting > 0 {
-			next = eagerly
+			next = busyInterval
 			if again := time.Duration(l.RetryAfterUs) * time.Microsecond; again > 0 {
-				next = min(max(again, atOnce), calmly)
+				next = min(max(again, minRequestInterval), idleInterval)
 			}
 		}
-		if q.at+next <= now {
-			next = now - q.at + atOnce
+		if q.sentAt+next <= now {
+			next = now - q.sentAt + minRequestInterval
 		}
-		a.due[l.Key] = min(q.at+next, max(now, q.at+a.terms.Length/3))
+		a.dueAt[l.Key] = min(q.sentAt+next, max(now, q.sentAt+a.terms.Duration/3))
 	}
 }
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -8,221 +8,223 @@
 	"saffronyard.example/saffronyard/internal/lease"
 )
 
-// Ask is what a holder says of one limit.
-type Ask struct {
-	Seq   uint64        // of the holder's questions: one that is not newer than the last says nothing
-	Holds int64         // from now on it has no more than this, whatever was lent before
-	Rests int64         // and so many beyond that it has let go of, which rest
-	Left  time.Duration // for so long yet
-	Want  int64         // units that it could use within a rest
-	Piece int64         // with less it can do nothing
-	Spent int64         // of a day's, in all
+// Request is what a holder says of one limit.
+type Request struct {
+	Sequence    uint64        // of the holder's questions: one that is not newer than the last says nothing
+	Held        int64         // from now on it has no more than this, whatever was lent before
+	Cooling     int64         // and so many beyond that it has let go of, which rest
+	CoolingTime time.Duration // for so long yet
+	Wanted      int64         // units that it could use within a rest
+	MinUseful   int64         // with less it can do nothing
+	Spent       int64         // of a day's, in all
 }
 
-// Lent is the answer.
-type Lent struct {
-	Units  int64
-	Length time.Duration // of the loan, from before the question
-	Turns  bool          // there are not enough for all: it gives a unit back as soon as it has used it
-	Again  time.Duration // it is asked again after so long, if it waits for more; 0: as ever
+// Grant is the answer.
+type Grant struct {
+	Units      int64
+	Duration   time.Duration // of the loan, from before the question
+	Rotating   bool          // there are not enough for all: it gives a unit back as soon as it has used it
+	RetryAfter time.Duration // it is asked again after so long, if it waits for more; 0: as ever
 }
 
-// Book is what an authority has lent of one limit.
-type Book struct {
-	limit Limit
-	terms Terms
-	quiet time.Duration // until then there may be loans of an earlier authority that it knows nothing of
-	by    map[lease.HolderID]*account
+// GrantTable is what an authority has lent of one limit.
+type GrantTable struct {
+	limit      Limit
+	terms      Terms
+	graceUntil time.Duration // until then there may be loans of an earlier authority that it knows nothing of
+	clients    map[lease.HolderID]*clientState
 
-	shares map[lease.HolderID]int64 // as cut last
-	slack  int64                    // that each who wants some gets beyond its share
-	cut    time.Duration
-	scarce bool
-	stale  bool
+	shares      map[lease.HolderID]int64 // as cut last
+	slack       int64                    // that each who wants some gets beyond its share
+	sharesAt    time.Duration
+	scarce      bool
+	sharesStale bool
 }
 
-// account is one process of a sender.
-type account struct {
-	seq   uint64
-	loans []loan // the one that lapses last comes last, and is the smallest that does not lapse before
-	rests int64
-	until time.Duration // of those
-	want  int64
-	piece int64
-	asked time.Duration // last
-	since time.Duration // it waits with less than a piece; 0: it does not
-	got   time.Duration // its turn began
+// clientState is one process of a sender.
+type clientState struct {
+	sequence     uint64
+	grants       []issuedGrant // the one that lapses last comes last, and is the smallest that does not lapse before
+	cooling      int64
+	coolUntil    time.Duration // of those
+	wanted       int64
+	minUseful    int64
+	requestedAt  time.Duration // last
+	waitingSince time.Duration // it waits with less than a piece; 0: it does not
+	turnStart    time.Duration // its turn began
 }
 
-type loan struct {
-	units int64
-	until time.Duration
+type issuedGrant struct {
+	units     int64
+	expiresAt time.Duration
 }
 
 const (
-	cutEvery = 10 * time.Millisecond // shares are cut anew, at most
-	// turnsFor is how long a loan is where units go by turns, in rests: one that can't use its unit gives way soon.
-	turnsFor = 1
-	spareFor = 100 // one unit in so many is kept for who comes, where there are so many
+	shareInterval = 10 * time.Millisecond // shares are cut anew, at most
+	// turnCoolDowns is how long a loan is where units go by turns, in rests: one that can't use its unit gives way soon.
+	turnCoolDowns   = 1
+	headroomDivisor = 100 // one unit in so many is kept for who comes, where there are so many
 )
 
-// NewBook makes the book of an authority that begins now; until quiet an earlier one's loans may last.
-func NewBook(l Limit, t Terms, quiet time.Duration) *Book {
-	return &Book{limit: l, terms: t, quiet: quiet, by: map[lease.HolderID]*account{}, stale: true}
+// NewGrantTable makes the book of an authority that begins now; until quiet an earlier one's loans may last.
+func NewGrantTable(l Limit, t Terms, quiet time.Duration) *GrantTable {
+	return &GrantTable{limit: l, terms: t, graceUntil: quiet, clients: map[lease.HolderID]*clientState{}, sharesStale: true}
 }
 
-// Change takes over what the limit is now. What is lent stays so; too much of it comes back as it is asked for.
-func (b *Book) Change(l Limit) { b.limit, b.stale = l, true }
+// SetLimit takes over what the limit is now. What is lent stays so; too much of it comes back as it is asked for.
+func (b *GrantTable) SetLimit(l Limit) { b.limit, b.sharesStale = l, true }
 
-// out is what may be in use or at rest by one, at the most.
-func (a *account) out(now time.Duration) (units int64) {
-	a.loans = slices.DeleteFunc(a.loans, func(l loan) bool { return l.until <= now })
-	for _, l := range a.loans {
+// outstanding is what may be in use or at rest by one, at the most.
+func (a *clientState) outstanding(now time.Duration) (units int64) {
+	a.grants = slices.DeleteFunc(a.grants, func(l issuedGrant) bool { return l.expiresAt <= now })
+	for _, l := range a.grants {
 		units = max(units, l.units)
 	}
-	if now < a.until {
-		units += a.rests
+	if now < a.coolUntil {
+		units += a.cooling
 	}
 	return units
 }
 
-// asks reports whether one is still heard of.
-func (b *Book) asks(a *account, now time.Duration) bool { return now-a.asked < b.terms.Length }
+// active reports whether one is still heard of.
+func (b *GrantTable) active(a *clientState, now time.Duration) bool {
+	return now-a.requestedAt < b.terms.Duration
+}
 
-// Ask takes a holder's word and lends. ok is false for one that is not newer than the last: it gets no answer.
-func (b *Book) Ask(w lease.HolderID, q Ask, now time.Duration) (l Lent, ok bool) {
-	a := b.by[w]
-	if a != nil && q.Seq <= a.seq {
-		return Lent{}, false
+// Grant takes a holder's word and lends. ok is false for one that is not newer than the last: it gets no answer.
+func (b *GrantTable) Grant(w lease.HolderID, q Request, now time.Duration) (l Grant, ok bool) {
+	a := b.clients[w]
+	if a != nil && q.Sequence <= a.sequence {
+		return Grant{}, false
 	}
 	if a == nil {
-		a = &account{}
-		b.by[w] = a
-		if now < b.quiet && q.Holds > 0 { // lent by an earlier authority, as only what is held is said
-			a.loans = []loan{{q.Holds, b.quiet}}
+		a = &clientState{}
+		b.clients[w] = a
+		if now < b.graceUntil && q.Held > 0 { // lent by an earlier authority, as only what is held is said
+			a.grants = []issuedGrant{{q.Held, b.graceUntil}}
 		}
 	}
-	b.hear(a, q, now)
-	shares := b.sharesAt(now)
-	was, others := a.out(now)-a.resting(now), b.others(a, now)
-	pool := b.limit.Lendable()
-	free := max(0, pool-others-a.resting(now))
+	b.recordRequest(a, q, now)
+	shares := b.currentShares(now)
+	was, others := a.outstanding(now)-a.coolingAt(now), b.outstandingOf(a, now)
+	pool := b.limit.Grantable()
+	free := max(0, pool-others-a.coolingAt(now))
 	// Of what it has it goes on with its share even where too much is out, as after a limit was lowered: the others come down likewise.
 	units := min(shares[w], max(free, was))
-	if a.want > 0 && now >= b.quiet {
+	if a.wanted > 0 && now >= b.graceUntil {
 		units = max(units, min(shares[w]+b.slack, free)) // so that it need not ask as soon as it wants a little more
 	}
-	switch over := was+others+a.resting(now) > pool; {
-	case now < b.quiet: // no more than it has, until all is known
+	switch over := was+others+a.coolingAt(now) > pool; {
+	case now < b.graceUntil: // no more than it has, until all is known
 		if units = was; over {
 			units = min(was, shares[w])
 		}
-	case !over && !b.hungry(now):
+	case !over && !b.underserved(now):
 		units = max(units, was) // nobody needs it: what it has stays with it
 	}
-	length := b.terms.Length
-	if b.scarce && now >= b.quiet {
-		length = min(length, turnsFor*b.limit.Rest(b.terms.Drift)+cutEvery)
+	length := b.terms.Duration
+	if b.scarce && now >= b.graceUntil {
+		length = min(length, turnCoolDowns*b.limit.CoolDown(b.terms.MaxDrift)+shareInterval)
 	}
 	if units > 0 {
-		lasts := Terms{length, b.terms.Drift}.Wait()
-		a.loans = slices.DeleteFunc(a.loans, func(o loan) bool { return o.until <= now+lasts+b.tail() && o.units <= units })
-		a.loans = append(a.loans, loan{units, now + lasts + b.tail()})
+		lasts := Terms{length, b.terms.MaxDrift}.ServerDuration()
+		a.grants = slices.DeleteFunc(a.grants, func(o issuedGrant) bool { return o.expiresAt <= now+lasts+b.reclaimDelay() && o.units <= units })
+		a.grants = append(a.grants, issuedGrant{units, now + lasts + b.reclaimDelay()})
 	}
 	switch {
-	case units >= a.piece:
-		if a.since = 0; a.got == 0 {
-			a.got = now
+	case units >= a.minUseful:
+		if a.waitingSince = 0; a.turnStart == 0 {
+			a.turnStart = now
 		}
-	case a.want > 0 && a.since == 0:
-		a.since, a.got = now, 0
-	case a.want == 0:
-		a.since, a.got = 0, 0
+	case a.wanted > 0 && a.waitingSince == 0:
+		a.waitingSince, a.turnStart = now, 0
+	case a.wanted == 0:
+		a.waitingSince, a.turnStart = 0, 0
 	}
-	l = Lent{Units: units, Length: length, Turns: b.scarce}
-	if a.since > 0 {
-		l.Again = b.again(a, now)
+	l = Grant{Units: units, Duration: length, Rotating: b.scarce}
+	if a.waitingSince > 0 {
+		l.RetryAfter = b.retryAfter(a, now)
 	}
 	return l, true
 }
 
-func (b *Book) tail() time.Duration { return b.limit.Tail(b.terms.Drift) }
+func (b *GrantTable) reclaimDelay() time.Duration { return b.limit.ReclaimDelay(b.terms.MaxDrift) }
 
-// hear books what a holder says.
-func (b *Book) hear(a *account, q Ask, now time.Duration) {
-	for i := range a.loans {
-		a.loans[i].units = min(a.loans[i].units, q.Holds)
+// recordRequest books what a holder says.
+func (b *GrantTable) recordRequest(a *clientState, q Request, now time.Duration) {
+	for i := range a.grants {
+		a.grants[i].units = min(a.grants[i].units, q.Held)
 	}
-	a.seq, a.asked = q.Seq, now
-	a.rests, a.until = 0, 0
-	if q.Rests > 0 && q.Left > 0 {
-		a.rests, a.until = q.Rests, now+slowest(q.Left, b.terms.Drift)
+	a.sequence, a.requestedAt = q.Sequence, now
+	a.cooling, a.coolUntil = 0, 0
+	if q.Cooling > 0 && q.CoolingTime > 0 {
+		a.cooling, a.coolUntil = q.Cooling, now+driftBound(q.CoolingTime, b.terms.MaxDrift)
 	}
-	if a.want != q.Want || a.piece != q.Piece {
-		b.stale = true
+	if a.wanted != q.Wanted || a.minUseful != q.MinUseful {
+		b.sharesStale = true
 	}
-	a.want, a.piece = q.Want, max(1, q.Piece)
-	if q.Holds < a.piece && a.got > 0 { // its turn is over
-		a.got, b.stale = 0, true
-		if q.Want > 0 {
-			a.since = now
+	a.wanted, a.minUseful = q.Wanted, max(1, q.MinUseful)
+	if q.Held < a.minUseful && a.turnStart > 0 { // its turn is over
+		a.turnStart, b.sharesStale = 0, true
+		if q.Wanted > 0 {
+			a.waitingSince = now
 		}
 	}
 }
 
-func (a *account) resting(now time.Duration) int64 {
-	if now < a.until {
-		return a.rests
+func (a *clientState) coolingAt(now time.Duration) int64 {
+	if now < a.coolUntil {
+		return a.cooling
 	}
 	return 0
 }
 
-// others is what all but one may have.
-func (b *Book) others(but *account, now time.Duration) (units int64) {
-	for w, a := range b.by {
+// outstandingOf is what all but one may have.
+func (b *GrantTable) outstandingOf(but *clientState, now time.Duration) (units int64) {
+	for w, a := range b.clients {
 		if a == but {
 			continue
 		}
-		out := a.out(now)
-		if units += out; out == 0 && now-a.asked > 2*b.terms.Wait() {
-			delete(b.by, w)
+		out := a.outstanding(now)
+		if units += out; out == 0 && now-a.requestedAt > 2*b.terms.ServerDuration() {
+			delete(b.clients, w)
 		}
 	}
 	return units
 }
 
-// sharesAt cuts the limit by what is wanted, now and then.
-func (b *Book) sharesAt(now time.Duration) map[lease.HolderID]int64 {
-	if !b.stale && now-b.cut < cutEvery {
+// currentShares cuts the limit by what is wanted, now and then.
+func (b *GrantTable) currentShares(now time.Duration) map[lease.HolderID]int64 {
+	if !b.sharesStale && now-b.sharesAt < shareInterval {
 		return b.shares
 	}
-	b.cut, b.stale = now, false
-	whos := make([]lease.HolderID, 0, len(b.by))
-	pool := b.limit.Lendable()
-	for w, a := range b.by {
-		if b.asks(a, now) {
+	b.sharesAt, b.sharesStale = now, false
+	whos := make([]lease.HolderID, 0, len(b.clients))
+	pool := b.limit.Grantable()
+	for w, a := range b.clients {
+		if b.active(a, now) {
 			whos = append(whos, w)
 		} else {
-			pool -= a.out(now) // until that lapses it is nobody's
+			pool -= a.outstanding(now) // until that lapses it is nobody's
 		}
 	}
-	if pool >= spareFor {
-		pool -= pool / spareFor
+	if pool >= headroomDivisor {
+		pool -= pool / headroomDivisor
 	}
 	slices.SortFunc(whos, func(x, y lease.HolderID) int {
 		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
 	})
 	all, pieces := make([]Demand, len(whos)), int64(0)
-	turn := b.limit.Rest(b.terms.Drift)
+	turn := b.limit.CoolDown(b.terms.MaxDrift)
 	for i, w := range whos {
-		a := b.by[w]
-		all[i] = Demand{Units: min(a.want, b.limit.Lendable()), Piece: a.piece, Since: a.since, Busy: a.got > 0 && now-a.got < turn}
-		if a.want > 0 {
-			pieces += a.piece
+		a := b.clients[w]
+		all[i] = Demand{Units: min(a.wanted, b.limit.Grantable()), MinUseful: a.minUseful, WaitingSince: a.waitingSince, HasTurn: a.turnStart > 0 && now-a.turnStart < turn}
+		if a.wanted > 0 {
+			pieces += a.minUseful
 		}
 	}
 	b.scarce = pieces > max(0, pool)
-	cut := Shares(max(0, pool), all)
+	cut := FairShares(max(0, pool), all)
 	b.shares = make(map[lease.HolderID]int64, len(whos))
 	wanting := int64(0)
 	for i, w := range whos {
@@ -235,78 +237,78 @@
 	return b.shares
 }
 
-// hungry reports whether anybody has less than its share, or more is out than there is.
-func (b *Book) hungry(now time.Duration) bool {
+// underserved reports whether anybody has less than its share, or more is out than there is.
+func (b *GrantTable) underserved(now time.Duration) bool {
 	out := int64(0)
-	for w, a := range b.by {
-		has := a.out(now)
-		if out += has; b.asks(a, now) && has < b.shares[w] {
+	for w, a := range b.clients {
+		has := a.outstanding(now)
+		if out += has; b.active(a, now) && has < b.shares[w] {
 			return true
 		}
 	}
-	return out > b.limit.Lendable()
+	return out > b.limit.Grantable()
 }
 
-// again is after how long one that waits is asked again: as soon as a unit comes back that it may be given.
-func (b *Book) again(waits *account, now time.Duration) time.Duration {
+// retryAfter is after how long one that waits is asked again: as soon as a unit comes back that it may be given.
+func (b *GrantTable) retryAfter(waits *clientState, now time.Duration) time.Duration {
 	before := 0 // those that have waited longer
 	var back []time.Duration
-	for _, a := range b.by {
-		if a != waits && a.since > 0 && b.asks(a, now) && a.since < waits.since {
+	for _, a := range b.clients {
+		if a != waits && a.waitingSince > 0 && b.active(a, now) && a.waitingSince < waits.waitingSince {
 			before++
 		}
-		if a.rests > 0 && a.until > now {
-			for range min(a.rests, 64) {
-				back = append(back, a.until)
+		if a.cooling > 0 && a.coolUntil > now {
+			for range min(a.cooling, 64) {
+				back = append(back, a.coolUntil)
 			}
 		}
-		if n := len(a.loans); n > 0 && a != waits {
-			back = append(back, a.loans[n-1].until)
+		if n := len(a.grants); n > 0 && a != waits {
+			back = append(back, a.grants[n-1].expiresAt)
 		}
 	}
 	slices.Sort(back)
 	if before < len(back) {
 		return max(0, back[before]-now) + time.Millisecond
 	}
-	return time.Duration(before) * b.limit.Rest(b.terms.Drift) / time.Duration(2*max(1, b.limit.Lendable()))
+	return time.Duration(before) * b.limit.CoolDown(b.terms.MaxDrift) / time.Duration(2*max(1, b.limit.Grantable()))
 }
 
-// Out is what may be in use or at rest now, at the most; it is what the limit is held against.
-func (b *Book) Out(now time.Duration) int64 { return b.others(nil, now) }
+// Outstanding is what may be in use or at rest now, at the most; it is what the limit is held against.
+func (b *GrantTable) Outstanding(now time.Duration) int64 { return b.outstandingOf(nil, now) }
 
-// Line is one process of a sender in a book.
-type Line struct {
+// ClientReport is one process of a sender in a book.
+type ClientReport struct {
 	lease.HolderID
-	Units int64         // lent
-	Rests int64         // let go of, and at rest
-	Left  time.Duration // until all of it is free at the latest
-	Want  int64
-	Waits time.Duration // for how long it has had less than it can use
+	Units     int64         // lent
+	Cooling   int64         // let go of, and at rest
+	Remaining time.Duration // until all of it is free at the latest
+	Wanted    int64
+	Waiting   time.Duration // for how long it has had less than it can use
 }
 
-// Lines are all of them, by name.
-func (b *Book) Lines(now time.Duration) []Line {
-	lines := make([]Line, 0, len(b.by))
-	for w, a := range b.by {
-		l := Line{HolderID: w, Rests: a.resting(now), Units: a.out(now) - a.resting(now), Want: a.want}
-		for _, o := range a.loans {
-			l.Left = max(l.Left, o.until-now)
+// Clients are all of them, by name.
+func (b *GrantTable) Clients(now time.Duration) []ClientReport {
+	lines := make([]ClientReport, 0, len(b.clients))
+	for w, a := range b.clients {
+		l := ClientReport{HolderID: w, Cooling: a.coolingAt(now), Units: a.outstanding(now) - a.coolingAt(now), Wanted: a.wanted}
+		for _, o := range a.grants {
+			l.Remaining = max(l.Remaining, o.expiresAt-now)
 		}
-		if l.Rests > 0 {
-			l.Left = max(l.Left, a.until-now)
+		if l.Cooling > 0 {
+			l.Remaining = max(l.Remaining, a.coolUntil-now)
 		}
-		if a.since > 0 {
-			l.Waits = now - a.since
+		if a.waitingSince > 0 {
+			l.Waiting = now - a.waitingSince
 		}
 		lines = append(lines, l)
 	}
-	slices.SortFunc(lines, func(x, y Line) int {
+	slices.SortFunc(lines, func(x, y ClientReport) int {
 		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
 	})
 	return lines
 }
 
-// empty reports whether nothing is known of anybody: the book may be forgotten.
-func (b *Book) empty(now time.Duration) bool {
-	return now >= b.quiet && b.Out(now) == 0 && len(b.by) == 0
+// idle reports whether nothing is known of anybody: the book may be forgotten.
+func (b *GrantTable) idle(now time.Duration) bool {
+	return now >= b.graceUntil && b.Outstanding(now) == 0 && len(b.clients) == 0
 }
--- a/internal/quota/explore.go
+++ b/internal/quota/explore.go
@@ -12,46 +12,46 @@
 // What is below serves those who explore what can become of a limit: copies, and states written so that equal ones are equal.
 
 // Clone is a purse with the same state.
-func (p *Purse) Clone() *Purse {
+func (p *Allowance) Clone() *Allowance {
 	c := *p
-	c.uses = slices.Clone(p.uses)
+	c.usageLog = slices.Clone(p.usageLog)
 	return &c
 }
 
 // AppendState writes the state in short, as it matters from now on.
-func (p *Purse) AppendState(b []byte, now time.Duration) []byte {
-	p.settle(now)
-	lent, until := p.lent(now), max(now, p.until)
+func (p *Allowance) AppendState(b []byte, now time.Duration) []byte {
+	p.expireUsage(now)
+	lent, until := p.grantedAt(now), max(now, p.expiresAt)
 	if lent == 0 {
 		until = now
 	}
-	for _, v := range []int64{lent, int64(until - now), p.had, p.floor, int64(max(0, p.from-now)), p.out, p.spent} {
+	for _, v := range []int64{lent, int64(until - now), p.peakGranted, p.reserve, int64(max(0, p.reserveFrom-now)), p.inFlight, p.spent} {
 		b = binary.AppendVarint(b, v)
 	}
-	for _, u := range p.uses {
-		b = binary.AppendVarint(binary.AppendVarint(b, int64(u.at+p.rest-now)), u.units)
+	for _, u := range p.usageLog {
+		b = binary.AppendVarint(binary.AppendVarint(b, int64(u.endsAt+p.coolDown-now)), u.units)
 	}
 	return append(b, ';')
 }
 
 // Clone is a book with the same state.
-func (b *Book) Clone() *Book {
+func (b *GrantTable) Clone() *GrantTable {
 	c := *b
-	c.by = make(map[lease.HolderID]*account, len(b.by))
-	for w, a := range b.by {
+	c.clients = make(map[lease.HolderID]*clientState, len(b.clients))
+	for w, a := range b.clients {
 		d := *a
-		d.loans = slices.Clone(a.loans)
-		c.by[w] = &d
+		d.grants = slices.Clone(a.grants)
+		c.clients[w] = &d
 	}
 	c.shares = maps.Clone(b.shares)
 	return &c
 }
 
 // AppendState writes the state in short, as it matters from now on.
-func (b *Book) AppendState(to []byte, now time.Duration) []byte {
-	to = binary.AppendVarint(to, int64(max(0, b.quiet-now)))
-	whos := make([]lease.HolderID, 0, len(b.by))
-	for w := range b.by {
+func (b *GrantTable) AppendState(to []byte, now time.Duration) []byte {
+	to = binary.AppendVarint(to, int64(max(0, b.graceUntil-now)))
+	whos := make([]lease.HolderID, 0, len(b.clients))
+	for w := range b.clients {
 		whos = append(whos, w)
 	}
 	slices.SortFunc(whos, func(x, y lease.HolderID) int {
@@ -61,20 +61,20 @@
 		return int(x.Incarnation) - int(y.Incarnation)
 	})
 	for _, w := range whos {
-		a := b.by[w]
-		a.out(now)
+		a := b.clients[w]
+		a.outstanding(now)
 		to = binary.AppendUvarint(append(to, w.Name...), w.Incarnation)
 		since := func(at time.Duration) int64 { // before that it is all one
 			if at == 0 {
 				return -1
 			}
-			return int64(min(now-at, b.terms.Wait()))
+			return int64(min(now-at, b.terms.ServerDuration()))
 		}
-		for _, v := range []int64{int64(a.seq), a.resting(now), int64(max(0, a.until-now)), a.want, a.piece, since(a.asked), since(a.since), since(a.got)} {
+		for _, v := range []int64{int64(a.sequence), a.coolingAt(now), int64(max(0, a.coolUntil-now)), a.wanted, a.minUseful, since(a.requestedAt), since(a.waitingSince), since(a.turnStart)} {
 			to = binary.AppendVarint(to, v)
 		}
-		for _, l := range a.loans {
-			to = binary.AppendVarint(binary.AppendVarint(to, int64(l.until-now)), l.units)
+		for _, l := range a.grants {
+			to = binary.AppendVarint(binary.AppendVarint(to, int64(l.expiresAt-now)), l.units)
 		}
 	}
 	return append(to, ';')
