--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -10,163 +10,163 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Lender is a sender as the authority of those limits that the roster puts it in charge of.
+// Server is a sender as the authority of those limits that the roster puts it in charge of.
 //
 // It has to be told the roster and the limits as of a state that it may act by, at a moment at which its lease on that state lasts.
 // A step that stands still after that moment does no harm: what it lends is counted from before it was asked, and whoever is in charge
 // next waits for longer than that from a later moment on.
-type Lender struct {
-	me     lease.HolderID
-	terms  Terms
-	limits map[string]Limit
-	coming *coordinator.Ownership // nil: none is
-	begun  []begun                // rosters, the one in force last
-	books  map[string]*Book
-	pots   map[string]*Pot
-	day    int64                    // as this sender's calendar has it
-	draws  []Draw                   // that the log is to be asked for
-	told   map[string]told          // what receivers tell of their limits
-	heard  map[string]time.Duration // since when a limit that grows is there
-	wait   func(time.Duration) time.Duration
+type Server struct {
+	me             lease.HolderID
+	terms          Terms
+	limits         map[string]Limit
+	nextOwnership  *coordinator.Ownership // nil: none is
+	memberships    []activeMembership     // rosters, the one in force last
+	tables         map[string]*GrantTable
+	dailyPools     map[string]*DailyPool
+	day            int64                    // as this sender's calendar has it
+	draws          []Draw                   // that the log is to be asked for
+	observedLimits map[string]observedLimit // what receivers tell of their limits
+	slowStartAt    map[string]time.Duration // since when a limit that grows is there
+	gracePeriod    func(time.Duration) time.Duration
 }
 
-// begun is a roster and when it began, as this process saw it.
-type begun struct {
-	epoch  uint64
-	charge *coordinator.Ownership
-	at     time.Duration
+// activeMembership is a roster and when it began, as this process saw it.
+type activeMembership struct {
+	epoch     uint64
+	ownership *coordinator.Ownership
+	startedAt time.Duration
 }
 
-type told struct {
-	perSecond float64
-	at        time.Duration
+type observedLimit struct {
+	perSecond  float64
+	observedAt time.Duration
 }
 
 const (
-	rostersMost = 64               // that are remembered
-	toldLasts   = 30 * time.Minute // a receiver's word is gone by
+	maxMemberships   = 64               // that are remembered
+	observedLimitTTL = 30 * time.Minute // a receiver's word is gone by
 )
 
-// NewLender makes one that is in charge of nothing.
-func NewLender(me lease.HolderID, t Terms) *Lender {
-	return &Lender{me: me, terms: t, limits: map[string]Limit{}, books: map[string]*Book{}, pots: map[string]*Pot{}, told: map[string]told{}, heard: map[string]time.Duration{}, wait: func(d time.Duration) time.Duration { return d }}
+// NewServer makes one that is in charge of nothing.
+func NewServer(me lease.HolderID, t Terms) *Server {
+	return &Server{me: me, terms: t, limits: map[string]Limit{}, tables: map[string]*GrantTable{}, dailyPools: map[string]*DailyPool{}, observedLimits: map[string]observedLimit{}, slowStartAt: map[string]time.Duration{}, gracePeriod: func(d time.Duration) time.Duration { return d }}
 }
 
-// Wrong has a test make a wrong authority, whose quiet is another.
-func (l *Lender) Wrong(quiet func(time.Duration) time.Duration) { l.wait = quiet }
+// OverrideGracePeriod has a test make a wrong authority, whose quiet is another.
+func (l *Server) OverrideGracePeriod(quiet func(time.Duration) time.Duration) { l.gracePeriod = quiet }
 
-// Limits takes over what is limited now.
-func (l *Lender) Limits(all []Limit, now time.Duration) {
+// SetLimits takes over what is limited now.
+func (l *Server) SetLimits(all []Limit, now time.Duration) {
 	l.limits = make(map[string]Limit, len(all))
 	for _, one := range all {
 		l.limits[one.Key] = one
-		if _, ok := l.heard[one.Key]; !ok && one.RampTo > 0 {
-			l.heard[one.Key] = now
+		if _, ok := l.slowStartAt[one.Key]; !ok && one.SlowStartUnits > 0 {
+			l.slowStartAt[one.Key] = now
 		}
 	}
-	for key := range l.heard {
-		if l.limits[key].RampTo == 0 {
-			delete(l.heard, key)
+	for key := range l.slowStartAt {
+		if l.limits[key].SlowStartUnits == 0 {
+			delete(l.slowStartAt, key)
 		}
 	}
-	for key, b := range l.books {
+	for key, b := range l.tables {
 		if one, ok := l.limits[key]; ok {
-			b.Change(l.effective(one, b.limit.Units))
+			b.SetLimit(l.adapted(one, b.limit.Units))
 		} // else it is kept until what was lent has lapsed: the limit may come back
 	}
 }
 
-// Roster takes over who takes part now.
-func (l *Lender) Roster(s *pb.MembershipState, now time.Duration) {
-	if n := len(l.begun); n == 0 || l.begun[n-1].epoch != s.GetEpoch() {
-		if n > 0 && s.GetEpoch() != l.begun[n-1].epoch+1 {
-			l.begun = nil // others were in charge meanwhile, of nobody knows what
+// SetMembership takes over who takes part now.
+func (l *Server) SetMembership(s *pb.MembershipState, now time.Duration) {
+	if n := len(l.memberships); n == 0 || l.memberships[n-1].epoch != s.GetEpoch() {
+		if n > 0 && s.GetEpoch() != l.memberships[n-1].epoch+1 {
+			l.memberships = nil // others were in charge meanwhile, of nobody knows what
 		}
-		l.begun = append(l.begun, begun{s.GetEpoch(), coordinator.NewOwnership(s.GetParticipants()), now})
-		if n := len(l.begun) - rostersMost; n > 0 {
-			l.begun = slices.Delete(l.begun, 0, n)
+		l.memberships = append(l.memberships, activeMembership{s.GetEpoch(), coordinator.NewOwnership(s.GetParticipants()), now})
+		if n := len(l.memberships) - maxMemberships; n > 0 {
+			l.memberships = slices.Delete(l.memberships, 0, n)
 		}
-		for key := range l.books {
-			if !l.mine(l.now().charge, key) {
-				delete(l.books, key)
+		for key := range l.tables {
+			if !l.owns(l.active().ownership, key) {
+				delete(l.tables, key)
 			}
 		}
-		for key := range l.pots {
-			if !l.mine(l.now().charge, key) {
-				delete(l.pots, key)
+		for key := range l.dailyPools {
+			if !l.owns(l.active().ownership, key) {
+				delete(l.dailyPools, key)
 			}
 		}
 	}
-	l.coming = nil
+	l.nextOwnership = nil
 	if s.GetNextEpoch() != 0 {
-		l.coming = coordinator.NewOwnership(s.GetNextParticipants())
+		l.nextOwnership = coordinator.NewOwnership(s.GetNextParticipants())
 	}
 }
 
-func (l *Lender) now() begun { return l.begun[len(l.begun)-1] }
+func (l *Server) active() activeMembership { return l.memberships[len(l.memberships)-1] }
 
-func (l *Lender) mine(c *coordinator.Ownership, key string) bool {
+func (l *Server) owns(c *coordinator.Ownership, key string) bool {
 	p := c.Owner(key)
 	return p != nil && p.Name == l.me.Name && p.Incarnation == l.me.Incarnation
 }
 
-// since is from when it has been in charge of a limit without a break, as far as that is known.
-func (l *Lender) since(key string) time.Duration {
-	at := l.now().at
-	for i := len(l.begun) - 1; i > 0 && l.mine(l.begun[i-1].charge, key); i-- {
-		at = l.begun[i-1].at
+// ownedSince is from when it has been in charge of a limit without a break, as far as that is known.
+func (l *Server) ownedSince(key string) time.Duration {
+	at := l.active().startedAt
+	for i := len(l.memberships) - 1; i > 0 && l.owns(l.memberships[i-1].ownership, key); i-- {
+		at = l.memberships[i-1].startedAt
 	}
 	return at
 }
 
 // Epoch is of the roster that it goes by.
-func (l *Lender) Epoch() uint64 {
-	if len(l.begun) == 0 {
+func (l *Server) Epoch() uint64 {
+	if len(l.memberships) == 0 {
 		return 0
 	}
-	return l.now().epoch
+	return l.active().epoch
 }
 
-// Lend answers a holder, by the roster and the limits told last. An error is that it is not for this sender, or not now.
-func (l *Lender) Lend(r *pb.QuotaRequest, now time.Duration) (*pb.QuotaReply, error) {
+// Grant answers a holder, by the roster and the limits told last. An error is that it is not for this sender, or not now.
+func (l *Server) Grant(r *pb.QuotaRequest, now time.Duration) (*pb.QuotaReply, error) {
 	if l.Epoch() != r.Epoch || r.ToIncarnation != l.me.Incarnation {
 		return nil, fmt.Errorf("this sender goes by roster %d as process %x, the question by roster %d for %x", l.Epoch(), l.me.Incarnation, r.Epoch, r.ToIncarnation)
 	}
 	reply := &pb.QuotaReply{Epoch: r.Epoch}
 	who := lease.HolderID{Name: r.Name, Incarnation: r.Incarnation}
-	if !l.now().charge.Includes(who) {
+	if !l.active().ownership.Includes(who) {
 		return nil, fmt.Errorf("%s takes no part in roster %d with that process", r.Name, r.Epoch)
 	}
 	for _, a := range r.Demands {
 		limit, known := l.limits[a.Key]
-		if !known || !l.mine(l.now().charge, a.Key) {
+		if !known || !l.owns(l.active().ownership, a.Key) {
 			continue
 		}
-		if l.coming != nil && !l.mine(l.coming, a.Key) {
+		if l.nextOwnership != nil && !l.owns(l.nextOwnership, a.Key) {
 			continue // it moves: nothing more is lent here
 		}
-		if limit.Sort == Daily {
-			if lent, ok := l.daily(limit, who, r.Sequence, a, now); ok {
+		if limit.Kind == Daily {
+			if lent, ok := l.grantDaily(limit, who, r.Sequence, a, now); ok {
 				reply.Grants = append(reply.Grants, lent)
 			}
 			continue
 		}
 		if a.ObservedLimit > 0 {
-			if t := (told{a.ObservedLimit, now - max(0, time.Duration(a.ObservedAgeUs)*time.Microsecond)}); t.at >= l.told[a.Key].at {
-				l.told[a.Key] = t
+			if t := (observedLimit{a.ObservedLimit, now - max(0, time.Duration(a.ObservedAgeUs)*time.Microsecond)}); t.observedAt >= l.observedLimits[a.Key].observedAt {
+				l.observedLimits[a.Key] = t
 			}
 		}
-		b := l.books[a.Key]
+		b := l.tables[a.Key]
 		if b == nil {
-			b = NewBook(limit, l.terms, l.since(a.Key)+l.wait(l.terms.Quiet(limit)))
-			l.books[a.Key] = b
+			b = NewGrantTable(limit, l.terms, l.ownedSince(a.Key)+l.gracePeriod(l.terms.GracePeriod(limit)))
+			l.tables[a.Key] = b
 		}
-		if is := l.effectiveAt(limit, now); is != b.limit {
-			b.Change(is)
+		if is := l.effectiveLimit(limit, now); is != b.limit {
+			b.SetLimit(is)
 		}
-		lent, ok := b.Ask(who, Ask{Seq: r.Sequence, Holds: a.Held, Rests: a.Cooling, Left: time.Duration(a.CoolingUs) * time.Microsecond, Want: a.Wanted, Piece: a.MinUseful, Spent: a.Spent}, now)
+		lent, ok := b.Grant(who, Request{Sequence: r.Sequence, Held: a.Held, Cooling: a.Cooling, CoolingTime: time.Duration(a.CoolingUs) * time.Microsecond, Wanted: a.Wanted, MinUseful: a.MinUseful, Spent: a.Spent}, now)
 		if ok {
-			reply.Grants = append(reply.Grants, &pb.QuotaGrant{Key: a.Key, Units: lent.Units, DurationUs: lent.Length.Microseconds(), Rotating: lent.Turns, RetryAfterUs: lent.Again.Microseconds(), LimitUnits: b.limit.Units})
+			reply.Grants = append(reply.Grants, &pb.QuotaGrant{Key: a.Key, Units: lent.Units, DurationUs: lent.Duration.Microseconds(), Rotating: lent.Rotating, RetryAfterUs: lent.RetryAfter.Microseconds(), LimitUnits: b.limit.Units})
 		}
 	}
 	return reply, nil
@@ -178,95 +178,95 @@
 	Epoch  uint64
 	Period int64
 	Units  int64
-	Most   int64 // in the period
+	Limit  int64 // in the period
 }
 
-// Day begins a day, as this sender's calendar has it. Calendars that differ do no harm: the log lets no day come back.
-func (l *Lender) Day(day int64) { l.day = max(l.day, day) }
+// SetDay begins a day, as this sender's calendar has it. Calendars that differ do no harm: the log lets no day come back.
+func (l *Server) SetDay(day int64) { l.day = max(l.day, day) }
 
-// Draws are those that the log is to be asked for since it was looked last.
-func (l *Lender) Draws() []Draw {
+// TakeDraws are those that the log is to be asked for since it was looked last.
+func (l *Server) TakeDraws() []Draw {
 	d := l.draws
 	l.draws = nil
 	return d
 }
 
-// Drawn is what the log gave of one.
-func (l *Lender) Drawn(d Draw, units int64) {
-	if p := l.pots[d.Key]; p != nil && d.Epoch == l.Epoch() {
-		p.Drawn(d.Period, units)
+// AddDrawn is what the log gave of one.
+func (l *Server) AddDrawn(d Draw, units int64) {
+	if p := l.dailyPools[d.Key]; p != nil && d.Epoch == l.Epoch() {
+		p.AddDrawn(d.Period, units)
 	}
 }
 
-// daily lends of a day's quota.
-func (l *Lender) daily(limit Limit, who lease.HolderID, seq uint64, a *pb.QuotaDemand, now time.Duration) (*pb.QuotaGrant, bool) {
-	p := l.pots[limit.Key]
+// grantDaily lends of a day's quota.
+func (l *Server) grantDaily(limit Limit, who lease.HolderID, seq uint64, a *pb.QuotaDemand, now time.Duration) (*pb.QuotaGrant, bool) {
+	p := l.dailyPools[limit.Key]
 	if p == nil {
-		p = NewPot(limit, l.terms)
-		l.pots[limit.Key] = p
+		p = NewDailyPool(limit, l.terms)
+		l.dailyPools[limit.Key] = p
 	}
 	p.limit = limit
-	p.Begin(l.day)
-	lent, draw, ok := p.Ask(who, Ask{Seq: seq, Holds: a.Held, Want: a.Wanted, Piece: a.MinUseful, Spent: a.Spent}, now)
+	p.StartPeriod(l.day)
+	lent, draw, ok := p.Grant(who, Request{Sequence: seq, Held: a.Held, Wanted: a.Wanted, MinUseful: a.MinUseful, Spent: a.Spent}, now)
 	if draw > 0 {
 		l.draws = append(l.draws, Draw{limit.Key, l.Epoch(), p.period, draw, limit.Units})
 	}
-	return &pb.QuotaGrant{Key: limit.Key, Units: lent.Units, DurationUs: lent.Length.Microseconds(), LimitUnits: limit.Units}, ok
+	return &pb.QuotaGrant{Key: limit.Key, Units: lent.Units, DurationUs: lent.Duration.Microseconds(), LimitUnits: limit.Units}, ok
 }
 
-// effectiveAt is a limit with what its receiver tells, if it is one that learns: the lower of both.
-func (l *Lender) effectiveAt(limit Limit, now time.Duration) Limit {
-	if limit.RampTo > limit.Units && limit.RampFor > 0 {
-		grown := float64(limit.RampTo-limit.Units) * min(1, (now-l.heard[limit.Key]).Seconds()/limit.RampFor.Seconds())
+// effectiveLimit is a limit with what its receiver tells, if it is one that learns: the lower of both.
+func (l *Server) effectiveLimit(limit Limit, now time.Duration) Limit {
+	if limit.SlowStartUnits > limit.Units && limit.SlowStartTime > 0 {
+		grown := float64(limit.SlowStartUnits-limit.Units) * min(1, (now-l.slowStartAt[limit.Key]).Seconds()/limit.SlowStartTime.Seconds())
 		limit.Units += int64(grown)
 	}
-	if t, ok := l.told[limit.Key]; ok && limit.Learns && now-t.at < toldLasts && t.perSecond > 0 {
-		return l.effective(limit, int64(t.perSecond*limit.Span.Seconds()))
+	if t, ok := l.observedLimits[limit.Key]; ok && limit.Adaptive && now-t.observedAt < observedLimitTTL && t.perSecond > 0 {
+		return l.adapted(limit, int64(t.perSecond*limit.Span.Seconds()))
 	}
 	return limit
 }
 
-func (l *Lender) effective(limit Limit, units int64) Limit {
-	if limit.Learns {
+func (l *Server) adapted(limit Limit, units int64) Limit {
+	if limit.Adaptive {
 		limit.Units = max(1, min(limit.Units, units))
 	}
 	return limit
 }
 
-// Tidy forgets what says nothing any more, a few at a time.
-func (l *Lender) Tidy(now time.Duration) {
+// Prune forgets what says nothing any more, a few at a time.
+func (l *Server) Prune(now time.Duration) {
 	n := 0
-	for key, b := range l.books {
+	for key, b := range l.tables {
 		if n++; n > 100 {
 			return
 		}
-		if b.empty(now) {
-			delete(l.books, key)
+		if b.idle(now) {
+			delete(l.tables, key)
 		}
 	}
 }
 
 // Report is a limit as its authority has it.
 type Report struct {
-	Key   string
-	Limit Limit
-	Out   int64
-	Quiet time.Duration // left
-	Lines []Line
+	Key            string
+	Limit          Limit
+	Outstanding    int64
+	GraceRemaining time.Duration // left
+	Clients        []ClientReport
 }
 
 // Reports are of the limits that it has a book of, by key.
-func (l *Lender) Reports(now time.Duration) []Report {
+func (l *Server) Reports(now time.Duration) []Report {
 	var all []Report
-	for key, b := range l.books {
-		all = append(all, Report{key, b.limit, b.Out(now), max(0, b.quiet-now), b.Lines(now)})
+	for key, b := range l.tables {
+		all = append(all, Report{key, b.limit, b.Outstanding(now), max(0, b.graceUntil-now), b.Clients(now)})
 	}
-	for key, p := range l.pots {
+	for key, p := range l.dailyPools {
 		out := int64(0)
-		for _, line := range p.Lines(now) {
+		for _, line := range p.Clients(now) {
 			out += line.Units
 		}
-		all = append(all, Report{key, p.limit, out, 0, p.Lines(now)})
+		all = append(all, Report{key, p.limit, out, 0, p.Clients(now)})
 	}
 	slices.SortFunc(all, func(a, b Report) int { return byKey(a.Limit, b.Limit) })
 	return all
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -20,81 +20,83 @@
 	"time"
 )
 
-// Sort is what a unit stands for.
-type Sort uint8
+// Kind is what a unit stands for.
+type Kind uint8
 
 // The sorts.
 const (
-	Calls  Sort = iota // calls in any span
-	Bytes              // bytes of messages in any span
-	AtOnce             // calls that are out at once
-	Daily              // calls in a period; used once, a unit is gone for the period
+	Calls      Kind = iota // calls in any span
+	Bytes                  // bytes of messages in any span
+	Concurrent             // calls that are out at once
+	Daily                  // calls in a period; used once, a unit is gone for the period
 )
 
-func (s Sort) String() string { return [...]string{"calls", "bytes", "at once", "a day"}[s] }
+func (s Kind) String() string { return [...]string{"calls", "bytes", "at once", "a day"}[s] }
 
 // Limit is one limit of the fleet.
 type Limit struct {
-	Key     string // of what, as operators read it; no two limits have the same
-	Sort    Sort
-	Units   int64
-	Span    time.Duration // of Calls and Bytes
-	Lasts   time.Duration // of AtOnce: no call lasts longer
-	Transit time.Duration // what is written within a span comes within so much more
-	Over    int64         // units that each sender that is cut off may use beyond what it holds, in a span
-	Floor   int64         // units that each of the first FloorFor members has always, and lends to nobody
-	// FloorFor is how many members have a floor.
-	FloorFor int64
-	Learns   bool // what the receiver tells counts where it is lower
-	// RampTo is how many units it grows to within RampFor, counted by its authority from when that was told of the limit; 0: it stays.
-	RampTo  int64
-	RampFor time.Duration
+	Key           string // of what, as operators read it; no two limits have the same
+	Kind          Kind
+	Units         int64
+	Span          time.Duration // of Calls and Bytes
+	MaxCallTime   time.Duration // of AtOnce: no call lasts longer
+	TransitJitter time.Duration // what is written within a span comes within so much more
+	CutOffExtra   int64         // units that each sender that is cut off may use beyond what it holds, in a span
+	Reserve       int64         // units that each of the first FloorFor members has always, and lends to nobody
+	// ReserveCount is how many members have a floor.
+	ReserveCount int64
+	Adaptive     bool // what the receiver tells counts where it is lower
+	// SlowStartUnits is how many units it grows to within RampFor, counted by its authority from when that was told of the limit; 0: it stays.
+	SlowStartUnits int64
+	SlowStartTime  time.Duration
 }
 
-// Lendable is what is lent: all but the floors.
-func (l Limit) Lendable() int64 { return max(0, l.Units-l.Floor*l.FloorFor) }
+// Grantable is what is lent: all but the floors.
+func (l Limit) Grantable() int64 { return max(0, l.Units-l.Reserve*l.ReserveCount) }
 
-// most is what may ever be lent of it.
-func (l Limit) most() int64 { return max(l.Lendable(), l.RampTo) }
+// maxGrantable is what may ever be lent of it.
+func (l Limit) maxGrantable() int64 { return max(l.Grantable(), l.SlowStartUnits) }
 
-// slowest is how much longer a clock that is fast by the drift has to count than one that is slow by it.
-func slowest(d time.Duration, drift float64) time.Duration {
+// driftBound is how much longer a clock that is fast by the drift has to count than one that is slow by it.
+func driftBound(d time.Duration, drift float64) time.Duration {
 	return time.Duration(math.Ceil(float64(d) * (1 + drift) / (1 - drift)))
 }
 
-// Rest is how long a unit rests after a use, by the clock of who used it.
-func (l Limit) Rest(drift float64) time.Duration {
-	switch l.Sort {
-	case AtOnce:
-		return slowest(l.Transit, drift)
+// CoolDown is how long a unit rests after a use, by the clock of who used it.
+func (l Limit) CoolDown(drift float64) time.Duration {
+	switch l.Kind {
+	case Concurrent:
+		return driftBound(l.TransitJitter, drift)
 	case Daily:
 		return 0
 	}
-	return slowest(l.Span+l.Transit, drift)
+	return driftBound(l.Span+l.TransitJitter, drift)
 }
 
-// Tail is how long a unit may be in use after its loan has lapsed, by the authority's clock: it was used at the last moment.
-func (l Limit) Tail(drift float64) time.Duration {
-	if l.Sort == AtOnce {
-		return slowest(l.Lasts+l.Transit, drift)
+// ReclaimDelay is how long a unit may be in use after its loan has lapsed, by the authority's clock: it was used at the last moment.
+func (l Limit) ReclaimDelay(drift float64) time.Duration {
+	if l.Kind == Concurrent {
+		return driftBound(l.MaxCallTime+l.TransitJitter, drift)
 	}
-	return l.Rest(drift)
+	return l.CoolDown(drift)
 }
 
-// Most is what a receiver sees at the most in a span while so many senders are cut off from the authority.
-func (l Limit) Most(cutOff int) int64 { return l.Units + l.Over*int64(cutOff) }
+// WorstCase is what a receiver sees at the most in a span while so many senders are cut off from the authority.
+func (l Limit) WorstCase(cutOff int) int64 { return l.Units + l.CutOffExtra*int64(cutOff) }
 
 // Terms are the figures of all loans of a fleet.
 type Terms struct {
-	Length time.Duration // at the holder
-	Drift  float64       // a clock runs at most so much faster or slower than true time
+	Duration time.Duration // at the holder
+	MaxDrift float64       // a clock runs at most so much faster or slower than true time
 }
 
-// Wait is how long an authority counts a loan, before the units' tail.
-func (t Terms) Wait() time.Duration { return slowest(t.Length, t.Drift) }
+// ServerDuration is how long an authority counts a loan, before the units' tail.
+func (t Terms) ServerDuration() time.Duration { return driftBound(t.Duration, t.MaxDrift) }
 
-// Quiet is how long a new authority lends nothing but what holders say that they have: a limit's whole memory.
-func (t Terms) Quiet(l Limit) time.Duration { return t.Wait() + l.Tail(t.Drift) }
+// GracePeriod is how long a new authority lends nothing but what holders say that they have: a limit's whole memory.
+func (t Terms) GracePeriod(l Limit) time.Duration {
+	return t.ServerDuration() + l.ReclaimDelay(t.MaxDrift)
+}
 
 // byKey orders limits.
 func byKey(a, b Limit) int { return cmp.Compare(a.Key, b.Key) }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -41,7 +41,7 @@
 type modelAsk struct {
 	life  uint64
 	at    time.Duration
-	ask   Ask
+	ask   Request
 	epoch int
 	heard bool
 }
@@ -51,12 +51,12 @@
 	seq   uint64
 	at    time.Duration
 	epoch int
-	lent  Lent
+	lent  Grant
 }
 
 type holder struct {
 	life  uint64
-	purse *Purse
+	purse *Allowance
 	seq   uint64
 	at    time.Duration // when it asked last
 	asked int           // under which epoch
@@ -69,7 +69,7 @@
 type world struct {
 	now     int
 	epoch   int
-	book    *Book
+	book    *GrantTable
 	holders [2]holder
 	crashes int
 	repeats int
@@ -86,12 +86,12 @@
 	wants   [2]int64
 }
 
-var modelTerms = Terms{Length: 2 * tick}
+var modelTerms = Terms{Duration: 2 * tick}
 
 func (m *model) first() *world {
-	w := &world{book: NewBook(m.limit, modelTerms, 0)}
+	w := &world{book: NewGrantTable(m.limit, modelTerms, 0)}
 	for i := range w.holders {
-		w.holders[i] = holder{life: 1, purse: NewPurse(m.limit, 0, false, 0)}
+		w.holders[i] = holder{life: 1, purse: NewAllowance(m.limit, 0, false, 0)}
 	}
 	return w
 }
@@ -120,13 +120,13 @@
 			b = append(b, byte(h.woke/tick))
 		}
 		if a := h.ask; a != nil && (!a.heard || w.repeats < m.repeats || m.fault == oldQuestions) {
-			b = append(b, 'a', byte(a.life), byte((now-a.at)/tick), byte(a.epoch), byte(a.ask.Seq), byte(a.ask.Holds), byte(a.ask.Rests), byte(a.ask.Left/(tick/4)), byte(a.ask.Want))
+			b = append(b, 'a', byte(a.life), byte((now-a.at)/tick), byte(a.epoch), byte(a.ask.Sequence), byte(a.ask.Held), byte(a.ask.Cooling), byte(a.ask.CoolingTime/(tick/4)), byte(a.ask.Wanted))
 			if a.heard {
 				b = append(b, 'h')
 			}
 		}
 		if l := h.lent; l != nil {
-			b = append(b, 'l', byte(l.life), byte((now-l.at)/tick), byte(l.epoch), byte(l.seq), byte(l.lent.Units), byte(l.lent.Length/(tick/4)))
+			b = append(b, 'l', byte(l.life), byte((now-l.at)/tick), byte(l.epoch), byte(l.seq), byte(l.lent.Units), byte(l.lent.Duration/(tick/4)))
 		}
 	}
 	return [2]uint64{maphash.Bytes(seed, b), maphash.Bytes(seed, append(b, '#'))}
@@ -153,11 +153,11 @@
 	if w.epoch < m.epochs {
 		do("another authority begins", func(n *world) string {
 			n.epoch++
-			quiet := n.clock() + modelTerms.Quiet(m.limit)
+			quiet := n.clock() + modelTerms.GracePeriod(m.limit)
 			if m.fault == fromFull {
 				quiet = 0
 			}
-			n.book = NewBook(m.limit, modelTerms, quiet)
+			n.book = NewGrantTable(m.limit, modelTerms, quiet)
 			return ""
 		})
 	}
@@ -187,11 +187,11 @@
 				t.seq++
 				t.at, t.asked, t.woke = n.clock(), t.epoch, n.clock()
 				before := t.purse.Clone()
-				q := Ask{Seq: t.seq, Want: m.wants[i], Piece: 1}
-				q.Holds, q.Rests, q.Left = t.purse.Promise(keep, n.clock())
+				q := Request{Sequence: t.seq, Wanted: m.wants[i], MinUseful: 1}
+				q.Held, q.Cooling, q.CoolingTime = t.purse.Relinquish(keep, n.clock())
 				switch m.fault {
 				case halfPromise:
-					q.Rests = 0
+					q.Cooling = 0
 				case keepsMore:
 					t.purse = before
 				}
@@ -217,16 +217,16 @@
 			if m.fault == noTail || m.fault == noRest {
 				n.book.limit.Span = 0
 			}
-			if acc := n.book.by[lease.HolderID{Name: name, Incarnation: life}]; acc != nil && (m.fault == oldQuestions || m.fault == lifeIgnored) {
-				acc.seq = 0
+			if acc := n.book.clients[lease.HolderID{Name: name, Incarnation: life}]; acc != nil && (m.fault == oldQuestions || m.fault == lifeIgnored) {
+				acc.sequence = 0
 			}
-			if m.fault == claimsTwice && n.clock() < n.book.quiet {
-				n.book.quiet = 0
+			if m.fault == claimsTwice && n.clock() < n.book.graceUntil {
+				n.book.graceUntil = 0
 			}
-			l, ok := n.book.Ask(lease.HolderID{Name: name, Incarnation: life}, q.ask, n.clock())
+			l, ok := n.book.Grant(lease.HolderID{Name: name, Incarnation: life}, q.ask, n.clock())
 			n.book.limit.Span = m.limit.Span
 			if ok {
-				t.lent = &modelLent{q.life, q.ask.Seq, q.at, q.epoch, l}
+				t.lent = &modelLent{q.life, q.ask.Sequence, q.at, q.epoch, l}
 			}
 			return ""
 		})
@@ -243,7 +243,7 @@
 				at = n.clock()
 			}
 			t.purse = t.purse.Clone()
-			t.purse.Lent(l.lent.Units, at, l.lent.Length, n.clock())
+			t.purse.Renew(l.lent.Units, at, l.lent.Duration, n.clock())
 			return ""
 		})
 	}
@@ -252,10 +252,10 @@
 		t.purse = t.purse.Clone()
 		now := n.clock()
 		if m.fault == checkedAtTick {
-			now = max(t.woke, t.purse.until-2*tick)
+			now = max(t.woke, t.purse.expiresAt-2*tick)
 		}
 		if m.fault == noRest {
-			t.purse.uses, t.purse.rests = nil, 0
+			t.purse.usageLog, t.purse.cooling = nil, 0
 		}
 		if !t.purse.Take(1, now) {
 			return "-"
@@ -271,7 +271,7 @@
 			n.crashes++
 			t := &n.holders[i]
 			t.life++
-			t.purse, t.at, t.woke = NewPurse(m.limit, 0, false, n.clock()), -1, n.clock()
+			t.purse, t.at, t.woke = NewAllowance(m.limit, 0, false, n.clock()), -1, n.clock()
 			t.seq = 0
 			return ""
 		})
--- a/internal/quota/pot_test.go
+++ b/internal/quota/pot_test.go
@@ -17,7 +17,7 @@
 // more is used than the day has, but for what was lent as it began; and with nothing lost it is used to the last unit.
 func TestDaysQuota(t *testing.T) {
 	t.Parallel()
-	day := Limit{Key: "x", Sort: Daily, Units: 1000}
+	day := Limit{Key: "x", Kind: Daily, Units: 1000}
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		log, index, epoch := coordinator.NewMachine(), uint64(0), uint64(0)
@@ -34,28 +34,28 @@
 			units, _ := binary.Varint(result)
 			return units, refused
 		}
-		pot := NewPot(day, simTerms)
+		pot := NewDailyPool(day, simTerms)
 		replace := func() {
 			apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Propose{Propose: &pb.ProposeMembership{BaseEpoch: epoch}}})
 			epoch++
 			if _, refused := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Activate{Activate: &pb.ActivateMembership{Epoch: epoch}}}); refused != "" {
 				t.Fatal(refused)
 			}
-			pot = NewPot(day, simTerms)
+			pot = NewDailyPool(day, simTerms)
 		}
 		replace()
 		now, period := time.Hour, int64(10)
-		pot.Begin(period)
+		pot.StartPeriod(period)
 		type one struct {
 			who   lease.HolderID
-			purse *Purse
+			purse *Allowance
 			seq   uint64
 		}
 		holders := make([]one, 3)
 		lives := uint64(0)
 		begin := func(i int) {
 			lives++
-			holders[i] = one{lease.HolderID{Name: string(rune('a' + i)), Incarnation: lives}, NewPurse(day, simTerms.Drift, false, now), 0}
+			holders[i] = one{lease.HolderID{Name: string(rune('a' + i)), Incarnation: lives}, NewAllowance(day, simTerms.MaxDrift, false, now), 0}
 		}
 		for i := range holders {
 			begin(i)
@@ -72,24 +72,24 @@
 				begin(rng.IntN(len(holders)))
 			case !sound && n == 1:
 				replace()
-				pot.Begin(period)
+				pot.StartPeriod(period)
 			case !sound && n == 2 && step > 1500 && period == 10:
 				carried = 0
 				for i := range holders {
-					carried += holders[i].purse.lent(now)
+					carried += holders[i].purse.grantedAt(now)
 				}
 				period, used = 11, 0
-				pot.Begin(period)
+				pot.StartPeriod(period)
 			case n < 20:
 				h.seq++
 				asked := now
-				q := Ask{Seq: h.seq, Want: 30, Piece: 1}
-				q.Holds, q.Rests, q.Left = h.purse.Promise(30, now)
+				q := Request{Sequence: h.seq, Wanted: 30, MinUseful: 1}
+				q.Held, q.Cooling, q.CoolingTime = h.purse.Relinquish(30, now)
 				q.Spent = h.purse.Spent()
 				if !sound && rng.IntN(5) == 0 {
 					continue // the question is lost
 				}
-				lent, draw, ok := pot.Ask(h.who, q, now)
+				lent, draw, ok := pot.Grant(h.who, q, now)
 				if !ok {
 					t.Fatalf("seed %d: a new question is taken for an old one", seed)
 				}
@@ -98,7 +98,7 @@
 					if !sound && rng.IntN(5) == 0 {
 						units = 0 // the answer is lost, and so are they
 					}
-					pot.Drawn(period, units)
+					pot.AddDrawn(period, units)
 				}
 				for range rng.IntN(4) { // used between question and answer
 					if h.purse.Take(1, now) {
@@ -108,7 +108,7 @@
 				if !sound && rng.IntN(5) == 0 {
 					continue // the answer is lost
 				}
-				h.purse.Lent(lent.Units, asked, lent.Length, now)
+				h.purse.Renew(lent.Units, asked, lent.Duration, now)
 			default:
 				if h.purse.Take(1, now) {
 					used++
@@ -137,14 +137,14 @@
 // A sender with a day's quota goes on to want all that waits, however long it has held some.
 func TestDaysWant(t *testing.T) {
 	t.Parallel()
-	till := NewTill(simTerms.Drift, func(string) {})
-	till.Limits([]Limit{{Key: "x", Sort: Daily, Units: 1000}}, func(Limit) bool { return false }, 0)
-	till.Wait("x", 50, 1)
-	s := till.slot("x")
+	till := NewAllowances(simTerms.MaxDrift, func(string) {})
+	till.SetLimits([]Limit{{Key: "x", Kind: Daily, Units: 1000}}, func(Limit) bool { return false }, 0)
+	till.AddWaiting("x", 50, 1)
+	s := till.entry("x")
 	for i := range 5 {
 		now := time.Hour + time.Duration(i)*time.Second
-		s.purse.Lent(20, now, simTerms.Length, now)
-		if q, _ := s.question("x", 20, now); q.Wanted != 50 {
+		s.allowance.Renew(20, now, simTerms.Duration, now)
+		if q, _ := s.demand("x", 20, now); q.Wanted != 50 {
 			t.Fatalf("after %d s it wants %d of 50", i, q.Wanted)
 		}
 	}
--- a/internal/quota/purse.go
+++ b/internal/quota/purse.go
@@ -2,160 +2,160 @@
 
 import "time"
 
-// grains is into how many parts a rest is cut: uses within one part are remembered as one, at its end. So a purse of a million
+// usageBuckets is into how many parts a rest is cut: uses within one part are remembered as one, at its end. So a purse of a million
 // units is no larger than one of a thousand, and loses four thousandths of what it could use.
-const grains = 256
-
-// Purse is what a sender holds of one limit. It is asked at the very moment at which a call is written.
-type Purse struct {
-	limit Limit
-	drift float64
-	rest  time.Duration // of what was used; longer than the limit's if that was so when it was used
-
-	units int64         // lent
-	until time.Duration // the loan lapses
-	had   int64         // the most that was held while what rests now was used
-	floor int64         // its own, for ever
-	from  time.Duration // an earlier process may have used the floor, or what goes beyond, until then
-	uses  []use         // that rest, the oldest first
-	rests int64         // units of those
-	out   int64         // AtOnce: in use by calls that are out
-	spent int64         // Daily: all that this process has used
-	told  int64         // and of that, as the last question told
-}
-
-type use struct {
-	at    time.Duration
-	units int64
-}
-
-// NewPurse makes the purse of a process that begins now: it holds nothing. floor is whether the sender is among those that have one.
-func NewPurse(l Limit, drift float64, floor bool, now time.Duration) *Purse {
-	p := &Purse{from: now}
-	p.Change(l, drift, floor, now)
+const usageBuckets = 256
+
+// Allowance is what a sender holds of one limit. It is asked at the very moment at which a call is written.
+type Allowance struct {
+	limit    Limit
+	drift    float64
+	coolDown time.Duration // of what was used; longer than the limit's if that was so when it was used
+
+	granted       int64         // lent
+	expiresAt     time.Duration // the loan lapses
+	peakGranted   int64         // the most that was held while what rests now was used
+	reserve       int64         // its own, for ever
+	reserveFrom   time.Duration // an earlier process may have used the floor, or what goes beyond, until then
+	usageLog      []usage       // that rest, the oldest first
+	cooling       int64         // units of those
+	inFlight      int64         // AtOnce: in use by calls that are out
+	spent         int64         // Daily: all that this process has used
+	spentReported int64         // and of that, as the last question told
+}
+
+type usage struct {
+	endsAt time.Duration
+	units  int64
+}
+
+// NewAllowance makes the purse of a process that begins now: it holds nothing. floor is whether the sender is among those that have one.
+func NewAllowance(l Limit, drift float64, reserved bool, now time.Duration) *Allowance {
+	p := &Allowance{reserveFrom: now}
+	p.SetLimit(l, drift, reserved, now)
 	return p
 }
 
-// Change takes over what the limit is now. What was used goes on resting, for the longer of both spans.
-func (p *Purse) Change(l Limit, drift float64, floor bool, now time.Duration) {
+// SetLimit takes over what the limit is now. What was used goes on resting, for the longer of both spans.
+func (p *Allowance) SetLimit(l Limit, drift float64, floor bool, now time.Duration) {
 	was := p.limit
-	p.limit, p.drift, p.rest, p.floor = l, drift, max(l.Rest(drift), p.rest), 0
-	if floor && l.Sort != Daily {
-		p.floor = l.Floor
+	p.limit, p.drift, p.coolDown, p.reserve = l, drift, max(l.CoolDown(drift), p.coolDown), 0
+	if floor && l.Kind != Daily {
+		p.reserve = l.Reserve
 	}
-	if was.Key == "" || was.Floor < l.Floor || was.Over < l.Over {
-		p.from = now + l.Tail(drift)
+	if was.Key == "" || was.Reserve < l.Reserve || was.CutOffExtra < l.CutOffExtra {
+		p.reserveFrom = now + l.ReclaimDelay(drift)
 	}
 }
 
-// settle lets go of what has rested.
-func (p *Purse) settle(now time.Duration) {
+// expireUsage lets go of what has rested.
+func (p *Allowance) expireUsage(now time.Duration) {
 	n := 0
-	for n < len(p.uses) && p.uses[n].at+p.rest <= now {
-		p.rests -= p.uses[n].units
+	for n < len(p.usageLog) && p.usageLog[n].endsAt+p.coolDown <= now {
+		p.cooling -= p.usageLog[n].units
 		n++
 	}
 	if n > 0 {
-		p.uses = append(p.uses[:0], p.uses[n:]...)
+		p.usageLog = append(p.usageLog[:0], p.usageLog[n:]...)
 	}
-	if len(p.uses) == 0 {
-		p.rest = p.limit.Rest(p.drift)
+	if len(p.usageLog) == 0 {
+		p.coolDown = p.limit.CoolDown(p.drift)
 	}
-	if p.rests+p.out == 0 || p.had > p.lent(now) && p.busy() <= p.lent(now) {
-		p.had = p.lent(now)
+	if p.cooling+p.inFlight == 0 || p.peakGranted > p.grantedAt(now) && p.grantedInUse() <= p.grantedAt(now) {
+		p.peakGranted = p.grantedAt(now)
 	}
 }
 
-// lent is what the loan allows.
-func (p *Purse) lent(now time.Duration) int64 {
-	if now >= p.until {
+// grantedAt is what the loan allows.
+func (p *Allowance) grantedAt(now time.Duration) int64 {
+	if now >= p.expiresAt {
 		return 0
 	}
-	return p.units
+	return p.granted
 }
 
-// busy is what of the lent units is in use or rests: the floor is used first.
-func (p *Purse) busy() int64 { return max(0, p.rests+p.out-p.floor) }
+// grantedInUse is what of the lent units is in use or rests: the floor is used first.
+func (p *Allowance) grantedInUse() int64 { return max(0, p.cooling+p.inFlight-p.reserve) }
 
-// allowed is how many units may be in use and at rest, all in all.
-func (p *Purse) allowed(now time.Duration) int64 {
-	all := p.lent(now)
-	if now >= p.from {
-		all += p.floor
-		if now >= p.until {
-			all += p.limit.Over
+// capacity is how many units may be in use and at rest, all in all.
+func (p *Allowance) capacity(now time.Duration) int64 {
+	all := p.grantedAt(now)
+	if now >= p.reserveFrom {
+		all += p.reserve
+		if now >= p.expiresAt {
+			all += p.limit.CutOffExtra
 		}
 	}
 	return all
 }
 
 // Take uses units; false if they are not there.
-func (p *Purse) Take(units int64, now time.Duration) bool {
-	p.settle(now)
-	if p.rests+p.out+units > p.allowed(now) {
+func (p *Allowance) Take(units int64, now time.Duration) bool {
+	p.expireUsage(now)
+	if p.cooling+p.inFlight+units > p.capacity(now) {
 		return false
 	}
-	switch p.limit.Sort {
-	case AtOnce:
-		p.out += units
+	switch p.limit.Kind {
+	case Concurrent:
+		p.inFlight += units
 	case Daily:
-		p.units -= units
+		p.granted -= units
 		p.spent += units
 	default:
-		p.rested(units, now)
+		p.recordUsage(units, now)
 	}
 	return true
 }
 
-// rested begins the rest of units, as of the end of the grain that now lies in.
-func (p *Purse) rested(units int64, now time.Duration) {
-	grain := max(1, p.rest/grains)
+// recordUsage begins the rest of units, as of the end of the grain that now lies in.
+func (p *Allowance) recordUsage(units int64, now time.Duration) {
+	grain := max(1, p.coolDown/usageBuckets)
 	at := (now/grain + 1) * grain
-	if n := len(p.uses); n > 0 && p.uses[n-1].at >= at {
-		p.uses[n-1].units += units
+	if n := len(p.usageLog); n > 0 && p.usageLog[n-1].endsAt >= at {
+		p.usageLog[n-1].units += units
 	} else {
-		p.uses = append(p.uses, use{at, units})
+		p.usageLog = append(p.usageLog, usage{at, units})
 	}
-	p.rests += units
+	p.cooling += units
 }
 
-// Over is that a call has ended which used units at once.
-func (p *Purse) Over(units int64, now time.Duration) {
-	if p.limit.Sort == AtOnce {
-		p.out -= units
-		p.rested(units, now)
+// Release is that a call has ended which used units at once.
+func (p *Allowance) Release(units int64, now time.Duration) {
+	if p.limit.Kind == Concurrent {
+		p.inFlight -= units
+		p.recordUsage(units, now)
 	}
 }
 
 // Undo is that units were taken and the call was not written after all.
-func (p *Purse) Undo(units int64, now time.Duration) {
-	switch p.limit.Sort {
-	case AtOnce:
-		p.out -= units
+func (p *Allowance) Undo(units int64, now time.Duration) {
+	switch p.limit.Kind {
+	case Concurrent:
+		p.inFlight -= units
 	case Daily:
 		p.spent -= units
-		if now < p.until {
-			p.units += units
+		if now < p.expiresAt {
+			p.granted += units
 		}
 	default:
-		if n := len(p.uses); n > 0 && p.uses[n-1].units >= units && p.uses[n-1].at > now {
-			p.uses[n-1].units -= units
-			p.rests -= units
+		if n := len(p.usageLog); n > 0 && p.usageLog[n-1].units >= units && p.usageLog[n-1].endsAt > now {
+			p.usageLog[n-1].units -= units
+			p.cooling -= units
 		} // else it rests like one that was used
 	}
 }
 
-// Free is how many units may be used now, and when the next one may if none: Never without a loan that brings one.
-func (p *Purse) Free(now time.Duration) (units int64, next time.Duration) {
-	p.settle(now)
-	all := p.allowed(now)
-	if units = all - p.rests - p.out; units > 0 {
+// Available is how many units may be used now, and when the next one may if none: Never without a loan that brings one.
+func (p *Allowance) Available(now time.Duration) (units int64, next time.Duration) {
+	p.expireUsage(now)
+	all := p.capacity(now)
+	if units = all - p.cooling - p.inFlight; units > 0 {
 		return units, now
 	}
-	need := p.rests + p.out - all
-	for _, u := range p.uses {
+	need := p.cooling + p.inFlight - all
+	for _, u := range p.usageLog {
 		if need -= u.units; need < 0 && all > 0 {
-			return 0, u.at + p.rest
+			return 0, u.endsAt + p.coolDown
 		}
 	}
 	return 0, Never
@@ -164,52 +164,52 @@
 // Never is a time that does not come.
 const Never = time.Duration(1<<63 - 1)
 
-// Promise is what the purse tells with a question: it goes on with holds at the most, and lets go of the rest, of which rests units
+// Relinquish is what the purse tells with a question: it goes on with holds at the most, and lets go of the rest, of which rests units
 // rest for so long yet. keep is how many it wants to go on with; it may have to go on with more, in use by calls that are out.
-func (p *Purse) Promise(keep int64, now time.Duration) (holds, rests int64, left time.Duration) {
-	p.settle(now)
-	lent := p.lent(now)
-	if p.limit.Sort == Daily {
-		p.units, p.told = min(p.lent(now), max(0, keep)), p.spent
-		return p.units, 0, 0
+func (p *Allowance) Relinquish(keep int64, now time.Duration) (holds, rests int64, left time.Duration) {
+	p.expireUsage(now)
+	lent := p.grantedAt(now)
+	if p.limit.Kind == Daily {
+		p.granted, p.spentReported = min(p.grantedAt(now), max(0, keep)), p.spent
+		return p.granted, 0, 0
 	}
 	keep = max(0, min(keep, lent))
-	holds = max(keep, min(p.had, max(0, p.out-p.floor)))
-	if rests = min(p.had, p.busy()) - holds; rests > 0 { // the newest of all that rest ends last
-		left = p.uses[len(p.uses)-1].at + p.rest - now
+	holds = max(keep, min(p.peakGranted, max(0, p.inFlight-p.reserve)))
+	if rests = min(p.peakGranted, p.grantedInUse()) - holds; rests > 0 { // the newest of all that rest ends last
+		left = p.usageLog[len(p.usageLog)-1].endsAt + p.coolDown - now
 	} else {
 		rests = 0
 	}
-	p.units, p.had = min(p.units, holds), max(holds, min(p.had, p.busy()))
+	p.granted, p.peakGranted = min(p.granted, holds), max(holds, min(p.peakGranted, p.grantedInUse()))
 	return holds, rests, left
 }
 
-// Lent takes over what the authority lends in answer to a question that went out at asked: in place of what was held before.
-func (p *Purse) Lent(units int64, asked, length, now time.Duration) {
-	p.settle(now)
+// Renew takes over what the authority lends in answer to a question that went out at asked: in place of what was held before.
+func (p *Allowance) Renew(units int64, asked, length, now time.Duration) {
+	p.expireUsage(now)
 	if asked+length <= now {
 		return
 	}
-	if p.limit.Sort == Daily { // some of it was used since the question
-		units -= p.spent - p.told
+	if p.limit.Kind == Daily { // some of it was used since the question
+		units -= p.spent - p.spentReported
 	}
-	p.units, p.until = units, asked+length
-	p.had = max(p.had, units)
+	p.granted, p.expiresAt = units, asked+length
+	p.peakGranted = max(p.peakGranted, units)
 }
 
-// Pace is how many units are used within a rest, as the last half of one has it.
-func (p *Purse) Pace(now time.Duration) (units int64) {
-	for i := len(p.uses) - 1; i >= 0 && p.uses[i].at > now-p.rest/2; i-- {
-		units += p.uses[i].units
+// RecentUsage is how many units are used within a rest, as the last half of one has it.
+func (p *Allowance) RecentUsage(now time.Duration) (units int64) {
+	for i := len(p.usageLog) - 1; i >= 0 && p.usageLog[i].endsAt > now-p.coolDown/2; i-- {
+		units += p.usageLog[i].units
 	}
-	return 2*units + p.out
+	return 2*units + p.inFlight
 }
 
 // Spent is how many units of a day's this process has used.
-func (p *Purse) Spent() int64 { return p.spent }
+func (p *Allowance) Spent() int64 { return p.spent }
 
-// Holds is what is lent, to when, and how much of it is used or rests.
-func (p *Purse) Holds(now time.Duration) (units, busy int64, until time.Duration) {
-	p.settle(now)
-	return p.lent(now), p.busy(), p.until
+// Status is what is lent, to when, and how much of it is used or rests.
+func (p *Allowance) Status(now time.Duration) (units, busy int64, until time.Duration) {
+	p.expireUsage(now)
+	return p.grantedAt(now), p.grantedInUse(), p.expiresAt
 }
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -49,9 +49,9 @@
 	who    lease.HolderID
 	rate   float64
 	offset time.Duration
-	till   *Till
-	asker  *Asker
-	lender *Lender
+	till   *Allowances
+	asker  *Client
+	lender *Server
 	pokes  []any
 	down   bool
 	paused time.Duration
@@ -93,7 +93,7 @@
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), terms: terms, limits: limits, cut: map[[2]int]bool{}, uses: map[string][]time.Duration{}, counts: map[string]int{}, by: map[string]map[int]int{}}
 	s.roster = &pb.MembershipState{}
 	for i := range n {
-		p := &simSender{s: s, i: i, name: fmt.Sprintf("n%03d", i), rate: 1 + (s.rng.Float64()*2-1)*terms.Drift, offset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
+		p := &simSender{s: s, i: i, name: fmt.Sprintf("n%03d", i), rate: 1 + (s.rng.Float64()*2-1)*terms.MaxDrift, offset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
 		s.senders = append(s.senders, p)
 		p.start()
 	}
@@ -162,8 +162,8 @@
 				s.at(p.paused-s.now+s.delay(), hear)
 			default:
 				p.heard = max(p.heard, r.NextEpoch)
-				p.asker.Roster(r)
-				p.lender.Roster(r, p.clock())
+				p.asker.SetMembership(r)
+				p.lender.SetMembership(r, p.clock())
 				p.step()
 			}
 		}
@@ -189,16 +189,16 @@
 func (p *simSender) start() {
 	p.s.lives++
 	p.who, p.down, p.load = lease.HolderID{Name: p.name, Incarnation: p.s.lives}, false, map[string]*simLoad{}
-	p.till = NewTill(p.s.terms.Drift, func(key string) { p.pokes = append(p.pokes, Poke{key}) })
-	p.till.Limits(p.s.limits, func(Limit) bool { return false }, p.clock())
-	p.asker, p.lender = NewAsker(p.who, p.s.terms, p.till), NewLender(p.who, p.s.terms)
-	p.lender.Limits(p.s.limits, p.clock())
+	p.till = NewAllowances(p.s.terms.MaxDrift, func(key string) { p.pokes = append(p.pokes, UnitsWanted{key}) })
+	p.till.SetLimits(p.s.limits, func(Limit) bool { return false }, p.clock())
+	p.asker, p.lender = NewClient(p.who, p.s.terms, p.till), NewServer(p.who, p.s.terms)
+	p.lender.SetLimits(p.s.limits, p.clock())
 	p.alarm, p.heard = Never, 0
 	p.renew(p.s.lives)
 	if p.s.roster.Epoch > 0 {
 		r := p.s.roster
-		p.asker.Roster(r)
-		p.lender.Roster(r, p.clock())
+		p.asker.SetMembership(r)
+		p.lender.SetMembership(r, p.clock())
 	}
 }
 
@@ -227,9 +227,9 @@
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Question:
+		case SendRequest:
 			p.put(a)
-		case Changed:
+		case SharesChanged:
 			for _, key := range a.Keys {
 				if l := p.load[key]; l != nil {
 					life := p.who.Incarnation
@@ -249,7 +249,7 @@
 }
 
 // put sends a question, and the answer back.
-func (p *simSender) put(q Question) {
+func (p *simSender) put(q SendRequest) {
 	s, life := p.s, p.who.Incarnation
 	to := s.senders[slices.IndexFunc(s.senders, func(o *simSender) bool { return o.name == q.To.Name })]
 	s.sent++
@@ -269,7 +269,7 @@
 		if to.lease <= s.now {
 			return
 		}
-		reply, err := to.lender.Lend(q.Request, to.clock())
+		reply, err := to.lender.Grant(q.Request, to.clock())
 		if err != nil || s.cut[[2]int{to.i, p.i}] || s.rng.Float64() < s.loss {
 			return
 		}
@@ -277,7 +277,7 @@
 		s.bytes += proto.Size(reply)
 		s.at(s.delay(), func() {
 			if p.who.Incarnation == life {
-				p.step(Answered{q.To.Name, q.Request.Sequence, reply})
+				p.step(ReplyReceived{q.To.Name, q.Request.Sequence, reply})
 			}
 		})
 	}
@@ -304,7 +304,7 @@
 			}
 			if p.paused <= p.s.now && l.waiting < 100 {
 				l.waiting++
-				p.till.Wait(key, 1, 1)
+				p.till.AddWaiting(key, 1, 1)
 				p.sends(key, l)
 			}
 			p.s.at(time.Duration(p.s.rng.ExpFloat64()*float64(l.every)), come)
@@ -322,21 +322,21 @@
 	}
 	if p.paused <= s.now {
 		for l.waiting > 0 && l.paced <= s.now { // evenly, as the module does
-			if ok, _ := p.till.Take([]Use{{key, 1}}, p.clock()); !ok {
+			if ok, _ := p.till.Take([]Usage{{key, 1}}, p.clock()); !ok {
 				break
 			}
 			l.waiting--
 			if sh, _ := p.till.Share(key, p.clock()); sh.Units > 0 {
-				l.paced = s.now + sh.Rest/time.Duration(sh.Units)
+				l.paced = s.now + sh.CoolDown/time.Duration(sh.Units)
 			}
-			p.till.Wait(key, -1, 1)
+			p.till.AddWaiting(key, -1, 1)
 			s.at(time.Duration(s.rng.Int64N(int64(5*time.Millisecond))), func() { s.used(key, p.i) })
 		}
 		if len(p.pokes) > 0 {
 			p.step()
 		}
 	}
-	again := p.till.Next(key, p.clock())
+	again := p.till.NextAvailable(key, p.clock())
 	if l.waiting == 0 || again == Never || l.again > s.now {
 		return // until more comes, or is lent
 	}
@@ -367,10 +367,10 @@
 	}
 }
 
-var simTerms = Terms{Length: 2 * time.Second, Drift: 0.01}
+var simTerms = Terms{Duration: 2 * time.Second, MaxDrift: 0.01}
 
 func perSecond(key string, units int64) Limit {
-	return Limit{Key: key, Units: units, Span: time.Second, Transit: 10 * time.Millisecond}
+	return Limit{Key: key, Units: units, Span: time.Second, TransitJitter: 10 * time.Millisecond}
 }
 
 // jain is Jain's index of fairness: 1 if all have the same.
@@ -496,7 +496,7 @@
 		for i, p := range s.senders {
 			p.wants("x", map[bool]float64{true: 80, false: 0}[i == turn%5])
 			p.load["x"].waiting = 0
-			p.till.Recount(map[string]int64{})
+			p.till.SetWaiting(map[string]int64{})
 		}
 		if got := used(s, at+2*time.Second, at+4*time.Second); got < 0.8*40 {
 			t.Errorf("2 s after shift %d %.1f a second are used, of 40", turn, got)
@@ -543,7 +543,7 @@
 		for i := range 5000 {
 			limits = append(limits, perSecond(fmt.Sprintf("destination %d", i), int64(max(20, 2*n))))
 		}
-		s := newSim(t, 11, n, Terms{Length: 4500 * time.Millisecond, Drift: 0.01}, limits...)
+		s := newSim(t, 11, n, Terms{Duration: 4500 * time.Millisecond, MaxDrift: 0.01}, limits...)
 		for _, p := range s.senders {
 			for i := range 20 {
 				p.wants(limits[i].Key, 1)
@@ -559,8 +559,8 @@
 			least = min(least, jain(s.by[limits[i].Key], n))
 		}
 		for _, p := range s.senders {
-			for _, st := range p.till.Stands(p.clock()) {
-				idle += st.Units - st.Busy
+			for _, st := range p.till.Statuses(p.clock()) {
+				idle += st.Units - st.InUse
 			}
 		}
 		t.Logf("%d senders: each sends %.1f messages and %.0f bytes a second; %d calls a second; %d units lie idle, of %d; Jain at least %.3f", n, float64(s.sent)/10/float64(n),
@@ -578,24 +578,24 @@
 		units, all := rng.Int64N(50), make([]Demand, 1+rng.IntN(8))
 		pieces := int64(0)
 		for i := range all {
-			all[i] = Demand{Units: rng.Int64N(20), Piece: 1 + rng.Int64N(3), Busy: rng.IntN(3) == 0}
+			all[i] = Demand{Units: rng.Int64N(20), MinUseful: 1 + rng.Int64N(3), HasTurn: rng.IntN(3) == 0}
 			if all[i].Units > 0 {
-				pieces += all[i].Piece
+				pieces += all[i].MinUseful
 			}
-			if !all[i].Busy && rng.IntN(2) == 0 {
-				all[i].Since = time.Duration(1 + rng.IntN(100))
+			if !all[i].HasTurn && rng.IntN(2) == 0 {
+				all[i].WaitingSince = time.Duration(1 + rng.IntN(100))
 			}
 		}
-		got, sum, want := Shares(units, all), int64(0), int64(0)
+		got, sum, want := FairShares(units, all), int64(0), int64(0)
 		for i, s := range got {
 			d := all[i]
 			sum += s
-			most := max(d.Units, d.Piece)
-			if want += min(d.Units, most); d.Units == 0 && s > 0 || s < 0 || s > most || s > 0 && s < d.Piece {
+			most := max(d.Units, d.MinUseful)
+			if want += min(d.Units, most); d.Units == 0 && s > 0 || s < 0 || s > most || s > 0 && s < d.MinUseful {
 				t.Fatalf("seed %d: %d of %d for %+v: %v", seed, s, units, d, got)
 			}
 			for j, o := range got { // who has less than it wants has no less than another, but for one unit, or their pieces
-				if pieces <= units && d.Units > s && o > s+1 && o > all[j].Piece {
+				if pieces <= units && d.Units > s && o > s+1 && o > all[j].MinUseful {
 					t.Fatalf("seed %d: %d beside %d: %v of %+v", seed, s, o, got, all)
 				}
 			}
@@ -605,7 +605,7 @@
 		}
 		for i, d := range all { // by turns: who waits is passed over for nobody who came later and needs no less
 			for j, o := range all {
-				if pieces > units && d.Units > 0 && o.Units > 0 && !d.Busy && !o.Busy && d.Since > 0 && d.Since < o.Since && d.Piece <= o.Piece && got[i] == 0 && got[j] > 0 {
+				if pieces > units && d.Units > 0 && o.Units > 0 && !d.HasTurn && !o.HasTurn && d.WaitingSince > 0 && d.WaitingSince < o.WaitingSince && d.MinUseful <= o.MinUseful && got[i] == 0 && got[j] > 0 {
 					t.Fatalf("seed %d: the one of %+v is passed over for %+v: %v", seed, d, o, got)
 				}
 			}
--- a/internal/replicatedlog/copy.go
+++ b/internal/replicatedlog/copy.go
@@ -178,7 +178,7 @@
 	if o == nil || c.staged == o.Id || c.staging == o.Id || c.rejectedChange == o.Id {
 		return
 	}
-	if err := c.policy.Next().Fits(c.settings); err != nil {
+	if err := c.policy.Next().CheckSettings(c.settings); err != nil {
 		c.reject(o.Id, err.Error())
 		return
 	}
@@ -209,8 +209,8 @@
 		}
 	}
 	if p.View != c.view {
-		p.View.Verdicts = c.liveHealth
-		p.View.Roster, p.View.Rank = c.membership.State(), c.state.Rank(c.name)
+		p.View.Health = c.liveHealth
+		p.View.Membership, p.View.Rank = c.membership.State(), c.state.Rank(c.name)
 	}
 	p.LeaseUntil = c.holder.Until(c.state.Index())
 	if p.View == c.view && p.LeaseUntil == c.leaseUntil {
@@ -221,7 +221,7 @@
 	}
 	c.view, c.shown, c.leaseUntil = p.View, is, p.LeaseUntil
 	if c.leaseUntil > now {
-		c.stopsActingAt = c.leaseUntil + p.View.Policy.GoesOn()
+		c.stopsActingAt = c.leaseUntil + p.View.Policy.CutOffGrace()
 	}
 	c.actions = append(c.actions, p)
 }
--- a/internal/replicatedlog/core.go
+++ b/internal/replicatedlog/core.go
@@ -110,8 +110,8 @@
 		Term         uint64
 		AppliedIndex uint64
 		Voters       []uint64
-		WaitingOn    []fleetpolicy.Waiting // of the open change, at the one that leads
-		Leases       []lease.ActiveLease   // at the one that leads
+		WaitingOn    []fleetpolicy.PendingSender // of the open change, at the one that leads
+		Leases       []lease.ActiveLease         // at the one that leads
 	}
 )
 
@@ -288,7 +288,7 @@
 			c.addresses[who] = e.Request.Address
 		}
 		for _, s := range e.Request.Staged {
-			c.policyCoordinator.Told(who, s.ChangeId, s.Rejection)
+			c.policyCoordinator.RecordStaged(who, s.ChangeId, s.Rejection)
 		}
 		c.pendingReads[c.lastRead+1] = append(c.pendingReads[c.lastRead+1], e)
 	case HandshakeRequested:
@@ -514,7 +514,7 @@
 			continue
 		}
 		who := lease.HolderID{Name: a.Request.Name, Incarnation: a.Request.Incarnation}
-		if !c.policyCoordinator.Grants(who, a.Request.ActingIndex, c.policy.State()) || !coordinator.MayGrant(a.Request.ActingIndex, c.membership.State()) {
+		if !c.policyCoordinator.MayGrant(who, a.Request.ActingIndex, c.policy.State()) || !coordinator.MayGrant(a.Request.ActingIndex, c.membership.State()) {
 			c.emit(Reply{a.ReplyTo, &pb.LeaseReply{RequiredIndex: index, WaitingOn: c.waitingOn()}}) // a lease of no length
 			continue
 		}
@@ -527,7 +527,7 @@
 // waitingOn are those that the open change waits for, the first few.
 func (c *Voter) waitingOn() (all []*pb.PendingSender) {
 	for _, w := range c.status.WaitingOn[:min(len(c.status.WaitingOn), maxWaitingReported)] {
-		all = append(all, &pb.PendingSender{Name: w.Name, Reason: w.For, RemainingUs: w.Left.Microseconds()})
+		all = append(all, &pb.PendingSender{Name: w.Name, Reason: w.Reason, RemainingUs: w.Remaining.Microseconds()})
 	}
 	return all
 }
--- a/internal/replicatedlog/sim_test.go
+++ b/internal/replicatedlog/sim_test.go
@@ -376,7 +376,7 @@
 	newest := s.acted
 	may := func(j int, c *simCopy) (uint64, bool) {
 		clock := time.Duration(float64(s.now)*c.rate) + time.Duration(j)*time.Minute
-		if !c.up || c.view == nil || c.until <= clock || c.view.Frozen.Destination(7) {
+		if !c.up || c.view == nil || c.until <= clock || c.view.Suspended.HasDestination(7) {
 			return 0, false
 		}
 		return c.view.Version, true
--- a/internal/sender/ends.go
+++ b/internal/sender/ends.go
@@ -16,7 +16,7 @@
 	s.recheckPolicy(m, e)
 	m.calls.finish(e.attempt)
 	if s.config.Fleet != nil && e.LimitReported && e.Limit > 0 {
-		s.config.Fleet.Told(m.Dest, e.Limit)
+		s.config.Fleet.ObserveLimit(m.Dest, e.Limit)
 	}
 	s.traceEnd(m, e)
 	if e.Outcome == brain.TimedOut {
--- a/internal/sender/fleetpart.go
+++ b/internal/sender/fleetpart.go
@@ -18,20 +18,20 @@
 
 // Fleet is what senders agree on, as far as it concerns messages and calls. Nothing of it waits.
 type Fleet interface {
-	// Enter asks at the moment of writing whether a call may be begun, and takes what it uses of the fleet's limits; left is called when
+	// Admit asks at the moment of writing whether a call may be begun, and takes what it uses of the fleet's limits; left is called when
 	// it is written, over when it has ended.
-	Enter(fleetpolicy.Call) (left func(), over func(written bool), why string)
-	// Waits notes that so many messages more, or fewer, wait; Recount puts what waits in place of all that was noted.
-	Waits(c fleetpolicy.Call, messages int64)
-	Recount(map[fleetpolicy.Call]int64)
-	// Paces are what this sender may send where the fleet shares a limit out: those that have changed, or all.
-	Paces(all bool) []fleet.Pace
-	// OnPaces has f called, from any goroutine, when some have.
-	OnPaces(f func())
-	// Testify takes what this sender has seen of receivers itself.
-	Testify([]health.Observation)
-	// Told is that a receiver has told this sender its limit, in calls a second.
-	Told(destination uint32, perSecond float64)
+	Admit(fleetpolicy.Call) (left func(), over func(written bool), why string)
+	// AddBacklog notes that so many messages more, or fewer, wait; Recount puts what waits in place of all that was noted.
+	AddBacklog(c fleetpolicy.Call, messages int64)
+	SetBacklog(map[fleetpolicy.Call]int64)
+	// RateLimits are what this sender may send where the fleet shares a limit out: those that have changed, or all.
+	RateLimits(all bool) []fleet.RateLimit
+	// OnRateLimits has f called, from any goroutine, when some have.
+	OnRateLimits(f func())
+	// ReportHealth takes what this sender has seen of receivers itself.
+	ReportHealth([]health.Observation)
+	// ObserveLimit is that a receiver has told this sender its limit, in calls a second.
+	ObserveLimit(destination uint32, perSecond float64)
 	// View is what calls go by; acts is whether any is begun at all. It is nil while nothing is known.
 	View() (v *fleetpolicy.View, acts bool)
 	// OnChange has f called, from any goroutine, when either is another.
@@ -66,7 +66,7 @@
 		}
 	}
 	paced := make(chan struct{}, 1)
-	s.config.Fleet.OnPaces(func() {
+	s.config.Fleet.OnRateLimits(func() {
 		select {
 		case paced <- struct{}{}:
 		default:
@@ -118,7 +118,7 @@
 			waiting[limitedCall(m.storedMessage.record)]++
 		}
 	}
-	s.config.Fleet.Recount(waiting)
+	s.config.Fleet.SetBacklog(waiting)
 	held := make([]*message, 0, len(s.messages))
 	for _, m := range s.messages {
 		held = append(held, m)
@@ -148,8 +148,8 @@
 
 // rateLimits tells the module what it may send where the fleet shares a limit out.
 func (p *fleetExtension) rateLimits(all bool) (events []brain.Event) {
-	for _, f := range p.s.config.Fleet.Paces(all) {
-		events = append(events, brain.RateGrant{Destination: brain.DestinationID(f.Destination), Limited: f.Limited, Rate: f.Mine, TotalRate: f.All})
+	for _, f := range p.s.config.Fleet.RateLimits(all) {
+		events = append(events, brain.RateGrant{Destination: brain.DestinationID(f.Destination), Limited: f.Limited, Rate: f.Own, TotalRate: f.Fleet})
 	}
 	return events
 }
@@ -158,7 +158,7 @@
 func (p *fleetExtension) verdicts() (events []brain.Event) {
 	v, _ := p.s.config.Fleet.View()
 	is := map[uint32]health.Kind{}
-	for _, one := range v.GetVerdicts() {
+	for _, one := range v.HealthStatuses() {
 		if sort := health.Kind(one.Kind); sort != health.KindSuspended {
 			is[one.Destination] = sort
 		}
@@ -188,7 +188,7 @@
 
 // onTick passes on what is known of those on which there is a verdict, or which do not serve.
 func (p *fleetExtension) onTick(time.Duration) {
-	if v, _ := p.s.config.Fleet.View(); v != nil && v.Policy.Guards() {
+	if v, _ := p.s.config.Fleet.View(); v != nil && v.Policy.HasHealthRules() {
 		p.report(p.s.brain.Observations(), true)
 	}
 }
@@ -198,19 +198,19 @@
 		return
 	}
 	v, _ := p.s.config.Fleet.View()
-	if v == nil || !v.Policy.Guards() {
+	if v == nil || !v.Policy.HasHealthRules() {
 		return
 	}
 	var all []health.Observation
 	for _, k := range known {
 		d := uint32(k.Destination)
-		if _, ruled := v.Policy.VerdictRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || some && k.Health == brain.Healthy && p.verdictOf[d] == health.KindNone && k.HealthAge > time.Second {
+		if _, ruled := v.Policy.HealthRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || some && k.Health == brain.Healthy && p.verdictOf[d] == health.KindNone && k.HealthAge > time.Second {
 			continue
 		}
 		all = append(all, health.Observation{Destination: d, State: knowledge.State(k.Health), Age: k.HealthAge, Duration: max(0, k.HealthFor-k.HealthAge)})
 	}
 	if len(all) > 0 {
-		p.s.config.Fleet.Testify(all)
+		p.s.config.Fleet.ReportHealth(all)
 	}
 }
 
@@ -224,7 +224,7 @@
 	if !is {
 		n = -1
 	}
-	s.config.Fleet.Waits(limitedCall(m.storedMessage.record), n)
+	s.config.Fleet.AddBacklog(limitedCall(m.storedMessage.record), n)
 }
 
 // limitedCall is what limits go by of a message that waits.
@@ -264,10 +264,10 @@
 	if !acts {
 		return "this sender is cut off from the fleet", false
 	}
-	if ok, why := v.Policy.May(policyCall(r)); !ok {
-		return why, v.Policy.Open(r.Dest)
+	if ok, why := v.Policy.Allows(policyCall(r)); !ok {
+		return why, v.Policy.IsOpen(r.Dest)
 	}
-	if !v.Open(r.Dest) {
+	if !v.IsOpen(r.Dest) {
 		return "its destination is suspended", false
 	}
 	return "", false
@@ -276,7 +276,7 @@
 // closedByFleet reports whether nothing is sent to a destination just now.
 func (s *Sender) closedByFleet(destination uint32) bool {
 	v, acts := s.config.Fleet.View()
-	return !acts || !v.Open(destination) || v.Frozen.Destination(destination)
+	return !acts || !v.IsOpen(destination) || v.Suspended.HasDestination(destination)
 }
 
 // applyPolicy applies the policy to a message that is handed in: it may go to another destination, or be given up sooner. why is
@@ -289,19 +289,19 @@
 	if !acts {
 		return "this sender is cut off from the fleet"
 	}
-	if to := v.Policy.Moved(r.Dest); to != r.Dest {
+	if to := v.Policy.MovedTo(r.Dest); to != r.Dest {
 		if _, known := s.endpoints.Cells[to]; !known {
 			return fmt.Sprintf("the fleet's policy has moved its destination to %d, which no list names", to)
 		}
 		r.Dest = to
 	}
-	if ok, why := v.Policy.May(policyCall(*r)); !ok {
+	if ok, why := v.Policy.Allows(policyCall(*r)); !ok {
 		return why
 	}
-	if !v.Open(r.Dest) {
+	if !v.IsOpen(r.Dest) {
 		return "its destination is suspended"
 	}
-	if most := v.Policy.DeadlineMost(r.Class); most > 0 {
+	if most := v.Policy.MaxDeadline(r.Class); most > 0 {
 		r.Deadline = min(r.Deadline, s.clock.now()+most)
 	}
 	return ""
@@ -315,7 +315,7 @@
 	c := limitedCall(m.storedMessage.record) // the loop may drop the message meanwhile
 	c.Endpoint = endpoint
 	return func() (func(), func(bool), bool) {
-		left, over, why := s.config.Fleet.Enter(c)
+		left, over, why := s.config.Fleet.Admit(c)
 		return left, over, why == ""
 	}
 }
--- a/internal/sender/fleetpart_test.go
+++ b/internal/sender/fleetpart_test.go
@@ -25,29 +25,29 @@
 	asked  chan fleetpolicy.Call // calls that ask at their permit
 	waits  int64
 	paced  func()
-	paces  []fleet.Pace
+	paces  []fleet.RateLimit
 	taken  int // how often the paces were asked for
 	ended  atomic.Int64
 }
 
 // What its part asks of limits.
-func (f *toldFleet) Waits(c fleetpolicy.Call, n int64) {
+func (f *toldFleet) AddBacklog(c fleetpolicy.Call, n int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.waits += n
 }
-func (f *toldFleet) Recount(map[fleetpolicy.Call]int64) {}
-func (f *toldFleet) OnPaces(told func())                { f.paced = told }
-func (f *toldFleet) Told(uint32, float64)               {}
-func (f *toldFleet) Testify([]health.Observation)       {}
-func (f *toldFleet) Paces(bool) []fleet.Pace {
+func (f *toldFleet) SetBacklog(map[fleetpolicy.Call]int64) {}
+func (f *toldFleet) OnRateLimits(told func())              { f.paced = told }
+func (f *toldFleet) ObserveLimit(uint32, float64)          {}
+func (f *toldFleet) ReportHealth([]health.Observation)     {}
+func (f *toldFleet) RateLimits(bool) []fleet.RateLimit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.taken++
 	return f.paces
 }
 
-func (f *toldFleet) Enter(c fleetpolicy.Call) (func(), func(bool), string) {
+func (f *toldFleet) Admit(c fleetpolicy.Call) (func(), func(bool), string) {
 	v, acts := f.View()
 	select {
 	case f.asked <- c:
@@ -56,7 +56,7 @@
 	if !acts {
 		return nil, nil, "cut off"
 	}
-	if ok, why := v.May(c); !ok {
+	if ok, why := v.Allows(c); !ok {
 		return nil, nil, why
 	}
 	return func() {}, func(bool) { f.ended.Add(1) }, ""
@@ -140,7 +140,7 @@
 	// Nothing is lent for 1: what is taken on waits, and goes once something is.
 	lend := func(mine float64) {
 		f.mu.Lock()
-		f.paces = []fleet.Pace{{Destination: 1, Limited: true, Mine: mine, All: 10}}
+		f.paces = []fleet.RateLimit{{Destination: 1, Limited: true, Own: mine, Fleet: 10}}
 		before := f.taken
 		f.mu.Unlock()
 		f.paced()
@@ -259,7 +259,7 @@
 	if got := s.endpoints.News(Targets{Servers: []Target{line(1)}}, false, s.config.endpointNames(), s.pool).Endpoints; len(got) != 1 || got[0].Kind != 1 || !got[0].Ready {
 		t.Errorf("%+v", got)
 	}
-	f.paces = []fleet.Pace{{Destination: 1, Limited: true, Mine: 2, All: 5}, {Destination: 9}}
+	f.paces = []fleet.RateLimit{{Destination: 1, Limited: true, Own: 2, Fleet: 5}, {Destination: 9}}
 	if got := p.handle(rateLimitChange{}, 0); len(got) != 2 || got[0] != (brain.RateGrant{Destination: 1, Limited: true, Rate: 2, TotalRate: 5}) || got[1] != (brain.RateGrant{Destination: 9}) {
 		t.Errorf("%+v", got)
 	}
