--- a/internal/tier/gateway/metrics.go
+++ b/internal/tier/gateway/metrics.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 
+	"saffronyard.example/saffronyard/internal/tier/http1"
 	"saffronyard.example/saffronyard/internal/tier/ingress"
 	"saffronyard.example/saffronyard/internal/tier/metrics"
 )
@@ -11,7 +12,7 @@
 // its own for these, as each may be a route's.
 func (gateway *Gateway) probe(x *ingress.Exchange) {
 	if x.Method == http.MethodGet && x.Path == metrics.Path {
-		x.Respond(http.StatusOK, []ingress.Field{{Name: "Content-Type", Value: metrics.ContentType}}, metrics.Text(gateway.Metrics()))
+		x.Respond(http.StatusOK, []http1.Field{{Name: "Content-Type", Value: metrics.ContentType}}, metrics.Text(gateway.Metrics()))
 		return
 	}
 	gateway.readiness(x)
--- a/internal/tier/gateway/send.go
+++ b/internal/tier/gateway/send.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"saffronyard.example/saffronyard/internal/tier/ingress"
+	"saffronyard.example/saffronyard/internal/tier/http1"
 	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
 	"saffronyard.example/saffronyard/internal/tier/routing"
 	"saffronyard.example/saffronyard/internal/tier/settings"
@@ -25,13 +25,13 @@
 // upstreamRequest is the request as an endpoint gets it.
 func (request *clientRequest) upstreamRequest(choice loadbalancer.Selection) *upstream.Request {
 	x := request.x
-	ends := x.Header.AppendEndToEnd(make([]ingress.Field, 0, len(x.Header)+1))
-	head := make([]upstream.Field, 0, len(ends))
+	ends := x.Header.AppendEndToEnd(make([]http1.Field, 0, len(x.Header)+1))
+	head := make([]http1.Field, 0, len(ends))
 	for _, f := range ends {
 		if (request.dropLastEventID || request.resumeAfter != "") && strings.EqualFold(f.Name, lastEventIDHeader) {
 			continue
 		}
-		head = append(head, upstream.Field(f))
+		head = append(head, f)
 	}
 	q := &upstream.Request{Method: x.Method, Target: x.Target, Host: x.Host, Header: head, AttemptID: request.attemptID,
 		Deadline: request.deadline, Priority: -1, Turn: request.route.Persisted, Permit: func() bool { return request.gateway.mayStillSend(choice) }}
@@ -43,7 +43,7 @@
 		q.ForceStream = true
 	}
 	if request.resumeAfter != "" {
-		q.Header = append(q.Header, upstream.Field{Name: lastEventIDHeader, Value: request.resumeAfter})
+		q.Header = append(q.Header, http1.Field{Name: lastEventIDHeader, Value: request.resumeAfter})
 		q.LastEventID = request.resumeAfter
 	}
 	return q
@@ -172,10 +172,10 @@
 }
 
 // fields are those of an endpoint's answer as the client gets them.
-func fields(a *upstream.Response) []ingress.Field {
-	head := make([]ingress.Field, 0, len(a.Header)+1)
+func fields(a *upstream.Response) []http1.Field {
+	head := make([]http1.Field, 0, len(a.Header)+1)
 	for _, f := range a.Header {
-		head = append(head, ingress.Field(f))
+		head = append(head, f)
 	}
 	return head
 }
--- a/internal/tier/gateway/serve.go
+++ b/internal/tier/gateway/serve.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"time"
 
+	"saffronyard.example/saffronyard/internal/tier/http1"
 	"saffronyard.example/saffronyard/internal/tier/ingress"
 	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
 	"saffronyard.example/saffronyard/internal/tier/routing"
@@ -69,7 +70,7 @@
 // reject says that the request has not run and never will, and when to come back.
 func (gateway *Gateway) reject(x *ingress.Exchange, after time.Duration) {
 	seconds := strconv.FormatFloat(max(after, time.Millisecond).Seconds(), 'f', 3, 64)
-	x.Respond(503, []ingress.Field{{Name: "Retry-After", Value: seconds}}, nil)
+	x.Respond(503, []http1.Field{{Name: "Retry-After", Value: seconds}}, nil)
 }
 
 // selectEndpoint picks an endpoint for the next send, waiting a little for a place where all are taken.
--- /dev/null
+++ b/internal/tier/http1/header.go
@@ -0,0 +1,85 @@
+package http1
+
+import "strings"
+
+// Field is a header field: its name as sent, its value without the white space around it.
+type Field struct{ Name, Value string }
+
+// Header is header fields in the order in which they were sent.
+type Header []Field
+
+// Get returns the value of the first field of a name, in any case, or "".
+func (header Header) Get(name string) string {
+	for i := range header {
+		if strings.EqualFold(header[i].Name, name) {
+			return header[i].Value
+		}
+	}
+	return ""
+}
+
+// AppendEndToEnd appends the fields that are to be forwarded: without those that are hop-by-hop, those that Connection names,
+// Expect (which the server has acted on), and Host and Content-Length, which a request has apart from its header.
+func (header Header) AppendEndToEnd(to []Field) []Field {
+	for _, field := range header {
+		if IsHopByHop(field.Name) || strings.EqualFold(field.Name, "Host") || strings.EqualFold(field.Name, "Expect") || header.namedByConnection(field.Name) {
+			continue
+		}
+		to = append(to, field)
+	}
+	return to
+}
+
+// namedByConnection reports whether a Connection field names a field.
+func (header Header) namedByConnection(name string) bool {
+	for _, field := range header {
+		if len(field.Name) == len("Connection") && strings.EqualFold(field.Name, "Connection") && ListContains(field.Value, name) {
+			return true
+		}
+	}
+	return false
+}
+
+// ParseField parses a field line without its CRLF. It is false for a line that is no field, which a folded one is not either.
+func ParseField(line string) (field Field, ok bool) {
+	name, value, ok := strings.Cut(line, ":")
+	value = strings.Trim(value, " \t")
+	if !ok || !IsToken(name) || !IsFieldValue(value) {
+		return Field{}, false
+	}
+	return Field{name, value}, true
+}
+
+// AppendField appends a field line with its CRLF.
+func AppendField(to []byte, name, value string) []byte {
+	return append(append(append(append(to, name...), ": "...), value...), "\r\n"...)
+}
+
+// ListContains reports whether a comma-separated list has an element, in any case.
+func ListContains(list, element string) bool {
+	for item := range strings.SplitSeq(list, ",") {
+		if strings.EqualFold(strings.Trim(item, " \t"), element) {
+			return true
+		}
+	}
+	return false
+}
+
+// IsHopByHop reports whether a field concerns one connection only, or the framing on it (RFC 9110, 7.6.1).
+func IsHopByHop(name string) bool {
+	switch len(name) {
+	case 2:
+		return strings.EqualFold(name, "TE")
+	case 7:
+		return strings.EqualFold(name, "Trailer") || strings.EqualFold(name, "Upgrade")
+	case 10:
+		return strings.EqualFold(name, "Connection") || strings.EqualFold(name, "Keep-Alive")
+	case 14:
+		return strings.EqualFold(name, "Content-Length")
+	case 16:
+		return strings.EqualFold(name, "Proxy-Connection")
+	case 17:
+		return strings.EqualFold(name, "Transfer-Encoding")
+	}
+	return false
+}
--- a/internal/tier/ingress/body.go
+++ b/internal/tier/ingress/body.go
@@ -4,6 +4,8 @@
 	"errors"
 	"io"
 	"time"
+
+	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
 // readRequest reads a whole request. It returns the status of a refusal, or the error of the connection.
@@ -159,7 +161,7 @@
 		if extra -= len(line) + 2; extra <= 0 {
 			return 431, nil
 		}
-		if _, ok := parseField(line); !ok {
+		if _, ok := http1.ParseField(line); !ok {
 			return 400, nil
 		}
 	}
--- a/internal/tier/ingress/conn.go
+++ b/internal/tier/ingress/conn.go
@@ -8,6 +8,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
 const (
@@ -136,7 +138,7 @@
 			retry = 250 * time.Millisecond
 		}
 		exchange.keepAlive = false
-		exchange.Respond(503, []Field{{"Retry-After", formatSeconds(retry)}}, nil)
+		exchange.Respond(503, []http1.Field{{Name: "Retry-After", Value: formatSeconds(retry)}}, nil)
 		return
 	}
 	conn.server.Handler(exchange)
--- a/internal/tier/ingress/exchange.go
+++ b/internal/tier/ingress/exchange.go
@@ -6,6 +6,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
 // Exchange is one request and its answer. Its methods are called from the handler's goroutine until the handler returns;
@@ -15,7 +17,7 @@
 	Target    string // path and query as sent; of an absolute target what follows the host
 	Path      string // of Target, as sent
 	Host      string // with its port if one was sent
-	Header    Header
+	Header    http1.Header
 	Body      []byte
 	ArrivedAt time.Time // when the first byte was read
 
@@ -30,7 +32,7 @@
 	broken      bool
 	pendingHead *[]byte // the head of a stream until its first piece
 	watch       *clientWatch
-	fields      [12]Field
+	fields      [12]http1.Field
 }
 
 // signatureField marks an answer as an endpoint's own.
@@ -72,7 +74,7 @@
 
 // Respond answers whole, in one write if it is small. Fields of the connection and of framing are left out of the header.
 // An error tells that the client may not have it.
-func (exchange *Exchange) Respond(status int, header []Field, body []byte) error {
+func (exchange *Exchange) Respond(status int, header []http1.Field, body []byte) error {
 	if exchange.conn == nil || exchange.phase != notStarted {
 		return ErrAlreadyResponded
 	}
@@ -97,7 +99,7 @@
 }
 
 // Begin begins an answer in chunks; its head is sent with the first piece or with the end.
-func (exchange *Exchange) Begin(status int, header []Field) error {
+func (exchange *Exchange) Begin(status int, header []http1.Field) error {
 	if exchange.conn == nil || exchange.phase != notStarted {
 		return ErrAlreadyResponded
 	}
@@ -218,7 +220,7 @@
 }
 
 // appendHead renders the head of an answer whose body has a length, or comes in chunks if that is negative.
-func (exchange *Exchange) appendHead(b []byte, status int, header []Field, length int64) ([]byte, error) {
+func (exchange *Exchange) appendHead(b []byte, status int, header []http1.Field, length int64) ([]byte, error) {
 	if status < 200 || status > 999 {
 		return nil, ErrInvalidHeader
 	}
@@ -229,11 +231,11 @@
 	b = appendStatus(b, status)
 	given := false // the length of a body that is left out is known to the handler alone
 	for _, f := range header {
-		if !isAll(f.Name, tokenChar) || f.Value != "" && !isAll(f.Value, valueChar) {
+		if !http1.IsToken(f.Name) || f.Value != "" && !http1.AllOf(f.Value, http1.ValueChar) {
 			return nil, ErrInvalidHeader
 		}
 		exchange.signed = exchange.signed || strings.EqualFold(f.Name, signatureField)
-		if isHopByHop(f.Name) {
+		if http1.IsHopByHop(f.Name) {
 			if !exchange.head || status == 204 || given || length > 0 || !strings.EqualFold(f.Name, "Content-Length") {
 				continue
 			}
--- a/internal/tier/ingress/head.go
+++ b/internal/tier/ingress/head.go
@@ -1,59 +1,11 @@
 package ingress
 
-import "strings"
+import (
+	"strings"
 
-// Field is a header field: its name as sent, its value without the white space around.
-type Field struct{ Name, Value string }
-
-// Header is header fields in the order in which they came.
-type Header []Field
-
-// Get is the value of the first field of a name, in any case, or "".
-func (h Header) Get(name string) string {
-	for i := range h {
-		if len(h[i].Name) == len(name) && strings.EqualFold(h[i].Name, name) {
-			return h[i].Value
-		}
-	}
-	return ""
-}
-
-const (
-	tokenChar  = 1 << iota // RFC 9110, 5.6.2
-	valueChar              // of a field's value: visible, obs-text, space and tab
-	targetChar             // of a request target
-	hostChar               // of a host with its port
+	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
-var charClasses = func() (t [256]uint8) {
-	for c := range 256 {
-		alnum := c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
-		if alnum || c < 128 && strings.IndexByte("!#$%&'*+-.^_`|~", byte(c)) >= 0 {
-			t[c] |= tokenChar
-		}
-		if c >= ' ' && c != 127 || c == '\t' {
-			t[c] |= valueChar
-		}
-		if c > ' ' && c < 127 && c != '#' {
-			t[c] |= targetChar
-		}
-		if alnum || c < 128 && strings.IndexByte("-._~!$&'()*+,;=:[]%", byte(c)) >= 0 {
-			t[c] |= hostChar
-		}
-	}
-	return
-}()
-
-// isAll reports whether s is made of one or more characters of a class.
-func isAll(s string, class uint8) bool {
-	for i := 0; i < len(s); i++ {
-		if charClasses[s[i]]&class == 0 {
-			return false
-		}
-	}
-	return s != ""
-}
-
 // scanHead looks for the empty line that ends a head, from an offset on, line being where the line there begins. It returns
 // the length of the head or 0, where to go on, and whether a line ended in a bare LF.
 func scanHead(b []byte, from, line int) (end, next, lineNext int, bad bool) {
@@ -78,21 +30,6 @@
 	return h[:i-1], h[i+1:]
 }
 
-// parseField reads a field line; no line may be folded.
-func parseField(line string) (f Field, ok bool) {
-	name, value, ok := strings.Cut(line, ":")
-	if !ok || !isAll(name, tokenChar) {
-		return f, false
-	}
-	for value != "" && (value[0] == ' ' || value[0] == '\t') {
-		value = value[1:]
-	}
-	for value != "" && (value[len(value)-1] == ' ' || value[len(value)-1] == '\t') {
-		value = value[:len(value)-1]
-	}
-	return Field{name, value}, value == "" || isAll(value, valueChar)
-}
-
 // framing is what a head says of its body and its connection.
 type framing struct {
 	length  int64 // of the body; -1: none announced
@@ -117,7 +54,7 @@
 		if line, head = splitLine(head); line == "" {
 			break
 		}
-		field, ok := parseField(line)
+		field, ok := http1.ParseField(line)
 		if !ok {
 			return f, 400
 		}
@@ -136,13 +73,13 @@
 }
 
 // applyField takes in a field that the server itself goes by. It returns the status of the refusal, 0 if there is none.
-func (f *framing) applyField(field Field, exchange *Exchange, seen *fieldCounts) (status int) {
+func (f *framing) applyField(field http1.Field, exchange *Exchange, seen *fieldCounts) (status int) {
 	var ok bool
 	switch name := field.Name; len(name) {
 	case 4:
 		if strings.EqualFold(name, "Host") {
 			seen.hosts++
-			if seen.hosts > 1 || !isAll(field.Value, hostChar) || exchange.Host != "" && !strings.EqualFold(exchange.Host, field.Value) {
+			if seen.hosts > 1 || !http1.AllOf(field.Value, http1.HostChar) || exchange.Host != "" && !strings.EqualFold(exchange.Host, field.Value) {
 				return 400
 			}
 			exchange.Host = field.Value
@@ -154,7 +91,7 @@
 			}
 		}
 	case 10:
-		if strings.EqualFold(name, "Connection") && hasToken(field.Value, "close") {
+		if strings.EqualFold(name, "Connection") && http1.ListContains(field.Value, "close") {
 			f.close = true
 		}
 	case 12:
@@ -187,7 +124,7 @@
 func parseRequestLine(line string, exchange *Exchange) int {
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || !isAll(method, tokenChar) || !isAll(target, targetChar) {
+	if !ok || !ok2 || !http1.IsToken(method) || !http1.AllOf(target, http1.TargetChar) {
 		return 400
 	}
 	if len(version) != 8 || version[:5] != "HTTP/" || version[6] != '.' || version[5]-'0' > 9 || version[7]-'0' > 9 {
@@ -213,7 +150,7 @@
 			}
 			authority, target = authority[:i], authority[i:]
 		}
-		if !isAll(authority, hostChar) {
+		if !http1.AllOf(authority, http1.HostChar) {
 			return 400
 		}
 		exchange.Host = authority
@@ -247,7 +184,7 @@
 // parseChunkSize reads the line of a chunk, extensions being discarded. Sizes have up to 15 digits.
 func parseChunkSize(line string) (int64, bool) {
 	size, ext, has := strings.Cut(line, ";")
-	if len(size) > 15 || has && !isAll(ext, valueChar) {
+	if len(size) > 15 || has && !http1.AllOf(ext, http1.ValueChar) {
 		return 0, false
 	}
 	n := int64(0)
@@ -267,56 +204,3 @@
 	}
 	return n, size != ""
 }
-
-// hasToken reports whether a comma-separated list holds a token, in any case.
-func hasToken(list, token string) bool {
-	for list != "" {
-		var item string
-		item, list, _ = strings.Cut(list, ",")
-		if strings.EqualFold(strings.Trim(item, " \t"), token) {
-			return true
-		}
-	}
-	return false
-}
-
-// isHopByHop reports whether a field concerns one connection only, or the framing on it.
-func isHopByHop(name string) bool {
-	switch len(name) {
-	case 2:
-		return strings.EqualFold(name, "TE")
-	case 7:
-		return strings.EqualFold(name, "Trailer") || strings.EqualFold(name, "Upgrade")
-	case 10:
-		return strings.EqualFold(name, "Connection") || strings.EqualFold(name, "Keep-Alive")
-	case 14:
-		return strings.EqualFold(name, "Content-Length")
-	case 16:
-		return strings.EqualFold(name, "Proxy-Connection")
-	case 17:
-		return strings.EqualFold(name, "Transfer-Encoding")
-	}
-	return false
-}
-
-// AppendEndToEnd appends the fields that are to be passed on: without those that concern the connection only, those that
-// Connection names, Expect (answered here), and Host and Content-Length, which stand in the exchange.
-func (h Header) AppendEndToEnd(to []Field) []Field {
-	for _, f := range h {
-		if isHopByHop(f.Name) || strings.EqualFold(f.Name, "Host") || strings.EqualFold(f.Name, "Expect") || h.named(f.Name) {
-			continue
-		}
-		to = append(to, f)
-	}
-	return to
-}
-
-// named reports whether a Connection field names a field.
-func (h Header) named(name string) bool {
-	for _, f := range h {
-		if len(f.Name) == 10 && strings.EqualFold(f.Name, "Connection") && hasToken(f.Value, name) {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/tier/upstream/body.go
+++ b/internal/tier/upstream/body.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"io"
 )
 
@@ -66,7 +67,7 @@
 		}
 		if body.reader.Buffered() == 0 {
 			if _, err := body.reader.Peek(1); err != nil {
-				if err == io.EOF && body.framing == byClose {
+				if errors.Is(err, io.EOF) && body.framing == byClose {
 					body.complete = true
 					return dst, io.EOF
 				}
@@ -186,7 +187,7 @@
 func (body *body) readLine() ([]byte, error) {
 	line, err := body.reader.ReadSlice('\n')
 	switch {
-	case err == bufio.ErrBufferFull:
+	case errors.Is(err, bufio.ErrBufferFull):
 		return nil, errMalformed
 	case err != nil:
 		return nil, unexpected(err)
@@ -198,7 +199,7 @@
 
 // unexpected is err, or io.ErrUnexpectedEOF for an end where more had to come.
 func unexpected(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
@@ -220,7 +221,7 @@
 	}
 	for {
 		var err error
-		if dst, err = body.read(dst); err == io.EOF && len(dst) <= limit {
+		if dst, err = body.read(dst); errors.Is(err, io.EOF) && len(dst) <= limit {
 			return dst, nil
 		} else if len(dst) > limit {
 			return nil, errBodyTooLarge
@@ -235,7 +236,7 @@
 	var scratch []byte
 	for n := 0; n <= limit; n += len(scratch) {
 		var err error
-		if scratch, err = body.read(scratch[:0]); err == io.EOF && body.framing != byClose {
+		if scratch, err = body.read(scratch[:0]); errors.Is(err, io.EOF) && body.framing != byClose {
 			return nil
 		} else if err != nil {
 			return err
--- a/internal/tier/upstream/request.go
+++ b/internal/tier/upstream/request.go
@@ -6,18 +6,17 @@
 	"strconv"
 	"strings"
 	"time"
-)
 
-// Field is one line of a head.
-type Field struct{ Name, Value string }
+	"saffronyard.example/saffronyard/internal/tier/http1"
+)
 
 // Request is a request as the client sent it.
 type Request struct {
 	Method        string
 	Target        string // path and query, byte by byte as they came
 	Host          string
-	Header        []Field // as they came, without those that concern one connection
-	AttemptID     string  // X-Attempt-Id; empty if there was none
+	Header        http1.Header // as they came, without those that concern one connection
+	AttemptID     string       // X-Attempt-Id; empty if there was none
 	Body          [][]byte
 	Deadline      time.Time // what is left until then goes out as X-Deadline-Ms; zero: none
 	Priority      int       // 0 to 9; below 0: the client's own stays
@@ -34,38 +33,28 @@
 
 var errInvalidRequest = errors.New("a request that can't be written as it is")
 
-// rewritten reports whether the field is written here rather than passed on, or concerns one connection only.
+// rewritten reports whether the field is written here rather than as the client sent it, or concerns one connection only.
 func (request *Request) rewritten(name string) bool {
 	switch len(name) {
-	case 2:
-		return strings.EqualFold(name, "TE")
 	case 4:
 		return strings.EqualFold(name, "Host")
 	case 6:
 		return strings.EqualFold(name, "Expect")
-	case 7:
-		return strings.EqualFold(name, "Trailer") || strings.EqualFold(name, "Upgrade")
 	case 8:
 		return request.Priority >= 0 && strings.EqualFold(name, "Priority")
-	case 10:
-		return strings.EqualFold(name, "Connection") || strings.EqualFold(name, "Keep-Alive")
 	case 12:
 		return strings.EqualFold(name, "X-Attempt-Id")
 	case 13:
 		return strings.EqualFold(name, "X-Deadline-Ms")
-	case 14:
-		return strings.EqualFold(name, "Content-Length")
-	case 16:
-		return strings.EqualFold(name, "Proxy-Connection")
 	case 17:
-		return strings.EqualFold(name, "X-Target-Instance") || strings.EqualFold(name, "Transfer-Encoding")
+		return strings.EqualFold(name, "X-Target-Instance") || http1.IsHopByHop(name)
 	}
-	return false
+	return http1.IsHopByHop(name)
 }
 
 // valid reports whether nothing in the request could be read as the end of a line.
 func (request *Request) valid(t Target) bool {
-	if !token(request.Method) || request.Target == "" || !plain(request.Host) || !plain(request.AttemptID) || !plain(t.Instance) {
+	if !http1.IsToken(request.Method) || request.Target == "" || !http1.IsFieldValue(request.Host) || !http1.IsFieldValue(request.AttemptID) || !http1.IsFieldValue(t.Instance) {
 		return false
 	}
 	for i := range len(request.Target) {
@@ -74,7 +63,7 @@
 		}
 	}
 	for _, f := range request.Header {
-		if !token(f.Name) || !plain(f.Value) {
+		if !http1.IsToken(f.Name) || !http1.IsFieldValue(f.Value) {
 			return false
 		}
 	}
@@ -87,18 +76,18 @@
 	b = append(append(b, request.Host...), "\r\n"...)
 	for _, f := range request.Header {
 		if !request.rewritten(f.Name) {
-			b = appendField(b, f.Name, f.Value)
+			b = http1.AppendField(b, f.Name, f.Value)
 		}
 	}
 	if request.AttemptID != "" {
-		b = appendField(b, "X-Attempt-Id", request.AttemptID)
+		b = http1.AppendField(b, "X-Attempt-Id", request.AttemptID)
 	}
 	if !request.Deadline.IsZero() {
 		b = strconv.AppendInt(append(b, "X-Deadline-Ms: "...), max(1, request.Deadline.Sub(now).Milliseconds()), 10)
 		b = append(b, "\r\n"...)
 	}
 	if t.Instance != "" {
-		b = appendField(b, "X-Target-Instance", t.Instance)
+		b = http1.AppendField(b, "X-Target-Instance", t.Instance)
 	}
 	if request.Priority >= 0 {
 		b = strconv.AppendInt(append(b, "Priority: "...), int64(request.Priority), 10)
@@ -111,11 +100,6 @@
 	return append(b, "\r\n"...)
 }
 
-// appendField adds one line of a head.
-func appendField(b []byte, name, value string) []byte {
-	return append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
-}
-
 // write sends a request and tells how many bytes of it the system took, and where head is now.
 func write(c net.Conn, head []byte, body [][]byte, size int) (int64, []byte, error) {
 	if size <= maxCopiedBody {
@@ -130,24 +114,3 @@
 	n, err := parts.WriteTo(c)
 	return n, head, err
 }
-
-// token reports whether s is a token (RFC 9110, 5.6.2).
-func token(s string) bool {
-	for i := range len(s) {
-		c := s[i]
-		if c <= ' ' || c >= 0x7f || strings.IndexByte("\"(),/:;<=>?@[\\]{}", c) >= 0 {
-			return false
-		}
-	}
-	return s != ""
-}
-
-// plain reports whether s may be the value of a field.
-func plain(s string) bool {
-	for i := range len(s) {
-		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
-			return false
-		}
-	}
-	return true
-}
--- a/internal/tier/upstream/response.go
+++ b/internal/tier/upstream/response.go
@@ -7,6 +7,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
 const (
@@ -33,8 +35,8 @@
 type Response struct {
 	Status        int
 	Reason        string
-	Header        []Field // without those that concern one connection and the body's framing
-	Length        int64   // of the body as announced; -1: none was
+	Header        http1.Header // without those that concern one connection and the body's framing
+	Length        int64        // of the body as announced; -1: none was
 	AttemptID     string
 	Signature     string // X-Response-Signature
 	NotExecuted   bool   // X-Not-Executed
@@ -51,16 +53,6 @@
 	keepAlive        time.Duration
 }
 
-// Get is the value of the first field of that name, in any case; empty if there is none.
-func (answer *Response) Get(name string) string {
-	for _, f := range answer.Header {
-		if strings.EqualFold(f.Name, name) {
-			return f.Value
-		}
-	}
-	return ""
-}
-
 // readHead reads one head, whole. What is no head gives errMalformed, anything else is the connection's.
 func readHead(r *bufio.Reader, scratch []byte) (*Response, []byte, error) {
 	head := scratch[:0]
@@ -73,7 +65,7 @@
 	}
 	for {
 		line, err := r.ReadSlice('\n')
-		if err == bufio.ErrBufferFull {
+		if errors.Is(err, bufio.ErrBufferFull) {
 			return nil, head, errMalformed
 		}
 		if len(head) == 0 && !mayBeStatusLine(line) {
@@ -107,14 +99,14 @@
 // parseHead reads lines that end with CRLF, the last of them empty.
 func parseHead(head string) (*Response, bool) {
 	line, head, _ := strings.Cut(head, "\r\n")
-	if len(line) < 12 || line[7] != '0' && line[7] != '1' || line[8] != ' ' || len(line) > 12 && line[12] != ' ' || !plain(line) {
+	if len(line) < 12 || line[7] != '0' && line[7] != '1' || line[8] != ' ' || len(line) > 12 && line[12] != ' ' || !http1.IsFieldValue(line) {
 		return nil, false
 	}
 	status, ok := parseDigits(line[9:12], 599)
 	if !ok || status < 100 {
 		return nil, false
 	}
-	a := &Response{Status: int(status), Length: -1, closesConnection: line[7] == '0', Header: make([]Field, 0, 12)}
+	a := &Response{Status: int(status), Length: -1, closesConnection: line[7] == '0', Header: make(http1.Header, 0, 12)}
 	if len(line) > 13 {
 		a.Reason = line[13:]
 	}
@@ -125,17 +117,16 @@
 		if line == "" {
 			break
 		}
-		name, value, ok := strings.Cut(line, ":")
-		value = strings.Trim(value, " \t")
-		if !ok || n == maxHeadFields || !token(name) || !plain(value) {
+		field, ok := http1.ParseField(line)
+		if !ok || n == maxHeadFields {
 			return nil, false
 		}
-		pass, ok := a.parseField(name, value, &seen, &connection)
+		pass, ok := a.parseField(field.Name, field.Value, &seen, &connection)
 		if !ok {
 			return nil, false
 		}
 		if pass {
-			a.Header = append(a.Header, Field{name, value})
+			a.Header = append(a.Header, field)
 		}
 	}
 	a.applyConnection(connection)
--- a/internal/tier/upstream/stream.go
+++ b/internal/tier/upstream/stream.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"time"
 )
@@ -45,7 +46,7 @@
 func (stream *Stream) read() {
 	if stream.err != nil {
 		switch {
-		case stream.err != io.EOF:
+		case !errors.Is(stream.err, io.EOF):
 			stream.close(outcomeOf(stream.exchange.ctx, stream.err), stream.err)
 		case stream.splitEvents && stream.events.unfinished():
 			stream.close(Malformed, errMalformed)
@@ -68,7 +69,7 @@
 
 // BodyReceived reports whether the end of the body has come already, whole: no piece comes but those at hand.
 func (stream *Stream) BodyReceived() bool {
-	return stream.outcome == Complete || stream.outcome == Streaming && stream.err == io.EOF && stream.body.framing != byClose
+	return stream.outcome == Complete || stream.outcome == Streaming && errors.Is(stream.err, io.EOF) && stream.body.framing != byClose
 }
 
 // Ready reports whether Next gives a piece, or the end, without waiting. The slices of the last piece stay good.
