--- a/internal/tier/consensus/catchup_test.go
+++ b/internal/tier/consensus/catchup_test.go
@@ -239,7 +239,7 @@
 					return false
 				}
 				for i := 10 * first; i < 10*first+6; i++ {
-					s.node.disk.rewriteAt = 1 // each change rewrites the file
+					s.node.storage.rewriteAt = 1 // each change rewrites the file
 					key := fmt.Sprint("k", i+1)
 					sent[key] = true
 					if !write(&tierv1.WriteRequest{Epoch: e, PreviousSequence: i, Sequence: i + 1, From: "fa",
@@ -254,7 +254,7 @@
 			s.disk.Crash(rand.New(rand.NewPCG(uint64(at), seed)))
 			s.open(false, "a", "b", "c")
 			assert.NilError(t, s.node.DiskError(), label)
-			d := &s.node.machine.durableState
+			d := &s.node.replica.durableState
 			assert.Assert(t, d.stateEpoch >= epoch, "%s: copy of %d, taken under %d", label, d.stateEpoch, epoch)
 			assert.Assert(t, d.stateEpoch > epoch || d.sequence >= taken, "%s: at %d, took %d", label, d.sequence, taken)
 			assert.Assert(t, d.preparedEpoch >= epoch, label)
--- a/internal/tier/consensus/disk.go
+++ b/internal/tier/consensus/disk.go
@@ -27,8 +27,8 @@
 	rewriteSlack  = 256 << 10 // bytes
 )
 
-// diskStatus is what the loop knows of the disk.
-type diskStatus struct {
+// storageStatus is what the loop knows of the disk.
+type storageStatus struct {
 	failure     error         // nil: usable
 	retryAt     time.Duration // of the next attempt
 	backoff     time.Duration
@@ -43,8 +43,8 @@
 	return errorx.IsOfType(err, wal.IO) || errorx.IsOfType(err, wal.Broken) || errorx.IsOfType(err, wal.NoRoom)
 }
 
-// openDisk reads the file, or makes it and the identity, and builds the machine from it. An error of the disk may pass.
-func (node *Node) openDisk() error {
+// openReplica reads the file, or makes it and the identity, and builds the machine from it. An error of the disk may pass.
+func (node *Node) openReplica() error {
 	var d durableState
 	if err := node.replayFile(&d); err != nil {
 		return err
@@ -54,14 +54,14 @@
 			return errorx.Decorate(err, "consensus: make the folder")
 		}
 	}
-	node.disk.hadIdentity = true
-	node.disk.rewriteAt = rewriteFactor*node.file.Size() + rewriteSlack
+	node.storage.hadIdentity = true
+	node.storage.rewriteAt = rewriteFactor*node.file.Size() + rewriteSlack
 	m := newReplica(d, node.config.Self, node.config.Seeds, node.config.Losses, node.timing, uint64(time.Now().UnixNano()))
-	m.resume(node.now(), node.disk.lastCallID)
+	m.resume(node.now(), node.storage.lastCallID)
 	if node.config.StateLimit > 0 {
 		m.stateLimit = node.config.StateLimit
 	}
-	node.machine = m
+	node.replica = m
 	return nil
 }
 
@@ -90,7 +90,7 @@
 	var b [16]byte
 	rand.Read(b[:])
 	d.identity = identity{Folder: hex.EncodeToString(b[:]), Seeds: node.config.Seeds,
-		Genesis: node.config.Bootstrap && !node.disk.hadIdentity && slices.Contains(node.config.Seeds, node.config.Self.Address)}
+		Genesis: node.config.Bootstrap && !node.storage.hadIdentity && slices.Contains(node.config.Seeds, node.config.Self.Address)}
 	if err := node.file.Append(encodeIdentity(d.identity)); err != nil {
 		return err
 	}
@@ -122,33 +122,33 @@
 			return errorx.Decorate(err, "consensus: sync")
 		}
 	}
-	if node.file.Size() < node.disk.rewriteAt {
+	if node.file.Size() < node.storage.rewriteAt {
 		return nil
 	}
-	if err := node.rewrite(&node.machine.durableState); err != nil {
+	if err := node.rewrite(&node.replica.durableState); err != nil {
 		if node.file.Err() != nil {
 			return errorx.Decorate(err, "consensus: rewrite")
 		}
-		node.disk.rewriteAt = node.file.Size() + rewriteSlack // the old file is in use as before
+		node.storage.rewriteAt = node.file.Size() + rewriteSlack // the old file is in use as before
 		return nil
 	}
-	node.disk.rewriteAt = rewriteFactor*node.file.Size() + rewriteSlack
+	node.storage.rewriteAt = rewriteFactor*node.file.Size() + rewriteSlack
 	return nil
 }
 
 // failDisk ends the machine: leadership, proposals and calls are gone as by a loss of power.
 func (node *Node) failDisk(err error) {
-	node.dropMachine()
+	node.dropReplica()
 	now := node.now()
 	switch {
-	case node.disk.backoff == 0 || node.disk.failure == nil && now-node.disk.usableSince >= diskBackoffReset*node.timing.heartbeatInterval:
-		node.disk.backoff = node.timing.heartbeatInterval
+	case node.storage.backoff == 0 || node.storage.failure == nil && now-node.storage.usableSince >= diskBackoffReset*node.timing.heartbeatInterval:
+		node.storage.backoff = node.timing.heartbeatInterval
 	default:
-		node.disk.backoff = min(2*node.disk.backoff, maxDiskBackoff*node.timing.heartbeatInterval)
+		node.storage.backoff = min(2*node.storage.backoff, maxDiskBackoff*node.timing.heartbeatInterval)
 	}
-	node.disk.retryAt = now + node.disk.backoff
-	first := node.disk.failure == nil
-	node.disk.failure = err
+	node.storage.retryAt = now + node.storage.backoff
+	first := node.storage.failure == nil
+	node.storage.failure = err
 	if !first {
 		return
 	}
@@ -169,42 +169,42 @@
 	if node.config.Log != nil {
 		node.config.Log.Error().Str("event", "record_refused").Str("file", fileName).Err(err).Msg("record refused: " + err.Error())
 	}
-	node.dropMachine()
+	node.dropReplica()
 	node.mu.Lock()
 	node.inbox = nil
 	node.endCallers()
 	node.mu.Unlock()
-	if err := node.openDisk(); err != nil {
+	if err := node.openReplica(); err != nil {
 		node.failDisk(err)
 		return
 	}
 	node.publish(true)
 }
 
-// dropMachine forgets the machine. Late answers to its calls will meet nobody.
-func (node *Node) dropMachine() {
-	if node.machine == nil {
+// dropReplica forgets the machine. Late answers to its calls will meet nobody.
+func (node *Node) dropReplica() {
+	if node.replica == nil {
 		return
 	}
-	node.disk.lastCallID = node.machine.lastCallID
-	node.machine = nil
+	node.storage.lastCallID = node.replica.lastCallID
+	node.replica = nil
 }
 
 // recoverDisk tries to go on. It returns only errors that cannot pass.
 func (node *Node) recoverDisk() error {
-	before := node.disk.failure
-	if err := node.openDisk(); err != nil {
+	before := node.storage.failure
+	if err := node.openReplica(); err != nil {
 		if !isDiskError(err) {
 			return err
 		}
 		node.failDisk(err)
 		return nil
 	}
-	node.disk.failure, node.disk.usableSince = nil, node.now()
+	node.storage.failure, node.storage.usableSince = nil, node.now()
 	node.publish(true)
 	if node.config.Log != nil {
-		node.config.Log.Info().Str("event", "disk_recovered").Str("file", fileName).Str("folder", node.machine.Folder).
-			Uint64("sequence", node.machine.sequence).Msg("disk recovered from: " + before.Error())
+		node.config.Log.Info().Str("event", "disk_recovered").Str("file", fileName).Str("folder", node.replica.Folder).
+			Uint64("sequence", node.replica.sequence).Msg("disk recovered from: " + before.Error())
 	}
 	return nil
 }
--- a/internal/tier/consensus/disk_test.go
+++ b/internal/tier/consensus/disk_test.go
@@ -145,7 +145,7 @@
 	write(0, 6)
 	if failed = failed || s.node.DiskError() != nil; failed && s.node.DiskError() != nil {
 		_, leads := s.node.Primary()
-		assert.Assert(t, !leads && s.node.machine == nil, label)
+		assert.Assert(t, !leads && s.node.replica == nil, label)
 		assert.ErrorIs(t, (<-s.put("refused")).err, ErrNotPrimary, label)
 	}
 	disk.Recover()
@@ -197,14 +197,14 @@
 func TestLostFileIsAnotherFolder(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
 	first := s.node.Self().Folder
-	assert.Assert(t, s.node.machine.Genesis)
+	assert.Assert(t, s.node.replica.Genesis)
 	s.disk.FailAt(1, syscall.EIO)
 	_, err := s.ask(1 << 20)
 	assert.ErrorContains(t, err, "disk failed")
 	assert.NilError(t, s.disk.Remove("/data/"+fileName))
 	s.turn(5 * time.Second)
 	assert.NilError(t, s.node.DiskError())
-	assert.Assert(t, s.node.Self().Folder != first && !s.node.machine.Genesis)
+	assert.Assert(t, s.node.Self().Folder != first && !s.node.replica.Genesis)
 }
 
 // Where a full disk holds a long file, the rewrite to the bare state is what makes room: of the operations of an attempt to
--- a/internal/tier/consensus/maintain.go
+++ b/internal/tier/consensus/maintain.go
@@ -11,7 +11,7 @@
 // should be.
 func (machine *replica) nextReconfiguration() (reconfiguration, bool) {
 	primary := machine.primary
-	if drop := machine.lostBackups(); len(drop) > 0 || primary.needsHigherEpoch || machine.preparedEpoch > primary.view.Epoch {
+	if drop := machine.failedBackups(); len(drop) > 0 || primary.needsHigherEpoch || machine.preparedEpoch > primary.view.Epoch {
 		return reconfiguration{replaceBackups: drop}, true
 	}
 	if len(primary.view.Former) > 0 {
@@ -51,9 +51,9 @@
 	return machine.rebalanceMembers(joiners)
 }
 
-// lostBackups are the folders of the backups that are to be replaced: a call to them failed, they have been silent, or
+// failedBackups are the folders of the backups that are to be replaced: a call to them failed, they have been silent, or
 // another folder stands at their address.
-func (machine *replica) lostBackups() map[string]bool {
+func (machine *replica) failedBackups() map[string]bool {
 	primary := machine.primary
 	drop := make(map[string]bool)
 	for _, folder := range primary.view.Backups {
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -41,8 +41,8 @@
 
 	// Of the loop alone.
 	file    *wal.File // nil until the folder could be opened
-	machine *replica  // nil while the disk fails
-	disk    diskStatus
+	replica *replica  // nil while the disk fails
+	storage    storageStatus
 	clients map[string]tierv1.Election
 
 	mu        sync.Mutex
@@ -84,7 +84,7 @@
 		replies: make(map[uint64]chan proto.Message), outcomes: make(map[uint64]chan outcome), changed: make(chan struct{}),
 		wake: make(chan struct{}, 1), clients: make(map[string]tierv1.Election)}
 	n.published = publishedState{self: proto.CloneOf(config.Self), members: []*tierv1.Member{config.Self}}
-	if err := n.openDisk(); err != nil {
+	if err := n.openReplica(); err != nil {
 		if !isDiskError(err) {
 			return nil, err
 		}
@@ -119,28 +119,28 @@
 
 // runOnce is one pass of the loop: it brings the disk back where that is due, then takes a step with all events that wait.
 func (node *Node) runOnce(ctx context.Context) error {
-	if node.machine == nil && node.now() >= node.disk.retryAt {
+	if node.replica == nil && node.now() >= node.storage.retryAt {
 		if err := node.recoverDisk(); err != nil {
 			return err
 		}
 	}
-	if node.machine == nil {
+	if node.replica == nil {
 		return nil
 	}
 	node.mu.Lock()
 	events := node.inbox
 	node.inbox = nil
 	node.mu.Unlock()
-	node.perform(ctx, node.machine.Step(node.now(), events...))
+	node.perform(ctx, node.replica.Step(node.now(), events...))
 	return nil
 }
 
 // nextStepAt is when the loop is due at the latest.
 func (node *Node) nextStepAt() time.Duration {
-	if node.machine == nil {
-		return node.disk.retryAt
+	if node.replica == nil {
+		return node.storage.retryAt
 	}
-	return node.machine.nextStepAt()
+	return node.replica.nextStepAt()
 }
 
 // perform carries out what a step wants, in its order. Where the disk fails, only the early calls have left.
@@ -177,8 +177,8 @@
 	node.mu.Unlock()
 	if node.config.Log != nil {
 		for _, what := range out.transitions {
-			node.config.Log.Info().Str("what", what).Uint64("promised", node.machine.preparedEpoch).
-				Uint64("chosen", epochOf(node.machine.chosen)).Uint64("sequence", node.machine.sequence).Msg("control")
+			node.config.Log.Info().Str("what", what).Uint64("promised", node.replica.preparedEpoch).
+				Uint64("chosen", epochOf(node.replica.chosen)).Uint64("sequence", node.replica.sequence).Msg("control")
 		}
 	}
 }
--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -264,7 +264,7 @@
 	n, _ := c.primary()
 	a := n.Self().Address
 	c.stop(a)
-	assert.Assert(t, n.disk.rewriteAt > rewriteSlack && n.file.Size() < 12*64<<10, "%d", n.file.Size())
+	assert.Assert(t, n.storage.rewriteAt > rewriteSlack && n.file.Size() < 12*64<<10, "%d", n.file.Size())
 	var d durableState
 	f, err := wal.Open(c.disks[a], "/data", fileName, d.replay)
 	assert.NilError(t, err)
--- a/internal/tier/consensus/size_test.go
+++ b/internal/tier/consensus/size_test.go
@@ -57,11 +57,11 @@
 	assert.NilError(t, s.must(map[string][]byte{"large": valueFor("large", limitInTests-small)}))
 	for _, label := range []string{"first", "after a restart", "after a loss of power"} {
 		epoch, _ := s.node.Primary()
-		assert.Equal(t, s.node.machine.size, limitInTests, label)
-		sequence := s.node.machine.sequence
+		assert.Equal(t, s.node.replica.size, limitInTests, label)
+		sequence := s.node.replica.sequence
 		assertTooLarge(t, s.must(map[string][]byte{"small": valueFor("small", small+1)}))
 		assertTooLarge(t, s.must(map[string][]byte{"new": []byte("x"), "small": valueFor("small", small)}))
-		assert.Equal(t, s.node.machine.sequence, sequence, label)
+		assert.Equal(t, s.node.replica.sequence, sequence, label)
 		v, _ := s.node.Get("small")
 		assert.DeepEqual(t, v, valueFor("small", small))
 		v, _ = s.node.Get("new")
@@ -73,7 +73,7 @@
 		// Room is made and taken again.
 		assert.NilError(t, s.must(map[string][]byte{"small": nil}), label)
 		assert.NilError(t, s.must(map[string][]byte{"small": valueFor("small", small)}), label)
-		assert.Equal(t, s.node.machine.size, limitInTests, label)
+		assert.Equal(t, s.node.replica.size, limitInTests, label)
 
 		s.node.stop()
 		s.disk.Kill()
--- a/internal/tier/consensus/view.go
+++ b/internal/tier/consensus/view.go
@@ -22,7 +22,7 @@
 
 // publish shows callers the machine as it is now; with changed those that wait on Changed are woken.
 func (node *Node) publish(changed bool) {
-	machine := node.machine
+	machine := node.replica
 	v := publishedState{view: machine.chosen, primaryHint: machine.primaryHint, members: machine.liveMembers(), entries: machine.entries, self: machine.self, health: machine.health()}
 	if primary := machine.primary; primary != nil {
 		v.primary, v.epoch, v.entries, v.view = true, primary.view.Epoch, primary.committed, primary.view
