--- /dev/null
+++ b/internal/tier/consensus/backup.go
@@ -0,0 +1,61 @@
+package consensus
+
+import (
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
+)
+
+// handleHeartbeat records that the primary is alive. The reply renews its lease.
+func (r *replica) handleHeartbeat(request *tierv1.HeartbeatRequest) *tierv1.HeartbeatReply {
+	r.recordContact(request.From)
+	r.learnChosen(request.View)
+	view := r.chosen
+	if view != nil && request.View != nil && request.From != nil && request.View.Epoch == view.Epoch && request.From.Folder == view.Primary && r.primary == nil {
+		// A proposer that this replica prepared for may be about to take over: heartbeats of its predecessor count no more.
+		if r.preparedEpoch <= view.Epoch || r.preparedFor == request.From.Folder || r.now-r.preparedAt > r.timing.electionTimeout {
+			r.primarySeenAt, r.primarySeen = r.now, true
+			r.checkPrimaryAt = r.now + r.timing.heartbeatInterval*3/2
+			if r.primaryHint != request.From.Address {
+				r.primaryHint, r.actions.changed = request.From.Address, true
+			}
+			r.candidacyAt = r.now + r.electionTimeout()
+			if r.proposal != nil && r.proposal.epoch == 0 {
+				r.proposal = nil
+			}
+		}
+	}
+	return &tierv1.HeartbeatReply{Self: r.self, HighestPrepared: r.preparedEpoch, Sequence: r.sequence, IsMember: r.isVoter(r.chosenMembers())}
+}
+
+// handleWrite applies writes of the primary, or a snapshot, to the state of this backup. It is idempotent: a doubled or overtaken
+// write is acknowledged again.
+func (r *replica) handleWrite(request *tierv1.WriteRequest) *tierv1.WriteReply {
+	reply := &tierv1.WriteReply{HighestPrepared: r.preparedEpoch}
+	if !r.preparedExactly(request.Epoch, request.From) || request.From == r.Folder || request.Epoch < r.stateEpoch {
+		return reply
+	}
+	if !request.Snapshot {
+		switch {
+		case r.stateEpoch != request.Epoch || r.sequence < request.PreviousSequence:
+			reply.Behind = true
+			return reply
+		case r.sequence >= request.Sequence: // doubled, or it only asks whether the epoch stands
+			reply.Acknowledged = true
+			return reply
+		case r.sequence != request.PreviousSequence:
+			reply.Behind = true
+			return reply
+		}
+	} else if r.stateEpoch == request.Epoch && r.sequence >= request.Sequence {
+		reply.Acknowledged = true // doubled, or overtaken by the writes that followed it
+		return reply
+	}
+	if !fitsRecord(request) { // of a program without StateLimit
+		r.log("write rejected", "it does not fit one record of the file")
+		return reply
+	}
+	r.apply(request)
+	r.persist(encodeMessage(kindWrite, request), true)
+	r.actions.changed = true
+	reply.Acknowledged = true
+	return reply
+}
--- a/internal/tier/consensus/catchup_test.go
+++ b/internal/tier/consensus/catchup_test.go
@@ -152,7 +152,7 @@
 	t.Helper()
 	epoch = 5 << epochBits
 	d := durableState{identity: identity{Folder: "fb"}}
-	m = newReplica(d, &tierv1.Member{Address: "b"}, []string{"a", "b", "c"}, 1, newTiming(3*time.Second, 0), 1)
+	m = newReplica(d, replicaConfig{self: &tierv1.Member{Address: "b"}, seeds: []string{"a", "b", "c"}, toleratedLosses: 1, timing: newTiming(3*time.Second, 0), jitterSeed: 1})
 	m.actions = new(actions)
 	m.handlePrepare(&tierv1.PrepareRequest{Epoch: epoch, From: &tierv1.Member{Folder: "fa", Address: "a"}})
 	assert.Assert(t, m.preparedExactly(epoch, "fa"))
--- /dev/null
+++ b/internal/tier/consensus/election.go
@@ -0,0 +1,54 @@
+package consensus
+
+import (
+	"slices"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
+)
+
+// primaryAlive reports whether a heartbeat of the primary came within the election time-out.
+func (r *replica) primaryAlive() bool {
+	return r.primarySeen && r.now-r.primarySeenAt < r.timing.electionTimeout
+}
+
+// electionTimeout is for how long a primary may be unresponsive before this replica starts a pre-vote. Primaries and backups of the
+// newest view go first, as only they can win.
+func (r *replica) electionTimeout() time.Duration {
+	d := r.timing.electionTimeout + r.jitter(r.timing.heartbeatInterval/2)
+	if view := r.newestView(); view != nil && !isNamedIn(view, r.Folder) && view.Epoch > 0 {
+		d += r.timing.electionTimeout / 2
+	}
+	return d
+}
+
+// checkPrimary asks a primary whose heartbeat is late whether it is alive. A call that fails at once, as one to a closed port does, ends
+// the election time-out early. That is a guess, and decides nothing: the pre-vote asks the others all the same. If there is no reply at
+// all, the election time-out stands.
+func (r *replica) checkPrimary() {
+	r.checkPrimaryAt = r.now + r.timing.heartbeatInterval
+	began := r.now
+	r.call(r.primaryHint, &tierv1.JoinRequest{From: r.self}, true, func(body proto.Message) {
+		if body != nil || r.now-began >= r.timing.callTimeout/2 || r.primary != nil || !r.primarySeen || r.primarySeenAt >= began {
+			return
+		}
+		r.primarySeen = false
+		wait := r.timing.heartbeatInterval/8 + r.jitter(r.timing.heartbeatInterval/8) // the others find out, too
+		if view := r.newestView(); view != nil && !isNamedIn(view, r.Folder) {
+			wait += r.timing.electionTimeout / 2
+		}
+		r.candidacyAt = min(r.candidacyAt, r.now+wait)
+	})
+}
+
+// startPreVote asks whether this replica could take over, if the primary is unresponsive and it is a voter.
+func (r *replica) startPreVote() {
+	r.candidacyAt = r.now + r.electionTimeout()
+	base := r.newestView()
+	if base == nil || r.primaryAlive() || !slices.ContainsFunc(quorumSets(base), r.isVoter) {
+		return
+	}
+	r.beginProposal(&proposal{phase: preVoting})
+}
--- a/internal/tier/consensus/explore_liveness_test.go
+++ b/internal/tier/consensus/explore_liveness_test.go
@@ -40,7 +40,7 @@
 		if !slices.Contains(w.net, i) {
 			continue
 		}
-		w = w.with(transition{what: "failure of the ", item: i})
+		w = w.with(pathStep{what: "failure of the ", item: i})
 		w.remove(i)
 		if i.stage == orphaned {
 			continue
--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -26,7 +26,7 @@
 	return "call"
 }
 
-func (x *explorer) describe(h transition) string {
+func (x *explorer) describe(h pathStep) string {
 	i := h.item
 	if i == nil {
 		return h.what + " at " + x.addresses[h.site] + h.also
@@ -41,11 +41,11 @@
 // deliver carries a message one way. The power of its receiver may go in the middle, or it may be delivered a second time.
 func (x *explorer) deliver(w *systemState, i *item, cut, double bool) (*systemState, error) {
 	if i.stage == answered {
-		c := w.with(transition{what: "answer to ", item: i})
+		c := w.with(pathStep{what: "answer to ", item: i})
 		c.remove(i)
 		return c, x.move(c, x.answer(c, i, i.reply))
 	}
-	c := w.with(transition{what: "the ", item: i})
+	c := w.with(pathStep{what: "the ", item: i})
 	c.remove(i)
 	o := *i
 	if double {
@@ -77,7 +77,7 @@
 
 // timeout ends a call; its request may still come.
 func (x *explorer) timeout(w *systemState, i *item) (*systemState, error) {
-	c := w.with(transition{what: "time-out of ", item: i})
+	c := w.with(pathStep{what: "time-out of ", item: i})
 	c.left.timeouts--
 	c.remove(i)
 	if i.stage == requested {
@@ -89,12 +89,12 @@
 }
 
 func (x *explorer) event(w *systemState, site int, name string, e event) (*systemState, error) {
-	c := w.with(transition{what: name, site: site})
+	c := w.with(pathStep{what: name, site: site})
 	return c, x.move(c, x.advance(c.lanes[site], eventKey{what: name}, e))
 }
 
 func (x *explorer) restart(w *systemState, site int) (*systemState, error) {
-	c := w.with(transition{what: "restart", site: site})
+	c := w.with(pathStep{what: "restart", site: site})
 	c.left.restarts--
 	l := c.lanes[site]
 	if l.next[eventKey{what: "restart"}] == nil {
@@ -105,7 +105,7 @@
 }
 
 func (x *explorer) wipe(w *systemState, site int) (*systemState, error) {
-	c := w.with(transition{what: "loss of the disk", site: site})
+	c := w.with(pathStep{what: "loss of the disk", site: site})
 	c.left.wipes--
 	l := c.lanes[site]
 	if l.next[eventKey{what: "wipe"}] == nil {
@@ -117,7 +117,7 @@
 
 func (x *explorer) put(w *systemState, site int) (*systemState, error) {
 	n := maxOperations - int(w.left.writes)
-	w = w.with(transition{})
+	w = w.with(pathStep{})
 	w.left.writes--
 	c, err := x.event(w, site, [maxOperations]string{"write w0", "write w1"}[n], putRequest{uint64(n), w.lanes[site].leadership,
 		map[string][]byte{writes[n]: []byte("x")}})
@@ -127,7 +127,7 @@
 
 func (x *explorer) confirm(w *systemState, site int) (*systemState, error) {
 	n := maxOperations - int(w.left.confirms)
-	w = w.with(transition{})
+	w = w.with(pathStep{})
 	w.left.confirms--
 	for k, sequence := range w.acked {
 		if sequence > 0 {
@@ -214,7 +214,7 @@
 
 // explore goes breadth-first through at most limit states.
 func (x *explorer) explore(from *systemState, limit int) (r result) {
-	from.parent, from.how = nil, transition{}
+	from.parent, from.how = nil, pathStep{}
 	seen := map[string]struct{}{from.key(): {}}
 	frontier := []*systemState{from}
 	r.complete = true
--- a/internal/tier/consensus/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -69,8 +69,8 @@
 	cut  bool
 }
 
-// transition is one step of a path.
-type transition struct {
+// pathStep is one step of a path.
+type pathStep struct {
 	what, also string
 	item       *item
 	site       int
@@ -96,6 +96,10 @@
 	swap struct{ in, out string } // of members, by address, as the primary would on its own
 )
 
+func (take) isEvent() {}
+func (age) isEvent()  {}
+func (swap) isEvent() {}
+
 const never = time.Duration(1) << 60
 
 type stage int
@@ -137,7 +141,7 @@
 	refused [maxOperations]bool
 	began   [maxOperations]byte // of confirms: what was acknowledged when they began, one bit each
 	parent  *systemState
-	how     transition
+	how     pathStep
 }
 
 // zeros is a source from which every span below four seconds is drawn as 0 (from 0 itself it would be drawn for ever).
@@ -192,7 +196,7 @@
 		}
 	}
 	a := x.addresses[site]
-	m := newReplica(d, &tierv1.Member{Address: a, Zone: "z" + a, Region: "r"}, x.seeds, x.losses, explored(), 1)
+	m := newReplica(d, replicaConfig{self: &tierv1.Member{Address: a, Zone: "z" + a, Region: "r"}, seeds: x.seeds, toleratedLosses: x.losses, timing: explored(), jitterSeed: 1})
 	m.random = rand.New(zeros{})
 	m.now, m.candidacyAt, m.joinAt = now, never, never
 	return &subject{m: m, plant: x.plant, asked: make(map[uint64]proto.Message)}
@@ -339,7 +343,7 @@
 	return &reached
 }
 
-func (w *systemState) with(how transition) *systemState {
+func (w *systemState) with(how pathStep) *systemState {
 	c := *w
 	c.net, c.parent, c.how = slices.Clone(w.net), w, how
 	return &c
--- a/internal/tier/consensus/far_test.go
+++ b/internal/tier/consensus/far_test.go
@@ -55,8 +55,8 @@
 		events, inbox[i] = inbox[i], nil
 		m := machines[i]
 		out := m.Step(now, events...)
-		for _, what := range out.transitions {
-			if what == "primary" {
+		for _, changed := range out.transitions {
+			if changed.message == "became primary" {
 				leaderships[i]++
 			}
 		}
@@ -93,7 +93,7 @@
 		self := &tierv1.Member{Address: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%3), Region: fmt.Sprint("r", i%2)}
 		index[self.Address] = i
 		d := durableState{identity: identity{Folder: fmt.Sprint("f", i), Seeds: seeds, Genesis: i < 3}}
-		machines = append(machines, newReplica(d, self, seeds, losses, newTiming(window, 1200*time.Millisecond), uint64(i)))
+		machines = append(machines, newReplica(d, replicaConfig{self: self, seeds: seeds, toleratedLosses: losses, timing: newTiming(window, 1200*time.Millisecond), jitterSeed: uint64(i)}))
 		leaderships = append(leaderships, 0)
 		after(0, func() { step(i, tick{}) })
 	}
--- a/internal/tier/consensus/health.go
+++ b/internal/tier/consensus/health.go
@@ -9,97 +9,88 @@
 // ToleranceUnknown is Health.Tolerates of a node that does not lead, or whose lease has ended.
 const ToleranceUnknown = -1
 
-// Health is what a node can tell about its disk and, where it leads, about the losses that the group bears.
+// Health is what a node knows about its disk and, if it leads, about the losses that the group tolerates.
 type Health struct {
 	Disk      error // nil: the disk can be written
-	Losses    int   // to be borne at the same time, as configured
-	Tolerates int   // further machines or disks that may be lost right now, at most Losses; Unknown where it does not lead
+	Losses    int   // to be tolerated at the same time, as configured
+	Tolerates int   // further machines or disks that may be lost now, at most Losses; ToleranceUnknown if it does not lead
 
-	Members, MembersWanted int      // members of the record in force; 2*Losses+1
-	Backups, BackupsWanted int      // backups that answered of late; Losses, fewer with few members
-	Absent                 []string // addresses of members that have not answered of late, or come back as another folder
-	Changing               bool     // a change of members is under way: majorities of both sets are needed
+	Members, MembersWanted int      // members of the view in force; 2*Losses+1
+	Backups, BackupsWanted int      // backups that replied recently; Losses, fewer with few members
+	Absent                 []string // addresses of members that have not replied recently, or were replaced by another folder
+	Changing               bool     // a change of members is in progress: majorities of both sets are needed
 
-	Lease time.Duration // how much longer it leads without another answer of its backups; 0 where it does not lead
+	Lease time.Duration // for how long it leads without another reply of its backups; 0 if it does not lead
 }
 
-// Health gives the newest view, as of the last step that is on disk. Within the lease it is at most a heartbeat old.
+// Health returns the newest published health, as of the last step that is on disk. During a lease it is at most a heartbeat old.
 func (node *Node) Health() Health {
 	now := node.now()
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	h := node.published.health
-	if h.Tolerates != ToleranceUnknown && !node.published.leads(now, node.timing.lease) {
-		h.Tolerates = ToleranceUnknown
+	health := node.published.health
+	if health.Tolerates != ToleranceUnknown && !node.published.leads(now, node.timing.lease) {
+		health.Tolerates = ToleranceUnknown
 	}
-	h.Lease = node.published.lease(now, node.timing.lease)
-	return h
+	health.Lease = node.published.lease(now, node.timing.lease)
+	return health
 }
 
-// lease is how much longer leads holds if no backup answers any more. Without backups it has no end, and is given as just
-// confirmed.
-func (v *publishedState) lease(now, fresh time.Duration) time.Duration {
-	switch {
-	case !v.leads(now, fresh):
-		return 0
-	case v.withoutBackups:
-		return fresh
-	}
-	return v.leaseStart + fresh - now
-}
+// DiskError returns nil while the disk can be written, and otherwise the error that it failed with.
+func (node *Node) DiskError() error { return node.Health().Disk }
 
-// health of the machine's view. With B the backups that answer, and for each set S of conf(record) live(S) the members of it
-// that answer, this one included:
+// health of the view in force. With B the responsive backups, and for each set S of quorumSets(view) live(S) its responsive members, this one
+// included:
 //
-//	tolerates = min(|B|, min over S of live(S) - (|S|/2 + 1)), at least 0 and at most losses
+//	tolerates = min(|B|, min over S of live(S) - (|S|/2 + 1)), at least 0 and at most the configured losses
 //
-// Any |B| of the |B|+1 copies may go without the loss of a write, and a majority of each set is left to choose the next
-// record. A joiner without a vote and a member without an answer count for nothing. A member counts as there until
-// recently has passed since its last answer, so a loss shows that late at most.
-func (machine *replica) health() Health {
-	h := Health{Losses: machine.toleratedLosses, Tolerates: ToleranceUnknown, MembersWanted: 2*machine.toleratedLosses + 1}
-	if machine.primary == nil {
-		return h
+// Any |B| of the |B|+1 replicas of the state may be lost without the loss of a write, and a majority of each set is left to choose the
+// next view. A joiner without a vote and a member that never replied count for nothing. A member counts as responsive until
+// answerMaxAge has passed since its last reply, so a loss shows that late at most.
+func (r *replica) health() Health {
+	health := Health{Losses: r.toleratedLosses, Tolerates: ToleranceUnknown, MembersWanted: 2*r.toleratedLosses + 1}
+	if r.primary == nil {
+		return health
 	}
-	record := machine.primary.view
-	h.Members, h.Changing = len(record.Members), len(record.Former) > 0
-	h.BackupsWanted, _ = machine.backupCounts(len(record.Members))
-	for _, folder := range record.Backups {
-		if machine.backupIsResponsive(folder) {
-			h.Backups++
+	view := r.primary.view
+	health.Members, health.Changing = len(view.Members), len(view.Former) > 0
+	health.BackupsWanted, _ = r.backupCounts(len(view.Members))
+	for _, folder := range view.Backups {
+		if r.backupIsResponsive(folder) {
+			health.Backups++
 		}
 	}
-	h.Tolerates = min(h.Backups, machine.toleratedLosses)
-	for _, set := range quorumSets(record) {
+	health.Tolerates = min(health.Backups, r.toleratedLosses)
+	for _, set := range quorumSets(view) {
 		live := 0
 		for _, member := range set {
-			if machine.isResponsive(member) {
+			if r.isResponsive(member) {
 				live++
 			}
 		}
-		h.Tolerates = min(h.Tolerates, live-(len(set)/2+1))
+		health.Tolerates = min(health.Tolerates, live-(len(set)/2+1))
 	}
-	h.Tolerates = max(h.Tolerates, 0)
-	for _, member := range record.Members {
-		if !machine.isResponsive(member) {
-			h.Absent = append(h.Absent, member.Address)
+	health.Tolerates = max(health.Tolerates, 0)
+	for _, member := range view.Members {
+		if !r.isResponsive(member) {
+			health.Absent = append(health.Absent, member.Address)
 		}
 	}
-	return h
+	return health
 }
 
-// answerMaxAge is how old the last answer of a member may be that counts as there.
-func (machine *replica) answerMaxAge() time.Duration {
-	return machine.timing.callTimeout + machine.timing.heartbeatInterval/2
+// answerMaxAge is how old the last reply of a responsive member may be.
+func (r *replica) answerMaxAge() time.Duration {
+	return r.timing.callTimeout + r.timing.heartbeatInterval/2
 }
 
-// isResponsive tells whether a member answered of late, or is this one.
-func (machine *replica) isResponsive(member *tierv1.Member) bool {
-	return member.Folder == machine.Folder || member.Folder == "" && member.Address == machine.self.Address || machine.answeredWithin(member, machine.answerMaxAge())
+// isResponsive reports whether a member replied recently, or is this one.
+func (r *replica) isResponsive(member *tierv1.Member) bool {
+	return member.Folder == r.Folder || member.Folder == "" && member.Address == r.self.Address || r.answeredWithin(member, r.answerMaxAge())
 }
 
-// backupIsResponsive tells whether a backup confirmed the record of late and holds what was acknowledged.
-func (machine *replica) backupIsResponsive(folder string) bool {
-	primary := machine.primary
-	return !primary.failedBackups[folder] && machine.now-primary.confirmedAt[folder] <= machine.answerMaxAge() && !machine.wasReplaced(folder)
+// backupIsResponsive reports whether a backup confirmed the view recently and has all that was acknowledged.
+func (r *replica) backupIsResponsive(folder string) bool {
+	primary := r.primary
+	return !primary.failedBackups[folder] && r.now-primary.confirmedAt[folder] <= r.answerMaxAge() && !r.wasReplaced(folder)
 }
--- /dev/null
+++ b/internal/tier/consensus/lease.go
@@ -0,0 +1,61 @@
+package consensus
+
+import (
+	"slices"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
+)
+
+// leaseStart is when the lease began: the start of the oldest among the newest round trips to each backup. Without backups it is
+// now, as nobody else may take over.
+func (r *replica) leaseStart() time.Duration {
+	at := r.now
+	for _, folder := range r.primary.view.Backups {
+		at = min(at, r.primary.confirmedAt[folder])
+	}
+	return at
+}
+
+// confirmedWithin reports whether all backups replied to a round trip that began within d.
+func (r *replica) confirmedWithin(d time.Duration) bool {
+	return r.now-r.leaseStart() < d
+}
+
+// sendHeartbeat sends a node the view in force, unless a heartbeat to it is in flight. The reply of a backup renews the lease.
+func (r *replica) sendHeartbeat(address string) {
+	peer := r.peer(address)
+	if peer.heartbeatPending {
+		return
+	}
+	peer.heartbeatPending = true
+	began := r.now
+	r.call(address, &tierv1.HeartbeatRequest{View: r.primary.view, From: r.self}, false, func(body proto.Message) {
+		peer.heartbeatPending = false
+		reply, _ := body.(*tierv1.HeartbeatReply)
+		if reply == nil || reply.Self == nil {
+			return
+		}
+		r.recordReply(reply.Self, began)
+		peer.knowsMembership = reply.IsMember
+		r.highestEpoch = max(r.highestEpoch, reply.HighestPrepared)
+		primary := r.primary
+		if primary == nil || !slices.Contains(primary.view.Backups, reply.Self.Folder) {
+			return
+		}
+		if reply.HighestPrepared == primary.view.Epoch || r.preparedForProposal(reply.Self.Folder, reply.HighestPrepared) {
+			primary.confirmedAt[reply.Self.Folder] = max(primary.confirmedAt[reply.Self.Folder], began)
+		} else if reply.HighestPrepared > primary.view.Epoch {
+			primary.needsHigherEpoch = true
+		}
+	})
+}
+
+// preparedForProposal reports whether a member prepared an epoch for this replica's proposal in progress. The epoch alone does not tell: two
+// proposers may use the same one, and the reply to a heartbeat does not say for whom it was prepared.
+func (r *replica) preparedForProposal(folder string, epoch uint64) bool {
+	proposal := r.proposal
+	return proposal != nil && epoch == proposal.epoch && proposal.prepared[folder] != nil
+}
--- a/internal/tier/consensus/lease_test.go
+++ b/internal/tier/consensus/lease_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	members := []*tierv1.Member{{Folder: "fa", Address: "a"}, {Folder: "fb", Address: "b"}, {Folder: "fc", Address: "c"}}
 	d := durableState{identity: identity{Folder: "fa"}, preparedEpoch: 1 << epochBits, preparedFor: "fa", stateEpoch: 1 << epochBits}
-	m := newReplica(d, members[0], []string{"a", "b", "c"}, 1, newTiming(3*time.Second, 0), 1)
+	m := newReplica(d, replicaConfig{self: members[0], seeds: []string{"a", "b", "c"}, toleratedLosses: 1, timing: newTiming(3*time.Second, 0), jitterSeed: 1})
 	m.actions = new(actions)
 	m.now = time.Second
 	m.becomePrimary(&proposal{epoch: 1 << epochBits, confirmedAt: map[string]time.Duration{"fb": m.now},
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"maps"
-	"net/http"
 	"sync"
 	"time"
 
@@ -18,22 +17,23 @@
 
 // Config is what a node is opened with.
 type Config struct {
-	Self      *tierv1.Member // node, zone, region and internal address; the folder is this package's
+	Self      *tierv1.Member // node, zone, region and internal address; the folder is set by this package
 	Seeds     []string       // internal addresses of the seeds
 	Bootstrap bool           // the whole system starts for the first time
-	Losses    int            // to be borne at the same time
-	Dir       string
+	Losses    int            // machines or disks that may be lost at the same time
+	Dir       string         // folder of the control state
 	FS        wal.FS
 
-	ContactWindow, Heartbeat, SyncTime time.Duration
+	ContactWindow time.Duration // all durations of the protocol are parts of it
+	Heartbeat     time.Duration // four times the longest heartbeat interval; 0: no bound but that of the contact window
 
-	Dial func(address string) tierv1.Election
-	Log  *log.Logger // nil: silent
+	Dial func(address string) tierv1.Election // returns the client of the node at an internal address
+	Log  *log.Logger                          // nil: silent
 
-	StateLimit int // bytes of the control state, the same at all processes; 0: the constant of that name
+	StateLimit int // of the control state in bytes, the same at all processes; 0: the constant StateLimit
 }
 
-// Node is a control-plane process's part in the control state. It implements Store.
+// Node is the part of a control-plane process in the group that keeps the control state. Its methods are safe for concurrent use.
 type Node struct {
 	config Config
 	timing timing
@@ -42,34 +42,24 @@
 	// Of the loop alone.
 	file    *wal.File // nil until the folder could be opened
 	replica *replica  // nil while the disk fails
-	storage    storageStatus
-	clients map[string]tierv1.Election
+	storage storageStatus
+	clients map[string]tierv1.Election // by address
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields up to changed
 	inbox     []event
 	stopped   bool
-	token     uint64
+	token     uint64 // last one given out
 	replies   map[uint64]chan proto.Message
 	outcomes  map[uint64]chan outcome
 	published publishedState
 	changed   chan struct{}
 
-	wake chan struct{}
+	wake chan struct{} // has an element while the inbox has new events
 }
 
-// leads tells whether the process may act as primary at a time: its lease counts, or there is nobody else to ask.
-func (view *publishedState) leads(now, fresh time.Duration) bool {
-	return view.primary && (view.withoutBackups || now-view.leaseStart < fresh)
-}
-
-var _ Store = (*Node)(nil)
-
-// fileName is the file of the control state in its folder.
-const fileName = "control"
-
-// Open reads the folder, or makes it: then its identity is synced before anything is answered. A disk that fails, also one
-// that is full, is no error: Run tries on until it works (see DiskError), and until then Self has no folder. Errors are
-// those of the configuration and of a file that is not this program's.
+// Open reads the folder, or creates it: then its identity is synced before anything is answered. A disk that fails, also one that is
+// full, is no error: Run retries until it works (see DiskError), and until then Self has no folder. Errors are those of the
+// configuration and of a file that is not this program's.
 func Open(config Config) (*Node, error) {
 	if config.Self == nil || config.Self.Address == "" || config.Dial == nil || config.FS == nil || config.ContactWindow <= 0 {
 		return nil, errorx.IllegalArgument.New("consensus: self, dial, file system and contact window are needed")
@@ -78,27 +68,27 @@
 	return open(config, func() time.Duration { return time.Since(start) })
 }
 
-// open is Open with a clock of the caller's.
+// open is Open with a clock of the caller.
 func open(config Config, clock func() time.Duration) (*Node, error) {
-	n := &Node{config: config, timing: newTiming(config.ContactWindow, config.Heartbeat), clock: clock,
+	node := &Node{config: config, timing: newTiming(config.ContactWindow, config.Heartbeat), clock: clock,
 		replies: make(map[uint64]chan proto.Message), outcomes: make(map[uint64]chan outcome), changed: make(chan struct{}),
 		wake: make(chan struct{}, 1), clients: make(map[string]tierv1.Election)}
-	n.published = publishedState{self: proto.CloneOf(config.Self), members: []*tierv1.Member{config.Self}}
-	if err := n.openReplica(); err != nil {
+	node.published = publishedState{self: proto.CloneOf(config.Self), members: []*tierv1.Member{config.Self}}
+	if err := node.openReplica(); err != nil {
 		if !isDiskError(err) {
 			return nil, err
 		}
-		n.failDisk(err)
-		return n, nil
+		node.failDisk(err)
+		return node, nil
 	}
-	n.publish(false)
-	return n, nil
+	node.publish(false)
+	return node, nil
 }
 
-// now is a steady time that goes on while the process is paused, but not while the whole machine sleeps.
+// now is a monotonic time that goes on while the process is paused, but not while the whole machine sleeps.
 func (node *Node) now() time.Duration { return node.clock() }
 
-// Run steps the machine until the context ends. A disk that fails does not end it; a file that can no longer be read does.
+// Run steps the replica until the context ends. A disk that fails does not end it; a file that can no longer be read does.
 func (node *Node) Run(ctx context.Context) error {
 	defer node.stop()
 	timer := time.NewTimer(0)
@@ -117,7 +107,7 @@
 	}
 }
 
-// runOnce is one pass of the loop: it brings the disk back where that is due, then takes a step with all events that wait.
+// runOnce is one pass of the loop: it recovers the disk if that is due, then takes a step with all queued events.
 func (node *Node) runOnce(ctx context.Context) error {
 	if node.replica == nil && node.now() >= node.storage.retryAt {
 		if err := node.recoverDisk(); err != nil {
@@ -143,12 +133,12 @@
 	return node.replica.nextStepAt()
 }
 
-// perform carries out what a step wants, in its order. Where the disk fails, only the early calls have left.
-func (node *Node) perform(ctx context.Context, out *actions) {
-	for _, c := range out.unsyncedCalls {
-		node.send(ctx, c)
+// perform carries out the actions of a step, in their order. If the disk fails, only the calls before the sync have left.
+func (node *Node) perform(ctx context.Context, actions *actions) {
+	for _, caller := range actions.unsyncedCalls {
+		node.send(ctx, caller)
 	}
-	err := node.write(out)
+	err := node.write(actions)
 	if errorx.IsOfType(err, wal.TooLarge) {
 		node.restartWithoutRecord(err)
 		return
@@ -157,40 +147,50 @@
 		node.failDisk(err)
 		return
 	}
-	node.publish(out.changed)
-	for _, c := range out.calls {
-		node.send(ctx, c)
+	node.publish(actions.changed)
+	for _, caller := range actions.calls {
+		node.send(ctx, caller)
 	}
 	node.mu.Lock()
-	for _, r := range out.replies {
-		if c := node.replies[r.token]; c != nil {
-			delete(node.replies, r.token)
-			c <- r.body
+	for _, reply := range actions.replies {
+		if caller := node.replies[reply.token]; caller != nil {
+			delete(node.replies, reply.token)
+			caller <- reply.body
 		}
 	}
-	for _, o := range out.outcomes {
-		if c := node.outcomes[o.token]; c != nil {
-			delete(node.outcomes, o.token)
-			c <- o
+	for _, ended := range actions.outcomes {
+		if caller := node.outcomes[ended.token]; caller != nil {
+			delete(node.outcomes, ended.token)
+			caller <- ended
 		}
 	}
 	node.mu.Unlock()
-	if node.config.Log != nil {
-		for _, what := range out.transitions {
-			node.config.Log.Info().Str("what", what).Uint64("promised", node.replica.preparedEpoch).
-				Uint64("chosen", epochOf(node.replica.chosen)).Uint64("sequence", node.replica.sequence).Msg("control")
+	node.logTransitions(actions.transitions)
+}
+
+// logTransitions logs changes of this node's part in the group.
+func (node *Node) logTransitions(transitions []transition) {
+	if node.config.Log == nil {
+		return
+	}
+	for _, changed := range transitions {
+		line := node.config.Log.Info().Str("event", "control")
+		if changed.reason != "" {
+			line = line.Str("reason", changed.reason)
 		}
+		line.Uint64("prepared", node.replica.preparedEpoch).Uint64("chosen", epochOf(node.replica.chosen)).
+			Uint64("sequence", node.replica.sequence).Msg(changed.message)
 	}
 }
 
-// post hands an event to the loop; false once it has ended, or while the disk fails.
+// post queues an event for the loop. It returns false once the loop has ended, and while the disk fails.
 func (node *Node) post(e event) bool {
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	return node.postLocked(e)
 }
 
-// postLocked is post under mu.
+// postLocked is post with the lock held.
 func (node *Node) postLocked(e event) bool {
 	if node.stopped || node.published.health.Disk != nil {
 		return false
@@ -203,7 +203,7 @@
 	return true
 }
 
-// stop ends the loop: pending callers are notified that the outcome is unknown.
+// stop ends the loop: waiting callers get an unknown outcome.
 func (node *Node) stop() {
 	node.mu.Lock()
 	defer node.mu.Unlock()
@@ -215,22 +215,22 @@
 	}
 }
 
-// await posts an event with a token of its own and waits for the outcome; ErrUnknown where ctx ends first.
-func (node *Node) await(ctx context.Context, as func(token uint64) event) (uint64, error) {
-	c := make(chan outcome, 1)
+// await posts an event with a new token and waits for its outcome; ErrOutcomeUnknown if ctx ends first.
+func (node *Node) await(ctx context.Context, newEvent func(token uint64) event) (uint64, error) {
+	ended := make(chan outcome, 1)
 	node.mu.Lock()
 	node.token++
 	token := node.token
-	node.outcomes[token] = c
-	if !node.postLocked(as(token)) {
+	node.outcomes[token] = ended
+	if !node.postLocked(newEvent(token)) {
 		delete(node.outcomes, token)
 		node.mu.Unlock()
 		return 0, ErrNotPrimary
 	}
 	node.mu.Unlock()
 	select {
-	case o := <-c:
-		return o.sequence, o.err
+	case result := <-ended:
+		return result.sequence, result.err
 	case <-ctx.Done():
 		node.mu.Lock()
 		delete(node.outcomes, token)
@@ -239,14 +239,17 @@
 	}
 }
 
-// Put implements Store.
+// Put writes keys under an epoch and returns the sequence of the write; a key with an empty value is removed. It returns nil only when
+// the write is synced here and at all backups. ErrNotPrimary: nothing was written, and the epoch is over. An error of type
+// StateTooLarge: nothing was written, and the epoch goes on. Any other error: the outcome is unknown.
 func (node *Node) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
 	sets = maps.Clone(sets)
 	return node.await(ctx, func(token uint64) event { return putRequest{token, epoch, sets} })
 }
 
-// Confirm implements Store. The lease is asked again at the moment of the answer: a process that was paused after its round
-// trip finds that it is late.
+// Confirm makes a round trip to all backups that begins after the call, so that reads that follow it are linearizable. ErrNotPrimary
+// if the epoch is over. The lease is checked again at the end: a process that was paused after its round trip finds that it is
+// late.
 func (node *Node) Confirm(ctx context.Context, epoch uint64) error {
 	if _, err := node.await(ctx, func(token uint64) event { return confirmRequest{token, epoch} }); err != nil {
 		return err
@@ -256,11 +259,3 @@
 	}
 	return nil
 }
-
-// requestLimit bounds the body of a call, in bytes: what fits no record of the file is not read to its end.
-const requestLimit = wal.MaxRecord
-
-// Handler serves Election.
-func (node *Node) Handler() http.Handler {
-	return http.MaxBytesHandler(tierv1.NewElectionServer(server{node}), requestLimit)
-}
--- a/internal/tier/consensus/peers.go
+++ b/internal/tier/consensus/peers.go
@@ -12,75 +12,90 @@
 // peer is another control-plane process, known by its address.
 type peer struct {
 	member           *tierv1.Member // as it last described itself
-	firstSeen        time.Duration  // when its address was learnt
-	answeredAt       time.Duration  // when the call began that it answered last
-	roundTrip        time.Duration  // how long that call took
-	hasReplied       bool           // it has answered
-	inContact        bool           // it has called or answered
-	heartbeatPending bool           // a heartbeat is under way
-	knowsMembership  bool           // it says that it is a member of the record in force
+	firstSeen        time.Duration
+	answeredAt       time.Duration // start of the newest call that it replied to
+	roundTrip        time.Duration // of that call
+	hasReplied       bool
+	inContact        bool // it has called or replied
+	heartbeatPending bool
+	knowsMembership  bool // it says that it is a member of the view in force
 }
 
-// peer is what is known of the process at an address, made where it is new.
-func (machine *replica) peer(address string) *peer {
-	p := machine.peers[address]
-	if p == nil {
-		p = &peer{firstSeen: machine.now}
-		machine.peers[address] = p
+// peer is what is known of the process at an address, created if it is new.
+func (r *replica) peer(address string) *peer {
+	known := r.peers[address]
+	if known == nil {
+		known = &peer{firstSeen: r.now}
+		r.peers[address] = known
 	}
-	return p
+	return known
 }
 
-// recordContact notes a node that called: one way, so it proves nothing about the way back.
-func (machine *replica) recordContact(member *tierv1.Member) *peer {
-	if member == nil || member.Address == "" || member.Folder == "" || member.Address == machine.self.Address {
+// recordContact records a node that called: one way, so it proves nothing about the way back. It returns nil for this node itself.
+func (r *replica) recordContact(member *tierv1.Member) *peer {
+	if member == nil || member.Address == "" || member.Folder == "" || member.Address == r.self.Address {
 		return nil
 	}
-	peer := machine.peer(member.Address)
+	peer := r.peer(member.Address)
 	if peer.member == nil || !proto.Equal(peer.member, member) {
-		peer.member, machine.actions.changed = member, true
+		peer.member, r.actions.changed = member, true
 	}
 	peer.inContact = true
 	return peer
 }
 
-// recordReply notes that a node answered a call that began at that time.
-func (machine *replica) recordReply(member *tierv1.Member, began time.Duration) *peer {
-	peer := machine.recordContact(member)
+// recordReply records that a node replied to a call that began at that time.
+func (r *replica) recordReply(member *tierv1.Member, began time.Duration) *peer {
+	peer := r.recordContact(member)
 	if peer != nil {
 		if began >= peer.answeredAt {
-			peer.answeredAt, peer.roundTrip = began, machine.now-began
+			peer.answeredAt, peer.roundTrip = began, r.now-began
 		}
 		peer.hasReplied = true
 	}
 	return peer
 }
 
-// unresponsiveFor is how long a node has not answered.
-func (machine *replica) unresponsiveFor(address string) time.Duration {
-	peer := machine.peer(address)
+// unresponsiveFor is for how long a node has not replied.
+func (r *replica) unresponsiveFor(address string) time.Duration {
+	peer := r.peer(address)
 	since := max(peer.answeredAt, peer.firstSeen)
-	if machine.primary != nil {
-		since = max(since, machine.primary.since)
+	if r.primary != nil {
+		since = max(since, r.primary.since)
 	}
-	return machine.now - since
+	return r.now - since
 }
 
-// answeredWithin tells whether the folder of a member, or the one at its address where it has none, answered within d.
-func (machine *replica) answeredWithin(member *tierv1.Member, d time.Duration) bool {
-	peer := machine.peers[member.Address]
-	return peer != nil && peer.hasReplied && (member.Folder == "" || peer.member.Folder == member.Folder) && machine.now-peer.answeredAt <= d
+// answeredWithin reports whether the folder of a member, or any at its address if it has none, replied within d.
+func (r *replica) answeredWithin(member *tierv1.Member, d time.Duration) bool {
+	peer := r.peers[member.Address]
+	return peer != nil && peer.hasReplied && (member.Folder == "" || peer.member.Folder == member.Folder) && r.now-peer.answeredAt <= d
 }
 
-// currentAddress is where a member is to be called: the address of its record, or where its folder was heard of since that one fell
-// silent, as a machine may come back with its disk at another address. It is no more than where to ask: what counts is the
-// folder that answers.
-func (machine *replica) currentAddress(member *tierv1.Member) string {
+// isResponsiveMember reports whether a member replied recently and knows that it is a member.
+func (r *replica) isResponsiveMember(member *tierv1.Member) bool {
+	return r.answeredWithin(member, r.timing.callTimeout) && r.peers[member.Address].knowsMembership
+}
+
+// wasReplaced reports whether another folder replies at a member's address.
+func (r *replica) wasReplaced(folder string) bool {
+	i := slices.IndexFunc(r.primary.view.Members, func(v *tierv1.Member) bool { return v.Folder == folder })
+	if i < 0 {
+		return false
+	}
+	peer := r.peers[r.primary.view.Members[i].Address]
+	return peer != nil && peer.hasReplied && peer.member.Folder != folder
+}
+
+// currentAddress is where a member is to be called: the address in its view or, if its folder was seen elsewhere since that one became
+// unresponsive, there, as a machine may come back with its disk at another address. It is only a hint where to call: what counts
+// is the folder that replies.
+func (r *replica) currentAddress(member *tierv1.Member) string {
 	address, at := member.Address, time.Duration(0)
-	if peer := machine.peers[address]; peer != nil && peer.member.GetFolder() == member.Folder {
-		at = max(peer.answeredAt, peer.firstSeen) + machine.timing.callTimeout
+	if peer := r.peers[address]; peer != nil && peer.member.GetFolder() == member.Folder {
+		at = max(peer.answeredAt, peer.firstSeen) + r.timing.callTimeout
 	}
-	for other, peer := range machine.peers {
+	for other, peer := range r.peers {
 		seen := max(peer.answeredAt, peer.firstSeen)
 		if member.Folder == "" || peer.member.GetFolder() != member.Folder || other == member.Address {
 			continue
@@ -92,68 +107,36 @@
 	return address
 }
 
-// hasMoved tells whether a member answers at another address than that of the record in force.
-func (machine *replica) hasMoved(member *tierv1.Member) bool {
-	address := machine.currentAddress(member)
-	if address == member.Address || member.Folder == machine.Folder {
+// hasMoved reports whether a member replies at another address than that of the view in force.
+func (r *replica) hasMoved(member *tierv1.Member) bool {
+	address := r.currentAddress(member)
+	if address == member.Address || member.Folder == r.Folder {
 		return false
 	}
-	peer := machine.peers[address]
-	return peer.hasReplied && machine.now-peer.answeredAt <= machine.timing.callTimeout
+	peer := r.peers[address]
+	return peer.hasReplied && r.now-peer.answeredAt <= r.timing.callTimeout
 }
 
-// peerAddresses are all other control-plane processes that are known.
-func (machine *replica) peerAddresses() (list []string) {
-	add := func(a string) {
-		if a != "" && a != machine.self.Address && !slices.Contains(list, a) {
-			list = append(list, a)
+// peerAddresses are the addresses of all other known control-plane processes, sorted.
+func (r *replica) peerAddresses() (list []string) {
+	add := func(address string) {
+		if address != "" && address != r.self.Address && !slices.Contains(list, address) {
+			list = append(list, address)
 		}
 	}
-	for _, set := range quorumSets(machine.newestChosenView()) {
+	for _, set := range quorumSets(r.newestChosenView()) {
 		for _, member := range set {
 			add(member.Address)
 		}
 	}
-	for _, a := range machine.seeds {
-		add(a)
+	for _, address := range r.seeds {
+		add(address)
 	}
-	for a, peer := range machine.peers {
+	for address, peer := range r.peers {
 		if peer.inContact {
-			add(a)
+			add(address)
 		}
 	}
 	slices.Sort(list)
 	return list
 }
-
-// chosenMembers are the members of the newest chosen record known.
-func (machine *replica) chosenMembers() []*tierv1.Member {
-	if r := machine.newestChosenView(); r != nil {
-		return r.Members
-	}
-	return nil
-}
-
-// primaryAlive reports whether a heartbeat of the primary came within timing.silence.
-func (machine *replica) primaryAlive() bool {
-	return machine.primarySeen && machine.now-machine.primarySeenAt < machine.timing.electionTimeout
-}
-
-// checkPrimary asks a primary whose heartbeat is late whether it is there. A call that fails at once, as one to a dead port does, ends
-// this node's patience with it; that is a guess that decides nothing: the others are asked as ever. One without any
-// answer is waited for as before.
-func (machine *replica) checkPrimary() {
-	machine.checkPrimaryAt = machine.now + machine.timing.heartbeatInterval
-	began := machine.now
-	machine.call(machine.primaryHint, &tierv1.JoinRequest{From: machine.self}, true, func(body proto.Message) {
-		if body != nil || machine.now-began >= machine.timing.callTimeout/2 || machine.primary != nil || !machine.primarySeen || machine.primarySeenAt >= began {
-			return
-		}
-		machine.primarySeen = false
-		wait := machine.timing.heartbeatInterval/8 + machine.jitter(machine.timing.heartbeatInterval/8) // the others find out, too
-		if r := machine.newestView(); r != nil && !isNamedIn(r, machine.Folder) {
-			wait += machine.timing.electionTimeout / 2
-		}
-		machine.candidacyAt = min(machine.candidacyAt, machine.now+wait)
-	})
-}
--- a/internal/tier/consensus/server.go
+++ b/internal/tier/consensus/server.go
@@ -2,17 +2,27 @@
 
 import (
 	"context"
+	"net/http"
 
 	"github.com/twitchtv/twirp"
 	"google.golang.org/protobuf/proto"
 
+	"saffronyard.example/saffronyard/internal/tier/wal"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// server hands what other nodes ask to the loop.
+// requestLimit bounds the body of a call, in bytes: what does not fit one record of the file is not read to its end.
+const requestLimit = wal.MaxRecord
+
+// Handler serves the Election service.
+func (node *Node) Handler() http.Handler {
+	return http.MaxBytesHandler(tierv1.NewElectionServer(server{node}), requestLimit)
+}
+
+// server is the Election service: it queues the calls of other nodes for the loop.
 type server struct{ node *Node }
 
-// serve waits for the machine's reply, which leaves the loop when what it rests on is synced.
+// serve waits for the reply of the replica, which leaves the loop when what it depends on is synced.
 func serve[T proto.Message](ctx context.Context, node *Node, body proto.Message) (T, error) {
 	var none T
 	replied := make(chan proto.Message, 1)
@@ -27,9 +37,9 @@
 	}
 	node.mu.Unlock()
 	select {
-	case r, ok := <-replied:
-		if t, is := r.(T); ok && is {
-			return t, nil
+	case reply, ok := <-replied:
+		if typed, is := reply.(T); ok && is {
+			return typed, nil
 		}
 		return none, node.unavailable()
 	case <-ctx.Done():
@@ -40,57 +50,37 @@
 	}
 }
 
+// Promise implements tierv1.Election; see replica.handlePrepare.
 func (server server) Promise(ctx context.Context, request *tierv1.PrepareRequest) (*tierv1.PrepareReply, error) {
 	return serve[*tierv1.PrepareReply](ctx, server.node, request)
 }
 
+// Accept implements tierv1.Election; see replica.handleAccept.
 func (server server) Accept(ctx context.Context, request *tierv1.AcceptRequest) (*tierv1.AcceptReply, error) {
 	return serve[*tierv1.AcceptReply](ctx, server.node, request)
 }
 
+// Heartbeat implements tierv1.Election; see replica.handleHeartbeat.
 func (server server) Heartbeat(ctx context.Context, request *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
 	return serve[*tierv1.HeartbeatReply](ctx, server.node, request)
 }
 
+// Write implements tierv1.Election; see replica.handleWrite.
 func (server server) Write(ctx context.Context, request *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
 	return serve[*tierv1.WriteReply](ctx, server.node, request)
 }
 
+// Join implements tierv1.Election; see replica.handleJoin.
 func (server server) Join(ctx context.Context, request *tierv1.JoinRequest) (*tierv1.JoinReply, error) {
 	return serve[*tierv1.JoinReply](ctx, server.node, request)
 }
 
-// send makes a call of the machine. Its end, whatever it is, is an event.
-func (node *Node) send(ctx context.Context, call outgoingCall) {
-	client := node.clients[call.address]
-	if client == nil {
-		client = node.config.Dial(call.address)
-		node.clients[call.address] = client
-	}
-	go func() {
-		ctx, cancel := context.WithTimeout(ctx, call.timeout)
-		defer cancel()
-		body, err := invoke(ctx, client, call.body)
-		if err != nil {
-			body = nil
-		}
-		node.post(callResult{call.id, body})
-	}()
-}
-
-// invoke makes the call of a node that a request is for.
-func invoke(ctx context.Context, client tierv1.Election, body proto.Message) (proto.Message, error) {
-	switch q := body.(type) {
-	case *tierv1.PrepareRequest:
-		return client.Promise(ctx, q)
-	case *tierv1.AcceptRequest:
-		return client.Accept(ctx, q)
-	case *tierv1.HeartbeatRequest:
-		return client.Heartbeat(ctx, q)
-	case *tierv1.WriteRequest:
-		return client.Write(ctx, q)
-	case *tierv1.JoinRequest:
-		return client.Join(ctx, q)
+// unavailable is the error for callers of the service while the node has stopped or its disk fails.
+func (node *Node) unavailable() error {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	if err := node.published.health.Disk; err != nil {
+		return twirp.NewError(twirp.Unavailable, "disk failed: "+err.Error())
 	}
-	return nil, twirp.NewError(twirp.Unimplemented, "no such call")
+	return twirp.NewError(twirp.Unavailable, "ending")
 }
--- a/internal/tier/consensus/size_test.go
+++ b/internal/tier/consensus/size_test.go
@@ -153,7 +153,7 @@
 // What waited for a round goes into it as far as the limit allows, in order; what would make the state too large is in
 // neither, and the others are not held up by it.
 func TestRoundsKeepWithinTheLimit(t *testing.T) {
-	m := newReplica(durableState{identity: identity{Folder: "fa"}}, &tierv1.Member{Address: "a"}, nil, 0, newTiming(3*time.Second, 0), 1)
+	m := newReplica(durableState{identity: identity{Folder: "fa"}}, replicaConfig{self: &tierv1.Member{Address: "a"}, timing: newTiming(3*time.Second, 0), jitterSeed: 1})
 	m.stateLimit, m.actions = limitInTests, new(actions)
 	half := func(token uint64) pendingOperation {
 		return pendingOperation{token: token, sets: map[string][]byte{"k": valueFor("k", limitInTests/2)}}
@@ -222,7 +222,7 @@
 // A write that fits no record, as a program without the limit may send it, is not taken, and changes nothing.
 func TestWriteThatFitsNoRecordIsNotTaken(t *testing.T) {
 	d := durableState{identity: identity{Folder: "fa"}, preparedEpoch: 1 << epochBits, preparedFor: "fb"}
-	m := newReplica(d, &tierv1.Member{Address: "a"}, nil, 1, newTiming(3*time.Second, 0), 1)
+	m := newReplica(d, replicaConfig{self: &tierv1.Member{Address: "a"}, toleratedLosses: 1, timing: newTiming(3*time.Second, 0), jitterSeed: 1})
 	q := &tierv1.WriteRequest{Epoch: 1 << epochBits, Sequence: 1, Snapshot: true, From: "fb",
 		Entries: []*tierv1.Entry{{Key: "k", Value: make([]byte, wal.MaxRecord)}}}
 	out := m.Step(time.Second, incomingCall{1, q})
--- a/internal/tier/consensus/size.go
+++ b/internal/tier/consensus/state_limit.go
@@ -1,21 +1,20 @@
 package consensus
 
 import (
-	"github.com/joomcode/errorx"
 	"google.golang.org/protobuf/proto"
 
 	"saffronyard.example/saffronyard/internal/tier/wal"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// The whole state is one message and one record of the file wherever a copy of it is made, so it must stay below
-// wal.MaxRecord. A write that would make it larger than StateLimit is refused before anything of it is applied, stored or
+// The complete state is one message and one record of the file wherever a snapshot of it is made, so it must stay below
+// wal.MaxRecord. A write that would make it larger than StateLimit is rejected before anything of it is applied, stored or
 // sent. A state that is larger already, left by a program without this limit, may still be written to as long as it
 // does not grow.
 const (
 	// StateLimit bounds the control state, in bytes by entrySize. It is three quarters of wal.MaxRecord (64 MiB): the rest
 	// is never filled by design, and covers the fields of the message around the entries, and entries that later versions
-	// may add. All that a round writes is held within it, too.
+	// may add. A batch of writes is bounded by it, too.
 	StateLimit = 48 << 20
 
 	// entryFraming bounds what the encoding of an entry adds to its key and value: three tags with lengths of up to five
@@ -26,12 +25,6 @@
 	recordFraming = 1
 )
 
-var errorTypes = errorx.NewNamespace("consensus")
-
-// StateTooLarge is the type of the error of a Put that would make the control state larger than its limit. Nothing was
-// written, and the epoch goes on.
-var StateTooLarge = errorTypes.NewType("state_too_large")
-
 // entrySize bounds the bytes of an entry in a message.
 func entrySize(key string, value []byte) int { return len(key) + len(value) + entryFraming }
 
@@ -43,7 +36,7 @@
 	return size
 }
 
-// sizeAfter is the size that the copy would have with a write.
+// sizeAfter is the size that the state would have after a write.
 func (state *durableState) sizeAfter(sets map[string][]byte) int {
 	size := state.size
 	for key, value := range sets {
@@ -57,16 +50,16 @@
 	return size
 }
 
-// checkStateLimit gives the error, of type StateTooLarge, that refuses a write which would make the state too large.
-func (machine *replica) checkStateLimit(sets map[string][]byte) error {
-	if size := writeSize(sets); size > machine.stateLimit {
-		return StateTooLarge.New("a write of %d bytes, more than %d", size, machine.stateLimit)
+// checkStateLimit returns an error of type StateTooLarge for a write that would make the state too large.
+func (r *replica) checkStateLimit(sets map[string][]byte) error {
+	if size := writeSize(sets); size > r.stateLimit {
+		return StateTooLarge.New("a write of %d bytes, more than %d", size, r.stateLimit)
 	}
-	if size := machine.sizeAfter(sets); size > machine.stateLimit && size > machine.size {
-		return StateTooLarge.New("a control state of %d bytes, more than %d", size, machine.stateLimit)
+	if size := r.sizeAfter(sets); size > r.stateLimit && size > r.size {
+		return StateTooLarge.New("a control state of %d bytes, more than %d", size, r.stateLimit)
 	}
 	return nil
 }
 
-// fitsRecord tells whether a write fits one record of the file.
+// fitsRecord reports whether a write fits one record of the file.
 func fitsRecord(q *tierv1.WriteRequest) bool { return recordFraming+proto.Size(q) <= wal.MaxRecord }
--- /dev/null
+++ b/internal/tier/consensus/storage.go
@@ -0,0 +1,128 @@
+package consensus
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"slices"
+	"time"
+
+	"github.com/joomcode/errorx"
+
+	"saffronyard.example/saffronyard/internal/tier/wal"
+)
+
+// fileName is the name of the control state's file in its folder.
+const fileName = "control"
+
+// The file is rewritten when it is rewriteFactor times as long as after the last rewrite, and rewriteSlack more. After a
+// rewrite that failed the next is tried when it has grown by rewriteSlack.
+const (
+	rewriteFactor = 4
+	rewriteSlack  = 256 << 10 // bytes
+)
+
+// storageStatus is what the loop knows of the disk.
+type storageStatus struct {
+	failure     error         // nil: usable
+	retryAt     time.Duration // next attempt to recover
+	backoff     time.Duration
+	usableSince time.Duration
+	rewriteAt   int64  // size in bytes at which the file is rewritten
+	hadIdentity bool   // this process had an identity on disk: a folder created later is not of the first start
+	lastCallID  uint64 // of the last call of former replicas: a late result of one must not be taken for that of another
+}
+
+// openReplica reads the file, or creates it with a new identity, and builds the replica from it. An error of the disk may be transient.
+func (node *Node) openReplica() error {
+	var state durableState
+	if err := node.replayFile(&state); err != nil {
+		return err
+	}
+	if state.Folder == "" {
+		if err := node.makeIdentity(&state); err != nil {
+			return errorx.Decorate(err, "consensus: make the folder")
+		}
+	}
+	node.storage.hadIdentity = true
+	node.storage.rewriteAt = rewriteFactor*node.file.Size() + rewriteSlack
+	core := newReplica(state, replicaConfig{
+		self: node.config.Self, seeds: node.config.Seeds, toleratedLosses: node.config.Losses, timing: node.timing, jitterSeed: uint64(time.Now().UnixNano()),
+	})
+	core.resume(node.now(), node.storage.lastCallID)
+	if node.config.StateLimit > 0 {
+		core.stateLimit = node.config.StateLimit
+	}
+	node.replica = core
+	return nil
+}
+
+// replayFile opens or reopens the file. If only space is missing, a rewrite to the bare state may free some.
+func (node *Node) replayFile(state *durableState) error {
+	if node.file == nil {
+		file, err := wal.Open(node.config.FS, node.config.Dir, fileName, state.replay)
+		if err != nil {
+			return errorx.Decorate(err, "consensus: open")
+		}
+		node.file = file
+		return nil
+	}
+	err := node.file.Reopen(state.replay)
+	if errorx.IsOfType(err, wal.NoRoom) && state.Folder != "" && node.rewrite(state) == nil {
+		return nil
+	}
+	if err != nil {
+		return errorx.Decorate(err, "consensus: reopen")
+	}
+	return nil
+}
+
+// makeIdentity draws the ID of a new folder and syncs it.
+func (node *Node) makeIdentity(state *durableState) error {
+	var b [16]byte
+	rand.Read(b[:])
+	state.identity = identity{Folder: hex.EncodeToString(b[:]), Seeds: node.config.Seeds,
+		Genesis: node.config.Bootstrap && !node.storage.hadIdentity && slices.Contains(node.config.Seeds, node.config.Self.Address)}
+	if err := node.file.Append(encodeIdentity(state.identity)); err != nil {
+		return err
+	}
+	return node.file.Sync()
+}
+
+// write appends and syncs what a step persists. After an error nothing that depends on it may leave the process.
+func (node *Node) write(actions *actions) error {
+	if len(actions.records) == 0 {
+		return nil
+	}
+	if err := node.file.Append(actions.records...); err != nil {
+		return errorx.Decorate(err, "consensus: append")
+	}
+	if actions.sync {
+		if err := node.file.Sync(); err != nil {
+			return errorx.Decorate(err, "consensus: sync")
+		}
+	}
+	if node.file.Size() < node.storage.rewriteAt {
+		return nil
+	}
+	if err := node.rewrite(&node.replica.durableState); err != nil {
+		if node.file.Err() != nil {
+			return errorx.Decorate(err, "consensus: rewrite")
+		}
+		node.storage.rewriteAt = node.file.Size() + rewriteSlack // the old file is in use as before
+		return nil
+	}
+	node.storage.rewriteAt = rewriteFactor*node.file.Size() + rewriteSlack
+	return nil
+}
+
+// rewrite replaces the file by the records of a state.
+func (node *Node) rewrite(state *durableState) error {
+	return node.file.Rewrite(func(add func([]byte) error) error {
+		for _, record := range state.records() {
+			if err := add(record); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+}
--- a/internal/tier/consensus/timing.go
+++ b/internal/tier/consensus/timing.go
@@ -8,23 +8,19 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// transferRate is the slowest rate, in bytes a second, at which a copy of the state still reaches a disk elsewhere before
-// its call counts as failed. The largest state takes twelve seconds at it.
-const transferRate = 4 << 20
-
-// timing are the spans that the machine goes by, all from the settings.
+// timing are the durations that a replica goes by, all derived from the settings.
 type timing struct {
 	heartbeatInterval time.Duration // between two heartbeats of a primary to one node
-	callTimeout       time.Duration // after which a call that carries no state counts as failed, see timeout
-	primaryProtection time.Duration // a primary observed this recently is not deposed
-	electionTimeout   time.Duration // of a primary, after which others try to take over
-	lease             time.Duration // a confirmation this old still counts
-	replaceAfter      time.Duration // of a member, after which a joiner takes its place
+	callTimeout       time.Duration // of a call that carries no state, see callTimeoutFor
+	primaryProtection time.Duration // since the last sign of a primary, during which it is not deposed
+	electionTimeout   time.Duration // since the last sign of a primary, after which others try to take over
+	lease             time.Duration // since the start of a confirmed round trip to the backups
+	replaceAfter      time.Duration // a member unresponsive for so long is replaced by a joiner
 	joinInterval      time.Duration // between two calls to join
-	transferRate      int           // transferRate, but in tests
+	transferRate      int           // bytes a second; tests change it
 }
 
-// newTiming are those of a contact window. A heartbeat is at most a quarter of interval; 0: no bound.
+// newTiming derives the durations from the contact window. The heartbeat interval is at most a quarter of heartbeat; 0: no bound.
 func newTiming(window, interval time.Duration) timing {
 	heartbeat := window / 12
 	if interval > 0 {
--- a/internal/tier/consensus/view.go
+++ b/internal/tier/consensus/view.go
@@ -1,88 +1,89 @@
 package consensus
 
 import (
-	"time"
+	"slices"
 
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// publishedState is what callers see of the machine, as of its last step that is on disk.
-type publishedState struct {
-	epoch          uint64
-	primary        bool
-	withoutBackups bool // no backups to be asked
-	leaseStart     time.Duration
-	entries        map[string]*tierv1.Entry
-	view           *tierv1.View
-	primaryHint    string
-	members        []*tierv1.Member
-	self           *tierv1.Member
-	health         Health
+// newestView is the newest view that this replica accepted or knows to be chosen; the genesis view if there is none and its
+// folder was created at the first start; else nil.
+func (r *replica) newestView() *tierv1.View {
+	if view := newestOf(r.accepted, r.chosen); view != nil {
+		return view
+	}
+	return r.genesisView()
 }
 
-// publish shows callers the machine as it is now; with changed those that wait on Changed are woken.
-func (node *Node) publish(changed bool) {
-	machine := node.replica
-	v := publishedState{view: machine.chosen, primaryHint: machine.primaryHint, members: machine.liveMembers(), entries: machine.entries, self: machine.self, health: machine.health()}
-	if primary := machine.primary; primary != nil {
-		v.primary, v.epoch, v.entries, v.view = true, primary.view.Epoch, primary.committed, primary.view
-		v.withoutBackups, v.leaseStart = len(primary.view.Backups) == 0, machine.leaseStart()
-	}
-	node.mu.Lock()
-	node.published = v
-	if changed {
-		close(node.changed)
-		node.changed = make(chan struct{})
+// newestChosenView is the newest view known to be chosen, the genesis view included; nil if there is none.
+func (r *replica) newestChosenView() *tierv1.View {
+	if r.chosen != nil {
+		return r.chosen
 	}
-	node.mu.Unlock()
+	return r.genesisView()
 }
 
-// Primary implements Store.
-func (node *Node) Primary() (uint64, bool) {
-	node.mu.Lock()
-	defer node.mu.Unlock()
-	return node.published.epoch, node.published.leads(node.now(), node.timing.lease)
+// genesisView is the view of epoch 0 that names the seeds; nil in a folder that was not created at the first start.
+func (r *replica) genesisView() *tierv1.View {
+	if !r.Genesis {
+		return nil
+	}
+	view := &tierv1.View{}
+	for _, address := range r.Seeds {
+		view.Members = append(view.Members, &tierv1.Member{Address: address})
+	}
+	return view
 }
 
-// Get implements Store.
-func (node *Node) Get(key string) ([]byte, uint64) {
-	node.mu.Lock()
-	defer node.mu.Unlock()
-	e := node.published.entries[key]
-	return e.GetValue(), e.GetSequence()
+// learnChosen records a view that another node knows to be chosen. Chosen is final, so it may be believed from anybody.
+func (r *replica) learnChosen(view *tierv1.View) {
+	if view == nil || view.Epoch <= epochOf(r.chosen) {
+		return
+	}
+	r.chosen = view
+	r.highestEpoch = max(r.highestEpoch, view.Epoch)
+	r.persist(encodeMessage(kindChosen, view), false)
+	r.actions.changed = true
+	if r.primary != nil && view.Epoch > r.primary.view.Epoch {
+		r.stepDown("deposed")
+	}
+	if r.proposal != nil && view.Epoch >= r.proposal.epoch && r.proposal.epoch > 0 {
+		r.abandonProposal("deposed")
+	}
 }
 
-// Changed implements Store.
-func (node *Node) Changed() <-chan struct{} {
-	node.mu.Lock()
-	defer node.mu.Unlock()
-	return node.changed
+// chosenMembers are the members of the newest chosen view known.
+func (r *replica) chosenMembers() []*tierv1.Member {
+	if view := r.newestChosenView(); view != nil {
+		return view.Members
+	}
+	return nil
 }
 
-// PrimaryHint implements Store.
-func (node *Node) PrimaryHint() string {
-	node.mu.Lock()
-	defer node.mu.Unlock()
-	return node.published.primaryHint
+// isVoter reports whether this replica is one of the members.
+func (r *replica) isVoter(members []*tierv1.Member) bool {
+	return slices.ContainsFunc(members, func(v *tierv1.Member) bool {
+		return isMember(v, r.Folder, r.self.Address, r.Genesis)
+	})
 }
 
-// View implements Store.
-func (node *Node) View() *tierv1.View {
-	node.mu.Lock()
-	defer node.mu.Unlock()
-	return node.published.view
+// newestOf is the view of the higher epoch; a if they are equal, nil if both are.
+func newestOf(a, b *tierv1.View) *tierv1.View {
+	if a == nil || b != nil && b.Epoch > a.Epoch {
+		return b
+	}
+	return a
 }
 
-// Members implements Store.
-func (node *Node) Members() []*tierv1.Member {
-	node.mu.Lock()
-	defer node.mu.Unlock()
-	return node.published.members
+// epochOf is the epoch of a view; 0 for nil.
+func epochOf(view *tierv1.View) uint64 {
+	if view == nil {
+		return 0
+	}
+	return view.Epoch
 }
 
-// Self implements Store.
-func (node *Node) Self() *tierv1.Member {
-	node.mu.Lock()
-	defer node.mu.Unlock()
-	return node.published.self
+// isNamedIn reports whether a view names a folder as primary or backup.
+func isNamedIn(view *tierv1.View, folder string) bool {
+	return view != nil && (view.Primary == folder || slices.Contains(view.Backups, folder))
 }
--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -184,7 +184,7 @@
 	if w.transferRate > 0 {
 		timing.transferRate = w.transferRate
 	}
-	s.m = newReplica(d, s.member, w.seeds, w.losses, timing, w.random.Uint64())
+	s.m = newReplica(d, replicaConfig{self: s.member, seeds: w.seeds, toleratedLosses: w.losses, timing: timing, jitterSeed: w.random.Uint64()})
 	s.m.now = w.now
 	s.m.candidacyAt += w.now
 	s.m.joinAt += w.now
--- a/internal/tier/controlplane/cluster_test.go
+++ b/internal/tier/controlplane/cluster_test.go
@@ -102,7 +102,7 @@
 	client := &http.Client{Transport: transport{c, m.ip}}
 	node, err := consensus.Open(consensus.Config{Self: &tierv1.Member{Node: m.node, Address: m.ip + ":" + internalPort, Zone: m.node, Region: "r"},
 		Seeds: seeds, Bootstrap: bootstrap, Losses: 1, Dir: "/data", FS: m.disk, ContactWindow: set.ContactWindow, Heartbeat: set.Heartbeat,
-		SyncTime: set.SyncTime, StateLimit: c.limit, Dial: func(address string) tierv1.Election {
+		StateLimit: c.limit, Dial: func(address string) tierv1.Election {
 			return tierv1.NewElectionProtobufClient("http://"+address, client)
 		}})
 	assert.NilError(c.t, err)
--- a/internal/tier/process/controlplane.go
+++ b/internal/tier/process/controlplane.go
@@ -19,7 +19,7 @@
 	node, err := consensus.Open(consensus.Config{
 		Self:  &tierv1.Member{Node: settings.Node, Zone: settings.Zone, Region: settings.Region, Address: address},
 		Seeds: settings.SeedInternal(), Bootstrap: settings.Bootstrap, Losses: settings.Losses(), Dir: settings.DataDir, FS: wal.OS{},
-		ContactWindow: settings.ContactWindow, Heartbeat: settings.Heartbeat, SyncTime: settings.SyncTime,
+		ContactWindow: settings.ContactWindow, Heartbeat: settings.Heartbeat,
 		Dial: dialer(process.client, dialElection), Log: config.Log})
 	if err != nil {
 		return err
--- a/internal/tier/simulation/roles.go
+++ b/internal/tier/simulation/roles.go
@@ -50,7 +50,7 @@
 	node, err := consensus.Open(consensus.Config{
 		Self:  &tierv1.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, Address: s.Internal(0)},
 		Seeds: s.SeedInternal(), Bootstrap: s.Bootstrap, Losses: s.Losses(), Dir: dataFolder, FS: c.seams.files(m.name, p.files()),
-		ContactWindow: s.ContactWindow, Heartbeat: s.Heartbeat, SyncTime: s.SyncTime, Dial: p.dialElection, Log: p.log})
+		ContactWindow: s.ContactWindow, Heartbeat: s.Heartbeat, Dial: p.dialElection, Log: p.log})
 	if err != nil {
 		return err
 	}
