--- a/internal/faulttest/cli/cost.go
+++ b/internal/faulttest/cli/cost.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"flag"
 	"fmt"
 	"io"
 	"os"
@@ -28,50 +29,67 @@
 // usualCases is what is measured unless cases are named: listed/busy/held.
 const usualCases = "20/20/100 20000/20/0 5000/20/0 5000/5000/0 20/20/50000"
 
-// costs measures what a message costs the sender's process, as a ratio to a plain proxy in the same run.
-func costs(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
-	f := flags("cost [LISTED/BUSY/HELD ...]", errs)
-	program := f.String("sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
-	seconds := f.Float64("seconds", 6, "length of each measurement")
-	clients := f.Int("clients", 64, "closed-loop `clients`")
-	body := f.Int("body", 400, "bytes of a message")
-	memory := f.Int("memory", 2048, "`MB` that the sender is told it has")
-	churn := f.Int("churn", 0, "endpoints replaced each second")
-	forms := f.String("forms", "", "measure the first case in these `forms`, too: binary,structured,batched")
-	pairs := f.Int("fleet", 0, "measure the first case so many `times` without and, beside it, with what a fleet agrees on")
-	limits := f.Int("limits", 0, "with -fleet: so many of the first destinations are limited by the fleet")
-	if err := parse(f, args); err != nil {
-		return 0, err
-	}
-	words := f.Args()
-	if len(words) == 0 {
-		words = strings.Fields(usualCases)
+// costFlags are the flags of the command cost.
+type costFlags struct {
+	program, forms                              string
+	seconds                                     float64
+	clients, body, memory, churn, pairs, limits int
+}
+
+// register adds the flags to the command's.
+func (c *costFlags) register(f *flag.FlagSet) {
+	f.StringVar(&c.program, "sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
+	f.Float64Var(&c.seconds, "seconds", 6, "length of each measurement")
+	f.IntVar(&c.clients, "clients", 64, "closed-loop `clients`")
+	f.IntVar(&c.body, "body", 400, "bytes of a message")
+	f.IntVar(&c.memory, "memory", 2048, "`MB` that the sender is told it has")
+	f.IntVar(&c.churn, "churn", 0, "endpoints replaced each second")
+	f.StringVar(&c.forms, "forms", "", "measure the first case in these `forms`, too: binary,structured,batched")
+	f.IntVar(&c.pairs, "fleet", 0, "measure the first case so many `times` without and, beside it, with what a fleet agrees on")
+	f.IntVar(&c.limits, "limits", 0, "with -fleet: so many of the first destinations are limited by the fleet")
+}
+
+// cases reads the cases that the arguments name, and the forms of the first one, each with the name of its row.
+func (c *costFlags) cases(names []string) ([]cost.Case, []string, error) {
+	if len(names) == 0 {
+		names = strings.Fields(usualCases)
 	}
 	var cases []cost.Case
-	for _, w := range words {
-		c := cost.Case{Clients: *clients, Body: *body, Churn: *churn, Memory: *memory, For: time.Duration(*seconds * float64(time.Second)), Warm: 2 * time.Second}
-		if n, err := fmt.Sscanf(w, "%d/%d/%d", &c.Listed, &c.Busy, &c.Backlog); n != 3 || c.Listed < 1 || c.Busy < 1 || c.Busy > c.Listed || c.Listed > 60000 || c.Backlog < 0 || c.Backlog > 150000 {
-			return judge.ExitScript, badArgument("cost: %q is not LISTED/BUSY/HELD (1 to 60000, of those, 0 to 150000): %v", w, err)
+	for _, name := range names {
+		one := cost.Case{Clients: c.clients, Body: c.body, Churn: c.churn, Memory: c.memory, For: time.Duration(c.seconds * float64(time.Second)), Warm: 2 * time.Second}
+		if n, err := fmt.Sscanf(name, "%d/%d/%d", &one.Listed, &one.Busy, &one.Backlog); n != 3 || one.Listed < 1 || one.Busy < 1 || one.Busy > one.Listed || one.Listed > 60000 || one.Backlog < 0 || one.Backlog > 150000 {
+			return nil, nil, badArgument("cost: %q is not LISTED/BUSY/HELD (1 to 60000, of those, 0 to 150000): %v", name, err)
 		}
-		cases = append(cases, c)
+		cases = append(cases, one)
 	}
-	if *forms != "" {
-		for _, name := range strings.Split(*forms, ",") {
-			c := cases[0]
-			if c.Format = encoding.Format(name); !c.Format.Known(false) {
-				return judge.ExitScript, badArgument("cost: there is no form %q; there are plain, binary, structured and batched", name)
+	if c.forms != "" {
+		for _, form := range strings.Split(c.forms, ",") {
+			one := cases[0]
+			if one.Format = encoding.Format(form); !one.Format.Known(false) {
+				return nil, nil, badArgument("cost: there is no form %q; there are plain, binary, structured and batched", form)
 			}
-			cases, words = append(cases, c), append(words, words[0]+" "+name)
+			cases, names = append(cases, one), append(names, names[0]+" "+form)
 		}
 	}
-	if *clients < 1 || *body < 0 || *body > 64<<10 || *seconds <= 0 {
-		return judge.ExitScript, badArgument("cost: %d clients, %d bytes, %v s", *clients, *body, *seconds)
+	if c.clients < 1 || c.body < 0 || c.body > 64<<10 || c.seconds <= 0 {
+		return nil, nil, badArgument("cost: %d clients, %d bytes, %v s", c.clients, c.body, c.seconds)
 	}
-	path, err := sender(ctx, *program, errs)
+	return cases, names, nil
+}
+
+// costs measures what a message costs the sender's process, as a ratio to a plain proxy in the same run.
+func costs(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
+	var options costFlags
+	f := flags("cost [LISTED/BUSY/HELD ...]", errs)
+	options.register(f)
+	if err := parse(f, args); err != nil {
+		return 0, err
+	}
+	cases, names, err := options.cases(f.Args())
 	if err != nil {
 		return judge.ExitScript, err
 	}
-	self, err := os.Executable()
+	path, err := sender(ctx, options.program, errs)
 	if err != nil {
 		return judge.ExitScript, err
 	}
@@ -81,11 +99,20 @@
 	}
 	defer os.RemoveAll(folder)
 	fmt.Fprintln(out, day.Machine())
-	if *pairs > 0 {
+	if options.pairs > 0 {
 		off := cases[0]
 		on := off
-		on.Fleet, on.Limits = true, *limits
-		return beside(ctx, out, []string{path}, folder, *pairs, off, on)
+		on.Fleet, on.Limits = true, options.limits
+		return beside(ctx, out, []string{path}, folder, options.pairs, off, on)
+	}
+	return costTable(ctx, out, []string{path}, folder, cases, names)
+}
+
+// costTable measures the plain proxy and then each case, and prints a row for each.
+func costTable(ctx context.Context, out io.Writer, command []string, folder string, cases []cost.Case, names []string) (int, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return judge.ExitScript, err
 	}
 	fmt.Fprintf(out, "%-22s %9s %8s %8s %9s %9s %9s %8s %8s %8s %8s %8s\n", "listed/busy/held", "CPU/msg", "x proxy", "x first", "msg/s", "p50", "p99", "most MB", "1st half", "2nd half", "bytes in", "out")
 	measure := cases[0]
@@ -94,7 +121,7 @@
 	if err != nil {
 		return judge.ExitInconclusive, err
 	}
-	var first float64
+	var first float64 // microseconds of the first case
 	row := func(name string, r cost.Result) {
 		us := float64(r.CPU.Nanoseconds()) / 1000
 		if first == 0 && name != "plain proxy" {
@@ -109,11 +136,11 @@
 	}
 	row("plain proxy", proxy)
 	for i, c := range cases {
-		r, err := cost.Sender(ctx, []string{path}, cost.Folder(folder, c), c)
+		r, err := cost.Sender(ctx, command, cost.Folder(folder, c), c)
 		if err != nil {
 			return judge.ExitInconclusive, err
 		}
-		row(words[i], r)
+		row(names[i], r)
 		if ctx.Err() != nil {
 			return judge.ExitInconclusive, ctx.Err()
 		}
--- a/internal/faulttest/cli/limits.go
+++ b/internal/faulttest/cli/limits.go
@@ -2,29 +2,56 @@
 
 import (
 	"context"
+	"flag"
 	"fmt"
 	"io"
-	"path/filepath"
 	"sync"
 	"time"
 
-	"saffronyard.example/saffronyard/internal/faulttest/day"
-	"saffronyard.example/saffronyard/internal/faulttest/judge"
 	"saffronyard.example/saffronyard/internal/faulttest/quotatest"
 )
 
+// maxBrokenLines bounds the lines on what a day broke.
+const maxBrokenLines = 10
+
 // limitDays plays days on which a fleet shares a limit out while links, processes and folders fail, a seed each, and judges by what
 // the receiver got that the limit held.
 func limitDays(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
-	o := quotatest.Options{}
-	var program, logs string
-	var runs, side int
+	options := quotatest.Options{}
+	var seeds seedFlags
 	f := flags("limits", errs)
-	f.StringVar(&program, "sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
-	f.StringVar(&logs, "logs", "", "keep the senders' files and logs in this `folder`; by default a new temporary one")
-	f.Uint64Var(&o.Seed, "seed", 1, "the first `seed`")
-	f.IntVar(&runs, "runs", 1, "so many seeds")
-	f.IntVar(&side, "side", 2, "so many days side by side")
+	seeds.register(f)
+	registerLimitFlags(f, &options)
+	if err := parse(f, args); err != nil {
+		return 0, err
+	}
+	if err := seeds.check(options.Senders >= 0 && options.Senders <= maxSenders && options.Seconds >= 2 && options.Units >= 0 && options.Over >= 0); err != nil {
+		return 0, err
+	}
+	command, code, err := seeds.prepare(ctx, "limits", errs)
+	if err != nil {
+		return code, err
+	}
+	options.Command = command
+	tally := limitTally{out: out}
+	overSeeds(ctx, seeds.seed, seeds.runs, seeds.side, func(seed uint64) {
+		one := options
+		one.Seed, one.Folder = seed, seeds.folder(seed)
+		one.Senders, one.Voters = manySenders(seed, one.Senders, one.Voters, 3, 5, 8)
+		if !options.Halve && !options.Quiet {
+			one.Halve = seed%4 == 3
+		}
+		result, err := quotatest.Run(ctx, one)
+		if ctx.Err() == nil {
+			tally.add(one, result, err)
+		}
+	})
+	tally.print()
+	return exit(ctx, tally.failed)
+}
+
+// registerLimitFlags adds the flags of a day with limits.
+func registerLimitFlags(f *flag.FlagSet, o *quotatest.Options) {
 	f.IntVar(&o.Senders, "senders", 0, "of each day; by default 3, 5 or 8, by seed")
 	f.IntVar(&o.Voters, "voters", 0, "of them; by default 3, or 5 where there are so many senders, by seed")
 	f.Float64Var(&o.Seconds, "seconds", 10, "of faults")
@@ -40,73 +67,53 @@
 	f.DurationVar(&o.Transit, "transit", 0, "by so much may the ways of two calls differ; default 100ms, as the kit shares the machine with the senders")
 	f.BoolVar(&o.Own, "own", false, "the receivers keep the limit themselves, and refuse what is above it")
 	f.BoolVar(&o.Free, "free", false, "no limit")
-	if err := parse(f, args); err != nil {
-		return 0, err
-	}
-	if runs < 1 || side < 1 || o.Senders < 0 || o.Senders > 100 || o.Seconds < 2 || o.Units < 0 || o.Over < 0 {
-		return 0, fmt.Errorf("%w: runs and side are over 0, senders at most 100, seconds 2 at least", errUsage)
+}
+
+// limitTally prints lines for each day and adds the days up.
+type limitTally struct {
+	out io.Writer
+
+	mu                          sync.Mutex // guards what follows, and the order of lines
+	failed, played, calls, full int
+}
+
+// add judges a day, prints its lines and counts it.
+func (t *limitTally) add(options quotatest.Options, result *quotatest.Result, err error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var v quotatest.Verdict
+	if err == nil {
+		free := options.Free
+		options = result.Options
+		v = t.judge(result, free)
+	} else {
+		v.Broken = []string{err.Error()}
 	}
-	path, err := sender(ctx, program, errs)
-	if err != nil {
-		return judge.ExitScript, err
+	t.played, t.calls, t.full = t.played+1, t.calls+v.Calls, t.full+v.Spans
+	if len(v.Broken) > 0 {
+		t.failed++
 	}
-	if logs == "" {
-		if logs, err = day.Folder("limits"); err != nil {
-			return 0, err
-		}
+	fmt.Fprintf(t.out, "seed %d, %d senders, %d in %v: %s; %d calls, %d at most in a span, %d spans full; healed, %.3f of it are used; %d served, %d refused\n", options.Seed, options.Senders, options.Units, options.Span, verdictWord(v.Broken), v.Calls, v.MaxUnits, v.Spans, v.Used, v.Served, v.Refused)
+	for _, b := range v.Broken[:min(len(v.Broken), maxBrokenLines)] {
+		fmt.Fprintf(t.out, "  %s\n", b)
 	}
-	o.Command = []string{path}
-	var mu sync.Mutex
-	failed, played, calls, full, over := 0, 0, 0, 0, 0
-	overSeeds(ctx, o.Seed, runs, side, func(seed uint64) {
-		one := o
-		one.Seed = seed
-		one.Senders, one.Voters = manySenders(seed, one.Senders, one.Voters, 3, 5, 8)
-		if !o.Halve && !o.Quiet {
-			one.Halve = seed%4 == 3
-		}
-		one.Folder = filepath.Join(logs, fmt.Sprintf("seed-%d", seed))
-		r, err := quotatest.Run(ctx, one)
-		if ctx.Err() != nil {
-			return
-		}
-		var v quotatest.Verdict
-		if err == nil {
-			v, one = quotatest.Check(r), r.Options
-			if o.Free {
-				v = quotatest.Verdict{Calls: v.Calls, Refused: v.Refused, Served: v.Served}
-			}
-			if one.Outage > 0 {
-				back := quotatest.CheckReturn(r)
-				v.Broken = append(v.Broken, back.Broken...)
-				mu.Lock()
-				fmt.Fprintf(out, "seed %d: %d calls under a verdict, %d of them while it was out; %d in the first two seconds of its return, %d in any second of it at most; %v until it serves four fifths again\n", seed, back.Judged, back.Probes, back.Early, back.PeakCalls, back.Full.Round(time.Millisecond))
-				mu.Unlock()
-			}
-		} else {
-			v.Broken = []string{err.Error()}
-		}
-		mu.Lock()
-		played, calls, full = played+1, calls+v.Calls, full+v.Spans
-		word := "kept"
-		if len(v.Broken) > 0 {
-			word, failed = "BROKEN", failed+1
-		}
-		over += v.Refused
-		fmt.Fprintf(out, "seed %d, %d senders, %d in %v: %s; %d calls, %d at most in a span, %d spans full; healed, %.3f of it are used; %d served, %d refused\n", seed, one.Senders, one.Units, one.Span, word, v.Calls, v.MaxUnits, v.Spans, v.Used, v.Served, v.Refused)
-		for i, b := range v.Broken {
-			if i < 10 {
-				fmt.Fprintf(out, "  %s\n", b)
-			}
-		}
-		mu.Unlock()
-	})
-	fmt.Fprintf(out, "%d days, %d broken; %d calls judged, %d spans were full\n", played, failed, calls, full)
-	if err := ctx.Err(); err != nil {
-		return 0, err
+}
+
+// judge checks a day's limit, unless it has none, and its outage, if it has one.
+func (t *limitTally) judge(result *quotatest.Result, free bool) quotatest.Verdict {
+	v := quotatest.Check(result)
+	if free {
+		v = quotatest.Verdict{Calls: v.Calls, Refused: v.Refused, Served: v.Served}
 	}
-	if failed > 0 {
-		return judge.ExitFail, nil
+	if result.Options.Outage > 0 {
+		back := quotatest.CheckReturn(result)
+		v.Broken = append(v.Broken, back.Broken...)
+		fmt.Fprintf(t.out, "seed %d: %d calls under a verdict, %d of them while it was out; %d in the first two seconds of its return, %d in any second of it at most; %v until it serves four fifths again\n", result.Options.Seed, back.Judged, back.Probes, back.Early, back.PeakCalls, back.Full.Round(time.Millisecond))
 	}
-	return 0, nil
+	return v
+}
+
+// print prints the sums.
+func (t *limitTally) print() {
+	fmt.Fprintf(t.out, "%d days, %d broken; %d calls judged, %d spans were full\n", t.played, t.failed, t.calls, t.full)
 }
--- a/internal/faulttest/cli/measure.go
+++ b/internal/faulttest/cli/measure.go
@@ -61,58 +61,89 @@
 	fmt.Fprintln(out, day.Machine())
 	fmt.Fprintf(out, "%9s %9s %10s %10s %12s %12s %12s %10s\n", "asked/s", "served/s", "slip p99", "slip most", "kit CPU/msg", "sender/msg", "judge/msg", "verdict")
 	for rate := *first; rate <= *last; rate *= 2 {
-		s, err := script.Parse("measure.toml", []byte(fmt.Sprintf(measureDay, *seconds, rate)))
+		one, err := measureRate(ctx, []string{path}, filepath.Join(folder, fmt.Sprint(rate)), *seconds, rate)
 		if err != nil {
-			return judge.ExitScript, err
+			return one.code, err
 		}
-		plan, err := s.Make()
-		if err != nil {
-			return judge.ExitScript, err
-		}
-		dir := filepath.Join(folder, fmt.Sprint(rate))
-		if err := os.MkdirAll(dir, 0o755); err != nil {
-			return judge.ExitInconclusive, err
-		}
-		file, err := os.Create(filepath.Join(dir, "events.jsonl"))
-		if err != nil {
-			return judge.ExitInconclusive, err
-		}
-		events, use, err := day.Play(ctx, plan, day.Options{Command: []string{path}, Folder: dir, Log: file})
-		file.Close()
-		if err != nil {
-			return judge.ExitInconclusive, err
-		}
-		began := time.Now()
-		verdict, err := judge.Judge(events)
-		if err != nil {
-			return judge.ExitInconclusive, err
-		}
-		judged := time.Since(began)
-		sum := report.Make(events)
-		var p99, most int64
-		for _, e := range events {
-			if e.Kind == eventlog.Slip {
-				most = max(most, e.MaxUS)
-				if e.Count >= 100 {
-					p99 = max(p99, e.P99US)
-				}
-			}
-		}
-		each := func(d time.Duration) string {
-			return (d / time.Duration(max(1, sum.Messages))).Round(100 * time.Nanosecond).String()
-		}
-		word := "kept"
-		if verdict.Exit() == judge.ExitFail {
-			word = "FAIL"
-		}
-		if time.Duration(p99)*time.Microsecond > maxSlip {
-			word = "slips"
-		}
-		fmt.Fprintf(out, "%9.0f %9.0f %9.2fms %9.2fms %12s %12s %12s %10s\n", float64(sum.Messages)/float64(*seconds), float64(sum.Delivered)/float64(*seconds),
-			float64(p99)/1000, float64(most)/1000, each(use.Kit), each(use.Senders), each(judged), word)
-		if word != "kept" {
+		one.print(out)
+		if one.word() != rateKept {
 			return 0, nil
 		}
 	}
 	return 0, nil
 }
+
+// rateKept is the word for a rate at which the kit kept its schedule and the sender the rules.
+const rateKept = "kept"
+
+// measuredRate is what a day at one rate showed.
+type measuredRate struct {
+	code    int // exit code, with an error only
+	seconds int // of arrivals
+	summary report.Summary
+	use     day.Usage
+	judged  time.Duration // that the judge took
+	failed  bool          // a rule
+	p99     int64         // microseconds: the kit's lateness
+	most    int64         // microseconds: likewise
+}
+
+// measureRate plays a calm day at a rate, in messages a second, and judges it.
+func measureRate(ctx context.Context, command []string, folder string, seconds, rate int) (measuredRate, error) {
+	s, err := script.Parse("measure.toml", []byte(fmt.Sprintf(measureDay, seconds, rate)))
+	if err != nil {
+		return measuredRate{code: judge.ExitScript}, err
+	}
+	plan, err := s.Make()
+	if err != nil {
+		return measuredRate{code: judge.ExitScript}, err
+	}
+	inconclusive := measuredRate{code: judge.ExitInconclusive}
+	if err := os.MkdirAll(folder, 0o755); err != nil {
+		return inconclusive, err
+	}
+	file, err := os.Create(filepath.Join(folder, "events.jsonl"))
+	if err != nil {
+		return inconclusive, err
+	}
+	events, use, err := day.Play(ctx, plan, day.Options{Command: command, Folder: folder, Log: file})
+	file.Close()
+	if err != nil {
+		return inconclusive, err
+	}
+	began := time.Now()
+	verdict, err := judge.Judge(events)
+	if err != nil {
+		return inconclusive, err
+	}
+	m := measuredRate{seconds: seconds, use: use, judged: time.Since(began), failed: verdict.Exit() == judge.ExitFail, summary: report.Make(events)}
+	for _, e := range events {
+		if e.Kind == eventlog.Slip {
+			m.most = max(m.most, e.MaxUS)
+			if e.Count >= 100 {
+				m.p99 = max(m.p99, e.P99US)
+			}
+		}
+	}
+	return m, nil
+}
+
+// word is the verdict on a rate.
+func (m measuredRate) word() string {
+	switch {
+	case time.Duration(m.p99)*time.Microsecond > maxSlip:
+		return "slips"
+	case m.failed:
+		return "FAIL"
+	}
+	return rateKept
+}
+
+// print prints the rate's row.
+func (m measuredRate) print(out io.Writer) {
+	each := func(d time.Duration) string {
+		return (d / time.Duration(max(1, m.summary.Messages))).Round(100 * time.Nanosecond).String()
+	}
+	fmt.Fprintf(out, "%9.0f %9.0f %9.2fms %9.2fms %12s %12s %12s %10s\n", float64(m.summary.Messages)/float64(m.seconds), float64(m.summary.Delivered)/float64(m.seconds),
+		float64(m.p99)/1000, float64(m.most)/1000, each(m.use.Kit), each(m.use.Senders), each(m.judged), m.word())
+}
--- a/internal/faulttest/cli/run.go
+++ b/internal/faulttest/cli/run.go
@@ -146,9 +146,8 @@
 	attempts                int
 }
 
-func runDays(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
-	var o runFlags
-	f := flags("run", errs)
+// register adds the flags to the command's.
+func (o *runFlags) register(f *flag.FlagSet) {
 	f.StringVar(&o.sender, "sender", "", "the sender's `program`; by default the one beside this program, or built from the sources")
 	f.StringVar(&o.log, "log", "", "keep the event log in this `file`; by default in a new temporary folder")
 	f.StringVar(&o.html, "report", "", "write the report to this `file`, as HTML")
@@ -158,12 +157,13 @@
 	f.BoolVar(&o.plan, "plan", false, "print what would happen, and play nothing")
 	f.BoolVar(&o.quiet, "quiet", false, "no progress line")
 	f.IntVar(&o.attempts, "tries", 1, "play an inconclusive day again, so many `times` in all")
-	if err := parse(f, args); err != nil {
-		return 0, err
-	}
-	all, err := days(f.Args(), o.together)
+}
+
+// plans makes the plans of the days that scripts describe.
+func (o *runFlags) plans(paths []string) ([]*script.Plan, error) {
+	all, err := days(paths, o.together)
 	if err != nil {
-		return judge.ExitScript, err
+		return nil, err
 	}
 	var plans []*script.Plan
 	for _, s := range all {
@@ -172,10 +172,24 @@
 		}
 		p, err := s.Make()
 		if err != nil {
-			return judge.ExitScript, err
+			return nil, err
 		}
 		plans = append(plans, p)
 	}
+	return plans, nil
+}
+
+func runDays(ctx context.Context, args []string, out, errs io.Writer) (int, error) {
+	var o runFlags
+	f := flags("run", errs)
+	o.register(f)
+	if err := parse(f, args); err != nil {
+		return 0, err
+	}
+	plans, err := o.plans(f.Args())
+	if err != nil {
+		return judge.ExitScript, err
+	}
 	if o.plan {
 		for _, p := range plans {
 			printPlan(out, p)
--- a/internal/faulttest/cli/teach.go
+++ b/internal/faulttest/cli/teach.go
@@ -106,6 +106,11 @@
 		}()
 	}
 	wg.Wait()
+	return printPairs(out, *from, pairs, failures)
+}
+
+// printPairs prints a row for each pair and the ratios over all that are sound.
+func printPairs(out io.Writer, from int, pairs [][2]newcomer, failures []error) (int, error) {
 	code := judge.ExitPass
 	fmt.Fprintf(out, "%-5s %18s %18s %8s %17s  %s\n", "seed", "cold failed/calls", "taught failed/calls", "ratio", "worth cold/taught", "rules broken")
 	var sound [][2]newcomer
@@ -113,20 +118,20 @@
 		if failures[i] != nil {
 			return judge.ExitInconclusive, failures[i]
 		}
-		note := ""
+		remark := ""
 		for k, n := range p {
 			if len(n.broken) > 0 {
-				note += fmt.Sprint(" ", [2]string{"cold", "taught"}[k], n.broken)
+				remark += fmt.Sprint(" ", [2]string{"cold", "taught"}[k], n.broken)
 				code = judge.ExitFail
 			}
 		}
 		if p[0].late+p[1].late != "" {
-			note += " left out: the kit ran late"
+			remark += " left out: the kit ran late"
 		} else {
 			sound = append(sound, p)
 		}
-		fmt.Fprintf(out, "%-5d %18s %18s %8.2f %8.4f %8.4f %s\n", *from+i, fmt.Sprintf("%d/%d", p[0].failed, p[0].calls), fmt.Sprintf("%d/%d", p[1].failed, p[1].calls),
-			ratioOf([][2]newcomer{p}), p[0].delivered, p[1].delivered, note)
+		fmt.Fprintf(out, "%-5d %18s %18s %8.2f %8.4f %8.4f %s\n", from+i, fmt.Sprintf("%d/%d", p[0].failed, p[0].calls), fmt.Sprintf("%d/%d", p[1].failed, p[1].calls),
+			ratioOf([][2]newcomer{p}), p[0].delivered, p[1].delivered, remark)
 	}
 	if len(sound) == 0 {
 		return judge.ExitInconclusive, nil
