--- /dev/null
+++ b/brain/connections.go
@@ -0,0 +1,185 @@
+package brain
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+const (
+	// minEndpointConns is how many connections any endpoint takes from all senders together.
+	minEndpointConns = 8
+	// idleTimeoutCut divides the idle time-out of a kind where idle connections do harm.
+	idleTimeoutCut = 4
+	// idleTimeoutGrowth is the part of the full idle time-out that each call served gives back.
+	idleTimeoutGrowth = 0.002
+	// connLimitGrowth is how many more connections each call served lets an endpoint be tried with.
+	connLimitGrowth = 0.1
+)
+
+// idleTimeout is how long idle connections to e are kept, and to all endpoints of its kind. How many
+// connections an endpoint takes is unknown: it shows in connects that fail, and then idle ones are kept
+// shorter there. What a sender with few calls sees at one endpoint holds for the kind, as others see the
+// same; one with many calls has seen for itself. Of the few connections that any endpoint takes, each of many
+// senders has a part only, and keeps its own accordingly shorter.
+func (b *Brain) idleTimeout(e *endpoint) (kept time.Duration, kind *time.Duration) {
+	few := min(1, b.evenShare(minEndpointConns))
+	for len(b.idleTimeouts) <= e.Kind {
+		b.idleTimeouts = append(b.idleTimeouts, time.Duration(few*float64(b.settings.IdleConnTimeout)))
+	}
+	kept, kind = b.settings.IdleConnTimeout, &b.idleTimeouts[e.Kind]
+	if b.outageThreshold(e.route) < maxOutageThreshold/2 || few < 1 {
+		kept = *kind
+	}
+	return max(0, kept-e.idleReduction), kind
+}
+
+// closeIdleConns closes connections that have been idle for longer than the idle time-out.
+func (b *Brain) closeIdleConns() {
+	for _, e := range b.idleCloseCandidates() {
+		keep, _ := b.idleTimeout(e)
+		until := e.idleSince + keep
+		switch {
+		case e.callsInFlight > 0 || b.now >= e.idleSince+b.settings.IdleConnTimeout:
+			e.idleSequence = 0
+		case b.now >= until:
+			b.actions = append(b.actions, CloseIdleConns{e.ID})
+			e.idleSince, e.idleSequence, e.openConns = 0, 0, 0
+		case keep < b.settings.IdleConnTimeout:
+			b.wakeAt(until)
+		}
+	}
+}
+
+// hasConnCapacity reports whether a call may be sent to e as far as connections go. An endpoint that has
+// refused a connection gets no more of them than it had then, and a little more with each call served; those
+// are used one call after the other before another one is tried.
+func (b *Brain) hasConnCapacity(e *endpoint) bool {
+	if e.connLimit == 0 || !b.needsNewConn(e) {
+		return true
+	}
+	if float64(e.callsInFlight+1) > e.connLimit {
+		return false
+	}
+	if b.now < e.connectBackoffUntil {
+		b.wakeAt(e.connectBackoffUntil)
+		return false
+	}
+	return true
+}
+
+// needsNewConn reports whether a call to e would open a connection now.
+func (b *Brain) needsNewConn(e *endpoint) bool {
+	if e.callsInFlight >= e.openConns {
+		return true
+	}
+	return e.callsInFlight == 0 && b.now >= e.idleSince+b.settings.IdleConnTimeout
+}
+
+// recordConnLimit records that e has refused a connection. All senders are refused at once, and each comes
+// back at a time of its own.
+func (b *Brain) recordConnLimit(e *endpoint) {
+	e.connLimit = max(1, float64(e.callsInFlight))
+	if b.now >= e.connectBackoffUntil {
+		e.connectBackoff = min(max(2*e.connectBackoff, minRejectionBackoff), maxRejectionBackoff)
+		e.connectBackoffUntil = b.now + b.jitter(e.connectBackoff)
+	}
+	// An endpoint that was never called would be taken for the quickest.
+	e.recentLatency = max(e.recentLatency, e.route.recentLatency)
+}
+
+// recordConnSuccess records that a was served in so many seconds: more connections may be open, and kept for
+// longer.
+func (b *Brain) recordConnSuccess(m *message, a *attempt, seconds float64) {
+	e := a.endpoint
+	more := time.Duration(idleTimeoutGrowth * float64(b.settings.IdleConnTimeout))
+	_, kind := b.idleTimeout(e)
+	*kind = min(b.settings.IdleConnTimeout, *kind+more)
+	b.setIdleReduction(e, max(0, e.idleReduction-more))
+	e.connectBackoff = 0
+	if e.connLimit > 0 {
+		e.connLimit += connLimitGrowth
+	}
+	if e.idleReduction == 0 { // it is long since it refused a connection
+		e.connLimit = 0
+	}
+	// An attempt on an idle connection was lost and the next one was served quickly: the endpoint, or
+	// something on the way, drops idle connections silently.
+	n := len(m.attempts)
+	if n < 2 {
+		return
+	}
+	before := m.attempts[n-2]
+	if before.connIdleFor > 0 && before.uncertain && seconds < slowLatencies*a.route.MeanSeconds {
+		*kind = min(*kind, before.connIdleFor/2)
+		b.setIdleReduction(e, max(e.idleReduction, b.settings.IdleConnTimeout-*kind))
+	}
+}
+
+// recordIdle records that the last call to e has ended.
+func (b *Brain) recordIdle(e *endpoint) {
+	b.lastIdleSequence++
+	e.idleSince, e.idleSequence = b.now, b.lastIdleSequence
+	if !e.inIdleList {
+		e.inIdleList = true
+		b.idleEndpoints = append(b.idleEndpoints, e)
+	}
+	// Those that have a call again, or whose connections have ended by themselves, are not waited for.
+	if len(b.idleEndpoints) > 2*b.idleEndpointsKept+64 {
+		kept := b.idleEndpoints[:0]
+		for _, e := range b.idleEndpoints {
+			if e.idleSequence == 0 || e.callsInFlight > 0 || b.now >= e.idleSince+b.settings.IdleConnTimeout {
+				e.inIdleList, e.idleSequence = false, 0
+				continue
+			}
+			kept = append(kept, e)
+		}
+		clear(b.idleEndpoints[len(kept):])
+		b.idleEndpoints, b.idleEndpointsKept = shrink(kept), len(kept)
+	}
+}
+
+// idleCloseCandidates returns the endpoints whose idle connections may have to be closed before the transport
+// does it, in the order of becoming idle: those with a reduction, or all while the idle time-out of some kind
+// is reduced.
+func (b *Brain) idleCloseCandidates() []*endpoint {
+	b.idleScratch = b.idleScratch[:0]
+	for _, k := range b.idleTimeouts {
+		if k < b.settings.IdleConnTimeout {
+			for _, e := range b.idleEndpoints {
+				if e.idleSequence > 0 {
+					b.idleScratch = append(b.idleScratch, e)
+				}
+			}
+			return sortByIdleSequence(b.idleScratch)
+		}
+	}
+	kept := b.reducedEndpoints[:0]
+	for _, e := range b.reducedEndpoints {
+		if e.idleReduction == 0 {
+			e.inReducedList = false
+			continue
+		}
+		kept = append(kept, e)
+		if e.idleSequence > 0 {
+			b.idleScratch = append(b.idleScratch, e)
+		}
+	}
+	clear(b.reducedEndpoints[len(kept):])
+	b.reducedEndpoints = kept
+	return sortByIdleSequence(b.idleScratch)
+}
+
+func sortByIdleSequence(list []*endpoint) []*endpoint {
+	slices.SortFunc(list, func(x, y *endpoint) int { return cmp.Compare(x.idleSequence, y.idleSequence) })
+	return list
+}
+
+// setIdleReduction sets by how much the idle time-out of e is shorter than its kind's.
+func (b *Brain) setIdleReduction(e *endpoint, by time.Duration) {
+	e.idleReduction = by
+	if by > 0 && !e.inReducedList {
+		e.inReducedList = true
+		b.reducedEndpoints = append(b.reducedEndpoints, e)
+	}
+}
--- /dev/null
+++ b/brain/endpoint_list.go
@@ -0,0 +1,174 @@
+package brain
+
+import (
+	"time"
+)
+
+const (
+	// minListBackoff is the mean back-off after the first failed request for the endpoint list; it doubles.
+	minListBackoff = 250 * time.Millisecond
+	// maxListBackoff bounds it, as a change is to be heard of within 6 s whatever has failed.
+	maxListBackoff = time.Second
+	// overloadedListBackoff is the back-off after a request on which discovery worked in vain: with it all
+	// senders leave discovery enough capacity.
+	overloadedListBackoff = 6 * time.Second
+	// startupListSpread is the time over which many senders that start at once spread their first requests,
+	// so that all are answered within 6 s.
+	startupListSpread = 5 * time.Second
+	// removedRetention is how long something that left the list is remembered: longer than any outage or
+	// retry-after.
+	removedRetention = 2 * time.Minute
+)
+
+// handleEndpointUpdate applies a change of the list, or requests the list again later. All senders share
+// discovery, and requests that it works on in vain cost it as much as others: if all senders ask again at
+// once, none is answered. A request that was rejected at once, or that never arrived, costs it nothing.
+func (b *Brain) handleEndpointUpdate(n EndpointUpdate) {
+	if !n.Failed {
+		b.listBackoff = 0
+		b.applyEndpoints(n)
+	} else if b.settings.RequestsEndpoints {
+		pause := min(max(2*b.listBackoff, minListBackoff), maxListBackoff)
+		if n.Overloaded {
+			pause = overloadedListBackoff
+		}
+		b.listBackoff = max(b.listBackoff, pause)
+		b.nextListRequest = b.now + b.jitter(b.listBackoff)
+	}
+}
+
+// applyEndpoints takes over the list. An endpoint that drains or is gone gets no new call from this step on.
+func (b *Brain) applyEndpoints(n EndpointUpdate) {
+	listed := map[EndpointID]bool{}
+	for _, e := range n.Endpoints {
+		listed[e.ID] = e.Ready
+		if b.matchesHibernated(e) {
+			continue
+		}
+		b.removeEndpoint(e.ID)
+		if e.Ready {
+			b.addEndpoint(e)
+		}
+	}
+	if n.Complete {
+		for id := range b.hibernatedEndpoints {
+			if !listed[id] {
+				b.wakeUpByEndpoint(id)
+			}
+		}
+		for _, d := range b.destinationOrder {
+			for _, e := range append([]*endpoint(nil), d.endpoints...) {
+				if !listed[e.ID] {
+					b.removeEndpoint(e.ID)
+				}
+			}
+		}
+	}
+	b.forgetRemoved()
+}
+
+// addEndpoint takes a ready endpoint into its destination.
+func (b *Brain) addEndpoint(line Endpoint) {
+	line.Kind, line.Zone = max(0, line.Kind), max(0, line.Zone)
+	d := b.destination(line.Destination)
+	e := b.endpoints[line.ID]
+	if e == nil || e.Destination != line.Destination {
+		e = &endpoint{}
+		b.endpoints[line.ID] = e
+		if line.Kind < len(b.settings.Kinds) && b.settings.Kinds[line.Kind].PerEndpointRoutes {
+			e.route, d.hasEndpointRoutes = b.newRoute(uint32(line.ID), line.Destination), true
+		} else {
+			if d.sharedRoute == nil {
+				d.sharedRoute = b.newRoute(uint32(line.Destination), line.Destination)
+				d.sharedRoute.restoredRate = d.restoredRate
+			}
+			e.route = d.sharedRoute
+		}
+	}
+	if d.sharedRoute == nil { // also of one that was forgotten while its endpoint was not
+		d.hasEndpointRoutes = true
+	}
+	e.Endpoint, e.listed = line, true
+	if b.settings.RatingIsLimit && isPositive(line.Rating) {
+		b.setLimit(e.route, line.Rating)
+	}
+	d.endpoints = append(d.endpoints, e)
+	delete(b.removedEndpoints, line.ID)
+	delete(b.emptyDestinations, line.Destination)
+	if d.sharedRoute == nil {
+		b.rescheduleExpiries(d)
+	}
+}
+
+// removeEndpoint takes an endpoint out of its destination. It is remembered for a while, with its calls in
+// flight.
+func (b *Brain) removeEndpoint(id EndpointID) {
+	b.wakeUpByEndpoint(id)
+	if e := b.endpoints[id]; e != nil {
+		e.listed = false
+		b.markForRecheck(e.route)
+		d := b.destination(e.Destination)
+		d.endpoints = removeFirst(d.endpoints, e)
+		b.removedEndpoints[id] = e
+		if len(d.endpoints) == 0 {
+			b.emptyDestinations[e.Destination] = d
+		}
+		if d.sharedRoute == nil { // a message that was not sent yet goes by the first one's route
+			b.rescheduleExpiries(d)
+		}
+	}
+}
+
+// forgetRemoved deletes what has left the list for good, as ids are never used again: endpoints without a
+// call and their own routes, and destinations without endpoints or messages. A retry-after or an outage
+// outlasts a gap in the list, so routes and destinations are remembered for removedRetention.
+func (b *Brain) forgetRemoved() {
+	forgettable := func(r *route) bool {
+		quietFor := b.now - max(r.lastSentAt, r.refilledAt)
+		return r.callsInFlight == 0 && b.now >= r.closedUntil && quietFor > removedRetention
+	}
+	for id, e := range b.removedEndpoints {
+		if e.callsInFlight > 0 {
+			continue
+		}
+		if d := b.destinations[e.Destination]; d == nil || e.route != d.sharedRoute {
+			if !forgettable(e.route) {
+				continue
+			}
+			b.releaseRoute(e.route)
+		}
+		delete(b.endpoints, id)
+		delete(b.removedEndpoints, id)
+	}
+	anyRemoved := false
+	for id, d := range b.emptyDestinations {
+		if d.pending > 0 || d.sharedRoute != nil && !forgettable(d.sharedRoute) {
+			continue
+		}
+		delete(b.destinations, id)
+		delete(b.emptyDestinations, id)
+		b.releaseRoute(d.sharedRoute)
+		d.removed, anyRemoved = true, true
+	}
+	if anyRemoved {
+		b.dropRemovedDestinations()
+	}
+}
+
+// releaseRoute stops counting a route that is forgotten.
+func (b *Brain) releaseRoute(r *route) {
+	if r != nil && !r.removed {
+		r.removed = true
+		b.routeCount--
+	}
+}
+
+// removeFirst returns list without the first x, in a new array if there was one.
+func removeFirst[T comparable](list []T, x T) []T {
+	for i, y := range list {
+		if y == x {
+			return append(list[:i:i], list[i+1:]...)
+		}
+	}
+	return list
+}
--- /dev/null
+++ b/brain/observations.go
@@ -0,0 +1,152 @@
+package brain
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Observations returns what this process has seen itself of each route, by destination and endpoint. What it
+// was told by others is in it only as far as its own calls have confirmed it.
+func (b *Brain) Observations() []Observation {
+	var all []Observation
+	seen := map[*route]bool{}
+	for _, d := range b.destinationOrder {
+		if d.sharedRoute != nil {
+			all = b.appendObservation(all, d.sharedRoute, subject(d.sharedRoute, nil))
+			continue
+		}
+		for _, e := range d.endpoints {
+			if !seen[e.route] {
+				seen[e.route] = true
+				all = b.appendObservation(all, e.route, subject(e.route, e))
+			}
+		}
+	}
+	for _, f := range b.hibernated {
+		if wait := f.closedUntil - b.now; f.samples > 0 || wait > 0 {
+			all = append(all, Observation{
+				Destination:   f.id,
+				Local:         true,
+				Samples:       int(f.samples),
+				MeanLatency:   time.Duration(float64(f.mean) * float64(time.Second)),
+				MedianLatency: time.Duration(f.median) * time.Microsecond,
+				MinLatency:    time.Duration(f.minLatency) * time.Microsecond,
+				Timeout:       time.Duration(f.optimum) * time.Microsecond,
+				LatencyAge:    b.now - f.lastServed,
+				RetryAfter:    max(0, wait),
+			})
+		}
+	}
+	slices.SortFunc(all, func(x, y Observation) int {
+		return cmp.Or(cmp.Compare(x.Destination, y.Destination), cmp.Compare(x.Endpoint, y.Endpoint))
+	})
+	return all
+}
+
+// Outages returns the routes that are in an outage or warm up, in the order of first mention, for the sender
+// to keep: a process that restarts meanwhile would otherwise send at once all the messages that it resumes. A
+// route whose calls just fail, or are not answered, one after the other, is among them: the next process has
+// no window and no failure rate by which it would hold back there.
+func (b *Brain) Outages() []Observation {
+	var all []Observation
+	add := func(r *route, k Observation) {
+		k.Local, k.Health, k.Rate = true, Unhealthy, r.rateBeforeOutage
+		k.HealthFor, k.OutageFor = b.now-r.outageSince, b.now-r.outageSince
+		switch {
+		case r.state == warmingUp && b.now-r.stateSince <= b.settings.SlowStartDuration:
+			k.Health, k.HealthFor = WarmingUp, b.now-r.stateSince
+		case r.state != outage && (r.consecutiveFailures >= minOutageThreshold || b.unresponsive(r, 1)):
+			k.HealthFor, k.Rate = b.now-r.lastServed, max(b.usualRate(r.servedCounter), b.priorRate(r))
+			k.OutageFor = k.HealthFor
+		case r.state != outage:
+			return
+		}
+		all = append(all, k)
+	}
+	for _, d := range b.destinationOrder {
+		if d.sharedRoute != nil {
+			add(d.sharedRoute, subject(d.sharedRoute, nil))
+			continue
+		}
+		for _, e := range d.endpoints {
+			add(e.route, subject(e.route, e))
+		}
+	}
+	return all
+}
+
+// subject is an Observation with nothing but the names of a route: of endpoint e, or of a destination if e is
+// nil.
+func subject(r *route, e *endpoint) Observation {
+	if e != nil {
+		return Observation{Destination: e.Destination, Endpoint: e.ID}
+	}
+	return Observation{Destination: DestinationID(r.id)}
+}
+
+// recordChange records that the health or the retry-after of a route has changed.
+func (b *Brain) recordChange(r *route) {
+	if b.settings.ReportsChanges && !r.changeRecorded {
+		r.changeRecorded = true
+		b.changedRoutes = append(b.changedRoutes, r)
+	}
+}
+
+// ChangedObservations returns the observations of the routes whose health or retry-after has changed since it
+// was called last, in the order of the changes. It costs nothing where nothing has changed. Without
+// Settings.ReportsChanges there are none.
+func (b *Brain) ChangedObservations() []Observation {
+	if len(b.changedRoutes) == 0 {
+		return nil
+	}
+	var all []Observation
+	for _, r := range b.changedRoutes {
+		r.changeRecorded = false
+		if d := b.destinations[DestinationID(r.id)]; d != nil && d.sharedRoute == r {
+			all = b.appendObservation(all, r, subject(r, nil))
+		} else if e := b.endpoints[EndpointID(r.id)]; e != nil && e.route == r {
+			all = b.appendObservation(all, r, subject(r, e))
+		} // or it has left the list
+	}
+	clear(b.changedRoutes)
+	b.changedRoutes = b.changedRoutes[:0]
+	return all
+}
+
+// appendObservation adds to all what was seen of r, with the names that k has; nothing if nothing is known.
+func (b *Brain) appendObservation(all []Observation, r *route, k Observation) []Observation {
+	k.Local = true
+	served := r.recentlyServed > 0 // by this process
+	age := b.now - r.lastServed
+	if served && r.Samples > 0 {
+		k.Timeout = r.Optimum() // brings the mean and the median up to date, too
+		k.Samples, k.LatencyAge = r.Samples, age
+		k.MeanLatency = time.Duration(r.MeanSeconds * float64(time.Second))
+		k.MedianLatency, k.MinLatency = r.MedianLatency, r.MinLatency
+	}
+	if served && r.state == healthy {
+		k.Window, k.WindowAge = r.window.Size, age
+	}
+	if r.limit > 0 && r.lastSentAt > 0 {
+		k.Limit, k.LimitAge = r.limit, b.now-r.lastSentAt
+	}
+	// Only what this sender was told: passed on, a wait that was learned would come back a little longer each
+	// time.
+	k.RetryAfter = max(0, r.ownRetryAfterUntil-b.now)
+	switch {
+	case r.state == outage && (r.consecutiveFailures > 0 || b.unresponsive(r, 1)): // seen, not only heard of
+		k.Health, k.HealthFor, k.Rate = Unhealthy, b.now-r.stateSince, r.rateBeforeOutage
+		k.HealthAge = b.now - max(r.stateSince, r.lastSentAt)
+	case r.state == warmingUp && served:
+		k.Health, k.HealthFor, k.Rate = WarmingUp, b.now-r.stateSince, r.rateBeforeOutage
+		k.HealthAge = age
+	case r.state == healthy && served:
+		k.Health, k.HealthFor, k.HealthAge = Healthy, b.now-r.firstServed, age
+		k.Rate = max(b.usualRate(r.servedCounter), b.priorRate(r))
+	}
+	if (k == Observation{Destination: k.Destination, Endpoint: k.Endpoint, Local: true}) {
+		return all
+	}
+	return append(all, k)
+}
--- /dev/null
+++ b/brain/ordering.go
@@ -0,0 +1,52 @@
+package brain
+
+import "time"
+
+// keyQueue is the messages with one ordering key, in the order of arrival. Only the first one is sent.
+type keyQueue struct {
+	key            uint64
+	messages       []*message
+	cooldownUntil  time.Duration
+	inCooldownList bool // it is in Brain.coolingDown
+}
+
+// deleteReleasedKeyQueues deletes the queues that are empty and have cooled down, up to the first that has
+// not.
+func (b *Brain) deleteReleasedKeyQueues() {
+	for len(b.releasedKeyQueues) > 0 {
+		q := b.releasedKeyQueues[0]
+		if len(q.messages) == 0 && q.cooldownUntil > b.now {
+			return
+		}
+		if len(q.messages) == 0 {
+			delete(b.keyQueues, q.key)
+		}
+		b.releasedKeyQueues = b.releasedKeyQueues[1:]
+	}
+}
+
+// startCooldown keeps the next message of a key back after an attempt that may still run.
+func (b *Brain) startCooldown(t *keyQueue) {
+	t.cooldownUntil = max(t.cooldownUntil, b.now+b.settings.OrderingCooldown)
+	if !t.inCooldownList {
+		t.inCooldownList = true
+		b.coolingDown = append(b.coolingDown, t)
+	}
+	if len(b.coolingDown) > 2*b.cooldownsKept+64 {
+		b.pruneCooldowns()
+	}
+}
+
+// pruneCooldowns drops the keys whose cool-down is over from Brain.coolingDown.
+func (b *Brain) pruneCooldowns() {
+	kept := b.coolingDown[:0]
+	for _, t := range b.coolingDown {
+		if t.cooldownUntil <= b.now {
+			t.inCooldownList = false
+			continue
+		}
+		kept = append(kept, t)
+	}
+	clear(b.coolingDown[len(kept):])
+	b.coolingDown, b.cooldownsKept = shrink(kept), len(kept)
+}
--- /dev/null
+++ b/brain/rate_limits.go
@@ -0,0 +1,127 @@
+package brain
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// minRejectionBackoff is the back-off of a route after the first rejection without a retry-after; it
+	// doubles.
+	minRejectionBackoff = 100 * time.Millisecond
+	// maxRejectionBackoff bounds it: about the time over which rate limits are counted.
+	maxRejectionBackoff = time.Second
+	// paceGrowth is the growth of the pace with each call served, in parts of the even share of the limit.
+	paceGrowth = 0.1
+	// paceCutFactor is the factor of the pace with a rejection, or with each second near the end of the
+	// allowance.
+	paceCutFactor = 0.7
+	// maxPaceCuts bounds the seconds without a result that count there.
+	maxPaceCuts = 4
+	// plentifulRemaining is the share of the allowance left above which the pace grows.
+	plentifulRemaining = 0.3
+	// scarceRemaining is the share of the allowance left below which the pace is cut.
+	scarceRemaining = 0.1
+)
+
+// allowedRate is how many calls a second r may get now, and how many at once. A window alone does not bound
+// the rate of calls that fail quickly, and a destination that warms up bears few calls, rejected ones too.
+func (b *Brain) allowedRate(r *route) (rate, burst float64) {
+	rate, burst = math.Inf(1), math.Inf(1)
+	lent, shared := b.rateGrants[r.destination]
+	if r.limit > 0 && !(shared && lent.TotalRate <= r.limit) {
+		rate, burst = r.pace, max(1, r.pace)
+	}
+	if shared { // by the fleet: nothing is guessed of what others use
+		rate, burst = min(rate, lent.Rate/float64(b.routesOfDestination(r.destination))), 1
+	}
+	switch {
+	case r.state == outage:
+		rate, burst = min(rate, b.recoveryRate(r), 1/minProbeInterval.Seconds())*b.probeShare(r), 1
+	case r.state == warmingUp:
+		rate, burst = min(rate, b.recoveryRate(r)), 1
+	case r.failureRate > degradedFailureRate:
+		rate, burst = min(rate, max(1, 1.5*r.servedRate())), 1
+	}
+	return rate, burst
+}
+
+// refillTokens adds the calls that the rate has allowed since the last refill.
+func (b *Brain) refillTokens(r *route) {
+	rate, burst := b.allowedRate(r)
+	if math.IsInf(rate, 1) {
+		r.tokens = 1
+	} else {
+		r.tokens = min(burst, r.tokens+rate*(b.now-r.refilledAt).Seconds())
+	}
+	r.refilledAt = b.now
+}
+
+// evenShare is the part of each sender in something that all share.
+func (b *Brain) evenShare(all float64) float64 { return all / float64(max(1, b.settings.Senders)) }
+
+// initialPace is the even share of a limit; among many senders, where that is far below one call and few of
+// them have messages for the destination at a time, up to a call in the time over which limits are counted.
+func (b *Brain) initialPace(limit float64) float64 {
+	n := float64(max(1, b.settings.Senders))
+	return min(limit, max(b.evenShare(limit), min(1, n/fleetCallsPerWarmUp)/maxRejectionBackoff.Seconds()))
+}
+
+// setLimit takes over a rate limit that was reported, in calls a second of all senders.
+func (b *Brain) setLimit(r *route, limit float64) {
+	if r.limit == 0 {
+		r.pace = b.initialPace(limit)
+	} else {
+		r.pace *= limit / r.limit
+	}
+	r.limit = limit
+}
+
+// adjustPace lets the pace grow with a call that was served, or cuts it where the allowance is nearly used
+// up.
+func (b *Brain) adjustPace(r *route, e AttemptResult) {
+	switch {
+	case r.limit > 0 && (e.Limit == 0 || e.Remaining > plentifulRemaining):
+		step := paceGrowth * b.initialPace(r.limit)
+		if e.Limit == 0 {
+			step *= 2 // no allowance to use up: the rating of the endpoint is a capacity
+		}
+		r.pace = min(r.limit, r.pace+step)
+	case r.limit > 0 && e.Remaining < scarceRemaining: // rejections may use it up, too
+		b.cutPace(r, 0)
+	}
+}
+
+// cutPace cuts the pace below the rate in use, the more the longer nothing was heard of the limit, and by
+// minCuts cuts at least. All senders together at half of their even shares leave the allowance room to fill
+// up again.
+func (b *Brain) cutPace(r *route, least float64) {
+	part := b.evenShare(r.limit)
+	used := max(b.usualRate(r.sentCounter), r.servedRate(), part)
+	cut := math.Pow(paceCutFactor, max(least, min(maxPaceCuts, (b.now-r.lastResultAt).Seconds())))
+	r.pace = max(min(r.pace, used)*cut, part/2)
+}
+
+// applyRateGrant takes over what the fleet grants of a limit.
+func (b *Brain) applyRateGrant(g RateGrant) {
+	if !g.Limited {
+		delete(b.rateGrants, g.Destination)
+		return
+	}
+	if b.rateGrants == nil {
+		b.rateGrants = map[DestinationID]RateGrant{}
+	}
+	d := b.destinations[g.Destination]
+	if d != nil && d.sharedRoute != nil && b.rateGrants[g.Destination].Rate == 0 && g.Rate > 0 {
+		d.sharedRoute.tokens = max(d.sharedRoute.tokens, 1) // it may be used at once
+	}
+	b.rateGrants[g.Destination] = g
+}
+
+// routesOfDestination is how many routes a destination has.
+func (b *Brain) routesOfDestination(id DestinationID) int {
+	if d := b.destinations[id]; d != nil && d.sharedRoute == nil {
+		return max(1, len(d.endpoints))
+	}
+	return 1
+}
--- /dev/null
+++ b/brain/revocation.go
@@ -0,0 +1,46 @@
+package brain
+
+import "slices"
+
+// markForRecheck has the calls in flight at r looked at again in this step.
+func (b *Brain) markForRecheck(r *route) {
+	if !r.recheck && len(r.inFlight) > 0 {
+		r.recheck = true
+		b.routesToRecheck = append(b.routesToRecheck, r)
+	}
+}
+
+// revokeStale looks again at the calls in flight of routes where something has changed since they were sent.
+// Their connections may take seconds to come up, and the reasons for sending may no longer hold when it could
+// be written.
+func (b *Brain) revokeStale() {
+	for _, r := range b.routesToRecheck {
+		r.recheck = false
+		for _, c := range r.inFlight {
+			why, recall := b.staleReason(c)
+			if !recall || c.revoked {
+				continue
+			}
+			c.revoked = true
+			for _, m := range c.messages {
+				if n := len(m.attempts) - 1; !m.attempts[n].ended {
+					b.actions = append(b.actions, Revoke{m.ID, n, why})
+				}
+			}
+		}
+	}
+	b.routesToRecheck = b.routesToRecheck[:0]
+}
+
+// staleReason reports whether c would not be sent now, and why.
+func (b *Brain) staleReason(c *call) (why RevokeReason, is bool) {
+	switch r := c.route; {
+	case !c.endpoint.listed:
+		return EndpointRemoved, true
+	case b.now < r.retryAfterUntil:
+		return RetryAfterReceived, true
+	case r.state == outage && (c.sentAt < r.stateSince || c.sentAt < r.lastProbeAt):
+		return RouteOutage, true
+	}
+	return MessagesEnded, !slices.ContainsFunc(c.messages, func(m *message) bool { return !m.ended })
+}
--- /dev/null
+++ b/brain/tenants.go
@@ -0,0 +1,55 @@
+package brain
+
+import (
+	"math"
+	"sort"
+	"time"
+)
+
+const (
+	// tenantRateWindow is the time over which the rate of a tenant is measured.
+	tenantRateWindow = 3 * time.Second
+	// usualTenantRateWindows is how many of those its usual rate is measured over.
+	usualTenantRateWindows = 10
+	// tenantBurstFactor is how far the rate of a tenant may exceed its share.
+	tenantBurstFactor = 1.5
+)
+
+// tenant has the rates at which a tenant hands in messages, in messages a second: over tenantRateWindow, and
+// over usualTenantRateWindows of those.
+type tenant struct{ recentRate, usualRate float64 }
+
+// decayTenantRates brings the rates of all tenants up to now.
+func (b *Brain) decayTenantRates() {
+	b.tenantShareValid = false
+	dt := (b.now - b.tenantRatesAt).Seconds()
+	b.tenantRatesAt = b.now
+	for i := range b.tenants {
+		b.tenants[i].recentRate *= math.Exp(-dt / tenantRateWindow.Seconds())
+		b.tenants[i].usualRate *= math.Exp(-dt / (usualTenantRateWindows * tenantRateWindow.Seconds()))
+	}
+}
+
+// tenantWeight is the value of the messages of tenant i as a fraction: 1 within its share; beyond it, the
+// mean of the messages within and those beyond. This sender's part of a share is estimated by what tenants
+// usually send it.
+func (b *Brain) tenantWeight(i int) float64 {
+	if i < 0 || i >= len(b.tenants) || b.settings.Senders == 0 {
+		return 1
+	}
+	if !b.tenantShareValid {
+		parts := make([]float64, 0, len(b.tenants))
+		for j, t := range b.tenants {
+			parts = append(parts, t.usualRate/max(b.settings.Tenants[j].Allowance, 1e-9))
+		}
+		sort.Float64s(parts) // the median: a tenant that surges does not widen its own share
+		median := parts[len(parts)/2]
+		b.tenantShare, b.tenantShareValid = min(1, max(1/float64(b.settings.Senders), median)), true
+	}
+	allowance := tenantBurstFactor * b.tenantShare * b.settings.Tenants[i].Allowance
+	beyond := b.tenants[i].recentRate / max(allowance, 1e-9)
+	if beyond <= 1 {
+		return 1
+	}
+	return (1 + (beyond-1)*b.settings.OverShareValue) / beyond
+}
--- a/internal/tier/loadbalancer/endpoint.go
+++ b/internal/tier/loadbalancer/endpoint.go
@@ -108,7 +108,7 @@
 // hasCapacity reports whether the endpoint may get one more request. Requests below the highest priority leave an eighth of the
 // window free.
 func (endpoint *endpoint) hasCapacity(now time.Duration, priority int) bool {
-	available := endpoint.window.Room(endpoint.capacity(), endpoint.failureRate(now) > failingRateThreshold)
+	available := endpoint.window.Limit(endpoint.capacity(), endpoint.failureRate(now) > failingRateThreshold)
 	if priority > 0 {
 		available -= available / 8
 	}
--- a/internal/tier/loadbalancer/outcomes.go
+++ b/internal/tier/loadbalancer/outcomes.go
@@ -77,19 +77,19 @@
 // recordLatency updates the time-outs of the route: only served first attempts are samples (Karn's algorithm), and an expired time-out is doubled.
 func (balancer *Balancer) recordLatency(now time.Duration, call *Call, outcome Outcome) {
 	if outcome.Kind == Served && outcome.LongestGap > 0 {
-		call.gapOracle.Sample(outcome.LongestGap, 1, false)
-		call.gapOracle.Fresh()
+		call.gapOracle.AddSample(outcome.LongestGap, 1, false)
+		call.gapOracle.ResetTimeout()
 	}
 	switch {
 	case outcome.Kind == Served && call.sampleWeight > 0:
-		call.oracle.Sample(max(0, outcome.Latency), call.sampleWeight, false)
-		call.oracle.Fresh()
+		call.oracle.AddSample(max(0, outcome.Latency), call.sampleWeight, false)
+		call.oracle.ResetTimeout()
 	case outcome.Kind == Stalled:
-		call.gapOracle.Expired(call.sentAt, now)
+		call.gapOracle.RecordTimeout(call.sentAt, now)
 	case outcome.Kind == TimedOut && call.runsToDeadline && call.sampleWeight > 0:
-		call.oracle.Sample(0, call.sampleWeight, true)
+		call.oracle.AddSample(0, call.sampleWeight, true)
 	case outcome.Kind == TimedOut && !call.runsToDeadline:
-		call.oracle.Expired(call.sentAt, now)
+		call.oracle.RecordTimeout(call.sentAt, now)
 	}
 }
 
@@ -109,7 +109,7 @@
 // recordServed records a call that was served.
 func (endpoint *endpoint) recordServed(now time.Duration, call *Call, latency time.Duration) {
 	endpoint.lastSeenAt = max(endpoint.lastSeenAt, now)
-	if mean := call.oracle.Mean; mean > 0 { // as of the last computation of its optimum
+	if mean := call.oracle.MeanSeconds; mean > 0 { // as of the last computation of its optimum
 		endpoint.latencyRatio += latencySmoothing * (min(2*maxLatencyRatio, latency.Seconds()/mean) - endpoint.latencyRatio)
 	}
 	endpoint.recordResult(now, 0)
--- a/internal/tier/loadbalancer/pick.go
+++ b/internal/tier/loadbalancer/pick.go
@@ -11,7 +11,7 @@
 // Pick decides on one attempt. Where the decision is Send, the call counts as in flight until Done.
 func (balancer *Balancer) Pick(now time.Duration, request Request) Selection {
 	oracle := balancer.routeOracle(request.Route)
-	if request.Remaining <= 0 || oracle.Seen > 0 && request.Remaining < oracle.Quickest {
+	if request.Remaining <= 0 || oracle.Samples > 0 && request.Remaining < oracle.MinLatency {
 		return Selection{Decision: DeadlineTooShort}
 	}
 	listed := balancer.services[request.Service]
@@ -84,7 +84,7 @@
 		endpoint.probesInFlight++
 	}
 	if request.Retryable && timeout < request.Remaining {
-		if request.FirstAttempt && !call.probe && balancer.draw(restart.ExploreIn) == 0 {
+		if request.FirstAttempt && !call.probe && balancer.draw(restart.ExploreEvery) == 0 {
 			call.sampleWeight, selection.Exploratory = restart.ExploreWeight, true
 		} else {
 			selection.Timeout, call.runsToDeadline = timeout, false
--- a/internal/tier/loadbalancer/timeouts.go
+++ b/internal/tier/loadbalancer/timeouts.go
@@ -43,11 +43,11 @@
 
 // scaleTimeout is attemptTimeout for a given time-out of the estimate.
 func scaleTimeout(oracle *restart.Oracle, timeout, initial time.Duration) time.Duration {
-	if oracle.Seen >= restart.FewSamples || initial <= 0 || initial >= restart.FirstTimeout {
+	if oracle.Samples >= restart.MinSamples || initial <= 0 || initial >= restart.FirstTimeout {
 		return timeout
 	}
 	proportional := time.Duration(float64(timeout) * float64(initial) / float64(restart.FirstTimeout))
-	return max(proportional, min(timeout, time.Duration(2*oracle.Mean*float64(time.Second))))
+	return max(proportional, min(timeout, time.Duration(2*oracle.MeanSeconds*float64(time.Second))))
 }
 
 // unresponsiveTimeout is how long a call may have no response before its endpoint counts as unresponsive: the time-out of its route
