--- /dev/null
+++ b/internal/fleet/connections.go
@@ -0,0 +1,109 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"time"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/backoff"
+	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/grpc/keepalive"
+	"google.golang.org/protobuf/proto"
+
+	"saffronyard.example/saffronyard/internal/replicatedlog"
+	"saffronyard.example/saffronyard/internal/worker"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
+)
+
+// connections are the connections to other voters, by address.
+type connections struct {
+	keys  *keyring
+	mu    sync.Mutex
+	conns map[string]*grpc.ClientConn
+}
+
+func newConnections(keys *keyring) *connections {
+	return &connections{keys: keys, conns: map[string]*grpc.ClientConn{}}
+}
+
+func (w *connections) client(address string) (pb.FleetClient, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	c := w.conns[address]
+	if c == nil {
+		var err error
+		c, err = grpc.NewClient("passthrough:///"+address, append(w.keys.dialOptions(), grpc.WithTransportCredentials(insecure.NewCredentials()),
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
+			grpc.WithDisableServiceConfig(), grpc.WithDisableRetry(),
+			grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxConnectBackoff}, MinConnectTimeout: maxConnectBackoff}),
+			grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}))...)
+		if err != nil {
+			return nil, fmt.Errorf("fleet: %s: %w", address, err)
+		}
+		w.conns[address] = c
+	}
+	return pb.NewFleetClient(c), nil
+}
+
+func (w *connections) close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, c := range w.conns {
+		c.Close()
+	}
+}
+
+// sendLoop keeps a stream to a voter and passes messages on.
+func (n *Node) sendLoop(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) {
+	for ctx.Err() == nil {
+		err := n.sendStream(ctx, name, ring)
+		if ctx.Err() == nil && n.voter != nil {
+			n.voter.Inbox.Offer(replicatedlog.PeerUnreachable{VoterID: replicatedlog.VoterID(name)})
+			n.log.Debug("fleet: a voter can't be reached", "voter", name, "err", err)
+		}
+		select {
+		case <-time.After(heartbeatInterval / 2):
+		case <-ctx.Done():
+		}
+	}
+}
+
+func (n *Node) sendStream(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) error {
+	address := n.address(name)
+	if address == "" {
+		return fmt.Errorf("no address of %s is known", name)
+	}
+	client, err := n.conns.client(address)
+	if err != nil {
+		return err
+	}
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	to, err := client.Raft(ctx)
+	if err != nil {
+		return err
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- to.RecvMsg(&pb.Ack{}) }()
+	for {
+		for _, m := range ring.Take(64) {
+			raw, err := proto.Marshal(m)
+			if err != nil {
+				return err
+			}
+			if err := to.Send(&pb.RaftEnvelope{Cluster: n.cfg.Cluster, From: n.cfg.Name, Incarnation: n.incarnation, ToIncarnation: n.peers.get(name), Message: raw}); err != nil {
+				return <-ended
+			}
+		}
+		select {
+		case <-ring.Ready():
+		case err := <-ended:
+			return err
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/health_commands.go
@@ -0,0 +1,21 @@
+package fleet
+
+import (
+	"context"
+
+	"saffronyard.example/saffronyard/internal/health"
+	"saffronyard.example/saffronyard/internal/replicatedlog"
+	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
+)
+
+// SuspendDestination has a person's verdict on a destination stand until it is lifted: no sender begins a call there.
+func (n *Node) SuspendDestination(ctx context.Context, destination uint32, by, why string) error {
+	_, err := n.submitOperator(ctx, replicatedlog.KindHealth, &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: &pb.SetHealth{Destination: destination, Kind: uint32(health.KindSuspended), Author: by, Reason: why}}})
+	return err
+}
+
+// LiftSuspension ends it.
+func (n *Node) LiftSuspension(ctx context.Context, destination uint32, by, why string) error {
+	_, err := n.submitOperator(ctx, replicatedlog.KindHealth, &pb.HealthCommand{Command: &pb.HealthCommand_Clear{Clear: &pb.ClearHealth{Destination: destination, ByOperator: true, Author: by, Reason: why}}})
+	return err
+}
--- /dev/null
+++ b/internal/fleet/limit_report.go
@@ -0,0 +1,93 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"slices"
+
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/quota"
+)
+
+// LimitReport is a limit as this sender has it, and as its authority has it if that is this sender.
+type LimitReport struct {
+	Key         string        `json:"key"`
+	Description string        `json:"limit"`
+	Units       int64         `json:"units"`
+	Owner       string        `json:"authority"`          // of the roster in force
+	Granted     int64         `json:"holds"`              // this sender, now
+	InUse       int64         `json:"busy"`               // of that, in use or at rest
+	RemainingMS int64         `json:"left_ms"`            // of its loan
+	Waiting     int64         `json:"waiting"`            // units of messages here
+	Used        uint64        `json:"used"`               // by this process
+	Rejected    uint64        `json:"refused"`            // calls of it that were not written for want of a unit
+	Rotating    bool          `json:"turns,omitempty"`    // units go by turns
+	Bound       string        `json:"bound"`              // what a receiver sees at the most
+	Outstanding *int64        `json:"out,omitempty"`      // lent or at rest in all; at the authority
+	GraceMS     int64         `json:"quiet_ms,omitempty"` // until the authority knows of all that is out
+	Grants      []GrantReport `json:"lent,omitempty"`
+}
+
+// GrantReport is one process of a sender in the authority's book.
+type GrantReport struct {
+	Name        string `json:"name"`
+	Units       int64  `json:"units"`
+	Cooling     int64  `json:"rests"`
+	RemainingMS int64  `json:"left_ms"`
+	Wanted      int64  `json:"want"`
+	WaitingMS   int64  `json:"waits_ms,omitempty"`
+}
+
+// Limits shows the fleet's limits as this sender has them.
+func (n *Node) Limits(ctx context.Context) ([]LimitReport, error) {
+	v := n.gate.current()
+	if v == nil {
+		return nil, status.Error(codes.Unavailable, "the fleet's policy is not known yet")
+	}
+	show := reportRequested{make(chan []quota.Report, 1)}
+	n.quotas.server.Inbox.Offer(show)
+	var books []quota.Report
+	select {
+	case books = <-show.done:
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+	now := n.cfg.Now()
+	charge := v.Ownership()
+	all := []LimitReport{}
+	for _, s := range n.quotas.allowances.Statuses(now) {
+		r := LimitReport{Key: s.Limit.Key, Description: fleetpolicy.DescribeLimit(s.Limit), Units: s.Limit.Units, Granted: s.Units, InUse: s.InUse, RemainingMS: s.Remaining.Milliseconds(), Waiting: s.Waiting,
+			Used: s.Used, Rejected: s.Rejected, Rotating: s.Rotating, Bound: n.quotas.describeBound(s.Limit, len(v.Membership.GetParticipants()))}
+		if p := charge.Owner(s.Limit.Key); p != nil {
+			r.Owner = p.Name
+		}
+		if i := slices.IndexFunc(books, func(b quota.Report) bool { return b.Key == s.Limit.Key }); i >= 0 {
+			b := books[i]
+			r.Outstanding, r.GraceMS = &b.Outstanding, b.GraceRemaining.Milliseconds()
+			for _, line := range b.Clients {
+				r.Grants = append(r.Grants, GrantReport{line.Name, line.Units, line.Cooling, line.Remaining.Milliseconds(), line.Wanted, line.Waiting.Milliseconds()})
+			}
+		}
+		all = append(all, r)
+	}
+	return all, nil
+}
+
+// describeBound is what a limit promises, for a fleet of so many senders.
+func (l *quotaNode) describeBound(q quota.Limit, senders int) string {
+	text := fmt.Sprintf("%d in any %v at the receiver", q.Units, q.Span)
+	if q.Kind == quota.Daily {
+		return fmt.Sprintf("%d in a day of the calendar of who is in charge; what is held as it ends may be used %v longer; what a sender holds that dies, and up to a hundredth for each authority that does, is lost for the day", q.Units, l.terms.Duration)
+	}
+	if q.Kind == quota.Concurrent {
+		text = fmt.Sprintf("%d at once", q.Units)
+	}
+	if q.CutOffExtra > 0 {
+		text += fmt.Sprintf(", and %d more for each sender that is cut off: %d if all %d are", q.CutOffExtra, q.WorstCase(senders), senders)
+	}
+	return text + fmt.Sprintf("; one that is cut off uses what it holds for %v at most, then %d; what it held is lent again %v after it asked last; a new authority lends anew after %v",
+		l.terms.Duration, q.Reserve+q.CutOffExtra, l.terms.GracePeriod(q), l.terms.GracePeriod(q))
+}
--- /dev/null
+++ b/internal/fleet/rate_limits.go
@@ -0,0 +1,74 @@
+package fleet
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+)
+
+// RateLimit is what this sender may send to a destination, in calls a second, and what all may. Limited is false if the policy sets no
+// limit, and then the others say nothing.
+type RateLimit struct {
+	Destination uint32
+	Limited     bool
+	Own, Fleet  float64
+}
+
+// RateLimits are those of destinations whose pace has changed since they were asked for, or all that are limited.
+func (n *Node) RateLimits(all bool) (paces []RateLimit) {
+	v := n.gate.current()
+	if v == nil {
+		return nil
+	}
+	l := n.quotas
+	l.mu.Lock()
+	keys := make([]string, 0, len(l.changed))
+	for key := range l.changed {
+		keys = append(keys, key)
+	}
+	clear(l.changed)
+	l.mu.Unlock()
+	if all {
+		keys = append(keys, l.allowances.Keys()...)
+	}
+	now := n.cfg.Now()
+	by := map[uint32]bool{}
+	for _, key := range keys {
+		var d uint32 // limits of a destination by itself begin with its number
+		if _, err := fmt.Sscanf(key, "destination %d", &d); err == nil {
+			by[d] = true
+		}
+	}
+	for _, d := range slices.Sorted(maps.Keys(by)) {
+		p := RateLimit{Destination: d, Own: math.Inf(1), Fleet: math.Inf(1)}
+		for _, q := range v.RateLimits(d) {
+			if share, ok := l.allowances.Share(q.Key, now); ok { // the lowest counts
+				p.Limited = true
+				p.Own = min(p.Own, float64(share.Units)/share.CoolDown.Seconds())
+				p.Fleet = min(p.Fleet, float64(max(q.Units, q.SlowStartUnits))/q.Span.Seconds())
+			}
+		}
+		if !p.Limited {
+			p.Own, p.Fleet = 0, 0
+		}
+		paces = append(paces, p)
+	}
+	return paces
+}
+
+// OnRateLimits has f called, from any goroutine, when paces have changed.
+func (n *Node) OnRateLimits(f func()) {
+	n.quotas.mu.Lock()
+	defer n.quotas.mu.Unlock()
+	n.quotas.onChange = f
+}
+
+// ObserveLimit is that a receiver has told this sender its limit, in calls a second.
+func (n *Node) ObserveLimit(destination uint32, perSecond float64) {
+	if v := n.gate.current(); v != nil {
+		if q, ok := v.Policy.RateLimit(destination); ok && q.Adaptive {
+			n.quotas.allowances.ObserveLimit(q.Key, perSecond, n.cfg.Now())
+		}
+	}
+}
--- a/internal/fleet/transport.go
+++ b/internal/fleet/service.go
@@ -3,21 +3,15 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"sync"
 	"time"
 
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/grpc"
-	"google.golang.org/grpc/backoff"
 	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/credentials/insecure"
-	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
 	"saffronyard.example/saffronyard/internal/replicatedlog"
-	"saffronyard.example/saffronyard/internal/worker"
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
@@ -34,96 +28,6 @@
 	keepaliveTimeout  = 2 * time.Second
 )
 
-// connections are the connections to other voters, by address.
-type connections struct {
-	keys  *keyring
-	mu    sync.Mutex
-	conns map[string]*grpc.ClientConn
-}
-
-func newConnections(keys *keyring) *connections {
-	return &connections{keys: keys, conns: map[string]*grpc.ClientConn{}}
-}
-
-func (w *connections) client(address string) (pb.FleetClient, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	c := w.conns[address]
-	if c == nil {
-		var err error
-		c, err = grpc.NewClient("passthrough:///"+address, append(w.keys.dialOptions(), grpc.WithTransportCredentials(insecure.NewCredentials()),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
-			grpc.WithDisableServiceConfig(), grpc.WithDisableRetry(),
-			grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxConnectBackoff}, MinConnectTimeout: maxConnectBackoff}),
-			grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}))...)
-		if err != nil {
-			return nil, fmt.Errorf("fleet: %s: %w", address, err)
-		}
-		w.conns[address] = c
-	}
-	return pb.NewFleetClient(c), nil
-}
-
-func (w *connections) close() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, c := range w.conns {
-		c.Close()
-	}
-}
-
-// sendLoop keeps a stream to a voter and passes messages on.
-func (n *Node) sendLoop(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) {
-	for ctx.Err() == nil {
-		err := n.sendStream(ctx, name, ring)
-		if ctx.Err() == nil && n.voter != nil {
-			n.voter.Inbox.Offer(replicatedlog.PeerUnreachable{VoterID: replicatedlog.VoterID(name)})
-			n.log.Debug("fleet: a voter can't be reached", "voter", name, "err", err)
-		}
-		select {
-		case <-time.After(heartbeatInterval / 2):
-		case <-ctx.Done():
-		}
-	}
-}
-
-func (n *Node) sendStream(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) error {
-	address := n.address(name)
-	if address == "" {
-		return fmt.Errorf("no address of %s is known", name)
-	}
-	client, err := n.conns.client(address)
-	if err != nil {
-		return err
-	}
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	to, err := client.Raft(ctx)
-	if err != nil {
-		return err
-	}
-	ended := make(chan error, 1)
-	go func() { ended <- to.RecvMsg(&pb.Ack{}) }()
-	for {
-		for _, m := range ring.Take(64) {
-			raw, err := proto.Marshal(m)
-			if err != nil {
-				return err
-			}
-			if err := to.Send(&pb.RaftEnvelope{Cluster: n.cfg.Cluster, From: n.cfg.Name, Incarnation: n.incarnation, ToIncarnation: n.peers.get(name), Message: raw}); err != nil {
-				return <-ended
-			}
-		}
-		select {
-		case <-ring.Ready():
-		case err := <-ended:
-			return err
-		case <-ctx.Done():
-			return ctx.Err()
-		}
-	}
-}
-
 // service is what others ask of this sender.
 type service struct {
 	pb.UnimplementedFleetServer
@@ -271,37 +175,3 @@
 	}
 	return err
 }
-
-// incarnations are the processes of voters whose word counts.
-type incarnations struct {
-	mu      sync.Mutex
-	current map[string]uint64
-}
-
-// set is that a process has said hello.
-func (l *incarnations) set(name string, life uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.current[name] = life
-}
-
-// deliver lets a message in if it is of the process that said hello last, or of the first that is heard if none did. It is in
-// before a hello that comes after it.
-func (l *incarnations) deliver(name string, life uint64, in func()) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if is, known := l.current[name]; !known {
-		l.current[name] = life
-	} else if is != life {
-		return false
-	}
-	in()
-	return true
-}
-
-// get is the process that is known; 0 if none is.
-func (l *incarnations) get(name string) uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.current[name]
-}
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -4,7 +4,6 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"os"
 	"path/filepath"
 
 	bolt "go.etcd.io/bbolt"
@@ -203,62 +202,3 @@
 }
 
 func (s *store) close() error { return s.db.Close() }
-
-// Disk is what a proposal is staged on; tests have one that fails.
-type Disk interface {
-	// Write writes a file whole or not at all, and it is there for good when this returns.
-	Write(path string, data []byte) error
-}
-
-type realDisk struct{}
-
-func (realDisk) Write(path string, data []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-")
-	if err != nil {
-		return err
-	}
-	defer os.Remove(f.Name())
-	if _, err = f.Write(data); err == nil {
-		err = f.Sync()
-	}
-	if err = errors.Join(err, f.Close()); err != nil {
-		return err
-	}
-	if err := os.Rename(f.Name(), path); err != nil {
-		return err
-	}
-	dir, err := os.Open(filepath.Dir(path))
-	if err != nil {
-		return err
-	}
-	return errors.Join(dir.Sync(), dir.Close())
-}
-
-// Vouch notes that the folder of a sender that does not run is the newest: its next process does not wait for the other
-// voters' word. It counts once.
-func Vouch(folder, by string) error {
-	if _, err := os.Stat(filepath.Join(folder, logName)); err != nil {
-		return fmt.Errorf("no voter's folder: %w", err)
-	}
-	s, err := boltfile.Open(filepath.Join(folder, logName), true)
-	if err != nil {
-		return err
-	}
-	if err := s.Close(); err != nil {
-		return err
-	}
-	return realDisk{}.Write(filepath.Join(folder, vouchedName), []byte(by))
-}
-
-// vouched takes an operator's word, once.
-func vouched(folder string) (by string, ok bool, err error) {
-	path := filepath.Join(folder, vouchedName)
-	raw, err := os.ReadFile(path)
-	if errors.Is(err, os.ErrNotExist) {
-		return "", false, nil
-	}
-	if err == nil {
-		err = os.Remove(path)
-	}
-	return string(raw), err == nil, err
-}
--- a/internal/fleetpolicy/coordinator.go
+++ b/internal/fleetpolicy/coordinator.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"time"
 
 	"saffronyard.example/saffronyard/internal/lease"
@@ -64,13 +63,6 @@
 	return o.Id == c.change && c.staged[w] && acts >= o.FreezeIndex
 }
 
-// Clone is a coordinator with the same state, for those who explore what can become of it.
-func (c *Coordinator) Clone() *Coordinator {
-	d := *c
-	d.staged, d.rejections = maps.Clone(c.staged), maps.Clone(c.rejections)
-	return &d
-}
-
 // observe takes notice of a change; older ones are over.
 func (c *Coordinator) observe(change uint64) {
 	if change > c.change {
--- a/internal/fleetpolicy/document.go
+++ b/internal/fleetpolicy/document.go
@@ -7,10 +7,8 @@
 	"cmp"
 	"fmt"
 	"slices"
-	"strings"
 	"time"
 
-	"saffronyard.example/saffronyard/internal/health"
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
@@ -61,25 +59,6 @@
 	maxCutOffGrace   = 24 * time.Hour
 )
 
-// Policy is a document that was checked, as calls are judged by it.
-type Policy struct {
-	document    *Document
-	routes      map[uint32]routeRule
-	suspended   map[string]bool
-	classes     map[string]time.Duration
-	limits      limitIndex
-	healthRules map[uint32]health.Rule
-}
-
-type routeRule struct {
-	closed bool
-	kind   string // of one that is apart
-	to     uint32 // of one that is moved
-}
-
-// Empty is the policy before the first document: all goes as the platform has it.
-func Empty() *Policy { return &Policy{document: &Document{CutOff: cutOffHold}} }
-
 const (
 	cutOffHold     = "hold"
 	cutOffContinue = "go-on"
@@ -174,44 +153,6 @@
 	return p, nil
 }
 
-// Settings are the names of a sender's settings that a policy may use.
-type Settings struct{ Classes, Tenants, Kinds []string }
-
-// CheckSettings says what is wrong with the policy at a sender with these settings: a sender that can't do what it says refuses it, and
-// then it takes hold nowhere.
-func (p *Policy) CheckSettings(s Settings) error {
-	kinds := map[string]bool{}
-	for _, r := range p.routes {
-		if r.kind != "" {
-			kinds[r.kind] = true
-		}
-	}
-	classes, tenants := p.limits.names()
-	return cmp.Or(checkNames("class", slices.Concat(sortedKeys(p.classes), classes), s.Classes), checkNames("tenant", slices.Concat(sortedKeys(p.suspended), tenants), s.Tenants),
-		checkNames("kind", sortedKeys(kinds), s.Kinds))
-}
-
-// checkNames says which name the settings lack.
-func checkNames(what string, names, has []string) error {
-	for _, name := range names {
-		if !slices.Contains(has, name) {
-			return fmt.Errorf("%s %q is not in this sender's settings, which have %s", what, name, quoted(has))
-		}
-	}
-	return nil
-}
-
-func quoted(names []string) string {
-	if len(names) == 0 {
-		return "none"
-	}
-	var all []string
-	for _, n := range names[:min(len(names), 20)] {
-		all = append(all, fmt.Sprintf("%q", n))
-	}
-	return strings.Join(all, ", ")
-}
-
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
@@ -220,107 +161,3 @@
 	slices.Sort(keys)
 	return keys
 }
-
-// Call is what a policy judges: a message and where it goes.
-type Call struct {
-	Destination uint32
-	Tenant      string
-
-	// What limits go by besides; empty where no call is about to be written.
-	Endpoint string
-	Class    string
-	Bytes    int64
-}
-
-// IsOpen reports whether calls for a destination are begun at all.
-func (p *Policy) IsOpen(destination uint32) bool {
-	r, ruled := p.routes[destination]
-	return !ruled || r.kind != ""
-}
-
-// Kind is the kind of a destination that is listed as of another.
-func (p *Policy) Kind(destination uint32, listed string) string {
-	if r, ruled := p.routes[destination]; ruled && r.kind != "" {
-		return r.kind
-	}
-	return listed
-}
-
-// Allows reports whether a call is begun; why is for who is told.
-func (p *Policy) Allows(c Call) (ok bool, why string) {
-	if r, ruled := p.routes[c.Destination]; ruled && r.kind == "" {
-		if r.closed {
-			return false, "the fleet's policy has closed its destination"
-		}
-		return false, fmt.Sprintf("the fleet's policy has moved its destination to %d", r.to)
-	}
-	if p.suspended[c.Tenant] {
-		return false, "the fleet's policy has suspended its tenant"
-	}
-	return true, ""
-}
-
-// MovedTo is where a message for a destination goes that is handed in now.
-func (p *Policy) MovedTo(destination uint32) uint32 {
-	if r, ruled := p.routes[destination]; ruled && !r.closed && r.kind == "" {
-		return r.to
-	}
-	return destination
-}
-
-// MaxDeadline is the bound of a class; 0 if it has none.
-func (p *Policy) MaxDeadline(class string) time.Duration { return p.classes[class] }
-
-// CutOffGrace is for how long a sender without a lease goes on; 0: it holds.
-func (p *Policy) CutOffGrace() time.Duration {
-	if p.document.CutOff == cutOffContinue {
-		return p.document.CutOffGrace.D()
-	}
-	return 0
-}
-
-// Affected is what differs between two policies: the calls that a switch from the one to the other holds up.
-type Affected struct {
-	destinations map[uint32]struct{}
-	tenants      map[string]struct{}
-}
-
-// AffectedBySwitch is what a switch between two policies touches.
-func AffectedBySwitch(a, b *Policy) *Affected {
-	t := &Affected{map[uint32]struct{}{}, map[string]struct{}{}}
-	addDifferences(t.destinations, a.routes, b.routes)
-	addDifferences(t.tenants, a.suspended, b.suspended)
-	return t
-}
-
-func addDifferences[K, V comparable](into map[K]struct{}, a, b map[K]V) {
-	for k, v := range a {
-		if w, ok := b[k]; !ok || v != w {
-			into[k] = struct{}{}
-		}
-	}
-	for k := range b {
-		if _, ok := a[k]; !ok {
-			into[k] = struct{}{}
-		}
-	}
-}
-
-// HasCall reports whether a call is touched.
-func (t *Affected) HasCall(c Call) bool {
-	if t == nil {
-		return false
-	}
-	_, dest := t.destinations[c.Destination]
-	_, tenant := t.tenants[c.Tenant]
-	return dest || tenant
-}
-
-// HasDestination reports whether all calls for a destination are touched.
-func (t *Affected) HasDestination(d uint32) bool {
-	if t == nil {
-		return false
-	}
-	_, is := t.destinations[d]
-	return is
-}
--- /dev/null
+++ b/internal/fleetpolicy/limit_index.go
@@ -0,0 +1,63 @@
+package fleetpolicy
+
+import (
+	"cmp"
+	"slices"
+
+	"saffronyard.example/saffronyard/internal/quota"
+)
+
+// limitIndex are those of a policy, as calls are held against them.
+type limitIndex struct {
+	bySubject map[subject][]quota.Limit
+	shapes    []shape // that occur
+}
+
+// Usages are the units that a call takes of each limit that it is under. Of one that is not about to be written, and goes to no
+// endpoint yet, those of endpoints are missing.
+func (p *Policy) Usages(c Call) (uses []quota.Usage) {
+	for _, is := range p.limits.shapes {
+		for _, l := range p.limits.bySubject[c.subjectOf(is)] {
+			units := int64(1)
+			if l.Kind == quota.Bytes {
+				units = max(1, c.Bytes)
+			}
+			uses = append(uses, quota.Usage{Key: l.Key, Units: units})
+		}
+	}
+	return uses
+}
+
+// Limits are all limits, by key.
+func (p *Policy) Limits() []quota.Limit {
+	var all []quota.Limit
+	for _, ls := range p.limits.bySubject {
+		all = append(all, ls...)
+	}
+	slices.SortFunc(all, func(a, b quota.Limit) int { return cmp.Compare(a.Key, b.Key) })
+	return all
+}
+
+// RateLimit is the limit of calls that a destination is under by itself; ok is false if it is under none. It is what its calls are spread by.
+func (p *Policy) RateLimit(destination uint32) (l quota.Limit, ok bool) {
+	for _, l := range p.limits.bySubject[subject{destination: destination, shape: byDestination}] {
+		if l.Kind == quota.Calls {
+			return l, true
+		}
+	}
+	return quota.Limit{}, false
+}
+
+// names are the classes and tenants that limits name.
+func (ls limitIndex) names() (classes, tenants []string) {
+	c, t := map[string]bool{}, map[string]bool{}
+	for s := range ls.bySubject {
+		if s.class != "" {
+			c[s.class] = true
+		}
+		if s.tenant != "" {
+			t[s.tenant] = true
+		}
+	}
+	return sortedKeys(c), sortedKeys(t)
+}
--- a/internal/fleetpolicy/machine.go
+++ b/internal/fleetpolicy/machine.go
@@ -1,16 +1,11 @@
 package fleetpolicy
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
-	"saffronyard.example/saffronyard/internal/coordinator"
-	"saffronyard.example/saffronyard/internal/health"
-	"saffronyard.example/saffronyard/internal/quota"
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
@@ -154,110 +149,3 @@
 
 // Next is the policy that the open change would put in force; nil if none is open.
 func (m *Machine) Next() *Policy { return m.next }
-
-// View is what a sender goes by at one index of the log. It does not change.
-type View struct {
-	Index      uint64
-	Version    uint64
-	Policy     *Policy
-	OpenChange uint64    // open; 0: none
-	Suspended  *Affected // what that holds up; nil: nothing
-	Unfit      error     // the policy can't be followed here: nothing is begun
-
-	Membership *pb.MembershipState // who takes part in what is shared out by name
-	Health     *pb.HealthState     // that stand here
-	Rank       int                 // of this sender among those that have joined; -1: it has not
-}
-
-// Ownership says who is in charge of what is shared out by name.
-func (v *View) Ownership() *coordinator.Ownership {
-	return coordinator.NewOwnership(v.Membership.GetParticipants())
-}
-
-// View is the state as a sender with these settings goes by it.
-func (m *Machine) View(index uint64, s Settings) *View {
-	v := &View{Index: index, Version: m.state.Version, Policy: m.policy, Unfit: m.policy.CheckSettings(s)}
-	if o := m.state.OpenChange; o != nil {
-		v.OpenChange = o.Id
-		if o.FreezeIndex != 0 {
-			v.Suspended = AffectedBySwitch(m.policy, m.next)
-		}
-	}
-	return v
-}
-
-// Allows reports whether a call is begun under the view; why is for who is told.
-func (v *View) Allows(c Call) (ok bool, why string) {
-	if v.Unfit != nil {
-		return false, "the fleet's policy can't be followed here"
-	}
-	if v.Suspended.HasCall(c) {
-		return false, "a change of the fleet's policy is about to take hold"
-	}
-	if s := health.StatusOf(v.Health, c.Destination, true); s != nil {
-		return false, fmt.Sprintf("%s has suspended its destination", s.Author)
-	}
-	return v.Policy.Allows(c)
-}
-
-// HealthStatuses are those that stand; none of a view that is not known yet.
-func (v *View) HealthStatuses() []*pb.HealthStatus {
-	if v == nil {
-		return nil
-	}
-	return v.Health.GetStatuses()
-}
-
-// IsOpen reports whether calls for a destination are begun at all, as long as nothing changes.
-func (v *View) IsOpen(destination uint32) bool {
-	return v.Policy.IsOpen(destination) && health.StatusOf(v.Health, destination, true) == nil
-}
-
-// healthLimit is the limit that a verdict puts on its destination: one call of the whole fleet now and then while it is out, and few that
-// become more as it comes back.
-func (v *View) healthLimit(destination uint32) (l quota.Limit, ok bool) {
-	is := health.StatusOf(v.Health, destination, false)
-	r, ruled := v.Policy.HealthRule(destination)
-	if is == nil || !ruled {
-		return l, false
-	}
-	l = quota.Limit{Key: fmt.Sprintf("destination %d, probes", destination), Units: 1, Span: r.ProbeInterval, TransitJitter: r.TransitJitter}
-	if health.Kind(is.Kind) == health.KindWarmingUp {
-		l = quota.Limit{Key: fmt.Sprintf("destination %d, return", destination), Units: r.InitialRate, Span: time.Second, TransitJitter: r.TransitJitter, SlowStartUnits: r.FullRate, SlowStartTime: r.SlowStart}
-	}
-	return l, true
-}
-
-// Limits are those of the policy and of verdicts, by key.
-func (v *View) Limits() []quota.Limit {
-	all := v.Policy.Limits()
-	for _, is := range v.Health.GetStatuses() {
-		if l, ok := v.healthLimit(is.Destination); ok && health.Kind(is.Kind) != health.KindSuspended {
-			all = append(all, l)
-		}
-	}
-	slices.SortFunc(all, func(a, b quota.Limit) int { return cmp.Compare(a.Key, b.Key) })
-	return all
-}
-
-// Usages are the units that a call takes of each limit that it is under.
-func (v *View) Usages(c Call) []quota.Usage {
-	uses := v.Policy.Usages(c)
-	if len(v.Health.GetStatuses()) > 0 {
-		if l, ok := v.healthLimit(c.Destination); ok {
-			uses = append(uses, quota.Usage{Key: l.Key, Units: 1})
-		}
-	}
-	return uses
-}
-
-// RateLimits are the limits of calls that a destination is under by itself: what its calls are spread by.
-func (v *View) RateLimits(destination uint32) (all []quota.Limit) {
-	if l, ok := v.Policy.RateLimit(destination); ok {
-		all = append(all, l)
-	}
-	if l, ok := v.healthLimit(destination); ok {
-		all = append(all, l)
-	}
-	return all
-}
--- a/internal/health/verdict.go
+++ b/internal/health/machine.go
@@ -1,13 +1,3 @@
-// Package health is what the fleet holds of a receiver together: that it is out, that it comes back cold, or that a person has suspended
-// it. It is free of I/O and of clocks.
-//
-// Senders tell what they have seen to one of them, which the roster puts in charge of the receiver. It weighs their words, as one
-// whose own line is broken sees every receiver fail, and hands what it finds to the agreed log, from which all hear it in one order. So a
-// verdict and its lifting do not cross, and one that was in charge and is no longer pronounces nothing: the log refuses an epoch
-// that is over. A verdict lapses by itself, at each sender, unless it is said again; a person's does not.
-//
-// What a verdict does is done by limits (package quota): while a receiver is out, one call of the whole fleet goes there now and then; as
-// it comes back, its calls grow from few to its usual ones, shared out to all.
 package health
 
 import (
@@ -21,26 +11,6 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Kind is what a verdict says.
-type Kind uint32
-
-// The sorts.
-const (
-	KindNone      Kind = iota
-	KindEjected        // calls fail, are refused or go unanswered
-	KindWarmingUp      // it serves again since a short while
-	KindSuspended      // a person said so
-)
-
-func (s Kind) String() string {
-	if int(s) < len(kindNames) {
-		return kindNames[s]
-	}
-	return fmt.Sprintf("sort %d", uint32(s))
-}
-
-var kindNames = [...]string{"none", "out", "cold", "suspended"}
-
 const (
 	maxStatuses    = 20_000
 	maxReasonBytes = 500 // bytes of a reason
--- a/internal/quota/lender.go
+++ b/internal/quota/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
 	"saffronyard.example/saffronyard/internal/coordinator"
@@ -30,23 +29,11 @@
 	gracePeriod    func(time.Duration) time.Duration
 }
 
-// activeMembership is a roster and when it began, as this process saw it.
-type activeMembership struct {
-	epoch     uint64
-	ownership *coordinator.Ownership
-	startedAt time.Duration
-}
-
 type observedLimit struct {
 	perSecond  float64
 	observedAt time.Duration
 }
 
-const (
-	maxMemberships   = 64               // that are remembered
-	observedLimitTTL = 30 * time.Minute // a receiver's word is gone by
-)
-
 // NewServer makes one that is in charge of nothing.
 func NewServer(me lease.HolderID, t Terms) *Server {
 	return &Server{me: me, terms: t, limits: map[string]Limit{}, tables: map[string]*GrantTable{}, dailyPools: map[string]*DailyPool{}, observedLimits: map[string]observedLimit{}, slowStartAt: map[string]time.Duration{}, gracePeriod: func(d time.Duration) time.Duration { return d }}
@@ -76,57 +63,6 @@
 	}
 }
 
-// SetMembership takes over who takes part now.
-func (l *Server) SetMembership(s *pb.MembershipState, now time.Duration) {
-	if n := len(l.memberships); n == 0 || l.memberships[n-1].epoch != s.GetEpoch() {
-		if n > 0 && s.GetEpoch() != l.memberships[n-1].epoch+1 {
-			l.memberships = nil // others were in charge meanwhile, of nobody knows what
-		}
-		l.memberships = append(l.memberships, activeMembership{s.GetEpoch(), coordinator.NewOwnership(s.GetParticipants()), now})
-		if n := len(l.memberships) - maxMemberships; n > 0 {
-			l.memberships = slices.Delete(l.memberships, 0, n)
-		}
-		for key := range l.tables {
-			if !l.owns(l.active().ownership, key) {
-				delete(l.tables, key)
-			}
-		}
-		for key := range l.dailyPools {
-			if !l.owns(l.active().ownership, key) {
-				delete(l.dailyPools, key)
-			}
-		}
-	}
-	l.nextOwnership = nil
-	if s.GetNextEpoch() != 0 {
-		l.nextOwnership = coordinator.NewOwnership(s.GetNextParticipants())
-	}
-}
-
-func (l *Server) active() activeMembership { return l.memberships[len(l.memberships)-1] }
-
-func (l *Server) owns(c *coordinator.Ownership, key string) bool {
-	p := c.Owner(key)
-	return p != nil && p.Name == l.me.Name && p.Incarnation == l.me.Incarnation
-}
-
-// ownedSince is from when it has been in charge of a limit without a break, as far as that is known.
-func (l *Server) ownedSince(key string) time.Duration {
-	at := l.active().startedAt
-	for i := len(l.memberships) - 1; i > 0 && l.owns(l.memberships[i-1].ownership, key); i-- {
-		at = l.memberships[i-1].startedAt
-	}
-	return at
-}
-
-// Epoch is of the roster that it goes by.
-func (l *Server) Epoch() uint64 {
-	if len(l.memberships) == 0 {
-		return 0
-	}
-	return l.active().epoch
-}
-
 // Grant answers a holder, by the roster and the limits told last. An error is that it is not for this sender, or not now.
 func (l *Server) Grant(r *pb.QuotaRequest, now time.Duration) (*pb.QuotaReply, error) {
 	if l.Epoch() != r.Epoch || r.ToIncarnation != l.me.Incarnation {
@@ -172,48 +108,6 @@
 	return reply, nil
 }
 
-// Draw is units of a day's quota that the log is asked for.
-type Draw struct {
-	Key    string
-	Epoch  uint64
-	Period int64
-	Units  int64
-	Limit  int64 // in the period
-}
-
-// SetDay begins a day, as this sender's calendar has it. Calendars that differ do no harm: the log lets no day come back.
-func (l *Server) SetDay(day int64) { l.day = max(l.day, day) }
-
-// TakeDraws are those that the log is to be asked for since it was looked last.
-func (l *Server) TakeDraws() []Draw {
-	d := l.draws
-	l.draws = nil
-	return d
-}
-
-// AddDrawn is what the log gave of one.
-func (l *Server) AddDrawn(d Draw, units int64) {
-	if p := l.dailyPools[d.Key]; p != nil && d.Epoch == l.Epoch() {
-		p.AddDrawn(d.Period, units)
-	}
-}
-
-// grantDaily lends of a day's quota.
-func (l *Server) grantDaily(limit Limit, who lease.HolderID, seq uint64, a *pb.QuotaDemand, now time.Duration) (*pb.QuotaGrant, bool) {
-	p := l.dailyPools[limit.Key]
-	if p == nil {
-		p = NewDailyPool(limit, l.terms)
-		l.dailyPools[limit.Key] = p
-	}
-	p.limit = limit
-	p.StartPeriod(l.day)
-	lent, draw, ok := p.Grant(who, Request{Sequence: seq, Held: a.Held, Wanted: a.Wanted, MinUseful: a.MinUseful, Spent: a.Spent}, now)
-	if draw > 0 {
-		l.draws = append(l.draws, Draw{limit.Key, l.Epoch(), p.period, draw, limit.Units})
-	}
-	return &pb.QuotaGrant{Key: limit.Key, Units: lent.Units, DurationUs: lent.Duration.Microseconds(), LimitUnits: limit.Units}, ok
-}
-
 // effectiveLimit is a limit with what its receiver tells, if it is one that learns: the lower of both.
 func (l *Server) effectiveLimit(limit Limit, now time.Duration) Limit {
 	if limit.SlowStartUnits > limit.Units && limit.SlowStartTime > 0 {
@@ -245,29 +139,3 @@
 		}
 	}
 }
-
-// Report is a limit as its authority has it.
-type Report struct {
-	Key            string
-	Limit          Limit
-	Outstanding    int64
-	GraceRemaining time.Duration // left
-	Clients        []ClientReport
-}
-
-// Reports are of the limits that it has a book of, by key.
-func (l *Server) Reports(now time.Duration) []Report {
-	var all []Report
-	for key, b := range l.tables {
-		all = append(all, Report{key, b.limit, b.Outstanding(now), max(0, b.graceUntil-now), b.Clients(now)})
-	}
-	for key, p := range l.dailyPools {
-		out := int64(0)
-		for _, line := range p.Clients(now) {
-			out += line.Units
-		}
-		all = append(all, Report{key, p.limit, out, 0, p.Clients(now)})
-	}
-	slices.SortFunc(all, func(a, b Report) int { return byKey(a.Limit, b.Limit) })
-	return all
-}
--- a/internal/replicatedlog/sim_test.go
+++ b/internal/replicatedlog/cluster_sim_test.go
@@ -74,11 +74,15 @@
 type queue []happening
 
 func (q queue) Len() int { return len(q) }
+
 func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
+
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(happening)) }
+
+func (q *queue) Push(x any) { *q = append(*q, x.(happening)) }
+
 func (q *queue) Pop() any {
 	old := *q
 	h := old[len(old)-1]
@@ -88,17 +92,28 @@
 
 type noLog struct{}
 
-func (noLog) Debug(...any)              {}
-func (noLog) Debugf(string, ...any)     {}
-func (noLog) Info(...any)               {}
-func (noLog) Infof(string, ...any)      {}
-func (noLog) Warning(...any)            {}
-func (noLog) Warningf(string, ...any)   {}
-func (noLog) Error(...any)              {}
-func (noLog) Errorf(string, ...any)     {}
-func (noLog) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+func (noLog) Debug(...any) {}
+
+func (noLog) Debugf(string, ...any) {}
+
+func (noLog) Info(...any) {}
+
+func (noLog) Infof(string, ...any) {}
+
+func (noLog) Warning(...any) {}
+
+func (noLog) Warningf(string, ...any) {}
+
+func (noLog) Error(...any) {}
+
+func (noLog) Errorf(string, ...any) {}
+
+func (noLog) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
+
 func (noLog) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (noLog) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+
+func (noLog) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+
 func (noLog) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
 var _ raft.Logger = noLog{}
@@ -433,135 +448,6 @@
 	})
 }
 
-// Three hundred senders and five voters, clocks 1% wrong and minutes apart: a change takes hold at all, healthy within a second, with a
-// third cut off within a lease and two round trips of when they were; and what that costs each sender.
-func TestThreeHundred(t *testing.T) {
-	s := newSim(t, 1, 5, 300)
-	if !s.run(20*time.Second, func() bool { return s.acting() == 300 }) {
-		t.Fatalf("%d of 300 act", s.acting())
-	}
-	s.run(s.now+5*time.Second, nil)
-	bytes, words, from := s.bytes, s.words, s.now
-	s.run(s.now+9*time.Second, nil)
-	rate := func(n int) float64 { return float64(n) / 300 / (s.now - from).Seconds() }
-	t.Logf("quiet: %.1f bytes and %.2f messages a second for each sender", rate(s.bytes-bytes), rate(s.words-words))
-	everywhere := func(change *uint64, among func(j int) bool) func() bool {
-		return func() bool {
-			for j, c := range s.copies {
-				if *change == 0 || among(j) && c.over[*change] == 0 {
-					return false
-				}
-			}
-			return true
-		}
-	}
-	for n := range uint64(3) {
-		var change uint64
-		began := s.now
-		s.propose(int(n), n, &change)
-		if !s.run(s.now+20*time.Second, everywhere(&change, func(int) bool { return true })) {
-			t.Fatalf("change %d does not take hold", n+1)
-		}
-		t.Logf("healthy: in force everywhere after %v", s.now-began)
-		if s.now-began > time.Second {
-			t.Errorf("healthy it took %v", s.now-began)
-		}
-	}
-	cut := func(j int) bool { return j%3 == 0 }
-	for j := range s.copies {
-		for v := range s.voters {
-			if cut(j) {
-				s.cut[[2]int{len(s.voters) + j, v}], s.cut[[2]int{v, len(s.voters) + j}] = true, true
-			}
-		}
-	}
-	var change uint64
-	began := s.now
-	s.propose(1, 3, &change)
-	if !s.run(s.now+20*time.Second, everywhere(&change, func(j int) bool { return !cut(j) })) {
-		t.Fatal("with a third cut off it does not take hold")
-	}
-	took := s.now - began
-	t.Logf("with a third cut off: in force at the others after %v; a lease is counted for %v", took, s.terms.GranterDuration())
-	if most := s.terms.GranterDuration() + time.Second; took > most {
-		t.Errorf("with a third cut off it took %v, over %v", took, most)
-	}
-	s.cut = map[[2]int]bool{}
-	if !s.run(s.now+20*time.Second, func() bool { return everywhere(&change, func(int) bool { return true })() && s.acting() == 300 }) {
-		t.Error("those that were cut off do not come back")
-	}
-}
-
-// Voters crash, restart and are cut off, messages are lost, copies restart; every change ends everywhere alike, and the promise
-// of check holds at each step.
-func TestFaultsInVirtualTime(t *testing.T) {
-	for seed := range uint64(12) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			t.Parallel()
-			s := newSim(t, seed, 3, 6)
-			s.loss = 0.02
-			var last uint64
-			for round := range 12 {
-				base := uint64(0)
-				for _, c := range s.copies {
-					base = max(base, c.copy.Policy().State().GetVersion())
-				}
-				s.propose(s.rng.IntN(6), base, &last)
-				s.run(s.now+time.Duration(s.rng.Int64N(int64(1500*time.Millisecond))), nil)
-				v := s.rng.IntN(3)
-				switch round % 4 {
-				case 0: // killed, and back from its disk
-					s.voters[v].up = false
-					s.run(s.now+700*time.Millisecond, nil)
-					for s.hello(v) == nil {
-						s.run(s.now+100*time.Millisecond, nil)
-					}
-					s.startVoter(v, s.hello(v))
-				case 1: // one way
-					to := (v + 1 + s.rng.IntN(2)) % 3
-					s.cut[[2]int{v, to}] = true
-					s.run(s.now+2*time.Second, nil)
-					s.cut = map[[2]int]bool{}
-				case 2:
-					s.startCopy(s.rng.IntN(6))
-				case 3: // one off from all
-					j := s.rng.IntN(6)
-					for w := range s.voters {
-						s.cut[[2]int{3 + j, w}], s.cut[[2]int{w, 3 + j}] = true, true
-					}
-					s.run(s.now+4*time.Second, nil)
-					s.cut = map[[2]int]bool{}
-				}
-			}
-			s.loss = 0
-			if !s.run(s.now+60*time.Second, func() bool {
-				for _, c := range s.copies {
-					if c.copy.Policy().State().OpenChange != nil || c.copy.State().Index() != s.copies[0].copy.State().Index() {
-						return false
-					}
-				}
-				return s.acting() == 6
-			}) {
-				t.Fatalf("they do not come to one mind: %d act", s.acting())
-			}
-			want, took := fmt.Sprint(s.copies[0].copy.Policy().State().History), 0
-			for _, c := range s.copies {
-				if got := fmt.Sprint(c.copy.Policy().State().History); got != want {
-					t.Errorf("different pasts:\n%s\n%s", got, want)
-				}
-			}
-			for _, p := range s.copies[0].copy.Policy().State().History {
-				if p.Version > 0 {
-					took++
-				}
-			}
-			if took == 0 {
-				t.Error("no change took hold")
-			}
-		})
-	}
-}
-
 // comeBack starts a voter from its disk once all others answer its hello.
 func (s *sim) comeBack(i int) {
 	heard := s.hello(i)
@@ -571,43 +457,3 @@
 	}
 	s.startVoter(i, heard)
 }
-
-// A voter dies with each of its writes in turn, as it is done or just before, and all that the step would have done behind it is
-// left out: from the first election on to the end of two changes. Both take hold, and the promise holds at each step.
-func TestDiesAtEachWrite(t *testing.T) {
-	points := 0
-	for voter := range 3 {
-		for write := 1; ; write++ {
-			reached := false
-			for _, torn := range []bool{false, true} {
-				s := newSim(t, 5, 3, 3)
-				s.voters[voter].dies, s.voters[voter].torn = write, torn
-				for n := range uint64(2) {
-					var change uint64
-					for tries := 0; ; tries++ {
-						if s.run(s.now+20*time.Second, func() bool { return s.acting() == 3 }); tries > 20 {
-							t.Fatalf("voter %d, write %d, torn %v: change %d is not handed in", voter, write, torn, n+1)
-						}
-						s.propose(int(n), n, &change)
-						if s.run(s.now+10*time.Second, func() bool {
-							for _, c := range s.copies {
-								if c.copy.Policy().State().Version != n+1 {
-									return false
-								}
-							}
-							return true
-						}) {
-							break
-						}
-					}
-				}
-				reached = reached || s.voters[voter].saves >= write
-				points++
-			}
-			if !reached {
-				break
-			}
-		}
-	}
-	t.Logf("%d points", points)
-}
--- a/internal/replicatedlog/hello.go
+++ b/internal/replicatedlog/handshake.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"hash/fnv"
+
+	"go.etcd.io/raft/v3/raftpb"
 )
 
 // A voter that starts does not know whether its folder is the newest: it may be yesterday's, put back by a person or a machine's
@@ -80,3 +82,22 @@
 	}
 	return 1
 }
+
+// StoredLog is what a voter's folder holds.
+type StoredLog struct {
+	HardState *raftpb.HardState
+	ConfState *raftpb.ConfState // if there is no snapshot yet: the first voters
+	Snapshot  *raftpb.Snapshot  // nil: none
+	Entries   []*raftpb.Entry   // behind the snapshot's place in the log, or behind Base
+	BaseIndex uint64            // index before the first of Entries
+	BaseTerm  uint64
+}
+
+// Position is what hello goes by.
+func (s *StoredLog) Position() StoredPosition {
+	f := StoredPosition{Term: s.HardState.GetTerm(), Vote: s.HardState.GetVote(), LastIndex: s.BaseIndex, LastTerm: s.BaseTerm}
+	if n := len(s.Entries); n > 0 {
+		f.LastIndex, f.LastTerm = s.Entries[n-1].GetIndex(), s.Entries[n-1].GetTerm()
+	}
+	return f
+}
--- a/internal/replicatedlog/copy.go
+++ b/internal/replicatedlog/replica.go
@@ -10,51 +10,6 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Events of a Copy.
-type (
-	// LogReceived is a part of the committed log.
-	LogReceived struct{ Chunk *pb.LogChunk }
-	// LeaseGranted is the answer to a question for a lease.
-	LeaseGranted struct {
-		RequestedAt   time.Duration
-		RequiredIndex uint64
-		Duration      time.Duration
-	}
-	// LeaseRequestFailed is that a question got none.
-	LeaseRequestFailed struct{ RequestedAt time.Duration }
-	// ChangeStaged is that a proposal stands on the disk, or can't.
-	ChangeStaged struct {
-		ChangeID uint64
-		Err      error
-	}
-	// Drained is that no call that was begun under a view before this one's waits to be written.
-	Drained struct{ Index uint64 }
-)
-
-// Actions of a Copy.
-type (
-	// StageChange keeps a proposal on the disk; Staged says when it is there.
-	StageChange struct {
-		ChangeID uint64
-		Document []byte
-	}
-	// SendLeaseRequest goes to the one who leads.
-	SendLeaseRequest struct {
-		RequestedAt time.Duration
-		Request     *pb.LeaseRequest
-	}
-	// PublishView is what calls go by from now on; Drained is wanted if Drain is set.
-	PublishView struct {
-		View       *fleetpolicy.View
-		LeaseUntil time.Duration // under a lease to here; in the past or 0: under none
-		Drain      bool
-	}
-	// LeaseExpired is that nothing may be begun any more, for want of a lease.
-	LeaseExpired struct{}
-	// SubmitJoin hands in that this sender belongs to the fleet.
-	SubmitJoin struct{ Command *pb.Join }
-)
-
 // Replica is a sender's own copy of the state, and what it may do by it. Each sender has one, voters too.
 type Replica struct {
 	name        string
@@ -254,44 +209,3 @@
 	c.healthSeenAt = heard
 	return stand
 }
-
-// renewInterval is how often a lease is asked for: three times in its length, so that two answers may be lost.
-func (c *Replica) renewInterval() time.Duration { return c.terms.Duration / 3 }
-
-// requestLease asks for a lease when it is time, or when there is something that a change waits for.
-func (c *Replica) requestLease(now time.Duration) (next time.Duration) {
-	told := [4]uint64{0, c.staged, c.rejectedChange, 0}
-	if s := c.membership.State(); s.NextEpoch != 0 && c.actingIndex >= s.FenceIndex {
-		told[3] = s.FenceIndex
-	}
-	if o := c.policy.State().GetOpenChange(); o != nil && o.FreezeIndex != 0 && c.actingIndex >= o.FreezeIndex {
-		told[0] = o.FreezeIndex
-	} else if o != nil {
-		told[0] = 1
-	}
-	if due := c.requestedAt + c.renewInterval(); c.requestedAt >= 0 && told == c.reported && now < due {
-		return due
-	}
-	c.requestedAt, c.reported = now, told
-	r := &pb.LeaseRequest{Name: c.name, Incarnation: c.incarnation, ActingIndex: c.actingIndex, MaxCommandKind: MaxCommandKind, Address: c.address}
-	if c.staged != 0 {
-		r.Staged = append(r.Staged, &pb.StagedChange{ChangeId: c.staged})
-	}
-	if c.rejectedChange != 0 {
-		r.Staged = append(r.Staged, &pb.StagedChange{ChangeId: c.rejectedChange, Rejection: c.rejection})
-	}
-	c.actions = append(c.actions, SendLeaseRequest{c.holder.Request(now), r})
-	return now + c.renewInterval()
-}
-
-// submitJoin hands in that this sender belongs to the fleet, until the state says so.
-func (c *Replica) submitJoin(now time.Duration) {
-	if m := c.state.Member(c.name); m != nil && (m.MaxCommandKind == MaxCommandKind || m.Removed) || c.state.Index() == 0 {
-		return
-	}
-	if c.joinSubmittedAt >= 0 && now-c.joinSubmittedAt < c.renewInterval() {
-		return
-	}
-	c.joinSubmittedAt = now
-	c.actions = append(c.actions, SubmitJoin{&pb.Join{Name: c.name, MaxCommandKind: MaxCommandKind}})
-}
--- a/internal/worker/duty.go
+++ b/internal/worker/group.go
@@ -4,78 +4,21 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"math"
 	"runtime/debug"
 	"slices"
 	"sync"
 	"time"
 )
 
-// Never is the time of an alarm that does not ring.
-const Never = time.Duration(math.MaxInt64)
-
-// maxEventsPerStep is how many events one step is given: a step is short, however much waits.
-const maxEventsPerStep = 256
-
-// Stepper is what a duty does, free of I/O and clocks.
-type Stepper[E, A any] interface {
-	// Step takes events in and gives what is to be done, in that order, and when it wants to be called at the latest.
-	Step(now time.Duration, events []E) (actions []A, alarm time.Duration)
-}
-
-// Worker is a Stepper with its inbox and what carries out its actions.
-type Worker[E, A any] struct {
-	Name  string
-	Inbox *RingBuffer[E]
-	Stepper[E, A]
-	// Execute carries out an action. It may wait, for a disk say: the duty's own events wait meanwhile, and nobody else's. An error
-	// ends the duty.
-	Execute func(ctx context.Context, a A) error
-
-	wakeAt time.Duration // when it is called at the latest; 0: at once
-}
-
-// Runner is a duty as a group or a scheduler runs it.
-type Runner interface {
-	name() string
-	// runOnce takes one step. worked is whether there was anything to do by then. The clock is read once the events are taken: a process
-	// may stand still anywhere, and what came after it woke must not be judged by the time from before.
-	runOnce(ctx context.Context, clock func() time.Duration) (worked bool, err error)
-	ready() <-chan struct{}
-	wakeTime() time.Duration
-	stats() Stats
-}
-
-func (d *Worker[E, A]) name() string            { return d.Name }
-func (d *Worker[E, A]) ready() <-chan struct{}  { return d.Inbox.Ready() }
-func (d *Worker[E, A]) wakeTime() time.Duration { return d.wakeAt }
-func (d *Worker[E, A]) stats() Stats            { return d.Inbox.Stats() }
-
-func (d *Worker[E, A]) runOnce(ctx context.Context, clock func() time.Duration) (bool, error) {
-	events := d.Inbox.Take(maxEventsPerStep)
-	now := clock()
-	if len(events) == 0 && now < d.wakeAt {
-		return false, nil
-	}
-	var actions []A
-	actions, d.wakeAt = d.Step(now, events)
-	for _, a := range actions {
-		if err := d.Execute(ctx, a); err != nil {
-			return true, err
-		}
-	}
-	return true, nil
-}
-
-// PanicPolicy is what a panic in a duty ends.
-type PanicPolicy uint8
-
 // What a panic ends.
 const (
 	PropagatePanic PanicPolicy = iota // it is passed on: state that others rely on may be half made
 	StopWorker                        // the duty alone; the group says so, and the rest goes on without it
 )
 
+// PanicPolicy is what a panic in a duty ends.
+type PanicPolicy uint8
+
 // Group runs duties. The zero value is of no use; fill in Log and Clock.
 type Group struct {
 	Log            *slog.Logger
@@ -139,49 +82,6 @@
 	}()
 }
 
-func (r *runningWorker) run(ctx context.Context, clock func() time.Duration) (err error) {
-	if r.onPanic == StopWorker {
-		defer func() {
-			if p := recover(); p != nil {
-				err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
-			}
-		}()
-	}
-	timer := time.NewTimer(0)
-	defer timer.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-r.ready():
-		case <-timer.C:
-		}
-		now := clock()
-		r.setStepStart(now)
-		_, err := r.runOnce(ctx, clock)
-		after := clock()
-		r.setStepStart(Never)
-		r.mu.Lock()
-		r.steps++
-		r.longest = max(r.longest, after-now)
-		r.mu.Unlock()
-		if err != nil {
-			return err
-		}
-		if at := r.wakeTime(); at == Never {
-			timer.Stop()
-		} else {
-			timer.Reset(max(0, at-after))
-		}
-	}
-}
-
-func (r *runningWorker) setStepStart(since time.Duration) {
-	r.mu.Lock()
-	r.stepStart, r.stallLogged = since, false
-	r.mu.Unlock()
-}
-
 // watchdog names duties that stall, once a turn.
 func (g *Group) watchdog(done <-chan struct{}) {
 	tick := time.NewTicker(max(time.Millisecond, g.StallThreshold/4))
@@ -246,3 +146,46 @@
 	}
 	return nil
 }
+
+func (r *runningWorker) run(ctx context.Context, clock func() time.Duration) (err error) {
+	if r.onPanic == StopWorker {
+		defer func() {
+			if p := recover(); p != nil {
+				err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
+			}
+		}()
+	}
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-r.ready():
+		case <-timer.C:
+		}
+		now := clock()
+		r.setStepStart(now)
+		_, err := r.runOnce(ctx, clock)
+		after := clock()
+		r.setStepStart(Never)
+		r.mu.Lock()
+		r.steps++
+		r.longest = max(r.longest, after-now)
+		r.mu.Unlock()
+		if err != nil {
+			return err
+		}
+		if at := r.wakeTime(); at == Never {
+			timer.Stop()
+		} else {
+			timer.Reset(max(0, at-after))
+		}
+	}
+}
+
+func (r *runningWorker) setStepStart(since time.Duration) {
+	r.mu.Lock()
+	r.stepStart, r.stallLogged = since, false
+	r.mu.Unlock()
+}
--- a/internal/worker/ring.go
+++ b/internal/worker/ring_buffer.go
@@ -1,6 +1,3 @@
-// Package worker runs parts of the sender beside its loop: each duty is a goroutine that owns its state, and duties are joined
-// by bounded rings. What a duty does is a pure step from events to actions; its runner owns the clock and the I/O. Tests run the
-// same steps one by one, in an order that a seed draws.
 package worker
 
 import (
