--- a/internal/tier/controlplane/assignment.go
+++ b/internal/tier/controlplane/assignment.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"maps"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
@@ -9,56 +10,57 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// partitionCount is the number of partitions, fixed when the map is first made. It is a multiple of what a few turn stores
-// share evenly, and small enough for the map to be pushed whole.
+// partitionCount is the number of partitions, fixed when the map is first made. A few turn stores share it evenly, and it is
+// small enough for the whole map to be pushed to each session.
 const partitionCount = 32
 
-// concurrentMoveDivisor is the part of the partitions that move, or change their primary, at a time.
+// concurrentMoveDivisor divides the number of partitions: so many may move, or change their primary, at a time.
 const concurrentMoveDivisor = 8
 
-// FaultTolerance tells how many copies there are beside the primary, and what they must not share.
+// FaultTolerance tells how many replicas there are beside the primary, and what they must not share.
 type FaultTolerance struct {
-	Losses int                            // to be borne at once
-	Domain func(*tierv1.StoreNode) string // what is lost as one
+	Losses int                            // simultaneous losses to be tolerated: each partition has so many backups
+	Domain func(*tierv1.StoreNode) string // the failure domain of a turn store: what is lost as one
 }
 
-// faultToleranceOf derives the spread from the losses to be borne.
+// faultToleranceOf derives the fault tolerance from the settings. The widest failure domain of which any may be lost counts.
 func faultToleranceOf(s settings.Settings) FaultTolerance {
-	d := func(k *tierv1.StoreNode) string { return k.Node }
+	domain := func(store *tierv1.StoreNode) string { return store.Node }
 	switch {
 	case s.LoseRegions > 0:
-		d = func(k *tierv1.StoreNode) string { return k.Region }
+		domain = func(store *tierv1.StoreNode) string { return store.Region }
 	case s.LoseZones > 0:
-		d = func(k *tierv1.StoreNode) string { return k.Zone }
+		domain = func(store *tierv1.StoreNode) string { return store.Zone }
 	}
-	return FaultTolerance{Losses: s.Losses(), Domain: d}
+	return FaultTolerance{Losses: s.Losses(), Domain: domain}
 }
 
-// Report is a turn store's report, From by its folder, that a copy holds all that was acknowledged, synced on its disk.
+// Report is the report of a partition's primary that a replica has all that was acknowledged, synced on its disk.
 type Report struct {
-	From    string
+	From    string // folder of the primary
 	Replica *tierv1.SyncedReplica
 }
 
-// Input is what the partition map is made from, beside the map before.
+// Input is what Assign makes the partition map from, beside the map before.
 type Input struct {
 	FaultTolerance
-	Alive           map[string]*tierv1.StoreNode // by folder; those whose disk is not sound are not among them
-	Draining        map[string]bool              // of these: SIGTERM was heard
+	Alive           map[string]*tierv1.StoreNode // by folder; without those whose disk is not sound
+	Draining        map[string]bool              // by folder: those that have been asked to shut down
 	Reports         []Report
-	Slow            map[uint32]bool // partitions with a copy under way for longer than usual
-	Stalled         map[uint32]bool // of these: it is time to try other turn stores
-	RecentlyExpired map[string]bool // folders of turn stores whose sessions lapsed less than the wait (reducePart) ago
-	GraceOver       bool            // whoever is not alive is lost; else it may only not have come yet
+	Slow            map[uint32]bool // partitions with a replica that has been syncing for longer than usual
+	Stalled         map[uint32]bool // of these: other turn stores are to be tried
+	RecentlyExpired map[string]bool // folders of turn stores whose sessions expired less than the wait of lostReplicaWaitDivisor ago
+	GraceOver       bool            // who is not alive is lost; before, it may only not have come yet
 	MayCreate       bool            // the first map may be made
-	MayMove         bool            // copies and primaries may move only to make shares even
-	RequiredMoves   int             // partitions that have to move at a time for orders to retire to end in time (retirePace)
+	MayMove         bool            // replicas and primaries may move for the sake of balance alone
+	RequiredMoves   int             // partitions that have to move at a time for orders to retire to be done in time, see requiredMoves
 }
 
-// Assign brings the partition map in line with the turn stores that are alive, and tells whether anything changed. It is pure:
-// the map before is not modified. It gives up no copy that may be the last of what was acknowledged: only a synced copy becomes
-// primary, and no synced copy is dropped in favour of an unsynced one, unless its disk is gone or its turn store is lost
-// and the losses are within Spread.Losses. Each change of a partition's primary or backups raises its epoch by one.
+// Assign brings the partition map in line with the turn stores that are alive, and tells whether anything changed. It is
+// pure, and does not modify the map before. It gives up no replica that may be the last with what was acknowledged: only a
+// synced replica becomes primary, and no synced replica is dropped in favour of an unsynced one, unless its disk is gone, or
+// its turn store is lost and the losses are within FaultTolerance.Losses. Each change of a partition's primary or backups
+// raises its epoch by one.
 func Assign(before *tierv1.PartitionMap, in Input) (after *tierv1.PartitionMap, changed bool) {
 	m := &tierv1.PartitionMap{}
 	if before != nil {
@@ -97,8 +99,8 @@
 	return m, true
 }
 
-// advanceEpoch raises the epoch of a partition whose primary or backups have changed, and notes in it from which epoch on each
-// copy under way has been a member.
+// advanceEpoch raises the epoch of a partition whose primary or backups have changed, and records from which epoch on each
+// replica that is being synced has been a backup.
 func advanceEpoch(p, before *tierv1.Partition) {
 	if !sameReplicas(p, before) {
 		p.Epoch = before.Epoch + 1
@@ -116,26 +118,28 @@
 	}
 }
 
+// sameReplicas tells whether a partition has the same primary and backups, and no new recovery.
 func sameReplicas(a, b *tierv1.Partition) bool {
 	if len(a.RecoverFrom) > 0 && !slices.Equal(a.RecoverFrom, b.RecoverFrom) {
-		return false // the primary begins its term anew
+		return false // the primary has to recover
 	}
 	return a.Primary == b.Primary && slices.EqualFunc(a.Backups, b.Backups, func(x, y *tierv1.Replica) bool { return x.Folder == y.Folder })
 }
 
-// assignment is one run of Assign.
+// assignment is one run of Assign. Its methods change m.
 type assignment struct {
 	Input
 	m             *tierv1.PartitionMap
 	storeNodes    map[string]*tierv1.StoreNode // by folder
-	replaced      map[string]bool              // folders whose node has another one now
-	surplusBefore map[*tierv1.Partition]string // of those that had one copy too many, before reports were taken
-	slowTargets   map[string]int               // by folder: copies under way there in slow partitions
-	slowSources   map[string]int               // by folder: slow partitions that it is the primary of
-	lostDomains   int                          // domains with a lost turn store that has copies
+	replaced      map[string]bool              // folders whose node has another one now: their disks are lost
+	surplusBefore map[*tierv1.Partition]string // the replica to be dropped of those that had one too many before the reports
+	slowTargets   map[string]int               // by folder: replicas being synced there in slow partitions
+	slowSources   map[string]int               // by folder: slow partitions whose primary is there
+	lostDomains   int                          // failure domains with a lost turn store that has replicas and may return
 }
 
-// observeNodes takes in turn stores that are new, or whose address is, and finds the folders that were replaced.
+// observeNodes adds turn stores that are new to the map, updates those whose address has changed, and finds the folders that
+// were replaced.
 func (a *assignment) observeNodes() {
 	a.storeNodes, a.replaced = map[string]*tierv1.StoreNode{}, map[string]bool{}
 	nodes := map[string]string{}
@@ -153,7 +157,7 @@
 		}
 		a.storeNodes[one.Folder] = one
 	}
-	for _, folder := range sortedKeys(a.Alive) {
+	for _, folder := range slices.Sorted(maps.Keys(a.Alive)) {
 		if a.storeNodes[folder] == nil {
 			one := proto.Clone(a.Alive[folder]).(*tierv1.StoreNode)
 			a.storeNodes[folder] = one
@@ -162,7 +166,7 @@
 	}
 }
 
-// applyReports marks copies that the partition's primary has reported synced in this epoch.
+// applyReports marks replicas as synced that the partition's primary has reported so in this epoch.
 func (a *assignment) applyReports() {
 	for _, r := range a.Reports {
 		if int(r.Replica.Partition) >= len(a.m.Partitions) {
@@ -174,12 +178,12 @@
 		}
 		if c := findBackup(p, r.Replica.Folder); c != nil {
 			c.Synced, c.Since = true, 0
-			p.RecoverFrom, p.AcknowledgedUntil = nil, 0 // it reports copies only when it has recovered
+			p.RecoverFrom, p.AcknowledgedUntil = nil, 0 // it reports replicas only when it has recovered
 		}
 	}
 }
 
-// recordSurplus notes which copies are to be dropped: their successors may be reported synced in this run.
+// recordSurplus records which replicas are to be dropped: their successors may be marked synced in this run.
 func (a *assignment) recordSurplus() {
 	a.surplusBefore = map[*tierv1.Partition]string{}
 	for _, p := range a.m.Partitions {
@@ -189,7 +193,8 @@
 	}
 }
 
-// createFirstMap makes the first map. All copies are whole, as they are empty.
+// createFirstMap makes the first map, and returns false where there are too few turn stores. All replicas are synced, as they
+// are empty.
 func (a *assignment) createFirstMap() bool {
 	n := 0
 	for folder := range a.Alive {
@@ -210,7 +215,7 @@
 			}
 		}
 	}
-	for range partitionCount * partitionCount { // as moves would make it even, but at once
+	for range partitionCount * partitionCount { // as moves would balance it, but at once
 		before := proto.Clone(a.m).(*tierv1.PartitionMap)
 		a.rebalance()
 		a.recordSurplus()
@@ -227,7 +232,7 @@
 	return true
 }
 
-// pruneNodes drops store nodes without a copy whose folder was replaced, or that are lost after they were emptied.
+// pruneNodes drops turn stores without a replica whose folder was replaced, or that are lost after they were emptied.
 func (a *assignment) pruneNodes() {
 	used := map[string]bool{}
 	for _, p := range a.m.Partitions {
--- a/internal/tier/controlplane/change_history.go
+++ b/internal/tier/controlplane/change_history.go
@@ -3,19 +3,18 @@
 import (
 	"crypto/sha256"
 	"encoding/binary"
+	"fmt"
 	"slices"
 	"strconv"
-
-	"github.com/joomcode/errorx"
 )
 
-// Bounds of the order history. A record takes at most orderRecordBytes in the control state and in each copy of it.
+// Bounds of the change history. A record takes at most maxChangeRecordBytes in the control state and in each replica of it.
 const (
-	// maxChangeRecords lets an order be sent again after 2,047 others were taken on top of it. The longest day that is
+	// maxChangeRecords lets a change be repeated after 2,047 others were accepted on top of it. The longest day that is
 	// known of holds 1,700 changes.
 	maxChangeRecords = 2048
-	// maxChangeHistoryBytes bounds what a copy of the whole state carries beside the configuration, as a new backup waits for
-	// that copy before it counts.
+	// maxChangeHistoryBytes bounds what a snapshot of the state carries beside the configuration, as a new backup waits for
+	// a snapshot before it counts.
 	maxChangeHistoryBytes = 256 << 10
 	// maxChangeRecordBytes is the largest size of one record on the wire and on disk: key, value, sequence and framing.
 	maxChangeRecordBytes = 80
@@ -23,55 +22,67 @@
 	changeHistoryLimit = min(maxChangeRecords, maxChangeHistoryBytes/maxChangeRecordBytes)
 )
 
-// keyChangePrefix begins the key of an order's record; the revision follows in decimal.
-const keyChangePrefix = "order/"
-
-// digestBytes is how much of a SHA-256 an order is known by: 128 bits, so that no two bodies are taken for each other.
+// digestBytes is how much of a SHA-256 identifies a change: 128 bits, so that no two bodies are taken for each other.
 const digestBytes = 16
 
+// bodyDigest identifies the body of a change.
 type bodyDigest [digestBytes]byte
 
+// digestOf returns the digest of a body.
 func digestOf(body []byte) bodyDigest {
 	sum := sha256.Sum256(body)
 	return bodyDigest(sum[:digestBytes])
 }
 
-// configurationChange is an operator's order to replace the configuration, as far as the decision on it needs it.
+// configurationChange is an operator's request to replace the configuration, as far as the decision on it needs it.
 //
-// One that is taken is recorded. Its record is written in the same step as the configuration, and so is in every copy and
-// snapshot that has the configuration or a later one.
+// An accepted change is recorded, so that a repeated request is acknowledged again (idempotency). The record is written in
+// one step with the configuration, and so is in every replica and snapshot that has the configuration or a later one.
 type configurationChange struct {
 	revision     int64 // of the configuration that it brings
 	baseRevision int64 // the revision that it builds on; of a record: the revision of the record before
 	digest       bodyDigest
 }
 
+// changeKey returns the key of the record of a change.
 func changeKey(revision int64) string { return keyChangePrefix + strconv.FormatInt(revision, 10) }
 
-// encode gives the value of an order's record: eight bytes of base, big-endian, then the digest.
-func (order configurationChange) encode() []byte {
-	return append(binary.BigEndian.AppendUint64(nil, uint64(order.baseRevision)), order.digest[:]...)
+// encode returns the value of the change's record: eight bytes of base revision, big-endian, then the digest.
+func (change configurationChange) encode() []byte {
+	return append(binary.BigEndian.AppendUint64(nil, uint64(change.baseRevision)), change.digest[:]...)
+}
+
+// damagedRecordError says that the control state has a record that no version of this program writes.
+type damagedRecordError struct {
+	revision int64
+	problem  string
+}
+
+// Error implements error.
+func (err damagedRecordError) Error() string {
+	return fmt.Sprintf("change record of revision %d %s", err.revision, err.problem)
 }
 
+// decodeChange reads the value of a record. The error is a damagedRecordError.
 func decodeChange(revision int64, value []byte) (configurationChange, error) {
 	if len(value) != 8+digestBytes {
-		return configurationChange{}, errorx.IllegalFormat.New("order record of revision %d has %d bytes", revision, len(value))
+		return configurationChange{}, damagedRecordError{revision, fmt.Sprintf("has %d bytes", len(value))}
 	}
-	order := configurationChange{revision: revision, baseRevision: int64(binary.BigEndian.Uint64(value)), digest: bodyDigest(value[8:])}
-	if order.baseRevision >= revision {
-		return configurationChange{}, errorx.IllegalFormat.New("order record of revision %d builds on %d", revision, order.baseRevision)
+	change := configurationChange{revision: revision, baseRevision: int64(binary.BigEndian.Uint64(value)), digest: bodyDigest(value[8:])}
+	if change.baseRevision >= revision {
+		return configurationChange{}, damagedRecordError{revision, fmt.Sprintf("builds on revision %d", change.baseRevision)}
 	}
-	return order, nil
+	return change, nil
 }
 
-// changeHistory holds the newest orders that were taken, oldest first, without a gap: each builds on the one before. It is
-// never changed, only replaced.
+// changeHistory holds the newest accepted changes, oldest first, without a gap: each builds on the one before. It is
+// immutable.
 type changeHistory struct {
 	current int64 // revision in force, 0 without a configuration
 	records []configurationChange
 }
 
-// startRevision is the revision before the oldest record: of all that was taken above it there is a record.
+// startRevision returns the revision before the oldest record: all that was accepted above it has a record.
 func (h changeHistory) startRevision() int64 {
 	if len(h.records) == 0 {
 		return h.current
@@ -79,59 +90,59 @@
 	return h.records[0].baseRevision
 }
 
-// decision is the decision on an order.
+// decision is what becomes of a change.
 type decision int
 
 const (
-	// verdictTake: it builds on the revision in force and is to be written.
+	// decisionAccept: it builds on the revision in force and is to be written.
 	decisionAccept decision = iota
-	// verdictTaken: this very configuration was taken before.
+	// decisionAlreadyAccepted: this very configuration was accepted before.
 	decisionAlreadyAccepted
-	// verdictConflict: it was not taken and never can be, as another revision than its base is in force.
+	// decisionConflict: it was not accepted and never can be, as another revision than its base is in force.
 	decisionConflict
-	// verdictNotAbove: it builds on the revision in force, but its own is not above that; it never can be taken.
+	// decisionNotNewer: it builds on the revision in force, but its own is not above that; it never can be accepted.
 	decisionNotNewer
-	// verdictTooLarge: it was not taken, as the control state would become too large with it.
+	// decisionStateTooLarge: it was not written, as the control state would become too large with it.
 	decisionStateTooLarge
-	// verdictForgotten: it is so old that it may have been taken before the history begins.
+	// decisionTooOld: it is so old that it may have been accepted before the history begins.
 	decisionTooOld
 )
 
-// decide tells what becomes of an order. An order is known by its body: the same body is the same configuration, whatever
-// base it names, so that it is acknowledged again as often as it is sent.
+// decide returns what becomes of a change. A change is identified by its body: the same body is the same configuration,
+// whatever base it names, so that it is acknowledged again as often as it is repeated.
 //
-// Revisions only rise, so an order that is not in the history can have been taken only at or below spanStart.
-func (h changeHistory) decide(order configurationChange) decision {
-	for i := len(h.records) - 1; i >= 0; i-- { // the newest are asked for again most often
-		if h.records[i].digest == order.digest {
+// Revisions only rise, so a change that is not in the history can have been accepted only at or below startRevision.
+func (h changeHistory) decide(change configurationChange) decision {
+	for i := len(h.records) - 1; i >= 0; i-- { // the newest are repeated most often
+		if h.records[i].digest == change.digest {
 			return decisionAlreadyAccepted
 		}
 	}
 	switch {
-	case order.baseRevision == h.current && order.revision > h.current:
+	case change.baseRevision == h.current && change.revision > h.current:
 		return decisionAccept
-	case order.baseRevision == h.current:
-		return decisionNotNewer // no order whose revision is not above its base is ever taken
-	case order.revision <= h.startRevision():
+	case change.baseRevision == h.current:
+		return decisionNotNewer // no change whose revision is not above its base is ever accepted
+	case change.revision <= h.startRevision():
 		return decisionTooOld
 	default:
 		return decisionConflict
 	}
 }
 
-// accept gives the history with an order on top, and the changes to the control state that go with the configuration.
-func (h changeHistory) accept(order configurationChange) (changeHistory, map[string][]byte) {
-	sets := map[string][]byte{changeKey(order.revision): order.encode()}
+// accept returns the history with a change on top, and the writes to the control state that go with the configuration.
+func (h changeHistory) accept(change configurationChange) (changeHistory, map[string][]byte) {
+	sets := map[string][]byte{changeKey(change.revision): change.encode()}
 	records := h.records
 	for len(records) >= changeHistoryLimit {
 		sets[changeKey(records[0].revision)] = nil
 		records = records[1:]
 	}
-	return changeHistory{current: order.revision, records: append(slices.Clone(records), order)}, sets
+	return changeHistory{current: change.revision, records: append(slices.Clone(records), change)}, sets
 }
 
-// loadChangeHistory reads the history of a configuration back from the control state, from the newest order to the oldest. Each
-// record leads to the one before by its base.
+// loadChangeHistory reads the history of a configuration from the control state, from the newest change to the oldest: each
+// record leads to the one before by its base revision. The error is a damagedRecordError.
 func loadChangeHistory(revision int64, body []byte, get func(key string) ([]byte, uint64)) (changeHistory, error) {
 	h := changeHistory{current: revision}
 	for at := revision; at > 0 && len(h.records) < changeHistoryLimit; {
@@ -139,16 +150,16 @@
 		if value == nil {
 			break
 		}
-		r, err := decodeChange(at, value)
+		record, err := decodeChange(at, value)
 		if err != nil {
 			return changeHistory{}, err
 		}
-		h.records = append(h.records, r)
-		at = r.baseRevision
+		h.records = append(h.records, record)
+		at = record.baseRevision
 	}
 	slices.Reverse(h.records)
 	if len(h.records) == 0 && revision > 0 {
-		// A program that kept no records wrote it. That it was taken is known, what it built on is not.
+		// Written by a version that kept no records: that it was accepted is known, what it built on is not.
 		h.records = []configurationChange{{revision: revision, baseRevision: revision, digest: digestOf(body)}}
 	}
 	return h, nil
--- a/internal/tier/controlplane/compression.go
+++ b/internal/tier/controlplane/compression.go
@@ -10,11 +10,11 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// compressThreshold is the encoded size, in bytes, from which a list of endpoints is packed for sessions.
+// compressThreshold is the encoded size, in bytes, from which an endpoint list is compressed for sessions.
 const compressThreshold = 4 << 10
 
-// compressedEndpoints is a list of endpoints as sessions get it. It is made when the first session needs it, and once for all:
-// a changed list goes to all sessions at the same time, and to encode a long one for each of them would overload the primary.
+// compressedEndpoints is an endpoint list as sessions get it. It is compressed when the first session needs it, and once for
+// all: a changed list goes to all sessions at the same time, and to encode a long one for each would overload the primary.
 type compressedEndpoints struct {
 	full *tierv1.Endpoints
 
@@ -22,50 +22,55 @@
 	compressed *tierv1.Endpoints
 }
 
-// endpointsFor gives the list as the caller can read it.
-func (v *view) endpointsFor(req *tierv1.WatchRequest) *tierv1.Endpoints {
-	if !req.AcceptsPackedEndpoints {
-		return v.endpoints
-	}
-	return v.compressedEndpoints.get()
+// get returns the list with its entries compressed, or as it is where it is short.
+func (list *compressedEndpoints) get() *tierv1.Endpoints {
+	list.once.Do(func() { list.compressed = compressEndpoints(list.full) })
+	return list.compressed
 }
 
-func (p *compressedEndpoints) get() *tierv1.Endpoints {
-	p.once.Do(func() { p.compressed = compressEndpoints(p.full) })
-	return p.compressed
+// endpointsFor returns the list in the form that the caller can read.
+func (state *publishedState) endpointsFor(req *tierv1.WatchRequest) *tierv1.Endpoints {
+	if !req.AcceptsPackedEndpoints {
+		return state.endpoints
+	}
+	return state.compressedEndpoints.get()
 }
 
-// compressEndpoints gives a list with its entries compressed, or the list itself where it is short or can't be packed.
+// compressEndpoints returns a list with its entries compressed, or the list itself where it is short or can't be compressed.
 func compressEndpoints(full *tierv1.Endpoints) *tierv1.Endpoints {
 	body, err := proto.Marshal(&tierv1.Endpoints{List: full.List})
 	if err != nil || len(body) < compressThreshold {
 		return full
 	}
-	var b bytes.Buffer
-	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
+	packed, err := compress(body)
 	if err != nil {
 		return full
 	}
-	if _, err := w.Write(body); err != nil {
-		return full
-	}
-	if err := w.Close(); err != nil {
+	return &tierv1.Endpoints{Version: full.Version, Packed: packed}
+}
+
+// compressConfiguration returns a configuration as sessions get it: compressed where that is shorter. Routes are much alike,
+// and all sessions get it at each change.
+func compressConfiguration(full *tierv1.Configuration) *tierv1.Configuration {
+	packed, err := compress(full.Body)
+	if err != nil || len(packed) >= len(full.Body) {
 		return full
 	}
-	return &tierv1.Endpoints{Version: full.Version, Packed: b.Bytes()}
+	return &tierv1.Configuration{Version: full.Version, Packed: packed}
 }
 
-// compressConfiguration gives a configuration as sessions get it. Routes are much alike, and all sessions take it at each change.
-func compressConfiguration(c *tierv1.Configuration) *tierv1.Configuration {
-	var b bytes.Buffer
-	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
-	if err == nil {
-		if _, err = w.Write(c.Body); err == nil {
-			err = w.Close()
-		}
+// compress returns a body in gzip's format (RFC 1952).
+func compress(body []byte) ([]byte, error) {
+	var compressed bytes.Buffer
+	writer, err := gzip.NewWriterLevel(&compressed, gzip.BestSpeed)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := writer.Write(body); err != nil {
+		return nil, err
 	}
-	if err != nil || b.Len() >= len(c.Body) {
-		return c
+	if err := writer.Close(); err != nil {
+		return nil, err
 	}
-	return &tierv1.Configuration{Version: c.Version, Packed: b.Bytes()}
+	return compressed.Bytes(), nil
 }
--- a/internal/tier/controlplane/configuration.go
+++ b/internal/tier/controlplane/configuration.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net/http"
 	"strconv"
 	"strings"
@@ -12,6 +13,10 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
+// acknowledgementCheckInterval is how often the wait for acknowledgements looks for sessions that have expired.
+const acknowledgementCheckInterval = 50 * time.Millisecond
+
+// replaceConfiguration serves Configuration.Replace.
 func (plane *ControlPlane) replaceConfiguration(w http.ResponseWriter, r *http.Request) response {
 	body, err := readBody(w, r, plane.configurationSizeLimit())
 	begun := time.Now()
@@ -26,31 +31,37 @@
 		return errorResponse(http.StatusBadRequest, "X-Base-Revision is no number")
 	}
 	table, err := routing.Parse(body)
-	if err != nil { // also where its base is not the current one: it never becomes valid
+	if err != nil { // also where its base is not the current revision: it never becomes valid
 		return errorResponse(http.StatusBadRequest, err.Error())
 	}
-	// What was begun is ended even if the caller has gone: its next try finds out.
+	// What was begun is completed even if the caller has gone: its next attempt finds out.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), begun.Add(operatorWriteTimeout))
 	defer cancel()
-	order := configurationChange{revision: table.Revision, baseRevision: base, digest: digestOf(body)}
-	version, a, ok := plane.applyChange(ctx, order, body)
+	change := configurationChange{revision: table.Revision, baseRevision: base, digest: digestOf(body)}
+	version, result, ok := plane.applyChange(ctx, change, body)
 	if !ok {
 		return plane.redirectToPrimary(r)
 	}
-	if a.status == http.StatusOK {
+	if result.status == http.StatusOK {
 		plane.awaitAcknowledgements(version, begun)
 	}
-	return a
+	return result
+}
+
+// configurationSizeLimit returns the largest body of a configuration, in bytes, that this process accepts.
+func (plane *ControlPlane) configurationSizeLimit() int64 {
+	byMemory := int64(plane.Settings.MemoryMB) << 20 / configurationMemoryDivisor
+	return min(max(minConfigurationLimit, byMemory), maxConfigurationLimit)
 }
 
-// applyChange decides on an order and carries it out. It gives the answer, and the version of the configuration that
-// gateways are to acknowledge before a 200; ok is false where this process is not the primary.
-func (plane *ControlPlane) applyChange(ctx context.Context, order configurationChange, body []byte) (version uint64, a response, ok bool) {
-	verdict, v, err := plane.decideAndWriteChange(ctx, order, body)
-	if err == nil && verdict != decisionAccept {
-		// A primary that was deposed must neither refuse what has been taken by its successor, nor acknowledge what its
-		// successor does not have. The view was read before the round trip begins, and all that was acknowledged is in it.
-		if plane.barrier.wait(ctx, v.epoch) != nil {
+// applyChange decides on a change and writes it. It returns the response, and the version of the configuration that
+// gateways are to acknowledge before a 200 is sent; ok is false where this process is not the primary.
+func (plane *ControlPlane) applyChange(ctx context.Context, change configurationChange, body []byte) (version uint64, result response, ok bool) {
+	decided, state, err := plane.decideAndWriteChange(ctx, change, body)
+	if err == nil && decided != decisionAccept {
+		// A primary that was deposed must neither reject what its successor has accepted, nor acknowledge what its successor
+		// does not have. The state was read before the round trip begins, and all that was acknowledged is in it.
+		if plane.barrier.wait(ctx, state.epoch) != nil {
 			err = errUnconfirmed
 		}
 	}
@@ -60,48 +71,47 @@
 	case err != nil:
 		return 0, unavailableResponse(err.Error()), true
 	}
-	current := strconv.FormatInt(v.changes.current, 10)
-	switch verdict {
+	if (decided == decisionAccept || decided == decisionAlreadyAccepted) && change.revision == state.changes.current {
+		version = state.configuration.Version
+	}
+	return version, decided.response(change, state.changes.current), true
+}
+
+// response returns the response to a change that was decided on while a revision was in force.
+func (d decision) response(change configurationChange, current int64) response {
+	switch d {
 	case decisionAccept, decisionAlreadyAccepted:
-		if order.revision == v.changes.current {
-			version = v.configuration.Version
-		}
-		return version, revisionResponse(order), true
+		return okResponse(revisionBody{Revision: change.revision})
 	case decisionConflict:
-		return 0, errorResponse(http.StatusPreconditionFailed, "the current revision is "+current), true
+		return errorResponse(http.StatusPreconditionFailed, fmt.Sprintf("the current revision is %d", current))
 	case decisionNotNewer:
-		return 0, errorResponse(http.StatusBadRequest, "revision is not above the current one, "+current), true
+		return errorResponse(http.StatusBadRequest, fmt.Sprintf("revision is not above the current one, %d", current))
 	case decisionStateTooLarge:
-		return 0, errorResponse(http.StatusRequestEntityTooLarge, errStateTooLarge.Error()), true
-	default:
-		return 0, unavailableResponse("older than the orders that are remembered; the current revision is " + current), true
+		return errorResponse(http.StatusRequestEntityTooLarge, errStateTooLarge.Error())
+	default: // decisionTooOld: whether it was accepted is not known any more
+		return unavailableResponse(fmt.Sprintf("older than the orders that are remembered; the current revision is %d", current))
 	}
 }
 
-// configurationSizeLimit is the largest body of a configuration, in bytes, that this process takes.
-func (plane *ControlPlane) configurationSizeLimit() int64 {
-	ofMemory := int64(plane.Settings.MemoryMB) << 20 / configurationMemoryDivisor
-	return min(max(minConfigurationLimit, ofMemory), maxConfigurationLimit)
+// revisionBody is the body of the response to a change that was accepted.
+type revisionBody struct {
+	Revision int64 `json:"revision"`
 }
 
-// decideAndWriteChange decides on an order, and writes it if it is the next, in one step with the decision. It gives the view that
-// was decided on; with verdictTake, which says that it was written, the view that has it.
-func (plane *ControlPlane) decideAndWriteChange(ctx context.Context, order configurationChange, body []byte) (decision, *view, error) {
-	decide := func(v *view) decision { return v.changes.decide(order) }
-	write := func(ctx context.Context, v *view) (decision, *view, error) {
-		return plane.writeConfiguration(ctx, v, order, body)
+// decideAndWriteChange decides on a change, and writes it if it is the next, in one step with the decision. It returns the
+// state that the decision was based on; with decisionAccept, which says that it was written, the state that has it.
+func (plane *ControlPlane) decideAndWriteChange(ctx context.Context, change configurationChange, body []byte) (decision, *publishedState, error) {
+	decide := func(state *publishedState) decision { return state.changes.decide(change) }
+	write := func(ctx context.Context, state *publishedState) (decision, *publishedState, error) {
+		return plane.writeConfiguration(ctx, state, change, body)
 	}
 	return decideAndWrite(ctx, plane, decisionAccept, decide, write)
 }
 
-func revisionResponse(order configurationChange) response {
-	return okResponse(map[string]int64{"revision": order.revision})
-}
-
-// writeConfiguration writes a configuration together with the record of its order, shows it, and gives a view that has it; or else
-// verdictTooLarge with the view as it was. The caller has the right to write.
-func (plane *ControlPlane) writeConfiguration(ctx context.Context, before *view, order configurationChange, body []byte) (decision, *view, error) {
-	orders, sets := before.changes.accept(order)
+// writeConfiguration writes a configuration together with the record of its change, publishes it, and returns a state that has
+// it; or decisionStateTooLarge with the state as it was. The caller has the right to write.
+func (plane *ControlPlane) writeConfiguration(ctx context.Context, before *publishedState, change configurationChange, body []byte) (decision, *publishedState, error) {
+	changes, sets := before.changes.accept(change)
 	sets[keyConfiguration] = body
 	version, err := plane.write(ctx, before.epoch, sets)
 	if errors.Is(err, errStateTooLarge) {
@@ -112,69 +122,73 @@
 	}
 	after := *before
 	after.configuration = &tierv1.Configuration{Version: version, Body: body}
-	after.compressedConfiguration, after.changes = compressConfiguration(after.configuration), orders
-	plane.updateView(before.epoch, func(v *view) {
-		v.configuration, v.compressedConfiguration, v.changes = after.configuration, after.compressedConfiguration, after.changes
+	after.compressedConfiguration, after.changes = compressConfiguration(after.configuration), changes
+	plane.updatePublished(before.epoch, func(state *publishedState) {
+		state.configuration, state.compressedConfiguration, state.changes = after.configuration, after.compressedConfiguration, after.changes
 	})
-	plane.Log.Info().Str("event", "configuration").Int64("revision", order.revision).Uint64("version", version).Msg("")
+	plane.Log.Info().Str("event", "configuration").Int64("revision", change.revision).Uint64("version", version).
+		Msg("accepted a configuration")
 	return decisionAccept, &after, nil
 }
 
-// awaitAcknowledgements waits until all gateways whose sessions stand have acknowledged a version, or the time for that is over.
+// awaitAcknowledgements waits until all gateways with an active session have acknowledged a version of the configuration, or
+// the time for that is over. begun is when the body of the call had come.
 func (plane *ControlPlane) awaitAcknowledgements(version uint64, begun time.Time) {
-	limit := min(plane.Settings.ConfigApply/acknowledgementWaitDivisor, replaceTimeout-time.Since(begun))
-	if limit <= 0 {
+	timeout := min(plane.Settings.ConfigApply/acknowledgementWaitDivisor, replaceTimeout-time.Since(begun))
+	if timeout <= 0 {
 		return
 	}
-	end := time.NewTimer(limit)
+	end := time.NewTimer(timeout)
 	defer end.Stop()
 	for {
 		plane.mu.Lock()
 		behind := plane.sessions.countBehind(time.Now(), version)
-		acked := plane.sessions.acknowledgedChannel()
+		acknowledged := plane.sessions.acknowledgedChannel()
 		plane.mu.Unlock()
 		if behind == 0 {
 			return
 		}
-		again := time.NewTimer(50 * time.Millisecond) // a session may have lapsed
+		again := time.NewTimer(acknowledgementCheckInterval)
 		select {
-		case <-acked:
+		case <-acknowledged:
 		case <-again.C:
 		case <-end.C:
 			again.Stop()
-			plane.Log.Info().Str("event", "gateways_behind").Uint64("version", version).Int("lacking", behind).Msg("")
+			plane.Log.Info().Str("event", "gateways_behind").Uint64("version", version).Int("lacking", behind).
+				Msg("acknowledging a configuration before all gateways have applied it")
 			return
 		}
 		again.Stop()
 	}
 }
 
-// confirmedView gives a view that a round trip to all backups, begun after the call, has confirmed; or else the answer.
-func (plane *ControlPlane) confirmedView(r *http.Request) (*view, response) {
+// confirmedState returns the published state after a read barrier; or nil and the response to give instead.
+func (plane *ControlPlane) confirmedState(r *http.Request) (*publishedState, response) {
 	ctx, cancel := context.WithTimeout(r.Context(), operatorWriteTimeout)
 	defer cancel()
-	v, ok := plane.primary()
+	state, ok := plane.primary()
 	if !ok {
 		return nil, plane.redirectToPrimary(r)
 	}
-	if err := plane.barrier.wait(ctx, v.epoch); err != nil {
-		return nil, unavailableResponse("the backups do not confirm it")
+	if err := plane.barrier.wait(ctx, state.epoch); err != nil {
+		return nil, unavailableResponse(errUnconfirmed.Error())
 	}
 	now, ok := plane.primary()
-	if !ok || now.epoch != v.epoch {
+	if !ok || now.epoch != state.epoch {
 		return nil, plane.redirectToPrimary(r)
 	}
 	return now, response{}
 }
 
+// describeConfiguration serves Configuration.Describe.
 func (plane *ControlPlane) describeConfiguration(r *http.Request) response {
-	v, a := plane.confirmedView(r)
+	state, instead := plane.confirmedState(r)
 	switch {
-	case v == nil:
-		return a
-	case v.configuration == nil:
+	case state == nil:
+		return instead
+	case state.configuration == nil:
 		return errorResponse(http.StatusNotFound, "there is no configuration")
 	default:
-		return response{status: http.StatusOK, body: v.configuration.Body}
+		return response{status: http.StatusOK, body: state.configuration.Body}
 	}
 }
--- a/internal/tier/controlplane/decide_test.go
+++ b/internal/tier/controlplane/decide_test.go
@@ -11,17 +11,17 @@
 
 // decisions plays decideAndWrite with verdicts that the test sets.
 type decisions struct {
-	verdicts []string // of the calls of decide, the last one again and again
-	views    []*view  // that were decided on
-	written  []*view
+	verdicts []string          // of the calls of decide, the last one again and again
+	views    []*publishedState // that were decided on
+	written  []*publishedState
 }
 
-func (d *decisions) run(ctx context.Context, plane *ControlPlane) (string, *view, error) {
-	decide := func(v *view) string {
+func (d *decisions) run(ctx context.Context, plane *ControlPlane) (string, *publishedState, error) {
+	decide := func(v *publishedState) string {
 		d.views = append(d.views, v)
 		return d.verdicts[min(len(d.views), len(d.verdicts))-1]
 	}
-	write := func(_ context.Context, v *view) (string, *view, error) {
+	write := func(_ context.Context, v *publishedState) (string, *publishedState, error) {
 		d.written = append(d.written, v)
 		return "written", v, nil
 	}
@@ -60,7 +60,7 @@
 		}()
 		synctest.Wait() // it waits for the right to write
 		assert.Equal(t, len(overtaken.views), 1)
-		r.k.updateView(overtaken.views[0].epoch, func(*view) {})
+		r.k.updatePublished(overtaken.views[0].epoch, func(*publishedState) {})
 		r.k.unlockWriter()
 		<-done
 		assert.NilError(t, err)
--- a/internal/tier/controlplane/distant_test.go
+++ b/internal/tier/controlplane/distant_test.go
@@ -181,7 +181,7 @@
 func (r *rig) silent() (nodes []string) {
 	r.k.mu.Lock()
 	defer r.k.mu.Unlock()
-	for at, s := range r.k.sessions.sessions {
+	for at, s := range r.k.sessions.byKey {
 		if !r.k.sessions.active(time.Now(), s) || !r.k.sessions.storeAlive(time.Now(), s) {
 			nodes = append(nodes, at.node)
 		}
@@ -271,7 +271,7 @@
 				stood := 0
 				for began := time.Now(); time.Since(began) < 30*window; {
 					version := uint64(0)
-					r.k.updateView(epoch, func(v *view) {
+					r.k.updatePublished(epoch, func(v *publishedState) {
 						version = uint64(len(pushes) + 1)
 						v.setEndpoints(&tierv1.Endpoints{Version: version})
 					})
--- a/internal/tier/controlplane/ejections.go
+++ b/internal/tier/controlplane/ejections.go
@@ -9,30 +9,29 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Parts of the contact window.
+// Divisors of the contact window.
 const (
-	ejectionReportDivisor  = 4  // reports of different gateways count together for so long
-	ejectionPublishDivisor = 80 // from one publication of ejections to the next, at least
+	ejectionReportDivisor  = 4  // for the time in which reports of different gateways count together
+	ejectionPublishDivisor = 80 // for the least interval of publications
 )
 
-// minEjectionReporters is how many gateways must have ejected an endpoint before all hear of it. One alone may have trouble of its
-// own.
+// minEjectionReporters is how many gateways must have ejected an endpoint before all are notified. One alone may have a fault of its own.
 const minEjectionReporters = 2
 
-// ejectionProbers is how many gateways probe an endpoint that all have ejected.
-const ejectionProbers = 2
+// ejectionHealthCheckers is how many gateways check the health of an endpoint that all have ejected.
+const ejectionHealthCheckers = 2
 
-// maxEjections bounds the endpoints that are told of, and those that reports are held of.
+// maxEjections bounds the announced endpoints, and those with reports.
 const maxEjections = 256
 
-// ejections joins what gateways report of the endpoints that they have ejected. It is pure: times are passed in.
+// ejections aggregates what gateways report of the endpoints that they have ejected. It is pure: times are passed in.
 type ejections struct {
 	window    time.Duration                   // the contact window
 	reports   map[string]map[string]time.Time // by instance: the gateways that have reported it, and when
 	announced []announcedEjection             // oldest first, one of an instance at most
 }
 
-// announcedEjection is an ejection that gateways are told of.
+// announcedEjection is an ejection of which gateways are notified.
 type announcedEjection struct {
 	ejection *tierv1.Ejection
 	at       time.Time
@@ -42,102 +41,102 @@
 	return ejections{window: window, reports: map[string]map[string]time.Time{}}
 }
 
-// report takes a gateway's report of one instance, and tells whether all are to be told: enough gateways have reported it, or it is
-// one that they are told of, and the report comes from one that probes it.
-func (ejections *ejections) report(now time.Time, node, instance string, needed int) bool {
-	if told := ejections.findAnnounced(now, instance); told != nil && !told.Restored && slices.Contains(told.HealthCheckers, node) {
+// report takes a gateway's report of one instance, and tells whether all are to be notified: enough gateways have reported
+// it, or it is announced already and the report comes from a gateway that checks its health.
+func (e *ejections) report(now time.Time, node, instance string, needed int) bool {
+	if known := e.findAnnounced(now, instance); known != nil && !known.Restored && slices.Contains(known.HealthCheckers, node) {
 		return true
 	}
-	reporters := ejections.reports[instance]
+	reporters := e.reports[instance]
 	if reporters == nil {
-		if len(ejections.reports) >= maxEjections {
-			ejections.dropStaleReports(now)
+		if len(e.reports) >= maxEjections {
+			e.dropStaleReports(now)
 		}
-		if len(ejections.reports) >= maxEjections {
+		if len(e.reports) >= maxEjections {
 			return false
 		}
 		reporters = map[string]time.Time{}
-		ejections.reports[instance] = reporters
+		e.reports[instance] = reporters
 	}
 	reporters[node] = now
 	for other, at := range reporters {
-		if now.Sub(at) > ejections.window/ejectionReportDivisor {
+		if now.Sub(at) > e.window/ejectionReportDivisor {
 			delete(reporters, other)
 		}
 	}
 	if len(reporters) < needed {
 		return false
 	}
-	delete(ejections.reports, instance)
+	delete(e.reports, instance)
 	return true
 }
 
-// restored takes a gateway's report that an instance has answered, and tells whether that is news to the others.
-func (ejections *ejections) restored(now time.Time, instance string) bool {
-	told := ejections.findAnnounced(now, instance)
-	return told != nil && !told.Restored
+// restored takes a gateway's report that an instance has answered, and tells whether the others are to be notified.
+func (e *ejections) restored(now time.Time, instance string) bool {
+	known := e.findAnnounced(now, instance)
+	return known != nil && !known.Restored
 }
 
-// findAnnounced gives what is told of an instance; nil: nothing.
-func (ejections *ejections) findAnnounced(now time.Time, instance string) *tierv1.Ejection {
-	for _, told := range ejections.announced {
-		if told.ejection.Instance == instance && now.Sub(told.at) <= ejections.window {
-			return told.ejection
+// findAnnounced returns what is announced of an instance, nil: nothing.
+func (e *ejections) findAnnounced(now time.Time, instance string) *tierv1.Ejection {
+	for _, known := range e.announced {
+		if known.ejection.Instance == instance && now.Sub(known.at) <= e.window {
+			return known.ejection
 		}
 	}
 	return nil
 }
 
-// dropStaleReports drops reports that no other one can join any more.
-func (ejections *ejections) dropStaleReports(now time.Time) {
-	for instance, reporters := range ejections.reports {
+// dropStaleReports drops reports that are too old to count with another one.
+func (e *ejections) dropStaleReports(now time.Time) {
+	for instance, reporters := range e.reports {
 		newest := time.Time{}
 		for _, at := range reporters {
 			if at.After(newest) {
 				newest = at
 			}
 		}
-		if now.Sub(newest) > ejections.window/ejectionReportDivisor {
-			delete(ejections.reports, instance)
+		if now.Sub(newest) > e.window/ejectionReportDivisor {
+			delete(e.reports, instance)
 		}
 	}
 }
 
-// announce adds what is to be told of an instance in place of what was, and drops what was told for a contact window.
-func (ejections *ejections) announce(now time.Time, ejection *tierv1.Ejection) *tierv1.Ejections {
-	kept := ejections.announced[:0]
-	for _, told := range ejections.announced {
-		if told.ejection.Instance != ejection.Instance && now.Sub(told.at) <= ejections.window {
-			kept = append(kept, told)
+// announce adds an ejection in place of an earlier one of its instance, drops those older than a contact window, and returns all.
+func (e *ejections) announce(now time.Time, ejection *tierv1.Ejection) *tierv1.Ejections {
+	kept := e.announced[:0]
+	for _, known := range e.announced {
+		if known.ejection.Instance != ejection.Instance && now.Sub(known.at) <= e.window {
+			kept = append(kept, known)
 		}
 	}
-	ejections.announced = append(kept, announcedEjection{ejection, now})
-	if surplus := len(ejections.announced) - maxEjections; surplus > 0 {
-		ejections.announced = ejections.announced[surplus:]
+	e.announced = append(kept, announcedEjection{ejection, now})
+	if surplus := len(e.announced) - maxEjections; surplus > 0 {
+		e.announced = e.announced[surplus:]
 	}
-	whole := &tierv1.Ejections{Version: ejection.Version}
-	for _, told := range ejections.announced {
-		whole.List = append(whole.List, told.ejection)
+	all := &tierv1.Ejections{Version: ejection.Version}
+	for _, known := range e.announced {
+		all.List = append(all.List, known.ejection)
 	}
-	return whole
+	return all
 }
 
-// chooseProbers chooses the gateways that probe an instance, others for each version, so that one without requests does not stay.
-func chooseProbers(gateways []string, instance string, version uint64) (probers []string) {
+// chooseHealthCheckers chooses the gateways that check an instance: others for each version, so that one without requests is not kept.
+func chooseHealthCheckers(gateways []string, instance string, version uint64) (probers []string) {
 	if len(gateways) == 0 {
 		return nil
 	}
 	hash := fnv.New64a()
 	hash.Write([]byte(instance))
-	first := hash.Sum64() + version*ejectionProbers
-	for i := range uint64(min(ejectionProbers, len(gateways))) {
+	first := hash.Sum64() + version*ejectionHealthCheckers
+	for i := range uint64(min(ejectionHealthCheckers, len(gateways))) {
 		probers = append(probers, gateways[(first+i)%uint64(len(gateways))])
 	}
 	return probers
 }
 
-// ReportEjections takes the report of a gateway. It is not confirmed by backups: nothing rests on it.
-func (s *watchService) ReportEjections(_ context.Context, report *tierv1.EjectionReport) (*tierv1.EjectionReportReply, error) {
+// ReportEjections takes the report of a gateway. No backup confirms it: nothing rests on it. The error is always nil.
+func (s *sessionService) ReportEjections(_ context.Context, report *tierv1.EjectionReport) (*tierv1.EjectionReportReply, error) {
 	plane := s.plane
 	epoch, ok := plane.Store.Primary()
 	if !ok {
@@ -145,7 +144,7 @@
 	}
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
-	if plane.view.epoch != epoch || !plane.view.ready {
+	if plane.published.epoch != epoch || !plane.published.ready {
 		return &tierv1.EjectionReportReply{}, nil
 	}
 	now := time.Now()
@@ -154,7 +153,7 @@
 	for _, instance := range report.Ejected {
 		if plane.ejections.report(now, report.Node, instance, needed) {
 			ejection := &tierv1.Ejection{Instance: instance, Version: nextVersion(epoch, &plane.versions.ejections)}
-			ejection.HealthCheckers = chooseProbers(gateways, instance, ejection.Version)
+			ejection.HealthCheckers = chooseHealthCheckers(gateways, instance, ejection.Version)
 			plane.unpublishedEjections = plane.ejections.announce(now, ejection)
 		}
 	}
@@ -168,7 +167,7 @@
 	return &tierv1.EjectionReportReply{IsPrimary: true}, nil
 }
 
-// publishEjections shows sessions what is to be told, now or as soon as the last publication is long enough ago. The lock is held.
+// publishEjections publishes what is announced, now or as soon as the last publication is long enough ago. The caller holds mu.
 func (plane *ControlPlane) publishEjections(now time.Time) {
 	if plane.unpublishedEjections == nil || plane.ejectionPushTimer != nil {
 		return
@@ -177,15 +176,15 @@
 	if pause <= 0 {
 		next := plane.unpublishedEjections
 		plane.unpublishedEjections, plane.ejectionsPublishedAt = nil, now
-		plane.replaceView(func(v *view) { v.ejections = next })
+		plane.replacePublished(func(state *publishedState) { state.ejections = next })
 		return
 	}
-	epoch := plane.view.epoch
+	epoch := plane.published.epoch
 	plane.ejectionPushTimer = time.AfterFunc(pause, func() {
 		plane.mu.Lock()
 		defer plane.mu.Unlock()
 		plane.ejectionPushTimer = nil
-		if plane.view.epoch == epoch {
+		if plane.published.epoch == epoch {
 			plane.publishEjections(time.Now())
 		}
 	})
--- a/internal/tier/controlplane/ejections_test.go
+++ b/internal/tier/controlplane/ejections_test.go
@@ -113,8 +113,8 @@
 	now := time.Unix(0, 0)
 	e := newEjections(window)
 	gateways := []string{"e1", "e2", "e3", "e4", "e5"}
-	first := &tierv1.Ejection{Instance: "i1", Version: 1, HealthCheckers: chooseProbers(gateways, "i1", 1)}
-	assert.Equal(t, len(first.HealthCheckers), ejectionProbers)
+	first := &tierv1.Ejection{Instance: "i1", Version: 1, HealthCheckers: chooseHealthCheckers(gateways, "i1", 1)}
+	assert.Equal(t, len(first.HealthCheckers), ejectionHealthCheckers)
 	e.announce(now, first)
 	now = now.Add(window)
 	assert.Assert(t, e.report(now, first.HealthCheckers[0], "i1", 2))
@@ -131,7 +131,7 @@
 	e.reports = map[string]map[string]time.Time{}
 	assert.Assert(t, !e.report(now, first.HealthCheckers[0], "i1", 2), "one alone, as of any")
 	assert.Assert(t, !e.restored(now.Add(window+1), "i1"), "forgotten")
-	assert.DeepEqual(t, chooseProbers([]string{"e1"}, "i1", 1), []string{"e1"})
-	assert.Equal(t, len(chooseProbers(nil, "i1", 1)), 0)
-	assert.Assert(t, chooseProbers(gateways, "i1", 1)[0] != chooseProbers(gateways, "i1", 2)[0])
+	assert.DeepEqual(t, chooseHealthCheckers([]string{"e1"}, "i1", 1), []string{"e1"})
+	assert.Equal(t, len(chooseHealthCheckers(nil, "i1", 1)), 0)
+	assert.Assert(t, chooseHealthCheckers(gateways, "i1", 1)[0] != chooseHealthCheckers(gateways, "i1", 2)[0])
 }
--- a/internal/tier/controlplane/endpoints_test.go
+++ b/internal/tier/controlplane/endpoints_test.go
@@ -31,7 +31,7 @@
 		linkPerSecond = 1000e6 / 8 // bytes, of a link of 1,000 Mbit/s
 	)
 	leastWait := site().ContactWindow / 10 // session.graceOver
-	v := &view{}
+	v := &publishedState{}
 	v.setEndpoints(&tierv1.Endpoints{Version: 7, List: longList(3000)})
 	reply, some := v.replyFor(&tierv1.WatchRequest{AcceptsPackedEndpoints: true})
 	assert.Assert(t, some)
@@ -44,7 +44,7 @@
 // A list is packed once for all sessions that can read it; others, and short lists, get the entries as they are.
 func TestAListIsPackedOnceForThoseWhoReadIt(t *testing.T) {
 	reads := &tierv1.WatchRequest{AcceptsPackedEndpoints: true}
-	long, short := &view{}, &view{}
+	long, short := &publishedState{}, &publishedState{}
 	long.setEndpoints(&tierv1.Endpoints{Version: 7, List: longList(3000)})
 	short.setEndpoints(&tierv1.Endpoints{Version: 7, List: longList(3)})
 	first, second := long.endpointsFor(reads), long.endpointsFor(reads)
--- a/internal/tier/controlplane/lost_calls_test.go
+++ b/internal/tier/controlplane/lost_calls_test.go
@@ -57,7 +57,7 @@
 	if page+1 < p.pages {
 		next = fmt.Sprint("p-", page+1)
 	}
-	body := listing(next, instance(fmt.Sprintf("i-%04d", page), state, 0))
+	body := listing(next, instanceJSON(fmt.Sprintf("i-%04d", page), state, 0))
 	if p.served != nil {
 		p.served(page)
 	}
--- a/internal/tier/controlplane/metrics.go
+++ b/internal/tier/controlplane/metrics.go
@@ -8,7 +8,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Metrics gives the figures of this moment, from the state that Status tells, and under the same locks.
+// Metrics returns the figures of this moment, from the state that Status shows and under the same locks.
 func (plane *ControlPlane) Metrics() metrics.ControlPlane {
 	record := plane.Store.View()
 	figures := metrics.ControlPlane{Epoch: record.GetEpoch(), Members: len(record.GetMembers()), Disk: tierv1.DiskState_DISK_SOUND}
@@ -16,13 +16,13 @@
 		health := store.Health()
 		figures.Lease, figures.Disk = health.Lease, diskState(health.Disk)
 	}
-	if v, primary := plane.primary(); primary {
-		figures.Primary = plane.primaryMetrics(time.Now(), v)
+	if state, primary := plane.primary(); primary {
+		figures.Primary = plane.primaryMetrics(time.Now(), state)
 	}
 	return figures
 }
 
-// diskState tells the state of a disk from what keeps this process from writing.
+// diskState returns the state of a disk by the error that keeps this process from writing, nil if none does.
 func diskState(failure error) tierv1.DiskState {
 	switch {
 	case failure == nil:
@@ -33,15 +33,15 @@
 	return tierv1.DiskState_DISK_FAILING
 }
 
-// primaryMetrics gives what only the primary knows.
-func (plane *ControlPlane) primaryMetrics(now time.Time, v *view) *metrics.Primary {
+// primaryMetrics returns the figures that only the primary knows.
+func (plane *ControlPlane) primaryMetrics(now time.Time, state *publishedState) *metrics.Primary {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
-	risk := plane.riskReport(now, v.partitionMap)
-	figures := &metrics.Primary{Revision: v.changes.current, PartitionsAtRisk: int(risk.Partitions), Losses: int(risk.Losses),
+	risk := plane.riskReport(now, state.partitionMap)
+	figures := &metrics.Primary{Revision: state.changes.current, PartitionsAtRisk: int(risk.Partitions), Losses: int(risk.Losses),
 		PartitionsBear: int(risk.PartitionsBorne), ControlBears: int(risk.ControlBorne),
 		Until: time.Duration(risk.PartitionsUntilMs) * time.Millisecond}
-	for _, s := range plane.sessions.sessions {
+	for _, s := range plane.sessions.byKey {
 		switch {
 		case !plane.sessions.active(now, s):
 		case s.role == roleGateway:
--- a/internal/tier/controlplane/model_test.go
+++ b/internal/tier/controlplane/model_test.go
@@ -9,6 +9,7 @@
 
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
+
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
--- a/internal/tier/controlplane/operators_test.go
+++ b/internal/tier/controlplane/operators_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"gotest.tools/v3/assert"
+
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
--- a/internal/tier/controlplane/platform_client.go
+++ b/internal/tier/controlplane/platform_client.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"io"
 	"math"
 	"net/http"
@@ -10,87 +11,124 @@
 	"strconv"
 	"time"
 
-	"github.com/joomcode/errorx"
-
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// instancePage is one page of the platform's answer.
+const (
+	callTimeout  = 500 * time.Millisecond // for one page
+	maxPageBytes = 16 << 20
+)
+
+// instancePage is one page of the platform's list, as GET /instances answers.
 type instancePage struct {
-	Instances []struct {
-		Instance  string  `json:"instance_id"`
-		Service   string  `json:"service_name"`
-		Address   string  `json:"address"`
-		Zone      string  `json:"zone"`
-		Revision  string  `json:"revision"`
-		Capacity  float64 `json:"capacity"`
-		State     string  `json:"lifecycle_state"`
-		ColdForMs float64 `json:"cold_remaining_ms"`
-		Phase     string  `json:"phase"`
-		Models    []struct {
-			Name     string  `json:"name"`
-			Revision float64 `json:"revision"`
-		} `json:"models"`
-	} `json:"instances"`
-	Next *string `json:"next_page_token"`
+	Instances []instance `json:"instances"`
+	Next      *string    `json:"next_page_token"` // null or empty: this is the last page
+}
+
+// instance is one entry of the platform's list.
+type instance struct {
+	ID              string          `json:"instance_id"`
+	Service         string          `json:"service_name"`
+	Address         string          `json:"address"`
+	Zone            string          `json:"zone"`
+	Revision        string          `json:"revision"`
+	Capacity        float64         `json:"capacity"`
+	LifecycleState  string          `json:"lifecycle_state"`
+	ColdRemainingMs float64         `json:"cold_remaining_ms"`
+	Phase           string          `json:"phase"`
+	Models          []instanceModel `json:"models"`
 }
 
-// endpoints gives the entries of a page that can be used.
+// instanceModel is a model that an instance serves.
+type instanceModel struct {
+	Name     string  `json:"name"`
+	Revision float64 `json:"revision"`
+}
+
+// lifecycleDraining is the lifecycle state of an instance that is to get no new requests.
+const lifecycleDraining = "draining"
+
+// isLast tells whether no page follows.
+func (p *instancePage) isLast() bool { return p.Next == nil || *p.Next == "" }
+
+// endpoints returns the entries of a page that have an instance and an address.
 func (p *instancePage) endpoints() []*tierv1.Endpoint {
 	var list []*tierv1.Endpoint
-	for _, i := range p.Instances {
-		if i.Instance == "" || i.Address == "" {
+	for _, entry := range p.Instances {
+		if entry.ID == "" || entry.Address == "" {
 			continue
 		}
-		one := &tierv1.Endpoint{Instance: i.Instance, Service: i.Service, Address: i.Address, Zone: i.Zone,
-			Capacity: clampUint32(i.Capacity), Draining: i.State == "draining", SlowStartRemainingMs: clampUint32(i.ColdForMs),
-			Revision: i.Revision, Phase: i.Phase}
-		for _, m := range i.Models {
-			one.Models = append(one.Models, &tierv1.Model{Name: m.Name, Revision: clampUint32(m.Revision)})
+		endpoint := &tierv1.Endpoint{Instance: entry.ID, Service: entry.Service, Address: entry.Address, Zone: entry.Zone,
+			Capacity: clampUint32(entry.Capacity), Draining: entry.LifecycleState == lifecycleDraining,
+			SlowStartRemainingMs: clampUint32(entry.ColdRemainingMs), Revision: entry.Revision, Phase: entry.Phase}
+		for _, model := range entry.Models {
+			endpoint.Models = append(endpoint.Models, &tierv1.Model{Name: model.Name, Revision: clampUint32(model.Revision)})
 		}
-		list = append(list, one)
+		list = append(list, endpoint)
 	}
 	return list
 }
 
+// clampUint32 converts a number, and takes the nearest one where it is out of range.
 func clampUint32(f float64) uint32 { return uint32(min(max(f, 0), math.MaxUint32)) }
 
-// errPlatformRefuses is the type of the error of a call that the platform refuses, as too many came.
-var errPlatformRefuses = errorx.NewType(errorx.NewNamespace("platform"), "refuses")
+// rateLimitedError says that the platform has rejected a call as too many came.
+type rateLimitedError struct {
+	status     int
+	retryAfter time.Duration // 0: the platform did not say
+}
+
+// Error implements error.
+func (err rateLimitedError) Error() string {
+	return fmt.Sprintf("the platform answered %d", err.status)
+}
+
+// statusError says that the platform answered a call with a status that is not 200, and not for its rate.
+type statusError int
 
-// fetchPage asks for one page of the list.
-func (plane *ControlPlane) fetchPage(ctx context.Context, token string) (p *instancePage, wait time.Duration, err error) {
+// Error implements error.
+func (err statusError) Error() string { return fmt.Sprintf("the platform answered %d", int(err)) }
+
+// fetchPage asks for one page of the list; an empty token is that of the first. The error is a rateLimitedError, a
+// statusError, or that of the call or the decoder.
+func (plane *ControlPlane) fetchPage(ctx context.Context, token string) (*instancePage, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	at := url.URL{Scheme: "http", Host: plane.Settings.CloudAddress, Path: "/instances"}
+	address := url.URL{Scheme: "http", Host: plane.Settings.CloudAddress, Path: "/instances"}
 	if token != "" {
-		at.RawQuery = url.Values{"page_token": {token}}.Encode()
+		address.RawQuery = url.Values{"page_token": {token}}.Encode()
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, at.String(), nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
 	if err != nil {
-		return nil, 0, err
+		return nil, err
 	}
-	resp, err := plane.Cloud.Do(req)
+	reply, err := plane.Cloud.Do(request)
 	if err != nil {
-		return nil, 0, err
+		return nil, err
 	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPageBytes))
-	if resp.StatusCode != http.StatusOK {
-		if s, bad := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); bad == nil && s > 0 {
-			wait = time.Duration(min(s, plane.Settings.DrainTimeout.Seconds()) * float64(time.Second))
-		}
-		if resp.StatusCode == http.StatusTooManyRequests || wait > 0 {
-			return nil, wait, errPlatformRefuses.New("the platform answered %d", resp.StatusCode)
-		}
-		return nil, 0, errorx.ExternalError.New("the platform answered %d", resp.StatusCode)
+	defer reply.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(reply.Body, maxPageBytes))
+	if reply.StatusCode != http.StatusOK {
+		return nil, plane.callError(reply)
 	}
 	if err != nil {
-		return nil, 0, err
+		return nil, err
+	}
+	page := &instancePage{}
+	if err := json.Unmarshal(body, page); err != nil {
+		return nil, fmt.Errorf("list of the platform: %w", err)
+	}
+	return page, nil
+}
+
+// callError is the error of a call that was not answered with 200. A Retry-After longer than the drain time is cut to it.
+func (plane *ControlPlane) callError(reply *http.Response) error {
+	retryAfter := time.Duration(0)
+	if seconds, err := strconv.ParseFloat(reply.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
+		retryAfter = time.Duration(min(seconds, plane.Settings.DrainTimeout.Seconds()) * float64(time.Second))
 	}
-	p = &instancePage{}
-	if err := json.Unmarshal(body, p); err != nil {
-		return nil, 0, errorx.IllegalFormat.Wrap(err, "list of the platform")
+	if reply.StatusCode == http.StatusTooManyRequests || retryAfter > 0 {
+		return rateLimitedError{reply.StatusCode, retryAfter}
 	}
-	return p, 0, nil
+	return statusError(reply.StatusCode)
 }
--- a/internal/tier/controlplane/platform_poll.go
+++ b/internal/tier/controlplane/platform_poll.go
@@ -2,63 +2,86 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"math"
 	"time"
-
-	"github.com/joomcode/errorx"
 )
 
+// Divisors of the drain time (guarantees.drain_timeout_ms).
 const (
-	pollDivisor  = 3                      // of the drain time: the list is asked for so often, if the platform's rate allows it
-	rateHeadroom = 1.5                    // the platform takes so many times the calls that are made: only the primary makes any
-	callTimeout  = 500 * time.Millisecond // for one page
-	// In a process that is overloaded a call may miss its limit while the platform is well. Without a repeat the whole
-	// reading would be lost with it, and a draining endpoint be heard of a reading and its backoff later.
-	maxRetries      = 3 // calls for pages that did not come, in one reading
-	retryDelay      = 50 * time.Millisecond
-	backoffFactor   = 1.5 // longer after each failure in a row
-	maxBackoffSteps = 3   // failures that count
-	maxPageBytes    = 16 << 20
-	maxPages        = 10_000
-	// pushIntervalDivisor is a part of the drain time: what pages tell is pushed no more often, as a push goes to all sessions.
+	// pollDivisor is for the interval at which the list is read, if the platform's rate allows it.
+	pollDivisor = 3
+	// pushIntervalDivisor is for the least interval of pushes within a scan: each push goes to all sessions.
 	pushIntervalDivisor = 12
-	// quickScanDivisor is a part of the drain time: a list that is read within it is pushed when it is whole.
+	// quickScanDivisor is for the time of a scan within which its changes are pushed at its end, all at once.
 	quickScanDivisor = 4
 )
 
-// pollPlatform asks the platform for its list while this process is the primary.
+const (
+	// rateHeadroom is how many times the calls that are made the platform's rate allows: only the primary makes any.
+	rateHeadroom = 1.5
+	// maxRetries is for the pages of one scan that did not come. In a process that is overloaded a call may miss its time-out
+	// while the platform is well. Without a retry the whole scan would be lost with it, and a draining endpoint be noticed
+	// a scan and its backoff later.
+	maxRetries = 3
+	// retryDelay is before a retry after a call without an answer.
+	retryDelay = 50 * time.Millisecond
+	// minPollInterval is the least time from the begin or end of a scan to the next.
+	minPollInterval = 50 * time.Millisecond
+	// backoffFactor is by how much the interval grows with each failure in a row, up to maxBackoffSteps of them.
+	backoffFactor   = 1.5
+	maxBackoffSteps = 3
+	// maxPages bounds a scan.
+	maxPages = 10_000
+	// notPrimaryPollPause is how long a process that is not the primary waits, if pollNow does not wake it.
+	notPrimaryPollPause = time.Hour
+)
+
+// errNoLongerPrimary says that this process ceased to be the primary during a scan.
+var errNoLongerPrimary = errors.New("no longer the primary")
+
+// endlessListError says that the platform's list does not end.
+type endlessListError struct{ problem string }
+
+// Error implements error.
+func (err endlessListError) Error() string { return err.problem }
+
+// pollPlatform reads the platform's list again and again while this process is the primary, until ctx ends.
 func (plane *ControlPlane) pollPlatform(ctx context.Context) {
 	if plane.Settings.CloudAddress == "" {
 		return
 	}
-	timer := time.NewTimer(time.Hour)
+	timer := time.NewTimer(notPrimaryPollPause)
 	defer timer.Stop()
-	failures := 0
+	failures := 0 // in a row
 	for {
-		pause := time.Hour // until this process is the primary
-		v, ok := plane.primary()
-		if v.ready {
+		pause := notPrimaryPollPause
+		state, ok := plane.primary()
+		if state.ready {
 			pause = plane.pollInterval(1, 0)
 		}
 		if ok {
 			began := time.Now()
-			calls, wait, err := plane.scanPlatform(ctx, v.epoch)
+			calls, err := plane.scanPlatform(ctx, state.epoch)
 			pause = plane.pollInterval(calls, failures)
 			switch {
-			case errorx.IsOfType(err, errNoLongerPrimary): // nothing is wrong with the platform
+			case errors.Is(err, errNoLongerPrimary): // nothing is wrong with the platform
 			case err != nil:
 				if ctx.Err() == nil && failures == 0 {
-					plane.Log.Warn().Str("event", "platform_silent").Str("error", err.Error()).Msg("")
+					plane.Log.Warn().Str("event", "platform_silent").Str("error", err.Error()).Msg("failed to read the platform's list")
 				}
 				failures++
-				pause = max(wait, plane.pollInterval(calls, failures))
+				var limited rateLimitedError
+				errors.As(err, &limited)
+				pause = max(limited.retryAfter, plane.pollInterval(calls, failures))
 			default:
 				if failures > 0 {
-					plane.Log.Info().Str("event", "platform_answers").Int("failures", failures).Msg("")
+					plane.Log.Info().Str("event", "platform_answers").Int("failures", failures).Msg("read the platform's list again")
 				}
 				failures = 0
 			}
-			pause = max(pause-time.Since(began), 50*time.Millisecond)
+			pause = max(pause-time.Since(began), minPollInterval)
 		}
 		timer.Reset(pause)
 		select {
@@ -70,65 +93,64 @@
 	}
 }
 
-// pollInterval is the time from one reading of the list to the next.
+// pollInterval returns the time from the begin of one scan to the next: by the drain time, but no shorter than the
+// platform's rate allows for so many pages, and longer after failures.
 func (plane *ControlPlane) pollInterval(pages, failures int) time.Duration {
-	d := plane.Settings.DrainTimeout / pollDivisor
+	interval := plane.Settings.DrainTimeout / pollDivisor
 	if rate := plane.Settings.CloudRate; rate > 0 {
-		d = max(d, time.Duration(float64(max(pages, 1))*rateHeadroom/rate*float64(time.Second)))
+		interval = max(interval, time.Duration(float64(max(pages, 1))*rateHeadroom/rate*float64(time.Second)))
 	}
-	return time.Duration(float64(max(d, 50*time.Millisecond)) * math.Pow(backoffFactor, float64(min(failures, maxBackoffSteps))))
+	backoff := math.Pow(backoffFactor, float64(min(failures, maxBackoffSteps)))
+	return time.Duration(float64(max(interval, minPollInterval)) * backoff)
 }
 
-// scanPlatform reads the list, and publishes what its pages tell as they come. Before it gives up, it asks again for pages that
-// did not come, repeatsMost times in all. It tells how many calls the platform had to answer, and how long it asks to wait
-// after a refusal.
-func (plane *ControlPlane) scanPlatform(ctx context.Context, epoch uint64) (calls int, wait time.Duration, err error) {
+// scanPlatform reads the whole list, and publishes what its pages bring as they come. It retries pages that did not come,
+// maxRetries times in all, before it gives up. It returns how many calls the platform's rate had to allow, and
+// errNoLongerPrimary, an endlessListError, an error of fetchPage, or that of ctx.
+func (plane *ControlPlane) scanPlatform(ctx context.Context, epoch uint64) (calls int, err error) {
 	defer plane.publishPending(epoch)
 	plane.beginScan(epoch)
-	token, repeats := "", 0
-	spacing := time.Duration(0) // between calls: none until the platform refuses one
-	seen := map[string]bool{}
+	token, retries := "", 0
+	spacing := time.Duration(0) // between calls: none until the platform rejects one
+	seen := map[string]bool{}   // tokens
 	for calls < maxPages {
 		if now, primary := plane.Store.Primary(); !primary || now != epoch {
-			return calls, 0, errNoLongerPrimary.New("epoch %d", epoch) // the calls are another's to make
+			return calls, errNoLongerPrimary // the calls are another's to make
 		}
 		calls++
-		p, wait, err := plane.fetchPage(ctx, token)
-		refused := errorx.IsOfType(err, errPlatformRefuses)
-		if err != nil && repeats < maxRetries && !(refused && token == "") { // a refusal of the first page ends the reading
-			repeats++
-			if refused {
+		page, err := plane.fetchPage(ctx, token)
+		var limited rateLimitedError
+		rejected := errors.As(err, &limited)
+		if err != nil && retries < maxRetries && !(rejected && token == "") { // a rejection of the first page ends the scan
+			retries++
+			if rejected {
 				spacing = plane.callSpacing()
 				calls-- // it took none of what the rate allows
 			}
-			if plane.awaitRetry(ctx, err, wait) {
+			if plane.awaitRetry(ctx, err) {
 				continue
 			}
 		}
 		if err != nil {
-			return calls, wait, err
+			return calls, err
 		}
-		last := p.Next == nil || *p.Next == ""
-		plane.addPage(epoch, p.endpoints(), last)
-		if last {
-			return calls, 0, nil
+		plane.addPage(epoch, page.endpoints(), page.isLast())
+		if page.isLast() {
+			return calls, nil
 		}
-		token = *p.Next
+		token = *page.Next
 		if seen[token] {
-			return calls, 0, errorx.IllegalFormat.New("page %q leads back to itself", token)
+			return calls, endlessListError{fmt.Sprintf("page %q leads back to itself", token)}
 		}
 		seen[token] = true
 		if spacing > 0 && !sleep(ctx, spacing) {
-			return calls, 0, ctx.Err()
+			return calls, ctx.Err()
 		}
 	}
-	return calls, 0, errorx.IllegalFormat.New("the list has no end")
+	return calls, endlessListError{"the list has no end"}
 }
 
-// errNoLongerPrimary is the type of the error of a reading during which this process ceased to be the primary.
-var errNoLongerPrimary = errorx.NewType(errorx.NewNamespace("controlplane"), "no_longer_primary")
-
-// callSpacing is the time from one call to the next at the platform's rate, with room; 0 where no rate is known.
+// callSpacing returns the time from one call to the next at the platform's rate, with headroom; 0 where no rate is known.
 func (plane *ControlPlane) callSpacing() time.Duration {
 	rate := plane.Settings.CloudRate
 	if rate <= 0 {
@@ -137,21 +159,22 @@
 	return time.Duration(rateHeadroom / rate * float64(time.Second))
 }
 
-// awaitRetry waits until a call that failed with err may be made again, and tells whether it may within this reading. One
-// that was refused is made again at the platform's rate, unless the platform asks to wait for longer than a reading is worth:
-// a list with more pages than calls are taken at once would never be read otherwise.
-func (plane *ControlPlane) awaitRetry(ctx context.Context, err error, wait time.Duration) bool {
-	if !errorx.IsOfType(err, errPlatformRefuses) {
+// awaitRetry waits until a call that failed with err may be retried, and tells whether it may within this scan. One that was
+// rejected is retried at the platform's rate, unless the platform asks to wait for longer than a scan is worth: a list with
+// more pages than calls are accepted at once would never be read otherwise.
+func (plane *ControlPlane) awaitRetry(ctx context.Context, err error) bool {
+	var limited rateLimitedError
+	if !errors.As(err, &limited) {
 		return sleep(ctx, retryDelay)
 	}
 	spacing := plane.callSpacing()
-	if spacing == 0 || wait > plane.Settings.DrainTimeout/pollDivisor {
+	if spacing == 0 || limited.retryAfter > plane.Settings.DrainTimeout/pollDivisor {
 		return false
 	}
-	return sleep(ctx, max(wait, spacing))
+	return sleep(ctx, max(limited.retryAfter, spacing))
 }
 
-// sleep waits for d, and tells whether ctx goes on.
+// sleep waits for d, and returns false if ctx ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/tier/controlplane/platform_test.go
+++ b/internal/tier/controlplane/platform_test.go
@@ -49,7 +49,7 @@
 
 func (p *platform) count() int { p.mu.Lock(); defer p.mu.Unlock(); return p.calls }
 
-func instance(id, state string, cold int) string {
+func instanceJSON(id, state string, cold int) string {
 	return fmt.Sprintf(`{"service_name":"s","address":"10.0.0.9:80","zone":"z","revision":"v1","capacity":96,"lifecycle_state":%q,
 "cold_remaining_ms":%d,"phase":"both","models":[{"name":"m","revision":1,"adapters":[]}],"instance_id":%q}`, state, cold, id)
 }
@@ -64,29 +64,29 @@
 func TestThePlatformsList(t *testing.T) {
 	set := site()
 	set.CloudAddress = "10.200.0.100:8142"
-	p := &platform{pages: map[string]string{"": listing("p-1", instance("i-2", "ready", 900)), "p-1": listing("null", instance("i-1", "draining", 0))}}
+	p := &platform{pages: map[string]string{"": listing("p-1", instanceJSON("i-2", "ready", 900)), "p-1": listing("null", instanceJSON("i-1", "draining", 0))}}
 	withinSite(t, set, p, func(r *rig) {
 		endpoints := func() (uint64, int) {
-			v, _ := r.k.currentView()
+			v, _ := r.k.currentState()
 			return v.endpoints.GetVersion(), len(v.endpoints.GetList())
 		}
 		first, n := endpoints() // asked for at once
 		assert.Equal(t, n, 2)
 		assert.Assert(t, first > r.s.epoch<<24)
-		v, _ := r.k.currentView()
+		v, _ := r.k.currentState()
 		one := v.endpoints.List[0]
 		assert.Assert(t, one.Instance == "i-1" && one.Draining && one.Capacity == 96 && one.Models[0].Name == "m" && one.Phase == "both")
 		gateway := r.join(roleGateway, "e1", nil)
 		assert.Equal(t, gateway.has().EndpointsVersion, first)
 
-		p.set(func() { p.pages[""] = listing("p-1", instance("i-2", "ready", 100)) })
+		p.set(func() { p.pages[""] = listing("p-1", instanceJSON("i-2", "ready", 100)) })
 		r.pass(1100 * time.Millisecond)
 		now, _ := endpoints()
 		assert.Equal(t, now, first, "a list that only grew warmer was pushed")
-		v, _ = r.k.currentView()
+		v, _ = r.k.currentState()
 		assert.Equal(t, v.endpoints.List[1].SlowStartRemainingMs, uint32(100))
 
-		p.set(func() { delete(p.pages, "p-1"); p.pages[""] = listing("p-1", instance("i-3", "ready", 0)) })
+		p.set(func() { delete(p.pages, "p-1"); p.pages[""] = listing("p-1", instanceJSON("i-3", "ready", 0)) })
 		r.pass(5 * time.Second)
 		now, n = endpoints()
 		// What the page tells is published once, and what is missing is not gone by a list read in part.
--- a/internal/tier/controlplane/primary.go
+++ b/internal/tier/controlplane/primary.go
@@ -3,25 +3,26 @@
 import (
 	"context"
 	"encoding/binary"
+	"fmt"
 	"sync"
 	"time"
 
-	"github.com/joomcode/errorx"
 	"google.golang.org/protobuf/proto"
 
 	"saffronyard.example/saffronyard/internal/tier/routing"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// writeRetryBackoff is from a failed write of the primary's own to the next.
+// writeRetryBackoff is the pause after a failed write that the primary made by itself, and the shortest one between two rounds.
 const writeRetryBackoff = 100 * time.Millisecond
 
-// Run does the primary's work, in each epoch in which this process is it, until ctx ends.
+// Run does the primary's work in each epoch in which this process is the primary, and returns when ctx ends and its
+// goroutines have ended.
 func (plane *ControlPlane) Run(ctx context.Context) {
 	var polling sync.WaitGroup
 	polling.Go(func() { plane.pollPlatform(ctx) })
 	defer polling.Wait()
-	var reconciler reconciler
+	var loop reconciler
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -29,7 +30,7 @@
 		pause := plane.windowFraction(sessionCheckDivisor)
 		reconcileNow := plane.reconcileNow
 		if epoch, ok := plane.Store.Primary(); ok {
-			if !plane.servePrimary(ctx, epoch, &reconciler) { // a failed write is a change, too: it must not wake the next at once
+			if !plane.servePrimary(ctx, epoch, &loop) { // a failed write is a change, too: it must not wake the next at once
 				changed, reconcileNow, pause = nil, nil, writeRetryBackoff
 			}
 		} else {
@@ -48,22 +49,26 @@
 	}
 }
 
-// servePrimary brings view and turn store map up to date, and tells whether that went well.
-func (plane *ControlPlane) servePrimary(ctx context.Context, epoch uint64, rec *reconciler) bool {
-	v, _ := plane.currentView()
-	if v.epoch != epoch || !v.ready {
+// servePrimary brings the published state and the partition map up to date. It returns false where a write has failed, so
+// that the next round is to wait for a while.
+func (plane *ControlPlane) servePrimary(ctx context.Context, epoch uint64, loop *reconciler) bool {
+	state, _ := plane.currentState()
+	if state.epoch != epoch || !state.ready {
 		if err := plane.startEpoch(ctx, epoch); err != nil {
-			plane.Log.Warn().Str("event", "settle_failed").Uint64("epoch", epoch).Str("error", err.Error()).Msg("")
+			plane.Log.Warn().Str("event", "settle_failed").Uint64("epoch", epoch).Str("error", err.Error()).
+				Msg("failed to replicate the control state at the start of an epoch")
 			return false
 		}
-		*rec = reconciler{}
+		*loop = reconciler{}
 		wake(plane.pollNow)
 	}
 	plane.publishMembers(epoch)
-	return plane.reconcile(ctx, epoch, rec)
+	return plane.reconcile(ctx, epoch, loop)
 }
 
-// startEpoch writes the whole state through to all backups and shows it.
+// startEpoch writes an epoch marker, and publishes the control state once all backups have it. The marker's write replicates all
+// that was written before: what an earlier primary left without a clear outcome is either in force from here on, or never
+// will be. (Raft does the same with an empty entry at the start of a term, section 8 of the paper.)
 func (plane *ControlPlane) startEpoch(ctx context.Context, epoch uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, plane.windowFraction(writeTimeoutDivisor))
 	defer cancel()
@@ -71,36 +76,50 @@
 		return err
 	}
 	defer plane.unlockWriter()
-	mark := binary.BigEndian.AppendUint64(nil, epoch)
-	if _, err := plane.Store.Put(ctx, epoch, map[string][]byte{keyEpochMarker: mark}); err != nil {
+	marker := binary.BigEndian.AppendUint64(nil, epoch)
+	if _, err := plane.Store.Put(ctx, epoch, map[string][]byte{keyEpochMarker: marker}); err != nil {
 		return err
 	}
-	next := view{epoch: epoch, ready: true, since: time.Now()}
-	body, sequence := plane.Store.Get(keyConfiguration)
-	if body != nil {
-		c, err := routing.Parse(body)
+	next, err := plane.loadState(epoch)
+	if err != nil {
+		return err
+	}
+	plane.publishEpoch(next)
+	return nil
+}
+
+// loadState reads the control state. The caller has the right to write.
+func (plane *ControlPlane) loadState(epoch uint64) (*publishedState, error) {
+	next := &publishedState{epoch: epoch, ready: true, since: time.Now()}
+	if body, sequence := plane.Store.Get(keyConfiguration); body != nil {
+		table, err := routing.Parse(body)
 		if err != nil {
-			return errorx.Decorate(err, "configuration in the control state")
+			return nil, fmt.Errorf("configuration in the control state: %w", err)
 		}
-		if next.changes, err = loadChangeHistory(c.Revision, body, plane.Store.Get); err != nil {
-			return errorx.Decorate(err, "orders in the control state")
+		if next.changes, err = loadChangeHistory(table.Revision, body, plane.Store.Get); err != nil {
+			return nil, fmt.Errorf("change records in the control state: %w", err)
 		}
 		next.configuration = &tierv1.Configuration{Version: sequence, Body: body}
 		next.compressedConfiguration = compressConfiguration(next.configuration)
 	}
-	if b, sequence := plane.Store.Get(keyPartitionMap); b != nil {
-		m := &tierv1.PartitionMap{}
-		if err := proto.Unmarshal(b, m); err != nil {
-			return errorx.Decorate(err, "turn store map in the control state")
+	if body, sequence := plane.Store.Get(keyPartitionMap); body != nil {
+		next.partitionMap = &tierv1.PartitionMap{}
+		if err := proto.Unmarshal(body, next.partitionMap); err != nil {
+			return nil, fmt.Errorf("partition map in the control state: %w", err)
 		}
-		m.Version = sequence
-		next.partitionMap = m
+		next.partitionMap.Version = sequence
 	}
+	return next, nil
+}
+
+// publishEpoch publishes the state that was read at the start of an epoch. What is no part of the replicated state stays where
+// this process is back in touch in the same epoch, and starts anew in another.
+func (plane *ControlPlane) publishEpoch(next *publishedState) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
-	if plane.view.epoch == epoch { // back in touch in the same epoch
-		next.endpoints, next.compressedEndpoints, next.members = plane.view.endpoints, plane.view.compressedEndpoints, plane.view.members
-		next.ejections = plane.view.ejections
+	if before := plane.published; before.epoch == next.epoch {
+		next.endpoints, next.compressedEndpoints = before.endpoints, before.compressedEndpoints
+		next.members, next.ejections = before.members, before.ejections
 	} else {
 		plane.versions.endpoints, plane.versions.members, plane.versions.ejections = 0, 0, 0
 		plane.ejections, plane.unpublishedEjections = newEjections(plane.Settings.ContactWindow), nil
@@ -108,17 +127,18 @@
 		plane.endpointList = newEndpointList(plane.Settings.DrainTimeout/pushIntervalDivisor, plane.Settings.DrainTimeout/quickScanDivisor)
 		plane.riskTimer = riskTimer{}
 	}
-	plane.replaceView(func(v *view) { *v = next })
-	plane.Log.Info().Str("event", "primary").Uint64("epoch", epoch).Int64("revision", next.changes.current).Int("orders", len(next.changes.records)).Msg("")
-	return nil
+	plane.replacePublished(func(state *publishedState) { *state = *next })
+	plane.Log.Info().Str("event", "primary").Uint64("epoch", next.epoch).Int64("revision", next.changes.current).
+		Int("orders", len(next.changes.records)).Msg("serving as the primary of the epoch")
 }
 
-// stepDown ends what sessions are shown: this process is not the primary, or out of touch.
+// stepDown stops showing the published state: this process is not the primary, or out of touch with its backups.
 func (plane *ControlPlane) stepDown() {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
-	if plane.view.ready {
-		plane.replaceView(func(v *view) { v.ready = false })
-		plane.Log.Info().Str("event", "stood_down").Uint64("epoch", plane.view.epoch).Msg("")
+	if plane.published.ready {
+		plane.replacePublished(func(state *publishedState) { state.ready = false })
+		plane.Log.Info().Str("event", "stood_down").Uint64("epoch", plane.published.epoch).
+			Msg("stopped serving: not the primary, or out of touch with the backups")
 	}
 }
--- a/internal/tier/controlplane/random_test.go
+++ b/internal/tier/controlplane/random_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"google.golang.org/protobuf/proto"
+
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
--- a/internal/tier/controlplane/read_barrier.go
+++ b/internal/tier/controlplane/read_barrier.go
@@ -6,38 +6,42 @@
 	"time"
 )
 
-// readBarrier shares round trips among those who ask for one: each gets one that began after it asked.
+// readBarrier makes reads linearizable: what a primary read before a round trip to all backups was in force then, as no
+// other primary can have acknowledged anything in between. (Raft calls this ReadIndex, section 6.4 of the thesis.) Callers that
+// wait at the same time share a round trip; each gets one that began after its call.
 type readBarrier struct {
-	store Store
-	limit time.Duration
+	store   Store
+	timeout time.Duration // of one round trip
 
 	mu      sync.Mutex
-	running bool
-	next    *barrierCall
+	running bool         // run is active
+	next    *barrierCall // nil: nobody waits for a round trip that has not begun
 }
 
+// barrierCall is one round trip.
 type barrierCall struct {
 	epoch uint64
-	done  chan struct{}
+	done  chan struct{} // closed when err is set
 	err   error
 }
 
-// wait is nil after a round trip to all backups under this epoch that began after the call.
-func (c *readBarrier) wait(ctx context.Context, epoch uint64) error {
-	c.mu.Lock()
-	if c.next != nil && c.next.epoch != epoch {
-		c.mu.Unlock()
-		return c.store.Confirm(ctx, epoch)
+// wait returns nil after a round trip to all backups in this epoch that began after the call, else the store's error or that
+// of ctx.
+func (b *readBarrier) wait(ctx context.Context, epoch uint64) error {
+	b.mu.Lock()
+	if b.next != nil && b.next.epoch != epoch {
+		b.mu.Unlock()
+		return b.store.Confirm(ctx, epoch)
 	}
-	if c.next == nil {
-		c.next = &barrierCall{epoch: epoch, done: make(chan struct{})}
+	if b.next == nil {
+		b.next = &barrierCall{epoch: epoch, done: make(chan struct{})}
 	}
-	mine := c.next
-	if !c.running {
-		c.running = true
-		go c.run()
+	mine := b.next
+	if !b.running {
+		b.running = true
+		go b.run()
 	}
-	c.mu.Unlock()
+	b.mu.Unlock()
 	select {
 	case <-mine.done:
 		return mine.err
@@ -46,20 +50,21 @@
 	}
 }
 
-func (c *readBarrier) run() {
+// run makes round trips, one after the other, until nobody waits for one. Each ends within the time-out.
+func (b *readBarrier) run() {
 	for {
-		c.mu.Lock()
-		r := c.next
-		c.next = nil
-		if r == nil {
-			c.running = false
-			c.mu.Unlock()
+		b.mu.Lock()
+		call := b.next
+		b.next = nil
+		if call == nil {
+			b.running = false
+			b.mu.Unlock()
 			return
 		}
-		c.mu.Unlock()
-		ctx, cancel := context.WithTimeout(context.Background(), c.limit)
-		r.err = c.store.Confirm(ctx, r.epoch)
+		b.mu.Unlock()
+		ctx, cancel := context.WithTimeout(context.Background(), b.timeout)
+		call.err = b.store.Confirm(ctx, call.epoch)
 		cancel()
-		close(r.done)
+		close(call.done)
 	}
 }
--- a/internal/tier/controlplane/rebalance.go
+++ b/internal/tier/controlplane/rebalance.go
@@ -2,28 +2,29 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// maxMoves is the number of partitions that may move at a time.
+// maxMoves returns the number of partitions that may move at a time.
 func (a *assignment) maxMoves() int {
 	return max(1, len(a.m.Partitions)/concurrentMoveDivisor, a.RequiredMoves)
 }
 
-// activeMoves counts the partitions of which a copy is under way, and gets on.
+// activeMoves counts the partitions with a replica that is being synced, and is not slow.
 func (a *assignment) activeMoves() int {
 	n := 0
 	for i, p := range a.m.Partitions {
-		if a.alive(p.Primary) && !a.Slow[uint32(i)] && slices.ContainsFunc(p.Backups, func(c *tierv1.Replica) bool { return !c.Synced }) {
+		if a.alive(p.Primary) && !a.Slow[uint32(i)] && hasUnsynced(p) {
 			n++
 		}
 	}
 	return n
 }
 
-// stable tells whether each partition has its synced copies, on turn stores that stay, or is under way to another.
+// stable tells whether each partition has enough synced replicas, and none on a turn store that departs or is not alive.
 func (a *assignment) stable() bool {
 	for _, p := range a.m.Partitions {
 		n := 0
@@ -42,7 +43,7 @@
 	return true
 }
 
-// rebalance makes copies and primaries even, a few partitions at a time.
+// rebalance balances replicas and primaries, a few partitions at a time.
 func (a *assignment) rebalance() {
 	if !a.stable() {
 		return
@@ -56,17 +57,22 @@
 	}
 }
 
-// startMove begins a copy that, once whole, takes the place of another. It is one that parts copies of the same domain, or
-// that makes the turn stores' shares more even.
+// startMove adds a replica that, once synced, takes the place of another: one that parts replicas of the same failure domain,
+// or else one that balances the turn stores. It returns false where there is none.
 func (a *assignment) startMove() bool {
 	load := a.replicasByStore()
-	var usable []string
-	for _, folder := range sortedKeys(a.Alive) {
+	var usable []string // by load
+	for _, folder := range slices.Sorted(maps.Keys(a.Alive)) {
 		if a.usable(folder) {
 			usable = append(usable, folder)
 		}
 	}
 	slices.SortStableFunc(usable, func(x, y string) int { return cmp.Compare(load[x], load[y]) })
+	return a.startSeparatingMove(usable) || a.startBalancingMove(usable, load)
+}
+
+// startSeparatingMove adds a replica in place of one that shares its failure domain with more others.
+func (a *assignment) startSeparatingMove(usable []string) bool {
 	for _, p := range a.m.Partitions {
 		all := replicaFolders(p)
 		if a.stayingReplicas(p) != a.Losses+1 {
@@ -78,11 +84,17 @@
 			}
 			for _, from := range all {
 				if a.domainConflicts(all, from) > a.domainConflictsAfterMove(all, from, to) {
-					return a.addReplacement(p, from, to)
+					a.addReplacement(p, from, to)
+					return true
 				}
 			}
 		}
 	}
+	return false
+}
+
+// startBalancingMove adds a replica in place of one whose turn store has at least two more. usable is in the order of load.
+func (a *assignment) startBalancingMove(usable []string, load map[string]int) bool {
 	for i := len(usable) - 1; i > 0; i-- {
 		for _, to := range usable[:i] {
 			from := usable[i]
@@ -93,7 +105,8 @@
 				all := replicaFolders(p)
 				if a.stayingReplicas(p) == a.Losses+1 && slices.Contains(all, from) && !slices.Contains(all, to) &&
 					a.domainConflictsAfterMove(all, from, to) <= a.domainConflicts(all, from) {
-					return a.addReplacement(p, from, to)
+					a.addReplacement(p, from, to)
+					return true
 				}
 			}
 		}
@@ -101,7 +114,7 @@
 	return false
 }
 
-// domainConflictsAfterMove counts the conflicts of one that takes the place of another.
+// domainConflictsAfterMove counts the conflicts of a replica that takes the place of another.
 func (a *assignment) domainConflictsAfterMove(all []string, from, to string) int {
 	n := a.domainConflicts(all, to)
 	if a.domain(from) == a.domain(to) {
@@ -110,15 +123,14 @@
 	return n
 }
 
-// addReplacement adds a copy right behind the one whose place it takes.
-func (a *assignment) addReplacement(p *tierv1.Partition, from, to string) bool {
+// addReplacement adds a replica right behind the one whose place it takes.
+func (a *assignment) addReplacement(p *tierv1.Partition, from, to string) {
 	at := slices.Index(replicaFolders(p), from)
 	p.Backups = slices.Insert(p.Backups, at, &tierv1.Replica{Folder: to})
-	return true
 }
 
-// balancePrimary hands one primary on, from a turn store that has at least two more than another, if need be by way of others whose
-// number stays the same.
+// balancePrimary hands one primary on, from a turn store that has at least two more than another, if need be by way of others
+// whose number stays the same: a breadth-first search over the synced backups. It returns false where there is no such way.
 func (a *assignment) balancePrimary() bool {
 	load := a.primariesByStore()
 	var from []string
--- a/internal/tier/controlplane/reconcile.go
+++ b/internal/tier/controlplane/reconcile.go
@@ -13,95 +13,114 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// reconciler is the state of the loop that reconciles the turn store map, within one epoch.
+// reconciler is the state of the loop that reconciles the partition map with the turn stores, within one epoch.
 type reconciler struct {
-	lastInput string // what the map was made from
-	unchanged bool   // and nothing was to be changed
+	lastInput string // fingerprint of what the map was last made from
+	unchanged bool   // and that had nothing to be changed
 	lastWrite time.Time
-	stall     stallTracker
+	stalls    stallTracker
 }
 
-// reconcile brings the turn store map in line with the turn stores that are alive, and tells whether that went well.
-func (plane *ControlPlane) reconcile(ctx context.Context, epoch uint64, t *reconciler) bool {
+// reconcile brings the partition map in line with the turn stores that are alive. It returns false where a write has failed.
+func (plane *ControlPlane) reconcile(ctx context.Context, epoch uint64, loop *reconciler) bool {
 	now := time.Now()
-	v, ready := plane.primary()
-	if !ready || v.epoch != epoch {
+	state, ready := plane.primary()
+	if !ready || state.epoch != epoch {
 		return true
 	}
-	plane.mu.Lock()
-	alive, leaving, reports := plane.sessions.storeNodes(now)
-	lapsed := plane.recentlyExpired(now, v, alive)
-	arrived := plane.sessions.lastStoreArrival
-	left := plane.retireDeadlines.remaining(now, v.partitionMap.GetRetiring())
-	plane.riskTimer.observe(now, AssessRisk(v.partitionMap, plane.faultTolerance, alive, plane.Settings.SyncTime).Partitions)
-	plane.mu.Unlock()
-	in := Input{FaultTolerance: plane.faultTolerance, Alive: alive, Draining: leaving, Reports: reports, RecentlyExpired: lapsed}
-	in.GraceOver = now.Sub(v.since) >= plane.windowFraction(takeoverGraceDivisor)
-	in.MayCreate = now.Sub(arrived) >= plane.windowFraction(firstMapDelayDivisor)
-	in.MayMove = now.Sub(t.lastWrite) >= plane.windowFraction(sessionCheckDivisor)
-	in.RequiredMoves = requiredMoves(v.partitionMap, left, plane.windowFraction(moveTimeDivisor))
-	in.Slow, in.Stalled = t.stall.observe(now, plane.Settings.ContactWindow, v.partitionMap, alive)
-	seen := strconv.FormatUint(v.partitionMap.GetVersion(), 10) + ";" + in.fingerprint()
-	if t.unchanged && t.lastInput == seen {
+	in := plane.observeInput(now, state, loop)
+	fingerprint := strconv.FormatUint(state.partitionMap.GetVersion(), 10) + ";" + in.fingerprint()
+	if loop.unchanged && loop.lastInput == fingerprint {
 		return true
 	}
-	if _, changed := nextMap(v.partitionMap, in); !changed {
-		t.lastInput, t.unchanged = seen, in.MayMove
+	if _, changed := nextMap(state.partitionMap, in); !changed {
+		loop.lastInput, loop.unchanged = fingerprint, in.MayMove
 		return true
 	}
-	t.unchanged = false
+	loop.unchanged = false
 	ctx, cancel := context.WithTimeout(ctx, plane.windowFraction(writeTimeoutDivisor))
 	defer cancel()
 	if plane.lockWriter(ctx) != nil {
 		return false
 	}
 	defer plane.unlockWriter()
-	v, ready = plane.primary() // an order to retire may have come meanwhile
-	if !ready || v.epoch != epoch {
+	state, ready = plane.primary() // an order to retire may have come meanwhile
+	if !ready || state.epoch != epoch {
 		return true
 	}
-	if next, changed := nextMap(v.partitionMap, in); changed {
-		t.lastWrite = now
-		err := plane.putPartitionMap(ctx, epoch, next)
-		if err == nil {
-			plane.Log.Info().Str("event", "turnstores").Int("store_nodes", len(next.StoreNodes)).Int("alive", len(alive)).Int("moved", countMoved(v.partitionMap, next)).
-				Int("unsynced", countUnsynced(next)).Int("pace", in.RequiredMoves).Msg("")
-			for _, node := range next.Retired[len(v.partitionMap.GetRetired()):] {
-				plane.Log.Info().Str("event", "retired").Str("node", node).Msg("")
-			}
-		}
-		return err == nil
+	next, changed := nextMap(state.partitionMap, in)
+	if !changed {
+		return true
+	}
+	loop.lastWrite = now
+	if plane.writePartitionMap(ctx, epoch, next) != nil {
+		return false
 	}
+	plane.logPartitionMap(state.partitionMap, next, in)
 	return true
 }
 
-// recentlyExpired gives the turn stores of the map that have been lost for less than the wait (reducePart): since their sessions lapsed,
-// or since the grace after a takeover was over. One that had told that it leaves, or that its disk is not sound, has not
-// lapsed. The caller holds the lock.
-func (plane *ControlPlane) recentlyExpired(now time.Time, v *view, alive map[string]*tierv1.StoreNode) map[string]bool {
-	graceOver := v.since.Add(plane.windowFraction(takeoverGraceDivisor))
+// observeInput returns what the partition map is to be made from now.
+func (plane *ControlPlane) observeInput(now time.Time, state *publishedState, loop *reconciler) Input {
+	plane.mu.Lock()
+	alive, draining, reports := plane.sessions.storeNodes(now)
+	expired := plane.recentlyExpired(now, state, alive)
+	lastArrival := plane.sessions.lastStoreArrival
+	timeLeft := plane.retireDeadlines.remaining(now, state.partitionMap.GetRetiring())
+	plane.riskTimer.observe(now, AssessRisk(state.partitionMap, plane.faultTolerance, alive, plane.Settings.SyncTime).Partitions)
+	plane.mu.Unlock()
+	in := Input{
+		FaultTolerance:  plane.faultTolerance,
+		Alive:           alive,
+		Draining:        draining,
+		Reports:         reports,
+		RecentlyExpired: expired,
+		GraceOver:       now.Sub(state.since) >= plane.windowFraction(takeoverGraceDivisor),
+		MayCreate:       now.Sub(lastArrival) >= plane.windowFraction(firstMapDelayDivisor),
+		MayMove:         now.Sub(loop.lastWrite) >= plane.windowFraction(sessionCheckDivisor),
+		RequiredMoves:   requiredMoves(state.partitionMap, timeLeft, plane.windowFraction(moveTimeDivisor)),
+	}
+	in.Slow, in.Stalled = loop.stalls.observe(now, plane.Settings.ContactWindow, state.partitionMap, alive)
+	return in
+}
+
+// logPartitionMap logs a map that was written in place of another.
+func (plane *ControlPlane) logPartitionMap(before, after *tierv1.PartitionMap, in Input) {
+	plane.Log.Info().Str("event", "turnstores").Int("store_nodes", len(after.StoreNodes)).Int("alive", len(in.Alive)).
+		Int("moved", countMoved(before, after)).Int("unsynced", countUnsynced(after)).Int("pace", in.RequiredMoves).
+		Msg("changed the partition map")
+	for _, node := range after.Retired[len(before.GetRetired()):] {
+		plane.Log.Info().Str("event", "retired").Str("node", node).Msg("emptied a machine: it may be removed")
+	}
+}
+
+// recentlyExpired returns the turn stores of the map, by folder, that have been lost for less than lostReplicaWaitDivisor
+// gives: since their sessions expired, or since the grace after a takeover was over. One that was draining, or whose disk is
+// not sound, is lost at once and not among them. The caller holds mu.
+func (plane *ControlPlane) recentlyExpired(now time.Time, state *publishedState, alive map[string]*tierv1.StoreNode) map[string]bool {
+	graceOver := state.since.Add(plane.windowFraction(takeoverGraceDivisor))
 	found := map[string]bool{}
-	for _, one := range v.partitionMap.GetStoreNodes() {
-		if alive[one.Folder] != nil {
+	for _, store := range state.partitionMap.GetStoreNodes() {
+		if alive[store.Folder] != nil {
 			continue
 		}
 		since := graceOver
-		if s := plane.sessions.storeSession(one); s != nil {
+		if s := plane.sessions.storeSession(store); s != nil {
 			if s.draining || !diskUsable(s.disk) {
 				continue
 			}
-			if lapse := s.lastCallEnded.Add(s.ttl); lapse.After(since) {
-				since = lapse
+			if expiry := s.lastCallEnded.Add(s.ttl); expiry.After(since) {
+				since = expiry
 			}
 		}
 		if now.Sub(since) < plane.windowFraction(lostReplicaWaitDivisor) {
-			found[one.Folder] = true
+			found[store.Folder] = true
 		}
 	}
 	return found
 }
 
-// nextMap is the map that Assign makes, with the machines recorded that have been emptied by it.
+// nextMap returns the map that Assign makes, with the machines recorded that are empty in it.
 func nextMap(before *tierv1.PartitionMap, in Input) (after *tierv1.PartitionMap, changed bool) {
 	after, changed = Assign(before, in)
 	retired := newlyRetired(after, in.Losses)
@@ -115,15 +134,15 @@
 	return after, true
 }
 
-// fingerprint is the same for inputs that lead to the same.
+// fingerprint returns a text that is the same for inputs from which the same map is made.
 func (in Input) fingerprint() string {
 	var parts []string
-	for folder, one := range in.Alive {
-		mark := "="
+	for folder, store := range in.Alive {
+		state := "="
 		if in.Draining[folder] {
-			mark = "-"
+			state = "-"
 		}
-		parts = append(parts, folder+mark+one.Address)
+		parts = append(parts, folder+state+store.Address)
 	}
 	for _, r := range in.Reports {
 		parts = append(parts, fmt.Sprint(r.From, "/", r.Replica.Partition, "/", r.Replica.Epoch, "/", r.Replica.Folder))
@@ -133,7 +152,7 @@
 	return strings.Join(parts, ";")
 }
 
-// countMoved is how many partitions have another epoch.
+// countMoved counts the partitions whose epoch differs.
 func countMoved(before, after *tierv1.PartitionMap) (n int) {
 	for i, p := range after.GetPartitions() {
 		if old := before.GetPartitions(); i >= len(old) || old[i].Epoch != p.Epoch {
@@ -143,7 +162,7 @@
 	return n
 }
 
-// countUnsynced is how many copies are not whole yet.
+// countUnsynced counts the replicas that are being synced.
 func countUnsynced(m *tierv1.PartitionMap) (n int) {
 	for _, p := range m.GetPartitions() {
 		for _, c := range p.Backups {
@@ -155,8 +174,8 @@
 	return n
 }
 
-// putPartitionMap writes a turn store map and shows it. The caller has the right to write.
-func (plane *ControlPlane) putPartitionMap(ctx context.Context, epoch uint64, m *tierv1.PartitionMap) error {
+// writePartitionMap writes a partition map, sets its version, and publishes it. The caller has the right to write.
+func (plane *ControlPlane) writePartitionMap(ctx context.Context, epoch uint64, m *tierv1.PartitionMap) error {
 	m.Version = 0
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
@@ -167,6 +186,6 @@
 		return err
 	}
 	m.Version = version
-	plane.updateView(epoch, func(v *view) { v.partitionMap = m })
+	plane.updatePublished(epoch, func(state *publishedState) { state.partitionMap = m })
 	return nil
 }
--- a/internal/tier/controlplane/redirect.go
+++ b/internal/tier/controlplane/redirect.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"math"
 	"net"
 	"net/http"
 	"time"
@@ -9,9 +10,15 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// redirectToPrimary sends the caller to the primary. Around a takeover none is known for a while: the call is held until there is
-// one, for up to redirectLimit, as a caller that is turned away takes longer from try to try. A process without a primary
-// for longer than a takeover takes is cut off, and turns callers away at once.
+// primaryMissing is the span in which operators could not be sent to a primary.
+type primaryMissing struct {
+	first time.Time // when they still could, or were first missed
+	last  time.Time // when that was last looked for
+}
+
+// redirectToPrimary sends the caller to the primary. Around a takeover none is known for a while: the call is held until there
+// is one, for redirectTimeout at most, as a caller that is rejected waits longer with each attempt. A process without a
+// primary for longer than a takeover takes is cut off, and rejects callers at once.
 func (plane *ControlPlane) redirectToPrimary(r *http.Request) response {
 	ctx, cancel := context.WithTimeout(r.Context(), redirectTimeout)
 	defer cancel()
@@ -20,9 +27,9 @@
 	for {
 		changed := plane.Store.Changed()
 		if address, ok := plane.findPrimary(ctx); ok {
-			a := errorResponse(http.StatusTemporaryRedirect, "the primary is another process")
-			a.location = "http://" + address + r.URL.RequestURI()
-			return a
+			redirect := errorResponse(http.StatusTemporaryRedirect, "the primary is another process")
+			redirect.location = "http://" + address + r.URL.RequestURI()
+			return redirect
 		}
 		if !plane.withinTakeover(time.Now()) {
 			return unavailableResponse("no primary is known")
@@ -36,13 +43,14 @@
 	}
 }
 
-// findPrimary gives the operators' address of the primary, if it is known at this moment. It may be this process by now.
+// findPrimary returns the operators' address of the primary, and whether it is known at this moment. It may be this process
+// by now.
 func (plane *ControlPlane) findPrimary(ctx context.Context) (address string, ok bool) {
 	hint := plane.Store.PrimaryHint()
-	host, _, err := net.SplitHostPort(hint)
-	_, port, err2 := net.SplitHostPort(plane.Settings.Control)
+	host, _, hintErr := net.SplitHostPort(hint)
+	_, port, controlErr := net.SplitHostPort(plane.Settings.Control)
 	switch {
-	case err != nil || err2 != nil || host == "":
+	case hintErr != nil || controlErr != nil || host == "":
 	case host == plane.Settings.IP:
 		_, ok = plane.primary()
 	default:
@@ -51,14 +59,14 @@
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	now := time.Now()
-	if ok || now.Sub(plane.primaryMissing.last) > plane.Settings.ContactWindow { // what was missed before is another story
+	if ok || now.Sub(plane.primaryMissing.last) > plane.Settings.ContactWindow { // an earlier span has nothing to do with this one
 		plane.primaryMissing.first = now
 	}
 	plane.primaryMissing.last = now
 	return net.JoinHostPort(host, port), ok
 }
 
-// withinTakeover tells whether the primary has been missed for no longer than a takeover may take.
+// withinTakeover tells whether the primary has been missing for no longer than a takeover may take.
 func (plane *ControlPlane) withinTakeover(now time.Time) bool {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
@@ -76,8 +84,9 @@
 	return err == nil && reply.IsPrimary
 }
 
-// probeRequest is of one that only asks who is the primary: it claims to have all that there is, and so is brought nothing.
+// probeRequest is a Watch that only asks who is the primary: it claims the newest version of all there is, so that the reply
+// brings nothing.
 func probeRequest() *tierv1.WatchRequest {
-	const all = 1<<64 - 1
-	return &tierv1.WatchRequest{ConfigurationVersion: all, EndpointsVersion: all, PartitionMapVersion: all, MembersVersion: all}
+	return &tierv1.WatchRequest{ConfigurationVersion: math.MaxUint64, EndpointsVersion: math.MaxUint64,
+		PartitionMapVersion: math.MaxUint64, MembersVersion: math.MaxUint64}
 }
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -7,12 +7,12 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// repair gives one partition a primary that is alive, and its copies on turn stores that stay, as far as there are any.
-// Where it is stalled, other turn stores are tried for it.
+// repair gives one partition a primary that is alive, and its replicas on turn stores that stay, as far as there are any. Where
+// its sync is stalled, other turn stores are tried.
 func (a *assignment) repair(p *tierv1.Partition, stalled bool) {
 	if a.lost(p.Primary) || slices.ContainsFunc(p.RecoverFrom, a.lost) {
 		if !a.failOver(p, a.alive) && !a.recoverPrimary(p) {
-			return // the return of one is waited for: no others have all that was acknowledged
+			return // one of them has to return: no others have all that was acknowledged
 		}
 	}
 	if a.Draining[p.Primary] {
@@ -35,10 +35,10 @@
 				continue
 			}
 		}
-		a.retainReplica(p, c.Folder, c.Since) // a synced copy has no Since
+		a.retainReplica(p, c.Folder, c.Since) // the Since of a synced replica is 0
 	}
 	for a.stayingReplicas(p) <= a.Losses {
-		// An order to retire is followed at the pace of moves, but a lost copy is made good at once.
+		// An order to retire is followed at the rate of moves, but a lost replica is replaced at once.
 		if a.syncedReplicas(p) > a.Losses && !slices.ContainsFunc(replicaFolders(p), a.draining) && a.activeMoves() >= a.maxMoves() {
 			break
 		}
@@ -55,10 +55,10 @@
 	a.pruneRetained(p)
 }
 
-// awaitsReturn tells whether a partition that has no turn store for another copy waits for a lost one, as its backup, rather than
-// go on without it. It does where more turn stores with copies are lost than is borne. It also does for a moment after a
-// session has lapsed: that may be for want of messages, and is no loss yet. What the others acknowledged without it would be
-// lost with them, though no more are lost than is borne.
+// awaitsReturn tells whether a partition that has no turn store for another replica keeps a lost one as its backup, rather
+// than go on without it. It does where more turn stores with replicas are lost than is tolerated. It also does for a moment
+// after a session has expired: messages may have been lost, and the turn store not. What the others acknowledged without it
+// would be lost with them, though no more are lost than is tolerated.
 func (a *assignment) awaitsReturn(folder string) bool {
 	if a.replaced[folder] {
 		return false
@@ -66,7 +66,7 @@
 	return a.RecentlyExpired[folder] || a.lostDomains > a.Losses
 }
 
-// failOver gives a partition another primary, out of its synced backups. The former is a synced backup then.
+// failOver makes a synced backup the primary, and the former primary a synced backup. It returns false where none may be it.
 func (a *assignment) failOver(p *tierv1.Partition, may func(folder string) bool) bool {
 	load := a.primariesByStore()
 	best := ""
@@ -89,16 +89,17 @@
 	return true
 }
 
+// promote makes a backup the primary, and the former primary a synced backup in its place.
 func (a *assignment) promote(p *tierv1.Partition, folder string) {
 	c := findBackup(p, folder)
 	c.Folder, c.Synced, p.Primary = p.Primary, true, folder
 }
 
-// retarget tries other turn stores for a copy that doesn't get on: its primary or the copy's turn store may be out of reach of
-// the other, though both are alive. All synced copies are tried as the primary in turn, and when each had its turn, the
-// next turn store for the copy: at most Losses + 1 primaries for each. Only a synced copy becomes primary, and only
-// unsynced ones are replaced, so that nothing is given up. One that is replaced is retained: what was acknowledged while it
-// was under way may be nowhere else but at the primary.
+// retarget tries other turn stores for a replica whose sync is stalled: its primary or the replica's turn store may be out of
+// reach of the other, though both are alive. All synced replicas are tried as the primary in turn, and when each had its
+// turn, the next turn store for the replica: at most Losses + 1 primaries for each. Only a synced replica becomes primary,
+// and only unsynced ones are replaced, so that nothing is given up. One that is replaced is retained: what was acknowledged
+// while it was being synced may be nowhere else but at the primary.
 func (a *assignment) retarget(p *tierv1.Partition) {
 	sources := []string{p.Primary}
 	for _, c := range p.Backups {
@@ -124,7 +125,7 @@
 	}
 }
 
-// addReplica adds an unsynced copy: right behind a departing one, as the one that takes its place, else as the last.
+// addReplica adds an unsynced replica: right behind a departing one, as the one that takes its place, else as the last.
 func (a *assignment) addReplica(p *tierv1.Partition, folder string) {
 	at := len(p.Backups)
 	for i, member := range replicaFolders(p) {
@@ -136,11 +137,12 @@
 	p.Backups = slices.Insert(p.Backups, at, &tierv1.Replica{Folder: folder})
 }
 
+// removeBackup removes the backup in a folder.
 func (a *assignment) removeBackup(p *tierv1.Partition, folder string) {
 	p.Backups = slices.DeleteFunc(p.Backups, func(c *tierv1.Replica) bool { return c.Folder == folder })
 }
 
-// trim drops what a partition has beyond its copies, once enough others are synced.
+// trim drops the replicas that a partition has too many, once enough others are synced.
 func (a *assignment) trim(p *tierv1.Partition) {
 	enough := func(without string) bool {
 		n := 0
@@ -164,7 +166,7 @@
 	}
 }
 
-// dropReplica drops a member, after its duty as the primary has gone to another.
+// dropReplica drops a replica; if it is the primary, another becomes that first. It returns false where none may.
 func (a *assignment) dropReplica(p *tierv1.Partition, folder string) bool {
 	if folder == p.Primary && !a.failOver(p, a.usable) {
 		return false
@@ -173,8 +175,9 @@
 	return true
 }
 
-// surplusReplica is the copy that goes when a partition has one too many: the one before that which takes its place. Where that
-// is not to be told any more, it is the one that shares its domain with most others, then the one whose turn store has most copies.
+// surplusReplica returns the replica that is dropped when a partition has one too many: the one before that which takes its
+// place. Where that is not known any more, it is the one that shares its failure domain with most others, then the one
+// whose turn store has most replicas.
 func (a *assignment) surplusReplica(p *tierv1.Partition) string {
 	all := replicaFolders(p)
 	for i, c := range p.Backups {
--- a/internal/tier/controlplane/replicas.go
+++ b/internal/tier/controlplane/replicas.go
@@ -6,7 +6,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// replicaFolders are the folders of a partition, the primary first.
+// replicaFolders returns the folders of a partition's replicas, the primary first.
 func replicaFolders(p *tierv1.Partition) []string {
 	all := make([]string, 1, len(p.Backups)+1)
 	all[0] = p.Primary
@@ -16,6 +16,7 @@
 	return all
 }
 
+// findBackup returns a partition's backup in a folder, nil if there is none.
 func findBackup(p *tierv1.Partition, folder string) *tierv1.Replica {
 	for _, c := range p.Backups {
 		if c.Folder == folder {
@@ -25,35 +26,38 @@
 	return nil
 }
 
+// alive tells whether a turn store is alive and its disk is sound.
 func (a *assignment) alive(folder string) bool { return a.Alive[folder] != nil }
 
-// lost tells whether a turn store is called lost. One that is neither alive nor lost has not come yet.
+// lost tells whether a turn store counts as lost. One that is neither alive nor lost has not come yet.
 func (a *assignment) lost(folder string) bool {
 	return !a.alive(folder) && (a.GraceOver || a.replaced[folder])
 }
 
-// departing tells whether a turn store gives its copies up: it is to be emptied, or has heard SIGTERM.
+// departing tells whether a turn store gives its replicas up: it is to be emptied, or draining.
 func (a *assignment) departing(folder string) bool { return a.retiring(folder) || a.Draining[folder] }
 
+// retiring tells whether a turn store's machine is to be emptied.
 func (a *assignment) retiring(folder string) bool {
 	one := a.storeNodes[folder]
 	return one != nil && slices.Contains(a.m.Retiring, one.Node)
 }
 
-// draining tells whether a turn store has heard SIGTERM: its time is short.
+// draining tells whether a turn store has been asked to shut down: it has little time left.
 func (a *assignment) draining(folder string) bool { return a.Draining[folder] }
 
-// usable tells whether a turn store may get new duties.
+// usable tells whether a turn store may get new replicas and primaries.
 func (a *assignment) usable(folder string) bool {
 	return a.alive(folder) && !a.departing(folder)
 }
 
-// synced tells whether a member of a partition is there and has all that was acknowledged.
+// synced tells whether a replica of a partition is alive and has all that was acknowledged.
 func (a *assignment) synced(p *tierv1.Partition, folder string) bool {
 	c := findBackup(p, folder)
 	return a.alive(folder) && (folder == p.Primary && len(p.RecoverFrom) == 0 || c != nil && c.Synced)
 }
 
+// domain returns the failure domain of a turn store; one that is not known is its own.
 func (a *assignment) domain(folder string) string {
 	if one := a.storeNodes[folder]; one != nil {
 		return a.Domain(one)
@@ -61,7 +65,7 @@
 	return folder
 }
 
-// aliveReplicas counts a partition's copies on turn stores that are alive and have not heard SIGTERM.
+// aliveReplicas counts a partition's replicas on turn stores that are alive and not draining.
 func (a *assignment) aliveReplicas(p *tierv1.Partition) int {
 	n := 0
 	for _, folder := range replicaFolders(p) {
@@ -72,7 +76,7 @@
 	return n
 }
 
-// syncedReplicas counts a partition's synced copies on turn stores that are alive, departing ones included.
+// syncedReplicas counts a partition's synced replicas on turn stores that are alive, departing ones included.
 func (a *assignment) syncedReplicas(p *tierv1.Partition) int {
 	n := 0
 	for _, folder := range replicaFolders(p) {
@@ -83,7 +87,7 @@
 	return n
 }
 
-// stayingReplicas counts a partition's copies on turn stores that are not departing.
+// stayingReplicas counts a partition's replicas on turn stores that are not departing.
 func (a *assignment) stayingReplicas(p *tierv1.Partition) int {
 	n := 0
 	for _, folder := range replicaFolders(p) {
@@ -94,7 +98,7 @@
 	return n
 }
 
-// replicasByStore counts the copies of each usable turn store, those left out that are dropped when their successor is synced.
+// replicasByStore counts the replicas of each usable turn store, without those that are dropped when their successor is synced.
 func (a *assignment) replicasByStore() map[string]int {
 	load := map[string]int{}
 	for folder := range a.Alive {
@@ -117,6 +121,7 @@
 	return load
 }
 
+// primariesByStore counts the primaries of each turn store.
 func (a *assignment) primariesByStore() map[string]int {
 	load := map[string]int{}
 	for _, p := range a.m.Partitions {
@@ -125,7 +130,7 @@
 	return load
 }
 
-// countLost counts the domains in which a turn store that has copies is lost, and may yet return.
+// countLost counts the failure domains in which a turn store with replicas is lost, and may yet return.
 func (a *assignment) countLost() int {
 	domains := map[string]bool{}
 	for _, p := range a.m.Partitions {
@@ -138,7 +143,7 @@
 	return len(domains)
 }
 
-// countSlow counts, for each turn store, the slow partitions that it is the primary of, and the copies under way there in such.
+// countSlow counts, for each turn store, the slow partitions whose primary is there, and the replicas being synced there in such.
 func (a *assignment) countSlow() {
 	a.slowTargets, a.slowSources = map[string]int{}, map[string]int{}
 	for i, p := range a.m.Partitions {
@@ -154,15 +159,7 @@
 	}
 }
 
-func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
-}
-
+// compareBool orders false before true, as cmp.Compare would.
 func compareBool(x, y bool) int {
 	switch {
 	case x == y:
--- a/internal/tier/controlplane/request_body.go
+++ b/internal/tier/controlplane/request_body.go
@@ -8,12 +8,13 @@
 	"net/http"
 )
 
+// Reasons for which a body was not read. Operators read their texts.
 var (
 	errBodyTooLarge   = errors.New("the body is too large")
 	errBodyIncomplete = errors.New("the body did not come whole")
 )
 
-// readBody reads a body up to its end. It fails with errBodyTooLarge or errBodyCut.
+// readBody reads a body of at most limit bytes up to its end. The error is errBodyTooLarge or errBodyIncomplete.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	tooLarge := fmt.Errorf("%w: it has more than %d bytes", errBodyTooLarge, limit)
 	if r.ContentLength > limit {
@@ -35,7 +36,7 @@
 	return b.Bytes(), nil
 }
 
-// bodyErrorResponse is the answer to a call whose body readBody did not give.
+// bodyErrorResponse is the response to a call for which readBody has failed.
 func bodyErrorResponse(err error) response {
 	if errors.Is(err, errBodyTooLarge) {
 		return errorResponse(http.StatusRequestEntityTooLarge, err.Error())
@@ -43,5 +44,7 @@
 	return errorResponse(http.StatusBadRequest, err.Error())
 }
 
-// discardBody reads what comes of a body that is not used, so that the answer is not lost to a reset.
-func discardBody(r *http.Request) { io.Copy(io.Discard, io.LimitReader(r.Body, maxRequestBody)) }
+// discardBody reads what has come of a body that is not used, so that a reset of the connection does not destroy the response.
+func discardBody(r *http.Request) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxRequestBody))
+}
--- a/internal/tier/controlplane/retained_replicas.go
+++ b/internal/tier/controlplane/retained_replicas.go
@@ -6,17 +6,18 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A copy whose turn store falls silent, or that does not get on, is taken out of its partition, as nothing is acknowledged
-// without a backup that the map names. It is retained: the map remembers in which epochs it took all that was acknowledged, and its turn store keeps it.
-// Whatever was acknowledged in an epoch is synced at all members of that epoch, copies under way included, and facts are
-// only added. So copies whose spans of epochs follow each other without a gap, from the beginning to the newest in which
-// anything can have been acknowledged, hold together all that ever was, also when the primary and all synced copies are
-// lost: one of them becomes primary, and answers nothing before it has exchanged all facts with the others.
+// A replica whose session has expired, or whose sync is stalled, is taken out of its partition, as nothing is acknowledged
+// without a backup that the map names. It is retained: the map remembers in which epochs it took all that was acknowledged,
+// and its turn store keeps it. Whatever was acknowledged in an epoch is synced at all replicas of that epoch, those being
+// synced included, and facts are only added. So replicas whose spans of epochs follow each other without a gap, from the
+// beginning to the newest in which anything can have been acknowledged, have together all that ever was, also when the
+// primary and all synced replicas are lost: one of them becomes primary, and serves nothing before it has exchanged all
+// facts with the others.
 
-// maxRetained bounds the retained copies of a partition, and with them the map.
+// maxRetained bounds the retained replicas of a partition, and with them the map.
 const maxRetained = 16
 
-// acknowledgedUntil is the newest epoch of a partition in which anything can have been acknowledged.
+// acknowledgedUntil returns the newest epoch of a partition in which anything can have been acknowledged.
 func acknowledgedUntil(p *tierv1.Partition) uint64 {
 	if len(p.RecoverFrom) > 0 {
 		return p.AcknowledgedUntil // nothing is, until the primary has recovered
@@ -24,8 +25,8 @@
 	return p.Epoch
 }
 
-// retainReplica remembers a copy that is taken out: a synced one, or one that took all that was acknowledged since an epoch. One
-// whose disk is gone holds nothing.
+// retainReplica records a replica that is taken out: a synced one (since is 0), or one that took all that was acknowledged
+// since an epoch. One whose disk is lost has nothing.
 func (a *assignment) retainReplica(p *tierv1.Partition, folder string, since uint64) {
 	until := acknowledgedUntil(p)
 	if a.replaced[folder] || since > until {
@@ -45,7 +46,7 @@
 	}
 }
 
-// pruneRetained forgets retained copies that are not needed any more: enough others are synced, or their disks are gone.
+// pruneRetained forgets retained replicas that are not needed any more: enough others are synced, or their disks are lost.
 func (a *assignment) pruneRetained(p *tierv1.Partition) {
 	if a.syncedReplicas(p) > a.Losses {
 		p.Retained = nil
@@ -54,8 +55,8 @@
 	p.Retained = slices.DeleteFunc(p.Retained, func(r *tierv1.RetainedReplica) bool { return a.replaced[r.Folder] })
 }
 
-// recoverPrimary gives a partition whose synced copies are all lost a primary out of copies that are alive and hold
-// together all that was acknowledged. It is false where there are none.
+// recoverPrimary gives a partition whose synced replicas are all lost a primary out of replicas that are alive and have
+// together all that was acknowledged. It returns false where there are none.
 func (a *assignment) recoverPrimary(p *tierv1.Partition) bool {
 	until := acknowledgedUntil(p)
 	chain := a.coveringReplicas(p, until)
@@ -81,8 +82,8 @@
 	return true
 }
 
-// coveringReplicas gives the fewest copies that are alive and whose spans cover all epochs until one, the first of the oldest
-// span; nil where there are none.
+// coveringReplicas returns the fewest replicas that are alive and whose spans cover all epochs until one, the first of the
+// oldest span; nil where there are none.
 func (a *assignment) coveringReplicas(p *tierv1.Partition, until uint64) (chain []string) {
 	spans := slices.Clone(p.Retained)
 	for _, c := range p.Backups {
--- a/internal/tier/controlplane/retire.go
+++ b/internal/tier/controlplane/retire.go
@@ -11,7 +11,17 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// createRetire takes the order to empty a storage machine.
+// retireBody is the body of Retire.Create.
+type retireBody struct {
+	DurationSeconds float64 `json:"duration_s"`
+}
+
+// lifecycleBody is the body of a response that tells how far an order to retire is.
+type lifecycleBody struct {
+	State string `json:"lifecycle_state"`
+}
+
+// createRetire serves Retire.Create, the order to empty a storage machine.
 func (plane *ControlPlane) createRetire(w http.ResponseWriter, r *http.Request, node string) response {
 	body, err := readBody(w, r, maxRequestBody)
 	if _, ok := plane.primary(); !ok {
@@ -20,16 +30,14 @@
 	if err != nil {
 		return bodyErrorResponse(err)
 	}
-	var order struct {
-		Duration float64 `json:"duration_s"`
-	}
+	var order retireBody
 	if len(body) > 0 && json.Unmarshal(body, &order) != nil {
 		return errorResponse(http.StatusBadRequest, "the body is no JSON object with duration_s")
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), operatorWriteTimeout)
 	defer cancel()
-	verdict, v, err := plane.decideAndWriteRetire(ctx, node, order.Duration)
-	if err == nil && verdict != retireAccept && verdict != retireTryLater && plane.barrier.wait(ctx, v.epoch) != nil {
+	decided, state, err := plane.decideAndWriteRetire(ctx, node, order.DurationSeconds)
+	if err == nil && decided != retireAccept && decided != retireTryLater && plane.barrier.wait(ctx, state.epoch) != nil {
 		err = errUnconfirmed
 	}
 	switch {
@@ -38,43 +46,44 @@
 	case err != nil:
 		return unavailableResponse(err.Error())
 	}
-	switch verdict {
+	switch decided {
 	case retireAccept, retireAlreadyOrdered:
-		return lifecycleResponse(v.partitionMap, node)
+		return lifecycleResponse(state.partitionMap, node)
 	case retireTryLater:
 		return unavailableResponse("the storage machines are not all heard yet")
 	case retireUnknownNode:
 		return errorResponse(http.StatusNotFound, "no storage machine of that name is known")
 	case retireStateTooLarge:
 		return errorResponse(http.StatusRequestEntityTooLarge, errStateTooLarge.Error())
-	default:
+	default: // retireTooFewRemain
 		return errorResponse(http.StatusConflict, "too few storage machines would remain")
 	}
 }
 
-// decideAndWriteRetire decides on an order to retire, and writes it if it can be carried out, in one step with the decision. It
-// gives the view that was decided on; with retireTake, which says that it was written, the view that has it.
-func (plane *ControlPlane) decideAndWriteRetire(ctx context.Context, node string, duration float64) (retireDecision, *view, error) {
-	decide := func(v *view) retireDecision {
-		verdict := plane.retireRequest(v, node).decide()
-		if verdict == retireAccept || verdict == retireTryLater {
-			plane.recordRetireDeadline(node, duration, v.partitionMap.GetRetiring())
+// decideAndWriteRetire decides on an order to retire, and writes it if it can be carried out, in one step with the decision.
+// It returns the state that the decision was based on; with retireAccept, which says that it was written, the state that has
+// it. duration is in seconds, as ordered.
+func (plane *ControlPlane) decideAndWriteRetire(ctx context.Context, node string, duration float64) (retireDecision, *publishedState, error) {
+	decide := func(state *publishedState) retireDecision {
+		decided := plane.newRetireRequest(state, node).decide()
+		if decided == retireAccept || decided == retireTryLater {
+			plane.recordRetireDeadline(node, duration, state.partitionMap.GetRetiring())
 		}
-		return verdict
+		return decided
 	}
-	write := func(ctx context.Context, v *view) (retireDecision, *view, error) {
-		return plane.writeRetire(ctx, v, node, duration)
+	write := func(ctx context.Context, state *publishedState) (retireDecision, *publishedState, error) {
+		return plane.writeRetire(ctx, state, node, duration)
 	}
 	return decideAndWrite(ctx, plane, retireAccept, decide, write)
 }
 
-// writeRetire writes the map with an order to retire, shows it, and gives a view that has it; or else retireTooLarge with the
-// view as it was. The caller has the right to write.
-func (plane *ControlPlane) writeRetire(ctx context.Context, before *view, node string, duration float64) (retireDecision, *view, error) {
+// writeRetire writes the partition map with an order to retire, publishes it, and returns a state that has it; or
+// retireStateTooLarge with the state as it was. The caller has the right to write.
+func (plane *ControlPlane) writeRetire(ctx context.Context, before *publishedState, node string, duration float64) (retireDecision, *publishedState, error) {
 	after := *before
 	after.partitionMap = withRetireOrder(before.partitionMap, node)
 	after.partitionMap.Retired = append(after.partitionMap.Retired, newlyRetired(after.partitionMap, plane.faultTolerance.Losses)...)
-	err := plane.putPartitionMap(ctx, before.epoch, after.partitionMap)
+	err := plane.writePartitionMap(ctx, before.epoch, after.partitionMap)
 	if errors.Is(err, errStateTooLarge) {
 		return retireStateTooLarge, before, nil
 	}
@@ -82,12 +91,12 @@
 		return retireAccept, nil, errOutcomeUnknown
 	}
 	wake(plane.reconcileNow)
-	plane.Log.Info().Str("event", "retire").Str("node", node).Float64("duration_s", duration).Msg("")
+	plane.Log.Info().Str("event", "retire").Str("node", node).Float64("duration_s", duration).Msg("accepted an order to retire a machine")
 	return retireAccept, &after, nil
 }
 
-// recordRetireDeadline keeps until when a machine is to be emptied, by its order's duration in seconds. It does so before the order
-// is written, as it is followed from then on.
+// recordRetireDeadline records until when a machine is to be emptied, by its order's duration in seconds. It does so before
+// the order is written, as the reconciliation follows the order from then on.
 func (plane *ControlPlane) recordRetireDeadline(node string, duration float64, orders []string) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
@@ -96,22 +105,24 @@
 	plane.retireDeadlines.record(node, now, retireDuration(duration))
 }
 
+// describeRetire serves Retire.Describe.
 func (plane *ControlPlane) describeRetire(r *http.Request, node string) response {
 	discardBody(r)
-	v, a := plane.confirmedView(r)
-	if v == nil {
-		return a
+	state, instead := plane.confirmedState(r)
+	if state == nil {
+		return instead
 	}
-	if !slices.Contains(v.partitionMap.GetRetiring(), node) {
+	if !slices.Contains(state.partitionMap.GetRetiring(), node) {
 		return errorResponse(http.StatusNotFound, "that machine is not asked to be emptied")
 	}
-	return lifecycleResponse(v.partitionMap, node)
+	return lifecycleResponse(state.partitionMap, node)
 }
 
+// lifecycleResponse is the response that tells how far the order to retire a node is, as the map has it recorded.
 func lifecycleResponse(m *tierv1.PartitionMap, node string) response {
 	state := retireInProgress
 	if slices.Contains(m.GetRetired(), node) {
 		state = retireCompleted
 	}
-	return okResponse(map[string]string{"lifecycle_state": state})
+	return okResponse(lifecycleBody{State: state})
 }
--- a/internal/tier/controlplane/retire_decision.go
+++ b/internal/tier/controlplane/retire_decision.go
@@ -7,28 +7,35 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// retireRequest is an order to empty a machine, with all that the decision on it needs.
+// retireRequest is an order to retire a machine, with all that the decision on it needs.
 type retireRequest struct {
-	alreadyOrdered  bool // it was taken before
+	alreadyOrdered  bool // it was accepted before
 	knownNode       bool // the machine is known to keep data
 	remainingStores int  // turn stores that are alive and would be left without it
 	remainingMapped int  // machines that keep data by the map and would be left without it: some may be down for now
-	losses          int  // to be borne at once
-	takeoverGrace   bool // after a takeover, not all that are there need have come yet
+	losses          int  // simultaneous losses to be tolerated
+	takeoverGrace   bool // shortly after a takeover: some that are alive may not have come yet
 }
 
-// retireDecision is the decision on an order to empty a machine.
+// retireDecision is what becomes of an order to retire a machine.
 type retireDecision int
 
 const (
-	retireAccept         retireDecision = iota
-	retireAlreadyOrdered                // before: it is acknowledged again, also when the machine has been taken away since
-	retireTryLater                      // a refusal would end the order, though it may be possible in a moment
-	retireUnknownNode                   // no such machine
-	retireTooFewRemain                  // too few would remain
-	retireStateTooLarge                 // the control state would be too large with it
+	// retireAccept: it can be carried out and is to be written.
+	retireAccept retireDecision = iota
+	// retireAlreadyOrdered: it was accepted before, and is acknowledged again, also when the machine has been removed since.
+	retireAlreadyOrdered
+	// retireTryLater: a rejection would end the order, though it may be possible in a moment.
+	retireTryLater
+	// retireUnknownNode: no machine of that name keeps data.
+	retireUnknownNode
+	// retireTooFewRemain: too few machines would be left for the losses to be tolerated.
+	retireTooFewRemain
+	// retireStateTooLarge: it was not written, as the control state would become too large with it.
+	retireStateTooLarge
 )
 
+// decide returns what becomes of the order. It is pure.
 func (r retireRequest) decide() retireDecision {
 	enough := r.remainingStores >= r.losses+1
 	switch {
@@ -45,38 +52,45 @@
 	}
 }
 
-func (plane *ControlPlane) retireRequest(v *view, node string) retireRequest {
-	known, remain := plane.remainingStores(v.partitionMap, node)
-	return retireRequest{alreadyOrdered: slices.Contains(v.partitionMap.GetRetiring(), node), knownNode: known, remainingStores: remain,
-		remainingMapped: remainingMappedNodes(v.partitionMap, node), losses: plane.faultTolerance.Losses, takeoverGrace: time.Since(v.since) < plane.windowFraction(takeoverGraceDivisor)}
+// newRetireRequest returns an order to retire a node, with what is known now.
+func (plane *ControlPlane) newRetireRequest(state *publishedState, node string) retireRequest {
+	known, remaining := plane.remainingStores(state.partitionMap, node)
+	return retireRequest{
+		alreadyOrdered:  slices.Contains(state.partitionMap.GetRetiring(), node),
+		knownNode:       known,
+		remainingStores: remaining,
+		remainingMapped: remainingMappedNodes(state.partitionMap, node),
+		losses:          plane.faultTolerance.Losses,
+		takeoverGrace:   time.Since(state.since) < plane.windowFraction(takeoverGraceDivisor),
+	}
 }
 
-// remainingMappedNodes is how many machines besides a node the map keeps data on, and is not asked to take it off: some may be down for now.
+// remainingMappedNodes counts the other machines that keep data by the map and are not to be emptied: some may be down for now.
 func remainingMappedNodes(m *tierv1.PartitionMap, node string) int {
 	nodes := map[string]bool{}
-	for _, one := range m.GetStoreNodes() {
-		if one.Node != node && !slices.Contains(m.GetRetiring(), one.Node) {
-			nodes[one.Node] = true
+	for _, store := range m.GetStoreNodes() {
+		if store.Node != node && !slices.Contains(m.GetRetiring(), store.Node) {
+			nodes[store.Node] = true
 		}
 	}
 	return len(nodes)
 }
 
-// remainingStores tells whether a node is known to keep data, and how many turn stores would be left without it.
-func (plane *ControlPlane) remainingStores(m *tierv1.PartitionMap, node string) (known bool, remain int) {
+// remainingStores tells whether a node is known to keep data, and how many turn stores that are alive would be left without it.
+func (plane *ControlPlane) remainingStores(m *tierv1.PartitionMap, node string) (known bool, remaining int) {
 	plane.mu.Lock()
-	alive, leaving, _ := plane.sessions.storeNodes(time.Now())
-	for at := range plane.sessions.sessions {
-		known = known || at.role == roleTurnStore && at.node == node
+	alive, draining, _ := plane.sessions.storeNodes(time.Now())
+	for key := range plane.sessions.byKey {
+		known = known || key.role == roleTurnStore && key.node == node
 	}
 	plane.mu.Unlock()
-	for _, one := range m.GetStoreNodes() {
-		known = known || one.Node == node
+	for _, store := range m.GetStoreNodes() {
+		known = known || store.Node == node
 	}
-	for folder, one := range alive {
-		if one.Node != node && !leaving[folder] && !slices.Contains(m.GetRetiring(), one.Node) {
-			remain++
+	for folder, store := range alive {
+		if store.Node != node && !draining[folder] && !slices.Contains(m.GetRetiring(), store.Node) {
+			remaining++
 		}
 	}
-	return known, remain
+	return known, remaining
 }
--- a/internal/tier/controlplane/retire_progress.go
+++ b/internal/tier/controlplane/retire_progress.go
@@ -14,12 +14,12 @@
 	retireCompleted  = "completed"
 )
 
-// maxRetireRecords bounds the orders to retire that are remembered, and with them the turn store map that every session
-// gets. An order is sent again for ack_timeout_ms or less: 256 machines are not emptied and taken away in that time.
+// maxRetireRecords bounds the orders to retire that are remembered, and with them the partition map that every session gets.
+// An order is repeated for guarantees.ack_timeout_ms or less: 256 machines are not emptied and removed in that time.
 const maxRetireRecords = 256
 
-// withRetireOrder gives a map with an order to retire added. Beyond retireRecordsLimit the oldest orders are forgotten whose
-// machines have been emptied and are not in the map any more.
+// withRetireOrder returns a copy of the map with an order to retire added. Beyond maxRetireRecords the oldest orders are
+// forgotten whose machines have been emptied and are not in the map any more.
 func withRetireOrder(m *tierv1.PartitionMap, node string) *tierv1.PartitionMap {
 	next := &tierv1.PartitionMap{}
 	if m != nil {
@@ -27,8 +27,8 @@
 	}
 	next.Retiring = append(next.Retiring, node)
 	present := map[string]bool{}
-	for _, one := range next.StoreNodes {
-		present[one.Node] = true
+	for _, store := range next.StoreNodes {
+		present[store.Node] = true
 	}
 	for i := 0; i < len(next.Retiring) && len(next.Retiring) > maxRetireRecords; {
 		name := next.Retiring[i]
@@ -43,9 +43,9 @@
 	return next
 }
 
-// newlyRetired gives the machines that have been emptied by a map and are not recorded as such in it. They are recorded in
-// it before anybody is told: from then on the machine may be taken away with its disk at any moment, and what is lost
-// elsewhere later does not make it needed again.
+// newlyRetired returns the machines that are empty in a map and not recorded as such in it. They are recorded in it before
+// any operator hears of it: from then on the machine may be removed with its disk at any moment, and what is lost elsewhere
+// later does not make it needed again.
 func newlyRetired(m *tierv1.PartitionMap, losses int) (nodes []string) {
 	for _, node := range m.GetRetiring() {
 		if !slices.Contains(m.Retired, node) && lifecycleState(m, node, losses) == retireCompleted {
@@ -55,25 +55,25 @@
 	return nodes
 }
 
-// lifecycleState tells, by the copies in a map, whether a node that is to be emptied may be taken away with its disk: no partition has a copy there, and each has its synced
-// copies elsewhere.
+// lifecycleState tells by the replicas in a map whether a node that is to be emptied may be removed with its disk: no
+// partition has a replica there, and each has its synced replicas elsewhere.
 func lifecycleState(m *tierv1.PartitionMap, node string, losses int) string {
-	mine := map[string]bool{}
-	for _, one := range m.StoreNodes {
-		if one.Node == node {
-			mine[one.Folder] = true
+	onNode := map[string]bool{} // by folder
+	for _, store := range m.StoreNodes {
+		if store.Node == node {
+			onNode[store.Folder] = true
 		}
 	}
-	for _, p := range m.Partitions {
-		synced := 1
-		if mine[p.Primary] {
+	for _, partition := range m.Partitions {
+		synced := 1 // the primary
+		if onNode[partition.Primary] {
 			return retireInProgress
 		}
-		for _, c := range p.Backups {
-			if mine[c.Folder] {
+		for _, replica := range partition.Backups {
+			if onNode[replica.Folder] {
 				return retireInProgress
 			}
-			if c.Synced {
+			if replica.Synced {
 				synced++
 			}
 		}
--- a/internal/tier/controlplane/rig_test.go
+++ b/internal/tier/controlplane/rig_test.go
@@ -18,6 +18,7 @@
 
 	"google.golang.org/protobuf/proto"
 	"gotest.tools/v3/assert"
+
 	"saffronyard.example/saffronyard/internal/tier/consensus"
 	"saffronyard.example/saffronyard/internal/tier/settings"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
@@ -344,7 +345,7 @@
 }
 
 func (r *rig) turnStores() *tierv1.PartitionMap {
-	v, _ := r.k.currentView()
+	v, _ := r.k.currentState()
 	return v.partitionMap
 }
 
--- a/internal/tier/controlplane/risk_timer.go
+++ b/internal/tier/controlplane/risk_timer.go
@@ -1,26 +1,24 @@
 package controlplane
 
-import (
-	"time"
-)
+import "time"
 
-// riskTimer remembers since when partitions are at risk, and when the last of them came to be.
+// riskTimer remembers since when partitions have been at risk, and when one was added to them last.
 type riskTimer struct {
-	since      time.Time // zero: none is
+	since      time.Time // zero: none is at risk
 	newest     time.Time // when their number rose last
 	partitions int
 }
 
 // observe takes the number of partitions that are at risk now.
-func (c *riskTimer) observe(now time.Time, number int) {
+func (t *riskTimer) observe(now time.Time, partitions int) {
 	switch {
-	case number == 0:
-		*c = riskTimer{}
+	case partitions == 0:
+		*t = riskTimer{}
 		return
-	case c.partitions == 0:
-		c.since, c.newest = now, now
-	case number > c.partitions:
-		c.newest = now
+	case t.partitions == 0:
+		t.since, t.newest = now, now
+	case partitions > t.partitions:
+		t.newest = now
 	}
-	c.partitions = number
+	t.partitions = partitions
 }
--- a/internal/tier/controlplane/scant_rate_test.go
+++ b/internal/tier/controlplane/scant_rate_test.go
@@ -74,7 +74,7 @@
 		if !e.draining.IsZero() {
 			state = "draining"
 		}
-		lines = append(lines, instance(e.instance, state, 0))
+		lines = append(lines, instanceJSON(e.instance, state, 0))
 	}
 	next := "null"
 	switch {
@@ -139,7 +139,7 @@
 	version := uint64(0)
 	for began := time.Now(); time.Since(began) < span; {
 		r.pass(20 * time.Millisecond)
-		v, _ := r.k.currentView()
+		v, _ := r.k.currentState()
 		if v.endpoints.GetVersion() != version {
 			version = v.endpoints.GetVersion()
 			seen.pushes++
@@ -218,7 +218,7 @@
 // checkSameList checks that what is shown is what the platform has.
 func checkSameList(t *testing.T, r *rig, p *scantPlatform) {
 	t.Helper()
-	v, _ := r.k.currentView()
+	v, _ := r.k.currentState()
 	var shown, listed []string
 	for _, e := range v.endpoints.List {
 		shown = append(shown, fmt.Sprint(e.Instance, e.Draining))
--- a/internal/tier/controlplane/sessions.go
+++ b/internal/tier/controlplane/sessions.go
@@ -7,92 +7,101 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// disconnectedTTL is how long a session stands after its connection broke, so that a new call finds it standing.
-const disconnectedTTL = 150 * time.Millisecond
-
-// endedSessionTTLs is how many lapses a session that ended is still told of to operators.
-const endedSessionTTLs = 50
-
-// Roles of those who hold sessions.
+// Roles of the processes that hold sessions.
 const (
 	roleGateway   = "gateway"
 	roleTurnStore = "turnstore"
 )
 
+const (
+	// disconnectedTTL is how long a session stays active after its connection broke, so that a new call finds it active.
+	disconnectedTTL = 150 * time.Millisecond
+	// endedSessionTTLs is for how many of its TTLs a session that has ended is still shown to operators.
+	endedSessionTTLs = 50
+)
+
+// sessionKey identifies a session: a node has one process of each role.
 type sessionKey struct{ node, role string }
 
-// sessionRegistry knows the sessions of processes. It is guarded by the control plane's lock.
+// sessionRegistry knows the sessions of processes. The control plane's mu guards it.
 type sessionRegistry struct {
-	window             time.Duration // the contact window
-	sessions           map[sessionKey]*session
-	replacedFolders    map[string]bool // folders whose place was taken by another: their disks are gone for ever
-	lastStoreArrival   time.Time       // of the newest session of a turn store
-	acknowledgedSignal chan struct{}   // closed at the next acknowledgement, if somebody waits
+	window           time.Duration // the contact window
+	byKey            map[sessionKey]*session
+	replacedFolders  map[string]bool // folders of turn stores on whose node there is another one now: their disks are lost
+	lastStoreArrival time.Time       // of the newest session of a turn store
+	acknowledged     chan struct{}   // closed at the next acknowledgement or broken connection; nil: nobody waits for it
 }
 
-// session is one process's, from its first held call on.
+// session is that of one process, from its first long poll on.
 type session struct {
 	sessionKey
 	incarnation                            string
 	storeNode                              *tierv1.StoreNode // of a turn store
 	address                                string
-	configuration, endpoints, partitionMap uint64        // acknowledged
-	openCalls                              int           // calls
-	ttl                                    time.Duration // how long it stands after its last call was answered
-	seen, lastCallEnded                    time.Time
-	disconnected, draining                 bool
-	synced                                 []*tierv1.SyncedReplica // reported last
-	disk                                   tierv1.DiskState        // of a turn store, as told last
+	configuration, endpoints, partitionMap uint64        // versions that it has acknowledged
+	openCalls                              int           // calls of Watch that are being held
+	ttl                                    time.Duration // how long it stays active after its last call was answered
+	lastCallEnded                          time.Time
+	disconnected                           bool                    // the connection of its last call broke
+	draining                               bool                    // it has been asked to shut down
+	synced                                 []*tierv1.SyncedReplica // as last reported
+	disk                                   tierv1.DiskState        // of a turn store, as last reported
 }
 
+// newRegistry returns a registry without sessions.
 func newRegistry(window time.Duration) sessionRegistry {
-	return sessionRegistry{window: window, sessions: map[sessionKey]*session{}, replacedFolders: map[string]bool{}}
+	return sessionRegistry{window: window, byKey: map[sessionKey]*session{}, replacedFolders: map[string]bool{}}
 }
 
-// beginCall begins a held call. It gives nil for a caller that only looks, or whose folder has been replaced by another.
+// beginCall begins a long poll and returns its session; nil for a caller that only observes, or whose folder has been
+// replaced by another. fresh tells whether the call brings something that the partition map may depend on.
 func (r *sessionRegistry) beginCall(now time.Time, req *tierv1.WatchRequest) (s *session, fresh bool) {
 	if req.Role == "" || req.Node == "" || r.replacedFolders[req.Folder] {
 		return nil, false
 	}
-	at := sessionKey{req.Node, req.Role}
-	s = r.sessions[at]
+	key := sessionKey{req.Node, req.Role}
+	s = r.byKey[key]
 	if s == nil || s.incarnation != req.Incarnation {
 		if s != nil && s.storeNode != nil && s.storeNode.Folder != req.Folder {
 			r.replacedFolders[s.storeNode.Folder] = true
 		}
-		s = &session{sessionKey: at, incarnation: req.Incarnation}
-		r.sessions[at] = s
+		s = &session{sessionKey: key, incarnation: req.Incarnation}
+		r.byKey[key] = s
 		fresh = true
 	}
 	if req.Role == roleTurnStore {
 		if fresh {
 			r.lastStoreArrival = now
 		}
-		if s.storeNode == nil || s.address != req.Address || s.storeNode.Folder != req.Folder {
-			s.storeNode = &tierv1.StoreNode{Folder: req.Folder, Node: req.Node, Address: req.Address, Zone: req.Zone, Region: req.Region}
-		}
-		disk := diskOf(req)
-		fresh = fresh || req.Draining != s.draining || disk != s.disk || len(req.Synced) != len(s.synced)
-		for i := 0; !fresh && i < len(req.Synced); i++ {
-			a, b := req.Synced[i], s.synced[i]
-			fresh = a.Partition != b.Partition || a.Epoch != b.Epoch || a.Folder != b.Folder
-		}
-		s.synced, s.disk = req.Synced, disk
+		fresh = s.updateStore(req) || fresh
 	}
-	if s.configuration != req.ConfigurationVersion && r.acknowledgedSignal != nil {
-		close(r.acknowledgedSignal)
-		r.acknowledgedSignal = nil
+	if s.configuration != req.ConfigurationVersion {
+		r.signalAcknowledged()
 	}
 	s.address, s.draining = req.Address, req.Draining
 	s.configuration, s.endpoints, s.partitionMap = req.ConfigurationVersion, req.EndpointsVersion, req.PartitionMapVersion
 	s.openCalls++
-	s.seen, s.ttl = now, r.ttlFor(req)
+	s.ttl = r.ttlFor(req)
 	return s, fresh
 }
 
-// ttlFor is how long a session stands after the answer to a call. A process that has its calls held for less than it may
-// does so as answers, and so its next calls, take longer: hold and lapse have the same sum in any case, which is by when the
-// end of a process is noticed.
+// updateStore takes what a turn store reports, and tells whether anything of it is new that the partition map may depend on.
+func (s *session) updateStore(req *tierv1.WatchRequest) (changed bool) {
+	if s.storeNode == nil || s.address != req.Address || s.storeNode.Folder != req.Folder {
+		s.storeNode = &tierv1.StoreNode{Folder: req.Folder, Node: req.Node, Address: req.Address, Zone: req.Zone, Region: req.Region}
+	}
+	disk := diskOf(req)
+	same := func(a, b *tierv1.SyncedReplica) bool {
+		return a.Partition == b.Partition && a.Epoch == b.Epoch && a.Folder == b.Folder
+	}
+	changed = req.Draining != s.draining || disk != s.disk || !slices.EqualFunc(req.Synced, s.synced, same)
+	s.synced, s.disk = req.Synced, disk
+	return changed
+}
+
+// ttlFor returns how long a session stays active after the answer to a call. A process that has its calls held for less than
+// it may does so as answers, and so its next calls, take longer: long poll and TTL have the same sum in any case, which
+// is the time in which the end of a process is noticed.
 func (r *sessionRegistry) ttlFor(req *tierv1.WatchRequest) time.Duration {
 	longest := r.window / longPollDivisor
 	if req.Role == roleTurnStore {
@@ -102,43 +111,42 @@
 	return r.window/sessionTTLDivisor + max(0, longest-hold)
 }
 
-// diskOf gives the state of a turn store's disk. A process of a version before the field disk names its own folder among
-// the synced copies while its disk is not sound.
+// diskOf returns the state of a turn store's disk. A process of a version before the field disk names its own folder among
+// the synced replicas while its disk is not sound.
 func diskOf(req *tierv1.WatchRequest) tierv1.DiskState {
 	if req.Disk != tierv1.DiskState_DISK_UNSPECIFIED {
 		return req.Disk
 	}
-	if slices.ContainsFunc(req.Synced, func(c *tierv1.SyncedReplica) bool { return c.Folder == req.Folder }) {
+	if slices.ContainsFunc(req.Synced, func(replica *tierv1.SyncedReplica) bool { return replica.Folder == req.Folder }) {
 		return tierv1.DiskState_DISK_FAILING
 	}
 	return tierv1.DiskState_DISK_UNSPECIFIED
 }
 
-// diskUsable tells whether a turn store's disk allows it to have duties. A state of a later version is none that does.
+// diskUsable tells whether the state of its disk allows a turn store to have replicas. A state of a later version does not.
 func diskUsable(disk tierv1.DiskState) bool {
 	return disk == tierv1.DiskState_DISK_SOUND || disk == tierv1.DiskState_DISK_UNSPECIFIED
 }
 
-// endCall ends a held call: answered, or with its connection broken.
+// endCall ends a long poll: answered, or with its connection broken.
 func (r *sessionRegistry) endCall(now time.Time, s *session, broken bool) {
 	s.openCalls--
 	s.lastCallEnded, s.disconnected = now, broken
-	if broken && r.acknowledgedSignal != nil {
-		close(r.acknowledgedSignal)
-		r.acknowledgedSignal = nil
+	if broken {
+		r.signalAcknowledged()
 	}
 }
 
-// active tells whether a process is there to be told of changes.
+// active tells whether a process is there to be sent changes.
 func (r *sessionRegistry) active(now time.Time, s *session) bool {
-	lapse := s.ttl
+	ttl := s.ttl
 	if s.disconnected {
-		lapse = min(lapse, disconnectedTTL)
+		ttl = min(ttl, disconnectedTTL)
 	}
-	return s.openCalls > 0 || now.Sub(s.lastCallEnded) < lapse
+	return s.openCalls > 0 || now.Sub(s.lastCallEnded) < ttl
 }
 
-// storeAlive tells whether a turn store is. One that restarts within the lapse has never been away, unless it had told that it leaves.
+// storeAlive tells whether a turn store is alive. One that restarts within the TTL has never been away, unless it was draining.
 func (r *sessionRegistry) storeAlive(now time.Time, s *session) bool {
 	if s.draining {
 		return r.active(now, s)
@@ -146,66 +154,74 @@
 	return s.openCalls > 0 || now.Sub(s.lastCallEnded) < s.ttl
 }
 
-// storeNodes gives the turn stores that are alive and whose disks are sound, those that are leaving, and the copies that were
-// reported whole. One whose disk is not sound counts as lost, by its session's word: it is among the alive again as soon as
-// it tells that its disk is sound.
-func (r *sessionRegistry) storeNodes(now time.Time) (alive map[string]*tierv1.StoreNode, leaving map[string]bool, reports []Report) {
-	alive, leaving = map[string]*tierv1.StoreNode{}, map[string]bool{}
-	for at, s := range r.sessions {
+// storeNodes returns the turn stores that are alive and whose disks are sound, those that are draining, by folder, and the
+// replicas that were reported synced. One whose disk is not sound counts as lost: it is among the alive again as soon as it
+// reports that its disk is sound. Sessions that ended long ago are forgotten.
+func (r *sessionRegistry) storeNodes(now time.Time) (alive map[string]*tierv1.StoreNode, draining map[string]bool, reports []Report) {
+	alive, draining = map[string]*tierv1.StoreNode{}, map[string]bool{}
+	for key, s := range r.byKey {
 		if s.openCalls == 0 && now.Sub(s.lastCallEnded) > endedSessionTTLs*s.ttl {
-			delete(r.sessions, at)
+			delete(r.byKey, key)
 			continue
 		}
-		if at.role != roleTurnStore || !r.storeAlive(now, s) {
+		if key.role != roleTurnStore || !r.storeAlive(now, s) {
 			continue
 		}
 		if s.draining {
-			leaving[s.storeNode.Folder] = true
+			draining[s.storeNode.Folder] = true
 		}
 		if !diskUsable(s.disk) {
 			continue
 		}
 		alive[s.storeNode.Folder] = s.storeNode
-		for _, c := range s.synced {
-			reports = append(reports, Report{s.storeNode.Folder, c})
+		for _, replica := range s.synced {
+			reports = append(reports, Report{s.storeNode.Folder, replica})
 		}
 	}
-	return alive, leaving, reports
+	return alive, draining, reports
 }
 
-// storeSession gives the newest session of a turn store, nil if none is known.
-func (r *sessionRegistry) storeSession(one *tierv1.StoreNode) *session {
-	s := r.sessions[sessionKey{one.Node, roleTurnStore}]
-	if s == nil || s.storeNode.Folder != one.Folder {
+// storeSession returns the newest session of a turn store, nil if none is known.
+func (r *sessionRegistry) storeSession(store *tierv1.StoreNode) *session {
+	s := r.byKey[sessionKey{store.Node, roleTurnStore}]
+	if s == nil || s.storeNode.Folder != store.Folder {
 		return nil
 	}
 	return s
 }
 
-// countBehind counts the gateways that stand and have not acknowledged a version of the configuration.
+// countBehind counts the gateways that are active and have not acknowledged a version of the configuration.
 func (r *sessionRegistry) countBehind(now time.Time, version uint64) int {
 	n := 0
-	for at, s := range r.sessions {
-		if at.role == roleGateway && s.configuration < version && r.active(now, s) {
+	for key, s := range r.byKey {
+		if key.role == roleGateway && s.configuration < version && r.active(now, s) {
 			n++
 		}
 	}
 	return n
 }
 
-// acknowledgedChannel gives a channel that is closed at the next acknowledgement or broken connection.
+// acknowledgedChannel returns a channel that is closed at the next acknowledgement or broken connection.
 func (r *sessionRegistry) acknowledgedChannel() <-chan struct{} {
-	if r.acknowledgedSignal == nil {
-		r.acknowledgedSignal = make(chan struct{})
+	if r.acknowledged == nil {
+		r.acknowledged = make(chan struct{})
+	}
+	return r.acknowledged
+}
+
+// signalAcknowledged wakes those who wait for the channel.
+func (r *sessionRegistry) signalAcknowledged() {
+	if r.acknowledged != nil {
+		close(r.acknowledged)
+		r.acknowledged = nil
 	}
-	return r.acknowledgedSignal
 }
 
-// connectedGateways gives the names of the gateways whose calls are held, sorted.
+// connectedGateways returns the names of the gateways whose calls are being held and that are not draining, sorted.
 func (r *sessionRegistry) connectedGateways() (names []string) {
-	for at, session := range r.sessions {
-		if at.role == roleGateway && session.openCalls > 0 && !session.draining {
-			names = append(names, at.node)
+	for key, s := range r.byKey {
+		if key.role == roleGateway && s.openCalls > 0 && !s.draining {
+			names = append(names, key.node)
 		}
 	}
 	slices.Sort(names)
--- a/internal/tier/controlplane/store.go
+++ b/internal/tier/controlplane/store.go
@@ -7,36 +7,39 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Store is the replicated control state, as package consensus keeps it.
+// Store is the replicated control state, as package consensus keeps it. Tests have one in memory.
 type Store interface {
-	// Primary tells whether this process is the primary and in touch with all backups, and its epoch.
+	// Primary returns the epoch of this process, and whether it is its primary and in touch with all backups.
 	Primary() (epoch uint64, ok bool)
-	// Get gives a key's value here and the sequence of the write that set it.
+	// Get returns a key's value here, and the sequence of the write that set it. The value is nil where there is none.
 	Get(key string) (value []byte, sequence uint64)
-	// Put is nil only when the keys are synced here and at all backups under this epoch. A nil value removes its key. An
-	// error of type consensus.StateTooLarge says that nothing was written and that the epoch goes on. Whatever else it
-	// returns, the outcome is unknown.
+	// Put returns nil only when the keys are synced here and at all backups in this epoch. A nil value removes its key. An
+	// error of type consensus.StateTooLarge says that nothing was written and that the epoch goes on. With any other error
+	// the outcome is unknown.
 	Put(ctx context.Context, epoch uint64, sets map[string][]byte) (sequence uint64, err error)
-	// Confirm is nil after a round trip to all backups under this epoch that began after the call.
+	// Confirm returns nil after a round trip to all backups in this epoch that began after the call.
 	Confirm(ctx context.Context, epoch uint64) error
-	// Changed is closed at the next change of role, view or state.
+	// Changed returns a channel that is closed at the next change of role, view or state.
 	Changed() <-chan struct{}
-	// PrimaryHint is the internal address of the primary as known, empty if it is not.
+	// PrimaryHint returns the internal address of the primary as far as it is known, else an empty string.
 	PrimaryHint() string
-	// View is the newest view known to be chosen, or nil.
+	// View returns the newest view that is known to be chosen, nil if none is.
 	View() *tierv1.View
+	// Members returns the members of the control plane that are known.
 	Members() []*tierv1.Member
+	// Self returns this process.
 	Self() *tierv1.Member
 }
 
-// Keys of the control state.
-const (
-	keyConfiguration = "configuration" // the operator's configuration, the bytes that came
-	keyPartitionMap  = "turnstores"    // tierv1.PartitionMap
-	keyEpochMarker   = "settled"       // epoch in which the state was last written through
-)
-
 // healthStore is a Store that knows which of its members and backups answer.
 type healthStore interface {
 	Health() consensus.Health
 }
+
+// Keys of the control state. Stored data has them: they never change.
+const (
+	keyConfiguration = "configuration" // the operators' configuration, byte for byte as it came
+	keyPartitionMap  = "turnstores"    // tierv1.PartitionMap without its version, which is the sequence of the key
+	keyEpochMarker   = "settled"       // the epoch at whose start the state was last replicated, eight bytes, big-endian
+	keyChangePrefix  = "order/"        // of the change records; the revision follows in decimal
+)
--- a/internal/tier/controlplane/store_selection.go
+++ b/internal/tier/controlplane/store_selection.go
@@ -2,20 +2,22 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// pickStore chooses a turn store for another copy of a partition, or for its primary where there is none yet; empty if there is none.
+// pickStore chooses a turn store for another replica of a partition, or for its primary where there is none yet; empty: there is none.
 func (a *assignment) pickStore(p *tierv1.Partition) string { return a.pickStoreWhere(p, a.usable) }
 
-// pickStoreWhere is pick among the turn stores that may take a copy.
+// pickStoreWhere chooses among the turn stores for which may is true: the one with the fewest conflicts of failure domains, then
+// the fewest slow syncs, then the fewest replicas, then the fewest replicas of the partition in its zone.
 func (a *assignment) pickStoreWhere(p *tierv1.Partition, may func(folder string) bool) string {
 	load, first := a.replicasByStore(), a.primariesByStore()
 	all := replicaFolders(p)
 	best := ""
-	for _, folder := range sortedKeys(a.Alive) {
+	for _, folder := range slices.Sorted(maps.Keys(a.Alive)) {
 		if !may(folder) || slices.Contains(all, folder) {
 			continue
 		}
@@ -36,7 +38,7 @@
 	return best
 }
 
-// pickReplacement chooses a turn store for a copy in place of one that is lost: one that stays, or else a stand-in.
+// pickReplacement chooses a turn store for a replica in place of one that is lost: one that stays, or else a substitute.
 func (a *assignment) pickReplacement(p *tierv1.Partition) string {
 	if next := a.pickStore(p); next != "" {
 		return next
@@ -44,9 +46,9 @@
 	return a.pickSubstitute(p)
 }
 
-// pickSubstitute chooses a turn store that is being emptied for a copy of a partition that has fewer copies than it should, and no
-// other turn store for one: empty where there is none, or no need. The copy goes when enough others are synced, as all do
-// that are on such turn stores; the order to empty it isn't completed before.
+// pickSubstitute chooses a turn store that is being emptied for a replica of a partition that has fewer replicas than it should
+// and no other turn store for one; empty: there is none, or no need. The replica is dropped when enough others are synced, as
+// all are that lie on such turn stores; the order to empty the machine isn't completed before.
 func (a *assignment) pickSubstitute(p *tierv1.Partition) string {
 	if a.aliveReplicas(p) > a.Losses || a.pickStore(p) != "" {
 		return ""
@@ -54,16 +56,16 @@
 	return a.pickStoreWhere(p, a.canSubstitute)
 }
 
-// canSubstitute tells whether a turn store is being emptied, and may not be taken away yet.
+// canSubstitute tells whether a turn store is being emptied, and may not be removed yet.
 func (a *assignment) canSubstitute(folder string) bool {
 	return a.alive(folder) && a.retiring(folder) && !a.draining(folder) && !slices.Contains(a.m.Retired, a.storeNodes[folder].Node)
 }
 
-// alternatives are a copy's folder and those that could take its place with no more conflicts than any other.
+// alternatives returns a replica's folder, and those that could take its place with no more conflicts than any other.
 func (a *assignment) alternatives(p *tierv1.Partition, folder string) []string {
 	others := slices.DeleteFunc(replicaFolders(p), func(member string) bool { return member == folder })
 	list, fewest := []string{folder}, -1
-	for _, one := range sortedKeys(a.Alive) {
+	for _, one := range slices.Sorted(maps.Keys(a.Alive)) {
 		if !a.usable(one) || slices.Contains(others, one) || one == folder {
 			continue
 		}
@@ -78,14 +80,14 @@
 	return list
 }
 
-// nextInCycle gives what comes after one in a list in order, and whether that is from the start again.
+// nextInCycle sorts a list and returns what comes after one of its items, and whether that is the first again.
 func nextInCycle(list []string, one string) (next string, wrapped bool) {
 	slices.Sort(list)
 	at := slices.Index(list, one) + 1
 	return list[at%len(list)], at == len(list)
 }
 
-// domainConflicts counts the others among folders that share a domain with one.
+// domainConflicts counts the other folders that share a failure domain with one.
 func (a *assignment) domainConflicts(folders []string, one string) int {
 	n := 0
 	for _, folder := range folders {
@@ -96,7 +98,7 @@
 	return n
 }
 
-// sameZone counts the others among folders in the zone of one: where it costs nothing, copies lie in different zones.
+// sameZone counts the other folders in the zone of one: where it costs nothing, replicas lie in different zones.
 func (a *assignment) sameZone(folders []string, one string) int {
 	n := 0
 	for _, folder := range folders {
--- a/internal/tier/controlplane/stored_state_test.go
+++ b/internal/tier/controlplane/stored_state_test.go
@@ -57,7 +57,7 @@
 }
 
 // listView lists all that a view has of the control state.
-func listView(v *view) string {
+func listView(v *publishedState) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "revision %d\n", v.changes.current)
 	fmt.Fprintf(&b, "configuration version %d, %d bytes\n%s\n", v.configuration.Version, len(v.configuration.Body), v.configuration.Body)
--- a/internal/tier/controlplane/sync_stall.go
+++ b/internal/tier/controlplane/sync_stall.go
@@ -1,33 +1,34 @@
 package controlplane
 
 import (
+	"slices"
 	"time"
 
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Attempts at a copy under way may take longer each time that attemptsPerDoubling of them have stalled, up to a bound.
+// An attempt to sync a replica may take longer each time that attemptsPerDoubling of them have stalled, up to a bound.
 const (
 	attemptsPerDoubling = 3
 	maxStallDoublings   = 4
 )
 
-// stallTracker observes how long copies are under way. It is pure: the time is passed in.
+// stallTracker observes how long replicas have been syncing. It is pure: the time is passed in.
 type stallTracker struct {
 	attempts map[uint32]syncAttempt // by partition
 }
 
-// syncAttempt is a partition's copy under way.
+// syncAttempt is a partition's attempt to sync a replica.
 type syncAttempt struct {
 	epoch uint64    // of the partition
-	first time.Time // since when a copy is under way
-	since time.Time // since when it is in this epoch
-	count int       // epochs in which it was
+	first time.Time // since when a replica has been syncing
+	since time.Time // since when in this epoch
+	count int       // earlier epochs in which one was
 }
 
-// observe tells which partitions have a copy under way for longer than usual, and at which of them it is time to try other
-// turn stores: after usual, and after longer when that did not help, as a copy may just be large. Partitions without a
-// primary that is alive are left out, as nothing can be done for them.
+// observe tells which partitions have had a replica that is being synced for longer than usual, and for which of them other
+// turn stores are to be tried: after usual, and after longer when that did not help, as a replica may just be large.
+// Partitions without a primary that is alive are left out, as nothing can be done for them.
 func (t *stallTracker) observe(now time.Time, usual time.Duration, m *tierv1.PartitionMap, alive map[string]*tierv1.StoreNode) (slow, stalled map[uint32]bool) {
 	slow, stalled = map[uint32]bool{}, map[uint32]bool{}
 	before := t.attempts
@@ -52,12 +53,7 @@
 	return slow, stalled
 }
 
-// hasUnsynced tells whether a partition has a copy under way.
+// hasUnsynced tells whether a partition has a replica that is being synced.
 func hasUnsynced(p *tierv1.Partition) bool {
-	for _, c := range p.Backups {
-		if !c.Synced {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(p.Backups, func(replica *tierv1.Replica) bool { return !replica.Synced })
 }
--- a/internal/tier/controlplane/watch.go
+++ b/internal/tier/controlplane/watch.go
@@ -7,58 +7,45 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Sessions is the service that gateways, turn stores and the command line call.
-func (plane *ControlPlane) Sessions() tierv1.ControlPlane { return &watchService{plane} }
+// Sessions returns the service that gateways, turn stores and the command line call.
+func (plane *ControlPlane) Sessions() tierv1.ControlPlane { return &sessionService{plane} }
 
-type watchService struct{ plane *ControlPlane }
+// sessionService implements tierv1.ControlPlane: Watch here, Status in status.go and ReportEjections in ejections.go.
+type sessionService struct{ plane *ControlPlane }
 
-// Watch answers at once where there is news for the caller, else when its time is over.
-func (s *watchService) Watch(ctx context.Context, req *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+// Watch is a long poll. It answers at once where something is newer than what the caller has, else when its time is over.
+// The error is that of ctx.
+func (s *sessionService) Watch(ctx context.Context, req *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
 	plane := s.plane
 	if _, ok := plane.Store.Primary(); !ok {
-		return plane.notPrimary(), nil
-	}
-	plane.mu.Lock()
-	me, fresh := plane.sessions.beginCall(time.Now(), req)
-	plane.mu.Unlock()
-	if me != nil {
-		if fresh && req.Role == roleTurnStore {
-			wake(plane.reconcileNow)
-		}
-		defer func() {
-			broken := ctx.Err() != nil
-			plane.mu.Lock()
-			plane.sessions.endCall(time.Now(), me, broken)
-			plane.mu.Unlock()
-			if broken && req.Role == roleTurnStore && req.Draining {
-				wake(plane.reconcileNow)
-			}
-		}()
+		return plane.notPrimaryReply(), nil
 	}
+	end := plane.beginWatch(ctx, req)
+	defer end()
 	hold := time.NewTimer(min(time.Duration(req.PollTimeoutMs)*time.Millisecond, plane.windowFraction(longPollDivisor)))
 	defer hold.Stop()
 	confirmed := req.ConfigurationVersion != 0
 	over := false
 	for {
-		v, changed := plane.currentView()
+		state, changed := plane.currentState()
 		epoch, ok := plane.Store.Primary()
 		if !ok {
-			return plane.notPrimary(), nil
+			return plane.notPrimaryReply(), nil
 		}
-		if v.ready && v.epoch == epoch {
-			if !confirmed { // the first of a life: it has nothing to compare with
+		if state.ready && state.epoch == epoch {
+			if !confirmed { // the first call of an incarnation: it has nothing to compare with
 				if err := plane.barrier.wait(ctx, epoch); err != nil {
-					return plane.notPrimary(), nil
+					return plane.notPrimaryReply(), nil
 				}
 				confirmed = true
 				continue
 			}
-			if n, some := v.replyFor(req); some || over || req.PollTimeoutMs == 0 {
-				n.PrimaryHint = plane.Store.PrimaryHint()
-				return n, nil
+			if reply, newer := state.replyFor(req); newer || over || req.PollTimeoutMs == 0 {
+				reply.PrimaryHint = plane.Store.PrimaryHint()
+				return reply, nil
 			}
 		} else if over || req.PollTimeoutMs == 0 {
-			return plane.notPrimary(), nil
+			return plane.notPrimaryReply(), nil
 		}
 		select {
 		case <-changed:
@@ -70,27 +57,50 @@
 	}
 }
 
-// notPrimary is the answer of one that is not the primary, or can't be sure of it.
-func (plane *ControlPlane) notPrimary() *tierv1.WatchReply {
+// beginWatch registers a call with the caller's session, if it has one, and returns what is to be called at the call's end.
+func (plane *ControlPlane) beginWatch(ctx context.Context, req *tierv1.WatchRequest) (end func()) {
+	plane.mu.Lock()
+	session, fresh := plane.sessions.beginCall(time.Now(), req)
+	plane.mu.Unlock()
+	if session == nil {
+		return func() {}
+	}
+	if fresh && req.Role == roleTurnStore {
+		wake(plane.reconcileNow)
+	}
+	return func() {
+		broken := ctx.Err() != nil
+		plane.mu.Lock()
+		plane.sessions.endCall(time.Now(), session, broken)
+		plane.mu.Unlock()
+		if broken && req.Role == roleTurnStore && req.Draining {
+			wake(plane.reconcileNow)
+		}
+	}
+}
+
+// notPrimaryReply is the reply of a process that is not the primary, or can't be sure of it.
+func (plane *ControlPlane) notPrimaryReply() *tierv1.WatchReply {
 	return &tierv1.WatchReply{PrimaryHint: plane.Store.PrimaryHint()}
 }
 
-func (v *view) replyFor(req *tierv1.WatchRequest) (n *tierv1.WatchReply, some bool) {
-	n = &tierv1.WatchReply{IsPrimary: true, Epoch: v.epoch}
-	if v.configuration != nil && v.configuration.Version > req.ConfigurationVersion {
-		n.Configuration, some = v.compressedConfiguration, true
+// replyFor returns a reply with all that is newer than what the caller has, and whether there is anything.
+func (state *publishedState) replyFor(req *tierv1.WatchRequest) (reply *tierv1.WatchReply, newer bool) {
+	reply = &tierv1.WatchReply{IsPrimary: true, Epoch: state.epoch}
+	if state.configuration != nil && state.configuration.Version > req.ConfigurationVersion {
+		reply.Configuration, newer = state.compressedConfiguration, true
 	}
-	if v.endpoints != nil && v.endpoints.Version > req.EndpointsVersion {
-		n.Endpoints, some = v.endpointsFor(req), true
+	if state.endpoints != nil && state.endpoints.Version > req.EndpointsVersion {
+		reply.Endpoints, newer = state.endpointsFor(req), true
 	}
-	if v.partitionMap != nil && v.partitionMap.Version > req.PartitionMapVersion {
-		n.PartitionMap, some = v.partitionMap, true
+	if state.partitionMap != nil && state.partitionMap.Version > req.PartitionMapVersion {
+		reply.PartitionMap, newer = state.partitionMap, true
 	}
-	if v.members != nil && v.members.Version > req.MembersVersion {
-		n.Members, some = v.members, true
+	if state.members != nil && state.members.Version > req.MembersVersion {
+		reply.Members, newer = state.members, true
 	}
-	if req.AcceptsEjections && v.ejections != nil && v.ejections.Version > req.EjectionsVersion {
-		n.Ejections, some = v.ejections, true
+	if req.AcceptsEjections && state.ejections != nil && state.ejections.Version > req.EjectionsVersion {
+		reply.Ejections, newer = state.ejections, true
 	}
-	return n, some
+	return reply, newer
 }
--- a/internal/tier/controlplane/write.go
+++ b/internal/tier/controlplane/write.go
@@ -9,7 +9,7 @@
 	"saffronyard.example/saffronyard/internal/tier/consensus"
 )
 
-// Reasons for which an order was not decided on.
+// Reasons for which a request was not decided on. Operators read their texts.
 var (
 	errNotPrimary     = errors.New("this process is not the primary")
 	errWriterBusy     = errors.New("another write is under way")
@@ -18,7 +18,7 @@
 	errStateTooLarge  = errors.New("the control state would be too large")
 )
 
-// lockWriter takes the right to write to the store, or fails with ctx.
+// lockWriter takes the right to write to the store, or returns the error of ctx if that ends before.
 func (plane *ControlPlane) lockWriter(ctx context.Context) error {
 	select {
 	case plane.writer <- struct{}{}:
@@ -28,50 +28,54 @@
 	}
 }
 
+// unlockWriter gives the right to write back.
 func (plane *ControlPlane) unlockWriter() { <-plane.writer }
 
-// write writes under the writer's right. When the outcome is unknown, nothing more is shown until all is written through. It
-// fails with errStateTooLarge where nothing was written, as the control state would be too large.
+// write writes keys and returns the sequence of the write. The caller has the right to write. It returns errStateTooLarge
+// where nothing was written. After any other error nothing is shown until the state has been replicated anew (startEpoch), as
+// the outcome is unknown.
 func (plane *ControlPlane) write(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
 	sequence, err := plane.Store.Put(ctx, epoch, sets)
 	if errorx.IsOfType(err, consensus.StateTooLarge) {
-		plane.Log.Warn().Str("event", "write_refused").Uint64("epoch", epoch).Str("error", err.Error()).Msg("")
+		plane.Log.Warn().Str("event", "write_refused").Uint64("epoch", epoch).Str("error", err.Error()).
+			Msg("rejected a write: the control state would be too large")
 		return 0, errStateTooLarge
 	}
 	if err != nil {
-		plane.updateView(epoch, func(v *view) { v.ready = false })
+		plane.updatePublished(epoch, func(state *publishedState) { state.ready = false })
 		wake(plane.reconcileNow)
-		plane.Log.Warn().Str("event", "write_unclear").Uint64("epoch", epoch).Str("error", err.Error()).Msg("")
+		plane.Log.Warn().Str("event", "write_unclear").Uint64("epoch", epoch).Str("error", err.Error()).
+			Msg("a write has no known outcome: replicating the state again before it is shown")
 	}
 	return sequence, err
 }
 
-// decideAndWrite decides on an order and, if the verdict is take, writes it in one step with the decision. decide is called
-// twice: an order that will not be written need not wait for the right to write, and one that has waited for it may find
-// another view. write is called with the right to write, and tells what became of the order.
+// decideAndWrite decides on a request and, if the decision is accept, writes it in one step with the decision. decide is
+// called twice: a request that will not be written need not wait for the right to write, and one that has waited for it may
+// find another state. write is called with the right to write, and returns what became of the request.
 //
-// It gives the verdict and the view that was decided on, or what write gives. It fails with errNotPrimary or errWriterBusy
-// where there was no decision, or as write does.
-func decideAndWrite[V comparable](ctx context.Context, plane *ControlPlane, take V, decide func(*view) V,
-	write func(context.Context, *view) (V, *view, error)) (V, *view, error) {
-	var none V
-	v, ok := plane.primary()
+// It returns the decision and the state that it was based on, or what write returns. The error is errNotPrimary or
+// errWriterBusy where there was no decision, else that of write.
+func decideAndWrite[D comparable](ctx context.Context, plane *ControlPlane, accept D, decide func(*publishedState) D,
+	write func(context.Context, *publishedState) (D, *publishedState, error)) (D, *publishedState, error) {
+	var none D
+	state, ok := plane.primary()
 	if !ok {
 		return none, nil, errNotPrimary
 	}
-	if verdict := decide(v); verdict != take {
-		return verdict, v, nil
+	if decision := decide(state); decision != accept {
+		return decision, state, nil
 	}
 	if plane.lockWriter(ctx) != nil {
 		return none, nil, errWriterBusy
 	}
 	defer plane.unlockWriter()
-	v, ok = plane.primary()
+	state, ok = plane.primary()
 	if !ok {
 		return none, nil, errNotPrimary
 	}
-	if verdict := decide(v); verdict != take {
-		return verdict, v, nil
+	if decision := decide(state); decision != accept {
+		return decision, state, nil
 	}
-	return write(ctx, v)
+	return write(ctx, state)
 }
