--- a/internal/faulttest/day/acts.go
+++ b/internal/faulttest/day/acts.go
@@ -37,19 +37,11 @@
 	}
 }
 
+// do carries out one act of the plan.
 func (d *Day) do(a script.Act) {
 	switch a.Do {
 	case "trouble", "end":
-		for _, dest := range a.Dests {
-			if a.Fault.Kind == fault.Drain {
-				d.drain(dest, a.Only, a.Do == "trouble")
-			}
-			if a.Do == "trouble" {
-				d.receivers[dest].Begin(a.Number, a.Fault)
-			} else {
-				d.receivers[dest].End(a.Number, a.Fault)
-			}
-		}
+		d.strike(a)
 	case "replace":
 		for _, dest := range a.Dests {
 			d.replace(dest)
@@ -65,22 +57,7 @@
 		d.delay -= a.Delay
 		d.mu.Unlock()
 	case "move":
-		for i, s := range slices.Clone(d.senders) {
-			if !s.Ready() {
-				continue // its next process is told the address it finds then
-			}
-			d.background(func() error {
-				addr, err := d.discovery.Move(s.Name)
-				if err != nil {
-					return err
-				}
-				config, err := d.config(i, addr, platform.Targets{Full: true, Servers: []platform.Target{}}, 0)
-				if err != nil {
-					return err
-				}
-				return s.Reload(config)
-			})
-		}
+		d.moveDiscovery()
 	case "join":
 		s, err := d.machine(a.Sender)
 		if err != nil {
@@ -104,38 +81,76 @@
 		d.background(d.senders[a.Sender].SaveSnapshot)
 	case "kill", "restart", "lose", "old":
 		s := d.senders[a.Sender]
+		d.background(func() error { return d.restart(s, a.Do) })
+	}
+}
+
+// strike begins or ends a fault at receivers.
+func (d *Day) strike(a script.Act) {
+	begins := a.Do == "trouble"
+	for _, dest := range a.Dests {
+		if a.Fault.Kind == fault.Drain {
+			d.drain(dest, a.Only, begins)
+		}
+		if begins {
+			d.receivers[dest].Begin(a.Number, a.Fault)
+		} else {
+			d.receivers[dest].End(a.Number, a.Fault)
+		}
+	}
+}
+
+// moveDiscovery gives discovery another address for each sender and has them read their configuration again.
+func (d *Day) moveDiscovery() {
+	for i, s := range slices.Clone(d.senders) {
+		if !s.Ready() {
+			continue // its next process is told the address it finds then
+		}
 		d.background(func() error {
-			pause := fleet.DownTime
-			switch a.Do {
-			case "old":
-				if err := s.Kill(false); err != nil {
-					return err
-				}
-				if err := s.RestoreSnapshot(); err != nil {
-					return err
-				}
-				d.registry.Lost(s.Name)
-			case "restart":
-				s.Term()
-			case "lose":
-				pause = lostBack
-				if err := s.Kill(true); err != nil {
-					return err
-				}
-				d.registry.Lost(s.Name)
-			default:
-				if err := s.Kill(false); err != nil {
-					return err
-				}
+			addr, err := d.discovery.Move(s.Name)
+			if err != nil {
+				return err
 			}
-			if !traffic.Sleep(d.ctx, pause) {
-				return nil
+			config, err := d.config(i, addr, platform.Targets{Full: true, Servers: []platform.Target{}}, 0)
+			if err != nil {
+				return err
 			}
-			return s.Start(a.Do == "lose")
+			return s.Reload(config)
 		})
 	}
 }
 
+// restart ends a sender's process in the way of an act (kill, restart, lose, old) and starts the next one after a pause.
+func (d *Day) restart(s *fleet.Sender, act string) error {
+	pause := fleet.DownTime
+	switch act {
+	case "old":
+		if err := s.Kill(false); err != nil {
+			return err
+		}
+		if err := s.RestoreSnapshot(); err != nil {
+			return err
+		}
+		d.registry.Lost(s.Name)
+	case "restart":
+		s.Term()
+	case "lose":
+		pause = lostBack
+		if err := s.Kill(true); err != nil {
+			return err
+		}
+		d.registry.Lost(s.Name)
+	default:
+		if err := s.Kill(false); err != nil {
+			return err
+		}
+	}
+	if !traffic.Sleep(d.ctx, pause) {
+		return nil
+	}
+	return s.Start(act == "lose")
+}
+
 // updateList changes a line of the list, as late as discovery tells it.
 func (d *Day) updateList(t platform.Target) {
 	d.mu.Lock()
--- a/internal/faulttest/receiver/connection.go
+++ b/internal/faulttest/receiver/connection.go
@@ -61,70 +61,141 @@
 	}
 }
 
-// request serves the one whose first byte has come. again says that another has begun.
-func (c *conn) request() (again, ok bool) {
-	e, s := c.e, c.e.s
+// request serves the one whose first byte has come. another says that one more has begun.
+func (c *conn) request() (another, ok bool) {
+	s := c.e.s
 	first := s.log.Now()
-	s.mu.Lock()
-	cond := s.model.Condition()
-	closes := c.lastEnd > 0 && first-c.lastEnd > 30*time.Millisecond && s.rng.Float64() < cond.Closes &&
-		!cond.Unreachable && !cond.Shut && !cond.Hung
-	s.mu.Unlock()
-	if closes {
+	if c.closesNow(first) {
+		c.reset()
+		return false, false
+	}
+	in, ok := c.read(first)
+	if !ok {
+		return false, false
+	}
+	waiting, ok := c.arrive(in)
+	if !ok {
+		return false, false
+	}
+	c.SetReadDeadline(time.Time{})
+	next := make(chan error, 1)
+	go func() {
+		_, err := c.r.Peek(1)
+		next <- err
+	}()
+	outcome, nextErr, pipelined, ok := c.await(waiting, next)
+	if !ok {
+		s.ended(waiting.done, func(d *eventlog.Event) { d.Detail = eventlog.DetailClosedBySender })
+		return false, false
+	}
+	if outcome.Dropped {
+		s.ended(waiting.done, func(d *eventlog.Event) { d.Detail = eventlog.DetailReset })
 		c.reset()
 		return false, false
 	}
+	keep := c.answer(waiting.done, outcome)
+	c.lastEnd = s.log.Now()
+	c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
+	if !keep {
+		return false, false
+	}
+	if !pipelined {
+		nextErr = <-next
+	}
+	for errors.Is(nextErr, os.ErrDeadlineExceeded) && s.unresponsive() {
+		c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
+		_, nextErr = c.r.Peek(1)
+	}
+	return nextErr == nil, nextErr == nil
+}
+
+// reuseAfter is how long a connection must have been idle to be closed by the fault close_idle.
+const reuseAfter = 30 * time.Millisecond
+
+// closesNow draws whether a request that begins on an idle connection meets its end.
+func (c *conn) closesNow(first time.Duration) bool {
+	s := c.e.s
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	condition := s.model.Condition()
+	return c.lastEnd > 0 && first-c.lastEnd > reuseAfter && s.rng.Float64() < condition.Closes &&
+		!condition.Unreachable && !condition.Shut && !condition.Hung
+}
+
+// incoming is a request that was read: the messages that it carries.
+type incoming struct {
+	first   time.Duration // when its first byte came
+	ids     []string
+	senders []string // whose the messages are
+	within  bool     // each is within its attempts
+}
+
+// read reads a request. One that is no call with messages that were handed in is answered 400; ok is false then.
+func (c *conn) read(first time.Duration) (in incoming, ok bool) {
+	s := c.e.s
 	c.SetReadDeadline(time.Now().Add(readTimeout))
 	req, err := http.ReadRequest(c.r)
 	if err != nil {
-		return false, false
+		return in, false
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxBody+1))
 	if err != nil {
-		return false, false
+		return in, false
 	}
 	ids, err := s.spec.Format.Read(req.Header, body)
 	why := ""
 	if err != nil {
 		ids, why = []string{req.Header.Get("X-Request-Id")}, err.Error()
 	}
-	done := make([]eventlog.Event, len(ids))
-	within, known := true, true
-	senders := make([]string, len(ids))
+	in = incoming{first: first, ids: ids, senders: make([]string, len(ids)), within: true}
+	known := true
 	for i, id := range ids {
-		in, ok := false, false
-		senders[i], in, ok = s.registry.Called(id, s.dest)
-		within, known = within && in, known && ok
+		within, called := false, false
+		in.senders[i], within, called = s.registry.Called(id, s.dest)
+		in.within, known = in.within && within, known && called
 	}
 	if !known || why != "" || req.Method != http.MethodPost || req.URL.Path != "/hook" {
-		s.log.Add(eventlog.Event{Kind: eventlog.Call, Dest: s.dest, Endpoint: e.ID, ID: ids[0], First: first.Microseconds(), Detail: "unknown", State: why})
+		s.log.Add(eventlog.Event{Kind: eventlog.Call, Dest: s.dest, Endpoint: c.e.ID, ID: ids[0], First: first.Microseconds(), Detail: "unknown", State: why})
 		io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-		return false, false
+		return in, false
 	}
-	k := &call{conn: c, end: make(chan Outcome, 1)}
-	number := s.numbers.Add(int64(len(ids))) - int64(len(ids)) + 1
+	return in, true
+}
+
+// arrived is a call that waits for its outcome, with the events that its end will be logged by, one for each message.
+type arrived struct {
+	call   *call
+	number int64
+	done   []eventlog.Event
+}
+
+// arrive logs the messages of a call and hands it to the model; ok is false if the endpoint is gone.
+func (c *conn) arrive(in incoming) (waiting arrived, ok bool) {
+	e, s := c.e, c.e.s
+	count := int64(len(in.ids))
+	waiting = arrived{call: &call{conn: c, end: make(chan Outcome, 1)}, number: s.numbers.Add(count) - count + 1, done: make([]eventlog.Event, count)}
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := s.log.Now()
-	for i, id := range ids { // one call with several messages has one fate
-		at := eventlog.Event{Kind: eventlog.Call, Dest: s.dest, Endpoint: e.ID, Sender: senders[i], ID: id, Call: number + int64(i), First: first.Microseconds()}
-		done[i] = eventlog.Event{Kind: eventlog.Done, Call: at.Call, ID: id, Dest: s.dest}
+	for i, id := range in.ids { // one call with several messages has one fate
+		at := eventlog.Event{Kind: eventlog.Call, Dest: s.dest, Endpoint: e.ID, Sender: in.senders[i], ID: id, Call: waiting.number + int64(i), First: in.first.Microseconds()}
+		waiting.done[i] = eventlog.Event{Kind: eventlog.Done, Call: at.Call, ID: id, Dest: s.dest}
 		if i > 0 {
-			at.With = number
+			at.With = waiting.number
 		}
 		s.log.At(now, at)
 	}
 	if s.closed || e.gone {
-		s.mu.Unlock()
-		return false, false
+		return waiting, false
 	}
-	s.waiting[number] = k
+	s.waiting[waiting.number] = waiting.call
 	switch {
-	case !within:
-		s.deliver([]Outcome{{Call: number, Status: 504}})
+	case !in.within:
+		s.deliver([]Outcome{{Call: waiting.number, Status: http.StatusGatewayTimeout}})
 	case c.crowded:
-		s.deliver([]Outcome{{Call: number, Status: 503}})
+		s.deliver([]Outcome{{Call: waiting.number, Status: http.StatusServiceUnavailable}})
 	default:
-		out, change := s.model.Arrive(now, e.number, number)
+		out, change := s.model.Arrive(now, e.number, waiting.number)
 		s.logChange(now, change)
 		s.deliver(out)
 		if change != (Change{}) {
@@ -132,50 +203,25 @@
 		}
 		s.rearm()
 	}
-	s.mu.Unlock()
+	return waiting, true
+}
 
-	c.SetReadDeadline(time.Time{})
-	next := make(chan error, 1)
-	go func() {
-		_, err := c.r.Peek(1)
-		next <- err
-	}()
-	var o Outcome
-	var nextErr error
-	pipelined := false
+// await waits for a call's outcome. A further request that begins meanwhile is pipelined; ok is false if the sender has closed
+// the connection instead. The call itself may run on then: the model keeps it.
+func (c *conn) await(waiting arrived, next <-chan error) (outcome Outcome, nextErr error, pipelined, ok bool) {
+	s := c.e.s
 	select {
-	case o = <-k.end:
+	case outcome = <-waiting.call.end:
+		return outcome, nil, false, true
 	case nextErr = <-next:
 		if nextErr != nil {
-			// The sender has left. The call itself may run on: the model keeps it.
 			s.mu.Lock()
-			delete(s.waiting, number)
+			delete(s.waiting, waiting.number)
 			s.mu.Unlock()
-			s.ended(done, func(d *eventlog.Event) { d.Detail = eventlog.DetailClosedBySender })
-			return false, false
+			return outcome, nextErr, false, false
 		}
-		pipelined = true
-		o = <-k.end
-	}
-	if o.Dropped {
-		s.ended(done, func(d *eventlog.Event) { d.Detail = eventlog.DetailReset })
-		c.reset()
-		return false, false
+		return <-waiting.call.end, nil, true, true
 	}
-	keep := c.answer(done, o)
-	c.lastEnd = s.log.Now()
-	c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
-	if !keep {
-		return false, false
-	}
-	if !pipelined {
-		nextErr = <-next
-	}
-	for errors.Is(nextErr, os.ErrDeadlineExceeded) && s.unresponsive() {
-		c.SetReadDeadline(time.Now().Add(s.spec.IdleClose))
-		_, nextErr = c.r.Peek(1)
-	}
-	return nextErr == nil, nextErr == nil
 }
 
 var reasons = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 429: "Too Many Requests", 500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout"}
--- a/internal/faulttest/report/report.go
+++ b/internal/faulttest/report/report.go
@@ -5,6 +5,7 @@
 import (
 	"cmp"
 	"math"
+	"net/http"
 	"slices"
 
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
@@ -146,108 +147,145 @@
 	return max(c.Value, math.Pow(0.5, (ms-aim)/aim))
 }
 
+// tally is what a day's events come to, message by message.
+type tally struct {
+	figures  eventlog.Figures
+	messages []*message          // in the order of their first hand-ins
+	byID     map[string]*message // by the ID of each hand-in
+	answered map[string]bool     // hand-ins that their clients got an answer to
+	end      int64               // microseconds: the last event
+}
+
+// message is one message over all its hand-ins. Times are microseconds.
+type message struct {
+	first     int64
+	class     eventlog.Class
+	member    string
+	delivered int64
+	done      bool
+}
+
 // Make sums a day up.
 func Make(events []eventlog.Event) Summary {
 	var s Summary
-	var fig eventlog.Figures
-	type message struct {
-		first     int64
-		class     eventlog.Class
-		member    string
-		delivered int64
-		done      bool
-	}
-	msgs := map[string]*message{}
-	var order []*message
-	of := map[string]*message{}
-	valid := map[string]bool{}
-	again := map[string]string{} // hand-ins of one event, to the first of them
 	events = eventlog.Day(events)
-	end := int64(0)
+	t := s.readHandIns(events)
+	s.Name, s.Length = t.figures.Name, float64(t.end)/1e6
+	s.Seconds = make([]Second, int(t.end/1e6)+1)
+	s.countOutcomes(events, t)
+	s.countMessages(t)
+	s.worst(t.figures.Seconds)
+	s.bands(events, t.figures, t.end)
+	s.flights(events, t.figures, t.end)
+	s.wakes(events, t.figures)
+	return s
+}
+
+// readHandIns finds the messages of a day.
+func (s *Summary) readHandIns(events []eventlog.Event) *tally {
+	t := &tally{byID: map[string]*message{}, answered: map[string]bool{}}
+	byName := map[string]*message{}
+	repeats := map[string]string{} // hand-ins of one event, to the first of them
 	for _, e := range events {
-		end = max(end, e.T)
+		t.end = max(t.end, e.T)
 		switch e.Kind {
 		case eventlog.World:
 			if e.Figures != nil {
-				fig = *e.Figures
+				t.figures = *e.Figures
 			}
 		case eventlog.HandIn:
 			s.HandIns++
-			m := msgs[e.Msg]
+			m := byName[e.Msg]
 			if m == nil {
-				m = &message{first: e.T, class: fig.Classes[e.Class], member: e.Tenant}
-				msgs[e.Msg] = m
-				order = append(order, m)
+				m = &message{first: e.T, class: t.figures.Classes[e.Class], member: e.Tenant}
+				byName[e.Msg] = m
+				t.messages = append(t.messages, m)
 			}
-			of[e.ID] = m
+			t.byID[e.ID] = m
 			if e.Event != "" {
-				again[e.ID] = e.Event
+				repeats[e.ID] = e.Event
 			}
 		case eventlog.Answer:
-			valid[e.ID] = e.Status != 0
-			if first := again[e.ID]; first != "" && e.Status != 0 {
-				valid[first] = true
+			t.answered[e.ID] = e.Status != 0
+			if first := repeats[e.ID]; first != "" && e.Status != 0 {
+				t.answered[first] = true
 			}
 		case eventlog.Slip:
 			s.MaxLatenessMS = max(s.MaxLatenessMS, float64(e.MaxUS)/1000)
+		default: // the others tell nothing of messages
 		}
 	}
-	s.Name, s.Length = fig.Name, float64(end)/1e6
-	s.Seconds = make([]Second, int(end/1e6)+1)
-	sec := func(t int64) *Second { return &s.Seconds[min(max(0, int(t/1e6)), len(s.Seconds)-1)] }
+	return t
+}
+
+// second is the entry of the second in which a time, in microseconds, lies.
+func (s *Summary) second(t int64) *Second {
+	return &s.Seconds[min(max(0, int(t/1e6)), len(s.Seconds)-1)]
+}
+
+// countOutcomes counts calls and answers by second, and marks the messages that were delivered.
+func (s *Summary) countOutcomes(events []eventlog.Event, t *tally) {
+	rejected := func(status int) bool {
+		return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
+	}
 	for _, e := range events {
 		switch e.Kind {
 		case eventlog.Call:
 			s.Calls++
 		case eventlog.Done:
-			if e.Status == 429 || e.Status == 503 {
+			if rejected(e.Status) {
 				s.AboveLimit++
-				sec(e.T).AboveLimit++
+				s.second(e.T).AboveLimit++
 			}
-			if m := of[e.ID]; m != nil && e.Status == 200 && valid[e.ID] && !m.done {
+			if m := t.byID[e.ID]; m != nil && e.Status == http.StatusOK && t.answered[e.ID] && !m.done {
 				m.done, m.delivered = true, e.T
-				sec(e.T).Delivered++
+				s.second(e.T).Delivered++
 			}
 		case eventlog.Notice:
 			if e.Outcome == "handed_back" {
-				sec(e.T).HandedBack++
+				s.second(e.T).HandedBack++
 			} else {
-				sec(e.T).Failed++
+				s.second(e.T).Failed++
 			}
 		case eventlog.Answer:
-			if e.Status == 429 || e.Status == 503 {
-				sec(e.T).HandedBack++
-			} else if e.Status != 200 && e.Status != 202 {
-				sec(e.T).Failed++
+			if rejected(e.Status) {
+				s.second(e.T).HandedBack++
+			} else if e.Status != http.StatusOK && e.Status != http.StatusAccepted {
+				s.second(e.T).Failed++
 			}
+		default: // the others are no outcomes
 		}
 	}
+}
+
+// countMessages adds the messages up by second, by member and in all.
+func (s *Summary) countMessages(t *tally) {
 	members := map[string]*Member{}
 	var latencies []float64
 	asked, served := 0.0, 0.0
-	for _, m := range order {
+	for _, m := range t.messages {
 		s.Messages++
-		w := 0.0
+		earned := 0.0
 		if m.done {
 			s.Delivered++
-			w = value(m.class, m.delivered-m.first)
+			earned = value(m.class, m.delivered-m.first)
 			latencies = append(latencies, float64(m.delivered-m.first)/1e6)
 		} else {
 			s.Failed++
 		}
-		x := sec(m.first)
-		x.Arrived++
-		x.Asked++
-		x.Served += w
+		second := s.second(m.first)
+		second.Arrived++
+		second.Asked++
+		second.Served += earned
 		asked++
-		served += w
+		served += earned
 		if members[m.member] == nil {
 			members[m.member] = &Member{Name: m.member}
 		}
-		k := members[m.member]
-		k.Asked++
-		k.Served += w
-		k.Messages++
+		member := members[m.member]
+		member.Asked++
+		member.Served += earned
+		member.Messages++
 	}
 	s.ServedFraction = fraction(served, asked)
 	for _, m := range members {
@@ -259,15 +297,10 @@
 	if len(s.Members) > 0 {
 		s.WorstMember = s.Members[0]
 	}
-	s.worst(fig.Seconds)
 	slices.Sort(latencies)
 	if n := len(latencies); n > 0 {
 		s.Latency50, s.Lat99 = latencies[(n-1)/2], latencies[(n*99-1)/100]
 	}
-	s.bands(events, fig, end)
-	s.flights(events, fig, end)
-	s.wakes(events, fig)
-	return s
 }
 
 // worst finds the ten seconds of arrivals with the least share served.
