--- a/cmd/saffronyard/background.go
+++ b/cmd/saffronyard/background.go
@@ -19,38 +19,42 @@
 	worker "saffronyard.example/saffronyard/internal/work/run"
 )
 
-// behind is the work behind the messages.
-type behind struct {
+// backgroundWork is the background work of a sender: its runner, the engine that resends undelivered messages, and the load that live
+// traffic puts on the sender.
+type backgroundWork struct {
 	features *features.Features
-	keeper   *undelivered.LazyStore // nil: nothing is kept
+	store    *undelivered.LazyStore // nil: undelivered messages are not recorded
 	engine   *resend.Engine
 	runner   atomic.Pointer[worker.Runner]
 
-	stop    context.CancelFunc
-	mu      sync.Mutex
-	last    work.LoadSignals
-	closing sync.Once
+	stop     context.CancelFunc
+	mu       sync.Mutex
+	lastLoad work.LoadSignals
+	closing  sync.Once
 }
 
 const (
-	factsTime   = 100 * time.Millisecond
-	closingTime = time.Second // of the 3.7 s that a SIGTERM leaves, beside the sender's own
+	loadInterval = 100 * time.Millisecond // between two looks at the load of live traffic
+	closeTimeout = time.Second            // of the 3.7 s that a SIGTERM leaves, beside the sender's own
 )
 
-// errNoWork says that the sender is not that far, or leaving.
-var errNoWork = errors.New("background work is not running")
+// Errors of questions and commands about background work.
+var (
+	errNoWork         = errors.New("background work is not running") // the sender is still starting, or shuts down
+	errFeatureRemoved = errors.New("work and rules are kept as they were: the file has no [work] any more, or no [undelivered]")
+)
 
-// engineOf makes the engine by which kept messages go again; it is told of the sender as that starts.
-func (b *behind) engineOf(c *sender.Config) *resend.Engine {
+// newEngine makes the engine that resends undelivered messages; start gives it the sender.
+func (b *backgroundWork) newEngine(c *sender.Config) *resend.Engine {
 	began := time.Now()
-	b.engine = &resend.Engine{Rules: b.features.Undelivered.Rules(), Store: b.keeper.Store,
+	b.engine = &resend.Engine{Rules: b.features.Undelivered.Rules(), Store: b.store.Store,
 		Clock: func() time.Duration { return time.Since(began) }, Wall: func() time.Time { return time.Now().UTC() }, Window: c.KeyWindow}
-	b.keeper.OnResendEnd = b.engine.RecordResendEnd
+	b.store.OnResendEnd = b.engine.RecordResendEnd
 	return b.engine
 }
 
-// start begins background work beside a sender that is about to run.
-func (b *behind) start(s *sender.Sender, c *sender.Config, log *slog.Logger) error {
+// start opens the store of jobs and starts the runner beside a sender that is about to run.
+func (b *backgroundWork) start(s *sender.Sender, c *sender.Config, log *slog.Logger) error {
 	w := b.features.Work
 	folder := w.Folder
 	if folder == "" {
@@ -61,17 +65,17 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	b.stop = stop
-	go b.look(ctx, s.Background())
+	go b.sampleLoad(ctx, s.Background())
 	var kinds []*worker.Kind
 	if b.engine != nil {
 		b.engine.Sender, b.engine.Log = s.Background(), log
 		kinds = b.engine.Kinds()
 	}
 	if c.Knowledge != nil {
-		kinds = append(kinds, snapshots(s.Background(), c.Knowledge.Interval))
+		kinds = append(kinds, newSnapshotKind(s.Background(), c.Knowledge.Interval))
 	}
 	r, err := worker.Start(worker.Config{Settings: b.settings(b.features), Path: filepath.Join(folder, "work.db"), Bytes: w.Bytes, Targets: w.Pressure(),
-		Load: b.facts, Workers: w.Workers, SlowSlice: w.Slow.D()}, kinds, log)
+		Load: b.load, Workers: w.Workers, SlowSlice: w.Slow.D()}, kinds, log)
 	if err != nil {
 		stop()
 		return err
@@ -80,8 +84,8 @@
 	return nil
 }
 
-// settings are the file's; resends are tried for as long as it takes, as the store says what is left to do.
-func (b *behind) settings(f *features.Features) work.Settings {
+// settings are those of the file; resends and snapshots are retried without limit, as their own stores tell what is left to do.
+func (b *backgroundWork) settings(f *features.Features) work.Settings {
 	set := f.Work.Settings()
 	for _, name := range []string{resend.FindMembersKind, resend.ResendKind, resend.ExpireKind, snapshotKind} {
 		k := set.Kinds[name]
@@ -91,10 +95,10 @@
 	return set
 }
 
-// snapshotKind is the writing down of what is known of receivers.
+// snapshotKind is the kind of job that writes down what is known of receivers.
 const snapshotKind = "knowledge.snapshot"
 
-func snapshots(s *sender.Background, every time.Duration) *worker.Kind {
+func newSnapshotKind(s *sender.Background, every time.Duration) *worker.Kind {
 	return &worker.Kind{Name: snapshotKind, Volatile: true, Idempotent: true,
 		Slice: func(ctx context.Context, _ worker.Task) (worker.Result, error) {
 			n, err := s.Snapshot(ctx)
@@ -104,9 +108,9 @@
 			Job: worker.JobSpec{Kind: snapshotKind, Owner: "knowledge", Priority: work.Low, Lock: snapshotKind, Resource: "state folder", SliceCost: work.Cost{work.DiskWrite: 4096}}}}
 }
 
-// look asks the sender how busy it is, time and again.
-func (b *behind) look(ctx context.Context, s *sender.Background) {
-	every := time.NewTicker(factsTime)
+// sampleLoad asks the sender how busy it is, time and again, until ctx ends.
+func (b *backgroundWork) sampleLoad(ctx context.Context, s *sender.Background) {
+	every := time.NewTicker(loadInterval)
 	defer every.Stop()
 	for {
 		select {
@@ -115,23 +119,23 @@
 		case <-every.C:
 		}
 		asked := time.Now()
-		f, err := s.Facts(ctx)
+		load, err := s.Facts(ctx)
 		if err != nil { // it does not even answer
-			f = work.LoadSignals{TurnLate: time.Since(asked)}
+			load = work.LoadSignals{TurnLate: time.Since(asked)}
 		}
 		b.mu.Lock()
-		b.last = f
+		b.lastLoad = load
 		b.mu.Unlock()
 	}
 }
 
-func (b *behind) facts() work.LoadSignals {
+func (b *backgroundWork) load() work.LoadSignals {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.last
+	return b.lastLoad
 }
 
-func (b *behind) report(f work.Filter) (any, error) {
+func (b *backgroundWork) report(f work.Filter) (any, error) {
 	r := b.runner.Load()
 	if r == nil {
 		return nil, errNoWork
@@ -139,7 +143,7 @@
 	return r.Report(f)
 }
 
-func (b *behind) command(c work.Command) error {
+func (b *backgroundWork) command(c work.Command) error {
 	r := b.runner.Load()
 	if r == nil {
 		return errNoWork
@@ -148,13 +152,13 @@
 }
 
 // reload takes budgets, weights, windows and rules from the file as it is now; what else it says is read at the start only.
-func (b *behind) reload(file string) error {
+func (b *backgroundWork) reload(file string) error {
 	f, err := features.Load(file)
 	if err != nil {
 		return fmt.Errorf("work and rules are kept as they were: %w", err)
 	}
 	if f.Work == nil || b.engine != nil && f.Undelivered == nil {
-		return errors.New("work and rules are kept as they were: the file has no [work] any more, or no [undelivered]")
+		return errFeatureRemoved
 	}
 	if b.engine != nil {
 		b.engine.SetRules(f.Undelivered.Rules())
@@ -166,15 +170,15 @@
 	return r.Configure(b.settings(f))
 }
 
-// close ends background work, once: with the first word that the sender is to leave, so that all is over when that has left.
-func (b *behind) close(log *slog.Logger) {
-	b.closing.Do(func() { b.end(log) })
+// close ends background work, once: as soon as the sender begins to shut down, so that all of it is over when the sender ends.
+func (b *backgroundWork) close(log *slog.Logger) {
+	b.closing.Do(func() { b.shutDown(log) })
 }
 
-func (b *behind) end(log *slog.Logger) {
+func (b *backgroundWork) shutDown(log *slog.Logger) {
 	b.stop()
 	if r := b.runner.Load(); r != nil {
-		if err := r.Close(closingTime); err != nil {
+		if err := r.Close(closeTimeout); err != nil {
 			log.Error("background work", "err", err)
 		}
 	}
--- a/cmd/saffronyard/background_test.go
+++ b/cmd/saffronyard/background_test.go
@@ -13,7 +13,7 @@
 )
 
 // What is known of receivers is written down as background work, and what the next process learns from is that.
-func TestSnapshotsByWork(t *testing.T) {
+func TestBackground_WritesKnowledgeSnapshots(t *testing.T) {
 	e := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
 	state := t.TempDir()
@@ -46,7 +46,7 @@
 	c.Wait()
 	c = start(t, p, state, "-features", file)
 	var out, errs bytes.Buffer
-	if code := askCommand("knowledge", []string{"-state", state, "0"}, os.Getenv, &out, &errs); code != 0 || !strings.Contains(out.String(), "earlier") {
+	if code := knowledgeCommand([]string{"-state", state, "0"}, os.Getenv, &out, &errs); code != 0 || !strings.Contains(out.String(), "earlier") {
 		t.Errorf("%d %s%s", code, &out, &errs)
 	}
 	from := time.Now()
--- a/cmd/saffronyard/command.go
+++ b/cmd/saffronyard/command.go
@@ -10,84 +10,56 @@
 	"github.com/spf13/cobra"
 )
 
-// The commands beside the daemon itself. Those that were there before cobra read their own flags, as they always did: "-state"
-// with one dash, texts and exit codes included. The others take either number of dashes.
-
-// older is a command that reads its own flags.
-type older struct {
-	use, short string
-	run        func(args []string, getenv func(string) string, in io.Reader, out, errs io.Writer) int
+// flagCommand is a command that parses its own flags with package flag, as the first commands did: "-state" with one dash, and its own
+// texts and exit codes. The others are cobra's; they take either number of dashes.
+type flagCommand struct {
+	name, short string
+	run         func(args []string, getenv func(string) string, in io.Reader, out, errs io.Writer) int
 }
 
-var olders = []older{
+var flagCommands = []flagCommand{
 	{"check", "what the operators' file would turn on, or what is wrong with it", func(args []string, _ func(string) string, _ io.Reader, out, errs io.Writer) int {
-		return check(args, out, errs)
-	}},
-	{"undelivered", "messages that were not delivered", func(args []string, getenv func(string) string, _ io.Reader, out, errs io.Writer) int {
-		return undeliveredCommand(args, getenv, out, errs)
-	}},
-	{"work", "work behind the messages", func(args []string, getenv func(string) string, _ io.Reader, out, errs io.Writer) int {
-		return workCommand(args, getenv, out, errs)
+		return checkCommand(args, out, errs)
 	}},
+	{"undelivered", "messages that were not delivered", withoutInput(undeliveredCommand)},
+	{"work", "work behind the messages", withoutInput(workCommand)},
 	{"zone", "zones, and members that are followed by name", zoneCommand},
-	{"peers", "the other senders that this one knows", func(args []string, getenv func(string) string, _ io.Reader, out, errs io.Writer) int {
-		return askCommand("peers", args, getenv, out, errs)
-	}},
-	{"knowledge", "what is known of receivers", func(args []string, getenv func(string) string, _ io.Reader, out, errs io.Writer) int {
-		return askCommand("knowledge", args, getenv, out, errs)
-	}},
+	{"peers", "the other senders that this one knows", withoutInput(peersCommand)},
+	{"knowledge", "what is known of receivers", withoutInput(knowledgeCommand)},
 }
 
-// newer are those that cobra reads.
-var newer = []string{"fleet", "policy", "limits", "verdicts", "help"}
+// withoutInput adapts a command that does not read standard input.
+func withoutInput(run func(args []string, getenv func(string) string, out, errs io.Writer) int) func([]string, func(string) string, io.Reader, io.Writer, io.Writer) int {
+	return func(args []string, getenv func(string) string, _ io.Reader, out, errs io.Writer) int {
+		return run(args, getenv, out, errs)
+	}
+}
+
+// cobraCommands are the names of those that cobra parses.
+var cobraCommands = []string{"fleet", "policy", "limits", "verdicts", "help"}
 
-// commandNames are all of them.
+// commandNames returns the names of all commands.
 func commandNames() []string {
 	var names []string
-	for _, o := range olders {
-		names = append(names, o.use)
+	for _, c := range flagCommands {
+		names = append(names, c.name)
 	}
-	return append(names, newer...)
+	return append(names, cobraCommands...)
 }
 
 // isCommand reports whether a word begins a command; the daemon itself takes flags alone.
 func isCommand(word string) bool { return slices.Contains(commandNames(), word) }
 
-// exitCode is how an older command ended: it has said why.
-type exitCode int
-
-func (c exitCode) Error() string { return fmt.Sprintf("exit %d", int(c)) }
-
-// command runs one, and gives the exit code: 2 for words that mean nothing, 1 for what failed or was refused.
+// command runs a command and returns its exit code: 2 for words that mean nothing, 1 for what failed or was refused.
 func command(args []string, getenv func(string) string, in io.Reader, out, errs io.Writer) int {
-	root := &cobra.Command{Use: "saffronyard", Short: "a sender of messages to outside destinations; without a command it runs", SilenceUsage: true, SilenceErrors: true,
-		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
-	root.SetIn(in)
-	root.SetOut(out)
-	root.SetErr(errs)
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return errUsage{err} })
-	for _, o := range olders {
-		root.AddCommand(&cobra.Command{Use: o.use, Short: o.short, DisableFlagParsing: true, RunE: func(_ *cobra.Command, args []string) error {
-			if code := o.run(args, getenv, in, out, errs); code != 0 {
-				return exitCode(code)
-			}
-			return nil
-		}})
-	}
-	at := &atSender{}
-	for _, c := range []*cobra.Command{at.fleet(), at.policy(), at.limits(), at.verdicts()} {
-		c.PersistentFlags().StringVar(&at.state, "state", getenv("EDGE_STATE"), "the sender's state `folder`; default $EDGE_STATE")
-		c.PersistentFlags().BoolVar(&at.json, "json", false, "JSON in place of text")
-		c.PersistentFlags().BoolVar(&at.current, "current", false, "what is read is no older than the question, as a majority confirms; without it it is this sender's copy")
-		root.AddCommand(c)
-	}
-	if slices.Contains(newer, args[0]) {
+	root := newRootCommand(getenv, in, out, errs)
+	if slices.Contains(cobraCommands, args[0]) {
 		args = twoDashes(args)
 	}
 	root.SetArgs(args)
 	err := root.Execute()
-	var usage errUsage
-	var code exitCode
+	var usage usageError
+	var code exitError
 	switch {
 	case err == nil:
 		return 0
@@ -101,7 +73,32 @@
 	return 1
 }
 
-// twoDashes lets a long flag be written with one dash, as the older commands have them; no flag is a letter.
+func newRootCommand(getenv func(string) string, in io.Reader, out, errs io.Writer) *cobra.Command {
+	root := &cobra.Command{Use: "saffronyard", Short: "a sender of messages to outside destinations; without a command it runs", SilenceUsage: true, SilenceErrors: true,
+		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
+	root.SetIn(in)
+	root.SetOut(out)
+	root.SetErr(errs)
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
+	for _, f := range flagCommands {
+		root.AddCommand(&cobra.Command{Use: f.name, Short: f.short, DisableFlagParsing: true, RunE: func(_ *cobra.Command, args []string) error {
+			if code := f.run(args, getenv, in, out, errs); code != 0 {
+				return exitError(code)
+			}
+			return nil
+		}})
+	}
+	s := &senderClient{}
+	for _, c := range []*cobra.Command{s.fleetCommand(), s.policyCommand(), s.limitsCommand(), s.verdictsCommand()} {
+		c.PersistentFlags().StringVar(&s.state, "state", getenv("EDGE_STATE"), "the sender's state `folder`; default $EDGE_STATE")
+		c.PersistentFlags().BoolVar(&s.json, "json", false, "JSON in place of text")
+		c.PersistentFlags().BoolVar(&s.current, "current", false, "what is read is no older than the question, as a majority confirms; without it it is this sender's copy")
+		root.AddCommand(c)
+	}
+	return root
+}
+
+// twoDashes lets a long flag be written with one dash, as the flag commands have them; no flag is a single letter.
 func twoDashes(args []string) []string {
 	out := slices.Clone(args)
 	for i, a := range out {
@@ -114,3 +111,30 @@
 	}
 	return out
 }
+
+// exactArgs wants as many arguments as it has names, and tells which.
+func exactArgs(names ...string) cobra.PositionalArgs {
+	return func(c *cobra.Command, args []string) error {
+		if len(args) != len(names) {
+			return usageError{invalidInput("%s takes %d arguments, not %d: %s", c.CommandPath(), len(names), len(args), c.UseLine())}
+		}
+		return nil
+	}
+}
+
+// requireSubcommand is run for a command that only groups others: it names them.
+func requireSubcommand(c *cobra.Command, _ []string) error {
+	names := ""
+	for _, sub := range c.Commands() {
+		names += " " + sub.Name()
+	}
+	return usageError{invalidInput("%s takes one of:%s", c.CommandPath(), names)}
+}
+
+// orElse returns a text, or another in place of an empty one.
+func orElse(text, other string) string {
+	if text == "" {
+		return other
+	}
+	return text
+}
--- a/cmd/saffronyard/command_test.go
+++ b/cmd/saffronyard/command_test.go
@@ -9,7 +9,7 @@
 )
 
 // The commands that were there before cobra say and exit as they did, whatever their words.
-func TestOlderCommands(t *testing.T) {
+func TestCommand_FlagCommandsRunUnchanged(t *testing.T) {
 	getenv := func(string) string { return "" }
 	for _, words := range [][]string{{"check"}, {"check", "-event"}, {"check", "/no/such/file"}, {"check", "../../deploy/saffronyard.toml"}, {"zone"}, {"zone", "burn"},
 		{"zone", "check", "/no/such/file"}, {"work", "list"}, {"work", "-h"}, {"undelivered", "list", "-state", "/no/such"}, {"peers", "-state", "/no/such"},
@@ -17,8 +17,8 @@
 		var out, errs, o, e bytes.Buffer
 		got := command(words, getenv, strings.NewReader(""), &out, &errs)
 		want := -1
-		for _, older := range olders {
-			if older.use == words[0] {
+		for _, older := range flagCommands {
+			if older.name == words[0] {
 				want = older.run(words[1:], getenv, strings.NewReader(""), &o, &e)
 			}
 		}
@@ -36,7 +36,7 @@
 }
 
 // The log is text, or an object a line; any other form is refused.
-func TestLogForms(t *testing.T) {
+func TestNewLogger_Formats(t *testing.T) {
 	stderr := os.Stderr
 	defer func() { os.Stderr = stderr }()
 	for form, want := range map[string]string{"text": `msg=here n=7`, "json": `"msg":"here","n":7}`} {
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		os.Stderr = w
-		log, err := logger(form, nil)
+		log, err := newLogger(form, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +55,7 @@
 			t.Errorf("%s: %s", form, raw)
 		}
 	}
-	if _, err := logger("xml", nil); err == nil {
+	if _, err := newLogger("xml", nil); err == nil {
 		t.Error("the log is written in XML")
 	}
 }
--- a/cmd/saffronyard/deploy_test.go
+++ b/cmd/saffronyard/deploy_test.go
@@ -14,7 +14,7 @@
 
 // The platform leads the sender's sockets and clocks to a bench of its own by a library that is loaded before it, on the
 // days of the full fleet: a program that is not linked dynamically against the C library runs past that unseen.
-func TestTheDeployFileBuildsADynamicProgram(t *testing.T) {
+func TestDeployFile_BuildsDynamicProgram(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/saffronyard/events_test.go
+++ b/cmd/saffronyard/events_test.go
@@ -28,7 +28,7 @@
 
 // Killed with one event delivered, one out and one that may not be repeated: after the restart each client's retry
 // counts as its first try, and the receivers count one effect of each.
-func TestEventsOutlastAKill(t *testing.T) {
+func TestEvents_SurviveKill(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Silent)
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr, silent.Addr)
--- a/cmd/saffronyard/features_test.go
+++ b/cmd/saffronyard/features_test.go
@@ -21,7 +21,7 @@
 }
 
 // 'check' says what a file turns on, and what is wrong with it by file, line and key.
-func TestCheck(t *testing.T) {
+func TestCheckCommand(t *testing.T) {
 	for text, c := range map[string]struct {
 		code int
 		says string
@@ -31,7 +31,7 @@
 		"[quiet]\nfold = 3\n":             {2, `saffronyard.toml:2: unknown key "quiet.fold"`},
 	} {
 		var out, errs bytes.Buffer
-		if code := check([]string{write(t, text)}, &out, &errs); code != c.code || !strings.Contains(out.String()+errs.String(), c.says) {
+		if code := checkCommand([]string{write(t, text)}, &out, &errs); code != c.code || !strings.Contains(out.String()+errs.String(), c.says) {
 			t.Errorf("%q: %d, %s%s", text, code, out.String(), errs.String())
 		}
 	}
@@ -51,7 +51,7 @@
 		{write(t, ""), event, 1, []string{"events are off"}},
 	} {
 		var out, errs bytes.Buffer
-		code := check([]string{"-event", c.event, c.file}, &out, &errs)
+		code := checkCommand([]string{"-event", c.event, c.file}, &out, &errs)
 		for _, says := range c.says {
 			if code != c.code || !strings.Contains(out.String()+errs.String(), says) {
 				t.Errorf("%d, %s%s; want %d and %q", code, out.String(), errs.String(), c.code, says)
@@ -59,13 +59,13 @@
 		}
 	}
 	var out, errs bytes.Buffer
-	if code := check(nil, &out, &errs); code != 2 || !strings.Contains(errs.String(), "FILE") {
+	if code := checkCommand(nil, &out, &errs); code != 2 || !strings.Contains(errs.String(), "FILE") {
 		t.Errorf("without a file: %d, %s", code, errs.String())
 	}
 }
 
 // A sender with a file that is wrong does not start, and says where; one with a sound file serves.
-func TestFeaturesFile(t *testing.T) {
+func TestDaemon_FeaturesFile(t *testing.T) {
 	p := st.NewPlatform(t)
 	dir := t.TempDir()
 	config := filepath.Join(dir, "config.json")
--- a/cmd/saffronyard/fleet_test.go
+++ b/cmd/saffronyard/fleet_test.go
@@ -21,25 +21,25 @@
 	return append(append([]string{"env", "SAFFRONYARD_TEST_CHILD=1", "GORACE=atexit_sleep_ms=0"}, more...), os.Args[0])
 }
 
-// wrongClock makes a wrong sender: its clock runs at a twentieth of the time, so that its leases last twenty times as long.
-func wrongClock(c *fleet.Config) {
+// slowClock makes a wrong sender: its clock runs at a twentieth of the time, so that its leases last twenty times as long.
+func slowClock(c *fleet.Config) {
 	began := fleet.Now()
 	c.Now = func() time.Duration { return began + (fleet.Now()-began)/20 }
 }
 
-// daysAtOnce is how many days of processes are played side by side: each has several that write to one disk, as other tests do.
-var daysAtOnce = make(chan struct{}, 4)
+// scenarioSlots is how many days of processes are played side by side: each has several that write to one disk, as other tests do.
+var scenarioSlots = make(chan struct{}, 4)
 
-// turn waits until a day may be played.
-func turn(t *testing.T) {
-	daysAtOnce <- struct{}{}
-	t.Cleanup(func() { <-daysAtOnce })
+// acquireScenarioSlot waits until a day may be played.
+func acquireScenarioSlot(t *testing.T) {
+	scenarioSlots <- struct{}{}
+	t.Cleanup(func() { <-scenarioSlots })
 }
 
-// concordRun plays a day of processes of the program.
-func concordRun(t *testing.T, o policytest.Options) (*policytest.Result, policytest.Verdict) {
+// runPolicyTest plays a day of processes of the program.
+func runPolicyTest(t *testing.T, o policytest.Options) (*policytest.Result, policytest.Verdict) {
 	t.Helper()
-	turn(t)
+	acquireScenarioSlot(t)
 	o.Folder = t.TempDir()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
@@ -54,14 +54,14 @@
 
 // Changes take hold everywhere or nowhere while links between processes are cut, also one way, and processes are paused, killed
 // and come back with old folders. 'rehearse fleet' plays many more such days.
-func TestFleetAgreesUnderFaults(t *testing.T) {
+func TestFleet_PolicyConsistentUnderFaults(t *testing.T) {
 	t.Parallel()
 	for _, o := range []policytest.Options{{Seed: 1, Senders: 3, Voters: 3, Seconds: 8}, {Seed: 2, Senders: 5, Voters: 3, Seconds: 8},
 		{Seed: 4, Senders: 4, Voters: 3, Seconds: 8, Quiet: true, KillAll: true}} {
 		t.Run(fmt.Sprintf("seed %d", o.Seed), func(t *testing.T) {
 			t.Parallel()
 			o.Command = itself()
-			_, v := concordRun(t, o)
+			_, v := runPolicyTest(t, o)
 			if len(v.Broken) > 0 {
 				t.Errorf("%s", strings.Join(v.Broken, "\n"))
 			}
@@ -74,9 +74,9 @@
 
 // A sender that goes by its lease after that has lapsed is found out: it is cut off, the others change the policy, and its calls
 // are seen under the version that they have left.
-func TestWrongSenderIsFound(t *testing.T) {
+func TestFleet_DetectsFaultySender(t *testing.T) {
 	t.Parallel()
-	r, v := concordRun(t, policytest.Options{Seed: 3, Senders: 4, Voters: 3, Seconds: 6, PartitionLast: true, Quiet: true, Command: itself("SAFFRONYARD_TEST_WRONG=n3")})
+	r, v := runPolicyTest(t, policytest.Options{Seed: 3, Senders: 4, Voters: 3, Seconds: 6, PartitionLast: true, Quiet: true, Command: itself("SAFFRONYARD_TEST_WRONG=n3")})
 	found := 0
 	for _, b := range v.Broken { // once one call is under a version that was left, which one others are under can't be told for sure
 		if strings.Contains(b, " called receiver ") {
@@ -91,7 +91,7 @@
 }
 
 // What the commands print, and how they exit, at a fleet of one.
-func TestFleetCommands(t *testing.T) {
+func TestFleetCommand(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr, e.Addr)
--- a/cmd/saffronyard/limits.go
+++ b/cmd/saffronyard/limits.go
@@ -14,41 +14,53 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// limits are the commands on what the fleet shares out.
-func (a *atSender) limits() *cobra.Command {
-	top := &cobra.Command{Use: "limits", Short: "limits that all senders keep together", RunE: needsVerb}
-	reports := func() (all []fleet.LimitReport, err error) {
-		return all, a.ask(http.MethodGet, "/limits", nil, &all)
-	}
-	list := &cobra.Command{Use: "list", Short: "each limit as this sender has it", Args: exactly(), RunE: func(c *cobra.Command, _ []string) error {
-		all, err := reports()
+// limitsCommand is 'saffronyard limits': rate limits whose quota all senders share.
+func (s *senderClient) limitsCommand() *cobra.Command {
+	top := &cobra.Command{Use: "limits", Short: "limits that all senders keep together", RunE: requireSubcommand}
+	top.AddCommand(s.limitsListCommand(), s.limitsShowCommand(), s.limitsExplainCommand(), s.limitsSetCommand())
+	return top
+}
+
+func (s *senderClient) limitReports() (all []fleet.LimitReport, err error) {
+	return all, s.request(http.MethodGet, "/limits", nil, &all)
+}
+
+func (s *senderClient) limitsListCommand() *cobra.Command {
+	return &cobra.Command{Use: "list", Short: "each limit as this sender has it", Args: exactArgs(), RunE: func(c *cobra.Command, _ []string) error {
+		all, err := s.limitReports()
 		if err != nil {
 			return err
 		}
-		return a.show(c, all, func(w io.Writer) {
+		return s.print(c, all, func(w io.Writer) {
 			fmt.Fprintln(w, "LIMIT\tIS\tIN CHARGE\tHELD HERE\tIN USE\tWAITS\tUSED\tREFUSED")
 			for _, l := range all {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\n", l.Key, l.Description, or(l.Owner, "nobody yet"), l.Granted, l.InUse, l.Waiting, l.Used, l.Rejected)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\n", l.Key, l.Description, orElse(l.Owner, "nobody yet"), l.Granted, l.InUse, l.Waiting, l.Used, l.Rejected)
 			}
 		})
 	}}
-	show := &cobra.Command{Use: "show LIMIT", Short: "one limit: who holds what until when, and the bound; all of it where its authority is asked", Args: exactly("LIMIT"), RunE: func(c *cobra.Command, args []string) error {
-		all, err := reports()
+}
+
+func (s *senderClient) limitsShowCommand() *cobra.Command {
+	return &cobra.Command{Use: "show LIMIT", Short: "one limit: who holds what until when, and the bound; all of it where its authority is asked", Args: exactArgs("LIMIT"), RunE: func(c *cobra.Command, args []string) error {
+		all, err := s.limitReports()
 		if err != nil {
 			return err
 		}
 		for _, l := range all {
 			if l.Key == args[0] {
-				return a.show(c, l, func(w io.Writer) { printLimit(w, l) })
+				return s.print(c, l, func(w io.Writer) { printLimit(w, l) })
 			}
 		}
-		return fmt.Errorf("there is no limit %q; 'saffronyard limits list' names them", args[0])
+		return notFound("there is no limit %q; 'saffronyard limits list' names them", args[0])
 	}}
-	explain := &cobra.Command{Use: "explain DESTINATION", Short: "what holds back the calls to a destination", Args: exactly("DESTINATION"), RunE: func(c *cobra.Command, args []string) error {
-		if _, err := destination(args[0]); err != nil {
+}
+
+func (s *senderClient) limitsExplainCommand() *cobra.Command {
+	return &cobra.Command{Use: "explain DESTINATION", Short: "what holds back the calls to a destination", Args: exactArgs("DESTINATION"), RunE: func(c *cobra.Command, args []string) error {
+		if _, err := parseDestination(args[0]); err != nil {
 			return err
 		}
-		all, err := reports()
+		all, err := s.limitReports()
 		if err != nil {
 			return err
 		}
@@ -58,22 +70,20 @@
 				of = append(of, l)
 			}
 		}
-		return a.show(c, of, func(w io.Writer) {
+		return s.print(c, of, func(w io.Writer) {
 			if len(of) == 0 {
 				fmt.Fprintf(w, "no limit of the fleet names destination %s\n", args[0])
 			}
 			for _, l := range of {
 				fmt.Fprintf(w, "%s\t%s\n", l.Key, l.Description)
-				fmt.Fprintf(w, "\t%s\n", why(l))
+				fmt.Fprintf(w, "\t%s\n", limitState(l))
 			}
 		})
 	}}
-	top.AddCommand(list, show, explain, a.setLimit())
-	return top
 }
 
-// why says in words what a sender may do under a limit just now.
-func why(l fleet.LimitReport) string {
+// limitState tells in words what a sender may do under a limit just now.
+func limitState(l fleet.LimitReport) string {
 	switch {
 	case l.Waiting == 0:
 		return "nothing waits for it here"
@@ -92,7 +102,7 @@
 func printLimit(w io.Writer, l fleet.LimitReport) {
 	fmt.Fprintf(w, "%s\t%s\n", l.Key, l.Description)
 	fmt.Fprintf(w, "bound\t%s\n", l.Bound)
-	fmt.Fprintf(w, "in charge\t%s\n", or(l.Owner, "nobody yet"))
+	fmt.Fprintf(w, "in charge\t%s\n", orElse(l.Owner, "nobody yet"))
 	fmt.Fprintf(w, "here\t%d held, %v left; %d in use or at rest; %d wait; %d used, %d calls held back\n", l.Granted, time.Duration(l.RemainingMS)*time.Millisecond, l.InUse, l.Waiting, l.Used, l.Rejected)
 	if l.Rotating {
 		fmt.Fprintf(w, "\tthere are not enough for all: units go by turns\n")
@@ -108,18 +118,18 @@
 	}
 }
 
-// setLimit has one limit of a destination take hold, by a change of the policy.
-func (a *atSender) setLimit() *cobra.Command {
+// limitsSetCommand sets one limit of a destination by a change of the policy.
+func (s *senderClient) limitsSetCommand() *cobra.Command {
 	var l fleetpolicy.Limit
-	var span, lasts, transit, wait time.Duration
-	var why string
-	var dry, quiet, none bool
-	c := &cobra.Command{Use: "set DESTINATION", Short: "limit a destination, everywhere or nowhere", Args: exactly("DESTINATION"), RunE: func(c *cobra.Command, args []string) error {
-		d, err := destination(args[0])
+	var span, lasts, transit time.Duration
+	var none bool
+	var change policyChange
+	c := &cobra.Command{Use: "set DESTINATION", Short: "limit a destination, everywhere or nowhere", Args: exactArgs("DESTINATION"), RunE: func(c *cobra.Command, args []string) error {
+		d, err := parseDestination(args[0])
 		if err != nil {
 			return err
 		}
-		r, err := a.report()
+		r, err := s.report()
 		if err != nil {
 			return err
 		}
@@ -128,14 +138,15 @@
 		if err != nil {
 			return err
 		}
-		p, err := parsed(string(raw))
+		p, err := parseDocument(string(raw))
 		if err != nil {
 			return err
 		}
-		if dry {
-			return a.diff(c, r, p)
+		if change.dryRun {
+			return s.printDiff(c, r, p)
 		}
-		return a.propose(c, r.Policy.Version, 0, raw, why, wait, quiet)
+		change.base, change.document = r.Policy.Version, raw
+		return s.propose(c, change)
 	}}
 	f := c.Flags()
 	f.Float64Var(&l.Calls, "calls", 0, "calls in a span")
@@ -148,9 +159,6 @@
 	f.Int64Var(&l.CutOffExtra, "over", 0, "each sender that is cut off may go so much beyond")
 	f.BoolVar(&l.Adaptive, "learn", false, "what the receiver tells counts where it is lower")
 	f.BoolVar(&none, "none", false, "no limit of it any more")
-	f.StringVar(&why, "why", "", "the reason, kept with it")
-	f.DurationVar(&wait, "wait", 30*time.Second, "give up if it is not staged everywhere by then")
-	f.BoolVar(&dry, "dry-run", false, "say what would change, and change nothing")
-	f.BoolVar(&quiet, "quiet", false, "no progress")
+	change.addFlags(c)
 	return c
 }
--- a/cmd/saffronyard/limits_test.go
+++ b/cmd/saffronyard/limits_test.go
@@ -13,20 +13,20 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// startsFromFull makes a wrong authority: it lends all units at once, whatever an earlier one has lent.
-func startsFromFull(c *fleet.Config) {
+// startsWithFullPool makes a wrong authority: it lends all units at once, whatever an earlier one has lent.
+func startsWithFullPool(c *fleet.Config) {
 	c.QuotaGrace = func(time.Duration) time.Duration { return -time.Hour }
 }
 
-// keepsLoans makes a wrong holder, whose loans last twenty times as long.
-func keepsLoans(c *fleet.Config) {
+// keepsExpiredLoans makes a wrong holder, whose loans last twenty times as long.
+func keepsExpiredLoans(c *fleet.Config) {
 	c.GrantDuration = func(d time.Duration) time.Duration { return 20 * d }
 }
 
-// rationRun plays a day of processes of the program that share a limit out.
-func rationRun(t *testing.T, o quotatest.Options) quotatest.Verdict {
+// runQuotaTest plays a day of processes of the program that share a limit out.
+func runQuotaTest(t *testing.T, o quotatest.Options) quotatest.Verdict {
 	t.Helper()
-	turn(t)
+	acquireScenarioSlot(t)
 	o.Folder = t.TempDir()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
@@ -41,14 +41,14 @@
 
 // A limit holds at its receiver while links between processes are cut, also one way, and processes are paused, killed and come back
 // with old folders. 'rehearse limits' plays many more such days.
-func TestLimitsHoldUnderFaults(t *testing.T) {
+func TestLimits_HoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	for _, o := range []quotatest.Options{{Seed: 1, Senders: 3, Voters: 3, Seconds: 10}, {Seed: 2, Senders: 5, Voters: 3, Seconds: 10, Units: 20, Span: time.Second, Halve: true},
 		{Seed: 4, Senders: 4, Voters: 3, Seconds: 8, Units: 10, Span: time.Second, Quiet: true, KillAll: true}} {
 		t.Run(fmt.Sprintf("seed %d", o.Seed), func(t *testing.T) {
 			t.Parallel()
 			o.Command = itself()
-			v := rationRun(t, o)
+			v := runQuotaTest(t, o)
 			if len(v.Broken) > 0 {
 				t.Errorf("%s", strings.Join(v.Broken, "\n"))
 			}
@@ -61,14 +61,14 @@
 
 // A receiver hangs and comes back: while it is held to be out one call of all senders goes there in a span, and its return is one ramp,
 // also where the one in charge dies meanwhile. A day on which each finds out by itself is seen to keep neither, judged by the other's verdicts.
-func TestOutageIsTheFleets(t *testing.T) {
+func TestVerdicts_OutageIsSharedByFleet(t *testing.T) {
 	t.Parallel()
 	var days [2]*quotatest.Result
 	t.Run("days", func(t *testing.T) {
 		for i, together := range []bool{true, false} {
 			t.Run(fmt.Sprintf("together %v", together), func(t *testing.T) {
 				t.Parallel()
-				turn(t)
+				acquireScenarioSlot(t)
 				o := quotatest.Options{Seed: 1, Senders: 4, Voters: 3, Rate: 40, Free: true, Verdict: together, Outage: 9 * time.Second, Seconds: 10, Quiet: true, Command: itself(), Folder: t.TempDir()}
 				if together {
 					o.PartitionLast = true // and the last one, without the others, begins no call once its lease is over
@@ -98,7 +98,7 @@
 
 // Wrong senders are found out by the receiver's count: one that goes by its loans after they have lapsed, and authorities that start from
 // full while one that is cut off still uses what it holds.
-func TestWrongLendersAreFound(t *testing.T) {
+func TestLimits_DetectFaultyLenders(t *testing.T) {
 	t.Parallel()
 	var names []*pb.Participant
 	for i := range 5 {
@@ -116,7 +116,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o.Voters, o.Units, o.Span, o.Transit, o.Quiet, o.PartitionLast, o.GoOn, o.Rate = 3, 40, time.Second, 20*time.Millisecond, true, true, true, 70
-			if v := rationRun(t, o); (len(v.Broken) == 0) != (name == "none") {
+			if v := runQuotaTest(t, o); (len(v.Broken) == 0) != (name == "none") {
 				t.Errorf("found: %q", v.Broken)
 			}
 		})
--- a/cmd/saffronyard/main_test.go
+++ b/cmd/saffronyard/main_test.go
@@ -21,11 +21,11 @@
 		switch wrong := os.Getenv("SAFFRONYARD_TEST_WRONG"); wrong {
 		case "":
 		case "full":
-			fleetSeams = startsFromFull
+			overrideFleetConfig = startsWithFullPool
 		case os.Getenv("EDGE_NAME"):
-			fleetSeams = wrongClock
+			overrideFleetConfig = slowClock
 		case os.Getenv("EDGE_NAME") + " keeps":
-			fleetSeams = keepsLoans
+			overrideFleetConfig = keepsExpiredLoans
 		}
 		main()
 		return
@@ -94,7 +94,7 @@
 
 // What was taken on outlasts a kill: a message whose call was out goes out again with its id, key and body
 // where its class allows a repeat, and ends by a notice where it does not. What was delivered stays so.
-func TestKillAndRestart(t *testing.T) {
+func TestDaemon_KillAndRestart(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Silent)
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr, silent.Addr)
@@ -151,7 +151,7 @@
 
 // After SIGTERM clients that come are still served, on connections that end with the answer; the process
 // leaves by itself in time, and what is not done is done by the next.
-func TestTerminate(t *testing.T) {
+func TestDaemon_Terminate(t *testing.T) {
 	silent := st.NewEndpoint(t, st.Silent)
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr)
@@ -198,7 +198,7 @@
 // and then for changes, and what is owed to it goes there, also notices that the old one did not take. What
 // the process was started with stands against it in EDGE_DISCOVERY and is older. A file that can't be read
 // changes nothing. A sender that does not catch SIGHUP ends on it.
-func TestReload(t *testing.T) {
+func TestDaemon_Reload(t *testing.T) {
 	e := st.NewEndpoint(t, st.Status(500))
 	moved := st.NewEndpoint(t, st.Status(200))
 	old := st.NewPlatform(t, e.Addr)
@@ -251,7 +251,7 @@
 	}
 }
 
-func TestUnreadableConfigurationIsAPlainError(t *testing.T) {
+func TestDaemon_UnreadableConfiguration(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(`{"settings":{"step":"soon"}}`), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/saffronyard/peerlinks_test.go
+++ b/cmd/saffronyard/peerlinks_test.go
@@ -44,9 +44,9 @@
 
 // Membership's datagrams pass links as connections do: with a third of them lost three processes find each other, one that is cut
 // off is taken for dead on both sides, and is there again once the links are sound.
-func TestMembershipThroughLinks(t *testing.T) {
+func TestPeers_MembershipThroughLinks(t *testing.T) {
 	t.Parallel()
-	turn(t)
+	acquireScenarioSlot(t)
 	s, err := script.Parse("peers.toml", []byte(peersDay))
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 		wait := func(what string, at int, states map[string]string) {
 			last := ""
 			for end := time.Now().Add(40 * time.Second); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-				raw, err := askSocket("GET", filepath.Join(d.Sender(at).State(), sender.SocketName), "/peers")
+				raw, err := requestFromSocket("GET", filepath.Join(d.Sender(at).State(), sender.SocketName), "/peers")
 				var r sender.PeersReport
 				if err == nil {
 					err = json.Unmarshal(raw, &r)
--- a/cmd/saffronyard/ask_test.go
+++ b/cmd/saffronyard/report_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"io"
 	"net"
 	"net/http"
 	"path/filepath"
@@ -15,11 +16,12 @@
 )
 
 // What a sender tells is shown as a table or passed on as it is; without one, or with a bad word, it says so.
-func TestAsk(t *testing.T) {
+func TestReportQuery(t *testing.T) {
 	state := t.TempDir()
 	run := func(what string, args ...string) (int, string, string) {
 		var out, errs bytes.Buffer
-		code := askCommand(what, args, func(string) string { return state }, &out, &errs)
+		query := map[string]func([]string, func(string) string, io.Writer, io.Writer) int{"peers": peersCommand, "knowledge": knowledgeCommand}[what]
+		code := query(args, func(string) string { return state }, &out, &errs)
 		return code, out.String(), errs.String()
 	}
 	if code, _, errs := run("peers"); code != 1 || !strings.Contains(errs, "no sender answers") {
--- a/cmd/saffronyard/resend_test.go
+++ b/cmd/saffronyard/resend_test.go
@@ -46,8 +46,8 @@
 	return e.calls[id], e.done[id]
 }
 
-// kept fills a store with messages of each class, that never ran and that may have run, as an outage left them.
-func kept(t *testing.T, folder string, each int) (ids []string) {
+// storeUndelivered fills a store with messages of each class, that never ran and that may have run, as an outage left them.
+func storeUndelivered(t *testing.T, folder string, each int) (ids []string) {
 	t.Helper()
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 // Kept messages go again by rule while live ones come, and the sender is killed again and again as they do: nothing whose
 // class forbids it has its effect twice, and all that may go has gone in the end. SAFFRONYARD_RESENDS sets how many of each
 // of six sorts there are, and so how long it takes; SAFFRONYARD_KILLS how often it is killed.
-func TestResendsSurviveKills(t *testing.T) {
+func TestResend_SurvivesKills(t *testing.T) {
 	each, kills := 12, 5
 	fmt.Sscan(os.Getenv("SAFFRONYARD_RESENDS"), &each)
 	fmt.Sscan(os.Getenv("SAFFRONYARD_KILLS"), &kills)
@@ -107,7 +107,7 @@
 		}
 	}()
 	state := t.TempDir()
-	ids := kept(t, filepath.Join(state, "undelivered"), each)
+	ids := storeUndelivered(t, filepath.Join(state, "undelivered"), each)
 	file := filepath.Join(t.TempDir(), "features.toml")
 	if err := os.WriteFile(file, []byte(resendFile), 0o600); err != nil {
 		t.Fatal(err)
@@ -187,13 +187,13 @@
 }
 
 // By hand: what would go is said first, nothing goes without a rule or a word, and what may not go does not.
-func TestResendByHand(t *testing.T) {
+func TestResend_Manual(t *testing.T) {
 	r := &effects{calls: map[string]int{}, done: map[string]int{}, keys: map[string]time.Time{}}
 	e := st.NewEndpoint(t, r.answer)
 	p := st.NewPlatform(t, e.Addr)
 	state := t.TempDir()
 	folder := filepath.Join(state, "undelivered")
-	kept(t, folder, 1)
+	storeUndelivered(t, folder, 1)
 	file := filepath.Join(t.TempDir(), "features.toml")
 	if err := os.WriteFile(file, []byte("[work]\n[undelivered]\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -253,12 +253,12 @@
 }
 
 // A rule that is changed by SIGHUP while the sender runs holds from then on; a file that can't be read changes nothing.
-func TestRulesChangeInService(t *testing.T) {
+func TestResend_RulesChangeInService(t *testing.T) {
 	r := &effects{calls: map[string]int{}, done: map[string]int{}, keys: map[string]time.Time{}}
 	e := st.NewEndpoint(t, r.answer)
 	p := st.NewPlatform(t, e.Addr)
 	state := t.TempDir()
-	kept(t, filepath.Join(state, "undelivered"), 1)
+	storeUndelivered(t, filepath.Join(state, "undelivered"), 1)
 	file := filepath.Join(t.TempDir(), "features.toml")
 	write := func(text string) {
 		t.Helper()
--- a/cmd/saffronyard/ends_test.go
+++ b/cmd/saffronyard/shutdown_test.go
@@ -61,7 +61,7 @@
 
 // What is owed to clients as a process ends: a request of which half had come is answered, on a resting connection too, and what
 // was taken on is in the journal; a client that rests to the end is let go; a second SIGTERM and a SIGHUP meanwhile change nothing.
-func TestClientsAtTheEnd(t *testing.T) {
+func TestShutdown_AnswersClients(t *testing.T) {
 	silent, good := st.NewEndpoint(t, st.Silent), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr)
 	state := t.TempDir()
@@ -119,7 +119,7 @@
 
 // Idle clients fill all descriptors that they may while discovery is down: once it is back the list is heard, a new client is
 // served, and calls connect.
-func TestIdleClientsFillTheDescriptors(t *testing.T) {
+func TestShutdown_IdleClientsFillDescriptors(t *testing.T) {
 	const sockets = 128
 	old, moved := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, old.Addr)
@@ -154,7 +154,7 @@
 
 // A process that is killed with all room taken, and started again while discovery is down and clients flood it, is ready, gives
 // none of what it finds back, and tries all of it once it knows where to.
-func TestAllThatWasTakenOnIsTried(t *testing.T) {
+func TestShutdown_AttemptsAllAcceptedMessages(t *testing.T) {
 	const room = 100 // of the test's settings
 	e := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
--- a/cmd/saffronyard/undelivered.go
+++ b/cmd/saffronyard/undelivered.go
@@ -30,137 +30,187 @@
 its file instead.
 `
 
-// undeliveredCommand is the operators' way to the store.
+// Errors of the undelivered commands.
+var (
+	errNoUndeliveredSource = errors.New("neither -folder nor -store, and EDGE_STATE is not set")
+	errResendNeedsSender   = errors.New("resend asks a sender that runs, no copy")
+)
+
+// undeliveredFlags are the flags of all undelivered commands.
+type undeliveredFlags struct {
+	folder, store         string
+	member, reason, class string
+	since, until          string
+	limit                 int
+	json                  bool
+	by, why               string
+	dryRun, stop          bool
+}
+
+// undeliveredRequest is an undelivered command with its arguments, as far as they could be checked without the store.
+type undeliveredRequest struct {
+	verb   string
+	flags  undeliveredFlags
+	filter undelivered.Filter
+	keys   []undelivered.Key
+	now    time.Time
+}
+
+// undeliveredCommand is 'saffronyard undelivered': the operators' way to the store of messages that were not delivered.
 func undeliveredCommand(args []string, getenv func(string) string, out, errs io.Writer) int {
 	if len(args) == 0 || strings.HasPrefix(args[0], "-") {
 		fmt.Fprint(errs, undeliveredUsage)
 		return 2
 	}
-	what := args[0]
-	switch what {
+	r := undeliveredRequest{verb: args[0], now: time.Now()}
+	switch r.verb {
 	case "list", "show", "count", "export", "settle", "drop", "resend":
 	default:
-		fmt.Fprintf(errs, "there is no command %q\n\n%s", what, undeliveredUsage)
+		fmt.Fprintf(errs, "there is no command %q\n\n%s", r.verb, undeliveredUsage)
 		return 2
 	}
-	f := flag.NewFlagSet("saffronyard undelivered "+what, flag.ContinueOnError)
-	f.SetOutput(errs)
-	folder := f.String("folder", "", "the `folder` of the sender's store; default $EDGE_STATE/undelivered")
-	file := f.String("store", "", "look at this `file`, a copy of a store")
-	member := f.String("member", "", "of this `member`")
-	reason := f.String("reason", "", "with this `reason`")
-	class := f.String("class", "", "of this `class`")
-	since := f.String("since", "", "ended at or after this `time` (RFC 3339), or so long ago (90m)")
-	until := f.String("until", "", "ended before this `time`")
-	most := f.Int("most", 0, "so many at the most; 0: all")
-	asJSON := f.Bool("json", false, "JSON in place of a table")
-	by := f.String("by", "", "settle: `who` does so")
-	why := f.String("why", "", "settle: `why`")
-	dry := f.Bool("dry-run", false, "resend: only say what would go, what may not, and why")
-	stop := f.Bool("stop", false, "resend: what has not gone yet stays")
-	if err := f.Parse(args[1:]); err != nil {
+	flags := r.flagSet(errs)
+	if err := flags.Parse(args[1:]); err != nil {
+		return 2
+	}
+	if err := r.parse(flags.Args()); err != nil {
+		fmt.Fprintln(errs, err)
+		return 1
+	}
+	if needsNames := r.verb == "show" || r.verb == "settle" || r.verb == "drop"; needsNames != (len(r.keys) > 0) {
+		fmt.Fprintf(errs, "%s: show, settle and drop take names, the others none\n", r.verb)
 		return 2
 	}
-	fail := func(err error) int {
+	if err := r.run(getenv, out); err != nil {
 		fmt.Fprintln(errs, err)
 		return 1
 	}
-	filter := undelivered.Filter{Member: *member, Class: *class, Limit: *most}
-	var err error
-	if *reason != "" {
-		if filter.Reason, err = undelivered.ParseReason(*reason); err != nil {
-			return fail(err)
+	return 0
+}
+
+func (r *undeliveredRequest) flagSet(errs io.Writer) *flag.FlagSet {
+	f, v := flag.NewFlagSet("saffronyard undelivered "+r.verb, flag.ContinueOnError), &r.flags
+	f.SetOutput(errs)
+	f.StringVar(&v.folder, "folder", "", "the `folder` of the sender's store; default $EDGE_STATE/undelivered")
+	f.StringVar(&v.store, "store", "", "look at this `file`, a copy of a store")
+	f.StringVar(&v.member, "member", "", "of this `member`")
+	f.StringVar(&v.reason, "reason", "", "with this `reason`")
+	f.StringVar(&v.class, "class", "", "of this `class`")
+	f.StringVar(&v.since, "since", "", "ended at or after this `time` (RFC 3339), or so long ago (90m)")
+	f.StringVar(&v.until, "until", "", "ended before this `time`")
+	f.IntVar(&v.limit, "most", 0, "so many at the most; 0: all")
+	f.BoolVar(&v.json, "json", false, "JSON in place of a table")
+	f.StringVar(&v.by, "by", "", "settle: `who` does so")
+	f.StringVar(&v.why, "why", "", "settle: `why`")
+	f.BoolVar(&v.dryRun, "dry-run", false, "resend: only say what would go, what may not, and why")
+	f.BoolVar(&v.stop, "stop", false, "resend: what has not gone yet stays")
+	return f
+}
+
+// parse turns flags and names into a filter and keys.
+func (r *undeliveredRequest) parse(names []string) (err error) {
+	v := &r.flags
+	r.filter = undelivered.Filter{Member: v.member, Class: v.class, Limit: v.limit}
+	if v.reason != "" {
+		if r.filter.Reason, err = undelivered.ParseReason(v.reason); err != nil {
+			return err
 		}
 	}
-	now := time.Now()
 	for _, t := range []struct {
 		text string
 		into *int64
-	}{{*since, &filter.Since}, {*until, &filter.Until}} {
+	}{{v.since, &r.filter.Since}, {v.until, &r.filter.Until}} {
 		if t.text == "" {
 			continue
 		}
-		at, err := parseTime(t.text, now)
+		at, err := parseTime(t.text, r.now)
 		if err != nil {
-			return fail(err)
+			return err
 		}
 		*t.into = at.UnixNano()
 	}
-	var keys []undelivered.Key
-	for _, name := range f.Args() {
+	for _, name := range names {
 		key, err := undelivered.ParseKey(name)
 		if err != nil {
-			return fail(err)
+			return err
 		}
-		keys = append(keys, key)
+		r.keys = append(r.keys, key)
 	}
-	if needs := what == "show" || what == "settle" || what == "drop"; needs != (len(keys) > 0) {
-		fmt.Fprintf(errs, "%s: show, settle and drop take names, the others none\n", what)
-		return 2
-	}
-	var from undelivered.Source
-	if *file != "" {
-		store, err := undelivered.OpenReadOnly(*file)
+	return nil
+}
+
+// run opens the copy that -store names, or dials the sender, and runs the command there.
+func (r *undeliveredRequest) run(getenv func(string) string, out io.Writer) error {
+	if r.flags.store != "" {
+		store, err := undelivered.OpenReadOnly(r.flags.store)
 		if err != nil {
-			return fail(err)
+			return err
 		}
 		defer store.Close()
-		from = store
-	} else {
-		if *folder == "" {
-			if getenv("EDGE_STATE") == "" {
-				return fail(errors.New("neither -folder nor -store, and EDGE_STATE is not set"))
-			}
-			*folder = filepath.Join(getenv("EDGE_STATE"), "undelivered")
+		if r.verb == "resend" {
+			return errResendNeedsSender
 		}
-		from = undelivered.Dial(*folder)
+		return r.runOn(store, out)
 	}
-	switch what {
-	case "resend":
-		remote, ok := from.(*undelivered.Remote)
-		if !ok {
-			return fail(errors.New("resend asks a sender that runs, no copy"))
+	folder := r.flags.folder
+	if folder == "" {
+		if getenv("EDGE_STATE") == "" {
+			return errNoUndeliveredSource
 		}
-		err = resendEntries(remote, filter, *dry, *stop, out)
+		folder = filepath.Join(getenv("EDGE_STATE"), "undelivered")
+	}
+	remote := undelivered.Dial(folder)
+	switch {
+	case r.verb == "resend" && r.flags.dryRun:
+		return printResendPlans(remote, r.filter, out)
+	case r.verb == "resend":
+		return requestResend(remote, r.filter, r.flags.stop, out)
+	}
+	return r.runOn(remote, out)
+}
+
+// runOn runs a command that a copy of a store and a running sender answer alike.
+func (r *undeliveredRequest) runOn(from undelivered.Source, out io.Writer) error {
+	switch r.verb {
 	case "list":
-		err = listEntries(from, filter, *asJSON, out)
+		return listEntries(from, r.filter, r.flags.json, out)
 	case "export":
-		err = exportEntries(from, filter, out)
+		return exportEntries(from, r.filter, out)
 	case "show":
-		err = showEntries(from, keys, out)
+		return showEntries(from, r.keys, out)
 	case "count":
-		err = countEntries(from, *asJSON, out)
+		return countEntries(from, r.flags.json, out)
 	case "settle":
-		for _, k := range keys {
-			if err = from.Resolve(k, *by, *why, now.UnixNano()); err != nil {
-				break
+		for _, k := range r.keys {
+			if err := from.Resolve(k, r.flags.by, r.flags.why, r.now.UnixNano()); err != nil {
+				return err
 			}
 			fmt.Fprintln(out, k, "settled")
 		}
 	case "drop":
-		var n int
-		if n, err = from.Drop(keys); err == nil {
-			fmt.Fprintf(out, "%d of %d dropped\n", n, len(keys))
+		n, err := from.Drop(r.keys)
+		if err != nil {
+			return err
 		}
+		fmt.Fprintf(out, "%d of %d dropped\n", n, len(r.keys))
 	}
-	if err != nil {
-		return fail(err)
-	}
-	return 0
+	return nil
 }
 
+// parseTime reads a time by RFC 3339, or a span before now.
 func parseTime(text string, now time.Time) (time.Time, error) {
 	if d, err := time.ParseDuration(text); err == nil {
 		return now.Add(-d), nil
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return at, fmt.Errorf("%q is neither a time by RFC 3339 nor a span such as 90m", text)
+		return at, invalidInput("%q is neither a time by RFC 3339 nor a span such as 90m", text)
 	}
 	return at, nil
 }
 
-func when(ns int64) string { return time.Unix(0, ns).UTC().Format("2006-01-02 15:04:05.000") }
+// formatTime writes Unix nanoseconds as a time in UTC.
+func formatTime(ns int64) string { return time.Unix(0, ns).UTC().Format("2006-01-02 15:04:05.000") }
 
 func listEntries(from undelivered.Source, f undelivered.Filter, asJSON bool, out io.Writer) error {
 	if asJSON {
@@ -176,7 +226,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tENDED (UTC)\tMEMBER\tDEST\tCLASS\tREASON\tTRIES\tSTATE")
 	err := from.List(f, func(k undelivered.Key, e undelivered.Entry) bool {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\n", k, when(e.EndedAt), e.Member, e.Destination, e.Class, e.Reason, len(e.Attempts), e.State)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\n", k, formatTime(e.EndedAt), e.Member, e.Destination, e.Class, e.Reason, len(e.Attempts), e.State)
 		return true
 	})
 	return errors.Join(err, w.Flush())
@@ -199,10 +249,10 @@
 			return err
 		}
 		if !ok {
-			return fmt.Errorf("entry %s is not there", k)
+			return notFound("entry %s is not there", k)
 		}
 		fmt.Fprintf(out, "%s\n  message      %s\n  member       %s, destination %d\n  class        %s (%s)\n  reason       %s\n  taken on     %s\n  ended        %s (%s)\n  deadline     %s\n  body         %d bytes\n",
-			k, e.Message, e.Member, e.Destination, e.Class, e.Effect, e.Reason, when(e.AcceptedAt), when(e.EndedAt), e.Ending, when(e.Deadline), len(e.Body))
+			k, e.Message, e.Member, e.Destination, e.Class, e.Effect, e.Reason, formatTime(e.AcceptedAt), formatTime(e.EndedAt), e.Ending, formatTime(e.Deadline), len(e.Body))
 		if e.Key != "" {
 			fmt.Fprintf(out, "  key          %s\n", e.Key)
 		}
@@ -211,41 +261,46 @@
 			if a.Outcome.MayHaveRun() {
 				ran = "it may have run"
 			}
-			fmt.Fprintf(out, "  attempt      %s  %s  %s: %s\n", when(a.At), a.Endpoint, a.Outcome, ran)
+			fmt.Fprintf(out, "  attempt      %s  %s  %s: %s\n", formatTime(a.At), a.Endpoint, a.Outcome, ran)
 		}
 		if e.State == undelivered.Resolved {
-			fmt.Fprintf(out, "  settled      %s by %s: %s\n", when(e.ResolvedAt), e.ResolvedBy, e.Resolution)
+			fmt.Fprintf(out, "  settled      %s by %s: %s\n", formatTime(e.ResolvedAt), e.ResolvedBy, e.Resolution)
 		}
 	}
 	return nil
 }
 
-// resendEntries has entries go again, or says what would become of them.
-func resendEntries(from *undelivered.Remote, f undelivered.Filter, dry, stop bool, out io.Writer) error {
-	if !dry {
-		n, err := from.RequestResend(f, !stop)
-		if err == nil && stop {
-			fmt.Fprintf(out, "%d are stopped\n", n)
-		} else if err == nil {
-			fmt.Fprintf(out, "%d are to go again, as far as they may; 'saffronyard undelivered count' says how many have\n", n)
-		}
+// requestResend has entries sent again, or stops those that have not gone yet.
+func requestResend(from *undelivered.Remote, f undelivered.Filter, stop bool, out io.Writer) error {
+	n, err := from.RequestResend(f, !stop)
+	if err != nil {
 		return err
 	}
-	goes, stays := 0, map[string]int{}
+	if stop {
+		fmt.Fprintf(out, "%d are stopped\n", n)
+	} else {
+		fmt.Fprintf(out, "%d are to go again, as far as they may; 'saffronyard undelivered count' says how many have\n", n)
+	}
+	return nil
+}
+
+// printResendPlans prints which entries would be sent again, and why others would not.
+func printResendPlans(from *undelivered.Remote, f undelivered.Filter, out io.Writer) error {
+	resent, blocked := 0, map[string]int{}
 	err := from.Plans(f, func(p undelivered.ResendPlan) {
 		if p.WillResend {
-			goes++
+			resent++
 		} else {
-			stays[p.Why]++
+			blocked[p.Why]++
 			fmt.Fprintf(out, "%s of %s stays: %s\n", p.Name, p.Member, p.Why)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d would go again\n", goes)
-	for _, why := range slices.Sorted(maps.Keys(stays)) {
-		fmt.Fprintf(out, "%d would not: %s\n", stays[why], why)
+	fmt.Fprintf(out, "%d would go again\n", resent)
+	for _, why := range slices.Sorted(maps.Keys(blocked)) {
+		fmt.Fprintf(out, "%d would not: %s\n", blocked[why], why)
 	}
 	return nil
 }
--- a/cmd/saffronyard/work.go
+++ b/cmd/saffronyard/work.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -24,97 +25,138 @@
 of a sender that runs with [work]; -state FOLDER is its state folder, default $EDGE_STATE
 `
 
-// workCommand looks at the background work of a sender that runs, and has a hand in it.
+var (
+	errWorkUsage = errors.New("the command's words mean nothing")
+	errNoSuchJob = errors.New("there is no such job")
+)
+
+// workRequest is a work command with its flags.
+type workRequest struct {
+	verb                     string
+	state                    string // the sender's state folder
+	kind, owner              string
+	parked, running, waiting bool
+	limit                    int
+	json                     bool
+}
+
+// workCommand is 'saffronyard work': the background work of a running sender, and operators' commands to it.
 func workCommand(args []string, getenv func(string) string, out, errs io.Writer) int {
-	usage := func() int {
+	if len(args) == 0 {
 		fmt.Fprint(errs, workUsage)
 		return 2
 	}
-	if len(args) == 0 {
-		return usage()
-	}
-	verb := args[0]
-	f := flag.NewFlagSet("saffronyard work "+verb, flag.ContinueOnError)
-	f.SetOutput(errs)
-	state := f.String("state", getenv("EDGE_STATE"), "the sender's state `folder`; default $EDGE_STATE")
-	kind := f.String("kind", "", "of this `kind`")
-	owner := f.String("owner", "", "of this `owner`")
-	parked := f.Bool("parked", false, "list: those that wait for an operator")
-	running := f.Bool("running", false, "list: those that run")
-	waiting := f.Bool("waiting", false, "list: those that wait")
-	most := f.Int("most", 100, "list: so many")
-	asJSON := f.Bool("json", false, "JSON in place of a table")
+	r := workRequest{verb: args[0]}
+	f := r.flagSet(getenv("EDGE_STATE"), errs)
 	if f.Parse(args[1:]) != nil {
 		return 2
 	}
-	q := url.Values{"kind": {*kind}, "owner": {*owner}, "most": {strconv.Itoa(*most)}}
-	method := http.MethodGet
-	switch verb {
+	query, err := r.query(f.Args())
+	switch {
+	case errors.Is(err, errWorkUsage):
+		fmt.Fprint(errs, workUsage)
+		return 2
+	case err != nil:
+		fmt.Fprintln(errs, err)
+		return 2
+	}
+	if err := r.run(query, out); err != nil {
+		fmt.Fprintf(errs, "work: %v\n", err)
+		return 1
+	}
+	return 0
+}
+
+func (r *workRequest) flagSet(state string, errs io.Writer) *flag.FlagSet {
+	f := flag.NewFlagSet("saffronyard work "+r.verb, flag.ContinueOnError)
+	f.SetOutput(errs)
+	f.StringVar(&r.state, "state", state, "the sender's state `folder`; default $EDGE_STATE")
+	f.StringVar(&r.kind, "kind", "", "of this `kind`")
+	f.StringVar(&r.owner, "owner", "", "of this `owner`")
+	f.BoolVar(&r.parked, "parked", false, "list: those that wait for an operator")
+	f.BoolVar(&r.running, "running", false, "list: those that run")
+	f.BoolVar(&r.waiting, "waiting", false, "list: those that wait")
+	f.IntVar(&r.limit, "most", 100, "list: so many")
+	f.BoolVar(&r.json, "json", false, "JSON in place of a table")
+	return f
+}
+
+// query checks the command's arguments and makes the query that the sender is asked. errWorkUsage is an error in the words; any
+// other names the argument.
+func (r *workRequest) query(args []string) (url.Values, error) {
+	q := url.Values{"kind": {r.kind}, "owner": {r.owner}, "most": {strconv.Itoa(r.limit)}}
+	switch r.verb {
 	case "list":
-		if f.NArg() > 0 {
-			return usage()
+		if len(args) > 0 {
+			return nil, errWorkUsage
 		}
-		for word, on := range map[string]bool{"parked": *parked, "running": *running, "waiting": *waiting} {
-			if on {
-				q.Set("state", word)
+		for state, wanted := range map[string]bool{"parked": r.parked, "running": r.running, "waiting": r.waiting} {
+			if wanted {
+				q.Set("state", state)
 			}
 		}
 	case "show", "run", "drop":
-		if f.NArg() != 1 {
-			return usage()
+		if len(args) != 1 {
+			return nil, errWorkUsage
 		}
-		if n, err := strconv.ParseUint(f.Arg(0), 10, 63); err != nil || n == 0 {
-			fmt.Fprintf(errs, "%q is no job's number\n", f.Arg(0))
-			return 2
+		if n, err := strconv.ParseUint(args[0], 10, 63); err != nil || n == 0 {
+			return nil, invalidInput("%q is no job's number", args[0])
 		}
-		q.Set("id", f.Arg(0))
+		q.Set("id", args[0])
 	case "pause", "resume":
-		if f.NArg() > 0 || *kind == "" && *owner == "" {
-			return usage()
+		if len(args) > 0 || r.kind == "" && r.owner == "" {
+			return nil, errWorkUsage
 		}
 	default:
-		return usage()
-	}
-	if *state == "" {
-		return usage()
+		return nil, errWorkUsage
 	}
-	if verb != "list" && verb != "show" {
-		method = http.MethodPost
-		q.Set("do", verb)
+	if r.state == "" {
+		return nil, errWorkUsage
 	}
-	raw, err := askSocket(method, filepath.Join(*state, sender.SocketName), "/work?"+q.Encode())
-	if err == nil && method == http.MethodGet {
-		if *asJSON {
-			_, err = out.Write(raw)
-		} else {
-			err = showWork(raw, verb == "show", out)
-		}
+	return q, nil
+}
+
+// run asks the sender and prints its answer; a command that changes something prints nothing.
+func (r *workRequest) run(q url.Values, out io.Writer) error {
+	socket := filepath.Join(r.state, sender.SocketName)
+	if r.verb != "list" && r.verb != "show" {
+		q.Set("do", r.verb)
+		_, err := requestFromSocket(http.MethodPost, socket, "/work?"+q.Encode())
+		return err
 	}
+	raw, err := getFromSocket(socket, "/work?"+q.Encode())
 	if err != nil {
-		fmt.Fprintf(errs, "work: %v\n", err)
-		return 1
+		return err
 	}
-	return 0
+	if r.json {
+		_, err = out.Write(raw)
+		return err
+	}
+	var report worker.Report
+	if err := json.Unmarshal(raw, &report); err != nil {
+		return err
+	}
+	if r.verb == "show" {
+		return printJob(report, out)
+	}
+	return printJobs(report, out)
 }
 
-func showWork(raw []byte, one bool, out io.Writer) error {
-	var r worker.Report
-	if err := json.Unmarshal(raw, &r); err != nil {
-		return err
+func printJob(r worker.Report, out io.Writer) error {
+	if len(r.Jobs) == 0 {
+		return errNoSuchJob
 	}
-	if one {
-		if len(r.Jobs) == 0 {
-			return fmt.Errorf("there is no such job")
-		}
-		j := r.Jobs[0]
-		fmt.Fprintf(out, "job %d: %s of %s, %s, %s %s\n%d slices done, %d failures in a row %s\n", j.ID, j.Kind, j.Owner, j.Priority, j.State, j.Reason, j.SlicesDone, j.Failures, j.Err)
-		for i, v := range j.Used {
-			if v > 0 {
-				fmt.Fprintf(out, "used %s: %d\n", work.Currency(i), v)
-			}
+	j := r.Jobs[0]
+	fmt.Fprintf(out, "job %d: %s of %s, %s, %s %s\n%d slices done, %d failures in a row %s\n", j.ID, j.Kind, j.Owner, j.Priority, j.State, j.Reason, j.SlicesDone, j.Failures, j.Err)
+	for i, v := range j.Used {
+		if v > 0 {
+			fmt.Fprintf(out, "used %s: %d\n", work.Currency(i), v)
 		}
-		return nil
 	}
+	return nil
+}
+
+func printJobs(r worker.Report, out io.Writer) error {
 	fmt.Fprintf(out, "%d jobs, %d run; live traffic leaves %.0f%% of the budget", r.JobCount, r.Running, 100*r.Allowance)
 	if r.Worst != "" {
 		fmt.Fprintf(out, " (%s at %.2f of what is wanted)", r.Worst, r.WorstRatio)
@@ -131,7 +173,7 @@
 	}
 	fmt.Fprintln(w, "\nJOB\tKIND\tOWNER\tPRIORITY\tSTATE\tWHY\tREADY FOR\tSLICES\tERROR")
 	for _, j := range r.Jobs {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.60s\n", j.ID, j.Kind, j.Owner, j.Priority, j.State, j.Reason, millis(j.ForMS), j.SlicesDone, j.Err)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.60s\n", j.ID, j.Kind, j.Owner, j.Priority, j.State, j.Reason, formatMillis(j.ForMS), j.SlicesDone, j.Err)
 	}
 	return w.Flush()
 }
