--- a/internal/tier/consensus/disk_test.go
+++ b/internal/tier/consensus/disk_failure_test.go
@@ -99,7 +99,7 @@
 
 // A disk that fails at any operation, at the start too, once or until it recovers, ends leadership and acknowledgements
 // but not the node; when it works again the node goes on with all that was acknowledged, and a loss of power changes nothing.
-func TestDiskFailsAtEveryOperation(t *testing.T) {
+func TestDiskFailure_AtEachOperation(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
 		for _, sticks := range []bool{false, true} {
 			for at := 1; ; at++ {
@@ -169,7 +169,7 @@
 }
 
 // A promise whose sync failed is not given; one that was given stands after the disk recovered.
-func TestPromiseOnAFullDisk(t *testing.T) {
+func TestDiskFailure_PrepareOnFullDisk(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
 	a, err := s.ask(1 << 20)
 	assert.NilError(t, err)
@@ -194,7 +194,7 @@
 }
 
 // A genesis identity is made once: a file that is gone when the disk recovers makes another folder, without a vote.
-func TestLostFileIsAnotherFolder(t *testing.T) {
+func TestDiskFailure_LostFileIsNewMember(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
 	first := s.node.Self().Folder
 	assert.Assert(t, s.node.replica.Genesis)
@@ -209,7 +209,7 @@
 
 // Where a full disk holds a long file, the rewrite to the bare state is what makes room: of the operations of an attempt to
 // go on, one is the trial write, after whose failure the node goes on at once with a short file.
-func TestRewriteMakesRoom(t *testing.T) {
+func TestDiskFailure_RewriteFreesSpace(t *testing.T) {
 	short := 0
 	for at := 1; at < 20; at++ {
 		s := newSolo(t, wal.NewMemory(), "a")
@@ -238,7 +238,7 @@
 
 // A leader whose disk is full gives way to another within its lease, and follows when there is room; one whose sync hangs
 // likewise, though its loop cannot even tell.
-func TestLeaderWithoutADisk(t *testing.T) {
+func TestDiskFailure_OfPrimary(t *testing.T) {
 	for name, breaks := range map[string]func(disk *wal.Memory) (repair func()){
 		"full": func(disk *wal.Memory) func() {
 			disk.FailFrom(1, syscall.ENOSPC)
--- a/internal/tier/consensus/far_test.go
+++ b/internal/tier/consensus/distant_members_test.go
@@ -12,15 +12,15 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// far plays machines whose only trouble is their distance: each way takes what oneWay tells, each sync of a disk takes
+// playDistantMembers plays machines whose only trouble is their distance: each way takes what oneWay tells, each sync of a disk takes
 // what sync tells. It gives the machines and how many records each had chosen for itself.
-func far(n, losses int, window, until, sync time.Duration, oneWay func(from, to int) time.Duration) (machines []*replica, leaderships []int) {
-	var queue moments
+func playDistantMembers(n, losses int, window, until, sync time.Duration, oneWay func(from, to int) time.Duration) (machines []*replica, leaderships []int) {
+	var queue timedActions
 	var now time.Duration
 	order := 0
 	after := func(d time.Duration, do func()) {
 		order++
-		heap.Push(&queue, moment{now + d, order, do})
+		heap.Push(&queue, timedAction{now + d, order, do})
 	}
 	var seeds []string
 	for i := range min(n, 3) {
@@ -98,7 +98,7 @@
 		after(0, func() { step(i, tick{}) })
 	}
 	for len(queue) > 0 && queue[0].at <= until {
-		next := heap.Pop(&queue).(moment)
+		next := heap.Pop(&queue).(timedAction)
 		now = next.at
 		next.do()
 	}
@@ -107,14 +107,14 @@
 
 // A member of a far region answers later than the near majority. It is waited for, or the primary goes on without it;
 // it does not make record after record, each of which again leaves it out.
-func TestFarMembersDoNotKeepRecordsComing(t *testing.T) {
+func TestProposal_IncludesDistantMembers(t *testing.T) {
 	for _, losses := range []int{1, 2} {
 		for _, n := range []int{3, 4, 5} {
 			for _, window := range []time.Duration{1200 * time.Millisecond, 2500 * time.Millisecond, 5 * time.Second} {
 				for _, way := range []int{12, 20, 34, 40} {
 					for _, sync := range []int{1, 10} {
 						name := fmt.Sprint(losses, " losses, ", n, " machines, window ", window, ", way ", way, " ms, sync ", sync, " ms")
-						machines, leaderships := far(n, losses, window, 20*time.Second, time.Duration(sync)*time.Millisecond, func(from, to int) time.Duration {
+						machines, leaderships := playDistantMembers(n, losses, window, 20*time.Second, time.Duration(sync)*time.Millisecond, func(from, to int) time.Duration {
 							if from%2 == to%2 {
 								return time.Millisecond
 							}
--- a/internal/tier/consensus/explore_digest_test.go
+++ b/internal/tier/consensus/explore_digest_test.go
@@ -87,11 +87,11 @@
 	for i, l := range w.lanes {
 		if l != nil {
 			b = binary.AppendUvarint(b, uint64(l.n))
-			b = append(b, byte(w.lives[i]))
+			b = append(b, byte(w.incarnations[i]))
 		}
 	}
 	l := w.left
-	b = append(b, byte(l.takes), byte(l.ticks), byte(l.timeouts), byte(l.doubles), byte(l.restarts), byte(l.wipes), byte(l.writes), byte(l.confirms), byte(l.swaps))
+	b = append(b, byte(l.takeovers), byte(l.ticks), byte(l.timeouts), byte(l.doubles), byte(l.restarts), byte(l.wipes), byte(l.writes), byte(l.confirms), byte(l.swaps))
 	for i := range maxOperations {
 		b = binary.AppendUvarint(b, w.acked[i])
 		b = binary.AppendUvarint(b, w.under[i])
--- a/internal/tier/consensus/explore_liveness_test.go
+++ b/internal/tier/consensus/explore_liveness_test.go
@@ -54,11 +54,11 @@
 
 // acknowledges tells whether a machine leads and could acknowledge a write now: it and all its backups stand by its epoch.
 func (w *systemState) acknowledges(l *lane) bool {
-	if l == nil || l.leadership == 0 || l.promised != l.leadership {
+	if l == nil || l.leadership == 0 || l.preparedEpoch != l.leadership {
 		return false
 	}
 	for _, folder := range l.backups {
-		if !slices.ContainsFunc(w.lanes[:], func(o *lane) bool { return o != nil && o.folder == folder && o.promised == l.leadership }) {
+		if !slices.ContainsFunc(w.lanes[:], func(o *lane) bool { return o != nil && o.folder == folder && o.preparedEpoch == l.leadership }) {
 			return false
 		}
 	}
@@ -67,9 +67,9 @@
 
 // recovers gives an error where no primary is reached from a state, with no more trouble.
 func (x *explorer) recovers(w *systemState, loss bool) (*systemState, error) {
-	cuts := x.cuts
-	x.cuts = nil
-	defer func() { x.cuts = cuts }()
+	cuts := x.partitions
+	x.partitions = nil
+	defer func() { x.partitions = cuts }()
 	var err error
 	if loss {
 		if w, err = x.loseAll(w); err != nil {
@@ -89,7 +89,7 @@
 				if l == nil {
 					continue
 				}
-				name, e := "take-over", event(take{})
+				name, e := "take-over", event(takeover{})
 				if l.leadership > 0 {
 					name, e = "late tick", age{}
 				}
@@ -116,8 +116,8 @@
 	return w, nil
 }
 
-// deafAfterOnePromise gives one promise in its life.
-var deafAfterOnePromise = plant{name: "promises once", before: func(s *subject, e event) (event, *outcome) {
+// preparesOnlyOnce gives one promise in its life.
+var preparesOnlyOnce = mutant{name: "promises once", before: func(s *subject, e event) (event, *outcome) {
 	if q, ok := e.(incomingCall); ok {
 		if _, ok := q.body.(*tierv1.PrepareRequest); ok && s.m.preparedEpoch > 0 {
 			return nil, nil
@@ -127,9 +127,9 @@
 }}
 
 // The question finds a machine from which no primary is reached again.
-func TestExploreFindsADeadEnd(t *testing.T) {
-	x, w := fromSettled(t, deafAfterOnePromise)
-	w.left = budget{takes: 1, writes: 1}
+func TestExplore_FindsDeadEnd(t *testing.T) {
+	x, w := fromStable(t, preparesOnlyOnce)
+	w.left = budget{takeovers: 1, writes: 1}
 	x.liveness = 1
 	r := x.explore(w, 1000)
 	if r.fault == nil {
--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -167,7 +167,7 @@
 			count(&c.left)
 			return yield(c, err)
 		}
-		if l.leadership == 0 && w.left.takes > 0 && !spend("take-over", take{}, func(b *budget) { b.takes-- }) {
+		if l.leadership == 0 && w.left.takeovers > 0 && !spend("take-over", takeover{}, func(b *budget) { b.takeovers-- }) {
 			return
 		}
 		if l.leadership > 0 && w.left.ticks > 0 && !(spend("tick", tick{}, func(b *budget) { b.ticks-- }) &&
@@ -261,7 +261,7 @@
 
 // restarted ends the calls of a process that is no more.
 func (x *explorer) restarted(w *systemState, site int) {
-	w.lives[site]++
+	w.incarnations[site]++
 	for _, i := range slices.Clone(w.net) {
 		if i.from != site {
 			continue
--- a/internal/tier/consensus/explore_scenarios_test.go
+++ b/internal/tier/consensus/explore_scenarios_test.go
@@ -40,11 +40,11 @@
 	return w
 }
 
-// settled has a primary, a, with a backup, b; what went to c is still under way.
-func (x *explorer) settled(t *testing.T) *systemState {
+// stableState has a primary, a, with a backup, b; what went to c is still under way.
+func (x *explorer) stableState(t *testing.T) *systemState {
 	t.Helper()
 	w := x.boots()
-	w, err := x.event(w, 0, "take-over", take{})
+	w, err := x.event(w, 0, "take-over", takeover{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,32 +58,32 @@
 // scenario is where an exploration begins, what may still happen in it, and at how many states it ends at the latest.
 type scenario struct {
 	name  string
-	begin func(t *testing.T, p plant) (*explorer, *systemState)
+	begin func(t *testing.T, p mutant) (*explorer, *systemState)
 	left  budget
 	limit int
 }
 
-func fromSettled(t *testing.T, p plant) (*explorer, *systemState) {
+func fromStable(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c")
-	return x, x.settled(t)
+	return x, x.stableState(t)
 }
 
-func fromGenesis(_ *testing.T, p plant) (*explorer, *systemState) {
+func fromGenesis(_ *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c")
 	return x, x.boots()
 }
 
-// fromSplit is the genesis of three, of which b and c don't hear each other.
-func fromSplit(t *testing.T, p plant) (*explorer, *systemState) {
+// fromPartitioned is the genesis of three, of which b and c don't hear each other.
+func fromPartitioned(t *testing.T, p mutant) (*explorer, *systemState) {
 	x, w := fromGenesis(t, p)
-	x.cuts[[2]int{1, 2}], x.cuts[[2]int{2, 1}] = true, true
+	x.partitions[[2]int{1, 2}], x.partitions[[2]int{2, 1}] = true, true
 	return x, w
 }
 
 // fromSwap is a primary, a, about to put d in the place of c, when a cut falls between a and d and the others.
-func fromSwap(t *testing.T, p plant) (*explorer, *systemState) {
+func fromSwap(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d")
-	w, err := x.event(x.boots(), 0, "take-over", take{})
+	w, err := x.event(x.boots(), 0, "take-over", takeover{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,29 +93,29 @@
 	}
 	w = x.calm(t, w, func(i *item) bool { return kind(i.request.m) == "promise" || i.stage == requested })
 	for _, cut := range [][2]int{{0, 1}, {0, 2}, {3, 1}, {3, 2}} {
-		x.cuts[cut], x.cuts[[2]int{cut[1], cut[0]}] = true, true
+		x.partitions[cut], x.partitions[[2]int{cut[1], cut[0]}] = true, true
 	}
 	return x, w
 }
 
 // fromFirstSwap is a primary, a, with a backup, b, after d has taken the place of c and all is settled; e could join, too.
-func fromFirstSwap(t *testing.T, p plant) (*explorer, *systemState) {
+func fromFirstSwap(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d", "e")
 	return x, x.swapped(t, swap{"d", "c"})
 }
 
 // fromReplacement is a primary, a, whose backup b was just replaced by d, as after the loss of b: the next loss comes right
 // after the repair. What went to b may still be under way.
-func fromReplacement(t *testing.T, p plant) (*explorer, *systemState) {
+func fromReplacement(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d")
 	return x, x.swapped(t, swap{"d", "b"})
 }
 
 // fromFive are five members of which two may be lost, and a joiner.
-func fromFive(t *testing.T, p plant) (*explorer, *systemState) {
+func fromFive(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d", "e", "f")
 	x.seeds, x.losses = x.addresses[:5], 2
-	w, err := x.event(x.boots(), 0, "take-over", take{})
+	w, err := x.event(x.boots(), 0, "take-over", takeover{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 // swapped begins with a primary, a, and plays a change of members to its end.
 func (x *explorer) swapped(t *testing.T, q swap) *systemState {
 	t.Helper()
-	w, err := x.event(x.boots(), 0, "take-over", take{})
+	w, err := x.event(x.boots(), 0, "take-over", takeover{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,26 +141,26 @@
 }
 
 var scenarios = []scenario{
-	{"two candidates, two writes", fromSettled, budget{takes: 2, writes: 2}, 300_000},
-	{"a candidate, a write, a read", fromSettled, budget{takes: 1, writes: 1, confirms: 1, ticks: 1}, 25_000},
-	{"a candidate, a write, a lost disk", fromSettled, budget{takes: 1, writes: 1, wipes: 1}, 120_000},
-	{"a candidate, a write, a restart", fromSettled, budget{takes: 1, writes: 1, restarts: 1}, 25_000},
-	{"a candidate, a write, a time-out", fromSettled, budget{takes: 1, writes: 1, timeouts: 1}, 40_000},
-	{"genesis, two candidates, a write, a doubled message", fromGenesis, budget{takes: 2, writes: 1, doubles: 1}, 25_000},
-	{"genesis of a split three, two candidates, a write, a doubled message, a restart", fromSplit,
-		budget{takes: 2, writes: 1, doubles: 1, restarts: 1}, 30_000},
-	{"a swap of members, a cut, a candidate, a write", fromSwap, budget{takes: 1, writes: 1}, 40_000},
+	{"two candidates, two writes", fromStable, budget{takeovers: 2, writes: 2}, 300_000},
+	{"a candidate, a write, a read", fromStable, budget{takeovers: 1, writes: 1, confirms: 1, ticks: 1}, 25_000},
+	{"a candidate, a write, a lost disk", fromStable, budget{takeovers: 1, writes: 1, wipes: 1}, 120_000},
+	{"a candidate, a write, a restart", fromStable, budget{takeovers: 1, writes: 1, restarts: 1}, 25_000},
+	{"a candidate, a write, a time-out", fromStable, budget{takeovers: 1, writes: 1, timeouts: 1}, 40_000},
+	{"genesis, two candidates, a write, a doubled message", fromGenesis, budget{takeovers: 2, writes: 1, doubles: 1}, 25_000},
+	{"genesis of a split three, two candidates, a write, a doubled message, a restart", fromPartitioned,
+		budget{takeovers: 2, writes: 1, doubles: 1, restarts: 1}, 30_000},
+	{"a swap of members, a cut, a candidate, a write", fromSwap, budget{takeovers: 1, writes: 1}, 40_000},
 	{"a second swap, a candidate, a write, a lost disk between or in the middle", fromFirstSwap,
-		budget{swaps: 1, takes: 1, writes: 1, wipes: 1}, 40_000},
-	{"a swap of a backup, settled; a lost disk, a candidate, a write", fromReplacement, budget{takes: 1, writes: 1, wipes: 1}, 40_000},
+		budget{swaps: 1, takeovers: 1, writes: 1, wipes: 1}, 40_000},
+	{"a swap of a backup, settled; a lost disk, a candidate, a write", fromReplacement, budget{takeovers: 1, writes: 1, wipes: 1}, 40_000},
 	{"five members, a swap, a candidate, a write, two lost disks", fromFive,
-		budget{swaps: 1, takes: 1, writes: 1, wipes: 2}, 40_000},
+		budget{swaps: 1, takeovers: 1, writes: 1, wipes: 2}, 40_000},
 }
 
 // Of one state in so many, but of at most so many in all, the exploration asks whether it is a dead end.
 const (
-	livenessOneIn  = 100
-	livenessAtMost = 2000
+	livenessInterval  = 100
+	maxLivenessChecks = 2000
 )
 
 // factor is by how much the bounds are raised: 8 where CONTROL_SEEDS is set.
@@ -183,9 +183,9 @@
 			limit = s.limit / 16
 		}
 		t.Run(s.name, func(t *testing.T) {
-			x, w := s.begin(t, plant{})
+			x, w := s.begin(t, mutant{})
 			w.left = s.left
-			x.liveness = max(livenessOneIn, limit/livenessAtMost)
+			x.liveness = max(livenessInterval, limit/maxLivenessChecks)
 			r := x.explore(w, limit)
 			total += r.states
 			t.Logf("%v, %d of them asked whether they are dead ends, in %v", r, x.recovered, time.Since(began))
@@ -198,18 +198,18 @@
 }
 
 // The exploration finds machines that are wrong.
-func TestExplorePlanted(t *testing.T) {
+func TestExplore_FindsMutants(t *testing.T) {
 	for _, c := range []struct {
-		plant plant
-		begin func(t *testing.T, p plant) (*explorer, *systemState)
+		plant mutant
+		begin func(t *testing.T, p mutant) (*explorer, *systemState)
 		left  budget
 	}{
-		{forgetsAtOnce, fromSplit, budget{takes: 2, writes: 1}},
-		{acknowledgesEarly, fromSettled, budget{takes: 1, writes: 1}},
-		{skipsBackup, fromSettled, budget{takes: 1, writes: 1, timeouts: 1}},
-		{countsEmpty, fromSettled, budget{takes: 1, writes: 1, wipes: 1}},
-		{dropsFormer, fromSwap, budget{takes: 1, writes: 1}},
-		{readsUnasked, fromSettled, budget{takes: 1, writes: 1, confirms: 1}},
+		{forgetsPreparedAtOnce, fromPartitioned, budget{takeovers: 2, writes: 1}},
+		{acknowledgesEarly, fromStable, budget{takeovers: 1, writes: 1}},
+		{skipsBackup, fromStable, budget{takeovers: 1, writes: 1, timeouts: 1}},
+		{countsEmptyFolder, fromStable, budget{takeovers: 1, writes: 1, wipes: 1}},
+		{dropsFormer, fromSwap, budget{takeovers: 1, writes: 1}},
+		{confirmsWithoutRoundTrip, fromStable, budget{takeovers: 1, writes: 1, confirms: 1}},
 	} {
 		t.Run(c.plant.name, func(t *testing.T) {
 			x, w := c.begin(t, c.plant)
@@ -225,10 +225,10 @@
 
 // The smallest schedule that finds a machine that forgets its promise at a restart: c's promise goes to a, which restarts
 // and gives a lower one to b; c's question, which is delivered twice, brings it back over what b was acknowledged.
-func TestForgottenPromise(t *testing.T) {
-	run := func(p plant) error {
+func TestExplore_FindsForgottenPrepare(t *testing.T) {
+	run := func(p mutant) error {
 		x, w := fromGenesis(t, p)
-		w.left = budget{takes: 2, writes: 1, doubles: 1, restarts: 1}
+		w.left = budget{takeovers: 2, writes: 1, doubles: 1, restarts: 1}
 		low, high := 1, 2
 		if nextEpoch(0, "b0") > nextEpoch(0, "c0") {
 			low, high = 2, 1
@@ -256,8 +256,8 @@
 			deliver(from, to, what, requested, false)
 			deliver(from, to, what, answered, false)
 		}
-		do(x.event(w, low, "take-over", take{}))
-		do(x.event(w, high, "take-over", take{}))
+		do(x.event(w, low, "take-over", takeover{}))
+		do(x.event(w, high, "take-over", takeover{}))
 		deliver(high, 0, "promise", requested, true)
 		deliver(high, 0, "promise", answered, false)
 		do(x.restart(w, 0))
@@ -280,10 +280,10 @@
 		}
 		return err
 	}
-	if err := run(plant{}); err != nil {
+	if err := run(mutant{}); err != nil {
 		t.Fatal(err)
 	}
-	if err := run(forgetsAtRestart); err == nil {
+	if err := run(forgetsPreparedAtRestart); err == nil {
 		t.Fatal("not found")
 	}
 }
--- a/internal/tier/consensus/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -19,11 +19,11 @@
 
 // explorer holds what is the same on all paths.
 type explorer struct {
-	plant      plant
+	mutant     mutant
 	addresses  []string
 	seeds      []string
 	losses     int
-	cuts       map[[2]int]bool // calls over these fail
+	partitions map[[2]int]bool // calls over these fail
 	heartbeats bool            // heartbeats and calls to join are delivered, too
 	bodies     map[string]*body
 	items      map[item]*item
@@ -43,30 +43,30 @@
 
 // lane is one machine's state: replaying the events since its process started gives the same state.
 type lane struct {
-	n          int
-	site       int
-	disk       [][]byte // at the start
-	begun      time.Duration
-	events     []timedEvent
-	folder     string
-	now        time.Duration
-	records    [][]byte // on disk now
-	leadership uint64   // epoch, 0 where it is not primary
-	swaps      []swap   // that it could begin now
-	led        uint64   // epoch of its newest leadership
-	backups    []string // folders, of the record that it leads under
-	promised   uint64
-	shown      map[string]uint64
-	next       map[eventKey]*lane // by event
-	output     *output            // of the last step
+	n             int
+	site          int
+	disk          [][]byte // at the start
+	begun         time.Duration
+	events        []timedEvent
+	folder        string
+	now           time.Duration
+	records       [][]byte // on disk now
+	leadership    uint64   // epoch, 0 where it is not primary
+	swaps         []swap   // that it could begin now
+	led           uint64   // epoch of its newest leadership
+	backups       []string // folders, of the record that it leads under
+	preparedEpoch uint64
+	shown         map[string]uint64
+	next          map[eventKey]*lane // by event
+	output        *output            // of the last step
 }
 
 // eventKey names an event.
 type eventKey struct {
-	what string
-	id   uint64
-	body int
-	cut  bool
+	what      string
+	id        uint64
+	body      int
+	powerLoss bool
 }
 
 // pathStep is one step of a path.
@@ -91,14 +91,14 @@
 
 // Events beside those of the machine.
 type (
-	take struct{}                 // proposes itself at once, without asking whether it would be promised
-	age  struct{}                 // a tick so late that no confirmation counts
-	swap struct{ in, out string } // of members, by address, as the primary would on its own
+	takeover struct{}                 // proposes itself at once, without asking whether it would be promised
+	age      struct{}                 // a tick so late that no confirmation counts
+	swap     struct{ in, out string } // of members, by address, as the primary would on its own
 )
 
-func (take) isEvent() {}
-func (age) isEvent()  {}
-func (swap) isEvent() {}
+func (takeover) isEvent() {}
+func (age) isEvent()      {}
+func (swap) isEvent()     {}
 
 const never = time.Duration(1) << 60
 
@@ -112,17 +112,17 @@
 
 // item is a message under way.
 type item struct {
-	from, to int
-	life     int // of the caller's process
-	id       uint64
-	request  *body
-	reply    *body // nil: the call failed
-	stage    stage
-	n        int
+	from, to    int
+	incarnation int // of the caller's process
+	id          uint64
+	request     *body
+	reply       *body // nil: the call failed
+	stage       stage
+	n           int
 }
 
 // budget is how often things may still happen.
-type budget struct{ takes, ticks, timeouts, doubles, restarts, wipes, writes, confirms, swaps int8 }
+type budget struct{ takeovers, ticks, timeouts, doubles, restarts, wipes, writes, confirms, swaps int8 }
 
 const maxSites = 6
 
@@ -132,16 +132,16 @@
 
 // systemState is a state of all machines and messages.
 type systemState struct {
-	lanes   [maxSites]*lane
-	lives   [maxSites]int
-	net     []*item
-	left    budget
-	acked   [maxOperations]uint64 // sequences
-	under   [maxOperations]uint64 // epochs in which they were acknowledged
-	refused [maxOperations]bool
-	began   [maxOperations]byte // of confirms: what was acknowledged when they began, one bit each
-	parent  *systemState
-	how     pathStep
+	lanes        [maxSites]*lane
+	incarnations [maxSites]int
+	net          []*item
+	left         budget
+	acked        [maxOperations]uint64 // sequences
+	under        [maxOperations]uint64 // epochs in which they were acknowledged
+	refused      [maxOperations]bool
+	began        [maxOperations]byte // of confirms: what was acknowledged when they began, one bit each
+	parent       *systemState
+	how          pathStep
 }
 
 // zeros is a source from which every span below four seconds is drawn as 0 (from 0 itself it would be drawn for ever).
@@ -149,8 +149,8 @@
 
 func (zeros) Uint64() uint64 { return 1 << 32 }
 
-func newExplorer(p plant, addresses ...string) *explorer {
-	return &explorer{plant: p, addresses: addresses, seeds: addresses[:3], losses: 1, cuts: make(map[[2]int]bool),
+func newExplorer(p mutant, addresses ...string) *explorer {
+	return &explorer{mutant: p, addresses: addresses, seeds: addresses[:3], losses: 1, partitions: make(map[[2]int]bool),
 		bodies: make(map[string]*body), items: make(map[item]*item), lanes: make(map[string]*lane), folders: make(map[string]int)}
 }
 
@@ -199,21 +199,21 @@
 	m := newReplica(d, replicaConfig{self: &tierv1.Member{Address: a, Zone: "z" + a, Region: "r"}, seeds: x.seeds, toleratedLosses: x.losses, timing: explored(), jitterSeed: 1})
 	m.random = rand.New(zeros{})
 	m.now, m.candidacyAt, m.joinAt = now, never, never
-	return &subject{m: m, plant: x.plant, asked: make(map[uint64]proto.Message)}
+	return &subject{m: m, mutant: x.mutant, asked: make(map[uint64]proto.Message)}
 }
 
 // play gives a subject one event and returns what it did.
 func (x *explorer) play(s *subject, t timedEvent) *actions {
 	var out *actions
 	switch t.e.(type) {
-	case take:
+	case takeover:
 		s.m.now, s.m.actions = t.now, new(actions)
 		if s.m.primary == nil && s.m.proposal == nil && slices.ContainsFunc(quorumSets(s.m.newestView()), s.m.isVoter) {
 			s.m.propose(reconfiguration{})
 		}
 		early := s.m.actions
-		if s.plant.after != nil {
-			s.plant.after(s, early)
+		if s.mutant.after != nil {
+			s.mutant.after(s, early)
 		}
 		out = s.step(t.now)
 		out.unsyncedCalls, out.calls = append(early.unsyncedCalls, out.unsyncedCalls...), append(early.calls, out.calls...)
@@ -287,7 +287,7 @@
 func (x *explorer) lane(l *lane, s *subject) *lane {
 	l.folder = s.m.Folder
 	l.leadership, l.shown, l.swaps = 0, make(map[string]uint64), x.possibleSwaps(s.m)
-	l.promised, l.backups = s.m.preparedEpoch, nil
+	l.preparedEpoch, l.backups = s.m.preparedEpoch, nil
 	data := s.m.entries
 	if s.m.primary != nil {
 		l.leadership, l.led, data = s.m.primary.view.Epoch, s.m.primary.view.Epoch, s.m.primary.committed
@@ -308,7 +308,7 @@
 // advance gives the lane after one more event. Where the power goes in the middle, its calls that need not wait for the disk
 // have left, and nothing was synced.
 func (x *explorer) advance(l *lane, name eventKey, e event) *lane {
-	cut := name.cut
+	cut := name.powerLoss
 	if to := l.next[name]; to != nil {
 		return to
 	}
@@ -381,8 +381,8 @@
 				}
 			}
 			if to := x.site(c.address); to >= 0 && w.lanes[to] != nil {
-				i := item{from: l.site, to: to, life: w.lives[l.site], id: c.id, request: x.body(c.body)}
-				if x.cuts[[2]int{l.site, to}] {
+				i := item{from: l.site, to: to, incarnation: w.incarnations[l.site], id: c.id, request: x.body(c.body)}
+				if x.partitions[[2]int{l.site, to}] {
 					i.stage, i.request = answered, nil
 				}
 				w.add(x.item(i))
@@ -432,6 +432,6 @@
 // has the answer that tells it so: its leadership begins in an epoch that is over, and only its lease is left of it.
 func (w *systemState) overtaken(l *lane) bool {
 	return slices.ContainsFunc(l.backups, func(folder string) bool {
-		return !slices.ContainsFunc(w.lanes[:], func(o *lane) bool { return o != nil && o.folder == folder && o.promised <= l.leadership })
+		return !slices.ContainsFunc(w.lanes[:], func(o *lane) bool { return o != nil && o.folder == folder && o.preparedEpoch <= l.leadership })
 	})
 }
--- a/internal/tier/consensus/whole_core_test.go
+++ b/internal/tier/consensus/group_failure_test.go
@@ -10,8 +10,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// serveAgain puts until one is acknowledged, and gives how long that took; a fault where it takes longer than limit.
-func (w *world) serveAgain(limit time.Duration) time.Duration {
+// timeToService puts until one is acknowledged, and gives how long that took; a fault where it takes longer than limit.
+func (w *world) timeToService(limit time.Duration) time.Duration {
 	began, count := w.now, len(w.acked)
 	for len(w.acked) == count && len(w.faults) == 0 {
 		if w.now-began > limit {
@@ -24,10 +24,10 @@
 	return w.now - began
 }
 
-// settleAgain waits until all losses are borne again, and gives how long that took; a fault where it takes longer than limit.
-func (w *world) settleAgain(limit time.Duration) time.Duration {
+// timeToRedundancy waits until all losses are borne again, and gives how long that took; a fault where it takes longer than limit.
+func (w *world) timeToRedundancy(limit time.Duration) time.Duration {
 	began := w.now
-	for !w.settledAgain() && len(w.faults) == 0 {
+	for !w.isFullyRedundant() && len(w.faults) == 0 {
 		if w.now-began > limit {
 			w.fault("the losses are not borne again after %v", limit)
 			break
@@ -89,7 +89,7 @@
 
 // Disks are lost one after the other, each as soon as the loss before is made good, the longest lasting or the leader's
 // first: soon none of the first machines' disks is left. At times all other machines lose power at the same moment.
-func TestDisksLostOneAfterTheOther(t *testing.T) {
+func TestGroupFailure_SuccessiveDiskLosses(t *testing.T) {
 	seeds := seedsOr(6)
 	if testing.Short() || raced {
 		seeds = 2
@@ -101,7 +101,7 @@
 			w.boot()
 			w.run(5 * time.Second)
 			for n := range 12 {
-				w.settleAgain(2 * w.window)
+				w.timeToRedundancy(2 * w.window)
 				if len(w.faults) > 0 {
 					break
 				}
@@ -127,9 +127,9 @@
 						}
 					}
 				}
-				served = max(served, w.serveAgain(2*w.window))
+				served = max(served, w.timeToService(2*w.window))
 			}
-			settled = max(settled, w.settleAgain(2*w.window))
+			settled = max(settled, w.timeToRedundancy(2*w.window))
 			assert.Assert(t, len(w.faults) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.faults, w.tail())
 		}
 		t.Logf("%d losses at once: %v until something is acknowledged, %v until the next is borne", losses, served, settled)
@@ -138,7 +138,7 @@
 
 // All processes are killed or lose power at one moment, and are back within a second; the same again while they recover, and in
 // the middle of the replacement of a lost disk.
-func TestWholeCoreAtOnce(t *testing.T) {
+func TestGroupFailure_AllMembersAtOnce(t *testing.T) {
 	seeds := seedsOr(10)
 	if testing.Short() || raced {
 		seeds = 2
@@ -151,7 +151,7 @@
 				w.boot()
 				w.run(5 * time.Second)
 				for range 6 {
-					w.settleAgain(2 * w.window)
+					w.timeToRedundancy(2 * w.window)
 					if len(w.faults) > 0 {
 						break
 					}
@@ -173,7 +173,7 @@
 						w.run(w.now + time.Duration(w.random.Int64N(int64(1200*time.Millisecond))))
 					}
 					w.run(w.now + 800*time.Millisecond)
-					served = max(served, w.serveAgain(w.window))
+					served = max(served, w.timeToService(w.window))
 				}
 				assert.Assert(t, len(w.faults) == 0, "power %v, size %v, seed %d: %v\n%s", power, size, seed, w.faults, w.tail())
 			}
@@ -184,7 +184,7 @@
 
 // The core is cut into two halves, for longer than a takeover takes, again and again; also one way only. No half leads
 // without a majority, and the other follows.
-func TestHalvesCutFromEachOther(t *testing.T) {
+func TestGroupFailure_PartitionedHalves(t *testing.T) {
 	seeds := seedsOr(10)
 	if testing.Short() || raced {
 		seeds = 2
@@ -201,16 +201,16 @@
 				for i, at := range w.random.Perm(len(w.sites)) {
 					for j, other := range w.sites {
 						if i < len(w.sites)/2 && j != at {
-							w.cuts[[2]string{w.sites[at].member.Address, other.member.Address}] = there
-							w.cuts[[2]string{other.member.Address, w.sites[at].member.Address}] = back
+							w.partitions[[2]string{w.sites[at].member.Address, other.member.Address}] = there
+							w.partitions[[2]string{other.member.Address, w.sites[at].member.Address}] = back
 						}
 					}
 				}
 				w.run(w.now + time.Duration(w.random.Int64N(int64(6*time.Second))))
-				clear(w.cuts)
+				clear(w.partitions)
 				w.run(w.now + time.Duration(w.random.Int64N(int64(2*time.Second))))
 			}
-			w.serveAgain(w.window)
+			w.timeToService(w.window)
 			assert.Assert(t, len(w.faults) == 0, "size %v, seed %d: %v\n%s", size, seed, w.faults, w.tail())
 		}
 	}
@@ -218,7 +218,7 @@
 
 // A minority misses changes behind a cut. Then one of the others loses its disk, the rest are without power, and the cut
 // heals: the minority and the empty disk do not lead with what they have, and when the power is back nothing is missing.
-func TestMinorityBehindACut(t *testing.T) {
+func TestGroupFailure_PartitionedMinority(t *testing.T) {
 	seeds := seedsOr(10)
 	if testing.Short() || raced {
 		seeds = 3
@@ -236,8 +236,8 @@
 			for s := range behind {
 				for _, o := range w.sites {
 					if !behind[o] {
-						w.cuts[[2]string{s.member.Address, o.member.Address}] = true
-						w.cuts[[2]string{o.member.Address, s.member.Address}] = true
+						w.partitions[[2]string{s.member.Address, o.member.Address}] = true
+						w.partitions[[2]string{o.member.Address, s.member.Address}] = true
 					}
 				}
 			}
@@ -259,7 +259,7 @@
 					dark = append(dark, s)
 				}
 			}
-			clear(w.cuts)
+			clear(w.partitions)
 			count := len(w.acked)
 			w.load(w.now + 3*time.Second)
 			w.run(w.now + 4*time.Second)
@@ -268,8 +268,8 @@
 			for _, s := range dark {
 				s.start(false)
 			}
-			w.serveAgain(w.window)
-			w.settleAgain(2 * w.window)
+			w.timeToService(w.window)
+			w.timeToRedundancy(2 * w.window)
 			assert.Assert(t, len(w.faults) == 0, "losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.tail())
 		}
 	}
@@ -278,7 +278,7 @@
 // What a leader tells that it bears, it bears: at any moment, also in the middle of a change of members, so many machines are
 // lost for good at once, whichever they are, and nobody comes in their place before something is acknowledged again. Only
 // what was lost less than recently before may still be counted as there.
-func TestToleratedLossesAreBorne(t *testing.T) {
+func TestHealth_ToleratedLossesAreSurvived(t *testing.T) {
 	seeds := seedsOr(20)
 	if testing.Short() || raced {
 		seeds = 4
@@ -310,7 +310,7 @@
 					here = append(here[:at:at], here[at+1:]...)
 					hit++
 				}
-				worst = max(worst, w.serveAgain(w.window))
+				worst = max(worst, w.timeToService(w.window))
 				if w.random.IntN(3) > 0 && len(here) < 2*losses+3 {
 					w.join(fmt.Sprint("new", n))
 				}
--- a/internal/tier/consensus/large_test.go
+++ b/internal/tier/consensus/large_state_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// largeWorld is a settled group whose state takes so long to be copied from one machine to another.
-func largeWorld(t *testing.T, seed uint64, losses int, copyTime time.Duration) *world {
+// newLargeWorld is a settled group whose state takes so long to be copied from one machine to another.
+func newLargeWorld(t *testing.T, seed uint64, losses int, copyTime time.Duration) *world {
 	t.Helper()
 	const part, parts = 64 << 10, 16
 	w := newWorld(seed, 2*losses+1, losses)
@@ -33,7 +33,7 @@
 
 // A copy that takes longer than a call may else take comes to its end: a backup that was lost is replaced, a member that was
 // restarted catches up, and after the loss of the leader another leads.
-func TestLargeStateOverASlowPath(t *testing.T) {
+func TestStateTransfer_LargeStateOverSlowLink(t *testing.T) {
 	seeds := seedsOr(6)
 	if testing.Short() || raced {
 		seeds = 2
@@ -42,7 +42,7 @@
 		for _, copyTime := range []time.Duration{400 * time.Millisecond, 2 * time.Second, 6 * time.Second} {
 			var served, settled time.Duration
 			for seed := range uint64(seeds) {
-				w := largeWorld(t, seed, losses, copyTime)
+				w := newLargeWorld(t, seed, losses, copyTime)
 				limit := 4*copyTime + 3*w.window
 				w.readings(w.now + 40*time.Second)
 				leader := w.leader()
@@ -53,13 +53,13 @@
 						break
 					}
 				}
-				w.serveAgain(limit)
-				settled = max(settled, w.settleAgain(limit))
+				w.timeToService(limit)
+				settled = max(settled, w.timeToRedundancy(limit))
 				if leader = w.leader(); leader != nil && len(w.faults) == 0 { // the leader is lost, and comes back empty
 					leader.wipe()
 					w.startWithin(leader, time.Second)
-					served = max(served, w.serveAgain(limit))
-					settled = max(settled, w.settleAgain(limit))
+					served = max(served, w.timeToService(limit))
+					settled = max(settled, w.timeToRedundancy(limit))
 				}
 				assert.Assert(t, len(w.faults) == 0, "losses %d, copies of %v, seed %d: %v\n%s", losses, copyTime, seed, w.faults, w.tail())
 			}
--- a/internal/tier/consensus/lease_test.go
+++ b/internal/tier/consensus/lease_test.go
@@ -14,7 +14,7 @@
 
 // A process that was paused between its round trip and its answer finds that it is late: no read under the lease, no
 // confirmation and no figure of its health is given on what was confirmed before.
-func TestPausedNodeAnswersNothing(t *testing.T) {
+func TestLease_PausedNodeServesNothing(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
 	n := s.node
 	n.published.primary, n.published.epoch, n.published.leaseStart = true, 7, s.now
@@ -41,7 +41,7 @@
 }
 
 // A primary without backups leads without end: its lease is told as just confirmed.
-func TestLeaseOfOneAlone(t *testing.T) {
+func TestLease_WithoutBackups(t *testing.T) {
 	v := publishedState{primary: true, withoutBackups: true}
 	assert.Equal(t, v.lease(time.Hour, time.Second), time.Second)
 	v.withoutBackups = false
@@ -81,7 +81,7 @@
 
 // Two folders may propose the same epoch. A backup that promised it to the other answers a heartbeat with that epoch: this
 // must not prolong the lease of the one whose proposal it refused.
-func TestTiedEpochDoesNotProlongTheLease(t *testing.T) {
+func TestLease_NotRenewedByTiedEpoch(t *testing.T) {
 	m := leading(t)
 	out := m.Step(m.now)
 	m.propose(reconfiguration{replaceBackups: map[string]bool{"fb": true}})
@@ -107,7 +107,7 @@
 }
 
 // What a leader tells about the losses it bears, by the formula at health.
-func TestHealth(t *testing.T) {
+func TestHealth_Tolerates(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		change    func(m *replica)
@@ -145,7 +145,7 @@
 }
 
 // A member that answers is not taken away, for a better spread, while the others that answer are no majority.
-func TestNoMajorityRestsOnAMemberThatLeaves(t *testing.T) {
+func TestReconfiguration_MajorityWithoutRemovedMember(t *testing.T) {
 	members := []*tierv1.Member{{Folder: "fa", Address: "a", Zone: "1"}, {Folder: "fb", Address: "b", Zone: "2"}, {Folder: "fc", Address: "c", Zone: "1"},
 		{Folder: "fd", Address: "d", Zone: "3"}, {Folder: "fe", Address: "e", Zone: "4"}}
 	m := leading(t)
--- a/internal/tier/consensus/moved_test.go
+++ b/internal/tier/consensus/moved_members_test.go
@@ -19,7 +19,7 @@
 
 // A machine that comes back with its disk at another address is the same member: it counts again within the window, and the
 // next loss is borne.
-func TestMemberMovesWithItsDisk(t *testing.T) {
+func TestReconfiguration_MemberMovesWithDisk(t *testing.T) {
 	seeds := seedsOr(10)
 	if testing.Short() || raced {
 		seeds = 3
@@ -33,12 +33,12 @@
 			w.move(w.sites[w.random.IntN(3)], fmt.Sprint("moved", n))
 			w.seeds[n%3] = fmt.Sprint("moved", n)
 			w.run(w.now + 600*time.Millisecond)
-			settled = max(settled, w.settleAgain(w.window))
+			settled = max(settled, w.timeToRedundancy(w.window))
 		}
 		if l := w.leader(); l != nil {
 			l.wipe()
 			l.gone = true
-			w.serveAgain(w.window)
+			w.timeToService(w.window)
 		}
 		assert.Assert(t, len(w.faults) == 0, "seed %d: %v\n%s", seed, w.faults, w.tail())
 	}
@@ -46,7 +46,7 @@
 }
 
 // All machines come back with their disks, each at another address, and find each other by the seeds of their settings.
-func TestAllMembersMoveWithTheirDisks(t *testing.T) {
+func TestReconfiguration_AllMembersMoveWithDisks(t *testing.T) {
 	seeds := seedsOr(10)
 	if testing.Short() || raced {
 		seeds = 3
@@ -65,8 +65,8 @@
 				}
 			}
 			w.run(w.now + 500*time.Millisecond)
-			served = max(served, w.serveAgain(w.window))
-			w.settleAgain(w.window)
+			served = max(served, w.timeToService(w.window))
+			w.timeToRedundancy(w.window)
 			assert.Assert(t, len(w.faults) == 0, "losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.tail())
 		}
 		t.Logf("%d losses: %v until something is acknowledged", losses, served)
--- a/internal/tier/consensus/planted_hardening_test.go
+++ b/internal/tier/consensus/mutants_hardening_test.go
@@ -11,10 +11,10 @@
 )
 
 // Machines that are wrong in what the pages under docs/design/hardening state: each must be found within plantedSeeds.
-const plantedSeeds = 200
+const mutantSeeds = 200
 
 var (
-	leaseNeverEnds = plant{name: "a lease never ends",
+	endlessLease = mutant{name: "a lease never ends",
 		after: func(s *subject, _ *actions) {
 			if r := s.m.primary; r != nil {
 				for _, b := range r.view.Backups {
@@ -22,7 +22,7 @@
 				}
 			}
 		}}
-	joinerWithoutCopy = plant{name: "a backup is counted that took no copy",
+	joinerWithoutState = mutant{name: "a backup is counted that took no copy",
 		before: func(s *subject, e event) (event, *outcome) {
 			if q, ok := e.(incomingCall); ok {
 				if a, ok := q.body.(*tierv1.AcceptRequest); ok && isNamedIn(a.View, s.m.Folder) && s.m.preparedExactly(a.View.Epoch, a.From.GetFolder()) {
@@ -47,7 +47,7 @@
 				p.confirmedAt[folder] = s.m.now
 			}
 		}}
-	oldSnapshotReplaces = plant{name: "a snapshot of an old epoch replaces a newer copy",
+	oldSnapshotReplaces = mutant{name: "a snapshot of an old epoch replaces a newer copy",
 		before: func(s *subject, e event) (event, *outcome) {
 			if q, ok := e.(incomingCall); ok {
 				if body, ok := q.body.(*tierv1.WriteRequest); ok && body.Snapshot && body.From != s.m.Folder && body.Epoch < s.m.stateEpoch {
@@ -57,7 +57,7 @@
 			}
 			return e, nil
 		}}
-	leadsBehind = plant{name: "leads from a copy that is behind",
+	leadsWithOldState = mutant{name: "leads from a copy that is behind",
 		before: func(s *subject, e event) (event, *outcome) {
 			a, ok := e.(callResult)
 			if !ok {
@@ -76,27 +76,27 @@
 )
 
 // found plays seeds until one shows the wrong machine, and gives the seed and the fault; the right machine plays the same.
-func found(t *testing.T, p plant, play func(seed uint64, p plant) *world) {
+func found(t *testing.T, p mutant, play func(seed uint64, p mutant) *world) {
 	t.Helper()
-	for seed := range uint64(plantedSeeds) {
+	for seed := range uint64(mutantSeeds) {
 		if w := play(seed, p); len(w.faults) > 0 {
 			t.Logf("%s: seed %d: %v", p.name, seed, w.faults[0])
-			if right := play(seed, plant{}); len(right.faults) > 0 {
+			if right := play(seed, mutant{}); len(right.faults) > 0 {
 				t.Fatalf("the right machine fails, too: %v\n%s", right.faults, right.tail())
 			}
 			return
 		}
 	}
-	t.Fatalf("%s: not found within %d seeds", p.name, plantedSeeds)
+	t.Fatalf("%s: not found within %d seeds", p.name, mutantSeeds)
 }
 
-func TestPlantedOutOfTouch(t *testing.T) {
+func TestMutants_FoundByPartitions(t *testing.T) {
 	for _, c := range isolations {
 		if c.deposed {
 			continue
 		}
 		t.Run(c.name, func(t *testing.T) {
-			found(t, leaseNeverEnds, func(seed uint64, p plant) *world {
+			found(t, endlessLease, func(seed uint64, p mutant) *world {
 				w, _, _ := isolate(t, c, seed, p)
 				return w
 			})
@@ -104,15 +104,15 @@
 	}
 }
 
-func TestPlantedSecondLoss(t *testing.T) {
-	for _, p := range []plant{joinerWithoutCopy, countsEmpty} {
+func TestMutants_FoundBySecondLosses(t *testing.T) {
+	for _, p := range []mutant{joinerWithoutState, countsEmptyFolder} {
 		t.Run(p.name, func(t *testing.T) {
-			found(t, p, func(seed uint64, p plant) *world { return play(seed, 3+int(seed%2), 1, p) })
+			found(t, p, func(seed uint64, p mutant) *world { return play(seed, 3+int(seed%2), 1, p) })
 		})
 	}
 	t.Run(dropsFormer.name, func(t *testing.T) {
 		x, w := fromSwap(t, dropsFormer)
-		w.left = budget{takes: 1, writes: 1}
+		w.left = budget{takeovers: 1, writes: 1}
 		if r := x.explore(w, 150_000); r.fault == nil {
 			t.Fatalf("not found in %v", r)
 		} else {
@@ -121,10 +121,10 @@
 	})
 }
 
-func TestPlantedCatchUp(t *testing.T) {
-	for _, p := range []plant{oldSnapshotReplaces, leadsBehind} {
+func TestMutants_FoundByStateTransfer(t *testing.T) {
+	for _, p := range []mutant{oldSnapshotReplaces, leadsWithOldState} {
 		t.Run(p.name, func(t *testing.T) {
-			found(t, p, func(seed uint64, p plant) *world { return play(seed, 3+int(seed%2), 1, p) })
+			found(t, p, func(seed uint64, p mutant) *world { return play(seed, 3+int(seed%2), 1, p) })
 		})
 	}
 }
--- a/internal/tier/consensus/planted_test.go
+++ b/internal/tier/consensus/mutants_test.go
@@ -9,9 +9,9 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// plant makes a machine wrong from outside: by the events it gets, by what it puts out, or by what it holds between two steps.
+// mutant makes a machine wrong from outside: by the events it gets, by what it puts out, or by what it holds between two steps.
 // The zero plant leaves it right.
-type plant struct {
+type mutant struct {
 	name   string
 	before func(s *subject, e event) (event, *outcome) // a nil event is swallowed
 	after  func(s *subject, out *actions)
@@ -19,22 +19,22 @@
 
 // subject is a machine with what is wrong about it.
 type subject struct {
-	m     *replica
-	plant plant
-	asked map[uint64]proto.Message // calls under way, by their id
+	m      *replica
+	mutant mutant
+	asked  map[uint64]proto.Message // calls under way, by their id
 	// The promise to keep, of a machine that forgets those to others at once.
-	promised   uint64
-	promisedTo string
+	preparedEpoch uint64
+	preparedFor   string
 }
 
 func (s *subject) step(now time.Duration, events ...event) *actions {
-	s.promised, s.promisedTo = s.m.preparedEpoch, s.m.preparedFor
+	s.preparedEpoch, s.preparedFor = s.m.preparedEpoch, s.m.preparedFor
 	var passed []event
 	var ended []outcome
 	for _, e := range events {
-		if s.plant.before != nil {
+		if s.mutant.before != nil {
 			var o *outcome
-			if e, o = s.plant.before(s, e); o != nil {
+			if e, o = s.mutant.before(s, e); o != nil {
 				ended = append(ended, *o)
 			}
 		}
@@ -43,8 +43,8 @@
 		}
 	}
 	out := s.m.Step(now, passed...)
-	if s.plant.after != nil {
-		s.plant.after(s, out)
+	if s.mutant.after != nil {
+		s.mutant.after(s, out)
 	}
 	for _, e := range events {
 		if a, ok := e.(callResult); ok {
@@ -61,7 +61,7 @@
 }
 
 var (
-	forgetsAtOnce = plant{name: "forgets a promise at once",
+	forgetsPreparedAtOnce = mutant{name: "forgets a promise at once",
 		before: func(s *subject, e event) (event, *outcome) {
 			q, ok := e.(incomingCall)
 			if !ok {
@@ -77,16 +77,16 @@
 			}
 			if epoch > 0 && epoch >= s.m.preparedEpoch {
 				s.m.preparedEpoch, s.m.preparedFor = epoch, from
-				s.promised, s.promisedTo = epoch, from
+				s.preparedEpoch, s.preparedFor = epoch, from
 			}
 			return e, nil
 		},
 		after: func(s *subject, _ *actions) {
 			if s.m.preparedFor != s.m.Folder {
-				s.m.preparedEpoch, s.m.preparedFor = s.promised, s.promisedTo
+				s.m.preparedEpoch, s.m.preparedFor = s.preparedEpoch, s.preparedFor
 			}
 		}}
-	forgetsAtRestart = plant{name: "forgets a promise at a restart",
+	forgetsPreparedAtRestart = mutant{name: "forgets a promise at a restart",
 		after: func(_ *subject, out *actions) {
 			var kept [][]byte
 			for _, r := range out.records {
@@ -96,13 +96,13 @@
 			}
 			out.records = kept
 		}}
-	acknowledgesEarly = plant{name: "acknowledges before the backup's sync",
+	acknowledgesEarly = mutant{name: "acknowledges before the backup's sync",
 		after: func(s *subject, _ *actions) {
 			if s.m.primary != nil && s.m.primary.batch != nil {
 				s.m.commit()
 			}
 		}}
-	skipsBackup = plant{name: "skips a dead backup",
+	skipsBackup = mutant{name: "skips a dead backup",
 		before: func(s *subject, e event) (event, *outcome) {
 			if a, ok := e.(callResult); ok && a.body == nil {
 				if _, write := s.asked[a.id].(*tierv1.WriteRequest); write {
@@ -111,7 +111,7 @@
 			}
 			return e, nil
 		}}
-	countsEmpty = plant{name: "counts an empty folder for a member",
+	countsEmptyFolder = mutant{name: "counts an empty folder for a member",
 		before: func(s *subject, e event) (event, *outcome) {
 			a, ok := e.(callResult)
 			if !ok {
@@ -136,13 +136,13 @@
 			p.predecessor = base
 			return e, nil
 		}}
-	dropsFormer = plant{name: "drops former too early",
+	dropsFormer = mutant{name: "drops former too early",
 		after: func(s *subject, _ *actions) {
 			if p := s.m.proposal; p != nil && p.phase == transferring {
 				p.target.Former = nil
 			}
 		}}
-	readsUnasked = plant{name: "reads without asking",
+	confirmsWithoutRoundTrip = mutant{name: "reads without asking",
 		before: func(s *subject, e event) (event, *outcome) {
 			if c, ok := e.(confirmRequest); ok && s.m.primary != nil {
 				return nil, &outcome{c.token, 0, nil}
@@ -152,8 +152,8 @@
 )
 
 // The storms find the machines that are wrong in the common ways; the rarer ones are found by the exploration.
-func TestPlanted(t *testing.T) {
-	for _, p := range []plant{forgetsAtOnce, acknowledgesEarly, skipsBackup, countsEmpty, readsUnasked} {
+func TestMutants_FoundByRandomFaults(t *testing.T) {
+	for _, p := range []mutant{forgetsPreparedAtOnce, acknowledgesEarly, skipsBackup, countsEmptyFolder, confirmsWithoutRoundTrip} {
 		t.Run(p.name, func(t *testing.T) {
 			for seed := range uint64(max(3000, seedsOr(0))) {
 				if w := play(seed, 3+int(seed%2), 1, p); len(w.faults) > 0 {
--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -198,7 +198,7 @@
 	return string(v)
 }
 
-func TestNodes(t *testing.T) {
+func TestNode_Cluster(t *testing.T) {
 	c := newCluster(t)
 	for _, a := range []string{"a", "b", "c"} {
 		c.start(a, true)
@@ -252,7 +252,7 @@
 }
 
 // The file is written anew when it is long, and holds the same.
-func TestRewrite(t *testing.T) {
+func TestNode_RewritesFile(t *testing.T) {
 	c := newCluster(t)
 	for _, a := range []string{"a", "b", "c"} {
 		c.start(a, true)
@@ -274,7 +274,7 @@
 }
 
 // The service is reached by twirp over HTTP.
-func TestHandler(t *testing.T) {
+func TestNode_Handler(t *testing.T) {
 	c := newCluster(t)
 	c.start("a", true)
 	s := httptest.NewServer(c.nodes["a"].Handler())
@@ -288,7 +288,7 @@
 
 // A disk that dies at any operation of the opening leaves a node without a folder, which answers nobody; the next process
 // finds none, or the one that was synced.
-func TestOpenAtEveryOperation(t *testing.T) {
+func TestOpen_PowerLossAtEachOperation(t *testing.T) {
 	for at := 1; ; at++ {
 		disk := wal.NewMemory()
 		disk.DieAt(at)
--- a/internal/tier/consensus/cutoff_test.go
+++ b/internal/tier/consensus/partition_test.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	cutTime = 20 * time.Second // how long a machine is cut off, paused or hangs
+	isolationTime = 20 * time.Second // how long a machine is cut off, paused or hangs
 	// tripSlack is what a message and a sync may take here, there and back.
 	tripSlack = 50 * time.Millisecond
 )
@@ -79,21 +79,21 @@
 	deposed bool
 }
 
-func cutSides(w *world, old *site, with *tierv1.Member, out, in bool) {
+func partitionSides(w *world, old *site, with *tierv1.Member, out, in bool) {
 	for _, s := range w.sites {
 		if s == old || with != nil && s.member.Address == with.Address {
 			continue
 		}
 		for _, inside := range []*tierv1.Member{old.member, with} {
 			if inside != nil {
-				w.cuts[[2]string{inside.Address, s.member.Address}] = out
-				w.cuts[[2]string{s.member.Address, inside.Address}] = in
+				w.partitions[[2]string{inside.Address, s.member.Address}] = out
+				w.partitions[[2]string{s.member.Address, inside.Address}] = in
 			}
 		}
 	}
 }
 
-func healAll(w *world, _ *site) { clear(w.cuts) }
+func healAll(w *world, _ *site) { clear(w.partitions) }
 
 // companion is a backup, or where there are too few a member, that is cut off together with the leader.
 func companion(w *world, old *site) *tierv1.Member {
@@ -108,24 +108,27 @@
 const window = 3 * time.Second
 
 var isolations = []isolation{
-	{"cut both ways", [2]int{3, 1}, func(w *world, old *site) { cutSides(w, old, nil, true, true) }, healAll, window / 3, window, false},
-	{"cut out of the leader", [2]int{3, 1}, func(w *world, old *site) { cutSides(w, old, nil, true, false) }, healAll, window / 3, window, true},
-	{"cut into the leader", [2]int{3, 1}, func(w *world, old *site) { cutSides(w, old, nil, false, true) }, healAll, window / 3, window, false},
-	{"cut both ways, five members", [2]int{5, 2}, func(w *world, old *site) { cutSides(w, old, nil, true, true) }, healAll, window / 3, window, false},
-	{"cut off with a backup", [2]int{5, 2}, func(w *world, old *site) { cutSides(w, old, companion(w, old), true, true) }, healAll, window / 3, window, false},
+	{"cut both ways", [2]int{3, 1}, func(w *world, old *site) { partitionSides(w, old, nil, true, true) }, healAll, window / 3, window, false},
+	{"cut out of the leader", [2]int{3, 1}, func(w *world, old *site) { partitionSides(w, old, nil, true, false) }, healAll, window / 3, window, true},
+	{"cut into the leader", [2]int{3, 1}, func(w *world, old *site) { partitionSides(w, old, nil, false, true) }, healAll, window / 3, window, false},
+	{"cut both ways, five members", [2]int{5, 2}, func(w *world, old *site) { partitionSides(w, old, nil, true, true) }, healAll, window / 3, window, false},
+	{"cut off with a backup", [2]int{5, 2}, func(w *world, old *site) { partitionSides(w, old, companion(w, old), true, true) }, healAll, window / 3, window, false},
 	{"paused", [2]int{3, 1}, func(_ *world, old *site) { old.paused = true }, func(_ *world, old *site) { old.resume() }, window / 3, window, false},
 	{"paused, five members", [2]int{5, 2}, func(_ *world, old *site) { old.paused = true }, func(_ *world, old *site) { old.resume() }, window / 3, window, false},
 	{"disk hangs", [2]int{3, 1}, func(_ *world, old *site) { old.stalled = true }, func(_ *world, old *site) { old.resume() }, window / 3, window, false},
 }
 
 // isolate plays one of them. It gives the time until others acknowledged, and until the old leader followed after the heal.
-func isolate(t *testing.T, c isolation, seed uint64, p plant) (w *world, takeover, back time.Duration) {
+func isolate(t *testing.T, c isolation, seed uint64, p mutant) (w *world, takeover, back time.Duration) {
 	t.Helper()
 	w = newWorld(seed, c.size[0], c.size[1])
-	w.plant, w.window = p, window
+	w.mutant, w.window = p, window
 	w.boot()
 	begin := 6*time.Second + time.Duration(seed%97)*11*time.Millisecond
-	w.after(4*time.Second, func() { w.load(begin + cutTime + 4*time.Second); w.readings(begin + cutTime + 4*time.Second) })
+	w.after(4*time.Second, func() {
+		w.load(begin + isolationTime + 4*time.Second)
+		w.readings(begin + isolationTime + 4*time.Second)
+	})
 	w.run(begin)
 	old := w.leader()
 	if old == nil || len(w.faults) > 0 {
@@ -133,8 +136,8 @@
 	}
 	count := len(w.acked)
 	c.begin(w, old)
-	w.load(begin + cutTime) // more writes, at everyone who takes himself for the leader
-	for w.now < begin+cutTime && len(w.faults) == 0 {
+	w.load(begin + isolationTime) // more writes, at everyone who takes himself for the leader
+	for w.now < begin+isolationTime && len(w.faults) == 0 {
 		w.run(w.now + 5*time.Millisecond)
 		if takeover == 0 && w.leader() != old && len(w.acked) > count {
 			takeover = w.now - begin
@@ -157,7 +160,7 @@
 
 // A leader that is out of touch for twenty seconds, in each way, answers nothing after its lease; others take over; nothing
 // acknowledged is lost; after the heal it follows.
-func TestLeaderOutOfTouch(t *testing.T) {
+func TestPartition_IsolatedPrimary(t *testing.T) {
 	seeds := seedsOr(10)
 	if testing.Short() || raced {
 		seeds = 2
@@ -166,7 +169,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var worstTakeover, worstReturn time.Duration
 			for seed := range uint64(seeds) {
-				w, takeover, back := isolate(t, c, seed, plant{})
+				w, takeover, back := isolate(t, c, seed, mutant{})
 				where := fmt.Sprintf("seed %d: %v\n%s", seed, w.faults, w.tail())
 				assert.Assert(t, len(w.faults) == 0, where)
 				assert.Assert(t, takeover > 0 && takeover < c.takeover, "takeover %v, %s", takeover, where)
--- a/internal/tier/consensus/machine_test.go
+++ b/internal/tier/consensus/replica_test.go
@@ -36,14 +36,14 @@
 	}
 	switch w.random.IntN(9) {
 	case 0:
-		w.cuts[[2]string{s.member.Address, o.member.Address}] = true
+		w.partitions[[2]string{s.member.Address, o.member.Address}] = true
 	case 1:
 		for _, x := range w.sites {
-			w.cuts[[2]string{s.member.Address, x.member.Address}] = true
-			w.cuts[[2]string{x.member.Address, s.member.Address}] = true
+			w.partitions[[2]string{s.member.Address, x.member.Address}] = true
+			w.partitions[[2]string{x.member.Address, s.member.Address}] = true
 		}
 	case 2, 3, 4:
-		clear(w.cuts)
+		clear(w.partitions)
 	case 5:
 		s.stop(false)
 		restart()
@@ -75,11 +75,11 @@
 	return few
 }
 
-func play(seed uint64, n, losses int, p plant) *world {
+func play(seed uint64, n, losses int, p mutant) *world {
 	w := newWorld(seed, n, losses)
-	w.plant = p
+	w.mutant = p
 	w.boot()
-	w.trouble = []float64{0, 0.02, 0.2}[seed%3]
+	w.faultRate = []float64{0, 0.02, 0.2}[seed%3]
 	end := 25 * time.Second
 	w.load(end)
 	w.after(3*time.Second, func() { w.storm(end, true) })
@@ -87,28 +87,28 @@
 	return w
 }
 
-func TestStorms(t *testing.T) {
+func TestReplica_RandomFaults(t *testing.T) {
 	seeds := seedsOr(5)
 	var worst time.Duration
 	acked := 0
 	for _, size := range [][2]int{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {6, 2}} {
 		for seed := range uint64(seeds) {
-			w := play(seed, size[0], size[1], plant{})
-			took, ok := w.calm(8 * time.Second)
+			w := play(seed, size[0], size[1], mutant{})
+			took, ok := w.recover(8 * time.Second)
 			worst = max(worst, took)
 			acked += len(w.acked)
 			assert.Assert(t, len(w.faults) == 0, "size %v seed %d: %v\n%s", size, seed, w.faults, w.tail())
 			assert.Assert(t, ok, "size %v seed %d: serves no more\n%s", size, seed, w.tail())
 			w.run(w.now + 4*time.Second)
 			assert.Assert(t, len(w.faults) == 0, "size %v seed %d: %v", size, seed, w.faults)
-			assert.Assert(t, w.whole(), "size %v seed %d: not whole again: %v\n%s", size, seed, w.top, w.tail())
+			assert.Assert(t, w.isComplete(), "size %v seed %d: not whole again: %v\n%s", size, seed, w.top, w.tail())
 		}
 	}
 	t.Logf("acknowledged %d, worst return %v", acked, worst)
 }
 
 // One message of a good exchange is changed, each in turn; then all lose power.
-func TestOneMutation(t *testing.T) {
+func TestReplica_OneMessageFault(t *testing.T) {
 	step := 17 // every message where CONTROL_SEEDS is set
 	if seedsOr(0) > 0 {
 		step = 1
@@ -130,7 +130,7 @@
 			for _, s := range w.sites {
 				s.stop(true)
 			}
-			_, ok := w.calm(6 * time.Second)
+			_, ok := w.recover(6 * time.Second)
 			assert.Assert(t, len(w.faults) == 0, "%s: %v\n%s", where, w.faults, w.tail())
 			assert.Assert(t, ok, "%s: serves no more\n%s", where, w.tail())
 			assert.Assert(t, len(w.acked) > 1, where)
@@ -189,7 +189,7 @@
 }
 
 // Right after an acknowledgement as many machines as may be lost lose their disks, while all others lose power.
-func TestFinalFault(t *testing.T) {
+func TestReplica_RecoversAfterLastFault(t *testing.T) {
 	for _, losses := range []int{1, 2} {
 		n := 2*losses + 1
 		for seed := range uint64(seedsOr(20)) {
@@ -211,17 +211,17 @@
 					w.sites[at].stop(true)
 				}
 			}
-			_, ok := w.calm(6 * time.Second)
+			_, ok := w.recover(6 * time.Second)
 			assert.Assert(t, len(w.faults) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.faults, w.tail())
 			assert.Assert(t, ok, "losses %d seed %d: serves no more\n%s", losses, seed, w.tail())
 			w.run(w.now + 4*time.Second)
-			assert.Assert(t, w.whole(), "losses %d seed %d: %v\n%s", losses, seed, w.top, w.tail())
+			assert.Assert(t, w.isComplete(), "losses %d seed %d: %v\n%s", losses, seed, w.top, w.tail())
 		}
 	}
 }
 
 // A machine at another address takes the place of one that is gone for good.
-func TestReplacement(t *testing.T) {
+func TestReconfiguration_ReplacesMember(t *testing.T) {
 	for seed := range uint64(seedsOr(20)) {
 		w := newWorld(seed, 3, 1)
 		w.boot()
@@ -243,7 +243,7 @@
 }
 
 // Members and backups end up spread over the zones, wherever the first members were; then nothing changes any more.
-func TestSpread(t *testing.T) {
+func TestReconfiguration_SpreadsReplicas(t *testing.T) {
 	for _, zones := range []string{"00112", "00011", "01122", "00012", "00000", "01212"} {
 		for _, losses := range []int{1, 2} {
 			for seed := range uint64(seedsOr(5)) {
--- a/internal/tier/consensus/repeat_test.go
+++ b/internal/tier/consensus/retry_test.go
@@ -13,7 +13,7 @@
 
 // A member without a copy is gone for good, and one answer is lost of those that the record with the joiner in its place needs: the
 // copy or the call to accept is made once more, and the proposal doesn't fail.
-func TestALostAnswerDoesNotEndASwap(t *testing.T) {
+func TestProposal_LostReplyIsRetried(t *testing.T) {
 	for name, needed := range map[string]func(body proto.Message) bool{
 		"accept": func(body proto.Message) bool {
 			request, ok := body.(*tierv1.AcceptRequest)
@@ -47,8 +47,8 @@
 					}
 					lostOf[address] = true
 					link := [2]string{address, leader.member.Address}
-					w.cuts[link] = true
-					w.after(20*time.Millisecond, func() { delete(w.cuts, link) })
+					w.partitions[link] = true
+					w.after(20*time.Millisecond, func() { delete(w.partitions, link) })
 				}
 				began := len(w.trace)
 				w.run(w.now + 4*time.Second)
--- a/internal/tier/consensus/size_test.go
+++ b/internal/tier/consensus/state_limit_test.go
@@ -48,7 +48,7 @@
 
 // A state may have all of its limit. One byte more is refused at once: nothing of that write is there, the epoch goes on,
 // and so it is after a restart from the file.
-func TestStateAtItsLimit(t *testing.T) {
+func TestStateLimit_AtLimit(t *testing.T) {
 	s := &solo{t: t, disk: wal.NewMemory(), limit: limitInTests}
 	s.open(true, "a")
 	s.turn(time.Second)
@@ -87,7 +87,7 @@
 
 // A state over the limit, as a program without it left it, is served. It may be changed as long as it does not grow, and
 // what shrinks it is taken.
-func TestStateLeftAboveItsLimit(t *testing.T) {
+func TestStateLimit_StateAboveLimit(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a")
 	s.turn(time.Second)
 	assert.NilError(t, s.must(map[string][]byte{"mark": []byte("1")}))
@@ -111,7 +111,7 @@
 }
 
 // The limit holds at each leader alike, before and after a takeover and after a loss of power of all.
-func TestStateLimitThroughATakeover(t *testing.T) {
+func TestStateLimit_Takeover(t *testing.T) {
 	c := newCluster(t)
 	c.limit = limitInTests
 	for _, a := range []string{"a", "b", "c"} {
@@ -152,7 +152,7 @@
 
 // What waited for a round goes into it as far as the limit allows, in order; what would make the state too large is in
 // neither, and the others are not held up by it.
-func TestRoundsKeepWithinTheLimit(t *testing.T) {
+func TestStateLimit_WriteBatch(t *testing.T) {
 	m := newReplica(durableState{identity: identity{Folder: "fa"}}, replicaConfig{self: &tierv1.Member{Address: "a"}, timing: newTiming(3*time.Second, 0), jitterSeed: 1})
 	m.stateLimit, m.actions = limitInTests, new(actions)
 	half := func(token uint64) pendingOperation {
@@ -181,7 +181,7 @@
 }
 
 // The size of a copy is that of its entries, whatever writes led to it.
-func TestSizeOfACopy(t *testing.T) {
+func TestDurableState_Size(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	var d durableState
 	for range 2000 {
@@ -199,7 +199,7 @@
 }
 
 // The largest state fits one record, as few large entries and as many small ones.
-func TestLargestStateFitsARecord(t *testing.T) {
+func TestStateLimit_LargestStateFitsRecord(t *testing.T) {
 	const last = 1<<64 - 1
 	whole := func(entries int) *tierv1.WriteRequest {
 		d := durableState{identity: identity{Folder: strings.Repeat("f", 32)}, entries: map[string]*tierv1.Entry{}, sequence: last}
@@ -220,7 +220,7 @@
 }
 
 // A write that fits no record, as a program without the limit may send it, is not taken, and changes nothing.
-func TestWriteThatFitsNoRecordIsNotTaken(t *testing.T) {
+func TestHandleWrite_OversizedIsRejected(t *testing.T) {
 	d := durableState{identity: identity{Folder: "fa"}, preparedEpoch: 1 << epochBits, preparedFor: "fb"}
 	m := newReplica(d, replicaConfig{self: &tierv1.Member{Address: "a"}, toleratedLosses: 1, timing: newTiming(3*time.Second, 0), jitterSeed: 1})
 	q := &tierv1.WriteRequest{Epoch: 1 << epochBits, Sequence: 1, Snapshot: true, From: "fb",
@@ -238,7 +238,7 @@
 
 // A record that the file refuses as too large is no failing disk: the node goes on from its file with all that was
 // acknowledged, and is primary again. Who waited is told that the outcome is unknown.
-func TestRefusedRecordIsNoFailingDisk(t *testing.T) {
+func TestNode_RejectedRecordIsNoDiskFailure(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a")
 	s.turn(time.Second)
 	assert.NilError(t, s.must(map[string][]byte{"k": []byte("1")}))
@@ -277,7 +277,7 @@
 }
 
 // A call whose body has no end is refused after as much of it as a record holds.
-func TestRequestBodyIsBounded(t *testing.T) {
+func TestHandler_BoundsRequestBody(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a")
 	body := &endless{}
 	q := httptest.NewRequest("POST", tierv1.ElectionPathPrefix+"Write", io.NopCloser(body))
--- a/internal/tier/consensus/catchup_test.go
+++ b/internal/tier/consensus/state_transfer_test.go
@@ -32,11 +32,11 @@
 	}},
 }
 
-// settledAgain tells whether all losses are borne again: by the leader's own formula, which may be as old as recently, and in
+// isFullyRedundant tells whether all losses are borne again: by the leader's own formula, which may be as old as recently, and in
 // fact: every member is there with its folder, and every site named holds its copy.
-func (w *world) settledAgain() bool {
+func (w *world) isFullyRedundant() bool {
 	l := w.leader()
-	if l == nil || l.busy || !w.whole() || l.m.health().Tolerates < w.losses || len(l.m.primary.view.Former) > 0 {
+	if l == nil || l.busy || !w.isComplete() || l.m.health().Tolerates < w.losses || len(l.m.primary.view.Former) > 0 {
 		return false
 	}
 	for _, s := range w.sites {
@@ -66,9 +66,9 @@
 	}
 }
 
-// catchUp plays an absence during n changes. It gives how long after the return the next loss is borne again, and the bytes of
+// playAbsence plays an absence during n changes. It gives how long after the return the next loss is borne again, and the bytes of
 // state that were sent to the one who came back, against those of one whole state.
-func catchUp(t *testing.T, c absence, n int, seed uint64, backup bool) (w *world, took time.Duration, sent, whole int) {
+func playAbsence(t *testing.T, c absence, n int, seed uint64, backup bool) (w *world, took time.Duration, sent, whole int) {
 	t.Helper()
 	w = newWorld(seed, 3, 1)
 	w.boot()
@@ -92,7 +92,7 @@
 	c.back(w, s)
 	began := w.now
 	w.readings(began + 4*time.Second)
-	for w.now < began+4*time.Second && !w.settledAgain() && len(w.faults) == 0 {
+	for w.now < began+4*time.Second && !w.isFullyRedundant() && len(w.faults) == 0 {
 		w.put(true)
 		w.run(w.now + 10*time.Millisecond)
 	}
@@ -113,7 +113,7 @@
 
 // A member that missed 1 to 2,000 changes, by whatever way, has caught up within the bound of time and of bytes, never leads
 // before, and the next loss right after that costs nothing.
-func TestCatchUp(t *testing.T) {
+func TestStateTransfer_AfterAbsence(t *testing.T) {
 	counts := []int{1, 10, 300, 2000}
 	if testing.Short() || raced {
 		counts = []int{1, 100}
@@ -129,11 +129,11 @@
 					seeds = 1
 				}
 				for seed := range uint64(seeds) {
-					w, took, sent, whole := catchUp(t, c, n, seed, backup)
+					w, took, sent, whole := playAbsence(t, c, n, seed, backup)
 					where := fmt.Sprintf("%s, seed %d: %v, sent %d of %d, %v\n%s", name, seed, took, sent, whole, w.faults, w.tail())
 					assert.Assert(t, len(w.faults) == 0, where)
 					assert.Assert(t, took < w.window, where)
-					assert.Assert(t, sent <= catchUpCopies*whole, where)
+					assert.Assert(t, sent <= maxSnapshots*whole, where)
 					assert.Assert(t, len(w.acked) > n, where)
 					worst, most = max(worst, took), max(most, float64(sent)/float64(whole))
 				}
@@ -143,9 +143,9 @@
 	}
 }
 
-// catchUpCopies is how often the whole state may go to one member until it holds a copy: once for each record that names it
+// maxSnapshots is how often the whole state may go to one member until it holds a copy: once for each record that names it
 // anew, and a change of members takes two records.
-const catchUpCopies = 3
+const maxSnapshots = 3
 
 // following is a machine that is a backup of a leader, with a copy under its epoch.
 func following(t *testing.T) (m *replica, epoch uint64) {
@@ -164,7 +164,7 @@
 }
 
 // A snapshot that comes late, doubled, out of order or from an older epoch never takes back what was taken after it.
-func TestSnapshotsOutOfPlace(t *testing.T) {
+func TestHandleWrite_SnapshotOutOfOrder(t *testing.T) {
 	m, epoch := following(t)
 	snapshot := &tierv1.WriteRequest{Epoch: epoch, Sequence: 1, Snapshot: true, Entries: entry("one", 1), From: "fa"}
 	change := &tierv1.WriteRequest{Epoch: epoch, PreviousSequence: 1, Sequence: 2, Entries: entry("two", 2), From: "fa"}
@@ -208,7 +208,7 @@
 
 // A backup loses power at each operation of its disk while it takes snapshots, changes and rewrites of its file. What it
 // answered as taken is there after, it never goes back to an older epoch, and it goes on from there.
-func TestPowerLostWhileCatchingUp(t *testing.T) {
+func TestStateTransfer_PowerLossAtEachOperation(t *testing.T) {
 	value := bytes.Repeat([]byte("x"), 4<<10)
 	for at := 1; ; at++ {
 		died := false
--- a/internal/tier/consensus/check_test.go
+++ b/internal/tier/consensus/world_checks_test.go
@@ -128,10 +128,10 @@
 	w.after(time.Duration(w.random.Int64N(int64(200*time.Millisecond)))+time.Millisecond, func() { w.load(until) })
 }
 
-// calm ends all trouble and gives how long it took until a put was acknowledged, at most limit.
-func (w *world) calm(limit time.Duration) (time.Duration, bool) {
-	clear(w.cuts)
-	w.trouble, w.mutate = 0, nil
+// recover ends all trouble and gives how long it took until a put was acknowledged, at most limit.
+func (w *world) recover(limit time.Duration) (time.Duration, bool) {
+	clear(w.partitions)
+	w.faultRate, w.mutate = 0, nil
 	for _, s := range w.sites {
 		s.start(false)
 	}
@@ -146,8 +146,8 @@
 	return limit, false
 }
 
-// whole tells whether the record in force is settled and has its full number of members and backups, none of them wiped.
-func (w *world) whole() bool {
+// isComplete tells whether the record in force is settled and has its full number of members and backups, none of them wiped.
+func (w *world) isComplete() bool {
 	want := min(2*w.losses+1, len(w.sites))
 	if w.top == nil || len(w.top.Former) > 0 || len(w.top.Members) < min(want, 3) || len(w.top.Backups) < w.losses {
 		return false
--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -14,18 +14,18 @@
 
 // world is a network, disks and clocks in virtual time for machines, and the checker of what they promise.
 type world struct {
-	now     time.Duration
-	random  *rand.Rand
-	queue   moments
-	order   int
-	sites   []*site
-	cuts    map[[2]string]bool
-	losses  int
-	seeds   []string
-	window  time.Duration
-	plant   plant
-	trouble float64 // part of the messages that are lost, doubled or held
-	rate    int     // bytes a second that a path carries; 0: no bound
+	now        time.Duration
+	random     *rand.Rand
+	queue      timedActions
+	order      int
+	sites      []*site
+	partitions map[[2]string]bool
+	losses     int
+	seeds      []string
+	window     time.Duration
+	mutant     mutant
+	faultRate  float64 // part of the messages that are lost, doubled or held
+	rate       int     // bytes a second that a path carries; 0: no bound
 
 	transferRate int // what the machines count on; 0: as usual
 	mutate       func(n int) mutation
@@ -52,7 +52,7 @@
 	none mutation = iota
 	lost
 	doubled
-	held
+	delayed
 	replyLost
 	receiverKilled
 	receiverUnpowered
@@ -69,20 +69,20 @@
 	site  *site
 }
 
-type moment struct {
+type timedAction struct {
 	at    time.Duration
 	order int
 	do    func()
 }
-type moments []moment
+type timedActions []timedAction
 
-func (q moments) Len() int { return len(q) }
-func (q moments) Less(i, j int) bool {
+func (q timedActions) Len() int { return len(q) }
+func (q timedActions) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (q moments) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *moments) Push(x any)   { *q = append(*q, x.(moment)) }
-func (q *moments) Pop() any {
+func (q timedActions) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *timedActions) Push(x any)   { *q = append(*q, x.(timedAction)) }
+func (q *timedActions) Pop() any {
 	o := *q
 	x := o[len(o)-1]
 	*q = o[:len(o)-1]
@@ -91,27 +91,27 @@
 
 // site is a machine's place: its address, its disk and the process that runs there.
 type site struct {
-	world    *world
-	member   *tierv1.Member
-	m        *replica // nil: no process
-	run      *subject
-	life     int
-	synced   [][]byte
-	unsynced [][]byte
-	busy     bool
-	inbox    []event
-	wakeAt   time.Duration
-	gone     bool
-	dark     bool // without power: calls hang
-	paused   bool // stopped, as by SIGSTOP: nothing runs, what comes in waits
-	stalled  bool // its disk hangs: a sync that has begun does not end
-	resumed  []func()
-	seen     *tierv1.View
-	led      uint64 // epoch of its newest leadership
+	world       *world
+	member      *tierv1.Member
+	m           *replica // nil: no process
+	run         *subject
+	incarnation int
+	synced      [][]byte
+	unsynced    [][]byte
+	busy        bool
+	inbox       []event
+	wakeAt      time.Duration
+	gone        bool
+	dark        bool // without power: calls hang
+	paused      bool // stopped, as by SIGSTOP: nothing runs, what comes in waits
+	stalled     bool // its disk hangs: a sync that has begun does not end
+	resumed     []func()
+	seen        *tierv1.View
+	led         uint64 // epoch of its newest leadership
 }
 
 func newWorld(seed uint64, n, losses int) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 7)), cuts: make(map[[2]string]bool), losses: losses, window: 3 * time.Second,
+	w := &world{random: rand.New(rand.NewPCG(seed, 7)), partitions: make(map[[2]string]bool), losses: losses, window: 3 * time.Second,
 		waiting: make(map[uint64]*operation), replying: make(map[uint64]func(proto.Message)), acked: make(map[string]uint64), ackedAt: make(map[string]time.Duration), ackedUnder: make(map[string]uint64),
 		refused: make(map[string]bool), chosen: make(map[uint64]*tierv1.View), wiped: make(map[string]bool), now: time.Millisecond}
 	for i := range n {
@@ -125,12 +125,12 @@
 
 func (w *world) after(d time.Duration, do func()) {
 	w.order++
-	heap.Push(&w.queue, moment{w.now + d, w.order, do})
+	heap.Push(&w.queue, timedAction{w.now + d, w.order, do})
 }
 
 func (w *world) run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until && len(w.faults) == 0 {
-		m := heap.Pop(&w.queue).(moment)
+		m := heap.Pop(&w.queue).(timedAction)
 		w.now = m.at
 		m.do()
 	}
@@ -179,7 +179,7 @@
 			Genesis: bootstrap && slices.Contains(w.seeds, s.member.Address)}
 		s.synced = append(s.synced, encodeIdentity(d.identity))
 	}
-	s.life++
+	s.incarnation++
 	timing := newTiming(w.window, 1200*time.Millisecond)
 	if w.transferRate > 0 {
 		timing.transferRate = w.transferRate
@@ -188,7 +188,7 @@
 	s.m.now = w.now
 	s.m.candidacyAt += w.now
 	s.m.joinAt += w.now
-	s.run = &subject{m: s.m, plant: w.plant, asked: make(map[uint64]proto.Message)}
+	s.run = &subject{m: s.m, mutant: w.mutant, asked: make(map[uint64]proto.Message)}
 	s.busy, s.inbox, s.seen = false, nil, nil
 	s.paused, s.stalled, s.resumed = false, false, nil
 	w.logf("start %s", d.Folder)
@@ -208,7 +208,7 @@
 		}
 	}
 	s.m = nil
-	s.life++
+	s.incarnation++
 	if power && len(s.unsynced) > 0 {
 		s.unsynced = s.unsynced[:w.random.IntN(len(s.unsynced))]
 	}
@@ -268,10 +268,10 @@
 	if s.m == nil {
 		return
 	}
-	at, life := max(s.m.nextStepAt(), s.world.now+time.Millisecond), s.life
+	at, life := max(s.m.nextStepAt(), s.world.now+time.Millisecond), s.incarnation
 	s.wakeAt = at
 	s.world.after(at-s.world.now, func() {
-		if s.life == life && s.wakeAt == at && s.m != nil {
+		if s.incarnation == life && s.wakeAt == at && s.m != nil {
 			s.step(tick{})
 		}
 	})
@@ -288,10 +288,10 @@
 	for _, n := range out.transitions {
 		w.logf("%s %s promised=%d chosen=%d seq=%d", s.m.Folder, n, s.m.preparedEpoch, epochOf(s.m.chosen), s.m.sequence)
 	}
-	life := s.life
+	life := s.incarnation
 	for _, c := range out.unsyncedCalls {
 		s.send(c)
-		if s.life != life {
+		if s.incarnation != life {
 			return
 		}
 	}
@@ -305,13 +305,13 @@
 		for _, r := range out.replies {
 			replyTo := w.replies(r.token)
 			replyTo(r.body)
-			if s.life != life {
+			if s.incarnation != life {
 				return
 			}
 		}
 		for _, c := range out.calls {
 			s.send(c)
-			if s.life != life {
+			if s.incarnation != life {
 				return
 			}
 		}
@@ -327,14 +327,14 @@
 	}
 	s.busy = true
 	synced := func() {
-		if s.life != life {
+		if s.incarnation != life {
 			return
 		}
 		s.synced, s.unsynced = append(s.synced, s.unsynced...), nil
 		rest()
 	}
 	w.after(time.Millisecond+time.Duration(w.random.Int64N(int64(8*time.Millisecond))), func() {
-		if s.life == life && (s.paused || s.stalled) {
+		if s.incarnation == life && (s.paused || s.stalled) {
 			s.resumed = append(s.resumed, synced)
 			return
 		}
@@ -376,9 +376,9 @@
 // send carries a call: it always ends in an answer, empty where nothing came within the time-out.
 func (s *site) send(c outgoingCall) {
 	w := s.world
-	life, ended := s.life, false
+	life, ended := s.incarnation, false
 	end := func(body proto.Message) {
-		if s.life == life && !ended {
+		if s.incarnation == life && !ended {
 			ended = true
 			s.step(callResult{c.id, body})
 		}
@@ -389,23 +389,23 @@
 	kind := none
 	if w.mutate != nil {
 		kind = w.mutate(w.count)
-	} else if w.random.Float64() < w.trouble {
+	} else if w.random.Float64() < w.faultRate {
 		kind = mutation(1 + w.random.IntN(int(replyLost)))
 	}
 	restart := func(x *site) { w.after(700*time.Millisecond, func() { x.start(false) }) }
-	if to == nil || kind == lost || w.cuts[[2]string{s.member.Address, c.address}] {
+	if to == nil || kind == lost || w.partitions[[2]string{s.member.Address, c.address}] {
 		return
 	}
-	toLife := to.life
+	toLife := to.incarnation
 	deliver := func() {
-		if to.m == nil || to.life != toLife { // a connection does not outlast its ends
+		if to.m == nil || to.incarnation != toLife { // a connection does not outlast its ends
 			end(nil)
 			return
 		}
 		w.token++
 		token := w.token
 		w.replying[token] = func(body proto.Message) {
-			if kind == replyLost || w.cuts[[2]string{c.address, s.member.Address}] {
+			if kind == replyLost || w.partitions[[2]string{c.address, s.member.Address}] {
 				return
 			}
 			w.after(w.delay(), func() { end(proto.Clone(body)) })
@@ -438,7 +438,7 @@
 	if w.rate > 0 {
 		d += time.Duration(proto.Size(c.body)) * time.Second / time.Duration(w.rate)
 	}
-	if kind == held {
+	if kind == delayed {
 		d += time.Duration(w.random.Int64N(int64(2 * time.Second)))
 	}
 	w.after(d, deliver)
