--- a/internal/tier/upstream/body.go
+++ b/internal/tier/upstream/body.go
@@ -9,47 +9,47 @@
 
 const (
 	maxChunkLine     = 1 << 10  // bytes of a chunk's size line, extensions included
-	maxTrailerBytes  = 4 << 10  // bytes behind the last chunk
+	maxTrailerBytes  = 4 << 10  // bytes after the last chunk
 	maxChunkBytes    = 1 << 31  // bytes of a chunk
 	maxDecodedAtOnce = 64 << 10 // bytes that are decoded at once
 )
 
-// framing is how the end of a body is found.
+// framing is how the end of a body is found (RFC 9112, 6.3).
 type framing uint8
 
 const (
-	byLength framing = iota // announced, or none
+	byLength framing = iota // Content-Length, or no body
 	byChunks
-	byClose // it ends with its connection
+	byClose // the body ends with its connection
 )
 
-// body decodes the framing of a body.
+// body decodes the body of a response.
 type body struct {
 	reader      *bufio.Reader
 	framing     framing
-	remaining   int64 // bytes left of the body or the chunk
-	chunkEndDue bool  // the CRLF behind a chunk is due
-	complete    bool  // it has come to its proper end
+	remaining   int64 // bytes left of the body or of the chunk
+	chunkEndDue bool  // the CRLF after a chunk is to be read
+	complete    bool  // the end was read, as the framing has it
 }
 
-// newBody is for an answer to a request by the method.
-func newBody(r *bufio.Reader, a *Response, method string) body {
-	b := body{reader: r}
+// newBody returns the decoder of the body of a response to a request by a method.
+func newBody(reader *bufio.Reader, response *Response, method string) body {
+	decoder := body{reader: reader}
 	switch {
-	case method == "HEAD" || a.Status == 204 || a.Status == 304 || a.Status < 200:
-	case a.chunked:
-		b.framing = byChunks
-	case a.Length >= 0:
-		b.remaining = a.Length
+	case method == "HEAD" || response.Status == 204 || response.Status == 304 || response.Status < 200:
+	case response.chunked:
+		decoder.framing = byChunks
+	case response.Length >= 0:
+		decoder.remaining = response.Length
 	default:
-		b.framing = byClose
+		decoder.framing = byClose
 	}
-	b.complete = b.framing == byLength && b.remaining == 0
-	return b
+	decoder.complete = decoder.framing == byLength && decoder.remaining == 0
+	return decoder
 }
 
-// read appends what has come to dst, and waits only if nothing has. io.EOF comes with or after the last bytes of a whole
-// body; for one that ends with its connection it says that this ended without an error.
+// read appends what was received to dst, and waits only if nothing was. It returns io.EOF with or after the last bytes of a complete
+// body; for one that ends with its connection io.EOF says that this was closed without an error.
 func (body *body) read(dst []byte) ([]byte, error) {
 	for begin := len(dst); ; {
 		if body.complete {
@@ -106,7 +106,7 @@
 		}
 		ahead = ahead[i+1:]
 	}
-	// The end of the body may be in several lines: it is looked at only where they all are here.
+	// The end of the body may be in several lines: it is decoded only where they all are buffered.
 	if len(ahead) > 0 && ahead[0] == '0' {
 		return bytes.Contains(ahead, []byte("\r\n\r\n"))
 	}
@@ -140,7 +140,7 @@
 	return body.discardTrailers()
 }
 
-// chunkSize reads the line of a chunk, extensions being discarded. It is false for one above maxChunk, too.
+// chunkSize parses the size line of a chunk, extensions being discarded. It is false for a size above maxChunkBytes, too.
 func chunkSize(line []byte) (int64, bool) {
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
 		line = line[:i]
@@ -164,7 +164,7 @@
 	return n, n <= maxChunkBytes
 }
 
-// discardTrailers reads over what stands behind the last chunk, up to the end of the body.
+// discardTrailers reads the trailers and the end of the body.
 func (body *body) discardTrailers() error {
 	for size := 0; size <= maxTrailerBytes; {
 		line, err := body.readLine()
@@ -183,7 +183,7 @@
 	return errMalformed
 }
 
-// readLine reads one without its CRLF.
+// readLine reads a line and returns it without its CRLF.
 func (body *body) readLine() ([]byte, error) {
 	line, err := body.reader.ReadSlice('\n')
 	switch {
@@ -197,7 +197,7 @@
 	return line[:len(line)-2], nil
 }
 
-// unexpected is err, or io.ErrUnexpectedEOF for an end where more had to come.
+// unexpected returns err, or io.ErrUnexpectedEOF for an end where more was due.
 func unexpected(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -231,7 +231,7 @@
 	}
 }
 
-// discard reads over a body of at most limit bytes.
+// discard reads and discards a body of at most limit bytes.
 func (body *body) discard(limit int) error {
 	var scratch []byte
 	for n := 0; n <= limit; n += len(scratch) {
--- a/internal/tier/upstream/call.go
+++ b/internal/tier/upstream/call.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	earlyResponseWait = 200 * time.Millisecond // an answer that came before the request had been written whole is at hand within it
-	maxScratchBytes   = 8 << 10                // bytes that a connection keeps for heads to be put together in
+	earlyResponseWait = 200 * time.Millisecond // a response sent before the request was completely written arrives within it
+	maxScratchBytes   = 8 << 10                // largest buffer of heads that a connection keeps
 )
 
-// Result is how a call went.
+// Result is the result of a call.
 type Result struct {
 	Outcome       Outcome
-	Written       bool      // a byte of the request may have left
+	Written       bool      // a byte of the request may have been sent
 	NewConnection bool      // a connection was opened for it
-	Response      *Response // nil if no sound head with the request's id came
-	Body          []byte    // the whole body, where End is Whole
-	Stream        *Stream   // the body, where End is Streaming; it must be closed
-	Err           error     // where End is neither Whole nor Streaming
+	Response      *Response // nil: no valid head with the request's id was received
+	Body          []byte    // the complete body, where Outcome is Complete
+	Stream        *Stream   // the body, where Outcome is Streaming; it must be closed
+	Err           error     // where Outcome is neither Complete nor Streaming
 
 	turn       bool
-	identified bool // Answer carries the request's X-Attempt-Id
-	unframed   bool // the body of Answer ends with its connection
+	identified bool // Response carries the request's X-Attempt-Id
+	unframed   bool // the body of Response ends with its connection
 	connection connectionState
 }
 
-// connectionState is how a call left its connection. It stands from the end of the call on.
+// connectionState is how a call left its connection. It is set at the end of the call.
 type connectionState struct {
 	partlyWritten    bool // some bytes of the request were written and others were not
-	surplusResponses int  // whole answers read, less requests begun
-	unreadBytes      bool // bytes are buffered that belong to no answer
+	surplusResponses int  // complete responses read, less requests begun
+	unreadBytes      bool // bytes are buffered that belong to no response
 	cancelStarted    bool // the cancellation may still set the deadline
 }
 
-// Observation is what Classify takes. Begun says that a part of the answer has gone to the client.
+// Observation returns what Classify goes by. replyStarted says that a part of the response was sent to the client.
 func (result *Result) Observation(replyStarted bool) Observation {
 	state := &result.connection
 	o := Observation{Outcome: result.Outcome, Written: result.Written, ReplyStarted: replyStarted, Turn: result.turn, Identified: result.identified, Unframed: result.unframed,
@@ -44,38 +44,38 @@
 	if result.Stream != nil {
 		o.Outcome = result.Stream.Outcome()
 	}
-	if a := result.Response; a != nil {
-		o.Status, o.Signed, o.NotExecuted, o.CloseAnnounced = a.Status, a.Signature != "", a.NotExecuted, a.closesConnection
+	if response := result.Response; response != nil {
+		o.Status, o.Signed, o.NotExecuted, o.CloseAnnounced = response.Status, response.Signature != "", response.NotExecuted, response.closesConnection
 	}
 	return o
 }
 
-// Disposition is what follows from how it went.
+// Disposition returns what follows from the outcome.
 func (result *Result) Disposition(replyStarted bool) Disposition {
 	return Classify(result.Observation(replyStarted))
 }
 
-// Call sends a request once. timeout counts from now, connecting included; a Stream takes it over until it is given
-// another. ctx ends the call early, and with it its connection.
-func (pool *Pool) Call(ctx context.Context, t Target, q *Request, timeout time.Duration) *Result {
+// Call sends a request once. timeout counts from now, connecting included, and holds for a Stream until that is given another
+// deadline. The end of ctx ends the call early, and its connection with it.
+func (pool *Pool) Call(ctx context.Context, target Target, request *Request, timeout time.Duration) *Result {
 	now := time.Now()
-	until := now.Add(timeout)
-	r := &Result{turn: q.Turn}
+	deadline := now.Add(timeout)
+	result := &Result{turn: request.Turn}
 	switch {
 	case ctx.Err() != nil:
-		return r.end(outcomeOf(ctx, ctx.Err()), ctx.Err())
-	case timeout <= 0 || !q.Deadline.IsZero() && !now.Before(q.Deadline):
-		return r.end(TimedOut, errDeadlinePassed)
-	case !q.valid(t):
-		return r.end(NotSent, errInvalidRequest)
+		return result.end(outcomeOf(ctx, ctx.Err()), ctx.Err())
+	case timeout <= 0 || !request.Deadline.IsZero() && !now.Before(request.Deadline):
+		return result.end(TimedOut, errDeadlinePassed)
+	case !request.valid(target):
+		return result.end(NotSent, errInvalidRequest)
 	}
-	c, opened, end, err := pool.acquire(ctx, t, q.AttemptID, until)
-	r.NewConnection = opened
+	c, opened, end, err := pool.acquire(ctx, target, request.AttemptID, deadline)
+	result.NewConnection = opened
 	if end != Complete {
-		return r.end(end, err)
+		return result.end(end, err)
 	}
-	exchange := &exchange{pool: pool, conn: c, ctx: ctx, result: r}
-	return exchange.send(t, q, until)
+	exchange := &exchange{pool: pool, conn: c, ctx: ctx, result: result}
+	return exchange.send(target, request, deadline)
 }
 
 // end ends a call.
@@ -84,7 +84,7 @@
 	return result
 }
 
-// outcomeOf tells why reading or writing ended.
+// outcomeOf returns the outcome of a call whose reading or writing failed.
 func outcomeOf(ctx context.Context, err error) Outcome {
 	switch {
 	case errors.Is(err, errMalformed), errors.Is(err, errBodyTooLarge):
--- a/internal/tier/upstream/exchange.go
+++ b/internal/tier/upstream/exchange.go
@@ -5,105 +5,105 @@
 	"time"
 )
 
-// exchange is a call that has its connection.
+// exchange is a call that has a connection.
 type exchange struct {
 	pool       *Pool
-	conn       *conn       // nil once it has been given back or closed
-	stopCancel func() bool // keeps the cancellation from touching conn; false: it may have begun to. Nil: there is none
+	conn       *conn       // nil once it has been returned to the pool or closed
+	stopCancel func() bool // keeps the cancellation from touching conn; false: it may have begun to. Nil: the call can't be cancelled
 	ctx        context.Context
 	result     *Result
 }
 
-// send writes the request, as one write where that can be, and reads the answer. until is the end of the call's time.
-func (exchange *exchange) send(t Target, q *Request, until time.Time) *Result {
-	c, r, ctx := exchange.conn, exchange.result, exchange.ctx
+// send writes the request, as one write where that is possible, and reads the response.
+func (exchange *exchange) send(target Target, request *Request, deadline time.Time) *Result {
+	c, result, ctx := exchange.conn, exchange.result, exchange.ctx
 	size := 0
-	for _, part := range q.Body {
+	for _, part := range request.Body {
 		size += len(part)
 	}
 	now := time.Now()
-	if !q.Deadline.IsZero() && !now.Before(q.Deadline) || !now.Before(until) {
+	if !request.Deadline.IsZero() && !now.Before(request.Deadline) || !now.Before(deadline) {
 		return exchange.end(TimedOut, errDeadlinePassed)
 	}
-	out := q.appendHead(c.scratch[:0], t, size, now)
-	if err := c.SetDeadline(until); err != nil {
+	out := request.appendHead(c.scratch[:0], target, size, now)
+	if err := c.SetDeadline(deadline); err != nil {
 		return exchange.end(ConnectFailed, err)
 	}
 	if ctx.Done() != nil {
 		exchange.stopCancel = context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	}
-	if q.Permit != nil && !q.Permit() {
+	if request.Permit != nil && !request.Permit() {
 		return exchange.end(NotSent, errNotPermitted)
 	}
-	n, out, err := write(c.TCPConn, out, q.Body, size)
+	n, out, err := write(c.TCPConn, out, request.Body, size)
 	if cap(out) <= maxScratchBytes {
 		c.scratch = out
 	}
 	if n > 0 {
-		r.Written = true
-		c.recordRequest(q.AttemptID)
+		result.Written = true
+		c.recordRequest(request.AttemptID)
 	}
 	if err != nil {
-		r.connection.partlyWritten = n > 0
+		result.connection.partlyWritten = n > 0
 		end := outcomeOf(ctx, err)
 		if n > 0 && end == Broken {
-			return exchange.earlyResponse(q)
+			return exchange.earlyResponse(request)
 		}
 		return exchange.end(end, err)
 	}
-	return exchange.readResponse(q)
+	return exchange.readResponse(request)
 }
 
 // end ends the call and its use of the connection.
 func (exchange *exchange) end(end Outcome, err error) *Result {
-	r := exchange.result.end(end, err)
+	result := exchange.result.end(end, err)
 	exchange.finish()
-	return r
+	return result
 }
 
-// finish gives the connection back or closes it, as the table of outcomes says. The result's end is set before.
+// finish returns the connection to the pool or closes it, as Classify says. The result's outcome is set before.
 func (exchange *exchange) finish() {
-	c, r := exchange.conn, exchange.result
+	c, result := exchange.conn, exchange.result
 	if c == nil {
 		return
 	}
 	exchange.conn = nil
-	state := &r.connection
+	state := &result.connection
 	state.cancelStarted = exchange.stopCancel != nil && !exchange.stopCancel()
 	state.unreadBytes = c.reader.Buffered() > 0
 	state.surplusResponses = c.responses - c.requests
 	switch {
-	case r.Disposition(false).Reuse == CloseConnection:
+	case result.Disposition(false).Reuse == CloseConnection:
 		exchange.pool.closeConn(c)
-	case r.Written:
-		exchange.pool.putUsed(c, r.Response.keepAlive)
+	case result.Written:
+		exchange.pool.putUsed(c, result.Response.keepAlive)
 	default:
 		exchange.pool.putUnused(c)
 	}
 }
 
-// readResponse reads the answer to q into the result.
-func (exchange *exchange) readResponse(q *Request) *Result {
-	r := exchange.result
-	a, err := exchange.readResponseHead(q)
+// readResponse reads the response into the result.
+func (exchange *exchange) readResponse(request *Request) *Result {
+	result := exchange.result
+	response, err := exchange.readResponseHead(request)
 	if err != nil {
 		return exchange.end(outcomeOf(exchange.ctx, err), err)
 	}
-	r.Response, r.identified = a, true
-	success := a.Status/100 == 2
-	if a.encoded || success && (a.NotExecuted || a.Signature == "" && !q.AllowUnsigned) {
+	result.Response, result.identified = response, true
+	success := response.Status/100 == 2
+	if response.encoded || success && (response.NotExecuted || response.Signature == "" && !request.AllowUnsigned) {
 		return exchange.end(Malformed, errMalformed)
 	}
-	b := newBody(exchange.conn.reader, a, q.Method)
-	r.unframed = b.framing == byClose
+	b := newBody(exchange.conn.reader, response, request.Method)
+	result.unframed = b.framing == byClose
 	large := b.framing == byLength && b.remaining > int64(exchange.pool.config.MaxBufferedBody)
-	if success && !r.connection.partlyWritten && (a.IsEventStream || q.ForceStream || large) {
-		r.Outcome = Streaming
-		r.Stream = &Stream{exchange: exchange, body: b, response: a, splitEvents: a.IsEventStream, outcome: Streaming}
-		r.Stream.events.lastID = q.LastEventID
-		return r
+	if success && !result.connection.partlyWritten && (response.IsEventStream || request.ForceStream || large) {
+		result.Outcome = Streaming
+		result.Stream = &Stream{exchange: exchange, body: b, response: response, splitEvents: response.IsEventStream, outcome: Streaming}
+		result.Stream.events.lastID = request.LastEventID
+		return result
 	}
-	if r.unframed && (!a.explicitClose || r.connection.partlyWritten) { // its end would be any end
+	if result.unframed && (!response.explicitClose || result.connection.partlyWritten) { // its complete end would look like any other end
 		return exchange.end(Malformed, errMalformed)
 	}
 	body, err := b.readAll(exchange.pool.config.MaxBufferedBody)
@@ -111,32 +111,32 @@
 		return exchange.end(outcomeOf(exchange.ctx, err), err)
 	}
 	exchange.conn.responses++
-	r.Body = body
+	result.Body = body
 	return exchange.end(Complete, nil)
 }
 
-// readResponseHead reads up to the head of the answer to q: over interim answers, and over late ones to former requests, after
-// which the connection is of no further use.
-func (exchange *exchange) readResponseHead(q *Request) (*Response, error) {
+// readResponseHead reads the head of the response to the request. It skips interim responses, and late ones to former requests,
+// after which the connection is not used again.
+func (exchange *exchange) readResponseHead(request *Request) (*Response, error) {
 	c := exchange.conn
-	for interim, foreign := 0, 0; ; {
-		var a *Response
+	for interim, stale := 0, 0; ; {
+		var response *Response
 		var err error
-		if a, c.scratch, err = readHead(c.reader, c.scratch); err != nil {
+		if response, c.scratch, err = readHead(c.reader, c.scratch); err != nil {
 			return nil, unexpected(err)
 		}
 		switch {
-		case a.Status == 101:
+		case response.Status == 101:
 			return nil, errMalformed
-		case a.Status < 200:
+		case response.Status < 200:
 			if interim++; interim > maxInterimResponses {
 				return nil, errMalformed
 			}
-		case a.AttemptID == q.AttemptID:
-			return a, nil
+		case response.AttemptID == request.AttemptID:
+			return response, nil
 		default:
-			b := newBody(c.reader, a, "")
-			if foreign++; foreign > maxStaleResponses || a.AttemptID == "" || a.closesConnection || b.framing == byClose {
+			b := newBody(c.reader, response, "")
+			if stale++; stale > maxStaleResponses || response.AttemptID == "" || response.closesConnection || b.framing == byClose {
 				return nil, errMalformed
 			}
 			if err := b.discard(exchange.pool.config.MaxBufferedBody); err != nil {
@@ -147,16 +147,16 @@
 	}
 }
 
-// earlyResponse looks for an answer that came while the request was being written: an endpoint that rejects it need not read it.
-// A success is not believed there, as the endpoint has not had the whole request.
-func (exchange *exchange) earlyResponse(q *Request) *Result {
+// earlyResponse looks for a response that was sent while the request was being written: an endpoint that rejects a request need not
+// read it. A success is not believed there, as the endpoint has not received the complete request.
+func (exchange *exchange) earlyResponse(request *Request) *Result {
 	if err := exchange.conn.SetReadDeadline(time.Now().Add(earlyResponseWait)); err != nil {
 		return exchange.end(Broken, err)
 	}
-	r := exchange.readResponse(q)
-	if r.Outcome != Complete || r.Response.Status/100 == 2 {
-		r.Response, r.Body = nil, nil
-		return r.end(Broken, errConnectionEnded)
+	result := exchange.readResponse(request)
+	if result.Outcome != Complete || result.Response.Status/100 == 2 {
+		result.Response, result.Body = nil, nil
+		return result.end(Broken, errConnectionEnded)
 	}
-	return r
+	return result
 }
--- a/internal/tier/upstream/helpers_test.go
+++ b/internal/tier/upstream/helpers_test.go
@@ -16,7 +16,7 @@
 	"saffronyard.example/saffronyard/internal/calls"
 )
 
-// serverConn is one connection of a stand-in endpoint.
+// serverConn is one connection of a test endpoint.
 type serverConn struct {
 	*net.TCPConn
 	t *testing.T
--- a/internal/tier/upstream/idle_connections.go
+++ b/internal/tier/upstream/idle_connections.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// putUsed keeps a connection that has carried a whole answer and nothing more. alive is how long the endpoint said that it
-// keeps it, 0 if it didn't.
+// putUsed returns a connection to the pool that has carried a complete response and nothing more. alive is the idle time that the
+// endpoint announced; 0: none.
 func (pool *Pool) putUsed(c *conn, alive time.Duration) {
 	c.idleSince = time.Now()
 	c.expiresAt = c.idleSince.Add(cmp.Or(alive, pool.config.IdleTimeout) * 4 / 5)
 	pool.makeIdle(c)
 }
 
-// putUnused gives back a connection on which nothing was written: its time goes on.
+// putUnused returns a connection on which nothing was written: its idle time goes on.
 func (pool *Pool) putUnused(c *conn) {
 	if c.expiresAt.IsZero() { // it is new
 		pool.putUsed(c, 0)
@@ -24,12 +24,12 @@
 	pool.makeIdle(c)
 }
 
-// makeIdle makes a connection idle, or closes it where its time is over or the pool is closed.
+// makeIdle makes a connection idle, or closes it where its idle time is over or the pool is closed.
 func (pool *Pool) makeIdle(c *conn) {
 	pool.releaseReader(c)
 	pool.mu.Lock()
-	if learnt := c.idleSince.Add(c.host.learnedIdleTime); c.host.learnedIdleTime > 0 && learnt.Before(c.expiresAt) {
-		c.expiresAt = learnt
+	if learned := c.idleSince.Add(c.host.learnedIdleTime); c.host.learnedIdleTime > 0 && learned.Before(c.expiresAt) {
+		c.expiresAt = learned
 	}
 	left := time.Until(c.expiresAt)
 	if pool.closed || left <= 0 {
@@ -43,13 +43,13 @@
 	pool.scheduleSweep(left)
 }
 
-// attachReader gives a connection that goes into use a reader.
+// attachReader gives a reader to a connection that is taken into use.
 func (pool *Pool) attachReader(c *conn) {
 	c.reader = pool.readers.Get().(*bufio.Reader)
 	c.reader.Reset(c.TCPConn)
 }
 
-// releaseReader gives the reader back.
+// releaseReader returns the reader of a connection to its pool.
 func (pool *Pool) releaseReader(c *conn) {
 	if c.reader != nil {
 		c.reader.Reset(nil)
@@ -58,7 +58,7 @@
 	}
 }
 
-// closeConn closes a connection that isn't idle.
+// closeConn closes a connection that is in use.
 func (pool *Pool) closeConn(c *conn) {
 	pool.releaseReader(c)
 	pool.mu.Lock()
@@ -68,7 +68,7 @@
 	c.Close()
 }
 
-// closeStale drops an idle connection, taken out already, that the endpoint ended first, and learns from that.
+// closeStale closes a connection, taken from the idle ones, that the endpoint has closed first, and learns its idle time from that.
 func (pool *Pool) closeStale(c *conn) {
 	pool.mu.Lock()
 	pool.counts.Stale++
@@ -80,7 +80,7 @@
 	pool.closeConn(c)
 }
 
-// longestIdle is the idle connection that was used longest ago. Under mu.
+// longestIdle returns the idle connection that was used longest ago, or nil. The caller holds mu.
 func (pool *Pool) longestIdle() *conn {
 	var found *conn
 	for _, h := range pool.hosts {
@@ -91,7 +91,7 @@
 	return found
 }
 
-// removeIdle takes an idle connection, which is to be closed, off the books. Under mu.
+// removeIdle removes an idle connection, which the caller closes later. The caller holds mu.
 func (pool *Pool) removeIdle(c *conn) {
 	c.host.idle = slices.DeleteFunc(c.host.idle, func(other *conn) bool { return other == c })
 	c.host.openCount--
@@ -99,22 +99,22 @@
 	pool.counts.Idle--
 }
 
-// takeExpired takes out what has been idle for its time. Under mu; the caller closes it.
-func (pool *Pool) takeExpired(h *host, now time.Time, old []*conn) []*conn {
+// takeExpired removes the connections whose idle time is over and adds them to closing. The caller holds mu, and closes them later.
+func (pool *Pool) takeExpired(h *host, now time.Time, closing []*conn) []*conn {
 	h.idle = slices.DeleteFunc(h.idle, func(c *conn) bool {
-		over := !now.Before(c.expiresAt)
-		if over {
+		expired := !now.Before(c.expiresAt)
+		if expired {
 			h.openCount--
 			pool.counts.Open--
 			pool.counts.Idle--
-			old = append(old, c)
+			closing = append(closing, c)
 		}
-		return over
+		return expired
 	})
-	return old
+	return closing
 }
 
-// scheduleSweep sees to it that the sweep runs, at the latest at its next time. Under mu.
+// scheduleSweep has Sweep run after a time, unless it is scheduled already. The caller holds mu.
 func (pool *Pool) scheduleSweep(after time.Duration) {
 	if pool.sweepScheduled || pool.closed {
 		return
@@ -128,14 +128,14 @@
 	pool.sweepTimer.Reset(after)
 }
 
-// Sweep closes the connections that have been idle for their time. It runs by itself.
+// Sweep closes the connections whose idle time is over, and forgets endpoints without connections. The pool runs it by itself.
 func (pool *Pool) Sweep() {
 	pool.mu.Lock()
-	var old []*conn
+	var closing []*conn
 	now := time.Now()
 	next := time.Duration(-1)
 	for k, h := range pool.hosts {
-		old = pool.takeExpired(h, now, old)
+		closing = pool.takeExpired(h, now, closing)
 		if h.openCount == 0 && now.Sub(h.lastUsedAt) > hostRetention {
 			delete(pool.hosts, k)
 			continue
@@ -153,17 +153,17 @@
 		pool.scheduleSweep(next)
 	}
 	pool.mu.Unlock()
-	closeAll(old)
+	closeAll(closing)
 }
 
-// Forget closes the idle connections to an endpoint that has ended or is draining.
+// Forget closes the idle connections to an endpoint that is gone or draining.
 func (pool *Pool) Forget(address, instance string) {
 	pool.mu.Lock()
 	k := hostKey{address, instance}
-	var old []*conn
+	var closing []*conn
 	if h := pool.hosts[k]; h != nil {
-		old = slices.Clone(h.idle)
-		for _, c := range old {
+		closing = slices.Clone(h.idle)
+		for _, c := range closing {
 			pool.removeIdle(c)
 		}
 		if h.openCount == 0 {
@@ -171,31 +171,31 @@
 		}
 	}
 	pool.mu.Unlock()
-	closeAll(old)
+	closeAll(closing)
 }
 
-// Close closes all idle connections; those in use are closed when their calls end.
+// Close closes all idle connections; those in use are closed when their calls end. It stops the timer of Sweep.
 func (pool *Pool) Close() {
 	pool.mu.Lock()
 	pool.closed = true
-	var old []*conn
+	var closing []*conn
 	for _, h := range pool.hosts {
-		old = append(old, h.idle...)
+		closing = append(closing, h.idle...)
 		h.openCount -= len(h.idle)
 		h.idle = nil
 	}
-	pool.counts.Open -= len(old)
+	pool.counts.Open -= len(closing)
 	pool.counts.Idle = 0
 	if pool.sweepTimer != nil {
 		pool.sweepTimer.Stop()
 	}
 	pool.mu.Unlock()
-	closeAll(old)
+	closeAll(closing)
 }
 
-// closeAll closes connections that are off the books.
-func closeAll(old []*conn) {
-	for _, c := range old {
+// closeAll closes connections that the pool no longer counts.
+func closeAll(conns []*conn) {
+	for _, c := range conns {
 		c.Close()
 	}
 }
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -1,5 +1,3 @@
-// Package upstream holds the connections to endpoints and makes calls on them. One call is one write, never repeated
-// by itself, and whether a byte of it may have left is known: http.Transport tells neither.
 package upstream
 
 import (
@@ -16,32 +14,33 @@
 )
 
 const (
-	readerSize         = 4 << 10                // bytes read at once, and of a line of a head at most
-	minSweepInterval   = 250 * time.Millisecond // idle connections are looked through no more often
-	minLearnedIdleTime = 50 * time.Millisecond  // no idle span is learnt below it
-	// A late second answer comes in place of the one due next; the same attempt stays off the connection for longer.
+	readerSize         = 4 << 10                // bytes read at once, and most bytes of a line of a head
+	minSweepInterval   = 250 * time.Millisecond // idle connections are searched for expired ones no more often
+	minLearnedIdleTime = 50 * time.Millisecond  // lower bound of host.learnedIdleTime
+	// An attempt is kept off a connection that one of the last so many requests was an earlier send of: a late second response to
+	// that one would be taken for the response to this one.
 	recentAttemptCount   = 4
-	hostRetention        = time.Minute // what was learnt of an endpoint without connections
+	hostRetention        = time.Minute // how long an endpoint without connections is remembered
 	tcpUserTimeoutOption = 18          // TCP_USER_TIMEOUT, which package syscall lacks
 )
 
-// Config is what a pool is given; zero fields take the values named.
+// Config configures a pool. Zero fields take the defaults named.
 type Config struct {
-	ConnectTimeout  time.Duration // of one connection; 400 ms
-	IdleTimeout     time.Duration // after which endpoints close an idle connection unless they announce another; 4 s
-	TCPUserTimeout  time.Duration // unacknowledged bytes break a connection after it; 5 s
-	MaxConnections  int           // in all, idle ones included; 0: no bound
-	MaxBufferedBody int           // bytes of an answer that are held whole; 1 MB
+	ConnectTimeout  time.Duration // for one connection to be established; default 400 ms
+	IdleTimeout     time.Duration // after which endpoints close an idle connection unless they announce another by Keep-Alive; default 4 s
+	TCPUserTimeout  time.Duration // after which unacknowledged bytes break a connection (TCP_USER_TIMEOUT); default 5 s
+	MaxConnections  int           // to all endpoints, idle ones included; 0: unlimited
+	MaxBufferedBody int           // bytes of a response that are buffered; a larger one is a Stream, or too large; default 1 MB
 }
 
-// Target is an endpoint as a call is made to it.
+// Target is the endpoint of a call.
 type Target struct {
 	Address        string // host:port
 	Instance       string // its instance_id
-	MaxConnections int    // the most that this pool may have to it; 0: no bound
+	MaxConnections int    // of this pool to it; 0: unlimited
 }
 
-// hostKey tells endpoints apart: another instance at the same address is another endpoint.
+// hostKey identifies an endpoint: another instance at the same address is another endpoint.
 type hostKey struct{ address, instance string }
 
 // Pool holds the connections of one process to all endpoints. Its methods may be called from any goroutine.
@@ -53,72 +52,72 @@
 	mu             sync.Mutex
 	hosts          map[hostKey]*host
 	counts         Counts
-	sweepTimer     *time.Timer // runs while a connection is idle or something learnt is kept
+	sweepTimer     *time.Timer // runs while a connection is idle or a host is remembered
 	sweepScheduled bool
 	closed         bool
 }
 
-// host is what the pool knows of an endpoint.
+// host is the state of the pool for one endpoint, guarded by its mutex.
 type host struct {
-	idle            []*conn       // the one used last at the end
-	openCount       int           // idle, in use or coming up
-	learnedIdleTime time.Duration // connections idle for longer were found ended; 0: none was
-	lastUsedAt      time.Time     // when a connection was last asked for
+	idle            []*conn       // in order of their last use, the latest at the end
+	openCount       int           // idle, in use or being dialed
+	learnedIdleTime time.Duration // connections idle for longer were found closed; 0: none was
+	lastUsedAt      time.Time     // when a connection was last requested
 }
 
-// Counts are of a pool's life, but for Open and Idle, which are as they stand.
+// Counts counts the connections of a pool: Open and Idle now, the others since it was made.
 type Counts struct {
 	Open, Idle int
-	Opened     uint64 // connections that came up
-	Failed     uint64 // that didn't
+	Opened     uint64 // connections that were established
+	Failed     uint64 // connections that could not be established
 	Reused     uint64 // calls on a connection that had carried one before
-	Stale      uint64 // idle connections that the endpoint had ended, or sent bytes on
+	Stale      uint64 // idle connections that the endpoint had closed, or sent bytes on
 }
 
-// NewPool makes a pool without connections.
-func NewPool(c Config) *Pool {
-	c.ConnectTimeout = cmp.Or(c.ConnectTimeout, 400*time.Millisecond)
-	c.IdleTimeout = cmp.Or(c.IdleTimeout, 4*time.Second)
-	c.TCPUserTimeout = cmp.Or(c.TCPUserTimeout, 5*time.Second)
-	c.MaxBufferedBody = cmp.Or(c.MaxBufferedBody, 1<<20)
-	p := &Pool{config: c, hosts: map[hostKey]*host{}}
+// NewPool returns a pool without connections. Close ends it.
+func NewPool(config Config) *Pool {
+	config.ConnectTimeout = cmp.Or(config.ConnectTimeout, 400*time.Millisecond)
+	config.IdleTimeout = cmp.Or(config.IdleTimeout, 4*time.Second)
+	config.TCPUserTimeout = cmp.Or(config.TCPUserTimeout, 5*time.Second)
+	config.MaxBufferedBody = cmp.Or(config.MaxBufferedBody, 1<<20)
+	p := &Pool{config: config, hosts: map[hostKey]*host{}}
 	p.readers.New = func() any { return bufio.NewReaderSize(nil, readerSize) }
 	p.dialer = net.Dialer{KeepAlive: -1, FallbackDelay: -1, Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { // where it isn't known, deadlines alone must do
-			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(c.TCPUserTimeout.Milliseconds()))
+		return raw.Control(func(fd uintptr) { // where the option isn't known, deadlines alone must do
+			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(config.TCPUserTimeout.Milliseconds()))
 		})
 	}}
 	return p
 }
 
-// Counts tells how the pool stands.
+// Counts returns the counts of the pool.
 func (pool *Pool) Counts() Counts {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return pool.counts
 }
 
-// Open is how many connections to an endpoint are open or coming up, and how many of them are idle.
-func (pool *Pool) Open(t Target) (open, idle int) {
+// Open returns how many connections to an endpoint are open or being dialed, and how many of them are idle.
+func (pool *Pool) Open(target Target) (open, idle int) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if h := pool.hosts[hostKey{t.Address, t.Instance}]; h != nil {
+	if h := pool.hosts[hostKey{target.Address, target.Instance}]; h != nil {
 		return h.openCount, len(h.idle)
 	}
 	return 0, 0
 }
 
-// acquire takes the idle connection used last or opens one. An attempt never goes where a recent send of it went: a second answer
-// to that one would be taken for the answer to this one. Any end but Whole says why there is none.
-func (pool *Pool) acquire(ctx context.Context, t Target, attempt string, until time.Time) (c *conn, opened bool, end Outcome, err error) {
-	k := hostKey{t.Address, t.Instance}
+// acquire returns the idle connection used last, or a new one. An attempt never goes where a recent send of it went: a second
+// response to that one would be taken for the response to this one. Any outcome but Complete says why there is no connection.
+func (pool *Pool) acquire(ctx context.Context, target Target, attempt string, deadline time.Time) (c *conn, isNew bool, end Outcome, err error) {
+	k := hostKey{target.Address, target.Instance}
 	for {
-		c, end := pool.takeIdle(k, t.MaxConnections, attempt)
+		c, end := pool.takeIdle(k, target.MaxConnections, attempt)
 		switch {
 		case end != Complete:
 			return nil, false, end, errConnectionLimit
 		case c == nil:
-			c, end, err := pool.dial(ctx, k, until)
+			c, end, err := pool.dial(ctx, k, deadline)
 			return c, end == Complete, end, err
 		case calls.Quiet(c.TCPConn):
 			pool.mu.Lock()
@@ -131,10 +130,10 @@
 	}
 }
 
-// takeIdle takes an idle connection out, or notes that one is coming up (nil, Whole).
+// takeIdle takes an idle connection from the pool, or counts one that the caller is to dial (nil, Complete).
 func (pool *Pool) takeIdle(k hostKey, limit int, attempt string) (*conn, Outcome) {
-	var old []*conn
-	defer func() { closeAll(old) }()
+	var closing []*conn
+	defer func() { closeAll(closing) }()
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now, hash := time.Now(), attemptHash(attempt)
@@ -145,7 +144,7 @@
 		pool.scheduleSweep(hostRetention)
 	}
 	h.lastUsedAt = now
-	old = pool.takeExpired(h, now, old)
+	closing = pool.takeExpired(h, now, closing)
 	for i := len(h.idle) - 1; i >= 0; i-- {
 		if c := h.idle[i]; attempt == "" || !slices.Contains(c.recentAttempts[:], hash) {
 			h.idle = slices.Delete(h.idle, i, i+1)
@@ -154,7 +153,7 @@
 		}
 	}
 	var room bool
-	if old, room = pool.evictIdle(h, limit, old); !room {
+	if closing, room = pool.evictIdle(h, limit, closing); !room {
 		return nil, NoConnection
 	}
 	h.openCount++
@@ -162,30 +161,30 @@
 	return nil, Complete
 }
 
-// evictIdle takes idle connections out for one that is to come up, where the bound of the endpoint or of the pool is
-// reached, and adds them to old. room is false where there is none to take. Under mu; the caller closes them.
-func (pool *Pool) evictIdle(h *host, limit int, old []*conn) (_ []*conn, room bool) {
+// evictIdle removes idle connections in favour of one that is to be dialed, where the limit of the endpoint or of the pool is
+// reached, and adds them to closing. ok is false where there is none to remove. The caller holds mu, and closes them later.
+func (pool *Pool) evictIdle(h *host, limit int, closing []*conn) (_ []*conn, ok bool) {
 	if limit > 0 && h.openCount >= limit {
 		if len(h.idle) == 0 {
-			return old, false
+			return closing, false
 		}
-		old = append(old, h.idle[0])
+		closing = append(closing, h.idle[0])
 		pool.removeIdle(h.idle[0])
 	}
 	if pool.config.MaxConnections > 0 && pool.counts.Open >= pool.config.MaxConnections {
 		c := pool.longestIdle()
 		if c == nil {
-			return old, false
+			return closing, false
 		}
 		pool.removeIdle(c)
-		old = append(old, c)
+		closing = append(closing, c)
 	}
-	return old, true
+	return closing, true
 }
 
-// dial opens a connection that take has noted. Any end but Whole says why there is none.
-func (pool *Pool) dial(ctx context.Context, k hostKey, until time.Time) (*conn, Outcome, error) {
-	within := min(pool.config.ConnectTimeout, time.Until(until))
+// dial opens a connection that takeIdle has counted. Any outcome but Complete says why there is none.
+func (pool *Pool) dial(ctx context.Context, k hostKey, deadline time.Time) (*conn, Outcome, error) {
+	within := min(pool.config.ConnectTimeout, time.Until(deadline))
 	dctx, cancel := context.WithTimeout(ctx, within)
 	nc, err := pool.dialer.DialContext(dctx, "tcp", k.address)
 	cancel()
@@ -199,7 +198,7 @@
 		switch {
 		case ctx.Err() != nil:
 			return nil, outcomeOf(ctx, err), err
-		case !time.Now().Before(until):
+		case !time.Now().Before(deadline):
 			return nil, TimedOut, err
 		}
 		return nil, ConnectFailed, err
@@ -207,7 +206,7 @@
 	pool.counts.Opened++
 	pool.mu.Unlock()
 	c := &conn{TCPConn: nc.(*net.TCPConn), key: k, host: h}
-	// An endpoint with no room for it ends it at once: that is better known before a byte is written than after.
+	// An endpoint without capacity closes it at once: that is better known before a byte is written than after.
 	if !calls.Quiet(c.TCPConn) {
 		pool.closeConn(c)
 		return nil, ConnectFailed, errConnectionEnded
--- a/internal/tier/upstream/request.go
+++ b/internal/tier/upstream/request.go
@@ -1,7 +1,6 @@
 package upstream
 
 import (
-	"errors"
 	"net"
 	"strconv"
 	"strings"
@@ -10,28 +9,26 @@
 	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
-// Request is a request as the client sent it.
+// Request is a request as the client sent it, with what the gateway adds.
 type Request struct {
 	Method        string
-	Target        string // path and query, byte by byte as they came
+	Target        string // path and query, exactly as received
 	Host          string
-	Header        http1.Header // as they came, without those that concern one connection
-	AttemptID     string       // X-Attempt-Id; empty if there was none
+	Header        http1.Header // in the order received, without hop-by-hop fields
+	AttemptID     string       // X-Attempt-Id; empty: there was none
 	Body          [][]byte
-	Deadline      time.Time // what is left until then goes out as X-Deadline-Ms; zero: none
-	Priority      int       // 0 to 9; below 0: the client's own stays
-	ForceStream   bool      // a success is given piece by piece, whatever its type
-	LastEventID   string    // the id above which the ids of events must rise; empty: any
+	Deadline      time.Time // the time until then is sent as X-Deadline-Ms; zero: none
+	Priority      int       // 0 to 9; below 0: the client's own field is forwarded
+	ForceStream   bool      // a success is a Stream, whatever its type
+	LastEventID   string    // the id above which the ids of events must increase; empty: any
 	Turn          bool      // the request is a turn of a program
 	AllowUnsigned bool      // a success needs no X-Response-Signature: health checks and reports
 
-	// Permit is asked at the last moment before the first byte is written; false: the call ends as NotSent. Nil: written.
+	// Permit is called just before the first byte is written; false: the call ends as NotSent. Nil: always permitted.
 	Permit func() bool
 }
 
-const maxCopiedBody = 32 << 10 // bytes of a body that are copied so that one plain write does
-
-var errInvalidRequest = errors.New("a request that can't be written as it is")
+const maxCopiedBody = 32 << 10 // bytes of a body that are copied behind the head, so that one plain write does
 
 // rewritten reports whether the field is written here rather than as the client sent it, or concerns one connection only.
 func (request *Request) rewritten(name string) bool {
@@ -52,9 +49,9 @@
 	return http1.IsHopByHop(name)
 }
 
-// valid reports whether nothing in the request could be read as the end of a line.
-func (request *Request) valid(t Target) bool {
-	if !http1.IsToken(request.Method) || request.Target == "" || !http1.IsFieldValue(request.Host) || !http1.IsFieldValue(request.AttemptID) || !http1.IsFieldValue(t.Instance) {
+// valid reports whether no part of the request could be read as the end of a line (request smuggling).
+func (request *Request) valid(target Target) bool {
+	if !http1.IsToken(request.Method) || request.Target == "" || !http1.IsFieldValue(request.Host) || !http1.IsFieldValue(request.AttemptID) || !http1.IsFieldValue(target.Instance) {
 		return false
 	}
 	for i := range len(request.Target) {
@@ -70,8 +67,8 @@
 	return true
 }
 
-// appendHead renders the head. size is that of the body.
-func (request *Request) appendHead(b []byte, t Target, size int, now time.Time) []byte {
+// appendHead appends the head. size is that of the body in bytes.
+func (request *Request) appendHead(b []byte, target Target, size int, now time.Time) []byte {
 	b = append(append(append(append(b, request.Method...), ' '), request.Target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, request.Host...), "\r\n"...)
 	for _, f := range request.Header {
@@ -86,8 +83,8 @@
 		b = strconv.AppendInt(append(b, "X-Deadline-Ms: "...), max(1, request.Deadline.Sub(now).Milliseconds()), 10)
 		b = append(b, "\r\n"...)
 	}
-	if t.Instance != "" {
-		b = http1.AppendField(b, "X-Target-Instance", t.Instance)
+	if target.Instance != "" {
+		b = http1.AppendField(b, "X-Target-Instance", target.Instance)
 	}
 	if request.Priority >= 0 {
 		b = strconv.AppendInt(append(b, "Priority: "...), int64(request.Priority), 10)
@@ -100,7 +97,7 @@
 	return append(b, "\r\n"...)
 }
 
-// write sends a request and tells how many bytes of it the system took, and where head is now.
+// write writes a request and returns how many of its bytes the system took, and the buffer of the head, which may have grown.
 func write(c net.Conn, head []byte, body [][]byte, size int) (int64, []byte, error) {
 	if size <= maxCopiedBody {
 		for _, part := range body {
--- a/internal/tier/upstream/response.go
+++ b/internal/tier/upstream/response.go
@@ -14,29 +14,24 @@
 const (
 	maxHeadBytes        = 16 << 10 // bytes of a head
 	maxHeadFields       = 100      // lines of a head
-	maxInterimResponses = 4        // 1xx ahead of an answer
-	maxStaleResponses   = 3        // answers to former requests that are read over
-	maxContentLength    = 1 << 40  // bytes that a body may claim
-)
-
-var (
-	errConnectionLimit = errors.New("as many connections as there may be")
-	errConnectionEnded = errors.New("the endpoint ended the connection")
-	errMalformed       = errors.New("no sound answer to the request")
-	errBodyTooLarge    = errors.New("an answer of unknown length is too long")
-	errDeadlinePassed  = errors.New("no time is left")
-	errNotPermitted    = errors.New("not permitted any longer")
+	maxInterimResponses = 4        // 1xx ahead of a response
+	maxStaleResponses   = 3        // responses to former requests that are skipped
+	maxContentLength    = 1 << 40  // largest Content-Length
 )
 
 // Load is what an endpoint reports in X-Instance-Load.
-type Load struct{ Running, Waiting, Slots int }
+type Load struct {
+	Running int // requests that run
+	Waiting int // requests in its queue
+	Slots   int // requests that may run at once
+}
 
-// Response is the head of an endpoint's answer.
+// Response is the head of an endpoint's response.
 type Response struct {
 	Status        int
 	Reason        string
 	Header        http1.Header // without those that concern one connection and the body's framing
-	Length        int64        // of the body as announced; -1: none was
+	Length        int64        // of the body, as announced; -1: none was
 	AttemptID     string
 	Signature     string // X-Response-Signature
 	NotExecuted   bool   // X-Not-Executed
@@ -44,32 +39,33 @@
 	RetryAfter    time.Duration
 	Load          Load
 	HasLoad       bool   // the endpoint reported Load
-	Versions      string // of the weights, as reported
+	Versions      string // of the model weights, as reported
 
-	closesConnection bool // no further answer comes on the connection
-	explicitClose    bool // Connection: close stands there
+	closesConnection bool // no further response follows on the connection
+	explicitClose    bool // by Connection: close
 	chunked          bool
 	encoded          bool
 	keepAlive        time.Duration
 }
 
-// readHead reads one head, whole. What is no head gives errMalformed, anything else is the connection's.
-func readHead(r *bufio.Reader, scratch []byte) (*Response, []byte, error) {
+// readHead reads one complete head into scratch, which it returns for reuse. errMalformed: what was read is no head; any other
+// error is the connection's.
+func readHead(reader *bufio.Reader, scratch []byte) (*Response, []byte, error) {
 	head := scratch[:0]
-	// What can't become a status line is not waited for: behind noise the connection may stay open and silent.
-	if _, err := r.Peek(1); err != nil {
+	// The rest of what can't become a status line is not awaited: the connection may stay open and send nothing more.
+	if _, err := reader.Peek(1); err != nil {
 		return nil, head, err
 	}
-	if first, _ := r.Peek(r.Buffered()); !mayBeStatusLine(first) {
+	if first, _ := reader.Peek(reader.Buffered()); !mayBeStatusLine(first) {
 		return nil, head, errMalformed
 	}
 	for {
-		line, err := r.ReadSlice('\n')
+		line, err := reader.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
 			return nil, head, errMalformed
 		}
 		if len(head) == 0 && !mayBeStatusLine(line) {
-			return nil, head, errMalformed // whatever the connection does next
+			return nil, head, errMalformed // whatever follows on the connection
 		}
 		if err != nil {
 			return nil, head, err
@@ -82,11 +78,11 @@
 			break
 		}
 	}
-	a, ok := parseHead(string(head))
+	response, ok := parseHead(string(head))
 	if !ok {
 		return nil, head, errMalformed
 	}
-	return a, head, nil
+	return response, head, nil
 }
 
 // mayBeStatusLine reports whether a line may be the beginning of a status line.
@@ -96,7 +92,7 @@
 	return string(line[:n]) == begin[:n]
 }
 
-// parseHead reads lines that end with CRLF, the last of them empty.
+// parseHead parses a head: lines that end with CRLF, the last of them empty.
 func parseHead(head string) (*Response, bool) {
 	line, head, _ := strings.Cut(head, "\r\n")
 	if len(line) < 12 || line[7] != '0' && line[7] != '1' || line[8] != ' ' || len(line) > 12 && line[12] != ' ' || !http1.IsFieldValue(line) {
@@ -106,9 +102,9 @@
 	if !ok || status < 100 {
 		return nil, false
 	}
-	a := &Response{Status: int(status), Length: -1, closesConnection: line[7] == '0', Header: make(http1.Header, 0, 12)}
+	response := &Response{Status: int(status), Length: -1, closesConnection: line[7] == '0', Header: make(http1.Header, 0, 12)}
 	if len(line) > 13 {
-		a.Reason = line[13:]
+		response.Reason = line[13:]
 	}
 	var connection string
 	var seen uint16
@@ -121,20 +117,19 @@
 		if !ok || n == maxHeadFields {
 			return nil, false
 		}
-		pass, ok := a.parseField(field.Name, field.Value, &seen, &connection)
-		if !ok {
+		forward, valid := response.parseField(field.Name, field.Value, &seen, &connection)
+		if !valid {
 			return nil, false
 		}
-		if pass {
-			a.Header = append(a.Header, field)
+		if forward {
+			response.Header = append(response.Header, field)
 		}
 	}
-	a.applyConnection(connection)
-	return a, !(a.chunked && a.Length >= 0)
+	response.applyConnection(connection)
+	return response, !(response.chunked && response.Length >= 0)
 }
 
-// applyConnection goes by the options of Connection: close, and the names of fields that concern this connection only, which
-// are taken out.
+// applyConnection applies the options of Connection: close, and the names of fields that are hop-by-hop, which it removes.
 func (answer *Response) applyConnection(connection string) {
 	for connection != "" {
 		var option string
@@ -151,19 +146,19 @@
 	}
 }
 
-// parseField takes one field in and says whether it is passed on, and whether it can stand there: fields that the outcome
-// rests on stand once.
-func (answer *Response) parseField(name, value string, seen *uint16, connection *string) (pass, ok bool) {
+// parseField interprets one field. forward: it is forwarded to the client. valid: its value is, and it is no second one of a field
+// that the outcome rests on.
+func (answer *Response) parseField(name, value string, seen *uint16, connection *string) (forward, valid bool) {
 	once := func(bit int) bool {
 		was := *seen & (1 << bit)
 		*seen |= 1 << bit
 		return was == 0
 	}
-	var room [32]byte // the longest name that is looked for is shorter
-	if len(name) > len(room) {
+	var buffer [32]byte // no name below is longer
+	if len(name) > len(buffer) {
 		return true, true
 	}
-	lower := room[:len(name)]
+	lower := buffer[:len(name)]
 	for i := range lower {
 		lower[i] = name[i]
 		if 'A' <= name[i] && name[i] <= 'Z' {
@@ -212,7 +207,7 @@
 	return true, true
 }
 
-// parseLoad reads running,waiting,slots. With a figure that can't be there is none.
+// parseLoad parses "running,waiting,slots". It is false where one of them is no number.
 func parseLoad(text string) (l Load, ok bool) {
 	for i, to := range []*int{&l.Running, &l.Waiting, &l.Slots} {
 		var part string
@@ -227,7 +222,7 @@
 	return l, true
 }
 
-// parseKeepAlive reads the seconds of "timeout=5, max=100" or "5".
+// parseKeepAlive parses the time-out of "timeout=5, max=100" or "5", in seconds. It is 0 where there is none.
 func parseKeepAlive(text string) time.Duration {
 	for text != "" {
 		var part string
@@ -243,16 +238,16 @@
 	return 0
 }
 
-// parseDigits reads a number of digits only that is not above limit.
-func parseDigits(s string, limit int64) (int64, bool) {
+// parseDigits parses a number of digits only. It is false for one above limit.
+func parseDigits(digits string, limit int64) (int64, bool) {
 	n := int64(0)
-	for i := range len(s) {
-		if s[i] < '0' || s[i] > '9' {
+	for i := range len(digits) {
+		if digits[i] < '0' || digits[i] > '9' {
 			return 0, false
 		}
-		if n = n*10 + int64(s[i]-'0'); n > limit {
+		if n = n*10 + int64(digits[i]-'0'); n > limit {
 			return 0, false
 		}
 	}
-	return n, s != ""
+	return n, digits != ""
 }
--- a/internal/tier/upstream/stream.go
+++ b/internal/tier/upstream/stream.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// Stream is the body of an answer as it comes. It is for one goroutine.
+// Stream is the body of a response as it is received. It is for one goroutine.
 type Stream struct {
 	exchange    *exchange
 	body        body
 	response    *Response
-	splitEvents bool // into events
+	splitEvents bool // the body is text/event-stream
 	events      eventSplitter
 	raw         []byte
-	err         error // of the body; io.EOF: it is whole
+	err         error // of the body; io.EOF: it is complete
 	outcome     Outcome
 }
 
-// Next waits for the next piece. io.EOF says that the body has come whole; after any other error it has not, and End
-// tells why.
+// Next waits for the next event. The error io.EOF says that the body is complete; after any other it is not, and Outcome tells
+// why.
 func (stream *Stream) Next() (Event, error) {
 	for stream.outcome == Streaming {
 		if stream.splitEvents {
-			p, ok, sound := stream.events.next()
-			if !sound {
+			event, ok, valid := stream.events.next()
+			if !valid {
 				stream.close(Malformed, errMalformed)
 				break
 			}
 			if ok {
-				return p, nil
+				return event, nil
 			}
 		} else if len(stream.raw) > 0 {
-			p := Event{Raw: stream.raw}
+			event := Event{Raw: stream.raw}
 			stream.raw = stream.raw[:0]
-			return p, nil
+			return event, nil
 		}
 		stream.read()
 	}
 	return Event{}, stream.err
 }
 
-// read reads on, or ends the stream.
+// read reads more of the body, or ends the stream.
 func (stream *Stream) read() {
 	if stream.err != nil {
 		switch {
@@ -50,7 +50,7 @@
 			stream.close(outcomeOf(stream.exchange.ctx, stream.err), stream.err)
 		case stream.splitEvents && stream.events.unfinished():
 			stream.close(Malformed, errMalformed)
-		case stream.body.framing == byClose: // a cut would look the same
+		case stream.body.framing == byClose: // a truncated body would look the same
 			stream.close(Broken, io.ErrUnexpectedEOF)
 		default:
 			stream.outcome = Complete
@@ -67,12 +67,12 @@
 	stream.raw, stream.err = stream.body.read(stream.raw[:0])
 }
 
-// BodyReceived reports whether the end of the body has come already, whole: no piece comes but those at hand.
+// BodyReceived reports whether the complete body was received: Next gives no event but those that are buffered.
 func (stream *Stream) BodyReceived() bool {
 	return stream.outcome == Complete || stream.outcome == Streaming && errors.Is(stream.err, io.EOF) && stream.body.framing != byClose
 }
 
-// Ready reports whether Next gives a piece, or the end, without waiting. The slices of the last piece stay good.
+// Ready reports whether Next gives an event, or the end, without waiting. The slices of the last event stay valid.
 func (stream *Stream) Ready() bool {
 	switch {
 	case stream.outcome != Streaming || stream.err != nil:
@@ -89,21 +89,21 @@
 	return false
 }
 
-// SetDeadline sets the time by which the next pieces must have come; a stream that misses it ends as TimedOut.
+// SetDeadline sets the time by which further events must have been received; a stream that misses it ends as TimedOut.
 func (stream *Stream) SetDeadline(t time.Time) {
 	if stream.exchange.conn == nil {
 		return
 	}
 	stream.exchange.conn.SetReadDeadline(t)
-	if stream.exchange.ctx.Err() != nil { // its end may have set the deadline just before
+	if stream.exchange.ctx.Err() != nil { // its cancellation may have set the deadline just before
 		stream.exchange.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// Outcome tells how the stream ended; Streaming while it hasn't.
+// Outcome returns how the stream ended; Streaming while it hasn't.
 func (stream *Stream) Outcome() Outcome { return stream.outcome }
 
-// Close ends a stream that isn't at its end, and its connection, as Abandoned.
+// Close ends a stream that isn't at its end as Canceled, and closes its connection.
 func (stream *Stream) Close() {
 	if stream.outcome == Streaming {
 		stream.close(Canceled, context.Canceled)
--- a/internal/tier/upstream/wire_test.go
+++ b/internal/tier/upstream/wire_test.go
@@ -16,7 +16,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// closeMode is what a stand-in endpoint does at the byte where its plan ends.
+// closeMode is what a test endpoint does at the byte where its plan ends.
 type closeMode int
 
 const (
@@ -28,14 +28,14 @@
 
 func (e closeMode) String() string { return [...]string{"reset", "close", "silence", "goes on"}[e] }
 
-// responseFormat is one way in which an endpoint may answer. In its text, _ID__ stands for the request's id, which is as long.
+// responseFormat is one format of an endpoint's response. In its text, _ID__ stands for the request's id, which is as long.
 type responseFormat struct {
-	name     string
-	text     string
-	complete func(sent int, how closeMode) bool // whether what was sent is a whole answer to the request
-	reusable bool                               // all of it, with nothing behind, leaves the connection clean
-	success  bool
-	notRun   bool // it says so, once whole
+	name        string
+	text        string
+	complete    func(sent int, how closeMode) bool // whether what was sent is a complete response to the request
+	reusable    bool                               // all of it, with nothing behind, leaves the connection clean
+	success     bool
+	notExecuted bool // it says so, once complete
 }
 
 const (
@@ -74,8 +74,8 @@
 		{name: "unframed, end not announced", text: strings.Replace(unframed, "Connection: close\r\n", "", 1), complete: never, success: true},
 		{name: "events", text: events, complete: framed(events), reusable: true, success: true},
 		{name: "unframed events", text: unframedEvents, complete: never, success: true},
-		{name: "rejected", text: rejected, complete: framed(rejected), reusable: true, notRun: true},
-		{name: "unframed rejection", text: unframedRejected, notRun: true,
+		{name: "rejected", text: rejected, complete: framed(rejected), reusable: true, notExecuted: true},
+		{name: "unframed rejection", text: unframedRejected, notExecuted: true,
 			complete: closedBehindHead(unframedRejected)},
 		{name: "failed", text: failed, complete: framed(failed), reusable: true},
 		{name: "interim first", text: interim, complete: framed(interim), reusable: true, success: true},
@@ -88,31 +88,31 @@
 	}
 }
 
-// plan is what the stand-in does with one request: it reads so many bytes of it (all: -1), says a text and ends.
+// plan is what the endpoint does with one request: it reads so many bytes of it (all: -1), writes a text and closes.
 type plan struct {
 	read  int
 	text  string
 	sent  int  // bytes of the text
-	early bool // it says them before it reads the body
+	early bool // it writes them before it reads the body
 	how   closeMode
 	clean bool // the connection may carry another request afterwards
 }
 
-// recordingEndpoint is an endpoint that follows a plan for each attempt id, answers what has none, and writes down what it sees.
+// recordingEndpoint is an endpoint that follows a plan for each attempt id, responds to others, and records what it receives.
 type recordingEndpoint struct {
-	target Target
-	said   chan string // the ids of those whose plan ended in silence
+	target   Target
+	timedOut chan string // the ids of those whose plan ended without closing
 
 	mu       sync.Mutex
 	plans    map[string]plan
 	arrivals map[string]int // by attempt id, of which a byte came
 	faults   []string
-	lines    []*net.TCPConn
+	conns    []*net.TCPConn
 }
 
 func newRecordingEndpoint(t *testing.T) *recordingEndpoint {
 	t.Helper()
-	s := &recordingEndpoint{said: make(chan string, 1), plans: map[string]plan{}, arrivals: map[string]int{}}
+	s := &recordingEndpoint{timedOut: make(chan string, 1), plans: map[string]plan{}, arrivals: map[string]int{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s.target = Target{Address: listener.Addr().String(), Instance: "i-1"}
@@ -124,7 +124,7 @@
 				return
 			}
 			s.mu.Lock()
-			s.lines = append(s.lines, c.(*net.TCPConn))
+			s.conns = append(s.conns, c.(*net.TCPConn))
 			s.mu.Unlock()
 			all.Go(func() { s.serve(c.(*net.TCPConn)) })
 		}
@@ -132,7 +132,7 @@
 	t.Cleanup(func() {
 		listener.Close()
 		s.mu.Lock()
-		for _, c := range s.lines {
+		for _, c := range s.conns {
 			c.Close()
 		}
 		s.mu.Unlock()
@@ -192,7 +192,7 @@
 		case closeByFIN:
 			return
 		case unresponsive:
-			s.said <- id
+			s.timedOut <- id
 			if p.read >= 0 { // the rest of its own request may come, and nothing else
 				if rest, _ := io.ReadAll(r); strings.Contains(string(rest), "PUT /") {
 					s.fault("a request on the connection where the rest of %s is due", id)
@@ -267,20 +267,20 @@
 	return nil
 }
 
-// observed is what a client would have of a call.
+// observed is what a client would receive of a call.
 type observed struct {
-	reply ClientReply
-	body  string
-	whole bool
+	reply    ClientReply
+	body     string
+	complete bool
 }
 
-// wireClient sends as a gateway does: once more only where the table says so.
+// wireClient sends as a gateway does: it retries only where Classify allows it.
 type wireClient struct {
-	t     *testing.T
-	pool  *Pool
-	ep    *recordingEndpoint
-	retry func(r *Result) bool // whether a request that is not idempotent goes again
-	call  func(context.Context, Target, *Request) *Result
+	t        *testing.T
+	pool     *Pool
+	endpoint *recordingEndpoint
+	retry    func(r *Result) bool // whether a request that is not idempotent is retried
+	call     func(context.Context, Target, *Request) *Result
 }
 
 // bodyPart is part of a long body.
@@ -313,21 +313,21 @@
 	if cause != nil {
 		go func() {
 			select {
-			case <-w.ep.said:
+			case <-w.endpoint.timedOut:
 				cancel()
 			case <-done:
 			}
 		}()
 	}
-	r := w.call(&overContext{inner, cause}, w.ep.target, wireRequest(id, size))
-	got := observed{body: string(r.Body), whole: r.Outcome == Complete}
+	r := w.call(&overContext{inner, cause}, w.endpoint.target, wireRequest(id, size))
+	got := observed{body: string(r.Body), complete: r.Outcome == Complete}
 	if r.Stream != nil {
 		pieces, err := collectEvents(r.Stream)
-		got.body, got.whole = strings.Join(pieces, ""), errors.Is(err, io.EOF)
+		got.body, got.complete = strings.Join(pieces, ""), errors.Is(err, io.EOF)
 	}
 	got.reply = r.Disposition(r.Stream != nil && got.body != "").Reply
 	if got.reply != ForwardResponse {
-		got.whole = false
+		got.complete = false
 		if r.Stream == nil {
 			got.body = ""
 		}
@@ -344,13 +344,13 @@
 	switch {
 	case !strings.HasPrefix(own, got.body):
 		return fmt.Sprintf("bytes that are not its own answer's: %q", got.body)
-	case got.whole && !f.complete(sent, how):
+	case got.complete && !f.complete(sent, how):
 		return "an answer that was not whole looks whole"
-	case got.reply == ServiceUnavailable && !(f.notRun && f.complete(sent, how)) && arrivals > 0:
+	case got.reply == ServiceUnavailable && !(f.notExecuted && f.complete(sent, how)) && arrivals > 0:
 		return "a promise that it has not run"
-	case arrivals > 1 && !(f.notRun && f.complete(sent, how)):
+	case arrivals > 1 && !(f.notExecuted && f.complete(sent, how)):
 		return fmt.Sprintf("reached endpoints %d times", arrivals)
-	case got.reply == ForwardResponse && !got.whole:
+	case got.reply == ForwardResponse && !got.complete:
 		return "passed on though not whole"
 	}
 	return ""
@@ -359,16 +359,16 @@
 // attempt plays one request to its end and the next one behind it, and names what is wrong.
 func (w *wireClient) attempt(name string, reused bool, f *responseFormat, p plan, sent, size int, cause error) string {
 	victim, next := "v"+name, "n"+name
-	w.ep.mu.Lock()
-	w.ep.plans = map[string]plan{victim: p}
-	w.ep.faults = nil
-	w.ep.mu.Unlock()
+	w.endpoint.mu.Lock()
+	w.endpoint.plans = map[string]plan{victim: p}
+	w.endpoint.faults = nil
+	w.endpoint.mu.Unlock()
 	if reused {
 		if got, _ := w.send("w"+name, 4, nil); got.body != "{w"+name+"}" {
 			return "the request before is not served"
 		}
 	} else {
-		w.pool.Forget(w.ep.target.Address, w.ep.target.Instance)
+		w.pool.Forget(w.endpoint.target.Address, w.endpoint.target.Instance)
 	}
 	got, _ := w.send(victim, size, cause)
 	after, r := w.send(next, 4, nil)
@@ -378,20 +378,20 @@
 		next = fmt.Sprintf("%c%s", 'a'+n, name)
 		after, r = w.send(next, 4, nil)
 	}
-	w.ep.mu.Lock()
-	defer w.ep.mu.Unlock()
-	if len(w.ep.faults) > 0 {
-		return w.ep.faults[0]
+	w.endpoint.mu.Lock()
+	defer w.endpoint.mu.Unlock()
+	if len(w.endpoint.faults) > 0 {
+		return w.endpoint.faults[0]
 	}
 	if after.body != "{"+next+"}" {
 		return fmt.Sprintf("the request behind got %+v", after)
 	}
-	return got.check(victim, f, sent, p.how, w.ep.arrivals[victim])
+	return got.check(victim, f, sent, p.how, w.endpoint.arrivals[victim])
 }
 
 func newWireClient(t *testing.T) *wireClient {
 	p := newTestPool(t)
-	return &wireClient{t: t, pool: p, ep: newRecordingEndpoint(t), retry: func(r *Result) bool { return r.Disposition(false).MayRetry(false) },
+	return &wireClient{t: t, pool: p, endpoint: newRecordingEndpoint(t), retry: func(r *Result) bool { return r.Disposition(false).MayRetry(false) },
 		call: func(ctx context.Context, target Target, q *Request) *Result { return p.Call(ctx, target, q, long) }}
 }
 
@@ -440,7 +440,7 @@
 				wrong := w.attempt(fmt.Sprintf("%04d", n), n%2 == 1, &f, p, len(f.text), 4, nil)
 				assert.Equal(t, wrong, "", f.name)
 			}
-			if f.reusable && !f.notRun {
+			if f.reusable && !f.notExecuted {
 				assert.Assert(t, w.pool.Counts().Reused > 8, "%s: %+v", f.name, w.pool.Counts())
 			}
 		}
@@ -451,7 +451,7 @@
 func TestWire_RequestsTruncatedAtEachByte(t *testing.T) {
 	form := responseFormat{name: "nothing", complete: never}
 	w := newWireClient(t)
-	size := len(wireRequest("v0000", 4).appendHead(nil, w.ep.target, 4, time.Now()))
+	size := len(wireRequest("v0000", 4).appendHead(nil, w.endpoint.target, 4, time.Now()))
 	n := 0
 	for _, how := range []closeMode{closeByReset, closeByFIN, unresponsive} {
 		for read := len("PUT /v0000/"); read <= size; read++ {
