--- a/brain/brain.go
+++ b/brain/brain.go
@@ -23,16 +23,16 @@
 	actions   []Action
 
 	// Messages and ordering keys.
-	messages          map[MessageID]*message
-	pending           int    // messages that have not ended
-	lastArrival       uint64 // number of the message that arrived last
-	lastQueueSequence uint64
-	arrivalCounter    decayingCounter
-	expiries          expiryHeap // of all waiting messages
-	keyQueues         map[uint64]*keyQueue
-	releasedKeyQueues []*keyQueue // of which a message has ended: to be deleted once empty and cooled down
-	coolingDown       []*keyQueue // with some whose cool-down is over
-	cooldownsKept     int         // of those, at the last pruning
+	messages              map[MessageID]*message
+	pending               int    // messages that have not ended
+	lastArrival           uint64 // number of the message that arrived last
+	lastQueueSequence     uint64
+	arrivalCounter        decayingCounter
+	expiries              expiryHeap // of all waiting messages
+	keyQueues             map[uint64]*keyQueue
+	releasedKeyQueues     []*keyQueue // to be deleted once empty and cooled down
+	coolingDown           []*keyQueue // with some whose cool-down is over
+	cooldownsAfterPruning int         // of those, at the last pruning
 
 	// Destinations, endpoints and routes. Sequence numbers are those of first mention.
 	lastSequence      uint64
@@ -63,12 +63,12 @@
 	rateGrants       map[DestinationID]RateGrant
 
 	// Idle connections.
-	idleEndpoints     []*endpoint // some of them no longer idle
-	idleEndpointsKept int         // of those, at the last pruning
-	lastIdleSequence  uint64
-	idleTimeouts      []time.Duration // by kind of destination
-	reducedEndpoints  []*endpoint     // with an idleReduction
-	idleScratch       []*endpoint
+	idleEndpoints             []*endpoint // some of them no longer idle
+	idleEndpointsAfterPruning int         // of those, at the last pruning
+	lastIdleSequence          uint64
+	idleTimeouts              []time.Duration // by kind of destination
+	reducedEndpoints          []*endpoint     // with an idleReduction
+	idleScratch               []*endpoint
 
 	// Hibernation and reports.
 	hibernated          map[DestinationID]*hibernatedDestination
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -638,7 +638,7 @@
 	r := newRig(t, set)
 	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 10}}})
 	route := r.b.destinations[0].sharedRoute
-	before := route.pace
+	before := route.sendRate
 	for range 20 {
 		sends := r.step(r.message(0, 0, 0))
 		r.now += 300 * ms
@@ -648,8 +648,8 @@
 			r.step(e)
 		}
 	}
-	if route.pace <= before || route.pace > 10 {
-		t.Fatalf("pace %v, %v before", route.pace, before)
+	if route.sendRate <= before || route.sendRate > 10 {
+		t.Fatalf("pace %v, %v before", route.sendRate, before)
 	}
 }
 
--- a/brain/connections.go
+++ b/brain/connections.go
@@ -9,8 +9,8 @@
 const (
 	// minEndpointConns is how many connections any endpoint takes from all senders together.
 	minEndpointConns = 8
-	// idleTimeoutCut divides the idle time-out of a kind where idle connections do harm.
-	idleTimeoutCut = 4
+	// idleTimeoutDivisor divides the idle time-out of a kind where idle connections do harm.
+	idleTimeoutDivisor = 4
 	// idleTimeoutGrowth is the part of the full idle time-out that each call served gives back.
 	idleTimeoutGrowth = 0.002
 	// connLimitGrowth is how many more connections each call served lets an endpoint be tried with.
@@ -22,30 +22,30 @@
 // shorter there. What a sender with few calls sees at one endpoint holds for the kind, as others see the
 // same; one with many calls has seen for itself. Of the few connections that any endpoint takes, each of many
 // senders has a part only, and keeps its own accordingly shorter.
-func (b *Brain) idleTimeout(e *endpoint) (kept time.Duration, kind *time.Duration) {
-	few := min(1, b.evenShare(minEndpointConns))
+func (b *Brain) idleTimeout(e *endpoint) (timeout time.Duration, kindTimeout *time.Duration) {
+	evenConns := min(1, b.evenShare(minEndpointConns))
 	for len(b.idleTimeouts) <= e.Kind {
-		b.idleTimeouts = append(b.idleTimeouts, time.Duration(few*float64(b.settings.IdleConnTimeout)))
+		b.idleTimeouts = append(b.idleTimeouts, time.Duration(evenConns*float64(b.settings.IdleConnTimeout)))
 	}
-	kept, kind = b.settings.IdleConnTimeout, &b.idleTimeouts[e.Kind]
-	if b.outageThreshold(e.route) < maxOutageThreshold/2 || few < 1 {
-		kept = *kind
+	timeout, kindTimeout = b.settings.IdleConnTimeout, &b.idleTimeouts[e.Kind]
+	if b.outageThreshold(e.route) < maxOutageThreshold/2 || evenConns < 1 {
+		timeout = *kindTimeout
 	}
-	return max(0, kept-e.idleReduction), kind
+	return max(0, timeout-e.idleReduction), kindTimeout
 }
 
 // closeIdleConns closes connections that have been idle for longer than the idle time-out.
 func (b *Brain) closeIdleConns() {
 	for _, e := range b.idleCloseCandidates() {
-		keep, _ := b.idleTimeout(e)
-		until := e.idleSince + keep
+		timeout, _ := b.idleTimeout(e)
+		until := e.idleSince + timeout
 		switch {
 		case e.callsInFlight > 0 || b.now >= e.idleSince+b.settings.IdleConnTimeout:
 			e.idleSequence = 0
 		case b.now >= until:
 			b.actions = append(b.actions, CloseIdleConns{e.ID})
 			e.idleSince, e.idleSequence, e.openConns = 0, 0, 0
-		case keep < b.settings.IdleConnTimeout:
+		case timeout < b.settings.IdleConnTimeout:
 			b.wakeAt(until)
 		}
 	}
@@ -92,10 +92,10 @@
 // longer.
 func (b *Brain) recordConnSuccess(m *message, a *attempt, seconds float64) {
 	e := a.endpoint
-	more := time.Duration(idleTimeoutGrowth * float64(b.settings.IdleConnTimeout))
-	_, kind := b.idleTimeout(e)
-	*kind = min(b.settings.IdleConnTimeout, *kind+more)
-	b.setIdleReduction(e, max(0, e.idleReduction-more))
+	gain := time.Duration(idleTimeoutGrowth * float64(b.settings.IdleConnTimeout))
+	_, kindTimeout := b.idleTimeout(e)
+	*kindTimeout = min(b.settings.IdleConnTimeout, *kindTimeout+gain)
+	b.setIdleReduction(e, max(0, e.idleReduction-gain))
 	e.connectBackoff = 0
 	if e.connLimit > 0 {
 		e.connLimit += connLimitGrowth
@@ -111,8 +111,8 @@
 	}
 	before := m.attempts[n-2]
 	if before.connIdleFor > 0 && before.uncertain && seconds < slowLatencies*a.route.MeanSeconds {
-		*kind = min(*kind, before.connIdleFor/2)
-		b.setIdleReduction(e, max(e.idleReduction, b.settings.IdleConnTimeout-*kind))
+		*kindTimeout = min(*kindTimeout, before.connIdleFor/2)
+		b.setIdleReduction(e, max(e.idleReduction, b.settings.IdleConnTimeout-*kindTimeout))
 	}
 }
 
@@ -124,8 +124,9 @@
 		e.inIdleList = true
 		b.idleEndpoints = append(b.idleEndpoints, e)
 	}
-	// Those that have a call again, or whose connections have ended by themselves, are not waited for.
-	if len(b.idleEndpoints) > 2*b.idleEndpointsKept+64 {
+	// Endpoints that have a call again, or whose connections the transport has closed, are pruned now and
+	// then.
+	if len(b.idleEndpoints) > 2*b.idleEndpointsAfterPruning+64 {
 		kept := b.idleEndpoints[:0]
 		for _, e := range b.idleEndpoints {
 			if e.idleSequence == 0 || e.callsInFlight > 0 || b.now >= e.idleSince+b.settings.IdleConnTimeout {
@@ -135,7 +136,7 @@
 			kept = append(kept, e)
 		}
 		clear(b.idleEndpoints[len(kept):])
-		b.idleEndpoints, b.idleEndpointsKept = shrink(kept), len(kept)
+		b.idleEndpoints, b.idleEndpointsAfterPruning = shrink(kept), len(kept)
 	}
 }
 
--- a/brain/dispatch.go
+++ b/brain/dispatch.go
@@ -21,7 +21,7 @@
 		}
 	}
 	b.candidates.init()
-	all := b.candidates
+	used := b.candidates
 	for len(b.candidates) > 0 {
 		if b.settings.Slots > 0 && b.callsInFlight >= b.settings.Slots {
 			b.cancelOverdue(len(b.candidates))
@@ -36,7 +36,7 @@
 		}
 		b.candidates.down(0)
 	}
-	clear(all) // what is sent or over is not held here
+	clear(used) // so that messages that were sent are not kept in memory
 }
 
 // bestCandidate is what d would send next; its message is nil if nothing can be sent now.
@@ -56,7 +56,7 @@
 			b.usableEndpoints = append(b.usableEndpoints, e)
 		}
 	}
-	if len(b.usableEndpoints) == 0 { // none can go, so only their pauses and the rests of their keys matter
+	if len(b.usableEndpoints) == 0 { // nothing can be sent, so only back-offs and cool-downs matter
 		b.wakeForBackoffs(d)
 		return best
 	}
@@ -65,9 +65,9 @@
 			continue
 		}
 		if e := b.selectEndpoint(m, b.usableEndpoints); e != nil {
-			x := b.priority(m, e.route)
-			if best.message == nil || b.precedes(m, e, x, best.message, best.priority) {
-				best = candidate{d, m, e, x}
+			priority := b.priority(m, e.route)
+			if best.message == nil || b.precedes(m, best.message, e, priority, best.priority) {
+				best = candidate{d, m, e, priority}
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 	if c.probe {
 		r.probesInFlight++
 		r.lastProbeAt = b.now
-		b.markForRecheck(r)
+		b.scheduleRecheck(r)
 	}
 	r.tokens--
 	r.sentCounter.add(b.now, usualRateWindow)
@@ -133,33 +133,33 @@
 // else the time left to the deadline.
 func (b *Brain) startAttempt(m *message, c *call) {
 	r := c.route
-	left := m.Deadline - b.now
-	tau := r.Timeout()
+	timeLeft := m.Deadline - b.now
+	timeout := r.Timeout()
 	if c.probe {
-		tau = max(r.unresponsiveAfter(), minProbeInterval) // doubling would leave an outage unwatched
+		timeout = max(r.unresponsiveAfter(), minProbeInterval) // doubling would leave an outage unwatched
 	}
-	a := attempt{call: c, timeout: left, toDeadline: true}
+	a := attempt{call: c, timeout: timeLeft, toDeadline: true}
 	first := m.attemptCount() == 0
 	if first {
 		a.sampleWeight = 1
 	}
 	restartable := m.class.Idempotency == Idempotent
 	if m.class.Idempotency == IdempotentByKey {
-		tau = min(tau, m.class.IdempotencyKeyTTL/2) // a repeat needs time to be served in the window
+		timeout = min(timeout, m.class.IdempotencyKeyTTL/2) // a repeat needs time to be served in the window
 		from := b.now
 		if m.mayHaveRun {
 			from = m.firstRunAt
 		}
-		restartable = b.now+tau+2*b.settings.StepInterval+r.MinLatency < from+m.class.IdempotencyKeyTTL
+		restartable = b.now+timeout+2*b.settings.StepInterval+r.MinLatency < from+m.class.IdempotencyKeyTTL
 	}
 	if b.settings.MaxAttempts > 0 && m.attemptCount()+1 >= b.settings.MaxAttempts {
 		restartable = false
 	}
-	if restartable && tau < left {
+	if restartable && timeout < timeLeft {
 		if first && !c.probe && b.draw(restart.ExploreEvery) == 0 {
 			a.sampleWeight = restart.ExploreWeight
 		} else {
-			a.timeout, a.toDeadline = tau, false
+			a.timeout, a.toDeadline = timeout, false
 		}
 	}
 	if !m.mayHaveRun {
--- a/brain/endpoint_list.go
+++ b/brain/endpoint_list.go
@@ -106,7 +106,7 @@
 	b.wakeUpByEndpoint(id)
 	if e := b.endpoints[id]; e != nil {
 		e.listed = false
-		b.markForRecheck(e.route)
+		b.scheduleRecheck(e.route)
 		d := b.destination(e.Destination)
 		d.endpoints = removeFirst(d.endpoints, e)
 		b.removedEndpoints[id] = e
--- a/brain/endpoint_selection.go
+++ b/brain/endpoint_selection.go
@@ -1,6 +1,6 @@
 package brain
 
-// The cost of an endpoint in selectEndpoint.
+// Parameters of the cost of an endpoint.
 const (
 	minCostLatency      = 0.02 // s, so that an endpoint without a call is not free
 	minCostSuccessRate  = 0.05 // bounds the cost of failures
@@ -14,24 +14,25 @@
 // them.
 func (b *Brain) selectEndpoint(m *message, usable []*endpoint) *endpoint {
 	var best *endpoint
-	least := 0.0
+	bestCost := 0.0
 	for _, e := range usable {
-		keptInZone := m.class.Idempotency == IdempotentByKey && m.class.IdempotencyKeyZonal
-		if m.mayHaveRun && keptInZone && e.Zone != m.firstRunZone {
+		keyIsZonal := m.class.Idempotency == IdempotentByKey && m.class.IdempotencyKeyZonal
+		if m.mayHaveRun && keyIsZonal && e.Zone != m.firstRunZone {
 			continue
 		}
-		cost := float64(e.callsInFlight+1) * max(e.recentLatency, 0.02) / max(0.05, 1-e.failureRate)
+		latency, successRate := max(e.recentLatency, minCostLatency), max(minCostSuccessRate, 1-e.failureRate)
+		cost := float64(e.callsInFlight+1) * latency / successRate
 		if e.connLimit > 0 && b.needsNewConn(e) { // a connection may not be had there
-			cost *= 2
+			cost *= newConnCostFactor
 		}
 		if e.Zone != b.settings.Zone {
-			cost *= 1 + 10*b.settings.CrossZoneCost
+			cost *= 1 + crossZoneCostFactor*b.settings.CrossZoneCost
 		}
 		if e.Zone < len(b.settings.ZoneFees) && e.route != m.destination.sharedRoute {
-			cost *= 1 + 10*b.settings.ZoneFees[e.Zone]
+			cost *= 1 + zoneFeeCostFactor*b.settings.ZoneFees[e.Zone]
 		}
-		if best == nil || cost < least {
-			best, least = e, cost
+		if best == nil || cost < bestCost {
+			best, bestCost = e, cost
 		}
 	}
 	return best
--- a/brain/events.go
+++ b/brain/events.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// MessageID and EndpointID are returned as given; the Brain reads no meaning into them.
-type (
-	MessageID  uint64
-	EndpointID uint32
-	// DestinationID names the receiver that a message is for. A destination has any number of endpoints.
-	DestinationID uint32
-)
+// MessageID names a message. It is returned as given.
+type MessageID uint64
+
+// EndpointID names an endpoint. It is returned as given.
+type EndpointID uint32
+
+// DestinationID names the receiver that a message is for. A destination has any number of endpoints.
+type DestinationID uint32
 
 // Event is the input of Step: one of Message, AttemptResult, UsualRate, Observation, RateGrant, Withdrawn,
 // EndpointUpdate and TimerFired.
--- a/brain/fold_test.go
+++ b/brain/fold_test.go
@@ -171,17 +171,17 @@
 			e.LimitReported, e.Remaining, e.Limit = true, 0.9, 30
 			r.step(e)
 		}
-		pace := r.b.destinations[0].sharedRoute.pace
+		pace := r.b.destinations[0].sharedRoute.sendRate
 		if pace < 20 {
 			t.Fatalf("the pace has grown to %v only", pace)
 		}
 		r.sleep(c.sleep)
 		d := r.b.destination(0)
-		even := r.b.initialPace(30)
+		even := r.b.initialSendRate(30)
 		if d.sharedRoute.limit != c.limit {
 			t.Errorf("after %v the limit is %v", c.sleep, d.sharedRoute.limit)
 		}
-		if p := d.sharedRoute.pace; c.limit > 0 && (p < even || p > pace) || c.sleep == 2*time.Hour && math.Abs(p-(even+(pace-even)/4)) > 0.3 {
+		if p := d.sharedRoute.sendRate; c.limit > 0 && (p < even || p > pace) || c.sleep == 2*time.Hour && math.Abs(p-(even+(pace-even)/4)) > 0.3 {
 			t.Errorf("after %v the pace is %v, it was %v and an even part is %v", c.sleep, p, pace, even)
 		}
 	}
--- a/brain/hibernation.go
+++ b/brain/hibernation.go
@@ -38,12 +38,12 @@
 	lastServed    time.Duration
 	lastSentAt    time.Duration
 
-	destinationRestoredRate, rateBeforeOutage, restoredRate, limit, pace float32
-	usualRate                                                            float32
-	mean, recentLatency, failureRate, window                             float32
-	optimum, median, minLatency, backoff                                 int32 // microseconds
-	samples                                                              uint16
-	state                                                                routeState
+	destinationRestoredRate, rateBeforeOutage, restoredRate, limit, sendRate float32
+	usualRate                                                                float32
+	mean, recentLatency, failureRate, window                                 float32
+	optimum, median, minLatency, backoff                                     int32 // microseconds
+	samples                                                                  uint16
+	state                                                                    routeState
 }
 
 // hibernatedEndpoint is an endpoint that is listed and ready.
@@ -151,7 +151,7 @@
 		rateBeforeOutage:        float32(r.rateBeforeOutage),
 		restoredRate:            float32(r.restoredRate),
 		limit:                   float32(r.limit),
-		pace:                    float32(r.pace),
+		sendRate:                float32(r.sendRate),
 		usualRate:               float32(rate),
 		mean:                    float32(r.MeanSeconds),
 		recentLatency:           float32(r.recentLatency),
@@ -247,8 +247,9 @@
 		}, weight)
 	}
 	if r.limit > 0 {
-		if r.pace = blend(b.initialPace(r.limit), float64(f.pace), weight); weight < minHibernatedLimitTrust {
-			r.limit, r.pace = 0, 0
+		r.sendRate = blend(b.initialSendRate(r.limit), float64(f.sendRate), weight)
+		if weight < minHibernatedLimitTrust {
+			r.limit, r.sendRate = 0, 0
 		}
 	}
 	if r.state != healthy {
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -55,7 +55,7 @@
 	if r == nil {
 		return
 	}
-	if e.RetryAfter > 0 { // who asked for it asked for quiet, not for ours alone
+	if e.RetryAfter > 0 { // the destination asked for quiet, from all senders
 		if e.Local {
 			r.ownRetryAfterUntil = max(r.ownRetryAfterUntil, b.now+e.RetryAfter)
 		}
@@ -88,7 +88,7 @@
 func (b *Brain) applyRetryAfter(r *route, until time.Duration) {
 	r.retryAfterUntil = max(r.retryAfterUntil, until)
 	r.closedUntil = max(r.closedUntil, r.retryAfterUntil)
-	b.markForRecheck(r)
+	b.scheduleRecheck(r)
 }
 
 // applyObservedHealth takes over the health of a route, unless this process has served there since, or has an
@@ -99,6 +99,7 @@
 		return
 	}
 	switch e.Health {
+	case HealthUnknown: // returned above
 	case Healthy, WarmingUp:
 		r.otherProbers = 0
 		// It may have recovered: one call will tell, and need not wait its turn.
--- a/brain/limit_test.go
+++ b/brain/limit_test.go
@@ -159,13 +159,13 @@
 			r.now += 2 * time.Second
 			serve(n, 0.2)
 		}
-		before := r.b.destinations[0].sharedRoute.pace
+		before := r.b.destinations[0].sharedRoute.sendRate
 		r.now += c.gap
 		if c.gap < time.Second {
 			r.b.destinations[0].sharedRoute.tokens = 1
 		}
 		serve(6, c.left)
-		after := r.b.destinations[0].sharedRoute.pace
+		after := r.b.destinations[0].sharedRoute.sendRate
 		if after < c.least*before || after > c.most*before || after < even/2 {
 			t.Errorf("%v left after %v: the pace goes from %v to %v", c.left, c.gap, before, after)
 		}
@@ -173,7 +173,7 @@
 			r.now += 20 * time.Second
 			serve(n, 0)
 		}
-		if got := r.b.destinations[0].sharedRoute.pace; c.lowest && math.Abs(got-even/2) > 1e-9 {
+		if got := r.b.destinations[0].sharedRoute.sendRate; c.lowest && math.Abs(got-even/2) > 1e-9 {
 			t.Errorf("the least pace is %v, half of an even part is %v", got, even/2)
 		}
 	}
--- a/brain/message.go
+++ b/brain/message.go
@@ -121,7 +121,7 @@
 		b.dequeue(m)
 	}
 	if m.attemptsInFlight > 0 {
-		b.markForRecheck(m.attempts[len(m.attempts)-1].route)
+		b.scheduleRecheck(m.attempts[len(m.attempts)-1].route)
 	}
 	if m.attemptsInFlight == 0 && b.messages[m.ID] == m {
 		m.destination.pending--
--- a/brain/ordering.go
+++ b/brain/ordering.go
@@ -32,7 +32,7 @@
 		t.inCooldownList = true
 		b.coolingDown = append(b.coolingDown, t)
 	}
-	if len(b.coolingDown) > 2*b.cooldownsKept+64 {
+	if len(b.coolingDown) > 2*b.cooldownsAfterPruning+64 {
 		b.pruneCooldowns()
 	}
 }
@@ -48,5 +48,5 @@
 		kept = append(kept, t)
 	}
 	clear(b.coolingDown[len(kept):])
-	b.coolingDown, b.cooldownsKept = shrink(kept), len(kept)
+	b.coolingDown, b.cooldownsAfterPruning = shrink(kept), len(kept)
 }
--- a/brain/outage.go
+++ b/brain/outage.go
@@ -47,7 +47,7 @@
 	}
 	r.state, r.stateSince, r.probesInFlight, r.tokens, r.refilledAt = outage, b.now, 0, b.randomPhase(), b.now
 	r.window.Size = 1
-	b.markForRecheck(r)
+	b.scheduleRecheck(r)
 	b.recordChange(r)
 	b.log(r, "out: calls fail, are refused or go unanswered; one call at a time")
 }
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -40,6 +40,7 @@
 	a.route.lastResultAt = b.now
 	b.sampleLatency(m, a, e)
 	switch e.Outcome {
+	case Served, Errored: // it has run
 	case Rejected, ConnectFailed, NotSent:
 		if e.Revoked { // otherwise revocations would use up its attempts
 			m.revokedAttempts++
@@ -85,13 +86,13 @@
 // recordOutcome counts the outcome of a call in the health of its route and its endpoint.
 func (b *Brain) recordOutcome(m *message, a *attempt, e AttemptResult) {
 	r := a.route
-	bad := 0.0
+	failed := 0.0
 	if e.Outcome != Served && e.Outcome != Rejected || e.ConnLimitReached {
-		bad = 1
+		failed = 1
 	}
-	a.endpoint.failureRate += failureRateWeight * (bad - a.endpoint.failureRate)
+	a.endpoint.failureRate += failureRateWeight * (failed - a.endpoint.failureRate)
 	if e.Outcome != Rejected {
-		r.failureRate += failureRateWeight * (bad - r.failureRate)
+		r.failureRate += failureRateWeight * (failed - r.failureRate)
 		r.consecutiveErrors++
 	}
 	if e.Outcome == Served {
@@ -99,8 +100,8 @@
 		return
 	}
 	if e.Outcome == ConnectFailed || e.ConnLimitReached { // it may hold all the connections that it takes
-		_, kind := b.idleTimeout(a.endpoint)
-		*kind /= idleTimeoutCut
+		_, kindTimeout := b.idleTimeout(a.endpoint)
+		*kindTimeout /= idleTimeoutDivisor
 		b.setIdleReduction(a.endpoint, b.settings.IdleConnTimeout)
 	}
 	if e.ConnLimitReached { // which says nothing of calls
@@ -120,10 +121,11 @@
 	}
 	// Rejections come in runs where a limit is met, too: they are an outage only if none was served for a
 	// while.
-	long := e.Outcome != Rejected || b.now-r.lastServed > b.settings.OverloadWindow/2
-	lasting := r.consecutiveFailures >= b.outageThreshold(r) && long || r.failureRate > outageFailureRate
-	again := r.consecutiveFailures >= b.outageThreshold(r)/2+1 && long
-	if r.state == healthy && lasting || r.state == warmingUp && again {
+	unservedForLong := e.Outcome != Rejected || b.now-r.lastServed > b.settings.OverloadWindow/2
+	failing := r.consecutiveFailures >= b.outageThreshold(r) && unservedForLong
+	persistent := failing || r.failureRate > outageFailureRate
+	failsAgain := r.consecutiveFailures >= b.outageThreshold(r)/2+1 && unservedForLong
+	if r.state == healthy && persistent || r.state == warmingUp && failsAgain {
 		b.beginOutage(r)
 	}
 }
@@ -131,14 +133,14 @@
 // recordSuccess counts a call that was served.
 func (b *Brain) recordSuccess(m *message, a *attempt, e AttemptResult) {
 	r := a.route
-	s := e.Elapsed.Seconds()
+	seconds := e.Elapsed.Seconds()
 	for _, recent := range []*float64{&r.recentLatency, &a.endpoint.recentLatency} {
 		if *recent == 0 {
-			*recent = s
+			*recent = seconds
 		}
-		*recent += recentLatencyWeight * (s - *recent)
+		*recent += recentLatencyWeight * (seconds - *recent)
 	}
-	b.recordConnSuccess(m, a, s)
+	b.recordConnSuccess(m, a, seconds)
 	b.countServed(r)
 	r.lastServedSentAt = max(r.lastServedSentAt, a.sentAt)
 	r.consecutiveFailures, r.consecutiveErrors, r.backoff, r.overdueCancelled = 0, 0, 0, 0
@@ -146,13 +148,13 @@
 		b.endOutage(r, a.endpoint)
 	}
 	r.window.RecordSuccess(r.callsInFlight, b.settings.Slots)
-	b.adjustPace(r, e)
+	b.adjustSendRate(r, e)
 }
 
 // recordRejection closes the route for a back-off, unless the destination told a retry-after.
 func (b *Brain) recordRejection(r *route, a *attempt, e AttemptResult) {
 	r.window.Halve(a.sentAt, b.now)
-	b.cutPace(r, 1)
+	b.decreaseSendRate(r, 1)
 	if e.RetryAfter > 0 {
 		// Closed for longer than any limit is counted over, it comes back with a slow start.
 		if e.RetryAfter > b.settings.OverloadWindow && r.state != outage {
--- a/brain/queue.go
+++ b/brain/queue.go
@@ -39,7 +39,7 @@
 		m.sheddable = true
 	}
 	if m.notBefore > b.now {
-		d.backoffs.next(b.now) // those that are over go
+		d.backoffs.next(b.now) // drops those that are over
 		d.backoffs.add(backoffEntry{m.notBefore, m})
 	}
 	m.expiryDue = b.expiresAt(m)
--- a/brain/rate_limits.go
+++ b/brain/rate_limits.go
@@ -11,29 +11,32 @@
 	minRejectionBackoff = 100 * time.Millisecond
 	// maxRejectionBackoff bounds it: about the time over which rate limits are counted.
 	maxRejectionBackoff = time.Second
-	// paceGrowth is the growth of the pace with each call served, in parts of the even share of the limit.
-	paceGrowth = 0.1
-	// paceCutFactor is the factor of the pace with a rejection, or with each second near the end of the
-	// allowance.
-	paceCutFactor = 0.7
-	// maxPaceCuts bounds the seconds without a result that count there.
-	maxPaceCuts = 4
-	// plentifulRemaining is the share of the allowance left above which the pace grows.
+	// sendRateIncrease is the growth of the send rate with each call served, in parts of the even share of
+	// the limit.
+	sendRateIncrease = 0.1
+	// sendRateDecrease is the factor of the send rate with a rejection, or with each second near the end of
+	// the allowance.
+	sendRateDecrease = 0.7
+	// maxSendRateDecreases bounds the seconds without a result that count there.
+	maxSendRateDecreases = 4
+	// plentifulRemaining is the share of the allowance left above which the send rate grows.
 	plentifulRemaining = 0.3
-	// scarceRemaining is the share of the allowance left below which the pace is cut.
+	// scarceRemaining is the share of the allowance left below which the send rate is cut.
 	scarceRemaining = 0.1
+	// degradedRateFactor is how many times its rate of calls served a route with a high failure rate may get.
+	degradedRateFactor = 1.5
 )
 
 // allowedRate is how many calls a second r may get now, and how many at once. A window alone does not bound
 // the rate of calls that fail quickly, and a destination that warms up bears few calls, rejected ones too.
 func (b *Brain) allowedRate(r *route) (rate, burst float64) {
 	rate, burst = math.Inf(1), math.Inf(1)
-	lent, shared := b.rateGrants[r.destination]
-	if r.limit > 0 && !(shared && lent.TotalRate <= r.limit) {
-		rate, burst = r.pace, max(1, r.pace)
+	grant, granted := b.rateGrants[r.destination]
+	if r.limit > 0 && !(granted && grant.TotalRate <= r.limit) {
+		rate, burst = r.sendRate, max(1, r.sendRate)
 	}
-	if shared { // by the fleet: nothing is guessed of what others use
-		rate, burst = min(rate, lent.Rate/float64(b.routesOfDestination(r.destination))), 1
+	if granted { // by the fleet: nothing is guessed of what others use
+		rate, burst = min(rate, grant.Rate/float64(b.routesOfDestination(r.destination))), 1
 	}
 	switch {
 	case r.state == outage:
@@ -41,7 +44,7 @@
 	case r.state == warmingUp:
 		rate, burst = min(rate, b.recoveryRate(r)), 1
 	case r.failureRate > degradedFailureRate:
-		rate, burst = min(rate, max(1, 1.5*r.servedRate())), 1
+		rate, burst = min(rate, max(1, degradedRateFactor*r.servedRate())), 1
 	}
 	return rate, burst
 }
@@ -60,9 +63,10 @@
 // evenShare is the part of each sender in something that all share.
 func (b *Brain) evenShare(all float64) float64 { return all / float64(max(1, b.settings.Senders)) }
 
-// initialPace is the even share of a limit; among many senders, where that is far below one call and few of
-// them have messages for the destination at a time, up to a call in the time over which limits are counted.
-func (b *Brain) initialPace(limit float64) float64 {
+// initialSendRate is the even share of a limit; among many senders, where that is far below one call and few
+// of them have messages for the destination at a time, up to a call in the time over which limits are
+// counted.
+func (b *Brain) initialSendRate(limit float64) float64 {
 	n := float64(max(1, b.settings.Senders))
 	return min(limit, max(b.evenShare(limit), min(1, n/fleetCallsPerWarmUp)/maxRejectionBackoff.Seconds()))
 }
@@ -70,36 +74,36 @@
 // setLimit takes over a rate limit that was reported, in calls a second of all senders.
 func (b *Brain) setLimit(r *route, limit float64) {
 	if r.limit == 0 {
-		r.pace = b.initialPace(limit)
+		r.sendRate = b.initialSendRate(limit)
 	} else {
-		r.pace *= limit / r.limit
+		r.sendRate *= limit / r.limit
 	}
 	r.limit = limit
 }
 
-// adjustPace lets the pace grow with a call that was served, or cuts it where the allowance is nearly used
-// up.
-func (b *Brain) adjustPace(r *route, e AttemptResult) {
+// adjustSendRate lets the send rate grow with a call that was served, or cuts it where the allowance is
+// nearly used up.
+func (b *Brain) adjustSendRate(r *route, e AttemptResult) {
 	switch {
 	case r.limit > 0 && (e.Limit == 0 || e.Remaining > plentifulRemaining):
-		step := paceGrowth * b.initialPace(r.limit)
+		step := sendRateIncrease * b.initialSendRate(r.limit)
 		if e.Limit == 0 {
 			step *= 2 // no allowance to use up: the rating of the endpoint is a capacity
 		}
-		r.pace = min(r.limit, r.pace+step)
+		r.sendRate = min(r.limit, r.sendRate+step)
 	case r.limit > 0 && e.Remaining < scarceRemaining: // rejections may use it up, too
-		b.cutPace(r, 0)
+		b.decreaseSendRate(r, 0)
 	}
 }
 
-// cutPace cuts the pace below the rate in use, the more the longer nothing was heard of the limit, and by
-// minCuts cuts at least. All senders together at half of their even shares leave the allowance room to fill
-// up again.
-func (b *Brain) cutPace(r *route, least float64) {
-	part := b.evenShare(r.limit)
-	used := max(b.usualRate(r.sentCounter), r.servedRate(), part)
-	cut := math.Pow(paceCutFactor, max(least, min(maxPaceCuts, (b.now-r.lastResultAt).Seconds())))
-	r.pace = max(min(r.pace, used)*cut, part/2)
+// decreaseSendRate cuts the rate below the one in use, the more the longer nothing was heard of the limit,
+// and minDecreases times at least. All senders together at half of their even shares leave the allowance room
+// to fill up again.
+func (b *Brain) decreaseSendRate(r *route, minDecreases float64) {
+	share := b.evenShare(r.limit)
+	used := max(b.usualRate(r.sentCounter), r.servedRate(), share)
+	decreases := max(minDecreases, min(maxSendRateDecreases, (b.now-r.lastResultAt).Seconds()))
+	r.sendRate = max(min(r.sendRate, used)*math.Pow(sendRateDecrease, decreases), share/2)
 }
 
 // applyRateGrant takes over what the fleet grants of a limit.
--- a/brain/revocation.go
+++ b/brain/revocation.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// markForRecheck has the calls in flight at r looked at again in this step.
-func (b *Brain) markForRecheck(r *route) {
+// scheduleRecheck has the calls in flight at r looked at again in this step.
+func (b *Brain) scheduleRecheck(r *route) {
 	if !r.recheck && len(r.inFlight) > 0 {
 		r.recheck = true
 		b.routesToRecheck = append(b.routesToRecheck, r)
@@ -17,14 +17,14 @@
 	for _, r := range b.routesToRecheck {
 		r.recheck = false
 		for _, c := range r.inFlight {
-			why, recall := b.staleReason(c)
-			if !recall || c.revoked {
+			reason, stale := b.staleReason(c)
+			if !stale || c.revoked {
 				continue
 			}
 			c.revoked = true
 			for _, m := range c.messages {
 				if n := len(m.attempts) - 1; !m.attempts[n].ended {
-					b.actions = append(b.actions, Revoke{m.ID, n, why})
+					b.actions = append(b.actions, Revoke{m.ID, n, reason})
 				}
 			}
 		}
@@ -33,7 +33,7 @@
 }
 
 // staleReason reports whether c would not be sent now, and why.
-func (b *Brain) staleReason(c *call) (why RevokeReason, is bool) {
+func (b *Brain) staleReason(c *call) (reason RevokeReason, stale bool) {
 	switch r := c.route; {
 	case !c.endpoint.listed:
 		return EndpointRemoved, true
--- a/brain/route.go
+++ b/brain/route.go
@@ -64,7 +64,7 @@
 
 	// Rate limit.
 	limit      float64 // calls a second of all senders, 0 if unknown
-	pace       float64 // calls a second of this sender
+	sendRate   float64 // calls a second of this sender
 	tokens     float64 // calls that may be sent now
 	refilledAt time.Duration
 }
@@ -115,7 +115,7 @@
 	}
 	b.refillTokens(r)
 	if r.tokens < 1 {
-		if rate, _ := b.allowedRate(r); rate > 0 { // else until something is lent
+		if rate, _ := b.allowedRate(r); rate > 0 { // otherwise not until something is granted
 			b.wakeAt(b.now + time.Duration((1-r.tokens)/rate*float64(time.Second)) + time.Millisecond)
 		}
 		return false
@@ -123,8 +123,7 @@
 	return true
 }
 
-// trackCall books a call that goes out, and keeps the routes with such a call in the order in which they came
-// to be.
+// trackCall records a call that was sent, and keeps the routes with calls in flight by sequence.
 func (b *Brain) trackCall(r *route, c *call) {
 	r.inFlight = append(r.inFlight, c)
 	if len(r.inFlight) > 1 {
@@ -139,7 +138,7 @@
 	b.routesInFlight[i] = r
 }
 
-// untrackCall takes a call from those that are out at its route.
+// untrackCall removes a call that has ended from those in flight.
 func (b *Brain) untrackCall(c *call) {
 	r := c.route
 	for i, x := range r.inFlight {
--- a/brain/shedding.go
+++ b/brain/shedding.go
@@ -23,11 +23,11 @@
 		if victim == nil {
 			return
 		}
-		hold := time.Duration(0)
+		retryAfter := time.Duration(0)
 		if b.settings.SendsRetryAfter {
-			hold = b.settings.MaxRetryAfter
+			retryAfter = b.settings.MaxRetryAfter
 		}
-		b.actions = append(b.actions, Reject{victim.ID, hold})
+		b.actions = append(b.actions, Reject{victim.ID, retryAfter})
 		b.closeMessage(victim)
 	}
 }
--- a/brain/slow_start.go
+++ b/brain/slow_start.go
@@ -17,11 +17,12 @@
 // send as ever: the few that have may together send awareShare of that. Any destination bears a few calls
 // from all senders.
 func (b *Brain) recoveryRate(r *route) float64 {
-	share := b.settings.SlowStartCapacity
+	capacity := b.settings.SlowStartCapacity
 	if r.state == warmingUp && b.settings.SlowStartDuration > 0 {
-		share += (1 - share) * min(1, (b.now-r.stateSince).Seconds()/b.settings.SlowStartDuration.Seconds())
+		passed := (b.now - r.stateSince).Seconds() / b.settings.SlowStartDuration.Seconds()
+		capacity += (1 - capacity) * min(1, passed)
 	}
 	unaware := awareShare / max(math.Expm1(r.rateBeforeOutage*(b.now-r.outageSince).Seconds()), 1e-9)
-	few := b.evenShare(fleetCallsPerWarmUp / max(b.settings.SlowStartDuration.Seconds(), 1))
-	return max(few, r.rateBeforeOutage*max(max(1, b.settings.OverloadMultiple)*share, unaware))
+	minimum := b.evenShare(fleetCallsPerWarmUp / max(b.settings.SlowStartDuration.Seconds(), 1))
+	return max(minimum, r.rateBeforeOutage*max(max(1, b.settings.OverloadMultiple)*capacity, unaware))
 }
--- a/brain/tenants.go
+++ b/brain/tenants.go
@@ -33,8 +33,8 @@
 // tenantWeight is the value of the messages of tenant i as a fraction: 1 within its share; beyond it, the
 // mean of the messages within and those beyond. This sender's part of a share is estimated by what tenants
 // usually send it.
-func (b *Brain) tenantWeight(i int) float64 {
-	if i < 0 || i >= len(b.tenants) || b.settings.Senders == 0 {
+func (b *Brain) tenantWeight(tenant int) float64 {
+	if tenant < 0 || tenant >= len(b.tenants) || b.settings.Senders == 0 {
 		return 1
 	}
 	if !b.tenantShareValid {
@@ -46,10 +46,10 @@
 		median := parts[len(parts)/2]
 		b.tenantShare, b.tenantShareValid = min(1, max(1/float64(b.settings.Senders), median)), true
 	}
-	allowance := tenantBurstFactor * b.tenantShare * b.settings.Tenants[i].Allowance
-	beyond := b.tenants[i].recentRate / max(allowance, 1e-9)
-	if beyond <= 1 {
+	allowance := tenantBurstFactor * b.tenantShare * b.settings.Tenants[tenant].Allowance
+	overShare := b.tenants[tenant].recentRate / max(allowance, 1e-9)
+	if overShare <= 1 {
 		return 1
 	}
-	return (1 + (beyond-1)*b.settings.OverShareValue) / beyond
+	return (1 + (overShare-1)*b.settings.OverShareValue) / overShare
 }
--- a/brain/timeouts.go
+++ b/brain/timeouts.go
@@ -27,29 +27,29 @@
 func (b *Brain) overdueAfter(c *call) time.Duration {
 	r := c.route
 	b.allRoutes.Optimum()
-	usual := b.allRoutes.MedianLatency
+	after := b.allRoutes.MedianLatency
 	if r.Samples >= restart.MinSamples {
-		usual = r.MedianLatency
+		after = r.MedianLatency
 	} else if b.allRoutes.Samples < restart.MinSamples || r.lastServedSentAt <= c.sentAt {
 		return r.unresponsiveAfter()
 	}
 	slow := time.Duration(slowLatencies * r.recentLatency * float64(time.Second))
-	usual = max(overdueLatencies*usual, slow, minProbeInterval)
-	return min(r.unresponsiveAfter(), usual<<min(r.overdueCancelled, maxOverdueDoublings))
+	after = max(overdueLatencies*after, slow, minProbeInterval)
+	return min(r.unresponsiveAfter(), after<<min(r.overdueCancelled, maxOverdueDoublings))
 }
 
 // cancelOverdue cancels overdue calls while messages wait for slots, the longest overdue first. A call that
 // may not be repeated would hold its slot to the deadline otherwise, and a few hung destinations, or calls
 // lost here and there, would take all slots. The cost is a call that would have been answered.
-func (b *Brain) cancelOverdue(waiting int) {
-	for b.settings.MayCancel && b.overdueCancelled < waiting {
+func (b *Brain) cancelOverdue(waitingDestinations int) {
+	for b.settings.MayCancel && b.overdueCancelled < waitingDestinations {
 		var victim *call
 		longest := time.Duration(0)
 		for _, r := range b.routesInFlight {
 			for _, c := range r.inFlight {
-				over := b.now - c.sentAt - b.overdueAfter(c)
-				if over > longest && !c.overdueCancelled {
-					victim, longest = c, over
+				overdueBy := b.now - c.sentAt - b.overdueAfter(c)
+				if overdueBy > longest && !c.overdueCancelled {
+					victim, longest = c, overdueBy
 				}
 			}
 		}
