--- a/internal/faulttest/fleet/fleet.go
+++ b/internal/faulttest/fleet/fleet.go
@@ -108,16 +108,38 @@
 	if err != nil {
 		return fmt.Errorf("sender %s: configuration: %w", s.Name, err)
 	}
-	tmp := filepath.Join(s.folder, s.Name, "tmp")
-	os.RemoveAll(tmp)
-	if err := os.MkdirAll(tmp, 0o755); err != nil {
-		return fmt.Errorf("sender %s: %w", s.Name, err)
-	}
 	out, err := os.OpenFile(s.Log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return fmt.Errorf("sender %s: %w", s.Name, err)
 	}
 	defer out.Close()
+	cmd, err := s.newCommand(config, path, out)
+	if err != nil {
+		return fmt.Errorf("sender %s: %w", s.Name, err)
+	}
+	ended, err := s.launch(cmd, run, fresh)
+	if err != nil || ended == nil {
+		return err
+	}
+	if err := s.awaitReady(ended); err != nil {
+		return err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.cmd == cmd && !s.asked {
+		s.ready = true
+		s.log.Add(eventlog.Event{Kind: eventlog.Ready, Sender: s.Name, Run: run})
+	}
+	return nil
+}
+
+// newCommand makes the command of a process with an environment and a temporary folder of its own.
+func (s *Sender) newCommand(config map[string]any, path string, out *os.File) (*exec.Cmd, error) {
+	tmp := filepath.Join(s.folder, s.Name, "tmp")
+	os.RemoveAll(tmp)
+	if err := os.MkdirAll(tmp, 0o755); err != nil {
+		return nil, err
+	}
 	cmd := exec.Command(s.command[0], s.command[1:]...)
 	cmd.Stdout, cmd.Stderr = out, out
 	discovery, _ := config["discovery"].(string)
@@ -125,25 +147,31 @@
 		"EDGE_DISCOVERY=" + discovery, "EDGE_STATE=" + s.state(), "EDGE_CONFIG=" + path}
 	// A kit that is killed takes its senders with it; ^C reaches the kit alone, which then ends them.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
+	return cmd, nil
+}
+
+// launch starts a process and returns what is closed at its end; nil if the sender was closed meanwhile.
+func (s *Sender) launch(cmd *exec.Cmd, run int, fresh bool) (chan struct{}, error) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	if s.closed {
-		s.mu.Unlock()
-		return nil
+		return nil, nil
 	}
-	note := ""
+	detail := ""
 	if fresh {
-		note = "new"
+		detail = "new"
 	}
-	s.log.Add(eventlog.Event{Kind: eventlog.Start, Sender: s.Name, Run: run, Detail: note})
+	s.log.Add(eventlog.Event{Kind: eventlog.Start, Sender: s.Name, Run: run, Detail: detail})
 	if err := cmd.Start(); err != nil {
-		s.mu.Unlock()
-		return fmt.Errorf("sender %s: %w", s.Name, err)
+		return nil, fmt.Errorf("sender %s: %w", s.Name, err)
 	}
 	s.cmd, s.asked, s.ready, s.ended = cmd, false, false, make(chan struct{})
-	ended := s.ended
-	s.mu.Unlock()
-	go s.wait(cmd, run, ended)
+	go s.wait(cmd, run, s.ended)
+	return s.ended, nil
+}
 
+// awaitReady asks the process whether it is ready until it is, has ended, or the time for it is over.
+func (s *Sender) awaitReady(ended <-chan struct{}) error {
 	limit := time.Now().Add(readyTime)
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for {
@@ -152,7 +180,7 @@
 			io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				break
+				return nil
 			}
 		}
 		select {
@@ -164,13 +192,6 @@
 			return &ProcessError{Sender: s.Name, Problem: fmt.Sprintf("is not ready after %v; its log is %s", readyTime, s.Log())}
 		}
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.cmd == cmd && !s.asked {
-		s.ready = true
-		s.log.Add(eventlog.Event{Kind: eventlog.Ready, Sender: s.Name, Run: run})
-	}
-	return nil
 }
 
 func (s *Sender) wait(cmd *exec.Cmd, run int, ended chan struct{}) {
--- a/internal/faulttest/links/links.go
+++ b/internal/faulttest/links/links.go
@@ -349,30 +349,7 @@
 	parcels := make(chan parcel, waiting)
 	go func() {
 		defer close(parcels)
-		var last time.Time
-		for {
-			b := make([]byte, chunk)
-			n, err := from.Read(b)
-			if n > 0 {
-				c, _, _ := w.now()
-				due := time.Now().Add(c.Delay)
-				if c.Jitter > 0 {
-					due = due.Add(time.Duration(rng.Int64N(int64(c.Jitter))))
-				}
-				if due.Before(last) {
-					due = last
-				}
-				last = due
-				select {
-				case parcels <- parcel{b[:n], due}:
-				case <-ctx.Done():
-					return
-				}
-			}
-			if err != nil {
-				return
-			}
-		}
+		readParcels(ctx, from, w, rng, parcels)
 	}()
 	passed, turn := 0, -1 // since the present condition began
 	for p := range parcels {
@@ -410,6 +387,35 @@
 	}
 }
 
+// readParcels reads chunks and gives each the time at which it is due, in the order in which they came. It returns when there is
+// nothing more to read, or ctx ends.
+func readParcels(ctx context.Context, from net.Conn, w *way, rng *rand.Rand, parcels chan<- parcel) {
+	var last time.Time
+	for {
+		b := make([]byte, chunk)
+		n, err := from.Read(b)
+		if n > 0 {
+			c, _, _ := w.now()
+			due := time.Now().Add(c.Delay)
+			if c.Jitter > 0 {
+				due = due.Add(time.Duration(rng.Int64N(int64(c.Jitter))))
+			}
+			if due.Before(last) {
+				due = last
+			}
+			last = due
+			select {
+			case parcels <- parcel{b[:n], due}:
+			case <-ctx.Done():
+				return
+			}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/faulttest/policytest/check.go
+++ b/internal/faulttest/policytest/check.go
@@ -31,15 +31,34 @@
 // nowhere, and what operators were told fits one order of their commands.
 func Check(r *Result) Verdict {
 	var v Verdict
-	broken := func(format string, args ...any) { v.Broken = append(v.Broken, fmt.Sprintf(format, args...)) }
 	if len(slices.Compact(slices.Clone(r.FinalHistories))) > 1 {
-		broken("senders tell different pasts: %q", r.FinalHistories)
+		v.broken("senders tell different pasts: %q", r.FinalHistories)
 	}
 	last := uint64(0)
 	for n := range r.Seen {
 		last = max(last, n)
 	}
-	proposed := map[uint64]time.Duration{} // the earliest that could have made a version
+	proposed := v.checkChanges(r)
+	for n := uint64(1); n <= last; n++ {
+		if _, ok := proposed[n]; !ok {
+			v.broken("version %d is in force, and nobody has proposed it, or it was refused", n)
+		}
+	}
+	v.checkCalls(r, proposed, last)
+	if ok := porcupine.CheckOperations(commands, operations(r.Changes)); !ok {
+		v.broken("no order of the commands fits what operators were told: %+v", r.Changes)
+	}
+	return v
+}
+
+// broken records a rule that did not hold.
+func (v *Verdict) broken(format string, args ...any) {
+	v.Broken = append(v.Broken, fmt.Sprintf(format, args...))
+}
+
+// checkChanges counts the changes by their ends and returns the earliest time at which each version can have been proposed.
+func (v *Verdict) checkChanges(r *Result) (proposed map[uint64]time.Duration) {
+	proposed = map[uint64]time.Duration{}
 	for _, c := range r.Changes {
 		switch {
 		case !c.Known:
@@ -53,7 +72,7 @@
 		default:
 			v.Commits++
 			if c.Version != c.Base+1 {
-				broken("a change made from version %d made version %d", c.Base, c.Version)
+				v.broken("a change made from version %d made version %d", c.Base, c.Version)
 			}
 			v.Takes = append(v.Takes, r.Seen[c.Version]-c.Asked)
 		}
@@ -61,19 +80,17 @@
 			proposed[c.Base+1] = c.Asked
 		}
 	}
-	for n := uint64(1); n <= last; n++ {
-		if _, ok := proposed[n]; !ok {
-			broken("version %d is in force, and nobody has proposed it, or it was refused", n)
-		}
-	}
+	return proposed
+}
+
+// checkCalls walks through the calls by the time of their first byte. A call for receiver d is begun under a version that leaves
+// it open: one that was proposed by then, and was not seen to be replaced by then. From the first version on each leaves one open.
+func (v *Verdict) checkCalls(r *Result, proposed map[uint64]time.Duration, last uint64) {
 	calls := slices.DeleteFunc(slices.Clone(r.Events), func(e eventlog.Event) bool { return e.Kind != eventlog.Call })
 	slices.SortStableFunc(calls, func(a, b eventlog.Event) int { return int(a.First - b.First) })
-	// A call for receiver d is begun under a version that leaves it open: one that was proposed by then, and was not seen to be
-	// replaced by then. From the first version on each leaves one open.
-	at := func(e eventlog.Event) time.Duration { return time.Duration(e.First) * time.Microsecond }
 	version, begun, before := uint64(0), time.Duration(0), time.Duration(0)
 	for _, e := range calls {
-		t := at(e)
+		t := time.Duration(e.First) * time.Microsecond
 		v.Calls++
 		fits := func(n uint64) bool {
 			if n > 0 && (uint64(e.Dest) == n%2 || t < proposed[n]) {
@@ -96,14 +113,10 @@
 			version, begun = next, t
 		case next > last:
 			seen, is := r.Seen[version+1]
-			broken("at %v %s called receiver %d; version %d was in force by then (first seen at %v, %v; first called under at %v)", t, e.Sender, e.Dest, version, seen, is, begun)
+			v.broken("at %v %s called receiver %d; version %d was in force by then (first seen at %v, %v; first called under at %v)", t, e.Sender, e.Dest, version, seen, is, begun)
 		}
 		before = t
 	}
-	if ok := porcupine.CheckOperations(commands, operations(r.Changes)); !ok {
-		broken("no order of the commands fits what operators were told: %+v", r.Changes)
-	}
-	return v
 }
 
 // commands is the policy as operators see it: a version that each change raises by one, if it was made from it.
--- a/internal/faulttest/script/plan.go
+++ b/internal/faulttest/script/plan.go
@@ -119,10 +119,37 @@
 	return kinds, nil
 }
 
+// receivers draws the day's receivers, those with much traffic first.
 func (p *Plan) receivers(kinds []Kind, rng *rand.Rand) {
 	d := p.Day
-	n := d.Receivers
-	// Kinds by their shares, those with much traffic first.
+	of := byWeight(kinds, d.Receivers)
+	weights, all := make([]float64, d.Receivers), 0.0
+	for i := range weights {
+		weights[i] = math.Pow(float64(i+1), -d.Zipf)
+		all += weights[i]
+	}
+	// Members: each receiver goes to the member that is furthest below its share.
+	got, shares := make([]float64, len(p.Members)), 0.0
+	for _, m := range p.Members {
+		shares += m.Weight
+	}
+	for i := range d.Receivers {
+		weight := weights[i] / all
+		best := 0
+		for j, m := range p.Members {
+			if got[j]-m.Weight/shares < got[best]-p.Members[best].Weight/shares {
+				best = j
+			}
+		}
+		got[best] += weight
+		endpoints, spec := d.drawSpec(of[i], weight, rng)
+		p.Receivers = append(p.Receivers, Receiver{Name: "r" + strconv.Itoa(i), Kind: of[i].Name, Member: p.Members[best].Name,
+			Weight: weight, Endpoints: endpoints, Spec: spec})
+	}
+}
+
+// byWeight deals n receivers out to the kinds by their weights; large kinds come first.
+func byWeight(kinds []Kind, n int) []Kind {
 	order := slices.Clone(kinds)
 	slices.SortStableFunc(order, func(a, b Kind) int {
 		if a.Large == b.Large {
@@ -145,49 +172,33 @@
 			of = append(of, k)
 		}
 	}
-	weights, all := make([]float64, n), 0.0
-	for i := range weights {
-		weights[i] = math.Pow(float64(i+1), -d.Zipf)
-		all += weights[i]
-	}
-	// Members: each receiver goes to the member that is furthest below its share.
-	got, shares := make([]float64, len(p.Members)), 0.0
-	for _, m := range p.Members {
-		shares += m.Weight
-	}
+	return of
+}
+
+// drawSpec draws a receiver of a kind that gets the given part of the traffic, and the number of its endpoints.
+func (d *Day) drawSpec(k Kind, weight float64, rng *rand.Rand) (endpoints int, spec receiver.Spec) {
 	full := d.Rate / d.Load
 	draw := func(r []float64) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
-	for i := range n {
-		k, share := of[i], weights[i]/all
-		best := 0
-		for j, m := range p.Members {
-			if got[j]-m.Weight/shares < got[best]-p.Members[best].Weight/shares {
-				best = j
-			}
-		}
-		got[best] += share
-		endpoints := d.Endpoints[0] + rng.IntN(d.Endpoints[1]-d.Endpoints[0]+1)
-		want := max(k.MinRate, full*share*draw(k.Headroom))
-		slots := max(1, int(math.Ceil(want*k.Service.D().Seconds()/float64(endpoints))))
-		spec := receiver.Spec{
-			Slots: slots, Queue: max(1, int(want*k.Queue.D().Seconds()/float64(endpoints))),
-			Service: k.Service.D(), Spread: k.Spread, Times: k.Times,
-			LimitKind: k.Limit, Window: k.Window.D(), TellsWait: k.TellsWait.D(),
-			Format: k.Format, IdleClose: k.IdleClose.D(), Reports: k.Reports && k.Limit != "none",
-			ReportEach: d.ReportEach.D(), ReportLate: d.ReportLate.D(),
-			SlowStartCapacity: d.SlowStartCapacity, SlowStart: d.SlowStart.D(), FallMultiple: d.FallMultiple, FallSpan: d.FallSpan.D(),
-		}
-		spec.Capacity = float64(slots*endpoints) / k.Service.D().Seconds()
-		if k.Limit != "none" {
-			spec.Limit = max(k.MinRate, full*share*draw(k.LimitHeadroom))
-			spec.Capacity = max(spec.Capacity, spec.Limit)
-		}
-		if k.Connections > 0 {
-			spec.MaxConnections = max(k.MinConnections, int(k.Connections*float64(slots)))
-		}
-		p.Receivers = append(p.Receivers, Receiver{Name: "r" + strconv.Itoa(i), Kind: k.Name, Member: p.Members[best].Name,
-			Weight: share, Endpoints: endpoints, Spec: spec})
-	}
+	endpoints = d.Endpoints[0] + rng.IntN(d.Endpoints[1]-d.Endpoints[0]+1)
+	want := max(k.MinRate, full*weight*draw(k.Headroom))
+	slots := max(1, int(math.Ceil(want*k.Service.D().Seconds()/float64(endpoints))))
+	spec = receiver.Spec{
+		Slots: slots, Queue: max(1, int(want*k.Queue.D().Seconds()/float64(endpoints))),
+		Service: k.Service.D(), Spread: k.Spread, Times: k.Times,
+		LimitKind: k.Limit, Window: k.Window.D(), TellsWait: k.TellsWait.D(),
+		Format: k.Format, IdleClose: k.IdleClose.D(), Reports: k.Reports && k.Limit != "none",
+		ReportEach: d.ReportEach.D(), ReportLate: d.ReportLate.D(),
+		SlowStartCapacity: d.SlowStartCapacity, SlowStart: d.SlowStart.D(), FallMultiple: d.FallMultiple, FallSpan: d.FallSpan.D(),
+	}
+	spec.Capacity = float64(slots*endpoints) / k.Service.D().Seconds()
+	if k.Limit != "none" {
+		spec.Limit = max(k.MinRate, full*weight*draw(k.LimitHeadroom))
+		spec.Capacity = max(spec.Capacity, spec.Limit)
+	}
+	if k.Connections > 0 {
+		spec.MaxConnections = max(k.MinConnections, int(k.Connections*float64(slots)))
+	}
+	return endpoints, spec
 }
 
 // arrivals draws a Poisson stream, thinned from the highest rate, with clumps among it.
@@ -380,8 +391,27 @@
 	return dests, nil
 }
 
+// acts turns the script's faults, lists, senders and links into acts, in the order of their times.
 func (p *Plan) acts(s *Script, rng *rand.Rand) error {
-	for i, t := range s.Faults {
+	if err := p.faultActs(s.Faults, rng); err != nil {
+		return err
+	}
+	if err := p.listActs(s.Lists, rng); err != nil {
+		return err
+	}
+	if err := p.senderActs(s.Senders); err != nil {
+		return err
+	}
+	if err := p.linkActs(s.Links, rng); err != nil {
+		return err
+	}
+	slices.SortStableFunc(p.Acts, func(a, b Act) int { return cmp.Compare(a.At, b.At) })
+	return nil
+}
+
+// faultActs adds the begin and the end of each fault.
+func (p *Plan) faultActs(faults []Fault, rng *rand.Rand) error {
+	for i, t := range faults {
 		dests, err := p.who(t.Who, t.where, rng)
 		if err != nil {
 			return err
@@ -394,7 +424,12 @@
 			p.Acts = append(p.Acts, a)
 		}
 	}
-	for _, l := range s.Lists {
+	return nil
+}
+
+// listActs adds what happens to the endpoint list.
+func (p *Plan) listActs(lists []List, rng *rand.Rand) error {
+	for _, l := range lists {
 		a := Act{At: l.At.D(), Do: l.Do, Delay: l.Delay.D()}
 		switch l.Do {
 		case "replace":
@@ -411,8 +446,13 @@
 		}
 		p.Acts = append(p.Acts, a)
 	}
+	return nil
+}
+
+// senderActs adds what happens to sender processes.
+func (p *Plan) senderActs(senders []Sender) error {
 	joined := p.Senders
-	for _, c := range s.Senders {
+	for _, c := range senders {
 		a := Act{At: c.At.D(), Do: c.Do}
 		add := func() {
 			if c.Do == "pause" {
@@ -441,10 +481,6 @@
 			add()
 		}
 	}
-	if err := p.linkActs(s.Links, rng); err != nil {
-		return err
-	}
-	slices.SortStableFunc(p.Acts, func(a, b Act) int { return cmp.Compare(a.At, b.At) })
 	return nil
 }
 
