--- a/internal/tier/ingress/client_gone.go
+++ b/internal/tier/ingress/client_gone.go
@@ -8,21 +8,23 @@
 	"time"
 )
 
+// peekResult is what a socket has to read.
 type peekResult uint8
 
 const (
-	noData      peekResult = iota // nothing has come
-	dataPending                   // bytes are to be read
+	noData      peekResult = iota // nothing was received
+	dataPending                   // unread bytes
 	peerClosed                    // closed or reset
 )
 
-// peek looks at what a socket has to read, without waiting and without taking it.
+// peek returns what a socket has to read, without waiting and without reading it.
 func peek(raw syscall.RawConn) peekResult {
 	p := peerClosed
 	raw.Control(func(fd uintptr) { p = peekAt(fd) })
 	return p
 }
 
+// peekAt is peek for a descriptor.
 func peekAt(fd uintptr) peekResult {
 	var b [1]byte
 	for {
@@ -39,23 +41,23 @@
 	}
 }
 
-// clientWatch waits for the end of a connection beside its goroutine.
+// clientWatch waits for the end of a connection in a goroutine of its own.
 type clientWatch struct {
 	timer *time.Timer
 	done  chan struct{}
 	gone  atomic.Bool
 }
 
-// ClientGone reports whether the client has closed or reset its connection (one that has only ended its own side counts too).
-// While bytes of a next request lie unread it is not gone. It costs one call to the system.
+// ClientGone reports whether the client has closed or reset its connection (a half-closed one counts, too). While bytes of a next
+// request are unread it is not gone. It costs one system call.
 func (exchange *Exchange) ClientGone() bool {
 	return exchange.conn == nil || exchange.broken || exchange.watch != nil && exchange.watch.gone.Load() || peek(exchange.conn.raw) == peerClosed
 }
 
 // OnClientGone has f called, from another goroutine and at most once, when the client closes or resets its connection before the
-// handler returns. Watching begins after a time, so that a short exchange costs a timer and no goroutine; it stops where
-// the bytes of a next request have come. f must not block. It may be asked for once an exchange.
-func (exchange *Exchange) OnClientGone(after time.Duration, f func()) {
+// handler returns. Watching begins after a delay, so that a short exchange costs a timer and no goroutine; it stops where bytes of
+// a next request are received. f must not block. Only the first call for an exchange has an effect.
+func (exchange *Exchange) OnClientGone(delay time.Duration, f func()) {
 	if exchange.watch != nil || exchange.conn == nil {
 		return
 	}
@@ -63,7 +65,7 @@
 	c.socket.SetReadDeadline(time.Time{})
 	w := &clientWatch{done: make(chan struct{})}
 	exchange.watch = w
-	w.timer = time.AfterFunc(max(0, after), func() {
+	w.timer = time.AfterFunc(max(0, delay), func() {
 		defer close(w.done)
 		found := noData
 		err := c.raw.Read(func(fd uintptr) bool {
@@ -77,7 +79,7 @@
 	})
 }
 
-// stop ends a watch before anything else reads the connection.
+// stop ends a watch, and waits for its goroutine, before anything else reads the connection.
 func (w *clientWatch) stop(c *conn) {
 	if w == nil || w.timer.Stop() {
 		return
--- a/internal/tier/ingress/conn.go
+++ b/internal/tier/ingress/conn.go
@@ -14,16 +14,16 @@
 
 const (
 	bufferSize          = 4 << 10  // of a pooled buffer
-	maxPooledBuffer     = 16 << 10 // a larger one is not put back
-	bodyProgressBytes   = 4 << 10  // bytes of a body that earn it a new time-out
-	initialBodyCapacity = 64 << 10 // room for a body before more of it has come
+	maxPooledBuffer     = 16 << 10 // a larger one is not returned to the pool
+	bodyProgressBytes   = 4 << 10  // bytes of a body that extend its time-out
+	initialBodyCapacity = 64 << 10 // of the buffer of a body before more of it was received
 	maxWriteSize        = 64 << 10 // bytes written under one time-out
-	maxLingerBytes      = 1 << 20  // read and discarded after a refusal
+	maxLingerBytes      = 1 << 20  // bytes read and discarded after a rejection
 )
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, bufferSize); return &b }}
 
-// putBuffer gives a buffer back to the pool, unless it has grown large.
+// putBuffer returns a buffer to the pool, unless it has grown large.
 func putBuffer(b *[]byte) {
 	if cap(*b) <= maxPooledBuffer {
 		*b = (*b)[:cap(*b)]
@@ -31,13 +31,13 @@
 	}
 }
 
-// connState is what a connection does, as far as those who would end it must know.
+// connState is the state of a connection, for those who would close it.
 type connState uint8
 
 const (
 	active connState = iota
 	idle
-	closed // closed, or about to be, by whoever has set it
+	closed // closed, or about to be by the one that has set the state
 )
 
 // conn is a client's connection. All but what mu guards belongs to its goroutine.
@@ -46,29 +46,27 @@
 	socket         net.Conn
 	raw            syscall.RawConn
 	readFirstBytes func(uintptr) bool
-	overCapacity   bool // for want of descriptors
-
-	buffer        *[]byte   // nil while nothing has been read
-	consumed      int       // bytes of in that a request has taken
-	buffered      int       // bytes of in that were read
-	readAt        time.Time // of the last read into in
-	readDeadline  time.Time // of reads under way
-	progress      int       // bytes of a body since due was set
+	overCapacity   bool // its request is answered 503 for lack of descriptors
+
+	buffer        *[]byte   // nil while nothing was read
+	consumed      int       // bytes of buffer that requests have consumed
+	buffered      int       // bytes of buffer that were read
+	readAt        time.Time // time of the last read into buffer
+	readDeadline  time.Time // of the part of a request that is being read
+	progress      int       // bytes of a body since readDeadline was set
 	limits        Limits    // of the request being read
 	writeDeadline time.Time
-	readErr       error // of try
+	readErr       error // of readFirst
 
-	mu             sync.Mutex // held over the read that takes the first bytes of a request
+	mu             sync.Mutex // held over the read of the first bytes of a request; guards state and requestsServed
 	state          connState
 	requestsServed int
 
-	listed     bool // guarded by the server's lock, as are its neighbours
+	listed     bool // in the server's idle list, whose mutex guards this and the neighbours
 	prev, next *conn
 }
 
-var errNotASocket = errors.New("ingress: no socket")
-
-// newConn makes a client's connection of one that was accepted; errNoSocket if it is not one of the system.
+// newConn returns the connection of an accepted socket; errNotASocket if it is not one of the system.
 func newConn(s *Server, nc net.Conn) (*conn, error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -83,7 +81,7 @@
 	return c, nil
 }
 
-// serve is the connection's goroutine.
+// serve serves requests until the connection ends. It is the connection's goroutine.
 func (conn *conn) serve() {
 	defer conn.server.removeConn(conn)
 	defer conn.socket.Close()
@@ -122,7 +120,7 @@
 	}
 }
 
-// serveExchange calls the handler, or refuses where there are no descriptors left. A panic of the handler ends its exchange only.
+// serveExchange calls the handler, or answers 503 where descriptors have run out. A panic of the handler ends only its connection.
 func (conn *conn) serveExchange(exchange *Exchange) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -144,15 +142,7 @@
 	conn.server.Handler(exchange)
 }
 
-// releaseBuffer gives the read buffer back; nothing may be left in it.
-func (conn *conn) releaseBuffer() {
-	if conn.buffer != nil {
-		putBuffer(conn.buffer)
-		conn.buffer, conn.consumed, conn.buffered = nil, 0, 0
-	}
-}
-
-// awaitRequest waits for the first bytes of a request without holding a buffer. It reports false when the connection is over.
+// awaitRequest waits for the first bytes of a request without holding a buffer. It is false when the connection has ended.
 func (conn *conn) awaitRequest() bool {
 	conn.releaseBuffer()
 	wait := conn.server.limits().IdleTimeout
@@ -166,12 +156,12 @@
 	conn.mu.Unlock()
 	conn.server.idle.add(conn)
 	conn.server.mu.Unlock()
-	if conn.server.draining.Load() { // it may have begun as the deadline was set
+	if conn.server.draining.Load() { // draining may have begun while the deadline was set
 		conn.shortenIdle(time.Now().Add(conn.server.linger()), true)
 	}
 	err := conn.raw.Read(conn.readFirstBytes)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = conn.raw.Control(func(fd uintptr) { // what has come up to now is a request
+		err = conn.raw.Control(func(fd uintptr) { // what was received until now is a request
 			for !conn.readFirst(fd) && !conn.closeIfIdle() {
 			}
 		})
@@ -182,7 +172,8 @@
 	return err == nil && conn.readErr == nil && conn.buffered > 0
 }
 
-// readFirst reads the first bytes of a request, if there are any, and makes the connection an active one in the same step.
+// readFirst reads the first bytes of a request, if there are any, and makes the connection active in the same step, so that no
+// request is read that closeIfIdle then drops.
 func (conn *conn) readFirst(fd uintptr) bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -211,8 +202,8 @@
 	}
 }
 
-// closeIfIdle ends a connection that waits if no byte of a request has come; the caller closes it, outside of all locks, since
-// closing waits for its readers.
+// closeIfIdle marks an idle connection as closed if no byte of a request was received; the caller closes its socket, outside of all
+// locks, since that waits for its readers.
 func (conn *conn) closeIfIdle() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -223,8 +214,8 @@
 	return true
 }
 
-// shortenIdle has a connection that waits send its request by a time, one that has carried others only if used is true. It reports
-// whether it is such a one.
+// shortenIdle sets the deadline for the next request of an idle connection; of one that has carried requests only if used is true. It
+// reports whether it did.
 func (conn *conn) shortenIdle(by time.Time, used bool) bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -234,103 +225,3 @@
 	conn.socket.SetReadDeadline(by)
 	return true
 }
-
-// read reads with the time-out of the part of a request that is under way.
-func (conn *conn) read(p []byte) (int, error) {
-	if conn.readDeadline.IsZero() || conn.progress >= bodyProgressBytes {
-		conn.readDeadline, conn.progress = time.Now().Add(conn.limits.HeaderTimeout), 0
-		conn.socket.SetReadDeadline(conn.readDeadline)
-	}
-	n, err := conn.socket.Read(p)
-	conn.progress += n
-	if n > 0 {
-		err = nil
-	}
-	return n, err
-}
-
-// fill reads more into the buffer, which grows as needed.
-func (conn *conn) fill() error {
-	if conn.buffer == nil {
-		conn.buffer = buffers.Get().(*[]byte)
-	}
-	b := *conn.buffer
-	if conn.consumed == conn.buffered {
-		conn.consumed, conn.buffered = 0, 0
-	}
-	if conn.buffered == len(b) {
-		if conn.consumed > 0 {
-			conn.buffered = copy(b, b[conn.consumed:conn.buffered])
-			conn.consumed = 0
-		} else {
-			grown := make([]byte, 2*len(b))
-			copy(grown, b)
-			conn.buffer = &grown
-			b = grown
-		}
-	}
-	n, err := conn.read(b[conn.buffered:])
-	conn.buffered += n
-	conn.readAt = time.Now()
-	return err
-}
-
-// write writes all of p. What a client does not take in time ends the connection.
-func (conn *conn) write(p []byte) error {
-	for {
-		step := p[:min(len(p), maxWriteSize)]
-		timeout := conn.server.WriteTimeout
-		if timeout <= 0 {
-			timeout = conn.limits.IdleTimeout
-		}
-		if now := time.Now(); conn.writeDeadline.Sub(now) < timeout*3/4 { // few changes of the timer
-			conn.writeDeadline = now.Add(timeout)
-			conn.socket.SetWriteDeadline(conn.writeDeadline)
-		}
-		if _, err := conn.socket.Write(step); err != nil {
-			return err
-		}
-		if p = p[len(step):]; len(p) == 0 {
-			return nil
-		}
-	}
-}
-
-// reject answers a request that was not read whole, and reads and discards what still comes for a while: closed with bytes
-// unread, the connection would be reset and the answer lost.
-func (conn *conn) reject(status int) {
-	b := append([]byte(nil), "HTTP/1.1 "...)
-	b = appendStatus(b, status)
-	b = append(b, "Content-Length: 0\r\nConnection: close\r\n\r\n"...)
-	if conn.write(b) != nil || conn.closeWrite() != nil {
-		return
-	}
-	conn.socket.SetReadDeadline(time.Now().Add(conn.server.linger()))
-	if conn.buffer == nil {
-		conn.buffer = buffers.Get().(*[]byte)
-	}
-	for discarded := 0; discarded < maxLingerBytes; {
-		n, err := conn.socket.Read(*conn.buffer)
-		if discarded += n; err != nil {
-			return
-		}
-	}
-}
-
-// lingeringClose ends a connection after its last answer. Requests that were sent on behind stay unread, so that the client knows
-// them not taken; it gets a moment to read the answer before the reset that this means.
-func (conn *conn) lingeringClose() {
-	if peek(conn.raw) != dataPending || conn.closeWrite() != nil {
-		return
-	}
-	conn.socket.SetReadDeadline(time.Now().Add(conn.server.linger()))
-	conn.raw.Read(func(uintptr) bool { return false })
-}
-
-// closeWrite says to the client that nothing more comes.
-func (conn *conn) closeWrite() error {
-	if h, ok := conn.socket.(interface{ CloseWrite() error }); ok {
-		return h.CloseWrite()
-	}
-	return nil
-}
--- a/internal/tier/ingress/idle_list.go
+++ b/internal/tier/ingress/idle_list.go
@@ -1,12 +1,12 @@
 package ingress
 
-// idleList is the connections that wait, the longest one first.
+// idleList lists the idle connections, the one idle for longest first.
 type idleList struct {
 	first, last *conn
 	n           int
 }
 
-// add puts a connection at the end of the list.
+// add appends a connection.
 func (l *idleList) add(c *conn) {
 	c.listed, c.prev, c.next = true, l.last, nil
 	if l.last != nil {
@@ -18,7 +18,7 @@
 	l.n++
 }
 
-// remove takes a connection out of the list, if it is there.
+// remove removes a connection, if it is listed.
 func (l *idleList) remove(c *conn) {
 	if !c.listed {
 		return
--- a/internal/tier/ingress/head.go
+++ b/internal/tier/ingress/request_head.go
@@ -2,12 +2,13 @@
 
 import (
 	"strings"
+	"time"
 
 	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
-// scanHead looks for the empty line that ends a head, from an offset on, line being where the line there begins. It returns
-// the length of the head or 0, where to go on, and whether a line ended in a bare LF.
+// scanHead searches for the empty line that ends a head, from an offset on; line is where the line at that offset begins. It returns
+// the length of the head or 0, where to continue, and whether a line ended in a bare LF.
 func scanHead(b []byte, from, line int) (end, next, lineNext int, bad bool) {
 	for i := from; i < len(b); i++ {
 		if b[i] != '\n' {
@@ -24,24 +25,24 @@
 	return 0, len(b), line, false
 }
 
-// splitLine cuts a line with its CRLF off a head.
+// splitLine splits the first line off a head, without its CRLF.
 func splitLine(h string) (line, rest string) {
 	i := strings.IndexByte(h, '\n')
 	return h[:i-1], h[i+1:]
 }
 
-// framing is what a head says of its body and its connection.
+// framing is what a head says of the request's body and its connection.
 type framing struct {
-	length  int64 // of the body; -1: none announced
+	length  int64 // Content-Length; -1: there is none
 	chunked bool
-	close   bool
-	expect  bool // 100-continue
+	close   bool // no further request follows
+	expect  bool // Expect: 100-continue
 }
 
-// fieldCounts are how often the fields stand in a head that may stand there once.
+// fieldCounts counts the fields that may be in a head once.
 type fieldCounts struct{ hosts, ids, deadlines, lengths, codings int }
 
-// parseHead reads a head, which ends with an empty line, into exchange. It returns the status of the refusal, 0 if there is none.
+// parseHead parses a head, which ends with an empty line, into exchange. It returns the status of the rejection; 0: there is none.
 func parseHead(head string, exchange *Exchange) (f framing, status int) {
 	f.length = -1
 	line, head := splitLine(head)
@@ -72,7 +73,7 @@
 	return f, 0
 }
 
-// applyField takes in a field that the server itself goes by. It returns the status of the refusal, 0 if there is none.
+// applyField interprets a field that the server itself acts on. It returns the status of the rejection; 0: there is none.
 func (f *framing) applyField(field http1.Field, exchange *Exchange, seen *fieldCounts) (status int) {
 	var ok bool
 	switch name := field.Name; len(name) {
@@ -120,7 +121,7 @@
 	return 0
 }
 
-// parseRequestLine reads a request line.
+// parseRequestLine parses a request line. It returns the status of the rejection; 0: there is none.
 func parseRequestLine(line string, exchange *Exchange) int {
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
@@ -145,7 +146,7 @@
 		authority := target[len(scheme):]
 		target = "/"
 		if i := strings.IndexAny(authority, "/?"); i >= 0 {
-			if authority[i] == '?' { // it would have to be changed to be sent on
+			if authority[i] == '?' { // it would have to be changed to be forwarded
 				return 400
 			}
 			authority, target = authority[:i], authority[i:]
@@ -164,7 +165,7 @@
 	return 0
 }
 
-// parseLength reads a Content-Length; one beyond all bounds is the largest number.
+// parseLength parses a Content-Length; one that overflows is the largest number.
 func parseLength(s string) (int64, bool) {
 	n := int64(0)
 	for i := 0; i < len(s); i++ {
@@ -181,26 +182,72 @@
 	return n, s != ""
 }
 
-// parseChunkSize reads the line of a chunk, extensions being discarded. Sizes have up to 15 digits.
-func parseChunkSize(line string) (int64, bool) {
-	size, ext, has := strings.Cut(line, ";")
-	if len(size) > 15 || has && !http1.AllOf(ext, http1.ValueChar) {
-		return 0, false
+// readRequest reads a complete request. It returns the status of a rejection, or the error of the connection.
+func (conn *conn) readRequest(exchange *Exchange) (status int, err error) {
+	exchange.ArrivedAt = conn.readAt
+	head, status, err := conn.readHead()
+	if status != 0 || err != nil {
+		return status, err
 	}
-	n := int64(0)
-	for i := 0; i < len(size); i++ {
-		d := size[i]
-		switch {
-		case d >= '0' && d <= '9':
-			d -= '0'
-		case d >= 'a' && d <= 'f':
-			d -= 'a' - 10
-		case d >= 'A' && d <= 'F':
-			d -= 'A' - 10
-		default:
-			return 0, false
+	f, status := parseHead(head, exchange)
+	if status != 0 {
+		return status, nil
+	}
+	exchange.keepAlive = !f.close
+	conn.readDeadline, conn.progress = time.Time{}, 0
+	if f.length > int64(conn.limits.MaxBody) {
+		return 413, nil
+	}
+	if f.expect && conn.consumed == conn.buffered && (f.length > 0 || f.chunked) {
+		if err := conn.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
+			return 0, err
+		}
+	}
+	switch {
+	case f.chunked:
+		return conn.readChunked(exchange)
+	case f.length > 0:
+		exchange.Body, err = conn.readLength(nil, int(f.length), false)
+		return 0, err
+	}
+	return 0, nil
+}
+
+// readHead reads a head with the empty line that ends it. It has one time-out, which counts from the first wait for more of it: its
+// first bytes may have been received, behind a request, long before they are parsed.
+func (conn *conn) readHead() (head string, status int, err error) {
+	conn.readDeadline, conn.progress = time.Time{}, 0
+	from, line, end, blank := 0, 0, 0, false
+	for {
+		b := (*conn.buffer)[conn.consumed:conn.buffered]
+		if !blank && from == 0 && len(b) >= 2 && b[0] == '\r' && b[1] == '\n' { // one empty line may come before
+			blank = true
+			conn.consumed += 2
+			continue
+		}
+		var bad bool
+		if end, from, line, bad = scanHead(b, from, line); bad {
+			return "", 400, nil
+		}
+		if end > conn.limits.MaxHeader || end == 0 && len(b) >= conn.limits.MaxHeader {
+			return "", 431, nil
+		}
+		if end > 0 {
+			break
+		}
+		if len(b) == 1 { // a CR may begin an empty line
+			from, line = 0, 0
+		}
+		if conn.readDeadline.IsZero() {
+			conn.readDeadline = time.Now().Add(conn.limits.HeaderTimeout)
+			conn.socket.SetReadDeadline(conn.readDeadline)
+		}
+		conn.progress = 0 // progress in a head does not extend its time-out
+		if err := conn.fill(); err != nil {
+			return "", 0, err
 		}
-		n = n<<4 | int64(d)
 	}
-	return n, size != ""
+	head = string((*conn.buffer)[conn.consumed : conn.consumed+end])
+	conn.consumed += end
+	return head, 0, nil
 }
--- a/internal/tier/ingress/server.go
+++ b/internal/tier/ingress/server.go
@@ -1,6 +1,3 @@
-// Package ingress is a small, strict HTTP/1.1 server for clients: one goroutine a connection, one write a small answer, no
-// buffers held by connections that wait, and every end of a connection known: one is closed between requests only while no
-// byte of a request has come, and an answer that was cut short never looks complete.
 package ingress
 
 import (
@@ -16,76 +13,29 @@
 	"github.com/phuslu/log"
 )
 
-// Limits bound what a client may send, and how long it may take. What is not positive stands at a wide default.
-type Limits struct {
-	MaxHeader     int           // bytes of a request line with its fields
-	MaxBody       int           // bytes of a body
-	HeaderTimeout time.Duration // for a head from its first byte, and for each further 4 KB of a body
-	IdleTimeout   time.Duration // between requests
-}
-
-// withDefaults puts defaults for what is not positive.
-func (l Limits) withDefaults() Limits {
-	if l.MaxHeader <= 0 {
-		l.MaxHeader = 64 << 10
-	}
-	if l.MaxBody <= 0 {
-		l.MaxBody = 8 << 20
-	}
-	if l.HeaderTimeout <= 0 {
-		l.HeaderTimeout = 10 * time.Second
-	}
-	if l.IdleTimeout <= 0 {
-		l.IdleTimeout = time.Minute
-	}
-	return l
-}
-
-// Server serves the connections of listeners. Its fields are set before Serve.
+// Server serves the connections of listeners. Its exported fields are set before Serve. Its methods may be called from any goroutine.
 type Server struct {
-	Handler      func(*Exchange)
-	Limits       func() Limits // asked for each request; nil: defaults
-	MaxConns     int           // descriptors that connections may take; 0: no bound
-	WriteTimeout time.Duration // for each 64 KB that a client takes; 0: the idle time-out
-	Linger       time.Duration // how long a client that is being left may still send or read; 0: half a second
-	RetryAfter   time.Duration // sent with the 503 that is answered for want of descriptors; 0: a quarter of a second
-	Log          *log.Logger   // may be nil
+	Handler      func(*Exchange) // called from the goroutine of the connection
+	Limits       func() Limits   // called for each request; nil: defaults
+	MaxConns     int             // connections, each of which takes a descriptor; 0: unlimited
+	WriteTimeout time.Duration   // for each 64 KB that a client receives; 0: the idle time-out
+	Linger       time.Duration   // how long a client may still send or read before its connection is closed; 0: 500 ms
+	RetryAfter   time.Duration   // sent with the 503 for lack of descriptors; 0: 250 ms
+	Log          *log.Logger     // may be nil
 
 	draining atomic.Bool
 	stopping atomic.Bool
 
-	mu          sync.Mutex // taken before a connection's
+	mu          sync.Mutex // taken before a connection's; guards the fields below
 	listeners   []net.Listener
-	acceptUntil time.Time // no listener's queue is emptied after it
+	acceptUntil time.Time // in a shutdown: queued connections are accepted until then
 	conns       map[*conn]struct{}
 	idle        idleList
-	ended       chan struct{} // closed when stopping and nothing is left; nil if nobody waits
+	ended       chan struct{} // closed when all listeners and connections have ended; nil: no shutdown waits
 }
 
-// ErrStopped is what Serve returns when Shutdown or Close has been called before it.
-var ErrStopped = errors.New("ingress: server is stopped")
-
-// queueEmptyTime is how long a listener's queue has to stay empty in a shutdown.
-const queueEmptyTime = 20 * time.Millisecond
-
-// limits are those in force now.
-func (server *Server) limits() Limits {
-	if server.Limits == nil {
-		return Limits{}.withDefaults()
-	}
-	return server.Limits().withDefaults()
-}
-
-// linger is how long a client that is being left may still send or read.
-func (server *Server) linger() time.Duration {
-	if server.Linger > 0 {
-		return server.Linger
-	}
-	return 500 * time.Millisecond
-}
-
-// Listen opens a TCP listener whose connections have no keep-alive probes: their time-outs here tell more, and setting
-// the probes costs several calls to the system for each connection.
+// Listen opens a TCP listener whose connections have no keep-alive probes: the time-outs of the server find more, and setting the
+// probes costs several system calls for each connection.
 func Listen(addr string) (net.Listener, error) {
 	c := net.ListenConfig{KeepAlive: -1}
 	return c.Listen(context.Background(), "tcp", addr)
@@ -102,7 +52,7 @@
 	server.listeners = append(server.listeners, l)
 	server.mu.Unlock()
 	defer server.removeListener(l)
-	empty := 0 // how often in a row the queue was found empty at the end: a process held up may miss the first time's deadline
+	empty := 0 // how often in a row the queue was found empty in a shutdown: a stalled process may miss the first deadline
 	for {
 		nc, err := l.Accept()
 		if err != nil {
@@ -131,40 +81,8 @@
 	}
 }
 
-// removeListener says that a listener is served no longer.
-func (server *Server) removeListener(l net.Listener) {
-	l.Close()
-	server.mu.Lock()
-	defer server.mu.Unlock()
-	for i, other := range server.listeners {
-		if other == l {
-			server.listeners = append(server.listeners[:i], server.listeners[i+1:]...)
-			break
-		}
-	}
-	server.notifyEnded()
-}
-
-// notifyEnded notifies a shutdown that nothing is left. The caller holds the lock.
-func (server *Server) notifyEnded() {
-	if server.ended != nil && len(server.listeners) == 0 && len(server.conns) == 0 {
-		close(server.ended)
-		server.ended = nil
-	}
-}
-
-// outOfResources reports whether an accept failed for want of descriptors or memory.
-func outOfResources(err error) bool {
-	for _, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, lack) {
-			return true
-		}
-	}
-	return false
-}
-
-// startConn starts a connection. Where descriptors run out, the connection idle for longest gives way; where none is idle, the
-// new one is answered 503 out of a small reserve, and beyond that closed unread.
+// startConn starts the goroutine of a connection. Where descriptors run out, the connection idle for longest is closed; where none is
+// idle, the new one is answered 503 out of a small reserve, and beyond that closed unread.
 func (server *Server) startConn(nc net.Conn) {
 	c, err := newConn(server, nc)
 	if err != nil {
@@ -194,21 +112,31 @@
 	go c.serve()
 }
 
-// connCount is how many connections are open.
+// outOfResources reports whether an accept failed for lack of descriptors or memory.
+func outOfResources(err error) bool {
+	for _, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, lack) {
+			return true
+		}
+	}
+	return false
+}
+
+// connCount returns how many connections are open.
 func (server *Server) connCount() int {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return len(server.conns)
 }
 
-// Conns is how many connections are open, and how many of them wait for a request.
+// Conns returns how many connections are open, and how many of them wait for a request.
 func (server *Server) Conns() (open, idle int) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return len(server.conns), server.idle.n
 }
 
-// removeConn forgets a connection that has ended.
+// removeConn removes a connection that has ended.
 func (server *Server) removeConn(c *conn) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -217,6 +145,20 @@
 	server.notifyEnded()
 }
 
+// removeListener removes a listener that is no longer served.
+func (server *Server) removeListener(l net.Listener) {
+	l.Close()
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	for i, other := range server.listeners {
+		if other == l {
+			server.listeners = append(server.listeners[:i], server.listeners[i+1:]...)
+			break
+		}
+	}
+	server.notifyEnded()
+}
+
 // closeLongestIdle closes the connection idle for longest, and reports whether there was one.
 func (server *Server) closeLongestIdle() bool {
 	for {
@@ -227,7 +169,7 @@
 			return false
 		}
 		server.idle.remove(c)
-		if !c.closeIfIdle() { // its next request has just come
+		if !c.closeIfIdle() { // its next request has just arrived
 			server.mu.Unlock()
 			continue
 		}
@@ -238,94 +180,18 @@
 	}
 }
 
-// closeIdle closes the connections that wait for a request; one that has not carried any yet gets the linger for its first.
-func (server *Server) closeIdle(fresh time.Duration) {
-	server.mu.Lock()
-	var closing []*conn
-	by := time.Now().Add(fresh)
-	for c := server.idle.first; c != nil; c = c.next {
-		if fresh > 0 && c.shortenIdle(by, false) {
-			continue
-		}
-		if c.closeIfIdle() {
-			closing = append(closing, c)
-		}
-	}
-	server.mu.Unlock()
-	for _, c := range closing {
-		c.socket.Close()
-	}
-}
-
-// Drain has every answer from now on carry Connection: close; connections that wait for a request are closed after the linger.
-func (server *Server) Drain() {
-	if server.draining.Swap(true) {
-		return
-	}
-	time.AfterFunc(server.linger(), func() { server.closeIdle(0) })
-}
-
-// Shutdown accepts and serves what the listeners have in their queues, closes them and the connections that wait for a
-// request, has the requests under way finished, and returns when all has ended or ctx is over, which it then says.
-func (server *Server) Shutdown(ctx context.Context) error {
-	server.draining.Store(true)
-	ended := make(chan struct{})
-	server.mu.Lock()
-	if server.ended != nil {
-		server.mu.Unlock()
-		return ErrStopped
-	}
-	server.acceptUntil = time.Now().Add(server.linger())
-	server.stopping.Store(true)
-	server.ended = ended
-	listeners := append([]net.Listener(nil), server.listeners...)
-	server.notifyEnded()
-	server.mu.Unlock()
-	for _, l := range listeners {
-		server.acceptQueued(l)
-	}
-	server.closeIdle(server.linger())
-	select {
-	case <-ended:
-		return nil
-	case <-ctx.Done():
-		server.mu.Lock()
-		if server.ended == ended {
-			server.ended = nil
-		}
-		server.mu.Unlock()
-		return ctx.Err()
-	}
-}
-
-// acceptQueued has a listener accept what has queued, and end.
-func (server *Server) acceptQueued(l net.Listener) {
-	server.mu.Lock()
-	by := time.Now().Add(queueEmptyTime)
-	if by.After(server.acceptUntil) {
-		by = server.acceptUntil
-	}
-	server.mu.Unlock()
-	if d, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(by) != nil {
-		l.Close()
+// limits returns the limits in force now.
+func (server *Server) limits() Limits {
+	if server.Limits == nil {
+		return Limits{}.withDefaults()
 	}
+	return server.Limits().withDefaults()
 }
 
-// Close ends all connections as they stand.
-func (server *Server) Close() {
-	server.draining.Store(true)
-	server.mu.Lock()
-	server.stopping.Store(true)
-	listeners := append([]net.Listener(nil), server.listeners...)
-	var conns []*conn
-	for c := range server.conns {
-		conns = append(conns, c)
-	}
-	server.mu.Unlock()
-	for _, l := range listeners {
-		l.Close()
-	}
-	for _, c := range conns {
-		c.socket.Close()
+// linger returns how long a client may still send or read before its connection is closed.
+func (server *Server) linger() time.Duration {
+	if server.Linger > 0 {
+		return server.Linger
 	}
+	return 500 * time.Millisecond
 }
