--- a/internal/features/dns.go
+++ b/internal/features/dns.go
@@ -63,23 +63,26 @@
 }
 
 const (
-	zonesMost   = 10_000
-	membersMost = 100_000
+	maxZones   = 10_000
+	maxMembers = 100_000
 )
 
-func (d *DNS) check(c checker) error {
-	set(&d.Records, nameserver.DefaultRecords)
-	set(&d.Precedence, membership.NamesFirst.String())
+func (d *DNS) check(doc document) error {
+	if d == nil {
+		return nil
+	}
+	setDefault(&d.Records, nameserver.DefaultRecords)
+	setDefault(&d.Precedence, membership.NamesFirst.String())
 	usual := membership.DefaultFollowerConfig()
-	set(&d.Keep, tomlfile.Span(usual.Retention))
-	set(&d.Flaps, usual.MaxFlaps)
-	set(&d.FlapSpan, tomlfile.Span(usual.FlapWindow))
-	set(&d.Settle, tomlfile.Span(usual.Stabilization))
+	setDefault(&d.Keep, tomlfile.Span(usual.Retention))
+	setDefault(&d.Flaps, usual.MaxFlaps)
+	setDefault(&d.FlapSpan, tomlfile.Span(usual.FlapWindow))
+	setDefault(&d.Settle, tomlfile.Span(usual.Stabilization))
 	if d.Records < 10 || d.Records > 10_000_000 {
-		return c.at("dns", 0, "records", "dns.records = %d is not from 10 to 10000000", d.Records)
+		return doc.errorAt("dns", 0, "records", "dns.records = %d is not from 10 to 10000000", d.Records)
 	}
 	if d.Flaps < 1 || d.Flaps > 100 {
-		return c.at("dns", 0, "flaps", "dns.flaps = %d is not from 1 to 100", d.Flaps)
+		return doc.errorAt("dns", 0, "flaps", "dns.flaps = %d is not from 1 to 100", d.Flaps)
 	}
 	for _, s := range []struct {
 		key   string
@@ -87,81 +90,97 @@
 		least time.Duration
 	}{{"keep", d.Keep, 2 * time.Second}, {"flap_span", d.FlapSpan, time.Second}, {"settle", d.Settle, time.Second}} {
 		if s.v.D() < s.least || s.v.D() > time.Hour {
-			return c.at("dns", 0, s.key, "dns.%s = %v is not from %v to 1h", s.key, s.v.D(), s.least)
+			return doc.errorAt("dns", 0, s.key, "dns.%s = %v is not from %v to 1h", s.key, s.v.D(), s.least)
 		}
 	}
 	if _, err := membership.PrecedenceOf(d.Precedence); err != nil {
-		return c.at("dns", 0, "precedence", "dns.precedence: %w", err)
+		return doc.errorAt("dns", 0, "precedence", "dns.precedence: %w", err)
 	}
 	if d.Listen != "" {
 		if _, _, err := net.SplitHostPort(d.Listen); err != nil {
-			return c.at("dns", 0, "listen", "dns.listen = %q is no address:port", d.Listen)
+			return doc.errorAt("dns", 0, "listen", "dns.listen = %q is no address:port", d.Listen)
 		}
 	}
 	if len(d.Zones) == 0 {
-		return c.at("dns", 0, "", "dns has no [[dns.zone]]: no name would be found")
+		return doc.errorAt("dns", 0, "", "dns has no [[dns.zone]]: no name would be found")
+	}
+	if len(d.Zones) > maxZones || len(d.Members) > maxMembers {
+		return doc.errorAt("dns", 0, "", "dns has more than %d zones or %d members", maxZones, maxMembers)
+	}
+	if err := d.checkZones(doc); err != nil {
+		return err
 	}
-	if len(d.Zones) > zonesMost || len(d.Members) > membersMost {
-		return c.at("dns", 0, "", "dns has more than %d zones or %d members", zonesMost, membersMost)
+	precedences := map[uint32]string{}
+	for i := range d.Members {
+		if err := d.checkMember(doc, i, precedences); err != nil {
+			return err
+		}
 	}
+	return nil
+}
+
+// checkZones checks each zone by itself; whether its keys are there shows when their file is read.
+func (d *DNS) checkZones(doc document) error {
 	updates := 0
 	for i := range d.Zones {
 		z := &d.Zones[i]
 		for j := range z.Updates {
 			for _, t := range z.Updates[j].Types {
 				if _, ok := dns.StringToType[t]; !ok {
-					return c.at("dns.zone.update", updates+j, "types", "dns.zone %q: update: %q is no type", z.Name, t)
+					return doc.errorAt("dns.zone.update", updates+j, "types", "dns.zone %q: update: %q is no type", z.Name, t)
 				}
 			}
 		}
 		updates += len(z.Updates)
 		one := nameserver.Config{Zones: []nameserver.ZoneConfig{z.config()}}
-		one.Keys = d.named(z)
+		one.Keys = d.keysNamedBy(z)
 		if err := one.Check(); err != nil {
-			return c.at("dns.zone", i, "name", "%w", err)
+			return doc.errorAt("dns.zone", i, "name", "%w", err)
 		}
 	}
-	dest := map[uint32]string{}
-	for i := range d.Members {
-		m := &d.Members[i]
-		set(&m.Weight, 1)
-		at := func(key, format string, args ...any) error {
-			return c.at("dns.member", i, key, "dns.member %d: %w", i+1, fmt.Errorf(format, args...))
-		}
-		if m.Destination > destMost {
-			return at("destination", "destination %d is over %d", m.Destination, destMost)
-		}
-		if !zone.Label(m.Name) {
-			return at("name", "name = %q is no name", m.Name)
-		}
-		if m.SRV == (m.Port != 0) {
-			return at("port", "either srv = true, or a port of its addresses")
-		}
-		if !(m.Weight > 0 && m.Weight <= 1e6) {
-			return at("weight", "weight = %v is not above 0, and up to 1000000", m.Weight)
-		}
-		if m.EmptyAfter.D() > 24*time.Hour {
-			return at("empty_after", "empty_after = %v is over 24h", m.EmptyAfter.D())
-		}
-		if m.Precedence != "" {
-			if _, err := membership.PrecedenceOf(m.Precedence); err != nil {
-				return at("precedence", "precedence: %w", err)
-			}
-			if p, ok := dest[m.Destination]; ok && p != m.Precedence {
-				return at("precedence", "destination %d has precedence %q and %q", m.Destination, p, m.Precedence)
-			}
-			dest[m.Destination] = m.Precedence
+	return nil
+}
+
+// checkMember checks the i-th member. precedences are those that members before it gave to their destinations.
+func (d *DNS) checkMember(doc document, i int, precedences map[uint32]string) error {
+	m := &d.Members[i]
+	setDefault(&m.Weight, 1)
+	at := func(key, format string, args ...any) error {
+		return doc.errorAt("dns.member", i, key, "dns.member %d: %w", i+1, settingError(format, args...))
+	}
+	if m.Destination > maxDestination {
+		return at("destination", "destination %d is over %d", m.Destination, maxDestination)
+	}
+	if !zone.Label(m.Name) {
+		return at("name", "name = %q is no name", m.Name)
+	}
+	if m.SRV == (m.Port != 0) {
+		return at("port", "either srv = true, or a port of its addresses")
+	}
+	if !(m.Weight > 0 && m.Weight <= 1e6) {
+		return at("weight", "weight = %v is not above 0, and up to 1000000", m.Weight)
+	}
+	if m.EmptyAfter.D() > 24*time.Hour {
+		return at("empty_after", "empty_after = %v is over 24h", m.EmptyAfter.D())
+	}
+	if m.Precedence != "" {
+		if _, err := membership.PrecedenceOf(m.Precedence); err != nil {
+			return at("precedence", "precedence: %w", err)
 		}
-		name := zone.Name(m.Name)
-		if !slices.ContainsFunc(d.Zones, func(z Zone) bool { return zone.Within(zone.Name(z.Name), name) }) {
-			return at("name", "%s is in none of the zones", m.Name)
+		if p, ok := precedences[m.Destination]; ok && p != m.Precedence {
+			return at("precedence", "destination %d has precedence %q and %q", m.Destination, p, m.Precedence)
 		}
+		precedences[m.Destination] = m.Precedence
+	}
+	name := zone.Name(m.Name)
+	if !slices.ContainsFunc(d.Zones, func(z Zone) bool { return zone.Within(zone.Name(z.Name), name) }) {
+		return at("name", "%s is in none of the zones", m.Name)
 	}
 	return nil
 }
 
-// named is keys with the names that a zone uses: whether they are there shows when their file is read.
-func (d *DNS) named(z *Zone) []nameserver.Key {
+// keysNamedBy is keys with the names that a zone uses: whether they are there shows when their file is read.
+func (d *DNS) keysNamedBy(z *Zone) []nameserver.Key {
 	var keys []nameserver.Key
 	if d.KeysFile == "" {
 		return nil
@@ -246,6 +265,9 @@
 }
 
 func (d *DNS) lines() []string {
+	if d == nil {
+		return nil
+	}
 	where := "no server"
 	if d.Listen != "" {
 		where = "served at " + d.Listen
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -36,7 +36,7 @@
 		"reach":         {"[peers]\ncluster = \"a\"\n[[peers.reach]]\naddress = \"127.0.0.2:7946\"\nvia = \"n1\"\n", `peers: reach 1: via = "n1"`},
 		"reached twice": {"[peers]\ncluster = \"a\"\n[[peers.reach]]\naddress = \"127.0.0.2:1\"\nvia = \"127.0.0.1:1\"\n[[peers.reach]]\naddress = \"127.0.0.2:1\"\nvia = \"127.0.0.1:2\"\n", "reach 2: 127.0.0.2:1 is reached at 127.0.0.1:1 already"},
 		"follows none":  {"[peers]\ncluster = \"a\"\nfollow = 99\n", "x.toml:3: peers.follow = 99 is not from 1 to 16"},
-		"too long":      {strings.Repeat("#", maxFile+1), "longer than"},
+		"too long":      {strings.Repeat("#", maxFileBytes+1), "longer than"},
 	} {
 		if _, err := Parse("x.toml", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v, want %q", name, err, c.says)
@@ -172,7 +172,7 @@
 			}
 			return
 		}
-		if got.Quiet != nil && got.Quiet.FoldAfter.D() < foldLeast {
+		if got.Quiet != nil && got.Quiet.FoldAfter.D() < minFoldAfter {
 			t.Errorf("%+v", got.Quiet)
 		}
 	})
--- a/internal/features/fleet.go
+++ b/internal/features/fleet.go
@@ -42,9 +42,12 @@
 // Keys reads the file of keys.
 func (f *Fleet) Keys() ([][]byte, error) { return readKeys("fleet", f.KeysFile) }
 
-func (f *Fleet) check(c checker) error {
-	set(&f.Listen, ":7948")
-	set(&f.Lease, tomlfile.Span(fleet.DefaultLeaseDuration))
+func (f *Fleet) check(doc document) error {
+	if f == nil {
+		return nil
+	}
+	setDefault(&f.Listen, ":7948")
+	setDefault(&f.Lease, tomlfile.Span(fleet.DefaultLeaseDuration))
 	// One key after another is put into a sound configuration, so that the error names the line.
 	for _, one := range []struct {
 		key  string
@@ -57,13 +60,16 @@
 		sound.ApplyDefaults()
 		one.edit(&sound)
 		if err := sound.Check(); err != nil {
-			return c.at("fleet", 0, one.key, "%w", err)
+			return doc.errorAt("fleet", 0, one.key, "%w", err)
 		}
 	}
 	return nil
 }
 
 func (f *Fleet) lines() []string {
+	if f == nil {
+		return nil
+	}
 	var names []string
 	for _, v := range f.Voters {
 		names = append(names, v.Name)
--- /dev/null
+++ b/internal/features/position.go
@@ -0,0 +1,71 @@
+package features
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// SettingError is a setting that can't be as it is. Its text names the setting and what it may be.
+type SettingError struct {
+	text  string
+	cause error
+}
+
+func settingError(format string, args ...any) error {
+	err := fmt.Errorf(format, args...)
+	return &SettingError{text: err.Error(), cause: errors.Unwrap(err)}
+}
+
+// Error returns the text for the operator.
+func (e *SettingError) Error() string { return e.text }
+
+// Unwrap returns the error of the package that the setting is for, nil where it was checked here.
+func (e *SettingError) Unwrap() error { return e.cause }
+
+// PositionError is an error at a line of the operators' file.
+type PositionError struct {
+	Path string
+	Line int // from 1
+	Err  error
+}
+
+// Error returns "path:line: error".
+func (e *PositionError) Error() string { return fmt.Sprintf("%s:%d: %v", e.Path, e.Line, e.Err) }
+
+// Unwrap returns the error without its position.
+func (e *PositionError) Unwrap() error { return e.Err }
+
+// document is the text of an operators' file, for the positions of errors in it.
+type document struct {
+	path string
+	raw  []byte
+}
+
+// errorAt makes an error at a key of the n-th table of a name, or at the table's header if the key is not there.
+func (d document) errorAt(table string, n int, key, format string, args ...any) error {
+	return &PositionError{Path: d.path, Line: d.line(table, n, key), Err: settingError(format, args...)}
+}
+
+// line returns the line, from 1, of a key of the n-th table of a name.
+func (d document) line(table string, n int, key string) int {
+	at, in := 1, false
+	for i, text := range strings.Split(string(d.raw), "\n") {
+		text = strings.TrimSpace(text)
+		if strings.HasPrefix(text, "[") {
+			if in {
+				return at
+			}
+			if strings.HasPrefix(text, "["+table+"]") || strings.HasPrefix(text, "[["+table+"]]") {
+				if in = n == 0; in {
+					at = i + 1
+				}
+				n--
+			}
+		}
+		if rest, ok := strings.CutPrefix(text, key); ok && in && key != "" && strings.HasPrefix(strings.TrimSpace(rest), "=") {
+			return i + 1
+		}
+	}
+	return at
+}
