--- a/internal/knowledge/codec.go
+++ b/internal/knowledge/codec.go
@@ -39,7 +39,12 @@
 // maxEndpointIDBytes is the longest id of an endpoint that is taken in, in bytes.
 const maxEndpointIDBytes = 256
 
-var errUnknownFact = errors.New("a fact of a sort that is not known here")
+// Why a fact can't be decoded.
+var (
+	errUnknownFact       = errors.New("a fact of a sort that is not known here")
+	errEndpointIDTooLong = errors.New("the id of an endpoint is too long")
+	errEndlessRetryAfter = errors.New("a wait without end")
+)
 
 // Decode reads a fact that was told at a time by a source, later being how long it has lain since it was encoded. A fact
 // of a sort that this version does not know is an error that means nothing more: a newer one told it.
@@ -53,7 +58,7 @@
 	}
 	f := Fact{Subject: Subject{m.GetDestination(), m.GetEndpoint()}, ObservedAt: back(m.GetAgeUs()), Calls: m.GetCalls(), Source: source}
 	if len(f.Endpoint) > maxEndpointIDBytes {
-		return f, errors.New("the id of an endpoint is too long")
+		return f, errEndpointIDTooLong
 	}
 	switch v := m.GetValue().(type) {
 	case *pb.Fact_Pace:
@@ -68,7 +73,7 @@
 		f.Kind = RetryAfter
 		left := fromMicros(v.Wait.GetLeftUs())
 		if left > math.MaxInt64/4 {
-			return f, errors.New("a wait without end")
+			return f, errEndlessRetryAfter
 		}
 		f.Until = now - later + left
 	case *pb.Fact_Health:
--- a/internal/knowledge/file.go
+++ b/internal/knowledge/file.go
@@ -31,13 +31,16 @@
 // ErrNewer is that a snapshot was written by a version that this one does not know.
 var ErrNewer = errors.New("the snapshot is of a newer version")
 
+// ErrClockSetBack is that the wall clock is before the time at which a snapshot was written.
+var ErrClockSetBack = errors.New("the clock was set back")
+
 // ErrDamaged is that a snapshot can't be read.
 var ErrDamaged = errors.New("the snapshot is damaged")
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // urgency is the order in which facts are kept where not all find room: what spares failed calls first.
-var urgency = [kinds]int{RetryAfter: 0, Health: 1, RateLimit: 2, Latency: 3, Concurrency: 4}
+var urgency = [kindCount]int{RetryAfter: 0, Health: 1, RateLimit: 2, Latency: 3, Concurrency: 4}
 
 // Marshal writes a snapshot of at most so many bytes, the facts that count most first. dropped is how many found no room.
 func Marshal(facts []Fact, now time.Duration, wall time.Time, most int) (raw []byte, dropped int) {
@@ -100,7 +103,7 @@
 	}
 	later := time.Duration(wall.UnixMicro()-int64(s.GetUnixUs())) * time.Microsecond
 	if later < 0 {
-		return nil, 0, fmt.Errorf("the snapshot is from %v ahead: the clock was set back", -later)
+		return nil, 0, fmt.Errorf("the snapshot is from %v ahead: %w", -later, ErrClockSetBack)
 	}
 	for _, m := range s.GetFacts() {
 		f, err := Decode(m, Source{}, now, later)
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -34,13 +34,16 @@
 	RateLimit                   // the limit that was told
 	RetryAfter                  // a wait that was told
 	Health                      // whether it serves
-	kinds
 )
 
-var kindNames = [kinds]string{Latency: "pace", Concurrency: "bears", RateLimit: "limit", RetryAfter: "wait", Health: "health"}
+// kindCount is one more than the highest kind: the length of a table by kind.
+const kindCount = int(Health) + 1
 
+var kindNames = [kindCount]string{Latency: "pace", Concurrency: "bears", RateLimit: "limit", RetryAfter: "wait", Health: "health"}
+
+// String is the kind as operators are shown it.
 func (s Kind) String() string {
-	if s < kinds && kindNames[s] != "" {
+	if int(s) < kindCount && kindNames[s] != "" {
 		return kindNames[s]
 	}
 	return "unknown"
@@ -56,6 +59,7 @@
 	OutOfService                  // an outage: calls fail, are refused or go unanswered
 )
 
+// String is the state as operators are shown it.
 func (s State) String() string {
 	if s < Serving || s > OutOfService {
 		return "unknown"
@@ -98,7 +102,7 @@
 // A pace is a matter of the machine that serves: it changes with a release, so an hour. What is borne and what is
 // limited depend on who else sends: some minutes. An outage of this deployment lasts 8 to 22 s, so what is older than
 // one tells more of the past than of now.
-var trustHalfLife = [kinds]time.Duration{Latency: time.Hour, Concurrency: 5 * time.Minute, RateLimit: 30 * time.Minute, Health: 15 * time.Second}
+var trustHalfLife = [kindCount]time.Duration{Latency: time.Hour, Concurrency: 5 * time.Minute, RateLimit: 30 * time.Minute, Health: 15 * time.Second}
 
 // Trust is how far a fact counts at a time, from 1 for what is seen now to 0. A wait holds in full until its end, and
 // not at all after it: it was not an estimate but a promise asked for.
@@ -109,7 +113,7 @@
 		}
 		return 0
 	}
-	if f.Kind == 0 || f.Kind >= kinds {
+	if f.Kind == 0 || int(f.Kind) >= kindCount {
 		return 0
 	}
 	age := max(0, now-f.ObservedAt)
@@ -262,7 +266,7 @@
 // FactsOf is what is known of one subject, in the order of sorts.
 func (v *View) FactsOf(s Subject) []Fact {
 	var facts []Fact
-	for k := Latency; k < kinds; k++ {
+	for k := Latency; int(k) < kindCount; k++ {
 		if f := v.best[slot{s, k}]; f != nil {
 			facts = append(facts, *f)
 		}
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -41,7 +41,7 @@
 
 // drawn is any sound fact; few values, so that ties come up.
 func drawn(t *rapid.T) Fact {
-	f := fact(Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "sort")), time.Duration(rapid.IntRange(0, 12).Draw(t, "age"))*time.Second,
+	f := fact(Kind(rapid.IntRange(1, kindCount-1).Draw(t, "sort")), time.Duration(rapid.IntRange(0, 12).Draw(t, "age"))*time.Second,
 		rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "source"))
 	f.Destination = uint32(rapid.IntRange(0, 2).Draw(t, "destination"))
 	f.Endpoint = rapid.SampledFrom([]string{"", "e1"}).Draw(t, "endpoint")
@@ -53,6 +53,7 @@
 		f.Until = at0 + time.Duration(rapid.IntRange(1, 3).Draw(t, "until"))*time.Second
 	case Concurrency:
 		f.Window = float64(rapid.IntRange(1, 3).Draw(t, "window"))
+	case Latency, RateLimit: // as fact has them
 	}
 	if !f.Source.Own() {
 		f.Source.Incarnation = uint64(rapid.IntRange(1, 2).Draw(t, "life"))
@@ -147,7 +148,7 @@
 
 // What is known is trusted less the older it is, and a wait until its end.
 func TestTrust(t *testing.T) {
-	for sort := Latency; sort < kinds; sort++ {
+	for sort := Latency; int(sort) < kindCount; sort++ {
 		f := fact(sort, 0, "a")
 		if got := f.Trust(at0); got != 1 {
 			t.Errorf("%v: %v at once", sort, got)
@@ -185,7 +186,7 @@
 	v := NewView(1)
 	for name, spoil := range map[string]func(*Fact){
 		"no sort":          func(f *Fact) { f.Kind = 0 },
-		"a newer sort":     func(f *Fact) { f.Kind = kinds },
+		"a newer sort":     func(f *Fact) { f.Kind = Kind(kindCount) },
 		"from the future":  func(f *Fact) { f.ObservedAt = at0 + time.Second },
 		"since the future": func(f *Fact) { f.Since = at0 + time.Second },
 		"no state":         func(f *Fact) { f.State = 0 },
@@ -213,7 +214,7 @@
 // Ages travel: a fact read at another clock says the same, older by the way it took.
 func TestCodec(t *testing.T) {
 	const there, way = 5 * time.Hour, 3 * time.Second
-	for sort := Latency; sort < kinds; sort++ {
+	for sort := Latency; int(sort) < kindCount; sort++ {
 		f := fact(sort, 2*time.Second, "")
 		got, err := Decode(Encode(&f, at0), Source{"a", 9}, there+way, way)
 		if err != nil {
@@ -331,7 +332,7 @@
 func TestRoom(t *testing.T) {
 	var all []Fact
 	for d := range uint32(100) {
-		for sort := Latency; sort < kinds; sort++ {
+		for sort := Latency; int(sort) < kindCount; sort++ {
 			f := fact(sort, 0, "")
 			f.Destination = d
 			all = append(all, f)
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -53,15 +53,15 @@
 type phase int
 
 const (
-	serving  phase = iota
-	dropped        // drains, and is kept for a while
-	settling       // is listed again, and flaps
+	serving     phase = iota
+	dropped           // drains, and is kept for a while
+	stabilizing       // is listed again, and flaps
 )
 
 type entry struct {
 	target    Target
 	phase     phase
-	until     time.Duration   // dropped: forgotten then; settling: serves then
+	until     time.Duration   // dropped: forgotten then; stabilizing: serves then
 	removedAt []time.Duration // when it went, the last ones
 }
 
@@ -165,11 +165,44 @@
 	return out
 }
 
-// reconcile works a destination's lines out anew.
+// targetChanges is the targets that change in a step.
+type targetChanges []Target
+
+// set makes t the entry's target, and a change if it is another.
+func (c *targetChanges) set(e *entry, t Target) {
+	if e.target != t {
+		e.target = t
+		*c = append(*c, t)
+	}
+}
+
+// setState makes the entry's target one of another state.
+func (c *targetChanges) setState(e *entry, state string) {
+	t := e.target
+	t.State = state
+	c.set(e, t)
+}
+
+// reconcile works a destination's targets out anew and gives those that change.
 func (f *Follower) reconcile(now time.Duration, n uint32) []Target {
 	d := f.destinations[n]
-	want := map[netip.AddrPort]Target{}
-	for _, i := range d.members {
+	wanted := f.wantedTargets(now, n)
+	var changes targetChanges
+	stillServing := f.removeUnwanted(now, d, wanted, &changes)
+	f.addWanted(now, d, wanted, stillServing, &changes)
+	for _, e := range d.entries {
+		if e.phase != serving {
+			f.nextStep = min(f.nextStep, e.until)
+		}
+	}
+	return changes
+}
+
+// wantedTargets is what a destination's names come to, by address. An empty answer counts once it has stood for its member's
+// EmptyAfter.
+func (f *Follower) wantedTargets(now time.Duration, n uint32) map[netip.AddrPort]Target {
+	wanted := map[netip.AddrPort]Target{}
+	for _, i := range f.destinations[n].members {
 		m := &f.members[i]
 		if m.emptySince != never {
 			if now-m.emptySince >= m.EmptyAfter {
@@ -179,84 +212,80 @@
 			}
 		}
 		for a, r := range m.current {
-			if _, ok := want[a]; !ok { // at two names it is one, by the first of them
-				want[a] = Target{ID: fmt.Sprintf("dns:%d:%s", n, a), Addr: a.String(), Zone: m.Zone, Kind: m.Kind, Cell: n, State: Serving, Weight: r.weight}
+			if _, ok := wanted[a]; !ok { // at two names it is one, by the first of them
+				wanted[a] = Target{ID: fmt.Sprintf("dns:%d:%s", n, a), Addr: a.String(), Zone: m.Zone, Kind: m.Kind, Cell: n, State: Serving, Weight: r.weight}
 			}
 		}
 	}
-	var lines []Target
-	say := func(e *entry, t Target) {
-		if e.target != t {
-			e.target = t
-			lines = append(lines, t)
-		}
-	}
-	others := 0 // that serve
+	return wanted
+}
+
+// removeUnwanted drops the addresses that are not wanted any more, and deletes those that have been dropped for the retention. It
+// gives how many that are wanted serve.
+func (f *Follower) removeUnwanted(now time.Duration, d *destinationAddresses, wanted map[netip.AddrPort]Target, changes *targetChanges) (stillServing int) {
 	for _, a := range addresses(d.entries) {
 		e := d.entries[a]
-		_, wanted := want[a]
+		_, isWanted := wanted[a]
 		switch {
-		case wanted:
+		case isWanted:
 			if e.phase == serving {
-				others++
+				stillServing++
 			}
 		case e.phase != dropped:
-			if e.phase == serving { // one that settles has not come yet, so it does not go
+			if e.phase == serving { // one that stabilizes has not come yet, so it does not go
 				e.removedAt = append(e.removedAt, now)
 				if len(e.removedAt) > f.config.MaxFlaps {
 					e.removedAt = e.removedAt[1:]
 				}
 			}
 			e.phase, e.until = dropped, now+f.config.Retention
-			t := e.target
-			t.State = Dropped
-			say(e, t)
+			changes.setState(e, Dropped)
 		case now >= e.until:
-			t := e.target
-			t.State = Deleted
-			say(e, t)
+			changes.setState(e, Deleted)
 			delete(d.entries, a)
 		}
 	}
-	var waits []netip.AddrPort // that settle
-	for _, a := range addresses(want) {
+	return stillServing
+}
+
+// addWanted has the wanted addresses serve; one that flaps only once it has stood for the stabilization, unless none serves.
+func (f *Follower) addWanted(now time.Duration, d *destinationAddresses, wanted map[netip.AddrPort]Target, nowServing int, changes *targetChanges) {
+	var unstable []netip.AddrPort
+	for _, a := range addresses(wanted) {
 		e, ok := d.entries[a]
 		if !ok {
 			e = &entry{phase: serving}
 			d.entries[a] = e
-			others++
+			nowServing++
 		} else if e.phase == dropped {
 			if f.isFlapping(now, e) {
-				e.phase, e.until = settling, now+f.config.Stabilization
+				e.phase, e.until = stabilizing, now+f.config.Stabilization
 			} else {
 				e.phase = serving
-				others++
+				nowServing++
 			}
 		}
-		if e.phase == settling && now >= e.until {
+		if e.phase == stabilizing && now >= e.until {
 			e.phase = serving
-			others++
+			nowServing++
 		}
-		if e.phase == settling {
-			waits = append(waits, a)
+		if e.phase == stabilizing {
+			unstable = append(unstable, a)
 			continue
 		}
-		say(e, want[a])
+		changes.set(e, wanted[a])
 	}
-	for _, a := range waits {
-		if e := d.entries[a]; others == 0 { // there is no other
-			e.phase = serving
-			say(e, want[a])
-		}
+	if nowServing > 0 {
+		return
 	}
-	for _, e := range d.entries {
-		if e.phase != serving {
-			f.nextStep = min(f.nextStep, e.until)
-		}
+	for _, a := range unstable { // there is no other
+		e := d.entries[a]
+		e.phase = serving
+		changes.set(e, wanted[a])
 	}
-	return lines
 }
 
+// isFlapping reports whether an address has gone so often in so short a time that it is to stand for a while before it serves.
 func (f *Follower) isFlapping(now time.Duration, e *entry) bool {
 	return f.config.MaxFlaps > 0 && len(e.removedAt) >= f.config.MaxFlaps && now-e.removedAt[len(e.removedAt)-f.config.MaxFlaps] <= f.config.FlapWindow
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -34,9 +34,18 @@
 	if i := slices.Index(Precedences(), word); i >= 0 {
 		return Precedence(i), nil
 	}
-	return 0, fmt.Errorf("%q is no precedence; there are %q", word, Precedences())
+	return 0, &PrecedenceError{word}
 }
 
+// PrecedenceError is a word that names no precedence.
+type PrecedenceError struct{ Word string }
+
+// Error gives the word, and those that there are.
+func (e *PrecedenceError) Error() string {
+	return fmt.Sprintf("%q is no precedence; there are %q", e.Word, Precedences())
+}
+
+// String is the precedence's word.
 func (p Precedence) String() string {
 	if p < 0 || int(p) >= len(Precedences()) {
 		return fmt.Sprintf("precedence %d", int(p))
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -138,10 +138,12 @@
 			want := map[location]string{}
 			for dest := range uint32(2) {
 				counts := [sources]bool{true, true}
-				if p == NamesFirst {
+				switch p {
+				case NamesFirst:
 					counts = [sources]bool{!spoke[Names][dest], spoke[Names][dest]}
-				} else if p == DiscoveryFirst {
+				case DiscoveryFirst:
 					counts = [sources]bool{spoke[Discovery][dest], !spoke[Discovery][dest]}
+				case Both:
 				}
 				for addr := range 3 {
 					at := location{dest, fmt.Sprint("h:", addr)}
--- a/internal/membership/resolve.go
+++ b/internal/membership/resolve.go
@@ -33,6 +33,7 @@
 	Timeout         // the zone was never had
 )
 
+// String is the result as operators are shown it.
 func (r Result) String() string {
 	if names := [...]string{"found", "NXDOMAIN", "NODATA", "SERVFAIL", "time-out"}; r >= 0 && int(r) < len(names) {
 		return names[r]
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -40,13 +40,23 @@
 // ErrBeyondLoopback is that the exchange would be open to a network without TLS.
 var ErrBeyondLoopback = errors.New("it is not a loopback address, and the exchange between senders has no TLS yet")
 
+// ConfigError is a configuration of peers that can't be used.
+type ConfigError struct{ Problem string }
+
+// Error gives the problem.
+func (e *ConfigError) Error() string { return "peers: " + e.Problem }
+
+func configError(format string, args ...any) error {
+	return &ConfigError{fmt.Sprintf(format, args...)}
+}
+
 // Check says what is wrong with a configuration.
 func (c *Config) Check() error {
 	if c.Name == "" || len(c.Name) > 128 {
-		return fmt.Errorf("peers: name %q is empty or over 128 bytes", c.Name)
+		return configError("name %q is empty or over 128 bytes", c.Name)
 	}
 	if c.Cluster == "" || len(c.Cluster) > 128 {
-		return fmt.Errorf("peers: cluster %q is empty or over 128 bytes", c.Cluster)
+		return configError("cluster %q is empty or over 128 bytes", c.Cluster)
 	}
 	for _, a := range [][2]string{{"listen", c.Listen}, {"exchange", c.Exchange}} {
 		if err := CheckLoopback(a[1]); err != nil {
@@ -63,7 +73,7 @@
 	}
 	for i, k := range c.Keys {
 		if n := len(k); n != 16 && n != 24 && n != 32 {
-			return fmt.Errorf("peers: key %d has %d bytes; 16, 24 or 32 are wanted", i+1, n)
+			return configError("key %d has %d bytes; 16, 24 or 32 are wanted", i+1, n)
 		}
 	}
 	return nil
--- a/internal/peers/reach.go
+++ b/internal/peers/routes.go
@@ -14,6 +14,12 @@
 // other end of a tunnel. It holds for TCP and UDP alike, and for membership and exchange each by its own line.
 type Route struct{ Address, Via string }
 
+// RouteError is a table of routes that can't be used.
+type RouteError struct{ Problem string }
+
+// Error gives the problem.
+func (e *RouteError) Error() string { return e.Problem }
+
 const maxRoutes = 2048 // lines; a fleet has two for each member
 
 // RouteTable is a table of them by address.
@@ -22,7 +28,7 @@
 // NewRouteTable makes the table, of addresses that may be talked to without TLS.
 func NewRouteTable(all []Route) (RouteTable, error) {
 	if len(all) > maxRoutes {
-		return nil, fmt.Errorf("%d lines of reach; %d are the most", len(all), maxRoutes)
+		return nil, &RouteError{fmt.Sprintf("%d lines of reach; %d are the most", len(all), maxRoutes)}
 	}
 	t := RouteTable{}
 	for i, r := range all {
@@ -32,7 +38,7 @@
 			}
 		}
 		if other, twice := t[r.Address]; twice {
-			return nil, fmt.Errorf("reach %d: %s is reached at %s already", i+1, r.Address, other)
+			return nil, &RouteError{fmt.Sprintf("reach %d: %s is reached at %s already", i+1, r.Address, other)}
 		}
 		t[r.Address] = r.Via
 	}
--- /dev/null
+++ b/internal/sender/admin_reports.go
@@ -0,0 +1,119 @@
+package sender
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strconv"
+	"time"
+
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
+	"saffronyard.example/saffronyard/internal/knowledge"
+	"saffronyard.example/saffronyard/internal/peers"
+)
+
+// KnownFact is one fact as it is told to operators.
+type KnownFact struct {
+	Receiver uint32  `json:"receiver"`
+	Endpoint string  `json:"endpoint,omitempty"`
+	Kind     string  `json:"sort"`
+	Says     string  `json:"says"`
+	Source   string  `json:"source"` // self, earlier, or a peer's name
+	AgeMS    int64   `json:"age_ms"`
+	Trust    float64 `json:"trust"` // 1 for what is seen now, 0 for what counts no more
+	Calls    uint32  `json:"calls"`
+}
+
+// PeersReport is who is there and what is told.
+type PeersReport struct {
+	Name      string         `json:"name"`
+	Cluster   string         `json:"cluster"`
+	Address   string         `json:"address"` // of its membership
+	OwnFacts  int            `json:"tells"`   // facts of its own
+	Members   []peers.Member `json:"members"`
+	HeldFacts map[string]int `json:"heard"` // facts held, by who told them
+	NowMS     int64          `json:"now_ms"`
+}
+
+func (s *Sender) peersReport(now time.Duration) PeersReport {
+	r := PeersReport{Name: s.config.Name, HeldFacts: map[string]int{}, NowMS: now.Milliseconds(), OwnFacts: len(s.knownFacts(now))}
+	s.knownFactsCache = nil
+	if p, ok := extensionOf[*peersExtension](s); ok {
+		r.Cluster, r.Address, r.Members = s.config.Peers.Cluster, p.node.Address(), p.node.Members()
+		for _, f := range append(p.view.Facts(), p.reports.All()...) {
+			r.HeldFacts[f.Source.Name]++
+		}
+	}
+	return r
+}
+
+// knowledgeReport is all facts, or those of one receiver: what this process has seen, what it was told by others, and
+// what is left of an earlier process's.
+func (s *Sender) knowledgeReport(now time.Duration, all bool, only uint32) []KnownFact {
+	list := []KnownFact{}
+	add := func(facts []knowledge.Fact, source string) {
+		for _, f := range facts {
+			if !all && f.Destination != only {
+				continue
+			}
+			from := source
+			if from == "" {
+				from = f.Source.Name
+			}
+			list = append(list, KnownFact{f.Destination, f.Endpoint, f.Kind.String(), describe(&f, now), from, (now - f.ObservedAt).Milliseconds(), f.Trust(now), f.Calls})
+		}
+	}
+	add(s.knownFacts(now), "self")
+	s.knownFactsCache = nil
+	if p, ok := extensionOf[*knowledgeStore](s); ok {
+		add(p.view.Facts(), "earlier")
+	}
+	if p, ok := extensionOf[*peersExtension](s); ok {
+		add(p.view.Facts(), "")
+		add(p.reports.All(), "")
+	}
+	return list
+}
+
+// describe puts a fact into words.
+func describe(f *knowledge.Fact, now time.Duration) string {
+	ms := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) + " ms" }
+	switch f.Kind {
+	case knowledge.Latency:
+		return fmt.Sprintf("calls take %s in the middle, %s at the least; time-out %s", ms(f.Median), ms(f.Min), ms(f.Timeout))
+	case knowledge.Concurrency:
+		return fmt.Sprintf("bore %.1f calls at once", f.Window)
+	case knowledge.RateLimit:
+		return fmt.Sprintf("takes %.2f calls a second of all senders", f.PerSecond)
+	case knowledge.RetryAfter:
+		return fmt.Sprintf("asked for a wait, of which %s are left", ms(max(0, f.Until-now)))
+	case knowledge.Health:
+		return fmt.Sprintf("%s for %s; %.2f calls a second usually", f.State, ms(now-f.Since), f.Rate)
+	}
+	return "?"
+}
+
+// PendingCount is how many messages of a tenant for a destination are held.
+type PendingCount struct {
+	Destination uint32 `json:"destination"`
+	Tenant      string `json:"tenant"`
+	Messages    int    `json:"messages"`
+}
+
+// pendingCounts counts what is held, as far as a policy tells messages apart.
+func (s *Sender) pendingCounts() []PendingCount {
+	counts := map[fleetpolicy.Call]int{}
+	for _, m := range s.messages {
+		if !m.ended {
+			counts[policyCall(m.storedMessage.record)]++
+		}
+	}
+	all := make([]PendingCount, 0, len(counts))
+	for c, n := range counts {
+		all = append(all, PendingCount{c.Destination, c.Tenant, n})
+	}
+	slices.SortFunc(all, func(a, b PendingCount) int {
+		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Tenant, b.Tenant))
+	})
+	return all
+}
--- a/internal/sender/batch.go
+++ b/internal/sender/batch.go
@@ -12,7 +12,7 @@
 // ever: what it sends to one endpoint in one step goes together. Each Send is still one call at the most, with its own
 // time-out; a message of which that is over ends by itself, while the call goes on for the others.
 
-// batchedSend is one Send on its way.
+// batchedSend is one attempt of a message on its way to a batch.
 type batchedSend struct {
 	m       *message
 	attempt int
@@ -31,7 +31,8 @@
 // eventOverheadBytes is about what an event takes in a batch beside its data.
 const eventOverheadBytes = 512
 
-// addToBatch puts a Send with others to the same endpoint, as far as they fit in one call.
+// addToBatch puts an attempt with others to the same endpoint, as far as they fit into one call: so many events, and about so
+// many bytes.
 func (s *Sender) addToBatch(e *calls.Endpoint, one batchedSend, events, bytes int) {
 	size := eventOverheadBytes + len(one.m.Body)*4/3
 	for i := range s.batches {
@@ -44,7 +45,7 @@
 	s.batches = append(s.batches, batch{e, []batchedSend{one}, size})
 }
 
-// sendBatches begins the calls that were gathered in this step.
+// sendBatches begins the calls that were gathered in this turn.
 func (s *Sender) sendBatches(ctx context.Context, written bool) {
 	batches := s.batches
 	s.batches = nil
@@ -59,6 +60,8 @@
 	draining bool
 }
 
+// sendBatch begins the call of one batch. Each message's attempt ends by itself, with the call, its own time-out or its
+// cancellation, and is posted as a callResult; the call lasts as long as one of them waits for it.
 func (s *Sender) sendBatch(ctx context.Context, b batch, written bool) {
 	began := time.Now()
 	recs := make([]calls.Ticket, len(b.sends))
--- /dev/null
+++ b/internal/sender/clock.go
@@ -0,0 +1,21 @@
+package sender
+
+import (
+	"time"
+)
+
+// clock is the module's: Unix time as read at the start, and monotonic from there on, so that times in the journal mean the
+// same to the next process and a step of the wall clock moves no deadline.
+type clock struct {
+	start time.Time
+	base  time.Duration
+}
+
+// newClock reads the wall clock.
+func newClock() clock {
+	now := time.Now()
+	return clock{now, time.Duration(now.UnixNano())}
+}
+
+// now is the time since the Unix epoch.
+func (c clock) now() time.Duration { return c.base + time.Since(c.start) }
--- a/internal/sender/config.go
+++ b/internal/sender/config.go
@@ -1,11 +1,7 @@
-// Package sender is the real sender round the decision module: it takes messages from clients, keeps
-// them in a journal that outlasts the process, calls endpoints, watches discovery and tells the
-// platform how messages ended. What is done with a message is decided by package brain alone.
 package sender
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"slices"
@@ -14,15 +10,19 @@
 
 	"saffronyard.example/saffronyard/brain"
 	"saffronyard.example/saffronyard/internal/calls"
+	"saffronyard.example/saffronyard/internal/identity"
 	"saffronyard.example/saffronyard/internal/peers"
 	"saffronyard.example/saffronyard/internal/settings"
 	"saffronyard.example/saffronyard/internal/work"
 )
 
-// foldAfter is how long a destination is quiet before it is remembered in short: longer than a usual lull, as what
-// was learnt of it ages from then on.
+// foldAfter is how long a destination is quiet before it is remembered in short: longer than a usual lull, as what was learnt
+// of it ages from then on.
 const foldAfter = 5 * time.Minute
 
+// configPart names the platform's file in errors.
+const configPart = "configuration"
+
 // Limits is what the sender's machine allows it.
 type Limits struct {
 	Cores    float64 `json:"cores"`
@@ -34,12 +34,12 @@
 // maxClients is how many of the descriptors may be clients' connections.
 func (l Limits) maxClients() int { return max(1, l.Sockets/2) }
 
-// maxIdleClients is how many of those may be idle: clients hold a third of the descriptors at most, and those
-// who wait for a connection must find some left of that.
+// maxIdleClients is how many of those may be idle: clients hold a third of the descriptors at most, and those who wait for a
+// connection must find some left of that.
 func (l Limits) maxIdleClients() int { return max(1, l.Sockets/6) }
 
-// maxEndpointConns is how many may be connections to endpoints, in use or idle. The rest is for files, the listener
-// and discovery.
+// maxEndpointConns is how many may be connections to endpoints, in use or idle. The rest is for files, the listener and
+// discovery.
 func (l Limits) maxEndpointConns() int { return max(1, l.Sockets-l.maxClients()-min(24, l.Sockets/8)) }
 
 // Config is what a sender is told at its start.
@@ -71,7 +71,8 @@
 	Knowledge   *Knowledge  // what is known of receivers outlasts the process; nil: only their usual rates do
 }
 
-// LoadConfig reads the file that EDGE_CONFIG names. The other variables win over what it says.
+// LoadConfig reads the file that EDGE_CONFIG names. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_STATE win over what it
+// says. Its error is a *ConfigError.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	c, err := readConfig(getenv)
 	if err != nil {
@@ -83,18 +84,18 @@
 			*field = v
 		}
 		if *field == "" {
-			return nil, fmt.Errorf("configuration: %s is not set", name)
+			return nil, configError(configPart, "%s is not set", name)
 		}
 	}
 	return c, nil
 }
 
-// ReloadConfig reads the file again for Sender.Reload. Here the file wins: it is newer than the variables
-// that the process was started with.
+// ReloadConfig reads the file again, for Sender.Reload. Here the file wins: it is newer than the variables that the process
+// was started with.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	c, err := readConfig(getenv)
 	if err == nil && c.Discovery == "" {
-		err = errors.New("configuration: discovery is not set")
+		err = configError(configPart, "discovery is not set")
 	}
 	return c, err
 }
@@ -102,15 +103,15 @@
 func readConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
-		return nil, errors.New("configuration: EDGE_CONFIG is not set; it names the configuration's file ('rehearse up' shows a sender running)")
+		return nil, configError(configPart, "EDGE_CONFIG is not set; it names the configuration's file ('rehearse up' shows a sender running)")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, &ConfigError{Part: configPart, Err: err}
 	}
 	c, err := ParseConfig(raw)
 	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, &ConfigError{Part: configPart, Err: err}
 	}
 	return c, nil
 }
@@ -171,13 +172,13 @@
 	return c, nil
 }
 
-// endpointNames are those by which endpoints are listed.
+// endpointNames are the names of zones and kinds by which endpoints are listed.
 func (c *Config) endpointNames() calls.Names { return calls.Names{Zones: c.Zones, Kinds: c.Kinds} }
 
 // maxIdleEndpointConns is how many connections to endpoints may be idle: the descriptors are few.
 func (c *Config) maxIdleEndpointConns() int { return c.Limits.maxEndpointConns() - c.Settings.Slots }
 
-// indexOf is the place of a name in a list of the settings, or def if it is not there.
+// indexOf is the position of a name in a list of the settings, or def if it is not there.
 func indexOf(list []string, name string, def int) int {
 	if i := slices.Index(list, name); i >= 0 {
 		return i
@@ -185,16 +186,52 @@
 	return def
 }
 
-// clock is the Brain's: Unix time as read at the start, and monotonic from there on, so that times in the
-// journal mean the same to the next process and a step of the wall clock moves no deadline.
-type clock struct {
-	start time.Time
-	base  time.Duration
+// minJournalBytes is the least room that the journal needs.
+const minJournalBytes = 512 << 10
+
+// journalDiskBytes is the bytes that the journal may take: what the disk's limit leaves of snapshots and of the ends of
+// events.
+func (c *Config) journalDiskBytes() (int64, error) {
+	room := int64(c.Limits.DiskMB*1e6*journalDiskFraction) - c.knowledgeDiskBytes()
+	if room < minJournalBytes && c.Knowledge != nil {
+		return 0, configError("knowledge", "bytes = %d, twice, leaves less than %d of the disk's %.0f to the journal", c.Knowledge.MaxBytes, minJournalBytes, c.Limits.DiskMB*1e6)
+	}
+	if c.Events == nil {
+		return room, nil
+	}
+	ends := identity.MaxFileBytes(c.Events.MaxRemembered)
+	if room-ends < minJournalBytes {
+		return 0, configError("events", "remember_most = %d takes %d bytes of the disk's %.0f and leaves less than %d to the journal", c.Events.MaxRemembered, ends, c.Limits.DiskMB*1e6, minJournalBytes)
+	}
+	return room - ends, nil
 }
 
-func newClock() clock {
-	now := time.Now()
-	return clock{now, time.Duration(now.UnixNano())}
+// CheckRules finds a rule that names a class or tenant which the settings lack. Names that are filled in are looked up
+// with each event.
+func (c *Config) CheckRules() error {
+	if c.Events == nil {
+		return nil
+	}
+	known := func(list []string, name string) bool {
+		return name == "" || len(list) == 0 || indexOf(list, name, -1) >= 0 || containsBrace(name)
+	}
+	r := &c.Events.Rules
+	for i, rule := range r.List {
+		if !known(c.Classes, rule.Class) || !known(c.Tenants, rule.Tenant) {
+			return configError("events", "%s: class %q or tenant %q is not among the settings", r.Name(i), rule.Class, rule.Tenant)
+		}
+	}
+	if f := r.Fallback; f != nil && (!known(c.Classes, f.Class) || !known(c.Tenants, f.Tenant)) {
+		return configError("events", "default: class %q or tenant %q is not among the settings", f.Class, f.Tenant)
+	}
+	return nil
 }
 
-func (c clock) now() time.Duration { return c.base + time.Since(c.start) }
+func containsBrace(s string) bool {
+	for i := range len(s) {
+		if s[i] == '{' {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -199,7 +199,7 @@
 			t.Fatal(err)
 		}
 		id := s.register(m, nil, 0)
-		s.journal.update(m, record{Op: "send", Sent: &attemptRecord{At: s.clock.now(), Endpoint: at.ID}})
+		s.journal.update(m, record{Op: opSend, Sent: &attemptRecord{At: s.clock.now(), Endpoint: at.ID}})
 		s.send(context.Background(), brain.Send{Message: id, Endpoint: at.Number, Timeout: 5 * time.Second}, true)
 	}
 	s.sendBatches(context.Background(), s.flush())
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -29,25 +28,22 @@
 	maxListBytes       = 8 << 20 // bytes of a list
 )
 
-// Target is an endpoint as a source lists it, Targets is discovery's answer.
-type (
-	Target  = membership.Target
-	Targets = membership.Update
-)
+// Target is an endpoint as a source lists it.
+type Target = membership.Target
+
+// Targets is discovery's answer: the whole endpoint list, or what has changed since a version.
+type Targets = membership.Update
 
-// discovery speaks with the platform: the list and its changes, and notices. Where it listens may change
-// while calls are out.
+// discovery speaks with the platform: the endpoint list and its changes, and notices. Its address may change while calls are
+// under way. mu guards current.
 type discovery struct {
 	mu      sync.Mutex
 	current *registry
 	dial    func(ctx context.Context, network, addr string) (net.Conn, error) // in tests in virtual time another one
 }
 
-// errOverloaded is a failure for which discovery has worked: it has more calls than it can answer in time.
-var errOverloaded = errors.New("it has worked on the call in vain")
-
-// registry is one address of discovery and the connections to it. left ends when discovery has moved away:
-// with it end the calls there and the pauses after failures of the old address.
+// registry is one address of discovery and the connections to it. moved ends when discovery has moved away: with it end the
+// calls there and the backoffs after failures of the old address.
 type registry struct {
 	addr      string
 	client    *http.Client // for the list
@@ -77,14 +73,15 @@
 	return o
 }
 
+// registry is the current address.
 func (d *discovery) registry() *registry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.current
 }
 
-// move leaves the address for another one: the watch is begun anew there with the whole list, and notices
-// under way are sent again there. It reports whether the address is another.
+// move leaves the address for another one: the watch begins anew there with the whole list, and notices under way are sent
+// again there. It reports whether the address is another.
 func (d *discovery) move(addr string) bool {
 	d.mu.Lock()
 	old := d.current
@@ -104,7 +101,7 @@
 	o.notices.CloseIdleConnections()
 }
 
-// within gives a call there its context: it ends with ctx, after the limit, or when discovery moves.
+// within gives a call its context: it ends with ctx, after the limit, or when discovery moves. done releases it.
 func (o *registry) within(ctx context.Context, limit time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	stop := context.AfterFunc(o.moved, cancel)
@@ -117,8 +114,8 @@
 	}
 }
 
-// backoff waits after the n-th failure in a row, a little less or more each time, but not once discovery has
-// moved; false if ctx ended.
+// backoff waits after the n-th failure in a row, a little less or more each time, but not once discovery has moved; false if
+// ctx ended.
 func (o *registry) backoff(ctx context.Context, n int) bool {
 	d := min(minBackoff<<min(n-1, 10), maxBackoff)
 	t := time.NewTimer(d/2 + rand.N(d/2+1))
@@ -131,7 +128,8 @@
 	return ctx.Err() == nil
 }
 
-// fetchList asks for the whole list, or after a version for what is newer, waiting so long for it.
+// fetchList asks for the whole list, or after a version for what is newer, waiting so long for it. after is -1 for the whole
+// list. The error is errOverloaded, wrapped, where the call was refused after overloadThreshold.
 func (o *registry) fetchList(ctx context.Context, after int64, wait time.Duration) (Targets, error) {
 	var t Targets
 	url, limit := "http://"+o.addr+"/api/targets", answerTimeout
@@ -153,11 +151,7 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes))
-		took := time.Since(began).Round(time.Millisecond)
-		if took >= overloadThreshold {
-			return t, fmt.Errorf("discovery answers %s after %v: %w", resp.Status, took, errOverloaded)
-		}
-		return t, fmt.Errorf("discovery answers %s after %v", resp.Status, took)
+		return t, &listStatusError{resp.Status, time.Since(began).Round(time.Millisecond)}
 	}
 	if t, err = decodeTargets(io.LimitReader(resp.Body, maxListBytes)); err != nil {
 		return t, fmt.Errorf("discovery's list: %w", err)
@@ -166,9 +160,9 @@
 	return t, nil
 }
 
-// watch follows the list at one registry from a version on, -1 for none, until a call fails; then it returns the version
-// that was heard last. The next call goes out as soon as an answer is passed on: a gap would end the watch. The first call
-// waits for nothing, so that one that is never answered is found out the sooner.
+// watch follows the list at one registry from a version on, -1 for none, until a call fails; then it returns the version of
+// the last update. The next call goes out as soon as an answer is passed on: a gap would end the watch. The first call waits
+// for nothing, so that one that is never answered is found out the sooner.
 func (o *registry) watch(ctx context.Context, version int64, news func(Targets)) (int64, error) {
 	for wait := time.Duration(0); ; wait = longPollWait {
 		t, err := o.fetchList(ctx, version, wait)
@@ -187,10 +181,11 @@
 	}
 }
 
-// follow watches when the Brain asks for it. After a failure it goes on from the version that was heard last: the answer
-// has what came since, or the whole list if that is too old. To ask for the whole list would cost discovery, which is one
-// for all senders and has just failed, several times as much. The Brain decides when. A move is no failure: the watch goes on at the new address at once, from the whole list, as versions are
-// each registry's own and the old one may not have told all that it had to.
+// follow watches when the module asks for it (watchRequests), until ctx ends. After a failure it goes on from the version of
+// the last update: the answer has what came since, or the whole list if that is too old. To ask for the whole list would cost
+// discovery, which is one for all senders and has just failed, several times as much. The module decides when. A move is no
+// failure: the watch goes on at the new address at once, from the whole list, as versions are each registry's own and the old
+// one may not have told all that it had to.
 func (d *discovery) follow(ctx context.Context, version int64, asked <-chan struct{}, news func(Targets), failed func(error)) {
 	var heard *registry // that told the last list
 	for {
--- a/internal/sender/targets.go
+++ b/internal/sender/discovery_list.go
@@ -6,8 +6,8 @@
 	"io"
 )
 
-// decodeTargets reads a list line by line: a long one is not held as text as well. The words that its lines share
-// are held once.
+// decodeTargets reads a list line by line: a long one is not held as text as well. The words that its lines share are held
+// once.
 func decodeTargets(r io.Reader) (Targets, error) {
 	var t Targets
 	words := map[string]string{}
@@ -38,7 +38,7 @@
 				break
 			}
 			if first != json.Delim('[') {
-				return t, fmt.Errorf("servers is no list but %v", first)
+				return t, &listFormatError{fmt.Sprintf("servers is no list but %v", first)}
 			}
 			for d.More() {
 				var line Target
@@ -61,10 +61,11 @@
 	return t, expectDelim(d, json.Delim('}'))
 }
 
+// expectDelim reads one delimiter.
 func expectDelim(d *json.Decoder, want json.Delim) error {
 	got, err := d.Token()
 	if err == nil && got != want {
-		err = fmt.Errorf("%v where %v is wanted", got, want)
+		err = &listFormatError{fmt.Sprintf("%v where %v is wanted", got, want)}
 	}
 	return err
 }
--- a/internal/sender/notices.go
+++ b/internal/sender/discovery_notices.go
@@ -10,15 +10,16 @@
 	"time"
 )
 
-// notice is a line on a message that was taken on and not delivered.
+// notice is a line to the platform on a message that was accepted and not delivered.
 type notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryMS *int64 `json:"retry_in_ms,omitempty"`
 }
 
-// postNotices posts notices until they are taken, wherever discovery is by then. The connection of the last ones may have fallen silent
-// since; the first failure is made up for at once, on a new one, as a notice has little time.
+// postNotices posts batches of notices until the platform acknowledges them, wherever discovery is by then, and ends with ctx.
+// The connection of the last ones may have fallen silent since; the first failure is made up for at once, on a new one, as a
+// notice has little time.
 func (d *discovery) postNotices(ctx context.Context, notices <-chan []notice, told func([]notice)) {
 	for {
 		var batch []notice
@@ -53,6 +54,7 @@
 	}
 }
 
+// post posts lines of notices; nil once the platform has acknowledged them with 204.
 func (o *registry) post(ctx context.Context, lines []byte, limit time.Duration) error {
 	ctx, done := o.within(ctx, limit)
 	defer done()
@@ -68,7 +70,35 @@
 	defer resp.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes))
 	if resp.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("notices are answered %s", resp.Status)
+		return fmt.Errorf("%w %s", errNoticesRejected, resp.Status)
 	}
 	return nil
 }
+
+// notice is the notice of a message that is over.
+func (m *storedMessage) notice() notice {
+	n := notice{Message: m.ID, Outcome: m.outcome}
+	if m.outcome == outcomeHandedBack && m.retryAfterMS > 0 {
+		n.RetryMS = &m.retryAfterMS
+	}
+	return n
+}
+
+// recordNotified records that the platform has acknowledged notices: the first ones that are pending.
+func (s *Sender) recordNotified(acknowledged []notice) {
+	s.noticesInFlight = false
+	s.pendingNotices = s.pendingNotices[len(acknowledged):]
+	for _, n := range acknowledged {
+		if m := s.journal.byID[n.Message]; m != nil && m.outcome != "" && !m.notified {
+			s.journal.update(m, record{Op: opNotified})
+		}
+	}
+}
+
+// sendNotices hands the pending notices to postNotices, one batch at a time.
+func (s *Sender) sendNotices() {
+	if !s.noticesInFlight && len(s.pendingNotices) > 0 {
+		s.noticesInFlight = true
+		s.notices <- s.pendingNotices[:min(len(s.pendingNotices), maxNoticesPerCall)]
+	}
+}
--- a/internal/sender/events.go
+++ b/internal/sender/event_dedup.go
@@ -1,47 +1,20 @@
 package sender
 
 import (
-	"encoding/hex"
 	"errors"
-	"fmt"
 	"net/http"
 	"path/filepath"
 	"time"
 
+	"saffronyard.example/saffronyard/brain"
 	"saffronyard.example/saffronyard/internal/identity"
 )
 
-// eventsFileName is the file of the ends of events.
+// eventsFileName is the file of the ends of events, in the state folder.
 const eventsFileName = "events.ended"
 
-// eventIdentity is what names an event and what it says.
-type eventIdentity struct {
-	key    identity.Key
-	digest identity.Digest
-}
-
-// append writes it in hexadecimal digits.
-func (i *eventIdentity) append(b []byte) []byte {
-	b = hex.AppendEncode(b, i.key[:])
-	return hex.AppendEncode(b, i.digest[:])
-}
-
-// MarshalText writes it as append does.
-func (i *eventIdentity) MarshalText() ([]byte, error) { return i.append(nil), nil }
-
-// UnmarshalText reads what MarshalText wrote.
-func (i *eventIdentity) UnmarshalText(text []byte) error {
-	raw, err := hex.DecodeString(string(text))
-	if err != nil || len(raw) != len(i.key)+len(i.digest) {
-		return fmt.Errorf("identity %q can't be read", text)
-	}
-	copy(i.key[:], raw)
-	copy(i.digest[:], raw[len(i.key):])
-	return nil
-}
-
-// eventDedup is what is known of events by their identity: those that are held, and for a time how the others ended.
-// A nil one knows nothing and keeps nothing.
+// eventDedup is what is known of events by their identity: those that are held, and for a time how the others ended. A nil one
+// knows nothing and keeps nothing.
 type eventDedup struct {
 	table       *identity.Table
 	file        *identity.File
@@ -49,6 +22,7 @@
 	flushFailed bool // the last flush failed, and that was told
 }
 
+// openEventDedup reads the ends that an earlier process left; nil where no events are accepted.
 func openEventDedup(c *Config, now time.Duration) (*eventDedup, error) {
 	if c.Events == nil {
 		return nil, nil
@@ -59,26 +33,7 @@
 	return b, err
 }
 
-// minJournalBytes is the least room that the journal needs, in bytes.
-const minJournalBytes = 512 << 10
-
-// journalDiskBytes is the bytes that the journal may take: what the disk's limit leaves of snapshots and of the ends of events.
-func (c *Config) journalDiskBytes() (int64, error) {
-	room := int64(c.Limits.DiskMB*1e6*journalDiskFraction) - c.knowledgeDiskBytes()
-	if room < minJournalBytes && c.Knowledge != nil {
-		return 0, fmt.Errorf("knowledge: bytes = %d, twice, leaves less than %d of the disk's %.0f to the journal", c.Knowledge.MaxBytes, minJournalBytes, c.Limits.DiskMB*1e6)
-	}
-	if c.Events == nil {
-		return room, nil
-	}
-	ends := identity.MaxFileBytes(c.Events.MaxRemembered)
-	if room-ends < minJournalBytes {
-		return 0, fmt.Errorf("events: remember_most = %d takes %d bytes of the disk's %.0f and leaves less than %d to the journal", c.Events.MaxRemembered, ends, c.Limits.DiskMB*1e6, minJournalBytes)
-	}
-	return room - ends, nil
-}
-
-// answerKnownEvent answers a hand-in of an event that has come before; false if it has not.
+// answerKnownEvent answers the submission of an event that has come before; false if it has not.
 func (s *Sender) answerKnownEvent(sub submission) bool {
 	conflict := response{status: http.StatusConflict, text: "an event of this source and id came before with other content"}
 	if m := s.eventDedup.pending[sub.Identity.key]; m != nil {
@@ -110,7 +65,7 @@
 	return true
 }
 
-// reserve keeps room for an event's end; why there is none, and after how long there may be some.
+// reserve keeps room for an event's end; without room, why there is none and after how long there may be some.
 func (b *eventDedup) reserve(now time.Duration) (ok bool, why string, after time.Duration) {
 	if err := b.file.Err(); err != nil {
 		return false, "how events end can't be written down", 0
@@ -121,20 +76,21 @@
 	return true, "", 0
 }
 
+// release gives back the room of an event that was not accepted after all.
 func (b *eventDedup) release(id *eventIdentity) {
 	if b != nil && id != nil {
 		b.table.Release()
 	}
 }
 
-// register books a message that is an event.
+// register adds a message that is an event to those that are held.
 func (b *eventDedup) register(m *message) {
 	if b != nil && m.Identity != nil {
 		b.pending[m.Identity.key] = m
 	}
 }
 
-// wasDelivered books an event that an earlier process left; true if that one knew that it was delivered.
+// wasDelivered takes in an event that an earlier process left; true if that one knew that it was delivered.
 func (b *eventDedup) wasDelivered(now time.Duration, m *storedMessage) bool {
 	if b == nil || m.Identity == nil {
 		return false
@@ -146,17 +102,17 @@
 	return false
 }
 
-// recordEnd remembers how a message ended, if it is an event.
-func (b *eventDedup) recordEnd(m *message, now time.Duration, how identity.Outcome, retry time.Duration) {
+// recordEnd remembers how a message ended, if it is an event. retryAfter is of one that was handed back.
+func (b *eventDedup) recordEnd(m *message, now time.Duration, outcome identity.Outcome, retryAfter time.Duration) {
 	if b == nil || m.Identity == nil || m.ended {
 		return
 	}
 	delete(b.pending, m.Identity.key)
-	e := identity.End{Key: m.Identity.key, Digest: m.Identity.digest, Outcome: how, At: now, RetryAfter: retry}
+	e := identity.End{Key: m.Identity.key, Digest: m.Identity.digest, Outcome: outcome, At: now, RetryAfter: retryAfter}
 	b.file.Add(b.table.Record(e), e)
 }
 
-// forget forgets an event that was not taken on.
+// forget drops an event that was not accepted.
 func (b *eventDedup) forget(m *message) {
 	if b != nil && m.Identity != nil && !m.ended && b.pending[m.Identity.key] == m {
 		delete(b.pending, m.Identity.key)
@@ -164,7 +120,7 @@
 	}
 }
 
-// flush writes down how events ended; an error that lasts is told once.
+// flush writes down how events ended. An error that lasts is returned once.
 func (b *eventDedup) flush() error {
 	if b == nil {
 		return nil
@@ -183,3 +139,16 @@
 	}
 	return errors.Join(b.file.Close())
 }
+
+// eventsExtension is the event deduplication as an extension: its file is written before the journal forgets a message.
+type eventsExtension struct {
+	noopExtension
+	*eventDedup
+}
+
+func (x eventsExtension) beforeFlush() error { return x.flush() }
+
+func (x eventsExtension) shutdown() error { return x.close() }
+
+// onResume hides the method of noopExtension's name that eventDedup might have.
+func (x eventsExtension) onResume(time.Duration) []brain.Event { return nil }
--- a/internal/sender/participant.go
+++ b/internal/sender/extension.go
@@ -15,7 +15,7 @@
 	// onListUpdate is called after news of the list; what it gives the module is told in the same step, after the news.
 	onListUpdate(now time.Duration) []brain.Event
 	// handle is called with an event of the feature's own, which it had posted to the loop; others it passes over.
-	handle(e any, now time.Duration) []brain.Event
+	handle(e extensionEvent, now time.Duration) []brain.Event
 	// beforeFlush is called before the journal is written: what must stand on the disk no later than that is written here.
 	beforeFlush() error
 	// afterTurn is called at the end of each turn, when all of it stands in the journal.
@@ -29,33 +29,13 @@
 // noopExtension takes no part.
 type noopExtension struct{}
 
-func (noopExtension) onResume(time.Duration) []brain.Event     { return nil }
-func (noopExtension) onListUpdate(time.Duration) []brain.Event { return nil }
-func (noopExtension) handle(any, time.Duration) []brain.Event  { return nil }
-func (noopExtension) beforeFlush() error                       { return nil }
-func (noopExtension) afterTurn(context.Context)                {}
-func (noopExtension) onTick(time.Duration)                     {}
-func (noopExtension) shutdown() error                          { return nil }
-
-// eventsExtension is the events' books as a participant.
-type eventsExtension struct {
-	noopExtension
-	*eventDedup
-}
-
-func (x eventsExtension) beforeFlush() error { return x.flush() }
-func (x eventsExtension) shutdown() error    { return x.close() }
-
-// onResume of the books is asked for each message that is held, and has another meaning.
-func (x eventsExtension) onResume(time.Duration) []brain.Event { return nil }
-
-// recorderExtension is the recorder's books as a participant.
-type recorderExtension struct {
-	noopExtension
-	s *Sender
-}
-
-func (x recorderExtension) afterTurn(context.Context) { x.s.offerToRecorder() }
+func (noopExtension) onResume(time.Duration) []brain.Event               { return nil }
+func (noopExtension) onListUpdate(time.Duration) []brain.Event           { return nil }
+func (noopExtension) handle(extensionEvent, time.Duration) []brain.Event { return nil }
+func (noopExtension) beforeFlush() error                                 { return nil }
+func (noopExtension) afterTurn(context.Context)                          {}
+func (noopExtension) onTick(time.Duration)                               {}
+func (noopExtension) shutdown() error                                    { return nil }
 
 // newExtensions gives the features that this sender has, in the order in which they are called.
 func (s *Sender) newExtensions() ([]extension, error) {
@@ -92,3 +72,13 @@
 	}
 	return parts, nil
 }
+
+func extensionOf[T extension](s *Sender) (T, bool) {
+	for _, p := range s.extensions {
+		if got, ok := p.(T); ok {
+			return got, true
+		}
+	}
+	var none T
+	return none, false
+}
--- a/internal/sender/resendpart.go
+++ b/internal/sender/extension_background.go
@@ -40,9 +40,6 @@
 
 const backgroundTimeout = 2 * time.Second
 
-// ErrBusy says that the sender is leaving, or too busy to answer.
-var ErrBusy = errors.New("the sender is leaving, or too busy")
-
 // Background is for work behind the messages; it is there if the configuration has Background set.
 func (s *Sender) Background() *Background { return &Background{s} }
 
@@ -50,7 +47,7 @@
 	ctx, cancel := context.WithTimeout(ctx, backgroundTimeout)
 	defer cancel()
 	q := backgroundQuery{time.Now(), new(atomic.Uint32), ask, make(chan struct{})}
-	if b.s.post(ctx, q) {
+	if b.s.post(ctx, extensionMessage{q}) {
 		select {
 		case <-q.answer:
 			return nil
@@ -71,7 +68,7 @@
 	queryAbandoned
 )
 
-func (p *backgroundExtension) handle(e any, now time.Duration) []brain.Event {
+func (p *backgroundExtension) handle(e extensionEvent, now time.Duration) []brain.Event {
 	q, ok := e.(backgroundQuery)
 	if !ok {
 		return nil
@@ -213,28 +210,28 @@
 	case s.stopping || s.server.closing.Load():
 		return nil, ErrBusy
 	case class < 0:
-		return nil, fmt.Errorf("there is no class %q any more", e.Class)
+		return nil, resendError("there is no class %q any more", e.Class)
 	case tenant < 0:
-		return nil, fmt.Errorf("there is no member %q any more", e.Member)
+		return nil, resendError("there is no member %q any more", e.Member)
 	case s.journal.byID[e.Message] != nil:
-		return nil, errors.New("it is held")
+		return nil, resendError("it is held")
 	}
 	if _, known := s.endpoints.Cells[e.Destination]; !known {
-		return nil, fmt.Errorf("destination %d does not exist any more", e.Destination)
+		return nil, resendError("destination %d does not exist any more", e.Destination)
 	}
 	// Asked again at the moment of taking it on: between the choice and this lie a write to the store and the loop's queue.
 	if v, why := undelivered.MayResend(e.History(), s.config.Settings.Classes[class].IdempotencyKeyTTL, int64(now)); v == undelivered.Forbidden {
-		return nil, errors.New(why)
+		return nil, &ResendError{why}
 	}
 	if e.Key != "" {
 		for _, m := range s.messages {
 			if !m.ended && m.Key == e.Key && m.Tenant == e.Member && m.Dest == e.Destination {
-				return nil, errors.New("its client has handed it in anew")
+				return nil, resendError("its client has handed it in anew")
 			}
 		}
 	}
 	if most := s.config.Settings.MaxPending; most > 0 && s.pending >= most/2 { // the rest is for live ones
-		return nil, errors.New("the room for messages is half taken")
+		return nil, resendError("the room for messages is half taken")
 	}
 	rec := record{ID: e.Message, Key: e.Key, Class: e.Class, Tenant: e.Member, Dest: e.Destination, Deadline: now + deadline, Body: e.Body,
 		Incarnation: e.Resends + 1, EarlierAttempts: len(e.Attempts)}
--- a/internal/sender/lives_test.go
+++ b/internal/sender/extension_background_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.update(m, record{Op: "send", Sent: &attemptRecord{At: 9, Endpoint: "b"}})
+	j.update(m, record{Op: opSend, Sent: &attemptRecord{At: 9, Endpoint: "b"}})
 	for range 2 { // as written, and as compacted
 		if err := j.flush(); err != nil {
 			t.Fatal(err)
@@ -41,11 +41,11 @@
 		}
 	}
 	// Delivered, it stays until the recorder has heard so, with nobody else to be told.
-	j.update(j.byID["m"], record{Op: "over", Outcome: outcomeDelivered, AwaitsRecorder: true, At: 10})
+	j.update(j.byID["m"], record{Op: opOver, Outcome: outcomeDelivered, AwaitsRecorder: true, At: 10})
 	if got := j.byID["m"]; got == nil || !got.awaitsRecorder || !got.notified {
 		t.Errorf("%+v", got)
 	}
-	j.update(j.byID["m"], record{Op: "kept"})
+	j.update(j.byID["m"], record{Op: opRecorded})
 	if j.byID["m"] != nil {
 		t.Error("it is not forgotten")
 	}
--- a/internal/sender/fleetpart.go
+++ b/internal/sender/extension_fleet.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"fmt"
 	"maps"
 	"net/http"
 	"slices"
@@ -80,9 +79,9 @@
 		for {
 			select {
 			case <-news:
-				s.post(ctx, policyChange{})
+				s.post(ctx, extensionMessage{policyChange{}})
 			case <-paced:
-				s.post(ctx, rateLimitChange{})
+				s.post(ctx, extensionMessage{rateLimitChange{}})
 			case <-ctx.Done():
 				return
 			}
@@ -97,7 +96,7 @@
 }
 
 // handle tells the module what is closed now, and hands back what can't go.
-func (p *fleetExtension) handle(e any, _ time.Duration) []brain.Event {
+func (p *fleetExtension) handle(e extensionEvent, _ time.Duration) []brain.Event {
 	switch e.(type) {
 	case rateLimitChange:
 		return p.rateLimits(false)
@@ -213,134 +212,3 @@
 		p.s.config.Fleet.ReportHealth(all)
 	}
 }
-
-// setWaiting notes whether a message waits to be sent, as far as the fleet's limits go by that.
-func (s *Sender) setWaiting(m *message, is bool) {
-	if s.config.Fleet == nil || m.waiting == is {
-		return
-	}
-	m.waiting = is
-	n := int64(1)
-	if !is {
-		n = -1
-	}
-	s.config.Fleet.AddBacklog(limitedCall(m.storedMessage.record), n)
-}
-
-// limitedCall is what limits go by of a message that waits.
-func limitedCall(r record) fleetpolicy.Call {
-	c := policyCall(r)
-	c.Class, c.Bytes = r.Class, int64(len(r.Body))
-	return c
-}
-
-// fleetKind is the kind of a destination that is listed as of another.
-func (s *Sender) fleetKind(destination uint32, listed string) string {
-	if v, _ := s.config.Fleet.View(); v != nil {
-		return v.Policy.Kind(destination, listed)
-	}
-	return listed
-}
-
-// recheckPolicy has a message looked at whose call has ended while a word against it came: it was passed over then, and would be
-// sent again and again if the fleet was against it as it was about to be written.
-func (s *Sender) recheckPolicy(m *message, e callResult) {
-	if s.config.Fleet == nil || m.ended || e.Outcome == brain.Served || e.Final {
-		return
-	}
-	if why, _ := s.policyObjection(m.storedMessage.record); why != "" {
-		s.signalPolicyChange()
-	}
-}
-
-// policyCall is what the policy judges of a message.
-func policyCall(r record) fleetpolicy.Call {
-	return fleetpolicy.Call{Destination: r.Dest, Tenant: r.Tenant}
-}
-
-// policyObjection says why a message can't go for longer than a change takes to take hold; "" if nothing stands against it.
-func (s *Sender) policyObjection(r record) (why string, suspended bool) {
-	v, acts := s.config.Fleet.View()
-	if !acts {
-		return "this sender is cut off from the fleet", false
-	}
-	if ok, why := v.Policy.Allows(policyCall(r)); !ok {
-		return why, v.Policy.IsOpen(r.Dest)
-	}
-	if !v.IsOpen(r.Dest) {
-		return "its destination is suspended", false
-	}
-	return "", false
-}
-
-// closedByFleet reports whether nothing is sent to a destination just now.
-func (s *Sender) closedByFleet(destination uint32) bool {
-	v, acts := s.config.Fleet.View()
-	return !acts || !v.IsOpen(destination) || v.Suspended.HasDestination(destination)
-}
-
-// applyPolicy applies the policy to a message that is handed in: it may go to another destination, or be given up sooner. why is
-// why it is turned away; its client may come again, as it was not sent.
-func (s *Sender) applyPolicy(r *record) (why string) {
-	if s.config.Fleet == nil {
-		return ""
-	}
-	v, acts := s.config.Fleet.View()
-	if !acts {
-		return "this sender is cut off from the fleet"
-	}
-	if to := v.Policy.MovedTo(r.Dest); to != r.Dest {
-		if _, known := s.endpoints.Cells[to]; !known {
-			return fmt.Sprintf("the fleet's policy has moved its destination to %d, which no list names", to)
-		}
-		r.Dest = to
-	}
-	if ok, why := v.Policy.Allows(policyCall(*r)); !ok {
-		return why
-	}
-	if !v.IsOpen(r.Dest) {
-		return "its destination is suspended"
-	}
-	if most := v.Policy.MaxDeadline(r.Class); most > 0 {
-		r.Deadline = min(r.Deadline, s.clock.now()+most)
-	}
-	return ""
-}
-
-// admission is what a call asks of the fleet before its first byte; nil where there is none.
-func (s *Sender) admission(m *message, endpoint string) func() (func(), func(bool), bool) {
-	if s.config.Fleet == nil {
-		return nil
-	}
-	c := limitedCall(m.storedMessage.record) // the loop may drop the message meanwhile
-	c.Endpoint = endpoint
-	return func() (func(), func(bool), bool) {
-		left, over, why := s.config.Fleet.Admit(c)
-		return left, over, why == ""
-	}
-}
-
-// PendingCount is how many messages of a tenant for a destination are held.
-type PendingCount struct {
-	Destination uint32 `json:"destination"`
-	Tenant      string `json:"tenant"`
-	Messages    int    `json:"messages"`
-}
-
-// pendingCounts counts what is held, as far as a policy tells messages apart.
-func (s *Sender) pendingCounts() []PendingCount {
-	counts := map[fleetpolicy.Call]int{}
-	for _, m := range s.messages {
-		if !m.ended {
-			counts[policyCall(m.storedMessage.record)]++
-		}
-	}
-	all := make([]PendingCount, 0, len(counts))
-	for c, n := range counts {
-		all = append(all, PendingCount{c.Destination, c.Tenant, n})
-	}
-	slices.SortFunc(all, func(a, b PendingCount) int {
-		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Tenant, b.Tenant))
-	})
-	return all
-}
--- a/internal/sender/past.go
+++ b/internal/sender/extension_knowledge.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"os"
 	"path/filepath"
 	"sync"
@@ -98,91 +97,6 @@
 	return events
 }
 
-// newLearnt begins what is learnt of one that the list names; false if it does not.
-func (s *Sender) newLearnt(of knowledge.Subject) (e brain.Observation, listed bool) {
-	e.Destination = brain.DestinationID(of.Destination)
-	if of.Endpoint == "" {
-		_, listed = s.endpoints.Cells[of.Destination]
-		return e, listed
-	}
-	at := s.endpoints.ByID[of.Endpoint]
-	if at == nil || at.Line.Destination != e.Destination {
-		return e, false
-	}
-	e.Endpoint = at.Number
-	return e, true
-}
-
-// applyFacts puts facts into the module's words.
-func applyFacts(e *brain.Observation, facts []knowledge.Fact, now time.Duration) {
-	for _, f := range facts {
-		age := max(0, now-f.ObservedAt)
-		switch f.Kind {
-		case knowledge.Latency:
-			e.Samples, e.MeanLatency, e.MedianLatency, e.MinLatency, e.Timeout, e.LatencyAge = int(f.Calls), f.Mean, f.Median, f.Min, f.Timeout, age
-		case knowledge.Concurrency:
-			e.Window, e.WindowAge = f.Window, age
-		case knowledge.RateLimit:
-			e.Limit, e.LimitAge = f.PerSecond, age
-		case knowledge.RetryAfter:
-			e.RetryAfter = max(0, f.Until-now)
-		case knowledge.Health:
-			e.Health, e.HealthFor, e.HealthAge, e.Rate = brain.Health(f.State), max(0, now-f.Since), age, f.Rate
-		}
-	}
-}
-
-// factsFromLearnt puts what the module knows of a route into facts of one's own.
-func factsFromLearnt(k brain.Observation, endpoint string, now time.Duration) []knowledge.Fact {
-	var all []knowledge.Fact
-	add := func(sort knowledge.Kind, age time.Duration, v knowledge.Value) {
-		all = append(all, knowledge.Fact{Subject: knowledge.Subject{Destination: uint32(k.Destination), Endpoint: endpoint}, Kind: sort,
-			ObservedAt: now - max(0, age), Calls: uint32(max(0, k.Samples)), Value: v})
-	}
-	if k.Samples > 0 {
-		add(knowledge.Latency, k.LatencyAge, knowledge.Value{Mean: k.MeanLatency, Median: k.MedianLatency, Min: k.MinLatency, Timeout: k.Timeout})
-	}
-	if k.Window > 0 {
-		add(knowledge.Concurrency, k.WindowAge, knowledge.Value{Window: k.Window})
-	}
-	if k.Limit > 0 {
-		add(knowledge.RateLimit, k.LimitAge, knowledge.Value{PerSecond: k.Limit})
-	}
-	if k.RetryAfter > 0 {
-		add(knowledge.RetryAfter, 0, knowledge.Value{Until: now + k.RetryAfter})
-	}
-	if k.Health != brain.HealthUnknown {
-		add(knowledge.Health, min(k.HealthAge, k.HealthFor), knowledge.Value{State: knowledge.State(k.Health), Since: now - max(0, k.HealthFor), Rate: k.Rate})
-	}
-	return all
-}
-
-// knownFacts is all that the module has seen, as facts of one's own.
-func (s *Sender) knownFacts(now time.Duration) []knowledge.Fact {
-	if s.knownFactsAt == now && s.knownFactsCache != nil { // several features ask in one look
-		return s.knownFactsCache
-	}
-	s.knownFactsAt, s.knownFactsCache = now, s.factsFrom(s.brain.Observations(), now)
-	return s.knownFactsCache
-}
-
-// factsFrom puts what the module knows of some routes into facts of one's own.
-func (s *Sender) factsFrom(known []brain.Observation, now time.Duration) []knowledge.Fact {
-	var all []knowledge.Fact
-	for _, k := range known {
-		id := ""
-		if k.Endpoint != 0 {
-			e := s.endpoints.ByNumber[k.Endpoint]
-			if e == nil {
-				continue
-			}
-			id = e.ID
-		}
-		all = append(all, factsFromLearnt(k, id, now)...)
-	}
-	return all
-}
-
 // factsToKeep is all that the module has seen, and what is left of an earlier process's knowledge of those that the list does
 // not name yet.
 func (p *knowledgeStore) factsToKeep(now time.Duration) []knowledge.Fact {
@@ -216,7 +130,7 @@
 	now := p.s.clock.now()
 	raw, _ := knowledge.Marshal(p.factsToKeep(now), now, time.Now(), int(p.s.config.Knowledge.MaxBytes))
 	if raw == nil {
-		return errors.New("knowledge: it can't be written")
+		return errSnapshotNotEncoded
 	}
 	return p.save(raw)
 }
--- a/internal/sender/peerspart.go
+++ b/internal/sender/extension_peers.go
@@ -45,7 +45,7 @@
 	p.stop = stop
 	var err error
 	p.node, err = peers.Start(c, s.log, s.clock.now, func(facts []knowledge.Fact) bool {
-		return len(facts) == 0 || s.post(ctx, peerFacts{facts})
+		return len(facts) == 0 || s.post(ctx, extensionMessage{peerFacts{facts}})
 	})
 	if err != nil {
 		stop()
@@ -56,7 +56,7 @@
 }
 
 // handle books what was heard and tells the module what it comes to.
-func (p *peersExtension) handle(e any, now time.Duration) []brain.Event {
+func (p *peersExtension) handle(e extensionEvent, now time.Duration) []brain.Event {
 	h, ok := e.(peerFacts)
 	if !ok {
 		return nil
--- a/internal/sender/recorder.go
+++ b/internal/sender/extension_recorder.go
@@ -113,19 +113,20 @@
 		return undelivered.Cancelled
 	case brain.NotSent:
 		return undelivered.NotSent
+	case brain.Served: // it ends a message that is not recorded
 	}
 	return undelivered.Unknown
 }
 
 // shouldRecord is whether an end that is about to be written down is to be kept, and books the room for it.
-func (s *Sender) shouldRecord(m *message, how string) bool {
+func (s *Sender) shouldRecord(m *message, outcome string) bool {
 	b := s.recorder
 	if b == nil { // what went again is the store's still, and it must hear of its end when it is there again
 		return m.Incarnation > 0
 	}
 	if b.cost+m.cost > b.maxCost && m.Incarnation == 0 { // the recorder is too slow, or its disk fails: nothing else is to suffer for that
 		rec := *m.storedMessage
-		rec.outcome, rec.endedAt = how, s.clock.now()
+		rec.outcome, rec.endedAt = outcome, s.clock.now()
 		e := s.entry(&rec)
 		if len(b.missed) == 0 {
 			s.log.Warn("undelivered messages are not kept: too many wait for the store")
@@ -162,7 +163,7 @@
 	for _, m := range b.offered {
 		b.cost -= m.cost
 		if s.journal.byID[m.ID] == m {
-			s.journal.update(m, record{Op: "kept"})
+			s.journal.update(m, record{Op: opRecorded})
 		}
 	}
 	b.offered, b.busy = nil, false
@@ -201,6 +202,7 @@
 			e.Effect = undelivered.Safe
 		case brain.IdempotentByKey:
 			e.Effect = undelivered.Keyed
+		case brain.NonIdempotent: // as it is at first
 		}
 		e.AcceptedAt = int64(m.Deadline - c.Deadline)
 	}
@@ -218,3 +220,11 @@
 	e.Reason = undelivered.ReasonOf(e.History())
 	return e
 }
+
+// recorderExtension is the recorder's books as a participant.
+type recorderExtension struct {
+	noopExtension
+	s *Sender
+}
+
+func (x recorderExtension) afterTurn(context.Context) { x.s.offerToRecorder() }
--- a/internal/sender/ends.go
+++ b/internal/sender/finish.go
@@ -8,6 +8,7 @@
 	"saffronyard.example/saffronyard/internal/identity"
 )
 
+// handleCallResult records how an attempt ended, and the message with it if that is decided, and gives the module the result.
 func (s *Sender) handleCallResult(e callResult) brain.Event {
 	m := e.message
 	s.inFlight--
@@ -46,7 +47,7 @@
 			s.recordEnd(m, s.endRecord(m, outcomeAnswered))
 		default:
 			never := e.Outcome == brain.Rejected || e.Outcome == brain.ConnectFailed || e.Outcome == brain.NotSent
-			rec := record{Op: "end", Attempt: m.earlierAttempts + e.attempt, NeverRan: never, Recalled: e.Revoked}
+			rec := record{Op: opEnd, Attempt: m.earlierAttempts + e.attempt, NeverRan: never, Recalled: e.Revoked}
 			if s.recorder != nil {
 				rec.AttemptOutcome = string(outcomeOf(e.Outcome))
 			}
@@ -58,34 +59,35 @@
 	return e.AttemptResult
 }
 
-// deadlineMargin is how much earlier a message's time may be up for others than it is here, where it counts from when its request had
-// been read: the slack of the protocol's time limits.
+// deadlineMargin is how much earlier a message's time may be up for others than it is here, where it counts from when its
+// request had been read: the slack of the protocol's time limits.
 const deadlineMargin = 50 * time.Millisecond
 
-// mayHaveExpired reports whether a message that is answered now may have been out of time before: then it counts as not delivered, and
-// without a notice as lost. A notice of one that was delivered does no harm.
+// mayHaveExpired reports whether a message that is served now may have been out of time before: then it counts as not
+// delivered, and without a notice as lost. A notice of one that was delivered does no harm.
 func (s *Sender) mayHaveExpired(m *message) bool {
 	return m.reply == nil && m.Incarnation == 0 && s.clock.now() >= m.Deadline-deadlineMargin
 }
 
-// endRecord is the end of a message that is not given up: of one that went again the recorder hears that, too.
-func (s *Sender) endRecord(m *message, how string) record {
-	rec := record{Outcome: how}
-	if m.Incarnation > 0 && s.shouldRecord(m, how) {
+// endRecord is the record of the end of a message that is not given up. Of one in a later incarnation the recorder hears, too.
+func (s *Sender) endRecord(m *message, outcome string) record {
+	rec := record{Outcome: outcome}
+	if m.Incarnation > 0 && s.shouldRecord(m, outcome) {
 		rec.AwaitsRecorder, rec.At = true, s.clock.now()
 	}
 	return rec
 }
 
-// recordEnd writes down that a message is over. A client that still waits hears it from the caller.
+// recordEnd records that a message is over. A client that still waits is answered by the caller.
 func (s *Sender) recordEnd(m *message, rec record) {
-	rec.Op = "over"
+	rec.Op = opOver
 	s.journal.update(m.storedMessage, rec)
 	m.ended = true
 	s.pending--
 	s.setWaiting(m, false)
 }
 
+// forget drops a message that is over once none of its calls is in flight.
 func (s *Sender) forget(m *message) {
 	if m.ended && len(m.calls) == 0 {
 		delete(s.messages, m.number)
@@ -95,36 +97,37 @@
 	}
 }
 
-// finish ends a message as the Brain has it: in the answer to its client, or where that has been told
-// that the message is taken on, by a notice; either way at once.
-func (s *Sender) finish(id brain.MessageID, how string, status int, hold time.Duration) {
+// finish ends a message as the module has decided: in the answer to its client, or where that was told that the message is
+// accepted, by a notice to the platform. outcome is outcomeGivenUp or outcomeHandedBack, status the answer's, retryAfter when
+// a client may submit it again.
+func (s *Sender) finish(id brain.MessageID, outcome string, status int, retryAfter time.Duration) {
 	m := s.messages[id]
 	if m == nil || m.ended {
 		return
 	}
-	taken := m.reply == nil
-	s.trace(how, m.ID, slog.Int("tries", m.attemptsMade()), slog.Duration("hold", hold))
+	accepted := m.reply == nil
+	s.trace(outcome, m.ID, slog.Int("tries", m.attemptsMade()), slog.Duration("hold", retryAfter))
 	switch {
-	case how == outcomeGivenUp:
+	case outcome == outcomeGivenUp:
 		s.eventDedup.recordEnd(m, s.clock.now(), identity.Failed, 0)
-	case taken:
-		s.eventDedup.recordEnd(m, s.clock.now(), identity.HandedBack, hold)
+	case accepted:
+		s.eventDedup.recordEnd(m, s.clock.now(), identity.HandedBack, retryAfter)
 	default: // refused in its answer: it was never taken on
 		s.eventDedup.forget(m)
 	}
-	if !taken { // it hears once this is written down
+	if !accepted { // it hears once this is written down
 		for _, to := range append(m.alsoWaiting, m.reply) {
-			s.pendingAnswers = append(s.pendingAnswers, pendingAnswer{to, response{status: status, retryAfter: hold, text: how}})
+			s.pendingAnswers = append(s.pendingAnswers, pendingAnswer{to, response{status: status, retryAfter: retryAfter, text: outcome}})
 		}
 		m.reply, m.alsoWaiting = nil, nil
 		rec := record{Outcome: outcomeAnswered}
-		if how == outcomeGivenUp && s.shouldRecord(m, outcomeAnswered) { // refused in its answer it was never taken on, and is its client's
+		if outcome == outcomeGivenUp && s.shouldRecord(m, outcomeAnswered) { // refused in its answer it was never taken on, and is its client's
 			rec.AwaitsRecorder, rec.At = true, s.clock.now()
 		}
 		s.recordEnd(m, rec)
 	} else {
-		rec := record{Outcome: how, RetryAfterMS: hold.Milliseconds(), Notified: m.Incarnation > 0} // of one that went again nobody waits to hear
-		if s.shouldRecord(m, how) {
+		rec := record{Outcome: outcome, RetryAfterMS: retryAfter.Milliseconds(), Notified: m.Incarnation > 0} // of one that went again nobody waits to hear
+		if s.shouldRecord(m, outcome) {
 			rec.AwaitsRecorder, rec.At = true, s.clock.now()
 		}
 		s.recordEnd(m, rec)
@@ -135,23 +138,7 @@
 	s.forget(m)
 }
 
-func (m *storedMessage) notice() notice {
-	n := notice{Message: m.ID, Outcome: m.outcome}
-	if m.outcome == outcomeHandedBack && m.retryAfterMS > 0 {
-		n.RetryMS = &m.retryAfterMS
-	}
-	return n
-}
-
-// sendNotices passes on the notices owed, one batch at a time.
-func (s *Sender) sendNotices() {
-	if !s.noticesInFlight && len(s.pendingNotices) > 0 {
-		s.noticesInFlight = true
-		s.notices <- s.pendingNotices[:min(len(s.pendingNotices), maxNoticesPerCall)]
-	}
-}
-
-// callResult is how a call ended.
+// callResult is how a call ended, for one message.
 type callResult struct {
 	message *message
 	attempt int
--- a/internal/sender/eventsfront.go
+++ b/internal/sender/ingress_events.go
@@ -15,10 +15,10 @@
 	"saffronyard.example/saffronyard/internal/mapping"
 )
 
-// eventsPath is where events are handed in.
+// eventsPath is where events are submitted.
 const eventsPath = "/events"
 
-// Events is how events are taken in.
+// Events is how CloudEvents are accepted.
 type Events struct {
 	Rules          mapping.Rules
 	MaxBatchEvents int           // events in a batch, at most
@@ -27,37 +27,8 @@
 	MaxRemembered  int           // ends and held events together, at most
 }
 
-// CheckRules finds a rule that names a class or tenant which the settings lack. Names that are filled in are looked up
-// with each event.
-func (c *Config) CheckRules() error {
-	if c.Events == nil {
-		return nil
-	}
-	known := func(list []string, name string) bool {
-		return name == "" || len(list) == 0 || indexOf(list, name, -1) >= 0 || containsBrace(name)
-	}
-	r := &c.Events.Rules
-	for i, rule := range r.List {
-		if !known(c.Classes, rule.Class) || !known(c.Tenants, rule.Tenant) {
-			return fmt.Errorf("events: %s: class %q or tenant %q is not among the settings", r.Name(i), rule.Class, rule.Tenant)
-		}
-	}
-	if f := r.Fallback; f != nil && (!known(c.Classes, f.Class) || !known(c.Tenants, f.Tenant)) {
-		return fmt.Errorf("events: default: class %q or tenant %q is not among the settings", f.Class, f.Tenant)
-	}
-	return nil
-}
-
-func containsBrace(s string) bool {
-	for i := range len(s) {
-		if s[i] == '{' {
-			return true
-		}
-	}
-	return false
-}
-
-// eventIngress takes in CloudEvents in all three content modes of the HTTP binding.
+// eventIngress accepts CloudEvents in all three content modes of the HTTP binding (CloudEvents HTTP Protocol Binding 1.0.2,
+// 3).
 type eventIngress struct {
 	config *Config
 	clock  clock
@@ -97,23 +68,20 @@
 	return &eventRequest{ingress: f, mode: mode, event: event, id: id}, nil
 }
 
-// batchIDSuffixBytes is the bytes that the place in a batch may add to an id.
-const batchIDSuffixBytes = 8
-
 // eventError is the answer to a request that holds no sound event.
 func eventError(err error) error {
 	var f *cloudevents.Fault
 	if !errors.As(err, &f) {
 		return badRequest("%v", err)
 	}
-	status := http.StatusBadRequest
 	switch f.Kind {
 	case cloudevents.Media, cloudevents.NotAnEvent:
-		status = http.StatusUnsupportedMediaType
+		return &requestError{http.StatusUnsupportedMediaType, f.Text}
 	case cloudevents.TooMany, cloudevents.TooLarge:
-		status = http.StatusRequestEntityTooLarge
+		return &requestError{http.StatusRequestEntityTooLarge, f.Text}
+	default: // the others are faults of its content
+		return &requestError{http.StatusBadRequest, f.Text}
 	}
-	return &requestError{status, f.Text}
 }
 
 // eventRequest is one request with events.
@@ -125,18 +93,6 @@
 	results []eventResult      // in the order of the batch
 }
 
-// eventResult is what became of an event of a batch.
-type eventResult struct {
-	Source       string `json:"source,omitempty"`
-	ID           string `json:"id,omitempty"`
-	MessageID    string `json:"message,omitempty"` // id of the message: notices to the platform go by it
-	Status       int    `json:"status"`
-	Text         string `json:"text,omitempty"`
-	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
-
-	submitted bool
-}
-
 func (h *eventRequest) submissions(body []byte, arrived time.Duration) ([]submission, error) {
 	e := h.event
 	var err error
@@ -158,107 +114,100 @@
 	return []submission{sub}, nil
 }
 
-func (h *eventRequest) batchSubmissions(body []byte, arrived time.Duration) ([]submission, error) {
-	items, err := cloudevents.ReadBatch(body, h.ingress.events.MaxBatchEvents, maxBodyBytes)
-	if err != nil {
-		return nil, eventError(err)
-	}
-	var subs []submission
-	for n, it := range items {
-		var a eventResult
-		err := it.Err
-		if err != nil {
-			err = eventError(err)
-		} else {
-			a.Source, a.ID = it.Event.Get("source"), it.Event.Get("id")
-			var sub submission
-			id := ""
-			if h.id != "" {
-				id = h.id + "-" + strconv.Itoa(n)
-			}
-			if sub, err = h.ingress.submission(it.Event, arrived, id); err == nil {
-				subs = append(subs, sub)
-				a.submitted = true
-			}
-		}
-		var r *requestError
-		if errors.As(err, &r) {
-			a.Status, a.Text = r.status, r.text
-		}
-		h.results = append(h.results, a)
-	}
-	return subs, nil
+// unfit is the answer to a sound event that the rules or the settings have no place for.
+func unfit(format string, args ...any) error {
+	return &requestError{http.StatusUnprocessableEntity, fmt.Sprintf(format, args...)}
 }
 
-// submission makes an event a message, under an id that its client gave or, without one, one of ours.
+// submission makes an event a message, under an id that its client gave or, without one, one of ours. Its errors are answers.
 func (f *eventIngress) submission(e *cloudevents.Event, arrived time.Duration, id string) (submission, error) {
-	unfit := func(format string, args ...any) (submission, error) {
-		return submission{}, &requestError{http.StatusUnprocessableEntity, fmt.Sprintf(format, args...)}
-	}
 	t, rule, err := f.events.Rules.Find(e)
 	if err != nil {
-		return unfit("%v", err)
+		return submission{}, unfit("%v", err)
 	}
-	name := func() string { return f.events.Rules.Name(rule) }
+	ruleName := func() string { return f.events.Rules.Name(rule) }
 	sub := submission{answer: make(chan response, 1)}
 	sub.Class, sub.Tenant, sub.Dest, sub.Key = t.Class, t.Tenant, t.Destination, t.Key
 	if sub.class = indexOf(f.config.Classes, t.Class, -1); sub.class < 0 {
-		return unfit("%s: class %q is not among the settings", name(), t.Class)
+		return submission{}, unfit("%s: class %q is not among the settings", ruleName(), t.Class)
 	}
 	if sub.tenant = indexOf(f.config.Tenants, t.Tenant, -1); sub.tenant < 0 && len(f.config.Tenants) > 0 {
-		return unfit("%s: tenant %q is not among the settings", name(), t.Tenant)
+		return submission{}, unfit("%s: tenant %q is not among the settings", ruleName(), t.Tenant)
 	}
 	class := f.config.Settings.Classes[sub.class]
-	if t.Deadline <= 0 {
-		t.Deadline = class.Deadline
+	deadline, err := eventDeadline(e, t.Deadline, class.Deadline, arrived, ruleName)
+	if err != nil {
+		return submission{}, err
+	}
+	if err := checkEventKeys(t, class, ruleName); err != nil {
+		return submission{}, err
+	}
+	key := identity.KeyOf(e.Get("source"), e.Get("id"))
+	if sub.OrderKey = t.Order; sub.Key == "" && class.Idempotency == brain.IdempotentByKey {
+		sub.Key = hex.EncodeToString(key[:])
+	}
+	sub.Identity = &eventIdentity{key, eventDigest(e, t)}
+	// Each hand-in has an id of its own, as each of the platform's protocol has: one that was handed back and comes
+	// again is a new message.
+	if sub.ID = id; id == "" {
+		sub.ID = "ce-" + hex.EncodeToString(key[:8]) + "-" + strconv.FormatInt(int64(arrived), 36)
+	}
+	sub.Deadline = arrived + deadline
+	sub.Body, sub.Event = e.Data, e
+	e.Data = nil // the record's body has it
+	return sub, nil
+}
+
+// eventDeadline is how long after its arrival an event's message may be delivered: the rule's deadline, else the class's, and no
+// longer than the event's own expirytime says. Of one that has expired nothing is left: the module fails it at once.
+func eventDeadline(e *cloudevents.Event, byRule, byClass, arrived time.Duration, ruleName func() string) (time.Duration, error) {
+	deadline := byRule
+	if deadline <= 0 {
+		deadline = byClass
 	}
-	if t.Deadline <= 0 || t.Deadline > maxDeadline {
-		return unfit("%s: the deadline %v is not from 1ms to %v", name(), t.Deadline, maxDeadline)
+	if deadline <= 0 || deadline > maxDeadline {
+		return 0, unfit("%s: the deadline %v is not from 1ms to %v", ruleName(), deadline, maxDeadline)
 	}
-	// Of what the event itself says of its end, nothing is left once that is over: the module fails it at once.
 	if text := e.Get("expirytime"); text != "" {
 		at, err := time.Parse(time.RFC3339Nano, text)
 		if err != nil {
-			return unfit("extension expirytime: %q is no time by RFC 3339", text)
+			return 0, unfit("extension expirytime: %q is no time by RFC 3339", text)
 		}
-		t.Deadline = min(t.Deadline, max(0, time.Duration(at.UnixNano())-arrived))
+		deadline = min(deadline, max(0, time.Duration(at.UnixNano())-arrived))
 	}
-	for _, f := range [...]struct{ name, v string }{{"key", t.Key}, {"order", t.Order}} {
-		if len(f.v) > maxNameBytes {
-			return unfit("%s: %s is longer than %d bytes", name(), f.name, maxNameBytes)
+	return deadline, nil
+}
+
+// checkEventKeys says whether the idempotency key and the ordering key that a rule gives an event fit its class.
+func checkEventKeys(t mapping.Target, class brain.Class, ruleName func() string) error {
+	for _, key := range [...]struct{ name, value string }{{"key", t.Key}, {"order", t.Order}} {
+		if len(key.value) > maxNameBytes {
+			return unfit("%s: %s is longer than %d bytes", ruleName(), key.name, maxNameBytes)
 		}
-		for _, c := range []byte(f.v) {
+		for _, c := range []byte(key.value) {
 			if c < 0x20 || c > 0x7e {
-				return unfit("%s: %s %q is not plain ASCII", name(), f.name, f.v)
+				return unfit("%s: %s %q is not plain ASCII", ruleName(), key.name, key.value)
 			}
 		}
 	}
 	switch {
 	case t.Order != "" && !class.Ordered:
-		return unfit("%s: order %q is asked for, and class %s keeps none", name(), t.Order, t.Class)
+		return unfit("%s: order %q is asked for, and class %s keeps none", ruleName(), t.Order, t.Class)
 	case t.Key != "" && class.Idempotency == brain.NonIdempotent:
-		return unfit("%s: key %q is given, and class %s may not be repeated", name(), t.Key, t.Class)
-	}
-	key := identity.KeyOf(e.Get("source"), e.Get("id"))
-	if sub.OrderKey = t.Order; sub.Key == "" && class.Idempotency == brain.IdempotentByKey {
-		sub.Key = hex.EncodeToString(key[:])
+		return unfit("%s: key %q is given, and class %s may not be repeated", ruleName(), t.Key, t.Class)
 	}
+	return nil
+}
+
+// eventDigest stands for what an event says and where the rules send it.
+func eventDigest(e *cloudevents.Event, t mapping.Target) identity.Digest {
 	content := e.Content(make([]byte, 0, 256+len(e.Data)))
 	content = strconv.AppendUint(append(content, 0), uint64(t.Destination), 10)
 	for _, v := range [...]string{t.Class, t.Tenant, t.Key, t.Order} { // each with its length, or two of them could be a third
 		content = append(strconv.AppendInt(append(content, ' '), int64(len(v)), 10), ':')
 		content = append(content, v...)
 	}
-	sub.Identity = &eventIdentity{key, identity.DigestOf(content)}
-	// Each hand-in has an id of its own, as each of the platform's protocol has: one that was handed back and comes
-	// again is a new message.
-	if sub.ID = id; id == "" {
-		sub.ID = "ce-" + hex.EncodeToString(key[:8]) + "-" + strconv.FormatInt(int64(arrived), 36)
-	}
-	sub.Deadline = arrived + t.Deadline
-	sub.Body, sub.Event = e.Data, e
-	e.Data = nil // the record's body has it
-	return sub, nil
+	return identity.DigestOf(content)
 }
 
 func (h *eventRequest) response(all []response) response {
@@ -294,20 +243,28 @@
 	return whole
 }
 
-// batchStatus is the status of a batch from those of its events, for a client that looks at nothing else. If one may
-// come again the batch may: those that were taken on are known by their identity and get the same answer. Else, if
-// one failed, the batch says that: no failed event passes for one that is taken on. Only if all are taken on does it.
-func batchStatus(events []eventResult) int {
-	status := http.StatusOK
-	for _, e := range events {
-		switch {
-		case e.Status == http.StatusServiceUnavailable:
-			return e.Status
-		case e.Status >= 300:
-			status = max(status, e.Status)
-		case status < 300:
-			status = max(status, e.Status)
-		}
-	}
-	return status
+// eventIdentity is what names an event, and a digest of what it says. In the journal it is hexadecimal digits.
+type eventIdentity struct {
+	key    identity.Key
+	digest identity.Digest
+}
+
+// append writes it in hexadecimal digits.
+func (i *eventIdentity) append(b []byte) []byte {
+	b = hex.AppendEncode(b, i.key[:])
+	return hex.AppendEncode(b, i.digest[:])
+}
+
+// MarshalText writes it as append does.
+func (i *eventIdentity) MarshalText() ([]byte, error) { return i.append(nil), nil }
+
+// UnmarshalText reads what MarshalText wrote.
+func (i *eventIdentity) UnmarshalText(text []byte) error {
+	raw, err := hex.DecodeString(string(text))
+	if err != nil || len(raw) != len(i.key)+len(i.digest) {
+		return &identityError{string(text)}
+	}
+	copy(i.key[:], raw)
+	copy(i.digest[:], raw[len(i.key):])
+	return nil
 }
--- /dev/null
+++ b/internal/sender/ingress_events_batch.go
@@ -0,0 +1,77 @@
+package sender
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"saffronyard.example/saffronyard/internal/cloudevents"
+)
+
+// batchIDSuffixBytes is the bytes that the position in a batch may add to an id.
+const batchIDSuffixBytes = 8
+
+// eventResult is what became of an event of a batch: an element of the JSON array that answers it.
+type eventResult struct {
+	Source       string `json:"source,omitempty"`
+	ID           string `json:"id,omitempty"`
+	MessageID    string `json:"message,omitempty"` // id of the message: notices to the platform go by it
+	Status       int    `json:"status"`
+	Text         string `json:"text,omitempty"`
+	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
+
+	submitted bool
+}
+
+// batchSubmissions gives the submissions of the events of a batch that are sound; what is wrong with the others stands in the
+// results.
+func (h *eventRequest) batchSubmissions(body []byte, arrived time.Duration) ([]submission, error) {
+	items, err := cloudevents.ReadBatch(body, h.ingress.events.MaxBatchEvents, maxBodyBytes)
+	if err != nil {
+		return nil, eventError(err)
+	}
+	var subs []submission
+	for n, it := range items {
+		var a eventResult
+		err := it.Err
+		if err != nil {
+			err = eventError(err)
+		} else {
+			a.Source, a.ID = it.Event.Get("source"), it.Event.Get("id")
+			var sub submission
+			id := ""
+			if h.id != "" {
+				id = h.id + "-" + strconv.Itoa(n)
+			}
+			if sub, err = h.ingress.submission(it.Event, arrived, id); err == nil {
+				subs = append(subs, sub)
+				a.submitted = true
+			}
+		}
+		var r *requestError
+		if errors.As(err, &r) {
+			a.Status, a.Text = r.status, r.text
+		}
+		h.results = append(h.results, a)
+	}
+	return subs, nil
+}
+
+// batchStatus is the status of a batch from those of its events, for a client that looks at nothing else. If one may come
+// again the batch may: those that were accepted are known by their identity and get the same answer. Else, if one failed, the
+// batch says that: no failed event passes for one that is accepted. Only if all are accepted does the batch say so.
+func batchStatus(events []eventResult) int {
+	status := http.StatusOK
+	for _, e := range events {
+		switch {
+		case e.Status == http.StatusServiceUnavailable:
+			return e.Status
+		case e.Status >= 300:
+			status = max(status, e.Status)
+		case status < 300:
+			status = max(status, e.Status)
+		}
+	}
+	return status
+}
--- a/internal/sender/events_test.go
+++ b/internal/sender/ingress_events_test.go
@@ -806,9 +806,9 @@
 			var rec record
 			switch {
 			case !decodeLine([]byte(line+"\n"), &rec): // torn: its call was not made yet
-			case rec.Op == "take":
+			case rec.Op == opAccept:
 				held[rec.ID] = rec
-			case rec.Op == "send":
+			case rec.Op == opSend:
 				effects[held[rec.ID].Event.Get("id")]++
 				seen[held[rec.ID].Key] = true
 			}
--- a/internal/sender/heardlist.go
+++ b/internal/sender/journal_endpoints.go
@@ -8,9 +8,10 @@
 	"saffronyard.example/saffronyard/internal/membership"
 )
 
-// listRecord is discovery's list as it was told last. The journal keeps it: a process that restarts knows from its first
-// moment what the earlier one was told to leave, and asks for no more than what came since. The configuration has a list
-// as well, which may be as old as the deployment; and discovery may turn callers away for seconds when many restart at once.
+// listRecord is the endpoint list as discovery told it last, or what has changed in it. The journal keeps it: a process that
+// restarts knows from its first moment which endpoints the earlier one was told to leave, and asks only for what came since.
+// The configuration has a list as well, which may be as old as the deployment; and discovery may turn callers away for seconds
+// when many restart at once.
 type listRecord struct {
 	From    string   `json:"from"` // discovery's address: versions are each address's own
 	Version int64    `json:"version"`
@@ -23,7 +24,7 @@
 	listRecordOverhead = 256      // of its record beside the lines
 )
 
-// storedList is the list that the journal holds.
+// storedList is the endpoint list that the journal holds.
 type storedList struct {
 	from     string
 	version  int64
@@ -34,13 +35,14 @@
 	unwritten bool // the journal's file does not have it yet
 }
 
+// storedTarget is a line of it and its size in bytes.
 type storedTarget struct {
 	Target
 	size int64
 }
 
-// apply takes in a record of the journal's, or one that is about to be. A list that gets too long is given up as a whole:
-// half a list would have endpoints gone that are not.
+// apply takes in a record of the list. A list that gets longer than maxBytes is given up as a whole: half a list would have
+// endpoints gone that are not.
 func (l *storedList) apply(r *listRecord) {
 	if r.Full || l.lines == nil {
 		l.lines, l.size = map[string]storedTarget{}, 0
@@ -63,8 +65,8 @@
 	}
 }
 
-// init takes a list that was not told but read at the start, so that changes to it can be kept. Nothing is written: until
-// there are some the next process reads it as well.
+// init takes a list that was not told by discovery but read at the start, so that changes to it can be kept. Nothing is
+// written: until there are changes the next process reads it as well.
 func (l *storedList) init(from string, known Targets) {
 	if l.from != from || l.version != known.Version || len(l.lines) == 0 {
 		l.apply(&listRecord{From: from, Version: known.Version, Full: true, Servers: known.Servers})
@@ -72,7 +74,7 @@
 	}
 }
 
-// diff is the record that brings the kept list to where news from an address does, nil if it is there already.
+// diff is the record that brings the stored list to where an update from an address does; nil if it is there already.
 func (l *storedList) diff(from string, u membership.Update) *listRecord {
 	r := &listRecord{From: from, Version: u.Version}
 	if l.lines == nil || l.from != from || u.VersionsReset {
@@ -115,9 +117,9 @@
 	return r
 }
 
-// startingPoint is the list to begin with at an address, and the version after which to ask there; -1 is for the whole list. Of
-// two from one address the newer counts. A kept list from another address is not comparable: the configuration's counts
-// then, but what was told to leave stays left until the whole list has come.
+// startingPoint is the list to begin with at an address, and the version after which to ask there, -1 for the whole list. Of
+// two lists from one address the newer counts. A stored list from another address is not comparable: then the configuration's
+// counts, but endpoints that were draining stay so until the whole list has come.
 func (l *storedList) startingPoint(known Targets, from string) (Targets, int64) {
 	known.Full = true
 	version := known.Version
@@ -143,8 +145,8 @@
 	return known, version
 }
 
-// initList has the journal keep what changes in the list that the sender begins with. From another address, or without
-// any, it is the whole list that comes first.
+// initList has the journal keep what changes in the list that the sender begins with. From another address, or without any
+// list, discovery's whole list comes first.
 func (j *journal) initList(from string, first Targets, askFrom int64) {
 	if askFrom < 0 {
 		return
@@ -154,7 +156,7 @@
 	j.reserved += j.endpoints.size
 }
 
-// saveList notes news of discovery's list; flush writes it.
+// saveList buffers an update of discovery's list; flush writes it.
 func (j *journal) saveList(from string, u membership.Update) {
 	r := j.endpoints.diff(from, u)
 	if r == nil {
@@ -173,7 +175,7 @@
 		return
 	}
 	j.endpoints.unwritten = false
-	if _, err := writeLine(&j.buf, &record{Op: "list", List: r}); err != nil {
+	if _, err := writeLine(&j.buf, &record{Op: opList, List: r}); err != nil {
 		j.failed = true
 	}
 }
--- /dev/null
+++ b/internal/sender/journal_outages.go
@@ -0,0 +1,67 @@
+package sender
+
+import (
+	"cmp"
+	"encoding/json"
+	"math"
+	"slices"
+	"time"
+
+	"saffronyard.example/saffronyard/brain"
+)
+
+// A process that restarts while a receiver is out, or comes back cold, finds messages for it taken on and knows nothing of
+// that: it would send them all at once, and so would every other process of a release. So the journal keeps, beside the usual
+// rates and as often, who is out and since when, and the next process begins there.
+
+// outage is a receiver that is out of service, or recovers. Times are the clock's.
+type outage struct {
+	Dest            uint32        `json:"dest"`
+	Endpoint        string        `json:"endpoint,omitempty"` // of a route apart
+	Began           time.Duration `json:"began"`
+	RecoveringSince time.Duration `json:"back,omitempty"` // it has answered again since then
+	Rate            float64       `json:"rate,omitempty"` // calls a second usually served there, by this sender
+}
+
+// outageSnapshot is all outages as of a time.
+type outageSnapshot struct {
+	at   time.Duration
+	list []outage
+}
+
+func roundRate(r float64) float64 { return math.Round(r*1000) / 1000 }
+
+// truncated is the outages where the most is sent, as many as fit into maxBytes.
+func (o outageSnapshot) truncated(maxBytes int) outageSnapshot {
+	kept := outageSnapshot{at: o.at}
+	byRate := slices.Clone(o.list)
+	slices.SortStableFunc(byRate, func(x, y outage) int { return cmp.Compare(y.Rate, x.Rate) })
+	for _, out := range byRate {
+		raw, err := json.Marshal(out) // a rate that is no number is none
+		if maxBytes -= len(raw) + 1; err == nil && maxBytes < 0 {
+			break
+		}
+		if err == nil {
+			kept.list = append(kept.list, out)
+		}
+	}
+	return kept
+}
+
+// saveRates writes the rates of the busiest destinations and the outages, in place of those written before.
+func (j *journal) saveRates(rates []brain.UsualRate, outs outageSnapshot) error {
+	slices.SortFunc(rates, func(a, b brain.UsualRate) int { return cmp.Compare(b.Rate, a.Rate) })
+	j.rates, j.outages = map[uint32]float64{}, outs.truncated(j.maxOutageBytes)
+	for _, r := range rates[:min(len(rates), maxRates)] {
+		j.rates[uint32(r.Destination)] = roundRate(r.Rate)
+	}
+	if _, err := writeLine(&j.buf, j.ratesRecord()); err != nil {
+		j.failed = true
+	}
+	return j.flush()
+}
+
+// ratesRecord is the record of the rates and outages.
+func (j *journal) ratesRecord() *record {
+	return &record{Op: opRates, Rates: j.rates, At: j.outages.at, Outages: j.outages.list}
+}
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -36,15 +36,15 @@
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	a, b, c, d := takeTest(t, j, "a"), takeTest(t, j, "b"), takeTest(t, j, "c"), takeTest(t, j, "d")
-	j.update(a, record{Op: "send", Sent: &attemptRecord{At: 10, Endpoint: "s"}})
-	j.update(a, record{Op: "end", Attempt: 0, NeverRan: true})
-	j.update(a, record{Op: "send", Sent: &attemptRecord{At: 20, Endpoint: "s", Zone: 1}}) // no outcome: it may have run
-	j.update(a, record{Op: "send", Sent: &attemptRecord{At: 30, Endpoint: "s"}})
-	j.update(a, record{Op: "end", Attempt: 2, NeverRan: true, Recalled: true}) // it counts as no attempt
-	j.update(b, record{Op: "over", Outcome: outcomeDelivered})
-	j.update(c, record{Op: "over", Outcome: outcomeHandedBack, RetryAfterMS: 500})
-	j.update(d, record{Op: "over", Outcome: outcomeGivenUp})
-	j.update(d, record{Op: "told"})
+	j.update(a, record{Op: opSend, Sent: &attemptRecord{At: 10, Endpoint: "s"}})
+	j.update(a, record{Op: opEnd, Attempt: 0, NeverRan: true})
+	j.update(a, record{Op: opSend, Sent: &attemptRecord{At: 20, Endpoint: "s", Zone: 1}}) // no outcome: it may have run
+	j.update(a, record{Op: opSend, Sent: &attemptRecord{At: 30, Endpoint: "s"}})
+	j.update(a, record{Op: opEnd, Attempt: 2, NeverRan: true, Recalled: true}) // it counts as no attempt
+	j.update(b, record{Op: opOver, Outcome: outcomeDelivered})
+	j.update(c, record{Op: opOver, Outcome: outcomeHandedBack, RetryAfterMS: 500})
+	j.update(d, record{Op: opOver, Outcome: outcomeGivenUp})
+	j.update(d, record{Op: opNotified})
 	if err := j.flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -141,8 +141,8 @@
 		} else {
 			held = append(held, m)
 			for n := range 6 {
-				j.update(m, record{Op: "send", Sent: &attemptRecord{At: 1 << 60, Endpoint: "s-5be2a07c"}})
-				j.update(m, record{Op: "end", Attempt: n, NeverRan: true})
+				j.update(m, record{Op: opSend, Sent: &attemptRecord{At: 1 << 60, Endpoint: "s-5be2a07c"}})
+				j.update(m, record{Op: opEnd, Attempt: n, NeverRan: true})
 			}
 			if err := j.flush(); err != nil {
 				t.Fatal(err)
@@ -152,7 +152,7 @@
 			t.Fatalf("after %d: %d bytes and a compaction of up to %d", i, j.size, j.reserved)
 		}
 		if i%3 == 0 && len(held) > 0 {
-			j.update(held[0], record{Op: "over", Outcome: outcomeDelivered})
+			j.update(held[0], record{Op: opOver, Outcome: outcomeDelivered})
 			held = held[1:]
 		}
 	}
@@ -186,7 +186,7 @@
 	if err := os.MkdirAll(filepath.Join(j.path+".new", "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	j.update(a, record{Op: "send", Sent: &attemptRecord{At: 5}})
+	j.update(a, record{Op: opSend, Sent: &attemptRecord{At: 5}})
 	if err := j.flush(); err == nil {
 		t.Fatal("a full disk took a record")
 	}
@@ -234,7 +234,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		j.update(b, record{Op: "send", Sent: &attemptRecord{At: 5, Endpoint: "s"}})
+		j.update(b, record{Op: opSend, Sent: &attemptRecord{At: 5, Endpoint: "s"}})
 		c, err := j.insert(record{ID: "c", Body: []byte("body")})
 		if err != nil {
 			t.Fatal(err)
@@ -296,7 +296,7 @@
 }
 
 func BenchmarkAppendLine(b *testing.B) {
-	r := record{Op: "take", ID: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Class: "card-event", Tenant: "evergreen-mkt", Dest: 7, Deadline: 1 << 60, Body: make([]byte, 400)}
+	r := record{Op: opAccept, ID: "9b1f03aa5c7e2d41", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Class: "card-event", Tenant: "evergreen-mkt", Dest: 7, Deadline: 1 << 60, Body: make([]byte, 400)}
 	var line []byte
 	for range b.N {
 		line, _ = appendLine(line[:0], &r)
@@ -308,7 +308,7 @@
 	j := openTest(t, t.TempDir(), 1<<30)
 	first := takeTest(t, j, "first")
 	for i := range 20_000 {
-		j.update(takeTest(t, j, fmt.Sprint(i)), record{Op: "over", Outcome: outcomeDelivered})
+		j.update(takeTest(t, j, fmt.Sprint(i)), record{Op: opOver, Outcome: outcomeDelivered})
 		if len(j.order) > 2000 {
 			t.Fatalf("after %d messages %d are held", i, len(j.order))
 		}
--- a/internal/sender/message.go
+++ b/internal/sender/message.go
@@ -7,7 +7,7 @@
 	"saffronyard.example/saffronyard/internal/calls"
 )
 
-// message is one that the Brain holds.
+// message is one that the module holds: accepted, or on its way to that.
 type message struct {
 	*storedMessage
 	number          brain.MessageID
@@ -21,16 +21,18 @@
 	waiting         bool // the fleet's limits know that it waits
 }
 
-// inFlightCalls is those of a message that are out, by the Brain's number of the attempt: one as a rule.
+// inFlightCalls is the calls of a message that are under way, by the module's number of the attempt: one as a rule, two with a
+// hedged one.
 type inFlightCalls []inFlightCall
 
+// inFlightCall is a call under way and its permit to be written.
 type inFlightCall struct {
 	attempt int
 	*calls.Permit
 	recalled bool // by the module's word
 }
 
-// cancel calls one off, if it is out.
+// cancel calls an attempt off, if it is in flight.
 func (c inFlightCalls) cancel(attempt int) {
 	for _, o := range c {
 		if o.attempt == attempt {
@@ -39,7 +41,7 @@
 	}
 }
 
-// recall takes back the leave to write one, if it is out and nothing is written yet.
+// recall takes back the permit to write an attempt; false if it is written already, or not in flight.
 func (c inFlightCalls) recall(attempt int) bool {
 	for i := range c {
 		if c[i].attempt == attempt {
@@ -50,17 +52,17 @@
 	return false
 }
 
-// recalled reports whether one that ended as not sent did so as it was recalled.
+// recalled reports whether an attempt that ended as not sent did so as it was recalled.
 func (c inFlightCalls) recalled(attempt int) bool {
 	return slices.ContainsFunc(c, func(o inFlightCall) bool { return o.attempt == attempt && o.recalled })
 }
 
-// rejectedByPolicy reports whether the fleet was against one as it was about to be written.
+// rejectedByPolicy reports whether the fleet's policy was against an attempt as it was about to be written.
 func (c inFlightCalls) rejectedByPolicy(attempt int) bool {
 	return slices.ContainsFunc(c, func(o inFlightCall) bool { return o.attempt == attempt && o.Against() })
 }
 
-// finish takes one out and lets go of what it holds.
+// finish takes an attempt out and releases what it holds.
 func (c *inFlightCalls) finish(attempt int) {
 	c.cancel(attempt)
 	for _, o := range *c {
@@ -71,7 +73,7 @@
 	*c = slices.DeleteFunc(*c, func(o inFlightCall) bool { return o.attempt == attempt })
 }
 
-// callMessage is what a call carries of it.
+// callMessage is what a call carries of the message.
 func (m *message) callMessage() calls.Message {
 	return calls.Message{ID: m.ID, Key: m.Key, Class: m.Class, Tenant: m.Tenant, Body: m.Body, Event: m.Event}
 }
--- a/internal/sender/classes.go
+++ b/internal/sender/repeatrules.go
@@ -11,7 +11,7 @@
 // promised to its client, and what the settings say now holds at its destination: the stricter of both stands. So each message
 // carries the rule that it was taken on by, and the module is given a class more for each that differs.
 
-// setRepeatRule writes down what its class says of a message's repeats as it is taken on.
+// setRepeatRule writes into a record what its class says of repeats as the message is accepted.
 func (r *record) setRepeatRule(c brain.Class) {
 	r.Effect = effectNames[c.Idempotency]
 	if c.Idempotency == brain.IdempotentByKey {
@@ -21,14 +21,14 @@
 
 var effectNames = [...]string{brain.Idempotent: "safe", brain.IdempotentByKey: "keyed", brain.NonIdempotent: "unsafe"}
 
-// effectByName is the effect that a journal names; false if it names none, as those of earlier versions do.
+// effectByName is the idempotency that a record names; false if it names none, as those of earlier versions do.
 func effectByName(name string) (brain.Idempotency, bool) {
 	i := slices.Index(effectNames[:], name)
 	return brain.Idempotency(max(0, i)), i >= 0
 }
 
-// classOf is the class by which a message from the journal goes on: its own, or one that is put behind those of the settings.
-// Of one whose class is gone and that names no effect nothing is known: it is not repeated.
+// classOf is the class by which a message from the journal goes on: its own, or a stricter one that is added behind those of
+// the settings. Of a message whose class is gone and whose record names no effect nothing is known: it is not repeated.
 func (c *Config) classOf(m *storedMessage) int {
 	var is brain.Class
 	at := indexOf(c.Classes, m.Class, -1)
@@ -65,6 +65,7 @@
 	return len(c.Settings.Classes) - 1
 }
 
+// minWorth is the lowest value of the classes of the settings.
 func (c *Config) minWorth() float64 {
 	least := 1.0
 	for i, is := range c.Settings.Classes[:min(len(c.Classes), len(c.Settings.Classes))] {
@@ -75,8 +76,8 @@
 	return least
 }
 
-// zoneOf is the number of the zone in which an attempt may have run. It is kept by name where it matters, as a number would be
-// another zone's under other settings; -1 is for one that is gone.
+// zoneOf is the number of the zone in which an attempt may have run, -1 for one that is gone. The journal keeps it by name
+// where it matters, as a number would be another zone's under other settings.
 func (c *Config) zoneOf(t attemptRecord) int {
 	if t.ZoneName == "" {
 		return t.Zone
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -9,8 +9,8 @@
 	"saffronyard.example/saffronyard/internal/calls"
 )
 
-// send starts one call. One that could not be written down is not made: after a kill nobody would know
-// that the message may have run.
+// send begins one call, in a goroutine that posts its callResult. An attempt that could not be written to the journal is not
+// made: after a kill nobody would know that the message may have run.
 func (s *Sender) send(ctx context.Context, a brain.Send, written bool) {
 	m, e := s.messages[a.Message], s.endpoints.ByNumber[a.Endpoint]
 	if m == nil || e == nil {
@@ -41,11 +41,11 @@
 	}()
 }
 
-// keyWindowMargin is how long before its key is forgotten a repeat is written at the latest: it has to get there.
+// keyWindowMargin is how long before its idempotency key is forgotten a repeat is written at the latest: it has to get there.
 const keyWindowMargin = 50 * time.Millisecond
 
-// writeTimeout is how long the n-th attempt of a message may take to be written. The module judges a repeat as of
-// now; a connection may come up much later, when the key of an attempt that may have run is remembered no more.
+// writeTimeout is how long the n-th attempt of a message may take to be written. The module judges a repeat as of now; a
+// connection may come up much later, when the key of an attempt that may have run is remembered no more.
 func (s *Sender) writeTimeout(m *message, n int, timeout time.Duration) time.Duration {
 	class := s.config.Settings.Classes[m.class]
 	if class.Idempotency != brain.IdempotentByKey {
--- a/internal/sender/leave_test.go
+++ b/internal/sender/shutdown_test.go
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		number := s.register(m, nil, 2)
-		s.journal.update(m, record{Op: "send", Sent: &attemptRecord{At: s.clock.now(), Endpoint: "s-0"}})
+		s.journal.update(m, record{Op: opSend, Sent: &attemptRecord{At: s.clock.now(), Endpoint: "s-0"}})
 		s.inFlight++
 		if id == "answered" {
 			s.events <- callResult{s.messages[number], 0, brain.AttemptResult{Outcome: brain.Served, Final: true}, false}
@@ -56,7 +56,7 @@
 				t.Fatal(err)
 			}
 			number := s.register(m, nil, 0)
-			s.journal.update(m, record{Op: "send", Sent: &attemptRecord{At: s.clock.now(), Endpoint: "s-0"}})
+			s.journal.update(m, record{Op: opSend, Sent: &attemptRecord{At: s.clock.now(), Endpoint: "s-0"}})
 			s.inFlight++
 			s.handle(callResult{s.messages[number], 0, brain.AttemptResult{Outcome: brain.Served, Final: true}, false})
 			if told := len(s.pendingNotices) == 1 && s.pendingNotices[0] == (notice{Message: "m", Outcome: outcomeGivenUp}); told != tt.told {
--- a/internal/sender/sources.go
+++ b/internal/sender/sources.go
@@ -8,14 +8,14 @@
 )
 
 // Source says where endpoints are. Discovery is one; all feed one list, and which of them wins for a destination is
-// membership.Merge's to say.
+// membership.Merger's to say.
 type Source interface {
 	// Follow passes news on, in order, until ctx ends. It is called once, in a goroutine of its own. Whether news is
 	// the whole list stands in it.
 	Follow(ctx context.Context, news func(membership.Update))
 }
 
-// NameSource is a second source of endpoints.
+// NameSource is a second source of endpoints, beside discovery: names in the DNS.
 type NameSource struct {
 	Source
 	Initial      membership.Update // what it knows at the start already
@@ -25,7 +25,7 @@
 	Report       func() any            // what the command line is told of it
 }
 
-// sources is what feeds the list. With discovery alone there is no merge, and its lines are the list's.
+// sources is what feeds the endpoint list. With discovery alone there is no merger, and its lines are the list's.
 type sources struct {
 	bySource      [2]Source                 // by membership.Source; nil: there is none
 	rollbackGuard *membership.RollbackGuard // by discovery
@@ -35,6 +35,7 @@
 // discoverySource is discovery as a source: the list is asked for when the module wants it.
 type discoverySource struct{ s *Sender }
 
+// Follow passes on discovery's updates; its failures go to the loop.
 func (p discoverySource) Follow(ctx context.Context, news func(membership.Update)) {
 	p.s.discovery.follow(ctx, p.s.watchFrom, p.s.watchRequests, news, func(err error) { p.s.post(ctx, listFailure{err}) })
 }
@@ -52,8 +53,8 @@
 	return all
 }
 
-// follow starts all sources; what they tell comes to the loop as events.
-func (all *sources) follow(ctx context.Context, post func(context.Context, any) bool) {
+// follow starts all sources; their updates come to the loop as events.
+func (all *sources) follow(ctx context.Context, post func(context.Context, loopEvent) bool) {
 	for from, source := range all.bySource {
 		if source != nil {
 			go source.Follow(ctx, func(u membership.Update) { post(ctx, listUpdate{membership.Source(from), u}) })
@@ -61,8 +62,8 @@
 	}
 }
 
-// initialListEvents is what the sources knew before the sender ran. The names' word is in before any message is resumed: an address
-// that an update removed before a restart gets nothing after it.
+// initialListEvents is what the sources knew before the sender ran. The names' list is in before any message is resumed: an
+// address that an update removed before a restart gets nothing after it.
 func (s *Sender) initialListEvents() []brain.Event {
 	events := []brain.Event{s.applyListUpdate(listUpdate{membership.Discovery, s.initialList})}
 	if n := s.config.Names; n != nil {
@@ -71,7 +72,7 @@
 	return events
 }
 
-// applyListUpdate books news of a source and translates what that changes in the list for the Brain.
+// applyListUpdate applies an update of a source and translates for the module what that changes in the list.
 func (s *Sender) applyListUpdate(e listUpdate) brain.Event {
 	if e.from == membership.Discovery {
 		counts, older := s.sources.rollbackGuard.Apply(s.clock.now(), e.Targets)
--- a/internal/sender/stored_data_test.go
+++ b/internal/sender/stored_data_test.go
@@ -51,13 +51,13 @@
 
 	put(record{ID: "waits", Class: "safe", Tenant: "acme", Dest: 1, Deadline: second(90), Effect: "safe", Body: []byte{0, 255, '\n'}})
 	out := put(record{ID: "out", Key: "key-1", Class: "keyed", Tenant: "acme", Dest: 2, Deadline: second(91), Effect: "keyed", KeyWindow: second(7), KeyInZone: true, Body: []byte("body")})
-	j.update(out, record{Op: "send", Sent: &attemptRecord{At: second(10), Endpoint: "s-0", Zone: 1, ZoneName: "b"}})
-	j.update(out, record{Op: "end", Attempt: 0, NeverRan: true, AttemptOutcome: "refused"})
-	j.update(out, record{Op: "send", Sent: &attemptRecord{At: second(11), Endpoint: "s-1"}})
-	j.update(out, record{Op: "end", Attempt: 1, NeverRan: true, Recalled: true, AttemptOutcome: "not sent"})
-	j.update(out, record{Op: "send", Sent: &attemptRecord{At: second(12), Endpoint: "s-ü"}})
-	j.update(out, record{Op: "end", Attempt: 2, AttemptOutcome: "timed out"})
-	j.update(out, record{Op: "send", Sent: &attemptRecord{At: second(13), Endpoint: "s-1"}})
+	j.update(out, record{Op: opSend, Sent: &attemptRecord{At: second(10), Endpoint: "s-0", Zone: 1, ZoneName: "b"}})
+	j.update(out, record{Op: opEnd, Attempt: 0, NeverRan: true, AttemptOutcome: "refused"})
+	j.update(out, record{Op: opSend, Sent: &attemptRecord{At: second(11), Endpoint: "s-1"}})
+	j.update(out, record{Op: opEnd, Attempt: 1, NeverRan: true, Recalled: true, AttemptOutcome: "not sent"})
+	j.update(out, record{Op: opSend, Sent: &attemptRecord{At: second(12), Endpoint: "s-ü"}})
+	j.update(out, record{Op: opEnd, Attempt: 2, AttemptOutcome: "timed out"})
+	j.update(out, record{Op: opSend, Sent: &attemptRecord{At: second(13), Endpoint: "s-1"}})
 	put(record{ID: "ordered-1", OrderKey: "queue \"q\"", Class: "ordered", Tenant: "acme", Dest: 3, Deadline: second(92), Effect: "unsafe"})
 	put(record{ID: "ordered-2", OrderKey: "queue \"q\"", Class: "ordered", Tenant: "acme", Dest: 3, Deadline: second(93), Effect: "unsafe"})
 	event, err := cloudevents.ReadStructured([]byte(`{"specversion":"1.0","id":"1","source":"/s","type":"safe","subject":"0","traceparent":"00-x y","datacontenttype":"text/plain","data":"hello"}`))
@@ -76,18 +76,18 @@
 		{Outcome: outcomeDelivered, AwaitsRecorder: true, At: second(24)},
 	} {
 		m := put(record{ID: fmt.Sprintf("over-%d-%s", n, over.Outcome), Class: "unsafe", Tenant: "acme", Dest: 5, Deadline: second(60 + n), Effect: "unsafe", Body: []byte("b")})
-		over.Op = "over"
+		over.Op = opOver
 		j.update(m, over)
 	}
 	told := put(record{ID: "told", Class: "unsafe", Deadline: second(80)})
-	j.update(told, record{Op: "over", Outcome: outcomeGivenUp, AwaitsRecorder: true, At: second(25)})
-	j.update(told, record{Op: "told"})
+	j.update(told, record{Op: opOver, Outcome: outcomeGivenUp, AwaitsRecorder: true, At: second(25)})
+	j.update(told, record{Op: opNotified})
 	kept := put(record{ID: "kept", Class: "unsafe", Deadline: second(81)})
-	j.update(kept, record{Op: "over", Outcome: outcomeGivenUp, AwaitsRecorder: true, At: second(26)})
-	j.update(kept, record{Op: "kept"})
+	j.update(kept, record{Op: opOver, Outcome: outcomeGivenUp, AwaitsRecorder: true, At: second(26)})
+	j.update(kept, record{Op: opRecorded})
 	forgotten := put(record{ID: "forgotten", Class: "unsafe", Deadline: second(82)})
-	j.update(forgotten, record{Op: "over", Outcome: outcomeGivenUp})
-	j.update(forgotten, record{Op: "told"})
+	j.update(forgotten, record{Op: opOver, Outcome: outcomeGivenUp})
+	j.update(forgotten, record{Op: opNotified})
 	if err := j.saveRates([]brain.UsualRate{{Destination: 1, Rate: 2.25}, {Destination: 2, Rate: 1.0 / 3}}, outageSnapshot{at: second(30), list: []outage{
 		{Dest: 1, Began: second(22), Rate: 4}, {Dest: 2, Endpoint: "s-1", Began: second(23), RecoveringSince: second(29), Rate: 0.5}}}); err != nil {
 		t.Fatal(err)
--- a/internal/sender/handin.go
+++ b/internal/sender/submit.go
@@ -8,9 +8,9 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// submit puts a message into the journal before the Brain hears of it; step writes it, with what is decided
-// in the same turn, before its client is answered and before any call. What cannot be held is refused here; it
-// has not been sent, so its client may come again.
+// submit puts a message into the journal's buffer before the module hears of it; step writes it, with what is decided in the
+// same turn, before its client is answered and before any call. What can't be accepted is answered here; it has not been sent,
+// so its client may submit it again.
 func (s *Sender) submit(sub submission) brain.Event {
 	refuse := func(why string) brain.Event {
 		sub.answer <- response{status: http.StatusServiceUnavailable, retryAfter: s.config.Settings.MaxRetryAfter, text: why}
@@ -70,7 +70,7 @@
 		Destination: brain.DestinationID(sub.Dest), OrderingKey: st.orderKeyHash(), Deadline: sub.Deadline}
 }
 
-// acknowledge tells the client of m that it is taken on; one that handed in an event hears under which id.
+// acknowledge answers the client of m that it is accepted; one that submitted an event hears under which id.
 func (s *Sender) acknowledge(m *message) {
 	a := response{status: http.StatusAccepted}
 	if m != nil && m.Identity != nil {
@@ -79,7 +79,7 @@
 	s.reply(m, a)
 }
 
-// reply answers the client of m, if it still waits.
+// reply answers the clients of m, if they still wait; false if none does.
 func (s *Sender) reply(m *message, a response) bool {
 	if m == nil || m.reply == nil {
 		return false
@@ -92,8 +92,8 @@
 	return true
 }
 
-// rejectUnwritten refuses a message that could not be written down. The Brain hears so with the next batch; a call that
-// it has decided on is not made either, and ends as not sent.
+// rejectUnwritten rejects a message that could not be written to the journal. The module hears so with the next turn; a call
+// that it has decided on is not made either, and ends as not sent.
 func (s *Sender) rejectUnwritten(m *message) {
 	s.reply(m, response{status: http.StatusServiceUnavailable, retryAfter: s.config.Settings.MaxRetryAfter, text: "no room to keep the message"})
 	s.eventDedup.forget(m)
--- a/internal/sender/again_test.go
+++ b/internal/sender/submit_test.go
@@ -17,7 +17,7 @@
 	s.notices = make(chan []notice, 1) // nobody tells them yet
 	s.step(t.Context(), s.initialListEvents())
 	handIn := func() int {
-		sub := submission{record: record{ID: "m", Op: "take", Tenant: "acme", Class: "unsafe", Deadline: s.clock.now() + time.Hour}, class: 2, answer: make(chan response, 1)}
+		sub := submission{record: record{ID: "m", Op: opAccept, Tenant: "acme", Class: "unsafe", Deadline: s.clock.now() + time.Hour}, class: 2, answer: make(chan response, 1)}
 		if event := s.handle(sub); event != nil {
 			s.step(t.Context(), []brain.Event{event})
 		}
