--- a/internal/tier/controlplane/distant_test.go
+++ b/internal/tier/controlplane/distant_test.go
@@ -210,7 +210,7 @@
 					r.pass(window / 50)
 					assert.Equal(t, len(r.silent()), 0, "%v after %v", r.silent(), time.Since(began))
 					for _, one := range gateways {
-						stands, _ := one.client.Stands()
+						stands, _ := one.client.Active()
 						assert.Assert(t, stands && one.client.Current(), "after %v", time.Since(began))
 					}
 					if int(time.Since(began)/window) > revision-3 {
@@ -277,7 +277,7 @@
 					})
 					pushes = append(pushes, push{version, time.Now()})
 					r.pass(window / 20)
-					if stands, _ := one.client.Stands(); stands {
+					if stands, _ := one.client.Active(); stands {
 						stood++
 					}
 					if !one.client.Current() {
--- a/internal/tier/gateway/contact.go
+++ b/internal/tier/gateway/contact.go
@@ -69,7 +69,7 @@
 // asked. No turn can be served then, and the platform does better to send clients to other gateways. Each of the two alone is
 // no reason: without the control plane turns are served, and a turn store that falls silent is replaced.
 func (gateway *Gateway) isolated() bool {
-	stands, sinceReply := gateway.session.Stands()
+	stands, sinceReply := gateway.session.Active()
 	if stands {
 		return false
 	}
--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -200,7 +200,7 @@
 func (gateway *Gateway) shutdown(ctx context.Context, server *ingress.Server) error {
 	settings := gateway.config.Settings
 	gateway.draining.Store(true)
-	gateway.session.Leave()
+	gateway.session.Drain()
 	gateway.log.Info().Str("event", "leaving").Str("node", settings.Node).Msg("")
 	server.Drain()
 	// The platform asks once a second and sends clients until two answers were missed.
--- a/internal/tier/process/turnstore.go
+++ b/internal/tier/process/turnstore.go
@@ -57,7 +57,7 @@
 		config.Log.Info().Str("event", "leaving").Str("node", config.Settings.Node).Msg("")
 		leaving.Store(true)
 		if t := open.Load(); t != nil && t.ctx.Err() == nil {
-			t.session.Leave()
+			t.session.Drain()
 			handOver, cancel := context.WithTimeout(t.ctx, config.Settings.Grace/graceDivisor)
 			defer cancel()
 			t.store.AwaitHandover(handOver)
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, err
 	}
-	sessionClient := session.New(session.Config{Settings: settings, Role: RoleTurnStore, Folder: store.Folder(), Address: address, Empty: store.WasEmpty(),
+	sessionClient := session.New(session.Config{Settings: settings, Role: RoleTurnStore, Folder: store.Folder(), Address: address, EmptyFolder: store.WasEmpty(),
 		Dial: dialer(process.client, dialControlPlane), Synced: store.SyncedReplicas, Disk: store.DiskState, Log: config.Log, PartitionMap: store.ApplyPartitionMap})
 	mux := http.NewServeMux()
 	mux.Handle(tierv1.TurnStorePathPrefix, tierv1.NewTurnStoreServer(store))
--- a/internal/tier/session/round_trip_test.go
+++ b/internal/tier/session/round_trip_test.go
@@ -11,10 +11,10 @@
 	const ms = time.Millisecond
 	r := roundTrip{}
 	assert.Equal(t, r.answerWait(300*ms, 750*ms), 300*ms)
-	assert.Assert(t, r.mayBeFound(375*ms), "nothing is known: a search shows what it shows")
+	assert.Assert(t, r.findableWithin(375*ms), "nothing is known: a search shows what it shows")
 	r.restart(400 * ms)
 	assert.Equal(t, r.answerWait(300*ms, 750*ms), 500*ms)
-	assert.Assert(t, r.mayBeFound(800*ms) && !r.mayBeFound(799*ms))
+	assert.Assert(t, r.findableWithin(800*ms) && !r.findableWithin(799*ms))
 	r.observe(320 * ms) // shorter ones count by and by
 	assert.Equal(t, r.estimate, 390*ms)
 	r.observe(-10 * ms) // answered before the end of the hold
@@ -27,7 +27,7 @@
 	r.bound(80 * ms)
 	assert.Equal(t, r.estimate, 80*ms)
 	for range 100 {
-		r.forget()
+		r.decay()
 	}
 	assert.Assert(t, r.estimate < time.Microsecond)
 }
--- a/internal/tier/session/search.go
+++ b/internal/tier/session/search.go
@@ -8,7 +8,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// candidates are all that may be or know the primary, the hint first.
+// candidates returns the addresses of all that may be or know the primary, the hint first.
 func (client *Client) candidates() []string {
 	client.mu.Lock()
 	defer client.mu.Unlock()
@@ -25,43 +25,33 @@
 	return all
 }
 
-// search is one round of asking who is the primary.
+// search is one attempt to find the primary.
 type search struct {
-	client  *Client
-	calls   context.Context // of the calls that are made, which may outlast the search
-	answers chan answer
-	asked   map[string]bool // addresses
+	client         *Client
+	calls          context.Context // of the calls, which may outlast the search
+	answers        chan searchAnswer
+	askedAddresses map[string]bool
 }
 
-// answer is what one candidate replied; the reply is nil where the call failed.
-type answer struct {
-	at    string
-	reply *tierv1.WatchReply
-	took  time.Duration
+// searchAnswer is the answer of one candidate; reply is nil where the call failed.
+type searchAnswer struct {
+	address string
+	reply   *tierv1.WatchReply
+	took    time.Duration
 }
 
-// searchLimit is how long a search lasts at most after so many in a row that found no primary. Each second one of these has
-// twice the time: a call that is broken off takes its connection with it, so where a new connection and a call together take
-// longer than a search, as between distant regions, none would ever end.
-func searchLimit(window time.Duration, failures int) time.Duration {
-	limit := window / lookPart
-	if failures%2 == 1 {
-		return 2 * limit
-	}
-	return limit
-}
-
-// findPrimary asks all candidates at once who is the primary, and gives the answer of the first that says that it is;
-// an empty one if none does within limit. Calls that have no answer by then go on for a while: a connection that comes to stand is
-// of use to the next search, and the answer of a distant primary shows that this process is not cut off.
-func (client *Client) findPrimary(ctx context.Context, limit time.Duration) answer {
+// findPrimary asks all candidates at once who is the primary, and returns the answer of the first that says that it is; an
+// empty one if none does within limit. Calls without an answer by then go on for a while (lateAnswerDivisor): a connection
+// that is established meanwhile is of use to the next search, and a late answer shows that the primary is distant and this
+// process not partitioned.
+func (client *Client) findPrimary(ctx context.Context, limit time.Duration) searchAnswer {
 	all := client.candidates()
-	calls, cancelCalls := context.WithTimeout(ctx, client.config.Settings.ContactWindow/answerPart)
+	calls, cancelCalls := context.WithTimeout(ctx, client.config.Settings.ContactWindow/lateAnswerDivisor)
 	ctx, cancel := context.WithTimeout(calls, limit)
 	defer cancel()
-	round := &search{client: client, calls: calls, answers: make(chan answer, 2*len(all)+8), asked: map[string]bool{}}
+	round := &search{client: client, calls: calls, answers: make(chan searchAnswer, 2*len(all)+8), askedAddresses: map[string]bool{}}
 	primary := round.run(ctx, all)
-	if primary.at != "" {
+	if primary.address != "" {
 		cancelCalls()
 	} else {
 		context.AfterFunc(calls, cancelCalls)
@@ -69,17 +59,17 @@
 	return primary
 }
 
-// run asks until one says that it is the primary, and gives its answer; an empty one if ctx ends before.
-func (round *search) run(ctx context.Context, all []string) answer {
+// run asks until one candidate says that it is the primary, and returns its answer; an empty one if ctx ends before.
+func (s *search) run(ctx context.Context, all []string) searchAnswer {
 	for _, address := range all {
-		round.ask(ctx, address)
+		s.ask(ctx, address)
 	}
-	for len(round.asked) > 0 {
-		var got answer
+	for len(s.askedAddresses) > 0 {
+		var got searchAnswer
 		select {
-		case got = <-round.answers:
+		case got = <-s.answers:
 		case <-ctx.Done():
-			return answer{}
+			return searchAnswer{}
 		}
 		if got.reply == nil {
 			continue
@@ -87,48 +77,48 @@
 		if got.reply.IsPrimary {
 			return got
 		}
-		round.ask(ctx, got.reply.PrimaryHint)
+		s.ask(ctx, got.reply.PrimaryHint)
 	}
-	return answer{}
+	return searchAnswer{}
 }
 
-// ask asks one candidate, unless it is being asked already or too many are.
-func (round *search) ask(ctx context.Context, at string) {
-	if round.asked[at] || at == "" || len(round.asked) >= cap(round.answers) {
+// ask begins to ask one candidate, unless it is being asked already or too many are.
+func (s *search) ask(ctx context.Context, at string) {
+	if s.askedAddresses[at] || at == "" || len(s.askedAddresses) >= cap(s.answers) {
 		return
 	}
-	round.asked[at] = true
-	go round.askUntilPrimary(ctx, at)
+	s.askedAddresses[at] = true
+	go s.askUntilPrimary(ctx, at)
 }
 
-// askUntilPrimary asks one candidate until it is the primary or ctx ends: one that is not may be it in a moment, whoever
-// else is still waited for.
-func (round *search) askUntilPrimary(ctx context.Context, at string) {
-	config := &round.client.config
+// askUntilPrimary asks one candidate until it is the primary or ctx ends: one that is not may be so in a moment, whoever else
+// has not answered yet.
+func (s *search) askUntilPrimary(ctx context.Context, at string) {
+	config := &s.client.config
 	for {
 		begun := time.Now()
-		// It claims to hold all: what is new is brought by the held call.
-		reply, err := config.Dial(at).Watch(round.calls, &tierv1.WatchRequest{Node: config.Settings.Node, Incarnation: round.client.life,
+		// It claims the newest version of all there is: updates are for the long poll.
+		reply, err := config.Dial(at).Watch(s.calls, &tierv1.WatchRequest{Node: config.Settings.Node, Incarnation: s.client.incarnation,
 			ConfigurationVersion: math.MaxUint64, EndpointsVersion: math.MaxUint64, PartitionMapVersion: math.MaxUint64, MembersVersion: math.MaxUint64})
 		if err != nil {
 			reply = nil
 		}
 		took := time.Since(begun)
 		if ctx.Err() != nil {
-			if reply.GetIsPrimary() && round.calls.Err() == nil {
-				round.client.noteLateAnswer(at, took)
+			if reply.GetIsPrimary() && s.calls.Err() == nil {
+				s.client.recordLateAnswer(at, took)
 			}
 			return
 		}
 		select {
-		case round.answers <- answer{at, reply, took}:
+		case s.answers <- searchAnswer{at, reply, took}:
 		case <-ctx.Done():
 			return
 		}
 		if reply.GetIsPrimary() {
 			return
 		}
-		pause(ctx, config.Settings.ContactWindow/pausePart)
+		sleep(ctx, config.Settings.ContactWindow/searchPauseDivisor)
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -1,5 +1,3 @@
-// Package session holds a process's session with the control primary: one held call after the other (Watch), each of which
-// acknowledges what the last one brought. It finds the primary among seeds and members, and moves on when it falls silent.
 package session
 
 import (
@@ -9,34 +7,29 @@
 	"time"
 
 	"github.com/phuslu/log"
+
 	"saffronyard.example/saffronyard/internal/tier/rpcserver"
 	"saffronyard.example/saffronyard/internal/tier/settings"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Parts of the contact window: a session must be found again well inside it.
-const (
-	holdPart      = 6  // a held call lasts so long at most,
-	turnStorePart = 12 // and a turn store's so long: its loss holds up all turns of its partitions
-	graceOver     = 10 // and its answer is waited for so much longer, at least: a distant primary holds for less
-	lookPart      = 8  // one asked whether it is the primary answers within it
-	answerPart    = 1  // a call of a search that is over is broken off after it
-	pausePart     = 60 // between rounds of asking
-)
-
-// Config is what a session is given.
+// Config is what New needs.
 type Config struct {
-	Settings settings.Settings
-	Role     string // gateway or turn store
-	Folder   string // a turn store's identity
-	Address  string // of this process's internal listener, empty if none
-	Empty    bool   // the folder was empty at the start
-	Dial     func(address string) tierv1.ControlPlane
-	Synced   func() ([]*tierv1.SyncedReplica, <-chan struct{}) // of a turn store: copies that are whole, and a channel closed at the next change
-	Disk     func() tierv1.DiskState                           // of a turn store: how its disk is; a change closes Synced's channel, too
-	Log      *log.Logger
-
-	// Called with newer views, one after the other. They must not block.
+	Settings    settings.Settings
+	Role        string // gateway or turnstore
+	Folder      string // identity of a turn store; empty for other roles
+	Address     string // of this process's internal listener, empty if none
+	EmptyFolder bool   // the folder was empty at the start
+	Dial        func(address string) tierv1.ControlPlane
+	// Synced returns the replicas of a turn store's partitions that are synced, and a channel that is closed at the next
+	// change of these or of Disk. It is nil for other roles.
+	Synced func() ([]*tierv1.SyncedReplica, <-chan struct{})
+	// Disk returns the state of a turn store's disk. It is nil for other roles.
+	Disk func() tierv1.DiskState
+	Log  *log.Logger
+
+	// Configuration, Endpoints, PartitionMap and Ejections are called with newer versions, one call after the other, on the
+	// goroutine of Run. They must not block. Any may be nil.
 	Configuration func(*tierv1.Configuration)
 	Endpoints     func(*tierv1.Endpoints)
 	PartitionMap  func(*tierv1.PartitionMap)
@@ -45,139 +38,104 @@
 
 // Client is a session. Its methods may be called from any goroutine; Run is called once.
 type Client struct {
-	config Config
-	life   string   // of this process, new with each start
-	seeds  []string // addresses
+	config      Config
+	incarnation string   // of this process, new with each start
+	seeds       []string // addresses
 
-	mu        sync.Mutex
-	applied   tierv1.WatchRequest // versions taken
+	mu        sync.Mutex          // guards all below
+	applied   tierv1.WatchRequest // the versions that are in force here, which the next call acknowledges
 	members   []string            // addresses
 	hint      string              // address of the primary, as last known
-	stands    bool                // the last call was answered by the primary
-	lastReply time.Time           // of the primary; zero: none in this life
-	leaving   bool
+	active    bool                // the primary answered the last call
+	lastReply time.Time           // of the primary; zero: none in this incarnation
+	draining  bool
 	lease     lease
 	roundTrip roundTrip // to the primary
 }
 
-// New makes a session that Run begins.
-func New(c Config) *Client {
-	client := &Client{config: c, life: rpcserver.Life(), seeds: c.Settings.SeedInternal()}
-	client.lease.length = c.Settings.ContactWindow * leaseTenths / 10
+// New returns a session that begins with Run.
+func New(config Config) *Client {
+	client := &Client{config: config, incarnation: rpcserver.Life(), seeds: config.Settings.SeedInternal()}
+	client.lease.length = config.Settings.ContactWindow * leaseTenths / 10
 	return client
 }
 
-// Stands tells whether the session stands, and how long ago the primary answered last.
-func (client *Client) Stands() (bool, time.Duration) {
+// Active tells whether the session is active: the primary answered the last call; and how long ago it answered last.
+func (client *Client) Active() (bool, time.Duration) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if client.lastReply.IsZero() {
 		return false, time.Hour
 	}
-	return client.stands, time.Since(client.lastReply)
+	return client.active, time.Since(client.lastReply)
 }
 
-// Remaining tells how much longer the session stands if the primary answers no more; 0 where it does not stand.
+// Remaining returns how much longer the session is active if the primary answers no more; 0 where it is not active.
 func (client *Client) Remaining() time.Duration {
-	stands, since := client.Stands()
+	stands, since := client.Active()
 	if !stands {
 		return 0
 	}
-	return max(0, client.patience()-since)
-}
-
-// longestHold is how long the primary may hold a call where its answer takes no longer than a tenth of the contact window.
-func (client *Client) longestHold() time.Duration {
-	window := client.config.Settings.ContactWindow
-	if client.config.Folder != "" {
-		return window / turnStorePart
-	}
-	return window / holdPart
-}
-
-// patience is how long a held call is waited for in all. The age of what an answer brings is bounded by it, so it does not
-// depend on how distant the primary is.
-func (client *Client) patience() time.Duration {
-	return client.longestHold() + client.config.Settings.ContactWindow/graceOver
+	return max(0, client.callTimeout()-since)
 }
 
-// hold is how long the primary may hold a call: what patience leaves beside the time that the answer takes. The control plane
-// reckons with the same sum: it takes a session that holds calls for less to be so much more distant.
-func (client *Client) hold() time.Duration {
-	window := client.config.Settings.ContactWindow
-	patience := client.patience()
-	client.mu.Lock()
-	defer client.mu.Unlock()
-	return patience - client.roundTrip.answerWait(window/graceOver, patience-window/pausePart)
-}
-
-// Primary is the address of the control primary as last known.
+// Primary returns the internal address of the primary as last known, empty if none is.
 func (client *Client) Primary() string {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	return client.hint
 }
 
-// ReportHealth tells the primary of endpoints that were ejected here, and of ejected ones that have answered. The report is a hint: it
-// is made once, and may be lost.
+// ReportHealth reports endpoints that were ejected here, and ejected ones that have answered, to the primary. The report is a
+// hint: it is sent once, and may be lost.
 func (client *Client) ReportHealth(ctx context.Context, ejected, restored []string) {
 	at := client.Primary()
-	if stands, _ := client.Stands(); !stands || at == "" {
+	if stands, _ := client.Active(); !stands || at == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, client.config.Settings.ContactWindow/lookPart)
+	ctx, cancel := context.WithTimeout(ctx, client.config.Settings.ContactWindow/searchDivisor)
 	defer cancel()
 	report := &tierv1.EjectionReport{Node: client.config.Settings.Node, Ejected: ejected, Restored: restored}
 	if _, err := client.config.Dial(at).ReportEjections(ctx, report); err != nil {
-		client.config.Log.Debug().Str("event", "ejections_unreported").Err(err).Msg("")
+		client.config.Log.Debug().Str("event", "ejections_unreported").Err(err).Msg("failed to report ejections")
 	}
 }
 
-// Leave tells control from the next call on that the process is leaving.
-func (client *Client) Leave() {
+// Drain has the session tell the primary, from the next call on, that the process is draining.
+func (client *Client) Drain() {
 	client.mu.Lock()
-	client.leaving = true
+	client.draining = true
 	client.mu.Unlock()
 }
 
-// Run keeps the session until ctx ends.
+// Run keeps the session until ctx ends: it finds the primary and makes one long poll after the other.
 func (client *Client) Run(ctx context.Context) {
 	window := client.config.Settings.ContactWindow
-	failures := 0 // searches in a row that found none
+	failures := 0 // searches in a row without success
 	for ctx.Err() == nil {
 		limit := searchLimit(window, failures)
 		begun := time.Now()
 		primary := client.findPrimary(ctx, limit)
-		client.noteSearch(time.Since(begun), limit, primary)
-		if primary.at == "" {
+		client.recordSearch(time.Since(begun), limit, primary)
+		if primary.address == "" {
 			failures++
-			client.markLost("no primary found")
-			pause(ctx, window/pausePart+rand.N(window/pausePart+1))
+			client.markInactive("no primary found")
+			sleep(ctx, window/searchPauseDivisor+rand.N(window/searchPauseDivisor+1))
 			continue
 		}
 		failures = 0
-		for ctx.Err() == nil && client.watch(ctx, primary.at) {
+		for ctx.Err() == nil && client.watch(ctx, primary.address) {
 		}
 	}
 }
 
-// pause waits for d, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
-
-// markLost notes that the session does not stand; why goes into the log.
-func (client *Client) markLost(why string) {
+// markInactive records that the session is not active; the reason is logged.
+func (client *Client) markInactive(reason string) {
 	client.mu.Lock()
-	was := client.stands
-	client.stands = false
+	was := client.active
+	client.active = false
 	client.mu.Unlock()
 	if was {
-		client.config.Log.Warn().Str("event", "session_lost").Str("why", why).Msg("")
+		client.config.Log.Warn().Str("event", "session_lost").Str("why", reason).Msg("lost the session with the primary")
 	}
 }
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -118,7 +118,7 @@
 	c.SetConfiguration("1")
 	c.Taken(t)
 	assert.Equal(t, r.client.Primary(), address(3))
-	stands, _ := r.client.Stands()
+	stands, _ := r.client.Active()
 	assert.Assert(t, stands)
 	for _, n := range []int{1, 2} {
 		for _, q := range r.at(n).Calls() {
@@ -279,7 +279,7 @@
 	c := r.at(1)
 	r.run()
 	c.Await(t, "it looks", func(*tierv1.WatchRequest) bool { return len(c.Calls()) > 2 })
-	stands, _ := r.client.Stands()
+	stands, _ := r.client.Active()
 	assert.Assert(t, !stands)
 	r.primary(1)
 	c.Await(t, "a session", held)
@@ -308,7 +308,7 @@
 	var reports []*tierv1.SyncedReplica
 	changed := make(chan struct{})
 	r.run(func(s *session.Config) {
-		s.Role, s.Folder, s.Address, s.Empty = "turnstore", "f-1", "10.0.0.1:9001", true
+		s.Role, s.Folder, s.Address, s.EmptyFolder = "turnstore", "f-1", "10.0.0.1:9001", true
 		s.Settings.ContactWindow *= 100 // a call is held for longer than the test has patience
 		s.Synced = func() ([]*tierv1.SyncedReplica, <-chan struct{}) {
 			mu.Lock()
@@ -371,7 +371,7 @@
 	r.run()
 	first := c.Await(t, "a session", held)
 	assert.Equal(t, first.Draining, false)
-	r.client.Leave()
+	r.client.Drain()
 	c.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return held(q) && q.Draining })
 }
 
@@ -430,7 +430,7 @@
 		})
 		r.run()
 		<-time.After(4 * time.Second)
-		stands, _ := r.client.Stands()
+		stands, _ := r.client.Active()
 		assert.Assert(t, stands)
 	})
 }
--- a/internal/tier/session/unpack_test.go
+++ b/internal/tier/session/unpack_test.go
@@ -8,6 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/phuslu/log"
+
 	"saffronyard.example/saffronyard/internal/tier/settings"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
--- a/internal/tier/simulation/gateway.go
+++ b/internal/tier/simulation/gateway.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func (g *gatewayRole) leave(context.Context) { g.session.Leave() }
+func (g *gatewayRole) leave(context.Context) { g.session.Drain() }
 
 func (g *gatewayRole) tookConfiguration(c *tierv1.Configuration) {
 	if g.process.over() {
@@ -76,7 +76,7 @@
 	w := g.process.machine.world
 	for !g.process.over() {
 		w.pause(sampleEvery)
-		stands, since := g.session.Stands()
+		stands, since := g.session.Active()
 		heard := w.now() - since
 		time.Sleep(time.Microsecond) // what came with the answer is taken in by now
 		if stands && !g.process.over() {
--- a/internal/tier/simulation/roles.go
+++ b/internal/tier/simulation/roles.go
@@ -91,7 +91,7 @@
 	v.store = store
 	p.handlers[strconv.Itoa(turnStorePort)] = tierv1.NewTurnStoreServer(v.seams.serve(store))
 	v.held = session.New(session.Config{Settings: s, Role: string(roleTurnStore), Folder: store.Folder(), Address: s.Internal(1),
-		Empty: store.WasEmpty(), Dial: p.dialControlPlane, Synced: v.seams.synced(store), Disk: store.DiskState, Log: p.log,
+		EmptyFolder: store.WasEmpty(), Dial: p.dialControlPlane, Synced: v.seams.synced(store), Disk: store.DiskState, Log: p.log,
 		PartitionMap: func(t *tierv1.PartitionMap) {
 			if !p.over() {
 				m.world.checks.views.tookMap(m.name, p, t)
@@ -114,7 +114,7 @@
 
 // leave hands the partitions over, for half of the grace at most.
 func (v *turnStoreRole) leave(ctx context.Context) {
-	v.held.Leave()
+	v.held.Drain()
 	ctx, cancel := context.WithTimeout(ctx, grace/2)
 	defer cancel()
 	v.store.AwaitHandover(ctx)
