--- a/internal/faulttest/cli/compare.go
+++ b/internal/faulttest/cli/compare.go
@@ -84,6 +84,7 @@
 				p.first[m] = fmt.Sprint(status)
 				p.answers[p.first[m]]++
 			}
+		default: // the other events tell nothing here
 		}
 	}
 }
--- a/internal/faulttest/cli/main_test.go
+++ b/internal/faulttest/cli/main_test.go
@@ -173,6 +173,7 @@
 			starts++
 		case eventlog.Exit:
 			exits++
+		default: // the other events tell nothing here
 		}
 	}
 	if starts == 0 || starts != exits {
--- a/internal/faulttest/cli/up.go
+++ b/internal/faulttest/cli/up.go
@@ -125,5 +125,6 @@
 		s.print(fmt.Sprintf("%8.3f s  the kit failed: %s", at.Seconds(), e.Detail))
 	case eventlog.Exit:
 		s.print(fmt.Sprintf("%8.3f s  sender %s ended (code %d)", at.Seconds(), e.Sender, e.Status))
+	default: // the other events tell nothing here
 	}
 }
--- a/internal/faulttest/day/day_test.go
+++ b/internal/faulttest/day/day_test.go
@@ -178,6 +178,7 @@
 			exits++
 		case eventlog.End:
 			t.Error("the log says that the day came to its end")
+		default: // the other events tell nothing here
 		}
 	}
 	if starts != 2 || exits != 2 {
@@ -219,6 +220,7 @@
 			ready[e.Sender]++
 		case eventlog.KitFailure:
 			t.Error(e.Detail)
+		default: // the other events tell nothing here
 		}
 	}
 	if fmt.Sprint(ready) != "map[n0:1 n1:2 n2:1]" {
@@ -306,6 +308,7 @@
 		switch e.Kind {
 		case eventlog.Link, eventlog.Folder, eventlog.KitFailure:
 			got = append(got, strings.TrimSpace(e.Sender+" "+e.Endpoint+" "+e.Detail))
+		default: // the other events tell nothing here
 		}
 	}
 	if want := "n1  kept, n0 n1 cut, n0 n1 heal, n1  old"; strings.Join(got, ", ") != want {
--- a/internal/faulttest/encoding/encoding.go
+++ b/internal/faulttest/encoding/encoding.go
@@ -32,8 +32,11 @@
 	switch f {
 	case Plain, Binary, Structured, Batched:
 		return true
+	case Mixed:
+		return client
+	default:
+		return false
 	}
-	return client && f == Mixed
 }
 
 // Of is the form of the n-th message.
--- a/internal/faulttest/fault/fault.go
+++ b/internal/faulttest/fault/fault.go
@@ -102,6 +102,7 @@
 			join(&c.Spoils, t.Fraction)
 		case Drain:
 			c.Draining = true
+		case SlowStart, kinds: // slow start is the receiver's own, after an outage
 		}
 	}
 	return c
--- a/internal/faulttest/fleet/fleet.go
+++ b/internal/faulttest/fleet/fleet.go
@@ -20,8 +20,9 @@
 )
 
 const (
-	// TermTime is from SIGTERM to SIGKILL, DownTime from the end of a process to the next one's start.
+	// TermTime is from SIGTERM to SIGKILL.
 	TermTime = 3700 * time.Millisecond
+	// DownTime is from the end of a process to the next one's start.
 	DownTime = 600 * time.Millisecond
 
 	frontNotices = 300 * time.Millisecond // after SIGTERM clients come for so long
--- a/internal/faulttest/judge/judge.go
+++ b/internal/faulttest/judge/judge.go
@@ -248,6 +248,7 @@
 			d.faults = append(d.faults, e)
 		case eventlog.End:
 			d.ended = true
+		default: // the other events tell nothing here
 		}
 	}
 	if !found {
--- a/internal/faulttest/links/links_test.go
+++ b/internal/faulttest/links/links_test.go
@@ -1,6 +1,7 @@
 package links
 
 import (
+	"errors"
 	"io"
 	"net"
 	"slices"
@@ -88,7 +89,7 @@
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(noData))
 	var b [1]byte
-	if n, err := c.Read(b[:]); n > 0 || err == io.EOF {
+	if n, err := c.Read(b[:]); n > 0 || errors.Is(err, io.EOF) {
 		t.Fatalf("%d bytes came, %v", n, err)
 	}
 }
@@ -142,7 +143,7 @@
 	hear(t, fresh, "late")
 	n.Reset("a", "b")
 	old.SetReadDeadline(time.Now().Add(patience))
-	if _, err := old.Read(make([]byte, 1)); err == nil || err == io.EOF {
+	if _, err := old.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("after a reset: %v", err)
 	}
 	want := []string{"a>b refuse", "a>b cut", "a>b heal", "a>b reset"}
--- a/internal/faulttest/receiver/connection.go
+++ b/internal/faulttest/receiver/connection.go
@@ -83,7 +83,7 @@
 		_, err := c.r.Peek(1)
 		next <- err
 	}()
-	outcome, nextErr, pipelined, ok := c.await(waiting, next)
+	outcome, pipelined, ok, nextErr := c.await(waiting, next)
 	if !ok {
 		s.ended(waiting.done, func(d *eventlog.Event) { d.Detail = eventlog.DetailClosedBySender })
 		return false, false
@@ -208,19 +208,19 @@
 
 // await waits for a call's outcome. A further request that begins meanwhile is pipelined; ok is false if the sender has closed
 // the connection instead. The call itself may run on then: the model keeps it.
-func (c *conn) await(waiting arrived, next <-chan error) (outcome Outcome, nextErr error, pipelined, ok bool) {
+func (c *conn) await(waiting arrived, next <-chan error) (outcome Outcome, pipelined, ok bool, nextErr error) {
 	s := c.e.s
 	select {
 	case outcome = <-waiting.call.end:
-		return outcome, nil, false, true
+		return outcome, false, true, nil
 	case nextErr = <-next:
 		if nextErr != nil {
 			s.mu.Lock()
 			delete(s.waiting, waiting.number)
 			s.mu.Unlock()
-			return outcome, nextErr, false, false
+			return outcome, false, false, nextErr
 		}
-		return <-waiting.call.end, nil, true, true
+		return <-waiting.call.end, true, true, nil
 	}
 }
 
--- a/internal/faulttest/receiver/model.go
+++ b/internal/faulttest/receiver/model.go
@@ -260,6 +260,7 @@
 		return append(out, Outcome{Call: call, Status: 503}), c
 	case fault.Failed:
 		return append(out, Outcome{Call: call, Status: 500}), c
+	case fault.Serve:
 	}
 	if wait, ok := m.admit(now); !ok {
 		if m.spec.TellsWait > 0 {
--- a/internal/faulttest/receiver/model_test.go
+++ b/internal/faulttest/receiver/model_test.go
@@ -83,6 +83,7 @@
 	switch k {
 	case fault.Vanish, fault.Shut, fault.Hang, fault.Refuse, fault.Fail, fault.Reset, fault.Spoil:
 		return true
+	default: // the others do not matter here
 	}
 	return false
 }
--- a/internal/faulttest/report/report.go
+++ b/internal/faulttest/report/report.go
@@ -369,6 +369,7 @@
 			}
 		case eventlog.Ready:
 			finish(open{e.Sender, "away", "sender"}, e.T)
+		default: // the other events tell nothing here
 		}
 	}
 	for _, o := range list {
@@ -413,6 +414,7 @@
 				mark(c.Dest, e.T, -1)
 				delete(at, e.Call)
 			}
+		default: // the other events tell nothing here
 		}
 	}
 	for i, r := range fig.Receivers {
--- a/internal/faulttest/report/report_test.go
+++ b/internal/faulttest/report/report_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/xml"
+	"errors"
 	"io"
 	"math"
 	"strings"
@@ -161,7 +162,7 @@
 	}
 	d := xml.NewDecoder(strings.NewReader(page[strings.Index(page, "<svg"):strings.Index(page, "</svg>")] + "</svg>"))
 	for {
-		if _, err := d.Token(); err == io.EOF {
+		if _, err := d.Token(); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			t.Fatal(err)
