--- a/internal/tier/gateway/counters.go
+++ b/internal/tier/gateway/counters.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -9,7 +10,7 @@
 	"saffronyard.example/saffronyard/internal/tier/upstream"
 )
 
-// requestKind is what a request is counted as.
+// requestKind is the kind of a request in metrics.
 type requestKind uint8
 
 const (
@@ -21,36 +22,36 @@
 	requestKinds
 )
 
-// kindNames are the kinds as metrics name them.
+// kindNames are the labels of the kinds.
 var kindNames = [requestKinds]string{"none", "turn", "stream", "idempotent", "non_idempotent"}
 
-// requestOutcome is how the answer to a request ended.
+// requestOutcome is the outcome of a request in metrics.
 type requestOutcome uint8
 
 const (
-	outcomeServed      requestOutcome = iota // a success, whole
-	outcomeEndpoint                          // an endpoint's own answer that is no success
+	outcomeServed      requestOutcome = iota // success, complete
+	outcomeEndpoint                          // an endpoint's answer that is no success
 	outcomeUnavailable                       // 503: it has not run
 	outcomeBudgetSpent                       // 402
 	outcomeNotFound                          // 404: no route, or no such turn
-	outcomeBadRequest                        // another 4xx of the gateway's own
+	outcomeBadRequest                        // another status of the gateway
 	outcomeBadGateway                        // 502: it may have run
 	outcomeTimedOut                          // 504
-	outcomeIncomplete                        // the connection ended with the answer not whole, or without one
+	outcomeIncomplete                        // the connection ended before the end of the answer
 	requestOutcomes
 )
 
-// outcomeNames are the outcomes as metrics name them.
+// outcomeNames are the labels of the outcomes.
 var outcomeNames = [requestOutcomes]string{"served", "endpoint_status", "refused", "budget_spent", "not_found", "rejected", "bad_gateway",
 	"gateway_timeout", "cut"}
 
-// attemptEndCount is the number of ends that a send to an endpoint is counted by: those of upstream, and refusedEnd.
+// Attempts are counted by their outcome in package upstream, and as notExecutedEnd.
 const (
-	notExecutedEnd  = int(upstream.Canceled) + 1 // the endpoint said that it has not run
+	notExecutedEnd  = int(upstream.Canceled) + 1 // the endpoint has rejected the request without executing it
 	attemptEndCount = notExecutedEnd + 1
 )
 
-// timeToFirstBounds are the upper bounds of the histogram of times to the first piece of a streamed answer.
+// timeToFirstBounds are the upper bounds of the histogram of the times to the first event of a streamed answer.
 var timeToFirstBounds = []time.Duration{25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond,
 	400 * time.Millisecond, 800 * time.Millisecond, 1600 * time.Millisecond, 3200 * time.Millisecond}
 
@@ -58,21 +59,22 @@
 type counters struct {
 	requests       [requestKinds][requestOutcomes]atomic.Uint64
 	attempts       [attemptEndCount]atomic.Uint64
-	resumed        atomic.Uint64 // runs that went on where another one had ended
+	resumed        atomic.Uint64 // attempts that resumed a stream
 	timeToFirst    []atomic.Uint64
-	timeToFirstSum atomic.Int64 // ns
+	timeToFirstSum atomic.Int64 // nanoseconds
 }
 
+// newCounters returns counters at zero.
 func newCounters() *counters {
 	return &counters{timeToFirst: make([]atomic.Uint64, len(timeToFirstBounds)+1)}
 }
 
-// countRequest counts a request that was answered, or not.
+// countRequest counts a request that has ended.
 func (counters *counters) countRequest(kind requestKind, outcome requestOutcome) {
 	counters.requests[kind][outcome].Add(1)
 }
 
-// countAttempt counts a send to an endpoint by how it ended.
+// countAttempt counts an attempt at an endpoint that has ended.
 func (counters *counters) countAttempt(result *upstream.Result) {
 	end := int(result.Outcome)
 	if result.Stream != nil {
@@ -84,7 +86,7 @@
 	counters.attempts[end].Add(1)
 }
 
-// countTimeToFirst counts the time from a send to the first piece.
+// countTimeToFirst counts the time from the start of an attempt to its first event.
 func (counters *counters) countTimeToFirst(took time.Duration) {
 	at := 0
 	for at < len(timeToFirstBounds) && took > timeToFirstBounds[at] {
@@ -94,7 +96,7 @@
 	counters.timeToFirstSum.Add(int64(took))
 }
 
-// totals gives the totals as metrics write them.
+// totals returns the current totals.
 func (counters *counters) totals() metrics.GatewayTotals {
 	var totals metrics.GatewayTotals
 	for kind := range requestKinds {
@@ -121,7 +123,7 @@
 	return totals
 }
 
-// kind is what the request is counted as.
+// kind returns the kind of the request in metrics.
 func (request *clientRequest) kind() requestKind {
 	switch {
 	case request.route.Persisted || request.route.Kind == routing.Streaming && request.needsTurnStore():
@@ -134,7 +136,7 @@
 	return kindOnce
 }
 
-// outcomeOf tells how an answer ended by its status, whether an endpoint gave it, and whether the client has it whole.
+// outcomeOf returns the outcome of an answer by its status, whether an endpoint gave it (signed), and whether the client has all of it.
 func outcomeOf(status int, stamped, whole bool) requestOutcome {
 	switch {
 	case status == 0 || !whole:
@@ -143,15 +145,15 @@
 		return outcomeServed
 	case stamped:
 		return outcomeEndpoint
-	case status == 503:
+	case status == http.StatusServiceUnavailable:
 		return outcomeUnavailable
-	case status == 402:
+	case status == http.StatusPaymentRequired:
 		return outcomeBudgetSpent
-	case status == 404:
+	case status == http.StatusNotFound:
 		return outcomeNotFound
-	case status == 502:
+	case status == http.StatusBadGateway:
 		return outcomeBadGateway
-	case status == 504:
+	case status == http.StatusGatewayTimeout:
 		return outcomeTimedOut
 	}
 	return outcomeBadRequest
--- a/internal/tier/gateway/ejections.go
+++ b/internal/tier/gateway/ejections.go
@@ -8,10 +8,11 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// maxQueuedHealthReports is how many changes of endpoints' health wait to be reported, at most; further ones are not.
+// maxQueuedHealthReports bounds the reports that wait to be sent; further ones are dropped.
 const maxQueuedHealthReports = 64
 
-// queueHealthReports has reported what the load balancer has found of endpoints by itself. It does not block. The caller holds mu.
+// queueHealthReports queues what the load balancer has found about the health of endpoints by itself. It does not block. The caller
+// holds mu.
 func (gateway *Gateway) queueHealthReports() {
 	reports := gateway.loadbalancer.TakeReports()
 	if len(reports.Ejected)+len(reports.Restored) == 0 {
@@ -23,7 +24,7 @@
 	}
 }
 
-// reportHealth reports to the control plane until ctx ends, in one call what has come together.
+// reportHealth sends queued reports to the control plane until ctx ends, all that are queued in one call.
 func (gateway *Gateway) reportHealth(ctx context.Context) {
 	for {
 		var all loadbalancer.Reports
@@ -41,8 +42,8 @@
 	}
 }
 
-// applyEjections takes what other gateways have found. Until the next news an endpoint that others probe gets nothing from here, for a
-// contact window at most.
+// applyEjections applies what other gateways have found. An endpoint whose health other gateways check gets no requests from this one until
+// the next update, for at most a contact window.
 func (gateway *Gateway) applyEjections(ejections *tierv1.Ejections) {
 	settings := &gateway.config.Settings
 	gateway.mu.Lock()
--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -1,5 +1,3 @@
-// Package gateway is the role that carries the traffic: it takes requests from clients, asks a turn store for what a turn goes on
-// from and whether its budget has room, picks an endpoint by the load balancer, and passes the answer back.
 package gateway
 
 import (
@@ -10,6 +8,7 @@
 	"time"
 
 	"github.com/phuslu/log"
+
 	"saffronyard.example/saffronyard/internal/tier/ingress"
 	"saffronyard.example/saffronyard/internal/tier/loadbalancer"
 	"saffronyard.example/saffronyard/internal/tier/routing"
@@ -20,15 +19,15 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Config is what a gateway is given; all of it is needed.
+// Config configures a gateway. All fields are required.
 type Config struct {
 	Settings     settings.Settings
-	ControlPlane func(address string) tierv1.ControlPlane // a client of the control plane's process there
-	TurnStore    func(address string) tierv1.TurnStore    // a client of the turn store there
+	ControlPlane func(address string) tierv1.ControlPlane // returns a client of the control-plane process at an internal address
+	TurnStore    func(address string) tierv1.TurnStore    // returns a client of the turn store at an internal address
 	Log          *log.Logger
 }
 
-// Gateway carries requests between clients and endpoints. Its methods may be called from any goroutine.
+// Gateway carries requests between clients and endpoints. Its methods are safe for concurrent use.
 type Gateway struct {
 	config      Config
 	log         *log.Logger
@@ -40,31 +39,34 @@
 	affinity    *affinityTable
 
 	routing      atomic.Pointer[routing.Table]
-	hasEndpoints atomic.Bool // a list of endpoints has come
+	hasEndpoints atomic.Bool // endpoints have been received
 
 	mu              sync.Mutex // guards what follows
 	loadbalancer    *loadbalancer.Balancer
 	endpoints       *tierv1.Endpoints
-	routable        map[string]bool // instances on the newest list that are not draining
-	capacityFreed   chan struct{}   // closed when a place may have come free, if somebody waits
-	waiters         int
-	pendingReleases map[string]map[chan struct{}]bool // by program: closed when a reservation that is being released here is settled
+	routable        map[string]bool                   // instances that the newest endpoints have and that are not draining
+	capacityFreed   chan struct{}                     // closed, and replaced, when a request that waits should ask the load balancer again
+	waiters         int                               // requests that wait for capacityFreed
+	pendingReleases map[string]map[chan struct{}]bool // by program: closed when the reservation is released, or given up
 
-	ejectionsVersion uint64 // version of the newest ejection that others reported and that was taken
+	ejectionsVersion uint64 // of the newest ejection applied
 
 	counters       *counters
-	activeRequests atomic.Int64 // requests of clients under way
-	lastReady      atomic.Bool  // the readiness last answered
+	activeRequests atomic.Int64 // being handled
+	lastReady      atomic.Bool  // as last logged
 	draining       atomic.Bool
-	settlements    sync.WaitGroup // settlements that go on behind their requests
+	settlements    sync.WaitGroup // releases that go on behind their requests, but for late ones
 
 	runContext       context.Context // ends with Run
 	cancelRun        context.CancelFunc
-	lateReleaseSlots chan struct{}             // semaphore of releases that go on beyond their usual time
-	healthReports    chan loadbalancer.Reports // to be reported
+	lateReleaseSlots chan struct{}             // semaphore of late releases
+	healthReports    chan loadbalancer.Reports // to be sent to the control plane
 }
 
-// New makes a gateway that Run starts.
+// maxProbeConnections bounds the connections to the readiness address.
+const maxProbeConnections = 64
+
+// New returns a gateway that does nothing before Run.
 func New(c Config) *Gateway {
 	gateway := &Gateway{config: c, log: c.Log, started: time.Now(), loadbalancer: loadbalancer.New(c.Settings.Zone, c.Settings.Node),
 		capacityFreed: make(chan struct{}), pendingReleases: map[string]map[chan struct{}]bool{}, lateReleaseSlots: make(chan struct{}, maxLateReleases),
@@ -80,90 +82,12 @@
 	return gateway
 }
 
-// now is a steady time since the gateway was made.
+// now returns the monotonic time since New.
 func (gateway *Gateway) now() time.Duration { return time.Since(gateway.started) }
 
-// applyConfiguration puts a newer configuration in force.
-func (gateway *Gateway) applyConfiguration(configuration *tierv1.Configuration) {
-	table, err := routing.Parse(configuration.Body)
-	if err != nil { // the control plane has checked it
-		gateway.log.Error().Str("event", "catalog_unreadable").Err(err).Msg("")
-		return
-	}
-	gateway.routing.Store(table)
-	gateway.log.Info().Str("event", "configuration").Int64("revision", table.Revision).Uint64("version", configuration.Version).Msg("")
-	gateway.updateBalancer()
-}
-
-// applyEndpoints puts a newer list of endpoints in force.
-func (gateway *Gateway) applyEndpoints(endpoints *tierv1.Endpoints) {
-	gateway.mu.Lock()
-	gateway.endpoints = endpoints
-	gateway.mu.Unlock()
-	gateway.updateBalancer()
-	gateway.hasEndpoints.Store(true)
-}
-
-// updateBalancer tells the load balancer the endpoints, with what the configuration says of their services.
-func (gateway *Gateway) updateBalancer() {
-	table := gateway.routing.Load()
-	gateway.mu.Lock()
-	defer gateway.mu.Unlock()
-	if gateway.endpoints == nil {
-		return
-	}
-	list := make([]loadbalancer.Endpoint, 0, len(gateway.endpoints.List))
-	gateway.routable = make(map[string]bool, len(gateway.endpoints.List))
-	for _, e := range gateway.endpoints.List {
-		list = append(list, loadbalancer.Endpoint{Instance: e.Instance, Service: e.Service, Address: e.Address, Zone: e.Zone,
-			Capacity: int(e.Capacity), Draining: e.Draining, SlowStartRemaining: time.Duration(e.SlowStartRemainingMs) * time.Millisecond,
-			CacheTokens: cacheTokens(table, e.Service)})
-		if !e.Draining {
-			gateway.routable[e.Instance] = true
-		}
-	}
-	gateway.loadbalancer.SetEndpoints(gateway.now(), list)
-	gateway.notifyWaiters()
-}
-
-// cacheTokens is the memory of the engines of a service, in tokens; 0 where they are none or the configuration has not come.
-func cacheTokens(table *routing.Table, name string) int64 {
-	if table == nil {
-		return 0
-	}
-	service := table.Services[name]
-	if service == nil || service.Engine == nil {
-		return 0
-	}
-	return service.Engine.CacheTokens
-}
-
-// notifyWaiters has all that wait for a place look again. The caller holds mu.
-func (gateway *Gateway) notifyWaiters() {
-	if gateway.waiters > 0 {
-		close(gateway.capacityFreed)
-		gateway.capacityFreed = make(chan struct{})
-		gateway.waiters = 0
-	}
-}
-
-// ready: all views have come in this life, and it is neither leaving nor cut off.
-func (gateway *Gateway) ready() bool {
-	return !gateway.draining.Load() && !gateway.isolated() && gateway.routing.Load() != nil && gateway.hasEndpoints.Load() && gateway.storeClient.ready()
-}
-
-// limits bound what clients send, by the configuration in force; until one has come, by defaults.
-func (gateway *Gateway) limits() ingress.Limits {
-	table := gateway.routing.Load()
-	if table == nil {
-		return ingress.Limits{MaxHeader: 16 << 10, MaxBody: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
-	}
-	return ingress.Limits{MaxHeader: table.Limits.MaxHeader, MaxBody: table.Limits.MaxBody,
-		HeaderTimeout: table.Limits.HeaderTimeout, IdleTimeout: table.Limits.IdleTimeout}
-}
-
-// Run serves until ctx ends, then leaves: it is not ready any more, goes on for as long as the platform may still send
-// clients, and ends what it has read.
+// Run serves until ctx ends, then shuts down gracefully: it reports that it is not ready, serves for as long as the platform may
+// still send clients, and completes the requests that it has read. It returns the error of a listener, or of a shutdown that took
+// longer than half of the grace period.
 func (gateway *Gateway) Run(ctx context.Context) error {
 	defer gateway.cancelRun()
 	settings := gateway.config.Settings
@@ -171,7 +95,7 @@
 	defer stopSessions()
 	go gateway.session.Run(sessions)
 	go gateway.reportHealth(sessions)
-	probe := &ingress.Server{Handler: gateway.probe, Limits: gateway.limits, MaxConns: 64, Log: gateway.log}
+	probe := &ingress.Server{Handler: gateway.probe, Limits: gateway.limits, MaxConns: maxProbeConnections, Log: gateway.log}
 	server := &ingress.Server{Handler: gateway.handle, Limits: gateway.limits, MaxConns: max(64, settings.Descriptors*6/10), Log: gateway.log}
 	failed := make(chan error, 2)
 	for _, one := range []struct {
@@ -184,7 +108,7 @@
 		}
 		go func() { failed <- one.server.Serve(l) }()
 	}
-	gateway.log.Info().Str("event", "started").Str("role", "gateway").Str("node", settings.Node).Msg("")
+	gateway.log.Info().Str("event", "started").Str("role", "gateway").Str("node", settings.Node).Msg("started to serve")
 	select {
 	case err := <-failed:
 		return err
@@ -193,17 +117,17 @@
 	return gateway.shutdown(sessions, server)
 }
 
-// anyError has the gateway retry to listen whatever the error is.
+// anyError makes rpcserver.Listen retry after any error.
 func anyError(error) bool { return true }
 
-// shutdown ends the gateway in order. ctx is that of its sessions: they stand until the last answer has been given.
+// shutdown shuts down gracefully. ctx is that of the sessions, which last until the last answer has been given.
 func (gateway *Gateway) shutdown(ctx context.Context, server *ingress.Server) error {
 	settings := gateway.config.Settings
 	gateway.draining.Store(true)
 	gateway.session.Drain()
-	gateway.log.Info().Str("event", "leaving").Str("node", settings.Node).Msg("")
+	gateway.log.Info().Str("event", "leaving").Str("node", settings.Node).Msg("draining")
 	server.Drain()
-	// The platform asks once a second and sends clients until two answers were missed.
+	// The platform checks readiness once a second, and sends clients until two checks have failed.
 	linger := time.NewTimer(min(3*time.Second, settings.Grace*2/5))
 	<-linger.C
 	last, cancel := context.WithTimeout(ctx, settings.Grace/2)
@@ -215,19 +139,6 @@
 	case <-settled:
 	case <-last.Done():
 	}
-	gateway.log.Info().Str("event", "left").Str("node", settings.Node).Msg("")
+	gateway.log.Info().Str("event", "left").Str("node", settings.Node).Msg("shut down")
 	return err
 }
-
-// readiness answers the platform: 200 while the gateway is ready, else 503.
-func (gateway *Gateway) readiness(x *ingress.Exchange) {
-	ready := gateway.ready()
-	if gateway.lastReady.Swap(ready) != ready {
-		gateway.log.Info().Str("event", "readiness").Bool("ready", ready).Msg("")
-	}
-	if ready {
-		x.Respond(200, nil, nil)
-		return
-	}
-	x.Respond(503, nil, nil)
-}
--- a/internal/tier/gateway/release.go
+++ b/internal/tier/gateway/releases.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxReleaseWait     = 200 * time.Millisecond // that an answer waits for a release: beyond its route's time-out 250 ms cost, 500 ms break a rule
-	lateReleaseTimeout = 2 * time.Minute        // a turn store forgets a program by then, if nothing else is heard of it
-	maxLateReleases    = 128                    // releases at once that go on beyond their usual time
+	maxReleaseWait     = 200 * time.Millisecond // that an answer waits for a release; 250 ms past a route's time-out count as late, 500 ms as a fault
+	lateReleaseTimeout = 2 * time.Minute        // by then a turn store forgets a program that is not used
+	maxLateReleases    = 128                    // late releases at the same time
 )
 
-// release ends a reservation before its client hears of it, so that its next try finds the room in its budget: tokens were
-// handed out of a turn that is not kept. It waits a little for the turn store, and goes on behind the request.
+// release releases a reservation of the request, charging the given tokens, before the client is answered, so that the client's next
+// attempt finds its budget free. If the turn store does not answer soon, the release goes on in the background.
 func (request *clientRequest) release(program string, tokens uint64) {
 	timer := time.NewTimer(min(request.gateway.config.Settings.ContactWindow/12, maxReleaseWait))
 	defer timer.Stop()
@@ -26,53 +26,53 @@
 	}
 }
 
-// releaseInBackground releases a reservation behind the request: done is closed when it is settled, or when it is given up.
+// releaseInBackground releases a reservation without waiting. done is closed when it is released, or given up.
 func (request *clientRequest) releaseInBackground(program string, tokens uint64) (done <-chan struct{}) {
-	gateway, over := request.gateway, make(chan struct{})
+	gateway, released := request.gateway, make(chan struct{})
 	settlement := &tierv1.SettleRequest{Program: program, Attempt: request.attemptID, Tokens: tokens, FailedAt: request.failedInstance}
-	gateway.registerRelease(program, over)
+	gateway.registerRelease(program, released)
 	gateway.settlements.Add(1)
 	go func() {
-		defer gateway.endRelease(program, over)
+		defer gateway.endRelease(program, released)
 		settled := gateway.settleWithRetries(settlement)
 		gateway.settlements.Done()
 		if !settled {
 			gateway.settleLate(settlement)
 		}
 	}()
-	return over
+	return released
 }
 
-// registerRelease notes that a reservation of a program is being released here.
-func (gateway *Gateway) registerRelease(program string, over chan struct{}) {
+// registerRelease adds a release to the pending ones of its program.
+func (gateway *Gateway) registerRelease(program string, released chan struct{}) {
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
 	if gateway.pendingReleases[program] == nil {
 		gateway.pendingReleases[program] = map[chan struct{}]bool{}
 	}
-	gateway.pendingReleases[program][over] = true
+	gateway.pendingReleases[program][released] = true
 }
 
-// endRelease tells those who wait that a release is over.
-func (gateway *Gateway) endRelease(program string, over chan struct{}) {
+// endRelease removes a release from the pending ones and closes its channel.
+func (gateway *Gateway) endRelease(program string, released chan struct{}) {
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
-	delete(gateway.pendingReleases[program], over)
+	delete(gateway.pendingReleases[program], released)
 	if len(gateway.pendingReleases[program]) == 0 {
 		delete(gateway.pendingReleases, program)
 	}
-	close(over)
+	close(released)
 }
 
-// settleWithRetries tries for twice the contact window, within which a lost turn store is replaced.
+// settleWithRetries settles within twice the contact window, in which a lost turn store is replaced. It reports whether it has.
 func (gateway *Gateway) settleWithRetries(settlement *tierv1.SettleRequest) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*gateway.config.Settings.ContactWindow)
 	defer cancel()
 	return gateway.storeClient.settle(ctx, settlement)
 }
 
-// settleLate goes on at a slower pace, as the reservation takes room in the budget for as long as its program is known. It
-// gives up where too many do so already.
+// settleLate goes on at a slower pace, as the reservation is charged for as long as the program is known. It gives up after
+// lateReleaseTimeout, and at once if there are maxLateReleases already.
 func (gateway *Gateway) settleLate(settlement *tierv1.SettleRequest) {
 	select {
 	case gateway.lateReleaseSlots <- struct{}{}:
@@ -83,7 +83,7 @@
 	ctx, cancel := context.WithTimeout(gateway.runContext, lateReleaseTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		_, _, changed := gateway.storeClient.primary(settlement.Program)
+		changed := gateway.storeClient.route(settlement.Program).changed
 		if gateway.storeClient.settleOnce(ctx, settlement) {
 			return
 		}
@@ -91,18 +91,18 @@
 	}
 }
 
-// releasesOf are the reservations of a program that are being released here; each is closed when it is settled.
+// releasesOf returns the pending releases of a program; each channel is closed when its release ends.
 func (gateway *Gateway) releasesOf(program string) []chan struct{} {
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
 	return slices.Collect(maps.Keys(gateway.pendingReleases[program]))
 }
 
-// awaitReleases waits until all are settled, and reports whether there was one and it is: the room that they held is free then.
+// awaitReleases waits until all pending releases have ended, and reports whether there was any and ctx has not ended before.
 func awaitReleases(ctx context.Context, pending []chan struct{}) bool {
-	for _, over := range pending {
+	for _, released := range pending {
 		select {
-		case <-over:
+		case <-released:
 		case <-ctx.Done():
 			return false
 		}
--- a/internal/tier/gateway/request.go
+++ b/internal/tier/gateway/request.go
@@ -13,56 +13,56 @@
 	"saffronyard.example/saffronyard/internal/tier/routing"
 )
 
-// clientRequest is one request on its way.
+// clientRequest is the request of a client while it is handled. One goroutine owns it.
 type clientRequest struct {
 	gateway           *Gateway
 	x                 *ingress.Exchange
 	route             *routing.Route
 	service           string
 	attemptID         string
-	deadline          time.Time // by then it is answered or aborted
-	promptTokens      int64     // of its prompt
-	maxTokens         uint64    // that the turn may generate
-	tokensPerEvent    uint64    // tokens that one event of the answer counts for
-	affinity          string    // requests with the same one do best at one endpoint
-	prefix            []string  // shared parts of its prompt, outermost first
-	body              []byte    // as an endpoint gets it
-	avoid             []string  // instances that it was sent to, or that earlier attempts of its program failed at
-	failedInstance    string    // instance at which its last run ended without the answer; empty: none
-	preferredInstance string    // instance that ran what it goes on from
-	sent              int       // endpoints that it was sent to
-	sentAt            time.Time // of the last send
+	deadline          time.Time // it is answered or aborted by then
+	promptTokens      int64     // X-Token-Usage: tokens of its prompt
+	maxTokens         uint64    // X-Token-Usage: tokens that the turn may generate
+	tokensPerEvent    uint64    // tokens that an event of the answer is charged as
+	affinity          string    // requests with the same one share a prefix cache
+	prefix            []string  // X-Prompt-Prefix: shared parts of its prompt, outermost first
+	body              []byte    // as it is sent to endpoints
+	avoid             []string  // instances that it was sent to, or at which earlier attempts of its program failed
+	failedInstance    string    // instance at which its last attempt failed; empty: none
+	preferredInstance string    // instance that ran the turn that it continues; empty: unknown
+	sent              int       // attempts that were written to an endpoint
+	sentAt            time.Time // start of the last attempt
 
-	resumeAfter     string // the next run goes on after this event; empty: it begins as the client asked
-	dropLastEventID bool   // the client's Last-Event-Id is not passed on
+	resumeAfter     string // Last-Event-Id of the next attempt, which resumes the stream; empty: it starts as the client asked
+	dropLastEventID bool   // the client's Last-Event-Id is not sent to endpoints
 
-	ctx context.Context // ends when the client has left, or with the handler
+	ctx context.Context // ends when the client is gone, or with the handler
 }
 
-// retryable reports whether the request may run more than once: its route is idempotent, or its stream may be resumed.
+// retryable reports whether the request may be executed more than once: its route is idempotent, or its stream can be resumed.
 func (request *clientRequest) retryable() bool {
 	return request.route.Kind == routing.Idempotent || request.route.Kind == routing.Streaming && request.route.Resumable
 }
 
-// readDeadline sets until when the request is answered or aborted: the route's time-out after its arrival, or what
-// X-Deadline-Ms leaves of it. It is false where that header is not a number of milliseconds, 0 or above.
-func (request *clientRequest) readDeadline() bool {
-	left := request.route.Timeout
+// readDeadline sets the deadline: the route's time-out after the request's arrival, or X-Deadline-Ms if that is earlier. That
+// header must be a number of milliseconds, 0 or above.
+func (request *clientRequest) readDeadline() error {
+	timeout := request.route.Timeout
 	if header := request.x.Header.Get("X-Deadline-Ms"); header != "" {
 		ms, err := strconv.ParseFloat(header, 64)
 		if err != nil && !errors.Is(err, strconv.ErrRange) || !(ms >= 0) {
-			return false
+			return errInvalidDeadline
 		}
-		if ms < float64(left)/float64(time.Millisecond) { // one beyond the route's time-out may be beyond all measure
-			left = time.Duration(ms * float64(time.Millisecond))
+		if ms < float64(timeout)/float64(time.Millisecond) { // compared first: a larger one may overflow a time.Duration
+			timeout = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
-	request.deadline = request.x.ArrivedAt.Add(left)
-	return true
+	request.deadline = request.x.ArrivedAt.Add(timeout)
+	return nil
 }
 
-// readTokens reads X-Token-Usage: the tokens of the prompt and, behind a comma, how many the turn may generate. A
-// figure that is no number counts as 0.
+// readTokens reads X-Token-Usage: the tokens of the prompt and, after a comma, the maximum that the turn may generate. What is no
+// number counts as 0.
 func (request *clientRequest) readTokens() {
 	header := request.x.Header.Get("X-Token-Usage")
 	if header == "" {
@@ -73,10 +73,10 @@
 	request.maxTokens, _ = strconv.ParseUint(strings.TrimSpace(out), 10, 64)
 }
 
-// readAffinity reads what the prompt shares with those of other requests: the parts in X-Prompt-Prefix, outermost first,
-// the last of which is the affinity unless there is a Session.
+// readAffinity reads what the prompt shares with those of other requests: the parts in X-Prompt-Prefix, outermost first. The last
+// one is the affinity, unless there is a Session.
 func (request *clientRequest) readAffinity() {
-	if request.route.Persisted { // it goes to where its line ran, and the first of a line wherever the load is least
+	if request.route.Persisted { // its affinity is the instance of the turn that it continues
 		return
 	}
 	if header := request.x.Header.Get("X-Prompt-Prefix"); header != "" {
@@ -91,8 +91,8 @@
 	}
 }
 
-// selectService picks one of the route's services by weight. On a sticky route all requests of a session go to one
-// service, on others each attempt is on its own.
+// selectService picks one of the route's services by weight. On a sticky route all requests of a session go to the same service, on
+// others each attempt is picked for by itself.
 func (request *clientRequest) selectService(table *routing.Table) {
 	sticky := cmp.Or(request.x.Header.Get("Session"), request.affinity)
 	if sticky == "" || !request.route.Sticky {
--- a/internal/tier/gateway/runtiming.go
+++ b/internal/tier/gateway/streamtiming.go
@@ -8,27 +8,27 @@
 	"saffronyard.example/saffronyard/internal/tier/upstream"
 )
 
-// A client gives a stream up after a silence (PROTOCOL, Requests) of two seconds, four times the objective or eight times the pause
-// that still counts as in time, whichever is longest.
+// A client gives up a stream that is silent (PROTOCOL, Requests) for two seconds, four latency targets or eight gap targets,
+// whichever is longest.
 const (
 	minClientIdleTimeout      = 2 * time.Second
 	idleTimeoutLatencyTargets = 4
 	idleTimeoutGapTargets     = 8
 )
 
-// clientIdleTimeout is the silence after which a client gives up a stream of the request's route.
+// clientIdleTimeout returns the silence after which a client gives up a stream of the request's route.
 func (request *clientRequest) clientIdleTimeout() time.Duration {
 	route := request.route
 	return max(minClientIdleTimeout, idleTimeoutLatencyTargets*route.Aim, idleTimeoutGapTargets*route.GapAim)
 }
 
-// defaultFirstEventTimeout is the time-out of a run before anything is known of its route: a further run, if there may be one, gets as long before
-// the client gives up.
+// defaultFirstEventTimeout is the time-out of the first event while the load balancer knows nothing of the route. It leaves a further
+// attempt as long before the client gives up.
 func (request *clientRequest) defaultFirstEventTimeout() time.Duration {
 	return request.clientIdleTimeout() / 2
 }
 
-// firstEventTimeout is what the load balancer is given: only a silent stream is given up by its client before its deadline.
+// firstEventTimeout is the initial time-out for the load balancer; 0 for what is no stream, as its client waits until the deadline.
 func (request *clientRequest) firstEventTimeout() time.Duration {
 	if request.route.Kind != routing.Streaming {
 		return 0
@@ -36,7 +36,7 @@
 	return request.defaultFirstEventTimeout()
 }
 
-// defaultGapTimeout is the same for a silence within a run.
+// defaultGapTimeout is the time-out between events while the load balancer knows nothing of the route.
 func (request *clientRequest) defaultGapTimeout() time.Duration {
 	if request.route.GapAim <= 0 {
 		return request.defaultFirstEventTimeout()
@@ -44,31 +44,31 @@
 	return min(request.defaultFirstEventTimeout(), 2*request.route.GapAim)
 }
 
-// attemptTiming bounds the silences of one run, and measures them.
+// attemptTiming bounds and measures the time to the first event of a streamed attempt and the gaps between events.
 type attemptTiming struct {
 	request     *clientRequest
-	choice      loadbalancer.Selection
-	gapTimeout  time.Duration // 0: a silence within the run does not end it
-	timeToFirst time.Duration // from the send to the first piece; 0: none has come
+	selection   loadbalancer.Selection
+	gapTimeout  time.Duration // 0: no gap ends the attempt
+	timeToFirst time.Duration // from the start of the attempt; 0: there is no event yet
 	lastEventAt time.Time
-	longestGap  time.Duration // silence between two pieces
+	longestGap  time.Duration // between two events
 }
 
-// newAttemptTiming is for a run that was sent just now. resumable: another run may go on from what this one brings.
-func newAttemptTiming(request *clientRequest, choice loadbalancer.Selection, resumable bool) *attemptTiming {
-	timing := &attemptTiming{request: request, choice: choice}
+// newAttemptTiming returns the timing of an attempt that has just been sent. Gaps end it only if it is resumable, by another attempt.
+func newAttemptTiming(request *clientRequest, selection loadbalancer.Selection, resumable bool) *attemptTiming {
+	timing := &attemptTiming{request: request, selection: selection}
 	if resumable && request.sent < request.route.MaxAttempts {
 		timing.gapTimeout = request.gateway.gapTimeout(request)
 	}
 	return timing
 }
 
-// firstEventDeadline is when the first piece must have come.
+// firstEventDeadline returns when the first event is due.
 func (timing *attemptTiming) firstEventDeadline() time.Time {
-	return earlier(timing.request.sentAt.Add(timing.choice.Timeout), timing.request.deadline)
+	return earlier(timing.request.sentAt.Add(timing.selection.Timeout), timing.request.deadline)
 }
 
-// nextEventDeadline is when the piece that follows the last one must have come.
+// nextEventDeadline returns when the next event is due.
 func (timing *attemptTiming) nextEventDeadline() time.Time {
 	if timing.gapTimeout <= 0 {
 		return timing.request.deadline
@@ -76,7 +76,7 @@
 	return earlier(timing.lastEventAt.Add(timing.gapTimeout), timing.request.deadline)
 }
 
-// recordEvent notes that a piece has come, and reports whether it is the first one.
+// recordEvent records that an event has been received, and reports whether it is the first one.
 func (timing *attemptTiming) recordEvent() bool {
 	now := time.Now()
 	isFirst := timing.lastEventAt.IsZero()
@@ -89,7 +89,7 @@
 	return isFirst
 }
 
-// outcome is what the load balancer is given of the run, which has ended.
+// outcome returns the outcome of the attempt, which has ended, for the load balancer.
 func (timing *attemptTiming) outcome(result *upstream.Result) loadbalancer.Outcome {
 	ended := callOutcome(result, time.Since(timing.request.sentAt))
 	ended.Latency, ended.LongestGap = timing.timeToFirst, timing.longestGap
@@ -99,8 +99,8 @@
 	return ended
 }
 
-// recordFailure notes the endpoint of a run that ended without the answer, for the next attempts of the request's program. That a client
-// left counts where the endpoint had been silent for long.
+// recordFailure records the instance of an attempt that has failed, for the next attempts of the request's program; the turn store gets it
+// with the release. A client that has gone counts only if the endpoint had been silent for long.
 func (request *clientRequest) recordFailure(result *upstream.Result, timing *attemptTiming) {
 	request.failedInstance = ""
 	end := result.Outcome
@@ -115,18 +115,18 @@
 	switch {
 	case !result.Written:
 	case end == upstream.Broken, end == upstream.Malformed, end == upstream.TimedOut, end == upstream.Canceled && silent:
-		request.failedInstance = timing.choice.Instance
+		request.failedInstance = timing.selection.Instance
 	}
 }
 
-// gapTimeout is the silence within a run of the request after which another one goes on.
+// gapTimeout returns the gap between events of a route after which another attempt resumes the stream.
 func (gateway *Gateway) gapTimeout(request *clientRequest) time.Duration {
 	gateway.mu.Lock()
 	defer gateway.mu.Unlock()
 	return gateway.loadbalancer.StallTimeout(request.route.Name, request.defaultGapTimeout())
 }
 
-// earlier is the earlier of two moments.
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- /dev/null
+++ b/internal/tier/gateway/transcripts.go
@@ -0,0 +1,88 @@
+package gateway
+
+import (
+	"context"
+
+	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
+)
+
+// transcript is the text of a turn that is to be stored.
+type transcript struct {
+	program, conversation, previous string
+	retentionMs                     uint32
+	instance                        string // that ran it, or its last attempt
+	output                          []byte // the data of all events, each followed by a line feed
+}
+
+// add appends the data of an event.
+func (transcript *transcript) add(data []byte) {
+	transcript.output = append(append(transcript.output, data...), '\n')
+}
+
+// newTranscript returns the transcript of a turn, and the text of the newest turn of its conversation that this gateway has cached. It has
+// begin ask only for the turns after that one.
+func (request *clientRequest) newTranscript(begin *tierv1.BeginRequest) (*transcript, *cachedPrompt) {
+	transcript := &transcript{program: begin.Program, conversation: begin.Program + "/" + request.x.Header.Get("Session"),
+		previous: request.x.Header.Get("Previous"), retentionMs: begin.RetentionMs}
+	begin.Previous = transcript.previous
+	cached := request.gateway.transcripts.nearest(transcript.previous, transcript.conversation)
+	if cached != nil {
+		begin.Held = cached.attempt
+	}
+	return transcript, cached
+}
+
+// assemblePrompt sets the body from the cached text and the turns that the turn store has sent after it, and the instance that is preferred.
+func (request *clientRequest) assemblePrompt(cached *cachedPrompt, begun beginResult) {
+	if !begun.chainIsSuffix {
+		cached = nil
+	} else {
+		request.preferredInstance = cached.instance
+	}
+	if n := len(begun.chain); n > 0 {
+		request.preferredInstance = begun.chain[n-1].Instance
+	}
+	request.body = assemblePrompt(cached, begun.chain, request.x.Body)
+}
+
+// storeTurn stores a complete turn and caches its text for the next one. It reports whether the turn is known to be durable.
+func (request *clientRequest) storeTurn(transcript *transcript, tokens uint64) bool {
+	if !request.settleTurn(transcript, tokens) {
+		return false
+	}
+	request.gateway.transcripts.add(&cachedPrompt{attempt: request.attemptID, conversation: transcript.conversation, instance: transcript.instance,
+		prompt: append(request.body, transcript.output...)})
+	return true
+}
+
+// settleTurn settles a complete turn with its text, until the deadline. It reports whether that is known to be durable.
+func (request *clientRequest) settleTurn(transcript *transcript, tokens uint64) bool {
+	ctx, cancel := context.WithDeadline(context.Background(), request.deadline)
+	defer cancel()
+	turn := &tierv1.Turn{Attempt: request.attemptID, Previous: transcript.previous, Program: transcript.program, Input: request.x.Body,
+		Output: transcript.output, RetentionMs: transcript.retentionMs, Instance: transcript.instance}
+	return request.gateway.storeClient.settle(ctx, &tierv1.SettleRequest{Program: transcript.program, Attempt: request.attemptID, Kept: true,
+		Tokens: tokens, Turn: turn})
+}
+
+// assemblePrompt concatenates a cached text, which may be nil, the turns that follow it, and the new input.
+func assemblePrompt(cached *cachedPrompt, chain []*tierv1.Turn, input []byte) []byte {
+	size := len(input)
+	if cached != nil {
+		size += len(cached.prompt)
+	}
+	for _, t := range chain {
+		size += len(t.Input) + len(t.Output)
+	}
+	if size == len(input) {
+		return input
+	}
+	all := make([]byte, 0, size)
+	if cached != nil {
+		all = append(all, cached.prompt...)
+	}
+	for _, t := range chain {
+		all = append(append(all, t.Input...), t.Output...)
+	}
+	return append(all, input...)
+}
--- a/internal/tier/gateway/turnclient.go
+++ b/internal/tier/gateway/turnclient.go
@@ -4,32 +4,34 @@
 	"context"
 
 	"github.com/phuslu/log"
+
 	"saffronyard.example/saffronyard/internal/tier/settings"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// TurnClient is the gateway's side of the turn stores without its traffic: what the simulator of the tier calls them by.
-// Its methods may be called from any goroutine.
+// TurnClient is a gateway's client of the turn stores without the traffic, as the simulation of the tier uses it. Its methods are safe
+// for concurrent use.
 type TurnClient struct{ stores *storeClient }
 
-// NewTurnClient makes one that knows no map yet.
+// NewTurnClient returns a client without a partition map.
 func NewTurnClient(s settings.Settings, dial func(address string) tierv1.TurnStore, l *log.Logger) *TurnClient {
 	return &TurnClient{newStoreClient(s, dial, l)}
 }
 
-// ApplyPartitionMap takes a newer map in.
+// ApplyPartitionMap applies a newer partition map.
 func (client *TurnClient) ApplyPartitionMap(m *tierv1.PartitionMap) { client.stores.apply(m) }
 
-// Ready tells whether a map has come.
+// Ready reports whether a map with partitions has been applied.
 func (client *TurnClient) Ready() bool { return client.stores.ready() }
 
-// Begin asks for a turn, as a request that came from a client does. The verdict is OK, SPENT or UNKNOWN for sure, or BUSY.
+// Begin begins a turn as a request of a client does. The verdict is OK, with the chain that the turn continues, SPENT or UNKNOWN for
+// certain, or BUSY.
 func (client *TurnClient) Begin(ctx context.Context, req *tierv1.BeginRequest) (verdict tierv1.Verdict, chain []*tierv1.Turn) {
 	begun := client.stores.begin(ctx, req)
 	return begun.verdict, begun.chain
 }
 
-// Settle ends a reservation, and reports whether that is durable.
+// Settle ends a reservation, and reports whether that is known to be durable.
 func (client *TurnClient) Settle(ctx context.Context, req *tierv1.SettleRequest) bool {
 	return client.stores.settle(ctx, req)
 }
