--- a/internal/fleet/feed.go
+++ b/internal/fleet/feed.go
@@ -3,29 +3,30 @@
 import (
 	"context"
 	"sync"
+	"time"
 
 	"saffronyard.example/saffronyard/internal/replicatedlog"
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
 const (
-	maxFeedEntries  = 20_000 // entries that a voter keeps for those that follow; one that is further behind is told a snapshot
+	maxFeedEntries  = 20_000 // that a voter retains for followers; one that is further behind gets a snapshot
 	maxChunkEntries = 500    // entries in a piece
 	maxChunkBytes   = 1 << 20
 )
 
-// feed is the committed log as those follow it that are no voters; the voter's own copy as well.
+// feed is the committed log as it is streamed to followers, this sender's own replica among them. It is safe for concurrent use.
 type feed struct {
 	mu        sync.Mutex
-	baseIndex uint64 // index that the snapshot is of, or the first entry is behind
-	snapshot  []byte // nil: entries from 1 on are all there are
+	baseIndex uint64 // of the snapshot; the first entry follows it
+	snapshot  []byte // nil: entries holds the log from index 1 on
 	entries   []*pb.Entry
 	changed   chan struct{} // closed with each change
 }
 
 func newFeed() *feed { return &feed{changed: make(chan struct{})} }
 
-// commit takes what is agreed now.
+// commit appends what is committed now.
 func (f *feed) commit(c replicatedlog.Committed) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -37,7 +38,7 @@
 	f.changed = make(chan struct{})
 }
 
-// compact lets go of what lies before a snapshot, once that is much.
+// compact drops the entries before a snapshot once there are many.
 func (f *feed) compact(snapshot []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -52,41 +53,45 @@
 	f.baseIndex, f.snapshot = at, snapshot
 }
 
-// after gives what comes behind an index, up to a piece; and what is closed when there is more.
-func (f *feed) after(index uint64) (p *pb.LogChunk, changed chan struct{}) {
+// after is what follows an index, up to one chunk, and a channel that is closed when there is more.
+func (f *feed) after(index uint64) (c *pb.LogChunk, changed chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p = &pb.LogChunk{CommitIndex: f.baseIndex + uint64(len(f.entries))}
+	c = &pb.LogChunk{CommitIndex: f.baseIndex + uint64(len(f.entries))}
 	if index < f.baseIndex {
-		p.Snapshot, index = f.snapshot, f.baseIndex
+		c.Snapshot, index = f.snapshot, f.baseIndex
 	}
-	size := len(p.Snapshot)
-	for i := index - f.baseIndex; i < uint64(len(f.entries)) && len(p.Entries) < maxChunkEntries && size < maxChunkBytes; i++ {
-		p.Entries = append(p.Entries, f.entries[i])
+	size := len(c.Snapshot)
+	for i := index - f.baseIndex; i < uint64(len(f.entries)) && len(c.Entries) < maxChunkEntries && size < maxChunkBytes; i++ {
+		c.Entries = append(c.Entries, f.entries[i])
 		size += len(f.entries[i].Command)
 	}
-	return p, f.changed
+	return c, f.changed
 }
 
-// follow passes pieces on from an index until ctx ends or told says no; beat is called when nothing came for a while.
-func (f *feed) follow(ctx context.Context, index uint64, beat func() <-chan struct{}, told func(*pb.LogChunk) bool) {
+// follow passes chunks on from an index until ctx ends or send returns false. When nothing comes for a heartbeat interval it sends an
+// empty chunk.
+func (f *feed) follow(ctx context.Context, index uint64, send func(*pb.LogChunk) bool) {
+	heartbeat := time.NewTimer(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
-		p, changed := f.after(index)
-		if len(p.Snapshot) > 0 {
-			index = max(index, replicatedlog.SnapshotIndex(p.Snapshot))
+		c, changed := f.after(index)
+		if len(c.Snapshot) > 0 {
+			index = max(index, replicatedlog.SnapshotIndex(c.Snapshot))
 		}
-		if n := len(p.Entries); n > 0 {
-			index = p.Entries[n-1].Index
+		if n := len(c.Entries); n > 0 {
+			index = c.Entries[n-1].Index
 		}
-		if !told(p) {
+		if !send(c) {
 			return
 		}
-		if index < p.CommitIndex {
+		if index < c.CommitIndex {
 			continue
 		}
+		heartbeat.Reset(heartbeatInterval)
 		select {
 		case <-changed:
-		case <-beat():
+		case <-heartbeat.C:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -2,31 +2,27 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
 	"saffronyard.example/saffronyard/internal/replicatedlog"
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// followLoop keeps the copy following some voter: this sender's own log if it has one, or else one that answers.
+// followLoop keeps the replica following the committed log until the node stops: this sender's own log if it is a voter, or else that of
+// a voter that answers.
 func (n *Node) followLoop() {
 	for n.ctx.Err() == nil {
 		if n.currentVoter() != nil {
-			n.feed.follow(n.ctx, n.appliedIndex(), heartbeats(), func(p *pb.LogChunk) bool {
-				n.mu.Lock()
-				n.heardAt = n.cfg.Now()
-				n.mu.Unlock()
-				return n.currentVoter() != nil && (len(p.Entries)+len(p.Snapshot) == 0 || n.replica.Inbox.Put(n.ctx, replicatedlog.LogReceived{Chunk: p}) == nil)
-			})
+			n.followOwnLog()
 			continue
 		}
-		names := n.voterNames()
-		for _, name := range names {
+		for _, name := range n.voterNames() {
 			if n.ctx.Err() != nil || n.currentVoter() != nil {
 				break
 			}
 			err := n.follow(name)
-			n.log.Debug("fleet: follows no longer", "voter", name, "err", err)
+			n.log.Debug("fleet: stopped following a voter", "voter", name, "err", err)
 			n.mu.Lock()
 			if n.followed == name {
 				n.followed = ""
@@ -40,13 +36,30 @@
 	}
 }
 
+// followOwnLog follows this sender's own log while it is a voter.
+func (n *Node) followOwnLog() {
+	n.feed.follow(n.ctx, n.appliedIndex(), func(c *pb.LogChunk) bool {
+		n.mu.Lock()
+		n.receivedAt = n.cfg.Now()
+		n.mu.Unlock()
+		if n.currentVoter() == nil {
+			return false
+		}
+		return isHeartbeat(c) || n.replica.Inbox.Put(n.ctx, replicatedlog.LogReceived{Chunk: c}) == nil
+	})
+}
+
+func isHeartbeat(c *pb.LogChunk) bool { return len(c.Entries)+len(c.Snapshot) == 0 }
+
+// appliedIndex is how far the replica has come.
 func (n *Node) appliedIndex() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.replicaReport.index
 }
 
-// follow hears the committed log from a voter until that is silent, or this sender becomes one itself.
+// follow receives the committed log from a voter until that is silent for followTimeout, the stream ends, or this sender becomes a voter
+// itself, which gives nil.
 func (n *Node) follow(name string) error {
 	client, err := n.conns.client(n.address(name))
 	if err != nil {
@@ -54,23 +67,23 @@
 	}
 	ctx, stop := context.WithCancel(n.ctx)
 	defer stop()
-	silent := time.AfterFunc(followTimeout, stop)
-	defer silent.Stop()
-	from, err := client.Follow(ctx, &pb.FollowRequest{Cluster: n.cfg.Cluster, Name: n.cfg.Name, AfterIndex: n.appliedIndex()})
+	silence := time.AfterFunc(followTimeout, stop)
+	defer silence.Stop()
+	stream, err := client.Follow(ctx, &pb.FollowRequest{Cluster: n.cfg.Cluster, Name: n.cfg.Name, AfterIndex: n.appliedIndex()})
 	if err != nil {
 		return err
 	}
 	for {
-		p, err := from.Recv()
+		c, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		silent.Reset(followTimeout)
+		silence.Reset(followTimeout)
 		n.mu.Lock()
-		n.followed, n.heardAt = name, n.cfg.Now()
+		n.followed, n.receivedAt = name, n.cfg.Now()
 		n.mu.Unlock()
-		if len(p.Entries)+len(p.Snapshot) > 0 {
-			if err := n.replica.Inbox.Put(ctx, replicatedlog.LogReceived{Chunk: p}); err != nil {
+		if !isHeartbeat(c) {
+			if err := n.replica.Inbox.Put(ctx, replicatedlog.LogReceived{Chunk: c}); err != nil {
 				return err
 			}
 		}
@@ -81,20 +94,15 @@
 	}
 }
 
-// startVoterIfAdded begins a voter's part once the state says that this sender is one.
+// startVoterIfAdded starts a voter once the replicated state says that this sender is one.
 func (n *Node) startVoterIfAdded() {
 	n.mu.Lock()
-	is := n.store == nil
-	if is {
-		is = false
-		for _, v := range n.replicaReport.voters {
-			is = is || v.Name == n.cfg.Name && !v.Removed
-		}
-	}
+	added := n.store == nil && slices.ContainsFunc(n.replicaReport.voters, func(v *pb.Voter) bool { return v.Name == n.cfg.Name && !v.Removed })
 	n.mu.Unlock()
-	if is {
-		if err := n.startVoter(n.firstVoters()); err != nil {
-			n.log.Error("fleet: this sender can't be a voter", "err", err)
-		}
+	if !added {
+		return
+	}
+	if err := n.startVoter(n.firstVoters()); err != nil {
+		n.log.Error("fleet: this sender can't be a voter", "err", err)
 	}
 }
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -160,7 +160,7 @@
 	if len(r.Observations) > maxObservationsPerReport {
 		return nil, status.Errorf(codes.InvalidArgument, "%d testimonies; %d are the most", len(r.Observations), maxObservationsPerReport)
 	}
-	s.n.quotas.health.worker.Inbox.Offer(reportReceived{r})
+	s.node.quotas.health.worker.Inbox.Offer(reportReceived{r})
 	return &pb.Ack{}, nil
 }
 
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -81,11 +81,11 @@
 
 	mu             sync.Mutex
 	addr           string
-	voter          *worker.Worker[any, any]      // nil: this sender is no voter, or has not heard the others yet
+	voter          *voterActor                   // nil: this sender is no voter, or has not heard the others yet
 	storedPosition *replicatedlog.StoredPosition // of a voter
 	store          *store
-	replica        *worker.Worker[any, any]
-	replies        map[uint64]chan any
+	replica        *replicaActor
+	replies        map[uint64]chan replicatedlog.Reply
 	lastReply      uint64                                         // reply
 	outboxes       map[string]*worker.RingBuffer[*raftpb.Message] // to other voters
 	status         replicatedlog.Status
@@ -95,7 +95,7 @@
 	missingVoters  string              // for which voters this one waits before it takes part
 	replicaReport  replicaReport
 	followed       string        // voter that is followed
-	heardAt        time.Duration // a voter's word came last; a voter hears its own log
+	receivedAt     time.Duration // a voter's word came last; a voter hears its own log
 	onChange       func()        // that calls go by another view, or may or may not be begun at all
 }
 
@@ -116,7 +116,7 @@
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	n := &Node{cfg: c, log: log, incarnation: randomID(), gate: NewGate(c.Now), keys: &keyring{cluster: c.Cluster, keys: c.Keys}, feed: newFeed(), peers: incarnations{current: map[string]uint64{}},
-		replies: map[uint64]chan any{}, outboxes: map[string]*worker.RingBuffer[*raftpb.Message]{}, addr: l.Addr().String()}
+		replies: map[uint64]chan replicatedlog.Reply{}, outboxes: map[string]*worker.RingBuffer[*raftpb.Message]{}, addr: l.Addr().String()}
 	n.gate.coarseNow = rough
 	n.conns = newConnections(n.keys)
 	n.ctx, n.stop = context.WithCancel(context.Background())
@@ -129,7 +129,7 @@
 		}
 	}
 	n.server = grpc.NewServer(append(n.keys.serverOptions(), grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxSendMsgSize(maxMessageBytes))...)
-	pb.RegisterFleetServer(n.server, &service{n: n})
+	pb.RegisterFleetServer(n.server, &service{node: n})
 	if n.quotas, err = newQuotaNode(n); err != nil {
 		n.stop()
 		l.Close()
--- a/internal/fleet/quota_server.go
+++ b/internal/fleet/quota_server.go
@@ -128,5 +128,5 @@
 	if err := s.checkCluster(r.Cluster); err != nil {
 		return nil, err
 	}
-	return s.n.quotas.grant(ctx, r)
+	return s.node.quotas.grant(ctx, r)
 }
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -12,7 +12,13 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// replicaReport is what the copy has, as others read it.
+// replicaActor runs a replica's state machine.
+type replicaActor = worker.Worker[replicatedlog.ReplicaEvent, replicatedlog.ReplicaAction]
+
+// replicaWorker is the name of the replica's worker, as commands show it.
+const replicaWorker = "copy"
+
+// replicaReport is the part of the replica's state that other goroutines read.
 type replicaReport struct {
 	index   uint64
 	members []*pb.Member
@@ -20,104 +26,124 @@
 	policy  *pb.PolicyState
 }
 
-// replicaStepper is the Copy as a duty, that shows after each step what it has.
+// replicaStepper is a replica that publishes its report after each step.
 type replicaStepper struct {
 	*replicatedlog.Replica
-	n *Node
+	node *Node
 }
 
 // Step takes events in.
-func (s replicaStepper) Step(now time.Duration, events []any) ([]any, time.Duration) {
+func (s replicaStepper) Step(now time.Duration, events []replicatedlog.ReplicaEvent) ([]replicatedlog.ReplicaAction, time.Duration) {
 	actions, alarm := s.Replica.Step(now, events)
-	st := s.State()
-	s.n.mu.Lock()
-	if st.Index() != s.n.replicaReport.index {
-		s.n.replicaReport = replicaReport{st.Index(), st.Members(), st.Voters(), proto.Clone(s.Policy().State()).(*pb.PolicyState)}
+	state := s.State()
+	s.node.mu.Lock()
+	if state.Index() != s.node.replicaReport.index {
+		s.node.replicaReport = replicaReport{state.Index(), state.Members(), state.Voters(), proto.CloneOf(s.Policy().State())}
 	}
-	s.n.mu.Unlock()
+	s.node.mu.Unlock()
 	return actions, alarm
 }
 
 func (n *Node) startReplica() {
-	c := replicatedlog.NewReplica(n.cfg.Name, n.incarnation, n.cfg.Settings, n.cfg.LeaseTerms)
-	c.Participate(n.addr)
-	d := &worker.Worker[any, any]{Name: "copy", Inbox: worker.NewRingBuffer[any]("copy", replicaInboxSize, worker.Block, nil), Stepper: replicaStepper{c, n}, Execute: n.executeReplica}
-	n.replica = d
-	n.group.Start(d, worker.StopWorker)
+	r := replicatedlog.NewReplica(n.cfg.Name, n.incarnation, n.cfg.Settings, n.cfg.LeaseTerms)
+	r.Participate(n.addr)
+	n.replica = &replicaActor{Name: replicaWorker, Inbox: worker.NewRingBuffer[replicatedlog.ReplicaEvent](replicaWorker, replicaInboxSize, worker.Block, nil),
+		Stepper: replicaStepper{r, n}, Execute: n.executeReplica}
+	n.group.Start(n.replica, worker.StopWorker)
 }
 
-// executeReplica carries out what the copy wants done. What takes time goes to a goroutine of its own, and comes back as an event.
-func (n *Node) executeReplica(_ context.Context, a any) error {
-	switch a := a.(type) {
+// executeReplica carries out an action of the replica. What may take long runs in the background and comes back as an event.
+func (n *Node) executeReplica(_ context.Context, action replicatedlog.ReplicaAction) error {
+	switch a := action.(type) {
 	case replicatedlog.StageChange:
-		n.goBackground(func(ctx context.Context) {
-			raw, err := proto.Marshal(&pb.Change{Id: a.ChangeID, Document: a.Document})
-			if err == nil {
-				err = n.cfg.Disk.Write(filepath.Join(n.cfg.Folder, stagedName), raw)
-			}
-			if err != nil {
-				n.log.Error("fleet: a change of the policy can't be staged: it is refused", "change", a.ChangeID, "err", err)
-			}
-			n.replica.Inbox.Put(ctx, replicatedlog.ChangeStaged{ChangeID: a.ChangeID, Err: err})
-		})
+		n.goBackground(func(ctx context.Context) { n.stageChange(ctx, a) })
 	case replicatedlog.SendLeaseRequest:
-		n.goBackground(func(ctx context.Context) {
-			a.Request.Cluster = n.cfg.Cluster
-			var r *pb.LeaseReply
-			err := n.callAnyVoter(ctx, func(ctx context.Context, client pb.FleetClient) error {
-				var err error
-				r, err = client.Ask(ctx, a.Request)
-				return err
-			})
-			if err != nil {
-				n.log.Debug("fleet: no lease", "err", err)
-				n.replica.Inbox.Put(ctx, replicatedlog.LeaseRequestFailed{RequestedAt: a.RequestedAt})
-				return
-			}
-			n.mu.Lock()
-			n.waitingOn = r.WaitingOn
-			n.mu.Unlock()
-			n.replica.Inbox.Put(ctx, replicatedlog.LeaseGranted{RequestedAt: a.RequestedAt, RequiredIndex: r.RequiredIndex, Duration: time.Duration(r.DurationUs) * time.Microsecond})
-		})
+		n.goBackground(func(ctx context.Context) { n.requestLease(ctx, a) })
 	case replicatedlog.PublishView:
-		was, could := n.gate.View()
-		n.quotas.setView(a.View) // before any call goes by it
-		drained := n.gate.publish(a.View, a.LeaseUntil, a.Drain)
-		if a.Drain {
-			n.goBackground(func(ctx context.Context) {
-				drained()
-				n.replica.Inbox.Put(ctx, replicatedlog.Drained{Index: a.View.Index})
-			})
-		}
-		n.quotas.notifyView()
-		if _, can := n.gate.View(); a.Drain || can != could || was != nil && was.Health != a.View.Health {
-			n.notifyChange()
-		}
+		n.publishView(a)
 	case replicatedlog.LeaseExpired:
 		n.log.Warn("fleet: cut off: no lease is left, and no call is begun")
 		n.notifyChange()
 	case replicatedlog.SubmitJoin:
+		n.goBackground(func(ctx context.Context) { n.submitJoin(ctx, a) })
+	}
+	return nil
+}
+
+// stageChange stores a proposed policy and tells the replica.
+func (n *Node) stageChange(ctx context.Context, a replicatedlog.StageChange) {
+	raw, err := proto.Marshal(&pb.Change{Id: a.ChangeID, Document: a.Document})
+	if err == nil {
+		err = n.cfg.Disk.Write(filepath.Join(n.cfg.Folder, stagedName), raw)
+	}
+	if err != nil {
+		n.log.Error("fleet: a change of the policy can't be staged: it is refused", "change", a.ChangeID, "err", err)
+	}
+	n.tellReplica(ctx, replicatedlog.ChangeStaged{ChangeID: a.ChangeID, Err: err})
+}
+
+// requestLease asks some voter for a lease and tells the replica what came of it.
+func (n *Node) requestLease(ctx context.Context, a replicatedlog.SendLeaseRequest) {
+	a.Request.Cluster = n.cfg.Cluster
+	var r *pb.LeaseReply
+	err := n.callAnyVoter(ctx, func(ctx context.Context, client pb.FleetClient) error {
+		var err error
+		r, err = client.Ask(ctx, a.Request)
+		return err
+	})
+	if err != nil {
+		n.log.Debug("fleet: no lease", "err", err)
+		n.tellReplica(ctx, replicatedlog.LeaseRequestFailed{RequestedAt: a.RequestedAt})
+		return
+	}
+	n.mu.Lock()
+	n.waitingOn = r.WaitingOn
+	n.mu.Unlock()
+	n.tellReplica(ctx, replicatedlog.LeaseGranted{RequestedAt: a.RequestedAt, RequiredIndex: r.RequiredIndex, Duration: time.Duration(r.DurationUs) * time.Microsecond})
+}
+
+// publishView has calls go by a view. The allowances follow it before any call does.
+func (n *Node) publishView(a replicatedlog.PublishView) {
+	former, couldAct := n.gate.View()
+	n.quotas.setView(a.View)
+	waitDrained := n.gate.publish(a.View, a.LeaseUntil, a.Drain)
+	if a.Drain {
 		n.goBackground(func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, n.cfg.LeaseTerms.Duration)
-			defer cancel()
-			if r, err := n.Submit(ctx, replicatedlog.KindJoin, a.Command); err == nil && r.Rejection != "" {
-				n.log.Error("fleet: this sender is no member", "why", r.Rejection)
-			}
+			waitDrained()
+			n.tellReplica(ctx, replicatedlog.Drained{Index: a.View.Index})
 		})
 	}
-	return nil
+	n.quotas.notifyView()
+	if _, canAct := n.gate.View(); a.Drain || canAct != couldAct || former != nil && former.Health != a.View.Health {
+		n.notifyChange()
+	}
+}
+
+func (n *Node) submitJoin(ctx context.Context, a replicatedlog.SubmitJoin) {
+	ctx, cancel := context.WithTimeout(ctx, n.cfg.LeaseTerms.Duration)
+	defer cancel()
+	// One that fails is submitted again by the replica.
+	if r, err := n.Submit(ctx, replicatedlog.KindJoin, a.Command); err == nil && r.Rejection != "" {
+		n.log.Error("fleet: this sender is no member", "why", r.Rejection)
+	}
+}
+
+// tellReplica puts an event into the replica's inbox. It fails only as the node stops.
+func (n *Node) tellReplica(ctx context.Context, e replicatedlog.ReplicaEvent) {
+	_ = n.replica.Inbox.Put(ctx, e)
 }
 
+// notifyChange tells OnChange's function.
 func (n *Node) notifyChange() {
 	n.mu.Lock()
-	told := n.onChange
+	f := n.onChange
 	n.mu.Unlock()
-	if told != nil {
-		told()
+	if f != nil {
+		f()
 	}
 }
 
-// goBackground runs what may wait.
+// goBackground runs f in a goroutine that Close waits for; its context ends as the node stops.
 func (n *Node) goBackground(f func(context.Context)) {
 	n.background.Add(1)
 	go func() {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -98,8 +98,8 @@
 	now := n.cfg.Now()
 	r := Report{Name: n.cfg.Name, Cluster: n.cfg.Cluster, Address: n.addr, Index: n.replicaReport.index, Followed: n.followed, LeaseDurationMS: n.cfg.LeaseTerms.Duration.Milliseconds(),
 		Bound: fmt.Sprintf("lease %v, counted %v by who grants it (drift %g); then two round trips", n.cfg.LeaseTerms.Duration, n.cfg.LeaseTerms.GranterDuration(), n.cfg.LeaseTerms.MaxDrift)}
-	if n.heardAt > 0 {
-		r.AgeMS = (now - n.heardAt).Milliseconds()
+	if n.receivedAt > 0 {
+		r.AgeMS = (now - n.receivedAt).Milliseconds()
 	}
 	if v, acts := n.gate.View(); v != nil {
 		r.MayAct = acts
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -28,20 +28,22 @@
 	keepaliveTimeout  = 2 * time.Second
 )
 
-// service is what others ask of this sender.
+// service serves the Fleet calls of other senders.
 type service struct {
 	pb.UnimplementedFleetServer
-	n *Node
+	node *Node
 }
 
+// checkCluster refuses callers of another fleet.
 func (s *service) checkCluster(cluster string) error {
-	if cluster != s.n.cfg.Cluster {
-		return status.Errorf(codes.PermissionDenied, "this is cluster %q, not %q", s.n.cfg.Cluster, cluster)
+	if cluster != s.node.cfg.Cluster {
+		return status.Errorf(codes.PermissionDenied, "this is cluster %q, not %q", s.node.cfg.Cluster, cluster)
 	}
 	return nil
 }
 
-// Raft takes the messages of a voter. Those of a process before the one that said hello last are none.
+// Raft takes the raft messages of one voter. Those of an incarnation before its last handshake end the stream; those meant for an
+// earlier incarnation of this sender, which may have given votes that this one does not know of, are dropped.
 func (s *service) Raft(from grpc.ClientStreamingServer[pb.RaftEnvelope, pb.Ack]) error {
 	for {
 		p, err := from.Recv()
@@ -51,97 +53,94 @@
 		if err := s.checkCluster(p.Cluster); err != nil {
 			return err
 		}
-		core := s.n.currentVoter()
-		if core == nil {
-			return status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
+		voter := s.node.currentVoter()
+		if voter == nil {
+			return errNoVoter
 		}
-		if p.ToIncarnation != 0 && p.ToIncarnation != s.n.incarnation { // for the process before this one: what that promised this one may not know
+		if p.ToIncarnation != 0 && p.ToIncarnation != s.node.incarnation {
 			continue
 		}
 		m := &raftpb.Message{}
 		if err := proto.Unmarshal(p.Message, m); err != nil || m.GetFrom() != replicatedlog.VoterID(p.From) {
 			return status.Errorf(codes.InvalidArgument, "a message that can't be read, or is not its sender's: %v", err)
 		}
-		if !s.n.peers.deliver(p.From, p.Incarnation, func() { core.Inbox.Offer(replicatedlog.MessageReceived{Message: m}) }) { // one that is dropped is sent again
+		// A message that a full inbox drops is sent again by raft.
+		if !s.node.peers.deliver(p.From, p.Incarnation, func() { voter.Inbox.Offer(replicatedlog.MessageReceived{Message: m}) }) {
 			return status.Errorf(codes.Aborted, "%s has another process by now", p.From)
 		}
 	}
 }
 
-// Hello answers a voter that starts: from now on its earlier processes say nothing.
+// Hello answers the handshake of a voter that starts: from now on messages of its earlier incarnations are dropped. While this voter has not
+// completed its own handshake it answers with what it has stored.
 func (s *service) Hello(ctx context.Context, r *pb.HelloRequest) (*pb.HelloReply, error) {
 	if err := s.checkCluster(r.Cluster); err != nil {
 		return nil, err
 	}
-	s.n.mu.Lock()
-	folder, core := s.n.storedPosition, s.n.voter
-	s.n.mu.Unlock()
-	if folder == nil {
-		return nil, status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
+	s.node.mu.Lock()
+	stored, voter := s.node.storedPosition, s.node.voter
+	s.node.mu.Unlock()
+	if stored == nil {
+		return nil, errNoVoter
 	}
-	s.n.peers.set(r.Name, r.Incarnation)
-	if core == nil { // it has not heard all others itself yet: what its folder has is what it can vouch for
-		return &pb.HelloReply{Term: folder.Term, LastTerm: folder.LastTerm, LastIndex: folder.LastIndex, Starting: true}, nil
+	s.node.peers.set(r.Name, r.Incarnation)
+	if voter == nil {
+		return &pb.HelloReply{Term: stored.Term, LastTerm: stored.LastTerm, LastIndex: stored.LastIndex, Starting: true}, nil
 	}
-	v, err := s.n.callVoter(ctx, func(to uint64) any { return replicatedlog.HandshakeRequested{ReplyTo: to, VoterID: r.VoterId} })
+	reply, err := s.node.callVoter(ctx, func(to uint64) replicatedlog.VoterEvent {
+		return replicatedlog.HandshakeRequested{ReplyTo: to, VoterID: r.VoterId}
+	})
 	if err != nil {
 		return nil, err
 	}
-	return v.(*pb.HelloReply), nil
+	return reply.(*pb.HelloReply), nil
 }
 
-// Follow tells the committed log.
+// Follow streams the committed log.
 func (s *service) Follow(r *pb.FollowRequest, to grpc.ServerStreamingServer[pb.LogChunk]) error {
 	if err := s.checkCluster(r.Cluster); err != nil {
 		return err
 	}
-	if s.n.currentVoter() == nil {
-		return status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
+	if s.node.currentVoter() == nil {
+		return errNoVoter
 	}
-	if s.n.followers.Add(1) > maxFollowers {
-		s.n.followers.Add(-1)
+	if s.node.followers.Add(1) > maxFollowers {
+		s.node.followers.Add(-1)
 		return status.Errorf(codes.ResourceExhausted, "%d follow this sender already", maxFollowers)
 	}
-	defer s.n.followers.Add(-1)
+	defer s.node.followers.Add(-1)
 	var err error
-	s.n.feed.follow(to.Context(), r.AfterIndex, heartbeats(), func(p *pb.LogChunk) bool {
-		err = to.Send(p)
+	s.node.feed.follow(to.Context(), r.AfterIndex, func(c *pb.LogChunk) bool {
+		err = to.Send(c)
 		return err == nil
 	})
 	return err
 }
 
-// heartbeats gives a word some time after it is asked for.
-func heartbeats() func() <-chan struct{} {
-	return func() <-chan struct{} {
-		c := make(chan struct{})
-		time.AfterFunc(heartbeatInterval, func() { close(c) })
-		return c
-	}
-}
-
-// Ask grants a lease, if this sender leads, or asks the one that does.
+// Ask grants a lease if this voter leads, or forwards the request to the leader, once.
 func (s *service) Ask(ctx context.Context, r *pb.LeaseRequest) (*pb.LeaseReply, error) {
 	if err := s.checkCluster(r.Cluster); err != nil {
 		return nil, err
 	}
-	v, err := s.n.callVoter(ctx, func(to uint64) any { return replicatedlog.LeaseRequested{ReplyTo: to, Request: r} })
+	reply, err := s.node.callVoter(ctx, func(to uint64) replicatedlog.VoterEvent {
+		return replicatedlog.LeaseRequested{ReplyTo: to, Request: r}
+	})
 	if errors.Is(err, replicatedlog.ErrNotLeader) && !r.Forwarded {
-		client, bad := s.n.leaderClient()
-		if bad != nil {
-			return nil, bad
+		leader, err := s.node.leaderClient()
+		if err != nil {
+			return nil, err
 		}
-		on := proto.Clone(r).(*pb.LeaseRequest)
-		on.Forwarded = true
-		return client.Ask(ctx, on)
+		forwarded := proto.CloneOf(r)
+		forwarded.Forwarded = true
+		return leader.Ask(ctx, forwarded)
 	}
 	if err != nil {
 		return nil, withCode(err)
 	}
-	return v.(*pb.LeaseReply), nil
+	return reply.(*pb.LeaseReply), nil
 }
 
-// Submit takes a command in, if this sender leads, or passes it on to the one that does.
+// Submit proposes a command if this voter leads, or forwards it to the leader, once.
 func (s *service) Submit(ctx context.Context, r *pb.SubmitRequest) (*pb.SubmitReply, error) {
 	if err := s.checkCluster(r.Cluster); err != nil {
 		return nil, err
@@ -150,25 +149,26 @@
 	if err := proto.Unmarshal(r.Command, c); err != nil || c.Session == 0 {
 		return nil, status.Errorf(codes.InvalidArgument, "a command that can't be read, or has no session: %v", err)
 	}
-	v, err := s.n.callVoter(ctx, func(to uint64) any {
+	reply, err := s.node.callVoter(ctx, func(to uint64) replicatedlog.VoterEvent {
 		if c.Kind == replicatedlog.KindVoters {
 			return replicatedlog.VoterChangeRequested{ReplyTo: to, Command: c}
 		}
 		return replicatedlog.CommandSubmitted{ReplyTo: to, Command: c}
 	})
 	if errors.Is(err, replicatedlog.ErrNotLeader) && !r.Forwarded {
-		client, bad := s.n.leaderClient()
-		if bad != nil {
-			return nil, bad
+		leader, err := s.node.leaderClient()
+		if err != nil {
+			return nil, err
 		}
-		return client.Submit(ctx, &pb.SubmitRequest{Cluster: r.Cluster, Command: r.Command, Forwarded: true})
+		return leader.Submit(ctx, &pb.SubmitRequest{Cluster: r.Cluster, Command: r.Command, Forwarded: true})
 	}
 	if err != nil {
 		return nil, withCode(err)
 	}
-	return v.(*pb.SubmitReply), nil
+	return reply.(*pb.SubmitReply), nil
 }
 
+// withCode gives an error of the voter the status code that has callers try another voter.
 func withCode(err error) error {
 	if errors.Is(err, replicatedlog.ErrNotLeader) {
 		return status.Error(codes.Unavailable, err.Error())
--- a/internal/fleet/staging.go
+++ b/internal/fleet/staging.go
@@ -55,8 +55,8 @@
 	return realDisk{}.Write(filepath.Join(folder, vouchedName), []byte(by))
 }
 
-// vouched takes an operator's word, once.
-func vouched(folder string) (by string, ok bool, err error) {
+// takeVouch takes an operator's word, once.
+func takeVouch(folder string) (by string, ok bool, err error) {
 	path := filepath.Join(folder, vouchedName)
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -39,7 +39,7 @@
 // A voter that starts with the old file leads its own log on: its state is the one that the old program had.
 func TestStoredVoterLog_VoterStarts(t *testing.T) {
 	saved := loadStored(t)
-	core, start, err := replicatedlog.NewVoter("voter-a", saved, nil, lease.Terms{Duration: time.Second}, fleetpolicy.NewMachine(), nil)
+	core, start, err := replicatedlog.NewVoter(replicatedlog.VoterConfig{Name: "voter-a", Stored: saved, Terms: lease.Terms{Duration: time.Second}, Policy: fleetpolicy.NewMachine()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,10 +96,10 @@
 	if err := os.WriteFile(filepath.Join(folder, vouchedName), storedFile(t, vouchedName), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if by, ok, err := vouched(folder); by != "ops@example" || !ok || err != nil {
+	if by, ok, err := takeVouch(folder); by != "ops@example" || !ok || err != nil {
 		t.Errorf("vouched by %q (%v, %v)", by, ok, err)
 	}
-	if by, ok, err := vouched(folder); ok || err != nil {
+	if by, ok, err := takeVouch(folder); ok || err != nil {
 		t.Errorf("vouched a second time, by %q (%v)", by, err)
 	}
 }
@@ -338,7 +338,7 @@
 		log.Entries = append(log.Entries, &pb.Entry{Index: e.GetIndex(), Term: e.GetTerm(), Command: raw})
 	}
 	c := replicatedlog.NewReplica("reader", 1, fleetpolicy.Settings{}, lease.Terms{Duration: time.Second})
-	c.Step(time.Second, []any{replicatedlog.LogReceived{Chunk: log}})
+	c.Step(time.Second, []replicatedlog.ReplicaEvent{replicatedlog.LogReceived{Chunk: log}})
 	if last := saved.Entries[len(saved.Entries)-1].GetIndex(); c.State().Index() != last {
 		t.Fatalf("the state has come to entry %d; the log ends at %d", c.State().Index(), last)
 	}
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -10,6 +10,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/proto"
 
 	"saffronyard.example/saffronyard/internal/fleetpolicy"
 	"saffronyard.example/saffronyard/internal/replicatedlog"
@@ -17,13 +18,23 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// wasVoter is whether the folder is a voter's, that was added to the first ones.
+// voterActor runs a voter's state machine.
+type voterActor = worker.Worker[replicatedlog.VoterEvent, replicatedlog.VoterAction]
+
+// errNoVoter is what callers of a voter are told that this sender is none, or none yet.
+var errNoVoter = status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
+
+// errStopping is what callers are told while this sender stops.
+var errStopping = status.Error(codes.Unavailable, "this sender is leaving")
+
+// wasVoter reports whether the folder is a voter's that was added to the first ones.
 func (n *Node) wasVoter() bool {
 	_, err := os.Stat(filepath.Join(n.cfg.Folder, logName))
 	return err == nil
 }
 
-// firstVoters are those of the file: with them the log begins, also for one that is added later and goes through it from there.
+// firstVoters are those of the configuration file: the log begins with them, also for a voter that is added later and goes through it
+// from there.
 func (n *Node) firstVoters() *raftpb.ConfState {
 	conf := &raftpb.ConfState{}
 	for _, v := range n.cfg.Voters {
@@ -33,101 +44,99 @@
 	return conf
 }
 
-// startVoter opens the folder and, as soon as all others have answered, takes part.
+// startVoter opens the stored log and, in the background, joins the voters as soon as the handshake is complete.
 func (n *Node) startVoter(first *raftpb.ConfState) error {
 	s, err := openStore(n.cfg.Folder, n.cfg.Cluster, n.cfg.Name)
 	if err != nil {
 		return err
 	}
-	saved, err := s.load()
+	stored, err := s.load()
 	if err != nil {
 		s.close()
 		return err
 	}
-	if saved.ConfState == nil {
-		saved.ConfState = first
+	if stored.ConfState == nil {
+		stored.ConfState = first
 	}
-	by, trusted, err := vouched(n.cfg.Folder)
+	by, vouched, err := takeVouch(n.cfg.Folder)
 	if err != nil {
 		s.close()
 		return fmt.Errorf("fleet: %w", err)
 	}
-	f := saved.Position()
+	position := stored.Position()
 	n.mu.Lock()
-	n.store, n.storedPosition = s, &f
+	n.store, n.storedPosition = s, &position
 	n.mu.Unlock()
-	n.background.Add(1)
-	go func() {
-		defer n.background.Done()
-		var heard map[string]replicatedlog.PeerState
-		if trusted {
-			n.log.Warn("fleet: somebody vouches for the folder: the other voters' word is not waited for", "by", by)
-			n.background.Add(1)
-			go func() { // they hear of this process all the same, or would take its word for nobody's
-				defer n.background.Done()
-				n.handshake(saved)
-			}()
-		} else if heard = n.handshake(saved); heard == nil {
-			return
-		}
-		policy := fleetpolicy.NewMachine()
-		core, start, err := replicatedlog.NewVoter(n.cfg.Name, saved, heard, n.cfg.LeaseTerms, policy, raftLog{n.log})
-		if err != nil {
-			n.log.Error("fleet: this sender can't be a voter", "err", err)
-			return
-		}
-		if start.StaleReason != "" {
-			n.log.Error("fleet: the folder is older than what it has promised; it votes for nobody until it has caught up", "why", start.StaleReason)
-		}
-		d := &worker.Worker[any, any]{Name: voterWorker, Inbox: worker.NewRingBuffer[any](voterWorker, voterInboxSize, worker.Block, nil), Stepper: core, Execute: n.executeVoter}
-		n.mu.Lock()
-		n.voter, n.staleReason = d, start.StaleReason
-		n.mu.Unlock()
-		n.group.Start(d, worker.StopWorker)
-	}()
+	if vouched {
+		n.log.Warn("fleet: an operator vouches for the folder: the other voters are not waited for", "by", by)
+	}
+	n.goBackground(func(context.Context) { n.runVoter(stored, vouched) })
 	return nil
 }
 
-func (n *Node) currentVoter() *worker.Worker[any, any] {
+// runVoter completes the handshake and starts the voter's worker. With a vouched folder it does not wait, but the peers hear of
+// this incarnation all the same: they would drop its messages otherwise.
+func (n *Node) runVoter(stored *replicatedlog.StoredLog, vouched bool) {
+	var peers map[string]replicatedlog.PeerState
+	if vouched {
+		n.goBackground(func(context.Context) { n.handshake(stored) })
+	} else if peers = n.handshake(stored); peers == nil {
+		return
+	}
+	v, start, err := replicatedlog.NewVoter(replicatedlog.VoterConfig{Name: n.cfg.Name, Stored: stored, Peers: peers, Terms: n.cfg.LeaseTerms,
+		Policy: fleetpolicy.NewMachine(), Logger: raftLog{n.log}})
+	if err != nil {
+		n.log.Error("fleet: this sender can't be a voter", "err", err)
+		return
+	}
+	if start.StaleReason != "" {
+		n.log.Error("fleet: the folder is older than what was acknowledged from it; it votes for nobody until it has caught up", "why", start.StaleReason)
+	}
+	actor := &voterActor{Name: voterWorker, Inbox: worker.NewRingBuffer[replicatedlog.VoterEvent](voterWorker, voterInboxSize, worker.Block, nil), Stepper: v, Execute: n.executeVoter}
+	n.mu.Lock()
+	n.voter, n.staleReason = actor, start.StaleReason
+	n.mu.Unlock()
+	n.group.Start(actor, worker.StopWorker)
+}
+
+// currentVoter is the voter's worker; nil if this sender is no voter, or has not completed its handshake.
+func (n *Node) currentVoter() *voterActor {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.voter
 }
 
-// callVoter hands an event that is answered to the voter's log.
-func (n *Node) callVoter(ctx context.Context, event func(to uint64) any) (any, error) {
-	core := n.currentVoter()
-	if core == nil {
-		return nil, status.Error(codes.Unavailable, "this sender is no voter, or has not begun")
+// callVoter puts an event into the voter's inbox and waits for its reply. The error is a gRPC status, the inbox's or the voter's own.
+func (n *Node) callVoter(ctx context.Context, event func(replyTo uint64) replicatedlog.VoterEvent) (proto.Message, error) {
+	voter := n.currentVoter()
+	if voter == nil {
+		return nil, errNoVoter
 	}
-	answer := make(chan any, 1)
+	reply := make(chan replicatedlog.Reply, 1)
 	n.mu.Lock()
 	n.lastReply++
 	to := n.lastReply
-	n.replies[to] = answer
+	n.replies[to] = reply
 	n.mu.Unlock()
 	defer func() {
 		n.mu.Lock()
 		delete(n.replies, to)
 		n.mu.Unlock()
 	}()
-	if err := core.Inbox.Put(ctx, event(to)); err != nil {
+	if err := voter.Inbox.Put(ctx, event(to)); err != nil {
 		return nil, err
 	}
 	select {
-	case v := <-answer:
-		if err, bad := v.(error); bad {
-			return nil, err
-		}
-		return v, nil
+	case r := <-reply:
+		return r.Message, r.Err
 	case <-ctx.Done():
 		return nil, status.FromContextError(ctx.Err()).Err()
 	case <-n.ctx.Done():
-		return nil, status.Error(codes.Unavailable, "this sender is leaving")
+		return nil, errStopping
 	}
 }
 
-// leaderClient is the way to the one that leads, as this voter knows.
+// leaderClient is the connection to the leader, as this voter knows it.
 func (n *Node) leaderClient() (pb.FleetClient, error) {
 	n.mu.Lock()
 	id := n.status.Leader
@@ -143,9 +152,9 @@
 	return n.conns.client(address)
 }
 
-// executeVoter carries out what the voter's log wants done.
-func (n *Node) executeVoter(_ context.Context, a any) error {
-	switch a := a.(type) {
+// executeVoter carries out an action of the voter. An error stops the voter for good: the disk has not what it promised.
+func (n *Node) executeVoter(_ context.Context, action replicatedlog.VoterAction) error {
+	switch a := action.(type) {
 	case replicatedlog.Persist:
 		if err := n.store.save(a); err != nil {
 			return fmt.Errorf("fleet: the log can't be written, this voter takes part no longer: %w", err)
@@ -161,23 +170,28 @@
 		delete(n.replies, a.To)
 		n.mu.Unlock()
 		if c != nil {
-			c <- a.Value
+			c <- a
 		}
 	case replicatedlog.Committed:
 		n.feed.commit(a)
 	case replicatedlog.Status:
-		n.mu.Lock()
-		was := n.status
-		n.status = a
-		n.mu.Unlock()
-		if was.IsLeader != a.IsLeader || was.Leader != a.Leader {
-			n.log.Info("fleet: the lead", "leads", a.IsLeader, "leader", n.nameOf(a.Leader), "term", a.Term)
-		}
+		n.setVoterStatus(a)
 	}
 	return nil
 }
 
-// outbox is what goes to one voter, in order; the oldest is dropped when it does not keep up.
+func (n *Node) setVoterStatus(s replicatedlog.Status) {
+	n.mu.Lock()
+	former := n.status
+	n.status = s
+	n.mu.Unlock()
+	if former.IsLeader != s.IsLeader || former.Leader != s.Leader {
+		n.log.Info("fleet: the leader changed", "leads", s.IsLeader, "leader", n.nameOf(s.Leader), "term", s.Term)
+	}
+}
+
+// outbox is the queue of messages to one voter, in order; the oldest is dropped when that voter does not keep up. The first call starts
+// the goroutine that sends them.
 func (n *Node) outbox(name string) *worker.RingBuffer[*raftpb.Message] {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -185,11 +199,7 @@
 	if b == nil {
 		b = worker.NewRingBuffer[*raftpb.Message]("to "+name, outboxSize, worker.DropOldest, nil)
 		n.outboxes[name] = b
-		n.background.Add(1)
-		go func() {
-			defer n.background.Done()
-			n.sendLoop(n.ctx, name, b)
-		}()
+		n.goBackground(func(ctx context.Context) { n.sendLoop(ctx, name, b) })
 	}
 	return b
 }
--- a/internal/replicatedlog/cluster_sim_test.go
+++ b/internal/replicatedlog/cluster_sim_test.go
@@ -45,7 +45,7 @@
 	lead  uint64
 	alarm time.Duration
 	rate  float64
-	asked map[uint64]func(any)
+	asked map[uint64]func(Reply)
 	last  uint64
 	saves int
 	dies  int // with its save of this number, before that reaches the disk if torn
@@ -92,28 +92,17 @@
 
 type noLog struct{}
 
-func (noLog) Debug(...any) {}
-
-func (noLog) Debugf(string, ...any) {}
-
-func (noLog) Info(...any) {}
-
-func (noLog) Infof(string, ...any) {}
-
-func (noLog) Warning(...any) {}
-
-func (noLog) Warningf(string, ...any) {}
-
-func (noLog) Error(...any) {}
-
-func (noLog) Errorf(string, ...any) {}
-
-func (noLog) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
-
+func (noLog) Debug(...any)              {}
+func (noLog) Debugf(string, ...any)     {}
+func (noLog) Info(...any)               {}
+func (noLog) Infof(string, ...any)      {}
+func (noLog) Warning(...any)            {}
+func (noLog) Warningf(string, ...any)   {}
+func (noLog) Error(...any)              {}
+func (noLog) Errorf(string, ...any)     {}
+func (noLog) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
 func (noLog) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-
-func (noLog) Panic(v ...any) { panic(fmt.Sprint(v...)) }
-
+func (noLog) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
 func (noLog) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
 var _ raft.Logger = noLog{}
@@ -154,11 +143,11 @@
 func (s *sim) startVoter(i int, heard map[string]PeerState) {
 	v := s.voters[i]
 	saved := *v.saved
-	core, _, err := NewVoter(voterName(i), &saved, heard, s.terms, fleetpolicy.NewMachine(), noLog{})
+	core, _, err := NewVoter(VoterConfig{Name: voterName(i), Stored: &saved, Peers: heard, Terms: s.terms, Policy: fleetpolicy.NewMachine(), Logger: noLog{}})
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	v.core, v.up, v.feed, v.alarm, v.asked, v.lead = core, true, nil, 0, map[uint64]func(any){}, 0
+	v.core, v.up, v.feed, v.alarm, v.asked, v.lead = core, true, nil, 0, map[uint64]func(Reply){}, 0
 	v.life++
 	s.stepVoter(i)
 }
@@ -183,7 +172,7 @@
 	return heard
 }
 
-func (s *sim) stepVoter(i int, events ...any) {
+func (s *sim) stepVoter(i int, events ...VoterEvent) {
 	v := s.voters[i]
 	if !v.up {
 		return
@@ -220,7 +209,7 @@
 		case Reply:
 			if f := v.asked[a.To]; f != nil {
 				delete(v.asked, a.To)
-				s.after(disk, func() { f(a.Value) })
+				s.after(disk, func() { f(a) })
 			}
 		case Committed:
 			if a.Snapshot != nil {
@@ -304,7 +293,7 @@
 	s.after(time.Second, func() { s.tellAgain(j, life) })
 }
 
-func (s *sim) stepCopy(j int, events ...any) {
+func (s *sim) stepCopy(j int, events ...ReplicaEvent) {
 	c := s.copies[j]
 	if !c.up {
 		return
@@ -313,7 +302,7 @@
 	ahead := time.Duration(j) * time.Minute
 	clock := time.Duration(float64(s.now)*c.rate) + ahead
 	actions, alarm := c.copy.Step(clock, events)
-	back := func(d time.Duration, e any) {
+	back := func(d time.Duration, e ReplicaEvent) {
 		s.after(d, func() {
 			if c.life == life {
 				s.stepCopy(j, e)
@@ -331,15 +320,15 @@
 			}
 		case SendLeaseRequest:
 			s.count(a.Request)
-			s.ask(place, c.follows, a.Request, true, func(what any) {
-				if r, ok := what.(*pb.LeaseReply); ok {
+			s.ask(place, c.follows, a.Request, true, func(reply Reply) {
+				if r, ok := reply.Message.(*pb.LeaseReply); ok {
 					s.count(r)
 					back(0, LeaseGranted{a.RequestedAt, r.RequiredIndex, time.Duration(r.DurationUs) * time.Microsecond})
 				}
 			})
 		case SubmitJoin:
 			body, _ := proto.Marshal(a.Command)
-			s.submit(place, c.follows, &pb.Command{Kind: KindJoin, Session: uint64(j+1)<<32 | uint64(c.life), Sequence: 1, Body: body}, func(any) {})
+			s.submit(place, c.follows, &pb.Command{Kind: KindJoin, Session: uint64(j+1)<<32 | uint64(c.life), Sequence: 1, Body: body}, func(Reply) {})
 		}
 	}
 	for _, p := range c.copy.Policy().State().GetHistory() {
@@ -357,30 +346,30 @@
 }
 
 // ask puts a question to a voter, which passes it on to the one that leads.
-func (s *sim) ask(from, at int, r *pb.LeaseRequest, on bool, answer func(any)) {
-	s.pass(from, at, on, func(to uint64) any { return LeaseRequested{to, r} }, answer)
+func (s *sim) ask(from, at int, r *pb.LeaseRequest, on bool, answer func(Reply)) {
+	s.pass(from, at, on, func(to uint64) VoterEvent { return LeaseRequested{to, r} }, answer)
 }
 
-func (s *sim) submit(from, at int, c *pb.Command, answer func(any)) {
-	s.pass(from, at, true, func(to uint64) any { return CommandSubmitted{to, c} }, answer)
+func (s *sim) submit(from, at int, c *pb.Command, answer func(Reply)) {
+	s.pass(from, at, true, func(to uint64) VoterEvent { return CommandSubmitted{to, c} }, answer)
 }
 
-func (s *sim) pass(from, at int, on bool, event func(uint64) any, answer func(any)) {
+func (s *sim) pass(from, at int, on bool, event func(uint64) VoterEvent, answer func(Reply)) {
 	s.send(from, at, func() {
 		v := s.voters[at]
 		if !v.up {
 			return
 		}
 		v.last++
-		v.asked[v.last] = func(what any) {
-			if err, bad := what.(error); bad && on && errors.Is(err, ErrNotLeader) {
+		v.asked[v.last] = func(reply Reply) {
+			if on && errors.Is(reply.Err, ErrNotLeader) {
 				lead := slices.IndexFunc(s.voters, func(o *simVoter) bool { return o.core.id == v.lead })
 				if lead >= 0 && lead != at {
-					s.pass(at, lead, false, event, func(what any) { s.send(at, from, func() { answer(what) }) })
+					s.pass(at, lead, false, event, func(reply Reply) { s.send(at, from, func() { answer(reply) }) })
 				}
 				return
 			}
-			s.send(at, from, func() { answer(what) })
+			s.send(at, from, func() { answer(reply) })
 		}
 		s.stepVoter(at, event(v.last))
 	})
@@ -441,8 +430,8 @@
 		doc = "# open\n"
 	}
 	body, _ := proto.Marshal(&pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: base, Document: []byte(doc), Author: "sim", StageTimeoutUs: 20e6}}})
-	s.submit(len(s.voters)+at, s.copies[at].follows, &pb.Command{Kind: KindPolicy, Session: s.rng.Uint64() | 1, Sequence: 1, Body: body}, func(what any) {
-		if r, ok := what.(*pb.SubmitReply); ok && r.Rejection == "" {
+	s.submit(len(s.voters)+at, s.copies[at].follows, &pb.Command{Kind: KindPolicy, Session: s.rng.Uint64() | 1, Sequence: 1, Body: body}, func(reply Reply) {
+		if r, ok := reply.Message.(*pb.SubmitReply); ok && r.Rejection == "" {
 			*number = r.Index
 		}
 	})
--- a/internal/replicatedlog/events.go
+++ b/internal/replicatedlog/events.go
@@ -1,79 +1,100 @@
 package replicatedlog
 
 import (
-	"errors"
-
 	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
 
 	"saffronyard.example/saffronyard/internal/fleetpolicy"
 	"saffronyard.example/saffronyard/internal/lease"
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Events of a Core.
+// VoterEvent is what a Voter reacts to.
+//
+//sumtype:decl
+type VoterEvent interface{ voterEvent() }
+
 type (
-	// MessageReceived is a message of another voter.
+	// MessageReceived is a raft message of another voter.
 	MessageReceived struct{ Message *raftpb.Message }
-	// CommandSubmitted is a command; it is answered when the log has it.
+	// CommandSubmitted is a command to propose. It is answered once the log has applied it.
 	CommandSubmitted struct {
 		ReplyTo uint64
 		Command *pb.Command
 	}
-	// LeaseRequested is a question for a lease.
+	// LeaseRequested is a sender's request for a lease.
 	LeaseRequested struct {
 		ReplyTo uint64
 		Request *pb.LeaseRequest
 	}
-	// HandshakeRequested is another voter's.
+	// HandshakeRequested is the question of another voter that starts.
 	HandshakeRequested struct {
 		ReplyTo uint64
 		VoterID uint64
 	}
-	// VoterChangeRequested changes who keeps the log, by a joint change: those added are told everything before they count.
+	// VoterChangeRequested changes who keeps the log, by a joint configuration change: voters that are added catch up before
+	// they count.
 	VoterChangeRequested struct {
 		ReplyTo uint64
 		Command *pb.Command // of KindVoters
 	}
-	// PeerUnreachable is that messages to a voter are lost.
+	// PeerUnreachable is that messages to another voter are lost.
 	PeerUnreachable struct{ VoterID uint64 }
-	// LeadershipTransferRequested lets another voter lead, before a planned stop.
+	// LeadershipTransferRequested has another voter lead, before a planned stop.
 	LeadershipTransferRequested struct{}
 )
 
-// Actions of a Core, to be carried out in their order.
+func (MessageReceived) voterEvent()             {}
+func (CommandSubmitted) voterEvent()            {}
+func (LeaseRequested) voterEvent()              {}
+func (HandshakeRequested) voterEvent()          {}
+func (VoterChangeRequested) voterEvent()        {}
+func (PeerUnreachable) voterEvent()             {}
+func (LeadershipTransferRequested) voterEvent() {}
+
+// VoterAction is what a Voter wants done, in the order given.
+//
+//sumtype:decl
+type VoterAction interface{ voterAction() }
+
 type (
-	// Persist goes to the disk, and is there before anything behind it is done.
+	// Persist goes to the disk in one transaction, and is there before any action behind it begins. Nil and zero fields leave what
+	// is stored.
 	Persist struct {
 		HardState  *raftpb.HardState
 		ConfState  *raftpb.ConfState
-		Entries    []*raftpb.Entry
+		Entries    []*raftpb.Entry // they replace all that is stored from the first one's index on
 		Snapshot   *raftpb.Snapshot
-		CompactTo  uint64 // entries up to here go
-		ReplaceLog bool   // the snapshot came from another voter: all entries go
+		CompactTo  uint64 // entries up to this index are deleted
+		ReplaceLog bool   // the snapshot came from another voter: all entries are deleted
 	}
-	// SendMessage goes to another voter.
+	// SendMessage goes to another voter; it may be lost.
 	SendMessage struct{ Message *raftpb.Message }
-	// Reply is for who asked.
+	// Reply answers the event with that ReplyTo.
 	Reply struct {
-		To    uint64
-		Value any // *pb.SubmitReply, *pb.AskReply, *pb.HelloReply, or an error
+		To      uint64
+		Message proto.Message // *pb.SubmitReply, *pb.LeaseReply or *pb.HelloReply; nil if Err is set
+		Err     error         // ErrNotLeader and others of this package
 	}
-	// Committed is what is agreed now, for those that follow.
+	// Committed is what the log has committed, for those that follow it.
 	Committed struct {
 		Entries  []*pb.Entry
-		Snapshot []byte // in place of all before it
+		Snapshot []byte // a pb.Snapshot that replaces all before it; nil: none
 	}
-	// Status is how the voter stands.
+	// Status is how the voter stands, after each step.
 	Status struct {
-		Leader       uint64 // 0: none is known
+		Leader       uint64 // voter id; 0: none is known
 		IsLeader     bool
 		Term         uint64
 		AppliedIndex uint64
 		Voters       []uint64
-		WaitingOn    []fleetpolicy.PendingSender // of the open change, at the one that leads
-		Leases       []lease.ActiveLease         // at the one that leads
+		WaitingOn    []fleetpolicy.PendingSender // senders that the open change waits for; at the leader
+		Leases       []lease.ActiveLease         // at the leader
 	}
 )
 
-// ErrNotLeader is that another voter leads, or none does.
-var ErrNotLeader = errors.New("another voter leads, or none does")
+func (Persist) voterAction()     {}
+func (SendMessage) voterAction() {}
+func (Reply) voterAction()       {}
+func (Committed) voterAction()   {}
+func (Status) voterAction()      {}
--- a/internal/replicatedlog/leader.go
+++ b/internal/replicatedlog/leader.go
@@ -13,94 +13,141 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// proposeOwn hands in a command of the leader's own.
-func (c *Voter) proposeOwn(kind uint32, p proto.Message) {
+// addressSlack is how many addresses beyond twice the leases are kept before those of expired leases are dropped.
+const addressSlack = 16
+
+// stepLeader does what falls to a leader: it moves the open change and the membership on, and shows the leases.
+func (v *Voter) stepLeader(now time.Duration) {
+	if !v.isLeader() || v.granter == nil {
+		v.status.WaitingOn, v.status.Leases = nil, nil
+		return
+	}
+	if cmd, waitingOn := v.policyCoordinator.Step(now, v.policy.State(), v.granter); cmd != nil {
+		v.proposeOwn(KindPolicy, cmd)
+		v.processReady(now)
+	} else {
+		v.status.WaitingOn = waitingOn
+	}
+	v.status.Leases = v.granter.ActiveLeases(now)
+	v.stepMembership(now)
+}
+
+// proposeOwn proposes a command of the leader's own. One that raft drops is proposed again by its coordinator.
+func (v *Voter) proposeOwn(kind uint32, p proto.Message) {
 	body, err := proto.Marshal(p)
 	mustSucceed(err)
 	raw, err := proto.Marshal(&pb.Command{Kind: kind, Body: body})
 	mustSucceed(err)
-	c.node.Propose(raw) // what is dropped is given again
+	_ = v.node.Propose(raw)
 }
 
-// stepMembership hands in who takes part in rosters, as leases come and lapse.
-func (c *Voter) stepMembership(now time.Duration) {
-	var here []coordinator.Participant
-	for _, h := range c.status.Leases {
-		if at := c.addresses[h.HolderID]; at != "" {
-			here = append(here, coordinator.Participant{HolderID: h.HolderID, Address: at})
+// stepMembership proposes memberships as leases come and expire.
+func (v *Voter) stepMembership(now time.Duration) {
+	var candidates []coordinator.Participant
+	for _, l := range v.status.Leases {
+		if address := v.addresses[l.HolderID]; address != "" {
+			candidates = append(candidates, coordinator.Participant{HolderID: l.HolderID, Address: address})
 		}
 	}
-	if len(c.addresses) > 2*len(c.status.Leases)+16 { // of those that have gone
-		maps.DeleteFunc(c.addresses, func(w lease.HolderID, _ string) bool {
-			return !slices.ContainsFunc(c.status.Leases, func(h lease.ActiveLease) bool { return h.HolderID == w })
+	if len(v.addresses) > 2*len(v.status.Leases)+addressSlack {
+		maps.DeleteFunc(v.addresses, func(id lease.HolderID, _ string) bool {
+			return !slices.ContainsFunc(v.status.Leases, func(l lease.ActiveLease) bool { return l.HolderID == id })
 		})
 	}
-	if cmd := c.membershipCoordinator.Step(now, c.membership.State(), c.granter, here); cmd != nil && c.state.CheckKind(KindMembership) == "" {
-		c.proposeOwn(KindMembership, cmd)
-		c.processReady(now)
+	cmd := v.membershipCoordinator.Step(now, v.membership.State(), v.granter, candidates)
+	if cmd != nil && v.state.CheckKind(KindMembership) == "" {
+		v.proposeOwn(KindMembership, cmd)
+		v.processReady(now)
 	}
 }
 
-// transferLeadership gives the lead to the voter that has most of the log.
-func (c *Voter) transferLeadership() {
-	if !c.isLeader() {
+// transferLeadership has the voter lead that holds most of the log.
+func (v *Voter) transferLeadership() {
+	if !v.isLeader() {
 		return
 	}
 	best, match := uint64(0), uint64(0)
-	for id, p := range c.node.Status().Progress {
-		if id != c.id && !p.IsLearner && p.RecentActive && p.Match >= match {
+	for id, p := range v.node.Status().Progress {
+		if id != v.id && !p.IsLearner && p.RecentActive && p.Match >= match {
 			best, match = id, p.Match
 		}
 	}
 	if best != 0 {
-		c.node.TransferLeader(best)
+		v.node.TransferLeader(best)
 	}
 }
 
-// leadershipChanged is that it leads, or does no longer.
-func (c *Voter) leadershipChanged(now time.Duration) {
-	term := c.node.BasicStatus().HardState.GetTerm()
-	if c.isLeader() {
-		if c.granter == nil || c.ledTerm != term {
-			c.granter, c.policyCoordinator, c.ledTerm = lease.NewGranter(c.terms, now), &fleetpolicy.Coordinator{}, term
-			c.membershipCoordinator, c.addresses = &coordinator.Coordinator{}, map[lease.HolderID]string{}
+// leadershipChanged starts a leader's state anew in each term, and answers all that waits when it leads no more.
+func (v *Voter) leadershipChanged(now time.Duration) {
+	term := v.node.BasicStatus().HardState.GetTerm()
+	if v.isLeader() {
+		if v.granter == nil || v.ledTerm != term {
+			v.granter, v.policyCoordinator, v.ledTerm = lease.NewGranter(v.terms, now), &fleetpolicy.Coordinator{}, term
+			v.membershipCoordinator, v.addresses = &coordinator.Coordinator{}, map[lease.HolderID]string{}
 		}
 		return
 	}
-	c.granter, c.policyCoordinator = nil, nil
-	for _, asks := range c.pendingReads {
-		for _, a := range asks {
-			c.emit(Reply{a.ReplyTo, ErrNotLeader})
+	v.granter, v.policyCoordinator = nil, nil
+	for _, requests := range v.pendingReads {
+		for _, r := range requests {
+			v.replyError(r.ReplyTo, ErrNotLeader)
 		}
 	}
-	clear(c.pendingReads)
-	for _, to := range c.pendingCommands { // whether the log has it nobody knows: it is asked again, and counts once
-		c.emit(Reply{to, ErrNotLeader})
+	clear(v.pendingReads)
+	// Whether the log has these commands is not known: their clients submit them again, and they count once.
+	for _, to := range v.pendingCommands {
+		v.replyError(to, ErrNotLeader)
+	}
+	clear(v.pendingCommands)
+}
+
+// handleLeaseRequest takes in what a sender says with its request, and keeps the request until a linearizable read (thesis, 6.4) shows
+// that this voter led after it came.
+func (v *Voter) handleLeaseRequest(e LeaseRequested) {
+	if !v.isLeader() || v.granter == nil {
+		v.replyError(e.ReplyTo, ErrNotLeader)
+		return
+	}
+	if len(v.pendingReads) >= maxPendingReads {
+		v.replyError(e.ReplyTo, ErrTooManyReads)
+		return
+	}
+	if m := v.state.Member(e.Request.Name); m.GetRemoved() {
+		v.replyError(e.ReplyTo, &RemovedMemberError{Name: m.Name})
+		return
+	}
+	id := lease.HolderID{Name: e.Request.Name, Incarnation: e.Request.Incarnation}
+	v.granter.RecordRequest(id, e.Request.ActingIndex)
+	if e.Request.Address != "" {
+		v.addresses[id] = e.Request.Address
+	}
+	for _, s := range e.Request.Staged {
+		v.policyCoordinator.RecordStaged(id, s.ChangeId, s.Rejection)
 	}
-	clear(c.pendingCommands)
+	v.pendingReads[v.lastRead+1] = append(v.pendingReads[v.lastRead+1], e)
 }
 
-// answerReads is that it surely led after these questions came, and the index that all who ask now must come to.
-func (c *Voter) answerReads(now time.Duration, read, index uint64) {
-	for _, a := range c.pendingReads[read] {
-		if c.granter == nil {
-			c.emit(Reply{a.ReplyTo, ErrNotLeader})
+// answerReads grants leases for requests that a read has confirmed; each must come to the read's index first.
+func (v *Voter) answerReads(now time.Duration, read, index uint64) {
+	for _, r := range v.pendingReads[read] {
+		if v.granter == nil {
+			v.replyError(r.ReplyTo, ErrNotLeader)
 			continue
 		}
-		who := lease.HolderID{Name: a.Request.Name, Incarnation: a.Request.Incarnation}
-		if !c.policyCoordinator.MayGrant(who, a.Request.ActingIndex, c.policy.State()) || !coordinator.MayGrant(a.Request.ActingIndex, c.membership.State()) {
-			c.emit(Reply{a.ReplyTo, &pb.LeaseReply{RequiredIndex: index, WaitingOn: c.waitingOn()}}) // a lease of no length
+		id := lease.HolderID{Name: r.Request.Name, Incarnation: r.Request.Incarnation}
+		if !v.policyCoordinator.MayGrant(id, r.Request.ActingIndex, v.policy.State()) || !coordinator.MayGrant(r.Request.ActingIndex, v.membership.State()) {
+			v.reply(r.ReplyTo, &pb.LeaseReply{RequiredIndex: index, WaitingOn: v.waitingOn()}) // a lease of no duration
 			continue
 		}
-		need := c.granter.Grant(who, index, now)
-		c.emit(Reply{a.ReplyTo, &pb.LeaseReply{RequiredIndex: need, DurationUs: c.terms.Duration.Microseconds(), WaitingOn: c.waitingOn()}})
+		required := v.granter.Grant(id, index, now)
+		v.reply(r.ReplyTo, &pb.LeaseReply{RequiredIndex: required, DurationUs: v.terms.Duration.Microseconds(), WaitingOn: v.waitingOn()})
 	}
-	delete(c.pendingReads, read)
+	delete(v.pendingReads, read)
 }
 
-// waitingOn are those that the open change waits for, the first few.
-func (c *Voter) waitingOn() (all []*pb.PendingSender) {
-	for _, w := range c.status.WaitingOn[:min(len(c.status.WaitingOn), maxWaitingReported)] {
+// waitingOn is the first few senders that the open change waits for.
+func (v *Voter) waitingOn() (all []*pb.PendingSender) {
+	for _, w := range v.status.WaitingOn[:min(len(v.status.WaitingOn), maxWaitingReported)] {
 		all = append(all, &pb.PendingSender{Name: w.Name, Reason: w.Reason, RemainingUs: w.Remaining.Microseconds()})
 	}
 	return all
--- a/internal/replicatedlog/members.go
+++ b/internal/replicatedlog/members.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"maps"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
@@ -10,12 +11,14 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-func (s *State) join(index uint64, body []byte) (refused string, err error) {
+// join adds a member, or records which commands its program knows by now.
+func (s *State) join(index uint64, body []byte) (rejection string, err error) {
 	j := &pb.Join{}
 	if err := proto.Unmarshal(body, j); err != nil {
-		return "", fmt.Errorf("a join can't be read: %w", err)
+		return "", &DecodeError{What: "a join", Err: err}
 	}
-	switch m := s.members[j.Name]; {
+	m := s.members[j.Name]
+	switch {
 	case j.Name == "" || len(j.Name) > maxNameBytes:
 		return fmt.Sprintf("a name has from 1 to %d bytes", maxNameBytes), nil
 	case m != nil && m.Removed:
@@ -23,17 +26,18 @@
 	case m == nil && len(s.members) >= maxMembers:
 		return fmt.Sprintf("the fleet has %d members, which is the most", maxMembers), nil
 	}
-	if was := s.members[j.Name]; was != nil {
-		index = was.JoinIndex
+	if m != nil {
+		index = m.JoinIndex
 	}
 	s.members[j.Name] = &pb.Member{Name: j.Name, MaxCommandKind: j.MaxCommandKind, JoinIndex: index}
 	return "", nil
 }
 
-func (s *State) leave(body []byte) (refused string, err error) {
+// leave removes a member for good. It stays known, so that its name is not used again.
+func (s *State) leave(body []byte) (rejection string, err error) {
 	l := &pb.Leave{}
 	if err := proto.Unmarshal(body, l); err != nil {
-		return "", fmt.Errorf("a leave can't be read: %w", err)
+		return "", &DecodeError{What: "a leave", Err: err}
 	}
 	m := s.members[l.Name]
 	if m == nil {
@@ -43,11 +47,11 @@
 	return "", nil
 }
 
-// changeVoters books a change of voters. It was checked before it was handed in: raft has taken it over by now.
+// changeVoters records a change of voters. It was checked before it was proposed, and raft has applied it by now.
 func (s *State) changeVoters(body []byte) error {
 	v := &pb.VoterChange{}
 	if err := proto.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("a change of voters can't be read: %w", err)
+		return &DecodeError{What: "a change of voters", Err: err}
 	}
 	for _, a := range v.Add {
 		s.voters[a.Id] = a
@@ -59,20 +63,15 @@
 	return nil
 }
 
-// Members are those that belong to the fleet, by name.
+// Members are all members, removed ones included, by name.
 func (s *State) Members() []*pb.Member {
-	all := make([]*pb.Member, 0, len(s.members))
-	for _, m := range s.members {
-		all = append(all, m)
-	}
-	slices.SortFunc(all, func(a, b *pb.Member) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	return slices.SortedFunc(maps.Values(s.members), func(a, b *pb.Member) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Member is one of them; nil if there is none of that name.
+// Member is the member of a name; nil if there is none.
 func (s *State) Member(name string) *pb.Member { return s.members[name] }
 
-// Rank is how many joined before a member, also of those that have gone; -1 if it is none.
+// Rank is how many members joined before the named one, removed ones included; -1 if it is no member.
 func (s *State) Rank(name string) int {
 	m := s.members[name]
 	if m == nil {
@@ -80,14 +79,15 @@
 	}
 	before := 0
 	for _, o := range s.members {
-		if o.JoinIndex < m.JoinIndex || o.JoinIndex == m.JoinIndex && o.Name < m.Name { // of programs that did not note it yet: by name
+		// Members of programs that did not record their join's index have 0: they are ordered by name.
+		if o.JoinIndex < m.JoinIndex || o.JoinIndex == m.JoinIndex && o.Name < m.Name {
 			before++
 		}
 	}
 	return before
 }
 
-// CheckKind says why a command of a kind may not be handed in yet; "" if it may.
+// CheckKind says which member's program does not know a kind of command, so that none may be proposed yet; "" if all know it.
 func (s *State) CheckKind(kind uint32) string {
 	for _, m := range s.Members() {
 		if !m.Removed && m.MaxCommandKind < kind {
@@ -99,10 +99,5 @@
 
 // Voters are those that were added to the first ones, and all that were removed, by name.
 func (s *State) Voters() []*pb.Voter {
-	all := make([]*pb.Voter, 0, len(s.voters))
-	for _, v := range s.voters {
-		all = append(all, v)
-	}
-	slices.SortFunc(all, func(a, b *pb.Voter) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	return slices.SortedFunc(maps.Values(s.voters), func(a, b *pb.Voter) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/replicatedlog/ready.go
+++ b/internal/replicatedlog/ready.go
@@ -1,6 +1,7 @@
 package replicatedlog
 
 import (
+	"encoding/binary"
 	"fmt"
 	"time"
 
@@ -10,106 +11,113 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// processReady takes from raft what it has for the disk, for others and for the state.
-func (c *Voter) processReady(now time.Duration) {
+// processReady takes from raft what it has for the disk, for peers and for the state, until it has no more.
+func (v *Voter) processReady(now time.Duration) {
 	for {
-		if len(c.pendingReads[c.lastRead+1]) > 0 && c.isLeader() {
-			c.lastRead++
-			c.node.ReadIndex(encodeReadID(c.lastRead))
+		if len(v.pendingReads[v.lastRead+1]) > 0 && v.isLeader() {
+			v.lastRead++
+			v.node.ReadIndex(encodeReadID(v.lastRead))
 		}
-		if !c.node.HasReady() {
+		if !v.node.HasReady() {
 			return
 		}
-		rd := c.node.Ready()
+		rd := v.node.Ready()
 		if rd.SoftState != nil {
-			c.leadershipChanged(now)
+			v.leadershipChanged(now)
 		}
 		if rd.Snapshot != nil && rd.Snapshot.GetMetadata().GetIndex() > 0 {
-			c.restore(rd.Snapshot)
-		}
-		if !raft.IsEmptyHardState(rd.HardState) || len(rd.Entries) > 0 {
-			mustSucceed(c.storage.Append(rd.Entries))
-			if !raft.IsEmptyHardState(rd.HardState) {
-				mustSucceed(c.storage.SetHardState(rd.HardState))
-				c.hardState = rd.HardState
-			}
-			if rd.MustSync { // that more is committed is no promise: it goes along with the next one that is
-				c.emit(Persist{HardState: c.hardState, Entries: rd.Entries})
-			}
+			v.restore(rd.Snapshot)
 		}
+		v.persistReady(&rd)
 		for _, m := range rd.Messages {
-			c.emit(SendMessage{m})
+			v.emit(SendMessage{m})
 		}
-		c.apply(rd.CommittedEntries)
+		v.apply(rd.CommittedEntries)
 		for _, r := range rd.ReadStates {
-			c.answerReads(now, decodeReadID(r.RequestCtx), r.Index)
+			v.answerReads(now, decodeReadID(r.RequestCtx), r.Index)
 		}
-		c.node.Advance(rd)
-		c.compact()
+		v.node.Advance(rd)
+		v.compact()
+	}
+}
+
+func (v *Voter) persistReady(rd *raft.Ready) {
+	if raft.IsEmptyHardState(rd.HardState) && len(rd.Entries) == 0 {
+		return
+	}
+	mustSucceed(v.storage.Append(rd.Entries))
+	if !raft.IsEmptyHardState(rd.HardState) {
+		mustSucceed(v.storage.SetHardState(rd.HardState))
+		v.hardState = rd.HardState
+	}
+	if rd.MustSync { // a commit index alone binds nobody: it is stored along with the next vote, term or entry
+		v.emit(Persist{HardState: v.hardState, Entries: rd.Entries})
+	}
+}
+
+// mustSucceed ends the voter or replica with a panic: its log can't be followed.
+func mustSucceed(err error) {
+	if err != nil {
+		panic(fmt.Sprintf("the fleet's log: %v", err))
 	}
 }
 
-func (c *Voter) restore(s *raftpb.Snapshot) {
-	mustSucceed(c.state.Restore(s.Data))
-	c.confState = s.GetMetadata().GetConfState()
-	mustSucceed(c.storage.ApplySnapshot(s))
-	c.compactedTo = s.GetMetadata().GetIndex()
-	c.emit(Persist{HardState: c.hardState, Snapshot: s, CompactTo: c.compactedTo, ReplaceLog: true})
-	c.emit(Committed{Snapshot: s.Data})
+// restore replaces the state by a leader's snapshot.
+func (v *Voter) restore(s *raftpb.Snapshot) {
+	mustSucceed(v.state.Restore(s.Data))
+	v.confState = s.GetMetadata().GetConfState()
+	mustSucceed(v.storage.ApplySnapshot(s))
+	v.compactedTo = s.GetMetadata().GetIndex()
+	v.emit(Persist{HardState: v.hardState, Snapshot: s, CompactTo: v.compactedTo, ReplaceLog: true})
+	v.emit(Committed{Snapshot: s.Data})
 }
 
-func (c *Voter) apply(entries []*raftpb.Entry) {
-	var told []*pb.Entry
+// apply applies committed entries and answers the clients that wait for them.
+func (v *Voter) apply(entries []*raftpb.Entry) {
+	var committed []*pb.Entry
 	for _, e := range entries {
 		raw := e.Data
 		if e.GetType() != raftpb.EntryNormal {
-			raw = c.reconfigure(e)
+			raw = v.reconfigure(e)
 		}
-		done, err := c.state.Apply(e.GetIndex(), e.GetTerm(), raw)
+		outcome, err := v.state.Apply(e.GetIndex(), e.GetTerm(), raw)
 		mustSucceed(err)
-		if to, ok := c.pendingCommands[[2]uint64{done.Session, done.Sequence}]; ok && done.Session != 0 {
-			delete(c.pendingCommands, [2]uint64{done.Session, done.Sequence})
-			c.emit(Reply{to, &pb.SubmitReply{Index: done.Index, Result: done.Result, Rejection: done.Rejection}})
+		id := commandID{outcome.Session, outcome.Sequence}
+		if to, ok := v.pendingCommands[id]; ok && outcome.Session != 0 {
+			delete(v.pendingCommands, id)
+			v.reply(to, submitReply(outcome))
 		}
-		told = append(told, &pb.Entry{Index: e.GetIndex(), Term: e.GetTerm(), Command: raw})
+		committed = append(committed, &pb.Entry{Index: e.GetIndex(), Term: e.GetTerm(), Command: raw})
 	}
-	if len(told) > 0 {
-		c.emit(Committed{Entries: told})
+	if len(committed) > 0 {
+		v.emit(Committed{Entries: committed})
 	}
 }
 
-// compact takes a snapshot now and then, and lets go of what lies before it.
-func (c *Voter) compact() {
-	applied := c.state.Index()
-	if applied < c.compactedTo+snapshotInterval+entriesKept {
+func submitReply(o Outcome) *pb.SubmitReply {
+	return &pb.SubmitReply{Index: o.Index, Result: o.Result, Rejection: o.Rejection}
+}
+
+// compact takes a snapshot once there are enough entries since the last, and drops those before the ones that are retained.
+func (v *Voter) compact() {
+	applied := v.state.Index()
+	if applied < v.compactedTo+snapshotInterval+retainedEntries {
 		return
 	}
-	raw, err := c.state.Snapshot()
+	raw, err := v.state.Snapshot()
 	mustSucceed(err)
-	snap, err := c.storage.CreateSnapshot(applied, c.confState, raw)
+	snap, err := v.storage.CreateSnapshot(applied, v.confState, raw)
 	mustSucceed(err)
-	c.compactedTo = applied - entriesKept
-	mustSucceed(c.storage.Compact(c.compactedTo))
-	c.emit(Persist{HardState: c.hardState, Snapshot: snap, CompactTo: c.compactedTo})
-}
-
-func encodeReadID(n uint64) []byte {
-	b := make([]byte, 8)
-	for i := range b {
-		b[i] = byte(n >> (8 * i))
-	}
-	return b
+	v.compactedTo = applied - retainedEntries
+	mustSucceed(v.storage.Compact(v.compactedTo))
+	v.emit(Persist{HardState: v.hardState, Snapshot: snap, CompactTo: v.compactedTo})
 }
 
-func decodeReadID(b []byte) (n uint64) {
-	for i, o := range b {
-		n |= uint64(o) << (8 * i)
-	}
-	return n
-}
+func encodeReadID(id uint64) []byte { return binary.LittleEndian.AppendUint64(nil, id) }
 
-func mustSucceed(err error) {
-	if err != nil {
-		panic(fmt.Sprintf("the fleet's log: %v", err))
-	}
+// decodeReadID takes contexts of any length, as they come with messages of peers.
+func decodeReadID(b []byte) uint64 {
+	var id [8]byte
+	copy(id[:], b)
+	return binary.LittleEndian.Uint64(id[:])
 }
--- a/internal/replicatedlog/reconfiguration.go
+++ b/internal/replicatedlog/reconfiguration.go
@@ -9,76 +9,80 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// changeVoters begins a joint change of voters. Its context tells their names and addresses.
-func (c *Voter) changeVoters(e VoterChangeRequested) {
-	if !c.isLeader() {
-		c.emit(Reply{e.ReplyTo, ErrNotLeader})
+// changeVoters begins a joint change of voters (thesis, 4.3). The command goes along as the change's context, so that the state
+// learns the voters' names and addresses.
+func (v *Voter) changeVoters(e VoterChangeRequested) {
+	if !v.isLeader() {
+		v.replyError(e.ReplyTo, ErrNotLeader)
 		return
 	}
-	if done, ok := c.state.Outcome(e.Command.Session, e.Command.Sequence); ok { // its answer was lost
-		c.emit(Reply{e.ReplyTo, &pb.SubmitReply{Index: done.Index, Result: done.Result, Rejection: done.Rejection}})
+	if outcome, ok := v.state.Outcome(e.Command.Session, e.Command.Sequence); ok { // its answer was lost
+		v.reply(e.ReplyTo, submitReply(outcome))
 		return
 	}
-	v := &pb.VoterChange{}
-	if err := proto.Unmarshal(e.Command.Body, v); err != nil {
-		c.emit(Reply{e.ReplyTo, err})
+	change := &pb.VoterChange{}
+	if err := proto.Unmarshal(e.Command.Body, change); err != nil {
+		v.replyError(e.ReplyTo, err)
 		return
 	}
-	voters := map[uint64]bool{}
-	for id := range c.node.Status().Config.Voters.IDs() {
-		voters[id] = true
+	cc, rejection := v.confChange(change)
+	if rejection != "" {
+		v.reply(e.ReplyTo, &pb.SubmitReply{Rejection: rejection})
+		return
+	}
+	var err error
+	if cc.Context, err = proto.Marshal(e.Command); err == nil {
+		err = v.node.ProposeConfChange(cc)
 	}
-	cc := &raftpb.ConfChangeV2{Transition: raftpb.ConfChangeTransitionAuto.Enum()}
-	for _, a := range v.Add {
-		switch was := c.state.voters[a.Id]; {
+	if err != nil {
+		v.replyError(e.ReplyTo, err)
+		return
+	}
+	v.pendingCommands[commandID{e.Command.Session, e.Command.Sequence}] = e.ReplyTo
+}
+
+// confChange is raft's form of a change of voters, or why it can't be made.
+func (v *Voter) confChange(change *pb.VoterChange) (cc *raftpb.ConfChangeV2, rejection string) {
+	voters := v.node.Status().Config.Voters.IDs()
+	cc = &raftpb.ConfChangeV2{Transition: raftpb.ConfChangeTransitionAuto.Enum()}
+	for _, a := range change.Add {
+		_, isVoter := voters[a.Id]
+		switch former := v.state.voters[a.Id]; {
 		case a.Id != VoterID(a.Name) || a.Name == "" || len(a.Name) > maxNameBytes:
-			c.emit(Reply{e.ReplyTo, &pb.SubmitReply{Rejection: fmt.Sprintf("%q can't be a voter's name", a.Name)}})
-			return
-		case was != nil && was.Removed:
-			c.emit(Reply{e.ReplyTo, &pb.SubmitReply{Rejection: a.Name + " was a voter and was removed: what it promised counts on, so a machine in its place needs a name of its own"}})
-			return
-		case voters[a.Id]:
-			c.emit(Reply{e.ReplyTo, &pb.SubmitReply{Rejection: a.Name + " is a voter already"}})
-			return
+			return nil, fmt.Sprintf("%q can't be a voter's name", a.Name)
+		case former != nil && former.Removed:
+			return nil, a.Name + " was a voter and was removed: what it promised counts on, so a machine in its place needs a name of its own"
+		case isVoter:
+			return nil, a.Name + " is a voter already"
 		}
-		voters[a.Id] = true
+		voters[a.Id] = struct{}{}
 		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: new(a.Id)})
 	}
-	for _, name := range v.Remove {
+	for _, name := range change.Remove {
 		id := VoterID(name)
-		if !voters[id] {
-			c.emit(Reply{e.ReplyTo, &pb.SubmitReply{Rejection: fmt.Sprintf("%q is no voter", name)}})
-			return
+		if _, isVoter := voters[id]; !isVoter {
+			return nil, fmt.Sprintf("%q is no voter", name)
 		}
 		delete(voters, id)
 		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: new(id)})
 	}
 	if len(voters) == 0 || len(cc.Changes) == 0 {
-		c.emit(Reply{e.ReplyTo, &pb.SubmitReply{Rejection: "a change of voters adds or removes some, and leaves one"}})
-		return
-	}
-	var err error
-	if cc.Context, err = proto.Marshal(e.Command); err == nil {
-		err = c.node.ProposeConfChange(cc)
-	}
-	if err != nil {
-		c.emit(Reply{e.ReplyTo, err})
-		return
+		return nil, "a change of voters adds or removes some, and leaves one"
 	}
-	c.pendingCommands[[2]uint64{e.Command.Session, e.Command.Sequence}] = e.ReplyTo
+	return cc, ""
 }
 
-// reconfigure takes a change of voters over, and gives the command that says so in the state.
-func (c *Voter) reconfigure(e *raftpb.Entry) []byte {
+// reconfigure applies a committed change of voters to raft, and returns the command that it carries for the state.
+func (v *Voter) reconfigure(e *raftpb.Entry) []byte {
 	cc := &raftpb.ConfChangeV2{}
 	if e.GetType() == raftpb.EntryConfChange {
-		one := &raftpb.ConfChange{}
-		mustSucceed(proto.Unmarshal(e.Data, one))
-		cc = one.AsV2()
+		single := &raftpb.ConfChange{}
+		mustSucceed(proto.Unmarshal(e.Data, single))
+		cc = single.AsV2()
 	} else {
 		mustSucceed(proto.Unmarshal(e.Data, cc))
 	}
-	c.confState = c.node.ApplyConfChange(cc)
-	c.emit(Persist{ConfState: c.confState})
+	v.confState = v.node.ApplyConfChange(cc)
+	v.emit(Persist{ConfState: v.confState})
 	return cc.Context
 }
--- a/internal/replicatedlog/replica.go
+++ b/internal/replicatedlog/replica.go
@@ -10,202 +10,227 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Replica is a sender's own copy of the state, and what it may do by it. Each sender has one, voters too.
+// never marks that something has not been done yet.
+const never time.Duration = -1
+
+// Replica is a sender's own replica of the state, and what the sender may do by it. Each sender has one, voters too. See the package's
+// comment for its contract.
 type Replica struct {
 	name        string
 	incarnation uint64
+	address     string // where other senders reach this one; "": it is no participant
 	settings    fleetpolicy.Settings
 	terms       lease.Terms
 
-	state            *State
-	policy           *fleetpolicy.Machine
-	membership       *coordinator.Machine
+	state      *State
+	policy     *fleetpolicy.Machine
+	membership *coordinator.Machine
+
 	health           *health.Machine
-	healthSeenAt     map[uint64]time.Duration // when a verdict was heard, by its entry
-	liveHealth       *pb.HealthState          // as published: those that have not lapsed
-	liveHealthSource *pb.HealthState          // of which state that is
-	nextHealthExpiry time.Duration            // when one of them does; 0: none
-	holder           *lease.Holder
-	view             *fleetpolicy.View // as published
-	shown            [3]uint64         // version, open change and freeze that it shows
-	address          string            // where others reach this sender; empty: it takes no part in rosters
-	leaseUntil       time.Duration     // as published
-	stopsActingAt    time.Duration     // when it may begin nothing any more; 0: told
-	actingIndex      uint64            // no call waits that was begun under an older state
-	drainingIndex    uint64            // index of the view that is not drained yet; 0: none
-
-	staging        uint64 // change that is on its way to the disk
-	staged         uint64 // change that is there
-	rejection      string // why change refusal is refused here
+	healthSeenAt     map[uint64]time.Duration // when a status was first seen, by the entry that set or renewed it
+	liveHealth       *pb.HealthState          // as published: statuses that have not expired here
+	liveHealthSource *pb.HealthState          // the state that it was made from
+	nextHealthExpiry time.Duration            // of liveHealth; 0: none expires
+
+	holder        *lease.Holder
+	view          *fleetpolicy.View // as published
+	shown         viewKey           // what that view shows
+	leaseUntil    time.Duration     // as published
+	stopsActingAt time.Duration     // end of the lease and the policy's grace; 0: it was said, or there was none
+	actingIndex   uint64            // no call waits that was begun under an older state
+	drainingIndex uint64            // of the view that is not drained yet; 0: none
+
+	staging        uint64 // change that is being stored
+	staged         uint64 // change that is stored
 	rejectedChange uint64
+	rejection      string // why
 
-	requestedAt     time.Duration // when it asked last; -1: never
-	reported        [4]uint64     // what it told then: acts if a change is open, staged, refusal; acts if a roster comes
-	joinSubmittedAt time.Duration // when it handed its join in last; -1: never
+	requestedAt     time.Duration // of the last lease request; never: none yet
+	reported        leaseReport   // what that request told
+	joinSubmittedAt time.Duration // never: not yet
 
-	actions []any
+	actions []ReplicaAction
 }
 
-// NewReplica makes the copy of a process that has just begun: it holds no lease, whatever its folder says. life is drawn by it.
-func NewReplica(name string, life uint64, settings fleetpolicy.Settings, terms lease.Terms) *Replica {
-	c := &Replica{name: name, incarnation: life, settings: settings, terms: terms, policy: fleetpolicy.NewMachine(),
-		holder: lease.NewHolder(terms), requestedAt: -1, joinSubmittedAt: -1}
-	all, r, v := machines(c.policy)
-	c.state, c.membership, c.health, c.healthSeenAt = NewState(all), r, v, map[uint64]time.Duration{}
-	return c
+// viewKey is what makes a view differ for some call.
+type viewKey struct{ version, openChange, freezeIndex uint64 }
+
+// NewReplica makes the replica of a process that has just begun: it holds no lease. incarnation is drawn at random by the process.
+func NewReplica(name string, incarnation uint64, settings fleetpolicy.Settings, terms lease.Terms) *Replica {
+	r := &Replica{name: name, incarnation: incarnation, settings: settings, terms: terms, policy: fleetpolicy.NewMachine(),
+		healthSeenAt: map[uint64]time.Duration{}, holder: lease.NewHolder(terms), requestedAt: never, joinSubmittedAt: never}
+	var machines map[uint32]Machine
+	machines, r.membership, r.health = newMachines(r.policy)
+	r.state = NewState(machines)
+	return r
 }
 
-// Participate has this sender be in rosters, reached at an address.
-func (c *Replica) Participate(address string) { c.address = address }
+// Participate makes this sender a candidate for memberships, reached at an address. It is called before the first step.
+func (r *Replica) Participate(address string) { r.address = address }
 
-// State is the agreed state, as far as it is known here. It is read only, between steps.
-func (c *Replica) State() *State { return c.state }
+// State is the replicated state as far as it is known here. It is read only, between steps.
+func (r *Replica) State() *State { return r.state }
 
-// Policy is the part of it that says where calls go.
-func (c *Replica) Policy() *fleetpolicy.Machine { return c.policy }
+// Policy is the part of the state that says which calls are begun, and where they go. It is read only, between steps.
+func (r *Replica) Policy() *fleetpolicy.Machine { return r.policy }
 
-// Step takes events in and gives what is to be done.
-func (c *Replica) Step(now time.Duration, events []any) ([]any, time.Duration) {
+// Step takes events in and returns what is to be done, and when it wants to be called at the latest.
+func (r *Replica) Step(now time.Duration, events []ReplicaEvent) ([]ReplicaAction, time.Duration) {
 	for _, e := range events {
-		switch e := e.(type) {
-		case LogReceived:
-			c.applyChunk(e.Chunk)
-		case LeaseGranted:
-			c.holder.RecordGrant(e.RequestedAt, e.RequiredIndex, e.Duration, now)
-		case LeaseRequestFailed:
-			c.requestedAt = min(c.requestedAt, now-c.renewInterval()+c.renewInterval()/8) // soon again, and not at once
-		case ChangeStaged:
-			c.staging = 0
-			if o := c.policy.State().GetOpenChange(); o != nil && o.Id == e.ChangeID {
-				if e.Err != nil {
-					c.reject(e.ChangeID, "it can't be kept on the disk: "+e.Err.Error())
-				} else {
-					c.staged = e.ChangeID
-				}
-			}
-		case Drained:
-			if e.Index == c.drainingIndex {
-				c.drainingIndex = 0
-			}
+		r.handle(now, e)
+	}
+	r.stageOpenChange()
+	r.publish(now)
+	if r.drainingIndex == 0 {
+		r.actingIndex = r.state.Index()
+	}
+	r.submitJoin(now)
+	alarm := r.requestLease(now)
+	if r.stopsActingAt > 0 && now >= r.stopsActingAt {
+		r.stopsActingAt = 0
+		r.emit(LeaseExpired{})
+	} else if r.stopsActingAt > 0 {
+		alarm = min(alarm, r.stopsActingAt)
+	}
+	if r.nextHealthExpiry > 0 {
+		alarm = min(alarm, r.nextHealthExpiry)
+	}
+	actions := r.actions
+	r.actions = nil
+	return actions, alarm
+}
+
+func (r *Replica) emit(a ReplicaAction) { r.actions = append(r.actions, a) }
+
+func (r *Replica) handle(now time.Duration, event ReplicaEvent) {
+	switch e := event.(type) {
+	case LogReceived:
+		r.applyChunk(e.Chunk)
+	case LeaseGranted:
+		r.holder.RecordGrant(e.RequestedAt, e.RequiredIndex, e.Duration, now)
+	case LeaseRequestFailed:
+		r.retryLeaseRequest(now)
+	case ChangeStaged:
+		r.changeStaged(e)
+	case Drained:
+		if e.Index == r.drainingIndex {
+			r.drainingIndex = 0
 		}
 	}
-	c.stageOpenChange()
-	c.publish(now)
-	if c.drainingIndex == 0 {
-		c.actingIndex = c.state.Index()
-	}
-	c.submitJoin(now)
-	alarm := c.requestLease(now)
-	if c.stopsActingAt > 0 && now >= c.stopsActingAt {
-		c.stopsActingAt = 0
-		c.actions = append(c.actions, LeaseExpired{})
-	} else if c.stopsActingAt > 0 {
-		alarm = min(alarm, c.stopsActingAt)
-	}
-	if c.nextHealthExpiry > 0 {
-		alarm = min(alarm, c.nextHealthExpiry)
-	}
-	actions := c.actions
-	c.actions = nil
-	return actions, alarm
 }
 
-// applyChunk applies what is committed. What can't be applied ends the copy with a panic: it stops, and its leases lapse.
-func (c *Replica) applyChunk(p *pb.LogChunk) {
-	if len(p.Snapshot) > 0 && SnapshotIndex(p.Snapshot) > c.state.Index() {
-		mustSucceed(c.state.Restore(p.Snapshot))
+// applyChunk applies what is committed. An entry that can't be applied is a panic: the replica stops, and its lease expires.
+func (r *Replica) applyChunk(p *pb.LogChunk) {
+	if len(p.Snapshot) > 0 && SnapshotIndex(p.Snapshot) > r.state.Index() {
+		mustSucceed(r.state.Restore(p.Snapshot))
 	}
 	for _, e := range p.Entries {
-		if e.Index <= c.state.Index() { // told twice
+		if e.Index <= r.state.Index() { // a duplicate
 			continue
 		}
-		if e.Index > c.state.Index()+1 {
-			return // something is missing: it is told again from where the copy stands
+		if e.Index > r.state.Index()+1 {
+			return // some are missing: they are sent again from where the replica stands
 		}
-		_, err := c.state.Apply(e.Index, e.Term, e.Command)
+		_, err := r.state.Apply(e.Index, e.Term, e.Command)
 		mustSucceed(err)
 	}
 }
 
-// stageOpenChange checks the open change, and has it kept.
-func (c *Replica) stageOpenChange() {
-	o := c.policy.State().GetOpenChange()
-	if o == nil || c.staged == o.Id || c.staging == o.Id || c.rejectedChange == o.Id {
+// stageOpenChange checks the open change against this sender's settings and has it stored.
+func (r *Replica) stageOpenChange() {
+	open := r.policy.State().GetOpenChange()
+	if open == nil || r.staged == open.Id || r.staging == open.Id || r.rejectedChange == open.Id {
 		return
 	}
-	if err := c.policy.Next().CheckSettings(c.settings); err != nil {
-		c.reject(o.Id, err.Error())
+	if err := r.policy.Next().CheckSettings(r.settings); err != nil {
+		r.reject(open.Id, err.Error())
 		return
 	}
-	c.staging = o.Id
-	c.actions = append(c.actions, StageChange{o.Id, o.Document})
+	r.staging = open.Id
+	r.emit(StageChange{ChangeID: open.Id, Document: open.Document})
 }
 
-func (c *Replica) reject(change uint64, why string) { c.rejectedChange, c.rejection = change, why }
+func (r *Replica) changeStaged(e ChangeStaged) {
+	r.staging = 0
+	if open := r.policy.State().GetOpenChange(); open == nil || open.Id != e.ChangeID {
+		return
+	}
+	if e.Err != nil {
+		r.reject(e.ChangeID, "it can't be kept on the disk: "+e.Err.Error())
+		return
+	}
+	r.staged = e.ChangeID
+}
+
+func (r *Replica) reject(change uint64, reason string) {
+	r.rejectedChange, r.rejection = change, reason
+}
 
-// publish says what calls go by, if that is another than before.
-func (c *Replica) publish(now time.Duration) {
-	p := PublishView{View: c.view}
-	o := c.policy.State().GetOpenChange()
-	is := [3]uint64{c.policy.State().GetVersion(), o.GetId(), o.GetFreezeIndex()}
+// publish says what calls go by, if that or the lease is another than before. Where only the index moved on, the view is the same to each
+// call, and nothing has to drain.
+func (r *Replica) publish(now time.Duration) {
+	p := PublishView{View: r.view}
+	open := r.policy.State().GetOpenChange()
+	key := viewKey{r.policy.State().GetVersion(), open.GetId(), open.GetFreezeIndex()}
 	switch {
-	case c.view == nil || is != c.shown:
-		p.View = c.policy.View(c.state.Index(), c.settings)
-		p.Drain = c.view != nil
-	case c.view.Index != c.state.Index():
-		moved := *c.view // the same to each call
-		moved.Index = c.state.Index()
+	case r.view == nil || key != r.shown:
+		p.View = r.policy.View(r.state.Index(), r.settings)
+		p.Drain = r.view != nil
+	case r.view.Index != r.state.Index():
+		moved := *r.view
+		moved.Index = r.state.Index()
 		p.View = &moved
 	}
-	if stand := c.unexpiredHealth(now); stand != c.liveHealth {
-		if c.liveHealth = stand; p.View == c.view {
-			same := *c.view
+	if live := r.unexpiredHealth(now); live != r.liveHealth {
+		if r.liveHealth = live; p.View == r.view {
+			same := *r.view
 			p.View = &same
 		}
 	}
-	if p.View != c.view {
-		p.View.Health = c.liveHealth
-		p.View.Membership, p.View.Rank = c.membership.State(), c.state.Rank(c.name)
+	if p.View != r.view {
+		p.View.Health = r.liveHealth
+		p.View.Membership, p.View.Rank = r.membership.State(), r.state.Rank(r.name)
 	}
-	p.LeaseUntil = c.holder.Until(c.state.Index())
-	if p.View == c.view && p.LeaseUntil == c.leaseUntil {
+	p.LeaseUntil = r.holder.Until(r.state.Index())
+	if p.View == r.view && p.LeaseUntil == r.leaseUntil {
 		return
 	}
 	if p.Drain {
-		c.drainingIndex = p.View.Index
+		r.drainingIndex = p.View.Index
 	}
-	c.view, c.shown, c.leaseUntil = p.View, is, p.LeaseUntil
-	if c.leaseUntil > now {
-		c.stopsActingAt = c.leaseUntil + p.View.Policy.CutOffGrace()
+	r.view, r.shown, r.leaseUntil = p.View, key, p.LeaseUntil
+	if r.leaseUntil > now {
+		r.stopsActingAt = r.leaseUntil + p.View.Policy.CutOffGrace()
 	}
-	c.actions = append(c.actions, p)
+	r.emit(p)
 }
 
-// unexpiredHealth are the verdicts that have not lapsed here: one that is not said again is over, also for who hears nothing any more.
-func (c *Replica) unexpiredHealth(now time.Duration) *pb.HealthState {
-	all := c.health.State()
-	if all == c.liveHealthSource && (c.nextHealthExpiry == 0 || now < c.nextHealthExpiry) {
-		return c.liveHealth
-	}
-	c.liveHealthSource, c.nextHealthExpiry = all, 0
-	heard, stand := map[uint64]time.Duration{}, &pb.HealthState{}
-	for _, v := range all.GetStatuses() {
-		at, known := c.healthSeenAt[v.UpdateIndex]
+// unexpiredHealth is the health statuses that have not expired here: one that is not renewed is over, also for a sender that receives
+// nothing any more.
+func (r *Replica) unexpiredHealth(now time.Duration) *pb.HealthState {
+	all := r.health.State()
+	if all == r.liveHealthSource && (r.nextHealthExpiry == 0 || now < r.nextHealthExpiry) {
+		return r.liveHealth
+	}
+	r.liveHealthSource, r.nextHealthExpiry = all, 0
+	seenAt, live := map[uint64]time.Duration{}, &pb.HealthState{}
+	for _, s := range all.GetStatuses() {
+		at, known := r.healthSeenAt[s.UpdateIndex]
 		if !known {
 			at = now
 		}
-		heard[v.UpdateIndex] = at
-		if v.TtlUs > 0 {
-			until := at + time.Duration(v.TtlUs)*time.Microsecond
+		seenAt[s.UpdateIndex] = at
+		if s.TtlUs > 0 {
+			until := at + time.Duration(s.TtlUs)*time.Microsecond
 			if now >= until {
 				continue
 			}
-			if c.nextHealthExpiry == 0 || until < c.nextHealthExpiry {
-				c.nextHealthExpiry = until
+			if r.nextHealthExpiry == 0 || until < r.nextHealthExpiry {
+				r.nextHealthExpiry = until
 			}
 		}
-		stand.Statuses = append(stand.Statuses, v)
+		live.Statuses = append(live.Statuses, s)
 	}
-	c.healthSeenAt = heard
-	return stand
+	r.healthSeenAt = seenAt
+	return live
 }
--- a/internal/replicatedlog/replica_lease.go
+++ b/internal/replicatedlog/replica_lease.go
@@ -6,43 +6,63 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// renewInterval is how often a lease is asked for: three times in its length, so that two answers may be lost.
-func (c *Replica) renewInterval() time.Duration { return c.terms.Duration / 3 }
-
-// requestLease asks for a lease when it is time, or when there is something that a change waits for.
-func (c *Replica) requestLease(now time.Duration) (next time.Duration) {
-	told := [4]uint64{0, c.staged, c.rejectedChange, 0}
-	if s := c.membership.State(); s.NextEpoch != 0 && c.actingIndex >= s.FenceIndex {
-		told[3] = s.FenceIndex
+// leaseReport is what a lease request tells that a change or a membership may wait for. When it differs, a request goes out at once.
+type leaseReport struct {
+	freezePassed     uint64 // index of the open change's freeze once it is acted under; 1: a change is open; 0: none is
+	staged           uint64 // change
+	rejected         uint64 // change
+	membershipPassed uint64 // index of the proposed membership once it is acted under; 0: none is proposed
+}
+
+// renewInterval is how often a lease is requested: three times in its duration, so that two answers may be lost.
+func (r *Replica) renewInterval() time.Duration { return r.terms.Duration / 3 }
+
+// retryLeaseRequest has the next request go out soon, an eighth of the interval from now at the latest.
+func (r *Replica) retryLeaseRequest(now time.Duration) {
+	r.requestedAt = min(r.requestedAt, now-r.renewInterval()+r.renewInterval()/8)
+}
+
+// requestLease requests a lease when it is time, or when there is something to tell that a change waits for. next is when it is time
+// again.
+func (r *Replica) requestLease(now time.Duration) (next time.Duration) {
+	report := r.leaseReport()
+	if due := r.requestedAt + r.renewInterval(); r.requestedAt >= 0 && report == r.reported && now < due {
+		return due
 	}
-	if o := c.policy.State().GetOpenChange(); o != nil && o.FreezeIndex != 0 && c.actingIndex >= o.FreezeIndex {
-		told[0] = o.FreezeIndex
-	} else if o != nil {
-		told[0] = 1
+	r.requestedAt, r.reported = now, report
+	request := &pb.LeaseRequest{Name: r.name, Incarnation: r.incarnation, ActingIndex: r.actingIndex, MaxCommandKind: MaxCommandKind, Address: r.address}
+	if r.staged != 0 {
+		request.Staged = append(request.Staged, &pb.StagedChange{ChangeId: r.staged})
 	}
-	if due := c.requestedAt + c.renewInterval(); c.requestedAt >= 0 && told == c.reported && now < due {
-		return due
+	if r.rejectedChange != 0 {
+		request.Staged = append(request.Staged, &pb.StagedChange{ChangeId: r.rejectedChange, Rejection: r.rejection})
 	}
-	c.requestedAt, c.reported = now, told
-	r := &pb.LeaseRequest{Name: c.name, Incarnation: c.incarnation, ActingIndex: c.actingIndex, MaxCommandKind: MaxCommandKind, Address: c.address}
-	if c.staged != 0 {
-		r.Staged = append(r.Staged, &pb.StagedChange{ChangeId: c.staged})
+	r.emit(SendLeaseRequest{RequestedAt: r.holder.Request(now), Request: request})
+	return now + r.renewInterval()
+}
+
+func (r *Replica) leaseReport() leaseReport {
+	report := leaseReport{staged: r.staged, rejected: r.rejectedChange}
+	if s := r.membership.State(); s.NextEpoch != 0 && r.actingIndex >= s.FenceIndex {
+		report.membershipPassed = s.FenceIndex
 	}
-	if c.rejectedChange != 0 {
-		r.Staged = append(r.Staged, &pb.StagedChange{ChangeId: c.rejectedChange, Rejection: c.rejection})
+	if open := r.policy.State().GetOpenChange(); open != nil {
+		report.freezePassed = 1
+		if open.FreezeIndex != 0 && r.actingIndex >= open.FreezeIndex {
+			report.freezePassed = open.FreezeIndex
+		}
 	}
-	c.actions = append(c.actions, SendLeaseRequest{c.holder.Request(now), r})
-	return now + c.renewInterval()
+	return report
 }
 
-// submitJoin hands in that this sender belongs to the fleet, until the state says so.
-func (c *Replica) submitJoin(now time.Duration) {
-	if m := c.state.Member(c.name); m != nil && (m.MaxCommandKind == MaxCommandKind || m.Removed) || c.state.Index() == 0 {
+// submitJoin proposes that this sender is a member with what its program knows, until the state says so.
+func (r *Replica) submitJoin(now time.Duration) {
+	if m := r.state.Member(r.name); m != nil && (m.MaxCommandKind == MaxCommandKind || m.Removed) || r.state.Index() == 0 {
 		return
 	}
-	if c.joinSubmittedAt >= 0 && now-c.joinSubmittedAt < c.renewInterval() {
+	if r.joinSubmittedAt >= 0 && now-r.joinSubmittedAt < r.renewInterval() {
 		return
 	}
-	c.joinSubmittedAt = now
-	c.actions = append(c.actions, SubmitJoin{&pb.Join{Name: c.name, MaxCommandKind: MaxCommandKind}})
+	r.joinSubmittedAt = now
+	r.emit(SubmitJoin{&pb.Join{Name: r.name, MaxCommandKind: MaxCommandKind}})
 }
--- a/internal/replicatedlog/snapshot.go
+++ b/internal/replicatedlog/snapshot.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
@@ -9,35 +10,34 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Snapshot is the whole state.
+// snapshotFormat is the version of pb.Snapshot that this program writes and reads.
+const snapshotFormat = 1
+
+// Snapshot encodes the complete state as a pb.Snapshot, equal states equally.
 func (s *State) Snapshot() ([]byte, error) {
 	snap := &pb.Snapshot{Format: snapshotFormat, Index: s.index, Term: s.term, Sessions: s.sessions, Members: s.Members(), Voters: s.Voters()}
-	kinds := make([]uint32, 0, len(s.machines))
-	for k := range s.machines {
-		kinds = append(kinds, k)
-	}
-	slices.Sort(kinds)
-	for _, k := range kinds {
-		raw, err := s.machines[k].Snapshot()
+	for _, kind := range slices.Sorted(maps.Keys(s.machines)) {
+		raw, err := s.machines[kind].Snapshot()
 		if err != nil {
-			return nil, fmt.Errorf("snapshot: kind %d: %w", k, err)
+			return nil, fmt.Errorf("snapshot: kind %d: %w", kind, err)
 		}
 		if len(raw) == 0 {
-			continue // untouched: a program that does not know it can take the snapshot
+			continue // untouched: a program that does not know the kind can take the snapshot
 		}
-		snap.Machines = append(snap.Machines, &pb.MachineState{Kind: k, State: raw})
+		snap.Machines = append(snap.Machines, &pb.MachineState{Kind: kind, State: raw})
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(snap)
 }
 
-// Restore puts a snapshot in place of the state.
+// Restore replaces the state by a snapshot's. The error is a *DecodeError, a *SnapshotFormatError, one that wraps ErrUnknownCommand,
+// or a machine's.
 func (s *State) Restore(raw []byte) error {
 	snap := &pb.Snapshot{}
 	if err := proto.Unmarshal(raw, snap); err != nil {
-		return fmt.Errorf("the snapshot can't be read: %w", err)
+		return &DecodeError{What: "the snapshot", Err: err}
 	}
 	if snap.Format != snapshotFormat {
-		return fmt.Errorf("the snapshot is of format %d; this program reads %d", snap.Format, snapshotFormat)
+		return &SnapshotFormatError{Got: snap.Format, Want: snapshotFormat}
 	}
 	for _, m := range s.machines {
 		if err := m.Restore(nil); err != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// SnapshotIndex is at which index a snapshot was taken; 0 if it can't be read.
+// SnapshotIndex is the index at which an encoded snapshot was taken; 0 if it can't be decoded.
 func SnapshotIndex(raw []byte) uint64 {
 	snap := &pb.Snapshot{}
 	if proto.Unmarshal(raw, snap) != nil {
@@ -71,11 +71,3 @@
 	}
 	return snap.Index
 }
-
-const (
-	snapshotFormat  = 1
-	maxSessions     = 1000    // of which the last result is remembered, those used last
-	maxMembers      = 10_000  // that a fleet may have
-	maxCommandBytes = 2 << 20 // bytes
-	maxNameBytes    = 128     // bytes of a sender's name
-)
--- a/internal/replicatedlog/state.go
+++ b/internal/replicatedlog/state.go
@@ -1,12 +1,6 @@
-// Package replicatedlog is what all senders of a fleet agree on: a log that a few of them, the voters, keep by raft
-// (go.etcd.io/raft), and the state that its entries make, the same at each who has come as far.
-//
-// State, Core and Copy are free of I/O and clocks: they are given events with the time and give actions, in the order in which
-// they are to be carried out. What stands on the disk and what goes over the network is package fleet's.
 package replicatedlog
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 
@@ -18,128 +12,149 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Kinds of command. A new one gets the next number, and a higher Speaks.
+// Kinds of command. A new kind gets the next number, and MaxCommandKind grows with it.
 const (
 	KindJoin       uint32 = 1
 	KindLeave      uint32 = 2
 	KindPolicy     uint32 = 3
-	KindVoters     uint32 = 4 // with a change of raft's own
+	KindVoters     uint32 = 4 // along with raft's own change of configuration
 	KindMembership uint32 = 5
 	KindHealth     uint32 = 6
 )
 
-// MaxCommandKind is up to which kind of command this program knows. A command of a higher kind is handed in only when all members
-// speak it, and a program that meets one it does not know stops following the log.
+// MaxCommandKind is the highest kind of command that this program knows. A command of a higher kind is proposed only once all members
+// know it, and a program that meets one it does not know stops following the log.
 const MaxCommandKind uint32 = 6
 
-// ErrUnknownCommand is that the log has a command of a kind that this program does not know. It must not go on as if it were not there.
-var ErrUnknownCommand = errors.New("the fleet's log has a command that this program does not know: it needs a newer one")
+const (
+	maxSessions     = 1000    // whose last outcome is remembered; the least recently used goes first
+	maxMembers      = 10_000  // of a fleet, removed ones included
+	maxCommandBytes = 2 << 20 // of one encoded command
+	maxNameBytes    = 128     // of a sender's name
+)
 
-// Machine is the part of the state that one kind of command works on. The same commands in the same order make the same state.
+// Machine is the part of the state that one kind of command works on. It is deterministic: the same commands in the same order make
+// the same state at each sender.
 type Machine interface {
-	// Apply carries out a command. refused says why it changed nothing; err is that it can't be read.
-	Apply(index uint64, body []byte) (result []byte, refused string, err error)
+	// Apply applies a command at its index of the log. A rejection says why the command changed nothing; an error is that the
+	// command can't be read, and then the log can't be followed.
+	Apply(index uint64, body []byte) (result []byte, rejection string, err error)
+	// Snapshot encodes the complete state; empty if no command was applied yet.
 	Snapshot() ([]byte, error)
+	// Restore replaces the state by one that Snapshot gave; nil makes it empty.
 	Restore([]byte) error
 }
 
-// State is the agreed state at an index.
+// State is the replicated state at an index. It is not safe for concurrent use.
 type State struct {
 	index, term uint64
-	sessions    []*pb.Session // the one used last comes last
+	sessions    []*pb.Session // least recently used first
 	members     map[string]*pb.Member
-	voters      map[uint64]*pb.Voter
+	voters      map[uint64]*pb.Voter // those added to the first ones, and all that were removed
 	machines    map[uint32]Machine
 }
 
 // Outcome is what became of a command.
 type Outcome struct {
-	Index     uint64
+	Index     uint64 // of the entry that decided it
 	Session   uint64
 	Sequence  uint64
 	Result    []byte
-	Rejection string
+	Rejection string // why it changed nothing; "" if it was applied
 }
 
-// NewState makes the state before the first entry. machines are by kind.
+// NewState makes the state before the first entry, with the machines of each kind of command.
 func NewState(machines map[uint32]Machine) *State {
 	return &State{members: map[string]*pb.Member{}, voters: map[uint64]*pb.Voter{}, machines: machines}
 }
 
-// machines are those of this program, that work on the policy given.
-func machines(policy *fleetpolicy.Machine) (map[uint32]Machine, *coordinator.Machine, *health.Machine) {
-	r := coordinator.NewMachine()
-	v := health.NewMachine(func() uint64 { return r.State().GetEpoch() })
-	return map[uint32]Machine{KindPolicy: policy, KindMembership: r, KindHealth: v}, r, v
+// newMachines makes the machines of this program around the given policy.
+func newMachines(policy *fleetpolicy.Machine) (map[uint32]Machine, *coordinator.Machine, *health.Machine) {
+	membership := coordinator.NewMachine()
+	statuses := health.NewMachine(func() uint64 { return membership.State().GetEpoch() })
+	return map[uint32]Machine{KindPolicy: policy, KindMembership: membership, KindHealth: statuses}, membership, statuses
 }
 
-// Index is how far the state has come.
+// Index is the index of the entry applied last; 0 before the first.
 func (s *State) Index() uint64 { return s.index }
 
-// Apply carries out the entry behind the last one. An entry without a command counts all the same.
+// Apply applies the entry behind the last one. An entry without a command moves the index all the same. The error is a *GapError, a
+// *DecodeError, one that wraps ErrUnknownCommand, or a machine's; the state is then not to be used any more.
 func (s *State) Apply(index, term uint64, raw []byte) (Outcome, error) {
 	if index != s.index+1 {
-		return Outcome{}, fmt.Errorf("entry %d can't follow entry %d", index, s.index)
+		return Outcome{}, &GapError{Index: index, Applied: s.index}
 	}
-	done := Outcome{Index: index}
+	outcome := Outcome{Index: index}
 	if len(raw) > 0 {
 		c := &pb.Command{}
 		if err := proto.Unmarshal(raw, c); err != nil {
-			return Outcome{}, fmt.Errorf("entry %d can't be read: %w", index, err)
+			return Outcome{}, &DecodeError{What: fmt.Sprintf("entry %d", index), Err: err}
 		}
 		var err error
-		if done, err = s.applyCommand(index, c); err != nil {
+		if outcome, err = s.applyCommand(index, c); err != nil {
 			return Outcome{}, fmt.Errorf("entry %d: %w", index, err)
 		}
 	}
 	s.index, s.term = index, term
-	return done, nil
+	return outcome, nil
 }
 
+// applyCommand applies a command once, however often its session proposes it.
 func (s *State) applyCommand(index uint64, c *pb.Command) (Outcome, error) {
-	done := Outcome{Index: index, Session: c.Session, Sequence: c.Sequence}
 	at := slices.IndexFunc(s.sessions, func(o *pb.Session) bool { return o.Id == c.Session })
 	if c.Session != 0 && at >= 0 {
-		o := s.sessions[at]
-		switch {
-		case c.Sequence == o.Sequence: // its answer was lost: it counts once
-			done.Index, done.Result, done.Rejection = o.Index, o.Result, o.Rejection
-			return done, nil
-		case c.Sequence < o.Sequence:
-			done.Rejection = fmt.Sprintf("command %d of a session that has come to %d", c.Sequence, o.Sequence)
-			return done, nil
+		if outcome, repeated := repeatedOutcome(s.sessions[at], c, index); repeated {
+			return outcome, nil
 		}
 	}
+	outcome, err := s.dispatch(index, c)
+	if err != nil || c.Session == 0 {
+		return outcome, err
+	}
+	if at >= 0 {
+		s.sessions = slices.Delete(s.sessions, at, at+1)
+	} else if len(s.sessions) >= maxSessions {
+		s.sessions = slices.Delete(s.sessions, 0, 1)
+	}
+	s.sessions = append(s.sessions, &pb.Session{Id: c.Session, Sequence: c.Sequence, Result: outcome.Result, Rejection: outcome.Rejection, Index: index})
+	return outcome, nil
+}
+
+// repeatedOutcome is the outcome of a command that does not move its session on: the recorded one if it is the session's last command
+// again, as its answer was lost, or a rejection if it is an older one.
+func repeatedOutcome(last *pb.Session, c *pb.Command, index uint64) (outcome Outcome, repeated bool) {
+	switch {
+	case c.Sequence == last.Sequence:
+		return Outcome{Index: last.Index, Session: c.Session, Sequence: c.Sequence, Result: last.Result, Rejection: last.Rejection}, true
+	case c.Sequence < last.Sequence:
+		return Outcome{Index: index, Session: c.Session, Sequence: c.Sequence,
+			Rejection: fmt.Sprintf("command %d of a session that has come to %d", c.Sequence, last.Sequence)}, true
+	}
+	return Outcome{}, false
+}
+
+// dispatch applies a command by its kind.
+func (s *State) dispatch(index uint64, c *pb.Command) (Outcome, error) {
+	outcome := Outcome{Index: index, Session: c.Session, Sequence: c.Sequence}
 	var err error
 	switch c.Kind {
 	case KindJoin:
-		done.Rejection, err = s.join(index, c.Body)
+		outcome.Rejection, err = s.join(index, c.Body)
 	case KindLeave:
-		done.Rejection, err = s.leave(c.Body)
+		outcome.Rejection, err = s.leave(c.Body)
 	case KindVoters:
 		err = s.changeVoters(c.Body)
 	default:
 		m := s.machines[c.Kind]
 		if m == nil {
-			return done, fmt.Errorf("%w (kind %d; this one knows up to %d)", ErrUnknownCommand, c.Kind, MaxCommandKind)
-		}
-		done.Result, done.Rejection, err = m.Apply(index, c.Body)
-	}
-	if err != nil {
-		return done, err
-	}
-	if c.Session != 0 {
-		if at >= 0 {
-			s.sessions = slices.Delete(s.sessions, at, at+1)
-		} else if len(s.sessions) >= maxSessions {
-			s.sessions = slices.Delete(s.sessions, 0, 1)
+			return outcome, fmt.Errorf("%w (kind %d; this one knows up to %d)", ErrUnknownCommand, c.Kind, MaxCommandKind)
 		}
-		s.sessions = append(s.sessions, &pb.Session{Id: c.Session, Sequence: c.Sequence, Result: done.Result, Rejection: done.Rejection, Index: index})
+		outcome.Result, outcome.Rejection, err = m.Apply(index, c.Body)
 	}
-	return done, nil
+	return outcome, err
 }
 
-// Outcome is what became of a session's last command, if it is that one.
+// Outcome is what became of a session's last command, if it is the one with that sequence.
 func (s *State) Outcome(session, sequence uint64) (Outcome, bool) {
 	for _, o := range s.sessions {
 		if o.Id == session && o.Sequence == sequence {
--- a/internal/replicatedlog/voter.go
+++ b/internal/replicatedlog/voter.go
@@ -18,20 +18,25 @@
 )
 
 const (
-	// Tick is the step of raft's time. A leader is heard each tick; one that is not heard for ElectionTicks to twice as many is
-	// replaced.
+	// Tick is the step of raft's time. A leader sends heartbeats each tick; one that is silent for ElectionTicks to twice as many
+	// ticks is replaced.
 	Tick          = 50 * time.Millisecond
 	ElectionTicks = 10
 
+	maxCatchUpTicks     = 2       // that one step makes up for after the voter stood still
 	snapshotInterval    = 5000    // entries between snapshots
-	entriesKept         = 1000    // entries kept in front of one, for voters and followers that are a little behind
-	maxMessageBytes     = 1 << 20 // bytes of entries in one message
-	maxUncommittedBytes = 8 << 20 // bytes that a leader holds uncommitted; beyond that commands are turned away
-	maxWaitingReported  = 20      // of those that a change waits for, to each who asks
-	maxPendingReads     = 4096    // questions that wait to be confirmed
+	retainedEntries     = 1000    // before a snapshot, for voters and followers that are a little behind
+	maxMessageBytes     = 1 << 20 // of entries in one raft message
+	maxUncommittedBytes = 8 << 20 // that a leader holds; beyond that commands are rejected
+	maxInflightMessages = 256     // to one follower
+	maxWaitingReported  = 20      // senders that a change waits for, in a lease reply
+	maxPendingReads     = 4096    // lease requests that wait for the leader to be confirmed
 )
 
-// Voter is a voter.
+// commandID is what tells commands of clients apart.
+type commandID struct{ session, sequence uint64 }
+
+// Voter is a raft voter as a state machine; see the package's comment for its contract. Only Step may be called once it runs.
 type Voter struct {
 	id              uint64
 	terms           lease.Terms
@@ -42,208 +47,214 @@
 	policy          *fleetpolicy.Machine
 	membership      *coordinator.Machine
 	confState       *raftpb.ConfState
-	hardState       *raftpb.HardState // as of now; its commit may be ahead of the disk's
-	compactedTo     uint64            // entries up to here are in no memory any more
+	hardState       *raftpb.HardState // as of now; its commit index may be ahead of the stored one
+	compactedTo     uint64            // entries up to here are in memory no more
 	nextTick        time.Duration
-	pendingCommands map[[2]uint64]uint64 // who waits for a command, by session and sequence
+	pendingCommands map[commandID]uint64 // whom to answer
 
-	// While it leads.
-	granter               *lease.Granter
+	// Of a leader.
+	granter               *lease.Granter // nil: it does not lead
 	policyCoordinator     *fleetpolicy.Coordinator
 	membershipCoordinator *coordinator.Coordinator
-	addresses             map[lease.HolderID]string   // where those who asked are reached
-	pendingReads          map[uint64][]LeaseRequested // by the read that confirms them
+	addresses             map[lease.HolderID]string   // where those that asked are reached
+	pendingReads          map[uint64][]LeaseRequested // by the linearizable read that confirms them
 	lastRead              uint64
 	ledTerm               uint64 // term in which it led last
 
-	actions []any
+	actions []VoterAction
 	status  Status
 }
 
-// NewVoter makes a voter that goes on from its folder. heard are the answers of all others to its hello; nil if somebody
-// vouches for the folder, or there are no others.
-func NewVoter(name string, stored *StoredLog, peers map[string]PeerState, terms lease.Terms, policy *fleetpolicy.Machine, log raft.Logger) (*Voter, StartState, error) {
-	c := &Voter{id: VoterID(name), terms: terms, storage: raft.NewMemoryStorage(), policy: policy, pendingCommands: map[[2]uint64]uint64{}, pendingReads: map[uint64][]LeaseRequested{}}
-	all, r, _ := machines(policy)
-	c.state, c.membership = NewState(all), r
-	c.start = reconcile(c.id, stored.Position(), peers)
-	hard := &raftpb.HardState{Term: &c.start.Term, Vote: &c.start.Vote, Commit: new(stored.HardState.GetCommit())}
-	c.confState = stored.ConfState
-	base := &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{ConfState: c.confState, Index: &stored.BaseIndex, Term: &stored.BaseTerm}}
-	applied := uint64(0)
-	if stored.Snapshot != nil {
-		if err := c.state.Restore(stored.Snapshot.Data); err != nil {
-			return nil, c.start, err
-		}
-		applied = c.state.Index()
-		c.confState = stored.Snapshot.GetMetadata().GetConfState()
-		base.Metadata.ConfState = c.confState
+// VoterConfig is what a voter starts from.
+type VoterConfig struct {
+	Name   string
+	Stored *StoredLog
+	Peers  map[string]PeerState // answers of all other voters to the handshake; nil: an operator vouches for Stored, or there are none
+	Terms  lease.Terms
+	Policy *fleetpolicy.Machine // empty; the voter's own from now on
+	Logger raft.Logger          // of the raft library; nil: its default
+}
+
+// NewVoter makes a voter that goes on from what it has stored. Its first step persists the term and vote it starts with.
+func NewVoter(cfg VoterConfig) (*Voter, StartState, error) {
+	v := &Voter{id: VoterID(cfg.Name), terms: cfg.Terms, storage: raft.NewMemoryStorage(), policy: cfg.Policy,
+		pendingCommands: map[commandID]uint64{}, pendingReads: map[uint64][]LeaseRequested{}}
+	machines, membership, _ := newMachines(cfg.Policy)
+	v.state, v.membership = NewState(machines), membership
+	v.start = reconcile(v.id, cfg.Stored.Position(), cfg.Peers)
+	v.hardState = &raftpb.HardState{Term: &v.start.Term, Vote: &v.start.Vote, Commit: new(cfg.Stored.HardState.GetCommit())}
+	if err := v.load(cfg.Stored); err != nil {
+		return nil, v.start, err
 	}
-	if stored.BaseIndex > 0 || c.confState != nil {
-		if err := c.storage.ApplySnapshot(base); err != nil {
-			return nil, c.start, fmt.Errorf("the folder's log: %w", err)
-		}
+	applied := v.state.Index()
+	var err error
+	v.node, err = raft.NewRawNode(&raft.Config{ID: v.id, ElectionTick: ElectionTicks, HeartbeatTick: 1, Storage: v.storage, Applied: applied,
+		MaxSizePerMsg: maxMessageBytes, MaxUncommittedEntriesSize: maxUncommittedBytes, MaxInflightMsgs: maxInflightMessages, CheckQuorum: true, PreVote: true,
+		DisableProposalForwarding: true, Logger: cfg.Logger})
+	if err != nil {
+		return nil, v.start, fmt.Errorf("raft: %w", err)
 	}
-	if err := c.storage.Append(stored.Entries); err != nil {
-		return nil, c.start, fmt.Errorf("the folder's log: %w", err)
+	v.emit(Persist{HardState: v.hardState}) // the vote that is spent is on the disk before the first message
+	if applied > 0 {
+		raw, err := v.state.Snapshot()
+		if err != nil {
+			return nil, v.start, err
+		}
+		v.emit(Committed{Snapshot: raw})
 	}
-	if stored.Snapshot != nil { // it lies within the entries that are kept
-		if _, err := c.storage.CreateSnapshot(applied, c.confState, stored.Snapshot.Data); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
-			return nil, c.start, fmt.Errorf("the folder's snapshot: %w", err)
+	return v, v.start, nil
+}
+
+// load fills state and raft's storage from what is stored.
+func (v *Voter) load(stored *StoredLog) error {
+	v.confState = stored.ConfState
+	base := &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{ConfState: v.confState, Index: &stored.BaseIndex, Term: &stored.BaseTerm}}
+	if stored.Snapshot != nil {
+		if err := v.state.Restore(stored.Snapshot.Data); err != nil {
+			return err
 		}
+		v.confState = stored.Snapshot.GetMetadata().GetConfState()
+		base.Metadata.ConfState = v.confState
 	}
-	if err := c.storage.SetHardState(hard); err != nil {
-		return nil, c.start, err
+	if stored.BaseIndex > 0 || v.confState != nil {
+		if err := v.storage.ApplySnapshot(base); err != nil {
+			return fmt.Errorf("the folder's log: %w", err)
+		}
 	}
-	c.compactedTo = stored.BaseIndex
-	var err error
-	c.node, err = raft.NewRawNode(&raft.Config{ID: c.id, ElectionTick: ElectionTicks, HeartbeatTick: 1, Storage: c.storage, Applied: applied,
-		MaxSizePerMsg: maxMessageBytes, MaxUncommittedEntriesSize: maxUncommittedBytes, MaxInflightMsgs: 256, CheckQuorum: true, PreVote: true,
-		DisableProposalForwarding: true, Logger: log})
-	if err != nil {
-		return nil, c.start, fmt.Errorf("raft: %w", err)
+	if err := v.storage.Append(stored.Entries); err != nil {
+		return fmt.Errorf("the folder's log: %w", err)
 	}
-	c.hardState = hard
-	c.emit(Persist{HardState: hard}) // the vote that is spent stands on the disk before the first word
-	if applied > 0 {
-		raw, err := c.state.Snapshot()
-		if err != nil {
-			return nil, c.start, err
+	if stored.Snapshot != nil { // it lies within the entries that are retained
+		if _, err := v.storage.CreateSnapshot(v.state.Index(), v.confState, stored.Snapshot.Data); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
+			return fmt.Errorf("the folder's snapshot: %w", err)
 		}
-		c.emit(Committed{Snapshot: raw})
 	}
-	return c, c.start, nil
+	v.compactedTo = stored.BaseIndex
+	return v.storage.SetHardState(v.hardState)
 }
 
-func (c *Voter) emit(a any) { c.actions = append(c.actions, a) }
+func (v *Voter) emit(a VoterAction) { v.actions = append(v.actions, a) }
+
+func (v *Voter) reply(to uint64, m proto.Message) { v.emit(Reply{To: to, Message: m}) }
+
+func (v *Voter) replyError(to uint64, err error) { v.emit(Reply{To: to, Err: err}) }
 
-// Step takes events in and gives what is to be done. A log that can't be followed is a panic: the voter ends there.
-func (c *Voter) Step(now time.Duration, events []any) ([]any, time.Duration) {
+// Step takes events in and returns what is to be done, and when it wants to be called at the latest. A log that can't be followed is a
+// panic: the voter ends there.
+func (v *Voter) Step(now time.Duration, events []VoterEvent) ([]VoterAction, time.Duration) {
 	for _, e := range events {
-		c.handle(now, e)
+		v.handle(e)
 	}
-	if c.nextTick == 0 {
-		c.nextTick = now
-	}
-	if most := now - 2*Tick; c.nextTick < most { // it stood still, for its disk perhaps: what it missed meanwhile is no silence of the others
-		c.nextTick = most
+	v.tick(now)
+	v.processReady(now)
+	v.stepLeader(now)
+	basic := v.node.BasicStatus()
+	v.status.Leader, v.status.IsLeader, v.status.Term, v.status.AppliedIndex = basic.Lead, v.isLeader(), basic.HardState.GetTerm(), v.state.Index()
+	v.emit(v.status)
+	v.status.Voters = slices.Sorted(maps.Keys(v.node.Status().Config.Voters.IDs()))
+	actions := v.actions
+	v.actions = nil
+	return actions, v.nextTick
+}
+
+// tick moves raft's time on. After the voter stood still, for its disk perhaps, it makes up for a few ticks only: the rest was no
+// silence of its peers. A voter whose log has not reached the handshake's minimum does not tick, so it is no candidate.
+func (v *Voter) tick(now time.Duration) {
+	if v.nextTick == 0 {
+		v.nextTick = now
 	}
-	for ; now >= c.nextTick; c.nextTick += Tick {
-		// One that has not come to the bar does not stand; its time goes on as soon as it has.
-		if c.isLeader() || c.start.upToDate(c.lastEntry()) {
-			c.node.Tick()
+	v.nextTick = max(v.nextTick, now-maxCatchUpTicks*Tick)
+	for ; now >= v.nextTick; v.nextTick += Tick {
+		if v.isLeader() || v.start.upToDate(v.lastEntry()) {
+			v.node.Tick()
 		}
 	}
-	c.processReady(now)
-	if c.isLeader() && c.granter != nil {
-		if cmd, waits := c.policyCoordinator.Step(now, c.policy.State(), c.granter); cmd != nil {
-			c.proposeOwn(KindPolicy, cmd)
-			c.processReady(now)
-		} else {
-			c.status.WaitingOn = waits
-		}
-		c.status.Leases = c.granter.ActiveLeases(now)
-		c.stepMembership(now)
-	} else {
-		c.status.WaitingOn, c.status.Leases = nil, nil
-	}
-	basic := c.node.BasicStatus()
-	c.status.Leader, c.status.IsLeader, c.status.Term, c.status.AppliedIndex = basic.Lead, c.isLeader(), basic.HardState.GetTerm(), c.state.Index()
-	c.emit(c.status)
-	c.status.Voters = slices.Sorted(maps.Keys(c.node.Status().Config.Voters.IDs()))
-	actions := c.actions
-	c.actions = nil
-	return actions, c.nextTick
 }
 
-func (c *Voter) isLeader() bool { return c.node.BasicStatus().RaftState == raft.StateLeader }
+func (v *Voter) isLeader() bool { return v.node.BasicStatus().RaftState == raft.StateLeader }
 
-// lastEntry is where the own log ends.
-func (c *Voter) lastEntry() (term, index uint64) {
-	index, _ = c.storage.LastIndex()
-	term, _ = c.storage.Term(index)
+// lastEntry is where the own log ends. Raft's storage always knows its last index and that entry's term.
+func (v *Voter) lastEntry() (term, index uint64) {
+	index, _ = v.storage.LastIndex()
+	term, _ = v.storage.Term(index)
 	return term, index
 }
 
-func (c *Voter) handle(now time.Duration, e any) {
-	switch e := e.(type) {
+func (v *Voter) handle(event VoterEvent) {
+	switch e := event.(type) {
 	case MessageReceived:
-		m := e.Message
-		switch m.GetType() {
-		case raftpb.MsgVote, raftpb.MsgPreVote:
-			if !c.start.upToDate(m.GetLogTerm(), m.GetIndex()) {
-				return
-			}
-		case raftpb.MsgTimeoutNow:
-			if !c.start.upToDate(c.lastEntry()) {
-				return
-			}
-		}
-		c.node.Step(m) // what does not fit is dropped
+		v.handleMessage(e.Message)
 	case CommandSubmitted:
-		c.submit(e)
+		v.submit(e)
 	case LeaseRequested:
-		if !c.isLeader() || c.granter == nil {
-			c.emit(Reply{e.ReplyTo, ErrNotLeader})
-			return
-		}
-		if len(c.pendingReads) >= maxPendingReads {
-			c.emit(Reply{e.ReplyTo, errors.New("too many questions wait")})
-			return
-		}
-		if m := c.state.Member(e.Request.Name); m.GetRemoved() {
-			c.emit(Reply{e.ReplyTo, fmt.Errorf("%s was declared gone for good", m.Name)})
-			return
-		}
-		who := lease.HolderID{Name: e.Request.Name, Incarnation: e.Request.Incarnation}
-		c.granter.RecordRequest(who, e.Request.ActingIndex)
-		if e.Request.Address != "" {
-			c.addresses[who] = e.Request.Address
-		}
-		for _, s := range e.Request.Staged {
-			c.policyCoordinator.RecordStaged(who, s.ChangeId, s.Rejection)
-		}
-		c.pendingReads[c.lastRead+1] = append(c.pendingReads[c.lastRead+1], e)
+		v.handleLeaseRequest(e)
 	case HandshakeRequested:
-		reply := &pb.HelloReply{Term: c.node.BasicStatus().HardState.GetTerm()}
-		reply.LastTerm, reply.LastIndex = c.lastEntry()
-		if c.isLeader() {
-			reply.MatchIndex = c.node.Status().Progress[e.VoterID].Match
-		}
-		c.emit(Reply{e.ReplyTo, reply})
+		v.handleHandshake(e)
 	case VoterChangeRequested:
-		c.changeVoters(e)
+		v.changeVoters(e)
 	case PeerUnreachable:
-		c.node.ReportUnreachable(e.VoterID)
+		v.node.ReportUnreachable(e.VoterID)
 	case LeadershipTransferRequested:
-		c.transferLeadership()
+		v.transferLeadership()
 	}
 }
 
-func (c *Voter) submit(e CommandSubmitted) {
-	if !c.isLeader() {
-		c.emit(Reply{e.ReplyTo, ErrNotLeader})
-		return
+// handleMessage passes a message on to raft, but for those that would have it vote for a log, or be a candidate with one, that ends
+// before the handshake's minimum.
+func (v *Voter) handleMessage(m *raftpb.Message) {
+	switch m.GetType() {
+	case raftpb.MsgVote, raftpb.MsgPreVote:
+		if !v.start.upToDate(m.GetLogTerm(), m.GetIndex()) {
+			return
+		}
+	case raftpb.MsgTimeoutNow:
+		if !v.start.upToDate(v.lastEntry()) {
+			return
+		}
+	default:
 	}
-	if why := c.state.CheckKind(e.Command.Kind); why != "" {
-		c.emit(Reply{e.ReplyTo, &pb.SubmitReply{Rejection: why}})
+	_ = v.node.Step(m) // raft drops what does not fit, as the network might have
+}
+
+func (v *Voter) handleHandshake(e HandshakeRequested) {
+	reply := &pb.HelloReply{Term: v.node.BasicStatus().HardState.GetTerm()}
+	reply.LastTerm, reply.LastIndex = v.lastEntry()
+	if v.isLeader() {
+		reply.MatchIndex = v.node.Status().Progress[e.VoterID].Match
+	}
+	v.reply(e.ReplyTo, reply)
+}
+
+// submit proposes a client's command.
+func (v *Voter) submit(e CommandSubmitted) {
+	if !v.isLeader() {
+		v.replyError(e.ReplyTo, ErrNotLeader)
 		return
 	}
-	raw, err := proto.Marshal(e.Command)
-	if err == nil && len(raw) > maxCommandBytes {
-		err = fmt.Errorf("a command of %d bytes; %d are the most", len(raw), maxCommandBytes)
+	if reason := v.state.CheckKind(e.Command.Kind); reason != "" {
+		v.reply(e.ReplyTo, &pb.SubmitReply{Rejection: reason})
+		return
 	}
-	if err == nil {
-		err = c.node.Propose(raw)
+	if err := v.propose(e.Command); err != nil {
+		v.replyError(e.ReplyTo, err)
+		return
 	}
-	if errors.Is(err, raft.ErrProposalDropped) {
-		err = ErrNotLeader
+	if e.Command.Session != 0 {
+		v.pendingCommands[commandID{e.Command.Session, e.Command.Sequence}] = e.ReplyTo
 	}
+}
+
+func (v *Voter) propose(c *pb.Command) error {
+	raw, err := proto.Marshal(c)
 	if err != nil {
-		c.emit(Reply{e.ReplyTo, err})
-		return
+		return err
 	}
-	if e.Command.Session != 0 {
-		c.pendingCommands[[2]uint64{e.Command.Session, e.Command.Sequence}] = e.ReplyTo
+	if len(raw) > maxCommandBytes {
+		return &CommandTooLargeError{Bytes: len(raw)}
+	}
+	err = v.node.Propose(raw)
+	if errors.Is(err, raft.ErrProposalDropped) {
+		return ErrNotLeader
 	}
+	return err
 }
