--- a/cmd/saffronyard/apply_features.go
+++ b/cmd/saffronyard/apply_features.go
@@ -25,7 +25,7 @@
 	if d := f.Delivery; d != nil {
 		c.Delivery = &calls.Delivery{Source: d.Source, Type: d.Type}
 		for _, t := range d.To {
-			c.Delivery.To = append(c.Delivery.To, calls.To(t))
+			c.Delivery.Targets = append(c.Delivery.Targets, calls.Target(t))
 		}
 	}
 	if p := f.Peers; p != nil {
--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -13,29 +13,29 @@
 
 // instance is one hosted sender.
 type instance struct {
-	number      uint16
-	brain       *brain.Brain
-	left, limit int // places of the two report values, -1 if absent
-	events      []brain.Event
-	classes     int
-	seen        bool // has events in this batch
+	number                     uint16
+	brain                      *brain.Brain
+	remainingField, limitField int // places of the two report values, -1 if absent
+	events                     []brain.Event
+	classes                    int
+	inBatch                    bool // has events in this batch
 }
 
 type host struct {
 	instances map[uint16]*instance
 	order     []*instance // in order of first event in the batch
-	pages     map[uint32][]wire.Node
+	pages     map[uint32][]wire.Endpoint
 	reply     wire.Reply
 }
 
 func newHost() *host {
-	return &host{instances: map[uint16]*instance{}, pages: map[uint32][]wire.Node{}}
+	return &host{instances: map[uint16]*instance{}, pages: map[uint32][]wire.Endpoint{}}
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// round handles one batch; it reports false when the input has ended.
-func (h *host) round(r io.Reader, w io.Writer) (bool, error) {
+// serveBatch handles one batch; it reports false when the input has ended.
+func (h *host) serveBatch(r io.Reader, w io.Writer) (bool, error) {
 	batch, err := wire.ReadBatch(r)
 	if err == io.EOF {
 		return false, nil
@@ -46,25 +46,25 @@
 	h.order = h.order[:0]
 	for i := range batch.Events {
 		e := &batch.Events[i]
-		if err := h.take(e); err != nil {
+		if err := h.record(e); err != nil {
 			return false, fmt.Errorf("record %d at offset %d (code %d): %v", e.Index, e.Offset, e.Code, err)
 		}
 	}
-	now := settings.Span(batch.Clock)
+	now := settings.DurationFromMs(batch.Clock)
 	for _, in := range h.order {
 		if h.instances[in.number] == in {
 			h.step(in, now)
 		}
-		in.events, in.seen = in.events[:0], false
+		in.events, in.inBatch = in.events[:0], false
 	}
 	return true, h.reply.Flush(w)
 }
 
-// take books one record with its instance.
-func (h *host) take(e *wire.Event) error {
+// record books one record with its instance.
+func (h *host) record(e *wire.Event) error {
 	switch e.Code {
-	case wire.CodeCatalog:
-		h.pages[e.Page] = e.Nodes
+	case wire.CodeEndpointPage:
+		h.pages[e.Page] = e.Endpoints
 		return nil
 	case wire.CodeHello:
 		in, err := newInstance(e)
@@ -72,7 +72,7 @@
 			return err
 		}
 		h.instances[e.Instance] = in
-		in.seen = true
+		in.inBatch = true
 		h.order = append(h.order, in)
 		return nil
 	}
@@ -84,12 +84,12 @@
 		delete(h.instances, e.Instance)
 		return nil
 	}
-	ev, err := h.event(in, e)
+	ev, err := h.translate(in, e)
 	if err != nil {
 		return err
 	}
-	if !in.seen {
-		in.seen = true
+	if !in.inBatch {
+		in.inBatch = true
 		h.order = append(h.order, in)
 	}
 	if ev != nil {
@@ -98,10 +98,10 @@
 	return nil
 }
 
-// event translates one record; nil for those that the module has no use for.
-func (h *host) event(in *instance, e *wire.Event) (brain.Event, error) {
+// translate translates one record; nil for those that the module has no use for.
+func (h *host) translate(in *instance, e *wire.Event) (brain.Event, error) {
 	switch e.Code {
-	case wire.CodeDirectory:
+	case wire.CodeEndpointUpdate:
 		if e.Scope > 3 {
 			return nil, fmt.Errorf("scope %d is unknown", e.Scope)
 		}
@@ -114,40 +114,40 @@
 		}
 		news := brain.EndpointUpdate{Complete: e.Scope != 0}
 		for _, n := range nodes {
-			news.Endpoints = append(news.Endpoints, brain.Endpoint{ID: brain.EndpointID(n.Endpoint),
-				Destination: brain.DestinationID(n.Cell), Kind: int(n.Kind), Zone: int(n.Zone),
+			news.Endpoints = append(news.Endpoints, brain.Endpoint{ID: brain.EndpointID(n.ID),
+				Destination: brain.DestinationID(n.Destination), Kind: int(n.Kind), Zone: int(n.Zone),
 				Ready: n.Availability == 1, Rating: float64(n.Rating)})
 		}
 		return news, nil
-	case wire.CodeSubmit:
-		if int(e.Priority) >= in.classes {
-			return nil, fmt.Errorf("class %d is not among the settings", e.Priority)
+	case wire.CodeMessage:
+		if int(e.Class) >= in.classes {
+			return nil, fmt.Errorf("class %d is not among the settings", e.Class)
 		}
-		if e.FarEnd < 0 || e.FarEnd > math.MaxUint16 {
-			return nil, fmt.Errorf("destination %g is out of bounds", e.FarEnd)
+		if e.Destination < 0 || e.Destination > math.MaxUint16 {
+			return nil, fmt.Errorf("destination %g is out of bounds", e.Destination)
 		}
-		return brain.Message{ID: brain.MessageID(e.Call), Class: int(e.Priority), Tenant: int(e.Billing),
-			Destination: brain.DestinationID(e.FarEnd), OrderingKey: e.Object, Deadline: settings.Span(e.Expires)}, nil
-	case wire.CodeEnd:
-		outcome, ok := outcomes[e.Result]
+		return brain.Message{ID: brain.MessageID(e.Message), Class: int(e.Class), Tenant: int(e.Tenant),
+			Destination: brain.DestinationID(e.Destination), OrderingKey: e.OrderingKey, Deadline: settings.DurationFromMs(e.Deadline)}, nil
+	case wire.CodeAttemptResult:
+		outcome, ok := outcomes[e.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("result %d is unknown", e.Result)
+			return nil, fmt.Errorf("result %d is unknown", e.Outcome)
 		}
-		end := brain.AttemptResult{Message: brain.MessageID(e.Call), Attempt: int(e.Try),
-			Endpoint: brain.EndpointID(e.Endpoint), Outcome: outcome, Elapsed: settings.Span(e.Elapsed), Final: e.NoMore}
+		end := brain.AttemptResult{Message: brain.MessageID(e.Message), Attempt: int(e.Attempt),
+			Endpoint: brain.EndpointID(e.Endpoint), Outcome: outcome, Elapsed: settings.DurationFromMs(e.Elapsed), Final: e.Final}
 		if outcome == brain.Rejected {
-			end.RetryAfter = time.Duration(e.WaitMs) * time.Millisecond
+			end.RetryAfter = time.Duration(e.RetryAfterMs) * time.Millisecond
 		}
-		if in.left >= 0 && in.left < len(e.Report) {
-			end.LimitReported, end.Remaining = true, float64(e.Report[in.left])
+		if in.remainingField >= 0 && in.remainingField < len(e.LoadReport) {
+			end.LimitReported, end.Remaining = true, float64(e.LoadReport[in.remainingField])
 		}
-		if in.limit >= 0 && in.limit < len(e.Report) {
-			end.Limit = float64(e.Report[in.limit])
+		if in.limitField >= 0 && in.limitField < len(e.LoadReport) {
+			end.Limit = float64(e.LoadReport[in.limitField])
 		}
 		return end, nil
-	case wire.CodeGone:
-		return brain.Withdrawn{Message: brain.MessageID(e.Call)}, nil
-	case wire.CodeAlarm:
+	case wire.CodeWithdrawn:
+		return brain.Withdrawn{Message: brain.MessageID(e.Message)}, nil
+	case wire.CodeTimerFired:
 		return brain.TimerFired{}, nil
 	}
 	return nil, nil
@@ -166,43 +166,43 @@
 	for _, a := range in.brain.Step(now, in.events) {
 		switch a := a.(type) {
 		case brain.Send:
-			h.reply.Send(in.number, uint64(a.Message), millis(a.Timeout), uint32(a.Endpoint))
+			h.reply.Send(in.number, uint64(a.Message), milliseconds(a.Timeout), uint32(a.Endpoint))
 		case brain.Reject:
-			h.reply.Decline(in.number, uint64(a.Message), millis(a.RetryAfter))
+			h.reply.Reject(in.number, uint64(a.Message), milliseconds(a.RetryAfter))
 		case brain.Fail:
-			h.reply.FinishError(in.number, uint64(a.Message))
+			h.reply.Fail(in.number, uint64(a.Message))
 		case brain.Cancel:
 			h.reply.Cancel(in.number, uint64(a.Message), uint8(a.Attempt))
 		case brain.CloseIdleConns:
-			h.reply.Close(in.number, uint32(a.Endpoint))
+			h.reply.CloseIdleConns(in.number, uint32(a.Endpoint))
 		case brain.SetTimer:
-			h.reply.WakeMe(in.number, millis(a.At), 0)
+			h.reply.SetTimer(in.number, milliseconds(a.At), 0)
 		case brain.WatchEndpoints:
-			h.reply.StreamChanges(in.number)
+			h.reply.WatchEndpoints(in.number)
 		case brain.Log:
-			h.reply.WriteLog(in.number, a.Line)
+			h.reply.Log(in.number, a.Line)
 		}
 	}
 }
 
 func newInstance(e *wire.Event) (*instance, error) {
-	env, err := wire.ParseEnv(e.Env)
+	env, err := wire.ParseSettings(e.Settings)
 	if err != nil {
 		return nil, err
 	}
 	s := settings.Translate(env)
-	in := &instance{number: e.Instance, left: -1, limit: -1, classes: len(s.Classes)}
+	in := &instance{number: e.Instance, remainingField: -1, limitField: -1, classes: len(s.Classes)}
 	for i, name := range env.List("telemetry.fields") {
 		switch name {
 		case "x0":
-			in.left = i
+			in.remainingField = i
 		case "x1":
-			in.limit = i
+			in.limitField = i
 		}
 	}
 	if err := env.Err(); err != nil {
 		return nil, err
 	}
-	in.brain = brain.New(s, e.Nonce)
+	in.brain = brain.New(s, e.Seed)
 	return in, nil
 }
--- a/cmd/simulator-adapter/host_test.go
+++ b/cmd/simulator-adapter/host_test.go
@@ -153,12 +153,12 @@
 	h := newHost()
 	in := bytes.NewReader(join(1000, hello(0, env), list(0)))
 	var out bytes.Buffer
-	if _, err := h.round(in, &out); err != nil {
+	if _, err := h.serveBatch(in, &out); err != nil {
 		t.Fatal(err)
 	}
 	h.instances[0].brain = nil
 	out.Reset()
-	if _, err := h.round(bytes.NewReader(join(1001, submit(0, 1))), &out); err != nil {
+	if _, err := h.serveBatch(bytes.NewReader(join(1001, submit(0, 1))), &out); err != nil {
 		t.Fatal(err)
 	}
 	if codes, _ := reply(t, &out); len(codes) != 1 || codes[0] != 10 {
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -21,7 +21,7 @@
 	w := bufio.NewWriterSize(out, 1<<16)
 	h := newHost()
 	for n := 0; ; n++ {
-		more, err := h.round(r, w)
+		more, err := h.serveBatch(r, w)
 		if err != nil {
 			return fmt.Errorf("batch %d: %v", n, err)
 		}
--- a/internal/calls/answer.go
+++ b/internal/calls/answer.go
@@ -15,84 +15,84 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// told adds the rate that an endpoint allows to a call's end, which has no figures of its own: the module decides
+// addAllowedRate adds the rate that an endpoint allows to a call's end, which has no figures of its own: the module decides
 // what it makes of that.
-func (e *Endpoint) told(f *form, end *brain.AttemptResult) {
+func (e *Endpoint) addAllowedRate(f *requestFormat, end *brain.AttemptResult) {
 	if !f.Validate || end.LimitReported {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.rate > 0 {
-		end.LimitReported, end.Remaining, end.Limit = true, 1, e.rate
+	if e.allowedRate > 0 {
+		end.LimitReported, end.Remaining, end.Limit = true, 1, e.allowedRate
 	}
 }
 
 const (
-	maxBody    = 64 << 10               // bytes of an answer that are read so that the connection serves again
-	maxLine    = 4 << 10                // bytes of a status line, and of what is read at once
-	maxAnswer  = 128 << 10              // bytes of an answer: head, interim answers and body
-	maxInterim = 16                     // interim answers ahead of one
-	restTime   = 200 * time.Millisecond // what follows an answer's first byte comes within this
-	maxWait    = time.Minute            // no endpoint is told to be left alone for longer
-	maxRate    = 1e6                    // calls a second that a destination may take
+	maxAnswerBody    = 64 << 10               // bytes of an answer that are read so that the connection serves again
+	maxStatusLine    = 4 << 10                // bytes of a status line, and of what is read at once
+	maxAnswer        = 128 << 10              // bytes of an answer: head, interim answers and body
+	maxInterim       = 16                     // interim answers ahead of one
+	answerTimeout    = 200 * time.Millisecond // what follows an answer's first byte comes within this
+	maxRateLimitWait = time.Minute            // no endpoint is told to be left alone for longer
+	maxRate          = 1e6                    // calls a second that a destination may take
 )
 
 var (
-	errLongAnswer = errors.New("the answer is too long")
-	errSpoilt     = errors.New("the answer can't be read")
+	errAnswerTooLong   = errors.New("the answer is too long")
+	errMalformedAnswer = errors.New("the answer can't be read")
 )
 
-// answer reads the answer to a call and says how the call ended, and whether the connection is of further
+// readAnswer reads the answer to a call and says how the call ended, and whether the connection is of further
 // use. A 200 in a first line that has come whole is true whatever follows. Any other status holds only if the answer is sound
 // as a whole: a spoilt one, which comes from an endpoint that has run the call, may read as a refusal, and
 // says nothing but that the call may have run. Once it has begun, the rest gets restTime: a body that keeps
 // coming, or a head without end, must not hold the slot and the outcome until the time-out.
-func (p *Pool) answer(ctx context.Context, c *conn, f *form, end *brain.AttemptResult) (reusable, gone bool, err error) {
-	c.Left = maxAnswer
+func (p *Pool) readAnswer(ctx context.Context, c *conn, f *requestFormat, end *brain.AttemptResult) (reusable, gone bool, err error) {
+	c.Remaining = maxAnswer
 	for range maxInterim {
-		status, err := c.status(ctx)
+		status, err := c.readStatus(ctx)
 		if err != nil {
 			return false, false, err
 		}
-		served := f.delivers(status)
+		served := f.isDelivered(status)
 		if served {
 			end.Outcome, end.Final = brain.Served, true
 		}
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: http.MethodPost})
 		if err != nil || status == http.StatusSwitchingProtocols { // the latter nobody asked for
-			return false, false, spoilt(served)
+			return false, false, malformed(served)
 		}
 		if status < 200 {
 			continue
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody+1))
-		if err != nil || n > maxBody {
-			return false, false, spoilt(served)
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBody+1))
+		if err != nil || n > maxAnswerBody {
+			return false, false, malformed(served)
 		}
-		p.read(resp, end)
+		p.applyStatus(resp, end)
 		// An endpoint with no room for a connection answers the first call on it so, and ends it; one that has looked
 		// at the call tells how it stands.
-		end.ConnLimitReached = c.since.IsZero() && resp.Close && end.Outcome == brain.Rejected && end.RetryAfter == 0 && !end.LimitReported
-		gone := f.read(resp, end, time.Now())
+		end.ConnLimitReached = c.idleSince.IsZero() && resp.Close && end.Outcome == brain.Rejected && end.RetryAfter == 0 && !end.LimitReported
+		gone := f.applyWebHookStatus(resp, end, time.Now())
 		// What stands behind an answer would be read as the next one.
 		return !resp.Close && c.r.Buffered() == 0, gone, nil
 	}
-	return false, false, errSpoilt
+	return false, false, errMalformedAnswer
 }
 
-// spoilt is what becomes of an answer that goes wrong behind its status line.
-func spoilt(served bool) error {
+// malformed is what becomes of an answer that goes wrong behind its status line.
+func malformed(served bool) error {
 	if served {
 		return nil
 	}
-	return errSpoilt
+	return errMalformedAnswer
 }
 
-// status waits for an answer and looks at its first line, which is left to be read. From its first byte on
+// readStatus waits for an answer and looks at its first line, which is left to be read. From its first byte on
 // the rest of the answer has restTime. What can't become a status line is not waited for: behind noise the
 // connection may stay open and silent.
-func (c *conn) status(ctx context.Context) (int, error) {
+func (c *conn) readStatus(ctx context.Context) (int, error) {
 	deadline, _ := ctx.Deadline()
 	c.SetReadDeadline(deadline)
 	if err := ctx.Err(); err != nil {
@@ -101,7 +101,7 @@
 	if _, err := c.r.Peek(1); err != nil {
 		return 0, err
 	}
-	c.SetReadDeadline(time.Now().Add(restTime))
+	c.SetReadDeadline(time.Now().Add(answerTimeout))
 	for {
 		line, _ := c.r.Peek(c.r.Buffered())
 		i := bytes.IndexByte(line, '\n')
@@ -114,14 +114,14 @@
 		switch {
 		case i >= 0 && ok:
 			return status, nil
-		case i >= 0 || len(line) >= maxLine || string(line[:n]) != begin[:n]:
-			return 0, errSpoilt
+		case i >= 0 || len(line) >= maxStatusLine || string(line[:n]) != begin[:n]:
+			return 0, errMalformedAnswer
 		}
 		if _, err := c.r.Peek(len(line) + 1); err != nil {
 			// Half a line tells no status, whatever it begins with: "HTTP/1.1 200" may be that of a spoilt "2000" as well, and a
 			// message that was taken for delivered is lost. Doubted, it has its end: a repeat where its class allows one.
 			if waited := net.Error(nil); errors.As(err, &waited) && waited.Timeout() {
-				return 0, errSpoilt
+				return 0, errMalformedAnswer
 			}
 			return 0, err
 		}
@@ -142,14 +142,14 @@
 	return int(n), err == nil && n >= 100
 }
 
-// read translates an answer. Figures that no sound endpoint sends count as not told.
-func (p *Pool) read(resp *http.Response, end *brain.AttemptResult) {
+// applyStatus translates an answer. Figures that no sound endpoint sends count as not told.
+func (p *Pool) applyStatus(resp *http.Response, end *brain.AttemptResult) {
 	switch resp.StatusCode {
 	case http.StatusOK:
 		end.Outcome, end.Final = brain.Served, true
 	case http.StatusTooManyRequests:
 		end.Outcome = brain.Rejected
-		if ms, err := strconv.ParseFloat(resp.Header.Get("X-RateLimit-Wait-Ms"), 64); err == nil && ms > 0 && ms <= float64(maxWait.Milliseconds()) {
+		if ms, err := strconv.ParseFloat(resp.Header.Get("X-RateLimit-Wait-Ms"), 64); err == nil && ms > 0 && ms <= float64(maxRateLimitWait.Milliseconds()) {
 			end.RetryAfter = time.Duration(ms * float64(time.Millisecond))
 		}
 	case http.StatusServiceUnavailable:
@@ -164,15 +164,15 @@
 	default:
 		end.Outcome = brain.Errored
 	}
-	end.Remaining, end.Limit, end.LimitReported = p.load(resp.Header.Get("X-Load"))
+	end.Remaining, end.Limit, end.LimitReported = p.parseLoadReport(resp.Header.Get("X-Load"))
 }
 
-// load reads a load report. One with a figure that can't be is no report: the others are as doubtful.
-func (p *Pool) load(text string) (left, limit float64, ok bool) {
+// parseLoadReport reads a load report. One with a figure that can't be is no report: the others are as doubtful.
+func (p *Pool) parseLoadReport(text string) (left, limit float64, ok bool) {
 	report := map[string]float64{}
 	for _, part := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		if !slices.Contains(p.fields, name) {
+		if !slices.Contains(p.loadFields, name) {
 			continue
 		}
 		v, err := strconv.ParseFloat(value, 64)
--- a/internal/calls/forms.go
+++ b/internal/calls/forms.go
@@ -17,13 +17,13 @@
 
 // Delivery is in which form messages go out. A nil one, and a destination that it does not name, has the platform's.
 type Delivery struct {
-	Source string // of events made of plain messages
-	Type   string // of those; {class} stands for the message's class
-	To     []To   // the first that names a destination, or its kind, is its form
+	Source  string   // of events made of plain messages
+	Type    string   // of those; {class} stands for the message's class
+	Targets []Target // the first that names a destination, or its kind, is its form
 }
 
-// To is the form for some destinations.
-type To struct {
+// Target is the form for some destinations.
+type Target struct {
 	Destinations []uint32 // both empty: all
 	Kinds        []string
 	Form         string // "binary", "structured", "batched" or "plain"
@@ -45,48 +45,48 @@
 
 const hookPath = "/hook"
 
-// form is how calls to an endpoint are written and their answers read.
-type form struct {
-	To
-	path  string
-	plain bool
-	d     *Delivery
+// requestFormat is how calls to an endpoint are written and their answers read.
+type requestFormat struct {
+	Target
+	path     string
+	plain    bool
+	delivery *Delivery
 }
 
-var platformForm = &form{path: hookPath, plain: true}
+var platformFormat = &requestFormat{path: hookPath, plain: true}
 
-// forms works out the form of each endpoint, once for each To.
-type forms struct {
-	d   *Delivery
-	all []*form
+// requestFormats works out the form of each endpoint, once for each To.
+type requestFormats struct {
+	delivery *Delivery
+	all      []*requestFormat
 }
 
-func newForms(d *Delivery) forms {
-	f := forms{d: d}
+func newRequestFormats(d *Delivery) requestFormats {
+	f := requestFormats{delivery: d}
 	if d == nil {
 		return f
 	}
-	for _, to := range d.To {
+	for _, to := range d.Targets {
 		path := to.Path
 		if path == "" {
 			path = hookPath
 		}
-		f.all = append(f.all, &form{To: to, path: path, plain: to.Form == Plain, d: d})
+		f.all = append(f.all, &requestFormat{Target: to, path: path, plain: to.Form == Plain, delivery: d})
 	}
 	return f
 }
 
-// of is the form for a destination and its kind.
-func (f *forms) of(dest uint32, kind string) *form {
+// find is the form for a destination and its kind.
+func (f *requestFormats) find(dest uint32, kind string) *requestFormat {
 	for _, one := range f.all {
-		if one.names(dest, kind) {
+		if one.matches(dest, kind) {
 			return one
 		}
 	}
-	return platformForm
+	return platformFormat
 }
 
-func (t *To) names(dest uint32, kind string) bool {
+func (t *Target) matches(dest uint32, kind string) bool {
 	for _, d := range t.Destinations {
 		if d == dest {
 			return true
@@ -100,9 +100,9 @@
 	return len(t.Destinations) == 0 && len(t.Kinds) == 0
 }
 
-// event is a message as an event. What came in as one leaves as it came, with each attribute and extension; one that
+// cloudEvent is a message as an event. What came in as one leaves as it came, with each attribute and extension; one that
 // came plain gets stated ones, the same on every attempt.
-func (f *form) event(m *Message) *cloudevents.Event {
+func (f *requestFormat) cloudEvent(m *Message) *cloudevents.Event {
 	if m.Event != nil {
 		e := *m.Event
 		e.Data = m.Body
@@ -110,23 +110,23 @@
 	}
 	e := &cloudevents.Event{Attributes: make([]cloudevents.Attribute, 0, 5)}
 	e.Set("id", m.ID)
-	e.Set("source", f.d.Source)
+	e.Set("source", f.delivery.Source)
 	e.Set("specversion", "1.0")
 	if m.Tenant != "" {
 		e.Set("tenant", m.Tenant)
 	}
-	e.Set("type", strings.ReplaceAll(f.d.Type, "{class}", m.Class))
+	e.Set("type", strings.ReplaceAll(f.delivery.Type, "{class}", m.Class))
 	if len(m.Body) > 0 {
 		e.Form, e.Data = cloudevents.Bytes, m.Body
 	}
 	return e
 }
 
-// appendCall renders a call in the form that its endpoint has.
-func (f *form) appendCall(b []byte, ms []Message, addr string, timeout time.Duration) []byte {
+// appendRequest renders a call in the form that its endpoint has.
+func (f *requestFormat) appendRequest(b []byte, ms []Message, addr string, timeout time.Duration) []byte {
 	m := &ms[0]
 	if f.plain && m.Event == nil {
-		return appendRequest(b, m, addr, timeout)
+		return appendPlatformRequest(b, m, addr, timeout)
 	}
 	b = append(append(append(b, "POST "...), f.path...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, addr...), "\r\nUser-Agent: saffronyard\r\n"...)
@@ -144,24 +144,24 @@
 	switch f.Form {
 	case Structured:
 		b = append(append(append(b, "Content-Type: "...), cloudevents.ContentType(cloudevents.StructuredMode)...), "\r\n"...)
-		body = f.event(m).AppendJSON(make([]byte, 0, 512+len(m.Body)*4/3))
+		body = f.cloudEvent(m).AppendJSON(make([]byte, 0, 512+len(m.Body)*4/3))
 	case Batched:
 		b = append(append(append(b, "Content-Type: "...), cloudevents.ContentType(cloudevents.BatchedMode)...), "\r\n"...)
 		events := make([]*cloudevents.Event, len(ms))
 		for i := range ms {
-			events[i] = f.event(&ms[i])
+			events[i] = f.cloudEvent(&ms[i])
 		}
 		body = cloudevents.AppendBatch(nil, events)
 	default: // an event for a plain destination, too: the body is the same, and nothing of it is lost
-		b = f.event(m).AppendHeaders(b)
+		b = f.cloudEvent(m).AppendHeaders(b)
 		body = m.Body
 	}
 	b = strconv.AppendInt(append(b, "Content-Length: "...), int64(len(body)), 10)
 	return append(append(b, "\r\n\r\n"...), body...)
 }
 
-// delivers is whether a status says that a call was delivered: for web hooks (section 2.1) 200, 201, 202 and 204.
-func (f *form) delivers(status int) bool {
+// isDelivered is whether a status says that a call was delivered: for web hooks (section 2.1) 200, 201, 202 and 204.
+func (f *requestFormat) isDelivered(status int) bool {
 	if f.plain {
 		return status == http.StatusOK
 	}
@@ -172,13 +172,13 @@
 	return false
 }
 
-// read translates what a web hook says beyond the platform's words.
-func (f *form) read(resp *http.Response, end *brain.AttemptResult, now time.Time) (gone bool) {
+// applyWebHookStatus translates what a web hook says beyond the platform's words.
+func (f *requestFormat) applyWebHookStatus(resp *http.Response, end *brain.AttemptResult, now time.Time) (gone bool) {
 	if f.plain {
 		return false
 	}
 	switch {
-	case f.delivers(resp.StatusCode):
+	case f.isDelivered(resp.StatusCode):
 		end.Outcome, end.Final = brain.Served, true
 	case resp.StatusCode == http.StatusGone: // the endpoint wants no more; the message may go elsewhere
 		end.Outcome, end.Final = brain.NotSent, false
@@ -209,38 +209,38 @@
 	return d
 }
 
-// errForbidden is that an endpoint does not want calls from us.
-var errForbidden = errors.New("the endpoint did not allow our origin")
+// errOriginNotAllowed is that an endpoint does not want calls from us.
+var errOriginNotAllowed = errors.New("the endpoint did not allow our origin")
 
-const validateTime = 2 * time.Second // an endpoint answers whether it wants calls within this
+const validationTimeout = 2 * time.Second // an endpoint answers whether it wants calls within this
 
-// allowed asks an endpoint, before its first call, whether it wants calls from our origin and how many (web hooks,
+// validate asks an endpoint, before its first call, whether it wants calls from our origin and how many (web hooks,
 // section 4). One call at a time asks; the others wait for what it hears. An error is that none may be made: nothing
 // of the message has been written.
-func (p *Pool) allowed(ctx context.Context, e *Endpoint, f *form, until time.Time) error {
+func (p *Pool) validate(ctx context.Context, e *Endpoint, f *requestFormat, until time.Time) error {
 	if !f.Validate {
 		return nil
 	}
 	select {
-	case e.asking <- struct{}{}:
+	case e.validating <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-e.asking }()
+	defer func() { <-e.validating }()
 	e.mu.Lock()
-	addr, done := e.addr, e.validated == e.addr && e.addr != ""
+	addr, done := e.addr, e.validatedAddr == e.addr && e.addr != ""
 	e.mu.Unlock()
 	if done {
 		return nil
 	}
-	c, err := p.get(ctx, e, until)
+	c, err := p.acquire(ctx, e, until)
 	if err != nil {
 		return err
 	}
 	keep := false
 	defer func() {
 		if keep {
-			p.put(e, c)
+			p.release(e, c)
 		} else {
 			c.Close()
 		}
@@ -254,28 +254,28 @@
 		b = append(strconv.AppendInt(append(b, "WebHook-Request-Rate: "...), int64(f.Rate), 10), "\r\n"...)
 	}
 	b = append(b, "Content-Length: 0\r\n\r\n"...)
-	c.SetDeadline(time.Now().Add(min(validateTime, time.Until(until))))
+	c.SetDeadline(time.Now().Add(min(validationTimeout, time.Until(until))))
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	if _, err := c.Write(b); err != nil {
 		return fmt.Errorf("validation: %w", err)
 	}
-	c.Left = maxAnswer
+	c.Remaining = maxAnswer
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: http.MethodOptions})
 	if err != nil {
 		return fmt.Errorf("validation: %w", err)
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody+1))
-	if err != nil || n > maxBody {
-		return fmt.Errorf("validation: %w", errSpoilt)
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBody+1))
+	if err != nil || n > maxAnswerBody {
+		return fmt.Errorf("validation: %w", errMalformedAnswer)
 	}
 	if resp.StatusCode/100 != 2 {
-		return fmt.Errorf("%w: %s", errForbidden, resp.Status)
+		return fmt.Errorf("%w: %s", errOriginNotAllowed, resp.Status)
 	}
 	origins := resp.Header.Values("WebHook-Allowed-Origin")
 	if len(origins) != 1 || origins[0] != "*" && !strings.EqualFold(origins[0], f.Origin) {
-		return fmt.Errorf("%w: it allows %q", errForbidden, origins)
+		return fmt.Errorf("%w: it allows %q", errOriginNotAllowed, origins)
 	}
 	rate := 0.0
 	if text := resp.Header.Get("WebHook-Allowed-Rate"); text != "" && text != "*" {
@@ -291,7 +291,7 @@
 	keep = !resp.Close && c.r.Buffered() == 0
 	e.mu.Lock()
 	if e.addr == addr {
-		e.validated, e.rate = addr, rate
+		e.validatedAddr, e.allowedRate = addr, rate
 	}
 	e.mu.Unlock()
 	return nil
--- a/internal/calls/forms_test.go
+++ b/internal/calls/forms_test.go
@@ -15,9 +15,9 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-func formOf(name string) *form {
-	f := newForms(&Delivery{Source: "/s", Type: "t", To: []To{{Form: name, BatchEvents: 10, BatchBytes: 1 << 20}}})
-	return f.of(0, "")
+func formOf(name string) *requestFormat {
+	f := newRequestFormats(&Delivery{Source: "/s", Type: "t", Targets: []Target{{Form: name, BatchEvents: 10, BatchBytes: 1 << 20}}})
+	return f.find(0, "")
 }
 
 // The outcome table, against every transport: PROTOCOL's for all, and the web hook's own words in event forms.
@@ -59,7 +59,7 @@
 				want, gone = c.plain, false
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
-			got, isGone := testPool().Call(ctx, &Endpoint{addr: e.Addr, form: formOf(name)}, tickets(Message{ID: "id"}, st.Wait), st.Wait)
+			got, isGone := testPool().Call(ctx, &Endpoint{addr: e.Addr, format: formOf(name)}, tickets(Message{ID: "id"}, st.Wait), st.Wait)
 			cancel()
 			if got != want || isGone != gone {
 				t.Errorf("%s, %d %s: %+v, gone %v; want %+v, %v", name, c.status, c.line, got, isGone, want, gone)
@@ -79,7 +79,7 @@
 				want = brain.Errored
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 200*ms)
-			got, _ := testPool().Call(ctx, &Endpoint{addr: e.Addr, form: formOf(form)}, tickets(Message{ID: "id"}, st.Wait), 200*ms)
+			got, _ := testPool().Call(ctx, &Endpoint{addr: e.Addr, format: formOf(form)}, tickets(Message{ID: "id"}, st.Wait), 200*ms)
 			cancel()
 			if got.Outcome != want {
 				t.Errorf("%s, %s: %+v, want %d", form, name, got, want)
@@ -115,7 +115,7 @@
 	}), asked
 }
 
-var validated = To{Form: Binary, Path: "/in", Validate: true, Origin: "council.example", Rate: 120}
+var validated = Target{Form: Binary, Path: "/in", Validate: true, Origin: "council.example", Rate: 120}
 
 // Before the first call, and once only, an endpoint is asked whether it wants calls; the rate that it allows is told
 // to the module.
@@ -125,8 +125,8 @@
 		return 200, []string{"WebHook-Allowed-Origin: council.example", "WebHook-Allowed-Rate: 90"}
 	}, st.Status(200))
 	pool := testPool()
-	f := newForms(&Delivery{Source: "/s", Type: "t", To: []To{validated}})
-	at := &Endpoint{addr: e.Addr, form: f.of(0, ""), asking: make(chan struct{}, 1)}
+	f := newRequestFormats(&Delivery{Source: "/s", Type: "t", Targets: []Target{validated}})
+	at := &Endpoint{addr: e.Addr, format: f.find(0, ""), validating: make(chan struct{}, 1)}
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Add(1)
@@ -176,8 +176,8 @@
 				}
 				return c.status, c.lines
 			}, st.Status(200))
-			f := newForms(&Delivery{Source: "/s", Type: "t", To: []To{validated}})
-			at := &Endpoint{addr: e.Addr, form: f.of(0, ""), asking: make(chan struct{}, 1)}
+			f := newRequestFormats(&Delivery{Source: "/s", Type: "t", Targets: []Target{validated}})
+			at := &Endpoint{addr: e.Addr, format: f.find(0, ""), validating: make(chan struct{}, 1)}
 			pool := testPool()
 			if got := callOnce(pool, at, 300*time.Millisecond, "x"); got.Outcome != brain.ConnectFailed && got.Outcome != brain.NotSent || got.Final {
 				t.Errorf("%+v", got)
@@ -196,13 +196,13 @@
 
 // Forms go by destination or kind, the first that names one.
 func TestWhichForm(t *testing.T) {
-	f := newForms(&Delivery{To: []To{{Destinations: []uint32{3}, Form: Binary}, {Kinds: []string{"m2"}, Form: Structured}, {Destinations: []uint32{4, 5}, Kinds: []string{"m3"}, Form: Batched}}})
+	f := newRequestFormats(&Delivery{Targets: []Target{{Destinations: []uint32{3}, Form: Binary}, {Kinds: []string{"m2"}, Form: Structured}, {Destinations: []uint32{4, 5}, Kinds: []string{"m3"}, Form: Batched}}})
 	for _, c := range []struct {
 		dest uint32
 		kind string
 		want string
 	}{{3, "m2", Binary}, {9, "m2", Structured}, {5, "m2", Structured}, {5, "", Batched}, {6, "m3", Batched}, {6, "m4", ""}} {
-		if got := f.of(c.dest, c.kind); got.Form != c.want || got.plain != (c.want == "") {
+		if got := f.find(c.dest, c.kind); got.Form != c.want || got.plain != (c.want == "") {
 			t.Errorf("%d %s: %+v", c.dest, c.kind, got)
 		}
 	}
@@ -217,7 +217,7 @@
 			var buf []byte
 			b.ReportAllocs()
 			for b.Loop() {
-				buf = f.appendCall(buf[:0], []Message{m}, "10.0.0.1:8080", time.Second)
+				buf = f.appendRequest(buf[:0], []Message{m}, "10.0.0.1:8080", time.Second)
 			}
 			b.ReportMetric(float64(len(buf)), "bytes/call")
 		})
--- a/internal/calls/list_test.go
+++ b/internal/calls/list_test.go
@@ -22,23 +22,23 @@
 
 // A list that comes again tells the module what changed, and nothing where nothing did.
 func TestListByDifference(t *testing.T) {
-	l, c := NewList(), Names{}
-	p := NewPool(Config{Most: 10})
-	first := l.News(list(10, nil), true, c, p)
+	l, c := NewEndpointList(), Names{}
+	p := NewPool(Config{MaxIdle: 10})
+	first := l.Apply(list(10, nil), true, c, p)
 	if len(first.Endpoints) != 10 {
 		t.Fatalf("%+v", first)
 	}
-	if again := l.News(list(10, nil), true, c, p); len(again.Endpoints) != 0 || again.Complete {
+	if again := l.Apply(list(10, nil), true, c, p); len(again.Endpoints) != 0 || again.Complete {
 		t.Errorf("the same list again: %+v", again)
 	}
-	changed := l.News(list(10, func(s []membership.Target) { s[3].State = "DRAINING"; s[4].Cell = 9; s[5].Addr = "127.0.0.1:9" }), true, c, p)
+	changed := l.Apply(list(10, func(s []membership.Target) { s[3].State = "DRAINING"; s[4].Cell = 9; s[5].Addr = "127.0.0.1:9" }), true, c, p)
 	if len(changed.Endpoints) != 2 || changed.Endpoints[0].ID != 4 || changed.Endpoints[0].Ready || changed.Endpoints[1].Destination != 9 {
 		t.Errorf("one drains and one has moved: %+v", changed)
 	}
 	if l.ByID["s-5"].addr != "127.0.0.1:9" {
 		t.Error("a new address is not known")
 	}
-	gone := l.News(list(8, func(s []membership.Target) { s[3].State = "DRAINING"; s[4].Cell = 9; s[5].Addr = "127.0.0.1:9" }), true, c, p)
+	gone := l.Apply(list(8, func(s []membership.Target) { s[3].State = "DRAINING"; s[4].Cell = 9; s[5].Addr = "127.0.0.1:9" }), true, c, p)
 	ids := []brain.EndpointID{}
 	for _, e := range gone.Endpoints {
 		if e.Ready {
@@ -49,7 +49,7 @@
 	if !reflect.DeepEqual(ids, []brain.EndpointID{9, 10}) || len(l.ByID) != 8 || len(l.ByNumber) != 8 {
 		t.Errorf("two are gone: %v, %d and %d known", ids, len(l.ByID), len(l.ByNumber))
 	}
-	back := l.News(membership.Update{Servers: list(10, nil).Servers[8:]}, false, c, p)
+	back := l.Apply(membership.Update{Servers: list(10, nil).Servers[8:]}, false, c, p)
 	if len(back.Endpoints) != 2 || back.Endpoints[0].ID != 11 {
 		t.Errorf("they come back as new ones: %+v", back)
 	}
@@ -57,22 +57,22 @@
 
 // A line named twice counts as it stands last, and a deleted one is forgotten.
 func TestListNamesTwice(t *testing.T) {
-	l, c := NewList(), Names{}
-	p := NewPool(Config{Most: 10})
-	n := l.News(membership.Update{Servers: []membership.Target{{ID: "a", State: "SERVING", Addr: "x:1"}, {ID: "a", State: "DRAINING", Addr: "x:1"}, {ID: "b", State: "SERVING", Addr: "x:2"},
+	l, c := NewEndpointList(), Names{}
+	p := NewPool(Config{MaxIdle: 10})
+	n := l.Apply(membership.Update{Servers: []membership.Target{{ID: "a", State: "SERVING", Addr: "x:1"}, {ID: "a", State: "DRAINING", Addr: "x:1"}, {ID: "b", State: "SERVING", Addr: "x:2"},
 		{ID: "b", State: "DELETED"}}}, false, c, p)
-	if last := n.Endpoints[len(n.Endpoints)-1]; last.Ready || len(l.ByID) != 1 || l.ByID["a"].Line.Ready {
+	if last := n.Endpoints[len(n.Endpoints)-1]; last.Ready || len(l.ByID) != 1 || l.ByID["a"].Entry.Ready {
 		t.Errorf("%+v, %d known", n, len(l.ByID))
 	}
 }
 
 func BenchmarkWholeListAgain(b *testing.B) {
-	l, c := NewList(), Names{}
-	p := NewPool(Config{Most: 10})
+	l, c := NewEndpointList(), Names{}
+	p := NewPool(Config{MaxIdle: 10})
 	t := list(20_000, nil)
-	l.News(t, true, c, p)
+	l.Apply(t, true, c, p)
 	b.ReportAllocs()
 	for b.Loop() {
-		l.News(t, true, c, p)
+		l.Apply(t, true, c, p)
 	}
 }
--- a/internal/calls/permit.go
+++ b/internal/calls/permit.go
@@ -18,18 +18,18 @@
 	Until  time.Time          // it lapses by itself: a repeat is lawful only while its key is remembered
 	Cancel context.CancelFunc // ends the call
 
-	// Enter is what the fleet says of the call at this very moment; nil where senders agree on nothing. left is to be called when the
+	// Admit is what the fleet says of the call at this very moment; nil where senders agree on nothing. left is to be called when the
 	// message is written; over, where it is not nil, when the call has ended, or with false if it was not
 	// written after all.
-	Enter   func() (left func(), over func(written bool), ok bool)
-	over    func(written bool) // of a message that is written
-	against atomic.Bool        // the fleet said no
+	Admit  func() (left func(), over func(written bool), ok bool)
+	onEnd  func(written bool) // of a message that is written
+	denied atomic.Bool        // the fleet said no
 }
 
 const (
-	granted   uint32 = iota
-	used             // the message is written, or about to be
-	takenBack        // it will not be
+	permitGranted uint32 = iota
+	permitUsed           // the message is written, or about to be
+	permitRevoked        // it will not be
 )
 
 // use asks for the leave, at the moment of writing. Once it is given the message counts as written, and written is to be
@@ -37,33 +37,33 @@
 func (p *Permit) use(now time.Time) (written func(), ok bool) {
 	written = func() {}
 	if !now.Before(p.Until) {
-		p.state.CompareAndSwap(granted, takenBack)
+		p.state.CompareAndSwap(permitGranted, permitRevoked)
 		return nil, false
 	}
 	var over func(bool)
-	if p.Enter != nil {
-		if written, over, ok = p.Enter(); !ok {
-			if p.state.CompareAndSwap(granted, takenBack) {
-				p.against.Store(true)
+	if p.Admit != nil {
+		if written, over, ok = p.Admit(); !ok {
+			if p.state.CompareAndSwap(permitGranted, permitRevoked) {
+				p.denied.Store(true)
 			}
 			return nil, false
 		}
 	}
-	if !p.state.CompareAndSwap(granted, used) {
+	if !p.state.CompareAndSwap(permitGranted, permitUsed) {
 		written()
 		if over != nil {
 			over(false)
 		}
 		return nil, false
 	}
-	p.over = over
+	p.onEnd = over
 	return written, true
 }
 
-// TakeBack takes the leave back and ends the call, which is never made then. It reports false, and changes nothing, if
+// Revoke takes the leave back and ends the call, which is never made then. It reports false, and changes nothing, if
 // the leave was used already.
-func (p *Permit) TakeBack() bool {
-	if !p.state.CompareAndSwap(granted, takenBack) {
+func (p *Permit) Revoke() bool {
+	if !p.state.CompareAndSwap(permitGranted, permitRevoked) {
 		return false
 	}
 	p.Cancel()
@@ -72,16 +72,16 @@
 
 // Ended is that the call of the permit has ended; it is called once, by who was told so.
 func (p *Permit) Ended() {
-	if p.over != nil {
-		p.over(true)
+	if p.onEnd != nil {
+		p.onEnd(true)
 	}
 }
 
-// Gone reports whether the leave was taken back, or lapsed when it was asked for: nothing was written.
-func (p *Permit) Gone() bool { return p.state.Load() == takenBack }
+// Revoked reports whether the leave was taken back, or lapsed when it was asked for: nothing was written.
+func (p *Permit) Revoked() bool { return p.state.Load() == permitRevoked }
 
-// Against reports whether the fleet said no as the message was about to be written.
-func (p *Permit) Against() bool { return p.against.Load() }
+// Denied reports whether the fleet said no as the message was about to be written.
+func (p *Permit) Denied() bool { return p.denied.Load() }
 
 // Ticket is one message of a call with its permit.
 type Ticket struct {
@@ -89,8 +89,8 @@
 	*Permit
 }
 
-// use asks for the leave of each ticket and gives the messages that may be written now; written is to be called when they are.
-func use(tickets []Ticket, now time.Time) (may []Message, written func()) {
+// usePermits asks for the leave of each ticket and gives the messages that may be written now; written is to be called when they are.
+func usePermits(tickets []Ticket, now time.Time) (may []Message, written func()) {
 	may = make([]Message, 0, len(tickets))
 	all := make([]func(), 0, len(tickets))
 	for _, t := range tickets {
@@ -105,10 +105,10 @@
 	}
 }
 
-// unneeded reports whether no ticket's leave is left: there is nothing to connect for.
-func unneeded(tickets []Ticket) bool {
+// allRevoked reports whether no ticket's leave is left: there is nothing to connect for.
+func allRevoked(tickets []Ticket) bool {
 	for _, t := range tickets {
-		if !t.Gone() {
+		if !t.Revoked() {
 			return false
 		}
 	}
--- a/internal/calls/permit_test.go
+++ b/internal/calls/permit_test.go
@@ -21,13 +21,13 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	p := NewPool(Config{ConnectTimeout: st.Wait})
-	p.most, p.keep = 10, st.Wait
+	p.maxIdle, p.idleTimeout = 10, st.Wait
 	at := &Endpoint{addr: e.Addr}
 	ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 	defer cancel()
 	late := tickets(Message{ID: "late"}, st.Wait)
 	p.Dialer.Control = func(string, string, syscall.RawConn) error {
-		if !late[0].TakeBack() {
+		if !late[0].Revoke() {
 			t.Error("it was used before its connection stood")
 		}
 		return nil
@@ -40,7 +40,7 @@
 	if end, _ := p.Call(ctx, at, fine, st.Wait); end.Outcome != brain.Served {
 		t.Errorf("%+v", end)
 	}
-	if fine[0].TakeBack() {
+	if fine[0].Revoke() {
 		t.Error("a leave that was used was taken back")
 	}
 	if c := e.Next(t); c.ID != "fine" || c.Conn != 1 || len(e.Calls) > 0 {
@@ -53,17 +53,17 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	p := testPool()
-	at := &Endpoint{addr: e.Addr, form: formOf(Batched)}
+	at := &Endpoint{addr: e.Addr, format: formOf(Batched)}
 	all := append(tickets(Message{ID: "one"}, st.Wait), tickets(Message{ID: "two"}, st.Wait)...)
 	all = append(all, tickets(Message{ID: "three"}, -time.Second)...)
-	all[0].TakeBack()
+	all[0].Revoke()
 	ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
 	defer cancel()
 	if end, _ := p.Call(ctx, at, all, st.Wait); end.Outcome != brain.Served {
 		t.Errorf("%+v", end)
 	}
 	c := e.Next(t)
-	if ids := st.BatchIDs(t, c); len(ids) != 1 || ids[0] != "two" || !all[2].Gone() {
+	if ids := st.BatchIDs(t, c); len(ids) != 1 || ids[0] != "two" || !all[2].Revoked() {
 		t.Errorf("%v went out", ids)
 	}
 }
@@ -73,7 +73,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	p := NewPool(Config{ConnectTimeout: st.Wait})
-	p.most, p.keep = 10, st.Wait
+	p.maxIdle, p.idleTimeout = 10, st.Wait
 	at := &Endpoint{addr: e.Addr}
 	call := func(within time.Duration) brain.AttemptResult {
 		ctx, cancel := context.WithTimeout(context.Background(), st.Wait)
@@ -104,7 +104,7 @@
 	t.Parallel()
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := NewPool(Config{ConnectTimeout: st.Wait})
-	p.most, p.keep = 10, st.Wait
+	p.maxIdle, p.idleTimeout = 10, st.Wait
 	at := &Endpoint{addr: old.Addr}
 	p.Dialer.Control = func(string, string, syscall.RawConn) error {
 		at.mu.Lock()
--- a/internal/calls/pool.go
+++ b/internal/calls/pool.go
@@ -23,52 +23,52 @@
 
 // Endpoint is a line of the list and the connections to it.
 type Endpoint struct {
-	Number brain.EndpointID
-	ID     string
-	Zone   int
-	Line   brain.Endpoint // as the Brain was last told
-	listed uint64         // the last list that named it
+	Number     brain.EndpointID
+	ID         string
+	Zone       int
+	Entry      brain.Endpoint // as the Brain was last told
+	lastListed uint64         // the last list that named it
 
-	serves bool          // as the list says, whatever the fleet's policy makes of it
-	kind   string        // likewise
-	form   *form         // of calls there; written by the loop, under mu, and read by it without
-	gone   bool          // it wants no more, until the list says that it is not serving
-	asking chan struct{} // room for the one that asks whether calls are wanted
+	listedServing bool           // as the list says, whatever the fleet's policy makes of it
+	kind          string         // likewise
+	format        *requestFormat // of calls there; written by the loop, under mu, and read by it without
+	retired       bool           // it wants no more, until the list says that it is not serving
+	validating    chan struct{}  // room for the one that asks whether calls are wanted
 
-	mu        sync.Mutex
-	addr      string
-	idle      []*conn // the one used last at the end
-	validated string  // the address that wants calls, as far as that was asked
-	rate      float64 // calls a second that it allows; 0: not told
+	mu            sync.Mutex
+	addr          string
+	idle          []*conn // the one used last at the end
+	validatedAddr string  // the address that wants calls, as far as that was asked
+	allowedRate   float64 // calls a second that it allows; 0: not told
 }
 
 type conn struct {
-	Bounded
-	r     *bufio.Reader
-	addr  string
-	since time.Time // it has been idle; zero: it has carried no call yet
+	LimitedConn
+	r         *bufio.Reader
+	addr      string
+	idleSince time.Time // it has been idle; zero: it has carried no call yet
 }
 
 // Pool opens, keeps and closes connections.
 type Pool struct {
 	connectTimeout time.Duration
-	keep           time.Duration // how long an idle one is kept
-	most           int64         // idle ones kept in all: the descriptors are few
+	idleTimeout    time.Duration // how long an idle one is kept
+	maxIdle        int64         // idle ones kept in all: the descriptors are few
 	idle           atomic.Int64
-	fields         []string
-	forms          forms
+	loadFields     []string
+	formats        requestFormats
 	Dialer         net.Dialer
 
-	mu      sync.Mutex             // taken within an endpoint's
-	holding map[*Endpoint]struct{} // those that may have an idle connection
+	mu       sync.Mutex             // taken within an endpoint's
+	withIdle map[*Endpoint]struct{} // those that may have an idle connection
 }
 
 // Config is what a pool is told.
 type Config struct {
 	ConnectTimeout time.Duration
-	Idle           time.Duration // endpoints close an idle connection after it
-	Most           int           // idle ones kept in all
-	Fields         []string      // of load reports
+	IdleTimeout    time.Duration // endpoints close an idle connection after it
+	MaxIdle        int           // idle ones kept in all
+	LoadFields     []string      // of load reports
 	Delivery       *Delivery
 }
 
@@ -76,22 +76,22 @@
 func NewPool(c Config) *Pool {
 	// An endpoint closes an idle connection at Idle at the latest, and what is written to one that it has closed is a
 	// reset that may have run: ours are closed a good deal before.
-	return &Pool{connectTimeout: c.ConnectTimeout, keep: c.Idle * 9 / 10, most: int64(c.Most), fields: c.Fields, forms: newForms(c.Delivery),
-		holding: map[*Endpoint]struct{}{}}
+	return &Pool{connectTimeout: c.ConnectTimeout, idleTimeout: c.IdleTimeout * 9 / 10, maxIdle: int64(c.MaxIdle), loadFields: c.LoadFields, formats: newRequestFormats(c.Delivery),
+		withIdle: map[*Endpoint]struct{}{}}
 }
 
 // Idle is how many connections are idle.
 func (p *Pool) Idle() int { return int(p.idle.Load()) }
 
-// get takes the idle connection used last, or opens one, which is up before a time.
-func (p *Pool) get(ctx context.Context, e *Endpoint, until time.Time) (*conn, error) {
+// acquire takes the idle connection used last, or opens one, which is up before a time.
+func (p *Pool) acquire(ctx context.Context, e *Endpoint, until time.Time) (*conn, error) {
 	e.mu.Lock()
 	addr := e.addr
 	for n := len(e.idle) - 1; n >= 0; n = len(e.idle) - 1 {
 		c := e.idle[n]
 		e.idle = e.idle[:n]
 		p.idle.Add(-1)
-		if c.addr == addr && time.Since(c.since) < p.keep && Quiet(c.Conn) {
+		if c.addr == addr && time.Since(c.idleSince) < p.idleTimeout && IdleConnUsable(c.Conn) {
 			e.mu.Unlock()
 			return c, nil
 		}
@@ -104,27 +104,27 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Bounded: Bounded{nc, 0, errLongAnswer}, addr: addr}
-	c.r = bufio.NewReaderSize(c, maxLine)
+	c := &conn{LimitedConn: LimitedConn{nc, 0, errAnswerTooLong}, addr: addr}
+	c.r = bufio.NewReaderSize(c, maxStatusLine)
 	return c, nil
 }
 
-// at reports whether the endpoint is still at an address.
-func (e *Endpoint) at(addr string) bool {
+// isAt reports whether the endpoint is still at an address.
+func (e *Endpoint) isAt(addr string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.addr == addr
 }
 
-// shortage reports whether a connection failed for want of something of our own machine's.
-func shortage(err error) bool {
+// isLocalShortage reports whether a connection failed for want of something of our own machine's.
+func isLocalShortage(err error) bool {
 	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL},
 		func(lack error) bool { return errors.Is(err, lack) })
 }
 
-// Quiet reports whether an idle connection still stands: nothing has come on it, not even its end. A call
+// IdleConnUsable reports whether an idle connection still stands: nothing has come on it, not even its end. A call
 // on one that the endpoint has closed already would count as one that may have run.
-func Quiet(c net.Conn) bool {
+func IdleConnUsable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -142,32 +142,32 @@
 	return err == nil && stands
 }
 
-func (p *Pool) put(e *Endpoint, c *conn) {
+func (p *Pool) release(e *Endpoint, c *conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if c.addr != e.addr || p.idle.Load() >= p.most {
+	if c.addr != e.addr || p.idle.Load() >= p.maxIdle {
 		c.Close()
 		return
 	}
 	p.idle.Add(1)
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	if e.idle = append(e.idle, c); len(e.idle) == 1 {
 		p.mu.Lock()
-		p.holding[e] = struct{}{}
+		p.withIdle[e] = struct{}{}
 		p.mu.Unlock()
 	}
 }
 
-// CloseOld closes the connections that have been idle for as long as they are kept.
-func (p *Pool) CloseOld() {
+// CloseExpired closes the connections that have been idle for as long as they are kept.
+func (p *Pool) CloseExpired() {
 	p.mu.Lock()
-	holding := make([]*Endpoint, 0, len(p.holding))
-	for e := range p.holding {
+	holding := make([]*Endpoint, 0, len(p.withIdle))
+	for e := range p.withIdle {
 		holding = append(holding, e)
 	}
 	p.mu.Unlock()
 	for _, e := range holding {
-		p.CloseIdle(e, p.keep)
+		p.CloseIdle(e, p.idleTimeout)
 	}
 }
 
@@ -179,7 +179,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.idle = slices.DeleteFunc(e.idle, func(c *conn) bool {
-		old := time.Since(c.since) >= after
+		old := time.Since(c.idleSince) >= after
 		if old {
 			p.idle.Add(-1)
 			c.Close()
@@ -189,13 +189,13 @@
 	if len(e.idle) == 0 {
 		e.idle = nil
 		p.mu.Lock()
-		delete(p.holding, e)
+		delete(p.withIdle, e)
 		p.mu.Unlock()
 	}
 }
 
-// appendRequest renders one call. Names hold plain ASCII only: they were read from one header line each.
-func appendRequest(b []byte, m *Message, addr string, timeout time.Duration) []byte {
+// appendPlatformRequest renders one call. Names hold plain ASCII only: they were read from one header line each.
+func appendPlatformRequest(b []byte, m *Message, addr string, timeout time.Duration) []byte {
 	b = append(append(b, "POST /hook HTTP/1.1\r\nHost: "...), addr...)
 	b = append(append(b, "\r\nUser-Agent: saffronyard\r\nX-Request-Id: "...), m.ID...)
 	if m.Key != "" {
@@ -215,10 +215,10 @@
 // permit was used.
 func (p *Pool) Call(ctx context.Context, e *Endpoint, tickets []Ticket, timeout time.Duration) (end brain.AttemptResult, gone bool) {
 	e.mu.Lock()
-	f := e.form
+	f := e.format
 	e.mu.Unlock()
 	if f == nil {
-		f = platformForm
+		f = platformFormat
 	}
 	end = brain.AttemptResult{Endpoint: e.Number, Outcome: brain.ConnectFailed}
 	// Nothing has been written yet: however it fails up to the last byte, the call never ran.
@@ -229,52 +229,52 @@
 		}
 	}
 	var c *conn
-	err := p.allowed(ctx, e, f, until)
+	err := p.validate(ctx, e, f, until)
 	if err == nil {
-		c, err = p.get(ctx, e, until)
+		c, err = p.acquire(ctx, e, until)
 	}
 	if err != nil {
-		if shortage(err) || unneeded(tickets) || !time.Now().Before(until) {
+		if isLocalShortage(err) || allRevoked(tickets) || !time.Now().Before(until) {
 			end.Outcome = brain.NotSent // for no fault of the endpoint's
 		}
 		return end, false
 	}
 	if ctx.Err() != nil { // it was called off, or its time is over, just as the connection came up
-		p.put(e, c)
-		if unneeded(tickets) {
+		p.release(e, c)
+		if allRevoked(tickets) {
 			end.Outcome = brain.NotSent
 		}
 		return end, false
 	}
-	if !e.at(c.addr) { // the id has come back elsewhere meanwhile, and who listens at its old address may be another destination's
+	if !e.isAt(c.addr) { // the id has come back elsewhere meanwhile, and who listens at its old address may be another destination's
 		c.Close()
 		end.Outcome = brain.NotSent
 		return end, false
 	}
-	m, written := use(tickets, time.Now())
+	m, written := usePermits(tickets, time.Now())
 	if len(m) == 0 {
-		p.put(e, c)
+		p.release(e, c)
 		end.Outcome = brain.NotSent
 		return end, false
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	_, err = c.Write(f.appendCall(make([]byte, 0, 512+len(m[0].Body)), m, c.addr, timeout))
+	_, err = c.Write(f.appendRequest(make([]byte, 0, 512+len(m[0].Body)), m, c.addr, timeout))
 	written()
 	if err != nil {
 		c.Close()
 		return end, false
 	}
-	reusable, gone, err := p.answer(ctx, c, f, &end)
-	e.told(f, &end)
+	reusable, gone, err := p.readAnswer(ctx, c, f, &end)
+	e.addAllowedRate(f, &end)
 	if err == nil && reusable && stop() {
-		p.put(e, c)
+		p.release(e, c)
 		return end, gone
 	}
 	c.Close()
 	if err != nil {
 		switch {
-		case errors.Is(err, errSpoilt):
+		case errors.Is(err, errMalformedAnswer):
 			end.Outcome = brain.Errored
 		case errors.Is(ctx.Err(), context.DeadlineExceeded):
 			end.Outcome = brain.TimedOut
@@ -299,8 +299,8 @@
 // Batches is whether calls to the endpoint carry several messages, and how many and how large they are at most. It is the loop's
 // to ask.
 func (e *Endpoint) Batches() (events, bytes int, ok bool) {
-	if e.form == nil || e.form.Form != Batched {
+	if e.format == nil || e.format.Form != Batched {
 		return 0, 0, false
 	}
-	return e.form.BatchEvents, e.form.BatchBytes, true
+	return e.format.BatchEvents, e.format.BatchBytes, true
 }
--- a/internal/calls/pool_test.go
+++ b/internal/calls/pool_test.go
@@ -15,7 +15,7 @@
 )
 
 func testPool() *Pool {
-	return NewPool(Config{ConnectTimeout: time.Second, Most: 20, Fields: []string{"x0", "x1"}, Idle: 15 * time.Second})
+	return NewPool(Config{ConnectTimeout: time.Second, MaxIdle: 20, LoadFields: []string{"x0", "x1"}, IdleTimeout: 15 * time.Second})
 }
 
 func callOnce(p *Pool, e *Endpoint, timeout time.Duration, body string) brain.AttemptResult {
@@ -327,7 +327,7 @@
 	st.Receive(t, closed)
 	for end := time.Now().Add(st.Wait); ; time.Sleep(time.Millisecond) { // until the close has come here
 		at.mu.Lock()
-		gone := len(at.idle) == 0 || !Quiet(at.idle[0].Conn)
+		gone := len(at.idle) == 0 || !IdleConnUsable(at.idle[0].Conn)
 		at.mu.Unlock()
 		if gone {
 			break
@@ -363,11 +363,11 @@
 	if n := on(); n != 2 {
 		t.Errorf("connection %d after the idle ones were closed", n)
 	}
-	p.keep = 0 // older than it may be
+	p.idleTimeout = 0 // older than it may be
 	if n := on(); n != 3 {
 		t.Errorf("connection %d after the idle one was too old", n)
 	}
-	p.most = 0
+	p.maxIdle = 0
 	p.CloseIdle(at, 0)
 	if on(); len(at.idle) != 0 || p.idle.Load() != 0 {
 		t.Errorf("%d idle connections where none may be kept, counted %d", len(at.idle), p.idle.Load())
@@ -396,8 +396,8 @@
 				}
 				return c.Conn > 2
 			})
-			c, p, list := Names{}, testPool(), NewList()
-			news := func(t membership.Update) { list.News(t, t.Full, c, p) }
+			c, p, list := Names{}, testPool(), NewEndpointList()
+			news := func(t membership.Update) { list.Apply(t, t.Full, c, p) }
 			news(membership.Update{Full: true, Servers: []membership.Target{{ID: "old", Addr: e.Addr, State: "SERVING"}}})
 			old := list.ByID["old"]
 			if got := callOnce(p, old, st.Wait, "x"); got.Outcome != brain.Served || len(old.idle) != 1 {
@@ -410,7 +410,7 @@
 			go func() { ended <- callOnce(p, old, st.Wait, "x") }()
 			e.Next(t)
 			e.Next(t)
-			p.put(old, kept)
+			p.release(old, kept)
 			news(gone)
 			if n := st.Receive(t, closed); n != 1 {
 				t.Errorf("connection %d is closed first", n)
--- a/internal/sender/batch.go
+++ b/internal/sender/batch.go
@@ -102,9 +102,9 @@
 			}
 			// A message whose leave is gone was not written with the others, and one whose time is over before
 			// the connection is up will not be: neither's end is the call's.
-			if one.permit.Gone() {
+			if one.permit.Revoked() {
 				end.AttemptResult = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.NotSent}
-			} else if one.ctx.Err() != nil && one.permit.TakeBack() {
+			} else if one.ctx.Err() != nil && one.permit.Revoke() {
 				end.AttemptResult = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.ConnectFailed}
 			}
 			end.Elapsed = time.Since(began)
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -77,7 +77,7 @@
 	list := brain.EndpointUpdate{Complete: true}
 	for r := range c.receivers {
 		list.Endpoints = append(list.Endpoints, brain.Endpoint{ID: brain.EndpointID(r + 1), Destination: brain.DestinationID(r), Ready: true})
-		s.endpoints.Cells[uint32(r)] = struct{}{}
+		s.endpoints.Destinations[uint32(r)] = struct{}{}
 	}
 	settings := s.config.Settings
 	settings.Senders, settings.Slots, settings.MaxPending = c.senders, 50, 100000
--- a/internal/sender/config.go
+++ b/internal/sender/config.go
@@ -138,7 +138,7 @@
 	c := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, StateDir: file.State,
 		Limits: file.Limits, Known: file.Known, Settings: settings.Translate(env),
 		Kinds: env.List("models"), Zones: env.List("zones"), ReportFields: env.List("telemetry.fields"),
-		ConnectTimeout: settings.Span(env.Float("limits.connectTimeout"))}
+		ConnectTimeout: settings.DurationFromMs(env.Float("limits.connectTimeout"))}
 	for i := range env.Count("services") {
 		c.Classes = append(c.Classes, env.Text(fmt.Sprintf("services.%d.name", i)))
 	}
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -19,9 +19,9 @@
 )
 
 // delivers turns a form on for all destinations.
-func delivers(to calls.To) func(*Config) {
+func delivers(to calls.Target) func(*Config) {
 	return func(c *Config) {
-		c.Delivery = &calls.Delivery{Source: "/council", Type: "notice.{class}", To: []calls.To{to}}
+		c.Delivery = &calls.Delivery{Source: "/council", Type: "notice.{class}", Targets: []calls.Target{to}}
 	}
 }
 
@@ -58,7 +58,7 @@
 				}
 				return st.Status(200)(c, nc)
 			})
-			addr := run(t, st.NewPlatform(t, e.Addr), both(takesEvents, delivers(calls.To{Form: name, Path: path, BatchEvents: 5, BatchBytes: 65536})))
+			addr := run(t, st.NewPlatform(t, e.Addr), both(takesEvents, delivers(calls.Target{Form: name, Path: path, BatchEvents: 5, BatchBytes: 65536})))
 			if resp, text := post(t, addr, oneEvent, eventJSON("1", "keyed", in)); resp.StatusCode != 202 {
 				t.Fatalf("%s %s", resp.Status, text)
 			}
@@ -129,7 +129,7 @@
 	stays := st.NewEndpoint(t, st.Status(204))
 	p := st.NewPlatform(t, leaves.Addr)
 	p.Change(st.Target("s-9", stays.Addr, 0, "SERVING"))
-	addr := run(t, p, delivers(calls.To{Form: calls.Structured}))
+	addr := run(t, p, delivers(calls.Target{Form: calls.Structured}))
 	for i := 0; len(leaves.Calls) == 0; i++ {
 		st.HandIn(t, addr, "a"+strconv.Itoa(i), "unsafe", 0, 9*time.Second)
 		stays.Next(t)
@@ -163,7 +163,7 @@
 // What the module sends to one endpoint in one step travels in one call, as far as it fits.
 func TestBatchesOut(t *testing.T) {
 	t.Parallel()
-	s, e, _ := byHand(t, st.Status(200), both(takesEvents, delivers(calls.To{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536})))
+	s, e, _ := byHand(t, st.Status(200), both(takesEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536})))
 	s.send2(t, 5)
 	var sizes []int
 	got := map[string]bool{}
@@ -209,7 +209,7 @@
 // does the call.
 func TestCancelInABatch(t *testing.T) {
 	t.Parallel()
-	batched := both(takesEvents, delivers(calls.To{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536}))
+	batched := both(takesEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536}))
 	how := make(chan int)
 	s, e, _ := byHand(t, gate(how), batched)
 	s.send2(t, 3)
@@ -250,7 +250,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, e.Addr)
-	addr := run(t, p, delivers(calls.To{Form: calls.Batched, BatchEvents: 8, BatchBytes: 65536}))
+	addr := run(t, p, delivers(calls.Target{Form: calls.Batched, BatchEvents: 8, BatchBytes: 65536}))
 	for i := range 10 {
 		st.HandIn(t, addr, "m"+strconv.Itoa(i), "unsafe", 0, 9*time.Second)
 	}
--- a/internal/sender/extension_background.go
+++ b/internal/sender/extension_background.go
@@ -139,7 +139,7 @@
 		s := p.s
 		ready := map[uint32]bool{}
 		for _, e := range s.endpoints.ByID {
-			ready[uint32(e.Line.Destination)] = ready[uint32(e.Line.Destination)] || e.Line.Ready
+			ready[uint32(e.Entry.Destination)] = ready[uint32(e.Entry.Destination)] || e.Entry.Ready
 		}
 		for dest, ok := range ready { // one of which nothing is known is well, as far as anybody can say
 			all[dest] = undelivered.Receiver{Healthy: ok, HealthyFor: math.MaxInt64}
@@ -216,7 +216,7 @@
 	case s.journal.byID[e.Message] != nil:
 		return nil, resendError("it is held")
 	}
-	if _, known := s.endpoints.Cells[e.Destination]; !known {
+	if _, known := s.endpoints.Destinations[e.Destination]; !known {
 		return nil, resendError("destination %d does not exist any more", e.Destination)
 	}
 	// Asked again at the moment of taking it on: between the choice and this lie a write to the store and the loop's queue.
--- a/internal/sender/extension_fleet.go
+++ b/internal/sender/extension_fleet.go
@@ -106,7 +106,7 @@
 	}
 	s := p.s
 	var events []brain.Event
-	if news := s.endpoints.Closings(s.config.endpointNames()); len(news.Endpoints) > 0 {
+	if news := s.endpoints.ApplyPolicy(s.config.endpointNames()); len(news.Endpoints) > 0 {
 		events = append(events, news)
 	}
 	events = append(events, p.rateLimits(true)...)
@@ -164,7 +164,7 @@
 	}
 	brainHealth := map[health.Kind]brain.Health{health.KindEjected: brain.Unhealthy, health.KindWarmingUp: brain.WarmingUp, health.KindNone: brain.Healthy}
 	tell := func(d uint32, sort health.Kind) {
-		if _, listed := p.s.endpoints.Cells[d]; listed {
+		if _, listed := p.s.endpoints.Destinations[d]; listed {
 			events = append(events, brain.Observation{Destination: brain.DestinationID(d), Health: brainHealth[sort]})
 		}
 	}
--- a/internal/sender/extension_fleet_test.go
+++ b/internal/sender/extension_fleet_test.go
@@ -256,7 +256,7 @@
 	line := func(dest uint32) Target {
 		return Target{ID: "e", Addr: "127.0.0.1:1", Cell: dest, State: "SERVING", Kind: "plain"}
 	}
-	if got := s.endpoints.News(Targets{Servers: []Target{line(1)}}, false, s.config.endpointNames(), s.pool).Endpoints; len(got) != 1 || got[0].Kind != 1 || !got[0].Ready {
+	if got := s.endpoints.Apply(Targets{Servers: []Target{line(1)}}, false, s.config.endpointNames(), s.pool).Endpoints; len(got) != 1 || got[0].Kind != 1 || !got[0].Ready {
 		t.Errorf("%+v", got)
 	}
 	f.paces = []fleet.RateLimit{{Destination: 1, Limited: true, Own: 2, Fleet: 5}, {Destination: 9}}
@@ -264,10 +264,10 @@
 		t.Errorf("%+v", got)
 	}
 	f.say(t, true, closes1)
-	if got := s.endpoints.Closings(s.config.endpointNames()).Endpoints; len(got) != 1 || got[0].Kind != 0 || got[0].Ready {
+	if got := s.endpoints.ApplyPolicy(s.config.endpointNames()).Endpoints; len(got) != 1 || got[0].Kind != 0 || got[0].Ready {
 		t.Errorf("%+v", got)
 	}
-	if got := s.endpoints.Closings(s.config.endpointNames()).Endpoints; len(got) != 0 {
+	if got := s.endpoints.ApplyPolicy(s.config.endpointNames()).Endpoints; len(got) != 0 {
 		t.Errorf("told twice: %+v", got)
 	}
 }
--- a/internal/sender/fleet_policy.go
+++ b/internal/sender/fleet_policy.go
@@ -83,7 +83,7 @@
 		return "this sender is cut off from the fleet"
 	}
 	if to := v.Policy.MovedTo(r.Dest); to != r.Dest {
-		if _, known := s.endpoints.Cells[to]; !known {
+		if _, known := s.endpoints.Destinations[to]; !known {
 			return fmt.Sprintf("the fleet's policy has moved its destination to %d, which no list names", to)
 		}
 		r.Dest = to
--- a/internal/sender/learnt.go
+++ b/internal/sender/learnt.go
@@ -11,11 +11,11 @@
 func (s *Sender) newLearnt(of knowledge.Subject) (e brain.Observation, listed bool) {
 	e.Destination = brain.DestinationID(of.Destination)
 	if of.Endpoint == "" {
-		_, listed = s.endpoints.Cells[of.Destination]
+		_, listed = s.endpoints.Destinations[of.Destination]
 		return e, listed
 	}
 	at := s.endpoints.ByID[of.Endpoint]
-	if at == nil || at.Line.Destination != e.Destination {
+	if at == nil || at.Entry.Destination != e.Destination {
 		return e, false
 	}
 	e.Endpoint = at.Number
--- a/internal/sender/message.go
+++ b/internal/sender/message.go
@@ -45,7 +45,7 @@
 func (c inFlightCalls) recall(attempt int) bool {
 	for i := range c {
 		if c[i].attempt == attempt {
-			c[i].recalled = c[i].TakeBack()
+			c[i].recalled = c[i].Revoke()
 			return c[i].recalled
 		}
 	}
@@ -59,7 +59,7 @@
 
 // rejectedByPolicy reports whether the fleet's policy was against an attempt as it was about to be written.
 func (c inFlightCalls) rejectedByPolicy(attempt int) bool {
-	return slices.ContainsFunc(c, func(o inFlightCall) bool { return o.attempt == attempt && o.Against() })
+	return slices.ContainsFunc(c, func(o inFlightCall) bool { return o.attempt == attempt && o.Denied() })
 }
 
 // finish takes an attempt out and releases what it holds.
--- a/internal/sender/names_test.go
+++ b/internal/sender/names_test.go
@@ -153,7 +153,7 @@
 		s.step(t.Context(), []brainEvent{s.applyListUpdate(listUpdate{from, u})})
 	}
 	news(membership.Discovery, membership.Update{Full: true}) // discovery drops it
-	if got := s.endpoints.ByID["s-0"]; got == nil || got.Number != number0 || !got.Line.Ready {
+	if got := s.endpoints.ByID["s-0"]; got == nil || got.Number != number0 || !got.Entry.Ready {
 		t.Fatalf("%+v", got)
 	}
 	follower := membership.NewFollower(n.c.Members, n.c.Spans)
@@ -162,15 +162,15 @@
 	}
 	follower.Step(0, []membership.Observation{{Member: 0, Answer: one(e.Addr)}, {Member: 1, Answer: one(e.Addr)}})
 	news(membership.Names, membership.Update{Servers: follower.Step(time.Second, []membership.Observation{{Member: 0, Answer: one(other.Addr)}})})
-	if got := s.endpoints.ByID["s-0"]; !got.Line.Ready || len(s.endpoints.ByID) != 2 {
+	if got := s.endpoints.ByID["s-0"]; !got.Entry.Ready || len(s.endpoints.ByID) != 2 {
 		t.Error("one of two names dropped it, and it does not serve")
 	}
 	news(membership.Names, membership.Update{Servers: follower.Step(2*time.Second, []membership.Observation{{Member: 1, Answer: one(other.Addr)}})})
-	if got := s.endpoints.ByID["s-0"]; got == nil || got.Line.Ready {
+	if got := s.endpoints.ByID["s-0"]; got == nil || got.Entry.Ready {
 		t.Error("both names dropped it, and it serves, or is forgotten")
 	}
 	news(membership.Names, membership.Update{Servers: follower.Step(3*time.Second, []membership.Observation{{Member: 1, Answer: one(e.Addr)}})})
-	if got := s.endpoints.ByID["s-0"]; got.Number != number0 || !got.Line.Ready {
+	if got := s.endpoints.ByID["s-0"]; got.Number != number0 || !got.Entry.Ready {
 		t.Error("it came back, and is another")
 	}
 	news(membership.Names, membership.Update{Servers: follower.Step(4*time.Second, []membership.Observation{{Member: 1, Answer: one(other.Addr)}})})
--- a/internal/sender/sdk_test.go
+++ b/internal/sender/sdk_test.go
@@ -116,7 +116,7 @@
 				}))
 				t.Cleanup(receiver.Close)
 				addr := run(t, st.NewPlatform(t, strings.TrimPrefix(receiver.URL, "http://")), both(takesEvents,
-					delivers(calls.To{Form: out, BatchEvents: 5, BatchBytes: 65536}), func(c *Config) { c.Settings.MaxPending = 1000 }))
+					delivers(calls.Target{Form: out, BatchEvents: 5, BatchBytes: 65536}), func(c *Config) { c.Settings.MaxPending = 1000 }))
 				p, err := cehttp.New(cehttp.WithTarget("http://" + addr + "/events"))
 				if err != nil {
 					t.Fatal(err)
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -22,7 +22,7 @@
 	s.setWaiting(m, false)
 	s.trace("call", m.ID, slog.Int("try", m.earlierAttempts+attempt), slog.Uint64("dest", uint64(m.Dest)), slog.String("endpoint", e.ID), slog.Duration("timeout", a.Timeout))
 	call, cancel := context.WithTimeout(ctx, a.Timeout)
-	leave := &calls.Permit{Until: time.Now().Add(s.writeTimeout(m, m.earlierAttempts+attempt, a.Timeout)), Cancel: cancel, Enter: s.admission(m, e.ID)}
+	leave := &calls.Permit{Until: time.Now().Add(s.writeTimeout(m, m.earlierAttempts+attempt, a.Timeout)), Cancel: cancel, Admit: s.admission(m, e.ID)}
 	m.calls = append(m.calls, inFlightCall{attempt: attempt, Permit: leave})
 	s.inFlight++
 	one := batchedSend{m, attempt, call, a.Timeout, leave}
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -36,7 +36,7 @@
 	brain       *brain.Brain
 	journal     *journal
 	pool        *calls.Pool
-	endpoints   calls.List
+	endpoints   calls.EndpointList
 	discovery   *discovery
 	sources     sources
 	initialList Targets // the list to begin with
@@ -95,8 +95,8 @@
 			c.classOf(m)
 		}
 	}
-	s := &Sender{config: c, log: log, clock: newClock(), brain: brain.New(c.Settings, c.Seed), journal: j, pool: calls.NewPool(calls.Config{ConnectTimeout: c.ConnectTimeout, Idle: c.Settings.IdleConnTimeout, Most: c.maxIdleEndpointConns(), Fields: c.ReportFields, Delivery: c.Delivery}),
-		endpoints: calls.NewList(), discovery: newDiscovery(c.Discovery), events: make(chan loopEvent, eventQueueSize),
+	s := &Sender{config: c, log: log, clock: newClock(), brain: brain.New(c.Settings, c.Seed), journal: j, pool: calls.NewPool(calls.Config{ConnectTimeout: c.ConnectTimeout, IdleTimeout: c.Settings.IdleConnTimeout, MaxIdle: c.maxIdleEndpointConns(), LoadFields: c.ReportFields, Delivery: c.Delivery}),
+		endpoints: calls.NewEndpointList(), discovery: newDiscovery(c.Discovery), events: make(chan loopEvent, eventQueueSize),
 		watchRequests: make(chan struct{}, 1), notices: make(chan []notice, 1), messages: map[brain.MessageID]*message{},
 		byID: map[string]*message{}, timer: time.NewTimer(time.Hour), gracePeriod: defaultGracePeriod, shutdownTimeout: defaultShutdownTimeout}
 	if j.failed {
@@ -112,7 +112,7 @@
 	j.initList(c.Discovery, s.initialList, s.watchFrom)
 	s.sources = newSources(s)
 	if c.Fleet != nil {
-		s.endpoints.Closed, s.endpoints.Kind = s.closedByFleet, s.fleetKind
+		s.endpoints.IsClosed, s.endpoints.KindOf = s.closedByFleet, s.fleetKind
 	}
 	s.recorder = newRecorderQueue(c.Recorder, room)
 	if s.extensions, err = s.newExtensions(); err != nil {
@@ -207,7 +207,7 @@
 
 // tick is the loop's housekeeping, once every tickInterval; ticks is how many there were.
 func (s *Sender) tick(ticks int) {
-	s.pool.CloseOld()
+	s.pool.CloseExpired()
 	// All rates are walked, so the less often the more there are. Once it is stopping nothing is served as usual.
 	if s.stopping || ticks%(1+len(s.endpoints.ByID)/endpointsPerTick) != 0 {
 		return
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -390,7 +390,7 @@
 	})
 	p := st.NewPlatform(t, e.Addr)
 	s := newTest(t, p, nil)
-	s.endpoints.News(Targets{Servers: []Target{{ID: "e", Addr: e.Addr, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
+	s.endpoints.Apply(Targets{Servers: []Target{{ID: "e", Addr: e.Addr, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
 	at := s.endpoints.ByID["e"]
 	callOnce := func(p *calls.Pool, e *calls.Endpoint, timeout time.Duration, body string) brain.AttemptResult {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -29,7 +29,7 @@
 	maxLingerBytes       = 256 << 10
 	readyPath            = "/-/ready"
 	healthPath           = "/-/healthy"
-	maxDestination       = calls.MaxDest
+	maxDestination       = calls.MaxDestination
 	maxDeadline          = 24 * time.Hour
 	defaultRetryAfter    = time.Second // Retry-After where the settings tell none
 )
@@ -91,7 +91,7 @@
 			time.Sleep(evictionInterval)
 			continue
 		}
-		c := &client{Bounded: calls.Bounded{Conn: nc, Over: errHeaderTooLarge}, acceptedAt: time.Now()}
+		c := &client{LimitedConn: calls.LimitedConn{Conn: nc, ErrExceeded: errHeaderTooLarge}, acceptedAt: time.Now()}
 		c.since, c.r = c.acceptedAt, bufio.NewReaderSize(c, 4096)
 		c.SetReadDeadline(c.acceptedAt.Add(requestTimeout))
 		if !s.admit(c) {
@@ -136,7 +136,7 @@
 func (s *server) serveConn(c *client) {
 	defer s.remove(c)
 	for first := true; ; first = false {
-		c.Left = maxHeaderBytes
+		c.Remaining = maxHeaderBytes
 		if !s.awaitRequest(c) || !s.setState(c, stateReading) {
 			return
 		}
--- a/internal/sender/server_connections.go
+++ b/internal/sender/server_connections.go
@@ -19,7 +19,7 @@
 
 // client is a connection from a client. The server's mutex guards state and what follows it.
 type client struct {
-	calls.Bounded
+	calls.LimitedConn
 	r          *bufio.Reader
 	acceptedAt time.Time
 	state      clientState
@@ -75,7 +75,7 @@
 		if s.evicting > 0 || !may(c, now.Sub(c.since)) || victim != nil && c.since.After(victim.since) {
 			continue
 		}
-		if calls.Quiet(c.Conn) { // else something is here and only waits for us
+		if calls.IdleConnUsable(c.Conn) { // else something is here and only waits for us
 			victim = c
 		}
 	}
--- a/internal/sender/server_requests.go
+++ b/internal/sender/server_requests.go
@@ -16,7 +16,7 @@
 // awaitRequest waits for a request's first byte; false if none comes.
 func (s *server) awaitRequest(c *client) bool {
 	_, err := c.r.Peek(1)
-	if errors.Is(err, os.ErrDeadlineExceeded) && !calls.Quiet(c.Conn) {
+	if errors.Is(err, os.ErrDeadlineExceeded) && !calls.IdleConnUsable(c.Conn) {
 		// It came just as the wait ended, by itself or as the connection was asked to go: it is owed an answer.
 		c.SetReadDeadline(time.Now().Add(requestTimeout))
 		_, err = c.r.Peek(1)
@@ -37,7 +37,7 @@
 		}
 	}
 	switch {
-	case err != nil && c.Left <= 0: // whatever the parser makes of a line that was cut there
+	case err != nil && c.Remaining <= 0: // whatever the parser makes of a line that was cut there
 		return nil, nil, nil, errHeaderTooLarge
 	case err != nil && errors.As(err, new(net.Error)):
 		return nil, nil, nil, err
@@ -72,14 +72,14 @@
 			return nil, nil, nil, err
 		}
 	}
-	c.Left = int(most) + 1
+	c.Remaining = int(most) + 1
 	body, err := readBody(r)
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("the body does not come whole: %w", err)
 	}
 	// A client waits for its answer before it sends more. What stands behind a body of which the length is
 	// wrong is the rest of it: the message would go out cut short.
-	if c.r.Buffered() > 0 || !calls.Quiet(c.Conn) && !atEOF(c) {
+	if c.r.Buffered() > 0 || !calls.IdleConnUsable(c.Conn) && !atEOF(c) {
 		return nil, nil, nil, badRequest("more comes than the Content-Length says")
 	}
 	return r, hand, body, nil
--- a/internal/sender/server_test.go
+++ b/internal/sender/server_test.go
@@ -234,7 +234,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &client{Bounded: calls.Bounded{Conn: nc}, acceptedAt: time.Now().Add(-time.Hour), since: time.Now().Add(-time.Hour)}
+	c := &client{LimitedConn: calls.LimitedConn{Conn: nc}, acceptedAt: time.Now().Add(-time.Hour), since: time.Now().Add(-time.Hour)}
 	c.r = bufio.NewReader(c)
 	s.server.clients[c] = struct{}{}
 	s.server.connections.Add(1)
@@ -244,7 +244,7 @@
 	}
 	s.server.mu.Unlock()
 	io.WriteString(other, head("m", "Content-Length: 1\r\nConnection: close\r\n")+"x")
-	for calls.Quiet(nc) {
+	for calls.IdleConnUsable(nc) {
 		time.Sleep(time.Millisecond)
 	}
 	s.server.serveConn(c)
@@ -295,11 +295,11 @@
 			}
 			if k.unread {
 				io.WriteString(other, "x")
-				for calls.Quiet(nc) {
+				for calls.IdleConnUsable(nc) {
 					time.Sleep(time.Millisecond)
 				}
 			}
-			all = append(all, &client{Bounded: calls.Bounded{Conn: nc}, state: k.state, since: time.Now().Add(-k.age)})
+			all = append(all, &client{LimitedConn: calls.LimitedConn{Conn: nc}, state: k.state, since: time.Now().Add(-k.age)})
 			s.clients[all[len(all)-1]] = struct{}{}
 		}
 		if went := s.evictOne(); went != (c.want >= 0) {
--- a/internal/sender/sources.go
+++ b/internal/sender/sources.go
@@ -47,7 +47,7 @@
 		all.bySource[membership.Names] = n.Source
 		all.merge = membership.NewMerger(n.Precedence, n.Fallback)
 		for _, d := range n.Destinations {
-			s.endpoints.Cells[d] = struct{}{}
+			s.endpoints.Destinations[d] = struct{}{}
 		}
 	}
 	return all
@@ -85,7 +85,7 @@
 		}
 	}
 	if s.sources.merge == nil {
-		return s.endpoints.News(e.Targets, e.Full, s.config.endpointNames(), s.pool)
+		return s.endpoints.Apply(e.Targets, e.Full, s.config.endpointNames(), s.pool)
 	}
-	return s.endpoints.News(membership.Update{Servers: s.sources.merge.Apply(e.from, e.Targets)}, false, s.config.endpointNames(), s.pool)
+	return s.endpoints.Apply(membership.Update{Servers: s.sources.merge.Apply(e.from, e.Targets)}, false, s.config.endpointNames(), s.pool)
 }
--- a/internal/sender/submit.go
+++ b/internal/sender/submit.go
@@ -38,7 +38,7 @@
 		return nil
 	}
 	// A destination without endpoints just now may get some; one that no list has ever named does not exist.
-	if _, known := s.endpoints.Cells[sub.Dest]; !known && len(s.endpoints.Cells) > 0 {
+	if _, known := s.endpoints.Destinations[sub.Dest]; !known && len(s.endpoints.Destinations) > 0 {
 		if sub.Identity != nil {
 			sub.answer <- response{status: http.StatusUnprocessableEntity, text: fmt.Sprintf("destination %d does not exist", sub.Dest)}
 		} else {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,8 +16,8 @@
 	"saffronyard.example/saffronyard/internal/wire"
 )
 
-// Span turns milliseconds into a duration, to the microsecond that the simulator counts in.
-func Span(ms float64) time.Duration {
+// DurationFromMs turns milliseconds into a duration, to the microsecond that the simulator counts in.
+func DurationFromMs(ms float64) time.Duration {
 	us := math.Round(ms * 1000)
 	if limit := float64(math.MaxInt64 / 2000); us > limit || us < -limit {
 		us = math.Copysign(limit, us)
@@ -26,20 +26,20 @@
 }
 
 // Translate reads the settings; unknown keys are skipped. Unreadable ones show in env.Err.
-func Translate(env *wire.Env) brain.Settings {
-	ms := func(key string) time.Duration { return Span(env.Float(key)) }
+func Translate(env *wire.Settings) brain.Settings {
+	ms := func(key string) time.Duration { return DurationFromMs(env.Float(key)) }
 	s := brain.Settings{
 		Senders: env.Int("balancers"), Zone: env.Int("zone"), Slots: env.Int("familyInfo.callsOut"),
 		MaxPending: env.Int("limits.mostHeld"), MaxAttempts: env.Int("limits.maxAttempts"),
 		MayCancel: env.Bool("limits.cancel"), IdleConnTimeout: ms("limits.connIdle"),
 		SendsRetryAfter: env.Bool("limits.retryAfter"), MaxRetryAfter: ms("limits.maxRetryAfter"),
-		RequestsEndpoints: env.Word("discovery", "pushed", "on_request") == 1, StepInterval: ms("step"),
+		RequestsEndpoints: env.Enum("discovery", "pushed", "on_request") == 1, StepInterval: ms("step"),
 		OrderingCooldown: ms("rules.settleAfterDoubt"), OverloadMultiple: env.Float("rules.fallMultiple"),
 		SlowStartCapacity: env.Float("rules.startCapacity"), OverloadWindow: ms("rules.overloadFor"), SlowStartDuration: ms("rules.cold"),
 		OverShareValue:   env.Float("overShareWorth"),
 		CrossZoneCost:    env.Float("costs.crossZone"),
-		ExponentialDecay: env.Word("familyInfo.fades", "linear", "halving") == 1,
-		RatingIsLimit:    env.Word("weights", "none", "nominal", "rough", "live")%3 != 0,
+		ExponentialDecay: env.Enum("familyInfo.fades", "linear", "halving") == 1,
+		RatingIsLimit:    env.Enum("weights", "none", "nominal", "rough", "live")%3 != 0,
 		ZoneFees:         env.Floats("familyInfo.toll"),
 	}
 	apart, calls := env.Bools("familyInfo.routesApart"), env.Floats("familyInfo.perCall")
@@ -56,8 +56,8 @@
 	for i := range env.Count("services") {
 		p := fmt.Sprintf("services.%d.", i)
 		s.Classes = append(s.Classes, brain.Class{LatencyTarget: ms(p + "slo"), Deadline: ms(p + "giveUp"),
-			Idempotency:         brain.Idempotency(env.Word(p+"effect", "read_like", "idempotency_key", "non_idempotent")),
-			IdempotencyKeyZonal: env.Word(p+"dedupScope", "all", "zone", "cell") != 0, IdempotencyKeyTTL: ms(p + "dedupWindow"),
+			Idempotency:         brain.Idempotency(env.Enum(p+"effect", "read_like", "idempotency_key", "non_idempotent")),
+			IdempotencyKeyZonal: env.Enum(p+"dedupScope", "all", "zone", "cell") != 0, IdempotencyKeyTTL: ms(p + "dedupWindow"),
 			Ordered: env.Bool(p + "oneAtATime"), Value: env.Float(p + "worth"), LateValue: env.Float(p + "lateValue")})
 	}
 	for i := range env.Count("orgs") {
@@ -69,7 +69,7 @@
 
 // Flatten turns nested JSON into the simulator's path=value form: a list of plain values is joined by
 // commas, a list of objects states its length under .count and its items under .0, .1 and so forth.
-func Flatten(raw []byte) (*wire.Env, error) {
+func Flatten(raw []byte) (*wire.Settings, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
 	var root map[string]any
@@ -79,11 +79,11 @@
 	var lines []string
 	flatten("", root, &lines)
 	sort.Strings(lines)
-	return wire.ParseEnv(strings.Join(lines, "\n"))
+	return wire.ParseSettings(strings.Join(lines, "\n"))
 }
 
-// plain replaces what separates lines and list items.
-var plain = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
+// separators replaces what separates lines and list items.
+var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
 func flatten(path string, value any, lines *[]string) {
 	switch v := value.(type) {
@@ -97,7 +97,7 @@
 			if _, nested := item.(map[string]any); nested {
 				flatten(fmt.Sprintf("%s.%d", path, i), item, lines)
 			} else {
-				words = append(words, plain.Replace(fmt.Sprint(item)))
+				words = append(words, separators.Replace(fmt.Sprint(item)))
 			}
 		}
 		if len(v) > 0 && words == nil {
@@ -107,6 +107,6 @@
 		}
 	case nil:
 	default:
-		*lines = append(*lines, path+"="+plain.Replace(fmt.Sprint(v)))
+		*lines = append(*lines, path+"="+separators.Replace(fmt.Sprint(v)))
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -42,7 +42,7 @@
 "limits":{"cancel":true,"connIdle":15000.0,"maxRetryAfter":2000.5},"models":["processor","retailer"],
 "orgs":[{"allowancePerS":14.0,"name":"a","share":0.38},{"allowancePerS":9.0,"name":"b","share":0.62}],
 "services":[{"effect":"idempotency_key","giveUp":28000.0,"name":"card-event"}],"zones":["x","y z"],"unknown":null}`
-	want, err := wire.ParseEnv(lines)
+	want, err := wire.ParseSettings(lines)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/upstream/helpers_test.go
+++ b/internal/tier/upstream/helpers_test.go
@@ -139,7 +139,7 @@
 	p.mu.Lock()
 	c := p.hosts[hostKey{target.Address, target.Instance}].idle[0]
 	p.mu.Unlock()
-	for calls.Quiet(c.TCPConn) {
+	for calls.IdleConnUsable(c.TCPConn) {
 		runtime.Gosched()
 	}
 }
--- a/internal/tier/upstream/pool.go
+++ b/internal/tier/upstream/pool.go
@@ -119,7 +119,7 @@
 		case c == nil:
 			c, end, err := pool.dial(ctx, k, deadline)
 			return c, end == Complete, end, err
-		case calls.Quiet(c.TCPConn):
+		case calls.IdleConnUsable(c.TCPConn):
 			pool.mu.Lock()
 			pool.counts.Reused++
 			pool.mu.Unlock()
@@ -207,7 +207,7 @@
 	pool.mu.Unlock()
 	c := &conn{TCPConn: nc.(*net.TCPConn), key: k, host: h}
 	// An endpoint without capacity closes it at once: that is better known before a byte is written than after.
-	if !calls.Quiet(c.TCPConn) {
+	if !calls.IdleConnUsable(c.TCPConn) {
 		pool.closeConn(c)
 		return nil, ConnectFailed, errConnectionEnded
 	}
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -13,17 +13,17 @@
 
 // Codes of the events.
 const (
-	CodeHello     = 1
-	CodeDirectory = 2
-	CodeSubmit    = 3
-	CodeHead      = 4
-	CodeEnd       = 5
-	CodeGone      = 6
-	CodeAlarm     = 7
-	CodeStatus    = 8
-	CodeInbox     = 9
-	CodeExit      = 10
-	CodeCatalog   = 11
+	CodeHello          = 1
+	CodeEndpointUpdate = 2
+	CodeMessage        = 3
+	CodeHead           = 4
+	CodeAttemptResult  = 5
+	CodeWithdrawn      = 6
+	CodeTimerFired     = 7
+	CodeStatus         = 8
+	CodeInbox          = 9
+	CodeExit           = 10
+	CodeEndpointPage   = 11
 )
 
 // Event is one record of a batch. Code tells which fields are set.
@@ -33,39 +33,39 @@
 	Offset   int // where the record starts in the frame body
 	Instance uint16
 
-	Nonce    uint64 // hello
-	Env      string
-	Scope    uint8 // directory_update
-	Page     uint32
-	Nodes    []Node // catalog
-	Call     uint64 // submit, attempt_end, cancelled_by_client
-	Billing  uint16
-	Object   uint64
-	Priority uint8
-	FarEnd   float32
-	Bits     uint8
-	Expires  float64
-	Try      uint8
-	Endpoint uint32
-	Result   uint8
-	Elapsed  float64
-	NoMore   bool
-	WaitMs   uint32
-	Report   []float32
-	Label    uint32 // alarm
+	Seed         uint64 // hello
+	Settings     string
+	Scope        uint8 // directory_update
+	Page         uint32
+	Endpoints    []Endpoint // catalog
+	Message      uint64     // submit, attempt_end, cancelled_by_client
+	Tenant       uint16
+	OrderingKey  uint64
+	Class        uint8
+	Destination  float32
+	Bits         uint8
+	Deadline     float64
+	Attempt      uint8
+	Endpoint     uint32
+	Outcome      uint8
+	Elapsed      float64
+	Final        bool
+	RetryAfterMs uint32
+	LoadReport   []float32
+	Label        uint32 // alarm
 }
 
-// Node is one line of an endpoint list.
-type Node struct {
+// Endpoint is one line of an endpoint list.
+type Endpoint struct {
 	Kind         uint16
-	Endpoint     uint32
+	ID           uint32
 	Rating       float32
-	Cell         uint16
+	Destination  uint16
 	Availability uint8
 	Zone         uint8
 }
 
-const nodeSize = 22
+const endpointSize = 22
 
 // Batch is one frame from the simulator.
 type Batch struct {
@@ -198,52 +198,52 @@
 
 // event reads the fields of one record. A record may be longer than its known fields.
 func (d *decoder) event(e *Event) {
-	if e.Code == CodeCatalog {
+	if e.Code == CodeEndpointPage {
 		e.Page = d.u32("page")
-		n := d.count(nodeSize, "nodesList")
-		e.Nodes = make([]Node, 0, n)
+		n := d.count(endpointSize, "nodesList")
+		e.Endpoints = make([]Endpoint, 0, n)
 		for i := 0; i < n; i++ {
-			node := Node{Kind: d.u16("kind"), Endpoint: d.u32("endpoint"), Rating: d.f32("rating"),
-				Cell: d.u16("cell"), Availability: d.u8("availability"), Zone: d.u8("rackZone")}
+			node := Endpoint{Kind: d.u16("kind"), ID: d.u32("endpoint"), Rating: d.f32("rating"),
+				Destination: d.u16("cell"), Availability: d.u8("availability"), Zone: d.u8("rackZone")}
 			d.f64("lastStart")
-			e.Nodes = append(e.Nodes, node)
+			e.Endpoints = append(e.Endpoints, node)
 		}
 		return
 	}
-	if e.Code < CodeHello || e.Code > CodeCatalog {
+	if e.Code < CodeHello || e.Code > CodeEndpointPage {
 		d.fail = "unknown code"
 		return
 	}
 	e.Instance = d.u16("i")
 	switch e.Code {
 	case CodeHello:
-		e.Nonce = d.u64("nonce64")
-		e.Env = string(d.take(d.count(1, "env"), "env"))
-	case CodeDirectory:
+		e.Seed = d.u64("nonce64")
+		e.Settings = string(d.take(d.count(1, "env"), "env"))
+	case CodeEndpointUpdate:
 		e.Scope = d.u8("scope")
 		d.u32("generation")
 		e.Page = d.u32("page")
-	case CodeSubmit:
-		e.Call = d.u64("call")
+	case CodeMessage:
+		e.Message = d.u64("call")
 		d.f64("effort")
-		e.Billing = d.u16("billing")
-		e.Object = d.u64("object")
-		e.Priority = d.u8("priority")
-		e.FarEnd = d.f32("farEnd")
+		e.Tenant = d.u16("billing")
+		e.OrderingKey = d.u64("object")
+		e.Class = d.u8("priority")
+		e.Destination = d.f32("farEnd")
 		e.Bits = d.u8("bits")
-		e.Expires = d.f64("expires")
-	case CodeEnd:
-		e.Call = d.u64("call")
-		e.Try = d.u8("try")
+		e.Deadline = d.f64("expires")
+	case CodeAttemptResult:
+		e.Message = d.u64("call")
+		e.Attempt = d.u8("try")
 		e.Endpoint = d.u32("endpoint")
-		e.Result = d.u8("result")
+		e.Outcome = d.u8("result")
 		e.Elapsed = d.f64("elapsed")
-		e.NoMore = d.u8("noMore") != 0
-		e.WaitMs = d.u32("waitMs")
-		e.Report = d.report()
-	case CodeGone:
-		e.Call = d.u64("call")
-	case CodeAlarm:
+		e.Final = d.u8("noMore") != 0
+		e.RetryAfterMs = d.u32("waitMs")
+		e.LoadReport = d.report()
+	case CodeWithdrawn:
+		e.Message = d.u64("call")
+	case CodeTimerFired:
 		e.Label = d.u32("label")
 	}
 }
@@ -278,15 +278,15 @@
 	r.buf = binary.LittleEndian.AppendUint32(r.buf, endpoint)
 }
 
-// Decline writes a decline.
-func (r *Reply) Decline(i uint16, call uint64, holdOffMs float64) {
+// Reject writes a decline.
+func (r *Reply) Reject(i uint16, call uint64, holdOffMs float64) {
 	r.record(2, 18, i)
 	r.u64(call)
 	r.f64(holdOffMs)
 }
 
-// FinishError writes a finish_error.
-func (r *Reply) FinishError(i uint16, call uint64) {
+// Fail writes a finish_error.
+func (r *Reply) Fail(i uint16, call uint64) {
 	r.record(3, 10, i)
 	r.u64(call)
 }
@@ -298,21 +298,21 @@
 	r.buf = append(r.buf, try)
 }
 
-// WakeMe writes a wake_me.
-func (r *Reply) WakeMe(i uint16, atMs float64, label uint32) {
+// SetTimer writes a wake_me.
+func (r *Reply) SetTimer(i uint16, atMs float64, label uint32) {
 	r.record(5, 14, i)
 	r.f64(atMs)
 	r.buf = binary.LittleEndian.AppendUint32(r.buf, label)
 }
 
-// Close writes a close.
-func (r *Reply) Close(i uint16, endpoint uint32) {
+// CloseIdleConns writes a close.
+func (r *Reply) CloseIdleConns(i uint16, endpoint uint32) {
 	r.record(7, 6, i)
 	r.buf = binary.LittleEndian.AppendUint32(r.buf, endpoint)
 }
 
-// WriteLog writes a write_log.
-func (r *Reply) WriteLog(i uint16, s string) { r.line(9, i, s) }
+// Log writes a write_log.
+func (r *Reply) Log(i uint16, s string) { r.line(9, i, s) }
 
 // InternalError writes an internal_error.
 func (r *Reply) InternalError(i uint16, s string) { r.line(10, i, s) }
@@ -325,8 +325,8 @@
 	r.text(s)
 }
 
-// StreamChanges writes a stream_changes that opens the subscription.
-func (r *Reply) StreamChanges(i uint16) {
+// WatchEndpoints writes a stream_changes that opens the subscription.
+func (r *Reply) WatchEndpoints(i uint16) {
 	r.record(11, 3, i)
 	r.buf = append(r.buf, 1)
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Env holds the settings of one instance, and the first trouble met in reading them.
-type Env struct {
+// Settings holds the settings of one instance, and the first trouble met in reading them.
+type Settings struct {
 	values map[string]string
 	err    error
 }
@@ -16,9 +16,9 @@
 // maxItems bounds a list's .count, so that a wrong one costs no memory.
 const maxItems = 4096
 
-// ParseEnv splits path=value lines.
-func ParseEnv(text string) (*Env, error) {
-	e := &Env{values: map[string]string{}}
+// ParseSettings splits path=value lines.
+func ParseSettings(text string) (*Settings, error) {
+	e := &Settings{values: map[string]string{}}
 	for n, line := range strings.Split(text, "\n") {
 		line = strings.TrimSuffix(line, "\r")
 		if line == "" {
@@ -34,19 +34,19 @@
 }
 
 // Err is the first unreadable value met, naming its key.
-func (e *Env) Err() error { return e.err }
+func (e *Settings) Err() error { return e.err }
 
-func (e *Env) bad(key, want string) {
+func (e *Settings) fail(key, want string) {
 	if e.err == nil {
 		e.err = fmt.Errorf("setting %s: %q is not %s", key, e.values[key], want)
 	}
 }
 
 // Text is a value as it stands, "" if absent.
-func (e *Env) Text(key string) string { return e.values[key] }
+func (e *Settings) Text(key string) string { return e.values[key] }
 
 // Float reads a number, 0 if absent.
-func (e *Env) Float(key string) float64 {
+func (e *Settings) Float(key string) float64 {
 	v, ok := e.values[key]
 	if !ok {
 		return 0
@@ -54,39 +54,39 @@
 	return e.float(key, v)
 }
 
-func (e *Env) float(key, v string) float64 {
+func (e *Settings) float(key, v string) float64 {
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		e.bad(key, "a number")
+		e.fail(key, "a number")
 		return 0
 	}
 	return f
 }
 
 // Int reads a whole number, 0 if absent.
-func (e *Env) Int(key string) int {
+func (e *Settings) Int(key string) int {
 	f := e.Float(key)
 	if f != math.Trunc(f) || math.Abs(f) > 1<<40 {
-		e.bad(key, "a whole number")
+		e.fail(key, "a whole number")
 		return 0
 	}
 	return int(f)
 }
 
 // Bool reads true or false, false if absent.
-func (e *Env) Bool(key string) bool {
+func (e *Settings) Bool(key string) bool {
 	switch e.values[key] {
 	case "true":
 		return true
 	case "false", "":
 		return false
 	}
-	e.bad(key, "true or false")
+	e.fail(key, "true or false")
 	return false
 }
 
-// Word reads one of a few words and gives its place among them, 0 if absent.
-func (e *Env) Word(key string, words ...string) int {
+// Enum reads one of a few words and gives its place among them, 0 if absent.
+func (e *Settings) Enum(key string, words ...string) int {
 	v, ok := e.values[key]
 	if !ok {
 		return 0
@@ -96,12 +96,12 @@
 			return i
 		}
 	}
-	e.bad(key, "one of "+strings.Join(words, ", "))
+	e.fail(key, "one of "+strings.Join(words, ", "))
 	return 0
 }
 
 // List reads a comma list.
-func (e *Env) List(key string) []string {
+func (e *Settings) List(key string) []string {
 	if e.values[key] == "" {
 		return nil
 	}
@@ -109,7 +109,7 @@
 }
 
 // Floats reads a comma list of numbers.
-func (e *Env) Floats(key string) []float64 {
+func (e *Settings) Floats(key string) []float64 {
 	var out []float64
 	for _, v := range e.List(key) {
 		out = append(out, e.float(key, v))
@@ -118,11 +118,11 @@
 }
 
 // Bools reads a comma list of true and false.
-func (e *Env) Bools(key string) []bool {
+func (e *Settings) Bools(key string) []bool {
 	var out []bool
 	for _, v := range e.List(key) {
 		if v != "true" && v != "false" {
-			e.bad(key, "a list of true and false")
+			e.fail(key, "a list of true and false")
 		}
 		out = append(out, v == "true")
 	}
@@ -130,10 +130,10 @@
 }
 
 // Count reads the length of a list of objects.
-func (e *Env) Count(key string) int {
+func (e *Settings) Count(key string) int {
 	n := e.Int(key + ".count")
 	if n < 0 || n > maxItems {
-		e.bad(key+".count", "a sensible length")
+		e.fail(key+".count", "a sensible length")
 		return 0
 	}
 	return n
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -42,15 +42,15 @@
 	if err != nil || b.Clock != 8412.25 || len(b.Events) != 3 {
 		t.Fatalf("%+v %v", b, err)
 	}
-	if e := b.Events[0]; e.Instance != 3 || e.Call != 0x0001b4345d3a91c4 || e.FarEnd != 57 || e.Bits != 1 ||
-		e.Expires != 8652.25 || e.Object != 0x91f03b7c55d20a64 {
+	if e := b.Events[0]; e.Instance != 3 || e.Message != 0x0001b4345d3a91c4 || e.Destination != 57 || e.Bits != 1 ||
+		e.Deadline != 8652.25 || e.OrderingKey != 0x91f03b7c55d20a64 {
 		t.Errorf("submit %+v", e)
 	}
-	if e := b.Events[1]; e.Result != 30 || e.Elapsed != 18.5 || !e.NoMore || e.WaitMs != 300 || len(e.Report) != 2 ||
-		e.Report[1] != 1.25 {
+	if e := b.Events[1]; e.Outcome != 30 || e.Elapsed != 18.5 || !e.Final || e.RetryAfterMs != 300 || len(e.LoadReport) != 2 ||
+		e.LoadReport[1] != 1.25 {
 		t.Errorf("attempt_end %+v", e)
 	}
-	if n := b.Events[2].Nodes; len(n) != 1 || n[0].Cell != 57 || n[0].Availability != 1 || n[0].Endpoint != 0x03124a07 {
+	if n := b.Events[2].Endpoints; len(n) != 1 || n[0].Destination != 57 || n[0].Availability != 1 || n[0].ID != 0x03124a07 {
 		t.Errorf("catalog %+v", n)
 	}
 	if b, err = ReadBatch(r); err != nil || len(b.Events) != 0 {
@@ -102,8 +102,8 @@
 	}
 	out.Reset()
 	r.Send(3, 0x0001b4345d3a91c4, 80, 0x03124a07)
-	r.WakeMe(3, 8912, 77)
-	r.WriteLog(5, "two servers known")
+	r.SetTimer(3, 8912, 77)
+	r.Log(5, "two servers known")
 	if err := r.Flush(&out); err != nil {
 		t.Fatal(err)
 	}
@@ -113,10 +113,10 @@
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 	out.Reset()
-	r.Decline(1, 2, 3)
-	r.FinishError(1, 2)
+	r.Reject(1, 2, 3)
+	r.Fail(1, 2)
 	r.Cancel(1, 2, 3)
-	r.StreamChanges(1)
+	r.WatchEndpoints(1)
 	r.InternalError(1, "x")
 	if err := r.Flush(&out); err != nil || out.Len() != 8+5*6+18+10+11+3+5 {
 		t.Errorf("%d bytes, %v", out.Len(), err)
@@ -124,25 +124,25 @@
 }
 
 func TestSettings(t *testing.T) {
-	e, err := ParseEnv("a=1.5\nb=true\nc=x,y\nd=true,false\nlist.count=2\nw=two\nunknown.key=whatever\n")
+	e, err := ParseSettings("a=1.5\nb=true\nc=x,y\nd=true,false\nlist.count=2\nw=two\nunknown.key=whatever\n")
 	if err != nil || e.Float("a") != 1.5 || !e.Bool("b") || len(e.List("c")) != 2 || !e.Bools("d")[0] ||
-		e.Count("list") != 2 || e.Word("w", "one", "two") != 1 || e.Float("absent") != 0 || e.Err() != nil {
+		e.Count("list") != 2 || e.Enum("w", "one", "two") != 1 || e.Float("absent") != 0 || e.Err() != nil {
 		t.Fatalf("%v %v", err, e.Err())
 	}
 	for _, c := range []struct {
 		line string
-		read func(*Env)
+		read func(*Settings)
 		key  string
 	}{
-		{"a=fast", func(e *Env) { e.Float("a") }, "a"},
-		{"a=NaN", func(e *Env) { e.Float("a") }, "a"},
-		{"n=1.5", func(e *Env) { e.Int("n") }, "n"},
-		{"b=yes", func(e *Env) { e.Bool("b") }, "b"},
-		{"l.count=99999999", func(e *Env) { e.Count("l") }, "l.count"},
-		{"w=three", func(e *Env) { e.Word("w", "one") }, "w"},
-		{"d=true,maybe", func(e *Env) { e.Bools("d") }, "d"},
+		{"a=fast", func(e *Settings) { e.Float("a") }, "a"},
+		{"a=NaN", func(e *Settings) { e.Float("a") }, "a"},
+		{"n=1.5", func(e *Settings) { e.Int("n") }, "n"},
+		{"b=yes", func(e *Settings) { e.Bool("b") }, "b"},
+		{"l.count=99999999", func(e *Settings) { e.Count("l") }, "l.count"},
+		{"w=three", func(e *Settings) { e.Enum("w", "one") }, "w"},
+		{"d=true,maybe", func(e *Settings) { e.Bools("d") }, "d"},
 	} {
-		e, err := ParseEnv(c.line)
+		e, err := ParseSettings(c.line)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -151,7 +151,7 @@
 			t.Errorf("%s: %v", c.line, e.Err())
 		}
 	}
-	if _, err := ParseEnv("no equals sign"); err == nil {
+	if _, err := ParseSettings("no equals sign"); err == nil {
 		t.Error("a line with no '=' was taken")
 	}
 }
