--- a/internal/features/dns_test.go
+++ b/internal/features/dns_test.go
@@ -36,7 +36,7 @@
 precedence = "both"
 `
 
-func TestDNS(t *testing.T) {
+func TestParse_DNS(t *testing.T) {
 	f, err := Parse("x.toml", []byte(dnsFile))
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 }
 
 // Each error names the line of what is wrong.
-func TestErrorsOfDNS(t *testing.T) {
+func TestParse_DNSErrors(t *testing.T) {
 	edit := func(old, new string) string { return strings.Replace(dnsFile, old, new, 1) }
 	for says, text := range map[string]string{
 		`x.toml:1: dns has no [[dns.zone]]`:                           "[dns]\n",
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestErrorsNameTheLine(t *testing.T) {
+func TestParse_ErrorsNameLine(t *testing.T) {
 	for name, c := range map[string]struct{ text, says string }{
 		"unknown table": {"\n[quite]\n", `x.toml:2: unknown key "quite"`},
 		"unknown key":   {"[quiet]\nfold_after = \"5m\"\nfold = 3\n", `x.toml:3: unknown key "quiet.fold"`},
@@ -48,7 +48,7 @@
 }
 
 // A file of keys, whole or not at all.
-func TestPeersKeys(t *testing.T) {
+func TestPeers_Keys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	for text, want := range map[string]string{
 		"# now\nQUFBQUFBQUFBQUFBQUFBQQ==\n\n  QkJCQkJCQkJCQkJCQkJCQg==\n": "",
@@ -68,7 +68,7 @@
 
 const rule = "[[events.rule]]\nclass = \"safe\"\ndestination = \"1\"\n"
 
-func TestEvents(t *testing.T) {
+func TestParse_Events(t *testing.T) {
 	f, err := Parse("x.toml", []byte("[events]\nremember = \"30s\"\n[events.destinations]\nnorth = 7\n[[events.rule]]\nname = \"a\"\ntype = \"t.*\"\nsubject = \"{who}\"\n"+
 		"extensions = {region = \"eu\"}\nclass = \"safe\"\ndestination = \"{who}\"\ndeadline = \"3s\"\n[events.default]\nrefuse = \"no\"\n"))
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestDelivery(t *testing.T) {
+func TestParse_Delivery(t *testing.T) {
 	f, err := Parse("x.toml", []byte("[delivery]\nsource = \"/s\"\n[[delivery.to]]\nkinds = [\"m2\"]\nform = \"batched\"\nvalidate = true\norigin = \"a.example\"\nrate = 120\n[[delivery.to]]\nform = \"plain\"\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -100,7 +100,7 @@
 }
 
 // Each error names the line of what is wrong, of the right one of several tables.
-func TestErrorsOfEventsAndDelivery(t *testing.T) {
+func TestParse_EventAndDeliveryErrors(t *testing.T) {
 	const to = "[delivery]\nsource = \"/s\"\n[[delivery.to]]\n"
 	for says, text := range map[string]string{
 		`x.toml:2: events.remember = 10ms is not from 1s`:               "[events]\nremember = \"10ms\"\n" + rule,
@@ -140,7 +140,7 @@
 }
 
 // The file that ships turns nothing on.
-func TestShippedFile(t *testing.T) {
+func TestLoad_ShippedFile(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/saffronyard.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/features/work_test.go
+++ b/internal/features/work_test.go
@@ -34,7 +34,7 @@
 then = "drop"
 `
 
-func TestWork(t *testing.T) {
+func TestParse_Work(t *testing.T) {
 	f, err := Parse("x.toml", []byte(workFile))
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 }
 
 // Each error names the line of what is wrong.
-func TestErrorsOfWork(t *testing.T) {
+func TestParse_WorkErrors(t *testing.T) {
 	edit := func(old, new string) string { return strings.Replace(workFile, old, new, 1) }
 	for says, text := range map[string]string{
 		`x.toml:2: work.workers = 65 is not from 1`:                 edit("= 3", "= 65"),
--- a/internal/undelivered/entry.go
+++ b/internal/undelivered/entry.go
@@ -5,21 +5,20 @@
 	"encoding/binary"
 	"encoding/hex"
 	"encoding/json"
-	"fmt"
 )
 
-// State is what an entry waits for.
+// State is where an entry is on its way; the package comment has the transitions.
 type State string
 
-// The states.
+// States of an entry.
 const (
 	Stored   State = "kept"
-	Resolved State = "settled" // by hand
-	// Resending is one that was handed to the sender again, or is about to be. Until it has ended it is the journal's.
+	Resolved State = "settled" // by an operator, or by the client's new message
+	// Resending is an entry that was handed to the sender again, or is about to be. Until it ends the sender's journal owns it.
 	Resending State = "resending"
 )
 
-// Entry is one message that was not delivered.
+// Entry is one undelivered message, as the store keeps it in JSON. Times are Unix nanoseconds.
 type Entry struct {
 	Message         string          `json:"message"` // its id
 	Member          string          `json:"member"`
@@ -32,43 +31,43 @@
 	Event           json.RawMessage `json:"event,omitempty"` // attributes, of one that came as an event
 	Body            []byte          `json:"body,omitempty"`
 	Ending          string          `json:"how"`
-	EndedInResponse bool            `json:"answered,omitempty"` // it ended in the answer to its hand-in
+	EndedInResponse bool            `json:"answered,omitempty"` // it ended in the response to its submission
 	Reason          Reason          `json:"reason"`
-	AcceptedAt      int64           `json:"taken"` // Unix nanoseconds
+	AcceptedAt      int64           `json:"taken"`
 	EndedAt         int64           `json:"ended"`
 	Deadline        int64           `json:"deadline"`
 	Attempts        []Attempt       `json:"attempts,omitempty"`
 
 	State           State  `json:"state"`
-	Resends         int    `json:"lives,omitempty"` // times that it went again
-	ResendRequested bool   `json:"hand,omitempty"`  // an operator wants it to go again
-	FirstEndedAt    int64  `json:"began,omitempty"` // of one that went again: when it ended first; Unix nanoseconds
-	ResolvedBy      string `json:"by,omitempty"`    // who settled it
-	Resolution      string `json:"why,omitempty"`   // and why
-	ResolvedAt      int64  `json:"when,omitempty"`  // Unix nanoseconds
+	Resends         int    `json:"lives,omitempty"` // how often it was resent
+	ResendRequested bool   `json:"hand,omitempty"`  // an operator wants it resent
+	FirstEndedAt    int64  `json:"began,omitempty"` // of a resent message: when it ended first; else 0
+	ResolvedBy      string `json:"by,omitempty"`    // who resolved it
+	Resolution      string `json:"why,omitempty"`   // why
+	ResolvedAt      int64  `json:"when,omitempty"`
 }
 
-// History is what is asked of an entry.
+// History returns what ReasonOf and MayResend decide by.
 func (e *Entry) History() History {
 	return History{Ending: e.Ending, EndedInResponse: e.EndedInResponse, AcceptedAt: e.AcceptedAt, EndedAt: e.EndedAt, Deadline: e.Deadline, Effect: e.Effect, Ordered: e.Ordered, Key: e.Key, Attempts: e.Attempts}
 }
 
-// Key names an entry in the store.
+// Key is an entry's key in the store: 8 bytes of the time at which it ended, big endian, and 8 of the SHA-256 of its message's id.
 type Key [16]byte
 
-// String is the name as people write it.
+// String returns the key in hexadecimal, as the command line writes it.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// ParseKey reads a name.
+// ParseKey reads what String writes; any other text is a *ParseError.
 func ParseKey(text string) (Key, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(Key{}) {
-		return Key{}, fmt.Errorf("%q is no name of an entry: 32 hexadecimal digits", text)
+		return Key{}, parseError("%q is no name of an entry: 32 hexadecimal digits", text)
 	}
 	return Key(raw), nil
 }
 
-// KeyOf is the name of a message's entry.
+// KeyOf returns the key of a message that ended at a time, in Unix nanoseconds.
 func KeyOf(message string, ended int64) Key {
 	var k Key
 	binary.BigEndian.PutUint64(k[:], uint64(ended))
--- a/internal/undelivered/reason.go
+++ b/internal/undelivered/reason.go
@@ -1,16 +1,13 @@
-// Package undelivered keeps the messages that were not delivered: what they were, what was tried, why they ended, and
-// whether they may ever go again. Reasons and that last question are plain functions; the store stands round them.
 package undelivered
 
 import (
-	"fmt"
 	"time"
 )
 
-// Effect says what a repeat of a message does, as the settings have it.
+// Effect is what a second delivery of a message does at its receiver, as the settings of its class have it.
 type Effect string
 
-// The effects.
+// Effects: idempotent, idempotent by the message's key, and not idempotent.
 const (
 	Safe   Effect = "safe"
 	Keyed  Effect = "keyed"
@@ -20,7 +17,7 @@
 // Outcome is how an attempt ended.
 type Outcome string
 
-// The outcomes. Unknown is that of an attempt of which the end was never written down: it may have run.
+// Outcomes. Unknown is that of an attempt whose end was never written down: it may have run.
 const (
 	Unknown       Outcome = "unknown"
 	Errored       Outcome = "errored"
@@ -32,7 +29,8 @@
 	NotSent       Outcome = "not sent"
 )
 
-// MayHaveRun is whether an attempt that ended so may have run. Refused, ConnectFailed and NotSent prove that it never did.
+// MayHaveRun reports whether an attempt with this outcome may have run at the receiver. Rejected, ConnectFailed and NotSent prove that
+// it did not.
 func (o Outcome) MayHaveRun() bool {
 	switch o {
 	case Rejected, ConnectFailed, NotSent:
@@ -41,30 +39,30 @@
 	return true
 }
 
-// Attempt is one call of a message.
+// Attempt is one attempt to deliver a message.
 type Attempt struct {
 	At       int64   `json:"at"` // Unix nanoseconds
 	Endpoint string  `json:"endpoint"`
 	Outcome  Outcome `json:"outcome"`
 }
 
-// How a message ended.
+// Endings of a message.
 const (
 	GivenUp    = "given_up"
 	HandedBack = "handed_back"
-	Delivered  = "delivered" // of one that went again
+	Delivered  = "delivered" // only of a resent message
 )
 
 // Reason is why a message was not delivered. The list is closed.
 type Reason string
 
-// The reasons, in the order in which they are tried: the first that fits is the one.
+// Reasons, in the order in which ReasonOf tries them: the first that applies is the reason.
 const (
 	ReasonHandedBack    Reason = "handed-back"     // handed back to its client, who has not come again
 	ReasonNeverSent     Reason = "never-sent"      // failed at once, with no attempt: its client was told so
 	ReasonExpired       Reason = "out-of-time"     // its time was over before the first attempt
 	ReasonUnsafeRetry   Reason = "repeat-unlawful" // it had time left, and an attempt that may have run forbade another
-	ReasonRejected      Reason = "refused"         // every attempt was turned away
+	ReasonRejected      Reason = "refused"         // every attempt was rejected
 	ReasonConnectFailed Reason = "connect-failed"  // no attempt ran, the last for want of a connection
 	ReasonErrored       Reason = "errored"         // the last attempt that says anything was answered with an error
 	ReasonTimedOut      Reason = "timed-out"       // or was not answered in time
@@ -72,22 +70,22 @@
 	ReasonUnknown       Reason = "unknown"         // or its end was never written down
 )
 
-// Reasons is all of them.
+// Reasons returns all reasons, in the order in which ReasonOf tries them.
 func Reasons() []Reason {
 	return []Reason{ReasonHandedBack, ReasonNeverSent, ReasonExpired, ReasonUnsafeRetry, ReasonRejected, ReasonConnectFailed, ReasonErrored, ReasonTimedOut, ReasonReset, ReasonUnknown}
 }
 
-// ParseReason reads a reason's name.
+// ParseReason reads a reason's name; any other text is a *ParseError that lists the names.
 func ParseReason(text string) (Reason, error) {
 	for _, r := range Reasons() {
 		if string(r) == text {
 			return r, nil
 		}
 	}
-	return "", fmt.Errorf("there is no reason %q; there are %v", text, Reasons())
+	return "", parseError("there is no reason %q; there are %v", text, Reasons())
 }
 
-// History is what the reason and the question of another try go by.
+// History is what ReasonOf and MayResend decide by. Times are Unix nanoseconds.
 type History struct {
 	Ending          string // GivenUp or HandedBack
 	EndedInResponse bool   // it ended in the answer to its hand-in
@@ -100,7 +98,7 @@
 	Attempts        []Attempt
 }
 
-// ReasonOf finds why a message was not delivered, from what is known of its attempts.
+// ReasonOf returns why a message was not delivered, from what is known of its attempts.
 func ReasonOf(h History) Reason {
 	if h.Ending == HandedBack {
 		return ReasonHandedBack
@@ -146,21 +144,21 @@
 	return ReasonRejected
 }
 
-// Permission is whether a message may go again.
+// Permission is whether a message may be resent.
 type Permission uint8
 
-// The verdicts.
+// Permissions.
 const (
-	Forbidden Permission = iota // by nothing; it can be looked at, exported and settled
-	Allowed                     // it may go now
+	Forbidden Permission = iota // neither by rule nor by hand; it can be read, exported and resolved
+	Allowed                     // it may be resent now
 )
 
 // KeyExpiryMargin is how long before its key is forgotten a repeat has to be on its way: it still has to be decided on,
 // connected and written, as long as a call may take to begin.
 const KeyExpiryMargin = 3 * time.Second
 
-// MayResend is whether a message may be sent again now, and why not. It is the only place that says so: rules choose
-// among what it allows, and nobody else sends. window is how long a receiver remembers a key after the first attempt
+// MayResend decides whether a message may be resent now, and tells why not. No other code decides that: rules choose among what it
+// permits. window is how long a receiver remembers a key after the first attempt
 // that may have run; now is Unix nanoseconds.
 //
 // A clock that was set back makes an attempt look younger than it is, never older: where the time since the first
--- a/internal/undelivered/reason_test.go
+++ b/internal/undelivered/reason_test.go
@@ -70,7 +70,7 @@
 }
 
 // Each history has one reason, of the list, and each reason a history.
-func TestReasons(t *testing.T) {
+func TestParseReason(t *testing.T) {
 	seen := map[Reason]bool{}
 	for _, how := range []string{GivenUp, HandedBack} {
 		for _, effect := range []Effect{Safe, Keyed, Unsafe} {
--- a/internal/undelivered/rules_test.go
+++ b/internal/undelivered/rules_test.go
@@ -8,7 +8,7 @@
 
 // Whatever the rules, an operator and the state say, what may not go is never chosen; and each reason for not going has its
 // words.
-func TestChooseExhaustively(t *testing.T) {
+func TestChoose_Exhaustively(t *testing.T) {
 	const window, second = 10 * time.Second, int64(time.Second)
 	now := int64(1000) * second
 	rules := [][]Rule{nil, {{Name: "r", RateFraction: 1, MaxResends: 2, MaxAge: time.Minute, Deadline: time.Second}}, {{Name: "r", RateFraction: 1, MaxResends: 2, DropExhausted: true, Deadline: time.Second}},
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestGate(t *testing.T) {
+func TestPacer_Admit(t *testing.T) {
 	const s = time.Second
 	rule := &Rule{HealthyFor: 30 * s, RateFraction: 0.5}
 	noon := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
--- a/internal/undelivered/store.go
+++ b/internal/undelivered/store.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"time"
@@ -46,27 +45,24 @@
 // version is that of the file's layout.
 const version = 1
 
-// Limits bound a store.
+// Limits bound a store; 0 is no limit.
 type Limits struct {
-	MaxBytes int64         // of all entries; at least a megabyte
-	MaxAge   time.Duration // an entry is dropped so long after it ended
+	MaxBytes int64         // of all entries' values
+	MaxAge   time.Duration // of an entry, since it ended
 }
 
-// Store keeps entries. It is safe for several goroutines.
+// Store keeps entries in one bbolt file. It is safe for concurrent use.
 type Store struct {
 	db                *bolt.DB
 	limits            Limits
-	expiredByResender bool // Expire is called now and then: Keep need not look for what is too old
+	expiredByResender bool // Expire is called from time to time: Record need not look for old entries
 }
 
-// ErrNewerVersion is that a file was written by a later version.
-var ErrNewerVersion = errors.New("the file was written by a newer version")
-
-// Open opens a store's file, or makes it. A damaged one, one of a newer version, or one that another process holds is
-// an error, and is left as it is.
+// Open opens a store's file, or creates it. A file that is damaged, of a newer version (ErrNewerVersion), no store (ErrNotAStore), or open
+// in another process is an error, and is left as it is.
 func Open(path string, limits Limits) (*Store, error) { return open(path, limits, false) }
 
-// OpenReadOnly opens a file to look at it only.
+// OpenReadOnly opens an existing file for reading.
 func OpenReadOnly(path string) (*Store, error) { return open(path, Limits{}, true) }
 
 func open(path string, limits Limits, readOnly bool) (s *Store, err error) {
@@ -120,13 +116,13 @@
 func checkVersion(tx *bolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	if meta == nil {
-		return errors.New("it is no store of undelivered messages")
+		return ErrNotAStore
 	}
 	switch v := boltfile.Value(meta.Get(keyVersion)); {
 	case v > version:
 		return fmt.Errorf("%w: %d, and this one knows %d", ErrNewerVersion, v, version)
 	case v != version:
-		return fmt.Errorf("it says version %d", v)
+		return &VersionError{Version: v}
 	}
 	return nil
 }
@@ -148,36 +144,8 @@
 	return boltfile.Guarded(func() error { return s.db.View(f) })
 }
 
-// indexKey makes an index's key.
-func indexKey(parts ...string) []byte {
-	var b []byte
-	for _, p := range parts {
-		b = append(append(b, p...), 0)
-	}
-	return b
-}
-
-// forEachIndex calls f with each bucket that names an entry, and what stands before its key there.
-func forEachIndex(tx *bolt.Tx, e *Entry, f func(b *bolt.Bucket, prefix []byte) error) error {
-	for _, i := range []struct {
-		bucket []byte
-		prefix []byte
-	}{
-		{bucketMembers, indexKey(e.Member)}, {bucketReasons, indexKey(string(e.Reason))}, {bucketClasses, indexKey(e.Class)},
-		{bucketDestinations, indexKey(fmt.Sprint(e.Destination))}, {bucketPairs, indexKey(e.Member, string(e.Reason))},
-	} {
-		if err := f(tx.Bucket(i.bucket), i.prefix); err != nil {
-			return err
-		}
-	}
-	if b := tx.Bucket(bucketKeys); b != nil && e.Key != "" {
-		return f(b, indexKey(e.Member, e.Key))
-	}
-	return nil
-}
-
-// Record puts entries into the store, in one transaction; one that is there already stays as it is. What has to go for
-// them, or is too old by now, is dropped and counted. now is Unix nanoseconds.
+// Record writes entries in one transaction; one that is there already stays as it is. What exceeds the limits by then is dropped and
+// counted. now is Unix nanoseconds.
 func (s *Store) Record(entries []Entry, now int64) error {
 	err := s.update(func(tx *bolt.Tx) error {
 		for i := range entries {
@@ -209,44 +177,3 @@
 	}
 	return insert(tx, e, raw)
 }
-
-// recordResendEnd books how a message ended that went again: delivered it is gone, else it is kept as it is now. An end that is known
-// already changes nothing.
-func (s *Store) recordResendEnd(tx *bolt.Tx, key []byte, e *Entry) error {
-	var was Entry
-	if err := json.Unmarshal(tx.Bucket(bucketEntries).Get(key), &was); err != nil {
-		return fmt.Errorf("entry %x: %w", key, err)
-	}
-	if was.State != Resending || e.Resends != was.Resends+1 {
-		return nil
-	}
-	if _, err := remove(tx, key); err != nil {
-		return err
-	}
-	if e.Ending == Delivered {
-		b := tx.Bucket(bucketMeta)
-		return b.Put(keyResent, boltfile.Number(boltfile.Value(b.Get(keyResent))+1))
-	}
-	e.FirstEndedAt = was.FirstEnd()
-	e.State = Stored
-	raw, err := json.Marshal(e)
-	if err != nil {
-		return fmt.Errorf("message %s: %w", e.Message, err)
-	}
-	return insert(tx, e, raw)
-}
-
-// insert puts an entry and its indexes in.
-func insert(tx *bolt.Tx, e *Entry, raw []byte) error {
-	key := KeyOf(e.Message, e.EndedAt)
-	if err := tx.Bucket(bucketEntries).Put(key[:], raw); err != nil {
-		return err
-	}
-	if err := tx.Bucket(bucketMessages).Put([]byte(e.Message), key[:]); err != nil {
-		return err
-	}
-	if err := forEachIndex(tx, e, func(b *bolt.Bucket, prefix []byte) error { return b.Put(append(prefix, key[:]...), nil) }); err != nil {
-		return err
-	}
-	return count(tx, e.Member, 1, int64(len(raw)))
-}
--- a/internal/undelivered/store_test.go
+++ b/internal/undelivered/store_test.go
@@ -47,7 +47,7 @@
 }
 
 // Filters, alone and together, against a plain walk over the same entries.
-func TestList(t *testing.T) {
+func TestStore_List(t *testing.T) {
 	s, _ := newStore(t, Limits{})
 	var all []Entry
 	for n := range 200 {
@@ -103,7 +103,7 @@
 
 // Generated days of keeping, keeping again, settling and dropping, with retention by age and bytes: the file holds
 // together after each, each message is there once, and what went is counted.
-func TestGeneratedDays(t *testing.T) {
+func TestStore_RandomOperations(t *testing.T) {
 	for seed := range uint64(12) {
 		r := rand.New(rand.NewPCG(seed, 10))
 		limits := Limits{MaxBytes: 4000 + r.Int64N(8000), MaxAge: time.Duration(20+r.IntN(60)) * time.Second}
@@ -170,7 +170,7 @@
 }
 
 // One member's flood costs that member, and nobody else's entries go.
-func TestFloodOfOneMember(t *testing.T) {
+func TestStore_FloodOfOneMember(t *testing.T) {
 	s, _ := newStore(t, Limits{MaxBytes: 20_000})
 	var few []Entry
 	for n := range 6 {
@@ -286,7 +286,7 @@
 }
 
 // Files that are damaged, newer, held by another or no store at all are named and left as they are.
-func TestFilesThatCannotBeOpened(t *testing.T) {
+func TestOpen_UnusableFiles(t *testing.T) {
 	s, path := newStore(t, Limits{})
 	if err := s.Record([]Entry{entry(1, 1)}, 0); err != nil {
 		t.Fatal(err)
--- a/internal/work/pressure_test.go
+++ b/internal/work/pressure_test.go
@@ -21,7 +21,7 @@
 }
 
 // A step: down to the floor within 600 ms, all of it back within 5 s of its end.
-func TestPressureStep(t *testing.T) {
+func TestPressure_Step(t *testing.T) {
 	p := &Pressure{Targets: DefaultTargets()}
 	load := func(now time.Duration) float64 {
 		if now >= 10*sec && now < 20*sec {
@@ -46,7 +46,7 @@
 
 // Under a load that leaves room for a part of it, it finds that part and stays near: it goes over the target for at most one
 // look at a time, and the work that is done is at least nine tenths of what there is room for.
-func TestPressureFindsWhatIsLeft(t *testing.T) {
+func TestPressure_FindsSpareCapacity(t *testing.T) {
 	for _, live := range []float64{0.2, 0.5, 0.7, 0.9} {
 		p := &Pressure{Targets: DefaultTargets()}
 		got := response(p, 0, 120*sec, func(time.Duration) float64 { return live })
@@ -76,7 +76,7 @@
 }
 
 // A ramp is followed, and a square wave of a second neither drives it to nothing between nor lets it stand over the target.
-func TestPressureRampAndWave(t *testing.T) {
+func TestPressure_RampAndWave(t *testing.T) {
 	p := &Pressure{Targets: DefaultTargets()}
 	got := response(p, 0, 60*sec, func(now time.Duration) float64 { return now.Seconds() / 60 * 1.5 })
 	for i, a := range got {
@@ -114,7 +114,7 @@
 }
 
 // Times of day on days of 23 and 25 hours, over restarts, and with clocks that jump.
-func TestSchedule(t *testing.T) {
+func TestSchedule_Due(t *testing.T) {
 	berlin := mustZone(t, "Europe/Berlin")
 	at := func(text string) time.Time {
 		t.Helper()
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestWindow(t *testing.T) {
+func TestWindow_Open(t *testing.T) {
 	berlin := mustZone(t, "Europe/Berlin")
 	night := &Window{From: 22 * time.Hour, To: 5 * time.Hour, Zone: berlin}
 	day := &Window{From: 9 * time.Hour, To: 17*time.Hour + 30*time.Minute, Zone: berlin}
--- a/internal/work/run/run_test.go
+++ b/internal/work/run/run_test.go
@@ -155,7 +155,7 @@
 
 // The process dies at each step that writes or has an effect, before it and after it: the next one goes on, and each slice
 // has been done once; or once more where its kind says that this does no harm; or, where nobody can say, its job is parked.
-func TestDiesAtEachStep(t *testing.T) {
+func TestRunner_DiesAtEachStep(t *testing.T) {
 	jobs := []JobSpec{{Kind: "repeat", Owner: "a"}, {Kind: "settle", Owner: "b"}, {Kind: "neither", Owner: "c"}}
 	play := func(t *testing.T, dies int, after bool) (steps int) {
 		path := filepath.Join(t.TempDir(), "work.db")
@@ -242,7 +242,7 @@
 
 // A store that is full, or fails for a while: what is not taken is said to be so, what is done and can't be written down is
 // done again only where that does no harm, and it goes on when the disk does.
-func TestStoreFails(t *testing.T) {
+func TestRunner_StoreFails(t *testing.T) {
 	w := &world{effects: map[string]int{}}
 	m := &mortal{killed: make(chan struct{})}
 	c := config(filepath.Join(t.TempDir(), "work.db"))
@@ -335,7 +335,7 @@
 }
 
 // What panics, hangs, makes jobs that make jobs, or is of a newer version.
-func TestBadJobs(t *testing.T) {
+func TestRunner_FaultyJobs(t *testing.T) {
 	var logged syncBuffer
 	c := config(filepath.Join(t.TempDir(), "work.db"))
 	c.SlowSlice = 50 * time.Millisecond
@@ -453,7 +453,7 @@
 
 // Leaving in the middle of ten slices: those that heed their context are called off, one that does not is named, and it
 // ends in time; the next process takes all of them up.
-func TestLeaving(t *testing.T) {
+func TestRunner_Close(t *testing.T) {
 	var logged syncBuffer
 	c := config(filepath.Join(t.TempDir(), "work.db"))
 	c.Workers = 10
@@ -504,7 +504,7 @@
 }
 
 // What an earlier process left begins no more at once than there are workers.
-func TestNoMoreThanWorkersAfterARestart(t *testing.T) {
+func TestRunner_ConcurrencyAfterRestart(t *testing.T) {
 	c := config(filepath.Join(t.TempDir(), "work.db"))
 	st, err := store.Open(c.Path, 0)
 	if err != nil {
@@ -544,7 +544,7 @@
 }
 
 // A slice that is called off as the process leaves may have been done: the next one does not do it again by itself.
-func TestCalledOffMayHaveBeenDone(t *testing.T) {
+func TestRunner_CancelledSliceMayHaveBeenDone(t *testing.T) {
 	c := config(filepath.Join(t.TempDir(), "work.db"))
 	begun, times := make(chan struct{}), 0
 	kind := &Kind{Name: "once", Slice: func(ctx context.Context, _ Task) (Result, error) {
@@ -574,7 +574,7 @@
 }
 
 // Timed work keeps its promise over restarts, and with a clock that jumps: what is missed runs once.
-func TestTimedWork(t *testing.T) {
+func TestRunner_Timers(t *testing.T) {
 	c := config(filepath.Join(t.TempDir(), "work.db"))
 	var mu sync.Mutex
 	wall := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
--- a/internal/work/scheduler_test.go
+++ b/internal/work/scheduler_test.go
@@ -102,7 +102,7 @@
 	return set
 }
 
-func TestOrder(t *testing.T) {
+func TestScheduler_Order(t *testing.T) {
 	r := newRig(t, one(Settings{}))
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a", Priority: Low}, Job{ID: 2, Kind: "k", Owner: "a", Priority: Low},
 		Job{ID: 3, Kind: "k", Owner: "a", Priority: Urgent}, Job{ID: 4, Kind: "k", Owner: "a", Priority: Normal, Deadline: 50 * sec},
@@ -120,7 +120,7 @@
 }
 
 // A lowest job goes within eight starts for each that is before it, however many urgent ones there are.
-func TestLowestIsNotStarved(t *testing.T) {
+func TestScheduler_LowestPriorityIsNotStarved(t *testing.T) {
 	r := newRig(t, one(Settings{}))
 	next := ID(100)
 	feed := func() {
@@ -141,7 +141,7 @@
 }
 
 // A job that costs a hundred times what it said is paid for by waiting: of its kind, its owner, and all work.
-func TestDebt(t *testing.T) {
+func TestScheduler_BudgetDebt(t *testing.T) {
 	rate := Rates{DiskWrite: {PerSecond: 100, Burst: 100}}
 	for name, c := range map[string]struct {
 		set Settings
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestBudgetCutWhileASliceRuns(t *testing.T) {
+func TestScheduler_BudgetReducedWhileSliceRuns(t *testing.T) {
 	set := one(Settings{Rates: Rates{CPU: {PerSecond: 10, Burst: 10}}})
 	r := newRig(t, set)
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a"}, Job{ID: 2, Kind: "k", Owner: "a"}).runs(1)
@@ -177,7 +177,7 @@
 }
 
 // What one kind does not use is lent to others, and given back at once under pressure.
-func TestLending(t *testing.T) {
+func TestScheduler_PoolLendsUnusedBudget(t *testing.T) {
 	half := Rates{CPU: {PerSecond: 50, Burst: 50}}
 	set := Settings{Rates: Rates{CPU: {PerSecond: 100, Burst: 100}}, Kinds: map[string]Kind{"a": {Rates: half}, "b": {Rates: half}}, Limits: Limits{Running: 1}}
 	use := func(pressed bool) (n int) {
@@ -203,7 +203,7 @@
 }
 
 // What was lent is back in the moment in which live traffic needs it, not when it is used up.
-func TestLentIsTakenBack(t *testing.T) {
+func TestScheduler_PressureEmptiesPool(t *testing.T) {
 	half := Rates{CPU: {PerSecond: 50, Burst: 50}}
 	set := one(Settings{Rates: Rates{CPU: {PerSecond: 100, Burst: 1000}}, Kinds: map[string]Kind{"a": {Rates: half}, "b": {Rates: half}}})
 	for _, pressed := range []bool{false, true} {
@@ -225,7 +225,7 @@
 }
 
 // An owner whose jobs wait for their time has no claim to what it did not use meanwhile.
-func TestIdleOwnerHasNoClaim(t *testing.T) {
+func TestScheduler_IdleOwnerHasNoClaim(t *testing.T) {
 	r := newRig(t, one(Settings{Rates: Rates{CPU: {PerSecond: 100, Burst: 1e9}}}))
 	r.submit(Job{ID: 1, Kind: "k", Owner: "idle", Earliest: 100 * sec}, Job{ID: 2, Kind: "k", Owner: "busy"})
 	for r.now < 100*sec {
@@ -242,7 +242,7 @@
 }
 
 // A low job that holds a lock is given the priority of one that waits for it.
-func TestPriorityIsLent(t *testing.T) {
+func TestScheduler_PriorityInheritance(t *testing.T) {
 	r := newRig(t, one(Settings{}))
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a", Priority: Low, Lock: "l"}).runs(1)
 	r.submit(Job{ID: 2, Kind: "k", Owner: "b", Priority: Normal}, Job{ID: 3, Kind: "k", Owner: "c", Priority: Urgent, Lock: "l"})
@@ -261,7 +261,7 @@
 }
 
 // One that holds a lock and waits for its turn keeps its place when it is lent a priority, among those that have it.
-func TestLentJobKeepsItsTurn(t *testing.T) {
+func TestScheduler_InheritingJobKeepsItsTurn(t *testing.T) {
 	set := one(Settings{Kinds: map[string]Kind{"k": {}}})
 	r := newRig(t, set)
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a", Priority: Low, Lock: "l"}).runs(1)
@@ -276,7 +276,7 @@
 	r.runs(1)
 }
 
-func TestLockGoesOnWhenItsHolderIsParkedOrDropped(t *testing.T) {
+func TestScheduler_LockPassesOnWhenHolderIsParkedOrDropped(t *testing.T) {
 	for _, drop := range []bool{true, false} {
 		r := newRig(t, one(Settings{}))
 		r.submit(Job{ID: 1, Kind: "k", Owner: "a", Lock: "l"}, Job{ID: 2, Kind: "k", Owner: "a", Lock: "l", Priority: Normal}, Job{ID: 3, Kind: "k", Owner: "a", Lock: "l", Priority: Urgent})
@@ -298,7 +298,7 @@
 	}
 }
 
-func TestFailures(t *testing.T) {
+func TestScheduler_Retries(t *testing.T) {
 	set := one(Settings{Kinds: map[string]Kind{"k": {Retry: Retry{InitialBackoff: sec, MaxBackoff: 10 * sec, MaxFailures: 4, Ratio: 0.1, Credit: 100}}}})
 	r := newRig(t, set)
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a"})
@@ -325,7 +325,7 @@
 
 // Ten thousand jobs that all fail: what is tried again is bounded by the kind's budget, not by how many there are; and
 // each goes on, at last, when the outage ends.
-func TestNoStorm(t *testing.T) {
+func TestScheduler_RetryBudgetPreventsStorm(t *testing.T) {
 	set := Settings{Limits: Limits{Running: 10}, Kinds: map[string]Kind{"k": {Retry: Retry{InitialBackoff: 100 * time.Millisecond, MaxBackoff: sec, Ratio: 0.1, Credit: 20}}}}
 	r := newRig(t, set)
 	const jobs = 10_000
@@ -356,7 +356,7 @@
 	}
 }
 
-func TestBreaker(t *testing.T) {
+func TestScheduler_CircuitBreaker(t *testing.T) {
 	set := one(Settings{Breaker: Breaker{FailureThreshold: 2, OpenTime: 10 * sec}, Kinds: map[string]Kind{"k": {Retry: Retry{InitialBackoff: 1, MaxBackoff: 1, Credit: 100}}}})
 	r := newRig(t, set)
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a", Resource: "disk"}, Job{ID: 2, Kind: "k", Owner: "a", Resource: "disk"}, Job{ID: 3, Kind: "k", Owner: "b"})
@@ -386,7 +386,7 @@
 	}
 }
 
-func TestPauseResumeWindow(t *testing.T) {
+func TestScheduler_PauseResumeWindow(t *testing.T) {
 	night := &Window{From: 22 * time.Hour, To: 5 * time.Hour, Zone: time.UTC}
 	r := newRig(t, one(Settings{Kinds: map[string]Kind{"export": {Window: night}}}))
 	r.step(Command{Verb: Pause, Kind: "k"}, Command{Verb: Pause, Owner: "o"})
@@ -402,7 +402,7 @@
 	r.at(10 * time.Hour).runs(3)
 }
 
-func TestBounds(t *testing.T) {
+func TestScheduler_Capacity(t *testing.T) {
 	r := newRig(t, one(Settings{Limits: Limits{Jobs: 5, OwnerJobs: 3, Bytes: 100, Depth: 1}}))
 	r.submit(Job{ID: 1, Kind: "k", Owner: "a"}, Job{ID: 2, Kind: "k", Owner: "a"}, Job{ID: 3, Kind: "k", Owner: "a"}, Job{ID: 4, Kind: "k", Owner: "a"},
 		Job{ID: 5, Kind: "k", Owner: "b", Size: 101}, Job{ID: 6, Kind: "k", Owner: "b", Depth: 2}, Job{ID: 1, Kind: "k", Owner: "b"}, Job{ID: 7, Kind: "k", Owner: "b", Priority: 9},
@@ -433,7 +433,7 @@
 // Owners with a million jobs beside one, with slices that cost alike, otherwise, or not what they said: as long as two of
 // them have work, what they got over their weights differs by no more than the sum of each one's largest slice over its
 // weight, and a little for slices that cost nothing.
-func TestFairness(t *testing.T) {
+func TestScheduler_Fairness(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owners := []string{"a", "b", "c", "d"}
 		weights := map[string]float64{}
@@ -504,7 +504,7 @@
 
 // Generated histories against what the rules say, looked at from outside: no job is lost, no lock has two, no more run than
 // may, nothing waits that may run, and among those that may run the next one is of the best priority (but for every eighth).
-func TestSchedulerLaws(t *testing.T) {
+func TestScheduler_Invariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(1, 3).Draw(t, "workers")
 		set := Settings{Limits: Limits{Running: workers}, Breaker: Breaker{FailureThreshold: 2, OpenTime: 5 * sec},
--- a/internal/work/store/store_test.go
+++ b/internal/work/store/store_test.go
@@ -14,7 +14,7 @@
 )
 
 // A file that is cut short anywhere, or was written by a newer version, is an error that names it; it ends nothing.
-func TestDamagedFile(t *testing.T) {
+func TestOpen_DamagedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "work.db")
 	s, err := Open(path, 0)
 	if err != nil {
