--- a/internal/tier/gateway/lease_test.go
+++ b/internal/tier/gateway/lease_test.go
@@ -35,7 +35,7 @@
 		synctest.Wait()
 
 		request := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, service: "s", ctx: ctx,
-			route: &routing.Route{Name: "r", Aim: 400 * time.Millisecond, MaxAttempts: 2}, deadline: time.Now().Add(time.Hour)}
+			route: &routing.Route{Name: "r", LatencyTarget: 400 * time.Millisecond, MaxAttempts: 2}, deadline: time.Now().Add(time.Hour)}
 		picked := request.selectEndpoint()
 		assert.Equal(t, picked.Decision, loadbalancer.Send)
 		first := request.upstreamRequest(loadbalancer.Selection{Instance: "i-1"}).Permit
--- a/internal/tier/gateway/request.go
+++ b/internal/tier/gateway/request.go
@@ -95,7 +95,7 @@
 // others each attempt is picked for by itself.
 func (request *clientRequest) selectService(table *routing.Table) {
 	sticky := cmp.Or(request.x.Header.Get("Session"), request.affinity)
-	if sticky == "" || !request.route.Sticky {
+	if sticky == "" || !request.route.SessionAffinity {
 		sticky = request.attemptID
 	}
 	hash := fnv.New64a()
--- a/internal/tier/gateway/selection.go
+++ b/internal/tier/gateway/selection.go
@@ -13,7 +13,7 @@
 // of the latency target, so that a client that is rejected may still be served in time by a retry.
 func (request *clientRequest) selectEndpoint() loadbalancer.Selection {
 	gateway := request.gateway
-	rejectAt := time.Now().Add(min(request.route.Aim/4, time.Until(request.deadline)/3))
+	rejectAt := time.Now().Add(min(request.route.LatencyTarget/4, time.Until(request.deadline)/3))
 	if !request.awaitCurrent(rejectAt) {
 		return loadbalancer.Selection{Decision: loadbalancer.NoEndpoint}
 	}
--- a/internal/tier/gateway/streamtiming.go
+++ b/internal/tier/gateway/streamtiming.go
@@ -19,7 +19,7 @@
 // clientIdleTimeout returns the silence after which a client gives up a stream of the request's route.
 func (request *clientRequest) clientIdleTimeout() time.Duration {
 	route := request.route
-	return max(minClientIdleTimeout, idleTimeoutLatencyTargets*route.Aim, idleTimeoutGapTargets*route.GapAim)
+	return max(minClientIdleTimeout, idleTimeoutLatencyTargets*route.LatencyTarget, idleTimeoutGapTargets*route.EventGapTarget)
 }
 
 // defaultFirstEventTimeout is the time-out of the first event while the load balancer knows nothing of the route. It leaves a further
@@ -38,10 +38,10 @@
 
 // defaultGapTimeout is the time-out between events while the load balancer knows nothing of the route.
 func (request *clientRequest) defaultGapTimeout() time.Duration {
-	if request.route.GapAim <= 0 {
+	if request.route.EventGapTarget <= 0 {
 		return request.defaultFirstEventTimeout()
 	}
-	return min(request.defaultFirstEventTimeout(), 2*request.route.GapAim)
+	return min(request.defaultFirstEventTimeout(), 2*request.route.EventGapTarget)
 }
 
 // attemptTiming bounds and measures the time to the first event of a streamed attempt and the gaps between events.
--- a/internal/tier/routing/parse.go
+++ b/internal/tier/routing/parse.go
@@ -11,52 +11,52 @@
 )
 
 const (
-	maxDuration = 365 * 24 * time.Hour // longer times are cut to this
-	maxWhole    = 1 << 53              // above it a float64 does not hold each whole number
-	maxSetting  = math.MaxInt32
+	maxDuration     = 365 * 24 * time.Hour // longer ones are reduced to this
+	maxExactInteger = 1 << 53              // above it a float64 cannot represent every integer
+	maxSetting      = math.MaxInt32
 
-	// In force where the operator gives no limits.
+	// Limits that the operator does not give.
 	defaultMaxHeader     = 64 << 10
 	defaultMaxBody       = 16 << 20
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = time.Minute
 )
 
-// findings collects what is wrong with a configuration.
+// findings collects the errors of a configuration.
 type findings struct{ list []error }
 
-// report adds a finding: where it is, and what is wrong there.
-func (found *findings) report(place, message string, args ...any) {
+// add adds an error at a place, a JSON path.
+func (found *findings) add(place, message string, args ...any) {
 	found.list = append(found.list, Invalid.New("%s: %s", place, fmt.Sprintf(message, args...)))
 }
 
-// number is a field with its value.
+// number is a numeric field.
 type number struct {
 	field string
 	value float64
 }
 
-// reportNegative adds a finding for each number below 0. The function at returns the place of a field.
-func (found *findings) reportNegative(at func(field string) string, numbers ...number) {
+// addNegative adds an error for each number below 0. The function at returns the place of a field.
+func (found *findings) addNegative(at func(field string) string, numbers ...number) {
 	for _, number := range numbers {
 		if number.value < 0 {
-			found.report(at(number.field), "is %v, below 0", number.value)
+			found.add(at(number.field), "is %v, below 0", number.value)
 		}
 	}
 }
 
-// within returns a function that returns the place of a field of a part.
-func within(place string) func(field string) string {
+// fieldsOf returns a function that returns the place of a field of the object at place.
+func fieldsOf(place string) func(field string) string {
 	return func(field string) string { return place + "." + field }
 }
 
-// Parse reads and checks a whole configuration. The error, of type Invalid, lists all findings with their places.
-// Whether the revision is above the current one is for the caller to check. The body is kept and must not be changed.
+// Parse parses and validates a configuration. The error, of type Invalid, lists all errors with their places. The caller has to check that
+// the revision is above the current one. The table refers to body, which must not be modified afterwards.
 func Parse(body []byte) (*Table, error) {
 	var found findings
 	table := &Table{Services: map[string]*Service{}, Raw: body, hosts: map[string]*hostRoutes{}}
-	if sent, ok := decode(body, &found); ok {
-		table.parse(&sent, &found)
+	if document, ok := decode(body, &found); ok {
+		table.parse(&document, &found)
 	}
 	if len(found.list) > 0 {
 		return nil, errorx.WrapMany(Invalid, fmt.Sprintf("configuration with %d findings", len(found.list)), found.list...)
@@ -68,59 +68,59 @@
 	return table, nil
 }
 
-// parse fills the table from a configuration as sent, and reports what is wrong with it.
-func (table *Table) parse(sent *wireTable, found *findings) {
+// parse fills the table from a decoded configuration, and adds what is wrong with it to found.
+func (table *Table) parse(document *jsonTable, found *findings) {
 	switch {
-	case sent.Revision == nil:
-		found.report("revision", "is missing")
-	case *sent.Revision < 1 || *sent.Revision != math.Trunc(*sent.Revision) || *sent.Revision > maxWhole:
-		found.report("revision", "is %v, not a whole number above 0", *sent.Revision)
+	case document.Revision == nil:
+		found.add("revision", "is missing")
+	case *document.Revision < 1 || *document.Revision != math.Trunc(*document.Revision) || *document.Revision > maxExactInteger:
+		found.add("revision", "is %v, not a whole number above 0", *document.Revision)
 	default:
-		table.Revision = int64(*sent.Revision)
+		table.Revision = int64(*document.Revision)
 	}
-	table.Limits = sent.Limits.parse(found)
-	if sent.Services == nil {
-		found.report("services", "is missing")
+	table.Limits = document.Limits.parse(found)
+	if document.Services == nil {
+		found.add("services", "is missing")
 	} else {
-		table.addServices(*sent.Services, found)
+		table.addServices(*document.Services, found)
 	}
-	if sent.Routes == nil {
-		found.report("routes", "is missing")
+	if document.Routes == nil {
+		found.add("routes", "is missing")
 		return
 	}
-	table.Routes = make([]*Route, 0, len(*sent.Routes))
+	table.Routes = make([]*Route, 0, len(*document.Routes))
 	places := map[[2]string]int{}
-	for i := range *sent.Routes {
-		table.addRoute(i, &(*sent.Routes)[i], places, found)
+	for i := range *document.Routes {
+		table.addRoute(i, &(*document.Routes)[i], places, found)
 	}
 }
 
-// addServices checks and adds the services.
-func (table *Table) addServices(sent []wireService, found *findings) {
-	for i, service := range sent {
+// addServices validates and adds the services.
+func (table *Table) addServices(services []jsonService, found *findings) {
+	for i, service := range services {
 		place := fmt.Sprintf("services[%d]", i)
 		if service.Name == "" {
-			found.report(place+".name", "is missing")
+			found.add(place+".name", "is missing")
 			continue
 		}
 		table.Services[service.Name] = service.parse(place, found)
 	}
 }
 
-// addRoute checks and adds one route. The map places holds the index of the route of each host and prefix so far.
-func (table *Table) addRoute(index int, sent *wireRoute, places map[[2]string]int, found *findings) {
+// addRoute validates and adds a route. The map places has the index of the route of each host and prefix so far.
+func (table *Table) addRoute(index int, document *jsonRoute, places map[[2]string]int, found *findings) {
 	at := func(field string) string { return fmt.Sprintf("routes[%d].%s", index, field) }
 	route := &Route{
-		Name: sent.Name, Host: hostname(sent.Hostname), Prefix: sent.Prefix, Priority: clamp(sent.Priority), MaxAttempts: max(1, clamp(sent.Attempts)),
-		Persisted: sent.Persisted, Sticky: sent.Affinity, Resumable: sent.Resumable,
-		Aim: milliseconds(sent.TargetLatency), GapAim: milliseconds(sent.GapAim), Retention: milliseconds(sent.Retention * 1000),
+		Name: document.Name, Host: hostname(document.Hostname), Prefix: document.Prefix, Priority: clamp(document.Priority), MaxAttempts: max(1, clamp(document.Attempts)),
+		Persisted: document.Persisted, SessionAffinity: document.Affinity, Resumable: document.Resumable,
+		LatencyTarget: milliseconds(document.TargetLatency), EventGapTarget: milliseconds(document.EventGapTarget), Retention: milliseconds(document.Retention * 1000),
 	}
-	sent.parse(route, at, found)
-	table.parseSplit(route, sent, at, found)
+	document.parse(route, at, found)
+	table.parseSplit(route, document, at, found)
 
 	place := [2]string{route.Host, route.Prefix}
 	if first, twice := places[place]; twice {
-		found.report(at("path_prefix"), "%s%s is that of routes[%d] too", route.Host, route.Prefix, first)
+		found.add(at("path_prefix"), "%s%s is that of routes[%d] too", route.Host, route.Prefix, first)
 		return
 	}
 	places[place] = index
@@ -134,121 +134,121 @@
 	routes.lengths = append(routes.lengths, len(route.Prefix))
 }
 
-// parse checks the fields of a route that do not depend on others, and sets its kind, its time-out, and its target latency,
-// which is the time-out where none is given.
-func (sent *wireRoute) parse(route *Route, at func(field string) string, found *findings) {
-	found.reportNegative(at, number{"target_latency_ms", sent.TargetLatency}, number{"gap_aim_ms", sent.GapAim},
-		number{"retention_s", sent.Retention}, number{"priority", sent.Priority}, number{"max_attempts", sent.Attempts})
-	if route.Host == "" {
-		found.report(at("hostname"), "is missing")
+// parse validates the fields of a route that do not depend on others, and sets its kind, its time-out and its latency target, which
+// defaults to the time-out.
+func (route *jsonRoute) parse(parsed *Route, at func(field string) string, found *findings) {
+	found.addNegative(at, number{"target_latency_ms", route.TargetLatency}, number{"gap_aim_ms", route.EventGapTarget},
+		number{"retention_s", route.Retention}, number{"priority", route.Priority}, number{"max_attempts", route.Attempts})
+	if parsed.Host == "" {
+		found.add(at("hostname"), "is missing")
 	}
-	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
-		found.report(at("path_prefix"), "is %q, does not begin and end with a slash", route.Prefix)
+	if !strings.HasPrefix(parsed.Prefix, "/") || !strings.HasSuffix(parsed.Prefix, "/") {
+		found.add(at("path_prefix"), "is %q, does not begin and end with a slash", parsed.Prefix)
 	}
-	if sent.Type != nil {
-		kind, known := kinds[*sent.Type]
+	if route.Type != nil {
+		kind, known := kindNames[*route.Type]
 		if !known {
-			found.report(at("route_type"), "is %q, not known", *sent.Type)
+			found.add(at("route_type"), "is %q, not known", *route.Type)
 		}
-		route.Kind = kind
+		parsed.Kind = kind
 	}
 	switch {
-	case sent.Timeout == nil:
-		found.report(at("timeout_ms"), "is missing")
-	case *sent.Timeout <= 0:
-		found.report(at("timeout_ms"), "is %v, not above 0", *sent.Timeout)
+	case route.Timeout == nil:
+		found.add(at("timeout_ms"), "is missing")
+	case *route.Timeout <= 0:
+		found.add(at("timeout_ms"), "is %v, not above 0", *route.Timeout)
 	default:
-		route.Timeout = max(milliseconds(*sent.Timeout), time.Nanosecond)
+		parsed.Timeout = max(milliseconds(*route.Timeout), time.Nanosecond)
 	}
-	if route.Aim == 0 {
-		route.Aim = route.Timeout
+	if parsed.LatencyTarget == 0 {
+		parsed.LatencyTarget = parsed.Timeout
 	}
 }
 
-// parseSplit checks and sets the traffic split of a route.
-func (table *Table) parseSplit(route *Route, sent *wireRoute, at func(string) string, found *findings) {
-	if sent.Service != nil && (*sent.Service != "" || len(sent.Split) == 0) {
-		if table.Services[*sent.Service] == nil {
-			found.report(at("service_name"), "%q is not known", *sent.Service)
+// parseSplit validates and sets the traffic split of a route.
+func (table *Table) parseSplit(route *Route, document *jsonRoute, at func(string) string, found *findings) {
+	if document.Service != nil && (*document.Service != "" || len(document.Split) == 0) {
+		if table.Services[*document.Service] == nil {
+			found.add(at("service_name"), "%q is not known", *document.Service)
 		}
-		if len(sent.Split) == 0 {
-			route.Split, route.ends = []Weighted{{Service: *sent.Service, Weight: 1}}, []float64{1}
+		if len(document.Split) == 0 {
+			route.Split, route.cumulativeWeights = []WeightedService{{Service: *document.Service, Weight: 1}}, []float64{1}
 			return
 		}
 	}
-	if len(sent.Split) == 0 {
-		found.report(at("service_name"), "is missing, and so is traffic_split")
+	if len(document.Split) == 0 {
+		found.add(at("service_name"), "is missing, and so is traffic_split")
 		return
 	}
 	total := 0.0
-	for i, share := range sent.Split {
+	for i, share := range document.Split {
 		if table.Services[share.Service] == nil {
-			found.report(at(fmt.Sprintf("traffic_split[%d].service_name", i)), "%q is not known", share.Service)
+			found.add(at(fmt.Sprintf("traffic_split[%d].service_name", i)), "%q is not known", share.Service)
 		}
 		if share.Weight < 0 {
-			found.report(at(fmt.Sprintf("traffic_split[%d].weight", i)), "is %v, below 0", share.Weight)
+			found.add(at(fmt.Sprintf("traffic_split[%d].weight", i)), "is %v, below 0", share.Weight)
 		}
 		total += share.Weight
-		route.Split = append(route.Split, Weighted(share))
-		route.ends = append(route.ends, total)
+		route.Split = append(route.Split, WeightedService(share))
+		route.cumulativeWeights = append(route.cumulativeWeights, total)
 	}
 	if !(total > 0) || math.IsInf(total, 0) {
-		found.report(at("traffic_split"), "weights add up to %v", total)
+		found.add(at("traffic_split"), "weights add up to %v", total)
 		return
 	}
-	for i := range route.ends {
-		route.ends[i] /= total
+	for i := range route.cumulativeWeights {
+		route.cumulativeWeights[i] /= total
 	}
 }
 
-// parse checks a service and returns it.
-func (sent wireService) parse(place string, found *findings) *Service {
-	service := &Service{Name: sent.Name, HealthPath: sent.HealthPath, MaxConnections: clamp(sent.MaxConnections)}
-	found.reportNegative(within(place), number{"max_connections", sent.MaxConnections})
-	engine := sent.Engine
+// parse validates a service and returns it.
+func (service jsonService) parse(place string, found *findings) *Service {
+	parsed := &Service{Name: service.Name, HealthPath: service.HealthPath, MaxConnections: clamp(service.MaxConnections)}
+	found.addNegative(fieldsOf(place), number{"max_connections", service.MaxConnections})
+	engine := service.Engine
 	if engine == nil {
-		return service
+		return parsed
 	}
-	found.reportNegative(within(place+".inference_engine"), number{"capacity", engine.Capacity},
+	found.addNegative(fieldsOf(place+".inference_engine"), number{"capacity", engine.Capacity},
 		number{"cache_tokens", engine.CacheTokens}, number{"tokens_per_event", engine.TokensPerEvent})
-	service.Engine = &Engine{
+	parsed.Engine = &Engine{
 		Capacity:       clamp(engine.Capacity),
-		CacheTokens:    int64(min(max(engine.CacheTokens, 0), maxWhole)),
+		CacheTokens:    int64(min(max(engine.CacheTokens, 0), maxExactInteger)),
 		TokensPerEvent: max(1, clamp(engine.TokensPerEvent)),
 	}
 	for _, model := range engine.Models {
-		service.Engine.Models = append(service.Engine.Models, model.Name)
+		parsed.Engine.Models = append(parsed.Engine.Models, model.Name)
 	}
-	return service
+	return parsed
 }
 
-// parse checks the limits and returns them, with the defaults for those that are 0.
-func (sent wireLimits) parse(found *findings) Limits {
-	found.reportNegative(within("limits"), number{"max_header_bytes", sent.MaxHeader}, number{"max_body_bytes", sent.MaxBody},
-		number{"header_timeout_ms", sent.HeaderTimeout}, number{"idle_timeout_ms", sent.IdleTimeout})
-	limits := Limits{
-		MaxHeader: clamp(sent.MaxHeader), MaxBody: clamp(sent.MaxBody),
-		HeaderTimeout: milliseconds(sent.HeaderTimeout), IdleTimeout: milliseconds(sent.IdleTimeout),
+// parse validates the limits and returns them, with defaults for those that are 0.
+func (limits jsonLimits) parse(found *findings) Limits {
+	found.addNegative(fieldsOf("limits"), number{"max_header_bytes", limits.MaxHeader}, number{"max_body_bytes", limits.MaxBody},
+		number{"header_timeout_ms", limits.HeaderTimeout}, number{"idle_timeout_ms", limits.IdleTimeout})
+	parsed := Limits{
+		MaxHeader: clamp(limits.MaxHeader), MaxBody: clamp(limits.MaxBody),
+		HeaderTimeout: milliseconds(limits.HeaderTimeout), IdleTimeout: milliseconds(limits.IdleTimeout),
 	}
-	if limits.MaxHeader == 0 {
-		limits.MaxHeader = defaultMaxHeader
+	if parsed.MaxHeader == 0 {
+		parsed.MaxHeader = defaultMaxHeader
 	}
-	if limits.MaxBody == 0 {
-		limits.MaxBody = defaultMaxBody
+	if parsed.MaxBody == 0 {
+		parsed.MaxBody = defaultMaxBody
 	}
-	if limits.HeaderTimeout == 0 {
-		limits.HeaderTimeout = defaultHeaderTimeout
+	if parsed.HeaderTimeout == 0 {
+		parsed.HeaderTimeout = defaultHeaderTimeout
 	}
-	if limits.IdleTimeout == 0 {
-		limits.IdleTimeout = defaultIdleTimeout
+	if parsed.IdleTimeout == 0 {
+		parsed.IdleTimeout = defaultIdleTimeout
 	}
-	return limits
+	return parsed
 }
 
-// clamp returns the whole part of a number, or the nearest bound of a setting: 0 or maxSetting.
+// clamp returns the integer part of a number, limited to 0 to maxSetting.
 func clamp(number float64) int { return int(min(max(number, 0), maxSetting)) }
 
-// milliseconds returns a number of milliseconds as a time from 0 to maxDuration.
+// milliseconds returns a number of milliseconds as a duration, limited to 0 to maxDuration.
 func milliseconds(number float64) time.Duration {
 	return time.Duration(min(max(number, 0)*float64(time.Millisecond), float64(maxDuration)))
 }
--- a/internal/tier/routing/routing.go
+++ b/internal/tier/routing/routing.go
@@ -1,5 +1,8 @@
-// Package routing has the route table, which is the operator's configuration: routes, services and limits. It is parsed and
-// checked as a whole before use.
+// Package routing has the route table, which is the operator's configuration: routes, services and limits.
+//
+// Parse decodes a configuration from JSON (json.go) and validates all of it (parse.go): it returns a Table, which is immutable and
+// safe for concurrent use, or an error of type Invalid with everything that is wrong. Unknown fields are ignored. Table.Match and
+// Route.Pick are called for each request. The package stores nothing.
 package routing
 
 import (
@@ -10,24 +13,24 @@
 )
 
 var (
-	space = errorx.NewNamespace("configuration")
-	// Invalid is the type of the error of a configuration that must not come into force.
-	Invalid = space.NewType("invalid")
+	errorTypes = errorx.NewNamespace("configuration")
+	// Invalid is the type of the error of a configuration that must not be applied.
+	Invalid = errorTypes.NewType("invalid")
 )
 
-// Kind is which requests of a route may be repeated.
+// Kind is the kind of a route's requests. It determines whether a request may be executed more than once.
 type Kind int
 
-// The kinds of routes. Requests of a Streaming one are not idempotent either.
+// Kinds of routes. Requests of a Streaming route are not idempotent either.
 const (
 	NonIdempotent Kind = iota
 	Idempotent
 	Streaming
 )
 
-// String returns the name used in configurations.
+// String implements fmt.Stringer with the name in configurations.
 func (kind Kind) String() string {
-	for name, known := range kinds {
+	for name, known := range kindNames {
 		if known == kind {
 			return name
 		}
@@ -35,59 +38,60 @@
 	return "unknown"
 }
 
-var kinds = map[string]Kind{"idempotent": Idempotent, "non_idempotent": NonIdempotent, "streaming": Streaming}
+// kindNames are the kinds by route_type.
+var kindNames = map[string]Kind{"idempotent": Idempotent, "non_idempotent": NonIdempotent, "streaming": Streaming}
 
-// Table is one whole configuration. It does not change once parsed, so that goroutines may share it.
+// Table is a parsed configuration. It is immutable.
 type Table struct {
 	Revision int64
 	Routes   []*Route
 	Services map[string]*Service
 	Limits   Limits
-	Raw      []byte // as the operator sent it, with the fields that this version does not know
+	Raw      []byte // as the operator sent it, with fields that this version does not know
 
 	hosts map[string]*hostRoutes
 }
 
-// Route is where the requests of one host and path prefix go.
+// Route is how the requests of one host and path prefix are served.
 type Route struct {
 	Name, Host, Prefix string // Host in lower case, without a port
 	Kind               Kind
-	Timeout            time.Duration // maximum time of a request
-	Aim                time.Duration // target latency; Timeout where the operator gives none
+	Timeout            time.Duration // of a request
+	LatencyTarget      time.Duration // Timeout if the operator gives none
 	Priority           int           // 0 is the highest
-	MaxAttempts        int           // endpoints that one request may be sent to, 1 or more
-	Split              []Weighted
+	MaxAttempts        int           // attempts at endpoints for one request, 1 or more
+	Split              []WeightedService
 	Persisted          bool
-	Retention          time.Duration // of a turn; 0 where none is given
-	Sticky             bool          // session_affinity
+	Retention          time.Duration // of a stored turn; 0: not given
+	SessionAffinity    bool          // requests of a session go to the same service
 	Resumable          bool
-	GapAim             time.Duration // target of the pause between events; 0 where none is given
+	EventGapTarget     time.Duration // target of the time between events; 0: not given
 
-	ends []float64 // for each entry of Split, the end of its part of [0, 1)
+	cumulativeWeights []float64 // for each entry of Split: the end of its part of [0, 1)
 }
 
-// Weighted is one service of a traffic split with its weight.
-type Weighted struct {
+// WeightedService is a service of a traffic split with its weight.
+type WeightedService struct {
 	Service string
 	Weight  float64 // not negative
 }
 
-// Service is a group of endpoints that run the same requests.
+// Service is a group of endpoints that serve the same requests.
 type Service struct {
-	Name, HealthPath string // HealthPath empty where none is given
-	MaxConnections   int    // of an endpoint, by all gateways together; 0 where none is given
+	Name, HealthPath string // HealthPath is empty if it is not given
+	MaxConnections   int    // to one endpoint, from all gateways together; 0: no limit
 	Engine           *Engine
 }
 
-// Engine is how an endpoint of a service runs models.
+// Engine describes the inference engine of each endpoint of a service.
 type Engine struct {
-	Capacity       int   // requests at once
-	CacheTokens    int64 // size of its cache
-	TokensPerEvent int   // 1 or more
+	Capacity       int   // requests at the same time
+	CacheTokens    int64 // size of its prefix cache
+	TokensPerEvent int   // tokens that one event of an answer counts as, 1 or more
 	Models         []string
 }
 
-// Limits are the bounds of what a client may send.
+// Limits are the limits on what a client may send.
 type Limits struct {
 	MaxHeader, MaxBody         int // bytes
 	HeaderTimeout, IdleTimeout time.Duration
@@ -100,7 +104,7 @@
 }
 
 // Match returns the route with the longest prefix of the path, or nil. The query of the path, the port of the host and its
-// case are ignored. Match does not allocate where the host is in lower case.
+// case are ignored. Match does not allocate if the host is in lower case.
 func (table *Table) Match(host, path string) *Route {
 	routes := table.hosts[hostname(host)]
 	if routes == nil {
@@ -128,19 +132,19 @@
 	return strings.ToLower(host)
 }
 
-// Pick returns the service for a hash: of evenly distributed hashes, each service gets a part by its weight, and one of weight
-// 0 gets none.
+// Pick returns the service for a hash. Evenly distributed hashes are split over the services in proportion to their weights; a service
+// of weight 0 gets none.
 func (route *Route) Pick(hash uint64) string {
 	point := float64(hash>>11) / (1 << 53)
 	last := ""
-	for i, share := range route.Split {
-		if share.Weight <= 0 {
+	for i, candidate := range route.Split {
+		if candidate.Weight <= 0 {
 			continue
 		}
-		if point < route.ends[i] {
-			return share.Service
+		if point < route.cumulativeWeights[i] {
+			return candidate.Service
 		}
-		last = share.Service
+		last = candidate.Service
 	}
 	return last
 }
