--- a/internal/lease/modelcheck.go
+++ b/internal/lease/modelcheck.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// What is below serves those who explore what can become of a fleet: copies, and states written so that equal ones are equal.
+// The methods in this file serve model checkers that explore every order of events: copies of a state, and encodings that are equal for
+// states that can't be told apart from now on.
 
-// Clone is a holder with the same state, for those who explore what can become of it.
+// Clone is a holder with the same state.
 func (h *Holder) Clone() *Holder {
 	c := *h
 	c.outstanding, c.grants = slices.Clone(h.outstanding), slices.Clone(h.grants)
 	return &c
 }
 
-// AppendState writes the state in short, as it matters from now on; of the questions only those to which an answer may come.
-func (h *Holder) AppendState(b []byte, now time.Duration, open ...time.Duration) []byte {
+// AppendState appends the encoded state. Of the outstanding requests only those count to which an answer may still come.
+func (h *Holder) AppendState(b []byte, now time.Duration, answerable ...time.Duration) []byte {
 	for _, at := range h.outstanding {
-		if slices.Contains(open, at) && now-at < h.terms.Duration {
+		if slices.Contains(answerable, at) && now-at < h.terms.Duration {
 			b = binary.AppendVarint(b, int64(at))
 		}
 	}
@@ -31,33 +32,33 @@
 	return append(b, ';')
 }
 
-// Clone is a granter with the same state, for those who explore what can become of it.
+// Clone is a granter with the same state.
 func (g *Granter) Clone() *Granter {
 	c := *g
 	c.issued = make(map[HolderID][]issuedLease, len(g.issued))
-	for w, fs := range g.issued {
-		c.issued[w] = slices.Clone(fs)
+	for id, leases := range g.issued {
+		c.issued[id] = slices.Clone(leases)
 	}
 	return &c
 }
 
-// AppendState writes what is held by a sender in short, as it matters from now on; with no name, of how long the quiet is.
+// AppendState appends the encoded leases of a sender; without a name, the end of the grace period.
 func (g *Granter) AppendState(b []byte, now time.Duration, name string) []byte {
 	if name == "" {
 		return binary.AppendVarint(b, int64(max(now, g.graceUntil)))
 	}
-	var lives []uint64
-	for w := range g.issued {
-		if w.Name == name {
-			lives = append(lives, w.Incarnation)
+	var incarnations []uint64
+	for id := range g.issued {
+		if id.Name == name {
+			incarnations = append(incarnations, id.Incarnation)
 		}
 	}
-	slices.Sort(lives)
-	for _, life := range lives {
-		for _, f := range g.issued[HolderID{name, life}] {
-			if f.expiresAt > now {
-				b = binary.AppendUvarint(b, life)
-				b = binary.AppendUvarint(binary.AppendVarint(b, int64(f.expiresAt)), f.minIndex)
+	slices.Sort(incarnations)
+	for _, incarnation := range incarnations {
+		for _, l := range g.issued[HolderID{name, incarnation}] {
+			if l.expiresAt > now {
+				b = binary.AppendUvarint(b, incarnation)
+				b = binary.AppendUvarint(binary.AppendVarint(b, int64(l.expiresAt)), l.minIndex)
 			}
 		}
 	}
--- a/internal/worker/group.go
+++ b/internal/worker/group.go
@@ -10,56 +10,74 @@
 	"time"
 )
 
-// What a panic ends.
+// PanicPolicy is what a panic in a worker ends.
+type PanicPolicy uint8
+
+// The panic policies.
 const (
-	PropagatePanic PanicPolicy = iota // it is passed on: state that others rely on may be half made
-	StopWorker                        // the duty alone; the group says so, and the rest goes on without it
+	PropagatePanic PanicPolicy = iota // the process: state that others rely on may be half made
+	StopWorker                        // the worker alone; the group logs it, and the others go on
 )
 
-// PanicPolicy is what a panic in a duty ends.
-type PanicPolicy uint8
+// PanicError is the reason why a worker under StopWorker ended.
+type PanicError struct {
+	Value any
+	Stack []byte
+}
+
+func (e *PanicError) Error() string { return fmt.Sprintf("panic: %v\n%s", e.Value, e.Stack) }
+
+// StopTimeoutError is that a worker did not end in time. It is left running.
+type StopTimeoutError struct {
+	Worker  string
+	Timeout time.Duration
+}
+
+func (e *StopTimeoutError) Error() string {
+	return fmt.Sprintf("worker %s has not ended after %v", e.Worker, e.Timeout)
+}
 
-// Group runs duties. The zero value is of no use; fill in Log and Clock.
+// Group runs workers: it owns their goroutines and the watchdog's, and Stop waits for the workers' end. Log and Clock are needed.
 type Group struct {
 	Log            *slog.Logger
-	Clock          func() time.Duration
-	StallThreshold time.Duration                // a turn that lasts longer is named in the log; 0: none is
-	OnExit         func(name string, err error) // told, in the duty's goroutine, that one has ended by itself; may be nil
+	Clock          func() time.Duration         // monotonic
+	StallThreshold time.Duration                // a step that lasts longer is logged; 0: none is
+	OnExit         func(name string, err error) // called, in the worker's goroutine, when one has ended by itself; may be nil
 
 	mu           sync.Mutex
-	workers      []*runningWorker
-	stopWatchdog context.CancelFunc // ends the watchdog; nil before the first duty
+	workers      []*runningWorker   // in the order of starting
+	stopWatchdog context.CancelFunc // nil before the first worker
 }
 
-// runningWorker is one duty's goroutine.
+// runningWorker is one worker's goroutine.
 type runningWorker struct {
 	Runner
 	onPanic PanicPolicy
 	stop    context.CancelFunc
-	done    chan struct{}
+	done    chan struct{} // closed as the goroutine ends
 
 	mu          sync.Mutex
-	stepStart   time.Duration // its present turn's begin; Never between turns
-	stallLogged bool          // that turn was said to last long
+	stepStart   time.Duration // of the current step; Never between steps
+	stallLogged bool          // for the current step
 	steps       uint64
 	longest     time.Duration
-	exitReason  string // why it is over
+	exitReason  string // "" while it runs, or was stopped
 }
 
-// Report is a duty as a command shows it.
+// Report is a worker as commands show it.
 type Report struct {
 	Name          string `json:"name"`
 	Steps         uint64 `json:"turns"`
-	LongestStepUS int64  `json:"longest_us"` // of its turns, actions included
-	CurrentStepUS int64  `json:"now_us"`     // its present turn has lasted so long; 0 between turns
+	LongestStepUS int64  `json:"longest_us"` // actions included
+	CurrentStepUS int64  `json:"now_us"`     // 0 between steps
 	ExitReason    string `json:"ended,omitempty"`
 	Inbox         Stats  `json:"inbox"`
 }
 
-// Start lets a duty run until the group stops or it fails. Duties that others need are started first.
-func (g *Group) Start(t Runner, panics PanicPolicy) {
+// Start runs a worker until the group stops or it fails. Workers that others need are started first: Stop goes in reverse.
+func (g *Group) Start(w Runner, onPanic PanicPolicy) {
 	ctx, stop := context.WithCancel(context.Background())
-	r := &runningWorker{Runner: t, onPanic: panics, stop: stop, done: make(chan struct{}), stepStart: Never}
+	r := &runningWorker{Runner: w, onPanic: onPanic, stop: stop, done: make(chan struct{}), stepStart: Never}
 	g.mu.Lock()
 	g.workers = append(g.workers, r)
 	if g.stopWatchdog == nil && g.StallThreshold > 0 {
@@ -74,15 +92,15 @@
 			r.mu.Lock()
 			r.exitReason = err.Error()
 			r.mu.Unlock()
-			g.Log.Error("a duty has ended", "duty", t.name(), "err", err)
+			g.Log.Error("a worker ended by itself", "worker", w.name(), "err", err)
 			if g.OnExit != nil {
-				g.OnExit(t.name(), err)
+				g.OnExit(w.name(), err)
 			}
 		}
 	}()
 }
 
-// watchdog names duties that stall, once a turn.
+// watchdog logs workers that stall, once a step.
 func (g *Group) watchdog(done <-chan struct{}) {
 	tick := time.NewTicker(max(time.Millisecond, g.StallThreshold/4))
 	defer tick.Stop()
@@ -97,7 +115,7 @@
 			r.mu.Lock()
 			if lasts := now - r.stepStart; r.stepStart != Never && lasts >= g.StallThreshold && !r.stallLogged {
 				r.stallLogged = true
-				g.Log.Warn("a duty stalls", "duty", r.name(), "for", lasts.Round(time.Millisecond))
+				g.Log.Warn("a worker stalls", "worker", r.name(), "for", lasts.Round(time.Millisecond))
 			}
 			r.mu.Unlock()
 		}
@@ -110,7 +128,7 @@
 	return slices.Clone(g.workers)
 }
 
-// Reports shows each duty, in the order of starting.
+// Reports shows each worker, in the order of starting.
 func (g *Group) Reports() []Report {
 	now := g.Clock()
 	var all []Report
@@ -126,22 +144,22 @@
 	return all
 }
 
-// Stop ends the duties, the one started last first, each after its present turn. One that has not ended by the time that
-// limit gives is left behind and named in the error.
-func (g *Group) Stop(limit time.Duration) error {
+// Stop ends the workers, the one started last first, each after its current step, all within timeout. The error is a *StopTimeoutError
+// for the first one that has not ended by then; those started before it are not stopped.
+func (g *Group) Stop(timeout time.Duration) error {
 	g.mu.Lock()
 	if g.stopWatchdog != nil {
 		g.stopWatchdog()
 	}
 	g.mu.Unlock()
-	over := time.NewTimer(limit)
+	over := time.NewTimer(timeout)
 	defer over.Stop()
 	for _, r := range slices.Backward(g.snapshot()) {
 		r.stop()
 		select {
 		case <-r.done:
 		case <-over.C:
-			return fmt.Errorf("duty %s has not ended after %v", r.name(), limit)
+			return &StopTimeoutError{Worker: r.name(), Timeout: timeout}
 		}
 	}
 	return nil
@@ -151,7 +169,7 @@
 	if r.onPanic == StopWorker {
 		defer func() {
 			if p := recover(); p != nil {
-				err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
+				err = &PanicError{Value: p, Stack: debug.Stack()}
 			}
 		}()
 	}
--- a/internal/worker/group_test.go
+++ b/internal/worker/group_test.go
@@ -23,7 +23,7 @@
 
 func (s *safe) String() string { s.Lock(); defer s.Unlock(); return s.Buffer.String() }
 
-// A group runs duties side by side: one that fails or panics ends alone and is named, one that stalls is named while it does,
+// A group runs workers side by side: one that fails or panics ends alone and is named, one that stalls is named while it does,
 // and they stop in the order against that of their start.
 func TestGroup(t *testing.T) {
 	var log safe
@@ -52,7 +52,7 @@
 	}
 	until("no disk")
 	until("half made")
-	until("a duty stalls\" duty=stalls")
+	until("a worker stalls\" worker=stalls")
 	sound.Inbox.Offer(8)
 	if a, b := <-got, <-got; a != 7 || b != 8 {
 		t.Errorf("%d, %d", a, b)
--- a/internal/worker/ring_buffer.go
+++ b/internal/worker/ring_buffer.go
@@ -7,24 +7,24 @@
 	"sync"
 )
 
-// OverflowPolicy is what a ring does with one more when it is full.
+// OverflowPolicy is what a full ring buffer does with one more entry.
 type OverflowPolicy uint8
 
-// The rules.
+// The overflow policies.
 const (
-	Block      OverflowPolicy = iota // who puts it waits; Offer says no
-	DropOldest                       // the oldest goes, and is counted
-	MergeByKey                       // a newer one takes the place of one with its key; of one more key the oldest goes, and is counted
+	Block      OverflowPolicy = iota // Put waits for space; Offer returns false
+	DropOldest                       // the oldest entry is dropped and counted
+	MergeByKey                       // an entry replaces the one with its key; for a new key the oldest entry is dropped and counted
 )
 
 func (r OverflowPolicy) String() string {
 	return [...]string{"wait", "drop the oldest", "merge by key"}[r]
 }
 
-// ErrClosed is that a ring takes nothing more.
+// ErrClosed is that a ring buffer takes no entries any more.
 var ErrClosed = errors.New("the ring is closed")
 
-// RingBuffer is a bounded queue. It may be used from any goroutine; only Put waits.
+// RingBuffer is a bounded queue. It is safe for concurrent use; only Put blocks.
 type RingBuffer[T any] struct {
 	name     string
 	capacity int
@@ -32,33 +32,33 @@
 	key      func(T) string
 
 	mu           sync.Mutex
-	queue        []T // those from head on
+	queue        []T // the entries from head on
 	head         int
-	positions    map[string]int // place of a key, counted from the ring's begin; Merge only
-	headPosition int            // place of queue[head]
+	positions    map[string]int // of an entry by key, counted from the first entry ever; MergeByKey only
+	headPosition int            // of queue[head]
 	closed       bool
 	stats        Stats
-	ready        chan struct{} // holds a word while there may be something to take
-	spaceFreed   chan struct{} // closed when something was taken; nil: nobody waits
+	ready        chan struct{} // holds a token while there may be entries
+	spaceFreed   chan struct{} // closed when entries were taken; nil: nobody waits
 }
 
-// Stats is a ring as a command shows it.
+// Stats is a ring buffer as commands show it.
 type Stats struct {
 	Name          string `json:"name"`
 	Capacity      int    `json:"capacity"`
 	Policy        string `json:"rule"`
 	Length        int    `json:"held"`
-	HighWatermark int    `json:"high"`    // most that were held
-	Accepted      uint64 `json:"taken"`   // in, whatever became of them
-	Dropped       uint64 `json:"dropped"` // by DropOldest, or for want of room for one more key
+	HighWatermark int    `json:"high"`
+	Accepted      uint64 `json:"taken"`   // entries put in, whatever became of them
+	Dropped       uint64 `json:"dropped"` // under DropOldest, or for want of space for a new key
 	Merged        uint64 `json:"merged"`
-	Blocked       uint64 `json:"waited"` // for room, or turned away by Offer
+	Blocked       uint64 `json:"waited"` // Puts that waited for space, and Offers that returned false
 }
 
-// NewRingBuffer makes a ring for most entries, over 0. key is for Merge alone.
+// NewRingBuffer makes a ring buffer for at least one entry. key is given for MergeByKey and no other policy.
 func NewRingBuffer[T any](name string, capacity int, policy OverflowPolicy, key func(T) string) *RingBuffer[T] {
 	if capacity < 1 || (policy == MergeByKey) != (key != nil) {
-		panic(fmt.Sprintf("duty: ring %s: capacity %d, rule %s", name, capacity, policy))
+		panic(fmt.Sprintf("worker: ring buffer %s: capacity %d, rule %s", name, capacity, policy))
 	}
 	r := &RingBuffer[T]{name: name, capacity: capacity, policy: policy, key: key, ready: make(chan struct{}, 1)}
 	if policy == MergeByKey {
@@ -67,7 +67,8 @@
 	return r
 }
 
-// Offer puts an entry in if that needs no waiting, and reports whether it did. A ring that drops or merges takes each.
+// Offer puts an entry in unless it would have to wait, and reports whether it did. Policies other than Block take each entry while the
+// ring buffer is open.
 func (r *RingBuffer[T]) Offer(v T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +82,7 @@
 	return false
 }
 
-// Put puts an entry in, and waits for room where the rule is to wait.
+// Put puts an entry in, and waits for space under Block. The error is ErrClosed, or wraps the context's.
 func (r *RingBuffer[T]) Put(ctx context.Context, v T) error {
 	for first := true; ; first = false {
 		r.mu.Lock()
@@ -109,7 +110,7 @@
 	}
 }
 
-// put does so under the lock; false if there is no room and the rule is to wait.
+// put puts an entry in with mu held; false if there is no space and the policy is Block.
 func (r *RingBuffer[T]) put(v T) bool {
 	if r.policy == MergeByKey {
 		if place, ok := r.positions[r.key(v)]; ok {
@@ -143,7 +144,7 @@
 	}
 }
 
-// pop takes the oldest out; there is one.
+// pop takes the oldest entry out; there is one.
 func (r *RingBuffer[T]) pop() T {
 	v := r.queue[r.head]
 	var none T
@@ -153,7 +154,7 @@
 	if r.policy == MergeByKey {
 		delete(r.positions, r.key(v))
 	}
-	if r.head >= r.capacity { // the room in front is given back now and then: each entry moves once at most
+	if r.head >= r.capacity { // the space in front is reclaimed now and then, so that each entry moves once at most
 		r.queue = append(r.queue[:0], r.queue[r.head:]...)
 		clear(r.queue[len(r.queue):cap(r.queue)])
 		r.head = 0
@@ -161,11 +162,11 @@
 	return v
 }
 
-// Take gives the oldest entries, so many at most; none if there is none.
-func (r *RingBuffer[T]) Take(most int) []T {
+// Take takes out the oldest entries, up to limit; nil if there is none.
+func (r *RingBuffer[T]) Take(limit int) []T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := min(most, len(r.queue)-r.head)
+	n := min(limit, len(r.queue)-r.head)
 	if n <= 0 {
 		return nil
 	}
@@ -183,10 +184,10 @@
 	return out
 }
 
-// Ready gives a word when there may be something to take.
+// Ready receives a token when there may be entries to take.
 func (r *RingBuffer[T]) Ready() <-chan struct{} { return r.ready }
 
-// Close lets the ring take nothing more; what it holds can still be taken.
+// Close has the ring buffer take no more entries; those that it holds can still be taken.
 func (r *RingBuffer[T]) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -197,7 +198,7 @@
 	}
 }
 
-// Stats is the ring as it is.
+// Stats is the ring buffer as it is now.
 func (r *RingBuffer[T]) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/worker/scheduler.go
+++ b/internal/worker/scheduler.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Scheduler runs duties step by step in virtual time: which of those that have something to do is next is drawn by a seed, and
-// time moves on when none has. One seed gives the same run.
+// Scheduler runs workers step by step in virtual time: a seed draws which of those that have something to do is next, and time moves
+// on when none has. One seed gives the same run. It is for tests.
 type Scheduler struct {
 	rng     *rand.Rand
 	now     time.Duration
 	workers []Runner
 }
 
-// NewScheduler makes one for these duties.
-func NewScheduler(seed uint64, duties ...Runner) *Scheduler {
-	return &Scheduler{rng: rand.New(rand.NewPCG(seed, 0)), workers: duties}
+// NewScheduler makes a scheduler of these workers, at time 0.
+func NewScheduler(seed uint64, workers ...Runner) *Scheduler {
+	return &Scheduler{rng: rand.New(rand.NewPCG(seed, 0)), workers: workers}
 }
 
 // Now is the virtual time.
 func (s *Scheduler) Now() time.Duration { return s.now }
 
-// Run takes turns until done says so, and reports false if nothing was left to do before, or until.
+// Run takes steps until done returns true; it returns false if before that nothing is left to do, or time would pass until. The error is a
+// worker's.
 func (s *Scheduler) Run(ctx context.Context, until time.Duration, done func() bool) (bool, error) {
 	for !done() {
 		order := s.rng.Perm(len(s.workers))
--- a/internal/worker/scheduler_test.go
+++ b/internal/worker/scheduler_test.go
@@ -23,28 +23,28 @@
 	return []int{c.sum}, now + time.Second
 }
 
-// One seed gives the same run of several duties; time moves on only when none has anything to do.
+// One seed gives the same run of several workers; time moves on only when none has anything to do.
 func TestScheduleRepeats(t *testing.T) {
 	run := func(seed uint64) string {
 		var log strings.Builder
-		var duties []*Worker[int, int]
+		var workers []*Worker[int, int]
 		for _, n := range []string{"a", "b", "c"} {
-			duties = append(duties, &Worker[int, int]{Name: n, Inbox: NewRingBuffer[int](n, 4, DropOldest, nil), Stepper: &counter{}})
+			workers = append(workers, &Worker[int, int]{Name: n, Inbox: NewRingBuffer[int](n, 4, DropOldest, nil), Stepper: &counter{}})
 		}
-		for i, d := range duties {
+		for i, d := range workers {
 			d.Execute = func(_ context.Context, sum int) error {
 				fmt.Fprintf(&log, "%s%d ", d.Name, sum)
 				if sum < 40 {
-					duties[(i+1)%3].Inbox.Offer(sum%7 + 1)
+					workers[(i+1)%3].Inbox.Offer(sum%7 + 1)
 				}
 				return nil
 			}
 		}
-		s := NewScheduler(seed, duties[0], duties[1], duties[2])
-		if done, err := s.Run(context.Background(), 30*time.Second, func() bool { return duties[0].Stepper.(*counter).sum > 30 }); !done || err != nil {
+		s := NewScheduler(seed, workers[0], workers[1], workers[2])
+		if done, err := s.Run(context.Background(), 30*time.Second, func() bool { return workers[0].Stepper.(*counter).sum > 30 }); !done || err != nil {
 			t.Fatalf("%v %v", done, err)
 		}
-		for _, d := range duties {
+		for _, d := range workers {
 			if calls := d.Stepper.(*counter).calls; !slices.IsSorted(calls) {
 				t.Errorf("time went back: %v", calls)
 			}
