--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -25,7 +25,7 @@
 	return End{Key: keyOf(n), Digest: Digest{byte(n)}, Outcome: Outcome(n%3) + Delivered, At: at, RetryAfter: time.Duration(n%5) * time.Millisecond}
 }
 
-func TestKeys(t *testing.T) {
+func TestKeyOf(t *testing.T) {
 	first, second := KeyOf("/s", "1"), KeyOf("/s", "1")
 	if KeyOf("a", "bc") == KeyOf("ab", "c") || KeyOf("a", "b") == KeyOf("b", "a") || first != second {
 		t.Error("keys do not tell source and id apart")
@@ -34,7 +34,7 @@
 
 // A plain map and list, held against the table over generated days: ends, looks, floods, keys that come again, and
 // times that pass.
-func TestAgainstModel(t *testing.T) {
+func TestTable_AgainstModel(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 4))
 		most, remember := 1+r.IntN(40), time.Duration(1+r.IntN(50))
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestRecords(t *testing.T) {
+func TestRecord_RoundTrip(t *testing.T) {
 	e := End{KeyOf("/s", "1"), DigestOf([]byte("x")), HandedBack, 1764500000 * time.Second, 1500 * time.Millisecond}
 	raw := AppendRecord(nil, e)
 	if got, ok := ReadRecord(raw); len(raw) != RecordSize || !ok || got != e {
@@ -145,7 +145,7 @@
 func (m *memory) Close() error { return nil }
 
 // Killed after any byte, the file holds all ends that were written whole, and none that was not.
-func TestKilledAnywhere(t *testing.T) {
+func TestFile_KilledAnywhere(t *testing.T) {
 	const remember, ends, most = 100, 14, 5 // the ring goes round more than twice
 	for cut := range ends*RecordSize + 1 {
 		path := filepath.Join(t.TempDir(), "ends")
@@ -191,7 +191,7 @@
 }
 
 // A disk that fails for a while: what ends meanwhile is remembered, and written once it works.
-func TestFailingDisk(t *testing.T) {
+func TestFile_FailingDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ends")
 	table := NewTable(10, 1000)
 	f, err := Open(path, table, 1)
@@ -226,7 +226,7 @@
 }
 
 // A folder that can't be written to at the start: the old file stays as it is, and what it held counts.
-func TestUnwritableFolder(t *testing.T) {
+func TestFile_UnwritableFolder(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "ends")
 	if err := os.WriteFile(path, AppendRecord(nil, end(1, 5)), 0o600); err != nil {
@@ -265,7 +265,7 @@
 }
 
 // Smaller bounds, a clock that was ahead, lapsed ends: a file from other times is taken as far as it goes.
-func TestLoad(t *testing.T) {
+func TestTable_Load(t *testing.T) {
 	var raw []byte
 	for n := range 10 {
 		raw = AppendRecord(raw, end(n, time.Duration(n*10)))
@@ -285,7 +285,7 @@
 }
 
 // The file never grows beyond its bound, whatever comes.
-func TestFlood(t *testing.T) {
+func TestTable_Flood(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ends")
 	const most = 1000
 	table := NewTable(most, time.Minute)
--- a/internal/knowledge/changelog_test.go
+++ b/internal/knowledge/changelog_test.go
@@ -9,7 +9,7 @@
 )
 
 // Whoever follows, in whatever portions, comes to hold what is told; what only ages is not told again.
-func TestTelling(t *testing.T) {
+func TestChangeLog_Versions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tell, heard, version, now := NewChangeLog(), map[slot]Fact{}, uint64(0), at0
 		var last []Fact
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestWhatOnlyAgesIsNoNews(t *testing.T) {
+func TestChangeLog_AgeingIsNoChange(t *testing.T) {
 	tell := NewChangeLog()
 	f := fact(Latency, 0, "")
 	if !tell.Update([]Fact{f}, at0) || tell.Update([]Fact{f}, at0+time.Hour) {
@@ -75,7 +75,7 @@
 }
 
 // A sender whose own line is broken holds every receiver to be out: it does not talk others into that.
-func TestBrokenLine(t *testing.T) {
+func TestReports_ReporterWithBrokenNetwork(t *testing.T) {
 	r := NewReports(100)
 	say := func(source string, dest uint32, state State, age time.Duration) {
 		f := fact(Health, age, source)
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -70,7 +70,7 @@
 }
 
 // The merge is the same in whatever order and however often facts come, and however they were put together before.
-func TestMergeLaws(t *testing.T) {
+func TestView_MergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfN(rapid.Custom(drawn), 0, 12).Draw(t, "facts")
 		want := viewOf(all...)
@@ -96,7 +96,7 @@
 
 // All histories of up to three facts of one subject and sort: the order of views is total, and the one that wins is the
 // same whatever came first.
-func TestAllSmallHistories(t *testing.T) {
+func TestView_AllSmallHistories(t *testing.T) {
 	var some []Fact
 	for _, source := range []string{"", "a", "b"} {
 		for _, age := range []time.Duration{0, 3 * time.Second, 6 * time.Second} {
@@ -147,7 +147,7 @@
 }
 
 // What is known is trusted less the older it is, and a wait until its end.
-func TestTrust(t *testing.T) {
+func TestFact_Trust(t *testing.T) {
 	for sort := Latency; int(sort) < kindCount; sort++ {
 		f := fact(sort, 0, "a")
 		if got := f.Trust(at0); got != 1 {
@@ -166,7 +166,7 @@
 }
 
 // A view drops what is trusted no more, and where hearsay goes the own fact stands again.
-func TestForget(t *testing.T) {
+func TestView_Forget(t *testing.T) {
 	v := viewOf(fact(Latency, 2*time.Hour, ""), fact(Latency, time.Hour, "a"), fact(Health, 0, "a"))
 	if n := len(v.Facts()); n != 2 || len(v.OwnFacts()) != 1 {
 		t.Fatalf("%d facts", n)
@@ -182,7 +182,7 @@
 }
 
 // What can't be is not taken in, and there is a bound on subjects.
-func TestUnsound(t *testing.T) {
+func TestView_RejectsInvalidFacts(t *testing.T) {
 	v := NewView(1)
 	for name, spoil := range map[string]func(*Fact){
 		"no sort":          func(f *Fact) { f.Kind = 0 },
@@ -212,7 +212,7 @@
 }
 
 // Ages travel: a fact read at another clock says the same, older by the way it took.
-func TestCodec(t *testing.T) {
+func TestCodec_RoundTrip(t *testing.T) {
 	const there, way = 5 * time.Hour, 3 * time.Second
 	for sort := Latency; int(sort) < kindCount; sort++ {
 		f := fact(sort, 2*time.Second, "")
@@ -239,7 +239,7 @@
 }
 
 // The form of a snapshot, as versions before and after must read it.
-func TestGoldenSnapshot(t *testing.T) {
+func TestSnapshot_Golden(t *testing.T) {
 	f := fact(Health, time.Second, "")
 	raw, dropped := Marshal([]Fact{f}, at0, time.UnixMicro(1700000000000000), 4096)
 	const want = "SYKNOW\x01\x00&\x00\x00\x00K&tm\b\x01\x10\x80\x80\xf9\xc0\xc1\xc4\x82\x03\x1a\x19" + // format 1, the time; one fact:
@@ -265,7 +265,7 @@
 }
 
 // A snapshot that is cut off anywhere, or has a byte changed, is none; one of a newer format is left aside.
-func TestDamagedSnapshot(t *testing.T) {
+func TestSnapshot_Damaged(t *testing.T) {
 	wall := time.UnixMicro(1700000000000000)
 	raw, _ := Marshal([]Fact{fact(Latency, 0, ""), fact(RetryAfter, 0, "")}, at0, wall, 4096)
 	for n := range raw {
@@ -291,7 +291,7 @@
 }
 
 // A kill at any point of writing a snapshot leaves the one before, or the new one.
-func TestKillWhileSaving(t *testing.T) {
+func TestSnapshot_KilledWhileSaving(t *testing.T) {
 	path, wall := filepath.Join(t.TempDir(), "knowledge"), time.UnixMicro(1700000000000000)
 	old, _ := Marshal([]Fact{fact(Concurrency, 0, "")}, at0, wall, 4096)
 	next, _ := Marshal([]Fact{fact(Latency, 0, ""), fact(RetryAfter, 0, "")}, at0, wall, 4096)
@@ -329,7 +329,7 @@
 }
 
 // Where not all finds room, what spares failed calls stays.
-func TestRoom(t *testing.T) {
+func TestSnapshot_SizeLimit(t *testing.T) {
 	var all []Fact
 	for d := range uint32(100) {
 		for sort := Latency; int(sort) < kindCount; sort++ {
--- a/internal/membership/follow_test.go
+++ b/internal/membership/follow_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestFollow(t *testing.T) {
+func TestFollower_Steps(t *testing.T) {
 	one := Member{Destination: 7, Name: "h.example.", Port: 80, Weight: 1}
 	held := one
 	held.EmptyAfter = time.Minute
@@ -182,7 +182,7 @@
 
 // Over generated answers: what no name lists now never serves, unless an empty answer is held; a destination with a listed
 // address has one that serves; changes come to what a follower that starts now would list; Step at Next is enough.
-func TestFollowLaws(t *testing.T) {
+func TestFollower_Invariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hold := rapid.Bool().Draw(t, "hold")
 		members := []Member{{Destination: 1, Name: "a.", Weight: 1}, {Destination: 1, Name: "b.", Weight: 1}, {Destination: 2, Name: "c.", Weight: 1}}
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -31,7 +31,7 @@
 func part(lines ...Target) Update  { return Update{Servers: lines} }
 func whole(lines ...Target) Update { return Update{Servers: lines, Full: true} }
 
-func TestMerge(t *testing.T) {
+func TestMerger_Apply(t *testing.T) {
 	type news struct {
 		from Source
 		Update
@@ -100,7 +100,7 @@
 
 // Over generated news: changes come to the list; no address twice at a destination, no id twice; each line is listed by a
 // source that counts, and drains if one says so or none lists it; what all sources that count list is there.
-func TestMergeLaws(t *testing.T) {
+func TestMerger_AgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Precedence(rapid.IntRange(0, 2).Draw(t, "precedence"))
 		m, l := NewMerger(nil, p), list{}
@@ -184,7 +184,7 @@
 	})
 }
 
-func TestPrecedenceWords(t *testing.T) {
+func TestPrecedenceOf(t *testing.T) {
 	for _, w := range Precedences() {
 		if p, err := PrecedenceOf(w); err != nil || p.String() != w {
 			t.Error(w, p, err)
--- a/internal/membership/rollbackguard_test.go
+++ b/internal/membership/rollbackguard_test.go
@@ -7,7 +7,7 @@
 
 // A machine of discovery that lags behind answers after one that does not: what was told to drain or go is not taken up
 // again, until a version as new says so, or until the older one has said so for a minute.
-func TestAListThatGoesBack(t *testing.T) {
+func TestRollbackGuard_OlderVersions(t *testing.T) {
 	line := func(id, state string) Target { return Target{ID: id, Addr: id + ":1", State: state} }
 	full := func(version int64, lines ...Target) Update {
 		return Update{Version: version, Full: true, Servers: lines}
--- a/internal/peers/backoff_test.go
+++ b/internal/peers/backoff_test.go
@@ -11,7 +11,7 @@
 
 // One that dies without a word is known to be dead, its stream ends, and it is followed anew as it is back; what it told
 // stays, for as long as it is trusted.
-func TestDiesWithoutAWord(t *testing.T) {
+func TestNode_PeerDiesSilently(t *testing.T) {
 	t.Parallel()
 	a := begin(t, config("a"), time.Hour)
 	b := begin(t, config("b", a.Address()), time.Hour)
@@ -46,7 +46,7 @@
 
 // Halves that do not hear each other take the other for dead; as they hear each other again, each knows the other, by the
 // seeds that are tried again, and what was told meanwhile is heard.
-func TestHalvesHeal(t *testing.T) {
+func TestNode_PartitionHeals(t *testing.T) {
 	t.Parallel()
 	a := begin(t, config("a"), time.Hour)
 	b := begin(t, config("b", a.Address()), time.Hour)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -93,7 +93,7 @@
 
 // Three senders find each other by one seed; what one has seen reaches the others, of its age by their own clocks, in
 // the name of who saw it, and is not told on by them. What changes is told; one that leaves is known to have.
-func TestThreeSenders(t *testing.T) {
+func TestNode_ThreeSendersExchangeFacts(t *testing.T) {
 	t.Parallel()
 	a := begin(t, config("a"), time.Hour)
 	b := begin(t, config("b", a.Address()), 5*time.Hour)
@@ -125,7 +125,7 @@
 }
 
 // One that comes back, under its name, at another address and in another life, is followed anew from the start.
-func TestComesBack(t *testing.T) {
+func TestNode_PeerRejoins(t *testing.T) {
 	t.Parallel()
 	a := begin(t, config("a"), time.Hour)
 	b := begin(t, config("b", a.Address()), time.Hour)
@@ -142,7 +142,7 @@
 }
 
 // Another deployment on the same network stays apart, and so do those that lack a key; a key is changed in service.
-func TestStrangersAndKeys(t *testing.T) {
+func TestNode_OtherClustersAndKeys(t *testing.T) {
 	t.Parallel()
 	key := func(b byte) []byte { return []byte(strings.Repeat(string(rune('a'+b)), 32)) }
 	with := func(c Config, keys ...[]byte) Config { c.Keys = keys; return c }
@@ -184,7 +184,7 @@
 	return p.meta.Exchange
 }
 
-func TestCheck(t *testing.T) {
+func TestConfig_Check(t *testing.T) {
 	t.Parallel()
 	for name, edit := range map[string]func(*Config){
 		"no name":         func(c *Config) { c.Name = "" },
@@ -208,7 +208,7 @@
 }
 
 // Who is followed: as many as are wanted, the oldest first, none that has gone, none before its pause is over.
-func TestChoose(t *testing.T) {
+func TestChoosePeers(t *testing.T) {
 	t.Parallel()
 	one := func(name string, life uint64, edit func(*peer)) peer {
 		f := peer{Member: Member{Name: name, Incarnation: life, Exchange: "127.0.0.1:1", State: stateAlive}}
@@ -268,7 +268,7 @@
 }
 
 // Peers that do wrong: each ends its stream, in bounded time, with a bounded number of facts taken in.
-func TestBadPeers(t *testing.T) {
+func TestFollow_FaultyPeers(t *testing.T) {
 	t.Parallel()
 	fact := &kpb.Fact{Destination: 1, Calls: 1, Value: &kpb.Fact_Health{Health: &kpb.Health{State: kpb.State_STATE_OUT}}}
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
@@ -314,7 +314,7 @@
 
 // A stream that breaks off after any number of bytes: what came is whole pieces, and the next stream goes on from the
 // last of them, so that all comes and none is lost.
-func TestCutAtEachByte(t *testing.T) {
+func TestFollow_StreamTruncatedAtEachByte(t *testing.T) {
 	t.Parallel()
 	const all = 3
 	a := begin(t, config("a"), time.Hour)
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -158,7 +158,7 @@
 
 // Senders that tell each other make fewer calls that fail while receivers are out, and deliver no less; one whose own
 // line is broken, and who holds every receiver to be out, costs the others nothing that can be seen.
-func TestClusterInVirtualTime(t *testing.T) {
+func TestCluster_InVirtualTime(t *testing.T) {
 	t.Parallel()
 	s := newTest(t, st.NewPlatform(t), nil)
 	for _, senders := range []int{3, 12} {
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -36,7 +36,7 @@
 
 // What came in as an event leaves with all of it, in each form and on every attempt; what came plain gets stated
 // attributes, the same on every attempt.
-func TestFormsOut(t *testing.T) {
+func TestDelivery_RequestForms(t *testing.T) {
 	t.Parallel()
 	const in = `,"datacontenttype":"text/plain","data":"a\"b","ext":"x y","n":7,"time":"2026-12-01T10:00:00Z"`
 	for _, name := range []string{calls.Binary, calls.Structured, calls.Batched, calls.Plain} {
@@ -117,7 +117,7 @@
 
 // An endpoint that answers 410 gets no further call, until the list has taken it out of service and back; the message
 // goes to another.
-func TestGone(t *testing.T) {
+func TestDelivery_EndpointGone(t *testing.T) {
 	t.Parallel()
 	var wants atomic.Bool
 	leaves := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -161,7 +161,7 @@
 }
 
 // What the module sends to one endpoint in one step travels in one call, as far as it fits.
-func TestBatchesOut(t *testing.T) {
+func TestDelivery_Batches(t *testing.T) {
 	t.Parallel()
 	s, e, _ := byHand(t, st.Status(200), both(takesEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536})))
 	s.send2(t, 5)
@@ -207,7 +207,7 @@
 
 // One message of a batch that is called off ends by itself; the call goes on for the others. When the last goes, so
 // does the call.
-func TestCancelInABatch(t *testing.T) {
+func TestDelivery_CancelWithinBatch(t *testing.T) {
 	t.Parallel()
 	batched := both(takesEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536}))
 	how := make(chan int)
@@ -246,7 +246,7 @@
 }
 
 // A batch that is cut off may have run: each of its messages is told so, and what may not be repeated is not.
-func TestBatchCutOff(t *testing.T) {
+func TestDelivery_BatchTruncated(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, e.Addr)
--- a/internal/sender/descriptors_test.go
+++ b/internal/sender/descriptors_test.go
@@ -7,7 +7,7 @@
 )
 
 // Of the descriptors that a machine allows, clients, calls and idle connections together leave some for files.
-func TestDescriptors(t *testing.T) {
+func TestLimits_Descriptors(t *testing.T) {
 	for sockets, want := range map[int]int{1024: 100, 256: 100, 128: 48, 16: 6} {
 		c, err := ParseConfig([]byte(fmt.Sprintf(`{"limits":{"sockets":%d},"settings":{"familyInfo":{"callsOut":100}}}`, sockets)))
 		if err != nil {
--- a/internal/sender/discovery_list_test.go
+++ b/internal/sender/discovery_list_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestReadTargets(t *testing.T) {
+func TestDecodeTargets(t *testing.T) {
 	got, err := decodeTargets(strings.NewReader(`{"version":43,"more":{"a":[1,2]},"full":true,"servers":[
 		{"id":"s-1","addr":"10.1.0.18:8080","zone":"a","kind":"m2","cell":3,"state":"DRAINING","weight":1.5,"started_ms":0},{"id":"s-2"}]}`))
 	want := Targets{Version: 43, Full: true, Servers: []Target{{ID: "s-1", Addr: "10.1.0.18:8080", Zone: "a", Kind: "m2", Cell: 3, State: "DRAINING", Weight: 1.5}, {ID: "s-2"}}}
@@ -29,7 +29,7 @@
 }
 
 // Whatever encoding/json reads whole is read the same line by line.
-func FuzzReadTargets(f *testing.F) {
+func FuzzDecodeTargets(f *testing.F) {
 	f.Add(`{"version":43,"full":true,"servers":[{"id":"s-1","cell":3,"state":"SERVING","weight":1.0}]}`)
 	f.Add(`{"servers":[{}],"x":[{"a":null}]}`)
 	f.Fuzz(func(t *testing.T, text string) {
@@ -56,7 +56,7 @@
 	return t
 }
 
-func BenchmarkReadTargets(b *testing.B) {
+func BenchmarkDecodeTargets(b *testing.B) {
 	raw, err := json.Marshal(manyTargets(20_000, nil))
 	if err != nil {
 		b.Fatal(err)
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -284,7 +284,7 @@
 // A watch waited 20 s and was given up after 23, and pauses between failed calls grew to 12 s, while a change counts as told
 // 6 s after discovery had it and could be reached, whatever call failed. Each case is one failure, or several, followed by one
 // change at the worst moment.
-func TestAChangeIsHeardBeforeItCountsAsTold(t *testing.T) {
+func TestDiscovery_ChangeArrivesBeforeItsDeadline(t *testing.T) {
 	s := time.Second
 	tests := []struct {
 		name string
@@ -350,7 +350,7 @@
 
 // A message that ends undelivered has 300 ms after its time for its notice to arrive. Where the connection of the notice before
 // had fallen silent it took 500 ms to find out, and a message was lost (short days of fen-readings, seed 3, roll+term+brink).
-func TestANoticeArrivesInTimeThoughItsConnectionIsSilent(t *testing.T) {
+func TestDiscovery_NoticeArrivesOverDeadConnection(t *testing.T) {
 	for _, cut := range []time.Duration{time.Millisecond, 2 * time.Second, 5 * time.Second, 7 * time.Second} {
 		for seed := range uint64(10) {
 			v := &virtualRegistry{cut: cut, latency: 25 * time.Millisecond}
--- a/internal/sender/extension_background_test.go
+++ b/internal/sender/extension_background_test.go
@@ -10,7 +10,7 @@
 )
 
 // A message's next life in the journal: its attempts of before are there for what is lawful, and do not count as made.
-func TestNextLifeInTheJournal(t *testing.T) {
+func TestJournal_NextIncarnation(t *testing.T) {
 	dir := t.TempDir()
 	j, err := openJournal(dir, 1<<20)
 	if err != nil {
@@ -54,7 +54,7 @@
 // What background work asks before the journal's messages are resumed: it does not stand for discovery's first word, so that
 // an endpoint which has drained gets nothing; and a message that it would have go again is not taken, or it would be
 // resumed beside.
-func TestQuestionsBeforeTheJournalIsResumed(t *testing.T) {
+func TestBackground_QueriesBeforeResume(t *testing.T) {
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, old.Addr)
 	p.Change(st.Target("s-0", old.Addr, 0, "DRAINING"))
--- a/internal/sender/extension_fleet_test.go
+++ b/internal/sender/extension_fleet_test.go
@@ -95,7 +95,7 @@
 const closes1 = "[[route]]\ndestinations = [1]\nstate = \"closed\"\n"
 
 // What is handed in, and what is held, under each word of the fleet: closed, moved, suspended, bounded, cut off.
-func TestFleetsWord(t *testing.T) {
+func TestFleet_PolicyChanges(t *testing.T) {
 	t.Parallel()
 	zero, one := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, zero.Addr, one.Addr)
@@ -172,7 +172,7 @@
 }
 
 // What was told to wait has not run: whatever word stands against it, it is handed back at once.
-func TestHandedBackByWord(t *testing.T) {
+func TestFleet_PolicyHandsBack(t *testing.T) {
 	t.Parallel()
 	for name, say := range map[string]func(f *toldFleet){
 		"closed":    func(f *toldFleet) { f.say(t, true, "[[route]]\ndestinations = [0]\nstate = \"closed\"\n") },
@@ -199,7 +199,7 @@
 
 // What may have run before its destination is closed, or the sender is cut off, waits and is sent again once it may be; of a
 // suspended tenant it ends as given up.
-func TestHeldWhenWordChanges(t *testing.T) {
+func TestFleet_PendingWhenPolicyChanges(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		acts     bool
@@ -248,7 +248,7 @@
 }
 
 // A destination that the policy has apart is told to the module as of that kind, and back; a limit is the module's pace.
-func TestKindAndLimitByFleet(t *testing.T) {
+func TestFleet_KindAndRateLimit(t *testing.T) {
 	f := &toldFleet{}
 	f.say(t, true, "[[route]]\ndestinations = [1]\nstate = \"apart\"\nkind = \"single\"\n[[limit]]\ndestinations = [1, 9]\ncalls = 2.5\n")
 	s := newTest(t, st.NewPlatform(t), func(c *Config) { c.Fleet, c.Kinds = f, []string{"plain", "single"} })
--- a/internal/sender/extension_peers_test.go
+++ b/internal/sender/extension_peers_test.go
@@ -81,7 +81,7 @@
 
 // A process heeds the wait that the one before it was told; without its own past it would not know of it. A snapshot
 // that is damaged costs that knowledge and nothing else.
-func TestOwnPast(t *testing.T) {
+func TestKnowledge_OfEarlierProcess(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		spoil func(path string) error
@@ -115,7 +115,7 @@
 
 // A sender that is new heeds a wait that another was told, and says whose word that is; the one that is told leaves it
 // to itself when its peer is silent.
-func TestPeersTeach(t *testing.T) {
+func TestPeers_ShareObservations(t *testing.T) {
 	t.Parallel()
 	const wait = 5 * time.Second
 	e := told(t, wait)
@@ -160,7 +160,7 @@
 
 // What is heard of a receiver before the list names it is told as it does; what no list ever names is forgotten with its
 // trust. What the module is told is a single word for each.
-func TestHeardBeforeListed(t *testing.T) {
+func TestPeers_FactsBeforeEndpointListed(t *testing.T) {
 	s := newTest(t, st.NewPlatform(t), nil)
 	p := &peersExtension{s: s, view: knowledge.NewView(10), reports: knowledge.NewReports(10), unlisted: map[knowledge.Subject]struct{}{}}
 	now := s.clock.now()
--- a/internal/sender/extension_recorder_test.go
+++ b/internal/sender/extension_recorder_test.go
@@ -74,7 +74,7 @@
 func records(r Recorder) func(*Config) { return func(c *Config) { c.Recorder = r } }
 
 // What is not delivered is kept with all that is known of it, in its own words, and what is delivered is not.
-func TestUndeliveredAreKept(t *testing.T) {
+func TestRecorder_UndeliveredMessages(t *testing.T) {
 	t.Parallel()
 	bad := st.NewEndpoint(t, st.Reset)
 	good := st.NewEndpoint(t, st.Status(200))
@@ -107,7 +107,7 @@
 
 // A recorder that hangs, or fails, holds nothing up: messages go on, what waits stays in the journal within its part
 // of the room, and what has no room there is counted. Once it works it gets all that waited.
-func TestSlowRecorder(t *testing.T) {
+func TestRecorder_Slow(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, e.Addr)
@@ -159,7 +159,7 @@
 
 // Killed at each write of a message's way from its hand-in to its end and into the store, each left out or cut short:
 // after the next process has caught up, each message that was taken on stands in the store exactly once.
-func TestKilledBetweenJournalAndStore(t *testing.T) {
+func TestRecorder_KilledBetweenJournalAndStore(t *testing.T) {
 	t.Parallel()
 	const n = 3
 	log := &diskLog{}
@@ -289,7 +289,7 @@
 }
 
 // An end is offered to the recorder only once it stands in the journal.
-func TestOfferedAfterItIsWritten(t *testing.T) {
+func TestRecorder_OfferedAfterFlush(t *testing.T) {
 	t.Parallel()
 	s, _, hand := byHand(t, st.Reset, both(takesEvents, records(newMemory()))) // nobody takes what is offered
 	written := false
@@ -314,7 +314,7 @@
 
 // An event that the module refuses in the answer to its hand-in was never taken on: nothing of it is remembered, no room
 // is kept for its end, and it may come again at once.
-func TestRefusedEventIsForgotten(t *testing.T) {
+func TestRecorder_RejectedEventIsForgotten(t *testing.T) {
 	t.Parallel()
 	s, _, hand := byHand(t, st.Silent, takesEvents)
 	front := &eventIngress{s.config, s.clock, s.config.Events}
--- a/internal/sender/ingress_events_test.go
+++ b/internal/sender/ingress_events_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestEventsAreOffUnlessNamed(t *testing.T) {
+func TestEvents_OffByDefault(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), nil)
@@ -91,7 +91,7 @@
 }
 
 // In all three modes an event is taken on, and leaves with its attributes.
-func TestEventsIn(t *testing.T) {
+func TestEvents_ContentModes(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), takesEvents)
@@ -119,7 +119,7 @@
 }
 
 // Each fault has its own answer, and nothing of the request is taken on.
-func TestEventFaults(t *testing.T) {
+func TestEvents_Faults(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), takesEvents)
@@ -184,7 +184,7 @@
 }
 
 // No request makes two messages of one event, nor a message of what stands in another's body or behind it.
-func TestEventsAreNotSmuggled(t *testing.T) {
+func TestEvents_NoSmuggling(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), takesEvents)
@@ -234,7 +234,7 @@
 }
 
 // An event that comes again counts as the first try: held, its client gets the same promise; over, the same answer.
-func TestEventRepeats(t *testing.T) {
+func TestEventDedup_Repeats(t *testing.T) {
 	t.Parallel()
 	how := make(chan int)
 	e := st.NewEndpoint(t, gate(how))
@@ -280,7 +280,7 @@
 func (*failingFile) Write([]byte) (int, error) { return 0, errors.New("no space left") }
 
 // An event's own expirytime shortens its deadline, and one that is over fails at once.
-func TestExpiryTime(t *testing.T) {
+func TestEvents_ExpiryTime(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, e.Addr)
@@ -307,7 +307,7 @@
 }
 
 // An event that failed is answered so again, and is not tried again.
-func TestEventThatFailed(t *testing.T) {
+func TestEventDedup_FailedEvent(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, e.Addr)
@@ -349,7 +349,7 @@
 }
 
 // One that was handed back is asked to wait until it may come again, and then is a new try.
-func TestEventThatWasHandedBack(t *testing.T) {
+func TestEventDedup_HandedBackEvent(t *testing.T) {
 	t.Parallel()
 	s, _, hand := byHand(t, st.Silent, takesEvents)
 	const hold = 300 * time.Millisecond
@@ -383,7 +383,7 @@
 }
 
 // A sender that is about to leave says of an event that it holds that it does: its client would hand it in elsewhere.
-func TestRepeatWhileQuitting(t *testing.T) {
+func TestEventDedup_RepeatDuringShutdown(t *testing.T) {
 	t.Parallel()
 	s, _, hand := byHand(t, st.Silent, takesEvents)
 	first := hand(eventJSON("1", "unsafe", ""))
@@ -397,7 +397,7 @@
 }
 
 // Two hand-ins of one event in one turn: both hear what became of the one message, also if it can't be written down.
-func TestRepeatInOneTurn(t *testing.T) {
+func TestEventDedup_RepeatInOneTurn(t *testing.T) {
 	t.Parallel()
 	for name, fails := range map[string]bool{"written": false, "not written": true} {
 		e := st.NewEndpoint(t, st.Status(200))
@@ -451,7 +451,7 @@
 }
 
 // Each event of a batch is taken on or not by itself, and the answer tells of each in order.
-func TestBatch(t *testing.T) {
+func TestEventBatch_Results(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), takesEvents)
@@ -494,7 +494,7 @@
 	}
 }
 
-func TestBatchStatus(t *testing.T) {
+func TestEventBatch_Status(t *testing.T) {
 	for _, c := range []struct {
 		all  []int
 		want int
@@ -512,7 +512,7 @@
 
 // A batch larger than the room in the journal: what fits is taken on, the rest refused for now, and the whole with it;
 // handed in again, the first ones count as repeats.
-func TestBatchLargerThanTheJournal(t *testing.T) {
+func TestEventBatch_LargerThanJournal(t *testing.T) {
 	t.Parallel()
 	how := make(chan int)
 	e := st.NewEndpoint(t, gate(how))
@@ -557,7 +557,7 @@
 }
 
 // With all room for remembering taken, new events are refused with a time, and those that came before are known.
-func TestNoRoomToRemember(t *testing.T) {
+func TestEventDedup_TableFull(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) {
@@ -586,7 +586,7 @@
 }
 
 // A restart, with events held, over, and over with their notice owed.
-func TestEventsOutlastARestart(t *testing.T) {
+func TestEventDedup_SurvivesRestart(t *testing.T) {
 	t.Parallel()
 	var hang atomic.Bool
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -699,7 +699,7 @@
 // Killed at each step that writes, between the first byte and the final answer of an event and of a batch, with the
 // write done, not done, or half done; then its client hands the same in again. The receiver counts one effect for
 // each event, whether or not a call that stood in the journal had reached it.
-func TestKilledAtEachStep(t *testing.T) {
+func TestEventDedup_KilledAtEachStep(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"keyed", "unsafe"} {
 		for _, n := range []int{1, 3} {
@@ -873,8 +873,8 @@
 // brainEvent is what the module is told.
 type brainEvent = brain.Event
 
-// BenchmarkFronts is what a front makes of a request, from its bytes to a submission: plain against the modes.
-func BenchmarkFronts(b *testing.B) {
+// BenchmarkIngresses is what a front makes of a request, from its bytes to a submission: plain against the modes.
+func BenchmarkIngresses(b *testing.B) {
 	c := &Config{Classes: []string{"safe", "keyed"}, Tenants: []string{"acme"}, Settings: brain.Settings{Classes: []brain.Class{{}, {Idempotency: brain.IdempotentByKey}}}}
 	takesEvents(c)
 	c.Events.Rules.List = c.Events.Rules.List[3:]
@@ -915,7 +915,7 @@
 
 // An event under the id of another message that has failed, and waits to be kept, is another message: it is not answered
 // as that was.
-func TestEventUnderAFailedMessagesID(t *testing.T) {
+func TestEventDedup_IDOfFailedMessage(t *testing.T) {
 	s := newTest(t, st.NewPlatform(t), takesEvents)
 	m, err := s.journal.insert(record{ID: "m", Class: "keyed", Key: "k", Deadline: time.Hour})
 	if err != nil {
--- a/internal/sender/journal_endpoints_test.go
+++ b/internal/sender/journal_endpoints_test.go
@@ -30,7 +30,7 @@
 }
 
 // What a process begins with after one that had heard news: the newer of both lists, at the same address.
-func TestTheListOutlastsTheProcess(t *testing.T) {
+func TestStoredList_SurvivesRestart(t *testing.T) {
 	const here, there = "127.0.0.1:1", "127.0.0.1:2"
 	known := Targets{Version: 3, Servers: servingList("a", "b")}
 	for _, c := range []struct {
@@ -75,7 +75,7 @@
 
 // A list that is too long is not kept in part, takes nothing from the room for messages, and is kept again once it is
 // shorter.
-func TestAListTooLongIsNotKept(t *testing.T) {
+func TestStoredList_TooLong(t *testing.T) {
 	j := openTest(t, t.TempDir(), 1<<20)
 	free := j.reserved
 	var many []Target
@@ -108,7 +108,7 @@
 }
 
 // A record of the list that is spoilt costs that record and no message.
-func TestASpoiltListLosesNothing(t *testing.T) {
+func TestStoredList_CorruptRecord(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	takeTest(t, j, "m")
@@ -135,7 +135,7 @@
 
 // A journal with a line that can't be read is named in one line of the log, with what is left of it; one torn by a kill is
 // as usual, and is not.
-func TestASpoiltJournalIsNamed(t *testing.T) {
+func TestJournal_CorruptLinesAreLogged(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		tail string
@@ -164,7 +164,7 @@
 
 // Many senders restart, and each asks for the list at a time of its own: until then an endpoint that the earlier process
 // was told to leave gets nothing, whatever the configuration's older list says, and the messages of the journal go out.
-func TestADrainOutlastsTheProcessBeforeDiscoveryAnswers(t *testing.T) {
+func TestStoredList_DrainSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, old.Addr)
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -32,7 +32,7 @@
 	return m
 }
 
-func TestJournalReplay(t *testing.T) {
+func TestJournal_Replay(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	a, b, c, d := takeTest(t, j, "a"), takeTest(t, j, "b"), takeTest(t, j, "c"), takeTest(t, j, "d")
@@ -67,7 +67,7 @@
 }
 
 // What the module knows of rates is kept beside the messages, the newest only, and within a bound.
-func TestJournalKeepsRates(t *testing.T) {
+func TestJournal_Rates(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	var many []brain.UsualRate
@@ -92,7 +92,7 @@
 }
 
 // A kill may tear the last record at any byte; nothing before it is lost, and a damaged line hides no other.
-func TestTornJournal(t *testing.T) {
+func TestJournal_TornWrites(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	takeTest(t, j, "a")
@@ -126,7 +126,7 @@
 
 // Old and new file together stay within the budget, however long it goes on; without room for a message
 // it is refused, and one that ends makes room again.
-func TestJournalStaysWithinItsBudget(t *testing.T) {
+func TestJournal_StaysWithinBudget(t *testing.T) {
 	const budget = 64 << 10
 	dir := t.TempDir()
 	j := openTest(t, dir, budget)
@@ -172,7 +172,7 @@
 
 // A disk that takes nothing more: work is refused, nothing is lost that was written, and when there is
 // room again the state is written whole.
-func TestFullDisk(t *testing.T) {
+func TestJournal_FullDisk(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 1<<20)
 	a := takeTest(t, j, "a")
@@ -224,7 +224,7 @@
 
 // A write that fails at any byte leaves nothing of itself: a message among it is refused to its client, and does
 // not come up again in the next process.
-func TestFailedWriteLeavesNothing(t *testing.T) {
+func TestJournal_FailedWriteIsTakenBack(t *testing.T) {
 	for room := 0; ; room += 7 {
 		dir := t.TempDir()
 		j := openTest(t, dir, 1<<20)
@@ -255,7 +255,7 @@
 }
 
 // Lines written by hand say what encoding/json would: any name, number and body is read again as it was.
-func TestLinesReadAgain(t *testing.T) {
+func TestJournal_LinesRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	text := func() string {
 		b := make([]byte, rng.IntN(12))
@@ -304,7 +304,7 @@
 }
 
 // What has ended is not held until a compaction, which may be far off on a large disk; the order stays.
-func TestEndedMessagesAreLetGo(t *testing.T) {
+func TestJournal_ReleasesEndedMessages(t *testing.T) {
 	j := openTest(t, t.TempDir(), 1<<30)
 	first := takeTest(t, j, "first")
 	for i := range 20_000 {
--- a/internal/sender/moves_test.go
+++ b/internal/sender/moves_test.go
@@ -27,7 +27,7 @@
 // Two hundred moves under load, as much as the sender holds without handing any back: no message is refused, each is delivered
 // exactly once, and no new call goes to an address later than two seconds after the update that removed it was answered. How
 // late the last call to each was is logged.
-func TestMembersMove(t *testing.T) {
+func TestEndpointsMove_WithinCapacity(t *testing.T) {
 	l := newMoveLoad(t, withinRoom)
 	l.play()
 	if len(l.handedBack) > 0 || l.refused > 0 {
@@ -38,7 +38,7 @@
 // The same beyond the sender's room. A message whose call was recalled as its address went waits again, and came to wait last: so it
 // is the one that is handed back while the room is full, which its client hears by a notice. Each message that was taken on is
 // delivered exactly once, or handed back by one notice and never sent; none is given up.
-func TestMembersMoveBeyondRoom(t *testing.T) {
+func TestEndpointsMove_BeyondCapacity(t *testing.T) {
 	newMoveLoad(t, 0).play()
 }
 
--- a/internal/sender/names_test.go
+++ b/internal/sender/names_test.go
@@ -90,7 +90,7 @@
 
 // The last address goes while one message is out and others wait: nothing new goes there, the call that is out runs to its
 // end, the others wait for an address to come, and one whose time is over before ends honestly.
-func TestLastAddressRemoved(t *testing.T) {
+func TestNames_LastAddressRemoved(t *testing.T) {
 	answer := make(chan struct{})
 	old := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		<-answer
@@ -136,7 +136,7 @@
 
 // An address that two names list, one of them twice, and discovery under an id of its own, is one endpoint; it serves until
 // the last of them has dropped it.
-func TestListedTwice(t *testing.T) {
+func TestNames_ListedBySeveralSources(t *testing.T) {
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	_, port, _ := net.SplitHostPort(e.Addr)
 	number, _ := strconv.ParseUint(port, 10, 16)
@@ -182,7 +182,7 @@
 
 // A keyed message may have run at an address that names listed. The next process, which knows that address by discovery's
 // id, sends it again under its key, and as one that may have run.
-func TestHistoryOutlivesItsName(t *testing.T) {
+func TestNames_HistoryOfAddressSurvives(t *testing.T) {
 	calls := make(chan st.Call, 10)
 	silent := make(chan struct{}, 1)
 	silent <- struct{}{}
@@ -225,7 +225,7 @@
 }
 
 // What the command line asks for.
-func TestZonesReport(t *testing.T) {
+func TestNames_Report(t *testing.T) {
 	n := newNamed(t, t.TempDir())
 	n.at("127.0.0.1:9")
 	state := t.TempDir()
@@ -247,7 +247,7 @@
 }
 
 // A member whose name has no address yet exists all the same: its messages wait for the first one.
-func TestMemberWithoutAddress(t *testing.T) {
+func TestNames_MemberWithoutAddress(t *testing.T) {
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	n := newNamed(t, t.TempDir())
 	p := st.NewPlatform(t)
--- a/internal/sender/order_test.go
+++ b/internal/sender/order_test.go
@@ -58,7 +58,7 @@
 
 // The messages of a key go out one at a time, in the sequence in which they were taken on, whatever their
 // destinations.
-func TestOrderKey(t *testing.T) {
+func TestOrderingKey(t *testing.T) {
 	t.Parallel()
 	first, second, p, release := held(t)
 	addr := run(t, p, ordered)
@@ -68,7 +68,7 @@
 }
 
 // A restart keeps the order: the key stands in the journal, also in a compacted one.
-func TestOrderKeyOverARestart(t *testing.T) {
+func TestOrderingKey_SurvivesRestart(t *testing.T) {
 	t.Parallel()
 	first, second, p, release := held(t)
 	addr := run(t, p, func(c *Config) {
@@ -90,7 +90,7 @@
 }
 
 // A key of the order that can't be kept is refused; in a class without an order it means nothing.
-func TestOrderKeyBounds(t *testing.T) {
+func TestOrderingKey_Bounds(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), ordered)
--- a/internal/sender/outages_test.go
+++ b/internal/sender/outages_test.go
@@ -43,7 +43,7 @@
 
 // A process that was restarted while a receiver was out, or came back, sent all that it found taken on for it at once. Seven in
 // ten of a fleet that did so sent a cold receiver up to 204 calls more than its budget allows (brain, TestTheFleetsRamp).
-func TestAnOutageOutlastsTheProcess(t *testing.T) {
+func TestOutages_SurviveRestart(t *testing.T) {
 	t.Parallel()
 	now := newClock().now()
 	ago := func(d time.Duration) time.Duration { return now - d }
@@ -86,7 +86,7 @@
 }
 
 // What the journal keeps of outages is what the module says, through a compaction too, and has a bound.
-func TestOutagesInTheJournal(t *testing.T) {
+func TestOutages_InJournal(t *testing.T) {
 	dir := t.TempDir()
 	o := outageSnapshot{at: 5 * time.Second}
 	for n := range 200 {
@@ -110,7 +110,7 @@
 }
 
 // A sender writes down what it sees itself: calls that fail one after the other are enough.
-func TestAnOutageIsWrittenDown(t *testing.T) {
+func TestOutages_AreRecorded(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, e.Addr)
--- a/internal/sender/permit_test.go
+++ b/internal/sender/permit_test.go
@@ -44,7 +44,7 @@
 
 // A wait that is told while a call to the same destination still connects holds for that call, too: one to the endpoint
 // that asked for it, and one to another.
-func TestWaitWhileConnecting(t *testing.T) {
+func TestPermit_RetryAfterWhileConnecting(t *testing.T) {
 	t.Parallel()
 	for _, endpoints := range []int{1, 2} {
 		t.Run(strconv.Itoa(endpoints), func(t *testing.T) {
@@ -98,7 +98,7 @@
 }
 
 // An endpoint that drains while a call to it connects gets nothing; the message goes to another one.
-func TestDrainWhileConnecting(t *testing.T) {
+func TestPermit_DrainWhileConnecting(t *testing.T) {
 	t.Parallel()
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
@@ -120,7 +120,7 @@
 
 // A call that was decided on before an outage, and still connects, loses its leave as the outage is seen: its message
 // goes as others do then, one at a time. Without that it would wait for its connection until its time is over.
-func TestOutageWhileConnecting(t *testing.T) {
+func TestPermit_OutageWhileConnecting(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		if c.ID[0] == 'f' {
--- a/internal/sender/repeat_test.go
+++ b/internal/sender/repeat_test.go
@@ -11,7 +11,7 @@
 
 // A repeat is decided on while its key is remembered, and its connection comes up when it no longer is: it is not
 // written. (A receiver that vanishes lets connections come up when it is back, a second or more later.)
-func TestRepeatOnALateConnection(t *testing.T) {
+func TestPermit_KeyWindowEndsWhileConnecting(t *testing.T) {
 	t.Parallel()
 	const window = 800 * time.Millisecond
 	e := st.NewEndpoint(t, st.Silent) // the first attempt times out half-way through the window
--- a/internal/sender/repeatrules_test.go
+++ b/internal/sender/repeatrules_test.go
@@ -11,7 +11,7 @@
 // What stands in the journal goes on by the stricter of what it was taken on under and what the settings say now, whichever
 // place its class has among them. A class that was gone had its messages given up untried, and one that had become safe to
 // repeat had them repeated.
-func TestClassesOfAnEarlierProcess(t *testing.T) {
+func TestRepeatRules_OfEarlierProcess(t *testing.T) {
 	t.Parallel()
 	const window = 7500 * time.Millisecond // of class keyed in the settings
 	tests := []struct {
@@ -71,7 +71,7 @@
 }
 
 // Rules that are alike are one class of the module's more, and settings that are given stay as they are.
-func TestClassesMore(t *testing.T) {
+func TestRepeatRules_AddedClasses(t *testing.T) {
 	c := &Config{Classes: []string{"a", "b"}, Zones: []string{"x", "y"}}
 	c.Settings.Classes = []brain.Class{{Idempotency: brain.Idempotent, Value: 2}, {Idempotency: brain.IdempotentByKey, IdempotencyKeyTTL: time.Second, IdempotencyKeyZonal: true, Value: 3}}
 	given := c.Settings.Classes
--- a/internal/sender/sdk_test.go
+++ b/internal/sender/sdk_test.go
@@ -89,7 +89,7 @@
 }
 
 // The official Go SDK hands events in, in all modes, and receives them, in all forms: what arrives is what was sent.
-func TestSDKBothWays(t *testing.T) {
+func TestSDK_RoundTrip(t *testing.T) {
 	t.Parallel()
 	for _, in := range []string{"binary", "structured", "batched"} {
 		for _, out := range []string{calls.Plain, calls.Binary, calls.Structured, calls.Batched} {
@@ -172,7 +172,7 @@
 }
 
 // The SDK hears of a refusal and of an error as such.
-func TestSDKHearsOfRefusals(t *testing.T) {
+func TestSDK_Rejections(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) {
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestDelivery(t *testing.T) {
+func TestSender_Delivers(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), nil)
@@ -100,7 +100,7 @@
 }
 
 // Input that is not sound gets a plain line, goes no further, and leaves the sender serving.
-func TestBadInput(t *testing.T) {
+func TestServer_BadInput(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), nil)
@@ -143,7 +143,7 @@
 }
 
 // What cannot be held is refused before it is sent, and its client is told when to come back.
-func TestNoRoomIsARefusal(t *testing.T) {
+func TestSender_RejectsWhenFull(t *testing.T) {
 	t.Parallel()
 	for name, edit := range map[string]func(*Config){
 		"held limit": func(c *Config) { c.Settings.MaxPending = 3 },
@@ -176,7 +176,7 @@
 
 // What the module gives up ends at once: in the answer if that is not given yet, else by a notice, which
 // is repeated until it is taken.
-func TestEnds(t *testing.T) {
+func TestSender_GivesUp(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(500))
 	p := st.NewPlatform(t, e.Addr)
@@ -201,7 +201,7 @@
 }
 
 // A message that the module hands back after it was taken on is told of with the time to come back.
-func TestHandedBack(t *testing.T) {
+func TestSender_HandsBack(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Silent)
 	p := st.NewPlatform(t, e.Addr)
@@ -224,7 +224,7 @@
 }
 
 // Told to wait, nothing goes to that destination before the wait is over.
-func TestWait(t *testing.T) {
+func TestSender_HonoursRetryAfter(t *testing.T) {
 	t.Parallel()
 	var first atomic.Bool
 	told := make(chan time.Time, 1)
@@ -253,7 +253,7 @@
 	}
 }
 
-func TestDrain(t *testing.T) {
+func TestSender_DrainingEndpoint(t *testing.T) {
 	t.Parallel()
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, old.Addr)
@@ -275,7 +275,7 @@
 
 // While discovery is down the sender goes on with what it knows, and asks for what came since: three hundred senders that
 // asked for the whole list after each refusal kept discovery refusing for twenty seconds, and a drain was heard too late.
-func TestDiscoveryOutage(t *testing.T) {
+func TestDiscovery_Outage(t *testing.T) {
 	t.Parallel()
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
@@ -299,7 +299,7 @@
 }
 
 // A registry that answers changes of a version before ours has begun its numbers anew: the whole list is asked for.
-func TestDiscoveryThatNumbersAnew(t *testing.T) {
+func TestDiscovery_VersionsReset(t *testing.T) {
 	t.Parallel()
 	queries := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -359,7 +359,7 @@
 
 // The configuration's list may be older than what the earlier process was told: what it resumes does not go
 // to an endpoint that has drained since.
-func TestResumedMessageHeedsAnEarlierDrain(t *testing.T) {
+func TestResume_HonoursEarlierDrain(t *testing.T) {
 	t.Parallel()
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, old.Addr)
@@ -373,7 +373,7 @@
 
 // A machine that was cut off leaves idle connections that say nothing any more: after a call there timed
 // out, the next opens a new one.
-func TestIdleConnectionsGoAfterATimeOut(t *testing.T) {
+func TestSender_ClosesIdleConnectionsAfterTimeout(t *testing.T) {
 	t.Parallel()
 	var cut atomic.Bool
 	both := make(chan struct{}, 2)
@@ -425,7 +425,7 @@
 
 // A disk that takes nothing: what comes is refused and not sent, nothing is kept of it, and once there is room
 // again the sender serves as ever, with all its slots.
-func TestUnwrittenMessagesAreRefused(t *testing.T) {
+func TestSender_RejectsUnwrittenMessages(t *testing.T) {
 	t.Parallel()
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
 	if err != nil {
--- a/internal/sender/server_test.go
+++ b/internal/sender/server_test.go
@@ -56,7 +56,7 @@
 
 // A client that sends what is no request of the protocol gets one error and the end of its connection, soon;
 // nothing of it is taken on, above all no message that stands in the body of another or behind it.
-func TestHostileRequests(t *testing.T) {
+func TestServer_HostileRequests(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), nil)
@@ -121,7 +121,7 @@
 }
 
 // A client may end its sending with its request, and may ask before it sends a body.
-func TestUnusualButSoundRequests(t *testing.T) {
+func TestServer_UnusualButValidRequests(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), nil)
@@ -145,7 +145,7 @@
 
 // Connections that say nothing, stop within a request, or stay after one, may take all the room that clients
 // have: the next client is served all the same.
-func TestRoomForClients(t *testing.T) {
+func TestServer_ConnectionsWithoutRequestMakeWay(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		text string
@@ -181,7 +181,7 @@
 
 // Clients that ask once and keep their connection hold no more than a part of what clients may hold at all:
 // beyond it the answer says that the connection ends, or the longest idle one goes.
-func TestIdleClientsHoldAPart(t *testing.T) {
+func TestServer_IdleConnectionLimit(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) { c.Limits.Sockets = 24 }) // 4 may be idle
@@ -216,7 +216,7 @@
 }
 
 // A connection that is asked to go may have its request here already: then it is answered first.
-func TestAskedToGoWithARequestHere(t *testing.T) {
+func TestServer_EvictedWithRequestReceived(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	s := newTest(t, st.NewPlatform(t, e.Addr), nil)
@@ -258,7 +258,7 @@
 
 // Which connection goes when room is short: never one whose request is being answered, nor one whose request
 // has come and is not read yet.
-func TestWhoMakesRoom(t *testing.T) {
+func TestServer_EvictionOrder(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sender/submit_test.go
+++ b/internal/sender/submit_test.go
@@ -11,7 +11,7 @@
 
 // A client comes again with a message that was handed back before the sender knows that its notice was taken. It is refused, so that
 // it comes once more, and not told that the message, which is over here, is taken on.
-func TestHandedBackComesAgainEarly(t *testing.T) {
+func TestSubmit_HandedBackBeforeNoticeIsAcknowledged(t *testing.T) {
 	t.Parallel()
 	s := newTest(t, st.NewPlatform(t), nil)
 	s.notices = make(chan []notice, 1) // nobody tells them yet
