--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -171,7 +171,8 @@
 	// The exchange asks, too.
 	for _, other := range []Config{stranger, config("a")} {
 		var p streamProgress
-		err := followPeer(context.Background(), &other, Member{Name: "a", Exchange: a.exchange(t)}, a.now, &p, func([]knowledge.Fact) bool { return true })
+		s := subscription{&other, Member{Name: "a", Exchange: a.exchange(t)}, a.now, &p, func([]knowledge.Fact) bool { return true }}
+		err := s.follow(context.Background())
 		if got := status.Code(errors.Unwrap(err)); got != codes.PermissionDenied && got != codes.AlreadyExists {
 			t.Errorf("%s of %s: %v", other.Name, other.Cluster, err)
 		}
@@ -264,7 +265,8 @@
 
 func followOne(addr string, p *streamProgress, heard func([]knowledge.Fact) bool) error {
 	c := config("z")
-	return followPeer(context.Background(), &c, Member{Name: "bad", Exchange: addr}, func() time.Duration { return time.Hour }, p, heard)
+	s := subscription{&c, Member{Name: "bad", Exchange: addr}, func() time.Duration { return time.Hour }, p, heard}
+	return s.follow(context.Background())
 }
 
 // Peers that do wrong: each ends its stream, in bounded time, with a bounded number of facts taken in.
--- a/internal/peers/routes.go
+++ b/internal/peers/routes.go
@@ -20,12 +20,14 @@
 // Error gives the problem.
 func (e *RouteError) Error() string { return e.Problem }
 
+// maxRoutes bounds a table; a fleet has two lines for each member.
 const maxRoutes = 2048 // lines; a fleet has two for each member
 
-// RouteTable is a table of them by address.
+// RouteTable is routes by address.
 type RouteTable map[string]string
 
-// NewRouteTable makes the table, of addresses that may be talked to without TLS.
+// NewRouteTable makes a table, of addresses that senders may talk at without TLS. Its errors name the line: a *RouteError, or
+// one that wraps that of CheckLoopback.
 func NewRouteTable(all []Route) (RouteTable, error) {
 	if len(all) > maxRoutes {
 		return nil, &RouteError{fmt.Sprintf("%d lines of reach; %d are the most", len(all), maxRoutes)}
@@ -45,7 +47,7 @@
 	return t, nil
 }
 
-// Resolve is where an address is reached from here.
+// Resolve is where an address is reached from here: itself, if there is no route.
 func (t RouteTable) Resolve(addr string) string {
 	if via, ok := t[addr]; ok {
 		return via
@@ -53,7 +55,7 @@
 	return addr
 }
 
-// transport is membership's, by way of the table. What others answer comes by their own tables.
+// transport is the membership's network transport, by way of the table. What others answer comes by their own tables.
 type transport struct {
 	*memberlist.NetTransport
 	routes RouteTable
@@ -61,24 +63,29 @@
 
 var _ memberlist.NodeAwareTransport = transport{}
 
-func newTransport(at netip.AddrPort, to RouteTable, log *stdlog.Logger) (transport, error) {
+// newTransport listens at an address for membership, TCP and UDP.
+func newTransport(at netip.AddrPort, routes RouteTable, log *stdlog.Logger) (transport, error) {
 	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{at.Addr().String()}, BindPort: int(at.Port()), Logger: log})
-	return transport{t, to}, err
+	return transport{t, routes}, err
 }
 
+// WriteTo sends a packet to where addr is reached.
 func (t transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return t.NetTransport.WriteTo(b, t.routes.Resolve(addr))
 }
 
+// WriteToAddress sends a packet to where a is reached.
 func (t transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	a.Addr = t.routes.Resolve(a.Addr)
 	return t.NetTransport.WriteToAddress(b, a)
 }
 
+// DialTimeout connects to where addr is reached.
 func (t transport) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
 	return t.NetTransport.DialTimeout(t.routes.Resolve(addr), limit)
 }
 
+// DialAddressTimeout connects to where a is reached.
 func (t transport) DialAddressTimeout(a memberlist.Address, limit time.Duration) (net.Conn, error) {
 	a.Addr = t.routes.Resolve(a.Addr)
 	return t.NetTransport.DialAddressTimeout(a, limit)
