--- a/internal/tier/consensus/disk_failure_test.go
+++ b/internal/tier/consensus/disk_failure_test.go
@@ -110,7 +110,7 @@
 				} else {
 					disk.FailAt(at, cause)
 				}
-				failed := soloLife(t, disk, label, uint64(at))
+				failed := playSoloIncarnation(t, disk, label, uint64(at))
 				if !failed {
 					assert.Assert(t, at > 20, label)
 					break
@@ -120,8 +120,8 @@
 	}
 }
 
-// soloLife writes through a failure and after it. It reports whether there was one.
-func soloLife(t *testing.T, disk *wal.Memory, label string, seed uint64) (failed bool) {
+// playSoloIncarnation writes through a failure and after it. It reports whether there was one.
+func playSoloIncarnation(t *testing.T, disk *wal.Memory, label string, seed uint64) (failed bool) {
 	s := newSolo(t, disk, "a")
 	acknowledged := make(map[string]bool)
 	write := func(from, to int) {
--- a/internal/tier/consensus/events.go
+++ b/internal/tier/consensus/events.go
@@ -5,6 +5,8 @@
 )
 
 // event is an input of replica.Step.
+//
+//sumtype:decl
 type event interface{ isEvent() }
 
 type (
--- a/internal/tier/consensus/explore_liveness_test.go
+++ b/internal/tier/consensus/explore_liveness_test.go
@@ -89,7 +89,7 @@
 				if l == nil {
 					continue
 				}
-				name, e := "take-over", event(takeover{})
+				name, e := "take-over", explorerEvent(takeover{})
 				if l.leadership > 0 {
 					name, e = "late tick", age{}
 				}
--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -88,7 +88,7 @@
 	return c, x.move(c, x.answer(c, i, nil))
 }
 
-func (x *explorer) event(w *systemState, site int, name string, e event) (*systemState, error) {
+func (x *explorer) event(w *systemState, site int, name string, e explorerEvent) (*systemState, error) {
 	c := w.with(pathStep{what: name, site: site})
 	return c, x.move(c, x.advance(c.lanes[site], eventKey{what: name}, e))
 }
@@ -162,7 +162,7 @@
 		if l == nil {
 			continue
 		}
-		spend := func(name string, e event, count func(*budget)) bool {
+		spend := func(name string, e explorerEvent, count func(*budget)) bool {
 			c, err := x.event(w, site, name, e)
 			count(&c.left)
 			return yield(c, err)
@@ -273,6 +273,7 @@
 			w.add(x.item(o))
 		case answered:
 			w.remove(i)
+		case orphaned: // nobody waits for it already
 		}
 	}
 }
--- a/internal/tier/consensus/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -79,7 +79,7 @@
 // timedEvent is an event with its time.
 type timedEvent struct {
 	now time.Duration
-	e   event
+	e   explorerEvent
 }
 
 // output is what a step sends.
@@ -89,17 +89,15 @@
 	outcomes     []outcome
 }
 
-// Events beside those of the machine.
+// explorerEvent is an event of a replica, or one of the following of the exploration alone.
+type explorerEvent any
+
 type (
 	takeover struct{}                 // proposes itself at once, without asking whether it would be promised
 	age      struct{}                 // a tick so late that no confirmation counts
 	swap     struct{ in, out string } // of members, by address, as the primary would on its own
 )
 
-func (takeover) isEvent() {}
-func (age) isEvent()      {}
-func (swap) isEvent()     {}
-
 const never = time.Duration(1) << 60
 
 type stage int
@@ -205,7 +203,7 @@
 // play gives a subject one event and returns what it did.
 func (x *explorer) play(s *subject, t timedEvent) *actions {
 	var out *actions
-	switch t.e.(type) {
+	switch e := t.e.(type) {
 	case takeover:
 		s.m.now, s.m.actions = t.now, new(actions)
 		if s.m.primary == nil && s.m.proposal == nil && slices.ContainsFunc(quorumSets(s.m.newestView()), s.m.isVoter) {
@@ -224,10 +222,9 @@
 	case age:
 		out = s.step(t.now, tick{})
 	case swap:
-		q := t.e.(swap)
-		p := reconfiguration{add: &tierv1.Member{Folder: q.in + "0", Address: q.in, Zone: "z" + q.in, Region: "r"}}
+		p := reconfiguration{add: &tierv1.Member{Folder: e.in + "0", Address: e.in, Zone: "z" + e.in, Region: "r"}}
 		for _, v := range s.m.primary.view.Members {
-			if v.Address == q.out {
+			if v.Address == e.out {
 				p.remove = v
 			}
 		}
@@ -241,9 +238,9 @@
 		if s.m.primary != nil {
 			s.m.primary.proposeAt = 0
 		}
-		out = s.step(t.now, t.e)
+		out = s.step(t.now, e)
 	default:
-		out = s.step(t.now, t.e)
+		out = s.step(t.now, t.e.(event))
 	}
 	x.steps++
 	s.m.candidacyAt, s.m.joinAt = never, never
@@ -307,7 +304,7 @@
 
 // advance gives the lane after one more event. Where the power goes in the middle, its calls that need not wait for the disk
 // have left, and nothing was synced.
-func (x *explorer) advance(l *lane, name eventKey, e event) *lane {
+func (x *explorer) advance(l *lane, name eventKey, e explorerEvent) *lane {
 	cut := name.powerLoss
 	if to := l.next[name]; to != nil {
 		return to
--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -42,8 +42,8 @@
 	return nil, twirp.NewError(twirp.Unavailable, "no process")
 }
 
-// through hands a call to the node at the wire's address.
-func through[Q, R any](ctx context.Context, w wire, method func(tierv1.Election, context.Context, *Q) (*R, error), request *Q) (*R, error) {
+// callThrough hands a call to the node at the wire's address.
+func callThrough[Q, R any](ctx context.Context, w wire, method func(tierv1.Election, context.Context, *Q) (*R, error), request *Q) (*R, error) {
 	node, err := w.to()
 	if err != nil {
 		return nil, err
@@ -52,23 +52,23 @@
 }
 
 func (w wire) Promise(ctx context.Context, request *tierv1.PrepareRequest) (*tierv1.PrepareReply, error) {
-	return through(ctx, w, tierv1.Election.Promise, request)
+	return callThrough(ctx, w, tierv1.Election.Promise, request)
 }
 
 func (w wire) Accept(ctx context.Context, request *tierv1.AcceptRequest) (*tierv1.AcceptReply, error) {
-	return through(ctx, w, tierv1.Election.Accept, request)
+	return callThrough(ctx, w, tierv1.Election.Accept, request)
 }
 
 func (w wire) Heartbeat(ctx context.Context, request *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
-	return through(ctx, w, tierv1.Election.Heartbeat, request)
+	return callThrough(ctx, w, tierv1.Election.Heartbeat, request)
 }
 
 func (w wire) Write(ctx context.Context, request *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
-	return through(ctx, w, tierv1.Election.Write, request)
+	return callThrough(ctx, w, tierv1.Election.Write, request)
 }
 
 func (w wire) Join(ctx context.Context, request *tierv1.JoinRequest) (*tierv1.JoinReply, error) {
-	return through(ctx, w, tierv1.Election.Join, request)
+	return callThrough(ctx, w, tierv1.Election.Join, request)
 }
 
 // running is a node with its loop; end stops it and waits.
--- a/internal/tier/consensus/partition_test.go
+++ b/internal/tier/consensus/partition_test.go
@@ -22,10 +22,10 @@
 }
 
 // lastConfirmed is what a Node's view holds: a machine without backups is always confirmed.
-func (m *replica) lastConfirmed() time.Duration {
+func (r *replica) lastConfirmed() time.Duration {
 	at := time.Duration(never)
-	for _, b := range m.primary.view.Backups {
-		at = min(at, m.primary.confirmedAt[b])
+	for _, b := range r.primary.view.Backups {
+		at = min(at, r.primary.confirmedAt[b])
 	}
 	return at
 }
--- a/internal/tier/consensus/stored_folders_test.go
+++ b/internal/tier/consensus/stored_folders_test.go
@@ -31,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			want, err := os.ReadFile(listing)
 			assert.NilError(t, err)
-			folder := copyStoredFolder(t, name)
+			folder := openStoredFolder(t, name)
 			state, records := readStored(t, folder)
 			assert.Equal(t, listStored(state, records), string(want))
 
@@ -47,14 +47,14 @@
 
 // TestStoredFolders_RewriteAsWritten compares the records of a rewrite with those that revision eea23b3 made of the same state.
 func TestStoredFolders_RewriteAsWritten(t *testing.T) {
-	state, _ := readStored(t, copyStoredFolder(t, "primary"))
-	_, want := readStored(t, copyStoredFolder(t, "rewritten"))
+	state, _ := readStored(t, openStoredFolder(t, "primary"))
+	_, want := readStored(t, openStoredFolder(t, "rewritten"))
 	assert.Equal(t, len(want), 6) // the last was appended after the rewrite
 	assert.DeepEqual(t, state.records(), want[:5])
 }
 
-// copyStoredFolder copies a stored folder to a temporary one and returns its path.
-func copyStoredFolder(t *testing.T, name string) string {
+// openStoredFolder copies a stored folder to a temporary one and returns its path.
+func openStoredFolder(t *testing.T, name string) string {
 	t.Helper()
 	stored, err := os.ReadFile(filepath.Join(storedFolders, name, fileName))
 	assert.NilError(t, err)
--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -426,6 +426,7 @@
 				to.wipe()
 				restart(to)
 			}
+		default: // acts on the message or on its sender
 		}
 	}
 	if to.m == nil {
@@ -456,5 +457,6 @@
 			s.wipe()
 			restart(s)
 		}
+	default: // acts on the message or on its receiver
 	}
 }
--- a/internal/tier/wal/format.go
+++ b/internal/tier/wal/format.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"encoding/binary"
+	"errors"
 	"hash/crc32"
 	"io"
 )
@@ -32,7 +33,7 @@
 		return false, nil
 	}
 	var got [len(fileHeader)]byte
-	if _, err := handle.ReadAt(got[:], 0); err != nil && err != io.EOF {
+	if _, err := handle.ReadAt(got[:], 0); err != nil && !errors.Is(err, io.EOF) {
 		return false, IO.Wrap(err, "read header")
 	}
 	switch {
