--- a/internal/tier/cli/demo.go
+++ b/internal/tier/cli/demo.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -11,23 +10,24 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
 	"saffronyard.example/saffronyard/internal/faulttest/tierdemo"
 )
 
 // demoCmd plays a small tier on loopback.
 type demoCmd struct {
-	Calm    time.Duration `help:"Time without trouble." default:"20s"`
-	Trouble time.Duration `help:"Time with trouble: a turn store and the control plane primary are stopped, endpoints released." default:"20s"`
-	Rate    float64       `help:"Programs a second." default:"5"`
-	Report  string        `help:"Write a page of HTML, with plots." type:"path" placeholder:"FILE"`
-	Log     string        `help:"Write what the processes of the tier log." type:"path" placeholder:"FILE"`
+	Calm   time.Duration `help:"Time without trouble." default:"20s"`
+	Faults time.Duration `name:"trouble" help:"Time with trouble: a turn store and the control plane primary are stopped, endpoints released." default:"20s"`
+	Rate   float64       `help:"Programs a second." default:"5"`
+	Report string        `help:"Write a page of HTML, with plots." type:"path" placeholder:"FILE"`
+	Log    string        `help:"Write what the processes of the tier log." type:"path" placeholder:"FILE"`
 }
 
 // Run implements the command. Its error says what was broken.
 func (command demoCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	options := tierdemo.Options{Calm: command.Calm, Trouble: command.Trouble, Rate: command.Rate}
+	options := tierdemo.Options{Calm: command.Calm, Trouble: command.Faults, Rate: command.Rate}
 	if command.Log != "" {
 		file, err := os.Create(command.Log)
 		if err != nil {
@@ -51,11 +51,11 @@
 	}
 	switch broken := report.Broken(); {
 	case broken > 0:
-		return fmt.Errorf("%d rules were broken", broken)
+		return rulesBrokenError(broken)
 	case report.Interrupted:
-		return errors.New("interrupted")
+		return errInterrupted
 	case report.Counts.Whole == 0:
-		return errors.New("no program was served whole")
+		return errNoProgramServed
 	}
 	return nil
 }
--- a/internal/tier/cli/main.go
+++ b/internal/tier/cli/main.go
@@ -11,6 +11,7 @@
 
 	"github.com/alecthomas/kong"
 	"github.com/phuslu/log"
+
 	"saffronyard.example/saffronyard/internal/tier/logformat"
 	"saffronyard.example/saffronyard/internal/tier/settings"
 )
@@ -70,7 +71,7 @@
 }
 
 // start reads the settings, limits the heap to a part of the machine's memory, and returns a context that ends on SIGTERM or
-// SIGINT.
+// SIGINT. SIGHUP has the settings checked until the process ends.
 func (flags *commandLine) start() (context.Context, settings.Settings, *log.Logger, error) {
 	logger := logformat.New(os.Stderr, log.ParseLevel(flags.LogLevel))
 	path := flags.settingsPath()
@@ -88,13 +89,13 @@
 	return ctx, loaded, logger, nil
 }
 
-// checkOnReload reads the settings at each SIGHUP and logs what is wrong with them. They are used at the next start.
+// checkOnReload reads the settings at each SIGHUP and logs their findings. They are used at the next start.
 func checkOnReload(reload <-chan os.Signal, path string, logger *log.Logger) {
 	for range reload {
 		if _, err := settings.Load(path); err != nil {
-			logger.Error().Str("event", "settings").Err(err).Msg("")
+			logger.Error().Str("event", "settings").Err(err).Msg("settings file has findings, the present settings hold")
 			continue
 		}
-		logger.Info().Str("event", "settings_read").Msg("")
+		logger.Info().Str("event", "settings_read").Msg("settings file is valid, it holds from the next start")
 	}
 }
--- a/internal/tier/cli/operate.go
+++ b/internal/tier/cli/operate.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -12,6 +11,7 @@
 	"time"
 
 	"google.golang.org/protobuf/encoding/protojson"
+
 	"saffronyard.example/saffronyard/internal/tier/process"
 	"saffronyard.example/saffronyard/internal/tier/routing"
 	"saffronyard.example/saffronyard/internal/tier/settings"
@@ -33,7 +33,7 @@
 		fmt.Print(settings.Describe())
 	}
 	if len(command.Files) == 0 && !command.Table {
-		return errors.New("nothing to check: name files")
+		return errNothingToCheck
 	}
 	bad := 0
 	for _, name := range command.Files {
@@ -45,7 +45,7 @@
 		fmt.Printf("%s: right\n", name)
 	}
 	if bad > 0 {
-		return fmt.Errorf("%d of %d files have findings", bad, len(command.Files))
+		return findingsError{files: bad, checked: len(command.Files)}
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 		printStatus(os.Stdout, address, reply)
 	}
 	if len(failed) > 0 {
-		return fmt.Errorf("%d of %d do not answer:\n  %s", len(failed), len(addresses), strings.Join(failed, "\n  "))
+		return noAnswerError{failed: failed, asked: len(addresses)}
 	}
 	return nil
 }
@@ -114,28 +114,28 @@
 		fmt.Fprintf(table, "  member\t%s\t%s\t%s\n", member.Node, member.Address, member.Zone)
 	}
 	for _, session := range status.Sessions {
-		fmt.Fprintf(table, "  session\t%s\t%s\tconfiguration %d\tendpoints %d\tturn stores %d\tsilent %d ms%s\n", session.Node, session.Role, session.Configuration, session.Endpoints, session.PartitionMap, session.SilentMs, diskTrouble(session.Disk))
+		fmt.Fprintf(table, "  session\t%s\t%s\tconfiguration %d\tendpoints %d\tturn stores %d\tsilent %d ms%s\n", session.Node, session.Role, session.Configuration, session.Endpoints, session.PartitionMap, session.SilentMs, diskFault(session.Disk))
 	}
-	whole := 0
+	complete := 0
 	for _, partition := range status.GetPartitionMap().GetPartitions() {
 		synced := len(partition.Backups) > 0
 		for _, backup := range partition.Backups {
 			synced = synced && backup.Synced
 		}
 		if synced {
-			whole++
+			complete++
 		}
 	}
 	if partitionMap := status.GetPartitionMap(); partitionMap != nil {
-		fmt.Fprintf(table, "  partitions\t%d\twith all copies\t%d\n", len(partitionMap.Partitions), whole)
+		fmt.Fprintf(table, "  partitions\t%d\twith all copies\t%d\n", len(partitionMap.Partitions), complete)
 	}
 	if status.Risk != nil {
 		printRisk(table, status.Risk)
 	}
 }
 
-// diskTrouble says why a turn store's disk is not sound, so that it gets no partitions; empty for a sound one.
-func diskTrouble(state tierv1.DiskState) string {
+// diskFault returns why a turn store's disk is unhealthy, so that it gets no partitions; empty for a healthy one.
+func diskFault(state tierv1.DiskState) string {
 	switch state {
 	case tierv1.DiskState_DISK_UNSPECIFIED, tierv1.DiskState_DISK_SOUND:
 		return ""
@@ -148,7 +148,7 @@
 	}
 }
 
-// roleIn returns the role of a process by the newest record that it knows.
+// roleIn returns the role of a process by the newest view that it knows.
 func roleIn(status *tierv1.StatusReply) string {
 	switch {
 	case status.Primary:
@@ -173,7 +173,7 @@
 	fmt.Fprintf(out, "  losses borne\tcontrol state %s of %d (%d members%s)\tpartitions %d of %d\n",
 		control, risk.Losses, risk.ControlMembers, changing, risk.PartitionsBorne, risk.Losses)
 	if risk.ControlBorne < int32(risk.Losses) {
-		fmt.Fprintf(out, "  at risk\tcontrol state: %d copies beside the primary's, absent members: %s\n", risk.ControlCopies, listed(risk.ControlAbsent))
+		fmt.Fprintf(out, "  at risk\tcontrol state: %d copies beside the primary's, absent members: %s\n", risk.ControlCopies, joinNames(risk.ControlAbsent))
 	}
 	if risk.Partitions > 0 {
 		until := time.Duration(risk.PartitionsUntilMs) * time.Millisecond
@@ -185,8 +185,8 @@
 	}
 }
 
-// listed joins names, or returns none.
-func listed(names []string) string {
+// joinNames joins names, or returns "none".
+func joinNames(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
--- a/internal/tier/cli/roles.go
+++ b/internal/tier/cli/roles.go
@@ -34,6 +34,6 @@
 	if err != nil {
 		return err
 	}
-	context.AfterFunc(terminated, started.Leave)
+	context.AfterFunc(terminated, started.Shutdown)
 	return started.Wait()
 }
--- a/internal/tier/cli/simulate.go
+++ b/internal/tier/cli/simulate.go
@@ -23,10 +23,10 @@
 // progressEvery is how often the simulator prints its progress.
 const progressEvery = 2 * time.Second
 
-// workerEnd is how long a worker may take to end after SIGTERM.
-const workerEnd = 20 * time.Second
+// workerGracePeriod is how long a worker may take to end after SIGTERM.
+const workerGracePeriod = 20 * time.Second
 
-// simulateCmd plays the tier in the simulator.
+// simulateCmd runs the simulator.
 type simulateCmd struct {
 	Seeds  int64    `help:"Seeds to play." default:"100" placeholder:"N"`
 	From   int64    `help:"First seed." default:"0" placeholder:"S"`
@@ -40,12 +40,12 @@
 	Out    string   `help:"Folder for failing scripts and their traces." type:"path" placeholder:"DIR"`
 }
 
-// check returns all that is wrong with the flags, or nil.
+// check returns all findings on the flags, or nil.
 func (command simulateCmd) check() error {
 	var found []error
 	below := func(name string, value, minimum int64) {
 		if value < minimum {
-			found = append(found, fmt.Errorf("--%s is %d, below %d", name, value, minimum))
+			found = append(found, flagError{name, fmt.Sprintf(" is %d, below %d", value, minimum)})
 		}
 	}
 	below("seeds", command.Seeds, 1)
@@ -56,13 +56,13 @@
 	known := simulation.Kinds()
 	for _, name := range command.Fault {
 		if !slices.Contains(known, simulation.Kind(name)) {
-			found = append(found, fmt.Errorf("--fault: %q is none of %v", name, known))
+			found = append(found, flagError{"fault", fmt.Sprintf(": %q is none of %v", name, known)})
 		}
 	}
 	rules := simulation.Rules()
 	for _, name := range command.Ignore {
 		if !slices.Contains(rules, simulation.Rule(name)) {
-			found = append(found, fmt.Errorf("--ignore: %q is none of %v", name, rules))
+			found = append(found, flagError{"ignore", fmt.Sprintf(": %q is none of %v", name, rules)})
 		}
 	}
 	return errors.Join(found...)
@@ -121,10 +121,10 @@
 	fmt.Printf("%d seeds played, %d failed, in %.1f s: %.0f seeds a minute, %.0f simulated hours an hour, %d calls, %d orders, %d turns\n",
 		total.Played, total.Failed, total.Real.Seconds(), float64(total.Played)/total.Real.Minutes(), total.Virtual.Seconds()/total.Real.Seconds(), total.Messages, total.Orders, total.Turns)
 	if total.Failed > 0 {
-		return fmt.Errorf("%d of %d seeds failed", total.Failed, total.Played)
+		return seedsFailedError{failed: total.Failed, played: total.Played}
 	}
 	if ctx.Err() != nil {
-		return errors.New("interrupted")
+		return errInterrupted
 	}
 	return err
 }
@@ -144,7 +144,7 @@
 	}
 	worker := exec.CommandContext(ctx, self, arguments...)
 	worker.Cancel = func() error { return worker.Process.Signal(syscall.SIGTERM) } // it ends the plays under way, and reports its total
-	worker.WaitDelay = workerEnd
+	worker.WaitDelay = workerGracePeriod
 	return worker
 }
 
@@ -194,5 +194,5 @@
 		fmt.Printf("played %d times, and no promise was broken\n", command.Times)
 		return nil
 	}
-	return errors.New(reason(failure))
+	return replayError{reason(failure)}
 }
--- a/internal/tier/controlplane/metrics.go
+++ b/internal/tier/controlplane/metrics.go
@@ -14,7 +14,7 @@
 	figures := metrics.ControlPlane{Epoch: record.GetEpoch(), Members: len(record.GetMembers()), Disk: tierv1.DiskState_DISK_SOUND}
 	if store, knows := plane.Store.(healthStore); knows {
 		health := store.Health()
-		figures.Lease, figures.Disk = health.Lease, diskState(health.Disk)
+		figures.LeaseRemaining, figures.Disk = health.Lease, diskState(health.Disk)
 	}
 	if state, primary := plane.primary(); primary {
 		figures.Primary = plane.primaryMetrics(time.Now(), state)
@@ -38,9 +38,9 @@
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
 	risk := plane.riskReport(now, state.partitionMap)
-	figures := &metrics.Primary{Revision: state.changes.current, PartitionsAtRisk: int(risk.Partitions), Losses: int(risk.Losses),
-		PartitionsBear: int(risk.PartitionsBorne), ControlBears: int(risk.ControlBorne),
-		Until: time.Duration(risk.PartitionsUntilMs) * time.Millisecond}
+	figures := &metrics.Primary{Revision: state.changes.current, PartitionsAtRisk: int(risk.Partitions), LossesToTolerate: int(risk.Losses),
+		PartitionLossesTolerated: int(risk.PartitionsBorne), ControlLossesTolerated: int(risk.ControlBorne),
+		UntilTolerated: time.Duration(risk.PartitionsUntilMs) * time.Millisecond}
 	for _, s := range plane.sessions.byKey {
 		switch {
 		case !plane.sessions.active(now, s):
@@ -49,7 +49,7 @@
 		case s.role == roleTurnStore:
 			figures.TurnStores++
 			if !diskUsable(s.disk) {
-				figures.UnsoundStores++
+				figures.UnhealthyStores++
 			}
 		}
 	}
--- a/internal/tier/controlplane/metrics_test.go
+++ b/internal/tier/controlplane/metrics_test.go
@@ -29,22 +29,22 @@
 		assert.Equal(t, figures.Disk, tierv1.DiskState_DISK_SOUND)
 		assert.Equal(t, figures.Primary.Gateways, 2)
 		assert.Equal(t, figures.Primary.TurnStores, 2)
-		assert.Equal(t, figures.Primary.UnsoundStores, 0)
+		assert.Equal(t, figures.Primary.UnhealthyStores, 0)
 		assert.Equal(t, figures.Primary.PartitionsAtRisk, 0)
-		assert.Equal(t, figures.Primary.Losses, 1)
-		assert.Equal(t, figures.Primary.PartitionsBear, 1)
-		assert.Equal(t, figures.Primary.Until, time.Duration(0))
+		assert.Equal(t, figures.Primary.LossesToTolerate, 1)
+		assert.Equal(t, figures.Primary.PartitionLossesTolerated, 1)
+		assert.Equal(t, figures.Primary.UntilTolerated, time.Duration(0))
 
 		stores["v1"].setDisk(tierv1.DiskState_DISK_FULL) // nobody else can take its copies
 		r.advance(time.Second)
 		risk := r.plane.Metrics().Primary
 		assert.Equal(t, risk.TurnStores, 2)
-		assert.Equal(t, risk.UnsoundStores, 1)
+		assert.Equal(t, risk.UnhealthyStores, 1)
 		assert.Equal(t, risk.PartitionsAtRisk, partitionCount)
-		assert.Equal(t, risk.PartitionsBear, 0)
-		assert.Assert(t, risk.Until > 2*time.Second && risk.Until <= set.SyncTime, "%v", risk.Until)
+		assert.Equal(t, risk.PartitionLossesTolerated, 0)
+		assert.Assert(t, risk.UntilTolerated > 2*time.Second && risk.UntilTolerated <= set.SyncTime, "%v", risk.UntilTolerated)
 		r.advance(5 * time.Second)
-		assert.Assert(t, r.plane.Metrics().Primary.Until < 0) // overdue
+		assert.Assert(t, r.plane.Metrics().Primary.UntilTolerated < 0) // overdue
 
 		stores["v2"].stop()
 		r.advance(time.Second)
--- a/internal/tier/gateway/account_test.go
+++ b/internal/tier/gateway/account_test.go
@@ -23,13 +23,13 @@
 			e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 			r := startGateway(t, e)
 			assert.Equal(t, r.do(turnWithBudget(routes[0], "t-1", 10, 11)).Status, 402)
-			assert.Equal(t, len(e.Arrivals()), 0)
+			assert.Equal(t, len(e.Requests()), 0)
 			assertAnswer(t, r.do(turnWithBudget(routes[0], "t-2", 10, 10)), 200, events(said("t-2")...)) // two events: 2 tokens
 			assert.Equal(t, r.do(turnWithBudget(routes[1], "t-3", 10, 9)).Status, 402)
 			assert.Equal(t, r.do(turnWithBudget(routes[1], "t-4", 10, 8)).Status, 200) // exactly the room that is left
 			assert.Equal(t, r.do(turnWithBudget(routes[0], "t-5", 10, 7)).Status, 402)
 			assert.Equal(t, r.do(turnWithBudget(routes[0], "t-6", 10, 6)).Status, 200)
-			assert.Equal(t, len(e.Arrivals()), 3)
+			assert.Equal(t, len(e.Requests()), 3)
 		})
 	}
 }
@@ -37,35 +37,37 @@
 // What the client has of a turn that is not kept is charged before it hears the end, or hears that there is none.
 func TestBudget_TurnNotPersistedIsChargedForEventsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
-		script func(*tiertest.Arrival, <-chan struct{})
+		script func(*tiertest.ReceivedRequest, <-chan struct{})
 		charge int
 	}{
-		"refused":            {func(a *tiertest.Arrival, _ <-chan struct{}) { a.Bare(503, "X-Not-Executed: full\r\n") }, 0},
-		"before an event":    {func(a *tiertest.Arrival, _ <-chan struct{}) { a.Reset() }, 0},
-		"after three events": {func(a *tiertest.Arrival, read <-chan struct{}) { say(a, 3); <-read; a.Reset() }, 3},
+		"refused": {func(a *tiertest.ReceivedRequest, _ <-chan struct{}) {
+			a.RespondUnsigned(503, "X-Not-Executed: full\r\n")
+		}, 0},
+		"before an event":    {func(a *tiertest.ReceivedRequest, _ <-chan struct{}) { a.Reset() }, 0},
+		"after three events": {func(a *tiertest.ReceivedRequest, read <-chan struct{}) { say(a, 3); <-read; a.Reset() }, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
-			e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { c.script(a, read) })
+			e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) { c.script(a, read) })
 			r := startGateway(t, e)
 			ends := settled(r.turnStores.List[0])
 			client := tiertest.Connect(t, r.ingress)
 			client.Send(turnWithBudget("/stream/x", "t-1", 100, 60))
 			if c.charge > 0 {
-				head := client.Head()
+				head := client.ReadHead()
 				for range c.charge {
-					client.Event(head.Body)
+					client.ReadEvent(head.Body)
 				}
 				close(read)
 				_, err := io.ReadAll(head.Body)
 				assert.Assert(t, err != nil)
 			} else {
-				assert.Assert(t, client.Whole().Status >= 500)
+				assert.Assert(t, client.ReadReply().Status >= 500)
 			}
-			got := tiertest.Closed(t, "the reservation ends", ends)
+			got := tiertest.WaitFor(t, "the reservation ends", ends)
 			assert.Equal(t, got.Kept, false)
 			assert.Equal(t, got.Tokens, uint64(c.charge))
-			e.SetScript(talk)
+			e.SetHandler(talk)
 			assert.Equal(t, r.do(turnWithBudget("/stream/x", "t-2", 100, 101-c.charge)).Status, 402)
 			assert.Equal(t, r.do(turnWithBudget("/stream/x", "t-3", 100, 100-c.charge)).Status, 200)
 		})
@@ -78,8 +80,8 @@
 	r := startGateway(t, e)
 	got := r.do(tiertest.Post("/stream/x", "t-1", "Program: p\r\nPrevious: t-none\r\nBudget: 10\r\nX-Token-Usage: 5,9\r\n", "in"))
 	assertAnswer(t, got, 200, events(said("t-1")...))
-	assert.Equal(t, e.Arrivals()[0].Text, "in")
-	assert.Equal(t, e.Arrivals()[0].Header.Get("Previous"), "t-none")
+	assert.Equal(t, e.Requests()[0].BodyText, "in")
+	assert.Equal(t, e.Requests()[0].Header.Get("Previous"), "t-none")
 	assert.Equal(t, r.do(tiertest.Post("/turn/x", "t-2", "Program: p\r\nPrevious: t-1\r\nBudget: 10\r\nX-Token-Usage: 5,2\r\n", "in")).Status, 404)
 }
 
@@ -87,9 +89,9 @@
 func TestBudget_TurnNotPersistedNeedsTurnStore(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := startGateway(t, e)
-	r.turnStores.List[0].SetVia(func(tiertest.Message) error { return tiertest.ErrNet })
+	r.turnStores.List[0].SetInterceptor(func(tiertest.RPC) error { return tiertest.ErrMessageLost })
 	assertNotExecuted(t, r.do(tiertest.Post("/stream/x", "t-1", "Program: p\r\nX-Deadline-Ms: 600\r\nBudget: 10\r\nX-Token-Usage: 5,9\r\n", "in")))
-	assert.Equal(t, len(e.Arrivals()), 0)
+	assert.Equal(t, len(e.Requests()), 0)
 	assertAnswer(t, r.do(tiertest.Post("/stream/x", "t-2", "Program: p\r\n", "in")), 200, events(said("t-2")...)) // no budget: nobody is asked
 }
 
@@ -98,7 +100,7 @@
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := startGateway(t, e)
 	let := make(chan struct{})
-	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
+	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
 		if m.Method == "Settle" {
 			select {
 			case <-let:
@@ -118,7 +120,7 @@
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	first, second := startTwoGateways(t, e)
 	blocked, begun := make(chan struct{}), make(chan struct{})
-	e.SetScript(func(a *tiertest.Arrival) {
+	e.SetHandler(func(a *tiertest.ReceivedRequest) {
 		if a.Order == 0 {
 			close(begun)
 			<-blocked
@@ -127,10 +129,10 @@
 	})
 	c := tiertest.Connect(t, first.ingress)
 	c.Send(turnWithBudget("/resumable/x", "t-1", 12, 10))
-	tiertest.Closed(t, "it runs", begun)
+	tiertest.WaitFor(t, "it runs", begun)
 	assert.Equal(t, second.do(turnWithBudget("/resumable/x", "t-1", 12, 10)).Status, 200)
 	close(blocked)
-	assertAnswer(t, c.Whole(), 200, events(said("t-1")...))
+	assertAnswer(t, c.ReadReply(), 200, events(said("t-1")...))
 	reply, err := first.turnStores.List[0].Begin(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t-2", Limited: true, Budget: 12, Most: 10})
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Verdict, tierv1.Verdict_OK)
--- a/internal/tier/gateway/again_test.go
+++ b/internal/tier/gateway/again_test.go
@@ -15,13 +15,13 @@
 // What a try reserved that has not run, or was broken off, is free again when its client hears of it: a 402 at the next try
 // would end its program.
 func TestRelease_NextAttemptFindsBudgetFree(t *testing.T) {
-	for name, fails := range map[string]func(*tiertest.Arrival){
-		"refused":         func(a *tiertest.Arrival) { a.Bare(503, "X-Not-Executed: full\r\n") },
-		"before an event": (*tiertest.Arrival).Reset,
-		"broken off":      func(a *tiertest.Arrival) { say(a, 1); a.Reset() },
+	for name, fails := range map[string]func(*tiertest.ReceivedRequest){
+		"refused":         func(a *tiertest.ReceivedRequest) { a.RespondUnsigned(503, "X-Not-Executed: full\r\n") },
+		"before an event": (*tiertest.ReceivedRequest).Reset,
+		"broken off":      func(a *tiertest.ReceivedRequest) { say(a, 1); a.Reset() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
+			e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
 				if a.Header.Get("X-Try") == "0" {
 					fails(a)
 					return
@@ -48,17 +48,17 @@
 
 // A 402 waits for every reservation of the program that is being given up here, not for the newest alone.
 func TestRelease_SpentBudgetWaitsForAllReleases(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-		if strings.HasPrefix(a.ID, "t-3") {
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
+		if strings.HasPrefix(a.AttemptID, "t-3") {
 			talk(a)
 			return
 		}
-		a.Bare(503, "X-Not-Executed: full\r\n")
+		a.RespondUnsigned(503, "X-Not-Executed: full\r\n")
 	})
 	r := startGateway(t, e)
 	begun := make(chan struct{})
 	var once sync.Once
-	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
+	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
 		switch q := m.Request.(type) {
 		case *tierv1.SettleRequest:
 			if q.Attempt == "t-1" { // held until the third turn has been looked at
--- a/internal/tier/gateway/avoid_test.go
+++ b/internal/tier/gateway/avoid_test.go
@@ -17,14 +17,14 @@
 	first, second := startTwoGateways(t, a, b)
 	assertAnswer(t, first.do(turnRequest("t-1", "", "p", "", "in;")), 200, events(said("t-1")...))
 	home, other := a, b
-	if len(b.Arrivals()) > 0 {
+	if len(b.Requests()) > 0 {
 		home, other = b, a
 	}
-	home.SetScript(resetOf("t-2"))
+	home.SetHandler(resetOf("t-2"))
 	assert.Equal(t, first.do(turnRequest("t-2", "t-1", "p", "", "in;")).Status, 502)
 	for i, r := range []*harness{second, first} {
 		assertAnswer(t, r.do(turnRequest(fmt.Sprint("t-2-", i), "t-1", "p", "", "in;")), 200, events(said(fmt.Sprint("t-2-", i))...))
 	}
-	assert.Equal(t, len(home.Arrivals()), 2)
-	assert.Equal(t, len(other.Arrivals()), 2)
+	assert.Equal(t, len(home.Requests()), 2)
+	assert.Equal(t, len(other.Requests()), 2)
 }
--- a/internal/tier/gateway/client_wire_test.go
+++ b/internal/tier/gateway/client_wire_test.go
@@ -16,7 +16,7 @@
 // wireCase is a request, and the name of the golden file with the bytes that its client reads until the connection is closed.
 type wireCase struct {
 	name     string
-	endpoint func(*tiertest.Arrival) // nil: none is listed
+	endpoint func(*tiertest.ReceivedRequest) // nil: none is listed
 	request  string
 }
 
@@ -56,26 +56,26 @@
 // The golden files are what the program answered as of commit eea23b3, before the renaming of its types. Clients' wire is not to
 // change: they are not to be written anew.
 func TestClientWire_IsThatOfEarlierVersion(t *testing.T) {
-	one := func(a *tiertest.Arrival) { a.Head(); a.Event(1, "one"); a.End() }
-	silent := (*tiertest.Arrival).Gone
-	refuses := func(a *tiertest.Arrival) {
-		a.Bare(503, "X-Not-Executed: full\r\nRetry-After: 0.5\r\n")
+	one := func(a *tiertest.ReceivedRequest) { a.WriteStreamHead(); a.WriteEvent(1, "one"); a.EndStream() }
+	silent := (*tiertest.ReceivedRequest).AwaitClose
+	refuses := func(a *tiertest.ReceivedRequest) {
+		a.RespondUnsigned(503, "X-Not-Executed: full\r\nRetry-After: 0.5\r\n")
 	}
 	program := "Program: p\r\n"
 	for _, c := range []wireCase{
 		{"answer", echo("s"), closing("/plain/x", "a-1", "", "b")},
 		{"answer-not-idempotent", echo("s"), closing("/once/x", "a-1", "", "b")},
-		{"answer-empty", func(a *tiertest.Arrival) { a.Answer(204, "", "") }, closing("/plain/x", "a-1", "", "b")},
-		{"answer-status-and-fields-of-endpoint", func(a *tiertest.Arrival) {
-			a.Answer(418, "X-Own: kept\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Type: text/tea\r\n", "a teapot")
+		{"answer-empty", func(a *tiertest.ReceivedRequest) { a.Respond(204, "", "") }, closing("/plain/x", "a-1", "", "b")},
+		{"answer-status-and-fields-of-endpoint", func(a *tiertest.ReceivedRequest) {
+			a.Respond(418, "X-Own: kept\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Type: text/tea\r\n", "a teapot")
 		}, closing("/once/x", "a-1", "", "b")},
 		{"stream", one, closing("/stream/x", "a-1", "", "b")},
-		{"stream-without-events", func(a *tiertest.Arrival) { a.Stream() }, closing("/stream/x", "a-1", "", "b")},
+		{"stream-without-events", func(a *tiertest.ReceivedRequest) { a.WriteStream() }, closing("/stream/x", "a-1", "", "b")},
 		{"stream-resumable", one, closing("/resumable/x", "a-1", "", "b")},
 		{"stream-not-persisted-with-budget", one, closing("/stream/x", "a-1", program+"Budget: 9\r\nX-Token-Usage: 1,2\r\n", "b")},
 		{"turn", one, closing("/turn/x", "a-1", program, "b")},
 		{"turn-with-budget", one, closing("/turn/x", "a-1", program+"Budget: 9\r\nX-Token-Usage: 1,2\r\n", "b")},
-		{"turn-after-last-event-id", func(a *tiertest.Arrival) { a.Stream("one", "two") }, closing("/kept/x", "a-1", program+"Last-Event-Id: 1\r\n", "b")},
+		{"turn-after-last-event-id", func(a *tiertest.ReceivedRequest) { a.WriteStream("one", "two") }, closing("/kept/x", "a-1", program+"Last-Event-Id: 1\r\n", "b")},
 		{"rejected-no-route", echo("s"), closing("/none/x", "a-1", "", "b")},
 		{"rejected-no-attempt-id", echo("s"), closing("/plain/x", "", "", "b")},
 		{"rejected-deadline-no-number", echo("s"), closing("/plain/x", "a-1", "X-Deadline-Ms: soon\r\n", "b")},
@@ -89,8 +89,8 @@
 		{"rejected-not-executed-turn", refuses, closing("/turn/x", "a-1", program, "b")},
 		{"rejected-no-endpoint", nil, closing("/plain/x", "a-1", "X-Deadline-Ms: 100\r\n", "b")},
 		{"rejected-no-endpoint-turn", nil, closing("/turn/x", "a-1", "X-Deadline-Ms: 100\r\n"+program, "b")},
-		{"failed-endpoint-reset", (*tiertest.Arrival).Reset, closing("/once/x", "a-1", "", "b")},
-		{"failed-endpoint-reset-turn", (*tiertest.Arrival).Reset, closing("/turn/x", "a-1", program, "b")},
+		{"failed-endpoint-reset", (*tiertest.ReceivedRequest).Reset, closing("/once/x", "a-1", "", "b")},
+		{"failed-endpoint-reset-turn", (*tiertest.ReceivedRequest).Reset, closing("/turn/x", "a-1", program, "b")},
 		{"failed-deadline-exceeded", silent, closing("/once/x", "a-1", "X-Deadline-Ms: 100\r\n", "b")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -112,13 +112,13 @@
 func TestClientWire_EventFramingIsThatOfEarlierVersion(t *testing.T) {
 	for _, target := range []string{"/stream/x", "/resumable/x", "/turn/x"} {
 		further := make(chan struct{})
-		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-			a.Head()
+		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
+			a.WriteStreamHead()
 			for i, data := range []string{"one", "two", "three"} {
-				a.Event(i+1, data)
+				a.WriteEvent(i+1, data)
 				<-further
 			}
-			a.End()
+			a.EndStream()
 		})
 		r := startGateway(t, e)
 		client := tiertest.Connect(t, r.ingress)
@@ -138,11 +138,11 @@
 func TestClientWire_BrokenStreamIsThatOfEarlierVersion(t *testing.T) {
 	for _, target := range []string{"/stream/x", "/turn/x"} {
 		read := make(chan struct{})
-		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-			a.Head()
-			a.Event(1, "one")
+		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
+			a.WriteStreamHead()
+			a.WriteEvent(1, "one")
 			<-read
-			a.Say("14\r\nid: 2\ndata: ha")
+			a.WriteText("14\r\nid: 2\ndata: ha")
 			a.Close()
 		})
 		r := startGateway(t, e)
--- a/internal/tier/gateway/counters.go
+++ b/internal/tier/gateway/counters.go
@@ -112,13 +112,13 @@
 			name = upstream.Outcome(end).String()
 		}
 		if count := counters.attempts[end].Load(); count > 0 {
-			totals.Runs = append(totals.Runs, metrics.RunTotal{End: name, Count: count})
+			totals.Attempts = append(totals.Attempts, metrics.AttemptTotal{Outcome: name, Count: count})
 		}
 	}
 	totals.Resumed = counters.resumed.Load()
-	totals.First = metrics.Histogram{Bounds: timeToFirstBounds, Sum: time.Duration(counters.timeToFirstSum.Load())}
+	totals.FirstEvent = metrics.Histogram{Bounds: timeToFirstBounds, Sum: time.Duration(counters.timeToFirstSum.Load())}
 	for i := range counters.timeToFirst {
-		totals.First.Counts = append(totals.First.Counts, counters.timeToFirst[i].Load())
+		totals.FirstEvent.Counts = append(totals.FirstEvent.Counts, counters.timeToFirst[i].Load())
 	}
 	return totals
 }
--- a/internal/tier/gateway/ejections_test.go
+++ b/internal/tier/gateway/ejections_test.go
@@ -13,7 +13,7 @@
 // What one gateway ejects by itself it reports, and what it is told of by the control plane it ejects without having sent
 // anything there.
 func TestEjections_SharedByGateways(t *testing.T) {
-	bad := tiertest.NewEndpoint(t, "i-bad", "s", (*tiertest.Arrival).Reset)
+	bad := tiertest.NewEndpoint(t, "i-bad", "s", (*tiertest.ReceivedRequest).Reset)
 	good := tiertest.NewEndpoint(t, "i-good", "s", echo("good"))
 	first, second := startTwoGateways(t, bad)
 	first.consensus.Await(t, "ejections are taken", func(r *tierv1.WatchRequest) bool { return r.AcceptsEjections })
@@ -21,15 +21,15 @@
 		assert.Equal(t, first.post("/once/x", fmt.Sprint("a-", i), "", "b").Status, 502)
 	}
 	first.consensus.Await(t, "what the first one reported is told", func(r *tierv1.WatchRequest) bool { return r.EjectionsVersion > 0 })
-	first.consensus.Change(func(v *tierv1.WatchReply) { assert.Equal(t, v.Ejections.List[0].Instance, "i-bad") })
+	first.consensus.Update(func(v *tierv1.WatchReply) { assert.Equal(t, v.Ejections.List[0].Instance, "i-bad") })
 	second.listEndpoints(bad, good)
-	second.consensus.Taken(t)
-	second.consensus.Change(func(v *tierv1.WatchReply) {
+	second.consensus.AwaitAcknowledged(t)
+	second.consensus.Update(func(v *tierv1.WatchReply) {
 		v.Ejections = &tierv1.Ejections{Version: 7, List: []*tierv1.Ejection{{Instance: "i-bad", Version: 7}}}
 	})
 	second.consensus.Await(t, "the second one has taken it", func(r *tierv1.WatchRequest) bool { return r.EjectionsVersion == 7 })
-	before := len(bad.Arrivals())
+	before := len(bad.Requests())
 	assertAnswer(t, second.post("/once/x", "b-1", "", "b"), 200, "good:b") // a request that can't be repeated is no probe for a while
 	assertAnswer(t, second.post("/once/x", "b-2", "", "b"), 200, "good:b")
-	assert.Equal(t, len(bad.Arrivals()), before)
+	assert.Equal(t, len(bad.Requests()), before)
 }
--- a/internal/tier/gateway/gone_test.go
+++ b/internal/tier/gateway/gone_test.go
@@ -36,7 +36,7 @@
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := startGateway(t, e)
 	asked, ended, settled := make(chan struct{}, 100), make(chan time.Time, 100), make(chan *tierv1.SettleRequest, 100)
-	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
+	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
 		switch q := m.Request.(type) {
 		case *tierv1.BeginRequest:
 			if err := m.Serve(); err != nil {
@@ -55,15 +55,15 @@
 		id := fmt.Sprintf("t-%d", try)
 		c := tiertest.Connect(t, r.ingress)
 		c.Send(turnRequest(id, "", "p", "", "in"))
-		tiertest.Closed(t, "the turn store is asked", asked)
+		tiertest.WaitFor(t, "the turn store is asked", asked)
 		left := time.Now()
 		c.Conn.Close()
-		took := tiertest.Closed(t, "the question ends", ended).Sub(left)
-		got := tiertest.Closed(t, "the reservation is released", settled)
+		took := tiertest.WaitFor(t, "the question ends", ended).Sub(left)
+		got := tiertest.WaitFor(t, "the reservation is released", settled)
 		assert.Assert(t, got.Attempt == id && !got.Kept && got.Tokens == 0)
 		return took
 	})
-	assert.Equal(t, len(e.Arrivals()), 0)
+	assert.Equal(t, len(e.Requests()), 0)
 }
 
 // TestWorkEndsWithItsClient: the endpoint's connection ends soon after the client's, before and after its first piece,
@@ -75,26 +75,26 @@
 				t.Run(fmt.Sprint(target, begun, reset), func(t *testing.T) {
 					t.Parallel()
 					at, gone := make(chan struct{}, 1), make(chan time.Time, 1)
-					e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
+					e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
 						if begun {
 							say(a, 1)
 						}
 						at <- struct{}{}
-						a.Gone()
+						a.AwaitClose()
 						gone <- time.Now()
 					})
 					r := startGateway(t, e)
 					retryTimingTest(t, func(try int) time.Duration {
 						c := tiertest.Connect(t, r.ingress)
 						c.Send(tiertest.Post(target, fmt.Sprintf("a-%d", try), "", "b"))
-						tiertest.Closed(t, "the request arrives", at)
+						tiertest.WaitFor(t, "the request arrives", at)
 						if reset {
 							c.Conn.(*net.TCPConn).SetLinger(0)
 						}
 						left := time.Now()
 						c.Conn.Close()
-						took := tiertest.Closed(t, "the endpoint's connection ends", gone).Sub(left)
-						assert.Equal(t, len(e.Arrivals()), try+1, "it was sent again")
+						took := tiertest.WaitFor(t, "the endpoint's connection ends", gone).Sub(left)
+						assert.Equal(t, len(e.Requests()), try+1, "it was sent again")
 						return took
 					})
 				})
@@ -105,7 +105,7 @@
 
 // TestDeadlinesFall: what an endpoint is told is never more than what is left, and less at a later send.
 func TestAttempts_DeadlineShrinks(t *testing.T) {
-	a, b := twoEndpoints(t, func(x *tiertest.Arrival) { x.Reset() })
+	a, b := twoEndpoints(t, func(x *tiertest.ReceivedRequest) { x.Reset() })
 	r := startGateway(t, a, b)
 	const own = 3000
 	for i := range 20 {
@@ -113,15 +113,15 @@
 		got := r.post("/plain/x", fmt.Sprintf("a-%d", i), fmt.Sprintf("X-Deadline-Ms: %d\r\n", own), "b")
 		assertAnswer(t, got, 200, "second")
 		took := time.Since(began)
-		for _, x := range append(a.Arrivals(), b.Arrivals()...) {
-			if x.ID == fmt.Sprintf("a-%d", i) {
+		for _, x := range append(a.Requests(), b.Requests()...) {
+			if x.AttemptID == fmt.Sprintf("a-%d", i) {
 				ms, err := strconv.Atoi(x.Header.Get("X-Deadline-Ms"))
 				assert.NilError(t, err)
 				assert.Assert(t, ms > 0 && ms <= own && ms >= own-int(took.Milliseconds())-1, "%d of %d after at most %v", ms, own, took)
 			}
 		}
 	}
-	assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 21)
+	assert.Equal(t, len(a.Requests())+len(b.Requests()), 21)
 }
 
 // TestASpentBudgetIsNoWordWhileAReservationIsReleased: while a reservation of the program is being released here and its turn
@@ -129,7 +129,7 @@
 func TestRelease_SpentBudgetIsNotFinalWhileReleasing(t *testing.T) {
 	e := tiertest.NewEndpoint(t, "i-1", "s", resetOf("t-1"))
 	r := startGateway(t, e)
-	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
+	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
 		if q, ok := m.Request.(*tierv1.SettleRequest); ok && q.Attempt == "t-1" {
 			<-m.Ctx.Done() // it never gets there
 			return m.Ctx.Err()
@@ -141,7 +141,7 @@
 	}
 	assert.Equal(t, ask("t-1").Status, 502)
 	assertNotExecuted(t, ask("t-2"))
-	assert.Equal(t, len(e.Arrivals()), 1)
+	assert.Equal(t, len(e.Requests()), 1)
 }
 
 // TestAnAttemptRunsOnce: the id of a turn that has been settled, kept or not, is never run once more, whatever comes with it.
@@ -153,17 +153,17 @@
 	for _, id := range []string{"t-1", "t-2"} {
 		assertNotExecuted(t, r.do(turnRequest(id, "", "p", "X-Deadline-Ms: 500\r\n", "in")))
 	}
-	assert.Equal(t, len(e.Arrivals()), 2)
+	assert.Equal(t, len(e.Requests()), 2)
 }
 
 // TestATurnTriedAgainThroughAnotherGateway: while a turn may still run, its budget holds against the next try at another
 // gateway; once its client has left, that gateway's release makes room for it, less what was handed out, and its own id never
 // runs once more anywhere.
 func TestTurn_RetriedThroughAnotherGateway(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-		if a.ID == "t-1" {
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
+		if a.AttemptID == "t-1" {
 			say(a, 1)
-			a.Gone()
+			a.AwaitClose()
 			return
 		}
 		talk(a)
@@ -175,31 +175,31 @@
 	}
 	c := tiertest.Connect(t, first.ingress)
 	c.Send(text("t-1", 20))
-	c.Event(c.Head().Body)
+	c.ReadEvent(c.ReadHead().Body)
 	assert.Equal(t, second.do(text("t-2", 1)).Status, 402)
 	c.Conn.Close()
-	got := tiertest.Closed(t, "the reservation ends", ends)
+	got := tiertest.WaitFor(t, "the reservation ends", ends)
 	assert.Assert(t, got.Attempt == "t-1" && got.Tokens == 1 && !got.Kept)
 	assert.Equal(t, second.do(text("t-3", 20)).Status, 402)
 	assertAnswer(t, second.do(text("t-4", 19)), 200, events(said("t-4")...))
 	for _, r := range []*harness{first, second} {
 		assertNotExecuted(t, r.do(turnRequest("t-1", "", "p", "X-Deadline-Ms: 500\r\n", "in")))
 	}
-	assert.Equal(t, len(e.Arrivals()), 2)
+	assert.Equal(t, len(e.Requests()), 2)
 }
 
 // TestASpentBudgetIsNoWordWhileAnotherGatewayReleases: a turn was refused at the first gateway while its turn store was away.
 // Until its release has come to the next primary the second gateway says 503; then there is room.
 func TestRelease_SpentBudgetIsNotFinalWhileAnotherGatewayReleases(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-		if a.ID == "t-1" {
-			a.Bare(503, "X-Not-Executed: full\r\n")
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
+		if a.AttemptID == "t-1" {
+			a.RespondUnsigned(503, "X-Not-Executed: full\r\n")
 			return
 		}
 		talk(a)
 	})
 	first, second := startTwoGateways(t, e)
-	first.turnStores.List[0].SetVia(func(m tiertest.Message) error {
+	first.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
 		if _, ok := m.Request.(*tierv1.SettleRequest); ok { // it is away from then on
 			<-m.Ctx.Done()
 			return m.Ctx.Err()
@@ -216,10 +216,10 @@
 	assert.Equal(t, second.do(text("t-3", 21)).Status, 402) // there will be no room for it
 	ends := settled(first.turnStores.List[1])
 	first.consensus.SetPartitionMap(where)
-	for tiertest.Closed(t, "the reservation ends", ends).Attempt != "t-1" {
+	for tiertest.WaitFor(t, "the reservation ends", ends).Attempt != "t-1" {
 	}
 	assertAnswer(t, second.do(text("t-4", 20)), 200, events(said("t-4")...))
-	for _, a := range e.Arrivals() {
-		assert.Assert(t, a.ID == "t-1" || a.ID == "t-4", "%s has run", a.ID)
+	for _, a := range e.Requests() {
+		assert.Assert(t, a.AttemptID == "t-1" || a.AttemptID == "t-4", "%s has run", a.AttemptID)
 	}
 }
--- a/internal/tier/gateway/late_test.go
+++ b/internal/tier/gateway/late_test.go
@@ -17,13 +17,13 @@
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	r := startGateway(t, e)
 	released := make(chan *tierv1.SettleRequest, 1)
-	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
+	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
 		q, ok := m.Request.(*tierv1.SettleRequest)
 		if !ok {
 			return m.Serve()
 		}
 		if q.Attempt == "t-1" && q.Kept {
-			return tiertest.ErrNet
+			return tiertest.ErrMessageLost
 		}
 		err := m.Serve()
 		if err == nil && q.Attempt == "t-1" {
@@ -34,7 +34,7 @@
 	const budget = "Budget: 10\r\nX-Token-Usage: 5,%d\r\n"
 	got := r.do(turnRequest("t-1", "", "p", "X-Deadline-Ms: 700\r\n"+fmt.Sprintf(budget, 9), "in"))
 	assert.Assert(t, got.Err != nil, "looks complete: %+v", got)
-	settlement := tiertest.Closed(t, "the reservation is released", released)
+	settlement := tiertest.WaitFor(t, "the reservation is released", released)
 	assert.Equal(t, settlement.Tokens, uint64(2))
 	assert.Equal(t, r.do(turnRequest("t-2", "", "p", fmt.Sprintf(budget, 9), "in")).Status, 402)
 	assert.Equal(t, r.do(turnRequest("t-3", "", "p", fmt.Sprintf(budget, 8), "in")).Status, 200)
@@ -42,13 +42,13 @@
 
 // A stream that lasts longer than its time has its end soon after, though no turn store takes its release.
 func TestTurn_OverdueEndsThoughReleaseIsDelayed(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { say(a, 1); a.Gone() })
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) { say(a, 1); a.AwaitClose() })
 	r := startUnconfigured(t, func(s *settings.Settings) { s.ContactWindow = time.Minute })
 	r.consensus.SetConfiguration(configurationOf(1, ""))
 	r.listEndpoints(e)
 	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
-	r.consensus.Taken(t)
-	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
+	r.consensus.AwaitAcknowledged(t)
+	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
 		if m.Method == "Settle" {
 			<-m.Ctx.Done()
 			return m.Ctx.Err()
--- a/internal/tier/gateway/lease_test.go
+++ b/internal/tier/gateway/lease_test.go
@@ -26,12 +26,12 @@
 			return &tierv1.Endpoint{Instance: instance, Service: "s", Address: "127.0.0.1:1", Capacity: 8, Draining: draining}
 		}
 		control.SetEndpoints(entry("i-1", false), entry("i-2", false))
-		k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.Silent(),
+		k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.DiscardLogger(),
 			ControlPlane: func(string) tierv1.ControlPlane { return control }})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go k.session.Run(ctx)
-		control.Taken(t)
+		control.AwaitAcknowledged(t)
 		synctest.Wait()
 
 		request := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, service: "s", ctx: ctx,
@@ -43,7 +43,7 @@
 		assert.Assert(t, first() && second())
 
 		var paused atomic.Bool
-		control.SetVia(func(_ context.Context, _ *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+		control.SetInterceptor(func(_ context.Context, _ *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			if !paused.Swap(true) {
 				<-time.After(pause) // between the call and its answer, longer than the call may last
 			}
--- a/internal/tier/gateway/metrics.go
+++ b/internal/tier/gateway/metrics.go
@@ -6,7 +6,7 @@
 
 // Metrics returns the current metrics.
 func (gateway *Gateway) Metrics() metrics.Gateway {
-	current := metrics.Gateway{Ready: gateway.ready(), Calls: gateway.activeRequests.Load(), Session: gateway.session.Remaining(),
+	current := metrics.Gateway{Ready: gateway.ready(), InFlight: gateway.activeRequests.Load(), SessionRemaining: gateway.session.Remaining(),
 		Totals: gateway.counters.totals()}
 	if table := gateway.routing.Load(); table != nil {
 		current.Revision = table.Revision
--- a/internal/tier/gateway/metrics_test.go
+++ b/internal/tier/gateway/metrics_test.go
@@ -30,10 +30,10 @@
 // The readiness address serves metrics, and nothing else there changes.
 func TestMetrics_AtReadinessAddress(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
 		close(begun)
 		<-further
-		a.Answer(200, "", "done")
+		a.Respond(200, "", "done")
 	})
 	r := startUnconfigured(t)
 	assertContains(t, r.scrape(), "saffronyard_gateway_ready 0", "saffronyard_configuration_revision 0", "saffronyard_gateway_calls 0")
@@ -65,14 +65,14 @@
 
 // Requests are counted by kind and by how their answers ended, sends by how they ended.
 func TestCounters_Totals(t *testing.T) {
-	a, b := breakFirstAttempt(t, func(x *tiertest.Arrival) { sendEvents(x, 2); x.Reset() })
+	a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, 2); x.Reset() })
 	r := startGateway(t, a, b)
 	assertAnswer(t, r.post("/resumable/x", "a-1", "", "b"), 200, fiveEvents())
 	assert.Equal(t, r.do(turnWithBudget("/resumable/x", "a-2", 1, 2)).Status, 402)
 	assert.Equal(t, r.post("/none/x", "a-3", "", "b").Status, 404)
 	assert.Equal(t, r.post("/plain/x", "a-4", "X-Deadline-Ms: soon\r\n", "b").Status, 400)
-	a.SetScript(func(x *tiertest.Arrival) { x.Bare(503, "X-Not-Executed: full\r\n") })
-	b.SetScript(func(x *tiertest.Arrival) { x.Bare(503, "X-Not-Executed: full\r\n") })
+	a.SetHandler(func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(503, "X-Not-Executed: full\r\n") })
+	b.SetHandler(func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(503, "X-Not-Executed: full\r\n") })
 	assertNotExecuted(t, r.post("/once/x", "a-5", "", "b"))
 	assertContains(t, r.scrape(),
 		`saffronyard_gateway_requests_total{kind="stream",outcome="served"} 1`,
--- a/internal/tier/gateway/mutation_test.go
+++ b/internal/tier/gateway/mutation_test.go
@@ -15,34 +15,42 @@
 type fault struct {
 	name string
 	// call: to a call to the turn store.
-	call func(m tiertest.Message, late func(func())) error
+	call func(m tiertest.RPC, late func(func())) error
 	// answer: to the endpoint's answer, of which say is the part before its end.
-	answer func(a *tiertest.Arrival)
+	answer func(a *tiertest.ReceivedRequest)
 }
 
 var faults = []fault{
-	{name: "lost", call: func(m tiertest.Message, _ func(func())) error { return tiertest.ErrNet },
-		answer: func(a *tiertest.Arrival) { a.Gone() }},
-	{name: "silent", call: func(m tiertest.Message, _ func(func())) error { <-m.Ctx.Done(); return m.Ctx.Err() },
-		answer: func(a *tiertest.Arrival) { a.Head(); a.Gone() }},
-	{name: "reply lost", call: func(m tiertest.Message, _ func(func())) error { m.Serve(); return tiertest.ErrNet },
-		answer: func(a *tiertest.Arrival) { a.Reset() }},
-	{name: "doubled", call: func(m tiertest.Message, _ func(func())) error { m.Serve(); return m.Serve() },
-		answer: func(a *tiertest.Arrival) { talk(a); talk(a) }},
-	{name: "held", call: func(m tiertest.Message, late func(func())) error { late(func() { m.Serve() }); return tiertest.ErrNet },
-		answer: func(a *tiertest.Arrival) { a.Say("HTTP/1.1 100 Continue\r\n\r\n"); talk(a) }},
-	{name: "doubled late", call: func(m tiertest.Message, late func(func())) error { late(func() { m.Serve() }); return m.Serve() },
-		answer: func(a *tiertest.Arrival) { talk(a); a.Close() }},
-	{name: "cut", call: func(m tiertest.Message, _ func(func())) error { return tiertest.ErrNet },
-		answer: func(a *tiertest.Arrival) { say(a, 1); a.Close() }},
-	{name: "cut before its end", call: func(m tiertest.Message, _ func(func())) error { m.Serve(); <-m.Ctx.Done(); return m.Ctx.Err() },
-		answer: func(a *tiertest.Arrival) { a.Head(); a.Event(1, "x"); a.Event(2, "x"); a.Close() }},
-	{name: "another's", call: func(m tiertest.Message, _ func(func())) error { return tiertest.ErrNet },
-		answer: func(a *tiertest.Arrival) {
-			own := a.ID
-			a.ID = "other"
-			a.Answer(200, "", "other")
-			a.ID = own
+	{name: "lost", call: func(m tiertest.RPC, _ func(func())) error { return tiertest.ErrMessageLost },
+		answer: func(a *tiertest.ReceivedRequest) { a.AwaitClose() }},
+	{name: "silent", call: func(m tiertest.RPC, _ func(func())) error { <-m.Ctx.Done(); return m.Ctx.Err() },
+		answer: func(a *tiertest.ReceivedRequest) { a.WriteStreamHead(); a.AwaitClose() }},
+	{name: "reply lost", call: func(m tiertest.RPC, _ func(func())) error { m.Serve(); return tiertest.ErrMessageLost },
+		answer: func(a *tiertest.ReceivedRequest) { a.Reset() }},
+	{name: "doubled", call: func(m tiertest.RPC, _ func(func())) error { m.Serve(); return m.Serve() },
+		answer: func(a *tiertest.ReceivedRequest) { talk(a); talk(a) }},
+	{name: "held", call: func(m tiertest.RPC, late func(func())) error {
+		late(func() { m.Serve() })
+		return tiertest.ErrMessageLost
+	},
+		answer: func(a *tiertest.ReceivedRequest) { a.WriteText("HTTP/1.1 100 Continue\r\n\r\n"); talk(a) }},
+	{name: "doubled late", call: func(m tiertest.RPC, late func(func())) error { late(func() { m.Serve() }); return m.Serve() },
+		answer: func(a *tiertest.ReceivedRequest) { talk(a); a.Close() }},
+	{name: "cut", call: func(m tiertest.RPC, _ func(func())) error { return tiertest.ErrMessageLost },
+		answer: func(a *tiertest.ReceivedRequest) { say(a, 1); a.Close() }},
+	{name: "cut before its end", call: func(m tiertest.RPC, _ func(func())) error { m.Serve(); <-m.Ctx.Done(); return m.Ctx.Err() },
+		answer: func(a *tiertest.ReceivedRequest) {
+			a.WriteStreamHead()
+			a.WriteEvent(1, "x")
+			a.WriteEvent(2, "x")
+			a.Close()
+		}},
+	{name: "another's", call: func(m tiertest.RPC, _ func(func())) error { return tiertest.ErrMessageLost },
+		answer: func(a *tiertest.ReceivedRequest) {
+			own := a.AttemptID
+			a.AttemptID = "other"
+			a.Respond(200, "", "other")
+			a.AttemptID = own
 			talk(a)
 		}},
 }
@@ -74,7 +82,7 @@
 }
 
 // via carries a message to a turn store.
-func (s *faultInjector) via(m tiertest.Message) error {
+func (s *faultInjector) via(m tiertest.RPC) error {
 	s.mu.Lock()
 	hit := m.Method == s.method && s.seen == s.at
 	if m.Method == s.method {
@@ -109,7 +117,7 @@
 	t.Parallel()
 	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
 	if where == "answer" {
-		e.SetScript(func(a *tiertest.Arrival) {
+		e.SetHandler(func(a *tiertest.ReceivedRequest) {
 			if a.Order == at {
 				f.answer(a)
 				return
@@ -120,7 +128,7 @@
 	r := startGateway(t, e)
 	spoil := &faultInjector{method: where, at: at, fault: f}
 	for _, store := range r.turnStores.List {
-		store.SetVia(spoil.via)
+		store.SetInterceptor(spoil.via)
 	}
 	chain, previous, granted := sendFourTurns(t, r, spoil)
 	spoil.release()
@@ -174,12 +182,12 @@
 func assertRanOnce(t *testing.T, e *tiertest.Endpoint, text, last string) {
 	t.Helper()
 	runs := map[string]int{}
-	for _, a := range e.Arrivals() {
-		runs[a.ID]++
-		assert.Equal(t, runs[a.ID], 1, "%s ran twice", a.ID)
-		assert.Assert(t, strings.HasPrefix(text, a.Text), a.Text)
-		if a.ID == last {
-			assert.Equal(t, a.Text, text)
+	for _, a := range e.Requests() {
+		runs[a.AttemptID]++
+		assert.Equal(t, runs[a.AttemptID], 1, "%s ran twice", a.AttemptID)
+		assert.Assert(t, strings.HasPrefix(text, a.BodyText), a.BodyText)
+		if a.AttemptID == last {
+			assert.Equal(t, a.BodyText, text)
 		}
 	}
 	assert.Equal(t, runs[last], 1)
--- a/internal/tier/gateway/permit_test.go
+++ b/internal/tier/gateway/permit_test.go
@@ -14,7 +14,7 @@
 
 // The list that stands at the last moment before a request is written decides, whatever stood when its endpoint was picked.
 func TestAttempts_EndpointListIsCheckedBeforeWrite(t *testing.T) {
-	k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.Silent()})
+	k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.DiscardLogger()})
 	w := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
 	permit := w.upstreamRequest(loadbalancer.Selection{Instance: "i-1"}).Permit
 	entry := func(draining bool) *tierv1.Endpoint {
--- a/internal/tier/gateway/plain_test.go
+++ b/internal/tier/gateway/plain_test.go
@@ -21,9 +21,9 @@
 	assert.Equal(t, r.do("GET /plain/x HTTP/1.1\r\nHost: other.example\r\nX-Attempt-Id: a-6\r\n\r\n").Status, 404)
 	assert.Equal(t, r.post("/plain/x", "", "", "b").Status, 400)
 	assert.Equal(t, r.post("/plain/x", "a-7", "X-Deadline-Ms: soon\r\n", "b").Status, 400)
-	assert.Equal(t, len(s.Arrivals()), 2)
-	assert.Equal(t, s.Arrivals()[0].RequestURI, "/plain/x?q=1")
-	assert.Equal(t, len(deep.Arrivals()), 1)
+	assert.Equal(t, len(s.Requests()), 2)
+	assert.Equal(t, s.Requests()[0].RequestURI, "/plain/x?q=1")
+	assert.Equal(t, len(deep.Requests()), 1)
 }
 
 func TestAttempts_RequestSentToEndpoint(t *testing.T) {
@@ -31,7 +31,7 @@
 	r := startGateway(t, e)
 	assertAnswer(t, r.post("/plain/x", "a-1", "X-Deadline-Ms: 9000\r\nX-Own: kept\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-Target-Instance: i-other\r\n", "b"), 200, "s:b")
 	assertAnswer(t, r.post("/once/x", "a-2", "", "b"), 200, "s:b")
-	got := e.Arrivals()
+	got := e.Requests()
 	for i, most := range []int{9000, 20000} {
 		h := got[i].Header
 		left, err := strconv.Atoi(h.Get("X-Deadline-Ms"))
@@ -46,7 +46,7 @@
 }
 
 func TestHandler_PassesAnswerUnchanged(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { a.Answer(418, "X-Own: kept\r\n", "a teapot") })
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) { a.Respond(418, "X-Own: kept\r\n", "a teapot") })
 	r := startGateway(t, e)
 	got := r.post("/once/x", "a-1", "", "b")
 	assertAnswer(t, got, 418, "a teapot")
@@ -56,46 +56,46 @@
 }
 
 // twoEndpoints are endpoints of which the one asked first does as told, and the other one answers.
-func twoEndpoints(t *testing.T, first func(*tiertest.Arrival)) (a, b *tiertest.Endpoint) {
-	script := func(own, other **tiertest.Endpoint) func(*tiertest.Arrival) {
-		return func(x *tiertest.Arrival) {
-			if len((*other).Arrivals()) == 0 && x.Order == 0 {
+func twoEndpoints(t *testing.T, first func(*tiertest.ReceivedRequest)) (a, b *tiertest.Endpoint) {
+	script := func(own, other **tiertest.Endpoint) func(*tiertest.ReceivedRequest) {
+		return func(x *tiertest.ReceivedRequest) {
+			if len((*other).Requests()) == 0 && x.Order == 0 {
 				first(x)
 				return
 			}
-			x.Answer(200, "", "second")
+			x.Respond(200, "", "second")
 		}
 	}
 	a = tiertest.NewEndpoint(t, "i-a", "s", nil)
 	b = tiertest.NewEndpoint(t, "i-b", "s", nil)
-	a.SetScript(script(&a, &b))
-	b.SetScript(script(&b, &a))
+	a.SetHandler(script(&a, &b))
+	b.SetHandler(script(&b, &a))
 	return a, b
 }
 
 func TestAttempts_BrokenConnection(t *testing.T) {
-	for name, ends := range map[string]func(*tiertest.Arrival){
-		"reset": (*tiertest.Arrival).Reset,
-		"close": (*tiertest.Arrival).Close,
-		"cut": func(x *tiertest.Arrival) {
-			x.Say("HTTP/1.1 200 OK\r\nX-Attempt-Id: " + x.ID + "\r\nX-Response-Signature: s\r\nContent-Length: 9\r\n\r\nhalf")
+	for name, ends := range map[string]func(*tiertest.ReceivedRequest){
+		"reset": (*tiertest.ReceivedRequest).Reset,
+		"close": (*tiertest.ReceivedRequest).Close,
+		"cut": func(x *tiertest.ReceivedRequest) {
+			x.WriteText("HTTP/1.1 200 OK\r\nX-Attempt-Id: " + x.AttemptID + "\r\nX-Response-Signature: s\r\nContent-Length: 9\r\n\r\nhalf")
 			x.Close()
 		},
-		"noise":       func(x *tiertest.Arrival) { x.Say("\x00\x01\x02 no answer\r\n\r\n"); x.Gone() },
-		"no stamp":    func(x *tiertest.Arrival) { x.Bare(200, "") },
-		"another's":   func(x *tiertest.Arrival) { x.ID = "other"; x.Answer(200, "", "other"); x.Close() },
-		"bare 503":    func(x *tiertest.Arrival) { x.Bare(503, "Retry-After: 1\r\n") },
-		"bare 429":    func(x *tiertest.Arrival) { x.Bare(429, "Retry-After: 1\r\n") },
-		"bare 408":    func(x *tiertest.Arrival) { x.Bare(408, "") },
-		"stamped 503": func(x *tiertest.Arrival) { x.Answer(503, "Retry-After: 1\r\n", "") },
+		"noise":       func(x *tiertest.ReceivedRequest) { x.WriteText("\x00\x01\x02 no answer\r\n\r\n"); x.AwaitClose() },
+		"no stamp":    func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(200, "") },
+		"another's":   func(x *tiertest.ReceivedRequest) { x.AttemptID = "other"; x.Respond(200, "", "other"); x.Close() },
+		"bare 503":    func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(503, "Retry-After: 1\r\n") },
+		"bare 429":    func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(429, "Retry-After: 1\r\n") },
+		"bare 408":    func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(408, "") },
+		"stamped 503": func(x *tiertest.ReceivedRequest) { x.Respond(503, "Retry-After: 1\r\n", "") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Run("idempotent", func(t *testing.T) {
 				a, b := twoEndpoints(t, ends)
 				r := startGateway(t, a, b)
 				assertAnswer(t, r.post("/plain/x", "a-1", "", "b"), 200, "second")
-				assert.Equal(t, len(a.Arrivals()), 1)
-				assert.Equal(t, len(b.Arrivals()), 1)
+				assert.Equal(t, len(a.Requests()), 1)
+				assert.Equal(t, len(b.Requests()), 1)
 			})
 			for _, route := range []struct{ name, path string }{{"non-idempotent", "/once/x"}, {"max_attempts 1", "/single/x"}} {
 				t.Run(route.name, func(t *testing.T) {
@@ -104,7 +104,7 @@
 					got := r.post(route.path, "a-1", "", "b")
 					assert.Equal(t, got.Status, 502)
 					assertUnstamped(t, got)
-					assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 1)
+					assert.Equal(t, len(a.Requests())+len(b.Requests()), 1)
 				})
 			}
 			t.Run("streaming", func(t *testing.T) {
@@ -112,27 +112,29 @@
 				r := startGateway(t, a, b)
 				got := r.post("/stream/x", "a-1", "", "b")
 				assert.Assert(t, got.Status == 502 || got.Err != nil, "looks complete: %+v", got)
-				assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 1)
+				assert.Equal(t, len(a.Requests())+len(b.Requests()), 1)
 			})
 		})
 	}
 }
 
 func TestAttempts_RejectionIsRetriedElsewhere(t *testing.T) {
-	for name, refuses := range map[string]func(*tiertest.Arrival){
-		"503":          func(x *tiertest.Arrival) { x.Bare(503, "X-Not-Executed: full\r\n") },
-		"429":          func(x *tiertest.Arrival) { x.Bare(429, "X-Not-Executed: full\r\nRetry-After: 0.5\r\n") },
-		"stamped":      func(x *tiertest.Arrival) { x.Answer(503, "X-Not-Executed: full\r\n", "full") },
-		"another: 421": func(x *tiertest.Arrival) { x.Bare(421, "X-Not-Executed: target\r\n") },
-		"bare 421":     func(x *tiertest.Arrival) { x.Bare(421, "") },
+	for name, refuses := range map[string]func(*tiertest.ReceivedRequest){
+		"503": func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(503, "X-Not-Executed: full\r\n") },
+		"429": func(x *tiertest.ReceivedRequest) {
+			x.RespondUnsigned(429, "X-Not-Executed: full\r\nRetry-After: 0.5\r\n")
+		},
+		"stamped":      func(x *tiertest.ReceivedRequest) { x.Respond(503, "X-Not-Executed: full\r\n", "full") },
+		"another: 421": func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(421, "X-Not-Executed: target\r\n") },
+		"bare 421":     func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(421, "") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, target := range []string{"/plain/x", "/once/x"} {
 				a, b := twoEndpoints(t, refuses)
 				r := startGateway(t, a, b)
 				assertAnswer(t, r.post(target, "a-1", "", "b"), 200, "second")
-				assert.Equal(t, len(a.Arrivals()), 1)
-				assert.Equal(t, len(b.Arrivals()), 1)
+				assert.Equal(t, len(a.Requests()), 1)
+				assert.Equal(t, len(b.Requests()), 1)
 			}
 			for _, target := range []string{"/plain/x", "/once/x", "/stream/x", "/turn/x"} {
 				a := tiertest.NewEndpoint(t, "i-a", "s", refuses)
@@ -140,33 +142,33 @@
 				c := tiertest.NewEndpoint(t, "i-c", "s", refuses)
 				r := startGateway(t, a, b, c)
 				assertNotExecuted(t, r.post(target, "a-1", "", "b"))
-				assert.Equal(t, len(a.Arrivals())+len(b.Arrivals())+len(c.Arrivals()), 2, "max_attempts is 2")
+				assert.Equal(t, len(a.Requests())+len(b.Requests())+len(c.Requests()), 2, "max_attempts is 2")
 			}
 			a, b := twoEndpoints(t, refuses)
 			r := startGateway(t, a, b)
 			assertNotExecuted(t, r.post("/single/x", "a-1", "", "b"))
-			assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 1)
+			assert.Equal(t, len(a.Requests())+len(b.Requests()), 1)
 		})
 	}
 }
 
 // What an earlier send may have done stands, whatever a later one says.
 func TestAttempts_RejectionAfterBreakIsBadGateway(t *testing.T) {
-	a, b := twoEndpoints(t, (*tiertest.Arrival).Reset)
-	refuse := func(own, other *tiertest.Endpoint) func(*tiertest.Arrival) {
-		return func(x *tiertest.Arrival) {
-			if len(other.Arrivals()) == 0 && x.Order == 0 {
+	a, b := twoEndpoints(t, (*tiertest.ReceivedRequest).Reset)
+	refuse := func(own, other *tiertest.Endpoint) func(*tiertest.ReceivedRequest) {
+		return func(x *tiertest.ReceivedRequest) {
+			if len(other.Requests()) == 0 && x.Order == 0 {
 				x.Reset()
 				return
 			}
-			x.Bare(503, "X-Not-Executed: full\r\n")
+			x.RespondUnsigned(503, "X-Not-Executed: full\r\n")
 		}
 	}
-	a.SetScript(refuse(a, b))
-	b.SetScript(refuse(b, a))
+	a.SetHandler(refuse(a, b))
+	b.SetHandler(refuse(b, a))
 	r := startGateway(t, a, b)
 	assert.Equal(t, r.post("/plain/x", "a-1", "", "b").Status, 502)
-	assert.Equal(t, len(a.Arrivals())+len(b.Arrivals()), 2)
+	assert.Equal(t, len(a.Requests())+len(b.Requests()), 2)
 }
 
 func TestHandler_NoEndpoint(t *testing.T) {
@@ -179,10 +181,10 @@
 }
 
 func TestHandler_DeadlineExceeded(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", (*tiertest.Arrival).Gone)
+	e := tiertest.NewEndpoint(t, "i-1", "s", (*tiertest.ReceivedRequest).AwaitClose)
 	r := startGateway(t, e)
 	assert.Equal(t, r.post("/once/x", "a-1", "X-Deadline-Ms: 100\r\n", "b").Status, 504)
-	assert.Equal(t, len(e.Arrivals()), 1)
+	assert.Equal(t, len(e.Requests()), 1)
 }
 
 func TestConfiguration_AppliesToNextRequest(t *testing.T) {
@@ -193,17 +195,17 @@
 	c := tiertest.Connect(t, r.ingress)
 	ask := func(id string) tiertest.Reply {
 		c.Send(tiertest.Post(target, id, "", "b"))
-		return c.Whole()
+		return c.ReadReply()
 	}
 	assert.Equal(t, ask("a-1").Status, 404)
 	for i, service := range []string{"s", "deep"} {
 		r.consensus.SetConfiguration(configurationOf(2+i, `{"name":"new","hostname":"h.example","path_prefix":"/new/","route_type":"idempotent","service_name":"`+
 			service+`","timeout_ms":20000,"max_attempts":2}`))
-		r.consensus.Taken(t)
+		r.consensus.AwaitAcknowledged(t)
 		assertAnswer(t, ask("b-"+service), 200, service+":b")
 	}
 	r.consensus.SetConfiguration(configurationOf(9, ""))
-	r.consensus.Taken(t)
+	r.consensus.AwaitAcknowledged(t)
 	assert.Equal(t, ask("a-2").Status, 404)
 }
 
@@ -211,19 +213,19 @@
 	leaving := tiertest.NewEndpoint(t, "i-leaving", "s", echo("leaving"))
 	r := startGateway(t, leaving)
 	assertAnswer(t, r.post("/plain/x", "a-1", "", "b"), 200, "leaving:b")
-	r.consensus.SetEndpoints(leaving.Draining())
-	r.consensus.Taken(t)
+	r.consensus.SetEndpoints(leaving.DrainingEntry())
+	r.consensus.AwaitAcknowledged(t)
 	assertNotExecuted(t, r.post("/plain/x", "a-2", "", "b"))
 	next := tiertest.NewEndpoint(t, "i-next", "s", echo("next"))
-	r.consensus.SetEndpoints(leaving.Draining(), next.Entry())
-	r.consensus.Taken(t)
+	r.consensus.SetEndpoints(leaving.DrainingEntry(), next.Entry())
+	r.consensus.AwaitAcknowledged(t)
 	for _, id := range []string{"a-3", "a-4", "a-5", "a-6"} {
 		assertAnswer(t, r.post("/plain/x", id, "", "b"), 200, "next:b")
 	}
 	r.consensus.SetEndpoints(next.Entry())
-	r.consensus.Taken(t)
+	r.consensus.AwaitAcknowledged(t)
 	assertAnswer(t, r.post("/plain/x", "a-7", "", "b"), 200, "next:b")
-	assert.Equal(t, len(leaving.Arrivals()), 1)
+	assert.Equal(t, len(leaving.Requests()), 1)
 }
 
 // The stream of an endpoint that begins to drain meanwhile goes on.
@@ -233,13 +235,13 @@
 	r := startGateway(t, e)
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(tiertest.Post("/stream/x", "a-1", "", "b"))
-	tiertest.Closed(t, "the stream begins", begun)
-	r.consensus.SetEndpoints(e.Draining())
-	r.consensus.Taken(t)
+	tiertest.WaitFor(t, "the stream begins", begun)
+	r.consensus.SetEndpoints(e.DrainingEntry())
+	r.consensus.AwaitAcknowledged(t)
 	r.consensus.SetEndpoints()
-	r.consensus.Taken(t)
+	r.consensus.AwaitAcknowledged(t)
 	close(further)
-	assertAnswer(t, c.Whole(), 200, events("one", "two"))
+	assertAnswer(t, c.ReadReply(), 200, events("one", "two"))
 }
 
 // What no client waits for is no time to wait for.
--- a/internal/tier/gateway/ready_test.go
+++ b/internal/tier/gateway/ready_test.go
@@ -32,7 +32,7 @@
 	n := 0
 	for name, bring := range brought { // in any order
 		bring()
-		r.consensus.Taken(t)
+		r.consensus.AwaitAcknowledged(t)
 		n++
 		want := 503
 		if n == len(brought) {
@@ -47,17 +47,17 @@
 	r := startUnconfigured(t, func(s *settings.Settings) { s.ContactWindow = 200 * time.Millisecond })
 	r.configure(r.turnStores.Assign([2]int{0, 1}))
 	assert.Equal(t, r.readiness(), 200)
-	r.consensus.SetVia(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+	r.consensus.SetInterceptor(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
 	for _, store := range r.turnStores.List {
-		store.SetDark(true)
+		store.SetUnreachable(true)
 	}
 	assertNotExecuted(t, r.do(turnRequest("t-1", "", "p", "X-Deadline-Ms: 1000\r\n", "in")))
-	tiertest.Until(t, "not ready", func() bool { return r.readiness() == 503 })
-	r.consensus.SetVia(nil)
-	tiertest.Until(t, "ready again", func() bool { return r.readiness() == 200 })
+	tiertest.WaitUntil(t, "not ready", func() bool { return r.readiness() == 503 })
+	r.consensus.SetInterceptor(nil)
+	tiertest.WaitUntil(t, "ready again", func() bool { return r.readiness() == 200 })
 }
 
 func TestShutdown_CompletesRequests(t *testing.T) {
@@ -68,25 +68,25 @@
 	assert.Equal(t, r.readiness(), 200)
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(turnRequest("t-1", "", "p", "", "in"))
-	tiertest.Closed(t, "the stream begins", begun)
+	tiertest.WaitFor(t, "the stream begins", begun)
 	r.stop()
-	tiertest.Until(t, "not ready", func() bool { return r.readiness() == 503 })
+	tiertest.WaitUntil(t, "not ready", func() bool { return r.readiness() == 503 })
 	// The platform may still send clients: they are served, and told to go.
-	tiertest.Until(t, "clients are told to go", func() bool {
+	tiertest.WaitUntil(t, "clients are told to go", func() bool {
 		got := r.post("/none/x", "a-2", "", "b")
 		assert.Equal(t, got.Status, 404)
 		return got.Close
 	})
 	close(further)
-	assertAnswer(t, c.Whole(), 200, events("one", "two"))
-	assert.NilError(t, tiertest.Closed(t, "it ends", r.done))
+	assertAnswer(t, c.ReadReply(), 200, events("one", "two"))
+	assert.NilError(t, tiertest.WaitFor(t, "it ends", r.done))
 	assert.Equal(t, r.readiness(), 503)
 }
 
 // A reservation of a request under way is ended before the process does, and control hears that it leaves.
 func TestShutdown_ReleasesReservations(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
 		say(a, 2)
 		close(begun)
 		<-further
@@ -95,13 +95,13 @@
 	r := startUnconfigured(t, func(s *settings.Settings) { s.Grace = 10 * time.Second })
 	r.configure(r.turnStores.Assign([2]int{0, 1}), e)
 	ends := make(chan *tierv1.SettleRequest, 100)
-	r.turnStores.List[0].SetVia(func(m tiertest.Message) error {
+	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
 		q, ok := m.Request.(*tierv1.SettleRequest)
 		if !ok {
 			return m.Serve()
 		}
 		// It takes until the gateway accepts nothing more.
-		tiertest.Until(t, "no listener", func() bool {
+		tiertest.WaitUntil(t, "no listener", func() bool {
 			conn, err := net.Dial("tcp", r.ingress)
 			if err == nil {
 				conn.Close()
@@ -116,12 +116,12 @@
 	})
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(turnRequest("t-1", "", "p", "", "in"))
-	tiertest.Closed(t, "the stream begins", begun)
+	tiertest.WaitFor(t, "the stream begins", begun)
 	r.stop()
 	r.consensus.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return q.Role == "gateway" && q.Draining })
 	close(further)
-	assert.Assert(t, c.Whole().Err != nil)
-	tiertest.Closed(t, "it ends", r.done)
+	assert.Assert(t, c.ReadReply().Err != nil)
+	tiertest.WaitFor(t, "it ends", r.done)
 	select {
 	case got := <-ends:
 		assert.Equal(t, got.Tokens, uint64(2))
--- a/internal/tier/gateway/released_test.go
+++ b/internal/tier/gateway/released_test.go
@@ -114,11 +114,11 @@
 	k := newGatewayWith(20*time.Millisecond, v)
 	t.Cleanup(k.cancelRun)
 	over := (&clientRequest{gateway: k, attemptID: "t"}).releaseInBackground("p", 7)
-	tiertest.Until(t, "its usual time is over", func() bool { return len(k.lateReleaseSlots) > 0 || len(k.releasesOf("p")) == 0 })
+	tiertest.WaitUntil(t, "its usual time is over", func() bool { return len(k.lateReleaseSlots) > 0 || len(k.releasesOf("p")) == 0 })
 	assert.Equal(t, len(k.releasesOf("p")), 1, "it was given up")
 	v.lets.Store(true)
-	tiertest.Closed(t, "it is settled", over)
-	got := tiertest.Closed(t, "what is settled", v.taken)
+	tiertest.WaitFor(t, "it is settled", over)
+	got := tiertest.WaitFor(t, "what is settled", v.taken)
 	assert.Assert(t, got.Attempt == "t" && got.Tokens == 7 && !got.Kept)
 	assert.Equal(t, len(k.releasesOf("p")), 0)
 }
@@ -131,11 +131,11 @@
 	for range maxLateReleases + 10 {
 		list = append(list, (&clientRequest{gateway: k, attemptID: "t"}).releaseInBackground("p", 0))
 	}
-	tiertest.Until(t, "the usual time of all is over", func() bool { return len(k.releasesOf("p")) == maxLateReleases })
+	tiertest.WaitUntil(t, "the usual time of all is over", func() bool { return len(k.releasesOf("p")) == maxLateReleases })
 	assert.Equal(t, len(k.lateReleaseSlots), maxLateReleases)
 	k.cancelRun()
 	for _, over := range list {
-		tiertest.Closed(t, "it ends with the gateway", over)
+		tiertest.WaitFor(t, "it ends with the gateway", over)
 	}
 	assert.Equal(t, len(k.pendingReleases), 0)
 }
@@ -159,7 +159,7 @@
 				begun := k.storeClient.beginAt(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t"})
 				assert.Equal(t, begun.verdict, verdict)
 				request.rejectTurn("p", begun)
-				assert.Equal(t, tiertest.Closed(t, "it is released", v.taken).Attempt, "t")
+				assert.Equal(t, tiertest.WaitFor(t, "it is released", v.taken).Attempt, "t")
 			})
 		}
 	}
--- a/internal/tier/gateway/resume_bytes_test.go
+++ b/internal/tier/gateway/resume_bytes_test.go
@@ -27,16 +27,16 @@
 func TestResume_AfterBreakAtEachByte(t *testing.T) {
 	var mu sync.Mutex
 	first := map[string]int{} // by attempt: bytes of its first run; taken out when that was made
-	script := func(a *tiertest.Arrival) {
+	script := func(a *tiertest.ReceivedRequest) {
 		mu.Lock()
-		cut, is := first[a.ID]
-		delete(first, a.ID)
+		cut, is := first[a.AttemptID]
+		delete(first, a.AttemptID)
 		mu.Unlock()
 		if !is {
 			resumed(a)
 			return
 		}
-		a.Say(wire(a.ID)[:cut])
+		a.WriteText(wire(a.AttemptID)[:cut])
 		a.Close()
 	}
 	r := startGateway(t, tiertest.NewEndpoint(t, "i-a", "s", script), tiertest.NewEndpoint(t, "i-b", "s", script))
--- a/internal/tier/gateway/resume_test.go
+++ b/internal/tier/gateway/resume_test.go
@@ -11,26 +11,26 @@
 )
 
 // resumed answers with the events of a stream of five that follow Last-Event-Id.
-func resumed(a *tiertest.Arrival) {
-	a.Head()
+func resumed(a *tiertest.ReceivedRequest) {
+	a.WriteStreamHead()
 	after := 0
 	fmt.Sscan(a.Header.Get("Last-Event-Id"), &after)
 	for id := after + 1; id <= 5; id++ {
-		a.Event(id, fmt.Sprint("event ", id))
+		a.WriteEvent(id, fmt.Sprint("event ", id))
 	}
-	a.End()
+	a.EndStream()
 }
 
 // fiveEvents is the whole answer of resumed.
 func fiveEvents() string { return events("event 1", "event 2", "event 3", "event 4", "event 5") }
 
 // breakFirstAttempt has whichever endpoint is asked first do as told, and the other one answer as resumed.
-func breakFirstAttempt(t *testing.T, first func(*tiertest.Arrival)) (a, b *tiertest.Endpoint) {
+func breakFirstAttempt(t *testing.T, first func(*tiertest.ReceivedRequest)) (a, b *tiertest.Endpoint) {
 	a, b = twoEndpoints(t, first)
 	for _, e := range [][2]*tiertest.Endpoint{{a, b}, {b, a}} {
 		own, other := e[0], e[1]
-		own.SetScript(func(x *tiertest.Arrival) {
-			if len(other.Arrivals()) == 0 && x.Order == 0 {
+		own.SetHandler(func(x *tiertest.ReceivedRequest) {
+			if len(other.Requests()) == 0 && x.Order == 0 {
 				first(x)
 				return
 			}
@@ -41,22 +41,22 @@
 }
 
 // sendEvents writes the first n events of the stream.
-func sendEvents(a *tiertest.Arrival, n int) {
-	a.Head()
+func sendEvents(a *tiertest.ReceivedRequest, n int) {
+	a.WriteStreamHead()
 	for id := 1; id <= n; id++ {
-		a.Event(id, fmt.Sprint("event ", id))
+		a.WriteEvent(id, fmt.Sprint("event ", id))
 	}
 }
 
 // failureModes are those in which a run can end before its answer has.
-func failureModes() map[string]func(*tiertest.Arrival) {
-	return map[string]func(*tiertest.Arrival){
-		"reset":          (*tiertest.Arrival).Reset,
-		"close":          (*tiertest.Arrival).Close,
-		"in an event":    func(a *tiertest.Arrival) { a.Say("14\r\nid: 9\ndata: ha"); a.Close() },
-		"half an event":  func(a *tiertest.Arrival) { a.Say("4\r\nid: \r\n"); a.End() },
-		"spoilt framing": func(a *tiertest.Arrival) { a.Say("no chunk\r\n"); a.Gone() },
-		"silence":        (*tiertest.Arrival).Gone,
+func failureModes() map[string]func(*tiertest.ReceivedRequest) {
+	return map[string]func(*tiertest.ReceivedRequest){
+		"reset":          (*tiertest.ReceivedRequest).Reset,
+		"close":          (*tiertest.ReceivedRequest).Close,
+		"in an event":    func(a *tiertest.ReceivedRequest) { a.WriteText("14\r\nid: 9\ndata: ha"); a.Close() },
+		"half an event":  func(a *tiertest.ReceivedRequest) { a.WriteText("4\r\nid: \r\n"); a.EndStream() },
+		"spoilt framing": func(a *tiertest.ReceivedRequest) { a.WriteText("no chunk\r\n"); a.AwaitClose() },
+		"silence":        (*tiertest.ReceivedRequest).AwaitClose,
 	}
 }
 
@@ -66,14 +66,14 @@
 		for taken := range 6 {
 			t.Run(fmt.Sprint(name, " after ", taken), func(t *testing.T) {
 				t.Parallel()
-				a, b := breakFirstAttempt(t, func(x *tiertest.Arrival) { sendEvents(x, taken); breaks(x) })
+				a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, taken); breaks(x) })
 				r := startGateway(t, a, b)
 				assertAnswer(t, r.post("/resumable/x", "a-1", "", "b"), 200, fiveEvents())
-				assert.Equal(t, len(a.Arrivals()), 1)
-				assert.Equal(t, len(b.Arrivals()), 1)
+				assert.Equal(t, len(a.Requests()), 1)
+				assert.Equal(t, len(b.Requests()), 1)
 				for _, e := range []*tiertest.Endpoint{a, b} {
-					assert.Equal(t, e.Arrivals()[0].Text, "b")
-					assert.Equal(t, e.Arrivals()[0].ID, "a-1")
+					assert.Equal(t, e.Requests()[0].BodyText, "b")
+					assert.Equal(t, e.Requests()[0].AttemptID, "a-1")
 				}
 			})
 		}
@@ -82,25 +82,25 @@
 
 // The second endpoint is told where to go on, and no more runs follow than the route allows.
 func TestResume_SendsLastEventID(t *testing.T) {
-	cut := func(x *tiertest.Arrival) {
+	cut := func(x *tiertest.ReceivedRequest) {
 		after := 0
 		fmt.Sscan(x.Header.Get("Last-Event-Id"), &after)
-		x.Head()
-		x.Event(after+1, fmt.Sprint("event ", after+1))
+		x.WriteStreamHead()
+		x.WriteEvent(after+1, fmt.Sprint("event ", after+1))
 		x.Reset()
 	}
 	a, b, c := tiertest.NewEndpoint(t, "i-a", "s", cut), tiertest.NewEndpoint(t, "i-b", "s", cut), tiertest.NewEndpoint(t, "i-c", "s", cut)
 	r := startGateway(t, a, b, c)
 	client := tiertest.Connect(t, r.ingress)
 	client.Send(tiertest.Post("/resumable/x", "a-1", "", "b"))
-	head := client.Head()
-	assert.Equal(t, client.Event(head.Body), tiertest.EventText(1, "event 1"))
-	assert.Equal(t, client.Event(head.Body), tiertest.EventText(2, "event 2"))
+	head := client.ReadHead()
+	assert.Equal(t, client.ReadEvent(head.Body), tiertest.EventText(1, "event 1"))
+	assert.Equal(t, client.ReadEvent(head.Body), tiertest.EventText(2, "event 2"))
 	_, err := io.ReadAll(head.Body)
 	assert.Assert(t, err != nil, "looks complete")
 	var named []string
 	for _, e := range []*tiertest.Endpoint{a, b, c} {
-		for _, arrival := range e.Arrivals() {
+		for _, arrival := range e.Requests() {
 			named = append(named, arrival.Header.Get("Last-Event-Id"))
 		}
 	}
@@ -110,15 +110,20 @@
 
 // A second run that does not go on where the first one ended is no part of the answer.
 func TestResume_AbortsAtGap(t *testing.T) {
-	for name, second := range map[string]func(*tiertest.Arrival){
-		"from the beginning": func(x *tiertest.Arrival) { sendEvents(x, 5); x.End() },
-		"with a gap":         func(x *tiertest.Arrival) { x.Head(); x.Event(4, "event 4"); x.End() },
-		"without ids":        func(x *tiertest.Arrival) { x.Head(); x.Say("b\r\ndata: none\n\r\n"); x.Say("1\r\n\n\r\n"); x.End() },
-		"refused":            func(x *tiertest.Arrival) { x.Bare(503, "X-Not-Executed: full\r\n") },
-		"failed":             func(x *tiertest.Arrival) { x.Answer(500, "", "no") },
+	for name, second := range map[string]func(*tiertest.ReceivedRequest){
+		"from the beginning": func(x *tiertest.ReceivedRequest) { sendEvents(x, 5); x.EndStream() },
+		"with a gap":         func(x *tiertest.ReceivedRequest) { x.WriteStreamHead(); x.WriteEvent(4, "event 4"); x.EndStream() },
+		"without ids": func(x *tiertest.ReceivedRequest) {
+			x.WriteStreamHead()
+			x.WriteText("b\r\ndata: none\n\r\n")
+			x.WriteText("1\r\n\n\r\n")
+			x.EndStream()
+		},
+		"refused": func(x *tiertest.ReceivedRequest) { x.RespondUnsigned(503, "X-Not-Executed: full\r\n") },
+		"failed":  func(x *tiertest.ReceivedRequest) { x.Respond(500, "", "no") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			run := func(x *tiertest.Arrival) {
+			run := func(x *tiertest.ReceivedRequest) {
 				if x.Header.Get("Last-Event-Id") != "" {
 					second(x)
 					return
@@ -129,7 +134,7 @@
 			r := startGateway(t, tiertest.NewEndpoint(t, "i-a", "s", run), tiertest.NewEndpoint(t, "i-b", "s", run))
 			client := tiertest.Connect(t, r.ingress)
 			client.Send(tiertest.Post("/resumable/x", "a-1", "", "b"))
-			head := client.Head()
+			head := client.ReadHead()
 			rest, err := io.ReadAll(head.Body)
 			assert.Assert(t, err != nil, "looks complete: %q", rest)
 			assert.Equal(t, string(rest), events("event 1", "event 2"))
@@ -139,18 +144,18 @@
 
 // What the client is handed is charged once, over all runs.
 func TestResume_ChargedForEventsWritten(t *testing.T) {
-	a, b := breakFirstAttempt(t, func(x *tiertest.Arrival) { sendEvents(x, 3); x.Reset() })
+	a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, 3); x.Reset() })
 	r := startGateway(t, a, b)
 	ends := settled(r.turnStores.List[0])
 	assertAnswer(t, r.do(turnWithBudget("/resumable/x", "t-1", 9, 9)), 200, fiveEvents())
-	assert.Equal(t, tiertest.Closed(t, "the reservation ends", ends).Tokens, uint64(5))
+	assert.Equal(t, tiertest.WaitFor(t, "the reservation ends", ends).Tokens, uint64(5))
 	assert.Equal(t, r.do(turnWithBudget("/resumable/x", "t-2", 9, 5)).Status, 402)
 	assert.Equal(t, r.do(turnWithBudget("/resumable/x", "t-3", 9, 4)).Status, 200)
 }
 
 // The text of a kept turn is what its client was handed, from whichever runs.
 func TestResume_TranscriptOfTurn(t *testing.T) {
-	a, b := breakFirstAttempt(t, func(x *tiertest.Arrival) { sendEvents(x, 3); x.Reset() })
+	a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, 3); x.Reset() })
 	r := startGateway(t, a, b)
 	post := func(id, fields, body string) tiertest.Reply {
 		return r.post("/kept/x", id, "Program: p\r\n"+fields, body)
@@ -160,8 +165,8 @@
 	want := "in 1;event 1\nevent 2\nevent 3\nevent 4\nevent 5\nin 2;"
 	var texts []string
 	for _, e := range []*tiertest.Endpoint{a, b} {
-		for _, arrival := range e.Arrivals() {
-			texts = append(texts, arrival.Text)
+		for _, arrival := range e.Requests() {
+			texts = append(texts, arrival.BodyText)
 		}
 	}
 	assert.Equal(t, len(texts), 3)
@@ -176,10 +181,10 @@
 		r := startGateway(t, e)
 		got := r.post(target, "a-1", "Program: p\r\nLast-Event-Id: 2\r\n", "in;")
 		assertAnswer(t, got, 200, rest)
-		assert.Equal(t, e.Arrivals()[0].Header.Get("Last-Event-Id"), passed)
+		assert.Equal(t, e.Requests()[0].Header.Get("Last-Event-Id"), passed)
 		if target == "/kept/x" {
 			assertAnswer(t, r.post(target, "a-2", "Program: p\r\nPrevious: a-1\r\n", "more"), 200, fiveEvents())
-			assert.Equal(t, e.Arrivals()[1].Text, "in;event 1\nevent 2\nevent 3\nevent 4\nevent 5\nmore")
+			assert.Equal(t, e.Requests()[1].BodyText, "in;event 1\nevent 2\nevent 3\nevent 4\nevent 5\nmore")
 		}
 	}
 }
@@ -187,18 +192,18 @@
 // No run follows for a client that has left.
 func TestResume_NoneAfterClientIsGone(t *testing.T) {
 	gone := make(chan struct{})
-	a, b := breakFirstAttempt(t, func(x *tiertest.Arrival) { sendEvents(x, 1); x.Gone(); close(gone) })
+	a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, 1); x.AwaitClose(); close(gone) })
 	r := startGateway(t, a, b)
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(tiertest.Post("/resumable/x", "a-1", "X-Deadline-Ms: 400\r\n", "b"))
-	head := c.Head()
-	c.Event(head.Body)
+	head := c.ReadHead()
+	c.ReadEvent(head.Body)
 	c.Conn.Close()
-	tiertest.Closed(t, "the endpoint's connection ends", gone)
+	tiertest.WaitFor(t, "the endpoint's connection ends", gone)
 	assertAnswer(t, r.post("/plain/x", "a-2", "", "b"), 200, fiveEvents()) // and nothing of a-1 comes in between
 	for _, e := range []*tiertest.Endpoint{a, b} {
-		for _, arrival := range e.Arrivals() {
-			assert.Assert(t, arrival.ID == "a-2" || arrival.Header.Get("Last-Event-Id") == "")
+		for _, arrival := range e.Requests() {
+			assert.Assert(t, arrival.AttemptID == "a-2" || arrival.Header.Get("Last-Event-Id") == "")
 		}
 	}
 }
--- a/internal/tier/gateway/rig_test.go
+++ b/internal/tier/gateway/rig_test.go
@@ -59,7 +59,7 @@
 	r := &harness{t: t, s: s, consensus: tiertest.NewControlPlane(), turnStores: tiertest.NewTurnStores(t, 3), ingress: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	k := gateway.New(gateway.Config{Settings: s, ControlPlane: func(string) tierv1.ControlPlane { return r.consensus }, TurnStore: func(address string) tierv1.TurnStore { return r.turnStores.Dial(address) }, Log: tiertest.Silent()})
+	k := gateway.New(gateway.Config{Settings: s, ControlPlane: func(string) tierv1.ControlPlane { return r.consensus }, TurnStore: func(address string) tierv1.TurnStore { return r.turnStores.Dial(address) }, Log: tiertest.DiscardLogger()})
 	go func() {
 		r.done <- k.Run(ctx)
 		close(r.done)
@@ -99,7 +99,7 @@
 	r.consensus.SetConfiguration(configurationOf(1, ""))
 	r.listEndpoints(endpoints...)
 	r.consensus.SetPartitionMap(partitionMap)
-	r.consensus.Taken(r.t)
+	r.consensus.AwaitAcknowledged(r.t)
 }
 
 // listEndpoints has the control plane list these endpoints, and no others.
@@ -157,26 +157,26 @@
 }
 
 // echo answers with the endpoint's own name and the body.
-func echo(name string) func(*tiertest.Arrival) {
-	return func(a *tiertest.Arrival) { a.Answer(200, "", name+":"+a.Text) }
+func echo(name string) func(*tiertest.ReceivedRequest) {
+	return func(a *tiertest.ReceivedRequest) { a.Respond(200, "", name+":"+a.BodyText) }
 }
 
 // pausedStream is a script of two events: it closes begun after the first, and goes on when further is closed.
-func pausedStream(begun chan<- struct{}, further <-chan struct{}) func(*tiertest.Arrival) {
-	return func(a *tiertest.Arrival) {
-		a.Head()
-		a.Event(1, "one")
+func pausedStream(begun chan<- struct{}, further <-chan struct{}) func(*tiertest.ReceivedRequest) {
+	return func(a *tiertest.ReceivedRequest) {
+		a.WriteStreamHead()
+		a.WriteEvent(1, "one")
 		close(begun)
 		<-further
-		a.Event(2, "two")
-		a.End()
+		a.WriteEvent(2, "two")
+		a.EndStream()
 	}
 }
 
 // resetOf is a script that resets the connection under one attempt, and talks to others.
-func resetOf(id string) func(*tiertest.Arrival) {
-	return func(a *tiertest.Arrival) {
-		if a.ID == id {
+func resetOf(id string) func(*tiertest.ReceivedRequest) {
+	return func(a *tiertest.ReceivedRequest) {
+		if a.AttemptID == id {
 			a.Reset()
 			return
 		}
@@ -188,9 +188,9 @@
 func sendTurn(t *testing.T, c *tiertest.Client, id string) *http.Response {
 	t.Helper()
 	c.Send(turnRequest(id, "", "p", "", "in"))
-	head := c.Head()
+	head := c.ReadHead()
 	for i, data := range said(id) {
-		assert.Equal(t, c.Event(head.Body), tiertest.EventText(i+1, data))
+		assert.Equal(t, c.ReadEvent(head.Body), tiertest.EventText(i+1, data))
 	}
 	return head
 }
--- a/internal/tier/gateway/stream_test.go
+++ b/internal/tier/gateway/stream_test.go
@@ -12,23 +12,23 @@
 func TestStream_EventsArePassedOnAtOnce(t *testing.T) {
 	for _, target := range []string{"/stream/x", "/turn/x"} {
 		next := make(chan struct{})
-		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-			a.Head()
+		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
+			a.WriteStreamHead()
 			for i, d := range []string{"one", "two", "three"} {
-				a.Event(i+1, d)
+				a.WriteEvent(i+1, d)
 				<-next
 			}
-			a.End()
+			a.EndStream()
 		})
 		r := startGateway(t, e)
 		c := tiertest.Connect(t, r.ingress)
 		c.Send(tiertest.Post(target, "a-1", "", "b"))
-		head := c.Head()
+		head := c.ReadHead()
 		assert.Equal(t, head.StatusCode, 200)
 		assert.Equal(t, head.Header.Get("X-Response-Signature"), "s.a-1")
 		assert.Equal(t, head.Header.Get("Content-Type"), "text/event-stream")
 		for i, d := range []string{"one", "two", "three"} {
-			assert.Equal(t, c.Event(head.Body), tiertest.EventText(i+1, d))
+			assert.Equal(t, c.ReadEvent(head.Body), tiertest.EventText(i+1, d))
 			next <- struct{}{} // only now the next one is made
 		}
 		rest, err := io.ReadAll(head.Body)
@@ -38,32 +38,32 @@
 }
 
 func TestStream_BrokenNeverLooksComplete(t *testing.T) {
-	for name, breaks := range map[string]func(*tiertest.Arrival){
-		"reset":          (*tiertest.Arrival).Reset,
-		"close":          (*tiertest.Arrival).Close,
-		"in an event":    func(a *tiertest.Arrival) { a.Say("14\r\nid: 2\ndata: ha"); a.Close() },
-		"half an event":  func(a *tiertest.Arrival) { a.Say("4\r\nid: \r\n"); a.End() },
-		"spoilt framing": func(a *tiertest.Arrival) { a.Say("no chunk\r\n"); a.Gone() },
-		"falling ids":    func(a *tiertest.Arrival) { a.Event(1, "again"); a.End() },
+	for name, breaks := range map[string]func(*tiertest.ReceivedRequest){
+		"reset":          (*tiertest.ReceivedRequest).Reset,
+		"close":          (*tiertest.ReceivedRequest).Close,
+		"in an event":    func(a *tiertest.ReceivedRequest) { a.WriteText("14\r\nid: 2\ndata: ha"); a.Close() },
+		"half an event":  func(a *tiertest.ReceivedRequest) { a.WriteText("4\r\nid: \r\n"); a.EndStream() },
+		"spoilt framing": func(a *tiertest.ReceivedRequest) { a.WriteText("no chunk\r\n"); a.AwaitClose() },
+		"falling ids":    func(a *tiertest.ReceivedRequest) { a.WriteEvent(1, "again"); a.EndStream() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, target := range []string{"/stream/x", "/turn/x"} {
 				read := make(chan struct{})
-				e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-					a.Head()
-					a.Event(1, "one")
+				e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
+					a.WriteStreamHead()
+					a.WriteEvent(1, "one")
 					<-read
 					breaks(a)
 				})
 				r := startGateway(t, e)
 				c := tiertest.Connect(t, r.ingress)
 				c.Send(tiertest.Post(target, "a-1", "", "b"))
-				head := c.Head()
-				assert.Equal(t, c.Event(head.Body), tiertest.EventText(1, "one"))
+				head := c.ReadHead()
+				assert.Equal(t, c.ReadEvent(head.Body), tiertest.EventText(1, "one"))
 				close(read)
 				rest, err := io.ReadAll(head.Body)
 				assert.Assert(t, err != nil, "looks complete, with %q more", rest)
-				assert.Equal(t, len(e.Arrivals()), 1)
+				assert.Equal(t, len(e.Requests()), 1)
 			}
 		})
 	}
@@ -72,10 +72,10 @@
 // A stream that breaks as a whole block is not passed on as a whole answer either.
 func TestStream_BrokenAtOnce(t *testing.T) {
 	for _, said := range []int{0, 1, 2} {
-		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-			a.Head()
+		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
+			a.WriteStreamHead()
 			for i := range said {
-				a.Event(i+1, "x")
+				a.WriteEvent(i+1, "x")
 			}
 			a.Close()
 		})
@@ -84,12 +84,12 @@
 			got := r.post(target, "a"+target, "", "b")
 			assert.Assert(t, got.Err != nil || got.Status == 502, "%d events: %+v", said, got)
 		}
-		assert.Equal(t, len(e.Arrivals()), 2)
+		assert.Equal(t, len(e.Requests()), 2)
 	}
 }
 
 func TestStream_WithoutEvents(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) { a.Stream() })
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) { a.WriteStream() })
 	r := startGateway(t, e)
 	assertAnswer(t, r.post("/stream/x", "a-1", "", "b"), 200, "")
 	assertAnswer(t, r.post("/turn/x", "a-2", "", "b"), 200, "")
@@ -98,17 +98,17 @@
 // The endpoint's connection ends with the client's, so that it drops the request.
 func TestStream_ClientGone(t *testing.T) {
 	gone := make(chan struct{})
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.Arrival) {
-		a.Head()
-		a.Event(1, "one")
-		a.Gone()
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
+		a.WriteStreamHead()
+		a.WriteEvent(1, "one")
+		a.AwaitClose()
 		close(gone)
 	})
 	r := startGateway(t, e)
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(tiertest.Post("/stream/x", "a-1", "", "b"))
-	head := c.Head()
-	c.Event(head.Body)
+	head := c.ReadHead()
+	c.ReadEvent(head.Body)
 	c.Conn.Close()
-	tiertest.Closed(t, "the endpoint's connection ends", gone)
+	tiertest.WaitFor(t, "the endpoint's connection ends", gone)
 }
--- a/internal/tier/logformat/logformat.go
+++ b/internal/tier/logformat/logformat.go
@@ -1,4 +1,5 @@
-// Package logformat makes the loggers of the tier's processes: one line of key=value pairs for each event.
+// Package logformat makes the loggers of the tier's processes. An event is one line: key=value pairs (logfmt), then the message in
+// words, quoted. Loggers are safe for concurrent use.
 package logformat
 
 import (
@@ -11,15 +12,15 @@
 // timeFormat is that of a line's time.
 const timeFormat = "15:04:05.000"
 
-// emptyMessage is what the library ends a line with where an event has no message beside its pairs.
+// emptyMessage is what the library ends a line with where an event has no message.
 var emptyMessage = []byte(" \"\"\n")
 
-// New makes a logger that writes to w from a level on.
+// New returns a logger that writes events of a level and above to w.
 func New(w io.Writer, level log.Level) *log.Logger {
 	return &log.Logger{Level: level, TimeFormat: timeFormat, Writer: &log.ConsoleWriter{Writer: w, Formatter: format}}
 }
 
-// format writes a line in logfmt. A message that is empty is left out.
+// format writes a line in logfmt. An empty message is left out.
 func format(out io.Writer, args *log.FormatterArgs) (int, error) {
 	pairs := log.LogfmtFormatter{TimeField: "time"}
 	if args.Message != "" {
--- a/internal/tier/metrics/gateway.go
+++ b/internal/tier/metrics/gateway.go
@@ -9,27 +9,27 @@
 
 // Gateway is the set of figures of a gateway.
 type Gateway struct {
-	Ready    bool          // it accepts new clients
-	Revision int64         // of the configuration in force there; 0: none yet
-	Calls    int64         // requests of clients under way
-	Session  time.Duration // until the session lapses without an answer of the control plane
-	Totals   GatewayTotals
+	Ready            bool          // it accepts new clients
+	Revision         int64         // of the configuration in force there; 0: none yet
+	InFlight         int64         // requests of clients under way
+	SessionRemaining time.Duration // until the session expires without a reply of the control plane
+	Totals           GatewayTotals
 }
 
 func (figures Gateway) write(w io.Writer) {
-	gauge(w, "saffronyard_gateway_ready", "Whether this gateway calls itself ready.", zeroOrOne(figures.Ready))
+	gauge(w, "saffronyard_gateway_ready", "Whether this gateway calls itself ready.", boolValue(figures.Ready))
 	gauge(w, "saffronyard_configuration_revision", "Revision of the operator's configuration in force.", float64(figures.Revision))
-	gauge(w, "saffronyard_gateway_calls", "Requests of clients under way.", float64(figures.Calls))
-	writeSession(w, figures.Session)
+	gauge(w, "saffronyard_gateway_calls", "Requests of clients under way.", float64(figures.InFlight))
+	writeSession(w, figures.SessionRemaining)
 	figures.Totals.write(w)
 }
 
 // GatewayTotals are what a gateway has counted since its process began. What was never counted is left out.
 type GatewayTotals struct {
-	Requests []RequestTotal
-	Runs     []RunTotal
-	Resumed  uint64    // runs that went on where another one had ended
-	First    Histogram // from a send to the first piece of a streamed answer
+	Requests   []RequestTotal
+	Attempts   []AttemptTotal
+	Resumed    uint64    // runs that went on where another one had ended
+	FirstEvent Histogram // from a send to the first piece of a streamed answer
 }
 
 // RequestTotal is the number of requests of a kind whose answers ended in a way.
@@ -38,10 +38,10 @@
 	Count         uint64
 }
 
-// RunTotal is the number of sends to endpoints that ended in a way.
-type RunTotal struct {
-	End   string
-	Count uint64
+// AttemptTotal is the number of sends to endpoints that ended in a way.
+type AttemptTotal struct {
+	Outcome string
+	Count   uint64
 }
 
 // Histogram counts durations up to each of its bounds.
@@ -57,12 +57,12 @@
 		writeSample(w, fmt.Sprintf("saffronyard_gateway_requests_total{kind=%q,outcome=%q}", total.Kind, total.Outcome), float64(total.Count))
 	}
 	writeType(w, "saffronyard_gateway_runs_total", "Sends to endpoints by how they ended.", counterType)
-	for _, total := range totals.Runs {
-		writeSample(w, fmt.Sprintf("saffronyard_gateway_runs_total{end=%q}", total.End), float64(total.Count))
+	for _, total := range totals.Attempts {
+		writeSample(w, fmt.Sprintf("saffronyard_gateway_runs_total{end=%q}", total.Outcome), float64(total.Count))
 	}
 	writeType(w, "saffronyard_gateway_resumed_total", "Runs of a stream that went on where another one had ended.", counterType)
 	writeSample(w, "saffronyard_gateway_resumed_total", float64(totals.Resumed))
-	totals.First.write(w, "saffronyard_gateway_first_event_seconds", "From a send to the first event of a streamed answer.")
+	totals.FirstEvent.write(w, "saffronyard_gateway_first_event_seconds", "From a send to the first event of a streamed answer.")
 }
 
 // write writes the histogram; counts are of all durations up to a bound.
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -1,5 +1,6 @@
 // Package metrics writes the metrics of a role in the text format of Prometheus. A role collects its figures for each
-// request; nothing is registered, counted or kept in between. docs/operate/metrics.md lists all metrics.
+// request; nothing is registered, counted or stored in between, so that the package has no state
+// and is safe for concurrent use. docs/operate/metrics.md lists all metrics; names, labels and help texts are the operators'.
 package metrics
 
 import (
@@ -78,8 +79,8 @@
 // writeSample writes one value, under its name with its labels.
 func writeSample(w io.Writer, name string, value float64) { metrics.WriteGaugeFloat64(w, name, value) }
 
-// zeroOrOne is 1 for true.
-func zeroOrOne(is bool) float64 {
+// boolValue returns 1 for true, else 0.
+func boolValue(is bool) float64 {
 	if is {
 		return 1
 	}
@@ -94,6 +95,6 @@
 	const name, help = "saffronyard_disk_state", "Whether the disk of this process is in the state: 1 for one of them."
 	isFull, isStuck := state == tierv1.DiskState_DISK_FULL, state == tierv1.DiskState_DISK_STUCK
 	isSound := state == tierv1.DiskState_DISK_SOUND
-	gauges(w, name, help, "state", sample{"sound", zeroOrOne(isSound)}, sample{"full", zeroOrOne(isFull)},
-		sample{"failing", zeroOrOne(!isSound && !isFull && !isStuck)}, sample{"stuck", zeroOrOne(isStuck)})
+	gauges(w, name, help, "state", sample{"sound", boolValue(isSound)}, sample{"full", boolValue(isFull)},
+		sample{"failing", boolValue(!isSound && !isFull && !isStuck)}, sample{"stuck", boolValue(isStuck)})
 }
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -64,9 +64,9 @@
 		`saffronyard_disk_state{state="stuck"}`:       "0",
 	})
 	primary := backup
-	primary.Lease = 750 * time.Millisecond
-	primary.Primary = &Primary{Revision: 56, Gateways: 4, TurnStores: 3, UnsoundStores: 1, PartitionsAtRisk: 21, Losses: 1,
-		PartitionsBear: 0, ControlBears: -1, Until: -2500 * time.Millisecond}
+	primary.LeaseRemaining = 750 * time.Millisecond
+	primary.Primary = &Primary{Revision: 56, Gateways: 4, TurnStores: 3, UnhealthyStores: 1, PartitionsAtRisk: 21, LossesToTolerate: 1,
+		PartitionLossesTolerated: 0, ControlLossesTolerated: -1, UntilTolerated: -2500 * time.Millisecond}
 	all := samples(t, primary)
 	for name, want := range map[string]string{
 		"saffronyard_control_primary":                  "1",
@@ -88,7 +88,7 @@
 }
 
 func TestTurnStore(t *testing.T) {
-	store := TurnStore{Primaries: 11, Backups: 10, Entries: 4000, Memory: 1 << 22, MapVersion: 17, Session: 300 * time.Millisecond, Disk: tierv1.DiskState_DISK_FULL}
+	store := TurnStore{Primaries: 11, Backups: 10, Entries: 4000, Memory: 1 << 22, MapVersion: 17, SessionRemaining: 300 * time.Millisecond, Disk: tierv1.DiskState_DISK_FULL}
 	assert.DeepEqual(t, samples(t, store), map[string]string{
 		`saffronyard_turn_store_partitions{as="primary"}`: "11",
 		`saffronyard_turn_store_partitions{as="backup"}`:  "10",
@@ -105,12 +105,12 @@
 
 func TestGateway(t *testing.T) {
 	totals := GatewayTotals{
-		Requests: []RequestTotal{{"turn", "served", 40}, {"turn", "refused", 2}, {"idempotent", "served", 9}},
-		Runs:     []RunTotal{{"whole", 49}, {"broken", 3}},
-		Resumed:  1,
-		First:    Histogram{Bounds: []time.Duration{50 * time.Millisecond, 1600 * time.Millisecond}, Counts: []uint64{30, 8, 2}, Sum: 9 * time.Second},
+		Requests:   []RequestTotal{{"turn", "served", 40}, {"turn", "refused", 2}, {"idempotent", "served", 9}},
+		Attempts:   []AttemptTotal{{"whole", 49}, {"broken", 3}},
+		Resumed:    1,
+		FirstEvent: Histogram{Bounds: []time.Duration{50 * time.Millisecond, 1600 * time.Millisecond}, Counts: []uint64{30, 8, 2}, Sum: 9 * time.Second},
 	}
-	assert.DeepEqual(t, samples(t, Gateway{Ready: true, Revision: 7, Calls: 12, Session: time.Second, Totals: totals}), map[string]string{
+	assert.DeepEqual(t, samples(t, Gateway{Ready: true, Revision: 7, InFlight: 12, SessionRemaining: time.Second, Totals: totals}), map[string]string{
 		"saffronyard_gateway_ready":                                              "1",
 		"saffronyard_configuration_revision":                                     "7",
 		"saffronyard_gateway_calls":                                              "12",
@@ -154,7 +154,7 @@
 	calls := int64(0)
 	handler := Handler(func() Figures {
 		calls++
-		return Gateway{Calls: calls}
+		return Gateway{InFlight: calls}
 	})
 	for _, want := range []string{"saffronyard_gateway_calls 1\n", "saffronyard_gateway_calls 2\n"} {
 		answer := httptest.NewRecorder()
--- a/internal/tier/metrics/turnstore.go
+++ b/internal/tier/metrics/turnstore.go
@@ -13,7 +13,7 @@
 	Entries            int           // attempts known, in all partitions
 	Memory             int64         // estimated bytes that they take
 	MapVersion         uint64        // of the partition map applied last
-	Session            time.Duration // until the session lapses without an answer of the control plane
+	SessionRemaining   time.Duration // until the session lapses without an answer of the control plane
 	Disk               tierv1.DiskState
 }
 
@@ -23,7 +23,7 @@
 	gauge(w, "saffronyard_turn_store_entries", "Attempts known: reservations, settlements, turns.", float64(figures.Entries))
 	gauge(w, "saffronyard_turn_store_memory_bytes", "Estimate of the memory that the entries take.", float64(figures.Memory))
 	gauge(w, "saffronyard_partition_map_version", "Version of the partition map applied last.", float64(figures.MapVersion))
-	writeSession(w, figures.Session)
+	writeSession(w, figures.SessionRemaining)
 	writeDisk(w, figures.Disk)
 }
 
--- a/internal/tier/process/controlplane.go
+++ b/internal/tier/process/controlplane.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	process.run(ctx, node.Run) // it closes the data directory
+	process.runComponent(ctx, node.Run) // it closes the data directory
 	role := controlplane.New(controlplane.Config{Settings: settings, Store: node, Cloud: process.client, Dial: dialer(process.client, dialControlPlane), Log: config.Log})
 	mux := http.NewServeMux()
 	mux.Handle(tierv1.ElectionPathPrefix, node.Handler())
@@ -36,8 +36,8 @@
 	if _, err := rpc.Serve(ctx, settings.Control, role.Operators()); err != nil {
 		return err
 	}
-	config.Log.Info().Str("event", "started").Str("role", RoleControlPlane).Str("node", settings.Node).Msg("")
-	process.run(ctx, func(ctx context.Context) error {
+	config.Log.Info().Str("event", "started").Str("role", RoleControlPlane).Str("node", settings.Node).Msg("control plane serves")
+	process.runComponent(ctx, func(ctx context.Context) error {
 		role.Run(ctx)
 		return nil
 	})
--- a/internal/tier/process/disk.go
+++ b/internal/tier/process/disk.go
@@ -12,12 +12,12 @@
 	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
-// A disk that has failed is opened again after diskRetryMin. The pause doubles up to diskRetryMax; it is reset when the disk
-// has worked for diskHealthy.
+// A disk that has failed is opened again after minDiskRetryDelay. The delay doubles up to maxDiskRetryDelay; it is reset when the
+// disk has worked for diskHealthyTime.
 const (
-	diskRetryMin = 250 * time.Millisecond
-	diskRetryMax = 2 * time.Second
-	diskHealthy  = 10 * time.Second
+	minDiskRetryDelay = 250 * time.Millisecond
+	maxDiskRetryDelay = 2 * time.Second
+	diskHealthyTime   = 10 * time.Second
 )
 
 // diskWorker is a part of a process that runs until its disk fails.
@@ -35,11 +35,18 @@
 	return wal.IsDiskFull(err) || errors.Is(wal.Cause(err), syscall.EIO)
 }
 
-// retryDisk runs a worker, the first of which is passed with the error of its opening, and opens the next one after each failure
-// of the disk. It ends when ctx ends, when the process is leaving, or with the first error that diskMayRecover does not accept.
-func retryDisk(ctx context.Context, logger *log.Logger, worker diskWorker, err error, open func() (diskWorker, error), leaving func() bool,
-	pause func(context.Context, time.Duration)) error {
-	wait := diskRetryMin
+// diskRetrier runs a disk worker, and opens the next one after each failure of the disk that may pass.
+type diskRetrier struct {
+	log     *log.Logger
+	open    func() (diskWorker, error)           // opens the disk
+	leaving func() bool                          // the process shuts down: the disk is not opened again
+	sleep   func(context.Context, time.Duration) // waits for a duration or the end of the context
+}
+
+// run runs a worker, the first of which is passed with the error of its opening. It returns nil when ctx ends or the process is
+// leaving, and else the first error that diskMayRecover does not accept.
+func (retrier diskRetrier) run(ctx context.Context, worker diskWorker, err error) error {
+	delay := minDiskRetryDelay
 	for {
 		opened := err == nil
 		if opened {
@@ -47,32 +54,32 @@
 			if err = worker.run(); err == nil {
 				return nil
 			}
-			if time.Since(began) > diskHealthy {
-				wait = diskRetryMin
+			if time.Since(began) > diskHealthyTime {
+				delay = minDiskRetryDelay
 			}
 		}
-		if ctx.Err() != nil || leaving() {
+		if ctx.Err() != nil || retrier.leaving() {
 			return nil
 		}
 		if !diskMayRecover(err) {
 			return err
 		}
-		if opened || wait == diskRetryMin {
-			logger.Error().Str("event", "disk_failed").Err(err).Msg("")
+		if opened || delay == minDiskRetryDelay {
+			retrier.log.Error().Str("event", "disk_failed").Err(err).Msg("disk failed, will be opened again")
 		}
-		pause(ctx, wait)
-		if ctx.Err() != nil || leaving() {
+		retrier.sleep(ctx, delay)
+		if ctx.Err() != nil || retrier.leaving() {
 			return nil
 		}
-		wait = min(2*wait, diskRetryMax)
-		if worker, err = open(); err == nil {
-			logger.Info().Str("event", "disk_recovered").Msg("")
+		delay = min(2*delay, maxDiskRetryDelay)
+		if worker, err = retrier.open(); err == nil {
+			retrier.log.Info().Str("event", "disk_recovered").Msg("disk works again")
 		}
 	}
 }
 
-// pause waits for a duration or the end of ctx.
-func pause(ctx context.Context, duration time.Duration) {
+// sleep waits for a duration or the end of ctx.
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/tier/process/disk_test.go
+++ b/internal/tier/process/disk_test.go
@@ -19,24 +19,24 @@
 	errForeign = wal.Foreign.New("another version")
 )
 
-// scripted plays what opening the disk and working on it give, in turn; the last life ends with the process.
-type scripted struct {
+// scriptedDisk returns the scripted results of opening the disk and of working on it, in turn; the last run ends with the process.
+type scriptedDisk struct {
 	t        *testing.T
 	openings []error // of open
 	runs     []error // of run
 	opened   int
 	ran      int
-	pauses   []time.Duration
+	delays   []time.Duration
 	cancel   context.CancelFunc
 }
 
-func (s *scripted) open() (diskWorker, error) {
+func (s *scriptedDisk) open() (diskWorker, error) {
 	err := s.openings[s.opened]
 	s.opened++
 	return s, err
 }
 
-func (s *scripted) run() error {
+func (s *scriptedDisk) run() error {
 	s.ran++
 	if s.ran > len(s.runs) {
 		s.cancel()
@@ -45,42 +45,45 @@
 	return s.runs[s.ran-1]
 }
 
-func (s *scripted) pause(_ context.Context, span time.Duration) { s.pauses = append(s.pauses, span) }
+func (s *scriptedDisk) sleep(_ context.Context, span time.Duration) {
+	s.delays = append(s.delays, span)
+}
 
-func (s *scripted) retry(first error, leaving func() bool) error {
+func (s *scriptedDisk) retry(first error, leaving func() bool) error {
 	ctx, cancel := context.WithCancel(s.t.Context())
 	defer cancel()
 	s.cancel = cancel
-	return retryDisk(ctx, &log.Logger{Level: log.PanicLevel}, s, first, s.open, leaving, s.pause)
+	retrier := diskRetrier{log: &log.Logger{Level: log.PanicLevel}, open: s.open, leaving: leaving, sleep: s.sleep}
+	return retrier.run(ctx, s, first)
 }
 
 func staying() bool { return false }
 
 // A disk that is full at the start, and again later, does not end the process.
 func TestRetryDisk_FullDisk(t *testing.T) {
-	s := &scripted{t: t, openings: []error{errFull, errFull, errFull, errFull, errFull, nil, errFull, nil}, runs: []error{errFull}}
+	s := &scriptedDisk{t: t, openings: []error{errFull, errFull, errFull, errFull, errFull, nil, errFull, nil}, runs: []error{errFull}}
 	assert.NilError(t, s.retry(errFull, staying))
 	assert.Equal(t, s.opened, len(s.openings))
 	assert.Equal(t, s.ran, 2)
-	assert.DeepEqual(t, s.pauses[:5], []time.Duration{diskRetryMin, 2 * diskRetryMin, 4 * diskRetryMin, diskRetryMax, diskRetryMax})
+	assert.DeepEqual(t, s.delays[:5], []time.Duration{minDiskRetryDelay, 2 * minDiskRetryDelay, 4 * minDiskRetryDelay, maxDiskRetryDelay, maxDiskRetryDelay})
 }
 
 // An error that more space can not repair ends the process, also after a recovery.
 func TestRetryDisk_PermanentError(t *testing.T) {
-	s := &scripted{t: t, openings: []error{errForeign}}
+	s := &scriptedDisk{t: t, openings: []error{errForeign}}
 	assert.ErrorIs(t, s.retry(errFull, staying), errForeign)
-	s = &scripted{t: t, runs: []error{errForeign}}
+	s = &scriptedDisk{t: t, runs: []error{errForeign}}
 	assert.ErrorIs(t, s.retry(nil, staying), errForeign)
 	assert.Equal(t, s.opened, 0)
 }
 
 // A process that is leaving does not open its disk again.
 func TestRetryDisk_ProcessLeaving(t *testing.T) {
-	s := &scripted{t: t, runs: []error{errFull}}
+	s := &scriptedDisk{t: t, runs: []error{errFull}}
 	assert.NilError(t, s.retry(nil, func() bool { return s.ran > 0 }))
 	assert.Equal(t, s.opened, 0)
-	s = &scripted{t: t, runs: []error{errFull}}
-	assert.NilError(t, s.retry(nil, func() bool { return len(s.pauses) > 0 }))
+	s = &scriptedDisk{t: t, runs: []error{errFull}}
+	assert.NilError(t, s.retry(nil, func() bool { return len(s.delays) > 0 }))
 	assert.Equal(t, s.opened, 0)
 }
 
--- a/internal/tier/process/process.go
+++ b/internal/tier/process/process.go
@@ -1,5 +1,9 @@
 // Package process assembles the processes of the serving tier. For each role it connects consensus, sessions, stores and
 // servers with the addresses and limits of the settings.
+//
+// A Process owns the goroutines of its components: one that ends stops the others, and Wait returns when all have ended. What a role
+// persists lies in the data directory of the settings, which the components open; a disk that fails and may recover is opened again
+// (disk.go). Exported functions may be called from any goroutine.
 package process
 
 import (
@@ -10,6 +14,7 @@
 
 	"github.com/joomcode/errorx"
 	"github.com/phuslu/log"
+
 	"saffronyard.example/saffronyard/internal/tier/gateway"
 	"saffronyard.example/saffronyard/internal/tier/metrics"
 	"saffronyard.example/saffronyard/internal/tier/rpc"
@@ -43,13 +48,13 @@
 
 // Process is a running process of the tier.
 type Process struct {
-	cancel context.CancelFunc
-	leave  func() // begins a graceful shutdown; nil: the same as cancel
-	client *http.Client
-	parts  sync.WaitGroup
+	cancel     context.CancelFunc
+	shutdown   func() // begins a graceful shutdown; nil: the same as cancel
+	client     *http.Client
+	components sync.WaitGroup
 
-	mu     sync.Mutex
-	failed error // of the parts that ended by themselves
+	mu           sync.Mutex
+	componentErr error // of the components that ended by themselves
 }
 
 // Start opens the data directory and the ports of a role and begins to serve. Errors are those of the directory, of the
@@ -72,22 +77,23 @@
 	return process, nil
 }
 
-// Leave begins a graceful shutdown, as SIGTERM does: partitions and clients are handed over first, within the grace period.
-func (process *Process) Leave() {
-	if process.leave == nil {
+// Shutdown begins a graceful shutdown, as SIGTERM does: partitions and clients are handed over first, within the grace period of the
+// settings. It may return before its end, for which Wait waits.
+func (process *Process) Shutdown() {
+	if process.shutdown == nil {
 		process.cancel()
 		return
 	}
-	process.leave()
+	process.shutdown()
 }
 
-// Wait returns when all parts have ended, with the errors of those that ended by themselves.
+// Wait returns when all components have ended, with the errors of those that ended by themselves.
 func (process *Process) Wait() error {
-	process.parts.Wait()
+	process.components.Wait()
 	process.client.CloseIdleConnections()
 	process.mu.Lock()
 	defer process.mu.Unlock()
-	return process.failed
+	return process.componentErr
 }
 
 // Kill ends the process at once and waits until it has: connections are reset, the data directory stays as it is.
@@ -96,13 +102,13 @@
 	_ = process.Wait()
 }
 
-// run starts a part of the process. When a part ends, all others are stopped.
-func (process *Process) run(ctx context.Context, part func(context.Context) error) {
-	process.parts.Go(func() {
-		err := part(ctx)
+// runComponent starts a component of the process in a goroutine that Wait waits for. When a component ends, all others are stopped.
+func (process *Process) runComponent(ctx context.Context, component func(context.Context) error) {
+	process.components.Go(func() {
+		err := component(ctx)
 		if err != nil && !errors.Is(err, context.Canceled) {
 			process.mu.Lock()
-			process.failed = errors.Join(process.failed, err)
+			process.componentErr = errors.Join(process.componentErr, err)
 			process.mu.Unlock()
 		}
 		process.cancel()
@@ -113,6 +119,6 @@
 func (process *Process) startGateway(ctx context.Context, config Config) error {
 	role := gateway.New(gateway.Config{Settings: config.Settings, ControlPlane: dialer(process.client, dialControlPlane),
 		TurnStore: dialer(process.client, dialTurnStore), Log: config.Log})
-	process.run(ctx, role.Run)
+	process.runComponent(ctx, role.Run)
 	return nil
 }
--- a/internal/tier/process/process_test.go
+++ b/internal/tier/process/process_test.go
@@ -14,14 +14,15 @@
 
 	"github.com/phuslu/log"
 	"gotest.tools/v3/assert"
+
 	"saffronyard.example/saffronyard/internal/tier/metrics"
 	"saffronyard.example/saffronyard/internal/tier/process"
 	"saffronyard.example/saffronyard/internal/tier/settings"
 	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
-// silent logs nothing.
-func silent() *log.Logger { return &log.Logger{Level: log.PanicLevel} }
+// discardLogger logs nothing.
+func discardLogger() *log.Logger { return &log.Logger{Level: log.PanicLevel} }
 
 // machine returns settings of a machine on a random loopback address, with ports below the ephemeral ones.
 func machine(t *testing.T) settings.Settings {
@@ -38,9 +39,9 @@
 
 func TestStart_EachRole(t *testing.T) {
 	for _, role := range []string{process.RoleGateway, process.RoleControlPlane, process.RoleTurnStore} {
-		for name, end := range map[string]func(*process.Process){"killed": (*process.Process).Kill, "leaves": (*process.Process).Leave} {
+		for name, end := range map[string]func(*process.Process){"killed": (*process.Process).Kill, "leaves": (*process.Process).Shutdown} {
 			t.Run(role+" "+name, func(t *testing.T) {
-				p, err := process.Start(t.Context(), role, process.Config{Settings: machine(t), Log: silent()})
+				p, err := process.Start(t.Context(), role, process.Config{Settings: machine(t), Log: discardLogger()})
 				assert.NilError(t, err)
 				end(p)
 				assert.NilError(t, p.Wait())
@@ -54,7 +55,7 @@
 	for role, port := range map[string]int{process.RoleControlPlane: process.ControlPlanePort, process.RoleTurnStore: process.TurnStorePort} {
 		t.Run(role, func(t *testing.T) {
 			s := machine(t)
-			p, err := process.Start(t.Context(), role, process.Config{Settings: s, Log: silent()})
+			p, err := process.Start(t.Context(), role, process.Config{Settings: s, Log: discardLogger()})
 			assert.NilError(t, err)
 			defer p.Kill()
 			at := "http://" + s.Internal(port) + metrics.Path
@@ -77,25 +78,25 @@
 // The end of the context is a kill.
 func TestStart_ContextDone(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	p, err := process.Start(ctx, process.RoleTurnStore, process.Config{Settings: machine(t), Log: silent()})
+	p, err := process.Start(ctx, process.RoleTurnStore, process.Config{Settings: machine(t), Log: discardLogger()})
 	assert.NilError(t, err)
 	cancel()
 	assert.NilError(t, p.Wait())
 }
 
 func TestUnknownRole(t *testing.T) {
-	_, err := process.Start(t.Context(), "janitor", process.Config{Settings: machine(t), Log: silent()})
+	_, err := process.Start(t.Context(), "janitor", process.Config{Settings: machine(t), Log: discardLogger()})
 	assert.ErrorContains(t, err, `no role is called "janitor"`)
 }
 
 // A turn store whose disk is full at its start stays up, opens nothing meanwhile, and can be ended.
 func TestATurnStoreOnAFullDiskStaysUp(t *testing.T) {
-	for name, end := range map[string]func(*process.Process){"killed": (*process.Process).Kill, "leaves": (*process.Process).Leave} {
+	for name, end := range map[string]func(*process.Process){"killed": (*process.Process).Kill, "leaves": (*process.Process).Shutdown} {
 		t.Run(name, func(t *testing.T) {
 			disk := wal.NewMemory()
 			disk.FailFrom(1, syscall.ENOSPC)
 			s := machine(t)
-			p, err := process.Start(t.Context(), process.RoleTurnStore, process.Config{Settings: s, Log: silent(), FS: disk})
+			p, err := process.Start(t.Context(), process.RoleTurnStore, process.Config{Settings: s, Log: discardLogger(), FS: disk})
 			assert.NilError(t, err)
 			l, err := net.Listen("tcp", s.Internal(process.TurnStorePort))
 			assert.NilError(t, err)
@@ -110,7 +111,7 @@
 func TestDataDirectoryThatCannotBeMade(t *testing.T) {
 	s := machine(t)
 	s.DataDir = "/dev/null/nowhere"
-	_, err := process.Start(t.Context(), process.RoleTurnStore, process.Config{Settings: s, Log: silent()})
+	_, err := process.Start(t.Context(), process.RoleTurnStore, process.Config{Settings: s, Log: discardLogger()})
 	assert.ErrorContains(t, err, "/dev/null")
 	l, err := net.Listen("tcp", s.Internal(process.TurnStorePort))
 	assert.NilError(t, err)
--- a/internal/tier/process/turnstore.go
+++ b/internal/tier/process/turnstore.go
@@ -20,9 +20,9 @@
 	graceDivisor  = 2  // of the grace period: the part for handing partitions over
 )
 
-// openTurnStore is a turn store from the opening of its disk to the failure of that disk. To other processes the next one
-// looks like a restarted process: it listens anew, has a new session, and serves what its write-ahead log holds.
-type openTurnStore struct {
+// turnStoreRun is a turn store from the opening of its disk to the failure of that disk. To other processes the next one looks like
+// a restarted process: it listens anew, has a new session, and serves what its write-ahead log holds.
+type turnStoreRun struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
 	store   *turnstore.TurnStore
@@ -35,7 +35,7 @@
 	if config.FS == nil {
 		config.FS = wal.OS{}
 	}
-	var open atomic.Pointer[openTurnStore]
+	var open atomic.Pointer[turnStoreRun]
 	var leaving atomic.Bool
 	attempt := func() (diskWorker, error) {
 		t, err := process.openTurnStore(ctx, config)
@@ -49,12 +49,12 @@
 	if err != nil && !diskMayRecover(err) {
 		return err
 	}
-	process.run(ctx, func(ctx context.Context) error {
-		return retryDisk(ctx, config.Log, first, err, attempt, leaving.Load, pause)
+	process.runComponent(ctx, func(ctx context.Context) error {
+		return diskRetrier{log: config.Log, open: attempt, leaving: leaving.Load, sleep: sleep}.run(ctx, first, err)
 	})
 	// It keeps serving until its partitions have other primaries, for up to a part of the grace period.
-	process.leave = func() {
-		config.Log.Info().Str("event", "leaving").Str("node", config.Settings.Node).Msg("")
+	process.shutdown = func() {
+		config.Log.Info().Str("event", "leaving").Str("node", config.Settings.Node).Msg("graceful shutdown begins")
 		leaving.Store(true)
 		if t := open.Load(); t != nil && t.ctx.Err() == nil {
 			t.session.Drain()
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// turnStoreConfig is what the settings give a turn store.
+// turnStoreConfig returns the configuration of a turn store by the settings.
 func (process *Process) turnStoreConfig(config Config) turnstore.Config {
 	settings := config.Settings
 	return turnstore.Config{
@@ -82,8 +82,8 @@
 	}
 }
 
-// openTurnStore opens the disk and listens at the port.
-func (process *Process) openTurnStore(ctx context.Context, config Config) (*openTurnStore, error) {
+// openTurnStore opens the disk and listens at the port of turn stores.
+func (process *Process) openTurnStore(ctx context.Context, config Config) (*turnStoreRun, error) {
 	settings := config.Settings
 	address := settings.Internal(TurnStorePort)
 	store, err := turnstore.Open(process.turnStoreConfig(config))
@@ -96,7 +96,7 @@
 	mux.Handle(tierv1.TurnStorePathPrefix, tierv1.NewTurnStoreServer(store))
 	mux.Handle(metricsPattern, metrics.Handler(func() metrics.Figures {
 		figures := store.Metrics()
-		figures.Session = sessionClient.Remaining()
+		figures.SessionRemaining = sessionClient.Remaining()
 		return figures
 	}))
 	ctx, cancel := context.WithCancel(ctx)
@@ -105,13 +105,13 @@
 		_ = store.Close()
 		return nil, err
 	}
-	config.Log.Info().Str("event", "started").Str("role", RoleTurnStore).Str("node", settings.Node).Str("folder", store.Folder()).Msg("")
-	return &openTurnStore{ctx: ctx, cancel: cancel, store: store, session: sessionClient}, nil
+	config.Log.Info().Str("event", "started").Str("role", RoleTurnStore).Str("node", settings.Node).Str("folder", store.Folder()).Msg("turn store serves")
+	return &turnStoreRun{ctx: ctx, cancel: cancel, store: store, session: sessionClient}, nil
 }
 
 // run serves until the process ends, or the disk fails, and returns the disk's error. Listener, connections and session are
 // closed then.
-func (open *openTurnStore) run() error {
+func (open *turnStoreRun) run() error {
 	var loops sync.WaitGroup
 	loops.Go(func() { open.session.Run(open.ctx) })
 	err := open.store.Run(open.ctx)
--- a/internal/tier/session/lease_test.go
+++ b/internal/tier/session/lease_test.go
@@ -36,7 +36,7 @@
 		c := r.primary(1)
 		c.SetEndpoints(&tierv1.Endpoint{Instance: "i-1"})
 		r.run()
-		c.Taken(t)
+		c.AwaitAcknowledged(t)
 		<-time.After(5 * time.Second)
 		f(r, c)
 	})
@@ -52,7 +52,7 @@
 func TestCurrent_SingleLostCalls(t *testing.T) {
 	withActiveSession(t, func(r *harness, c *tiertest.ControlPlane) {
 		var calls atomic.Int64
-		c.SetVia(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+		c.SetInterceptor(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			if isLongPoll(q) && calls.Add(1)%2 == 0 {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -70,7 +70,7 @@
 		const pause = 10 * time.Second
 		var paused atomic.Bool
 		resumed := make(chan struct{})
-		c.SetVia(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+		c.SetInterceptor(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			if isLongPoll(q) && !paused.Swap(true) {
 				<-time.After(pause) // the process does not even see that its call is over
 				close(resumed)
@@ -88,7 +88,7 @@
 // A process that is cut off goes on with what it has, however long that lasts.
 func TestCurrent_PartitionedProcess(t *testing.T) {
 	withActiveSession(t, func(r *harness, c *tiertest.ControlPlane) {
-		c.SetVia(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+		c.SetInterceptor(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
@@ -103,7 +103,7 @@
 		t.Run(name, func(t *testing.T) {
 			withActiveSession(t, func(r *harness, c *tiertest.ControlPlane) {
 				cutUntil := time.Now().Add(cut)
-				c.SetVia(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+				c.SetInterceptor(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 					if isLongPoll(q) || time.Now().Before(cutUntil) {
 						<-ctx.Done()
 						return nil, ctx.Err()
@@ -124,7 +124,7 @@
 		r := newHarness(t, 1)
 		c := r.primary(1)
 		c.SetEndpoints(&tierv1.Endpoint{Instance: "i-1"})
-		c.SetVia(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+		c.SetInterceptor(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			if isLongPoll(q) {
 				select {
 				case <-time.After(took):
--- a/internal/tier/session/report_health_test.go
+++ b/internal/tier/session/report_health_test.go
@@ -21,7 +21,7 @@
 			}
 		})
 		c.SetConfiguration("1")
-		c.Taken(t)                                               // the session stands: its next call acknowledges
+		c.AwaitAcknowledged(t)                                   // the session stands: its next call acknowledges
 		r.client.ReportHealth(t.Context(), []string{"i-1"}, nil) // the fake tells each report at once
 		if takes {
 			c.Await(t, "they are acknowledged", func(q *tierv1.WatchRequest) bool {
@@ -31,7 +31,7 @@
 			continue
 		}
 		c.SetConfiguration("2")
-		c.Taken(t)
+		c.AwaitAcknowledged(t)
 		assert.DeepEqual(t, r.recorded(), []string{"configuration 1", "configuration 2"})
 	}
 }
@@ -44,6 +44,6 @@
 	r.client.ReportHealth(t.Context(), []string{"i-1"}, nil)
 	c := r.primary(1)
 	c.SetConfiguration("1")
-	c.Taken(t)
+	c.AwaitAcknowledged(t)
 	assert.DeepEqual(t, r.recorded(), []string{"configuration 1"})
 }
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -36,7 +36,7 @@
 	r := &harness{t: t, controls: map[string]*tiertest.ControlPlane{}}
 	for i := range n {
 		c := tiertest.NewControlPlane()
-		c.Change(func(v *tierv1.WatchReply) { v.IsPrimary = false })
+		c.Update(func(v *tierv1.WatchReply) { v.IsPrimary = false })
 		r.controls[address(i+1)] = c
 	}
 	return r
@@ -63,7 +63,7 @@
 }
 
 func (r *harness) run(change ...func(*session.Config)) {
-	c := session.Config{Settings: tiertest.Settings("edge-1"), Role: "gateway", Log: tiertest.Silent(),
+	c := session.Config{Settings: tiertest.Settings("edge-1"), Role: "gateway", Log: tiertest.DiscardLogger(),
 		Dial: func(at string) tierv1.ControlPlane {
 			if one := r.controls[at]; one != nil {
 				return one
@@ -85,7 +85,7 @@
 	}()
 	r.t.Cleanup(func() {
 		cancel()
-		tiertest.Closed(r.t, "the session ends", r.ended)
+		tiertest.WaitFor(r.t, "the session ends", r.ended)
 	})
 }
 
@@ -93,12 +93,12 @@
 
 func (r *harness) primary(n int) *tiertest.ControlPlane {
 	c := r.at(n)
-	c.Change(func(v *tierv1.WatchReply) { v.IsPrimary, v.PrimaryHint = true, "" })
+	c.Update(func(v *tierv1.WatchReply) { v.IsPrimary, v.PrimaryHint = true, "" })
 	return c
 }
 
 func (r *harness) hint(n, to int) {
-	r.at(n).Change(func(v *tierv1.WatchReply) { v.IsPrimary, v.PrimaryHint = false, address(to) })
+	r.at(n).Update(func(v *tierv1.WatchReply) { v.IsPrimary, v.PrimaryHint = false, address(to) })
 }
 
 // isLongPoll is a call that holds a session, rather than one that only looks.
@@ -116,7 +116,7 @@
 	assert.Assert(t, first.Incarnation != "")
 	assert.Assert(t, first.PollTimeoutMs > 0)
 	c.SetConfiguration("1")
-	c.Taken(t)
+	c.AwaitAcknowledged(t)
 	assert.Equal(t, r.client.Primary(), address(3))
 	stands, _ := r.client.Active()
 	assert.Assert(t, stands)
@@ -140,7 +140,7 @@
 			return isLongPoll(q) && q.ConfigurationVersion == 1 && q.EndpointsVersion == 1 && !lives[q.Incarnation]
 		})
 		r.life()
-		tiertest.Closed(t, "the session ends", r.ended)
+		tiertest.WaitFor(t, "the session ends", r.ended)
 		first := true
 		for _, q := range c.Calls()[seen:] {
 			if !isLongPoll(q) {
@@ -171,12 +171,12 @@
 		}
 	})
 	c.SetEndpoints()
-	tiertest.Closed(t, "the list is brought", asked)
+	tiertest.WaitFor(t, "the list is brought", asked)
 	for _, q := range c.Calls() {
 		assert.Assert(t, !isLongPoll(q) || q.EndpointsVersion == 0, "acknowledged before it was taken")
 	}
 	close(release)
-	c.Taken(t)
+	c.AwaitAcknowledged(t)
 	assert.DeepEqual(t, r.recorded(), []string{"endpoints"})
 }
 
@@ -190,7 +190,7 @@
 	versions := []uint64{5, 4, 5, 7, 1, 6, 8}
 	var mu sync.Mutex
 	n := 0
-	c.SetVia(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+	c.SetInterceptor(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if !isLongPoll(q) || n == len(versions) {
@@ -214,7 +214,7 @@
 
 // makeUnresponsive has calls from now on held and never answered.
 func makeUnresponsive(c *tiertest.ControlPlane) {
-	c.SetVia(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+	c.SetInterceptor(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
@@ -224,29 +224,29 @@
 	for name, ends := range map[string]func(r *harness){
 		"silent": func(r *harness) { makeUnresponsive(r.at(1)) },
 		"dead": func(r *harness) {
-			r.at(1).SetVia(func(context.Context, *tierv1.WatchRequest, func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+			r.at(1).SetInterceptor(func(context.Context, *tierv1.WatchRequest, func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 				return nil, errNoProcess
 			})
 		},
 		"deposed, knows":     func(r *harness) { r.hint(1, 2) },
-		"deposed, knows not": func(r *harness) { r.at(1).Change(func(v *tierv1.WatchReply) { v.IsPrimary = false }) },
+		"deposed, knows not": func(r *harness) { r.at(1).Update(func(v *tierv1.WatchReply) { v.IsPrimary = false }) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 2)
 			c := r.primary(1)
-			c.Change(func(v *tierv1.WatchReply) {
+			c.Update(func(v *tierv1.WatchReply) {
 				v.Members = &tierv1.Members{Version: 1, List: []*tierv1.Member{{Address: address(1)}, {Address: address(2)}}}
 			})
 			c.SetEndpoints()
 			c.SetEndpoints()
 			r.run()
-			c.Taken(t)
+			c.AwaitAcknowledged(t)
 			next := r.primary(2) // known from the members alone
 			ends(r)
 			got := next.Await(t, "a session with the next", isLongPoll)
 			assert.Equal(t, got.EndpointsVersion, uint64(2), "what was taken stays taken")
-			next.Change(func(v *tierv1.WatchReply) { v.Endpoints = &tierv1.Endpoints{Version: 3} })
-			next.Taken(t)
+			next.Update(func(v *tierv1.WatchReply) { v.Endpoints = &tierv1.Endpoints{Version: 3} })
+			next.AwaitAcknowledged(t)
 			assert.DeepEqual(t, r.recorded(), []string{"endpoints 2", "endpoints 3"})
 			assert.Equal(t, r.client.Primary(), address(2))
 		})
@@ -260,7 +260,7 @@
 		c := r.primary(1)
 		c.SetConfiguration("1")
 		var heldUp atomic.Bool
-		c.SetVia(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+		c.SetInterceptor(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			if !isLongPoll(q) || heldUp.Swap(true) {
 				return serve()
 			}
@@ -268,7 +268,7 @@
 			return &tierv1.WatchReply{IsPrimary: true, Epoch: 1, Configuration: &tierv1.Configuration{Version: 5, Body: []byte("old")}}, nil
 		})
 		r.run()
-		c.Taken(t)
+		c.AwaitAcknowledged(t)
 		synctest.Wait()
 		assert.DeepEqual(t, r.recorded(), []string{"configuration 1"})
 	})
@@ -391,7 +391,7 @@
 						s.Folder = "f-1"
 					}
 				})
-				c.Taken(t)
+				c.AwaitAcknowledged(t)
 				synctest.Wait()
 				assert.Equal(t, r.client.Remaining(), patience)
 				<-time.After(100 * time.Millisecond)
@@ -406,7 +406,7 @@
 
 // A session that has never stood has nothing left.
 func TestRemaining_NeverActive(t *testing.T) {
-	client := session.New(session.Config{Settings: tiertest.Settings("edge-1"), Role: "gateway", Log: tiertest.Silent()})
+	client := session.New(session.Config{Settings: tiertest.Settings("edge-1"), Role: "gateway", Log: tiertest.DiscardLogger()})
 	assert.Equal(t, client.Remaining(), time.Duration(0))
 }
 
@@ -417,7 +417,7 @@
 		r := newHarness(t, 1)
 		c := r.primary(1)
 		c.SetConfiguration("1")
-		c.SetVia(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+		c.SetInterceptor(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			if isLongPoll(q) { // by the connection that the search has made
 				return serve()
 			}
--- a/internal/tier/tiertest/controlplane.go
+++ b/internal/tier/tiertest/controlplane.go
@@ -12,63 +12,63 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// ControlPlane is a fake control-plane process. It is the primary, unless its Via answers otherwise.
+// ControlPlane is a fake control-plane process. It is the primary, unless its interceptor replies otherwise.
 type ControlPlane struct {
-	mu      sync.Mutex
-	views   *tierv1.WatchReply
-	calls   []*tierv1.WatchRequest
-	changed chan struct{} // closed at every call and every new view
-	via     Via
+	mu          sync.Mutex
+	state       *tierv1.WatchReply
+	calls       []*tierv1.WatchRequest
+	changed     chan struct{} // closed at every call and every new view
+	interceptor WatchInterceptor
 }
 
-// Via intercepts the calls of a ControlPlane; serve returns the regular answer.
-type Via func(ctx context.Context, r *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error)
+// WatchInterceptor intercepts the calls of a ControlPlane; serve returns the regular reply.
+type WatchInterceptor func(ctx context.Context, r *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error)
 
 // NewControlPlane returns a control plane without any view: configuration, endpoints, partition map.
 func NewControlPlane() *ControlPlane {
-	return &ControlPlane{views: &tierv1.WatchReply{IsPrimary: true, Epoch: 1}, changed: make(chan struct{})}
+	return &ControlPlane{state: &tierv1.WatchReply{IsPrimary: true, Epoch: 1}, changed: make(chan struct{})}
 }
 
 var _ tierv1.ControlPlane = (*ControlPlane)(nil)
 
-// signal wakes all that wait for a change. The lock is held.
+// signal wakes all that wait for a change. The caller holds mu.
 func (plane *ControlPlane) signal() {
 	close(plane.changed)
 	plane.changed = make(chan struct{})
 }
 
-// Change changes the views.
-func (plane *ControlPlane) Change(change func(views *tierv1.WatchReply)) {
+// Update changes the views.
+func (plane *ControlPlane) Update(change func(views *tierv1.WatchReply)) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
-	change(plane.views)
+	change(plane.state)
 	plane.signal()
 }
 
-// SetVia sets what intercepts its calls; nil: nothing.
-func (plane *ControlPlane) SetVia(via Via) {
+// SetInterceptor sets the function that intercepts its calls; nil: none.
+func (plane *ControlPlane) SetInterceptor(via WatchInterceptor) {
 	plane.mu.Lock()
 	defer plane.mu.Unlock()
-	plane.via = via
+	plane.interceptor = via
 }
 
 // SetConfiguration publishes a configuration, as the next version.
 func (plane *ControlPlane) SetConfiguration(body string) {
-	plane.Change(func(v *tierv1.WatchReply) {
+	plane.Update(func(v *tierv1.WatchReply) {
 		v.Configuration = &tierv1.Configuration{Version: v.GetConfiguration().GetVersion() + 1, Body: []byte(body)}
 	})
 }
 
 // SetEndpoints publishes a list of endpoints, as the next version.
 func (plane *ControlPlane) SetEndpoints(list ...*tierv1.Endpoint) {
-	plane.Change(func(v *tierv1.WatchReply) {
+	plane.Update(func(v *tierv1.WatchReply) {
 		v.Endpoints = &tierv1.Endpoints{Version: v.GetEndpoints().GetVersion() + 1, List: list}
 	})
 }
 
 // SetPartitionMap publishes a partition map, which has its own version.
 func (plane *ControlPlane) SetPartitionMap(m *tierv1.PartitionMap) {
-	plane.Change(func(v *tierv1.WatchReply) { v.PartitionMap = m })
+	plane.Update(func(v *tierv1.WatchReply) { v.PartitionMap = m })
 }
 
 // Watch implements tierv1.ControlPlane, as a primary does.
@@ -77,7 +77,7 @@
 	plane.mu.Lock()
 	plane.calls = append(plane.calls, request)
 	plane.signal()
-	via := plane.via
+	via := plane.interceptor
 	plane.mu.Unlock()
 	serve := func() (*tierv1.WatchReply, error) { return plane.serve(ctx, request) }
 	if via != nil {
@@ -86,48 +86,49 @@
 	return serve()
 }
 
-// serve returns the views that are newer than those of the request, as soon as there are any, or none when the hold ends.
+// serve is the long poll: it returns the state that is newer than the versions of the request as soon as there is any, or none when
+// the poll times out.
 func (plane *ControlPlane) serve(ctx context.Context, request *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
-	holdTimer := time.NewTimer(time.Duration(request.PollTimeoutMs) * time.Millisecond)
-	defer holdTimer.Stop()
+	pollTimer := time.NewTimer(time.Duration(request.PollTimeoutMs) * time.Millisecond)
+	defer pollTimer.Stop()
 	for expired := false; ; {
 		plane.mu.Lock()
-		views := plane.views
-		news := &tierv1.WatchReply{IsPrimary: views.IsPrimary, PrimaryHint: views.PrimaryHint, Epoch: views.Epoch}
+		views := plane.state
+		newer := &tierv1.WatchReply{IsPrimary: views.IsPrimary, PrimaryHint: views.PrimaryHint, Epoch: views.Epoch}
 		if views.GetConfiguration().GetVersion() > request.ConfigurationVersion {
-			news.Configuration = views.Configuration
+			newer.Configuration = views.Configuration
 		}
 		if views.GetEndpoints().GetVersion() > request.EndpointsVersion {
-			news.Endpoints = views.Endpoints
+			newer.Endpoints = views.Endpoints
 		}
 		if views.GetPartitionMap().GetVersion() > request.PartitionMapVersion {
-			news.PartitionMap = views.PartitionMap
+			newer.PartitionMap = views.PartitionMap
 		}
 		if views.GetMembers().GetVersion() > request.MembersVersion {
-			news.Members = views.Members
+			newer.Members = views.Members
 		}
 		if request.AcceptsEjections && views.GetEjections().GetVersion() > request.EjectionsVersion {
-			news.Ejections = views.Ejections
+			newer.Ejections = views.Ejections
 		}
-		news = proto.Clone(news).(*tierv1.WatchReply)
+		newer = proto.Clone(newer).(*tierv1.WatchReply)
 		changed := plane.changed
 		plane.mu.Unlock()
-		if expired || !news.IsPrimary || news.Configuration != nil || news.Endpoints != nil || news.PartitionMap != nil || news.Members != nil || news.Ejections != nil {
-			return news, nil
+		if expired || !newer.IsPrimary || newer.Configuration != nil || newer.Endpoints != nil || newer.PartitionMap != nil || newer.Members != nil || newer.Ejections != nil {
+			return newer, nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-holdTimer.C:
+		case <-pollTimer.C:
 			expired = true
 		case <-changed:
 		}
 	}
 }
 
-// ReportEjections implements tierv1.ControlPlane: each report is told at once.
+// ReportEjections implements tierv1.ControlPlane: each report is published at once.
 func (plane *ControlPlane) ReportEjections(_ context.Context, report *tierv1.EjectionReport) (*tierv1.EjectionReportReply, error) {
-	plane.Change(func(v *tierv1.WatchReply) {
+	plane.Update(func(v *tierv1.WatchReply) {
 		version := v.GetEjections().GetVersion() + 1
 		next := &tierv1.Ejections{Version: version}
 		for _, instance := range report.Ejected {
@@ -138,7 +139,7 @@
 	return &tierv1.EjectionReportReply{IsPrimary: true}, nil
 }
 
-// Status implements tierv1.ControlPlane. Its answer is empty.
+// Status implements tierv1.ControlPlane. Its reply is empty.
 func (plane *ControlPlane) Status(context.Context, *tierv1.StatusRequest) (*tierv1.StatusReply, error) {
 	return &tierv1.StatusReply{}, nil
 }
@@ -153,7 +154,7 @@
 // Await waits until a call meets a condition, and returns the first that does.
 func (plane *ControlPlane) Await(t testing.TB, what string, met func(*tierv1.WatchRequest) bool) *tierv1.WatchRequest {
 	t.Helper()
-	timeout := time.After(Patience)
+	timeout := time.After(Timeout)
 	for n := 0; ; {
 		plane.mu.Lock()
 		calls, changed := plane.calls[n:], plane.changed
@@ -172,11 +173,11 @@
 	}
 }
 
-// Taken waits until a process has acknowledged all views as they stand.
-func (plane *ControlPlane) Taken(t testing.TB) {
+// AwaitAcknowledged waits until a process has acknowledged all views as they stand.
+func (plane *ControlPlane) AwaitAcknowledged(t testing.TB) {
 	t.Helper()
 	plane.mu.Lock()
-	views := proto.Clone(plane.views).(*tierv1.WatchReply)
+	views := proto.Clone(plane.state).(*tierv1.WatchReply)
 	plane.mu.Unlock()
 	plane.Await(t, "views are acknowledged", func(r *tierv1.WatchRequest) bool {
 		return r.Role != "" && r.ConfigurationVersion != math.MaxUint64 && r.ConfigurationVersion >= views.GetConfiguration().GetVersion() &&
--- a/internal/tier/tiertest/observer/observer.go
+++ b/internal/tier/tiertest/observer/observer.go
@@ -1,4 +1,4 @@
-// Package observer runs checks that are expected to fail: a test that plants a fault observes that a check finds it. It
+// Package observer runs checks that are expected to fail: a test that injects a fault observes that a check finds it. It
 // imports no package of the tier, so that the tests inside any of them can use it.
 package observer
 
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Reporter is what checks report to: a test, or an observer of a planted fault.
+// Reporter is what checks report to: a test, or an observer of an injected fault.
 type Reporter interface {
 	assert.TestingT
 	Helper()
--- a/internal/tier/tiertest/tiertest.go
+++ b/internal/tier/tiertest/tiertest.go
@@ -16,11 +16,11 @@
 	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
-// Patience is how long a condition is waited for before the test fails. A test that passes comes nowhere near it.
-const Patience = 30 * time.Second
+// Timeout is how long a condition is awaited before the test fails. A test that passes comes nowhere near it.
+const Timeout = 30 * time.Second
 
-// Silent returns a logger that discards all entries.
-func Silent() *log.Logger { return &log.Logger{Writer: log.IOWriter{Writer: io.Discard}} }
+// DiscardLogger returns a logger that discards all entries.
+func DiscardLogger() *log.Logger { return &log.Logger{Writer: log.IOWriter{Writer: io.Discard}} }
 
 const (
 	frontendPort  = ":8080"
@@ -35,19 +35,19 @@
 		Grace: 200 * time.Millisecond}
 }
 
-// freeAddress is a loopback address on whose ports nobody listens. The readiness port of a gateway is held until its test's
+// freeAddress returns a loopback address on whose ports nobody listens. The readiness port of a gateway is held until its test's
 // process ends, so that thousands of addresses are taken where many copies of the tests run at once.
 func freeAddress() string {
 	for {
 		ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.N(254), rand.N(256), 1+rand.N(254))
-		if free(ip+frontendPort) && free(ip+readinessPort) {
+		if isFree(ip+frontendPort) && isFree(ip+readinessPort) {
 			return ip
 		}
 	}
 }
 
-// free tells whether nobody listens on an address.
-func free(address string) bool {
+// isFree reports whether nobody listens on an address.
+func isFree(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
@@ -55,23 +55,23 @@
 	return listener.Close() == nil
 }
 
-// Until polls until a condition is met.
-func Until(t testing.TB, what string, met func() bool) {
+// WaitUntil polls until a condition is met.
+func WaitUntil(t testing.TB, what string, met func() bool) {
 	t.Helper()
 	for begin := time.Now(); !met(); runtime.Gosched() {
-		if time.Since(begin) > Patience {
+		if time.Since(begin) > Timeout {
 			t.Fatalf("waited for nothing: %s", what)
 		}
 	}
 }
 
-// Closed waits for a channel to be closed, or for a value on it, and returns the value.
-func Closed[T any](t testing.TB, what string, c <-chan T) T {
+// WaitFor waits for a channel to be closed, or for a value on it, and returns the value.
+func WaitFor[T any](t testing.TB, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(Patience):
+	case <-time.After(Timeout):
 		t.Fatalf("waited for nothing: %s", what)
 		panic("unreachable")
 	}
--- a/internal/tier/tiertest/tiertest_test.go
+++ b/internal/tier/tiertest/tiertest_test.go
@@ -12,9 +12,9 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
-	assert.Assert(t, !free(address))
+	assert.Assert(t, !isFree(address))
 	assert.NilError(t, listener.Close())
-	assert.Assert(t, free(address))
+	assert.Assert(t, isFree(address))
 }
 
 // The ports of the settings can be listened on right away.
--- a/internal/tier/tiertest/turnstores.go
+++ b/internal/tier/tiertest/turnstores.go
@@ -16,11 +16,11 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// ErrNet is the error of a call whose message was lost.
-var ErrNet = errors.New("no answer")
+// ErrMessageLost is the error of a call whose request or reply was lost.
+var ErrMessageLost = errors.New("no answer")
 
-// Message is a call on its way to a turn store.
-type Message struct {
+// RPC is a call on its way to a turn store.
+type RPC struct {
 	Ctx     context.Context
 	Method  string
 	Request proto.Message
@@ -32,31 +32,31 @@
 	*turnstore.TurnStore
 	Address string
 
-	mu   sync.Mutex
-	via  func(Message) error
-	dark bool
+	mu          sync.Mutex
+	interceptor func(RPC) error
+	unreachable bool
 }
 
 var _ tierv1.TurnStore = (*TurnStore)(nil)
 
-// SetVia sets what intercepts its calls; nil: nothing.
-func (store *TurnStore) SetVia(via func(Message) error) {
+// SetInterceptor sets the function that intercepts its calls; nil: none.
+func (store *TurnStore) SetInterceptor(via func(RPC) error) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	store.via = via
+	store.interceptor = via
 }
 
-// SetDark sets whether calls get no answer at all, like those to a machine that has lost power.
-func (store *TurnStore) SetDark(dark bool) {
+// SetUnreachable sets whether calls get no reply at all, like those to a machine that has lost power.
+func (store *TurnStore) SetUnreachable(dark bool) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	store.dark = dark
+	store.unreachable = dark
 }
 
-// carry passes a call through the network of a turn store. Messages are copied, as a network does.
-func carry[Q, P proto.Message](store *TurnStore, ctx context.Context, method string, request Q, serve func(context.Context, Q) (P, error)) (reply P, err error) {
+// deliver passes a call through the network of a turn store. Messages are copied, as a network does.
+func deliver[Q, P proto.Message](ctx context.Context, store *TurnStore, method string, request Q, serve func(context.Context, Q) (P, error)) (reply P, err error) {
 	store.mu.Lock()
-	via, dark := store.via, store.dark
+	via, dark := store.interceptor, store.unreachable
 	store.mu.Unlock()
 	var none P
 	if dark {
@@ -74,10 +74,10 @@
 	if via == nil {
 		err = once()
 	} else {
-		err = via(Message{Ctx: ctx, Method: method, Request: request, Serve: once})
+		err = via(RPC{Ctx: ctx, Method: method, Request: request, Serve: once})
 	}
 	store.mu.Lock()
-	dark = store.dark
+	dark = store.unreachable
 	store.mu.Unlock()
 	if dark {
 		<-ctx.Done()
@@ -91,32 +91,32 @@
 
 // Begin implements tierv1.TurnStore.
 func (store *TurnStore) Begin(ctx context.Context, request *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
-	return carry(store, ctx, "Begin", request, store.TurnStore.Begin)
+	return deliver(ctx, store, "Begin", request, store.TurnStore.Begin)
 }
 
 // Settle implements tierv1.TurnStore.
 func (store *TurnStore) Settle(ctx context.Context, request *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
-	return carry(store, ctx, "Settle", request, store.TurnStore.Settle)
+	return deliver(ctx, store, "Settle", request, store.TurnStore.Settle)
 }
 
 // Find implements tierv1.TurnStore.
 func (store *TurnStore) Find(ctx context.Context, request *tierv1.FindRequest) (*tierv1.FindReply, error) {
-	return carry(store, ctx, "Find", request, store.TurnStore.Find)
+	return deliver(ctx, store, "Find", request, store.TurnStore.Find)
 }
 
 // Replicate implements tierv1.TurnStore.
 func (store *TurnStore) Replicate(ctx context.Context, request *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
-	return carry(store, ctx, "Replicate", request, store.TurnStore.Replicate)
+	return deliver(ctx, store, "Replicate", request, store.TurnStore.Replicate)
 }
 
 // Held implements tierv1.TurnStore.
 func (store *TurnStore) Held(ctx context.Context, request *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
-	return carry(store, ctx, "Held", request, store.TurnStore.Held)
+	return deliver(ctx, store, "Held", request, store.TurnStore.Held)
 }
 
 // Fetch implements tierv1.TurnStore.
 func (store *TurnStore) Fetch(ctx context.Context, request *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
-	return carry(store, ctx, "Fetch", request, store.TurnStore.Fetch)
+	return deliver(ctx, store, "Fetch", request, store.TurnStore.Fetch)
 }
 
 // TurnStores are turn stores with disks in memory, which call each other.
@@ -131,9 +131,9 @@
 // partitions is the number of partitions of a map.
 const partitions = 6
 
-// releaseTime is how long a release may take to arrive after a takeover: longer than any test, so that none depends on how
+// releaseGracePeriod is how long a release may take to arrive after a takeover: longer than any test, so that none depends on how
 // fast it runs.
-const releaseTime = 10 * time.Minute
+const releaseGracePeriod = 10 * time.Minute
 
 // NewTurnStores opens so many turn stores. They are closed at the end of the test.
 func NewTurnStores(t testing.TB, n int) *TurnStores {
@@ -141,8 +141,8 @@
 	stores := &TurnStores{t: t}
 	for i := range n {
 		store := &TurnStore{Address: fmt.Sprintf("turnstore-%d", i)}
-		opened, err := turnstore.Open(turnstore.Config{Node: store.Address, Dir: "/data", FS: wal.NewMemory(), Dial: stores.Dial, Log: Silent(),
-			ReleaseGracePeriod: releaseTime})
+		opened, err := turnstore.Open(turnstore.Config{Node: store.Address, Dir: "/data", FS: wal.NewMemory(), Dial: stores.Dial, Log: DiscardLogger(),
+			ReleaseGracePeriod: releaseGracePeriod})
 		assert.NilError(t, err)
 		store.TurnStore = opened
 		stores.List = append(stores.List, store)
@@ -178,7 +178,7 @@
 	}
 	for _, store := range stores.List {
 		store.mu.Lock()
-		dark := store.dark
+		dark := store.unreachable
 		store.mu.Unlock()
 		if !dark {
 			store.ApplyPartitionMap(partitionMap)
--- a/internal/tier/tiertest/wire.go
+++ b/internal/tier/tiertest/wire.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -16,87 +17,87 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Arrival is a request that an endpoint has read to its end, with the connection to answer on.
-type Arrival struct {
+// ReceivedRequest is a request that an endpoint has read completely, with the connection for its response.
+type ReceivedRequest struct {
 	*http.Request
-	Text   string // its body
-	ID     string // X-Attempt-Id
-	Order  int    // its number at this endpoint, from 0
-	conn   *net.TCPConn
-	reader *bufio.Reader
+	BodyText  string // its body
+	AttemptID string // X-Attempt-Id
+	Order     int    // its number at this endpoint, from 0
+	conn      *net.TCPConn
+	reader    *bufio.Reader
 }
 
-// Say writes a text as it is.
-func (arrival *Arrival) Say(text string) { io.WriteString(arrival.conn, text) }
+// WriteText writes a text as it is.
+func (received *ReceivedRequest) WriteText(text string) { io.WriteString(received.conn, text) }
 
-// Said writes a text as it is, and reports whether the connection took it.
-func (arrival *Arrival) Said(text string) bool {
-	_, err := io.WriteString(arrival.conn, text)
+// TryWriteText writes a text as it is, and reports whether the connection took it.
+func (received *ReceivedRequest) TryWriteText(text string) bool {
+	_, err := io.WriteString(received.conn, text)
 	return err == nil
 }
 
 // Reset resets the connection.
-func (arrival *Arrival) Reset() {
-	arrival.conn.SetLinger(0)
-	arrival.conn.Close()
+func (received *ReceivedRequest) Reset() {
+	received.conn.SetLinger(0)
+	received.conn.Close()
 }
 
 // Close closes the connection.
-func (arrival *Arrival) Close() { arrival.conn.Close() }
+func (received *ReceivedRequest) Close() { received.conn.Close() }
 
-// Gone waits until the peer has closed the connection.
-func (arrival *Arrival) Gone() { io.Copy(io.Discard, arrival.reader) }
+// AwaitClose waits until the peer has closed the connection.
+func (received *ReceivedRequest) AwaitClose() { io.Copy(io.Discard, received.reader) }
 
-// Answer writes a whole answer with its signature. Each of the header fields ends with CRLF.
-func (arrival *Arrival) Answer(status int, fields, body string) {
-	arrival.Say(fmt.Sprintf("HTTP/1.1 %d %s\r\nX-Attempt-Id: %s\r\nX-Response-Signature: s.%s\r\n%sContent-Length: %d\r\n\r\n%s", status,
-		http.StatusText(status), arrival.ID, arrival.ID, fields, len(body), body))
+// Respond writes a complete response with its signature. Each of the header fields ends with CRLF.
+func (received *ReceivedRequest) Respond(status int, fields, body string) {
+	received.WriteText(fmt.Sprintf("HTTP/1.1 %d %s\r\nX-Attempt-Id: %s\r\nX-Response-Signature: s.%s\r\n%sContent-Length: %d\r\n\r\n%s", status,
+		http.StatusText(status), received.AttemptID, received.AttemptID, fields, len(body), body))
 }
 
-// Bare writes a whole answer without a signature and body.
-func (arrival *Arrival) Bare(status int, fields string) {
-	arrival.Say(fmt.Sprintf("HTTP/1.1 %d %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), arrival.ID, fields))
+// RespondUnsigned writes a complete response without a signature and body.
+func (received *ReceivedRequest) RespondUnsigned(status int, fields string) {
+	received.WriteText(fmt.Sprintf("HTTP/1.1 %d %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), received.AttemptID, fields))
 }
 
-// Head writes the head of a stream of events.
-func (arrival *Arrival) Head() {
-	arrival.Say(fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Signature: s.%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", arrival.ID, arrival.ID))
+// WriteStreamHead writes the head of a stream of events.
+func (received *ReceivedRequest) WriteStreamHead() {
+	received.WriteText(fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Signature: s.%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", received.AttemptID, received.AttemptID))
 }
 
-// Event writes one event of a stream.
-func (arrival *Arrival) Event(id int, data string) {
+// WriteEvent writes one event of a stream.
+func (received *ReceivedRequest) WriteEvent(id int, data string) {
 	text := EventText(id, data)
-	arrival.Say(fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
+	received.WriteText(fmt.Sprintf("%x\r\n%s\r\n", len(text), text))
 }
 
 // EventText returns an event as it is sent.
 func EventText(id int, data string) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", id, data) }
 
-// End writes the regular end of a stream.
-func (arrival *Arrival) End() { arrival.Say("0\r\n\r\n") }
+// EndStream writes the regular end of a stream.
+func (received *ReceivedRequest) EndStream() { received.WriteText("0\r\n\r\n") }
 
-// Stream writes a whole stream, with an event for each text.
-func (arrival *Arrival) Stream(data ...string) {
-	arrival.Head()
+// WriteStream writes a complete stream, with an event for each text.
+func (received *ReceivedRequest) WriteStream(data ...string) {
+	received.WriteStreamHead()
 	for i, d := range data {
-		arrival.Event(i+1, d)
+		received.WriteEvent(i+1, d)
 	}
-	arrival.End()
+	received.EndStream()
 }
 
-// Endpoint is a fake endpoint whose answers a test scripts.
+// Endpoint is a fake endpoint whose responses a test scripts.
 type Endpoint struct {
 	Instance, Service, Address string
 	Listener                   *net.TCPListener
 
 	mu       sync.Mutex
-	arrivals []*Arrival
-	handler  func(*Arrival)
+	requests []*ReceivedRequest
+	handler  func(*ReceivedRequest)
 }
 
-// NewEndpoint starts an endpoint. The script answers one request; a connection is used for the next one unless the script has
-// closed it.
-func NewEndpoint(t testing.TB, instance, service string, handler func(*Arrival)) *Endpoint {
+// NewEndpoint starts an endpoint. The handler responds to one request; the connection is used for the next one unless the handler
+// has closed it.
+func NewEndpoint(t testing.TB, instance, service string, handler func(*ReceivedRequest)) *Endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -127,7 +128,7 @@
 	return endpoint
 }
 
-// serve reads the requests of a connection and has the script answer them.
+// serve reads the requests of a connection and has the handler respond to them.
 func (endpoint *Endpoint) serve(conn *net.TCPConn) {
 	defer conn.Close()
 	for reader := bufio.NewReader(conn); ; {
@@ -139,28 +140,28 @@
 		if err != nil {
 			return
 		}
-		arrival := &Arrival{Request: request, Text: string(body), ID: request.Header.Get("X-Attempt-Id"), conn: conn, reader: reader}
+		received := &ReceivedRequest{Request: request, BodyText: string(body), AttemptID: request.Header.Get("X-Attempt-Id"), conn: conn, reader: reader}
 		endpoint.mu.Lock()
-		arrival.Order = len(endpoint.arrivals)
-		endpoint.arrivals = append(endpoint.arrivals, arrival)
+		received.Order = len(endpoint.requests)
+		endpoint.requests = append(endpoint.requests, received)
 		handler := endpoint.handler
 		endpoint.mu.Unlock()
-		handler(arrival)
+		handler(received)
 	}
 }
 
-// SetScript sets the script of the requests that arrive from now on.
-func (endpoint *Endpoint) SetScript(handler func(*Arrival)) {
+// SetHandler sets the handler of the requests that are received from now on.
+func (endpoint *Endpoint) SetHandler(handler func(*ReceivedRequest)) {
 	endpoint.mu.Lock()
 	defer endpoint.mu.Unlock()
 	endpoint.handler = handler
 }
 
-// Arrivals returns the requests so far.
-func (endpoint *Endpoint) Arrivals() []*Arrival {
+// Requests returns the requests received so far.
+func (endpoint *Endpoint) Requests() []*ReceivedRequest {
 	endpoint.mu.Lock()
 	defer endpoint.mu.Unlock()
-	return append([]*Arrival(nil), endpoint.arrivals...)
+	return append([]*ReceivedRequest(nil), endpoint.requests...)
 }
 
 // Entry returns the endpoint as the control plane lists it.
@@ -168,8 +169,8 @@
 	return &tierv1.Endpoint{Instance: endpoint.Instance, Service: endpoint.Service, Address: endpoint.Address, Zone: "z-1", Capacity: 8}
 }
 
-// Draining returns the same entry, marked as draining.
-func (endpoint *Endpoint) Draining() *tierv1.Endpoint {
+// DrainingEntry returns the same entry, marked as draining.
+func (endpoint *Endpoint) DrainingEntry() *tierv1.Endpoint {
 	entry := endpoint.Entry()
 	entry.Draining = true
 	return entry
@@ -186,12 +187,12 @@
 func Connect(t testing.TB, address string) *Client {
 	t.Helper()
 	client := &Client{t: t}
-	Until(t, "a listener at "+address, func() bool {
+	WaitUntil(t, "a listener at "+address, func() bool {
 		var err error
 		client.Conn, err = net.Dial("tcp", address)
 		return err == nil
 	})
-	client.Conn.SetDeadline(time.Now().Add(Patience))
+	client.Conn.SetDeadline(time.Now().Add(Timeout))
 	client.reader = bufio.NewReader(client.Conn)
 	t.Cleanup(func() { client.Conn.Close() })
 	return client
@@ -204,25 +205,25 @@
 	assert.NilError(client.t, err)
 }
 
-// Head reads the head of an answer. Its body can be read from the result.
-func (client *Client) Head() *http.Response {
+// ReadHead reads the head of a response. Its body can be read from the result.
+func (client *Client) ReadHead() *http.Response {
 	client.t.Helper()
 	response, err := http.ReadResponse(client.reader, nil)
 	assert.NilError(client.t, err)
 	return response
 }
 
-// Reply is an answer that a client has read to its end.
+// Reply is a response that a client has read to its end.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   string
 	Close  bool  // the connection ends with it
-	Err    error // of the body, or of the head if Status is 0; nil: the answer is whole
+	Err    error // of the body, or of the head if Status is 0; nil: the response is complete
 }
 
-// Whole reads an answer to its end. An error is part of the result.
-func (client *Client) Whole() Reply {
+// ReadReply reads a response to its end. An error is part of the result.
+func (client *Client) ReadReply() Reply {
 	response, err := http.ReadResponse(client.reader, nil)
 	if err != nil {
 		return Reply{Err: err}
@@ -231,8 +232,8 @@
 	return Reply{Status: response.StatusCode, Header: response.Header, Body: string(body), Close: response.Close, Err: err}
 }
 
-// Event reads one event of a stream.
-func (client *Client) Event(body io.Reader) string {
+// ReadEvent reads one event of a stream.
+func (client *Client) ReadEvent(body io.Reader) string {
 	client.t.Helper()
 	var text strings.Builder
 	for one := make([]byte, 1); !strings.HasSuffix(text.String(), "\n\n"); {
@@ -245,29 +246,29 @@
 	return text.String()
 }
 
-// Ending reports whether the last chunk, or the end of the connection, follows what was read within 30 ms.
-func (client *Client) Ending() bool {
+// EndsSoon reports whether the last chunk, or the end of the connection, follows what was read within 30 ms.
+func (client *Client) EndsSoon() bool {
 	client.Conn.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
-	defer client.Conn.SetReadDeadline(time.Now().Add(Patience))
+	defer client.Conn.SetReadDeadline(time.Now().Add(Timeout))
 	for n := client.reader.Buffered() + 1; ; n++ {
 		got, err := client.reader.Peek(n)
 		if strings.Contains(string(got), "0\r\n") {
 			return true
 		}
 		if err != nil {
-			e, ok := err.(net.Error)
-			return !ok || !e.Timeout()
+			var netError net.Error
+			return !errors.As(err, &netError) || !netError.Timeout()
 		}
 	}
 }
 
-// Do sends a request on a connection of its own, and reads its answer to the end.
+// Do sends a request on a connection of its own, and reads its response to the end.
 func Do(t testing.TB, address, text string) Reply {
 	t.Helper()
 	client := Connect(t, address)
 	defer client.Conn.Close()
 	client.Send(text)
-	return client.Whole()
+	return client.ReadReply()
 }
 
 // Post returns the text of a request with a body. Each of the header fields ends with CRLF.
