--- a/internal/calls/answer.go
+++ b/internal/calls/answer.go
@@ -15,49 +15,38 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// addAllowedRate adds the rate that an endpoint allows to a call's end, which has no figures of its own: the module decides
-// what it makes of that.
-func (e *Endpoint) addAllowedRate(f *requestFormat, end *brain.AttemptResult) {
-	if !f.Validate || end.LimitReported {
-		return
-	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.allowedRate > 0 {
-		end.LimitReported, end.Remaining, end.Limit = true, 1, e.allowedRate
-	}
-}
-
 const (
-	maxAnswerBody    = 64 << 10               // bytes of an answer that are read so that the connection serves again
-	maxStatusLine    = 4 << 10                // bytes of a status line, and of what is read at once
-	maxAnswer        = 128 << 10              // bytes of an answer: head, interim answers and body
-	maxInterim       = 16                     // interim answers ahead of one
-	answerTimeout    = 200 * time.Millisecond // what follows an answer's first byte comes within this
-	maxRateLimitWait = time.Minute            // no endpoint is told to be left alone for longer
-	maxRate          = 1e6                    // calls a second that a destination may take
+	maxAnswerBody     = 64 << 10               // bytes of a body that are read so that the connection can be used again
+	maxStatusLine     = 4 << 10                // bytes of a status line, and of what is read at once
+	maxAnswer         = 128 << 10              // bytes of an answer: head, interim answers and body
+	maxInterimAnswers = 16                     // ahead of the final one
+	answerTimeout     = 200 * time.Millisecond // from the first byte of an answer to its last
+	maxRateLimitWait  = time.Minute            // longest X-RateLimit-Wait-Ms; what is beyond counts as not told
+	maxRate           = 1e6                    // calls a second in a load report; what is beyond makes it unusable
 )
 
 var (
-	errAnswerTooLong   = errors.New("the answer is too long")
+	// errAnswerTooLong says that an answer exceeds maxAnswer.
+	errAnswerTooLong = errors.New("the answer is too long")
+	// errMalformedAnswer says that an answer has come that cannot be read: the call may have run.
 	errMalformedAnswer = errors.New("the answer can't be read")
 )
 
-// readAnswer reads the answer to a call and says how the call ended, and whether the connection is of further
-// use. A 200 in a first line that has come whole is true whatever follows. Any other status holds only if the answer is sound
-// as a whole: a spoilt one, which comes from an endpoint that has run the call, may read as a refusal, and
-// says nothing but that the call may have run. Once it has begun, the rest gets restTime: a body that keeps
-// coming, or a head without end, must not hold the slot and the outcome until the time-out.
-func (p *Pool) readAnswer(ctx context.Context, c *conn, f *requestFormat, end *brain.AttemptResult) (reusable, gone bool, err error) {
+// readAnswer reads the answer to a call into end, and returns whether the connection can be used again and whether the
+// endpoint wants no more calls. A 200 in a complete status line holds whatever follows. Any other status holds only if
+// the whole answer is sound: a malformed one, which comes from an endpoint that has run the call, may read as a
+// rejection, and says nothing but that the call may have run. Once the answer has begun, the rest gets answerTimeout: a
+// body that keeps coming, or a head without end, must not hold the slot and the outcome until the time-out.
+func (p *Pool) readAnswer(ctx context.Context, c *conn, f *requestFormat, result *brain.AttemptResult) (reusable, gone bool, err error) {
 	c.Remaining = maxAnswer
-	for range maxInterim {
+	for range maxInterimAnswers {
 		status, err := c.readStatus(ctx)
 		if err != nil {
 			return false, false, err
 		}
 		served := f.isDelivered(status)
 		if served {
-			end.Outcome, end.Final = brain.Served, true
+			result.Outcome, result.Final = brain.Served, true
 		}
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: http.MethodPost})
 		if err != nil || status == http.StatusSwitchingProtocols { // the latter nobody asked for
@@ -70,18 +59,19 @@
 		if err != nil || n > maxAnswerBody {
 			return false, false, malformed(served)
 		}
-		p.applyStatus(resp, end)
-		// An endpoint with no room for a connection answers the first call on it so, and ends it; one that has looked
-		// at the call tells how it stands.
-		end.ConnLimitReached = c.idleSince.IsZero() && resp.Close && end.Outcome == brain.Rejected && end.RetryAfter == 0 && !end.LimitReported
-		gone := f.applyWebHookStatus(resp, end, time.Now())
-		// What stands behind an answer would be read as the next one.
+		p.applyStatus(resp, result)
+		// An endpoint that takes no more connections rejects the first call on a new one without any figures, and closes
+		// it; one that has looked at the call tells how it stands.
+		bare := result.Outcome == brain.Rejected && result.RetryAfter == 0 && !result.LimitReported
+		result.ConnLimitReached = bare && c.idleSince.IsZero() && resp.Close
+		gone := f.applyWebHookStatus(resp, result, time.Now())
+		// What follows the answer would be read as the next one.
 		return !resp.Close && c.r.Buffered() == 0, gone, nil
 	}
 	return false, false, errMalformedAnswer
 }
 
-// malformed is what becomes of an answer that goes wrong behind its status line.
+// malformed is the error of an answer that is malformed after its status line: none if that said that it was served.
 func malformed(served bool) error {
 	if served {
 		return nil
@@ -89,14 +79,14 @@
 	return errMalformedAnswer
 }
 
-// readStatus waits for an answer and looks at its first line, which is left to be read. From its first byte on
-// the rest of the answer has restTime. What can't become a status line is not waited for: behind noise the
+// readStatus waits for an answer and returns the status of its first line, which is left to be read. From its first byte
+// on the rest of the answer has answerTimeout. What can't become a status line is not waited for: after noise the
 // connection may stay open and silent.
 func (c *conn) readStatus(ctx context.Context) (int, error) {
 	deadline, _ := ctx.Deadline()
 	c.SetReadDeadline(deadline)
 	if err := ctx.Err(); err != nil {
-		return 0, err // its end may have set the deadline just before we did
+		return 0, err // its end may have set the deadline just before this did
 	}
 	if _, err := c.r.Peek(1); err != nil {
 		return 0, err
@@ -128,7 +118,7 @@
 	}
 }
 
-// parseStatus reads the status of a first line. The parser proper takes 2000 and 0200 for 200.
+// parseStatus reads the status of a first line. http.ReadResponse takes 2000 and 0200 for 200.
 func parseStatus(line []byte) (int, bool) {
 	rest, ok := bytes.CutPrefix(line, []byte("HTTP/1."))
 	if !ok || len(rest) < 5 || rest[0] != '0' && rest[0] != '1' || rest[1] != ' ' {
@@ -142,33 +132,35 @@
 	return int(n), err == nil && n >= 100
 }
 
-// applyStatus translates an answer. Figures that no sound endpoint sends count as not told.
-func (p *Pool) applyStatus(resp *http.Response, end *brain.AttemptResult) {
+// applyStatus translates an answer of the platform (doc.go has the table). Figures that no sound endpoint sends count as
+// not told.
+func (p *Pool) applyStatus(resp *http.Response, result *brain.AttemptResult) {
 	switch resp.StatusCode {
 	case http.StatusOK:
-		end.Outcome, end.Final = brain.Served, true
+		result.Outcome, result.Final = brain.Served, true
 	case http.StatusTooManyRequests:
-		end.Outcome = brain.Rejected
+		result.Outcome = brain.Rejected
 		if ms, err := strconv.ParseFloat(resp.Header.Get("X-RateLimit-Wait-Ms"), 64); err == nil && ms > 0 && ms <= float64(maxRateLimitWait.Milliseconds()) {
-			end.RetryAfter = time.Duration(ms * float64(time.Millisecond))
+			result.RetryAfter = time.Duration(ms * float64(time.Millisecond))
 		}
 	case http.StatusServiceUnavailable:
-		end.Outcome = brain.Rejected
+		result.Outcome = brain.Rejected
 		if resp.Header.Get("X-Over-Slots") == "1" {
-			end.Outcome = brain.NotSent
+			result.Outcome = brain.NotSent
 		}
 	case http.StatusGatewayTimeout:
-		end.Outcome = brain.NotSent
+		result.Outcome = brain.NotSent
 	case http.StatusGone:
-		end.Outcome, end.Final = brain.NotSent, true
+		result.Outcome, result.Final = brain.NotSent, true
 	default:
-		end.Outcome = brain.Errored
+		result.Outcome = brain.Errored
 	}
-	end.Remaining, end.Limit, end.LimitReported = p.parseLoadReport(resp.Header.Get("X-Load"))
+	result.Remaining, result.Limit, result.LimitReported = p.parseLoadReport(resp.Header.Get("X-Load"))
 }
 
-// parseLoadReport reads a load report. One with a figure that can't be is no report: the others are as doubtful.
-func (p *Pool) parseLoadReport(text string) (left, limit float64, ok bool) {
+// parseLoadReport reads a load report: a list of name=value, of which x0 is the share of the allowance that is left and
+// x1 the rate limit in calls a second. If any figure is impossible there is no report: the others are as doubtful.
+func (p *Pool) parseLoadReport(text string) (remaining, limit float64, ok bool) {
 	report := map[string]float64{}
 	for _, part := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -181,6 +173,6 @@
 		}
 		report[name] = v
 	}
-	left, ok = report["x0"]
-	return min(left, 1), report["x1"], ok
+	remaining, ok = report["x0"]
+	return min(remaining, 1), report["x1"], ok
 }
--- /dev/null
+++ b/internal/calls/endpoint_list.go
@@ -0,0 +1,178 @@
+package calls
+
+import (
+	"cmp"
+	"slices"
+
+	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/membership"
+)
+
+// stateServing and stateDeleted are states of a target in the endpoint list; any other one is draining.
+const (
+	stateServing = "SERVING"
+	stateDeleted = "DELETED"
+)
+
+// MaxDestination is the highest destination that a list may name.
+const MaxDestination = 1<<16 - 1
+
+// Names are the names in the settings to whose index zones and kinds of endpoints are translated.
+type Names struct{ Zones, Kinds []string }
+
+// EndpointList is the endpoint list as the sender's loop knows it, which owns it. Endpoints come and go all day: of one
+// that is gone nothing is kept, and a number is never used again, so that an endpoint which comes back, or another one at
+// its address, starts with no connection and no history.
+type EndpointList struct {
+	ByID     map[string]*Endpoint
+	ByNumber map[brain.EndpointID]*Endpoint
+	// Destinations are those that a list has ever named, MaxDestination at most.
+	Destinations map[uint32]struct{}
+	// IsClosed reports whether the fleet's policy has closed or suspended a destination; nil where there is none.
+	IsClosed func(destination uint32) bool
+	// KindOf is the kind that the fleet's policy gives a destination, from that in the list; nil where there is none.
+	KindOf func(destination uint32, listed string) string
+
+	lastNumber brain.EndpointID
+	generation uint64 // lists that have come
+}
+
+// NewEndpointList makes an empty list.
+func NewEndpointList() EndpointList {
+	return EndpointList{
+		ByID:         map[string]*Endpoint{},
+		ByNumber:     map[brain.EndpointID]*Endpoint{},
+		Destinations: map[uint32]struct{}{},
+	}
+}
+
+// Apply takes over a change of the list, or the complete list, and returns what the Brain has to know of it: a complete
+// list that comes again costs no more than this. An endpoint that is listed again as it was keeps its position among those
+// of its destination.
+func (l *EndpointList) Apply(update membership.Update, complete bool, names Names, p *Pool) brain.EndpointUpdate {
+	var changes brain.EndpointUpdate
+	l.generation++
+	for _, line := range update.Servers {
+		if e, changed := l.update(line, names, p); changed {
+			changes.Endpoints = append(changes.Endpoints, e)
+		}
+	}
+	for _, line := range update.Servers {
+		if line.State == stateDeleted {
+			l.remove(l.ByID[line.ID], p)
+		}
+	}
+	if !complete {
+		return changes
+	}
+	var gone []*Endpoint
+	for _, e := range l.ByID {
+		if e.lastListed != l.generation {
+			gone = append(gone, e)
+		}
+	}
+	slices.SortFunc(gone, func(x, y *Endpoint) int { return cmp.Compare(x.Number, y.Number) })
+	for _, e := range gone {
+		if e.Entry.Ready {
+			e.Entry.Ready = false
+			changes.Endpoints = append(changes.Endpoints, e.Entry)
+		}
+		l.remove(e, p)
+	}
+	return changes
+}
+
+// remove drops an endpoint that is gone. Its calls in flight end as they do, and their connections with them.
+func (l *EndpointList) remove(e *Endpoint, p *Pool) {
+	if e == nil {
+		return
+	}
+	delete(l.ByID, e.ID)
+	delete(l.ByNumber, e.Number)
+	e.mu.Lock()
+	e.addr = ""
+	e.mu.Unlock()
+	p.CloseIdle(e, 0)
+}
+
+// Retire records that an endpoint wants no more calls, as if the list had said so, until the list says that it is not
+// serving. changed is whether the Brain has to know.
+func (l *EndpointList) Retire(e *Endpoint, p *Pool) (update brain.EndpointUpdate, changed bool) {
+	if e == nil || e.retired || l.ByID[e.ID] != e {
+		return update, false
+	}
+	e.retired = true
+	changed = e.Entry.Ready
+	e.Entry.Ready = false
+	p.CloseIdle(e, 0)
+	return brain.EndpointUpdate{Endpoints: []brain.Endpoint{e.Entry}}, changed
+}
+
+// isClosed reports whether the fleet's policy lets nothing be sent to a destination.
+func (l *EndpointList) isClosed(destination uint32) bool {
+	return l.IsClosed != nil && l.IsClosed(destination)
+}
+
+// kindIndex is the index of the kind of an endpoint in the settings, as the fleet's policy or else the list has it.
+func (l *EndpointList) kindIndex(e *Endpoint, destination uint32, names Names) int {
+	kind := e.kind
+	if l.KindOf != nil {
+		kind = l.KindOf(destination, kind)
+	}
+	return max(0, slices.Index(names.Kinds, kind))
+}
+
+// ApplyPolicy returns what the Brain has to know of changes of the fleet's policy: an endpoint of a closed destination
+// is not ready.
+func (l *EndpointList) ApplyPolicy(names Names) brain.EndpointUpdate {
+	var changed []*Endpoint
+	for _, e := range l.ByID {
+		entry, destination := e.Entry, uint32(e.Entry.Destination)
+		entry.Ready, entry.Kind = e.listedServing && !e.retired && !l.isClosed(destination), l.kindIndex(e, destination, names)
+		if entry != e.Entry {
+			e.Entry = entry
+			changed = append(changed, e)
+		}
+	}
+	slices.SortFunc(changed, func(x, y *Endpoint) int { return cmp.Compare(x.Number, y.Number) })
+	var changes brain.EndpointUpdate
+	for _, e := range changed {
+		changes.Endpoints = append(changes.Endpoints, e.Entry)
+	}
+	return changes
+}
+
+// update takes over an entry of the list; changed is whether the Brain has to know.
+func (l *EndpointList) update(target membership.Target, names Names, p *Pool) (entry brain.Endpoint, changed bool) {
+	e := l.ByID[target.ID]
+	if e == nil {
+		l.lastNumber++
+		e = &Endpoint{Number: l.lastNumber, ID: target.ID, validating: make(chan struct{}, 1)}
+		l.ByID[target.ID], l.ByNumber[e.Number] = e, e
+		changed = true
+	}
+	e.lastListed = l.generation
+	if target.Cell <= MaxDestination {
+		l.Destinations[target.Cell] = struct{}{}
+	}
+	e.Zone = max(0, slices.Index(names.Zones, target.Zone))
+	if target.State != stateServing {
+		e.retired = false
+	}
+	e.listedServing, e.kind = target.State == stateServing, target.Kind
+	ready := e.listedServing && !e.retired && !l.isClosed(target.Cell)
+	e.mu.Lock()
+	e.format = p.formats.find(target.Cell, target.Kind)
+	if target.Addr != "" {
+		e.addr = target.Addr
+	}
+	e.mu.Unlock()
+	if !ready {
+		p.CloseIdle(e, 0)
+	}
+	entry = brain.Endpoint{ID: e.Number, Destination: brain.DestinationID(target.Cell), Kind: l.kindIndex(e, target.Cell, names),
+		Zone: e.Zone, Ready: ready, Rating: target.Weight}
+	changed = changed || entry != e.Entry
+	e.Entry = entry
+	return entry, changed
+}
--- a/internal/calls/permit.go
+++ b/internal/calls/permit.go
@@ -1,5 +1,3 @@
-// Package calls is calls to endpoints: the messages as they are written, leave to write them, the connections that they go
-// on, the answers, and the list of endpoints as the loop knows it. What is called when is decided by package brain.
 package calls
 
 import (
@@ -8,32 +6,35 @@
 	"time"
 )
 
-// Permit is leave to write one message once. Between the decision to send it and its first byte on the wire lie the
-// seconds in which its connection comes up, and what it was decided by may change meanwhile: its destination asks for
-// a wait, its endpoint drains, an outage begins, its key is forgotten. So the call asks for its permit just before it
-// writes, and the loop takes the permit back as soon as the module says so. Either the one or the other comes first;
-// no lock is held, and neither waits.
+// Permit is the permission to write one message once. Between the decision to send a message and its first byte on the
+// wire lie the seconds in which its connection comes up, and the reasons for the decision may change meanwhile: its
+// destination asks for a wait, its endpoint drains, an outage begins, its idempotency key is forgotten. So the call uses
+// the permit just before it writes, and the loop revokes it as soon as the Brain says so. Whichever comes first holds; no
+// lock is held, and neither waits.
 type Permit struct {
-	state  atomic.Uint32
-	Until  time.Time          // it lapses by itself: a repeat is lawful only while its key is remembered
-	Cancel context.CancelFunc // ends the call
+	// Until is when the permit expires by itself: a repeat is allowed only while its key is remembered.
+	Until time.Time
+	// Cancel ends the call.
+	Cancel context.CancelFunc
+	// Admit asks the fleet for admission of the call at this very moment; nil where senders agree on nothing. left is to
+	// be called when the message is written. over, if it is not nil, is to be called when the call has ended: with false
+	// if it was not written after all.
+	Admit func() (left func(), over func(written bool), ok bool)
 
-	// Admit is what the fleet says of the call at this very moment; nil where senders agree on nothing. left is to be called when the
-	// message is written; over, where it is not nil, when the call has ended, or with false if it was not
-	// written after all.
-	Admit  func() (left func(), over func(written bool), ok bool)
-	onEnd  func(written bool) // of a message that is written
-	denied atomic.Bool        // the fleet said no
+	state  atomic.Uint32      // one of the constants below
+	onEnd  func(written bool) // over of a message that is written
+	denied atomic.Bool        // the fleet did not admit it
 }
 
+// States of a permit. The last two are final.
 const (
 	permitGranted uint32 = iota
 	permitUsed           // the message is written, or about to be
-	permitRevoked        // it will not be
+	permitRevoked        // it will not be written
 )
 
-// use asks for the leave, at the moment of writing. Once it is given the message counts as written, and written is to be
-// called when it is.
+// use uses the permit, at the moment of writing. If ok the message counts as written, and written is to be called when it
+// is.
 func (p *Permit) use(now time.Time) (written func(), ok bool) {
 	written = func() {}
 	if !now.Before(p.Until) {
@@ -60,8 +61,8 @@
 	return written, true
 }
 
-// Revoke takes the leave back and ends the call, which is never made then. It reports false, and changes nothing, if
-// the leave was used already.
+// Revoke revokes the permit and ends the call, which is never made then. It returns false, and changes nothing, if the
+// permit was used already.
 func (p *Permit) Revoke() bool {
 	if !p.state.CompareAndSwap(permitGranted, permitRevoked) {
 		return false
@@ -70,17 +71,17 @@
 	return true
 }
 
-// Ended is that the call of the permit has ended; it is called once, by who was told so.
+// Ended records that the call of the permit has ended. It is to be called once.
 func (p *Permit) Ended() {
 	if p.onEnd != nil {
 		p.onEnd(true)
 	}
 }
 
-// Revoked reports whether the leave was taken back, or lapsed when it was asked for: nothing was written.
+// Revoked reports whether the permit was revoked, or had expired when it was to be used: nothing was written.
 func (p *Permit) Revoked() bool { return p.state.Load() == permitRevoked }
 
-// Denied reports whether the fleet said no as the message was about to be written.
+// Denied reports whether the fleet did not admit the call as the message was about to be written.
 func (p *Permit) Denied() bool { return p.denied.Load() }
 
 // Ticket is one message of a call with its permit.
@@ -89,7 +90,8 @@
 	*Permit
 }
 
-// usePermits asks for the leave of each ticket and gives the messages that may be written now; written is to be called when they are.
+// usePermits uses the permits of all tickets and returns the messages that may be written now; written is to be called
+// when they are.
 func usePermits(tickets []Ticket, now time.Time) (may []Message, written func()) {
 	may = make([]Message, 0, len(tickets))
 	all := make([]func(), 0, len(tickets))
@@ -105,7 +107,7 @@
 	}
 }
 
-// allRevoked reports whether no ticket's leave is left: there is nothing to connect for.
+// allRevoked reports whether no permit is left: there is nothing to connect for.
 func allRevoked(tickets []Ticket) bool {
 	for _, t := range tickets {
 		if !t.Revoked() {
@@ -114,3 +116,14 @@
 	}
 	return true
 }
+
+// latestUntil is the time at which the last permit expires.
+func latestUntil(tickets []Ticket) time.Time {
+	until := tickets[0].Until
+	for _, t := range tickets[1:] {
+		if t.Until.After(until) {
+			until = t.Until
+		}
+	}
+	return until
+}
