--- a/internal/faulttest/report/html.go
+++ b/internal/faulttest/report/html.go
@@ -70,12 +70,6 @@
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	x := func(sec float64) float64 {
-		if s.Length <= 0 {
-			return labelWide
-		}
-		return labelWide + min(1, max(0, sec/s.Length))*(pictureWide-labelWide-10)
-	}
 	d := view{Verdict: v, Sum: s, Wide: pictureWide, RowsTop: chartHigh + 40, Percent: func(f float64) string { return fmt.Sprintf("%.1f%%", f*100) }}
 	switch v.Exit() {
 	case judge.ExitPass:
@@ -85,6 +79,25 @@
 	default:
 		d.Exit = "INCONCLUSIVE"
 	}
+	d.drawChart(s)
+	d.drawTicks(s)
+	d.drawRows(s)
+	if err := t.Execute(w, d); err != nil {
+		return fmt.Errorf("report: %w", err)
+	}
+	return nil
+}
+
+// x is where a second of the day stands in the picture.
+func (s *Summary) x(second float64) float64 {
+	if s.Length <= 0 {
+		return labelWide
+	}
+	return labelWide + min(1, max(0, second/s.Length))*(pictureWide-labelWide-10)
+}
+
+// drawChart draws a line for each count of messages by second.
+func (d *view) drawChart(s Summary) {
 	top := 1
 	for _, c := range s.Seconds {
 		top = max(top, c.Arrived, c.Delivered, c.HandedBack, c.Failed, c.AboveLimit)
@@ -102,20 +115,31 @@
 	} {
 		var p strings.Builder
 		for i, c := range s.Seconds {
-			fmt.Fprintf(&p, "%.1f,%.1f ", x(float64(i)+0.5), 20+chartHigh*(1-float64(l.of(c))/float64(top)))
+			fmt.Fprintf(&p, "%.1f,%.1f ", s.x(float64(i)+0.5), 20+chartHigh*(1-float64(l.of(c))/float64(top)))
 		}
 		d.Chart.Lines = append(d.Chart.Lines, line{l.name, l.class, strings.TrimSpace(p.String())})
 	}
+}
+
+// maxTicks bounds the marks on the axis of time.
+const maxTicks = 16
+
+// drawTicks draws the axis of time in steps of 1, 2, 5, 10, 20 ... seconds.
+func (d *view) drawTicks(s Summary) {
 	step := 1.0
-	for s.Length/step > 16 {
+	for s.Length/step > maxTicks {
 		step *= 2
 		if step == 8 || step == 4 {
 			step = 5
 		}
 	}
 	for at := 0.0; at <= s.Length; at += step {
-		d.Ticks = append(d.Ticks, tick{x(at), fmt.Sprintf("%.0f s", at)})
+		d.Ticks = append(d.Ticks, tick{s.x(at), fmt.Sprintf("%.0f s", at)})
 	}
+}
+
+// drawRows draws a row for each receiver and sender: the calls in flight, and the bands of faults, outages and absences.
+func (d *view) drawRows(s Summary) {
 	y := d.RowsTop
 	add := func(name string) *row {
 		for i := range d.Rows {
@@ -127,33 +151,29 @@
 		y += rowHigh + rowGap
 		return &d.Rows[len(d.Rows)-1]
 	}
-	most := 1
+	peak := 1
 	for _, f := range s.Flights {
 		for _, n := range f.Out {
-			most = max(most, n)
+			peak = max(peak, n)
 		}
 	}
 	for _, f := range s.Flights {
 		r := add(f.Receiver)
 		var p strings.Builder
-		fmt.Fprintf(&p, "%.1f,%d ", x(0), r.Y+rowHigh)
+		fmt.Fprintf(&p, "%.1f,%d ", s.x(0), r.Y+rowHigh)
 		for i, n := range f.Out {
 			r.PeakInFlight = max(r.PeakInFlight, n)
-			fmt.Fprintf(&p, "%.1f,%.1f ", x(float64(i)*step5), float64(r.Y)+rowHigh*(1-float64(n)/float64(most)))
+			fmt.Fprintf(&p, "%.1f,%.1f ", s.x(float64(i)*step5), float64(r.Y)+rowHigh*(1-float64(n)/float64(peak)))
 		}
-		fmt.Fprintf(&p, "%.1f,%d", x(s.Length), r.Y+rowHigh)
+		fmt.Fprintf(&p, "%.1f,%d", s.x(s.Length), r.Y+rowHigh)
 		r.Points = p.String()
 	}
 	for _, b := range s.Bands {
 		r := add(b.Row)
-		from, to := x(b.From), x(b.To)
+		from, to := s.x(b.From), s.x(b.To)
 		r.Bands = append(r.Bands, shape{X: from, W: max(1, to-from), Class: b.Kind, What: b.What, From: fmt.Sprintf("%.1f", b.From), To: fmt.Sprintf("%.1f", b.To)})
 	}
 	d.High = y + 20
-	if err := t.Execute(w, d); err != nil {
-		return fmt.Errorf("report: %w", err)
-	}
-	return nil
 }
 
 // step5 is the grain of Flight in seconds.
--- a/internal/faulttest/scenariofuzz/deployment.go
+++ b/internal/faulttest/scenariofuzz/deployment.go
@@ -134,7 +134,28 @@
 			first[class] = m
 		}
 	}
-	cores, stores := r.integer(3, 5), r.integer(3, 5)
+	cores, stores := r.disks(site, zones, chosen)
+	fleet := machineFleet{cores: cores, stores: stores, gateways: 16}
+	var list []any
+	for _, class := range []string{"front", "store", "core"} {
+		like, ok := first[class]
+		if !ok {
+			continue
+		}
+		list = append(list, r.machinesOf(class, like, zones, chosen, &fleet)...)
+	}
+	site["machines"] = list
+}
+
+// machineFleet is how many machines of each class there are to be.
+type machineFleet struct {
+	cores, stores int
+	gateways      int // at most; what is left for the zones to come
+}
+
+// disks draws the numbers of machines with disks, and which losses of them are to be borne.
+func (r random) disks(site Table, zones []string, chosen scenario) (cores, stores int) {
+	cores, stores = r.integer(3, 5), r.integer(3, 5)
 	if chosen.cores > 0 {
 		cores = chosen.cores
 	}
@@ -160,64 +181,67 @@
 		}
 	}
 	site["tolerate"] = tolerate
-	budget := 16
-	var list []any
-	for _, class := range []string{"front", "store", "core"} {
-		like, ok := first[class]
-		if !ok {
-			continue
-		}
-		share, memory := r.between(0.25, 0.8), r.integer(230, 420)
-		processors := pick(r, 1, 1, 1, 2, 4)
-		if chosen.processors > 0 {
-			processors = chosen.processors
-		}
-		sync, speed := r.byFactor(0.3, 10), r.integer(60, 300)
-		if chosen.slowDisk {
-			sync = 10.0
+	return cores, stores
+}
+
+// machinesOf draws the machines of a class, an entry for each zone that has some, from one of the site's own.
+func (r random) machinesOf(class string, like Table, zones []string, chosen scenario, fleet *machineFleet) []any {
+	fraction, memory := r.between(0.25, 0.8), r.integer(230, 420)
+	processors := pick(r, 1, 1, 1, 2, 4)
+	if chosen.processors > 0 {
+		processors = chosen.processors
+	}
+	sync, speed := r.byFactor(0.3, 10), r.integer(60, 300)
+	if chosen.slowDisk {
+		sync = 10.0
+	}
+	counts := r.machineCounts(class, len(zones), chosen, fleet)
+	link := like["link_mbps"]
+	if chosen.large {
+		size := largeSizes[class]
+		fraction, memory, processors, link = size.processorFraction, size.memoryMB, 1, size.linkMbps
+		if class == "front" {
+			counts = spread(r.integer(60, 72), len(zones))
 		}
-		var counts []int
-		switch class {
-		case "core":
-			counts = spread(cores, len(zones))
-		case "store":
-			counts = spread(stores, len(zones))
-		default:
-			most := pick(r, 1, 2, 3, 3, 9)
-			for range zones {
-				n := min(r.integer(1, most), max(1, budget-len(zones)))
-				budget -= n
-				counts = append(counts, n)
-			}
+	}
+	var list []any
+	for i, zone := range zones {
+		m := Table{}
+		for k, v := range like {
+			m[k] = v
 		}
-		if chosen.few && class == "front" {
-			counts = spread(2*len(zones), len(zones))
+		m["zone"], m["count"], m["spare"] = zone, counts[i], 1
+		m["cpu_share"], m["memory_mb"], m["cores"], m["link_mbps"] = fraction, memory, processors, link
+		if counts[i] == 0 {
+			continue
 		}
-		link := like["link_mbps"]
-		if chosen.large {
-			size := largeSizes[class]
-			share, memory, processors, link = size.processorFraction, size.memoryMB, 1, size.linkMbps
-			if class == "front" {
-				counts = spread(r.integer(60, 72), len(zones))
-			}
+		if disk, ok := like["disk"].(Table); ok {
+			m["disk"] = Table{"mb": disk["mb"], "sync_ms": sync, "mb_per_s": speed}
 		}
-		for i, zone := range zones {
-			m := Table{}
-			for k, v := range like {
-				m[k] = v
-			}
-			m["zone"], m["count"], m["spare"] = zone, counts[i], 1
-			m["cpu_share"], m["memory_mb"], m["cores"], m["link_mbps"] = share, memory, processors, link
-			if counts[i] == 0 {
-				continue
-			}
-			if disk, ok := like["disk"].(Table); ok {
-				m["disk"] = Table{"mb": disk["mb"], "sync_ms": sync, "mb_per_s": speed}
-			}
-			list = append(list, m)
+		list = append(list, m)
+	}
+	return list
+}
+
+// machineCounts draws how many machines of a class each zone has.
+func (r random) machineCounts(class string, zones int, chosen scenario, fleet *machineFleet) (counts []int) {
+	switch class {
+	case "core":
+		counts = spread(fleet.cores, zones)
+	case "store":
+		counts = spread(fleet.stores, zones)
+	default:
+		highest := pick(r, 1, 2, 3, 3, 9)
+		for range zones {
+			n := min(r.integer(1, highest), max(1, fleet.gateways-zones))
+			fleet.gateways -= n
+			counts = append(counts, n)
 		}
 	}
-	site["machines"] = list
+	if chosen.few && class == "front" {
+		counts = spread(2*zones, zones)
+	}
+	return counts
 }
 
 // services gives each service other endpoints.
