--- a/cmd/saffronyard/background_test.go
+++ b/cmd/saffronyard/background_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	c := start(t, p, state, "-features", file)
-	st.HandIn(t, c.addr, "m", "safe", 0, 10*time.Second)
+	st.Submit(t, c.addr, st.Submission{ID: "m", Class: "safe", Destination: 0, Deadline: 10 * time.Second})
 	e.Next(t)
 	list := func() string {
 		var out, errs bytes.Buffer
--- a/cmd/saffronyard/events_test.go
+++ b/cmd/saffronyard/events_test.go
@@ -29,7 +29,7 @@
 // Killed with one event delivered, one out and one that may not be repeated: after the restart each client's retry
 // counts as its first try, and the receivers count one effect of each.
 func TestEvents_SurviveKill(t *testing.T) {
-	silent := st.NewEndpoint(t, st.Silent)
+	silent := st.NewEndpoint(t, st.Unresponsive)
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr, silent.Addr)
 	state, file := t.TempDir(), write(t, eventRules)
--- a/cmd/saffronyard/fleet_test.go
+++ b/cmd/saffronyard/fleet_test.go
@@ -181,11 +181,11 @@
 	if code, _, errs := run("policy", "propose", "--quiet", closed); code != 0 {
 		t.Fatal(errs)
 	}
-	resp, body := st.Do(t, st.Message(t, s.addr, "closed", "keyed", 1, 10*time.Second, "x"))
+	resp, body := st.Do(t, st.Request(t, s.addr, st.Submission{ID: "closed", Class: "keyed", Destination: 1, Deadline: 10 * time.Second, Body: "x"}))
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" || !strings.Contains(body, "closed its destination") {
 		t.Errorf("%s %q", resp.Status, body)
 	}
-	st.HandIn(t, s.addr, "open", "keyed", 0, 10*time.Second)
+	st.Submit(t, s.addr, st.Submission{ID: "open", Class: "keyed", Destination: 0, Deadline: 10 * time.Second})
 	if c := e.Next(t); c.ID != "open" {
 		t.Errorf("%+v", c)
 	}
--- a/cmd/saffronyard/main_test.go
+++ b/cmd/saffronyard/main_test.go
@@ -95,19 +95,19 @@
 // What was taken on outlasts a kill: a message whose call was out goes out again with its id, key and body
 // where its class allows a repeat, and ends by a notice where it does not. What was delivered stays so.
 func TestDaemon_KillAndRestart(t *testing.T) {
-	silent := st.NewEndpoint(t, st.Silent)
+	silent := st.NewEndpoint(t, st.Unresponsive)
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr, silent.Addr)
 	state := t.TempDir()
 	s := start(t, p, state)
-	st.HandIn(t, s.addr, "done", "unsafe", 0, 15*time.Second)
+	st.Submit(t, s.addr, st.Submission{ID: "done", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	good.Next(t)
-	st.HandIn(t, s.addr, "keyed", "keyed", 1, 15*time.Second)
+	st.Submit(t, s.addr, st.Submission{ID: "keyed", Class: "keyed", Destination: 1, Deadline: 15 * time.Second})
 	first := silent.Next(t)
-	st.HandIn(t, s.addr, "unsafe", "unsafe", 2, 15*time.Second)
+	st.Submit(t, s.addr, st.Submission{ID: "unsafe", Class: "unsafe", Destination: 2, Deadline: 15 * time.Second})
 	silent.Next(t)
 	// The answer to "done" is read by the sender in its own time: its end shows in a second message.
-	st.HandIn(t, s.addr, "done-2", "unsafe", 0, 15*time.Second)
+	st.Submit(t, s.addr, st.Submission{ID: "done-2", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	good.Next(t)
 	waitFor(t, filepath.Join(state, "messages.journal"), 2, `"how":"delivered"`)
 	s.Process.Kill()
@@ -152,12 +152,12 @@
 // After SIGTERM clients that come are still served, on connections that end with the answer; the process
 // leaves by itself in time, and what is not done is done by the next.
 func TestDaemon_Terminate(t *testing.T) {
-	silent := st.NewEndpoint(t, st.Silent)
+	silent := st.NewEndpoint(t, st.Unresponsive)
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr)
 	state := t.TempDir()
 	s := start(t, p, state)
-	st.HandIn(t, s.addr, "slow", "keyed", 1, 15*time.Second)
+	st.Submit(t, s.addr, st.Submission{ID: "slow", Class: "keyed", Destination: 1, Deadline: 15 * time.Second})
 	silent.Next(t)
 	began := time.Now()
 	if err := s.Process.Signal(syscall.SIGTERM); err != nil {
@@ -166,7 +166,7 @@
 	// Clients come on fresh connections for a while yet, and each gets its answer.
 	closes := 0
 	for n := 0; time.Since(began) < time.Second; n++ {
-		r := st.Message(t, s.addr, "late"+strconv.Itoa(n), "keyed", 0, 15*time.Second, "late")
+		r := st.Request(t, s.addr, st.Submission{ID: "late" + strconv.Itoa(n), Class: "keyed", Destination: 0, Deadline: 15 * time.Second, Body: "late"})
 		resp, body := st.Do(t, r)
 		if resp.StatusCode != http.StatusAccepted {
 			t.Fatalf("after SIGTERM: %s %s", resp.Status, body)
@@ -211,8 +211,8 @@
 			t.Fatal(err)
 		}
 	}
-	old.Deaf(true)
-	st.HandIn(t, s.addr, "doubt", "unsafe", 0, 15*time.Second)
+	old.RejectNotices(true)
+	st.Submit(t, s.addr, st.Submission{ID: "doubt", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	e.Next(t)
 	waitFor(t, filepath.Join(state, "messages.journal"), 1, `"how":"given_up"`)
 
@@ -221,7 +221,7 @@
 			t.Fatal(err)
 		}
 		hup()
-		if resp, _ := st.Do(t, st.Message(t, s.addr, "x", "safe", 0, 0, "")); resp.StatusCode != http.StatusInternalServerError {
+		if resp, _ := st.Do(t, st.Request(t, s.addr, st.Submission{ID: "x", Class: "safe", Destination: 0, Deadline: 0, Body: ""})); resp.StatusCode != http.StatusInternalServerError {
 			t.Errorf("%s: a message out of time is answered %s", name, resp.Status)
 		}
 	}
@@ -237,7 +237,7 @@
 	if n := st.Receive(t, other.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v", n)
 	}
-	st.HandIn(t, s.addr, "next", "keyed", 0, 15*time.Second)
+	st.Submit(t, s.addr, st.Submission{ID: "next", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	if c := moved.Next(t); c.ID != "next" {
 		t.Errorf("the new list's endpoint got %+v", c)
 	}
--- a/cmd/saffronyard/peers.go
+++ b/cmd/saffronyard/peers.go
@@ -24,7 +24,7 @@
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "PEER\tSTATE\tFOR\tMEMBERSHIP\tEXCHANGE\tHEARD")
 	for _, m := range r.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\n", m.Name, m.State, formatMillis(r.NowMS-m.Since.Milliseconds()), m.Address, m.Exchange, r.HeldFacts[m.Name])
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\n", m.Name, m.State, formatMillis(r.NowMS-m.Since.Milliseconds()), m.Address, m.Exchange, r.FactsBySource[m.Name])
 	}
 	return w.Flush()
 }
--- a/cmd/saffronyard/report_test.go
+++ b/cmd/saffronyard/report_test.go
@@ -33,7 +33,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /peers", func(w http.ResponseWriter, _ *http.Request) {
-		json.NewEncoder(w).Encode(sender.PeersReport{Name: "n0", Cluster: "portland", OwnFacts: 12, NowMS: 65_000, HeldFacts: map[string]int{"n1": 7},
+		json.NewEncoder(w).Encode(sender.PeersReport{Name: "n0", Cluster: "portland", OwnFacts: 12, NowMS: 65_000, FactsBySource: map[string]int{"n1": 7},
 			Members: []peers.Member{{Name: "n1", State: "here", Since: 5 * time.Second, Address: "127.0.0.1:1", Exchange: "127.0.0.1:2"}}})
 	})
 	mux.HandleFunc("GET /knowledge", func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/saffronyard/resend_test.go
+++ b/cmd/saffronyard/resend_test.go
@@ -131,7 +131,7 @@
 		for kill < kills && time.Now().Before(until) || kill >= kills {
 			id := fmt.Sprintf("live-%d", n)
 			n++
-			if resp, _ := st.Do(t, st.Message(t, c.addr, id, "safe", 0, 10*time.Second, "b")); resp.StatusCode == 202 {
+			if resp, _ := st.Do(t, st.Request(t, c.addr, st.Submission{ID: id, Class: "safe", Destination: 0, Deadline: 10 * time.Second, Body: "b"})); resp.StatusCode == 202 {
 				live++
 			}
 			time.Sleep(time.Duration(rnd.IntN(4)) * time.Millisecond)
--- a/cmd/saffronyard/shutdown_test.go
+++ b/cmd/saffronyard/shutdown_test.go
@@ -62,7 +62,7 @@
 // What is owed to clients as a process ends: a request of which half had come is answered, on a resting connection too, and what
 // was taken on is in the journal; a client that rests to the end is let go; a second SIGTERM and a SIGHUP meanwhile change nothing.
 func TestShutdown_AnswersClients(t *testing.T) {
-	silent, good := st.NewEndpoint(t, st.Silent), st.NewEndpoint(t, st.Status(200))
+	silent, good := st.NewEndpoint(t, st.Unresponsive), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, good.Addr, silent.Addr)
 	state := t.TempDir()
 	s := start(t, p, state)
@@ -123,7 +123,7 @@
 	const sockets = 128
 	old, moved := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, old.Addr)
-	p.Down(true)
+	p.RejectListCalls(true)
 	state := t.TempDir()
 	settings := st.Config(p, state)
 	settings["limits"].(map[string]any)["sockets"] = sockets
@@ -138,7 +138,7 @@
 		connect(t, s.addr).say("POST /api HTTP/1.1\r\nHost: x\r\n")
 	}
 	p.Change(st.Target("s-0", moved.Addr, 0, "SERVING"))
-	p.Down(false)
+	p.RejectListCalls(false)
 	for q := ""; !strings.HasPrefix(q, "after=2&"); q = st.Receive(t, p.Lists) {
 	}
 	c := connect(t, s.addr)
@@ -162,11 +162,11 @@
 	state := t.TempDir()
 	s := start(t, p, state)
 	for n := range room * 9 / 10 { // from a few more on some are refused
-		st.HandIn(t, s.addr, fmt.Sprintf("m%d", n), "unsafe", 1, time.Minute)
+		st.Submit(t, s.addr, st.Submission{ID: fmt.Sprintf("m%d", n), Class: "unsafe", Destination: 1, Deadline: time.Minute})
 	}
 	s.Process.Kill()
 	s.Wait()
-	p.Down(true)
+	p.RejectListCalls(true)
 	settings := st.Config(p, state)
 	settings["settings"].(map[string]any)["limits"].(map[string]any)["mostHeld"] = room * 9 / 10 // no more than it finds
 	s = startWith(t, settings, state)
@@ -175,7 +175,7 @@
 	}
 	moved := st.NewEndpoint(t, st.Status(200))
 	p.Change(st.Target("s-2", moved.Addr, 1, "SERVING"))
-	p.Down(false)
+	p.RejectListCalls(false)
 	tried := map[string]bool{}
 	for range room * 9 / 10 {
 		tried[moved.Next(t).ID] = true
--- a/cmd/saffronyard/undelivered_test.go
+++ b/cmd/saffronyard/undelivered_test.go
@@ -33,7 +33,7 @@
 	file := write(t, "[undelivered]\nbytes = 1048576\n")
 	s := start(t, p, state, "-features", file)
 	for _, id := range []string{"a", "b", "c"} {
-		st.HandIn(t, s.addr, id, "unsafe", 0, 15*time.Second)
+		st.Submit(t, s.addr, st.Submission{ID: id, Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 		if n := st.Receive(t, p.Notices); n.Outcome != "given_up" {
 			t.Fatalf("%+v", n)
 		}
--- a/internal/calls/call_test.go
+++ b/internal/calls/call_test.go
@@ -149,7 +149,7 @@
 				for err == nil && c.endless != "" {
 					_, err = io.WriteString(nc, c.endless)
 				}
-				return st.Silent(call, nc)
+				return st.Unresponsive(call, nc)
 			})
 			p, at := testPool(), &Endpoint{addr: e.Addr}
 			began := time.Now()
@@ -286,7 +286,7 @@
 func TestSilentEndpoint(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
-		st.Silent(c, nc)
+		st.Unresponsive(c, nc)
 		closed <- struct{}{}
 		return false
 	})
@@ -391,7 +391,7 @@
 				}
 				st.Status(200)(c, nc)
 				if c.Conn <= 2 {
-					st.Silent(c, nc)
+					st.Unresponsive(c, nc)
 					closed <- c.Conn
 				}
 				return c.Conn > 2
--- a/internal/calls/request_format_test.go
+++ b/internal/calls/request_format_test.go
@@ -69,7 +69,7 @@
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
 		want   brain.Outcome
-	}{"reset": {st.Reset, brain.ConnectionLost}, "silence": {st.Silent, brain.TimedOut},
+	}{"reset": {st.Reset, brain.ConnectionLost}, "silence": {st.Unresponsive, brain.TimedOut},
 		"noise":      {func(_ st.Call, c net.Conn) bool { io.WriteString(c, "noise\n"); return false }, brain.Errored},
 		"half a 204": {func(_ st.Call, c net.Conn) bool { io.WriteString(c, "HTTP/1.1 204 X\r\nA"); return false }, brain.Served}} {
 		e := st.NewEndpoint(t, c.answer)
@@ -109,7 +109,7 @@
 		asked.Add(1)
 		status, lines := options()
 		if status == 0 {
-			return st.Silent(c, nc)
+			return st.Unresponsive(c, nc)
 		}
 		return st.Status(status, lines...)(c, nc)
 	}), asked
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -28,8 +28,8 @@
 	return Target{ID: id, Addr: addr, Cell: dest, State: state, Weight: 1}
 }
 
-func part(lines ...Target) Update  { return Update{Servers: lines} }
-func whole(lines ...Target) Update { return Update{Servers: lines, Full: true} }
+func part(lines ...Target) Update       { return Update{Servers: lines} }
+func fullUpdate(lines ...Target) Update { return Update{Servers: lines, Full: true} }
 
 func TestMerger_Apply(t *testing.T) {
 	type news struct {
@@ -42,38 +42,38 @@
 		news       []news
 		want       []Target // by address
 	}{
-		"discovery alone passes": {NamesFirst, []news{{Discovery, whole(at("s1", a, 7, Serving))}}, []Target{at("s1", a, 7, Serving)}},
-		"one address in both is one endpoint, under the first id": {Both, []news{{Discovery, whole(at("s1", a, 7, Serving))}, {Names, part(at("n1", a, 7, Serving))}},
+		"discovery alone passes": {NamesFirst, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving))}}, []Target{at("s1", a, 7, Serving)}},
+		"one address in both is one endpoint, under the first id": {Both, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving))}, {Names, part(at("n1", a, 7, Serving))}},
 			[]Target{at("s1", a, 7, Serving)}},
-		"and the other way round": {Both, []news{{Names, part(at("n1", a, 7, Serving))}, {Discovery, whole(at("s1", a, 7, Serving))}},
+		"and the other way round": {Both, []news{{Names, part(at("n1", a, 7, Serving))}, {Discovery, fullUpdate(at("s1", a, 7, Serving))}},
 			[]Target{at("n1", a, 7, Serving)}},
-		"it keeps its id when the one who named it drops it": {Both, []news{{Discovery, whole(at("s1", a, 7, Serving))}, {Names, part(at("n1", a, 7, Serving))}, {Discovery, whole()}},
+		"it keeps its id when the one who named it drops it": {Both, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving))}, {Names, part(at("n1", a, 7, Serving))}, {Discovery, fullUpdate()}},
 			[]Target{at("s1", a, 7, Serving)}},
-		"two ids of one source at one address": {Both, []news{{Discovery, whole(at("s1", a, 7, Serving), at("s2", a, 7, Serving))}},
+		"two ids of one source at one address": {Both, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving), at("s2", a, 7, Serving))}},
 			[]Target{at("s1", a, 7, Serving)}},
-		"names win once they have spoken": {NamesFirst, []news{{Discovery, whole(at("s1", a, 7, Serving))}, {Names, part(at("n1", b, 7, Serving))}},
+		"names win once they have spoken": {NamesFirst, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving))}, {Names, part(at("n1", b, 7, Serving))}},
 			[]Target{at("n1", b, 7, Serving)}},
-		"and still do when they have nothing left": {NamesFirst, []news{{Discovery, whole(at("s1", a, 7, Serving))}, {Names, part(at("n1", b, 7, Serving))}, {Names, part(at("n1", b, 7, Deleted))}},
+		"and still do when they have nothing left": {NamesFirst, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving))}, {Names, part(at("n1", b, 7, Serving))}, {Names, part(at("n1", b, 7, Deleted))}},
 			nil},
-		"not for a destination they never spoke of": {NamesFirst, []news{{Discovery, whole(at("s1", a, 7, Serving), at("s2", b, 8, Serving))}, {Names, part(at("n1", a, 7, Serving))}},
+		"not for a destination they never spoke of": {NamesFirst, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving), at("s2", b, 8, Serving))}, {Names, part(at("n1", a, 7, Serving))}},
 			[]Target{at("s1", a, 7, Serving), at("s2", b, 8, Serving)}},
-		"discovery wins where it should": {DiscoveryFirst, []news{{Names, part(at("n1", b, 7, Serving))}, {Discovery, whole(at("s1", a, 7, Serving))}},
+		"discovery wins where it should": {DiscoveryFirst, []news{{Names, part(at("n1", b, 7, Serving))}, {Discovery, fullUpdate(at("s1", a, 7, Serving))}},
 			[]Target{at("s1", a, 7, Serving)}},
-		"dropped by one and listed by the other serves": {Both, []news{{Discovery, whole(at("s1", a, 7, Serving))}, {Names, part(at("n1", a, 7, Dropped))}},
+		"dropped by one and listed by the other serves": {Both, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving))}, {Names, part(at("n1", a, 7, Dropped))}},
 			[]Target{at("s1", a, 7, Serving)}},
 		"dropped by the last one drains": {Both, []news{{Names, part(at("n1", a, 7, Serving))}, {Names, part(at("n1", a, 7, Dropped))}},
 			[]Target{at("n1", a, 7, Draining)}},
-		"a drain is honoured beside a listing": {Both, []news{{Names, part(at("n1", a, 7, Serving))}, {Discovery, whole(at("s1", a, 7, Draining))}},
+		"a drain is honoured beside a listing": {Both, []news{{Names, part(at("n1", a, 7, Serving))}, {Discovery, fullUpdate(at("s1", a, 7, Draining))}},
 			[]Target{at("n1", a, 7, Draining)}},
-		"and from a source that does not count": {NamesFirst, []news{{Names, part(at("n1", a, 7, Serving))}, {Discovery, whole(at("s1", a, 7, Draining))}},
+		"and from a source that does not count": {NamesFirst, []news{{Names, part(at("n1", a, 7, Serving))}, {Discovery, fullUpdate(at("s1", a, 7, Draining))}},
 			[]Target{at("n1", a, 7, Draining)}},
-		"an endpoint that moves stays the one it is": {Both, []news{{Discovery, whole(at("s1", a, 7, Serving))}, {Discovery, part(at("s1", b, 7, Serving))}},
+		"an endpoint that moves stays the one it is": {Both, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving))}, {Discovery, part(at("s1", b, 7, Serving))}},
 			[]Target{at("s1", b, 7, Serving)}},
-		"unless its old address is listed by another": {Both, []news{{Discovery, whole(at("s1", a, 7, Serving))}, {Names, part(at("n1", a, 7, Serving))}, {Discovery, part(at("s1", b, 7, Serving))}},
+		"unless its old address is listed by another": {Both, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving))}, {Names, part(at("n1", a, 7, Serving))}, {Discovery, part(at("s1", b, 7, Serving))}},
 			[]Target{at("s1", a, 7, Serving), at("at:7:"+b, b, 7, Serving)}},
-		"a change without its address keeps it": {Both, []news{{Discovery, whole(at("s1", a, 7, Serving))}, {Discovery, part(at("s1", "", 7, Draining))}},
+		"a change without its address keeps it": {Both, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving))}, {Discovery, part(at("s1", "", 7, Draining))}},
 			[]Target{at("s1", a, 7, Draining)}},
-		"another destination": {Both, []news{{Discovery, whole(at("s1", a, 7, Serving))}, {Discovery, part(at("s1", a, 8, Serving))}},
+		"another destination": {Both, []news{{Discovery, fullUpdate(at("s1", a, 7, Serving))}, {Discovery, part(at("s1", a, 8, Serving))}},
 			[]Target{at("s1", a, 8, Serving)}},
 		"deletion of what is not there": {Both, []news{{Discovery, part(at("s1", a, 7, Deleted))}}, nil},
 	} {
--- a/internal/membership/resolve.go
+++ b/internal/membership/resolve.go
@@ -121,13 +121,13 @@
 func (r *resolver) addresses(name string, port uint16) Answer {
 	a := Answer{Result: NoData, Why: name + " has no address"}
 	for _, kind := range []uint16{dns.TypeA, dns.TypeAAAA} {
-		rrs, res, why := r.lookup(name, kind)
-		if res != Found {
-			if res == ServFail || res == Timeout {
+		rrs, result, why := r.lookup(name, kind)
+		if result != Found {
+			if result == ServFail || result == Timeout {
 				a.Partial = true
 			}
-			if res != NoData {
-				a.Result, a.Why = res, why
+			if result != NoData {
+				a.Result, a.Why = result, why
 			}
 			continue
 		}
--- a/internal/membership/resolve_test.go
+++ b/internal/membership/resolve_test.go
@@ -11,7 +11,7 @@
 
 const soa = "@ 300 IN SOA ns h 1 1 1 1 1\n@ 300 IN NS ns\n"
 
-func held(t *testing.T, origin, text string) ZoneState {
+func zoneStates(t *testing.T, origin, text string) ZoneState {
 	t.Helper()
 	z, err := zone.Parse(strings.NewReader(soa+text), origin, origin, nil, 1000)
 	if err != nil {
@@ -21,10 +21,10 @@
 }
 
 func TestResolve(t *testing.T) {
-	expired := held(t, "old.", "a 1 IN A 192.0.2.9\n")
+	expired := zoneStates(t, "old.", "a 1 IN A 192.0.2.9\n")
 	expired.Expired = true
 	all := map[string]ZoneState{
-		"one.": held(t, "one.", `
+		"one.": zoneStates(t, "one.", `
 a      1 IN A     192.0.2.1
 a      1 IN A     192.0.2.2
 a      1 IN AAAA  2001:db8::1
@@ -44,7 +44,7 @@
 _x._t  1 IN SRV   0 0 8001 a.old.
 _e._t  1 IN SRV   0 0 8001 text
 `),
-		"two.":   held(t, "two.", "a 1 IN A 192.0.2.3\nback 1 IN CNAME loop.one.\n"),
+		"two.":   zoneStates(t, "two.", "a 1 IN A 192.0.2.3\nback 1 IN CNAME loop.one.\n"),
 		"old.":   expired,
 		"never.": {},
 	}
--- a/internal/membership/rollbackguard.go
+++ b/internal/membership/rollbackguard.go
@@ -6,12 +6,12 @@
 // one: from a machine that lags behind, or from a backup. What it was told to leave alone since, a sender must not take up
 // again by such a list. It is for one source and one goroutine.
 type RollbackGuard struct {
-	drained map[string]drainMark // by id, of what drains or is gone
-	listed  map[string]struct{}  // ids that the list has
+	drained map[string]drainRecord // by id, of what drains or is gone
+	listed  map[string]struct{}    // ids that the list has
 }
 
-// drainMark is when an endpoint was told to drain or go, and by which version.
-type drainMark struct {
+// drainRecord is when an endpoint was told to drain or go, and by which version.
+type drainRecord struct {
 	version int64
 	at      time.Duration
 }
@@ -22,7 +22,7 @@
 
 // NewRollbackGuard gives the memory of a source that has told nothing yet.
 func NewRollbackGuard() *RollbackGuard {
-	return &RollbackGuard{drained: map[string]drainMark{}, listed: map[string]struct{}{}}
+	return &RollbackGuard{drained: map[string]drainRecord{}, listed: map[string]struct{}{}}
 }
 
 // Apply takes in an update and gives what of it counts: its lines, but for those that say an endpoint serves which a newer
@@ -39,7 +39,7 @@
 	}
 	leave := func(id string) {
 		if l, left := t.drained[id]; !left || u.Version >= l.version {
-			t.drained[id] = drainMark{u.Version, now}
+			t.drained[id] = drainRecord{u.Version, now}
 		}
 	}
 	listed := map[string]struct{}{}
--- a/internal/peers/backoff_test.go
+++ b/internal/peers/backoff_test.go
@@ -16,7 +16,7 @@
 	a := begin(t, config("a"), time.Hour)
 	b := begin(t, config("b", a.Address()), time.Hour)
 	b.Publish([]knowledge.Fact{out(b, 1, 0)})
-	until(t, "b is heard", func() bool { return len(a.heard()) > 0 })
+	until(t, "b is heard", func() bool { return len(a.received()) > 0 })
 	// As SIGKILL does: nothing is said, all its sockets are gone.
 	b.mu.Lock()
 	b.closed = true
@@ -32,7 +32,7 @@
 	again := begin(t, next, time.Hour)
 	again.PublishSome([]knowledge.Fact{out(again, 2, 0)})
 	until(t, "b is heard in its next life", func() bool {
-		for _, f := range a.heard() {
+		for _, f := range a.received() {
 			if f.Source.Incarnation == 2 && f.Destination == 2 {
 				return true
 			}
@@ -61,5 +61,5 @@
 		(*eventDelegate)(pair[0].Node).NotifyJoin(pair[1].members.LocalNode())
 	}
 	b.Publish([]knowledge.Fact{out(b, 3, 0)})
-	until(t, "what b tells is heard", func() bool { return len(a.heard()) > 0 })
+	until(t, "what b tells is heard", func() bool { return len(a.received()) > 0 })
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -47,7 +47,7 @@
 
 func (p *testPeer) now() time.Duration { return p.off + time.Since(p.start) }
 
-func (p *testPeer) heard() []knowledge.Fact {
+func (p *testPeer) received() []knowledge.Fact {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.facts)
@@ -100,8 +100,8 @@
 	a.Publish([]knowledge.Fact{out(a, 7, 4*time.Second)})
 	c := begin(t, config("c", a.Address()), 100*time.Hour)
 	for _, p := range []*testPeer{b, c} {
-		until(t, "a's fact is heard", func() bool { return len(p.heard()) > 0 })
-		f := p.heard()[0]
+		until(t, "a's fact is heard", func() bool { return len(p.received()) > 0 })
+		f := p.received()[0]
 		age := p.now() - f.ObservedAt
 		if f.Source != (knowledge.Source{Name: "a", Incarnation: 1}) || f.State != knowledge.OutOfService || age < 4*time.Second || age > 10*time.Second {
 			t.Errorf("%+v, %v old", f, age)
@@ -110,9 +110,9 @@
 	b.Publish(nil) // it has heard, and seen nothing itself
 	a.Publish([]knowledge.Fact{out(a, 7, 0), out(a, 8, 0)})
 	until(t, "the change is heard", func() bool {
-		return slices.ContainsFunc(c.heard(), func(f knowledge.Fact) bool { return f.Destination == 8 })
+		return slices.ContainsFunc(c.received(), func(f knowledge.Fact) bool { return f.Destination == 8 })
 	})
-	for _, f := range append(a.heard(), c.heard()...) {
+	for _, f := range append(a.received(), c.received()...) {
 		if f.Source.Name != "a" {
 			t.Errorf("%s tells what it has heard", f.Source.Name)
 		}
@@ -130,14 +130,14 @@
 	a := begin(t, config("a"), time.Hour)
 	b := begin(t, config("b", a.Address()), time.Hour)
 	b.Publish([]knowledge.Fact{out(b, 1, 0)})
-	until(t, "b is heard", func() bool { return len(a.heard()) > 0 })
+	until(t, "b is heard", func() bool { return len(a.received()) > 0 })
 	b.Close()
 	next := config("b", a.Address())
 	next.Incarnation = 2
 	again := begin(t, next, time.Hour)
 	again.Publish([]knowledge.Fact{out(again, 2, 0)})
 	until(t, "b is heard in its next life", func() bool {
-		return slices.ContainsFunc(a.heard(), func(f knowledge.Fact) bool { return f.Source.Incarnation == 2 && f.Destination == 2 })
+		return slices.ContainsFunc(a.received(), func(f knowledge.Fact) bool { return f.Source.Incarnation == 2 && f.Destination == 2 })
 	})
 }
 
--- a/internal/sender/admin_reports.go
+++ b/internal/sender/admin_reports.go
@@ -26,22 +26,22 @@
 
 // PeersReport is who is there and what is told.
 type PeersReport struct {
-	Name      string         `json:"name"`
-	Cluster   string         `json:"cluster"`
-	Address   string         `json:"address"` // of its membership
-	OwnFacts  int            `json:"tells"`   // facts of its own
-	Members   []peers.Member `json:"members"`
-	HeldFacts map[string]int `json:"heard"` // facts held, by who told them
-	NowMS     int64          `json:"now_ms"`
+	Name          string         `json:"name"`
+	Cluster       string         `json:"cluster"`
+	Address       string         `json:"address"` // of its membership
+	OwnFacts      int            `json:"tells"`   // facts of its own
+	Members       []peers.Member `json:"members"`
+	FactsBySource map[string]int `json:"heard"` // facts held, by who told them
+	NowMS         int64          `json:"now_ms"`
 }
 
 func (s *Sender) peersReport(now time.Duration) PeersReport {
-	r := PeersReport{Name: s.config.Name, HeldFacts: map[string]int{}, NowMS: now.Milliseconds(), OwnFacts: len(s.knownFacts(now))}
+	r := PeersReport{Name: s.config.Name, FactsBySource: map[string]int{}, NowMS: now.Milliseconds(), OwnFacts: len(s.knownFacts(now))}
 	s.knownFactsCache = nil
 	if p, ok := extensionOf[*peersExtension](s); ok {
 		r.Cluster, r.Address, r.Members = s.config.Peers.Cluster, p.node.Address(), p.node.Members()
 		for _, f := range append(p.view.Facts(), p.reports.All()...) {
-			r.HeldFacts[f.Source.Name]++
+			r.FactsBySource[f.Source.Name]++
 		}
 	}
 	return r
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -96,7 +96,7 @@
 					t.Errorf("%+v", got)
 				}
 			}
-			st.HandIn(t, addr, "m1", "keyed", 0, 9*time.Second)
+			st.Submit(t, addr, st.Submission{ID: "m1", Class: "keyed", Destination: 0, Deadline: 9 * time.Second})
 			a, b = e.Next(t), e.Next(t)
 			if a.Body != b.Body {
 				t.Errorf("%q and then %q", a.Body, b.Body)
@@ -131,14 +131,14 @@
 	p.Change(st.Target("s-9", stays.Addr, 0, "SERVING"))
 	addr := run(t, p, delivers(calls.Target{Form: calls.Structured}))
 	for i := 0; len(leaves.Calls) == 0; i++ {
-		st.HandIn(t, addr, "a"+strconv.Itoa(i), "unsafe", 0, 9*time.Second)
+		st.Submit(t, addr, st.Submission{ID: "a" + strconv.Itoa(i), Class: "unsafe", Destination: 0, Deadline: 9 * time.Second})
 		stays.Next(t)
 		if i > 200 {
 			t.Fatal("it is never called")
 		}
 	}
 	for i := range 30 {
-		st.HandIn(t, addr, "b"+strconv.Itoa(i), "unsafe", 0, 9*time.Second)
+		st.Submit(t, addr, st.Submission{ID: "b" + strconv.Itoa(i), Class: "unsafe", Destination: 0, Deadline: 9 * time.Second})
 		stays.Next(t)
 	}
 	if n := len(leaves.Calls); n != 1 {
@@ -155,7 +155,7 @@
 	}
 	p.Change(st.Target("s-9", stays.Addr, 0, "DRAINING"))
 	until(t, func() bool {
-		st.HandIn(t, addr, fmt.Sprint("c", time.Now().UnixNano()), "safe", 0, 9*time.Second)
+		st.Submit(t, addr, st.Submission{ID: fmt.Sprint("c", time.Now().UnixNano()), Class: "safe", Destination: 0, Deadline: 9 * time.Second})
 		return len(leaves.Calls) > 0
 	})
 }
@@ -252,7 +252,7 @@
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, delivers(calls.Target{Form: calls.Batched, BatchEvents: 8, BatchBytes: 65536}))
 	for i := range 10 {
-		st.HandIn(t, addr, "m"+strconv.Itoa(i), "unsafe", 0, 9*time.Second)
+		st.Submit(t, addr, st.Submission{ID: "m" + strconv.Itoa(i), Class: "unsafe", Destination: 0, Deadline: 9 * time.Second})
 	}
 	ends := map[string]string{}
 	for len(ends) < 10 {
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -45,11 +45,11 @@
 // registry is one address of discovery and the connections to it. moved ends when discovery has moved away: with it end the
 // calls there and the backoffs after failures of the old address.
 type registry struct {
-	addr      string
-	client    *http.Client // for the list
-	notices   *http.Client // has no connection in common with that, of which only the watch finds out that it is silent
-	moved     context.Context
-	markMoved context.CancelFunc
+	addr     string
+	client   *http.Client // for the list
+	notices  *http.Client // has no connection in common with that, of which only the watch finds out that it is silent
+	moved    context.Context
+	endCalls context.CancelFunc
 }
 
 func newDiscovery(addr string) *discovery {
@@ -69,7 +69,7 @@
 			}}
 	}
 	o := &registry{addr: addr, client: client(2), notices: client(1)}
-	o.moved, o.markMoved = context.WithCancel(context.Background())
+	o.moved, o.endCalls = context.WithCancel(context.Background())
 	return o
 }
 
@@ -91,7 +91,7 @@
 	}
 	d.current = d.newRegistry(addr)
 	d.mu.Unlock()
-	old.markMoved()
+	old.endCalls()
 	old.closeIdle()
 	return true
 }
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -20,8 +20,8 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// toldAfter is when a change counts as told: so long after discovery had it and could be reached, whatever call failed.
-const toldAfter = 6 * time.Second
+// notifiedWithin is when a change counts as told: so long after discovery had it and could be reached, whatever call failed.
+const notifiedWithin = 6 * time.Second
 
 // span is a stretch of a test's virtual time.
 type span struct{ from, to time.Duration }
@@ -185,29 +185,29 @@
 	}
 }
 
-// told is when a change counts as told: toldAfter the first moment from which on discovery could be reached for so long.
-func (v *virtualRegistry) told(change time.Duration) time.Duration {
+// deadline is when a change counts as told: toldAfter the first moment from which on discovery could be reached for so long.
+func (v *virtualRegistry) deadline(change time.Duration) time.Duration {
 	from := change
 	for again := true; again; {
 		again = false
 		for _, s := range append(append(append([]span(nil), v.down...), v.refusing...), v.mute...) {
-			if s.from < from+toldAfter && from < s.to {
+			if s.from < from+notifiedWithin && from < s.to {
 				from, again = s.to, true
 			}
 		}
 	}
-	return from + toldAfter
+	return from + notifiedWithin
 }
 
-// heardLog notes when a sender heard of each version, by its log.
-type heardLog struct {
+// updateLog notes when a sender heard of each version, by its log.
+type updateLog struct {
 	slog.Handler
 	mu    sync.Mutex
 	begin time.Time
 	at    map[int64]time.Duration
 }
 
-func (h *heardLog) Handle(_ context.Context, r slog.Record) error {
+func (h *updateLog) Handle(_ context.Context, r slog.Record) error {
 	if r.Message != "list" {
 		return nil
 	}
@@ -228,7 +228,7 @@
 
 // hear runs a whole sender against a registry for a while, in virtual time, and tells when it heard of each version.
 func hear(t *testing.T, v *virtualRegistry, senders int, seed uint64, length time.Duration, held ...record) map[int64]time.Duration {
-	heard := &heardLog{Handler: slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelDebug}), at: map[int64]time.Duration{}}
+	heard := &updateLog{Handler: slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelDebug}), at: map[int64]time.Duration{}}
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		raw, err := json.Marshal(st.Config(&st.Platform{Addr: "registry:1"}, dir))
@@ -307,7 +307,7 @@
 				for _, senders := range []int{1, 300} {
 					v := tt.v
 					v.latency = 50 * time.Millisecond
-					checkHeard(t, &v, senders, seed, 90*s)
+					checkUpdates(t, &v, senders, seed, 90*s)
 				}
 			}
 		})
@@ -331,17 +331,17 @@
 			for from := at(4 * s); from < 100*s; from += at(15 * s) {
 				v.changes = append(v.changes, from)
 			}
-			checkHeard(t, v, 1+rng.IntN(300), seed, 130*s)
+			checkUpdates(t, v, 1+rng.IntN(300), seed, 130*s)
 		}
 	})
 }
 
-func checkHeard(t *testing.T, v *virtualRegistry, senders int, seed uint64, length time.Duration) {
+func checkUpdates(t *testing.T, v *virtualRegistry, senders int, seed uint64, length time.Duration) {
 	t.Helper()
 	heard := hear(t, v, senders, seed, length)
 	for n, change := range v.changes {
 		at, ok := heard[int64(n+2)]
-		if told := v.told(change); told < length && (!ok || at > told) {
+		if told := v.deadline(change); told < length && (!ok || at > told) {
 			t.Errorf("%d senders, seed %d: the change at %v is heard at %v (%v), and counts as told at %v; silent %v, down %v, refusing %v, cut off %v",
 				senders, seed, change, at, ok, told, v.silent, v.down, v.refusing, v.mute)
 		}
--- a/internal/sender/extension_background_test.go
+++ b/internal/sender/extension_background_test.go
@@ -62,7 +62,7 @@
 	again := make(chan error, 1)
 	runWith(t, p, func(c *Config) {
 		c.Background = true
-		leavesMessage(t, c, old, func(*journal) {})
+		leaveMessage(t, c, old, func(*journal) {})
 	}, func(s *Sender) {
 		go func() {
 			again <- s.Background().Resend(t.Context(), undelivered.Entry{Message: "x", Member: "acme", Class: "unsafe", Ending: undelivered.GivenUp, Effect: undelivered.Unsafe}, 10*time.Second)
--- a/internal/sender/extension_fleet_test.go
+++ b/internal/sender/extension_fleet_test.go
@@ -16,38 +16,38 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// toldFleet is a fleet that says what a test has it say.
-type toldFleet struct {
-	mu     sync.Mutex
-	view   *fleetpolicy.View
-	acts   bool
-	change func()
-	asked  chan fleetpolicy.Call // calls that ask at their permit
-	waits  int64
-	paced  func()
-	paces  []fleet.RateLimit
-	taken  int // how often the paces were asked for
-	ended  atomic.Int64
+// fakeFleet is a fleet that says what a test has it say.
+type fakeFleet struct {
+	mu         sync.Mutex
+	view       *fleetpolicy.View
+	acts       bool
+	change     func()
+	asked      chan fleetpolicy.Call // calls that ask at their permit
+	waits      int64
+	paced      func()
+	rateLimits []fleet.RateLimit
+	taken      int // how often the paces were asked for
+	ended      atomic.Int64
 }
 
 // What its part asks of limits.
-func (f *toldFleet) AddBacklog(c fleetpolicy.Call, n int64) {
+func (f *fakeFleet) AddBacklog(c fleetpolicy.Call, n int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.waits += n
 }
-func (f *toldFleet) SetBacklog(map[fleetpolicy.Call]int64) {}
-func (f *toldFleet) OnRateLimits(told func())              { f.paced = told }
-func (f *toldFleet) ObserveLimit(uint32, float64)          {}
-func (f *toldFleet) ReportHealth([]health.Observation)     {}
-func (f *toldFleet) RateLimits(bool) []fleet.RateLimit {
+func (f *fakeFleet) SetBacklog(map[fleetpolicy.Call]int64) {}
+func (f *fakeFleet) OnRateLimits(told func())              { f.paced = told }
+func (f *fakeFleet) ObserveLimit(uint32, float64)          {}
+func (f *fakeFleet) ReportHealth([]health.Observation)     {}
+func (f *fakeFleet) RateLimits(bool) []fleet.RateLimit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.taken++
-	return f.paces
+	return f.rateLimits
 }
 
-func (f *toldFleet) Admit(c fleetpolicy.Call) (func(), func(bool), string) {
+func (f *fakeFleet) Admit(c fleetpolicy.Call) (func(), func(bool), string) {
 	v, acts := f.View()
 	select {
 	case f.asked <- c:
@@ -62,22 +62,22 @@
 	return func() {}, func(bool) { f.ended.Add(1) }, ""
 }
 
-func (f *toldFleet) View() (*fleetpolicy.View, bool) {
+func (f *fakeFleet) View() (*fleetpolicy.View, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view, f.acts
 }
 
-func (f *toldFleet) OnChange(change func()) {
+func (f *fakeFleet) OnChange(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.change = change
 }
 
-func (f *toldFleet) Register(*http.ServeMux) {}
+func (f *fakeFleet) Register(*http.ServeMux) {}
 
 // say is the fleet's word from now on.
-func (f *toldFleet) say(t *testing.T, acts bool, document string) {
+func (f *fakeFleet) say(t *testing.T, acts bool, document string) {
 	t.Helper()
 	p, err := fleetpolicy.Parse("p.toml", []byte(document))
 	if err != nil {
@@ -99,17 +99,17 @@
 	t.Parallel()
 	zero, one := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, zero.Addr, one.Addr)
-	f := &toldFleet{asked: make(chan fleetpolicy.Call, 100)}
+	f := &fakeFleet{asked: make(chan fleetpolicy.Call, 100)}
 	f.say(t, true, "")
 	addr := run(t, p, func(c *Config) { c.Fleet = f })
 	refused := func(id string, dest int, says string) {
 		t.Helper()
-		resp, body := st.Do(t, st.Message(t, addr, id, "keyed", dest, 10*time.Second, "x"))
+		resp, body := st.Do(t, st.Request(t, addr, st.Submission{ID: id, Class: "keyed", Destination: dest, Deadline: 10 * time.Second, Body: "x"}))
 		if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" || !strings.Contains(body, says) {
 			t.Errorf("%s is answered %s %q", id, resp.Status, body)
 		}
 	}
-	st.HandIn(t, addr, "open", "keyed", 1, 10*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "open", Class: "keyed", Destination: 1, Deadline: 10 * time.Second})
 	if c := one.Next(t); c.ID != "open" {
 		t.Errorf("%+v", c)
 	}
@@ -119,7 +119,7 @@
 	f.say(t, true, closes1)
 	refused("closed", 1, "closed its destination")
 	f.say(t, true, "[[route]]\ndestinations = [1]\nstate = \"moved\"\nto = 0\n")
-	st.HandIn(t, addr, "moved", "keyed", 1, 10*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "moved", Class: "keyed", Destination: 1, Deadline: 10 * time.Second})
 	if c := zero.Next(t); c.ID != "moved" {
 		t.Errorf("%+v", c)
 	}
@@ -131,7 +131,7 @@
 	refused("cut off", 0, "cut off from the fleet")
 	f.say(t, true, "")
 	until(t, func() bool {
-		resp, _ := st.Do(t, st.Message(t, addr, "back", "keyed", 1, 10*time.Second, "x"))
+		resp, _ := st.Do(t, st.Request(t, addr, st.Submission{ID: "back", Class: "keyed", Destination: 1, Deadline: 10 * time.Second, Body: "x"}))
 		return resp.StatusCode == http.StatusAccepted
 	})
 	if c := one.Next(t); c.ID != "back" {
@@ -140,7 +140,7 @@
 	// Nothing is lent for 1: what is taken on waits, and goes once something is.
 	lend := func(mine float64) {
 		f.mu.Lock()
-		f.paces = []fleet.RateLimit{{Destination: 1, Limited: true, Own: mine, Fleet: 10}}
+		f.rateLimits = []fleet.RateLimit{{Destination: 1, Limited: true, Own: mine, Fleet: 10}}
 		before := f.taken
 		f.mu.Unlock()
 		f.paced()
@@ -151,8 +151,8 @@
 		})
 	}
 	lend(0)
-	st.HandIn(t, addr, "first", "keyed", 1, 10*time.Second)
-	st.HandIn(t, addr, "second", "keyed", 1, 10*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "first", Class: "keyed", Destination: 1, Deadline: 10 * time.Second})
+	st.Submit(t, addr, st.Submission{ID: "second", Class: "keyed", Destination: 1, Deadline: 10 * time.Second})
 	until(t, func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -174,20 +174,20 @@
 // What was told to wait has not run: whatever word stands against it, it is handed back at once.
 func TestFleet_PolicyHandsBack(t *testing.T) {
 	t.Parallel()
-	for name, say := range map[string]func(f *toldFleet){
-		"closed":    func(f *toldFleet) { f.say(t, true, "[[route]]\ndestinations = [0]\nstate = \"closed\"\n") },
-		"moved":     func(f *toldFleet) { f.say(t, true, "[[route]]\ndestinations = [0]\nstate = \"moved\"\nto = 1\n") },
-		"suspended": func(f *toldFleet) { f.say(t, true, "[[tenant]]\nname = \"acme\"\nstate = \"suspended\"\n") },
-		"cut off":   func(f *toldFleet) { f.say(t, false, "") },
+	for name, say := range map[string]func(f *fakeFleet){
+		"closed":    func(f *fakeFleet) { f.say(t, true, "[[route]]\ndestinations = [0]\nstate = \"closed\"\n") },
+		"moved":     func(f *fakeFleet) { f.say(t, true, "[[route]]\ndestinations = [0]\nstate = \"moved\"\nto = 1\n") },
+		"suspended": func(f *fakeFleet) { f.say(t, true, "[[tenant]]\nname = \"acme\"\nstate = \"suspended\"\n") },
+		"cut off":   func(f *fakeFleet) { f.say(t, false, "") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := st.NewEndpoint(t, st.Status(429, "X-RateLimit-Wait-Ms: 14000"))
 			p := st.NewPlatform(t, e.Addr, e.Addr)
-			f := &toldFleet{asked: make(chan fleetpolicy.Call, 1000)}
+			f := &fakeFleet{asked: make(chan fleetpolicy.Call, 1000)}
 			f.say(t, true, "")
 			addr := run(t, p, func(c *Config) { c.Fleet = f })
-			st.HandIn(t, addr, "waits", "unsafe", 0, 15*time.Second)
+			st.Submit(t, addr, st.Submission{ID: "waits", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 			e.Next(t)
 			say(f)
 			if n := st.Receive(t, p.Notices); n.Message != "waits" || n.Outcome != outcomeHandedBack {
@@ -223,10 +223,10 @@
 				return a(call, conn)
 			})
 			p := st.NewPlatform(t, e.Addr)
-			f := &toldFleet{asked: make(chan fleetpolicy.Call, 1000)}
+			f := &fakeFleet{asked: make(chan fleetpolicy.Call, 1000)}
 			f.say(t, true, "")
 			addr := run(t, p, func(c *Config) { c.Fleet = f })
-			st.HandIn(t, addr, "ran", "keyed", 0, 15*time.Second)
+			st.Submit(t, addr, st.Submission{ID: "ran", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 			e.Next(t)
 			st.Receive(t, answered) // its outcome is a reset: it may have run
 			f.say(t, c.acts, c.document)
@@ -249,7 +249,7 @@
 
 // A destination that the policy has apart is told to the module as of that kind, and back; a limit is the module's pace.
 func TestFleet_KindAndRateLimit(t *testing.T) {
-	f := &toldFleet{}
+	f := &fakeFleet{}
 	f.say(t, true, "[[route]]\ndestinations = [1]\nstate = \"apart\"\nkind = \"single\"\n[[limit]]\ndestinations = [1, 9]\ncalls = 2.5\n")
 	s := newTest(t, st.NewPlatform(t), func(c *Config) { c.Fleet, c.Kinds = f, []string{"plain", "single"} })
 	p, _ := extensionOf[*fleetExtension](s)
@@ -259,7 +259,7 @@
 	if got := s.endpoints.Apply(Targets{Servers: []Target{line(1)}}, false, s.config.endpointNames(), s.pool).Endpoints; len(got) != 1 || got[0].Kind != 1 || !got[0].Ready {
 		t.Errorf("%+v", got)
 	}
-	f.paces = []fleet.RateLimit{{Destination: 1, Limited: true, Own: 2, Fleet: 5}, {Destination: 9}}
+	f.rateLimits = []fleet.RateLimit{{Destination: 1, Limited: true, Own: 2, Fleet: 5}, {Destination: 9}}
 	if got := p.handle(rateLimitChange{}, 0); len(got) != 2 || got[0] != (brain.RateGrant{Destination: 1, Limited: true, Rate: 2, TotalRate: 5}) || got[1] != (brain.RateGrant{Destination: 9}) {
 		t.Errorf("%+v", got)
 	}
--- a/internal/sender/extension_peers_test.go
+++ b/internal/sender/extension_peers_test.go
@@ -65,8 +65,8 @@
 	return addr, leave
 }
 
-// told is an endpoint that asks for a wait with its first call and serves the others.
-func told(t *testing.T, wait time.Duration) *st.Endpoint {
+// rateLimitingEndpoint is an endpoint that asks for a wait with its first call and serves the others.
+func rateLimitingEndpoint(t *testing.T, wait time.Duration) *st.Endpoint {
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
 	return st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -91,11 +91,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			const wait = 3 * time.Second
-			e := told(t, wait)
+			e := rateLimitingEndpoint(t, wait)
 			p := st.NewPlatform(t, e.Addr)
 			state := t.TempDir()
 			addr, leave := begun(t, p, state, func(*Config) {})
-			st.HandIn(t, addr, "first", "keyed", 0, 15*time.Second)
+			st.Submit(t, addr, st.Submission{ID: "first", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 			e.Next(t)
 			from := time.Now()
 			until(t, func() bool { return knows(t, state, "wait", "self", "asked for a wait") })
@@ -118,7 +118,7 @@
 func TestPeers_ShareObservations(t *testing.T) {
 	t.Parallel()
 	const wait = 5 * time.Second
-	e := told(t, wait)
+	e := rateLimitingEndpoint(t, wait)
 	p := st.NewPlatform(t, e.Addr)
 	among := func(name string, seeds ...string) func(*Config) {
 		return func(c *Config) {
@@ -128,7 +128,7 @@
 	}
 	oldState, newState := t.TempDir(), t.TempDir()
 	old, _ := begun(t, p, oldState, among("old"))
-	st.HandIn(t, old, "first", "keyed", 0, 15*time.Second)
+	st.Submit(t, old, st.Submission{ID: "first", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	e.Next(t)
 	from := time.Now()
 	until(t, func() bool { return knows(t, oldState, "wait", "self", "asked for a wait") })
@@ -139,13 +139,13 @@
 	}
 	fresh, _ := begun(t, p, newState, among("fresh", membershipAt(t, oldState)))
 	until(t, func() bool { return knows(t, newState, "wait", "old", "asked for a wait") })
-	st.HandIn(t, fresh, "second", "keyed", 0, 15*time.Second)
+	st.Submit(t, fresh, st.Submission{ID: "second", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	e.Next(t)
 	if got := time.Since(from); got < wait-50*time.Millisecond {
 		t.Errorf("a call came %v after a wait of %v was asked for", got, wait)
 	}
 	asked(t, newState, "/peers", &report)
-	if len(report.Members) != 1 || report.Members[0].Name != "old" || report.HeldFacts["old"] == 0 {
+	if len(report.Members) != 1 || report.Members[0].Name != "old" || report.FactsBySource["old"] == 0 {
 		t.Errorf("%+v", report)
 	}
 }
--- a/internal/sender/extension_recorder_test.go
+++ b/internal/sender/extension_recorder_test.go
@@ -81,8 +81,8 @@
 	p := st.NewPlatform(t, bad.Addr, good.Addr)
 	r := newMemory()
 	addr := run(t, p, both(takesEvents, records(r)))
-	st.HandIn(t, addr, "lost", "unsafe", 0, 9*time.Second)
-	st.HandIn(t, addr, "fine", "unsafe", 1, 9*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "lost", Class: "unsafe", Destination: 0, Deadline: 9 * time.Second})
+	st.Submit(t, addr, st.Submission{ID: "fine", Class: "unsafe", Destination: 1, Deadline: 9 * time.Second})
 	if n := st.Receive(t, p.Notices); n.Message != "lost" || n.Outcome != outcomeGivenUp {
 		t.Fatalf("%+v", n)
 	}
@@ -116,7 +116,7 @@
 	addr := run(t, p, both(records(r), func(c *Config) { c.Limits.DiskMB = 0.4 }))
 	const n = 12
 	for i := range n {
-		r := st.Message(t, addr, "m"+strconv.Itoa(i), "unsafe", 0, 9*time.Second, strings.Repeat("x", 15_000))
+		r := st.Request(t, addr, st.Submission{ID: "m" + strconv.Itoa(i), Class: "unsafe", Destination: 0, Deadline: 9 * time.Second, Body: strings.Repeat("x", 15_000)})
 		if resp, text := st.Do(t, r); resp.StatusCode != 202 {
 			t.Fatalf("%s %s", resp.Status, text)
 		}
@@ -316,7 +316,7 @@
 // is kept for its end, and it may come again at once.
 func TestRecorder_RejectedEventIsForgotten(t *testing.T) {
 	t.Parallel()
-	s, _, hand := byHand(t, st.Silent, takesEvents)
+	s, _, hand := byHand(t, st.Unresponsive, takesEvents)
 	front := &eventIngress{s.config, s.clock, s.config.Events}
 	h, err := front.readHead(mustRequest(t, oneEvent))
 	if err != nil {
--- a/internal/sender/ingress_events_test.go
+++ b/internal/sender/ingress_events_test.go
@@ -282,7 +282,7 @@
 // An event's own expirytime shortens its deadline, and one that is over fails at once.
 func TestEvents_ExpiryTime(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Silent)
+	e := st.NewEndpoint(t, st.Unresponsive)
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, takesEvents)
 	if resp, text := post(t, addr, oneEvent, eventJSON("1", "safe", `,"expirytime":"2020-01-01T00:00:00Z"`)); resp.StatusCode != 500 || text != outcomeGivenUp+"\n" {
@@ -351,7 +351,7 @@
 // One that was handed back is asked to wait until it may come again, and then is a new try.
 func TestEventDedup_HandedBackEvent(t *testing.T) {
 	t.Parallel()
-	s, _, hand := byHand(t, st.Silent, takesEvents)
+	s, _, hand := byHand(t, st.Unresponsive, takesEvents)
 	const hold = 300 * time.Millisecond
 	body := eventJSON("1", "safe", "")
 	first := hand(body)
@@ -385,7 +385,7 @@
 // A sender that is about to leave says of an event that it holds that it does: its client would hand it in elsewhere.
 func TestEventDedup_RepeatDuringShutdown(t *testing.T) {
 	t.Parallel()
-	s, _, hand := byHand(t, st.Silent, takesEvents)
+	s, _, hand := byHand(t, st.Unresponsive, takesEvents)
 	first := hand(eventJSON("1", "unsafe", ""))
 	s.stopping = true
 	if a := hand(eventJSON("1", "unsafe", "")); a.status != 202 || a.messageID != first.messageID {
@@ -579,7 +579,7 @@
 		}
 	}
 	handEvent(t, addr, "0", "safe", 200)
-	st.HandIn(t, addr, "plain", "safe", 0, 5*time.Second) // plain messages are not concerned
+	st.Submit(t, addr, st.Submission{ID: "plain", Class: "safe", Destination: 0, Deadline: 5 * time.Second}) // plain messages are not concerned
 	if c := e.Next(t); c.ID != "plain" {
 		t.Errorf("%+v", c)
 	}
@@ -594,7 +594,7 @@
 		case c.Header.Get("Ce-Type") == "unsafe":
 			return st.Reset(c, nc)
 		case hang.Load():
-			return st.Silent(c, nc)
+			return st.Unresponsive(c, nc)
 		}
 		return st.Status(200)(c, nc)
 	})
@@ -614,7 +614,7 @@
 		resp, _ := post(t, addr, oneEvent, eventJSON("over", "keyed", `,"data":{"n":1}`))
 		return resp.StatusCode == 200
 	})
-	p.Deaf(true)
+	p.RejectNotices(true)
 	handEvent(t, addr, "failed", "unsafe", 202)
 	e.Next(t)
 	until(t, func() bool {
@@ -625,7 +625,7 @@
 	held := handEvent(t, addr, "held", "keyed", 202).Header.Get("X-Request-Id")
 	key := e.Next(t).Key
 	stop()
-	p.Deaf(false)
+	p.RejectNotices(false)
 	hang.Store(false)
 
 	addr, stop = begin()
@@ -711,7 +711,7 @@
 				}
 				body, contentType = `[`+strings.Join(all, ",")+`]`, someJSON
 			}
-			log := firstTry(t, contentType, body, n)
+			log := firstAttempt(t, contentType, body, n)
 			for cut := range len(log.ops) + 1 {
 				for _, torn := range []bool{false, true} {
 					if torn && cut == len(log.ops) {
@@ -720,7 +720,7 @@
 					for _, ran := range []bool{false, true} {
 						t.Run(fmt.Sprintf("%s %d, %d writes, torn %v, ran %v", kind, n, cut, torn, ran), func(t *testing.T) {
 							t.Parallel()
-							secondTry(t, log, cut, torn, ran, kind, contentType, body, n)
+							secondAttempt(t, log, cut, torn, ran, kind, contentType, body, n)
 						})
 					}
 				}
@@ -738,8 +738,8 @@
 	}
 }
 
-// firstTry is an undisturbed run; it gives all that was written.
-func firstTry(t *testing.T, contentType, body string, n int) *diskLog {
+// firstAttempt is an undisturbed run; it gives all that was written.
+func firstAttempt(t *testing.T, contentType, body string, n int) *diskLog {
 	t.Helper()
 	log := &diskLog{}
 	e := st.NewEndpoint(t, st.Status(200))
@@ -774,7 +774,7 @@
 	return log
 }
 
-func secondTry(t *testing.T, log *diskLog, cut int, torn, ran bool, kind, contentType, body string, n int) {
+func secondAttempt(t *testing.T, log *diskLog, cut int, torn, ran bool, kind, contentType, body string, n int) {
 	// The folder as the kill leaves it, and which calls the journal knows of.
 	state := t.TempDir()
 	files := map[string][]byte{}
--- a/internal/sender/journal.go
+++ b/internal/sender/journal.go
@@ -158,7 +158,7 @@
 		j.failed = true
 	}
 	j.buf.Write(line)
-	if m.apply(&rec); m.settled() {
+	if m.apply(&rec); m.finished() {
 		j.unindex(m)
 	}
 }
--- a/internal/sender/journal_endpoints_test.go
+++ b/internal/sender/journal_endpoints_test.go
@@ -170,7 +170,7 @@
 	p := st.NewPlatform(t, old.Addr)
 	run(t, p, func(c *Config) {
 		c.Settings.Senders = 80
-		leavesMessage(t, c, old, func(j *journal) {
+		leaveMessage(t, c, old, func(j *journal) {
 			drained, other := listedAt("s-0", old), listedAt("s-1", other)
 			drained.State = membership.Draining
 			j.saveList(c.Discovery, membership.Update{Version: 9, Full: true, Servers: []Target{drained, other}})
--- a/internal/sender/journal_record.go
+++ b/internal/sender/journal_record.go
@@ -101,8 +101,8 @@
 	cost           int64         // what it may take in the file
 }
 
-// settled reports whether a message is over and nobody is owed anything on it.
-func (m *storedMessage) settled() bool { return m.outcome != "" && m.notified && !m.awaitsRecorder }
+// finished reports whether a message is over and nobody is owed anything on it.
+func (m *storedMessage) finished() bool { return m.outcome != "" && m.notified && !m.awaitsRecorder }
 
 // apply takes in a further record on the message.
 func (m *storedMessage) apply(r *record) {
--- a/internal/sender/journal_recovery.go
+++ b/internal/sender/journal_recovery.go
@@ -38,7 +38,7 @@
 			j.index(&storedMessage{record: rec, outcome: rec.Outcome, retryAfterMS: rec.RetryAfterMS, awaitsRecorder: rec.AwaitsRecorder, notified: rec.Notified, endedAt: rec.At, cost: int64(len(line)) + followUpBytes(rec.ID)})
 		case m == nil:
 		default:
-			if m.apply(&rec); m.settled() {
+			if m.apply(&rec); m.finished() {
 				j.unindex(m)
 			}
 		}
--- a/internal/sender/moves_test.go
+++ b/internal/sender/moves_test.go
@@ -17,9 +17,9 @@
 	moves       = 200
 	moveCalls   = 5 // calls that each address gets before the next move
 	moveClients = 4
-	// withinRoom is how many messages may be undelivered at once without filling the sender's room: it hands messages back from
+	// withinCapacity is how many messages may be undelivered at once without filling the sender's room: it hands messages back from
 	// 95 of 100 on, and up to ten more count as held whose answers are on their way.
-	withinRoom = 80
+	withinCapacity = 80
 	// moveBound is how long after the update's answer a call may still go to the old address, with some slack for its way.
 	moveBound = 2*time.Second + 50*time.Millisecond
 )
@@ -28,7 +28,7 @@
 // exactly once, and no new call goes to an address later than two seconds after the update that removed it was answered. How
 // late the last call to each was is logged.
 func TestEndpointsMove_WithinCapacity(t *testing.T) {
-	l := newMoveLoad(t, withinRoom)
+	l := newMoveLoad(t, withinCapacity)
 	l.play()
 	if len(l.handedBack) > 0 || l.refused > 0 {
 		t.Errorf("%d messages are refused and %d handed back, though there is room", l.refused, len(l.handedBack))
@@ -44,13 +44,13 @@
 
 // moveLoad is clients that hand messages in while the only member of their destination moves from address to address.
 type moveLoad struct {
-	t        *testing.T
-	names    *named
-	platform *st.Platform
-	sender   string
-	addrs    []string
-	told     []time.Time   // when the update that removed each address was answered
-	room     chan struct{} // a place for each message that is handed in and not yet delivered; nil without a bound
+	t              *testing.T
+	names          *named
+	platform       *st.Platform
+	sender         string
+	addrs          []string
+	acknowledgedAt []time.Time   // when the update that removed each address was answered
+	room           chan struct{} // a place for each message that is handed in and not yet delivered; nil without a bound
 
 	mu         sync.Mutex
 	last       []time.Time // when the last call to each address came
@@ -63,7 +63,7 @@
 
 // newMoveLoad starts the endpoints and the sender; most is how many messages may be undelivered at once, 0 for no bound.
 func newMoveLoad(t *testing.T, most int) *moveLoad {
-	l := &moveLoad{t: t, told: make([]time.Time, moves), last: make([]time.Time, moves+1), got: make([]int, moves+1),
+	l := &moveLoad{t: t, acknowledgedAt: make([]time.Time, moves), last: make([]time.Time, moves+1), got: make([]int, moves+1),
 		accepted: map[string]bool{}, delivered: map[string]int{}, handedBack: map[string]int{}}
 	if most > 0 {
 		l.room = make(chan struct{}, most)
@@ -103,7 +103,7 @@
 	l.move()
 	close(done)
 	clients.Wait()
-	l.settle()
+	l.waitUntilQuiet()
 	l.check()
 }
 
@@ -123,7 +123,7 @@
 		default:
 		}
 		id := fmt.Sprintf("m%d-%d", client, n)
-		resp, _ := st.Do(l.t, st.Message(l.t, l.sender, id, "unsafe", 0, time.Hour, "b"))
+		resp, _ := st.Do(l.t, st.Request(l.t, l.sender, st.Submission{ID: id, Class: "unsafe", Destination: 0, Deadline: time.Hour, Body: "b"}))
 		l.answered(id, resp.StatusCode)
 	}
 }
@@ -145,13 +145,13 @@
 // move repoints the member from address to address; the next move comes when some calls have gone to this one.
 func (l *moveLoad) move() {
 	for i := 1; i <= moves; i++ {
-		l.told[i-1] = l.names.at(l.addrs[i])
+		l.acknowledgedAt[i-1] = l.names.at(l.addrs[i])
 		l.until(fmt.Sprintf("move %d is not followed", i), func() bool { return l.got[i] >= moveCalls })
 	}
 }
 
-// settle waits until each message that was taken on has ended.
-func (l *moveLoad) settle() {
+// waitUntilQuiet waits until each message that was taken on has ended.
+func (l *moveLoad) waitUntilQuiet() {
 	l.until("messages have not ended", func() bool {
 		for len(l.platform.Notices) > 0 {
 			l.noticed(<-l.platform.Notices)
@@ -201,7 +201,7 @@
 	}
 	var late []time.Duration
 	for i := range moves {
-		d := l.last[i].Sub(l.told[i])
+		d := l.last[i].Sub(l.acknowledgedAt[i])
 		if d > moveBound {
 			l.t.Errorf("move %d: a call went to the old address %v after", i+1, d)
 		}
--- a/internal/sender/names_test.go
+++ b/internal/sender/names_test.go
@@ -101,7 +101,7 @@
 	n.at(old.Addr)
 	p := st.NewPlatform(t)
 	addr := run(t, p, n.names(membership.NamesFirst))
-	st.HandIn(t, addr, "out", "unsafe", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "out", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	old.Next(t)
 	n.at() // none is left
 	for over := time.Now().Add(st.Wait); !slices.ContainsFunc(n.svc.Report().Members[0].Lines, func(l membership.Target) bool { return l.State == membership.Dropped }); {
@@ -110,8 +110,8 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	st.HandIn(t, addr, "short", "unsafe", 0, 300*time.Millisecond)
-	st.HandIn(t, addr, "waits", "unsafe", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "short", Class: "unsafe", Destination: 0, Deadline: 300 * time.Millisecond})
+	st.Submit(t, addr, st.Submission{ID: "waits", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	if got := st.Receive(t, p.Notices); got.Message != "short" || got.Outcome != "given_up" {
 		t.Errorf("%+v", got)
 	}
@@ -120,7 +120,7 @@
 	if c := next.Next(t); c.ID != "waits" {
 		t.Error(c.ID)
 	}
-	st.HandIn(t, addr, "after", "unsafe", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "after", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	if c := next.Next(t); c.ID != "after" {
 		t.Error(c.ID)
 	}
@@ -190,7 +190,7 @@
 		calls <- c
 		select {
 		case <-silent:
-			return st.Silent(c, nc)
+			return st.Unresponsive(c, nc)
 		default:
 			return st.Status(200)(c, nc)
 		}
@@ -205,7 +205,7 @@
 	p := st.NewPlatform(t)
 	s := newTest(t, p, func(c *Config) { c.StateDir = state; n.names(membership.NamesFirst)(c) })
 	addr, leave := serving(t, s)
-	st.HandIn(t, addr, "m", "keyed", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "m", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	first := st.Receive(t, calls)
 	leave()
 	p.Change(st.Target("s-9", e.Addr, 0, "SERVING"))
@@ -253,7 +253,7 @@
 	p := st.NewPlatform(t)
 	p.Change(st.Target("s-1", other.Addr, 1, "SERVING"))
 	addr := run(t, p, n.names(membership.NamesFirst))
-	st.HandIn(t, addr, "early", "unsafe", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "early", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	n.at(e.Addr)
 	if c := e.Next(t); c.ID != "early" {
 		t.Error(c.ID)
--- a/internal/sender/order_test.go
+++ b/internal/sender/order_test.go
@@ -18,8 +18,8 @@
 		Idempotency: brain.Idempotent, Ordered: true, Value: 1, LateValue: 0.5})
 }
 
-// held is two destinations; calls to the first are answered when release is closed.
-func held(t *testing.T) (first, second *st.Endpoint, p *st.Platform, release chan struct{}) {
+// gatedDestinations is two destinations; calls to the first are answered when release is closed.
+func gatedDestinations(t *testing.T) (first, second *st.Endpoint, p *st.Platform, release chan struct{}) {
 	release = make(chan struct{})
 	first = st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		<-release
@@ -35,7 +35,7 @@
 	if c := first.Next(t); c.ID != "a" {
 		t.Fatalf("the first destination got %s", c.ID)
 	}
-	if resp, text := st.Do(t, st.Message(t, addr, "c", "ordered", 1, 15*time.Second, "c")); resp.StatusCode != http.StatusAccepted {
+	if resp, text := st.Do(t, st.Request(t, addr, st.Submission{ID: "c", Class: "ordered", Destination: 1, Deadline: 15 * time.Second, Body: "c"})); resp.StatusCode != http.StatusAccepted {
 		t.Fatalf("%s %s", resp.Status, text)
 	}
 	if c := second.Next(t); c.ID != "c" {
@@ -49,7 +49,7 @@
 
 func inOrder(t *testing.T, addr, id, key string, dest int) {
 	t.Helper()
-	r := st.Message(t, addr, id, "ordered", dest, 15*time.Second, id)
+	r := st.Request(t, addr, st.Submission{ID: id, Class: "ordered", Destination: dest, Deadline: 15 * time.Second, Body: id})
 	r.Header.Set("X-Order-Key", key)
 	if resp, text := st.Do(t, r); resp.StatusCode != http.StatusAccepted {
 		t.Fatalf("%s %s", resp.Status, text)
@@ -60,7 +60,7 @@
 // destinations.
 func TestOrderingKey(t *testing.T) {
 	t.Parallel()
-	first, second, p, release := held(t)
+	first, second, p, release := gatedDestinations(t)
 	addr := run(t, p, ordered)
 	inOrder(t, addr, "a", "k", 0)
 	inOrder(t, addr, "b", "k", 1)
@@ -70,7 +70,7 @@
 // A restart keeps the order: the key stands in the journal, also in a compacted one.
 func TestOrderingKey_SurvivesRestart(t *testing.T) {
 	t.Parallel()
-	first, second, p, release := held(t)
+	first, second, p, release := gatedDestinations(t)
 	addr := run(t, p, func(c *Config) {
 		ordered(c)
 		j := openTest(t, c.StateDir, 1<<20)
@@ -95,7 +95,7 @@
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), ordered)
 	for class, status := range map[string]int{"ordered": http.StatusBadRequest, "safe": http.StatusAccepted} {
-		r := st.Message(t, addr, class, class, 0, 15*time.Second, "x")
+		r := st.Request(t, addr, st.Submission{ID: class, Class: class, Destination: 0, Deadline: 15 * time.Second, Body: "x"})
 		r.Header.Set("X-Order-Key", strings.Repeat("k", maxNameBytes+1))
 		if resp, text := st.Do(t, r); resp.StatusCode != status {
 			t.Errorf("class %s: %s %q", class, resp.Status, text)
--- a/internal/sender/outages_test.go
+++ b/internal/sender/outages_test.go
@@ -20,8 +20,8 @@
 	return s
 }
 
-// leaves has an earlier process leave messages in a journal, and who was out as it wrote that down last.
-func leaves(t *testing.T, dir string, messages int, outs outageSnapshot, edit func(n int, r *record)) {
+// leaveMessages has an earlier process leave messages in a journal, and who was out as it wrote that down last.
+func leaveMessages(t *testing.T, dir string, messages int, outs outageSnapshot, edit func(n int, r *record)) {
 	t.Helper()
 	j := openTest(t, dir, 1<<20)
 	for n := range messages {
@@ -64,9 +64,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			p := st.NewPlatform(t, st.NewEndpoint(t, st.Silent).Addr)
+			p := st.NewPlatform(t, st.NewEndpoint(t, st.Unresponsive).Addr)
 			dir := t.TempDir()
-			leaves(t, dir, 12, tt.outs, nil)
+			leaveMessages(t, dir, 12, tt.outs, nil)
 			s := resumed(t, p, func(c *Config) { c.StateDir = dir })
 			if s.pending != 12 {
 				t.Fatalf("%d messages are taken up", s.pending)
@@ -92,7 +92,7 @@
 	for n := range 200 {
 		o.list = append(o.list, outage{Dest: uint32(n), Began: time.Second, Rate: float64(n)})
 	}
-	leaves(t, dir, 0, o, nil)
+	leaveMessages(t, dir, 0, o, nil)
 	for range 2 { // the second reads what the first has compacted
 		j := openTest(t, dir, 1<<20)
 		n := len(j.outages.list)
@@ -117,7 +117,7 @@
 	s := newTest(t, p, nil)
 	addr, leave := serving(t, s)
 	for n := range 3 {
-		st.HandIn(t, addr, fmt.Sprintf("m%d", n), "safe", 0, 15*time.Second)
+		st.Submit(t, addr, st.Submission{ID: fmt.Sprintf("m%d", n), Class: "safe", Destination: 0, Deadline: 15 * time.Second})
 		e.Next(t)
 	}
 	journal := s.journal.path
--- a/internal/sender/permit_test.go
+++ b/internal/sender/permit_test.go
@@ -75,10 +75,10 @@
 			dials := lateDials{late: wait / 4}
 			addr := runWith(t, p, patient, dials.of)
 			for _, id := range []string{"warm1", "warm2"} { // the window grows
-				st.HandIn(t, addr, id, "keyed", 0, 15*time.Second)
+				st.Submit(t, addr, st.Submission{ID: id, Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 				next()
 			}
-			st.HandIn(t, addr, "first", "unsafe", 0, 15*time.Second)
+			st.Submit(t, addr, st.Submission{ID: "first", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 			if id := next(); id != "first" {
 				t.Fatal(id)
 			}
@@ -86,7 +86,7 @@
 			if endpoints == 2 {
 				p.Change(st.Target("s-other", other.Addr, 0, "SERVING"))
 			}
-			st.HandIn(t, addr, "second", "keyed", 0, 15*time.Second)
+			st.Submit(t, addr, st.Submission{ID: "second", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 			st.Receive(t, dials.begun)
 			close(ask)
 			from := st.Receive(t, told)
@@ -105,7 +105,7 @@
 	dials := lateDials{late: 2 * time.Second}
 	dials.held.Store(true)
 	addr := runWith(t, p, patient, dials.of)
-	st.HandIn(t, addr, "m", "unsafe", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "m", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	st.Receive(t, dials.begun)
 	dials.held.Store(false)
 	p.Change(st.Target("s-0", e.Addr, 0, "DRAINING"))
@@ -132,16 +132,16 @@
 	dials := lateDials{late: st.Wait}
 	addr := runWith(t, p, patient, dials.of)
 	for _, id := range []string{"warm1", "warm2"} { // the window grows
-		st.HandIn(t, addr, id, "keyed", 0, 15*time.Second)
+		st.Submit(t, addr, st.Submission{ID: id, Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 		e.Next(t)
 	}
 	dials.held.Store(true)
-	st.HandIn(t, addr, "second", "unsafe", 0, 12*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "second", Class: "unsafe", Destination: 0, Deadline: 12 * time.Second})
 	st.Receive(t, dials.begun)
 	dials.held.Store(false)
 	for i := range 8 { // as many failures in a row as are an outage
 		id := "f" + strconv.Itoa(i)
-		st.HandIn(t, addr, id, "unsafe", 0, 15*time.Second)
+		st.Submit(t, addr, st.Submission{ID: id, Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 		if c := e.Next(t); c.ID != id {
 			t.Fatalf("%s came before %s", c.ID, id)
 		}
--- a/internal/sender/repeat_test.go
+++ b/internal/sender/repeat_test.go
@@ -14,7 +14,7 @@
 func TestPermit_KeyWindowEndsWhileConnecting(t *testing.T) {
 	t.Parallel()
 	const window = 800 * time.Millisecond
-	e := st.NewEndpoint(t, st.Silent) // the first attempt times out half-way through the window
+	e := st.NewEndpoint(t, st.Unresponsive) // the first attempt times out half-way through the window
 	p := st.NewPlatform(t, e.Addr)
 	var dials atomic.Int32
 	began := make(chan time.Time, 1)
@@ -32,7 +32,7 @@
 			return nil
 		}
 	})
-	st.HandIn(t, addr, "m", "keyed", 0, 10*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "m", Class: "keyed", Destination: 0, Deadline: 10 * time.Second})
 	e.Next(t)
 	if n := st.Receive(t, p.Notices); n.Message != "m" || n.Outcome != "given_up" {
 		t.Errorf("%+v", n)
--- a/internal/sender/repeatrules.go
+++ b/internal/sender/repeatrules.go
@@ -36,7 +36,7 @@
 	if at >= 0 {
 		is = c.Settings.Classes[at]
 	} else {
-		is = brain.Class{Idempotency: brain.Idempotent, Ordered: m.OrderKey != "", Value: c.minWorth()}
+		is = brain.Class{Idempotency: brain.Idempotent, Ordered: m.OrderKey != "", Value: c.minValue()}
 		if !known {
 			took, known = brain.NonIdempotent, true
 		}
@@ -65,8 +65,8 @@
 	return len(c.Settings.Classes) - 1
 }
 
-// minWorth is the lowest value of the classes of the settings.
-func (c *Config) minWorth() float64 {
+// minValue is the lowest value of the classes of the settings.
+func (c *Config) minValue() float64 {
 	least := 1.0
 	for i, is := range c.Settings.Classes[:min(len(c.Classes), len(c.Settings.Classes))] {
 		if i == 0 || is.Value < least {
--- a/internal/sender/repeatrules_test.go
+++ b/internal/sender/repeatrules_test.go
@@ -50,7 +50,7 @@
 			if tt.tried > 0 {
 				tries = []attemptRecord{{At: newClock().now() - tt.tried, Endpoint: "s-0"}}
 			}
-			leaves(t, dir, 1, outageSnapshot{}, func(_ int, r *record) {
+			leaveMessages(t, dir, 1, outageSnapshot{}, func(_ int, r *record) {
 				r.Class, r.Key, r.Effect, r.KeyWindow, r.Attempts = tt.class, tt.key, tt.effect, tt.window, tries
 			})
 			addr := run(t, p, func(c *Config) { c.StateDir = dir })
@@ -62,7 +62,7 @@
 			for range tt.calls {
 				e.Next(t)
 			}
-			st.HandIn(t, addr, "next", "keyed", 0, 15*time.Second) // a class of the settings is none of these
+			st.Submit(t, addr, st.Submission{ID: "next", Class: "keyed", Destination: 0, Deadline: 15 * time.Second}) // a class of the settings is none of these
 			if c := e.Next(t); c.ID != "next" {
 				t.Errorf("a further call of %s", c.ID)
 			}
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -89,7 +89,7 @@
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), nil)
 	body := string([]byte{0, 255, '\r', '\n'}) + strings.Repeat("x", maxBodyBytes-4)
-	r := st.Message(t, addr, "m1", "keyed", 0, 5*time.Second, body)
+	r := st.Request(t, addr, st.Submission{ID: "m1", Class: "keyed", Destination: 0, Deadline: 5 * time.Second, Body: body})
 	r.Header.Set("X-Addressing", "other=1, dest=0")
 	if resp, text := st.Do(t, r); resp.StatusCode != http.StatusAccepted {
 		t.Fatalf("%s %s", resp.Status, text)
@@ -129,14 +129,14 @@
 		"wrong path":   {func(r *http.Request) { r.URL.Path = "/other" }, 404},
 		"wrong method": {func(r *http.Request) { r.Method = http.MethodPut }, 405},
 	} {
-		r := st.Message(t, addr, "bad", "keyed", 0, 5*time.Second, "x")
+		r := st.Request(t, addr, st.Submission{ID: "bad", Class: "keyed", Destination: 0, Deadline: 5 * time.Second, Body: "x"})
 		c.edit(r)
 		resp, text := st.Do(t, r)
 		if resp.StatusCode != c.status || strings.Count(text, "\n") != 1 || len(text) < 5 {
 			t.Errorf("%s: %s %q", name, resp.Status, text)
 		}
 	}
-	st.HandIn(t, addr, "good", "keyed", 0, 5*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "good", Class: "keyed", Destination: 0, Deadline: 5 * time.Second})
 	if c := e.Next(t); c.ID != "good" {
 		t.Errorf("the endpoint got %s", c.ID)
 	}
@@ -149,11 +149,11 @@
 		"held limit": func(c *Config) { c.Settings.MaxPending = 3 },
 		"disk":       func(c *Config) { c.Limits.DiskMB = 0.012 },
 	} {
-		e := st.NewEndpoint(t, st.Silent)
+		e := st.NewEndpoint(t, st.Unresponsive)
 		addr := run(t, st.NewPlatform(t, e.Addr), edit)
 		refused := false
 		for i := 0; i < 20 && !refused; i++ {
-			resp, _ := st.Do(t, st.Message(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second, "body"))
+			resp, _ := st.Do(t, st.Request(t, addr, st.Submission{ID: "m" + strconv.Itoa(i), Class: "safe", Destination: 0, Deadline: 15 * time.Second, Body: "body"}))
 			switch resp.StatusCode {
 			case http.StatusAccepted:
 			case http.StatusServiceUnavailable:
@@ -180,15 +180,15 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(500))
 	p := st.NewPlatform(t, e.Addr)
-	p.Deaf(true)
+	p.RejectNotices(true)
 	addr := run(t, p, nil)
-	if resp, _ := st.Do(t, st.Message(t, addr, "late", "safe", 0, 0, "")); resp.StatusCode != http.StatusInternalServerError {
+	if resp, _ := st.Do(t, st.Request(t, addr, st.Submission{ID: "late", Class: "safe", Destination: 0, Deadline: 0, Body: ""})); resp.StatusCode != http.StatusInternalServerError {
 		t.Errorf("a message out of time is answered %s", resp.Status)
 	}
 	began := time.Now()
-	st.HandIn(t, addr, "doubt", "unsafe", 0, 19*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "doubt", Class: "unsafe", Destination: 0, Deadline: 19 * time.Second})
 	e.Next(t)
-	p.Deaf(false)
+	p.RejectNotices(false)
 	if n := st.Receive(t, p.Notices); n.Message != "doubt" || n.Outcome != "given_up" {
 		t.Errorf("notice %+v", n)
 	}
@@ -203,11 +203,11 @@
 // A message that the module hands back after it was taken on is told of with the time to come back.
 func TestSender_HandsBack(t *testing.T) {
 	t.Parallel()
-	e := st.NewEndpoint(t, st.Silent)
+	e := st.NewEndpoint(t, st.Unresponsive)
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, func(c *Config) { c.Settings.MaxPending = 20 })
 	for i := range 20 { // the module makes room from 95% on
-		resp, body := st.Do(t, st.Message(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second, ""))
+		resp, body := st.Do(t, st.Request(t, addr, st.Submission{ID: "m" + strconv.Itoa(i), Class: "safe", Destination: 0, Deadline: 15 * time.Second, Body: ""}))
 		if resp.StatusCode != http.StatusAccepted && resp.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("%s %s", resp.Status, body)
 		}
@@ -236,10 +236,10 @@
 		return st.Status(200)(c, nc)
 	})
 	addr := run(t, st.NewPlatform(t, e.Addr), nil)
-	st.HandIn(t, addr, "a", "keyed", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "a", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	e.Next(t)
 	from := st.Receive(t, told)
-	st.HandIn(t, addr, "b", "keyed", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "b", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	e.Next(t)
 	if waited := time.Since(from); waited < 700*time.Millisecond {
 		t.Errorf("a call after %v", waited)
@@ -258,12 +258,12 @@
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, old.Addr)
 	addr := run(t, p, nil)
-	st.HandIn(t, addr, "a", "keyed", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "a", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	old.Next(t)
 	watching(t, p, 1)
 	p.Change(st.Target("s-0", old.Addr, 0, "DRAINING"))
 	watching(t, p, 2)
-	st.HandIn(t, addr, "b", "keyed", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "b", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	p.Change(st.Target("s-9", other.Addr, 0, "SERVING"))
 	if c := other.Next(t); c.ID != "b" {
 		t.Errorf("the new endpoint got %s", c.ID)
@@ -281,18 +281,18 @@
 	p := st.NewPlatform(t, e.Addr)
 	addr := run(t, p, nil)
 	watching(t, p, 1)
-	p.Down(true)
+	p.RejectListCalls(true)
 	for range 3 { // in vain, and never for the whole
 		if query := st.Receive(t, p.Lists); !strings.HasPrefix(query, "after=1&") {
 			t.Fatalf("it asks for %q", query)
 		}
 	}
-	st.HandIn(t, addr, "a", "keyed", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "a", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	e.Next(t)
 	p.Change(st.Target("s-0", other.Addr, 0, "SERVING"))
-	p.Down(false)
+	p.RejectListCalls(false)
 	watching(t, p, 2)
-	st.HandIn(t, addr, "b", "keyed", 0, 15*time.Second)
+	st.Submit(t, addr, st.Submission{ID: "b", Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 	if c := other.Next(t); c.ID != "b" {
 		t.Errorf("the new address got %s", c.ID)
 	}
@@ -331,9 +331,9 @@
 	return Target{ID: id, Addr: e.Addr, State: membership.Serving, Zone: "a", Kind: "plain"}
 }
 
-// leavesMessage has an earlier process leave message m in the journal, beside what it wrote before, and a configuration
+// leaveMessage has an earlier process leave message m in the journal, beside what it wrote before, and a configuration
 // that lists the old endpoint.
-func leavesMessage(t *testing.T, c *Config, old *st.Endpoint, before func(*journal)) {
+func leaveMessage(t *testing.T, c *Config, old *st.Endpoint, before func(*journal)) {
 	t.Helper()
 	c.Known = Targets{Version: 1, Full: true, Servers: []Target{listedAt("s-0", old)}}
 	j := openTest(t, c.StateDir, 1<<20)
@@ -366,7 +366,7 @@
 	p.Change(st.Target("s-0", old.Addr, 0, "DRAINING"))
 	p.Change(st.Target("s-1", other.Addr, 0, "SERVING"))
 	run(t, p, func(c *Config) {
-		leavesMessage(t, c, old, func(*journal) {})
+		leaveMessage(t, c, old, func(*journal) {})
 	})
 	goesTo(t, other, old)
 }
@@ -380,7 +380,7 @@
 	answer := make(chan struct{})
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		if c.Conn <= 2 && cut.Load() {
-			return st.Silent(c, nc)
+			return st.Unresponsive(c, nc)
 		}
 		if c.Conn <= 2 {
 			both <- struct{}{}
@@ -443,7 +443,7 @@
 		}
 	})
 	for i := range 30 { // three times its slots
-		resp, _ := st.Do(t, st.Message(t, addr, "no"+strconv.Itoa(i), "safe", 0, 15*time.Second, "x"))
+		resp, _ := st.Do(t, st.Request(t, addr, st.Submission{ID: "no" + strconv.Itoa(i), Class: "safe", Destination: 0, Deadline: 15 * time.Second, Body: "x"}))
 		if resp.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("a message that can't be written down is answered %s", resp.Status)
 		}
@@ -452,7 +452,7 @@
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(st.Wait); ; {
-		resp, _ := st.Do(t, st.Message(t, addr, "yes", "safe", 0, 15*time.Second, "x"))
+		resp, _ := st.Do(t, st.Request(t, addr, st.Submission{ID: "yes", Class: "safe", Destination: 0, Deadline: 15 * time.Second, Body: "x"}))
 		if resp.StatusCode == http.StatusAccepted {
 			break
 		}
@@ -464,7 +464,7 @@
 		t.Errorf("%s was sent though it was refused", c.ID)
 	}
 	for i := range 30 {
-		st.HandIn(t, addr, "m"+strconv.Itoa(i), "safe", 0, 15*time.Second)
+		st.Submit(t, addr, st.Submission{ID: "m" + strconv.Itoa(i), Class: "safe", Destination: 0, Deadline: 15 * time.Second})
 		e.Next(t)
 	}
 }
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	maxBodyBytes         = 64 << 10
-	maxHeaderBytes       = 16 << 10
-	requestTimeout       = 2 * time.Second        // a request comes whole within this: the first of a connection from its begin
-	lateRequestTimeout   = 100 * time.Millisecond // or within this, if it began at the very end of that
-	responseWriteTimeout = time.Second            // and its answer is taken within this
-	idleTimeout          = 30 * time.Second       // a connection without a request is kept so long, if there is room
-	minIdleTime          = 2 * time.Second        // and so long in any case
-	maxSilenceWhenFull   = 200 * time.Millisecond // when room is short, no connection may go longer without a request
-	maxPartialWhenFull   = 400 * time.Millisecond // nor a request take longer: its client has given up waiting by then
-	evictionInterval     = 20 * time.Millisecond  // when room is short, connections are looked at so often
-	lingerTimeout        = 300 * time.Millisecond // what still comes behind an error is read so long, lest a reset overtake it
-	maxLingerBytes       = 256 << 10
-	readyPath            = "/-/ready"
-	healthPath           = "/-/healthy"
-	maxDestination       = calls.MaxDestination
-	maxDeadline          = 24 * time.Hour
-	defaultRetryAfter    = time.Second // Retry-After where the settings tell none
+	maxBodyBytes                  = 64 << 10
+	maxHeaderBytes                = 16 << 10
+	requestTimeout                = 2 * time.Second        // a request comes whole within this: the first of a connection from its begin
+	lateRequestTimeout            = 100 * time.Millisecond // or within this, if it began at the very end of that
+	responseWriteTimeout          = time.Second            // and its answer is taken within this
+	idleTimeout                   = 30 * time.Second       // a connection without a request is kept so long, if there is room
+	minIdleTime                   = 2 * time.Second        // and so long in any case
+	maxTimeWithoutRequestWhenFull = 200 * time.Millisecond // when room is short, no connection may go longer without a request
+	maxPartialWhenFull            = 400 * time.Millisecond // nor a request take longer: its client has given up waiting by then
+	evictionInterval              = 20 * time.Millisecond  // when room is short, connections are looked at so often
+	lingerTimeout                 = 300 * time.Millisecond // what still comes behind an error is read so long, lest a reset overtake it
+	maxLingerBytes                = 256 << 10
+	readyPath                     = "/-/ready"
+	healthPath                    = "/-/healthy"
+	maxDestination                = calls.MaxDestination
+	maxDeadline                   = 24 * time.Hour
+	defaultRetryAfter             = time.Second // Retry-After where the settings tell none
 )
 
 // server accepts messages from clients. Requests are parsed by net/http, but connections are kept here rather than by
--- a/internal/sender/server_connections.go
+++ b/internal/sender/server_connections.go
@@ -57,7 +57,7 @@
 // time that is plenty for an honest client, or else one that has been idle for a while. It reports whether there is one.
 func (s *server) evictOne() bool {
 	return s.evictOldest(func(c *client, age time.Duration) bool {
-		return c.state == stateNew && age > maxSilenceWhenFull || c.state == stateReading && age > maxPartialWhenFull
+		return c.state == stateNew && age > maxTimeWithoutRequestWhenFull || c.state == stateReading && age > maxPartialWhenFull
 	}) || s.evictIdle()
 }
 
--- a/internal/sender/server_test.go
+++ b/internal/sender/server_test.go
@@ -113,7 +113,7 @@
 		})
 	}
 	t.Cleanup(func() { // once all of them are over
-		st.HandIn(t, addr, "good", "keyed", 0, 5*time.Second)
+		st.Submit(t, addr, st.Submission{ID: "good", Class: "keyed", Destination: 0, Deadline: 5 * time.Second})
 		if c := e.Next(t); c.ID != "good" {
 			t.Errorf("the endpoint got %s", c.ID)
 		}
@@ -275,15 +275,15 @@
 	}{
 		"none":                      {nil, -1},
 		"answered is owed":          {[]kept{{stateAnswering, time.Hour, false}}, -1},
-		"young ones":                {[]kept{{stateNew, maxSilenceWhenFull / 2, false}, {stateReading, maxPartialWhenFull / 2, false}, {stateIdle, minIdleTime / 2, false}}, -1},
+		"young ones":                {[]kept{{stateNew, maxTimeWithoutRequestWhenFull / 2, false}, {stateReading, maxPartialWhenFull / 2, false}, {stateIdle, minIdleTime / 2, false}}, -1},
 		"its request is here":       {[]kept{{stateNew, time.Hour, true}, {stateIdle, time.Hour, true}}, -1},
-		"silent":                    {[]kept{{stateAnswering, time.Hour, false}, {stateNew, 2 * maxSilenceWhenFull, false}}, 1},
-		"the longest silent":        {[]kept{{stateNew, 2 * maxSilenceWhenFull, false}, {stateNew, 3 * maxSilenceWhenFull, false}}, 1},
-		"half":                      {[]kept{{stateReading, 2 * maxPartialWhenFull, false}, {stateNew, maxSilenceWhenFull / 2, false}}, 0},
+		"silent":                    {[]kept{{stateAnswering, time.Hour, false}, {stateNew, 2 * maxTimeWithoutRequestWhenFull, false}}, 1},
+		"the longest silent":        {[]kept{{stateNew, 2 * maxTimeWithoutRequestWhenFull, false}, {stateNew, 3 * maxTimeWithoutRequestWhenFull, false}}, 1},
+		"half":                      {[]kept{{stateReading, 2 * maxPartialWhenFull, false}, {stateNew, maxTimeWithoutRequestWhenFull / 2, false}}, 0},
 		"half, and more is here":    {[]kept{{stateReading, 2 * maxPartialWhenFull, true}}, -1},
 		"idle":                      {[]kept{{stateIdle, 2 * minIdleTime, false}, {stateAnswering, time.Hour, false}}, 0},
 		"the longest idle":          {[]kept{{stateIdle, 2 * minIdleTime, false}, {stateIdle, 3 * minIdleTime, false}}, 1},
-		"silent before longer idle": {[]kept{{stateIdle, 3 * minIdleTime, false}, {stateNew, 2 * maxSilenceWhenFull, false}}, 1},
+		"silent before longer idle": {[]kept{{stateIdle, 3 * minIdleTime, false}, {stateNew, 2 * maxTimeWithoutRequestWhenFull, false}}, 1},
 	} {
 		s := newServer(&Config{Limits: Limits{Sockets: 64}}, newClock(), slog.Default(), nil)
 		var all []*client
--- a/internal/sender/shutdown_test.go
+++ b/internal/sender/shutdown_test.go
@@ -12,7 +12,7 @@
 // What has come to the loop as the process leaves still counts: a message that was answered in that moment is not the next
 // process's to end, and a client whose message waits there hears that it was not taken on.
 func TestShutdown_LateEventsCount(t *testing.T) {
-	p := st.NewPlatform(t, st.NewEndpoint(t, st.Silent).Addr)
+	p := st.NewPlatform(t, st.NewEndpoint(t, st.Unresponsive).Addr)
 	s := newTest(t, p, nil)
 	deadline := s.clock.now() + time.Minute
 	for _, id := range []string{"answered", "open"} {
@@ -44,7 +44,7 @@
 // A 200 that comes as a message's time is up may have come too late, and the message counts as lost then if no notice tells of it: seen
 // on three of 96 days (fen-readings, roll+term+brink, seeds 1030, 1056, 1075), each with an answer within half a millisecond of the end.
 func TestShutdown_AnswerAtDeadlineIsNotified(t *testing.T) {
-	p := st.NewPlatform(t, st.NewEndpoint(t, st.Silent).Addr)
+	p := st.NewPlatform(t, st.NewEndpoint(t, st.Unresponsive).Addr)
 	for name, tt := range map[string]struct {
 		left time.Duration
 		told bool
--- a/internal/sender/wire_golden_test.go
+++ b/internal/sender/wire_golden_test.go
@@ -157,7 +157,7 @@
 	t.Parallel()
 	served := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, served.Addr), takesEvents)
-	silent := st.NewEndpoint(t, st.Silent) // what it gets stays held
+	silent := st.NewEndpoint(t, st.Unresponsive) // what it gets stays held
 	fullAddr := run(t, st.NewPlatform(t, silent.Addr), func(c *Config) {
 		takesEvents(c)
 		c.Settings.MaxPending = 3
--- a/internal/sendertest/platform.go
+++ b/internal/sendertest/platform.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// Silent answers nothing and keeps the connection until its other side closes it.
-func Silent(_ Call, c net.Conn) bool {
+// Unresponsive answers nothing and keeps the connection until its other side closes it.
+func Unresponsive(_ Call, c net.Conn) bool {
 	io.Copy(io.Discard, c)
 	return false
 }
@@ -218,16 +218,16 @@
 	p.changed = make(chan struct{})
 }
 
-// Down makes calls for the list fail, or lets them work again; watches end.
-func (p *Platform) Down(down bool) {
+// RejectListCalls makes calls for the list fail, or lets them work again; watches end.
+func (p *Platform) RejectListCalls(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 	p.wake()
 }
 
-// Deaf makes notices fail, or lets them work again.
-func (p *Platform) Deaf(deaf bool) {
+// RejectNotices makes notices fail, or lets them work again.
+func (p *Platform) RejectNotices(deaf bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.deaf = deaf
@@ -305,15 +305,23 @@
 			"telemetry": map[string]any{"fields": []any{"x0", "x1"}, "via": "answers"}}}
 }
 
-// Message is a request that hands in a message.
-func Message(t testing.TB, addr, id, class string, dest int, deadline time.Duration, body string) *http.Request {
+// Submission is a message that a client submits: tenant "acme", idempotency key "key-" and its id.
+type Submission struct {
+	ID, Class   string
+	Destination int
+	Deadline    time.Duration // from when its request has come
+	Body        string
+}
+
+// Request is the request that submits a message to the sender at addr.
+func Request(t testing.TB, addr string, s Submission) *http.Request {
 	t.Helper()
-	r, err := http.NewRequest("POST", "http://"+addr+"/api", strings.NewReader(body))
+	r, err := http.NewRequest("POST", "http://"+addr+"/api", strings.NewReader(s.Body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for k, v := range map[string]string{"X-Request-Id": id, "X-Class": class, "X-Tenant": "acme", "Idempotency-Key": "key-" + id,
-		"X-Deadline-Ms": strconv.FormatInt(deadline.Milliseconds(), 10), "X-Addressing": "dest=" + strconv.Itoa(dest)} {
+	for k, v := range map[string]string{"X-Request-Id": s.ID, "X-Class": s.Class, "X-Tenant": "acme", "Idempotency-Key": "key-" + s.ID,
+		"X-Deadline-Ms": strconv.FormatInt(s.Deadline.Milliseconds(), 10), "X-Addressing": "dest=" + strconv.Itoa(s.Destination)} {
 		r.Header.Set(k, v)
 	}
 	return r
@@ -337,11 +345,12 @@
 	return resp, string(body)
 }
 
-// HandIn hands a message in and wants it taken on.
-func HandIn(t testing.TB, addr, id, class string, dest int, deadline time.Duration) {
+// Submit submits a message with the body "body of " and its id, and wants it accepted.
+func Submit(t testing.TB, addr string, s Submission) {
 	t.Helper()
-	if resp, body := Do(t, Message(t, addr, id, class, dest, deadline, "body of "+id)); resp.StatusCode != http.StatusAccepted {
-		t.Fatalf("%s is answered %s: %s", id, resp.Status, body)
+	s.Body = "body of " + s.ID
+	if resp, body := Do(t, Request(t, addr, s)); resp.StatusCode != http.StatusAccepted {
+		t.Fatalf("%s is answered %s: %s", s.ID, resp.Status, body)
 	}
 }
 
