--- a/internal/tier/cli/simulate.go
+++ b/internal/tier/cli/simulate.go
@@ -53,9 +53,9 @@
 	below("jobs", int64(command.Jobs), 1)
 	below("shrink", int64(command.Shrink), 0)
 	below("times", int64(command.Times), 1)
-	known := simulation.Kinds()
+	known := simulation.FaultKinds()
 	for _, name := range command.Fault {
-		if !slices.Contains(known, simulation.Kind(name)) {
+		if !slices.Contains(known, simulation.FaultKind(name)) {
 			found = append(found, flagError{"fault", fmt.Sprintf(": %q is none of %v", name, known)})
 		}
 	}
@@ -95,10 +95,10 @@
 	defer stop()
 	batch := simulation.Batch{From: uint64(command.From), Seeds: uint64(command.Seeds), Jobs: command.Jobs, Options: command.options()}
 	for _, name := range command.Fault {
-		batch.Kinds = append(batch.Kinds, simulation.Kind(name))
+		batch.Kinds = append(batch.Kinds, simulation.FaultKind(name))
 	}
 	if command.Worker {
-		return batch.Work(ctx, os.Stdout)
+		return batch.PlayAsWorker(ctx, os.Stdout)
 	}
 	return command.play(ctx, batch)
 }
@@ -119,7 +119,7 @@
 	}
 	total, err := batch.PlayInWorkers(ctx, command.worker)
 	fmt.Printf("%d seeds played, %d failed, in %.1f s: %.0f seeds a minute, %.0f simulated hours an hour, %d calls, %d orders, %d turns\n",
-		total.Played, total.Failed, total.Real.Seconds(), float64(total.Played)/total.Real.Minutes(), total.Virtual.Seconds()/total.Real.Seconds(), total.Messages, total.Orders, total.Turns)
+		total.Played, total.Failed, total.RealTime.Seconds(), float64(total.Played)/total.RealTime.Minutes(), total.VirtualTime.Seconds()/total.RealTime.Seconds(), total.Messages, total.Orders, total.Turns)
 	if total.Failed > 0 {
 		return seedsFailedError{failed: total.Failed, played: total.Played}
 	}
@@ -156,10 +156,10 @@
 	}
 	name := filepath.Join(command.Out, fmt.Sprintf("seed-%d", failure.Script.Seed))
 	err := errors.Join(failure.Script.Write(name+".json"), os.WriteFile(name+".trace", failure.Trace, 0o644))
-	if command.Shrink > 0 && failure.Broken != nil {
+	if command.Shrink > 0 && failure.Violation != nil {
 		shrunk := simulation.Shrink(failure.Script, func(script simulation.Script) bool {
 			replayed := simulation.Replay(script, command.options(), command.Shrink)
-			return replayed.Broken != nil && replayed.Broken.Rule == failure.Broken.Rule
+			return replayed.Violation != nil && replayed.Violation.Rule == failure.Violation.Rule
 		})
 		fmt.Printf("shrunk: %v", shrunk)
 		err = errors.Join(err, shrunk.Write(name+".short.json"))
@@ -171,10 +171,10 @@
 
 // reason returns why a play failed.
 func reason(failure simulation.Failure) string {
-	if failure.Err != "" {
-		return "the simulator failed: " + strings.TrimSpace(failure.Err)
+	if failure.SimulatorError != "" {
+		return "the simulator failed: " + strings.TrimSpace(failure.SimulatorError)
 	}
-	return "broken: " + failure.Broken.String()
+	return "broken: " + failure.Violation.String()
 }
 
 // replay plays a script from a file.
@@ -190,7 +190,7 @@
 			return err
 		}
 	}
-	if failure.Broken == nil && failure.Err == "" {
+	if failure.Violation == nil && failure.SimulatorError == "" {
 		fmt.Printf("played %d times, and no promise was broken\n", command.Times)
 		return nil
 	}
--- a/internal/tier/simulation/batch.go
+++ b/internal/tier/simulation/batch.go
@@ -13,17 +13,17 @@
 
 // Failure is a script that broke a promise.
 type Failure struct {
-	Script Script
-	Broken *Violation
-	Trace  []byte // of the play
-	Err    string // of the simulator itself, if that failed
+	Script         Script
+	Violation      *Violation
+	Trace          []byte // of the play
+	SimulatorError string // of the simulator itself, if that failed
 }
 
 // Batch is many seeds to be played.
 type Batch struct {
 	From, Seeds uint64
-	Kinds       []Kind // none: all
-	Jobs        int    // plays at the same time; 0: one
+	Kinds       []FaultKind // none: all
+	Jobs        int         // plays at the same time; 0: one
 	Options     Options
 	Failed      func(Failure)       // called by one play at a time
 	Progress    func(played uint64) // called by one play at a time
@@ -32,7 +32,7 @@
 // Total is what a batch came to.
 type Total struct {
 	Played, Failed          uint64
-	Virtual, Real           time.Duration
+	VirtualTime, RealTime   time.Duration
 	Messages, Orders, Turns int
 }
 
@@ -50,14 +50,14 @@
 				if n >= b.Seeds || ctx.Err() != nil {
 					return
 				}
-				script := Draw(b.From+n, b.Kinds...)
-				result, trace, err := traced(script, b.Options)
+				script := Generate(b.From+n, b.Kinds...)
+				result, trace, err := playTraced(script, b.Options)
 				mu.Lock()
 				total.add(result)
-				if result.Broken != nil || err != nil {
+				if result.Violation != nil || err != nil {
 					total.Failed++
 					if b.Failed != nil {
-						b.Failed(Failure{script, result.Broken, trace, text(err)})
+						b.Failed(Failure{script, result.Violation, trace, text(err)})
 					}
 				}
 				if b.Progress != nil {
@@ -68,13 +68,13 @@
 		})
 	}
 	jobs.Wait()
-	total.Real = time.Since(began)
+	total.RealTime = time.Since(began)
 	return total
 }
 
 func (t *Total) add(r Result) {
 	t.Played++
-	t.Virtual += r.Virtual
+	t.VirtualTime += r.VirtualTime
 	t.Messages += r.Messages
 	t.Orders += r.Orders
 	t.Turns += r.Turns
@@ -87,8 +87,8 @@
 	return err.Error()
 }
 
-// traced plays a script and keeps its trace.
-func traced(script Script, options Options) (Result, []byte, error) {
+// playTraced plays a script and keeps its trace.
+func playTraced(script Script, options Options) (Result, []byte, error) {
 	var trace bytes.Buffer
 	options.Trace = &trace
 	result, err := Play(script, options)
@@ -99,9 +99,9 @@
 func Replay(script Script, options Options, times int) Failure {
 	var f Failure
 	for range times {
-		result, trace, err := traced(script, options)
-		f = Failure{script, result.Broken, trace, text(err)}
-		if f.Broken != nil || err != nil {
+		result, trace, err := playTraced(script, options)
+		f = Failure{script, result.Violation, trace, text(err)}
+		if f.Violation != nil || err != nil {
 			break
 		}
 	}
--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -11,8 +11,8 @@
 	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
-// syncMost is how long a sync takes at most.
-const syncMost = 9 * time.Millisecond
+// maxSyncTime is how long a sync takes at most.
+const maxSyncTime = 9 * time.Millisecond
 
 // disk is a machine's disk: a file system in memory that may be full or stuck. A process uses it through a view that dies
 // with it.
@@ -38,7 +38,7 @@
 	d.changed = make(chan struct{})
 }
 
-func (d *disk) space() error {
+func (d *disk) checkSpace() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.full {
@@ -47,10 +47,10 @@
 	return nil
 }
 
-// wait lasts as long as a sync does, or until the process is over.
-func (d *disk) wait(over <-chan struct{}) {
+// waitForSync lasts as long as a sync does, or until the process is over.
+func (d *disk) waitForSync(over <-chan struct{}) {
 	d.mu.Lock()
-	last := time.Duration(d.random.Int64N(int64(syncMost)))
+	last := time.Duration(d.random.Int64N(int64(maxSyncTime)))
 	d.mu.Unlock()
 	time.Sleep(last)
 	for {
@@ -71,25 +71,25 @@
 // files is the file system of a disk as one process has it.
 type files struct {
 	*disk
-	over <-chan struct{}
+	processEnded <-chan struct{}
 }
 
-// dead tells whether the process has ended: it touches the disk no more.
-func (f files) dead() bool {
+// ended tells whether the process has ended: it touches the disk no more.
+func (f files) ended() bool {
 	select {
-	case <-f.over:
+	case <-f.processEnded:
 		return true
 	default:
 		return false
 	}
 }
 
-// usable gives the error that keeps the process from making or changing a file.
-func (f files) usable() error {
-	if f.dead() {
+// checkUsable gives the error that keeps the process from making or changing a file.
+func (f files) checkUsable() error {
+	if f.ended() {
 		return wal.ErrDead
 	}
-	return f.space()
+	return f.checkSpace()
 }
 
 func (f files) handle(name string, h wal.Handle, err error) (wal.Handle, error) {
@@ -103,7 +103,7 @@
 
 // Open implements wal.FS.
 func (f files) Open(name string) (wal.Handle, error) {
-	if f.dead() {
+	if f.ended() {
 		return nil, wal.ErrDead
 	}
 	h, err := f.Memory.Open(name)
@@ -112,7 +112,7 @@
 
 // Create implements wal.FS.
 func (f files) Create(name string) (wal.Handle, error) {
-	if err := f.usable(); err != nil {
+	if err := f.checkUsable(); err != nil {
 		return nil, err
 	}
 	h, err := f.Memory.Create(name)
@@ -121,7 +121,7 @@
 
 // Rename implements wal.FS.
 func (f files) Rename(from, to string) error {
-	if f.dead() {
+	if f.ended() {
 		return wal.ErrDead
 	}
 	return f.Memory.Rename(from, to)
@@ -129,7 +129,7 @@
 
 // Remove implements wal.FS.
 func (f files) Remove(name string) error {
-	if f.dead() {
+	if f.ended() {
 		return wal.ErrDead
 	}
 	return f.Memory.Remove(name)
@@ -137,7 +137,7 @@
 
 // MkdirAll implements wal.FS.
 func (f files) MkdirAll(dir string) error {
-	if f.dead() {
+	if f.ended() {
 		return wal.ErrDead
 	}
 	return f.Memory.MkdirAll(dir)
@@ -152,10 +152,10 @@
 
 // WriteAt fails on a full disk, with half of the bytes written.
 func (h *handle) WriteAt(p []byte, off int64) (int, error) {
-	if h.files.dead() {
+	if h.files.ended() {
 		return 0, wal.ErrDead
 	}
-	if err := h.files.space(); err != nil {
+	if err := h.files.checkSpace(); err != nil {
 		n, _ := h.Handle.WriteAt(p[:len(p)/2], off)
 		return n, err
 	}
@@ -166,9 +166,9 @@
 // time: the first sync of such a file takes none.
 func (h *handle) Sync() error {
 	if !h.temporary.Swap(false) {
-		h.files.wait(h.files.over)
+		h.files.waitForSync(h.files.processEnded)
 	}
-	if h.files.dead() {
+	if h.files.ended() {
 		return wal.ErrDead
 	}
 	return h.Handle.Sync()
--- a/internal/tier/simulation/draw_golden_test.go
+++ b/internal/tier/simulation/draw_golden_test.go
@@ -17,7 +17,7 @@
 	digest := sha256.New()
 	var out strings.Builder
 	for seed := range uint64(5000) {
-		for _, script := range []Script{Draw(seed), Draw(seed, Kinds()[seed%uint64(len(Kinds()))])} {
+		for _, script := range []Script{Generate(seed), Generate(seed, FaultKinds()[seed%uint64(len(FaultKinds()))])} {
 			body, err := json.Marshal(script)
 			assert.NilError(t, err)
 			digest.Write(body)
@@ -26,6 +26,6 @@
 			}
 		}
 	}
-	fmt.Fprintf(&out, "kinds %v\nrules %v\nsha256 of 10000 scripts: %x\n", Kinds(), Rules(), digest.Sum(nil))
+	fmt.Fprintf(&out, "kinds %v\nrules %v\nsha256 of 10000 scripts: %x\n", FaultKinds(), Rules(), digest.Sum(nil))
 	golden.Assert(t, out.String(), "drawn_scripts.golden")
 }
--- a/internal/tier/simulation/faults.go
+++ b/internal/tier/simulation/faults.go
@@ -5,100 +5,100 @@
 	"time"
 )
 
-// befall plays one entry of the script.
-func (w *world) befall(f Fault) {
-	w.pause(f.at() - w.now())
+// injectFault plays one entry of the script.
+func (w *world) injectFault(f Fault) {
+	w.sleep(f.at() - w.now())
 	if w.ending() {
 		return
 	}
 	switch f.Kind {
 	case RestartAll, PowerLossAll:
-		w.all(f)
+		w.stopAll(f)
 		return
 	case Add:
-		w.note("add %s", f.Machine)
-		w.place(f.Machine, roleTurnStore, len(w.kind(roleTurnStore))).start()
+		w.trace("add %s", f.Machine)
+		w.addMachine(f.Machine, roleTurnStore, len(w.machinesOfKind(roleTurnStore))).start()
 		return
 	case Retire:
 		w.running.Go(func() { w.retire(f.Machine) })
 		return
-	case LoseAnswers:
-		w.window(f, func(on bool) { w.network.loseAnswers = on })
+	case LoseResponses:
+		w.injectNetworkFault(f, func(on bool) { w.network.loseResponses = on })
 		return
 	case Reorder:
-		w.window(f, func(on bool) { w.network.reorder = on })
+		w.injectNetworkFault(f, func(on bool) { w.network.reorder = on })
 		return
-	case Trouble:
-		w.window(f, func(on bool) { w.network.trouble = on })
+	case LoseMessages:
+		w.injectNetworkFault(f, func(on bool) { w.network.loseMessages = on })
 		return
 	case SplitCore, SplitOneWay:
 		w.splitCore(f)
 		return
-	case RivalOrders:
-		w.rivalOrders(f)
+	case ConcurrentChanges:
+		w.changeConcurrently(f)
 		return
 	case LossesInRow:
-		w.hurry(f)
+		w.withBusyOperators(f)
 		return
-	case ZoneKill, ZonePowerLoss, ZoneWipe, ZoneCut, ZoneCutInbound, ZoneCutOutbound:
-		w.domain(f)
+	case KillZone, PowerLossZone, WipeZone, PartitionZone, PartitionZoneInbound, PartitionZoneOutbound:
+		w.injectDomainFault(f)
 		return
 	}
-	m := w.meant(f.Machine)
-	if m == nil || !w.take(m.name) {
-		w.note("skipped: %v", f)
+	m := w.resolveMachine(f.Machine)
+	if m == nil || !w.claim(m.name) {
+		w.trace("skipped: %v", f)
 		return
 	}
 	defer w.release(m.name)
-	w.note("%s %s", f.Kind, m.name)
-	w.one(f, m)
-	w.note("%s %s is over", f.Kind, m.name)
+	w.trace("%s %s", f.Kind, m.name)
+	w.injectMachineFault(f, m)
+	w.trace("%s %s is over", f.Kind, m.name)
 }
 
-// meant gives the machine that a fault names.
-func (w *world) meant(name string) *machine {
+// resolveMachine gives the machine that a fault names.
+func (w *world) resolveMachine(name string) *machine {
 	switch name {
 	case Leader:
 		return w.leader()
 	case Weakest:
-		return w.weakest()
+		return w.weakestMachine()
 	}
 	return w.machine(name)
 }
 
-// take claims a machine for a fault, unless it is under another.
-func (w *world) take(name string) bool {
+// claim claims a machine for a fault, unless it is under another.
+func (w *world) claim(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.busy[name] {
+	if w.underFault[name] {
 		return false
 	}
-	w.busy[name] = true
+	w.underFault[name] = true
 	return true
 }
 
 func (w *world) release(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.busy, name)
+	delete(w.underFault, name)
 }
 
-// window has something on for the time of a fault.
-func (w *world) window(f Fault, set func(on bool)) {
-	w.note("%s", f.Kind)
-	w.network.set(func() { set(true) })
-	w.pause(f.duration())
-	w.network.set(func() { set(false) })
-	w.note("%s is over", f.Kind)
+// injectNetworkFault has something on for the time of a fault.
+func (w *world) injectNetworkFault(f Fault, set func(on bool)) {
+	w.trace("%s", f.Kind)
+	w.network.update(func() { set(true) })
+	w.sleep(f.duration())
+	w.network.update(func() { set(false) })
+	w.trace("%s is over", f.Kind)
 }
 
-// all takes the machines of the control plane and the turn stores at once. Their disks are kept.
-func (w *world) all(f Fault) {
-	w.note("%s", f.Kind)
-	list := append(w.kind(roleControlPlane), w.kind(roleTurnStore)...)
+// stopAll takes the machines of the control plane and the turn stores at once. Their disks are kept.
+func (w *world) stopAll(f Fault) {
+	w.trace("%s", f.Kind)
+	list := append(w.machinesOfKind(roleControlPlane), w.machinesOfKind(roleTurnStore)...)
 	var down []*machine
 	for _, m := range list {
-		if !w.take(m.name) {
+		if !w.claim(m.name) {
 			continue
 		}
 		down = append(down, m)
@@ -108,23 +108,23 @@
 			m.powerLoss()
 		}
 	}
-	w.pause(f.duration())
+	w.sleep(f.duration())
 	for _, m := range down {
 		m.start()
 		w.release(m.name)
 	}
-	w.note("%s is over", f.Kind)
+	w.trace("%s is over", f.Kind)
 }
 
-// one plays a fault of one machine, from its begin to its end.
-func (w *world) one(f Fault, m *machine) {
+// injectMachineFault plays a fault of one machine, from its begin to its end.
+func (w *world) injectMachineFault(f Fault, m *machine) {
 	n := w.network
 	switch f.Kind {
 	case Kill, KillGateway:
 		m.kill()
-	case SeedsCutOff:
+	case PartitionSeeds:
 		w.mu.Lock()
-		m.seedsCutOff = true
+		m.seedsPartitioned = true
 		w.mu.Unlock()
 		m.kill()
 	case PowerLoss:
@@ -133,12 +133,12 @@
 		m.wipe()
 	case Replace:
 		m.wipe()
-		w.pause(f.duration())
-		w.place(m.name, m.kind, m.zone).start()
+		w.sleep(f.duration())
+		w.addMachine(m.name, m.kind, m.zone).start()
 		return
 	case Move:
-		w.place(w.nextCore(), m.kind, m.zone).start()
-		w.pause(f.duration())
+		w.addMachine(w.nextCore(), m.kind, m.zone).start()
+		w.sleep(f.duration())
 		m.wipe()
 		w.mu.Lock()
 		delete(w.machines, m.name)
@@ -147,43 +147,43 @@
 	case Terminate:
 		m.terminate()
 	case Pause:
-		n.set(func() { n.frozen[m.name] = true })
-		w.pause(f.duration())
-		n.set(func() { delete(n.frozen, m.name) })
+		n.update(func() { n.frozen[m.name] = true })
+		w.sleep(f.duration())
+		n.update(func() { delete(n.frozen, m.name) })
 		return
-	case Cut, CutInbound, CutOutbound, CutLeader:
-		w.cut(f, m)
+	case Partition, PartitionInbound, PartitionOutbound, PartitionLeader:
+		w.partition(f, m)
 		return
-	case CutNear, CutNearInbound, CutNearOutbound, CutConfirming:
-		w.cutNear(f, m)
+	case PartitionNear, PartitionNearInbound, PartitionNearOutbound, PartitionConfirming:
+		w.partitionNear(f, m)
 		return
 	case DiskFull, DiskStuck:
 		m.disk.set(f.Kind == DiskFull, f.Kind == DiskStuck)
-		w.pause(f.duration())
+		w.sleep(f.duration())
 		m.disk.set(false, false)
 		return
 	}
-	w.pause(f.duration())
+	w.sleep(f.duration())
 	m.start()
 }
 
-// cut cuts a machine off, in one direction or both. A leader takes some of the gateways with it.
-func (w *world) cut(f Fault, m *machine) {
+// partition cuts a machine off, in one direction or both. A leader takes some of the gateways with it.
+func (w *world) partition(f Fault, m *machine) {
 	var links [][2]string
 	w.mu.Lock()
 	for name, other := range w.machines {
-		side := f.Kind == CutLeader && other.kind == roleGateway && (name[len(name)-1]-'0')%2 == 1
+		side := f.Kind == PartitionLeader && other.kind == roleGateway && (name[len(name)-1]-'0')%2 == 1
 		if name == m.name || side || other.kind == roleOutside {
 			continue
 		}
-		if f.Kind != CutOutbound {
+		if f.Kind != PartitionOutbound {
 			links = append(links, [2]string{name, m.name})
 		}
-		if f.Kind != CutInbound {
+		if f.Kind != PartitionInbound {
 			links = append(links, [2]string{m.name, name})
 		}
 	}
-	if f.Kind == CutLeader {
+	if f.Kind == PartitionLeader {
 		for name, other := range w.machines {
 			if other.kind == roleGateway && (name[len(name)-1]-'0')%2 == 1 {
 				for far, machine := range w.machines {
@@ -195,45 +195,45 @@
 		}
 	}
 	w.mu.Unlock()
-	w.isolate(f.duration(), links, m)
+	w.partitionLinks(f.duration(), links, m)
 }
 
 // retire orders a turn store to be emptied, and takes its machine away for good when it is.
 func (w *world) retire(name string) {
 	o := newOperator(w, operatorPrefix+"retire", outsideNet+"100")
-	status, _ := o.order(func(ctx context.Context, at string) (int, string, error) {
+	status, _ := o.untilClear(func(ctx context.Context, at string) (int, string, error) {
 		return o.call(ctx, "POST", at, "/saffronyard/Retire.Create/"+name, `{"duration_s":30}`, nil)
-	}, retireLimit)
-	w.note("the order to empty %s: %d", name, status)
+	}, retireTimeout)
+	w.trace("the order to empty %s: %d", name, status)
 	switch status {
 	case 200:
 	case 0, 409: // no clear answer, or too few would remain
 		return
 	default:
-		w.report(RuleAnswer, "the order to empty %s was answered %d", name, status)
+		w.reportViolation(RuleResponse, "the order to empty %s was answered %d", name, status)
 		return
 	}
 	w.mu.Lock()
-	w.retiring = name
+	w.retiringNode = name
 	w.mu.Unlock()
-	for begun := w.now(); !w.ending(); w.pause(500 * time.Millisecond) {
+	for begun := w.now(); !w.ending(); w.sleep(500 * time.Millisecond) {
 		state := ""
-		status, state = o.order(func(ctx context.Context, at string) (int, string, error) {
+		status, state = o.untilClear(func(ctx context.Context, at string) (int, string, error) {
 			return o.call(ctx, "GET", at, "/saffronyard/Retire.Describe/"+name, "", nil)
-		}, orderLimit)
+		}, changeTimeout)
 		if status == 200 && state == `{"lifecycle_state":"completed"}` {
-			w.note("%s is empty after %v", name, w.now()-begun)
+			w.trace("%s is empty after %v", name, w.now()-begun)
 			w.mu.Lock()
 			w.retired = true
 			w.mu.Unlock()
 			break
 		}
 		if status != 200 && status != 0 {
-			w.report(RuleRepeat, "the order to empty %s was taken, and is answered %d", name, status)
+			w.reportViolation(RuleIdempotent, "the order to empty %s was taken, and is answered %d", name, status)
 			return
 		}
 	}
-	if m := w.machine(name); m != nil && !w.ending() && w.take(name) {
+	if m := w.machine(name); m != nil && !w.ending() && w.claim(name) {
 		m.wipe() // it stays taken: nothing befalls it any more
 		w.mu.Lock()
 		delete(w.machines, name)
--- a/internal/tier/simulation/faults_domain.go
+++ b/internal/tier/simulation/faults_domain.go
@@ -11,30 +11,30 @@
 // confirmation. Most orders are acknowledged within them.
 const confirmingDelays = 12 * time.Millisecond
 
-// domain plays a fault of a whole zone or region: of its machines of all roles.
-func (w *world) domain(f Fault) {
+// injectDomainFault plays a fault of a whole zone or region: of its machines of all roles.
+func (w *world) injectDomainFault(f Fault) {
 	name := f.Machine
-	if m := w.meant(name); m != nil {
-		name = m.domain()
+	if m := w.resolveMachine(name); m != nil {
+		name = m.failureDomain()
 	} else if name == Leader || name == Weakest {
-		w.note("skipped: %v", f)
+		w.trace("skipped: %v", f)
 		return
 	}
-	w.note("%s %s", f.Kind, name)
-	defer w.note("%s %s is over", f.Kind, name)
+	w.trace("%s %s", f.Kind, name)
+	defer w.trace("%s %s is over", f.Kind, name)
 	switch f.Kind {
-	case ZoneKill, ZonePowerLoss, ZoneWipe:
+	case KillZone, PowerLossZone, WipeZone:
 		w.stopDomain(f, name)
-	case ZoneCut, ZoneCutInbound, ZoneCutOutbound:
-		w.cutDomain(f, name)
+	case PartitionZone, PartitionZoneInbound, PartitionZoneOutbound:
+		w.partitionDomain(f, name)
 	}
 }
 
 // machinesOf gives the machines of all roles in a zone or region.
 func (w *world) machinesOf(domain string) (list []*machine) {
 	for _, kind := range []roleName{roleControlPlane, roleTurnStore, roleGateway} {
-		for _, m := range w.kind(kind) {
-			if m.domain() == domain {
+		for _, m := range w.machinesOfKind(kind) {
+			if m.failureDomain() == domain {
 				list = append(list, m)
 			}
 		}
@@ -46,48 +46,48 @@
 func (w *world) stopDomain(f Fault, name string) {
 	var down []*machine
 	for _, m := range w.machinesOf(name) {
-		if !w.take(m.name) {
+		if !w.claim(m.name) {
 			continue
 		}
 		down = append(down, m)
 		switch f.Kind {
-		case ZoneKill:
+		case KillZone:
 			m.kill()
-		case ZonePowerLoss:
+		case PowerLossZone:
 			m.powerLoss()
-		case ZoneWipe:
+		case WipeZone:
 			m.wipe()
 		}
 	}
-	w.pause(f.duration())
+	w.sleep(f.duration())
 	for _, m := range down {
 		m.start()
 		w.release(m.name)
 	}
 }
 
-// cutDomain cuts a zone or region off from the others, in one direction or both.
-func (w *world) cutDomain(f Fault, name string) {
+// partitionDomain cuts a zone or region off from the others, in one direction or both.
+func (w *world) partitionDomain(f Fault, name string) {
 	side := w.machinesOf(name)
 	var taken []string
 	for _, m := range side {
-		if m.kind != roleGateway && w.take(m.name) { // a gateway may end meanwhile
+		if m.kind != roleGateway && w.claim(m.name) { // a gateway may end meanwhile
 			taken = append(taken, m.name)
 		}
 	}
-	links := w.linksAcross(side, f.Kind != ZoneCutOutbound, f.Kind != ZoneCutInbound)
-	w.isolate(f.duration(), links, side...)
+	links := w.linksAcross(side, f.Kind != PartitionZoneOutbound, f.Kind != PartitionZoneInbound)
+	w.partitionLinks(f.duration(), links, side...)
 	for _, one := range taken {
 		w.release(one)
 	}
 }
 
-// cutNear cuts a machine of the control plane off, in one direction or both, together with those beside it.
-func (w *world) cutNear(f Fault, m *machine) {
+// partitionNear cuts a machine of the control plane off, in one direction or both, together with those beside it.
+func (w *world) partitionNear(f Fault, m *machine) {
 	side := []*machine{m}
 	for _, name := range f.Side {
 		beside := w.machine(name)
-		if beside == nil || beside.kind != roleGateway && !w.take(name) {
+		if beside == nil || beside.kind != roleGateway && !w.claim(name) {
 			continue
 		}
 		if beside.kind != roleGateway {
@@ -96,23 +96,23 @@
 		side = append(side, beside)
 	}
 	end := w.now() + f.duration()
-	if f.Kind == CutConfirming {
-		w.awaitOrder(m, f)
+	if f.Kind == PartitionConfirming {
+		w.awaitChangeAtPrimary(m, f)
 	}
-	links := w.linksAcross(side, f.Kind != CutNearOutbound, f.Kind != CutNearInbound)
-	w.isolate(end-w.now(), links, side...)
+	links := w.linksAcross(side, f.Kind != PartitionNearOutbound, f.Kind != PartitionNearInbound)
+	w.partitionLinks(end-w.now(), links, side...)
 }
 
-// awaitOrder waits until a machine has begun to serve an order, and a little, for half of the fault at most.
-func (w *world) awaitOrder(m *machine, f Fault) {
-	ordered := w.network.awaitOrder(m.name)
+// awaitChangeAtPrimary waits until a machine has begun to serve an order, and a little, for half of the fault at most.
+func (w *world) awaitChangeAtPrimary(m *machine, f Fault) {
+	ordered := w.network.awaitChange(m.name)
 	timer := time.NewTimer(f.duration() / 2)
 	defer timer.Stop()
 	select {
 	case <-ordered:
-		delay := time.Duration(w.random(f.String()).Int64N(int64(confirmingDelays)))
-		w.pause(delay)
-		w.note("%s has begun to serve an order %v ago", m.name, delay)
+		delay := time.Duration(w.randomFor(f.String()).Int64N(int64(confirmingDelays)))
+		w.sleep(delay)
+		w.trace("%s has begun to serve an order %v ago", m.name, delay)
 	case <-timer.C:
 	case <-w.ctx.Done():
 	}
@@ -138,8 +138,8 @@
 	return links
 }
 
-// isolate cuts links for a time, in which the machines of the control plane among side count as cut off.
-func (w *world) isolate(duration time.Duration, links [][2]string, side ...*machine) {
+// partitionLinks cuts links for a time, in which the machines of the control plane among side count as cut off.
+func (w *world) partitionLinks(duration time.Duration, links [][2]string, side ...*machine) {
 	note := func(by int) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -147,40 +147,40 @@
 			if m.kind != roleControlPlane {
 				continue
 			}
-			if w.cutOff[m.name] += by; w.cutOff[m.name] == 0 {
-				delete(w.cutOff, m.name)
+			if w.partitionedCore[m.name] += by; w.partitionedCore[m.name] == 0 {
+				delete(w.partitionedCore, m.name)
 			}
 		}
 	}
 	note(1)
 	n := w.network
-	n.set(func() {
+	n.update(func() {
 		for _, link := range links {
-			n.cut[link]++
+			n.partitioned[link]++
 		}
 	})
-	w.pause(duration)
-	n.set(func() {
+	w.sleep(duration)
+	n.update(func() {
 		for _, link := range links {
-			if n.cut[link]--; n.cut[link] == 0 {
-				delete(n.cut, link)
+			if n.partitioned[link]--; n.partitioned[link] == 0 {
+				delete(n.partitioned, link)
 			}
 		}
 	})
 	note(-1)
 }
 
-// isCutOff tells whether a machine of the control plane is cut off. The lock is not held.
-func (w *world) isCutOff(name string) bool {
+// isPartitioned tells whether a machine of the control plane is cut off. The lock is not held.
+func (w *world) isPartitioned(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.cutOff[name] > 0
+	return w.partitionedCore[name] > 0
 }
 
 // splitCore cuts the control plane into two halves, which all others reach. Each half is the first one half of the times.
 func (w *world) splitCore(f Fault) {
-	core := w.kind(roleControlPlane)
-	random := w.random(f.String())
+	core := w.machinesOfKind(roleControlPlane)
+	random := w.randomFor(f.String())
 	random.Shuffle(len(core), func(i, j int) { core[i], core[j] = core[j], core[i] })
 	half, rest := core[:len(core)/2], core[len(core)/2:]
 	if random.IntN(2) == 0 {
@@ -195,9 +195,9 @@
 			}
 		}
 	}
-	w.note("%s: %s | %s", f.Kind, names(half), names(rest))
-	w.isolate(f.duration(), links)
-	w.note("%s is over", f.Kind)
+	w.trace("%s: %s | %s", f.Kind, names(half), names(rest))
+	w.partitionLinks(f.duration(), links)
+	w.trace("%s is over", f.Kind)
 }
 
 func names(list []*machine) (out []string) {
@@ -207,56 +207,56 @@
 	return out
 }
 
-// rivalOrders has two operators send pairs of orders of one revision on the same one, each beginning at another machine.
-func (w *world) rivalOrders(f Fault) {
-	w.note("%s", f.Kind)
+// changeConcurrently has two operators send pairs of orders of one revision on the same one, each beginning at another machine.
+func (w *world) changeConcurrently(f Fault) {
+	w.trace("%s", f.Kind)
 	var rivals [2]*operator
 	for i := range rivals {
 		name := fmt.Sprintf("%srival-%d-%d", operatorPrefix, f.AtMS, i+1)
-		rivals[i] = newOperator(w, name, fmt.Sprint(rivalsNet, w.nextRival()))
+		rivals[i] = newOperator(w, name, fmt.Sprint(rivalsNet, w.nextRivalAddress()))
 		rivals[i].next = i
 	}
 	for begun := w.now(); w.now()-begun < f.duration() && !w.ending(); {
-		w.pause(retryMin)
+		w.sleep(minRetryDelay)
 		if !rivals[0].read() {
 			continue
 		}
-		base := rivals[0].known
+		base := rivals[0].knownRevision
 		var pair sync.WaitGroup
 		for _, o := range rivals {
-			pair.Go(func() { o.send(w.checks.orders.begin(w.now(), base, base+1)) })
+			pair.Go(func() { o.send(w.checks.configuration.begin(w.now(), base, base+1)) })
 		}
 		pair.Wait()
 	}
-	w.note("%s is over", f.Kind)
+	w.trace("%s is over", f.Kind)
 }
 
-// nextRival gives the last part of an address of an operator of rivalOrders.
-func (w *world) nextRival() int {
+// nextRivalAddress gives the last part of an address of an operator of rivalOrders.
+func (w *world) nextRivalAddress() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.addresses[rivalsNet]++
 	return w.addresses[rivalsNet]
 }
 
-// hurry has the operators order without rest for the time of a fault.
-func (w *world) hurry(f Fault) {
-	w.note("%s", f.Kind)
-	w.changeHurry(1)
-	w.pause(f.duration())
-	w.changeHurry(-1)
-	w.note("%s is over", f.Kind)
+// withBusyOperators has the operators order without rest for the time of a fault.
+func (w *world) withBusyOperators(f Fault) {
+	w.trace("%s", f.Kind)
+	w.addBusyOperators(1)
+	w.sleep(f.duration())
+	w.addBusyOperators(-1)
+	w.trace("%s is over", f.Kind)
 }
 
-func (w *world) changeHurry(by int) {
+func (w *world) addBusyOperators(by int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hurries += by
+	w.busyOperatorFaults += by
 }
 
-// hurried tells whether operators order without rest.
-func (w *world) hurried() bool {
+// operatorsBusy tells whether operators order without rest.
+func (w *world) operatorsBusy() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.hurries > 0
+	return w.busyOperatorFaults > 0
 }
--- a/internal/tier/simulation/gateway.go
+++ b/internal/tier/simulation/gateway.go
@@ -15,15 +15,15 @@
 
 // What clients do, and how long a gateway waits.
 const (
-	clientIdleMin = 200 * time.Millisecond
-	clientIdleMax = 1000 * time.Millisecond
-	turnLimit     = 5 * time.Second // of a Begin or a Settle, over all its calls
-	actLimit      = time.Second     // of an endpoint's answer
-	turnMost      = 30              // tokens that a turn may cost
-	unkeptShare   = 4               // one turn in so many comes by a route that keeps none
-	dropShare     = 8               // one other turn in so many is not kept, as its answer broke off
-	sampleEvery   = 100 * time.Millisecond
-	attemptHeader = "X-Attempt-Id"
+	minClientIdle    = 200 * time.Millisecond
+	maxClientIdle    = 1000 * time.Millisecond
+	turnStoreTimeout = 5 * time.Second // of a Begin or a Settle, over all its calls
+	endpointTimeout  = time.Second     // of an endpoint's answer
+	maxTurnTokens    = 30              // tokens that a turn may cost
+	unstoredOneIn    = 4               // one turn in so many comes by a route that keeps none
+	abortedOneIn     = 8               // one other turn in so many is not kept, as its answer broke off
+	sampleInterval   = 100 * time.Millisecond
+	attemptHeader    = "X-Attempt-Id"
 )
 
 // staleBound is how long after an acknowledgement a gateway may still hear, from a primary that has been deposed, what came
@@ -41,56 +41,56 @@
 
 func (g *gatewayRole) start(p *process) error {
 	m := p.machine
-	g.process, g.random = p, m.world.random(fmt.Sprint(m.name, " life ", m.lives()))
+	g.process, g.random = p, m.world.randomFor(fmt.Sprint(m.name, " life ", m.incarnations()))
 	g.client = gateway.NewTurnClient(m.settings, p.dialTurnStore, p.log)
 	g.session = session.New(session.Config{Settings: m.settings, Role: string(roleGateway), Dial: p.dialControlPlane, Log: p.log,
-		Configuration: g.tookConfiguration, PartitionMap: g.tookMap})
+		Configuration: g.applyConfiguration, PartitionMap: g.applyPartitionMap})
 	go g.session.Run(p.ctx)
-	go g.sample()
-	for range clientsOfGateway {
+	go g.sampleStaleness()
+	for range clientsPerGateway {
 		random := rand.New(rand.NewPCG(g.random.Uint64(), 0))
-		m.world.load.Go(func() { g.clients(random) })
+		m.world.load.Go(func() { g.runClient(random) })
 	}
 	return nil
 }
 
 func (g *gatewayRole) leave(context.Context) { g.session.Drain() }
 
-func (g *gatewayRole) tookConfiguration(c *tierv1.Configuration) {
-	if g.process.over() {
+func (g *gatewayRole) applyConfiguration(c *tierv1.Configuration) {
+	if g.process.ended() {
 		return
 	}
 	m := g.process.machine
-	m.world.checks.views.tookConfiguration(m.name, g.process, c, m.world.checks.orders.shown(string(c.Body)))
+	m.world.checks.views.recordConfiguration(m.name, g.process, c, m.world.checks.configuration.recordShown(string(c.Body)))
 }
 
-func (g *gatewayRole) tookMap(t *tierv1.PartitionMap) {
-	if !g.process.over() {
-		g.process.machine.world.checks.views.tookMap(g.process.machine.name, g.process, t)
+func (g *gatewayRole) applyPartitionMap(t *tierv1.PartitionMap) {
+	if !g.process.ended() {
+		g.process.machine.world.checks.views.recordPartitionMap(g.process.machine.name, g.process, t)
 	}
 	g.client.ApplyPartitionMap(t)
 }
 
-// sample looks again and again at what the gateway holds.
-func (g *gatewayRole) sample() {
+// sampleStaleness looks again and again at what the gateway holds.
+func (g *gatewayRole) sampleStaleness() {
 	w := g.process.machine.world
-	for !g.process.over() {
-		w.pause(sampleEvery)
+	for !g.process.ended() {
+		w.sleep(sampleInterval)
 		stands, since := g.session.Active()
 		heard := w.now() - since
 		time.Sleep(time.Microsecond) // what came with the answer is taken in by now
-		if stands && !g.process.over() {
-			w.checks.orders.stale(g.process.machine.name, w.checks.views.holds(g.process), heard, staleBound)
+		if stands && !g.process.ended() {
+			w.checks.configuration.checkStaleness(g.process.machine.name, w.checks.views.currentRevision(g.process), heard, staleBound)
 		}
 	}
 }
 
-// clients sends one turn after the other.
-func (g *gatewayRole) clients(random *rand.Rand) {
+// runClient sends one turn after the other.
+func (g *gatewayRole) runClient(random *rand.Rand) {
 	w := g.process.machine.world
-	for w.loaded() && !g.process.over() {
-		w.pause(clientIdleMin + time.Duration(random.Int64N(int64(clientIdleMax-clientIdleMin))))
-		if g.client.Ready() && !g.process.over() {
+	for w.loadRunning() && !g.process.ended() {
+		w.sleep(minClientIdle + time.Duration(random.Int64N(int64(maxClientIdle-minClientIdle))))
+		if g.client.Ready() && !g.process.ended() {
 			g.turn(random)
 		}
 	}
@@ -99,76 +99,76 @@
 // turn carries a turn of some program, and tells whether it was served, or refused because its budget is spent.
 func (g *gatewayRole) turn(random *rand.Rand) bool {
 	checks := g.process.machine.world.checks.turns
-	p := checks.program(random.IntN(programPlaces))
+	p := checks.program(random.IntN(programCount))
 	from := p
 	if random.IntN(16) == 0 { // it goes on from another program's
-		from = checks.program(random.IntN(programPlaces))
+		from = checks.program(random.IntN(programCount))
 	}
-	most := 1 + random.Uint64N(turnMost)
-	if random.IntN(unkeptShare) == 0 { // its program's other turns are kept: the budget is one
-		return g.carry(checks.begin(p, "", most, 1+random.Uint64N(most)), false)
+	most := 1 + random.Uint64N(maxTurnTokens)
+	if random.IntN(unstoredOneIn) == 0 { // its program's other turns are kept: the budget is one
+		return g.runTurn(checks.begin(p, "", most, 1+random.Uint64N(most)), false)
 	}
 	previous := ""
-	if kept := checks.kept(from); len(kept) > 0 && random.IntN(10) > 0 {
+	if kept := checks.storedTurns(from); len(kept) > 0 && random.IntN(10) > 0 {
 		previous = kept[len(kept)-1]
 		if random.IntN(6) == 0 { // beside others that did
 			previous = kept[random.IntN(len(kept))]
 		}
 	}
 	a := checks.begin(p, previous, most, 1+random.Uint64N(most))
-	return g.carry(a, random.IntN(dropShare) > 0)
+	return g.runTurn(a, random.IntN(abortedOneIn) > 0)
 }
 
-// carry carries an attempt: begin, endpoint, settle.
-func (g *gatewayRole) carry(a *attempt, keep bool) bool {
+// runTurn carries an attempt: begin, endpoint, settle.
+func (g *gatewayRole) runTurn(a *attempt, keep bool) bool {
 	w := g.process.machine.world
 	verdict, chain := g.begin(a)
-	w.note("%s: %v: %v", g.process.machine.name, a, verdict)
+	w.trace("%s: %v: %v", g.process.machine.name, a, verdict)
 	checks := w.checks.turns
-	if g.process.over() {
+	if g.process.ended() {
 		return false
 	}
-	checks.begun(a, verdict, chain)
+	checks.recordVerdict(a, verdict, chain)
 	if verdict != tierv1.Verdict_OK {
 		return verdict == tierv1.Verdict_SPENT
 	}
-	answer, err := g.act(a)
-	if g.process.over() {
+	answer, err := g.callEndpoint(a)
+	if g.process.ended() {
 		return false
 	}
 	req := &tierv1.SettleRequest{Program: a.program.name, Attempt: a.id}
 	if err == nil {
-		checks.heard(a, answer)
+		checks.recordResponse(a, answer)
 		req.Tokens, req.Kept = a.tokens, keep
 	}
 	if req.Kept {
 		req.Turn = a.turn()
 	}
-	checks.settle(a, req.Kept, req.Tokens)
-	ctx, cancel := context.WithTimeout(g.process.ctx, turnLimit)
+	checks.recordSettling(a, req.Kept, req.Tokens)
+	ctx, cancel := context.WithTimeout(g.process.ctx, turnStoreTimeout)
 	defer cancel()
 	durable := g.client.Settle(ctx, req)
-	w.note("%s: %v: settled with %d tokens: %v", g.process.machine.name, a, req.Tokens, durable)
-	if !durable || g.process.over() {
+	w.trace("%s: %v: settled with %d tokens: %v", g.process.machine.name, a, req.Tokens, durable)
+	if !durable || g.process.ended() {
 		return false
 	}
-	checks.settled(a)
+	checks.recordSettled(a)
 	return err == nil
 }
 
 // begin asks for an attempt.
 func (g *gatewayRole) begin(a *attempt) (tierv1.Verdict, []*tierv1.Turn) {
-	ctx, cancel := context.WithTimeout(g.process.ctx, turnLimit)
+	ctx, cancel := context.WithTimeout(g.process.ctx, turnStoreTimeout)
 	defer cancel()
 	return g.client.Begin(ctx, &tierv1.BeginRequest{Program: a.program.name, Attempt: a.id, Previous: a.previous, Limited: true,
-		Budget: a.program.budget, Most: a.most, RetentionMs: uint32(retention.Milliseconds())})
+		Budget: a.program.budget, Most: a.maxTokens, RetentionMs: uint32(retention.Milliseconds())})
 }
 
-// act has an endpoint run an attempt, once.
-func (g *gatewayRole) act(a *attempt) (string, error) {
-	ctx, cancel := context.WithTimeout(g.process.ctx, actLimit)
+// callEndpoint has an endpoint run an attempt, once.
+func (g *gatewayRole) callEndpoint(a *attempt) (string, error) {
+	ctx, cancel := context.WithTimeout(g.process.ctx, endpointTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+endpointIP+":"+outsidePort+actPath, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+endpointIP+":"+outsidePort+runPath, nil)
 	if err != nil {
 		return "", err
 	}
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -12,8 +12,8 @@
 	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
-// restartPause is from the end of a process to its next start on a machine that is up.
-const restartPause = 500 * time.Millisecond
+// restartDelay is from the end of a process to its next start on a machine that is up.
+const restartDelay = 500 * time.Millisecond
 
 // role is what a process does on a machine. start gives its handlers by port. leave hears SIGTERM, where the role does anything on it.
 type role interface {
@@ -32,14 +32,14 @@
 	disk     *disk
 	random   *rand.Rand // of losses of power
 
-	seedsCutOff bool // the lock of the world is held: the next process is told only of machines that are cut off
+	seedsPartitioned bool // the lock of the world is held: the next process is told only of machines that are cut off
 
-	mu       sync.Mutex
-	starting *process
-	current  *process
-	up       bool // processes are started
-	dark     bool // without power
-	life     int
+	mu          sync.Mutex
+	starting    *process
+	current     *process
+	up          bool // processes are started
+	poweredOff  bool // without power
+	incarnation int
 }
 
 type roleName string
@@ -65,8 +65,8 @@
 	shownBefore [2]uint64 // the highest versions that anyone had been shown then
 }
 
-// over tells whether the process has ended: nothing that it still does may be seen outside.
-func (p *process) over() bool { return p.ctx.Err() != nil }
+// ended tells whether the process has ended: nothing that it still does may be seen outside.
+func (p *process) ended() bool { return p.ctx.Err() != nil }
 
 // files is the file system of the machine as this process has it.
 func (p *process) files() files { return files{p.machine.disk, p.ctx.Done()} }
@@ -75,28 +75,28 @@
 func (m *machine) process() (p *process, dark bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.current, m.dark
+	return m.current, m.poweredOff
 }
 
 // start begins a process, and another one whenever it ends by itself.
 func (m *machine) start() {
 	m.mu.Lock()
-	m.up, m.dark = true, false
-	m.life++
-	life := m.life
+	m.up, m.poweredOff = true, false
+	m.incarnation++
+	life := m.incarnation
 	m.mu.Unlock()
 	m.world.running.Go(func() {
-		for m.wanted(life) {
+		for m.mayRun(life) {
 			m.run(life)
-			m.world.pause(restartPause)
+			m.world.sleep(restartDelay)
 		}
 	})
 }
 
-func (m *machine) wanted(life int) bool {
+func (m *machine) mayRun(life int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.up && m.life == life && !m.world.ending()
+	return m.up && m.incarnation == life && !m.world.ending()
 }
 
 // run is one process from its start to its end.
@@ -105,10 +105,10 @@
 	defer cancel()
 	p := &process{machine: m, ctx: ctx, cancel: cancel, log: m.world.logger(m.name), handlers: map[string]http.Handler{}}
 	p.link = &link{m.world.network, p}
-	p.floor, p.shownBefore = m.world.checks.orders.floor(), m.world.checks.views.highest()
+	p.floor, p.shownBefore = m.world.checks.configuration.floor(), m.world.checks.views.highest()
 	p.role = m.world.role(m)
 	m.mu.Lock()
-	if !m.up || m.life != life {
+	if !m.up || m.incarnation != life {
 		m.mu.Unlock()
 		return
 	}
@@ -117,13 +117,13 @@
 	err := p.role.start(p)
 	m.mu.Lock()
 	m.starting = nil
-	stands := err == nil && m.up && m.life == life
+	stands := err == nil && m.up && m.incarnation == life
 	if stands {
 		m.current = p
 	}
 	m.mu.Unlock()
 	if err != nil {
-		m.world.note("%s: did not start: %v", m.name, err)
+		m.world.trace("%s: did not start: %v", m.name, err)
 		return
 	}
 	if !stands {
@@ -141,8 +141,8 @@
 func (m *machine) stop(dark bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.up, m.dark = false, dark
-	m.life++
+	m.up, m.poweredOff = false, dark
+	m.incarnation++
 	for _, p := range []*process{m.starting, m.current} {
 		if p != nil {
 			p.cancel()
@@ -192,7 +192,7 @@
 	defer cancel()
 	stop := context.AfterFunc(caller, func() {
 		// The end of the connection is a message, too.
-		p.link.network.pass(from, p.machine.name, delayMin)
+		p.link.network.deliver(from, p.machine.name, minDelay)
 		cancel()
 	})
 	defer stop()
@@ -201,17 +201,17 @@
 	return answer
 }
 
-// domain is the zone or region that the machine lies in, where these are lost, and else the machine itself.
-func (m *machine) domain() string {
+// failureDomain is the zone or region that the machine lies in, where these are lost, and else the machine itself.
+func (m *machine) failureDomain() string {
 	if m.world.script.Unit == Machines {
 		return m.name
 	}
 	return m.world.script.domainName(m.zone % m.world.script.domains())
 }
 
-// lives is how often the machine was started.
-func (m *machine) lives() int {
+// incarnations is how often the machine was started.
+func (m *machine) incarnations() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.life
+	return m.incarnation
 }
--- a/internal/tier/simulation/main_test.go
+++ b/internal/tier/simulation/main_test.go
@@ -27,7 +27,7 @@
 	var b Batch
 	_, err := fmt.Sscan(part, &b.From, &b.Seeds)
 	if err == nil {
-		err = b.Work(context.Background(), os.Stdout)
+		err = b.PlayAsWorker(context.Background(), os.Stdout)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/tier/simulation/network.go
+++ b/internal/tier/simulation/network.go
@@ -16,52 +16,52 @@
 
 // Times of the network.
 const (
-	delayMin  = 100 * time.Microsecond
-	delayMax  = 3 * time.Millisecond
-	silence   = time.Second           // a call across a cut, or to a machine without power, fails after it
-	heldMost  = 40 * time.Millisecond // a message that comes late is held so long at most
-	againMost = 3 * time.Second       // the second of two equal messages comes so much later at most
+	minDelay          = 100 * time.Microsecond
+	maxDelay          = 3 * time.Millisecond
+	lostCallTimeout   = time.Second           // a call across a cut, or to a machine without power, fails after it
+	maxMessageDelay   = 40 * time.Millisecond // a message that comes late is held so long at most
+	maxDuplicateDelay = 3 * time.Second       // the second of two equal messages comes so much later at most
 )
 
 // Of so many messages one is lost, comes twice, or comes late, where some do.
 const (
-	lostOf    = 16
-	doubledOf = 8
-	heldOf    = 4
+	lostOneIn       = 16
+	duplicatedOneIn = 8
+	delayedOneIn    = 4
 )
 
 var (
-	errSilent  = errors.New("simulation: no answer")
+	errTimeout = errors.New("simulation: no answer")
 	errRefused = errors.New("simulation: connection refused")
 	errReset   = errors.New("simulation: connection reset")
 )
 
 // network carries calls between processes. All state is that of its links; it knows nothing of what the calls mean.
 type network struct {
-	seed   uint64
-	tamper func(*Delivery) // of a planted fault
+	seed        uint64
+	tamperReply func(*Delivery) // of a planted fault
 
-	mu          sync.Mutex
-	machines    map[string]*machine // by IP
-	cut         map[[2]string]int   // how many faults cut a link, by names: from, to
-	frozen      map[string]bool     // by name
-	loseAnswers bool
-	reorder     bool
-	trouble     bool
-	sent        map[[2]string]uint64
-	messages    int
-	changed     chan struct{} // closed when a link has opened or closed
-	closed      bool
-	ordered     map[string]chan struct{} // closed when the machine has begun to serve an order; by name
+	mu            sync.Mutex
+	machines      map[string]*machine // by IP
+	partitioned   map[[2]string]int   // how many faults cut a link, by names: from, to
+	frozen        map[string]bool     // by name
+	loseResponses bool
+	reorder       bool
+	loseMessages  bool
+	sent          map[[2]string]uint64
+	messages      int
+	changed       chan struct{} // closed when a link has opened or closed
+	closed        bool
+	changeBegun   map[string]chan struct{} // closed when the machine has begun to serve an order; by name
 }
 
 func newNetwork(seed uint64) *network {
-	return &network{seed: seed, machines: map[string]*machine{}, cut: map[[2]string]int{}, frozen: map[string]bool{},
-		sent: map[[2]string]uint64{}, changed: make(chan struct{}), ordered: map[string]chan struct{}{}}
+	return &network{seed: seed, machines: map[string]*machine{}, partitioned: map[[2]string]int{}, frozen: map[string]bool{},
+		sent: map[[2]string]uint64{}, changed: make(chan struct{}), changeBegun: map[string]chan struct{}{}}
 }
 
-// set changes the network, and lets all that wait look again.
-func (n *network) set(f func()) {
+// update changes the network, and lets all that wait look again.
+func (n *network) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
@@ -73,18 +73,18 @@
 type Delivery struct {
 	Path   string
 	Header http.Header // of the request
-	Answer []byte
+	Reply  []byte
 	Repeat func() // serves the call once more
 }
 
 // fate is what befalls one call.
 type fate struct {
-	there, back, again              time.Duration
-	loseRequest, loseAnswer, double bool
+	requestDelay, replyDelay, duplicateDelay time.Duration
+	loseRequest, loseReply, duplicate        bool
 }
 
-// draw gives the fate of the next call on a link. It depends on the seed, the link and the number of calls on it alone.
-func (n *network) draw(from, to string, doublable bool) fate {
+// drawFate gives the fate of the next call on a link. It depends on the seed, the link and the number of calls on it alone.
+func (n *network) drawFate(from, to string, doublable bool) fate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	key := [2]string{from, to}
@@ -93,33 +93,33 @@
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, from+">"+to)
 	r := rand.New(rand.NewPCG(n.seed^h.Sum64(), n.sent[key]))
-	delay := func() time.Duration { return delayMin + time.Duration(r.Int64N(int64(delayMax-delayMin))) }
-	f := fate{there: delay(), back: delay()}
-	if n.loseAnswers && strings.HasPrefix(from, operatorPrefix) {
-		f.loseAnswer = r.IntN(2) == 0
+	delay := func() time.Duration { return minDelay + time.Duration(r.Int64N(int64(maxDelay-minDelay))) }
+	f := fate{requestDelay: delay(), replyDelay: delay()}
+	if n.loseResponses && strings.HasPrefix(from, operatorPrefix) {
+		f.loseReply = r.IntN(2) == 0
 	}
-	if n.trouble {
-		f.loseRequest = r.IntN(lostOf) == 0
-		f.loseAnswer = f.loseAnswer || r.IntN(lostOf) == 0
+	if n.loseMessages {
+		f.loseRequest = r.IntN(lostOneIn) == 0
+		f.loseReply = f.loseReply || r.IntN(lostOneIn) == 0
 	}
 	if n.reorder {
-		f.double, f.again = doublable && r.IntN(doubledOf) == 0, time.Duration(r.Int64N(int64(againMost)))
-		if r.IntN(heldOf) == 0 {
-			f.there += time.Duration(r.Int64N(int64(heldMost)))
-			f.back += time.Duration(r.Int64N(int64(heldMost)))
+		f.duplicate, f.duplicateDelay = doublable && r.IntN(duplicatedOneIn) == 0, time.Duration(r.Int64N(int64(maxDuplicateDelay)))
+		if r.IntN(delayedOneIn) == 0 {
+			f.requestDelay += time.Duration(r.Int64N(int64(maxMessageDelay)))
+			f.replyDelay += time.Duration(r.Int64N(int64(maxMessageDelay)))
 		}
 	}
 	return f
 }
 
-// pass waits until a message that left now has come, and tells whether it has: it is lost where the link is cut for
+// deliver waits until a message that left now has come, and tells whether it has: it is lost where the link is cut for
 // longer than silence. A frozen side holds it.
-func (n *network) pass(from, to string, delay time.Duration) bool {
+func (n *network) deliver(from, to string, delay time.Duration) bool {
 	time.Sleep(delay)
 	var limit <-chan time.Time
 	for {
 		n.mu.Lock()
-		cut, frozen, changed, closed := n.cut[[2]string{from, to}] > 0, n.frozen[from] || n.frozen[to], n.changed, n.closed
+		cut, frozen, changed, closed := n.partitioned[[2]string{from, to}] > 0, n.frozen[from] || n.frozen[to], n.changed, n.closed
 		n.mu.Unlock()
 		if closed {
 			return false
@@ -128,7 +128,7 @@
 			return true
 		}
 		if cut && limit == nil {
-			timer := time.NewTimer(silence)
+			timer := time.NewTimer(lostCallTimeout)
 			defer timer.Stop()
 			limit = timer.C
 		}
@@ -146,7 +146,7 @@
 	from    *process
 }
 
-type outcome struct {
+type callResult struct {
 	response *http.Response
 	err      error
 }
@@ -161,10 +161,10 @@
 		}
 		_ = r.Body.Close()
 	}
-	done := make(chan outcome, 1)
+	done := make(chan callResult, 1)
 	go func() {
-		response, err := l.carry(r, body)
-		done <- outcome{response, err}
+		response, err := l.call(r, body)
+		done <- callResult{response, err}
 	}()
 	select {
 	case o := <-done:
@@ -177,9 +177,9 @@
 // RoundTrip implements http.RoundTripper.
 func (l *link) RoundTrip(r *http.Request) (*http.Response, error) { return l.Do(r) }
 
-// carry brings a call to its machine and the answer back.
-func (l *link) carry(r *http.Request, body []byte) (*http.Response, error) {
-	if l.from.over() {
+// call brings a call to its machine and the answer back.
+func (l *link) call(r *http.Request, body []byte) (*http.Response, error) {
+	if l.from.ended() {
 		return nil, errReset
 	}
 	host, port, err := net.SplitHostPort(r.URL.Host)
@@ -191,72 +191,72 @@
 	to := n.machines[host]
 	n.mu.Unlock()
 	if to == nil {
-		time.Sleep(silence)
-		return nil, errSilent
+		time.Sleep(lostCallTimeout)
+		return nil, errTimeout
 	}
 	from := l.from.machine.name
-	f := n.draw(from, to.name, strings.HasPrefix(r.URL.Path, "/twirp/"))
-	if !n.pass(from, to.name, f.there) {
-		return nil, errSilent
+	f := n.drawFate(from, to.name, strings.HasPrefix(r.URL.Path, "/twirp/"))
+	if !n.deliver(from, to.name, f.requestDelay) {
+		return nil, errTimeout
 	}
 	if f.loseRequest {
-		time.Sleep(silence)
-		return nil, errSilent
+		time.Sleep(lostCallTimeout)
+		return nil, errTimeout
 	}
 	p, dark := to.process()
 	switch {
 	case dark:
-		time.Sleep(silence)
-		return nil, errSilent
+		time.Sleep(lostCallTimeout)
+		return nil, errTimeout
 	case p == nil:
 		return nil, errRefused
 	}
-	if r.URL.Path == orderPath {
-		n.noteOrder(to.name)
+	if r.URL.Path == replacePath {
+		n.recordChange(to.name)
 	}
-	if f.double {
+	if f.duplicate {
 		go func() {
-			time.Sleep(f.again)
-			if again, _ := to.process(); again != nil && n.pass(from, to.name, 0) {
+			time.Sleep(f.duplicateDelay)
+			if again, _ := to.process(); again != nil && n.deliver(from, to.name, 0) {
 				again.serve(context.WithoutCancel(r.Context()), from, port, r, body)
 			}
 		}()
 	}
 	answer := p.serve(r.Context(), from, port, r, body)
-	if answer == nil || p.over() {
+	if answer == nil || p.ended() {
 		return nil, errReset
 	}
-	if n.tamper != nil {
-		d := &Delivery{Path: r.URL.Path, Header: r.Header, Answer: answer.body.Bytes(),
+	if n.tamperReply != nil {
+		d := &Delivery{Path: r.URL.Path, Header: r.Header, Reply: answer.body.Bytes(),
 			Repeat: func() { p.serve(r.Context(), from, port, r, body) }}
-		n.tamper(d)
-		answer.body = *bytes.NewBuffer(d.Answer)
+		n.tamperReply(d)
+		answer.body = *bytes.NewBuffer(d.Reply)
 	}
-	if f.loseAnswer || !n.pass(to.name, from, f.back) {
-		time.Sleep(silence)
-		return nil, errSilent
+	if f.loseReply || !n.deliver(to.name, from, f.replyDelay) {
+		time.Sleep(lostCallTimeout)
+		return nil, errTimeout
 	}
-	if l.from.over() {
+	if l.from.ended() {
 		return nil, errReset
 	}
 	return answer.response(r), nil
 }
 
-// awaitOrder gives a channel that is closed when a machine has begun to serve an order. One at a time waits for a machine.
-func (n *network) awaitOrder(name string) <-chan struct{} {
+// awaitChange gives a channel that is closed when a machine has begun to serve an order. One at a time waits for a machine.
+func (n *network) awaitChange(name string) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ordered[name] = make(chan struct{})
-	return n.ordered[name]
+	n.changeBegun[name] = make(chan struct{})
+	return n.changeBegun[name]
 }
 
-// noteOrder notes that a machine begins to serve an order.
-func (n *network) noteOrder(name string) {
+// recordChange notes that a machine begins to serve an order.
+func (n *network) recordChange(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if ordered := n.ordered[name]; ordered != nil {
+	if ordered := n.changeBegun[name]; ordered != nil {
 		close(ordered)
-		delete(n.ordered, name)
+		delete(n.changeBegun, name)
 	}
 }
 
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -13,41 +13,41 @@
 
 // What operators do and wait for.
 const (
-	operatorIdleMin = 200 * time.Millisecond
-	operatorIdleMax = 1500 * time.Millisecond
-	hurriedIdleMin  = 20 * time.Millisecond
-	hurriedIdleMax  = 120 * time.Millisecond
-	answerLimit     = time.Second      // of one call
-	orderLimit      = 10 * time.Second // of an order, over all its calls
-	retireLimit     = 20 * time.Second
-	retryMin        = 20 * time.Millisecond
-	retryMax        = 300 * time.Millisecond
+	minOperatorIdle     = 200 * time.Millisecond
+	maxOperatorIdle     = 1500 * time.Millisecond
+	minBusyOperatorIdle = 20 * time.Millisecond
+	maxBusyOperatorIdle = 120 * time.Millisecond
+	callTimeout         = time.Second      // of one call
+	changeTimeout       = 10 * time.Second // of an order, over all its calls
+	retireTimeout       = 20 * time.Second
+	minRetryDelay       = 20 * time.Millisecond
+	maxRetryDelay       = 300 * time.Millisecond
 )
 
-// orderPath is where operators order a configuration.
-const orderPath = "/saffronyard/Configuration.Replace"
+// replacePath is where operators order a configuration.
+const replacePath = "/saffronyard/Configuration.Replace"
 
 // operator orders and reads, at one control-plane process after the other until an answer is clear.
 type operator struct {
-	world   *world
-	name    string
-	process *process
-	random  *rand.Rand
-	next    int
-	known   int64 // revision, as read or ordered last
-	last    *order
+	world         *world
+	name          string
+	process       *process
+	random        *rand.Rand
+	next          int
+	knownRevision int64 // revision, as read or ordered last
+	last          *configurationChange
 }
 
 func newOperator(w *world, name, ip string) *operator {
-	m := w.outside(name, ip)
+	m := w.addOutsideMachine(name, ip)
 	p := &process{machine: m, ctx: w.ctx, cancel: func() {}}
 	p.link = &link{w.network, p}
-	return &operator{world: w, name: name, process: p, random: w.random(name)}
+	return &operator{world: w, name: name, process: p, random: w.randomFor(name)}
 }
 
 func (o *operator) run() {
-	for o.world.loaded() {
-		o.rest()
+	for o.world.loadRunning() {
+		o.idle()
 		switch n := o.random.IntN(10); {
 		case n < 4:
 			o.read()
@@ -57,80 +57,80 @@
 			if n < 8 {
 				o.read()
 			}
-			o.last = o.world.checks.orders.begin(o.world.now(), o.known, o.known+1+o.random.Int64N(2))
+			o.last = o.world.checks.configuration.begin(o.world.now(), o.knownRevision, o.knownRevision+1+o.random.Int64N(2))
 			o.send(o.last)
 		}
 	}
 }
 
-// rest waits until the operator does something again.
-func (o *operator) rest() {
-	low, high := operatorIdleMin, operatorIdleMax
-	if o.world.hurried() {
-		low, high = hurriedIdleMin, hurriedIdleMax
+// idle waits until the operator does something again.
+func (o *operator) idle() {
+	low, high := minOperatorIdle, maxOperatorIdle
+	if o.world.operatorsBusy() {
+		low, high = minBusyOperatorIdle, maxBusyOperatorIdle
 	}
-	o.world.pause(low + time.Duration(o.random.Int64N(int64(high-low))))
+	o.world.sleep(low + time.Duration(o.random.Int64N(int64(high-low))))
 }
 
 // read reads the configuration back, and tells whether an answer came.
 func (o *operator) read() bool {
-	checks := o.world.checks.orders
+	checks := o.world.checks.configuration
 	var floor int64
-	status, body := o.order(func(ctx context.Context, at string) (int, string, error) {
+	status, body := o.untilClear(func(ctx context.Context, at string) (int, string, error) {
 		floor = checks.floor()
 		return o.call(ctx, http.MethodGet, at, "/saffronyard/Configuration.Describe", "", nil)
-	}, orderLimit)
+	}, changeTimeout)
 	switch status {
 	case http.StatusOK, http.StatusNotFound:
 		if status == http.StatusNotFound {
 			body = ""
 		}
-		if revision, ok := checks.read(o.world.now(), floor, body); ok {
-			o.known = revision
+		if revision, ok := checks.recordRead(o.world.now(), floor, body); ok {
+			o.knownRevision = revision
 		}
 		return true
 	case 0:
 	default:
-		o.world.report(RuleAnswer, "a read was answered %d", status)
+		o.world.reportViolation(RuleResponse, "a read was answered %d", status)
 	}
 	return false
 }
 
 // send sends an order until its answer is clear, and tells whether it was acknowledged.
-func (o *operator) send(it *order) bool {
-	status, _ := o.order(func(ctx context.Context, at string) (int, string, error) {
-		return o.call(ctx, http.MethodPost, at, orderPath, it.body,
+func (o *operator) send(it *configurationChange) bool {
+	status, _ := o.untilClear(func(ctx context.Context, at string) (int, string, error) {
+		return o.call(ctx, http.MethodPost, at, replacePath, it.body,
 			http.Header{"X-Base-Revision": {strconv.FormatInt(it.base, 10)}})
-	}, orderLimit)
-	o.world.note("%s: %v: %d", o.name, it, status)
+	}, changeTimeout)
+	o.world.trace("%s: %v: %d", o.name, it, status)
 	if status == 0 {
 		return false
 	}
-	o.world.checks.orders.answered(o.world.now(), it, status)
+	o.world.checks.configuration.recordResponse(o.world.now(), it, status)
 	if status == http.StatusOK {
-		o.known = max(o.known, it.revision)
+		o.knownRevision = max(o.knownRevision, it.revision)
 	}
 	return status == http.StatusOK
 }
 
-// order calls one process after the other until one gives a clear answer; status 0: none in the time.
-func (o *operator) order(call func(ctx context.Context, at string) (int, string, error), limit time.Duration) (status int, body string) {
-	wait := retryMin
-	for begun := o.world.now(); o.world.now()-begun < limit && !o.world.ending(); o.world.pause(wait) {
-		core := o.world.kind(roleControlPlane)
+// untilClear calls one process after the other until one gives a clear answer; status 0: none in the time.
+func (o *operator) untilClear(call func(ctx context.Context, at string) (int, string, error), limit time.Duration) (status int, body string) {
+	wait := minRetryDelay
+	for begun := o.world.now(); o.world.now()-begun < limit && !o.world.ending(); o.world.sleep(wait) {
+		core := o.world.machinesOfKind(roleControlPlane)
 		o.next++
 		status, body, err := call(o.world.ctx, core[o.next%len(core)].ip)
 		if err == nil && status < http.StatusInternalServerError && status != http.StatusTemporaryRedirect {
 			return status, body
 		}
-		wait = min(wait*3/2, retryMax)
+		wait = min(wait*3/2, maxRetryDelay)
 	}
 	return 0, ""
 }
 
 // call makes one call, and follows one redirect.
 func (o *operator) call(ctx context.Context, method, ip, path, body string, header http.Header) (status int, answer string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, answerLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	target := "http://" + ip + ":" + operatorsPort + path
 	for range 2 {
--- a/internal/tier/simulation/orders.go
+++ b/internal/tier/simulation/orders.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// orders checks what operators ordered and read against a register that knows no code: each order names the revision that it
+// configurationChecker checks what operators ordered and read against a register that knows no code: each order names the revision that it
 // replaces, revisions rise, and so all that was ever in force is one chain.
-type orders struct {
+type configurationChecker struct {
 	report reporter
 
 	mu        sync.Mutex
-	all       []*order
-	ofBody    map[string]*order
-	onBase    map[int64]*order // taken, by the revision it replaced
-	floors    []floor          // rising in both
+	all       []*configurationChange
+	byBody    map[string]*configurationChange
+	byBase    map[int64]*configurationChange // taken, by the revision it replaced
+	floors    []floor                        // rising in both
 	confirmed int
 }
 
-// order is one order to replace the configuration, however often it is sent.
-type order struct {
+// configurationChange is one order to replace the configuration, however often it is sent.
+type configurationChange struct {
 	id             int
 	base, revision int64
 	body           string
 	began          time.Duration
 	acknowledged   bool
-	taken          bool // it was in force: acknowledged, read back, or shown to a gateway
-	refused        int  // status
+	inForce        bool // it was in force: acknowledged, read back, or shown to a gateway
+	rejectedStatus int  // status
 }
 
-func (o *order) String() string {
+func (o *configurationChange) String() string {
 	return fmt.Sprintf("order %d (revision %d on %d)", o.id, o.revision, o.base)
 }
 
@@ -42,70 +42,70 @@
 	revision int64
 }
 
-func newOrders(report reporter) *orders {
-	return &orders{report: report, ofBody: map[string]*order{}, onBase: map[int64]*order{}}
+func newConfigurationChecker(report reporter) *configurationChecker {
+	return &configurationChecker{report: report, byBody: map[string]*configurationChange{}, byBase: map[int64]*configurationChange{}}
 }
 
 // begin notes an order before it is first sent, and gives its number and body.
-func (c *orders) begin(now time.Duration, base, revision int64) *order {
+func (c *configurationChecker) begin(now time.Duration, base, revision int64) *configurationChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := &order{id: len(c.all) + 1, base: base, revision: revision, began: now}
+	o := &configurationChange{id: len(c.all) + 1, base: base, revision: revision, began: now}
 	o.body = configuration(revision, fmt.Sprint("order-", o.id))
 	c.all = append(c.all, o)
-	c.ofBody[o.body] = o
+	c.byBody[o.body] = o
 	return o
 }
 
-// answered takes the final answer to an order: 200 or 4xx.
-func (c *orders) answered(now time.Duration, o *order, status int) {
+// recordResponse takes the final answer to an order: 200 or 4xx.
+func (c *configurationChecker) recordResponse(now time.Duration, o *configurationChange, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if status == http.StatusOK {
 		o.acknowledged = true
 		c.confirmed++
-		c.inForce(o)
-		c.raise(now, o.revision)
+		c.markInForce(o)
+		c.raiseFloor(now, o.revision)
 		return
 	}
-	if o.taken {
-		c.report(RuleRepeat, "%v was taken, and refused with %d when it came again", o, status)
+	if o.inForce {
+		c.report(RuleIdempotent, "%v was taken, and refused with %d when it came again", o, status)
 		return
 	}
-	o.refused = status
+	o.rejectedStatus = status
 	if status != http.StatusPreconditionFailed && status != http.StatusBadRequest {
-		c.report(RuleAnswer, "%v: the answer is %d", o, status)
+		c.report(RuleResponse, "%v: the answer is %d", o, status)
 	}
-	c.justified(o)
+	c.checkRejection(o)
 }
 
-// justified checks that another order may have been in force in the place of one that was refused.
-func (c *orders) justified(o *order) {
+// checkRejection checks that another order may have been in force in the place of one that was refused.
+func (c *configurationChecker) checkRejection(o *configurationChange) {
 	for _, other := range c.all {
 		if other != o && other.base == o.base {
 			return
 		}
 	}
-	c.report(RuleRefusal, "%v was refused with %d, and nothing else was ever ordered on %d", o, o.refused, o.base)
+	c.report(RuleRejection, "%v was refused with %d, and nothing else was ever ordered on %d", o, o.rejectedStatus, o.base)
 }
 
-// inForce notes that an order was taken. The lock is held.
-func (c *orders) inForce(o *order) {
-	if o.taken {
+// markInForce notes that an order was taken. The lock is held.
+func (c *configurationChecker) markInForce(o *configurationChange) {
+	if o.inForce {
 		return
 	}
-	o.taken = true
-	if o.refused != 0 {
-		c.report(RuleRefusal, "%v was refused with %d, and was taken", o, o.refused)
+	o.inForce = true
+	if o.rejectedStatus != 0 {
+		c.report(RuleRejection, "%v was refused with %d, and was taken", o, o.rejectedStatus)
 	}
-	if other := c.onBase[o.base]; other != nil {
+	if other := c.byBase[o.base]; other != nil {
 		c.report(RuleChain, "%v and %v were both taken", o, other)
 	}
-	c.onBase[o.base] = o
+	c.byBase[o.base] = o
 }
 
-// raise notes that no revision below is in force from now on. The lock is held.
-func (c *orders) raise(now time.Duration, revision int64) {
+// raiseFloor notes that no revision below is in force from now on. The lock is held.
+func (c *configurationChecker) raiseFloor(now time.Duration, revision int64) {
 	if n := len(c.floors); n > 0 && c.floors[n-1].revision >= revision {
 		return
 	}
@@ -113,14 +113,14 @@
 }
 
 // floor is the least revision that a read beginning now may give.
-func (c *orders) floor() int64 {
+func (c *configurationChecker) floor() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.floorAt(math.MaxInt64)
 }
 
 // floorAt is the least revision in force since a time. The lock is held.
-func (c *orders) floorAt(t time.Duration) (revision int64) {
+func (c *configurationChecker) floorAt(t time.Duration) (revision int64) {
 	for i := len(c.floors) - 1; i >= 0; i-- {
 		if c.floors[i].at <= t {
 			return c.floors[i].revision
@@ -129,43 +129,43 @@
 	return 0
 }
 
-// read takes what was read back (empty: that there is nothing) by a call that began when floor stood, and gives its revision.
-func (c *orders) read(now time.Duration, floor int64, body string) (revision int64, ok bool) {
+// recordRead takes what was read back (empty: that there is nothing) by a call that began when floor stood, and gives its revision.
+func (c *configurationChecker) recordRead(now time.Duration, floor int64, body string) (revision int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if body != "" {
-		o := c.ofBody[body]
+		o := c.byBody[body]
 		if o == nil {
 			c.report(RuleRead, "a configuration was read back that nobody ordered")
 			return 0, false
 		}
-		c.inForce(o)
+		c.markInForce(o)
 		revision = o.revision
 	}
 	if revision < floor {
 		c.report(RuleRead, "revision %d was read back, after %d had been in force", revision, floor)
 		return 0, false
 	}
-	c.raise(now, revision)
+	c.raiseFloor(now, revision)
 	return revision, true
 }
 
-// shown takes a configuration that a gateway was shown, and gives its revision.
-func (c *orders) shown(body string) int64 {
+// recordShown takes a configuration that a gateway was shown, and gives its revision.
+func (c *configurationChecker) recordShown(body string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := c.ofBody[body]
+	o := c.byBody[body]
 	if o == nil {
-		c.report(RuleShown, "a gateway was shown a configuration that nobody ordered")
+		c.report(RuleKnownConfiguration, "a gateway was shown a configuration that nobody ordered")
 		return 0
 	}
-	c.inForce(o)
+	c.markInForce(o)
 	return o.revision
 }
 
-// stale checks that a gateway which holds a revision, and has heard the primary at a time, holds what had been acknowledged
+// checkStaleness checks that a gateway which holds a revision, and has heard the primary at a time, holds what had been acknowledged
 // bound before that.
-func (c *orders) stale(gateway string, holds int64, heard, bound time.Duration) {
+func (c *configurationChecker) checkStaleness(gateway string, holds int64, heard, bound time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if due := c.floorAt(heard - bound); holds < due {
@@ -173,8 +173,8 @@
 	}
 }
 
-// newest gives orders that were acknowledged, the newest ones.
-func (c *orders) newest(most int) (list []*order) {
+// newestAcknowledged gives orders that were acknowledged, the newest ones.
+func (c *configurationChecker) newestAcknowledged(most int) (list []*configurationChange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := len(c.all) - 1; i >= 0 && len(list) < most; i-- {
@@ -185,14 +185,14 @@
 	return list
 }
 
-// end checks that all that was acknowledged leads up to the revision in force at the end.
-func (c *orders) end(revision int64) {
+// checkFinalRevision checks that all that was acknowledged leads up to the revision in force at the end.
+func (c *configurationChecker) checkFinalRevision(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	reached := map[*order]bool{}
-	byRevision := map[int64]*order{}
+	reached := map[*configurationChange]bool{}
+	byRevision := map[int64]*configurationChange{}
 	for _, o := range c.all {
-		if o.taken || byRevision[o.revision] == nil {
+		if o.inForce || byRevision[o.revision] == nil {
 			byRevision[o.revision] = o
 		}
 	}
--- a/internal/tier/simulation/outside.go
+++ b/internal/tier/simulation/outside.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	actPath       = "/act"
-	instancesPath = "/instances"
-	actTime       = 80 * time.Millisecond
-	endpointCount = 3
-	listEvery     = 5 * time.Second // the platform's list changes so often
+	runPath              = "/act"
+	instancesPath        = "/instances"
+	endpointRunTime      = 80 * time.Millisecond
+	endpointCount        = 3
+	instanceListInterval = 5 * time.Second // the platform's list changes so often
 )
 
-// handler gives what is served at an address outside of the system.
-func (w *world) handler(ip string) http.Handler {
+// outsideHandler gives what is served at an address outside of the system.
+func (w *world) outsideHandler(ip string) http.Handler {
 	switch ip {
 	case platformIP:
-		return http.HandlerFunc(w.instances)
+		return http.HandlerFunc(w.listInstances)
 	case endpointIP:
-		return http.HandlerFunc(w.act)
+		return http.HandlerFunc(w.runAttempt)
 	}
 	return http.NotFoundHandler()
 }
 
-// instances is the platform's list, in which an instance is replaced by another now and then.
-func (w *world) instances(out http.ResponseWriter, r *http.Request) {
+// listInstances is the platform's list, in which an instance is replaced by another now and then.
+func (w *world) listInstances(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != instancesPath {
 		http.NotFound(out, r)
 		return
 	}
-	first := int(w.now() / listEvery)
+	first := int(w.now() / instanceListInterval)
 	out.Header().Set("Content-Type", "application/json")
 	_, _ = io.WriteString(out, `{"instances":[`)
 	for i := range endpointCount {
@@ -45,11 +45,11 @@
 	_, _ = io.WriteString(out, `],"next_page_token":null}`)
 }
 
-// act is an endpoint that runs an attempt.
-func (w *world) act(out http.ResponseWriter, r *http.Request) {
+// runAttempt is an endpoint that runs an attempt.
+func (w *world) runAttempt(out http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(attemptHeader)
-	w.checks.turns.acted(id)
-	w.pause(actTime)
+	w.checks.turns.recordRun(id)
+	w.sleep(endpointRunTime)
 	a := &attempt{id: id}
 	_, _ = io.WriteString(out, a.output())
 }
--- a/internal/tier/simulation/planted_accounts_test.go
+++ b/internal/tier/simulation/planted_accounts_test.go
@@ -8,14 +8,14 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// lossy is a turn store that forgets what some of its calls charge.
-type lossy struct {
+// lossyTurnStore is a turn store that forgets what some of its calls charge.
+type lossyTurnStore struct {
 	tierv1.TurnStore
 	calls *atomic.Int64
 }
 
 // Settle confirms some settlements of turns that are not kept as if nothing had been handed out.
-func (f lossy) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
+func (f lossyTurnStore) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
 	if !req.Kept && f.calls.Add(1)%5 == 0 {
 		req.Tokens = 0
 	}
@@ -23,15 +23,15 @@
 }
 
 // Accounts: a settlement of a turn that is not kept is lost, and its budget is spent again.
-func TestPlantedLostSettlement(t *testing.T) {
+func TestInjectedFault_LostSettlement(t *testing.T) {
 	var calls atomic.Int64
-	found(t, Seams{Serve: func(inner tierv1.TurnStore) tierv1.TurnStore { return lossy{inner, &calls} }}, RuleBudget)
+	expectFound(t, Hooks{Serve: func(inner tierv1.TurnStore) tierv1.TurnStore { return lossyTurnStore{inner, &calls} }}, RuleBudget)
 }
 
-// deaf is a turn store that confirms releases and does not take them.
-type deaf struct{ tierv1.TurnStore }
+// ignoringTurnStore is a turn store that confirms releases and does not take them.
+type ignoringTurnStore struct{ tierv1.TurnStore }
 
-func (d deaf) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
+func (d ignoringTurnStore) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
 	if !req.Kept {
 		return &tierv1.SettleReply{Verdict: tierv1.Verdict_OK}, nil
 	}
@@ -39,6 +39,6 @@
 }
 
 // Accounts: reservations that were ended still count at their most, and a budget with room is called spent.
-func TestPlantedSpentWithRoom(t *testing.T) {
-	found(t, Seams{Serve: func(inner tierv1.TurnStore) tierv1.TurnStore { return deaf{inner} }}, RuleSpent)
+func TestInjectedFault_BudgetFalselyExhausted(t *testing.T) {
+	expectFound(t, Hooks{Serve: func(inner tierv1.TurnStore) tierv1.TurnStore { return ignoringTurnStore{inner} }}, RuleBudgetExhausted)
 }
--- a/internal/tier/simulation/planted_late_test.go
+++ b/internal/tier/simulation/planted_late_test.go
@@ -13,15 +13,15 @@
 // lateReports is how late a turn store reports whole copies: later than the next loss may come.
 const lateReports = syncTime + 2*time.Second
 
-// late has reports of whole copies come late.
-type late struct {
+// lateSyncedReports has reports of whole copies come late.
+type lateSyncedReports struct {
 	synced SyncedFunc
 
 	mu    sync.Mutex
 	since map[string]time.Time // when each was first reported
 }
 
-func (l *late) reports() ([]*tierv1.SyncedReplica, <-chan struct{}) {
+func (l *lateSyncedReports) reports() ([]*tierv1.SyncedReplica, <-chan struct{}) {
 	all, _ := l.synced()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,18 +40,18 @@
 	}
 	l.since = since
 	changed := make(chan struct{})
-	time.AfterFunc(sampleEvery, func() { close(changed) })
+	time.AfterFunc(sampleInterval, func() { close(changed) })
 	return list, changed
 }
 
 // Point 3: copies that were made anew count only after the next loss may have come. It is found without the rule that all copies are there in
 // the end, by what the next loss takes.
-func TestPlantedLateRepair(t *testing.T) {
-	seams := Seams{Synced: func(_ *turnstore.TurnStore, synced SyncedFunc) SyncedFunc {
-		l := &late{synced: synced}
+func TestInjectedFault_LateRepair(t *testing.T) {
+	seams := Hooks{Synced: func(_ *turnstore.TurnStore, synced SyncedFunc) SyncedFunc {
+		l := &lateSyncedReports{synced: synced}
 		return l.reports
 	}}
-	found(t, seams, RuleRecovery, RuleTurn, RuleBudget)
-	foundIn(t, Batch{Kinds: []Kind{LossesInRow, Wipe, ZoneWipe, Replace}, Options: Options{Seams: seams, Ignore: []Rule{RuleRecovery}}},
+	expectFound(t, seams, RuleRecovery, RuleTurn, RuleBudget)
+	expectFoundInBatch(t, Batch{Kinds: []FaultKind{LossesInRow, Wipe, WipeZone, Replace}, Options: Options{Hooks: seams, Ignore: []Rule{RuleRecovery}}},
 		RuleTurn, RuleBudget)
 }
--- a/internal/tier/simulation/planted_test.go
+++ b/internal/tier/simulation/planted_test.go
@@ -19,17 +19,17 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// plantedSeeds is in how many seeds a planted fault has to be found.
-const plantedSeeds = 200
+// injectedFaultSeeds is in how many seeds a planted fault has to be found.
+const injectedFaultSeeds = 200
 
-// found plays seeds until one breaks one of the rules.
-func found(t *testing.T, seams Seams, rules ...Rule) {
+// expectFound plays seeds until one breaks one of the rules.
+func expectFound(t *testing.T, seams Hooks, rules ...Rule) {
 	t.Helper()
-	foundIn(t, Batch{Options: Options{Seams: seams}}, rules...)
+	expectFoundInBatch(t, Batch{Options: Options{Hooks: seams}}, rules...)
 }
 
-// foundIn plays the seeds of a batch until one breaks one of the rules.
-func foundIn(t *testing.T, batch Batch, rules ...Rule) {
+// expectFoundInBatch plays the seeds of a batch until one breaks one of the rules.
+func expectFoundInBatch(t *testing.T, batch Batch, rules ...Rule) {
 	t.Helper()
 	if testing.Short() || raceDetector {
 		t.Skip("many seeds: played without -short and -race")
@@ -37,7 +37,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var hit *Failure
-	batch.Seeds, batch.Jobs = plantedSeeds, 4
+	batch.Seeds, batch.Jobs = injectedFaultSeeds, 4
 	batch.Failed = func(f Failure) {
 		if hit == nil {
 			hit = &f
@@ -46,23 +46,23 @@
 	}
 	total := batch.Play(ctx)
 	assert.Assert(t, hit != nil, "not found in %d seeds", total.Played)
-	assert.Equal(t, hit.Err, "")
-	t.Logf("found after %d seeds:\n%v%v", total.Played, hit.Script, hit.Broken)
+	assert.Equal(t, hit.SimulatorError, "")
+	t.Logf("found after %d seeds:\n%v%v", total.Played, hit.Script, hit.Violation)
 	for _, rule := range rules {
-		if hit.Broken.Rule == rule {
+		if hit.Violation.Rule == rule {
 			return
 		}
 	}
-	t.Errorf("found by rule %s, not by one of %v", hit.Broken.Rule, rules)
+	t.Errorf("found by rule %s, not by one of %v", hit.Violation.Rule, rules)
 }
 
-// endless is a control state whose lease never ends, and that confirms nothing by a round trip.
-type endless struct {
+// endlessLeaseStore is a control state whose lease never ends, and that confirms nothing by a round trip.
+type endlessLeaseStore struct {
 	controlplane.Store
 	epoch atomic.Uint64
 }
 
-func (s *endless) Primary() (uint64, bool) {
+func (s *endlessLeaseStore) Primary() (uint64, bool) {
 	epoch, ok := s.Store.Primary()
 	if ok {
 		s.epoch.Store(epoch)
@@ -74,21 +74,21 @@
 	return epoch, false
 }
 
-func (s *endless) Confirm(context.Context, uint64) error { return nil }
+func (s *endlessLeaseStore) Confirm(context.Context, uint64) error { return nil }
 
 // Point 1: a primary that was cut off goes on as if it were in touch.
-func TestPlantedEndlessLease(t *testing.T) {
-	found(t, Seams{Store: func(s controlplane.Store) controlplane.Store { return &endless{Store: s} }},
-		RuleRead, RuleStale, RuleFalls, RuleRefusal, RuleRepeat)
+func TestInjectedFault_EndlessLease(t *testing.T) {
+	expectFound(t, Hooks{Store: func(s controlplane.Store) controlplane.Store { return &endlessLeaseStore{Store: s} }},
+		RuleRead, RuleStale, RuleMonotonic, RuleRejection, RuleIdempotent)
 }
 
 // orderRecord is the part of the name of the keys under which the control plane remembers orders.
 const orderRecord = "order"
 
-// forgetful drops what the control plane remembers of orders that were taken.
-type forgetful struct{ controlplane.Store }
+// forgetfulStore drops what the control plane remembers of orders that were taken.
+type forgetfulStore struct{ controlplane.Store }
 
-func (s forgetful) Get(key string) ([]byte, uint64) {
+func (s forgetfulStore) Get(key string) ([]byte, uint64) {
 	if strings.Contains(key, orderRecord) {
 		return nil, 0
 	}
@@ -96,23 +96,23 @@
 }
 
 // Point 2: the record of orders that were taken is lost, and one that comes again is refused.
-func TestPlantedForgottenOrders(t *testing.T) {
-	found(t, Seams{Store: func(s controlplane.Store) controlplane.Store { return forgetful{s} }}, RuleRepeat, RuleRefusal)
+func TestInjectedFault_ForgottenChanges(t *testing.T) {
+	expectFound(t, Hooks{Store: func(s controlplane.Store) controlplane.Store { return forgetfulStore{s} }}, RuleIdempotent, RuleRejection)
 }
 
 // Point 3: a primary reports copies as whole that have not been compared.
-func TestPlantedEarlySynced(t *testing.T) {
+func TestInjectedFault_EarlySynced(t *testing.T) {
 	var mu sync.Mutex
 	maps := map[*turnstore.TurnStore]*tierv1.PartitionMap{}
-	seams := Seams{
-		Map: func(store *turnstore.TurnStore, m *tierv1.PartitionMap) {
+	seams := Hooks{
+		OnPartitionMap: func(store *turnstore.TurnStore, m *tierv1.PartitionMap) {
 			mu.Lock()
 			defer mu.Unlock()
 			maps[store] = m
 		},
-		Tamper: func(d *Delivery) {
+		TamperReply: func(d *Delivery) {
 			if strings.HasSuffix(d.Path, "/Held") { // what is lacking never becomes known
-				d.Answer = []byte{0xff}
+				d.Reply = []byte{0xff}
 			}
 		},
 		Synced: func(store *turnstore.TurnStore, synced SyncedFunc) SyncedFunc {
@@ -123,7 +123,7 @@
 				return allSynced(store.Folder(), maps[store]), changed
 			}
 		}}
-	found(t, seams, RuleTurn, RuleBudget, RuleRecovery)
+	expectFound(t, seams, RuleTurn, RuleBudget, RuleRecovery)
 }
 
 // allSynced reports all copies of a folder's partitions.
@@ -142,10 +142,10 @@
 // partitionMapKey is the key under which the control plane keeps the map of partitions.
 const partitionMapKey = "turnstores"
 
-// unretaining forgets the copies that control took out of the map while they were silent.
-type unretaining struct{ controlplane.Store }
+// unretainingStore forgets the copies that control took out of the map while they were silent.
+type unretainingStore struct{ controlplane.Store }
 
-func (s unretaining) Get(key string) ([]byte, uint64) {
+func (s unretainingStore) Get(key string) ([]byte, uint64) {
 	body, sequence := s.Store.Get(key)
 	if key != partitionMapKey || body == nil {
 		return body, sequence
@@ -153,7 +153,7 @@
 	return withoutRetained(body), sequence
 }
 
-func (s unretaining) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
+func (s unretainingStore) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
 	if body := sets[partitionMapKey]; body != nil {
 		sets = maps.Clone(sets)
 		sets[partitionMapKey] = withoutRetained(body)
@@ -179,94 +179,94 @@
 
 // Point 3: control forgets copies that were taken out while they were silent, and the machine that holds the only synced ones
 // loses its disk.
-func TestPlantedForgottenCopies(t *testing.T) {
+func TestInjectedFault_ForgottenReplicas(t *testing.T) {
 	if testing.Short() || raceDetector {
 		t.Skip("many seeds: played without -short and -race")
 	}
-	seams := Seams{Store: func(s controlplane.Store) controlplane.Store { return unretaining{s} }}
-	for n := range plantedSeeds {
-		result, err := Play(lossAfterLapse, Options{Seams: seams})
+	seams := Hooks{Store: func(s controlplane.Store) controlplane.Store { return unretainingStore{s} }}
+	for n := range injectedFaultSeeds {
+		result, err := Play(lossAfterLapse, Options{Hooks: seams})
 		assert.NilError(t, err)
-		if result.Broken != nil {
-			t.Logf("found after %d plays: %v", n+1, result.Broken)
-			assert.Equal(t, result.Broken.Rule, RuleRecovery)
+		if result.Violation != nil {
+			t.Logf("found after %d plays: %v", n+1, result.Violation)
+			assert.Equal(t, result.Violation.Rule, RuleRecovery)
 			return
 		}
 	}
-	t.Fatalf("not found in %d plays", plantedSeeds)
+	t.Fatalf("not found in %d plays", injectedFaultSeeds)
 }
 
-// lying is a file system of the control plane whose syncs do nothing.
-type lying struct{ wal.FS }
+// unsyncedFS is a file system of the control plane whose syncs do nothing.
+type unsyncedFS struct{ wal.FS }
 
-type lyingHandle struct{ wal.Handle }
+type unsyncedHandle struct{ wal.Handle }
 
-func (lyingHandle) Sync() error { return nil }
+func (unsyncedHandle) Sync() error { return nil }
 
-func (l lying) Open(name string) (wal.Handle, error) {
+func (l unsyncedFS) Open(name string) (wal.Handle, error) {
 	h, err := l.FS.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	return lyingHandle{h}, nil
+	return unsyncedHandle{h}, nil
 }
 
-func (l lying) Create(name string) (wal.Handle, error) {
+func (l unsyncedFS) Create(name string) (wal.Handle, error) {
 	h, err := l.FS.Create(name)
 	if err != nil {
 		return nil, err
 	}
-	return lyingHandle{h}, nil
+	return unsyncedHandle{h}, nil
 }
 
 // Point 4: a member that comes back has forgotten its promises and its copy.
-func TestPlantedForgottenPromise(t *testing.T) {
-	found(t, Seams{Files: func(machine string, files wal.FS) wal.FS {
+func TestInjectedFault_ForgottenPromise(t *testing.T) {
+	expectFound(t, Hooks{Files: func(machine string, files wal.FS) wal.FS {
 		if !strings.HasPrefix(machine, "core-") {
 			return files
 		}
-		return lying{files}
-	}}, RuleChain, RuleRead, RuleStale, RuleFalls, RuleOneValue, RuleRefusal, RuleRecovery)
+		return unsyncedFS{files}
+	}}, RuleChain, RuleRead, RuleStale, RuleMonotonic, RuleOneValue, RuleRejection, RuleRecovery)
 }
 
 // Point 5: an answer comes to another caller.
-func TestPlantedWrongCaller(t *testing.T) {
+func TestInjectedFault_WrongCaller(t *testing.T) {
 	var mu sync.Mutex
 	n := 0
 	var before []byte
-	found(t, Seams{Tamper: func(d *Delivery) {
-		if d.Path != actPath {
+	expectFound(t, Hooks{TamperReply: func(d *Delivery) {
+		if d.Path != runPath {
 			return
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		if n++; n%100 == 0 {
-			d.Answer = before
+			d.Reply = before
 		}
-		before = bytes.Clone(d.Answer)
+		before = bytes.Clone(d.Reply)
 	}}, RuleCaller)
 }
 
 // Point 5: a call that may not be repeated is made twice.
-func TestPlantedSecondCall(t *testing.T) {
+func TestInjectedFault_SecondCall(t *testing.T) {
 	var n atomic.Int64
-	found(t, Seams{Tamper: func(d *Delivery) {
-		if d.Path == actPath && n.Add(1)%100 == 0 {
+	expectFound(t, Hooks{TamperReply: func(d *Delivery) {
+		if d.Path == runPath && n.Add(1)%100 == 0 {
 			d.Repeat()
 		}
 	}}, RuleOnce)
 }
 
 // Copies and members are spread over machines, and zones and regions are lost.
-func TestPlantedSpreadOverMachines(t *testing.T) {
-	found(t, Seams{Settings: func(s *settings.Settings) {
+func TestInjectedFault_ReplicasSpreadOverMachines(t *testing.T) {
+	expectFound(t, Hooks{Settings: func(s *settings.Settings) {
 		s.MachineFailures, s.ZoneFailures, s.RegionFailures = s.Losses(), 0, 0
 	}}, RuleRecovery, RuleTurn, RuleBudget)
 }
 
 // Members of the control plane are spread over machines, and copies over zones.
-func TestPlantedMembersOfOneZone(t *testing.T) {
-	found(t, Seams{Settings: func(s *settings.Settings) {
+func TestInjectedFault_MembersInOneZone(t *testing.T) {
+	expectFound(t, Hooks{Settings: func(s *settings.Settings) {
 		if s.ZoneFailures > 0 && strings.HasPrefix(s.Node, "core-") {
 			s.Zone = s.Node
 		}
--- a/internal/tier/simulation/play.go
+++ b/internal/tier/simulation/play.go
@@ -12,27 +12,27 @@
 // recoveryTime is how long after the last fault everything is well again.
 const recoveryTime = 12 * time.Second
 
-// ordersRepeated is how many orders are sent again at the end.
-const ordersRepeated = 10
+// changesRepeated is how many orders are sent again at the end.
+const changesRepeated = 10
 
-// drainLimit is how long whatever was under way may last at the end. The clock of a bubble stands once its first function
+// drainWait is how long whatever was under way may last at the end. The clock of a bubble stands once its first function
 // has returned, so that this is waited for in it.
-const drainLimit = 10 * time.Second
+const drainWait = 10 * time.Second
 
 // Options change how a script is played.
 type Options struct {
-	Seams  Seams
+	Hooks  Hooks
 	Ignore []Rule    // that are not checked
 	Trace  io.Writer // what processes log and the simulator does, with the time; nil: nowhere. It is written to from many goroutines
 }
 
 // Result tells how a script went.
 type Result struct {
-	Broken   *Violation    // the promise that was broken first, and ended the play; nil: all is well
-	Virtual  time.Duration // time that passed in the bubble
-	Messages int
-	Orders   int // acknowledged
-	Turns    int // served
+	Violation   *Violation    // the promise that was broken first, and ended the play; nil: all is well
+	VirtualTime time.Duration // time that passed in the bubble
+	Messages    int
+	Orders      int // acknowledged
+	Turns       int // served
 }
 
 // Play plays a script in a bubble of its own time. The error tells that the simulator itself failed.
@@ -51,37 +51,37 @@
 
 // result tells how the play went.
 func (w *world) result() Result {
-	r := Result{Virtual: w.now()}
+	r := Result{VirtualTime: w.now()}
 	w.mu.Lock()
-	r.Broken = w.broken
+	r.Violation = w.violation
 	w.mu.Unlock()
 	w.network.mu.Lock()
 	r.Messages = w.network.messages
 	w.network.mu.Unlock()
-	w.checks.orders.mu.Lock()
-	r.Orders = w.checks.orders.confirmed
-	w.checks.orders.mu.Unlock()
+	w.checks.configuration.mu.Lock()
+	r.Orders = w.checks.configuration.confirmed
+	w.checks.configuration.mu.Unlock()
 	w.checks.turns.mu.Lock()
-	r.Turns = w.checks.turns.served
+	r.Turns = w.checks.turns.turnsServed
 	w.checks.turns.mu.Unlock()
 	return r
 }
 
 // play brings the system up, has the script befall it, and checks at the end that all is well again.
 func (w *world) play() {
-	w.outside("platform", platformIP).start()
-	w.outside("endpoint", endpointIP).start()
+	w.addOutsideMachine("platform", platformIP).start()
+	w.addOutsideMachine("endpoint", endpointIP).start()
 	for i := range w.script.Core {
-		w.place(coreName(i), roleControlPlane, w.script.zoneOf(i, w.script.Core))
+		w.addMachine(coreName(i), roleControlPlane, w.script.zoneOf(i, w.script.Core))
 	}
 	for i := range w.script.Stores {
-		w.place(storeName(i), roleTurnStore, w.script.zoneOf(i, w.script.Stores))
+		w.addMachine(storeName(i), roleTurnStore, w.script.zoneOf(i, w.script.Stores))
 	}
 	for i := range w.script.Gateways {
-		w.place(gatewayName(i), roleGateway, w.script.zoneOf(i, w.script.Gateways))
+		w.addMachine(gatewayName(i), roleGateway, w.script.zoneOf(i, w.script.Gateways))
 	}
 	for _, kind := range []roleName{roleControlPlane, roleTurnStore, roleGateway} {
-		for _, m := range w.kind(kind) {
+		for _, m := range w.machinesOfKind(kind) {
 			m.start()
 		}
 	}
@@ -89,34 +89,34 @@
 		o := newOperator(w, fmt.Sprint(operatorPrefix, i+1), fmt.Sprint(outsideNet, 10+i))
 		w.load.Go(o.run)
 	}
-	w.pause(time.Second)
+	w.sleep(time.Second)
 	w.mu.Lock()
 	w.bootstrap = false
 	w.mu.Unlock()
 	var faults sync.WaitGroup
 	for _, f := range w.script.Faults {
-		faults.Go(func() { w.befall(f) })
+		faults.Go(func() { w.injectFault(f) })
 	}
 	faults.Wait()
-	w.note("all faults are over")
-	w.pause(recoveryTime)
-	close(w.calm)
+	w.trace("all faults are over")
+	w.sleep(recoveryTime)
+	close(w.loadStopped)
 	w.load.Wait()
 	if !w.ending() {
-		w.recovered()
+		w.checkRecovery()
 	}
 	w.end()
 }
 
 // end ends all that runs.
 func (w *world) end() {
-	w.network.set(func() { w.network.closed = true })
-	for _, m := range append(append(w.kind(roleControlPlane), w.kind(roleTurnStore)...), w.kind(roleGateway)...) {
+	w.network.update(func() { w.network.closed = true })
+	for _, m := range append(append(w.machinesOfKind(roleControlPlane), w.machinesOfKind(roleTurnStore)...), w.machinesOfKind(roleGateway)...) {
 		m.disk.set(false, false)
 	}
 	w.cancel()
 	w.running.Wait()
-	time.Sleep(drainLimit)
+	time.Sleep(drainWait)
 }
 
 // lockedWriter lets many goroutines write lines.
--- a/internal/tier/simulation/recovery.go
+++ b/internal/tier/simulation/recovery.go
@@ -8,45 +8,45 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// recovered checks that orders and turns are served, that nothing is missing, and that every partition has all its copies.
-func (w *world) recovered() {
-	w.note("recovered?")
+// checkRecovery checks that orders and turns are served, that nothing is missing, and that every partition has all its copies.
+func (w *world) checkRecovery() {
+	w.trace("recovered?")
 	o := newOperator(w, operatorPrefix+"last", watcherIP)
 	if !o.read() {
-		w.report(RuleRecovery, "no read is answered")
+		w.reportViolation(RuleRecovery, "no read is answered")
 	}
-	w.checks.orders.end(o.known)
-	last := w.checks.orders.begin(w.now(), o.known, o.known+10)
-	if !o.send(last) && last.refused == 0 {
-		w.report(RuleRecovery, "no order is acknowledged")
+	w.checks.configuration.checkFinalRevision(o.knownRevision)
+	last := w.checks.configuration.begin(w.now(), o.knownRevision, o.knownRevision+10)
+	if !o.send(last) && last.rejectedStatus == 0 {
+		w.reportViolation(RuleRecovery, "no order is acknowledged")
 	}
-	w.ordersAgain(o)
-	w.members()
-	w.copies()
-	w.turnsStand()
+	w.checkIdempotence(o)
+	w.checkMembers()
+	w.checkReplicas()
+	w.checkTurns()
 	w.mu.Lock()
-	retiring, retired := w.retiring, w.retired
+	retiring, retired := w.retiringNode, w.retired
 	w.mu.Unlock()
 	if retiring != "" && !retired {
-		w.report(RuleRecovery, "%s is not empty yet", retiring)
+		w.reportViolation(RuleRecovery, "%s is not empty yet", retiring)
 	}
 }
 
-// ordersAgain checks that orders which were acknowledged are so again, though others were taken on top of them.
-func (w *world) ordersAgain(o *operator) {
-	for _, old := range w.checks.orders.newest(ordersRepeated) {
+// checkIdempotence checks that orders which were acknowledged are so again, though others were taken on top of them.
+func (w *world) checkIdempotence(o *operator) {
+	for _, old := range w.checks.configuration.newestAcknowledged(changesRepeated) {
 		if !o.send(old) && !w.ending() {
-			w.report(RuleRepeat, "%v was acknowledged, and is not when it comes again", old)
+			w.reportViolation(RuleIdempotent, "%v was acknowledged, and is not when it comes again", old)
 		}
 	}
 }
 
-// members checks that the control plane has all its members, and bears again what it has to: whatever is lost, a majority of the
+// checkMembers checks that the control plane has all its members, and bears again what it has to: whatever is lost, a majority of the
 // members is left, and one of the primary and its backups.
-func (w *world) members() {
+func (w *world) checkMembers() {
 	leader := w.leader()
 	if leader == nil {
-		w.report(RuleRecovery, "nobody is primary")
+		w.reportViolation(RuleRecovery, "nobody is primary")
 		return
 	}
 	p, _ := leader.process()
@@ -57,26 +57,26 @@
 	domains := map[string]string{} // by folder
 	for _, m := range record.GetMembers() {
 		if machine := w.machine(m.Node); machine != nil {
-			domains[m.Folder] = machine.domain()
+			domains[m.Folder] = machine.failureDomain()
 		}
 	}
 	if want := 2*w.script.Losses + 1; len(domains) != want {
-		w.report(RuleRecovery, "the control plane has %d members of %d", len(domains), want)
+		w.reportViolation(RuleRecovery, "the control plane has %d members of %d", len(domains), want)
 	}
-	if left := len(domains) - most(domains, w.script.Losses); left < len(domains)/2+1 {
-		w.report(RuleRecovery, "%d members of %d are left where %d of %v are lost", left, len(domains), w.script.Losses, domains)
+	if left := len(domains) - maxMembersLost(domains, w.script.Losses); left < len(domains)/2+1 {
+		w.reportViolation(RuleRecovery, "%d members of %d are left where %d of %v are lost", left, len(domains), w.script.Losses, domains)
 	}
 	holders := map[string]bool{domains[record.GetPrimary()]: true}
 	for _, folder := range record.GetBackups() {
 		holders[domains[folder]] = true
 	}
 	if len(holders) <= w.script.Losses {
-		w.report(RuleRecovery, "the control state is only in %v", holders)
+		w.reportViolation(RuleRecovery, "the control state is only in %v", holders)
 	}
 }
 
-// most is how many of the members lie in the n domains that have the most of them.
-func most(domains map[string]string, n int) (sum int) {
+// maxMembersLost is how many of the members lie in the n domains that have the most of them.
+func maxMembersLost(domains map[string]string, n int) (sum int) {
 	count := map[string]int{}
 	for _, domain := range domains {
 		count[domain]++
@@ -88,26 +88,26 @@
 	return sum
 }
 
-// copies checks that each partition of the newest map has its copies, all on turn stores that are there, and in as many zones
+// checkReplicas checks that each partition of the newest map has its copies, all on turn stores that are there, and in as many zones
 // or regions where these are lost.
-func (w *world) copies() {
-	ctx, cancel := context.WithTimeout(w.ctx, answerLimit)
+func (w *world) checkReplicas() {
+	ctx, cancel := context.WithTimeout(w.ctx, callTimeout)
 	defer cancel()
 	leader := w.leader()
 	if leader == nil {
-		w.report(RuleRecovery, "nobody is primary")
+		w.reportViolation(RuleRecovery, "nobody is primary")
 		return
 	}
 	watcher := newOperator(w, "watcher", watcherIP)
 	status, err := watcher.process.dialControlPlane(at(leader.ip, internalPort)).Status(ctx, &tierv1.StatusRequest{})
 	if err != nil || status.PartitionMap == nil {
-		w.report(RuleRecovery, "the primary shows no map: %v", err)
+		w.reportViolation(RuleRecovery, "the primary shows no map: %v", err)
 		return
 	}
 	alive, keeps := map[string]string{}, map[string]bool{} // domains of folders that are there
-	for _, m := range w.kind(roleTurnStore) {
+	for _, m := range w.machinesOfKind(roleTurnStore) {
 		if p, _ := m.process(); p != nil {
-			alive[p.role.(*turnStoreRole).store.Folder()] = m.domain()
+			alive[p.role.(*turnStoreRole).store.Folder()] = m.failureDomain()
 		}
 	}
 	short := 0
@@ -129,18 +129,18 @@
 		}
 	}
 	if short > 0 {
-		w.report(RuleRecovery, "%d partitions lack copies", short)
+		w.reportViolation(RuleRecovery, "%d partitions lack copies", short)
 	}
 	for folder := range alive {
-		if !keeps[folder] && !slices.Contains(status.PartitionMap.Retiring, w.nodeOf(folder)) {
-			w.report(RuleRecovery, "%s runs and keeps nothing", w.nodeOf(folder))
+		if !keeps[folder] && !slices.Contains(status.PartitionMap.Retiring, w.nodeOfFolder(folder)) {
+			w.reportViolation(RuleRecovery, "%s runs and keeps nothing", w.nodeOfFolder(folder))
 		}
 	}
 }
 
-// nodeOf gives the machine on which a folder is.
-func (w *world) nodeOf(folder string) string {
-	for _, m := range w.kind(roleTurnStore) {
+// nodeOfFolder gives the machine on which a folder is.
+func (w *world) nodeOfFolder(folder string) string {
+	for _, m := range w.machinesOfKind(roleTurnStore) {
 		if p, _ := m.process(); p != nil && p.role.(*turnStoreRole).store.Folder() == folder {
 			return m.name
 		}
@@ -148,49 +148,49 @@
 	return ""
 }
 
-// turnsStand checks that all turns that were kept are still there, and that all that is charged still is.
-func (w *world) turnsStand() {
-	gateways := w.kind(roleGateway)
+// checkTurns checks that all turns that were kept are still there, and that all that is charged still is.
+func (w *world) checkTurns() {
+	gateways := w.machinesOfKind(roleGateway)
 	p, _ := gateways[0].process()
 	if p == nil {
-		w.report(RuleRecovery, "%s does not run", gateways[0].name)
+		w.reportViolation(RuleRecovery, "%s does not run", gateways[0].name)
 		return
 	}
 	g := p.role.(*gatewayRole)
-	for _, last := range w.checks.turns.newest() {
+	for _, last := range w.checks.turns.newestStoredTurns() {
 		probe := w.checks.turns.begin(&program{name: "probe of " + last, budget: programBudget}, last, 1, 1)
-		if !g.carry(probe, true) {
-			w.report(RuleRecovery, "no turn that goes on from %s is served", last)
+		if !g.runTurn(probe, true) {
+			w.reportViolation(RuleRecovery, "no turn that goes on from %s is served", last)
 		}
 	}
-	for _, p := range w.checks.turns.charged() {
-		least := w.checks.turns.least(p)
+	for _, p := range w.checks.turns.allPrograms() {
+		least := w.checks.turns.minCharge(p)
 		probe := w.checks.turns.begin(p, "", programBudget-min(least, programBudget)+1, 1)
 		if verdict, _ := g.begin(probe); verdict != tierv1.Verdict_SPENT {
-			w.report(RuleBudget, "%s: %d tokens are charged of %d, and %d more are answered %v", p.name, least, p.budget, probe.most, verdict)
+			w.reportViolation(RuleBudget, "%s: %d tokens are charged of %d, and %d more are answered %v", p.name, least, p.budget, probe.maxTokens, verdict)
 		}
 	}
 }
 
-// least is what is charged to a program in any case.
-func (c *turns) least(p *program) uint64 {
+// minCharge is what is charged to a program in any case.
+func (c *turnChecker) minCharge(p *program) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return p.leastCharge()
+	return p.minCharge()
 }
 
-// newest gives the last kept turn of each program.
-func (c *turns) newest() (ids []string) {
-	for _, p := range c.charged() {
-		if kept := c.kept(p); len(kept) > 0 {
+// newestStoredTurns gives the last kept turn of each program.
+func (c *turnChecker) newestStoredTurns() (ids []string) {
+	for _, p := range c.allPrograms() {
+		if kept := c.storedTurns(p); len(kept) > 0 {
 			ids = append(ids, kept[len(kept)-1])
 		}
 	}
 	return ids
 }
 
-// charged gives all programs, in the order of their names.
-func (c *turns) charged() (list []*program) {
+// allPrograms gives all programs, in the order of their names.
+func (c *turnChecker) allPrograms() (list []*program) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.programs {
--- a/internal/tier/simulation/replay.go
+++ b/internal/tier/simulation/replay.go
@@ -55,7 +55,7 @@
 		found = append(found, fmt.Errorf("unknown unit %q", s.Unit))
 	}
 	for i, f := range s.Faults {
-		if !slices.Contains(Kinds(), f.Kind) {
+		if !slices.Contains(FaultKinds(), f.Kind) {
 			found = append(found, fmt.Errorf("faults[%d]: unknown kind %q", i, f.Kind))
 		}
 		if s.Unit == Machines && slices.Contains(domainKinds, f.Kind) {
--- a/internal/tier/simulation/roles.go
+++ b/internal/tier/simulation/roles.go
@@ -40,7 +40,7 @@
 
 // controlPlaneRole is a process of the control plane, put together as its command does it.
 type controlPlaneRole struct {
-	seams Seams
+	hooks Hooks
 	node  *consensus.Node
 }
 
@@ -49,13 +49,13 @@
 	s := m.settings
 	node, err := consensus.Open(consensus.Config{
 		Self:  &tierv1.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, Address: s.Internal(0)},
-		Seeds: s.SeedInternal(), Bootstrap: s.Bootstrap, Losses: s.Losses(), Dir: dataFolder, FS: c.seams.files(m.name, p.files()),
+		Seeds: s.SeedInternal(), Bootstrap: s.Bootstrap, Losses: s.Losses(), Dir: dataFolder, FS: c.hooks.wrapFiles(m.name, p.files()),
 		ContactWindow: s.ContactWindow, Heartbeat: s.Heartbeat, Dial: p.dialElection, Log: p.log})
 	if err != nil {
 		return err
 	}
 	c.node = node
-	plane := controlplane.New(controlplane.Config{Settings: s, Store: c.seams.store(node), Cloud: &http.Client{Transport: p.link}, Log: p.log})
+	plane := controlplane.New(controlplane.Config{Settings: s, Store: c.hooks.wrapStore(node), Cloud: &http.Client{Transport: p.link}, Log: p.log})
 	internal := http.NewServeMux()
 	internal.Handle(tierv1.ElectionPathPrefix, node.Handler())
 	internal.Handle(tierv1.ControlPlanePathPrefix, tierv1.NewControlPlaneServer(plane.Sessions()))
@@ -64,7 +64,7 @@
 	go plane.Run(p.ctx)
 	go func() {
 		if err := node.Run(p.ctx); err != nil {
-			m.world.note("%s: ended: %v", m.name, err)
+			m.world.trace("%s: ended: %v", m.name, err)
 		}
 		p.cancel()
 	}()
@@ -75,36 +75,36 @@
 
 // turnStoreRole is a process that keeps turns, put together as its command does it.
 type turnStoreRole struct {
-	seams Seams
-	store *turnstore.TurnStore
-	held  *session.Client
+	hooks   Hooks
+	store   *turnstore.TurnStore
+	session *session.Client
 }
 
 func (v *turnStoreRole) start(p *process) error {
 	m := p.machine
 	s := m.settings
-	store, err := turnstore.Open(turnstore.Config{Node: s.Node, Dir: dataFolder, FS: v.seams.files(m.name, p.files()), Dial: p.dialTurnStore,
+	store, err := turnstore.Open(turnstore.Config{Node: s.Node, Dir: dataFolder, FS: v.hooks.wrapFiles(m.name, p.files()), Dial: p.dialTurnStore,
 		MemoryBytes: memoryBytes, Log: p.log, ReleaseGracePeriod: turnstore.ReleaseGracePeriod(s.ContactWindow)})
 	if err != nil {
 		return err
 	}
 	v.store = store
-	p.handlers[strconv.Itoa(turnStorePort)] = tierv1.NewTurnStoreServer(v.seams.serve(store))
-	v.held = session.New(session.Config{Settings: s, Role: string(roleTurnStore), Folder: store.Folder(), Address: s.Internal(1),
-		EmptyFolder: store.WasEmpty(), Dial: p.dialControlPlane, Synced: v.seams.synced(store), Disk: store.DiskState, Log: p.log,
+	p.handlers[strconv.Itoa(turnStorePort)] = tierv1.NewTurnStoreServer(v.hooks.wrapServer(store))
+	v.session = session.New(session.Config{Settings: s, Role: string(roleTurnStore), Folder: store.Folder(), Address: s.Internal(1),
+		EmptyFolder: store.WasEmpty(), Dial: p.dialControlPlane, Synced: v.hooks.wrapSynced(store), Disk: store.DiskState, Log: p.log,
 		PartitionMap: func(t *tierv1.PartitionMap) {
-			if !p.over() {
-				m.world.checks.views.tookMap(m.name, p, t)
+			if !p.ended() {
+				m.world.checks.views.recordPartitionMap(m.name, p, t)
 			}
-			if v.seams.Map != nil {
-				v.seams.Map(store, t)
+			if v.hooks.OnPartitionMap != nil {
+				v.hooks.OnPartitionMap(store, t)
 			}
 			store.ApplyPartitionMap(t)
 		}})
-	go v.held.Run(p.ctx)
+	go v.session.Run(p.ctx)
 	go func() {
 		if err := store.Run(p.ctx); err != nil {
-			m.world.note("%s: ended: %v", m.name, err)
+			m.world.trace("%s: ended: %v", m.name, err)
 		}
 		p.cancel()
 		_ = store.Close()
@@ -114,8 +114,8 @@
 
 // leave hands the partitions over, for half of the grace at most.
 func (v *turnStoreRole) leave(ctx context.Context) {
-	v.held.Drain()
-	ctx, cancel := context.WithTimeout(ctx, grace/2)
+	v.session.Drain()
+	ctx, cancel := context.WithTimeout(ctx, gracePeriod/2)
 	defer cancel()
 	v.store.AwaitHandover(ctx)
 }
--- a/internal/tier/simulation/script.go
+++ b/internal/tier/simulation/script.go
@@ -11,66 +11,66 @@
 // ScriptVersion is the version of scripts that this package draws and plays.
 const ScriptVersion = 2
 
-// Kind is what a fault does.
-type Kind string
+// FaultKind is what a fault does.
+type FaultKind string
 
 // Kinds of faults. The first group takes a counted machine away, or its disk or its links; Duration is how long.
 const (
-	Kill        Kind = "kill"         // the process ends, the disk stays as the process saw it
-	PowerLoss   Kind = "power-loss"   // the machine is dark; what was not synced may be gone, all or a part
-	Wipe        Kind = "wipe"         // as a loss of power, and the disk comes back empty
-	Replace     Kind = "replace"      // gone for good; another machine with an empty disk comes at another address
-	Move        Kind = "move"         // planned: another machine of the control plane comes first, then this one goes for good
-	Terminate   Kind = "terminate"    // SIGTERM: a turn store hands its partitions over first
-	Pause       Kind = "pause"        // the process is frozen: nothing comes in or goes out, and nothing is lost
-	Cut         Kind = "cut"          // no message comes in or goes out
-	CutInbound  Kind = "cut-inbound"  // no message comes in
-	CutOutbound Kind = "cut-outbound" // no message goes out
-	CutLeader   Kind = "cut-leader"   // the primary is cut off together with the gateways of odd numbers
-
-	CutNear         Kind = "cut-near"          // a machine of the control plane is cut off together with those beside it
-	CutNearInbound  Kind = "cut-near-inbound"  // the same, and only no message comes in
-	CutNearOutbound Kind = "cut-near-outbound" // the same, and only no message goes out
-	CutConfirming   Kind = "cut-confirming"    // as cut-near, while the primary is writing an order
-
-	DiskFull  Kind = "disk-full"  // each write fails
-	DiskStuck Kind = "disk-stuck" // each sync waits
-
-	ZoneKill        Kind = "zone-kill" // the second group takes all of a zone, or of a region: Machine is its name
-	ZonePowerLoss   Kind = "zone-power-loss"
-	ZoneWipe        Kind = "zone-wipe"
-	ZoneCut         Kind = "zone-cut" // those in it reach each other
-	ZoneCutInbound  Kind = "zone-cut-inbound"
-	ZoneCutOutbound Kind = "zone-cut-outbound"
-
-	RestartAll   Kind = "restart-all"    // all processes of the control plane and the turn stores are killed
-	PowerLossAll Kind = "power-loss-all" // and their machines lose power; disks are kept
-
-	SplitCore   Kind = "split-core"    // the control plane is cut into two halves; all others reach both
-	SplitOneWay Kind = "split-one-way" // the same, and the other half still hears the first
-
-	KillGateway Kind = "kill-gateway"  // gateways aren't counted
-	SeedsCutOff Kind = "seeds-cut-off" // as kill-gateway, and the next process is told of no control-plane machines but those that are cut off
-	Add         Kind = "add"           // one more turn store
-	Retire      Kind = "retire"        // the order to empty a turn store
-	LoseAnswers Kind = "lose-answers"  // half of the answers to operators are lost
-	Reorder     Kind = "reorder"       // some messages come twice, or late
-	Trouble     Kind = "trouble"       // some messages are lost
-	RivalOrders Kind = "rival-orders"  // pairs of orders of the same revision on the same one, at two machines
-	LossesInRow Kind = "losses-in-row" // losses follow each other as soon as they may, and operators order without rest
+	Kill              FaultKind = "kill"         // the process ends, the disk stays as the process saw it
+	PowerLoss         FaultKind = "power-loss"   // the machine is dark; what was not synced may be gone, all or a part
+	Wipe              FaultKind = "wipe"         // as a loss of power, and the disk comes back empty
+	Replace           FaultKind = "replace"      // gone for good; another machine with an empty disk comes at another address
+	Move              FaultKind = "move"         // planned: another machine of the control plane comes first, then this one goes for good
+	Terminate         FaultKind = "terminate"    // SIGTERM: a turn store hands its partitions over first
+	Pause             FaultKind = "pause"        // the process is frozen: nothing comes in or goes out, and nothing is lost
+	Partition         FaultKind = "cut"          // no message comes in or goes out
+	PartitionInbound  FaultKind = "cut-inbound"  // no message comes in
+	PartitionOutbound FaultKind = "cut-outbound" // no message goes out
+	PartitionLeader   FaultKind = "cut-leader"   // the primary is cut off together with the gateways of odd numbers
+
+	PartitionNear         FaultKind = "cut-near"          // a machine of the control plane is cut off together with those beside it
+	PartitionNearInbound  FaultKind = "cut-near-inbound"  // the same, and only no message comes in
+	PartitionNearOutbound FaultKind = "cut-near-outbound" // the same, and only no message goes out
+	PartitionConfirming   FaultKind = "cut-confirming"    // as cut-near, while the primary is writing an order
+
+	DiskFull  FaultKind = "disk-full"  // each write fails
+	DiskStuck FaultKind = "disk-stuck" // each sync waits
+
+	KillZone              FaultKind = "zone-kill" // the second group takes all of a zone, or of a region: Machine is its name
+	PowerLossZone         FaultKind = "zone-power-loss"
+	WipeZone              FaultKind = "zone-wipe"
+	PartitionZone         FaultKind = "zone-cut" // those in it reach each other
+	PartitionZoneInbound  FaultKind = "zone-cut-inbound"
+	PartitionZoneOutbound FaultKind = "zone-cut-outbound"
+
+	RestartAll   FaultKind = "restart-all"    // all processes of the control plane and the turn stores are killed
+	PowerLossAll FaultKind = "power-loss-all" // and their machines lose power; disks are kept
+
+	SplitCore   FaultKind = "split-core"    // the control plane is cut into two halves; all others reach both
+	SplitOneWay FaultKind = "split-one-way" // the same, and the other half still hears the first
+
+	KillGateway       FaultKind = "kill-gateway"  // gateways aren't counted
+	PartitionSeeds    FaultKind = "seeds-cut-off" // as kill-gateway, and the next process is told of no control-plane machines but those that are cut off
+	Add               FaultKind = "add"           // one more turn store
+	Retire            FaultKind = "retire"        // the order to empty a turn store
+	LoseResponses     FaultKind = "lose-answers"  // half of the answers to operators are lost
+	Reorder           FaultKind = "reorder"       // some messages come twice, or late
+	LoseMessages      FaultKind = "trouble"       // some messages are lost
+	ConcurrentChanges FaultKind = "rival-orders"  // pairs of orders of the same revision on the same one, at two machines
+	LossesInRow       FaultKind = "losses-in-row" // losses follow each other as soon as they may, and operators order without rest
 )
 
-// Kinds gives all kinds, those that take a counted machine first.
-func Kinds() []Kind { return slices.Concat(counted, domainKinds, others) }
+// FaultKinds gives all kinds, those that take a counted machine first.
+func FaultKinds() []FaultKind { return slices.Concat(countedKinds, domainKinds, otherKinds) }
 
 var (
-	counted = []Kind{Kill, PowerLoss, Wipe, Replace, Move, Terminate, Pause, Cut, CutInbound, CutOutbound, CutLeader, DiskFull, DiskStuck,
-		CutNear, CutNearInbound, CutNearOutbound, CutConfirming}
-	domainKinds = []Kind{ZoneKill, ZonePowerLoss, ZoneWipe, ZoneCut, ZoneCutInbound, ZoneCutOutbound}
-	others      = []Kind{RestartAll, PowerLossAll, SplitCore, SplitOneWay, KillGateway, SeedsCutOff, Add, Retire, LoseAnswers, Reorder, Trouble, RivalOrders,
+	countedKinds = []FaultKind{Kill, PowerLoss, Wipe, Replace, Move, Terminate, Pause, Partition, PartitionInbound, PartitionOutbound, PartitionLeader, DiskFull, DiskStuck,
+		PartitionNear, PartitionNearInbound, PartitionNearOutbound, PartitionConfirming}
+	domainKinds = []FaultKind{KillZone, PowerLossZone, WipeZone, PartitionZone, PartitionZoneInbound, PartitionZoneOutbound}
+	otherKinds  = []FaultKind{RestartAll, PowerLossAll, SplitCore, SplitOneWay, KillGateway, PartitionSeeds, Add, Retire, LoseResponses, Reorder, LoseMessages, ConcurrentChanges,
 		LossesInRow}
-	takeMore  = []Kind{RestartAll, PowerLossAll, SplitCore, SplitOneWay} // than is to be borne
-	nearKinds = []Kind{CutNear, CutNearInbound, CutNearOutbound, CutConfirming}
+	excessKinds = []FaultKind{RestartAll, PowerLossAll, SplitCore, SplitOneWay} // than is to be borne
+	nearKinds   = []FaultKind{PartitionNear, PartitionNearInbound, PartitionNearOutbound, PartitionConfirming}
 )
 
 // Leader as a fault's machine is the control plane's primary when the fault begins.
@@ -82,10 +82,10 @@
 
 // Fault is one entry of a script.
 type Fault struct {
-	AtMS       int64  `json:"at_ms"` // from the start of the system
-	DurationMS int64  `json:"duration_ms,omitempty"`
-	Kind       Kind   `json:"kind"`
-	Machine    string `json:"machine,omitempty"`
+	AtMS       int64     `json:"at_ms"` // from the start of the system
+	DurationMS int64     `json:"duration_ms,omitempty"`
+	Kind       FaultKind `json:"kind"`
+	Machine    string    `json:"machine,omitempty"`
 
 	Side []string `json:"side,omitempty"` // machines that are cut off together with it
 }
@@ -102,29 +102,29 @@
 	return line
 }
 
-// Unit is what is lost as one.
-type Unit string
+// LossUnit is what is lost as one.
+type LossUnit string
 
 // Units. Machines are meant where there is none.
 const (
-	Machines Unit = ""
-	Zones    Unit = "zones"
-	Regions  Unit = "regions"
+	Machines LossUnit = ""
+	Zones    LossUnit = "zones"
+	Regions  LossUnit = "regions"
 )
 
 // Script is a system and what befalls it. Seed draws the rest: delays, and what operators and clients do.
 type Script struct {
-	Version  int     `json:"version"`
-	Seed     uint64  `json:"seed"`
-	Core     int     `json:"core"` // machines of the control plane
-	Stores   int     `json:"stores"`
-	Gateways int     `json:"gateways"`
-	Losses   int     `json:"losses"` // counted machines, zones or regions that may be lost at once
-	Unit     Unit    `json:"unit,omitempty"`
-	Zones    int     `json:"zones,omitempty"`   // over which the machines are placed; 0: 3
-	Packed   bool    `json:"packed,omitempty"`  // zone by zone, and not in turn: the seeds then lie in one or two zones
-	Regions  int     `json:"regions,omitempty"` // over which the zones are; 0: 1
-	Faults   []Fault `json:"faults"`
+	Version  int      `json:"version"`
+	Seed     uint64   `json:"seed"`
+	Core     int      `json:"core"` // machines of the control plane
+	Stores   int      `json:"stores"`
+	Gateways int      `json:"gateways"`
+	Losses   int      `json:"losses"` // counted machines, zones or regions that may be lost at once
+	Unit     LossUnit `json:"unit,omitempty"`
+	Zones    int      `json:"zones,omitempty"`   // over which the machines are placed; 0: 3
+	Packed   bool     `json:"packed,omitempty"`  // zone by zone, and not in turn: the seeds then lie in one or two zones
+	Regions  int      `json:"regions,omitempty"` // over which the zones are; 0: 1
+	Faults   []Fault  `json:"faults"`
 }
 
 // String gives the script as lines.
--- a/internal/tier/simulation/script_test.go
+++ b/internal/tier/simulation/script_test.go
@@ -14,30 +14,30 @@
 
 // Never are more counted machines, or zones or regions, lost at once than are to be borne. One that is back counts as lost until it
 // is in step again. Messages may be lost meanwhile, which takes no machine.
-func TestDrawnLossesAreBorne(t *testing.T) {
+func TestGenerate_LossesWithinTolerance(t *testing.T) {
 	troubled := 0 // losses of machines while messages are lost
-	units := map[Unit]int{}
+	units := map[LossUnit]int{}
 	for seed := range uint64(5000) {
-		s := Draw(seed)
+		s := Generate(seed)
 		assert.NilError(t, s.check())
 		units[s.Unit]++
 		for _, f := range s.Faults {
 			lost := 0
 			for _, other := range s.Faults {
 				if overlap(f, other) {
-					lost += taken(other)
+					lost += countLosses(other)
 				}
 			}
-			if taken(f) > 0 {
+			if countLosses(f) > 0 {
 				assert.Assert(t, lost <= s.Losses, "%v%v", s, f)
-				if slices.ContainsFunc(s.Faults, func(other Fault) bool { return other.Kind == Trouble && overlap(f, other) }) {
+				if slices.ContainsFunc(s.Faults, func(other Fault) bool { return other.Kind == LoseMessages && overlap(f, other) }) {
 					troubled++
 				}
 			}
 			if takesMore(f) {
 				assert.Equal(t, lost, 0, "%v%v", s, f)
 			}
-			if taken(f) > 0 || takesMore(f) {
+			if countLosses(f) > 0 || takesMore(f) {
 				for _, other := range s.Faults {
 					assert.Assert(t, other.AtMS == f.AtMS && other.Kind == f.Kind || !takesMore(other) || !overlap(f, other), "%v%v", s, f)
 				}
@@ -48,9 +48,9 @@
 	assert.Assert(t, units[Machines] > 2500 && units[Zones] > 500 && units[Regions] > 100, "%v", units)
 }
 
-// taken is how many counted machines, or zones or regions, a fault takes.
-func taken(f Fault) (n int) {
-	if !slices.Contains(counted, f.Kind) && !slices.Contains(domainKinds, f.Kind) {
+// countLosses is how many counted machines, or zones or regions, a fault takes.
+func countLosses(f Fault) (n int) {
+	if !slices.Contains(countedKinds, f.Kind) && !slices.Contains(domainKinds, f.Kind) {
 		return 0
 	}
 	for _, name := range f.Side {
@@ -67,9 +67,9 @@
 }
 
 // Zones and regions are lost only in systems that count these, with room for copies and members in others.
-func TestDrawnZones(t *testing.T) {
+func TestGenerate_Zones(t *testing.T) {
 	for seed := range uint64(2000) {
-		s := Draw(seed)
+		s := Generate(seed)
 		core, stores := map[string]bool{}, map[string]bool{}
 		for i := range s.Core {
 			core[s.domainOf(coreName(i))] = true
@@ -89,16 +89,16 @@
 		}
 	}
 	for seed := range uint64(100) {
-		assert.Assert(t, Draw(seed, ZoneWipe).Unit != Machines)
-		assert.Equal(t, Draw(seed, Wipe).Unit, Machines)
+		assert.Assert(t, Generate(seed, WipeZone).Unit != Machines)
+		assert.Equal(t, Generate(seed, Wipe).Unit, Machines)
 	}
 }
 
 // A cut with those beside the machine lasts long, and is of one machine of the control plane that counts.
-func TestDrawnNearCuts(t *testing.T) {
-	returns := map[Kind]int{} // what comes as the machine comes back
+func TestGenerate_NearPartitions(t *testing.T) {
+	returns := map[FaultKind]int{} // what comes as the machine comes back
 	for seed := range uint64(1000) {
-		s := Draw(seed, nearKinds...)
+		s := Generate(seed, nearKinds...)
 		for _, f := range s.Faults {
 			if !slices.Contains(nearKinds, f.Kind) {
 				continue
@@ -108,33 +108,33 @@
 			assert.Assert(t, strings.HasPrefix(f.Side[0], "gateway-"), "%v", s)
 			for _, other := range s.Faults {
 				after := other.at() - f.at() - f.duration()
-				if other.Kind == SeedsCutOff && other.at() > f.at() && after < 0 {
-					returns[SeedsCutOff]++
+				if other.Kind == PartitionSeeds && other.at() > f.at() && after < 0 {
+					returns[PartitionSeeds]++
 				}
-				if other.Kind == RivalOrders && after >= -rivalsBefore-time.Millisecond && after <= 0 {
-					returns[RivalOrders]++
+				if other.Kind == ConcurrentChanges && after >= -rivalsLeadTime-time.Millisecond && after <= 0 {
+					returns[ConcurrentChanges]++
 				}
-				if other.Machine == Leader && (after >= 0 && after <= nextLossMost || after >= syncTime-time.Millisecond && after <= syncTime+nextLossMost) {
+				if other.Machine == Leader && (after >= 0 && after <= maxNextLossDelay || after >= syncTime-time.Millisecond && after <= syncTime+maxNextLossDelay) {
 					returns[Kill]++
 				}
 			}
 		}
 	}
-	for _, kind := range []Kind{SeedsCutOff, RivalOrders, Kill} {
+	for _, kind := range []FaultKind{PartitionSeeds, ConcurrentChanges, Kill} {
 		assert.Assert(t, returns[kind] > 100, "%v", returns)
 	}
 }
 
 // Losses in a row: each begins 0 to 50 ms after one before it counts no more.
-func TestDrawnLossesInARow(t *testing.T) {
+func TestGenerate_LossesInRow(t *testing.T) {
 	rows := 0
 	for seed := range uint64(500) {
-		s := Draw(seed, LossesInRow)
+		s := Generate(seed, LossesInRow)
 		i := slices.IndexFunc(s.Faults, func(f Fault) bool { return f.Kind == LossesInRow })
 		assert.Assert(t, i >= 0, "%v", s)
 		row := s.Faults[i]
 		assert.Assert(t, row.at()+row.duration() <= 2*time.Minute, "%v", s)
-		losses := slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool { return taken(f) == 0 })
+		losses := slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool { return countLosses(f) == 0 })
 		assert.Assert(t, len(losses) >= 6, "%v", s)
 		for n, f := range losses {
 			if n < s.Losses {
@@ -142,7 +142,7 @@
 			}
 			assert.Assert(t, slices.ContainsFunc(losses[:n], func(before Fault) bool {
 				late := f.at() - before.at() - before.duration() - syncTime
-				return late >= -time.Millisecond && late <= nextLossMost+time.Millisecond
+				return late >= -time.Millisecond && late <= maxNextLossDelay+time.Millisecond
 			}), "%v%v", s, f)
 		}
 		rows++
@@ -155,34 +155,34 @@
 	return other.at() <= f.at() && f.at() < other.at()+other.duration()+syncTime-time.Millisecond
 }
 
-func TestDrawnScriptsDependOnTheSeedAlone(t *testing.T) {
+func TestGenerate_Deterministic(t *testing.T) {
 	for seed := range uint64(100) {
-		assert.DeepEqual(t, Draw(seed), Draw(seed))
+		assert.DeepEqual(t, Generate(seed), Generate(seed))
 	}
-	kinds := map[Kind]bool{}
+	kinds := map[FaultKind]bool{}
 	for seed := range uint64(1000) {
-		for _, f := range Draw(seed).Faults {
+		for _, f := range Generate(seed).Faults {
 			kinds[f.Kind] = true
 		}
 	}
-	assert.Equal(t, len(kinds), len(Kinds()))
-	for _, f := range Draw(7, Kill).Faults {
+	assert.Equal(t, len(kinds), len(FaultKinds()))
+	for _, f := range Generate(7, Kill).Faults {
 		assert.Equal(t, f.Kind, Kill)
 	}
 }
 
-func TestScriptsAreWrittenAndRead(t *testing.T) {
+func TestScript_WriteAndRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "script.json")
-	want := Draw(12)
+	want := Generate(12)
 	assert.NilError(t, want.Write(path))
 	got, err := Read(path)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, want)
 }
 
-func TestAScriptOfAnotherVersionIsRefused(t *testing.T) {
+func TestRead_OtherVersion(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "script.json")
-	s := Draw(12)
+	s := Generate(12)
 	s.Version++
 	assert.NilError(t, s.Write(path))
 	_, err := Read(path)
@@ -190,7 +190,7 @@
 	assert.ErrorContains(t, err, "version 3, this program plays 2")
 }
 
-func TestAllThatIsWrongWithAScriptIsTold(t *testing.T) {
+func TestRead_ReportsAllFindings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "script.json")
 	assert.NilError(t, os.WriteFile(path, []byte(`{"version":2,"core":1,"stores":3,"gateways":2,"losses":1,
 		"unit":"racks","faults":[{"at_ms":1,"kind":"flood"},{"at_ms":-1,"kind":"kill"}]}`), 0o600))
@@ -200,8 +200,8 @@
 	}
 }
 
-func TestAZoneFaultWantsZones(t *testing.T) {
-	s := Script{Core: 3, Stores: 3, Gateways: 2, Losses: 1, Faults: []Fault{{Kind: ZoneKill, Machine: "zone-1"}}}
+func TestScript_ZoneFaultNeedsZones(t *testing.T) {
+	s := Script{Core: 3, Stores: 3, Gateways: 2, Losses: 1, Faults: []Fault{{Kind: KillZone, Machine: "zone-1"}}}
 	assert.ErrorContains(t, s.check(), "faults[0]: zone-kill, and machines are lost")
 	s.Unit = Zones
 	assert.NilError(t, s.check())
@@ -211,11 +211,11 @@
 
 // A script that fails with two of its entries, one of which is long enough, is shrunk to these.
 func TestShrink(t *testing.T) {
-	s := Script{Faults: []Fault{{Kind: Kill, DurationMS: 3000}, {Kind: Wipe, DurationMS: 4000}, {Kind: Pause, DurationMS: 2000}, {Kind: Cut, DurationMS: 900}}}
+	s := Script{Faults: []Fault{{Kind: Kill, DurationMS: 3000}, {Kind: Wipe, DurationMS: 4000}, {Kind: Pause, DurationMS: 2000}, {Kind: Partition, DurationMS: 900}}}
 	short := Shrink(s, func(s Script) bool {
 		wipe := slices.IndexFunc(s.Faults, func(f Fault) bool { return f.Kind == Wipe && f.DurationMS >= 1000 })
-		cut := slices.IndexFunc(s.Faults, func(f Fault) bool { return f.Kind == Cut })
+		cut := slices.IndexFunc(s.Faults, func(f Fault) bool { return f.Kind == Partition })
 		return wipe >= 0 && cut > wipe
 	})
-	assert.DeepEqual(t, short.Faults, []Fault{{Kind: Wipe, DurationMS: 1000}, {Kind: Cut, DurationMS: 112}})
+	assert.DeepEqual(t, short.Faults, []Fault{{Kind: Wipe, DurationMS: 1000}, {Kind: Partition, DurationMS: 112}})
 }
--- a/internal/tier/simulation/shrink.go
+++ b/internal/tier/simulation/shrink.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Fails tells whether a script breaks a promise. As no play is quite like another, it may play the script several times.
-type Fails func(Script) bool
+// FailsFunc tells whether a script breaks a promise. As no play is quite like another, it may play the script several times.
+type FailsFunc func(Script) bool
 
 // Shrink gives a script as short as it finds that still fails: entries are dropped, then made shorter.
-func Shrink(s Script, fails Fails) Script {
+func Shrink(s Script, fails FailsFunc) Script {
 	for changed := true; changed; {
 		changed = false
 		for i := len(s.Faults) - 1; i >= 0; i-- {
@@ -18,7 +18,7 @@
 		}
 	}
 	for i := range s.Faults {
-		for s.Faults[i].DurationMS > shortest {
+		for s.Faults[i].DurationMS > minFaultDuration {
 			shorter := s
 			shorter.Faults = slices.Clone(s.Faults)
 			shorter.Faults[i].DurationMS /= 2
@@ -31,5 +31,5 @@
 	return s
 }
 
-// shortest is the duration of a fault, in milliseconds, at which no shorter one is tried.
-const shortest = 200
+// minFaultDuration is the duration of a fault, in milliseconds, at which no shorter one is tried.
+const minFaultDuration = 200
--- a/internal/tier/simulation/simulation_test.go
+++ b/internal/tier/simulation/simulation_test.go
@@ -17,9 +17,9 @@
 	seedsShort = 4
 )
 
-func TestSeeds(t *testing.T) {
+func TestPlayInWorkers_Seeds(t *testing.T) {
 	batch := Batch{Seeds: seeds, Jobs: runtime.GOMAXPROCS(0), Failed: func(f Failure) {
-		t.Errorf("%v%v %s\n%s", f.Script, f.Broken, f.Err, f.Trace)
+		t.Errorf("%v%v %s\n%s", f.Script, f.Violation, f.SimulatorError, f.Trace)
 	}}
 	if testing.Short() || raceDetector {
 		batch.Seeds = seedsShort
@@ -32,43 +32,43 @@
 		return c
 	})
 	assert.NilError(t, err)
-	t.Logf("%+v, %.0f seeds a minute", total, float64(total.Played)/total.Real.Minutes())
+	t.Logf("%+v, %.0f seeds a minute", total, float64(total.Played)/total.RealTime.Minutes())
 	assert.Equal(t, total.Played, batch.Seeds)
 	assert.Assert(t, total.Orders > 0 && total.Turns > 0, "%+v", total)
 }
 
-func TestCalm(t *testing.T) {
+func TestPlay_WithoutFaults(t *testing.T) {
 	result, err := Play(Script{Version: ScriptVersion, Seed: 1, Core: 3, Stores: 3, Gateways: 2, Losses: 1}, Options{})
 	assert.NilError(t, err)
-	assert.Assert(t, result.Broken == nil, "%v", result.Broken)
+	assert.Assert(t, result.Violation == nil, "%v", result.Violation)
 	assert.Assert(t, result.Orders > 5 && result.Turns > 50, "%+v", result)
 }
 
 // lossAfterLapse: messages are lost, so that the session of a turn store lapses and its copies are taken out; right after that
 // the machine that holds the only synced copies loses its disk.
 var lossAfterLapse = Script{Version: ScriptVersion, Seed: 2327, Core: 3, Stores: 3, Gateways: 2, Losses: 1, Faults: []Fault{
-	{AtMS: 6568, DurationMS: 1433, Kind: Trouble}, {AtMS: 7638, DurationMS: 128, Kind: Wipe, Machine: "store-1"}}}
+	{AtMS: 6568, DurationMS: 1433, Kind: LoseMessages}, {AtMS: 7638, DurationMS: 128, Kind: Wipe, Machine: "store-1"}}}
 
 // The retained copies bring everything back.
-func TestALossRightAfterALapse(t *testing.T) {
+func TestPlay_LossAfterSessionExpiry(t *testing.T) {
 	for range 3 {
 		result, err := Play(lossAfterLapse, Options{})
 		assert.NilError(t, err)
-		assert.Assert(t, result.Broken == nil, "%v", result.Broken)
+		assert.Assert(t, result.Violation == nil, "%v", result.Violation)
 	}
 }
 
 // lossAfterMove: a machine of the control plane is replaced as planned, messages are lost while another becomes a member in its place, and
 // the next machine is lost as soon as it may be.
 var lossAfterMove = Script{Version: ScriptVersion, Seed: 21461, Core: 3, Stores: 4, Gateways: 2, Losses: 1, Faults: []Fault{
-	{AtMS: 5582, DurationMS: 2349, Kind: Move, Machine: "core-2"}, {AtMS: 9608, DurationMS: 2089, Kind: Trouble},
+	{AtMS: 5582, DurationMS: 2349, Kind: Move, Machine: "core-2"}, {AtMS: 9608, DurationMS: 2089, Kind: LoseMessages},
 	{AtMS: 11932, DurationMS: 3825, Kind: Replace, Machine: "core-1"}}}
 
 // The place is taken in time.
-func TestALossRightAfterAMove(t *testing.T) {
+func TestPlay_LossAfterMove(t *testing.T) {
 	for range 3 {
 		result, err := Play(lossAfterMove, Options{})
 		assert.NilError(t, err)
-		assert.Assert(t, result.Broken == nil, "%v", result.Broken)
+		assert.Assert(t, result.Violation == nil, "%v", result.Violation)
 	}
 }
--- a/internal/tier/simulation/turns.go
+++ b/internal/tier/simulation/turns.go
@@ -8,43 +8,43 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// turns checks what gateways are answered by turn stores: no turn that was kept is missing or changed, no budget is exceeded, and
+// turnChecker checks what gateways are answered by turn stores: no turn that was kept is missing or changed, no budget is exceeded, and
 // none is called spent that has room.
-type turns struct {
+type turnChecker struct {
 	report reporter
 
-	mu       sync.Mutex
-	programs map[string]*program
-	attempts map[string]*attempt
-	number   int
-	events   int // that were noted: the order of what was begun and settled
-	served   int
-	answered int            // by endpoints
-	acts     map[string]int // of endpoints, by attempt
+	mu          sync.Mutex
+	programs    map[string]*program
+	attempts    map[string]*attempt
+	number      int
+	events      int // that were noted: the order of what was begun and settled
+	turnsServed int
+	answered    int            // by endpoints
+	runs        map[string]int // of endpoints, by attempt
 }
 
 // program is a budget and the attempts charged to it.
 type program struct {
-	name     string
-	budget   uint64
-	attempts []*attempt
-	spent    bool
+	name      string
+	budget    uint64
+	attempts  []*attempt
+	exhausted bool
 }
 
 // attempt is a turn on its way.
 type attempt struct {
-	id, previous string
-	program      *program
-	most, tokens uint64
-	granted      bool // Begin was answered OK
-	settling     bool // Settle was sent
-	settled      bool // Settle was answered OK
-	began, ended int  // when it began and was settled, in events
-	kept         bool // and the turn is to be kept
+	id, previous       string
+	program            *program
+	maxTokens, tokens  uint64
+	reserved           bool // Begin was answered OK
+	settleSent         bool // Settle was sent
+	settleAcknowledged bool // Settle was answered OK
+	began, ended       int  // when it began and was settled, in events
+	stored             bool // and the turn is to be kept
 }
 
 func (a *attempt) String() string {
-	return fmt.Sprintf("%s of %s after %q, at most %d tokens", a.id, a.program.name, a.previous, a.most)
+	return fmt.Sprintf("%s of %s after %q, at most %d tokens", a.id, a.program.name, a.previous, a.maxTokens)
 }
 
 func (a *attempt) output() string { return "out of " + a.id + "\n" }
@@ -54,12 +54,12 @@
 		Output: []byte(a.output()), RetentionMs: uint32(retention.Milliseconds())}
 }
 
-func newTurns(report reporter) *turns {
-	return &turns{report: report, programs: map[string]*program{}, attempts: map[string]*attempt{}, acts: map[string]int{}}
+func newTurnChecker(report reporter) *turnChecker {
+	return &turnChecker{report: report, programs: map[string]*program{}, attempts: map[string]*attempt{}, runs: map[string]int{}}
 }
 
 // program gives the newest generation of a program: where the budget of one is spent, another follows.
-func (c *turns) program(place int) *program {
+func (c *turnChecker) program(place int) *program {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for generation := 0; ; generation++ {
@@ -69,61 +69,61 @@
 			p = &program{name: name, budget: programBudget}
 			c.programs[name] = p
 		}
-		if !p.spent {
+		if !p.exhausted {
 			return p
 		}
 	}
 }
 
 // begin notes an attempt before it is first sent.
-func (c *turns) begin(p *program, previous string, most, tokens uint64) *attempt {
+func (c *turnChecker) begin(p *program, previous string, most, tokens uint64) *attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.number++
 	c.events++
-	a := &attempt{id: fmt.Sprint("attempt-", c.number), previous: previous, program: p, most: most, tokens: tokens, began: c.events}
+	a := &attempt{id: fmt.Sprint("attempt-", c.number), previous: previous, program: p, maxTokens: most, tokens: tokens, began: c.events}
 	p.attempts = append(p.attempts, a)
 	c.attempts[a.id] = a
 	return a
 }
 
-// kept gives the ids of a program's kept turns, in the order in which they were begun.
-func (c *turns) kept(p *program) (ids []string) {
+// storedTurns gives the ids of a program's kept turns, in the order in which they were begun.
+func (c *turnChecker) storedTurns(p *program) (ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range p.attempts {
-		if a.settled && a.kept {
+		if a.settleAcknowledged && a.stored {
 			ids = append(ids, a.id)
 		}
 	}
 	return ids
 }
 
-// begun takes the verdict on an attempt, with the chain that came with OK.
-func (c *turns) begun(a *attempt, verdict tierv1.Verdict, chain []*tierv1.Turn) {
+// recordVerdict takes the verdict on an attempt, with the chain that came with OK.
+func (c *turnChecker) recordVerdict(a *attempt, verdict tierv1.Verdict, chain []*tierv1.Turn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch verdict {
 	case tierv1.Verdict_OK:
-		a.granted = true
-		c.chain(a, chain)
-		if charged := a.program.leastCharge(); charged > a.program.budget {
+		a.reserved = true
+		c.checkChain(a, chain)
+		if charged := a.program.minCharge(); charged > a.program.budget {
 			c.report(RuleBudget, "%s was granted: at least %d tokens of %s are charged, of %d", a.id, charged, a.program.name, a.program.budget)
 		}
 	case tierv1.Verdict_SPENT:
-		a.program.spent = true
-		if charged := a.program.mostCharge(a); charged+a.most <= a.program.budget {
-			c.report(RuleSpent, "%s was refused as spent: at most %d tokens of %s are charged, of %d", a.id, charged, a.program.name, a.program.budget)
+		a.program.exhausted = true
+		if charged := a.program.maxCharge(a); charged+a.maxTokens <= a.program.budget {
+			c.report(RuleBudgetExhausted, "%s was refused as spent: at most %d tokens of %s are charged, of %d", a.id, charged, a.program.name, a.program.budget)
 		}
 	case tierv1.Verdict_UNKNOWN:
-		if p := c.attempts[a.previous]; p != nil && p.settled && p.kept {
+		if p := c.attempts[a.previous]; p != nil && p.settleAcknowledged && p.stored {
 			c.report(RuleTurn, "%s goes on from %s, which was kept and is called unknown", a.id, a.previous)
 		}
 	}
 }
 
-// chain checks that all turns before an attempt came with it. The lock is held.
-func (c *turns) chain(a *attempt, chain []*tierv1.Turn) {
+// checkChain checks that all turns before an attempt came with it. The lock is held.
+func (c *turnChecker) checkChain(a *attempt, chain []*tierv1.Turn) {
 	var want, got []string
 	for at := c.attempts[a.previous]; at != nil; at = c.attempts[at.previous] {
 		want = append(want, at.id+": "+at.output())
@@ -137,62 +137,62 @@
 	}
 }
 
-// leastCharge is what is charged to a program in any case. The lock is held.
-func (p *program) leastCharge() (sum uint64) {
+// minCharge is what is charged to a program in any case. The lock is held.
+func (p *program) minCharge() (sum uint64) {
 	for _, a := range p.attempts {
 		switch {
-		case a.settling:
+		case a.settleSent:
 			sum += a.tokens
-		case a.granted:
-			sum += a.most
+		case a.reserved:
+			sum += a.maxTokens
 		}
 	}
 	return sum
 }
 
-// mostCharge is what may have been charged to a program at most, but for one attempt, at some time since that began. The
+// maxCharge is what may have been charged to a program at most, but for one attempt, at some time since that began. The
 // lock is held.
-func (p *program) mostCharge(but *attempt) (sum uint64) {
+func (p *program) maxCharge(but *attempt) (sum uint64) {
 	for _, a := range p.attempts {
 		switch {
 		case a == but:
-		case a.settled && a.ended < but.began:
+		case a.settleAcknowledged && a.ended < but.began:
 			sum += a.tokens
 		default:
-			sum += a.most
+			sum += a.maxTokens
 		}
 	}
 	return sum
 }
 
-// settle notes that an attempt's settlement is sent.
-func (c *turns) settle(a *attempt, kept bool, tokens uint64) {
+// recordSettling notes that an attempt's settlement is sent.
+func (c *turnChecker) recordSettling(a *attempt, kept bool, tokens uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a.settling, a.kept, a.tokens = true, kept, tokens
+	a.settleSent, a.stored, a.tokens = true, kept, tokens
 }
 
-// settled notes that it is durable.
-func (c *turns) settled(a *attempt) {
+// recordSettled notes that it is durable.
+func (c *turnChecker) recordSettled(a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.events++
-	a.settled, a.ended = true, c.events
-	c.served++
+	a.settleAcknowledged, a.ended = true, c.events
+	c.turnsServed++
 }
 
-// acted notes that an endpoint runs an attempt, which may never be sent twice.
-func (c *turns) acted(id string) {
+// recordRun notes that an endpoint runs an attempt, which may never be sent twice.
+func (c *turnChecker) recordRun(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.acts[id]++
-	if c.acts[id] > 1 {
-		c.report(RuleOnce, "%s came to an endpoint %d times", id, c.acts[id])
+	c.runs[id]++
+	if c.runs[id] > 1 {
+		c.report(RuleOnce, "%s came to an endpoint %d times", id, c.runs[id])
 	}
 }
 
-// heard notes what a caller heard of an endpoint.
-func (c *turns) heard(a *attempt, answer string) {
+// recordResponse notes what a caller heard of an endpoint.
+func (c *turnChecker) recordResponse(a *attempt, answer string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered++
--- a/internal/tier/simulation/weakest.go
+++ b/internal/tier/simulation/weakest.go
@@ -2,12 +2,12 @@
 
 import tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 
-// weakest gives the machine that Weakest means now.
-func (w *world) weakest() *machine {
+// weakestMachine gives the machine that Weakest means now.
+func (w *world) weakestMachine() *machine {
 	var weakest *machine
 	most := 0
-	needed := w.neededCopies(w.checks.views.newestMap())
-	for _, m := range w.kind(roleTurnStore) {
+	needed := w.neededReplicas(w.checks.views.newestMap())
+	for _, m := range w.machinesOfKind(roleTurnStore) {
 		if n := needed[m.name]; n > most {
 			weakest, most = m, n
 		}
@@ -18,12 +18,12 @@
 	return weakest
 }
 
-// neededCopies counts, by turn store, the synced copies of partitions that have them in no more machines, zones or regions than
+// neededReplicas counts, by turn store, the synced copies of partitions that have them in no more machines, zones or regions than
 // may be lost at once. What is under a fault counts for nothing.
-func (w *world) neededCopies(newest *tierv1.PartitionMap) map[string]int {
+func (w *world) neededReplicas(newest *tierv1.PartitionMap) map[string]int {
 	nodes := map[string]string{} // by folder
 	for _, n := range newest.GetStoreNodes() {
-		if !w.isBusy(n.Node) {
+		if !w.isUnderFault(n.Node) {
 			nodes[n.Folder] = n.Node
 		}
 	}
@@ -38,7 +38,7 @@
 		synced, domains := map[string]bool{}, map[string]bool{}
 		for _, folder := range folders {
 			if m := w.machine(nodes[folder]); m != nil {
-				synced[m.name], domains[m.domain()] = true, true
+				synced[m.name], domains[m.failureDomain()] = true, true
 			}
 		}
 		if len(domains) > w.script.Losses {
@@ -51,9 +51,9 @@
 	return needed
 }
 
-// isBusy tells whether a machine is under a fault.
-func (w *world) isBusy(name string) bool {
+// isUnderFault tells whether a machine is under a fault.
+func (w *world) isUnderFault(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.busy[name]
+	return w.underFault[name]
 }
--- a/internal/tier/simulation/workers.go
+++ b/internal/tier/simulation/workers.go
@@ -15,34 +15,34 @@
 // other's. So many plays at a time are made in as many processes, each of one processor, which tell on their standard output
 // how they get on.
 
-// event is one line of a worker's output, in JSON.
-type event struct {
+// workerEvent is one line of a worker's output, in JSON.
+type workerEvent struct {
 	Failure *Failure `json:"failure,omitempty"`
 	Played  uint64   `json:"played,omitempty"`
 	Total   *Total   `json:"total,omitempty"` // the last line
 }
 
-// progressEvery is after how many seeds a worker tells how far it is.
-const progressEvery = 5
+// progressInterval is after how many seeds a worker tells how far it is.
+const progressInterval = 5
 
-// Work plays a batch as a worker does, and writes what comes of it.
-func (b Batch) Work(ctx context.Context, out io.Writer) error {
+// PlayAsWorker plays a batch as a worker does, and writes what comes of it.
+func (b Batch) PlayAsWorker(ctx context.Context, out io.Writer) error {
 	lines := json.NewEncoder(out)
 	var failed error
-	tell := func(e event) {
+	tell := func(e workerEvent) {
 		if err := lines.Encode(e); err != nil && failed == nil {
 			failed = err
 		}
 	}
-	b.Failed = func(f Failure) { tell(event{Failure: &f}) }
+	b.Failed = func(f Failure) { tell(workerEvent{Failure: &f}) }
 	b.Progress = func(played uint64) {
-		if played%progressEvery == 0 {
-			tell(event{Played: played})
+		if played%progressInterval == 0 {
+			tell(workerEvent{Played: played})
 		}
 	}
 	b.Jobs = 1
 	total := b.Play(ctx)
-	tell(event{Total: &total})
+	tell(workerEvent{Total: &total})
 	return failed
 }
 
@@ -62,7 +62,7 @@
 			continue
 		}
 		workers.Go(func() {
-			errs[job] = follow(command(ctx, b.From+first, end-first), func(e event) {
+			errs[job] = runWorker(command(ctx, b.From+first, end-first), func(e workerEvent) {
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
@@ -80,7 +80,7 @@
 		})
 	}
 	workers.Wait()
-	total.Real = time.Since(began)
+	total.RealTime = time.Since(began)
 	for _, err := range errs {
 		if err != nil {
 			return total, err
@@ -89,8 +89,8 @@
 	return total, nil
 }
 
-// follow runs a worker and hands on what it tells.
-func follow(c *exec.Cmd, tell func(event)) error {
+// runWorker runs a worker and hands on what it tells.
+func runWorker(c *exec.Cmd, tell func(workerEvent)) error {
 	c.Env = append(c.Environ(), "GOMAXPROCS=1")
 	c.Stderr = os.Stderr
 	out, err := c.StdoutPipe()
@@ -103,7 +103,7 @@
 	lines := json.NewDecoder(out)
 	ended := false
 	for {
-		var e event
+		var e workerEvent
 		if err := lines.Decode(&e); err != nil {
 			break
 		}
@@ -127,7 +127,7 @@
 func (t *Total) merge(o Total) {
 	t.Played += o.Played
 	t.Failed += o.Failed
-	t.Virtual += o.Virtual
+	t.VirtualTime += o.VirtualTime
 	t.Messages += o.Messages
 	t.Orders += o.Orders
 	t.Turns += o.Turns
--- a/internal/tier/simulation/world.go
+++ b/internal/tier/simulation/world.go
@@ -21,20 +21,20 @@
 	contactWindow = 3 * time.Second
 	heartbeat     = time.Second
 	syncTime      = 4 * time.Second
-	grace         = 8 * time.Second
-	drainTime     = 3 * time.Second
+	gracePeriod   = 8 * time.Second
+	drainTimeout  = 3 * time.Second
 	configApply   = 2 * time.Second
 	retention     = 10 * time.Minute // no turn expires in a script
-	settleIn      = 4 * time.Second  // from the first start to the first fault
+	startupTime   = 4 * time.Second  // from the first start to the first fault
 )
 
 // Load.
 const (
-	operatorCount    = 2
-	programPlaces    = 4
-	programBudget    = 400 // tokens
-	clientsOfGateway = 2
-	seedCount        = 3
+	operatorCount     = 2
+	programCount      = 4
+	programBudget     = 400 // tokens
+	clientsPerGateway = 2
+	seedCount         = 3
 )
 
 // Addresses: a machine's is made of its kind's and its number.
@@ -51,45 +51,45 @@
 	operatorPrefix = "operator-"
 )
 
-// checks is all that is checked.
-type checks struct {
-	orders *orders
-	views  *views
-	turns  *turns
+// checkers is all that is checked.
+type checkers struct {
+	configuration *configurationChecker
+	views         *viewChecker
+	turns         *turnChecker
 }
 
 // world is a system in a bubble.
 type world struct {
-	script  Script
-	options Options
-	network *network
-	checks  checks
-	began   time.Time
-	ctx     context.Context // of all that runs
-	cancel  context.CancelFunc
-	running sync.WaitGroup // of what the simulator itself runs
-	load    sync.WaitGroup // operators and clients
-	calm    chan struct{}  // closed when no more load is to begin
+	script      Script
+	options     Options
+	network     *network
+	checks      checkers
+	began       time.Time
+	ctx         context.Context // of all that runs
+	cancel      context.CancelFunc
+	running     sync.WaitGroup // of what the simulator itself runs
+	load        sync.WaitGroup // operators and clients
+	loadStopped chan struct{}  // closed when no more load is to begin
 
-	mu        sync.Mutex
-	machines  map[string]*machine
-	addresses map[string]int // next of each kind
-	busy      map[string]bool
-	cutOff    map[string]int // machines of the control plane that are cut off, and by how many faults
-	hurries   int            // faults for whose time operators order without rest
-	broken    *Violation
-	retiring  string // the machine whose order to be emptied was acknowledged
-	retired   bool   // and has been carried out
-	bootstrap bool
+	mu                 sync.Mutex
+	machines           map[string]*machine
+	addresses          map[string]int // next of each kind
+	underFault         map[string]bool
+	partitionedCore    map[string]int // machines of the control plane that are cut off, and by how many faults
+	busyOperatorFaults int            // faults for whose time operators order without rest
+	violation          *Violation
+	retiringNode       string // the machine whose order to be emptied was acknowledged
+	retired            bool   // and has been carried out
+	bootstrap          bool
 }
 
 func newWorld(script Script, options Options) *world {
 	w := &world{script: script, options: options, network: newNetwork(script.Seed), began: time.Now(), machines: map[string]*machine{},
-		addresses: map[string]int{}, busy: map[string]bool{}, cutOff: map[string]int{},
-		calm: make(chan struct{}), bootstrap: true}
+		addresses: map[string]int{}, underFault: map[string]bool{}, partitionedCore: map[string]int{},
+		loadStopped: make(chan struct{}), bootstrap: true}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
-	w.network.tamper = options.Seams.Tamper
-	w.checks = checks{orders: newOrders(w.report), views: newViews(w.report), turns: newTurns(w.report)}
+	w.network.tamperReply = options.Hooks.TamperReply
+	w.checks = checkers{configuration: newConfigurationChecker(w.reportViolation), views: newViewChecker(w.reportViolation), turns: newTurnChecker(w.reportViolation)}
 	return w
 }
 
@@ -97,18 +97,18 @@
 
 func (w *world) ending() bool { return w.ctx.Err() != nil }
 
-// loaded tells whether operators and clients are to go on.
-func (w *world) loaded() bool {
+// loadRunning tells whether operators and clients are to go on.
+func (w *world) loadRunning() bool {
 	select {
-	case <-w.calm:
+	case <-w.loadStopped:
 		return false
 	default:
 		return !w.ending()
 	}
 }
 
-// pause lets time pass, or the world end.
-func (w *world) pause(d time.Duration) {
+// sleep lets time pass, or the world end.
+func (w *world) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -117,23 +117,23 @@
 	}
 }
 
-// report takes a promise that was broken. The first one ends the play.
-func (w *world) report(rule Rule, format string, args ...any) {
+// reportViolation takes a promise that was broken. The first one ends the play.
+func (w *world) reportViolation(rule Rule, format string, args ...any) {
 	if w.ending() || slices.Contains(w.options.Ignore, rule) {
 		return
 	}
 	v := &Violation{At: w.now(), Rule: rule, Text: fmt.Sprintf(format, args...)}
 	w.mu.Lock()
-	if w.broken == nil {
-		w.broken = v
+	if w.violation == nil {
+		w.violation = v
 	}
 	w.mu.Unlock()
-	w.note("BROKEN: %v", v)
+	w.trace("BROKEN: %v", v)
 	w.cancel()
 }
 
-// note writes a line of the trace.
-func (w *world) note(format string, args ...any) {
+// trace writes a line of the trace.
+func (w *world) trace(format string, args ...any) {
 	if w.options.Trace != nil {
 		fmt.Fprintf(w.options.Trace, "%9.4f %s\n", w.now().Seconds(), fmt.Sprintf(format, args...))
 	}
@@ -144,43 +144,43 @@
 	if w.options.Trace == nil {
 		return &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}}
 	}
-	return &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: noting{w, name}}}
+	return &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: traceWriter{w, name}}}
 }
 
-type noting struct {
+type traceWriter struct {
 	w    *world
 	name string
 }
 
-func (n noting) Write(line []byte) (int, error) {
-	n.w.note("%s: %s", n.name, line[:max(0, len(line)-1)])
+func (n traceWriter) Write(line []byte) (int, error) {
+	n.w.trace("%s: %s", n.name, line[:max(0, len(line)-1)])
 	return len(line), nil
 }
 
-// random gives a source of its own for each name.
-func (w *world) random(name string) *rand.Rand {
+// randomFor gives a source of its own for each name.
+func (w *world) randomFor(name string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, name)
 	return rand.New(rand.NewPCG(w.script.Seed, h.Sum64()))
 }
 
-// place makes a machine of a kind at the next address, in the place of one of the same name.
-func (w *world) place(name string, kind roleName, zone int) *machine {
+// addMachine makes a machine of a kind at the next address, in the place of one of the same name.
+func (w *world) addMachine(name string, kind roleName, zone int) *machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	network := map[roleName]string{roleControlPlane: coreNet, roleTurnStore: storeNet, roleGateway: gatewayNet}[kind]
 	w.addresses[network]++
 	ip := fmt.Sprint(network, w.addresses[network])
-	return w.put(name, kind, ip, zone%w.script.zones())
+	return w.addMachineAt(name, kind, ip, zone%w.script.zones())
 }
 
-// put makes a machine. The lock is held.
-func (w *world) put(name string, kind roleName, ip string, zone int) *machine {
-	random := w.random(name + "@" + ip)
+// addMachineAt makes a machine. The lock is held.
+func (w *world) addMachineAt(name string, kind roleName, ip string, zone int) *machine {
+	random := w.randomFor(name + "@" + ip)
 	m := &machine{world: w, name: name, ip: ip, zone: zone, kind: kind, random: random, disk: newDisk(random.Uint64())}
 	m.settings = settings.Settings{Node: name, IP: ip, Zone: zoneName(zone), Region: regionName(zone % w.script.regions()), Control: ip + ":" + operatorsPort, PortFirst: internalPort,
 		PortLast: internalPort + 10, ContactWindow: contactWindow, Heartbeat: heartbeat, SyncTime: syncTime,
-		GracePeriod: grace, ConfigApply: configApply, DrainTimeout: drainTime, CloudAddress: platformIP + ":" + outsidePort, CloudRate: 40,
+		GracePeriod: gracePeriod, ConfigApply: configApply, DrainTimeout: drainTimeout, CloudAddress: platformIP + ":" + outsidePort, CloudRate: 40,
 		MemoryMB: 64, MaxFileDescriptors: 1000}
 	switch w.script.Unit {
 	case Zones:
@@ -190,19 +190,19 @@
 	default:
 		m.settings.MachineFailures = w.script.Losses
 	}
-	if w.options.Seams.Settings != nil {
-		w.options.Seams.Settings(&m.settings)
+	if w.options.Hooks.Settings != nil {
+		w.options.Hooks.Settings(&m.settings)
 	}
 	w.machines[name] = m
-	w.network.set(func() { w.network.machines[ip] = m })
+	w.network.update(func() { w.network.machines[ip] = m })
 	return m
 }
 
-// outside makes a machine that nothing befalls.
-func (w *world) outside(name, ip string) *machine {
+// addOutsideMachine makes a machine that nothing befalls.
+func (w *world) addOutsideMachine(name, ip string) *machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.put(name, roleOutside, ip, 0)
+	return w.addMachineAt(name, roleOutside, ip, 0)
 }
 
 func (w *world) machine(name string) *machine {
@@ -211,8 +211,8 @@
 	return w.machines[name]
 }
 
-// kind gives the machines of a kind that are there, by number.
-func (w *world) kind(kind roleName) (list []*machine) {
+// machinesOfKind gives the machines of a kind that are there, by number.
+func (w *world) machinesOfKind(kind roleName) (list []*machine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range w.machines {
@@ -229,12 +229,12 @@
 // role makes the role of a new process, with the settings of its start.
 func (w *world) role(m *machine) role {
 	w.mu.Lock()
-	cutOff := m.seedsCutOff && len(w.cutOff) > 0
-	m.seedsCutOff = false
+	cutOff := m.seedsPartitioned && len(w.partitionedCore) > 0
+	m.seedsPartitioned = false
 	w.mu.Unlock()
 	m.settings.Seeds = nil
-	for _, one := range w.kind(roleControlPlane) {
-		if len(m.settings.Seeds) < seedCount && (!cutOff || w.isCutOff(one.name)) {
+	for _, one := range w.machinesOfKind(roleControlPlane) {
+		if len(m.settings.Seeds) < seedCount && (!cutOff || w.isPartitioned(one.name)) {
 			m.settings.Seeds = append(m.settings.Seeds, one.settings.Control)
 		}
 	}
@@ -243,13 +243,13 @@
 	w.mu.Unlock()
 	switch m.kind {
 	case roleControlPlane:
-		return &controlPlaneRole{seams: w.options.Seams}
+		return &controlPlaneRole{hooks: w.options.Hooks}
 	case roleTurnStore:
-		return &turnStoreRole{seams: w.options.Seams}
+		return &turnStoreRole{hooks: w.options.Hooks}
 	case roleGateway:
 		return &gatewayRole{}
 	}
-	return outsideRole{w.handler(m.ip)}
+	return outsideRole{w.outsideHandler(m.ip)}
 }
 
 // nextCore is the name of another machine of the control plane. Addresses are never used again, so that no name is.
@@ -261,7 +261,7 @@
 
 // leader gives the machine of the control plane's primary, nil if there is none.
 func (w *world) leader() *machine {
-	for _, m := range w.kind(roleControlPlane) {
+	for _, m := range w.machinesOfKind(roleControlPlane) {
 		p, _ := m.process()
 		if p == nil {
 			continue
