--- a/internal/tier/capacity/turnstore_test.go
+++ b/internal/tier/capacity/turnstore_test.go
@@ -124,11 +124,11 @@
 		previous = fmt.Sprintf("%s-attempt-%04d-%032d", program, n-1, n-1)
 	}
 	r, err := stores.primary.Begin(b.Context(), &tierv1.BeginRequest{Partition: partition, Program: program, Attempt: attempt, Previous: previous,
-		Limited: true, Budget: 1 << 40, Most: 4096, RetentionMs: 3_600_000, Held: previous, ChainHeld: held == ""})
+		Limited: true, Budget: 1 << 40, MaxTokens: 4096, RetentionMs: 3_600_000, KnownTurn: previous, ChainKnown: held == ""})
 	if err != nil || r.Verdict != tierv1.Verdict_OK {
 		b.Fatal(err, r.GetVerdict())
 	}
-	s, err := stores.primary.Settle(b.Context(), &tierv1.SettleRequest{Partition: partition, Program: program, Attempt: attempt, Kept: true, Tokens: 400,
+	s, err := stores.primary.Settle(b.Context(), &tierv1.SettleRequest{Partition: partition, Program: program, Attempt: attempt, Stored: true, Tokens: 400,
 		Turn: &tierv1.Turn{Attempt: attempt, Previous: previous, Program: program, Input: turnText(n), Output: turnText(n + 7), RetentionMs: 3_600_000,
 			Instance: "i-00004711"}})
 	if err != nil || s.Verdict != tierv1.Verdict_OK {
@@ -170,7 +170,7 @@
 			report := measureProcessor(b)
 			for b.Loop() {
 				r, err := p.primary.Begin(b.Context(), &tierv1.BeginRequest{Program: "program", Attempt: fmt.Sprint("next-", n), Previous: last, Limited: true,
-					Budget: 1 << 50, Most: 4096, RetentionMs: 3_600_000, ChainHeld: !whole})
+					Budget: 1 << 50, MaxTokens: 4096, RetentionMs: 3_600_000, ChainKnown: !whole})
 				if err != nil || r.Verdict != tierv1.Verdict_OK {
 					b.Fatal(err, r.GetVerdict())
 				}
--- a/internal/tier/gateway/account_test.go
+++ b/internal/tier/gateway/account_test.go
@@ -65,7 +65,7 @@
 				assert.Assert(t, client.ReadReply().Status >= 500)
 			}
 			got := tiertest.WaitFor(t, "the reservation ends", ends)
-			assert.Equal(t, got.Kept, false)
+			assert.Equal(t, got.Stored, false)
 			assert.Equal(t, got.Tokens, uint64(c.charge))
 			e.SetHandler(talk)
 			assert.Equal(t, r.do(turnWithBudget("/stream/x", "t-2", 100, 101-c.charge)).Status, 402)
@@ -133,7 +133,7 @@
 	assert.Equal(t, second.do(turnWithBudget("/resumable/x", "t-1", 12, 10)).Status, 200)
 	close(blocked)
 	assertAnswer(t, c.ReadReply(), 200, events(said("t-1")...))
-	reply, err := first.turnStores.List[0].Begin(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t-2", Limited: true, Budget: 12, Most: 10})
+	reply, err := first.turnStores.List[0].Begin(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t-2", Limited: true, Budget: 12, MaxTokens: 10})
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Verdict, tierv1.Verdict_OK)
 }
--- a/internal/tier/gateway/gone_test.go
+++ b/internal/tier/gateway/gone_test.go
@@ -60,7 +60,7 @@
 		c.Conn.Close()
 		took := tiertest.WaitFor(t, "the question ends", ended).Sub(left)
 		got := tiertest.WaitFor(t, "the reservation is released", settled)
-		assert.Assert(t, got.Attempt == id && !got.Kept && got.Tokens == 0)
+		assert.Assert(t, got.Attempt == id && !got.Stored && got.Tokens == 0)
 		return took
 	})
 	assert.Equal(t, len(e.Requests()), 0)
@@ -179,7 +179,7 @@
 	assert.Equal(t, second.do(text("t-2", 1)).Status, 402)
 	c.Conn.Close()
 	got := tiertest.WaitFor(t, "the reservation ends", ends)
-	assert.Assert(t, got.Attempt == "t-1" && got.Tokens == 1 && !got.Kept)
+	assert.Assert(t, got.Attempt == "t-1" && got.Tokens == 1 && !got.Stored)
 	assert.Equal(t, second.do(text("t-3", 20)).Status, 402)
 	assertAnswer(t, second.do(text("t-4", 19)), 200, events(said("t-4")...))
 	for _, r := range []*harness{first, second} {
--- a/internal/tier/gateway/late_test.go
+++ b/internal/tier/gateway/late_test.go
@@ -22,7 +22,7 @@
 		if !ok {
 			return m.Serve()
 		}
-		if q.Attempt == "t-1" && q.Kept {
+		if q.Attempt == "t-1" && q.Stored {
 			return tiertest.ErrMessageLost
 		}
 		err := m.Serve()
--- a/internal/tier/gateway/released_test.go
+++ b/internal/tier/gateway/released_test.go
@@ -119,7 +119,7 @@
 	v.lets.Store(true)
 	tiertest.WaitFor(t, "it is settled", over)
 	got := tiertest.WaitFor(t, "what is settled", v.taken)
-	assert.Assert(t, got.Attempt == "t" && got.Tokens == 7 && !got.Kept)
+	assert.Assert(t, got.Attempt == "t" && got.Tokens == 7 && !got.Stored)
 	assert.Equal(t, len(k.releasesOf("p")), 0)
 }
 
--- a/internal/tier/gateway/releases.go
+++ b/internal/tier/gateway/releases.go
@@ -29,7 +29,7 @@
 // releaseInBackground releases a reservation without waiting. done is closed when it is released, or given up.
 func (request *clientRequest) releaseInBackground(program string, tokens uint64) (done <-chan struct{}) {
 	gateway, released := request.gateway, make(chan struct{})
-	settlement := &tierv1.SettleRequest{Program: program, Attempt: request.attemptID, Tokens: tokens, FailedAt: request.failedInstance}
+	settlement := &tierv1.SettleRequest{Program: program, Attempt: request.attemptID, Tokens: tokens, FailedEndpoint: request.failedInstance}
 	gateway.registerRelease(program, released)
 	gateway.settlements.Add(1)
 	go func() {
--- a/internal/tier/gateway/storeclient.go
+++ b/internal/tier/gateway/storeclient.go
@@ -154,7 +154,7 @@
 		}
 		return begun
 	}
-	req.Adopt, req.ChainHeld = found, true
+	req.Adopt, req.ChainKnown = found, true
 	adopted := client.beginAt(ctx, req)
 	adopted.chain, adopted.chainIsSuffix = found, false
 	adopted.maybeReserved = adopted.maybeReserved || begun.maybeReserved
@@ -173,7 +173,7 @@
 		if err == nil {
 			switch reply.Verdict {
 			case tierv1.Verdict_OK, tierv1.Verdict_SPENT, tierv1.Verdict_UNKNOWN:
-				begun.verdict, begun.chain, begun.chainIsSuffix, begun.avoid = reply.Verdict, reply.Chain, reply.AfterHeld, reply.Avoid
+				begun.verdict, begun.chain, begun.chainIsSuffix, begun.avoid = reply.Verdict, reply.Chain, reply.AfterKnownTurn, reply.AvoidEndpoints
 				return true
 			default: // BUSY, MOVED, or a verdict of a later version: unclear
 			}
--- a/internal/tier/gateway/transcripts.go
+++ b/internal/tier/gateway/transcripts.go
@@ -27,7 +27,7 @@
 	begin.Previous = transcript.previous
 	cached := request.gateway.transcripts.nearest(transcript.previous, transcript.conversation)
 	if cached != nil {
-		begin.Held = cached.attempt
+		begin.KnownTurn = cached.attempt
 	}
 	return transcript, cached
 }
@@ -61,7 +61,7 @@
 	defer cancel()
 	turn := &tierv1.Turn{Attempt: request.attemptID, Previous: transcript.previous, Program: transcript.program, Input: request.x.Body,
 		Output: transcript.output, RetentionMs: transcript.retentionMs, Instance: transcript.instance}
-	return request.gateway.storeClient.settle(ctx, &tierv1.SettleRequest{Program: transcript.program, Attempt: request.attemptID, Kept: true,
+	return request.gateway.storeClient.settle(ctx, &tierv1.SettleRequest{Program: transcript.program, Attempt: request.attemptID, Stored: true,
 		Tokens: tokens, Turn: turn})
 }
 
--- a/internal/tier/gateway/turn_test.go
+++ b/internal/tier/gateway/turn_test.go
@@ -188,7 +188,7 @@
 				assert.Assert(t, client.ReadReply().Status >= 500)
 			}
 			got := tiertest.WaitFor(t, "the reservation ends", ends)
-			assert.Equal(t, got.Kept, false)
+			assert.Equal(t, got.Stored, false)
 			assert.Equal(t, got.Tokens, uint64(c.charge))
 			e.SetHandler(talk)
 			assert.Equal(t, r.do(turnRequest("t-2", "", "p", fmt.Sprintf(budget, 101-c.charge), "in")).Status, 402)
--- a/internal/tier/gateway/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -17,7 +17,7 @@
 // forwardTurn serves a turn: it begins it at the turn store, which reserves its tokens in the program's budget and returns the turns that
 // it continues, and then forwards it as a stream.
 func (request *clientRequest) forwardTurn() {
-	begin := &tierv1.BeginRequest{Program: request.program(), Attempt: request.attemptID, Most: request.maxTokens,
+	begin := &tierv1.BeginRequest{Program: request.program(), Attempt: request.attemptID, MaxTokens: request.maxTokens,
 		RetentionMs: uint32(request.route.Retention.Milliseconds())}
 	if err := request.readBudget(begin); err != nil {
 		request.rejectBad(err)
--- a/internal/tier/simulation/gateway.go
+++ b/internal/tier/simulation/gateway.go
@@ -139,12 +139,12 @@
 	req := &tierv1.SettleRequest{Program: a.program.name, Attempt: a.id}
 	if err == nil {
 		checks.recordResponse(a, answer)
-		req.Tokens, req.Kept = a.tokens, keep
+		req.Tokens, req.Stored = a.tokens, keep
 	}
-	if req.Kept {
+	if req.Stored {
 		req.Turn = a.turn()
 	}
-	checks.recordSettling(a, req.Kept, req.Tokens)
+	checks.recordSettling(a, req.Stored, req.Tokens)
 	ctx, cancel := context.WithTimeout(g.process.ctx, turnStoreTimeout)
 	defer cancel()
 	durable := g.client.Settle(ctx, req)
@@ -161,7 +161,7 @@
 	ctx, cancel := context.WithTimeout(g.process.ctx, turnStoreTimeout)
 	defer cancel()
 	return g.client.Begin(ctx, &tierv1.BeginRequest{Program: a.program.name, Attempt: a.id, Previous: a.previous, Limited: true,
-		Budget: a.program.budget, Most: a.maxTokens, RetentionMs: uint32(retention.Milliseconds())})
+		Budget: a.program.budget, MaxTokens: a.maxTokens, RetentionMs: uint32(retention.Milliseconds())})
 }
 
 // callEndpoint has an endpoint run an attempt, once.
--- a/internal/tier/simulation/planted_accounts_test.go
+++ b/internal/tier/simulation/planted_accounts_test.go
@@ -16,7 +16,7 @@
 
 // Settle confirms some settlements of turns that are not kept as if nothing had been handed out.
 func (f lossyTurnStore) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
-	if !req.Kept && f.calls.Add(1)%5 == 0 {
+	if !req.Stored && f.calls.Add(1)%5 == 0 {
 		req.Tokens = 0
 	}
 	return f.TurnStore.Settle(ctx, req)
@@ -32,7 +32,7 @@
 type ignoringTurnStore struct{ tierv1.TurnStore }
 
 func (d ignoringTurnStore) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
-	if !req.Kept {
+	if !req.Stored {
 		return &tierv1.SettleReply{Verdict: tierv1.Verdict_OK}, nil
 	}
 	return d.TurnStore.Settle(ctx, req)
--- a/internal/tier/tiertest/turnstores.go
+++ b/internal/tier/tiertest/turnstores.go
@@ -110,7 +110,7 @@
 }
 
 // Held implements tierv1.TurnStore.
-func (store *TurnStore) Held(ctx context.Context, request *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+func (store *TurnStore) Held(ctx context.Context, request *tierv1.FactKeysRequest) (*tierv1.FactKeysReply, error) {
 	return deliver(ctx, store, "Held", request, store.TurnStore.Held)
 }
 
--- a/internal/tier/turnstore/backup.go
+++ b/internal/tier/turnstore/backup.go
@@ -29,7 +29,7 @@
 	}
 	if len(req.Facts) == 0 {
 		store.mu.Unlock()
-		return &tierv1.ReplicateReply{Taken: true}, nil
+		return &tierv1.ReplicateReply{Acknowledged: true}, nil
 	}
 	fresh := make([]*tierv1.Fact, 0, len(req.Facts))
 	now := store.cfg.Now()
@@ -42,7 +42,7 @@
 	store.mu.Unlock()
 	select {
 	case <-b.done:
-		return &tierv1.ReplicateReply{Taken: b.err == nil}, nil
+		return &tierv1.ReplicateReply{Acknowledged: b.err == nil}, nil
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
 	}
@@ -66,16 +66,16 @@
 
 // Held implements tierv1.TurnStore: as a backup it returns the keys of all facts of a partition, once they are synced. The error is the
 // cause of ctx.
-func (store *TurnStore) Held(ctx context.Context, req *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+func (store *TurnStore) Held(ctx context.Context, req *tierv1.FactKeysRequest) (*tierv1.FactKeysReply, error) {
 	store.mu.Lock()
 	if !store.hasMap || store.closed || !store.canWrite() {
 		store.mu.Unlock()
-		return &tierv1.HeldReply{}, nil
+		return &tierv1.FactKeysReply{}, nil
 	}
 	p := store.state.partition(req.Partition)
 	if req.To != "" && req.To != store.folder || !store.admitsPrimary(p, req.Epoch, "") {
 		store.mu.Unlock()
-		return &tierv1.HeldReply{}, nil
+		return &tierv1.FactKeysReply{}, nil
 	}
 	keys := make([]string, 0, 3*len(p.entries))
 	for _, e := range p.entries {
@@ -85,7 +85,7 @@
 	store.mu.Unlock()
 	select {
 	case <-b.done:
-		return &tierv1.HeldReply{Ok: b.err == nil, Keys: keys}, nil
+		return &tierv1.FactKeysReply{Ok: b.err == nil, Keys: keys}, nil
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
 	}
--- a/internal/tier/turnstore/backup_test.go
+++ b/internal/tier/turnstore/backup_test.go
@@ -20,10 +20,10 @@
 		assert.NilError(t, err)
 		return r
 	}
-	assert.Assert(t, say(1, a).Taken)
+	assert.Assert(t, say(1, a).Acknowledged)
 	assert.Assert(t, say(1, x).Stale)
 	assert.Assert(t, say(0, a).Stale)
-	assert.Assert(t, say(3, x).Taken)
+	assert.Assert(t, say(3, x).Acknowledged)
 	assert.Assert(t, say(1, a).Stale)
 	assert.Assert(t, say(3, a).Stale)
 	c.assign("b", "a") // epoch 2: older than what b knows
@@ -40,15 +40,15 @@
 	for to, taken := range map[string]bool{"lost": false, v.Folder(): true, "": true} {
 		r, err := v.Replicate(c.ctx, &tierv1.ReplicateRequest{Epoch: 1, From: a, To: to})
 		assert.NilError(t, err)
-		assert.Equal(t, r.Taken, taken, to)
+		assert.Equal(t, r.Acknowledged, taken, to)
 		assert.Assert(t, !r.Stale)
-		h, err := v.Held(c.ctx, &tierv1.HeldRequest{Epoch: 1, To: to})
+		h, err := v.Held(c.ctx, &tierv1.FactKeysRequest{Epoch: 1, To: to})
 		assert.NilError(t, err)
 		assert.Equal(t, h.Ok, taken, to)
 	}
 	r, err := v.Replicate(c.ctx, &tierv1.ReplicateRequest{Epoch: 9, From: "x", To: "lost", Facts: []*tierv1.Fact{reservedFact("x", 1)}})
 	assert.NilError(t, err)
-	assert.Assert(t, !r.Taken)
+	assert.Assert(t, !r.Acknowledged)
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok) // epoch 1 stands
 }
 
@@ -82,7 +82,7 @@
 	}()
 	<-disk.entered
 	go func() {
-		_, err := b.Held(ctx, &tierv1.HeldRequest{Epoch: 1})
+		_, err := b.Held(ctx, &tierv1.FactKeysRequest{Epoch: 1})
 		answers <- err
 	}()
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
--- a/internal/tier/turnstore/begin.go
+++ b/internal/tier/turnstore/begin.go
@@ -55,16 +55,16 @@
 	pending = &acknowledgement{term: p.term}
 	if d.verdict == tierv1.Verdict_OK {
 		pending.logged = store.appendFacts(p, d.facts, now)
-		reply.Avoid = p.failedEndpoints(req.Program, now)
+		reply.AvoidEndpoints = p.failedEndpoints(req.Program, now)
 		if req.Previous != "" {
 			if d.chain, _ = p.chain(req.Previous, true, 0, now); d.chain == nil {
 				return &tierv1.BeginReply{Verdict: tierv1.Verdict_BUSY}, nil
 			}
 			d.chain[len(d.chain)-1].lastUsed = now
 		}
-		if !req.ChainHeld {
-			rest := chainAfter(d.chain, req.Held)
-			reply.AfterHeld = len(rest) < len(d.chain)
+		if !req.ChainKnown {
+			rest := chainAfter(d.chain, req.KnownTurn)
+			reply.AfterKnownTurn = len(rest) < len(d.chain)
 			reply.Chain = turns(rest)
 		}
 	}
@@ -108,7 +108,7 @@
 	}
 	d.verdict = tierv1.Verdict_OK
 	d.facts = append(d.facts, &tierv1.Fact{Partition: p.id, Program: req.Program, Attempt: req.Attempt,
-		Of: &tierv1.Fact_Reserved{Reserved: &tierv1.Reservation{Limited: req.Limited, Budget: req.Budget, Most: req.Most,
+		Of: &tierv1.Fact_Reserved{Reserved: &tierv1.Reservation{Limited: req.Limited, Budget: req.Budget, MaxTokens: req.MaxTokens,
 			RetentionMs: req.RetentionMs}}})
 	return d
 }
--- a/internal/tier/turnstore/budget.go
+++ b/internal/tier/turnstore/budget.go
@@ -26,13 +26,13 @@
 //   - BUSY: if it does not now, but would if the reservations that may be being released were;
 //   - SPENT: if it would not even then, or gracePeriod has passed since this turn store became the primary.
 func (p *partition) budgetVerdict(req *tierv1.BeginRequest, own uint64, gracePeriod time.Duration, now time.Time) tierv1.Verdict {
-	if p.budgetAllows(req.Program, req.Budget, req.Most, own) {
+	if p.budgetAllows(req.Program, req.Budget, req.MaxTokens, own) {
 		return tierv1.Verdict_OK
 	}
 	if now.Sub(p.term.primarySince) >= gracePeriod {
 		return tierv1.Verdict_SPENT
 	}
-	if p.budgetAllows(req.Program, req.Budget, req.Most, own+p.releasableTokens(req.Program, req.Attempt)) {
+	if p.budgetAllows(req.Program, req.Budget, req.MaxTokens, own+p.releasableTokens(req.Program, req.Attempt)) {
 		return tierv1.Verdict_BUSY
 	}
 	return tierv1.Verdict_SPENT
--- a/internal/tier/turnstore/checker_test.go
+++ b/internal/tier/turnstore/checker_test.go
@@ -41,7 +41,7 @@
 	}
 	if reply.Verdict == tierv1.Verdict_OK {
 		if _, again := k.granted[r.Attempt]; !again {
-			k.granted[r.Attempt] = r.Most
+			k.granted[r.Attempt] = r.MaxTokens
 		}
 		if r.Limited {
 			var sum uint64
@@ -50,7 +50,7 @@
 			}
 			assert.Assert(k.c.t, sum <= r.Budget, "%d tokens granted of %d", sum, r.Budget)
 		}
-		if !r.ChainHeld {
+		if !r.ChainKnown {
 			want := []string{}
 			for a := r.Previous; a != ""; a = k.previous[a] {
 				want = append([]string{a}, want...)
@@ -68,7 +68,7 @@
 
 func (k *checker) settle(to, program, attempt, previous string, tokens uint64) tierv1.Verdict {
 	w := &transport{c: k.c, to: to}
-	reply, err := w.Settle(k.c.ctx, &tierv1.SettleRequest{Program: program, Attempt: attempt, Kept: true, Tokens: tokens,
+	reply, err := w.Settle(k.c.ctx, &tierv1.SettleRequest{Program: program, Attempt: attempt, Stored: true, Tokens: tokens,
 		Turn: turn(program, attempt, previous)})
 	if err != nil {
 		return tierv1.Verdict_VERDICT_UNSPECIFIED
@@ -127,14 +127,14 @@
 }
 
 func ask(attempt, previous string) *tierv1.BeginRequest {
-	return &tierv1.BeginRequest{Program: "p", Attempt: attempt, Previous: previous, Limited: true, Budget: 100, Most: 20,
+	return &tierv1.BeginRequest{Program: "p", Attempt: attempt, Previous: previous, Limited: true, Budget: 100, MaxTokens: 20,
 		RetentionMs: 60_000}
 }
 
 // askMaxTokens is a Begin of a turn that may cost so many of 100 tokens.
 func askMaxTokens(attempt string, most uint64) *tierv1.BeginRequest {
 	r := ask(attempt, "")
-	r.Most = most
+	r.MaxTokens = most
 	return r
 }
 
--- a/internal/tier/turnstore/facts.go
+++ b/internal/tier/turnstore/facts.go
@@ -13,7 +13,7 @@
 	list := make([]*tierv1.Fact, 0, 2)
 	if e.reserved {
 		list = append(list, &tierv1.Fact{Partition: p.id, Program: e.program.name, Attempt: e.attempt,
-			Of: &tierv1.Fact_Reserved{Reserved: &tierv1.Reservation{Limited: e.limited, Budget: e.budget, Most: e.maxTokens,
+			Of: &tierv1.Fact_Reserved{Reserved: &tierv1.Reservation{Limited: e.limited, Budget: e.budget, MaxTokens: e.maxTokens,
 				RetentionMs: e.retentionMs}}})
 	}
 	if e.settled {
--- a/internal/tier/turnstore/failedendpoints_test.go
+++ b/internal/tier/turnstore/failedendpoints_test.go
@@ -18,10 +18,10 @@
 		reply, err := v.Begin(c.ctx, &tierv1.BeginRequest{Program: program, Attempt: attempt})
 		assert.NilError(t, err)
 		assert.Equal(t, reply.Verdict, ok)
-		return reply.Avoid
+		return reply.AvoidEndpoints
 	}
 	assert.Equal(t, len(begin("p", "t1")), 0)
-	_, err := v.Settle(c.ctx, &tierv1.SettleRequest{Program: "p", Attempt: "t1", FailedAt: "i1"})
+	_, err := v.Settle(c.ctx, &tierv1.SettleRequest{Program: "p", Attempt: "t1", FailedEndpoint: "i1"})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, begin("p", "t2"), []string{"i1"})
 	assert.Equal(t, len(begin("q", "u1")), 0)
--- a/internal/tier/turnstore/fault_test.go
+++ b/internal/tier/turnstore/fault_test.go
@@ -163,7 +163,7 @@
 		c.publish()
 	}
 	r := ask("t3", "t2")
-	r.Most = 81 // 20 are handed out
+	r.MaxTokens = 81 // 20 are handed out
 	assert.Equal(t, k.beginUntilCertain("d", r), spent)
 	assert.Equal(t, k.beginUntilCertain("d", ask("t4", "t2")), ok)
 }
--- a/internal/tier/turnstore/injection_test.go
+++ b/internal/tier/turnstore/injection_test.go
@@ -26,7 +26,7 @@
 // cluster is called for each message, and returns what serves it in place of the turn store's own method.
 type injection struct {
 	replicate func(c *cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error)
-	held      func(c *cluster) func(*TurnStore, context.Context, *tierv1.HeldRequest) (*tierv1.HeldReply, error)
+	held      func(c *cluster) func(*TurnStore, context.Context, *tierv1.FactKeysRequest) (*tierv1.FactKeysReply, error)
 	fetch     func(c *cluster) func(*TurnStore, context.Context, *tierv1.FetchRequest) (*tierv1.FetchReply, error)
 	files     func(wal.FS) wal.FS
 	control   func(m *tierv1.PartitionMap)                  // changes a map before a turn store receives it
@@ -59,7 +59,7 @@
 		return func(store *TurnStore, ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 			reply, err := store.Replicate(ctx, req)
 			if err == nil && reply.Stale {
-				return &tierv1.ReplicateReply{Taken: true}, nil
+				return &tierv1.ReplicateReply{Acknowledged: true}, nil
 			}
 			return reply, err
 		}
@@ -68,8 +68,8 @@
 
 // reportsMissingKeys makes a backup name keys that it does not hold: those of one of n facts of the primary's.
 func reportsMissingKeys(n int) injection {
-	return injection{held: func(c *cluster) func(*TurnStore, context.Context, *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
-		return func(store *TurnStore, ctx context.Context, req *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+	return injection{held: func(c *cluster) func(*TurnStore, context.Context, *tierv1.FactKeysRequest) (*tierv1.FactKeysReply, error) {
+		return func(store *TurnStore, ctx context.Context, req *tierv1.FactKeysRequest) (*tierv1.FactKeysReply, error) {
 			reply, err := store.Held(ctx, req)
 			if err != nil || !reply.Ok {
 				return reply, err
--- a/internal/tier/turnstore/partitionmap_test.go
+++ b/internal/tier/turnstore/partitionmap_test.go
@@ -43,9 +43,9 @@
 		c.publish()
 	}
 	r := ask("last", previous)
-	r.Budget, r.Most = 10_000, 10_000-changes/5+1
+	r.Budget, r.MaxTokens = 10_000, 10_000-changes/5+1
 	assert.Equal(t, k.beginUntilCertain(c.names[changes%3], r), spent)
-	r.Most--
+	r.MaxTokens--
 	assert.Equal(t, k.beginUntilCertain(c.names[changes%3], r), ok)
 }
 
@@ -56,7 +56,7 @@
 	assert.Equal(t, newChecker(c).begin("a", ask("t", "")), busy)
 	r, err := v.Replicate(c.ctx, &tierv1.ReplicateRequest{Epoch: 5, From: "x"})
 	assert.NilError(t, err)
-	assert.Assert(t, !r.Taken && !r.Stale)
+	assert.Assert(t, !r.Acknowledged && !r.Stale)
 	folder := v.Folder()
 	c.crash("a", false)
 	c.restart("a")
--- a/internal/tier/turnstore/recovery_test.go
+++ b/internal/tier/turnstore/recovery_test.go
@@ -26,6 +26,6 @@
 	c.publish("b")
 	assert.Equal(t, k.settle("b", "p", "t2", "t1", 20), ok)
 	r := ask("t3", "t2")
-	r.Most = 71 // 10 and 20 are charged
+	r.MaxTokens = 71 // 10 and 20 are charged
 	assert.Equal(t, k.beginUntilCertain("b", r), spent)
 }
--- a/internal/tier/turnstore/replicator.go
+++ b/internal/tier/turnstore/replicator.go
@@ -140,7 +140,7 @@
 		r.store.mu.Unlock()
 		return false
 	}
-	return reply.Taken
+	return reply.Acknowledged
 }
 
 // replyTimeout bounds the time for the reply to a call that transfers size bytes, after failures calls in a row have failed.
--- a/internal/tier/turnstore/retention_test.go
+++ b/internal/tier/turnstore/retention_test.go
@@ -84,7 +84,7 @@
 func TestState_ChargesOutliveRetention(t *testing.T) {
 	const retention = 10 * time.Minute
 	reserved := &tierv1.Fact{Program: "p", Attempt: "a", Of: &tierv1.Fact_Reserved{
-		Reserved: &tierv1.Reservation{Limited: true, Budget: 100, Most: 60, RetentionMs: uint32(retention.Milliseconds())}}}
+		Reserved: &tierv1.Reservation{Limited: true, Budget: 100, MaxTokens: 60, RetentionMs: uint32(retention.Milliseconds())}}}
 	first, now := newState(), time.Now()
 	first.add(reserved, now)
 	again := newState()
--- a/internal/tier/turnstore/script_test.go
+++ b/internal/tier/turnstore/script_test.go
@@ -124,7 +124,7 @@
 		// 60 tokens are charged: 40 are left, and not 41.
 		for range 100 {
 			r := ask("more-"+round, "")
-			r.Most = 41
+			r.MaxTokens = 41
 			v := s.k.begin(s.primary, r)
 			assert.Assert(c.t, v != tierv1.Verdict_OK, "the budget is forgotten")
 			if v == tierv1.Verdict_SPENT {
--- a/internal/tier/turnstore/settle.go
+++ b/internal/tier/turnstore/settle.go
@@ -17,7 +17,7 @@
 		return nil, twirp.RequiredArgumentError("attempt")
 	}
 	settlement := &tierv1.Settlement{Tokens: req.Tokens}
-	if req.Kept {
+	if req.Stored {
 		if req.Turn == nil || req.Turn.Attempt != req.Attempt {
 			return nil, twirp.InvalidArgumentError("turn", "must be that of the attempt")
 		}
@@ -28,7 +28,7 @@
 	ctx, cancel := context.WithTimeout(ctx, store.cfg.RequestTimeout)
 	defer cancel()
 	for {
-		verdict, pending := store.settle(fact, req.FailedAt)
+		verdict, pending := store.settle(fact, req.FailedEndpoint)
 		if pending == nil {
 			return &tierv1.SettleReply{Verdict: verdict}, nil
 		}
--- a/internal/tier/turnstore/state.go
+++ b/internal/tier/turnstore/state.go
@@ -53,7 +53,7 @@
 		}
 		e = s.entry(p, f, true, now)
 		before := e.charge()
-		e.reserved, e.limited, e.budget, e.maxTokens = true, of.Reserved.Limited, of.Reserved.Budget, of.Reserved.Most
+		e.reserved, e.limited, e.budget, e.maxTokens = true, of.Reserved.Limited, of.Reserved.Budget, of.Reserved.MaxTokens
 		e.retentionMs = of.Reserved.RetentionMs
 		s.longest = max(s.longest, time.Duration(e.retentionMs)*time.Millisecond)
 		e.program.charged += e.charge() - before
--- a/internal/tier/turnstore/state_test.go
+++ b/internal/tier/turnstore/state_test.go
@@ -12,7 +12,7 @@
 
 func reservedFact(attempt string, most uint64) *tierv1.Fact {
 	return &tierv1.Fact{Program: "p", Attempt: attempt, Of: &tierv1.Fact_Reserved{Reserved: &tierv1.Reservation{
-		Limited: true, Budget: 100, Most: most}}}
+		Limited: true, Budget: 100, MaxTokens: most}}}
 }
 
 func settledFact(attempt, previous string, tokens uint64, kept bool) *tierv1.Fact {
--- a/internal/tier/turnstore/synchronize.go
+++ b/internal/tier/turnstore/synchronize.go
@@ -121,7 +121,7 @@
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(store.ctx, compareTimeoutMultiple*store.cfg.ReplyTimeout)
-	reply, err := client.Held(ctx, &tierv1.HeldRequest{Partition: r.partition.id, Epoch: r.term.epoch, To: r.folder})
+	reply, err := client.Held(ctx, &tierv1.FactKeysRequest{Partition: r.partition.id, Epoch: r.term.epoch, To: r.folder})
 	cancel()
 	if err != nil || !reply.Ok {
 		return nil
--- a/internal/tier/turnstore/synchronize_test.go
+++ b/internal/tier/turnstore/synchronize_test.go
@@ -121,7 +121,7 @@
 		assert.Equal(t, len(r.Facts), 3, n)
 	}
 	r := ask("t3", "t1")
-	r.Most = 71                            // 10 told, 20 reserved
+	r.MaxTokens = 71                       // 10 told, 20 reserved
 	assert.Equal(t, k.begin("b", r), busy) // the reservation's gateway was answered BUSY, and may be releasing it
 	c.advance(DefaultReleaseGracePeriod)
 	assert.Equal(t, k.begin("b", r), spent)
@@ -134,7 +134,7 @@
 		body := turn("p", name(i), "")
 		body.Output = make([]byte, 100<<10)
 		for {
-			r, err := w.Settle(c.ctx, &tierv1.SettleRequest{Program: "p", Attempt: name(i), Kept: true, Turn: body})
+			r, err := w.Settle(c.ctx, &tierv1.SettleRequest{Program: "p", Attempt: name(i), Stored: true, Turn: body})
 			assert.NilError(t, err)
 			if r.Verdict == ok {
 				break
@@ -151,6 +151,6 @@
 	c.assign("c")
 	c.publish("c")
 	r := ask("t99", name(11))
-	r.ChainHeld = true
+	r.ChainKnown = true
 	assert.Equal(t, k.beginUntilCertain("c", r), ok)
 }
--- a/internal/tier/turnstore/term_test.go
+++ b/internal/tier/turnstore/term_test.go
@@ -47,7 +47,7 @@
 	assert.Equal(t, k.begin("b", ask("t7", "t5")), ok) // 30 + 3 * 10 + 2 * 20: all of it
 	assert.Equal(t, k.begin("b", ask("t8", "t5")), spent)
 	// a wakes: it must neither grant, nor say that something isn't there, nor that the budget is spent
-	for _, r := range []*tierv1.BeginRequest{ask("t9", "t5"), ask("t10", "t2"), ask("t11", ""), {Program: "p", Attempt: "t12", Limited: true, Budget: 1, Most: 20}} {
+	for _, r := range []*tierv1.BeginRequest{ask("t9", "t5"), ask("t10", "t2"), ask("t11", ""), {Program: "p", Attempt: "t12", Limited: true, Budget: 1, MaxTokens: 20}} {
 		v := k.begin("a", r)
 		assert.Assert(t, v == moved || v == busy, "%v", v)
 	}
--- a/internal/tier/turnstore/transport_test.go
+++ b/internal/tier/turnstore/transport_test.go
@@ -106,7 +106,7 @@
 	return deliver(ctx, w, r, (*TurnStore).Replicate)
 }
 
-func (w *transport) Held(ctx context.Context, r *tierv1.HeldRequest) (*tierv1.HeldReply, error) {
+func (w *transport) Held(ctx context.Context, r *tierv1.FactKeysRequest) (*tierv1.FactKeysReply, error) {
 	if w.c.injection.held != nil {
 		return deliver(ctx, w, r, w.c.injection.held(w.c))
 	}
