--- /dev/null
+++ b/internal/work/budget.go
@@ -0,0 +1,32 @@
+package work
+
+// refillBuckets adds to the buckets. What a kind does not use goes to the pool, as far as that has room for a second of all of it.
+func (s *Scheduler) refillBuckets() {
+	for i := range s.totalBudget {
+		s.totalBudget[i].fill(s.now, s.allowance)
+	}
+	for _, k := range s.kinds {
+		for i := range k.budget {
+			if spilt := k.budget[i].fill(s.now, s.allowance); spilt > 0 && s.allowance == 1 {
+				s.pool[i] = min(s.pool[i]+spilt, s.settings.Rates[i].PerSecond)
+			}
+		}
+		if d := s.now - k.creditUpdatedAt; d > 0 {
+			k.retryBudget.credit = min(k.retryBudget.credit+float64(d)/float64(creditInterval), max(k.Retry.Credit, 1))
+			k.creditUpdatedAt = s.now
+		}
+	}
+	for o := range s.throttledOwners {
+		for i := range o.budget {
+			o.budget[i].fill(s.now, 1)
+		}
+	}
+}
+
+// setAllowance books pressure. Under any, what was lent is back at once.
+func (s *Scheduler) setAllowance(part float64) {
+	s.allowance = min(max(part, 0), 1)
+	if s.allowance < 1 {
+		s.pool = [Currencies]float64{}
+	}
+}
--- a/internal/work/heap.go
+++ b/internal/work/heap.go
@@ -2,15 +2,20 @@
 
 import "container/heap"
 
-// indexedHeap is a heap of things that know their place in it.
+// indexedHeap is a heap whose items know their index in it, so that any can be removed.
 type indexedHeap[T any] struct {
 	items    []T
 	less     func(a, b T) bool
-	setIndex func(x T, at int) // notes the place; -1: none
+	setIndex func(x T, at int) // tells x its index; -1: it is not in the heap
 }
 
-func (o *indexedHeap[T]) Len() int           { return len(o.items) }
+// Len is heap.Interface's, as are Less, Swap, Push and Pop.
+func (o *indexedHeap[T]) Len() int { return len(o.items) }
+
+// Less is heap.Interface's.
 func (o *indexedHeap[T]) Less(i, j int) bool { return o.less(o.items[i], o.items[j]) }
+
+// Swap is heap.Interface's.
 func (o *indexedHeap[T]) Swap(i, j int) {
 	o.items[i], o.items[j] = o.items[j], o.items[i]
 	o.setIndex(o.items[i], i)
@@ -38,9 +43,12 @@
 	return v
 }
 
-func (o *indexedHeap[T]) add(x T)       { heap.Push(o, x) }
-func (o *indexedHeap[T]) fix(at int)    { heap.Fix(o, at) }
+func (o *indexedHeap[T]) add(x T) { heap.Push(o, x) }
+
+func (o *indexedHeap[T]) fix(at int) { heap.Fix(o, at) }
+
 func (o *indexedHeap[T]) remove(at int) { heap.Remove(o, at) }
+
 func (o *indexedHeap[T]) top() (x T, ok bool) {
 	if len(o.items) == 0 {
 		return x, false
--- /dev/null
+++ b/internal/work/lock.go
@@ -0,0 +1,54 @@
+package work
+
+import (
+	"container/list"
+)
+
+type lock struct {
+	holder  *job
+	waiters *list.List
+}
+
+// inheritPriority gives the one that holds a lock the priority of one that waits for it.
+func (s *Scheduler) inheritPriority(j *job, p Priority) {
+	if p >= j.effective {
+		return
+	}
+	if j.state == ready {
+		s.dequeue(j)
+		j.effective = p
+		s.enqueue(j) // in its turn: it has been ready since it was
+		return
+	}
+	j.effective = p
+}
+
+// unlock lets go of a job's lock; the first of the best priority that waits for it is ready.
+func (s *Scheduler) unlock(j *job) {
+	j.effective = j.Priority
+	if !j.holdsLock {
+		return
+	}
+	j.holdsLock = false
+	l := s.locks[j.Lock]
+	l.holder = nil
+	var next *list.Element
+	for e := l.waiters.Front(); e != nil; e = e.Next() {
+		if next == nil || e.Value.(*job).effective < next.Value.(*job).effective {
+			next = e
+		}
+	}
+	if next == nil {
+		delete(s.locks, j.Lock)
+		return
+	}
+	w, _ := l.waiters.Remove(next).(*job)
+	w.waitElement = nil
+	l.holder, w.holdsLock = w, true
+	for e := l.waiters.Front(); e != nil; e = e.Next() {
+		if o, ok := e.Value.(*job); ok {
+			w.effective = min(w.effective, o.effective)
+		}
+	}
+	s.ready(w)
+}
--- a/internal/work/pressure.go
+++ b/internal/work/pressure.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// LoadSignals is how busy live work is. Each is taken over its target, and the worst counts.
+// LoadSignals is the load of live traffic. Each signal is divided by its target, and the worst counts.
 type LoadSignals struct {
 	TurnLate    time.Duration // how late the loop's turns are
-	Calls       float64       // calls out, of the slots there are
-	Pending     float64       // messages held, of the room for them
-	Journal     float64       // of its room
+	Calls       float64       // calls in flight, as a fraction of the slots
+	Pending     float64       // messages, as a fraction of their capacity
+	Journal     float64       // as a fraction of its capacity
 	DiskLatency time.Duration // of a sync
 }
 
-// Targets are what is wanted: above, background work steps back.
+// Targets are the signals above which background work steps back; 0 is no target.
 type Targets struct {
 	TurnLate    time.Duration
 	Calls       float64
@@ -20,12 +20,12 @@
 	DiskLatency time.Duration
 }
 
-// DefaultTargets leave live traffic what it needs.
+// DefaultTargets returns targets that leave live traffic what it needs.
 func DefaultTargets() Targets {
 	return Targets{TurnLate: 5 * time.Millisecond, Calls: 0.8, Pending: 0.5, Journal: 0.7, DiskLatency: 50 * time.Millisecond}
 }
 
-// The controller's figures; the design note says why.
+// Constants of the controller; docs/design/work.md gives the reasons.
 const (
 	minAllowance     = 0.02
 	decreaseInterval = 100 * time.Millisecond // between two steps down
@@ -36,8 +36,8 @@
 	decreaseAbove    = 1.0
 )
 
-// Pressure says which part of its budget background work may use now: AIMD on the worst signal, with a dead band. A zero
-// one allows all.
+// Pressure controls which fraction of its budget background work may use: AIMD on the worst signal, with a dead band. With zero Targets
+// it is always 1.
 type Pressure struct {
 	Targets Targets
 
@@ -48,7 +48,7 @@
 	worstSignal string
 }
 
-// Step takes in facts and gives the part, from the floor to 1.
+// Step takes in the load and returns the fraction, from minAllowance to 1. now does not go back.
 func (p *Pressure) Step(now time.Duration, f LoadSignals) float64 {
 	if !p.started {
 		p.started, p.allowance, p.changedAt = true, 1, now-increaseInterval
@@ -73,10 +73,10 @@
 	return p.allowance
 }
 
-// Worst is the signal that counted last, over its target.
+// Worst returns the signal that counted in the last Step, and its ratio to its target.
 func (p *Pressure) Worst() (name string, over float64) { return p.worstSignal, p.worst }
 
-// Allowance is the part that was given last.
+// Allowance returns the fraction that the last Step returned; 1 before the first.
 func (p *Pressure) Allowance() float64 {
 	if !p.started {
 		return 1
--- a/internal/work/report.go
+++ b/internal/work/report.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// View is a job as operators see it.
+// View is a job as operators see it, in the JSON of the command line.
 type View struct {
 	ID         ID     `json:"id"`
 	Kind       string `json:"kind"`
@@ -20,7 +20,7 @@
 	Used       Cost   `json:"used"`
 }
 
-// Filter chooses jobs; what is empty holds for all.
+// Filter selects jobs; an empty field selects all.
 type Filter struct {
 	ID    ID
 	Kind  string
@@ -29,7 +29,7 @@
 	Limit int
 }
 
-// Views are the jobs that a filter chooses, by number.
+// Views returns the jobs that a filter selects, in the order of their numbers.
 func (s *Scheduler) Views(f Filter) []View {
 	var ids []ID
 	for id, j := range s.jobs {
@@ -63,7 +63,7 @@
 	return "waiting"
 }
 
-// waitReason says what a job waits for.
+// waitReason tells what a job waits for; empty if it runs.
 func (s *Scheduler) waitReason(j *job) string {
 	switch j.state {
 	case running:
@@ -102,7 +102,7 @@
 	return "its turn"
 }
 
-// Total is what a kind or an owner has, and has used.
+// Total is how many jobs a kind or an owner has, and what it has used.
 type Total struct {
 	Name   string `json:"name"`
 	Jobs   int    `json:"jobs"`
@@ -110,7 +110,7 @@
 	Paused bool   `json:"paused,omitempty"`
 }
 
-// Totals are those of kinds and of owners, by name.
+// Totals returns the totals of kinds and of owners, sorted by name.
 func (s *Scheduler) Totals() (kinds, owners []Total) {
 	n := map[string]int{}
 	for _, j := range s.jobs {
@@ -128,5 +128,5 @@
 	return kinds, owners
 }
 
-// Len is how many jobs are held, and how many slices run.
+// Len returns how many jobs there are, and how many slices run.
 func (s *Scheduler) Len() (jobs, slices int) { return len(s.jobs), s.runningCount }
--- a/internal/work/retry.go
+++ b/internal/work/retry.go
@@ -4,16 +4,16 @@
 	"time"
 )
 
-// Retry is how a failing job is tried again.
+// Retry is the retry policy of a kind: exponential backoff with full jitter, within a retry budget.
 type Retry struct {
-	InitialBackoff time.Duration // the most that is waited after the first failure; it doubles
+	InitialBackoff time.Duration // upper bound of the wait after the first failure; it doubles with each
 	MaxBackoff     time.Duration // up to this
 	MaxFailures    int           // in a row, after which it is parked; 0: never
-	Ratio          float64       // retries may be this part of successes
-	Credit         float64       // and so many more
+	Ratio          float64       // retries per success
+	Credit         float64       // retries that may be saved up
 }
 
-// DefaultRetry suits work that nobody waits for.
+// DefaultRetry returns the policy for work that nobody waits for.
 func DefaultRetry() Retry {
 	return Retry{InitialBackoff: time.Second, MaxBackoff: 10 * time.Minute, MaxFailures: 8, Ratio: 0.1, Credit: 10}
 }
@@ -35,8 +35,8 @@
 	credit float64
 }
 
-// recordSuccess books a success; a retry that succeeds gives back what it took, so that a backlog of failures goes as fast as any
-// work once its cause is gone.
+// recordSuccess earns credit for a success. A retry that succeeds also gets back what it took, so that a backlog of failures drains as
+// fast as any work once its cause is gone.
 func (b *retryBudget) recordSuccess(r *Retry, retry bool) {
 	gain := r.Ratio
 	if retry {
@@ -48,25 +48,25 @@
 // creditInterval is how long it takes for one retry to be earned by waiting alone, so that a kind that only fails goes on trying.
 const creditInterval = 10 * time.Second
 
-// Breaker is when a resource counts as broken.
+// Breaker is the policy of circuit breakers, of which each resource has one.
 type Breaker struct {
 	FailureThreshold int           // in a row; 0: never
-	OpenTime         time.Duration // it is left alone so long; then one job tries it
+	OpenTime         time.Duration // after it one job is the trial (half-open)
 }
 
-// DefaultBreaker suits a disk or a peer.
+// DefaultBreaker returns the policy for a disk or a peer.
 func DefaultBreaker() Breaker { return Breaker{FailureThreshold: 5, OpenTime: 15 * time.Second} }
 
-// breaker is one resource's state.
+// breaker is the circuit breaker of one resource.
 type breaker struct {
 	failures int
 	until    time.Duration // open
 	open     bool
-	trial    ID // half-open: this job tries
+	trial    ID // half-open: the job that tries the resource; 0: none
 	waiting  []*job
 }
 
-// admit reports whether a job may lean on the resource now; with a breaker that is half-open it becomes the one that tries.
+// admit reports whether a job may use the resource now; with a half-open breaker that job becomes the trial.
 func (b *breaker) admit(now time.Duration, id ID) bool {
 	if !b.open {
 		return true
@@ -78,7 +78,7 @@
 	return true
 }
 
-// recordResult books how a slice on the resource ended, and reports whether the breaker has closed.
+// recordResult takes in how a slice on the resource ended, and reports whether the breaker has closed.
 func (b *breaker) recordResult(now time.Duration, id ID, failed bool, c *Breaker) (closed bool) {
 	if !failed {
 		was := b.open
--- a/internal/work/run/run.go
+++ b/internal/work/run/run.go
@@ -296,8 +296,8 @@
 			keep = append(keep, rec)
 		}
 	}
-	if why := r.sched.CheckCapacity(ask...); why != "" {
-		return errors.New(why)
+	if err := r.sched.CheckCapacity(ask...); err != nil {
+		return err
 	}
 	if len(keep) > 0 || timer != "" {
 		if err := r.store.Add(keep, timer, ran); err != nil {
@@ -552,8 +552,8 @@
 		recs = append(recs, rec)
 		ask = append(ask, r.job(&rec))
 	}
-	if why := r.sched.CheckCapacity(ask...); why != "" {
-		return nil, fmt.Errorf("the jobs that it makes are not taken: %s", why)
+	if err := r.sched.CheckCapacity(ask...); err != nil {
+		return nil, fmt.Errorf("the jobs that it makes are not taken: %w", err)
 	}
 	return recs, nil
 }
--- a/internal/work/scheduler_test.go
+++ b/internal/work/scheduler_test.go
@@ -415,7 +415,7 @@
 	if n, _ := r.s.Len(); n != 5 || len(r.refused) != 6 {
 		t.Error(n, r.refused)
 	}
-	if why := r.s.CheckCapacity(Job{Owner: "x"}); why == "" {
+	if err := r.s.CheckCapacity(Job{Owner: "x"}); err == nil {
 		t.Error("there is room")
 	}
 }
