--- /dev/null
+++ b/internal/work/run/operate.go
@@ -0,0 +1,55 @@
+package run
+
+import (
+	"saffronyard.example/saffronyard/internal/work"
+)
+
+// Command does what an operator wants.
+func (r *Runner) Command(c work.Command) error {
+	return r.call(func() {
+		if c.Verb == work.Run { // what was parked is so no more, in the store too
+			for _, v := range r.sched.Views(work.Filter{ID: c.ID, Kind: c.Kind, Owner: c.Owner, State: "parked"}) {
+				if r.persisted(v.ID) {
+					if err := r.store.Park(v.ID, ""); err != nil {
+						r.log.Warn("that a job is parked no more can't be written down", "job", v.ID, "err", err)
+					}
+				}
+				r.records[v.ID].Failures = 0
+			}
+		}
+		r.step(c)
+	})
+}
+
+// Configure takes other settings.
+func (r *Runner) Configure(set work.Settings) error {
+	set.Limits.Running = r.config.Workers
+	return r.call(func() {
+		r.config.Settings = set
+		r.step(work.Configure{Settings: set})
+	})
+}
+
+// Report is what is known of all work.
+type Report struct {
+	Jobs       []work.View  `json:"jobs"`
+	Kinds      []work.Total `json:"kinds"`
+	Owners     []work.Total `json:"owners"`
+	JobCount   int          `json:"held"`
+	Running    int          `json:"running"`
+	Allowance  float64      `json:"allow"` // the part of its budget that live traffic leaves
+	Worst      string       `json:"worst,omitempty"`
+	WorstRatio float64      `json:"over"`
+}
+
+// Report tells of the jobs that a filter chooses.
+func (r *Runner) Report(f work.Filter) (rep Report, err error) {
+	err = r.call(func() {
+		rep.Jobs = r.sched.Views(f)
+		rep.Kinds, rep.Owners = r.sched.Totals()
+		rep.JobCount, rep.Running = r.sched.Len()
+		rep.Allowance = r.pressure.Allowance()
+		rep.Worst, rep.WorstRatio = r.pressure.Worst()
+	})
+	return rep, err
+}
--- a/internal/work/run/run_test.go
+++ b/internal/work/run/runner_test.go
@@ -59,11 +59,11 @@
 func (d dying) Add(r []store.Record, timer string, ran time.Time) error {
 	return d.m.do(func() error { return d.jobStore.Add(r, timer, ran) })
 }
-func (d dying) MarkIntended(id work.ID) error {
-	return d.m.do(func() error { return d.jobStore.MarkIntended(id) })
+func (d dying) Intend(id work.ID) error {
+	return d.m.do(func() error { return d.jobStore.Intend(id) })
 }
-func (d dying) ClearIntended(id work.ID) error {
-	return d.m.do(func() error { return d.jobStore.ClearIntended(id) })
+func (d dying) ClearIntent(id work.ID) error {
+	return d.m.do(func() error { return d.jobStore.ClearIntent(id) })
 }
 func (d dying) RecordFailure(id work.ID, n int, p string) error {
 	return d.m.do(func() error { return d.jobStore.RecordFailure(id, n, p) })
@@ -130,8 +130,8 @@
 		Kinds: map[string]work.Kind{}}, Random: func() float64 { return 0 }}
 }
 
-// settled waits until nothing but parked jobs is left.
-func settled(t *testing.T, r *Runner) Report {
+// waitUntilIdle waits until nothing but parked jobs is left.
+func waitUntilIdle(t *testing.T, r *Runner) Report {
 	t.Helper()
 	for over := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
 		rep, err := r.Report(work.Filter{})
@@ -172,7 +172,7 @@
 		}
 		submitted := r.Submit(jobs...) == nil
 		if dies == 0 {
-			settled(t, r)
+			waitUntilIdle(t, r)
 		} else {
 			select {
 			case <-first.killed:
@@ -191,7 +191,7 @@
 			t.Fatal(err)
 		}
 		defer r.Close(wait)
-		rep := settled(t, r)
+		rep := waitUntilIdle(t, r)
 		for _, j := range rep.Jobs {
 			if j.Kind != "neither" || !strings.Contains(j.Err, "may have been done") {
 				t.Errorf("%+v is parked", j)
@@ -289,7 +289,7 @@
 	if err := r.Command(work.Command{Verb: work.Run, Kind: "neither"}); err != nil {
 		t.Fatal(err)
 	}
-	rep := settled(t, r)
+	rep := waitUntilIdle(t, r)
 	if len(rep.Jobs) != 1 || !strings.Contains(rep.Jobs[0].Err, "can't be written down") || w.effects["neither b 0"] != 1 {
 		t.Errorf("%+v, %v", rep.Jobs, w.effects)
 	}
@@ -370,7 +370,7 @@
 	for over := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
 		rep, _ := r.Report(work.Filter{State: "parked"})
 		if len(rep.Jobs) == 2 && strings.Contains(logged.String(), "a slice takes long") {
-			if !strings.Contains(rep.Jobs[0].Err, "at the disco") || !strings.Contains(rep.Jobs[0].Err, "run_test.go") || !strings.Contains(rep.Jobs[1].Err, "ask somebody") {
+			if !strings.Contains(rep.Jobs[0].Err, "at the disco") || !strings.Contains(rep.Jobs[0].Err, "runner_test.go") || !strings.Contains(rep.Jobs[1].Err, "ask somebody") {
 				t.Errorf("%+v", rep.Jobs)
 			}
 			break
@@ -379,14 +379,14 @@
 			t.Fatalf("%+v\n%s", rep.Jobs, logged.String())
 		}
 	}
-	if n := strings.Count(logged.String(), "a slice takes long"); n != 1 || !strings.Contains(logged.String(), "TestBadJobs") {
+	if n := strings.Count(logged.String(), "a slice takes long"); n != 1 || !strings.Contains(logged.String(), "TestRunner_FaultyJobs") {
 		t.Errorf("it is named %d times", n)
 	}
 	close(hangs)
 	if err := r.Submit(JobSpec{Kind: "breeds", Owner: "b"}); err != nil {
 		t.Fatal(err)
 	}
-	rep := settled(t, r)
+	rep := waitUntilIdle(t, r)
 	if bred.Load() > 40 || rep.JobCount > 25 {
 		t.Errorf("%d slices, %d jobs are held", bred.Load(), rep.JobCount)
 	}
@@ -411,7 +411,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close(wait)
-	rep = settled(t, r)
+	rep = waitUntilIdle(t, r)
 	newer, unknown := 0, 0
 	for _, j := range rep.Jobs {
 		if strings.Contains(j.Err, "of version 2") {
@@ -498,7 +498,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close(wait)
-	if rep := settled(t, r); rep.Kinds == nil || rep.JobCount != 0 {
+	if rep := waitUntilIdle(t, r); rep.Kinds == nil || rep.JobCount != 0 {
 		t.Errorf("%+v", rep)
 	}
 }
@@ -529,7 +529,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close(wait)
-	settled(t, r)
+	waitUntilIdle(t, r)
 	if most.Load() > int32(c.Workers) || len(begun) != 10 {
 		t.Errorf("%d at once of %d, %d workers", most.Load(), len(begun), c.Workers)
 	}
@@ -568,7 +568,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close(wait)
-	if rep := settled(t, r); len(rep.Jobs) != 1 || !strings.Contains(rep.Jobs[0].Err, "may have been done") || times != 1 {
+	if rep := waitUntilIdle(t, r); len(rep.Jobs) != 1 || !strings.Contains(rep.Jobs[0].Err, "may have been done") || times != 1 {
 		t.Errorf("%+v, done %d times", rep.Jobs, times)
 	}
 }
@@ -600,7 +600,7 @@
 		}
 		count := func(want int) {
 			t.Helper()
-			settled(t, r)
+			waitUntilIdle(t, r)
 			if len(ran) != want {
 				t.Errorf("memory %v: it ran %d times, want %d", memory, len(ran), want)
 			}
--- a/internal/work/store/store.go
+++ b/internal/work/store/store.go
@@ -1,10 +1,10 @@
-// Package store keeps background jobs that must outlast the process, and how far each has come, in one bbolt file:
+// Package store keeps the background jobs that must outlast the process, with their checkpoints, in one bbolt file:
 //
 //	meta    version (8 bytes), next (8: the next job's number), bytes (8: of all jobs)
 //	jobs    number (8 bytes) → Record, JSON
 //	timers  name of a schedule → when it ran last (8 bytes, Unix nanoseconds)
 //
-// What belongs together is one transaction: a slice's checkpoint and the jobs that it makes.
+// What belongs together is one transaction: a slice's checkpoint and the jobs that it spawned. Store is safe for concurrent use.
 package store
 
 import (
@@ -19,11 +19,11 @@
 	"saffronyard.example/saffronyard/internal/work"
 )
 
-// Record is a job as it is kept. Times are Unix nanoseconds; 0: none.
+// Record is a job as it is stored, in JSON. Times are Unix nanoseconds; 0 is none.
 type Record struct {
 	ID           work.ID       `json:"id"`
 	Kind         string        `json:"kind"`
-	Version      int           `json:"version"` // of its state's form
+	Version      int           `json:"version"` // of the format of State
 	Owner        string        `json:"owner"`
 	Priority     work.Priority `json:"priority"`
 	Earliest     int64         `json:"earliest,omitempty"`
@@ -33,11 +33,11 @@
 	Lock         string        `json:"lock,omitempty"`
 	Resource     string        `json:"resource,omitempty"`
 	Depth        int           `json:"depth,omitempty"`
-	State        []byte        `json:"state,omitempty"` // where to go on
+	State        []byte        `json:"state,omitempty"` // checkpoint of the last slice
 	SlicesDone   int           `json:"slices,omitempty"`
 	Failures     int           `json:"fails,omitempty"`
 	ParkedReason string        `json:"parked,omitempty"`
-	Intended     bool          `json:"intended,omitempty"` // a slice was about to begin
+	Intended     bool          `json:"intended,omitempty"` // a slice that is not idempotent was about to start
 }
 
 var (
@@ -49,22 +49,26 @@
 	keyBytes     = []byte("bytes")
 )
 
+// version is that of the file's layout.
 const version = 1
 
 // Errors that a caller tells apart.
 var (
+	// ErrNewerVersion is a file that a later version of the program wrote.
 	ErrNewerVersion = errors.New("the file was written by a newer version")
-	ErrFull         = errors.New("there is no room for more jobs")
-	ErrNotFound     = errors.New("there is no such job")
+	// ErrFull is jobs that would exceed the store's bytes.
+	ErrFull = errors.New("there is no room for more jobs")
+	// ErrNotFound is a job that is not in the store.
+	ErrNotFound = errors.New("there is no such job")
 )
 
-// Store is open. It is safe for several goroutines.
+// Store is an open file of jobs.
 type Store struct {
 	db       *bolt.DB
 	maxBytes int64 // bytes of all records
 }
 
-// Open opens the file, or makes it; most bounds the bytes of all jobs.
+// Open opens a file, or creates it. maxBytes bounds the bytes of all jobs; 0 is no bound.
 func Open(path string, maxBytes int64) (s *Store, err error) {
 	db, err := boltfile.Open(path, false)
 	if err != nil {
@@ -109,7 +113,7 @@
 	return nil
 }
 
-// put writes a record in place of what is there, and keeps count of bytes.
+// put writes a record in place of what is there, and keeps count of bytes; with enforceLimit it fails with ErrFull beyond maxBytes.
 func (s *Store) put(tx *bolt.Tx, r *Record, enforceLimit bool) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -150,7 +154,7 @@
 	return jobs.Delete(key)
 }
 
-// add gives new records their numbers and writes them.
+// add numbers new records and writes them.
 func (s *Store) add(tx *bolt.Tx, records []Record) error {
 	meta := tx.Bucket(bucketMeta)
 	next := max(1, boltfile.Value(meta.Get(keyNext)))
@@ -164,8 +168,7 @@
 	return meta.Put(keyNext, boltfile.Number(next))
 }
 
-// Add keeps new jobs, all or none, and gives them their numbers. With the name of a schedule it notes that this ran, in the
-// same step.
+// Add writes new jobs, all or none, and sets their numbers. With the name of a timer it records in the same transaction when that ran.
 func (s *Store) Add(records []Record, timer string, ran time.Time) error {
 	return s.update(func(tx *bolt.Tx) error {
 		if err := s.add(tx, records); err != nil {
@@ -178,7 +181,7 @@
 	})
 }
 
-// LastRun is when a schedule ran last; zero if never.
+// LastRun returns when a timer ran last; the zero time if never.
 func (s *Store) LastRun(timer string) (t time.Time, err error) {
 	err = s.view(func(tx *bolt.Tx) error {
 		if v := boltfile.Value(tx.Bucket(bucketTimers).Get([]byte(timer))); v != 0 {
@@ -189,22 +192,22 @@
 	return t, err
 }
 
-// MarkIntended notes that a slice is about to begin.
-func (s *Store) MarkIntended(id work.ID) error {
+// Intend records that a slice is about to start.
+func (s *Store) Intend(id work.ID) error {
 	return s.change(id, func(r *Record) { r.Intended = true })
 }
 
-// ClearIntended notes that it was not done.
-func (s *Store) ClearIntended(id work.ID) error {
+// ClearIntent records that the intended slice was not done.
+func (s *Store) ClearIntent(id work.ID) error {
 	return s.change(id, func(r *Record) { r.Intended = false })
 }
 
-// RecordFailure notes how often a job has failed, and why it is parked, if it is.
+// RecordFailure records how often a job has failed in a row, and why it is parked; empty: it is not.
 func (s *Store) RecordFailure(id work.ID, fails int, parked string) error {
 	return s.change(id, func(r *Record) { r.Failures, r.ParkedReason, r.Intended = fails, parked, false })
 }
 
-// Park notes that a job waits for an operator; what was intended stays so.
+// Park records why a job is parked; empty: it is not. An intended slice stays so.
 func (s *Store) Park(id work.ID, why string) error {
 	return s.change(id, func(r *Record) { r.ParkedReason = why })
 }
@@ -220,7 +223,7 @@
 	})
 }
 
-// Checkpoint notes that a slice is done, where to go on, not before when, and the jobs that it made: all of it or nothing.
+// Checkpoint records that a slice is done: the state for the next one, its earliest start, and the jobs that it spawned.
 func (s *Store) Checkpoint(id work.ID, state []byte, earliest int64, spawned []Record) error {
 	return s.update(func(tx *bolt.Tx) error {
 		r, err := s.get(tx, id)
@@ -236,7 +239,7 @@
 	})
 }
 
-// Complete takes a job away, with the jobs that its last slice made in the same step.
+// Complete removes a job, and adds the jobs that its last slice spawned.
 func (s *Store) Complete(id work.ID, spawned []Record) error {
 	return s.update(func(tx *bolt.Tx) error {
 		if err := s.remove(tx, id); err != nil {
@@ -246,7 +249,7 @@
 	})
 }
 
-// Load calls f with all jobs, by number.
+// Load calls f with all jobs, in the order of their numbers.
 func (s *Store) Load(f func(Record) error) error {
 	return s.view(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketJobs).ForEach(func(k, raw []byte) error {
@@ -259,7 +262,7 @@
 	})
 }
 
-// Bytes is what all jobs have.
+// Bytes returns the bytes of all jobs.
 func (s *Store) Bytes() (n int64, err error) {
 	err = s.view(func(tx *bolt.Tx) error {
 		n = boltfile.Value(tx.Bucket(bucketMeta).Get(keyBytes))
