--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -1,9 +1,9 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
-	"math"
 	"time"
 
 	"saffronyard.example/saffronyard/brain"
@@ -13,17 +13,19 @@
 
 // instance is one hosted sender.
 type instance struct {
-	number                     uint16
-	brain                      *brain.Brain
-	remainingField, limitField int // places of the two report values, -1 if absent
-	events                     []brain.Event
-	classes                    int
-	inBatch                    bool // has events in this batch
+	number         uint16
+	brain          *brain.Brain
+	remainingField int // index in a load report of the share of the allowance that is left, -1 if absent
+	limitField     int // index in a load report of the rate limit, -1 if absent
+	classes        int // how many its settings have
+	events         []brain.Event
+	inBatch        bool // it has events in this batch
 }
 
+// host runs the instances. It is used by one goroutine.
 type host struct {
 	instances map[uint16]*instance
-	order     []*instance // in order of first event in the batch
+	order     []*instance // in the order of their first event in the batch
 	pages     map[uint32][]wire.Endpoint
 	reply     wire.Reply
 }
@@ -32,12 +34,14 @@
 	return &host{instances: map[uint16]*instance{}, pages: map[uint32][]wire.Endpoint{}}
 }
 
+// milliseconds is a duration as the wire has it.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// serveBatch handles one batch; it reports false when the input has ended.
+// serveBatch reads one batch, steps the instances that have events in it, and writes the reply. It returns false when the
+// input has ended.
 func (h *host) serveBatch(r io.Reader, w io.Writer) (bool, error) {
 	batch, err := wire.ReadBatch(r)
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return false, nil
 	}
 	if err != nil {
@@ -47,7 +51,7 @@
 	for i := range batch.Events {
 		e := &batch.Events[i]
 		if err := h.record(e); err != nil {
-			return false, fmt.Errorf("record %d at offset %d (code %d): %v", e.Index, e.Offset, e.Code, err)
+			return false, &wire.RecordError{Index: e.Index, Offset: e.Offset, Code: int(e.Code), Err: err}
 		}
 	}
 	now := settings.DurationFromMs(batch.Clock)
@@ -60,7 +64,7 @@
 	return true, h.reply.Flush(w)
 }
 
-// record books one record with its instance.
+// record hands one record to its instance.
 func (h *host) record(e *wire.Event) error {
 	switch e.Code {
 	case wire.CodeEndpointPage:
@@ -78,7 +82,7 @@
 	}
 	in := h.instances[e.Instance]
 	if in == nil {
-		return fmt.Errorf("instance %d is not running", e.Instance)
+		return &fieldError{"instance", e.Instance, "is not running"}
 	}
 	if e.Code == wire.CodeExit {
 		delete(h.instances, e.Instance)
@@ -98,65 +102,7 @@
 	return nil
 }
 
-// translate translates one record; nil for those that the module has no use for.
-func (h *host) translate(in *instance, e *wire.Event) (brain.Event, error) {
-	switch e.Code {
-	case wire.CodeEndpointUpdate:
-		if e.Scope > 3 {
-			return nil, fmt.Errorf("scope %d is unknown", e.Scope)
-		}
-		if e.Scope == 3 {
-			return brain.EndpointUpdate{Failed: true, Overloaded: true}, nil // it bears no mark of why, so the dearer is taken for it
-		}
-		nodes, ok := h.pages[e.Page]
-		if !ok {
-			return nil, fmt.Errorf("catalog %d was never sent", e.Page)
-		}
-		news := brain.EndpointUpdate{Complete: e.Scope != 0}
-		for _, n := range nodes {
-			news.Endpoints = append(news.Endpoints, brain.Endpoint{ID: brain.EndpointID(n.ID),
-				Destination: brain.DestinationID(n.Destination), Kind: int(n.Kind), Zone: int(n.Zone),
-				Ready: n.Availability == 1, Rating: float64(n.Rating)})
-		}
-		return news, nil
-	case wire.CodeMessage:
-		if int(e.Class) >= in.classes {
-			return nil, fmt.Errorf("class %d is not among the settings", e.Class)
-		}
-		if e.Destination < 0 || e.Destination > math.MaxUint16 {
-			return nil, fmt.Errorf("destination %g is out of bounds", e.Destination)
-		}
-		return brain.Message{ID: brain.MessageID(e.Message), Class: int(e.Class), Tenant: int(e.Tenant),
-			Destination: brain.DestinationID(e.Destination), OrderingKey: e.OrderingKey, Deadline: settings.DurationFromMs(e.Deadline)}, nil
-	case wire.CodeAttemptResult:
-		outcome, ok := outcomes[e.Outcome]
-		if !ok {
-			return nil, fmt.Errorf("result %d is unknown", e.Outcome)
-		}
-		end := brain.AttemptResult{Message: brain.MessageID(e.Message), Attempt: int(e.Attempt),
-			Endpoint: brain.EndpointID(e.Endpoint), Outcome: outcome, Elapsed: settings.DurationFromMs(e.Elapsed), Final: e.Final}
-		if outcome == brain.Rejected {
-			end.RetryAfter = time.Duration(e.RetryAfterMs) * time.Millisecond
-		}
-		if in.remainingField >= 0 && in.remainingField < len(e.LoadReport) {
-			end.LimitReported, end.Remaining = true, float64(e.LoadReport[in.remainingField])
-		}
-		if in.limitField >= 0 && in.limitField < len(e.LoadReport) {
-			end.Limit = float64(e.LoadReport[in.limitField])
-		}
-		return end, nil
-	case wire.CodeWithdrawn:
-		return brain.Withdrawn{Message: brain.MessageID(e.Message)}, nil
-	case wire.CodeTimerFired:
-		return brain.TimerFired{}, nil
-	}
-	return nil, nil
-}
-
-var outcomes = map[uint8]brain.Outcome{10: brain.Served, 20: brain.Errored, 30: brain.Rejected, 40: brain.TimedOut,
-	50: brain.ConnectFailed, 60: brain.ConnectionLost, 70: brain.Cancelled, 80: brain.NotSent}
-
-// step runs the module and writes its actions; a panic in it becomes an internal_error.
+// step runs the decision module and writes its actions; a panic in it becomes an internal_error.
 func (h *host) step(in *instance, now time.Duration) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -185,6 +131,7 @@
 	}
 }
 
+// newInstance starts an instance with the settings of a hello.
 func newInstance(e *wire.Event) (*instance, error) {
 	env, err := wire.ParseSettings(e.Settings)
 	if err != nil {
--- a/cmd/simulator-adapter/host_test.go
+++ b/cmd/simulator-adapter/host_test.go
@@ -64,7 +64,8 @@
 
 // build makes the adapter once for a test.
 func build(t *testing.T) string {
-	bin := filepath.Join(t.TempDir(), "wirehost")
+	t.Helper()
+	bin := filepath.Join(t.TempDir(), "simulator-adapter")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings translates what a sender is told at its start into the decision module's Settings.
-// The simulator states it as path=value lines, a real sender's configuration as nested JSON with the
-// same names; both are read through the same keys, so that the two cannot drift apart.
+// Package settings translates what a sender is told at its start into the decision module's Settings. The simulator states
+// it as lines of path=value, the configuration of a real sender as nested JSON with the same names; both are read through the
+// same keys, so that the two cannot drift apart. The keys are the pages'; this is the one place that maps them.
 package settings
 
 import (
@@ -16,7 +16,7 @@
 	"saffronyard.example/saffronyard/internal/wire"
 )
 
-// DurationFromMs turns milliseconds into a duration, to the microsecond that the simulator counts in.
+// DurationFromMs converts milliseconds to a duration, rounded to the microsecond in which the simulator counts.
 func DurationFromMs(ms float64) time.Duration {
 	us := math.Round(ms * 1000)
 	if limit := float64(math.MaxInt64 / 2000); us > limit || us < -limit {
@@ -25,49 +25,79 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// Translate reads the settings; unknown keys are skipped. Unreadable ones show in env.Err.
+// Translate reads the settings; unknown keys are skipped. The first value that cannot be read shows in env.Err.
 func Translate(env *wire.Settings) brain.Settings {
 	ms := func(key string) time.Duration { return DurationFromMs(env.Float(key)) }
 	s := brain.Settings{
-		Senders: env.Int("balancers"), Zone: env.Int("zone"), Slots: env.Int("familyInfo.callsOut"),
-		MaxPending: env.Int("limits.mostHeld"), MaxAttempts: env.Int("limits.maxAttempts"),
-		MayCancel: env.Bool("limits.cancel"), IdleConnTimeout: ms("limits.connIdle"),
-		SendsRetryAfter: env.Bool("limits.retryAfter"), MaxRetryAfter: ms("limits.maxRetryAfter"),
-		RequestsEndpoints: env.Enum("discovery", "pushed", "on_request") == 1, StepInterval: ms("step"),
-		OrderingCooldown: ms("rules.settleAfterDoubt"), OverloadMultiple: env.Float("rules.fallMultiple"),
-		SlowStartCapacity: env.Float("rules.startCapacity"), OverloadWindow: ms("rules.overloadFor"), SlowStartDuration: ms("rules.cold"),
-		OverShareValue:   env.Float("overShareWorth"),
-		CrossZoneCost:    env.Float("costs.crossZone"),
-		ExponentialDecay: env.Enum("familyInfo.fades", "linear", "halving") == 1,
-		RatingIsLimit:    env.Enum("weights", "none", "nominal", "rough", "live")%3 != 0,
-		ZoneFees:         env.Floats("familyInfo.toll"),
+		Senders:           env.Int("balancers"),
+		Zone:              env.Int("zone"),
+		Slots:             env.Int("familyInfo.callsOut"),
+		MaxPending:        env.Int("limits.mostHeld"),
+		MaxAttempts:       env.Int("limits.maxAttempts"),
+		MayCancel:         env.Bool("limits.cancel"),
+		IdleConnTimeout:   ms("limits.connIdle"),
+		SendsRetryAfter:   env.Bool("limits.retryAfter"),
+		MaxRetryAfter:     ms("limits.maxRetryAfter"),
+		RequestsEndpoints: env.Enum("discovery", "pushed", "on_request") == 1,
+		StepInterval:      ms("step"),
+		OrderingCooldown:  ms("rules.settleAfterDoubt"),
+		OverloadMultiple:  env.Float("rules.fallMultiple"),
+		SlowStartCapacity: env.Float("rules.startCapacity"),
+		OverloadWindow:    ms("rules.overloadFor"),
+		SlowStartDuration: ms("rules.cold"),
+		OverShareValue:    env.Float("overShareWorth"),
+		CrossZoneCost:     env.Float("costs.crossZone"),
+		ExponentialDecay:  env.Enum("familyInfo.fades", "linear", "halving") == 1,
+		RatingIsLimit:     env.Enum("weights", "none", "nominal", "rough", "live")%3 != 0, // nominal or rough
+		ZoneFees:          env.Floats("familyInfo.toll"),
 	}
-	apart, calls := env.Bools("familyInfo.routesApart"), env.Floats("familyInfo.perCall")
+	s.Kinds = kinds(env)
+	for i := range env.Count("services") {
+		s.Classes = append(s.Classes, class(env, fmt.Sprintf("services.%d.", i)))
+	}
+	for i := range env.Count("orgs") {
+		prefix := fmt.Sprintf("orgs.%d.", i)
+		s.Tenants = append(s.Tenants, brain.Tenant{
+			Share:     env.Float(prefix + "share"),
+			Allowance: env.Float(prefix + "allowancePerS"),
+		})
+	}
+	return s
+}
+
+// kinds reads the kinds of destination, by the order of "models".
+func kinds(env *wire.Settings) []brain.Kind {
+	var all []brain.Kind
+	perEndpoint, maxBatch := env.Bools("familyInfo.routesApart"), env.Floats("familyInfo.perCall")
 	for i := range env.List("models") {
 		k := brain.Kind{MaxBatch: 1}
-		if i < len(apart) {
-			k.PerEndpointRoutes = apart[i]
+		if i < len(perEndpoint) {
+			k.PerEndpointRoutes = perEndpoint[i]
 		}
-		if i < len(calls) {
-			k.MaxBatch = int(calls[i])
+		if i < len(maxBatch) {
+			k.MaxBatch = int(maxBatch[i])
 		}
-		s.Kinds = append(s.Kinds, k)
+		all = append(all, k)
 	}
-	for i := range env.Count("services") {
-		p := fmt.Sprintf("services.%d.", i)
-		s.Classes = append(s.Classes, brain.Class{LatencyTarget: ms(p + "slo"), Deadline: ms(p + "giveUp"),
-			Idempotency:         brain.Idempotency(env.Enum(p+"effect", "read_like", "idempotency_key", "non_idempotent")),
-			IdempotencyKeyZonal: env.Enum(p+"dedupScope", "all", "zone", "cell") != 0, IdempotencyKeyTTL: ms(p + "dedupWindow"),
-			Ordered: env.Bool(p + "oneAtATime"), Value: env.Float(p + "worth"), LateValue: env.Float(p + "lateValue")})
-	}
-	for i := range env.Count("orgs") {
-		p := fmt.Sprintf("orgs.%d.", i)
-		s.Tenants = append(s.Tenants, brain.Tenant{Share: env.Float(p + "share"), Allowance: env.Float(p + "allowancePerS")})
+	return all
+}
+
+// class reads a class of message, whose keys begin with prefix.
+func class(env *wire.Settings, prefix string) brain.Class {
+	ms := func(key string) time.Duration { return DurationFromMs(env.Float(prefix + key)) }
+	return brain.Class{
+		LatencyTarget:       ms("slo"),
+		Deadline:            ms("giveUp"),
+		Idempotency:         brain.Idempotency(env.Enum(prefix+"effect", "read_like", "idempotency_key", "non_idempotent")),
+		IdempotencyKeyZonal: env.Enum(prefix+"dedupScope", "all", "zone", "cell") != 0,
+		IdempotencyKeyTTL:   ms("dedupWindow"),
+		Ordered:             env.Bool(prefix + "oneAtATime"),
+		Value:               env.Float(prefix + "worth"),
+		LateValue:           env.Float(prefix + "lateValue"),
 	}
-	return s
 }
 
-// Flatten turns nested JSON into the simulator's path=value form: a list of plain values is joined by
+// Flatten converts nested JSON to the simulator's form of path=value: a list of plain values is joined by
 // commas, a list of objects states its length under .count and its items under .0, .1 and so forth.
 func Flatten(raw []byte) (*wire.Settings, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -1,24 +1,23 @@
 package wire
 
 import (
-	"fmt"
 	"math"
 	"strconv"
 	"strings"
 )
 
-// Settings holds the settings of one instance, and the first trouble met in reading them.
+// Settings holds the settings of one instance by their paths, and the first value that could not be read.
 type Settings struct {
 	values map[string]string
 	err    error
 }
 
-// maxItems bounds a list's .count, so that a wrong one costs no memory.
+// maxItems bounds the .count of a list, so that a wrong one costs no memory.
 const maxItems = 4096
 
-// ParseSettings splits path=value lines.
+// ParseSettings splits lines of path=value. The error is a *SettingsSyntaxError.
 func ParseSettings(text string) (*Settings, error) {
-	e := &Settings{values: map[string]string{}}
+	s := &Settings{values: map[string]string{}}
 	for n, line := range strings.Split(text, "\n") {
 		line = strings.TrimSuffix(line, "\r")
 		if line == "" {
@@ -26,68 +25,68 @@
 		}
 		key, value, ok := strings.Cut(line, "=")
 		if !ok {
-			return nil, fmt.Errorf("settings line %d: no '='", n+1)
+			return nil, &SettingsSyntaxError{Line: n + 1}
 		}
-		e.values[key] = value
+		s.values[key] = value
 	}
-	return e, nil
+	return s, nil
 }
 
-// Err is the first unreadable value met, naming its key.
-func (e *Settings) Err() error { return e.err }
+// Err is a *SettingError on the first value that could not be read, or nil.
+func (s *Settings) Err() error { return s.err }
 
-func (e *Settings) fail(key, want string) {
-	if e.err == nil {
-		e.err = fmt.Errorf("setting %s: %q is not %s", key, e.values[key], want)
+func (s *Settings) fail(key, want string) {
+	if s.err == nil {
+		s.err = &SettingError{Key: key, Value: s.values[key], Want: want}
 	}
 }
 
-// Text is a value as it stands, "" if absent.
-func (e *Settings) Text(key string) string { return e.values[key] }
+// Text returns a value as it stands, "" if absent.
+func (s *Settings) Text(key string) string { return s.values[key] }
 
 // Float reads a number, 0 if absent.
-func (e *Settings) Float(key string) float64 {
-	v, ok := e.values[key]
+func (s *Settings) Float(key string) float64 {
+	v, ok := s.values[key]
 	if !ok {
 		return 0
 	}
-	return e.float(key, v)
+	return s.float(key, v)
 }
 
-func (e *Settings) float(key, v string) float64 {
+func (s *Settings) float(key, v string) float64 {
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		e.fail(key, "a number")
+		s.fail(key, "a number")
 		return 0
 	}
 	return f
 }
 
 // Int reads a whole number, 0 if absent.
-func (e *Settings) Int(key string) int {
-	f := e.Float(key)
+func (s *Settings) Int(key string) int {
+	f := s.Float(key)
 	if f != math.Trunc(f) || math.Abs(f) > 1<<40 {
-		e.fail(key, "a whole number")
+		s.fail(key, "a whole number")
 		return 0
 	}
 	return int(f)
 }
 
 // Bool reads true or false, false if absent.
-func (e *Settings) Bool(key string) bool {
-	switch e.values[key] {
+func (s *Settings) Bool(key string) bool {
+	switch s.values[key] {
 	case "true":
 		return true
 	case "false", "":
 		return false
 	}
-	e.fail(key, "true or false")
+	s.fail(key, "true or false")
 	return false
 }
 
-// Enum reads one of a few words and gives its place among them, 0 if absent.
-func (e *Settings) Enum(key string, words ...string) int {
-	v, ok := e.values[key]
+// Enum reads one of a few words and returns its index, 0 if absent.
+func (s *Settings) Enum(key string, words ...string) int {
+	v, ok := s.values[key]
 	if !ok {
 		return 0
 	}
@@ -96,44 +95,44 @@
 			return i
 		}
 	}
-	e.fail(key, "one of "+strings.Join(words, ", "))
+	s.fail(key, "one of "+strings.Join(words, ", "))
 	return 0
 }
 
 // List reads a comma list.
-func (e *Settings) List(key string) []string {
-	if e.values[key] == "" {
+func (s *Settings) List(key string) []string {
+	if s.values[key] == "" {
 		return nil
 	}
-	return strings.Split(e.values[key], ",")
+	return strings.Split(s.values[key], ",")
 }
 
 // Floats reads a comma list of numbers.
-func (e *Settings) Floats(key string) []float64 {
+func (s *Settings) Floats(key string) []float64 {
 	var out []float64
-	for _, v := range e.List(key) {
-		out = append(out, e.float(key, v))
+	for _, v := range s.List(key) {
+		out = append(out, s.float(key, v))
 	}
 	return out
 }
 
 // Bools reads a comma list of true and false.
-func (e *Settings) Bools(key string) []bool {
+func (s *Settings) Bools(key string) []bool {
 	var out []bool
-	for _, v := range e.List(key) {
+	for _, v := range s.List(key) {
 		if v != "true" && v != "false" {
-			e.fail(key, "a list of true and false")
+			s.fail(key, "a list of true and false")
 		}
 		out = append(out, v == "true")
 	}
 	return out
 }
 
-// Count reads the length of a list of objects.
-func (e *Settings) Count(key string) int {
-	n := e.Int(key + ".count")
+// Count reads the length of a list of objects, from key.count.
+func (s *Settings) Count(key string) int {
+	n := s.Int(key + ".count")
 	if n < 0 || n > maxItems {
-		e.fail(key+".count", "a sensible length")
+		s.fail(key+".count", "a sensible length")
 		return 0
 	}
 	return n
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -56,7 +56,7 @@
 	if b, err = ReadBatch(r); err != nil || len(b.Events) != 0 {
 		t.Errorf("empty batch: %+v %v", b, err)
 	}
-	if _, err = ReadBatch(r); err != io.EOF {
+	if _, err = ReadBatch(r); err != io.EOF { //nolint:errorlint // the value itself is the contract
 		t.Errorf("end of input: %v", err)
 	}
 }
