--- a/internal/tier/gateway/account_test.go
+++ b/internal/tier/gateway/budgets_test.go
@@ -16,17 +16,17 @@
 	return tiertest.Post(target, id, fmt.Sprintf("Program: p\r\nBudget: %d\r\nX-Token-Usage: 5,%d\r\n", budget, most), "in")
 }
 
-// A budget is kept whatever route a turn comes by, also where turns of one program come by both kinds of routes.
+// A budget is stored whatever route a turn comes by, also where turns of one program come by both kinds of routes.
 func TestBudget_OfTurnsNotPersisted(t *testing.T) {
 	for _, routes := range [][2]string{{"/stream/x", "/stream/x"}, {"/stream/x", "/turn/x"}, {"/turn/x", "/stream/x"}, {"/resumable/x", "/kept/x"}} {
 		t.Run(routes[0]+" "+routes[1], func(t *testing.T) {
-			e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+			e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 			r := startGateway(t, e)
 			assert.Equal(t, r.do(turnWithBudget(routes[0], "t-1", 10, 11)).Status, 402)
 			assert.Equal(t, len(e.Requests()), 0)
-			assertAnswer(t, r.do(turnWithBudget(routes[0], "t-2", 10, 10)), 200, events(said("t-2")...)) // two events: 2 tokens
+			assertAnswer(t, r.do(turnWithBudget(routes[0], "t-2", 10, 10)), 200, events(twoEvents("t-2")...)) // two events: 2 tokens
 			assert.Equal(t, r.do(turnWithBudget(routes[1], "t-3", 10, 9)).Status, 402)
-			assert.Equal(t, r.do(turnWithBudget(routes[1], "t-4", 10, 8)).Status, 200) // exactly the room that is left
+			assert.Equal(t, r.do(turnWithBudget(routes[1], "t-4", 10, 8)).Status, 200) // exactly what is left
 			assert.Equal(t, r.do(turnWithBudget(routes[0], "t-5", 10, 7)).Status, 402)
 			assert.Equal(t, r.do(turnWithBudget(routes[0], "t-6", 10, 6)).Status, 200)
 			assert.Equal(t, len(e.Requests()), 3)
@@ -34,7 +34,7 @@
 	}
 }
 
-// What the client has of a turn that is not kept is charged before it hears the end, or hears that there is none.
+// What the client has of a turn that is not stored is charged before it hears the end, or hears that there is none.
 func TestBudget_TurnNotPersistedIsChargedForEventsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(*tiertest.ReceivedRequest, <-chan struct{})
@@ -44,13 +44,13 @@
 			a.RespondUnsigned(503, "X-Not-Executed: full\r\n")
 		}, 0},
 		"before an event":    {func(a *tiertest.ReceivedRequest, _ <-chan struct{}) { a.Reset() }, 0},
-		"after three events": {func(a *tiertest.ReceivedRequest, read <-chan struct{}) { say(a, 3); <-read; a.Reset() }, 3},
+		"after three events": {func(a *tiertest.ReceivedRequest, read <-chan struct{}) { beginStream(a, 3); <-read; a.Reset() }, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
 			e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) { c.script(a, read) })
 			r := startGateway(t, e)
-			ends := settled(r.turnStores.List[0])
+			ends := settlementsOf(r.turnStores.List[0])
 			client := tiertest.Connect(t, r.ingress)
 			client.Send(turnWithBudget("/stream/x", "t-1", 100, 60))
 			if c.charge > 0 {
@@ -67,37 +67,37 @@
 			got := tiertest.WaitFor(t, "the reservation ends", ends)
 			assert.Equal(t, got.Stored, false)
 			assert.Equal(t, got.Tokens, uint64(c.charge))
-			e.SetHandler(talk)
+			e.SetHandler(streamTwoEvents)
 			assert.Equal(t, r.do(turnWithBudget("/stream/x", "t-2", 100, 101-c.charge)).Status, 402)
 			assert.Equal(t, r.do(turnWithBudget("/stream/x", "t-3", 100, 100-c.charge)).Status, 200)
 		})
 	}
 }
 
-// Where nothing is kept a turn goes on from nothing: there is no 404, and the body goes to the endpoint as it came.
+// Where nothing is stored a turn continues nothing: there is no 404, and the body goes to the endpoint as it came.
 func TestBudget_TurnNotPersistedContinuesNothing(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	got := r.do(tiertest.Post("/stream/x", "t-1", "Program: p\r\nPrevious: t-none\r\nBudget: 10\r\nX-Token-Usage: 5,9\r\n", "in"))
-	assertAnswer(t, got, 200, events(said("t-1")...))
+	assertAnswer(t, got, 200, events(twoEvents("t-1")...))
 	assert.Equal(t, e.Requests()[0].BodyText, "in")
 	assert.Equal(t, e.Requests()[0].Header.Get("Previous"), "t-none")
 	assert.Equal(t, r.do(tiertest.Post("/turn/x", "t-2", "Program: p\r\nPrevious: t-1\r\nBudget: 10\r\nX-Token-Usage: 5,2\r\n", "in")).Status, 404)
 }
 
-// Without a turn store it is not known whether there is room: nothing is sent, and the client hears when to come back.
+// Without a turn store it is not known whether the budget allows it: nothing is sent, and the client gets a Retry-After.
 func TestBudget_TurnNotPersistedNeedsTurnStore(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	r.turnStores.List[0].SetInterceptor(func(tiertest.RPC) error { return tiertest.ErrMessageLost })
 	assertNotExecuted(t, r.do(tiertest.Post("/stream/x", "t-1", "Program: p\r\nX-Deadline-Ms: 600\r\nBudget: 10\r\nX-Token-Usage: 5,9\r\n", "in")))
 	assert.Equal(t, len(e.Requests()), 0)
-	assertAnswer(t, r.do(tiertest.Post("/stream/x", "t-2", "Program: p\r\n", "in")), 200, events(said("t-2")...)) // no budget: nobody is asked
+	assertAnswer(t, r.do(tiertest.Post("/stream/x", "t-2", "Program: p\r\n", "in")), 200, events(twoEvents("t-2")...)) // no budget: nobody is asked
 }
 
-// The end does not wait for a turn store that is away, as nothing but the room in the budget rests on it.
+// The end does not wait for a turn store that is away, as only the budget depends on it.
 func TestBudget_EndOfTurnNotPersistedWaitsBriefly(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	let := make(chan struct{})
 	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
@@ -110,14 +110,14 @@
 		}
 		return m.Serve()
 	})
-	assertAnswer(t, r.do(turnWithBudget("/stream/x", "t-1", 10, 10)), 200, events(said("t-1")...))
+	assertAnswer(t, r.do(turnWithBudget("/stream/x", "t-1", 10, 10)), 200, events(twoEvents("t-1")...))
 	close(let)
 	assert.Equal(t, r.do(turnWithBudget("/stream/x", "t-2", 10, 8)).Status, 200) // what is being settled here is waited for
 }
 
 // The same attempt twice reserves once.
 func TestBudget_SameAttemptByTwoGatewaysReservesOnce(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	first, second := startTwoGateways(t, e)
 	blocked, begun := make(chan struct{}), make(chan struct{})
 	e.SetHandler(func(a *tiertest.ReceivedRequest) {
@@ -125,14 +125,14 @@
 			close(begun)
 			<-blocked
 		}
-		talk(a)
+		streamTwoEvents(a)
 	})
 	c := tiertest.Connect(t, first.ingress)
 	c.Send(turnWithBudget("/resumable/x", "t-1", 12, 10))
 	tiertest.WaitFor(t, "it runs", begun)
 	assert.Equal(t, second.do(turnWithBudget("/resumable/x", "t-1", 12, 10)).Status, 200)
 	close(blocked)
-	assertAnswer(t, c.ReadReply(), 200, events(said("t-1")...))
+	assertAnswer(t, c.ReadReply(), 200, events(twoEvents("t-1")...))
 	reply, err := first.turnStores.List[0].Begin(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t-2", Limited: true, Budget: 12, MaxTokens: 10})
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Verdict, tierv1.Verdict_OK)
--- a/internal/tier/gateway/mutation_test.go
+++ b/internal/tier/gateway/fault_test.go
@@ -23,22 +23,22 @@
 var faults = []fault{
 	{name: "lost", call: func(m tiertest.RPC, _ func(func())) error { return tiertest.ErrMessageLost },
 		answer: func(a *tiertest.ReceivedRequest) { a.AwaitClose() }},
-	{name: "silent", call: func(m tiertest.RPC, _ func(func())) error { <-m.Ctx.Done(); return m.Ctx.Err() },
+	{name: "unresponsive", call: func(m tiertest.RPC, _ func(func())) error { <-m.Ctx.Done(); return m.Ctx.Err() },
 		answer: func(a *tiertest.ReceivedRequest) { a.WriteStreamHead(); a.AwaitClose() }},
 	{name: "reply lost", call: func(m tiertest.RPC, _ func(func())) error { m.Serve(); return tiertest.ErrMessageLost },
 		answer: func(a *tiertest.ReceivedRequest) { a.Reset() }},
-	{name: "doubled", call: func(m tiertest.RPC, _ func(func())) error { m.Serve(); return m.Serve() },
-		answer: func(a *tiertest.ReceivedRequest) { talk(a); talk(a) }},
-	{name: "held", call: func(m tiertest.RPC, late func(func())) error {
+	{name: "duplicated", call: func(m tiertest.RPC, _ func(func())) error { m.Serve(); return m.Serve() },
+		answer: func(a *tiertest.ReceivedRequest) { streamTwoEvents(a); streamTwoEvents(a) }},
+	{name: "delayed", call: func(m tiertest.RPC, late func(func())) error {
 		late(func() { m.Serve() })
 		return tiertest.ErrMessageLost
 	},
-		answer: func(a *tiertest.ReceivedRequest) { a.WriteText("HTTP/1.1 100 Continue\r\n\r\n"); talk(a) }},
-	{name: "doubled late", call: func(m tiertest.RPC, late func(func())) error { late(func() { m.Serve() }); return m.Serve() },
-		answer: func(a *tiertest.ReceivedRequest) { talk(a); a.Close() }},
-	{name: "cut", call: func(m tiertest.RPC, _ func(func())) error { return tiertest.ErrMessageLost },
-		answer: func(a *tiertest.ReceivedRequest) { say(a, 1); a.Close() }},
-	{name: "cut before its end", call: func(m tiertest.RPC, _ func(func())) error { m.Serve(); <-m.Ctx.Done(); return m.Ctx.Err() },
+		answer: func(a *tiertest.ReceivedRequest) { a.WriteText("HTTP/1.1 100 Continue\r\n\r\n"); streamTwoEvents(a) }},
+	{name: "duplicated late", call: func(m tiertest.RPC, late func(func())) error { late(func() { m.Serve() }); return m.Serve() },
+		answer: func(a *tiertest.ReceivedRequest) { streamTwoEvents(a); a.Close() }},
+	{name: "broken off", call: func(m tiertest.RPC, _ func(func())) error { return tiertest.ErrMessageLost },
+		answer: func(a *tiertest.ReceivedRequest) { beginStream(a, 1); a.Close() }},
+	{name: "broken off before its end", call: func(m tiertest.RPC, _ func(func())) error { m.Serve(); <-m.Ctx.Done(); return m.Ctx.Err() },
 		answer: func(a *tiertest.ReceivedRequest) {
 			a.WriteStreamHead()
 			a.WriteEvent(1, "x")
@@ -51,12 +51,12 @@
 			a.AttemptID = "other"
 			a.Respond(200, "", "other")
 			a.AttemptID = own
-			talk(a)
+			streamTwoEvents(a)
 		}},
 }
 
-// TestTurn_FaultAtEachMessage spoils one message of a program of four turns, whose client tries again, and checks that no turn
-// that was acknowledged whole is lost, that none runs twice, that each success has its stamp, and that a budget holds.
+// TestTurn_FaultAtEachMessage injects a fault into one message of a program of four turns, whose client retries, and checks that no turn
+// that was acknowledged as complete is lost, that none runs twice, that each success has its signature, and that a budget holds.
 func TestTurn_FaultAtEachMessage(t *testing.T) {
 	for _, where := range []string{"Begin", "Settle", "Replicate", "answer"} {
 		for _, f := range faults {
@@ -64,7 +64,7 @@
 				if where == "Replicate" && f.call == nil {
 					continue
 				}
-				t.Run(fmt.Sprintf("%s %d %s", where, at, f.name), func(t *testing.T) { program(t, where, at, f) })
+				t.Run(fmt.Sprintf("%s %d %s", where, at, f.name), func(t *testing.T) { runProgram(t, where, at, f) })
 			}
 		}
 	}
@@ -81,8 +81,8 @@
 	late []func() // what the fault holds back
 }
 
-// via carries a message to a turn store.
-func (s *faultInjector) via(m tiertest.RPC) error {
+// intercept carries a message to a turn store.
+func (s *faultInjector) intercept(m tiertest.RPC) error {
 	s.mu.Lock()
 	hit := m.Method == s.method && s.seen == s.at
 	if m.Method == s.method {
@@ -99,7 +99,7 @@
 	})
 }
 
-// release has what was held back come now.
+// release delivers the delayed messages.
 func (s *faultInjector) release() {
 	s.mu.Lock()
 	held := s.late
@@ -110,32 +110,32 @@
 	}
 }
 
-// The budget of the program, and the most that one turn of it may generate, in tokens.
-const budget, mostTokens = 400, 3
+// The budget of the program, and the maximum that one turn of it may generate, in tokens.
+const budget, maxTokensPerTurn = 400, 3
 
-func program(t *testing.T, where string, at int, f fault) {
+func runProgram(t *testing.T, where string, at int, f fault) {
 	t.Parallel()
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	if where == "answer" {
 		e.SetHandler(func(a *tiertest.ReceivedRequest) {
 			if a.Order == at {
 				f.answer(a)
 				return
 			}
-			talk(a)
+			streamTwoEvents(a)
 		})
 	}
 	r := startGateway(t, e)
 	spoil := &faultInjector{method: where, at: at, fault: f}
 	for _, store := range r.turnStores.List {
-		store.SetInterceptor(spoil.via)
+		store.SetInterceptor(spoil.intercept)
 	}
 	chain, previous, granted := sendFourTurns(t, r, spoil)
 	spoil.release()
 	got, last := r.retryUntilServed("t-last", previous, "")
-	assertAnswer(t, got, 200, events(said(last)...))
+	assertAnswer(t, got, 200, events(twoEvents(last)...))
 	assertRanOnce(t, e, chain+"end", last)
-	// Of the budget, at most what was granted is gone, and at least what was handed in whole turns.
+	// Of the budget, at most what was granted is gone, and at least what the complete turns have.
 	const handed = 2 * 4
 	over, _ := r.retryUntilServed("t-over", "", fmt.Sprintf("Budget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, budget-handed+1))
 	assert.Equal(t, over.Status, 402, "%+v", over)
@@ -143,18 +143,18 @@
 	assert.Equal(t, room.Status, 200, "%+v", room)
 }
 
-// sendFourTurns has a client take four turns, each again until it has a whole answer. It gives the text of all, the id of the
-// last and the tokens that were asked for. What was held back comes after the second turn.
+// sendFourTurns has a client make four turns, each with retries until it has a complete answer. It returns the text of all, the id of the
+// last and the tokens that were asked for. Delayed messages are delivered after the second turn.
 func sendFourTurns(t *testing.T, r *harness, spoil *faultInjector) (chain, previous string, granted int) {
 	for i := range 4 {
 		for try := 0; ; try++ {
 			id := fmt.Sprintf("t-%d-%d", i, try)
 			in := fmt.Sprintf("in %d;", i)
-			fields := fmt.Sprintf("X-Deadline-Ms: 3000\r\nBudget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, mostTokens)
+			fields := fmt.Sprintf("X-Deadline-Ms: 3000\r\nBudget: %d\r\nX-Token-Usage: 9,%d\r\n", budget, maxTokensPerTurn)
 			got := r.do(turnRequest(id, previous, "p", fields, in))
-			if granted += mostTokens; got.Err == nil && got.Status == 200 {
-				assertAnswer(t, got, 200, events(said(id)...))
-				chain, previous = chain+in+output(id), id
+			if granted += maxTokensPerTurn; got.Err == nil && got.Status == 200 {
+				assertAnswer(t, got, 200, events(twoEvents(id)...))
+				chain, previous = chain+in+transcriptOf(id), id
 				break
 			}
 			assert.Assert(t, got.Err != nil || got.Status == 502 || got.Status == 503 || got.Status == 504, "turn %d: %+v", i, got)
--- a/internal/tier/gateway/rig_test.go
+++ b/internal/tier/gateway/harness_test.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"strings"
 	"testing"
+	"time"
 
 	"gotest.tools/v3/assert"
 
@@ -39,14 +40,14 @@
 
 // harness is a gateway with all that is around it.
 type harness struct {
-	t          *testing.T
-	s          settings.Settings
-	consensus  *tiertest.ControlPlane
-	turnStores *tiertest.TurnStores
-	ingress    string
-	probe      string
-	stop       context.CancelFunc
-	done       chan error
+	t            *testing.T
+	s            settings.Settings
+	controlPlane *tiertest.ControlPlane
+	turnStores   *tiertest.TurnStores
+	ingress      string
+	probe        string
+	stop         context.CancelFunc
+	done         chan error
 }
 
 // startUnconfigured starts a gateway whose control knows nothing yet.
@@ -56,10 +57,10 @@
 	for _, f := range change {
 		f(&s)
 	}
-	r := &harness{t: t, s: s, consensus: tiertest.NewControlPlane(), turnStores: tiertest.NewTurnStores(t, 3), ingress: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
+	r := &harness{t: t, s: s, controlPlane: tiertest.NewControlPlane(), turnStores: tiertest.NewTurnStores(t, 3), ingress: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	k := gateway.New(gateway.Config{Settings: s, ControlPlane: func(string) tierv1.ControlPlane { return r.consensus }, TurnStore: func(address string) tierv1.TurnStore { return r.turnStores.Dial(address) }, Log: tiertest.DiscardLogger()})
+	k := gateway.New(gateway.Config{Settings: s, ControlPlane: func(string) tierv1.ControlPlane { return r.controlPlane }, TurnStore: func(address string) tierv1.TurnStore { return r.turnStores.Dial(address) }, Log: tiertest.DiscardLogger()})
 	go func() {
 		r.done <- k.Run(ctx)
 		close(r.done)
@@ -93,13 +94,13 @@
 	return first, second
 }
 
-// configure gives the gateway a configuration, these endpoints and a partition map, and returns when it has taken them.
+// configure returns the gateway a configuration, these endpoints and a partition map, and returns when it has taken them.
 func (r *harness) configure(partitionMap *tierv1.PartitionMap, endpoints ...*tiertest.Endpoint) {
 	r.t.Helper()
-	r.consensus.SetConfiguration(configurationOf(1, ""))
+	r.controlPlane.SetConfiguration(configurationOf(1, ""))
 	r.listEndpoints(endpoints...)
-	r.consensus.SetPartitionMap(partitionMap)
-	r.consensus.AwaitAcknowledged(r.t)
+	r.controlPlane.SetPartitionMap(partitionMap)
+	r.controlPlane.AwaitAcknowledged(r.t)
 }
 
 // listEndpoints has the control plane list these endpoints, and no others.
@@ -108,7 +109,7 @@
 	for _, e := range endpoints {
 		list = append(list, e.Entry())
 	}
-	r.consensus.SetEndpoints(list...)
+	r.controlPlane.SetEndpoints(list...)
 }
 
 func (r *harness) do(text string) tiertest.Reply {
@@ -130,7 +131,7 @@
 	return tiertest.Post("/turn/x", id, fields+"Program: "+program+"\r\n", body)
 }
 
-// assertAnswer checks an answer; a success must bear the endpoint's stamp.
+// assertAnswer checks an answer; a success must bear the endpoint's signature.
 func assertAnswer(t *testing.T, got tiertest.Reply, status int, body string) {
 	t.Helper()
 	assert.NilError(t, got.Err)
@@ -141,7 +142,7 @@
 	}
 }
 
-// assertNotExecuted is an answer that says that nothing has run.
+// assertNotExecuted checks that an answer says that nothing has run.
 func assertNotExecuted(t *testing.T, got tiertest.Reply) {
 	t.Helper()
 	assert.NilError(t, got.Err)
@@ -150,7 +151,7 @@
 	assertUnstamped(t, got)
 }
 
-// assertUnstamped checks that an answer of the gateway's own bears no endpoint's stamp (MIXED).
+// assertUnstamped checks that an answer of the gateway's own bears no endpoint's signature (MIXED).
 func assertUnstamped(t *testing.T, got tiertest.Reply) {
 	t.Helper()
 	assert.Equal(t, got.Header.Get("X-Response-Signature"), "", "status %d", got.Status)
@@ -180,26 +181,91 @@
 			a.Reset()
 			return
 		}
-		talk(a)
+		streamTwoEvents(a)
 	}
 }
 
+// streamTwoEvents streams events that tell the attempt.
+func streamTwoEvents(a *tiertest.ReceivedRequest) { a.WriteStream(twoEvents(a.AttemptID)...) }
+
+// twoEvents is the data of the events that talk streams for an attempt.
+func twoEvents(id string) []string { return []string{"one of " + id, "two of " + id} }
+
+// transcriptOf is what a turn that talk answered adds to a chain.
+func transcriptOf(id string) string { return "one of " + id + "\ntwo of " + id + "\n" }
+
+// beginStream begins a stream with so many events.
+func beginStream(a *tiertest.ReceivedRequest, n int) {
+	a.WriteStreamHead()
+	for i := range n {
+		a.WriteEvent(i+1, "x")
+	}
+}
+
+// events is the body of a stream of these data.
+func events(data ...string) string {
+	var text strings.Builder
+	for i, d := range data {
+		text.WriteString(tiertest.EventText(i+1, d))
+	}
+	return text.String()
+}
+
 // sendTurn sends the first turn of program p, and reads its answer but for the end.
 func sendTurn(t *testing.T, c *tiertest.Client, id string) *http.Response {
 	t.Helper()
 	c.Send(turnRequest(id, "", "p", "", "in"))
 	head := c.ReadHead()
-	for i, data := range said(id) {
+	for i, data := range twoEvents(id) {
 		assert.Equal(t, c.ReadEvent(head.Body), tiertest.EventText(i+1, data))
 	}
 	return head
 }
 
-// events is the body of a stream of these data.
-func events(data ...string) string {
-	var text strings.Builder
-	for i, d := range data {
-		text.WriteString(tiertest.EventText(i+1, d))
+// twoEndpoints are endpoints of which the one asked first does as the script says, and the other one answers.
+func twoEndpoints(t *testing.T, first func(*tiertest.ReceivedRequest)) (a, b *tiertest.Endpoint) {
+	script := func(own, other **tiertest.Endpoint) func(*tiertest.ReceivedRequest) {
+		return func(x *tiertest.ReceivedRequest) {
+			if len((*other).Requests()) == 0 && x.Order == 0 {
+				first(x)
+				return
+			}
+			x.Respond(200, "", "second")
+		}
 	}
-	return text.String()
+	a = tiertest.NewEndpoint(t, "i-a", "s", nil)
+	b = tiertest.NewEndpoint(t, "i-b", "s", nil)
+	a.SetHandler(script(&a, &b))
+	b.SetHandler(script(&b, &a))
+	return a, b
+}
+
+// endLimit is the time after its client is gone in which an endpoint's work has to end.
+const endLimit = 500 * time.Millisecond
+
+// eventuallyWithinLimit repeats a measurement until one is within the bound: a busy machine may hold up any one of them, but none is shorter
+// than what the gateway itself waits for.
+func eventuallyWithinLimit(t *testing.T, measure func(try int) time.Duration) {
+	t.Helper()
+	var took []time.Duration
+	for try := range 10 {
+		took = append(took, measure(try))
+		if took[try] < endLimit {
+			return
+		}
+	}
+	t.Fatalf("never within %v: %v", endLimit, took)
+}
+
+// settlementsOf tells of the settlements that a turn store has taken.
+func settlementsOf(v *tiertest.TurnStore) <-chan *tierv1.SettleRequest {
+	all := make(chan *tierv1.SettleRequest, 1000)
+	v.SetInterceptor(func(m tiertest.RPC) error {
+		err := m.Serve()
+		if q, ok := m.Request.(*tierv1.SettleRequest); ok && err == nil {
+			all <- q
+		}
+		return err
+	})
+	return all
 }
--- a/internal/tier/gateway/released_test.go
+++ b/internal/tier/gateway/releasecontrol_test.go
@@ -21,22 +21,22 @@
 // slowTurnStore settles when it is let.
 type slowTurnStore struct {
 	tierv1.TurnStore
-	asked, let chan struct{}
+	called, proceed chan struct{}
 }
 
 func (v slowTurnStore) Settle(ctx context.Context, _ *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
-	close(v.asked)
+	close(v.called)
 	select {
-	case <-v.let:
+	case <-v.proceed:
 		return &tierv1.SettleReply{Verdict: tierv1.Verdict_OK}, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// A try that finds the budget spent waits for a reservation of its program that is being given up, and only for that.
+// An attempt that finds the budget spent waits for a reservation of its program that is being given up, and only for that.
 func TestAwaitReleases(t *testing.T) {
-	v := slowTurnStore{asked: make(chan struct{}), let: make(chan struct{})}
+	v := slowTurnStore{called: make(chan struct{}), proceed: make(chan struct{})}
 	k := New(Config{Settings: settings.Settings{ContactWindow: time.Minute, MemoryMB: 64}, Log: &log.Logger{Level: log.PanicLevel},
 		TurnStore: func(string) tierv1.TurnStore { return v }})
 	k.storeClient.apply(&tierv1.PartitionMap{Version: 1, StoreNodes: []*tierv1.StoreNode{{Folder: "f", Address: "a"}},
@@ -44,7 +44,7 @@
 	ctx := context.Background()
 	assert.Assert(t, !awaitReleases(ctx, k.releasesOf("p")))
 	over := (&clientRequest{gateway: k, attemptID: "t"}).releaseInBackground("p", 0)
-	<-v.asked
+	<-v.called
 	assert.Assert(t, !awaitReleases(ctx, k.releasesOf("another")))
 	ended, cancel := context.WithCancel(ctx)
 	cancel()
@@ -57,14 +57,14 @@
 		t.Fatal("it did not wait")
 	default:
 	}
-	close(v.let)
+	close(v.proceed)
 	<-over
 	assert.Assert(t, <-waited)
 	assert.Assert(t, !awaitReleases(ctx, k.releasesOf("p")))
 	assert.Equal(t, len(k.pendingReleases), 0)
 }
 
-// The time that a turn store gives a release after a takeover covers a call of a gateway and the pause after it, whatever the
+// The time that a turn store returns a release after a takeover covers a call of a gateway and the pause after it, whatever the
 // contact window is.
 func TestRelease_ArrivesWithinGracePeriod(t *testing.T) {
 	for _, contactWindow := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, time.Minute} {
@@ -107,7 +107,7 @@
 	return k
 }
 
-// A release that no turn store takes in its usual time goes on: else its reservation would leave no room in the budget for as
+// A release that no turn store confirms in its usual time goes on: else its reservation would be charged for as
 // long as the program is known. Meanwhile a spent budget is not sure.
 func TestRelease_ContinuesLate(t *testing.T) {
 	v := unclearTurnStore{lets: &atomic.Bool{}, taken: make(chan *tierv1.SettleRequest, 1)}
--- a/internal/tier/gateway/resume_test.go
+++ b/internal/tier/gateway/resume_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"io"
+	"strings"
+	"sync"
 	"testing"
 
 	"gotest.tools/v3/assert"
@@ -10,8 +12,8 @@
 	"saffronyard.example/saffronyard/internal/tier/tiertest"
 )
 
-// resumed answers with the events of a stream of five that follow Last-Event-Id.
-func resumed(a *tiertest.ReceivedRequest) {
+// answerResumed answers with the events of a stream of five that follow Last-Event-Id.
+func answerResumed(a *tiertest.ReceivedRequest) {
 	a.WriteStreamHead()
 	after := 0
 	fmt.Sscan(a.Header.Get("Last-Event-Id"), &after)
@@ -21,10 +23,10 @@
 	a.EndStream()
 }
 
-// fiveEvents is the whole answer of resumed.
+// fiveEvents is the complete answer of answerResumed.
 func fiveEvents() string { return events("event 1", "event 2", "event 3", "event 4", "event 5") }
 
-// breakFirstAttempt has whichever endpoint is asked first do as told, and the other one answer as resumed.
+// breakFirstAttempt has whichever endpoint is asked first do as the script says, and the other one answer as resumed.
 func breakFirstAttempt(t *testing.T, first func(*tiertest.ReceivedRequest)) (a, b *tiertest.Endpoint) {
 	a, b = twoEndpoints(t, first)
 	for _, e := range [][2]*tiertest.Endpoint{{a, b}, {b, a}} {
@@ -34,7 +36,7 @@
 				first(x)
 				return
 			}
-			resumed(x)
+			answerResumed(x)
 		})
 	}
 	return a, b
@@ -48,7 +50,7 @@
 	}
 }
 
-// failureModes are those in which a run can end before its answer has.
+// failureModes are those in which an attempt can end before its answer has.
 func failureModes() map[string]func(*tiertest.ReceivedRequest) {
 	return map[string]func(*tiertest.ReceivedRequest){
 		"reset":          (*tiertest.ReceivedRequest).Reset,
@@ -60,6 +62,17 @@
 	}
 }
 
+// streamBytes is the complete answer of answerResumed to an attempt, as it goes over the connection.
+func streamBytes(id string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Signature: s.%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", id, id)
+	for n := 1; n <= 5; n++ {
+		event := tiertest.EventText(n, fmt.Sprint("event ", n))
+		fmt.Fprintf(&text, "%x\r\n%s\r\n", len(event), event)
+	}
+	return text.String() + "0\r\n\r\n"
+}
+
 // An answer goes on at another endpoint after whatever event the first one broke off, with the head of the first.
 func TestResume_ContinuesElsewhere(t *testing.T) {
 	for name, breaks := range failureModes() {
@@ -80,7 +93,38 @@
 	}
 }
 
-// The second endpoint is told where to go on, and no more runs follow than the route allows.
+// Wherever in its bytes the first attempt breaks off, the client has each event once and in order: nothing is duplicated at the start of a resumed attempt, nothing is
+// missing.
+func TestResume_AfterBreakAtEachByte(t *testing.T) {
+	var mu sync.Mutex
+	first := map[string]int{} // by attempt: bytes of its first upstream attempt; removed when that is made
+	script := func(a *tiertest.ReceivedRequest) {
+		mu.Lock()
+		cut, is := first[a.AttemptID]
+		delete(first, a.AttemptID)
+		mu.Unlock()
+		if !is {
+			answerResumed(a)
+			return
+		}
+		a.WriteText(streamBytes(a.AttemptID)[:cut])
+		a.Close()
+	}
+	r := startGateway(t, tiertest.NewEndpoint(t, "i-a", "s", script), tiertest.NewEndpoint(t, "i-b", "s", script))
+	for cut := range len(streamBytes("a-000")) + 1 {
+		id := fmt.Sprintf("a-%03d", cut)
+		mu.Lock()
+		first[id] = cut
+		mu.Unlock()
+		got := r.post("/resumable/x", id, "", "b")
+		assert.NilError(t, got.Err, "cut after %d bytes", cut)
+		assert.Equal(t, got.Status, 200, "cut after %d bytes", cut)
+		assert.Equal(t, got.Body, fiveEvents(), "cut after %d bytes", cut)
+		assert.Equal(t, got.Header.Get("X-Response-Signature"), "s."+id)
+	}
+}
+
+// The second endpoint gets the last event ID, and no more attempts follow than the route allows.
 func TestResume_SendsLastEventID(t *testing.T) {
 	cut := func(x *tiertest.ReceivedRequest) {
 		after := 0
@@ -108,7 +152,7 @@
 	assert.Assert(t, named[0] != named[1] && named[0]+named[1] == "1", "%q", named)
 }
 
-// A second run that does not go on where the first one ended is no part of the answer.
+// A second attempt that does not resume where the first one ended is no part of the answer.
 func TestResume_AbortsAtGap(t *testing.T) {
 	for name, second := range map[string]func(*tiertest.ReceivedRequest){
 		"from the beginning": func(x *tiertest.ReceivedRequest) { sendEvents(x, 5); x.EndStream() },
@@ -142,18 +186,18 @@
 	}
 }
 
-// What the client is handed is charged once, over all runs.
+// What the client may have is charged once, over all attempts.
 func TestResume_ChargedForEventsWritten(t *testing.T) {
 	a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, 3); x.Reset() })
 	r := startGateway(t, a, b)
-	ends := settled(r.turnStores.List[0])
+	ends := settlementsOf(r.turnStores.List[0])
 	assertAnswer(t, r.do(turnWithBudget("/resumable/x", "t-1", 9, 9)), 200, fiveEvents())
 	assert.Equal(t, tiertest.WaitFor(t, "the reservation ends", ends).Tokens, uint64(5))
 	assert.Equal(t, r.do(turnWithBudget("/resumable/x", "t-2", 9, 5)).Status, 402)
 	assert.Equal(t, r.do(turnWithBudget("/resumable/x", "t-3", 9, 4)).Status, 200)
 }
 
-// The text of a kept turn is what its client was handed, from whichever runs.
+// The text of a stored turn is what its client has, from whichever attempts.
 func TestResume_TranscriptOfTurn(t *testing.T) {
 	a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, 3); x.Reset() })
 	r := startGateway(t, a, b)
@@ -173,11 +217,11 @@
 	assert.Assert(t, texts[0] == want || texts[1] == want || texts[2] == want, "%q", texts)
 }
 
-// A client that comes back with the last event it has gets what follows. Where the text is kept, the run that makes it is a whole one.
+// A client that comes back with the last event it has gets what follows. If the text is stored, the attempt that makes it is a complete one.
 func TestResume_ClientReconnectsForRest(t *testing.T) {
 	rest := fiveEvents()[len(events("event 1", "event 2")):]
 	for target, passed := range map[string]string{"/resumable/x": "2", "/kept/x": ""} {
-		e := tiertest.NewEndpoint(t, "i-1", "s", resumed)
+		e := tiertest.NewEndpoint(t, "i-1", "s", answerResumed)
 		r := startGateway(t, e)
 		got := r.post(target, "a-1", "Program: p\r\nLast-Event-Id: 2\r\n", "in;")
 		assertAnswer(t, got, 200, rest)
@@ -189,7 +233,7 @@
 	}
 }
 
-// No run follows for a client that has left.
+// No attempt follows for a client that is gone.
 func TestResume_NoneAfterClientIsGone(t *testing.T) {
 	gone := make(chan struct{})
 	a, b := breakFirstAttempt(t, func(x *tiertest.ReceivedRequest) { sendEvents(x, 1); x.AwaitClose(); close(gone) })
--- a/internal/tier/gateway/progress_test.go
+++ b/internal/tier/gateway/resumption_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestProgress_NextStep goes through each way in which a run can end, at each stage of an answer.
+// TestProgress_NextStep goes through each way in which an attempt can end, at each stage of an answer.
 func TestProgress_NextStep(t *testing.T) {
 	type stage struct {
 		name      string
@@ -21,7 +21,7 @@
 	commented := func(p *progress) { p.accept("1", true); p.accept("", false) }
 	for _, c := range []struct {
 		stage   stage
-		partial nextStep // where the run broke off, may be repeated, and there is room
+		partial nextStep // the attempt broke off, may be repeated, and attempts are left
 	}{
 		{stage{"resumable, nothing taken", true, nothing}, retry},
 		{stage{"resumable, two events taken", true, numbered}, resume},
@@ -50,7 +50,7 @@
 	}
 }
 
-// At a seam no event may be missing; within a run ids only rise, which the stream itself checks.
+// At the start of a resumed attempt no event may be missing; within an attempt ids only rise, which the stream itself checks.
 func TestProgress_NoGapBetweenAttempts(t *testing.T) {
 	for _, c := range []struct {
 		before []string
@@ -86,7 +86,7 @@
 	assert.Assert(t, !p.accept("7", true))
 }
 
-// simulateAttempts plays runs that are cut, doubled, reordered and emptied, and tells the ids that were taken. rises is the check that a stream
+// simulateAttempts simulates attempts that are truncated, duplicated, reordered and emptied, and returns the IDs that were accepted. rises is the check that a stream
 // itself makes of its ids.
 func simulateAttempts(seed uint64, total int, p *progress, take func(id string) bool, rises bool) (got []string) {
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -113,7 +113,7 @@
 	return got
 }
 
-// ascending reports whether ids are those of an answer from its beginning, each once. Where a first run begins is the endpoint's matter.
+// ascending reports whether ids are those of an answer from its beginning, each once. Where a first attempt begins is up to the endpoint.
 func ascending(got []string) bool {
 	for i, id := range got {
 		if got[0] == "1" && id != strconv.Itoa(i+1) {
@@ -123,7 +123,7 @@
 	return true
 }
 
-// FuzzProgress holds what was taken over several runs against the answer.
+// FuzzProgress holds what was taken over several attempts against the answer.
 func FuzzProgress(f *testing.F) {
 	f.Add(uint64(1), uint8(5))
 	f.Add(uint64(99), uint8(20))
@@ -134,7 +134,7 @@
 	})
 }
 
-// Planted: a machine that does not look at the seam, and a stream whose ids are not looked at, are found within 200 seeds.
+// Planted: a machine that does not look at the start of a resumed attempt, and a stream whose ids are not looked at, are found within 200 seeds.
 func TestInjectedSeamFaults_AreFound(t *testing.T) {
 	for name, rises := range map[string]bool{"a gap at the seam": true, "a piece doubled at the seam": false} {
 		found := false
--- a/internal/tier/gateway/lease_test.go
+++ b/internal/tier/gateway/sendcheck_test.go
@@ -17,7 +17,7 @@
 )
 
 // A gateway whose session does not get on writes to no endpoint beyond the lease of its list, whenever that endpoint was picked:
-// it may be draining by now. Once the session has heard from the primary, the endpoints that are left are written to again.
+// it may be draining by now. Once the session has heard from the primary, the endpoints that remain are written to again.
 func TestAttempts_NotSentByExpiredEndpointList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pause = 10 * time.Second
@@ -49,7 +49,7 @@
 			}
 			return serve()
 		})
-		<-time.After(time.Second) // the call that is held now ends
+		<-time.After(time.Second) // the pending long poll ends
 		control.SetEndpoints(entry("i-1", true), entry("i-2", false))
 		<-time.After(pause / 2)
 		assert.Assert(t, !first(), "written by a list that is not current")
@@ -63,3 +63,27 @@
 		synctest.Wait()
 	})
 }
+
+// The endpoints at the last moment before a request is written decide, not those when its endpoint was selected.
+func TestAttempts_EndpointListIsCheckedBeforeWrite(t *testing.T) {
+	k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.DiscardLogger()})
+	w := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
+	permit := w.upstreamRequest(loadbalancer.Selection{Instance: "i-1"}).Permit
+	entry := func(draining bool) *tierv1.Endpoint {
+		return &tierv1.Endpoint{Instance: "i-1", Service: "s", Address: "127.0.0.1:1", Draining: draining}
+	}
+	for i, c := range []struct {
+		list []*tierv1.Endpoint
+		want bool
+	}{
+		{nil, false},
+		{[]*tierv1.Endpoint{entry(false)}, true},
+		{[]*tierv1.Endpoint{entry(true)}, false},
+		{[]*tierv1.Endpoint{entry(false)}, true},
+		{nil, false},
+		{[]*tierv1.Endpoint{{Instance: "i-2", Service: "s", Address: "127.0.0.1:1"}}, false}, // another one at its address
+	} {
+		k.applyEndpoints(&tierv1.Endpoints{Version: uint64(i + 1), List: c.list})
+		assert.Equal(t, permit(), c.want, "list %d", i+1)
+	}
+}
--- a/internal/tier/gateway/stream_test.go
+++ b/internal/tier/gateway/streaming_test.go
@@ -1,8 +1,12 @@
 package gateway_test
 
 import (
+	"fmt"
 	"io"
+	"net/http"
+	"strings"
 	"testing"
+	"time"
 
 	"gotest.tools/v3/assert"
 
@@ -69,7 +73,7 @@
 	}
 }
 
-// A stream that breaks as a whole block is not passed on as a whole answer either.
+// A stream that breaks right after its events is not passed on as a complete answer either.
 func TestStream_BrokenAtOnce(t *testing.T) {
 	for _, said := range []int{0, 1, 2} {
 		e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
@@ -112,3 +116,30 @@
 	c.Conn.Close()
 	tiertest.WaitFor(t, "the endpoint's connection ends", gone)
 }
+
+// A client that takes nothing of a stream, and leaves, ends the endpoint's work too.
+func TestStream_AbortedForClientThatReadsNothing(t *testing.T) {
+	at, gone := make(chan struct{}, 1), make(chan time.Time, 1)
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
+		at <- struct{}{}
+		a.WriteStreamHead()
+		text := tiertest.EventText(1, strings.Repeat("x", 1<<16))
+		for n := 1; ; n++ {
+			text := strings.Replace(text, "id: 1\n", fmt.Sprintf("id: %d\n", n), 1)
+			if !a.TryWriteText(fmt.Sprintf("%x\r\n%s\r\n", len(text), text)) {
+				break
+			}
+		}
+		gone <- time.Now()
+	})
+	r := startGateway(t, e)
+	eventuallyWithinLimit(t, func(try int) time.Duration {
+		c := tiertest.Connect(t, r.ingress)
+		c.Send(tiertest.Post("/stream/x", fmt.Sprintf("a-%d", try), "", "b"))
+		tiertest.WaitFor(t, "the request arrives", at)
+		assert.Equal(t, c.ReadHead().StatusCode, http.StatusOK)
+		left := time.Now()
+		c.Conn.Close()
+		return tiertest.WaitFor(t, "the endpoint's connection ends", gone).Sub(left)
+	})
+}
--- a/internal/tier/gateway/turn_test.go
+++ b/internal/tier/gateway/turns_test.go
@@ -1,7 +1,6 @@
 package gateway_test
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -11,30 +10,22 @@
 
 	"gotest.tools/v3/assert"
 
+	"saffronyard.example/saffronyard/internal/tier/settings"
 	"saffronyard.example/saffronyard/internal/tier/tiertest"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// talk streams events that tell the attempt.
-func talk(a *tiertest.ReceivedRequest) { a.WriteStream(said(a.AttemptID)...) }
-
-// said is the data of the events that talk streams for an attempt.
-func said(id string) []string { return []string{"one of " + id, "two of " + id} }
-
-// output is what a turn that talk answered adds to a chain.
-func output(id string) string { return "one of " + id + "\ntwo of " + id + "\n" }
-
 func TestTurn_PromptFromChain(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	want := map[string]string{"t-1": "in 1;"}
-	assertAnswer(t, r.do(turnRequest("t-1", "", "p", "", "in 1;")), 200, events(said("t-1")...))
-	want["t-2"] = want["t-1"] + output("t-1") + "in 2;"
-	assertAnswer(t, r.do(turnRequest("t-2", "t-1", "p", "", "in 2;")), 200, events(said("t-2")...))
-	want["t-3"] = want["t-2"] + output("t-2") + "in 3;"
-	assertAnswer(t, r.do(turnRequest("t-3", "t-2", "p", "", "in 3;")), 200, events(said("t-3")...))
-	want["t-2b"] = want["t-1"] + output("t-1") + "in 2b;" // beside t-2
-	assertAnswer(t, r.do(turnRequest("t-2b", "t-1", "p", "", "in 2b;")), 200, events(said("t-2b")...))
+	assertAnswer(t, r.do(turnRequest("t-1", "", "p", "", "in 1;")), 200, events(twoEvents("t-1")...))
+	want["t-2"] = want["t-1"] + transcriptOf("t-1") + "in 2;"
+	assertAnswer(t, r.do(turnRequest("t-2", "t-1", "p", "", "in 2;")), 200, events(twoEvents("t-2")...))
+	want["t-3"] = want["t-2"] + transcriptOf("t-2") + "in 3;"
+	assertAnswer(t, r.do(turnRequest("t-3", "t-2", "p", "", "in 3;")), 200, events(twoEvents("t-3")...))
+	want["t-2b"] = want["t-1"] + transcriptOf("t-1") + "in 2b;" // beside t-2
+	assertAnswer(t, r.do(turnRequest("t-2b", "t-1", "p", "", "in 2b;")), 200, events(twoEvents("t-2b")...))
 	for _, a := range e.Requests() {
 		assert.Equal(t, a.BodyText, want[a.AttemptID], a.AttemptID)
 	}
@@ -58,7 +49,7 @@
 }
 
 func TestTurn_EndOnlyWhenStored(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	asked, release := make(chan struct{}, 16), make(chan struct{})
 	var released atomic.Bool
@@ -83,7 +74,7 @@
 
 // The end waits for the backup, too.
 func TestTurn_EndOnlyWhenBackupHasIt(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	var off atomic.Bool
 	refused := make(chan struct{}, 1000)
@@ -99,7 +90,7 @@
 	})
 	e.SetHandler(func(a *tiertest.ReceivedRequest) {
 		off.Store(true)
-		talk(a)
+		streamTwoEvents(a)
 	})
 	c := tiertest.Connect(t, r.ingress)
 	head := sendTurn(t, c, "t-1")
@@ -111,7 +102,7 @@
 }
 
 func TestTurn_AbortedIfNotStored(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	for name, fails := range map[string]func(tiertest.RPC) error{
 		"silent": func(m tiertest.RPC) error { <-m.Ctx.Done(); return m.Ctx.Err() },
@@ -129,7 +120,7 @@
 }
 
 func TestTurn_BudgetSpent(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	ask := func(id string, most int) int {
 		return r.do(turnRequest(id, "", "p", fmt.Sprintf("Budget: 10\r\nX-Token-Usage: 5,%d\r\n", most), "in")).Status
@@ -144,19 +135,6 @@
 	assert.Equal(t, len(e.Requests()), 2)
 }
 
-// settled tells of the settlements that a turn store has taken.
-func settled(v *tiertest.TurnStore) <-chan *tierv1.SettleRequest {
-	all := make(chan *tierv1.SettleRequest, 1000)
-	v.SetInterceptor(func(m tiertest.RPC) error {
-		err := m.Serve()
-		if q, ok := m.Request.(*tierv1.SettleRequest); ok && err == nil {
-			all <- q
-		}
-		return err
-	})
-	return all
-}
-
 func TestTurn_AbortedIsChargedForEventsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(*tiertest.ReceivedRequest, <-chan struct{})
@@ -166,13 +144,13 @@
 			a.RespondUnsigned(503, "X-Not-Executed: full\r\n")
 		}, 0},
 		"before an event":    {func(a *tiertest.ReceivedRequest, _ <-chan struct{}) { a.Reset() }, 0},
-		"after three events": {func(a *tiertest.ReceivedRequest, read <-chan struct{}) { say(a, 3); <-read; a.Reset() }, 3},
+		"after three events": {func(a *tiertest.ReceivedRequest, read <-chan struct{}) { beginStream(a, 3); <-read; a.Reset() }, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
 			e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) { c.script(a, read) })
 			r := startGateway(t, e)
-			ends := settled(r.turnStores.List[0])
+			ends := settlementsOf(r.turnStores.List[0])
 			const budget = "Budget: 100\r\nX-Token-Usage: 5,%d\r\n"
 			client := tiertest.Connect(t, r.ingress)
 			client.Send(turnRequest("t-1", "", "p", fmt.Sprintf(budget, 60), "in"))
@@ -190,7 +168,7 @@
 			got := tiertest.WaitFor(t, "the reservation ends", ends)
 			assert.Equal(t, got.Stored, false)
 			assert.Equal(t, got.Tokens, uint64(c.charge))
-			e.SetHandler(talk)
+			e.SetHandler(streamTwoEvents)
 			assert.Equal(t, r.do(turnRequest("t-2", "", "p", fmt.Sprintf(budget, 101-c.charge), "in")).Status, 402)
 			assert.Equal(t, r.do(turnRequest("t-3", "", "p", fmt.Sprintf(budget, 100-c.charge), "in")).Status, 200)
 			assert.Equal(t, r.do(turnRequest("t-4", "t-1", "p", "", "in")).Status, 404)
@@ -198,19 +176,11 @@
 	}
 }
 
-// say begins a stream with so many events.
-func say(a *tiertest.ReceivedRequest, n int) {
-	a.WriteStreamHead()
-	for i := range n {
-		a.WriteEvent(i+1, "x")
-	}
-}
-
-// A client that goes pays for what it was handed.
+// A client that goes pays for what it may have.
 func TestTurn_ClientGoneIsCharged(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) { say(a, 2); a.AwaitClose() })
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) { beginStream(a, 2); a.AwaitClose() })
 	r := startGateway(t, e)
-	ends := settled(r.turnStores.List[0])
+	ends := settlementsOf(r.turnStores.List[0])
 	c := tiertest.Connect(t, r.ingress)
 	c.Send(turnRequest("t-1", "", "p", "Budget: 10\r\nX-Token-Usage: 5,9\r\n", "in"))
 	head := c.ReadHead()
@@ -220,25 +190,25 @@
 	assert.Equal(t, tiertest.WaitFor(t, "the reservation ends", ends).Tokens, uint64(2))
 }
 
-// A program goes on from the turn of another one, whichever partition that lies in.
+// A program continues the turn of another one, whichever partition that lies in.
 func TestTurn_ContinuesAnotherProgram(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startUnconfigured(t)
 	r.configure(r.turnStores.Assign([2]int{0, 1}, [2]int{1, 2}, [2]int{2, 0}), e)
 	assert.Equal(t, r.do(turnRequest("t-1", "", "p", "", "in 1;")).Status, 200)
 	assert.Equal(t, r.do(turnRequest("t-2", "t-1", "p", "", "in 2;")).Status, 200)
-	chain := "in 1;" + output("t-1") + "in 2;" + output("t-2")
+	chain := "in 1;" + transcriptOf("t-1") + "in 2;" + transcriptOf("t-2")
 	for i := range 12 {
 		id, program := fmt.Sprintf("u-%d", i), fmt.Sprintf("q-%d", i)
 		assert.Equal(t, r.do(turnRequest(id, "t-2", program, "", "in 3;")).Status, 200)
 		assert.Equal(t, e.Requests()[2+2*i].BodyText, chain+"in 3;")
 		assert.Equal(t, r.do(turnRequest(id+"-next", id, program, "", "in 4;")).Status, 200)
-		assert.Equal(t, e.Requests()[3+2*i].BodyText, chain+"in 3;"+output(id)+"in 4;")
+		assert.Equal(t, e.Requests()[3+2*i].BodyText, chain+"in 3;"+transcriptOf(id)+"in 4;")
 	}
 }
 
 func TestTurn_NotFoundOnlyIfAllAreCertain(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startUnconfigured(t)
 	r.configure(r.turnStores.Assign([2]int{0, 1}, [2]int{1, 0}, [2]int{2, 0}), e)
 	ask := func(program string) tiertest.Reply {
@@ -257,7 +227,7 @@
 }
 
 func TestTurn_NotSentWithoutTurnStore(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	for name, via := range map[string]func(tiertest.RPC) error{
 		"silent": func(m tiertest.RPC) error { <-m.Ctx.Done(); return m.Ctx.Err() },
@@ -269,10 +239,10 @@
 	assert.Equal(t, len(e.Requests()), 0)
 }
 
-// The primary turn store loses its power while the endpoint answers; the turn is kept at the one that a new map names.
+// The primary turn store loses its power while the endpoint answers; the turn is stored at the one that a new map names.
 func TestTurn_TurnStoreDiesWithinTurn(t *testing.T) {
 	begun, further := make(chan struct{}), make(chan struct{})
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
 	assert.Equal(t, r.do(turnRequest("t-1", "", "p", "", "in 1;")).Status, 200)
 	e.SetHandler(pausedStream(begun, further))
@@ -285,29 +255,142 @@
 	c.ReadEvent(head.Body)
 	c.ReadEvent(head.Body)
 	assert.Assert(t, !c.EndsSoon(), "the end left before the turn was kept")
-	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{1, 2}))
+	r.controlPlane.SetPartitionMap(r.turnStores.Assign([2]int{1, 2}))
 	_, err := io.ReadAll(head.Body)
 	assert.NilError(t, err)
-	e.SetHandler(talk)
+	e.SetHandler(streamTwoEvents)
 	assert.Equal(t, r.do(turnRequest("t-3", "t-2", "p", "", "in 3;")).Status, 200)
-	assert.Equal(t, e.Requests()[2].BodyText, "in 1;"+output("t-1")+"in 2;one\ntwo\nin 3;")
+	assert.Equal(t, e.Requests()[2].BodyText, "in 1;"+transcriptOf("t-1")+"in 2;one\ntwo\nin 3;")
 }
 
-// A new map ends a call to a turn store that says nothing: the turn need not wait for it.
-func TestStoreClient_NewMapEndsCallToUnresponsiveStore(t *testing.T) {
-	e := tiertest.NewEndpoint(t, "i-1", "s", talk)
+// TestTurn_WaitEndsWithClient: a client that closes its connection while its turn waits for the turn store has it end there. Nothing of
+// it reaches an endpoint, and what may have been reserved is released.
+func TestTurn_WaitEndsWithClient(t *testing.T) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
 	r := startGateway(t, e)
-	asked := make(chan context.Context, 100)
+	asked, ended, settled := make(chan struct{}, 100), make(chan time.Time, 100), make(chan *tierv1.SettleRequest, 100)
 	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
-		asked <- m.Ctx
-		<-m.Ctx.Done()
-		return m.Ctx.Err()
+		switch q := m.Request.(type) {
+		case *tierv1.BeginRequest:
+			if err := m.Serve(); err != nil {
+				return err
+			}
+			asked <- struct{}{}
+			<-m.Ctx.Done()
+			ended <- time.Now()
+			return m.Ctx.Err()
+		case *tierv1.SettleRequest:
+			settled <- q
+		}
+		return m.Serve()
+	})
+	eventuallyWithinLimit(t, func(try int) time.Duration {
+		id := fmt.Sprintf("t-%d", try)
+		c := tiertest.Connect(t, r.ingress)
+		c.Send(turnRequest(id, "", "p", "", "in"))
+		tiertest.WaitFor(t, "the turn store is asked", asked)
+		left := time.Now()
+		c.Conn.Close()
+		took := tiertest.WaitFor(t, "the question ends", ended).Sub(left)
+		got := tiertest.WaitFor(t, "the reservation is released", settled)
+		assert.Assert(t, got.Attempt == id && !got.Stored && got.Tokens == 0)
+		return took
+	})
+	assert.Equal(t, len(e.Requests()), 0)
+}
+
+// TestTurn_AttemptRunsOnce: the id of a turn that has been settled, stored or not, is never run once more, whatever comes with it.
+func TestTurn_AttemptRunsOnce(t *testing.T) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", resetOf("t-1"))
+	r := startGateway(t, e)
+	assert.Equal(t, r.do(turnRequest("t-1", "", "p", "", "in")).Status, 502)
+	assert.Equal(t, r.do(turnRequest("t-2", "", "p", "", "in")).Status, 200)
+	for _, id := range []string{"t-1", "t-2"} {
+		assertNotExecuted(t, r.do(turnRequest(id, "", "p", "X-Deadline-Ms: 500\r\n", "in")))
+	}
+	assert.Equal(t, len(e.Requests()), 2)
+}
+
+// TestTurn_RetriedThroughAnotherGateway: while a turn may still run, its budget holds against the next attempt at another
+// gateway; once its client is gone, that gateway's release makes room for it, less what was written, and its own id never
+// runs once more anywhere.
+func TestTurn_RetriedThroughAnotherGateway(t *testing.T) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) {
+		if a.AttemptID == "t-1" {
+			beginStream(a, 1)
+			a.AwaitClose()
+			return
+		}
+		streamTwoEvents(a)
+	})
+	first, second := startTwoGateways(t, e)
+	ends := settlementsOf(first.turnStores.List[0])
+	text := func(id string, most int) string {
+		return turnRequest(id, "", "p", fmt.Sprintf("Budget: 20\r\nX-Token-Usage: 9,%d\r\n", most), "in")
+	}
+	c := tiertest.Connect(t, first.ingress)
+	c.Send(text("t-1", 20))
+	c.ReadEvent(c.ReadHead().Body)
+	assert.Equal(t, second.do(text("t-2", 1)).Status, 402)
+	c.Conn.Close()
+	got := tiertest.WaitFor(t, "the reservation ends", ends)
+	assert.Assert(t, got.Attempt == "t-1" && got.Tokens == 1 && !got.Stored)
+	assert.Equal(t, second.do(text("t-3", 20)).Status, 402)
+	assertAnswer(t, second.do(text("t-4", 19)), 200, events(twoEvents("t-4")...))
+	for _, r := range []*harness{first, second} {
+		assertNotExecuted(t, r.do(turnRequest("t-1", "", "p", "X-Deadline-Ms: 500\r\n", "in")))
+	}
+	assert.Equal(t, len(e.Requests()), 2)
+}
+
+// A turn that could not be stored in time charges what its client may have, not its maximum.
+func TestTurn_NotStoredIsChargedForEventsWritten(t *testing.T) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", streamTwoEvents)
+	r := startGateway(t, e)
+	released := make(chan *tierv1.SettleRequest, 1)
+	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
+		q, ok := m.Request.(*tierv1.SettleRequest)
+		if !ok {
+			return m.Serve()
+		}
+		if q.Attempt == "t-1" && q.Stored {
+			return tiertest.ErrMessageLost
+		}
+		err := m.Serve()
+		if err == nil && q.Attempt == "t-1" {
+			released <- q
+		}
+		return err
+	})
+	const budget = "Budget: 10\r\nX-Token-Usage: 5,%d\r\n"
+	got := r.do(turnRequest("t-1", "", "p", "X-Deadline-Ms: 700\r\n"+fmt.Sprintf(budget, 9), "in"))
+	assert.Assert(t, got.Err != nil, "looks complete: %+v", got)
+	settlement := tiertest.WaitFor(t, "the reservation is released", released)
+	assert.Equal(t, settlement.Tokens, uint64(2))
+	assert.Equal(t, r.do(turnRequest("t-2", "", "p", fmt.Sprintf(budget, 9), "in")).Status, 402)
+	assert.Equal(t, r.do(turnRequest("t-3", "", "p", fmt.Sprintf(budget, 8), "in")).Status, 200)
+}
+
+// A stream that lasts longer than its time has its end soon after, though no turn store takes its release.
+func TestTurn_OverdueEndsThoughReleaseIsDelayed(t *testing.T) {
+	e := tiertest.NewEndpoint(t, "i-1", "s", func(a *tiertest.ReceivedRequest) { beginStream(a, 1); a.AwaitClose() })
+	r := startUnconfigured(t, func(s *settings.Settings) { s.ContactWindow = time.Minute })
+	r.controlPlane.SetConfiguration(configurationOf(1, ""))
+	r.listEndpoints(e)
+	r.controlPlane.SetPartitionMap(r.turnStores.Assign([2]int{0, 1}))
+	r.controlPlane.AwaitAcknowledged(t)
+	r.turnStores.List[0].SetInterceptor(func(m tiertest.RPC) error {
+		if m.Method == "Settle" {
+			<-m.Ctx.Done()
+			return m.Ctx.Err()
+		}
+		return m.Serve()
+	})
+	const deadline = 300 * time.Millisecond
+	eventuallyWithinLimit(t, func(try int) time.Duration {
+		began := time.Now()
+		got := r.do(turnRequest(fmt.Sprintf("t-%d", try), "", "p", fmt.Sprintf("X-Deadline-Ms: %d\r\n", deadline.Milliseconds()), "in"))
+		assert.Assert(t, got.Err != nil, "looks complete: %+v", got)
+		return time.Since(began) - deadline
 	})
-	c := tiertest.Connect(t, r.ingress)
-	c.Send(turnRequest("t-1", "", "p", "", "in"))
-	call := tiertest.WaitFor(t, "the turn store is asked", asked)
-	r.consensus.SetPartitionMap(r.turnStores.Assign([2]int{1, 2}))
-	assertAnswer(t, c.ReadReply(), 200, events(said("t-1")...))
-	until, ok := call.Deadline()
-	assert.Assert(t, ok && errors.Is(call.Err(), context.Canceled), "ended by %v, its time by %v", call.Err(), time.Until(until))
 }
