--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -2,13 +2,13 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"time"
 
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
+	"saffronyard.example/saffronyard/internal/coordinator"
 	"saffronyard.example/saffronyard/internal/fleetpolicy"
 	"saffronyard.example/saffronyard/internal/health"
 	"saffronyard.example/saffronyard/internal/knowledge"
@@ -17,142 +17,188 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// healthNode is a sender's part in verdicts: a duty that passes on what this sender has seen, and, where the roster puts it in charge,
-// hears the others and hands what it finds to the log.
-type healthNode struct {
-	quotas     *quotaNode
-	aggregator *health.Aggregator
-	worker     *worker.Worker[any, any]
-	unreported map[uint32]health.Observation // seen here, and not told yet
-}
-
 const (
-	maxObservations          = 4096
+	maxObservations          = 4096 // that wait to be reported, and the inbox's capacity
 	evaluateInterval         = 250 * time.Millisecond
-	maxObservationsPerReport = 500 // destinations in one testimony
+	maxObservationsPerReport = 500
+
+	// healthWorker is the name of the worker, as commands show it.
+	healthWorker = "verdicts"
 )
 
+// healthEvent is what a healthNode reacts to.
+//
+//sumtype:decl
+type healthEvent interface{ healthEvent() }
+
 type (
-	// ownObservations is what this sender has seen itself.
+	// ownObservations is what this sender has observed itself.
 	ownObservations struct{ all []health.Observation }
-	// reportReceived is what another has.
+	// reportReceived is what another sender has observed.
 	reportReceived struct{ request *pb.HealthReport }
-	// sendReport goes to the one in charge.
+)
+
+func (ownObservations) healthEvent() {}
+func (reportReceived) healthEvent()  {}
+
+// healthAction is what a healthNode wants done.
+//
+//sumtype:decl
+type healthAction interface{ healthAction() }
+
+type (
+	// sendReport goes to the owner of the destinations that it names.
 	sendReport struct {
 		to     *pb.Participant
 		report *pb.HealthReport
 	}
+	// proposeHealth proposes what this sender decided of a destination that it owns.
+	proposeHealth struct{ command *pb.HealthCommand }
 )
 
-func newHealthNode(l *quotaNode) *healthNode {
-	e := &healthNode{quotas: l, aggregator: health.NewAggregator(), unreported: map[uint32]health.Observation{}}
-	e.worker = &worker.Worker[any, any]{Name: "verdicts", Inbox: worker.NewRingBuffer[any]("verdicts", maxObservations, worker.DropOldest, nil), Stepper: e, Execute: e.execute}
-	return e
+func (sendReport) healthAction()    {}
+func (proposeHealth) healthAction() {}
+
+// healthNode is a sender's part in the fleet's health statuses: a worker that reports what this sender has observed to the owners of
+// destinations, and decides the health of those that this sender owns.
+type healthNode struct {
+	quotas     *quotaNode
+	aggregator *health.Aggregator
+	worker     *worker.Worker[healthEvent, healthAction]
+	unreported map[uint32]health.Observation // observed here, and not reported yet
 }
 
-// Step takes words in, passes this sender's own on, and judges what it is in charge of. It has to hold a lease for that, looked at before what
-// that is on, as the lender does; the log refuses what comes too late all the same.
-func (e *healthNode) Step(now time.Duration, events []any) (actions []any, alarm time.Duration) {
-	g := e.quotas.node.gate
-	until := time.Duration(g.leaseUntil.Load())
-	var v *fleetpolicy.View
-	if r := g.generation.Load(); r != nil {
-		v = r.view.Load()
-	}
+func newHealthNode(q *quotaNode) *healthNode {
+	h := &healthNode{quotas: q, aggregator: health.NewAggregator(), unreported: map[uint32]health.Observation{}}
+	h.worker = &worker.Worker[healthEvent, healthAction]{Name: healthWorker, Inbox: worker.NewRingBuffer[healthEvent](healthWorker, maxObservations, worker.DropOldest, nil),
+		Stepper: h, Execute: h.execute}
+	return h
+}
+
+// Step takes observations in, reports this sender's own, and decides the health of what it owns. For the latter it has to hold a lease, which is
+// read before the view that it is on, as the quota server does; the log rejects what comes too late all the same.
+func (h *healthNode) Step(now time.Duration, events []healthEvent) (actions []healthAction, alarm time.Duration) {
+	gate := h.quotas.node.gate
+	leaseUntil := time.Duration(gate.leaseUntil.Load())
+	v := gate.current()
 	if v == nil || v.Membership == nil || !v.Policy.HasHealthRules() && len(v.Health.GetStatuses()) == 0 {
 		return nil, worker.Never
 	}
-	charge, me := v.Ownership(), e.quotas.me
-	for _, x := range events {
-		switch x := x.(type) {
+	for _, event := range events {
+		switch e := event.(type) {
 		case ownObservations:
-			for _, t := range x.all {
-				if _, ruled := v.Policy.HealthRule(t.Destination); ruled && len(e.unreported) < maxObservations {
-					e.unreported[t.Destination] = t
-				}
-			}
+			h.takeOwn(e, v)
 		case reportReceived:
-			if x.request.Epoch == v.Membership.GetEpoch() && x.request.ToIncarnation == me.Incarnation {
-				for _, t := range x.request.Observations {
-					e.aggregator.Observe(x.request.Name, health.Observation{Destination: t.Destination, State: knowledge.State(t.State),
-						Age: time.Duration(t.AgeUs) * time.Microsecond, Duration: time.Duration(t.DurationUs) * time.Microsecond}, now)
-				}
-			}
+			h.takeReport(e.request, v, now)
+		case viewPublished:
+		}
+	}
+	ownership := v.Ownership()
+	for _, r := range h.buildReports(ownership, v.Membership.GetEpoch(), now) {
+		actions = append(actions, r)
+	}
+	if v.Unfit != nil || now >= leaseUntil || v.Membership.GetNextEpoch() != 0 {
+		return actions, now + evaluateInterval
+	}
+	for _, c := range h.aggregator.Evaluate(now, health.EvaluationInput{Epoch: v.Membership.GetEpoch(), Self: h.quotas.me.Name, Rule: v.Policy.HealthRule, State: v.Health,
+		Owns: func(d uint32) bool { return h.isSelf(ownership.Owner(destinationKey(d))) }}) {
+		actions = append(actions, proposeHealth{c})
+	}
+	return actions, now + evaluateInterval
+}
+
+func (h *healthNode) isSelf(p *pb.Participant) bool {
+	return p != nil && p.Name == h.quotas.me.Name && p.Incarnation == h.quotas.me.Incarnation
+}
+
+func (h *healthNode) takeOwn(e ownObservations, v *fleetpolicy.View) {
+	for _, o := range e.all {
+		if _, ruled := v.Policy.HealthRule(o.Destination); ruled && len(h.unreported) < maxObservations {
+			h.unreported[o.Destination] = o
 		}
 	}
-	by := map[string]*sendReport{}
-	for d, t := range e.unreported {
-		p := charge.Owner(destinationKey(d))
-		if p == nil {
+}
+
+// takeReport takes another sender's report in, unless it is for another membership or process.
+func (h *healthNode) takeReport(r *pb.HealthReport, v *fleetpolicy.View, now time.Duration) {
+	if r.Epoch != v.Membership.GetEpoch() || r.ToIncarnation != h.quotas.me.Incarnation {
+		return
+	}
+	for _, o := range r.Observations {
+		h.aggregator.Observe(r.Name, health.Observation{Destination: o.Destination, State: knowledge.State(o.State),
+			Age: time.Duration(o.AgeUs) * time.Microsecond, Duration: time.Duration(o.DurationUs) * time.Microsecond}, now)
+	}
+}
+
+// buildReports makes a report to each owner of destinations that this sender has observed; what it owns itself it takes in at once.
+func (h *healthNode) buildReports(ownership *coordinator.Ownership, epoch uint64, now time.Duration) map[string]sendReport {
+	me := h.quotas.me
+	reports := map[string]sendReport{}
+	for d, o := range h.unreported {
+		owner := ownership.Owner(destinationKey(d))
+		if owner == nil {
 			continue
 		}
-		if p.Name == me.Name && p.Incarnation == me.Incarnation {
-			e.aggregator.Observe(me.Name, t, now)
-			delete(e.unreported, d)
+		if h.isSelf(owner) {
+			h.aggregator.Observe(me.Name, o, now)
+			delete(h.unreported, d)
 			continue
 		}
-		to := by[p.Name]
-		if to == nil {
-			to = &sendReport{p, &pb.HealthReport{Name: me.Name, Incarnation: me.Incarnation, ToIncarnation: p.Incarnation, Epoch: v.Membership.GetEpoch()}}
-			by[p.Name] = to
+		r, ok := reports[owner.Name]
+		if !ok {
+			r = sendReport{owner, &pb.HealthReport{Name: me.Name, Incarnation: me.Incarnation, ToIncarnation: owner.Incarnation, Epoch: epoch}}
+			reports[owner.Name] = r
 		}
-		if len(to.report.Observations) < maxObservationsPerReport {
-			to.report.Observations = append(to.report.Observations, &pb.HealthObservation{Destination: d, State: uint32(t.State), AgeUs: t.Age.Microseconds(), DurationUs: t.Duration.Microseconds()})
-			delete(e.unreported, d)
+		if len(r.report.Observations) < maxObservationsPerReport {
+			r.report.Observations = append(r.report.Observations, &pb.HealthObservation{Destination: d, State: uint32(o.State), AgeUs: o.Age.Microseconds(), DurationUs: o.Duration.Microseconds()})
+			delete(h.unreported, d)
 		}
 	}
-	for _, t := range by {
-		actions = append(actions, *t)
-	}
-	if v.Unfit != nil || now >= until || v.Membership.GetNextEpoch() != 0 {
-		return actions, now + evaluateInterval
-	}
-	mine := func(d uint32) bool {
-		p := charge.Owner(destinationKey(d))
-		return p != nil && p.Name == me.Name && p.Incarnation == me.Incarnation
-	}
-	for _, w := range e.aggregator.Evaluate(now, v.Membership.GetEpoch(), me.Name, mine, v.Policy.HealthRule, v.Health) {
-		actions = append(actions, w)
-	}
-	return actions, now + evaluateInterval
+	return reports
 }
 
-// destinationKey is what the roster goes by for a destination: its limit and its verdict are in the same hands.
+// destinationKey is the key by which a destination is owned, which is also that of its limit: both have the same owner.
 func destinationKey(d uint32) string { return fmt.Sprintf("destination %d", d) }
 
-func (e *healthNode) execute(_ context.Context, a any) error {
-	n := e.quotas.node
-	switch a := a.(type) {
+// execute carries out an action. What fails is reported or proposed again by a later step.
+func (h *healthNode) execute(_ context.Context, action healthAction) error {
+	switch a := action.(type) {
 	case sendReport:
-		a.report.Cluster = n.cfg.Cluster
-		n.goBackground(func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, n.callTimeout())
-			defer cancel()
-			client, err := n.conns.client(e.quotas.reach.Resolve(a.to.Address))
-			if err == nil {
-				_, err = client.Testify(ctx, a.report)
-			}
-			if err != nil { // it is said again in a second
-				n.log.Debug("fleet: what was seen is not told", "to", a.to.Name, "err", err)
-			}
-		})
-	case *pb.HealthCommand:
-		n.goBackground(func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, n.cfg.LeaseTerms.Duration)
-			defer cancel()
-			r, err := n.Submit(ctx, replicatedlog.KindHealth, a)
-			if err == nil && r.Rejection != "" {
-				err = errors.New(r.Rejection)
-			}
-			if err != nil {
-				n.log.Debug("fleet: a verdict does not count", "err", err)
-			}
-		})
+		h.quotas.node.goBackground(func(ctx context.Context) { h.send(ctx, a) })
+	case proposeHealth:
+		h.quotas.node.goBackground(func(ctx context.Context) { h.propose(ctx, a.command) })
 	}
 	return nil
 }
 
-// Testify is told what other senders have seen.
+func (h *healthNode) send(ctx context.Context, a sendReport) {
+	n := h.quotas.node
+	a.report.Cluster = n.cfg.Cluster
+	ctx, cancel := context.WithTimeout(ctx, n.callTimeout())
+	defer cancel()
+	client, err := n.conns.client(h.quotas.reach.Resolve(a.to.Address))
+	if err == nil {
+		_, err = client.Testify(ctx, a.report)
+	}
+	if err != nil {
+		n.log.Debug("fleet: a health report was not delivered", "owner", a.to.Name, "err", err)
+	}
+}
+
+func (h *healthNode) propose(ctx context.Context, c *pb.HealthCommand) {
+	n := h.quotas.node
+	ctx, cancel := context.WithTimeout(ctx, n.cfg.LeaseTerms.Duration)
+	defer cancel()
+	r, err := n.Submit(ctx, replicatedlog.KindHealth, c)
+	if err == nil && r.Rejection != "" {
+		err = fmt.Errorf("%w: %s", ErrRejected, r.Rejection)
+	}
+	if err != nil {
+		n.log.Debug("fleet: a health command was not applied", "err", err)
+	}
+}
+
+// Testify takes the health reports of other senders.
 func (s *service) Testify(_ context.Context, r *pb.HealthReport) (*pb.Ack, error) {
 	if err := s.checkCluster(r.Cluster); err != nil {
 		return nil, err
@@ -164,7 +210,7 @@
 	return &pb.Ack{}, nil
 }
 
-// ReportHealth takes what this sender has seen itself of destinations. It never waits.
+// ReportHealth takes what this sender has observed itself of destinations. It does not block.
 func (n *Node) ReportHealth(all []health.Observation) {
 	n.quotas.health.worker.Inbox.Offer(ownObservations{all})
 }
--- a/internal/fleet/limit_report.go
+++ b/internal/fleet/limit_report.go
@@ -59,7 +59,7 @@
 	charge := v.Ownership()
 	all := []LimitReport{}
 	for _, s := range n.quotas.allowances.Statuses(now) {
-		r := LimitReport{Key: s.Limit.Key, Description: fleetpolicy.DescribeLimit(s.Limit), Units: s.Limit.Units, Granted: s.Units, InUse: s.InUse, RemainingMS: s.Remaining.Milliseconds(), Waiting: s.Waiting,
+		r := LimitReport{Key: s.Limit.Key, Description: fleetpolicy.DescribeLimit(s.Limit), Units: s.Limit.Units, Granted: s.Granted, InUse: s.InUse, RemainingMS: s.Remaining.Milliseconds(), Waiting: s.Waiting,
 			Used: s.Used, Rejected: s.Rejected, Rotating: s.Rotating, Bound: n.quotas.describeBound(s.Limit, len(v.Membership.GetParticipants()))}
 		if p := charge.Owner(s.Limit.Key); p != nil {
 			r.Owner = p.Name
--- a/internal/fleet/quota_client.go
+++ b/internal/fleet/quota_client.go
@@ -6,73 +6,77 @@
 	"time"
 
 	"saffronyard.example/saffronyard/internal/quota"
+	"saffronyard.example/saffronyard/internal/worker"
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// quotaClient is the asker as a duty.
+// quotaClientActor runs a quota client's state machine.
+type quotaClientActor = worker.Worker[quota.ClientEvent, quota.ClientAction]
+
+// quotaClient is a quota client that follows the published membership.
 type quotaClient struct {
 	*quota.Client
 	node       *quotaNode
 	membership *pb.MembershipState
 }
 
-// Step takes events in, by the roster that is published.
-func (a *quotaClient) Step(now time.Duration, events []any) ([]any, time.Duration) {
-	if r := a.node.node.gate.generation.Load(); r != nil {
-		if v := r.view.Load(); v.Membership != nil && v.Membership != a.membership {
-			a.membership = v.Membership
-			a.Client.SetMembership(v.Membership)
-		}
+// Step takes events in under the membership that is published.
+func (c *quotaClient) Step(now time.Duration, events []quota.ClientEvent) ([]quota.ClientAction, time.Duration) {
+	if v := c.node.node.gate.current(); v != nil && v.Membership != nil && v.Membership != c.membership {
+		c.membership = v.Membership
+		c.SetMembership(v.Membership)
 	}
-	return a.Client.Step(now, events)
+	return c.Client.Step(now, events)
 }
 
-func (l *quotaNode) executeClient(_ context.Context, a any) error {
-	switch a := a.(type) {
+// executeClient carries out an action of the quota client.
+func (q *quotaNode) executeClient(_ context.Context, action quota.ClientAction) error {
+	switch a := action.(type) {
 	case quota.SendRequest:
-		l.node.goBackground(func(ctx context.Context) {
+		q.node.goBackground(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, a.Timeout)
 			defer cancel()
-			reply, err := l.request(ctx, a)
+			reply, err := q.request(ctx, a)
 			if err != nil {
-				l.node.log.Debug("fleet: nothing is lent", "by", a.To.Name, "err", err)
+				q.node.log.Debug("fleet: a quota request failed", "owner", a.To.Name, "err", err)
 			}
-			l.client.Inbox.Offer(quota.ReplyReceived{Owner: a.To.Name, Sequence: a.Request.Sequence, Reply: reply})
+			q.client.Inbox.Offer(quota.ReplyReceived{Owner: a.To.Name, Sequence: a.Request.Sequence, Reply: reply})
 		})
 	case quota.SharesChanged:
-		l.mu.Lock()
+		q.mu.Lock()
 		for _, key := range a.Keys {
-			l.changed[key] = struct{}{}
+			q.changed[key] = struct{}{}
 		}
-		told := l.onChange
-		l.mu.Unlock()
-		if told != nil {
-			told()
+		f := q.onChange
+		q.mu.Unlock()
+		if f != nil {
+			f()
 		}
 	}
 	return nil
 }
 
-// request asks an authority, which may be this sender itself.
-func (l *quotaNode) request(ctx context.Context, q quota.SendRequest) (*pb.QuotaReply, error) {
-	q.Request.Cluster = l.node.cfg.Cluster
-	if q.To.Name == l.me.Name {
-		return l.grant(ctx, q.Request)
+// request asks an owner for units, which may be this sender itself.
+func (q *quotaNode) request(ctx context.Context, a quota.SendRequest) (*pb.QuotaReply, error) {
+	a.Request.Cluster = q.node.cfg.Cluster
+	if a.To.Name == q.me.Name {
+		return q.grant(ctx, a.Request)
 	}
-	client, err := l.node.conns.client(l.reach.Resolve(q.To.Address))
+	client, err := q.node.conns.client(q.reach.Resolve(a.To.Address))
 	if err != nil {
 		return nil, err
 	}
-	return client.Lend(ctx, q.Request)
+	return client.Lend(ctx, a.Request)
 }
 
-// clientEventKey has events of one sort about one thing be one.
-func clientEventKey(e any) string {
-	switch e := e.(type) {
+// clientEventKey merges events of one type about one thing. Of two replies of an owner the older one does not count any more.
+func clientEventKey(event quota.ClientEvent) string {
+	switch e := event.(type) {
 	case quota.UnitsWanted:
 		return "k" + e.Key
 	case quota.ReplyReceived:
-		return "a" + e.Owner // of two answers the older one counts no more
+		return "a" + e.Owner
+	case quota.LimitsChanged, quota.Wake:
 	}
-	return fmt.Sprintf("%T", e)
+	return fmt.Sprintf("%T", event)
 }
--- a/internal/fleet/quota_server.go
+++ b/internal/fleet/quota_server.go
@@ -8,122 +8,176 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"saffronyard.example/saffronyard/internal/fleetpolicy"
 	"saffronyard.example/saffronyard/internal/quota"
 	"saffronyard.example/saffronyard/internal/replicatedlog"
 	"saffronyard.example/saffronyard/internal/worker"
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// quotaServer is the lender as a duty.
+// quotaServerActor runs a quota server's state machine.
+type quotaServerActor = worker.Worker[quotaServerEvent, quotaServerAction]
+
+// quotaServerEvent is what a quotaServer reacts to.
+//
+//sumtype:decl
+type quotaServerEvent interface{ quotaServerEvent() }
+
+type (
+	// grantRequested is a client's request. It is answered on a channel with space for the answer.
+	grantRequested struct {
+		request *pb.QuotaRequest
+		answer  chan grantResult
+	}
+	// quotaDrawn is what the log gave for a draw.
+	quotaDrawn struct {
+		quota.Draw
+		units int64
+	}
+	// reportRequested asks for the grants of all limits. It is answered on a channel with space for the answer.
+	reportRequested struct{ done chan []quota.Report }
+)
+
+func (grantRequested) quotaServerEvent()  {}
+func (quotaDrawn) quotaServerEvent()      {}
+func (reportRequested) quotaServerEvent() {}
+
+// quotaServerAction is what a quotaServer wants done.
+//
+//sumtype:decl
+type quotaServerAction interface{ quotaServerAction() }
+
+type (
+	// sendGrant answers a request.
+	sendGrant struct {
+		to chan grantResult
+		grantResult
+	}
+	// drawQuota asks the log for units of a daily quota; quotaDrawn is the answer.
+	drawQuota struct{ quota.Draw }
+)
+
+func (sendGrant) quotaServerAction() {}
+func (drawQuota) quotaServerAction() {}
+
+// grantResult is a reply or an error with a status code.
+type grantResult struct {
+	reply *pb.QuotaReply
+	err   error
+}
+
+// quotaServer is a quota server that follows the published view.
 type quotaServer struct {
 	*quota.Server
 	node          *quotaNode
 	membership    *pb.MembershipState
 	policyVersion uint64
-	known         bool
+	healthState   *pb.HealthState
+	published     bool // policyVersion and healthState are set
 	prunedAt      time.Duration
-
-	healthState *pb.HealthState
-}
-
-// sendGrant goes back to who asked.
-type sendGrant struct {
-	to chan grantResult
-	grantResult
 }
 
-// Step answers what has come, while this sender's own lease lasts and by what is published. The order matters: the events were taken before
-// now, so that nobody asked after it; the lease is looked at before what it is on, which is then no older; and
-// the clock is read again for when a roster was first seen, which is then no sooner than it began.
-func (d *quotaServer) Step(now time.Duration, events []any) (actions []any, alarm time.Duration) {
-	g := d.node.node.gate
-	until := time.Duration(g.leaseUntil.Load())
-	var v *fleetpolicy.View
-	if r := g.generation.Load(); r != nil {
-		v = r.view.Load()
-	}
-	acts := v != nil && v.Unfit == nil && v.Membership != nil && now < until
-	if v != nil && v.Membership != nil {
-		if v.Membership != d.membership {
-			d.membership = v.Membership
-			d.SetMembership(v.Membership, d.node.node.cfg.Now())
-		}
-		if v.Version != d.policyVersion || v.Health != d.healthState || !d.known {
-			d.policyVersion, d.healthState, d.known = v.Version, v.Health, true
-			d.SetLimits(v.Limits(), now)
-		}
+// Step answers what has come, while this sender's own lease lasts, under the published view. The order matters: the events were taken before
+// now was read, so that no request came after it; the lease is read before the view, which is then no older than the lease needs; and the
+// clock is read again for when a membership was first seen, which is then no sooner than it became active.
+func (s *quotaServer) Step(now time.Duration, events []quotaServerEvent) (actions []quotaServerAction, alarm time.Duration) {
+	mayAct := s.followView(now)
+	if now-s.prunedAt > pruneInterval {
+		s.prunedAt = now
+		s.Prune(now)
 	}
-	if now-d.prunedAt > pruneInterval {
-		d.prunedAt = now
-		d.Prune(now)
-	}
-	d.SetDay(d.node.node.cfg.Today())
-	for _, e := range events {
-		switch e := e.(type) {
+	s.SetDay(s.node.node.cfg.Today())
+	for _, event := range events {
+		switch e := event.(type) {
 		case quotaDrawn:
-			d.AddDrawn(e.Draw, e.units)
+			s.AddDrawn(e.Draw, e.units)
 		case grantRequested:
-			var a grantResult
-			if acts {
-				a.reply, a.err = d.Grant(e.request, now)
-			} else {
-				a.err = status.Error(codes.Unavailable, "this sender has no lease: it lends nothing")
-			}
-			if a.err != nil {
-				if _, coded := status.FromError(a.err); !coded {
-					a.err = status.Error(codes.FailedPrecondition, a.err.Error())
-				}
-			}
-			actions = append(actions, sendGrant{e.answer, a})
+			actions = append(actions, sendGrant{e.answer, s.answer(e.request, mayAct, now)})
 		case reportRequested:
-			e.done <- d.Reports(now)
+			e.done <- s.Reports(now)
+		case viewPublished:
 		}
 	}
-	for _, draw := range d.TakeDraws() {
-		actions = append(actions, draw)
+	for _, draw := range s.TakeDraws() {
+		actions = append(actions, drawQuota{draw})
 	}
 	return actions, worker.Never
 }
 
-func (l *quotaNode) executeServer(_ context.Context, a any) error {
-	switch a := a.(type) {
+// followView sets membership and limits as published, and reports whether this sender may grant under them.
+func (s *quotaServer) followView(now time.Duration) (mayAct bool) {
+	gate := s.node.node.gate
+	leaseUntil := time.Duration(gate.leaseUntil.Load())
+	v := gate.current()
+	if v == nil || v.Membership == nil {
+		return false
+	}
+	if v.Membership != s.membership {
+		s.membership = v.Membership
+		s.SetMembership(v.Membership, s.node.node.cfg.Now())
+	}
+	if v.Version != s.policyVersion || v.Health != s.healthState || !s.published {
+		s.policyVersion, s.healthState, s.published = v.Version, v.Health, true
+		s.SetLimits(v.Limits(), now)
+	}
+	return v.Unfit == nil && now < leaseUntil
+}
+
+func (s *quotaServer) answer(r *pb.QuotaRequest, mayAct bool, now time.Duration) grantResult {
+	if !mayAct {
+		return grantResult{err: status.Error(codes.Unavailable, "this sender has no lease: it lends nothing")}
+	}
+	reply, err := s.Grant(r, now)
+	if err != nil {
+		if _, hasCode := status.FromError(err); !hasCode {
+			err = status.Error(codes.FailedPrecondition, err.Error())
+		}
+	}
+	return grantResult{reply, err}
+}
+
+// executeServer carries out an action of the quota server.
+func (q *quotaNode) executeServer(_ context.Context, action quotaServerAction) error {
+	switch a := action.(type) {
 	case sendGrant:
 		a.to <- a.grantResult
-	case quota.Draw:
-		l.node.goBackground(func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, l.node.cfg.LeaseTerms.Duration)
-			defer cancel()
-			r, err := l.node.Submit(ctx, replicatedlog.KindMembership, &pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: a.Epoch, Key: a.Key, Period: a.Period, Units: a.Units, Limit: a.Limit}}})
-			units := int64(0)
-			if err == nil && r.Rejection == "" {
-				units, _ = binary.Varint(r.Result)
-			} else { // what the log gave without our hearing of it is lost for the day
-				l.node.log.Debug("fleet: nothing is drawn of a day's quota", "limit", a.Key, "err", err, "refused", r.GetRejection())
-			}
-			l.server.Inbox.Offer(quotaDrawn{a, units})
-		})
+	case drawQuota:
+		q.node.goBackground(func(ctx context.Context) { q.draw(ctx, a.Draw) })
 	}
 	return nil
 }
 
-// grant answers a holder.
-func (l *quotaNode) grant(ctx context.Context, r *pb.QuotaRequest) (*pb.QuotaReply, error) {
-	ask := grantRequested{r, make(chan grantResult, 1)}
-	if !l.server.Inbox.Offer(ask) {
-		return nil, status.Error(codes.Unavailable, "this sender is leaving")
+// draw asks the log for units of a daily quota. Units that the log gave, and whose answer was lost, are lost for the day.
+func (q *quotaNode) draw(ctx context.Context, d quota.Draw) {
+	ctx, cancel := context.WithTimeout(ctx, q.node.cfg.LeaseTerms.Duration)
+	defer cancel()
+	command := &pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: d.Epoch, Key: d.Key, Period: d.Period, Units: d.Units, Limit: d.Limit}}}
+	r, err := q.node.Submit(ctx, replicatedlog.KindMembership, command)
+	units := int64(0)
+	if err == nil && r.Rejection == "" {
+		units, _ = binary.Varint(r.Result)
+	} else {
+		q.node.log.Debug("fleet: no units of a daily quota were drawn", "limit", d.Key, "err", err, "refused", r.GetRejection())
+	}
+	q.server.Inbox.Offer(quotaDrawn{d, units})
+}
+
+// grant has the quota server answer a client.
+func (q *quotaNode) grant(ctx context.Context, r *pb.QuotaRequest) (*pb.QuotaReply, error) {
+	e := grantRequested{r, make(chan grantResult, 1)}
+	if !q.server.Inbox.Offer(e) {
+		return nil, errStopping
 	}
 	select {
-	case a := <-ask.answer:
-		return a.reply, a.err
+	case g := <-e.answer:
+		return g.reply, g.err
 	case <-ctx.Done():
 		return nil, status.FromContextError(ctx.Err()).Err()
-	case <-l.node.ctx.Done():
-		return nil, status.Error(codes.Unavailable, "this sender is leaving")
+	case <-q.node.ctx.Done():
+		return nil, errStopping
 	}
 }
 
-// Lend is asked by holders.
+// Lend answers the quota requests of other senders.
 func (s *service) Lend(ctx context.Context, r *pb.QuotaRequest) (*pb.QuotaReply, error) {
 	if err := s.checkCluster(r.Cluster); err != nil {
 		return nil, err
--- a/internal/health/aggregator.go
+++ b/internal/health/aggregator.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"time"
 
@@ -9,150 +10,169 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Observation is what one sender has seen of a destination itself.
+// Observation is what one sender has observed of a destination itself.
 type Observation struct {
 	Destination uint32
 	State       knowledge.State
-	Age         time.Duration // of what it rests on
-	Duration    time.Duration // it has been so
+	Age         time.Duration // of the evidence
+	Duration    time.Duration // for how long it has been in that state
 }
 
-// Aggregator is a sender as the one in charge of some destinations: what it was told of them, and what it makes of that. What it finds is
-// handed to the log, and counts as the log has it.
+// Aggregator decides the health of the destinations that a sender owns from what all senders report. Its decisions are proposals: they
+// count as the log applies them. It is not safe for concurrent use.
 type Aggregator struct {
 	reports      *knowledge.Reports
 	destinations map[uint32]*destinationRecord
 }
 
-// destinationRecord is one destination.
+// destinationRecord is what an aggregator knows of one destination. Zero times mean never.
 type destinationRecord struct {
-	outSince           time.Duration // it was first told to be out, since it was told to serve last; 0: it is not
-	observedAt         time.Duration // somebody testified last
-	statusStart        uint64        // verdict that is known, by the entry from which it says what it says
-	statusStartSeenAt  time.Duration // that one was seen first
-	statusUpdate       uint64        // and it as it was said last
-	statusUpdateSeenAt time.Duration // that was seen first
-	sentAt             time.Duration // a word was given last
-	sentBase           uint64        // on what
+	outSince           time.Duration // first reported out since it was last reported to serve
+	observedAt         time.Duration // last reported at all
 	servedAt           time.Duration // newest evidence that it serves
+	statusStart        uint64        // start index of the status that is known
+	statusStartSeenAt  time.Duration
+	statusUpdate       uint64 // update index of that status
+	statusUpdateSeenAt time.Duration
+	sentAt             time.Duration // of the last proposal
+	sentBase           uint64        // update index that it was based on
 }
 
 const (
-	maxDestinationsPerSender = 100_000 // of one sender's testimony
+	maxDestinationsPerSender = 100_000 // that reports of one sender are kept of
 	resendInterval           = time.Second
+	renewalsPerTTL           = 3 // of a status
 )
 
-// NewAggregator makes one that has heard nobody.
+// NewAggregator makes an aggregator without reports.
 func NewAggregator() *Aggregator {
-	return &Aggregator{knowledge.NewReports(maxDestinationsPerSender), map[uint32]*destinationRecord{}}
+	return &Aggregator{reports: knowledge.NewReports(maxDestinationsPerSender), destinations: map[uint32]*destinationRecord{}}
 }
 
-func (c *Aggregator) destination(d uint32) *destinationRecord {
-	h := c.destinations[d]
-	if h == nil {
-		h = &destinationRecord{}
-		c.destinations[d] = h
+func (a *Aggregator) destination(d uint32) *destinationRecord {
+	r := a.destinations[d]
+	if r == nil {
+		r = &destinationRecord{}
+		a.destinations[d] = r
 	}
-	return h
+	return r
 }
 
-// Observe takes a testimony in.
-func (c *Aggregator) Observe(who string, t Observation, now time.Duration) {
-	at := now - max(0, t.Age)
-	c.reports.Add(knowledge.Fact{Subject: knowledge.Subject{Destination: t.Destination}, Source: knowledge.Source{Name: who, Incarnation: 1}, Kind: knowledge.Health,
-		ObservedAt: at, Value: knowledge.Value{State: t.State, Since: at - max(0, t.Duration)}}, now)
-	h := c.destination(t.Destination)
-	h.observedAt = now
+// Observe takes in what the named sender reports.
+func (a *Aggregator) Observe(sender string, o Observation, now time.Duration) {
+	evidenceAt := now - max(0, o.Age)
+	a.reports.Add(knowledge.Fact{Subject: knowledge.Subject{Destination: o.Destination}, Source: knowledge.Source{Name: sender, Incarnation: 1}, Kind: knowledge.Health,
+		ObservedAt: evidenceAt, Value: knowledge.Value{State: o.State, Since: evidenceAt - max(0, o.Duration)}}, now)
+	r := a.destination(o.Destination)
+	r.observedAt = now
 	switch {
-	case t.State != knowledge.OutOfService:
-		h.servedAt = max(h.servedAt, at)
-	case h.outSince == 0:
-		h.outSince = now
+	case o.State != knowledge.OutOfService:
+		r.servedAt = max(r.servedAt, evidenceAt)
+	case r.outSince == 0:
+		r.outSince = now
 	}
 }
 
-// Evaluate gives what is to be handed to the log now. mine says of which destinations this sender is in charge; epoch is of the
-// roster that makes it so.
-func (c *Aggregator) Evaluate(now time.Duration, epoch uint64, me string, mine func(uint32) bool, rule func(uint32) (Rule, bool), s *pb.HealthState) (words []*pb.HealthCommand) {
-	for _, v := range s.GetStatuses() { // also those that nobody testifies on any more
-		if Kind(v.Kind) != KindSuspended && c.destinations[v.Destination] == nil {
-			c.destination(v.Destination).observedAt = now // one that takes over has heard nobody yet, which is no sign
+// EvaluationInput is what an evaluation is based on, beside reports: who this sender is, what it owns, and what is agreed.
+type EvaluationInput struct {
+	Epoch uint64 // of the membership
+	Self  string
+	Owns  func(destination uint32) bool
+	Rule  func(destination uint32) (Rule, bool) // ok is false where the policy has none
+	State *pb.HealthState
+}
+
+// Evaluate returns the commands to propose to the log now, by destination.
+func (a *Aggregator) Evaluate(now time.Duration, in EvaluationInput) (commands []*pb.HealthCommand) {
+	for _, s := range in.State.GetStatuses() {
+		// A new owner has no reports of destinations that have a status yet, which is no sign that nobody reports.
+		if Kind(s.Kind) != KindSuspended && a.destinations[s.Destination] == nil {
+			a.destination(s.Destination).observedAt = now
 		}
 	}
-	ds := make([]uint32, 0, len(c.destinations))
-	for d := range c.destinations {
-		ds = append(ds, d)
-	}
-	slices.Sort(ds)
-	for _, d := range ds {
-		h := c.destinations[d]
-		r, ruled := rule(d)
-		is := StatusOf(s, d, false)
-		if !mine(d) || !ruled && is == nil {
-			if is == nil && now-h.observedAt > MaxTTL {
-				delete(c.destinations, d)
-			}
-			continue
-		}
-		if is.GetStartIndex() != h.statusStart {
-			h.statusStart, h.statusStartSeenAt = is.GetStartIndex(), now
-		}
-		if is.GetUpdateIndex() != h.statusUpdate {
-			h.statusUpdate, h.statusUpdateSeenAt = is.GetUpdateIndex(), now
+	for _, d := range slices.Sorted(maps.Keys(a.destinations)) {
+		if c := a.evaluateDestination(d, now, in); c != nil {
+			commands = append(commands, c)
 		}
-		if h.sentAt > 0 && h.sentBase == h.statusUpdate && now-h.sentAt < resendInterval {
-			continue // it is on its way
-		}
-		sort, why := KindNone, "no rule asks for it any more"
-		if ruled {
-			sort, why = c.evaluate(d, h, r, Kind(is.GetKind()), now)
-		}
-		var w *pb.HealthCommand
-		switch {
-		case sort == KindNone && is != nil:
-			w = &pb.HealthCommand{Command: &pb.HealthCommand_Clear{Clear: &pb.ClearHealth{Destination: d, Epoch: epoch, Author: me, Reason: why, BaseIndex: is.UpdateIndex}}}
-		case sort != KindNone && (uint32(sort) != is.GetKind() || now-h.statusUpdateSeenAt > r.TTL/3):
-			w = &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: &pb.SetHealth{Destination: d, Kind: uint32(sort), Epoch: epoch, Author: me, Reason: why, TtlUs: r.TTL.Microseconds(), BaseIndex: is.GetUpdateIndex()}}}
-		default:
-			continue
+	}
+	return commands
+}
+
+// evaluateDestination is the command to propose for one destination; nil if there is none.
+func (a *Aggregator) evaluateDestination(d uint32, now time.Duration, in EvaluationInput) *pb.HealthCommand {
+	record := a.destinations[d]
+	rule, ruled := in.Rule(d)
+	status := StatusOf(in.State, d, false)
+	if !in.Owns(d) || !ruled && status == nil {
+		if status == nil && now-record.observedAt > MaxTTL {
+			delete(a.destinations, d)
 		}
-		h.sentAt, h.sentBase = now, h.statusUpdate
-		words = append(words, w)
+		return nil
+	}
+	record.follow(status, now)
+	if record.sentAt > 0 && record.sentBase == record.statusUpdate && now-record.sentAt < resendInterval {
+		return nil // a proposal is on its way
+	}
+	kind, reason := KindNone, "no rule asks for it any more"
+	if ruled {
+		kind, reason = a.decide(d, rule, Kind(status.GetKind()), now)
+	}
+	var c *pb.HealthCommand
+	switch {
+	case kind == KindNone && status != nil:
+		c = &pb.HealthCommand{Command: &pb.HealthCommand_Clear{Clear: &pb.ClearHealth{Destination: d, Epoch: in.Epoch, Author: in.Self, Reason: reason, BaseIndex: status.UpdateIndex}}}
+	case kind != KindNone && (uint32(kind) != status.GetKind() || now-record.statusUpdateSeenAt > rule.TTL/renewalsPerTTL):
+		c = &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: &pb.SetHealth{Destination: d, Kind: uint32(kind), Epoch: in.Epoch, Author: in.Self, Reason: reason,
+			TtlUs: rule.TTL.Microseconds(), BaseIndex: status.GetUpdateIndex()}}}
+	default:
+		return nil
+	}
+	record.sentAt, record.sentBase = now, record.statusUpdate
+	return c
+}
+
+// follow records when the status that is agreed was first seen.
+func (r *destinationRecord) follow(status *pb.HealthStatus, now time.Duration) {
+	if status.GetStartIndex() != r.statusStart {
+		r.statusStart, r.statusStartSeenAt = status.GetStartIndex(), now
+	}
+	if status.GetUpdateIndex() != r.statusUpdate {
+		r.statusUpdate, r.statusUpdateSeenAt = status.GetUpdateIndex(), now
 	}
-	return words
 }
 
-// evaluate is what a destination is, by what was told of it and by what it was held to be.
-func (c *Aggregator) evaluate(d uint32, h *destinationRecord, r Rule, was Kind, now time.Duration) (Kind, string) {
-	subject := knowledge.Subject{Destination: d}
-	f, told := c.reports.Verdict(subject, now)
-	outs := c.reports.OutageCount(subject, now)
-	out := told && f.State == knowledge.OutOfService
+// decide is what a destination's status should be, by reports and by its current status; see the package's table of transitions.
+func (a *Aggregator) decide(d uint32, rule Rule, current Kind, now time.Duration) (kind Kind, reason string) {
+	subject, record := knowledge.Subject{Destination: d}, a.destinations[d]
+	fact, reported := a.reports.Verdict(subject, now)
+	outs := a.reports.OutageCount(subject, now)
+	out := reported && fact.State == knowledge.OutOfService
 	if !out {
-		h.outSince = 0
+		record.outSince = 0
 	}
-	agreed := out && (outs >= max(1, r.Quorum) || outs > 0 && h.outSince > 0 && now-h.outSince >= SoleReporterDelay)
-	switch was {
+	agreed := out && (outs >= max(1, rule.Quorum) || outs > 0 && record.outSince > 0 && now-record.outSince >= SoleReporterDelay)
+	switch current {
 	case KindNone:
 		if agreed {
 			return KindEjected, fmt.Sprintf("%d senders hold it to be out", outs)
 		}
 	case KindEjected:
-		if h.servedAt > h.statusStartSeenAt {
+		if record.servedAt > record.statusStartSeenAt {
 			return KindWarmingUp, "a call was served"
 		}
-		if now-h.observedAt > r.TTL {
+		if now-record.observedAt > rule.TTL {
 			return KindNone, "nobody tells of it any more"
 		}
 		return KindEjected, fmt.Sprintf("%d senders hold it to be out", outs)
 	case KindWarmingUp:
-		if agreed && f.ObservedAt > h.statusStartSeenAt {
+		if agreed && fact.ObservedAt > record.statusStartSeenAt {
 			return KindEjected, fmt.Sprintf("%d senders hold it to be out again", outs)
 		}
-		if now-h.statusStartSeenAt < r.SlowStart {
+		if now-record.statusStartSeenAt < rule.SlowStart {
 			return KindWarmingUp, "it warms up"
 		}
 		return KindNone, "it is warm"
+	case KindSuspended: // an operator's; it stands beside the owner's
 	}
 	return KindNone, ""
 }
--- a/internal/health/kind.go
+++ b/internal/health/kind.go
@@ -1,25 +1,24 @@
 package health
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// Kind is what a verdict says.
+// Kind is what a status says of a destination.
 type Kind uint32
 
-// The sorts.
+// The kinds. Their numbers are stored.
 const (
-	KindNone      Kind = iota
-	KindEjected        // calls fail, are refused or go unanswered
-	KindWarmingUp      // it serves again since a short while
-	KindSuspended      // a person said so
+	KindNone      Kind = iota // it is healthy
+	KindEjected               // calls fail, are refused or go unanswered
+	KindWarmingUp             // it serves again since a short while
+	KindSuspended             // an operator suspended it
 )
 
-func (s Kind) String() string {
-	if int(s) < len(kindNames) {
-		return kindNames[s]
+var kindNames = [...]string{"none", "out", "cold", "suspended"}
+
+// String is the kind as operators read it.
+func (k Kind) String() string {
+	if int(k) < len(kindNames) {
+		return kindNames[k]
 	}
-	return fmt.Sprintf("sort %d", uint32(s))
+	return fmt.Sprintf("sort %d", uint32(k))
 }
-
-var kindNames = [...]string{"none", "out", "cold", "suspended"}
--- a/internal/health/machine.go
+++ b/internal/health/machine.go
@@ -14,45 +14,45 @@
 const (
 	maxStatuses    = 20_000
 	maxReasonBytes = 500 // bytes of a reason
-	// MaxTTL is how long a verdict may last that is not said again.
+	// MaxTTL bounds the TTL of a status that its owner sets.
 	MaxTTL = 10 * time.Minute
 )
 
-// Machine is the verdicts as the fleet agrees on them. The same commands in the same order make the same state everywhere.
+// Machine is the replicated state of health statuses. It implements replicatedlog.Machine.
 type Machine struct {
 	state *pb.HealthState
-	epoch func() uint64 // of the roster that is in force at this place of the log
+	epoch func() uint64 // of the membership that is active at this place of the log
 }
 
-// NewMachine makes the state before the first command.
+// NewMachine makes the state before the first command. epoch is the active membership's at the index that is applied.
 func NewMachine(epoch func() uint64) *Machine { return &Machine{&pb.HealthState{}, epoch} }
 
-// State is what is agreed; it is read only, and holds until the next command.
+// State is the current state. It is read only and does not change: the next command makes another.
 func (m *Machine) State() *pb.HealthState { return m.state }
 
-// StatusOf is the verdict on a destination, a person's or another; nil if there is none.
-func StatusOf(s *pb.HealthState, destination uint32, person bool) *pb.HealthStatus {
-	i := search(s, destination, person)
-	if i < len(s.GetStatuses()) && matches(s.Statuses[i], destination, person) {
+// StatusOf is the status of a destination, an operator's or the owner's; nil if there is none.
+func StatusOf(s *pb.HealthState, destination uint32, byOperator bool) *pb.HealthStatus {
+	i := search(s, destination, byOperator)
+	if i < len(s.GetStatuses()) && matches(s.Statuses[i], destination, byOperator) {
 		return s.Statuses[i]
 	}
 	return nil
 }
 
-func matches(v *pb.HealthStatus, destination uint32, person bool) bool {
-	return v.Destination == destination && (Kind(v.Kind) == KindSuspended) == person
+func matches(v *pb.HealthStatus, destination uint32, byOperator bool) bool {
+	return v.Destination == destination && (Kind(v.Kind) == KindSuspended) == byOperator
 }
 
-// search is the place of a verdict, or where it would stand: by destination, a person's behind the other.
-func search(s *pb.HealthState, destination uint32, person bool) int {
+// search is the position of a status, or where it would be inserted: by destination, an operator's behind the owner's.
+func search(s *pb.HealthState, destination uint32, byOperator bool) int {
 	i, _ := slices.BinarySearchFunc(s.GetStatuses(), destination, func(v *pb.HealthStatus, d uint32) int {
 		if v.Destination != d {
 			return cmp.Compare(v.Destination, d)
 		}
-		if (Kind(v.Kind) == KindSuspended) == person {
+		if (Kind(v.Kind) == KindSuspended) == byOperator {
 			return 0
 		}
-		if person {
+		if byOperator {
 			return -1
 		}
 		return 1
@@ -60,11 +60,12 @@
 	return i
 }
 
-// Apply carries out a command at its index of the log. Each makes a new state, so that who has the old one may go on reading it.
-func (m *Machine) Apply(index uint64, body []byte) (result []byte, refused string, err error) {
+// Apply applies a command at its index of the log. It makes a new state, so that readers of the old one may go on. The error is a *DecodeError
+// or ErrUnknownCommand.
+func (m *Machine) Apply(index uint64, body []byte) (result []byte, rejection string, err error) {
 	c := &pb.HealthCommand{}
 	if err := proto.Unmarshal(body, c); err != nil {
-		return nil, "", fmt.Errorf("a verdict can't be read: %w", err)
+		return nil, "", &DecodeError{What: "a verdict", Err: err}
 	}
 	switch w := c.GetCommand().(type) {
 	case *pb.HealthCommand_Set:
@@ -72,45 +73,45 @@
 	case *pb.HealthCommand_Clear:
 		return nil, m.clear(w.Clear), nil
 	}
-	return nil, "", fmt.Errorf("a verdict is of a sort that this program does not know")
+	return nil, "", ErrUnknownCommand
 }
 
-// checkBase says why a word on a verdict does not count: it was given by what has changed meanwhile.
-func (m *Machine) checkBase(destination uint32, person bool, epoch, base uint64) (was *pb.HealthStatus, refused string) {
-	was = StatusOf(m.state, destination, person)
+// checkBase rejects a command that is based on what has changed meanwhile. current is the status that it replaces; nil if there is none.
+func (m *Machine) checkBase(destination uint32, byOperator bool, epoch, base uint64) (current *pb.HealthStatus, rejection string) {
+	current = StatusOf(m.state, destination, byOperator)
 	switch {
-	case !person && epoch != m.epoch():
-		return was, fmt.Sprintf("it was given under roster %d, and roster %d is in force", epoch, m.epoch())
-	case !person && base != was.GetUpdateIndex():
-		return was, fmt.Sprintf("it follows the verdict of entry %d, and that of entry %d stands", base, was.GetUpdateIndex())
+	case !byOperator && epoch != m.epoch():
+		return current, fmt.Sprintf("it was given under roster %d, and roster %d is in force", epoch, m.epoch())
+	case !byOperator && base != current.GetUpdateIndex():
+		return current, fmt.Sprintf("it follows the verdict of entry %d, and that of entry %d stands", base, current.GetUpdateIndex())
 	}
-	return was, ""
+	return current, ""
 }
 
-func (m *Machine) set(index uint64, p *pb.SetHealth) (refused string) {
-	sort, person := Kind(p.Kind), Kind(p.Kind) == KindSuspended
-	was, refused := m.checkBase(p.Destination, person, p.Epoch, p.BaseIndex)
+func (m *Machine) set(index uint64, p *pb.SetHealth) (rejection string) {
+	kind, byOperator := Kind(p.Kind), Kind(p.Kind) == KindSuspended
+	current, rejection := m.checkBase(p.Destination, byOperator, p.Epoch, p.BaseIndex)
 	ttl := time.Duration(p.TtlUs) * time.Microsecond
 	switch {
-	case refused != "":
-		return refused
-	case sort != KindEjected && sort != KindWarmingUp && sort != KindSuspended:
-		return fmt.Sprintf("a verdict of %v is none", sort)
-	case person != (ttl == 0) || ttl < 0 || ttl > MaxTTL:
+	case rejection != "":
+		return rejection
+	case kind != KindEjected && kind != KindWarmingUp && kind != KindSuspended:
+		return fmt.Sprintf("a verdict of %v is none", kind)
+	case byOperator != (ttl == 0) || ttl < 0 || ttl > MaxTTL:
 		return fmt.Sprintf("it lasts %v: a person's lasts until it is lifted, any other up to %v", ttl, MaxTTL)
 	case len(p.Reason) > maxReasonBytes:
 		return fmt.Sprintf("why has %d bytes; %d are the most", len(p.Reason), maxReasonBytes)
-	case person && was != nil:
-		return fmt.Sprintf("%s has suspended destination %d already: %s", was.Author, p.Destination, was.Reason)
-	case was == nil && len(m.state.Statuses) >= maxStatuses:
+	case byOperator && current != nil:
+		return fmt.Sprintf("%s has suspended destination %d already: %s", current.Author, p.Destination, current.Reason)
+	case current == nil && len(m.state.Statuses) >= maxStatuses:
 		return fmt.Sprintf("there are %d verdicts, which is the most", maxStatuses)
 	}
 	v := &pb.HealthStatus{Destination: p.Destination, Kind: p.Kind, UpdateIndex: index, StartIndex: index, Epoch: p.Epoch, Author: p.Author, Reason: p.Reason, TtlUs: p.TtlUs}
 	all := slices.Clone(m.state.Statuses)
-	i := search(m.state, p.Destination, person)
-	if was != nil {
-		if was.Kind == p.Kind {
-			v.StartIndex = was.StartIndex
+	i := search(m.state, p.Destination, byOperator)
+	if current != nil {
+		if current.Kind == p.Kind {
+			v.StartIndex = current.StartIndex
 		}
 		all[i] = v
 	} else {
@@ -120,12 +121,12 @@
 	return ""
 }
 
-func (m *Machine) clear(l *pb.ClearHealth) (refused string) {
-	was, refused := m.checkBase(l.Destination, l.ByOperator, l.Epoch, l.BaseIndex)
-	if refused != "" {
-		return refused
+func (m *Machine) clear(l *pb.ClearHealth) (rejection string) {
+	current, rejection := m.checkBase(l.Destination, l.ByOperator, l.Epoch, l.BaseIndex)
+	if rejection != "" {
+		return rejection
 	}
-	if was == nil {
+	if current == nil {
 		return fmt.Sprintf("there is no such verdict on destination %d", l.Destination)
 	}
 	all := slices.Clone(m.state.Statuses)
@@ -134,16 +135,16 @@
 	return ""
 }
 
-// Snapshot is the whole state.
+// Snapshot encodes the complete state, equal states equally.
 func (m *Machine) Snapshot() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m.state)
 }
 
-// Restore puts the state in place of what is held.
+// Restore replaces the state by a snapshot's; nil makes it empty.
 func (m *Machine) Restore(raw []byte) error {
 	s := &pb.HealthState{}
 	if err := proto.Unmarshal(raw, s); err != nil {
-		return fmt.Errorf("the verdicts can't be read: %w", err)
+		return &DecodeError{What: "the verdicts", Err: err}
 	}
 	m.state = s
 	return nil
--- a/internal/health/machine_test.go
+++ b/internal/health/machine_test.go
@@ -115,7 +115,8 @@
 func (tr *trial) is(after time.Duration) string {
 	for end := tr.now + after; tr.now < end; {
 		tr.now += 100 * time.Millisecond
-		for _, w := range tr.c.Evaluate(tr.now, tr.epoch, "x", func(uint32) bool { return tr.mine }, func(uint32) (Rule, bool) { return tr.rule, tr.rule.Quorum > 0 }, tr.State()) {
+		for _, w := range tr.c.Evaluate(tr.now, EvaluationInput{Epoch: tr.epoch, Self: "x", Owns: func(uint32) bool { return tr.mine },
+			Rule: func(uint32) (Rule, bool) { return tr.rule, tr.rule.Quorum > 0 }, State: tr.State()}) {
 			tr.apply(w)
 		}
 	}
--- a/internal/health/rule.go
+++ b/internal/health/rule.go
@@ -1,19 +1,17 @@
 package health
 
-import (
-	"time"
-)
+import "time"
 
-// Rule is how verdicts on a destination are found, and what they do.
+// Rule is how the health of a destination is decided, and what its statuses do.
 type Rule struct {
-	Quorum        int           // believed senders that have to hold it to be out; or one alone for Lone, if nobody else tells of it
-	ProbeInterval time.Duration // while it is out one call of all senders goes there so often
-	InitialRate   int64         // calls a second of all senders as it comes back,
-	FullRate      int64         // which grow to so many
-	SlowStart     time.Duration // in this time
-	TTL           time.Duration // a verdict that is not said again is over
-	TransitJitter time.Duration // by so much may the ways of two calls differ
+	Quorum        int           // believed senders that have to report it out; one alone counts after SoleReporterDelay, if no other reports
+	ProbeInterval time.Duration // while it is ejected one call of all senders goes there in each
+	InitialRate   int64         // calls per second of all senders as it comes back
+	FullRate      int64         // which grow to this rate
+	SlowStart     time.Duration // within this time
+	TTL           time.Duration // after which a status that is not renewed expires
+	TransitJitter time.Duration // by which the transit of two calls may differ
 }
 
-// SoleReporterDelay is how long the word of one sender alone waits for others.
+// SoleReporterDelay is how long the report of a single sender waits for reports of others.
 const SoleReporterDelay = 2 * time.Second
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// usageBuckets is into how many parts a rest is cut: uses within one part are remembered as one, at its end. So a purse of a million
-// units is no larger than one of a thousand, and loses four thousandths of what it could use.
+// usageBuckets is the granularity of a usage log: a cool-down is divided into so many buckets, and uses within one count as one, at its
+// end. So the log of a million units is no longer than that of a thousand, at the cost of four thousandths of what could be used.
 const usageBuckets = 256
 
-// Allowance is what a sender holds of one limit. It is asked at the very moment at which a call is written.
+// Allowance is what a sender may use of one limit. It is asked at the moment at which a call is written. It is not safe for concurrent use;
+// see Allowances.
 type Allowance struct {
 	limit    Limit
 	drift    float64
-	coolDown time.Duration // of what was used; longer than the limit's if that was so when it was used
+	coolDown time.Duration // of what is in the usage log; longer than the limit's if that was so when it was used
 
-	granted       int64         // lent
-	expiresAt     time.Duration // the loan lapses
-	peakGranted   int64         // the most that was held while what rests now was used
-	reserve       int64         // its own, for ever
-	reserveFrom   time.Duration // an earlier process may have used the floor, or what goes beyond, until then
-	usageLog      []usage       // that rest, the oldest first
-	cooling       int64         // units of those
-	inFlight      int64         // AtOnce: in use by calls that are out
-	spent         int64         // Daily: all that this process has used
-	spentReported int64         // and of that, as the last question told
+	granted       int64         // by the owner
+	expiresAt     time.Duration // of the grant
+	peakGranted   int64         // the most units that were granted while what cools down now was used
+	reserve       int64         // the sender's own units
+	reserveFrom   time.Duration // until then an earlier process may have used the reserve or the extra
+	usageLog      []usage       // that cool down, oldest first
+	cooling       int64         // units of the usage log
+	inFlight      int64         // Concurrent: units of calls in flight
+	spent         int64         // Daily: units that this process has used in all
+	spentReported int64         // of those, as the last request told
 }
 
 type usage struct {
@@ -29,133 +30,134 @@
 	units  int64
 }
 
-// NewAllowance makes the purse of a process that begins now: it holds nothing. floor is whether the sender is among those that have one.
+// NewAllowance makes the allowance of a process that begins now: nothing is granted. reserved is whether the sender is among those that have a
+// reserve.
 func NewAllowance(l Limit, drift float64, reserved bool, now time.Duration) *Allowance {
-	p := &Allowance{reserveFrom: now}
-	p.SetLimit(l, drift, reserved, now)
-	return p
+	a := &Allowance{reserveFrom: now}
+	a.SetLimit(l, drift, reserved, now)
+	return a
 }
 
-// SetLimit takes over what the limit is now. What was used goes on resting, for the longer of both spans.
-func (p *Allowance) SetLimit(l Limit, drift float64, floor bool, now time.Duration) {
-	was := p.limit
-	p.limit, p.drift, p.coolDown, p.reserve = l, drift, max(l.CoolDown(drift), p.coolDown), 0
-	if floor && l.Kind != Daily {
-		p.reserve = l.Reserve
+// SetLimit replaces the limit. What was used goes on cooling down, for the longer of both cool-downs.
+func (a *Allowance) SetLimit(l Limit, drift float64, reserved bool, now time.Duration) {
+	former := a.limit
+	a.limit, a.drift, a.coolDown, a.reserve = l, drift, max(l.CoolDown(drift), a.coolDown), 0
+	if reserved && l.Kind != Daily {
+		a.reserve = l.Reserve
 	}
-	if was.Key == "" || was.Reserve < l.Reserve || was.CutOffExtra < l.CutOffExtra {
-		p.reserveFrom = now + l.ReclaimDelay(drift)
+	if former.Key == "" || former.Reserve < l.Reserve || former.CutOffExtra < l.CutOffExtra {
+		a.reserveFrom = now + l.ReclaimDelay(drift)
 	}
 }
 
-// expireUsage lets go of what has rested.
-func (p *Allowance) expireUsage(now time.Duration) {
+// expireUsage drops from the usage log what has cooled down.
+func (a *Allowance) expireUsage(now time.Duration) {
 	n := 0
-	for n < len(p.usageLog) && p.usageLog[n].endsAt+p.coolDown <= now {
-		p.cooling -= p.usageLog[n].units
+	for n < len(a.usageLog) && a.usageLog[n].endsAt+a.coolDown <= now {
+		a.cooling -= a.usageLog[n].units
 		n++
 	}
 	if n > 0 {
-		p.usageLog = append(p.usageLog[:0], p.usageLog[n:]...)
+		a.usageLog = append(a.usageLog[:0], a.usageLog[n:]...)
 	}
-	if len(p.usageLog) == 0 {
-		p.coolDown = p.limit.CoolDown(p.drift)
+	if len(a.usageLog) == 0 {
+		a.coolDown = a.limit.CoolDown(a.drift)
 	}
-	if p.cooling+p.inFlight == 0 || p.peakGranted > p.grantedAt(now) && p.grantedInUse() <= p.grantedAt(now) {
-		p.peakGranted = p.grantedAt(now)
+	if a.cooling+a.inFlight == 0 || a.peakGranted > a.grantedAt(now) && a.grantedInUse() <= a.grantedAt(now) {
+		a.peakGranted = a.grantedAt(now)
 	}
 }
 
-// grantedAt is what the loan allows.
-func (p *Allowance) grantedAt(now time.Duration) int64 {
-	if now >= p.expiresAt {
+// grantedAt is how many units are granted at a time.
+func (a *Allowance) grantedAt(now time.Duration) int64 {
+	if now >= a.expiresAt {
 		return 0
 	}
-	return p.granted
+	return a.granted
 }
 
-// grantedInUse is what of the lent units is in use or rests: the floor is used first.
-func (p *Allowance) grantedInUse() int64 { return max(0, p.cooling+p.inFlight-p.reserve) }
+// grantedInUse is how many of the granted units are in flight or cooling: the reserve is used first.
+func (a *Allowance) grantedInUse() int64 { return max(0, a.cooling+a.inFlight-a.reserve) }
 
-// capacity is how many units may be in use and at rest, all in all.
-func (p *Allowance) capacity(now time.Duration) int64 {
-	all := p.grantedAt(now)
-	if now >= p.reserveFrom {
-		all += p.reserve
-		if now >= p.expiresAt {
-			all += p.limit.CutOffExtra
+// capacity is how many units may be in flight and cooling in all.
+func (a *Allowance) capacity(now time.Duration) int64 {
+	all := a.grantedAt(now)
+	if now >= a.reserveFrom {
+		all += a.reserve
+		if now >= a.expiresAt {
+			all += a.limit.CutOffExtra
 		}
 	}
 	return all
 }
 
-// Take uses units; false if they are not there.
-func (p *Allowance) Take(units int64, now time.Duration) bool {
-	p.expireUsage(now)
-	if p.cooling+p.inFlight+units > p.capacity(now) {
+// Take uses units, or returns false if so many are not available.
+func (a *Allowance) Take(units int64, now time.Duration) bool {
+	a.expireUsage(now)
+	if a.cooling+a.inFlight+units > a.capacity(now) {
 		return false
 	}
-	switch p.limit.Kind {
+	switch a.limit.Kind {
 	case Concurrent:
-		p.inFlight += units
+		a.inFlight += units
 	case Daily:
-		p.granted -= units
-		p.spent += units
+		a.granted -= units
+		a.spent += units
 	default:
-		p.recordUsage(units, now)
+		a.recordUsage(units, now)
 	}
 	return true
 }
 
-// recordUsage begins the rest of units, as of the end of the grain that now lies in.
-func (p *Allowance) recordUsage(units int64, now time.Duration) {
-	grain := max(1, p.coolDown/usageBuckets)
-	at := (now/grain + 1) * grain
-	if n := len(p.usageLog); n > 0 && p.usageLog[n-1].endsAt >= at {
-		p.usageLog[n-1].units += units
+// recordUsage starts the cool-down of units, as of the end of the bucket that now lies in.
+func (a *Allowance) recordUsage(units int64, now time.Duration) {
+	bucket := max(1, a.coolDown/usageBuckets)
+	at := (now/bucket + 1) * bucket
+	if n := len(a.usageLog); n > 0 && a.usageLog[n-1].endsAt >= at {
+		a.usageLog[n-1].units += units
 	} else {
-		p.usageLog = append(p.usageLog, usage{at, units})
+		a.usageLog = append(a.usageLog, usage{at, units})
 	}
-	p.cooling += units
+	a.cooling += units
 }
 
-// Release is that a call has ended which used units at once.
-func (p *Allowance) Release(units int64, now time.Duration) {
-	if p.limit.Kind == Concurrent {
-		p.inFlight -= units
-		p.recordUsage(units, now)
+// Release records that a call has ended; its units cool down if the limit is of Concurrent calls.
+func (a *Allowance) Release(units int64, now time.Duration) {
+	if a.limit.Kind == Concurrent {
+		a.inFlight -= units
+		a.recordUsage(units, now)
 	}
 }
 
-// Undo is that units were taken and the call was not written after all.
-func (p *Allowance) Undo(units int64, now time.Duration) {
-	switch p.limit.Kind {
+// Undo gives units back that were taken for a call which was not written. Units of a bucket that is over cool down as if they were used.
+func (a *Allowance) Undo(units int64, now time.Duration) {
+	switch a.limit.Kind {
 	case Concurrent:
-		p.inFlight -= units
+		a.inFlight -= units
 	case Daily:
-		p.spent -= units
-		if now < p.expiresAt {
-			p.granted += units
+		a.spent -= units
+		if now < a.expiresAt {
+			a.granted += units
 		}
 	default:
-		if n := len(p.usageLog); n > 0 && p.usageLog[n-1].units >= units && p.usageLog[n-1].endsAt > now {
-			p.usageLog[n-1].units -= units
-			p.cooling -= units
-		} // else it rests like one that was used
+		if n := len(a.usageLog); n > 0 && a.usageLog[n-1].units >= units && a.usageLog[n-1].endsAt > now {
+			a.usageLog[n-1].units -= units
+			a.cooling -= units
+		}
 	}
 }
 
-// Available is how many units may be used now, and when the next one may if none: Never without a loan that brings one.
-func (p *Allowance) Available(now time.Duration) (units int64, next time.Duration) {
-	p.expireUsage(now)
-	all := p.capacity(now)
-	if units = all - p.cooling - p.inFlight; units > 0 {
+// Available is how many units may be used now, and, if none, when the next one may: Never if it takes another grant.
+func (a *Allowance) Available(now time.Duration) (units int64, next time.Duration) {
+	a.expireUsage(now)
+	all := a.capacity(now)
+	if units = all - a.cooling - a.inFlight; units > 0 {
 		return units, now
 	}
-	need := p.cooling + p.inFlight - all
-	for _, u := range p.usageLog {
+	need := a.cooling + a.inFlight - all
+	for _, u := range a.usageLog {
 		if need -= u.units; need < 0 && all > 0 {
-			return 0, u.endsAt + p.coolDown
+			return 0, u.endsAt + a.coolDown
 		}
 	}
 	return 0, Never
@@ -164,52 +166,52 @@
 // Never is a time that does not come.
 const Never = time.Duration(1<<63 - 1)
 
-// Relinquish is what the purse tells with a question: it goes on with holds at the most, and lets go of the rest, of which rests units
-// rest for so long yet. keep is how many it wants to go on with; it may have to go on with more, in use by calls that are out.
-func (p *Allowance) Relinquish(keep int64, now time.Duration) (holds, rests int64, left time.Duration) {
-	p.expireUsage(now)
-	lent := p.grantedAt(now)
-	if p.limit.Kind == Daily {
-		p.granted, p.spentReported = min(p.grantedAt(now), max(0, keep)), p.spent
-		return p.granted, 0, 0
-	}
-	keep = max(0, min(keep, lent))
-	holds = max(keep, min(p.peakGranted, max(0, p.inFlight-p.reserve)))
-	if rests = min(p.peakGranted, p.grantedInUse()) - holds; rests > 0 { // the newest of all that rest ends last
-		left = p.usageLog[len(p.usageLog)-1].endsAt + p.coolDown - now
+// Relinquish gives up granted units, for a request to tell: from now on the client holds no more than held, and cooling of those it gave up
+// cool down for another coolingTime. It holds keep units, or more if they are in use by calls in flight.
+func (a *Allowance) Relinquish(keep int64, now time.Duration) (held, cooling int64, coolingTime time.Duration) {
+	a.expireUsage(now)
+	granted := a.grantedAt(now)
+	if a.limit.Kind == Daily {
+		a.granted, a.spentReported = min(a.grantedAt(now), max(0, keep)), a.spent
+		return a.granted, 0, 0
+	}
+	keep = max(0, min(keep, granted))
+	held = max(keep, min(a.peakGranted, max(0, a.inFlight-a.reserve)))
+	if cooling = min(a.peakGranted, a.grantedInUse()) - held; cooling > 0 { // the newest use cools down last
+		coolingTime = a.usageLog[len(a.usageLog)-1].endsAt + a.coolDown - now
 	} else {
-		rests = 0
+		cooling = 0
 	}
-	p.granted, p.peakGranted = min(p.granted, holds), max(holds, min(p.peakGranted, p.grantedInUse()))
-	return holds, rests, left
+	a.granted, a.peakGranted = min(a.granted, held), max(held, min(a.peakGranted, a.grantedInUse()))
+	return held, cooling, coolingTime
 }
 
-// Renew takes over what the authority lends in answer to a question that went out at asked: in place of what was held before.
-func (p *Allowance) Renew(units int64, asked, length, now time.Duration) {
-	p.expireUsage(now)
-	if asked+length <= now {
+// Renew replaces what was granted by the owner's answer to a request that was sent at requestedAt; the grant lasts for duration from then.
+func (a *Allowance) Renew(units int64, requestedAt, duration, now time.Duration) {
+	a.expireUsage(now)
+	if requestedAt+duration <= now {
 		return
 	}
-	if p.limit.Kind == Daily { // some of it was used since the question
-		units -= p.spent - p.spentReported
+	if a.limit.Kind == Daily { // some of it was used since the request
+		units -= a.spent - a.spentReported
 	}
-	p.granted, p.expiresAt = units, asked+length
-	p.peakGranted = max(p.peakGranted, units)
+	a.granted, a.expiresAt = units, requestedAt+duration
+	a.peakGranted = max(a.peakGranted, units)
 }
 
-// RecentUsage is how many units are used within a rest, as the last half of one has it.
-func (p *Allowance) RecentUsage(now time.Duration) (units int64) {
-	for i := len(p.usageLog) - 1; i >= 0 && p.usageLog[i].endsAt > now-p.coolDown/2; i-- {
-		units += p.usageLog[i].units
+// RecentUsage is how many units are used within a cool-down, extrapolated from the last half of one, and those in flight.
+func (a *Allowance) RecentUsage(now time.Duration) (units int64) {
+	for i := len(a.usageLog) - 1; i >= 0 && a.usageLog[i].endsAt > now-a.coolDown/2; i-- {
+		units += a.usageLog[i].units
 	}
-	return 2*units + p.inFlight
+	return 2*units + a.inFlight
 }
 
-// Spent is how many units of a day's this process has used.
-func (p *Allowance) Spent() int64 { return p.spent }
+// Spent is how many units of a daily quota this process has used.
+func (a *Allowance) Spent() int64 { return a.spent }
 
-// Status is what is lent, to when, and how much of it is used or rests.
-func (p *Allowance) Status(now time.Duration) (units, busy int64, until time.Duration) {
-	p.expireUsage(now)
-	return p.grantedAt(now), p.grantedInUse(), p.expiresAt
+// Status is how many units are granted, how many of them are in flight or cooling, and when the grant expires.
+func (a *Allowance) Status(now time.Duration) (granted, inUse int64, expiresAt time.Duration) {
+	a.expireUsage(now)
+	return a.grantedAt(now), a.grantedInUse(), a.expiresAt
 }
--- a/internal/quota/allowances.go
+++ b/internal/quota/allowances.go
@@ -6,148 +6,150 @@
 	"time"
 )
 
-// Allowances is all purses of a sender. Calls take from it in their own goroutines, at the moment of writing; the loop tells it what waits;
-// the asker tops it up. Each purse has a lock of its own, that is held for some instructions.
+// Allowances is a sender's allowance of each limit. It is safe for concurrent use: calls take units in their own goroutines, at the moment of
+// writing, the event loop tells the backlog, and the Client renews what is granted. Each entry has its own mutex, held for some
+// instructions; the map of entries is replaced as a whole.
 type Allowances struct {
 	drift   float64
 	entries atomic.Pointer[map[string]*allowanceEntry]
-	wanted  func(key string) // something is wanted of a limit now; it never waits
+	wanted  func(key string) // called when units of a limit are wanted; it does not block
 }
 
-// allowanceEntry is one limit here.
+// allowanceEntry is one limit; mu guards the fields below it but for waiting.
 type allowanceEntry struct {
 	mu         sync.Mutex
 	limit      Limit
 	allowance  *Allowance
 	reserved   bool
-	missing    int64        // units that were not there, since the last question
-	rotating   bool         // units go by turns
-	waiting    atomic.Int64 // units of the messages that wait
-	largestUse int64        // units of the largest of late
+	missing    int64        // the most units that a call lacked since the last request
+	rotating   bool         // there are not enough units for all senders: they rotate
+	waiting    atomic.Int64 // units of the backlog
+	largestUse int64        // units of the largest message of late
 
-	used, rejected uint64 // in all
-	underusedSince time.Duration
-	observedLimit  float64
+	used, rejected uint64        // units, and calls, in all
+	underusedSince time.Duration // 0: it uses what it is granted
+	observedLimit  float64       // calls per second, as the receiver reported; 0: it did not
 	observedAt     time.Duration
 }
 
-// NewAllowances makes a till without limits. poke is called, from any goroutine, as soon as units of a limit are wanted.
+// NewAllowances makes allowances without limits. wanted is called, from any goroutine, as soon as units of a limit are wanted.
 func NewAllowances(drift float64, wanted func(key string)) *Allowances {
-	t := &Allowances{drift: drift, wanted: wanted}
-	t.entries.Store(&map[string]*allowanceEntry{})
-	return t
+	a := &Allowances{drift: drift, wanted: wanted}
+	a.entries.Store(&map[string]*allowanceEntry{})
+	return a
 }
 
-// SetLimits takes over what is limited now. floor is whether this sender is among those with a floor.
-func (t *Allowances) SetLimits(all []Limit, floor func(Limit) bool, now time.Duration) {
-	was := *t.entries.Load()
-	is := make(map[string]*allowanceEntry, len(all))
+// SetLimits replaces the limits. reserved reports whether this sender is among those with a reserve of a limit.
+func (a *Allowances) SetLimits(all []Limit, reserved func(Limit) bool, now time.Duration) {
+	former := *a.entries.Load()
+	entries := make(map[string]*allowanceEntry, len(all))
 	for _, l := range all {
-		s, own := was[l.Key], floor(l)
-		if s == nil {
-			s = &allowanceEntry{limit: l, reserved: own, allowance: NewAllowance(l, t.drift, own, now), largestUse: 1}
+		e, own := former[l.Key], reserved(l)
+		if e == nil {
+			e = &allowanceEntry{limit: l, reserved: own, allowance: NewAllowance(l, a.drift, own, now), largestUse: 1}
 		} else {
-			s.mu.Lock()
-			if s.limit != l || s.reserved != own {
-				s.limit, s.reserved = l, own
-				s.allowance.SetLimit(l, t.drift, own, now)
+			e.mu.Lock()
+			if e.limit != l || e.reserved != own {
+				e.limit, e.reserved = l, own
+				e.allowance.SetLimit(l, a.drift, own, now)
 			}
-			s.mu.Unlock()
+			e.mu.Unlock()
 		}
-		is[l.Key] = s
+		entries[l.Key] = e
 	}
-	t.entries.Store(&is)
+	a.entries.Store(&entries)
 }
 
-func (t *Allowances) entry(key string) *allowanceEntry { return (*t.entries.Load())[key] }
+func (a *Allowances) entry(key string) *allowanceEntry { return (*a.entries.Load())[key] }
 
-// Usage is some units of one limit.
+// Usage is units of one limit that a call uses.
 type Usage struct {
 	Key   string
 	Units int64
 }
 
-// Take uses units of several limits, all or none; lacks is one that has none left.
-func (t *Allowances) Take(uses []Usage, now time.Duration) (ok bool, lacks string) {
+// Take uses units of several limits, all or none. If some are not available, exhausted is the key of the first such limit. Limits that do not
+// exist any more are skipped.
+func (a *Allowances) Take(uses []Usage, now time.Duration) (ok bool, exhausted string) {
 	for i, u := range uses {
-		s := t.entry(u.Key)
-		if s == nil {
-			continue // it is limited no longer
+		e := a.entry(u.Key)
+		if e == nil {
+			continue
 		}
-		s.mu.Lock()
-		took := s.allowance.Take(u.Units, now)
-		if took {
-			s.used += uint64(u.Units)
+		e.mu.Lock()
+		taken := e.allowance.Take(u.Units, now)
+		if taken {
+			e.used += uint64(u.Units)
 		} else {
-			s.rejected++
-			s.missing = max(s.missing, u.Units)
+			e.rejected++
+			e.missing = max(e.missing, u.Units)
 		}
-		poke := !took || s.rotating
-		s.mu.Unlock()
-		if poke {
-			t.wanted(u.Key)
+		wanted := !taken || e.rotating
+		e.mu.Unlock()
+		if wanted {
+			a.wanted(u.Key)
 		}
-		if !took {
-			t.Undo(uses[:i], now)
+		if !taken {
+			a.Undo(uses[:i], now)
 			return false, u.Key
 		}
 	}
 	return true, ""
 }
 
-// Release is that a call has ended which took these.
-func (t *Allowances) Release(uses []Usage, now time.Duration) {
+// Release records that a call has ended which took these units.
+func (a *Allowances) Release(uses []Usage, now time.Duration) {
 	for _, u := range uses {
-		if s := t.entry(u.Key); s != nil {
-			s.mu.Lock()
-			s.allowance.Release(u.Units, now)
-			s.mu.Unlock()
+		if e := a.entry(u.Key); e != nil {
+			e.mu.Lock()
+			e.allowance.Release(u.Units, now)
+			e.mu.Unlock()
 		}
 	}
 }
 
-// Undo is that these were taken and the call was not written after all.
-func (t *Allowances) Undo(uses []Usage, now time.Duration) {
+// Undo gives back units that were taken for a call which was not written.
+func (a *Allowances) Undo(uses []Usage, now time.Duration) {
 	for _, u := range uses {
-		if s := t.entry(u.Key); s != nil {
-			s.mu.Lock()
-			s.allowance.Undo(u.Units, now)
-			s.used -= uint64(u.Units)
-			s.mu.Unlock()
+		if e := a.entry(u.Key); e != nil {
+			e.mu.Lock()
+			e.allowance.Undo(u.Units, now)
+			e.used -= uint64(u.Units)
+			e.mu.Unlock()
 		}
 	}
 }
 
-// AddWaiting notes that messages with so many units more, or fewer, wait for a limit, and what one of them needs.
-func (t *Allowances) AddWaiting(key string, units, piece int64) {
-	s := t.entry(key)
-	if s == nil {
+// AddWaiting changes the backlog of a limit by units, which may be negative; perMessage is what one message needs.
+func (a *Allowances) AddWaiting(key string, units, perMessage int64) {
+	e := a.entry(key)
+	if e == nil {
 		return
 	}
-	if n := s.waiting.Add(units); n == units && units > 0 {
-		t.wanted(key) // the first
+	if n := e.waiting.Add(units); n == units && units > 0 {
+		a.wanted(key)
 	}
-	if units > 0 && piece > 1 {
-		s.mu.Lock()
-		s.largestUse = max(s.largestUse, piece)
-		s.mu.Unlock()
+	if units > 0 && perMessage > 1 {
+		e.mu.Lock()
+		e.largestUse = max(e.largestUse, perMessage)
+		e.mu.Unlock()
 	}
 }
 
-// SetWaiting puts what waits in place of what was noted.
-func (t *Allowances) SetWaiting(waiting map[string]int64) {
-	for key, s := range *t.entries.Load() {
-		if s.waiting.Swap(waiting[key]) == 0 && waiting[key] > 0 {
-			t.wanted(key)
+// SetWaiting replaces the backlog of all limits, in units by key.
+func (a *Allowances) SetWaiting(waiting map[string]int64) {
+	for key, e := range *a.entries.Load() {
+		if e.waiting.Swap(waiting[key]) == 0 && waiting[key] > 0 {
+			a.wanted(key)
 		}
 	}
 }
 
-// ObserveLimit is that a receiver told this sender its limit.
-func (t *Allowances) ObserveLimit(key string, perSecond float64, now time.Duration) {
-	if s := t.entry(key); s != nil {
-		s.mu.Lock()
-		s.observedLimit, s.observedAt = perSecond, now
-		s.mu.Unlock()
+// ObserveLimit records the limit that a receiver reported to this sender, in calls per second.
+func (a *Allowances) ObserveLimit(key string, perSecond float64, now time.Duration) {
+	if e := a.entry(key); e != nil {
+		e.mu.Lock()
+		e.observedLimit, e.observedAt = perSecond, now
+		e.mu.Unlock()
 	}
 }
--- a/internal/quota/allowances_report.go
+++ b/internal/quota/allowances_report.go
@@ -1,74 +1,70 @@
 package quota
 
 import (
+	"maps"
 	"slices"
 	"time"
 )
 
-// Share is what this sender may use of a limit just now.
+// Share is what this sender may use of a limit now: Units in any CoolDown.
 type Share struct {
 	Key       string
-	Units     int64         // in any rest
-	CoolDown  time.Duration // so that it is Units/Rest a second
-	ExpiresAt time.Duration // the loan lapses
+	Units     int64         // granted and reserved
+	CoolDown  time.Duration // Units/CoolDown is a rate
+	ExpiresAt time.Duration // of the grant
 	Rotating  bool
 }
 
-// Share is of one limit; ok is false if that is not limited.
-func (t *Allowances) Share(key string, now time.Duration) (sh Share, ok bool) {
-	s := t.entry(key)
-	if s == nil {
+// Share is this sender's share of a limit; ok is false if there is no such limit.
+func (a *Allowances) Share(key string, now time.Duration) (share Share, ok bool) {
+	e := a.entry(key)
+	if e == nil {
 		return Share{}, false
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.allowance.expireUsage(now)
-	return Share{key, s.allowance.capacity(now), s.limit.CoolDown(t.drift), s.allowance.expiresAt, s.rotating}, true
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.allowance.expireUsage(now)
+	return Share{key, e.allowance.capacity(now), e.limit.CoolDown(a.drift), e.allowance.expiresAt, e.rotating}, true
 }
 
-// NextAvailable is when a unit may be used again at the earliest: Never if that takes a loan.
-func (t *Allowances) NextAvailable(key string, now time.Duration) time.Duration {
-	s := t.entry(key)
-	if s == nil {
+// NextAvailable is when a unit may be used at the earliest: Never if it takes another grant.
+func (a *Allowances) NextAvailable(key string, now time.Duration) time.Duration {
+	e := a.entry(key)
+	if e == nil {
 		return now
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	_, next := s.allowance.Available(now)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	_, next := e.allowance.Available(now)
 	return next
 }
 
-// Keys are all limits.
-func (t *Allowances) Keys() []string {
-	var keys []string
-	for k := range *t.entries.Load() {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
+// Keys are the keys of all limits, sorted.
+func (a *Allowances) Keys() []string {
+	return slices.Sorted(maps.Keys(*a.entries.Load()))
 }
 
-// AllowanceStatus is a limit as this sender has it.
+// AllowanceStatus is a limit as this sender has it; units but for Rejected.
 type AllowanceStatus struct {
 	Limit     Limit
-	Units     int64
-	InUse     int64
-	Remaining time.Duration
-	Waiting   int64
-	Used      uint64
-	Rejected  uint64 // calls that were not written for want of a unit
+	Granted   int64
+	InUse     int64         // of those, in flight or cooling
+	Remaining time.Duration // of the grant
+	Waiting   int64         // backlog
+	Used      uint64        // by this process
+	Rejected  uint64        // calls that were not written for want of a unit
 	Rotating  bool
 }
 
-// Statuses are all limits, by key.
-func (t *Allowances) Statuses(now time.Duration) []AllowanceStatus {
+// Statuses shows all limits, by key.
+func (a *Allowances) Statuses(now time.Duration) []AllowanceStatus {
 	var all []AllowanceStatus
-	for _, s := range *t.entries.Load() {
-		s.mu.Lock()
-		units, busy, until := s.allowance.Status(now)
-		all = append(all, AllowanceStatus{s.limit, units, busy, max(0, until-now), s.waiting.Load(), s.used, s.rejected, s.rotating})
-		s.mu.Unlock()
+	for _, e := range *a.entries.Load() {
+		e.mu.Lock()
+		granted, inUse, expiresAt := e.allowance.Status(now)
+		all = append(all, AllowanceStatus{e.limit, granted, inUse, max(0, expiresAt-now), e.waiting.Load(), e.used, e.rejected, e.rotating})
+		e.mu.Unlock()
 	}
-	slices.SortFunc(all, func(a, b AllowanceStatus) int { return byKey(a.Limit, b.Limit) })
+	slices.SortFunc(all, func(x, y AllowanceStatus) int { return compareKeys(x.Limit, y.Limit) })
 	return all
 }
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -10,9 +10,9 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Client keeps a sender's purses filled: it asks the authorities for what is wanted, in time for what it holds not to lapse, and gives
-// back what it does not need. Each authority has one question at a time: an answer counts only if no other was put since, as with
-// each question this sender promises to go by no older answer.
+// Client keeps a sender's allowances renewed: it requests units from the owners of limits before what it holds expires, and gives up
+// what it does not need. Each owner has one request at a time, and a reply counts only if no later request was sent, as with each request this
+// sender promises to apply no older reply. It is stepped by one goroutine.
 type Client struct {
 	me         lease.HolderID
 	terms      Terms
@@ -20,16 +20,17 @@
 
 	epoch         uint64
 	ownership     *coordinator.Ownership
-	outstanding   map[string]*pendingRequest // by authority
-	dueAt         map[string]time.Duration
-	granted       map[string]int64 // units that it goes on with, as it was lent last
+	outstanding   map[string]*pendingRequest // by owner's name
+	dueAt         map[string]time.Duration   // when a limit's next request is due
+	granted       map[string]int64           // units, as granted last
 	wanted        map[string]int64
-	reported      map[string]Share // as told
-	expiries      map[string]time.Duration
+	reported      map[string]Share         // as SharesChanged announced them
+	expiries      map[string]time.Duration // of grants
 	sequence      uint64
-	grantDuration func(time.Duration) time.Duration // a loan
+	grantDuration func(time.Duration) time.Duration // identity; a test may replace it
 }
 
+// pendingRequest is a request that has no reply yet.
 type pendingRequest struct {
 	sequence uint64
 	sentAt   time.Duration
@@ -37,117 +38,132 @@
 }
 
 const (
-	idleInterval       = 500 * time.Millisecond // a limit of which enough is held is asked about so often
-	busyInterval       = 100 * time.Millisecond // and one of which more is wanted
-	minRequestInterval = 5 * time.Millisecond   // after which something new is asked about
-	maxKeysPerRequest  = 1000                   // limits in one question
+	idleInterval       = 500 * time.Millisecond // between requests for a limit of which enough is held
+	busyInterval       = 100 * time.Millisecond // and for one of which more is wanted
+	minRequestInterval = 5 * time.Millisecond   // from a request to the next that has something new to tell
+	maxKeysPerRequest  = 1000                   // limits in one request
 )
 
-// NewClient makes one that knows of nobody to ask.
-func NewClient(me lease.HolderID, t Terms, till *Allowances) *Client {
-	return &Client{me: me, terms: t, allowances: till, outstanding: map[string]*pendingRequest{}, dueAt: map[string]time.Duration{}, granted: map[string]int64{}, wanted: map[string]int64{}, reported: map[string]Share{}, expiries: map[string]time.Duration{},
+// NewClient makes a client that knows of no owner yet.
+func NewClient(me lease.HolderID, t Terms, allowances *Allowances) *Client {
+	return &Client{me: me, terms: t, allowances: allowances, outstanding: map[string]*pendingRequest{}, dueAt: map[string]time.Duration{}, granted: map[string]int64{}, wanted: map[string]int64{}, reported: map[string]Share{}, expiries: map[string]time.Duration{},
 		grantDuration: func(d time.Duration) time.Duration { return d }}
 }
 
-// OverrideGrantDuration has a test make a wrong holder, whose loans last otherwise.
-func (a *Client) OverrideGrantDuration(lasts func(time.Duration) time.Duration) {
-	a.grantDuration = lasts
+// OverrideGrantDuration replaces how long grants last at this client: fault injection for tests.
+func (c *Client) OverrideGrantDuration(duration func(time.Duration) time.Duration) {
+	c.grantDuration = duration
 }
 
-// SetMembership takes over who is in charge now. Questions to those of before are over.
-func (a *Client) SetMembership(s *pb.MembershipState) {
-	if a.ownership != nil && a.epoch == s.GetEpoch() {
+// SetMembership replaces the owners. Requests to former owners are abandoned.
+func (c *Client) SetMembership(s *pb.MembershipState) {
+	if c.ownership != nil && c.epoch == s.GetEpoch() {
 		return
 	}
-	a.epoch, a.ownership = s.GetEpoch(), coordinator.NewOwnership(s.GetParticipants())
-	clear(a.outstanding)
-	for key := range a.dueAt {
-		a.dueAt[key] = 0
+	c.epoch, c.ownership = s.GetEpoch(), coordinator.NewOwnership(s.GetParticipants())
+	clear(c.outstanding)
+	for key := range c.dueAt {
+		c.dueAt[key] = 0
 	}
 }
 
-// Timeout is how long an answer is waited for.
-func (a *Client) Timeout() time.Duration { return min(a.terms.Duration/4, 400*time.Millisecond) }
+// Timeout is how long a reply is waited for.
+func (c *Client) Timeout() time.Duration { return min(c.terms.Duration/4, 400*time.Millisecond) }
 
-// Step takes events in and gives what is to be done.
-func (a *Client) Step(now time.Duration, events []any) (actions []any, alarm time.Duration) {
-	touched := map[string]struct{}{} // limits of which this sender may use another share now
+// Step takes events in and returns what is to be done, and when it wants to be called at the latest.
+func (c *Client) Step(now time.Duration, events []ClientEvent) (actions []ClientAction, alarm time.Duration) {
+	touched := map[string]struct{}{} // limits of which this sender's share may have changed
 	for _, e := range events {
-		switch e := e.(type) {
-		case LimitsChanged:
-			for key := range *a.allowances.entries.Load() {
-				touched[key] = struct{}{}
-			}
-			for key := range a.reported { // that are limited no longer
-				touched[key] = struct{}{}
-			}
-		case UnitsWanted:
-			if at, known := a.dueAt[e.Key]; !known || at > now+minRequestInterval {
-				a.dueAt[e.Key] = now
-			}
-		case ReplyReceived:
-			a.handleReply(e, now, touched)
+		c.handle(e, now, touched)
+	}
+	c.abandonLate(now)
+	due, alarm := c.dueByOwner(now)
+	for _, owner := range slices.Sorted(maps.Keys(due)) {
+		if r, ok := c.buildRequest(owner, due[owner], now); ok {
+			actions = append(actions, r)
 		}
 	}
-	for to, q := range a.outstanding { // the answer is late: it is asked again
-		if now-q.sentAt >= a.Timeout() {
-			delete(a.outstanding, to)
-			for _, key := range q.keys {
-				a.dueAt[key] = now
-			}
+	for _, r := range c.outstanding {
+		alarm = min(alarm, r.sentAt+c.Timeout())
+	}
+	for key, at := range c.expiries {
+		if at <= now {
+			touched[key] = struct{}{}
+			delete(c.expiries, key)
+		} else {
+			alarm = min(alarm, at) // so that the expiry of a share is announced
 		}
 	}
-	by := map[string][]string{}
-	alarm = Never
-	for _, key := range slices.Sorted(maps.Keys(a.dueAt)) {
-		if a.allowances.entry(key) == nil {
-			a.forget(key)
-			continue
+	if changed := c.changedShares(touched, now); len(changed) > 0 {
+		actions = append(actions, SharesChanged{changed})
+	}
+	return actions, alarm
+}
+
+func (c *Client) handle(event ClientEvent, now time.Duration, touched map[string]struct{}) {
+	switch e := event.(type) {
+	case LimitsChanged:
+		for key := range *c.allowances.entries.Load() {
+			touched[key] = struct{}{}
 		}
-		p := a.ownership.Owner(key)
-		if p == nil || a.outstanding[p.Name] != nil {
-			continue // as soon as that is over
+		for key := range c.reported { // limits that do not exist any more
+			touched[key] = struct{}{}
 		}
-		if at := a.dueAt[key]; at > now {
-			alarm = min(alarm, at)
-		} else if len(by[p.Name]) < maxKeysPerRequest {
-			by[p.Name] = append(by[p.Name], key)
+	case UnitsWanted:
+		if at, known := c.dueAt[e.Key]; !known || at > now+minRequestInterval {
+			c.dueAt[e.Key] = now
 		}
+	case ReplyReceived:
+		c.handleReply(e, now, touched)
+	case Wake:
 	}
-	for _, to := range slices.Sorted(maps.Keys(by)) {
-		if q, ok := a.buildRequest(to, by[to], now); ok {
-			actions = append(actions, q)
+}
+
+// abandonLate has requests sent again whose reply is late.
+func (c *Client) abandonLate(now time.Duration) {
+	for owner, r := range c.outstanding {
+		if now-r.sentAt >= c.Timeout() {
+			delete(c.outstanding, owner)
+			for _, key := range r.keys {
+				c.dueAt[key] = now
+			}
 		}
 	}
-	for _, q := range a.outstanding {
-		alarm = min(alarm, q.sentAt+a.Timeout())
-	}
-	for key, until := range a.expiries {
-		if until <= now {
-			touched[key] = struct{}{}
-			delete(a.expiries, key)
-		} else {
-			alarm = min(alarm, until) // so that it is told when a share lapses
+}
+
+// dueByOwner is the limits whose request is due, by owner, without those of owners that have an outstanding request; and when the next one is.
+func (c *Client) dueByOwner(now time.Duration) (due map[string][]string, next time.Duration) {
+	due, next = map[string][]string{}, Never
+	for _, key := range slices.Sorted(maps.Keys(c.dueAt)) {
+		if c.allowances.entry(key) == nil {
+			c.forget(key)
+			continue
+		}
+		owner := c.ownership.Owner(key)
+		if owner == nil || c.outstanding[owner.Name] != nil {
+			continue // once that request is over
+		}
+		if at := c.dueAt[key]; at > now {
+			next = min(next, at)
+		} else if len(due[owner.Name]) < maxKeysPerRequest {
+			due[owner.Name] = append(due[owner.Name], key)
 		}
 	}
-	if changed := a.changedShares(touched, now); len(changed) > 0 {
-		actions = append(actions, SharesChanged{changed})
-	}
-	return actions, alarm
+	return due, next
 }
 
-// changedShares are those of some limits of which this sender may use another share than it was told.
-func (a *Client) changedShares(touched map[string]struct{}, now time.Duration) (keys []string) {
+// changedShares are the limits among touched of which this sender's share differs from what was announced.
+func (c *Client) changedShares(touched map[string]struct{}, now time.Duration) (keys []string) {
 	for key := range touched {
-		is, ok := a.allowances.Share(key, now)
-		was, told := a.reported[key]
+		share, limited := c.allowances.Share(key, now)
+		former, announced := c.reported[key]
 		switch {
-		case !ok && !told || ok && told && was.Units == is.Units && was.CoolDown == is.CoolDown:
+		case !limited && !announced || limited && announced && former.Units == share.Units && former.CoolDown == share.CoolDown:
 			continue
-		case !ok:
-			delete(a.reported, key)
+		case !limited:
+			delete(c.reported, key)
 		default:
-			a.reported[key] = is
+			c.reported[key] = share
 		}
 		keys = append(keys, key)
 	}
@@ -155,78 +171,81 @@
 	return keys
 }
 
-func (a *Client) forget(key string) {
-	delete(a.dueAt, key)
-	delete(a.granted, key)
-	delete(a.wanted, key)
+func (c *Client) forget(key string) {
+	delete(c.dueAt, key)
+	delete(c.granted, key)
+	delete(c.wanted, key)
 }
 
-// buildRequest makes the question to one authority.
-func (a *Client) buildRequest(to string, keys []string, now time.Duration) (SendRequest, bool) {
-	a.sequence++
-	r := &pb.QuotaRequest{Name: a.me.Name, Incarnation: a.me.Incarnation, Epoch: a.epoch, Sequence: a.sequence}
-	var asked []string
-	var part *pb.Participant
+// buildRequest makes the request to one owner; ok is false if there is nothing to tell it.
+func (c *Client) buildRequest(owner string, keys []string, now time.Duration) (request SendRequest, ok bool) {
+	c.sequence++
+	r := &pb.QuotaRequest{Name: c.me.Name, Incarnation: c.me.Incarnation, Epoch: c.epoch, Sequence: c.sequence}
+	var requested []string
+	var to *pb.Participant
 	for _, key := range keys {
-		s := a.allowances.entry(key)
-		part = a.ownership.Owner(key)
-		one, idle := s.demand(key, a.granted[key], now)
-		a.wanted[key] = one.Wanted
+		to = c.ownership.Owner(key)
+		d, idle := c.allowances.entry(key).demand(key, c.granted[key], now)
+		c.wanted[key] = d.Wanted
 		if idle {
-			a.forget(key) // until something waits for it
+			c.forget(key) // until units of it are wanted
 			continue
 		}
-		r.Demands, asked = append(r.Demands, one), append(asked, key)
-		a.dueAt[key] = now + busyInterval
+		r.Demands, requested = append(r.Demands, d), append(requested, key)
+		c.dueAt[key] = now + busyInterval
 	}
-	if len(asked) == 0 {
+	if len(requested) == 0 {
 		return SendRequest{}, false
 	}
-	r.ToIncarnation = part.Incarnation
-	a.outstanding[to] = &pendingRequest{a.sequence, now, asked}
-	return SendRequest{part, r, a.Timeout()}, true
+	r.ToIncarnation = to.Incarnation
+	c.outstanding[owner] = &pendingRequest{c.sequence, now, requested}
+	return SendRequest{To: to, Request: r, Timeout: c.Timeout()}, true
 }
 
-// handleReply takes an answer over, if no other question was put since.
-func (a *Client) handleReply(e ReplyReceived, now time.Duration, touched map[string]struct{}) {
-	q := a.outstanding[e.Owner]
-	if q == nil || q.sequence != e.Sequence {
+// handleReply applies a reply, if no later request was sent.
+func (c *Client) handleReply(e ReplyReceived, now time.Duration, touched map[string]struct{}) {
+	r := c.outstanding[e.Owner]
+	if r == nil || r.sequence != e.Sequence {
 		return
 	}
-	delete(a.outstanding, e.Owner)
-	if e.Reply == nil || e.Reply.Epoch != a.epoch {
-		return // it is asked again soon
+	delete(c.outstanding, e.Owner)
+	if e.Reply == nil || e.Reply.Epoch != c.epoch {
+		return // the request is due again soon
 	}
-	for _, l := range e.Reply.Grants {
-		s := a.allowances.entry(l.Key)
-		if s == nil || !slices.Contains(q.keys, l.Key) {
-			continue
+	for _, g := range e.Reply.Grants {
+		if entry := c.allowances.entry(g.Key); entry != nil && slices.Contains(r.keys, g.Key) {
+			touched[g.Key] = struct{}{}
+			c.applyGrant(entry, g, r.sentAt, now)
 		}
-		s.mu.Lock()
-		before := s.allowance.grantedAt(now)
-		s.rotating = l.Rotating
-		length := a.grantDuration(min(a.terms.Duration, time.Duration(l.DurationUs)*time.Microsecond))
-		s.allowance.Renew(l.Units, q.sentAt, length, now)
-		waiting, lent, want := s.waiting.Load(), s.allowance.grantedAt(now), a.wanted[l.Key]
-		s.mu.Unlock()
-		a.granted[l.Key], touched[l.Key] = l.Units, struct{}{}
-		if lent > 0 {
-			a.expiries[l.Key] = q.sentAt + length
-		}
-		if l.Units < before { // it is to let go of some: that it has done so is said at once
-			a.dueAt[l.Key] = now
-			continue
-		}
-		next := idleInterval
-		if want > lent && waiting > 0 {
-			next = busyInterval
-			if again := time.Duration(l.RetryAfterUs) * time.Microsecond; again > 0 {
-				next = min(max(again, minRequestInterval), idleInterval)
-			}
-		}
-		if q.sentAt+next <= now {
-			next = now - q.sentAt + minRequestInterval
+	}
+}
+
+// applyGrant renews an allowance by the answer to a request that was sent at sentAt, and sets when the next one is due.
+func (c *Client) applyGrant(e *allowanceEntry, g *pb.QuotaGrant, sentAt, now time.Duration) {
+	duration := c.grantDuration(min(c.terms.Duration, time.Duration(g.DurationUs)*time.Microsecond))
+	e.mu.Lock()
+	before := e.allowance.grantedAt(now)
+	e.rotating = g.Rotating
+	e.allowance.Renew(g.Units, sentAt, duration, now)
+	waiting, granted := e.waiting.Load(), e.allowance.grantedAt(now)
+	e.mu.Unlock()
+	c.granted[g.Key] = g.Units
+	if granted > 0 {
+		c.expiries[g.Key] = sentAt + duration
+	}
+	if g.Units < before { // it has given some up: it says so at once
+		c.dueAt[g.Key] = now
+		return
+	}
+	interval := idleInterval
+	if c.wanted[g.Key] > granted && waiting > 0 {
+		interval = busyInterval
+		if retryAfter := time.Duration(g.RetryAfterUs) * time.Microsecond; retryAfter > 0 {
+			interval = min(max(retryAfter, minRequestInterval), idleInterval)
 		}
-		a.dueAt[l.Key] = min(q.sentAt+next, max(now, q.sentAt+a.terms.Duration/3))
 	}
+	if sentAt+interval <= now {
+		interval = now - sentAt + minRequestInterval
+	}
+	c.dueAt[g.Key] = min(sentAt+interval, max(now, sentAt+c.terms.Duration/3))
 }
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -6,50 +6,55 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// demand is what is said of one limit; idle is that there is nothing to say any more.
-func (s *allowanceEntry) demand(key string, keep int64, now time.Duration) (q *pb.QuotaDemand, idle bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	p, q := s.allowance, &pb.QuotaDemand{Key: key}
-	lent, busy, _ := p.Status(now)
-	waiting := max(s.waiting.Load(), s.missing)
-	s.missing = 0
-	q.MinUseful = 1
-	if s.limit.Kind == Bytes {
-		q.MinUseful, s.largestUse = s.largestUse, max(1, s.largestUse*9/10)
+// demand is what a request says of one limit; idle is that there is nothing to say of it any more. It gives up what is not needed; granted is
+// how many units the owner granted last.
+func (e *allowanceEntry) demand(key string, granted int64, now time.Duration) (d *pb.QuotaDemand, idle bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	d = &pb.QuotaDemand{Key: key, MinUseful: 1}
+	held, inUse, _ := e.allowance.Status(now)
+	waiting := max(e.waiting.Load(), e.missing)
+	e.missing = 0
+	if e.limit.Kind == Bytes {
+		d.MinUseful, e.largestUse = e.largestUse, max(1, e.largestUse*9/10)
 	}
-	want := min(s.limit.maxGrantable(), waiting+p.RecentUsage(now)) // what was used of late is wanted again: so a want does not flap
-	if s.limit.Kind == Daily {
-		want = min(s.limit.Grantable(), waiting)
+	d.Wanted = e.wanted(d.MinUseful, held, inUse, waiting, now)
+	keep := granted
+	if e.rotating {
+		keep = max(0, held-inUse) // used units rotate to the next client
+	} else if d.Wanted == 0 && waiting == 0 {
+		keep = 0
 	}
-	// Who has used little of what it had, though more waited, can't use it: its calls don't get through.
-	switch {
-	case waiting == 0 || lent > 0 && busy*2 >= lent:
-		s.underusedSince = 0
-	case s.limit.Kind == Daily: // what it has used does not show in what it has
-	case lent > q.MinUseful && s.underusedSince == 0:
-		s.underusedSince = now
+	var coolingTime time.Duration
+	d.Held, d.Cooling, coolingTime = e.allowance.Relinquish(keep, now)
+	d.CoolingUs = coolingTime.Microseconds() + 1 // rounded up
+	d.Spent = e.allowance.Spent()
+	if e.observedLimit > 0 {
+		d.ObservedLimit, d.ObservedAgeUs = e.observedLimit, (now - e.observedAt).Microseconds()
 	}
-	if s.underusedSince > 0 && now-s.underusedSince > 2*s.limit.CoolDown(0) {
-		want = min(want, max(2*busy, q.MinUseful))
+	return d, d.Wanted == 0 && held == 0 && inUse == 0 && waiting == 0
+}
+
+// wanted is how many units this sender could use within a cool-down.
+func (e *allowanceEntry) wanted(minUseful, held, inUse, waiting int64, now time.Duration) int64 {
+	// What was used of late is wanted again, so that demand does not oscillate.
+	wanted := min(e.limit.maxGrantable(), waiting+e.allowance.RecentUsage(now))
+	if e.limit.Kind == Daily {
+		wanted = min(e.limit.Grantable(), waiting)
 	}
-	if s.rotating && waiting == 0 {
-		want = 0
+	// A sender that used little of what it held, though more waited, can't use it: its calls fail, or something else bounds them.
+	switch {
+	case waiting == 0 || held > 0 && inUse*2 >= held:
+		e.underusedSince = 0
+	case e.limit.Kind == Daily: // use does not show in what is held of a daily quota
+	case held > minUseful && e.underusedSince == 0:
+		e.underusedSince = now
 	}
-	q.Wanted = want
-	if s.rotating {
-		keep = max(0, lent-busy) // what was used goes on to the next
-	} else if want == 0 && waiting == 0 {
-		keep = 0
+	if e.underusedSince > 0 && now-e.underusedSince > 2*e.limit.CoolDown(0) {
+		wanted = min(wanted, max(2*inUse, minUseful))
 	}
-	q.Held, q.Cooling, q.CoolingUs = relinquished(p.Relinquish(keep, now))
-	q.Spent = p.Spent()
-	if s.observedLimit > 0 {
-		q.ObservedLimit, q.ObservedAgeUs = s.observedLimit, (now - s.observedAt).Microseconds()
+	if e.rotating && waiting == 0 {
+		return 0
 	}
-	return q, want == 0 && lent == 0 && busy == 0 && waiting == 0
-}
-
-func relinquished(holds, rests int64, left time.Duration) (int64, int64, int64) {
-	return holds, rests, left.Microseconds() + 1
+	return wanted
 }
--- /dev/null
+++ b/internal/quota/errors.go
@@ -0,0 +1,23 @@
+package quota
+
+import "fmt"
+
+// EpochError is that a request is for another membership, or another process, than the server's.
+type EpochError struct {
+	ServerEpoch, RequestEpoch             uint64
+	ServerIncarnation, RequestIncarnation uint64
+}
+
+func (e *EpochError) Error() string {
+	return fmt.Sprintf("this sender goes by roster %d as process %x, the question by roster %d for %x", e.ServerEpoch, e.ServerIncarnation, e.RequestEpoch, e.RequestIncarnation)
+}
+
+// NoParticipantError is that a client's process does not participate in the membership.
+type NoParticipantError struct {
+	Name  string
+	Epoch uint64
+}
+
+func (e *NoParticipantError) Error() string {
+	return fmt.Sprintf("%s takes no part in roster %d with that process", e.Name, e.Epoch)
+}
--- a/internal/quota/fair_shares.go
+++ b/internal/quota/fair_shares.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Demand is what one sender wants of a limit.
+// Demand is what one client wants of a limit.
 type Demand struct {
-	Units     int64 // that it could use within a rest
-	MinUseful int64 // with less than this it can do nothing: the size of its next message, or one call
-	// WaitingSince is from when it has waited with less than a piece, or 0 if it has one: who waits longest comes first.
+	Units     int64 // that it could use within a cool-down
+	MinUseful int64 // with fewer units it can do nothing: those of its next message, or of one call
+	// WaitingSince is from when it has held less than MinUseful, or 0: the client that waits longest comes first.
 	WaitingSince time.Duration
-	HasTurn      bool // it has a piece, and its turn is not over
+	HasTurn      bool // it holds MinUseful, and its turn is not over
 }
 
-// FairShares cuts a number of units by weighted max-min, all weights being one: nobody gets more than it wants, and nobody less than another
-// unless it wants no more. Units are whole. Where there are not enough for a piece each, they go by turns: those whose turn
-// lasts keep theirs, then those come that have waited longest.
+// FairShares divides units by max-min fairness: no client gets more than it wants, and none gets less than another unless it wants no more. Units
+// are whole. Where there are not enough for MinUseful each, the units rotate: clients whose turn lasts keep theirs, then those come that have
+// waited longest.
 func FairShares(units int64, all []Demand) []int64 {
 	shares := make([]int64, len(all))
 	order := make([]int, 0, len(all))
-	pieces := int64(0)
+	needed := int64(0)
 	for i, d := range all {
 		if d.Units > 0 && d.MinUseful > 0 {
 			order = append(order, i)
-			pieces += d.MinUseful
+			needed += d.MinUseful
 		}
 	}
-	if pieces > units { // by turns
+	if needed > units {
 		slices.SortStableFunc(order, func(a, b int) int {
 			x, y := all[a], all[b]
 			if x.HasTurn != y.HasTurn {
@@ -52,9 +52,9 @@
 		}
 		return shares
 	}
-	// Filled up to one level like vessels that are joined: the highest whole one for which there is enough. Each has its piece.
+	// Water-filling: the highest whole level for which there are enough units, each client having its MinUseful at least.
 	at := func(i int, level int64) int64 { return max(all[i].MinUseful, min(all[i].Units, level)) }
-	low, high := int64(0), units+1 // enough for low; what is beyond all wants makes no difference
+	low, high := int64(0), units+1 // there are enough for low, and not for high unless nobody wants that much
 	for low+1 < high {
 		level, need := (low+high)/2, int64(0)
 		for _, i := range order {
@@ -70,7 +70,7 @@
 		shares[i] = at(i, low)
 		units -= shares[i]
 	}
-	for _, i := range order { // fewer are left than there are that want one more
+	for _, i := range order { // fewer units are left than clients that want one more
 		if units > 0 && at(i, low+1) > shares[i] {
 			shares[i]++
 			units--
--- a/internal/quota/grant_table.go
+++ b/internal/quota/grant_table.go
@@ -8,73 +8,74 @@
 	"saffronyard.example/saffronyard/internal/lease"
 )
 
-// Request is what a holder says of one limit.
+// Request is what a client says of one limit.
 type Request struct {
-	Sequence    uint64        // of the holder's questions: one that is not newer than the last says nothing
-	Held        int64         // from now on it has no more than this, whatever was lent before
-	Cooling     int64         // and so many beyond that it has let go of, which rest
-	CoolingTime time.Duration // for so long yet
-	Wanted      int64         // units that it could use within a rest
-	MinUseful   int64         // with less it can do nothing
-	Spent       int64         // of a day's, in all
+	Sequence    uint64        // of the client's requests: one that is not newer than the last is ignored
+	Held        int64         // from now on it holds no more units than this, whatever was granted before
+	Cooling     int64         // units beyond those that it gave up and that still cool down
+	CoolingTime time.Duration // until the last of those has cooled down
+	Wanted      int64         // units that it could use within a cool-down
+	MinUseful   int64         // with fewer units it can do nothing
+	Spent       int64         // of a daily quota, by its process in all
 }
 
-// Grant is the answer.
+// Grant is the owner's answer.
 type Grant struct {
 	Units      int64
-	Duration   time.Duration // of the loan, from before the question
-	Rotating   bool          // there are not enough for all: it gives a unit back as soon as it has used it
-	RetryAfter time.Duration // it is asked again after so long, if it waits for more; 0: as ever
+	Duration   time.Duration // counted from before the request
+	Rotating   bool          // there are not enough units for all clients: one is given up as soon as it is used
+	RetryAfter time.Duration // when a client that waits for more asks again; 0: at its usual interval
 }
 
-// GrantTable is what an authority has lent of one limit.
+// GrantTable is what the owner of a limit has granted of it. It is not safe for concurrent use.
 type GrantTable struct {
 	limit      Limit
 	terms      Terms
-	graceUntil time.Duration // until then there may be loans of an earlier authority that it knows nothing of
+	graceUntil time.Duration // until then grants of an earlier owner may exist, which this one does not know of
 	clients    map[lease.HolderID]*clientState
 
-	shares      map[lease.HolderID]int64 // as cut last
-	slack       int64                    // that each who wants some gets beyond its share
+	shares      map[lease.HolderID]int64 // as computed at sharesAt
+	slack       int64                    // that each client which wants some gets beyond its share
 	sharesAt    time.Duration
-	scarce      bool
-	sharesStale bool
+	scarce      bool // there are not enough units for what each client needs at least: they rotate
+	sharesStale bool // demands or the limit changed since
 }
 
-// clientState is one process of a sender.
+// clientState is one process of a sender, as its requests told.
 type clientState struct {
 	sequence     uint64
-	grants       []issuedGrant // the one that lapses last comes last, and is the smallest that does not lapse before
+	grants       []issuedGrant // by expiry; each is smaller than those that expire before it
 	cooling      int64
-	coolUntil    time.Duration // of those
+	coolUntil    time.Duration // of the cooling units
 	wanted       int64
 	minUseful    int64
-	requestedAt  time.Duration // last
-	waitingSince time.Duration // it waits with less than a piece; 0: it does not
-	turnStart    time.Duration // its turn began
+	requestedAt  time.Duration // of its last request
+	waitingSince time.Duration // it holds less than minUseful and wants more; 0: it does not
+	turnStart    time.Duration // of its turn at rotating units; 0: it has none
 }
 
+// issuedGrant is a grant as the owner counts it, reclaim delay included.
 type issuedGrant struct {
 	units     int64
 	expiresAt time.Duration
 }
 
 const (
-	shareInterval = 10 * time.Millisecond // shares are cut anew, at most
-	// turnCoolDowns is how long a loan is where units go by turns, in rests: one that can't use its unit gives way soon.
+	shareInterval = 10 * time.Millisecond // at which shares are computed anew, unless demands changed
+	// turnCoolDowns is how long a grant of rotating units lasts, in cool-downs: a client that can't use its unit gives way soon.
 	turnCoolDowns   = 1
-	headroomDivisor = 100 // one unit in so many is kept for who comes, where there are so many
+	headroomDivisor = 100 // one unit in so many is kept free for new clients, where there are so many
 )
 
-// NewGrantTable makes the book of an authority that begins now; until quiet an earlier one's loans may last.
+// NewGrantTable makes the table of an owner that begins now; until graceUntil grants of an earlier owner may last.
 func NewGrantTable(l Limit, t Terms, quiet time.Duration) *GrantTable {
 	return &GrantTable{limit: l, terms: t, graceUntil: quiet, clients: map[lease.HolderID]*clientState{}, sharesStale: true}
 }
 
-// SetLimit takes over what the limit is now. What is lent stays so; too much of it comes back as it is asked for.
+// SetLimit replaces the limit. What is granted stays granted; where that is too much, it comes back with the clients' requests.
 func (b *GrantTable) SetLimit(l Limit) { b.limit, b.sharesStale = l, true }
 
-// outstanding is what may be in use or at rest by one, at the most.
+// outstanding is how many units a client may be using or cooling down at the most.
 func (a *clientState) outstanding(now time.Duration) (units int64) {
 	a.grants = slices.DeleteFunc(a.grants, func(l issuedGrant) bool { return l.expiresAt <= now })
 	for _, l := range a.grants {
@@ -86,12 +87,12 @@
 	return units
 }
 
-// active reports whether one is still heard of.
+// active reports whether a client still sends requests.
 func (b *GrantTable) active(a *clientState, now time.Duration) bool {
 	return now-a.requestedAt < b.terms.Duration
 }
 
-// Grant takes a holder's word and lends. ok is false for one that is not newer than the last: it gets no answer.
+// Grant takes a client's request and answers it. ok is false for a request that is not newer than the last: it gets no answer.
 func (b *GrantTable) Grant(w lease.HolderID, q Request, now time.Duration) (l Grant, ok bool) {
 	a := b.clients[w]
 	if a != nil && q.Sequence <= a.sequence {
@@ -100,27 +101,27 @@
 	if a == nil {
 		a = &clientState{}
 		b.clients[w] = a
-		if now < b.graceUntil && q.Held > 0 { // lent by an earlier authority, as only what is held is said
+		if now < b.graceUntil && q.Held > 0 { // granted by an earlier owner: a client claims only what it holds
 			a.grants = []issuedGrant{{q.Held, b.graceUntil}}
 		}
 	}
 	b.recordRequest(a, q, now)
 	shares := b.currentShares(now)
-	was, others := a.outstanding(now)-a.coolingAt(now), b.outstandingOf(a, now)
+	was, others := a.outstanding(now)-a.coolingAt(now), b.outstandingExcept(a, now)
 	pool := b.limit.Grantable()
 	free := max(0, pool-others-a.coolingAt(now))
-	// Of what it has it goes on with its share even where too much is out, as after a limit was lowered: the others come down likewise.
+	// It keeps its share of what it has even where too much is granted, as after a limit was lowered: the others come down likewise.
 	units := min(shares[w], max(free, was))
 	if a.wanted > 0 && now >= b.graceUntil {
-		units = max(units, min(shares[w]+b.slack, free)) // so that it need not ask as soon as it wants a little more
+		units = max(units, min(shares[w]+b.slack, free)) // so that it need not ask again as soon as it wants a little more
 	}
 	switch over := was+others+a.coolingAt(now) > pool; {
-	case now < b.graceUntil: // no more than it has, until all is known
+	case now < b.graceUntil: // it keeps what it has, until all grants are known
 		if units = was; over {
 			units = min(was, shares[w])
 		}
 	case !over && !b.underserved(now):
-		units = max(units, was) // nobody needs it: what it has stays with it
+		units = max(units, was) // nobody else needs it: it keeps what it has
 	}
 	length := b.terms.Duration
 	if b.scarce && now >= b.graceUntil {
@@ -150,7 +151,7 @@
 
 func (b *GrantTable) reclaimDelay() time.Duration { return b.limit.ReclaimDelay(b.terms.MaxDrift) }
 
-// recordRequest books what a holder says.
+// recordRequest records what a client says.
 func (b *GrantTable) recordRequest(a *clientState, q Request, now time.Duration) {
 	for i := range a.grants {
 		a.grants[i].units = min(a.grants[i].units, q.Held)
@@ -164,7 +165,7 @@
 		b.sharesStale = true
 	}
 	a.wanted, a.minUseful = q.Wanted, max(1, q.MinUseful)
-	if q.Held < a.minUseful && a.turnStart > 0 { // its turn is over
+	if q.Held < a.minUseful && a.turnStart > 0 { // its turn ended
 		a.turnStart, b.sharesStale = 0, true
 		if q.Wanted > 0 {
 			a.waitingSince = now
@@ -179,8 +180,8 @@
 	return 0
 }
 
-// outstandingOf is what all but one may have.
-func (b *GrantTable) outstandingOf(but *clientState, now time.Duration) (units int64) {
+// outstandingExcept is how many units all clients but one may be using or cooling down. It forgets clients that are gone.
+func (b *GrantTable) outstandingExcept(but *clientState, now time.Duration) (units int64) {
 	for w, a := range b.clients {
 		if a == but {
 			continue
@@ -193,7 +194,7 @@
 	return units
 }
 
-// currentShares cuts the limit by what is wanted, now and then.
+// currentShares is each active client's share of the limit, computed anew at most every shareInterval unless demands changed.
 func (b *GrantTable) currentShares(now time.Duration) map[lease.HolderID]int64 {
 	if !b.sharesStale && now-b.sharesAt < shareInterval {
 		return b.shares
@@ -205,7 +206,7 @@
 		if b.active(a, now) {
 			whos = append(whos, w)
 		} else {
-			pool -= a.outstanding(now) // until that lapses it is nobody's
+			pool -= a.outstanding(now) // nobody's until it expires
 		}
 	}
 	if pool >= headroomDivisor {
@@ -233,11 +234,11 @@
 			wanting++
 		}
 	}
-	b.slack = max(0, pool) / 2 / max(1, wanting) // half of what nobody wants: the other half is for who comes
+	b.slack = max(0, pool) / 2 / max(1, wanting) // half of what nobody wants: the other half is for new clients
 	return b.shares
 }
 
-// underserved reports whether anybody has less than its share, or more is out than there is.
+// underserved reports whether a client has less than its share, or more units are outstanding than there are.
 func (b *GrantTable) underserved(now time.Duration) bool {
 	out := int64(0)
 	for w, a := range b.clients {
@@ -249,9 +250,9 @@
 	return out > b.limit.Grantable()
 }
 
-// retryAfter is after how long one that waits is asked again: as soon as a unit comes back that it may be given.
+// retryAfter is when a client that waits asks again: as soon as a unit may have come back that is then its turn.
 func (b *GrantTable) retryAfter(waits *clientState, now time.Duration) time.Duration {
-	before := 0 // those that have waited longer
+	before := 0 // clients that have waited longer
 	var back []time.Duration
 	for _, a := range b.clients {
 		if a != waits && a.waitingSince > 0 && b.active(a, now) && a.waitingSince < waits.waitingSince {
--- a/internal/quota/grant_table_report.go
+++ b/internal/quota/grant_table_report.go
@@ -8,20 +8,20 @@
 	"saffronyard.example/saffronyard/internal/lease"
 )
 
-// Outstanding is what may be in use or at rest now, at the most; it is what the limit is held against.
-func (b *GrantTable) Outstanding(now time.Duration) int64 { return b.outstandingOf(nil, now) }
+// Outstanding is how many units may be in use or cooling down now at the most. It never exceeds the limit.
+func (b *GrantTable) Outstanding(now time.Duration) int64 { return b.outstandingExcept(nil, now) }
 
-// ClientReport is one process of a sender in a book.
+// ClientReport is one process of a sender, as commands show it.
 type ClientReport struct {
 	lease.HolderID
-	Units     int64         // lent
-	Cooling   int64         // let go of, and at rest
+	Units     int64         // granted
+	Cooling   int64         // given up, and cooling down
 	Remaining time.Duration // until all of it is free at the latest
 	Wanted    int64
-	Waiting   time.Duration // for how long it has had less than it can use
+	Waiting   time.Duration // for how long it has held less than it needs
 }
 
-// Clients are all of them, by name.
+// Clients shows all clients, by name.
 func (b *GrantTable) Clients(now time.Duration) []ClientReport {
 	lines := make([]ClientReport, 0, len(b.clients))
 	for w, a := range b.clients {
@@ -43,7 +43,7 @@
 	return lines
 }
 
-// idle reports whether nothing is known of anybody: the book may be forgotten.
+// idle reports whether no client is known, so that the table may be dropped.
 func (b *GrantTable) idle(now time.Duration) bool {
 	return now >= b.graceUntil && b.Outstanding(now) == 0 && len(b.clients) == 0
 }
--- a/internal/quota/server_daily.go
+++ b/internal/quota/server_daily.go
@@ -7,44 +7,44 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Draw is units of a day's quota that the log is asked for.
+// Draw is units of a daily quota to ask of the log.
 type Draw struct {
 	Key    string
 	Epoch  uint64
 	Period int64
 	Units  int64
-	Limit  int64 // in the period
+	Limit  int64 // units of the quota in the period
 }
 
-// SetDay begins a day, as this sender's calendar has it. Calendars that differ do no harm: the log lets no day come back.
-func (l *Server) SetDay(day int64) { l.day = max(l.day, day) }
+// SetDay begins a day by this sender's calendar. Calendars that differ do no harm: the log lets no day come back.
+func (s *Server) SetDay(day int64) { s.day = max(s.day, day) }
 
-// TakeDraws are those that the log is to be asked for since it was looked last.
-func (l *Server) TakeDraws() []Draw {
-	d := l.draws
-	l.draws = nil
+// TakeDraws are the draws to ask of the log since the last call.
+func (s *Server) TakeDraws() []Draw {
+	d := s.draws
+	s.draws = nil
 	return d
 }
 
-// AddDrawn is what the log gave of one.
-func (l *Server) AddDrawn(d Draw, units int64) {
-	if p := l.dailyPools[d.Key]; p != nil && d.Epoch == l.Epoch() {
+// AddDrawn adds what the log gave for a draw.
+func (s *Server) AddDrawn(d Draw, units int64) {
+	if p := s.dailyPools[d.Key]; p != nil && d.Epoch == s.Epoch() {
 		p.AddDrawn(d.Period, units)
 	}
 }
 
-// grantDaily lends of a day's quota.
-func (l *Server) grantDaily(limit Limit, who lease.HolderID, seq uint64, a *pb.QuotaDemand, now time.Duration) (*pb.QuotaGrant, bool) {
-	p := l.dailyPools[limit.Key]
+// grantDaily answers a request for a daily quota.
+func (s *Server) grantDaily(limit Limit, id lease.HolderID, sequence uint64, d *pb.QuotaDemand, now time.Duration) (*pb.QuotaGrant, bool) {
+	p := s.dailyPools[limit.Key]
 	if p == nil {
-		p = NewDailyPool(limit, l.terms)
-		l.dailyPools[limit.Key] = p
+		p = NewDailyPool(limit, s.terms)
+		s.dailyPools[limit.Key] = p
 	}
 	p.limit = limit
-	p.StartPeriod(l.day)
-	lent, draw, ok := p.Grant(who, Request{Sequence: seq, Held: a.Held, Wanted: a.Wanted, MinUseful: a.MinUseful, Spent: a.Spent}, now)
+	p.StartPeriod(s.day)
+	g, draw, ok := p.Grant(id, Request{Sequence: sequence, Held: d.Held, Wanted: d.Wanted, MinUseful: d.MinUseful, Spent: d.Spent}, now)
 	if draw > 0 {
-		l.draws = append(l.draws, Draw{limit.Key, l.Epoch(), p.period, draw, limit.Units})
+		s.draws = append(s.draws, Draw{limit.Key, s.Epoch(), p.period, draw, limit.Units})
 	}
-	return &pb.QuotaGrant{Key: limit.Key, Units: lent.Units, DurationUs: lent.Duration.Microseconds(), LimitUnits: limit.Units}, ok
+	return &pb.QuotaGrant{Key: limit.Key, Units: g.Units, DurationUs: g.Duration.Microseconds(), LimitUnits: limit.Units}, ok
 }
--- a/internal/quota/server_membership.go
+++ b/internal/quota/server_membership.go
@@ -8,7 +8,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// activeMembership is a roster and when it began, as this process saw it.
+// activeMembership is a membership and when it became active, as this process saw it.
 type activeMembership struct {
 	epoch     uint64
 	ownership *coordinator.Ownership
@@ -16,57 +16,57 @@
 }
 
 const (
-	maxMemberships   = 64               // that are remembered
-	observedLimitTTL = 30 * time.Minute // a receiver's word is gone by
+	maxMemberships   = 64               // that are remembered, for ownedSince
+	observedLimitTTL = 30 * time.Minute // for which a receiver's report counts
 )
 
-// SetMembership takes over who takes part now.
-func (l *Server) SetMembership(s *pb.MembershipState, now time.Duration) {
-	if n := len(l.memberships); n == 0 || l.memberships[n-1].epoch != s.GetEpoch() {
-		if n > 0 && s.GetEpoch() != l.memberships[n-1].epoch+1 {
-			l.memberships = nil // others were in charge meanwhile, of nobody knows what
+// SetMembership replaces the membership. It drops what this sender does not own any more.
+func (s *Server) SetMembership(m *pb.MembershipState, now time.Duration) {
+	if n := len(s.memberships); n == 0 || s.memberships[n-1].epoch != m.GetEpoch() {
+		if n > 0 && m.GetEpoch() != s.memberships[n-1].epoch+1 {
+			s.memberships = nil // epochs were missed in which others may have been owners
 		}
-		l.memberships = append(l.memberships, activeMembership{s.GetEpoch(), coordinator.NewOwnership(s.GetParticipants()), now})
-		if n := len(l.memberships) - maxMemberships; n > 0 {
-			l.memberships = slices.Delete(l.memberships, 0, n)
+		s.memberships = append(s.memberships, activeMembership{m.GetEpoch(), coordinator.NewOwnership(m.GetParticipants()), now})
+		if n := len(s.memberships) - maxMemberships; n > 0 {
+			s.memberships = slices.Delete(s.memberships, 0, n)
 		}
-		for key := range l.tables {
-			if !l.owns(l.active().ownership, key) {
-				delete(l.tables, key)
+		for key := range s.tables {
+			if !s.owns(s.active().ownership, key) {
+				delete(s.tables, key)
 			}
 		}
-		for key := range l.dailyPools {
-			if !l.owns(l.active().ownership, key) {
-				delete(l.dailyPools, key)
+		for key := range s.dailyPools {
+			if !s.owns(s.active().ownership, key) {
+				delete(s.dailyPools, key)
 			}
 		}
 	}
-	l.nextOwnership = nil
-	if s.GetNextEpoch() != 0 {
-		l.nextOwnership = coordinator.NewOwnership(s.GetNextParticipants())
+	s.nextOwnership = nil
+	if m.GetNextEpoch() != 0 {
+		s.nextOwnership = coordinator.NewOwnership(m.GetNextParticipants())
 	}
 }
 
-func (l *Server) active() activeMembership { return l.memberships[len(l.memberships)-1] }
+func (s *Server) active() activeMembership { return s.memberships[len(s.memberships)-1] }
 
-func (l *Server) owns(c *coordinator.Ownership, key string) bool {
+func (s *Server) owns(c *coordinator.Ownership, key string) bool {
 	p := c.Owner(key)
-	return p != nil && p.Name == l.me.Name && p.Incarnation == l.me.Incarnation
+	return p != nil && p.Name == s.me.Name && p.Incarnation == s.me.Incarnation
 }
 
-// ownedSince is from when it has been in charge of a limit without a break, as far as that is known.
-func (l *Server) ownedSince(key string) time.Duration {
-	at := l.active().startedAt
-	for i := len(l.memberships) - 1; i > 0 && l.owns(l.memberships[i-1].ownership, key); i-- {
-		at = l.memberships[i-1].startedAt
+// ownedSince is from when this sender has owned a limit without a break, as far as it knows.
+func (s *Server) ownedSince(key string) time.Duration {
+	at := s.active().startedAt
+	for i := len(s.memberships) - 1; i > 0 && s.owns(s.memberships[i-1].ownership, key); i-- {
+		at = s.memberships[i-1].startedAt
 	}
 	return at
 }
 
-// Epoch is of the roster that it goes by.
-func (l *Server) Epoch() uint64 {
-	if len(l.memberships) == 0 {
+// Epoch is the active membership's; 0 before the first.
+func (s *Server) Epoch() uint64 {
+	if len(s.memberships) == 0 {
 		return 0
 	}
-	return l.active().epoch
+	return s.active().epoch
 }
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -52,7 +52,7 @@
 	till   *Allowances
 	asker  *Client
 	lender *Server
-	pokes  []any
+	pokes  []ClientEvent
 	down   bool
 	paused time.Duration
 	lease  time.Duration // of the fleet's, in true time
@@ -203,7 +203,7 @@
 }
 
 // step lets the asker step with what has come, and carries out what it wants.
-func (p *simSender) step(events ...any) {
+func (p *simSender) step(events ...ClientEvent) {
 	if p.down {
 		return
 	}
@@ -560,7 +560,7 @@
 		}
 		for _, p := range s.senders {
 			for _, st := range p.till.Statuses(p.clock()) {
-				idle += st.Units - st.InUse
+				idle += st.Granted - st.InUse
 			}
 		}
 		t.Logf("%d senders: each sends %.1f messages and %.0f bytes a second; %d calls a second; %d units lie idle, of %d; Jain at least %.3f", n, float64(s.sent)/10/float64(n),
