--- a/internal/tier/capacity/controlplane_test.go
+++ b/internal/tier/capacity/controlplane_test.go
@@ -24,7 +24,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// memoryStore is a control state in memory, whose process is always the primary.
+// memoryStore is a control state in memory whose process is always the primary.
 type memoryStore struct {
 	mu        sync.Mutex
 	values    map[string][]byte
@@ -64,7 +64,7 @@
 	return store.sequence, nil
 }
 
-// fakePlatform answers with a list that changes with the next call after each value on change.
+// fakePlatform returns a list that changes at the next call after each value on change.
 type fakePlatform struct {
 	change   chan struct{}
 	revision int
@@ -125,7 +125,7 @@
 	sessions       []*fakeSession
 }
 
-// fakeSession is what the session of a process keeps.
+// fakeSession is the state of the session of a process.
 type fakeSession struct {
 	request tierv1.WatchRequest
 }
@@ -156,10 +156,10 @@
 	return cluster
 }
 
-// watch makes one call of a session, and records the versions that came.
-func (cluster *cluster) watch(ctx context.Context, i int, hold time.Duration) (*tierv1.WatchReply, error) {
+// watch makes one call of a session, and records the versions received.
+func (cluster *cluster) watch(ctx context.Context, i int, pollTimeout time.Duration) (*tierv1.WatchReply, error) {
 	request := &cluster.sessions[i].request
-	request.PollTimeoutMs = uint32(hold.Milliseconds())
+	request.PollTimeoutMs = uint32(pollTimeout.Milliseconds())
 	reply, err := cluster.clients[i].Watch(ctx, request)
 	if err != nil {
 		return nil, err
@@ -169,7 +169,7 @@
 	return reply, nil
 }
 
-func (cluster *cluster) each(f func(i int)) {
+func (cluster *cluster) forEachSession(f func(i int)) {
 	var all sync.WaitGroup
 	for i := range cluster.sessions {
 		all.Go(func() { f(i) })
@@ -177,7 +177,7 @@
 	all.Wait()
 }
 
-func (cluster *cluster) replace(b *testing.B, revision, routes int) {
+func (cluster *cluster) replaceConfiguration(b *testing.B, revision, routes int) {
 	request := httptest.NewRequest("POST", "http://127.0.0.1/saffronyard/Configuration.Replace", bytes.NewReader(configuration(revision, routes)))
 	request.Header.Set("X-Base-Revision", fmt.Sprint(revision-1))
 	response := httptest.NewRecorder()
@@ -187,7 +187,7 @@
 
 // synchronize calls until every session has the list of endpoints.
 func (cluster *cluster) synchronize(b *testing.B) {
-	cluster.each(func(i int) {
+	cluster.forEachSession(func(i int) {
 		for cluster.sessions[i].request.EndpointsVersion == 0 {
 			_, err := cluster.watch(b.Context(), i, 50*time.Millisecond)
 			assert.Check(b, err)
@@ -195,14 +195,14 @@
 	})
 }
 
-// BenchmarkPoll measures a call without news, server and client together, with all sessions calling at once.
+// BenchmarkPoll measures a call without an update, server and client together, with all sessions calling at once.
 func BenchmarkPoll(b *testing.B) {
 	cluster := newCluster(b, sessionCount, time.Second)
 	cluster.synchronize(b)
-	cluster.each(func(i int) { _, _ = cluster.watch(b.Context(), i, 0) })
+	cluster.forEachSession(func(i int) { _, _ = cluster.watch(b.Context(), i, 0) })
 	used, in, out, n := processorTime(), cluster.received.Load(), cluster.sent.Load(), 0
 	for b.Loop() {
-		cluster.each(func(i int) { _, err := cluster.watch(b.Context(), i, 0); assert.Check(b, err) })
+		cluster.forEachSession(func(i int) { _, err := cluster.watch(b.Context(), i, 0); assert.Check(b, err) })
 		n += sessionCount
 	}
 	b.ReportMetric(float64((processorTime()-used).Microseconds())/float64(n), "cpu-µs/poll")
@@ -210,8 +210,8 @@
 	b.ReportMetric(float64(cluster.sent.Load()-out)/float64(n), "B-out/poll")
 }
 
-// BenchmarkPollBare measures the decision on a call without news, without any network.
-func BenchmarkPollBare(b *testing.B) {
+// BenchmarkPollWithoutNetwork measures the decision on a call without an update, without any network.
+func BenchmarkPollWithoutNetwork(b *testing.B) {
 	cluster := newCluster(b, sessionCount, time.Second)
 	cluster.synchronize(b)
 	sessions := cluster.primary.Sessions()
@@ -228,14 +228,14 @@
 	report()
 }
 
-// push makes one change after the other, and measures each until every session has acknowledged it.
-func (cluster *cluster) push(b *testing.B, change func() (acknowledged func(*tierv1.WatchRequest) bool)) {
+// measurePush makes changes one after the other, and measures each until every session has acknowledged it.
+func (cluster *cluster) measurePush(b *testing.B, change func() (acknowledged func(*tierv1.WatchRequest) bool)) {
 	var took, longest time.Duration
 	used, out, n := processorTime(), cluster.sent.Load(), 0
 	for b.Loop() {
 		began := time.Now()
 		reached := change()
-		cluster.each(func(i int) {
+		cluster.forEachSession(func(i int) {
 			for !reached(&cluster.sessions[i].request) {
 				if _, err := cluster.watch(b.Context(), i, 500*time.Millisecond); err != nil {
 					b.Error(err)
@@ -260,7 +260,7 @@
 		b.Run(fmt.Sprintf("sessions=%d", n), func(b *testing.B) {
 			cluster := newCluster(b, n, 150*time.Millisecond)
 			cluster.synchronize(b)
-			cluster.push(b, func() func(*tierv1.WatchRequest) bool {
+			cluster.measurePush(b, func() func(*tierv1.WatchRequest) bool {
 				before := uint64(0)
 				for _, session := range cluster.sessions {
 					before = max(before, session.request.EndpointsVersion)
@@ -281,11 +281,11 @@
 			revision := 0
 			answered := make(chan struct{}, 1)
 			answered <- struct{}{}
-			cluster.push(b, func() func(*tierv1.WatchRequest) bool {
+			cluster.measurePush(b, func() func(*tierv1.WatchRequest) bool {
 				<-answered // of the one before
 				revision++
 				before := cluster.sessions[0].request.ConfigurationVersion
-				go func() { cluster.replace(b, revision, c.routes); answered <- struct{}{} }()
+				go func() { cluster.replaceConfiguration(b, revision, c.routes); answered <- struct{}{} }()
 				return func(r *tierv1.WatchRequest) bool { return r.ConfigurationVersion > before }
 			})
 			<-answered
@@ -294,7 +294,7 @@
 }
 
 // BenchmarkAssign measures the placement of partitions: in a stable state, with a turn store just lost, and in the steps by
-// which its copies are restored.
+// which its replicas are restored.
 func BenchmarkAssign(b *testing.B) {
 	for _, n := range []int{32, 256, 1024} {
 		in := controlplane.Input{FaultTolerance: controlplane.FaultTolerance{Losses: 1, Domain: func(k *tierv1.StoreNode) string { return k.Zone }},
@@ -303,7 +303,7 @@
 		for _, k := range m.StoreNodes {
 			in.Alive[k.Folder] = k
 		}
-		m, _ = steps(m, in)
+		m, _ = assignUntilStable(m, in)
 		run := func(name string, in controlplane.Input) {
 			b.Run(fmt.Sprintf("partitions=%d,%s", n, name), func(b *testing.B) {
 				report := measureProcessor(b)
@@ -320,7 +320,7 @@
 		b.Run(fmt.Sprintf("partitions=%d,until-even", n), func(b *testing.B) {
 			report, changes := measureProcessor(b), 0
 			for b.Loop() {
-				_, changes = steps(m, in)
+				_, changes = assignUntilStable(m, in)
 			}
 			report()
 			b.ReportMetric(float64(changes), "maps")
@@ -328,8 +328,8 @@
 	}
 }
 
-// steps calls the placement until the map is stable; new copies are synced from one step to the next.
-func steps(m *tierv1.PartitionMap, in controlplane.Input) (rest *tierv1.PartitionMap, changes int) {
+// assignUntilStable repeats the placement until the map is stable; new replicas are synced from one step to the next.
+func assignUntilStable(m *tierv1.PartitionMap, in controlplane.Input) (rest *tierv1.PartitionMap, changes int) {
 	for ; changes < 1000; changes++ {
 		next, changed := controlplane.Assign(m, in)
 		if !changed {
--- a/internal/tier/capacity/figures_test.go
+++ b/internal/tier/capacity/figures_test.go
@@ -1,5 +1,5 @@
-// Package capacity measures the costs that docs/CAPACITY.md is computed from, with many fake processes in one, at the size that
-// the operators aim at. Its benchmarks report figures, and check only that what they measure is complete.
+// Package capacity measures the costs that docs/CAPACITY.md is computed from, with many fake processes in one, at the target size
+// of the operators. Its benchmarks report figures, and check only that what they measure is complete.
 package capacity
 
 import (
@@ -16,36 +16,36 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// The size aimed at, as the operators' letter gives it.
+// The target size, as the operators give it.
 const (
-	senders       = 360
-	endpoints     = 650
-	zones         = 11
-	tenants       = 540
-	models        = 18
-	turns         = 150     // of one program
-	historyTokens = 110_000 // tokens of one program
-	bytesPerToken = 4       // bytes of text that a token is taken to have
-	turnStores    = 40      // taken: with the senders, the sessions of the control primary
-	sessionCount  = senders + turnStores
+	senders          = 360
+	endpoints        = 650
+	zones            = 11
+	tenants          = 540
+	models           = 18
+	turnsPerProgram  = 150     // of one program
+	tokensPerProgram = 110_000 // tokens of one program
+	bytesPerToken    = 4       // bytes of text that a token is assumed to have
+	turnStores       = 40      // assumed: with the senders, they are the sessions of the control plane's primary
+	sessionCount     = senders + turnStores
 )
 
-// processorTime is the processor time that this process has used, in all threads.
+// processorTime returns the processor time that this process has used, in all threads.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measureProcessor returns a function to be called after the loop, which reports the processor time of one operation. It does
+// measureProcessor returns a function to be called after the loop, which reports the processor time of one operation. That does
 // not depend on what else runs on the machine.
 func measureProcessor(b *testing.B) func() {
 	began := processorTime()
 	return func() { b.ReportMetric(float64((processorTime()-began).Nanoseconds())/1e3/float64(b.N), "cpu-µs/op") }
 }
 
-// heap is the memory in use after a garbage collection, in bytes.
-func heap() float64 {
+// heapInUse returns the memory in use after a garbage collection, in bytes.
+func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -53,34 +53,34 @@
 	return float64(m.HeapAlloc)
 }
 
-// endpointList is a list of so many endpoints.
-func endpointList(n int, cold uint32) *tierv1.Endpoints {
+// endpointList returns a list of n endpoints.
+func endpointList(n int, slowStartMs uint32) *tierv1.Endpoints {
 	list := &tierv1.Endpoints{Version: 1 << 30}
 	for i := range n {
 		list.List = append(list.List, &tierv1.Endpoint{Instance: fmt.Sprintf("i-%08x", i*7919), Service: fmt.Sprintf("service-%02d", i%models),
 			Address: fmt.Sprintf("10.%d.%d.%d:8000", i%zones, i/250, i%250), Zone: fmt.Sprintf("zone-%02d", i%zones), Capacity: 96,
-			SlowStartRemainingMs: cold, Revision: "r-4711", Phase: "serving",
+			SlowStartRemainingMs: slowStartMs, Revision: "r-4711", Phase: "serving",
 			Models: []*tierv1.Model{{Name: fmt.Sprintf("model-%02d", i%models), Revision: 3}}})
 	}
 	return list
 }
 
-// partitionMap is a map of so many partitions, with one backup each, on so many store nodes.
+// partitionMap returns a map of partitions, with one backup each, on a number of store nodes.
 func partitionMap(partitions, storeNodes int) *tierv1.PartitionMap {
-	made := &tierv1.PartitionMap{Version: 1 << 30}
+	partitionMap := &tierv1.PartitionMap{Version: 1 << 30}
 	folder := func(i int) string { return fmt.Sprintf("%016x", 0x9e3779b97f4a7c15*uint64(i+1)) }
 	for i := range storeNodes {
-		made.StoreNodes = append(made.StoreNodes, &tierv1.StoreNode{Folder: folder(i), Node: fmt.Sprintf("store-%03d", i),
+		partitionMap.StoreNodes = append(partitionMap.StoreNodes, &tierv1.StoreNode{Folder: folder(i), Node: fmt.Sprintf("store-%03d", i),
 			Address: fmt.Sprintf("10.%d.9.%d:7001", i%zones, i), Zone: fmt.Sprintf("zone-%02d", i%zones), Region: fmt.Sprintf("region-%d", i%3)})
 	}
 	for i := range partitions {
-		made.Partitions = append(made.Partitions, &tierv1.Partition{Epoch: 40, Primary: folder(i % storeNodes),
+		partitionMap.Partitions = append(partitionMap.Partitions, &tierv1.Partition{Epoch: 40, Primary: folder(i % storeNodes),
 			Backups: []*tierv1.Replica{{Folder: folder((i + 1) % storeNodes), Synced: true}}})
 	}
-	return made
+	return partitionMap
 }
 
-// configuration is an operator's configuration with so many routes, spread over the tenants' hosts, and one service for each
+// configuration returns an operator's configuration with a number of routes, spread over the tenants' hosts, and one service for each
 // model.
 func configuration(revision, routes int) []byte {
 	type object = map[string]any
--- a/internal/tier/capacity/gateway_test.go
+++ b/internal/tier/capacity/gateway_test.go
@@ -16,10 +16,10 @@
 	for _, n := range []int{tenants, 2000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
 			body := configuration(1, n)
-			before := heap()
+			before := heapInUse()
 			c, err := routing.Parse(body)
 			assert.NilError(b, err)
-			kept := heap() - before
+			kept := heapInUse() - before
 			assert.Equal(b, len(c.Routes), n)
 			b.ReportAllocs()
 			report := measureProcessor(b)
@@ -62,9 +62,9 @@
 				list = append(list, loadbalancer.Endpoint{Instance: e.Instance, Service: fmt.Sprintf("service-%02d", i%n.services), Address: e.Address,
 					Zone: e.Zone, Capacity: 96, CacheTokens: 256505})
 			}
-			before := heap()
+			before := heapInUse()
 			x.SetEndpoints(0, list)
-			kept := heap() - before
+			kept := heapInUse() - before
 			b.ReportAllocs()
 			now, i := time.Second, 0
 			report := measureProcessor(b)
@@ -85,7 +85,7 @@
 	}
 }
 
-// BenchmarkBalancerSet measures how the load balancer takes in a pushed list.
+// BenchmarkBalancerSet measures how the load balancer applies a pushed list.
 func BenchmarkBalancerSet(b *testing.B) {
 	x := loadbalancer.New("zone-00", "edge-1")
 	var list []loadbalancer.Endpoint
--- a/internal/tier/capacity/push_test.go
+++ b/internal/tier/capacity/push_test.go
@@ -21,13 +21,13 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// listServer is a control-plane primary that sends the same list to every session that lacks it.
-type listServer struct {
+// endpointServer is a control-plane primary that sends the same endpoints to every session that lacks them.
+type endpointServer struct {
 	tierv1.ControlPlane
 	reply *tierv1.WatchReply
 }
 
-func (server *listServer) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
+func (server *endpointServer) Watch(ctx context.Context, r *tierv1.WatchRequest) (*tierv1.WatchReply, error) {
 	if r.EndpointsVersion < server.reply.Endpoints.Version {
 		return server.reply, nil
 	}
@@ -35,7 +35,7 @@
 	return nil, ctx.Err()
 }
 
-// encodedReply answers with a message that was encoded once.
+// encodedReply replies with a message that was encoded once.
 type encodedReply struct{ body []byte }
 
 func (reply encodedReply) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -45,14 +45,14 @@
 	_, _ = w.Write(reply.body)
 }
 
-// BenchmarkServe measures one answer with the whole list at a control-plane primary; the caller only reads the bytes. In the
+// BenchmarkServe measures one reply with the complete list at a control-plane primary; the caller only reads the bytes. In the
 // case once, the list is encoded once, not for each session.
 func BenchmarkServe(b *testing.B) {
 	for _, n := range []int{65, endpoints, 3000} {
-		news := &tierv1.WatchReply{IsPrimary: true, Epoch: 1, Endpoints: endpointList(n, 0)}
-		body, err := proto.Marshal(news)
+		reply := &tierv1.WatchReply{IsPrimary: true, Epoch: 1, Endpoints: endpointList(n, 0)}
+		body, err := proto.Marshal(reply)
 		assert.NilError(b, err)
-		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&listServer{reply: news}), "once": encodedReply{body}} {
+		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&endpointServer{reply: reply}), "once": encodedReply{body}} {
 			b.Run(fmt.Sprintf("endpoints=%d,%s", n, name), func(b *testing.B) {
 				server, err := rpc.Serve(b.Context(), "127.0.0.1:0", handler)
 				assert.NilError(b, err)
@@ -80,15 +80,15 @@
 	}
 }
 
-// BenchmarkWithin has all sessions ask for the list at once, with the time-out of a session (a sixth of the contact window of
-// hold, and a tenth of it besides), and ask again after that. It reports the answers that came too late.
-func BenchmarkWithin(b *testing.B) {
+// BenchmarkServeWithinTimeout makes all sessions request the list at the same time, with the time-out of a session (a sixth of the contact window as
+// poll time-out, and a tenth of it beside), and retry after that. It reports the replies that came too late.
+func BenchmarkServeWithinTimeout(b *testing.B) {
 	const wait = 800 * time.Millisecond // of a contact window of 3 s
 	for _, c := range []struct{ sessions, lines int }{{100, 1000}, {sessionCount, endpoints}, {300, 3000}} {
-		news := &tierv1.WatchReply{IsPrimary: true, Epoch: 1, Endpoints: endpointList(c.lines, 0)}
-		body, err := proto.Marshal(news)
+		reply := &tierv1.WatchReply{IsPrimary: true, Epoch: 1, Endpoints: endpointList(c.lines, 0)}
+		body, err := proto.Marshal(reply)
 		assert.NilError(b, err)
-		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&listServer{reply: news}), "once": encodedReply{body}} {
+		for name, handler := range map[string]http.Handler{"each": tierv1.NewControlPlaneServer(&endpointServer{reply: reply}), "once": encodedReply{body}} {
 			b.Run(fmt.Sprintf("sessions=%d,endpoints=%d,%s", c.sessions, c.lines, name), func(b *testing.B) {
 				server, err := rpc.Serve(b.Context(), "127.0.0.1:0", handler)
 				assert.NilError(b, err)
--- a/internal/tier/capacity/turnstore_test.go
+++ b/internal/tier/capacity/turnstore_test.go
@@ -46,8 +46,8 @@
 // storePair is a primary and its backup. Calls between them are in process, encoded and decoded as on the wire.
 type storePair struct {
 	primary, backup *turnstore.TurnStore
-	dirs            [2]string
-	sent            int // bytes of replication
+	folders         [2]string
+	replicatedBytes int // bytes of replication
 	mu              sync.Mutex
 }
 
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	client.stores.mu.Lock()
-	client.stores.sent += len(body)
+	client.stores.replicatedBytes += len(body)
 	client.stores.mu.Unlock()
 	q := &tierv1.ReplicateRequest{}
 	if err := proto.Unmarshal(body, q); err != nil {
@@ -71,7 +71,7 @@
 	return client.TurnStore.Replicate(ctx, q)
 }
 
-func open(b *testing.B, name, dir string, stores *storePair) *turnstore.TurnStore {
+func openStore(b *testing.B, name, dir string, stores *storePair) *turnstore.TurnStore {
 	store, err := turnstore.Open(turnstore.Config{Node: name, Dir: dir, FS: osWithoutSync{}, Log: &log.Logger{Writer: log.IOWriter{Writer: io.Discard}},
 		RequestTimeout: 30 * time.Second, ReplyTimeout: 10 * time.Second,
 		Dial: func(at string) tierv1.TurnStore {
@@ -84,9 +84,9 @@
 	return store
 }
 
-func newPair(b *testing.B, partitions int) *storePair {
-	stores := &storePair{dirs: [2]string{b.TempDir(), b.TempDir()}}
-	stores.primary, stores.backup = open(b, "a", stores.dirs[0], stores), open(b, "b", stores.dirs[1], stores)
+func newStorePair(b *testing.B, partitions int) *storePair {
+	stores := &storePair{folders: [2]string{b.TempDir(), b.TempDir()}}
+	stores.primary, stores.backup = openStore(b, "a", stores.folders[0], stores), openStore(b, "b", stores.folders[1], stores)
 	partitionMap := &tierv1.PartitionMap{Version: 1}
 	for name, store := range map[string]*turnstore.TurnStore{"a": stores.primary, "b": stores.backup} {
 		partitionMap.StoreNodes = append(partitionMap.StoreNodes, &tierv1.StoreNode{Folder: store.Folder(), Node: name, Address: name})
@@ -110,15 +110,15 @@
 	return body
 }()
 
-// bytesPerTurn is the text that one turn of a program adds, at the size aimed at.
-const bytesPerTurn = historyTokens * bytesPerToken / turns
+// bytesPerTurn is the text that one turn of a program adds, at the target size.
+const bytesPerTurn = tokensPerProgram * bytesPerToken / turnsPerProgram
 
 func turnText(i int) []byte {
 	return bytes.Clone(sampleText[i*31%(len(sampleText)-bytesPerTurn):][:bytesPerTurn/2])
 }
 
-// turn runs the n-th turn of a program: Begin, and Settle with its text.
-func (stores *storePair) turn(b *testing.B, program string, partition uint32, n int, held string) {
+// storeTurn runs the n-th turn of a program: Begin, and Settle with its text.
+func (stores *storePair) storeTurn(b *testing.B, program string, partition uint32, n int, held string) {
 	attempt, previous := fmt.Sprintf("%s-attempt-%04d-%032d", program, n, n), ""
 	if n > 0 {
 		previous = fmt.Sprintf("%s-attempt-%04d-%032d", program, n-1, n-1)
@@ -139,38 +139,38 @@
 // BenchmarkTurnStoreTurn measures one turn of a program of 150, of both turn stores together: Begin and Settle, with the chain
 // cached by the gateway. Programs run in turn.
 func BenchmarkTurnStoreTurn(b *testing.B) {
-	p := newPair(b, 32)
+	p := newStorePair(b, 32)
 	defer p.close()
-	before, used, n := heap(), processorTime(), 0
+	before, used, n := heapInUse(), processorTime(), 0
 	for b.Loop() {
-		program := n / turns
-		p.turn(b, fmt.Sprintf("program-%06d", program), uint32(program%32), n%turns, "")
+		program := n / turnsPerProgram
+		p.storeTurn(b, fmt.Sprintf("program-%06d", program), uint32(program%32), n%turnsPerProgram, "")
 		n++
 	}
 	b.ReportMetric(float64((processorTime()-used).Microseconds())/float64(n), "cpu-µs/turn")
-	b.ReportMetric((heap()-before)/float64(2*n), "B-memory/turn")
-	b.ReportMetric(float64(p.sent)/float64(n), "B-replicated/turn")
-	size, _ := os.Stat(filepath.Join(p.dirs[0], "facts-0"))
+	b.ReportMetric((heapInUse()-before)/float64(2*n), "B-memory/turn")
+	b.ReportMetric(float64(p.replicatedBytes)/float64(n), "B-replicated/turn")
+	size, _ := os.Stat(filepath.Join(p.folders[0], "facts-0"))
 	b.ReportMetric(float64(size.Size())/float64(n), "B-wal/turn")
 	b.ReportMetric(bytesPerTurn, "B-text/turn")
 }
 
-// BenchmarkTurnStoreChain measures a Begin at the end of 150 turns, encoded and decoded as on the wire, with the chain sent
-// whole, and with the chain cached by the gateway.
+// BenchmarkTurnStoreChain measures a Begin at the end of 150 turns, encoded and decoded as on the wire, with the complete chain
+// sent, and with the chain cached by the gateway.
 func BenchmarkTurnStoreChain(b *testing.B) {
-	for _, whole := range []bool{true, false} {
-		b.Run(fmt.Sprintf("whole=%t", whole), func(b *testing.B) {
-			p := newPair(b, 1)
+	for _, complete := range []bool{true, false} {
+		b.Run(fmt.Sprintf("complete=%t", complete), func(b *testing.B) {
+			p := newStorePair(b, 1)
 			defer p.close()
-			for n := range turns {
-				p.turn(b, "program", 0, n, "")
+			for n := range turnsPerProgram {
+				p.storeTurn(b, "program", 0, n, "")
 			}
-			last := fmt.Sprintf("program-attempt-%04d-%032d", turns-1, turns-1)
+			last := fmt.Sprintf("program-attempt-%04d-%032d", turnsPerProgram-1, turnsPerProgram-1)
 			size, n := 0, 0
 			report := measureProcessor(b)
 			for b.Loop() {
 				r, err := p.primary.Begin(b.Context(), &tierv1.BeginRequest{Program: "program", Attempt: fmt.Sprint("next-", n), Previous: last, Limited: true,
-					Budget: 1 << 50, MaxTokens: 4096, RetentionMs: 3_600_000, ChainKnown: !whole})
+					Budget: 1 << 50, MaxTokens: 4096, RetentionMs: 3_600_000, ChainKnown: !complete})
 				if err != nil || r.Verdict != tierv1.Verdict_OK {
 					b.Fatal(err, r.GetVerdict())
 				}
@@ -185,45 +185,45 @@
 	}
 }
 
-// BenchmarkTurnStoreSweep measures the search of one of 32 partitions for expired entries, during which its lock is held.
-func BenchmarkTurnStoreSweep(b *testing.B) {
-	p := newPair(b, 1)
+// BenchmarkTurnStoreRemoveExpired measures the removal of expired entries from one of 32 partitions, during which its lock is held.
+func BenchmarkTurnStoreRemoveExpired(b *testing.B) {
+	p := newStorePair(b, 1)
 	defer p.close()
-	const kept = 200 * turns
-	for n := range kept {
-		p.turn(b, fmt.Sprintf("program-%06d", n/turns), 0, n%turns, "")
+	const storedTurns = 200 * turnsPerProgram
+	for n := range storedTurns {
+		p.storeTurn(b, fmt.Sprintf("program-%06d", n/turnsPerProgram), 0, n%turnsPerProgram, "")
 	}
 	report := measureProcessor(b)
 	for b.Loop() {
-		for range 8 { // all parts have had their turn then
+		for range 8 { // one for each group of partitions
 			p.primary.RemoveExpired(time.Now())
 		}
 	}
 	report()
-	b.ReportMetric(kept, "turns")
+	b.ReportMetric(storedTurns, "turns")
 }
 
 // BenchmarkTurnStoreReplay measures the start of a turn store with a write-ahead log of 300 MB of turns, until it is ready.
 func BenchmarkTurnStoreReplay(b *testing.B) {
 	const size = 300 << 20
-	p := newPair(b, 32)
+	p := newStorePair(b, 32)
 	n := 0
 	for at := 0; at < size; n++ {
-		program := n / turns
-		p.turn(b, fmt.Sprintf("program-%06d", program), uint32(program%32), n%turns, "")
+		program := n / turnsPerProgram
+		p.storeTurn(b, fmt.Sprintf("program-%06d", program), uint32(program%32), n%turnsPerProgram, "")
 		at += bytesPerTurn + 400
 	}
 	p.close()
-	info, err := os.Stat(filepath.Join(p.dirs[0], "facts-0"))
+	info, err := os.Stat(filepath.Join(p.folders[0], "facts-0"))
 	assert.NilError(b, err)
 	p.primary, p.backup = nil, nil
 	var took time.Duration
-	used, before, kept, rounds := processorTime(), heap(), 0.0, 0
+	used, before, kept, rounds := processorTime(), heapInUse(), 0.0, 0
 	for b.Loop() {
 		began := time.Now()
-		v := open(b, "a", p.dirs[0], p)
+		v := openStore(b, "a", p.folders[0], p)
 		took += time.Since(began)
-		kept = heap() - before
+		kept = heapInUse() - before
 		_ = v.Close()
 		rounds++
 	}
