--- a/internal/tier/controlplane/assignment_test.go
+++ b/internal/tier/controlplane/assignment_test.go
@@ -59,7 +59,7 @@
 	w := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.machines[0].up = false
-	w.assign(w.input()) // the two that are left have each other's copies, unsynced
+	w.assign(w.input()) // the two that are left have each other's replicas, unsynced
 	w.machines[1].up = false
 	w.assign(w.input())
 	w.assign(w.input())
@@ -174,7 +174,7 @@
 	}
 }
 
-// Without a turn store to spare, the one that leaves keeps its copies as a backup until it has gone.
+// Without a turn store to spare, the one that drains keeps its replicas as a backup until it has gone.
 func TestAssign_DrainingStoreWithoutReplacementStaysBackup(t *testing.T) {
 	w := newModel(t, nil, 2, 2, FaultTolerance{1, byNode})
 	w.assign(w.input())
--- a/internal/tier/controlplane/change_faults_test.go
+++ b/internal/tier/controlplane/change_faults_test.go
@@ -49,7 +49,7 @@
 		defer cancel()
 		random := rand.New(rand.NewPCG(seed, 1))
 		c := &cluster{wrap: wrap}
-		c.setUp(t, ctx, seed, 3+2*random.IntN(2))
+		c.setUp(ctx, t, seed, 3+2*random.IntN(2))
 		r := &faultRun{c: c, start: time.Now()}
 		c.lossy = random.Float64() * 0.5
 		var all sync.WaitGroup
@@ -99,7 +99,7 @@
 	}
 }
 
-// sendChange tries an order at machines as they come, until it has a clear answer or the tries are over.
+// sendChange sends an order to machines as they come, until it has a clear answer or the attempts are over.
 func (r *faultRun) sendChange(o *sentChange, random *rand.Rand, tries int) outcome {
 	for range tries {
 		status, _ := r.c.call(random, "POST", "Configuration.Replace", fmt.Sprint(o.base), o.body)
@@ -288,7 +288,7 @@
 	}
 }
 
-// TestChanges_ThroughFaults plays operators against the real consensus through kills, losses of power, lost disks, cuts and a
+// TestChanges_ThroughFaults plays operators against the real consensus through kills, losses of power, lost disks, network partitions and a
 // final fault, and checks what they saw.
 func TestChanges_ThroughFaults(t *testing.T) {
 	for seed := range uint64(*changeSeeds) {
--- a/internal/tier/controlplane/change_history_test.go
+++ b/internal/tier/controlplane/change_history_test.go
@@ -186,7 +186,7 @@
 }
 
 // An order with an unknown outcome is settled before anything else is taken. Then it is acknowledged if it was written,
-// also after others were taken on it, and refused only if it was not.
+// also after others were taken on it, and rejected only if it was not.
 func TestReplace_UnknownOutcomeBeforeLaterChanges(t *testing.T) {
 	for _, lost := range []bool{true, false} {
 		withHarness(t, func(r *harness) {
@@ -212,7 +212,7 @@
 	}
 }
 
-// Eight operators send the same eight orders at once, each twice: all tries of one order get the same answer.
+// Eight operators send the same eight orders at once, each twice: all attempts of one order get the same answer.
 func TestReplace_ConcurrentAttemptsAnsweredAlike(t *testing.T) {
 	withHarness(t, func(r *harness) {
 		assertStatus(t, r.replace(0, 3), 200)
--- a/internal/tier/controlplane/change_mutants_test.go
+++ b/internal/tier/controlplane/change_mutants_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// mutantSeeds is how many histories may be needed to find a planted fault.
+// mutantSeeds is how many histories may be needed to find an injected fault.
 const mutantSeeds = 200
 
 // recordDroppingStore writes configurations without the records of their orders.
@@ -77,7 +77,7 @@
 	return sequence + 1, nil
 }
 
-// TestChanges_MutantsFound plants a fault between consensus and control plane, and expects a history that shows it.
+// TestChanges_MutantsFound injects a fault between consensus and control plane, and expects a history that shows it.
 func TestChanges_MutantsFound(t *testing.T) {
 	for name, wrap := range map[string]func(Store) Store{
 		"records are not written":      func(s Store) Store { return recordDroppingStore{s} },
--- a/internal/tier/controlplane/cluster_test.go
+++ b/internal/tier/controlplane/cluster_test.go
@@ -22,11 +22,11 @@
 )
 
 // cluster is a set of control-plane processes over the real consensus and disks in memory, joined by a network in memory.
-// It lives in a bubble of its own time.
+// It runs in virtual time (package testing/synctest).
 type cluster struct {
 	t        *testing.T
 	ctx      context.Context
-	wrap     func(Store) Store // what stands between consensus and control plane: a planted fault
+	wrap     func(Store) Store // what stands between consensus and control plane: an injected fault
 	machines []*coreMachine
 	limit    int // of the control state, in bytes; 0: consensus.StateLimit
 
@@ -62,22 +62,22 @@
 )
 
 // setUp starts the processes of machines for the first time.
-func (c *cluster) setUp(t *testing.T, ctx context.Context, seed uint64, machines int) {
-	c.addMachines(t, ctx, seed, machines)
+func (c *cluster) setUp(ctx context.Context, t *testing.T, seed uint64, machines int) {
+	c.addMachines(ctx, t, seed, machines)
 	for _, m := range c.machines {
 		c.start(m, true)
 	}
 }
 
 // addMachines makes machines with empty disks and no process.
-func (c *cluster) addMachines(t *testing.T, ctx context.Context, seed uint64, machines int) {
+func (c *cluster) addMachines(ctx context.Context, t *testing.T, seed uint64, machines int) {
 	c.t, c.ctx, c.random, c.blocked = t, ctx, rand.New(rand.NewPCG(seed, 7)), map[[2]string]bool{}
 	for i := range machines {
 		c.machines = append(c.machines, &coreMachine{node: fmt.Sprint("core-", i+1), ip: fmt.Sprint("10.0.0.", i+1), disk: wal.NewMemory()})
 	}
 }
 
-// randomIntN gives a number below n.
+// randomIntN returns a number below n.
 func (c *cluster) randomIntN(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tier/controlplane/distant_sessions_test.go
+++ b/internal/tier/controlplane/distant_sessions_test.go
@@ -144,7 +144,7 @@
 	return p
 }
 
-// syncAll has all copies of a turn store's partitions whole at once.
+// syncAll has all replicas of a turn store's partitions synced at once.
 func (p *distantProcess) syncAll(folder string, m *tierv1.PartitionMap) {
 	var synced []*tierv1.SyncedReplica
 	for i, one := range m.Partitions {
@@ -164,7 +164,7 @@
 	p.changed = make(chan struct{})
 }
 
-// syncedReplicas gives the copies that are whole.
+// syncedReplicas returns the replicas that are synced.
 func (p *distantProcess) syncedReplicas() ([]*tierv1.SyncedReplica, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,7 +177,7 @@
 	return p.inForce, p.endpoint
 }
 
-// inactiveSessions gives the processes whose sessions don't stand by the control plane's word.
+// inactiveSessions returns the processes whose sessions aren't active as the control plane has it.
 func (r *harness) inactiveSessions() (nodes []string) {
 	r.plane.mu.Lock()
 	defer r.plane.mu.Unlock()
@@ -189,7 +189,7 @@
 	return nodes
 }
 
-// Sessions stand, at both ends and without a break, where a contact window has as few as eight round trips: orders are
+// Sessions are active, at both ends and without a break, where a contact window has as few as eight round trips: orders are
 // acknowledged when they are in force at all gateways, and no turn store is taken for lost.
 func TestDistantSessions_StayActive(t *testing.T) {
 	window := testSettings().ContactWindow
@@ -249,7 +249,7 @@
 	}
 }
 
-// A gateway whose primary comes to be so distant that no session stands does not take itself for cut off: it sends nothing
+// A gateway whose primary comes to be so distant that no session is active does not consider itself partitioned: it sends nothing
 // by the list that it has, beyond its lease or the time that shows how distant the primary is.
 func TestDistantSessions_NothingSentByStaleList(t *testing.T) {
 	window := testSettings().ContactWindow
@@ -295,7 +295,7 @@
 	}
 }
 
-// A distant gateway that is cut off refuses for some windows, and then goes on as any.
+// A distant gateway that is partitioned rejects requests for some windows, and then goes on as any.
 func TestDistantSessions_PartitionedGatewayGoesOn(t *testing.T) {
 	window := testSettings().ContactWindow
 	withHarness(t, func(r *harness) {
--- a/internal/tier/controlplane/ejections.go
+++ b/internal/tier/controlplane/ejections.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"context"
 	"hash/fnv"
 	"slices"
 	"time"
@@ -37,6 +36,7 @@
 	at       time.Time
 }
 
+// newEjections returns an aggregator without reports.
 func newEjections(window time.Duration) ejections {
 	return ejections{window: window, reports: map[string]map[string]time.Time{}}
 }
@@ -122,7 +122,7 @@
 }
 
 // chooseHealthCheckers chooses the gateways that check an instance: others for each version, so that one without requests is not kept.
-func chooseHealthCheckers(gateways []string, instance string, version uint64) (probers []string) {
+func chooseHealthCheckers(gateways []string, instance string, version uint64) (checkers []string) {
 	if len(gateways) == 0 {
 		return nil
 	}
@@ -130,62 +130,7 @@
 	hash.Write([]byte(instance))
 	first := hash.Sum64() + version*ejectionHealthCheckers
 	for i := range uint64(min(ejectionHealthCheckers, len(gateways))) {
-		probers = append(probers, gateways[(first+i)%uint64(len(gateways))])
+		checkers = append(checkers, gateways[(first+i)%uint64(len(gateways))])
 	}
-	return probers
-}
-
-// ReportEjections takes the report of a gateway. No backup confirms it: nothing rests on it. The error is always nil.
-func (s *sessionService) ReportEjections(_ context.Context, report *tierv1.EjectionReport) (*tierv1.EjectionReportReply, error) {
-	plane := s.plane
-	epoch, ok := plane.Store.Primary()
-	if !ok {
-		return &tierv1.EjectionReportReply{}, nil
-	}
-	plane.mu.Lock()
-	defer plane.mu.Unlock()
-	if plane.published.epoch != epoch || !plane.published.ready {
-		return &tierv1.EjectionReportReply{}, nil
-	}
-	now := time.Now()
-	gateways := plane.sessions.connectedGateways()
-	needed := min(minEjectionReporters, max(1, len(gateways)))
-	for _, instance := range report.Ejected {
-		if plane.ejections.report(now, report.Node, instance, needed) {
-			ejection := &tierv1.Ejection{Instance: instance, Version: nextVersion(epoch, &plane.versions.ejections)}
-			ejection.HealthCheckers = chooseHealthCheckers(gateways, instance, ejection.Version)
-			plane.unpublishedEjections = plane.ejections.announce(now, ejection)
-		}
-	}
-	for _, instance := range report.Restored {
-		if plane.ejections.restored(now, instance) {
-			ejection := &tierv1.Ejection{Instance: instance, Version: nextVersion(epoch, &plane.versions.ejections), Restored: true}
-			plane.unpublishedEjections = plane.ejections.announce(now, ejection)
-		}
-	}
-	plane.publishEjections(now)
-	return &tierv1.EjectionReportReply{IsPrimary: true}, nil
-}
-
-// publishEjections publishes what is announced, now or as soon as the last publication is long enough ago. The caller holds mu.
-func (plane *ControlPlane) publishEjections(now time.Time) {
-	if plane.unpublishedEjections == nil || plane.ejectionPushTimer != nil {
-		return
-	}
-	pause := plane.windowFraction(ejectionPublishDivisor) - now.Sub(plane.ejectionsPublishedAt)
-	if pause <= 0 {
-		next := plane.unpublishedEjections
-		plane.unpublishedEjections, plane.ejectionsPublishedAt = nil, now
-		plane.replacePublished(func(state *publishedState) { state.ejections = next })
-		return
-	}
-	epoch := plane.published.epoch
-	plane.ejectionPushTimer = time.AfterFunc(pause, func() {
-		plane.mu.Lock()
-		defer plane.mu.Unlock()
-		plane.ejectionPushTimer = nil
-		if plane.published.epoch == epoch {
-			plane.publishEjections(time.Now())
-		}
-	})
+	return checkers
 }
--- a/internal/tier/controlplane/ejections_test.go
+++ b/internal/tier/controlplane/ejections_test.go
@@ -26,7 +26,7 @@
 	assert.Assert(t, e.report(now, "e1", "i3", 1)) // the only gateway
 }
 
-// Ejections are told for a contact window, the newest of an instance only.
+// Ejections are announced for a contact window, the newest of an instance only.
 func TestEjections_AnnouncedForOneWindow(t *testing.T) {
 	const window = 4 * time.Second
 	now := time.Unix(0, 0)
@@ -46,7 +46,7 @@
 	assert.DeepEqual(t, instances(tell(now.Add(window+time.Nanosecond), "i3", 4)), []string{"i2 3", "i3 4"})
 }
 
-// What is held of reports and told is bounded, whatever comes.
+// The numbers of reports and of announced ejections are bounded, whatever comes.
 func TestEjections_Bounded(t *testing.T) {
 	now := time.Unix(0, 0)
 	e := newEjections(4 * time.Second)
--- a/internal/tier/controlplane/endpoint_list_test.go
+++ b/internal/tier/controlplane/endpoint_list_test.go
@@ -121,7 +121,7 @@
 	assert.Assert(t, !pending)
 }
 
-// A list that is read quickly is pushed when it is whole, or when it turns out to take longer.
+// A list that is read quickly is pushed when it is complete, or when it turns out to take longer.
 func TestEndpointList_QuickScanPushedAtItsEnd(t *testing.T) {
 	const quick = 800 * time.Millisecond
 	l := newEndpointList(100*time.Millisecond, quick)
@@ -196,7 +196,7 @@
 					assert.Assert(t, !one.Draining || shown[one.Instance].Draining, "seed %d: %s", seed, one.Instance)
 				}
 				for _, one := range platform.list {
-					before := platform.since[one.Instance]+1 < platform.scansEnded // a whole reading began after it came
+					before := platform.since[one.Instance]+1 < platform.scansEnded // a whole scan began after it came
 					assert.Assert(t, !before || shown[one.Instance] != nil, "seed %d: %s was dropped", seed, one.Instance)
 				}
 				now = now.Add(100 * time.Millisecond)
--- a/internal/tier/controlplane/harness_test.go
+++ b/internal/tier/controlplane/harness_test.go
@@ -122,7 +122,7 @@
 		return 0, errors.New("not the primary")
 	}
 	if s.tooLarge != nil && s.tooLarge(sets) {
-		return 0, consensus.StateTooLarge.New("planted")
+		return 0, consensus.StateTooLarge.New("injected")
 	}
 	lost, fail := false, false
 	if s.failPut != nil {
@@ -143,7 +143,7 @@
 	return s.sequence, nil
 }
 
-// harness is a control plane in a bubble of its own time.
+// harness is a control plane in virtual time.
 type harness struct {
 	t     *testing.T
 	store *memoryStore
@@ -296,7 +296,7 @@
 	}
 }
 
-// beginSync begins a copy, or goes on with it where it is one of those before.
+// beginSync begins the sync of a replica, or goes on with it where it is one of those before.
 func (p *testProcess) beginSync(before map[*tierv1.SyncedReplica]time.Time, c *tierv1.SyncedReplica) {
 	p.syncing[c] = time.Now()
 	for one, since := range before {
@@ -306,7 +306,7 @@
 	}
 }
 
-// reportSynced has the next call report the copies that have been under way for long enough, as a turn store does.
+// reportSynced has the next call report the replicas that have been under way for long enough, as a turn store does.
 func (p *testProcess) reportSynced(now time.Time) {
 	p.request.Synced = nil
 	for c, since := range p.syncing {
@@ -324,14 +324,14 @@
 	p.request.Disk = state
 }
 
-// acknowledged gives the versions taken.
+// acknowledged returns the versions taken.
 func (p *testProcess) acknowledged() *tierv1.WatchRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return cloneRequest(p.request)
 }
 
-// received gives the configurations that came, and how often this was said not to be the primary.
+// received returns the configurations that came, and how often this was said not to be the primary.
 func (p *testProcess) received() (bodies []string, lost int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -386,5 +386,5 @@
 	return string(body)
 }
 
-// reporter is what the checks of this package report to: a test, or the observer of a planted fault.
+// reporter is what the checks of this package report to: a test, or the observer of an injected fault.
 type reporter = observer.Reporter
--- a/internal/tier/controlplane/operators_test.go
+++ b/internal/tier/controlplane/operators_test.go
@@ -217,7 +217,7 @@
 func TestRetire(t *testing.T) {
 	withHarness(t, func(r *harness) {
 		for _, n := range []string{"v1", "v2", "v3"} {
-			r.join(roleTurnStore, n, func(p *testProcess) { p.acknowledgeDelay = 50 * time.Millisecond }) // so that no copy is whole at once
+			r.join(roleTurnStore, n, func(p *testProcess) { p.acknowledgeDelay = 50 * time.Millisecond }) // so that no replica is synced at once
 		}
 		r.advance(2 * time.Second)
 		order := func(node string) *httptest.ResponseRecorder {
@@ -252,7 +252,7 @@
 	})
 }
 
-// Machines that are down for a moment are machines that remain: the order is to be sent again, not refused for good.
+// Machines that are down for a moment are machines that remain: the order is to be sent again, not rejected for good.
 func TestRetire_WhileOthersAreDown(t *testing.T) {
 	withHarness(t, func(r *harness) {
 		r.join(roleTurnStore, "v1", nil)
--- a/internal/tier/controlplane/placement_model_test.go
+++ b/internal/tier/controlplane/placement_model_test.go
@@ -13,7 +13,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// stepTime is what a step of the model takes, and stallTime when a copy under way counts as slow.
+// stepTime is what a step of the model takes, and stallTime when a replica being synced counts as slow.
 const (
 	stepTime  = 250 * time.Millisecond
 	stallTime = 3 * time.Second
@@ -28,7 +28,7 @@
 	partitioned  bool // runs, and turn stores hear it, but control does not
 	unreachable  bool // runs, and control hears it, but turn stores do not
 	draining     bool
-	diskUnsound  bool // tells control that its disk is not sound
+	diskUnsound  bool // reports to control that its disk is not sound
 	known        []*tierv1.Partition
 	observed     map[int]uint64 // by partition, the newest epoch that a primary has named
 	recovered    map[int]uint64 // by partition, the epoch in which it has all facts of the backups that it was to recover from
@@ -57,7 +57,7 @@
 	return newMutantModel(t, mutant{}, r, n, zones, spread)
 }
 
-// newMutantModel is newWorld with a planted fault.
+// newMutantModel is newModel with an injected fault.
 func newMutantModel(t reporter, p mutant, r *rand.Rand, n, zones int, spread FaultTolerance) *placementModel {
 	w := &placementModel{t: t, mutant: p, random: r, tolerance: spread}
 	for i := range n {
@@ -154,7 +154,7 @@
 	return !m.unreachable && i < len(m.known) && max(m.known[i].Epoch, m.observed[i]) <= epoch
 }
 
-// accepts tells whether a machine takes facts of an epoch, with the fault that is planted.
+// accepts tells whether a machine takes facts of an epoch, with the fault that is injected.
 func (w *placementModel) accepts(m *modelMachine, i int, epoch uint64) bool {
 	return m.accepts(i, epoch) || w.mutant.acceptsStaleEpochs && !m.unreachable && i < len(m.known)
 }
@@ -167,7 +167,7 @@
 	m.observed[i] = max(m.observed[i], epoch)
 }
 
-// receiveMap tells a machine the newest map.
+// receiveMap gives a machine the newest map.
 func (m *modelMachine) receiveMap(w *placementModel) {
 	if m.up && !m.partitioned && w.partitionMap != nil {
 		m.known = w.partitionMap.Partitions
@@ -215,7 +215,7 @@
 	w.facts[i][folder] = new(big.Int).Or(held, facts)
 }
 
-// syncReplica lets a machine bring a copy of a partition up to date, and report it.
+// syncReplica lets a machine bring a replica of a partition up to date, and report it.
 func (w *placementModel) syncReplica(m *modelMachine, i int) {
 	if !m.up || m.unreachable || i >= len(m.known) || m.known[i].Primary != m.folder {
 		return
@@ -268,7 +268,7 @@
 	return true
 }
 
-// runUntilStable lets all that is up come to rest, and tells how many maps that took.
+// runUntilStable runs the model until nothing changes, and returns how many maps that took.
 func (w *placementModel) runUntilStable() int {
 	for n := range 2000 {
 		for _, m := range w.machines {
@@ -289,7 +289,7 @@
 	return 0
 }
 
-// assertBalanced checks that shares are even and copies whole, on turn stores that stay.
+// assertBalanced checks that replicas and primaries are balanced and replicas synced, on turn stores that stay.
 func (w *placementModel) assertBalanced(strict bool) {
 	w.t.Helper()
 	copies, primaries := map[string]int{}, map[string]int{}
--- a/internal/tier/controlplane/placement_mutants_test.go
+++ b/internal/tier/controlplane/placement_mutants_test.go
@@ -11,12 +11,12 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// mutant is a fault of the model's turn stores or of placement, made from outside. The zero plant leaves all right.
+// mutant is a fault of the model's turn stores or of placement, made from outside. The zero mutant has none.
 type mutant struct {
 	assign             assignFunc // in place of Assign
 	acceptsStaleEpochs bool       // backups take what comes under an epoch that is over
-	reportsEarly       bool       // copies are reported whole that have not been compared
-	recoversNothing    bool       // a recovery brings no facts, and is told as done
+	reportsEarly       bool       // replicas are reported synced that have not been compared
+	recoversNothing    bool       // a recovery brings no facts, and is reported as done
 }
 
 // assignFunc is the kind of Assign.
@@ -29,7 +29,7 @@
 	return p.assign(before, in)
 }
 
-// changed gives Assign's map after a change to those partitions that Assign has changed.
+// changed returns Assign's map after a change to those partitions that Assign has changed.
 func changed(change func(old, next *tierv1.Partition)) assignFunc {
 	return func(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
 		next, is := Assign(before, in)
@@ -44,7 +44,7 @@
 	}
 }
 
-// promoteUnsynced makes a copy under way the primary where Assign names a new one.
+// promoteUnsynced makes a replica being synced the primary where Assign names a new one.
 func promoteUnsynced(old, next *tierv1.Partition) {
 	if next.Primary == old.Primary {
 		return
@@ -57,7 +57,7 @@
 	}
 }
 
-// forgetRetained forgets copies that were taken out while they were silent.
+// forgetRetained forgets replicas that were taken out while they were unresponsive.
 func forgetRetained(_, next *tierv1.Partition) { next.Retained = nil }
 
 // acceptOldReports takes reports of an older epoch as those of the newest.
@@ -80,7 +80,7 @@
 	findingServesIncomplete = "serves and is not whole"
 )
 
-// TestPlacement_MutantsFound plants faults, and expects random events and lapses to find each by what it takes away.
+// TestPlacement_MutantsFound injects faults, and expects random events and expiries to find each by what it takes away.
 func TestPlacement_MutantsFound(t *testing.T) {
 	for _, play := range []struct {
 		name string
--- a/internal/tier/controlplane/placement_random_test.go
+++ b/internal/tier/controlplane/placement_random_test.go
@@ -11,8 +11,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// TestPlacement_RandomEvents lets machines stop, be cut off, be out of each other's reach, lose their disks, leave, come, be retired and
-// then be taken away, sessions lapse, and reports come late, in any order, with no more lost at a time than is borne when disks
+// TestPlacement_RandomEvents lets machines stop, be partitioned, be out of each other's reach, lose their disks, leave, come, be retired and
+// then be taken away, sessions expire, and reports come late, in any order, with no more lost at a time than is tolerated when disks
 // are. It checks after each step that nothing acknowledged is given up, and that all is served when all have returned.
 func TestPlacement_RandomEvents(t *testing.T) {
 	for seed := range uint64(20) {
@@ -94,7 +94,7 @@
 			w.assertBalanced(false)
 			clear(hurt)
 		case 10:
-			if len(hurt) == 0 { // a lapse is no loss, but it is not waited for beside one
+			if len(hurt) == 0 { // an expiry is no loss, but it is not waited for beside one
 				w.expireBriefly(m)
 			}
 		case 11:
@@ -127,7 +127,7 @@
 	w.assertBalanced(false)
 }
 
-// expireBriefly has the session of a machine lapse, and the others go on without it, until it is back within the wait.
+// expireBriefly has the session of a machine expire, and the others go on without it, until it is back within the wait.
 func (w *placementModel) expireBriefly(m *modelMachine) {
 	w.tracef("%s lapses", m.node)
 	in := w.expire(m)
@@ -141,7 +141,7 @@
 	m.partitioned = false
 }
 
-// takeAway takes a machine that control has told to be empty away for good, with its disk.
+// takeAway removes a machine that control has reported empty for good, with its disk.
 func (w *placementModel) takeAway(m *modelMachine) bool {
 	if !slices.Contains(w.partitionMap.Retiring, m.node) || lifecycleState(w.partitionMap, m.node, w.tolerance.Losses) != retireCompleted {
 		return false
--- a/internal/tier/controlplane/placement_retire_test.go
+++ b/internal/tier/controlplane/placement_retire_test.go
@@ -31,7 +31,7 @@
 	w.partitionMap.Retiring = append(w.partitionMap.Retiring, m.node)
 }
 
-// step lets all hear the newest map and copy, and control take what was reported. It tells whether the map has changed.
+// step gives all machines the newest map, lets them sync, and gives control what was reported. It returns whether the map has changed.
 func (w *placementModel) step() bool {
 	for _, m := range w.machines {
 		m.receiveMap(w)
@@ -48,7 +48,7 @@
 	return changed
 }
 
-// retireCompletes gives the steps after which an order to retire is completed, or false after limit.
+// retireCompletes returns the steps after which an order to retire is completed, or false after limit.
 func (w *placementModel) retireCompletes(m *modelMachine, limit int) (int, bool) {
 	for n := range limit {
 		if lifecycleState(w.partitionMap, m.node, w.tolerance.Losses) == "completed" {
@@ -120,7 +120,7 @@
 	t.Logf("worst %v, %d of %d later than %v", time.Duration(worst)*stepTime, late, seeds, time.Duration(limit)*stepTime)
 }
 
-// checkRetired holds a completed order against what the machines hold: each partition has its copies, whole and elsewhere.
+// checkRetired holds a completed order against what the machines hold: each partition has its replicas, whole and elsewhere.
 func (w *placementModel) checkRetired(m *modelMachine) {
 	w.t.Helper()
 	for i, p := range w.partitionMap.Partitions {
--- a/internal/tier/controlplane/platform_poll_test.go
+++ b/internal/tier/controlplane/platform_poll_test.go
@@ -244,7 +244,7 @@
 	})
 }
 
-// A call that was refused is not repeated before the platform's time.
+// A call that was rejected is not repeated before the platform's time.
 func TestScanPlatform_RateLimitedCallNotRetriedAtOnce(t *testing.T) {
 	set := testSettings()
 	set.CloudAddress = "10.200.0.100:8142"
@@ -257,7 +257,7 @@
 	})
 }
 
-// burstPlatform takes some calls at once and then so many a second, as a bucket of tokens does; it refuses others.
+// burstPlatform takes some calls at once and then so many a second, as a bucket of tokens does; it rejects others.
 type burstPlatform struct {
 	pagedPlatform
 	rate, burst float64
--- a/internal/tier/controlplane/platform_rate_test.go
+++ b/internal/tier/controlplane/platform_rate_test.go
@@ -53,7 +53,7 @@
 	return reply, nil
 }
 
-// page gives the page of a token. The caller holds mu.
+// page returns the page of a token. The caller holds mu.
 func (p *limitedRatePlatform) page(token string) string {
 	from := 0
 	if p.byCount {
@@ -170,7 +170,7 @@
 
 // Where the platform takes so few calls that a reading takes as long as an endpoint drains, each page is acted on as it
 // comes: an endpoint that drains is known as such an interval, a wait between pushes and a few calls after the list has
-// shown it, not a whole reading later.
+// shown it, not a whole scan later.
 func TestScanPlatform_DrainKnownInTimeAtLowRate(t *testing.T) {
 	for _, c := range []struct {
 		endpoints, pageSize int
@@ -202,7 +202,7 @@
 					seen := watchRelease(r, p, seed, span)
 					worst = releaseObservation{max(worst.longest, seen.longest), worst.known + seen.known, max(worst.pushes, seen.pushes)}
 					pages := math.Ceil(float64(p.maxEntries) / float64(c.pageSize))
-					// Its page comes an interval after the last time, or two calls later: one is refused, or the list grew.
+					// Its page comes an interval after the last time, or two calls later: one is rejected, or the list grew.
 					bound = r.plane.pollInterval(int(pages), 0) + set.DrainTimeout/pushIntervalDivisor + 2*r.plane.callSpacing() + 100*time.Millisecond
 					checkSameList(t, r, p)
 				})
--- a/internal/tier/controlplane/repair.go
+++ b/internal/tier/controlplane/repair.go
@@ -15,28 +15,41 @@
 			return // one of them has to return: no others have all that was acknowledged
 		}
 	}
-	if a.Draining[p.Primary] {
+	if a.draining(p.Primary) {
 		a.failOver(p, a.usable)
 	}
 	if stalled && len(p.RecoverFrom) == 0 {
 		a.retarget(p)
 	}
-	for _, c := range slices.Clone(p.Backups) {
-		if !a.lost(c.Folder) {
+	a.replaceLostBackups(p)
+	a.addMissingReplicas(p)
+	a.trim(p)
+	a.pruneRetained(p)
+}
+
+// replaceLostBackups drops and retains the backups that are lost, and adds one elsewhere for each that is missing then. A lost
+// one stays where there is no other turn store and its return is awaited.
+func (a *assignment) replaceLostBackups(p *tierv1.Partition) {
+	for _, lost := range slices.Clone(p.Backups) {
+		if !a.lost(lost.Folder) {
 			continue
 		}
 		before := slices.Clone(p.Backups)
-		a.removeBackup(p, c.Folder)
+		a.removeBackup(p, lost.Folder)
 		if a.stayingReplicas(p) <= a.Losses {
 			if next := a.pickReplacement(p); next != "" {
 				p.Backups = append(p.Backups, &tierv1.Replica{Folder: next})
-			} else if a.aliveReplicas(p) <= a.Losses && a.awaitsReturn(c.Folder) {
+			} else if a.aliveReplicas(p) <= a.Losses && a.awaitsReturn(lost.Folder) {
 				p.Backups = before
 				continue
 			}
 		}
-		a.retainReplica(p, c.Folder, c.Since) // the Since of a synced replica is 0
+		a.retainReplica(p, lost.Folder, lost.Since) // the Since of a synced replica is 0
 	}
+}
+
+// addMissingReplicas adds replicas until enough lie on turn stores that stay, and substitutes where there are too few of these.
+func (a *assignment) addMissingReplicas(p *tierv1.Partition) {
 	for a.stayingReplicas(p) <= a.Losses {
 		// An order to retire is followed at the rate of moves, but a lost replica is replaced at once.
 		if a.syncedReplicas(p) > a.Losses && !slices.ContainsFunc(replicaFolders(p), a.draining) && a.activeMoves() >= a.maxMoves() {
@@ -51,8 +64,6 @@
 	for next := a.pickSubstitute(p); next != ""; next = a.pickSubstitute(p) {
 		p.Backups = append(p.Backups, &tierv1.Replica{Folder: next})
 	}
-	a.trim(p)
-	a.pruneRetained(p)
 }
 
 // awaitsReturn tells whether a partition that has no turn store for another replica keeps a lost one as its backup, rather
--- a/internal/tier/controlplane/request_history_test.go
+++ b/internal/tier/controlplane/request_history_test.go
@@ -18,7 +18,7 @@
 	unknownOutcome   outcome = "unknown"   // no clear answer
 )
 
-// sentChange is one order, from its first try to the last answer to it. It is known by its body.
+// sentChange is one order, from its first attempt to the last answer to it. It is known by its body.
 type sentChange struct {
 	body           string
 	baseBody       string // the body that it builds on, as its operator knows it
@@ -93,6 +93,7 @@
 			if taken {
 				fail("%q was taken and refused", o.body)
 			}
+		case unknownOutcome: // it may be in force or not
 		}
 	}
 	for _, r := range h.reads {
--- a/internal/tier/controlplane/response_test.go
+++ b/internal/tier/controlplane/response_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// stateIndependent are refusals that need no round trip: what is wrong with the call is wrong at every process for ever. They
+// stateIndependent are rejections that need no round trip: what is wrong with the call is wrong at every process for ever. They
 // are given within the lease only.
 var stateIndependent = map[string]bool{"invalid": true, "too large": true, "no base": true, "not JSON": true}
 
@@ -157,7 +157,7 @@
 	withHarness(t, func(r *harness) {
 		assertStatus(t, r.replace(0, 3), 200)
 		r.join(roleGateway, "e1", func(p *testProcess) { p.acknowledgeDelay = 300 * time.Millisecond })
-		r.advance(500 * time.Millisecond) // its call is held
+		r.advance(500 * time.Millisecond) // its long poll is under way
 		go func() {
 			<-time.After(100 * time.Millisecond)
 			r.store.set(func() { r.store.primary = false })
@@ -171,14 +171,14 @@
 }
 
 // A pair of the same order that arrives at the old and at the new primary of a takeover: whatever the old one says later,
-// it is no refusal and no acknowledgement of its own.
+// it is no rejection and no acknowledgement of its own.
 func TestReplace_SameChangeAtOldAndNewPrimary(t *testing.T) {
 	withHarness(t, func(old *harness) {
 		next := &harness{t: t, store: newMemoryStore(), ctx: old.ctx}
 		next.plane = New(Config{Settings: testSettings(), Store: next.store})
 		go next.plane.Run(next.ctx)
 		assertStatus(t, old.replace(0, 3), 200)
-		next.store.set(func() { // it has the copy, and takes over
+		next.store.set(func() { // it has the state, and takes over
 			old.store.mu.Lock()
 			defer old.store.mu.Unlock()
 			for key, value := range old.store.values {
--- a/internal/tier/controlplane/retained_replicas_test.go
+++ b/internal/tier/controlplane/retained_replicas_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The sessions of two turn stores lapse one after the other, and the first of them loses its disk before the copies that
-// were made meanwhile are synced: the second has what was acknowledged before, a copy under way what came since.
+// The sessions of two turn stores expire one after the other, and the first of them loses its disk before the replicas that
+// were made meanwhile are synced: the second has what was acknowledged before, a replica being synced what came since.
 func TestPlacement_LossAfterSessionExpiries(t *testing.T) {
 	w := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
@@ -42,7 +42,7 @@
 	w.assertBalanced(false)
 }
 
-// Lapses of one session at a time, at any moment, and the loss of one disk: everything acknowledged is served again.
+// Expiries of one session at a time, at any moment, and the loss of one disk: everything acknowledged is served again.
 func TestPlacement_SessionExpiriesAreNoLosses(t *testing.T) {
 	for seed := range uint64(40) {
 		playSessionExpiries(t, mutant{}, seed)
@@ -101,8 +101,8 @@
 	}
 }
 
-// A copy under way does not get on, and another turn store is tried for it; then the primary loses its disk. The copy that was
-// given up has what was acknowledged while it was under way, and the one that had lapsed before what came earlier.
+// A replica being synced makes no progress, and another turn store is tried for it; then the primary loses its disk. The replica that was
+// given up has what was acknowledged while it was under way, and the one that had expired before what came earlier.
 func TestPlacement_LossAfterStalledReplicaReplaced(t *testing.T) {
 	w := newModel(t, nil, 4, 4, FaultTolerance{1, byNode})
 	w.assign(w.input())
@@ -118,7 +118,7 @@
 		in.Stalled[uint32(i)] = p.Primary == primary.folder && hasUnsynced(p)
 	}
 	in.Slow = in.Stalled
-	for range 2 * (w.tolerance.Losses + 1) { // until other turn stores are tried for the copies
+	for range 2 * (w.tolerance.Losses + 1) { // until other turn stores are tried for the replicas
 		w.assign(in)
 		w.countServed()
 	}
@@ -129,7 +129,7 @@
 	w.assertBalanced(false)
 }
 
-// What was retained is forgotten once enough copies are synced, and with its disk.
+// What was retained is forgotten once enough replicas are synced, and with its disk.
 func TestRetainedReplicas_Pruned(t *testing.T) {
 	w := newModel(t, nil, 4, 4, FaultTolerance{1, byNode})
 	w.assign(w.input())
--- a/internal/tier/controlplane/retire_deadlines_test.go
+++ b/internal/tier/controlplane/retire_deadlines_test.go
@@ -80,7 +80,7 @@
 	assert.Equal(t, len(times), 0)
 }
 
-// slowSyncTime is how long a copy takes in these tests, and slowCopiesHold how long a call of their turn stores is held.
+// slowSyncTime is how long the sync of a replica takes in these tests, and slowSyncPoll how long a call of their turn stores is held.
 const (
 	slowSyncTime = 700 * time.Millisecond
 	slowSyncPoll = 50 * time.Millisecond
@@ -94,7 +94,7 @@
 }
 
 // retireWithDeadline orders a machine to be emptied within a time, again and again until that is taken. It gives how long it took
-// from the first time on, and the most copies that were under way at a time once all turn stores were there.
+// from the first time on, and the most replicas that were under way at a time once all turn stores were there.
 func retireWithDeadline(t *testing.T, duration time.Duration, away absence) (took time.Duration, most int) {
 	const again = 500 * time.Millisecond
 	withHarness(t, func(r *harness) {
--- a/internal/tier/controlplane/retire_test.go
+++ b/internal/tier/controlplane/retire_test.go
@@ -74,7 +74,7 @@
 	})
 }
 
-// That a machine has been emptied is written before it is told.
+// That a machine is empty is recorded before operators hear of it.
 func TestRetire_CompletedOnlyWhenRecorded(t *testing.T) {
 	withHarness(t, func(r *harness) {
 		for _, node := range []string{"v1", "v2", "v3"} {
--- a/internal/tier/controlplane/session_expiry_test.go
+++ b/internal/tier/controlplane/session_expiry_test.go
@@ -25,7 +25,7 @@
 	return in
 }
 
-// modelAfterExpiry gives three machines, one loss to be borne, and the first machine's copies taken out as its session lapsed.
+// modelAfterExpiry returns three machines, one loss to be tolerated, and the first machine's replicas taken out as its session expired.
 func modelAfterExpiry(t *testing.T) *placementModel {
 	w := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
@@ -53,7 +53,7 @@
 	return n
 }
 
-// The session of a second turn store lapses while the first, which has no copies any more, is silent too: the third does not go
+// The session of a second turn store expires while the first, which has no replicas any more, is unresponsive too: the third does not go
 // on alone, so that nothing is lost with its disk.
 func TestSessionExpiry_LastStoreWaits(t *testing.T) {
 	w := modelAfterExpiry(t)
@@ -95,7 +95,7 @@
 	assert.Equal(t, w.countServed(), partitionCount)
 }
 
-// When the wait is over, the last one goes on alone as far as it is whole.
+// When the wait is over, the last one goes on alone as far as it is complete.
 func TestSessionExpiry_LastStoreGoesOnAfterWait(t *testing.T) {
 	w := modelAfterExpiry(t)
 	w.assign(w.expire(w.machines[0], w.machines[1]))
@@ -108,7 +108,7 @@
 	assert.Equal(t, w.countServed(), partitionCount)
 }
 
-// A lapse is waited for only where no turn store could take another copy; else the map is the same as after a lapse long ago.
+// An expiry is waited for only where no turn store could take another replica; else the map is the same as after an expiry long ago.
 func TestSessionExpiry_WaitOnlyWithoutReplacement(t *testing.T) {
 	for _, test := range []struct {
 		machines, losses, lapsed int
@@ -143,7 +143,7 @@
 	return list
 }
 
-// A lapsed turn store that comes back with another disk is not waited for.
+// An expired turn store that comes back with another disk is not waited for.
 func TestSessionExpiry_NoWaitForLostDisk(t *testing.T) {
 	w := newModel(t, nil, 2, 2, FaultTolerance{1, byNode})
 	w.assign(w.input())
@@ -162,7 +162,7 @@
 	}
 }
 
-// Sessions of several turn stores lapse, one after the other or at once, and are back within the wait. Where all but one lapse,
+// Sessions of several turn stores expire, one after the other or at once, and are back within the wait. Where all but one expire,
 // that one may lose its disk: everything acknowledged is served again.
 func TestSessionExpiry_SeveralAreNoLosses(t *testing.T) {
 	for seed := range uint64(10) {
@@ -203,7 +203,7 @@
 	}
 }
 
-// unserved gives for how long, from now on, some partition has no primary whose backups are all there, within limit.
+// unavailable returns for how long, from now on, some partition has no primary whose backups are all there, within limit.
 func (r *harness) unserved(gone []string, limit time.Duration) time.Duration {
 	const pace = 10 * time.Millisecond
 	begun := time.Now()
@@ -219,11 +219,11 @@
 	return time.Since(begun)
 }
 
-// How long partitions are unserved: no longer than the detection where another turn store is there, else with a bounded wait.
+// How long partitions are unavailable: no longer than the detection where another turn store is there, else with a bounded wait.
 func TestSessionExpiry_UnavailableTime(t *testing.T) {
 	detection := testSettings().ContactWindow/sessionTTLDivisor + testSettings().ContactWindow/sessionCheckDivisor + 50*time.Millisecond
 	wait := testSettings().ContactWindow / lostReplicaWaitDivisor
-	const unbounded = 30 * time.Second // both have copies: the return of one is waited for
+	const unbounded = 30 * time.Second // both have replicas: the return of one is waited for
 	for _, test := range []struct {
 		name            string
 		stores, killed  int
@@ -259,7 +259,7 @@
 	}
 }
 
-// A new primary has not heard the sessions lapse: the wait begins when its grace is over.
+// A new primary has not seen the sessions expire: the wait begins when its grace is over.
 func TestSessionExpiry_NewPrimaryWaitsAfterGrace(t *testing.T) {
 	withHarness(t, func(r *harness) {
 		var all []*testProcess
@@ -280,7 +280,7 @@
 	})
 }
 
-// One that had told that it leaves is not waited for when it has gone.
+// A draining turn store is not waited for when it has gone.
 func TestSessionExpiry_NoWaitForDrainingStore(t *testing.T) {
 	withHarness(t, func(r *harness) {
 		leaver := r.join(roleTurnStore, "v1", nil)
--- a/internal/tier/controlplane/staleness_test.go
+++ b/internal/tier/controlplane/staleness_test.go
@@ -35,7 +35,7 @@
 	at       time.Time
 }
 
-// startEdge begins a gateway's process that is told of some of the core machines.
+// startEdge starts a gateway's process that knows some of the core machines.
 func (c *cluster) startEdge(ip string, seeds ...*coreMachine) *testGateway {
 	e := &testGateway{c: c, ip: ip}
 	set := settings.Settings{Node: "edge-" + ip, IP: ip, ContactWindow: 3 * time.Second, PortFirst: 7680, PortLast: 7690}
@@ -74,7 +74,7 @@
 	return reply, err
 }
 
-// has gives the revision in force, 0 without one, and since when.
+// has returns the revision in force, 0 without one, and since when.
 func (e *testGateway) has() (revision int64, since time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -106,13 +106,13 @@
 	c.t.Fatalf("nobody takes revision %d", revision)
 }
 
-// withPartitionedPrimary is a cluster of three whose primary is cut off from the others, while gateways hold sessions with it.
+// withPartitionedPrimary is a cluster of three whose primary is partitioned from the others, while gateways hold sessions with it.
 func withPartitionedPrimary(t *testing.T, seed uint64, wrap func(Store) Store, f func(c *cluster, old *coreMachine, rest []*coreMachine)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := &cluster{wrap: wrap}
-		c.setUp(t, ctx, seed, 3)
+		c.setUp(ctx, t, seed, 3)
 		c.replaceConfiguration(0, 3, c.machines...)
 		<-time.After(time.Duration(c.randomIntN(1000)) * time.Millisecond)
 		old := c.leader()
@@ -131,7 +131,7 @@
 
 var partitionSeeds = flag.Int("cut-seeds", 6, "network partitions of each kind in TestStaleness")
 
-// A gateway's process that starts beside a primary that is cut off takes no configuration from it, however long that one
+// A gateway's process that starts beside a primary that is partitioned takes no configuration from it, however long that one
 // believes that it is the primary: its first call is confirmed by the backups.
 func TestStaleness_NewGatewayBesidePartitionedPrimary(t *testing.T) {
 	for name, wrap := range map[string]func(Store) Store{"with a lease": nil, "with a lease far too long": func(s Store) Store { return newStaleLeaseStore(s) }} {
@@ -140,7 +140,7 @@
 				withPartitionedPrimary(t, seed, wrap, func(c *cluster, old *coreMachine, rest []*coreMachine) {
 					var edges []*testGateway
 					c.partition(old, true, true, true)
-					for i := range 6 { // right after the cut, within the lease and after it
+					for i := range 6 { // right after the partition, within the lease and after it
 						ip := fmt.Sprint("10.0.1.", i)
 						for _, m := range rest {
 							c.block(ip, m.ip, true)
@@ -184,7 +184,7 @@
 	forceBound = leaseBound + callBound + 2*findBound // from an acknowledgement to force at a gateway in touch with the primary
 )
 
-// A gateway that is cut off together with the primary hears it as such no longer than a lease after the cut.
+// A gateway that is partitioned together with the primary hears it as such no longer than a lease after the partition.
 func TestStaleness_PartitionedPrimaryServesWithinLease(t *testing.T) {
 	var longest time.Duration
 	for _, way := range []struct {
@@ -222,7 +222,7 @@
 	t.Logf("longest %v after the cut, the bound is %v", longest, leaseBound+slackBound)
 }
 
-// A gateway that reaches both sides of a cut has what the new primary acknowledged within the bound, though it held a
+// A gateway that reaches both sides of a partition has what the new primary acknowledged within the bound, though it held a
 // session with the old one, and never goes back.
 func TestStaleness_GatewayFollowsNewPrimary(t *testing.T) {
 	var longest time.Duration
--- a/internal/tier/controlplane/state_limit_test.go
+++ b/internal/tier/controlplane/state_limit_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// A configuration may have all of the limit. One byte more is refused, with what the limit is; nothing of it is in force,
+// A configuration may have all of the limit. One byte more is rejected, with what the limit is; nothing of it is in force,
 // and a smaller one on the same base is taken.
 func TestReplace_ConfigurationAtLimit(t *testing.T) {
 	withHarness(t, func(r *harness) {
@@ -46,8 +46,8 @@
 	})
 }
 
-// An order that would make the control state too large is refused, as often as it comes, and nothing of it is in force. The
-// primary goes on: what was taken is acknowledged again, and other orders are taken. It is refused only when the backups
+// An order that would make the control state too large is rejected, as often as it comes, and nothing of it is in force. The
+// primary goes on: what was taken is acknowledged again, and other orders are taken. It is rejected only when the backups
 // confirm that nobody else is the primary.
 func TestReplace_StateTooLarge(t *testing.T) {
 	withHarness(t, func(r *harness) {
@@ -79,7 +79,7 @@
 	})
 }
 
-// An order to retire for which there is no room is refused, and so is a change of the turn store map: the primary goes on
+// An order to retire for which there is no room is rejected, and so is a change of the turn store map: the primary goes on
 // answering, and makes the change when there is room again.
 func TestPartitionMap_StateTooLarge(t *testing.T) {
 	withHarness(t, func(r *harness) {
@@ -134,14 +134,14 @@
 }
 
 // The same over the real consensus, through a takeover and a restart of all: an order for which the state has no room is
-// refused by each primary, and the state is as it was.
+// rejected by each primary, and the state is as it was.
 func TestStateLimit_ThroughTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		const limit, order = 256 << 10, 32 << 10
 		c := &cluster{limit: limit}
-		c.setUp(t, ctx, 1, 3)
+		c.setUp(ctx, t, 1, 3)
 		<-time.After(2 * time.Second)
 		send := func(base, revision, size int) int {
 			t.Helper()
--- a/internal/tier/controlplane/status_test.go
+++ b/internal/tier/controlplane/status_test.go
@@ -28,7 +28,7 @@
 		assert.Equal(t, risk().Partitions, uint32(0))
 		assert.Equal(t, risk().PartitionsBorne, int32(1))
 		assert.Equal(t, risk().Losses, uint32(1))
-		stores["v1"].stop() // nobody else can take its copies
+		stores["v1"].stop() // nobody else can take its replicas
 		r.advance(time.Second)
 		at := risk()
 		assert.Equal(t, at.Partitions, uint32(partitionCount))
@@ -44,7 +44,7 @@
 	})
 }
 
-// A turn store whose disk is not sound counts as lost for as long as it tells so, and status tells why.
+// A turn store whose disk is not sound counts as lost for as long as it reports so, and the status says why.
 func TestStatus_StoreWithUnsoundDiskCountsAsLost(t *testing.T) {
 	for _, state := range []tierv1.DiskState{tierv1.DiskState_DISK_FULL, tierv1.DiskState_DISK_FAILING, tierv1.DiskState_DISK_STUCK,
 		tierv1.DiskState_DISK_STUCK + 100} { // the last is one of a later version
@@ -62,7 +62,7 @@
 			}
 			r.advance(3 * time.Second)
 			assert.Equal(t, status().Risk.PartitionsBorne, int32(1))
-			stores["v1"].setDisk(state) // nobody else can take its copies
+			stores["v1"].setDisk(state) // nobody else can take its replicas
 			r.advance(time.Second)
 			now := status()
 			assert.Equal(t, now.Risk.PartitionsBorne, int32(0))
@@ -82,7 +82,7 @@
 	}
 }
 
-// A process of a version before the field disk names its own folder among the synced copies instead.
+// A process of a version before the field disk names its own folder among the synced replicas instead.
 func TestStatus_UnsoundDiskOfOlderVersion(t *testing.T) {
 	own := &tierv1.SyncedReplica{Folder: "v1.1"}
 	other := &tierv1.SyncedReplica{Folder: "v2.1", Partition: 3, Epoch: 1}
@@ -110,13 +110,13 @@
 	}
 }
 
-// Status tells of the real consensus whether another loss of a core machine is borne.
+// Status tells of the real consensus whether another loss of a core machine is tolerated.
 func TestStatus_LostCoreMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := &cluster{}
-		c.setUp(t, ctx, 1, 3)
+		c.setUp(ctx, t, 1, 3)
 		c.replaceConfiguration(0, 3, c.machines...)
 		<-time.After(2 * time.Second)
 		leader := c.leader()
--- a/internal/tier/controlplane/stored_state_test.go
+++ b/internal/tier/controlplane/stored_state_test.go
@@ -22,7 +22,7 @@
 
 // The files in storedStateDir were written by the program of revision eea23b3 and are never written anew: whatever a later
 // version changes, it must read them. They hold a control state with five configurations taken one after the other, four
-// turn stores, one machine that was retired, one that is being retired while its copies are under way, and one that was lost.
+// turn stores, one machine that was retired, one that is being retired while its replicas are under way, and one that was lost.
 //
 //	keys.txt     a line each: key, sequence and value (hexadecimal) of the control state
 //	listing.txt  what is in that state, in words
@@ -106,7 +106,7 @@
 	})
 }
 
-// loadDisk gives a disk in memory with the files of a stored data directory.
+// loadDisk returns a disk in memory with the files of a stored data directory.
 func loadDisk(t *testing.T, from string) *wal.Memory {
 	t.Helper()
 	disk := wal.NewMemory()
@@ -149,7 +149,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := &cluster{}
-		c.addMachines(t, ctx, 1, 3)
+		c.addMachines(ctx, t, 1, 3)
 		for _, m := range c.machines {
 			m.disk = loadDisk(t, filepath.Join(storedStateDir, m.node))
 		}
--- a/internal/tier/controlplane/substitute_test.go
+++ b/internal/tier/controlplane/substitute_test.go
@@ -9,7 +9,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// modelWhileRetiring gives three machines, one loss to be borne, and the first being emptied as the second falls silent for longer
+// modelWhileRetiring returns three machines, one loss to be tolerated, and the first being emptied as the second becomes unresponsive for longer
 // than is waited for.
 func modelWhileRetiring(t *testing.T) *placementModel {
 	w := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
@@ -21,7 +21,7 @@
 	return w
 }
 
-// countReplicas counts the partitions that have a copy on a machine.
+// countReplicas counts the partitions that have a replica on a machine.
 func (w *placementModel) countReplicas(m *modelMachine) (n int) {
 	for _, p := range w.partitionMap.Partitions {
 		if slices.Contains(replicaFolders(p), m.folder) {
@@ -31,7 +31,7 @@
 	return n
 }
 
-// A machine that is being emptied takes the second copies where no other can, and is not empty before others have them.
+// A machine that is being emptied takes the second replicas where no other can, and is not empty before others have them.
 func TestSubstitute_RetiringStoreTakesReplicas(t *testing.T) {
 	w := modelWhileRetiring(t)
 	emptied, silent, last := w.machines[0], w.machines[1], w.machines[2]
@@ -55,13 +55,13 @@
 	w.assertBalanced(false)
 }
 
-// The machine that holds the only other copies is lost for good meanwhile: what was acknowledged is served by the one that is
-// being emptied, though the silent one has not returned.
+// The machine that holds the only other replicas is lost for good meanwhile: what was acknowledged is served by the one that is
+// being emptied, though the unresponsive one has not returned.
 func TestSubstitute_ServesAfterLoss(t *testing.T) {
 	for _, synced := range []bool{true, false} {
 		w := modelWhileRetiring(t)
 		w.assign(w.input())
-		w.countServed() // in the epoch of the stand-ins
+		w.countServed() // in the epoch of the substitutes
 		if synced {
 			for range 3 {
 				w.step()
@@ -69,14 +69,14 @@
 			w.countServed()
 		}
 		w.wipe(w.machines[2], true)
-		w.machines[1].partitioned = synced // copies under way cover what the silent one has not, and it the rest
+		w.machines[1].partitioned = synced // replicas being synced cover what the unresponsive one has not, and it the rest
 		w.reports = nil
 		w.runUntilStable()
 		assert.Equal(t, w.countServed(), partitionCount, "synced: %v", synced)
 	}
 }
 
-// A machine that was told to be empty may be taken away at any moment: it stands in for none.
+// A machine that was reported empty may be removed at any moment: it is a substitute for none.
 func TestSubstitute_NotEmptiedStore(t *testing.T) {
 	w := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
@@ -90,7 +90,7 @@
 	assert.Equal(t, w.countReplicas(w.machines[0]), 0)
 }
 
-// One that is being emptied and has heard SIGTERM does not stand in either, nor is it counted as a copy that stays.
+// One that is being emptied and is draining is no substitute either, nor is it counted as a replica that stays.
 func TestSubstitute_NotDrainingStore(t *testing.T) {
 	w := modelWhileRetiring(t)
 	w.machines[0].draining = true
@@ -99,7 +99,7 @@
 	assert.Equal(t, w.countReplicas(w.machines[0]), before)
 }
 
-// Where a turn store stays, none that is being emptied gets a copy.
+// Where a turn store stays, none that is being emptied gets a replica.
 func TestSubstitute_StayingStorePreferred(t *testing.T) {
 	w := newModel(t, nil, 4, 4, FaultTolerance{1, byNode})
 	w.assign(w.input())
--- a/internal/tier/controlplane/watch.go
+++ b/internal/tier/controlplane/watch.go
@@ -10,7 +10,7 @@
 // Sessions returns the service that gateways, turn stores and the command line call.
 func (plane *ControlPlane) Sessions() tierv1.ControlPlane { return &sessionService{plane} }
 
-// sessionService implements tierv1.ControlPlane: Watch here, Status in status.go and ReportEjections in ejections.go.
+// sessionService implements tierv1.ControlPlane: Watch here, Status in status.go and ReportEjections in ejection_push.go.
 type sessionService struct{ plane *ControlPlane }
 
 // Watch is a long poll. It answers at once where something is newer than what the caller has, else when its time is over.
--- a/internal/tier/controlplane/watch_test.go
+++ b/internal/tier/controlplane/watch_test.go
@@ -148,7 +148,7 @@
 		}
 		assert.Assert(t, load["v3.2"] >= 21, "%v", load)
 
-		// The old folder is dead for ever.
+		// The old folder never counts again.
 		old := r.join(roleTurnStore, "v3", func(p *testProcess) { p.request.Incarnation = "old" })
 		v = r.partitionMap()
 		r.advance(5 * time.Second)
--- a/internal/tier/session/compression_test.go
+++ b/internal/tier/session/compression_test.go
@@ -23,8 +23,8 @@
 	return b.Bytes()
 }
 
-// A list of endpoints that comes packed is taken with its entries and version; one that was spoilt on its way is neither
-// taken nor acknowledged, nor is it taken for an empty one.
+// A list of endpoints that comes compressed is delivered with its entries and version; one that was damaged on its way is neither
+// delivered nor acknowledged, nor is it taken for an empty one.
 func TestApply_DamagedEndpointsIgnored(t *testing.T) {
 	want := &tierv1.Endpoints{Version: 9, List: []*tierv1.Endpoint{{Instance: "i-1", Service: "s", Draining: true}, {Instance: "i-2", Service: "s"}}}
 	entries, err := proto.Marshal(&tierv1.Endpoints{List: want.List})
@@ -47,7 +47,7 @@
 	assert.Equal(t, s.applied.EndpointsVersion, want.Version)
 }
 
-// A configuration that was spoilt on its way is neither taken nor acknowledged, wherever it was cut or changed.
+// A configuration that was damaged on its way is neither delivered nor acknowledged, wherever it was truncated or changed.
 func TestApply_DamagedConfigurationIgnored(t *testing.T) {
 	body := []byte(`{"revision":7,"routes":[{"name":"r-1"},{"name":"r-2"}]}`)
 	var b bytes.Buffer
--- a/internal/tier/session/lease_internal_test.go
+++ b/internal/tier/session/lease_internal_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A search that took longer than it may was held up in this process: it does not show that the process is cut off.
+// A search that took longer than it may was held up in this process: it does not show that the process is partitioned.
 func TestLease_DelayedSearchShowsNothing(t *testing.T) {
 	const limit = time.Second
 	begun := time.Now()
--- a/internal/tier/session/lease_test.go
+++ b/internal/tier/session/lease_test.go
@@ -16,7 +16,7 @@
 // leaseLength is of a session with the settings of tiertest, whose contact window is 4 s.
 const leaseLength = 2400 * time.Millisecond
 
-// currentUntil samples for a time whether the session's views are current, and gives when they were first found not to be;
+// currentUntil samples for a time whether the session's updates are current, and returns when they were first found not to be;
 // the whole time if they always were.
 func (r *harness) currentUntil(span time.Duration) time.Duration {
 	const every = 20 * time.Millisecond
@@ -29,7 +29,7 @@
 	return span
 }
 
-// withActiveSession is a session in a bubble of its own time that has taken a list; from then on, its calls go through via.
+// withActiveSession is a session in virtual time that has delivered a list; from then on, its calls go through via.
 func withActiveSession(t *testing.T, f func(r *harness, c *tiertest.ControlPlane)) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newHarness(t, 1)
@@ -63,7 +63,7 @@
 	})
 }
 
-// A process whose session does not get on, as it is paused or overloaded, does not act on its views beyond the lease. It does
+// A process whose session makes no progress, as it is paused or overloaded, does not act on its updates beyond the lease. It does
 // again once it has heard from the primary.
 func TestCurrent_PausedProcess(t *testing.T) {
 	withActiveSession(t, func(r *harness, c *tiertest.ControlPlane) {
@@ -85,7 +85,7 @@
 	})
 }
 
-// A process that is cut off goes on with what it has, however long that lasts.
+// A process that is partitioned goes on with what it has, however long that lasts.
 func TestCurrent_PartitionedProcess(t *testing.T) {
 	withActiveSession(t, func(r *harness, c *tiertest.ControlPlane) {
 		c.SetInterceptor(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
@@ -97,7 +97,7 @@
 }
 
 // A process that reaches the primary, but does not get what is new from it, is not current beyond its lease; also if it was
-// cut off before.
+// partitioned before.
 func TestCurrent_PrimaryReachableWithoutUpdates(t *testing.T) {
 	for name, cut := range map[string]time.Duration{"from the first": 0, "after a cut": 10 * time.Second} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -101,7 +101,7 @@
 	r.at(n).Update(func(v *tierv1.WatchReply) { v.IsPrimary, v.PrimaryHint = false, address(to) })
 }
 
-// isLongPoll is a call that holds a session, rather than one that only looks.
+// isLongPoll tells a call of a session from one that only observes.
 func isLongPoll(q *tierv1.WatchRequest) bool { return q.Role != "" }
 
 func TestSession_PrimaryFoundByHint(t *testing.T) {
@@ -212,7 +212,7 @@
 	}
 }
 
-// makeUnresponsive has calls from now on held and never answered.
+// makeUnresponsive lets calls from now on wait without an answer.
 func makeUnresponsive(c *tiertest.ControlPlane) {
 	c.SetInterceptor(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 		<-ctx.Done()
@@ -285,7 +285,7 @@
 	c.Await(t, "a session", isLongPoll)
 }
 
-// Of several that say nothing and one that answers, the one is found: all are asked at once.
+// Among several that do not answer, the one that does is found: all are asked at once.
 func TestSession_OneOfManyCandidatesAnswers(t *testing.T) {
 	r := newHarness(t, 5)
 	for n := 1; n <= 4; n++ {
@@ -332,7 +332,7 @@
 	}
 }
 
-// A change of the disk's state is told at once, as Synced's channel closes with it.
+// A change of the disk's state is reported at once, as Synced's channel closes with it.
 func TestSession_DiskStateReportedAtOnce(t *testing.T) {
 	r := newHarness(t, 1)
 	c := r.primary(1)
@@ -404,7 +404,7 @@
 	}
 }
 
-// A session that has never stood has nothing left.
+// A session that has never been active has nothing left.
 func TestRemaining_NeverActive(t *testing.T) {
 	client := session.New(session.Config{Settings: tiertest.Settings("edge-1"), Role: "gateway", Log: tiertest.DiscardLogger()})
 	assert.Equal(t, client.Remaining(), time.Duration(0))
