--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -1,5 +1,5 @@
-// Package boltfile opens bbolt files and works on them so that damage is an error. bbolt maps its file: pages that are damaged
-// make it panic, and a file that was cut short under it is a fault of the machine's.
+// Package boltfile opens bbolt files, and runs transactions on them, so that damage is an error. bbolt maps its file: damaged pages make
+// it panic, and a file that is truncated while it is mapped faults the process (SIGBUS).
 package boltfile
 
 import (
@@ -14,44 +14,81 @@
 	berrors "go.etcd.io/bbolt/errors"
 )
 
-// lockTime is how long another process may hold a file.
-const lockTime = 2 * time.Second
+// DamagedError is a file, or pages of it, that bbolt can't read.
+type DamagedError struct {
+	Path   string // empty: the file that the transaction was on
+	Detail string // what bbolt panicked with
+}
+
+// Error names the file.
+func (e *DamagedError) Error() string {
+	if e.Path == "" {
+		return "the file is damaged: " + e.Detail
+	}
+	return e.Path + " is damaged: " + e.Detail
+}
+
+// LockedError is a file that another process has open.
+type LockedError struct{ Path string }
+
+// Error names the file.
+func (e *LockedError) Error() string {
+	return e.Path + " is held by another process: a sender that runs"
+}
+
+// TruncatedError is a file that is shorter than its first pages say.
+type TruncatedError struct {
+	Pages    int64 // that it says it has; 0: it is too short to say
+	PageSize int64 // bytes
+	Size     int64 // bytes
+}
+
+// Error tells the sizes.
+func (e *TruncatedError) Error() string {
+	if e.PageSize == 0 {
+		return fmt.Sprintf("it is cut short: %d bytes", e.Size)
+	}
+	return fmt.Sprintf("it is cut short: it says %d pages of %d bytes, and has %d bytes", e.Pages, e.PageSize, e.Size)
+}
+
+// lockTimeout is how long to wait for a file that another process has open.
+const lockTimeout = 2 * time.Second
 
-// Open opens a file, or makes it unless it is only to be read. A damaged one, or one that another process holds, is an
-// error that names it, and is left as it is.
+// Open opens a file, or creates it unless it is read only. A file that is damaged, or open in another process (*LockedError), is an error
+// that names it, and is left as it is.
 func Open(path string, readOnly bool) (db *bolt.DB, err error) {
 	defer func() { // bbolt panics at some damage
 		if p := recover(); p != nil {
-			db, err = nil, fmt.Errorf("%s is damaged: %v", path, p)
+			db, err = nil, &DamagedError{Path: path, Detail: fmt.Sprint(p)}
 		}
 	}()
-	if err := whole(path); err != nil {
+	if err := checkLength(path); err != nil {
 		return nil, fmt.Errorf("%s is damaged: %w", path, err)
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	db, err = bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTime, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType, NoFreelistSync: true})
+	db, err = bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType, NoFreelistSync: true})
 	switch {
 	case errors.Is(err, berrors.ErrTimeout):
-		return nil, fmt.Errorf("%s is held by another process: a sender that runs", path)
+		return nil, &LockedError{Path: path}
 	case errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum), errors.Is(err, berrors.ErrVersionMismatch):
 		return nil, fmt.Errorf("%s is damaged, or no store: %w", path, err)
 	}
 	return db, err
 }
 
-// Guarded runs a transaction; one that meets damage is an error, and as if it had not been.
+// Guarded runs a transaction. One that meets damage returns a *DamagedError and has no effect.
 func Guarded(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("the file is damaged: %v", p)
+			err = &DamagedError{Detail: fmt.Sprint(p)}
 		}
 	}()
 	return f()
 }
 
-// whole is whether a file has all the pages that it says it has: bbolt would read behind its end.
-func whole(path string) error {
+// checkLength returns a *TruncatedError for a file that has fewer pages than it says: bbolt would read behind its end.
+func checkLength(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -68,30 +105,30 @@
 	// list, page count, transaction, checksum (8 each), in the machine's order.
 	const magic = 0xED0CDAED
 	size := int64(os.Getpagesize())
-	most := int64(-1)
+	pages := int64(-1)
 	for i := range int64(2) {
 		b := make([]byte, 80)
 		if _, err := f.ReadAt(b, i*size); err != nil {
-			return fmt.Errorf("it is cut short: %d bytes", info.Size())
+			return &TruncatedError{Size: info.Size()}
 		}
 		m := b[16:]
 		if binary.NativeEndian.Uint32(m) != magic {
 			continue // bbolt says what it thinks of that
 		}
-		if pages := int64(binary.NativeEndian.Uint64(m[40:])); pages >= 0 && pages < 1<<40 {
-			most = max(most, pages)
+		if n := int64(binary.NativeEndian.Uint64(m[40:])); n >= 0 && n < 1<<40 {
+			pages = max(pages, n)
 		}
 	}
-	if most*size > info.Size() {
-		return fmt.Errorf("it is cut short: it says %d pages of %d bytes, and has %d bytes", most, size, info.Size())
+	if pages*size > info.Size() {
+		return &TruncatedError{Pages: pages, PageSize: size, Size: info.Size()}
 	}
 	return nil
 }
 
-// Number is a number as files hold it: eight octets, the highest first.
+// Number encodes a number as files have it: eight bytes, big endian.
 func Number(v int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(v)) }
 
-// Value reads a Number; what is none is 0.
+// Value decodes a Number; anything else is 0.
 func Value(b []byte) int64 {
 	if len(b) != 8 {
 		return 0
--- a/internal/mapping/mapping.go
+++ b/internal/mapping/mapping.go
@@ -63,12 +63,29 @@
 // maxDestination is the highest number of a destination.
 const maxDestination = 1<<16 - 1
 
-// Refusal is why an event is turned away. Rule is the place of the rule that did so, -1 where none fitted.
+// RuleError is a rule that can't be as it is, or a template that can't be filled in.
+type RuleError struct{ detail string }
+
+func ruleError(format string, args ...any) error {
+	return &RuleError{detail: fmt.Sprintf(format, args...)}
+}
+
+// Error names the setting and what is wrong with it.
+func (e *RuleError) Error() string { return e.detail }
+
+// Errors of rules that name too much or too little.
+var (
+	errRefuseExcludes = errors.New("refuse excludes class, tenant, destination, key, order and deadline")
+	errTargetNeeded   = errors.New("class and destination are needed, or refuse")
+)
+
+// Refusal is why an event is rejected. Rule is the index of the rule that did so, -1 where none matched.
 type Refusal struct {
 	Rule int
 	Text string
 }
 
+// Error returns the text for the client.
 func (r *Refusal) Error() string { return r.Text }
 
 // Check finds what is wrong with a rule by itself: conditions that can't be read and names that nothing captures.
@@ -79,18 +96,18 @@
 	}
 	for name, v := range map[string]string{"type": r.Type, "source": r.Source} {
 		if strings.Contains(strings.TrimSuffix(v, "*"), "*") {
-			return fmt.Errorf("%s = %q: a * stands at the end only", name, v)
+			return ruleError("%s = %q: a * stands at the end only", name, v)
 		}
 	}
 	for name, v := range r.Extensions {
 		if strings.Contains(strings.TrimSuffix(v, "*"), "*") {
-			return fmt.Errorf("extensions.%s = %q: a * stands at the end only", name, v)
+			return ruleError("extensions.%s = %q: a * stands at the end only", name, v)
 		}
 		if name == "" || strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789") != "" {
-			return fmt.Errorf("extensions: %q is no name of an extension: lower-case letters and digits", name)
+			return ruleError("extensions: %q is no name of an extension: lower-case letters and digits", name)
 		}
 		if slices.Contains(standard, name) {
-			return fmt.Errorf("extensions: %s is an attribute of every event and no extension", name)
+			return ruleError("extensions: %s is an attribute of every event and no extension", name)
 		}
 	}
 	var known []string
@@ -99,18 +116,18 @@
 			continue
 		}
 		if slices.Contains(known, p.capture) {
-			return fmt.Errorf("subject: {%s} is captured twice", p.capture)
+			return ruleError("subject: {%s} is captured twice", p.capture)
 		}
 		known = append(known, p.capture)
 	}
 	if r.Refuse != "" {
 		if r.Class+r.Tenant+r.Destination+r.Key+r.Order != "" || r.Deadline != 0 {
-			return errors.New("refuse excludes class, tenant, destination, key, order and deadline")
+			return errRefuseExcludes
 		}
 		return nil
 	}
 	if r.Class == "" || r.Destination == "" {
-		return errors.New("class and destination are needed, or refuse")
+		return errTargetNeeded
 	}
 	for _, f := range []struct{ name, text string }{{"class", r.Class}, {"tenant", r.Tenant}, {"destination", r.Destination}, {"key", r.Key}, {"order", r.Order}} {
 		_, err := fill(f.text, func(name string) (string, bool) {
@@ -181,18 +198,18 @@
 			name, closed := strings.CutSuffix(inner, "}")
 			name, p.rest = strings.CutSuffix(name, "...")
 			if !closed || name == "" || strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789_") != "" || slices.Contains(variables, name) {
-				return nil, fmt.Errorf("%q is no capture: {name} of lower-case letters, digits and _, and none of %v", t, variables)
+				return nil, ruleError("%q is no capture: {name} of lower-case letters, digits and _, and none of %v", t, variables)
 			}
 			if p.rest && i < len(texts)-1 {
-				return nil, fmt.Errorf("%q stands at the end only", t)
+				return nil, ruleError("%q stands at the end only", t)
 			}
 			p.capture = name
 		case strings.ContainsAny(t, "{}"):
-			return nil, fmt.Errorf("%q: a capture is a part by itself", t)
+			return nil, ruleError("%q: a capture is a part by itself", t)
 		default:
 			p.text, p.open = strings.CutSuffix(t, "*")
 			if p.open && i < len(texts)-1 || strings.Contains(p.text, "*") {
-				return nil, fmt.Errorf("%q: a * stands at the end only", t)
+				return nil, ruleError("%q: a * stands at the end only", t)
 			}
 		}
 	}
@@ -302,7 +319,7 @@
 			name := text[i+1 : i+n]
 			v, ok := value(name)
 			if !ok {
-				return "", fmt.Errorf("nothing is called {%s}", name)
+				return "", ruleError("nothing is called {%s}", name)
 			}
 			b.WriteString(v)
 			i += n
--- a/internal/mapping/mapping_test.go
+++ b/internal/mapping/mapping_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestFind(t *testing.T) {
+func TestRules_Find(t *testing.T) {
 	for name, c := range map[string]struct {
 		attributes []string
 		want       Target
@@ -75,7 +75,7 @@
 }
 
 // Explain tells of each rule passed over why, and of the one that fits what it makes.
-func TestExplain(t *testing.T) {
+func TestRules_Explain(t *testing.T) {
 	lines := strings.Join(rules().Explain(event("subject=member/9/card/x")), "\n")
 	for _, want := range []string{`rule tests: does not fit: type "org.example.card.issued" is not "org.example.test.*"`, "rule member: fits",
 		"class keyed, tenant acme, destination 9, deadline 5s, key /members/7#x, order 9"} {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestRule_Check(t *testing.T) {
 	for _, r := range rules().List {
 		if err := r.Check(); err != nil {
 			t.Errorf("%s: %v", r.Name, err)
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestReachable(t *testing.T) {
+func TestRules_Reachable(t *testing.T) {
 	r := rules()
 	if i, j, ok := r.Reachable(); ok {
 		t.Errorf("rule %d is hidden by %d", i, j)
