--- a/internal/tier/simulation/batch.go
+++ b/internal/tier/simulation/batch.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"bytes"
 	"context"
 	"sync"
 	"sync/atomic"
@@ -11,14 +10,6 @@
 // GCPercent suits plays: a bubble makes much garbage and holds little.
 const GCPercent = 3000 // percent of what is held
 
-// Failure is a script that broke a promise.
-type Failure struct {
-	Script         Script
-	Violation      *Violation
-	Trace          []byte // of the play
-	SimulatorError string // of the simulator itself, if that failed
-}
-
 // Batch is many seeds to be played.
 type Batch struct {
 	From, Seeds uint64
@@ -79,31 +70,3 @@
 	t.Orders += r.Orders
 	t.Turns += r.Turns
 }
-
-func text(err error) string {
-	if err == nil {
-		return ""
-	}
-	return err.Error()
-}
-
-// playTraced plays a script and keeps its trace.
-func playTraced(script Script, options Options) (Result, []byte, error) {
-	var trace bytes.Buffer
-	options.Trace = &trace
-	result, err := Play(script, options)
-	return result, trace.Bytes(), err
-}
-
-// Replay plays a script until it breaks a promise, so many times at most, and gives the last play.
-func Replay(script Script, options Options, times int) Failure {
-	var f Failure
-	for range times {
-		result, trace, err := playTraced(script, options)
-		f = Failure{script, result.Violation, trace, text(err)}
-		if f.Violation != nil || err != nil {
-			break
-		}
-	}
-	return f
-}
--- a/internal/tier/simulation/orders.go
+++ b/internal/tier/simulation/check_configuration.go
@@ -8,35 +8,36 @@
 	"time"
 )
 
-// configurationChecker checks what operators ordered and read against a register that knows no code: each order names the revision that it
-// replaces, revisions rise, and so all that was ever in force is one chain.
+// configurationChecker checks the changes and reads of operators against a model: each change names the revision that it replaces,
+// revisions increase, and so all that was ever in force is one chain.
 type configurationChecker struct {
 	report reporter
 
 	mu        sync.Mutex
 	all       []*configurationChange
 	byBody    map[string]*configurationChange
-	byBase    map[int64]*configurationChange // taken, by the revision it replaced
-	floors    []floor                        // rising in both
+	byBase    map[int64]*configurationChange // in force once, by the revision it replaced
+	floors    []floor                        // increasing in both fields
 	confirmed int
 }
 
-// configurationChange is one order to replace the configuration, however often it is sent.
+// configurationChange is one request to replace the configuration, however often it is sent.
 type configurationChange struct {
 	id             int
 	base, revision int64
 	body           string
 	began          time.Duration
 	acknowledged   bool
-	inForce        bool // it was in force: acknowledged, read back, or shown to a gateway
-	rejectedStatus int  // status
+	inForce        bool // it is known to have been in force: acknowledged, read back, or sent to a gateway
+	rejectedStatus int  // HTTP status; 0: it was not rejected
 }
 
+// String returns the change as violations name it.
 func (o *configurationChange) String() string {
 	return fmt.Sprintf("order %d (revision %d on %d)", o.id, o.revision, o.base)
 }
 
-// floor is the least revision in force from a time on.
+// floor is the minimum of the revisions in force from a time on.
 type floor struct {
 	at       time.Duration
 	revision int64
@@ -46,7 +47,7 @@
 	return &configurationChecker{report: report, byBody: map[string]*configurationChange{}, byBase: map[int64]*configurationChange{}}
 }
 
-// begin notes an order before it is first sent, and gives its number and body.
+// begin records a change before it is first sent, and returns it with its number and body.
 func (c *configurationChecker) begin(now time.Duration, base, revision int64) *configurationChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,14 +58,14 @@
 	return o
 }
 
-// recordResponse takes the final answer to an order: 200 or 4xx.
+// recordResponse records the final response to a change: 200 or 4xx.
 func (c *configurationChecker) recordResponse(now time.Duration, o *configurationChange, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if status == http.StatusOK {
 		o.acknowledged = true
 		c.confirmed++
-		c.markInForce(o)
+		c.recordInForce(o)
 		c.raiseFloor(now, o.revision)
 		return
 	}
@@ -79,7 +80,7 @@
 	c.checkRejection(o)
 }
 
-// checkRejection checks that another order may have been in force in the place of one that was refused.
+// checkRejection checks that another change may have been in force in the place of one that was rejected.
 func (c *configurationChecker) checkRejection(o *configurationChange) {
 	for _, other := range c.all {
 		if other != o && other.base == o.base {
@@ -89,8 +90,8 @@
 	c.report(RuleRejection, "%v was refused with %d, and nothing else was ever ordered on %d", o, o.rejectedStatus, o.base)
 }
 
-// markInForce notes that an order was taken. The lock is held.
-func (c *configurationChecker) markInForce(o *configurationChange) {
+// recordInForce records that a change was in force. The caller holds mu.
+func (c *configurationChecker) recordInForce(o *configurationChange) {
 	if o.inForce {
 		return
 	}
@@ -104,7 +105,7 @@
 	c.byBase[o.base] = o
 }
 
-// raiseFloor notes that no revision below is in force from now on. The lock is held.
+// raiseFloor records that no lower revision is in force from now on. The caller holds mu.
 func (c *configurationChecker) raiseFloor(now time.Duration, revision int64) {
 	if n := len(c.floors); n > 0 && c.floors[n-1].revision >= revision {
 		return
@@ -112,14 +113,14 @@
 	c.floors = append(c.floors, floor{now, revision})
 }
 
-// floor is the least revision that a read beginning now may give.
+// floor returns the minimum revision that a read beginning now may return.
 func (c *configurationChecker) floor() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.floorAt(math.MaxInt64)
 }
 
-// floorAt is the least revision in force since a time. The lock is held.
+// floorAt returns the minimum revision in force since a time. The caller holds mu.
 func (c *configurationChecker) floorAt(t time.Duration) (revision int64) {
 	for i := len(c.floors) - 1; i >= 0; i-- {
 		if c.floors[i].at <= t {
@@ -129,7 +130,7 @@
 	return 0
 }
 
-// recordRead takes what was read back (empty: that there is nothing) by a call that began when floor stood, and gives its revision.
+// recordRead records what was read back (empty: no configuration) by a call that began at a floor, and returns its revision.
 func (c *configurationChecker) recordRead(now time.Duration, floor int64, body string) (revision int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +140,7 @@
 			c.report(RuleRead, "a configuration was read back that nobody ordered")
 			return 0, false
 		}
-		c.markInForce(o)
+		c.recordInForce(o)
 		revision = o.revision
 	}
 	if revision < floor {
@@ -150,7 +151,7 @@
 	return revision, true
 }
 
-// recordShown takes a configuration that a gateway was shown, and gives its revision.
+// recordShown records a configuration that a gateway received, and returns its revision.
 func (c *configurationChecker) recordShown(body string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,7 +160,7 @@
 		c.report(RuleKnownConfiguration, "a gateway was shown a configuration that nobody ordered")
 		return 0
 	}
-	c.markInForce(o)
+	c.recordInForce(o)
 	return o.revision
 }
 
@@ -173,11 +174,11 @@
 	}
 }
 
-// newestAcknowledged gives orders that were acknowledged, the newest ones.
-func (c *configurationChecker) newestAcknowledged(most int) (list []*configurationChange) {
+// newestAcknowledged returns the newest acknowledged changes, at most maximum.
+func (c *configurationChecker) newestAcknowledged(maximum int) (list []*configurationChange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := len(c.all) - 1; i >= 0 && len(list) < most; i-- {
+	for i := len(c.all) - 1; i >= 0 && len(list) < maximum; i-- {
 		if c.all[i].acknowledged {
 			list = append(list, c.all[i])
 		}
--- a/internal/tier/simulation/recovery.go
+++ b/internal/tier/simulation/check_recovery.go
@@ -8,7 +8,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// checkRecovery checks that orders and turns are served, that nothing is missing, and that every partition has all its copies.
+// checkRecovery checks at the end of a play that changes and turns are served, that nothing is lost, and that every partition has all
+// its replicas.
 func (w *world) checkRecovery() {
 	w.trace("recovered?")
 	o := newOperator(w, operatorPrefix+"last", watcherIP)
@@ -32,7 +33,7 @@
 	}
 }
 
-// checkIdempotence checks that orders which were acknowledged are so again, though others were taken on top of them.
+// checkIdempotence checks that changes which were acknowledged are acknowledged again, though others have replaced them.
 func (w *world) checkIdempotence(o *operator) {
 	for _, old := range w.checks.configuration.newestAcknowledged(changesRepeated) {
 		if !o.send(old) && !w.ending() {
@@ -41,7 +42,7 @@
 	}
 }
 
-// checkMembers checks that the control plane has all its members, and bears again what it has to: whatever is lost, a majority of the
+// checkMembers checks that the control plane has all its members, and tolerates again what it has to: whatever is lost, a majority of the
 // members is left, and one of the primary and its backups.
 func (w *world) checkMembers() {
 	leader := w.leader()
@@ -75,7 +76,7 @@
 	}
 }
 
-// maxMembersLost is how many of the members lie in the n domains that have the most of them.
+// maxMembersLost returns how many of the members are in the n domains that have the most of them.
 func maxMembersLost(domains map[string]string, n int) (sum int) {
 	count := map[string]int{}
 	for _, domain := range domains {
@@ -88,7 +89,7 @@
 	return sum
 }
 
-// checkReplicas checks that each partition of the newest map has its copies, all on turn stores that are there, and in as many zones
+// checkReplicas checks that each partition of the newest map has its replicas, all on turn stores that are there, and in as many zones
 // or regions where these are lost.
 func (w *world) checkReplicas() {
 	ctx, cancel := context.WithTimeout(w.ctx, callTimeout)
@@ -138,7 +139,7 @@
 	}
 }
 
-// nodeOfFolder gives the machine on which a folder is.
+// nodeOfFolder returns the machine on which a folder is.
 func (w *world) nodeOfFolder(folder string) string {
 	for _, m := range w.machinesOfKind(roleTurnStore) {
 		if p, _ := m.process(); p != nil && p.role.(*turnStoreRole).store.Folder() == folder {
@@ -148,7 +149,7 @@
 	return ""
 }
 
-// checkTurns checks that all turns that were kept are still there, and that all that is charged still is.
+// checkTurns checks that all stored turns are still there, and that all that is charged still is.
 func (w *world) checkTurns() {
 	gateways := w.machinesOfKind(roleGateway)
 	p, _ := gateways[0].process()
@@ -171,36 +172,3 @@
 		}
 	}
 }
-
-// minCharge is what is charged to a program in any case.
-func (c *turnChecker) minCharge(p *program) uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return p.minCharge()
-}
-
-// newestStoredTurns gives the last kept turn of each program.
-func (c *turnChecker) newestStoredTurns() (ids []string) {
-	for _, p := range c.allPrograms() {
-		if kept := c.storedTurns(p); len(kept) > 0 {
-			ids = append(ids, kept[len(kept)-1])
-		}
-	}
-	return ids
-}
-
-// allPrograms gives all programs, in the order of their names.
-func (c *turnChecker) allPrograms() (list []*program) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, p := range c.programs {
-		list = append(list, p)
-	}
-	slices.SortFunc(list, func(a, b *program) int {
-		if a.name < b.name {
-			return -1
-		}
-		return 1
-	})
-	return list
-}
--- a/internal/tier/simulation/turns.go
+++ b/internal/tier/simulation/check_turns.go
@@ -8,8 +8,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// turnChecker checks what gateways are answered by turn stores: no turn that was kept is missing or changed, no budget is exceeded, and
-// none is called spent that has room.
+// turnChecker checks the replies of turn stores to gateways: no stored turn is missing or changed, no budget is exceeded, and none is
+// called exhausted that is not.
 type turnChecker struct {
 	report reporter
 
@@ -17,7 +17,7 @@
 	programs    map[string]*program
 	attempts    map[string]*attempt
 	number      int
-	events      int // that were noted: the order of what was begun and settled
+	events      int // sequence number of the last begin or settlement
 	turnsServed int
 	answered    int            // by endpoints
 	runs        map[string]int // of endpoints, by attempt
@@ -31,7 +31,7 @@
 	exhausted bool
 }
 
-// attempt is a turn on its way.
+// attempt is one attempt of a turn.
 type attempt struct {
 	id, previous       string
 	program            *program
@@ -40,9 +40,10 @@
 	settleSent         bool // Settle was sent
 	settleAcknowledged bool // Settle was answered OK
 	began, ended       int  // when it began and was settled, in events
-	stored             bool // and the turn is to be kept
+	stored             bool // the turn is to be stored
 }
 
+// String returns the attempt as violations name it.
 func (a *attempt) String() string {
 	return fmt.Sprintf("%s of %s after %q, at most %d tokens", a.id, a.program.name, a.previous, a.maxTokens)
 }
@@ -58,7 +59,7 @@
 	return &turnChecker{report: report, programs: map[string]*program{}, attempts: map[string]*attempt{}, runs: map[string]int{}}
 }
 
-// program gives the newest generation of a program: where the budget of one is spent, another follows.
+// program returns the newest generation of a program: where the budget of one is exhausted, another follows.
 func (c *turnChecker) program(place int) *program {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +76,7 @@
 	}
 }
 
-// begin notes an attempt before it is first sent.
+// begin records an attempt before it is first sent.
 func (c *turnChecker) begin(p *program, previous string, most, tokens uint64) *attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +88,7 @@
 	return a
 }
 
-// storedTurns gives the ids of a program's kept turns, in the order in which they were begun.
+// storedTurns returns the ids of a program's stored turns, in the order in which they were begun.
 func (c *turnChecker) storedTurns(p *program) (ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,7 +100,7 @@
 	return ids
 }
 
-// recordVerdict takes the verdict on an attempt, with the chain that came with OK.
+// recordVerdict records the reply to Begin, with the chain of turns that came with OK.
 func (c *turnChecker) recordVerdict(a *attempt, verdict tierv1.Verdict, chain []*tierv1.Turn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +123,7 @@
 	}
 }
 
-// checkChain checks that all turns before an attempt came with it. The lock is held.
+// checkChain checks that all turns before an attempt came with it. The caller holds mu.
 func (c *turnChecker) checkChain(a *attempt, chain []*tierv1.Turn) {
 	var want, got []string
 	for at := c.attempts[a.previous]; at != nil; at = c.attempts[at.previous] {
@@ -137,7 +138,7 @@
 	}
 }
 
-// minCharge is what is charged to a program in any case. The lock is held.
+// minCharge returns the minimum of the tokens that are charged to a program. The caller holds mu.
 func (p *program) minCharge() (sum uint64) {
 	for _, a := range p.attempts {
 		switch {
@@ -150,8 +151,8 @@
 	return sum
 }
 
-// maxCharge is what may have been charged to a program at most, but for one attempt, at some time since that began. The
-// lock is held.
+// maxCharge returns the maximum of the tokens that may have been charged to a program, but for one attempt, since that began. The
+// caller holds mu.
 func (p *program) maxCharge(but *attempt) (sum uint64) {
 	for _, a := range p.attempts {
 		switch {
@@ -165,14 +166,14 @@
 	return sum
 }
 
-// recordSettling notes that an attempt's settlement is sent.
+// recordSettling records that an attempt's settlement is sent.
 func (c *turnChecker) recordSettling(a *attempt, kept bool, tokens uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a.settleSent, a.stored, a.tokens = true, kept, tokens
 }
 
-// recordSettled notes that it is durable.
+// recordSettled records that the settlement of an attempt is durable.
 func (c *turnChecker) recordSettled(a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,7 +182,7 @@
 	c.turnsServed++
 }
 
-// recordRun notes that an endpoint runs an attempt, which may never be sent twice.
+// recordRun records that an endpoint runs an attempt, which may never be sent twice.
 func (c *turnChecker) recordRun(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,7 +192,7 @@
 	}
 }
 
-// recordResponse notes what a caller heard of an endpoint.
+// recordResponse records the response that the caller of an endpoint received.
 func (c *turnChecker) recordResponse(a *attempt, answer string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,3 +201,36 @@
 		c.report(RuleCaller, "the caller of %s was given %q", a.id, answer)
 	}
 }
+
+// minCharge returns the minimum of the tokens that are charged to a program.
+func (c *turnChecker) minCharge(p *program) uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return p.minCharge()
+}
+
+// newestStoredTurns returns the last stored turn of each program.
+func (c *turnChecker) newestStoredTurns() (ids []string) {
+	for _, p := range c.allPrograms() {
+		if kept := c.storedTurns(p); len(kept) > 0 {
+			ids = append(ids, kept[len(kept)-1])
+		}
+	}
+	return ids
+}
+
+// allPrograms returns all programs, in the order of their names.
+func (c *turnChecker) allPrograms() (list []*program) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, p := range c.programs {
+		list = append(list, p)
+	}
+	slices.SortFunc(list, func(a, b *program) int {
+		if a.name < b.name {
+			return -1
+		}
+		return 1
+	})
+	return list
+}
--- a/internal/tier/simulation/views.go
+++ b/internal/tier/simulation/check_views.go
@@ -10,8 +10,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// viewChecker checks what processes are shown: versions rise within a life, one version is one value everywhere, and one epoch of a
-// partition has one primary and one set of copies.
+// viewChecker checks what processes receive: versions increase within an incarnation, one version is one value everywhere, and one
+// epoch of a partition has one primary and one set of replicas.
 type viewChecker struct {
 	report reporter
 
@@ -19,7 +19,7 @@
 	versions           map[string]string      // kind and version to value
 	last               map[*process][2]uint64 // versions of the configuration and the map
 	revision           map[*process]int64
-	epochs             map[string]string // partition and epoch to copies
+	epochs             map[string]string // partition and epoch to replicas
 	highestShown       [2]uint64         // highest versions of the configuration and the map that anyone was shown
 	newestPartitionMap *tierv1.PartitionMap
 }
@@ -29,7 +29,7 @@
 		epochs: map[string]string{}}
 }
 
-// highest gives the highest versions of the configuration and the map that anyone was shown.
+// highest returns the highest versions of the configuration and the map that anyone was shown.
 func (v *viewChecker) highest() [2]uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -43,7 +43,7 @@
 	return v.newestPartitionMap
 }
 
-// checkOneValue checks that a version was never another value. The lock is held.
+// checkOneValue checks that a version was never another value. The caller holds mu.
 func (v *viewChecker) checkOneValue(kind string, version uint64, value string) {
 	key := fmt.Sprint(kind, " ", version)
 	if before, ok := v.versions[key]; ok && before != value {
@@ -52,8 +52,8 @@
 	v.versions[key] = value
 }
 
-// checkMonotonic checks that a version is above the one before in a process's life, and that the first one is none that is older than what
-// anyone had been shown when that began. The lock is held.
+// checkMonotonic checks that a version is above the one before in an incarnation of a process, and that the first one is not older
+// than what any process had received when that began. The caller holds mu.
 func (v *viewChecker) checkMonotonic(name string, p *process, kind int, version uint64) {
 	last := v.last[p]
 	if last[kind] == 0 && version < p.shownBefore[kind] {
@@ -67,7 +67,7 @@
 	v.highestShown[kind] = max(v.highestShown[kind], version)
 }
 
-// recordConfiguration takes what a gateway was shown.
+// recordConfiguration records what a gateway was shown.
 func (v *viewChecker) recordConfiguration(name string, p *process, c *tierv1.Configuration, revision int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -82,14 +82,14 @@
 	v.revision[p] = revision
 }
 
-// currentRevision is the revision that a process holds.
+// currentRevision returns the revision that a process holds.
 func (v *viewChecker) currentRevision(p *process) int64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.revision[p]
 }
 
-// recordPartitionMap takes a map of the partitions that a process was shown.
+// recordPartitionMap records a partition map that a process received.
 func (v *viewChecker) recordPartitionMap(name string, p *process, m *tierv1.PartitionMap) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -14,8 +14,8 @@
 // maxSyncTime is how long a sync takes at most.
 const maxSyncTime = 9 * time.Millisecond
 
-// disk is a machine's disk: a file system in memory that may be full or stuck. A process uses it through a view that dies
-// with it.
+// disk is a machine's disk: a file system in memory that may be full or stuck. A process uses it through
+// files, which end with the process.
 type disk struct {
 	*wal.Memory
 
@@ -74,7 +74,7 @@
 	processEnded <-chan struct{}
 }
 
-// ended tells whether the process has ended: it touches the disk no more.
+// ended reports whether the process has ended: it no longer uses the disk.
 func (f files) ended() bool {
 	select {
 	case <-f.processEnded:
@@ -84,7 +84,7 @@
 	}
 }
 
-// checkUsable gives the error that keeps the process from making or changing a file.
+// checkUsable returns the error that keeps the process from making or changing a file.
 func (f files) checkUsable() error {
 	if f.ended() {
 		return wal.ErrDead
--- a/internal/tier/simulation/outside.go
+++ b/internal/tier/simulation/environment.go
@@ -15,7 +15,7 @@
 	instanceListInterval = 5 * time.Second // the platform's list changes so often
 )
 
-// outsideHandler gives what is served at an address outside of the system.
+// outsideHandler returns what is served at an address outside of the system.
 func (w *world) outsideHandler(ip string) http.Handler {
 	switch ip {
 	case platformIP:
--- a/internal/tier/simulation/gateway.go
+++ b/internal/tier/simulation/gateway_role.go
@@ -20,8 +20,8 @@
 	turnStoreTimeout = 5 * time.Second // of a Begin or a Settle, over all its calls
 	endpointTimeout  = time.Second     // of an endpoint's answer
 	maxTurnTokens    = 30              // tokens that a turn may cost
-	unstoredOneIn    = 4               // one turn in so many comes by a route that keeps none
-	abortedOneIn     = 8               // one other turn in so many is not kept, as its answer broke off
+	unstoredOneIn    = 4               // one turn in so many is of a route that stores none
+	abortedOneIn     = 8               // one other turn in so many is not stored, as its response was incomplete
 	sampleInterval   = 100 * time.Millisecond
 	attemptHeader    = "X-Attempt-Id"
 )
@@ -71,7 +71,7 @@
 	g.client.ApplyPartitionMap(t)
 }
 
-// sampleStaleness looks again and again at what the gateway holds.
+// sampleStaleness checks at intervals that what the gateway holds is not stale.
 func (g *gatewayRole) sampleStaleness() {
 	w := g.process.machine.world
 	for !g.process.ended() {
@@ -96,12 +96,12 @@
 	}
 }
 
-// turn carries a turn of some program, and tells whether it was served, or refused because its budget is spent.
+// turn runs a turn of some program, and reports whether it was served, or rejected because its budget is spent.
 func (g *gatewayRole) turn(random *rand.Rand) bool {
 	checks := g.process.machine.world.checks.turns
 	p := checks.program(random.IntN(programCount))
 	from := p
-	if random.IntN(16) == 0 { // it goes on from another program's
+	if random.IntN(16) == 0 { // it continues another program's
 		from = checks.program(random.IntN(programCount))
 	}
 	most := 1 + random.Uint64N(maxTurnTokens)
@@ -119,7 +119,7 @@
 	return g.runTurn(a, random.IntN(abortedOneIn) > 0)
 }
 
-// runTurn carries an attempt: begin, endpoint, settle.
+// runTurn runs an attempt: Begin, the endpoint, Settle.
 func (g *gatewayRole) runTurn(a *attempt, keep bool) bool {
 	w := g.process.machine.world
 	verdict, chain := g.begin(a)
@@ -156,7 +156,7 @@
 	return err == nil
 }
 
-// begin asks for an attempt.
+// begin asks a turn store to begin an attempt.
 func (g *gatewayRole) begin(a *attempt) (tierv1.Verdict, []*tierv1.Turn) {
 	ctx, cancel := context.WithTimeout(g.process.ctx, turnStoreTimeout)
 	defer cancel()
--- a/internal/tier/simulation/draw.go
+++ b/internal/tier/simulation/generator.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// maxMessageLossTime is how long messages are lost at most in a script that is drawn: about the contact window. In longer trouble
-	// a session may lapse for longer than the control plane waits for it.
+	// maxMessageLossTime is how long messages are lost at most in a generated script: about the contact window. In a longer loss a
+	// session may expire for longer than the control plane waits for it.
 	maxMessageLossTime = 3 * time.Second
 
-	// maxFaults is how many entries of a script are drawn at most; some bring others with them.
+	// maxFaults is how many faults of a script are drawn at most; some bring others with them.
 	maxFaults = 4
 
-	// rowOf: of so many rows of losses one is drawn, where all kinds are, as one lasts as long as many other scripts.
+	// lossesInRowOneIn: one of so many LossesInRow is kept where all kinds are drawn, as one lasts as long as many other scripts.
 	lossesInRowOneIn = 6
 
-	// spareCoreOf: of so many systems that bear one loss one has a machine of the control plane more than members.
+	// spareCoreOneIn: one of so many systems that tolerate one loss has one more machine of the control plane than members.
 	spareCoreOneIn = 4
 
-	// domainScriptOf: of so many scripts one loses zones or regions, where kinds of both sorts are to be drawn.
+	// domainScriptOneIn: one of so many scripts loses zones or regions, where kinds of both groups are to be drawn.
 	domainScriptOneIn = 5
 
 	// maxNextLossDelay is how long after syncTime the next loss begins at most where losses follow each other.
@@ -30,16 +30,17 @@
 
 	minLossesInRowTime, maxLossesInRowTime     = 60 * time.Second, 110 * time.Second     // losses that follow each other
 	maxLossInRowTime                           = 5 * time.Second                         // one of these
-	minNearPartitionTime, maxNearPartitionTime = 10 * time.Second, 20 * time.Second      // a cut with those beside the machine
+	minNearPartitionTime, maxNearPartitionTime = 10 * time.Second, 20 * time.Second      // of PartitionNear and its variants
 	minSplitTime, maxSplitTime                 = time.Second, 8 * time.Second            // of the control plane
-	minRivalsTime, maxRivalsTime               = 300 * time.Millisecond, 2 * time.Second // pairs of orders
-	rivalsLeadTime                             = 100 * time.Millisecond                  // the end of a cut, where they come with it
-	rivalsOneIn, nearExtraOneIn                = 3, 2                                    // of so many cuts one has pairs of orders, a next loss, new processes
+	minRivalsTime, maxRivalsTime               = 300 * time.Millisecond, 2 * time.Second // of ConcurrentChanges
+	rivalsLeadTime                             = 100 * time.Millisecond                  // of ConcurrentChanges before the end of a partition
+	rivalsOneIn, nearExtraOneIn                = 3, 2                                    // one of so many near partitions has ConcurrentChanges; a next loss, a new process
 )
 
 // Generate draws a script with faults of the given kinds; none: of all. Never are more than Losses machines, or zones or
-// regions, lost at once; one counts as lost until syncTime after its return. Only RestartAll, PowerLossAll, which keep
-// the disks, SplitCore and SplitOneWay take more, while nothing else is lost. Messages may be lost (Trouble) beside losses.
+// regions, lost at once; one counts as lost until syncTime after its return. Only RestartAll and PowerLossAll, which keep
+// the disks, SplitCore and SplitOneWay take more, while nothing else is lost. Messages may be lost (LoseMessages) beside losses.
+// The same seed and kinds give the same script in each release (see ScriptVersion).
 func Generate(seed uint64, kinds ...FaultKind) Script {
 	d := generator{random: rand.New(rand.NewPCG(seed, 0x5c21)), kinds: kinds}
 	if len(kinds) == 0 {
@@ -58,26 +59,26 @@
 	return d.script
 }
 
-// generator is a script in the making.
+// generator draws one script.
 type generator struct {
 	random   *rand.Rand
 	script   Script
 	kinds    []FaultKind
-	earliest time.Duration // before which nothing more begins
+	earliest time.Duration // before which no further fault begins
 	losses   []loss
 	retired  string
 	added    bool
 	mixed    bool // all kinds are drawn
-	complete bool // nothing more is drawn
+	complete bool // no further fault is drawn
 }
 
-// loss is one of the machines, zones or regions that may be lost at a time.
+// loss is one of the machines, zones or regions that may be lost at once, and until when it counts as lost.
 type loss struct {
 	domain string
 	until  time.Duration
 }
 
-// drawSystem draws what the faults befall.
+// drawSystem draws the system that the faults are injected into.
 func (d *generator) drawSystem(seed uint64) {
 	d.script = Script{Version: ScriptVersion, Seed: seed, Gateways: 2, Losses: 1}
 	ofDomains := func(kind FaultKind) bool { return slices.Contains(domainKinds, kind) }
@@ -139,7 +140,7 @@
 	return at
 }
 
-// drawFault draws one fault, or none where its kind can't be at this place.
+// drawFault draws one fault, or none where its kind is not possible now.
 func (d *generator) drawFault(kind FaultKind) {
 	d.earliest += d.drawDuration(100*time.Millisecond, 3*time.Second)
 	switch {
@@ -172,12 +173,12 @@
 	}
 }
 
-// takesCounted tells whether a kind takes something that is counted as lost.
+// takesCounted reports whether a fault of the kind counts as a loss.
 func takesCounted(kind FaultKind) bool {
 	return slices.Contains(countedKinds, kind) || slices.Contains(domainKinds, kind)
 }
 
-// retirable tells whether one turn store fewer would be enough wherever it is.
+// retirable reports whether one turn store fewer would be enough wherever it is.
 func (d *generator) retirable() bool {
 	if d.script.Unit == Machines {
 		return d.script.Stores > d.script.Losses+1
@@ -185,7 +186,7 @@
 	return d.script.domains() > d.script.Losses+1
 }
 
-// earliestLoss is the loss that is over first.
+// earliestLoss returns the loss that ends first.
 func (d *generator) earliestLoss() *loss {
 	first := &d.losses[0]
 	for i := range d.losses {
@@ -196,7 +197,7 @@
 	return first
 }
 
-// drawLoss draws a fault that takes something counted, at a time or later.
+// drawLoss draws a fault that counts as a loss, at a time or later.
 func (d *generator) drawLoss(kind FaultKind, at time.Duration) {
 	at = max(d.earliest, at, d.earliestLoss().until)
 	machine := d.drawMachine(kind, at)
@@ -214,14 +215,14 @@
 	d.addLoss(kind, machine, at, duration)
 }
 
-// addLoss adds a fault that takes something counted.
+// addLoss adds a fault that counts as a loss.
 func (d *generator) addLoss(kind FaultKind, machine string, at, duration time.Duration, side ...string) {
 	d.addFault(kind, machine, at, duration, side...)
 	*d.earliestLoss() = loss{d.script.domainOf(machine), at + duration + syncTime}
 }
 
-// drawNearPartition draws a cut of a machine of the control plane with some of the gateways and, where one more may be lost, a turn store
-// beside it, and what may come in it and as it ends.
+// drawNearPartition draws a partition of a machine of the control plane with some of the gateways and, where one more may be lost, a
+// turn store on its side, and what may happen in it and at its end.
 func (d *generator) drawNearPartition(kind FaultKind, machine string, at time.Duration) {
 	duration := d.drawDuration(minNearPartitionTime, maxNearPartitionTime)
 	side := []string{d.drawGateway()}
@@ -251,7 +252,7 @@
 	}
 }
 
-// drawLossesInRow draws losses each of which begins as soon as the one before counts no more, and nothing after them.
+// drawLossesInRow draws losses each of which begins as soon as the one before no longer counts, and nothing after them.
 func (d *generator) drawLossesInRow() {
 	var kinds []FaultKind
 	for _, kind := range d.kinds {
@@ -280,8 +281,8 @@
 
 func (d *generator) drawGateway() string { return gatewayName(d.random.IntN(d.script.Gateways)) }
 
-// drawMachine draws a machine, or a zone or region, that is not lost. A machine that is to be emptied is spared what would end
-// the order.
+// drawMachine draws a machine, or a zone or region, that is not lost. A machine that is to be emptied is not drawn for what
+// would end its retirement.
 func (d *generator) drawMachine(kind FaultKind, at time.Duration) string {
 	if slices.Contains(domainKinds, kind) {
 		return d.drawZone(at)
--- a/internal/tier/simulation/script_test.go
+++ b/internal/tier/simulation/generator_test.go
@@ -1,9 +1,6 @@
 package simulation
 
 import (
-	"errors"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -12,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Never are more counted machines, or zones or regions, lost at once than are to be borne. One that is back counts as lost until it
+// Never are more counted machines, or zones or regions, lost at once than are tolerated. One that is back counts as lost until it
 // is in step again. Messages may be lost meanwhile, which takes no machine.
 func TestGenerate_LossesWithinTolerance(t *testing.T) {
 	troubled := 0 // losses of machines while messages are lost
@@ -61,12 +58,12 @@
 	return n + 1
 }
 
-// takesMore tells whether a fault takes more than is to be borne.
+// takesMore reports whether a fault takes more than is tolerated.
 func takesMore(f Fault) bool {
 	return f.Kind == RestartAll || f.Kind == PowerLossAll || f.Kind == SplitCore || f.Kind == SplitOneWay
 }
 
-// Zones and regions are lost only in systems that count these, with room for copies and members in others.
+// Zones and regions are lost only in systems that count these, with room for replicas and members in others.
 func TestGenerate_Zones(t *testing.T) {
 	for seed := range uint64(2000) {
 		s := Generate(seed)
@@ -150,7 +147,7 @@
 	assert.Equal(t, rows, 500)
 }
 
-// overlap tells whether a fault begins while another is not over by syncTime.
+// overlap reports whether a fault begins while another is not over by syncTime.
 func overlap(f, other Fault) bool {
 	return other.at() <= f.at() && f.at() < other.at()+other.duration()+syncTime-time.Millisecond
 }
@@ -171,51 +168,17 @@
 	}
 }
 
-func TestScript_WriteAndRead(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "script.json")
-	want := Generate(12)
-	assert.NilError(t, want.Write(path))
-	got, err := Read(path)
-	assert.NilError(t, err)
-	assert.DeepEqual(t, got, want)
-}
-
-func TestRead_OtherVersion(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "script.json")
-	s := Generate(12)
-	s.Version++
-	assert.NilError(t, s.Write(path))
-	_, err := Read(path)
-	assert.Assert(t, errors.Is(err, ErrVersion))
-	assert.ErrorContains(t, err, "version 3, this program plays 2")
-}
-
-func TestRead_ReportsAllFindings(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "script.json")
-	assert.NilError(t, os.WriteFile(path, []byte(`{"version":2,"core":1,"stores":3,"gateways":2,"losses":1,
-		"unit":"racks","faults":[{"at_ms":1,"kind":"flood"},{"at_ms":-1,"kind":"kill"}]}`), 0o600))
-	_, err := Read(path)
-	for _, part := range []string{"1 core", `unknown unit "racks"`, `faults[0]: unknown kind "flood"`, "faults[1]: a time below 0"} {
-		assert.ErrorContains(t, err, part)
+// Each of the new kinds is played without a broken promise.
+func TestFaultKinds_Groups(t *testing.T) {
+	for _, kind := range slices.Concat(domainKinds, nearKinds, []FaultKind{SplitCore, SplitOneWay, PartitionSeeds, ConcurrentChanges}) {
+		t.Run(string(kind), func(t *testing.T) {
+			if (testing.Short() || raceDetector) && kind != PartitionZone && kind != PartitionConfirming {
+				t.Skip("played without -short and -race")
+			}
+			result, err := Play(Generate(1, kind), Options{})
+			assert.NilError(t, err)
+			assert.Assert(t, result.Violation == nil, "%v", result.Violation)
+			assert.Assert(t, result.Orders > 0 && result.Turns > 0, "%+v", result)
+		})
 	}
 }
-
-func TestScript_ZoneFaultNeedsZones(t *testing.T) {
-	s := Script{Core: 3, Stores: 3, Gateways: 2, Losses: 1, Faults: []Fault{{Kind: KillZone, Machine: "zone-1"}}}
-	assert.ErrorContains(t, s.check(), "faults[0]: zone-kill, and machines are lost")
-	s.Unit = Zones
-	assert.NilError(t, s.check())
-	s.Unit = Regions
-	assert.ErrorContains(t, s.check(), "1 regions are too few to bear 1 losses")
-}
-
-// A script that fails with two of its entries, one of which is long enough, is shrunk to these.
-func TestShrink(t *testing.T) {
-	s := Script{Faults: []Fault{{Kind: Kill, DurationMS: 3000}, {Kind: Wipe, DurationMS: 4000}, {Kind: Pause, DurationMS: 2000}, {Kind: Partition, DurationMS: 900}}}
-	short := Shrink(s, func(s Script) bool {
-		wipe := slices.IndexFunc(s.Faults, func(f Fault) bool { return f.Kind == Wipe && f.DurationMS >= 1000 })
-		cut := slices.IndexFunc(s.Faults, func(f Fault) bool { return f.Kind == Partition })
-		return wipe >= 0 && cut > wipe
-	})
-	assert.DeepEqual(t, short.Faults, []Fault{{Kind: Wipe, DurationMS: 1000}, {Kind: Partition, DurationMS: 112}})
-}
--- a/internal/tier/simulation/seams.go
+++ b/internal/tier/simulation/hooks.go
@@ -8,19 +8,19 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Hooks are where a test plants a fault. A nil one is as if it were not there.
+// Hooks are the places where a test injects a fault into the program. A nil hook does nothing.
 type Hooks struct {
 	Store          func(controlplane.Store) controlplane.Store       // around a control-plane process's state
 	Files          func(machine string, files wal.FS) wal.FS         // around a machine's file system
-	Synced         func(*turnstore.TurnStore, SyncedFunc) SyncedFunc // around a turn store's reports of whole copies
-	OnPartitionMap func(*turnstore.TurnStore, *tierv1.PartitionMap)  // hears of the maps that a turn store takes
-	TamperReply    func(*Delivery)                                   // with answers on their way back
-	Serve          func(tierv1.TurnStore) tierv1.TurnStore           // around what a turn store answers to gateways and others
+	Synced         func(*turnstore.TurnStore, SyncedFunc) SyncedFunc // around a turn store's reports of synced replicas
+	OnPartitionMap func(*turnstore.TurnStore, *tierv1.PartitionMap)  // is told of the maps that a turn store applies
+	TamperReply    func(*Delivery)                                   // may change replies on their way back
+	Serve          func(tierv1.TurnStore) tierv1.TurnStore           // around a turn store as gateways and others call it
 
 	Settings func(*settings.Settings) // of each machine
 }
 
-// SyncedFunc gives a turn store's reports, and a channel that is closed when they have changed.
+// SyncedFunc returns a turn store's reports, and a channel that is closed when they have changed.
 type SyncedFunc func() ([]*tierv1.SyncedReplica, <-chan struct{})
 
 func (s Hooks) wrapStore(inner controlplane.Store) controlplane.Store {
--- a/internal/tier/simulation/faults.go
+++ b/internal/tier/simulation/inject_faults.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 )
 
-// injectFault plays one entry of the script.
+// injectFault waits for the time of a fault, injects it, and returns after its end.
 func (w *world) injectFault(f Fault) {
 	w.sleep(f.at() - w.now())
 	if w.ending() {
@@ -55,35 +56,7 @@
 	w.trace("%s %s is over", f.Kind, m.name)
 }
 
-// resolveMachine gives the machine that a fault names.
-func (w *world) resolveMachine(name string) *machine {
-	switch name {
-	case Leader:
-		return w.leader()
-	case Weakest:
-		return w.weakestMachine()
-	}
-	return w.machine(name)
-}
-
-// claim claims a machine for a fault, unless it is under another.
-func (w *world) claim(name string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.underFault[name] {
-		return false
-	}
-	w.underFault[name] = true
-	return true
-}
-
-func (w *world) release(name string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.underFault, name)
-}
-
-// injectNetworkFault has something on for the time of a fault.
+// injectNetworkFault has a fault of the network on for its duration.
 func (w *world) injectNetworkFault(f Fault, set func(on bool)) {
 	w.trace("%s", f.Kind)
 	w.network.update(func() { set(true) })
@@ -92,7 +65,7 @@
 	w.trace("%s is over", f.Kind)
 }
 
-// stopAll takes the machines of the control plane and the turn stores at once. Their disks are kept.
+// stopAll stops the machines of the control plane and the turn stores at once. Their disks are kept.
 func (w *world) stopAll(f Fault) {
 	w.trace("%s", f.Kind)
 	list := append(w.machinesOfKind(roleControlPlane), w.machinesOfKind(roleTurnStore)...)
@@ -116,7 +89,7 @@
 	w.trace("%s is over", f.Kind)
 }
 
-// injectMachineFault plays a fault of one machine, from its begin to its end.
+// injectMachineFault injects a fault of one machine, and returns after its end.
 func (w *world) injectMachineFault(f Fault, m *machine) {
 	n := w.network
 	switch f.Kind {
@@ -167,42 +140,11 @@
 	m.start()
 }
 
-// partition cuts a machine off, in one direction or both. A leader takes some of the gateways with it.
-func (w *world) partition(f Fault, m *machine) {
-	var links [][2]string
-	w.mu.Lock()
-	for name, other := range w.machines {
-		side := f.Kind == PartitionLeader && other.kind == roleGateway && (name[len(name)-1]-'0')%2 == 1
-		if name == m.name || side || other.kind == roleOutside {
-			continue
-		}
-		if f.Kind != PartitionOutbound {
-			links = append(links, [2]string{name, m.name})
-		}
-		if f.Kind != PartitionInbound {
-			links = append(links, [2]string{m.name, name})
-		}
-	}
-	if f.Kind == PartitionLeader {
-		for name, other := range w.machines {
-			if other.kind == roleGateway && (name[len(name)-1]-'0')%2 == 1 {
-				for far, machine := range w.machines {
-					if machine.kind == roleControlPlane && far != m.name || machine.kind == roleTurnStore {
-						links = append(links, [2]string{name, far}, [2]string{far, name})
-					}
-				}
-			}
-		}
-	}
-	w.mu.Unlock()
-	w.partitionLinks(f.duration(), links, m)
-}
-
-// retire orders a turn store to be emptied, and takes its machine away for good when it is.
+// retire has an operator retire a turn store, and removes its machine when that is empty.
 func (w *world) retire(name string) {
 	o := newOperator(w, operatorPrefix+"retire", outsideNet+"100")
 	status, _ := o.untilClear(func(ctx context.Context, at string) (int, string, error) {
-		return o.call(ctx, "POST", at, "/saffronyard/Retire.Create/"+name, `{"duration_s":30}`, nil)
+		return o.call(ctx, at, operatorCall{method: http.MethodPost, path: retirePath + name, body: `{"duration_s":30}`})
 	}, retireTimeout)
 	w.trace("the order to empty %s: %d", name, status)
 	switch status {
@@ -219,7 +161,7 @@
 	for begun := w.now(); !w.ending(); w.sleep(500 * time.Millisecond) {
 		state := ""
 		status, state = o.untilClear(func(ctx context.Context, at string) (int, string, error) {
-			return o.call(ctx, "GET", at, "/saffronyard/Retire.Describe/"+name, "", nil)
+			return o.call(ctx, at, operatorCall{method: http.MethodGet, path: retiredPath + name})
 		}, changeTimeout)
 		if status == 200 && state == `{"lifecycle_state":"completed"}` {
 			w.trace("%s is empty after %v", name, w.now()-begun)
@@ -234,7 +176,7 @@
 		}
 	}
 	if m := w.machine(name); m != nil && !w.ending() && w.claim(name) {
-		m.wipe() // it stays taken: nothing befalls it any more
+		m.wipe() // it stays claimed: no further fault is injected into it
 		w.mu.Lock()
 		delete(w.machines, name)
 		w.mu.Unlock()
--- a/internal/tier/simulation/planted_test.go
+++ b/internal/tier/simulation/injected_faults_test.go
@@ -19,7 +19,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// injectedFaultSeeds is in how many seeds a planted fault has to be found.
+// injectedFaultSeeds is in how many seeds a injected fault has to be found.
 const injectedFaultSeeds = 200
 
 // expectFound plays seeds until one breaks one of the rules.
@@ -76,7 +76,7 @@
 
 func (s *endlessLeaseStore) Confirm(context.Context, uint64) error { return nil }
 
-// Point 1: a primary that was cut off goes on as if it were in touch.
+// Point 1: a primary that was partitioned goes on as if it were in touch.
 func TestInjectedFault_EndlessLease(t *testing.T) {
 	expectFound(t, Hooks{Store: func(s controlplane.Store) controlplane.Store { return &endlessLeaseStore{Store: s} }},
 		RuleRead, RuleStale, RuleMonotonic, RuleRejection, RuleIdempotent)
@@ -95,12 +95,12 @@
 	return s.Store.Get(key)
 }
 
-// Point 2: the record of orders that were taken is lost, and one that comes again is refused.
+// Point 2: the record of orders that were taken is lost, and one that comes again is rejected.
 func TestInjectedFault_ForgottenChanges(t *testing.T) {
 	expectFound(t, Hooks{Store: func(s controlplane.Store) controlplane.Store { return forgetfulStore{s} }}, RuleIdempotent, RuleRejection)
 }
 
-// Point 3: a primary reports copies as whole that have not been compared.
+// Point 3: a primary reports replicas as whole that have not been compared.
 func TestInjectedFault_EarlySynced(t *testing.T) {
 	var mu sync.Mutex
 	maps := map[*turnstore.TurnStore]*tierv1.PartitionMap{}
@@ -126,7 +126,7 @@
 	expectFound(t, seams, RuleTurn, RuleBudget, RuleRecovery)
 }
 
-// allSynced reports all copies of a folder's partitions.
+// allSynced reports all replicas of a folder's partitions.
 func allSynced(folder string, m *tierv1.PartitionMap) (list []*tierv1.SyncedReplica) {
 	for i, p := range m.GetPartitions() {
 		if p.Primary != folder {
@@ -142,7 +142,7 @@
 // partitionMapKey is the key under which the control plane keeps the map of partitions.
 const partitionMapKey = "turnstores"
 
-// unretainingStore forgets the copies that control took out of the map while they were silent.
+// unretainingStore forgets the replicas that control took out of the map while they were silent.
 type unretainingStore struct{ controlplane.Store }
 
 func (s unretainingStore) Get(key string) ([]byte, uint64) {
@@ -161,7 +161,7 @@
 	return s.Store.Put(ctx, epoch, sets)
 }
 
-// withoutRetained gives a map of partitions without its retained copies.
+// withoutRetained returns a map of partitions without its retained replicas.
 func withoutRetained(body []byte) []byte {
 	m := &tierv1.PartitionMap{}
 	if proto.Unmarshal(body, m) != nil {
@@ -177,7 +177,7 @@
 	return changed
 }
 
-// Point 3: control forgets copies that were taken out while they were silent, and the machine that holds the only synced ones
+// Point 3: control forgets replicas that were taken out while they were silent, and the machine that holds the only synced ones
 // loses its disk.
 func TestInjectedFault_ForgottenReplicas(t *testing.T) {
 	if testing.Short() || raceDetector {
@@ -219,7 +219,7 @@
 	return unsyncedHandle{h}, nil
 }
 
-// Point 4: a member that comes back has forgotten its promises and its copy.
+// Point 4: a member that comes back has forgotten its promises and its replica.
 func TestInjectedFault_ForgottenPromise(t *testing.T) {
 	expectFound(t, Hooks{Files: func(machine string, files wal.FS) wal.FS {
 		if !strings.HasPrefix(machine, "core-") {
@@ -264,7 +264,7 @@
 	}}, RuleRecovery, RuleTurn, RuleBudget)
 }
 
-// Members of the control plane are spread over machines, and copies over zones.
+// Members of the control plane are spread over machines, and replicas over zones.
 func TestInjectedFault_MembersInOneZone(t *testing.T) {
 	expectFound(t, Hooks{Settings: func(s *settings.Settings) {
 		if s.ZoneFailures > 0 && strings.HasPrefix(s.Node, "core-") {
--- a/internal/tier/simulation/planted_late_test.go
+++ b/internal/tier/simulation/injected_late_repair_test.go
@@ -10,10 +10,10 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// lateReports is how late a turn store reports whole copies: later than the next loss may come.
+// lateReports is how late a turn store reports synced replicas: later than the next loss may come.
 const lateReports = syncTime + 2*time.Second
 
-// lateSyncedReports has reports of whole copies come late.
+// lateSyncedReports has reports of synced replicas come late.
 type lateSyncedReports struct {
 	synced SyncedFunc
 
@@ -44,7 +44,7 @@
 	return list, changed
 }
 
-// Point 3: copies that were made anew count only after the next loss may have come. It is found without the rule that all copies are there in
+// Point 3: replicas that were made anew count only after the next loss may have come. It is found without the rule that all replicas are there in
 // the end, by what the next loss takes.
 func TestInjectedFault_LateRepair(t *testing.T) {
 	seams := Hooks{Synced: func(_ *turnstore.TurnStore, synced SyncedFunc) SyncedFunc {
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -15,13 +15,13 @@
 // restartDelay is from the end of a process to its next start on a machine that is up.
 const restartDelay = 500 * time.Millisecond
 
-// role is what a process does on a machine. start gives its handlers by port. leave hears SIGTERM, where the role does anything on it.
+// role is what a process does on a machine. start sets its handlers by port. leave is the graceful shutdown.
 type role interface {
 	start(p *process) error
 	leave(ctx context.Context)
 }
 
-// machine is a place with a name, an address and a disk, on which one process of a role runs.
+// machine has a name, an address and a disk, and runs one process of a role.
 type machine struct {
 	world    *world
 	name     string
@@ -32,7 +32,7 @@
 	disk     *disk
 	random   *rand.Rand // of losses of power
 
-	seedsPartitioned bool // the lock of the world is held: the next process is told only of machines that are cut off
+	seedsPartitioned bool // guarded by the mutex of the world: the seeds of the next process are partitioned machines
 
 	mu          sync.Mutex
 	starting    *process
@@ -48,10 +48,10 @@
 	roleControlPlane roleName = "controlplane"
 	roleTurnStore    roleName = "turnstore"
 	roleGateway      roleName = "gateway"
-	roleOutside      roleName = "outside" // operators, the platform, endpoints: nothing befalls them
+	roleOutside      roleName = "outside" // operators, the platform, endpoints: no fault is injected into them
 )
 
-// process is one life of a role on a machine.
+// process is one incarnation of a role on a machine.
 type process struct {
 	machine  *machine
 	link     *link
@@ -61,18 +61,18 @@
 	role     role
 	handlers map[string]http.Handler // by port
 
-	floor       int64     // the least revision that was in force when it began
-	shownBefore [2]uint64 // the highest versions that anyone had been shown then
+	floor       int64     // the minimum revision that was in force when it began
+	shownBefore [2]uint64 // the highest versions that any process had received then
 }
 
-// ended tells whether the process has ended: nothing that it still does may be seen outside.
+// ended reports whether the process has ended: nothing that it still does may be seen outside.
 func (p *process) ended() bool { return p.ctx.Err() != nil }
 
 // files is the file system of the machine as this process has it.
 func (p *process) files() files { return files{p.machine.disk, p.ctx.Done()} }
 
-// process gives the one that runs, if any, and whether the machine is without power.
-func (m *machine) process() (p *process, dark bool) {
+// process returns the one that runs, if any, and whether the machine is without power.
+func (m *machine) process() (p *process, poweredOff bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.current, m.poweredOff
@@ -137,11 +137,11 @@
 	m.mu.Unlock()
 }
 
-// stop ends the process; dark: the machine is without power.
-func (m *machine) stop(dark bool) {
+// stop ends the process; poweredOff: the machine is without power.
+func (m *machine) stop(poweredOff bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.up, m.poweredOff = false, dark
+	m.up, m.poweredOff = false, poweredOff
 	m.incarnation++
 	for _, p := range []*process{m.starting, m.current} {
 		if p != nil {
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -18,23 +18,34 @@
 	minBusyOperatorIdle = 20 * time.Millisecond
 	maxBusyOperatorIdle = 120 * time.Millisecond
 	callTimeout         = time.Second      // of one call
-	changeTimeout       = 10 * time.Second // of an order, over all its calls
+	changeTimeout       = 10 * time.Second // of a change, over all its calls
 	retireTimeout       = 20 * time.Second
 	minRetryDelay       = 20 * time.Millisecond
 	maxRetryDelay       = 300 * time.Millisecond
 )
 
-// replacePath is where operators order a configuration.
-const replacePath = "/saffronyard/Configuration.Replace"
+// Paths of the operators' service.
+const (
+	replacePath  = "/saffronyard/Configuration.Replace"
+	describePath = "/saffronyard/Configuration.Describe"
+	retirePath   = "/saffronyard/Retire.Create/"   // and the node
+	retiredPath  = "/saffronyard/Retire.Describe/" // and the node
+)
+
+// operatorCall is one call of an operator.
+type operatorCall struct {
+	method, path, body string
+	header             http.Header
+}
 
-// operator orders and reads, at one control-plane process after the other until an answer is clear.
+// operator changes and reads the configuration, at one control-plane process after the other until a response is clear.
 type operator struct {
 	world         *world
 	name          string
 	process       *process
 	random        *rand.Rand
 	next          int
-	knownRevision int64 // revision, as read or ordered last
+	knownRevision int64 // as read or acknowledged last
 	last          *configurationChange
 }
 
@@ -72,13 +83,13 @@
 	o.world.sleep(low + time.Duration(o.random.Int64N(int64(high-low))))
 }
 
-// read reads the configuration back, and tells whether an answer came.
+// read reads the configuration back, and reports whether there was a response.
 func (o *operator) read() bool {
 	checks := o.world.checks.configuration
 	var floor int64
 	status, body := o.untilClear(func(ctx context.Context, at string) (int, string, error) {
 		floor = checks.floor()
-		return o.call(ctx, http.MethodGet, at, "/saffronyard/Configuration.Describe", "", nil)
+		return o.call(ctx, at, operatorCall{method: http.MethodGet, path: describePath})
 	}, changeTimeout)
 	switch status {
 	case http.StatusOK, http.StatusNotFound:
@@ -96,24 +107,24 @@
 	return false
 }
 
-// send sends an order until its answer is clear, and tells whether it was acknowledged.
-func (o *operator) send(it *configurationChange) bool {
+// send sends a change until its response is clear, and reports whether it was acknowledged.
+func (o *operator) send(change *configurationChange) bool {
 	status, _ := o.untilClear(func(ctx context.Context, at string) (int, string, error) {
-		return o.call(ctx, http.MethodPost, at, replacePath, it.body,
-			http.Header{"X-Base-Revision": {strconv.FormatInt(it.base, 10)}})
+		return o.call(ctx, at, operatorCall{method: http.MethodPost, path: replacePath, body: change.body,
+			header: http.Header{"X-Base-Revision": {strconv.FormatInt(change.base, 10)}}})
 	}, changeTimeout)
-	o.world.trace("%s: %v: %d", o.name, it, status)
+	o.world.trace("%s: %v: %d", o.name, change, status)
 	if status == 0 {
 		return false
 	}
-	o.world.checks.configuration.recordResponse(o.world.now(), it, status)
+	o.world.checks.configuration.recordResponse(o.world.now(), change, status)
 	if status == http.StatusOK {
-		o.knownRevision = max(o.knownRevision, it.revision)
+		o.knownRevision = max(o.knownRevision, change.revision)
 	}
 	return status == http.StatusOK
 }
 
-// untilClear calls one process after the other until one gives a clear answer; status 0: none in the time.
+// untilClear calls one process after the other until the response of one is clear; status 0: none within the limit.
 func (o *operator) untilClear(call func(ctx context.Context, at string) (int, string, error), limit time.Duration) (status int, body string) {
 	wait := minRetryDelay
 	for begun := o.world.now(); o.world.now()-begun < limit && !o.world.ending(); o.world.sleep(wait) {
@@ -128,17 +139,17 @@
 	return 0, ""
 }
 
-// call makes one call, and follows one redirect.
-func (o *operator) call(ctx context.Context, method, ip, path, body string, header http.Header) (status int, answer string, err error) {
+// call makes one call to the control-plane process at an address, and follows one redirect.
+func (o *operator) call(ctx context.Context, ip string, call operatorCall) (status int, reply string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	target := "http://" + ip + ":" + operatorsPort + path
+	target := "http://" + ip + ":" + operatorsPort + call.path
 	for range 2 {
-		r, err := http.NewRequestWithContext(ctx, method, target, newBody([]byte(body)))
+		r, err := http.NewRequestWithContext(ctx, call.method, target, newBody([]byte(call.body)))
 		if err != nil {
 			return 0, "", err
 		}
-		for key, values := range header {
+		for key, values := range call.header {
 			r.Header[key] = values
 		}
 		response, err := o.process.link.Do(r)
@@ -149,7 +160,7 @@
 		if err != nil {
 			return 0, "", err
 		}
-		status, answer = response.StatusCode, string(text)
+		status, reply = response.StatusCode, string(text)
 		if status != http.StatusTemporaryRedirect {
 			break
 		}
@@ -159,7 +170,7 @@
 		}
 		target = elsewhere.String()
 	}
-	return status, answer, nil
+	return status, reply, nil
 }
 
 func newBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
--- a/internal/tier/simulation/play.go
+++ b/internal/tier/simulation/play.go
@@ -9,33 +9,33 @@
 	"saffronyard.example/saffronyard/internal/tier/simulation/virtualtime"
 )
 
-// recoveryTime is how long after the last fault everything is well again.
+// recoveryTime is how long after the last fault the tier must be healthy again.
 const recoveryTime = 12 * time.Second
 
-// changesRepeated is how many orders are sent again at the end.
+// changesRepeated is how many acknowledged changes are sent again at the end.
 const changesRepeated = 10
 
-// drainWait is how long whatever was under way may last at the end. The clock of a bubble stands once its first function
-// has returned, so that this is waited for in it.
+// drainWait is how long goroutines may take to end after a play. The clock of a bubble stands once its first function has
+// returned, so that this is awaited in it.
 const drainWait = 10 * time.Second
 
 // Options change how a script is played.
 type Options struct {
 	Hooks  Hooks
-	Ignore []Rule    // that are not checked
-	Trace  io.Writer // what processes log and the simulator does, with the time; nil: nowhere. It is written to from many goroutines
+	Ignore []Rule    // rules that are not checked
+	Trace  io.Writer // gets what processes log and the simulator does, with the virtual time; nil: none. It may be any writer: Play locks
 }
 
-// Result tells how a script went.
+// Result is the result of a play.
 type Result struct {
-	Violation   *Violation    // the promise that was broken first, and ended the play; nil: all is well
-	VirtualTime time.Duration // time that passed in the bubble
+	Violation   *Violation    // the first violation, which ended the play; nil: none
+	VirtualTime time.Duration // that passed in the play
 	Messages    int
 	Orders      int // acknowledged
 	Turns       int // served
 }
 
-// Play plays a script in a bubble of its own time. The error tells that the simulator itself failed.
+// Play plays a script in virtual time. An error says that the simulator itself failed.
 func Play(script Script, options Options) (Result, error) {
 	var result Result
 	if options.Trace != nil {
@@ -49,7 +49,7 @@
 	return result, err
 }
 
-// result tells how the play went.
+// result returns the result of the play.
 func (w *world) result() Result {
 	r := Result{VirtualTime: w.now()}
 	w.mu.Lock()
@@ -67,7 +67,7 @@
 	return r
 }
 
-// play brings the system up, has the script befall it, and checks at the end that all is well again.
+// play starts the system, injects the faults of the script, and checks at the end that the system has recovered.
 func (w *world) play() {
 	w.addOutsideMachine("platform", platformIP).start()
 	w.addOutsideMachine("endpoint", endpointIP).start()
@@ -108,7 +108,7 @@
 	w.end()
 }
 
-// end ends all that runs.
+// end stops all processes, and waits for their goroutines.
 func (w *world) end() {
 	w.network.update(func() { w.network.closed = true })
 	for _, m := range append(append(w.machinesOfKind(roleControlPlane), w.machinesOfKind(roleTurnStore)...), w.machinesOfKind(roleGateway)...) {
@@ -119,12 +119,13 @@
 	time.Sleep(drainWait)
 }
 
-// lockedWriter lets many goroutines write lines.
+// lockedWriter serializes the writes of many goroutines.
 type lockedWriter struct {
 	mu  sync.Mutex
 	out io.Writer
 }
 
+// Write implements io.Writer.
 func (l *lockedWriter) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/tier/simulation/simulation_test.go
+++ b/internal/tier/simulation/play_test.go
@@ -1,42 +1,11 @@
 package simulation
 
 import (
-	"context"
-	"fmt"
-	"os"
-	"os/exec"
-	"runtime"
 	"testing"
 
 	"gotest.tools/v3/assert"
 )
 
-// How many seeds the test plays.
-const (
-	seeds      = 500
-	seedsShort = 4
-)
-
-func TestPlayInWorkers_Seeds(t *testing.T) {
-	batch := Batch{Seeds: seeds, Jobs: runtime.GOMAXPROCS(0), Failed: func(f Failure) {
-		t.Errorf("%v%v %s\n%s", f.Script, f.Violation, f.SimulatorError, f.Trace)
-	}}
-	if testing.Short() || raceDetector {
-		batch.Seeds = seedsShort
-	}
-	self, err := os.Executable()
-	assert.NilError(t, err)
-	total, err := batch.PlayInWorkers(t.Context(), func(ctx context.Context, from, seeds uint64) *exec.Cmd {
-		c := exec.CommandContext(ctx, self)
-		c.Env = append(os.Environ(), fmt.Sprint(workerVariable, "=", from, " ", seeds))
-		return c
-	})
-	assert.NilError(t, err)
-	t.Logf("%+v, %.0f seeds a minute", total, float64(total.Played)/total.RealTime.Minutes())
-	assert.Equal(t, total.Played, batch.Seeds)
-	assert.Assert(t, total.Orders > 0 && total.Turns > 0, "%+v", total)
-}
-
 func TestPlay_WithoutFaults(t *testing.T) {
 	result, err := Play(Script{Version: ScriptVersion, Seed: 1, Core: 3, Stores: 3, Gateways: 2, Losses: 1}, Options{})
 	assert.NilError(t, err)
@@ -44,12 +13,12 @@
 	assert.Assert(t, result.Orders > 5 && result.Turns > 50, "%+v", result)
 }
 
-// lossAfterLapse: messages are lost, so that the session of a turn store lapses and its copies are taken out; right after that
-// the machine that holds the only synced copies loses its disk.
+// lossAfterLapse: messages are lost, so that the session of a turn store lapses and its replicas are taken out; right after that
+// the machine that holds the only synced replicas loses its disk.
 var lossAfterLapse = Script{Version: ScriptVersion, Seed: 2327, Core: 3, Stores: 3, Gateways: 2, Losses: 1, Faults: []Fault{
 	{AtMS: 6568, DurationMS: 1433, Kind: LoseMessages}, {AtMS: 7638, DurationMS: 128, Kind: Wipe, Machine: "store-1"}}}
 
-// The retained copies bring everything back.
+// The retained replicas bring everything back.
 func TestPlay_LossAfterSessionExpiry(t *testing.T) {
 	for range 3 {
 		result, err := Play(lossAfterLapse, Options{})
--- a/internal/tier/simulation/replay.go
+++ b/internal/tier/simulation/replay.go
@@ -1,69 +1,42 @@
 package simulation
 
 import (
-	"encoding/json"
-	"errors"
-	"fmt"
-	"os"
-	"slices"
+	"bytes"
 )
 
-// ErrVersion says that a script is of another version than this package plays.
-var ErrVersion = errors.New("simulation: a script of another version")
+// Failure is a script that broke a rule.
+type Failure struct {
+	Script         Script
+	Violation      *Violation
+	Trace          []byte // of the play
+	SimulatorError string // of the simulator itself, if that failed
+}
 
-// Write writes a script to a file that Read reads.
-func (s Script) Write(path string) error {
-	body, err := json.MarshalIndent(s, "", "  ")
-	if err != nil {
-		return err
+// text returns the text of an error, or "".
+func text(err error) string {
+	if err == nil {
+		return ""
 	}
-	return os.WriteFile(path, append(body, '\n'), 0o644)
+	return err.Error()
 }
 
-// Read reads a script. The error tells all that is wrong with it, and is an ErrVersion where that is its version.
-func Read(path string) (Script, error) {
-	var s Script
-	body, err := os.ReadFile(path)
-	if err != nil {
-		return s, err
-	}
-	if err := json.Unmarshal(body, &s); err != nil {
-		return s, fmt.Errorf("%s: %w", path, err)
-	}
-	if s.Version != ScriptVersion {
-		return s, fmt.Errorf("%s: version %d, this program plays %d: %w", path, s.Version, ScriptVersion, ErrVersion)
-	}
-	if err := s.check(); err != nil {
-		return s, fmt.Errorf("%s: %w", path, err)
-	}
-	return s, nil
+// playTraced plays a script and keeps its trace.
+func playTraced(script Script, options Options) (Result, []byte, error) {
+	var trace bytes.Buffer
+	options.Trace = &trace
+	result, err := Play(script, options)
+	return result, trace.Bytes(), err
 }
 
-// check gives all that keeps a script from being played.
-func (s Script) check() error {
-	var found []error
-	if s.Losses < 0 || s.Core < 2*s.Losses+1 || s.Stores < s.Losses+1 || s.Gateways < 1 {
-		found = append(found, fmt.Errorf("%d core, %d turn stores, %d gateways are too few to bear %d losses", s.Core, s.Stores, s.Gateways, s.Losses))
-	}
-	switch s.Unit {
-	case Machines:
-	case Zones, Regions:
-		if s.domains() < 2*s.Losses+1 {
-			found = append(found, fmt.Errorf("%d %s are too few to bear %d losses", s.domains(), s.Unit, s.Losses))
-		}
-	default:
-		found = append(found, fmt.Errorf("unknown unit %q", s.Unit))
-	}
-	for i, f := range s.Faults {
-		if !slices.Contains(FaultKinds(), f.Kind) {
-			found = append(found, fmt.Errorf("faults[%d]: unknown kind %q", i, f.Kind))
-		}
-		if s.Unit == Machines && slices.Contains(domainKinds, f.Kind) {
-			found = append(found, fmt.Errorf("faults[%d]: %s, and machines are lost", i, f.Kind))
-		}
-		if f.AtMS < 0 || f.DurationMS < 0 {
-			found = append(found, fmt.Errorf("faults[%d]: a time below 0", i))
+// Replay plays a script until it breaks a rule, at most so many times, and returns the last play.
+func Replay(script Script, options Options, times int) Failure {
+	var f Failure
+	for range times {
+		result, trace, err := playTraced(script, options)
+		f = Failure{script, result.Violation, trace, text(err)}
+		if f.Violation != nil || err != nil {
+			break
 		}
 	}
-	return errors.Join(found...)
+	return f
 }
--- a/internal/tier/simulation/shrink.go
+++ b/internal/tier/simulation/shrink.go
@@ -1,11 +1,13 @@
 package simulation
 
-import "slices"
+import (
+	"slices"
+)
 
-// FailsFunc tells whether a script breaks a promise. As no play is quite like another, it may play the script several times.
+// FailsFunc reports whether a script breaks a rule. As no play is quite like another, it may play the script several times.
 type FailsFunc func(Script) bool
 
-// Shrink gives a script as short as it finds that still fails: entries are dropped, then made shorter.
+// Shrink returns a shorter script that still fails: faults are dropped, then made shorter.
 func Shrink(s Script, fails FailsFunc) Script {
 	for changed := true; changed; {
 		changed = false
@@ -31,5 +33,5 @@
 	return s
 }
 
-// minFaultDuration is the duration of a fault, in milliseconds, at which no shorter one is tried.
+// minFaultDuration is the duration of a fault, in milliseconds, from which on no shorter one is tried.
 const minFaultDuration = 200
--- a/internal/tier/simulation/virtualtime/virtualtime.go
+++ b/internal/tier/simulation/virtualtime/virtualtime.go
@@ -12,12 +12,18 @@
 	"testing/synctest"
 )
 
-// Run calls f in a bubble, and returns when f and all goroutines that it began have ended. The error tells of a panic of
-// f, or of goroutines that wait for ever.
+// PanicError is returned where the function panicked, or goroutines in its bubble wait for ever.
+type PanicError struct{ Value any }
+
+// Error implements error.
+func (err PanicError) Error() string { return fmt.Sprintf("virtual time: %v", err.Value) }
+
+// Run calls f in a bubble, and returns when f and all goroutines that it began have ended. An error is a
+// PanicError.
 func Run(f func()) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("virtual time: %v", p)
+			err = PanicError{p}
 		}
 	}()
 	var t testing.T
--- a/internal/tier/simulation/workers.go
+++ b/internal/tier/simulation/workers.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
+	"errors"
 	"io"
 	"os"
 	"os/exec"
@@ -11,9 +11,8 @@
 	"time"
 )
 
-// A play has one goroutine awake at most times: it goes fastest on one processor, and plays in one process wait for each
-// other's. So many plays at a time are made in as many processes, each of one processor, which tell on their standard output
-// how they get on.
+// A play has one runnable goroutine most of the time: it is fastest on one processor, and plays in one process wait for each
+// other. Concurrent plays run in as many processes, each of one processor, which report their progress on standard output.
 
 // workerEvent is one line of a worker's output, in JSON.
 type workerEvent struct {
@@ -22,10 +21,13 @@
 	Total   *Total   `json:"total,omitempty"` // the last line
 }
 
-// progressInterval is after how many seeds a worker tells how far it is.
+// errWorkerEnded is returned where a worker ends without its total.
+var errWorkerEnded = errors.New("simulation: a worker ended early")
+
+// progressInterval is after how many seeds a worker reports its progress.
 const progressInterval = 5
 
-// PlayAsWorker plays a batch as a worker does, and writes what comes of it.
+// PlayAsWorker plays a batch in a worker process, and writes its failures, progress and total to out.
 func (b Batch) PlayAsWorker(ctx context.Context, out io.Writer) error {
 	lines := json.NewEncoder(out)
 	var failed error
@@ -47,7 +49,7 @@
 }
 
 // PlayInWorkers plays a batch in processes of their own, as many as there are jobs. command makes the one that plays a part
-// of the seeds by Work.
+// of the seeds by PlayAsWorker.
 func (b Batch) PlayInWorkers(ctx context.Context, command func(ctx context.Context, from, seeds uint64) *exec.Cmd) (Total, error) {
 	began := time.Now()
 	jobs := uint64(max(b.Jobs, 1))
@@ -89,7 +91,7 @@
 	return total, nil
 }
 
-// runWorker runs a worker and hands on what it tells.
+// runWorker runs a worker process, and passes its events to tell.
 func runWorker(c *exec.Cmd, tell func(workerEvent)) error {
 	c.Env = append(c.Environ(), "GOMAXPROCS=1")
 	c.Stderr = os.Stderr
@@ -112,7 +114,7 @@
 	}
 	err = c.Wait()
 	if err == nil && !ended {
-		err = fmt.Errorf("simulation: a worker ended early")
+		err = errWorkerEnded
 	}
 	return err
 }
--- a/internal/tier/simulation/world.go
+++ b/internal/tier/simulation/world.go
@@ -16,7 +16,7 @@
 	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
-// Settings of all processes. Every bound that the checker holds them to follows from these.
+// Settings of all processes. All bounds of the checkers follow from these.
 const (
 	contactWindow = 3 * time.Second
 	heartbeat     = time.Second
@@ -51,14 +51,14 @@
 	operatorPrefix = "operator-"
 )
 
-// checkers is all that is checked.
+// checkers are the checkers of one play.
 type checkers struct {
 	configuration *configurationChecker
 	views         *viewChecker
 	turns         *turnChecker
 }
 
-// world is a system in a bubble.
+// world is one simulated system, in a bubble of virtual time.
 type world struct {
 	script      Script
 	options     Options
@@ -68,18 +68,18 @@
 	ctx         context.Context // of all that runs
 	cancel      context.CancelFunc
 	running     sync.WaitGroup // of what the simulator itself runs
-	load        sync.WaitGroup // operators and clients
+	load        sync.WaitGroup // goroutines of operators and clients
 	loadStopped chan struct{}  // closed when no more load is to begin
 
 	mu                 sync.Mutex
 	machines           map[string]*machine
 	addresses          map[string]int // next of each kind
 	underFault         map[string]bool
-	partitionedCore    map[string]int // machines of the control plane that are cut off, and by how many faults
-	busyOperatorFaults int            // faults for whose time operators order without rest
+	partitionedCore    map[string]int // machines of the control plane that are partitioned, and by how many faults
+	busyOperatorFaults int            // faults during which operators change the configuration without rest
 	violation          *Violation
-	retiringNode       string // the machine whose order to be emptied was acknowledged
-	retired            bool   // and has been carried out
+	retiringNode       string // the machine whose retirement was acknowledged
+	retired            bool   // it is empty, and was removed
 	bootstrap          bool
 }
 
@@ -97,7 +97,7 @@
 
 func (w *world) ending() bool { return w.ctx.Err() != nil }
 
-// loadRunning tells whether operators and clients are to go on.
+// loadRunning reports whether operators and clients are to continue.
 func (w *world) loadRunning() bool {
 	select {
 	case <-w.loadStopped:
@@ -107,7 +107,7 @@
 	}
 }
 
-// sleep lets time pass, or the world end.
+// sleep waits for a duration, or for the end of the play.
 func (w *world) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -117,7 +117,7 @@
 	}
 }
 
-// reportViolation takes a promise that was broken. The first one ends the play.
+// reportViolation records a broken rule. The first one ends the play.
 func (w *world) reportViolation(rule Rule, format string, args ...any) {
 	if w.ending() || slices.Contains(w.options.Ignore, rule) {
 		return
@@ -139,7 +139,7 @@
 	}
 }
 
-// logger gives a machine's log, which goes to the trace.
+// logger returns a machine's log, which goes to the trace.
 func (w *world) logger(name string) *log.Logger {
 	if w.options.Trace == nil {
 		return &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}}
@@ -147,17 +147,19 @@
 	return &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: traceWriter{w, name}}}
 }
 
+// traceWriter writes the log of a machine to the trace.
 type traceWriter struct {
 	w    *world
 	name string
 }
 
+// Write implements io.Writer.
 func (n traceWriter) Write(line []byte) (int, error) {
 	n.w.trace("%s: %s", n.name, line[:max(0, len(line)-1)])
 	return len(line), nil
 }
 
-// randomFor gives a source of its own for each name.
+// randomFor returns the random source of a name: the same for the same seed.
 func (w *world) randomFor(name string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, name)
@@ -174,7 +176,7 @@
 	return w.addMachineAt(name, kind, ip, zone%w.script.zones())
 }
 
-// addMachineAt makes a machine. The lock is held.
+// addMachineAt makes a machine. The caller holds mu.
 func (w *world) addMachineAt(name string, kind roleName, ip string, zone int) *machine {
 	random := w.randomFor(name + "@" + ip)
 	m := &machine{world: w, name: name, ip: ip, zone: zone, kind: kind, random: random, disk: newDisk(random.Uint64())}
@@ -198,7 +200,7 @@
 	return m
 }
 
-// addOutsideMachine makes a machine that nothing befalls.
+// addOutsideMachine makes a machine that no fault is injected into.
 func (w *world) addOutsideMachine(name, ip string) *machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -211,7 +213,7 @@
 	return w.machines[name]
 }
 
-// machinesOfKind gives the machines of a kind that are there, by number.
+// machinesOfKind returns the machines of a kind that are there, by number.
 func (w *world) machinesOfKind(kind roleName) (list []*machine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -252,23 +254,9 @@
 	return outsideRole{w.outsideHandler(m.ip)}
 }
 
-// nextCore is the name of another machine of the control plane. Addresses are never used again, so that no name is.
+// nextCore returns the name of another machine of the control plane. Addresses are never used again, so that no name is.
 func (w *world) nextCore() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return coreName(w.addresses[coreNet])
 }
-
-// leader gives the machine of the control plane's primary, nil if there is none.
-func (w *world) leader() *machine {
-	for _, m := range w.machinesOfKind(roleControlPlane) {
-		p, _ := m.process()
-		if p == nil {
-			continue
-		}
-		if _, leads := p.role.(*controlPlaneRole).node.Primary(); leads {
-			return m
-		}
-	}
-	return nil
-}
