--- /dev/null
+++ b/brain/endpoint_list_test.go
@@ -0,0 +1,230 @@
+package brain
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// Rule 3: nothing goes to an endpoint from the batch on that names it draining.
+func TestEndpointUpdate_DrainingEndpointGetsNoCall(t *testing.T) {
+	r := newRig(t, settings())
+	if s := r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}, r.message(0, 0, 0)); len(s) != 0 {
+		t.Fatalf("sent to a draining endpoint: %+v", s)
+	}
+	if s := r.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}}); len(s) != 1 {
+		t.Fatalf("not sent to the endpoint that is back: %+v", s)
+	}
+	if s := r.step(r.message(0, 1, 0)); len(s) != 0 {
+		t.Fatalf("sent to an endpoint that the whole list lacks: %+v", s)
+	}
+}
+
+func TestWatchEndpoints_RequestedAndRetried(t *testing.T) {
+	set := settings()
+	set.RequestsEndpoints = true
+	b := New(set, 1)
+	asks := func(now time.Duration, e ...Event) (n int) {
+		for _, a := range b.Step(now, e) {
+			if _, ok := a.(WatchEndpoints); ok {
+				n++
+			}
+		}
+		return n
+	}
+	if asks(0) != 1 || asks(time.Second) != 0 {
+		t.Fatal("the list is watched once from the start")
+	}
+	if asks(2*time.Second, EndpointUpdate{Failed: true}) != 0 || asks(2*time.Second+minListBackoff/2-ms) != 0 || asks(2*time.Second+2*minListBackoff) != 1 {
+		t.Fatal("a failed watch is asked for again")
+	}
+	// Each failure in a row doubles the pause, up to one with which a change is heard in the protocol's 6 s; where discovery has
+	// more to do than it can, it is one with which all senders together leave it room.
+	now, pause := 10*time.Second, minListBackoff
+	for n := range 12 {
+		news := EndpointUpdate{Failed: true, Overloaded: n >= 6}
+		if pause = min(2*pause, maxListBackoff); news.Overloaded {
+			pause = overloadedListBackoff
+		}
+		if asks(now, news) != 0 || asks(now+pause/2-ms) != 0 || asks(now+pause/2+pause) != 1 {
+			t.Fatalf("after a pause of about %v the list is asked for once", pause)
+		}
+		now += 2 * pause
+	}
+	if asks(now, EndpointUpdate{Failed: true}) != 0 || asks(now+overloadedListBackoff/2-ms) != 0 || asks(now+2*overloadedListBackoff) != 1 {
+		t.Fatal("it is left room until it has answered, also by a call that it turns away at once")
+	}
+	if now += 20 * time.Second; asks(now, EndpointUpdate{}) != 0 || asks(now+1, EndpointUpdate{Failed: true}) != 0 || asks(now+1+2*minListBackoff) != 1 {
+		t.Fatal("once it was told, pauses begin anew")
+	}
+}
+
+// Endpoints under ever new ids leave nothing behind, nor does a destination that nobody lists or wants any more; a call
+// in flight when its endpoint goes ends as it does, and a retry-after outlasts the endpoint.
+func TestForgetRemoved_EndpointsAndDestinations(t *testing.T) {
+	r := newRig(t, settings())
+	list := func(ids ...EndpointID) EndpointUpdate {
+		n := EndpointUpdate{Complete: true}
+		for _, id := range ids { // even ones of a shared destination, odd ones routes apart
+			n.Endpoints = append(n.Endpoints, Endpoint{ID: id, Destination: 10 + DestinationID(id%2), Kind: int(id % 2), Ready: true})
+		}
+		return n
+	}
+	for id := EndpointID(100); id < 2100; id += 2 {
+		sends := append(r.step(list(id, id+1), r.message(0, 10, 0)), r.step(r.message(0, 11, 0))...)
+		r.now += 300 * ms
+		r.step(list(id+2, id+3)) // they go while their calls are out
+		for _, s := range sends {
+			r.step(r.end(s, Served))
+		}
+		r.now += 5 * time.Second
+	}
+	r.step(list(5000))
+	if e, n, d, o := len(r.b.endpoints), r.b.routeCount, len(r.b.destinations), len(r.b.destinationOrder); e > 100 || n > 100 || d > 5 || o != d {
+		t.Errorf("%d endpoints, %d routes, %d destinations, %d in order", e, n, d, o)
+	}
+	if len(r.failed)+len(r.rejected)+len(r.b.messages) > 0 {
+		t.Errorf("failed %v, refused %v, %d messages held", r.failed, r.rejected, len(r.b.messages))
+	}
+	r.now += 2 * removedRetention
+	r.step(list())
+	if len(r.b.endpoints)+r.b.routeCount+len(r.b.destinations)+len(r.b.destinationOrder) > 0 {
+		t.Errorf("an empty list leaves %d endpoints, %d routes, %d destinations", len(r.b.endpoints), r.b.routeCount, len(r.b.destinations))
+	}
+
+	s := r.step(list(7001), r.message(0, 11, 0))
+	e := r.end(s[0], Rejected)
+	e.RetryAfter = 2 * removedRetention
+	r.step(e)
+	r.step(list())
+	r.now += removedRetention + time.Second
+	if got := r.step(list(), list(7001), r.message(0, 11, 0)); len(got) > 0 {
+		t.Error("a told wait is forgotten with the endpoint")
+	}
+}
+
+// discovery is one discovery for a whole fleet, in virtual time: it works through calls in turn, each takes it as long, a
+// call that has waited for longer than the time-out has failed and is worked through all the same, and calls beyond so
+// much work are rejected at once.
+type discovery struct {
+	each, timeout, maxBacklog time.Duration
+	freeAt                    time.Duration
+}
+
+// ask is when a call that comes now ends, and whether it is answered.
+func (o *discovery) ask(now time.Duration) (at time.Duration, answered bool) {
+	begin := max(now, o.freeAt)
+	if begin-now > o.maxBacklog {
+		return now, false
+	}
+	o.freeAt = begin + o.each
+	if o.freeAt-now > o.timeout {
+		return now + o.timeout, false
+	}
+	return o.freeAt, true
+}
+
+// ask plays a fleet that starts at one moment and tells when each of its senders has heard the list, and how many
+// calls discovery has worked on in vain.
+func ask(senders int, o *discovery, until time.Duration) (heard []time.Duration, inVain int) {
+	const start = time.Hour
+	s, list := fleetSettings(senders)
+	s.RequestsEndpoints = true
+	brains := make([]*Brain, senders)
+	type end struct {
+		at               time.Duration
+		answered, inVain bool
+	}
+	ends := make([]*end, senders)
+	for i := range brains {
+		brains[i] = New(s, uint64(i+1))
+	}
+	for now := start; now < start+until; now += 10 * ms {
+		for i, b := range brains {
+			events := []Event{TimerFired{}}
+			if e := ends[i]; e != nil && now >= e.at {
+				ends[i] = nil
+				if events = append(events, EndpointUpdate{Failed: true, Overloaded: e.inVain}); e.answered {
+					events[1] = list
+					heard = append(heard, now-start)
+				} else if e.inVain {
+					inVain++
+				}
+			}
+			for _, a := range b.Step(now, events) {
+				if _, ok := a.(WatchEndpoints); ok {
+					at, answered := o.ask(now)
+					ends[i] = &end{at, answered, !answered && at > now}
+				}
+			}
+		}
+	}
+	return heard, inVain
+}
+
+// Eighty senders start at once at a discovery that takes fifteen calls a second and gives each two seconds. Asking again
+// every second or so after a failure they kept it busy with calls that had failed already, and none heard a drain.
+func TestWatchEndpoints_FleetStartsAtOnce(t *testing.T) {
+	for _, each := range []time.Duration{25 * ms, 66 * ms, 100 * ms} { // a call of everyone in 2 to 8 s
+		for _, most := range []time.Duration{2 * time.Second, 5 * time.Second} { // of work that waits, before calls are turned away
+			heard, inVain := ask(80, &discovery{each: each, timeout: 2 * time.Second, maxBacklog: most}, 30*time.Second)
+			if len(heard) != 80 {
+				t.Errorf("%v a call, %v of work: %d of 80 senders have heard the list after 30 s, %d calls in vain", each, most, len(heard), inVain)
+				continue
+			}
+			slices.Sort(heard)
+			t.Logf("%v a call, %v of work: half has heard after %v, all after %v, %d calls in vain", each, most, heard[40], heard[79], inVain)
+			if inVain > 2*80 {
+				t.Errorf("%v a call, %v of work: %d calls in vain: more than two for each sender", each, most, inVain)
+			}
+		}
+	}
+}
+
+// A discovery that was overloaded for long, and rejected calls at once, has some calls of every sender queued when it
+// can answer again: all senders leave it capacity then, and each hears the list within 20 s.
+func TestWatchEndpoints_FleetAfterOverload(t *testing.T) {
+	o := &discovery{each: 66 * ms, timeout: 2 * time.Second, maxBacklog: 5 * time.Second}
+	o.freeAt = time.Hour + 25*time.Second // nothing is answered until then
+	heard, _ := ask(80, o, time.Minute)
+	if len(heard) != 80 {
+		t.Fatalf("%d of 80 senders have heard the list", len(heard))
+	}
+	if last := slices.Max(heard); last > 45*time.Second {
+		t.Errorf("the last has heard after %v", last)
+	}
+}
+
+// A destination whose endpoints have routes of their own leaves the list, is forgotten, and is listed again while its
+// endpoint is still remembered: the routes are its own as before, and quiet that would let one with a shared route
+// hibernate does it no harm.
+func TestEndpointUpdate_RelistedDestinationKeepsEndpointRoutes(t *testing.T) {
+	s := settings()
+	s.HibernateAfter = 5 * time.Minute
+	r := newRig(t, s)
+	r.b = New(s, 7)
+	line := Endpoint{ID: 1, Destination: 4, Kind: 1, Ready: true}
+	r.step(EndpointUpdate{Endpoints: []Endpoint{line}})
+	gone := line
+	gone.Ready = false
+	r.step(EndpointUpdate{Endpoints: []Endpoint{gone}})
+	r.now += time.Second
+	r.step(TimerFired{})
+	if r.b.destinations[4] != nil {
+		t.Fatal("a destination without endpoints and messages is remembered")
+	}
+	if r.b.endpoints[1] == nil {
+		t.Fatal("its endpoint is not")
+	}
+	r.step(EndpointUpdate{Endpoints: []Endpoint{line}})
+	if d := r.b.destinations[4]; !d.hasEndpointRoutes || d.sharedRoute != nil {
+		t.Errorf("its routes are no longer apart")
+	}
+	for range 20 {
+		r.now += time.Minute
+		r.step(TimerFired{})
+	}
+	if r.b.destinations[4] == nil {
+		t.Error("it hibernates")
+	}
+}
--- a/brain/generated_day_test.go
+++ b/brain/generated_day_test.go
@@ -265,7 +265,7 @@
 	return "nothing"
 }
 
-// restart begins a new process with what the old one held, as the journal would tell it.
+// restart begins a new process with what the old one had pending, as the journal would tell it.
 func (w *world) restart() {
 	rates := w.brain.UsualRates()
 	if w.twin != nil {
@@ -377,7 +377,7 @@
 			events = append(events, brain.TimerFired{})
 		case x == 6 && rng.IntN(8) == 0:
 			w.restart()
-			events = nil // the new process was handed all that is held
+			events = nil // the new process was handed all that is pending
 		}
 		if w.fleet != nil {
 			events = append(events, w.fleet()...)
--- a/brain/fold_world_test.go
+++ b/brain/hibernation_days_test.go
@@ -13,8 +13,8 @@
 	n       int
 }
 
-// rules are what holds whatever is remembered: nothing goes to an endpoint that is not listed, nor during a told
-// wait, and each message ends once.
+// rules are what holds whatever is remembered: nothing goes to an endpoint that is not listed, nor during a
+// retry-after, and each message ends once.
 type rules struct {
 	t      *testing.T
 	seed   uint64
@@ -23,7 +23,7 @@
 	apart  bool
 	ended  map[brain.MessageID]bool
 	out    map[attempt]brain.DestinationID // and where it was sent
-	woken  int                             // sends after a silence that folds
+	woken  int                             // sends after a quiet time in which a destination hibernates
 	last   map[brain.DestinationID]time.Duration
 }
 
@@ -42,7 +42,7 @@
 			}
 		case brain.AttemptResult:
 			k := attempt{e.Message, e.Attempt}
-			if d, out := r.out[k]; out && e.RetryAfter > 0 { // one that is told twice counts once
+			if d, out := r.out[k]; out && e.RetryAfter > 0 { // a result that comes twice counts once
 				r.closed[d] = max(r.closed[d], w.now+e.RetryAfter)
 			}
 			delete(r.out, k)
@@ -71,7 +71,7 @@
 	}
 }
 
-// restart forgets what a new process is not told: waits and calls that were out.
+// restart forgets what a new process does not know: retry-afters and calls in flight.
 func (r *rules) restart() {
 	clear(r.closed)
 	clear(r.out)
@@ -85,9 +85,9 @@
 	r.ended[id] = true
 }
 
-// With destinations that fold after a moment of quiet the rules hold all the same, and two Brains that fold
+// With destinations that hibernate after a moment of quiet the rules hold all the same, and two such Brains
 // decide alike.
-func TestRulesHoldWhileFolding(t *testing.T) {
+func TestStep_RulesHoldWhileHibernating(t *testing.T) {
 	woken := 0
 	for seed := range uint64(600) {
 		w := newWorld(t, seed)
--- a/brain/fold_test.go
+++ b/brain/hibernation_test.go
@@ -9,15 +9,16 @@
 	"saffronyard.example/saffronyard/brain/restart"
 )
 
-// sleepy is a rig whose destinations fold after a minute.
-func sleepy(t *testing.T) *rig {
+// hibernatingRig is a rig whose destinations hibernate after a minute.
+func hibernatingRig(t *testing.T) *rig {
+	t.Helper()
 	s := settings()
 	s.HibernateAfter = time.Minute
 	return newRig(t, s)
 }
 
-// sleep lets time pass with nothing for the destinations 0 and 1 until they have folded.
-func (r *rig) sleep(d time.Duration) {
+// hibernate lets time pass with nothing for the destinations 0 and 1 until they hibernate.
+func (r *rig) hibernate(d time.Duration) {
 	r.Helper()
 	end := r.now + d
 	for r.now < end {
@@ -25,39 +26,27 @@
 		r.step(TimerFired{})
 	}
 	if r.b.hibernated[0] == nil || r.b.destinations[0] != nil {
-		r.Fatal("it has not folded")
+		r.Fatal("it does not hibernate")
 	}
 }
 
-// all ends every call that is out, again and again until none is.
-func (r *rig) all(sends []Send, o Outcome) {
+// endAll ends every call in flight, until there is none.
+func (r *rig) endAll(sends []Send, o Outcome) {
 	for len(sends) > 0 {
 		s := sends[0]
 		sends = append(sends[1:], r.step(r.end(s, o))...)
 	}
 }
 
-// What was learnt goes by the rule of age, what was told stays.
-func TestTrust(t *testing.T) {
-	for age, want := range map[time.Duration]float64{-time.Second: 1, 0: 1, time.Hour: 0.5, 3 * time.Hour: 0.125} {
-		if got := trust(age); math.Abs(got-want) > 1e-12 {
-			t.Errorf("after %v %v, want %v", age, got, want)
-		}
-	}
-	if blend(4, 1, 0.5) != 2.5 || blend(4, 1, 0) != 4 || blend(4, 1, 1) != 1 {
-		t.Error("blend")
-	}
-}
-
-// Slept for a minute it is nearly as before; after hours the time-out and the window are nearly those of one
-// of which nothing is known.
-func TestWhatIsLearntAges(t *testing.T) {
+// After a minute of hibernation all is nearly as before; after hours the time-out and the window are nearly those of an
+// unknown destination.
+func TestWakeUp_LearnedValuesAge(t *testing.T) {
 	for _, c := range []struct {
 		sleep          time.Duration
 		tauFrom, tauTo time.Duration
 		window         float64
 	}{{2 * time.Minute, 0, time.Second, 5}, {12 * time.Hour, 3900 * ms, restart.FirstTimeout, 1}} {
-		r := sleepy(t)
+		r := hibernatingRig(t)
 		for range 40 {
 			var sends []Send
 			for range 8 {
@@ -73,7 +62,7 @@
 		if was > time.Second {
 			t.Fatalf("it has learnt a time-out of %v", was)
 		}
-		r.sleep(c.sleep)
+		r.hibernate(c.sleep)
 		d := r.b.destination(0)
 		if tau := d.sharedRoute.Timeout(); tau < c.tauFrom || tau > c.tauTo {
 			t.Errorf("after %v the time-out is %v, it was %v", c.sleep, tau, was)
@@ -84,16 +73,16 @@
 	}
 }
 
-// It folds while its told wait runs, and wakes within it: nothing goes before the wait is over.
-func TestFoldsWithinAWait(t *testing.T) {
-	r := sleepy(t)
+// It hibernates during its retry-after, and wakes up within it: nothing is sent before the wait is over.
+func TestHibernate_WithinRetryAfter(t *testing.T) {
+	r := hibernatingRig(t)
 	r.b.settings.OverloadWindow = time.Hour // such a wait is no outage here
 	s := r.step(r.message(0, 0, 0))
 	e := r.end(s[0], Rejected)
 	e.RetryAfter, e.Final = 10*time.Minute, true
 	r.step(e)
 	over := r.now + 10*time.Minute
-	r.sleep(4 * time.Minute)
+	r.hibernate(4 * time.Minute)
 	for r.now < over {
 		if sends := r.step(r.message(0, 0, 0)); len(sends) > 0 {
 			t.Fatalf("sent %v before the wait was over", over-r.now)
@@ -106,18 +95,18 @@
 	}
 }
 
-// It folds while its receiver is out, and a burst wakes it: one call goes at a time, and after the first that
-// is served what a cold one bears.
-func TestFoldsWithinAnOutage(t *testing.T) {
-	r := sleepy(t)
+// It hibernates during an outage, and a burst wakes it up: one call goes at a time, and after the first that is served
+// as many as a destination bears that warms up.
+func TestHibernate_WithinOutage(t *testing.T) {
+	r := hibernatingRig(t)
 	r.serve(60, 0, 50*ms)
-	r.fallOut()
-	for _, h := range r.b.messages { // what is held ends
+	r.beginOutage()
+	for _, h := range r.b.messages { // what is pending ends
 		r.step(Withdrawn{h.ID})
 	}
-	r.sleep(10 * time.Minute)
+	r.hibernate(10 * time.Minute)
 	if st := r.b.hibernated[0].state; st != outage {
-		t.Fatalf("it folded in state %d", st)
+		t.Fatalf("it hibernated in state %d", st)
 	}
 	var burst []Event
 	for range 60 {
@@ -156,13 +145,13 @@
 	}
 }
 
-// A limit is remembered; hours later its pace is that of an even part, and at last it is unknown.
-func TestFoldedLimit(t *testing.T) {
+// A rate limit is remembered; hours later its send rate is an even share, and at last it is unknown.
+func TestWakeUp_RateLimitAges(t *testing.T) {
 	for _, c := range []struct {
 		sleep time.Duration
 		limit float64
 	}{{2 * time.Minute, 30}, {2 * time.Hour, 30}, {10 * time.Hour, 0}} {
-		r := sleepy(t)
+		r := hibernatingRig(t)
 		for range 30 {
 			r.now += 200 * ms // its pace lets one go in that time
 			s := r.step(r.message(0, 0, 0))
@@ -175,7 +164,7 @@
 		if pace < 20 {
 			t.Fatalf("the pace has grown to %v only", pace)
 		}
-		r.sleep(c.sleep)
+		r.hibernate(c.sleep)
 		d := r.b.destination(0)
 		even := r.b.initialSendRate(30)
 		if d.sharedRoute.limit != c.limit {
@@ -187,23 +176,23 @@
 	}
 }
 
-// Its endpoints were replaced while it slept: the old one gets nothing, the new one does; and one that is
-// listed again as it was wakes nobody.
-func TestEndpointsOfASleeper(t *testing.T) {
-	r := sleepy(t)
+// Its endpoints were replaced meanwhile: the old one gets nothing, the new one does; and one that is listed again as it
+// was wakes up nobody.
+func TestHibernated_EndpointsReplaced(t *testing.T) {
+	r := hibernatingRig(t)
 	r.serve(5, 0, 50*ms)
-	r.sleep(3 * time.Minute)
+	r.hibernate(3 * time.Minute)
 	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true}}})
 	if r.b.hibernated[0] == nil {
 		t.Error("a line that says nothing new unfolds")
 	}
 	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 9, Ready: true}, {ID: 1}}})
-	r.sleep(3 * time.Minute)
+	r.hibernate(3 * time.Minute)
 	if s := r.step(r.message(0, 0, 0)); len(s) != 1 || s[0].Endpoint != 9 {
 		t.Errorf("%+v", s)
 	}
 	r.step(r.end(r.sends[len(r.sends)-1], Served))
-	r.sleep(3 * time.Minute)
+	r.hibernate(3 * time.Minute)
 	// A whole list without it: gone.
 	r.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 2, Destination: 1, Ready: true}}})
 	if s := r.step(r.message(0, 0, 0)); len(s) != 0 {
@@ -211,12 +200,12 @@
 	}
 }
 
-// An id comes back under another destination while its own sleeps: each goes by its own list.
-func TestIdUnderAnotherDestination(t *testing.T) {
-	r := sleepy(t)
+// An id comes back under another destination while its own hibernates: each goes by its own list.
+func TestHibernated_EndpointMovesToAnotherDestination(t *testing.T) {
+	r := hibernatingRig(t)
 	r.serve(5, 0, 50*ms)
 	r.serve(5, 1, 50*ms)
-	r.sleep(3 * time.Minute)
+	r.hibernate(3 * time.Minute)
 	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Destination: 1, Ready: true}, {ID: 7, Destination: 0, Ready: true}}})
 	for range 8 {
 		for _, dest := range []DestinationID{0, 1} {
@@ -227,13 +216,13 @@
 				}
 			}
 			r.now += 50 * ms
-			r.all(s, Served)
+			r.endAll(s, Served)
 		}
 	}
 }
 
-// 500 sleepers wake in the same second, with few slots: each is served, none waits for long.
-func TestManyWakeAtOnce(t *testing.T) {
+// 500 destinations wake up in the same second, with few slots: each is served, none waits for long.
+func TestWakeUp_ManyAtOnce(t *testing.T) {
 	s := settings()
 	s.HibernateAfter, s.Slots, s.MaxPending, s.Kinds = time.Minute, 40, 5000, []Kind{{MaxBatch: 1}}
 	r := newRig(t, s)
@@ -253,7 +242,7 @@
 		}
 	}
 	if n := len(r.b.hibernated); n != 5000 {
-		t.Fatalf("%d of 5000 are folded", n)
+		t.Fatalf("%d of 5000 are hibernated", n)
 	}
 	began := r.now
 	first, served := map[DestinationID]time.Duration{}, 0
@@ -296,7 +285,7 @@
 		r.now += 10 * ms
 	}
 	if served != 1500 {
-		t.Fatalf("%d of 1500 served, %d failed, %d refused", served, len(r.failed), len(r.refused))
+		t.Fatalf("%d of 1500 served, %d failed, %d refused", served, len(r.failed), len(r.rejected))
 	}
 	for d, at := range first {
 		if woke := time.Duration(int(d)/5) * 10 * ms; at-woke > 3*time.Second {
@@ -305,16 +294,16 @@
 	}
 }
 
-// A restart in the middle of sleep: the rates of sleepers are told with the others, each once.
-func TestRatesOfSleepers(t *testing.T) {
-	r := sleepy(t)
+// A restart during hibernation: the rates of hibernated destinations are returned with the others, each once.
+func TestUsualRates_OfHibernated(t *testing.T) {
+	r := hibernatingRig(t)
 	r.serve(60, 0, 50*ms)
 	r.serve(3, 1, 50*ms)
 	awake := map[DestinationID]float64{}
 	for _, e := range r.b.UsualRates() {
 		awake[e.Destination] = e.Rate
 	}
-	r.sleep(2 * time.Minute)
+	r.hibernate(2 * time.Minute)
 	asleep := map[DestinationID]float64{}
 	for _, e := range r.b.UsualRates() {
 		if _, twice := asleep[e.Destination]; twice {
@@ -327,15 +316,15 @@
 	}
 }
 
-// The number of routes, by which rates are judged, is the same asleep and awake.
-func TestFoldingKeepsTheCountOfRoutes(t *testing.T) {
-	r := sleepy(t)
+// The number of routes, by which rates are judged, is the same in hibernation and awake.
+func TestHibernate_KeepsRouteCount(t *testing.T) {
+	r := hibernatingRig(t)
 	n := r.b.routeCount
 	for range 3 {
 		r.serve(2, 0, 50*ms)
 		r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 5, Ready: true}}})
 		r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 5}}}) // it left, and names the route still
-		r.sleep(5 * time.Minute)
+		r.hibernate(5 * time.Minute)
 		r.step(EndpointUpdate{})
 		if r.b.routeCount != n {
 			t.Fatalf("%d routes, there were %d", r.b.routeCount, n)
@@ -349,9 +338,9 @@
 	}
 }
 
-// BenchmarkFolded tells how many bytes a folded destination of one endpoint takes in the Brain, all maps
+// BenchmarkFolded tells how many bytes a hibernated destination of one endpoint takes in the Brain, all maps
 // included, and one that is awake.
-func BenchmarkFolded(b *testing.B) {
+func BenchmarkHibernated(b *testing.B) {
 	const n = 20_000
 	heap := func() uint64 {
 		runtime.GC()
@@ -374,54 +363,11 @@
 			br.Step(time.Hour+2*time.Minute+time.Duration(i)*ms, []Event{TimerFired{}})
 		}
 		if len(br.hibernated) != n {
-			b.Fatalf("%d are folded", len(br.hibernated))
+			b.Fatalf("%d are hibernated", len(br.hibernated))
 		}
-		folded := heap()
+		hibernated := heap()
 		b.ReportMetric(float64(awake-before)/n, "B/awake")
-		b.ReportMetric(float64(folded-before)/n, "B/folded")
+		b.ReportMetric(float64(hibernated-before)/n, "B/hibernated")
 		runtime.KeepAlive(br)
 	}
 }
-
-// BenchmarkStep is the decision alone: a message in, its call out, its outcome in, with so many destinations
-// listed and so many busy in turn.
-func BenchmarkStep(b *testing.B) {
-	for _, c := range []struct {
-		name               string
-		listed, busy, held int
-	}{{"20 listed", 20, 20, 0}, {"1000 listed, 20 busy", 1000, 20, 0}, {"20000 listed, 20 busy", 20000, 20, 0}, {"20000 listed, 20000 busy", 20000, 20000, 0},
-		{"20 listed, 50000 held", 20, 20, 50000}} {
-		b.Run(c.name, func(b *testing.B) {
-			s := settings()
-			s.Slots, s.MaxPending, s.Kinds, s.Tenants = 200, 0, []Kind{{MaxBatch: 1}}, []Tenant{{Share: 1, Allowance: 1e6}}
-			br := New(s, 1)
-			now := time.Hour
-			var events []Event
-			list := EndpointUpdate{Complete: true}
-			for i := range c.listed + 1 { // and one that hangs
-				list.Endpoints = append(list.Endpoints, Endpoint{ID: EndpointID(i + 1), Destination: DestinationID(i), Ready: true})
-			}
-			br.Step(now, []Event{list})
-			id := MessageID(0)
-			for range c.held {
-				id++
-				events = append(events, Message{ID: id, Destination: DestinationID(c.listed), Deadline: now + 1000*time.Hour})
-			}
-			br.Step(now, events)
-			b.ResetTimer()
-			for i := range b.N {
-				now += 100 * time.Microsecond
-				id++
-				acts := br.Step(now, []Event{Message{ID: id, Destination: DestinationID(i % c.busy), Deadline: now + 20*time.Second}})
-				now += 100 * time.Microsecond
-				events = events[:0]
-				for _, a := range acts {
-					if s, ok := a.(Send); ok && s.Message > MessageID(c.held) {
-						events = append(events, AttemptResult{Message: s.Message, Endpoint: s.Endpoint, Outcome: Served, Elapsed: 100 * time.Microsecond, Final: true})
-					}
-				}
-				br.Step(now, events)
-			}
-		})
-	}
-}
--- a/brain/learn_test.go
+++ b/brain/learn_test.go
@@ -7,18 +7,10 @@
 	"saffronyard.example/saffronyard/brain/restart"
 )
 
-// first hands in messages at once and gives how many calls a step makes.
-func (r *rig) burst(n int) int {
-	var all []Event
-	for range n {
-		all = append(all, r.message(0, 0, 0))
-	}
-	return len(r.step(all...))
-}
-
-// What is learnt of an outage, by its age: while it may last the first call goes alone, and nothing else until it is
-// answered; then the destination warms up, as for one who saw it. What is older than outages last counts for nothing.
-func TestLearntOutage(t *testing.T) {
+// What is learned of an outage, by its age: while it may last the first call goes alone, and nothing else until it is
+// answered; then the destination warms up, as for a sender that saw it. What is older than outages last counts for
+// nothing.
+func TestObservation_OutageByAge(t *testing.T) {
 	for _, c := range []struct {
 		age time.Duration
 		out bool
@@ -44,8 +36,8 @@
 	}
 }
 
-// What one's own calls have shown since wins, both ways.
-func TestOwnEvidenceWins(t *testing.T) {
+// What own calls have shown since wins, both ways.
+func TestObservation_OwnEvidenceWins(t *testing.T) {
 	r := newRig(t, settings())
 	r.widen(3)
 	r.now += 2 * time.Second
@@ -59,7 +51,7 @@
 	}
 
 	r = newRig(t, settings())
-	r.fallOut()
+	r.beginOutage()
 	r.step(Observation{Health: Healthy, HealthAge: 0, Window: 20})
 	if d := r.b.destination(0).sharedRoute; d.state != outage || d.window.Size > 1 {
 		t.Errorf("an outage of one's own ends by hearsay: state %d, window %v", d.state, d.window.Size)
@@ -69,9 +61,9 @@
 	}
 }
 
-// A wait that another was told, or that this sender's earlier process was, is heeded to its end, and one that is out
-// loses its leave.
-func TestLearntWait(t *testing.T) {
+// A retry-after that another sender was told, or an earlier process of this one, holds to its end, and a call in flight
+// is revoked.
+func TestObservation_RetryAfter(t *testing.T) {
 	r := newRig(t, settings())
 	sends := r.step(r.message(0, 0, 0))
 	if len(sends) != 1 {
@@ -91,8 +83,8 @@
 	}
 }
 
-// A cold return that was learnt of goes on warming up from when it began.
-func TestLearntReturn(t *testing.T) {
+// A slow start that was learned of goes on from when it began.
+func TestObservation_WarmingUp(t *testing.T) {
 	for _, ago := range []time.Duration{time.Second, 9 * time.Second, 11 * time.Second} {
 		r := newRig(t, settings())
 		r.step(Observation{Health: WarmingUp, HealthFor: ago, HealthAge: 100 * ms, Rate: 10, Window: 8})
@@ -106,9 +98,9 @@
 	}
 }
 
-// Of a healthy one the pace and the window are learnt, the window only in part if another saw it, less the older it is,
-// and never over what was seen there.
-func TestLearntPace(t *testing.T) {
+// Of a healthy destination latencies and window are learned, the window only in part if another sender saw it, less the
+// older it is, and never over what was seen here.
+func TestObservation_LatencyAndWindow(t *testing.T) {
 	window := func(l Observation) float64 {
 		r := newRig(t, settings())
 		l.Health, l.Samples, l.MeanLatency, l.MedianLatency, l.MinLatency, l.Timeout = Healthy, 100, 50*ms, 60*ms, 20*ms, 120*ms
@@ -137,8 +129,8 @@
 	}
 }
 
-// What is known of one that no list names is let go of, and so are figures that can't be.
-func TestLearntOfNobody(t *testing.T) {
+// What is learned of a destination that no list names is dropped, and so are impossible values.
+func TestObservation_UnknownSubjectOrValues(t *testing.T) {
 	r := newRig(t, settings())
 	r.step(Observation{Destination: 99, Health: Unhealthy}, Observation{Endpoint: 99, RetryAfter: time.Hour}, Observation{Endpoint: 1, Destination: 5, RetryAfter: time.Hour})
 	if n := r.burst(1); n != 1 || r.b.destinations[99] != nil {
@@ -150,39 +142,12 @@
 	}
 }
 
-// What a process knows is what it has seen, not what it heard; and told to the next it comes out the same.
-func TestKnown(t *testing.T) {
-	r := newRig(t, settings())
-	r.step(Observation{Health: Unhealthy, HealthAge: time.Second, HealthFor: 5 * time.Second, RetryAfter: time.Second}, Observation{Destination: 1, Health: Healthy, Window: 5, Samples: 9, MeanLatency: ms, MedianLatency: ms, Timeout: ms})
-	if known := r.b.Observations(); len(known) != 0 {
-		t.Errorf("hearsay is known as one's own: %+v", known)
-	}
-	r = newRig(t, settings())
-	r.serve(30, 1, 50*ms)
-	r.fallOut()
-	r.step(Observation{Destination: 1, RetryAfter: 3 * time.Second, Local: true})
-	known := r.b.Observations()
-	if len(known) != 2 || known[0].Health != Unhealthy || known[1].Health != Healthy || known[1].Samples == 0 || known[1].RetryAfter != 3*time.Second {
-		t.Fatalf("%+v", known)
-	}
-	next := newRig(t, settings())
-	var events []Event
-	for _, k := range known {
-		events = append(events, k)
-	}
-	next.now += time.Second
-	next.step(events...)
-	d, e := next.b.destination(0).sharedRoute, next.b.destination(1).sharedRoute
-	if d.state != outage || e.CachedOptimum < known[1].Timeout || e.CachedOptimum > 2*known[1].Timeout || e.retryAfterUntil != next.now+3*time.Second {
-		t.Errorf("state %d, bound %v, wait until %v", d.state, e.CachedOptimum, e.retryAfterUntil)
-	}
-}
-
-// While others try one that is out as well, each does so in its turn; and once another has seen it serve, at once.
-func TestProbesAreShared(t *testing.T) {
+// While other senders probe a destination as well, each does so in its turn; and once another has seen it serve, at
+// once.
+func TestProbeShare_OtherProbers(t *testing.T) {
 	tries := func(others int) int {
 		r := newRig(t, settings())
-		r.fallOut()
+		r.beginOutage()
 		n := 0
 		for i := range 300 {
 			r.now += 50 * ms
@@ -203,7 +168,7 @@
 	}
 	for _, h := range []Health{Healthy, WarmingUp} {
 		r := newRig(t, settings())
-		r.fallOut()
+		r.beginOutage()
 		r.step(Observation{Health: Unhealthy, HealthFor: time.Minute, OtherProbers: 3})
 		r.now += 2 * time.Second
 		r.burst(1)
@@ -220,40 +185,3 @@
 		}
 	}
 }
-
-// What has changed is news once, and only what was seen; where nobody asks nothing is kept.
-func TestNews(t *testing.T) {
-	s := settings()
-	s.ReportsChanges = true
-	r := newRig(t, s)
-	r.serve(5, 1, 50*ms)
-	if n := r.b.ChangedObservations(); len(n) != 0 {
-		t.Errorf("calls that are served are news: %+v", n)
-	}
-	r.fallOut()
-	n := r.b.ChangedObservations()
-	if len(n) != 1 || n[0].Destination != 0 || n[0].Health != Unhealthy || !n[0].Local {
-		t.Errorf("an outage: %+v", n)
-	}
-	if n := r.b.ChangedObservations(); len(n) != 0 {
-		t.Errorf("told again: %+v", n)
-	}
-	r.step(Observation{Destination: 1, Health: Unhealthy, HealthAge: -time.Second, HealthFor: time.Second})
-	for _, l := range r.b.ChangedObservations() {
-		if l.Health == Unhealthy {
-			t.Errorf("hearsay is news: %+v", l)
-		}
-	}
-	sends := r.step(r.message(0, 2, 0)) // routes apart
-	e := r.end(sends[0], Rejected)
-	e.RetryAfter = time.Second
-	r.step(e)
-	if n := r.b.ChangedObservations(); len(n) != 1 || n[0].Destination != 2 || n[0].Endpoint != sends[0].Endpoint || n[0].RetryAfter == 0 {
-		t.Errorf("a wait: %+v", n)
-	}
-	quiet := newRig(t, settings())
-	quiet.fallOut()
-	if len(quiet.b.changedRoutes) != 0 || quiet.b.ChangedObservations() != nil {
-		t.Error("news are kept for nobody")
-	}
-}
--- /dev/null
+++ b/brain/observations_test.go
@@ -0,0 +1,71 @@
+package brain
+
+import (
+	"testing"
+	"time"
+)
+
+// What a process reports is what it has seen, not what it learned; and told to the next one it comes out the same.
+func TestObservations_OnlyOwnEvidence(t *testing.T) {
+	r := newRig(t, settings())
+	r.step(Observation{Health: Unhealthy, HealthAge: time.Second, HealthFor: 5 * time.Second, RetryAfter: time.Second}, Observation{Destination: 1, Health: Healthy, Window: 5, Samples: 9, MeanLatency: ms, MedianLatency: ms, Timeout: ms})
+	if known := r.b.Observations(); len(known) != 0 {
+		t.Errorf("hearsay is known as one's own: %+v", known)
+	}
+	r = newRig(t, settings())
+	r.serve(30, 1, 50*ms)
+	r.beginOutage()
+	r.step(Observation{Destination: 1, RetryAfter: 3 * time.Second, Local: true})
+	known := r.b.Observations()
+	if len(known) != 2 || known[0].Health != Unhealthy || known[1].Health != Healthy || known[1].Samples == 0 || known[1].RetryAfter != 3*time.Second {
+		t.Fatalf("%+v", known)
+	}
+	next := newRig(t, settings())
+	var events []Event
+	for _, k := range known {
+		events = append(events, k)
+	}
+	next.now += time.Second
+	next.step(events...)
+	d, e := next.b.destination(0).sharedRoute, next.b.destination(1).sharedRoute
+	if d.state != outage || e.CachedOptimum < known[1].Timeout || e.CachedOptimum > 2*known[1].Timeout || e.retryAfterUntil != next.now+3*time.Second {
+		t.Errorf("state %d, bound %v, wait until %v", d.state, e.CachedOptimum, e.retryAfterUntil)
+	}
+}
+
+// A change is reported once, and only what was seen; where nobody asks nothing is recorded.
+func TestChangedObservations_OnceAndOnlyOwn(t *testing.T) {
+	s := settings()
+	s.ReportsChanges = true
+	r := newRig(t, s)
+	r.serve(5, 1, 50*ms)
+	if n := r.b.ChangedObservations(); len(n) != 0 {
+		t.Errorf("calls that are served are news: %+v", n)
+	}
+	r.beginOutage()
+	n := r.b.ChangedObservations()
+	if len(n) != 1 || n[0].Destination != 0 || n[0].Health != Unhealthy || !n[0].Local {
+		t.Errorf("an outage: %+v", n)
+	}
+	if n := r.b.ChangedObservations(); len(n) != 0 {
+		t.Errorf("told again: %+v", n)
+	}
+	r.step(Observation{Destination: 1, Health: Unhealthy, HealthAge: -time.Second, HealthFor: time.Second})
+	for _, l := range r.b.ChangedObservations() {
+		if l.Health == Unhealthy {
+			t.Errorf("hearsay is news: %+v", l)
+		}
+	}
+	sends := r.step(r.message(0, 2, 0)) // routes apart
+	e := r.end(sends[0], Rejected)
+	e.RetryAfter = time.Second
+	r.step(e)
+	if n := r.b.ChangedObservations(); len(n) != 1 || n[0].Destination != 2 || n[0].Endpoint != sends[0].Endpoint || n[0].RetryAfter == 0 {
+		t.Errorf("a wait: %+v", n)
+	}
+	quiet := newRig(t, settings())
+	quiet.beginOutage()
+	if len(quiet.b.changedRoutes) != 0 || quiet.b.ChangedObservations() != nil {
+		t.Error("news are kept for nobody")
+	}
+}
--- a/brain/limit_test.go
+++ b/brain/rate_limits_test.go
@@ -6,10 +6,78 @@
 	"time"
 )
 
-// usedUp is a destination that takes so many calls a second from all senders together, saves up what it can take in two
+// Rule 5: a retry-after closes the destination to all messages; a shared call may tell a later end with each result.
+func TestRetryAfter_ClosesRoute(t *testing.T) {
+	r := newRig(t, settings())
+	m1, m2 := r.message(0, 2, 0), r.message(0, 2, 0)
+	s := r.step(m1, m2)
+	if len(s) < 2 || s[0].Endpoint != s[1].Endpoint {
+		t.Fatalf("two messages to one route share no call: %+v", s)
+	}
+	if c := r.b.callsInFlight; c != 1 {
+		t.Fatalf("a shared call holds %d slots", c)
+	}
+	e1, e2 := r.end(s[0], Rejected), r.end(s[1], Rejected)
+	e1.RetryAfter, e2.RetryAfter = 300*ms, 400*ms
+	r.step(e1)
+	r.now += 10 * ms
+	r.step(e2)
+	over := r.now + 400*ms
+	for r.now < over {
+		for _, x := range r.step(r.message(0, 2, 0)) {
+			if x.Endpoint == s[0].Endpoint {
+				t.Fatalf("sent %v before the wait was over", over-r.now)
+			}
+		}
+		r.now += 20 * ms
+	}
+}
+
+// Where the list rates a destination but answers report no limit, the send rate stayed at half of the rating.
+func TestSendRate_GrowsWithoutReportedLimit(t *testing.T) {
+	set := settings()
+	set.RatingIsLimit = true
+	r := newRig(t, set)
+	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true, Rating: 10}}})
+	route := r.b.destinations[0].sharedRoute
+	before := route.sendRate
+	for range 20 {
+		sends := r.step(r.message(0, 0, 0))
+		r.now += 300 * ms
+		for _, x := range sends {
+			e := r.end(x, Served)
+			e.LimitReported = true
+			r.step(e)
+		}
+	}
+	if route.sendRate <= before || route.sendRate > 10 {
+		t.Fatalf("pace %v, %v before", route.sendRate, before)
+	}
+}
+
+// A limit of a few calls a second over 300 senders left each one call in half a minute.
+func TestInitialSendRate_UsableByOneOfManySenders(t *testing.T) {
+	r := fleetRig(t, 300)
+	served := 0
+	for range 4 {
+		served += len(r.step(r.message(0, 0, 0)))
+		r.now += 300 * ms
+		for _, x := range r.sends[len(r.sends)-min(served, 1):] {
+			e := r.end(x, Served)
+			e.LimitReported, e.Remaining, e.Limit = true, 0.8, 5
+			r.step(e)
+		}
+		r.now += 700 * ms
+	}
+	if n := len(r.sends); n < 4 {
+		t.Fatalf("%d of 4 messages sent in 4 s under a limit of 5 a second", n)
+	}
+}
+
+// sharedLimit is a destination that takes so many calls a second from all senders together, saves up what it can take in two
 // seconds, and books a call that it refuses like one that it serves: called more often than that all the time, it
 // serves nothing at all.
-type usedUp struct {
+type sharedLimit struct {
 	rate, saved float64
 	at          time.Duration
 }
@@ -17,14 +85,14 @@
 const usedUpSpan = 2 // seconds
 
 // left is the share of what it can save up that is left.
-func (l *usedUp) left(now time.Duration) float64 {
+func (l *sharedLimit) remaining(now time.Duration) float64 {
 	l.saved = min(usedUpSpan*l.rate, l.saved+l.rate*(now-l.at).Seconds())
 	l.at = now
 	return max(0, l.saved/(usedUpSpan*l.rate))
 }
 
-func (l *usedUp) call(now time.Duration) (served bool) {
-	l.left(now)
+func (l *sharedLimit) call(now time.Duration) (served bool) {
+	l.remaining(now)
 	served = l.saved >= 1
 	l.saved = max(-usedUpSpan*l.rate, l.saved-1)
 	return served
@@ -34,10 +102,10 @@
 // few of them several times that; for two seconds the fleet gets three times as many. The limit bears all but that. Each
 // sender by itself keeps to a call a second, and together they would send more than it bears for as long as any message
 // waits.
-func TestAFleetFindsBackBelowALimitThatRefusalsUseUp(t *testing.T) {
+func TestSendRate_FleetRecoversWhereRejectionsUseUpLimit(t *testing.T) {
 	const senders, perSecond, limit = 80, 28.0, 32.0
 	const start, until, lag = time.Hour, 60 * time.Second, 300 * ms
-	s, list := many(senders)
+	s, list := fleetSettings(senders)
 	s.MaxPending = 60
 	brains := make([]*Brain, senders)
 	for i := range brains {
@@ -45,7 +113,7 @@
 		brains[i].Step(start, []Event{list})
 	}
 	var ended, open []sent
-	l := &usedUp{rate: limit, saved: usedUpSpan * limit, at: start}
+	l := &sharedLimit{rate: limit, saved: usedUpSpan * limit, at: start}
 	told := [8]float64{} // what was left, as it was told until now: late
 	id, due := MessageID(0), 0.0
 	tries := map[MessageID]int{}
@@ -57,7 +125,7 @@
 		}
 		if tick := int(now / (10 * ms)); tick%5 == 0 {
 			copy(told[1:], told[:])
-			told[0] = l.left(now)
+			told[0] = l.remaining(now)
 		}
 		events := make([][]Event, senders)
 		for due += rate / 100; due >= 1; due-- {
@@ -107,8 +175,8 @@
 	}
 }
 
-// Refusals at a limit that is used up tell nothing of an outage; those with plenty of it left do.
-func TestALimitThatIsUsedUpIsNoOutage(t *testing.T) {
+// Rejections at a limit that is used up say nothing of an outage; those with plenty of it left do.
+func TestRateLimit_UsedUpIsNoOutage(t *testing.T) {
 	for _, c := range []struct {
 		left float64
 		want routeState
@@ -131,9 +199,10 @@
 	}
 }
 
-// An answer that tells of hardly anything left cuts the pace before calls are refused: by how long nothing had been heard, as
-// a sender that calls seldom hears it seldom. One with something left does not, and none cuts it below half of an even part.
-func TestAnAnswerThatTellsOfScarcityCutsThePace(t *testing.T) {
+// An answer that tells of hardly anything left cuts the send rate before calls are rejected: by how long nothing had
+// been heard, as a sender that calls seldom hears it seldom. One with something left does not, and none cuts it below
+// half of an even share.
+func TestSendRate_CutWhereAllowanceIsScarce(t *testing.T) {
 	const limit, even = 32.0, 32.0 / 80
 	for _, c := range []struct {
 		left   float64
--- a/brain/recorded_test.go
+++ b/brain/recorded_test.go
@@ -22,7 +22,7 @@
 
 const (
 	plainDays   = 1500 // seeds of days as each of the settings has them
-	serviceDays = 500  // seeds of days with a fleet, folding and reports of what is known
+	serviceDays = 500  // seeds of days with a fleet, hibernation and observations
 	batches     = 250  // in each day
 	listedLines = 600  // of the first service day that are kept in full
 )
@@ -123,7 +123,7 @@
 	return actions
 }
 
-// serviceDay is a day as in service: destinations fold, the fleet lends limits, and other senders tell what they know.
+// serviceDay is a day as in service: destinations hibernate, the fleet grants rates, and other senders tell what they observe.
 func serviceDay(t *testing.T, seed uint64) *world {
 	w := newWorld(t, seed)
 	w.s.Senders = []int{1, 3, 30, 200}[seed%4]
--- a/brain/recall_test.go
+++ b/brain/revocation_test.go
@@ -15,13 +15,13 @@
 			all = append(all, a)
 		case Send:
 			r.sentAt[a.Message] = r.now
-			r.tries[a.Message]++
+			r.attempts[a.Message]++
 		}
 	}
 	return all
 }
 
-// widen serves calls side by side until so many may be out.
+// widen serves calls side by side until so many may be in flight.
 func (r *rig) widen(n int) {
 	r.Helper()
 	for range 50 {
@@ -46,8 +46,8 @@
 	r.Fatal("the window does not grow")
 }
 
-// Each reason for which a call that was sent would not be sent now, and what is not one.
-func TestRecall(t *testing.T) {
+// Each reason for which a call that was sent would not be sent now, and what is none.
+func TestRevoke_Reasons(t *testing.T) {
 	for name, c := range map[string]struct {
 		then func(r *rig, calls []Send) []Event
 		want []RevokeReason // of the second and third call; the first is what the destination answers
@@ -93,8 +93,8 @@
 	}
 }
 
-// While a destination is out a new try takes the leave of an earlier one that is still to be written.
-func TestProbeRecallsTheOneBefore(t *testing.T) {
+// In an outage a new probe revokes an earlier one that is still to be written.
+func TestRevoke_NewProbeRevokesEarlierOne(t *testing.T) {
 	r := newRig(t, settings())
 	r.widen(5)
 	var all []Event
@@ -119,8 +119,8 @@
 	}
 }
 
-// A call that was recalled in time counts as no attempt, however often; one that was not sent for another reason does.
-func TestRecalledIsNoAttempt(t *testing.T) {
+// A call that was revoked in time counts as no attempt, however often; one that was not sent for another reason does.
+func TestRevoke_CountsAsNoAttempt(t *testing.T) {
 	for _, recalled := range []bool{true, false} {
 		s := settings()
 		s.MaxAttempts = 2
@@ -142,7 +142,7 @@
 			}
 		}
 		if r.failed[m.ID] == recalled {
-			t.Errorf("recalled %v: failed %v after %d tries", recalled, r.failed[m.ID], r.tries[m.ID])
+			t.Errorf("recalled %v: failed %v after %d tries", recalled, r.failed[m.ID], r.attempts[m.ID])
 		}
 	}
 }
--- /dev/null
+++ b/brain/shedding_test.go
@@ -0,0 +1,71 @@
+package brain
+
+import "testing"
+
+func TestShedLoad_NearlyFull(t *testing.T) {
+	set := settings()
+	set.MaxPending = 10
+	r := newRig(t, set)
+	for range 12 {
+		r.step(r.message(2, 9, 0))
+	}
+	if len(r.rejected) == 0 || r.b.pending > 10 {
+		t.Fatalf("%d refused, %d held", len(r.rejected), r.b.pending)
+	}
+}
+
+// Messages that a restart resumes are tried: with all capacity taken by them the newest were rejected without a call,
+// as if they had just come.
+func TestShedLoad_SparesResumedMessages(t *testing.T) {
+	set := settings()
+	set.MaxPending = 20
+	r := newRig(t, set)
+	var events []Event
+	for n := range set.MaxPending {
+		m := r.message(n%3, DestinationID(n%3), 0)
+		m.Resumed = true
+		events = append(events, m)
+	}
+	sends := r.step(events...)
+	fresh := r.message(0, 0, 0)
+	sends = append(sends, r.step(fresh)...)
+	if !r.rejected[fresh.ID] {
+		t.Error("a new message is taken on where there is no room")
+	}
+	for n := 0; len(sends) > 0; n++ {
+		s := sends[0]
+		r.now += 20 * ms
+		sends = append(sends[1:], r.step(r.end(s, Served))...)
+	}
+	if want := set.MaxPending; len(r.attempts) != want || len(r.rejected) != 1 || len(r.failed) != 0 {
+		t.Errorf("%d of %d messages are tried, %d refused, %d given up", len(r.attempts), want, len(r.rejected), len(r.failed))
+	}
+}
+
+// A tenant that surged widened its own share, and messages of the others were rejected with its own.
+func TestShedLoad_SurgingTenantFirst(t *testing.T) {
+	set := settings()
+	set.MaxPending = 60
+	set.OverShareValue = 0.05
+	set.Tenants = []Tenant{{Allowance: 10}, {Allowance: 10}, {Allowance: 10}}
+	r := newRig(t, set)
+	owner := map[MessageID]int{}
+	for i := range 400 {
+		m := r.message(2, 9, 0)
+		if i%10 < 2 {
+			m.Tenant = 1 + i%2
+		}
+		owner[m.ID] = m.Tenant
+		r.step(m)
+		r.now += 10 * ms
+	}
+	others := 0
+	for id := range r.rejected {
+		if owner[id] > 0 {
+			others++
+		}
+	}
+	if len(r.rejected) < 100 || others > len(r.rejected)/10 {
+		t.Fatalf("%d of %d refused are of the other tenants", others, len(r.rejected))
+	}
+}
--- a/brain/ramp_test.go
+++ b/brain/slow_start_fleet_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// A destination that has been out returns cold. Each sender of a fleet lets through what it takes for its part; the sum of all
-// is what counts. ramp plays that sum in virtual time.
-type ramp struct {
+// A destination returns from an outage with a slow start. Each sender of a fleet lets through what it takes for its part; the sum of all
+// is what counts. slowStartDay plays that sum in virtual time.
+type slowStartDay struct {
 	senders  int
-	skew     float64       // shares of the traffic fall with the place of the sender to this power
+	skew     float64       // shares of the traffic fall with the position of the sender to this power
 	load     float64       // traffic for the destination, in parts of its capacity
 	hangs    bool          // in the outage calls are never answered; else no connection comes up
 	outage   time.Duration // of all its endpoints
@@ -24,63 +24,67 @@
 }
 
 const (
-	rampCapacity = 12 // calls a second of the destination when it is warm
-	rampOthers   = 9  // further destinations, with as much traffic each
-	rampWarmUp   = 90 * time.Second
+	slowStartCapacity = 12 // calls a second of the destination when it is warm
+	slowStartOthers   = 9  // further destinations, with as much traffic each
+	rampWarmUp        = 90 * time.Second
 )
 
-type rampEvent struct {
-	at     time.Duration
-	seq    int
-	sender int
-	life   int
-	event  Event
+type slowStartEvent struct {
+	at          time.Duration
+	seq         int
+	sender      int
+	incarnation int
+	event       Event
 }
 
-type rampAgenda []rampEvent
+type slowStartAgenda []slowStartEvent
 
-func (a rampAgenda) Len() int { return len(a) }
-func (a rampAgenda) Less(i, j int) bool {
+func (a slowStartAgenda) Len() int { return len(a) }
+
+func (a slowStartAgenda) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a rampAgenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *rampAgenda) Push(x any)   { *a = append(*a, x.(rampEvent)) }
-func (a *rampAgenda) Pop() any {
+
+func (a slowStartAgenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+
+func (a *slowStartAgenda) Push(x any) { *a = append(*a, x.(slowStartEvent)) }
+
+func (a *slowStartAgenda) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// rampSender is one sender, and what its journal would hold.
-type rampSender struct {
-	b     *Brain
-	life  int
-	kept  map[MessageID]*rampMessage
-	rates []UsualRate
-	outs  []Observation // as of
-	outAt time.Duration
-	aware bool // it has seen a call fail in the outage
+// slowStartSender is one sender, and what its journal would hold.
+type slowStartSender struct {
+	b           *Brain
+	incarnation int
+	pending     map[MessageID]*slowStartMessage
+	rates       []UsualRate
+	outages     []Observation // as of
+	outagesAt   time.Duration
+	aware       bool // it has seen a call fail in the outage
 }
 
-type rampMessage struct {
+type slowStartMessage struct {
 	Message
-	tries, ended int // ended: those that surely never ran
-	first        time.Duration
+	attempts, ended int // ended: those that surely never ran
+	first           time.Duration
 }
 
-type rampCall struct {
+type slowStartCall struct {
 	at    time.Duration
 	aware bool
 }
 
 // play gives the calls that reached the destination from its return until it was warm.
-func (w ramp) play() (calls []rampCall, s Settings, back time.Duration) {
+func (w slowStartDay) play() (calls []slowStartCall, s Settings, back time.Duration) {
 	s = settings()
 	s.Senders, s.Slots, s.MaxPending, s.MaxAttempts, s.SlowStartCapacity = w.senders, 10, 400, 12, 0.2
 	s.OverloadWindow, s.SlowStartDuration, s.IdleConnTimeout = 3*time.Second, 14*time.Second, 15*time.Second
 	s.Kinds = []Kind{{MaxBatch: 1}}
 	list := EndpointUpdate{Complete: true}
-	for i := range rampOthers + 1 {
+	for i := range slowStartOthers + 1 {
 		list.Endpoints = append(list.Endpoints, Endpoint{ID: EndpointID(i + 1), Destination: DestinationID(i), Ready: true})
 	}
 	rng := rand.New(rand.NewPCG(w.seed, 4))
@@ -88,13 +92,13 @@
 	out := start + rampWarmUp
 	back = out + w.outage
 	end := back + s.SlowStartDuration + s.OverloadWindow
-	var agenda rampAgenda
+	var agenda slowStartAgenda
 	seq := 0
-	add := func(at time.Duration, sender, life int, e Event) {
+	add := func(at time.Duration, sender, incarnation int, e Event) {
 		seq++
-		heap.Push(&agenda, rampEvent{at, seq, sender, life, e})
+		heap.Push(&agenda, slowStartEvent{at, seq, sender, incarnation, e})
 	}
-	senders := make([]*rampSender, w.senders)
+	senders := make([]*slowStartSender, w.senders)
 	weights, sum := make([]float64, w.senders), 0.0
 	for i := range senders {
 		weights[i] = math.Pow(float64(i+1), -w.skew)
@@ -102,11 +106,11 @@
 	}
 	settingsOf := func(i int) Settings { // twice the slots that its part of the full load keeps busy
 		own := s
-		own.Slots = max(4, int(2*rampCapacity*(rampOthers+1)*0.15*weights[i]/sum))
+		own.Slots = max(4, int(2*slowStartCapacity*(slowStartOthers+1)*0.15*weights[i]/sum))
 		return own
 	}
 	for i := range senders {
-		senders[i] = &rampSender{b: New(settingsOf(i), w.seed<<16+uint64(i)), kept: map[MessageID]*rampMessage{}}
+		senders[i] = &slowStartSender{b: New(settingsOf(i), w.seed<<16+uint64(i)), pending: map[MessageID]*slowStartMessage{}}
 		add(start, i, 0, list)
 	}
 	draw := func(first int) int {
@@ -123,9 +127,9 @@
 		}
 	}
 	id := MessageID(0)
-	for at := start; at < end; at += time.Duration(rng.ExpFloat64() * float64(time.Second) / (rampCapacity * w.load * (rampOthers + 1))) {
+	for at := start; at < end; at += time.Duration(rng.ExpFloat64() * float64(time.Second) / (slowStartCapacity * w.load * (slowStartOthers + 1))) {
 		id++
-		to, first := DestinationID(rng.IntN(rampOthers+1)), 0
+		to, first := DestinationID(rng.IntN(slowStartOthers+1)), 0
 		if w.idle && to == 0 && at < out {
 			first = w.senders / 2
 		}
@@ -144,18 +148,18 @@
 		}
 	}
 	for len(agenda) > 0 {
-		e := heap.Pop(&agenda).(rampEvent)
+		e := heap.Pop(&agenda).(slowStartEvent)
 		if e.at >= end {
 			break
 		}
 		n := senders[e.sender]
 		var events []Event
-		switch e.life {
+		switch e.incarnation {
 		case -3:
-			n.rates, n.outs, n.outAt = n.b.UsualRates(), n.b.Outages(), e.at
+			n.rates, n.outages, n.outagesAt = n.b.UsualRates(), n.b.Outages(), e.at
 			continue
 		case -2:
-			n.life++
+			n.incarnation++
 			n.b = New(settingsOf(e.sender), w.seed<<16+uint64(e.sender)+1<<40)
 			events = append(events, list)
 			if !w.noRates {
@@ -163,8 +167,8 @@
 					events = append(events, r)
 				}
 			}
-			for _, o := range n.outs {
-				age := e.at - n.outAt
+			for _, o := range n.outages {
+				age := e.at - n.outagesAt
 				o.HealthAge, o.HealthFor, o.OutageFor = age, o.HealthFor+age, o.OutageFor+age
 				if w.noRates {
 					o.Rate = 0
@@ -172,26 +176,26 @@
 				events = append(events, o)
 			}
 			for id := range MessageID(id + 1) {
-				if m := n.kept[id]; m != nil {
+				if m := n.pending[id]; m != nil {
 					again := m.Message
-					again.PriorAttempts, again.MayHaveRun, again.FirstRunAt = m.tries, m.tries > m.ended, m.first
+					again.PriorAttempts, again.MayHaveRun, again.FirstRunAt = m.attempts, m.attempts > m.ended, m.first
 					events = append(events, again)
 				}
 			}
 		case -1:
 			m := e.event.(Message)
-			n.kept[m.ID] = &rampMessage{Message: m}
+			n.pending[m.ID] = &slowStartMessage{Message: m}
 			events = append(events, m)
 		default:
-			if e.life != n.life {
+			if e.incarnation != n.incarnation {
 				continue
 			}
 			if end, ok := e.event.(AttemptResult); ok {
-				m := n.kept[end.Message]
+				m := n.pending[end.Message]
 				switch {
 				case m == nil:
 				case end.Outcome == Served:
-					delete(n.kept, end.Message)
+					delete(n.pending, end.Message)
 				case end.Outcome == ConnectFailed:
 					m.ended++
 				}
@@ -204,31 +208,31 @@
 		for _, a := range n.b.Step(e.at, events) {
 			switch a := a.(type) {
 			case SetTimer:
-				add(a.At, e.sender, n.life, TimerFired{})
+				add(a.At, e.sender, n.incarnation, TimerFired{})
 			case Fail:
-				delete(n.kept, a.Message)
+				delete(n.pending, a.Message)
 			case Reject:
-				delete(n.kept, a.Message)
+				delete(n.pending, a.Message)
 			case Send:
-				m := n.kept[a.Message]
+				m := n.pending[a.Message]
 				if m == nil {
 					continue
 				}
 				end := AttemptResult{Message: a.Message, Attempt: len(n.b.messages[a.Message].attempts) - 1, Endpoint: a.Endpoint, Elapsed: 150 * ms, Outcome: Served, Final: true}
-				if m.tries++; m.tries == m.ended+1 {
+				if m.attempts++; m.attempts == m.ended+1 {
 					m.first = e.at
 				}
 				if a.Endpoint == 1 && e.at >= out {
 					switch {
 					case e.at >= back:
-						calls = append(calls, rampCall{e.at, n.aware})
+						calls = append(calls, slowStartCall{e.at, n.aware})
 					case w.hangs:
 						end.Outcome, end.Final, end.Elapsed = TimedOut, false, a.Timeout
 					default:
 						end.Outcome, end.Final, end.Elapsed = ConnectFailed, false, 20*ms
 					}
 				}
-				add(e.at+end.Elapsed, e.sender, n.life, end)
+				add(e.at+end.Elapsed, e.sender, n.incarnation, end)
 			}
 		}
 	}
@@ -237,7 +241,7 @@
 
 // worst is the window of an overload span in which most comes beyond what the settings allow and chance explains, of those of
 // which two thirds come from senders that saw the outage: by how much, and how much is allowed there.
-func worst(calls []rampCall, s Settings, back time.Duration) (beyond, allowed float64) {
+func worst(calls []slowStartCall, s Settings, back time.Duration) (beyond, allowed float64) {
 	beyond = math.Inf(-1)
 	first := 0
 	for i, c := range calls {
@@ -249,7 +253,7 @@
 		if c.at >= back+s.SlowStartDuration {
 			break // it is warm
 		}
-		n := s.OverloadMultiple * share * rampCapacity * s.OverloadWindow.Seconds()
+		n := s.OverloadMultiple * share * slowStartCapacity * s.OverloadWindow.Seconds()
 		most := n + 2*math.Sqrt(n) + 2
 		aware := 0
 		for _, c := range calls[first : i+1] {
@@ -266,19 +270,19 @@
 
 // Beyond a budget of N calls only 2 roots of N and 2 more are chance, for the sum of all senders: one or three hundred, with
 // even or uneven shares, also of senders that had nothing for the destination before, and of those that restart in the outage
-// or in the ramp, with the rates of their journals or without.
-func TestTheFleetsRamp(t *testing.T) {
-	cases := map[string]ramp{
-		"calls fail":                  {},
-		"calls hang":                  {hangs: true},
-		"uneven shares":               {skew: 1},
-		"half had no traffic":         {idle: true},
-		"little traffic":              {load: 0.3},
-		"restarts in the outage":      {restarts: 12 * time.Second, part: 0.7},
-		"restarts in the ramp":        {restarts: 16 * time.Second, part: 0.7},
-		"restarts after a hang":       {restarts: 16 * time.Second, part: 0.7, hangs: true},
-		"some restart late, uneven":   {restarts: 19 * time.Second, part: 0.3, skew: 1},
-		"restarts, journals no rates": {restarts: 16 * time.Second, part: 0.7, noRates: true},
+// or in the slowStartDay, with the rates of their journals or without.
+func TestSlowStart_FleetWithinBudget(t *testing.T) {
+	cases := map[string]slowStartDay{
+		"calls fail":                   {},
+		"calls hang":                   {hangs: true},
+		"uneven shares":                {skew: 1},
+		"half had no traffic":          {idle: true},
+		"little traffic":               {load: 0.3},
+		"restarts in the outage":       {restarts: 12 * time.Second, part: 0.7},
+		"restarts in the slowStartDay": {restarts: 16 * time.Second, part: 0.7},
+		"restarts after a hang":        {restarts: 16 * time.Second, part: 0.7, hangs: true},
+		"some restart late, uneven":    {restarts: 19 * time.Second, part: 0.3, skew: 1},
+		"restarts, journals no rates":  {restarts: 16 * time.Second, part: 0.7, noRates: true},
 	}
 	for name, w := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -302,8 +306,8 @@
 	}
 }
 
-// within counts the calls that came within a time of the return: a ramp that lets nothing through keeps every bound.
-func within(calls []rampCall, back, span time.Duration) (n int) {
+// within counts the calls that came within a time of the return: a slowStartDay that lets nothing through keeps every bound.
+func within(calls []slowStartCall, back, span time.Duration) (n int) {
 	for _, c := range calls {
 		if c.at < back+span {
 			n++
