--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -9,29 +9,29 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Participant is one that wants to take part: it holds a lease.
+// Participant is a candidate for the next membership: a process that holds a lease.
 type Participant struct {
 	lease.HolderID
 	Address string
 }
 
 const (
-	minStableTime  = time.Second // a roster stands so long before the next is proposed: one that restarts is two changes
-	resendInterval = time.Second // a step that the log does not show is given again: it may have been lost with a change of leader
+	minStableTime  = time.Second // from a membership to the next proposal, as a sender that restarts is two changes
+	resendInterval = time.Second // after which a command that the log does not show is proposed again, as it may have been lost with a leader
 )
 
-// Coordinator says, at the voter that leads, which roster comes next, and when it begins. What it decides is a command like any
-// other: it counts when the log has it, and only if the roster is then where the coordinator took it to be.
+// Coordinator decides at the leader which membership comes next and when it becomes active. Its decisions are proposals: they count when the
+// log applies them, and only if the state is then what the coordinator took it for. The zero value is ready; a new leader begins a new one.
 type Coordinator struct {
-	epoch       uint64 // as seen last
+	epoch       uint64 // that was seen last
 	activeSince time.Duration
 	sentAt      time.Duration
-	sentStep    uint64 // that was proposed: its epoch, twice, and one more for its begin
+	sentStep    uint64 // that was proposed last: twice its epoch, and one more for its activation
 }
 
-// Step gives the next command; nil while there is none. here are those that hold a lease and have an address, the one
-// whose lease lapses last first.
-func (c *Coordinator) Step(now time.Duration, s *pb.MembershipState, g *lease.Granter, here []Participant) *pb.MembershipCommand {
+// Step returns the command to propose now; nil if there is none. candidates hold a lease and have an address, the one whose lease expires
+// last first.
+func (c *Coordinator) Step(now time.Duration, s *pb.MembershipState, g *lease.Granter, candidates []Participant) *pb.MembershipCommand {
 	if s.GetEpoch() != c.epoch || c.activeSince == 0 {
 		c.epoch, c.activeSince = s.GetEpoch(), now
 	}
@@ -48,29 +48,28 @@
 		}
 		return send(2*s.NextEpoch+1, &pb.MembershipCommand{Command: &pb.MembershipCommand_Activate{Activate: &pb.ActivateMembership{Epoch: s.NextEpoch}}})
 	}
-	// While there may be leases of an earlier leader it is not known who is here.
+	// While there may be leases of an earlier leader it is not known who holds one.
 	if g.InGracePeriod(now) || s.GetEpoch() > 0 && now-c.activeSince < minStableTime {
 		return nil
 	}
-	next := newestIncarnations(here)
+	next := newestIncarnations(candidates)
 	if equalParticipants(next, s.GetParticipants()) {
 		return nil
 	}
 	return send(2*(s.GetEpoch()+1), &pb.MembershipCommand{Command: &pb.MembershipCommand_Propose{Propose: &pb.ProposeMembership{BaseEpoch: s.GetEpoch(), Participants: next}}})
 }
 
-// MayGrant reports whether one who acts at an index is granted a lease while a roster is coming: once it knows of it. Otherwise one whose
-// questions arrive while no answer reaches it would have its lease counted on and on.
-func MayGrant(acts uint64, s *pb.MembershipState) bool {
-	return s.GetNextEpoch() == 0 || acts >= s.GetFenceIndex()
+// MayGrant reports whether a holder that acts at an index may be granted a lease: while a membership is proposed, only once it acts under the
+// proposal. Otherwise a holder whose requests arrive while no reply reaches it would hold up the activation without end.
+func MayGrant(actingIndex uint64, s *pb.MembershipState) bool {
+	return s.GetNextEpoch() == 0 || actingIndex >= s.GetFenceIndex()
 }
 
-// newestIncarnations are those that are here, one process of each name: of two the one whose lease lapses last, as it was renewed last, which
-// comes first.
-func newestIncarnations(here []Participant) []*pb.Participant {
+// newestIncarnations are the candidates by name, one process of each: of two the one that comes first, whose lease was renewed last.
+func newestIncarnations(candidates []Participant) []*pb.Participant {
 	seen := map[string]bool{}
-	all := make([]*pb.Participant, 0, len(here))
-	for _, p := range here {
+	all := make([]*pb.Participant, 0, len(candidates))
+	for _, p := range candidates {
 		if !seen[p.Name] {
 			seen[p.Name] = true
 			all = append(all, &pb.Participant{Name: p.Name, Incarnation: p.Incarnation, Address: p.Address})
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 
 	"google.golang.org/protobuf/proto"
@@ -9,68 +10,93 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// maxParticipants is how many take part at the most.
+// maxParticipants bounds a membership.
 const maxParticipants = 2000
 
-// Machine is the roster as the fleet agrees on it. The same commands in the same order make the same state everywhere.
+// ErrUnknownCommand is that a membership command is of a type that this program does not know. It must not go on as if it had applied it.
+var ErrUnknownCommand = errors.New("a command on the roster is of a sort that this program does not know")
+
+// DecodeError is that a command or the state can't be decoded.
+type DecodeError struct {
+	What string
+	Err  error
+}
+
+func (e *DecodeError) Error() string { return fmt.Sprintf("%s can't be read: %v", e.What, e.Err) }
+
+// Unwrap gives the decoder's error.
+func (e *DecodeError) Unwrap() error { return e.Err }
+
+// Machine is the replicated membership, and what was drawn of daily quotas. It implements replicatedlog.Machine.
 type Machine struct{ state *pb.MembershipState }
 
-// NewMachine makes the state before the first command: nobody takes part.
+// NewMachine makes the state before the first command: there are no participants.
 func NewMachine() *Machine { return &Machine{&pb.MembershipState{}} }
 
-// State is what is agreed; it is read only, and holds until the next command.
+// State is the current state. It is read only and does not change: the next command makes another.
 func (m *Machine) State() *pb.MembershipState { return m.state }
 
-// Apply carries out a command at its index of the log. Each makes a new state, so that who has the old one may go on reading it.
-func (m *Machine) Apply(index uint64, body []byte) (result []byte, refused string, err error) {
+// Apply applies a command at its index of the log. It makes a new state, so that readers of the old one may go on. The result of a draw is the
+// units drawn, as a varint. The error is a *DecodeError or ErrUnknownCommand.
+func (m *Machine) Apply(index uint64, body []byte) (result []byte, rejection string, err error) {
 	c := &pb.MembershipCommand{}
 	if err := proto.Unmarshal(body, c); err != nil {
-		return nil, "", fmt.Errorf("a command on the roster can't be read: %w", err)
+		return nil, "", &DecodeError{What: "a command on the roster", Err: err}
 	}
-	s := m.state
-	switch w := c.GetCommand().(type) {
+	switch c := c.GetCommand().(type) {
 	case *pb.MembershipCommand_Propose:
-		switch {
-		case s.NextEpoch != 0:
-			return nil, fmt.Sprintf("roster %d is about to begin", s.NextEpoch), nil
-		case w.Propose.GetBaseEpoch() != s.Epoch:
-			return nil, fmt.Sprintf("it follows roster %d; roster %d is in force", w.Propose.GetBaseEpoch(), s.Epoch), nil
-		case len(w.Propose.GetParticipants()) > maxParticipants:
-			return nil, fmt.Sprintf("%d take part; %d are the most", len(w.Propose.GetParticipants()), maxParticipants), nil
-		}
-		seen := map[string]bool{}
-		for _, p := range w.Propose.GetParticipants() {
-			if p.GetName() == "" || seen[p.GetName()] {
-				return nil, fmt.Sprintf("%q takes part twice, or has no name", p.GetName()), nil
-			}
-			seen[p.GetName()] = true
-		}
-		m.state = &pb.MembershipState{Epoch: s.Epoch, StartIndex: s.StartIndex, Participants: s.Participants, NextEpoch: s.Epoch + 1, FenceIndex: index, NextParticipants: w.Propose.GetParticipants(), DrawnQuotas: s.DrawnQuotas}
-		return nil, "", nil
+		return nil, m.propose(index, c.Propose), nil
 	case *pb.MembershipCommand_Activate:
-		if s.NextEpoch == 0 || s.NextEpoch != w.Activate.GetEpoch() {
-			return nil, fmt.Sprintf("roster %d is not about to begin", w.Activate.GetEpoch()), nil
+		return nil, m.activate(index, c.Activate), nil
+	case *pb.MembershipCommand_Draw:
+		units, rejection := m.drawQuota(c.Draw)
+		return binary.AppendVarint(nil, units), rejection, nil
+	default:
+		return nil, "", ErrUnknownCommand
+	}
+}
+
+func (m *Machine) propose(index uint64, p *pb.ProposeMembership) (rejection string) {
+	s := m.state
+	switch {
+	case s.NextEpoch != 0:
+		return fmt.Sprintf("roster %d is about to begin", s.NextEpoch)
+	case p.GetBaseEpoch() != s.Epoch:
+		return fmt.Sprintf("it follows roster %d; roster %d is in force", p.GetBaseEpoch(), s.Epoch)
+	case len(p.GetParticipants()) > maxParticipants:
+		return fmt.Sprintf("%d take part; %d are the most", len(p.GetParticipants()), maxParticipants)
+	}
+	seen := map[string]bool{}
+	for _, participant := range p.GetParticipants() {
+		if participant.GetName() == "" || seen[participant.GetName()] {
+			return fmt.Sprintf("%q takes part twice, or has no name", participant.GetName())
 		}
-		m.state = &pb.MembershipState{Epoch: s.NextEpoch, StartIndex: index, Participants: s.NextParticipants, DrawnQuotas: s.DrawnQuotas}
-		return nil, "", nil
+		seen[participant.GetName()] = true
 	}
-	if w, ok := c.GetCommand().(*pb.MembershipCommand_Draw); ok {
-		units, refused := m.drawQuota(w.Draw)
-		return binary.AppendVarint(nil, units), refused, nil
+	m.state = &pb.MembershipState{Epoch: s.Epoch, StartIndex: s.StartIndex, Participants: s.Participants, DrawnQuotas: s.DrawnQuotas,
+		NextEpoch: s.Epoch + 1, FenceIndex: index, NextParticipants: p.GetParticipants()}
+	return ""
+}
+
+func (m *Machine) activate(index uint64, a *pb.ActivateMembership) (rejection string) {
+	s := m.state
+	if s.NextEpoch == 0 || s.NextEpoch != a.GetEpoch() {
+		return fmt.Sprintf("roster %d is not about to begin", a.GetEpoch())
 	}
-	return nil, "", fmt.Errorf("a command on the roster is of a sort that this program does not know")
+	m.state = &pb.MembershipState{Epoch: s.NextEpoch, StartIndex: index, Participants: s.NextParticipants, DrawnQuotas: s.DrawnQuotas}
+	return ""
 }
 
-// Snapshot is the whole state.
+// Snapshot encodes the complete state, equal states equally.
 func (m *Machine) Snapshot() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m.state)
 }
 
-// Restore puts the state in place of what is held.
+// Restore replaces the state by a snapshot's; nil makes it empty. The error is a *DecodeError.
 func (m *Machine) Restore(raw []byte) error {
 	s := &pb.MembershipState{}
 	if err := proto.Unmarshal(raw, s); err != nil {
-		return fmt.Errorf("the roster can't be read: %w", err)
+		return &DecodeError{What: "the roster", Err: err}
 	}
 	m.state = s
 	return nil
--- a/internal/coordinator/ownership.go
+++ b/internal/coordinator/ownership.go
@@ -10,13 +10,14 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Ownership says who is in charge of what, among some who take part.
+// Ownership assigns an owner among participants to each key, by rendezvous hashing with xxHash64: as participants come and go, only keys of
+// theirs change owners. It is immutable; a nil Ownership has no participants.
 type Ownership struct {
 	participants map[string]*pb.Participant
 	hash         *rendezvous.Rendezvous
 }
 
-// NewOwnership makes it. A process that takes the place of another of its name has the same things.
+// NewOwnership makes the ownership of a membership. Keys are assigned by name: a new process of a sender owns what the former one did.
 func NewOwnership(parts []*pb.Participant) *Ownership {
 	c := &Ownership{participants: map[string]*pb.Participant{}}
 	var names []string
@@ -29,15 +30,15 @@
 	return c
 }
 
-// Owner is who is in charge of a thing; nil if nobody takes part.
-func (c *Ownership) Owner(thing string) *pb.Participant {
+// Owner is the owner of a key; nil if there are no participants.
+func (c *Ownership) Owner(key string) *pb.Participant {
 	if c == nil || len(c.participants) == 0 {
 		return nil
 	}
-	return c.participants[c.hash.Lookup(thing)]
+	return c.participants[c.hash.Lookup(key)]
 }
 
-// Includes reports whether a process is among them.
+// Includes reports whether a process participates.
 func (c *Ownership) Includes(w lease.HolderID) bool {
 	if c == nil {
 		return false
--- a/internal/fleetpolicy/document.go
+++ b/internal/fleetpolicy/document.go
@@ -6,6 +6,7 @@
 import (
 	"cmp"
 	"fmt"
+	"maps"
 	"slices"
 	"time"
 
@@ -59,105 +60,132 @@
 	maxCutOffGrace   = 24 * time.Hour
 )
 
+// Words of a document.
 const (
 	cutOffHold     = "hold"
 	cutOffContinue = "go-on"
+	stateClosed    = "closed"
+	stateMoved     = "moved"
+	stateApart     = "apart"
+	stateSuspended = "suspended"
 )
 
-// Parse reads a document and checks it as a whole; name is for its errors.
+// Parse reads a document and checks all of it; name is for its errors, which are of type *DocumentError or the TOML decoder's.
 func Parse(name string, raw []byte) (*Policy, error) {
 	if len(raw) > maxDocumentBytes {
-		return nil, fmt.Errorf("%s: %d bytes; %d are the most", name, len(raw), maxDocumentBytes)
+		return nil, invalidIn(name, "%d bytes; %d are the most", len(raw), maxDocumentBytes)
 	}
 	d := &Document{}
 	if err := tomlfile.Decode(name, raw, d); err != nil {
 		return nil, err
 	}
 	p := &Policy{document: d, routes: map[uint32]routeRule{}, suspended: map[string]bool{}, classes: map[string]time.Duration{}}
-	bad := func(format string, args ...any) error {
-		return fmt.Errorf("%s: "+format, append([]any{name}, args...)...)
+	for _, parse := range []func() error{p.parseCutOff, p.parseRoutes, p.parseTenants, p.parseClasses, p.parseLimits, p.parseHealthRules} {
+		if err := parse(); err != nil {
+			return nil, invalidIn(name, "%w", err)
+		}
 	}
+	return p, nil
+}
+
+func (p *Policy) parseCutOff() error {
+	d := p.document
 	switch d.CutOff {
 	case "":
 		d.CutOff = cutOffHold
 	case cutOffHold, cutOffContinue:
 	default:
-		return nil, bad("cut_off = %q; there are %q and %q", d.CutOff, cutOffHold, cutOffContinue)
+		return invalid("cut_off = %q; there are %q and %q", d.CutOff, cutOffHold, cutOffContinue)
 	}
 	if (d.CutOff == cutOffContinue) != (d.CutOffGrace > 0) || d.CutOffGrace.D() > maxCutOffGrace {
-		return nil, bad("go_on_for = %v: it goes with cut_off = %q, and is %v at most", d.CutOffGrace.D(), cutOffContinue, maxCutOffGrace)
+		return invalid("go_on_for = %v: it goes with cut_off = %q, and is %v at most", d.CutOffGrace.D(), cutOffContinue, maxCutOffGrace)
 	}
-	for i, r := range d.Routes {
-		at := fmt.Sprintf("route %d", i+1)
-		switch {
-		case len(r.Destinations) == 0:
-			return nil, bad("%s names no destinations", at)
-		case len(r.Why) > maxTextBytes:
-			return nil, bad("%s: why has %d bytes; %d are the most", at, len(r.Why), maxTextBytes)
-		case r.State != "closed" && r.State != "moved" && r.State != "apart":
-			return nil, bad("%s: state = %q; there are \"closed\", \"moved\" and \"apart\"", at, r.State)
-		case (r.State == "apart") != (r.Kind != ""):
-			return nil, bad("%s: kind goes with state = \"apart\", and is needed there", at)
-		case (r.State == "moved") != (r.To != nil):
-			return nil, bad("%s: to goes with state = \"moved\", and is needed there", at)
+	return nil
+}
+
+func (p *Policy) parseRoutes() error {
+	for i, r := range p.document.Routes {
+		if err := r.check(fmt.Sprintf("route %d", i+1)); err != nil {
+			return err
 		}
-		for _, dest := range r.Destinations {
-			if _, twice := p.routes[dest]; twice {
-				return nil, bad("%s: destination %d is named twice", at, dest)
+		for _, destination := range r.Destinations {
+			if _, twice := p.routes[destination]; twice {
+				return invalid("route %d: destination %d is named twice", i+1, destination)
 			}
-			is := routeRule{closed: r.State == "closed", kind: r.Kind}
+			rule := routeRule{closed: r.State == stateClosed, kind: r.Kind}
 			if r.To != nil {
-				is.to = *r.To
+				rule.to = *r.To
 			}
-			p.routes[dest] = is
+			p.routes[destination] = rule
 		}
 	}
 	if len(p.routes) > maxDestinations {
-		return nil, bad("%d destinations are named; %d are the most", len(p.routes), maxDestinations)
+		return invalid("%d destinations are named; %d are the most", len(p.routes), maxDestinations)
 	}
-	for i, r := range d.Routes {
+	for i, r := range p.document.Routes {
 		if r.To == nil {
 			continue
 		}
 		if _, again := p.routes[*r.To]; again {
-			return nil, bad("route %d: destination %d, to which it moves, has a route of its own: a message moves once", i+1, *r.To)
+			return invalid("route %d: destination %d, to which it moves, has a route of its own: a message moves once", i+1, *r.To)
 		}
 	}
-	for i, t := range d.Tenants {
+	return nil
+}
+
+// check checks a route by itself; name is for its errors.
+func (r *Route) check(name string) error {
+	switch {
+	case len(r.Destinations) == 0:
+		return invalid("%s names no destinations", name)
+	case len(r.Why) > maxTextBytes:
+		return invalid("%s: why has %d bytes; %d are the most", name, len(r.Why), maxTextBytes)
+	case r.State != stateClosed && r.State != stateMoved && r.State != stateApart:
+		return invalid("%s: state = %q; there are \"closed\", \"moved\" and \"apart\"", name, r.State)
+	case (r.State == stateApart) != (r.Kind != ""):
+		return invalid("%s: kind goes with state = \"apart\", and is needed there", name)
+	case (r.State == stateMoved) != (r.To != nil):
+		return invalid("%s: to goes with state = \"moved\", and is needed there", name)
+	}
+	return nil
+}
+
+func (p *Policy) parseTenants() error {
+	for i, t := range p.document.Tenants {
 		switch {
 		case t.Name == "" || len(t.Name) > maxTextBytes || len(t.Why) > maxTextBytes:
-			return nil, bad("tenant %d: name and why have %d bytes at most, the name not none", i+1, maxTextBytes)
-		case t.State != "suspended":
-			return nil, bad("tenant %q: state = %q; there is \"suspended\"", t.Name, t.State)
+			return invalid("tenant %d: name and why have %d bytes at most, the name not none", i+1, maxTextBytes)
+		case t.State != stateSuspended:
+			return invalid("tenant %q: state = %q; there is \"suspended\"", t.Name, t.State)
 		case p.suspended[t.Name]:
-			return nil, bad("tenant %q is named twice", t.Name)
+			return invalid("tenant %q is named twice", t.Name)
 		}
 		p.suspended[t.Name] = true
 	}
-	for _, c := range d.Classes {
+	return nil
+}
+
+func (p *Policy) parseClasses() error {
+	for _, c := range p.document.Classes {
 		if _, twice := p.classes[c.Name]; twice || c.Name == "" {
-			return nil, bad("class %q is named twice, or not at all", c.Name)
+			return invalid("class %q is named twice, or not at all", c.Name)
 		}
 		if c.MaxDeadline <= 0 {
-			return nil, bad("class %q: deadline_most = %v is not over 0", c.Name, c.MaxDeadline.D())
+			return invalid("class %q: deadline_most = %v is not over 0", c.Name, c.MaxDeadline.D())
 		}
 		p.classes[c.Name] = c.MaxDeadline.D()
 	}
-	var err error
-	if p.limits, err = parseLimits(d.Limits); err != nil {
-		return nil, bad("%w", err)
-	}
-	if p.healthRules, err = parseHealthRules(d.Health); err != nil {
-		return nil, bad("%w", err)
-	}
-	return p, nil
+	return nil
 }
 
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
-	keys := make([]K, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
+func (p *Policy) parseLimits() (err error) {
+	p.limits, err = parseLimits(p.document.Limits)
+	return err
 }
+
+func (p *Policy) parseHealthRules() (err error) {
+	p.healthRules, err = parseHealthRules(p.document.Health)
+	return err
+}
+
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- /dev/null
+++ b/internal/fleetpolicy/errors.go
@@ -0,0 +1,60 @@
+package fleetpolicy
+
+import (
+	"errors"
+	"fmt"
+)
+
+// ErrUnknownCommand is that a policy command is of a type that this program does not know. It must not go on as if it had applied it.
+var ErrUnknownCommand = errors.New("a command on the policy is of a sort that this program does not know")
+
+// DecodeError is that a command or the state can't be decoded.
+type DecodeError struct {
+	What string
+	Err  error
+}
+
+func (e *DecodeError) Error() string { return fmt.Sprintf("%s can't be read: %v", e.What, e.Err) }
+
+// Unwrap gives the decoder's error.
+func (e *DecodeError) Unwrap() error { return e.Err }
+
+// DocumentError is what is wrong with a document, for the operator who wrote it.
+type DocumentError struct {
+	Document string // its name; "" inside of one that has it
+	Problem  string
+	Err      error // the cause, if another error tells it
+}
+
+func (e *DocumentError) Error() string {
+	if e.Document == "" {
+		return e.Problem
+	}
+	return e.Document + ": " + e.Problem
+}
+
+// Unwrap gives the cause.
+func (e *DocumentError) Unwrap() error { return e.Err }
+
+// invalid is a DocumentError without the document's name.
+func invalid(format string, args ...any) error {
+	err := fmt.Errorf(format, args...)
+	return &DocumentError{Problem: err.Error(), Err: errors.Unwrap(err)}
+}
+
+// invalidIn is a DocumentError of the named document, or of a part of one.
+func invalidIn(document, format string, args ...any) error {
+	err := fmt.Errorf(format, args...)
+	return &DocumentError{Document: document, Problem: err.Error(), Err: errors.Unwrap(err)}
+}
+
+// SettingsError is that a policy names a class, tenant or kind that a sender's settings lack.
+type SettingsError struct {
+	What string // "class", "tenant" or "kind"
+	Name string
+	Has  []string // names of that kind that the settings have
+}
+
+func (e *SettingsError) Error() string {
+	return fmt.Sprintf("%s %q is not in this sender's settings, which have %s", e.What, e.Name, quoted(e.Has))
+}
--- a/internal/fleetpolicy/health_rules.go
+++ b/internal/fleetpolicy/health_rules.go
@@ -38,36 +38,34 @@
 func parseHealthRules(all []HealthRule) (map[uint32]health.Rule, error) {
 	rules := map[uint32]health.Rule{}
 	for i, v := range all {
-		bad := func(format string, args ...any) (map[uint32]health.Rule, error) {
-			return nil, fmt.Errorf("verdict %d: "+format, append([]any{i + 1}, args...)...)
-		}
+		name := fmt.Sprintf("verdict %d", i+1)
 		r := health.Rule{Quorum: cmp.Or(v.Quorum, defaultQuorum), ProbeInterval: cmp.Or(v.ProbeInterval.D(), defaultProbeInterval), InitialRate: v.InitialRate, FullRate: v.FullRate, SlowStart: cmp.Or(v.SlowStart.D(), defaultSlowStart), TTL: cmp.Or(v.TTL.D(), defaultTTL),
 			TransitJitter: cmp.Or(v.TransitJitter.D(), defaultTransitJitter)}
 		switch {
 		case len(v.Destinations) == 0:
-			return bad("it names no destinations")
+			return nil, invalidIn(name, "it names no destinations")
 		case r.Quorum < 1 || r.Quorum > maxQuorum:
-			return bad("agree = %d is not from 1 to %d", r.Quorum, maxQuorum)
+			return nil, invalidIn(name, "agree = %d is not from 1 to %d", r.Quorum, maxQuorum)
 		case r.ProbeInterval < minProbeInterval || r.ProbeInterval > time.Minute:
-			return bad("probe = %v is not from %v to 1m", r.ProbeInterval, minProbeInterval)
+			return nil, invalidIn(name, "probe = %v is not from %v to 1m", r.ProbeInterval, minProbeInterval)
 		case r.InitialRate < 1 || r.FullRate < r.InitialRate || r.FullRate > maxUnits:
-			return bad("cold = %d and warm = %d: both are needed, calls a second, the second no fewer", r.InitialRate, r.FullRate)
+			return nil, invalidIn(name, "cold = %d and warm = %d: both are needed, calls a second, the second no fewer", r.InitialRate, r.FullRate)
 		case r.SlowStart <= 0 || r.SlowStart > maxSlowStart:
-			return bad("warm_for = %v is not up to %v", r.SlowStart, maxSlowStart)
+			return nil, invalidIn(name, "warm_for = %v is not up to %v", r.SlowStart, maxSlowStart)
 		case r.TransitJitter > maxTransitJitter:
-			return bad("transit = %v is not up to %v", r.TransitJitter, maxTransitJitter)
+			return nil, invalidIn(name, "transit = %v is not up to %v", r.TransitJitter, maxTransitJitter)
 		case r.TTL < minTTL || r.TTL > health.MaxTTL:
-			return bad("lasts = %v is not from %v to %v", r.TTL, minTTL, health.MaxTTL)
+			return nil, invalidIn(name, "lasts = %v is not from %v to %v", r.TTL, minTTL, health.MaxTTL)
 		}
 		for _, d := range v.Destinations {
 			if _, twice := rules[d]; twice {
-				return bad("destination %d is named twice", d)
+				return nil, invalidIn(name, "destination %d is named twice", d)
 			}
 			rules[d] = r
 		}
 	}
 	if len(rules) > maxDestinations {
-		return nil, fmt.Errorf("verdicts name %d destinations; %d are the most", len(rules), maxDestinations)
+		return nil, invalid("verdicts name %d destinations; %d are the most", len(rules), maxDestinations)
 	}
 	return rules, nil
 }
--- a/internal/fleetpolicy/limit_index.go
+++ b/internal/fleetpolicy/limit_index.go
@@ -7,10 +7,22 @@
 	"saffronyard.example/saffronyard/internal/quota"
 )
 
-// limitIndex are those of a policy, as calls are held against them.
+// limitIndex is the limits of a policy by what they limit, as calls are looked up in it.
 type limitIndex struct {
 	bySubject map[subject][]quota.Limit
-	shapes    []shape // that occur
+	shapes    []shape // that occur, sorted
+}
+
+// add adds a limit of a subject; false if there is one of that key.
+func (x *limitIndex) add(s subject, l quota.Limit) bool {
+	if slices.ContainsFunc(x.bySubject[s], func(o quota.Limit) bool { return o.Key == l.Key }) {
+		return false
+	}
+	x.bySubject[s] = append(x.bySubject[s], l)
+	if !slices.Contains(x.shapes, s.shape) {
+		x.shapes = append(x.shapes, s.shape)
+	}
+	return true
 }
 
 // Usages are the units that a call takes of each limit that it is under. Of one that is not about to be written, and goes to no
--- a/internal/fleetpolicy/limits.go
+++ b/internal/fleetpolicy/limits.go
@@ -44,50 +44,45 @@
 	defaultTransitJitter = 20 * time.Millisecond
 )
 
+// parseLimits checks the tables of limits and indexes them by what they limit.
 func parseLimits(all []Limit) (limitIndex, error) {
-	ls := limitIndex{bySubject: map[subject][]quota.Limit{}}
+	index := limitIndex{bySubject: map[subject][]quota.Limit{}}
 	n := 0
 	for i, l := range all {
-		bad := func(format string, args ...any) (limitIndex, error) {
-			return limitIndex{}, fmt.Errorf("limit %d: "+format, append([]any{i + 1}, args...)...)
-		}
+		name := fmt.Sprintf("limit %d", i+1)
 		q, err := l.quota()
 		if err != nil {
-			return bad("%w", err)
+			return limitIndex{}, invalidIn(name, "%w", err)
 		}
 		subjects, err := l.subjects()
 		if err != nil {
-			return bad("%w", err)
+			return limitIndex{}, invalidIn(name, "%w", err)
 		}
 		for _, s := range subjects {
 			q.Key = s.String()
 			if q.Kind != quota.Calls {
 				q.Key += ", " + q.Kind.String()
 			}
-			if slices.ContainsFunc(ls.bySubject[s], func(o quota.Limit) bool { return o.Key == q.Key }) {
-				return bad("%s is limited twice", q.Key)
-			}
-			ls.bySubject[s] = append(ls.bySubject[s], q)
-			if !slices.Contains(ls.shapes, s.shape) {
-				ls.shapes = append(ls.shapes, s.shape)
+			if !index.add(s, q) {
+				return limitIndex{}, invalidIn(name, "%s is limited twice", q.Key)
 			}
 			if n++; n > maxLimits {
-				return bad("the tables come to more than %d limits", maxLimits)
+				return limitIndex{}, invalidIn(name, "the tables come to more than %d limits", maxLimits)
 			}
 		}
 	}
-	slices.Sort(ls.shapes)
-	return ls, nil
+	slices.Sort(index.shapes)
+	return index, nil
 }
 
-// quota checks the figures.
+// quota checks the figures of a table, and is the limit that they make, without its key.
 func (l Limit) quota() (q quota.Limit, err error) {
 	q = quota.Limit{Span: cmp.Or(l.Span.D(), defaultSpan), TransitJitter: cmp.Or(l.TransitJitter.D(), defaultTransitJitter), CutOffExtra: l.CutOffExtra, Reserve: l.Reserve, ReserveCount: l.ReserveCount, Adaptive: l.Adaptive}
 	given := 0
 	if l.Calls != 0 {
 		given++
 		if !(l.Calls > 0 && l.Calls <= maxUnits) || float64(q.Span)/min(l.Calls, 1) > float64(maxSpan) {
-			return q, fmt.Errorf("calls = %v: up to %d in the span, and one in %v at least", l.Calls, maxUnits, maxSpan)
+			return q, invalid("calls = %v: up to %d in the span, and one in %v at least", l.Calls, maxUnits, maxSpan)
 		}
 		q.Kind, q.Units = quota.Calls, int64(l.Calls)
 		if l.Calls < 1 { // fewer than one: one in a longer span
@@ -108,25 +103,25 @@
 	}
 	switch {
 	case given != 1:
-		return q, fmt.Errorf("one of calls, bytes, at_once and a_day is needed, and no more")
+		return q, invalid("one of calls, bytes, at_once and a_day is needed, and no more")
 	case q.Units < 1 || q.Units > maxUnits:
-		return q, fmt.Errorf("%s = %d is not from 1 to %d", strings.ReplaceAll(q.Kind.String(), " ", "_"), q.Units, maxUnits)
+		return q, invalid("%s = %d is not from 1 to %d", strings.ReplaceAll(q.Kind.String(), " ", "_"), q.Units, maxUnits)
 	case l.Span < 0 || l.Span.D() > maxSpan || l.TransitJitter < 0 || l.TransitJitter.D() > maxTransitJitter:
-		return q, fmt.Errorf("span = %v, transit = %v: up to %v and %v are possible", l.Span.D(), l.TransitJitter.D(), maxSpan, maxTransitJitter)
+		return q, invalid("span = %v, transit = %v: up to %v and %v are possible", l.Span.D(), l.TransitJitter.D(), maxSpan, maxTransitJitter)
 	case (q.Kind == quota.Concurrent) != (l.MaxCallTime > 0) || l.MaxCallTime.D() > maxSpan:
-		return q, fmt.Errorf("lasts = %v goes with at_once, is needed there, and is %v at most", l.MaxCallTime.D(), maxSpan)
+		return q, invalid("lasts = %v goes with at_once, is needed there, and is %v at most", l.MaxCallTime.D(), maxSpan)
 	case q.Span == 0 && l.Span != 0:
-		return q, fmt.Errorf("at_once and a_day have no span")
+		return q, invalid("at_once and a_day have no span")
 	case q.Kind == quota.Daily && (l.CutOffExtra != 0 || l.Reserve != 0):
-		return q, fmt.Errorf("a_day has neither over nor floor: who is cut off uses what it holds")
+		return q, invalid("a_day has neither over nor floor: who is cut off uses what it holds")
 	case l.CutOffExtra < 0 || l.CutOffExtra > maxUnits:
-		return q, fmt.Errorf("over = %d is not from 0 to %d", l.CutOffExtra, maxUnits)
+		return q, invalid("over = %d is not from 0 to %d", l.CutOffExtra, maxUnits)
 	case l.Reserve < 0 || (l.Reserve > 0) != (l.ReserveCount > 0) || l.ReserveCount < 0 || l.Reserve > 0 && l.ReserveCount > q.Units/l.Reserve:
-		return q, fmt.Errorf("floor = %d for floor_for = %d senders: both or none, and together no more than the limit of %d", l.Reserve, l.ReserveCount, q.Units)
+		return q, invalid("floor = %d for floor_for = %d senders: both or none, and together no more than the limit of %d", l.Reserve, l.ReserveCount, q.Units)
 	case l.Adaptive && q.Kind != quota.Calls:
-		return q, fmt.Errorf("learn goes with calls")
+		return q, invalid("learn goes with calls")
 	case l.Adaptive && l.Reserve > 0:
-		return q, fmt.Errorf("learn and floor: a floor can't hold below a limit that falls")
+		return q, invalid("learn and floor: a floor can't hold below a limit that falls")
 	}
 	q.MaxCallTime = l.MaxCallTime.D()
 	return q, nil
--- a/internal/fleetpolicy/machine.go
+++ b/internal/fleetpolicy/machine.go
@@ -10,87 +10,109 @@
 )
 
 const (
-	maxHistory      = 100     // changes that are remembered
-	maxHistoryBytes = 4 << 20 // bytes of their documents: those of the oldest go first, the one in force never
+	maxHistory      = 100     // finished changes that are remembered
+	maxHistoryBytes = 4 << 20 // of their documents: the oldest are dropped first, the one in force never
 
-	// MaxStageTimeout is how long a proposal may wait to be staged.
+	// MaxStageTimeout bounds how long a proposal may wait to be staged everywhere.
 	MaxStageTimeout = 10 * time.Minute
 )
 
-// Machine is the policy as the fleet agrees on it. The same commands in the same order make the same state everywhere.
+// Machine is the replicated policy and the change that is open. It implements replicatedlog.Machine.
 type Machine struct {
 	state *pb.PolicyState
 
-	// Made from the state, kept as parsing costs.
+	// Parsed from the state.
 	policy, next *Policy
 }
 
 // NewMachine makes the state before the first command.
 func NewMachine() *Machine { return &Machine{state: &pb.PolicyState{}, policy: Empty()} }
 
-// State is what is agreed; it is read only, and holds until the next command.
+// State is the current state. It is read only, and valid until the next command.
 func (m *Machine) State() *pb.PolicyState { return m.state }
 
-// Apply carries out a command at its index of the log. refused says why it changed nothing; err is that this program can't read
-// it, and must not go on as if it had.
-func (m *Machine) Apply(index uint64, body []byte) (result []byte, refused string, err error) {
+// Apply applies a command at its index of the log. The error is a *DecodeError or ErrUnknownCommand.
+func (m *Machine) Apply(index uint64, body []byte) (result []byte, rejection string, err error) {
 	c := &pb.PolicyCommand{}
 	if err := proto.Unmarshal(body, c); err != nil {
-		return nil, "", fmt.Errorf("a command on the policy can't be read: %w", err)
+		return nil, "", &DecodeError{What: "a command on the policy", Err: err}
 	}
-	s := m.state
-	switch w := c.GetCommand().(type) {
+	switch c := c.GetCommand().(type) {
 	case *pb.PolicyCommand_Propose:
-		p := w.Propose
-		if s.OpenChange != nil {
-			return nil, fmt.Sprintf("change %d, proposed by %s, is under way", s.OpenChange.GetId(), s.OpenChange.GetAuthor()), nil
-		}
-		if p.GetBaseVersion() != s.GetVersion() {
-			return nil, fmt.Sprintf("it was made from version %d; version %d is in force", p.GetBaseVersion(), s.GetVersion()), nil
-		}
-		if wait := time.Duration(p.GetStageTimeoutUs()) * time.Microsecond; wait <= 0 || wait > MaxStageTimeout {
-			return nil, fmt.Sprintf("it waits %v to be staged; up to %v is possible", wait, MaxStageTimeout), nil
-		}
-		next, err := Parse("document", p.GetDocument())
-		if err != nil {
-			return nil, err.Error(), nil
-		}
-		m.next = next
-		s.OpenChange = &pb.Change{Id: index, BaseVersion: p.GetBaseVersion(), Document: p.GetDocument(), Author: p.GetAuthor(), Reason: p.GetReason(), StageTimeoutUs: p.GetStageTimeoutUs(), RollbackTo: p.GetRollbackTo()}
-		return nil, "", nil
+		return nil, m.propose(index, c.Propose), nil
 	case *pb.PolicyCommand_Freeze:
-		if refused := m.checkStep(w.Freeze); refused != "" {
-			return nil, refused, nil
-		}
-		if s.OpenChange.FreezeIndex != 0 {
-			return nil, fmt.Sprintf("change %d is frozen already", s.OpenChange.Id), nil
-		}
-		s.OpenChange.FreezeIndex = index
-		return nil, "", nil
+		return nil, m.freeze(index, c.Freeze), nil
 	case *pb.PolicyCommand_Commit:
-		if refused := m.checkStep(w.Commit); refused != "" {
-			return nil, refused, nil
-		}
-		if s.OpenChange.FreezeIndex == 0 {
-			return nil, fmt.Sprintf("change %d is not frozen", s.OpenChange.Id), nil
-		}
-		open := s.OpenChange
-		s.Version, s.Document, s.StartIndex = s.Version+1, open.Document, index
-		m.policy = m.next
-		m.finish(&pb.FinishedChange{Id: open.Id, Version: s.Version, Author: open.Author, Reason: open.Reason, EndIndex: index, Document: open.Document})
-		return nil, "", nil
+		return nil, m.commit(index, c.Commit), nil
 	case *pb.PolicyCommand_Abort:
-		if refused := m.checkStep(w.Abort); refused != "" {
-			return nil, refused, nil
-		}
-		open := s.OpenChange
-		m.finish(&pb.FinishedChange{Id: open.Id, Author: open.Author, Reason: open.Reason, AbortReason: w.Abort.GetReason(), EndIndex: index})
-		return nil, "", nil
+		return nil, m.abort(index, c.Abort), nil
+	default:
+		return nil, "", ErrUnknownCommand
+	}
+}
+
+// propose opens a change; its id is the index of its proposal.
+func (m *Machine) propose(index uint64, p *pb.ProposePolicy) (rejection string) {
+	s := m.state
+	if s.OpenChange != nil {
+		return fmt.Sprintf("change %d, proposed by %s, is under way", s.OpenChange.GetId(), s.OpenChange.GetAuthor())
+	}
+	if p.GetBaseVersion() != s.GetVersion() {
+		return fmt.Sprintf("it was made from version %d; version %d is in force", p.GetBaseVersion(), s.GetVersion())
+	}
+	if timeout := time.Duration(p.GetStageTimeoutUs()) * time.Microsecond; timeout <= 0 || timeout > MaxStageTimeout {
+		return fmt.Sprintf("it waits %v to be staged; up to %v is possible", timeout, MaxStageTimeout)
 	}
-	return nil, "", fmt.Errorf("a command on the policy is of a sort that this program does not know")
+	next, err := Parse("document", p.GetDocument())
+	if err != nil {
+		return err.Error()
+	}
+	m.next = next
+	s.OpenChange = &pb.Change{Id: index, BaseVersion: p.GetBaseVersion(), Document: p.GetDocument(), Author: p.GetAuthor(), Reason: p.GetReason(),
+		StageTimeoutUs: p.GetStageTimeoutUs(), RollbackTo: p.GetRollbackTo()}
+	return ""
+}
+
+// freeze has the calls that the open change affects be suspended.
+func (m *Machine) freeze(index uint64, step *pb.ChangeStep) (rejection string) {
+	if rejection := m.checkStep(step); rejection != "" {
+		return rejection
+	}
+	open := m.state.OpenChange
+	if open.FreezeIndex != 0 {
+		return fmt.Sprintf("change %d is frozen already", open.Id)
+	}
+	open.FreezeIndex = index
+	return ""
+}
+
+// commit puts the open change in force.
+func (m *Machine) commit(index uint64, step *pb.ChangeStep) (rejection string) {
+	if rejection := m.checkStep(step); rejection != "" {
+		return rejection
+	}
+	s := m.state
+	open := s.OpenChange
+	if open.FreezeIndex == 0 {
+		return fmt.Sprintf("change %d is not frozen", open.Id)
+	}
+	s.Version, s.Document, s.StartIndex = s.Version+1, open.Document, index
+	m.policy = m.next
+	m.finish(&pb.FinishedChange{Id: open.Id, Version: s.Version, Author: open.Author, Reason: open.Reason, EndIndex: index, Document: open.Document})
+	return ""
+}
+
+// abort ends the open change without effect.
+func (m *Machine) abort(index uint64, step *pb.ChangeStep) (rejection string) {
+	if rejection := m.checkStep(step); rejection != "" {
+		return rejection
+	}
+	open := m.state.OpenChange
+	m.finish(&pb.FinishedChange{Id: open.Id, Author: open.Author, Reason: open.Reason, AbortReason: step.GetReason(), EndIndex: index})
+	return ""
 }
 
-// checkStep says why a step does not belong to the change that is open.
+// checkStep rejects a step of a change that is not the open one.
 func (m *Machine) checkStep(s *pb.ChangeStep) string {
 	if m.state.OpenChange == nil {
 		return fmt.Sprintf("change %d is over", s.GetChangeId())
@@ -101,7 +123,7 @@
 	return ""
 }
 
-// finish ends the open change.
+// finish moves the open change to the history, and drops the oldest documents and changes that exceed its bounds.
 func (m *Machine) finish(p *pb.FinishedChange) {
 	s := m.state
 	s.OpenChange, m.next = nil, nil
@@ -109,24 +131,24 @@
 	if n := len(s.History) - maxHistory; n > 0 {
 		s.History = append(s.History[:0:0], s.History[n:]...)
 	}
-	room := maxHistoryBytes
+	free := maxHistoryBytes
 	for i := len(s.History) - 1; i >= 0; i-- {
-		if room -= len(s.History[i].Document); room < 0 && s.History[i].Version != s.Version {
+		if free -= len(s.History[i].Document); free < 0 && s.History[i].Version != s.Version {
 			s.History[i].Document = nil
 		}
 	}
 }
 
-// Snapshot is the whole state.
+// Snapshot encodes the complete state, equal states equally.
 func (m *Machine) Snapshot() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m.state)
 }
 
-// Restore puts the state in place of what is held.
+// Restore replaces the state by a snapshot's; nil makes it empty. The error is a *DecodeError, or Parse's for a document.
 func (m *Machine) Restore(raw []byte) error {
 	s := &pb.PolicyState{}
 	if err := proto.Unmarshal(raw, s); err != nil {
-		return fmt.Errorf("the policy's state can't be read: %w", err)
+		return &DecodeError{What: "the policy's state", Err: err}
 	}
 	policy, next := Empty(), (*Policy)(nil)
 	var err error
@@ -144,8 +166,8 @@
 	return nil
 }
 
-// Policy is what is in force.
+// Policy is the policy in force.
 func (m *Machine) Policy() *Policy { return m.policy }
 
-// Next is the policy that the open change would put in force; nil if none is open.
+// Next is the policy of the open change; nil if none is open.
 func (m *Machine) Next() *Policy { return m.next }
--- a/internal/fleetpolicy/settings.go
+++ b/internal/fleetpolicy/settings.go
@@ -10,8 +10,8 @@
 // Settings are the names of a sender's settings that a policy may use.
 type Settings struct{ Classes, Tenants, Kinds []string }
 
-// CheckSettings says what is wrong with the policy at a sender with these settings: a sender that can't do what it says refuses it, and
-// then it takes hold nowhere.
+// CheckSettings checks that a sender with these settings can follow the policy. If one can't, it rejects the policy, which then takes effect
+// nowhere. The error is a *SettingsError.
 func (p *Policy) CheckSettings(s Settings) error {
 	kinds := map[string]bool{}
 	for _, r := range p.routes {
@@ -24,11 +24,11 @@
 		checkNames("kind", sortedKeys(kinds), s.Kinds))
 }
 
-// checkNames says which name the settings lack.
+// checkNames is the first name that the settings lack, as an error.
 func checkNames(what string, names, has []string) error {
 	for _, name := range names {
 		if !slices.Contains(has, name) {
-			return fmt.Errorf("%s %q is not in this sender's settings, which have %s", what, name, quoted(has))
+			return &SettingsError{What: what, Name: name, Has: has}
 		}
 	}
 	return nil
--- a/internal/fleetpolicy/subject.go
+++ b/internal/fleetpolicy/subject.go
@@ -69,7 +69,7 @@
 		}
 	}
 	if dims == 0 || dims > 2 || len(l.Destinations) > 0 && len(l.Endpoints) > 0 {
-		return nil, fmt.Errorf("it is of destinations or endpoints, of tenants, of classes, or of pairs of two of these")
+		return nil, invalid("it is of destinations or endpoints, of tenants, of classes, or of pairs of two of these")
 	}
 	all = []subject{{}}
 	each := func(n int, with func(s *subject, i int)) {
@@ -87,12 +87,12 @@
 		all = next
 	}
 	if len(l.Destinations) > maxDestinations || len(l.Endpoints) > maxLimits || len(l.Tenants) > maxLimits || len(l.Classes) > maxLimits {
-		return nil, fmt.Errorf("it names too much")
+		return nil, invalid("it names too much")
 	}
 	for _, names := range [][]string{l.Endpoints, l.Tenants, l.Classes} {
 		for _, n := range names {
 			if n == "" || len(n) > maxTextBytes {
-				return nil, fmt.Errorf("a name is empty, or has over %d bytes", maxTextBytes)
+				return nil, invalid("a name is empty, or has over %d bytes", maxTextBytes)
 			}
 		}
 	}
