--- a/internal/tier/consensus/backup.go
+++ b/internal/tier/consensus/backup.go
@@ -8,24 +8,36 @@
 func (r *replica) handleHeartbeat(request *tierv1.HeartbeatRequest) *tierv1.HeartbeatReply {
 	r.recordContact(request.From)
 	r.learnChosen(request.View)
-	view := r.chosen
-	if view != nil && request.View != nil && request.From != nil && request.View.Epoch == view.Epoch && request.From.Folder == view.Primary && r.primary == nil {
-		// A proposer that this replica prepared for may be about to take over: heartbeats of its predecessor count no more.
-		if r.preparedEpoch <= view.Epoch || r.preparedFor == request.From.Folder || r.now-r.preparedAt > r.timing.electionTimeout {
-			r.primarySeenAt, r.primarySeen = r.now, true
-			r.checkPrimaryAt = r.now + r.timing.heartbeatInterval*3/2
-			if r.primaryHint != request.From.Address {
-				r.primaryHint, r.actions.changed = request.From.Address, true
-			}
-			r.candidacyAt = r.now + r.electionTimeout()
-			if r.proposal != nil && r.proposal.epoch == 0 {
-				r.proposal = nil
-			}
-		}
+	if r.primary == nil && r.isFromPrimary(request) && !r.expectsTakeover(request) {
+		r.recordPrimaryAlive(request.From.Address)
 	}
 	return &tierv1.HeartbeatReply{Self: r.self, HighestPrepared: r.preparedEpoch, Sequence: r.sequence, IsMember: r.isVoter(r.chosenMembers())}
 }
 
+// isFromPrimary reports whether a heartbeat is of the newest chosen view and from its primary.
+func (r *replica) isFromPrimary(request *tierv1.HeartbeatRequest) bool {
+	return r.chosen != nil && request.View != nil && request.From != nil && request.View.Epoch == r.chosen.Epoch && request.From.Folder == r.chosen.Primary
+}
+
+// expectsTakeover reports whether a proposer that this replica prepared for may be about to replace the primary that sent a heartbeat: then
+// the heartbeat does not count.
+func (r *replica) expectsTakeover(request *tierv1.HeartbeatRequest) bool {
+	return r.preparedEpoch > r.chosen.Epoch && r.preparedFor != request.From.Folder && r.now-r.preparedAt <= r.timing.electionTimeout
+}
+
+// recordPrimaryAlive starts the election time-out again, and ends a pre-vote.
+func (r *replica) recordPrimaryAlive(address string) {
+	r.primarySeenAt, r.primarySeen = r.now, true
+	r.checkPrimaryAt = r.now + r.timing.heartbeatInterval*3/2
+	if r.primaryHint != address {
+		r.primaryHint, r.actions.changed = address, true
+	}
+	r.candidacyAt = r.now + r.electionTimeout()
+	if r.proposal != nil && r.proposal.epoch == 0 {
+		r.proposal = nil
+	}
+}
+
 // handleWrite applies writes of the primary, or a snapshot, to the state of this backup. It is idempotent: a doubled or overtaken
 // write is acknowledged again.
 func (r *replica) handleWrite(request *tierv1.WriteRequest) *tierv1.WriteReply {
--- a/internal/tier/consensus/disk_failure.go
+++ b/internal/tier/consensus/disk_failure.go
@@ -42,9 +42,7 @@
 	node.inbox = nil
 	node.endCallers()
 	node.mu.Unlock()
-	if node.config.Log != nil {
-		node.config.Log.Error().Str("event", "disk_failed").Str("file", fileName).Err(err).Msg("disk failed: " + err.Error())
-	}
+	node.config.Log.Error().Str("event", "disk_failed").Str("file", fileName).Err(err).Msg("disk failed")
 }
 
 // recoverDisk tries to open the file again. It returns only errors that are not transient.
@@ -59,10 +57,8 @@
 	}
 	node.storage.failure, node.storage.usableSince = nil, node.now()
 	node.publish(true)
-	if node.config.Log != nil {
-		node.config.Log.Info().Str("event", "disk_recovered").Str("file", fileName).Str("folder", node.replica.Folder).
-			Uint64("sequence", node.replica.sequence).Msg("disk recovered from: " + before.Error())
-	}
+	node.config.Log.Info().Str("event", "disk_recovered").Str("file", fileName).Str("folder", node.replica.Folder).
+		Uint64("sequence", node.replica.sequence).Str("cause", before.Error()).Msg("disk recovered")
 	return nil
 }
 
@@ -70,9 +66,7 @@
 // do not wait for the disk have left: the replica is built anew from the file, as after a restart. The disk is sound, and not
 // reported as failing. The replica produces no such record by itself, see StateLimit.
 func (node *Node) restartWithoutRecord(err error) {
-	if node.config.Log != nil {
-		node.config.Log.Error().Str("event", "record_refused").Str("file", fileName).Err(err).Msg("record refused: " + err.Error())
-	}
+	node.config.Log.Error().Str("event", "record_refused").Str("file", fileName).Err(err).Msg("file rejected a record as too large")
 	node.dropReplica()
 	node.mu.Lock()
 	node.inbox = nil
--- a/internal/tier/consensus/disk_failure_test.go
+++ b/internal/tier/consensus/disk_failure_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// ask asks for a promise.
+// ask asks the node to prepare.
 func (s *solo) ask(epoch uint64) (*tierv1.PrepareReply, error) {
 	return askNode(s, func(n *Node) (*tierv1.PrepareReply, error) {
 		return (server{n}).Promise(context.Background(), &tierv1.PrepareRequest{Epoch: epoch, From: &tierv1.Member{Folder: "x", Address: "b"}})
@@ -168,7 +168,7 @@
 	return failed || strings.Contains(text, `"disk_failed"`)
 }
 
-// A promise whose sync failed is not given; one that was given stands after the disk recovered.
+// A prepare whose sync failed is not answered; one that was answered is still in force after the disk recovered.
 func TestDiskFailure_PrepareOnFullDisk(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
 	a, err := s.ask(1 << 20)
@@ -207,7 +207,7 @@
 	assert.Assert(t, s.node.Self().Folder != first && !s.node.replica.Genesis)
 }
 
-// Where a full disk holds a long file, the rewrite to the bare state is what makes room: of the operations of an attempt to
+// If a full disk has a long file, the rewrite to the bare state is what frees space: of the operations of an attempt to
 // go on, one is the trial write, after whose failure the node goes on at once with a short file.
 func TestDiskFailure_RewriteFreesSpace(t *testing.T) {
 	short := 0
@@ -236,7 +236,7 @@
 	assert.Assert(t, short > 0)
 }
 
-// A leader whose disk is full gives way to another within its lease, and follows when there is room; one whose sync hangs
+// A primary whose disk is full is replaced by another within its lease, and follows when there is space; one whose sync hangs
 // likewise, though its loop cannot even tell.
 func TestDiskFailure_OfPrimary(t *testing.T) {
 	for name, breaks := range map[string]func(disk *wal.Memory) (repair func()){
--- a/internal/tier/consensus/distant_members_test.go
+++ b/internal/tier/consensus/distant_members_test.go
@@ -12,8 +12,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// playDistantMembers plays machines whose only trouble is their distance: each way takes what oneWay tells, each sync of a disk takes
-// what sync tells. It gives the machines and how many records each had chosen for itself.
+// playDistantMembers runs replicas whose only fault is their distance: each direction takes what oneWay returns, each sync of a disk takes
+// sync. It returns the replicas and how many views each had chosen for itself.
 func playDistantMembers(n, losses int, window, until, sync time.Duration, oneWay func(from, to int) time.Duration) (machines []*replica, leaderships []int) {
 	var queue timedActions
 	var now time.Duration
@@ -105,8 +105,8 @@
 	return machines, leaderships
 }
 
-// A member of a far region answers later than the near majority. It is waited for, or the primary goes on without it;
-// it does not make record after record, each of which again leaves it out.
+// A member of a distant region replies later than the near majority. It is awaited, or the primary goes on without it;
+// it does not propose view after view, each of which leaves it out again.
 func TestProposal_IncludesDistantMembers(t *testing.T) {
 	for _, losses := range []int{1, 2} {
 		for _, n := range []int{3, 4, 5} {
--- a/internal/tier/consensus/election.go
+++ b/internal/tier/consensus/election.go
@@ -17,11 +17,11 @@
 // electionTimeout is for how long a primary may be unresponsive before this replica starts a pre-vote. Primaries and backups of the
 // newest view go first, as only they can win.
 func (r *replica) electionTimeout() time.Duration {
-	d := r.timing.electionTimeout + r.jitter(r.timing.heartbeatInterval/2)
+	timeout := r.timing.electionTimeout + r.jitter(r.timing.heartbeatInterval/2)
 	if view := r.newestView(); view != nil && !isNamedIn(view, r.Folder) && view.Epoch > 0 {
-		d += r.timing.electionTimeout / 2
+		timeout += r.timing.electionTimeout / 2
 	}
-	return d
+	return timeout
 }
 
 // checkPrimary asks a primary whose heartbeat is late whether it is alive. A call that fails at once, as one to a closed port does, ends
@@ -46,8 +46,8 @@
 // startPreVote asks whether this replica could take over, if the primary is unresponsive and it is a voter.
 func (r *replica) startPreVote() {
 	r.candidacyAt = r.now + r.electionTimeout()
-	base := r.newestView()
-	if base == nil || r.primaryAlive() || !slices.ContainsFunc(quorumSets(base), r.isVoter) {
+	view := r.newestView()
+	if view == nil || r.primaryAlive() || !slices.ContainsFunc(quorumSets(view), r.isVoter) {
 		return
 	}
 	r.beginProposal(&proposal{phase: preVoting})
--- a/internal/tier/consensus/explore_digest_test.go
+++ b/internal/tier/consensus/explore_digest_test.go
@@ -10,10 +10,10 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// digest tells states of a machine apart. Times count by how long ago.
+// digest distinguishes states of a replica. Times count by how long ago.
 func (x *explorer) digest(l *lane, s *subject) string {
 	var b strings.Builder
-	m := s.m
+	m := s.replica
 	record := func(r *tierv1.View) int {
 		if r == nil {
 			return 0
@@ -35,7 +35,7 @@
 	}
 	b.WriteByte('|')
 	state(&disk)
-	fmt.Fprint(&b, "|", l.site, l.led, m.lastCallID, m.highestEpoch, m.primaryHint, m.primarySeen, m.now-m.preparedAt, "|")
+	fmt.Fprint(&b, "|", l.site, l.newestEpoch, m.lastCallID, m.highestEpoch, m.primaryHint, m.primarySeen, m.now-m.preparedAt, "|")
 	for _, a := range slices.Sorted(maps.Keys(m.peers)) {
 		p := m.peers[a]
 		fmt.Fprint(&b, a, p.member.GetFolder(), m.now-p.firstSeen, m.now-p.answeredAt, p.roundTrip, p.hasReplied, p.inContact, p.heartbeatPending, p.knowsMembership, ",")
@@ -65,7 +65,7 @@
 			}
 		}
 	}
-	// What an answer will mean depends on whether the proposal or round that asked is still the one.
+	// What a reply will mean depends on whether the proposal or batch that made the call is still in progress.
 	for _, id := range slices.Sorted(maps.Keys(m.pendingCalls)) {
 		current := false
 		switch q := s.asked[id].(type) {
@@ -93,8 +93,8 @@
 	l := w.left
 	b = append(b, byte(l.takeovers), byte(l.ticks), byte(l.timeouts), byte(l.doubles), byte(l.restarts), byte(l.wipes), byte(l.writes), byte(l.confirms), byte(l.swaps))
 	for i := range maxOperations {
-		b = binary.AppendUvarint(b, w.acked[i])
-		b = binary.AppendUvarint(b, w.under[i])
+		b = binary.AppendUvarint(b, w.acknowledged[i])
+		b = binary.AppendUvarint(b, w.acknowledgedUnder[i])
 		b = append(b, w.began[i])
 		if w.refused[i] {
 			b = append(b, 'r')
--- a/internal/tier/consensus/explore_liveness_test.go
+++ b/internal/tier/consensus/explore_liveness_test.go
@@ -8,9 +8,9 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// The exploration asks of a part of the states that it reaches whether they are dead ends: with all trouble ended, is a
-// primary that can acknowledge reached again? Both where all that is under way comes, and where all of it is lost. This
-// bounds liveness by steps, not by time: within recoveryRounds rounds, in each of which each machine proposes itself up to
+// The exploration asks of a part of the states that it reaches whether they are dead ends: once all faults have ended, is a
+// primary that can acknowledge reached again? Both if all messages in flight arrive, and if all of them are lost. This
+// bounds liveness by steps, not by time: within recoveryRounds rounds, in each of which each replica proposes itself up to
 // twice (the second time it knows the highest epoch) and all messages come. That nobody disturbs this is a matter of time,
 // and is held by the tests in virtual time.
 const recoveryRounds = 2
@@ -19,7 +19,7 @@
 // takes itself for the primary still, tries again until that one's lease ends, for which clocks must go on.
 const drainSteps = 500
 
-// drain lets all that is under way come, and what follows it, oldest first.
+// drain delivers all messages in flight, and what follows them, oldest first.
 func (x *explorer) drain(w *systemState) (*systemState, error) {
 	var err error
 	for range drainSteps {
@@ -33,7 +33,7 @@
 	return w, nil
 }
 
-// loseAll ends what is under way: no request comes any more, and each call fails.
+// loseAll drops all messages in flight: no request arrives any more, and each call fails.
 func (x *explorer) loseAll(w *systemState) (*systemState, error) {
 	var err error
 	for _, i := range slices.Clone(w.net) {
@@ -52,7 +52,7 @@
 	return w, nil
 }
 
-// acknowledges tells whether a machine leads and could acknowledge a write now: it and all its backups stand by its epoch.
+// acknowledges reports whether a replica leads and could acknowledge a write now: it and all its backups have prepared its epoch last.
 func (w *systemState) acknowledges(l *lane) bool {
 	if l == nil || l.leadership == 0 || l.preparedEpoch != l.leadership {
 		return false
@@ -65,7 +65,7 @@
 	return true
 }
 
-// recovers gives an error where no primary is reached from a state, with no more trouble.
+// recovers returns an error if no primary is reached from a state without further faults.
 func (x *explorer) recovers(w *systemState, loss bool) (*systemState, error) {
 	cuts := x.partitions
 	x.partitions = nil
@@ -105,7 +105,7 @@
 	return w, fmt.Errorf("no primary is reached again, loss %v", loss)
 }
 
-// checkLiveness asks recovers of a state, with and without a loss of what is under way.
+// checkLiveness checks recovers for a state, with and without a loss of the messages in flight.
 func (x *explorer) checkLiveness(w *systemState) (*systemState, error) {
 	for _, loss := range []bool{false, true} {
 		if c, err := x.recovers(w, loss); err != nil {
@@ -116,17 +116,17 @@
 	return w, nil
 }
 
-// preparesOnlyOnce gives one promise in its life.
-var preparesOnlyOnce = mutant{name: "promises once", before: func(s *subject, e event) (event, *outcome) {
+// preparesOnlyOnce prepares a single epoch.
+var preparesOnlyOnce = mutant{name: "prepares once", before: func(s *subject, e event) (event, *outcome) {
 	if q, ok := e.(incomingCall); ok {
-		if _, ok := q.body.(*tierv1.PrepareRequest); ok && s.m.preparedEpoch > 0 {
+		if _, ok := q.body.(*tierv1.PrepareRequest); ok && s.replica.preparedEpoch > 0 {
 			return nil, nil
 		}
 	}
 	return e, nil
 }}
 
-// The question finds a machine from which no primary is reached again.
+// The check finds a mutant from which no primary is reached again.
 func TestExplore_FindsDeadEnd(t *testing.T) {
 	x, w := fromStable(t, preparesOnlyOnce)
 	w.left = budget{takeovers: 1, writes: 1}
--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("%s%s %s>%s%s", h.what, call, x.addresses[i.from], x.addresses[i.to], h.also)
 }
 
-// deliver carries a message one way. The power of its receiver may go in the middle, or it may be delivered a second time.
+// deliver delivers a message. Its receiver may lose power in the middle of the step, or it may be delivered a second time.
 func (x *explorer) deliver(w *systemState, i *item, cut, double bool) (*systemState, error) {
 	if i.stage == answered {
 		c := w.with(pathStep{what: "answer to ", item: i})
@@ -98,7 +98,7 @@
 	c.left.restarts--
 	l := c.lanes[site]
 	if l.next[eventKey{what: "restart"}] == nil {
-		l.next[eventKey{what: "restart"}] = x.start(site, l.records, false, l.now, l.led)
+		l.next[eventKey{what: "restart"}] = x.start(site, l.records, false, l.now, l.newestEpoch)
 	}
 	x.restarted(c, site)
 	return c, x.move(c, l.next[eventKey{what: "restart"}])
@@ -109,7 +109,7 @@
 	c.left.wipes--
 	l := c.lanes[site]
 	if l.next[eventKey{what: "wipe"}] == nil {
-		l.next[eventKey{what: "wipe"}] = x.start(site, nil, false, l.now, l.led)
+		l.next[eventKey{what: "wipe"}] = x.start(site, nil, false, l.now, l.newestEpoch)
 	}
 	x.restarted(c, site)
 	return c, x.move(c, l.next[eventKey{what: "wipe"}])
@@ -129,7 +129,7 @@
 	n := maxOperations - int(w.left.confirms)
 	w = w.with(pathStep{})
 	w.left.confirms--
-	for k, sequence := range w.acked {
+	for k, sequence := range w.acknowledged {
 		if sequence > 0 {
 			w.began[n] |= 1 << k
 		}
@@ -139,7 +139,7 @@
 	return c, err
 }
 
-// successors are all states that one more transition leads to; the first that breaks a promise ends it.
+// successors are all states that one more step leads to; the first that violates an invariant ends it.
 func (x *explorer) successors(w *systemState, yield func(*systemState, error) bool) {
 	for n, i := range w.net {
 		if n > 0 && i == w.net[n-1] {
@@ -250,7 +250,7 @@
 		}
 		frontier = next
 	}
-	for _, w := range asked { // only now, as what is asked adds to the states of single machines
+	for _, w := range asked { // only now, as the checks add to the states of single replicas
 		if dead, err := x.checkLiveness(w); err != nil {
 			r.fault, r.path = err, x.path(dead)
 			return r
--- a/internal/tier/consensus/explore_scenarios_test.go
+++ b/internal/tier/consensus/explore_scenarios_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// calm delivers all that is under way between sites, oldest first, where pass lets it.
+// calm delivers all messages in flight between sites, oldest first, if pass lets it.
 func (x *explorer) calm(t *testing.T, w *systemState, pass func(i *item) bool) *systemState {
 	t.Helper()
 	for range 1000 {
@@ -40,7 +40,7 @@
 	return w
 }
 
-// stableState has a primary, a, with a backup, b; what went to c is still under way.
+// stableState has a primary, a, with a backup, b; what was sent to c is still in flight.
 func (x *explorer) stableState(t *testing.T) *systemState {
 	t.Helper()
 	w := x.boots()
@@ -80,7 +80,7 @@
 	return x, w
 }
 
-// fromSwap is a primary, a, about to put d in the place of c, when a cut falls between a and d and the others.
+// fromSwap is a primary, a, about to replace c by d, when a partition separates a and d from the others.
 func fromSwap(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d")
 	w, err := x.event(x.boots(), 0, "take-over", takeover{})
@@ -98,14 +98,14 @@
 	return x, w
 }
 
-// fromFirstSwap is a primary, a, with a backup, b, after d has taken the place of c and all is settled; e could join, too.
+// fromFirstSwap is a primary, a, with a backup, b, after d has replaced c and the change is complete; e could join, too.
 func fromFirstSwap(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d", "e")
 	return x, x.swapped(t, swap{"d", "c"})
 }
 
 // fromReplacement is a primary, a, whose backup b was just replaced by d, as after the loss of b: the next loss comes right
-// after the repair. What went to b may still be under way.
+// after the repair. What was sent to b may still be in flight.
 func fromReplacement(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d")
 	return x, x.swapped(t, swap{"d", "b"})
@@ -135,7 +135,7 @@
 	}
 	w = x.calm(t, w, nil)
 	if l := w.lanes[0]; l.leadership == 0 || len(l.swaps) == 0 {
-		t.Fatal("the first change of members is not settled", x.path(w))
+		t.Fatal("the first change of members is not complete", x.path(w))
 	}
 	return w
 }
@@ -149,10 +149,10 @@
 	{"genesis, two candidates, a write, a doubled message", fromGenesis, budget{takeovers: 2, writes: 1, doubles: 1}, 25_000},
 	{"genesis of a split three, two candidates, a write, a doubled message, a restart", fromPartitioned,
 		budget{takeovers: 2, writes: 1, doubles: 1, restarts: 1}, 30_000},
-	{"a swap of members, a cut, a candidate, a write", fromSwap, budget{takeovers: 1, writes: 1}, 40_000},
+	{"a swap of members, a partition, a candidate, a write", fromSwap, budget{takeovers: 1, writes: 1}, 40_000},
 	{"a second swap, a candidate, a write, a lost disk between or in the middle", fromFirstSwap,
 		budget{swaps: 1, takeovers: 1, writes: 1, wipes: 1}, 40_000},
-	{"a swap of a backup, settled; a lost disk, a candidate, a write", fromReplacement, budget{takeovers: 1, writes: 1, wipes: 1}, 40_000},
+	{"a swap of a backup, completed; a lost disk, a candidate, a write", fromReplacement, budget{takeovers: 1, writes: 1, wipes: 1}, 40_000},
 	{"five members, a swap, a candidate, a write, two lost disks", fromFive,
 		budget{swaps: 1, takeovers: 1, writes: 1, wipes: 2}, 40_000},
 }
@@ -165,7 +165,7 @@
 
 // factor is by how much the bounds are raised: 8 where CONTROL_SEEDS is set.
 func factor() int {
-	if seedsOr(0) > 0 {
+	if seedCount(0) > 0 {
 		return 8
 	}
 	return 1
@@ -197,7 +197,7 @@
 	t.Logf("%d states", total)
 }
 
-// The exploration finds machines that are wrong.
+// The exploration finds mutants.
 func TestExplore_FindsMutants(t *testing.T) {
 	for _, c := range []struct {
 		plant mutant
@@ -223,7 +223,7 @@
 	}
 }
 
-// The smallest schedule that finds a machine that forgets its promise at a restart: c's promise goes to a, which restarts
+// The smallest schedule that finds a replica that forgets its prepared epoch at a restart: c's prepare reaches a, which restarts
 // and gives a lower one to b; c's question, which is delivered twice, brings it back over what b was acknowledged.
 func TestExplore_FindsForgottenPrepare(t *testing.T) {
 	run := func(p mutant) error {
@@ -267,7 +267,7 @@
 		if w.lanes[low].leadership != 0 {
 			do(x.put(w, low))
 			both(low, 0, "write")
-			if err == nil && w.acked[1] == 0 {
+			if err == nil && w.acknowledged[1] == 0 {
 				t.Fatal("not acknowledged", x.path(w))
 			}
 		}
--- a/internal/tier/consensus/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -13,11 +13,11 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// The exploration plays all orders of what may happen to a few machines, breadth-first. A machine's next state depends on
-// its own events alone, so each is worked out once (lane.next) and a state of the whole is a handful of references.
+// The exploration plays all orders of what may happen to a few replicas, breadth-first. A replica's next state depends on
+// its own events alone, so each is worked out once (lane.next) and a state of the system is a handful of references.
 // Clocks stand still but for explicit ticks: no order of messages is ruled out by a time-out.
 
-// explorer holds what is the same on all paths.
+// explorer has what is the same on all paths.
 type explorer struct {
 	mutant     mutant
 	addresses  []string
@@ -35,13 +35,13 @@
 	recovered int // states that were asked, and are none
 }
 
-// body is a message, held once.
+// body is a message, stored once.
 type body struct {
 	n int
 	m proto.Message
 }
 
-// lane is one machine's state: replaying the events since its process started gives the same state.
+// lane is one replica's state: replaying the events since its process started gives the same state.
 type lane struct {
 	n             int
 	site          int
@@ -53,8 +53,8 @@
 	records       [][]byte // on disk now
 	leadership    uint64   // epoch, 0 where it is not primary
 	swaps         []swap   // that it could begin now
-	led           uint64   // epoch of its newest leadership
-	backups       []string // folders, of the record that it leads under
+	newestEpoch   uint64   // epoch of its newest leadership
+	backups       []string // folders, of the view that it leads under
 	preparedEpoch uint64
 	shown         map[string]uint64
 	next          map[eventKey]*lane // by event
@@ -93,7 +93,7 @@
 type explorerEvent any
 
 type (
-	takeover struct{}                 // proposes itself at once, without asking whether it would be promised
+	takeover struct{}                 // proposes itself at once, without a pre-vote
 	age      struct{}                 // a tick so late that no confirmation counts
 	swap     struct{ in, out string } // of members, by address, as the primary would on its own
 )
@@ -105,10 +105,10 @@
 const (
 	requested stage = iota
 	answered
-	orphaned // nobody waits for its answer
+	orphaned // nobody waits for its reply
 )
 
-// item is a message under way.
+// item is a message in flight.
 type item struct {
 	from, to    int
 	incarnation int // of the caller's process
@@ -128,18 +128,18 @@
 
 var writes = [maxOperations]string{"w0", "w1"}
 
-// systemState is a state of all machines and messages.
+// systemState is a state of all replicas and messages.
 type systemState struct {
-	lanes        [maxSites]*lane
-	incarnations [maxSites]int
-	net          []*item
-	left         budget
-	acked        [maxOperations]uint64 // sequences
-	under        [maxOperations]uint64 // epochs in which they were acknowledged
-	refused      [maxOperations]bool
-	began        [maxOperations]byte // of confirms: what was acknowledged when they began, one bit each
-	parent       *systemState
-	how          pathStep
+	lanes             [maxSites]*lane
+	incarnations      [maxSites]int
+	net               []*item
+	left              budget
+	acknowledged      [maxOperations]uint64 // sequences
+	acknowledgedUnder [maxOperations]uint64 // epochs in which they were acknowledged
+	refused           [maxOperations]bool
+	began             [maxOperations]byte // of confirms: what was acknowledged when they began, one bit each
+	parent            *systemState
+	how               pathStep
 }
 
 // zeros is a source from which every span below four seconds is drawn as 0 (from 0 itself it would be drawn for ever).
@@ -179,7 +179,7 @@
 	return x.items[i]
 }
 
-// explored are the spans of a machine whose clock stands still: nothing waits for heartbeats or a grace.
+// explored is the timing of a replica whose clock stands still: nothing waits for heartbeats or a grace period.
 func explored() timing {
 	t := newTiming(3*time.Second, 0)
 	t.heartbeatInterval = 3
@@ -197,7 +197,7 @@
 	m := newReplica(d, replicaConfig{self: &tierv1.Member{Address: a, Zone: "z" + a, Region: "r"}, seeds: x.seeds, toleratedLosses: x.losses, timing: explored(), jitterSeed: 1})
 	m.random = rand.New(zeros{})
 	m.now, m.candidacyAt, m.joinAt = now, never, never
-	return &subject{m: m, mutant: x.mutant, asked: make(map[uint64]proto.Message)}
+	return &subject{replica: m, mutant: x.mutant, asked: make(map[uint64]proto.Message)}
 }
 
 // play gives a subject one event and returns what it did.
@@ -205,11 +205,11 @@
 	var out *actions
 	switch e := t.e.(type) {
 	case takeover:
-		s.m.now, s.m.actions = t.now, new(actions)
-		if s.m.primary == nil && s.m.proposal == nil && slices.ContainsFunc(quorumSets(s.m.newestView()), s.m.isVoter) {
-			s.m.propose(reconfiguration{})
+		s.replica.now, s.replica.actions = t.now, new(actions)
+		if s.replica.primary == nil && s.replica.proposal == nil && slices.ContainsFunc(quorumSets(s.replica.newestView()), s.replica.isVoter) {
+			s.replica.propose(reconfiguration{})
 		}
-		early := s.m.actions
+		early := s.replica.actions
 		if s.mutant.after != nil {
 			s.mutant.after(s, early)
 		}
@@ -223,29 +223,29 @@
 		out = s.step(t.now, tick{})
 	case swap:
 		p := reconfiguration{add: &tierv1.Member{Folder: e.in + "0", Address: e.in, Zone: "z" + e.in, Region: "r"}}
-		for _, v := range s.m.primary.view.Members {
+		for _, v := range s.replica.primary.view.Members {
 			if v.Address == e.out {
 				p.remove = v
 			}
 		}
-		s.m.now, s.m.actions = t.now, new(actions)
-		s.m.propose(p)
-		out = s.m.actions
+		s.replica.now, s.replica.actions = t.now, new(actions)
+		s.replica.propose(p)
+		out = s.replica.actions
 		for _, c := range out.unsyncedCalls {
 			s.asked[c.id] = c.body
 		}
 	case tick:
-		if s.m.primary != nil {
-			s.m.primary.proposeAt = 0
+		if s.replica.primary != nil {
+			s.replica.primary.proposeAt = 0
 		}
 		out = s.step(t.now, e)
 	default:
 		out = s.step(t.now, t.e.(event))
 	}
 	x.steps++
-	s.m.candidacyAt, s.m.joinAt = never, never
-	if s.m.primary != nil {
-		s.m.primary.proposeAt = never // but for a tick
+	s.replica.candidacyAt, s.replica.joinAt = never, never
+	if s.replica.primary != nil {
+		s.replica.primary.proposeAt = never // but for a tick
 	}
 	return out
 }
@@ -256,12 +256,12 @@
 		x.folders[x.addresses[site]] = 1 // one wipe of a site at most
 		disk = [][]byte{encodeIdentity(identity{Folder: folder, Genesis: genesis, Seeds: x.seeds})}
 	}
-	l := *x.lane(&lane{site: site, disk: disk, begun: now, now: now, records: disk, led: led}, x.boot(disk, site, now))
+	l := *x.lane(&lane{site: site, disk: disk, begun: now, now: now, records: disk, newestEpoch: led}, x.boot(disk, site, now))
 	l.output = new(output)
 	return &l
 }
 
-// possibleSwaps are the changes of members that a leader may begin: it does so only under a settled record.
+// possibleSwaps are the changes of members that a leader may begin: it does so only under a view without former members.
 func (x *explorer) possibleSwaps(m *replica) (list []swap) {
 	if m.primary == nil || m.proposal != nil || len(m.primary.view.Former) > 0 {
 		return nil
@@ -282,13 +282,13 @@
 
 // lane gives the one lane of this state.
 func (x *explorer) lane(l *lane, s *subject) *lane {
-	l.folder = s.m.Folder
-	l.leadership, l.shown, l.swaps = 0, make(map[string]uint64), x.possibleSwaps(s.m)
-	l.preparedEpoch, l.backups = s.m.preparedEpoch, nil
-	data := s.m.entries
-	if s.m.primary != nil {
-		l.leadership, l.led, data = s.m.primary.view.Epoch, s.m.primary.view.Epoch, s.m.primary.committed
-		l.backups = s.m.primary.view.Backups
+	l.folder = s.replica.Folder
+	l.leadership, l.shown, l.swaps = 0, make(map[string]uint64), x.possibleSwaps(s.replica)
+	l.preparedEpoch, l.backups = s.replica.preparedEpoch, nil
+	data := s.replica.entries
+	if s.replica.primary != nil {
+		l.leadership, l.newestEpoch, data = s.replica.primary.view.Epoch, s.replica.primary.view.Epoch, s.replica.primary.committed
+		l.backups = s.replica.primary.view.Backups
 	}
 	for k, e := range data {
 		l.shown[k] = e.Sequence
@@ -318,7 +318,7 @@
 	case tick:
 		now += 16
 	case age:
-		now += s.m.timing.lease
+		now += s.replica.timing.lease
 	}
 	out := x.play(s, timedEvent{now, e})
 	after := &output{early: out.unsyncedCalls, calls: out.calls, outcomes: out.outcomes}
@@ -328,10 +328,10 @@
 	var to *lane
 	if cut {
 		after.calls, after.reply, after.outcomes = nil, nil, nil
-		to = x.start(l.site, l.records, false, now, l.led)
+		to = x.start(l.site, l.records, false, now, l.newestEpoch)
 	} else {
 		to = x.lane(&lane{site: l.site, disk: l.disk, begun: l.begun, events: append(slices.Clip(l.events), timedEvent{now, e}), now: now,
-			records: append(slices.Clip(l.records), out.records...), led: l.led}, s)
+			records: append(slices.Clip(l.records), out.records...), newestEpoch: l.newestEpoch}, s)
 	}
 	// The lane may be reached by several ways: the output belongs to this one.
 	reached := *to
@@ -365,7 +365,7 @@
 	}
 }
 
-// move puts a site into its next state, sends its output and holds it against what was promised.
+// move puts a site into its next state, sends its output and checks the invariants.
 func (x *explorer) move(w *systemState, l *lane) error {
 	before := w.lanes[l.site]
 	w.lanes[l.site] = l
@@ -390,15 +390,15 @@
 		n := int(o.token)
 		switch {
 		case o.err == nil && n >= maxOperations: // a confirm
-			for k, sequence := range w.acked {
+			for k, sequence := range w.acknowledged {
 				if w.began[n-maxOperations]&(1<<k) != 0 && l.shown[writes[k]] != sequence {
 					return fmt.Errorf("%s confirmed without w%d", l.folder, k)
 				}
 			}
 		case o.err == nil:
-			w.acked[n], w.under[n] = o.sequence, l.led
+			w.acknowledged[n], w.acknowledgedUnder[n] = o.sequence, l.newestEpoch
 			for _, other := range w.lanes {
-				if other != nil && other.site != l.site && other.leadership > l.led && other.shown[writes[n]] != o.sequence {
+				if other != nil && other.site != l.site && other.leadership > l.newestEpoch && other.shown[writes[n]] != o.sequence {
 					return fmt.Errorf("%s acknowledged w%d, which %s of a later epoch lacks", l.folder, n, other.folder)
 				}
 			}
@@ -407,8 +407,8 @@
 		}
 	}
 	if l.leadership != 0 && l.leadership != before.leadership {
-		for k, sequence := range w.acked {
-			if sequence > 0 && l.shown[writes[k]] != sequence && !(l.leadership < w.under[k] && w.overtaken(l)) {
+		for k, sequence := range w.acknowledged {
+			if sequence > 0 && l.shown[writes[k]] != sequence && !(l.leadership < w.acknowledgedUnder[k] && w.overtaken(l)) {
 				return fmt.Errorf("%s begins epoch %d without w%d", l.folder, l.leadership, k)
 			}
 			if w.refused[k] && l.shown[writes[k]] > 0 {
@@ -424,9 +424,9 @@
 	return nil
 }
 
-// overtaken tells whether a leadership can never acknowledge or confirm anything: a backup without which it can't has
-// promised a higher epoch, or is no more. A record may be chosen, and another one after it, before the first one's proposer
-// has the answer that tells it so: its leadership begins in an epoch that is over, and only its lease is left of it.
+// overtaken reports whether a leadership can never acknowledge or confirm anything: a backup without which it can't has
+// prepared a higher epoch, or is no more. A view may be chosen, and another one after it, before the first one's proposer
+// has the reply that tells it so: its leadership begins in an epoch that is over, and only its lease is left of it.
 func (w *systemState) overtaken(l *lane) bool {
 	return slices.ContainsFunc(l.backups, func(folder string) bool {
 		return !slices.ContainsFunc(w.lanes[:], func(o *lane) bool { return o != nil && o.folder == folder && o.preparedEpoch <= l.leadership })
--- a/internal/tier/consensus/group_failure_test.go
+++ b/internal/tier/consensus/group_failure_test.go
@@ -12,8 +12,8 @@
 
 // timeToService puts until one is acknowledged, and gives how long that took; a fault where it takes longer than limit.
 func (w *world) timeToService(limit time.Duration) time.Duration {
-	began, count := w.now, len(w.acked)
-	for len(w.acked) == count && len(w.faults) == 0 {
+	began, count := w.now, len(w.acknowledged)
+	for len(w.acknowledged) == count && len(w.faults) == 0 {
 		if w.now-began > limit {
 			w.fault("nothing was acknowledged for %v", limit)
 			break
@@ -24,12 +24,12 @@
 	return w.now - began
 }
 
-// timeToRedundancy waits until all losses are borne again, and gives how long that took; a fault where it takes longer than limit.
+// timeToRedundancy waits until all losses are tolerated again, and returns how long that took; a fault if it takes longer than limit.
 func (w *world) timeToRedundancy(limit time.Duration) time.Duration {
 	began := w.now
 	for !w.isFullyRedundant() && len(w.faults) == 0 {
 		if w.now-began > limit {
-			w.fault("the losses are not borne again after %v", limit)
+			w.fault("the losses are not tolerated again after %v", limit)
 			break
 		}
 		w.put(true)
@@ -46,7 +46,7 @@
 // present are the machines that are there for good.
 func (w *world) present() (list []*site) {
 	for _, s := range w.sites {
-		if !s.gone {
+		if !s.removed {
 			list = append(list, s)
 		}
 	}
@@ -69,18 +69,18 @@
 // replaceElsewhere takes a machine away for good; an empty one comes at another address.
 func (w *world) replaceElsewhere(s *site, address string) {
 	s.wipe()
-	s.gone = true
+	s.removed = true
 	w.join(address)
 }
 
 // oldestDisk is the machine whose disk has lasted longest: its folder was made first.
 func (w *world) oldestDisk(but map[*site]bool) (oldest *site) {
 	number := func(s *site) (n int) {
-		fmt.Sscanf(s.m.Folder, "f%d@", &n)
+		fmt.Sscanf(s.replica.Folder, "f%d@", &n)
 		return n
 	}
 	for _, s := range w.sites {
-		if s.m != nil && !but[s] && (oldest == nil || number(s) < number(oldest)) {
+		if s.replica != nil && !but[s] && (oldest == nil || number(s) < number(oldest)) {
 			oldest = s
 		}
 	}
@@ -90,7 +90,7 @@
 // Disks are lost one after the other, each as soon as the loss before is made good, the longest lasting or the leader's
 // first: soon none of the first machines' disks is left. At times all other machines lose power at the same moment.
 func TestGroupFailure_SuccessiveDiskLosses(t *testing.T) {
-	seeds := seedsOr(6)
+	seeds := seedCount(6)
 	if testing.Short() || raced {
 		seeds = 2
 	}
@@ -108,7 +108,7 @@
 				lost := make(map[*site]bool)
 				for len(lost) < losses {
 					s := w.oldestDisk(lost)
-					if l := w.leader(); w.random.IntN(3) == 0 && l != nil && l.m != nil && !lost[l] {
+					if l := w.newestPrimary(); w.random.IntN(3) == 0 && l != nil && l.replica != nil && !lost[l] {
 						s = l
 					}
 					lost[s] = true
@@ -121,7 +121,7 @@
 				}
 				if w.random.IntN(2) == 0 {
 					for _, s := range w.sites {
-						if s.m != nil && !lost[s] {
+						if s.replica != nil && !lost[s] {
 							s.stop(true)
 							w.startWithin(s, time.Second)
 						}
@@ -130,7 +130,7 @@
 				served = max(served, w.timeToService(2*w.window))
 			}
 			settled = max(settled, w.timeToRedundancy(2*w.window))
-			assert.Assert(t, len(w.faults) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.faults, w.tail())
+			assert.Assert(t, len(w.faults) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.faults, w.lastTrace())
 		}
 		t.Logf("%d losses at once: %v until something is acknowledged, %v until the next is borne", losses, served, settled)
 	}
@@ -139,7 +139,7 @@
 // All processes are killed or lose power at one moment, and are back within a second; the same again while they recover, and in
 // the middle of the replacement of a lost disk.
 func TestGroupFailure_AllMembersAtOnce(t *testing.T) {
-	seeds := seedsOr(10)
+	seeds := seedCount(10)
 	if testing.Short() || raced {
 		seeds = 2
 	}
@@ -175,17 +175,17 @@
 					w.run(w.now + 800*time.Millisecond)
 					served = max(served, w.timeToService(w.window))
 				}
-				assert.Assert(t, len(w.faults) == 0, "power %v, size %v, seed %d: %v\n%s", power, size, seed, w.faults, w.tail())
+				assert.Assert(t, len(w.faults) == 0, "power %v, size %v, seed %d: %v\n%s", power, size, seed, w.faults, w.lastTrace())
 			}
 			t.Logf("power %v, %d machines: %v until something is acknowledged after the last is back", power, size[0], served)
 		}
 	}
 }
 
-// The core is cut into two halves, for longer than a takeover takes, again and again; also one way only. No half leads
+// A partition separates the group into halves, for longer than a takeover takes, again and again; also in one direction only. No half leads
 // without a majority, and the other follows.
 func TestGroupFailure_PartitionedHalves(t *testing.T) {
-	seeds := seedsOr(10)
+	seeds := seedCount(10)
 	if testing.Short() || raced {
 		seeds = 2
 	}
@@ -195,7 +195,7 @@
 			w.boot()
 			w.run(5 * time.Second)
 			w.load(60 * time.Second)
-			w.readings(60 * time.Second)
+			w.leaseReadsUntil(60 * time.Second)
 			for range 6 {
 				there, back := true, w.random.IntN(3) > 0
 				for i, at := range w.random.Perm(len(w.sites)) {
@@ -211,15 +211,15 @@
 				w.run(w.now + time.Duration(w.random.Int64N(int64(2*time.Second))))
 			}
 			w.timeToService(w.window)
-			assert.Assert(t, len(w.faults) == 0, "size %v, seed %d: %v\n%s", size, seed, w.faults, w.tail())
+			assert.Assert(t, len(w.faults) == 0, "size %v, seed %d: %v\n%s", size, seed, w.faults, w.lastTrace())
 		}
 	}
 }
 
-// A minority misses changes behind a cut. Then one of the others loses its disk, the rest are without power, and the cut
+// A partitioned minority misses changes. Then one of the others loses its disk, the rest are without power, and the partition
 // heals: the minority and the empty disk do not lead with what they have, and when the power is back nothing is missing.
 func TestGroupFailure_PartitionedMinority(t *testing.T) {
-	seeds := seedsOr(10)
+	seeds := seedCount(10)
 	if testing.Short() || raced {
 		seeds = 3
 	}
@@ -255,31 +255,31 @@
 					w.startWithin(s, 500*time.Millisecond)
 				default:
 					s.stop(true)
-					s.dark = true
+					s.unpowered = true
 					dark = append(dark, s)
 				}
 			}
 			clear(w.partitions)
-			count := len(w.acked)
+			count := len(w.acknowledged)
 			w.load(w.now + 3*time.Second)
 			w.run(w.now + 4*time.Second)
-			where := fmt.Sprintf("losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.tail())
-			assert.Assert(t, len(w.faults) == 0 && len(w.acked) == count, where)
+			where := fmt.Sprintf("losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.lastTrace())
+			assert.Assert(t, len(w.faults) == 0 && len(w.acknowledged) == count, where)
 			for _, s := range dark {
 				s.start(false)
 			}
 			w.timeToService(w.window)
 			w.timeToRedundancy(2 * w.window)
-			assert.Assert(t, len(w.faults) == 0, "losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.tail())
+			assert.Assert(t, len(w.faults) == 0, "losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.lastTrace())
 		}
 	}
 }
 
-// What a leader tells that it bears, it bears: at any moment, also in the middle of a change of members, so many machines are
+// The losses that a primary reports as tolerated are tolerated: at any moment, also in the middle of a change of members, so many machines are
 // lost for good at once, whichever they are, and nobody comes in their place before something is acknowledged again. Only
 // what was lost less than recently before may still be counted as there.
 func TestHealth_ToleratedLossesAreSurvived(t *testing.T) {
-	seeds := seedsOr(20)
+	seeds := seedCount(20)
 	if testing.Short() || raced {
 		seeds = 4
 	}
@@ -290,15 +290,15 @@
 			w := newWorld(seed, 2*losses+1+int(seed%3), losses)
 			w.boot()
 			w.run(5 * time.Second)
-			w.readings(time.Hour)
-			recently := w.leader().m.answerMaxAge() + w.leader().m.timing.heartbeatInterval + tripSlack // the figure is of the last step
+			w.leaseReadsUntil(time.Hour)
+			recently := w.newestPrimary().replica.answerMaxAge() + w.newestPrimary().replica.timing.heartbeatInterval + roundTripSlack // the figure is of the last step
 			for n := range 15 {
 				w.run(w.now + recently + time.Duration(w.random.Int64N(int64(1500*time.Millisecond))))
-				leader := w.leader()
+				leader := w.newestPrimary()
 				if leader == nil || !leader.leads() || len(w.faults) > 0 {
 					continue
 				}
-				h := leader.m.health()
+				h := leader.replica.health()
 				if h.Changing {
 					changing++
 				}
@@ -306,7 +306,7 @@
 				for range min(h.Tolerates, 1+w.random.IntN(losses)) {
 					at := w.random.IntN(len(here))
 					here[at].wipe()
-					here[at].gone = true
+					here[at].removed = true
 					here = append(here[:at:at], here[at+1:]...)
 					hit++
 				}
@@ -315,7 +315,7 @@
 					w.join(fmt.Sprint("new", n))
 				}
 			}
-			assert.Assert(t, len(w.faults) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.faults, w.tail())
+			assert.Assert(t, len(w.faults) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.faults, w.lastTrace())
 		}
 		t.Logf("losses %d: %d machines lost, %d questions in a change of members, at most %v until something is acknowledged", losses, hit, changing, worst)
 		assert.Assert(t, hit > seeds)
--- a/internal/tier/consensus/large_state_test.go
+++ b/internal/tier/consensus/large_state_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// newLargeWorld is a settled group whose state takes so long to be copied from one machine to another.
+// newLargeWorld is a stable group whose state takes so long to be transferred from one machine to another.
 func newLargeWorld(t *testing.T, seed uint64, losses int, copyTime time.Duration) *world {
 	t.Helper()
 	const part, parts = 64 << 10, 16
@@ -18,23 +18,23 @@
 	w.boot()
 	w.run(5 * time.Second)
 	for n := range parts {
-		l := w.leader()
-		assert.Assert(t, l != nil, w.tail())
+		l := w.newestPrimary()
+		assert.Assert(t, l != nil, w.lastTrace())
 		key := fmt.Sprint("part", n)
 		w.token++
 		w.waiting[w.token] = &operation{key: key, began: w.now, site: l}
-		l.step(putRequest{w.token, l.m.primary.view.Epoch, map[string][]byte{key: bytes.Repeat([]byte("x"), part)}})
+		l.step(putRequest{w.token, l.replica.primary.view.Epoch, map[string][]byte{key: bytes.Repeat([]byte("x"), part)}})
 		w.run(w.now + 50*time.Millisecond)
 	}
-	assert.Assert(t, len(w.acked) == parts, w.tail())
+	assert.Assert(t, len(w.acknowledged) == parts, w.lastTrace())
 	w.rate = int(float64(part*parts) / copyTime.Seconds())
 	return w
 }
 
-// A copy that takes longer than a call may else take comes to its end: a backup that was lost is replaced, a member that was
+// A state transfer that takes longer than other calls may take completes: a backup that was lost is replaced, a member that was
 // restarted catches up, and after the loss of the leader another leads.
 func TestStateTransfer_LargeStateOverSlowLink(t *testing.T) {
-	seeds := seedsOr(6)
+	seeds := seedCount(6)
 	if testing.Short() || raced {
 		seeds = 2
 	}
@@ -44,10 +44,10 @@
 			for seed := range uint64(seeds) {
 				w := newLargeWorld(t, seed, losses, copyTime)
 				limit := 4*copyTime + 3*w.window
-				w.readings(w.now + 40*time.Second)
-				leader := w.leader()
+				w.leaseReadsUntil(w.now + 40*time.Second)
+				leader := w.newestPrimary()
 				for _, s := range w.sites { // a backup is restarted
-					if s != leader && isNamedIn(leader.m.primary.view, s.m.Folder) {
+					if s != leader && isNamedIn(leader.replica.primary.view, s.replica.Folder) {
 						s.stop(false)
 						w.startWithin(s, time.Second)
 						break
@@ -55,13 +55,13 @@
 				}
 				w.timeToService(limit)
 				settled = max(settled, w.timeToRedundancy(limit))
-				if leader = w.leader(); leader != nil && len(w.faults) == 0 { // the leader is lost, and comes back empty
+				if leader = w.newestPrimary(); leader != nil && len(w.faults) == 0 { // the leader is lost, and comes back empty
 					leader.wipe()
 					w.startWithin(leader, time.Second)
 					served = max(served, w.timeToService(limit))
 					settled = max(settled, w.timeToRedundancy(limit))
 				}
-				assert.Assert(t, len(w.faults) == 0, "losses %d, copies of %v, seed %d: %v\n%s", losses, copyTime, seed, w.faults, w.tail())
+				assert.Assert(t, len(w.faults) == 0, "losses %d, transfers of %v, seed %d: %v\n%s", losses, copyTime, seed, w.faults, w.lastTrace())
 			}
 			t.Logf("%d losses, copies of %v: %v until something is acknowledged, %v until the next loss is borne", losses, copyTime, served, settled)
 		}
--- a/internal/tier/consensus/lease.go
+++ b/internal/tier/consensus/lease.go
@@ -24,6 +24,22 @@
 	return r.now-r.leaseStart() < d
 }
 
+// heartbeatsToAbsent is for how many times timing.replaceAfter an unresponsive process that is no member still gets heartbeats. After
+// that it has to join.
+const heartbeatsToAbsent = 5
+
+// sendHeartbeats sends heartbeats to all members, and to other processes that replied not too long ago.
+func (r *replica) sendHeartbeats() {
+	primary := r.primary
+	primary.heartbeatAt = r.now + r.timing.heartbeatInterval
+	for _, address := range r.peerAddresses() {
+		isMember := slices.ContainsFunc(primary.view.Members, func(member *tierv1.Member) bool { return member.Address == address })
+		if isMember || r.unresponsiveFor(address) < heartbeatsToAbsent*r.timing.replaceAfter {
+			r.sendHeartbeat(address)
+		}
+	}
+}
+
 // sendHeartbeat sends a node the view in force, unless a heartbeat to it is in flight. The reply of a backup renews the lease.
 func (r *replica) sendHeartbeat(address string) {
 	peer := r.peer(address)
--- a/internal/tier/consensus/lease_test.go
+++ b/internal/tier/consensus/lease_test.go
@@ -12,7 +12,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A process that was paused between its round trip and its answer finds that it is late: no read under the lease, no
+// A process that was paused between its round trip and its reply finds that it is late: no read under the lease, no
 // confirmation and no figure of its health is given on what was confirmed before.
 func TestLease_PausedNodeServesNothing(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
@@ -40,7 +40,7 @@
 	assert.Equal(t, n.Health().Lease, time.Duration(0))
 }
 
-// A primary without backups leads without end: its lease is told as just confirmed.
+// A primary without backups leads without end: its lease is given as just renewed.
 func TestLease_WithoutBackups(t *testing.T) {
 	v := publishedState{primary: true, withoutBackups: true}
 	assert.Equal(t, v.lease(time.Hour, time.Second), time.Second)
@@ -52,7 +52,7 @@
 	assert.Equal(t, v.lease(time.Hour, time.Second), time.Duration(0))
 }
 
-// leading is a machine that leads b and c, with b as its backup.
+// leading is a replica that leads b and c, with b as its backup.
 func leading(t *testing.T) *replica {
 	t.Helper()
 	members := []*tierv1.Member{{Folder: "fa", Address: "a"}, {Folder: "fb", Address: "b"}, {Folder: "fc", Address: "c"}}
@@ -69,7 +69,7 @@
 	return m
 }
 
-// heartbeatTo gives the id of the heartbeat under way to an address.
+// heartbeatTo returns the ID of the heartbeat in flight to an address.
 func heartbeatTo(calls []outgoingCall, address string) (id uint64) {
 	for _, c := range calls {
 		if _, ok := c.body.(*tierv1.HeartbeatRequest); ok && c.address == address {
@@ -79,7 +79,7 @@
 	return id
 }
 
-// Two folders may propose the same epoch. A backup that promised it to the other answers a heartbeat with that epoch: this
+// Two folders may propose the same epoch. A backup that prepared it for the other replies to a heartbeat with that epoch: this
 // must not prolong the lease of the one whose proposal it refused.
 func TestLease_NotRenewedByTiedEpoch(t *testing.T) {
 	m := leading(t)
@@ -93,7 +93,7 @@
 	m.Step(now, heartbeat)
 	assert.Equal(t, m.primary.confirmedAt["fb"], before)
 
-	// Once it has promised the epoch to this proposal, a heartbeat counts again.
+	// Once it has prepared the epoch for this proposal, a heartbeat counts again.
 	m = leading(t)
 	out = m.Step(m.now)
 	m.propose(reconfiguration{})
@@ -106,7 +106,7 @@
 	assert.Assert(t, m.primary == nil || m.primary.confirmedAt["fb"] > before)
 }
 
-// What a leader tells about the losses it bears, by the formula at health.
+// The losses that a primary reports as tolerated, by the formula at health.
 func TestHealth_Tolerates(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -117,8 +117,8 @@
 	}{
 		{"all there", func(*replica) {}, 1, 1, 0},
 		{"the backup failed a call", func(m *replica) { m.primary.failedBackups["fb"] = true }, 0, 0, 0},
-		{"the backup is silent", func(m *replica) { m.primary.confirmedAt["fb"] = 0; m.peers["b"].answeredAt = 0 }, 0, 0, 1},
-		{"the member without a copy is silent", func(m *replica) { m.peers["c"].answeredAt = 0 }, 0, 1, 1},
+		{"the backup is unresponsive", func(m *replica) { m.primary.confirmedAt["fb"] = 0; m.peers["b"].answeredAt = 0 }, 0, 0, 1},
+		{"the witness is unresponsive", func(m *replica) { m.peers["c"].answeredAt = 0 }, 0, 1, 1},
 		{"another folder at a member's address", func(m *replica) { m.peers["c"].member = &tierv1.Member{Folder: "new", Address: "c"} }, 0, 1, 1},
 		{"a joiner does not count", func(m *replica) {
 			m.peers["c"].answeredAt = 0
@@ -144,7 +144,7 @@
 	assert.Equal(t, m.health().Tolerates, ToleranceUnknown)
 }
 
-// A member that answers is not taken away, for a better spread, while the others that answer are no majority.
+// A responsive member is not removed, for a better spread, while the other responsive ones are no majority.
 func TestReconfiguration_MajorityWithoutRemovedMember(t *testing.T) {
 	members := []*tierv1.Member{{Folder: "fa", Address: "a", Zone: "1"}, {Folder: "fb", Address: "b", Zone: "2"}, {Folder: "fc", Address: "c", Zone: "1"},
 		{Folder: "fd", Address: "d", Zone: "3"}, {Folder: "fe", Address: "e", Zone: "4"}}
--- a/internal/tier/consensus/moved_members_test.go
+++ b/internal/tier/consensus/moved_members_test.go
@@ -18,9 +18,9 @@
 }
 
 // A machine that comes back with its disk at another address is the same member: it counts again within the window, and the
-// next loss is borne.
+// next loss is tolerated.
 func TestReconfiguration_MemberMovesWithDisk(t *testing.T) {
-	seeds := seedsOr(10)
+	seeds := seedCount(10)
 	if testing.Short() || raced {
 		seeds = 3
 	}
@@ -35,19 +35,19 @@
 			w.run(w.now + 600*time.Millisecond)
 			settled = max(settled, w.timeToRedundancy(w.window))
 		}
-		if l := w.leader(); l != nil {
+		if l := w.newestPrimary(); l != nil {
 			l.wipe()
-			l.gone = true
+			l.removed = true
 			w.timeToService(w.window)
 		}
-		assert.Assert(t, len(w.faults) == 0, "seed %d: %v\n%s", seed, w.faults, w.tail())
+		assert.Assert(t, len(w.faults) == 0, "seed %d: %v\n%s", seed, w.faults, w.lastTrace())
 	}
 	t.Logf("%v until the next loss is borne", settled)
 }
 
 // All machines come back with their disks, each at another address, and find each other by the seeds of their settings.
 func TestReconfiguration_AllMembersMoveWithDisks(t *testing.T) {
-	seeds := seedsOr(10)
+	seeds := seedCount(10)
 	if testing.Short() || raced {
 		seeds = 3
 	}
@@ -67,7 +67,7 @@
 			w.run(w.now + 500*time.Millisecond)
 			served = max(served, w.timeToService(w.window))
 			w.timeToRedundancy(w.window)
-			assert.Assert(t, len(w.faults) == 0, "losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.tail())
+			assert.Assert(t, len(w.faults) == 0, "losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.lastTrace())
 		}
 		t.Logf("%d losses: %v until something is acknowledged", losses, served)
 	}
--- a/internal/tier/consensus/mutants_hardening_test.go
+++ b/internal/tier/consensus/mutants_hardening_test.go
@@ -10,29 +10,29 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Machines that are wrong in what the pages under docs/design/hardening state: each must be found within plantedSeeds.
+// Mutants that violate what the pages under docs/design/hardening state: each must be found within mutantSeeds.
 const mutantSeeds = 200
 
 var (
 	endlessLease = mutant{name: "a lease never ends",
 		after: func(s *subject, _ *actions) {
-			if r := s.m.primary; r != nil {
+			if r := s.replica.primary; r != nil {
 				for _, b := range r.view.Backups {
-					r.confirmedAt[b] = s.m.now + time.Hour
+					r.confirmedAt[b] = s.replica.now + time.Hour
 				}
 			}
 		}}
-	joinerWithoutState = mutant{name: "a backup is counted that took no copy",
+	joinerWithoutState = mutant{name: "a backup is counted that acknowledged no snapshot",
 		before: func(s *subject, e event) (event, *outcome) {
 			if q, ok := e.(incomingCall); ok {
-				if a, ok := q.body.(*tierv1.AcceptRequest); ok && isNamedIn(a.View, s.m.Folder) && s.m.preparedExactly(a.View.Epoch, a.From.GetFolder()) {
-					s.m.stateEpoch = a.View.Epoch
+				if a, ok := q.body.(*tierv1.AcceptRequest); ok && isNamedIn(a.View, s.replica.Folder) && s.replica.preparedExactly(a.View.Epoch, a.From.GetFolder()) {
+					s.replica.stateEpoch = a.View.Epoch
 				}
 			}
 			return e, nil
 		},
 		after: func(s *subject, out *actions) {
-			p := s.m.proposal
+			p := s.replica.proposal
 			if p == nil || p.phase != transferring {
 				return
 			}
@@ -44,45 +44,45 @@
 			}
 			out.unsyncedCalls = kept
 			for folder := range p.transfers {
-				p.confirmedAt[folder] = s.m.now
+				p.confirmedAt[folder] = s.replica.now
 			}
 		}}
-	oldSnapshotReplaces = mutant{name: "a snapshot of an old epoch replaces a newer copy",
+	oldSnapshotReplaces = mutant{name: "a snapshot of an old epoch replaces a newer state",
 		before: func(s *subject, e event) (event, *outcome) {
 			if q, ok := e.(incomingCall); ok {
-				if body, ok := q.body.(*tierv1.WriteRequest); ok && body.Snapshot && body.From != s.m.Folder && body.Epoch < s.m.stateEpoch {
-					s.m.apply(body)
-					s.m.stateEpoch = s.m.preparedEpoch
+				if body, ok := q.body.(*tierv1.WriteRequest); ok && body.Snapshot && body.From != s.replica.Folder && body.Epoch < s.replica.stateEpoch {
+					s.replica.apply(body)
+					s.replica.stateEpoch = s.replica.preparedEpoch
 				}
 			}
 			return e, nil
 		}}
-	leadsWithOldState = mutant{name: "leads from a copy that is behind",
+	leadsWithOldState = mutant{name: "leads from a state that is behind",
 		before: func(s *subject, e event) (event, *outcome) {
 			a, ok := e.(callResult)
 			if !ok {
 				return e, nil
 			}
 			r, ok := a.body.(*tierv1.PrepareReply)
-			p := s.m.proposal
-			if !ok || p == nil || p.phase > preparing || s.m.primary != nil {
+			p := s.replica.proposal
+			if !ok || p == nil || p.phase > preparing || s.replica.primary != nil {
 				return e, nil
 			}
-			base := proto.CloneOf(newestOf(newestOf(newestOf(p.predecessor, s.m.newestChosenView()), r.Accepted), r.Chosen))
-			base.Backups = append(base.Backups, s.m.Folder)
-			p.predecessor, s.m.stateEpoch = base, max(s.m.stateEpoch, base.Epoch)
+			base := proto.CloneOf(newestOf(newestOf(newestOf(p.predecessor, s.replica.newestChosenView()), r.Accepted), r.Chosen))
+			base.Backups = append(base.Backups, s.replica.Folder)
+			p.predecessor, s.replica.stateEpoch = base, max(s.replica.stateEpoch, base.Epoch)
 			return e, nil
 		}}
 )
 
-// found plays seeds until one shows the wrong machine, and gives the seed and the fault; the right machine plays the same.
+// found plays seeds until one finds the mutant, and logs the seed and the fault; the unchanged replica passes the same seeds.
 func found(t *testing.T, p mutant, play func(seed uint64, p mutant) *world) {
 	t.Helper()
 	for seed := range uint64(mutantSeeds) {
 		if w := play(seed, p); len(w.faults) > 0 {
 			t.Logf("%s: seed %d: %v", p.name, seed, w.faults[0])
 			if right := play(seed, mutant{}); len(right.faults) > 0 {
-				t.Fatalf("the right machine fails, too: %v\n%s", right.faults, right.tail())
+				t.Fatalf("the unchanged replica fails, too: %v\n%s", right.faults, right.lastTrace())
 			}
 			return
 		}
--- a/internal/tier/consensus/mutants_test.go
+++ b/internal/tier/consensus/mutants_test.go
@@ -9,7 +9,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// mutant makes a machine wrong from outside: by the events it gets, by what it puts out, or by what it holds between two steps.
+// mutant is a faulty replica, made from outside: by changes to its events, its actions or its state between two steps.
 // The zero plant leaves it right.
 type mutant struct {
 	name   string
@@ -17,18 +17,18 @@
 	after  func(s *subject, out *actions)
 }
 
-// subject is a machine with what is wrong about it.
+// subject is a replica with its mutation.
 type subject struct {
-	m      *replica
-	mutant mutant
-	asked  map[uint64]proto.Message // calls under way, by their id
-	// The promise to keep, of a machine that forgets those to others at once.
+	replica *replica
+	mutant  mutant
+	asked   map[uint64]proto.Message // calls in flight, by ID
+	// What was prepared before the step, for a mutant that forgets what it prepares for others at once.
 	preparedEpoch uint64
 	preparedFor   string
 }
 
 func (s *subject) step(now time.Duration, events ...event) *actions {
-	s.preparedEpoch, s.preparedFor = s.m.preparedEpoch, s.m.preparedFor
+	s.preparedEpoch, s.preparedFor = s.replica.preparedEpoch, s.replica.preparedFor
 	var passed []event
 	var ended []outcome
 	for _, e := range events {
@@ -42,7 +42,7 @@
 			passed = append(passed, e)
 		}
 	}
-	out := s.m.Step(now, passed...)
+	out := s.replica.Step(now, passed...)
 	if s.mutant.after != nil {
 		s.mutant.after(s, out)
 	}
@@ -61,7 +61,7 @@
 }
 
 var (
-	forgetsPreparedAtOnce = mutant{name: "forgets a promise at once",
+	forgetsPreparedAtOnce = mutant{name: "forgets its prepared epoch at once",
 		before: func(s *subject, e event) (event, *outcome) {
 			q, ok := e.(incomingCall)
 			if !ok {
@@ -75,18 +75,18 @@
 			case *tierv1.WriteRequest:
 				epoch, from = b.Epoch, b.From
 			}
-			if epoch > 0 && epoch >= s.m.preparedEpoch {
-				s.m.preparedEpoch, s.m.preparedFor = epoch, from
+			if epoch > 0 && epoch >= s.replica.preparedEpoch {
+				s.replica.preparedEpoch, s.replica.preparedFor = epoch, from
 				s.preparedEpoch, s.preparedFor = epoch, from
 			}
 			return e, nil
 		},
 		after: func(s *subject, _ *actions) {
-			if s.m.preparedFor != s.m.Folder {
-				s.m.preparedEpoch, s.m.preparedFor = s.preparedEpoch, s.preparedFor
+			if s.replica.preparedFor != s.replica.Folder {
+				s.replica.preparedEpoch, s.replica.preparedFor = s.preparedEpoch, s.preparedFor
 			}
 		}}
-	forgetsPreparedAtRestart = mutant{name: "forgets a promise at a restart",
+	forgetsPreparedAtRestart = mutant{name: "forgets its prepared epoch at a restart",
 		after: func(_ *subject, out *actions) {
 			var kept [][]byte
 			for _, r := range out.records {
@@ -98,8 +98,8 @@
 		}}
 	acknowledgesEarly = mutant{name: "acknowledges before the backup's sync",
 		after: func(s *subject, _ *actions) {
-			if s.m.primary != nil && s.m.primary.batch != nil {
-				s.m.commit()
+			if s.replica.primary != nil && s.replica.primary.batch != nil {
+				s.replica.commit()
 			}
 		}}
 	skipsBackup = mutant{name: "skips a dead backup",
@@ -121,11 +121,11 @@
 			if !ok || r.Self == nil {
 				return e, nil
 			}
-			p := s.m.proposal
+			p := s.replica.proposal
 			if p == nil || p.phase > preparing {
 				return e, nil
 			}
-			base := proto.CloneOf(newestOf(newestOf(newestOf(p.predecessor, s.m.newestChosenView()), r.Accepted), r.Chosen))
+			base := proto.CloneOf(newestOf(newestOf(newestOf(p.predecessor, s.replica.newestChosenView()), r.Accepted), r.Chosen))
 			for _, set := range quorumSets(base) {
 				for _, v := range set {
 					if v.Address == r.Self.Address && v.Folder != r.Self.Folder {
@@ -138,24 +138,24 @@
 		}}
 	dropsFormer = mutant{name: "drops former too early",
 		after: func(s *subject, _ *actions) {
-			if p := s.m.proposal; p != nil && p.phase == transferring {
+			if p := s.replica.proposal; p != nil && p.phase == transferring {
 				p.target.Former = nil
 			}
 		}}
 	confirmsWithoutRoundTrip = mutant{name: "reads without asking",
 		before: func(s *subject, e event) (event, *outcome) {
-			if c, ok := e.(confirmRequest); ok && s.m.primary != nil {
+			if c, ok := e.(confirmRequest); ok && s.replica.primary != nil {
 				return nil, &outcome{c.token, 0, nil}
 			}
 			return e, nil
 		}}
 )
 
-// The storms find the machines that are wrong in the common ways; the rarer ones are found by the exploration.
+// Random faults find the common mutants; the rarer ones are found by the exploration.
 func TestMutants_FoundByRandomFaults(t *testing.T) {
 	for _, p := range []mutant{forgetsPreparedAtOnce, acknowledgesEarly, skipsBackup, countsEmptyFolder, confirmsWithoutRoundTrip} {
 		t.Run(p.name, func(t *testing.T) {
-			for seed := range uint64(max(3000, seedsOr(0))) {
+			for seed := range uint64(max(3000, seedCount(0))) {
 				if w := play(seed, 3+int(seed%2), 1, p); len(w.faults) > 0 {
 					t.Logf("seed %d: %v", seed, w.faults[0])
 					return
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"maps"
 	"sync"
 	"time"
@@ -70,9 +71,19 @@
 
 // open is Open with a clock of the caller.
 func open(config Config, clock func() time.Duration) (*Node, error) {
-	node := &Node{config: config, timing: newTiming(config.ContactWindow, config.Heartbeat), clock: clock,
-		replies: make(map[uint64]chan proto.Message), outcomes: make(map[uint64]chan outcome), changed: make(chan struct{}),
-		wake: make(chan struct{}, 1), clients: make(map[string]tierv1.Election)}
+	if config.Log == nil {
+		config.Log = &log.Logger{Writer: log.IOWriter{Writer: io.Discard}}
+	}
+	node := &Node{
+		config:   config,
+		timing:   newTiming(config.ContactWindow, config.Heartbeat),
+		clock:    clock,
+		clients:  make(map[string]tierv1.Election),
+		replies:  make(map[uint64]chan proto.Message),
+		outcomes: make(map[uint64]chan outcome),
+		changed:  make(chan struct{}),
+		wake:     make(chan struct{}, 1),
+	}
 	node.published = publishedState{self: proto.CloneOf(config.Self), members: []*tierv1.Member{config.Self}}
 	if err := node.openReplica(); err != nil {
 		if !isDiskError(err) {
@@ -170,9 +181,6 @@
 
 // logTransitions logs changes of this node's part in the group.
 func (node *Node) logTransitions(transitions []transition) {
-	if node.config.Log == nil {
-		return
-	}
 	for _, changed := range transitions {
 		line := node.config.Log.Info().Str("event", "control")
 		if changed.reason != "" {
--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -251,7 +251,7 @@
 	assert.Equal(t, c.get("k"), "")
 }
 
-// The file is written anew when it is long, and holds the same.
+// The file is rewritten when it is long, and has the same content.
 func TestNode_RewritesFile(t *testing.T) {
 	c := newCluster(t)
 	for _, a := range []string{"a", "b", "c"} {
@@ -286,7 +286,7 @@
 	assert.Equal(t, a.Self.Folder, c.nodes["a"].Self().Folder)
 }
 
-// A disk that dies at any operation of the opening leaves a node without a folder, which answers nobody; the next process
+// A disk that dies at any operation of the opening leaves a node without a folder, which replies to nobody; the next process
 // finds none, or the one that was synced.
 func TestOpen_PowerLossAtEachOperation(t *testing.T) {
 	for at := 1; ; at++ {
--- a/internal/tier/consensus/partition_test.go
+++ b/internal/tier/consensus/partition_test.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	isolationTime = 20 * time.Second // how long a machine is cut off, paused or hangs
-	// tripSlack is what a message and a sync may take here, there and back.
-	tripSlack = 50 * time.Millisecond
+	isolationTime = 20 * time.Second // how long a machine is partitioned, paused or hangs
+	// roundTripSlack is what a message and a sync may take here, there and back.
+	roundTripSlack = 50 * time.Millisecond
 )
 
-// leads tells whether a site would answer as primary at this instant.
+// leads reports whether a site would serve as primary at this instant.
 func (s *site) leads() bool {
-	return s.m != nil && !s.paused && s.m.primary != nil && s.world.now-s.m.lastConfirmed() < s.m.timing.lease
+	return s.replica != nil && !s.paused && s.replica.primary != nil && s.world.now-s.replica.lastConfirmed() < s.replica.timing.lease
 }
 
-// lastConfirmed is what a Node's view holds: a machine without backups is always confirmed.
+// lastConfirmed is what a Node publishes as the start of its lease: a replica without backups is always confirmed.
 func (r *replica) lastConfirmed() time.Duration {
 	at := time.Duration(never)
 	for _, b := range r.primary.view.Backups {
@@ -30,50 +30,50 @@
 	return at
 }
 
-// leaseReads reads at every site that would answer, and holds it against the formula of staleness: what was acknowledged
+// leaseReads reads at every site that would serve, and checks the formula of staleness: what was acknowledged
 // a third of the window ago, by whomever, is seen.
 func (w *world) leaseReads() {
 	for _, s := range w.sites {
 		if !s.leads() {
 			continue
 		}
-		for key, sequence := range w.acked {
-			if w.now-w.ackedAt[key] < w.window/3 {
+		for key, sequence := range w.acknowledged {
+			if w.now-w.acknowledgedAt[key] < w.window/3 {
 				continue
 			}
 			if e := s.visible()[key]; e == nil || e.Sequence != sequence {
-				w.fault("%s answers under its lease without %s, acknowledged %v ago", s.m.Folder, key, w.now-w.ackedAt[key])
+				w.fault("%s answers under its lease without %s, acknowledged %v ago", s.replica.Folder, key, w.now-w.acknowledgedAt[key])
 				return
 			}
 		}
 	}
 }
 
-// readings asks under the lease every few milliseconds until a time.
-func (w *world) readings(until time.Duration) {
+// leaseReadsUntil asks under the lease every few milliseconds until a time.
+func (w *world) leaseReadsUntil(until time.Duration) {
 	if w.now < until {
 		w.leaseReads()
-		w.after(7*time.Millisecond, func() { w.readings(until) })
+		w.after(7*time.Millisecond, func() { w.leaseReadsUntil(until) })
 	}
 }
 
-// leader is the site of the newest leadership.
-func (w *world) leader() *site {
+// newestPrimary is the site of the newest leadership.
+func (w *world) newestPrimary() *site {
 	var found *site
 	for _, s := range w.sites {
-		if s.m != nil && s.m.primary != nil && (found == nil || s.m.primary.view.Epoch > found.m.primary.view.Epoch) {
+		if s.replica != nil && s.replica.primary != nil && (found == nil || s.replica.primary.view.Epoch > found.replica.primary.view.Epoch) {
 			found = s
 		}
 	}
 	return found
 }
 
-// isolation is one way to lose touch with the leader. Begin cuts; end heals.
+// isolation is one way in which a primary is isolated. Begin isolates it; end heals.
 type isolation struct {
 	name       string
 	size       [2]int // machines, losses
 	begin, end func(w *world, old *site)
-	// lease is when the old side answers nothing any more, after the beginning; takeover when others acknowledge.
+	// lease is when the old side serves nothing any more, after the beginning; takeover when others acknowledge.
 	lease, takeover time.Duration
 	// deposed tells that a lease without an end would not show: the new leader's first heartbeat ends it.
 	deposed bool
@@ -95,10 +95,10 @@
 
 func healAll(w *world, _ *site) { clear(w.partitions) }
 
-// companion is a backup, or where there are too few a member, that is cut off together with the leader.
+// companion is a backup, or where there are too few a member, that is isolated together with the primary.
 func companion(w *world, old *site) *tierv1.Member {
 	for _, s := range w.sites {
-		if s != old && s.m != nil && isNamedIn(old.m.primary.view, s.m.Folder) {
+		if s != old && s.replica != nil && isNamedIn(old.replica.primary.view, s.replica.Folder) {
 			return s.member
 		}
 	}
@@ -127,28 +127,28 @@
 	begin := 6*time.Second + time.Duration(seed%97)*11*time.Millisecond
 	w.after(4*time.Second, func() {
 		w.load(begin + isolationTime + 4*time.Second)
-		w.readings(begin + isolationTime + 4*time.Second)
+		w.leaseReadsUntil(begin + isolationTime + 4*time.Second)
 	})
 	w.run(begin)
-	old := w.leader()
+	old := w.newestPrimary()
 	if old == nil || len(w.faults) > 0 {
 		return w, 0, 0
 	}
-	count := len(w.acked)
+	count := len(w.acknowledged)
 	c.begin(w, old)
 	w.load(begin + isolationTime) // more writes, at everyone who takes himself for the leader
 	for w.now < begin+isolationTime && len(w.faults) == 0 {
 		w.run(w.now + 5*time.Millisecond)
-		if takeover == 0 && w.leader() != old && len(w.acked) > count {
+		if takeover == 0 && w.newestPrimary() != old && len(w.acknowledged) > count {
 			takeover = w.now - begin
 		}
-		if w.now > begin+c.lease+tripSlack && old.leads() {
-			w.fault("%s still answers %v after the beginning", old.m.Folder, w.now-begin)
+		if w.now > begin+c.lease+roundTripSlack && old.leads() {
+			w.fault("%s still answers %v after the beginning", old.replica.Folder, w.now-begin)
 		}
 	}
 	c.end(w, old)
 	for healed := w.now; w.now < healed+4*time.Second && len(w.faults) == 0; {
-		if old.m.primary == nil && old.m.primaryAlive() && old.m.chosen.GetEpoch() == w.top.Epoch {
+		if old.replica.primary == nil && old.replica.primaryAlive() && old.replica.chosen.GetEpoch() == w.newestView.Epoch {
 			back = w.now - healed + time.Millisecond
 			break
 		}
@@ -158,10 +158,10 @@
 	return w, takeover, back
 }
 
-// A leader that is out of touch for twenty seconds, in each way, answers nothing after its lease; others take over; nothing
+// A primary that is isolated for twenty seconds, in each way, serves nothing after its lease; others take over; nothing
 // acknowledged is lost; after the heal it follows.
 func TestPartition_IsolatedPrimary(t *testing.T) {
-	seeds := seedsOr(10)
+	seeds := seedCount(10)
 	if testing.Short() || raced {
 		seeds = 2
 	}
@@ -170,7 +170,7 @@
 			var worstTakeover, worstReturn time.Duration
 			for seed := range uint64(seeds) {
 				w, takeover, back := isolate(t, c, seed, mutant{})
-				where := fmt.Sprintf("seed %d: %v\n%s", seed, w.faults, w.tail())
+				where := fmt.Sprintf("seed %d: %v\n%s", seed, w.faults, w.lastTrace())
 				assert.Assert(t, len(w.faults) == 0, where)
 				assert.Assert(t, takeover > 0 && takeover < c.takeover, "takeover %v, %s", takeover, where)
 				assert.Assert(t, back > 0 && back < window, "return %v, %s", back, where)
--- a/internal/tier/consensus/primary.go
+++ b/internal/tier/consensus/primary.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"slices"
 	"time"
 
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
@@ -77,17 +76,11 @@
 		return
 	}
 	if r.now >= primary.heartbeatAt {
-		primary.heartbeatAt = r.now + r.timing.heartbeatInterval
-		for _, address := range r.peerAddresses() {
-			member := slices.ContainsFunc(primary.view.Members, func(v *tierv1.Member) bool { return v.Address == address })
-			if member || r.unresponsiveFor(address) < 5*r.timing.replaceAfter { // others ask to join when they are back
-				r.sendHeartbeat(address)
-			}
-		}
+		r.sendHeartbeats()
 	}
 	if r.proposal == nil && r.now >= primary.proposeAt {
-		if want, ok := r.nextReconfiguration(); ok {
-			r.propose(want)
+		if change, ok := r.nextReconfiguration(); ok {
+			r.propose(change)
 		}
 	}
 }
--- a/internal/tier/consensus/proposal_accept.go
+++ b/internal/tier/consensus/proposal_accept.go
@@ -1,11 +1,28 @@
 package consensus
 
 import (
+	"maps"
+	"slices"
+
 	"google.golang.org/protobuf/proto"
 
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
+// beginAcceptPhase accepts the target here, and asks all that prepared to accept it.
+func (r *replica) beginAcceptPhase() {
+	proposal := r.proposal
+	proposal.phase = accepting
+	clear(proposal.unanswered)
+	r.acceptView(proposal.target)
+	proposal.acceptedBy[r.Folder] = true
+	for _, folder := range slices.Sorted(maps.Keys(proposal.prepared)) { // sorted, as the actions of a step must be deterministic
+		if folder != r.Folder {
+			r.sendAccept(proposal.prepared[folder].Self)
+		}
+	}
+}
+
 // sendAccept asks a member that prepared to accept the target.
 func (r *replica) sendAccept(to *tierv1.Member) {
 	proposal := r.proposal
--- a/internal/tier/consensus/replica_test.go
+++ b/internal/tier/consensus/replica_test.go
@@ -20,12 +20,12 @@
 	}
 }
 
-func (w *world) tail() string {
+func (w *world) lastTrace() string {
 	return strings.Join(w.trace[max(0, len(w.trace)-60):], "\n")
 }
 
-// storm plays random trouble.
-func (w *world) storm(until time.Duration, wipes bool) {
+// randomFaults plays random faults.
+func (w *world) randomFaults(until time.Duration, wipes bool) {
 	if w.now >= until {
 		return
 	}
@@ -64,11 +64,11 @@
 			}
 		}
 	}
-	w.after(time.Duration(w.random.Int64N(int64(600*time.Millisecond))), func() { w.storm(until, wipes) })
+	w.after(time.Duration(w.random.Int64N(int64(600*time.Millisecond))), func() { w.randomFaults(until, wipes) })
 }
 
-// seedsOr is how many seeds a test plays: few, unless CONTROL_SEEDS asks for more.
-func seedsOr(few int) int {
+// seedCount is how many seeds a test plays: few, unless CONTROL_SEEDS asks for more.
+func seedCount(few int) int {
 	if n, err := strconv.Atoi(os.Getenv("CONTROL_SEEDS")); err == nil {
 		return n
 	}
@@ -82,13 +82,13 @@
 	w.faultRate = []float64{0, 0.02, 0.2}[seed%3]
 	end := 25 * time.Second
 	w.load(end)
-	w.after(3*time.Second, func() { w.storm(end, true) })
+	w.after(3*time.Second, func() { w.randomFaults(end, true) })
 	w.run(end)
 	return w
 }
 
 func TestReplica_RandomFaults(t *testing.T) {
-	seeds := seedsOr(5)
+	seeds := seedCount(5)
 	var worst time.Duration
 	acked := 0
 	for _, size := range [][2]int{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {6, 2}} {
@@ -96,12 +96,12 @@
 			w := play(seed, size[0], size[1], mutant{})
 			took, ok := w.recover(8 * time.Second)
 			worst = max(worst, took)
-			acked += len(w.acked)
-			assert.Assert(t, len(w.faults) == 0, "size %v seed %d: %v\n%s", size, seed, w.faults, w.tail())
-			assert.Assert(t, ok, "size %v seed %d: serves no more\n%s", size, seed, w.tail())
+			acked += len(w.acknowledged)
+			assert.Assert(t, len(w.faults) == 0, "size %v seed %d: %v\n%s", size, seed, w.faults, w.lastTrace())
+			assert.Assert(t, ok, "size %v seed %d: serves no more\n%s", size, seed, w.lastTrace())
 			w.run(w.now + 4*time.Second)
 			assert.Assert(t, len(w.faults) == 0, "size %v seed %d: %v", size, seed, w.faults)
-			assert.Assert(t, w.isComplete(), "size %v seed %d: not whole again: %v\n%s", size, seed, w.top, w.tail())
+			assert.Assert(t, w.isComplete(), "size %v seed %d: not complete again: %v\n%s", size, seed, w.newestView, w.lastTrace())
 		}
 	}
 	t.Logf("acknowledged %d, worst return %v", acked, worst)
@@ -110,7 +110,7 @@
 // One message of a good exchange is changed, each in turn; then all lose power.
 func TestReplica_OneMessageFault(t *testing.T) {
 	step := 17 // every message where CONTROL_SEEDS is set
-	if seedsOr(0) > 0 {
+	if seedCount(0) > 0 {
 		step = 1
 	}
 	for kind := lost; kind < mutations; kind++ {
@@ -131,9 +131,9 @@
 				s.stop(true)
 			}
 			_, ok := w.recover(6 * time.Second)
-			assert.Assert(t, len(w.faults) == 0, "%s: %v\n%s", where, w.faults, w.tail())
-			assert.Assert(t, ok, "%s: serves no more\n%s", where, w.tail())
-			assert.Assert(t, len(w.acked) > 1, where)
+			assert.Assert(t, len(w.faults) == 0, "%s: %v\n%s", where, w.faults, w.lastTrace())
+			assert.Assert(t, ok, "%s: serves no more\n%s", where, w.lastTrace())
+			assert.Assert(t, len(w.acknowledged) > 1, where)
 		}
 	}
 }
@@ -163,23 +163,23 @@
 				w.run(5*time.Second + time.Duration(seed)*7*time.Millisecond)
 				var old *site
 				for _, s := range w.sites {
-					if s.m.primary != nil {
+					if s.replica.primary != nil {
 						old = s
 					}
 				}
-				assert.Assert(t, old != nil, w.tail())
+				assert.Assert(t, old != nil, w.lastTrace())
 				old.stop(c.dark)
-				old.dark, old.gone = c.dark, c.downtime == 0
+				old.unpowered, old.removed = c.dark, c.downtime == 0
 				if c.downtime > 0 {
 					w.after(c.downtime, func() { old.start(false) })
 				}
-				began, n := w.now, len(w.acked)
-				for len(w.acked) == n && w.now < began+5*time.Second && len(w.faults) == 0 {
+				began, n := w.now, len(w.acknowledged)
+				for len(w.acknowledged) == n && w.now < began+5*time.Second && len(w.faults) == 0 {
 					w.run(w.now + 5*time.Millisecond)
 					w.put(true)
 				}
 				spans = append(spans, w.now-began)
-				assert.Assert(t, len(w.faults) == 0, "%s seed %d: %v\n%s", c.name, seed, w.faults, w.tail())
+				assert.Assert(t, len(w.faults) == 0, "%s seed %d: %v\n%s", c.name, seed, w.faults, w.lastTrace())
 			}
 			slices.Sort(spans)
 			t.Logf("%s, %d machines: p50 %v, max %v", c.name, size[0], spans[seeds/2], spans[seeds-1])
@@ -192,18 +192,18 @@
 func TestReplica_RecoversAfterLastFault(t *testing.T) {
 	for _, losses := range []int{1, 2} {
 		n := 2*losses + 1
-		for seed := range uint64(seedsOr(20)) {
+		for seed := range uint64(seedCount(20)) {
 			w := newWorld(seed, n, losses)
 			w.boot()
 			w.run(4*time.Second + time.Duration(seed)*7*time.Millisecond)
-			count := len(w.acked)
-			for i := 0; i < 400 && len(w.acked) == count; i++ {
+			count := len(w.acknowledged)
+			for i := 0; i < 400 && len(w.acknowledged) == count; i++ {
 				if i%40 == 0 {
 					w.put(true)
 				}
 				w.run(w.now + time.Millisecond)
 			}
-			assert.Assert(t, len(w.acked) > count && len(w.top.Members) == n, "losses %d seed %d: %v", losses, seed, w.top)
+			assert.Assert(t, len(w.acknowledged) > count && len(w.newestView.Members) == n, "losses %d seed %d: %v", losses, seed, w.newestView)
 			for i, at := range w.random.Perm(n) {
 				if i < losses {
 					w.sites[at].wipe()
@@ -212,33 +212,33 @@
 				}
 			}
 			_, ok := w.recover(6 * time.Second)
-			assert.Assert(t, len(w.faults) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.faults, w.tail())
-			assert.Assert(t, ok, "losses %d seed %d: serves no more\n%s", losses, seed, w.tail())
+			assert.Assert(t, len(w.faults) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.faults, w.lastTrace())
+			assert.Assert(t, ok, "losses %d seed %d: serves no more\n%s", losses, seed, w.lastTrace())
 			w.run(w.now + 4*time.Second)
-			assert.Assert(t, w.isComplete(), "losses %d seed %d: %v\n%s", losses, seed, w.top, w.tail())
+			assert.Assert(t, w.isComplete(), "losses %d seed %d: %v\n%s", losses, seed, w.newestView, w.lastTrace())
 		}
 	}
 }
 
-// A machine at another address takes the place of one that is gone for good.
+// A machine at another address replaces one that is gone for good.
 func TestReconfiguration_ReplacesMember(t *testing.T) {
-	for seed := range uint64(seedsOr(20)) {
+	for seed := range uint64(seedCount(20)) {
 		w := newWorld(seed, 3, 1)
 		w.boot()
 		w.run(3 * time.Second)
 		gone := w.sites[seed%3]
 		gone.wipe()
-		gone.gone = true
+		gone.removed = true
 		w.sites = append(w.sites, &site{world: w, member: &tierv1.Member{Address: "new", Zone: gone.member.Zone, Region: "r"}})
 		w.sites[3].start(false)
 		began := w.now
 		in := func() bool {
-			return w.top != nil && len(w.top.Former) == 0 && containsMember(w.top.Members, w.sites[3].m.self)
+			return w.newestView != nil && len(w.newestView.Former) == 0 && containsMember(w.newestView.Members, w.sites[3].replica.self)
 		}
 		for !in() && w.now < began+4*time.Second {
 			w.run(w.now + 50*time.Millisecond)
 		}
-		assert.Assert(t, in(), "seed %d\n%s", seed, w.tail())
+		assert.Assert(t, in(), "seed %d\n%s", seed, w.lastTrace())
 	}
 }
 
@@ -246,7 +246,7 @@
 func TestReconfiguration_SpreadsReplicas(t *testing.T) {
 	for _, zones := range []string{"00112", "00011", "01122", "00012", "00000", "01212"} {
 		for _, losses := range []int{1, 2} {
-			for seed := range uint64(seedsOr(5)) {
+			for seed := range uint64(seedCount(5)) {
 				w := newWorld(seed, 5, losses)
 				var all []*tierv1.Member
 				for i, s := range w.sites {
@@ -255,8 +255,8 @@
 				}
 				w.boot()
 				w.run(10 * time.Second)
-				r := w.top
-				where := fmt.Sprintf("zones %s losses %d seed %d: %v\n%s", zones, losses, seed, r, w.tail())
+				r := w.newestView
+				where := fmt.Sprintf("zones %s losses %d seed %d: %v\n%s", zones, losses, seed, r, w.lastTrace())
 				assert.Assert(t, len(w.faults) == 0 && r != nil, where)
 				assert.Assert(t, len(r.Members) == 2*losses+1 && len(r.Backups) == losses && len(r.Former) == 0, where)
 				assert.Equal(t, crowding(r.Members), crowding(spreadOut(nil, all, 2*losses+1, func(string) bool { return false })), where)
@@ -272,7 +272,7 @@
 				best := append(others, spreadOut(others, r.Members, losses, func(string) bool { return false })...)
 				assert.Equal(t, crowding(copies), crowding(best), where)
 				w.run(w.now + 5*time.Second)
-				assert.Equal(t, w.top.Epoch, r.Epoch, "zones %s losses %d seed %d: does not settle\n%s", zones, losses, seed, w.tail())
+				assert.Equal(t, w.newestView.Epoch, r.Epoch, "zones %s losses %d seed %d: does not become stable\n%s", zones, losses, seed, w.lastTrace())
 			}
 		}
 	}
--- a/internal/tier/consensus/retry_test.go
+++ b/internal/tier/consensus/retry_test.go
@@ -11,8 +11,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A member without a copy is gone for good, and one answer is lost of those that the record with the joiner in its place needs: the
-// copy or the call to accept is made once more, and the proposal doesn't fail.
+// A witness is gone for good, and one reply is lost of those that the view with the joiner in its place needs: the
+// snapshot or the accept is sent once more, and the proposal doesn't fail.
 func TestProposal_LostReplyIsRetried(t *testing.T) {
 	for name, needed := range map[string]func(body proto.Message) bool{
 		"accept": func(body proto.Message) bool {
@@ -29,16 +29,16 @@
 				w := newWorld(seed, 4, 1)
 				w.boot()
 				w.run(3 * time.Second)
-				leader := w.leader()
+				leader := w.newestPrimary()
 				gone := -1
 				for i, s := range w.sites {
-					if s.m != nil && s != leader && containsMember(w.top.Members, s.m.self) && !isNamedIn(w.top, s.m.Folder) {
+					if s.replica != nil && s != leader && containsMember(w.newestView.Members, s.replica.self) && !isNamedIn(w.newestView, s.replica.Folder) {
 						gone = i
 					}
 				}
-				assert.Assert(t, leader != nil && gone >= 0, "seed %d\n%s", seed, w.tail())
+				assert.Assert(t, leader != nil && gone >= 0, "seed %d\n%s", seed, w.lastTrace())
 				w.sites[gone].wipe()
-				w.sites[gone].gone, w.sites[gone].dark = true, true
+				w.sites[gone].removed, w.sites[gone].unpowered = true, true
 				lostOf := map[string]bool{}
 				w.delivered = func(to *site, body proto.Message) {
 					address := to.member.Address
@@ -52,10 +52,10 @@
 				}
 				began := len(w.trace)
 				w.run(w.now + 4*time.Second)
-				assert.Equal(t, len(w.faults), 0, "seed %d\n%s", seed, w.tail())
-				assert.Assert(t, len(lostOf) > 0, "seed %d: nothing was lost\n%s", seed, w.tail())
-				assert.Assert(t, !strings.Contains(strings.Join(w.trace[began:], "\n"), "proposal failed"), "seed %d\n%s", seed, w.tail())
-				assert.Assert(t, len(w.top.Former) == 0 && len(w.top.Members) == 3, "seed %d\n%s", seed, w.tail())
+				assert.Equal(t, len(w.faults), 0, "seed %d\n%s", seed, w.lastTrace())
+				assert.Assert(t, len(lostOf) > 0, "seed %d: nothing was lost\n%s", seed, w.lastTrace())
+				assert.Assert(t, !strings.Contains(strings.Join(w.trace[began:], "\n"), "proposal failed"), "seed %d\n%s", seed, w.lastTrace())
+				assert.Assert(t, len(w.newestView.Former) == 0 && len(w.newestView.Members) == 3, "seed %d\n%s", seed, w.lastTrace())
 			}
 		})
 	}
--- a/internal/tier/consensus/state_limit_test.go
+++ b/internal/tier/consensus/state_limit_test.go
@@ -70,7 +70,7 @@
 		assert.Assert(t, ok && now == epoch, label)
 		assert.NilError(t, s.node.DiskError(), label)
 
-		// Room is made and taken again.
+		// Space is freed and used again.
 		assert.NilError(t, s.must(map[string][]byte{"small": nil}), label)
 		assert.NilError(t, s.must(map[string][]byte{"small": valueFor("small", small)}), label)
 		assert.Equal(t, s.node.replica.size, limitInTests, label)
@@ -86,7 +86,7 @@
 }
 
 // A state over the limit, as a program without it left it, is served. It may be changed as long as it does not grow, and
-// what shrinks it is taken.
+// what shrinks it is written.
 func TestStateLimit_StateAboveLimit(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a")
 	s.turn(time.Second)
@@ -110,7 +110,7 @@
 	assert.NilError(t, s.node.DiskError())
 }
 
-// The limit holds at each leader alike, before and after a takeover and after a loss of power of all.
+// The limit is the same at each primary, before and after a takeover and after a power loss of all.
 func TestStateLimit_Takeover(t *testing.T) {
 	c := newCluster(t)
 	c.limit = limitInTests
@@ -150,8 +150,8 @@
 	}
 }
 
-// What waited for a round goes into it as far as the limit allows, in order; what would make the state too large is in
-// neither, and the others are not held up by it.
+// What was queued for a batch goes into it as far as the limit allows, in order; what would make the state too large is in
+// neither, and does not delay the others.
 func TestStateLimit_WriteBatch(t *testing.T) {
 	m := newReplica(durableState{identity: identity{Folder: "fa"}}, replicaConfig{self: &tierv1.Member{Address: "a"}, timing: newTiming(3*time.Second, 0), jitterSeed: 1})
 	m.stateLimit, m.actions = limitInTests, new(actions)
@@ -180,7 +180,7 @@
 	assertTooLarge(t, m.actions.outcomes[0].err)
 }
 
-// The size of a copy is that of its entries, whatever writes led to it.
+// The size of a state is that of its entries, whatever writes led to it.
 func TestDurableState_Size(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	var d durableState
@@ -219,7 +219,7 @@
 	assert.Assert(t, !fitsRecord(&tierv1.WriteRequest{Entries: []*tierv1.Entry{{Key: "k", Value: make([]byte, wal.MaxRecord)}}}))
 }
 
-// A write that fits no record, as a program without the limit may send it, is not taken, and changes nothing.
+// A write that fits no record, as a program without the limit may send it, is not acknowledged, and changes nothing.
 func TestHandleWrite_OversizedIsRejected(t *testing.T) {
 	d := durableState{identity: identity{Folder: "fa"}, preparedEpoch: 1 << epochBits, preparedFor: "fb"}
 	m := newReplica(d, replicaConfig{self: &tierv1.Member{Address: "a"}, toleratedLosses: 1, timing: newTiming(3*time.Second, 0), jitterSeed: 1})
@@ -237,7 +237,7 @@
 }
 
 // A record that the file refuses as too large is no failing disk: the node goes on from its file with all that was
-// acknowledged, and is primary again. Who waited is told that the outcome is unknown.
+// acknowledged, and is primary again. Callers that waited get an unknown outcome.
 func TestNode_RejectedRecordIsNoDiskFailure(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a")
 	s.turn(time.Second)
@@ -276,7 +276,7 @@
 	return len(p), nil
 }
 
-// A call whose body has no end is refused after as much of it as a record holds.
+// A call whose body has no end is rejected after as many bytes as a record may have.
 func TestHandler_BoundsRequestBody(t *testing.T) {
 	s := newSolo(t, wal.NewMemory(), "a")
 	body := &endless{}
--- a/internal/tier/consensus/state_transfer.go
+++ b/internal/tier/consensus/state_transfer.go
@@ -1,9 +1,6 @@
 package consensus
 
 import (
-	"maps"
-	"slices"
-
 	"google.golang.org/protobuf/proto"
 
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
@@ -40,17 +37,8 @@
 			r.sendSnapshot(member)
 		}
 	}
-	if !ready {
-		return
-	}
-	proposal.phase = accepting
-	clear(proposal.unanswered)
-	r.acceptView(proposal.target)
-	proposal.acceptedBy[r.Folder] = true
-	for _, folder := range slices.Sorted(maps.Keys(proposal.prepared)) { // sorted, as what a step does must not vary
-		if folder != r.Folder {
-			r.sendAccept(proposal.prepared[folder].Self)
-		}
+	if ready {
+		r.beginAcceptPhase()
 	}
 }
 
--- a/internal/tier/consensus/state_transfer_test.go
+++ b/internal/tier/consensus/state_transfer_test.go
@@ -26,21 +26,21 @@
 	{"restarted after a loss of power", func(_ *world, s *site) { s.stop(true) }, func(_ *world, s *site) { s.start(false) }},
 	{"frozen", func(_ *world, s *site) { s.paused = true }, func(_ *world, s *site) { s.resume() }},
 	{"emptied", func(_ *world, s *site) { s.wipe() }, func(_ *world, s *site) { s.start(false) }},
-	{"joined", func(_ *world, s *site) { s.wipe(); s.gone = true }, func(w *world, s *site) {
+	{"joined", func(_ *world, s *site) { s.wipe(); s.removed = true }, func(w *world, s *site) {
 		w.sites = append(w.sites, &site{world: w, member: &tierv1.Member{Address: "new", Zone: s.member.Zone, Region: "r"}})
 		w.sites[len(w.sites)-1].start(false)
 	}},
 }
 
-// isFullyRedundant tells whether all losses are borne again: by the leader's own formula, which may be as old as recently, and in
-// fact: every member is there with its folder, and every site named holds its copy.
+// isFullyRedundant reports whether all losses are tolerated again: by the primary's own formula, which may be as old as answerMaxAge, and in
+// fact: every member is there with its folder, and every site named by the view has its state.
 func (w *world) isFullyRedundant() bool {
-	l := w.leader()
-	if l == nil || l.busy || !w.isComplete() || l.m.health().Tolerates < w.losses || len(l.m.primary.view.Former) > 0 {
+	l := w.newestPrimary()
+	if l == nil || l.busy || !w.isComplete() || l.replica.health().Tolerates < w.toleratedLosses || len(l.replica.primary.view.Former) > 0 {
 		return false
 	}
 	for _, s := range w.sites {
-		if s.m != nil && isNamedIn(l.m.primary.view, s.m.Folder) && (s.busy || s.m.stateEpoch < l.m.primary.view.Epoch) {
+		if s.replica != nil && isNamedIn(l.replica.primary.view, s.replica.Folder) && (s.busy || s.replica.stateEpoch < l.replica.primary.view.Epoch) {
 			return false
 		}
 	}
@@ -50,38 +50,38 @@
 // changes writes n changes, one after the other.
 func (w *world) changes(n int) {
 	last := w.now
-	for count := len(w.acked); len(w.acked) < count+n && len(w.faults) == 0; {
-		before := len(w.acked)
+	for count := len(w.acknowledged); len(w.acknowledged) < count+n && len(w.faults) == 0; {
+		before := len(w.acknowledged)
 		if w.now-last > 2*w.window {
 			w.fault("nothing was acknowledged for %v", w.now-last)
 			return
 		}
 		w.put(true)
-		for i := 0; i < 200 && len(w.acked) == before; i++ {
+		for i := 0; i < 200 && len(w.acknowledged) == before; i++ {
 			w.run(w.now + 2*time.Millisecond)
 		}
-		if len(w.acked) > before {
+		if len(w.acknowledged) > before {
 			last = w.now
 		}
 	}
 }
 
-// playAbsence plays an absence during n changes. It gives how long after the return the next loss is borne again, and the bytes of
-// state that were sent to the one who came back, against those of one whole state.
+// playAbsence plays an absence during n changes. It returns how long after the return the next loss is tolerated again, and the bytes of
+// state that were sent to the returned member, beside those of one snapshot.
 func playAbsence(t *testing.T, c absence, n int, seed uint64, backup bool) (w *world, took time.Duration, sent, whole int) {
 	t.Helper()
 	w = newWorld(seed, 3, 1)
 	w.boot()
 	w.run(5 * time.Second)
-	leader := w.leader()
-	assert.Assert(t, leader != nil, w.tail())
+	leader := w.newestPrimary()
+	assert.Assert(t, leader != nil, w.lastTrace())
 	var s *site
 	for _, o := range w.sites {
-		if o != leader && isNamedIn(leader.m.primary.view, o.m.Folder) == backup {
+		if o != leader && isNamedIn(leader.replica.primary.view, o.replica.Folder) == backup {
 			s = o
 		}
 	}
-	assert.Assert(t, s != nil, w.tail())
+	assert.Assert(t, s != nil, w.lastTrace())
 	c.leave(w, s)
 	w.changes(n)
 	w.delivered = func(to *site, body proto.Message) {
@@ -91,19 +91,19 @@
 	}
 	c.back(w, s)
 	began := w.now
-	w.readings(began + 4*time.Second)
+	w.leaseReadsUntil(began + 4*time.Second)
 	for w.now < began+4*time.Second && !w.isFullyRedundant() && len(w.faults) == 0 {
 		w.put(true)
 		w.run(w.now + 10*time.Millisecond)
 	}
 	took = w.now - began
-	whole = proto.Size(w.leader().m.snapshotWrite(1))
+	whole = proto.Size(w.newestPrimary().replica.snapshotWrite(1))
 	// The next loss comes at once: the leader's machine, for good. Another leads from what it has.
 	if len(w.faults) == 0 {
-		old := w.leader()
+		old := w.newestPrimary()
 		old.wipe()
-		old.gone = true
-		for limit := w.now + 4*time.Second; w.now < limit && w.leader() == nil; {
+		old.removed = true
+		for limit := w.now + 4*time.Second; w.now < limit && w.newestPrimary() == nil; {
 			w.run(w.now + 10*time.Millisecond)
 		}
 		w.changes(1)
@@ -111,7 +111,7 @@
 	return w, took, sent, whole
 }
 
-// A member that missed 1 to 2,000 changes, by whatever way, has caught up within the bound of time and of bytes, never leads
+// A member that missed 1 to 2,000 changes, in each way, has caught up within the bound of time and of bytes, never leads
 // before, and the next loss right after that costs nothing.
 func TestStateTransfer_AfterAbsence(t *testing.T) {
 	counts := []int{1, 10, 300, 2000}
@@ -124,17 +124,17 @@
 				name := fmt.Sprintf("%s, backup %v, %d changes", c.name, backup, n)
 				var worst time.Duration
 				var most float64
-				seeds := min(seedsOr(3), 20)
-				if raced || n > 300 && seedsOr(0) == 0 {
+				seeds := min(seedCount(3), 20)
+				if raced || n > 300 && seedCount(0) == 0 {
 					seeds = 1
 				}
 				for seed := range uint64(seeds) {
 					w, took, sent, whole := playAbsence(t, c, n, seed, backup)
-					where := fmt.Sprintf("%s, seed %d: %v, sent %d of %d, %v\n%s", name, seed, took, sent, whole, w.faults, w.tail())
+					where := fmt.Sprintf("%s, seed %d: %v, sent %d of %d, %v\n%s", name, seed, took, sent, whole, w.faults, w.lastTrace())
 					assert.Assert(t, len(w.faults) == 0, where)
 					assert.Assert(t, took < w.window, where)
 					assert.Assert(t, sent <= maxSnapshots*whole, where)
-					assert.Assert(t, len(w.acked) > n, where)
+					assert.Assert(t, len(w.acknowledged) > n, where)
 					worst, most = max(worst, took), max(most, float64(sent)/float64(whole))
 				}
 				t.Logf("%s: at most %v, %.2f times the state", name, worst, most)
@@ -143,11 +143,11 @@
 	}
 }
 
-// maxSnapshots is how often the whole state may go to one member until it holds a copy: once for each record that names it
-// anew, and a change of members takes two records.
+// maxSnapshots is how many snapshots may be sent to one member until it has the state: one for each view that names it
+// anew, and a change of members takes two views.
 const maxSnapshots = 3
 
-// following is a machine that is a backup of a leader, with a copy under its epoch.
+// following is a replica that is a backup of a primary, with a state of its epoch.
 func following(t *testing.T) (m *replica, epoch uint64) {
 	t.Helper()
 	epoch = 5 << epochBits
@@ -163,7 +163,7 @@
 	return []*tierv1.Entry{{Key: key, Value: []byte(key), Sequence: sequence}}
 }
 
-// A snapshot that comes late, doubled, out of order or from an older epoch never takes back what was taken after it.
+// A snapshot that comes late, doubled, out of order or from an older epoch never takes back what was written after it.
 func TestHandleWrite_SnapshotOutOfOrder(t *testing.T) {
 	m, epoch := following(t)
 	snapshot := &tierv1.WriteRequest{Epoch: epoch, Sequence: 1, Snapshot: true, Entries: entry("one", 1), From: "fa"}
@@ -191,7 +191,7 @@
 	foreign.From, foreign.Sequence = "fc", 9
 	assert.Assert(t, !m.handleWrite(foreign).Acknowledged)
 	holds(2, "one", "two")
-	// A new epoch: the snapshot of the old one comes after the changes of the new one, or after the promise alone.
+	// A new epoch: the snapshot of the old one comes after the changes of the new one, or after the prepare alone.
 	m.handlePrepare(&tierv1.PrepareRequest{Epoch: 2 * epoch, From: &tierv1.Member{Folder: "fc", Address: "c"}})
 	late := proto.CloneOf(snapshot)
 	late.Sequence = 50
@@ -207,7 +207,7 @@
 }
 
 // A backup loses power at each operation of its disk while it takes snapshots, changes and rewrites of its file. What it
-// answered as taken is there after, it never goes back to an older epoch, and it goes on from there.
+// acknowledged is there after, it never goes back to an older epoch, and it goes on from there.
 func TestStateTransfer_PowerLossAtEachOperation(t *testing.T) {
 	value := bytes.Repeat([]byte("x"), 4<<10)
 	for at := 1; ; at++ {
@@ -226,7 +226,7 @@
 				return true
 			}
 			s.disk.DieAt(at)
-			life := func(first uint64) bool {
+			takeSnapshotAndWrites := func(first uint64) bool {
 				e := first << epochBits
 				a, err := askNode(s, func(n *Node) (*tierv1.PrepareReply, error) {
 					return (server{n}).Promise(context.Background(), &tierv1.PrepareRequest{Epoch: e, From: &tierv1.Member{Folder: "fa", Address: "b"}})
@@ -249,8 +249,8 @@
 				}
 				return true
 			}
-			whole := life(1) && life(2)
-			died = died || !whole
+			completed := takeSnapshotAndWrites(1) && takeSnapshotAndWrites(2)
+			died = died || !completed
 			s.disk.Crash(rand.New(rand.NewPCG(uint64(at), seed)))
 			s.open(false, "a", "b", "c")
 			assert.NilError(t, s.node.DiskError(), label)
@@ -261,7 +261,7 @@
 			if first := d.stateEpoch >> epochBits; first > 0 {
 				assert.Assert(t, d.entries["base"] != nil && uint64(len(d.entries)) == d.sequence-10*first+1, "%s: %d keys at %d", label, len(d.entries), d.sequence)
 			}
-			assert.Assert(t, life(3), label)
+			assert.Assert(t, takeSnapshotAndWrites(3), label)
 		}
 		if !died {
 			assert.Assert(t, at > 60)
--- a/internal/tier/consensus/stored_folders_test.go
+++ b/internal/tier/consensus/stored_folders_test.go
@@ -20,7 +20,7 @@
 const storedFolders = "testdata/stored"
 
 // TestStoredFolders_ReadAsWritten opens folders that revision eea23b3 wrote (testdata/stored: of a primary, a backup, a witness, a
-// backup that was lost, a rewritten file, a torn tail, an accepted record that was not chosen) and compares all that is in them
+// backup that was lost, a rewritten file, a torn tail, an accepted view that was not chosen) and compares all that is in them
 // with the listing that this revision made of them.
 func TestStoredFolders_ReadAsWritten(t *testing.T) {
 	listings, err := filepath.Glob(filepath.Join(storedFolders, "*.golden"))
@@ -87,8 +87,8 @@
 	fmt.Fprintf(&listing, "records: %s\n", strings.Join(kinds, " "))
 	fmt.Fprintf(&listing, "folder: %s genesis=%v seeds=%v\n", state.Folder, state.Genesis, state.Seeds)
 	fmt.Fprintf(&listing, "promised: %d to %q\n", state.preparedEpoch, state.preparedFor)
-	fmt.Fprintf(&listing, "accepted: %s\n", listStoredRecord(state.accepted))
-	fmt.Fprintf(&listing, "chosen: %s\n", listStoredRecord(state.chosen))
+	fmt.Fprintf(&listing, "accepted: %s\n", listStoredView(state.accepted))
+	fmt.Fprintf(&listing, "chosen: %s\n", listStoredView(state.chosen))
 	fmt.Fprintf(&listing, "state: sequence=%d epoch=%d size=%d\n", state.sequence, state.stateEpoch, state.size)
 	for _, key := range slices.Sorted(maps.Keys(state.entries)) {
 		entry := state.entries[key]
@@ -97,7 +97,7 @@
 	return listing.String()
 }
 
-func listStoredRecord(record *tierv1.View) string {
+func listStoredView(record *tierv1.View) string {
 	if record == nil {
 		return "none"
 	}
--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -12,38 +12,38 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// world is a network, disks and clocks in virtual time for machines, and the checker of what they promise.
+// world is a network, disks and clocks in virtual time for replicas, and the checker of their invariants.
 type world struct {
-	now        time.Duration
-	random     *rand.Rand
-	queue      timedActions
-	order      int
-	sites      []*site
-	partitions map[[2]string]bool
-	losses     int
-	seeds      []string
-	window     time.Duration
-	mutant     mutant
-	faultRate  float64 // part of the messages that are lost, doubled or held
-	rate       int     // bytes a second that a path carries; 0: no bound
+	now             time.Duration
+	random          *rand.Rand
+	queue           timedActions
+	order           int
+	sites           []*site
+	partitions      map[[2]string]bool
+	toleratedLosses int
+	seeds           []string
+	window          time.Duration
+	mutant          mutant
+	faultRate       float64 // fraction of the messages that are lost, doubled or delayed
+	rate            int     // bytes a second that a path carries; 0: no bound
 
-	transferRate int // what the machines count on; 0: as usual
-	mutate       func(n int) mutation
-	count        int // messages sent
-	folders      int
-	token        uint64
-	waiting      map[uint64]*operation
-	replying     map[uint64]func(proto.Message)
-	acked        map[string]uint64 // key to sequence
-	ackedAt      map[string]time.Duration
-	ackedUnder   map[string]uint64 // epoch
-	refused      map[string]bool
-	chosen       map[uint64]*tierv1.View
-	top          *tierv1.View
-	wiped        map[string]bool
-	delivered    func(to *site, body proto.Message) // sees each message as it comes
-	faults       []string
-	trace        []string
+	transferRate      int // that the replicas expect; 0: transferRate
+	mutate            func(n int) mutation
+	messages          int // messages sent
+	folders           int
+	token             uint64
+	waiting           map[uint64]*operation
+	replying          map[uint64]func(proto.Message)
+	acknowledged      map[string]uint64 // key to sequence
+	acknowledgedAt    map[string]time.Duration
+	acknowledgedUnder map[string]uint64 // epoch
+	refused           map[string]bool
+	chosen            map[uint64]*tierv1.View
+	newestView        *tierv1.View
+	wiped             map[string]bool
+	delivered         func(to *site, body proto.Message) // sees each message as it comes
+	faults            []string
+	trace             []string
 }
 
 type mutation int
@@ -89,11 +89,11 @@
 	return x
 }
 
-// site is a machine's place: its address, its disk and the process that runs there.
+// site is one machine: its address, its disk and the process that runs there.
 type site struct {
 	world       *world
 	member      *tierv1.Member
-	m           *replica // nil: no process
+	replica     *replica // nil: no process
 	run         *subject
 	incarnation int
 	synced      [][]byte
@@ -101,18 +101,18 @@
 	busy        bool
 	inbox       []event
 	wakeAt      time.Duration
-	gone        bool
-	dark        bool // without power: calls hang
+	removed     bool
+	unpowered   bool // without power: calls hang
 	paused      bool // stopped, as by SIGSTOP: nothing runs, what comes in waits
 	stalled     bool // its disk hangs: a sync that has begun does not end
 	resumed     []func()
-	seen        *tierv1.View
-	led         uint64 // epoch of its newest leadership
+	checkedView *tierv1.View
+	newestEpoch uint64 // epoch of its newest leadership
 }
 
 func newWorld(seed uint64, n, losses int) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 7)), partitions: make(map[[2]string]bool), losses: losses, window: 3 * time.Second,
-		waiting: make(map[uint64]*operation), replying: make(map[uint64]func(proto.Message)), acked: make(map[string]uint64), ackedAt: make(map[string]time.Duration), ackedUnder: make(map[string]uint64),
+	w := &world{random: rand.New(rand.NewPCG(seed, 7)), partitions: make(map[[2]string]bool), toleratedLosses: losses, window: 3 * time.Second,
+		waiting: make(map[uint64]*operation), replying: make(map[uint64]func(proto.Message)), acknowledged: make(map[string]uint64), acknowledgedAt: make(map[string]time.Duration), acknowledgedUnder: make(map[string]uint64),
 		refused: make(map[string]bool), chosen: make(map[uint64]*tierv1.View), wiped: make(map[string]bool), now: time.Millisecond}
 	for i := range n {
 		w.sites = append(w.sites, &site{world: w, member: &tierv1.Member{Address: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%3), Region: "r"}})
@@ -163,10 +163,10 @@
 // start starts a process, with a new folder where the disk is empty.
 func (s *site) start(bootstrap bool) {
 	w := s.world
-	if s.m != nil || s.gone {
+	if s.replica != nil || s.removed {
 		return
 	}
-	s.dark = false
+	s.unpowered = false
 	var d durableState
 	for _, r := range s.synced {
 		if err := d.replay(r); err != nil {
@@ -184,12 +184,12 @@
 	if w.transferRate > 0 {
 		timing.transferRate = w.transferRate
 	}
-	s.m = newReplica(d, replicaConfig{self: s.member, seeds: w.seeds, toleratedLosses: w.losses, timing: timing, jitterSeed: w.random.Uint64()})
-	s.m.now = w.now
-	s.m.candidacyAt += w.now
-	s.m.joinAt += w.now
-	s.run = &subject{m: s.m, mutant: w.mutant, asked: make(map[uint64]proto.Message)}
-	s.busy, s.inbox, s.seen = false, nil, nil
+	s.replica = newReplica(d, replicaConfig{self: s.member, seeds: w.seeds, toleratedLosses: w.toleratedLosses, timing: timing, jitterSeed: w.random.Uint64()})
+	s.replica.now = w.now
+	s.replica.candidacyAt += w.now
+	s.replica.joinAt += w.now
+	s.run = &subject{replica: s.replica, mutant: w.mutant, asked: make(map[uint64]proto.Message)}
+	s.busy, s.inbox, s.checkedView = false, nil, nil
 	s.paused, s.stalled, s.resumed = false, false, nil
 	w.logf("start %s", d.Folder)
 	s.wake()
@@ -197,17 +197,17 @@
 
 // stop ends the process: what it wrote stays unless the power goes, then unsynced records are lost, all or a tail.
 func (s *site) stop(power bool) {
-	if s.m == nil {
+	if s.replica == nil {
 		return
 	}
 	w := s.world
-	w.logf("stop %s power=%v", s.m.Folder, power)
+	w.logf("stop %s power=%v", s.replica.Folder, power)
 	for t, o := range w.waiting {
 		if o.site == s {
 			delete(w.waiting, t)
 		}
 	}
-	s.m = nil
+	s.replica = nil
 	s.incarnation++
 	if power && len(s.unsynced) > 0 {
 		s.unsynced = s.unsynced[:w.random.IntN(len(s.unsynced))]
@@ -215,21 +215,21 @@
 	s.synced, s.unsynced = append(s.synced, s.unsynced...), nil
 }
 
-// mayWipe tells whether the loss of one more disk is within what is to be borne.
+// mayWipe reports whether the loss of one more disk is within what is to be tolerated.
 func (w *world) mayWipe() bool {
-	if w.top == nil || len(w.top.Members) < 2*w.losses+1 || len(w.top.Former) > 0 || len(w.top.Backups) < w.losses {
+	if w.newestView == nil || len(w.newestView.Members) < 2*w.toleratedLosses+1 || len(w.newestView.Former) > 0 || len(w.newestView.Backups) < w.toleratedLosses {
 		return false
 	}
-	records := []*tierv1.View{w.top}
+	records := []*tierv1.View{w.newestView}
 	for _, s := range w.sites {
-		if s.m == nil {
+		if s.replica == nil {
 			return false
 		}
-		if epochOf(s.m.accepted) > w.top.Epoch {
-			records = append(records, s.m.accepted)
+		if epochOf(s.replica.accepted) > w.newestView.Epoch {
+			records = append(records, s.replica.accepted)
 		}
 	}
-	// No majority and no set of copies may lack more than is to be borne, this one included.
+	// No majority and no set of replicas of the state may lack more than is to be tolerated, this one included.
 	for _, r := range records {
 		n := 0
 		for folder := range w.wiped {
@@ -237,7 +237,7 @@
 				n++
 			}
 		}
-		if n >= w.losses {
+		if n >= w.toleratedLosses {
 			return false
 		}
 	}
@@ -248,7 +248,7 @@
 				n++
 			}
 		}
-		if n >= w.losses {
+		if n >= w.toleratedLosses {
 			return false
 		}
 	}
@@ -256,22 +256,22 @@
 }
 
 func (s *site) wipe() {
-	if s.m == nil {
+	if s.replica == nil {
 		return
 	}
-	s.world.wiped[s.m.Folder] = true
+	s.world.wiped[s.replica.Folder] = true
 	s.stop(true)
 	s.synced, s.unsynced = nil, nil
 }
 
 func (s *site) wake() {
-	if s.m == nil {
+	if s.replica == nil {
 		return
 	}
-	at, life := max(s.m.nextStepAt(), s.world.now+time.Millisecond), s.incarnation
+	at, incarnation := max(s.replica.nextStepAt(), s.world.now+time.Millisecond), s.incarnation
 	s.wakeAt = at
 	s.world.after(at-s.world.now, func() {
-		if s.incarnation == life && s.wakeAt == at && s.m != nil {
+		if s.incarnation == incarnation && s.wakeAt == at && s.replica != nil {
 			s.step(tick{})
 		}
 	})
@@ -279,19 +279,19 @@
 
 func (s *site) step(events ...event) {
 	s.inbox = append(s.inbox, events...)
-	if s.busy || s.m == nil || s.paused {
+	if s.busy || s.replica == nil || s.paused {
 		return
 	}
 	events, s.inbox = s.inbox, nil
 	w := s.world
 	out := s.run.step(w.now, events...)
 	for _, n := range out.transitions {
-		w.logf("%s %s promised=%d chosen=%d seq=%d", s.m.Folder, n, s.m.preparedEpoch, epochOf(s.m.chosen), s.m.sequence)
+		w.logf("%s %s promised=%d chosen=%d seq=%d", s.replica.Folder, n, s.replica.preparedEpoch, epochOf(s.replica.chosen), s.replica.sequence)
 	}
-	life := s.incarnation
+	incarnation := s.incarnation
 	for _, c := range out.unsyncedCalls {
 		s.send(c)
-		if s.incarnation != life {
+		if s.incarnation != incarnation {
 			return
 		}
 	}
@@ -305,13 +305,13 @@
 		for _, r := range out.replies {
 			replyTo := w.replies(r.token)
 			replyTo(r.body)
-			if s.incarnation != life {
+			if s.incarnation != incarnation {
 				return
 			}
 		}
 		for _, c := range out.calls {
 			s.send(c)
-			if s.incarnation != life {
+			if s.incarnation != incarnation {
 				return
 			}
 		}
@@ -327,14 +327,14 @@
 	}
 	s.busy = true
 	synced := func() {
-		if s.incarnation != life {
+		if s.incarnation != incarnation {
 			return
 		}
 		s.synced, s.unsynced = append(s.synced, s.unsynced...), nil
 		rest()
 	}
 	w.after(time.Millisecond+time.Duration(w.random.Int64N(int64(8*time.Millisecond))), func() {
-		if s.incarnation == life && (s.paused || s.stalled) {
+		if s.incarnation == incarnation && (s.paused || s.stalled) {
 			s.resumed = append(s.resumed, synced)
 			return
 		}
@@ -342,24 +342,24 @@
 	})
 }
 
-// resume ends a pause or a disk that hangs: what was held up goes on, then what has come in meanwhile.
+// resume ends a pause or a disk that hangs: what was delayed goes on, then what has come in meanwhile.
 func (s *site) resume() {
 	woken := s.paused
 	s.paused, s.stalled = false, false
 	held, waiting := s.resumed, s.inbox
 	s.resumed = nil
-	if woken && s.m != nil && !s.busy { // a timer may be the first to run, before anything that came in is read
+	if woken && s.replica != nil && !s.busy { // a timer may be the first to run, before anything that came in is read
 		s.inbox = nil
 		s.step(tick{})
 		if s.leads() {
-			s.world.fault("%s answers as it wakes", s.m.Folder)
+			s.world.fault("%s answers as it wakes", s.replica.Folder)
 		}
 		s.inbox = append(waiting, s.inbox...)
 	}
 	for _, do := range held {
 		do()
 	}
-	if s.m != nil && !s.busy {
+	if s.replica != nil && !s.busy {
 		s.step(tick{})
 	}
 }
@@ -373,22 +373,22 @@
 	return f
 }
 
-// send carries a call: it always ends in an answer, empty where nothing came within the time-out.
+// send carries a call: it always ends in a result, empty if nothing came within the time-out.
 func (s *site) send(c outgoingCall) {
 	w := s.world
-	life, ended := s.incarnation, false
+	incarnation, ended := s.incarnation, false
 	end := func(body proto.Message) {
-		if s.incarnation == life && !ended {
+		if s.incarnation == incarnation && !ended {
 			ended = true
 			s.step(callResult{c.id, body})
 		}
 	}
 	w.after(c.timeout, func() { end(nil) })
-	w.count++
+	w.messages++
 	to := w.site(c.address)
 	kind := none
 	if w.mutate != nil {
-		kind = w.mutate(w.count)
+		kind = w.mutate(w.messages)
 	} else if w.random.Float64() < w.faultRate {
 		kind = mutation(1 + w.random.IntN(int(replyLost)))
 	}
@@ -396,9 +396,9 @@
 	if to == nil || kind == lost || w.partitions[[2]string{s.member.Address, c.address}] {
 		return
 	}
-	toLife := to.incarnation
+	toIncarnation := to.incarnation
 	deliver := func() {
-		if to.m == nil || to.incarnation != toLife { // a connection does not outlast its ends
+		if to.replica == nil || to.incarnation != toIncarnation { // a connection does not outlast its ends
 			end(nil)
 			return
 		}
@@ -429,8 +429,8 @@
 		default: // acts on the message or on its sender
 		}
 	}
-	if to.m == nil {
-		if !to.dark {
+	if to.replica == nil {
+		if !to.unpowered {
 			w.after(w.delay(), func() { end(nil) })
 		}
 		return
