--- a/brain/restart/oracle_test.go
+++ b/brain/restart/oracle_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestOracleAgainstDirectComputation(t *testing.T) {
+func TestOptimum_AgainstDirectComputation(t *testing.T) {
 	rnd := rand.New(rand.NewSource(1))
 	for round := range 20 {
 		var o Oracle
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestOracleFirstTimeoutAndDoubling(t *testing.T) {
+func TestTimeout_FirstAndDoubling(t *testing.T) {
 	var o Oracle
 	if o.Timeout() != FirstTimeout {
 		t.Fatalf("before any sample τ = %v", o.Timeout())
--- a/cmd/simulator-adapter/host_test.go
+++ b/cmd/simulator-adapter/host_test.go
@@ -91,7 +91,7 @@
 	return codes, body
 }
 
-func TestAdapterOverPipes(t *testing.T) {
+func TestAdapter_OverPipes(t *testing.T) {
 	cmd := exec.Command(build(t))
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestMalformedInputIsOnePlainLine(t *testing.T) {
+func TestAdapter_MalformedInputIsOneLine(t *testing.T) {
 	bin := build(t)
 	good := join(1000, hello(0, env), list(0))
 	for name, c := range map[string]struct {
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestPanicBecomesInternalError(t *testing.T) {
+func TestStep_PanicBecomesInternalError(t *testing.T) {
 	h := newHost()
 	in := bytes.NewReader(join(1000, hello(0, env), list(0)))
 	var out bytes.Buffer
--- a/internal/calls/call_test.go
+++ b/internal/calls/call_test.go
@@ -25,7 +25,7 @@
 	return end
 }
 
-func TestOutcomes(t *testing.T) {
+func TestCall_Outcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(st.Call, net.Conn) bool
 		want   brain.AttemptResult
@@ -74,7 +74,7 @@
 }
 
 // A connection that has carried a call already had its place: a refusal that ends it is about calls.
-func TestRefusalThatEndsAKeptConnection(t *testing.T) {
+func TestCall_RejectionOnReusedConnIsNoConnLimit(t *testing.T) {
 	n := 0
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		if n++; n == 1 {
@@ -93,7 +93,7 @@
 // Answers that are spoilt, or bring more than belongs to them, on a connection that stays open: a 200 in the
 // first line is true, any other spoilt one may have run, whatever it reads like; none holds its slot until
 // the time-out, and the connection is not used again.
-func TestSpoiltAnswers(t *testing.T) {
+func TestCall_MalformedAnswers(t *testing.T) {
 	errored := brain.AttemptResult{Outcome: brain.Errored}
 	delivered := brain.AttemptResult{Outcome: brain.Served, Final: true}
 	good := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -170,7 +170,7 @@
 }
 
 // Figures that no sound endpoint sends count as not told: they would go into the module's sums.
-func TestFiguresFromEndpoints(t *testing.T) {
+func TestLoadReport_ImpossibleValues(t *testing.T) {
 	served := brain.AttemptResult{Outcome: brain.Served, Final: true}
 	for line, want := range map[string]brain.AttemptResult{
 		"X-Load: x0=0.5,x1=20":       {Outcome: brain.Served, Final: true, LimitReported: true, Remaining: 0.5, Limit: 20},
@@ -208,7 +208,7 @@
 
 // A library may repeat a request with an Idempotency-Key by itself when a reused connection breaks; each
 // would count as a call that the module knows nothing of.
-func TestOneSendIsOneCall(t *testing.T) {
+func TestCall_NeverRepeatsByItself(t *testing.T) {
 	for _, body := range []string{"body", ""} {
 		first := true
 		e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -236,7 +236,7 @@
 }
 
 // A call whose last byte was not written has never run, however much of it was.
-func TestResetBeforeTheLastByteNeverRan(t *testing.T) {
+func TestCall_ResetBeforeLastByteNeverRan(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -260,7 +260,7 @@
 
 // Out of descriptors, a call is not made: that is our own shortage and says nothing of the endpoint. It is
 // foreseen, too: the module hears of no more slots than there are descriptors for.
-func TestOutOfDescriptors(t *testing.T) {
+func TestCall_OutOfDescriptors(t *testing.T) {
 	for err, want := range map[error]brain.Outcome{syscall.EMFILE: brain.NotSent, syscall.ENFILE: brain.NotSent,
 		syscall.ENOBUFS: brain.NotSent, syscall.ECONNREFUSED: brain.ConnectFailed} {
 		p := testPool()
@@ -271,7 +271,7 @@
 	}
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestCall_ConnectionRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -283,7 +283,7 @@
 }
 
 // A time-out and a cancel close the connection: the endpoint holds a slot of ours for as long as it is open.
-func TestSilentEndpoint(t *testing.T) {
+func TestCall_TimeoutAndCancelCloseConnection(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		st.Unresponsive(c, nc)
@@ -312,7 +312,7 @@
 
 // An endpoint that has closed an idle connection would see a call on it as a reset that may have run: such
 // a connection is noticed and left, also when it announced nothing.
-func TestIdleConnectionClosedByTheEndpoint(t *testing.T) {
+func TestPool_IdleConnClosedByEndpoint(t *testing.T) {
 	closed := make(chan struct{})
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
 		st.Status(200)(c, nc)
@@ -342,7 +342,7 @@
 	}
 }
 
-func TestConnectionsAreKeptAndClosed(t *testing.T) {
+func TestPool_KeepsAndClosesConns(t *testing.T) {
 	e := st.NewEndpoint(t, st.Status(200))
 	p, at := testPool(), &Endpoint{addr: e.Addr}
 	on := func() int {
@@ -377,7 +377,7 @@
 // All day endpoints are replaced under new ids, some at the address of one that has gone: of what is gone
 // nothing is kept, its connections are closed at once, also those that were in use then, and what comes in
 // its place starts with none.
-func TestEndpointsThatGo(t *testing.T) {
+func TestEndpointList_RemovedEndpointsLeaveNothing(t *testing.T) {
 	for name, gone := range map[string]membership.Update{
 		"deleted":                   {Servers: []membership.Target{{ID: "old", State: "DELETED"}}},
 		"not in the whole list":     {Full: true},
--- a/internal/calls/endpoint_list_test.go
+++ b/internal/calls/endpoint_list_test.go
@@ -21,7 +21,7 @@
 }
 
 // A list that comes again tells the module what changed, and nothing where nothing did.
-func TestListByDifference(t *testing.T) {
+func TestEndpointList_ReportsOnlyChanges(t *testing.T) {
 	l, c := NewEndpointList(), Names{}
 	p := NewPool(Config{MaxIdle: 10})
 	first := l.Apply(list(10, nil), true, c, p)
@@ -56,7 +56,7 @@
 }
 
 // A line named twice counts as it stands last, and a deleted one is forgotten.
-func TestListNamesTwice(t *testing.T) {
+func TestEndpointList_DuplicateAndDeletedEntries(t *testing.T) {
 	l, c := NewEndpointList(), Names{}
 	p := NewPool(Config{MaxIdle: 10})
 	n := l.Apply(membership.Update{Servers: []membership.Target{{ID: "a", State: "SERVING", Addr: "x:1"}, {ID: "a", State: "DRAINING", Addr: "x:1"}, {ID: "b", State: "SERVING", Addr: "x:2"},
@@ -66,7 +66,7 @@
 	}
 }
 
-func BenchmarkWholeListAgain(b *testing.B) {
+func BenchmarkApply_UnchangedCompleteList(b *testing.B) {
 	l, c := NewEndpointList(), Names{}
 	p := NewPool(Config{MaxIdle: 10})
 	t := list(20_000, nil)
--- a/internal/calls/permit_test.go
+++ b/internal/calls/permit_test.go
@@ -17,7 +17,7 @@
 
 // A permit that is taken back while the connection comes up: nothing is written, and the connection serves the next
 // call.
-func TestPermitTakenBack(t *testing.T) {
+func TestPermit_RevokedWhileConnecting(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	p := NewPool(Config{ConnectTimeout: st.Wait})
@@ -49,7 +49,7 @@
 }
 
 // Of a call with several messages those are written whose leave is left.
-func TestPermitsOfABatch(t *testing.T) {
+func TestPermit_BatchWritesWhatIsLeft(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	p := testPool()
@@ -69,7 +69,7 @@
 }
 
 // What is not written in its time is not sent, and a connection that came up too late is kept for the next call.
-func TestCallWithin(t *testing.T) {
+func TestPermit_ExpiresWhileConnecting(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	p := NewPool(Config{ConnectTimeout: st.Wait})
@@ -100,7 +100,7 @@
 
 // An endpoint comes back at another address while a connection to its old one comes up: nothing is written there, as another
 // destination's may listen at it by now, and the next call goes to the new one.
-func TestCallToAnAddressThatWasLeft(t *testing.T) {
+func TestCall_EndpointMovesWhileConnecting(t *testing.T) {
 	t.Parallel()
 	old, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := NewPool(Config{ConnectTimeout: st.Wait})
--- a/internal/calls/request_format_test.go
+++ b/internal/calls/request_format_test.go
@@ -21,7 +21,7 @@
 }
 
 // The outcome table, against every transport: PROTOCOL's for all, and the web hook's own words in event forms.
-func TestOutcomesOfEveryForm(t *testing.T) {
+func TestCall_OutcomesOfEveryForm(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		status int
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestRetryAfter(t *testing.T) {
+func TestRetryAfter_Parsing(t *testing.T) {
 	now := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	for text, want := range map[string]time.Duration{"": 0, "0": 0, "-1": 0, "NaN": 0, "Inf": 0, "1": time.Second, "0.0004": time.Millisecond, "86400": 24 * time.Hour,
 		"86401": 0, "soon": 0, "Tue, 01 Dec 2026 10:00:05 GMT": 5 * time.Second, "Tue, 01 Dec 2026 09:59:59 GMT": 0, "Thu, 03 Dec 2026 10:00:00 GMT": 0} {
@@ -119,7 +119,7 @@
 
 // Before the first call, and once only, an endpoint is asked whether it wants calls; the rate that it allows is told
 // to the module.
-func TestValidation(t *testing.T) {
+func TestValidation_OnceBeforeFirstCall(t *testing.T) {
 	t.Parallel()
 	e, asked := hook(t, func() (int, []string) {
 		return 200, []string{"WebHook-Allowed-Origin: council.example", "WebHook-Allowed-Rate: 90"}
@@ -158,7 +158,7 @@
 }
 
 // An endpoint that does not allow it gets no call: the message never ran there, and is asked for again next time.
-func TestValidationRefused(t *testing.T) {
+func TestValidation_OriginNotAllowed(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		status int
@@ -195,7 +195,7 @@
 }
 
 // Forms go by destination or kind, the first that names one.
-func TestWhichForm(t *testing.T) {
+func TestRequestFormats_FirstMatchApplies(t *testing.T) {
 	f := newRequestFormats(&Delivery{Targets: []Target{{Destinations: []uint32{3}, Form: Binary}, {Kinds: []string{"m2"}, Form: Structured}, {Destinations: []uint32{4, 5}, Kinds: []string{"m3"}, Form: Batched}}})
 	for _, c := range []struct {
 		dest uint32
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 )
 
 // The configuration's JSON and the simulator's lines give the same settings.
-func TestFlattenMeansTheSameAsTheWire(t *testing.T) {
+func TestFlatten_SameSettingsAsTheWire(t *testing.T) {
 	const lines = `balancers=2
 costs.handshake=0.06
 discovery=on_request
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestFlattenReportsWhatItCannotRead(t *testing.T) {
+func TestFlatten_UnreadableValues(t *testing.T) {
 	if _, err := Flatten([]byte(`{"step":`)); err == nil {
 		t.Error("half an object passes")
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,7 +35,7 @@
 	catalog = rec(11, "00000000 01000000 0000 074a1203 0000803f 3900 01 00 0000000000000000")
 )
 
-func TestReadBatch(t *testing.T) {
+func TestReadBatch_Events(t *testing.T) {
 	in := append(frame(8412.25, submit, ended, catalog), frame(8413)...)
 	r := bytes.NewReader(in)
 	b, err := ReadBatch(r)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestMalformedFrames(t *testing.T) {
+func TestReadBatch_MalformedFrames(t *testing.T) {
 	whole := frame(1, submit)
 	bigCount := append([]byte(nil), whole...)
 	binary.LittleEndian.PutUint32(bigCount[12:], 1<<31)
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestReplyBytes(t *testing.T) {
+func TestReply_Bytes(t *testing.T) {
 	var r Reply
 	var out bytes.Buffer
 	if err := r.Flush(&out); err != nil || hex.EncodeToString(out.Bytes()) != "0400000000000000" {
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestSettings_Parsing(t *testing.T) {
 	e, err := ParseSettings("a=1.5\nb=true\nc=x,y\nd=true,false\nlist.count=2\nw=two\nunknown.key=whatever\n")
 	if err != nil || e.Float("a") != 1.5 || !e.Bool("b") || len(e.List("c")) != 2 || !e.Bools("d")[0] ||
 		e.Count("list") != 2 || e.Enum("w", "one", "two") != 1 || e.Float("absent") != 0 || e.Err() != nil {
