--- a/cmd/saffronyard/daemon_services.go
+++ b/cmd/saffronyard/daemon_services.go
@@ -83,10 +83,10 @@
 	}
 	d.closers = append(d.closers, func() { names.Close() })
 	precedence, fallback := f.Precedences()
-	d.config.Names = &sender.NameSource{Source: names, Initial: names.First(), Destinations: names.Destinations(), Precedence: precedence, Fallback: fallback,
+	d.config.Names = &sender.NameSource{Source: names, Initial: names.Initial(), Destinations: names.Destinations(), Precedence: precedence, Fallback: fallback,
 		Report: func() any { return names.Report() }}
 	d.reloaders = append(d.reloaders, func(*sender.Sender) error {
-		names.Look()
+		names.Rescan()
 		keys, err := f.Keys()
 		if err == nil {
 			err = names.SetKeys(keys)
--- a/cmd/saffronyard/zone.go
+++ b/cmd/saffronyard/zone.go
@@ -127,7 +127,7 @@
 	if origin == "" {
 		origin = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	}
-	if !zone.Label(origin) {
+	if !zone.IsName(origin) {
 		return nil, invalidInput("%q is no zone's name", origin)
 	}
 	file, err := os.Open(path)
@@ -140,7 +140,7 @@
 		return nil, err
 	}
 	defer root.Close()
-	return zone.Parse(bufio.NewReader(file), origin, filepath.Base(path), root.FS(), nameserver.DefaultRecords)
+	return zone.Parse(bufio.NewReader(file), origin, filepath.Base(path), root.FS(), nameserver.DefaultMaxRecords)
 }
 
 // printDelta prints a difference and returns the exit code: 1 if there is any.
--- a/cmd/saffronyard/zone_update.go
+++ b/cmd/saffronyard/zone_update.go
@@ -60,7 +60,7 @@
 
 // newUpdate makes an update message of lines (RFC 2136 2.4 and 2.5).
 func newUpdate(name string, lines []string) (*dns.Msg, error) {
-	if !zone.Label(name) {
+	if !zone.IsName(name) {
 		return nil, invalidInput("%q is no zone's name", name)
 	}
 	m := new(dns.Msg).SetUpdate(zone.Name(name))
@@ -88,7 +88,7 @@
 		return invalidInput("%s what?", verb)
 	}
 	name := zone.Name(args[0])
-	if !zone.Label(name) {
+	if !zone.IsName(name) {
 		return invalidInput("%q is no name", args[0])
 	}
 	if verb == "add" {
--- a/internal/features/dns.go
+++ b/internal/features/dns.go
@@ -71,7 +71,7 @@
 	if d == nil {
 		return nil
 	}
-	setDefault(&d.Records, nameserver.DefaultRecords)
+	setDefault(&d.Records, nameserver.DefaultMaxRecords)
 	setDefault(&d.Precedence, membership.NamesFirst.String())
 	usual := membership.DefaultFollowerConfig()
 	setDefault(&d.Keep, tomlfile.Span(usual.Retention))
@@ -151,7 +151,7 @@
 	if m.Destination > maxDestination {
 		return at("destination", "destination %d is over %d", m.Destination, maxDestination)
 	}
-	if !zone.Label(m.Name) {
+	if !zone.IsName(m.Name) {
 		return at("name", "name = %q is no name", m.Name)
 	}
 	if m.SRV == (m.Port != 0) {
@@ -209,7 +209,7 @@
 		}
 		return zone.Name(k)
 	}
-	c := nameserver.ZoneConfig{File: z.File, Primary: z.Primary, Key: key(z.Key), Transfer: canonical(z.TransferKeys), Notify: z.Notify, NotifyKey: key(z.NotifyKey)}
+	c := nameserver.ZoneConfig{File: z.File, Primary: z.Primary, Key: key(z.Key), TransferKeys: canonical(z.TransferKeys), Notify: z.Notify, NotifyKey: key(z.NotifyKey)}
 	if z.Name != "" {
 		c.Name = zone.Name(z.Name)
 	}
@@ -237,7 +237,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &nameserver.Config{Listen: d.Listen, Folder: d.Folder, Keys: keys, Records: d.Records,
+	c := &nameserver.Config{Listen: d.Listen, Folder: d.Folder, Keys: keys, MaxRecords: d.Records,
 		Spans: membership.FollowerConfig{Retention: d.Keep.D(), MaxFlaps: d.Flaps, FlapWindow: d.FlapSpan.D(), Stabilization: d.Settle.D()}}
 	if c.Folder == "" {
 		c.Folder = folder
--- a/internal/features/dns_test.go
+++ b/internal/features/dns_test.go
@@ -48,8 +48,8 @@
 		t.Fatal(err)
 	}
 	m, z := c.Members[0], c.Zones[0]
-	if c.Folder != "state" || c.Spans.Retention != 3*time.Minute || c.Spans.MaxFlaps != 3 || c.Records != 1_000_000 || m.Name != "hooks.member.example.org." || m.Weight != 1 ||
-		m.EmptyAfter != 30*time.Second || z.Name != "member.example.org." || z.Transfer[0] != "xfer." || z.Updates[0].Key != "ops." ||
+	if c.Folder != "state" || c.Spans.Retention != 3*time.Minute || c.Spans.MaxFlaps != 3 || c.MaxRecords != 1_000_000 || m.Name != "hooks.member.example.org." || m.Weight != 1 ||
+		m.EmptyAfter != 30*time.Second || z.Name != "member.example.org." || z.TransferKeys[0] != "xfer." || z.Updates[0].Key != "ops." ||
 		z.Updates[0].Names[0] != "*.member.example.org." || z.Updates[0].Types[1] != dns.TypeSRV || c.Zones[1].Primary != "127.0.0.1:53" {
 		t.Errorf("%+v", c)
 	}
--- a/internal/nameserver/disk.go
+++ b/internal/nameserver/disk.go
@@ -80,8 +80,8 @@
 
 func (osDisk) Touch(name string, t time.Time) error { return os.Chtimes(name, t, t) }
 
-// writeWhole writes a file so that after a crash there is either what was there or all of this.
-func writeWhole(d disk, dir, name string, content []byte) error {
+// writeAtomically writes a file so that after a crash there is either what was there or all of this.
+func writeAtomically(d disk, dir, name string, content []byte) error {
 	tmp := name + ".new"
 	f, err := d.Create(tmp)
 	if err != nil {
@@ -100,4 +100,4 @@
 	return d.SyncDir(dir)
 }
 
-func missing(err error) bool { return errors.Is(err, fs.ErrNotExist) }
+func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/nameserver/follow.go
+++ b/internal/nameserver/follow.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	settleTime = 200 * time.Millisecond  // a file counts as written when it has stood still for so long
-	settleMost = 1500 * time.Millisecond // it is looked at then, whatever: two seconds are all there is
-	writeAfter = 2 * time.Second         // updates are written into the zone's file so long after the first of them
-	lookEvery  = 10 * time.Second        // files are looked at so often besides: a folder may be a mount that tells nothing
+	quietPeriod       = 200 * time.Millisecond  // a file counts as written when it has stood still for so long
+	maxQuietWait      = 1500 * time.Millisecond // it is looked at then, whatever: two seconds are all there is
+	writeBackInterval = 2 * time.Second         // updates are written into the zone's file so long after the first of them
+	pollInterval      = 10 * time.Second        // files are looked at so often besides: a folder may be a mount that tells nothing
 )
 
-// files follows the files of zones: as they change, and now and then besides.
-type files struct {
+// fileWatcher follows the files of zones: as they change, and now and then besides.
+type fileWatcher struct {
 	watcher *fsnotify.Watcher
-	zones   []*served
+	zones   []*managedZone
 	log     *slog.Logger
-	look    chan struct{} // all are looked at now
+	rescan  chan struct{} // all are looked at now
 }
 
-func newFiles(zones []*served, log *slog.Logger) (*files, error) {
+func newFileWatcher(zones []*managedZone, log *slog.Logger) (*fileWatcher, error) {
 	w, err := fsnotify.NewWatcher()
 	if err != nil {
 		return nil, err
 	}
-	f := &files{watcher: w, zones: zones, log: log, look: make(chan struct{}, 1)}
+	f := &fileWatcher{watcher: w, zones: zones, log: log, rescan: make(chan struct{}, 1)}
 	seen := map[string]bool{}
 	for _, z := range zones {
 		// The folder, not the file: editors replace files, and what $INCLUDE names stands beside it.
-		if dir := filepath.Dir(z.c.File); !seen[dir] {
+		if dir := filepath.Dir(z.config.File); !seen[dir] {
 			seen[dir] = true
 			if err := w.Add(dir); err != nil {
 				log.Warn("a folder can't be watched: it is looked at every now and then", "folder", dir, "err", err)
@@ -44,45 +44,45 @@
 	return f, nil
 }
 
-// stamp is what tells that a file has changed.
-type stamp struct {
+// fileStamp is what tells that a file has changed.
+type fileStamp struct {
 	size int64
 	time time.Time
 }
 
-func stampOf(name string) stamp {
+func fileStampOf(name string) fileStamp {
 	info, err := os.Stat(name)
 	if err != nil {
-		return stamp{size: -1}
+		return fileStamp{size: -1}
 	}
-	return stamp{info.Size(), info.ModTime()}
+	return fileStamp{info.Size(), info.ModTime()}
 }
 
-// dirty is a file that has changed, and may be changing still.
-type dirty struct {
-	since, still time.Time
-	stamp        stamp
+// pendingFile is a file that has changed, and may be changing still.
+type pendingFile struct {
+	firstChange, lastChange time.Time
+	stamp                   fileStamp
 }
 
-func (f *files) run(ctx context.Context) {
+func (f *fileWatcher) run(ctx context.Context) {
 	defer f.watcher.Close()
-	waiting := map[*served]*dirty{}
+	waiting := map[*managedZone]*pendingFile{}
 	timer := time.NewTimer(0)
-	every := time.NewTicker(lookEvery)
+	every := time.NewTicker(pollInterval)
 	defer every.Stop()
 	defer timer.Stop()
-	mark := func(z *served) {
+	mark := func(z *managedZone) {
 		now := time.Now()
 		if d := waiting[z]; d != nil {
-			d.still = now
+			d.lastChange = now
 		} else {
-			waiting[z] = &dirty{since: now, still: now, stamp: stampOf(z.c.File)}
+			waiting[z] = &pendingFile{firstChange: now, lastChange: now, stamp: fileStampOf(z.config.File)}
 		}
-		timer.Reset(settleTime / 4)
+		timer.Reset(quietPeriod / 4)
 	}
-	loaded := map[*served]stamp{}
+	loaded := map[*managedZone]fileStamp{}
 	for _, z := range f.zones {
-		loaded[z] = stampOf(z.c.File)
+		loaded[z] = fileStampOf(z.config.File)
 	}
 	for {
 		select {
@@ -93,7 +93,7 @@
 				return
 			}
 			for _, z := range f.zones {
-				if filepath.Dir(e.Name) == filepath.Dir(z.c.File) && !z.own(e.Name) {
+				if filepath.Dir(e.Name) == filepath.Dir(z.config.File) && !z.isOwnFile(e.Name) {
 					mark(z)
 				}
 			}
@@ -105,14 +105,14 @@
 			for _, z := range f.zones {
 				mark(z)
 			}
-		case <-f.look:
+		case <-f.rescan:
 			for _, z := range f.zones {
-				z.load()
-				loaded[z] = stampOf(z.c.File)
+				z.loadFile()
+				loaded[z] = fileStampOf(z.config.File)
 			}
 		case <-every.C:
 			for _, z := range f.zones {
-				if loaded[z] != stampOf(z.c.File) {
+				if loaded[z] != fileStampOf(z.config.File) {
 					mark(z)
 				}
 			}
@@ -120,31 +120,31 @@
 		}
 		now := time.Now()
 		for z, d := range waiting {
-			if s := stampOf(z.c.File); s != d.stamp {
-				d.stamp, d.still = s, now
+			if s := fileStampOf(z.config.File); s != d.stamp {
+				d.stamp, d.lastChange = s, now
 			}
-			if now.Sub(d.still) >= settleTime || now.Sub(d.since) >= settleMost {
+			if now.Sub(d.lastChange) >= quietPeriod || now.Sub(d.firstChange) >= maxQuietWait {
 				delete(waiting, z)
 				loaded[z] = d.stamp
-				z.load() // it tells what is wrong
+				z.loadFile() // it tells what is wrong
 			}
 		}
 		if len(waiting) > 0 {
-			timer.Reset(settleTime / 4)
+			timer.Reset(quietPeriod / 4)
 		}
 	}
 }
 
-// own reports whether a file is one that the daemon itself writes beside the zone's.
-func (z *served) own(name string) bool {
-	return name == z.c.File+".before"
+// isOwnFile reports whether a file is one that the daemon itself writes beside the zone's.
+func (z *managedZone) isOwnFile(name string) bool {
+	return name == z.config.File+".before"
 }
 
 // writeBack writes updates into zones' files, a while after they came.
-func writeBack(ctx context.Context, zones []*served) {
-	every := time.NewTicker(writeAfter)
+func writeBack(ctx context.Context, zones []*managedZone) {
+	every := time.NewTicker(writeBackInterval)
 	defer every.Stop()
-	told := map[*served]string{}
+	told := map[*managedZone]string{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -152,10 +152,10 @@
 		case <-every.C:
 		}
 		for _, z := range zones {
-			if !z.isBehind() {
+			if !z.isFileBehind() {
 				continue
 			}
-			err := z.write()
+			err := z.writeFile()
 			switch {
 			case err == nil:
 				delete(told, z)
--- a/internal/nameserver/keys.go
+++ b/internal/nameserver/keys.go
@@ -27,9 +27,9 @@
 }
 
 const (
-	secretLeast = 16 // bytes: RFC 8945 8 asks for as many as the digest; half of SHA-256's is the least taken
-	keysMost    = 1000
-	fudgeMost   = 300 // seconds: RFC 8945 10's recommendation; one who asks for more gets this
+	minSecretBytes  = 16 // bytes: RFC 8945 8 asks for as many as the digest; half of SHA-256's is the least taken
+	maxKeys         = 1000
+	maxFudgeSeconds = 300 // seconds: RFC 8945 10's recommendation; one who asks for more gets this
 )
 
 func hashOf(algorithm string) (func() hash.Hash, bool) {
@@ -72,7 +72,7 @@
 		if len(f) != 3 {
 			return nil, bad("a line is NAME ALGORITHM SECRET, this one has %d words", len(f))
 		}
-		if !zone.Label(f[0]) {
+		if !zone.IsName(f[0]) {
 			return nil, bad("%q is no name", f[0])
 		}
 		k := Key{Name: zone.Name(f[0]), Algorithm: zone.Name(f[1])}
@@ -82,15 +82,15 @@
 		if k.secret = decodeSecret(f[2]); k.secret == nil {
 			return nil, bad("the secret is no base64")
 		}
-		if len(k.secret) < secretLeast {
-			return nil, bad("the secret has %d bytes; %d is the least", len(k.secret), secretLeast)
+		if len(k.secret) < minSecretBytes {
+			return nil, bad("the secret has %d bytes; %d is the least", len(k.secret), minSecretBytes)
 		}
 		if seen[k.Name] {
 			return nil, bad("key %s is there twice", k.Name)
 		}
 		seen[k.Name] = true
-		if keys = append(keys, k); len(keys) > keysMost {
-			return nil, bad("more than %d keys", keysMost)
+		if keys = append(keys, k); len(keys) > maxKeys {
+			return nil, bad("more than %d keys", maxKeys)
 		}
 	}
 	return keys, nil
@@ -164,7 +164,7 @@
 	if !ok {
 		return fmt.Errorf("there is no key %s", name)
 	}
-	m.SetTsig(k.Name, k.Algorithm, fudgeMost, now)
+	m.SetTsig(k.Name, k.Algorithm, maxFudgeSeconds, now)
 	return nil
 }
 
--- a/internal/nameserver/notify.go
+++ b/internal/nameserver/notify.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	notifyTries = 5
-	notifyPause = time.Second // after the first failure; doubles (RFC 1996 3.6 asks for a timeout and retries)
-	notifyTime  = 2 * time.Second
+	notifyAttempts = 5
+	notifyBackoff  = time.Second // after the first failure; doubles (RFC 1996 3.6 asks for a timeout and retries)
+	notifyTimeout  = 2 * time.Second
 )
 
 // notifier tells secondaries that a zone has changed. While one is told a further change is told after; many changes are
@@ -24,13 +24,13 @@
 	keys  *Keyring
 	ctx   context.Context
 	done  sync.WaitGroup
-	wakes map[*served][]chan struct{}
+	wakes map[*managedZone][]chan struct{}
 }
 
-func newNotifier(ctx context.Context, zones []*served, keys *Keyring, log *slog.Logger) *notifier {
-	n := &notifier{log: log, keys: keys, ctx: ctx, wakes: map[*served][]chan struct{}{}}
+func newNotifier(ctx context.Context, zones []*managedZone, keys *Keyring, log *slog.Logger) *notifier {
+	n := &notifier{log: log, keys: keys, ctx: ctx, wakes: map[*managedZone][]chan struct{}{}}
 	for _, z := range zones {
-		for _, to := range z.c.Notify {
+		for _, to := range z.config.Notify {
 			wake := make(chan struct{}, 1)
 			n.wakes[z] = append(n.wakes[z], wake)
 			n.done.Add(1)
@@ -41,7 +41,7 @@
 					case <-ctx.Done():
 						return
 					case <-wake:
-						n.tell(z, to)
+						n.notify(z, to)
 					}
 				}
 			}()
@@ -50,7 +50,7 @@
 	return n
 }
 
-func (n *notifier) changed(z *served) {
+func (n *notifier) zoneChanged(z *managedZone) {
 	for _, wake := range n.wakes[z] {
 		select {
 		case wake <- struct{}{}:
@@ -59,28 +59,28 @@
 	}
 }
 
-func (n *notifier) tell(z *served, to string) {
-	pause := notifyPause
-	for try := range notifyTries {
-		held := z.now.Load()
+func (n *notifier) notify(z *managedZone, to string) {
+	pause := notifyBackoff
+	for try := range notifyAttempts {
+		held := z.current.Load()
 		if held.Zone == nil {
 			return
 		}
-		m := new(dns.Msg).SetNotify(z.c.Name)
-		m.Answer = zone.Copies([]dns.RR{held.SOA()})
-		if z.c.NotifyKey != "" {
-			if err := n.keys.Sign(m, z.c.NotifyKey, time.Now().Unix()); err != nil {
-				n.log.Error("a secondary can't be notified", "zone", z.c.Name, "to", to, "err", err)
+		m := new(dns.Msg).SetNotify(z.config.Name)
+		m.Answer = zone.CopyRecords([]dns.RR{held.SOA()})
+		if z.config.NotifyKey != "" {
+			if err := n.keys.Sign(m, z.config.NotifyKey, time.Now().Unix()); err != nil {
+				n.log.Error("a secondary can't be notified", "zone", z.config.Name, "to", to, "err", err)
 				return
 			}
 		}
-		c := dns.Client{Net: "udp", Timeout: notifyTime, TsigProvider: n.keys}
+		c := dns.Client{Net: "udp", Timeout: notifyTimeout, TsigProvider: n.keys}
 		r, _, err := c.ExchangeContext(n.ctx, m, to)
 		if err == nil && r.Rcode == dns.RcodeSuccess || n.ctx.Err() != nil {
 			return
 		}
-		if try == notifyTries-1 {
-			n.log.Warn("a secondary was not reached; it will ask by itself", "zone", z.c.Name, "to", to, "err", err)
+		if try == notifyAttempts-1 {
+			n.log.Warn("a secondary was not reached; it will ask by itself", "zone", z.config.Name, "to", to, "err", err)
 			return
 		}
 		select {
--- a/internal/nameserver/primary.go
+++ b/internal/nameserver/primary.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	askTime      = 3 * time.Second  // a question for a SOA
-	connectTime  = 3 * time.Second  // a transfer's connection
-	messageTime  = 10 * time.Second // and the next message of it
-	transferTime = time.Minute      // all of it
-	confirmEvery = 10 * time.Second // that the primary was heard of is noted so often at most
+	queryTimeout    = 3 * time.Second  // a question for a SOA
+	connectTimeout  = 3 * time.Second  // a transfer's connection
+	messageTimeout  = 10 * time.Second // and the next message of it
+	transferTimeout = time.Minute      // all of it
+	confirmInterval = 10 * time.Second // that the primary was heard of is noted so often at most
 )
 
 // secondary follows one zone at its primary.
 type secondary struct {
-	z      *served
+	zone   *managedZone
 	keys   *Keyring
 	events chan zone.SecondaryEvent // NOTIFYs, and how what was asked for ended
 	clock  func() time.Duration
 }
 
-func newSecondary(z *served, keys *Keyring, clock func() time.Duration) *secondary {
-	return &secondary{z: z, keys: keys, events: make(chan zone.SecondaryEvent, 16), clock: clock}
+func newSecondary(z *managedZone, keys *Keyring, clock func() time.Duration) *secondary {
+	return &secondary{zone: z, keys: keys, events: make(chan zone.SecondaryEvent, 16), clock: clock}
 }
 
 // notify passes a NOTIFY on. When many wait already it is dropped: they say the same.
@@ -45,12 +45,12 @@
 // run follows until ctx ends.
 func (s *secondary) run(ctx context.Context) {
 	rules := zone.Secondary{Bounds: zone.DefaultBounds()}
-	if s.z.c.Bounds != nil {
-		rules.Bounds = *s.z.c.Bounds
+	if s.zone.config.Bounds != nil {
+		rules.Bounds = *s.zone.config.Bounds
 	}
 	now := s.clock()
-	if held := s.z.now.Load(); held.Zone != nil {
-		rules.Resume(now, held.SOA(), s.z.store.age(time.Now()))
+	if held := s.zone.current.Load(); held.Zone != nil {
+		rules.Resume(now, held.SOA(), s.zone.store.age(time.Now()))
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -66,28 +66,28 @@
 		case <-timer.C:
 		}
 		now = s.clock()
-		fails := rules.Fails()
+		fails := rules.Failures()
 		for _, a := range rules.Step(now, e) {
 			if a == zone.Expire {
-				s.z.log.Error("the zone has expired: its primary has not been heard of for too long", "primary", s.z.c.Primary)
-				s.z.expire()
+				s.zone.log.Error("the zone has expired: its primary has not been heard of for too long", "primary", s.zone.config.Primary)
+				s.zone.expire()
 				continue
 			}
 			go func() { ended <- s.do(ctx, a) }()
 		}
-		if e.Serial != nil && s.z.now.Load().expired && !rules.Expired() { // the primary says that it is good still
-			if err := s.z.replace(s.z.now.Load().Zone, nil); err != nil {
-				s.z.log.Error("zone", "err", err)
+		if e.Serial != nil && s.zone.current.Load().expired && !rules.Expired() { // the primary says that it is good still
+			if err := s.zone.replace(s.zone.current.Load().Zone, nil); err != nil {
+				s.zone.log.Error("zone", "err", err)
 			}
 		}
-		if (e.Serial != nil || e.Version != nil) && now-confirmed > confirmEvery {
+		if (e.Serial != nil || e.Version != nil) && now-confirmed > confirmInterval {
 			confirmed = now
-			if err := s.z.store.confirmed(time.Now()); err != nil && !missing(err) {
-				s.z.log.Warn("that the primary was heard of can't be noted", "err", err)
+			if err := s.zone.store.markConfirmed(time.Now()); err != nil && !isNotExist(err) {
+				s.zone.log.Warn("that the primary was heard of can't be noted", "err", err)
 			}
 		}
-		if fails > 0 && rules.Fails() == 0 {
-			s.z.log.Info("the primary answers again", "primary", s.z.c.Primary)
+		if fails > 0 && rules.Failures() == 0 {
+			s.zone.log.Info("the primary answers again", "primary", s.zone.config.Primary)
 		}
 		timer.Reset(max(0, min(rules.Next()-s.clock(), time.Hour)))
 	}
@@ -97,65 +97,65 @@
 func (s *secondary) do(ctx context.Context, a zone.SecondaryAction) zone.SecondaryEvent {
 	failed := func(what string, err error) zone.SecondaryEvent {
 		if ctx.Err() == nil {
-			s.z.log.Warn("the primary fails", "primary", s.z.c.Primary, "what", what, "err", err)
+			s.zone.log.Warn("the primary fails", "primary", s.zone.config.Primary, "what", what, "err", err)
 		}
 		return zone.SecondaryEvent{Failed: true}
 	}
-	if a == zone.AskSerial {
+	if a == zone.QuerySerial {
 		serial, err := s.serial(ctx)
 		if err != nil {
 			return failed("serial", err)
 		}
 		return zone.SecondaryEvent{Serial: &serial}
 	}
-	held := s.z.now.Load()
+	held := s.zone.current.Load()
 	before := held.Zone
-	if a == zone.TransferAll {
+	if a == zone.TransferFull {
 		before = nil
 	}
 	rrs, err := s.transfer(ctx, before)
 	var next *zone.Zone
 	var deltas []*zone.Delta
 	if err == nil {
-		next, deltas, err = zone.FromTransfer(s.z.c.Name, before, rrs)
+		next, deltas, err = zone.FromTransfer(s.zone.config.Name, before, rrs)
 	}
-	if err != nil && a == zone.Transfer && ctx.Err() == nil && (errors.Is(err, zone.ErrOther) || errors.Is(err, zone.ErrTransfer) || errors.Is(err, errNoIXFR)) {
-		s.z.log.Warn("the primary's differences do not fit: the zone is asked for whole", "primary", s.z.c.Primary, "err", err)
-		return zone.SecondaryEvent{Misfit: true}
+	if err != nil && a == zone.TransferIncremental && ctx.Err() == nil && (errors.Is(err, zone.ErrOther) || errors.Is(err, zone.ErrTransfer) || errors.Is(err, errNoIXFR)) {
+		s.zone.log.Warn("the primary's differences do not fit: the zone is asked for whole", "primary", s.zone.config.Primary, "err", err)
+		return zone.SecondaryEvent{DeltaRejected: true}
 	}
 	if err == nil {
-		err = s.z.replace(next, deltas)
+		err = s.zone.replace(next, deltas)
 	}
 	if err != nil {
 		return failed("transfer", err)
 	}
-	s.z.log.Info("a version is transferred", "serial", next.Serial(), "records", next.Records(), "differences", len(deltas))
+	s.zone.log.Info("a version is transferred", "serial", next.Serial(), "records", next.Records(), "differences", len(deltas))
 	return zone.SecondaryEvent{Version: next.SOA()}
 }
 
 func (s *secondary) sign(m *dns.Msg) error {
-	if s.z.c.Key == "" {
+	if s.zone.config.Key == "" {
 		return nil
 	}
-	return s.keys.Sign(m, s.z.c.Key, time.Now().Unix())
+	return s.keys.Sign(m, s.zone.config.Key, time.Now().Unix())
 }
 
 // serial asks for the SOA: by UDP, and if the answer is cut off by TCP.
 func (s *secondary) serial(ctx context.Context) (uint32, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	for _, network := range []string{"udp", "tcp"} {
-		q := new(dns.Msg).SetQuestion(s.z.c.Name, dns.TypeSOA)
+		q := new(dns.Msg).SetQuestion(s.zone.config.Name, dns.TypeSOA)
 		q.RecursionDesired = false
 		if err := s.sign(q); err != nil {
 			return 0, err
 		}
-		c := dns.Client{Net: network, Timeout: askTime, TsigProvider: s.keys}
-		r, _, err := c.ExchangeContext(ctx, q, s.z.c.Primary)
+		c := dns.Client{Net: network, Timeout: queryTimeout, TsigProvider: s.keys}
+		r, _, err := c.ExchangeContext(ctx, q, s.zone.config.Primary)
 		if err != nil {
 			return 0, err
 		}
-		if s.z.c.Key != "" && !signedBy(r, s.z.c.Key) {
+		if s.zone.config.Key != "" && !signedBy(r, s.zone.config.Key) {
 			return 0, errUnsigned
 		}
 		if r.Truncated && network == "udp" {
@@ -165,7 +165,7 @@
 			return 0, fmt.Errorf("it answers %s", dns.RcodeToString[r.Rcode])
 		}
 		for _, rr := range r.Answer {
-			if soa, ok := rr.(*dns.SOA); ok && zone.Name(soa.Hdr.Name) == s.z.c.Name {
+			if soa, ok := rr.(*dns.SOA); ok && zone.Name(soa.Hdr.Name) == s.zone.config.Name {
 				return soa.Serial, nil
 			}
 		}
@@ -185,10 +185,10 @@
 // transfer asks for the zone, by differences from before or whole, and reads the answer to its end. With a key each
 // message of it must be signed (RFC 8945 5.3.1 would allow less; what is not signed here is not taken).
 func (s *secondary) transfer(ctx context.Context, before *zone.Zone) ([]dns.RR, error) {
-	ctx, cancel := context.WithTimeout(ctx, transferTime)
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	d := net.Dialer{Timeout: connectTime}
-	conn, err := d.DialContext(ctx, "tcp", s.z.c.Primary)
+	d := net.Dialer{Timeout: connectTimeout}
+	conn, err := d.DialContext(ctx, "tcp", s.zone.config.Primary)
 	if err != nil {
 		return nil, err
 	}
@@ -198,10 +198,10 @@
 
 	q := new(dns.Msg)
 	if before == nil {
-		q.SetAxfr(s.z.c.Name)
+		q.SetAxfr(s.zone.config.Name)
 	} else {
 		soa := before.SOA()
-		q.SetIxfr(s.z.c.Name, soa.Serial, soa.Ns, soa.Mbox)
+		q.SetIxfr(s.zone.config.Name, soa.Serial, soa.Ns, soa.Mbox)
 	}
 	q.RecursionDesired = false
 	var raw []byte
@@ -209,7 +209,7 @@
 	if err := s.sign(q); err != nil {
 		return nil, err
 	}
-	if s.z.c.Key != "" {
+	if s.zone.config.Key != "" {
 		raw, mac, err = dns.TsigGenerateWithProvider(q, s.keys, "", false)
 	} else {
 		raw, err = q.Pack()
@@ -223,7 +223,7 @@
 	var rrs []dns.RR
 	end := transferEnd{}
 	for n := 0; ; n++ {
-		conn.SetReadDeadline(time.Now().Add(messageTime))
+		conn.SetReadDeadline(time.Now().Add(messageTimeout))
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -242,8 +242,8 @@
 		if m.Id != q.Id || !m.Response {
 			return nil, fmt.Errorf("message %d is no answer to the question", n+1)
 		}
-		if s.z.c.Key != "" {
-			if !signedBy(m, s.z.c.Key) {
+		if s.zone.config.Key != "" {
+			if !signedBy(m, s.zone.config.Key) {
 				return nil, fmt.Errorf("message %d: %w", n+1, errUnsigned)
 			}
 			if err := dns.TsigVerifyWithProvider(raw, s.keys, mac, n > 0); err != nil {
@@ -258,8 +258,8 @@
 			return nil, fmt.Errorf("it answers %s", dns.RcodeToString[m.Rcode])
 		}
 		for i, rr := range m.Answer {
-			if rrs = append(rrs, rr); len(rrs) > 2*s.z.most+2 {
-				return nil, fmt.Errorf("more than %d records", 2*s.z.most)
+			if rrs = append(rrs, rr); len(rrs) > 2*s.zone.maxRecords+2 {
+				return nil, fmt.Errorf("more than %d records", 2*s.zone.maxRecords)
 			}
 			if end.take(rr, before); end.over && i < len(m.Answer)-1 {
 				return nil, fmt.Errorf("message %d: %w: more behind its end", n+1, zone.ErrTransfer)
--- a/internal/nameserver/primary_test.go
+++ b/internal/nameserver/primary_test.go
@@ -203,7 +203,7 @@
 	keys := usualKeys(t)
 	good, moved := zoneAt(t, 10, "127.0.0.2"), zoneAt(t, 20, "127.0.0.3")
 	evil := zoneAt(t, 20, "127.0.0.66")
-	fast := zone.Bounds{RefreshLeast: 30 * time.Millisecond, RefreshMost: 30 * time.Millisecond, RetryLeast: 30 * time.Millisecond, RetryMost: 30 * time.Millisecond, ExpireLeast: time.Hour}
+	fast := zone.Bounds{MinRefresh: 30 * time.Millisecond, MaxRefresh: 30 * time.Millisecond, MinRetry: 30 * time.Millisecond, MaxRetry: 30 * time.Millisecond, MinExpire: time.Hour}
 	wrong := keysOf(t, "xfer. hmac-sha512 "+secret("another"))
 	for name, lie := range map[string]struct {
 		kind string // of the question after which it has had its effect, twice
@@ -286,7 +286,7 @@
 // silent for longer than the zone may be served: members keep their addresses, questions are answered SERVFAIL.
 func TestAbsentPrimary(t *testing.T) {
 	l := newLiar(t, nil)
-	fast := zone.Bounds{RefreshLeast: 20 * time.Millisecond, RefreshMost: 20 * time.Millisecond, RetryLeast: 20 * time.Millisecond, RetryMost: 20 * time.Millisecond, ExpireLeast: 300 * time.Millisecond}
+	fast := zone.Bounds{MinRefresh: 20 * time.Millisecond, MaxRefresh: 20 * time.Millisecond, MinRetry: 20 * time.Millisecond, MaxRetry: 20 * time.Millisecond, MinExpire: 300 * time.Millisecond}
 	l.mu.Lock()
 	l.transfer = func(_ *dns.Msg, c net.Conn) {}
 	l.mu.Unlock()
@@ -294,7 +294,7 @@
 	s := begun(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Spans: membership.DefaultFollowerConfig(),
 		Zones:   []ZoneConfig{{Name: "example.", Primary: l.addr, Bounds: &fast}},
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
-	if got := s.Report().Members[0]; got.Answer != "time-out" || len(s.First().Servers) > 0 {
+	if got := s.Report().Members[0]; got.Answer != "time-out" || len(s.Initial().Servers) > 0 {
 		t.Errorf("%+v", got)
 	}
 	f := following(t, s)
@@ -320,7 +320,7 @@
 	expired := func(want bool) {
 		t.Helper()
 		over := time.After(wait)
-		for s.zones["example."].now.Load().expired != want {
+		for s.zones["example."].current.Load().expired != want {
 			select {
 			case <-over:
 				t.Fatalf("expired is not %v", want)
@@ -347,7 +347,7 @@
 	l := newLiar(t, keys)
 	l.gives(10, whole(zoneAt(t, 10, "127.0.0.2")), 100, 0, true)
 	slow := zone.DefaultBounds()
-	slow.RefreshLeast = time.Minute
+	slow.MinRefresh = time.Minute
 	s := begun(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultFollowerConfig(),
 		Zones:   []ZoneConfig{{Name: "example.", Primary: l.addr, Key: "xfer.", Bounds: &slow}},
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
--- a/internal/nameserver/served.go
+++ b/internal/nameserver/served.go
@@ -20,29 +20,29 @@
 const (
 	historyVersions = 1000
 	historyRecords  = 100_000
-	fileMost        = 256 << 20
-	raceTries       = 3
+	maxFileBytes    = 256 << 20
+	writeAttempts   = 3
 )
 
-// served is one zone as it is held. Changes come one at a time, under mu; who reads takes the version that is there.
-type served struct {
-	c    *ZoneConfig
-	disk disk
-	log  *slog.Logger
-	most int                            // records
-	told func(names []string, all bool) // of each change, after it lasts
+// managedZone is one zone as it is held. Changes come one at a time, under mu; who reads takes the version that is there.
+type managedZone struct {
+	config     *ZoneConfig
+	disk       disk
+	log        *slog.Logger
+	maxRecords int                            // records
+	onChange   func(names []string, all bool) // of each change, after it lasts
 
-	now atomic.Pointer[version]
+	current atomic.Pointer[version]
 
-	mu      sync.Mutex
-	history zone.History
-	store   *store // nil where the file is all there is
-	base    *zone.Zone
-	text    []byte // of the file, as it was last read or written
-	wrote   bool   // text is ours: it has no $INCLUDE
-	behind  bool   // the file is to be written: there are updates that it has not
-	fault   string // of the file, as it was told last
-	since   time.Time
+	mu           sync.Mutex
+	history      zone.History
+	store        *store // nil where the file is all there is
+	fileBase     *zone.Zone
+	fileText     []byte // of the file, as it was last read or written
+	wroteFile    bool   // text is ours: it has no $INCLUDE
+	fileBehind   bool   // the file is to be written: there are updates that it has not
+	lastFault    string // of the file, as it was told last
+	currentSince time.Time
 }
 
 // version is what is read without a lock.
@@ -51,10 +51,10 @@
 	expired    bool
 }
 
-func newServed(c *ZoneConfig, d disk, folder string, most int, log *slog.Logger, told func([]string, bool)) *served {
-	z := &served{c: c, disk: d, log: log.With("zone", c.Name), most: most, told: told,
-		history: zone.History{MaxVersions: historyVersions, MaxRecords: historyRecords}, since: time.Now()}
-	z.now.Store(&version{})
+func newManagedZone(c *ZoneConfig, d disk, folder string, most int, log *slog.Logger, told func([]string, bool)) *managedZone {
+	z := &managedZone{config: c, disk: d, log: log.With("zone", c.Name), maxRecords: most, onChange: told,
+		history: zone.History{MaxVersions: historyVersions, MaxRecords: historyRecords}, currentSince: time.Now()}
+	z.current.Store(&version{})
 	if !c.keeps() {
 		return z
 	}
@@ -72,11 +72,11 @@
 	for _, delta := range deltas {
 		z.history.Add(delta)
 	}
-	z.now.Store(&version{Zone: held})
+	z.current.Store(&version{Zone: held})
 	if c.File != "" {
-		if z.base, err = s.base(); err != nil || z.base == nil {
+		if z.fileBase, err = s.readBase(); err != nil || z.fileBase == nil {
 			z.log.Warn("what the file held last is not known: the file is taken for edited by hand", "err", err)
-			z.base = held
+			z.fileBase = held
 		}
 	}
 	return z
@@ -86,42 +86,42 @@
 func (c *ZoneConfig) keeps() bool { return c.Primary != "" || len(c.Updates) > 0 }
 
 // publish makes a version the one that is served. The caller holds mu; the version lasts already, where it is to.
-func (z *served) publish(next *zone.Zone, deltas []*zone.Delta, changed []string, all bool) {
+func (z *managedZone) publish(next *zone.Zone, deltas []*zone.Delta, changed []string, all bool) {
 	for _, d := range deltas {
 		z.history.Add(d)
 	}
-	z.since = time.Now()
-	z.now.Store(&version{Zone: next})
-	z.told(changed, all)
+	z.currentSince = time.Now()
+	z.current.Store(&version{Zone: next})
+	z.onChange(changed, all)
 }
 
 // update applies a signed update (RFC 2136). When it returns without an error the change lasts.
-func (z *served) update(m *dns.Msg, grant *zone.Grant) error {
+func (z *managedZone) update(m *dns.Msg, grant *zone.Grant) error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	held := z.now.Load()
-	if held.Zone == nil || z.c.Primary != "" {
-		return &zone.Refusal{Rcode: dns.RcodeServerFailure, Why: "the zone is not held"}
+	held := z.current.Load()
+	if held.Zone == nil || z.config.Primary != "" {
+		return &zone.Refusal{Rcode: dns.RcodeServerFailure, Reason: "the zone is not held"}
 	}
 	after, changed, err := held.Update(m, grant.Allows)
 	if err != nil || !changed {
 		return err
 	}
-	if after.Records() > z.most {
-		return &zone.Refusal{Rcode: dns.RcodeRefused, Why: fmt.Sprintf("the zone would have more than %d records", z.most)}
+	if after.Records() > z.maxRecords {
+		return &zone.Refusal{Rcode: dns.RcodeRefused, Reason: fmt.Sprintf("the zone would have more than %d records", z.maxRecords)}
 	}
-	touched := names(m.Ns)
+	touched := recordNames(m.Ns)
 	delta := zone.DiffNames(held.Zone, after, touched)
 	if err := z.change(delta, after, touched); err != nil {
 		z.log.Error("an update can't be journalled and is refused", "err", err)
-		return &zone.Refusal{Rcode: dns.RcodeServerFailure, Why: "the update can't be journalled"}
+		return &zone.Refusal{Rcode: dns.RcodeServerFailure, Reason: "the update can't be journalled"}
 	}
-	z.behind = z.c.File != ""
+	z.fileBehind = z.config.File != ""
 	return nil
 }
 
 // change makes a change last and then publishes it. The caller holds mu.
-func (z *served) change(d *zone.Delta, next *zone.Zone, changed []string) error {
+func (z *managedZone) change(d *zone.Delta, next *zone.Zone, changed []string) error {
 	if err := z.store.append(d, next); err != nil {
 		return err
 	}
@@ -129,27 +129,27 @@
 	return nil
 }
 
-// edited is change for a hand edit that was put on what is held.
-func (z *served) edited(held, next *zone.Zone) error {
+// applyEdit is change for a hand edit that was put on what is held.
+func (z *managedZone) applyEdit(held, next *zone.Zone) error {
 	d := zone.Diff(held, next)
-	if err := z.change(d, next, names(d.Removed, d.Added)); err != nil {
+	if err := z.change(d, next, recordNames(d.Removed, d.Added)); err != nil {
 		return fmt.Errorf("the edit can't be journalled: %w", err)
 	}
 	return nil
 }
 
 // replace takes a primary's version: by differences, or whole.
-func (z *served) replace(next *zone.Zone, deltas []*zone.Delta) error {
+func (z *managedZone) replace(next *zone.Zone, deltas []*zone.Delta) error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	held := z.now.Load()
-	if next.Records() > z.most {
-		return fmt.Errorf("the zone has more than %d records", z.most)
+	held := z.current.Load()
+	if next.Records() > z.maxRecords {
+		return fmt.Errorf("the zone has more than %d records", z.maxRecords)
 	}
 	if held.Zone == next {
-		z.now.Store(&version{Zone: next})
+		z.current.Store(&version{Zone: next})
 		if held.expired {
-			z.told(nil, true)
+			z.onChange(nil, true)
 		}
 		return nil
 	}
@@ -164,7 +164,7 @@
 			if zone.NewerSerial(d.To, d.From) {
 				deltas = []*zone.Delta{d}
 			}
-			changed, all = names(d.Removed, d.Added), false
+			changed, all = recordNames(d.Removed, d.Added), false
 		}
 	} else {
 		at := held.Zone
@@ -176,7 +176,7 @@
 			if err := z.store.append(d, at); err != nil {
 				return err
 			}
-			changed = append(changed, names(d.Removed, d.Added)...)
+			changed = append(changed, recordNames(d.Removed, d.Added)...)
 		}
 	}
 	z.publish(next, deltas, changed, all || held.expired)
@@ -184,21 +184,21 @@
 }
 
 // expire makes the zone answer no more.
-func (z *served) expire() {
+func (z *managedZone) expire() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if held := z.now.Load(); held.Zone != nil && !held.expired {
-		z.now.Store(&version{held.Zone, true})
-		z.told(nil, true)
+	if held := z.current.Load(); held.Zone != nil && !held.expired {
+		z.current.Store(&version{held.Zone, true})
+		z.onChange(nil, true)
 	}
 }
 
-// changes gives what changed since a serial, for a transfer of the zone as it is now.
-func (z *served) changes(serial uint32) (now *version, deltas []*zone.Delta, ok bool) {
+// changesSince gives what changed since a serial, for a transfer of the zone as it is now.
+func (z *managedZone) changesSince(serial uint32) (now *version, deltas []*zone.Delta, ok bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	deltas, ok = z.history.Since(serial)
-	return z.now.Load(), deltas, ok
+	return z.current.Load(), deltas, ok
 }
 
 // ---- The followed file
@@ -206,140 +206,140 @@
 var errBeingWritten = errors.New("it does not end with a line end: it is still being written")
 
 // parseFile reads a text that stood in the zone's file.
-func (z *served) parseFile(text []byte) (*zone.Zone, error) {
+func (z *managedZone) parseFile(text []byte) (*zone.Zone, error) {
 	switch {
-	case len(text) > fileMost:
-		return nil, fmt.Errorf("%s: longer than %d bytes", z.c.File, fileMost)
+	case len(text) > maxFileBytes:
+		return nil, fmt.Errorf("%s: longer than %d bytes", z.config.File, maxFileBytes)
 	case len(bytes.TrimSpace(text)) == 0:
-		return nil, fmt.Errorf("%s: it is empty", z.c.File)
+		return nil, fmt.Errorf("%s: it is empty", z.config.File)
 	case text[len(text)-1] != '\n':
-		return nil, fmt.Errorf("%s: %w", z.c.File, errBeingWritten)
+		return nil, fmt.Errorf("%s: %w", z.config.File, errBeingWritten)
 	}
-	root, err := os.OpenRoot(filepath.Dir(z.c.File))
+	root, err := os.OpenRoot(filepath.Dir(z.config.File))
 	if err != nil {
 		return nil, err
 	}
 	defer root.Close()
 	var files fs.FS = root.FS()
-	return zone.Parse(bytes.NewReader(text), z.c.Name, filepath.Base(z.c.File), files, z.most)
+	return zone.Parse(bytes.NewReader(text), z.config.Name, filepath.Base(z.config.File), files, z.maxRecords)
 }
 
-// load reads the file and takes what is new in it. What can't be taken changes nothing, and is told once.
-func (z *served) load() error {
+// loadFile reads the file and takes what is new in it. What can't be taken changes nothing, and is told once.
+func (z *managedZone) loadFile() error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	err := z.loadLocked()
+	err := z.loadFileLocked()
 	switch {
-	case err != nil && err.Error() != z.fault:
-		z.fault = err.Error()
-		if held := z.now.Load(); held.Zone != nil {
+	case err != nil && err.Error() != z.lastFault:
+		z.lastFault = err.Error()
+		if held := z.current.Load(); held.Zone != nil {
 			z.log.Warn("the zone's file is not taken; what is held stays", "err", err, "serial", held.Serial())
 		} else {
 			z.log.Error("the zone's file can't be taken, and nothing is held", "err", err)
 		}
-	case err == nil && z.fault != "":
-		z.fault = ""
-		z.log.Info("the zone's file is sound again", "serial", z.now.Load().Serial())
+	case err == nil && z.lastFault != "":
+		z.lastFault = ""
+		z.log.Info("the zone's file is sound again", "serial", z.current.Load().Serial())
 	}
 	return err
 }
 
-func (z *served) loadLocked() error {
-	text, err := z.disk.ReadFile(z.c.File)
+func (z *managedZone) loadFileLocked() error {
+	text, err := z.disk.ReadFile(z.config.File)
 	if err != nil {
 		return err
 	}
-	return z.take(text)
+	return z.acceptFile(text)
 }
 
-// take takes a text that stands in the file.
-func (z *served) take(text []byte) error {
-	if z.wrote && bytes.Equal(text, z.text) {
+// acceptFile takes a text that stands in the file.
+func (z *managedZone) acceptFile(text []byte) error {
+	if z.wroteFile && bytes.Equal(text, z.fileText) {
 		return nil
 	}
 	read, err := z.parseFile(text)
 	if err != nil {
 		return err
 	}
-	held := z.now.Load()
+	held := z.current.Load()
 	if held.Zone == nil || z.store == nil {
-		return z.takePlain(held, read, text)
+		return z.acceptWholeFile(held, read, text)
 	}
 	// A file that is updated, too: what was edited is put on what is held.
-	next, changed, err := zone.Rebase(z.base, read, held.Zone)
+	next, changed, err := zone.Rebase(z.fileBase, read, held.Zone)
 	if err != nil {
-		return fmt.Errorf("%s: it does not go together with the updates since: %w", z.c.File, err)
+		return fmt.Errorf("%s: it does not go together with the updates since: %w", z.config.File, err)
 	}
-	edited := zone.Diff(z.base, read)
+	edited := zone.Diff(z.fileBase, read)
 	if changed {
-		if err := z.edited(held.Zone, next); err != nil {
+		if err := z.applyEdit(held.Zone, next); err != nil {
 			return err
 		}
 		z.log.Info("the zone's file was edited by hand", "records", edited.Records(), "serial", next.Serial())
 	}
 	if edited.Records() > 0 {
-		if err := z.store.keepBase(read); err != nil {
+		if err := z.store.writeBase(read); err != nil {
 			return fmt.Errorf("what the file holds can't be noted: %w", err)
 		}
-		z.base = read
+		z.fileBase = read
 	}
-	z.text, z.wrote = text, false
-	z.behind = zone.Diff(read, z.now.Load().Zone).Records() > 0
+	z.fileText, z.wroteFile = text, false
+	z.fileBehind = zone.Diff(read, z.current.Load().Zone).Records() > 0
 	return nil
 }
 
-// takePlain is take for a first version, and for a zone that only its file changes.
-func (z *served) takePlain(held *version, read *zone.Zone, text []byte) error {
+// acceptWholeFile is take for a first version, and for a zone that only its file changes.
+func (z *managedZone) acceptWholeFile(held *version, read *zone.Zone, text []byte) error {
 	next := read
 	var deltas []*zone.Delta
 	var changed []string
 	if held.Zone != nil {
-		var what zone.Changed
-		switch next, what = zone.Next(held.Zone, read); what {
+		var what zone.FileChange
+		switch next, what = zone.NextVersion(held.Zone, read); what {
 		case zone.Same:
 			return nil
 		case zone.Backwards:
-			return fmt.Errorf("%s: its serial %d is not newer than %d", z.c.File, read.Serial(), held.Serial())
-		case zone.Forgotten:
+			return fmt.Errorf("%s: its serial %d is not newer than %d", z.config.File, read.Serial(), held.Serial())
+		case zone.SerialReused:
 			z.log.Warn("the zone's file has other data under the same serial: it is taken as the next one", "serial", next.Serial())
 		}
 		d := zone.Diff(held.Zone, next)
-		deltas, changed = []*zone.Delta{d}, names(d.Removed, d.Added)
+		deltas, changed = []*zone.Delta{d}, recordNames(d.Removed, d.Added)
 	}
 	if z.store != nil {
 		if err := z.store.snapshot(next); err != nil {
 			return fmt.Errorf("the zone can't be kept: %w", err)
 		}
-		if err := z.store.keepBase(read); err != nil {
+		if err := z.store.writeBase(read); err != nil {
 			return fmt.Errorf("what the file holds can't be noted: %w", err)
 		}
-		z.base = read
+		z.fileBase = read
 	}
-	z.text, z.wrote = text, false
+	z.fileText, z.wroteFile = text, false
 	z.publish(next, deltas, changed, held.Zone == nil)
 	z.log.Info("the zone's file is taken", "serial", next.Serial(), "records", next.Records())
 	return nil
 }
 
-// write writes updates back into the file. What stood there is kept beside it; if that was edited by hand since it was
+// writeFile writes updates back into the file. What stood there is kept beside it; if that was edited by hand since it was
 // read, the edit is taken first, also one that came in the very moment: the two files change places in one step, and
 // what was there is looked at after.
-func (z *served) write() error {
+func (z *managedZone) writeFile() error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	for range raceTries {
-		if !z.behind {
+	for range writeAttempts {
+		if !z.fileBehind {
 			return nil
 		}
-		if err := z.loadLocked(); err != nil && !missing(err) {
+		if err := z.loadFileLocked(); err != nil && !isNotExist(err) {
 			return fmt.Errorf("the file is not written over what can't be read: %w", err)
 		}
-		held := z.now.Load()
+		held := z.current.Load()
 		var text bytes.Buffer
 		if err := held.Write(&text); err != nil {
 			return err
 		}
-		before, dir := z.c.File+".before", filepath.Dir(z.c.File)
+		before, dir := z.config.File+".before", filepath.Dir(z.config.File)
 		f, err := z.disk.Create(before)
 		if err != nil {
 			return err
@@ -350,15 +350,15 @@
 		if err = errors.Join(err, f.Close()); err != nil {
 			return err
 		}
-		if info, err := os.Stat(z.c.File); err == nil { // it stays readable for who could read it
+		if info, err := os.Stat(z.config.File); err == nil { // it stays readable for who could read it
 			if err := os.Chmod(before, info.Mode().Perm()); err != nil {
 				return err
 			}
 		}
-		known := z.text
-		err = z.disk.Exchange(before, z.c.File)
-		if missing(err) { // the file was taken away: it is there again
-			known, err = nil, z.disk.Rename(before, z.c.File)
+		known := z.fileText
+		err = z.disk.Exchange(before, z.config.File)
+		if isNotExist(err) { // the file was taken away: it is there again
+			known, err = nil, z.disk.Rename(before, z.config.File)
 		}
 		if err != nil {
 			return err
@@ -366,11 +366,11 @@
 		if err := z.disk.SyncDir(dir); err != nil {
 			return err
 		}
-		if err := z.store.keepBase(held.Zone); err != nil {
+		if err := z.store.writeBase(held.Zone); err != nil {
 			return err
 		}
-		base := z.base
-		z.base, z.text, z.wrote, z.behind = held.Zone, bytes.Clone(text.Bytes()), true, false
+		base := z.fileBase
+		z.fileBase, z.fileText, z.wroteFile, z.fileBehind = held.Zone, bytes.Clone(text.Bytes()), true, false
 		if known == nil {
 			return nil
 		}
@@ -388,22 +388,22 @@
 			return fmt.Errorf("what was edited stands in %s: %w", before, err)
 		}
 		if changed {
-			if err := z.edited(held.Zone, next); err != nil {
+			if err := z.applyEdit(held.Zone, next); err != nil {
 				return err
 			}
-			z.behind = true
+			z.fileBehind = true
 		}
 	}
 	return errors.New("the file is edited as often as it is written; it is written later")
 }
 
-func (z *served) isBehind() bool {
+func (z *managedZone) isFileBehind() bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.behind
+	return z.fileBehind
 }
 
-func (z *served) close() error {
+func (z *managedZone) close() error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.store == nil {
--- a/internal/nameserver/server.go
+++ b/internal/nameserver/server.go
@@ -18,32 +18,32 @@
 
 // What one who asks may cost.
 const (
-	tcpMost       = 256             // connections
-	tcpFirst      = 2 * time.Second // for the first message of one
-	tcpIdle       = 8 * time.Second // for the next
-	tcpQueries    = 10_000          // messages on one
-	writeTime     = 5 * time.Second // an answer is taken within this
-	udpAtWork     = 64              // messages; more are dropped
-	udpMost       = 1232            // bytes of an answer: it fits any path unfragmented
-	udpRatio      = 4               // an unsigned question is answered with so many times its size at most
-	signatureRoom = 160             // bytes of an answer's TSIG
-	udpLeast      = 64              // bytes; enough to say that the answer is cut off
-	transferMost  = 4               // at once
-	replayMost    = 10_000          // signatures remembered
-	chunkBytes    = 16 << 10        // of a transfer's message
+	maxTCPConns        = 256             // connections
+	tcpReadTimeout     = 2 * time.Second // for the first message of one
+	tcpIdleTimeout     = 8 * time.Second // for the next
+	maxTCPQueries      = 10_000          // messages on one
+	tcpWriteTimeout    = 5 * time.Second // an answer is taken within this
+	maxUDPConcurrent   = 64              // messages; more are dropped
+	maxUDPBytes        = 1232            // bytes of an answer: it fits any path unfragmented
+	maxAmplification   = 4               // an unsigned question is answered with so many times its size at most
+	tsigBytes          = 160             // bytes of an answer's TSIG
+	minUDPBytes        = 64              // bytes; enough to say that the answer is cut off
+	maxTransfers       = 4               // at once
+	maxReplays         = 10_000          // signatures remembered
+	transferChunkBytes = 16 << 10        // of a transfer's message
 )
 
 // server answers for zones.
 type server struct {
-	zones map[string]*hosted
+	zones map[string]*hostedZone
 	keys  *Keyring
 	log   *slog.Logger
 	clock func() time.Duration
 
 	udp, tcp  *dns.Server
-	listener  *bounded
+	listener  *limitedListener
 	packets   net.PacketConn
-	atWork    chan struct{}
+	udpSlots  chan struct{}
 	transfers chan struct{}
 
 	mu      sync.Mutex
@@ -53,12 +53,12 @@
 	done   sync.WaitGroup
 }
 
-// hosted is a zone with what may be done to it.
-type hosted struct {
-	*served
-	transfer map[string]bool        // keys that may have it whole
-	updates  map[string]*zone.Grant // keys that may change it
-	follows  *secondary             // nil without a primary
+// hostedZone is a zone with what may be done to it.
+type hostedZone struct {
+	*managedZone
+	transferKeys map[string]bool        // keys that may have it whole
+	grants       map[string]*zone.Grant // keys that may change it
+	secondary    *secondary             // nil without a primary
 }
 
 // counters are for operators.
@@ -66,9 +66,9 @@
 	queries, updates, refused, notifies, transfers, dropped atomic.Int64
 }
 
-func newServer(zones map[string]*hosted, keys *Keyring, log *slog.Logger, clock func() time.Duration) *server {
-	return &server{zones: zones, keys: keys, log: log, clock: clock, atWork: make(chan struct{}, udpAtWork),
-		transfers: make(chan struct{}, transferMost), replays: zone.Replays{Most: replayMost}}
+func newServer(zones map[string]*hostedZone, keys *Keyring, log *slog.Logger, clock func() time.Duration) *server {
+	return &server{zones: zones, keys: keys, log: log, clock: clock, udpSlots: make(chan struct{}, maxUDPConcurrent),
+		transfers: make(chan struct{}, maxTransfers), replays: zone.Replays{MaxEntries: maxReplays}}
 }
 
 // listen begins to answer at an address, by UDP and TCP at the same port.
@@ -81,10 +81,10 @@
 	if err != nil {
 		return errors.Join(fmt.Errorf("dns: %w", err), l.Close())
 	}
-	s.listener, s.packets = &bounded{Listener: l, most: tcpMost, conns: map[*askerConn]struct{}{}}, p
+	s.listener, s.packets = &limitedListener{Listener: l, maxConns: maxTCPConns, conns: map[*clientConn]struct{}{}}, p
 	s.udp = &dns.Server{PacketConn: p, Handler: dns.HandlerFunc(s.serveUDP), TsigProvider: s.keys, UDPSize: dns.DefaultMsgSize, MsgAcceptFunc: accept}
 	s.tcp = &dns.Server{Listener: s.listener, Handler: dns.HandlerFunc(s.serveTCP), TsigProvider: s.keys, MsgAcceptFunc: accept,
-		ReadTimeout: tcpFirst, IdleTimeout: func() time.Duration { return tcpIdle }, MaxTCPQueries: tcpQueries}
+		ReadTimeout: tcpReadTimeout, IdleTimeout: func() time.Duration { return tcpIdleTimeout }, MaxTCPQueries: maxTCPQueries}
 	started := make(chan struct{}, 2)
 	for _, one := range []*dns.Server{s.udp, s.tcp} {
 		one.NotifyStartedFunc = func() { started <- struct{}{} }
@@ -143,8 +143,8 @@
 
 func (s *server) serveUDP(w dns.ResponseWriter, m *dns.Msg) {
 	select {
-	case s.atWork <- struct{}{}:
-		defer func() { <-s.atWork }()
+	case s.udpSlots <- struct{}{}:
+		defer func() { <-s.udpSlots }()
 		s.serve(w, m, true)
 	default:
 		s.counts.dropped.Add(1)
@@ -171,11 +171,11 @@
 		r.Question, r.Answer, r.Ns, r.Extra = m.Question, nil, nil, nil
 	}
 	if t != nil {
-		if code := s.verified(w, t); code != dns.RcodeSuccess {
+		if code := s.verifyTSIG(w, t); code != dns.RcodeSuccess {
 			s.counts.refused.Add(1)
 			s.log.Warn("a signed message is refused", "from", w.RemoteAddr().String(), "key", t.Hdr.Name, "why", dns.RcodeToString[int(code)])
 			r.Rcode = dns.RcodeNotAuth
-			s.refuseSigned(w, r, t, code)
+			s.rejectSigned(w, r, t, code)
 			return
 		}
 		signed = zone.Name(t.Hdr.Name)
@@ -186,7 +186,7 @@
 		r.Rcode = s.update(m, t, signed, w.RemoteAddr().String())
 	case dns.OpcodeNotify:
 		s.counts.notifies.Add(1)
-		r.Rcode = s.notified(m, signed, w.RemoteAddr())
+		r.Rcode = s.receiveNotify(m, signed, w.RemoteAddr())
 		r.Authoritative = r.Rcode == dns.RcodeSuccess
 	default:
 		s.counts.queries.Add(1)
@@ -199,7 +199,7 @@
 		}
 	}
 	if udp {
-		s.fit(m, r, signed != "")
+		s.fitUDP(m, r, signed != "")
 	}
 	s.send(w, r, t)
 }
@@ -207,16 +207,16 @@
 // send signs an answer to a signed message (RFC 8945 5.3) and sends it.
 func (s *server) send(w dns.ResponseWriter, r *dns.Msg, t *dns.TSIG) {
 	if t != nil {
-		r.SetTsig(t.Hdr.Name, t.Algorithm, fudgeMost, time.Now().Unix())
+		r.SetTsig(t.Hdr.Name, t.Algorithm, maxFudgeSeconds, time.Now().Unix())
 	}
 	if err := w.WriteMsg(r); err != nil {
 		s.log.Debug("an answer can't be sent", "to", w.RemoteAddr().String(), "err", err)
 	}
 }
 
-// verified is RFC 8945 5.2: BADKEY, BADSIG or BADTIME, in this order. A message may be as old as its fudge says, and no more
+// verifyTSIG is RFC 8945 5.2: BADKEY, BADSIG or BADTIME, in this order. A message may be as old as its fudge says, and no more
 // than five minutes.
-func (s *server) verified(w dns.ResponseWriter, t *dns.TSIG) uint16 {
+func (s *server) verifyTSIG(w dns.ResponseWriter, t *dns.TSIG) uint16 {
 	switch err := w.TsigStatus(); {
 	case errors.Is(err, dns.ErrSecret), errors.Is(err, dns.ErrKeyAlg):
 		return dns.RcodeBadKey
@@ -225,15 +225,15 @@
 	case err != nil:
 		return dns.RcodeBadSig
 	}
-	if now := time.Now().Unix(); now-int64(t.TimeSigned) > fudgeMost || int64(t.TimeSigned)-now > fudgeMost {
+	if now := time.Now().Unix(); now-int64(t.TimeSigned) > maxFudgeSeconds || int64(t.TimeSigned)-now > maxFudgeSeconds {
 		return dns.RcodeBadTime
 	}
 	return dns.RcodeSuccess
 }
 
-// refuseSigned is RFC 8945 5.2.2 and 5.2.3: an unsigned TSIG with the error for a key or signature that is not known, a signed one
+// rejectSigned is RFC 8945 5.2.2 and 5.2.3: an unsigned TSIG with the error for a key or signature that is not known, a signed one
 // with our time for one out of time.
-func (s *server) refuseSigned(w dns.ResponseWriter, r *dns.Msg, t *dns.TSIG, code uint16) {
+func (s *server) rejectSigned(w dns.ResponseWriter, r *dns.Msg, t *dns.TSIG, code uint16) {
 	r.SetTsig(t.Hdr.Name, t.Algorithm, t.Fudge, int64(t.TimeSigned))
 	if sig := r.IsTsig(); sig != nil {
 		sig.Error = code
@@ -247,18 +247,18 @@
 	}
 }
 
-// fit makes an answer by UDP no longer than one who asks takes, and to one who is not known no longer than a few times
+// fitUDP makes an answer by UDP no longer than one who asks takes, and to one who is not known no longer than a few times
 // the question: whoever forges an address gains little by it.
-func (s *server) fit(m, r *dns.Msg, signed bool) {
+func (s *server) fitUDP(m, r *dns.Msg, signed bool) {
 	size := dns.MinMsgSize
 	if opt := m.IsEdns0(); opt != nil {
 		size = max(size, int(opt.UDPSize()))
 	}
-	size = min(size, udpMost)
+	size = min(size, maxUDPBytes)
 	if signed {
-		size -= signatureRoom
+		size -= tsigBytes
 	} else {
-		size = min(size, max(udpLeast, udpRatio*m.Len()))
+		size = min(size, max(minUDPBytes, maxAmplification*m.Len()))
 	}
 	r.Truncate(max(size, dns.MinMsgSize))
 	if r.Len() > size { // the library cuts to no less than 512 bytes
@@ -274,7 +274,7 @@
 }
 
 // find gives the zone for a name: the one with the longest origin.
-func (s *server) find(name string) *hosted {
+func (s *server) find(name string) *hostedZone {
 	for name = zone.Name(name); ; {
 		if z := s.zones[name]; z != nil {
 			return z
@@ -290,7 +290,7 @@
 func (s *server) answer(m, r *dns.Msg) {
 	q := m.Question[0]
 	if opt := m.IsEdns0(); opt != nil {
-		r.SetEdns0(udpMost, false)
+		r.SetEdns0(maxUDPBytes, false)
 		if opt.Version() != 0 {
 			r.Rcode = dns.RcodeBadVers
 			return
@@ -302,15 +302,15 @@
 		r.Rcode = dns.RcodeRefused
 		return
 	}
-	held := z.now.Load()
+	held := z.current.Load()
 	if held.Zone == nil || held.expired {
 		r.Rcode = dns.RcodeServerFailure
 		return
 	}
 	a := held.Answer(q.Name, q.Qtype)
 	r.Rcode, r.Authoritative = a.Rcode, a.Authority
-	r.Answer, r.Ns = zone.Copies(a.Answer), zone.Copies(a.Ns)
-	r.Extra = append(zone.Copies(a.Additional), r.Extra...)
+	r.Answer, r.Ns = zone.CopyRecords(a.Answer), zone.CopyRecords(a.Ns)
+	r.Extra = append(zone.CopyRecords(a.Additional), r.Extra...)
 }
 
 // update is RFC 2136 3, with TSIG for who may.
@@ -330,14 +330,14 @@
 	if z == nil {
 		return refused(dns.RcodeNotAuth, "the zone is not here")
 	}
-	grant := z.updates[signed]
+	grant := z.grants[signed]
 	if grant == nil {
 		return refused(dns.RcodeRefused, "the key may not change the zone")
 	}
 	now := s.clock()
 	s.mu.Lock()
 	// A copy is in time for as long as the message itself: until its time of signing and the fudge are over.
-	left := time.Duration(int64(t.TimeSigned)+fudgeMost+1-time.Now().Unix()) * time.Second
+	left := time.Duration(int64(t.TimeSigned)+maxFudgeSeconds+1-time.Now().Unix()) * time.Second
 	repeat, full := s.replays.Seen(signed, t.MAC, now, now+left)
 	s.mu.Unlock()
 	if repeat {
@@ -350,23 +350,23 @@
 	var r *zone.Refusal
 	switch {
 	case err == nil:
-		s.log.Info("an update is taken", "from", from, "key", signed, "zone", z.c.Name, "serial", z.now.Load().Serial())
+		s.log.Info("an update is taken", "from", from, "key", signed, "zone", z.config.Name, "serial", z.current.Load().Serial())
 		return dns.RcodeSuccess
 	case errors.As(err, &r):
-		return refused(r.Rcode, r.Why)
+		return refused(r.Rcode, r.Reason)
 	}
 	return refused(dns.RcodeServerFailure, err.Error())
 }
 
-// notified is RFC 1996 3: a NOTIFY counts only from the primary, by its address or its key.
-func (s *server) notified(m *dns.Msg, signed string, from net.Addr) int {
+// receiveNotify is RFC 1996 3: a NOTIFY counts only from the primary, by its address or its key.
+func (s *server) receiveNotify(m *dns.Msg, signed string, from net.Addr) int {
 	z := s.zones[zone.Name(m.Question[0].Name)]
-	if z == nil || z.follows == nil {
+	if z == nil || z.secondary == nil {
 		return dns.RcodeNotAuth
 	}
 	host, _, _ := net.SplitHostPort(from.String())
-	primary, _, _ := net.SplitHostPort(z.c.Primary)
-	if z.c.Key != "" && signed != z.c.Key || z.c.Key == "" && host != primary {
+	primary, _, _ := net.SplitHostPort(z.config.Primary)
+	if z.config.Key != "" && signed != z.config.Key || z.config.Key == "" && host != primary {
 		s.counts.refused.Add(1)
 		return dns.RcodeRefused
 	}
@@ -376,7 +376,7 @@
 			serial = soa.Serial
 		}
 	}
-	z.follows.notify(serial)
+	z.secondary.notify(serial)
 	return dns.RcodeSuccess
 }
 
@@ -388,9 +388,9 @@
 		r.Rcode = dns.RcodeNotAuth
 		return false
 	}
-	if signed == "" || !z.transfer[signed] {
+	if signed == "" || !z.transferKeys[signed] {
 		s.counts.refused.Add(1)
-		s.log.Warn("a transfer is refused", "zone", z.c.Name, "to", w.RemoteAddr().String(), "key", signed)
+		s.log.Warn("a transfer is refused", "zone", z.config.Name, "to", w.RemoteAddr().String(), "key", signed)
 		r.Rcode = dns.RcodeRefused
 		return false
 	}
@@ -401,14 +401,14 @@
 			serial, incremental = soa.Serial, true
 		}
 	}
-	held, deltas, known := z.changes(serial)
+	held, deltas, known := z.changesSince(serial)
 	if held.Zone == nil || held.expired {
 		r.Rcode = dns.RcodeServerFailure
 		return false
 	}
 	r.Authoritative = true
 	if incremental && (udp || !zone.NewerSerial(held.Serial(), serial)) { // RFC 1995 2 and 4: the SOA alone
-		r.Answer = zone.Copies([]dns.RR{held.SOA()})
+		r.Answer = zone.CopyRecords([]dns.RR{held.SOA()})
 		return false
 	}
 	if udp || q.Qtype == dns.TypeIXFR && !incremental {
@@ -436,14 +436,14 @@
 	for len(rrs) > 0 {
 		part := new(dns.Msg).SetReply(m)
 		part.Authoritative = true
-		for bytes := 0; len(rrs) > 0 && bytes < chunkBytes; rrs = rrs[1:] {
+		for bytes := 0; len(rrs) > 0 && bytes < transferChunkBytes; rrs = rrs[1:] {
 			part.Answer = append(part.Answer, dns.Copy(rrs[0]))
 			bytes += dns.Len(rrs[0])
 		}
 		t := m.IsTsig()
-		part.SetTsig(t.Hdr.Name, t.Algorithm, fudgeMost, time.Now().Unix())
+		part.SetTsig(t.Hdr.Name, t.Algorithm, maxFudgeSeconds, time.Now().Unix())
 		if err := w.WriteMsg(part); err != nil {
-			s.log.Warn("a transfer was broken off", "zone", z.c.Name, "to", w.RemoteAddr().String(), "err", err)
+			s.log.Warn("a transfer was broken off", "zone", z.config.Name, "to", w.RemoteAddr().String(), "err", err)
 			w.Close()
 			return true
 		}
@@ -453,33 +453,33 @@
 	return true
 }
 
-// bounded is a listener that holds so many connections. At the bound the one goes that has been silent for longest and
+// limitedListener is a listener that holds so many connections. At the bound the one goes that has been silent for longest and
 // was never answered, or has been idle for longest; with none of either the new one.
-type bounded struct {
+type limitedListener struct {
 	net.Listener
-	most int
+	maxConns int
 
 	mu    sync.Mutex
-	conns map[*askerConn]struct{}
+	conns map[*clientConn]struct{}
 }
 
-type askerConn struct {
+type clientConn struct {
 	net.Conn
-	of       *bounded
-	last     atomic.Int64 // Unix nanoseconds of when it came, or was last answered
-	answered atomic.Bool
+	listener   *limitedListener
+	lastActive atomic.Int64 // Unix nanoseconds of when it came, or was last answered
+	answered   atomic.Bool
 }
 
-const idleEnough = time.Second
+const minIdle = time.Second
 
-func (b *bounded) Accept() (net.Conn, error) {
+func (b *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := b.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		a := &askerConn{Conn: c, of: b}
-		a.last.Store(time.Now().UnixNano())
+		a := &clientConn{Conn: c, listener: b}
+		a.lastActive.Store(time.Now().UnixNano())
 		if b.admit(a) {
 			return a, nil
 		}
@@ -487,18 +487,18 @@
 	}
 }
 
-func (b *bounded) admit(a *askerConn) bool {
+func (b *limitedListener) admit(a *clientConn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.conns) >= b.most {
-		var victim *askerConn
+	if len(b.conns) >= b.maxConns {
+		var victim *clientConn
 		for c := range b.conns {
 			if victim == nil || !c.answered.Load() && victim.answered.Load() ||
-				c.answered.Load() == victim.answered.Load() && c.last.Load() < victim.last.Load() {
+				c.answered.Load() == victim.answered.Load() && c.lastActive.Load() < victim.lastActive.Load() {
 				victim = c
 			}
 		}
-		if victim.answered.Load() && time.Now().UnixNano()-victim.last.Load() < int64(idleEnough) {
+		if victim.answered.Load() && time.Now().UnixNano()-victim.lastActive.Load() < int64(minIdle) {
 			return false
 		}
 		delete(b.conns, victim)
@@ -508,7 +508,7 @@
 	return true
 }
 
-func (b *bounded) closeAll() {
+func (b *limitedListener) closeAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for c := range b.conns {
@@ -516,17 +516,17 @@
 	}
 }
 
-func (c *askerConn) Write(p []byte) (int, error) {
-	c.SetWriteDeadline(time.Now().Add(writeTime))
+func (c *clientConn) Write(p []byte) (int, error) {
+	c.SetWriteDeadline(time.Now().Add(tcpWriteTimeout))
 	n, err := c.Conn.Write(p)
 	c.answered.Store(true)
-	c.last.Store(time.Now().UnixNano())
+	c.lastActive.Store(time.Now().UnixNano())
 	return n, err
 }
 
-func (c *askerConn) Close() error {
-	c.of.mu.Lock()
-	delete(c.of.conns, c)
-	c.of.mu.Unlock()
+func (c *clientConn) Close() error {
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/nameserver/service.go
+++ b/internal/nameserver/service.go
@@ -21,26 +21,26 @@
 
 // Config is what is held, served and followed.
 type Config struct {
-	Listen  string // of the server, UDP and TCP; empty: there is none
-	Folder  string // of what must outlast the process
-	Keys    []Key
-	Zones   []ZoneConfig
-	Members []membership.Member
-	Spans   membership.FollowerConfig
-	Records int // of a zone, at most
+	Listen     string // of the server, UDP and TCP; empty: there is none
+	Folder     string // of what must outlast the process
+	Keys       []Key
+	Zones      []ZoneConfig
+	Members    []membership.Member
+	Spans      membership.FollowerConfig
+	MaxRecords int // of a zone, at most
 }
 
 // ZoneConfig is one zone: from a file, which updates may change too, or from a primary.
 type ZoneConfig struct {
-	Name      string // absolute, lower case
-	File      string
-	Primary   string   // address:port
-	Key       string   // signs what the primary is asked
-	Transfer  []string // keys that may have it whole
-	Notify    []string // address:port of secondaries that are told of changes
-	NotifyKey string
-	Updates   []Update
-	Bounds    *zone.Bounds // of what the primary's SOA asks for; nil: the usual ones
+	Name         string // absolute, lower case
+	File         string
+	Primary      string   // address:port
+	Key          string   // signs what the primary is asked
+	TransferKeys []string // keys that may have it whole
+	Notify       []string // address:port of secondaries that are told of changes
+	NotifyKey    string
+	Updates      []Update
+	Bounds       *zone.Bounds // of what the primary's SOA asks for; nil: the usual ones
 }
 
 // Update is what one key may change.
@@ -49,8 +49,8 @@
 	zone.Grant
 }
 
-// DefaultRecords is how many records a zone has at most, unless it is stated.
-const DefaultRecords = 1_000_000
+// DefaultMaxRecords is how many records a zone has at most, unless it is stated.
+const DefaultMaxRecords = 1_000_000
 
 // Check says what is wrong with a configuration.
 func (c *Config) Check() error {
@@ -62,7 +62,7 @@
 			return fmt.Errorf("zone %s: %w", z.Name, fmt.Errorf(format, args...))
 		}
 		switch {
-		case z.Name == "" || !zone.Label(z.Name) || z.Name != zone.Name(z.Name):
+		case z.Name == "" || !zone.IsName(z.Name) || z.Name != zone.Name(z.Name):
 			return bad("it is no zone's name")
 		case seen[z.Name]:
 			return bad("it is there twice")
@@ -72,14 +72,14 @@
 			return bad("what comes from a primary is updated there")
 		}
 		seen[z.Name] = true
-		used := append(append([]string{}, z.Transfer...), z.Key, z.NotifyKey)
+		used := append(append([]string{}, z.TransferKeys...), z.Key, z.NotifyKey)
 		for _, u := range z.Updates {
 			used = append(used, u.Key)
 			if len(u.Names) == 0 {
 				return bad("key %s may change no name", u.Key)
 			}
 			for _, n := range u.Names {
-				if !zone.Label(n) || !zone.Within(z.Name, zone.Name(n)) {
+				if !zone.IsName(n) || !zone.Within(z.Name, zone.Name(n)) {
 					return bad("key %s: %q is no name within it", u.Key, n)
 				}
 			}
@@ -96,7 +96,7 @@
 		}
 	}
 	for _, m := range c.Members {
-		if !zone.Label(m.Name) || m.Name != zone.Name(m.Name) {
+		if !zone.IsName(m.Name) || m.Name != zone.Name(m.Name) {
 			return fmt.Errorf("member %d: %q is no absolute name", m.Destination, m.Name)
 		}
 		if !m.SRV && m.Port == 0 {
@@ -108,25 +108,25 @@
 
 // Service holds zones, serves them, and follows members' names through them. It is a source of endpoints.
 type Service struct {
-	c       *Config
-	log     *slog.Logger
-	keys    *Keyring
-	zones   map[string]*hosted
-	ordered []*served
-	server  *server
-	files   *files
-	start   time.Time
-	stop    context.CancelFunc
-	done    sync.WaitGroup
-	notify  *notifier
+	config   *Config
+	log      *slog.Logger
+	keys     *Keyring
+	zones    map[string]*hostedZone
+	zoneList []*managedZone
+	server   *server
+	files    *fileWatcher
+	start    time.Time
+	stop     context.CancelFunc
+	done     sync.WaitGroup
+	notifier *notifier
 
-	mu       sync.Mutex // the rest
-	follower *membership.Follower
-	rests    map[string]map[int]struct{} // members by the names that their answers rest on
-	on       [][]string                  // and the other way round
-	stale    map[int]struct{}            // members to be asked again
-	wake     chan struct{}
-	first    membership.Update
+	mu            sync.Mutex // the rest
+	follower      *membership.Follower
+	membersByName map[string]map[int]struct{} // members by the names that their answers rest on
+	namesByMember [][]string                  // and the other way round
+	staleMembers  map[int]struct{}            // members to be asked again
+	wake          chan struct{}
+	initial       membership.Update
 }
 
 // Start opens what an earlier process left, reads files, and begins to serve and to follow. A zone that can't be had is
@@ -137,35 +137,35 @@
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	if c.Records == 0 {
-		c.Records = DefaultRecords
+	if c.MaxRecords == 0 {
+		c.MaxRecords = DefaultMaxRecords
 	}
 	if err := os.MkdirAll(c.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("dns: %w", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Service{c: c, log: log, keys: NewKeyring(c.Keys), zones: map[string]*hosted{}, start: time.Now(), stop: stop,
-		follower: membership.NewFollower(c.Members, c.Spans), rests: map[string]map[int]struct{}{}, on: make([][]string, len(c.Members)),
-		stale: map[int]struct{}{}, wake: make(chan struct{}, 1)}
-	var fromFiles []*served
+	s := &Service{config: c, log: log, keys: NewKeyring(c.Keys), zones: map[string]*hostedZone{}, start: time.Now(), stop: stop,
+		follower: membership.NewFollower(c.Members, c.Spans), membersByName: map[string]map[int]struct{}{}, namesByMember: make([][]string, len(c.Members)),
+		staleMembers: map[int]struct{}{}, wake: make(chan struct{}, 1)}
+	var fromFiles []*managedZone
 	for i := range c.Zones {
 		zc := &c.Zones[i]
-		h := &hosted{transfer: map[string]bool{}, updates: map[string]*zone.Grant{}}
-		h.served = newServed(zc, d, c.Folder, c.Records, log, func(names []string, all bool) { s.changed(h.served, names, all) })
-		for _, k := range zc.Transfer {
-			h.transfer[zone.Name(k)] = true
+		h := &hostedZone{transferKeys: map[string]bool{}, grants: map[string]*zone.Grant{}}
+		h.managedZone = newManagedZone(zc, d, c.Folder, c.MaxRecords, log, func(names []string, all bool) { s.zoneChanged(h.managedZone, names, all) })
+		for _, k := range zc.TransferKeys {
+			h.transferKeys[zone.Name(k)] = true
 		}
 		for i := range zc.Updates {
-			h.updates[zone.Name(zc.Updates[i].Key)] = &zc.Updates[i].Grant
+			h.grants[zone.Name(zc.Updates[i].Key)] = &zc.Updates[i].Grant
 		}
 		if zc.File != "" {
-			h.load() // it tells what is wrong
-			fromFiles = append(fromFiles, h.served)
+			h.loadFile() // it tells what is wrong
+			fromFiles = append(fromFiles, h.managedZone)
 		} else {
-			h.follows = newSecondary(h.served, s.keys, s.now)
+			h.secondary = newSecondary(h.managedZone, s.keys, s.now)
 		}
 		s.zones[zc.Name] = h
-		s.ordered = append(s.ordered, h.served)
+		s.zoneList = append(s.zoneList, h.managedZone)
 	}
 	s.server = newServer(s.zones, s.keys, log, s.now)
 	var err error
@@ -176,17 +176,17 @@
 		}
 		log.Info("dns", "listen", s.server.addr(), "zones", len(c.Zones), "members", len(c.Members))
 	}
-	if s.files, err = newFiles(fromFiles, log); err != nil {
+	if s.files, err = newFileWatcher(fromFiles, log); err != nil {
 		stop()
 		return nil, errors.Join(fmt.Errorf("dns: %w", err), s.server.close(), s.closeZones())
 	}
-	notify := newNotifier(ctx, s.ordered, s.keys, log)
+	notify := newNotifier(ctx, s.zoneList, s.keys, log)
 	s.mu.Lock()
-	s.notify = notify
+	s.notifier = notify
 	for i := range c.Members {
-		s.stale[i] = struct{}{}
+		s.staleMembers[i] = struct{}{}
 	}
-	s.first = membership.Update{Servers: s.ask()}
+	s.initial = membership.Update{Servers: s.resolveStale()}
 	s.mu.Unlock()
 	for _, run := range []func(){func() { s.files.run(ctx) }, func() { writeBack(ctx, fromFiles) }} {
 		s.done.Add(1)
@@ -196,11 +196,11 @@
 		}()
 	}
 	for _, h := range s.zones {
-		if h.follows != nil {
+		if h.secondary != nil {
 			s.done.Add(1)
 			go func() {
 				defer s.done.Done()
-				h.follows.run(ctx)
+				h.secondary.run(ctx)
 			}()
 		}
 	}
@@ -213,17 +213,17 @@
 // Address is where the server listens; empty without one.
 func (s *Service) Address() string { return s.server.addr() }
 
-// First is what is known at the start.
-func (s *Service) First() membership.Update {
+// Initial is what is known at the start.
+func (s *Service) Initial() membership.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.first
+	return s.initial
 }
 
 // Destinations are those of which it will speak.
 func (s *Service) Destinations() []uint32 {
 	var all []uint32
-	for _, m := range s.c.Members {
+	for _, m := range s.config.Members {
 		all = append(all, m.Destination)
 	}
 	slices.Sort(all)
@@ -232,7 +232,7 @@
 
 // SetKeys changes the keys in service. One that a zone's settings name must be there still.
 func (s *Service) SetKeys(keys []Key) error {
-	c := *s.c
+	c := *s.config
 	c.Keys = keys
 	if err := c.Check(); err != nil {
 		return err
@@ -241,46 +241,46 @@
 	return nil
 }
 
-// Look has all files read again now.
-func (s *Service) Look() {
+// Rescan has all files read again now.
+func (s *Service) Rescan() {
 	select {
-	case s.files.look <- struct{}{}:
+	case s.files.rescan <- struct{}{}:
 	default:
 	}
 }
 
-// changed books that names of a zone have changed, or all of it.
-func (s *Service) changed(z *served, names []string, all bool) {
+// zoneChanged books that names of a zone have changed, or all of it.
+func (s *Service) zoneChanged(z *managedZone, names []string, all bool) {
 	s.mu.Lock()
-	if all || len(names) > namesMost {
-		for i := range s.c.Members {
-			s.stale[i] = struct{}{}
+	if all || len(names) > maxChangedNames {
+		for i := range s.config.Members {
+			s.staleMembers[i] = struct{}{}
 		}
 	} else {
 		for _, n := range names {
-			s.touched(n, z.c.Name)
+			s.markStale(n, z.config.Name)
 		}
 	}
-	notify := s.notify
+	notify := s.notifier
 	s.mu.Unlock()
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 	if notify != nil {
-		notify.changed(z)
+		notify.zoneChanged(z)
 	}
 }
 
-// namesMost is how many changed names are looked up one by one; with more, all members are asked again.
-const namesMost = 50
+// maxChangedNames is how many changed names are looked up one by one; with more, all members are asked again.
+const maxChangedNames = 50
 
-// touched marks the members whose answers rest on a name that has changed. A name that comes or goes may also be a cut, a
+// markStale marks the members whose answers rest on a name that has changed. A name that comes or goes may also be a cut, a
 // wildcard, or the closest encloser that hides one (RFC 4592 3.3): those below it, or below a name between it and the
 // zone's origin, are asked again too. The caller holds mu.
-func (s *Service) touched(name, origin string) {
-	for i := range s.rests[name] {
-		s.stale[i] = struct{}{}
+func (s *Service) markStale(name, origin string) {
+	for i := range s.membersByName[name] {
+		s.staleMembers[i] = struct{}{}
 	}
 	if name == origin { // each version changes its SOA, which says nothing of others
 		return
@@ -297,47 +297,47 @@
 	if strings.HasPrefix(top, "*.") { // a wildcard at the origin itself speaks for all
 		top = origin
 	}
-	for n, members := range s.rests {
+	for n, members := range s.membersByName {
 		if zone.Within(top, n) {
 			for i := range members {
-				s.stale[i] = struct{}{}
+				s.staleMembers[i] = struct{}{}
 			}
 		}
 	}
 }
 
-// ask asks for the members that are stale and gives the lines that change. The caller holds mu.
-func (s *Service) ask() []membership.Target {
+// resolveStale asks for the members that are stale and gives the lines that change. The caller holds mu.
+func (s *Service) resolveStale() []membership.Target {
 	var heard []membership.Observation
-	for i := range s.stale {
-		for _, n := range s.on[i] {
-			delete(s.rests[n], i)
-			if len(s.rests[n]) == 0 {
-				delete(s.rests, n)
+	for i := range s.staleMembers {
+		for _, n := range s.namesByMember[i] {
+			delete(s.membersByName[n], i)
+			if len(s.membersByName[n]) == 0 {
+				delete(s.membersByName, n)
 			}
 		}
-		a, on := membership.Resolve(s.held, &s.c.Members[i])
-		s.on[i] = on
+		a, on := membership.Resolve(s.findZone, &s.config.Members[i])
+		s.namesByMember[i] = on
 		for _, n := range on {
-			if s.rests[n] == nil {
-				s.rests[n] = map[int]struct{}{}
+			if s.membersByName[n] == nil {
+				s.membersByName[n] = map[int]struct{}{}
 			}
-			s.rests[n][i] = struct{}{}
+			s.membersByName[n][i] = struct{}{}
 		}
 		heard = append(heard, membership.Observation{Member: i, Answer: a})
 	}
-	clear(s.stale)
+	clear(s.staleMembers)
 	slices.SortFunc(heard, func(a, b membership.Observation) int { return cmp.Compare(a.Member, b.Member) })
 	return s.follower.Step(s.now(), heard)
 }
 
-// held finds the zone for a name.
-func (s *Service) held(name string) (membership.ZoneState, bool) {
+// findZone finds the zone for a name.
+func (s *Service) findZone(name string) (membership.ZoneState, bool) {
 	h := s.server.find(name)
 	if h == nil {
 		return membership.ZoneState{}, false
 	}
-	v := h.now.Load()
+	v := h.current.Load()
 	return membership.ZoneState{Zone: v.Zone, Expired: v.expired}, true
 }
 
@@ -347,7 +347,7 @@
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		lines := s.ask()
+		lines := s.resolveStale()
 		next := s.follower.Next()
 		s.mu.Unlock()
 		if len(lines) > 0 {
@@ -365,7 +365,7 @@
 
 func (s *Service) closeZones() error {
 	var err error
-	for _, z := range s.ordered {
+	for _, z := range s.zoneList {
 		err = errors.Join(err, z.close())
 	}
 	return err
@@ -376,7 +376,7 @@
 	s.stop()
 	err := s.server.close()
 	s.done.Wait()
-	s.notify.done.Wait()
+	s.notifier.done.Wait()
 	return errors.Join(err, s.closeZones())
 }
 
@@ -405,13 +405,13 @@
 // Report tells what is held and where members are.
 func (s *Service) Report() Report {
 	r := Report{Address: s.Address(), Zones: []ZoneState{}, Counts: map[string]int64{}}
-	for _, z := range s.ordered {
+	for _, z := range s.zoneList {
 		z.mu.Lock()
-		v := z.now.Load()
-		st := ZoneState{Name: z.c.Name, From: z.c.File, State: "held", Behind: z.behind, Fault: z.fault, ForMS: time.Since(z.since).Milliseconds()}
+		v := z.current.Load()
+		st := ZoneState{Name: z.config.Name, From: z.config.File, State: "held", Behind: z.fileBehind, Fault: z.lastFault, ForMS: time.Since(z.currentSince).Milliseconds()}
 		z.mu.Unlock()
-		if z.c.Primary != "" {
-			st.From = z.c.Primary
+		if z.config.Primary != "" {
+			st.From = z.config.Primary
 		}
 		switch {
 		case v.Zone == nil:
--- a/internal/nameserver/service_test.go
+++ b/internal/nameserver/service_test.go
@@ -59,7 +59,7 @@
 		put(t, path, zoneText)
 	}
 	return &Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "state"), Keys: usualKeys(t), Spans: membership.DefaultFollowerConfig(),
-		Zones:   []ZoneConfig{{Name: "example.", File: path, Transfer: []string{"xfer."}, Updates: []Update{{Key: "ops.", Grant: everything()}}}},
+		Zones:   []ZoneConfig{{Name: "example.", File: path, TransferKeys: []string{"xfer."}, Updates: []Update{{Key: "ops.", Grant: everything()}}}},
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}}
 }
 
@@ -90,7 +90,7 @@
 		f.mu.Unlock()
 		f.change <- struct{}{}
 	}
-	take(s.First())
+	take(s.Initial())
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -155,7 +155,7 @@
 
 func addressesOf(s *Service, name string) []string {
 	var out []string
-	for _, rr := range s.zones["example."].now.Load().Set(name, dns.TypeA) {
+	for _, rr := range s.zones["example."].current.Load().Set(name, dns.TypeA) {
 		out = append(out, rr.(*dns.A).A.String())
 	}
 	return out
@@ -179,18 +179,18 @@
 		t.Fatal(err)
 	}
 	s = begun(t, updated(t, dir)) // between an update's answer and its effect elsewhere: as if killed, the file is old
-	if got := s.First().Servers; len(got) != 1 || got[0].Addr != "127.0.0.3:80" {
+	if got := s.Initial().Servers; len(got) != 1 || got[0].Addr != "127.0.0.3:80" {
 		t.Fatalf("after a restart it is at %v", got)
 	}
 	z := s.zones["example."]
-	if !z.isBehind() {
+	if !z.isFileBehind() {
 		t.Fatal("the file is not known to be behind")
 	}
-	if err := z.write(); err != nil {
+	if err := z.writeFile(); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(c.Zones[0].File)
-	if err != nil || !strings.Contains(string(text), "127.0.0.3") || z.isBehind() {
+	if err != nil || !strings.Contains(string(text), "127.0.0.3") || z.isFileBehind() {
 		t.Fatalf("the file has %s (%v)", text, err)
 	}
 	if info, err := os.Stat(c.Zones[0].File); err != nil || info.Mode().Perm() != 0o644 {
@@ -220,7 +220,7 @@
 		return r
 	}
 	other := keysOf(t, "ops. hmac-sha256 "+secret("wrong"), "stranger. hmac-sha256 "+secret("s"))
-	before := s.zones["example."].now.Load().Zone
+	before := s.zones["example."].current.Load().Zone
 	for _, c := range []struct {
 		name        string
 		r           *dns.Msg
@@ -269,7 +269,7 @@
 			}
 		}
 	}
-	d := zone.Diff(before, s.zones["example."].now.Load().Zone)
+	d := zone.Diff(before, s.zones["example."].current.Load().Zone)
 	if got := addressesOf(s, "hooks.example."); !slices.Equal(got, []string{"127.0.0.6"}) || d.To != 12 || d.Records() != 4 {
 		t.Errorf("a trace was left: %v %+v", got, d)
 	}
@@ -343,7 +343,7 @@
 		t.Fatal(err)
 	}
 	first, _, err := zone.FromTransfer("example.", nil, rrs)
-	if err != nil || zone.Diff(first, s.zones["example."].now.Load().Zone).Records() > 0 {
+	if err != nil || zone.Diff(first, s.zones["example."].current.Load().Zone).Records() > 0 {
 		t.Fatal("another zone", err)
 	}
 	for i := range 3 {
@@ -357,7 +357,7 @@
 		t.Fatal(err)
 	}
 	next, deltas, err := zone.FromTransfer("example.", first, rrs)
-	if err != nil || len(deltas) != 3 || len(rrs) > 20 || zone.Diff(next, s.zones["example."].now.Load().Zone).Records() > 0 {
+	if err != nil || len(deltas) != 3 || len(rrs) > 20 || zone.Diff(next, s.zones["example."].current.Load().Zone).Records() > 0 {
 		t.Fatalf("%d records, %d differences, %v", len(rrs), len(deltas), err)
 	}
 	for key, want := range map[string]int{"": dns.RcodeRefused, "ops.": dns.RcodeRefused} {
@@ -387,7 +387,7 @@
 	}
 	s.Close() // the primary is gone: what a restarted secondary holds is what it held
 	two = begun(t, second)
-	if got := two.First().Servers; len(got) != 1 || got[0].Addr != "127.0.1.77:80" {
+	if got := two.Initial().Servers; len(got) != 1 || got[0].Addr != "127.0.1.77:80" {
 		t.Errorf("after a restart without its primary: %v", got)
 	}
 }
@@ -405,7 +405,7 @@
 	for name, text := range map[string]string{"empty": "", "blank": "\n\n", "no SOA": "ns 300 IN A 127.0.0.1\n", "torn": zoneText[:len(zoneText)-3], "no line end": strings.TrimSuffix(zoneText, "\n"),
 		"rubbish": "\x00\x01\x02\n", "serial back": strings.Replace(strings.Replace(zoneText, "h 10", "h 9", 1), "0.0.2", "0.0.9", 1)} {
 		put(t, path, text)
-		if err := z.load(); err == nil || z.fault == "" {
+		if err := z.loadFile(); err == nil || z.lastFault == "" {
 			t.Errorf("%s: taken", name)
 		}
 		if got := addressesOf(s, "hooks.example."); !slices.Equal(got, []string{"127.0.0.2"}) {
@@ -413,7 +413,7 @@
 		}
 	}
 	os.Remove(path)
-	if err := z.load(); !missing(err) {
+	if err := z.loadFile(); !isNotExist(err) {
 		t.Error("a file that is gone:", err)
 	}
 	// Now by itself: replaced, and then written in place in two halves.
@@ -432,7 +432,7 @@
 	f.until(t, "127.0.0.4")
 	put(t, path, strings.Replace(next, "127.0.0.4", "127.0.0.5", 1)) // the serial was forgotten
 	f.until(t, "127.0.0.5")
-	if got := z.now.Load().Serial(); got != 31 {
+	if got := z.current.Load().Serial(); got != 31 {
 		t.Errorf("serial %d", got)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "more.inc"), []byte("hooks 300 IN A 127.0.0.6\n"), 0o644); err != nil {
@@ -461,7 +461,7 @@
 		t.Fatal(err)
 	}
 	put(t, path, zoneText+"b 300 IN A 127.0.2.2\n")
-	if err := z.write(); err != nil {
+	if err := z.writeFile(); err != nil {
 		t.Fatal(err)
 	}
 	text, _ := os.ReadFile(path)
@@ -474,7 +474,7 @@
 	d.before = func() { // between the last look and the exchange
 		put(t, path, string(text)+"d 300 IN A 127.0.2.4\n")
 	}
-	if err := z.write(); err != nil {
+	if err := z.writeFile(); err != nil {
 		t.Fatal(err)
 	}
 	text, _ = os.ReadFile(path)
@@ -488,14 +488,14 @@
 		t.Fatal(err)
 	}
 	put(t, path, "half a thou")
-	if err := z.write(); err == nil {
+	if err := z.writeFile(); err == nil {
 		t.Error("a file that is being written was written over")
 	}
 	if now, _ := os.ReadFile(path); string(now) != "half a thou" {
 		t.Errorf("%s", now)
 	}
 	os.Remove(path)
-	if err := z.write(); err != nil {
+	if err := z.writeFile(); err != nil {
 		t.Error(err)
 	}
 	if now, _ := os.ReadFile(path); !strings.Contains(string(now), "127.0.2.5") {
@@ -661,7 +661,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if n > max(udpLeast, udpRatio*len(raw)) {
+				if n > max(minUDPBytes, maxAmplification*len(raw)) {
 					t.Errorf("%s %s, EDNS %d: %d bytes for %d", name, dns.Type(kind), edns, n, len(raw))
 				}
 				r := new(dns.Msg)
@@ -695,7 +695,7 @@
 			c.Close()
 		}
 	}()
-	for i := range 2 * tcpMost {
+	for i := range 2 * maxTCPConns {
 		conn, err := net.Dial("tcp", s.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -711,7 +711,7 @@
 	s.server.listener.mu.Lock()
 	held := len(s.server.listener.conns)
 	s.server.listener.mu.Unlock()
-	if held > tcpMost {
+	if held > maxTCPConns {
 		t.Errorf("%d connections are held", held)
 	}
 	flood, err := net.Dial("udp", s.Address())
@@ -751,7 +751,7 @@
 		"twice":                 func(c *Config) { c.Zones = append(c.Zones, c.Zones[0]) },
 		"one of them":           func(c *Config) { c.Zones[0].Primary = "127.0.0.1:53" },
 		"updated there":         func(c *Config) { c.Zones[0].File, c.Zones[0].Primary = "", "127.0.0.1:53" },
-		"there is no key nope.": func(c *Config) { c.Zones[0].Transfer = []string{"nope."} },
+		"there is no key nope.": func(c *Config) { c.Zones[0].TransferKeys = []string{"nope."} },
 		"may change no name":    func(c *Config) { c.Zones[0].Updates[0].Names = nil },
 		"no name within":        func(c *Config) { c.Zones[0].Updates[0].Names = []string{"x.other."} },
 		"no address:port":       func(c *Config) { c.Zones[0].Notify = []string{"127.0.0.1"} },
@@ -884,7 +884,7 @@
 	var conn *dns.Conn
 	asked := 0
 	exchange := func(b *testing.B, m *dns.Msg) {
-		if asked%(tcpQueries/2) == 0 { // the server ends a connection after so many
+		if asked%(maxTCPQueries/2) == 0 { // the server ends a connection after so many
 			var err error
 			if conn, err = dns.DialTimeout("tcp", s.Address(), wait); err != nil {
 				b.Fatal(err)
--- a/internal/nameserver/store.go
+++ b/internal/nameserver/store.go
@@ -27,22 +27,22 @@
 // already: the zone was replaced, and the crash came before the new journal. What a crash cut off at the journal's end had
 // not been answered.
 type store struct {
-	disk    disk
-	dir     string
-	name    string // without its ending
-	origin  string
-	epoch   uint64
-	journal file
-	size    int64 // of the journal
-	most    int64 // it is folded into a new snapshot beyond
-	broken  error // the journal may not be added to: a new snapshot makes it good
+	disk            disk
+	dir             string
+	name            string // without its ending
+	origin          string
+	epoch           uint64
+	journal         file
+	size            int64 // of the journal
+	maxJournalBytes int64 // it is folded into a new snapshot beyond
+	broken          error // the journal may not be added to: a new snapshot makes it good
 }
 
 const (
-	zoneMagic    = "SYZONE1\n"
-	journalMagic = "SYJOUR1\n"
-	headSize     = 20
-	journalLeast = 1 << 20
+	zoneMagic       = "SYZONE1\n"
+	journalMagic    = "SYJOUR1\n"
+	headerSize      = 20
+	minJournalBytes = 1 << 20
 )
 
 // errDamaged says that a file of the store is neither whole nor merely cut off.
@@ -64,44 +64,44 @@
 	return strings.ReplaceAll(b.String(), "..", ".%2e")
 }
 
-func head(magic string, epoch uint64) []byte {
+func newHeader(magic string, epoch uint64) []byte {
 	h := binary.BigEndian.AppendUint64([]byte(magic), epoch)
 	return binary.BigEndian.AppendUint32(h, crc32.Checksum(h, crc32.MakeTable(crc32.Castagnoli)))
 }
 
-// epochOf reads a head; false if it is none, or damaged.
-func epochOf(magic string, raw []byte) (uint64, bool) {
-	if len(raw) < headSize {
+// parseHeader reads a head; false if it is none, or damaged.
+func parseHeader(magic string, raw []byte) (uint64, bool) {
+	if len(raw) < headerSize {
 		return 0, false
 	}
 	epoch := binary.BigEndian.Uint64(raw[len(magic):])
-	return epoch, bytes.Equal(raw[:headSize], head(magic, epoch))
+	return epoch, bytes.Equal(raw[:headerSize], newHeader(magic, epoch))
 }
 
 // openStore reads what an earlier process left: the zone, nil if there is none, and the differences that the journal
 // holds, for the history. Damage is no zone and an error, and the damaged file stays as it is until the zone is had
 // again; warn is for what was cut off.
 func openStore(d disk, dir, origin string) (s *store, z *zone.Zone, deltas []*zone.Delta, warn, err error) {
-	s = &store{disk: d, dir: dir, name: filepath.Join(dir, fileName(origin)), origin: origin, most: journalLeast,
+	s = &store{disk: d, dir: dir, name: filepath.Join(dir, fileName(origin)), origin: origin, maxJournalBytes: minJournalBytes,
 		broken: errors.New("there is no snapshot yet")}
 	z, s.epoch, err = s.read(s.name + ".zone")
 	if err != nil || z == nil {
 		return s, nil, nil, nil, err
 	}
 	raw, err := d.ReadFile(s.name + ".journal")
-	if missing(err) {
+	if isNotExist(err) {
 		return s, z, nil, nil, nil // the next change writes both anew
 	}
 	if err != nil {
 		return s, nil, nil, nil, err
 	}
-	switch epoch, ok := epochOf(journalMagic, raw); {
+	switch epoch, ok := parseHeader(journalMagic, raw); {
 	case !ok || epoch > s.epoch:
 		return s, nil, nil, nil, fmt.Errorf("%s: %w", s.name+".journal", errDamaged)
 	case epoch < s.epoch:
 		return s, z, nil, nil, nil // the next change writes both anew
 	}
-	at := headSize
+	at := headerSize
 	for at < len(raw) {
 		delta, n, err := zone.ReadDelta(raw[at:])
 		if err != nil {
@@ -127,18 +127,18 @@
 // read reads a whole zone; none and no error if there is no such file.
 func (s *store) read(name string) (*zone.Zone, uint64, error) {
 	raw, err := s.disk.ReadFile(name)
-	if missing(err) {
+	if isNotExist(err) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	epoch, ok := epochOf(zoneMagic, raw)
+	epoch, ok := parseHeader(zoneMagic, raw)
 	if !ok {
 		return nil, 0, fmt.Errorf("%s: %w", name, errDamaged)
 	}
-	d, n, err := zone.ReadDelta(raw[headSize:])
-	if err != nil || headSize+n != len(raw) {
+	d, n, err := zone.ReadDelta(raw[headerSize:])
+	if err != nil || headerSize+n != len(raw) {
 		return nil, 0, fmt.Errorf("%s: %w: %w", name, errDamaged, errors.Join(err))
 	}
 	z, err := zone.New(s.origin, d.Added)
@@ -148,8 +148,8 @@
 	return z, epoch, nil
 }
 
-func encode(z *zone.Zone, epoch uint64) ([]byte, error) {
-	return (&zone.Delta{To: z.Serial(), Added: z.List()}).Append(head(zoneMagic, epoch))
+func encodeSnapshot(z *zone.Zone, epoch uint64) ([]byte, error) {
+	return (&zone.Delta{To: z.Serial(), Added: z.List()}).Append(newHeader(zoneMagic, epoch))
 }
 
 // snapshot writes the zone whole, and begins a new journal.
@@ -159,27 +159,27 @@
 		s.journal.Close() // what it held is in the snapshot, or stays as it is
 		s.journal = nil
 	}
-	raw, err := encode(z, s.epoch+1)
+	raw, err := encodeSnapshot(z, s.epoch+1)
 	if err != nil {
 		return err
 	}
-	if err := writeWhole(s.disk, s.dir, s.name+".zone", raw); err != nil {
+	if err := writeAtomically(s.disk, s.dir, s.name+".zone", raw); err != nil {
 		return err
 	}
 	s.epoch++
-	if err := writeWhole(s.disk, s.dir, s.name+".journal", head(journalMagic, s.epoch)); err != nil {
+	if err := writeAtomically(s.disk, s.dir, s.name+".journal", newHeader(journalMagic, s.epoch)); err != nil {
 		return err
 	}
 	if s.journal, s.size, err = s.disk.Append(s.name + ".journal"); err != nil {
 		return err
 	}
-	s.broken, s.most = nil, max(journalLeast, int64(len(raw)))
+	s.broken, s.maxJournalBytes = nil, max(minJournalBytes, int64(len(raw)))
 	return nil
 }
 
 // append makes a change last; after is the zone with it. Only when it returns nil may anyone be told of the change.
 func (s *store) append(d *zone.Delta, after *zone.Zone) error {
-	if s.broken != nil || s.size > s.most {
+	if s.broken != nil || s.size > s.maxJournalBytes {
 		return s.snapshot(after)
 	}
 	raw, err := d.Append(nil)
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// confirmed notes when the primary last said that the zone is as it is held; age is how long ago that was.
-func (s *store) confirmed(now time.Time) error { return s.disk.Touch(s.name+".zone", now) }
+// markConfirmed notes when the primary last said that the zone is as it is held; age is how long ago that was.
+func (s *store) markConfirmed(now time.Time) error { return s.disk.Touch(s.name+".zone", now) }
 
 func (s *store) age(now time.Time) time.Duration {
 	var last time.Time
@@ -213,16 +213,16 @@
 	return max(0, now.Sub(last))
 }
 
-// keepBase and base are the zone that a followed file held when it was last read or written.
-func (s *store) keepBase(z *zone.Zone) error {
-	raw, err := encode(z, 0)
+// writeBase and base are the zone that a followed file held when it was last read or written.
+func (s *store) writeBase(z *zone.Zone) error {
+	raw, err := encodeSnapshot(z, 0)
 	if err != nil {
 		return err
 	}
-	return writeWhole(s.disk, s.dir, s.name+".base", raw)
+	return writeAtomically(s.disk, s.dir, s.name+".base", raw)
 }
 
-func (s *store) base() (*zone.Zone, error) {
+func (s *store) readBase() (*zone.Zone, error) {
 	z, _, err := s.read(s.name + ".base")
 	return z, err
 }
@@ -234,8 +234,8 @@
 	return s.journal.Close()
 }
 
-// names are those that a message's or a difference's records stand at.
-func names(rrs ...[]dns.RR) []string {
+// recordNames are those that a message's or a difference's records stand at.
+func recordNames(rrs ...[]dns.RR) []string {
 	var out []string
 	seen := map[string]bool{}
 	for _, list := range rrs {
--- a/internal/nameserver/store_test.go
+++ b/internal/nameserver/store_test.go
@@ -228,26 +228,26 @@
 
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-func onDisk(d disk) *served {
+func onDisk(d disk) *managedZone {
 	c := &ZoneConfig{Name: "example.", Updates: []Update{{Key: "k.", Grant: everything()}}}
-	return newServed(c, d, "state", 100_000, quiet(), func([]string, bool) {})
+	return newManagedZone(c, d, "state", 100_000, quiet(), func([]string, bool) {})
 }
 
 func everything() zone.Grant { return zone.Grant{Names: []string{"example.", "*.example."}} }
 
 // run makes a zone and updates it so often, with a journal that is folded now and then; it says which of the updates were
 // answered, and which were told that they are refused.
-func run(t *testing.T, z *served, updates int) (answered int, refused []int) {
+func run(t *testing.T, z *managedZone, updates int) (answered int, refused []int) {
 	t.Helper()
 	g := everything()
-	if z.now.Load().Zone == nil {
+	if z.current.Load().Zone == nil {
 		first := parseZone(t, zoneText)
 		if err := z.replace(first, nil); err != nil {
 			return -1, nil
 		}
 	}
 	for i := range updates {
-		z.store.most = 400 // so that it is folded every few updates
+		z.store.maxJournalBytes = 400 // so that it is folded every few updates
 		if err := z.update(moved(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
 			refused = append(refused, i)
 			continue
@@ -276,14 +276,14 @@
 					at := fmt.Sprintf("dead at step %d, torn %v, renames %v, keep %v", dies, torn, renames, keep)
 					next := d.crash(renames, keep)
 					z := onDisk(next)
-					held := z.now.Load()
+					held := z.current.Load()
 					if held.Zone == nil {
 						if answered > 0 {
 							t.Fatalf("%s: the zone is gone", at)
 						}
 						continue
 					}
-					if held.Serial() > 12 && len(next.files["state/example.journal"].data) == headSize {
+					if held.Serial() > 12 && len(next.files["state/example.journal"].data) == headerSize {
 						folded = true
 					}
 					last := int(held.Serial()) - 10
@@ -299,7 +299,7 @@
 					if more, _ := run(t, z, 2); more != 2 {
 						t.Fatalf("%s: it does not go on", at)
 					}
-					if z = onDisk(next.crash(false, 0)); z.now.Load().Set("hooks.example.", dns.TypeA)[0].(*dns.A).A.String() != "127.0.1.2" {
+					if z = onDisk(next.crash(false, 0)); z.current.Load().Set("hooks.example.", dns.TypeA)[0].(*dns.A).A.String() != "127.0.1.2" {
 						t.Fatalf("%s: what was answered after is gone", at)
 					}
 				}
@@ -330,13 +330,13 @@
 			}
 			for i := range 20 {
 				g := everything()
-				z.store.most = 400
+				z.store.maxJournalBytes = 400
 				if err := z.update(moved(t, "example.", "hooks.example.", fmt.Sprintf("127.0.1.%d", i+1)), &g); err != nil {
 					refused = append(refused, i)
 					continue
 				}
 				answered = i + 1
-				if a := onDisk(d.crash(false, 0)).now.Load().Set("hooks.example.", dns.TypeA); len(a) != 1 || a[0].(*dns.A).A.String() != fmt.Sprintf("127.0.1.%d", answered) {
+				if a := onDisk(d.crash(false, 0)).current.Load().Set("hooks.example.", dns.TypeA); len(a) != 1 || a[0].(*dns.A).A.String() != fmt.Sprintf("127.0.1.%d", answered) {
 					t.Fatalf("failing at %d for %d: update %d was answered, and a crash then leaves %v", at, span, answered, a)
 				}
 			}
@@ -346,7 +346,7 @@
 			if at < whole.step-3 && at > 12 && len(refused) == 0 && span == 10 {
 				t.Errorf("failing at %d for %d: nothing was refused", at, span)
 			}
-			next := onDisk(d.crash(false, 0)).now.Load()
+			next := onDisk(d.crash(false, 0)).current.Load()
 			if next.Zone == nil || next.Set("hooks.example.", dns.TypeA)[0].(*dns.A).A.String() != "127.0.1.20" {
 				t.Fatalf("failing at %d for %d: what was answered is lost", at, span)
 			}
@@ -373,9 +373,9 @@
 			d.files[name].data[i] ^= 0x20
 			s, got, _, warn, err := openStore(d, "state", "example.")
 			switch {
-			case name == "state/example.zone" && (err == nil || got != nil), name == "state/example.journal" && i < headSize && (err == nil || got != nil):
+			case name == "state/example.zone" && (err == nil || got != nil), name == "state/example.journal" && i < headerSize && (err == nil || got != nil):
 				t.Fatalf("%s, byte %d: not noticed", name, i)
-			case name == "state/example.journal" && i >= headSize && (err != nil || warn == nil || s.broken == nil || got.Serial() > 12):
+			case name == "state/example.journal" && i >= headerSize && (err != nil || warn == nil || s.broken == nil || got.Serial() > 12):
 				t.Fatalf("%s, byte %d: not noticed, or written behind: %v, %v, %v", name, i, got, warn, err)
 			}
 		}
--- a/internal/nameserver/stored_test.go
+++ b/internal/nameserver/stored_test.go
@@ -48,7 +48,7 @@
 				fmt.Fprintf(&b, "  + %s\n", rr)
 			}
 		}
-		base, err := s.base()
+		base, err := s.readBase()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sender/names_test.go
+++ b/internal/sender/names_test.go
@@ -60,7 +60,7 @@
 // names is what the sender is told of it.
 func (n *named) names(p membership.Precedence) func(*Config) {
 	return func(c *Config) {
-		c.Names = &NameSource{Source: n.svc, Initial: n.svc.First(), Destinations: n.svc.Destinations(), Fallback: p, Report: func() any { return n.svc.Report() }}
+		c.Names = &NameSource{Source: n.svc, Initial: n.svc.Initial(), Destinations: n.svc.Destinations(), Fallback: p, Report: func() any { return n.svc.Report() }}
 	}
 }
 
--- a/internal/zone/access.go
+++ b/internal/zone/access.go
@@ -54,7 +54,7 @@
 // Replays remembers the signatures of messages that were taken, for as long as a copy of one would be in time (RFC 8945
 // 5.2.3: within its fudge of now). It is not for several goroutines.
 type Replays struct {
-	Most int
+	MaxEntries int
 
 	until map[string]time.Duration
 	next  time.Duration // nothing lapses before
@@ -70,7 +70,7 @@
 	if u, ok := r.until[id]; ok && u >= now {
 		return true, false
 	}
-	if len(r.until) >= r.Most && now >= r.next {
+	if len(r.until) >= r.MaxEntries && now >= r.next {
 		r.next = time.Duration(1<<63 - 1)
 		for k, u := range r.until {
 			if u < now {
@@ -80,7 +80,7 @@
 			}
 		}
 	}
-	if len(r.until) >= r.Most {
+	if len(r.until) >= r.MaxEntries {
 		return false, true
 	}
 	r.until[id] = until
--- a/internal/zone/answer.go
+++ b/internal/zone/answer.go
@@ -16,15 +16,15 @@
 	Next       string   // a CNAME leads out of the zone, to this name
 }
 
-// cnameMost is how long a chain of CNAMEs within a zone is followed.
-const cnameMost = 16
+// maxCNAMEChain is how long a chain of CNAMEs within a zone is followed.
+const maxCNAMEChain = 16
 
 // Answer is RFC 1034 4.3.2, step 3, with RFC 2308's negative answers and RFC 4592's wildcards.
 func (z *Zone) Answer(name string, kind uint16) Reply {
 	r := Reply{Authority: true}
 	name = Name(name)
 	seen := map[string]bool{}
-	for range cnameMost {
+	for range maxCNAMEChain {
 		if !Within(z.origin, name) {
 			r.Next = name
 			return r
@@ -33,7 +33,7 @@
 			return r
 		}
 		seen[name] = true
-		if cut := z.cut(name); cut != nil && !(kind == dns.TypeDS && name == Name(cut[0].Header().Name)) {
+		if cut := z.delegation(name); cut != nil && !(kind == dns.TypeDS && name == Name(cut[0].Header().Name)) {
 			r.Authority = len(r.Answer) > 0
 			r.Ns = cut
 			for _, rr := range cut {
@@ -105,8 +105,8 @@
 	return ok
 }
 
-// cut is the NS records of the delegation that a name is at or below, nil if the zone itself speaks for it.
-func (z *Zone) cut(name string) rrset {
+// delegation is the NS records of the delegation that a name is at or below, nil if the zone itself speaks for it.
+func (z *Zone) delegation(name string) rrset {
 	if name == z.origin {
 		return nil
 	}
@@ -166,9 +166,9 @@
 	return []dns.RR{c}
 }
 
-// Label reports whether a name is one that may be written in a file or a setting: absolute or not, each label of 63 octets
+// IsName reports whether a name is one that may be written in a file or a setting: absolute or not, each label of 63 octets
 // at most.
-func Label(name string) bool {
+func IsName(name string) bool {
 	_, ok := dns.IsDomainName(name)
 	return ok && name != "" && !strings.ContainsAny(name, " \t")
 }
--- a/internal/zone/codec.go
+++ b/internal/zone/codec.go
@@ -17,19 +17,19 @@
 //
 // All numbers are big endian.
 const (
-	deltaHead = 8
-	deltaMost = 1 << 30
+	deltaHeaderSize = 8
+	maxDeltaBytes   = 1 << 30
 )
 
-// ErrTorn says that what follows is no whole difference: its writing was cut off, or it was damaged.
-var ErrTorn = errors.New("no whole difference")
+// ErrTruncated says that what follows is no whole difference: its writing was cut off, or it was damaged.
+var ErrTruncated = errors.New("no whole difference")
 
 func castagnoli() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) }
 
 // Append appends a difference as bytes.
 func (d *Delta) Append(b []byte) ([]byte, error) {
 	head := len(b)
-	b = append(b, make([]byte, deltaHead)...)
+	b = append(b, make([]byte, deltaHeaderSize)...)
 	for _, n := range []uint32{d.From, d.To, uint32(len(d.Removed)), uint32(len(d.Added))} {
 		b = binary.BigEndian.AppendUint32(b, n)
 	}
@@ -42,8 +42,8 @@
 			b = append(binary.BigEndian.AppendUint32(b, uint32(len(wire))), wire...)
 		}
 	}
-	payload := b[head+deltaHead:]
-	if len(payload) > deltaMost {
+	payload := b[head+deltaHeaderSize:]
+	if len(payload) > maxDeltaBytes {
 		return b[:head], fmt.Errorf("a difference of %d bytes", len(payload))
 	}
 	binary.BigEndian.PutUint32(b[head:], uint32(len(payload)))
@@ -53,16 +53,16 @@
 
 // ReadDelta reads the difference that b begins with, and says how many bytes it takes; ErrTorn if there is no whole one.
 func ReadDelta(b []byte) (*Delta, int, error) {
-	if len(b) < deltaHead {
-		return nil, 0, ErrTorn
+	if len(b) < deltaHeaderSize {
+		return nil, 0, ErrTruncated
 	}
 	n := int(binary.BigEndian.Uint32(b))
-	if n < 16 || n > deltaMost || n > len(b)-deltaHead {
-		return nil, 0, ErrTorn
+	if n < 16 || n > maxDeltaBytes || n > len(b)-deltaHeaderSize {
+		return nil, 0, ErrTruncated
 	}
-	payload := b[deltaHead : deltaHead+n]
+	payload := b[deltaHeaderSize : deltaHeaderSize+n]
 	if crc32.Checksum(payload, castagnoli()) != binary.BigEndian.Uint32(b[4:]) {
-		return nil, 0, ErrTorn
+		return nil, 0, ErrTruncated
 	}
 	d := &Delta{From: binary.BigEndian.Uint32(payload), To: binary.BigEndian.Uint32(payload[4:])}
 	counts := [2]uint32{binary.BigEndian.Uint32(payload[8:]), binary.BigEndian.Uint32(payload[12:])}
@@ -70,22 +70,22 @@
 	for i, side := range []*[]dns.RR{&d.Removed, &d.Added} {
 		for range counts[i] {
 			if len(rest) < 4 {
-				return nil, 0, fmt.Errorf("%w: records are missing", ErrTorn)
+				return nil, 0, fmt.Errorf("%w: records are missing", ErrTruncated)
 			}
 			n := int(binary.BigEndian.Uint32(rest))
 			if rest = rest[4:]; n > len(rest) {
-				return nil, 0, fmt.Errorf("%w: a record is cut off", ErrTorn)
+				return nil, 0, fmt.Errorf("%w: a record is cut off", ErrTruncated)
 			}
 			rr, at, err := dns.UnpackRR(rest[:n], 0)
 			if err != nil || at != n {
-				return nil, 0, fmt.Errorf("%w: a record can't be read: %v", ErrTorn, err)
+				return nil, 0, fmt.Errorf("%w: a record can't be read: %v", ErrTruncated, err)
 			}
 			*side = append(*side, rr)
 			rest = rest[n:]
 		}
 	}
 	if len(rest) > 0 {
-		return nil, 0, fmt.Errorf("%w: more behind its records", ErrTorn)
+		return nil, 0, fmt.Errorf("%w: more behind its records", ErrTruncated)
 	}
-	return d, deltaHead + n, nil
+	return d, deltaHeaderSize + n, nil
 }
--- a/internal/zone/delta.go
+++ b/internal/zone/delta.go
@@ -34,7 +34,7 @@
 		}
 	}
 	for _, rr := range d.Added {
-		if err := z.fits(rr); err != nil {
+		if err := z.checkRecord(rr); err != nil {
 			return nil, err
 		}
 		before := e.records
--- a/internal/zone/load.go
+++ b/internal/zone/load.go
@@ -11,7 +11,7 @@
 
 // Parse reads a zone file (RFC 1035 5, RFC 2308 4 for $TTL; $GENERATE as BIND has it). $INCLUDE opens files of the folder
 // that files stands for, and no others. An error names the file and the line. most bounds the records.
-func Parse(r io.Reader, origin, file string, files fs.FS, most int) (*Zone, error) {
+func Parse(r io.Reader, origin, file string, files fs.FS, maxRecords int) (*Zone, error) {
 	p := dns.NewZoneParser(r, Name(origin), file)
 	if files != nil {
 		p.SetIncludeAllowed(true)
@@ -21,7 +21,7 @@
 	e := z.edit()
 	soas := 0
 	for rr, ok := p.Next(); ok; rr, ok = p.Next() {
-		if err := z.fits(rr); err != nil {
+		if err := z.checkRecord(rr); err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 		if rr.Header().Rrtype == dns.TypeSOA {
@@ -29,8 +29,8 @@
 				return nil, fmt.Errorf("%s: a second SOA: %s", file, rr)
 			}
 		}
-		if e.add(rr, false); e.records > most {
-			return nil, fmt.Errorf("%s: more than %d records", file, most)
+		if e.add(rr, false); e.records > maxRecords {
+			return nil, fmt.Errorf("%s: more than %d records", file, maxRecords)
 		}
 	}
 	if err := p.Err(); err != nil {
@@ -74,25 +74,25 @@
 	return err
 }
 
-// Changed says what a newly read file is to the version held.
-type Changed int
+// FileChange says what a newly read file is to the version held.
+type FileChange int
 
 // What it may be.
 const (
-	Same      Changed = iota
-	Newer             // and its serial says so
-	Forgotten         // the data are others, the serial is the same: it is taken, as the next serial
-	Backwards         // the serial went back: not taken
+	Same         FileChange = iota
+	Newer                   // and its serial says so
+	SerialReused            // the data are others, the serial is the same: it is taken, as the next serial
+	Backwards               // the serial went back: not taken
 )
 
-// Next decides on a file that was read while a version is held. next is what is to be served from then on, nil where
+// NextVersion decides on a file that was read while a version is held. next is what is to be served from then on, nil where
 // nothing changes.
-func Next(held, read *Zone) (next *Zone, what Changed) {
+func NextVersion(held, read *Zone) (next *Zone, what FileChange) {
 	switch d := Diff(held, read); {
 	case d.From == d.To && d.Records() == 0:
 		return nil, Same
 	case d.From == d.To:
-		return read.WithSerial(NextSerial(held.Serial())), Forgotten
+		return read.WithSerial(NextSerial(held.Serial())), SerialReused
 	case !NewerSerial(d.To, d.From):
 		return nil, Backwards
 	}
--- a/internal/zone/update.go
+++ b/internal/zone/update.go
@@ -8,11 +8,11 @@
 
 // Refusal is why a message is turned away: a response code, and words for the log.
 type Refusal struct {
-	Rcode int
-	Why   string
+	Rcode  int
+	Reason string
 }
 
-func (r *Refusal) Error() string { return dns.RcodeToString[r.Rcode] + ": " + r.Why }
+func (r *Refusal) Error() string { return dns.RcodeToString[r.Rcode] + ": " + r.Reason }
 
 func refuse(rcode int, format string, args ...any) error {
 	return &Refusal{rcode, fmt.Sprintf(format, args...)}
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -95,7 +95,7 @@
 	z := &Zone{origin: Name(origin), tree: emptyTree()}
 	e := z.edit()
 	for _, rr := range rrs {
-		if err := z.fits(rr); err != nil {
+		if err := z.checkRecord(rr); err != nil {
 			return nil, err
 		}
 		e.add(rr, false)
@@ -104,7 +104,7 @@
 	return z, z.check()
 }
 
-func (z *Zone) fits(rr dns.RR) error {
+func (z *Zone) checkRecord(rr dns.RR) error {
 	h := rr.Header()
 	switch {
 	case h.Class != dns.ClassINET:
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// Copies is records as they may be put into a message: packing one writes into it.
-func Copies(rrs []dns.RR) []dns.RR {
+// CopyRecords is records as they may be put into a message: packing one writes into it.
+func CopyRecords(rrs []dns.RR) []dns.RR {
 	out := make([]dns.RR, len(rrs))
 	for i, rr := range rrs {
 		out[i] = dns.Copy(rr)
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -176,10 +176,10 @@
 	other := parse(t, strings.Replace(base, "192.0.2.2", "192.0.2.20", 1))
 	for name, c := range map[string]struct {
 		read   *Zone
-		what   Changed
+		what   FileChange
 		serial uint32
-	}{"same": {parse(t, base), Same, 0}, "newer": {other.WithSerial(11), Newer, 11}, "the serial was forgotten": {other, Forgotten, 11}, "backwards": {other.WithSerial(9), Backwards, 0}} {
-		next, what := Next(z, c.read)
+	}{"same": {parse(t, base), Same, 0}, "newer": {other.WithSerial(11), Newer, 11}, "the serial was forgotten": {other, SerialReused, 11}, "backwards": {other.WithSerial(9), Backwards, 0}} {
+		next, what := NextVersion(z, c.read)
 		if what != c.what || next != nil && next.Serial() != c.serial || (next == nil) != (c.serial == 0) {
 			t.Errorf("%s: %v %v", name, what, next)
 		}
@@ -251,7 +251,7 @@
 	}
 	raw = raw[2:]
 	for i := range raw {
-		if _, _, err := ReadDelta(raw[:i]); !errors.Is(err, ErrTorn) {
+		if _, _, err := ReadDelta(raw[:i]); !errors.Is(err, ErrTruncated) {
 			t.Fatalf("cut at %d: %v", i, err)
 		}
 		bad := bytes.Clone(raw)
@@ -350,7 +350,7 @@
 }
 
 func TestReplays(t *testing.T) {
-	r := Replays{Most: 2}
+	r := Replays{MaxEntries: 2}
 	const s = time.Second
 	see := func(mac string, now time.Duration, repeat, full bool) {
 		t.Helper()
@@ -376,7 +376,7 @@
 	serial := func(n uint32) SecondaryEvent { return SecondaryEvent{Serial: &n} }
 	notify := func(n uint32) SecondaryEvent { return SecondaryEvent{Notified: &n} }
 	version := func(n uint32) SecondaryEvent { return SecondaryEvent{Version: soa(n)} }
-	failed, misfit, tick := SecondaryEvent{Failed: true}, SecondaryEvent{Misfit: true}, SecondaryEvent{}
+	failed, misfit, tick := SecondaryEvent{Failed: true}, SecondaryEvent{DeltaRejected: true}, SecondaryEvent{}
 	type step struct {
 		at    int // seconds
 		event SecondaryEvent
@@ -385,20 +385,20 @@
 	}
 	do := func(a ...SecondaryAction) []SecondaryAction { return a }
 	for name, steps := range map[string][]step{
-		"first all, then by the SOA": {{0, tick, do(TransferAll), -1}, {1, version(5), nil, 61}, {60, tick, nil, 61}, {61, tick, do(AskSerial), 301}, {61, serial(5), nil, 121},
-			{121, tick, do(AskSerial), 361}, {121, serial(6), do(Transfer), 361}, {122, version(6), nil, 182}},
-		"failures before any version double":       {{0, tick, do(TransferAll), -1}, {0, failed, nil, 1}, {1, tick, do(TransferAll), -1}, {1, failed, nil, 3}, {3, tick, do(TransferAll), -1}, {3, failed, nil, 7}},
-		"a NOTIFY asks at once":                    {{0, tick, do(TransferAll), -1}, {0, version(5), nil, 60}, {10, notify(6), do(AskSerial), 300}, {10, serial(6), do(Transfer), 300}},
-		"a NOTIFY of what is held does nothing":    {{0, tick, do(TransferAll), -1}, {0, version(5), nil, 60}, {10, notify(5), nil, 60}},
-		"a NOTIFY without a serial asks":           {{0, tick, do(TransferAll), -1}, {0, version(5), nil, 60}, {10, notify(0), do(AskSerial), 300}},
-		"a thousand NOTIFYs while it asks are one": {{0, tick, do(TransferAll), -1}, {0, notify(9), nil, -1}, {0, notify(10), nil, -1}, {1, version(9), do(AskSerial), 301}, {1, serial(9), nil, 61}},
-		"a difference that does not fit: whole":    {{0, tick, do(TransferAll), -1}, {0, version(5), nil, 60}, {60, tick, do(AskSerial), 300}, {60, serial(7), do(Transfer), 300}, {60, misfit, do(TransferAll), 300}, {61, version(7), nil, 121}},
-		"a serial that goes back is no news":       {{0, tick, do(TransferAll), -1}, {0, version(5), nil, 60}, {60, tick, do(AskSerial), 300}, {60, serial(4), nil, 120}},
-		"a primary that is gone: expired, and back": {{0, tick, do(TransferAll), -1}, {0, version(5), nil, 60}, {60, tick, do(AskSerial), 300}, {65, failed, nil, 75}, {75, tick, do(AskSerial), 300}, {80, failed, nil, 90},
-			{300, tick, do(Expire, AskSerial), -1}, {301, failed, nil, 311}, {311, tick, do(AskSerial), -1}, {311, serial(5), nil, 371}},
-		"expired, and its serial went back: taken": {{0, tick, do(TransferAll), -1}, {0, version(5), nil, 60}, {300, tick, do(Expire, AskSerial), -1}, {301, serial(2), do(Transfer), -1}},
-		"it expires while a transfer hangs":        {{0, tick, do(TransferAll), -1}, {0, version(5), nil, 60}, {60, tick, do(AskSerial), 300}, {60, serial(6), do(Transfer), 300}, {300, tick, do(Expire), -1}, {310, version(6), nil, 370}},
-		"an answer that was not asked for is none": {{0, serial(9), do(TransferAll), -1}, {0, version(5), nil, 60}, {1, version(9), nil, 60}, {1, failed, nil, 60}},
+		"first all, then by the SOA": {{0, tick, do(TransferFull), -1}, {1, version(5), nil, 61}, {60, tick, nil, 61}, {61, tick, do(QuerySerial), 301}, {61, serial(5), nil, 121},
+			{121, tick, do(QuerySerial), 361}, {121, serial(6), do(TransferIncremental), 361}, {122, version(6), nil, 182}},
+		"failures before any version double":       {{0, tick, do(TransferFull), -1}, {0, failed, nil, 1}, {1, tick, do(TransferFull), -1}, {1, failed, nil, 3}, {3, tick, do(TransferFull), -1}, {3, failed, nil, 7}},
+		"a NOTIFY asks at once":                    {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {10, notify(6), do(QuerySerial), 300}, {10, serial(6), do(TransferIncremental), 300}},
+		"a NOTIFY of what is held does nothing":    {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {10, notify(5), nil, 60}},
+		"a NOTIFY without a serial asks":           {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {10, notify(0), do(QuerySerial), 300}},
+		"a thousand NOTIFYs while it asks are one": {{0, tick, do(TransferFull), -1}, {0, notify(9), nil, -1}, {0, notify(10), nil, -1}, {1, version(9), do(QuerySerial), 301}, {1, serial(9), nil, 61}},
+		"a difference that does not fit: whole":    {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {60, tick, do(QuerySerial), 300}, {60, serial(7), do(TransferIncremental), 300}, {60, misfit, do(TransferFull), 300}, {61, version(7), nil, 121}},
+		"a serial that goes back is no news":       {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {60, tick, do(QuerySerial), 300}, {60, serial(4), nil, 120}},
+		"a primary that is gone: expired, and back": {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {60, tick, do(QuerySerial), 300}, {65, failed, nil, 75}, {75, tick, do(QuerySerial), 300}, {80, failed, nil, 90},
+			{300, tick, do(Expire, QuerySerial), -1}, {301, failed, nil, 311}, {311, tick, do(QuerySerial), -1}, {311, serial(5), nil, 371}},
+		"expired, and its serial went back: taken": {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {300, tick, do(Expire, QuerySerial), -1}, {301, serial(2), do(TransferIncremental), -1}},
+		"it expires while a transfer hangs":        {{0, tick, do(TransferFull), -1}, {0, version(5), nil, 60}, {60, tick, do(QuerySerial), 300}, {60, serial(6), do(TransferIncremental), 300}, {300, tick, do(Expire), -1}, {310, version(6), nil, 370}},
+		"an answer that was not asked for is none": {{0, serial(9), do(TransferFull), -1}, {0, version(5), nil, 60}, {1, version(9), nil, 60}, {1, failed, nil, 60}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := Secondary{Bounds: DefaultBounds()}
@@ -416,7 +416,7 @@
 	}
 	s := Secondary{Bounds: DefaultBounds()}
 	s.Resume(1000*time.Second, soa(5), 299*time.Second) // from an earlier process
-	if got := s.Step(1000*time.Second, tick); !slices.Equal(got, do(AskSerial)) || s.Next() != 1001*time.Second {
+	if got := s.Step(1000*time.Second, tick); !slices.Equal(got, do(QuerySerial)) || s.Next() != 1001*time.Second {
 		t.Error(got, s.Next())
 	}
 	if got := s.Step(1001*time.Second, tick); !slices.Equal(got, do(Expire)) || !s.Expired() {
@@ -432,16 +432,16 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "seconds")) * time.Second
 			n := uint32(rapid.IntRange(0, 5).Draw(t, "serial"))
-			e := []SecondaryEvent{{}, {Serial: &n}, {Version: &dns.SOA{Serial: n, Refresh: 60, Retry: 10, Expire: 300}}, {Failed: true}, {Misfit: true}, {Notified: &n}}[rapid.IntRange(0, 5).Draw(t, "event")]
-			asking, before := s.asking, s.serial
+			e := []SecondaryEvent{{}, {Serial: &n}, {Version: &dns.SOA{Serial: n, Refresh: 60, Retry: 10, Expire: 300}}, {Failed: true}, {DeltaRejected: true}, {Notified: &n}}[rapid.IntRange(0, 5).Draw(t, "event")]
+			asking, before := s.request, s.serial
 			acts := s.Step(now, e)
-			if asking == transferring && e.Version != nil || asking == askingSerial && s.held && e.Serial != nil && n == before {
+			if asking == transferring && e.Version != nil || asking == askingSerial && s.hasVersion && e.Serial != nil && n == before {
 				confirmed = now
 				if s.expired {
 					t.Fatal("the primary says that it is good, and it has expired still")
 				}
 			}
-			if ended := asking == askingSerial && (e.Serial != nil || e.Failed) || asking == transferring && (e.Version != nil || e.Failed || e.Misfit); ended {
+			if ended := asking == askingSerial && (e.Serial != nil || e.Failed) || asking == transferring && (e.Version != nil || e.Failed || e.DeltaRejected); ended {
 				out--
 			}
 			for _, a := range acts {
@@ -449,13 +449,13 @@
 					out++
 				}
 			}
-			if out < 0 || out > 1 || (out == 1) != (s.asking != nothing) {
+			if out < 0 || out > 1 || (out == 1) != (s.request != idle) {
 				t.Fatalf("%d asked at once", out)
 			}
-			if s.asking == nothing && s.Next() == time.Duration(1<<63-1) {
+			if s.request == idle && s.Next() == time.Duration(1<<63-1) {
 				t.Fatal("nothing would ever happen")
 			}
-			if s.held && !s.expired && confirmed >= 0 && now >= confirmed+300*time.Second {
+			if s.hasVersion && !s.expired && confirmed >= 0 && now >= confirmed+300*time.Second {
 				t.Fatalf("served at %v, confirmed last at %v", now, confirmed)
 			}
 		}
