--- a/internal/tier/controlplane/change_history_test.go
+++ b/internal/tier/controlplane/change_history_test.go
@@ -130,54 +130,54 @@
 }
 
 func TestReplace_AcceptedChangeAcknowledgedAfterLaterOnes(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		assertStatus(t, r.replace(3, 5), 200)
-		assertStatus(t, r.replace(0, 3), 200)
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		assertStatus(t, h.replace(3, 5), 200)
+		assertStatus(t, h.replace(0, 3), 200)
 		for at := 5; at < 40; at++ {
-			assertStatus(t, r.replace(at, at+1), 200)
+			assertStatus(t, h.replace(at, at+1), 200)
 		}
 		for range 2 { // before and after a takeover, which reads the state back
-			assertStatus(t, r.replace(0, 3), 200)
-			assertStatus(t, r.replace(3, 5), 200)
-			assertStatus(t, r.replace(20, 21), 200)
-			assertStatus(t, r.replaceBody(20, configuration(21, "other")), 412)
-			assertStatus(t, r.replaceBody(3, configuration(4, "s")), 412)
-			assertStatus(t, r.replaceBody(0, configuration(3, "s")[1:]), 400) // the same, but damaged
-			assert.Equal(t, r.describe().Body.String(), string(configuration(40, "s")))
-			r.store.set(func() { r.store.epoch += 1 << 12 })
-			r.advance(500 * time.Millisecond)
+			assertStatus(t, h.replace(0, 3), 200)
+			assertStatus(t, h.replace(3, 5), 200)
+			assertStatus(t, h.replace(20, 21), 200)
+			assertStatus(t, h.replaceBody(20, configuration(21, "other")), 412)
+			assertStatus(t, h.replaceBody(3, configuration(4, "s")), 412)
+			assertStatus(t, h.replaceBody(0, configuration(3, "s")[1:]), 400) // the same, but damaged
+			assert.Equal(t, h.describe().Body.String(), string(configuration(40, "s")))
+			h.store.set(func() { h.store.epoch += 1 << 12 })
+			h.advance(500 * time.Millisecond)
 		}
 	})
 }
 
 func TestReplace_ForgottenChangeUnavailable(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		assertStatus(t, r.replace(3, 5), 200)
-		assertStatus(t, r.replace(5, 6), 200)
-		r.store.set(func() {
-			delete(r.store.values, changeKey(3))
-			r.store.epoch += 1 << 12
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		assertStatus(t, h.replace(3, 5), 200)
+		assertStatus(t, h.replace(5, 6), 200)
+		h.store.set(func() {
+			delete(h.store.values, changeKey(3))
+			h.store.epoch += 1 << 12
 		})
-		r.advance(500 * time.Millisecond)
-		w := r.replace(0, 3)
+		h.advance(500 * time.Millisecond)
+		w := h.replace(0, 3)
 		assertStatus(t, w, 503)
 		assert.Assert(t, w.Header().Get("Retry-After") != "")
-		assertStatus(t, r.replace(3, 5), 200)
-		assertStatus(t, r.replaceBody(3, configuration(5, "other")), 412)
+		assertStatus(t, h.replace(3, 5), 200)
+		assertStatus(t, h.replaceBody(3, configuration(5, "other")), 412)
 	})
 }
 
 // The write that brings the configuration brings its record, or neither is there.
 func TestReplace_ConfigurationAndRecordInOneWrite(t *testing.T) {
-	withHarness(t, func(r *harness) {
+	withHarness(t, func(h *harness) {
 		var writes []map[string][]byte
-		r.store.set(func() {
-			r.store.failPut = func(sets map[string][]byte) (bool, bool) { writes = append(writes, sets); return false, false }
+		h.store.set(func() {
+			h.store.failPut = func(sets map[string][]byte) (bool, bool) { writes = append(writes, sets); return false, false }
 		})
-		assertStatus(t, r.replace(0, 3), 200)
-		assertStatus(t, r.replace(3, 5), 200)
+		assertStatus(t, h.replace(0, 3), 200)
+		assertStatus(t, h.replace(3, 5), 200)
 		assert.Equal(t, len(writes), 2)
 		for i, key := range []string{changeKey(3), changeKey(5)} {
 			assert.Assert(t, writes[i][keyConfiguration] != nil && writes[i][key] != nil)
@@ -189,40 +189,40 @@
 // also after others were taken on it, and rejected only if it was not.
 func TestReplace_UnknownOutcomeBeforeLaterChanges(t *testing.T) {
 	for _, lost := range []bool{true, false} {
-		withHarness(t, func(r *harness) {
-			assertStatus(t, r.replace(0, 3), 200)
-			r.store.set(func() { r.store.failPut = func(map[string][]byte) (bool, bool) { return lost, true } })
-			assertStatus(t, r.replace(3, 4), 503)
+		withHarness(t, func(h *harness) {
+			assertStatus(t, h.replace(0, 3), 200)
+			h.store.set(func() { h.store.failPut = func(map[string][]byte) (bool, bool) { return lost, true } })
+			assertStatus(t, h.replace(3, 4), 503)
 			for range 4 {
-				assertStatus(t, r.replace(3, 4), 503)
-				assertStatus(t, r.replaceBody(3, configuration(5, "b")), 503)
-				r.advance(150 * time.Millisecond)
+				assertStatus(t, h.replace(3, 4), 503)
+				assertStatus(t, h.replaceBody(3, configuration(5, "b")), 503)
+				h.advance(150 * time.Millisecond)
 			}
-			r.store.set(func() { r.store.failPut = nil })
-			r.advance(300 * time.Millisecond)
+			h.store.set(func() { h.store.failPut = nil })
+			h.advance(300 * time.Millisecond)
 			if lost {
-				assertStatus(t, r.replaceBody(3, configuration(5, "b")), 200)
-				assertStatus(t, r.replace(3, 4), 412)
+				assertStatus(t, h.replaceBody(3, configuration(5, "b")), 200)
+				assertStatus(t, h.replace(3, 4), 412)
 				return
 			}
-			assertStatus(t, r.replaceBody(3, configuration(5, "b")), 412)
-			assertStatus(t, r.replaceBody(4, configuration(5, "b")), 200)
-			assertStatus(t, r.replace(3, 4), 200)
+			assertStatus(t, h.replaceBody(3, configuration(5, "b")), 412)
+			assertStatus(t, h.replaceBody(4, configuration(5, "b")), 200)
+			assertStatus(t, h.replace(3, 4), 200)
 		})
 	}
 }
 
 // Eight operators send the same eight orders at once, each twice: all attempts of one order get the same answer.
 func TestReplace_ConcurrentAttemptsAnsweredAlike(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		r.store.set(func() { r.store.putDelay = 5 * time.Millisecond })
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		h.store.set(func() { h.store.putDelay = 5 * time.Millisecond })
 		const operators, tries = 8, 2
 		var codes [operators][tries]int
 		var all sync.WaitGroup
 		for i := range operators {
 			for j := range tries {
-				all.Go(func() { codes[i][j] = r.replaceBody(3, configuration(4+i%2, fmt.Sprint("s", i))).Code })
+				all.Go(func() { codes[i][j] = h.replaceBody(3, configuration(4+i%2, fmt.Sprint("s", i))).Code })
 			}
 		}
 		all.Wait()
@@ -231,7 +231,7 @@
 			assert.Equal(t, code[0], code[1], "order %d", i)
 			if code[0] == 200 {
 				winners++
-				assert.Equal(t, r.describe().Body.String(), string(configuration(4+i%2, fmt.Sprint("s", i))))
+				assert.Equal(t, h.describe().Body.String(), string(configuration(4+i%2, fmt.Sprint("s", i))))
 			} else {
 				assert.Equal(t, code[0], 412)
 			}
@@ -270,18 +270,18 @@
 
 // Orders that are sent again do not wait for one another's confirmations: eight at once take as long as one.
 func TestReplace_RepeatsShareReadBarrier(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		assertStatus(t, r.replace(3, 5), 200)
-		r.store.set(func() { r.store.confirmDelay = 200 * time.Millisecond })
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		assertStatus(t, h.replace(3, 5), 200)
+		h.store.set(func() { h.store.confirmDelay = 200 * time.Millisecond })
 		began := time.Now()
 		var all sync.WaitGroup
 		for i := range 8 {
 			all.Go(func() {
 				if i%2 == 0 {
-					assertStatus(t, r.replace(0, 3), 200)
+					assertStatus(t, h.replace(0, 3), 200)
 				} else {
-					assertStatus(t, r.replace(3, 4), 412)
+					assertStatus(t, h.replace(3, 4), 412)
 				}
 			})
 		}
--- a/internal/tier/controlplane/distant_sessions_test.go
+++ b/internal/tier/controlplane/distant_sessions_test.go
@@ -118,9 +118,9 @@
 }
 
 // joinDistant starts a process whose round trips to the control plane take so long.
-func (r *harness) joinDistant(role, node string, roundTrip time.Duration) *distantProcess {
-	p := &distantProcess{changed: make(chan struct{}), link: &distantLink{service: r.plane.Sessions(), planeContext: r.ctx, roundTrip: roundTrip}}
-	set := settings.Settings{Node: node, IP: "10.0.1.1", ContactWindow: r.plane.Settings.ContactWindow, PortFirst: 7680, PortLast: 7690,
+func (h *harness) joinDistant(role, node string, roundTrip time.Duration) *distantProcess {
+	p := &distantProcess{changed: make(chan struct{}), link: &distantLink{service: h.plane.Sessions(), planeContext: h.ctx, roundTrip: roundTrip}}
+	set := settings.Settings{Node: node, IP: "10.0.1.1", ContactWindow: h.plane.Settings.ContactWindow, PortFirst: 7680, PortLast: 7690,
 		Seeds: []string{"10.0.0.1:8144"}}
 	config := gatewaysession.Config{Settings: set, Role: role, Address: node + ":1", Log: &log.Logger{Level: log.PanicLevel},
 		Dial: func(string) tierv1.ControlPlane { return p.link },
@@ -140,7 +140,7 @@
 		config.Synced = p.syncedReplicas
 	}
 	p.client = gatewaysession.New(config)
-	go p.client.Run(r.ctx)
+	go p.client.Run(h.ctx)
 	return p
 }
 
@@ -178,11 +178,11 @@
 }
 
 // inactiveSessions returns the processes whose sessions aren't active as the control plane has it.
-func (r *harness) inactiveSessions() (nodes []string) {
-	r.plane.mu.Lock()
-	defer r.plane.mu.Unlock()
-	for at, s := range r.plane.sessions.byKey {
-		if !r.plane.sessions.active(time.Now(), s) || !r.plane.sessions.storeAlive(time.Now(), s) {
+func (h *harness) inactiveSessions() (nodes []string) {
+	h.plane.mu.Lock()
+	defer h.plane.mu.Unlock()
+	for at, s := range h.plane.sessions.byKey {
+		if !h.plane.sessions.active(time.Now(), s) || !h.plane.sessions.storeAlive(time.Now(), s) {
 			nodes = append(nodes, at.node)
 		}
 	}
@@ -195,26 +195,26 @@
 	window := testSettings().ContactWindow
 	for _, trips := range []time.Duration{75, 20, 16, 12, 11, 10, 9, 8} {
 		t.Run(fmt.Sprint(int(trips), " round trips"), func(t *testing.T) {
-			withHarness(t, func(r *harness) {
+			withHarness(t, func(h *harness) {
 				roundTrip := window / trips
-				gateways := []*distantProcess{r.joinDistant(roleGateway, "e1", roundTrip), r.joinDistant(roleGateway, "e2", window/100)}
+				gateways := []*distantProcess{h.joinDistant(roleGateway, "e1", roundTrip), h.joinDistant(roleGateway, "e2", window/100)}
 				for i := range 3 {
-					r.joinDistant(roleTurnStore, fmt.Sprint("v", i+1), roundTrip)
+					h.joinDistant(roleTurnStore, fmt.Sprint("v", i+1), roundTrip)
 				}
-				r.advance(2 * window)
-				assertStatus(t, r.replace(0, 3), 200)
-				r.advance(window)
-				before := r.partitionMap().Version
+				h.advance(2 * window)
+				assertStatus(t, h.replace(0, 3), 200)
+				h.advance(window)
+				before := h.partitionMap().Version
 				revision := 3
 				for began := time.Now(); time.Since(began) < 20*window; {
-					r.advance(window / 50)
-					assert.Equal(t, len(r.inactiveSessions()), 0, "%v after %v", r.inactiveSessions(), time.Since(began))
+					h.advance(window / 50)
+					assert.Equal(t, len(h.inactiveSessions()), 0, "%v after %v", h.inactiveSessions(), time.Since(began))
 					for _, one := range gateways {
 						stands, _ := one.client.Active()
 						assert.Assert(t, stands && one.client.Current(), "after %v", time.Since(began))
 					}
 					if int(time.Since(began)/window) > revision-3 {
-						assertStatus(t, r.replace(revision, revision+1), 200)
+						assertStatus(t, h.replace(revision, revision+1), 200)
 						revision++
 						for _, one := range gateways {
 							has, _ := one.has()
@@ -222,7 +222,7 @@
 						}
 					}
 				}
-				assert.Equal(t, r.partitionMap().Version, before, "the map was changed")
+				assert.Equal(t, h.partitionMap().Version, before, "the map was changed")
 			})
 		})
 	}
@@ -255,14 +255,14 @@
 	window := testSettings().ContactWindow
 	for _, percent := range []time.Duration{5, 8, 10, 12, 15, 20, 25, 30, 40, 45} {
 		t.Run(fmt.Sprint("a round trip is ", int(percent), "% of the window"), func(t *testing.T) {
-			withHarness(t, func(r *harness) {
-				one := r.joinDistant(roleGateway, "e1", window/100)
-				r.advance(2 * window)
+			withHarness(t, func(h *harness) {
+				one := h.joinDistant(roleGateway, "e1", window/100)
+				h.advance(2 * window)
 				roundTrip := window * percent / 100
 				one.link.set(func() { one.link.roundTrip, one.link.idle = roundTrip, 0 })
 				// The lease; or a held call that is given up, and a search whose answer comes late.
 				bound := max(window*6/10, window/longPollDivisor+window/sessionTTLDivisor+2*roundTrip) + window/10
-				epoch := r.store.epoch
+				epoch := h.store.epoch
 				type push struct {
 					version uint64
 					at      time.Time
@@ -271,12 +271,12 @@
 				stood := 0
 				for began := time.Now(); time.Since(began) < 30*window; {
 					version := uint64(0)
-					r.plane.updatePublished(epoch, func(v *publishedState) {
+					h.plane.updatePublished(epoch, func(v *publishedState) {
 						version = uint64(len(pushes) + 1)
 						v.setEndpoints(&tierv1.Endpoints{Version: version})
 					})
 					pushes = append(pushes, push{version, time.Now()})
-					r.advance(window / 20)
+					h.advance(window / 20)
 					if stands, _ := one.client.Active(); stands {
 						stood++
 					}
@@ -298,14 +298,14 @@
 // A distant gateway that is partitioned rejects requests for some windows, and then goes on as any.
 func TestDistantSessions_PartitionedGatewayGoesOn(t *testing.T) {
 	window := testSettings().ContactWindow
-	withHarness(t, func(r *harness) {
-		one := r.joinDistant(roleGateway, "e1", window/9)
-		r.advance(3 * window)
+	withHarness(t, func(h *harness) {
+		one := h.joinDistant(roleGateway, "e1", window/9)
+		h.advance(3 * window)
 		one.link.set(func() { one.link.partitioned = true })
-		r.advance(4 * window)
+		h.advance(4 * window)
 		for range 100 {
 			assert.Assert(t, one.client.Current())
-			r.advance(window / 20)
+			h.advance(window / 20)
 		}
 	})
 }
--- a/internal/tier/controlplane/ejections_test.go
+++ b/internal/tier/controlplane/ejections_test.go
@@ -62,8 +62,8 @@
 
 // All gateways that take ejections hear of one, others are not woken by it, and only the primary takes reports.
 func TestEjections_Pushed(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		service := r.plane.Sessions()
+	withHarness(t, func(h *harness) {
+		service := h.plane.Sessions()
 		var mutex sync.Mutex
 		var all []*tierv1.WatchReply
 		replyTo := func(i int) *tierv1.WatchReply {
@@ -79,7 +79,7 @@
 			all = append(all, nil)
 			mutex.Unlock()
 			go func() {
-				reply, err := service.Watch(r.ctx, request)
+				reply, err := service.Watch(h.ctx, request)
 				assert.Check(t, err)
 				mutex.Lock()
 				defer mutex.Unlock()
@@ -88,7 +88,7 @@
 		}
 		synctest.Wait()
 		for _, node := range []string{"e0", "e1"} {
-			reply, err := service.ReportEjections(r.ctx, &tierv1.EjectionReport{Node: node, Ejected: []string{"i1"}})
+			reply, err := service.ReportEjections(h.ctx, &tierv1.EjectionReport{Node: node, Ejected: []string{"i1"}})
 			assert.NilError(t, err)
 			assert.Assert(t, reply.IsPrimary)
 		}
@@ -100,8 +100,8 @@
 		assert.Assert(t, replyTo(2) == nil)
 		time.Sleep(time.Second)
 		assert.Assert(t, replyTo(2).Ejections == nil)
-		r.store.set(func() { r.store.primary = false })
-		reply, err := service.ReportEjections(r.ctx, &tierv1.EjectionReport{Node: "e1", Ejected: []string{"i1"}})
+		h.store.set(func() { h.store.primary = false })
+		reply, err := service.ReportEjections(h.ctx, &tierv1.EjectionReport{Node: "e1", Ejected: []string{"i1"}})
 		assert.NilError(t, err)
 		assert.Assert(t, !reply.IsPrimary)
 	})
--- a/internal/tier/controlplane/harness_test.go
+++ b/internal/tier/controlplane/harness_test.go
@@ -161,12 +161,12 @@
 func withHarnessOf(t *testing.T, set settings.Settings, cloud http.RoundTripper, f func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		r := &harness{t: t, store: newMemoryStore(), ctx: ctx}
-		r.plane = New(Config{Settings: set, Store: r.store, Cloud: &http.Client{Transport: cloud}})
+		h := &harness{t: t, store: newMemoryStore(), ctx: ctx}
+		h.plane = New(Config{Settings: set, Store: h.store, Cloud: &http.Client{Transport: cloud}})
 		var running sync.WaitGroup
-		running.Go(func() { r.plane.Run(ctx) })
+		running.Go(func() { h.plane.Run(ctx) })
 		synctest.Wait()
-		f(r)
+		f(h)
 		cancel()
 		running.Wait()
 		synctest.Wait()
@@ -174,31 +174,31 @@
 }
 
 // advance lets the bubble's time pass.
-func (r *harness) advance(d time.Duration) {
+func (h *harness) advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
 
-func (r *harness) call(method, path string, header map[string]string, body io.Reader) *httptest.ResponseRecorder {
+func (h *harness) call(method, path string, header map[string]string, body io.Reader) *httptest.ResponseRecorder {
 	q := httptest.NewRequest(method, "http://10.0.0.1:8144/saffronyard/"+path, body)
 	for k, v := range header {
 		q.Header.Set(k, v)
 	}
 	w := httptest.NewRecorder()
-	r.plane.Operators().ServeHTTP(w, q)
+	h.plane.Operators().ServeHTTP(w, q)
 	return w
 }
 
-func (r *harness) replace(base, revision int) *httptest.ResponseRecorder {
-	return r.replaceBody(base, configuration(revision, "s"))
+func (h *harness) replace(base, revision int) *httptest.ResponseRecorder {
+	return h.replaceBody(base, configuration(revision, "s"))
 }
 
-func (r *harness) replaceBody(base int, body []byte) *httptest.ResponseRecorder {
-	return r.call("POST", "Configuration.Replace", map[string]string{"X-Base-Revision": fmt.Sprint(base)}, bytes.NewReader(body))
+func (h *harness) replaceBody(base int, body []byte) *httptest.ResponseRecorder {
+	return h.call("POST", "Configuration.Replace", map[string]string{"X-Base-Revision": fmt.Sprint(base)}, bytes.NewReader(body))
 }
 
-func (r *harness) describe() *httptest.ResponseRecorder {
-	return r.call("GET", "Configuration.Describe", nil, nil)
+func (h *harness) describe() *httptest.ResponseRecorder {
+	return h.call("GET", "Configuration.Describe", nil, nil)
 }
 
 func configuration(revision int, service string) []byte {
@@ -221,8 +221,8 @@
 	done              chan struct{}
 }
 
-func (r *harness) join(role, node string, change func(*testProcess)) *testProcess {
-	ctx, cancel := context.WithCancel(r.ctx)
+func (h *harness) join(role, node string, change func(*testProcess)) *testProcess {
+	ctx, cancel := context.WithCancel(h.ctx)
 	p := &testProcess{cancel: cancel, done: make(chan struct{}),
 		request: &tierv1.WatchRequest{Role: role, Node: node, Incarnation: node + "-1", Address: node + ":1", PollTimeoutMs: 500}}
 	if role == roleTurnStore {
@@ -231,7 +231,7 @@
 	if change != nil {
 		change(p)
 	}
-	service := r.plane.Sessions()
+	service := h.plane.Sessions()
 	go func() {
 		defer close(p.done)
 		for ctx.Err() == nil {
@@ -355,8 +355,8 @@
 	<-p.done
 }
 
-func (r *harness) partitionMap() *tierv1.PartitionMap {
-	v, _ := r.plane.currentState()
+func (h *harness) partitionMap() *tierv1.PartitionMap {
+	v, _ := h.plane.currentState()
 	return v.partitionMap
 }
 
--- a/internal/tier/controlplane/operators_test.go
+++ b/internal/tier/controlplane/operators_test.go
@@ -21,43 +21,43 @@
 )
 
 func TestReplace_AcceptedOnceAndReadBack(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.describe(), 404)
-		assertStatus(t, r.replace(0, 3), 200)
-		w := r.describe()
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.describe(), 404)
+		assertStatus(t, h.replace(0, 3), 200)
+		w := h.describe()
 		assertStatus(t, w, 200)
 		assert.Equal(t, w.Body.String(), string(configuration(3, "s")))
 		assert.Equal(t, w.Header().Get("Content-Type"), "application/json")
-		confirms := r.store.confirmCount()
-		assertStatus(t, r.replace(0, 3), 200) // the very same again
-		assert.Equal(t, r.store.confirmCount(), confirms+1)
-		assertStatus(t, r.replaceBody(0, configuration(3, "other")), 412)
-		assertStatus(t, r.replace(1, 4), 412)
-		assertStatus(t, r.replace(3, 3), 200)
-		assertStatus(t, r.replaceBody(3, configuration(3, "other")), 400)
-		assertStatus(t, r.replace(3, 2), 400)
-		assertStatus(t, r.replace(3, 7), 200)
-		assert.Equal(t, r.describe().Body.String(), string(configuration(7, "s")))
+		confirms := h.store.confirmCount()
+		assertStatus(t, h.replace(0, 3), 200) // the very same again
+		assert.Equal(t, h.store.confirmCount(), confirms+1)
+		assertStatus(t, h.replaceBody(0, configuration(3, "other")), 412)
+		assertStatus(t, h.replace(1, 4), 412)
+		assertStatus(t, h.replace(3, 3), 200)
+		assertStatus(t, h.replaceBody(3, configuration(3, "other")), 400)
+		assertStatus(t, h.replace(3, 2), 400)
+		assertStatus(t, h.replace(3, 7), 200)
+		assert.Equal(t, h.describe().Body.String(), string(configuration(7, "s")))
 	})
 }
 
 func TestReplace_InvalidOrIncompleteBody(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
 		body := configuration(4, "s")
 		base := map[string]string{"X-Base-Revision": "3"}
-		assertStatus(t, r.replaceBody(3, body[:len(body)/2]), 400)
-		assertStatus(t, r.replaceBody(3, bytes.Replace(body, []byte(`"timeout_ms":1000`), []byte(`"timeout_ms":0`), 1)), 400)
-		assertStatus(t, r.call("POST", "Configuration.Replace", nil, bytes.NewReader(body)), 400)
+		assertStatus(t, h.replaceBody(3, body[:len(body)/2]), 400)
+		assertStatus(t, h.replaceBody(3, bytes.Replace(body, []byte(`"timeout_ms":1000`), []byte(`"timeout_ms":0`), 1)), 400)
+		assertStatus(t, h.call("POST", "Configuration.Replace", nil, bytes.NewReader(body)), 400)
 		cut := io.MultiReader(bytes.NewReader(body), iotest.ErrReader(io.ErrUnexpectedEOF)) // all of it came, but not its end
-		assertStatus(t, r.call("POST", "Configuration.Replace", base, cut), 400)
+		assertStatus(t, h.call("POST", "Configuration.Replace", base, cut), 400)
 		large := io.MultiReader(bytes.NewReader(body), strings.NewReader(strings.Repeat(" ", 5<<20)))
-		assertStatus(t, r.call("POST", "Configuration.Replace", base, large), 413)
-		assertStatus(t, r.replaceBody(3, append(bytes.Clone(body), make([]byte, 5<<20)...)), 413)
-		assert.Equal(t, r.describe().Body.String(), string(configuration(3, "s")))
-		assertStatus(t, r.call("GET", "Configuration.Replace", nil, nil), 405)
-		assertStatus(t, r.call("POST", "Configuration.Other", nil, nil), 404)
-		assertStatus(t, r.call("GET", "Retire.Describe", nil, nil), 404)
+		assertStatus(t, h.call("POST", "Configuration.Replace", base, large), 413)
+		assertStatus(t, h.replaceBody(3, append(bytes.Clone(body), make([]byte, 5<<20)...)), 413)
+		assert.Equal(t, h.describe().Body.String(), string(configuration(3, "s")))
+		assertStatus(t, h.call("GET", "Configuration.Replace", nil, nil), 405)
+		assertStatus(t, h.call("POST", "Configuration.Other", nil, nil), 404)
+		assertStatus(t, h.call("GET", "Retire.Describe", nil, nil), 404)
 	})
 }
 
@@ -83,20 +83,20 @@
 }
 
 func TestReplace_ConcurrentChangesOneWins(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		r.store.set(func() { r.store.putDelay = 20 * time.Millisecond })
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		h.store.set(func() { h.store.putDelay = 20 * time.Millisecond })
 		var codes [8]int
 		var all sync.WaitGroup
 		for i := range codes {
-			all.Go(func() { codes[i] = r.replaceBody(3, configuration(4+i, fmt.Sprint("s", i))).Code })
+			all.Go(func() { codes[i] = h.replaceBody(3, configuration(4+i, fmt.Sprint("s", i))).Code })
 		}
 		all.Wait()
 		won := 0
 		for i, code := range codes {
 			if code == 200 {
 				won++
-				assert.Equal(t, r.describe().Body.String(), string(configuration(4+i, fmt.Sprint("s", i))))
+				assert.Equal(t, h.describe().Body.String(), string(configuration(4+i, fmt.Sprint("s", i))))
 			} else {
 				assert.Assert(t, code == 412 || code == 400, "%d", code)
 			}
@@ -107,56 +107,56 @@
 
 func TestReplace_UnknownOutcomeNeitherShownNorRejected(t *testing.T) {
 	for _, lost := range []bool{true, false} {
-		withHarness(t, func(r *harness) {
-			assertStatus(t, r.replace(0, 3), 200)
-			c := r.join(roleGateway, "e1", nil)
-			r.store.set(func() { r.store.failPut = func(map[string][]byte) (bool, bool) { return lost, true } })
-			w := r.replace(3, 4)
+		withHarness(t, func(h *harness) {
+			assertStatus(t, h.replace(0, 3), 200)
+			c := h.join(roleGateway, "e1", nil)
+			h.store.set(func() { h.store.failPut = func(map[string][]byte) (bool, bool) { return lost, true } })
+			w := h.replace(3, 4)
 			assertStatus(t, w, 503)
 			assert.Assert(t, w.Header().Get("Retry-After") != "")
-			assertStatus(t, r.replace(3, 4), 503) // of its own, never 412
-			r.advance(300 * time.Millisecond)
+			assertStatus(t, h.replace(3, 4), 503) // of its own, never 412
+			h.advance(300 * time.Millisecond)
 			bodies, _ := c.received()
 			assert.DeepEqual(t, bodies, []string{string(configuration(3, "s"))})
-			assert.Assert(t, r.describe().Code == 503)
-			r.store.set(func() { r.store.failPut = nil })
-			r.advance(300 * time.Millisecond)
-			assertStatus(t, r.replace(3, 4), 200)
-			assert.Equal(t, r.describe().Body.String(), string(configuration(4, "s")))
-			r.advance(time.Second)
+			assert.Assert(t, h.describe().Code == 503)
+			h.store.set(func() { h.store.failPut = nil })
+			h.advance(300 * time.Millisecond)
+			assertStatus(t, h.replace(3, 4), 200)
+			assert.Equal(t, h.describe().Body.String(), string(configuration(4, "s")))
+			h.advance(time.Second)
 			assert.Equal(t, countReceived(c), 2)
 		})
 	}
 }
 
 func TestReplace_UnknownOutcomeSupersededNeverShown(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		c := r.join(roleGateway, "e1", nil)
-		r.store.set(func() { r.store.failPut = func(map[string][]byte) (bool, bool) { return true, true } })
-		assertStatus(t, r.replace(3, 4), 503)
-		r.store.set(func() { r.store.failPut = nil })
-		r.advance(time.Second)
-		assertStatus(t, r.replaceBody(3, configuration(5, "b")), 200)
-		assertStatus(t, r.replace(3, 4), 412)
-		r.advance(time.Second)
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		c := h.join(roleGateway, "e1", nil)
+		h.store.set(func() { h.store.failPut = func(map[string][]byte) (bool, bool) { return true, true } })
+		assertStatus(t, h.replace(3, 4), 503)
+		h.store.set(func() { h.store.failPut = nil })
+		h.advance(time.Second)
+		assertStatus(t, h.replaceBody(3, configuration(5, "b")), 200)
+		assertStatus(t, h.replace(3, 4), 412)
+		h.advance(time.Second)
 		bodies, _ := c.received()
 		assert.DeepEqual(t, bodies, []string{string(configuration(3, "s")), string(configuration(5, "b"))})
 	})
 }
 
 func TestOperators_RedirectToPrimary(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		r.store.set(func() { r.store.primary, r.store.hint = false, "10.0.0.2:7380" })
+	withHarness(t, func(h *harness) {
+		h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" })
 		synctest.Wait()
-		for _, w := range []*httptest.ResponseRecorder{r.replace(0, 3), r.describe(), r.call("GET", "Retire.Describe/n1", nil, nil),
-			r.call("POST", "Retire.Create/n1", nil, strings.NewReader(`{"duration_s":1}`))} {
+		for _, w := range []*httptest.ResponseRecorder{h.replace(0, 3), h.describe(), h.call("GET", "Retire.Describe/n1", nil, nil),
+			h.call("POST", "Retire.Create/n1", nil, strings.NewReader(`{"duration_s":1}`))} {
 			assertStatus(t, w, 307)
 			assert.Assert(t, strings.HasPrefix(w.Header().Get("Location"), "http://10.0.0.2:8144/saffronyard/"))
 		}
 		for _, hint := range []string{"", "10.0.0.1:7380"} { // itself
-			r.store.set(func() { r.store.hint = hint })
-			w := r.replace(0, 3)
+			h.store.set(func() { h.store.hint = hint })
+			w := h.replace(0, 3)
 			assertStatus(t, w, 503)
 			assert.Assert(t, w.Header().Get("Retry-After") != "")
 		}
@@ -164,89 +164,89 @@
 }
 
 func TestOperators_NothingAnsweredUnconfirmed(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		r.store.set(func() { r.store.unconfirmed = true })
-		assertStatus(t, r.describe(), 503)
-		assertStatus(t, r.replace(0, 3), 503)
-		assertStatus(t, r.replace(1, 4), 503)
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		h.store.set(func() { h.store.unconfirmed = true })
+		assertStatus(t, h.describe(), 503)
+		assertStatus(t, h.replace(0, 3), 503)
+		assertStatus(t, h.replace(1, 4), 503)
 	})
 }
 
 func TestReplace_WaitsForActiveGateways(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		fast := r.join(roleGateway, "e1", nil)
-		slow := r.join(roleGateway, "e2", func(p *testProcess) { p.acknowledgeDelay = 200 * time.Millisecond })
-		r.advance(time.Second)
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		fast := h.join(roleGateway, "e1", nil)
+		slow := h.join(roleGateway, "e2", func(p *testProcess) { p.acknowledgeDelay = 200 * time.Millisecond })
+		h.advance(time.Second)
 		began := time.Now()
-		assertStatus(t, r.replace(3, 4), 200)
+		assertStatus(t, h.replace(3, 4), 200)
 		took := time.Since(began)
 		assert.Assert(t, took >= 200*time.Millisecond && took < 300*time.Millisecond, "%v", took)
-		_, version := r.store.Get(keyConfiguration)
+		_, version := h.store.Get(keyConfiguration)
 		assert.Equal(t, slow.acknowledged().ConfigurationVersion, version)
 		// The same again is answered when they have it too.
 		assert.Equal(t, countReceived(fast), 2)
 		began = time.Now()
-		assertStatus(t, r.replace(3, 4), 200)
+		assertStatus(t, h.replace(3, 4), 200)
 		assert.Assert(t, time.Since(began) < 50*time.Millisecond)
 		slow.stop()
-		r.advance(140 * time.Millisecond) // its connection broke: it may be back any moment, and then no more
+		h.advance(140 * time.Millisecond) // its connection broke: it may be back any moment, and then no more
 		began = time.Now()
-		assertStatus(t, r.replace(4, 5), 200)
+		assertStatus(t, h.replace(4, 5), 200)
 		assert.Assert(t, time.Since(began) < 100*time.Millisecond)
 	})
 }
 
 func TestReplace_WaitForGatewaysIsBounded(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		r.join(roleGateway, "e1", func(p *testProcess) { p.acknowledgeDelay = time.Hour })
-		r.join(roleGateway, "e2", nil)
-		service := r.plane.Sessions()
-		_, version := r.store.Get(keyConfiguration)
-		go service.Watch(r.ctx, &tierv1.WatchRequest{Node: "e3", Role: roleGateway, Incarnation: "x", ConfigurationVersion: version, PollTimeoutMs: 500})
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		h.join(roleGateway, "e1", func(p *testProcess) { p.acknowledgeDelay = time.Hour })
+		h.join(roleGateway, "e2", nil)
+		service := h.plane.Sessions()
+		_, version := h.store.Get(keyConfiguration)
+		go service.Watch(h.ctx, &tierv1.WatchRequest{Node: "e3", Role: roleGateway, Incarnation: "x", ConfigurationVersion: version, PollTimeoutMs: 500})
 		synctest.Wait()
 		began := time.Now()
-		assertStatus(t, r.replace(3, 4), 200)
+		assertStatus(t, h.replace(3, 4), 200)
 		took := time.Since(began)
 		assert.Assert(t, took <= replaceTimeout, "%v", took)
 	})
 }
 
 func TestRetire(t *testing.T) {
-	withHarness(t, func(r *harness) {
+	withHarness(t, func(h *harness) {
 		for _, n := range []string{"v1", "v2", "v3"} {
-			r.join(roleTurnStore, n, func(p *testProcess) { p.acknowledgeDelay = 50 * time.Millisecond }) // so that no replica is synced at once
+			h.join(roleTurnStore, n, func(p *testProcess) { p.acknowledgeDelay = 50 * time.Millisecond }) // so that no replica is synced at once
 		}
-		r.advance(2 * time.Second)
+		h.advance(2 * time.Second)
 		order := func(node string) *httptest.ResponseRecorder {
-			return r.call("POST", "Retire.Create/"+node, nil, strings.NewReader(`{"duration_s":10}`))
+			return h.call("POST", "Retire.Create/"+node, nil, strings.NewReader(`{"duration_s":10}`))
 		}
-		state := func(node string) *httptest.ResponseRecorder { return r.call("GET", "Retire.Describe/"+node, nil, nil) }
+		state := func(node string) *httptest.ResponseRecorder { return h.call("GET", "Retire.Describe/"+node, nil, nil) }
 		assertStatus(t, order("v9"), 404)
 		assertStatus(t, state("v1"), 404)
 		assertStatus(t, order("v1"), 200)
 		assertStatus(t, order("v1"), 200)
 		assertStatus(t, order("v2"), 409)
 		assert.Equal(t, state("v1").Body.String(), `{"lifecycle_state":"in_progress"}`)
-		r.advance(10 * time.Second)
+		h.advance(10 * time.Second)
 		assert.Equal(t, state("v1").Body.String(), `{"lifecycle_state":"completed"}`)
-		r.store.set(func() { r.store.unconfirmed = true })
+		h.store.set(func() { h.store.unconfirmed = true })
 		assertStatus(t, state("v1"), 503)
 	})
 }
 
 // Right after a takeover not all storage machines have been heard: a 404 or 409 would end the operator's order for good.
 func TestRetire_RightAfterTakeover(t *testing.T) {
-	withHarness(t, func(r *harness) {
+	withHarness(t, func(h *harness) {
 		order := func(node string) *httptest.ResponseRecorder {
-			return r.call("POST", "Retire.Create/"+node, nil, strings.NewReader(`{"duration_s":10}`))
+			return h.call("POST", "Retire.Create/"+node, nil, strings.NewReader(`{"duration_s":10}`))
 		}
-		r.join(roleTurnStore, "v1", nil)
+		h.join(roleTurnStore, "v1", nil)
 		assertStatus(t, order("v1"), 503)
 		assertStatus(t, order("v9"), 503)
-		r.advance(2 * time.Second)
+		h.advance(2 * time.Second)
 		assertStatus(t, order("v1"), 409)
 		assertStatus(t, order("v9"), 404)
 	})
@@ -254,14 +254,14 @@
 
 // Machines that are down for a moment are machines that remain: the order is to be sent again, not rejected for good.
 func TestRetire_WhileOthersAreDown(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		r.join(roleTurnStore, "v1", nil)
-		others := []*testProcess{r.join(roleTurnStore, "v2", nil), r.join(roleTurnStore, "v3", nil)}
-		r.advance(2 * time.Second)
+	withHarness(t, func(h *harness) {
+		h.join(roleTurnStore, "v1", nil)
+		others := []*testProcess{h.join(roleTurnStore, "v2", nil), h.join(roleTurnStore, "v3", nil)}
+		h.advance(2 * time.Second)
 		for _, p := range others {
 			p.stop()
 		}
-		r.advance(2 * time.Second)
-		assertStatus(t, r.call("POST", "Retire.Create/v1", nil, strings.NewReader(`{"duration_s":10}`)), 503)
+		h.advance(2 * time.Second)
+		assertStatus(t, h.call("POST", "Retire.Create/v1", nil, strings.NewReader(`{"duration_s":10}`)), 503)
 	})
 }
--- a/internal/tier/controlplane/operators_wire_test.go
+++ b/internal/tier/controlplane/operators_wire_test.go
@@ -17,13 +17,13 @@
 
 // wireLog collects calls and their answers.
 type wireLog struct {
-	r    *harness
-	text strings.Builder
+	harness *harness
+	text    strings.Builder
 }
 
 // call makes a call and records its answer: status, headers in the order of their names, and body.
 func (l *wireLog) call(title, method, path string, header map[string]string, body string) *httptest.ResponseRecorder {
-	w := l.r.call(method, path, header, strings.NewReader(body))
+	w := l.harness.call(method, path, header, strings.NewReader(body))
 	fmt.Fprintf(&l.text, "# %s\n%s %s\n%d\n", title, method, path, w.Code)
 	for _, name := range slices.Sorted(maps.Keys(w.Header())) {
 		fmt.Fprintf(&l.text, "%s: %s\n", name, strings.Join(w.Header()[name], ", "))
@@ -47,8 +47,8 @@
 // Every byte that operators get stays as it was.
 func TestOperatorsWire_Unchanged(t *testing.T) {
 	l := &wireLog{}
-	withHarness(t, func(r *harness) {
-		l.r = r
+	withHarness(t, func(h *harness) {
+		l.harness = h
 		l.callsBeforeTurnStores()
 		l.configurationCalls()
 		l.retireCalls()
@@ -94,12 +94,12 @@
 }
 
 func (l *wireLog) retireCalls() {
-	r := l.r
+	h := l.harness
 	l.retire("right after a takeover", "v1", `{"duration_s":10}`)
 	for _, node := range []string{"v1", "v2", "v3"} {
-		r.join(roleTurnStore, node, func(p *testProcess) { p.acknowledgeDelay = 50 * time.Millisecond })
+		h.join(roleTurnStore, node, func(p *testProcess) { p.acknowledgeDelay = 50 * time.Millisecond })
 	}
-	r.advance(2 * time.Second)
+	h.advance(2 * time.Second)
 	l.retire("unknown machine", "v9", `{"duration_s":10}`)
 	l.retire("no JSON", "v1", "{")
 	l.retire("a duration that is no number", "v1", `{"duration_s":"x"}`)
@@ -110,13 +110,13 @@
 	l.retire("without a body", "v1", "")
 	l.retire("too few would remain", "v2", `{"duration_s":10}`)
 	l.describeRetire("under way", "v1")
-	r.advance(10 * time.Second)
+	h.advance(10 * time.Second)
 	l.describeRetire("over", "v1")
 	l.retire("the same again, over", "v1", `{"duration_s":10}`)
 }
 
 func (l *wireLog) callsDuringFaults() {
-	r := l.r
+	h := l.harness
 	all := func(state string) {
 		l.replace(state, "7", configuration(8, "s"))
 		l.replace(state+", taken before", "0", configuration(3, "s"))
@@ -127,23 +127,23 @@
 		l.describeRetire(state, "v1")
 		l.call(state, "POST", "Configuration.Other", nil, "")
 	}
-	r.store.set(func() { r.store.tooLarge = func(map[string][]byte) bool { return true } })
+	h.store.set(func() { h.store.tooLarge = func(map[string][]byte) bool { return true } })
 	l.replace("the control state would be too large", "7", configuration(8, "s"))
-	r.store.set(func() { r.store.tooLarge = nil })
-	r.store.set(func() { r.store.failPut = func(map[string][]byte) (bool, bool) { return true, true } })
+	h.store.set(func() { h.store.tooLarge = nil })
+	h.store.set(func() { h.store.failPut = func(map[string][]byte) (bool, bool) { return true, true } })
 	all("the outcome of writes is unknown")
-	r.store.set(func() { r.store.failPut = nil })
-	r.advance(time.Second)
-	r.store.set(func() { r.store.unconfirmed = true })
+	h.store.set(func() { h.store.failPut = nil })
+	h.advance(time.Second)
+	h.store.set(func() { h.store.unconfirmed = true })
 	l.replace("backups do not confirm, taken before", "0", configuration(3, "s"))
 	l.call("backups do not confirm", "GET", "Configuration.Describe", nil, "")
 	l.retire("backups do not confirm", "v1", `{"duration_s":10}`)
 	l.describeRetire("backups do not confirm", "v1")
-	r.store.set(func() { r.store.unconfirmed = false })
-	r.store.set(func() { r.store.primary, r.store.hint = false, "10.0.0.2:7380" })
+	h.store.set(func() { h.store.unconfirmed = false })
+	h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" })
 	synctest.Wait()
 	all("another process is the primary")
-	r.store.set(func() { r.store.hint = "" })
+	h.store.set(func() { h.store.hint = "" })
 	synctest.Wait()
 	all("no primary is known")
 }
--- a/internal/tier/controlplane/placement_mutants_test.go
+++ b/internal/tier/controlplane/placement_mutants_test.go
@@ -19,14 +19,15 @@
 	recoversNothing    bool       // a recovery brings no facts, and is reported as done
 }
 
-// assignFunc is the kind of Assign.
+// assignFunc has the signature of Assign.
 type assignFunc func(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool)
 
-func (p mutant) assigned(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
-	if p.assign == nil {
+// assigned returns the map of Assign, or of what stands in its place.
+func (m mutant) assigned(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
+	if m.assign == nil {
 		return Assign(before, in)
 	}
-	return p.assign(before, in)
+	return m.assign(before, in)
 }
 
 // changed returns Assign's map after a change to those partitions that Assign has changed.
@@ -84,23 +85,23 @@
 func TestPlacement_MutantsFound(t *testing.T) {
 	for _, play := range []struct {
 		name string
-		run  func(t reporter, planted mutant, seed uint64)
-	}{{"lapses", playSessionExpiries}, {"random events", playRandomEvents}} {
+		run  func(t reporter, fault mutant, seed uint64)
+	}{{"session expiries", playSessionExpiries}, {"random events", playRandomEvents}} {
 		for _, fault := range []struct {
-			name  string
-			plant mutant
-			by    []string // one of these is in what the check says
+			name   string
+			mutant mutant
+			by     []string // the check finds one of these
 		}{
 			{"a backup takes a stale epoch", mutant{acceptsStaleEpochs: true}, []string{findingNotComplete, findingServesIncomplete}},
-			{"copies are reported whole too early", mutant{reportsEarly: true}, []string{findingNotComplete}},
+			{"replicas are reported synced too early", mutant{reportsEarly: true}, []string{findingNotComplete}},
 			{"a recovery loses what it fetches", mutant{recoversNothing: true}, []string{findingNotComplete}},
-			{"an unsynced copy succeeds", mutant{assign: changed(promoteUnsynced)}, []string{findingNotComplete, findingServesIncomplete}},
-			{"control forgets retained copies", mutant{assign: changed(forgetRetained)}, []string{findingUnserved}},
+			{"an unsynced replica becomes primary", mutant{assign: changed(promoteUnsynced)}, []string{findingNotComplete, findingServesIncomplete}},
+			{"control forgets retained replicas", mutant{assign: changed(forgetRetained)}, []string{findingUnserved}},
 			{"reports of an older epoch are taken", mutant{assign: acceptOldReports}, []string{findingNotComplete}},
 		} {
 			t.Run(play.name+"/"+fault.name, func(t *testing.T) {
 				for seed := range uint64(mutantSeeds) {
-					failure := observer.Observe(func(r reporter) { play.run(r, fault.plant, seed) })
+					failure := observer.Observe(func(r reporter) { play.run(r, fault.mutant, seed) })
 					if failure == "" {
 						continue
 					}
--- a/internal/tier/controlplane/placement_random_test.go
+++ b/internal/tier/controlplane/placement_random_test.go
@@ -21,7 +21,7 @@
 }
 
 // playRandomEvents is one play of TestRandomEvents.
-func playRandomEvents(t reporter, planted mutant, seed uint64) {
+func playRandomEvents(t reporter, fault mutant, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	losses := 1 + r.IntN(2)
 	n := losses + 1 + r.IntN(4)
@@ -29,7 +29,7 @@
 	if r.IntN(3) == 0 {
 		spread.Domain = byZone
 	}
-	w := newMutantModel(t, planted, r, n, 3, spread)
+	w := newMutantModel(t, fault, r, n, 3, spread)
 	w.assign(w.input())
 	w.runUntilStable()
 	hurt := map[*modelMachine]bool{} // since all was at rest
--- a/internal/tier/controlplane/platform_poll_test.go
+++ b/internal/tier/controlplane/platform_poll_test.go
@@ -68,54 +68,54 @@
 	set := testSettings()
 	set.CloudAddress = "10.200.0.100:8142"
 	p := &platform{pages: map[string]string{"": listJSON("p-1", instanceJSON("i-2", "ready", 900)), "p-1": listJSON("null", instanceJSON("i-1", "draining", 0))}}
-	withHarnessOf(t, set, p, func(r *harness) {
+	withHarnessOf(t, set, p, func(h *harness) {
 		endpoints := func() (uint64, int) {
-			v, _ := r.plane.currentState()
+			v, _ := h.plane.currentState()
 			return v.endpoints.GetVersion(), len(v.endpoints.GetList())
 		}
 		first, n := endpoints() // asked for at once
 		assert.Equal(t, n, 2)
-		assert.Assert(t, first > r.store.epoch<<24)
-		v, _ := r.plane.currentState()
+		assert.Assert(t, first > h.store.epoch<<24)
+		v, _ := h.plane.currentState()
 		one := v.endpoints.List[0]
 		assert.Assert(t, one.Instance == "i-1" && one.Draining && one.Capacity == 96 && one.Models[0].Name == "m" && one.Phase == "both")
-		gateway := r.join(roleGateway, "e1", nil)
+		gateway := h.join(roleGateway, "e1", nil)
 		assert.Equal(t, gateway.acknowledged().EndpointsVersion, first)
 
 		p.set(func() { p.pages[""] = listJSON("p-1", instanceJSON("i-2", "ready", 100)) })
-		r.advance(1100 * time.Millisecond)
+		h.advance(1100 * time.Millisecond)
 		now, _ := endpoints()
 		assert.Equal(t, now, first, "a list that only grew warmer was pushed")
-		v, _ = r.plane.currentState()
+		v, _ = h.plane.currentState()
 		assert.Equal(t, v.endpoints.List[1].SlowStartRemainingMs, uint32(100))
 
 		p.set(func() { delete(p.pages, "p-1"); p.pages[""] = listJSON("p-1", instanceJSON("i-3", "ready", 0)) })
-		r.advance(5 * time.Second)
+		h.advance(5 * time.Second)
 		now, n = endpoints()
 		// What the page tells is published once, and what is missing is not gone by a list read in part.
 		assert.Assert(t, now == first+1 && n == 3, "version %d after %d, %d endpoints", now, first, n)
 		assert.Equal(t, gateway.acknowledged().EndpointsVersion, now)
 
 		p.set(func() { p.pages["p-1"] = listJSON("null") })
-		r.advance(4 * time.Second)
+		h.advance(4 * time.Second)
 		now, n = endpoints()
 		assert.Assert(t, now == first+2 && n == 1)
 		assert.Equal(t, gateway.acknowledged().EndpointsVersion, now)
 
 		p.set(func() { p.code = 429 })
 		before := p.count()
-		r.advance(9 * time.Second)
+		h.advance(9 * time.Second)
 		assert.Assert(t, p.count()-before < 7, "%d calls to a platform that refuses", p.count()-before)
 		_, n = endpoints()
 		assert.Equal(t, n, 1)
 
-		r.store.set(func() { r.store.primary = false })
+		h.store.set(func() { h.store.primary = false })
 		synctest.Wait()
 		before = p.count()
-		r.advance(10 * time.Second)
+		h.advance(10 * time.Second)
 		assert.Assert(t, p.count()-before <= 1, "one that is not the primary asked")
 		p.set(func() { p.code = 0 })
-		r.store.set(func() { r.store.primary, r.store.epoch = true, r.store.epoch+1<<12 })
+		h.store.set(func() { h.store.primary, h.store.epoch = true, h.store.epoch+1<<12 })
 		synctest.Wait()
 		later, n := endpoints()
 		assert.Assert(t, later > now && n == 1, "a new epoch's version is not above the old one's")
@@ -126,9 +126,9 @@
 	set := testSettings()
 	set.CloudAddress, set.CloudRate = "10.200.0.100:8142", 4
 	p := &platform{pages: map[string]string{"": listJSON("a"), "a": listJSON("b"), "b": listJSON("c"), "c": listJSON("null")}}
-	withHarnessOf(t, set, p, func(r *harness) {
+	withHarnessOf(t, set, p, func(h *harness) {
 		p.set(func() { p.calls = 0 })
-		r.advance(40 * time.Second)
+		h.advance(40 * time.Second)
 		n := p.count()
 		// Of the 160 calls that it takes, room for a third is left; four pages at four calls a second can't be read
 		// more often than each 1.5 s, half of the drain time.
@@ -214,14 +214,14 @@
 		"none": {}, "the first": {0: 1}, "one halfway": {30: 1}, "the last": {59: 1}, "two": {0: 1, 59: 1}, "one page twice": {30: 2}} {
 		t.Run(name, func(t *testing.T) {
 			p := &pagedPlatform{pages: 60, callTime: 16 * time.Millisecond}
-			withHarnessOf(t, set, p, func(r *harness) {
-				r.advance(5 * time.Second)
-				gateway := r.join(roleGateway, "e1", nil)
+			withHarnessOf(t, set, p, func(h *harness) {
+				h.advance(5 * time.Second)
+				gateway := h.join(roleGateway, "e1", nil)
 				before := gateway.acknowledged().EndpointsVersion
 				assert.Assert(t, before > 0)
 				shown := <-p.drainAfterItsPage(lost)
 				for gateway.acknowledged().EndpointsVersion == before && time.Since(shown) < 2*set.DrainTimeout {
-					r.advance(10 * time.Millisecond)
+					h.advance(10 * time.Millisecond)
 				}
 				took := time.Since(shown)
 				t.Logf("known after %v", took)
@@ -236,10 +236,10 @@
 	set := testSettings()
 	set.CloudAddress, set.CloudRate = "10.200.0.100:8142", 4
 	p := &platform{code: http.StatusInternalServerError}
-	withHarnessOf(t, set, p, func(r *harness) {
+	withHarnessOf(t, set, p, func(h *harness) {
 		p.set(func() { p.calls = 0 })
 		const span = 40
-		r.advance(span * time.Second)
+		h.advance(span * time.Second)
 		assert.Assert(t, float64(p.count()) <= span*set.CloudRate/rateHeadroom, "%d calls", p.count())
 	})
 }
@@ -249,10 +249,10 @@
 	set := testSettings()
 	set.CloudAddress = "10.200.0.100:8142"
 	p := &platform{code: http.StatusTooManyRequests}
-	withHarnessOf(t, set, p, func(r *harness) {
-		r.advance(200 * time.Millisecond) // it begins with calls of its own
+	withHarnessOf(t, set, p, func(h *harness) {
+		h.advance(200 * time.Millisecond) // it begins with calls of its own
 		p.set(func() { p.calls = 0 })
-		r.advance(time.Second)
+		h.advance(time.Second)
 		assert.Equal(t, p.count(), 0)
 	})
 }
@@ -289,14 +289,14 @@
 	set := testSettings()
 	set.CloudAddress, set.CloudRate = "10.200.0.100:8142", 5
 	p := &burstPlatform{pagedPlatform: pagedPlatform{pages: 9, callTime: 40 * time.Millisecond}, rate: 5, burst: 5}
-	withHarnessOf(t, set, p, func(r *harness) {
-		r.advance(10 * time.Second)
-		gateway := r.join(roleGateway, "e1", nil)
+	withHarnessOf(t, set, p, func(h *harness) {
+		h.advance(10 * time.Second)
+		gateway := h.join(roleGateway, "e1", nil)
 		before := gateway.acknowledged().EndpointsVersion
 		assert.Assert(t, before > 0, "the list was never read")
 		shown := <-p.drainAfterItsPage(nil)
 		for gateway.acknowledged().EndpointsVersion == before && time.Since(shown) < time.Minute {
-			r.advance(10 * time.Millisecond)
+			h.advance(10 * time.Millisecond)
 		}
 		// one interval of nine pages, and a reading of which some are spaced
 		assert.Assert(t, time.Since(shown) < 6*time.Second, "known after %v", time.Since(shown))
--- a/internal/tier/controlplane/platform_rate_test.go
+++ b/internal/tier/controlplane/platform_rate_test.go
@@ -128,18 +128,18 @@
 }
 
 // watchRelease has a release played before a session, and gives what that one sees of it.
-func watchRelease(r *harness, p *limitedRatePlatform, seed uint64, span time.Duration) (seen releaseObservation) {
-	r.advance(10 * time.Second)
+func watchRelease(h *harness, p *limitedRatePlatform, seed uint64, span time.Duration) (seen releaseObservation) {
+	h.advance(10 * time.Second)
 	over := make(chan struct{})
 	var releasing sync.WaitGroup
 	releasing.Go(func() {
-		p.release(rand.New(rand.NewPCG(seed, 2)), 2*r.plane.Settings.DrainTimeout, 500*time.Millisecond, over)
+		p.release(rand.New(rand.NewPCG(seed, 2)), 2*h.plane.Settings.DrainTimeout, 500*time.Millisecond, over)
 	})
 	known := map[string]bool{}
 	version := uint64(0)
 	for began := time.Now(); time.Since(began) < span; {
-		r.advance(20 * time.Millisecond)
-		v, _ := r.plane.currentState()
+		h.advance(20 * time.Millisecond)
+		v, _ := h.plane.currentState()
 		if v.endpoints.GetVersion() != version {
 			version = v.endpoints.GetVersion()
 			seen.pushes++
@@ -164,7 +164,7 @@
 	}
 	close(over)
 	releasing.Wait()
-	r.advance(3 * r.plane.Settings.DrainTimeout)
+	h.advance(3 * h.plane.Settings.DrainTimeout)
 	return seen
 }
 
@@ -198,13 +198,13 @@
 					p.list = append(p.list, limitedRateEntry{instance: fmt.Sprintf("i-%04d", i*10000/c.endpoints)})
 				}
 				const span = 40 * time.Second
-				withHarnessOf(t, set, p, func(r *harness) {
-					seen := watchRelease(r, p, seed, span)
+				withHarnessOf(t, set, p, func(h *harness) {
+					seen := watchRelease(h, p, seed, span)
 					worst = releaseObservation{max(worst.longest, seen.longest), worst.known + seen.known, max(worst.pushes, seen.pushes)}
 					pages := math.Ceil(float64(p.maxEntries) / float64(c.pageSize))
 					// Its page comes an interval after the last time, or two calls later: one is rejected, or the list grew.
-					bound = r.plane.pollInterval(int(pages), 0) + set.DrainTimeout/pushIntervalDivisor + 2*r.plane.callSpacing() + 100*time.Millisecond
-					checkSameList(t, r, p)
+					bound = h.plane.pollInterval(int(pages), 0) + set.DrainTimeout/pushIntervalDivisor + 2*h.plane.callSpacing() + 100*time.Millisecond
+					checkSameList(t, h, p)
 				})
 				assert.Check(t, worst.longest <= bound, "seed %d: known after %v, bound %v", seed, worst.longest, bound)
 				most := int(span/(set.DrainTimeout/pushIntervalDivisor)) + int(span/(set.DrainTimeout/pollDivisor)) + 2
@@ -216,9 +216,9 @@
 }
 
 // checkSameList checks that what is shown is what the platform has.
-func checkSameList(t *testing.T, r *harness, p *limitedRatePlatform) {
+func checkSameList(t *testing.T, h *harness, p *limitedRatePlatform) {
 	t.Helper()
-	v, _ := r.plane.currentState()
+	v, _ := h.plane.currentState()
 	var shown, listed []string
 	for _, e := range v.endpoints.List {
 		shown = append(shown, fmt.Sprint(e.Instance, e.Draining))
--- a/internal/tier/controlplane/redirect_test.go
+++ b/internal/tier/controlplane/redirect_test.go
@@ -12,29 +12,29 @@
 )
 
 // loseLeader is a backup whose primary, 10.0.0.2, does not answer any more, while 10.0.0.3 does.
-func (r *harness) loseLeader() {
-	r.plane.Dial = func(address string) tierv1.ControlPlane {
+func (h *harness) loseLeader() {
+	h.plane.Dial = func(address string) tierv1.ControlPlane {
 		if address == "10.0.0.3:7380" {
 			return fakeControlPlane{primary: true}
 		}
 		return fakeControlPlane{err: errors.New("no answer")}
 	}
-	r.store.set(func() { r.store.primary, r.store.hint = false, "10.0.0.2:7380" })
+	h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" })
 	synctest.Wait()
 }
 
 // after changes the store once d has passed.
-func (r *harness) after(d time.Duration, f func()) {
-	time.AfterFunc(d, func() { r.store.set(f) })
+func (h *harness) after(d time.Duration, f func()) {
+	time.AfterFunc(d, func() { h.store.set(f) })
 }
 
 // A caller who comes before the takeover is over is sent to the new primary as soon as that is known.
 func TestRedirect_WaitsForNewPrimary(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		r.loseLeader()
+	withHarness(t, func(h *harness) {
+		h.loseLeader()
 		began := time.Now()
-		r.after(700*time.Millisecond, func() { r.store.hint = "10.0.0.3:7380" })
-		w := r.replace(0, 3)
+		h.after(700*time.Millisecond, func() { h.store.hint = "10.0.0.3:7380" })
+		w := h.replace(0, 3)
 		assertStatus(t, w, 307)
 		assert.Equal(t, w.Header().Get("Location"), "http://10.0.0.3:8144/saffronyard/Configuration.Replace")
 		assert.Equal(t, time.Since(began), 700*time.Millisecond)
@@ -43,34 +43,34 @@
 
 // Where this process takes over itself, the caller comes again and is served.
 func TestRedirect_WaitsForOwnTakeover(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		r.loseLeader()
+	withHarness(t, func(h *harness) {
+		h.loseLeader()
 		began := time.Now()
-		r.after(300*time.Millisecond, func() { r.store.primary, r.store.hint, r.store.epoch = true, "10.0.0.1:7380", r.store.epoch+1<<12 })
-		w := r.replace(0, 3)
+		h.after(300*time.Millisecond, func() { h.store.primary, h.store.hint, h.store.epoch = true, "10.0.0.1:7380", h.store.epoch+1<<12 })
+		w := h.replace(0, 3)
 		assertStatus(t, w, 307)
 		assert.Equal(t, w.Header().Get("Location"), "http://10.0.0.1:8144/saffronyard/Configuration.Replace")
-		assert.Assert(t, time.Since(began) < 300*time.Millisecond+2*r.plane.windowFraction(primaryProbeDivisor), "%v", time.Since(began))
-		assertStatus(t, r.replace(0, 3), 200)
+		assert.Assert(t, time.Since(began) < 300*time.Millisecond+2*h.plane.windowFraction(primaryProbeDivisor), "%v", time.Since(began))
+		assertStatus(t, h.replace(0, 3), 200)
 	})
 }
 
 // No call is held for so long that its caller hears silence, and none at a process that has been without a primary for
 // longer than a takeover takes; the next time that it loses one, callers are held again.
 func TestRedirect_NoWaitWhenPartitioned(t *testing.T) {
-	withHarness(t, func(r *harness) {
+	withHarness(t, func(h *harness) {
 		took := func() time.Duration {
 			began := time.Now()
-			assertStatus(t, r.replace(0, 3), 503)
+			assertStatus(t, h.replace(0, 3), 503)
 			return time.Since(began)
 		}
-		r.loseLeader()
+		h.loseLeader()
 		assert.Equal(t, took(), redirectTimeout)
-		assert.Equal(t, took(), r.plane.windowFraction(takeoverDivisor)-redirectTimeout)
+		assert.Equal(t, took(), h.plane.windowFraction(takeoverDivisor)-redirectTimeout)
 		assert.Equal(t, took(), time.Duration(0))
-		r.store.set(func() { r.store.hint = "10.0.0.3:7380" })
-		assertStatus(t, r.replace(0, 3), 307)
-		r.loseLeader()
+		h.store.set(func() { h.store.hint = "10.0.0.3:7380" })
+		assertStatus(t, h.replace(0, 3), 307)
+		h.loseLeader()
 		assert.Equal(t, took(), redirectTimeout)
 	})
 }
--- a/internal/tier/controlplane/response_test.go
+++ b/internal/tier/controlplane/response_test.go
@@ -21,27 +21,27 @@
 	call  func(*harness) *httptest.ResponseRecorder
 	final int // at a primary in touch
 }{
-	{"read back", func(r *harness) *httptest.ResponseRecorder { return r.describe() }, 200},
-	{"taken before", func(r *harness) *httptest.ResponseRecorder { return r.replace(0, 3) }, 200},
-	{"stale", func(r *harness) *httptest.ResponseRecorder { return r.replace(1, 4) }, 412},
-	{"not above", func(r *harness) *httptest.ResponseRecorder { return r.replaceBody(3, configuration(3, "other")) }, 400},
-	{"invalid", func(r *harness) *httptest.ResponseRecorder { return r.replaceBody(3, []byte("{")) }, 400},
-	{"too large", func(r *harness) *httptest.ResponseRecorder { return r.replaceBody(3, make([]byte, 5<<20)) }, 413},
-	{"no base", func(r *harness) *httptest.ResponseRecorder {
-		return r.call("POST", "Configuration.Replace", nil, strings.NewReader("{}"))
+	{"read back", func(h *harness) *httptest.ResponseRecorder { return h.describe() }, 200},
+	{"taken before", func(h *harness) *httptest.ResponseRecorder { return h.replace(0, 3) }, 200},
+	{"stale", func(h *harness) *httptest.ResponseRecorder { return h.replace(1, 4) }, 412},
+	{"not above", func(h *harness) *httptest.ResponseRecorder { return h.replaceBody(3, configuration(3, "other")) }, 400},
+	{"invalid", func(h *harness) *httptest.ResponseRecorder { return h.replaceBody(3, []byte("{")) }, 400},
+	{"too large", func(h *harness) *httptest.ResponseRecorder { return h.replaceBody(3, make([]byte, 5<<20)) }, 413},
+	{"no base", func(h *harness) *httptest.ResponseRecorder {
+		return h.call("POST", "Configuration.Replace", nil, strings.NewReader("{}"))
 	}, 400},
-	{"retired before", func(r *harness) *httptest.ResponseRecorder { return r.retire("v1") }, 200},
-	{"unknown machine", func(r *harness) *httptest.ResponseRecorder { return r.retire("v9") }, 404},
-	{"too few left", func(r *harness) *httptest.ResponseRecorder { return r.retire("v2") }, 409},
-	{"not JSON", func(r *harness) *httptest.ResponseRecorder {
-		return r.call("POST", "Retire.Create/v1", nil, strings.NewReader("{"))
+	{"retired before", func(h *harness) *httptest.ResponseRecorder { return h.retire("v1") }, 200},
+	{"unknown machine", func(h *harness) *httptest.ResponseRecorder { return h.retire("v9") }, 404},
+	{"too few left", func(h *harness) *httptest.ResponseRecorder { return h.retire("v2") }, 409},
+	{"not JSON", func(h *harness) *httptest.ResponseRecorder {
+		return h.call("POST", "Retire.Create/v1", nil, strings.NewReader("{"))
 	}, 400},
-	{"state of one", func(r *harness) *httptest.ResponseRecorder { return r.call("GET", "Retire.Describe/v1", nil, nil) }, 200},
-	{"state of another", func(r *harness) *httptest.ResponseRecorder { return r.call("GET", "Retire.Describe/v2", nil, nil) }, 404},
+	{"state of one", func(h *harness) *httptest.ResponseRecorder { return h.call("GET", "Retire.Describe/v1", nil, nil) }, 200},
+	{"state of another", func(h *harness) *httptest.ResponseRecorder { return h.call("GET", "Retire.Describe/v2", nil, nil) }, 404},
 }
 
-func (r *harness) retire(node string) *httptest.ResponseRecorder {
-	return r.call("POST", "Retire.Create/"+node, nil, strings.NewReader(`{"duration_s":10}`))
+func (h *harness) retire(node string) *httptest.ResponseRecorder {
+	return h.call("POST", "Retire.Create/"+node, nil, strings.NewReader(`{"duration_s":10}`))
 }
 
 // fakeControlPlane is another control-plane process that is asked whether it is the primary.
@@ -67,33 +67,33 @@
 		want    int // of all calls; final: the answer of a primary in touch
 	}{
 		{"primary in touch", func(*harness) {}, silent, final},
-		{"primary whose backups do not confirm", func(r *harness) { r.store.set(func() { r.store.unconfirmed = true }) }, silent, 503},
-		{"primary whose lease has ended", func(r *harness) { r.store.set(func() { r.store.primary = false; r.store.hint = "10.0.0.1:7380" }) }, silent, 503},
-		{"primary whose lease has ended, unnoticed", func(r *harness) {
-			r.store.mu.Lock() // nobody is woken
-			r.store.primary, r.store.hint = false, "10.0.0.1:7380"
-			r.store.mu.Unlock()
+		{"primary whose backups do not confirm", func(h *harness) { h.store.set(func() { h.store.unconfirmed = true }) }, silent, 503},
+		{"primary whose lease has ended", func(h *harness) { h.store.set(func() { h.store.primary = false; h.store.hint = "10.0.0.1:7380" }) }, silent, 503},
+		{"primary whose lease has ended, unnoticed", func(h *harness) {
+			h.store.mu.Lock() // nobody is woken
+			h.store.primary, h.store.hint = false, "10.0.0.1:7380"
+			h.store.mu.Unlock()
 		}, silent, 503},
-		{"starting: its state is not written through", func(r *harness) {
-			r.store.set(func() {
-				r.store.epoch += 1 << 12
-				r.store.failPut = func(map[string][]byte) (bool, bool) { return true, true }
+		{"starting: its state is not written through", func(h *harness) {
+			h.store.set(func() {
+				h.store.epoch += 1 << 12
+				h.store.failPut = func(map[string][]byte) (bool, bool) { return true, true }
 			})
 			synctest.Wait()
 		}, silent, 503},
-		{"starting: it knows nobody", func(r *harness) { r.store.set(func() { r.store.primary = false }) }, silent, 503},
-		{"candidate that was the primary", func(r *harness) { r.store.set(func() { r.store.primary = false }) }, fakeControlPlane{primary: true}, 503},
-		{"backup", func(r *harness) { r.store.set(func() { r.store.primary, r.store.hint = false, "10.0.0.2:7380" }) }, fakeControlPlane{primary: true}, 307},
-		{"backup whose primary is out of touch", func(r *harness) { r.store.set(func() { r.store.primary, r.store.hint = false, "10.0.0.2:7380" }) }, fakeControlPlane{}, 503},
-		{"witness that is cut off", func(r *harness) { r.store.set(func() { r.store.primary, r.store.hint = false, "10.0.0.2:7380" }) }, silent, 503},
-		{"failed disk", func(r *harness) { r.store.set(func() { r.store.primary = false; r.store.epoch = 0 }) }, silent, 503},
+		{"starting: it knows nobody", func(h *harness) { h.store.set(func() { h.store.primary = false }) }, silent, 503},
+		{"candidate that was the primary", func(h *harness) { h.store.set(func() { h.store.primary = false }) }, fakeControlPlane{primary: true}, 503},
+		{"backup", func(h *harness) { h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" }) }, fakeControlPlane{primary: true}, 307},
+		{"backup whose primary is out of touch", func(h *harness) { h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" }) }, fakeControlPlane{}, 503},
+		{"witness that is cut off", func(h *harness) { h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" }) }, silent, 503},
+		{"failed disk", func(h *harness) { h.store.set(func() { h.store.primary = false; h.store.epoch = 0 }) }, silent, 503},
 	} {
 		t.Run(c.process, func(t *testing.T) {
-			withHarness(t, func(r *harness) {
+			withHarness(t, func(h *harness) {
 				asked := ""
-				r.plane.Dial = func(address string) tierv1.ControlPlane { asked = address; return c.other }
-				r.prepare()
-				c.state(r)
+				h.plane.Dial = func(address string) tierv1.ControlPlane { asked = address; return c.other }
+				h.prepare()
+				c.state(h)
 				for _, o := range operatorCalls {
 					want := c.want
 					if want == final {
@@ -102,7 +102,7 @@
 					if c.process == "primary whose backups do not confirm" && stateIndependent[o.name] {
 						want = o.final
 					}
-					w := o.call(r)
+					w := o.call(h)
 					assert.Equal(t, w.Code, want, "%s: %s", o.name, w.Body)
 					assert.Equal(t, w.Header().Get("Retry-After") != "", want == 503, o.name)
 					assert.Equal(t, strings.HasPrefix(w.Header().Get("Location"), "http://10.0.0.2:8144/saffronyard/"), want == 307, o.name)
@@ -120,15 +120,15 @@
 var stateIndependent = map[string]bool{"invalid": true, "too large": true, "no base": true, "not JSON": true}
 
 // prepare brings the state that operatorCalls speak of.
-func (r *harness) prepare() {
-	r.t.Helper()
-	assertStatus(r.t, r.replace(0, 3), 200)
+func (h *harness) prepare() {
+	h.t.Helper()
+	assertStatus(h.t, h.replace(0, 3), 200)
 	for _, node := range []string{"v1", "v2", "v3"} {
-		r.join(roleTurnStore, node, nil)
+		h.join(roleTurnStore, node, nil)
 	}
-	r.advance(2 * time.Second)
-	assertStatus(r.t, r.retire("v1"), 200)
-	r.advance(8 * time.Second)
+	h.advance(2 * time.Second)
+	assertStatus(h.t, h.retire("v1"), 200)
+	h.advance(8 * time.Second)
 }
 
 // A process that loses touch between its decision and its answer, as one that is paused there, gives no final answer.
@@ -138,12 +138,12 @@
 			continue // decided and answered in one go: see the table
 		}
 		t.Run(o.name, func(t *testing.T) {
-			withHarness(t, func(r *harness) {
-				r.prepare()
-				r.store.mu.Lock()
-				r.store.confirmed = func() { r.store.primary = false }
-				r.store.mu.Unlock()
-				w := o.call(r)
+			withHarness(t, func(h *harness) {
+				h.prepare()
+				h.store.mu.Lock()
+				h.store.confirmed = func() { h.store.primary = false }
+				h.store.mu.Unlock()
+				w := o.call(h)
 				assert.Equal(t, w.Code, 503, "%s", w.Body)
 				assert.Assert(t, w.Header().Get("Retry-After") != "")
 			})
@@ -154,19 +154,19 @@
 // The same for an order that was written: its 200 waits for gateways, and the process loses touch meanwhile. The order
 // stands, and is acknowledged when it is sent again to whoever is the primary then.
 func TestReplace_AcknowledgementWithheldOutOfTouch(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		r.join(roleGateway, "e1", func(p *testProcess) { p.acknowledgeDelay = 300 * time.Millisecond })
-		r.advance(500 * time.Millisecond) // its long poll is under way
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		h.join(roleGateway, "e1", func(p *testProcess) { p.acknowledgeDelay = 300 * time.Millisecond })
+		h.advance(500 * time.Millisecond) // its long poll is under way
 		go func() {
 			<-time.After(100 * time.Millisecond)
-			r.store.set(func() { r.store.primary = false })
+			h.store.set(func() { h.store.primary = false })
 		}()
-		assertStatus(t, r.replace(3, 4), 503)
-		r.store.set(func() { r.store.primary, r.store.epoch = true, r.store.epoch+1<<12 })
-		r.advance(500 * time.Millisecond)
-		assertStatus(t, r.replace(4, 5), 200)
-		assertStatus(t, r.replace(3, 4), 200)
+		assertStatus(t, h.replace(3, 4), 503)
+		h.store.set(func() { h.store.primary, h.store.epoch = true, h.store.epoch+1<<12 })
+		h.advance(500 * time.Millisecond)
+		assertStatus(t, h.replace(4, 5), 200)
+		assertStatus(t, h.replace(3, 4), 200)
 	})
 }
 
--- a/internal/tier/controlplane/retained_replicas_test.go
+++ b/internal/tier/controlplane/retained_replicas_test.go
@@ -50,9 +50,9 @@
 }
 
 // playSessionExpiries is one play of TestLapsesAreNoLosses.
-func playSessionExpiries(t reporter, planted mutant, seed uint64) {
+func playSessionExpiries(t reporter, fault mutant, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
-	w := newMutantModel(t, planted, r, 3+r.IntN(3), 3, FaultTolerance{1, byNode})
+	w := newMutantModel(t, fault, r, 3+r.IntN(3), 3, FaultTolerance{1, byNode})
 	w.assign(w.input())
 	w.runUntilStable()
 	for range 4 {
--- a/internal/tier/controlplane/retire_deadlines_test.go
+++ b/internal/tier/controlplane/retire_deadlines_test.go
@@ -97,26 +97,26 @@
 // from the first time on, and the most replicas that were under way at a time once all turn stores were there.
 func retireWithDeadline(t *testing.T, duration time.Duration, away absence) (took time.Duration, most int) {
 	const again = 500 * time.Millisecond
-	withHarness(t, func(r *harness) {
+	withHarness(t, func(h *harness) {
 		stores := map[string]*testProcess{}
 		join := func(node string) {
-			stores[node] = r.join(roleTurnStore, node, func(p *testProcess) {
+			stores[node] = h.join(roleTurnStore, node, func(p *testProcess) {
 				p.syncTime, p.request.PollTimeoutMs = slowSyncTime, uint32(slowSyncPoll.Milliseconds())
 			})
 		}
 		for _, node := range []string{"v1", "v2", "v3"} {
 			join(node)
 		}
-		r.advance(3 * time.Second)
+		h.advance(3 * time.Second)
 		if away.beforeOrder {
 			stores["v3"].stop()
-			r.advance(time.Second)
+			h.advance(time.Second)
 		}
 		begun, back := time.Now(), false
 		for taken, completed := false, false; !completed && time.Since(begun) < time.Minute; {
 			if !taken {
 				body := strings.NewReader(fmt.Sprintf(`{"duration_s":%g}`, duration.Seconds()))
-				taken = r.call("POST", "Retire.Create/v1", nil, body).Code == http.StatusOK
+				taken = h.call("POST", "Retire.Create/v1", nil, body).Code == http.StatusOK
 				assert.Assert(t, taken != (away.beforeOrder && !back))
 				if away.Duration > 0 && !away.beforeOrder && !back {
 					stores["v3"].stop()
@@ -126,17 +126,17 @@
 				back = true
 				if away.Duration > 0 {
 					join("v3")
-					r.advance(repairTime)
+					h.advance(repairTime)
 				}
 			}
 			if back {
-				most = max(most, countUnsynced(r.partitionMap()))
+				most = max(most, countUnsynced(h.partitionMap()))
 			}
 			if taken {
-				r.advance(20 * time.Millisecond)
-				completed = strings.Contains(r.call("GET", "Retire.Describe/v1", nil, nil).Body.String(), retireCompleted)
+				h.advance(20 * time.Millisecond)
+				completed = strings.Contains(h.call("GET", "Retire.Describe/v1", nil, nil).Body.String(), retireCompleted)
 			} else {
-				r.advance(again)
+				h.advance(again)
 			}
 		}
 		took = time.Since(begun)
--- a/internal/tier/controlplane/retire_test.go
+++ b/internal/tier/controlplane/retire_test.go
@@ -36,69 +36,69 @@
 // The order to empty a machine is acknowledged again after the machine was emptied and taken away, and however many are
 // lost later.
 func TestRetire_AcknowledgedAgainAfterRemoval(t *testing.T) {
-	withHarness(t, func(r *harness) {
+	withHarness(t, func(h *harness) {
 		state := func(node string) string {
-			w := r.call("GET", "Retire.Describe/"+node, nil, nil)
+			w := h.call("GET", "Retire.Describe/"+node, nil, nil)
 			assertStatus(t, w, 200)
 			return w.Body.String()
 		}
 		const completed = `{"lifecycle_state":"completed"}`
 		stores := map[string]*testProcess{}
 		for _, node := range []string{"v1", "v2", "v3"} {
-			stores[node] = r.join(roleTurnStore, node, nil)
+			stores[node] = h.join(roleTurnStore, node, nil)
 		}
-		r.advance(2 * time.Second)
-		assertStatus(t, r.retire("v1"), 200)
-		r.advance(8 * time.Second)
+		h.advance(2 * time.Second)
+		assertStatus(t, h.retire("v1"), 200)
+		h.advance(8 * time.Second)
 		assert.Equal(t, state("v1"), completed)
 		again := func(what string) {
 			t.Helper()
-			w := r.retire("v1")
+			w := h.retire("v1")
 			assertStatus(t, w, 200)
 			assert.Equal(t, w.Body.String(), completed, what)
 			assert.Equal(t, state("v1"), completed, what)
 		}
 		stores["v1"].stop()
-		r.advance(5 * time.Second)
-		assert.Assert(t, !slices.ContainsFunc(r.partitionMap().StoreNodes, func(one *tierv1.StoreNode) bool { return one.Node == "v1" }))
+		h.advance(5 * time.Second)
+		assert.Assert(t, !slices.ContainsFunc(h.partitionMap().StoreNodes, func(one *tierv1.StoreNode) bool { return one.Node == "v1" }))
 		again("taken away")
-		r.store.set(func() { r.store.epoch += 1 << 12 })
-		r.advance(300 * time.Millisecond)
+		h.store.set(func() { h.store.epoch += 1 << 12 })
+		h.advance(300 * time.Millisecond)
 		again("right after a takeover")
 		stores["v2"].stop()
-		r.advance(5 * time.Second)
+		h.advance(5 * time.Second)
 		again("another is lost")
-		r.join(roleTurnStore, "v4", nil)
-		r.advance(200 * time.Millisecond)
+		h.join(roleTurnStore, "v4", nil)
+		h.advance(200 * time.Millisecond)
 		again("and is replaced: copies are under way")
 	})
 }
 
 // That a machine is empty is recorded before operators hear of it.
 func TestRetire_CompletedOnlyWhenRecorded(t *testing.T) {
-	withHarness(t, func(r *harness) {
+	withHarness(t, func(h *harness) {
 		for _, node := range []string{"v1", "v2", "v3"} {
-			r.join(roleTurnStore, node, nil)
+			h.join(roleTurnStore, node, nil)
 		}
-		r.advance(2 * time.Second)
-		r.store.set(func() {
-			r.store.failPut = func(sets map[string][]byte) (bool, bool) { // no map that records it is written
+		h.advance(2 * time.Second)
+		h.store.set(func() {
+			h.store.failPut = func(sets map[string][]byte) (bool, bool) { // no map that records it is written
 				m := mapIn(t, sets)
 				bad := m != nil && len(m.Retired) > 0
 				return bad, bad
 			}
 		})
-		assertStatus(t, r.retire("v1"), 200)
-		r.advance(8 * time.Second)
-		w := r.call("GET", "Retire.Describe/v1", nil, nil)
+		assertStatus(t, h.retire("v1"), 200)
+		h.advance(8 * time.Second)
+		w := h.call("GET", "Retire.Describe/v1", nil, nil)
 		if w.Code == 200 {
 			assert.Equal(t, w.Body.String(), `{"lifecycle_state":"in_progress"}`)
 		} else {
 			assertStatus(t, w, 503)
 		}
-		r.store.set(func() { r.store.failPut = nil })
-		r.advance(time.Second)
-		assert.Equal(t, r.call("GET", "Retire.Describe/v1", nil, nil).Body.String(), `{"lifecycle_state":"completed"}`)
+		h.store.set(func() { h.store.failPut = nil })
+		h.advance(time.Second)
+		assert.Equal(t, h.call("GET", "Retire.Describe/v1", nil, nil).Body.String(), `{"lifecycle_state":"completed"}`)
 	})
 }
 
--- a/internal/tier/controlplane/session_expiry_test.go
+++ b/internal/tier/controlplane/session_expiry_test.go
@@ -204,17 +204,17 @@
 }
 
 // unavailable returns for how long, from now on, some partition has no primary whose backups are all there, within limit.
-func (r *harness) unserved(gone []string, limit time.Duration) time.Duration {
+func (h *harness) unserved(gone []string, limit time.Duration) time.Duration {
 	const pace = 10 * time.Millisecond
 	begun := time.Now()
 	for time.Since(begun) < limit {
-		waits := slices.ContainsFunc(r.partitionMap().Partitions, func(p *tierv1.Partition) bool {
+		waits := slices.ContainsFunc(h.partitionMap().Partitions, func(p *tierv1.Partition) bool {
 			return slices.ContainsFunc(replicaFolders(p), func(folder string) bool { return slices.Contains(gone, folder) })
 		})
 		if !waits {
 			break
 		}
-		r.advance(pace)
+		h.advance(pace)
 	}
 	return time.Since(begun)
 }
@@ -238,20 +238,20 @@
 		{"the second long after the first", 3, 2, time.Minute, wait, wait + detection},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			withHarness(t, func(r *harness) {
+			withHarness(t, func(h *harness) {
 				var all []*testProcess
 				for _, name := range []string{"v1", "v2", "v3", "v4"}[:test.stores] {
-					all = append(all, r.join(roleTurnStore, name, nil))
+					all = append(all, h.join(roleTurnStore, name, nil))
 				}
-				r.advance(3 * time.Second)
+				h.advance(3 * time.Second)
 				gone := []string{"v1.1"}
 				all[0].stop()
 				if test.killed == 2 {
-					r.advance(test.apart)
+					h.advance(test.apart)
 					gone = append(gone, "v2.1")
 					all[1].stop()
 				}
-				took := r.unserved(gone, unbounded)
+				took := h.unserved(gone, unbounded)
 				t.Logf("unserved for %v", took)
 				assert.Assert(t, took >= test.shortest && took <= test.limit, "unserved for %v", took)
 			})
@@ -261,19 +261,19 @@
 
 // A new primary has not seen the sessions expire: the wait begins when its grace is over.
 func TestSessionExpiry_NewPrimaryWaitsAfterGrace(t *testing.T) {
-	withHarness(t, func(r *harness) {
+	withHarness(t, func(h *harness) {
 		var all []*testProcess
 		for _, name := range []string{"v1", "v2", "v3"} {
-			all = append(all, r.join(roleTurnStore, name, nil))
+			all = append(all, h.join(roleTurnStore, name, nil))
 		}
-		r.advance(3 * time.Second)
+		h.advance(3 * time.Second)
 		all[0].stop()
-		r.advance(time.Second)
-		r.store.set(func() { r.store.primary = false })
+		h.advance(time.Second)
+		h.store.set(func() { h.store.primary = false })
 		all[1].stop()
-		r.advance(5 * time.Second)
-		r.store.set(func() { r.store.primary, r.store.epoch = true, r.store.epoch+1<<12 })
-		took := r.unserved([]string{"v1.1", "v2.1"}, 30*time.Second)
+		h.advance(5 * time.Second)
+		h.store.set(func() { h.store.primary, h.store.epoch = true, h.store.epoch+1<<12 })
+		took := h.unserved([]string{"v1.1", "v2.1"}, 30*time.Second)
 		window := testSettings().ContactWindow
 		shortest := window/takeoverGraceDivisor + window/lostReplicaWaitDivisor
 		assert.Assert(t, took >= shortest && took <= shortest+window/sessionCheckDivisor+100*time.Millisecond, "unserved for %v", took)
@@ -282,16 +282,16 @@
 
 // A draining turn store is not waited for when it has gone.
 func TestSessionExpiry_NoWaitForDrainingStore(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		leaver := r.join(roleTurnStore, "v1", nil)
-		r.join(roleTurnStore, "v2", nil)
-		r.advance(3 * time.Second)
+	withHarness(t, func(h *harness) {
+		leaver := h.join(roleTurnStore, "v1", nil)
+		h.join(roleTurnStore, "v2", nil)
+		h.advance(3 * time.Second)
 		leaver.mu.Lock()
 		leaver.request.Draining = true
 		leaver.mu.Unlock()
-		r.advance(time.Second)
+		h.advance(time.Second)
 		leaver.stop()
-		took := r.unserved([]string{"v1.1"}, 30*time.Second)
+		took := h.unserved([]string{"v1.1"}, 30*time.Second)
 		assert.Assert(t, took < disconnectedTTL+testSettings().ContactWindow/sessionCheckDivisor+50*time.Millisecond, "unserved for %v", took)
 	})
 }
--- a/internal/tier/controlplane/state_limit_test.go
+++ b/internal/tier/controlplane/state_limit_test.go
@@ -34,15 +34,15 @@
 // A configuration may have all of the limit. One byte more is rejected, with what the limit is; nothing of it is in force,
 // and a smaller one on the same base is taken.
 func TestReplace_ConfigurationAtLimit(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		limit := int(r.plane.configurationSizeLimit())
-		w := r.replaceBody(3, paddedConfiguration(5, limit+1))
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		limit := int(h.plane.configurationSizeLimit())
+		w := h.replaceBody(3, paddedConfiguration(5, limit+1))
 		assertStatus(t, w, 413)
 		assert.Assert(t, strings.Contains(w.Body.String(), fmt.Sprint(limit)), "%s", w.Body)
-		assert.Equal(t, r.describe().Body.String(), string(configuration(3, "s")))
-		assertStatus(t, r.replaceBody(3, paddedConfiguration(5, limit)), 200)
-		assert.Equal(t, r.describe().Body.Len(), limit)
+		assert.Equal(t, h.describe().Body.String(), string(configuration(3, "s")))
+		assertStatus(t, h.replaceBody(3, paddedConfiguration(5, limit)), 200)
+		assert.Equal(t, h.describe().Body.Len(), limit)
 	})
 }
 
@@ -50,60 +50,60 @@
 // primary goes on: what was taken is acknowledged again, and other orders are taken. It is rejected only when the backups
 // confirm that nobody else is the primary.
 func TestReplace_StateTooLarge(t *testing.T) {
-	withHarness(t, func(r *harness) {
-		assertStatus(t, r.replace(0, 3), 200)
-		r.store.set(func() {
-			r.store.tooLarge = func(sets map[string][]byte) bool { return bytes.Contains(sets[keyConfiguration], []byte("huge")) }
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		h.store.set(func() {
+			h.store.tooLarge = func(sets map[string][]byte) bool { return bytes.Contains(sets[keyConfiguration], []byte("huge")) }
 		})
 		huge := configuration(5, "huge")
 		for range 3 {
-			confirms := r.store.confirmCount()
-			w := r.replaceBody(3, huge)
+			confirms := h.store.confirmCount()
+			w := h.replaceBody(3, huge)
 			assertStatus(t, w, 413)
 			assert.Assert(t, strings.Contains(w.Body.String(), errStateTooLarge.Error()), "%s", w.Body)
-			assert.Equal(t, r.store.confirmCount(), confirms+1)
-			_, ok := r.plane.primary()
+			assert.Equal(t, h.store.confirmCount(), confirms+1)
+			_, ok := h.plane.primary()
 			assert.Assert(t, ok)
 		}
-		r.store.set(func() { r.store.unconfirmed = true })
-		assertStatus(t, r.replaceBody(3, huge), 503)
-		r.store.set(func() { r.store.unconfirmed = false })
-		assert.Equal(t, r.describe().Body.String(), string(configuration(3, "s")))
-		assertStatus(t, r.replace(0, 3), 200)
-		assertStatus(t, r.replace(3, 5), 200)
-		r.store.set(func() { r.store.epoch += 1 << 12 })
-		r.advance(time.Second)
-		assertStatus(t, r.replaceBody(5, configuration(7, "huge")), 413)
-		assertStatus(t, r.replace(0, 3), 200)
-		assert.Equal(t, r.describe().Body.String(), string(configuration(5, "s")))
+		h.store.set(func() { h.store.unconfirmed = true })
+		assertStatus(t, h.replaceBody(3, huge), 503)
+		h.store.set(func() { h.store.unconfirmed = false })
+		assert.Equal(t, h.describe().Body.String(), string(configuration(3, "s")))
+		assertStatus(t, h.replace(0, 3), 200)
+		assertStatus(t, h.replace(3, 5), 200)
+		h.store.set(func() { h.store.epoch += 1 << 12 })
+		h.advance(time.Second)
+		assertStatus(t, h.replaceBody(5, configuration(7, "huge")), 413)
+		assertStatus(t, h.replace(0, 3), 200)
+		assert.Equal(t, h.describe().Body.String(), string(configuration(5, "s")))
 	})
 }
 
 // An order to retire for which there is no room is rejected, and so is a change of the turn store map: the primary goes on
 // answering, and makes the change when there is room again.
 func TestPartitionMap_StateTooLarge(t *testing.T) {
-	withHarness(t, func(r *harness) {
+	withHarness(t, func(h *harness) {
 		for _, node := range []string{"v1", "v2", "v3"} {
-			r.join(roleTurnStore, node, nil)
+			h.join(roleTurnStore, node, nil)
 		}
-		r.advance(2 * time.Second)
-		r.store.set(func() {
-			r.store.tooLarge = func(sets map[string][]byte) bool { return sets[keyPartitionMap] != nil }
+		h.advance(2 * time.Second)
+		h.store.set(func() {
+			h.store.tooLarge = func(sets map[string][]byte) bool { return sets[keyPartitionMap] != nil }
 		})
-		assertStatus(t, r.retire("v1"), 413)
-		assertStatus(t, r.call("GET", "Retire.Describe/v1", nil, nil), 404)
-		r.join(roleTurnStore, "v4", nil)
+		assertStatus(t, h.retire("v1"), 413)
+		assertStatus(t, h.call("GET", "Retire.Describe/v1", nil, nil), 404)
+		h.join(roleTurnStore, "v4", nil)
 		for range 10 {
-			r.advance(300 * time.Millisecond)
-			_, ok := r.plane.primary()
+			h.advance(300 * time.Millisecond)
+			_, ok := h.plane.primary()
 			assert.Assert(t, ok)
 		}
-		assert.Equal(t, len(r.partitionMap().StoreNodes), 3)
-		assertStatus(t, r.replace(0, 3), 200)
-		r.store.set(func() { r.store.tooLarge = nil })
-		assertStatus(t, r.retire("v1"), 200)
-		r.advance(2 * time.Second)
-		assert.Equal(t, len(r.partitionMap().StoreNodes), 4)
+		assert.Equal(t, len(h.partitionMap().StoreNodes), 3)
+		assertStatus(t, h.replace(0, 3), 200)
+		h.store.set(func() { h.store.tooLarge = nil })
+		assertStatus(t, h.retire("v1"), 200)
+		h.advance(2 * time.Second)
+		assert.Equal(t, len(h.partitionMap().StoreNodes), 4)
 	})
 }
 
--- a/internal/tier/controlplane/status_test.go
+++ b/internal/tier/controlplane/status_test.go
@@ -14,31 +14,31 @@
 func TestStatus_Risk(t *testing.T) {
 	set := testSettings()
 	set.SyncTime = 4 * time.Second
-	withHarnessOf(t, set, nil, func(r *harness) {
+	withHarnessOf(t, set, nil, func(h *harness) {
 		risk := func() *tierv1.Risk {
-			s, err := r.plane.Sessions().Status(r.ctx, &tierv1.StatusRequest{})
+			s, err := h.plane.Sessions().Status(h.ctx, &tierv1.StatusRequest{})
 			assert.NilError(t, err)
 			return s.Risk
 		}
 		stores := map[string]*testProcess{}
 		for _, node := range []string{"v1", "v2"} {
-			stores[node] = r.join(roleTurnStore, node, nil)
+			stores[node] = h.join(roleTurnStore, node, nil)
 		}
-		r.advance(3 * time.Second)
+		h.advance(3 * time.Second)
 		assert.Equal(t, risk().Partitions, uint32(0))
 		assert.Equal(t, risk().PartitionsBorne, int32(1))
 		assert.Equal(t, risk().Losses, uint32(1))
 		stores["v1"].stop() // nobody else can take its replicas
-		r.advance(time.Second)
+		h.advance(time.Second)
 		at := risk()
 		assert.Equal(t, at.Partitions, uint32(partitionCount))
 		assert.Equal(t, at.PartitionsBorne, int32(0))
 		assert.Assert(t, at.PartitionsForMs > 0 && at.PartitionsForMs <= 1000, "%v", at)
 		assert.Equal(t, at.PartitionsForMs+at.PartitionsUntilMs, int64(4000))
-		r.advance(5 * time.Second)
+		h.advance(5 * time.Second)
 		assert.Assert(t, risk().PartitionsUntilMs < 0) // overdue
-		r.join(roleTurnStore, "v3", nil)
-		r.advance(8 * time.Second)
+		h.join(roleTurnStore, "v3", nil)
+		h.advance(8 * time.Second)
 		assert.Equal(t, risk().Partitions, uint32(0))
 		assert.Equal(t, risk().PartitionsForMs, int64(0))
 	})
@@ -50,20 +50,20 @@
 		tierv1.DiskState_DISK_STUCK + 100} { // the last is one of a later version
 		set := testSettings()
 		set.SyncTime = 4 * time.Second
-		withHarnessOf(t, set, nil, func(r *harness) {
+		withHarnessOf(t, set, nil, func(h *harness) {
 			status := func() *tierv1.StatusReply {
-				s, err := r.plane.Sessions().Status(r.ctx, &tierv1.StatusRequest{})
+				s, err := h.plane.Sessions().Status(h.ctx, &tierv1.StatusRequest{})
 				assert.NilError(t, err)
 				return s
 			}
 			stores := map[string]*testProcess{}
 			for _, node := range []string{"v1", "v2"} {
-				stores[node] = r.join(roleTurnStore, node, func(p *testProcess) { p.request.Disk = tierv1.DiskState_DISK_SOUND })
+				stores[node] = h.join(roleTurnStore, node, func(p *testProcess) { p.request.Disk = tierv1.DiskState_DISK_SOUND })
 			}
-			r.advance(3 * time.Second)
+			h.advance(3 * time.Second)
 			assert.Equal(t, status().Risk.PartitionsBorne, int32(1))
 			stores["v1"].setDisk(state) // nobody else can take its replicas
-			r.advance(time.Second)
+			h.advance(time.Second)
 			now := status()
 			assert.Equal(t, now.Risk.PartitionsBorne, int32(0))
 			assert.Equal(t, now.Risk.Partitions, uint32(partitionCount))
@@ -76,7 +76,7 @@
 				assert.Equal(t, len(p.Backups), 0) // one that confirms nothing is not waited for
 			}
 			stores["v1"].setDisk(tierv1.DiskState_DISK_SOUND)
-			r.advance(8 * time.Second)
+			h.advance(8 * time.Second)
 			assert.Equal(t, status().Risk.PartitionsBorne, int32(1))
 		})
 	}
--- a/internal/tier/controlplane/stored_state_test.go
+++ b/internal/tier/controlplane/stored_state_test.go
@@ -94,15 +94,15 @@
 		v, ok := plane.primary()
 		assert.Assert(t, ok)
 		compareGolden(t, listView(v), filepath.Join(storedStateDir, "listing.txt"))
-		r := &harness{t: t, store: s, plane: plane, ctx: t.Context()}
-		assertStatus(t, r.replaceBody(0, configuration(3, "s")), 200)
-		assertStatus(t, r.replaceBody(5, configuration(9, "c")), 200)
-		assertStatus(t, r.replaceBody(5, configuration(9, "other")), 412)
-		assertStatus(t, r.replaceBody(20, configuration(20, "other")), 400)
-		assert.Equal(t, r.call("GET", "Retire.Describe/v1", nil, nil).Body.String(), `{"lifecycle_state":"completed"}`)
-		assert.Equal(t, r.call("GET", "Retire.Describe/v2", nil, nil).Body.String(), `{"lifecycle_state":"in_progress"}`)
-		assertStatus(t, r.call("GET", "Retire.Describe/v3", nil, nil), 404)
-		assertStatus(t, r.replaceBody(20, configuration(21, "next")), 200)
+		h := &harness{t: t, store: s, plane: plane, ctx: t.Context()}
+		assertStatus(t, h.replaceBody(0, configuration(3, "s")), 200)
+		assertStatus(t, h.replaceBody(5, configuration(9, "c")), 200)
+		assertStatus(t, h.replaceBody(5, configuration(9, "other")), 412)
+		assertStatus(t, h.replaceBody(20, configuration(20, "other")), 400)
+		assert.Equal(t, h.call("GET", "Retire.Describe/v1", nil, nil).Body.String(), `{"lifecycle_state":"completed"}`)
+		assert.Equal(t, h.call("GET", "Retire.Describe/v2", nil, nil).Body.String(), `{"lifecycle_state":"in_progress"}`)
+		assertStatus(t, h.call("GET", "Retire.Describe/v3", nil, nil), 404)
+		assertStatus(t, h.replaceBody(20, configuration(21, "next")), 200)
 	})
 }
 
--- a/internal/tier/controlplane/write_test.go
+++ b/internal/tier/controlplane/write_test.go
@@ -30,25 +30,25 @@
 
 // An order is written under the view of its last decision, and one that is not to be written neither waits nor writes.
 func TestDecideAndWrite(t *testing.T) {
-	withHarness(t, func(r *harness) {
+	withHarness(t, func(h *harness) {
 		taken := &scriptedDecisions{results: []string{"take"}}
-		verdict, v, err := taken.run(r.ctx, r.plane)
+		verdict, v, err := taken.run(h.ctx, h.plane)
 		assert.NilError(t, err)
 		assert.Equal(t, verdict, "written")
 		assert.Equal(t, len(taken.states), 2)
 		assert.Assert(t, len(taken.written) == 1 && v == taken.written[0] && v == taken.states[1])
 
-		assert.NilError(t, r.plane.lockWriter(r.ctx))
+		assert.NilError(t, h.plane.lockWriter(h.ctx))
 		refused := &scriptedDecisions{results: []string{"no"}} // while another has the right to write
-		verdict, v, err = refused.run(r.ctx, r.plane)
+		verdict, v, err = refused.run(h.ctx, h.plane)
 		assert.NilError(t, err)
 		assert.Equal(t, verdict, "no")
 		assert.Assert(t, len(refused.states) == 1 && v == refused.states[0] && len(refused.written) == 0)
 
-		ctx, cancel := context.WithTimeout(r.ctx, operatorWriteTimeout)
+		ctx, cancel := context.WithTimeout(h.ctx, operatorWriteTimeout)
 		defer cancel()
 		late := &scriptedDecisions{results: []string{"take"}}
-		_, _, err = late.run(ctx, r.plane)
+		_, _, err = late.run(ctx, h.plane)
 		assert.ErrorIs(t, err, errWriterBusy)
 		assert.Equal(t, len(late.written), 0)
 
@@ -56,12 +56,12 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			verdict, v, err = overtaken.run(r.ctx, r.plane)
+			verdict, v, err = overtaken.run(h.ctx, h.plane)
 		}()
 		synctest.Wait() // it waits for the right to write
 		assert.Equal(t, len(overtaken.states), 1)
-		r.plane.updatePublished(overtaken.states[0].epoch, func(*publishedState) {})
-		r.plane.unlockWriter()
+		h.plane.updatePublished(overtaken.states[0].epoch, func(*publishedState) {})
+		h.plane.unlockWriter()
 		<-done
 		assert.NilError(t, err)
 		assert.Equal(t, verdict, "no")
@@ -71,24 +71,24 @@
 
 // A process that is not the primary decides nothing, also where it was until it had the right to write.
 func TestDecideAndWrite_NotPrimary(t *testing.T) {
-	withHarness(t, func(r *harness) {
+	withHarness(t, func(h *harness) {
 		deposed := &scriptedDecisions{results: []string{"take"}}
-		assert.NilError(t, r.plane.lockWriter(r.ctx))
+		assert.NilError(t, h.plane.lockWriter(h.ctx))
 		done := make(chan error)
 		go func() {
-			_, _, err := deposed.run(r.ctx, r.plane)
+			_, _, err := deposed.run(h.ctx, h.plane)
 			done <- err
 		}()
 		synctest.Wait()
-		r.store.set(func() { r.store.primary = false })
-		r.plane.unlockWriter()
+		h.store.set(func() { h.store.primary = false })
+		h.plane.unlockWriter()
 		assert.ErrorIs(t, <-done, errNotPrimary)
 		assert.Equal(t, len(deposed.states), 1)
 		assert.Equal(t, len(deposed.written), 0)
 
-		r.advance(time.Second)
+		h.advance(time.Second)
 		never := &scriptedDecisions{results: []string{"take"}}
-		_, _, err := never.run(r.ctx, r.plane)
+		_, _, err := never.run(h.ctx, h.plane)
 		assert.ErrorIs(t, err, errNotPrimary)
 		assert.Equal(t, len(never.states), 0)
 	})
--- a/internal/tier/session/lease_test.go
+++ b/internal/tier/session/lease_test.go
@@ -18,10 +18,10 @@
 
 // currentUntil samples for a time whether the session's updates are current, and returns when they were first found not to be;
 // the whole time if they always were.
-func (r *harness) currentUntil(span time.Duration) time.Duration {
+func (h *harness) currentUntil(span time.Duration) time.Duration {
 	const every = 20 * time.Millisecond
 	for began := time.Now(); time.Since(began) < span; {
-		if !r.client.Current() {
+		if !h.client.Current() {
 			return time.Since(began)
 		}
 		<-time.After(every)
@@ -30,27 +30,27 @@
 }
 
 // withActiveSession is a session in virtual time that has delivered a list; from then on, its calls go through via.
-func withActiveSession(t *testing.T, f func(r *harness, c *tiertest.ControlPlane)) {
+func withActiveSession(t *testing.T, f func(h *harness, c *tiertest.ControlPlane)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 1)
-		c := r.primary(1)
+		h := newHarness(t, 1)
+		c := h.primary(1)
 		c.SetEndpoints(&tierv1.Endpoint{Instance: "i-1"})
-		r.run()
+		h.run()
 		c.AwaitAcknowledged(t)
 		<-time.After(5 * time.Second)
-		f(r, c)
+		f(h, c)
 	})
 }
 
 func TestCurrent_ActiveSession(t *testing.T) {
-	withActiveSession(t, func(r *harness, c *tiertest.ControlPlane) {
-		assert.Equal(t, r.currentUntil(time.Minute), time.Minute)
+	withActiveSession(t, func(h *harness, c *tiertest.ControlPlane) {
+		assert.Equal(t, h.currentUntil(time.Minute), time.Minute)
 	})
 }
 
 // A session that loses single calls is current all the time.
 func TestCurrent_SingleLostCalls(t *testing.T) {
-	withActiveSession(t, func(r *harness, c *tiertest.ControlPlane) {
+	withActiveSession(t, func(h *harness, c *tiertest.ControlPlane) {
 		var calls atomic.Int64
 		c.SetInterceptor(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			if isLongPoll(q) && calls.Add(1)%2 == 0 {
@@ -59,14 +59,14 @@
 			}
 			return serve()
 		})
-		assert.Equal(t, r.currentUntil(time.Minute), time.Minute)
+		assert.Equal(t, h.currentUntil(time.Minute), time.Minute)
 	})
 }
 
 // A process whose session makes no progress, as it is paused or overloaded, does not act on its updates beyond the lease. It does
 // again once it has heard from the primary.
 func TestCurrent_PausedProcess(t *testing.T) {
-	withActiveSession(t, func(r *harness, c *tiertest.ControlPlane) {
+	withActiveSession(t, func(h *harness, c *tiertest.ControlPlane) {
 		const pause = 10 * time.Second
 		var paused atomic.Bool
 		resumed := make(chan struct{})
@@ -77,22 +77,22 @@
 			}
 			return serve()
 		})
-		lasted := r.currentUntil(pause)
+		lasted := h.currentUntil(pause)
 		assert.Assert(t, lasted <= leaseLength+time.Second, "current for %v", lasted) // a call may have begun before
 		<-resumed
 		<-time.After(100 * time.Millisecond)
-		assert.Assert(t, r.client.Current(), "it has heard from the primary, and is not current")
+		assert.Assert(t, h.client.Current(), "it has heard from the primary, and is not current")
 	})
 }
 
 // A process that is partitioned goes on with what it has, however long that lasts.
 func TestCurrent_PartitionedProcess(t *testing.T) {
-	withActiveSession(t, func(r *harness, c *tiertest.ControlPlane) {
+	withActiveSession(t, func(h *harness, c *tiertest.ControlPlane) {
 		c.SetInterceptor(func(ctx context.Context, _ *tierv1.WatchRequest, _ func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
-		assert.Equal(t, r.currentUntil(time.Minute), time.Minute)
+		assert.Equal(t, h.currentUntil(time.Minute), time.Minute)
 	})
 }
 
@@ -101,7 +101,7 @@
 func TestCurrent_PrimaryReachableWithoutUpdates(t *testing.T) {
 	for name, cut := range map[string]time.Duration{"from the first": 0, "after a cut": 10 * time.Second} {
 		t.Run(name, func(t *testing.T) {
-			withActiveSession(t, func(r *harness, c *tiertest.ControlPlane) {
+			withActiveSession(t, func(h *harness, c *tiertest.ControlPlane) {
 				cutUntil := time.Now().Add(cut)
 				c.SetInterceptor(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 					if isLongPoll(q) || time.Now().Before(cutUntil) {
@@ -110,7 +110,7 @@
 					}
 					return serve()
 				})
-				lasted := r.currentUntil(cut + 20*time.Second)
+				lasted := h.currentUntil(cut + 20*time.Second)
 				assert.Assert(t, lasted >= cut && lasted <= cut+leaseLength+2*time.Second, "current for %v", lasted)
 			})
 		})
@@ -121,8 +121,8 @@
 func TestSession_SlowFirstAnswerAfterLoss(t *testing.T) {
 	const took = time.Second // within a sixth and a tenth of the contact window
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 1)
-		c := r.primary(1)
+		h := newHarness(t, 1)
+		c := h.primary(1)
 		c.SetEndpoints(&tierv1.Endpoint{Instance: "i-1"})
 		c.SetInterceptor(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			if isLongPoll(q) {
@@ -134,8 +134,8 @@
 			}
 			return serve()
 		})
-		r.run()
+		h.run()
 		<-time.After(took + 100*time.Millisecond)
-		assert.DeepEqual(t, r.recorded(), []string{"endpoints 1"})
+		assert.DeepEqual(t, h.recorded(), []string{"endpoints 1"})
 	})
 }
--- a/internal/tier/session/report_health_test.go
+++ b/internal/tier/session/report_health_test.go
@@ -13,37 +13,37 @@
 // Ejections are asked for by those that act on them only; each version comes once, and is acknowledged.
 func TestSession_EjectionsDeliveredWhereAccepted(t *testing.T) {
 	for _, takes := range []bool{true, false} {
-		r := newHarness(t, 1)
-		c := r.primary(1)
-		r.run(func(config *session.Config) {
+		h := newHarness(t, 1)
+		c := h.primary(1)
+		h.run(func(config *session.Config) {
 			if takes {
-				config.Ejections = func(v *tierv1.Ejections) { r.record(fmt.Sprint("ejections ", v.Version)) }
+				config.Ejections = func(v *tierv1.Ejections) { h.record(fmt.Sprint("ejections ", v.Version)) }
 			}
 		})
 		c.SetConfiguration("1")
 		c.AwaitAcknowledged(t)                                   // the session stands: its next call acknowledges
-		r.client.ReportHealth(t.Context(), []string{"i-1"}, nil) // the fake tells each report at once
+		h.client.ReportHealth(t.Context(), []string{"i-1"}, nil) // the fake tells each report at once
 		if takes {
 			c.Await(t, "they are acknowledged", func(q *tierv1.WatchRequest) bool {
 				return isLongPoll(q) && q.AcceptsEjections && q.EjectionsVersion == 1
 			})
-			assert.DeepEqual(t, r.recorded(), []string{"configuration 1", "ejections 1"})
+			assert.DeepEqual(t, h.recorded(), []string{"configuration 1", "ejections 1"})
 			continue
 		}
 		c.SetConfiguration("2")
 		c.AwaitAcknowledged(t)
-		assert.DeepEqual(t, r.recorded(), []string{"configuration 1", "configuration 2"})
+		assert.DeepEqual(t, h.recorded(), []string{"configuration 1", "configuration 2"})
 	}
 }
 
 // Without a session nothing is reported.
 func TestReportHealth_WithoutSession(t *testing.T) {
-	r := newHarness(t, 1)
-	r.run(func(config *session.Config) { config.Ejections = func(*tierv1.Ejections) { r.record("ejections") } })
-	r.at(1).Await(t, "the primary is looked for", func(q *tierv1.WatchRequest) bool { return !isLongPoll(q) })
-	r.client.ReportHealth(t.Context(), []string{"i-1"}, nil)
-	c := r.primary(1)
+	h := newHarness(t, 1)
+	h.run(func(config *session.Config) { config.Ejections = func(*tierv1.Ejections) { h.record("ejections") } })
+	h.at(1).Await(t, "the primary is looked for", func(q *tierv1.WatchRequest) bool { return !isLongPoll(q) })
+	h.client.ReportHealth(t.Context(), []string{"i-1"}, nil)
+	c := h.primary(1)
 	c.SetConfiguration("1")
 	c.AwaitAcknowledged(t)
-	assert.DeepEqual(t, r.recorded(), []string{"configuration 1"})
+	assert.DeepEqual(t, h.recorded(), []string{"configuration 1"})
 }
--- a/internal/tier/session/session_test.go
+++ b/internal/tier/session/session_test.go
@@ -33,25 +33,25 @@
 
 // newHarness makes one of n control-plane processes, none of which is the primary.
 func newHarness(t *testing.T, n int) *harness {
-	r := &harness{t: t, controls: map[string]*tiertest.ControlPlane{}}
+	h := &harness{t: t, controls: map[string]*tiertest.ControlPlane{}}
 	for i := range n {
 		c := tiertest.NewControlPlane()
 		c.Update(func(v *tierv1.WatchReply) { v.IsPrimary = false })
-		r.controls[address(i+1)] = c
+		h.controls[address(i+1)] = c
 	}
-	return r
+	return h
 }
 
-func (r *harness) record(text string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.taken = append(r.taken, text)
+func (h *harness) record(text string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.taken = append(h.taken, text)
 }
 
-func (r *harness) recorded() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]string(nil), r.taken...)
+func (h *harness) recorded() []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append([]string(nil), h.taken...)
 }
 
 var errNoProcess = errors.New("nobody is there")
@@ -62,54 +62,54 @@
 	return nil, errNoProcess
 }
 
-func (r *harness) run(change ...func(*session.Config)) {
+func (h *harness) run(change ...func(*session.Config)) {
 	c := session.Config{Settings: tiertest.Settings("edge-1"), Role: "gateway", Log: tiertest.DiscardLogger(),
 		Dial: func(at string) tierv1.ControlPlane {
-			if one := r.controls[at]; one != nil {
+			if one := h.controls[at]; one != nil {
 				return one
 			}
 			return absentControlPlane{}
 		},
-		Configuration: func(v *tierv1.Configuration) { r.record(fmt.Sprintf("configuration %d", v.Version)) },
-		Endpoints:     func(v *tierv1.Endpoints) { r.record(fmt.Sprintf("endpoints %d", v.Version)) },
-		PartitionMap:  func(v *tierv1.PartitionMap) { r.record(fmt.Sprintf("turn stores %d", v.Version)) }}
+		Configuration: func(v *tierv1.Configuration) { h.record(fmt.Sprintf("configuration %d", v.Version)) },
+		Endpoints:     func(v *tierv1.Endpoints) { h.record(fmt.Sprintf("endpoints %d", v.Version)) },
+		PartitionMap:  func(v *tierv1.PartitionMap) { h.record(fmt.Sprintf("turn stores %d", v.Version)) }}
 	for _, f := range change {
 		f(&c)
 	}
-	r.client = session.New(c)
+	h.client = session.New(c)
 	ctx, cancel := context.WithCancel(context.Background())
-	r.cancelRun, r.ended = cancel, make(chan struct{})
+	h.cancelRun, h.ended = cancel, make(chan struct{})
 	go func() {
-		defer close(r.ended)
-		r.client.Run(ctx)
+		defer close(h.ended)
+		h.client.Run(ctx)
 	}()
-	r.t.Cleanup(func() {
+	h.t.Cleanup(func() {
 		cancel()
-		tiertest.WaitFor(r.t, "the session ends", r.ended)
+		tiertest.WaitFor(h.t, "the session ends", h.ended)
 	})
 }
 
-func (r *harness) at(n int) *tiertest.ControlPlane { return r.controls[address(n)] }
+func (h *harness) at(n int) *tiertest.ControlPlane { return h.controls[address(n)] }
 
-func (r *harness) primary(n int) *tiertest.ControlPlane {
-	c := r.at(n)
+func (h *harness) primary(n int) *tiertest.ControlPlane {
+	c := h.at(n)
 	c.Update(func(v *tierv1.WatchReply) { v.IsPrimary, v.PrimaryHint = true, "" })
 	return c
 }
 
-func (r *harness) hint(n, to int) {
-	r.at(n).Update(func(v *tierv1.WatchReply) { v.IsPrimary, v.PrimaryHint = false, address(to) })
+func (h *harness) hint(n, to int) {
+	h.at(n).Update(func(v *tierv1.WatchReply) { v.IsPrimary, v.PrimaryHint = false, address(to) })
 }
 
 // isLongPoll tells a call of a session from one that only observes.
 func isLongPoll(q *tierv1.WatchRequest) bool { return q.Role != "" }
 
 func TestSession_PrimaryFoundByHint(t *testing.T) {
-	r := newHarness(t, 3)
-	r.hint(1, 2)
-	r.hint(2, 3)
-	c := r.primary(3)
-	r.run()
+	h := newHarness(t, 3)
+	h.hint(1, 2)
+	h.hint(2, 3)
+	c := h.primary(3)
+	h.run()
 	first := c.Await(t, "a session", isLongPoll)
 	assert.Equal(t, first.Node, "edge-1")
 	assert.Equal(t, first.Role, "gateway")
@@ -117,30 +117,30 @@
 	assert.Assert(t, first.PollTimeoutMs > 0)
 	c.SetConfiguration("1")
 	c.AwaitAcknowledged(t)
-	assert.Equal(t, r.client.Primary(), address(3))
-	stands, _ := r.client.Active()
+	assert.Equal(t, h.client.Primary(), address(3))
+	stands, _ := h.client.Active()
 	assert.Assert(t, stands)
 	for _, n := range []int{1, 2} {
-		for _, q := range r.at(n).Calls() {
+		for _, q := range h.at(n).Calls() {
 			assert.Assert(t, !isLongPoll(q), "a session with one that is no primary")
 		}
 	}
 }
 
 func TestSession_FirstCallOfIncarnation(t *testing.T) {
-	r := newHarness(t, 1)
-	c := r.primary(1)
+	h := newHarness(t, 1)
+	c := h.primary(1)
 	c.SetConfiguration("1")
 	c.SetEndpoints()
 	lives := map[string]bool{}
 	for life := range 3 {
 		seen := len(c.Calls())
-		r.run()
+		h.run()
 		c.Await(t, "views are acknowledged", func(q *tierv1.WatchRequest) bool {
 			return isLongPoll(q) && q.ConfigurationVersion == 1 && q.EndpointsVersion == 1 && !lives[q.Incarnation]
 		})
-		r.cancelRun()
-		tiertest.WaitFor(t, "the session ends", r.ended)
+		h.cancelRun()
+		tiertest.WaitFor(t, "the session ends", h.ended)
 		first := true
 		for _, q := range c.Calls()[seen:] {
 			if !isLongPoll(q) {
@@ -158,16 +158,16 @@
 }
 
 func TestSession_VersionsAcknowledgedOnceDelivered(t *testing.T) {
-	r := newHarness(t, 1)
-	c := r.primary(1)
+	h := newHarness(t, 1)
+	c := h.primary(1)
 	asked, release := make(chan struct{}), make(chan struct{})
-	r.run(func(s *session.Config) {
+	h.run(func(s *session.Config) {
 		s.Endpoints = func(v *tierv1.Endpoints) {
 			if v.Version == 1 {
 				close(asked)
 				<-release
 			}
-			r.record("endpoints")
+			h.record("endpoints")
 		}
 	})
 	c.SetEndpoints()
@@ -177,12 +177,12 @@
 	}
 	close(release)
 	c.AwaitAcknowledged(t)
-	assert.DeepEqual(t, r.recorded(), []string{"endpoints"})
+	assert.DeepEqual(t, h.recorded(), []string{"endpoints"})
 }
 
 func TestSession_OlderVersionsIgnored(t *testing.T) {
-	r := newHarness(t, 1)
-	c := r.primary(1)
+	h := newHarness(t, 1)
+	c := h.primary(1)
 	news := func(n uint64) *tierv1.WatchReply {
 		return &tierv1.WatchReply{IsPrimary: true, Configuration: &tierv1.Configuration{Version: n}, Endpoints: &tierv1.Endpoints{Version: n},
 			PartitionMap: &tierv1.PartitionMap{Version: n}, Members: &tierv1.Members{Version: n}}
@@ -199,9 +199,9 @@
 		n++
 		return news(versions[n-1]), nil
 	})
-	r.run()
+	h.run()
 	c.Await(t, "the newest is acknowledged", func(q *tierv1.WatchRequest) bool { return isLongPoll(q) && q.PartitionMapVersion == 8 })
-	assert.DeepEqual(t, r.recorded(), []string{"configuration 5", "endpoints 5", "turn stores 5", "configuration 7", "endpoints 7", "turn stores 7",
+	assert.DeepEqual(t, h.recorded(), []string{"configuration 5", "endpoints 5", "turn stores 5", "configuration 7", "endpoints 7", "turn stores 7",
 		"configuration 8", "endpoints 8", "turn stores 8"})
 	last := uint64(0)
 	for _, q := range c.Calls() {
@@ -221,34 +221,34 @@
 }
 
 func TestSession_MovesToNextPrimary(t *testing.T) {
-	for name, ends := range map[string]func(r *harness){
-		"silent": func(r *harness) { makeUnresponsive(r.at(1)) },
-		"dead": func(r *harness) {
-			r.at(1).SetInterceptor(func(context.Context, *tierv1.WatchRequest, func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
+	for name, ends := range map[string]func(h *harness){
+		"silent": func(h *harness) { makeUnresponsive(h.at(1)) },
+		"dead": func(h *harness) {
+			h.at(1).SetInterceptor(func(context.Context, *tierv1.WatchRequest, func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 				return nil, errNoProcess
 			})
 		},
-		"deposed, knows":     func(r *harness) { r.hint(1, 2) },
-		"deposed, knows not": func(r *harness) { r.at(1).Update(func(v *tierv1.WatchReply) { v.IsPrimary = false }) },
+		"deposed, knows":     func(h *harness) { h.hint(1, 2) },
+		"deposed, knows not": func(h *harness) { h.at(1).Update(func(v *tierv1.WatchReply) { v.IsPrimary = false }) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 2)
-			c := r.primary(1)
+			h := newHarness(t, 2)
+			c := h.primary(1)
 			c.Update(func(v *tierv1.WatchReply) {
 				v.Members = &tierv1.Members{Version: 1, List: []*tierv1.Member{{Address: address(1)}, {Address: address(2)}}}
 			})
 			c.SetEndpoints()
 			c.SetEndpoints()
-			r.run()
+			h.run()
 			c.AwaitAcknowledged(t)
-			next := r.primary(2) // known from the members alone
-			ends(r)
+			next := h.primary(2) // known from the members alone
+			ends(h)
 			got := next.Await(t, "a session with the next", isLongPoll)
 			assert.Equal(t, got.EndpointsVersion, uint64(2), "what was taken stays taken")
 			next.Update(func(v *tierv1.WatchReply) { v.Endpoints = &tierv1.Endpoints{Version: 3} })
 			next.AwaitAcknowledged(t)
-			assert.DeepEqual(t, r.recorded(), []string{"endpoints 2", "endpoints 3"})
-			assert.Equal(t, r.client.Primary(), address(2))
+			assert.DeepEqual(t, h.recorded(), []string{"endpoints 2", "endpoints 3"})
+			assert.Equal(t, h.client.Primary(), address(2))
 		})
 	}
 }
@@ -256,8 +256,8 @@
 // An answer that was held up on its way, as by a process that was paused, may come from one that is the primary no more.
 func TestSession_LateAnswerIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 1)
-		c := r.primary(1)
+		h := newHarness(t, 1)
+		c := h.primary(1)
 		c.SetConfiguration("1")
 		var heldUp atomic.Bool
 		c.SetInterceptor(func(_ context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
@@ -267,32 +267,32 @@
 			<-time.After(10 * time.Second)
 			return &tierv1.WatchReply{IsPrimary: true, Epoch: 1, Configuration: &tierv1.Configuration{Version: 5, Body: []byte("old")}}, nil
 		})
-		r.run()
+		h.run()
 		c.AwaitAcknowledged(t)
 		synctest.Wait()
-		assert.DeepEqual(t, r.recorded(), []string{"configuration 1"})
+		assert.DeepEqual(t, h.recorded(), []string{"configuration 1"})
 	})
 }
 
 func TestSession_NoPrimaryAtFirst(t *testing.T) {
-	r := newHarness(t, 1)
-	c := r.at(1)
-	r.run()
+	h := newHarness(t, 1)
+	c := h.at(1)
+	h.run()
 	c.Await(t, "it looks", func(*tierv1.WatchRequest) bool { return len(c.Calls()) > 2 })
-	stands, _ := r.client.Active()
+	stands, _ := h.client.Active()
 	assert.Assert(t, !stands)
-	r.primary(1)
+	h.primary(1)
 	c.Await(t, "a session", isLongPoll)
 }
 
 // Among several that do not answer, the one that does is found: all are asked at once.
 func TestSession_OneOfManyCandidatesAnswers(t *testing.T) {
-	r := newHarness(t, 5)
+	h := newHarness(t, 5)
 	for n := 1; n <= 4; n++ {
-		makeUnresponsive(r.at(n))
+		makeUnresponsive(h.at(n))
 	}
-	c := r.primary(5)
-	r.run(func(s *session.Config) {
+	c := h.primary(5)
+	h.run(func(s *session.Config) {
 		s.Settings.Seeds = nil
 		for n := range 5 {
 			s.Settings.Seeds = append(s.Settings.Seeds, fmt.Sprintf("control-%d:80", n+1))
@@ -302,12 +302,12 @@
 }
 
 func TestSession_SyncedReplicaReportedAtOnce(t *testing.T) {
-	r := newHarness(t, 1)
-	c := r.primary(1)
+	h := newHarness(t, 1)
+	c := h.primary(1)
 	var mu sync.Mutex
 	var reports []*tierv1.SyncedReplica
 	changed := make(chan struct{})
-	r.run(func(s *session.Config) {
+	h.run(func(s *session.Config) {
 		s.Role, s.Folder, s.Address, s.EmptyFolder = "turnstore", "f-1", "10.0.0.1:9001", true
 		s.Settings.ContactWindow *= 100 // a call is held for longer than the test has patience
 		s.Synced = func() ([]*tierv1.SyncedReplica, <-chan struct{}) {
@@ -334,12 +334,12 @@
 
 // A change of the disk's state is reported at once, as Synced's channel closes with it.
 func TestSession_DiskStateReportedAtOnce(t *testing.T) {
-	r := newHarness(t, 1)
-	c := r.primary(1)
+	h := newHarness(t, 1)
+	c := h.primary(1)
 	var mu sync.Mutex
 	state := tierv1.DiskState_DISK_SOUND
 	changed := make(chan struct{})
-	r.run(func(s *session.Config) {
+	h.run(func(s *session.Config) {
 		s.Role, s.Folder = "turnstore", "f-1"
 		s.Settings.ContactWindow *= 100 // a call is held for longer than the test has patience
 		s.Synced = func() ([]*tierv1.SyncedReplica, <-chan struct{}) {
@@ -366,12 +366,12 @@
 }
 
 func TestSession_DrainingReported(t *testing.T) {
-	r := newHarness(t, 1)
-	c := r.primary(1)
-	r.run()
+	h := newHarness(t, 1)
+	c := h.primary(1)
+	h.run()
 	first := c.Await(t, "a session", isLongPoll)
 	assert.Equal(t, first.Draining, false)
-	r.client.Drain()
+	h.client.Drain()
 	c.Await(t, "it is leaving", func(q *tierv1.WatchRequest) bool { return isLongPoll(q) && q.Draining })
 }
 
@@ -383,22 +383,22 @@
 	} {
 		t.Run(role, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newHarness(t, 1)
-				c := r.primary(1)
+				h := newHarness(t, 1)
+				c := h.primary(1)
 				c.SetConfiguration("1")
-				r.run(func(s *session.Config) {
+				h.run(func(s *session.Config) {
 					if s.Role = role; role == "turnstore" {
 						s.Folder = "f-1"
 					}
 				})
 				c.AwaitAcknowledged(t)
 				synctest.Wait()
-				assert.Equal(t, r.client.Remaining(), patience)
+				assert.Equal(t, h.client.Remaining(), patience)
 				<-time.After(100 * time.Millisecond)
-				assert.Equal(t, r.client.Remaining(), patience-100*time.Millisecond)
-				r.hint(1, 2) // nobody is the primary any more
+				assert.Equal(t, h.client.Remaining(), patience-100*time.Millisecond)
+				h.hint(1, 2) // nobody is the primary any more
 				<-time.After(patience)
-				assert.Equal(t, r.client.Remaining(), time.Duration(0))
+				assert.Equal(t, h.client.Remaining(), time.Duration(0))
 			})
 		})
 	}
@@ -414,8 +414,8 @@
 func TestSession_DistantPrimaryFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const roundTrips = 520 * time.Millisecond // of a connection and a call; a search takes 500 ms, the next 1 s
-		r := newHarness(t, 1)
-		c := r.primary(1)
+		h := newHarness(t, 1)
+		c := h.primary(1)
 		c.SetConfiguration("1")
 		c.SetInterceptor(func(ctx context.Context, q *tierv1.WatchRequest, serve func() (*tierv1.WatchReply, error)) (*tierv1.WatchReply, error) {
 			if isLongPoll(q) { // by the connection that the search has made
@@ -428,9 +428,9 @@
 				return nil, ctx.Err()
 			}
 		})
-		r.run()
+		h.run()
 		<-time.After(4 * time.Second)
-		stands, _ := r.client.Active()
+		stands, _ := h.client.Active()
 		assert.Assert(t, stands)
 	})
 }
--- a/internal/tier/settings/parse.go
+++ b/internal/tier/settings/parse.go
@@ -20,20 +20,20 @@
 	var found []error
 	lines := lineIndex(body)
 	for _, entry := range table {
-		value, place := lookup(tree, entry.path)
+		value, field := lookup(tree, entry.path)
 		var problem string
 		switch {
-		case place != "":
+		case field != "":
 			problem = "is not a map"
 		case value != nil:
-			place = entry.path
+			field = entry.path
 			problem = entry.set(&settings, value)
 		case entry.defaultValue == nil:
-			place = entry.path
+			field = entry.path
 			problem = "is missing"
 		}
 		if problem != "" {
-			found = append(found, newFinding(lines, place, problem))
+			found = append(found, newFinding(lines, field, problem))
 		}
 	}
 	if len(found) > 0 {
@@ -71,11 +71,11 @@
 }
 
 // newFinding returns a finding with its field, and its line where that is known.
-func newFinding(lines map[string]int, place, problem string) error {
-	if line := lines[place]; line > 0 {
-		return Invalid.New("%s (line %d) %s", place, line, problem)
+func newFinding(lines map[string]int, field, problem string) error {
+	if line := lines[field]; line > 0 {
+		return Invalid.New("%s (line %d) %s", field, line, problem)
 	}
-	return Invalid.New("%s %s", place, problem)
+	return Invalid.New("%s %s", field, problem)
 }
 
 // unique leaves out findings with the same text.
