--- a/internal/peers/membership.go
+++ b/internal/peers/membership.go
@@ -143,7 +143,7 @@
 		e.forgetDeparted()
 	}
 	e.mu.Unlock()
-	e.log.Info("peers", "peer", m.Name, "state", state, "address", m.Address())
+	e.log.Info("peers: a member changed its state", "peer", m.Name, "state", state, "address", m.Address())
 	select {
 	case e.wake <- struct{}{}:
 	default:
--- a/internal/sender/extension.go
+++ b/internal/sender/extension.go
@@ -65,7 +65,7 @@
 	if s.config.Knowledge != nil || s.config.Peers != nil || s.config.Names != nil || s.config.Background || s.config.Fleet != nil {
 		i, err := newInspection(s)
 		if err != nil { // without it the sender goes on, and the command line gets no answer
-			s.log.Error("what is known can't be asked for", "err", err)
+			s.log.Error("the admin socket could not be opened", "err", err)
 			return parts, nil
 		}
 		parts = append(parts, i)
--- a/internal/sender/extension_fleet.go
+++ b/internal/sender/extension_fleet.go
@@ -1,7 +1,6 @@
 package sender
 
 import (
-	"cmp"
 	"context"
 	"maps"
 	"net/http"
@@ -20,7 +19,7 @@
 	// Admit asks at the moment of writing whether a call may be begun, and takes what it uses of the fleet's limits; left is called when
 	// it is written, over when it has ended.
 	Admit(fleetpolicy.Call) (left func(), over func(written bool), why string)
-	// AddBacklog notes that so many messages more, or fewer, wait; Recount puts what waits in place of all that was noted.
+	// AddBacklog counts so many messages more, or fewer, that wait; SetBacklog puts all that wait in place of what was counted.
 	AddBacklog(c fleetpolicy.Call, messages int64)
 	SetBacklog(map[fleetpolicy.Call]int64)
 	// RateLimits are what this sender may send where the fleet shares a limit out: those that have changed, or all.
@@ -39,14 +38,15 @@
 	Register(*http.ServeMux)
 }
 
-// fleetExtension is the fleet's policy as a participant: to the module what is closed drains, and what can't go is handed back.
+// fleetExtension is the fleet's policy as an extension: for the module the endpoints of a closed destination drain, and messages that
+// can't go are handed back.
 type fleetExtension struct {
 	noopExtension
 	s         *Sender
 	verdictOf map[uint32]health.Kind // verdicts as the module was told
 }
 
-// rateLimitChange is that this sender may send more or less where the fleet shares a limit out.
+// rateLimitChange is that this sender may send more or less where the fleet shares a rate limit out.
 type rateLimitChange struct{}
 
 func (rateLimitChange) isExtensionEvent() {}
@@ -56,21 +56,11 @@
 
 func (policyChange) isExtensionEvent() {}
 
+// newFleetExtension watches the fleet for changes, in a goroutine that ends with shutdown.
 func newFleetExtension(s *Sender) *fleetExtension {
-	news := make(chan struct{}, 1) // one word is enough, however often it changes
-	s.signalPolicyChange = func() {
-		select {
-		case news <- struct{}{}:
-		default:
-		}
-	}
-	paced := make(chan struct{}, 1)
-	s.config.Fleet.OnRateLimits(func() {
-		select {
-		case paced <- struct{}{}:
-		default:
-		}
-	})
+	policyChanges, rateLimitChanges := make(chan struct{}, 1), make(chan struct{}, 1)
+	s.signalPolicyChange = signalTo(policyChanges)
+	s.config.Fleet.OnRateLimits(signalTo(rateLimitChanges))
 	s.config.Fleet.OnChange(s.signalPolicyChange)
 	s.signalPolicyChange() // it may have changed before
 	ctx, stop := context.WithCancel(context.Background())
@@ -78,9 +68,9 @@
 	go func() {
 		for {
 			select {
-			case <-news:
+			case <-policyChanges:
 				s.post(ctx, extensionMessage{policyChange{}})
-			case <-paced:
+			case <-rateLimitChanges:
 				s.post(ctx, extensionMessage{rateLimitChange{}})
 			case <-ctx.Done():
 				return
@@ -90,50 +80,70 @@
 	return &fleetExtension{s: s, verdictOf: map[uint32]health.Kind{}}
 }
 
-func (p *fleetExtension) shutdown() error {
-	p.s.stopFleetWatch()
+// signalTo signals on a channel with room for one: one signal is enough, however often there is cause. It never waits.
+func signalTo(c chan<- struct{}) func() {
+	return func() {
+		select {
+		case c <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// shutdown ends the watch.
+func (x *fleetExtension) shutdown() error {
+	x.s.stopFleetWatch()
 	return nil
 }
 
-// handle tells the module what is closed now, and hands back what can't go.
-func (p *fleetExtension) handle(e extensionEvent, _ time.Duration) []brain.Event {
+// handle tells the module of changed rate limits, or of all that a changed policy means.
+func (x *fleetExtension) handle(e extensionEvent, _ time.Duration) []brain.Event {
 	switch e.(type) {
 	case rateLimitChange:
-		return p.rateLimits(false)
+		return x.rateLimits(false)
 	case policyChange:
+		return x.policyChanged()
 	default:
 		return nil
 	}
-	s := p.s
+}
+
+// policyChanged tells the module which destinations are closed now, their rate limits and verdicts, and ends messages that the policy
+// doesn't let go.
+func (x *fleetExtension) policyChanged() []brain.Event {
+	s := x.s
 	var events []brain.Event
-	if news := s.endpoints.ApplyPolicy(s.config.endpointNames()); len(news.Endpoints) > 0 {
-		events = append(events, news)
+	if update := s.endpoints.ApplyPolicy(s.config.endpointNames()); len(update.Endpoints) > 0 {
+		events = append(events, update)
 	}
-	events = append(events, p.rateLimits(true)...)
-	events = append(events, p.verdicts()...)
-	waiting := map[fleetpolicy.Call]int64{}
+	events = append(events, x.rateLimits(true)...)
+	events = append(events, x.verdicts()...)
+	backlog := map[fleetpolicy.Call]int64{}
 	for _, m := range s.messages {
 		if m.waiting {
-			waiting[limitedCall(m.storedMessage.record)]++
+			backlog[limitedCall(m.storedMessage.record)]++
 		}
 	}
-	s.config.Fleet.SetBacklog(waiting)
-	held := make([]*message, 0, len(s.messages))
-	for _, m := range s.messages {
-		held = append(held, m)
-	}
-	slices.SortFunc(held, func(a, b *message) int { return cmp.Compare(a.number, b.number) })
-	for _, m := range held {
+	s.config.Fleet.SetBacklog(backlog)
+	return append(events, x.withdrawObjected()...)
+}
+
+// withdrawObjected ends the messages that the policy is against, in the order in which they were accepted. One in flight ends as it
+// does, and the module looks at it again then.
+func (x *fleetExtension) withdrawObjected() (events []brain.Event) {
+	s := x.s
+	for _, number := range slices.Sorted(maps.Keys(s.messages)) {
+		m := s.messages[number]
 		if m.ended || len(m.calls) > 0 {
-			continue // what is out ends as it does, and is looked at again then by the module
+			continue
 		}
 		why, suspended := s.policyObjection(m.storedMessage.record)
 		if why == "" {
 			continue
 		}
-		_, mayRun := m.firstPossibleRun()
+		_, mayHaveRun := m.firstPossibleRun()
 		switch {
-		case !mayRun:
+		case !mayHaveRun:
 			s.finish(m.number, outcomeHandedBack, http.StatusServiceUnavailable, s.config.Settings.MaxRetryAfter)
 		case suspended: // another attempt won't come, and whether it ran nobody knows
 			s.finish(m.number, outcomeGivenUp, http.StatusInternalServerError, 0)
@@ -145,70 +155,72 @@
 	return events
 }
 
-// rateLimits tells the module what it may send where the fleet shares a limit out.
-func (p *fleetExtension) rateLimits(all bool) (events []brain.Event) {
-	for _, f := range p.s.config.Fleet.RateLimits(all) {
+// rateLimits tells the module what it may send where the fleet shares a rate limit out: all of it, or what has changed.
+func (x *fleetExtension) rateLimits(all bool) (events []brain.Event) {
+	for _, f := range x.s.config.Fleet.RateLimits(all) {
 		events = append(events, brain.RateGrant{Destination: brain.DestinationID(f.Destination), Limited: f.Limited, Rate: f.Own, TotalRate: f.Fleet})
 	}
 	return events
 }
 
-// verdicts tells the module what the fleet holds of receivers, as far as it was not told.
-func (p *fleetExtension) verdicts() (events []brain.Event) {
-	v, _ := p.s.config.Fleet.View()
-	is := map[uint32]health.Kind{}
-	for _, one := range v.HealthStatuses() {
-		if sort := health.Kind(one.Kind); sort != health.KindSuspended {
-			is[one.Destination] = sort
+// verdicts tells the module the fleet's verdicts on the health of receivers that have changed since it was told.
+func (x *fleetExtension) verdicts() (events []brain.Event) {
+	v, _ := x.s.config.Fleet.View()
+	current := map[uint32]health.Kind{}
+	for _, status := range v.HealthStatuses() {
+		if kind := health.Kind(status.Kind); kind != health.KindSuspended {
+			current[status.Destination] = kind
 		}
 	}
 	brainHealth := map[health.Kind]brain.Health{health.KindEjected: brain.Unhealthy, health.KindWarmingUp: brain.WarmingUp, health.KindNone: brain.Healthy}
-	tell := func(d uint32, sort health.Kind) {
-		if _, listed := p.s.endpoints.Destinations[d]; listed {
-			events = append(events, brain.Observation{Destination: brain.DestinationID(d), Health: brainHealth[sort]})
+	tell := func(d uint32, kind health.Kind) {
+		if _, listed := x.s.endpoints.Destinations[d]; listed {
+			events = append(events, brain.Observation{Destination: brain.DestinationID(d), Health: brainHealth[kind]})
 		}
 	}
-	for _, d := range slices.Sorted(maps.Keys(is)) {
-		if p.verdictOf[d] != is[d] {
-			tell(d, is[d])
+	for _, d := range slices.Sorted(maps.Keys(current)) {
+		if x.verdictOf[d] != current[d] {
+			tell(d, current[d])
 		}
 	}
-	for _, d := range slices.Sorted(maps.Keys(p.verdictOf)) {
-		if is[d] == health.KindNone {
+	for _, d := range slices.Sorted(maps.Keys(x.verdictOf)) {
+		if current[d] == health.KindNone {
 			tell(d, health.KindNone)
 		}
 	}
-	p.verdictOf = is
+	x.verdictOf = current
 	return events
 }
 
-// afterTurn passes on what has just been seen of receivers.
-func (p *fleetExtension) afterTurn(context.Context) { p.report(p.s.newlyLearnt, false) }
+// afterTurn reports what has just been observed of receivers.
+func (x *fleetExtension) afterTurn(context.Context) { x.report(x.s.newlyLearnt, false) }
 
-// onTick passes on what is known of those on which there is a verdict, or which do not serve.
-func (p *fleetExtension) onTick(time.Duration) {
-	if v, _ := p.s.config.Fleet.View(); v != nil && v.Policy.HasHealthRules() {
-		p.report(p.s.brain.Observations(), true)
+// onTick reports what is known of receivers on which there is a verdict, or which are not healthy.
+func (x *fleetExtension) onTick(time.Duration) {
+	if v, _ := x.s.config.Fleet.View(); v != nil && v.Policy.HasHealthRules() {
+		x.report(x.s.brain.Observations(), true)
 	}
 }
 
-func (p *fleetExtension) report(known []brain.Observation, some bool) {
+// report passes observations on to the fleet, of destinations for which the policy has a health rule. changedOnly leaves out those
+// that have been healthy for a while and on which there is no verdict.
+func (x *fleetExtension) report(known []brain.Observation, changedOnly bool) {
 	if len(known) == 0 {
 		return
 	}
-	v, _ := p.s.config.Fleet.View()
+	v, _ := x.s.config.Fleet.View()
 	if v == nil || !v.Policy.HasHealthRules() {
 		return
 	}
 	var all []health.Observation
 	for _, k := range known {
 		d := uint32(k.Destination)
-		if _, ruled := v.Policy.HealthRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || some && k.Health == brain.Healthy && p.verdictOf[d] == health.KindNone && k.HealthAge > time.Second {
+		if _, ruled := v.Policy.HealthRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || changedOnly && k.Health == brain.Healthy && x.verdictOf[d] == health.KindNone && k.HealthAge > time.Second {
 			continue
 		}
 		all = append(all, health.Observation{Destination: d, State: knowledge.State(k.Health), Age: k.HealthAge, Duration: max(0, k.HealthFor-k.HealthAge)})
 	}
 	if len(all) > 0 {
-		p.s.config.Fleet.ReportHealth(all)
+		x.s.config.Fleet.ReportHealth(all)
 	}
 }
--- a/internal/sender/extension_knowledge.go
+++ b/internal/sender/extension_knowledge.go
@@ -70,7 +70,7 @@
 		for raw := range p.writes {
 			err := p.save(raw)
 			if err != nil && !p.failed {
-				s.log.Warn("what is known is not written down", "err", err)
+				s.log.Warn("the snapshot of knowledge could not be written", "err", err)
 			}
 			p.failed = err != nil
 		}
--- a/internal/sender/extension_peers.go
+++ b/internal/sender/extension_peers.go
@@ -51,7 +51,7 @@
 		stop()
 		return nil, err
 	}
-	s.log.Info("peers", "membership", p.node.Address(), "cluster", c.Cluster, "seeds", len(c.Seeds))
+	s.log.Info("peers: membership started", "membership", p.node.Address(), "cluster", c.Cluster, "seeds", len(c.Seeds))
 	return p, nil
 }
 
--- a/internal/sender/finish.go
+++ b/internal/sender/finish.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"saffronyard.example/saffronyard/brain"
+	"saffronyard.example/saffronyard/internal/calls"
 	"saffronyard.example/saffronyard/internal/identity"
 )
 
@@ -26,39 +27,50 @@
 		s.pool.CloseIdle(s.endpoints.ByNumber[e.Endpoint], e.Elapsed)
 	}
 	if e.draining {
-		at := s.endpoints.ByNumber[e.Endpoint]
-		if news, changed := s.endpoints.Retire(at, s.pool); changed {
-			s.log.Info("an endpoint wants no more calls", "endpoint", at.ID)
-			s.deferredEvents = append(s.deferredEvents, news) // with this call's end, or the next would go there
-		}
+		s.retireEndpoint(s.endpoints.ByNumber[e.Endpoint])
 	}
 	if !m.ended {
-		switch {
-		case e.Outcome == brain.Served:
-			s.eventDedup.recordEnd(m, s.clock.now(), identity.Delivered, 0)
-			if s.mayHaveExpired(m) {
-				s.recordEnd(m, record{Outcome: outcomeGivenUp})
-				s.pendingNotices = append(s.pendingNotices, m.notice())
-			} else {
-				s.recordEnd(m, s.endRecord(m, outcomeDelivered))
-			}
-		case e.Final:
-			s.eventDedup.recordEnd(m, s.clock.now(), identity.Failed, 0)
-			s.recordEnd(m, s.endRecord(m, outcomeAnswered))
-		default:
-			never := e.Outcome == brain.Rejected || e.Outcome == brain.ConnectFailed || e.Outcome == brain.NotSent
-			rec := record{Op: opEnd, Attempt: m.earlierAttempts + e.attempt, NeverRan: never, Recalled: e.Revoked}
-			if s.recorder != nil {
-				rec.AttemptOutcome = string(outcomeOf(e.Outcome))
-			}
-			s.journal.update(m.storedMessage, rec)
-		}
+		s.recordCallResult(m, e)
 	}
 	s.setWaiting(m, !m.ended && len(m.calls) == 0)
 	s.forget(m)
 	return e.AttemptResult
 }
 
+// retireEndpoint takes an endpoint out that has said that it wants no more calls.
+func (s *Sender) retireEndpoint(endpoint *calls.Endpoint) {
+	update, changed := s.endpoints.Retire(endpoint, s.pool)
+	if !changed {
+		return
+	}
+	s.log.Info("an endpoint wants no more calls", "endpoint", endpoint.ID)
+	s.deferredEvents = append(s.deferredEvents, update) // with this call's end, or the next would go there
+}
+
+// recordCallResult records the end of the message that the attempt has decided, or else of the attempt alone.
+func (s *Sender) recordCallResult(m *message, e callResult) {
+	switch {
+	case e.Outcome == brain.Served:
+		s.eventDedup.recordEnd(m, s.clock.now(), identity.Delivered, 0)
+		if s.mayHaveExpired(m) {
+			s.recordEnd(m, record{Outcome: outcomeGivenUp})
+			s.pendingNotices = append(s.pendingNotices, m.notice())
+		} else {
+			s.recordEnd(m, s.endRecord(m, outcomeDelivered))
+		}
+	case e.Final:
+		s.eventDedup.recordEnd(m, s.clock.now(), identity.Failed, 0)
+		s.recordEnd(m, s.endRecord(m, outcomeAnswered))
+	default:
+		neverRan := e.Outcome == brain.Rejected || e.Outcome == brain.ConnectFailed || e.Outcome == brain.NotSent
+		rec := record{Op: opEnd, Attempt: m.earlierAttempts + e.attempt, NeverRan: neverRan, Recalled: e.Revoked}
+		if s.recorder != nil {
+			rec.AttemptOutcome = string(outcomeOf(e.Outcome))
+		}
+		s.journal.update(m.storedMessage, rec)
+	}
+}
+
 // deadlineMargin is how much earlier a message's time may be up for others than it is here, where it counts from when its
 // request had been read: the slack of the protocol's time limits.
 const deadlineMargin = 50 * time.Millisecond
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -100,7 +100,7 @@
 	case callResult:
 		return s.handleCallResult(e)
 	case listUpdate:
-		s.log.Debug("list", "version", e.Version, "full", e.Full, "lines", len(e.Servers))
+		s.log.Debug("endpoint list updated", "version", e.Version, "full", e.Full, "lines", len(e.Servers))
 		update := s.applyListUpdate(e)
 		for _, x := range s.extensions {
 			s.extensionEvents = append(s.extensionEvents, x.onListUpdate(s.clock.now())...)
@@ -126,12 +126,12 @@
 	// How an event ended is written before the journal forgets it: between the two it is held, and known as over.
 	for _, x := range s.extensions {
 		if err := x.beforeFlush(); err != nil {
-			s.log.Warn("before the journal is written", "err", err)
+			s.log.Warn("an extension failed before the journal was written", "err", err)
 		}
 	}
 	err := s.journal.flush()
 	if err != nil {
-		s.log.Warn("journal", "err", err)
+		s.log.Warn("the journal could not be written", "err", err)
 	}
 	return err == nil
 }
--- a/internal/sender/send.go
+++ b/internal/sender/send.go
@@ -14,7 +14,7 @@
 func (s *Sender) send(ctx context.Context, a brain.Send, written bool) {
 	m, e := s.messages[a.Message], s.endpoints.ByNumber[a.Endpoint]
 	if m == nil || e == nil {
-		s.log.Error("the module names what is not there", "message", a.Message, "endpoint", a.Endpoint)
+		s.log.Error("the decision module named an unknown message or endpoint", "message", a.Message, "endpoint", a.Endpoint)
 		return
 	}
 	attempt := m.attempts
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -87,7 +87,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		default: // out of descriptors, or a client that is gone already: neither ends the service
-			s.log.Warn("accept", "err", err)
+			s.log.Warn("accepting a connection failed", "err", err)
 			time.Sleep(evictionInterval)
 			continue
 		}
--- a/internal/sender/submit.go
+++ b/internal/sender/submit.go
@@ -12,45 +12,25 @@
 // same turn, before its client is answered and before any call. What can't be accepted is answered here; it has not been sent,
 // so its client may submit it again.
 func (s *Sender) submit(sub submission) brain.Event {
-	refuse := func(why string) brain.Event {
-		sub.answer <- response{status: http.StatusServiceUnavailable, retryAfter: s.config.Settings.MaxRetryAfter, text: why}
-		return nil
-	}
-	if sub.Identity != nil && s.answerKnownEvent(sub) { // also while it is quitting: a refusal of what is held would be false
+	if sub.Identity != nil && s.answerKnownEvent(sub) { // also while it is stopping: a rejection of what is held would be false
 		return nil
 	}
 	if s.stopping {
-		return refuse("shutting down")
+		return s.rejectSubmission(sub, "shutting down")
 	}
-	if m := s.journal.byID[sub.ID]; m != nil { // handed in twice: it is ours already
-		if m.outcome == outcomeAnswered && sub.Identity == nil { // it failed, and so it was answered; it only waits to be kept
-			sub.answer <- response{status: http.StatusInternalServerError, text: outcomeGivenUp}
-			return nil
-		}
-		if m.outcome == outcomeHandedBack && sub.Identity == nil { // it is its client's; it is ours again only once its notice is known to be told
-			return refuse("it was handed back just now")
-		}
-		if sub.Identity != nil { // it is not: its event would be lost
-			sub.answer <- response{status: http.StatusConflict, text: "X-Request-Id is another message's"}
-			return nil
-		}
-		sub.answer <- response{status: http.StatusAccepted}
+	if m := s.journal.byID[sub.ID]; m != nil {
+		s.answerDuplicate(sub, m)
 		return nil
 	}
-	// A destination without endpoints just now may get some; one that no list has ever named does not exist.
-	if _, known := s.endpoints.Destinations[sub.Dest]; !known && len(s.endpoints.Destinations) > 0 {
-		if sub.Identity != nil {
-			sub.answer <- response{status: http.StatusUnprocessableEntity, text: fmt.Sprintf("destination %d does not exist", sub.Dest)}
-		} else {
-			sub.answer <- response{status: http.StatusBadRequest, text: "X-Addressing names a destination that does not exist"}
-		}
+	if !s.destinationExists(sub.Dest) {
+		answerUnknownDestination(sub)
 		return nil
 	}
 	if why := s.applyPolicy(&sub.record); why != "" {
-		return refuse(why)
+		return s.rejectSubmission(sub, why)
 	}
-	if most := s.config.Settings.MaxPending; most > 0 && s.pending >= most {
-		return refuse("all room for messages is taken")
+	if limit := s.config.Settings.MaxPending; limit > 0 && s.pending >= limit {
+		return s.rejectSubmission(sub, "all room for messages is taken")
 	}
 	if sub.Identity != nil {
 		if ok, why, after := s.eventDedup.reserve(s.clock.now()); !ok {
@@ -59,15 +39,53 @@
 		}
 	}
 	sub.setRepeatRule(s.config.Settings.Classes[sub.class])
-	st, err := s.journal.insert(sub.record)
+	stored, err := s.journal.insert(sub.record)
 	if err != nil {
 		s.eventDedup.release(sub.Identity)
-		return refuse("no room to keep the message")
+		return s.rejectSubmission(sub, "no room to keep the message")
 	}
 	s.recorder.recordSubmitted(sub.Tenant, sub.Key)
 	s.trace("taken on", sub.ID, slog.Uint64("dest", uint64(sub.Dest)), slog.String("tenant", sub.Tenant), slog.Duration("left", sub.Deadline-s.clock.now()))
-	return brain.Message{ID: s.register(st, sub.answer, sub.class), Class: sub.class, Tenant: sub.tenant,
-		Destination: brain.DestinationID(sub.Dest), OrderingKey: st.orderKeyHash(), Deadline: sub.Deadline}
+	return brain.Message{ID: s.register(stored, sub.answer, sub.class), Class: sub.class, Tenant: sub.tenant,
+		Destination: brain.DestinationID(sub.Dest), OrderingKey: stored.orderKeyHash(), Deadline: sub.Deadline}
+}
+
+// rejectSubmission answers a submission that is not accepted with 503, why, and when its client may come again.
+func (s *Sender) rejectSubmission(sub submission, why string) brain.Event {
+	sub.answer <- response{status: http.StatusServiceUnavailable, retryAfter: s.config.Settings.MaxRetryAfter, text: why}
+	return nil
+}
+
+// answerDuplicate answers a submission under the id of a message that the journal holds. Of two with one id, it is the same message,
+// unless it came as an event: those are known by their identity, so that this one would be lost.
+func (s *Sender) answerDuplicate(sub submission, held *storedMessage) {
+	switch {
+	case sub.Identity != nil:
+		sub.answer <- response{status: http.StatusConflict, text: "X-Request-Id is another message's"}
+	case held.outcome == outcomeAnswered: // it failed, and so it was answered; it only waits for the recorder
+		sub.answer <- response{status: http.StatusInternalServerError, text: outcomeGivenUp}
+	case held.outcome == outcomeHandedBack: // it is its client's; it is ours again only once its notice is known to be acknowledged
+		s.rejectSubmission(sub, "it was handed back just now")
+	default:
+		sub.answer <- response{status: http.StatusAccepted}
+	}
+}
+
+// destinationExists reports whether a list has ever named a destination. One without endpoints just now may get some; before there
+// is any list, all exist.
+func (s *Sender) destinationExists(destination uint32) bool {
+	_, known := s.endpoints.Destinations[destination]
+	return known || len(s.endpoints.Destinations) == 0
+}
+
+// answerUnknownDestination answers a submission for a destination that does not exist: an event is sound and can't be routed, of a
+// message a header is wrong.
+func answerUnknownDestination(sub submission) {
+	if sub.Identity != nil {
+		sub.answer <- response{status: http.StatusUnprocessableEntity, text: fmt.Sprintf("destination %d does not exist", sub.Dest)}
+		return
+	}
+	sub.answer <- response{status: http.StatusBadRequest, text: "X-Addressing names a destination that does not exist"}
 }
 
 // acknowledge answers the client of m that it is accepted; one that submitted an event hears under which id.
