--- a/internal/sender/admin_reports.go
+++ b/internal/sender/admin_reports.go
@@ -12,7 +12,7 @@
 	"saffronyard.example/saffronyard/internal/peers"
 )
 
-// KnownFact is one fact as it is told to operators.
+// KnownFact is one fact as operators are shown it.
 type KnownFact struct {
 	Receiver uint32  `json:"receiver"`
 	Endpoint string  `json:"endpoint,omitempty"`
@@ -24,7 +24,7 @@
 	Calls    uint32  `json:"calls"`
 }
 
-// PeersReport is who is there and what is told.
+// PeersReport is the members that are known and what they tell.
 type PeersReport struct {
 	Name          string         `json:"name"`
 	Cluster       string         `json:"cluster"`
@@ -35,6 +35,7 @@
 	NowMS         int64          `json:"now_ms"`
 }
 
+// peersReport is the answer to GET /peers.
 func (s *Sender) peersReport(now time.Duration) PeersReport {
 	r := PeersReport{Name: s.config.Name, FactsBySource: map[string]int{}, NowMS: now.Milliseconds(), OwnFacts: len(s.knownFacts(now))}
 	s.knownFactsCache = nil
@@ -47,8 +48,8 @@
 	return r
 }
 
-// knowledgeReport is all facts, or those of one receiver: what this process has seen, what it was told by others, and
-// what is left of an earlier process's.
+// knowledgeReport is the answer to GET /knowledge, all facts or those of one receiver: what this process has observed, what
+// peers told, and what is left of an earlier process's.
 func (s *Sender) knowledgeReport(now time.Duration, all bool, only uint32) []KnownFact {
 	list := []KnownFact{}
 	add := func(facts []knowledge.Fact, source string) {
@@ -93,14 +94,14 @@
 	return "?"
 }
 
-// PendingCount is how many messages of a tenant for a destination are held.
+// PendingCount is how many messages of a tenant for a destination are pending.
 type PendingCount struct {
 	Destination uint32 `json:"destination"`
 	Tenant      string `json:"tenant"`
 	Messages    int    `json:"messages"`
 }
 
-// pendingCounts counts what is held, as far as a policy tells messages apart.
+// pendingCounts is the answer to GET /held: what is pending, as far as a policy tells messages apart.
 func (s *Sender) pendingCounts() []PendingCount {
 	counts := map[fleetpolicy.Call]int{}
 	for _, m := range s.messages {
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -136,7 +136,7 @@
 func (c *cluster) tell(from int, now time.Duration) {
 	var all []knowledge.Fact
 	for _, k := range c.brains[from].Observations() {
-		all = append(all, factsFromLearnt(k, "", now)...)
+		all = append(all, factsOf(k, "", now)...)
 	}
 	c.telling[from].Update(all, now)
 	for to := range c.senders {
--- a/internal/sender/doc.go
+++ b/internal/sender/doc.go
@@ -59,7 +59,7 @@
 //	server*.go, ingress*.go                         clients' connections, requests, responses; the two protocols on top
 //	journal*.go, outages.go                         the journal: records, codec, recovery, compaction, endpoint list, outages
 //	sources.go, discovery*.go                       where endpoints come from; the platform's list, its watch, and notices
-//	extension*.go, fleet_policy.go, learnt.go       features that take part in the loop's turns
+//	extension*.go, fleet_policy.go, observations.go       features that take part in the loop's turns
 //	admin_reports.go, trace.go                      what operators are shown
 //	config.go, clock.go                             configuration and time
 package sender
--- a/internal/sender/event_dedup.go
+++ b/internal/sender/event_dedup.go
@@ -6,7 +6,6 @@
 	"path/filepath"
 	"time"
 
-	"saffronyard.example/saffronyard/brain"
 	"saffronyard.example/saffronyard/internal/identity"
 )
 
@@ -146,9 +145,8 @@
 	*eventDedup
 }
 
+// beforeFlush writes down how events ended.
 func (x eventsExtension) beforeFlush() error { return x.flush() }
 
+// shutdown closes the file.
 func (x eventsExtension) shutdown() error { return x.close() }
-
-// onResume hides the method of noopExtension's name that eventDedup might have.
-func (x eventsExtension) onResume(time.Duration) []brain.Event { return nil }
--- a/internal/sender/extension.go
+++ b/internal/sender/extension.go
@@ -7,26 +7,27 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// extension is a feature that takes part in the loop's turns. The loop calls it in its own goroutine: nothing here
-// waits for a network, a slow disk or anyone else. A feature that only hears of some of it embeds noPart.
+// extension is a feature that takes part in the loop's turns. The loop calls it in its own goroutine, so nothing here waits
+// for a network, a slow disk or anyone else. What a method returns is told to the module in the same turn. A feature that
+// needs only some of the methods embeds noopExtension.
 type extension interface {
-	// onResume is called once, before any client is heard, when the list is known; what it gives the module is told.
+	// onResume is called once, before any client is heard, when the endpoint list is known.
 	onResume(now time.Duration) []brain.Event
-	// onListUpdate is called after news of the list; what it gives the module is told in the same step, after the news.
+	// onListUpdate is called after an update of the endpoint list; the module is told of the update first.
 	onListUpdate(now time.Duration) []brain.Event
-	// handle is called with an event of the feature's own, which it had posted to the loop; others it passes over.
+	// handle is called with each extension's events, which it had posted to the loop; it passes over those of others.
 	handle(e extensionEvent, now time.Duration) []brain.Event
-	// beforeFlush is called before the journal is written: what must stand on the disk no later than that is written here.
+	// beforeFlush is called before the journal is written: what must be on the disk no later than that is written here.
 	beforeFlush() error
-	// afterTurn is called at the end of each turn, when all of it stands in the journal.
+	// afterTurn is called at the end of each turn, when all of it is in the journal.
 	afterTurn(ctx context.Context)
-	// onTick is called about once a second, the more rarely the longer the list is, until no more calls are begun.
+	// onTick is called about once a second, the more rarely the longer the endpoint list, until no more calls are begun.
 	onTick(now time.Duration)
-	// shutdown is called as the sender ends, when all that it began has ended.
+	// shutdown is called as the sender ends, when the loop takes no more events.
 	shutdown() error
 }
 
-// noopExtension takes no part.
+// noopExtension takes part in nothing.
 type noopExtension struct{}
 
 func (noopExtension) onResume(time.Duration) []brain.Event               { return nil }
@@ -37,45 +38,46 @@
 func (noopExtension) onTick(time.Duration)                               {}
 func (noopExtension) shutdown() error                                    { return nil }
 
-// newExtensions gives the features that this sender has, in the order in which they are called.
+// newExtensions makes the extensions that the configuration turns on, in the order in which they are called.
 func (s *Sender) newExtensions() ([]extension, error) {
-	var parts []extension
+	var extensions []extension
 	if s.eventDedup != nil {
-		parts = append(parts, eventsExtension{eventDedup: s.eventDedup})
+		extensions = append(extensions, eventsExtension{eventDedup: s.eventDedup})
 	}
 	if s.recorder != nil {
-		parts = append(parts, recorderExtension{s: s})
+		extensions = append(extensions, recorderExtension{s: s})
 	}
 	if s.config.Knowledge != nil {
-		parts = append(parts, newKnowledgeStore(s))
+		extensions = append(extensions, newKnowledgeStore(s))
 	}
-	if s.config.Peers != nil { // the module was made to give news
+	if s.config.Peers != nil { // the module was made to report changes
 		p, err := newPeersExtension(s)
 		if err != nil {
-			return parts, err
+			return extensions, err
 		}
-		parts = append(parts, p)
+		extensions = append(extensions, p)
 	}
 	if s.config.Fleet != nil {
-		parts = append(parts, newFleetExtension(s))
+		extensions = append(extensions, newFleetExtension(s))
 	}
 	if s.config.Background {
-		parts = append(parts, &backgroundExtension{s: s})
+		extensions = append(extensions, &backgroundExtension{s: s})
 	}
 	if s.config.Knowledge != nil || s.config.Peers != nil || s.config.Names != nil || s.config.Background || s.config.Fleet != nil {
-		i, err := newInspection(s)
+		i, err := newAdminServer(s)
 		if err != nil { // without it the sender goes on, and the command line gets no answer
 			s.log.Error("the admin socket could not be opened", "err", err)
-			return parts, nil
+			return extensions, nil
 		}
-		parts = append(parts, i)
+		extensions = append(extensions, i)
 	}
-	return parts, nil
+	return extensions, nil
 }
 
+// extensionOf is the sender's extension of a type; false if it has none.
 func extensionOf[T extension](s *Sender) (T, bool) {
-	for _, p := range s.extensions {
-		if got, ok := p.(T); ok {
+	for _, x := range s.extensions {
+		if got, ok := x.(T); ok {
 			return got, true
 		}
 	}
--- a/internal/sender/extension_admin.go
+++ b/internal/sender/extension_admin.go
@@ -18,18 +18,18 @@
 	"saffronyard.example/saffronyard/internal/work"
 )
 
-// SocketName is the Unix socket in the state folder by which the command line asks a sender that runs what it knows.
+// SocketName is the Unix socket in the state folder by which the command line queries a sender that runs.
 const SocketName = "sender.sock"
 
-// inspection answers the command line. What it is asked for goes through the loop, which owns all that is known.
-type inspection struct {
+// adminServer answers the command line, by HTTP on a Unix socket. Queries go through the loop, which owns all that is known.
+type adminServer struct {
 	noopExtension
 	s      *Sender
 	server *http.Server
 	done   sync.WaitGroup
 }
 
-// adminQuery is put to the loop; it answers in the same turn.
+// adminQuery is put to the loop; it is answered in the same turn.
 type adminQuery struct {
 	ask    func(s *Sender, now time.Duration) any
 	answer chan any
@@ -37,9 +37,11 @@
 
 func (adminQuery) isExtensionEvent() {}
 
+// adminTimeout is how long a query may wait for the loop.
 const adminTimeout = 2 * time.Second
 
-func newInspection(s *Sender) (*inspection, error) {
+// newAdminServer listens on the socket; one of a process that was killed is replaced.
+func newAdminServer(s *Sender) (*adminServer, error) {
 	path := filepath.Join(s.config.StateDir, SocketName)
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) { // a process that was killed leaves its own
 		return nil, fmt.Errorf("command line: %w", err)
@@ -52,7 +54,7 @@
 		l.Close()
 		return nil, fmt.Errorf("command line: %w", err)
 	}
-	i := &inspection{s: s}
+	i := &adminServer{s: s}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /peers", i.queryHandler(func(*http.Request) (func(*Sender, time.Duration) any, error) {
 		return func(s *Sender, now time.Duration) any { return s.peersReport(now) }, nil
@@ -89,7 +91,7 @@
 	return i, nil
 }
 
-func (i *inspection) queryHandler(read func(*http.Request) (func(*Sender, time.Duration) any, error)) http.HandlerFunc {
+func (i *adminServer) queryHandler(read func(*http.Request) (func(*Sender, time.Duration) any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ask, err := read(r)
 		if err != nil {
@@ -112,7 +114,7 @@
 }
 
 // work tells of background work, and passes on what an operator wants of it.
-func (i *inspection) work(w http.ResponseWriter, r *http.Request) {
+func (i *adminServer) work(w http.ResponseWriter, r *http.Request) {
 	c := i.s.config
 	if c.Work == nil {
 		http.Error(w, "there is no background work: the operators' file has no [work]", http.StatusNotFound)
@@ -145,14 +147,14 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-func (i *inspection) handle(e extensionEvent, now time.Duration) []brain.Event {
+func (i *adminServer) handle(e extensionEvent, now time.Duration) []brain.Event {
 	if q, ok := e.(adminQuery); ok {
 		q.answer <- q.ask(i.s, now)
 	}
 	return nil
 }
 
-func (i *inspection) shutdown() error {
+func (i *adminServer) shutdown() error {
 	err := i.server.Close()
 	i.done.Wait()
 	return err
--- a/internal/sender/extension_background.go
+++ b/internal/sender/extension_background.go
@@ -15,10 +15,11 @@
 	"saffronyard.example/saffronyard/internal/work"
 )
 
-// Background is what work behind the messages asks of the sender, from any goroutine. It is there once the sender runs.
+// Background is what work behind the messages asks of the sender, from any goroutine. It is there once the sender runs. Each
+// method goes through the loop and fails with ErrBusy if that does not answer within backgroundTimeout.
 type Background struct{ s *Sender }
 
-// backgroundExtension answers it in the loop's turns.
+// backgroundExtension answers Background's queries in the loop's turns.
 type backgroundExtension struct {
 	noopExtension
 	s          *Sender
@@ -28,7 +29,7 @@
 	resumed    bool // what the journal held has been resumed
 }
 
-// backgroundQuery is put to the loop; it answers in the same turn, and what it gives the module is told.
+// backgroundQuery is put to the loop; it is answered in the same turn, and what it gives is told to the module.
 type backgroundQuery struct {
 	asked  time.Time
 	state  *atomic.Uint32 // who is first: the loop, or the one who asked and waits no more
@@ -38,11 +39,13 @@
 
 func (backgroundQuery) isExtensionEvent() {}
 
+// backgroundTimeout is how long a query may wait for the loop.
 const backgroundTimeout = 2 * time.Second
 
-// Background is for work behind the messages; it is there if the configuration has Background set.
+// Background is for work behind the messages; it needs Config.Background.
 func (s *Sender) Background() *Background { return &Background{s} }
 
+// within has ask called in a turn of the loop. Once it has returned, ask is not called any more.
 func (b *Background) within(ctx context.Context, ask func(p *backgroundExtension, now time.Duration) []brain.Event) error {
 	ctx, cancel := context.WithTimeout(ctx, backgroundTimeout)
 	defer cancel()
@@ -61,13 +64,14 @@
 	return ErrBusy // and it will not be answered later
 }
 
-// The states of a question.
+// The states of a query: the loop takes it, or who asked waits no more, whoever is first.
 const (
 	queryWaiting uint32 = iota
 	queryTaken
 	queryAbandoned
 )
 
+// handle answers a query, unless who asked waits no more.
 func (p *backgroundExtension) handle(e extensionEvent, now time.Duration) []brain.Event {
 	q, ok := e.(backgroundQuery)
 	if !ok {
@@ -82,16 +86,19 @@
 	return events
 }
 
+// onResume records that the journal's messages have been resumed: from now on messages may be resent.
 func (p *backgroundExtension) onResume(time.Duration) []brain.Event {
 	p.resumed = true
 	return nil
 }
 
+// beforeFlush begins to measure the time of a flush.
 func (p *backgroundExtension) beforeFlush() error {
 	p.flushBegan = time.Now()
 	return nil
 }
 
+// afterTurn ends it.
 func (p *backgroundExtension) afterTurn(context.Context) {
 	if !p.flushBegan.IsZero() {
 		p.flushTime, p.flushBegan = time.Since(p.flushBegan), time.Time{}
@@ -178,7 +185,7 @@
 	return all, err
 }
 
-// KeyWindow is how long receivers remember the keys of a class.
+// KeyWindow is how long receivers remember the idempotency keys of a class.
 func (c *Config) KeyWindow(class string) time.Duration {
 	if i := indexOf(c.Classes, class, -1); i >= 0 {
 		return c.Settings.Classes[i].IdempotencyKeyTTL
@@ -186,8 +193,9 @@
 	return 0
 }
 
-// Resend takes a kept message on once more, as its next life: it passes the journal and the module as any. An error says that it
-// was not taken, and why; nothing of it is left then.
+// Resend accepts an undelivered message once more, in its next incarnation: it passes the journal and the module as any. An
+// error, ErrBusy or a *ResendError or one of the journal's, says that it was not accepted, and why; nothing of it is left
+// then.
 func (b *Background) Resend(ctx context.Context, e undelivered.Entry, deadline time.Duration) error {
 	var refused error
 	err := b.within(ctx, func(p *backgroundExtension, now time.Duration) []brain.Event {
@@ -201,6 +209,7 @@
 	return errors.Join(err, refused)
 }
 
+// resend is Resend in the loop's turn.
 func (p *backgroundExtension) resend(e *undelivered.Entry, now, deadline time.Duration) (brain.Event, error) {
 	s := p.s
 	class, tenant := indexOf(s.config.Classes, e.Class, -1), indexOf(s.config.Tenants, e.Member, -1)
--- a/internal/sender/extension_fleet.go
+++ b/internal/sender/extension_fleet.go
@@ -14,7 +14,7 @@
 	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
-// Fleet is what senders agree on, as far as it concerns messages and calls. Nothing of it waits.
+// Fleet is what senders agree on, as far as it concerns messages and calls. None of its methods waits.
 type Fleet interface {
 	// Admit asks at the moment of writing whether a call may be begun, and takes what it uses of the fleet's limits; left is called when
 	// it is written, over when it has ended.
@@ -193,7 +193,7 @@
 }
 
 // afterTurn reports what has just been observed of receivers.
-func (x *fleetExtension) afterTurn(context.Context) { x.report(x.s.newlyLearnt, false) }
+func (x *fleetExtension) afterTurn(context.Context) { x.report(x.s.changedObservations, false) }
 
 // onTick reports what is known of receivers on which there is a verdict, or which are not healthy.
 func (x *fleetExtension) onTick(time.Duration) {
--- a/internal/sender/extension_knowledge.go
+++ b/internal/sender/extension_knowledge.go
@@ -22,8 +22,8 @@
 	maxSubjects       = 1 << 17 // of which anything is known
 )
 
-// knowledgeStore is the sender's own past: what it knew as it last wrote it down, told to the module as the list names who it is
-// about, and written down anew now and then by a goroutine of its own.
+// knowledgeStore keeps what the sender knows of receivers in a snapshot file. What an earlier process knew is told to the
+// module as the list names the receivers; a new snapshot is written now and then by a goroutine of its own.
 type knowledgeStore struct {
 	noopExtension
 	s         *Sender
@@ -47,6 +47,8 @@
 	return 2 * (c.Knowledge.MaxBytes + 512)
 }
 
+// newKnowledgeStore reads the snapshot of an earlier process; without one that can be read, it starts as one that knows
+// nothing.
 func newKnowledgeStore(s *Sender) *knowledgeStore {
 	p := &knowledgeStore{s: s, path: filepath.Join(s.config.StateDir, knowledgeFileName), view: knowledge.NewView(maxSubjects),
 		unlisted: map[knowledge.Subject]struct{}{}, writes: make(chan []byte, 1)}
@@ -78,14 +80,16 @@
 	return p
 }
 
-func (p *knowledgeStore) onResume(now time.Duration) []brain.Event     { return p.learntEvents(now) }
-func (p *knowledgeStore) onListUpdate(now time.Duration) []brain.Event { return p.learntEvents(now) }
+func (p *knowledgeStore) onResume(now time.Duration) []brain.Event { return p.observationEvents(now) }
+func (p *knowledgeStore) onListUpdate(now time.Duration) []brain.Event {
+	return p.observationEvents(now)
+}
 
-// learntEvents gives the module what is known of those that the list names by now, each once.
-func (p *knowledgeStore) learntEvents(now time.Duration) []brain.Event {
+// observationEvents gives the module what is known of receivers that the list names by now, each once.
+func (p *knowledgeStore) observationEvents(now time.Duration) []brain.Event {
 	var events []brain.Event
 	for subject := range p.unlisted {
-		e, listed := p.s.newLearnt(subject)
+		e, listed := p.s.newObservation(subject)
 		if !listed {
 			continue
 		}
@@ -97,8 +101,8 @@
 	return events
 }
 
-// factsToKeep is all that the module has seen, and what is left of an earlier process's knowledge of those that the list does
-// not name yet.
+// factsToKeep is all that the module has observed, and what is left of an earlier process's knowledge of receivers that the
+// list does not name yet.
 func (p *knowledgeStore) factsToKeep(now time.Duration) []knowledge.Fact {
 	var all []knowledge.Fact
 	all = append(all, p.s.knownFacts(now)...)
@@ -111,7 +115,7 @@
 	return all
 }
 
-// onTick writes a snapshot down when its time has come, and the one before is written.
+// onTick hands a snapshot to the writer once it is due and the one before is written.
 func (p *knowledgeStore) onTick(now time.Duration) {
 	if p.s.config.Background || now-p.lastWrite < p.s.config.Knowledge.Interval || len(p.writes) > 0 {
 		return
@@ -123,7 +127,7 @@
 	}
 }
 
-// shutdown writes the last one.
+// shutdown writes the last snapshot.
 func (p *knowledgeStore) shutdown() error {
 	close(p.writes)
 	p.done.Wait()
@@ -142,8 +146,8 @@
 	return knowledge.Save(p.path, raw)
 }
 
-// Snapshot writes down what is known of receivers, as the looks of a sender do that has no background work; it gives the
-// bytes that it wrote, 0 where nothing is to be kept.
+// Snapshot writes down what is known of receivers, as onTick does for a sender without background work. It gives the bytes
+// that it wrote, 0 where nothing is to be kept.
 func (b *Background) Snapshot(ctx context.Context) (n int, err error) {
 	p, ok := extensionOf[*knowledgeStore](b.s)
 	if !ok {
--- a/internal/sender/extension_peers.go
+++ b/internal/sender/extension_peers.go
@@ -9,7 +9,7 @@
 	"saffronyard.example/saffronyard/internal/peers"
 )
 
-// peersExtension is the other senders: what they tell goes to the module as hearsay, and what the module has seen goes to
+// peersExtension is the other senders: what they tell goes to the module as hearsay, and what the module has observed goes to
 // them. Nothing here waits for any of them.
 type peersExtension struct {
 	noopExtension
@@ -21,8 +21,8 @@
 	unlisted map[knowledge.Subject]struct{} // heard of, and not on the list yet
 }
 
-// PeerKeys changes the keys of the peers' membership; the first is what is sent with. It may be called from any
-// goroutine.
+// PeerKeys changes the keys of the peers' membership (see peers.Node.SetKeys); without peers it does nothing. Any goroutine
+// may call it.
 func (s *Sender) PeerKeys(keys [][]byte) error {
 	if p, ok := extensionOf[*peersExtension](s); ok {
 		return p.node.SetKeys(keys)
@@ -35,6 +35,7 @@
 
 func (peerFacts) isExtensionEvent() {}
 
+// newPeersExtension joins the peers; their facts come to the loop as events.
 func newPeersExtension(s *Sender) (*peersExtension, error) {
 	c := *s.config.Peers
 	if c.MaxFacts == 0 {
@@ -55,7 +56,7 @@
 	return p, nil
 }
 
-// handle books what was heard and tells the module what it comes to.
+// handle takes in what a peer tells and gives the module what it comes to.
 func (p *peersExtension) handle(e extensionEvent, now time.Duration) []brain.Event {
 	h, ok := e.(peerFacts)
 	if !ok {
@@ -73,18 +74,19 @@
 			touched[f.Subject] = struct{}{}
 		}
 	}
-	return p.learntEvents(touched, now)
+	return p.observationEvents(touched, now)
 }
 
+// onListUpdate gives the module what was heard of receivers before they were listed.
 func (p *peersExtension) onListUpdate(now time.Duration) []brain.Event {
-	return p.learntEvents(p.unlisted, now)
+	return p.observationEvents(p.unlisted, now)
 }
 
-// learntEvents gives what is heard of some to the module, of those that the list names.
-func (p *peersExtension) learntEvents(some map[knowledge.Subject]struct{}, now time.Duration) []brain.Event {
+// observationEvents gives what is heard of some receivers to the module, as far as the list names them.
+func (p *peersExtension) observationEvents(some map[knowledge.Subject]struct{}, now time.Duration) []brain.Event {
 	var events []brain.Event
 	for subject := range some {
-		e, listed := p.s.newLearnt(subject)
+		e, listed := p.s.newObservation(subject)
 		if !listed {
 			if len(p.unlisted) < maxSubjects {
 				p.unlisted[subject] = struct{}{}
@@ -106,13 +108,14 @@
 	return events
 }
 
-// afterTurn tells at once what matters most to others: an outage, a return, a wait.
+// afterTurn publishes at once what matters most to others: an outage, a recovery, a Retry-After.
 func (p *peersExtension) afterTurn(context.Context) {
-	if len(p.s.newlyLearnt) > 0 {
-		p.node.PublishSome(p.s.factsFrom(p.s.newlyLearnt, p.s.clock.now()))
+	if len(p.s.changedObservations) > 0 {
+		p.node.PublishSome(p.s.factsFrom(p.s.changedObservations, p.s.clock.now()))
 	}
 }
 
+// onTick drops what is trusted no more and publishes all that is known.
 func (p *peersExtension) onTick(now time.Duration) {
 	p.view.Forget(now)
 	for subject := range p.unlisted { // what is heard of one that no list names is kept as long as it is trusted
@@ -123,6 +126,7 @@
 	p.node.Publish(p.s.knownFacts(now))
 }
 
+// shutdown leaves the peers.
 func (p *peersExtension) shutdown() error {
 	p.stop()
 	p.node.Close()
--- a/internal/sender/extension_recorder.go
+++ b/internal/sender/extension_recorder.go
@@ -8,8 +8,9 @@
 	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
-// Recorder keeps messages that were not delivered. It is told of an end only after that stands in the journal, and
-// each end until it has said once that it keeps it: an end that it has seen before changes nothing.
+// Recorder keeps messages that were not delivered. It is told of an end only after that is in the journal, and of each end
+// until it has said once that it keeps it: an end that it has seen before changes nothing. Its methods may block: the loop
+// does not call them.
 type Recorder interface {
 	// Record puts ends where they outlast the process. It may take its time: it is not called by the loop.
 	Record(entries []undelivered.Entry, now int64) error
@@ -20,6 +21,7 @@
 	ResolveResubmitted(keys [][2]string) error
 }
 
+// The bounds of what waits for the recorder, and the pauses before what it failed to keep is offered again.
 const (
 	maxRecorderBatch       = 256                    // ends offered at once
 	recorderJournalDivisor = 4                      // a part of the journal's room is for ends that wait for the recorder
@@ -36,7 +38,7 @@
 	offered       []*storedMessage // offered
 	cost          int64            // in the journal, of all of these
 	maxCost       int64
-	missed        map[[2]string]int64
+	dropped       map[[2]string]int64
 	submittedKeys [][2]string // member and key of messages that were handed in
 	busy          bool        // something is offered
 }
@@ -44,20 +46,23 @@
 // recorderBatch is a batch on its way to the recorder.
 type recorderBatch struct {
 	entries       []undelivered.Entry
-	missed        map[[2]string]int64
+	dropped       map[[2]string]int64
 	submittedKeys [][2]string
 }
 
+// recorderDone is that the recorder keeps what it was offered.
 type recorderDone struct{}
 
-func newRecorderQueue(to Recorder, room int64) *recorderQueue {
-	if to == nil {
+// newRecorderQueue makes the queue of a recorder, nil for none; journalBytes is the journal's budget.
+func newRecorderQueue(recorder Recorder, journalBytes int64) *recorderQueue {
+	if recorder == nil {
 		return nil
 	}
-	return &recorderQueue{recorder: to, offers: make(chan recorderBatch, 1), maxCost: room / recorderJournalDivisor, missed: map[[2]string]int64{}}
+	return &recorderQueue{recorder: recorder, offers: make(chan recorderBatch, 1), maxCost: journalBytes / recorderJournalDivisor, dropped: map[[2]string]int64{}}
 }
 
-// run passes offers on, until ctx ends. What fails is tried again for as long as it takes: the journal holds it.
+// run passes batches on until ctx ends, and calls done after each. What fails is tried again for as long as it takes, as the
+// journal holds it; warn is called with the first failure of a batch.
 func (b *recorderQueue) run(ctx context.Context, warn func(error), kept func()) {
 	for {
 		var o recorderBatch
@@ -67,9 +72,9 @@
 			return
 		}
 		for pause, told := minRecorderBackoff, false; ; pause = min(2*pause, maxRecorderBackoff) {
-			err := b.recorder.RecordDropped(o.missed)
+			err := b.recorder.RecordDropped(o.dropped)
 			if err == nil {
-				o.missed = nil
+				o.dropped = nil
 				if err = b.recorder.ResolveResubmitted(o.submittedKeys); err == nil {
 					o.submittedKeys = nil
 				}
@@ -118,7 +123,7 @@
 	return undelivered.Unknown
 }
 
-// shouldRecord is whether an end that is about to be written down is to be kept, and books the room for it.
+// shouldRecord reports whether an end that is about to be recorded is to go to the recorder, and reserves the room for it.
 func (s *Sender) shouldRecord(m *message, outcome string) bool {
 	b := s.recorder
 	if b == nil { // what went again is the store's still, and it must hear of its end when it is there again
@@ -128,10 +133,10 @@
 		rec := *m.storedMessage
 		rec.outcome, rec.endedAt = outcome, s.clock.now()
 		e := s.entry(&rec)
-		if len(b.missed) == 0 {
+		if len(b.dropped) == 0 {
 			s.log.Warn("undelivered messages are not kept: too many wait for the store")
 		}
-		b.missed[[2]string{e.Member, string(e.Reason)}]++
+		b.dropped[[2]string{e.Member, string(e.Reason)}]++
 		return false
 	}
 	b.cost += m.cost
@@ -139,7 +144,7 @@
 	return true
 }
 
-// offerToRecorder offers what waits, if nothing is out.
+// offerToRecorder offers what waits, if nothing is offered already.
 func (s *Sender) offerToRecorder() {
 	b := s.recorder
 	if b == nil || b.busy || len(b.waiting) == 0 && len(b.submittedKeys) == 0 {
@@ -148,16 +153,16 @@
 	b.busy = true
 	n := min(len(b.waiting), maxRecorderBatch)
 	b.offered, b.waiting = b.waiting[:n:n], b.waiting[n:]
-	o := recorderBatch{missed: b.missed, submittedKeys: b.submittedKeys}
+	o := recorderBatch{dropped: b.dropped, submittedKeys: b.submittedKeys}
 	b.submittedKeys = nil
-	b.missed = map[[2]string]int64{}
+	b.dropped = map[[2]string]int64{}
 	for _, m := range b.offered {
 		o.entries = append(o.entries, s.entry(m))
 	}
 	b.offers <- o // there is room: none is out
 }
 
-// recorderFinished books that the recorder has what was offered.
+// recorderFinished records that the recorder keeps what it was offered.
 func (s *Sender) recorderFinished() {
 	b := s.recorder
 	for _, m := range b.offered {
@@ -169,8 +174,9 @@
 	b.offered, b.busy = nil, false
 }
 
-// recordSubmitted notes a hand-in under a key. Where the recorder has failed for so long that there are too many, the oldest go: what is
-// kept under them stays, and if it goes again its receiver tells by the key that it has come before, as long as it does.
+// recordSubmitted records a submission under an idempotency key. Where the recorder has failed for so long that there are too
+// many, the oldest go: what is kept under them stays, and if it goes again its receiver tells by the key that it has come
+// before, as long as it does.
 func (b *recorderQueue) recordSubmitted(member, key string) {
 	if b == nil || key == "" {
 		return
@@ -221,7 +227,7 @@
 	return e
 }
 
-// recorderExtension is the recorder's books as a participant.
+// recorderExtension is the recorder's queue as an extension.
 type recorderExtension struct {
 	noopExtension
 	s *Sender
--- a/internal/sender/fleet_policy.go
+++ b/internal/sender/fleet_policy.go
@@ -7,27 +7,27 @@
 	"saffronyard.example/saffronyard/internal/fleetpolicy"
 )
 
-// setWaiting notes whether a message waits to be sent, as far as the fleet's limits go by that.
-func (s *Sender) setWaiting(m *message, is bool) {
-	if s.config.Fleet == nil || m.waiting == is {
+// setWaiting records whether a message waits to be sent, for the fleet's rate limits, which are shared by backlog.
+func (s *Sender) setWaiting(m *message, waiting bool) {
+	if s.config.Fleet == nil || m.waiting == waiting {
 		return
 	}
-	m.waiting = is
+	m.waiting = waiting
 	n := int64(1)
-	if !is {
+	if !waiting {
 		n = -1
 	}
 	s.config.Fleet.AddBacklog(limitedCall(m.storedMessage.record), n)
 }
 
-// limitedCall is what limits go by of a message that waits.
+// limitedCall is what rate limits go by of a message that waits.
 func limitedCall(r record) fleetpolicy.Call {
 	c := policyCall(r)
 	c.Class, c.Bytes = r.Class, int64(len(r.Body))
 	return c
 }
 
-// fleetKind is the kind of a destination that is listed as of another.
+// fleetKind is the kind that the fleet's policy gives a destination that is listed as of another.
 func (s *Sender) fleetKind(destination uint32, listed string) string {
 	if v, _ := s.config.Fleet.View(); v != nil {
 		return v.Policy.Kind(destination, listed)
@@ -35,8 +35,8 @@
 	return listed
 }
 
-// recheckPolicy has a message looked at whose call has ended while a word against it came: it was passed over then, and would be
-// sent again and again if the fleet was against it as it was about to be written.
+// recheckPolicy has a message looked at whose call has ended while the policy was changed against it: it was passed over then,
+// and would be sent again and again if the fleet was against it as it was about to be written.
 func (s *Sender) recheckPolicy(m *message, e callResult) {
 	if s.config.Fleet == nil || m.ended || e.Outcome == brain.Served || e.Final {
 		return
@@ -51,7 +51,8 @@
 	return fleetpolicy.Call{Destination: r.Dest, Tenant: r.Tenant}
 }
 
-// policyObjection says why a message can't go for longer than a change takes to take hold; "" if nothing stands against it.
+// policyObjection says why a message can't go for longer than a change takes to come into force; "" if nothing is against it.
+// suspended is that its destination is closed to it by policy.
 func (s *Sender) policyObjection(r record) (why string, suspended bool) {
 	v, acts := s.config.Fleet.View()
 	if !acts {
@@ -72,8 +73,8 @@
 	return !acts || !v.IsOpen(destination) || v.Suspended.HasDestination(destination)
 }
 
-// applyPolicy applies the policy to a message that is handed in: it may go to another destination, or be given up sooner. why is
-// why it is turned away; its client may come again, as it was not sent.
+// applyPolicy applies the policy to a message that is submitted: it may go to another destination, or be given up sooner. why
+// is why it is rejected, "" if it is not; its client may submit it again, as it was not sent.
 func (s *Sender) applyPolicy(r *record) (why string) {
 	if s.config.Fleet == nil {
 		return ""
@@ -100,7 +101,7 @@
 	return ""
 }
 
-// admission is what a call asks of the fleet before its first byte; nil where there is none.
+// admission is what a call asks of the fleet before its first byte; nil where there is no fleet.
 func (s *Sender) admission(m *message, endpoint string) func() (func(), func(bool), bool) {
 	if s.config.Fleet == nil {
 		return nil
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -73,7 +73,7 @@
 		if ev := s.handle(e); ev != nil {
 			events = append(events, ev)
 		}
-		events, s.extensionEvents = append(events, s.extensionEvents...), s.extensionEvents[:0]
+		events, s.eventsOfExtensions = append(events, s.eventsOfExtensions...), s.eventsOfExtensions[:0]
 		select {
 		case e = <-s.events:
 		default:
@@ -103,7 +103,7 @@
 		s.log.Debug("endpoint list updated", "version", e.Version, "full", e.Full, "lines", len(e.Servers))
 		update := s.applyListUpdate(e)
 		for _, x := range s.extensions {
-			s.extensionEvents = append(s.extensionEvents, x.onListUpdate(s.clock.now())...)
+			s.eventsOfExtensions = append(s.eventsOfExtensions, x.onListUpdate(s.clock.now())...)
 		}
 		return update
 	case listFailure:
@@ -111,7 +111,7 @@
 		return brain.EndpointUpdate{Failed: true, Overloaded: errors.Is(e.err, errOverloaded)}
 	case extensionMessage:
 		for _, x := range s.extensions {
-			s.extensionEvents = append(s.extensionEvents, x.handle(e.extensionEvent, s.clock.now())...)
+			s.eventsOfExtensions = append(s.eventsOfExtensions, x.handle(e.extensionEvent, s.clock.now())...)
 		}
 	case recorderDone:
 		s.recorderFinished()
@@ -248,7 +248,7 @@
 
 // endTurn lets the extensions know that a turn is over.
 func (s *Sender) endTurn(ctx context.Context) {
-	s.newlyLearnt = s.brain.ChangedObservations()
+	s.changedObservations = s.brain.ChangedObservations()
 	for _, x := range s.extensions {
 		x.afterTurn(ctx)
 	}
--- a/internal/sender/learnt.go
+++ b/internal/sender/observations.go
@@ -7,8 +7,8 @@
 	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
-// newLearnt begins what is learnt of one that the list names; false if it does not.
-func (s *Sender) newLearnt(of knowledge.Subject) (e brain.Observation, listed bool) {
+// newObservation begins an observation of a receiver or route that the list names; false if it does not.
+func (s *Sender) newObservation(of knowledge.Subject) (e brain.Observation, listed bool) {
 	e.Destination = brain.DestinationID(of.Destination)
 	if of.Endpoint == "" {
 		_, listed = s.endpoints.Destinations[of.Destination]
@@ -22,7 +22,7 @@
 	return e, true
 }
 
-// applyFacts puts facts into the module's words.
+// applyFacts puts facts into the module's observation.
 func applyFacts(e *brain.Observation, facts []knowledge.Fact, now time.Duration) {
 	for _, f := range facts {
 		age := max(0, now-f.ObservedAt)
@@ -41,8 +41,8 @@
 	}
 }
 
-// factsFromLearnt puts what the module knows of a route into facts of one's own.
-func factsFromLearnt(k brain.Observation, endpoint string, now time.Duration) []knowledge.Fact {
+// factsOf gives the facts in the module's observation of a receiver or route.
+func factsOf(k brain.Observation, endpoint string, now time.Duration) []knowledge.Fact {
 	var all []knowledge.Fact
 	add := func(sort knowledge.Kind, age time.Duration, v knowledge.Value) {
 		all = append(all, knowledge.Fact{Subject: knowledge.Subject{Destination: uint32(k.Destination), Endpoint: endpoint}, Kind: sort,
@@ -66,7 +66,7 @@
 	return all
 }
 
-// knownFacts is all that the module has seen, as facts of one's own.
+// knownFacts is all that the module has observed, as facts of this sender's own. It is worked out once for one time.
 func (s *Sender) knownFacts(now time.Duration) []knowledge.Fact {
 	if s.knownFactsAt == now && s.knownFactsCache != nil { // several features ask in one look
 		return s.knownFactsCache
@@ -75,7 +75,7 @@
 	return s.knownFactsCache
 }
 
-// factsFrom puts what the module knows of some routes into facts of one's own.
+// factsFrom gives the facts in some of the module's observations.
 func (s *Sender) factsFrom(known []brain.Observation, now time.Duration) []knowledge.Fact {
 	var all []knowledge.Fact
 	for _, k := range known {
@@ -87,7 +87,7 @@
 			}
 			id = e.ID
 		}
-		all = append(all, factsFromLearnt(k, id, now)...)
+		all = append(all, factsOf(k, id, now)...)
 	}
 	return all
 }
--- a/internal/sender/outages.go
+++ b/internal/sender/outages.go
@@ -31,7 +31,7 @@
 func (s *Sender) restoredOutages(now time.Duration) []brain.Event {
 	var events []brain.Event
 	for _, o := range s.journal.outages.list {
-		k, listed := s.newLearnt(knowledge.Subject{Destination: o.Dest, Endpoint: o.Endpoint})
+		k, listed := s.newObservation(knowledge.Subject{Destination: o.Dest, Endpoint: o.Endpoint})
 		if !listed {
 			continue
 		}
--- a/internal/sender/resume.go
+++ b/internal/sender/resume.go
@@ -60,7 +60,7 @@
 			Tenant: indexOf(s.config.Tenants, m.Tenant, -1), Destination: brain.DestinationID(m.Dest), OrderingKey: m.orderKeyHash(), Deadline: m.Deadline,
 			PriorAttempts: m.attemptsMade(), MayHaveRun: may, FirstRunAt: first.At, FirstRunZone: s.config.zoneOf(first), Resumed: true})
 	}
-	events, s.extensionEvents = append(events, s.extensionEvents...), s.extensionEvents[:0]
+	events, s.eventsOfExtensions = append(events, s.eventsOfExtensions...), s.eventsOfExtensions[:0]
 	for _, p := range s.extensions {
 		events = append(events, p.onResume(now)...)
 	}
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -60,13 +60,13 @@
 	timer           *time.Timer
 	stopping        bool // no more steps: what comes in is only written down
 
-	pendingAnswers  []pendingAnswer // of messages that this step ends, to be given once that is written down
-	batches         []batch         // calls that this step begins with several messages
-	extensionEvents []brain.Event   // what the features have for the module, after the news that they heard
-	knownFactsAt    time.Duration   // when what the module knows was asked for last
-	knownFactsCache []knowledge.Fact
-	newlyLearnt     []brain.Observation // news of receivers in this turn
-	deferredEvents  []brain.Event       // of messages that could not be written down, for the next step
+	pendingAnswers      []pendingAnswer // of messages that this step ends, to be given once that is written down
+	batches             []batch         // calls that this step begins with several messages
+	eventsOfExtensions  []brain.Event   // what the features have for the module, after the news that they heard
+	knownFactsAt        time.Duration   // when what the module knows was asked for last
+	knownFactsCache     []knowledge.Fact
+	changedObservations []brain.Observation // news of receivers in this turn
+	deferredEvents      []brain.Event       // of messages that could not be written down, for the next step
 
 	gracePeriod, shutdownTimeout time.Duration
 	stopFleetWatch               context.CancelFunc // ends the words of the fleet
