--- a/internal/health/aggregator.go
+++ b/internal/health/aggregator.go
@@ -66,7 +66,7 @@
 	r := a.destination(o.Destination)
 	r.observedAt = now
 	switch {
-	case o.State != knowledge.OutOfService:
+	case o.State != knowledge.Unhealthy:
 		r.servedAt = max(r.servedAt, evidenceAt)
 	case r.outSince == 0:
 		r.outSince = now
@@ -146,7 +146,7 @@
 	subject, record := knowledge.Subject{Destination: d}, a.destinations[d]
 	fact, reported := a.reports.Verdict(subject, now)
 	outs := a.reports.OutageCount(subject, now)
-	out := reported && fact.State == knowledge.OutOfService
+	out := reported && fact.State == knowledge.Unhealthy
 	if !out {
 		record.outSince = 0
 	}
--- a/internal/health/aggregator_test.go
+++ b/internal/health/aggregator_test.go
@@ -17,54 +17,54 @@
 	}{
 		"nobody says anything": {func(tr *trial) {}, "none"},
 		"two agree": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Unhealthy, 0)
 			tr.is(200 * ms)
 		}, "out"},
 		"one alone waits for others": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
 			tr.is(1500 * ms)
 		}, "none"},
 		"one alone for some time": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
 			tr.is(1500 * ms)
-			tr.says("a", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
 			tr.is(800 * ms)
 		}, "out"},
 		"one against two that are served": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.Serving, 0)
-			tr.says("c", 7, knowledge.Serving, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Healthy, 0)
+			tr.says("c", 7, knowledge.Healthy, 0)
 			tr.is(3000 * ms)
 		}, "none"},
 		"broken lines talk nobody into anything": {func(tr *trial) {
 			for _, who := range []string{"a", "b"} {
 				for d := range uint32(8) {
-					tr.says(who, d, knowledge.OutOfService, 0)
+					tr.says(who, d, knowledge.Unhealthy, 0)
 				}
 			}
-			tr.says("c", 7, knowledge.Serving, 0)
+			tr.says("c", 7, knowledge.Healthy, 0)
 			tr.is(3000 * ms)
 		}, "none"},
 		"a call is served": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Unhealthy, 0)
 			tr.is(1000 * ms)
-			tr.says("a", 7, knowledge.Warming, 0)
+			tr.says("a", 7, knowledge.WarmingUp, 0)
 			tr.is(200 * ms)
 		}, "cold"},
 		"what was served before it is no return": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Unhealthy, 0)
 			tr.is(1000 * ms)
-			tr.says("c", 7, knowledge.Serving, 2*time.Second)
+			tr.says("c", 7, knowledge.Healthy, 2*time.Second)
 			tr.is(200 * ms)
 		}, "out"},
 		"it has warmed up": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Unhealthy, 0)
 			tr.is(1000 * ms)
-			tr.says("a", 7, knowledge.Serving, 0)
+			tr.says("a", 7, knowledge.Healthy, 0)
 			tr.is(4500 * ms)
 			if got := tr.is(100 * ms); got != "cold" {
 				tr.t.Errorf("it is %s while it warms up", got)
@@ -72,19 +72,19 @@
 			tr.is(1500 * ms)
 		}, "none"},
 		"it falls again": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Unhealthy, 0)
 			tr.is(1000 * ms)
-			tr.says("a", 7, knowledge.Serving, 0)
+			tr.says("a", 7, knowledge.Healthy, 0)
 			tr.is(500 * ms)
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Unhealthy, 0)
 			tr.is(200 * ms)
 		}, "out"},
 		"it is said again as long as somebody tells of it": {func(tr *trial) {
 			for range 20 {
-				tr.says("a", 7, knowledge.OutOfService, 0)
-				tr.says("b", 7, knowledge.OutOfService, 0)
+				tr.says("a", 7, knowledge.Unhealthy, 0)
+				tr.says("b", 7, knowledge.Unhealthy, 0)
 				tr.is(1000 * ms)
 			}
 			if v := StatusOf(tr.State(), 7, false); v.UpdateIndex < v.StartIndex+3 {
@@ -92,36 +92,36 @@
 			}
 		}, "out"},
 		"nobody goes there any more": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Unhealthy, 0)
 			tr.is(7000 * ms)
 		}, "none"},
 		"another is in charge": {func(tr *trial) {
 			tr.mine = false
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Unhealthy, 0)
 			tr.is(1000 * ms)
 		}, "none"},
 		"no rule asks for it any more": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Unhealthy, 0)
 			tr.is(1000 * ms)
 			tr.rule = Rule{}
 			tr.is(1500 * ms)
 		}, "none"},
 		"one that takes over waits to be told": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Unhealthy, 0)
 			tr.is(1000 * ms)
 			tr.c, tr.epoch = NewAggregator(), 2
 			tr.is(3000 * ms)
 		}, "out"},
 		"one that takes over goes on": {func(tr *trial) {
-			tr.says("a", 7, knowledge.OutOfService, 0)
-			tr.says("b", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
+			tr.says("b", 7, knowledge.Unhealthy, 0)
 			tr.is(1000 * ms)
 			tr.c, tr.epoch = NewAggregator(), 2
-			tr.says("a", 7, knowledge.OutOfService, 0)
+			tr.says("a", 7, knowledge.Unhealthy, 0)
 			tr.is(3000 * ms)
 			if v := StatusOf(tr.State(), 7, false); v.GetEpoch() != 2 || v.GetStartIndex() != 1 {
 				tr.t.Errorf("%v", v)
--- a/internal/knowledge/changelog.go
+++ b/internal/knowledge/changelog.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// ChangeLog is what a sender has to tell others, with versions: a change that matters to them gets the next one, and who
-// has heard all up to a version is told what came after. Nothing that only grows older is a change, so senders of quiet
-// receivers tell each other next to nothing. It is not for concurrent use.
+// ChangeLog is what a sender has to tell others, with versions: a change that matters to them gets the next one, and who has
+// heard all up to a version is told what came after. That a fact grows older is no change, so senders of quiet receivers tell
+// each other next to nothing. It is not for concurrent use.
 type ChangeLog struct {
 	version uint64
 	entries map[slot]*changeEntry
 }
 
+// changeEntry is a fact and its last change.
 type changeEntry struct {
 	Fact           // as it is now
 	published Fact // as it was last told
@@ -24,11 +25,11 @@
 // NewChangeLog makes one that has nothing to tell.
 func NewChangeLog() *ChangeLog { return &ChangeLog{entries: map[slot]*changeEntry{}} }
 
-// Version is that of the newest change.
+// Version is that of the newest change, 0 before any.
 func (t *ChangeLog) Version() uint64 { return t.version }
 
-// Update takes all that a sender knows of its own; what is not among it any more is not told any more. It reports
-// whether there is something new to tell.
+// Update takes all of a sender's own facts; what is not among them any more is not told any more. It reports whether there is
+// something new to tell.
 func (t *ChangeLog) Update(facts []Fact, now time.Duration) bool {
 	seen := make(map[slot]struct{}, len(facts))
 	for _, f := range facts {
@@ -45,8 +46,7 @@
 	return changed
 }
 
-// Add takes some of what a sender knows of its own, as it comes to know it, and reports whether there is something new to
-// tell.
+// Add takes some of a sender's own facts, as it comes to know them, and reports whether there is something new to tell.
 func (t *ChangeLog) Add(facts []Fact, now time.Duration) bool {
 	before := t.version
 	for _, f := range facts {
@@ -65,8 +65,8 @@
 	return t.version != before
 }
 
-// isSignificant reports whether a fact says something that matters beyond what was told before, or the trust in that has fallen
-// so far that it is to be confirmed.
+// isSignificant reports whether a fact says something that matters beyond what was told before, or the trust in that has
+// fallen so far that it is to be confirmed.
 func isSignificant(old, f *Fact) bool {
 	differs := func(a, b, by float64) bool { return math.Abs(a-b) > by*max(math.Abs(a), math.Abs(b)) }
 	if f.Kind != RetryAfter && f.ObservedAt-old.ObservedAt > trustHalfLife[f.Kind]/2 {
@@ -87,8 +87,9 @@
 	return false
 }
 
-// After gives what came after a version, the oldest first and so many at most, and the version up to which that is all.
-func (t *ChangeLog) After(version uint64, most int) (facts []Fact, upTo uint64) {
+// After gives the facts that came after a version, the oldest change first and so many at most, and the version up to which
+// that is all.
+func (t *ChangeLog) After(version uint64, maxFacts int) (facts []Fact, upTo uint64) {
 	var newer []*changeEntry
 	for _, e := range t.entries {
 		if e.version > version {
@@ -97,9 +98,9 @@
 	}
 	slices.SortFunc(newer, func(a, b *changeEntry) int { return cmp.Compare(a.version, b.version) })
 	upTo = t.version
-	if len(newer) > most {
-		newer = newer[:most]
-		upTo = newer[most-1].version
+	if len(newer) > maxFacts {
+		newer = newer[:maxFacts]
+		upTo = newer[maxFacts-1].version
 	}
 	for _, e := range newer {
 		facts = append(facts, e.Fact)
--- a/internal/knowledge/changelog_test.go
+++ b/internal/knowledge/changelog_test.go
@@ -87,12 +87,12 @@
 		return fmt.Sprint(f.State, " ", ok)
 	}
 	for d := range uint32(10) {
-		say("broken", d, OutOfService, 0)
+		say("broken", d, Unhealthy, 0)
 		if d > 0 {
-			say("sound", d, Serving, time.Second)
+			say("sound", d, Healthy, time.Second)
 		}
 	}
-	say("sound", 0, OutOfService, time.Second)
+	say("sound", 0, Unhealthy, time.Second)
 	if got := verdict(0); got != "out true" {
 		t.Errorf("what two see is out: %s", got)
 	}
@@ -101,18 +101,18 @@
 			t.Errorf("receiver %d: %s", d, got)
 		}
 	}
-	say("broken", 20, OutOfService, 0)
+	say("broken", 20, Unhealthy, 0)
 	if got := verdict(20); got != "unknown false" {
 		t.Errorf("what the one with a broken line tells alone: %s", got)
 	}
-	say("sound", 21, OutOfService, 0)
+	say("sound", 21, Unhealthy, 0)
 	if got := verdict(21); got != "out true" {
 		t.Errorf("what a sound one tells alone: %s", got)
 	}
 	for d := uint32(50); d < 60; d++ { // one that sees most fail, and not all
-		state := OutOfService
+		state := Unhealthy
 		if d >= 56 {
-			state = Serving
+			state = Healthy
 		}
 		say("shaky", d, state, 0)
 	}
@@ -120,14 +120,14 @@
 		t.Errorf("what one tells alone that sees most fail: %s", got)
 	}
 	// One that serves for two is not out for a third; and reports of a life that has ended count for nothing.
-	say("a", 30, OutOfService, 0)
-	say("b", 30, Serving, 0)
-	say("c", 30, Serving, time.Second)
+	say("a", 30, Unhealthy, 0)
+	say("b", 30, Healthy, 0)
+	say("c", 30, Healthy, time.Second)
 	if got := verdict(30); got != "serves true" {
 		t.Errorf("two against one: %s", got)
 	}
 	f := fact(Health, 0, "a")
-	f.Destination, f.State, f.Source.Incarnation = 40, Serving, 2
+	f.Destination, f.State, f.Source.Incarnation = 40, Healthy, 2
 	r.Add(f, at0)
 	if _, ok := r.bySource[Source{"a", 1}]; ok {
 		t.Error("an earlier life's reports stand")
--- a/internal/knowledge/codec.go
+++ b/internal/knowledge/codec.go
@@ -8,6 +8,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/knowledge/v1"
 )
 
+// toMicros is a span in whole microseconds, 0 for a negative one.
 func toMicros(d time.Duration) uint64 { return uint64(max(0, d) / time.Microsecond) }
 
 // fromMicros reads microseconds; what no span can hold is the longest.
@@ -36,7 +37,7 @@
 	return m
 }
 
-// maxEndpointIDBytes is the longest id of an endpoint that is taken in, in bytes.
+// maxEndpointIDBytes is the longest id of an endpoint that is taken in.
 const maxEndpointIDBytes = 256
 
 // Why a fact can't be decoded.
@@ -46,15 +47,15 @@
 	errEndlessRetryAfter = errors.New("a wait without end")
 )
 
-// Decode reads a fact that was told at a time by a source, later being how long it has lain since it was encoded. A fact
-// of a sort that this version does not know is an error that means nothing more: a newer one told it.
-func Decode(m *pb.Fact, source Source, now, later time.Duration) (Fact, error) {
+// Decode reads a fact that was told at now by a source; later is how long it has lain since it was encoded. Its error is that
+// the fact can't be; a fact of a kind that this version does not know is one that means nothing more: a newer sender told it.
+func Decode(m *pb.Fact, source Source, now, sinceEncoded time.Duration) (Fact, error) {
 	back := func(us uint64) time.Duration { // an age, to a time on our clock
 		d := fromMicros(us)
 		if d > math.MaxInt64/4 {
 			d = math.MaxInt64 / 4
 		}
-		return now - later - d
+		return now - sinceEncoded - d
 	}
 	f := Fact{Subject: Subject{m.GetDestination(), m.GetEndpoint()}, ObservedAt: back(m.GetAgeUs()), Calls: m.GetCalls(), Source: source}
 	if len(f.Endpoint) > maxEndpointIDBytes {
@@ -75,7 +76,7 @@
 		if left > math.MaxInt64/4 {
 			return f, errEndlessRetryAfter
 		}
-		f.Until = now - later + left
+		f.Until = now - sinceEncoded + left
 	case *pb.Fact_Health:
 		f.Kind, f.State = Health, State(v.Health.GetState())
 		f.Since, f.Rate = back(v.Health.GetForUs()), v.Health.GetRate()
--- a/internal/knowledge/file.go
+++ b/internal/knowledge/file.go
@@ -16,10 +16,10 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/knowledge/v1"
 )
 
-// A snapshot's file: 8 bytes "SYKNOW" and a format of two bytes, 4 bytes of length and 4 of checksum (CRC-32C), both
-// little-endian and of what follows, which is a protobuf message Snapshot. It is written beside the old one and renamed
-// over it, so a kill at any point leaves one of the two whole. It is not synced: what a machine loses with its power is
-// noticed by the checksum, and a sender that finds no snapshot starts as one without.
+// A snapshot's file: 8 bytes "SYKNOW" and a format of two bytes, 4 bytes of length and 4 of checksum (CRC-32C), both little-
+// endian and of what follows, which is a protobuf message Snapshot. It is written beside the old one and renamed over it, so a
+// kill at any point leaves one of the two whole. It is not synced: what a machine loses with its power is noticed by the
+// checksum, and a sender that finds no snapshot starts as one without.
 const (
 	magic            = "SYKNOW"
 	format           = 1
@@ -42,11 +42,12 @@
 // urgency is the order in which facts are kept where not all find room: what spares failed calls first.
 var urgency = [kindCount]int{RetryAfter: 0, Health: 1, RateLimit: 2, Latency: 3, Concurrency: 4}
 
-// Marshal writes a snapshot of at most so many bytes, the facts that count most first. dropped is how many found no room.
-func Marshal(facts []Fact, now time.Duration, wall time.Time, most int) (raw []byte, dropped int) {
+// Marshal writes a snapshot of at most so many bytes, the facts that count most first. now is the facts' clock, wall the time
+// of day. dropped is how many facts found no room; raw is nil if none can be written.
+func Marshal(facts []Fact, now time.Duration, wall time.Time, maxBytes int) (raw []byte, dropped int) {
 	facts = slices.Clone(facts)
 	worse := func(f *Fact) int { // an outage before one that serves
-		if f.Kind == Health && f.State == Serving {
+		if f.Kind == Health && f.State == Healthy {
 			return int(Concurrency)
 		}
 		return urgency[f.Kind]
@@ -59,7 +60,7 @@
 	for i := range facts {
 		m := Encode(&facts[i], now)
 		n := proto.Size(m)
-		if size += n + 1 + varintLen(n); size > most {
+		if size += n + 1 + varintLen(n); size > maxBytes {
 			dropped = len(facts) - i
 			break
 		}
@@ -75,6 +76,7 @@
 	return append(raw, body...), dropped
 }
 
+// varintLen is the bytes of a length in protobuf's encoding.
 func varintLen(n int) int {
 	size := 1
 	for n >>= 7; n > 0; n >>= 7 {
@@ -83,8 +85,9 @@
 	return size
 }
 
-// Unmarshal reads a snapshot. Its facts are the reader's own, older by the time between the two wall clocks; where that
-// runs backwards nothing can be said of their age, and none is taken. skipped is facts that are not known here.
+// Unmarshal reads a snapshot. Its facts are the reader's own, older by the time between the two wall clocks. skipped is how
+// many facts are not known or not valid here. The error is ErrNewer, ErrDamaged, or ErrClockSetBack where that time runs
+// backwards, as nothing can be said of their age then.
 func Unmarshal(raw []byte, now time.Duration, wall time.Time) (facts []Fact, skipped int, err error) {
 	if len(raw) < headLen || !bytes.HasPrefix(raw, []byte(magic)) {
 		return nil, 0, ErrDamaged
@@ -116,7 +119,7 @@
 	return facts, skipped, nil
 }
 
-// Save puts a snapshot in place of the one at path.
+// Save puts a snapshot in place of the one at path, by way of path + ".new".
 func Save(path string, raw []byte) error {
 	next := path + ".new"
 	if err := os.WriteFile(next, raw, 0o600); err != nil {
@@ -129,7 +132,7 @@
 	return nil
 }
 
-// Load reads the snapshot at path; none is no error.
+// Load reads the snapshot at path; that there is none is no error. For its errors see Unmarshal.
 func Load(path string, now time.Duration, wall time.Time) ([]Fact, int, error) {
 	f, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -1,8 +1,14 @@
 // Package knowledge is what senders know of receivers and tell each other: facts, each with the age of its evidence, how
 // much of it there is, and whose it is. It merges several views into one and says how far a fact is still to be trusted.
 //
-// All of it is free of I/O and of clocks: times are spans on the holder's own clock, passed in; between senders only ages
-// travel, so that no two clocks need agree.
+// It knows no clock: times are spans on the holder's own clock, passed in; between senders only ages travel, so that no two clocks
+// need agree. Of its types none is for concurrent use. The only I/O is Save and Load, of a snapshot (file.go).
+//
+//	knowledge.go   facts, their trust, and View, which keeps the best of each
+//	changelog.go   ChangeLog: what a sender has to tell others
+//	reports.go     Reports: what others tell of health, weighed against each other
+//	codec.go       facts on the wire and in the snapshot
+//	file.go        the snapshot's file
 package knowledge
 
 import (
@@ -12,27 +18,27 @@
 	"time"
 )
 
-// Subject is what a fact is about: a receiver, or one route of it where its endpoints are apart. Destinations and ids of
-// endpoints are the same at every sender; addresses need not be.
+// Subject is what a fact is about: a receiver, or one route of it where its endpoints are judged apart. Destinations and ids
+// of endpoints are the same at every sender; addresses need not be.
 type Subject struct {
 	Destination uint32
 	Endpoint    string // of a route apart; "" for the receiver as a whole
 }
 
-// Compare orders subjects.
+// Compare orders subjects by destination, then by endpoint.
 func (s Subject) Compare(o Subject) int {
 	return cmp.Or(cmp.Compare(s.Destination, o.Destination), cmp.Compare(s.Endpoint, o.Endpoint))
 }
 
-// Kind is a sort of fact. Each has one value a subject and source.
+// Kind is a kind of fact. A source has one value of each for a subject.
 type Kind uint8
 
-// The sorts.
+// The kinds of facts. Their numbers are those of no file or wire: both have a field for each (proto saffronyard.knowledge.v1).
 const (
-	Latency     Kind = iota + 1 // how long calls take
-	Concurrency                 // how many calls at once were borne
-	RateLimit                   // the limit that was told
-	RetryAfter                  // a wait that was told
+	Latency     Kind = iota + 1 // how long calls take ("pace" to operators)
+	Concurrency                 // how many calls at once were borne ("bears")
+	RateLimit                   // the rate limit that the receiver told ("limit")
+	RetryAfter                  // when the receiver asked to be called again ("wait")
 	Health                      // whether it serves
 )
 
@@ -42,37 +48,37 @@
 var kindNames = [kindCount]string{Latency: "pace", Concurrency: "bears", RateLimit: "limit", RetryAfter: "wait", Health: "health"}
 
 // String is the kind as operators are shown it.
-func (s Kind) String() string {
-	if int(s) < kindCount && kindNames[s] != "" {
-		return kindNames[s]
+func (k Kind) String() string {
+	if int(k) < kindCount && kindNames[k] != "" {
+		return kindNames[k]
 	}
 	return "unknown"
 }
 
-// State is a receiver's health.
+// State is a receiver's health. The numbers are those of the proto, and the order is from better to worse.
 type State uint8
 
-// The states, the better first.
+// The states, the better first; operators are shown "serves", "cold" and "out".
 const (
-	Serving      State = iota + 1 // a call was served
-	Warming                       // it serves again after an outage, and warms up
-	OutOfService                  // an outage: calls fail, are refused or go unanswered
+	Healthy   State = iota + 1 // a call was served
+	WarmingUp                  // it serves again after an outage, and warms up
+	Unhealthy                  // an outage: calls fail, are refused or go unanswered
 )
 
 // String is the state as operators are shown it.
 func (s State) String() string {
-	if s < Serving || s > OutOfService {
+	if s < Healthy || s > Unhealthy {
 		return "unknown"
 	}
-	return [...]string{Serving: "serves", Warming: "cold", OutOfService: "out"}[s]
+	return [...]string{Healthy: "serves", WarmingUp: "cold", Unhealthy: "out"}[s]
 }
 
-// Value is what a fact says. Only the fields of its sort are set.
+// Value is what a fact says. Only the fields of its kind are set. Times are on the holder's clock.
 type Value struct {
-	Mean, Median, Min, Timeout time.Duration // Pace; Bound is the time-out that fits
-	Window                     float64       // Bears: calls at once
-	PerSecond                  float64       // Limit: calls a second, of all senders
-	Until                      time.Duration // Wait: its end
+	Mean, Median, Min, Timeout time.Duration // Latency; Timeout is the time-out that fits
+	Window                     float64       // Concurrency: calls at once that were borne
+	PerSecond                  float64       // RateLimit: calls a second, of all senders
+	Until                      time.Duration // RetryAfter: its end
 	State                      State         // Health
 	Since                      time.Duration // Health: when it came to be so
 	Rate                       float64       // Health: calls a second that were usually served for its holder, before any outage
@@ -84,28 +90,28 @@
 	Kind
 	ObservedAt time.Duration // of the newest evidence, on the holder's clock
 	Calls      uint32        // how many calls it rests on
-	Source     Source        // who saw it
+	Source     Source        // who observed it
 	Value
 }
 
-// Source is who has seen what a fact tells: a sender, in one of its lives. Its own facts have the zero value.
+// Source is who has observed what a fact tells: a sender, in one incarnation. Its own facts have the zero value.
 type Source struct {
 	Name        string
 	Incarnation uint64 // grows with each start; that of an own earlier process is an own fact's
 }
 
-// Own reports whether the holder saw it itself, in this process or an earlier one.
+// Own reports whether the holder observed it itself, in this process or an earlier one.
 func (s Source) Own() bool { return s == Source{} }
 
-// trustHalfLife is how long a fact of a sort takes to count half as much.
+// trustHalfLife is how long a fact of a kind takes to count half as much.
 //
-// A pace is a matter of the machine that serves: it changes with a release, so an hour. What is borne and what is
-// limited depend on who else sends: some minutes. An outage of this deployment lasts 8 to 22 s, so what is older than
-// one tells more of the past than of now.
+// Latency is a matter of the machine that serves: it changes with a release, so an hour. Concurrency and rate limits depend on
+// who else sends: some minutes. An outage of this deployment lasts 8 to 22 s, so what is older than one tells more of the past
+// than of now.
 var trustHalfLife = [kindCount]time.Duration{Latency: time.Hour, Concurrency: 5 * time.Minute, RateLimit: 30 * time.Minute, Health: 15 * time.Second}
 
-// Trust is how far a fact counts at a time, from 1 for what is seen now to 0. A wait holds in full until its end, and
-// not at all after it: it was not an estimate but a promise asked for.
+// Trust is how far a fact counts at a time, from 1 for what is observed now to 0. A RetryAfter holds in full until its end,
+// and not at all after it: it was not an estimate but a promise asked for.
 func (f *Fact) Trust(now time.Duration) float64 {
 	if f.Kind == RetryAfter {
 		if now < f.Until {
@@ -120,13 +126,13 @@
 	return math.Exp2(-age.Seconds() / trustHalfLife[f.Kind].Seconds())
 }
 
-// MinTrust is what counts for nothing any more: a fact with less is forgotten.
+// MinTrust is the trust below which a fact counts for nothing: it is forgotten.
 const MinTrust = 0.02
 
-// Better is the order in which views win: own evidence before hearsay, fresher before staler, better founded before
-// worse. It is total over facts that differ in anything, so a merge is the same in whatever order views come.
+// Better is the order in which facts win: own evidence before hearsay, fresher before staler, better founded before worse. It
+// is total over facts that differ in anything, so a merge is the same in whatever order facts come.
 //
-// Own evidence does not win for ever: it is held against hearsay as if it were so much fresher (ownAhead), and a wait that
+// Own evidence does not win for ever: it is held against hearsay as if it were ownFactAdvantage fresher. A RetryAfter that
 // ends later wins whoever was told it.
 func Better(a, b *Fact) bool { return compare(a, b) > 0 }
 
@@ -134,6 +140,7 @@
 // than an outage.
 const ownFactAdvantage = 5 * time.Second
 
+// compare is above 0 if a is better, below if b is, and 0 for equal facts.
 func compare(a, b *Fact) int {
 	if a.Kind == RetryAfter {
 		if c := cmp.Compare(a.Until, b.Until); c != 0 {
@@ -157,19 +164,21 @@
 		cmp.Compare(a.Source.Incarnation, b.Source.Incarnation), cmp.Compare(a.Source.Name, b.Source.Name), compareValues(&a.Value, &b.Value))
 }
 
+// compareValues orders the values of facts that are equal in everything else.
 func compareValues(a, b *Value) int {
 	return cmp.Or(cmp.Compare(a.Mean, b.Mean), cmp.Compare(a.Median, b.Median), cmp.Compare(a.Min, b.Min),
 		cmp.Compare(a.Timeout, b.Timeout), cmp.Compare(a.Window, b.Window), cmp.Compare(a.PerSecond, b.PerSecond),
 		cmp.Compare(a.Until, b.Until), cmp.Compare(a.Since, b.Since), cmp.Compare(a.Rate, b.Rate))
 }
 
+// slot is a subject and a kind: where one fact is held.
 type slot struct {
 	Subject
 	Kind
 }
 
-// View is what one sender knows: for each subject and sort the best fact, and beside it the best own one, which is all
-// that it ever tells others. It is not for concurrent use.
+// View is what one sender knows: for each subject and kind the best fact, and beside it the best own one, which is all that it
+// ever tells others. It is not for concurrent use.
 type View struct {
 	maxSubjects int // subjects
 	best        map[slot]*Fact
@@ -177,7 +186,7 @@
 	factCount   map[Subject]int // facts held of each
 }
 
-// NewView makes one that holds facts of so many subjects at most.
+// NewView makes an empty view that holds facts of at most maxSubjects subjects.
 func NewView(maxSubjects int) *View {
 	return &View{maxSubjects: maxSubjects, best: map[slot]*Fact{}, own: map[slot]*Fact{}, factCount: map[Subject]int{}}
 }
@@ -197,13 +206,13 @@
 	case RetryAfter:
 		return f.Until-now <= longest && f.ObservedAt <= now
 	case Health:
-		return f.State >= Serving && f.State <= OutOfService && f.Since <= f.ObservedAt && f.ObservedAt <= now && now-f.Since <= 30*longest && finite(f.Rate, 1e6)
+		return f.State >= Healthy && f.State <= Unhealthy && f.Since <= f.ObservedAt && f.ObservedAt <= now && now-f.Since <= 30*longest && finite(f.Rate, 1e6)
 	}
 	return false
 }
 
-// Add takes a fact in and reports whether it changed what is known. What is not sound, no longer trusted, or over the
-// room for subjects changes nothing.
+// Add takes a fact in and reports whether it changed what is known. What is not valid, no longer trusted, or over the room for
+// subjects changes nothing.
 func (v *View) Add(f Fact, now time.Duration) bool {
 	if !f.valid(now) || f.Trust(now) < MinTrust {
 		return false
@@ -225,6 +234,7 @@
 	return true
 }
 
+// put holds a fact in one of the two maps.
 func (v *View) put(in map[slot]*Fact, at slot, f *Fact) {
 	if in[at] == nil {
 		v.factCount[at.Subject]++
@@ -232,8 +242,8 @@
 	in[at] = f
 }
 
-// Forget drops what is trusted no more, and what another one's facts were once that one is said to be gone for good: its
-// knowledge does not outlive it by more than its trust.
+// Forget drops what is trusted no more. So the knowledge of a sender that is gone for good does not outlive it by more than
+// its trust.
 func (v *View) Forget(now time.Duration) {
 	for _, in := range []map[slot]*Fact{v.best, v.own} {
 		for at, f := range in {
@@ -253,17 +263,17 @@
 	}
 }
 
-// Subjects is how many are known of.
+// Subjects is of how many subjects anything is known.
 func (v *View) Subjects() int { return len(v.factCount) }
 
-// Facts is all that is known, in order.
+// Facts is all that is known, in the order of subjects and kinds.
 func (v *View) Facts() []Fact { return sortedFacts(v.best) }
 
-// OwnFacts is what this sender tells others: what it saw itself, and nothing that it heard. So nothing comes back to its
+// OwnFacts is what this sender tells others: what it observed itself, and nothing that it heard. So nothing comes back to its
 // source as another's evidence, and no rumour outlives who began it.
 func (v *View) OwnFacts() []Fact { return sortedFacts(v.own) }
 
-// FactsOf is what is known of one subject, in the order of sorts.
+// FactsOf is what is known of one subject, in the order of kinds.
 func (v *View) FactsOf(s Subject) []Fact {
 	var facts []Fact
 	for k := Latency; int(k) < kindCount; k++ {
@@ -274,6 +284,7 @@
 	return facts
 }
 
+// sortedFacts is the facts of a map in the order of subjects and kinds.
 func sortedFacts(in map[slot]*Fact) []Fact {
 	facts := make([]Fact, 0, len(in))
 	for _, f := range in {
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -34,7 +34,7 @@
 	case RetryAfter:
 		f.Until = at0 + time.Second
 	case Health:
-		f.State, f.Since, f.Rate = OutOfService, f.ObservedAt-time.Second, 3
+		f.State, f.Since, f.Rate = Unhealthy, f.ObservedAt-time.Second, 3
 	}
 	return f
 }
@@ -48,7 +48,7 @@
 	f.Calls = uint32(rapid.IntRange(1, 3).Draw(t, "calls"))
 	switch f.Kind {
 	case Health:
-		f.State = State(rapid.IntRange(int(Serving), int(OutOfService)).Draw(t, "state"))
+		f.State = State(rapid.IntRange(int(Healthy), int(Unhealthy)).Draw(t, "state"))
 	case RetryAfter:
 		f.Until = at0 + time.Duration(rapid.IntRange(1, 3).Draw(t, "until"))*time.Second
 	case Concurrency:
@@ -100,7 +100,7 @@
 	var some []Fact
 	for _, source := range []string{"", "a", "b"} {
 		for _, age := range []time.Duration{0, 3 * time.Second, 6 * time.Second} {
-			for _, state := range []State{Serving, OutOfService} {
+			for _, state := range []State{Healthy, Unhealthy} {
 				f := fact(Health, age, source)
 				f.State = state
 				some = append(some, f)
@@ -190,7 +190,7 @@
 		"from the future":  func(f *Fact) { f.ObservedAt = at0 + time.Second },
 		"since the future": func(f *Fact) { f.Since = at0 + time.Second },
 		"no state":         func(f *Fact) { f.State = 0 },
-		"another state":    func(f *Fact) { f.State = OutOfService + 1 },
+		"another state":    func(f *Fact) { f.State = Unhealthy + 1 },
 		"rate no number":   func(f *Fact) { f.Rate = math.NaN() },
 		"rate endless":     func(f *Fact) { f.Rate = math.Inf(1) },
 		"rate negative":    func(f *Fact) { f.Rate = -1 },
--- a/internal/knowledge/reports.go
+++ b/internal/knowledge/reports.go
@@ -6,27 +6,26 @@
 	"time"
 )
 
-// Whether a receiver is out is told by several senders, and one whose own line is broken sees every receiver fail. So
-// reports on health are weighed against each other, not only by which is the freshest.
-
+// A sender whose own network is broken sees every receiver fail. So reports on health are weighed against each other, not only
+// by which is the freshest.
 const (
-	minSubjectsJudged = 4   // receivers of which a sender tells, from which its own line is judged
-	brokenFraction    = 0.5 // share of them that it holds to be out, from which that is its line's doing: it is not believed
-	maxSources        = 64  // senders that are heard at once
+	minSubjectsJudged = 4   // receivers of which a sender tells, from which its own network is judged
+	brokenFraction    = 0.5 // fraction of them that it holds to be out, from which that is its network's doing: it is not believed
+	maxSources        = 64  // senders whose reports are held at once
 )
 
-// Reports is what others tell of health, by sender. It is not for concurrent use.
+// Reports is what other senders tell of receivers' health, by sender. It is not for concurrent use.
 type Reports struct {
 	maxSubjects int // subjects of each sender
 	bySource    map[Source]map[Subject]Fact
 }
 
-// NewReports makes one that holds so many subjects of each sender at most.
+// NewReports makes one that holds reports of at most maxSubjects subjects of each sender.
 func NewReports(maxSubjects int) *Reports {
 	return &Reports{maxSubjects, map[Source]map[Subject]Fact{}}
 }
 
-// Add books a report. Of a sender only its latest life counts.
+// Add takes a report in. Of a sender only its latest incarnation counts.
 func (r *Reports) Add(f Fact, now time.Duration) {
 	if f.Kind != Health || f.Source.Own() || !f.valid(now) {
 		return
@@ -54,7 +53,7 @@
 	of[f.Subject] = f
 }
 
-// Forget drops all that a sender told, in whatever life.
+// Forget drops all that a sender told, in whatever incarnation.
 func (r *Reports) Forget(name string) {
 	for s := range r.bySource {
 		if s.Name == name {
@@ -63,13 +62,14 @@
 	}
 }
 
-// credibility is how far a sender's reports of outages are believed: less the more of its receivers it holds to be out.
+// credibility is how far a sender's reports of outages are believed, from 0 to 1: less the more of its receivers it holds to
+// be out of service.
 func (r *Reports) credibility(s Source, now time.Duration) float64 {
 	out, all := 0.0, 0.0
 	for _, f := range r.bySource[s] {
 		t := f.Trust(now)
 		all += t
-		if f.State == OutOfService {
+		if f.State == Unhealthy {
 			out += t
 		}
 	}
@@ -83,8 +83,8 @@
 	return 1 - share
 }
 
-// Verdict is what others' reports come to for one subject: an outage only if the believed reports of it weigh more than
-// those that say otherwise. The fact is the freshest of the side that wins; false if nothing is told that is believed.
+// Verdict is what others' reports come to for one subject: an outage only if the believed reports of it weigh more than those
+// that say otherwise. The fact is the freshest of the side that wins; false if nothing is told that is believed.
 func (r *Reports) Verdict(s Subject, now time.Duration) (Fact, bool) {
 	var best [2]Fact
 	var weight [2]float64
@@ -94,7 +94,7 @@
 			continue
 		}
 		side, w := 0, f.Trust(now)
-		if f.State == OutOfService {
+		if f.State == Unhealthy {
 			side, w = 1, w*r.credibility(source, now)
 		}
 		if w == 0 {
@@ -114,18 +114,18 @@
 	return Fact{}, false
 }
 
-// OutageCount is how many senders that are believed hold a subject to be out.
+// OutageCount is how many senders that are believed hold a subject to be out of service.
 func (r *Reports) OutageCount(s Subject, now time.Duration) int {
 	n := 0
 	for source, of := range r.bySource {
-		if f, ok := of[s]; ok && f.State == OutOfService && f.Trust(now) >= 0.5 && r.credibility(source, now) > 0 {
+		if f, ok := of[s]; ok && f.State == Unhealthy && f.Trust(now) >= 0.5 && r.credibility(source, now) > 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// All is every report that is held, in order of subjects and senders.
+// All is every report that is held, in the order of subjects and senders.
 func (r *Reports) All() []Fact {
 	var all []Fact
 	for _, of := range r.bySource {
--- a/internal/knowledge/stored_data_test.go
+++ b/internal/knowledge/stored_data_test.go
@@ -29,9 +29,9 @@
 		{Subject: Subject{Destination: 7}, Kind: Concurrency, ObservedAt: at(2 * time.Second), Calls: 3, Value: Value{Window: 12.5}},
 		{Subject: Subject{Destination: 7}, Kind: RateLimit, ObservedAt: at(3 * time.Second), Calls: 1, Value: Value{PerSecond: 40.25}},
 		{Subject: Subject{Destination: 7}, Kind: RetryAfter, ObservedAt: at(0), Calls: 1, Value: Value{Until: storedNow + 1500*ms}},
-		{Subject: Subject{Destination: 7}, Kind: Health, ObservedAt: at(time.Second), Calls: 5, Value: Value{State: Serving, Since: at(9 * time.Second), Rate: 3}},
-		{Subject: Subject{Destination: 8}, Kind: Health, ObservedAt: at(2 * time.Second), Calls: 6, Value: Value{State: OutOfService, Since: at(8 * time.Second), Rate: 0.5}},
-		{Subject: route, Kind: Health, ObservedAt: at(4 * time.Second), Calls: 7, Value: Value{State: Warming, Since: at(7 * time.Second)}},
+		{Subject: Subject{Destination: 7}, Kind: Health, ObservedAt: at(time.Second), Calls: 5, Value: Value{State: Healthy, Since: at(9 * time.Second), Rate: 3}},
+		{Subject: Subject{Destination: 8}, Kind: Health, ObservedAt: at(2 * time.Second), Calls: 6, Value: Value{State: Unhealthy, Since: at(8 * time.Second), Rate: 0.5}},
+		{Subject: route, Kind: Health, ObservedAt: at(4 * time.Second), Calls: 7, Value: Value{State: WarmingUp, Since: at(7 * time.Second)}},
 		{Subject: route, Kind: Latency, ObservedAt: at(5 * time.Second), Calls: 8, Value: Value{Mean: 31 * ms, Median: 21 * ms, Min: 6 * ms, Timeout: 251 * ms}},
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -79,7 +79,7 @@
 func out(p *testPeer, dest uint32, age time.Duration) knowledge.Fact {
 	now := p.now()
 	return knowledge.Fact{Subject: knowledge.Subject{Destination: dest}, Kind: knowledge.Health, ObservedAt: now - age, Calls: 3,
-		Value: knowledge.Value{State: knowledge.OutOfService, Since: now - age - time.Second, Rate: 2}}
+		Value: knowledge.Value{State: knowledge.Unhealthy, Since: now - age - time.Second, Rate: 2}}
 }
 
 func (p *testPeer) state(name string) string {
@@ -103,7 +103,7 @@
 		until(t, "a's fact is heard", func() bool { return len(p.received()) > 0 })
 		f := p.received()[0]
 		age := p.now() - f.ObservedAt
-		if f.Source != (knowledge.Source{Name: "a", Incarnation: 1}) || f.State != knowledge.OutOfService || age < 4*time.Second || age > 10*time.Second {
+		if f.Source != (knowledge.Source{Name: "a", Incarnation: 1}) || f.State != knowledge.Unhealthy || age < 4*time.Second || age > 10*time.Second {
 			t.Errorf("%+v, %v old", f, age)
 		}
 	}
--- a/internal/sender/extension_background.go
+++ b/internal/sender/extension_background.go
@@ -159,7 +159,7 @@
 			switch {
 			case f.Kind == knowledge.RetryAfter && now < f.Until:
 				r.Healthy, r.HealthyFor = false, 0
-			case f.Kind == knowledge.Health && f.State == knowledge.OutOfService:
+			case f.Kind == knowledge.Health && f.State == knowledge.Unhealthy:
 				r.Healthy, r.HealthyFor = false, 0
 			case f.Kind == knowledge.Health:
 				r.HealthyFor = min(r.HealthyFor, max(0, now-f.Since))
--- a/internal/sender/extension_peers_test.go
+++ b/internal/sender/extension_peers_test.go
@@ -166,7 +166,7 @@
 	now := s.clock.now()
 	fact := func(dest uint32, endpoint string) knowledge.Fact {
 		return knowledge.Fact{Subject: knowledge.Subject{Destination: dest, Endpoint: endpoint}, Kind: knowledge.Health, ObservedAt: now, Calls: 1,
-			Source: knowledge.Source{Name: "a", Incarnation: 1}, Value: knowledge.Value{State: knowledge.OutOfService, Since: now}}
+			Source: knowledge.Source{Name: "a", Incarnation: 1}, Value: knowledge.Value{State: knowledge.Unhealthy, Since: now}}
 	}
 	own := fact(3, "")
 	own.Source = knowledge.Source{}
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -100,7 +100,7 @@
 	case callResult:
 		return s.handleCallResult(e)
 	case listUpdate:
-		s.log.Debug("endpoint list updated", "version", e.Version, "full", e.Full, "lines", len(e.Servers))
+		s.log.Debug("list", "version", e.Version, "full", e.Full, "lines", len(e.Servers))
 		update := s.applyListUpdate(e)
 		for _, x := range s.extensions {
 			s.eventsOfExtensions = append(s.eventsOfExtensions, x.onListUpdate(s.clock.now())...)
