--- a/internal/calls/endpoint_list.go
+++ b/internal/calls/endpoint_list.go
@@ -152,17 +152,17 @@
 		changed = true
 	}
 	e.lastListed = l.generation
-	if target.Cell <= MaxDestination {
-		l.Destinations[target.Cell] = struct{}{}
+	if target.Destination <= MaxDestination {
+		l.Destinations[target.Destination] = struct{}{}
 	}
 	e.Zone = max(0, slices.Index(names.Zones, target.Zone))
 	if target.State != stateServing {
 		e.retired = false
 	}
 	e.listedServing, e.kind = target.State == stateServing, target.Kind
-	ready := e.listedServing && !e.retired && !l.isClosed(target.Cell)
+	ready := e.listedServing && !e.retired && !l.isClosed(target.Destination)
 	e.mu.Lock()
-	e.format = p.formats.find(target.Cell, target.Kind)
+	e.format = p.formats.find(target.Destination, target.Kind)
 	if target.Addr != "" {
 		e.addr = target.Addr
 	}
@@ -170,7 +170,7 @@
 	if !ready {
 		p.CloseIdle(e, 0)
 	}
-	entry = brain.Endpoint{ID: e.Number, Destination: brain.DestinationID(target.Cell), Kind: l.kindIndex(e, target.Cell, names),
+	entry = brain.Endpoint{ID: e.Number, Destination: brain.DestinationID(target.Destination), Kind: l.kindIndex(e, target.Destination, names),
 		Zone: e.Zone, Ready: ready, Rating: target.Weight}
 	changed = changed || entry != e.Entry
 	e.Entry = entry
--- a/internal/calls/endpoint_list_test.go
+++ b/internal/calls/endpoint_list_test.go
@@ -12,7 +12,7 @@
 func list(n int, edit func([]membership.Target)) membership.Update {
 	t := membership.Update{Version: 1, Full: true}
 	for i := range n {
-		t.Servers = append(t.Servers, membership.Target{ID: fmt.Sprint("s-", i), Addr: fmt.Sprint("127.0.0.1:", 1000+i), Cell: uint32(i / 2), State: "SERVING", Weight: 1})
+		t.Servers = append(t.Servers, membership.Target{ID: fmt.Sprint("s-", i), Addr: fmt.Sprint("127.0.0.1:", 1000+i), Destination: uint32(i / 2), State: "SERVING", Weight: 1})
 	}
 	if edit != nil {
 		edit(t.Servers)
@@ -31,14 +31,14 @@
 	if again := l.Apply(list(10, nil), true, c, p); len(again.Endpoints) != 0 || again.Complete {
 		t.Errorf("the same list again: %+v", again)
 	}
-	changed := l.Apply(list(10, func(s []membership.Target) { s[3].State = "DRAINING"; s[4].Cell = 9; s[5].Addr = "127.0.0.1:9" }), true, c, p)
+	changed := l.Apply(list(10, func(s []membership.Target) { s[3].State = "DRAINING"; s[4].Destination = 9; s[5].Addr = "127.0.0.1:9" }), true, c, p)
 	if len(changed.Endpoints) != 2 || changed.Endpoints[0].ID != 4 || changed.Endpoints[0].Ready || changed.Endpoints[1].Destination != 9 {
 		t.Errorf("one drains and one has moved: %+v", changed)
 	}
 	if l.ByID["s-5"].addr != "127.0.0.1:9" {
 		t.Error("a new address is not known")
 	}
-	gone := l.Apply(list(8, func(s []membership.Target) { s[3].State = "DRAINING"; s[4].Cell = 9; s[5].Addr = "127.0.0.1:9" }), true, c, p)
+	gone := l.Apply(list(8, func(s []membership.Target) { s[3].State = "DRAINING"; s[4].Destination = 9; s[5].Addr = "127.0.0.1:9" }), true, c, p)
 	ids := []brain.EndpointID{}
 	for _, e := range gone.Endpoints {
 		if e.Ready {
--- a/internal/identity/file.go
+++ b/internal/identity/file.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// Disk is the file that records go to; in tests one that fails.
+// Disk is the file that records go to; tests put one in place that fails.
 type Disk interface {
 	io.WriterAt
 	io.Closer
 }
 
-// File keeps a table's ends on disk: a ring of records, each at the place that the table names, so that it never
-// grows beyond the table's bound. A record that a kill leaves torn can't be read, and counts as not written.
+// File keeps a table's entries on disk: a ring of records, each at the place that the table names, so that it never grows
+// beyond the table's bound. A record that a kill leaves torn can't be read, and counts as not written. It does not sync, and
+// is not for concurrent use.
 type File struct {
 	path        string
 	table       *Table
@@ -26,16 +27,19 @@
 	lastRewrite time.Time // to write the file anew
 }
 
+// pendingWrite is a record that is not on the disk yet.
 type pendingWrite struct {
-	slot int
-	end  End
+	slot  int
+	entry Entry
 }
 
-// MaxFileBytes is the most that the file of so many ends may take, in bytes: the ring, and its copy while it is written anew.
-func MaxFileBytes(most int) int64 { return 2 * int64(most) * RecordSize }
+// MaxFileBytes is the most that the file of so many entries may take on the disk: the ring, and its copy while it is written
+// anew.
+func MaxFileBytes(maxEntries int) int64 { return 2 * int64(maxEntries) * RecordSize }
 
-// Open reads a file into an empty table and writes it anew in its place. A kill in between leaves the old one whole.
-// A disk that can't be written is no error: what was read counts, and Failed says so until a write succeeds.
+// Open reads a file into an empty table and writes it anew in its place. A kill in between leaves the old one whole. The error
+// is a file that can't be read; a disk that can't be written is none: what was read counts, and Err says so until a write
+// succeeds.
 func Open(path string, t *Table, now time.Duration) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -47,8 +51,8 @@
 	return f, nil
 }
 
-// rewrite writes the file anew. Where that fails the old one stays as it is: its places are not the table's, so nothing
-// is added to it, and all that ends waits for a disk.
+// rewrite writes the file anew. Where that fails the old one stays as it is: its places are not the table's, so nothing is
+// added to it, and all that ends waits for a disk.
 func (f *File) rewrite() {
 	f.lastRewrite = time.Now()
 	disk, err := writeTable(f.path, f.table)
@@ -59,7 +63,7 @@
 	f.disk, f.err, f.pending = disk, nil, nil // the table holds what was pending
 }
 
-// rewriteRetryInterval is the pause between two tries to write the file anew.
+// rewriteRetryInterval is the pause between two attempts to write the file anew.
 const rewriteRetryInterval = 200 * time.Millisecond
 
 // writeTable writes a table to a new file and puts it in the old one's place.
@@ -69,11 +73,11 @@
 		return nil, err
 	}
 	var buf []byte
-	t.ForEach(func(_ int, e End) { buf = AppendRecord(buf, e) })
+	t.ForEach(func(_ int, e Entry) { buf = AppendRecord(buf, e) })
 	if t.used != len(buf)/RecordSize { // a key that came again left a dead place behind: the records' places count
 		buf = make([]byte, 0, t.used*RecordSize)
 		next := 0
-		t.ForEach(func(place int, e End) {
+		t.ForEach(func(place int, e Entry) {
 			buf = append(buf, make([]byte, (place-next)*RecordSize)...)
 			buf = AppendRecord(buf, e)
 			next = place + 1
@@ -94,10 +98,10 @@
 // WrapDisk puts another disk in place; for tests.
 func (f *File) WrapDisk(wrap func(Disk) Disk) { f.disk = wrap(f.disk) }
 
-// Add notes an end at its place; Flush writes it.
-func (f *File) Add(place int, e End) { f.pending = append(f.pending, pendingWrite{place, e}) }
+// Add takes an entry at its place; Flush writes it.
+func (f *File) Add(place int, e Entry) { f.pending = append(f.pending, pendingWrite{place, e}) }
 
-// Flush writes what was noted, neighbours in one write. What fails is kept and tried again by the next Flush.
+// Flush writes what was added, neighbours in one write. What fails is kept and tried again by the next Flush.
 func (f *File) Flush() error {
 	if f.disk == nil && time.Since(f.lastRewrite) >= rewriteRetryInterval {
 		f.rewrite()
@@ -112,7 +116,7 @@
 		}
 		f.buf = f.buf[:0]
 		for _, w := range f.pending[:n] {
-			f.buf = AppendRecord(f.buf, w.end)
+			f.buf = AppendRecord(f.buf, w.entry)
 		}
 		if _, err := f.disk.WriteAt(f.buf, int64(f.pending[0].slot)*RecordSize); err != nil {
 			f.err = fmt.Errorf("ends of events: %w", err)
@@ -130,7 +134,7 @@
 // Err is why nothing can be written now; nil if it can.
 func (f *File) Err() error { return f.err }
 
-// Close writes what was noted and closes the file.
+// Close writes what was added and closes the file.
 func (f *File) Close() error {
 	err := f.Flush()
 	if f.disk != nil {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -21,8 +21,8 @@
 	return k
 }
 
-func end(n int, at time.Duration) End {
-	return End{Key: keyOf(n), Digest: Digest{byte(n)}, Outcome: Outcome(n%3) + Delivered, At: at, RetryAfter: time.Duration(n%5) * time.Millisecond}
+func end(n int, at time.Duration) Entry {
+	return Entry{Key: keyOf(n), Digest: Digest{byte(n)}, Outcome: Outcome(n%3) + Delivered, At: at, RetryAfter: time.Duration(n%5) * time.Millisecond}
 }
 
 func TestKeyOf(t *testing.T) {
@@ -39,19 +39,19 @@
 		r := rand.New(rand.NewPCG(seed, 4))
 		most, remember := 1+r.IntN(40), time.Duration(1+r.IntN(50))
 		table := NewTable(most, remember)
-		var all []End // the model: every end in order
+		var all []Entry // the model: every end in order
 		held, now := 0, time.Duration(1000)
-		live := func() []End { // those that count and take room
-			return slices.DeleteFunc(slices.Clone(all), func(e End) bool { return e.At+remember <= now })
+		live := func() []Entry { // those that count and take room
+			return slices.DeleteFunc(slices.Clone(all), func(e Entry) bool { return e.At+remember <= now })
 		}
-		find := func(k Key) (End, bool) {
+		find := func(k Key) (Entry, bool) {
 			l := live()
 			for i := len(l) - 1; i >= 0; i-- {
 				if l[i].Key == k {
 					return l[i], true
 				}
 			}
-			return End{}, false
+			return Entry{}, false
 		}
 		for range 400 {
 			switch r.IntN(5) {
@@ -97,7 +97,7 @@
 }
 
 func TestRecord_RoundTrip(t *testing.T) {
-	e := End{KeyOf("/s", "1"), DigestOf([]byte("x")), HandedBack, 1764500000 * time.Second, 1500 * time.Millisecond}
+	e := Entry{KeyOf("/s", "1"), DigestOf([]byte("x")), HandedBack, 1764500000 * time.Second, 1500 * time.Millisecond}
 	raw := AppendRecord(nil, e)
 	if got, ok := ReadRecord(raw); len(raw) != RecordSize || !ok || got != e {
 		t.Fatalf("%d bytes, %+v %v", len(raw), got, ok)
@@ -156,7 +156,7 @@
 		}
 		disk := &memory{left: cut, fails: errors.New("killed")}
 		f.WrapDisk(func(d Disk) Disk { d.Close(); return disk })
-		var whole []End
+		var whole []Entry
 		now := time.Duration(1)
 		for n := range ends {
 			now += 30 // at most four are remembered at a time
@@ -181,7 +181,7 @@
 		g.Close()
 		for n := range ends {
 			got, ok := again.Lookup(now, keyOf(n))
-			i := slices.IndexFunc(whole, func(e End) bool { return e.Key == keyOf(n) })
+			i := slices.IndexFunc(whole, func(e Entry) bool { return e.Key == keyOf(n) })
 			want := i >= 0 && whole[i].At+remember > now
 			if ok != want || ok && got != whole[i] {
 				t.Fatalf("cut at %d: end %d is there: %v, want %v", cut, n, ok, want)
@@ -302,7 +302,7 @@
 			}
 			continue
 		}
-		e := End{Key: KeyOf("/flood", fmt.Sprint(n)), Outcome: Delivered, At: now}
+		e := Entry{Key: KeyOf("/flood", fmt.Sprint(n)), Outcome: Delivered, At: now}
 		f.Add(table.Record(e), e)
 		if err := f.Flush(); err != nil {
 			t.Fatal(err)
@@ -331,7 +331,7 @@
 		if table.Len() > max(1, int(most)) {
 			t.Errorf("%d ends", table.Len())
 		}
-		table.ForEach(func(_ int, e End) {
+		table.ForEach(func(_ int, e Entry) {
 			if got, ok := table.Lookup(time.Duration(now), e.Key); ok && got != e {
 				t.Errorf("%+v and %+v", got, e)
 			}
@@ -349,7 +349,7 @@
 		table := NewTable(million, time.Hour)
 		for n := range million {
 			table.Reserve(time.Duration(n))
-			table.Record(End{Key: KeyOf("/s", fmt.Sprint(n)), Outcome: Delivered, At: time.Duration(n)})
+			table.Record(Entry{Key: KeyOf("/s", fmt.Sprint(n)), Outcome: Delivered, At: time.Duration(n)})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/identity/stored_data_test.go
+++ b/internal/identity/stored_data_test.go
@@ -14,21 +14,21 @@
 // wrapped, a key that came again, a damaged record and a torn one. FILE.golden lists what it holds, FILE.renewed is the file
 // once an open has written it anew.
 const (
-	storedEnds      = "testdata/stored/events.ended"
-	storedMaxEnds   = 6
-	storedRetention = time.Hour
-	storedNow       = 100 * time.Second
+	storedFile       = "testdata/stored/events.ended"
+	storedMaxEntries = 6
+	storedRetention  = time.Hour
+	storedNow        = 100 * time.Second
 )
 
-// writeStoredEnds writes ends of events to a new file and gives its bytes.
-func writeStoredEnds(t *testing.T, path string) []byte {
+// writeStoredEntries writes ends of events to a new file and gives its bytes.
+func writeStoredEntries(t *testing.T, path string) []byte {
 	t.Helper()
-	table := NewTable(storedMaxEnds, storedRetention)
+	table := NewTable(storedMaxEntries, storedRetention)
 	f, err := Open(path, table, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n, e := range []End{
+	for n, e := range []Entry{
 		{Key: KeyOf("/s", "0"), Outcome: Delivered},
 		{Key: KeyOf("/s", "1"), Outcome: HandedBack, RetryAfter: 1500 * time.Millisecond},
 		{Key: KeyOf("/s", "2"), Outcome: Failed},
@@ -48,9 +48,9 @@
 	return readStored(t, path)
 }
 
-func listEnds(table *Table) string {
+func listEntries(table *Table) string {
 	var b strings.Builder
-	table.ForEach(func(place int, e End) {
+	table.ForEach(func(place int, e Entry) {
 		fmt.Fprintf(&b, "%d key %x digest %x outcome %d at %d retry %d\n", place, e.Key, e.Digest, e.Outcome, e.At, e.RetryAfter)
 	})
 	fmt.Fprintf(&b, "%d ends, %d reserved\n", table.Len(), table.Reserved())
@@ -66,32 +66,32 @@
 	return raw
 }
 
-func TestStoredData_EndsOfEarlierProgram(t *testing.T) {
+func TestStoredData_EntriesOfEarlierProgram(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "events.ended")
-	if err := os.WriteFile(path, readStored(t, storedEnds), 0o600); err != nil {
+	if err := os.WriteFile(path, readStored(t, storedFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	table := NewTable(storedMaxEnds, storedRetention)
+	table := NewTable(storedMaxEntries, storedRetention)
 	f, err := Open(path, table, storedNow)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := listEnds(table), string(readStored(t, storedEnds+".golden")); got != want {
+	if got, want := listEntries(table), string(readStored(t, storedFile+".golden")); got != want {
 		t.Errorf("it holds\n%s\nwant\n%s", got, want)
 	}
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := readStored(t, path); !bytes.Equal(got, readStored(t, storedEnds+".renewed")) {
+	if got := readStored(t, path); !bytes.Equal(got, readStored(t, storedFile+".renewed")) {
 		t.Errorf("it is written anew as %x", got)
 	}
 }
 
 // What is written is byte for byte what the earlier program wrote.
-func TestStoredData_EndsBytesAreUnchanged(t *testing.T) {
-	got := writeStoredEnds(t, filepath.Join(t.TempDir(), "events.ended"))
-	want := readStored(t, storedEnds)
-	if len(got) != storedMaxEnds*RecordSize || !bytes.Equal(got[:5*RecordSize], want[:5*RecordSize]) {
+func TestStoredData_BytesAreUnchanged(t *testing.T) {
+	got := writeStoredEntries(t, filepath.Join(t.TempDir(), "events.ended"))
+	want := readStored(t, storedFile)
+	if len(got) != storedMaxEntries*RecordSize || !bytes.Equal(got[:5*RecordSize], want[:5*RecordSize]) {
 		t.Errorf("written is %x, want the begin of %x", got, want)
 	}
 }
--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -68,8 +68,8 @@
 const never = time.Duration(math.MaxInt64)
 
 // NewFollower follows members, which are told of by their places here.
-func NewFollower(members []Member, spans FollowerConfig) *Follower {
-	f := &Follower{config: spans, destinations: map[uint32]*destinationAddresses{}, nextStep: never}
+func NewFollower(members []Member, config FollowerConfig) *Follower {
+	f := &Follower{config: config, destinations: map[uint32]*destinationAddresses{}, nextStep: never}
 	for i, m := range members {
 		f.members = append(f.members, member{Member: m, current: map[netip.AddrPort]addressRating{}, emptySince: never})
 		d := f.destinations[m.Destination]
@@ -90,20 +90,20 @@
 
 // Step takes in answers, and that time has passed, and gives the lines that change. A line's State is Serving, Dropped or
 // Deleted.
-func (f *Follower) Step(now time.Duration, heard []Observation) []Target {
-	touched := map[uint32]struct{}{}
-	for _, h := range heard {
+func (f *Follower) Step(now time.Duration, observations []Observation) []Target {
+	changedDestinations := map[uint32]struct{}{}
+	for _, h := range observations {
 		f.observe(now, h)
-		touched[f.members[h.Member].Destination] = struct{}{}
+		changedDestinations[f.members[h.Member].Destination] = struct{}{}
 	}
 	if now >= f.nextStep { // rare: all are looked at
 		f.nextStep = never
 		for n := range f.destinations {
-			touched[n] = struct{}{}
+			changedDestinations[n] = struct{}{}
 		}
 	}
-	order := make([]uint32, 0, len(touched))
-	for n := range touched {
+	order := make([]uint32, 0, len(changedDestinations))
+	for n := range changedDestinations {
 		order = append(order, n)
 	}
 	slices.Sort(order)
@@ -140,14 +140,14 @@
 
 // rateAddresses keeps the addresses of the lowest priority, each once, and makes ratings of their weights: relative to their mean,
 // so that the rating of a destination as a whole is the setting's. One of weight 0 gets a little (RFC 2782).
-func rateAddresses(list []Address, rating float64) map[netip.AddrPort]addressRating {
-	least, sum := uint16(math.MaxUint16), 0.0
+func rateAddresses(addresses []Address, rating float64) map[netip.AddrPort]addressRating {
+	lowestPriority, sum := uint16(math.MaxUint16), 0.0
 	weights := map[netip.AddrPort]float64{}
-	for _, a := range list {
-		least = min(least, a.Priority)
+	for _, a := range addresses {
+		lowestPriority = min(lowestPriority, a.Priority)
 	}
-	for _, a := range list {
-		if a.Priority == least {
+	for _, a := range addresses {
+		if a.Priority == lowestPriority {
 			weights[a.AddrPort] = max(weights[a.AddrPort], float64(a.Weight))
 		}
 	}
@@ -160,7 +160,7 @@
 		if sum > 0 {
 			share = max(w/sum*float64(len(weights)), 0.01)
 		}
-		out[a] = addressRating{least, rating * share}
+		out[a] = addressRating{lowestPriority, rating * share}
 	}
 	return out
 }
@@ -213,7 +213,7 @@
 		}
 		for a, r := range m.current {
 			if _, ok := wanted[a]; !ok { // at two names it is one, by the first of them
-				wanted[a] = Target{ID: fmt.Sprintf("dns:%d:%s", n, a), Addr: a.String(), Zone: m.Zone, Kind: m.Kind, Cell: n, State: Serving, Weight: r.weight}
+				wanted[a] = Target{ID: fmt.Sprintf("dns:%d:%s", n, a), Addr: a.String(), Zone: m.Zone, Kind: m.Kind, Destination: n, State: Serving, Weight: r.weight}
 			}
 		}
 	}
--- a/internal/membership/follow_test.go
+++ b/internal/membership/follow_test.go
@@ -255,7 +255,7 @@
 				}
 				serving := 0
 				for _, line := range l {
-					if line.Cell != dest || line.State != Serving {
+					if line.Destination != dest || line.State != Serving {
 						continue
 					}
 					serving++
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -4,13 +4,13 @@
 
 // Target is an endpoint as a source lists it; the fields are those of discovery's list.
 type Target struct {
-	ID     string  `json:"id"`
-	Addr   string  `json:"addr"`
-	Zone   string  `json:"zone"`
-	Kind   string  `json:"kind"`
-	Cell   uint32  `json:"cell"` // its destination
-	State  string  `json:"state"`
-	Weight float64 `json:"weight"`
+	ID          string  `json:"id"`
+	Addr        string  `json:"addr"`
+	Zone        string  `json:"zone"`
+	Kind        string  `json:"kind"`
+	Destination uint32  `json:"cell"` // its destination
+	State       string  `json:"state"`
+	Weight      float64 `json:"weight"`
 }
 
 // States of a target.
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -107,22 +107,22 @@
 		order = append(order, d)
 	}
 	slices.Sort(order)
-	want := make([]map[string]Target, len(order))
+	desired := make([]map[string]Target, len(order))
 	var changes []Target
 	for i, n := range order { // first what goes everywhere, so that ids are free that another destination takes
-		want[i] = m.desired(n)
-		changes = append(changes, m.removals(m.destinations[n], want[i])...)
+		desired[i] = m.desired(n)
+		changes = append(changes, m.removals(m.destinations[n], desired[i])...)
 	}
-	gone := len(changes)
+	removedCount := len(changes)
 	for i, n := range order {
-		changes = append(changes, m.additions(n, m.destinations[n], want[i])...)
+		changes = append(changes, m.additions(n, m.destinations[n], desired[i])...)
 	}
-	back := map[string]struct{}{} // the same endpoint, at another destination
-	for _, t := range changes[gone:] {
-		back[t.ID] = struct{}{}
+	readded := map[string]struct{}{} // the same endpoint, at another destination
+	for _, t := range changes[removedCount:] {
+		readded[t.ID] = struct{}{}
 	}
 	return slices.DeleteFunc(changes, func(t Target) bool {
-		_, ok := back[t.ID]
+		_, ok := readded[t.ID]
 		return ok && t.State == Deleted
 	})
 }
@@ -133,16 +133,16 @@
 		if t.Addr == "" { // discovery's changes may leave it out
 			t.Addr = old.Addr
 		}
-		if old.Cell != t.Cell && t.State != Deleted {
-			delete(m.destination(old.Cell).ids[from], t.ID)
-			touched[old.Cell] = struct{}{}
+		if old.Destination != t.Destination && t.State != Deleted {
+			delete(m.destination(old.Destination).ids[from], t.ID)
+			touched[old.Destination] = struct{}{}
 		}
 		if t.State == Deleted {
-			t.Cell = old.Cell
+			t.Destination = old.Destination
 		}
 	}
-	d := m.destination(t.Cell)
-	touched[t.Cell] = struct{}{}
+	d := m.destination(t.Destination)
+	touched[t.Destination] = struct{}{}
 	if t.State == Deleted {
 		delete(m.targets[from], t.ID)
 		delete(d.ids[from], t.ID)
@@ -184,20 +184,20 @@
 func (m *Merger) desired(n uint32) map[string]Target {
 	d := m.destinations[n]
 	counts := m.activeSources(n, d)
-	want := map[string]Target{}
+	desired := map[string]Target{}
 	for s := range sources {
 		for _, id := range sorted(d.ids[s]) {
 			t := m.targets[s][id]
-			have, ok := want[t.Addr]
+			have, ok := desired[t.Addr]
 			switch {
 			case !counts[s]:
 			case !ok:
-				want[t.Addr] = t
+				desired[t.Addr] = t
 			case have.State == Dropped && t.State != Dropped:
-				want[t.Addr] = t
+				desired[t.Addr] = t
 			case have.State == Serving && t.State == Draining:
 				have.State = Draining
-				want[t.Addr] = have
+				desired[t.Addr] = have
 			}
 		}
 	}
@@ -206,36 +206,36 @@
 		if !counts[s] {
 			for id := range d.ids[s] {
 				if t := m.targets[s][id]; t.State == Draining {
-					if have, ok := want[t.Addr]; ok {
+					if have, ok := desired[t.Addr]; ok {
 						have.State = Draining
-						want[t.Addr] = have
+						desired[t.Addr] = have
 					}
 				}
 			}
 		}
 	}
-	return want
+	return desired
 }
 
 // removals takes away what is not wanted any more. A line whose id is wanted at an address that is new has moved: it stays the
 // endpoint that it is.
-func (m *Merger) removals(d *destination, want map[string]Target) []Target {
+func (m *Merger) removals(d *destination, desired map[string]Target) []Target {
 	var changes []Target
-	for _, addr := range sorted(want) {
-		t := want[addr]
+	for _, addr := range sorted(desired) {
+		t := desired[addr]
 		if _, ok := d.merged[addr]; ok {
 			continue
 		}
-		if was, ok := m.locations[t.ID]; ok && was.destination == t.Cell {
-			if _, still := want[was.address]; !still {
+		if was, ok := m.locations[t.ID]; ok && was.destination == t.Destination {
+			if _, still := desired[was.address]; !still {
 				d.merged[addr] = d.merged[was.address]
 				delete(d.merged, was.address)
-				m.locations[t.ID] = location{t.Cell, addr}
+				m.locations[t.ID] = location{t.Destination, addr}
 			}
 		}
 	}
 	for _, addr := range sorted(d.merged) {
-		if _, ok := want[addr]; !ok {
+		if _, ok := desired[addr]; !ok {
 			t := d.merged[addr]
 			t.State = Deleted
 			changes = append(changes, t)
@@ -247,10 +247,10 @@
 }
 
 // additions makes the merged list of a destination what is wanted.
-func (m *Merger) additions(n uint32, d *destination, want map[string]Target) []Target {
+func (m *Merger) additions(n uint32, d *destination, desired map[string]Target) []Target {
 	var changes []Target
-	for _, addr := range sorted(want) {
-		t := want[addr]
+	for _, addr := range sorted(desired) {
+		t := desired[addr]
 		old, ok := d.merged[addr]
 		if ok {
 			t.ID = old.ID
@@ -276,7 +276,9 @@
 			all = append(all, t)
 		}
 	}
-	slices.SortFunc(all, func(a, b Target) int { return cmp.Or(cmp.Compare(a.Cell, b.Cell), cmp.Compare(a.Addr, b.Addr)) })
+	slices.SortFunc(all, func(a, b Target) int {
+		return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Addr, b.Addr))
+	})
 	return all
 }
 
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -25,7 +25,7 @@
 }
 
 func at(id, addr string, dest uint32, state string) Target {
-	return Target{ID: id, Addr: addr, Cell: dest, State: state, Weight: 1}
+	return Target{ID: id, Addr: addr, Destination: dest, State: state, Weight: 1}
 }
 
 func part(lines ...Target) Update       { return Update{Servers: lines} }
@@ -130,7 +130,7 @@
 				if s.State == Deleted {
 					delete(told[from], s.ID)
 				} else {
-					told[from][s.ID], spoke[from][s.Cell] = s, true
+					told[from][s.ID], spoke[from][s.Destination] = s, true
 				}
 			}
 			l.take(t, m.Apply(from, u))
@@ -150,7 +150,7 @@
 					serves, drains, drops := false, false, false
 					for s := range sources {
 						for _, line := range told[s] {
-							if line.Cell == dest && line.Addr == at.address {
+							if line.Destination == dest && line.Addr == at.address {
 								drains = drains || line.State == Draining
 								serves = serves || counts[s] && line.State == Serving
 								drops = drops || counts[s] && line.State != Serving
@@ -166,7 +166,7 @@
 			}
 			got := map[location]string{}
 			for _, line := range l {
-				at := location{line.Cell, line.Addr}
+				at := location{line.Destination, line.Addr}
 				if _, twice := got[at]; twice {
 					t.Fatalf("%v is two endpoints", at)
 				}
--- a/internal/membership/rollbackguard.go
+++ b/internal/membership/rollbackguard.go
@@ -32,24 +32,24 @@
 	if u.VersionsReset {
 		clear(t.drained)
 	}
-	for id, l := range t.drained {
-		if now-l.at >= rollbackWindow {
+	for id, drained := range t.drained {
+		if now-drained.at >= rollbackWindow {
 			delete(t.drained, id)
 		}
 	}
-	leave := func(id string) {
-		if l, left := t.drained[id]; !left || u.Version >= l.version {
+	recordDrain := func(id string) {
+		if drained, left := t.drained[id]; !left || u.Version >= drained.version {
 			t.drained[id] = drainRecord{u.Version, now}
 		}
 	}
 	listed := map[string]struct{}{}
 	for i, line := range u.Servers {
 		listed[line.ID] = struct{}{}
-		l, left := t.drained[line.ID]
+		drained, left := t.drained[line.ID]
 		switch {
 		case line.State != Serving:
-			leave(line.ID)
-		case left && u.Version < l.version:
+			recordDrain(line.ID)
+		case left && u.Version < drained.version:
 			if older++; older == 1 {
 				u.Servers = append([]Target(nil), u.Servers...) // it is the caller's
 			}
@@ -67,7 +67,7 @@
 		for id := range t.listed {
 			if _, ok := listed[id]; !ok {
 				delete(t.listed, id)
-				leave(id)
+				recordDrain(id)
 			}
 		}
 	}
--- a/internal/sender/discovery_list_test.go
+++ b/internal/sender/discovery_list_test.go
@@ -11,7 +11,7 @@
 func TestDecodeTargets(t *testing.T) {
 	got, err := decodeTargets(strings.NewReader(`{"version":43,"more":{"a":[1,2]},"full":true,"servers":[
 		{"id":"s-1","addr":"10.1.0.18:8080","zone":"a","kind":"m2","cell":3,"state":"DRAINING","weight":1.5,"started_ms":0},{"id":"s-2"}]}`))
-	want := Targets{Version: 43, Full: true, Servers: []Target{{ID: "s-1", Addr: "10.1.0.18:8080", Zone: "a", Kind: "m2", Cell: 3, State: "DRAINING", Weight: 1.5}, {ID: "s-2"}}}
+	want := Targets{Version: 43, Full: true, Servers: []Target{{ID: "s-1", Addr: "10.1.0.18:8080", Zone: "a", Kind: "m2", Destination: 3, State: "DRAINING", Weight: 1.5}, {ID: "s-2"}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v: %+v", err, got)
 	}
@@ -48,7 +48,7 @@
 func manyTargets(n int, edit func([]Target)) Targets {
 	t := Targets{Version: 1, Full: true}
 	for i := range n {
-		t.Servers = append(t.Servers, Target{ID: fmt.Sprint("s-", i), Addr: fmt.Sprint("127.0.0.1:", 1000+i), Cell: uint32(i / 2), State: "SERVING", Weight: 1})
+		t.Servers = append(t.Servers, Target{ID: fmt.Sprint("s-", i), Addr: fmt.Sprint("127.0.0.1:", 1000+i), Destination: uint32(i / 2), State: "SERVING", Weight: 1})
 	}
 	if edit != nil {
 		edit(t.Servers)
--- a/internal/sender/event_dedup.go
+++ b/internal/sender/event_dedup.go
@@ -107,7 +107,7 @@
 		return
 	}
 	delete(b.pending, m.Identity.key)
-	e := identity.End{Key: m.Identity.key, Digest: m.Identity.digest, Outcome: outcome, At: now, RetryAfter: retryAfter}
+	e := identity.Entry{Key: m.Identity.key, Digest: m.Identity.digest, Outcome: outcome, At: now, RetryAfter: retryAfter}
 	b.file.Add(b.table.Record(e), e)
 }
 
--- a/internal/sender/extension_fleet_test.go
+++ b/internal/sender/extension_fleet_test.go
@@ -254,7 +254,7 @@
 	s := newTest(t, st.NewPlatform(t), func(c *Config) { c.Fleet, c.Kinds = f, []string{"plain", "single"} })
 	p, _ := extensionOf[*fleetExtension](s)
 	line := func(dest uint32) Target {
-		return Target{ID: "e", Addr: "127.0.0.1:1", Cell: dest, State: "SERVING", Kind: "plain"}
+		return Target{ID: "e", Addr: "127.0.0.1:1", Destination: dest, State: "SERVING", Kind: "plain"}
 	}
 	if got := s.endpoints.Apply(Targets{Servers: []Target{line(1)}}, false, s.config.endpointNames(), s.pool).Endpoints; len(got) != 1 || got[0].Kind != 1 || !got[0].Ready {
 		t.Errorf("%+v", got)
--- a/internal/sender/extension_peers_test.go
+++ b/internal/sender/extension_peers_test.go
@@ -173,12 +173,12 @@
 	if got := p.handle(peerFacts{[]knowledge.Fact{fact(3, ""), fact(4, "e4"), own}}, now); len(got) != 0 {
 		t.Errorf("of those that no list names the module is told %+v", got)
 	}
-	s.endpoints.Apply(Targets{Servers: []Target{{ID: "e3", Addr: "127.0.0.1:1", Cell: 3, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
+	s.endpoints.Apply(Targets{Servers: []Target{{ID: "e3", Addr: "127.0.0.1:1", Destination: 3, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
 	got := p.onListUpdate(now)
 	if len(got) != 1 || got[0].(brain.Observation).Destination != 3 || got[0].(brain.Observation).Health != brain.Unhealthy || got[0].(brain.Observation).Local {
 		t.Errorf("%+v", got)
 	}
-	s.endpoints.Apply(Targets{Servers: []Target{{ID: "e4", Addr: "127.0.0.1:1", Cell: 9, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
+	s.endpoints.Apply(Targets{Servers: []Target{{ID: "e4", Addr: "127.0.0.1:1", Destination: 9, State: "SERVING"}}}, false, s.config.endpointNames(), s.pool)
 	if got := p.onListUpdate(now); len(got) != 0 {
 		t.Errorf("of an endpoint that serves another receiver the module is told %+v", got)
 	}
--- a/internal/sender/stored_data_test.go
+++ b/internal/sender/stored_data_test.go
@@ -44,7 +44,7 @@
 		return membership.Update{Version: version, Full: full, Servers: lines}
 	}
 	line := func(id, state string) Target {
-		return Target{ID: id, Addr: "127.0.0.1:80", Zone: "a", Kind: "plain", Cell: 3, State: state, Weight: 1.5}
+		return Target{ID: id, Addr: "127.0.0.1:80", Zone: "a", Kind: "plain", Destination: 3, State: state, Weight: 1.5}
 	}
 	j.saveList("127.0.0.1:9", endpoints(4, true, line("s-0", membership.Serving), line("s-1", membership.Serving), line("s-2", membership.Serving)))
 	j.saveList("127.0.0.1:9", endpoints(5, false, line("s-1", membership.Draining), line("s-2", membership.Deleted), line("s-ü", membership.Serving)))
