--- a/internal/tier/consensus/partition_test.go
+++ b/internal/tier/consensus/partition_test.go
@@ -108,11 +108,11 @@
 const window = 3 * time.Second
 
 var isolations = []isolation{
-	{"cut both ways", [2]int{3, 1}, func(w *world, old *site) { partitionSides(w, old, nil, true, true) }, healAll, window / 3, window, false},
-	{"cut out of the leader", [2]int{3, 1}, func(w *world, old *site) { partitionSides(w, old, nil, true, false) }, healAll, window / 3, window, true},
-	{"cut into the leader", [2]int{3, 1}, func(w *world, old *site) { partitionSides(w, old, nil, false, true) }, healAll, window / 3, window, false},
-	{"cut both ways, five members", [2]int{5, 2}, func(w *world, old *site) { partitionSides(w, old, nil, true, true) }, healAll, window / 3, window, false},
-	{"cut off with a backup", [2]int{5, 2}, func(w *world, old *site) { partitionSides(w, old, companion(w, old), true, true) }, healAll, window / 3, window, false},
+	{"partitioned", [2]int{3, 1}, func(w *world, old *site) { partitionSides(w, old, nil, true, true) }, healAll, window / 3, window, false},
+	{"partitioned, only from the primary", [2]int{3, 1}, func(w *world, old *site) { partitionSides(w, old, nil, true, false) }, healAll, window / 3, window, true},
+	{"partitioned, only to the primary", [2]int{3, 1}, func(w *world, old *site) { partitionSides(w, old, nil, false, true) }, healAll, window / 3, window, false},
+	{"partitioned, five members", [2]int{5, 2}, func(w *world, old *site) { partitionSides(w, old, nil, true, true) }, healAll, window / 3, window, false},
+	{"partitioned with a backup", [2]int{5, 2}, func(w *world, old *site) { partitionSides(w, old, companion(w, old), true, true) }, healAll, window / 3, window, false},
 	{"paused", [2]int{3, 1}, func(_ *world, old *site) { old.paused = true }, func(_ *world, old *site) { old.resume() }, window / 3, window, false},
 	{"paused, five members", [2]int{5, 2}, func(_ *world, old *site) { old.paused = true }, func(_ *world, old *site) { old.resume() }, window / 3, window, false},
 	{"disk hangs", [2]int{3, 1}, func(_ *world, old *site) { old.stalled = true }, func(_ *world, old *site) { old.resume() }, window / 3, window, false},
