--- a/internal/tier/simulation/check_turns.go
+++ b/internal/tier/simulation/check_turns.go
@@ -120,6 +120,7 @@
 		if p := c.attempts[a.previous]; p != nil && p.settleAcknowledged && p.stored {
 			c.report(RuleTurn, "%s goes on from %s, which was kept and is called unknown", a.id, a.previous)
 		}
+	default: // MOVED or BUSY: the turn store decided nothing
 	}
 }
 
--- a/internal/tier/simulation/inject_domain_faults.go
+++ b/internal/tier/simulation/inject_domain_faults.go
@@ -16,6 +16,7 @@
 		w.stopDomain(f, name)
 	case PartitionZone, PartitionZoneInbound, PartitionZoneOutbound:
 		w.partitionDomain(f, name)
+	default: // the kinds of other groups, which injectFault handles
 	}
 }
 
@@ -46,6 +47,7 @@
 			m.powerLoss()
 		case WipeZone:
 			m.wipe()
+		default: // partitions, which stop no machine
 		}
 	}
 	w.sleep(f.duration())
--- a/internal/tier/simulation/inject_faults.go
+++ b/internal/tier/simulation/inject_faults.go
@@ -15,36 +15,32 @@
 	switch f.Kind {
 	case RestartAll, PowerLossAll:
 		w.stopAll(f)
-		return
 	case Add:
 		w.trace("add %s", f.Machine)
 		w.addMachine(f.Machine, roleTurnStore, len(w.machinesOfKind(roleTurnStore))).start()
-		return
 	case Retire:
 		w.running.Go(func() { w.retire(f.Machine) })
-		return
 	case LoseResponses:
 		w.injectNetworkFault(f, func(on bool) { w.network.loseResponses = on })
-		return
 	case Reorder:
 		w.injectNetworkFault(f, func(on bool) { w.network.reorder = on })
-		return
 	case LoseMessages:
 		w.injectNetworkFault(f, func(on bool) { w.network.loseMessages = on })
-		return
 	case SplitCore, SplitOneWay:
 		w.splitCore(f)
-		return
 	case ConcurrentChanges:
 		w.changeConcurrently(f)
-		return
 	case LossesInRow:
 		w.withBusyOperators(f)
-		return
 	case KillZone, PowerLossZone, WipeZone, PartitionZone, PartitionZoneInbound, PartitionZoneOutbound:
 		w.injectDomainFault(f)
-		return
+	default:
+		w.injectIntoMachine(f)
 	}
+}
+
+// injectIntoMachine injects a fault of one machine, unless that is under another fault.
+func (w *world) injectIntoMachine(f Fault) {
 	m := w.resolveMachine(f.Machine)
 	if m == nil || !w.claim(m.name) {
 		w.trace("skipped: %v", f)
@@ -135,6 +131,7 @@
 		w.sleep(f.duration())
 		m.disk.set(false, false)
 		return
+	default: // the kinds of other groups, which injectFault handles
 	}
 	w.sleep(f.duration())
 	m.start()
--- a/internal/tier/simulation/world.go
+++ b/internal/tier/simulation/world.go
@@ -250,8 +250,11 @@
 		return &turnStoreRole{hooks: w.options.Hooks}
 	case roleGateway:
 		return &gatewayRole{}
+	case roleOutside:
+		return outsideRole{w.outsideHandler(m.ip)}
+	default:
+		panic("simulation: no such role: " + string(m.kind))
 	}
-	return outsideRole{w.outsideHandler(m.ip)}
 }
 
 // nextCore returns the name of another machine of the control plane. Addresses are never used again, so that no name is.
