--- a/internal/faulttest/tierdemo/client_test.go
+++ b/internal/faulttest/tierdemo/client_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestReadingAStream(t *testing.T) {
+func TestResponse_ReadStream(t *testing.T) {
 	const whole = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 	for name, one := range map[string]struct {
 		text           string
@@ -26,16 +26,16 @@
 		"empty":           {"", "", true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var a answer
+			var a response
 			a.read(strings.NewReader(one.text))
 			assert.Equal(t, strings.Join(a.events, " "), one.events)
 			assert.Equal(t, a.complete, one.whole)
-			assert.Equal(t, a.inOrder, one.inOrder)
+			assert.Equal(t, a.idsInOrder, one.inOrder)
 		})
 	}
 }
 
-func TestWhatIsTriedAgain(t *testing.T) {
+func TestCaller_Retries(t *testing.T) {
 	for name, one := range map[string]struct {
 		status     int // 0: the connection is closed
 		repeatable bool
@@ -60,8 +60,8 @@
 				}
 				w.WriteHeader(one.status)
 			})
-			c := testCaller(t, newWitness(), at)
-			_, a := c.ask(t.Context(), request{path: lookPath, timeout: turnTime, maxTries: 3, attempt: attempt{input: "x", repeatable: one.repeatable}})
+			c := testCaller(t, newRuleChecker(), at)
+			_, a := c.ask(t.Context(), request{path: idempotentPath, timeout: turnTime, maxAttempts: 3, attempt: attempt{input: "x", idempotent: one.repeatable}})
 			assert.Equal(t, a.status, one.status)
 			assert.Equal(t, calls.Load(), one.calls)
 		})
@@ -96,28 +96,28 @@
 }
 
 // A program that meets a gateway with a fault is what a rehearsal is for.
-func TestFaultsOfAGatewayAreFound(t *testing.T) {
+func TestRuleChecker_FaultyGatewayDetected(t *testing.T) {
 	type sender = func([]byte) (int, http.Header, []byte)
 	for name, one := range map[string]struct {
 		spoil func(body []byte, send sender) (int, http.Header, []byte)
 		rule  Rule
 		kept  bool
 	}{
-		"none, for a first turn": {func(body []byte, send sender) (int, http.Header, []byte) { return send(body) }, Mixed, true},
-		"sends twice":            {func(body []byte, send sender) (int, http.Header, []byte) { send(body); return send(body) }, RunTwice, false},
-		"refuses what ran":       {func(body []byte, send sender) (int, http.Header, []byte) { send(body); return 503, nil, nil }, RunRefused, false},
-		"changes the body":       {func(body []byte, send sender) (int, http.Header, []byte) { return send(append(body, 'x')) }, Mixed, false},
+		"none, for a first turn": {func(body []byte, send sender) (int, http.Header, []byte) { return send(body) }, RuleNotMixed, true},
+		"sends twice":            {func(body []byte, send sender) (int, http.Header, []byte) { send(body); return send(body) }, RuleRunOnce, false},
+		"refuses what ran":       {func(body []byte, send sender) (int, http.Header, []byte) { send(body); return 503, nil, nil }, RuleRejectedNotRun, false},
+		"changes the body":       {func(body []byte, send sender) (int, http.Header, []byte) { return send(append(body, 'x')) }, RuleNotMixed, false},
 		"cuts the stream and ends it": {func(body []byte, send sender) (int, http.Header, []byte) {
 			status, head, answer := send(body)
 			return status, head, answer[:bytes.Index(answer, []byte("\n\n"))+2]
-		}, Mixed, false},
-		"makes an answer of its own": {func([]byte, sender) (int, http.Header, []byte) { return 200, nil, nil }, Mixed, false},
+		}, RuleNotMixed, false},
+		"makes an answer of its own": {func([]byte, sender) (int, http.Header, []byte) { return 200, nil, nil }, RuleNotMixed, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWitness()
+			w := newRuleChecker()
 			c := testCaller(t, w, counterThat(t, testEndpoint(t, w, modelService, 4).address, one.spoil))
 			c.ask(t.Context(), turnRequest(&budget{limit: 100, maxPerTurn: 12}, "", "one\n"))
-			v := w.verdict()[one.rule]
+			v := w.results()[one.rule]
 			assert.Equal(t, v.Broken == 0, one.kept, "%v", v)
 		})
 	}
--- a/internal/faulttest/tierdemo/tierdemo_test.go
+++ b/internal/faulttest/tierdemo/demo_test.go
@@ -11,16 +11,16 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestCalmKeepsEveryRule(t *testing.T) {
+func TestRun_CalmKeepsRules(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	var notes, shown atomic.Int32
-	report, err := Run(t.Context(), Options{Calm: 2 * time.Second, Rate: 5, Log: t.Output(), Note: func(time.Duration, string) { notes.Add(1) },
+	report, err := Run(t.Context(), Options{Calm: 2 * time.Second, Rate: 5, Log: t.Output(), OnEvent: func(time.Duration, string) { notes.Add(1) },
 		Progress: func(time.Duration, string, Counts) { shown.Add(1) }})
 	assert.NilError(t, err)
 	var b strings.Builder
 	report.Print(&b)
 	assert.Equal(t, report.Broken(), 0, b.String())
-	assert.Assert(t, report.Counts.Whole > 0, b.String())
+	assert.Assert(t, report.Counts.Completed > 0, b.String())
 	for _, v := range report.Verdicts {
 		assert.Assert(t, v.Checked > 0, "%s was not looked at", v.Rule)
 	}
@@ -31,10 +31,10 @@
 }
 
 // An interrupt in the first moment of the traffic ends it, and leaves nothing.
-func TestInterrupted(t *testing.T) {
+func TestRun_Interrupted(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	ctx, cancel := context.WithCancel(t.Context())
-	report, err := Run(ctx, Options{Calm: time.Hour, Rate: 5, Log: t.Output(), Note: func(time.Duration, string) { cancel() }})
+	report, err := Run(ctx, Options{Calm: time.Hour, Rate: 5, Log: t.Output(), OnEvent: func(time.Duration, string) { cancel() }})
 	assert.NilError(t, err)
 	assert.Assert(t, report.Interrupted)
 	assert.Equal(t, report.Broken(), 0)
@@ -43,8 +43,8 @@
 	assert.Equal(t, len(left), 0)
 }
 
-func TestOptionsAreChecked(t *testing.T) {
-	for _, o := range []Options{{}, {Calm: time.Second}, {Rate: 1}, {Rate: 1, Calm: -1, Trouble: 5}} {
+func TestRun_InvalidOptions(t *testing.T) {
+	for _, o := range []Options{{}, {Calm: time.Second}, {Rate: 1}, {Rate: 1, Calm: -1, Faults: 5}} {
 		_, err := Run(t.Context(), o)
 		assert.ErrorContains(t, err, "needs a rate and a time")
 	}
--- a/internal/faulttest/tierdemo/endpoint.go
+++ b/internal/faulttest/tierdemo/endpoint.go
@@ -20,37 +20,45 @@
 	toolService    = "tool"
 )
 
-// signature is the signature of an endpoint's answer to an attempt.
+// signature returns the signature of an endpoint's response to an attempt.
 func signature(id string) string { return "s." + id }
 
-// toolAnswer is the body of an answer to a call of a tool.
-func toolAnswer(id, input string) string { return id + " heard " + input }
+// toolResponse returns the body of the response to a tool call.
+func toolResponse(id, input string) string { return id + " heard " + input }
 
-// endpoint is a fake endpoint: it runs turns as streams of events, and answers tool calls.
+// endpoint is a fake endpoint: it runs turns as streams of events, and tool calls.
 type endpoint struct {
 	instance, service, address, zone string
 	slots                            int
 
-	witness  *witness
+	checker  *ruleChecker
 	running  atomic.Int64
 	draining atomic.Bool
 	server   *http.Server
 }
 
-// startEndpoint listens on a port of its own at ip.
-func startEndpoint(witness *witness, ip, instance, service, zone string, slots int) (*endpoint, error) {
-	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
+// endpointConfig configures an endpoint.
+type endpointConfig struct {
+	ip, instance, service, zone string
+	slots                       int // requests that run at once
+	checker                     *ruleChecker
+}
+
+// startEndpoint listens on a port of its own at the IP address.
+func startEndpoint(config endpointConfig) (*endpoint, error) {
+	listener, err := net.Listen("tcp", net.JoinHostPort(config.ip, "0"))
 	if err != nil {
 		return nil, err
 	}
-	endpoint := &endpoint{instance: instance, service: service, address: listener.Addr().String(), zone: zone, slots: slots, witness: witness}
+	endpoint := &endpoint{instance: config.instance, service: config.service, address: listener.Addr().String(), zone: config.zone, slots: config.slots,
+		checker: config.checker}
 	endpoint.server = &http.Server{Handler: endpoint}
 	go func() { _ = endpoint.server.Serve(listener) }()
 	return endpoint, nil
 }
 
-// leave stops the endpoint when its requests have ended, or when ctx ends.
-func (endpoint *endpoint) leave(ctx context.Context) {
+// shutDown stops the endpoint when its requests have ended, or when ctx ends.
+func (endpoint *endpoint) shutDown(ctx context.Context) {
 	endpoint.draining.Store(true)
 	if endpoint.server.Shutdown(ctx) != nil {
 		_ = endpoint.server.Close()
@@ -95,12 +103,12 @@
 		return
 	}
 	defer endpoint.running.Add(-1)
-	endpoint.witness.ran(id, endpoint.service, r.URL.Path, string(body))
+	endpoint.checker.recordRun(id, endpoint.service, r.URL.Path, string(body))
 	head.Set("X-Response-Signature", signature(id))
 	if endpoint.service == toolService {
 		if endpoint.work(r, id, 5*time.Millisecond, 20*time.Millisecond) {
-			endpoint.witness.ended(id)
-			_, _ = io.WriteString(w, toolAnswer(id, string(body)))
+			endpoint.checker.recordCompleted(id)
+			_, _ = io.WriteString(w, toolResponse(id, string(body)))
 		}
 		return
 	}
@@ -138,12 +146,12 @@
 			panic(http.ErrAbortHandler) // the stream must not look complete
 		}
 		data := fmt.Sprintf("%s-%d", id, i+1)
-		endpoint.witness.event(id, data)
+		endpoint.checker.recordEvent(id, data)
 		if _, err := fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i+1, data); err != nil || flush.Flush() != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
-	endpoint.witness.ended(id)
+	endpoint.checker.recordCompleted(id)
 }
 
 // draw returns a number below n that depends on the id only.
--- a/internal/faulttest/tierdemo/standins_test.go
+++ b/internal/faulttest/tierdemo/fakes_test.go
@@ -16,18 +16,18 @@
 	"saffronyard.example/saffronyard/internal/tier/routing"
 )
 
-func testEndpoint(t *testing.T, w *witness, service string, slots int) *endpoint {
+func testEndpoint(t *testing.T, w *ruleChecker, service string, slots int) *endpoint {
 	t.Helper()
-	e, err := startEndpoint(w, "127.0.0.1", "i-1", service, "zone-1", slots)
+	e, err := startEndpoint(endpointConfig{ip: "127.0.0.1", instance: "i-1", service: service, zone: "zone-1", slots: slots, checker: w})
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = e.server.Close() })
 	return e
 }
 
 // testCaller sends to gateways that are not there: to handlers, or straight to endpoints.
-func testCaller(t *testing.T, w *witness, addresses ...string) *caller {
+func testCaller(t *testing.T, w *ruleChecker, addresses ...string) *caller {
 	c := newCaller(w, addresses)
-	t.Cleanup(c.end)
+	t.Cleanup(c.close)
 	return c
 }
 
@@ -38,25 +38,25 @@
 }
 
 func turnRequest(b *budget, previous, input string) request {
-	return request{path: turnPath + "x", timeout: 20 * time.Second, maxTries: 3, attempt: attempt{program: b, previous: previous, input: input},
+	return request{path: turnPath + "x", timeout: 20 * time.Second, maxAttempts: 3, attempt: attempt{program: b, previous: previous, input: input},
 		header: map[string]string{"X-Token-Usage": "1,12"}}
 }
 
-func TestEndpointStreamsATurn(t *testing.T) {
-	w := newWitness()
+func TestEndpoint_StreamsTurn(t *testing.T) {
+	w := newRuleChecker()
 	c := testCaller(t, w, testEndpoint(t, w, modelService, 4).address)
 	b := &budget{limit: 100, maxPerTurn: 12}
 	first, a := c.ask(t.Context(), turnRequest(b, "", "one\n"))
 	assert.Equal(t, a.status, 200)
-	assert.Assert(t, a.complete && a.inOrder && len(a.events) >= 3 && len(a.events) <= 6, "%v", a)
+	assert.Assert(t, a.complete && a.idsInOrder && len(a.events) >= 3 && len(a.events) <= 6, "%v", a)
 	_, a = c.ask(t.Context(), turnRequest(b, first, "one\n"+strings.Join(a.events, "\n")+"\ntwo\n"))
 	assert.Assert(t, a.complete)
 	// The body was the chain, but the program's input is said to be all of it: the endpoint must see that.
-	assert.DeepEqual(t, broken(w.verdict()), []Rule{Mixed})
+	assert.DeepEqual(t, broken(w.results()), []Rule{RuleNotMixed})
 }
 
-func TestEndpointRejects(t *testing.T) {
-	w := newWitness()
+func TestEndpoint_Rejects(t *testing.T) {
+	w := newRuleChecker()
 	e := testEndpoint(t, w, toolService, 0)
 	ask := func(path string, fields ...string) *http.Response {
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+e.address+path, strings.NewReader("x"))
@@ -74,25 +74,25 @@
 		status int
 		fields []string
 	}{{421, []string{"X-Attempt-Id", "a", "X-Target-Instance", "i-2"}}, {400, nil}, {503, []string{"X-Attempt-Id", "a", "X-Target-Instance", "i-1"}}} {
-		resp := ask(lookPath, one.fields...)
+		resp := ask(idempotentPath, one.fields...)
 		assert.Equal(t, resp.StatusCode, one.status)
 		assert.Assert(t, resp.Header.Get("X-Not-Executed") != "")
 	}
 	assert.Equal(t, ask(healthPath).StatusCode, 200)
 	e.draining.Store(true)
 	assert.Equal(t, ask(healthPath).StatusCode, 503)
-	assert.Equal(t, w.verdict()[Mixed].Checked, 0) // nothing has run
+	assert.Equal(t, w.results()[RuleNotMixed].Checked, 0) // nothing has run
 }
 
-func TestPlatformListsInPagesAndReleases(t *testing.T) {
-	p, err := startPlatform(newWitness(), "127.0.0.1")
+func TestPlatform_PagesAndReleases(t *testing.T) {
+	p, err := startPlatform(newRuleChecker(), "127.0.0.1")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
-	t.Cleanup(func() { cancel(); p.end() })
+	t.Cleanup(func() { cancel(); p.stop() })
 	for i := range pageSize + 1 {
 		assert.NilError(t, p.add(modelService, zoneName(i%2)))
 	}
-	list := func(query string) (all []listed, pages int) {
+	list := func(query string) (all []listEntry, pages int) {
 		for token := ""; ; {
 			resp, err := http.Get("http://" + p.address + "/instances?" + query + "&page_token=" + token)
 			assert.NilError(t, err)
@@ -121,14 +121,14 @@
 	assert.Equal(t, len(now), pageSize+2)
 	assert.Equal(t, p.count(), pageSize+1)
 	cancel() // its time is over
-	p.leaving.Wait()
+	p.draining.Wait()
 	now, _ = list("")
 	assert.Equal(t, len(now), pageSize+1)
 	_, err = http.Get("http://" + all[0].Address + healthPath)
 	assert.Assert(t, err != nil)
 }
 
-func TestConfigurationsAreValidAndDiffer(t *testing.T) {
+func TestConfiguration_ValidAndDistinct(t *testing.T) {
 	for revision := range int64(4) {
 		c, err := routing.Parse(configuration(revision + 1))
 		assert.NilError(t, err)
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestOperatorGoesOnUntilAcknowledged(t *testing.T) {
+func TestOperator_RetriesUntilAcknowledged(t *testing.T) {
 	var calls atomic.Int32
 	var taken atomic.Value
 	primary := handler(t, func(w http.ResponseWriter, r *http.Request) {
@@ -157,7 +157,7 @@
 		http.Redirect(w, r, "http://"+primary+r.URL.Path, http.StatusTemporaryRedirect)
 	})
 	o := newOperator([]string{backup, primary})
-	t.Cleanup(o.end)
+	t.Cleanup(o.close)
 	assert.NilError(t, o.change(t.Context()))
 	assert.Equal(t, o.revision, int64(1))
 	same, err := o.readBack(t.Context())
@@ -167,15 +167,15 @@
 	assert.Assert(t, !same && err == nil)
 }
 
-func TestOperatorHearsARefusal(t *testing.T) {
+func TestOperator_Rejection(t *testing.T) {
 	o := newOperator([]string{handler(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(412) })})
-	t.Cleanup(o.end)
+	t.Cleanup(o.close)
 	assert.ErrorContains(t, o.change(t.Context()), "412")
 	assert.Equal(t, o.revision, int64(0))
 }
 
 // A change whose answer was lost may be in force: either of the two is right when it is read back, and it is sent again as it was.
-func TestAChangeWithoutAClearAnswer(t *testing.T) {
+func TestOperator_UnconfirmedChange(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var taken atomic.Value
 	var lost atomic.Bool
@@ -191,7 +191,7 @@
 			panic(http.ErrAbortHandler)
 		}
 	})})
-	t.Cleanup(o.end)
+	t.Cleanup(o.close)
 	assert.ErrorContains(t, o.change(ctx), "no clear answer")
 	for text, right := range map[string]bool{string(configuration(1)): true, "{}": false} {
 		taken.Store([]byte(text))
@@ -204,7 +204,7 @@
 	assert.DeepEqual(t, taken.Load().([]byte), configuration(1))
 }
 
-func TestStallsAreMeasured(t *testing.T) {
+func TestStallMeter(t *testing.T) {
 	var h stallMeter
 	begun := time.Now()
 	assert.Equal(t, h.longestSince(begun), time.Duration(0))
--- a/internal/faulttest/tierdemo/operator.go
+++ b/internal/faulttest/tierdemo/operator.go
@@ -14,25 +14,25 @@
 
 // Values of the configuration, and times of the operator.
 const (
-	routeHost  = "agents.example"
-	turnPath   = "/turn/"
-	lookPath   = "/look/" // tool calls that may be repeated
-	actPath    = "/act/"  // tool calls that may not
-	addedPath  = "/added/"
-	aimTime    = 400 * time.Millisecond
-	retention  = 120 * time.Second
-	replyTime  = time.Second // of one call
-	redirects  = 2
-	ordersLast = 10 * time.Second // of one order with its retries; the first configuration is sent until it is accepted
+	routeHost         = "agents.example"
+	turnPath          = "/turn/"
+	idempotentPath    = "/look/" // tool calls that may be repeated
+	nonIdempotentPath = "/act/"  // tool calls that may not
+	addedPath         = "/added/"
+	latencyTarget     = 400 * time.Millisecond
+	retention         = 120 * time.Second
+	callTimeout       = time.Second // of one call
+	redirects         = 2
+	changeTimeout     = 10 * time.Second // of one order with its retries; the first configuration is sent until it is accepted
 )
 
 // operator is a fake operator: it sends configurations, changes them and reads them back.
 type operator struct {
-	client    *http.Client
-	addresses []string // control_plane addresses
-	revision  int64    // the last one acknowledged
-	body      []byte
-	unclear   []byte // a change without a clear answer, which may be in force
+	client      *http.Client
+	addresses   []string // control_plane addresses
+	revision    int64    // the last one acknowledged
+	body        []byte
+	unconfirmed []byte // a change without a clear answer, which may be in force
 }
 
 // newOperator makes an operator that has sent nothing yet.
@@ -45,7 +45,7 @@
 	}}}
 }
 
-func (operator *operator) end() { operator.client.CloseIdleConnections() }
+func (operator *operator) close() { operator.client.CloseIdleConnections() }
 
 // addedRoute is the path of the route that a revision adds.
 func addedRoute(revision int64) string { return addedPath + strconv.FormatInt(revision, 10) + "/" }
@@ -54,19 +54,19 @@
 func configuration(revision int64) []byte {
 	type object = map[string]any
 	turn := object{"name": "turn", "hostname": routeHost, "path_prefix": turnPath, "route_type": "streaming", "timeout_ms": turnTime.Milliseconds() + revision,
-		"target_latency_ms": aimTime.Milliseconds(), "priority": 0, "service_name": modelService, "max_attempts": 2, "persisted": true,
-		"retention_s": retention.Seconds(), "session_affinity": true, "gap_aim_ms": aimTime.Milliseconds()}
+		"target_latency_ms": latencyTarget.Milliseconds(), "priority": 0, "service_name": modelService, "max_attempts": 2, "persisted": true,
+		"retention_s": retention.Seconds(), "session_affinity": true, "gap_aim_ms": latencyTarget.Milliseconds()}
 	plain := func(name, path, kind string) object {
 		return object{"name": name, "hostname": routeHost, "path_prefix": path, "route_type": kind, "timeout_ms": toolTime.Milliseconds() + revision,
-			"target_latency_ms": aimTime.Milliseconds(), "priority": 1, "service_name": toolService, "max_attempts": 3}
+			"target_latency_ms": latencyTarget.Milliseconds(), "priority": 1, "service_name": toolService, "max_attempts": 3}
 	}
-	routes := []object{turn, plain("look", lookPath, "idempotent"), plain("act", actPath, "non_idempotent")}
+	routes := []object{turn, plain("look", idempotentPath, "idempotent"), plain("act", nonIdempotentPath, "non_idempotent")}
 	if revision > 1 {
 		routes = append(routes, plain("added", addedRoute(revision), "idempotent"))
 	}
 	body, _ := json.Marshal(object{"revision": revision, "routes": routes, "services": []object{
 		{"name": modelService, "health_path": healthPath, "max_connections": 200, "protocol": "h1",
-			"inference_engine": object{"capacity": endpointTurn, "cache_tokens": 100000, "tokens_per_event": tokensPerEvent, "models": []object{{"name": "m"}}}},
+			"inference_engine": object{"capacity": endpointSlots, "cache_tokens": 100000, "tokens_per_event": tokensPerEvent, "models": []object{{"name": "m"}}}},
 		{"name": toolService, "health_path": healthPath, "max_connections": 200, "protocol": "h1"}},
 		"limits": object{"max_header_bytes": 16384, "max_body_bytes": 4 << 20, "header_timeout_ms": 3000, "idle_timeout_ms": 15000}})
 	return body
@@ -76,29 +76,29 @@
 func (operator *operator) change(ctx context.Context) error {
 	next := operator.revision + 1
 	body := configuration(next)
-	status, _, err := operator.order(ctx, http.MethodPost, "/saffronyard/Configuration.Replace", body)
+	status, _, err := operator.untilClear(ctx, http.MethodPost, "/saffronyard/Configuration.Replace", body)
 	if err != nil {
-		operator.unclear = body
+		operator.unconfirmed = body
 		return errorx.Decorate(err, "configuration %d", next)
 	}
 	if status != http.StatusOK {
 		return errorx.ExternalError.New("configuration %d: the answer is %d", next, status)
 	}
-	operator.revision, operator.body, operator.unclear = next, body, nil
+	operator.revision, operator.body, operator.unconfirmed = next, body, nil
 	return nil
 }
 
 // readBack reads the configuration, and reports whether it is the last one acknowledged, or a later one with unknown outcome.
 func (operator *operator) readBack(ctx context.Context) (bool, error) {
-	status, body, err := operator.order(ctx, http.MethodGet, "/saffronyard/Configuration.Describe", nil)
-	return status == http.StatusOK && (bytes.Equal(body, operator.body) || operator.unclear != nil && bytes.Equal(body, operator.unclear)), err
+	status, body, err := operator.untilClear(ctx, http.MethodGet, "/saffronyard/Configuration.Describe", nil)
+	return status == http.StatusOK && (bytes.Equal(body, operator.body) || operator.unconfirmed != nil && bytes.Equal(body, operator.unconfirmed)), err
 }
 
-// order calls one control_plane address after the other, with growing pauses, until one gives a clear answer.
-func (operator *operator) order(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
+// untilClear calls one control_plane address after the other, with growing pauses, until one gives a clear answer.
+func (operator *operator) untilClear(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
 	if operator.revision > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, ordersLast)
+		ctx, cancel = context.WithTimeout(ctx, changeTimeout)
 		defer cancel()
 	}
 	wait := 20 * time.Millisecond
@@ -110,14 +110,14 @@
 		if ctx.Err() != nil {
 			return status, nil, errorx.TimeoutElapsed.New("no clear answer, the last one is %d (%v)", status, err)
 		}
-		pause(ctx, wait)
+		sleep(ctx, wait)
 		wait = min(wait*3/2, 300*time.Millisecond)
 	}
 }
 
 // call makes one call.
 func (operator *operator) call(ctx context.Context, method, url string, body []byte) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, replyTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
--- a/internal/faulttest/tierdemo/platform.go
+++ b/internal/faulttest/tierdemo/platform.go
@@ -13,50 +13,50 @@
 )
 
 const (
-	platformRate = 40.0 // calls a second
-	pageSize     = 4    // entries; small, so that lists have several pages
-	drainTime    = time.Second
-	endpointTurn = 16 // slots of an endpoint
+	platformRate  = 40.0 // calls a second
+	pageSize      = 4    // entries; small, so that lists have several pages
+	drainTime     = time.Second
+	endpointSlots = 16 // slots of an endpoint
 )
 
 // platform is a fake platform: it runs endpoints and lists them.
 type platform struct {
-	witness *witness
+	checker *ruleChecker
 	ip      string
 	address string
 	server  *http.Server
 
-	mu      sync.Mutex
-	list    []*endpoint
-	number  int
-	leaving sync.WaitGroup
+	mu       sync.Mutex
+	list     []*endpoint
+	number   int
+	draining sync.WaitGroup
 }
 
-// listed is an entry of the list.
-type listed struct {
-	Instance string  `json:"instance_id"`
-	Service  string  `json:"service_name"`
-	Address  string  `json:"address"`
-	Zone     string  `json:"zone"`
-	Revision string  `json:"revision"`
-	Capacity int     `json:"capacity"`
-	State    string  `json:"lifecycle_state"`
-	ColdMs   float64 `json:"cold_remaining_ms"`
+// listEntry is an entry of the list.
+type listEntry struct {
+	Instance             string  `json:"instance_id"`
+	Service              string  `json:"service_name"`
+	Address              string  `json:"address"`
+	Zone                 string  `json:"zone"`
+	Revision             string  `json:"revision"`
+	Capacity             int     `json:"capacity"`
+	State                string  `json:"lifecycle_state"`
+	SlowStartRemainingMs float64 `json:"cold_remaining_ms"`
 }
 
 // listPage is one page of the list.
 type listPage struct {
-	Instances []listed `json:"instances"`
-	Next      *string  `json:"next_page_token"`
+	Instances []listEntry `json:"instances"`
+	Next      *string     `json:"next_page_token"`
 }
 
 // startPlatform listens at ip, and lists no endpoints yet.
-func startPlatform(witness *witness, ip string) (*platform, error) {
+func startPlatform(checker *ruleChecker, ip string) (*platform, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return nil, err
 	}
-	platform := &platform{witness: witness, ip: ip, address: listener.Addr().String()}
+	platform := &platform{checker: checker, ip: ip, address: listener.Addr().String()}
 	platform.server = &http.Server{Handler: http.HandlerFunc(platform.instances)}
 	go func() { _ = platform.server.Serve(listener) }()
 	return platform, nil
@@ -74,7 +74,7 @@
 		return
 	}
 	zone := r.FormValue("zone")
-	page := listPage{Instances: []listed{}}
+	page := listPage{Instances: []listEntry{}}
 	platform.mu.Lock()
 	seen := 0
 	for _, endpoint := range platform.list {
@@ -93,7 +93,7 @@
 		if endpoint.draining.Load() {
 			state = "draining"
 		}
-		page.Instances = append(page.Instances, listed{Instance: endpoint.instance, Service: endpoint.service, Address: endpoint.address, Zone: endpoint.zone,
+		page.Instances = append(page.Instances, listEntry{Instance: endpoint.instance, Service: endpoint.service, Address: endpoint.address, Zone: endpoint.zone,
 			Revision: "v1", Capacity: endpoint.slots, State: state})
 	}
 	platform.mu.Unlock()
@@ -106,7 +106,8 @@
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
 	platform.number++
-	endpoint, err := startEndpoint(platform.witness, platform.ip, fmt.Sprintf("i-%s-%d", service, platform.number), service, zone, endpointTurn)
+	endpoint, err := startEndpoint(endpointConfig{ip: platform.ip, instance: fmt.Sprintf("i-%s-%d", service, platform.number), service: service, zone: zone,
+		slots: endpointSlots, checker: platform.checker})
 	if err == nil {
 		platform.list = append(platform.list, endpoint)
 	}
@@ -131,7 +132,7 @@
 		return "", err
 	}
 	oldest.draining.Store(true)
-	platform.leaving.Go(func() {
+	platform.draining.Go(func() {
 		t := time.NewTimer(drainTime * 3 / 2)
 		defer t.Stop()
 		select {
@@ -148,7 +149,7 @@
 		platform.mu.Unlock()
 		last, cancel := context.WithTimeout(context.Background(), drainTime)
 		defer cancel()
-		oldest.leave(last)
+		oldest.shutDown(last)
 	})
 	return oldest.instance, nil
 }
@@ -165,9 +166,9 @@
 	return n
 }
 
-// end stops the platform and all endpoints.
-func (platform *platform) end() {
-	platform.leaving.Wait()
+// stop stops the platform and all endpoints.
+func (platform *platform) stop() {
+	platform.draining.Wait()
 	_ = platform.server.Close()
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
--- a/internal/faulttest/tierdemo/program.go
+++ b/internal/faulttest/tierdemo/program.go
@@ -13,7 +13,7 @@
 const (
 	turnTime      = 6 * time.Second // of one request of a turn, with its attempts
 	toolTime      = 4 * time.Second
-	maxTries      = 12
+	maxAttempts   = 12
 	turnRetries   = 2 // of a turn that failed
 	maxTurnTokens = 24
 	tightEvery    = 6 // one program in so many has a budget that is too small for its turns
@@ -24,26 +24,26 @@
 
 // The outcomes.
 const (
-	Whole  Outcome = iota
-	Spent          // ended by its budget, as it should
-	Failed         // a turn failed three times, or a tool call failed
-	Ended          // interrupted by the end of the demo
+	Completed       Outcome = iota
+	BudgetExhausted         // ended by its budget, as it should
+	Failed                  // a turn failed three times, or a tool call failed
+	Interrupted             // interrupted by the end of the demo
 )
 
 // program is one agent program: consecutive turns with tool calls between them, and sometimes a concurrent sub-agent.
 type program struct {
 	name           string
 	caller         *caller
-	record         *recorder
+	recorder       *recorder
 	budget         *budget
 	mayHaveCharged bool // an attempt has failed that may have run: what it reserved may be charged
 	mu             sync.Mutex
-	why            string
+	failure        string
 }
 
 // newProgram makes the n-th program.
 func newProgram(n int, caller *caller, recorder *recorder) *program {
-	made := &program{name: fmt.Sprintf("p%d-%x", n, rand.Uint32()), caller: caller, record: recorder}
+	made := &program{name: fmt.Sprintf("p%d-%x", n, rand.Uint32()), caller: caller, recorder: recorder}
 	made.budget = &budget{limit: 50 * maxTurnTokens, maxPerTurn: maxTurnTokens}
 	if n%tightEvery == tightEvery-1 {
 		made.budget.limit = 2 * maxTurnTokens
@@ -58,8 +58,8 @@
 func (program *program) fail(why string, args ...any) {
 	program.mu.Lock()
 	defer program.mu.Unlock()
-	if program.why == "" {
-		program.why = fmt.Sprintf(why, args...)
+	if program.failure == "" {
+		program.failure = fmt.Sprintf(why, args...)
 	}
 }
 
@@ -70,67 +70,67 @@
 		turns = 8
 	}
 	var beside sync.WaitGroup
-	side := Whole
+	side := Completed
 	previous := ""
 	for n := range turns {
 		id, got := program.turn(ctx, "main", previous, fmt.Sprintf("%s asks %d\n", program.name, n+1))
-		if outcome = got; outcome != Whole {
+		if outcome = got; outcome != Completed {
 			break
 		}
 		previous = id
 		if n == 1 && !program.tight() && rand.N(3) == 0 {
 			beside.Go(func() { side = program.agent(ctx, id) })
 		}
-		if outcome = program.tools(ctx, rand.N(3)); outcome != Whole {
+		if outcome = program.tools(ctx, rand.N(3)); outcome != Completed {
 			break
 		}
-		pause(ctx, rand.N(60*time.Millisecond))
+		sleep(ctx, rand.N(60*time.Millisecond))
 	}
 	beside.Wait()
-	if outcome == Whole {
+	if outcome == Completed {
 		outcome = side
 	}
 	program.mu.Lock()
 	defer program.mu.Unlock()
-	return outcome, program.why
+	return outcome, program.failure
 }
 
 // agent runs a sub-agent: two turns that continue a turn of its parent.
 func (program *program) agent(ctx context.Context, previous string) Outcome {
 	for n := range 2 {
 		id, outcome := program.turn(ctx, "agent", previous, fmt.Sprintf("%s sends an agent for %d\n", program.name, n+1))
-		if outcome != Whole {
+		if outcome != Completed {
 			return outcome
 		}
 		previous = id
 	}
-	return Whole
+	return Completed
 }
 
 // turn runs one turn, and returns its id.
 func (program *program) turn(ctx context.Context, line, previous, input string) (id string, outcome Outcome) {
 	begun := time.Now()
-	request := request{path: turnPath + "x", timeout: turnTime, maxTries: maxTries, attempt: attempt{program: program.budget, previous: previous, input: input},
+	request := request{path: turnPath + "x", timeout: turnTime, maxAttempts: maxAttempts, attempt: attempt{program: program.budget, previous: previous, input: input},
 		header: map[string]string{"Program": program.name, "Session": program.name + "-" + line, "Finish-Ms": "20000",
 			"Budget": strconv.Itoa(program.budget.limit), "X-Token-Usage": fmt.Sprintf("%d,%d", len(input), maxTurnTokens), "X-Model": "m"}}
 	if previous != "" {
 		request.header["Previous"] = previous
 	}
-	var answer answer
+	var answer response
 	for retries := 0; ; retries++ {
 		id, answer = program.caller.ask(ctx, request)
 		if answer.complete && answer.status == 200 {
-			program.record.turn(answer.first.Sub(begun))
-			return id, Whole
+			program.recorder.turn(answer.firstEventAt.Sub(begun))
+			return id, Completed
 		}
 		if ctx.Err() != nil {
-			return id, Ended
+			return id, Interrupted
 		}
 		if answer.status == 402 && program.mayBeSpent() {
-			return id, Spent
+			return id, BudgetExhausted
 		}
 		if answer.final() || retries == turnRetries {
-			program.record.turnFailed()
+			program.recorder.turnFailed()
 			program.fail("a turn got %d %s", answer.status, strings.TrimSpace(answer.body))
 			return id, Failed
 		}
@@ -139,7 +139,7 @@
 			program.mayHaveCharged = true
 			program.mu.Unlock()
 		}
-		pause(ctx, 100*time.Millisecond+rand.N(300*time.Millisecond))
+		sleep(ctx, 100*time.Millisecond+rand.N(300*time.Millisecond))
 	}
 }
 
@@ -147,8 +147,8 @@
 func (program *program) mayBeSpent() bool {
 	program.mu.Lock()
 	defer program.mu.Unlock()
-	program.caller.witness.mu.Lock()
-	defer program.caller.witness.mu.Unlock()
+	program.caller.checker.mu.Lock()
+	defer program.caller.checker.mu.Unlock()
 	return program.mayHaveCharged || program.budget.used+program.budget.maxPerTurn > program.budget.limit
 }
 
@@ -161,26 +161,26 @@
 	}
 	calls.Wait()
 	for _, o := range outcomes {
-		if o != Whole {
+		if o != Completed {
 			return o
 		}
 	}
-	return Whole
+	return Completed
 }
 
 // tool makes one tool call: of every two, one that may be repeated and one that may not.
 func (program *program) tool(ctx context.Context, i int) Outcome {
-	request := request{path: lookPath + "x", timeout: toolTime, maxTries: maxTries, attempt: attempt{input: program.name + " calls " + strconv.Itoa(i), repeatable: true},
+	request := request{path: idempotentPath + "x", timeout: toolTime, maxAttempts: maxAttempts, attempt: attempt{input: program.name + " calls " + strconv.Itoa(i), idempotent: true},
 		header: map[string]string{"Program": program.name, "Session": program.name + "-main", "Finish-Ms": "20000"}}
 	if i%2 == 1 {
-		request.path, request.attempt.repeatable = actPath+"x", false
+		request.path, request.attempt.idempotent = nonIdempotentPath+"x", false
 	}
 	_, answer := program.caller.ask(ctx, request)
 	if answer.complete && answer.status == 200 {
-		return Whole
+		return Completed
 	}
 	if ctx.Err() != nil {
-		return Ended
+		return Interrupted
 	}
 	program.fail("a call at %s got %d", request.path, answer.status)
 	return Failed
--- a/internal/faulttest/tierdemo/recorder.go
+++ b/internal/faulttest/tierdemo/recorder.go
@@ -17,9 +17,9 @@
 
 // Counts has the totals so far.
 type Counts struct {
-	Asked, Whole, Spent, Failed, Ended int // programs
-	Turns, Late                        int
-	FirstP50, FirstP99, FirstMost      time.Duration
+	Started, Completed, BudgetExhausted, Failed, Interrupted int // programs
+	Turns, Late                                              int
+	FirstP50, FirstP99, FirstMax                             time.Duration
 }
 
 // recorder counts programs and turns by second.
@@ -74,7 +74,7 @@
 	second := recorder.second()
 	second.Served++
 	recorder.counts.Turns++
-	if first > aimTime {
+	if first > latencyTarget {
 		second.Late++
 		recorder.counts.Late++
 	}
@@ -90,39 +90,39 @@
 	recorder.second().Failed++
 }
 
-// asked counts a program that was started.
-func (recorder *recorder) asked() {
+// programStarted counts a program that was started.
+func (recorder *recorder) programStarted() {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
-	recorder.counts.Asked++
+	recorder.counts.Started++
 }
 
-// ended counts a program that has ended.
-func (recorder *recorder) ended(outcome Outcome, why string) {
+// programEnded counts a program that has ended.
+func (recorder *recorder) programEnded(outcome Outcome, why string) {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	switch outcome {
-	case Whole:
-		recorder.counts.Whole++
-	case Spent:
-		recorder.counts.Spent++
+	case Completed:
+		recorder.counts.Completed++
+	case BudgetExhausted:
+		recorder.counts.BudgetExhausted++
 	case Failed:
 		recorder.counts.Failed++
 		if len(recorder.reasons) < maxExamples {
 			recorder.reasons = append(recorder.reasons, why)
 		}
-	case Ended:
-		recorder.counts.Ended++
+	case Interrupted:
+		recorder.counts.Interrupted++
 	}
 }
 
-// counted returns the totals so far.
-func (recorder *recorder) counted() Counts {
+// totals returns the totals so far.
+func (recorder *recorder) totals() Counts {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	c := recorder.counts
 	if recorder.all.TotalCount() > 0 {
-		c.FirstP50, c.FirstP99, c.FirstMost = quantile(recorder.all, 50), quantile(recorder.all, 99), time.Duration(recorder.all.Max())*time.Microsecond
+		c.FirstP50, c.FirstP99, c.FirstMax = quantile(recorder.all, 50), quantile(recorder.all, 99), time.Duration(recorder.all.Max())*time.Microsecond
 	}
 	return c
 }
--- a/internal/faulttest/tierdemo/report.go
+++ b/internal/faulttest/tierdemo/report.go
@@ -46,15 +46,15 @@
 	counts := report.Counts
 	fmt.Fprintf(table, "ready after\t%.2f s\n", report.Begun.Seconds())
 	fmt.Fprintf(table, "played\t%.1f s, %.1f s of them calm, %.3g programs a second\n", report.Lasted.Seconds(), min(report.Calm, report.Lasted).Seconds(), report.Rate)
-	fmt.Fprintf(table, "programs\t%d asked, %d whole, %d ended by their budget, %d failed\n", counts.Asked, counts.Whole, counts.Spent, counts.Failed)
-	if counts.Ended > 0 {
-		fmt.Fprintf(table, "\t%d were under way at the end\n", counts.Ended)
+	fmt.Fprintf(table, "programs\t%d asked, %d whole, %d ended by their budget, %d failed\n", counts.Started, counts.Completed, counts.BudgetExhausted, counts.Failed)
+	if counts.Interrupted > 0 {
+		fmt.Fprintf(table, "\t%d were under way at the end\n", counts.Interrupted)
 	}
 	for _, why := range report.Failures {
 		fmt.Fprintf(table, "\tfailed: %s\n", why)
 	}
-	fmt.Fprintf(table, "turns\t%d whole, %d of them late (first event after %v)\n", counts.Turns, counts.Late, aimTime)
-	fmt.Fprintf(table, "first event\tp50 %s, p99 %s, longest %s\n", ms(counts.FirstP50), ms(counts.FirstP99), ms(counts.FirstMost))
+	fmt.Fprintf(table, "turns\t%d whole, %d of them late (first event after %v)\n", counts.Turns, counts.Late, latencyTarget)
+	fmt.Fprintf(table, "first event\tp50 %s, p99 %s, longest %s\n", ms(counts.FirstP50), ms(counts.FirstP99), ms(counts.FirstMax))
 	fmt.Fprintf(table, "this machine\tkept all waiting for the processor %s, for the disk %s at most\n", ms(report.Processor), ms(report.Disk))
 	for _, takeover := range report.Takeovers {
 		if takeover.Done {
--- a/internal/faulttest/tierdemo/report_test.go
+++ b/internal/faulttest/tierdemo/report_test.go
@@ -11,19 +11,19 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRecorderCounts(t *testing.T) {
+func TestRecorder_Counts(t *testing.T) {
 	r := newRecorder(time.Now().Add(-1500 * time.Millisecond)) // in its second second
 	for n := range 100 {
 		r.turn(time.Duration(n+1) * 5 * time.Millisecond)
 	}
 	r.turnFailed()
-	for _, o := range []Outcome{Whole, Spent, Failed, Ended} {
-		r.asked()
-		r.ended(o, "why")
+	for _, o := range []Outcome{Completed, BudgetExhausted, Failed, Interrupted} {
+		r.programStarted()
+		r.programEnded(o, "why")
 	}
-	c := r.counted()
-	assert.Equal(t, c.Asked, 4)
-	assert.Equal(t, [4]int{c.Whole, c.Spent, c.Failed, c.Ended}, [4]int{1, 1, 1, 1})
+	c := r.totals()
+	assert.Equal(t, c.Started, 4)
+	assert.Equal(t, [4]int{c.Completed, c.BudgetExhausted, c.Failed, c.Interrupted}, [4]int{1, 1, 1, 1})
 	assert.Equal(t, c.Turns, 100)
 	assert.Equal(t, c.Late, 20) // those over 400 ms
 	near := func(d, want time.Duration) {
@@ -31,7 +31,7 @@
 	}
 	near(c.FirstP50, 250*time.Millisecond)
 	near(c.FirstP99, 495*time.Millisecond)
-	near(c.FirstMost, 500*time.Millisecond)
+	near(c.FirstMax, 500*time.Millisecond)
 	seconds, reasons := r.series()
 	assert.DeepEqual(t, reasons, []string{"why"})
 	total := Second{}
@@ -44,21 +44,21 @@
 }
 
 func testReport(spoilt bool) *Report {
-	w := newWitness()
+	w := newRuleChecker()
 	for r := range ruleCount {
 		w.check(r, true, "")
 	}
 	if spoilt {
-		w.check(RunTwice, false, "%s ran 2 times", "<a>")
+		w.check(RuleRunOnce, false, "%s ran 2 times", "<a>")
 	}
-	return &Report{Calm: 2 * time.Second, Lasted: 4 * time.Second, Rate: 5, Counts: Counts{Asked: 10, Whole: 8, Spent: 1, Failed: 1, Turns: 30},
+	return &Report{Calm: 2 * time.Second, Lasted: 4 * time.Second, Rate: 5, Counts: Counts{Started: 10, Completed: 8, BudgetExhausted: 1, Failed: 1, Turns: 30},
 		Seconds:   []Second{{Served: 5, P50: time.Millisecond, P99: 3 * time.Millisecond}, {}, {Served: 7, Late: 2, Failed: 1}},
 		Events:    []Event{{time.Second, "turnstore-1 <stopped>"}},
 		Takeovers: []Takeover{{"turnstore-1", "partitions", 300 * time.Millisecond, true}, {"controlplane-1", "control", time.Second, false}},
-		Failures:  []string{"a turn got 502"}, Verdicts: w.verdict()}
+		Failures:  []string{"a turn got 502"}, Verdicts: w.results()}
 }
 
-func TestReportInText(t *testing.T) {
+func TestReport_Text(t *testing.T) {
 	var b strings.Builder
 	r := testReport(false)
 	r.Print(&b)
@@ -76,11 +76,11 @@
 	assert.Assert(t, strings.Contains(b.String(), "<a> ran 2 times"))
 }
 
-func TestARuleThatWasNeverLookedAtIsNotCalledKept(t *testing.T) {
+func TestReport_UncheckedRuleNotKept(t *testing.T) {
 	assert.Equal(t, Verdict{}.say(), "not seen (0 checks)")
 }
 
-func TestReportAsPage(t *testing.T) {
+func TestReport_Page(t *testing.T) {
 	var b strings.Builder
 	assert.NilError(t, testReport(true).Page(&b))
 	text := b.String()
@@ -109,6 +109,6 @@
 	assert.Equal(t, plots, 2)
 }
 
-func TestAPageWithoutSeconds(t *testing.T) {
+func TestReport_PageWithoutSeconds(t *testing.T) {
 	assert.NilError(t, (&Report{}).Page(io.Discard))
 }
--- a/internal/faulttest/tierdemo/stall.go
+++ b/internal/faulttest/tierdemo/stall.go
@@ -37,7 +37,7 @@
 	defer file.Close()
 	for ctx.Err() == nil {
 		meter.begin(stallInterval)
-		pause(ctx, stallInterval)
+		sleep(ctx, stallInterval)
 		meter.end(&meter.processor)
 		meter.begin(0)
 		if _, err := file.WriteAt([]byte{1}, 0); err != nil {
--- a/internal/faulttest/tierdemo/process.go
+++ b/internal/faulttest/tierdemo/tier.go
@@ -173,15 +173,15 @@
 func freePorts(addresses []string) (first int, err error) {
 	for range 50 {
 		first = 10000 + rand.N(20000)
-		if err = tryPorts(addresses, first); err == nil {
+		if err = checkPortsFree(addresses, first); err == nil {
 			return first, nil
 		}
 	}
 	return 0, errorx.Decorate(err, "no range of %d free ports on the loopback network", portCount)
 }
 
-// tryPorts returns an error if a port of the range is in use on an address.
-func tryPorts(addresses []string, first int) error {
+// checkPortsFree returns an error if a port of the range is in use on an address.
+func checkPortsFree(addresses []string, first int) error {
 	for _, ip := range addresses {
 		for offset := range portCount {
 			listener, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(first+offset)))
@@ -209,8 +209,8 @@
 	return nil
 }
 
-// end kills all processes, those that call others first.
-func (tier *tier) end() {
+// killAll kills all processes, those that call others first.
+func (tier *tier) killAll() {
 	for _, group := range [][]*member{tier.gateways, tier.turnStores, tier.controlPlanes} {
 		var stopping sync.WaitGroup
 		for _, process := range group {
--- a/internal/faulttest/tierdemo/status.go
+++ b/internal/faulttest/tierdemo/tier_status.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	lookEvery = 20 * time.Millisecond // while waiting for a condition
-	lookTime  = 300 * time.Millisecond
+	pollInterval = 20 * time.Millisecond // while waiting for a condition
+	pollTimeout  = 300 * time.Millisecond
 )
 
-// until polls until a condition is met, or ctx ends.
-func until(ctx context.Context, what string, met func(context.Context) bool) error {
-	t := time.NewTicker(lookEvery)
+// pollUntil polls until a condition is met, or ctx ends.
+func pollUntil(ctx context.Context, what string, met func(context.Context) bool) error {
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
-		one, cancel := context.WithTimeout(ctx, lookTime)
+		one, cancel := context.WithTimeout(ctx, pollTimeout)
 		ok := met(one)
 		cancel()
 		if ok {
@@ -54,8 +54,8 @@
 	return nil, nil
 }
 
-// hasAllCopies reports whether each partition has all of its copies, on running processes.
-func (tier *tier) hasAllCopies(ctx context.Context) bool {
+// hasAllReplicas reports whether each partition has all of its replicas, on running processes.
+func (tier *tier) hasAllReplicas(ctx context.Context) bool {
 	_, status := tier.primary(ctx)
 	node := map[string]string{}
 	for _, store := range status.GetPartitionMap().GetStoreNodes() {
@@ -91,8 +91,8 @@
 	return false, len(status.GetPartitionMap().GetPartitions()) > 0
 }
 
-// hasCopy reports whether a turn store has a copy of a partition by the newest map.
-func (tier *tier) hasCopy(ctx context.Context, node string) bool {
+// hasReplica reports whether a turn store has a replica of a partition by the newest map.
+func (tier *tier) hasReplica(ctx context.Context, node string) bool {
 	_, status := tier.primary(ctx)
 	for _, store := range status.GetPartitionMap().GetStoreNodes() {
 		if store.Node != node {
--- a/internal/tier/cli/demo.go
+++ b/internal/tier/cli/demo.go
@@ -27,7 +27,7 @@
 func (command demoCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	options := tierdemo.Options{Calm: command.Calm, Trouble: command.Faults, Rate: command.Rate}
+	options := tierdemo.Options{Calm: command.Calm, Faults: command.Faults, Rate: command.Rate}
 	if command.Log != "" {
 		file, err := os.Create(command.Log)
 		if err != nil {
@@ -54,7 +54,7 @@
 		return rulesBrokenError(broken)
 	case report.Interrupted:
 		return errInterrupted
-	case report.Counts.Whole == 0:
+	case report.Counts.Completed == 0:
 		return errNoProgramServed
 	}
 	return nil
@@ -65,12 +65,12 @@
 func progress(options *tierdemo.Options, out io.Writer) {
 	options.Progress = func(at time.Duration, phase string, counts tierdemo.Counts) {
 		fmt.Fprintf(out, "\r\x1b[K%3.0f s  %-8s programs %d of %d  failed %d  turns %d  first event p50 %v p99 %v", at.Seconds(), phase,
-			counts.Whole+counts.Spent, counts.Asked, counts.Failed, counts.Turns, counts.FirstP50.Round(time.Millisecond), counts.FirstP99.Round(time.Millisecond))
+			counts.Completed+counts.BudgetExhausted, counts.Started, counts.Failed, counts.Turns, counts.FirstP50.Round(time.Millisecond), counts.FirstP99.Round(time.Millisecond))
 		if phase == "end" {
 			fmt.Fprintln(out)
 		}
 	}
-	options.Note = func(at time.Duration, what string) { fmt.Fprintf(out, "\r\x1b[K%5.1f s  %s\n", at.Seconds(), what) }
+	options.OnEvent = func(at time.Duration, what string) { fmt.Fprintf(out, "\r\x1b[K%5.1f s  %s\n", at.Seconds(), what) }
 }
 
 // terminal reports whether a file is a terminal.
--- a/internal/tier/cli/deps_test.go
+++ b/internal/tier/cli/deps_test.go
@@ -9,7 +9,7 @@
 )
 
 // Agreement, membership, discovery, replication and proxying are the tier's own work: no library for them is linked.
-func TestNoLibraryDoesTheTiersWork(t *testing.T) {
+func TestDependencies_NoTierLibraries(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{.ImportPath}}", "saffronyard.example/saffronyard/cmd/serving-tier").Output()
 	assert.NilError(t, err)
 	deps := strings.Fields(string(out))
--- a/internal/tier/cli/operate_test.go
+++ b/internal/tier/cli/operate_test.go
@@ -10,7 +10,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-func TestStatusTellsRoleAndRisk(t *testing.T) {
+func TestStatus_RoleAndRisk(t *testing.T) {
 	record := &tierv1.View{Epoch: 7, Primary: "a", Backups: []string{"b"}, Members: []*tierv1.Member{{Folder: "a", Node: "core-1"}}}
 	for _, c := range []struct {
 		name  string
