--- a/brain/generated_day_test.go
+++ b/brain/generated_day_test.go
@@ -35,31 +35,31 @@
 // world feeds a Brain with what a generated day brings: destinations that serve, fail, refuse, tell waits, hang
 // and change, lists that churn, and processes that start again.
 type world struct {
-	t      *testing.T
-	seed   uint64
-	rng    *rand.Rand
-	s      brain.Settings
-	now    time.Duration
-	agenda agenda
-	n      int
-	brain  *brain.Brain
-	twin   *brain.Brain // must decide the same; nil for none
-	make   func() (b, twin *brain.Brain)
-	mode   map[brain.DestinationID]int
-	dest   map[brain.EndpointID]brain.DestinationID
-	listed map[brain.EndpointID]brain.Endpoint
-	nextE  brain.EndpointID
-	nextM  brain.MessageID
-	dests  int
-	held   map[brain.MessageID]*holding
-	counts map[string]int
-	rules  *rules // what is checked beside; nil for nothing
+	t       *testing.T
+	seed    uint64
+	rng     *rand.Rand
+	s       brain.Settings
+	now     time.Duration
+	agenda  agenda
+	n       int
+	brain   *brain.Brain
+	twin    *brain.Brain // must decide the same; nil for none
+	make    func() (b, twin *brain.Brain)
+	mode    map[brain.DestinationID]int
+	dest    map[brain.EndpointID]brain.DestinationID
+	listed  map[brain.EndpointID]brain.Endpoint
+	nextE   brain.EndpointID
+	nextM   brain.MessageID
+	dests   int
+	pending map[brain.MessageID]*pendingMessage
+	counts  map[string]int
+	rules   *rules // what is checked beside; nil for nothing
 
 	record func(events []brain.Event, actions []brain.Action) // sees each batch and its actions, if set
 	fleet  func() []brain.Event                               // further events of a batch, if set
 }
 
-type holding struct {
+type pendingMessage struct {
 	msg   brain.Message
 	sends int
 	out   map[int]brain.EndpointID
@@ -102,8 +102,8 @@
 	return brain.Endpoint{ID: w.nextE, Destination: d, Kind: int(d) % 2, Zone: w.rng.IntN(2), Ready: true, Rating: 20 * w.rng.Float64() * float64(w.rng.IntN(2))}
 }
 
-// news is a list: a few changes, or all of it, with endpoints that come, drain, go and come again.
-func (w *world) news() brain.EndpointUpdate {
+// endpointUpdate is a change of the list: a few changes, or all of it, with endpoints that come, drain, go and come again.
+func (w *world) endpointUpdate() brain.EndpointUpdate {
 	if w.rng.IntN(15) == 0 {
 		return brain.EndpointUpdate{Failed: true, Overloaded: w.rng.IntN(2) == 0}
 	}
@@ -164,7 +164,7 @@
 	if w.rng.IntN(2) == 0 {
 		m.OrderingKey = uint64(1 + w.rng.IntN(6))
 	}
-	w.held[m.ID] = &holding{msg: m, out: map[int]brain.EndpointID{}}
+	w.pending[m.ID] = &pendingMessage{msg: m, out: map[int]brain.EndpointID{}}
 	return m
 }
 
@@ -222,26 +222,26 @@
 		w.counts[fmt.Sprintf("%T", a)]++
 		switch a := a.(type) {
 		case brain.Send:
-			h := w.held[a.Message]
+			h := w.pending[a.Message]
 			n := h.sends
 			h.sends++
 			h.out[n] = a.Endpoint
 			takes, e := w.outcome(a, n)
 			w.at(takes, e)
 		case brain.Cancel:
-			if h := w.held[a.Message]; h != nil {
+			if h := w.pending[a.Message]; h != nil {
 				if e, ok := h.out[a.Attempt]; ok && w.rng.IntN(10) > 0 {
 					w.at(ms, brain.AttemptResult{Message: a.Message, Attempt: a.Attempt, Endpoint: e, Outcome: brain.Cancelled, Elapsed: ms})
 				}
 			}
 		case brain.Reject:
-			w.held[a.Message].over = true
+			w.pending[a.Message].over = true
 		case brain.Fail:
-			w.held[a.Message].over = true
+			w.pending[a.Message].over = true
 		case brain.SetTimer:
 			w.at(a.At-w.now, brain.TimerFired{})
 		case brain.WatchEndpoints:
-			w.at(50*ms, w.news())
+			w.at(50*ms, w.endpointUpdate())
 		}
 	}
 }
@@ -290,12 +290,12 @@
 		events = append(events, r)
 	}
 	for id := range w.nextM + 1 {
-		h := w.held[id]
+		h := w.pending[id]
 		if h == nil {
 			continue
 		}
 		if h.over {
-			delete(w.held, id)
+			delete(w.pending, id)
 			continue
 		}
 		m := h.msg
@@ -303,7 +303,7 @@
 		if h.sends > 0 && w.rng.IntN(2) == 0 {
 			m.MayHaveRun, m.FirstRunAt = true, w.now-time.Duration(w.rng.IntN(4000))*ms
 		}
-		*h = holding{msg: m, out: map[int]brain.EndpointID{}, tried: m.PriorAttempts}
+		*h = pendingMessage{msg: m, out: map[int]brain.EndpointID{}, tried: m.PriorAttempts}
 		events = append(events, m)
 	}
 	w.step(events)
@@ -313,7 +313,7 @@
 	rng := rand.New(rand.NewPCG(seed, 11))
 	w := &world{t: t, seed: seed, rng: rng, s: settings(rng), now: time.Duration(rng.IntN(3)) * time.Hour, mode: map[brain.DestinationID]int{},
 		dest: map[brain.EndpointID]brain.DestinationID{}, listed: map[brain.EndpointID]brain.Endpoint{}, dests: 1 + rng.IntN(12),
-		held: map[brain.MessageID]*holding{}, counts: map[string]int{}}
+		pending: map[brain.MessageID]*pendingMessage{}, counts: map[string]int{}}
 	w.make = func() (b, twin *brain.Brain) { return brain.New(w.s, seed), nil }
 	return w
 }
@@ -321,7 +321,7 @@
 func (w *world) play(batches int) map[string]int {
 	rng := w.rng
 	w.brain, w.twin = w.make()
-	w.step([]brain.Event{w.news(), w.news()})
+	w.step([]brain.Event{w.endpointUpdate(), w.endpointUpdate()})
 	busy := 1 + rng.IntN(4)
 	for range batches {
 		var events []brain.Event
@@ -338,7 +338,7 @@
 		for len(w.agenda) > 0 && w.agenda[0].at <= w.now {
 			e := heap.Pop(&w.agenda).(due).event
 			if end, ok := e.(brain.AttemptResult); ok {
-				h := w.held[end.Message]
+				h := w.pending[end.Message]
 				if h == nil {
 					continue
 				}
@@ -358,19 +358,19 @@
 			for range rng.IntN(40) {
 				m := w.message()
 				m.Destination = d
-				w.held[m.ID].msg = m
+				w.pending[m.ID].msg = m
 				events = append(events, m)
 			}
 		}
 		switch x := rng.IntN(60); {
 		case x == 0:
-			events = append(events, w.news())
+			events = append(events, w.endpointUpdate())
 		case x < 4:
 			w.mode[brain.DestinationID(rng.IntN(w.dests))] = rng.IntN(7)
 		case x == 4 && w.nextM > 0:
 			id := 1 + brain.MessageID(rng.IntN(int(w.nextM)))
 			events = append(events, brain.Withdrawn{Message: id})
-			if h := w.held[id]; h != nil {
+			if h := w.pending[id]; h != nil {
 				h.over = true
 			}
 		case x == 5:
--- a/brain/hibernation_days_test.go
+++ b/brain/hibernation_days_test.go
@@ -52,8 +52,8 @@
 		switch a := a.(type) {
 		case brain.Send:
 			d, ok := r.ready[a.Endpoint]
-			if !ok || d != w.held[a.Message].msg.Destination {
-				r.t.Fatalf("seed %d at %v: message %d for %d is sent to endpoint %d, which is listed: %v, for %d", r.seed, w.now, a.Message, w.held[a.Message].msg.Destination, a.Endpoint, ok, d)
+			if !ok || d != w.pending[a.Message].msg.Destination {
+				r.t.Fatalf("seed %d at %v: message %d for %d is sent to endpoint %d, which is listed: %v, for %d", r.seed, w.now, a.Message, w.pending[a.Message].msg.Destination, a.Endpoint, ok, d)
 			}
 			if !r.apart && w.now < r.closed[d] {
 				r.t.Fatalf("seed %d at %v: sent to %d, which asked to wait until %v", r.seed, w.now, d, r.closed[d])
@@ -62,7 +62,7 @@
 				r.woken++
 			}
 			r.last[d] = w.now
-			r.out[attempt{a.Message, w.held[a.Message].sends}] = d
+			r.out[attempt{a.Message, w.pending[a.Message].sends}] = d
 		case brain.Fail:
 			r.end(w, a.Message)
 		case brain.Reject:
--- a/brain/slow_start_fleet_test.go
+++ b/brain/slow_start_fleet_test.go
@@ -24,9 +24,9 @@
 }
 
 const (
-	slowStartCapacity = 12 // calls a second of the destination when it is warm
-	slowStartOthers   = 9  // further destinations, with as much traffic each
-	rampWarmUp        = 90 * time.Second
+	slowStartCapacity   = 12 // calls a second of the destination when it is warm
+	slowStartOthers     = 9  // further destinations, with as much traffic each
+	slowStartWarmUpTime = 90 * time.Second
 )
 
 type slowStartEvent struct {
@@ -89,7 +89,7 @@
 	}
 	rng := rand.New(rand.NewPCG(w.seed, 4))
 	start := time.Hour
-	out := start + rampWarmUp
+	out := start + slowStartWarmUpTime
 	back = out + w.outage
 	end := back + s.SlowStartDuration + s.OverloadWindow
 	var agenda slowStartAgenda
