--- a/brain/backoff.go
+++ b/brain/backoff.go
@@ -70,13 +70,13 @@
 		b.wakeAt(at)
 	}
 	b.pruneCooldowns()
-	for _, t := range b.coolingDown {
-		if len(t.messages) == 0 {
+	for _, q := range b.coolingDown {
+		if len(q.messages) == 0 {
 			continue
 		}
-		m := t.messages[0]
+		m := q.messages[0]
 		if m.waiting && m.destination == d && m.notBefore <= b.now && len(m.attempts) == 0 {
-			b.wakeAt(t.cooldownUntil)
+			b.wakeAt(q.cooldownUntil)
 		}
 	}
 }
--- a/brain/connections.go
+++ b/brain/connections.go
@@ -126,17 +126,17 @@
 	}
 	// Endpoints that have a call again, or whose connections the transport has closed, are pruned now and
 	// then.
-	if len(b.idleEndpoints) > 2*b.idleEndpointsAfterPruning+64 {
-		kept := b.idleEndpoints[:0]
+	if len(b.idleEndpoints) > 2*b.idleEndpointsAfterPruning+pruneSlack {
+		remaining := b.idleEndpoints[:0]
 		for _, e := range b.idleEndpoints {
 			if e.idleSequence == 0 || e.callsInFlight > 0 || b.now >= e.idleSince+b.settings.IdleConnTimeout {
 				e.inIdleList, e.idleSequence = false, 0
 				continue
 			}
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
-		clear(b.idleEndpoints[len(kept):])
-		b.idleEndpoints, b.idleEndpointsAfterPruning = shrink(kept), len(kept)
+		clear(b.idleEndpoints[len(remaining):])
+		b.idleEndpoints, b.idleEndpointsAfterPruning = shrink(remaining), len(remaining)
 	}
 }
 
@@ -145,8 +145,8 @@
 // is reduced.
 func (b *Brain) idleCloseCandidates() []*endpoint {
 	b.idleScratch = b.idleScratch[:0]
-	for _, k := range b.idleTimeouts {
-		if k < b.settings.IdleConnTimeout {
+	for _, timeout := range b.idleTimeouts {
+		if timeout < b.settings.IdleConnTimeout {
 			for _, e := range b.idleEndpoints {
 				if e.idleSequence > 0 {
 					b.idleScratch = append(b.idleScratch, e)
@@ -155,19 +155,19 @@
 			return sortByIdleSequence(b.idleScratch)
 		}
 	}
-	kept := b.reducedEndpoints[:0]
+	remaining := b.reducedEndpoints[:0]
 	for _, e := range b.reducedEndpoints {
 		if e.idleReduction == 0 {
 			e.inReducedList = false
 			continue
 		}
-		kept = append(kept, e)
+		remaining = append(remaining, e)
 		if e.idleSequence > 0 {
 			b.idleScratch = append(b.idleScratch, e)
 		}
 	}
-	clear(b.reducedEndpoints[len(kept):])
-	b.reducedEndpoints = kept
+	clear(b.reducedEndpoints[len(remaining):])
+	b.reducedEndpoints = remaining
 	return sortByIdleSequence(b.idleScratch)
 }
 
--- a/brain/dispatch.go
+++ b/brain/dispatch.go
@@ -16,8 +16,8 @@
 func (b *Brain) dispatch() {
 	b.candidates = b.candidates[:0]
 	for _, d := range b.active {
-		if o := b.bestCandidate(d); o.message != nil {
-			b.candidates = append(b.candidates, o)
+		if c := b.bestCandidate(d); c.message != nil {
+			b.candidates = append(b.candidates, c)
 		}
 	}
 	b.candidates.init()
@@ -80,12 +80,12 @@
 		b.wakeAt(m.notBefore)
 		return false
 	}
-	if t := m.keyQueue; t != nil {
-		if t.messages[0] != m {
+	if q := m.keyQueue; q != nil {
+		if q.messages[0] != m {
 			return false
 		}
-		if b.now < t.cooldownUntil && len(m.attempts) == 0 {
-			b.wakeAt(t.cooldownUntil)
+		if b.now < q.cooldownUntil && len(m.attempts) == 0 {
+			b.wakeAt(q.cooldownUntil)
 			return false
 		}
 	}
--- a/brain/endpoint_list.go
+++ b/brain/endpoint_list.go
@@ -23,13 +23,13 @@
 // handleEndpointUpdate applies a change of the list, or requests the list again later. All senders share
 // discovery, and requests that it works on in vain cost it as much as others: if all senders ask again at
 // once, none is answered. A request that was rejected at once, or that never arrived, costs it nothing.
-func (b *Brain) handleEndpointUpdate(n EndpointUpdate) {
-	if !n.Failed {
+func (b *Brain) handleEndpointUpdate(update EndpointUpdate) {
+	if !update.Failed {
 		b.listBackoff = 0
-		b.applyEndpoints(n)
+		b.applyEndpoints(update)
 	} else if b.settings.RequestsEndpoints {
 		pause := min(max(2*b.listBackoff, minListBackoff), maxListBackoff)
-		if n.Overloaded {
+		if update.Overloaded {
 			pause = overloadedListBackoff
 		}
 		b.listBackoff = max(b.listBackoff, pause)
@@ -38,9 +38,9 @@
 }
 
 // applyEndpoints takes over the list. An endpoint that drains or is gone gets no new call from this step on.
-func (b *Brain) applyEndpoints(n EndpointUpdate) {
+func (b *Brain) applyEndpoints(update EndpointUpdate) {
 	listed := map[EndpointID]bool{}
-	for _, e := range n.Endpoints {
+	for _, e := range update.Endpoints {
 		listed[e.ID] = e.Ready
 		if b.matchesHibernated(e) {
 			continue
@@ -50,7 +50,7 @@
 			b.addEndpoint(e)
 		}
 	}
-	if n.Complete {
+	if update.Complete {
 		for id := range b.hibernatedEndpoints {
 			if !listed[id] {
 				b.wakeUpByEndpoint(id)
@@ -68,18 +68,18 @@
 }
 
 // addEndpoint takes a ready endpoint into its destination.
-func (b *Brain) addEndpoint(line Endpoint) {
-	line.Kind, line.Zone = max(0, line.Kind), max(0, line.Zone)
-	d := b.destination(line.Destination)
-	e := b.endpoints[line.ID]
-	if e == nil || e.Destination != line.Destination {
+func (b *Brain) addEndpoint(entry Endpoint) {
+	entry.Kind, entry.Zone = max(0, entry.Kind), max(0, entry.Zone)
+	d := b.destination(entry.Destination)
+	e := b.endpoints[entry.ID]
+	if e == nil || e.Destination != entry.Destination {
 		e = &endpoint{}
-		b.endpoints[line.ID] = e
-		if line.Kind < len(b.settings.Kinds) && b.settings.Kinds[line.Kind].PerEndpointRoutes {
-			e.route, d.hasEndpointRoutes = b.newRoute(uint32(line.ID), line.Destination), true
+		b.endpoints[entry.ID] = e
+		if entry.Kind < len(b.settings.Kinds) && b.settings.Kinds[entry.Kind].PerEndpointRoutes {
+			e.route, d.hasEndpointRoutes = b.newRoute(uint32(entry.ID), entry.Destination), true
 		} else {
 			if d.sharedRoute == nil {
-				d.sharedRoute = b.newRoute(uint32(line.Destination), line.Destination)
+				d.sharedRoute = b.newRoute(uint32(entry.Destination), entry.Destination)
 				d.sharedRoute.restoredRate = d.restoredRate
 			}
 			e.route = d.sharedRoute
@@ -88,13 +88,13 @@
 	if d.sharedRoute == nil { // also of one that was forgotten while its endpoint was not
 		d.hasEndpointRoutes = true
 	}
-	e.Endpoint, e.listed = line, true
-	if b.settings.RatingIsLimit && isPositive(line.Rating) {
-		b.setLimit(e.route, line.Rating)
+	e.Endpoint, e.listed = entry, true
+	if b.settings.RatingIsLimit && isPositive(entry.Rating) {
+		b.setLimit(e.route, entry.Rating)
 	}
 	d.endpoints = append(d.endpoints, e)
-	delete(b.removedEndpoints, line.ID)
-	delete(b.emptyDestinations, line.Destination)
+	delete(b.removedEndpoints, entry.ID)
+	delete(b.emptyDestinations, entry.Destination)
 	if d.sharedRoute == nil {
 		b.rescheduleExpiries(d)
 	}
--- a/brain/hibernation.go
+++ b/brain/hibernation.go
@@ -270,15 +270,15 @@
 
 // matchesHibernated reports whether an entry of the list says what is recorded already, so that its
 // destination need not be woken up.
-func (b *Brain) matchesHibernated(line Endpoint) bool {
-	at, ok := b.hibernatedEndpoints[line.ID]
-	if !ok || at != line.Destination || !line.Ready {
+func (b *Brain) matchesHibernated(entry Endpoint) bool {
+	at, ok := b.hibernatedEndpoints[entry.ID]
+	if !ok || at != entry.Destination || !entry.Ready {
 		return false
 	}
-	for _, l := range b.hibernated[at].endpoints {
-		if l.id == line.ID {
-			samePlace := int(l.kind) == max(0, line.Kind) && int(l.zone) == max(0, line.Zone)
-			return samePlace && l.rating == float32(line.Rating)
+	for _, h := range b.hibernated[at].endpoints {
+		if h.id == entry.ID {
+			samePlace := int(h.kind) == max(0, entry.Kind) && int(h.zone) == max(0, entry.Zone)
+			return samePlace && h.rating == float32(entry.Rating)
 		}
 	}
 	return false
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -36,51 +36,51 @@
 
 // observedRoute is the route that something was observed of; nil if no list has named it, or if it
 // hibernates.
-func (b *Brain) observedRoute(e Observation) *route {
-	if e.Endpoint != 0 {
-		if at := b.endpoints[e.Endpoint]; at != nil && at.Destination == e.Destination {
+func (b *Brain) observedRoute(o Observation) *route {
+	if o.Endpoint != 0 {
+		if at := b.endpoints[o.Endpoint]; at != nil && at.Destination == o.Destination {
 			return at.route
 		}
 		return nil
 	}
-	if d := b.destinations[e.Destination]; d != nil {
+	if d := b.destinations[o.Destination]; d != nil {
 		return d.sharedRoute
 	}
 	return nil
 }
 
 // applyObservation takes over what was observed by others.
-func (b *Brain) applyObservation(e Observation) {
-	r := b.observedRoute(e)
+func (b *Brain) applyObservation(o Observation) {
+	r := b.observedRoute(o)
 	if r == nil {
 		return
 	}
-	if e.RetryAfter > 0 { // the destination asked for quiet, from all senders
-		if e.Local {
-			r.ownRetryAfterUntil = max(r.ownRetryAfterUntil, b.now+e.RetryAfter)
+	if o.RetryAfter > 0 { // the destination asked for quiet, from all senders
+		if o.Local {
+			r.ownRetryAfterUntil = max(r.ownRetryAfterUntil, b.now+o.RetryAfter)
 		}
-		b.applyRetryAfter(r, b.now+e.RetryAfter)
+		b.applyRetryAfter(r, b.now+o.RetryAfter)
 	}
-	if r.Samples == 0 && e.Samples > 0 {
+	if r.Samples == 0 && o.Samples > 0 {
 		r.Restore(restart.Remembered{
-			Samples:       e.Samples,
-			MeanSeconds:   e.MeanLatency.Seconds(),
-			MedianLatency: e.MedianLatency,
-			MinLatency:    e.MinLatency,
-			Timeout:       e.Timeout,
-		}, trust(e.LatencyAge))
+			Samples:       o.Samples,
+			MeanSeconds:   o.MeanLatency.Seconds(),
+			MedianLatency: o.MedianLatency,
+			MinLatency:    o.MinLatency,
+			Timeout:       o.Timeout,
+		}, trust(o.LatencyAge))
 	}
-	if t := decay(e.LimitAge, limitHalfLife); r.limit == 0 && t >= minLimitTrust && isPositive(e.Limit) {
-		b.setLimit(r, e.Limit)
+	if t := decay(o.LimitAge, limitHalfLife); r.limit == 0 && t >= minLimitTrust && isPositive(o.Limit) {
+		b.setLimit(r, o.Limit)
 	}
-	b.applyObservedHealth(r, e)
+	b.applyObservedHealth(r, o)
 	// A window of one, and one call more with each that is served, is right where nothing is known.
-	if r.state == healthy && r.recentlyServed == 0 && e.Window > 1 && e.Health != Unhealthy {
-		part := decay(e.WindowAge, windowHalfLife)
-		if !e.Local {
+	if r.state == healthy && r.recentlyServed == 0 && o.Window > 1 && o.Health != Unhealthy {
+		part := decay(o.WindowAge, windowHalfLife)
+		if !o.Local {
 			part *= remoteWindowShare
 		}
-		r.window.Size = max(r.window.Size, blend(1, min(e.Window, restart.MaxWindow(b.settings.Slots)), part))
+		r.window.Size = max(r.window.Size, blend(1, min(o.Window, restart.MaxWindow(b.settings.Slots)), part))
 	}
 }
 
@@ -93,12 +93,12 @@
 
 // applyObservedHealth takes over the health of a route, unless this process has served there since, or has an
 // outage of its own there.
-func (b *Brain) applyObservedHealth(r *route, e Observation) {
-	seenAt := b.now - e.HealthAge
-	if e.Health == HealthUnknown || r.recentlyServed > 0 && r.lastServed >= seenAt {
+func (b *Brain) applyObservedHealth(r *route, o Observation) {
+	seenAt := b.now - o.HealthAge
+	if o.Health == HealthUnknown || r.recentlyServed > 0 && r.lastServed >= seenAt {
 		return
 	}
-	switch e.Health {
+	switch o.Health {
 	case HealthUnknown: // returned above
 	case Healthy, WarmingUp:
 		r.otherProbers = 0
@@ -107,25 +107,25 @@
 			r.tokens = max(r.tokens, 1)
 		}
 	case Unhealthy:
-		r.otherProbers, r.otherProbersAt = min(e.OtherProbers, maxOtherProbers), seenAt
-		if r.state != healthy || decay(e.HealthAge, healthHalfLife) < minHealthTrust {
+		r.otherProbers, r.otherProbersAt = min(o.OtherProbers, maxOtherProbers), seenAt
+		if r.state != healthy || decay(o.HealthAge, healthHalfLife) < minHealthTrust {
 			return
 		}
 		b.beginOutage(r)
-		r.rateBeforeOutage = max(r.rateBeforeOutage, e.Rate)
-		r.outageSince = min(r.outageSince, b.now-max(e.HealthFor, e.OutageFor))
+		r.rateBeforeOutage = max(r.rateBeforeOutage, o.Rate)
+		r.outageSince = min(r.outageSince, b.now-max(o.HealthFor, o.OutageFor))
 		// The first message tries it: if it has recovered meanwhile, it is avoided for no longer than that.
 		// Senders that restart together all know of it by themselves, and go on in turn.
-		if !e.Local {
+		if !o.Local {
 			r.tokens = 1
 		}
 	}
-	if e.Health == WarmingUp && r.state == healthy && e.HealthFor < b.settings.SlowStartDuration {
-		r.rateBeforeOutage = max(b.usualRate(r.servedCounter), b.evenShare(r.limit), b.priorRate(r), e.Rate)
-		r.state, r.stateSince = warmingUp, b.now-e.HealthFor
-		r.outageSince = b.now - max(e.HealthFor, e.OutageFor)
+	if o.Health == WarmingUp && r.state == healthy && o.HealthFor < b.settings.SlowStartDuration {
+		r.rateBeforeOutage = max(b.usualRate(r.servedCounter), b.evenShare(r.limit), b.priorRate(r), o.Rate)
+		r.state, r.stateSince = warmingUp, b.now-o.HealthFor
+		r.outageSince = b.now - max(o.HealthFor, o.OutageFor)
 		r.window.Size, r.tokens, r.refilledAt = 1, 1, b.now
-		if e.Local {
+		if o.Local {
 			r.tokens = b.randomPhase()
 		}
 	}
--- a/brain/message.go
+++ b/brain/message.go
@@ -126,9 +126,9 @@
 	if m.attemptsInFlight == 0 && b.messages[m.ID] == m {
 		m.destination.pending--
 		delete(b.messages, m.ID)
-		if t := m.keyQueue; t != nil {
-			t.messages = removeFirst(t.messages, m)
-			b.releasedKeyQueues = append(b.releasedKeyQueues, t)
+		if q := m.keyQueue; q != nil {
+			q.messages = removeFirst(q.messages, m)
+			b.releasedKeyQueues = append(b.releasedKeyQueues, q)
 		}
 	}
 }
--- a/brain/observations.go
+++ b/brain/observations.go
@@ -115,38 +115,38 @@
 }
 
 // appendObservation adds to all what was seen of r, with the names that k has; nothing if nothing is known.
-func (b *Brain) appendObservation(all []Observation, r *route, k Observation) []Observation {
-	k.Local = true
+func (b *Brain) appendObservation(all []Observation, r *route, o Observation) []Observation {
+	o.Local = true
 	served := r.recentlyServed > 0 // by this process
 	age := b.now - r.lastServed
 	if served && r.Samples > 0 {
-		k.Timeout = r.Optimum() // brings the mean and the median up to date, too
-		k.Samples, k.LatencyAge = r.Samples, age
-		k.MeanLatency = time.Duration(r.MeanSeconds * float64(time.Second))
-		k.MedianLatency, k.MinLatency = r.MedianLatency, r.MinLatency
+		o.Timeout = r.Optimum() // brings the mean and the median up to date, too
+		o.Samples, o.LatencyAge = r.Samples, age
+		o.MeanLatency = time.Duration(r.MeanSeconds * float64(time.Second))
+		o.MedianLatency, o.MinLatency = r.MedianLatency, r.MinLatency
 	}
 	if served && r.state == healthy {
-		k.Window, k.WindowAge = r.window.Size, age
+		o.Window, o.WindowAge = r.window.Size, age
 	}
 	if r.limit > 0 && r.lastSentAt > 0 {
-		k.Limit, k.LimitAge = r.limit, b.now-r.lastSentAt
+		o.Limit, o.LimitAge = r.limit, b.now-r.lastSentAt
 	}
 	// Only what this sender was told: passed on, a wait that was learned would come back a little longer each
 	// time.
-	k.RetryAfter = max(0, r.ownRetryAfterUntil-b.now)
+	o.RetryAfter = max(0, r.ownRetryAfterUntil-b.now)
 	switch {
 	case r.state == outage && (r.consecutiveFailures > 0 || b.unresponsive(r, 1)): // seen, not only heard of
-		k.Health, k.HealthFor, k.Rate = Unhealthy, b.now-r.stateSince, r.rateBeforeOutage
-		k.HealthAge = b.now - max(r.stateSince, r.lastSentAt)
+		o.Health, o.HealthFor, o.Rate = Unhealthy, b.now-r.stateSince, r.rateBeforeOutage
+		o.HealthAge = b.now - max(r.stateSince, r.lastSentAt)
 	case r.state == warmingUp && served:
-		k.Health, k.HealthFor, k.Rate = WarmingUp, b.now-r.stateSince, r.rateBeforeOutage
-		k.HealthAge = age
+		o.Health, o.HealthFor, o.Rate = WarmingUp, b.now-r.stateSince, r.rateBeforeOutage
+		o.HealthAge = age
 	case r.state == healthy && served:
-		k.Health, k.HealthFor, k.HealthAge = Healthy, b.now-r.firstServed, age
-		k.Rate = max(b.usualRate(r.servedCounter), b.priorRate(r))
+		o.Health, o.HealthFor, o.HealthAge = Healthy, b.now-r.firstServed, age
+		o.Rate = max(b.usualRate(r.servedCounter), b.priorRate(r))
 	}
-	if (k == Observation{Destination: k.Destination, Endpoint: k.Endpoint, Local: true}) {
+	if (o == Observation{Destination: o.Destination, Endpoint: o.Endpoint, Local: true}) {
 		return all
 	}
-	return append(all, k)
+	return append(all, o)
 }
--- a/brain/ordering.go
+++ b/brain/ordering.go
@@ -26,27 +26,27 @@
 }
 
 // startCooldown keeps the next message of a key back after an attempt that may still run.
-func (b *Brain) startCooldown(t *keyQueue) {
-	t.cooldownUntil = max(t.cooldownUntil, b.now+b.settings.OrderingCooldown)
-	if !t.inCooldownList {
-		t.inCooldownList = true
-		b.coolingDown = append(b.coolingDown, t)
+func (b *Brain) startCooldown(q *keyQueue) {
+	q.cooldownUntil = max(q.cooldownUntil, b.now+b.settings.OrderingCooldown)
+	if !q.inCooldownList {
+		q.inCooldownList = true
+		b.coolingDown = append(b.coolingDown, q)
 	}
-	if len(b.coolingDown) > 2*b.cooldownsAfterPruning+64 {
+	if len(b.coolingDown) > 2*b.cooldownsAfterPruning+pruneSlack {
 		b.pruneCooldowns()
 	}
 }
 
 // pruneCooldowns drops the keys whose cool-down is over from Brain.coolingDown.
 func (b *Brain) pruneCooldowns() {
-	kept := b.coolingDown[:0]
-	for _, t := range b.coolingDown {
-		if t.cooldownUntil <= b.now {
-			t.inCooldownList = false
+	remaining := b.coolingDown[:0]
+	for _, q := range b.coolingDown {
+		if q.cooldownUntil <= b.now {
+			q.inCooldownList = false
 			continue
 		}
-		kept = append(kept, t)
+		remaining = append(remaining, q)
 	}
-	clear(b.coolingDown[len(kept):])
-	b.coolingDown, b.cooldownsAfterPruning = shrink(kept), len(kept)
+	clear(b.coolingDown[len(remaining):])
+	b.coolingDown, b.cooldownsAfterPruning = shrink(remaining), len(remaining)
 }
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -12,37 +12,40 @@
 )
 
 // handleResult takes in the result of an attempt, and queues the message again if it needs another one.
-func (b *Brain) handleResult(e AttemptResult) {
-	m := b.messages[e.Message]
-	if m == nil || e.Attempt < 0 || e.Attempt >= len(m.attempts) || m.attempts[e.Attempt].ended {
+func (b *Brain) handleResult(result AttemptResult) {
+	m := b.messages[result.Message]
+	if m == nil || result.Attempt < 0 || result.Attempt >= len(m.attempts) {
 		return
 	}
-	a := &m.attempts[e.Attempt]
-	a.ended, a.uncertain = true, e.Outcome == TimedOut || e.Outcome == ConnectionLost
-	e.Elapsed = max(0, e.Elapsed)
+	a := &m.attempts[result.Attempt]
+	if a.ended {
+		return
+	}
+	a.ended, a.uncertain = true, result.Outcome == TimedOut || result.Outcome == ConnectionLost
+	result.Elapsed = max(0, result.Elapsed)
 	m.attemptsInFlight--
 	b.touch(m.destination)
 	if a.unresolved--; a.unresolved == 0 {
-		b.releaseCall(a, e)
+		b.releaseCall(a, result)
 	}
-	if e.LimitReported && isPositive(e.Limit) {
-		b.setLimit(a.route, e.Limit)
+	if result.LimitReported && isPositive(result.Limit) {
+		b.setLimit(a.route, result.Limit)
 	}
-	if e.RetryAfter > 0 { // each result of a shared call may tell a later end
-		a.route.ownRetryAfterUntil = max(a.route.ownRetryAfterUntil, b.now+e.RetryAfter+time.Millisecond)
+	if result.RetryAfter > 0 { // each result of a shared call may tell a later end
+		a.route.ownRetryAfterUntil = max(a.route.ownRetryAfterUntil, b.now+result.RetryAfter+time.Millisecond)
 		b.applyRetryAfter(a.route, a.route.ownRetryAfterUntil)
 		b.recordChange(a.route)
 	}
-	if !a.recorded && e.Outcome != NotSent {
+	if !a.recorded && result.Outcome != NotSent {
 		a.recorded = true
-		b.recordOutcome(m, a, e)
+		b.recordOutcome(m, a, result)
 	}
 	a.route.lastResultAt = b.now
-	b.sampleLatency(m, a, e)
-	switch e.Outcome {
+	b.sampleLatency(m, a, result)
+	switch result.Outcome {
 	case Served, Errored: // it has run
 	case Rejected, ConnectFailed, NotSent:
-		if e.Revoked { // otherwise revocations would use up its attempts
+		if result.Revoked { // otherwise revocations would use up its attempts
 			m.revokedAttempts++
 		}
 		b.clearMayHaveRun(m)
@@ -51,12 +54,12 @@
 			b.startCooldown(m.keyQueue)
 		}
 	}
-	if e.Final || m.ended {
+	if result.Final || m.ended {
 		b.closeMessage(m)
 		return
 	}
 	if m.attemptsInFlight == 0 {
-		if e.Outcome != TimedOut && !e.ConnLimitReached {
+		if result.Outcome != TimedOut && !result.ConnLimitReached {
 			m.notBefore = b.now + minRetryBackoff<<min(len(m.attempts)-1, maxRetryDoublings)
 		}
 		b.enqueue(m)
@@ -64,14 +67,15 @@
 }
 
 // releaseCall frees the slot and the connection of a call whose last result has come.
-func (b *Brain) releaseCall(a *attempt, e AttemptResult) {
+func (b *Brain) releaseCall(a *attempt, result AttemptResult) {
 	b.callsInFlight--
 	a.route.callsInFlight--
 	if a.overdueCancelled {
 		b.overdueCancelled--
 	}
 	a.endpoint.callsInFlight--
-	if e.ConnLimitReached || a.uncertain || e.Outcome == ConnectFailed || e.Outcome == Cancelled {
+	noConn := result.ConnLimitReached || result.Outcome == ConnectFailed
+	if noConn || a.uncertain || result.Outcome == Cancelled {
 		a.endpoint.openConns--
 	}
 	if a.endpoint.callsInFlight == 0 {
@@ -84,44 +88,45 @@
 }
 
 // recordOutcome counts the outcome of a call in the health of its route and its endpoint.
-func (b *Brain) recordOutcome(m *message, a *attempt, e AttemptResult) {
+func (b *Brain) recordOutcome(m *message, a *attempt, result AttemptResult) {
 	r := a.route
 	failed := 0.0
-	if e.Outcome != Served && e.Outcome != Rejected || e.ConnLimitReached {
+	if result.Outcome != Served && result.Outcome != Rejected || result.ConnLimitReached {
 		failed = 1
 	}
 	a.endpoint.failureRate += failureRateWeight * (failed - a.endpoint.failureRate)
-	if e.Outcome != Rejected {
+	if result.Outcome != Rejected {
 		r.failureRate += failureRateWeight * (failed - r.failureRate)
 		r.consecutiveErrors++
 	}
-	if e.Outcome == Served {
-		b.recordSuccess(m, a, e)
+	if result.Outcome == Served {
+		b.recordSuccess(m, a, result)
 		return
 	}
-	if e.Outcome == ConnectFailed || e.ConnLimitReached { // it may hold all the connections that it takes
+	// The endpoint may have all the connections that it takes.
+	if result.Outcome == ConnectFailed || result.ConnLimitReached {
 		_, kindTimeout := b.idleTimeout(a.endpoint)
 		*kindTimeout /= idleTimeoutDivisor
 		b.setIdleReduction(a.endpoint, b.settings.IdleConnTimeout)
 	}
-	if e.ConnLimitReached { // which says nothing of calls
+	if result.ConnLimitReached { // which says nothing of calls
 		b.recordConnLimit(a.endpoint)
 		return
 	}
 	// Rejections of a destination whose allowance is used up are no failures.
-	limited := e.Outcome == Rejected && e.LimitReported && isPositive(e.Limit)
-	if !limited || e.Remaining >= plentifulRemaining {
+	limited := result.Outcome == Rejected && result.LimitReported && isPositive(result.Limit)
+	if !limited || result.Remaining >= plentifulRemaining {
 		r.consecutiveFailures++
 	}
 	switch {
-	case e.Outcome == Rejected:
-		b.recordRejection(r, a, e)
-	case e.Outcome == TimedOut && r.Doubled():
+	case result.Outcome == Rejected:
+		b.recordRejection(r, a, result)
+	case result.Outcome == TimedOut && r.Doubled():
 		r.window.Halve(a.sentAt, b.now)
 	}
 	// Rejections come in runs where a limit is met, too: they are an outage only if none was served for a
 	// while.
-	unservedForLong := e.Outcome != Rejected || b.now-r.lastServed > b.settings.OverloadWindow/2
+	unservedForLong := result.Outcome != Rejected || b.now-r.lastServed > b.settings.OverloadWindow/2
 	failing := r.consecutiveFailures >= b.outageThreshold(r) && unservedForLong
 	persistent := failing || r.failureRate > outageFailureRate
 	failsAgain := r.consecutiveFailures >= b.outageThreshold(r)/2+1 && unservedForLong
@@ -131,9 +136,9 @@
 }
 
 // recordSuccess counts a call that was served.
-func (b *Brain) recordSuccess(m *message, a *attempt, e AttemptResult) {
+func (b *Brain) recordSuccess(m *message, a *attempt, result AttemptResult) {
 	r := a.route
-	seconds := e.Elapsed.Seconds()
+	seconds := result.Elapsed.Seconds()
 	for _, recent := range []*float64{&r.recentLatency, &a.endpoint.recentLatency} {
 		if *recent == 0 {
 			*recent = seconds
@@ -148,16 +153,16 @@
 		b.endOutage(r, a.endpoint)
 	}
 	r.window.RecordSuccess(r.callsInFlight, b.settings.Slots)
-	b.adjustSendRate(r, e)
+	b.adjustSendRate(r, result)
 }
 
 // recordRejection closes the route for a back-off, unless the destination told a retry-after.
-func (b *Brain) recordRejection(r *route, a *attempt, e AttemptResult) {
+func (b *Brain) recordRejection(r *route, a *attempt, result AttemptResult) {
 	r.window.Halve(a.sentAt, b.now)
 	b.decreaseSendRate(r, 1)
-	if e.RetryAfter > 0 {
+	if result.RetryAfter > 0 {
 		// Closed for longer than any limit is counted over, it comes back with a slow start.
-		if e.RetryAfter > b.settings.OverloadWindow && r.state != outage {
+		if result.RetryAfter > b.settings.OverloadWindow && r.state != outage {
 			b.beginOutage(r)
 		}
 		return
--- a/brain/queue.go
+++ b/brain/queue.go
@@ -29,13 +29,13 @@
 	d.lastWaiting = m
 	d.waiting++
 	if !m.mayHaveRun && !m.Resumed {
-		l := d.tenantQueue(m.Tenant)
-		m.previousOfTenant, m.nextOfTenant = l.newest, nil
-		if l.newest != nil {
-			l.newest.nextOfTenant = m
+		queue := d.tenantQueue(m.Tenant)
+		m.previousOfTenant, m.nextOfTenant = queue.newest, nil
+		if queue.newest != nil {
+			queue.newest.nextOfTenant = m
 		}
-		l.newest = m
-		l.count++
+		queue.newest = m
+		queue.count++
 		m.sheddable = true
 	}
 	if m.notBefore > b.now {
@@ -66,17 +66,17 @@
 	m.previous, m.next = nil, nil
 	d.waiting--
 	if m.sheddable {
-		l := d.tenantQueue(m.Tenant)
+		queue := d.tenantQueue(m.Tenant)
 		if m.previousOfTenant != nil {
 			m.previousOfTenant.nextOfTenant = m.nextOfTenant
 		}
 		if m.nextOfTenant != nil {
 			m.nextOfTenant.previousOfTenant = m.previousOfTenant
 		} else {
-			l.newest = m.previousOfTenant
+			queue.newest = m.previousOfTenant
 		}
 		m.previousOfTenant, m.nextOfTenant, m.sheddable = nil, nil, false
-		l.count--
+		queue.count--
 	}
 	if d.waiting == 0 {
 		d.backoffs, d.tenantQueues = nil, nil
@@ -85,6 +85,7 @@
 	b.expiries.remove(m)
 }
 
+// tenantQueue returns the queue of a tenant, which it makes if there is none.
 func (d *destination) tenantQueue(tenant int) *tenantQueue {
 	for i := range d.tenantQueues {
 		if d.tenantQueues[i].tenant == tenant {
@@ -145,6 +146,10 @@
 	return low
 }
 
+// pruneSlack is how many entries beyond twice those left at the last pruning a list may have before it is
+// pruned again.
+const pruneSlack = 64
+
 // shrink frees most of the capacity of a list that was much longer once: a burst does not hold memory for
 // good.
 func shrink[T any](list []T) []T {
--- a/brain/rate_limits.go
+++ b/brain/rate_limits.go
@@ -83,15 +83,15 @@
 
 // adjustSendRate lets the send rate grow with a call that was served, or cuts it where the allowance is
 // nearly used up.
-func (b *Brain) adjustSendRate(r *route, e AttemptResult) {
+func (b *Brain) adjustSendRate(r *route, result AttemptResult) {
 	switch {
-	case r.limit > 0 && (e.Limit == 0 || e.Remaining > plentifulRemaining):
+	case r.limit > 0 && (result.Limit == 0 || result.Remaining > plentifulRemaining):
 		step := sendRateIncrease * b.initialSendRate(r.limit)
-		if e.Limit == 0 {
+		if result.Limit == 0 {
 			step *= 2 // no allowance to use up: the rating of the endpoint is a capacity
 		}
 		r.sendRate = min(r.limit, r.sendRate+step)
-	case r.limit > 0 && e.Remaining < scarceRemaining: // rejections may use it up, too
+	case r.limit > 0 && result.Remaining < scarceRemaining: // rejections may use it up, too
 		b.decreaseSendRate(r, 0)
 	}
 }
--- a/brain/shedding.go
+++ b/brain/shedding.go
@@ -2,8 +2,12 @@
 
 import "time"
 
-// shedThreshold is the share of Settings.MaxPending above which messages are rejected.
-const shedThreshold = 0.95
+const (
+	// shedThreshold is the share of Settings.MaxPending above which messages are rejected.
+	shedThreshold = 0.95
+	// minServedRate, in calls a second, bounds the expected wait at a destination that serves nothing.
+	minServedRate = 0.1
+)
 
 // shedLoad rejects messages while nearly as many are pending as may be: the newest one of the destination
 // with the longest queue, of a tenant beyond its share first. Its client can come back; without it others
@@ -14,8 +18,9 @@
 		longest := 0.0
 		for _, d := range b.active {
 			for _, m := range d.shedCandidates() {
-				w := b.tenantWeight(m.Tenant)
-				if wait := float64(d.waiting) / (0.1 + m.route().servedRate()) / (w * w); wait >= longest {
+				weight := b.tenantWeight(m.Tenant)
+				wait := float64(d.waiting) / (minServedRate + m.route().servedRate()) / (weight * weight)
+				if wait >= longest {
 					victim, longest = m, wait
 				}
 			}
--- a/brain/timeouts.go
+++ b/brain/timeouts.go
@@ -69,19 +69,19 @@
 
 // sampleLatency gives the oracle its sample: only first attempts that were served (Karn's algorithm); a
 // time-out doubles the next one.
-func (b *Brain) sampleLatency(m *message, a *attempt, e AttemptResult) {
+func (b *Brain) sampleLatency(m *message, a *attempt, result AttemptResult) {
 	switch {
-	case e.Outcome == Served && a.sampleWeight > 0:
+	case result.Outcome == Served && a.sampleWeight > 0:
 		first := a.route.MinLatency == 0
-		a.route.AddSample(e.Elapsed, a.sampleWeight, false)
+		a.route.AddSample(result.Elapsed, a.sampleWeight, false)
 		if first { // those that wait have less time from now on
 			b.rescheduleExpiries(m.destination)
 		}
-		b.allRoutes.AddSample(e.Elapsed, a.sampleWeight, false)
+		b.allRoutes.AddSample(result.Elapsed, a.sampleWeight, false)
 		a.route.ResetTimeout()
-	case e.Outcome == TimedOut && a.toDeadline && a.sampleWeight > 0:
+	case result.Outcome == TimedOut && a.toDeadline && a.sampleWeight > 0:
 		a.route.AddSample(0, a.sampleWeight, true)
-	case e.Outcome == TimedOut && !a.toDeadline:
+	case result.Outcome == TimedOut && !a.toDeadline:
 		a.route.RecordTimeout(a.sentAt, b.now)
 	}
 }
--- a/brain/usual_rates.go
+++ b/brain/usual_rates.go
@@ -21,23 +21,23 @@
 }
 
 // value is the count as of now.
-func (f *decayingCounter) value(now, span time.Duration) float64 {
-	return f.count * math.Exp(-(now-f.updatedAt).Seconds()/span.Seconds())
+func (c *decayingCounter) value(now, window time.Duration) float64 {
+	return c.count * math.Exp(-(now-c.updatedAt).Seconds()/window.Seconds())
 }
 
 // add counts one more.
-func (f *decayingCounter) add(now, span time.Duration) {
-	f.count, f.updatedAt = f.value(now, span)+1, now
+func (c *decayingCounter) add(now, window time.Duration) {
+	c.count, c.updatedAt = c.value(now, window)+1, now
 }
 
 // usualRate is the rate of what a counter of one route has counted, in calls a second: of that, and of one
 // more in the time in which a route gets one in the mean, so that a sender which has seen few yet is not
 // misled by them.
-func (b *Brain) usualRate(n decayingCounter) float64 {
+func (b *Brain) usualRate(counter decayingCounter) float64 {
 	counted := b.usualWindow()
 	arrivals := b.arrivalCounter.value(b.now, usualRateWindow) + 1
 	each := float64(max(1, b.routeCount)) * (counted + 1) / arrivals
-	return (n.value(b.now, usualRateWindow) + 1) / (counted + each)
+	return (counter.value(b.now, usualRateWindow) + 1) / (counted + each)
 }
 
 // usualWindow is the part of usualRateWindow that this process has seen, weighted as the counters are, in
@@ -89,11 +89,11 @@
 }
 
 // restoreUsualRate takes over what an earlier process knew.
-func (b *Brain) restoreUsualRate(e UsualRate) {
-	if d := b.destination(e.Destination); isPositive(e.Rate) {
-		d.restoredRate = e.Rate
+func (b *Brain) restoreUsualRate(u UsualRate) {
+	if d := b.destination(u.Destination); isPositive(u.Rate) {
+		d.restoredRate = u.Rate
 		if d.sharedRoute != nil {
-			d.sharedRoute.restoredRate = e.Rate
+			d.sharedRoute.restoredRate = u.Rate
 		}
 	}
 }
