--- a/internal/nameserver/disk.go
+++ b/internal/nameserver/disk.go
@@ -1,7 +1,3 @@
-// Package nameserver holds zones and serves them: from files that are followed, from primaries, and by signed updates that
-// are journalled before they are answered. It tells the sender where its members' names lead.
-//
-// What is decided stands in packages zone and membership; here is what reads, writes and listens.
 package nameserver
 
 import (
@@ -13,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// disk is what the store and the followed files need of a file system; tests make it fail and die.
+// disk is the part of a file system that the store and the zone files use. Tests replace it by one that fails and crashes.
 type disk interface {
 	ReadFile(name string) ([]byte, error)
 	Create(name string) (file, error)                   // new, or emptied
@@ -32,15 +28,18 @@
 	Close() error
 }
 
-// osDisk is the machine's.
+// osDisk is the operating system's file system.
 type osDisk struct{}
 
+// ReadFile reads a file.
 func (osDisk) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
 
+// Create creates or truncates a file that only its owner can read.
 func (osDisk) Create(name string) (file, error) {
 	return os.OpenFile(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 }
 
+// Append opens an existing file for appending and returns its size in bytes.
 func (osDisk) Append(name string) (file, int64, error) {
 	f, err := os.OpenFile(name, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -53,8 +52,10 @@
 	return f, info.Size(), nil
 }
 
+// Rename renames a file, in place of what has the name.
 func (osDisk) Rename(from, to string) error { return os.Rename(from, to) }
 
+// Exchange exchanges two existing files in one step.
 func (osDisk) Exchange(a, b string) error {
 	if err := unix.Renameat2(unix.AT_FDCWD, a, unix.AT_FDCWD, b, unix.RENAME_EXCHANGE); err != nil {
 		return &os.LinkError{Op: "exchange", Old: a, New: b, Err: err}
@@ -62,6 +63,7 @@
 	return nil
 }
 
+// SyncDir makes renames in a folder durable.
 func (osDisk) SyncDir(name string) error {
 	d, err := os.Open(name)
 	if err != nil {
@@ -70,6 +72,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
+// ModTime returns when a file was changed.
 func (osDisk) ModTime(name string) (time.Time, error) {
 	info, err := os.Stat(name)
 	if err != nil {
@@ -78,9 +81,10 @@
 	return info.ModTime(), nil
 }
 
+// Touch sets when a file was changed.
 func (osDisk) Touch(name string, t time.Time) error { return os.Chtimes(name, t, t) }
 
-// writeAtomically writes a file so that after a crash there is either what was there or all of this.
+// writeAtomically writes a file so that after a crash it has either its former content or all of the new.
 func writeAtomically(d disk, dir, name string, content []byte) error {
 	tmp := name + ".new"
 	f, err := d.Create(tmp)
--- a/internal/nameserver/follow.go
+++ b/internal/nameserver/file_watcher.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	quietPeriod       = 200 * time.Millisecond  // a file counts as written when it has stood still for so long
-	maxQuietWait      = 1500 * time.Millisecond // it is looked at then, whatever: two seconds are all there is
+	quietPeriod       = 200 * time.Millisecond  // a file counts as written when it has not changed for so long
+	maxQuietWait      = 1500 * time.Millisecond // it is read then, even while it changes: it has to be served within two seconds
 	writeBackInterval = 2 * time.Second         // updates are written into the zone's file so long after the first of them
-	pollInterval      = 10 * time.Second        // files are looked at so often besides: a folder may be a mount that tells nothing
+	pollInterval      = 10 * time.Second        // files are polled so often: a mounted folder may give no notification
 )
 
-// fileWatcher follows the files of zones: as they change, and now and then besides.
+// fileWatcher follows the files of zones, by notification and by polling.
 type fileWatcher struct {
 	watcher *fsnotify.Watcher
 	zones   []*managedZone
 	log     *slog.Logger
-	rescan  chan struct{} // all are looked at now
+	rescan  chan struct{} // all files are read now
 }
 
 func newFileWatcher(zones []*managedZone, log *slog.Logger) (*fileWatcher, error) {
@@ -44,7 +44,7 @@
 	return f, nil
 }
 
-// fileStamp is what tells that a file has changed.
+// fileStamp tells whether a file has changed.
 type fileStamp struct {
 	size int64
 	time time.Time
@@ -58,31 +58,22 @@
 	return fileStamp{info.Size(), info.ModTime()}
 }
 
-// pendingFile is a file that has changed, and may be changing still.
+// pendingFile is a file that has changed, and may still be changing.
 type pendingFile struct {
 	firstChange, lastChange time.Time
 	stamp                   fileStamp
 }
 
+// run follows the files until ctx ends: as they change, by polling, and by rescan. A file is loaded once it has stood still.
 func (f *fileWatcher) run(ctx context.Context) {
 	defer f.watcher.Close()
-	waiting := map[*managedZone]*pendingFile{}
 	timer := time.NewTimer(0)
-	every := time.NewTicker(pollInterval)
-	defer every.Stop()
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
 	defer timer.Stop()
-	mark := func(z *managedZone) {
-		now := time.Now()
-		if d := waiting[z]; d != nil {
-			d.lastChange = now
-		} else {
-			waiting[z] = &pendingFile{firstChange: now, lastChange: now, stamp: fileStampOf(z.config.File)}
-		}
-		timer.Reset(quietPeriod / 4)
-	}
-	loaded := map[*managedZone]fileStamp{}
+	p := pendingFiles{files: map[*managedZone]*pendingFile{}, loaded: map[*managedZone]fileStamp{}, timer: timer}
 	for _, z := range f.zones {
-		loaded[z] = fileStampOf(z.config.File)
+		p.loaded[z] = fileStampOf(z.config.File)
 	}
 	for {
 		select {
@@ -94,75 +85,71 @@
 			}
 			for _, z := range f.zones {
 				if filepath.Dir(e.Name) == filepath.Dir(z.config.File) && !z.isOwnFile(e.Name) {
-					mark(z)
+					p.add(z)
 				}
 			}
 		case err, ok := <-f.watcher.Errors:
 			if !ok {
 				return
 			}
-			f.log.Warn("changes of zone files may be missed: all are looked at", "err", err) // its queue was full, as a rule
+			f.log.Warn("changes of zone files may be missed: all are looked at", "err", err) // as a rule its queue was full
 			for _, z := range f.zones {
-				mark(z)
+				p.add(z)
 			}
 		case <-f.rescan:
 			for _, z := range f.zones {
 				z.loadFile()
-				loaded[z] = fileStampOf(z.config.File)
+				p.loaded[z] = fileStampOf(z.config.File)
 			}
-		case <-every.C:
+		case <-poll.C:
 			for _, z := range f.zones {
-				if loaded[z] != fileStampOf(z.config.File) {
-					mark(z)
+				if p.loaded[z] != fileStampOf(z.config.File) {
+					p.add(z)
 				}
 			}
 		case <-timer.C:
 		}
-		now := time.Now()
-		for z, d := range waiting {
-			if s := fileStampOf(z.config.File); s != d.stamp {
-				d.stamp, d.lastChange = s, now
-			}
-			if now.Sub(d.lastChange) >= quietPeriod || now.Sub(d.firstChange) >= maxQuietWait {
-				delete(waiting, z)
-				loaded[z] = d.stamp
-				z.loadFile() // it tells what is wrong
-			}
-		}
-		if len(waiting) > 0 {
-			timer.Reset(quietPeriod / 4)
-		}
+		p.loadQuiet()
 	}
 }
 
-// isOwnFile reports whether a file is one that the daemon itself writes beside the zone's.
-func (z *managedZone) isOwnFile(name string) bool {
-	return name == z.config.File+".before"
+// pendingFiles are the files that have changed and are not loaded yet. It is for the watcher's goroutine.
+type pendingFiles struct {
+	files  map[*managedZone]*pendingFile
+	loaded map[*managedZone]fileStamp // as they were when they were loaded last
+	timer  *time.Timer                // fires when files are to be looked at again
 }
 
-// writeBack writes updates into zones' files, a while after they came.
-func writeBack(ctx context.Context, zones []*managedZone) {
-	every := time.NewTicker(writeBackInterval)
-	defer every.Stop()
-	told := map[*managedZone]string{}
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-every.C:
+// add notes that a zone's file has changed just now.
+func (p *pendingFiles) add(z *managedZone) {
+	now := time.Now()
+	if f := p.files[z]; f != nil {
+		f.lastChange = now
+	} else {
+		p.files[z] = &pendingFile{firstChange: now, lastChange: now, stamp: fileStampOf(z.config.File)}
+	}
+	p.timer.Reset(quietPeriod / 4)
+}
+
+// loadQuiet loads the files that have stood still for quietPeriod, or have been changing for maxQuietWait.
+func (p *pendingFiles) loadQuiet() {
+	now := time.Now()
+	for z, f := range p.files {
+		if s := fileStampOf(z.config.File); s != f.stamp {
+			f.stamp, f.lastChange = s, now
 		}
-		for _, z := range zones {
-			if !z.isFileBehind() {
-				continue
-			}
-			err := z.writeFile()
-			switch {
-			case err == nil:
-				delete(told, z)
-			case told[z] != err.Error():
-				told[z] = err.Error()
-				z.log.Warn("updates are not written into the zone's file; they are kept in the journal", "err", err)
-			}
+		if now.Sub(f.lastChange) >= quietPeriod || now.Sub(f.firstChange) >= maxQuietWait {
+			delete(p.files, z)
+			p.loaded[z] = f.stamp
+			z.loadFile() // it logs what is wrong
 		}
 	}
+	if len(p.files) > 0 {
+		p.timer.Reset(quietPeriod / 4)
+	}
+}
+
+// isOwnFile reports whether a file is one that the daemon itself writes beside the zone's.
+func (z *managedZone) isOwnFile(name string) bool {
+	return name == z.config.File+".before"
 }
--- a/internal/nameserver/keys.go
+++ b/internal/nameserver/keys.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		bad := func(format string, args ...any) error {
-			return fmt.Errorf("%s:%d: %w", path, i+1, fmt.Errorf(format, args...))
+			return &KeyFileError{Path: path, Line: i + 1, Detail: fmt.Sprintf(format, args...)}
 		}
 		if len(f) != 3 {
 			return nil, bad("a line is NAME ALGORITHM SECRET, this one has %d words", len(f))
@@ -96,19 +96,19 @@
 	return keys, nil
 }
 
-// Keyring is the keys in use; they may change in service.
+// Keyring has the TSIG keys in use, which may be replaced in service. It is safe for concurrent use.
 type Keyring struct {
 	keys atomic.Pointer[map[string]Key]
 }
 
-// NewKeyring holds keys.
+// NewKeyring returns a keyring with keys.
 func NewKeyring(keys []Key) *Keyring {
 	r := &Keyring{}
 	r.Set(keys)
 	return r
 }
 
-// Set takes other keys in their place: those that are missing are refused from now on.
+// Set replaces the keys; messages signed with any other are rejected from now on.
 func (r *Keyring) Set(keys []Key) {
 	m := make(map[string]Key, len(keys))
 	for _, k := range keys {
@@ -122,7 +122,7 @@
 	return k, ok
 }
 
-// Has reports whether a key is there.
+// Has reports whether there is a key of a name.
 func (r *Keyring) Has(name string) bool {
 	_, ok := r.get(name)
 	return ok
@@ -158,11 +158,11 @@
 	return nil
 }
 
-// Sign marks a message to be signed with a key as it is sent.
+// Sign adds a TSIG record for a key to a message, which is signed as it is sent. now is Unix seconds.
 func (r *Keyring) Sign(m *dns.Msg, name string, now int64) error {
 	k, ok := r.get(name)
 	if !ok {
-		return fmt.Errorf("there is no key %s", name)
+		return configError("there is no key %s", name)
 	}
 	m.SetTsig(k.Name, k.Algorithm, maxFudgeSeconds, now)
 	return nil
--- a/internal/nameserver/notify.go
+++ b/internal/nameserver/notify.go
@@ -13,12 +13,12 @@
 
 const (
 	notifyAttempts = 5
-	notifyBackoff  = time.Second // after the first failure; doubles (RFC 1996 3.6 asks for a timeout and retries)
+	notifyBackoff  = time.Second // after the first failure; it doubles (RFC 1996 3.6 asks for time-outs and retries)
 	notifyTimeout  = 2 * time.Second
 )
 
-// notifier tells secondaries that a zone has changed. While one is told a further change is told after; many changes are
-// one NOTIFY, as it names the newest serial.
+// notifier sends NOTIFY (RFC 1996) to secondaries, each from a goroutine of its own. Changes during a NOTIFY are one further NOTIFY, as it
+// names the newest serial.
 type notifier struct {
 	log   *slog.Logger
 	keys  *Keyring
--- a/internal/nameserver/primary.go
+++ b/internal/nameserver/secondary.go
@@ -2,11 +2,7 @@
 
 import (
 	"context"
-	"encoding/binary"
 	"errors"
-	"fmt"
-	"io"
-	"net"
 	"time"
 
 	"github.com/miekg/dns"
@@ -15,18 +11,18 @@
 )
 
 const (
-	queryTimeout    = 3 * time.Second  // a question for a SOA
-	connectTimeout  = 3 * time.Second  // a transfer's connection
-	messageTimeout  = 10 * time.Second // and the next message of it
-	transferTimeout = time.Minute      // all of it
-	confirmInterval = 10 * time.Second // that the primary was heard of is noted so often at most
+	queryTimeout    = 3 * time.Second  // of a query for the SOA
+	connectTimeout  = 3 * time.Second  // of a transfer's connection
+	messageTimeout  = 10 * time.Second // until the next message of a transfer
+	transferTimeout = time.Minute      // of a whole transfer
+	confirmInterval = 10 * time.Second // between two notes in the store that the primary confirmed the version
 )
 
-// secondary follows one zone at its primary.
+// secondary keeps a secondary zone up to date with its primary; zone.Secondary decides when it asks what.
 type secondary struct {
 	zone   *managedZone
 	keys   *Keyring
-	events chan zone.SecondaryEvent // NOTIFYs, and how what was asked for ended
+	events chan zone.SecondaryEvent // received NOTIFYs
 	clock  func() time.Duration
 }
 
@@ -34,7 +30,7 @@
 	return &secondary{zone: z, keys: keys, events: make(chan zone.SecondaryEvent, 16), clock: clock}
 }
 
-// notify passes a NOTIFY on. When many wait already it is dropped: they say the same.
+// notify passes a NOTIFY on. When many wait already it is dropped, as they say the same.
 func (s *secondary) notify(serial uint32) {
 	select {
 	case s.events <- zone.SecondaryEvent{Notified: &serial}:
@@ -82,7 +78,7 @@
 		}
 		if (e.Serial != nil || e.Version != nil) && now-confirmed > confirmInterval {
 			confirmed = now
-			if err := s.zone.store.markConfirmed(time.Now()); err != nil && !isNotExist(err) {
+			if err := s.zone.store.confirm(time.Now()); err != nil && !isNotExist(err) {
 				s.zone.log.Warn("that the primary was heard of can't be noted", "err", err)
 			}
 		}
@@ -93,7 +89,7 @@
 	}
 }
 
-// do asks the primary and says how that ended.
+// do asks the primary and returns the result as an event.
 func (s *secondary) do(ctx context.Context, a zone.SecondaryAction) zone.SecondaryEvent {
 	failed := func(what string, err error) zone.SecondaryEvent {
 		if ctx.Err() == nil {
@@ -162,146 +158,19 @@
 			continue
 		}
 		if r.Rcode != dns.RcodeSuccess {
-			return 0, fmt.Errorf("it answers %s", dns.RcodeToString[r.Rcode])
+			return 0, &RcodeError{Rcode: r.Rcode}
 		}
 		for _, rr := range r.Answer {
 			if soa, ok := rr.(*dns.SOA); ok && zone.Name(soa.Hdr.Name) == s.zone.config.Name {
 				return soa.Serial, nil
 			}
 		}
-		return 0, errors.New("its answer holds no SOA of the zone")
+		return 0, errNoSOA
 	}
-	return 0, errors.New("its answer is cut off")
+	return 0, errTruncatedAnswer
 }
 
 func signedBy(m *dns.Msg, key string) bool {
 	t := m.IsTsig()
 	return t != nil && zone.Name(t.Hdr.Name) == zone.Name(key) && t.Error == dns.RcodeSuccess
 }
-
-// errNoIXFR says that the primary makes no differences.
-var errNoIXFR = errors.New("the primary gives no differences")
-
-// transfer asks for the zone, by differences from before or whole, and reads the answer to its end. With a key each
-// message of it must be signed (RFC 8945 5.3.1 would allow less; what is not signed here is not taken).
-func (s *secondary) transfer(ctx context.Context, before *zone.Zone) ([]dns.RR, error) {
-	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
-	defer cancel()
-	d := net.Dialer{Timeout: connectTimeout}
-	conn, err := d.DialContext(ctx, "tcp", s.zone.config.Primary)
-	if err != nil {
-		return nil, err
-	}
-	defer conn.Close()
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
-	defer stop()
-
-	q := new(dns.Msg)
-	if before == nil {
-		q.SetAxfr(s.zone.config.Name)
-	} else {
-		soa := before.SOA()
-		q.SetIxfr(s.zone.config.Name, soa.Serial, soa.Ns, soa.Mbox)
-	}
-	q.RecursionDesired = false
-	var raw []byte
-	mac := ""
-	if err := s.sign(q); err != nil {
-		return nil, err
-	}
-	if s.zone.config.Key != "" {
-		raw, mac, err = dns.TsigGenerateWithProvider(q, s.keys, "", false)
-	} else {
-		raw, err = q.Pack()
-	}
-	if err != nil {
-		return nil, err
-	}
-	if _, err := conn.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(raw))), raw...)); err != nil {
-		return nil, err
-	}
-	var rrs []dns.RR
-	end := transferEnd{}
-	for n := 0; ; n++ {
-		conn.SetReadDeadline(time.Now().Add(messageTimeout))
-		if ctx.Err() != nil {
-			return nil, ctx.Err()
-		}
-		var size [2]byte
-		if _, err := io.ReadFull(conn, size[:]); err != nil {
-			return nil, fmt.Errorf("message %d: %w", n+1, err)
-		}
-		raw := make([]byte, binary.BigEndian.Uint16(size[:]))
-		if _, err := io.ReadFull(conn, raw); err != nil {
-			return nil, fmt.Errorf("message %d: %w", n+1, err)
-		}
-		m := new(dns.Msg)
-		if err := m.Unpack(raw); err != nil {
-			return nil, fmt.Errorf("message %d: %w", n+1, err)
-		}
-		if m.Id != q.Id || !m.Response {
-			return nil, fmt.Errorf("message %d is no answer to the question", n+1)
-		}
-		if s.zone.config.Key != "" {
-			if !signedBy(m, s.zone.config.Key) {
-				return nil, fmt.Errorf("message %d: %w", n+1, errUnsigned)
-			}
-			if err := dns.TsigVerifyWithProvider(raw, s.keys, mac, n > 0); err != nil {
-				return nil, fmt.Errorf("message %d: %w", n+1, err)
-			}
-			mac = m.IsTsig().MAC
-		}
-		if m.Rcode != dns.RcodeSuccess {
-			if before != nil && (m.Rcode == dns.RcodeFormatError || m.Rcode == dns.RcodeNotImplemented) {
-				return nil, errNoIXFR
-			}
-			return nil, fmt.Errorf("it answers %s", dns.RcodeToString[m.Rcode])
-		}
-		for i, rr := range m.Answer {
-			if rrs = append(rrs, rr); len(rrs) > 2*s.zone.maxRecords+2 {
-				return nil, fmt.Errorf("more than %d records", 2*s.zone.maxRecords)
-			}
-			if end.take(rr, before); end.over && i < len(m.Answer)-1 {
-				return nil, fmt.Errorf("message %d: %w: more behind its end", n+1, zone.ErrTransfer)
-			}
-			if end.over {
-				return rrs, nil
-			}
-		}
-		if end.current(before, rrs) {
-			return rrs, nil
-		}
-		if len(m.Answer) == 0 {
-			return nil, fmt.Errorf("message %d holds no record", n+1)
-		}
-	}
-}
-
-// transferEnd finds where an answer to AXFR or IXFR ends: at the second SOA of a whole zone, at the third with the new
-// serial of one by differences.
-type transferEnd struct {
-	n, soas int
-	serial  uint32
-	parts   bool
-	over    bool
-}
-
-func (e *transferEnd) take(rr dns.RR, before *zone.Zone) {
-	e.n++
-	soa, ok := rr.(*dns.SOA)
-	if e.n == 1 && ok {
-		e.serial = soa.Serial
-	}
-	if e.n == 2 && ok && before != nil && soa.Serial != e.serial {
-		e.parts = true
-	}
-	if ok && (soa.Serial == e.serial || !e.parts) {
-		e.soas++
-	}
-	e.over = !e.parts && e.soas == 2 || e.parts && e.soas == 3
-}
-
-// current reports whether the answer says that the version held is the newest: its SOA alone (RFC 1995 4).
-func (e *transferEnd) current(before *zone.Zone, rrs []dns.RR) bool {
-	return len(rrs) == 1 && before != nil && e.n == 1 && e.serial == before.Serial()
-}
--- a/internal/nameserver/primary_test.go
+++ b/internal/nameserver/secondary_test.go
@@ -195,11 +195,11 @@
 	return parseZone(t, strings.Replace(strings.Replace(zoneText, "h 10 60 10", fmt.Sprintf("h %d 1 1", serial), 1), "127.0.0.2", addr, 1))
 }
 
-func whole(z *zone.Zone) []dns.RR { return append(z.List(), z.SOA()) }
+func fullTransfer(z *zone.Zone) []dns.RR { return append(z.List(), z.SOA()) }
 
 // A primary that lies, is late, cuts transfers short, answers old serials, signs wrongly or not at all, truncates: members
 // stay where they were, and follow when it is sound again.
-func TestLyingPrimary(t *testing.T) {
+func TestSecondary_LyingPrimary(t *testing.T) {
 	keys := usualKeys(t)
 	good, moved := zoneAt(t, 10, "127.0.0.2"), zoneAt(t, 20, "127.0.0.3")
 	evil := zoneAt(t, 20, "127.0.0.66")
@@ -209,28 +209,28 @@
 		kind string // of the question after which it has had its effect, twice
 		do   func(l *liar)
 	}{
-		"cut short":               {"IXFR", func(l *liar) { l.give(20, whole(evil), 2, 1, true) }},
-		"nothing but its SOA":     {"IXFR", func(l *liar) { l.give(20, whole(evil)[:1], 1, 0, true) }},
-		"an old serial":           {"SOA", func(l *liar) { l.give(9, whole(evil), 2, 0, true) }},
+		"cut short":               {"IXFR", func(l *liar) { l.give(20, fullTransfer(evil), 2, 1, true) }},
+		"nothing but its SOA":     {"IXFR", func(l *liar) { l.give(20, fullTransfer(evil)[:1], 1, 0, true) }},
+		"an old serial":           {"SOA", func(l *liar) { l.give(9, fullTransfer(evil), 2, 0, true) }},
 		"a zone without SOA":      {"IXFR", func(l *liar) { l.give(20, evil.List()[1:], 2, 0, true) }},
-		"signed with another key": {"SOA", func(l *liar) { l.keys.Set(wrong); l.give(20, whole(evil), 2, 0, true) }},
-		"not signed":              {"SOA", func(l *liar) { l.give(20, whole(evil), 2, 0, false) }},
+		"signed with another key": {"SOA", func(l *liar) { l.keys.Set(wrong); l.give(20, fullTransfer(evil), 2, 0, true) }},
+		"not signed":              {"SOA", func(l *liar) { l.give(20, fullTransfer(evil), 2, 0, false) }},
 		"a transfer not signed": {"IXFR", func(l *liar) {
-			l.give(20, whole(evil), 2, 0, false)
+			l.give(20, fullTransfer(evil), 2, 0, false)
 			unsigned := l.transfer
-			l.give(20, whole(evil), 2, 0, true)
+			l.give(20, fullTransfer(evil), 2, 0, true)
 			l.transfer = unsigned
 		}},
 		"another zone": {"AXFR", func(l *liar) { l.give(20, []dns.RR{other(t), other(t)}, 2, 0, true) }},
 		"records outside of it": {"IXFR", func(l *liar) {
 			l.give(20, append([]dns.RR{evil.SOA(), rrOf(t, "x.other. 1 IN A 127.0.0.66")}, evil.SOA()), 9, 0, true)
 		}},
-		"more behind its end": {"AXFR", func(l *liar) { l.give(20, slices.Concat(whole(evil)[:3], whole(evil)), 100, 0, true) }},
+		"more behind its end": {"AXFR", func(l *liar) { l.give(20, slices.Concat(fullTransfer(evil)[:3], fullTransfer(evil)), 100, 0, true) }},
 		"differences that do not fit": {"AXFR", func(l *liar) {
 			l.give(20, []dns.RR{evil.SOA(), good.SOA(), rrOf(t, "gone.example. 1 IN A 127.0.0.66"), evil.SOA(), evil.SOA()}, 9, 0, true)
 		}},
 		"it refuses": {"SOA", func(l *liar) {
-			l.give(20, whole(evil), 2, 0, true)
+			l.give(20, fullTransfer(evil), 2, 0, true)
 			l.serial = func(q *dns.Msg) *dns.Msg {
 				r := new(dns.Msg).SetRcode(q, dns.RcodeRefused)
 				r.SetTsig("xfer.", dns.HmacSHA512, 300, time.Now().Unix())
@@ -238,18 +238,18 @@
 			}
 		}},
 		"rubbish": {"IXFR", func(l *liar) {
-			l.give(20, whole(evil), 2, 0, true)
+			l.give(20, fullTransfer(evil), 2, 0, true)
 			l.transfer = func(_ *dns.Msg, c net.Conn) { c.Write([]byte(strings.Repeat("\x01\xff", 500))) }
 		}},
 		"it closes at once": {"IXFR", func(l *liar) {
-			l.give(20, whole(evil), 2, 0, true)
+			l.give(20, fullTransfer(evil), 2, 0, true)
 			l.transfer = func(_ *dns.Msg, c net.Conn) {}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := newLiar(t, keys)
-			l.gives(10, whole(good), 100, 0, true)
+			l.gives(10, fullTransfer(good), 100, 0, true)
 			s := begun(t, &Config{Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultFollowerConfig(),
 				Zones:   []ZoneConfig{{Name: "example.", Primary: l.addr, Key: "xfer.", Bounds: &fast}},
 				Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
@@ -265,7 +265,7 @@
 			l.until(lie.kind) // what the first one got has had its effect
 			f.until(t, "127.0.0.2")
 			l.keys.Set(keys)
-			l.gives(30, whole(moved.WithSerial(30)), 2, 0, true)
+			l.gives(30, fullTransfer(moved.WithSerial(30)), 2, 0, true)
 			f.until(t, "127.0.0.3")
 		})
 	}
@@ -284,7 +284,7 @@
 
 // A primary that is never there: the destination waits; one that truncates its answer by UDP is asked by TCP; one that falls
 // silent for longer than the zone may be served: members keep their addresses, questions are answered SERVFAIL.
-func TestAbsentPrimary(t *testing.T) {
+func TestSecondary_AbsentPrimary(t *testing.T) {
 	l := newLiar(t, nil)
 	fast := zone.Bounds{MinRefresh: 20 * time.Millisecond, MaxRefresh: 20 * time.Millisecond, MinRetry: 20 * time.Millisecond, MaxRetry: 20 * time.Millisecond, MinExpire: 300 * time.Millisecond}
 	l.mu.Lock()
@@ -300,7 +300,7 @@
 	f := following(t, s)
 	l.until("AXFR")
 	l.until("AXFR")
-	l.gives(10, whole(z), 100, 0, false)
+	l.gives(10, fullTransfer(z), 100, 0, false)
 	f.until(t, "127.0.0.2")
 	l.mu.Lock()
 	sound := l.serial
@@ -336,16 +336,16 @@
 	if got := s.Report(); got.Members[0].Answer != "SERVFAIL" || !got.Members[0].Retained || got.Zones[0].State != "expired" {
 		t.Errorf("%+v", got)
 	}
-	l.gives(10, whole(z), 100, 0, false)
+	l.gives(10, fullTransfer(z), 100, 0, false)
 	expired(false)
 	f.until(t, "127.0.0.2")
 }
 
 // A NOTIFY counts from the primary only, and has the zone asked for at once.
-func TestNotify(t *testing.T) {
+func TestNotifier(t *testing.T) {
 	keys := usualKeys(t)
 	l := newLiar(t, keys)
-	l.gives(10, whole(zoneAt(t, 10, "127.0.0.2")), 100, 0, true)
+	l.gives(10, fullTransfer(zoneAt(t, 10, "127.0.0.2")), 100, 0, true)
 	slow := zone.DefaultBounds()
 	slow.MinRefresh = time.Minute
 	s := begun(t, &Config{Listen: "127.0.0.1:0", Folder: t.TempDir(), Keys: keys, Spans: membership.DefaultFollowerConfig(),
@@ -353,7 +353,7 @@
 		Members: []membership.Member{{Destination: 7, Name: "hooks.example.", Port: 80, Weight: 1}}})
 	f := following(t, s)
 	f.until(t, "127.0.0.2")
-	l.gives(20, whole(zoneAt(t, 20, "127.0.0.3")), 100, 0, true)
+	l.gives(20, fullTransfer(zoneAt(t, 20, "127.0.0.3")), 100, 0, true)
 	for key, want := range map[string]int{"": dns.RcodeRefused, "ops.": dns.RcodeRefused, "xfer.": dns.RcodeSuccess} {
 		if r := asked(t, s.Address(), "udp", key, keys, new(dns.Msg).SetNotify("example.")); r.Rcode != want {
 			t.Errorf("key %q: %v", key, r)
--- a/internal/nameserver/service_test.go
+++ b/internal/nameserver/service_test.go
@@ -162,7 +162,7 @@
 }
 
 // A member moves by an update, is told of at once, and stays moved over a restart; the zone's file gets it, too.
-func TestUpdateIsFollowed(t *testing.T) {
+func TestService_FollowsUpdate(t *testing.T) {
 	dir := t.TempDir()
 	c := updated(t, dir)
 	s := begun(t, c)
@@ -199,7 +199,7 @@
 }
 
 // Who may change what: each refusal has its code, and leaves nothing in the zone.
-func TestUpdateRefused(t *testing.T) {
+func TestServer_RejectsUpdate(t *testing.T) {
 	dir := t.TempDir()
 	c := updated(t, dir)
 	c.Zones[0].Updates = []Update{{Key: "ops.", Grant: zone.Grant{Names: []string{"hooks.example."}, Types: []uint16{dns.TypeA}}}}
@@ -276,7 +276,7 @@
 }
 
 // Keys change in service: both work while both are there, and the old one does no more when it is gone.
-func TestKeysChange(t *testing.T) {
+func TestService_SetKeys(t *testing.T) {
 	c := updated(t, t.TempDir())
 	c.Keys = append(c.Keys, keysOf(t, "new. hmac-sha384 "+secret("new"))...)
 	c.Zones[0].Updates = append(c.Zones[0].Updates, Update{Key: "new.", Grant: everything()})
@@ -299,7 +299,7 @@
 	}
 }
 
-func TestKeyFiles(t *testing.T) {
+func TestReadKeys(t *testing.T) {
 	for text, want := range map[string]string{"a b": "keys:1: a line is", "\n\na hmac-md5 xx": "keys:3: algorithm", "a hmac-sha256 !!": "no base64",
 		"a hmac-sha256 eHg=": "2 bytes", "a hmac-sha256 " + secret("a") + "\nA. hmac-sha1 " + secret("b"): "keys:2: key a. is there twice"} {
 		if _, err := parseKeys("keys", text); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), secret("a")) {
@@ -309,7 +309,7 @@
 }
 
 // Our answers and transfers as the library's own client reads them: whole, by differences, and from our own secondary.
-func TestTransfersOut(t *testing.T) {
+func TestServer_Transfers(t *testing.T) {
 	dir := t.TempDir()
 	c := updated(t, dir)
 	var text strings.Builder
@@ -393,7 +393,7 @@
 }
 
 // Each way in which a zone's file is not one, while it is followed: the last good version stays.
-func TestFileFollowed(t *testing.T) {
+func TestService_FollowsFile(t *testing.T) {
 	dir := t.TempDir()
 	c := updated(t, dir)
 	c.Zones[0].Updates = nil
@@ -445,7 +445,7 @@
 }
 
 // A file that is edited by hand while updates come: both are kept, also when the edit comes in the moment of writing.
-func TestHandEdit(t *testing.T) {
+func TestZoneFile_HandEdit(t *testing.T) {
 	dir := t.TempDir()
 	c := updated(t, dir)
 	path := c.Zones[0].File
@@ -525,7 +525,7 @@
 }
 
 // Concurrent updates, questions and transfers are as if each came at one moment between its sending and its answer.
-func TestHistories(t *testing.T) {
+func TestService_RandomHistories(t *testing.T) {
 	c := updated(t, t.TempDir())
 	s := begun(t, c)
 	model := porcupine.Model{
@@ -628,7 +628,7 @@
 // ---- Those who do not mean well
 
 // An answer to an unsigned question by UDP is no longer than a few times the question.
-func TestNoAmplifier(t *testing.T) {
+func TestServer_DoesNotAmplify(t *testing.T) {
 	c := updated(t, t.TempDir())
 	var text strings.Builder
 	text.WriteString(zoneText)
@@ -680,7 +680,7 @@
 }
 
 // Connections that say nothing, or half a message, and floods: who asks is answered still, and no more is held than stated.
-func TestFloods(t *testing.T) {
+func TestServer_Floods(t *testing.T) {
 	c := updated(t, t.TempDir())
 	s := begun(t, c)
 	question := func(network string) {
@@ -744,7 +744,7 @@
 	question("tcp")
 }
 
-func TestConfigCheck(t *testing.T) {
+func TestConfig_Check(t *testing.T) {
 	dir := t.TempDir()
 	for want, edit := range map[string]func(*Config){
 		"no zone's name":        func(c *Config) { c.Zones[0].Name = "Example." },
@@ -820,7 +820,7 @@
 }
 
 // What an answer rests on beyond its own name: a wildcard, what hides it, a cut, the end of each, a CNAME's target.
-func TestWhatAnswersRestOn(t *testing.T) {
+func TestService_AnswerDependencies(t *testing.T) {
 	c := updated(t, t.TempDir())
 	put(t, c.Zones[0].File, zoneText+"*.w 300 IN A 127.0.0.20\nalias 300 IN CNAME target\ntarget 300 IN A 127.0.0.30\nd.deep 300 IN A 127.0.0.40\n")
 	c.Members = nil
--- a/internal/nameserver/store.go
+++ b/internal/nameserver/store.go
@@ -10,12 +10,10 @@
 	"strings"
 	"time"
 
-	"github.com/miekg/dns"
-
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// A store holds one zone in a folder:
+// store is the durable state of one zone, in three files of a folder:
 //
 //	NAME.zone     the zone as it was: "SYZONE1\n", an epoch of 8 octets, the CRC-32C of both, and a difference from nothing
 //	              (package zone)
@@ -34,7 +32,7 @@
 	epoch           uint64
 	journal         file
 	size            int64 // of the journal
-	maxJournalBytes int64 // it is folded into a new snapshot beyond
+	maxJournalBytes int64 // a larger journal is folded into a new snapshot
 	broken          error // the journal may not be added to: a new snapshot makes it good
 }
 
@@ -45,8 +43,13 @@
 	minJournalBytes = 1 << 20
 )
 
-// errDamaged says that a file of the store is neither whole nor merely cut off.
-var errDamaged = errors.New("the file is damaged")
+var (
+	// errDamaged is a file of the store that is neither complete nor merely truncated.
+	errDamaged = errors.New("the file is damaged")
+	// errNoSnapshot and errSnapshotUnwritten are why nothing may be added to the journal: it has no snapshot to continue.
+	errNoSnapshot        = errors.New("there is no snapshot yet")
+	errSnapshotUnwritten = errors.New("the snapshot is not written")
+)
 
 // fileName makes a name for files of a zone's name.
 func fileName(origin string) string {
@@ -78,12 +81,11 @@
 	return epoch, bytes.Equal(raw[:headerSize], newHeader(magic, epoch))
 }
 
-// openStore reads what an earlier process left: the zone, nil if there is none, and the differences that the journal
-// holds, for the history. Damage is no zone and an error, and the damaged file stays as it is until the zone is had
-// again; warn is for what was cut off.
+// openStore reads what an earlier process left: the zone, nil if there is none, and the differences in the journal, for the history. A
+// damaged file is an error without a zone, and stays as it is until the zone is loaded anew; warn is what was truncated.
 func openStore(d disk, dir, origin string) (s *store, z *zone.Zone, deltas []*zone.Delta, warn, err error) {
 	s = &store{disk: d, dir: dir, name: filepath.Join(dir, fileName(origin)), origin: origin, maxJournalBytes: minJournalBytes,
-		broken: errors.New("there is no snapshot yet")}
+		broken: errNoSnapshot}
 	z, s.epoch, err = s.read(s.name + ".zone")
 	if err != nil || z == nil {
 		return s, nil, nil, nil, err
@@ -152,9 +154,9 @@
 	return (&zone.Delta{To: z.Serial(), Added: z.List()}).Append(newHeader(zoneMagic, epoch))
 }
 
-// snapshot writes the zone whole, and begins a new journal.
+// snapshot writes the whole zone and starts a new journal of the next epoch.
 func (s *store) snapshot(z *zone.Zone) error {
-	s.broken = errors.New("the snapshot is not written")
+	s.broken = errSnapshotUnwritten
 	if s.journal != nil {
 		s.journal.Close() // what it held is in the snapshot, or stays as it is
 		s.journal = nil
@@ -177,7 +179,7 @@
 	return nil
 }
 
-// append makes a change last; after is the zone with it. Only when it returns nil may anyone be told of the change.
+// append makes a change durable; after is the zone with it. Only when it returns nil may anyone be told of the change.
 func (s *store) append(d *zone.Delta, after *zone.Zone) error {
 	if s.broken != nil || s.size > s.maxJournalBytes {
 		return s.snapshot(after)
@@ -200,8 +202,8 @@
 	return nil
 }
 
-// markConfirmed notes when the primary last said that the zone is as it is held; age is how long ago that was.
-func (s *store) markConfirmed(now time.Time) error { return s.disk.Touch(s.name+".zone", now) }
+// confirm notes when the primary last said that the zone is as it is held; age is how long ago that was.
+func (s *store) confirm(now time.Time) error { return s.disk.Touch(s.name+".zone", now) }
 
 func (s *store) age(now time.Time) time.Duration {
 	var last time.Time
@@ -233,18 +235,3 @@
 	}
 	return s.journal.Close()
 }
-
-// recordNames are those that a message's or a difference's records stand at.
-func recordNames(rrs ...[]dns.RR) []string {
-	var out []string
-	seen := map[string]bool{}
-	for _, list := range rrs {
-		for _, rr := range list {
-			if n := zone.Name(rr.Header().Name); !seen[n] {
-				seen[n] = true
-				out = append(out, n)
-			}
-		}
-	}
-	return out
-}
--- a/internal/nameserver/store_test.go
+++ b/internal/nameserver/store_test.go
@@ -230,7 +230,7 @@
 
 func onDisk(d disk) *managedZone {
 	c := &ZoneConfig{Name: "example.", Updates: []Update{{Key: "k.", Grant: everything()}}}
-	return newManagedZone(c, d, "state", 100_000, quiet(), func([]string, bool) {})
+	return newManagedZone(c, zoneOptions{disk: d, folder: "state", maxRecords: 100_000, log: quiet(), onChange: func([]string, bool) {}})
 }
 
 func everything() zone.Grant { return zone.Grant{Names: []string{"example.", "*.example."}} }
@@ -259,7 +259,7 @@
 
 // The machine dies at each step that the store takes, with each way in which what was not synced may be there, in part or
 // not at all: the next process finds the last update that was answered, or one after it that was not, whole.
-func TestStoreDiesAtEachStep(t *testing.T) {
+func TestStore_CrashAtEachStep(t *testing.T) {
 	const updates = 12
 	whole := newMemoryDisk()
 	if answered, _ := run(t, onDisk(whole), updates); answered != updates {
@@ -313,7 +313,7 @@
 
 // The disk fails for a while at each step and from there on: updates are refused while it does, none that was answered is
 // lost, and it goes on by itself when the disk is good again.
-func TestStoreDiskFails(t *testing.T) {
+func TestStore_DiskFails(t *testing.T) {
 	whole := newMemoryDisk()
 	run(t, onDisk(whole), 8)
 	for at := 1; at <= whole.step; at++ {
@@ -355,7 +355,7 @@
 }
 
 // Damage in what had lasted is found and said, not served.
-func TestStoreDamage(t *testing.T) {
+func TestStore_Damage(t *testing.T) {
 	for _, name := range []string{"state/example.zone", "state/example.journal"} {
 		whole := newMemoryDisk()
 		z := onDisk(whole)
@@ -382,7 +382,7 @@
 	}
 }
 
-func TestFileNames(t *testing.T) {
+func TestFileName(t *testing.T) {
 	seen := map[string]string{}
 	for _, origin := range []string{".", "example.", "a.example.", "../../etc.", `a\.b.example.`, "a/b.", "root.", "%2f.", `\000.`, "x..y."} {
 		name := fileName(origin)
--- /dev/null
+++ b/internal/nameserver/tsig.go
@@ -0,0 +1,55 @@
+package nameserver
+
+import (
+
+	//nolint:gosec // RFC 8945 6: HMAC-SHA1 is one that must be understood
+
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/miekg/dns"
+)
+
+// send signs an answer to a signed message (RFC 8945 5.3) and sends it.
+func (s *server) send(w dns.ResponseWriter, r *dns.Msg, t *dns.TSIG) {
+	if t != nil {
+		r.SetTsig(t.Hdr.Name, t.Algorithm, maxFudgeSeconds, time.Now().Unix())
+	}
+	if err := w.WriteMsg(r); err != nil {
+		s.log.Debug("an answer can't be sent", "to", w.RemoteAddr().String(), "err", err)
+	}
+}
+
+// verifyTSIG is RFC 8945 5.2: BADKEY, BADSIG or BADTIME, in this order. A message may be as old as its fudge says, and no more
+// than five minutes.
+func (s *server) verifyTSIG(w dns.ResponseWriter, t *dns.TSIG) uint16 {
+	switch err := w.TsigStatus(); {
+	case errors.Is(err, dns.ErrSecret), errors.Is(err, dns.ErrKeyAlg):
+		return dns.RcodeBadKey
+	case errors.Is(err, dns.ErrTime):
+		return dns.RcodeBadTime
+	case err != nil:
+		return dns.RcodeBadSig
+	}
+	if now := time.Now().Unix(); now-int64(t.TimeSigned) > maxFudgeSeconds || int64(t.TimeSigned)-now > maxFudgeSeconds {
+		return dns.RcodeBadTime
+	}
+	return dns.RcodeSuccess
+}
+
+// rejectSigned is RFC 8945 5.2.2 and 5.2.3: an unsigned TSIG with the error for a key or signature that is not known, a signed one
+// with our time for one out of time.
+func (s *server) rejectSigned(w dns.ResponseWriter, r *dns.Msg, t *dns.TSIG, code uint16) {
+	r.SetTsig(t.Hdr.Name, t.Algorithm, t.Fudge, int64(t.TimeSigned))
+	if sig := r.IsTsig(); sig != nil {
+		sig.Error = code
+		if code == dns.RcodeBadTime {
+			sig.OtherLen = 6
+			sig.OtherData = fmt.Sprintf("%012x", time.Now().Unix())
+		}
+	}
+	if err := w.WriteMsg(r); err != nil {
+		s.log.Debug("an answer can't be sent", "to", w.RemoteAddr().String(), "err", err)
+	}
+}
