--- a/internal/faulttest/eventlog/eventlog.go
+++ b/internal/faulttest/eventlog/eventlog.go
@@ -263,7 +263,7 @@
 				return events, false, fmt.Errorf("%s:%d: not an event: %w", name, n, bad)
 			}
 			if e.Kind == "" {
-				return events, false, fmt.Errorf("%s:%d: an event without a kind", name, n)
+				return events, false, &NoKindError{File: name, Line: n}
 			}
 			events = append(events, e)
 		}
@@ -272,3 +272,14 @@
 		}
 	}
 }
+
+// NoKindError reports a line of an event log that has no kind.
+type NoKindError struct {
+	File string
+	Line int // from 1
+}
+
+// Error implements error.
+func (e *NoKindError) Error() string {
+	return fmt.Sprintf("%s:%d: an event without a kind", e.File, e.Line)
+}
--- a/internal/faulttest/fault/fault.go
+++ b/internal/faulttest/fault/fault.go
@@ -30,6 +30,7 @@
 
 var names = [kinds]string{"vanish", "shut", "hang", "close_idle", "wait", "refuse", "fail", "slow", "reset", "spoil", "drain", "cold"}
 
+// String returns the name that scripts use.
 func (k Kind) String() string {
 	if k < kinds {
 		return names[k]
@@ -45,10 +46,18 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("no trouble is called %q; there are %s", text, strings.Join(names[:], ", "))
+	return &UnknownKindError{Name: string(text)}
 }
 
-// All lists the troubles.
+// UnknownKindError names a kind of fault that there is not.
+type UnknownKindError struct{ Name string }
+
+// Error implements error.
+func (e *UnknownKindError) Error() string {
+	return fmt.Sprintf("no trouble is called %q; there are %s", e.Name, strings.Join(names[:], ", "))
+}
+
+// All lists the kinds.
 func All() []Kind {
 	var all []Kind
 	for k := range kinds {
--- a/internal/faulttest/links/links.go
+++ b/internal/faulttest/links/links.go
@@ -39,6 +39,7 @@
 // healthy is whether nothing is wrong.
 func (c Condition) healthy() bool { return c == Condition{} }
 
+// String returns what is wrong, as event logs tell it; "heal" if nothing is.
 func (c Condition) String() string {
 	if c.healthy() {
 		return "heal"
--- a/internal/faulttest/platform/platform.go
+++ b/internal/faulttest/platform/platform.go
@@ -139,7 +139,7 @@
 	old := p.feeds[sender]
 	p.mu.Unlock()
 	if old == nil {
-		return "", fmt.Errorf("discovery has no address for %s", sender)
+		return "", &UnknownSenderError{Sender: sender}
 	}
 	next := &senderFeed{sender: sender}
 	if err := p.serve(next); err != nil {
@@ -438,3 +438,9 @@
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
+
+// UnknownSenderError names a sender that discovery has no address for.
+type UnknownSenderError struct{ Sender string }
+
+// Error implements error.
+func (e *UnknownSenderError) Error() string { return "discovery has no address for " + e.Sender }
--- a/internal/faulttest/policytest/policytest.go
+++ b/internal/faulttest/policytest/policytest.go
@@ -255,6 +255,7 @@
 	text   string
 }
 
+// Error implements error.
 func (e *answerError) Error() string { return e.text }
 
 // look sees which version a sender is at.
@@ -379,7 +380,7 @@
 			return p.agree(ctx)
 		}
 	}
-	return fmt.Errorf("%v after all was healed no change takes hold", healTime)
+	return errNoChange
 }
 
 // agree waits until all senders tell the same past, and act.
@@ -400,7 +401,18 @@
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
 			p.r.FinalHistories = ends
-			return fmt.Errorf("%v after all was healed the senders are not of one mind: %q", healTime, ends)
+			return &divergedError{histories: ends}
 		}
 	}
 }
+
+// errNoChange means that the fleet accepts no change although nothing has been wrong for healTime.
+var errNoChange = errors.New(healTime.String() + " after all was healed no change takes hold")
+
+// divergedError tells the policy histories of senders that differ although nothing has been wrong for healTime.
+type divergedError struct{ histories []string }
+
+// Error implements error.
+func (e *divergedError) Error() string {
+	return fmt.Sprintf("%v after all was healed the senders are not of one mind: %q", healTime, e.histories)
+}
--- a/internal/faulttest/quotatest/quotatest.go
+++ b/internal/faulttest/quotatest/quotatest.go
@@ -296,7 +296,7 @@
 			}
 		}
 	}
-	return 0, errors.Join(err, ctx.Err(), fmt.Errorf("not within %v", waitTime))
+	return 0, errors.Join(err, ctx.Err(), errNotInForce)
 }
 
 // The rule of a day with verdicts.
@@ -480,3 +480,6 @@
 	}
 	return v
 }
+
+// errNotInForce means that a limit did not take hold in time.
+var errNotInForce = errors.New("not within " + waitTime.String())
--- a/proto/generate/main.go
+++ b/proto/generate/main.go
@@ -69,7 +69,7 @@
 			return fmt.Errorf("%s: %w", plugin, err)
 		}
 		if resp.Error != nil {
-			return fmt.Errorf("%s: %s", plugin, *resp.Error)
+			return &pluginError{plugin: plugin, problem: *resp.Error}
 		}
 		for _, f := range resp.File {
 			if err := os.WriteFile(filepath.FromSlash(f.GetName()), []byte(f.GetContent()), 0o644); err != nil {
@@ -79,3 +79,9 @@
 	}
 	return nil
 }
+
+// pluginError is an error that a generator reports in its response.
+type pluginError struct{ plugin, problem string }
+
+// Error implements error.
+func (e *pluginError) Error() string { return e.plugin + ": " + e.problem }
