--- a/internal/tier/controlplane/change_faults_test.go
+++ b/internal/tier/controlplane/change_faults_test.go
@@ -107,7 +107,7 @@
 		case status == http.StatusOK:
 			return confirmedOutcome
 		case status >= 400 && status < 500:
-			return refusedOutcome
+			return rejectedOutcome
 		}
 		<-time.After(time.Duration(50+random.IntN(300)) * time.Millisecond)
 	}
--- a/internal/tier/controlplane/endpoint_list_test.go
+++ b/internal/tier/controlplane/endpoint_list_test.go
@@ -41,24 +41,24 @@
 
 // A step of a table is a page, "end" for the end of the list after it, or "begin" for another reading.
 func TestEndpointList_PagesTakenAsTheyCome(t *testing.T) {
-	const whole = "i1@a1 i2@a2|i3@a3|end"
+	const complete = "i1@a1 i2@a2|i3@a3|end"
 	for _, c := range []struct{ name, steps, want string }{
-		{"a whole list", whole, "i1@a1 i2@a2 i3@a3"},
+		{"a complete list", complete, "i1@a1 i2@a2 i3@a3"},
 		{"an empty list", "end", ""},
-		{"draining counts at once", whole + "|begin|i1@a1! i2@a2", "i1@a1! i2@a2 i3@a3"},
-		{"a new one counts at once", whole + "|begin|i1@a1 i4@a4", "i1@a1 i2@a2 i3@a3 i4@a4"},
-		{"a missing one counts at the end", whole + "|begin|i1@a1|i3@a3", "i1@a1 i2@a2 i3@a3"},
-		{"at the end it is gone", whole + "|begin|i1@a1|i3@a3|end", "i1@a1 i3@a3"},
-		{"nothing is gone by a reading that was given up", whole + "|begin|i1@a1!|begin|i1@a1! i2@a2|i3@a3|end", "i1@a1! i2@a2 i3@a3"},
-		{"nor by two that were given up in turn", whole + "|begin|i1@a1|begin|i2@a2", "i1@a1 i2@a2 i3@a3"},
-		{"what a reading that was given up showed is gone by the next", whole + "|begin|i4@a4|begin|i1@a1 i2@a2|i3@a3|end", "i1@a1 i2@a2 i3@a3"},
-		{"moved to a page that was read", whole + "|begin|i1@a1 i2@a2|end", "i1@a1 i2@a2"},
-		{"on two pages, draining first", whole + "|begin|i1@a1! i2@a2|i1@a1 i3@a3|end", "i1@a1! i2@a2 i3@a3"},
-		{"on two pages, draining later", whole + "|begin|i1@a1 i2@a2|i1@a1! i3@a3|end", "i1@a1! i2@a2 i3@a3"},
-		{"ready again in a later reading", whole + "|begin|i1@a1!|begin|i1@a1", "i1@a1 i2@a2 i3@a3"},
-		{"an address is another's, who had it may be listed still", whole + "|begin|i4@a3", "i1@a1 i2@a2 i3@a3 i4@a3"},
-		{"an address is another's, who had it is gone at the end", whole + "|begin|i4@a3|i1@a1 i2@a2|end", "i1@a1 i2@a2 i4@a3"},
-		{"an instance has another address", whole + "|begin|i1@a9", "i1@a9 i2@a2 i3@a3"},
+		{"draining counts at once", complete + "|begin|i1@a1! i2@a2", "i1@a1! i2@a2 i3@a3"},
+		{"a new one counts at once", complete + "|begin|i1@a1 i4@a4", "i1@a1 i2@a2 i3@a3 i4@a4"},
+		{"a missing one counts at the end", complete + "|begin|i1@a1|i3@a3", "i1@a1 i2@a2 i3@a3"},
+		{"at the end it is gone", complete + "|begin|i1@a1|i3@a3|end", "i1@a1 i3@a3"},
+		{"nothing is gone by a scan that was given up", complete + "|begin|i1@a1!|begin|i1@a1! i2@a2|i3@a3|end", "i1@a1! i2@a2 i3@a3"},
+		{"nor by two that were given up in turn", complete + "|begin|i1@a1|begin|i2@a2", "i1@a1 i2@a2 i3@a3"},
+		{"what a scan that was given up showed is gone by the next", complete + "|begin|i4@a4|begin|i1@a1 i2@a2|i3@a3|end", "i1@a1 i2@a2 i3@a3"},
+		{"moved to a page that was read", complete + "|begin|i1@a1 i2@a2|end", "i1@a1 i2@a2"},
+		{"on two pages, draining first", complete + "|begin|i1@a1! i2@a2|i1@a1 i3@a3|end", "i1@a1! i2@a2 i3@a3"},
+		{"on two pages, draining later", complete + "|begin|i1@a1 i2@a2|i1@a1! i3@a3|end", "i1@a1! i2@a2 i3@a3"},
+		{"ready again in a later scan", complete + "|begin|i1@a1!|begin|i1@a1", "i1@a1 i2@a2 i3@a3"},
+		{"an address is another's, who had it may be listed still", complete + "|begin|i4@a3", "i1@a1 i2@a2 i3@a3 i4@a3"},
+		{"an address is another's, who had it is gone at the end", complete + "|begin|i4@a3|i1@a1 i2@a2|end", "i1@a1 i2@a2 i4@a3"},
+		{"an instance has another address", complete + "|begin|i1@a9", "i1@a9 i2@a2 i3@a3"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := newEndpointList(time.Second, 0)
@@ -89,7 +89,7 @@
 	l.beginScan(now)
 	l.addPage(now, entries("i1@a1 i2@a2!"))
 	_, pending := l.pushDelay(now)
-	assert.Assert(t, !pending, "a part would have the rest taken for gone")
+	assert.Assert(t, !pending, "the rest would be taken for removed")
 	l.endScan(now)
 	delay, pending := l.pushDelay(now)
 	assert.Assert(t, pending && delay == 0)
--- a/internal/tier/controlplane/placement_model_test.go
+++ b/internal/tier/controlplane/placement_model_test.go
@@ -59,16 +59,16 @@
 
 // newMutantModel is newModel with an injected fault.
 func newMutantModel(t reporter, p mutant, r *rand.Rand, n, zones int, spread FaultTolerance) *placementModel {
-	w := &placementModel{t: t, mutant: p, random: r, tolerance: spread}
+	model := &placementModel{t: t, mutant: p, random: r, tolerance: spread}
 	for i := range n {
-		w.add(i, zones)
+		model.add(i, zones)
 	}
-	return w
+	return model
 }
 
-func (w *placementModel) add(i, zones int) *modelMachine {
+func (model *placementModel) add(i, zones int) *modelMachine {
 	m := &modelMachine{node: fmt.Sprint("n", i), zone: fmt.Sprint("z", i%zones), folder: fmt.Sprint("n", i, ".1"), incarnations: 1, up: true}
-	w.machines = append(w.machines, m)
+	model.machines = append(model.machines, m)
 	return m
 }
 
@@ -76,9 +76,9 @@
 	return &tierv1.StoreNode{Folder: m.folder, Node: m.node, Address: m.node + ":1", Zone: m.zone}
 }
 
-func (w *placementModel) input() Input {
-	in := Input{FaultTolerance: w.tolerance, Alive: map[string]*tierv1.StoreNode{}, Draining: map[string]bool{}, Reports: w.reports, GraceOver: true, MayCreate: true, MayMove: true}
-	for _, m := range w.machines {
+func (model *placementModel) input() Input {
+	in := Input{FaultTolerance: model.tolerance, Alive: map[string]*tierv1.StoreNode{}, Draining: map[string]bool{}, Reports: model.reports, GraceOver: true, MayCreate: true, MayMove: true}
+	for _, m := range model.machines {
 		if m.up && !m.partitioned && !m.diskUnsound {
 			in.Alive[m.folder] = m.storeNode()
 			if m.draining {
@@ -86,12 +86,12 @@
 			}
 		}
 	}
-	in.Slow, in.Stalled = w.stalls.observe(w.now, stallTime, w.partitionMap, in.Alive)
+	in.Slow, in.Stalled = model.stalls.observe(model.now, stallTime, model.partitionMap, in.Alive)
 	return in
 }
 
-func (w *placementModel) machine(folder string) *modelMachine {
-	for _, m := range w.machines {
+func (model *placementModel) machine(folder string) *modelMachine {
+	for _, m := range model.machines {
 		if m.folder == folder {
 			return m
 		}
@@ -100,39 +100,39 @@
 }
 
 // assign makes the next map and checks what must hold between two.
-func (w *placementModel) assign(in Input) bool {
-	before := w.partitionMap
-	kept := proto.Clone(before)
-	next, changed := w.mutant.assigned(before, in)
-	assert.Assert(w.t, proto.Equal(kept, before), "the map before was changed")
+func (model *placementModel) assign(in Input) bool {
+	before := model.partitionMap
+	unchanged := proto.Clone(before)
+	next, changed := model.mutant.assigned(before, in)
+	assert.Assert(model.t, proto.Equal(unchanged, before), "the map before was changed")
 	if !changed {
-		assert.Assert(w.t, next == before)
+		assert.Assert(model.t, next == before)
 		return false
 	}
-	w.partitionMap = next
-	for range len(next.Partitions) - len(w.acknowledged) {
-		w.acknowledged = append(w.acknowledged, new(big.Int))
-		w.facts = append(w.facts, map[string]*big.Int{})
+	model.partitionMap = next
+	for range len(next.Partitions) - len(model.acknowledged) {
+		model.acknowledged = append(model.acknowledged, new(big.Int))
+		model.facts = append(model.facts, map[string]*big.Int{})
 	}
-	w.check(before)
+	model.check(before)
 	return true
 }
 
-func (w *placementModel) check(before *tierv1.PartitionMap) {
-	w.t.Helper()
-	for i, p := range w.partitionMap.Partitions {
+func (model *placementModel) check(before *tierv1.PartitionMap) {
+	model.t.Helper()
+	for i, p := range model.partitionMap.Partitions {
 		all := replicaFolders(p)
 		if len(all) != len(slices.Compact(slices.Sorted(slices.Values(all)))) {
-			w.t.Fatalf("a folder twice in %v\n%v", p, w.trace)
+			model.t.Fatalf("a folder twice in %v\n%v", p, model.trace)
 		}
 		for _, folder := range all {
 			c := findBackup(p, folder)
-			wiped := w.machine(folder) == nil
-			if !wiped && (c != nil && c.Synced || c == nil && len(p.RecoverFrom) == 0) && !w.complete(i, folder) {
-				w.t.Fatalf("partition %d: %s is called whole and is not: %v\n%v", i, folder, p, w.trace)
+			wiped := model.machine(folder) == nil
+			if !wiped && (c != nil && c.Synced || c == nil && len(p.RecoverFrom) == 0) && !model.complete(i, folder) {
+				model.t.Fatalf("partition %d: %s is marked synced and is not complete: %v\n%v", i, folder, p, model.trace)
 			}
-			if !slices.ContainsFunc(w.partitionMap.StoreNodes, func(k *tierv1.StoreNode) bool { return k.Folder == folder }) {
-				w.t.Fatalf("no store node of %s", folder)
+			if !slices.ContainsFunc(model.partitionMap.StoreNodes, func(k *tierv1.StoreNode) bool { return k.Folder == folder }) {
+				model.t.Fatalf("no store node of %s", folder)
 			}
 		}
 		if before == nil || len(before.Partitions) == 0 {
@@ -144,7 +144,7 @@
 			epoch++
 		}
 		if p.Epoch != epoch {
-			w.t.Fatalf("partition %d: from %v to %v\n%v", i, old, p, w.trace)
+			model.t.Fatalf("partition %d: from %v to %v\n%v", i, old, p, model.trace)
 		}
 	}
 }
@@ -155,8 +155,8 @@
 }
 
 // accepts tells whether a machine takes facts of an epoch, with the fault that is injected.
-func (w *placementModel) accepts(m *modelMachine, i int, epoch uint64) bool {
-	return m.accepts(i, epoch) || w.mutant.acceptsStaleEpochs && !m.unreachable && i < len(m.known)
+func (model *placementModel) accepts(m *modelMachine, i int, epoch uint64) bool {
+	return m.accepts(i, epoch) || model.mutant.acceptsStaleEpochs && !m.unreachable && i < len(m.known)
 }
 
 // observe has a machine know an epoch that another has named: it takes nothing of an older one any more.
@@ -168,97 +168,97 @@
 }
 
 // receiveMap gives a machine the newest map.
-func (m *modelMachine) receiveMap(w *placementModel) {
-	if m.up && !m.partitioned && w.partitionMap != nil {
-		m.known = w.partitionMap.Partitions
+func (m *modelMachine) receiveMap(model *placementModel) {
+	if m.up && !m.partitioned && model.partitionMap != nil {
+		m.known = model.partitionMap.Partitions
 	}
 }
 
 // acknowledge lets a machine acknowledge a turn of a partition, if those whom it knows as backups take it.
-func (w *placementModel) acknowledge(m *modelMachine, i int) bool {
+func (model *placementModel) acknowledge(m *modelMachine, i int) bool {
 	if !m.up || m.unreachable || i >= len(m.known) || m.known[i].Primary != m.folder {
 		return false
 	}
 	p := m.known[i]
 	for _, c := range p.Backups {
-		b := w.machine(c.Folder)
-		if b == nil || !b.up || !w.accepts(b, i, p.Epoch) {
+		b := model.machine(c.Folder)
+		if b == nil || !b.up || !model.accepts(b, i, p.Epoch) {
 			return false
 		}
 	}
 	if len(p.RecoverFrom) > 0 {
 		return false // until control knows that it has recovered
 	}
-	assert.Assert(w.t, w.complete(i, m.folder), "partition %d: %s serves and is not whole\n%v", i, m.folder, w.trace)
-	fact := new(big.Int).SetBit(new(big.Int), w.acknowledged[i].BitLen(), 1)
-	w.acknowledged[i] = new(big.Int).Or(w.acknowledged[i], fact)
+	assert.Assert(model.t, model.complete(i, m.folder), "partition %d: %s serves and is not complete\n%v", i, m.folder, model.trace)
+	fact := new(big.Int).SetBit(new(big.Int), model.acknowledged[i].BitLen(), 1)
+	model.acknowledged[i] = new(big.Int).Or(model.acknowledged[i], fact)
 	for _, folder := range replicaFolders(p) {
-		w.addFacts(i, folder, fact)
+		model.addFacts(i, folder, fact)
 	}
 	return true
 }
 
 // complete tells whether a folder holds all that was acknowledged of a partition.
-func (w *placementModel) complete(i int, folder string) bool {
-	if held := w.facts[i][folder]; held != nil {
-		return held.Cmp(w.acknowledged[i]) == 0
+func (model *placementModel) complete(i int, folder string) bool {
+	if held := model.facts[i][folder]; held != nil {
+		return held.Cmp(model.acknowledged[i]) == 0
 	}
-	return w.acknowledged[i].BitLen() == 0
+	return model.acknowledged[i].BitLen() == 0
 }
 
 // addFacts lets a folder hold facts.
-func (w *placementModel) addFacts(i int, folder string, facts *big.Int) {
-	held := w.facts[i][folder]
+func (model *placementModel) addFacts(i int, folder string, facts *big.Int) {
+	held := model.facts[i][folder]
 	if held == nil {
 		held = new(big.Int)
 	}
-	w.facts[i][folder] = new(big.Int).Or(held, facts)
+	model.facts[i][folder] = new(big.Int).Or(held, facts)
 }
 
 // syncReplica lets a machine bring a replica of a partition up to date, and report it.
-func (w *placementModel) syncReplica(m *modelMachine, i int) {
+func (model *placementModel) syncReplica(m *modelMachine, i int) {
 	if !m.up || m.unreachable || i >= len(m.known) || m.known[i].Primary != m.folder {
 		return
 	}
 	p := m.known[i]
-	if m.recovered[i] != p.Epoch && !w.recover(m, i, p) {
+	if m.recovered[i] != p.Epoch && !model.recover(m, i, p) {
 		return
 	}
 	for _, c := range p.Backups {
-		b := w.machine(c.Folder)
-		if c.Synced || b == nil || !b.up || !w.accepts(b, i, p.Epoch) {
+		b := model.machine(c.Folder)
+		if c.Synced || b == nil || !b.up || !model.accepts(b, i, p.Epoch) {
 			continue
 		}
 		b.observe(i, p.Epoch)
-		if !w.mutant.reportsEarly {
-			w.exchangeFacts(i, m.folder, c.Folder)
+		if !model.mutant.reportsEarly {
+			model.exchangeFacts(i, m.folder, c.Folder)
 		}
 		if !m.partitioned {
-			w.reports = append(w.reports, Report{m.folder, &tierv1.SyncedReplica{Partition: uint32(i), Epoch: p.Epoch, Folder: c.Folder}})
+			model.reports = append(model.reports, Report{m.folder, &tierv1.SyncedReplica{Partition: uint32(i), Epoch: p.Epoch, Folder: c.Folder}})
 		}
 	}
 }
 
 // exchangeFacts lets two folders hold the same facts.
-func (w *placementModel) exchangeFacts(i int, one, other string) {
+func (model *placementModel) exchangeFacts(i int, one, other string) {
 	for _, way := range [][2]string{{other, one}, {one, other}} {
-		if facts := w.facts[i][way[0]]; facts != nil {
-			w.addFacts(i, way[1], facts)
+		if facts := model.facts[i][way[0]]; facts != nil {
+			model.addFacts(i, way[1], facts)
 		}
 	}
 }
 
 // recover lets a primary exchange facts with all that it is to recover from, if they are there.
-func (w *placementModel) recover(m *modelMachine, i int, p *tierv1.Partition) bool {
+func (model *placementModel) recover(m *modelMachine, i int, p *tierv1.Partition) bool {
 	for _, folder := range p.RecoverFrom {
-		if b := w.machine(folder); b == nil || !b.up || !w.accepts(b, i, p.Epoch) {
+		if b := model.machine(folder); b == nil || !b.up || !model.accepts(b, i, p.Epoch) {
 			return false
 		}
 	}
 	for _, folder := range p.RecoverFrom {
-		w.machine(folder).observe(i, p.Epoch)
-		if !w.mutant.recoversNothing {
-			w.exchangeFacts(i, m.folder, folder)
+		model.machine(folder).observe(i, p.Epoch)
+		if !model.mutant.recoversNothing {
+			model.exchangeFacts(i, m.folder, folder)
 		}
 	}
 	if m.recovered == nil {
@@ -269,49 +269,49 @@
 }
 
 // runUntilStable runs the model until nothing changes, and returns how many maps that took.
-func (w *placementModel) runUntilStable() int {
+func (model *placementModel) runUntilStable() int {
 	for n := range 2000 {
-		for _, m := range w.machines {
-			m.receiveMap(w)
+		for _, m := range model.machines {
+			m.receiveMap(model)
 		}
-		for _, m := range w.machines {
-			for i := range w.partitionMap.Partitions {
-				w.syncReplica(m, i)
-				w.acknowledge(m, i)
+		for _, m := range model.machines {
+			for i := range model.partitionMap.Partitions {
+				model.syncReplica(m, i)
+				model.acknowledge(m, i)
 			}
 		}
-		if !w.assign(w.input()) {
+		if !model.assign(model.input()) {
 			return n
 		}
-		w.reports = nil
+		model.reports = nil
 	}
-	w.t.Fatalf("no rest: %v\n%v", w.partitionMap, w.trace)
+	model.t.Fatalf("no rest: %v\n%v", model.partitionMap, model.trace)
 	return 0
 }
 
 // assertBalanced checks that replicas and primaries are balanced and replicas synced, on turn stores that stay.
-func (w *placementModel) assertBalanced(strict bool) {
-	w.t.Helper()
-	copies, primaries := map[string]int{}, map[string]int{}
-	for _, m := range w.machines {
-		if m.up && !m.partitioned && !m.draining && !slices.Contains(w.partitionMap.Retiring, m.node) {
-			copies[m.folder], primaries[m.folder] = 0, 0
+func (model *placementModel) assertBalanced(strict bool) {
+	model.t.Helper()
+	replicas, primaries := map[string]int{}, map[string]int{}
+	for _, m := range model.machines {
+		if m.up && !m.partitioned && !m.draining && !slices.Contains(model.partitionMap.Retiring, m.node) {
+			replicas[m.folder], primaries[m.folder] = 0, 0
 		}
 	}
-	for i, p := range w.partitionMap.Partitions {
-		assert.Equal(w.t, len(p.Backups), w.tolerance.Losses, "partition %d: %v", i, p)
+	for i, p := range model.partitionMap.Partitions {
+		assert.Equal(model.t, len(p.Backups), model.tolerance.Losses, "partition %d: %v", i, p)
 		primaries[p.Primary]++
 		domains := map[string]bool{}
 		for _, folder := range replicaFolders(p) {
-			_, stays := copies[folder]
-			assert.Assert(w.t, stays, "partition %d: %s: %v of losses %d\n%v", i, folder, p, w.tolerance.Losses, w.trace)
-			copies[folder]++
+			_, stays := replicas[folder]
+			assert.Assert(model.t, stays, "partition %d: %s: %v of losses %d\n%v", i, folder, p, model.tolerance.Losses, model.trace)
+			replicas[folder]++
 			c := findBackup(p, folder)
-			assert.Assert(w.t, c == nil || c.Synced)
-			domains[w.tolerance.Domain(w.machine(folder).storeNode())] = true
+			assert.Assert(model.t, c == nil || c.Synced)
+			domains[model.tolerance.Domain(model.machine(folder).storeNode())] = true
 		}
 		if strict {
-			assert.Equal(w.t, len(domains), w.tolerance.Losses+1)
+			assert.Equal(model.t, len(domains), model.tolerance.Losses+1)
 		}
 	}
 	span := func(of map[string]int) int {
@@ -321,12 +321,12 @@
 		}
 		return slices.Max(all) - slices.Min(all)
 	}
-	if w.tolerance.Domain(&tierv1.StoreNode{Node: "n"}) == "n" {
-		assert.Assert(w.t, span(copies) <= 1, "copies %v", copies)
-		assert.Assert(w.t, span(primaries) <= 1, "primaries %v\n%v", primaries, w.partitionMap)
+	if model.tolerance.Domain(&tierv1.StoreNode{Node: "n"}) == "n" {
+		assert.Assert(model.t, span(replicas) <= 1, "replicas %v", replicas)
+		assert.Assert(model.t, span(primaries) <= 1, "primaries %v\n%v", primaries, model.partitionMap)
 	}
 }
 
-func (w *placementModel) tracef(format string, args ...any) {
-	w.trace = append(w.trace, fmt.Sprintf(format, args...))
+func (model *placementModel) tracef(format string, args ...any) {
+	model.trace = append(model.trace, fmt.Sprintf(format, args...))
 }
--- a/internal/tier/controlplane/placement_mutants_test.go
+++ b/internal/tier/controlplane/placement_mutants_test.go
@@ -76,9 +76,9 @@
 
 // What the model's checks say of facts that are lost.
 const (
-	findingNotComplete      = "is called whole and is not"
+	findingNotComplete      = "is marked synced and is not complete"
 	findingUnserved         = "has no primary"
-	findingServesIncomplete = "serves and is not whole"
+	findingServesIncomplete = "serves and is not complete"
 )
 
 // TestPlacement_MutantsFound injects faults, and expects random events and expiries to find each by what it takes away.
@@ -97,7 +97,7 @@
 			{"a recovery loses what it fetches", mutant{recoversNothing: true}, []string{findingNotComplete}},
 			{"an unsynced replica becomes primary", mutant{assign: changed(promoteUnsynced)}, []string{findingNotComplete, findingServesIncomplete}},
 			{"control forgets retained replicas", mutant{assign: changed(forgetRetained)}, []string{findingUnserved}},
-			{"reports of an older epoch are taken", mutant{assign: acceptOldReports}, []string{findingNotComplete}},
+			{"reports of an older epoch are accepted", mutant{assign: acceptOldReports}, []string{findingNotComplete}},
 		} {
 			t.Run(play.name+"/"+fault.name, func(t *testing.T) {
 				for seed := range uint64(mutantSeeds) {
--- a/internal/tier/controlplane/placement_retire_test.go
+++ b/internal/tier/controlplane/placement_retire_test.go
@@ -14,9 +14,9 @@
 )
 
 // wipe replaces a machine by an empty one: of the same name, or of another.
-func (w *placementModel) wipe(m *modelMachine, renamed bool) {
-	for i := range w.facts {
-		delete(w.facts[i], m.folder)
+func (model *placementModel) wipe(m *modelMachine, renamed bool) {
+	for i := range model.facts {
+		delete(model.facts[i], m.folder)
 	}
 	m.incarnations++
 	if renamed {
@@ -26,35 +26,35 @@
 }
 
 // retire takes the order to empty a machine.
-func (w *placementModel) retire(m *modelMachine) {
-	w.partitionMap = proto.Clone(w.partitionMap).(*tierv1.PartitionMap)
-	w.partitionMap.Retiring = append(w.partitionMap.Retiring, m.node)
+func (model *placementModel) retire(m *modelMachine) {
+	model.partitionMap = proto.Clone(model.partitionMap).(*tierv1.PartitionMap)
+	model.partitionMap.Retiring = append(model.partitionMap.Retiring, m.node)
 }
 
 // step gives all machines the newest map, lets them sync, and gives control what was reported. It returns whether the map has changed.
-func (w *placementModel) step() bool {
-	for _, m := range w.machines {
-		m.receiveMap(w)
+func (model *placementModel) step() bool {
+	for _, m := range model.machines {
+		m.receiveMap(model)
 	}
-	for _, m := range w.machines {
-		for i := range w.partitionMap.Partitions {
-			w.syncReplica(m, i)
-			w.acknowledge(m, i)
+	for _, m := range model.machines {
+		for i := range model.partitionMap.Partitions {
+			model.syncReplica(m, i)
+			model.acknowledge(m, i)
 		}
 	}
-	w.now = w.now.Add(stepTime)
-	changed := w.assign(w.input())
-	w.reports = nil
+	model.now = model.now.Add(stepTime)
+	changed := model.assign(model.input())
+	model.reports = nil
 	return changed
 }
 
 // retireCompletes returns the steps after which an order to retire is completed, or false after limit.
-func (w *placementModel) retireCompletes(m *modelMachine, limit int) (int, bool) {
+func (model *placementModel) retireCompletes(m *modelMachine, limit int) (int, bool) {
 	for n := range limit {
-		if lifecycleState(w.partitionMap, m.node, w.tolerance.Losses) == "completed" {
+		if lifecycleState(model.partitionMap, m.node, model.tolerance.Losses) == "completed" {
 			return n, true
 		}
-		w.step()
+		model.step()
 	}
 	return limit, false
 }
@@ -68,70 +68,70 @@
 	for seed := range uint64(seeds) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		losses := 1 + r.IntN(2)
-		w := newModel(t, r, 2*losses+2+r.IntN(2), 3, FaultTolerance{losses, byNode})
-		w.assign(w.input())
-		w.runUntilStable()
+		model := newModel(t, r, 2*losses+2+r.IntN(2), 3, FaultTolerance{losses, byNode})
+		model.assign(model.input())
+		model.runUntilStable()
 		for range r.IntN(6) {
-			m := w.machines[r.IntN(len(w.machines))]
+			m := model.machines[r.IntN(len(model.machines))]
 			switch r.IntN(3) {
 			case 0:
-				w.tracef("%s is wiped", m.node)
-				w.wipe(m, false)
+				model.tracef("%s is wiped", m.node)
+				model.wipe(m, false)
 			case 1:
-				w.tracef("%s is replaced by another", m.node)
-				w.wipe(m, true)
+				model.tracef("%s is replaced by another", m.node)
+				model.wipe(m, true)
 			case 2:
-				w.tracef("%s stops and comes back", m.node)
+				model.tracef("%s stops and comes back", m.node)
 				m.up, m.known = false, nil
 				for range r.IntN(4) {
-					w.step()
+					model.step()
 				}
 				m.up = true
 			}
-			w.runUntilStable()
+			model.runUntilStable()
 		}
-		order := r.Perm(len(w.machines))
-		retired := w.machines[order[0]]
+		order := r.Perm(len(model.machines))
+		retired := model.machines[order[0]]
 		for range r.IntN(3) { // the last loss may not be made good yet
-			w.step()
+			model.step()
 		}
 		for _, i := range order[1 : 1+losses] {
-			m := w.machines[i]
+			m := model.machines[i]
 			switch r.IntN(3) {
 			case 0:
-				w.tracef("%s goes down for good", m.node)
+				model.tracef("%s goes down for good", m.node)
 				m.up, m.known = false, nil
 			case 1:
-				w.tracef("%s is out of the others' reach", m.node)
+				model.tracef("%s is out of the others' reach", m.node)
 				m.unreachable = true
 			}
 		}
-		w.tracef("%s is to be emptied", retired.node)
-		w.retire(retired)
-		n, ended := w.retireCompletes(retired, limit)
+		model.tracef("%s is to be emptied", retired.node)
+		model.retire(retired)
+		n, ended := model.retireCompletes(retired, limit)
 		if worst = max(worst, n); !ended {
 			late++
-			t.Errorf("seed %d: %v", seed, w.trace)
+			t.Errorf("seed %d: %v", seed, model.trace)
 		}
 		if ended {
-			w.checkRetired(retired)
+			model.checkRetired(retired)
 		}
 	}
 	t.Logf("worst %v, %d of %d later than %v", time.Duration(worst)*stepTime, late, seeds, time.Duration(limit)*stepTime)
 }
 
 // checkRetired holds a completed order against what the machines hold: each partition has its replicas, whole and elsewhere.
-func (w *placementModel) checkRetired(m *modelMachine) {
-	w.t.Helper()
-	for i, p := range w.partitionMap.Partitions {
+func (model *placementModel) checkRetired(m *modelMachine) {
+	model.t.Helper()
+	for i, p := range model.partitionMap.Partitions {
 		held := 0
 		for _, folder := range replicaFolders(p) {
-			assert.Assert(w.t, folder != m.folder)
-			if w.complete(i, folder) {
+			assert.Assert(model.t, folder != m.folder)
+			if model.complete(i, folder) {
 				held++
 			}
 		}
-		assert.Assert(w.t, held > w.tolerance.Losses, "partition %d: completed with %d whole copies elsewhere\n%v", i, held, w.trace)
+		assert.Assert(model.t, held > model.tolerance.Losses, "partition %d: completed with %d complete replicas elsewhere\n%v", i, held, model.trace)
 	}
-	assert.Assert(w.t, slices.Contains(w.partitionMap.Retiring, m.node))
+	assert.Assert(model.t, slices.Contains(model.partitionMap.Retiring, m.node))
 }
--- a/internal/tier/controlplane/request_history_test.go
+++ b/internal/tier/controlplane/request_history_test.go
@@ -14,7 +14,7 @@
 
 const (
 	confirmedOutcome outcome = "confirmed" // 200
-	refusedOutcome   outcome = "refused"   // 4xx
+	rejectedOutcome  outcome = "rejected"  // 4xx
 	unknownOutcome   outcome = "unknown"   // no clear answer
 )
 
@@ -89,9 +89,9 @@
 				fail("%q and %q were both confirmed on revision %d", o.body, other, o.base)
 			}
 			onBase[o.base] = o.body
-		case refusedOutcome:
+		case rejectedOutcome:
 			if taken {
-				fail("%q was taken and refused", o.body)
+				fail("%q was accepted and rejected", o.body)
 			}
 		case unknownOutcome: // it may be in force or not
 		}
@@ -118,12 +118,12 @@
 	for _, again := range h.repeats {
 		_, taken := place[again.change.body]
 		switch {
-		case again.outcome == refusedOutcome && taken:
-			fail("%q was taken, and refused when it was sent again", again.change.body)
+		case again.outcome == rejectedOutcome && taken:
+			fail("%q was accepted, and rejected when it was sent again", again.change.body)
 		case again.outcome == confirmedOutcome && !taken:
 			fail("%q was acknowledged when it was sent again, and is not there", again.change.body)
 		case again.outcome != confirmedOutcome && taken && again.withoutFaults:
-			fail("%q was taken, and not acknowledged again in calm: %s", again.change.body, again.outcome)
+			fail("%q was accepted, and not acknowledged again without faults: %s", again.change.body, again.outcome)
 		}
 	}
 	return broken
@@ -139,15 +139,15 @@
 }
 
 // requestCounts tell what a history holds.
-type requestCounts struct{ confirmed, refused, unknown, reads, repeats, repeatsOpen int }
+type requestCounts struct{ confirmed, rejected, unknown, reads, repeats, repeatsOpen int }
 
 func (h requestHistory) count() (n requestCounts) {
 	for _, o := range h.changes {
 		switch o.outcome {
 		case confirmedOutcome:
 			n.confirmed++
-		case refusedOutcome:
-			n.refused++
+		case rejectedOutcome:
+			n.rejected++
 		default:
 			n.unknown++
 		}
@@ -168,24 +168,24 @@
 	a := &sentChange{"a", "", 0, 3, confirmedOutcome, second(1), second(2)}
 	b := &sentChange{"b", "a", 3, 5, unknownOutcome, second(3), second(4)}
 	c := &sentChange{"c", "b", 5, 6, confirmedOutcome, second(5), second(6)}
-	x := &sentChange{"x", "a", 3, 5, refusedOutcome, second(3), second(4)}
+	x := &sentChange{"x", "a", 3, 5, rejectedOutcome, second(3), second(4)}
 	all := []*sentChange{a, b, x, c}
 	for name, test := range map[string]struct {
 		history requestHistory
 		broken  int
 	}{
-		"right":                 {requestHistory{changes: all, last: "c", reads: []observedRead{{"", 0, second(3)}, {"a", second(2), second(3)}, {"b", second(4), second(5)}}}, 0},
-		"a confirmed is lost":   {requestHistory{changes: []*sentChange{a, b, c}, last: "b"}, 1},
-		"a taken is refused":    {requestHistory{changes: []*sentChange{a, {"b", "a", 3, 5, refusedOutcome, second(3), second(4)}, c}, last: "c"}, 1},
-		"two on one base":       {requestHistory{changes: []*sentChange{a, b, c, {"y", "a", 3, 7, confirmedOutcome, second(3), second(4)}}, last: "c"}, 1},
-		"read back what is old": {requestHistory{changes: all, last: "c", reads: []observedRead{{"a", second(7), second(8)}}}, 1},
-		"reads go back":         {requestHistory{changes: all, last: "c", reads: []observedRead{{"b", second(3), second(4)}, {"a", second(5), second(6)}}}, 1},
-		"read back, then lost":  {requestHistory{changes: all, last: "c", reads: []observedRead{{"x", second(3), second(4)}}}, 1},
-		"a repeat is refused":   {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, refusedOutcome, false}}}, 1},
-		"a repeat is left open": {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, unknownOutcome, false}}}, 0},
-		"and so it is in calm":  {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, unknownOutcome, true}}}, 1},
-		"a repeat is made up":   {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{x, confirmedOutcome, false}}}, 1},
-		"nobody sent it":        {requestHistory{changes: all, last: "z"}, 3},
+		"right":                       {requestHistory{changes: all, last: "c", reads: []observedRead{{"", 0, second(3)}, {"a", second(2), second(3)}, {"b", second(4), second(5)}}}, 0},
+		"a confirmed is lost":         {requestHistory{changes: []*sentChange{a, b, c}, last: "b"}, 1},
+		"an accepted one is rejected": {requestHistory{changes: []*sentChange{a, {"b", "a", 3, 5, rejectedOutcome, second(3), second(4)}, c}, last: "c"}, 1},
+		"two on one base":             {requestHistory{changes: []*sentChange{a, b, c, {"y", "a", 3, 7, confirmedOutcome, second(3), second(4)}}, last: "c"}, 1},
+		"read back what is old":       {requestHistory{changes: all, last: "c", reads: []observedRead{{"a", second(7), second(8)}}}, 1},
+		"reads go back":               {requestHistory{changes: all, last: "c", reads: []observedRead{{"b", second(3), second(4)}, {"a", second(5), second(6)}}}, 1},
+		"read back, then lost":        {requestHistory{changes: all, last: "c", reads: []observedRead{{"x", second(3), second(4)}}}, 1},
+		"a repeat is rejected":        {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, rejectedOutcome, false}}}, 1},
+		"a repeat is left open":       {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, unknownOutcome, false}}}, 0},
+		"and so it is in calm":        {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{b, unknownOutcome, true}}}, 1},
+		"a repeat is made up":         {requestHistory{changes: all, last: "c", repeats: []repeatedChange{{x, confirmedOutcome, false}}}, 1},
+		"nobody sent it":              {requestHistory{changes: all, last: "z"}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			broken := test.history.check()
--- a/internal/tier/controlplane/response_test.go
+++ b/internal/tier/controlplane/response_test.go
@@ -85,7 +85,7 @@
 		{"candidate that was the primary", func(h *harness) { h.store.set(func() { h.store.primary = false }) }, fakeControlPlane{primary: true}, 503},
 		{"backup", func(h *harness) { h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" }) }, fakeControlPlane{primary: true}, 307},
 		{"backup whose primary is out of touch", func(h *harness) { h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" }) }, fakeControlPlane{}, 503},
-		{"witness that is cut off", func(h *harness) { h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" }) }, silent, 503},
+		{"witness that is partitioned", func(h *harness) { h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" }) }, silent, 503},
 		{"failed disk", func(h *harness) { h.store.set(func() { h.store.primary = false; h.store.epoch = 0 }) }, silent, 503},
 	} {
 		t.Run(c.process, func(t *testing.T) {
--- a/internal/tier/controlplane/retained_replicas_test.go
+++ b/internal/tier/controlplane/retained_replicas_test.go
@@ -10,36 +10,36 @@
 // The sessions of two turn stores expire one after the other, and the first of them loses its disk before the replicas that
 // were made meanwhile are synced: the second has what was acknowledged before, a replica being synced what came since.
 func TestPlacement_LossAfterSessionExpiries(t *testing.T) {
-	w := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
-	w.assign(w.input())
-	w.runUntilStable()
+	model := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
+	model.assign(model.input())
+	model.runUntilStable()
 	serve := func() (served int) {
-		for _, m := range w.machines {
-			m.receiveMap(w)
+		for _, m := range model.machines {
+			m.receiveMap(model)
 		}
-		for i := range w.partitionMap.Partitions {
-			for _, m := range w.machines {
-				if w.acknowledge(m, i) {
+		for i := range model.partitionMap.Partitions {
+			for _, m := range model.machines {
+				if model.acknowledge(m, i) {
 					served++
 				}
 			}
 		}
 		return served
 	}
-	first, second := w.machines[0], w.machines[1]
+	first, second := model.machines[0], model.machines[1]
 	first.partitioned = true
-	assert.Assert(t, w.assign(w.input()))
+	assert.Assert(t, model.assign(model.input()))
 	serve()
 	first.partitioned, second.partitioned = false, true
-	assert.Assert(t, w.assign(w.input()))
+	assert.Assert(t, model.assign(model.input()))
 	serve()
 	second.partitioned = false
-	w.wipe(first, false)
-	assert.Assert(t, w.assign(w.input()))
-	w.reports = nil
-	w.runUntilStable()
+	model.wipe(first, false)
+	assert.Assert(t, model.assign(model.input()))
+	model.reports = nil
+	model.runUntilStable()
 	assert.Equal(t, serve(), partitionCount)
-	w.assertBalanced(false)
+	model.assertBalanced(false)
 }
 
 // Expiries of one session at a time, at any moment, and the loss of one disk: everything acknowledged is served again.
@@ -52,105 +52,105 @@
 // playSessionExpiries is one play of TestLapsesAreNoLosses.
 func playSessionExpiries(t reporter, fault mutant, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
-	w := newMutantModel(t, fault, r, 3+r.IntN(3), 3, FaultTolerance{1, byNode})
-	w.assign(w.input())
-	w.runUntilStable()
+	model := newMutantModel(t, fault, r, 3+r.IntN(3), 3, FaultTolerance{1, byNode})
+	model.assign(model.input())
+	model.runUntilStable()
 	for range 4 {
 		loss := r.IntN(30)
 		for step := range 30 {
-			for _, m := range w.machines {
+			for _, m := range model.machines {
 				m.partitioned = false
 			}
-			if m := w.machines[r.IntN(len(w.machines))]; step == loss {
-				w.tracef("%s loses its disk", m.node)
-				w.wipe(m, r.IntN(3) == 0)
+			if m := model.machines[r.IntN(len(model.machines))]; step == loss {
+				model.tracef("%s loses its disk", m.node)
+				model.wipe(m, r.IntN(3) == 0)
 			} else if r.IntN(2) == 0 {
-				w.tracef("%s lapses", m.node)
+				model.tracef("the session of %s expires", m.node)
 				m.partitioned = true
 			}
-			w.assign(w.input())
+			model.assign(model.input())
 			if r.IntN(2) == 0 {
-				w.reports = nil
+				model.reports = nil
 			}
 			for range r.IntN(8) {
-				w.machines[r.IntN(len(w.machines))].receiveMap(w)
+				model.machines[r.IntN(len(model.machines))].receiveMap(model)
 			}
 			for range r.IntN(40) {
-				w.syncReplica(w.machines[r.IntN(len(w.machines))], r.IntN(partitionCount))
-				w.acknowledge(w.machines[r.IntN(len(w.machines))], r.IntN(partitionCount))
+				model.syncReplica(model.machines[r.IntN(len(model.machines))], r.IntN(partitionCount))
+				model.acknowledge(model.machines[r.IntN(len(model.machines))], r.IntN(partitionCount))
 			}
-			w.check(nil)
+			model.check(nil)
 		}
-		for _, m := range w.machines {
+		for _, m := range model.machines {
 			m.partitioned = false
 		}
-		w.reports = nil
-		w.runUntilStable()
-		w.assertAllServed()
-		w.assertBalanced(false)
+		model.reports = nil
+		model.runUntilStable()
+		model.assertAllServed()
+		model.assertBalanced(false)
 	}
 }
 
 // assertAllServed checks that each partition has a primary that acknowledges a turn.
-func (w *placementModel) assertAllServed() {
-	w.t.Helper()
-	for i, p := range w.partitionMap.Partitions {
-		primary := w.machine(p.Primary)
-		assert.Assert(w.t, primary != nil && len(p.RecoverFrom) == 0, "partition %d has no primary: %v\n%v", i, p, w.trace)
-		assert.Assert(w.t, w.acknowledge(primary, i), "partition %d does not serve: %v\n%v", i, p, w.trace)
+func (model *placementModel) assertAllServed() {
+	model.t.Helper()
+	for i, p := range model.partitionMap.Partitions {
+		primary := model.machine(p.Primary)
+		assert.Assert(model.t, primary != nil && len(p.RecoverFrom) == 0, "partition %d has no primary: %v\n%v", i, p, model.trace)
+		assert.Assert(model.t, model.acknowledge(primary, i), "partition %d does not serve: %v\n%v", i, p, model.trace)
 	}
 }
 
 // A replica being synced makes no progress, and another turn store is tried for it; then the primary loses its disk. The replica that was
 // given up has what was acknowledged while it was under way, and the one that had expired before what came earlier.
 func TestPlacement_LossAfterStalledReplicaReplaced(t *testing.T) {
-	w := newModel(t, nil, 4, 4, FaultTolerance{1, byNode})
-	w.assign(w.input())
-	w.runUntilStable()
-	primary, lapsed := w.machines[0], w.machines[1]
+	model := newModel(t, nil, 4, 4, FaultTolerance{1, byNode})
+	model.assign(model.input())
+	model.runUntilStable()
+	primary, lapsed := model.machines[0], model.machines[1]
 	lapsed.partitioned = true
-	assert.Assert(t, w.assign(w.input()))
-	w.countServed()
+	assert.Assert(t, model.assign(model.input()))
+	model.countServed()
 	lapsed.partitioned = false
-	in := w.input()
+	in := model.input()
 	in.Stalled = map[uint32]bool{}
-	for i, p := range w.partitionMap.Partitions {
+	for i, p := range model.partitionMap.Partitions {
 		in.Stalled[uint32(i)] = p.Primary == primary.folder && hasUnsynced(p)
 	}
 	in.Slow = in.Stalled
-	for range 2 * (w.tolerance.Losses + 1) { // until other turn stores are tried for the replicas
-		w.assign(in)
-		w.countServed()
+	for range 2 * (model.tolerance.Losses + 1) { // until other turn stores are tried for the replicas
+		model.assign(in)
+		model.countServed()
 	}
-	w.wipe(primary, false)
-	w.reports = nil
-	w.runUntilStable()
-	w.assertAllServed()
-	w.assertBalanced(false)
+	model.wipe(primary, false)
+	model.reports = nil
+	model.runUntilStable()
+	model.assertAllServed()
+	model.assertBalanced(false)
 }
 
 // What was retained is forgotten once enough replicas are synced, and with its disk.
 func TestRetainedReplicas_Pruned(t *testing.T) {
-	w := newModel(t, nil, 4, 4, FaultTolerance{1, byNode})
-	w.assign(w.input())
-	w.runUntilStable()
+	model := newModel(t, nil, 4, 4, FaultTolerance{1, byNode})
+	model.assign(model.input())
+	model.runUntilStable()
 	retained := func() (n int) {
-		for _, p := range w.partitionMap.Partitions {
+		for _, p := range model.partitionMap.Partitions {
 			n += len(p.Retained)
 		}
 		return n
 	}
-	w.machines[0].partitioned = true
-	w.assign(w.input())
+	model.machines[0].partitioned = true
+	model.assign(model.input())
 	assert.Assert(t, retained() > 0)
-	w.machines[0].partitioned = false
-	w.wipe(w.machines[0], false)
-	w.assign(w.input())
+	model.machines[0].partitioned = false
+	model.wipe(model.machines[0], false)
+	model.assign(model.input())
 	assert.Equal(t, retained(), 0)
-	w.runUntilStable()
-	w.machines[1].partitioned = true
-	w.assign(w.input())
+	model.runUntilStable()
+	model.machines[1].partitioned = true
+	model.assign(model.input())
 	assert.Assert(t, retained() > 0)
-	w.runUntilStable()
+	model.runUntilStable()
 	assert.Equal(t, retained(), 0)
 }
--- a/internal/tier/controlplane/retire_deadlines_test.go
+++ b/internal/tier/controlplane/retire_deadlines_test.go
@@ -160,7 +160,7 @@
 		{12 * time.Second, absence{8 * time.Second, true}},
 	} {
 		took, most := retireWithDeadline(t, test.duration, test.away)
-		t.Logf("in %v, another away for %v (before the order: %v): took %v, at most %d copies at a time", test.duration, test.away.Duration, test.away.beforeOrder, took, most)
+		t.Logf("in %v, another away for %v (before the order: %v): took %v, at most %d replicas at a time", test.duration, test.away.Duration, test.away.beforeOrder, took, most)
 		assert.Check(t, took <= test.duration, "%+v: took %v", test, took)
 	}
 }
@@ -169,7 +169,7 @@
 func TestRetire_FewMovesWithTimeLeft(t *testing.T) {
 	for _, duration := range []time.Duration{0, 2 * time.Minute} {
 		took, most := retireWithDeadline(t, duration, absence{})
-		t.Logf("in %v: took %v, at most %d copies at a time", duration, took, most)
-		assert.Assert(t, most <= partitionCount/concurrentMoveDivisor, "%d copies at a time", most)
+		t.Logf("in %v: took %v, at most %d replicas at a time", duration, took, most)
+		assert.Assert(t, most <= partitionCount/concurrentMoveDivisor, "%d replicas at a time", most)
 	}
 }
--- a/internal/tier/controlplane/retire_test.go
+++ b/internal/tier/controlplane/retire_test.go
@@ -70,7 +70,7 @@
 		again("another is lost")
 		h.join(roleTurnStore, "v4", nil)
 		h.advance(200 * time.Millisecond)
-		again("and is replaced: copies are under way")
+		again("and is replaced: replicas are being synced")
 	})
 }
 
--- a/internal/tier/controlplane/risk_test.go
+++ b/internal/tier/controlplane/risk_test.go
@@ -28,11 +28,11 @@
 		}
 		return all
 	}
-	whole := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Replica{copyOf("b", true)}}
+	complete := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Replica{copyOf("b", true)}}
 	underRepair := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Replica{copyOf("c", false)}}
 	alone := &tierv1.Partition{Primary: "a"}
 	oneZone := &tierv1.Partition{Primary: "b", Backups: []*tierv1.Replica{copyOf("c", true)}}
-	threeCopies := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Replica{copyOf("b", true), copyOf("c", true)}}
+	threeReplicas := &tierv1.Partition{Primary: "a", Backups: []*tierv1.Replica{copyOf("b", true), copyOf("c", true)}}
 	for _, test := range []struct {
 		name   string
 		m      *tierv1.PartitionMap
@@ -41,27 +41,27 @@
 		want   Risk
 	}{
 		{"no map", nil, FaultTolerance{1, byNode}, alive("a"), Risk{MinReplicas: 2}},
-		{"nothing at risk", partitionMap(whole), FaultTolerance{1, byNode}, alive("a", "b"), Risk{MinReplicas: 2}},
-		{"more copies than needed", partitionMap(whole), FaultTolerance{0, byNode}, alive("a", "b"), Risk{MinReplicas: 2}},
-		{"two losses to bear", partitionMap(whole), FaultTolerance{2, byNode}, alive("a", "b", "c"), Risk{Partitions: 1, MinReplicas: 2, RecoveryTime: RecoveryUnknown}},
-		{"a copy under way", partitionMap(whole, underRepair), FaultTolerance{1, byNode}, alive("a", "b", "c"),
+		{"nothing at risk", partitionMap(complete), FaultTolerance{1, byNode}, alive("a", "b"), Risk{MinReplicas: 2}},
+		{"more replicas than needed", partitionMap(complete), FaultTolerance{0, byNode}, alive("a", "b"), Risk{MinReplicas: 2}},
+		{"two losses to tolerate", partitionMap(complete), FaultTolerance{2, byNode}, alive("a", "b", "c"), Risk{Partitions: 1, MinReplicas: 2, RecoveryTime: RecoveryUnknown}},
+		{"a replica being synced", partitionMap(complete, underRepair), FaultTolerance{1, byNode}, alive("a", "b", "c"),
 			Risk{Partitions: 1, MinReplicas: 1, Unsynced: 1, RecoveryTime: syncTime}},
-		{"its turn store is gone", partitionMap(whole, underRepair), FaultTolerance{1, byNode}, alive("a", "b"),
+		{"its turn store is gone", partitionMap(complete, underRepair), FaultTolerance{1, byNode}, alive("a", "b"),
 			Risk{Partitions: 1, MinReplicas: 1, RecoveryTime: RecoveryUnknown}},
-		{"no copy under way", partitionMap(alone, underRepair), FaultTolerance{1, byNode}, alive("a", "c"),
+		{"no replica being synced", partitionMap(alone, underRepair), FaultTolerance{1, byNode}, alive("a", "c"),
 			Risk{Partitions: 2, MinReplicas: 1, Unsynced: 1, RecoveryTime: RecoveryUnknown}},
-		{"a synced backup is gone", partitionMap(whole), FaultTolerance{1, byNode}, alive("a"), Risk{Partitions: 1, MinReplicas: 1, RecoveryTime: RecoveryUnknown}},
-		{"the primary is gone", partitionMap(whole), FaultTolerance{1, byNode}, alive("b"),
+		{"a synced backup is gone", partitionMap(complete), FaultTolerance{1, byNode}, alive("a"), Risk{Partitions: 1, MinReplicas: 1, RecoveryTime: RecoveryUnknown}},
+		{"the primary is gone", partitionMap(complete), FaultTolerance{1, byNode}, alive("b"),
 			Risk{Partitions: 1, Unavailable: 1, MinReplicas: 1, RecoveryTime: RecoveryUnknown}},
-		{"all holders are gone", partitionMap(whole), FaultTolerance{1, byNode}, alive("c"),
+		{"all replicas are gone", partitionMap(complete), FaultTolerance{1, byNode}, alive("c"),
 			Risk{Partitions: 1, Unavailable: 1, RecoveryTime: RecoveryUnknown}},
-		{"two copies in one zone", partitionMap(oneZone), FaultTolerance{1, byZone}, alive("b", "c"),
+		{"two replicas in one zone", partitionMap(oneZone), FaultTolerance{1, byZone}, alive("b", "c"),
 			Risk{Partitions: 1, MinReplicas: 1, RecoveryTime: RecoveryUnknown}},
 		{"the same by machine", partitionMap(oneZone), FaultTolerance{1, byNode}, alive("b", "c"), Risk{MinReplicas: 2}},
-		{"three copies", partitionMap(threeCopies), FaultTolerance{2, byNode}, alive("a", "b", "c"), Risk{MinReplicas: 3}},
-		{"the primary is gone, the backup is not whole", partitionMap(underRepair), FaultTolerance{1, byNode}, alive("c"),
+		{"three replicas", partitionMap(threeReplicas), FaultTolerance{2, byNode}, alive("a", "b", "c"), Risk{MinReplicas: 3}},
+		{"the primary is gone, the backup is not complete", partitionMap(underRepair), FaultTolerance{1, byNode}, alive("c"),
 			Risk{Partitions: 1, Unavailable: 1, Unsynced: 1, RecoveryTime: RecoveryUnknown}},
-		{"copies in two zones", partitionMap(whole), FaultTolerance{1, byZone}, alive("a", "b"), Risk{MinReplicas: 2}},
+		{"replicas in two zones", partitionMap(complete), FaultTolerance{1, byZone}, alive("a", "b"), Risk{MinReplicas: 2}},
 		{"no domain given", partitionMap(oneZone), FaultTolerance{Losses: 1}, alive("b", "c"), Risk{MinReplicas: 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/tier/controlplane/session_expiry_test.go
+++ b/internal/tier/controlplane/session_expiry_test.go
@@ -13,11 +13,11 @@
 )
 
 // expire has the sessions of machines end a moment ago.
-func (w *placementModel) expire(machines ...*modelMachine) Input {
+func (model *placementModel) expire(machines ...*modelMachine) Input {
 	for _, m := range machines {
 		m.partitioned = true
 	}
-	in := w.input()
+	in := model.input()
 	in.RecentlyExpired = map[string]bool{}
 	for _, m := range machines {
 		in.RecentlyExpired[m.folder] = true
@@ -27,26 +27,26 @@
 
 // modelAfterExpiry returns three machines, one loss to be tolerated, and the first machine's replicas taken out as its session expired.
 func modelAfterExpiry(t *testing.T) *placementModel {
-	w := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
-	w.assign(w.input())
-	w.runUntilStable()
-	assert.Assert(t, w.assign(w.expire(w.machines[0])))
+	model := newModel(t, nil, 3, 3, FaultTolerance{1, byNode})
+	model.assign(model.input())
+	model.runUntilStable()
+	assert.Assert(t, model.assign(model.expire(model.machines[0])))
 	for range 3 {
-		w.step()
+		model.step()
 	}
-	for _, p := range w.partitionMap.Partitions {
-		assert.Assert(t, !slices.Contains(replicaFolders(p), w.machines[0].folder))
+	for _, p := range model.partitionMap.Partitions {
+		assert.Assert(t, !slices.Contains(replicaFolders(p), model.machines[0].folder))
 	}
-	return w
+	return model
 }
 
 // countServed counts the partitions of which some machine acknowledges a turn.
-func (w *placementModel) countServed() (n int) {
-	for _, m := range w.machines {
-		m.receiveMap(w)
+func (model *placementModel) countServed() (n int) {
+	for _, m := range model.machines {
+		m.receiveMap(model)
 	}
-	for i := range w.partitionMap.Partitions {
-		if slices.ContainsFunc(w.machines, func(m *modelMachine) bool { return w.acknowledge(m, i) }) {
+	for i := range model.partitionMap.Partitions {
+		if slices.ContainsFunc(model.machines, func(m *modelMachine) bool { return model.acknowledge(m, i) }) {
 			n++
 		}
 	}
@@ -56,56 +56,56 @@
 // The session of a second turn store expires while the first, which has no replicas any more, is unresponsive too: the third does not go
 // on alone, so that nothing is lost with its disk.
 func TestSessionExpiry_LastStoreWaits(t *testing.T) {
-	w := modelAfterExpiry(t)
-	w.assign(w.expire(w.machines[0], w.machines[1]))
-	for i, p := range w.partitionMap.Partitions {
+	model := modelAfterExpiry(t)
+	model.assign(model.expire(model.machines[0], model.machines[1]))
+	for i, p := range model.partitionMap.Partitions {
 		assert.Equal(t, len(p.Backups), 1, "partition %d: %v", i, p)
 	}
-	w.countServed()
-	w.wipe(w.machines[2], false)
-	w.machines[0].partitioned, w.machines[1].partitioned = false, false
-	w.assign(w.input())
-	w.reports = nil
-	w.runUntilStable()
-	assert.Equal(t, w.countServed(), partitionCount)
-	w.assertBalanced(false)
+	model.countServed()
+	model.wipe(model.machines[2], false)
+	model.machines[0].partitioned, model.machines[1].partitioned = false, false
+	model.assign(model.input())
+	model.reports = nil
+	model.runUntilStable()
+	assert.Equal(t, model.countServed(), partitionCount)
+	model.assertBalanced(false)
 }
 
 // A turn store that is back within the wait is the synced backup that it was, in the same epoch.
 func TestSessionExpiry_StoreBackWithinWaitStaysBackup(t *testing.T) {
-	w := modelAfterExpiry(t)
-	for _, p := range w.partitionMap.Partitions {
+	model := modelAfterExpiry(t)
+	for _, p := range model.partitionMap.Partitions {
 		assert.Assert(t, len(p.Backups) == 1 && p.Backups[0].Synced, "%v", p)
 	}
-	second, third := w.machines[1], w.machines[2]
-	before := w.partitionMap
-	w.assign(w.expire(w.machines[0], second))
-	waiting := w.partitionMap
+	second, third := model.machines[1], model.machines[2]
+	before := model.partitionMap
+	model.assign(model.expire(model.machines[0], second))
+	waiting := model.partitionMap
 	second.partitioned = false
-	in := w.expire(w.machines[0])
+	in := model.expire(model.machines[0])
 	in.MayMove = false // primaries are made even later
-	w.assign(in)
-	for i, p := range w.partitionMap.Partitions {
+	model.assign(in)
+	for i, p := range model.partitionMap.Partitions {
 		assert.Assert(t, proto.Equal(p, waiting.Partitions[i]), "partition %d: %v", i, p)
 		assert.Assert(t, findBackup(p, second.folder).Synced, "partition %d: %v", i, p)
 		if was := before.Partitions[i]; was.Primary == third.folder {
 			assert.Assert(t, proto.Equal(p, was), "partition %d: %v", i, p)
 		}
 	}
-	assert.Equal(t, w.countServed(), partitionCount)
+	assert.Equal(t, model.countServed(), partitionCount)
 }
 
 // When the wait is over, the last one goes on alone as far as it is complete.
 func TestSessionExpiry_LastStoreGoesOnAfterWait(t *testing.T) {
-	w := modelAfterExpiry(t)
-	w.assign(w.expire(w.machines[0], w.machines[1]))
-	in := w.input()
-	assert.Assert(t, w.assign(in))
-	for i, p := range w.partitionMap.Partitions {
-		assert.Equal(t, p.Primary, w.machines[2].folder, "partition %d: %v", i, p)
+	model := modelAfterExpiry(t)
+	model.assign(model.expire(model.machines[0], model.machines[1]))
+	in := model.input()
+	assert.Assert(t, model.assign(in))
+	for i, p := range model.partitionMap.Partitions {
+		assert.Equal(t, p.Primary, model.machines[2].folder, "partition %d: %v", i, p)
 		assert.Equal(t, len(p.Backups), 0, "partition %d: %v", i, p)
 	}
-	assert.Equal(t, w.countServed(), partitionCount)
+	assert.Equal(t, model.countServed(), partitionCount)
 }
 
 // An expiry is waited for only where no turn store could take another replica; else the map is the same as after an expiry long ago.
@@ -117,13 +117,13 @@
 		{2, 1, 1, true}, {3, 2, 1, true}, {3, 2, 2, true}, {4, 2, 2, true},
 		{3, 1, 1, false}, {4, 1, 1, false}, {4, 2, 1, false}, {5, 2, 2, false},
 	} {
-		w := newModel(t, nil, test.machines, test.machines, FaultTolerance{test.losses, byNode})
-		w.assign(w.input())
-		w.runUntilStable()
-		in := w.expire(w.machines[:test.lapsed]...)
-		now, _ := Assign(w.partitionMap, in)
+		model := newModel(t, nil, test.machines, test.machines, FaultTolerance{test.losses, byNode})
+		model.assign(model.input())
+		model.runUntilStable()
+		in := model.expire(model.machines[:test.lapsed]...)
+		now, _ := Assign(model.partitionMap, in)
 		in.RecentlyExpired = nil
-		later, changed := Assign(w.partitionMap, in)
+		later, changed := Assign(model.partitionMap, in)
 		assert.Assert(t, changed, "%+v", test)
 		waits := !slices.Equal(partitionStrings(now), partitionStrings(later))
 		assert.Equal(t, waits, test.waits, "%+v", test)
@@ -131,7 +131,7 @@
 			continue
 		}
 		for i, p := range now.Partitions {
-			assert.Equal(t, len(p.Backups), len(w.partitionMap.Partitions[i].Backups), "%+v: %v", test, p)
+			assert.Equal(t, len(p.Backups), len(model.partitionMap.Partitions[i].Backups), "%+v: %v", test, p)
 		}
 	}
 }
@@ -145,19 +145,19 @@
 
 // An expired turn store that comes back with another disk is not waited for.
 func TestSessionExpiry_NoWaitForLostDisk(t *testing.T) {
-	w := newModel(t, nil, 2, 2, FaultTolerance{1, byNode})
-	w.assign(w.input())
-	w.runUntilStable()
-	first := w.machines[0]
-	in := w.expire(first)
-	assert.Assert(t, w.assign(in)) // its partitions have the other as the primary
+	model := newModel(t, nil, 2, 2, FaultTolerance{1, byNode})
+	model.assign(model.input())
+	model.runUntilStable()
+	first := model.machines[0]
+	in := model.expire(first)
+	assert.Assert(t, model.assign(in)) // its partitions have the other as the primary
 	lapsed := in.RecentlyExpired
-	w.wipe(first, false)
+	model.wipe(first, false)
 	first.partitioned = false
-	in = w.input()
+	in = model.input()
 	in.RecentlyExpired = lapsed
-	assert.Assert(t, w.assign(in))
-	for i, p := range w.partitionMap.Partitions {
+	assert.Assert(t, model.assign(in))
+	for i, p := range model.partitionMap.Partitions {
 		assert.Assert(t, len(p.Backups) == 1 && p.Backups[0].Folder == first.folder, "partition %d: %v", i, p)
 	}
 }
@@ -167,38 +167,38 @@
 func TestSessionExpiry_SeveralAreNoLosses(t *testing.T) {
 	for seed := range uint64(10) {
 		r := rand.New(rand.NewPCG(seed, 9))
-		w := newModel(t, r, 3, 3, FaultTolerance{1, byNode})
-		w.assign(w.input())
-		w.runUntilStable()
+		model := newModel(t, r, 3, 3, FaultTolerance{1, byNode})
+		model.assign(model.input())
+		model.runUntilStable()
 		for range 10 {
-			order := r.Perm(len(w.machines))
-			last := w.machines[order[2]]
+			order := r.Perm(len(model.machines))
+			last := model.machines[order[2]]
 			var silent []*modelMachine
 			for _, i := range order[:2] {
-				silent = append(silent, w.machines[i])
-				w.tracef("%s lapses", w.machines[i].node)
-				w.assign(w.expire(silent...))
+				silent = append(silent, model.machines[i])
+				model.tracef("the session of %s expires", model.machines[i].node)
+				model.assign(model.expire(silent...))
 				for range r.IntN(3) {
-					w.countServed()
+					model.countServed()
 					for range r.IntN(40) {
-						w.syncReplica(w.machines[r.IntN(len(w.machines))], r.IntN(partitionCount))
+						model.syncReplica(model.machines[r.IntN(len(model.machines))], r.IntN(partitionCount))
 					}
-					w.assign(w.expire(silent...))
-					w.reports = nil
+					model.assign(model.expire(silent...))
+					model.reports = nil
 				}
 			}
-			w.countServed()
+			model.countServed()
 			if r.IntN(2) == 0 {
-				w.tracef("%s loses its disk", last.node)
-				w.wipe(last, r.IntN(3) == 0)
+				model.tracef("%s loses its disk", last.node)
+				model.wipe(last, r.IntN(3) == 0)
 			}
 			for _, m := range silent {
 				m.partitioned = false
 			}
-			w.reports = nil
-			w.runUntilStable()
-			assert.Equal(t, w.countServed(), partitionCount, "seed %d: %v", seed, w.trace)
-			w.assertBalanced(false)
+			model.reports = nil
+			model.runUntilStable()
+			assert.Equal(t, model.countServed(), partitionCount, "seed %d: %v", seed, model.trace)
+			model.assertBalanced(false)
 		}
 	}
 }
