--- a/internal/sender/config.go
+++ b/internal/sender/config.go
@@ -42,15 +42,15 @@
 // discovery.
 func (l Limits) maxEndpointConns() int { return max(1, l.Sockets-l.maxClients()-min(24, l.Sockets/8)) }
 
-// Config is what a sender is told at its start.
+// Config is a sender's configuration. It does not change while the sender runs, but for what Sender.Reload takes over.
 type Config struct {
 	Name      string
-	Listen    string // where clients connect
-	Discovery string
+	Listen    string // host:port where clients connect
+	Discovery string // host:port of the platform's discovery
 	StateDir  string // the folder that outlasts the process
-	Seed      uint64
+	Seed      uint64 // of the module's random choices
 	Limits    Limits
-	Known     Targets // the endpoint list as last had
+	Known     Targets // the endpoint list as the platform had it last
 	Settings  brain.Settings
 
 	Classes, Tenants, Kinds, Zones []string // names, in the order of the settings
@@ -58,13 +58,13 @@
 	ConnectTimeout                 time.Duration
 
 	// What the operators' file turns on.
-	Events   *Events         // CloudEvents are taken in; nil: they are not
-	Recorder Recorder        // messages that are not delivered are kept; nil: they are not
+	Events   *Events         // CloudEvents are accepted; nil: they are not
+	Recorder Recorder        // undelivered messages are kept; nil: they are not
 	Delivery *calls.Delivery // in which form messages go out; nil: all as in the platform's protocol
 
-	Peers       *peers.Config                         // other senders, who tell what they know; nil: none
+	Peers       *peers.Config                         // other senders, which share what they observe; nil: none
 	Background  bool                                  // work behind the messages asks of the sender: see Sender.Background
-	Work        func(filter work.Filter) (any, error) // what the command line is told of it, and what it wants done
+	Work        func(filter work.Filter) (any, error) // answers the command line's queries; WorkCommand takes its commands
 	WorkCommand func(work.Command) error
 	Fleet       Fleet       // what senders agree on; nil: nothing
 	Names       *NameSource // names say where endpoints are, beside discovery; nil: discovery alone does
--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// A change counts as told 6 s after discovery had it and could be reached. A watch that has fallen silent looks like one
-	// without news until its answer is overdue, so both are short: docs/design/ends.md has the sum. One that is renewed in time
-	// is no new call to discovery.
-	longPollWait       = 2 * time.Second        // a watch call waits so long for news
+	// By the protocol a change counts as received 6 s after discovery had it and could be reached. A watch whose connection is dead
+	// looks like one without changes until its answer is overdue, so both times are short: docs/design/ends.md has the sum. A watch
+	// that is renewed in time is no new call to discovery.
+	longPollWait       = 2 * time.Second        // a watch call waits so long for changes
 	answerTimeout      = 2 * time.Second        // and an answer takes no longer than this besides: discovery gives up at 2 s itself
-	overloadThreshold  = time.Second            // a call that is refused after so long was worked on in vain
-	firstNoticeTimeout = 150 * time.Millisecond // notices are answered at once, or the connection says nothing any more
+	overloadThreshold  = time.Second            // a call that is rejected after so long was worked on in vain: discovery is overloaded
+	firstNoticeTimeout = 150 * time.Millisecond // notices are answered at once, or the connection is dead
 	noticeTimeout      = 500 * time.Millisecond // on a new one: it has to come up
-	minBackoff         = 100 * time.Millisecond // first pause after a failure; doubles
+	minBackoff         = 100 * time.Millisecond // the first pause after a failure; doubles up to maxBackoff
 	maxBackoff         = 2 * time.Second
-	maxNoticesPerCall  = 256     // notices in one call
-	maxListBytes       = 8 << 20 // bytes of a list
+	maxNoticesPerCall  = 256     // in one call
+	maxListBytes       = 8 << 20 // of an answer of discovery's
 )
 
 // Target is an endpoint as a source lists it.
@@ -47,7 +47,7 @@
 type registry struct {
 	addr     string
 	client   *http.Client // for the list
-	notices  *http.Client // has no connection in common with that, of which only the watch finds out that it is silent
+	notices  *http.Client // has no connection in common with that, as only the watch finds out that one is dead
 	moved    context.Context
 	endCalls context.CancelFunc
 }
@@ -174,7 +174,7 @@
 		} else {
 			version = t.Version
 		}
-		news(t) // also what comes while discovery moves: it has been told
+		news(t) // also what comes while discovery moves: it has been sent
 		if o.moved.Err() != nil {
 			return version, o.moved.Err()
 		}
@@ -187,7 +187,7 @@
 // failure: the watch goes on at the new address at once, from the whole list, as versions are each registry's own and the old
 // one may not have told all that it had to.
 func (d *discovery) follow(ctx context.Context, version int64, asked <-chan struct{}, news func(Targets), failed func(error)) {
-	var heard *registry // that told the last list
+	var last *registry // that sent the last update
 	for {
 		select {
 		case <-asked:
@@ -198,7 +198,7 @@
 			o := d.registry()
 			var err error
 			version, err = o.watch(ctx, version, func(t Targets) {
-				t.VersionsReset, t.Origin, heard = heard != nil && heard != o, o.addr, o
+				t.VersionsReset, t.Origin, last = last != nil && last != o, o.addr, o
 				news(t)
 			})
 			if ctx.Err() != nil {
--- a/internal/sender/discovery_notices.go
+++ b/internal/sender/discovery_notices.go
@@ -20,7 +20,7 @@
 // postNotices posts batches of notices until the platform acknowledges them, wherever discovery is by then, and ends with ctx.
 // The connection of the last ones may have fallen silent since; the first failure is made up for at once, on a new one, as a
 // notice has little time.
-func (d *discovery) postNotices(ctx context.Context, notices <-chan []notice, told func([]notice)) {
+func (d *discovery) postNotices(ctx context.Context, notices <-chan []notice, acknowledged func([]notice)) {
 	for {
 		var batch []notice
 		select {
@@ -40,7 +40,7 @@
 				limit = firstNoticeTimeout
 			}
 			if o.post(ctx, lines.Bytes(), limit) == nil {
-				told(batch)
+				acknowledged(batch)
 				break
 			}
 			o.notices.CloseIdleConnections()
--- a/internal/sender/event_dedup.go
+++ b/internal/sender/event_dedup.go
@@ -18,7 +18,7 @@
 	table       *identity.Table
 	file        *identity.File
 	pending     map[identity.Key]*message
-	flushFailed bool // the last flush failed, and that was told
+	flushFailed bool // the last flush failed, and its error was returned
 }
 
 // openEventDedup reads the ends that an earlier process left; nil where no events are accepted.
--- a/internal/sender/extension_knowledge.go
+++ b/internal/sender/extension_knowledge.go
@@ -31,11 +31,11 @@
 	lastWrite time.Duration
 
 	view     *knowledge.View
-	unlisted map[knowledge.Subject]struct{} // of the snapshot, and not told yet
+	unlisted map[knowledge.Subject]struct{} // of the snapshot, and not given to the module yet
 
 	writes chan []byte // room for one; what comes while that is taken waits for the next look
 	done   sync.WaitGroup
-	failed bool // the last write, as told
+	failed bool // the last write did, and that is logged
 	saving sync.Mutex
 }
 
--- a/internal/sender/extension_peers.go
+++ b/internal/sender/extension_peers.go
@@ -16,9 +16,9 @@
 	s        *Sender
 	node     *peers.Node
 	stop     context.CancelFunc
-	view     *knowledge.View // what was heard, but for health
+	view     *knowledge.View // what peers told, but for health
 	reports  *knowledge.Reports
-	unlisted map[knowledge.Subject]struct{} // heard of, and not on the list yet
+	unlisted map[knowledge.Subject]struct{} // of which peers told, and not on the endpoint list yet
 }
 
 // PeerKeys changes the keys of the peers' membership (see peers.Node.SetKeys); without peers it does nothing. Any goroutine
--- a/internal/sender/extension_recorder.go
+++ b/internal/sender/extension_recorder.go
@@ -16,31 +16,31 @@
 	Record(entries []undelivered.Entry, now int64) error
 	// RecordDropped counts ends that were not offered, by member and reason.
 	RecordDropped(counts map[[2]string]int64) error
-	// ResolveResubmitted tells of messages that clients handed in under a key, by member and key: one that is kept under it is its
+	// ResolveResubmitted tells of messages that clients submitted under a key, by member and key: one that is kept under it is its
 	// client's again.
 	ResolveResubmitted(keys [][2]string) error
 }
 
 // The bounds of what waits for the recorder, and the pauses before what it failed to keep is offered again.
 const (
-	maxRecorderBatch       = 256                    // ends offered at once
-	recorderJournalDivisor = 4                      // a part of the journal's room is for ends that wait for the recorder
+	maxRecorderBatch       = 256                    // ends in one batch
+	recorderJournalDivisor = 4                      // so much of the journal's budget is for ends that wait for the recorder
 	minRecorderBackoff     = 200 * time.Millisecond // the pause before what failed is offered again, then doubled
 	maxRecorderBackoff     = 10 * time.Second       // up to this
-	maxSubmittedKeys       = 20_000                 // keys of hand-ins that wait for a recorder that is slow or fails
+	maxSubmittedKeys       = 20_000                 // keys of submissions that wait for a recorder that is slow or fails
 )
 
 // recorderQueue is the loop's side of a recorder. A nil one keeps nothing.
 type recorderQueue struct {
 	recorder      Recorder
 	offers        chan recorderBatch
-	waiting       []*storedMessage // ended, in the journal, and not offered yet
-	offered       []*storedMessage // offered
-	cost          int64            // in the journal, of all of these
-	maxCost       int64
-	dropped       map[[2]string]int64
-	submittedKeys [][2]string // member and key of messages that were handed in
-	busy          bool        // something is offered
+	waiting       []*storedMessage    // ended, in the journal, and not offered yet
+	offered       []*storedMessage    // offered, and not known to be kept yet
+	cost          int64               // bytes that all of these may take in the journal
+	maxCost       int64               // above it ends are dropped
+	dropped       map[[2]string]int64 // ends that were not offered, by member and reason
+	submittedKeys [][2]string         // member and idempotency key of messages that were submitted
+	busy          bool                // a batch is offered
 }
 
 // recorderBatch is a batch on its way to the recorder.
@@ -63,7 +63,7 @@
 
 // run passes batches on until ctx ends, and calls done after each. What fails is tried again for as long as it takes, as the
 // journal holds it; warn is called with the first failure of a batch.
-func (b *recorderQueue) run(ctx context.Context, warn func(error), kept func()) {
+func (b *recorderQueue) run(ctx context.Context, warn func(error), done func()) {
 	for {
 		var o recorderBatch
 		select {
@@ -71,7 +71,7 @@
 		case <-ctx.Done():
 			return
 		}
-		for pause, told := minRecorderBackoff, false; ; pause = min(2*pause, maxRecorderBackoff) {
+		for pause, warned := minRecorderBackoff, false; ; pause = min(2*pause, maxRecorderBackoff) {
 			err := b.recorder.RecordDropped(o.dropped)
 			if err == nil {
 				o.dropped = nil
@@ -85,9 +85,9 @@
 			if err == nil {
 				break
 			}
-			if !told { // an error that lasts is told once
+			if !warned { // an error that lasts is logged once
 				warn(err)
-				told = true
+				warned = true
 			}
 			t := time.NewTimer(pause)
 			select {
@@ -97,7 +97,7 @@
 				return
 			}
 		}
-		kept()
+		done()
 	}
 }
 
--- a/internal/sender/finish.go
+++ b/internal/sender/finish.go
@@ -124,7 +124,7 @@
 		s.eventDedup.recordEnd(m, s.clock.now(), identity.Failed, 0)
 	case accepted:
 		s.eventDedup.recordEnd(m, s.clock.now(), identity.HandedBack, retryAfter)
-	default: // refused in its answer: it was never taken on
+	default: // rejected in its answer: it was never accepted
 		s.eventDedup.forget(m)
 	}
 	if !accepted { // it hears once this is written down
@@ -133,12 +133,12 @@
 		}
 		m.reply, m.alsoWaiting = nil, nil
 		rec := record{Outcome: outcomeAnswered}
-		if outcome == outcomeGivenUp && s.shouldRecord(m, outcomeAnswered) { // refused in its answer it was never taken on, and is its client's
+		if outcome == outcomeGivenUp && s.shouldRecord(m, outcomeAnswered) { // rejected in its answer it was never accepted, and is its client's
 			rec.AwaitsRecorder, rec.At = true, s.clock.now()
 		}
 		s.recordEnd(m, rec)
 	} else {
-		rec := record{Outcome: outcome, RetryAfterMS: retryAfter.Milliseconds(), Notified: m.Incarnation > 0} // of one that went again nobody waits to hear
+		rec := record{Outcome: outcome, RetryAfterMS: retryAfter.Milliseconds(), Notified: m.Incarnation > 0} // of a later incarnation nobody waits to hear
 		if s.shouldRecord(m, outcome) {
 			rec.AwaitsRecorder, rec.At = true, s.clock.now()
 		}
--- a/internal/sender/ingress.go
+++ b/internal/sender/ingress.go
@@ -8,7 +8,7 @@
 // ingress is a protocol by which clients submit messages: it turns requests into submissions and the loop's answers into the
 // client's. All share one listener, one path into the loop, and the checks on classes, tenants, deadlines and destinations.
 type ingress interface {
-	// readHead reads a request's head, before its body: an error is the answer, and nothing is taken on.
+	// readHead reads a request's head, before its body: an error is the answer, and nothing is accepted.
 	readHead(r *http.Request) (ingressRequest, error)
 	// maxBody is the bytes that a body may have.
 	maxBody() int64
--- a/internal/sender/journal.go
+++ b/internal/sender/journal.go
@@ -10,9 +10,6 @@
 	"time"
 )
 
-// The journal is one file of lines, each a checksum and a JSON record. A process that is killed leaves at
-// most a torn last line: a line whose checksum is wrong is skipped and what stands before it counts.
-
 // The journal's file, in the state folder, and its bounds.
 const (
 	journalFileName = "messages.journal"
@@ -20,10 +17,11 @@
 	maxNameBytes = 128
 	// compactionRetryInterval is the pause between compactions while they fail.
 	compactionRetryInterval = 200 * time.Millisecond
-	// maxRates bounds a record of rates, and ratesRoom what it takes.
+	// maxRates bounds a record of rates, and ratesReserve the bytes that it takes.
 	maxRates     = 100
 	ratesReserve = 32 * maxRates
-	// maxOutageReserve is the bytes that receivers out of service may take beside the rates, and a part of the journal's room.
+	// maxOutageReserve is the bytes that outages may take beside the rates, and outageBudgetDivisor the part of the journal's
+	// budget that they may take at most.
 	maxOutageReserve    = 4 << 10
 	outageBudgetDivisor = 32
 )
@@ -35,27 +33,31 @@
 }
 
 // journal keeps accepted messages, the usual rates, the outages and the endpoint list over a kill of the process. It belongs
-// to the loop. Records are buffered and written by flush, which does not sync: a power failure may lose the last of them.
+// to the loop. It is one file of lines, each a checksum and a JSON record (appendLine), so that a process that is killed leaves
+// at most a torn last line. Records are buffered and written by flush, which does not sync: a power failure may lose the last of
+// them.
 //
 // While it is failed nothing is written until a compaction succeeds, which is tried every compactionRetryInterval.
 type journal struct {
 	path           string
 	file           journalFile
-	budget         int64 // bytes that old and new file may hold together
-	size           int64
-	reserved       int64 // the sum of costs: an upper bound of a compacted file and all that follows on its messages
-	buf            bytes.Buffer
-	line           []byte    // of the message that is being put in
-	failed         bool      // the last write failed: nothing more is written until a compaction succeeds
-	lastCompaction time.Time // the last compaction
-	rates          map[uint32]float64
+	budget         int64        // bytes that the old and the new file may take together
+	size           int64        // of the file
+	reserved       int64        // upper bound of a compacted file and all that may follow on its messages
+	buf            bytes.Buffer // records that are not written yet
+	line           []byte       // of the message that is being inserted; reused
+	failed         bool         // the last write failed: nothing more is written until a compaction succeeds
+	lastCompaction time.Time    // when the last one was tried
+	corruptLines   int          // lines of the earlier process's file that could not be read, but for a torn last one
+
+	rates          map[uint32]float64 // usual calls a second, by destination
 	outages        outageSnapshot
-	maxOutageBytes int // bytes of those
+	maxOutageBytes int
 	endpoints      storedList
-	corruptLines   int // lines that could not be read at the start; a last one without its end is a kill's, and not counted
-	byID           map[string]*storedMessage
-	order          []*storedMessage // in the order taken, with some that have ended
-	ended          int              // of those
+
+	byID  map[string]*storedMessage // messages that are not finished
+	order []*storedMessage          // in the order in which they were accepted, with some that are finished
+	ended int                       // how many of those
 }
 
 // openJournal reads what an earlier process left in dir and begins a compacted file. budget is the bytes that the old and the
--- a/internal/sender/journal_outages.go
+++ b/internal/sender/journal_outages.go
@@ -10,7 +10,7 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// A process that restarts while a receiver is out, or comes back cold, finds messages for it taken on and knows nothing of
+// A process that restarts while a receiver is out of service, or recovers, finds accepted messages for it and knows nothing of
 // that: it would send them all at once, and so would every other process of a release. So the journal keeps, beside the usual
 // rates and as often, who is out and since when, and the next process begins there.
 
--- a/internal/sender/journal_record.go
+++ b/internal/sender/journal_record.go
@@ -26,49 +26,48 @@
 // record is one line of the journal. Which fields it has goes by Op. Times are the clock's, in Unix nanoseconds. The JSON
 // names are the stored format: they do not change, and unknown ones are passed over.
 type record struct {
-	Op string `json:"op"` // take, send, end, over, told, kept, rates, list
-	ID string `json:"id"`
-
-	// take: the message as its client handed it in; in a compacted file with what came of it so far
-	Key      string        `json:"key,omitempty"`
-	OrderKey string        `json:"order,omitempty"` // key of the order, in an ordered class
-	Class    string        `json:"class,omitempty"`
-	Tenant   string        `json:"tenant,omitempty"`
-	Dest     uint32        `json:"dest,omitempty"`
-	Deadline time.Duration `json:"deadline,omitempty"`
-	Body     []byte        `json:"body,omitempty"`
-	// What its class said of its repeats: the effect, and of a keyed one for how long a key is remembered, and whether in its zone only.
-	Effect    string        `json:"effect,omitempty"`
-	KeyWindow time.Duration `json:"window,omitempty"`
-	KeyInZone bool          `json:"in_zone,omitempty"`
-	// Of a message that came as an event: its attributes, its data being the body, and its identity.
-	Event    *cloudevents.Event `json:"event,omitempty"`
-	Identity *eventIdentity     `json:"ident,omitempty"`
-	Attempts []attemptRecord    `json:"tries,omitempty"`
-	// Of a kept message that goes again: for which time, and how many of its attempts are those of earlier ones.
-	Incarnation     int `json:"life,omitempty"`
-	EarlierAttempts int `json:"before,omitempty"`
-
-	Attempt int `json:"try,omitempty"` // end: which attempt, from 0
-	// send: the new attempt; end: that it never ran
-	Sent     *attemptRecord `json:"sent,omitempty"`
-	NeverRan bool           `json:"never,omitempty"`
-	// end: that it was recalled, and so counts as no attempt
-	Recalled bool `json:"recalled,omitempty"`
-
-	Outcome      string `json:"how,omitempty"` // over
-	RetryAfterMS int64  `json:"retry_ms,omitempty"`
-
-	// With a recorder: over: it is to be kept, when it ended, and in a compacted file whether its notice is told; end:
-	// how the attempt ended.
-	AwaitsRecorder bool          `json:"keep,omitempty"`
-	Notified       bool          `json:"told,omitempty"`
-	At             time.Duration `json:"at,omitempty"`
-	AttemptOutcome string        `json:"out,omitempty"`
-
-	Rates   map[uint32]float64 `json:"rates,omitempty"`   // rates: by destination, as the module knows them
-	Outages []outage           `json:"outages,omitempty"` // and who is out, or comes back, as of At
-	List    *listRecord        `json:"list,omitempty"`    // list: what discovery has told, or what that changes
+	Op string `json:"op"`
+	ID string `json:"id"` // of the message; "" for opRates and opList
+
+	// opAccept: the message as its client submitted it.
+	Key       string             `json:"key,omitempty"`      // idempotency key
+	OrderKey  string             `json:"order,omitempty"`    // ordering key, in an ordered class
+	Class     string             `json:"class,omitempty"`    // by name, as settings may change between two processes
+	Tenant    string             `json:"tenant,omitempty"`   // by name
+	Dest      uint32             `json:"dest,omitempty"`     // destination
+	Deadline  time.Duration      `json:"deadline,omitempty"` // a time
+	Body      []byte             `json:"body,omitempty"`     // of an event its data
+	Effect    string             `json:"effect,omitempty"`   // what its class said of repeats (effectNames)
+	KeyWindow time.Duration      `json:"window,omitempty"`   // how long its receiver remembers the key
+	KeyInZone bool               `json:"in_zone,omitempty"`  // it remembers the key in each zone apart
+	Event     *cloudevents.Event `json:"event,omitempty"`    // of an event: its attributes
+	Identity  *eventIdentity     `json:"ident,omitempty"`    // of an event
+
+	// opAccept of a later incarnation, or in a compacted file: the attempts so far.
+	Attempts        []attemptRecord `json:"tries,omitempty"`
+	Incarnation     int             `json:"life,omitempty"`   // 0 unless the recorder's message goes again
+	EarlierAttempts int             `json:"before,omitempty"` // how many of the attempts are those of earlier incarnations
+
+	// opSend and opEnd.
+	Attempt        int            `json:"try,omitempty"`      // opEnd: which attempt, from 0
+	Sent           *attemptRecord `json:"sent,omitempty"`     // opSend: the new attempt
+	NeverRan       bool           `json:"never,omitempty"`    // opEnd: it surely never ran
+	Recalled       bool           `json:"recalled,omitempty"` // opEnd: it was recalled, and counts as no attempt
+	AttemptOutcome string         `json:"out,omitempty"`      // opEnd, with a recorder: how it ended (undelivered.Outcome)
+
+	// opOver, or opAccept in a compacted file.
+	Outcome        string        `json:"how,omitempty"`
+	RetryAfterMS   int64         `json:"retry_ms,omitempty"` // outcomeHandedBack: after how long its client may submit it again
+	AwaitsRecorder bool          `json:"keep,omitempty"`     // it goes to the recorder
+	Notified       bool          `json:"told,omitempty"`     // no notice of it is owed
+	At             time.Duration `json:"at,omitempty"`       // when it ended, if it goes to the recorder; opRates: the time of the outages
+
+	// opRates.
+	Rates   map[uint32]float64 `json:"rates,omitempty"`   // usual calls a second, by destination
+	Outages []outage           `json:"outages,omitempty"` // receivers that are out of service or recover
+
+	// opList.
+	List *listRecord `json:"list,omitempty"`
 }
 
 // attemptRecord is an attempt of a message. It may have run, unless it is marked NeverRan.
@@ -76,10 +75,10 @@
 	At       time.Duration `json:"at"`
 	Endpoint string        `json:"endpoint"`
 	Zone     int           `json:"zone,omitempty"`
-	ZoneName string        `json:"in,omitempty"`    // the zone's name, where a key is remembered in its zone only
-	NeverRan bool          `json:"never,omitempty"` // it surely never ran
-	Recalled bool          `json:"recalled,omitempty"`
-	Outcome  string        `json:"out,omitempty"` // how it ended, with a recorder
+	ZoneName string        `json:"in,omitempty"`       // where a key is remembered in its zone only
+	NeverRan bool          `json:"never,omitempty"`    // it surely never ran
+	Recalled bool          `json:"recalled,omitempty"` // it was recalled before anything was written
+	Outcome  string        `json:"out,omitempty"`      // with a recorder: how it ended (undelivered.Outcome)
 }
 
 // The ends of a message. Those that a notice tells of are the words of the platform's notices.
@@ -92,13 +91,13 @@
 
 // storedMessage is a message as the journal holds it: its first record, and what the others have made of it.
 type storedMessage struct {
-	record                // of op take
-	outcome        string // its end, if a notice of it is still owed, or the recorder has not taken it yet
-	retryAfterMS   int64
+	record
+	outcome        string        // its end; "" while it has none
+	retryAfterMS   int64         // of one that was handed back
 	awaitsRecorder bool          // the recorder has not taken it yet
 	notified       bool          // no notice is owed
-	endedAt        time.Duration // it ended
-	cost           int64         // what it may take in the file
+	endedAt        time.Duration // if it goes to the recorder
+	cost           int64         // bytes that it may take in the file, with all that may follow on it
 }
 
 // finished reports whether a message is over and nobody is owed anything on it.
--- a/internal/sender/message.go
+++ b/internal/sender/message.go
@@ -11,14 +11,14 @@
 type message struct {
 	*storedMessage
 	number          brain.MessageID
-	class           int             // among the module's: its own, or the stricter one that it goes on by
-	earlierAttempts int             // attempts made by earlier processes
-	attempts        int             // and by this one
-	reply           chan response   // its client still waits; nil once answered
-	alsoWaiting     []chan response // and others, that handed in the same event meanwhile
-	calls           inFlightCalls   // out
+	class           int             // among the module's: its own, or the stricter one that it goes on by (see Config.classOf)
+	earlierAttempts int             // those made by earlier processes
+	attempts        int             // those made by this one
+	reply           chan response   // its client waits there; nil once answered
+	alsoWaiting     []chan response // others that submitted the same event meanwhile
+	calls           inFlightCalls
 	ended           bool
-	waiting         bool // the fleet's limits know that it waits
+	waiting         bool // it counts in the fleet's backlog
 }
 
 // inFlightCalls is the calls of a message that are under way, by the module's number of the attempt: one as a rule, two with a
@@ -29,7 +29,7 @@
 type inFlightCall struct {
 	attempt int
 	*calls.Permit
-	recalled bool // by the module's word
+	recalled bool // the module has taken its permit back
 }
 
 // cancel calls an attempt off, if it is in flight.
--- a/internal/sender/repeatrules.go
+++ b/internal/sender/repeatrules.go
@@ -7,9 +7,9 @@
 )
 
 // The journal holds names of classes, and a process may start under other settings than the one before it: a class may be
-// gone, or have another effect, another window for repeats, or another scope of it. What a message was taken on under was
+// gone, or have another idempotency, another window for repeats, or another scope of it. What a message was accepted under was
 // promised to its client, and what the settings say now holds at its destination: the stricter of both stands. So each message
-// carries the rule that it was taken on by, and the module is given a class more for each that differs.
+// carries the rule that it was accepted by, and the module is given a class more for each that differs.
 
 // setRepeatRule writes into a record what its class says of repeats as the message is accepted.
 func (r *record) setRepeatRule(c brain.Class) {
@@ -30,38 +30,38 @@
 // classOf is the class by which a message from the journal goes on: its own, or a stricter one that is added behind those of
 // the settings. Of a message whose class is gone and whose record names no effect nothing is known: it is not repeated.
 func (c *Config) classOf(m *storedMessage) int {
-	var is brain.Class
-	at := indexOf(c.Classes, m.Class, -1)
-	took, known := effectByName(m.Effect)
-	if at >= 0 {
-		is = c.Settings.Classes[at]
+	var effective brain.Class
+	index := indexOf(c.Classes, m.Class, -1)
+	accepted, known := effectByName(m.Effect)
+	if index >= 0 {
+		effective = c.Settings.Classes[index]
 	} else {
-		is = brain.Class{Idempotency: brain.Idempotent, Ordered: m.OrderKey != "", Value: c.minValue()}
+		effective = brain.Class{Idempotency: brain.Idempotent, Ordered: m.OrderKey != "", Value: c.minValue()}
 		if !known {
-			took, known = brain.NonIdempotent, true
+			accepted, known = brain.NonIdempotent, true
 		}
 	}
 	if known {
-		if took == brain.IdempotentByKey { // a window, or a scope, that is no longer told may still be the one that holds
-			if is.Idempotency != brain.IdempotentByKey || m.KeyWindow < is.IdempotencyKeyTTL {
-				is.IdempotencyKeyTTL = m.KeyWindow
+		if accepted == brain.IdempotentByKey { // a window, or a scope, that the settings have no longer may still be the one that holds
+			if effective.Idempotency != brain.IdempotentByKey || m.KeyWindow < effective.IdempotencyKeyTTL {
+				effective.IdempotencyKeyTTL = m.KeyWindow
 			}
-			is.IdempotencyKeyZonal = is.Idempotency == brain.IdempotentByKey && is.IdempotencyKeyZonal || m.KeyInZone
+			effective.IdempotencyKeyZonal = effective.Idempotency == brain.IdempotentByKey && effective.IdempotencyKeyZonal || m.KeyInZone
 		}
-		is.Idempotency = max(is.Idempotency, took)
+		effective.Idempotency = max(effective.Idempotency, accepted)
 	}
-	if is.Idempotency == brain.IdempotentByKey && m.Key == "" { // taken on where it needed none: nobody drops its repeats
-		is.Idempotency = brain.NonIdempotent
+	if effective.Idempotency == brain.IdempotentByKey && m.Key == "" { // accepted where it needed none: nobody drops its repeats
+		effective.Idempotency = brain.NonIdempotent
 	}
-	if at >= 0 && is == c.Settings.Classes[at] {
-		return at
+	if index >= 0 && effective == c.Settings.Classes[index] {
+		return index
 	}
 	for i := len(c.Classes); i < len(c.Settings.Classes); i++ {
-		if c.Settings.Classes[i] == is {
+		if c.Settings.Classes[i] == effective {
 			return i
 		}
 	}
-	c.Settings.Classes = append(slices.Clip(c.Settings.Classes), is)
+	c.Settings.Classes = append(slices.Clip(c.Settings.Classes), effective)
 	return len(c.Settings.Classes) - 1
 }
 
--- a/internal/sender/resume.go
+++ b/internal/sender/resume.go
@@ -21,7 +21,7 @@
 			if ev := s.handle(e); ev != nil {
 				events = append(events, ev)
 			}
-			switch e := e.(type) { // others are heard, and do not stand for it; the names' word was in before
+			switch e := e.(type) { // others count, and do not stand for it; the names' list was in before
 			case listUpdate:
 				first = e.from == membership.Discovery
 			case listFailure:
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -14,62 +14,67 @@
 )
 
 const (
-	// After SIGTERM the sender goes on as ever for graceTime: clients come for a while yet, and what is
-	// delivered now does not wait for the next process. Then no call is begun, and it waits for those that
-	// are out until leaveTime. The platform kills what is left at 3.7 s.
+	// After SIGTERM the sender goes on as ever for the grace period: clients come for a while yet, and what is delivered now does
+	// not wait for the next process. Then no call begins, and it waits for those in flight until the shutdown timeout, which counts
+	// from SIGTERM too. The platform kills what is left at 3.7 s.
 	defaultGracePeriod     = 2200 * time.Millisecond
 	defaultShutdownTimeout = 3200 * time.Millisecond
 
-	eventQueueSize      = 1024 // events on their way to the loop
-	maxEventsPerTurn    = 256  // taken in by one step
-	tickInterval        = time.Second
-	endpointsPerTick    = 1000                   // endpoints listed, for each second between two looks at their rates
-	firstListTimeout    = 300 * time.Millisecond // the list is waited for at the start
+	eventQueueSize      = 1024                   // events on their way to the loop
+	maxEventsPerTurn    = 256                    // events that one turn takes in
+	tickInterval        = time.Second            // between the loop's ticks
+	endpointsPerTick    = 1000                   // listed endpoints for each tick between two looks at their rates
+	firstListTimeout    = 300 * time.Millisecond // the endpoint list is waited for so long at the start
 	journalDiskFraction = 0.9                    // of the disk's limit: the rest is for what the file system adds
 )
 
-// Sender is one real sender.
+// Sender is one message sender. The loop owns its fields; the exceptions are Reload, PeerKeys and Background, for any goroutine.
 type Sender struct {
 	config      *Config
 	log         *slog.Logger
 	clock       clock
-	brain       *brain.Brain
+	brain       *brain.Brain // the decision module
 	journal     *journal
 	pool        *calls.Pool
 	endpoints   calls.EndpointList
 	discovery   *discovery
 	sources     sources
-	initialList Targets // the list to begin with
+	initialList Targets // the endpoint list to begin with
 	watchFrom   int64   // the version after which discovery is asked first; -1: for the whole list
 	server      *server
+	extensions  []extension // features that take part in each turn
 
-	events          chan loopEvent
-	watchRequests   chan struct{}
-	listRequested   bool // discovery's list has been asked for
-	notices         chan []notice
-	pendingNotices  []notice // to be told
-	noticesInFlight bool     // a batch of them is out
-	messages        map[brain.MessageID]*message
-	byID            map[string]*message
-	eventDedup      *eventDedup    // nil where no events are taken in
+	events        chan loopEvent // what other goroutines have for the loop
+	timer         *time.Timer    // the module's
+	watchRequests chan struct{}  // has discovery asked for the list
+	listRequested bool           // that has been done once
+	stopping      bool           // nothing is decided any more: what comes in is only written down
+
+	// Messages that are accepted or on their way to that, until they have ended and none of their calls is in flight.
+	messages map[brain.MessageID]*message
+	byID     map[string]*message
+	lastID   brain.MessageID
+	pending  int // messages that have not ended
+	inFlight int // calls
+
+	notices         chan []notice  // to postNotices
+	pendingNotices  []notice       // those that the platform has not acknowledged, the oldest first
+	noticesInFlight bool           // postNotices has a batch of them
+	eventDedup      *eventDedup    // nil where no events are accepted
 	recorder        *recorderQueue // nil without a recorder
-	extensions      []extension    // features that take part in each turn
-	lastID          brain.MessageID
-	pending         int // messages taken on that have not ended
-	inFlight        int // calls out
-	timer           *time.Timer
-	stopping        bool // no more steps: what comes in is only written down
-
-	pendingAnswers      []pendingAnswer // of messages that this step ends, to be given once that is written down
-	batches             []batch         // calls that this step begins with several messages
-	eventsOfExtensions  []brain.Event   // what the features have for the module, after the news that they heard
-	knownFactsAt        time.Duration   // when what the module knows was asked for last
-	knownFactsCache     []knowledge.Fact
-	changedObservations []brain.Observation // news of receivers in this turn
-	deferredEvents      []brain.Event       // of messages that could not be written down, for the next step
+
+	// Of the turn under way.
+	pendingAnswers      []pendingAnswer     // for clients whose messages the turn ends, to be given once that is written
+	batches             []batch             // calls that the turn begins with several messages
+	eventsOfExtensions  []brain.Event       // what the extensions have for the module
+	changedObservations []brain.Observation // of receivers, as the module reports them
+	deferredEvents      []brain.Event       // for the module's next step: endpoints that drain, messages that could not be written
+
+	knownFactsAt    time.Duration // when knownFactsCache was worked out
+	knownFactsCache []knowledge.Fact
 
 	gracePeriod, shutdownTimeout time.Duration
-	stopFleetWatch               context.CancelFunc // ends the words of the fleet
+	stopFleetWatch               context.CancelFunc // ends the wait for changes of the fleet's policy
 	signalPolicyChange           func()             // has the fleet's policy looked at again; it never waits
 }
 
@@ -81,24 +86,28 @@
 	if err := c.CheckRules(); err != nil {
 		return nil, err
 	}
-	room, err := c.journalDiskBytes()
+	journalBytes, err := c.journalDiskBytes()
 	if err != nil {
 		return nil, err
 	}
-	j, err := openJournal(c.StateDir, room)
+	j, err := openJournal(c.StateDir, journalBytes)
 	if err != nil {
 		return nil, err
 	}
 	c.Settings.ReportsChanges = c.Peers != nil || c.Fleet != nil
-	for _, m := range j.pending() { // the module is told all classes at its begin
+	for _, m := range j.pending() { // the module gets all classes as it is made
 		if m.outcome == "" {
 			c.classOf(m)
 		}
 	}
-	s := &Sender{config: c, log: log, clock: newClock(), brain: brain.New(c.Settings, c.Seed), journal: j, pool: calls.NewPool(calls.Config{ConnectTimeout: c.ConnectTimeout, IdleTimeout: c.Settings.IdleConnTimeout, MaxIdle: c.maxIdleEndpointConns(), LoadFields: c.ReportFields, Delivery: c.Delivery}),
-		endpoints: calls.NewEndpointList(), discovery: newDiscovery(c.Discovery), events: make(chan loopEvent, eventQueueSize),
-		watchRequests: make(chan struct{}, 1), notices: make(chan []notice, 1), messages: map[brain.MessageID]*message{},
-		byID: map[string]*message{}, timer: time.NewTimer(time.Hour), gracePeriod: defaultGracePeriod, shutdownTimeout: defaultShutdownTimeout}
+	s := &Sender{
+		config: c, log: log, clock: newClock(), brain: brain.New(c.Settings, c.Seed), journal: j,
+		pool:      calls.NewPool(calls.Config{ConnectTimeout: c.ConnectTimeout, IdleTimeout: c.Settings.IdleConnTimeout, MaxIdle: c.maxIdleEndpointConns(), LoadFields: c.ReportFields, Delivery: c.Delivery}),
+		endpoints: calls.NewEndpointList(), discovery: newDiscovery(c.Discovery),
+		events: make(chan loopEvent, eventQueueSize), timer: time.NewTimer(time.Hour), watchRequests: make(chan struct{}, 1),
+		messages: map[brain.MessageID]*message{}, byID: map[string]*message{}, notices: make(chan []notice, 1),
+		gracePeriod: defaultGracePeriod, shutdownTimeout: defaultShutdownTimeout,
+	}
 	if j.failed {
 		log.Warn("the journal can't be written: nothing is taken on until it can", "folder", c.StateDir)
 	}
@@ -114,7 +123,7 @@
 	if c.Fleet != nil {
 		s.endpoints.IsClosed, s.endpoints.KindOf = s.closedByFleet, s.fleetKind
 	}
-	s.recorder = newRecorderQueue(c.Recorder, room)
+	s.recorder = newRecorderQueue(c.Recorder, journalBytes)
 	if s.extensions, err = s.newExtensions(); err != nil {
 		return nil, err
 	}
--- a/internal/sender/sources.go
+++ b/internal/sender/sources.go
@@ -22,7 +22,7 @@
 	Destinations []uint32          // of which it will speak: they exist even while they have no endpoint
 	Precedence   map[uint32]membership.Precedence
 	Fallback     membership.Precedence // for all others
-	Report       func() any            // what the command line is told of it
+	Report       func() any            // what the command line shows of it
 }
 
 // sources is what feeds the endpoint list. With discovery alone there is no merger, and its lines are the list's.
--- a/internal/sender/submit.go
+++ b/internal/sender/submit.go
@@ -64,7 +64,7 @@
 		sub.answer <- response{status: http.StatusConflict, text: "X-Request-Id is another message's"}
 	case held.outcome == outcomeAnswered: // it failed, and so it was answered; it only waits for the recorder
 		sub.answer <- response{status: http.StatusInternalServerError, text: outcomeGivenUp}
-	case held.outcome == outcomeHandedBack: // it is its client's; it is ours again only once its notice is known to be acknowledged
+	case held.outcome == outcomeHandedBack: // it is its client's; it may be accepted again only once its notice is known to be acknowledged
 		s.rejectSubmission(sub, "it was handed back just now")
 	default:
 		sub.answer <- response{status: http.StatusAccepted}
