--- a/internal/sender/resume.go
+++ b/internal/sender/resume.go
@@ -13,58 +13,80 @@
 // once, or firstListTimeout is over.
 func (s *Sender) resume(ctx context.Context) {
 	s.step(ctx, s.initialListEvents())
+	events := s.awaitFirstList()
+	now := s.clock.now()
+	for destination, rate := range s.journal.rates {
+		events = append(events, brain.UsualRate{Destination: brain.DestinationID(destination), Rate: rate})
+	}
+	events = append(events, s.restoredOutages(now)...)
+	for _, m := range s.journal.pending() {
+		switch {
+		case m.outcome != "":
+			s.resumeEnded(m)
+		case s.eventDedup.wasDelivered(now, m):
+			s.journal.update(m, record{Op: opOver, Outcome: outcomeDelivered})
+		default:
+			events = append(events, s.resumeMessage(m))
+		}
+	}
+	events, s.eventsOfExtensions = append(events, s.eventsOfExtensions...), s.eventsOfExtensions[:0]
+	for _, x := range s.extensions {
+		events = append(events, x.onResume(now)...)
+	}
+	s.step(ctx, events)
+}
+
+// awaitFirstList waits for discovery's first answer, or failure, for firstListTimeout at most, and gives what has come for the module
+// meanwhile. Among many senders the module asks for the list at a time of its own, which is not waited for.
+func (s *Sender) awaitFirstList() []brain.Event {
+	if !s.listRequested {
+		return nil
+	}
 	var events []brain.Event
-	// Among many senders the module asks at a time of its own, which is not waited for.
-	for first, over := !s.listRequested, time.After(firstListTimeout); !first; {
+	timeout := time.After(firstListTimeout)
+	for {
 		select {
 		case e := <-s.events:
 			if ev := s.handle(e); ev != nil {
 				events = append(events, ev)
 			}
-			switch e := e.(type) { // others count, and do not stand for it; the names' list was in before
+			switch e := e.(type) { // other events count, and do not stand for it; the names' list was in before
 			case listUpdate:
-				first = e.from == membership.Discovery
+				if e.from == membership.Discovery {
+					return events
+				}
 			case listFailure:
-				first = true
+				return events
 			default:
 			}
-		case <-over:
-			first = true
+		case <-timeout:
+			return events
 		}
 	}
-	now := s.clock.now()
-	for dest, rate := range s.journal.rates {
-		events = append(events, brain.UsualRate{Destination: brain.DestinationID(dest), Rate: rate})
-	}
-	events = append(events, s.restoredOutages(now)...)
-	for _, m := range s.journal.pending() {
-		if m.outcome != "" {
-			if !m.notified {
-				s.pendingNotices = append(s.pendingNotices, m.notice())
-			}
-			if m.awaitsRecorder && s.recorder != nil {
-				s.recorder.cost += m.cost
-				s.recorder.waiting = append(s.recorder.waiting, m)
-			} else if m.awaitsRecorder && m.Incarnation == 0 { // the recorder was turned off
-				s.journal.update(m, record{Op: opRecorded})
-			}
-			continue
-		}
-		if s.eventDedup.wasDelivered(now, m) {
-			s.journal.update(m, record{Op: opOver, Outcome: outcomeDelivered})
-			continue
-		}
-		first, may := m.firstPossibleRun()
-		class := s.config.classOf(m)
-		events = append(events, brain.Message{ID: s.register(m, nil, class), Class: class,
-			Tenant: indexOf(s.config.Tenants, m.Tenant, -1), Destination: brain.DestinationID(m.Dest), OrderingKey: m.orderKeyHash(), Deadline: m.Deadline,
-			PriorAttempts: m.attemptsMade(), MayHaveRun: may, FirstRunAt: first.At, FirstRunZone: s.config.zoneOf(first), Resumed: true})
+}
+
+// resumeEnded takes up a message that is over and on which somebody is owed something: the platform its notice, or the recorder.
+func (s *Sender) resumeEnded(m *storedMessage) {
+	if !m.notified {
+		s.pendingNotices = append(s.pendingNotices, m.notice())
 	}
-	events, s.eventsOfExtensions = append(events, s.eventsOfExtensions...), s.eventsOfExtensions[:0]
-	for _, p := range s.extensions {
-		events = append(events, p.onResume(now)...)
+	switch {
+	case !m.awaitsRecorder:
+	case s.recorder != nil:
+		s.recorder.cost += m.cost
+		s.recorder.waiting = append(s.recorder.waiting, m)
+	case m.Incarnation == 0: // the recorder was turned off
+		s.journal.update(m, record{Op: opRecorded})
 	}
-	s.step(ctx, events)
+}
+
+// resumeMessage takes up a message that has not ended and gives the module's event.
+func (s *Sender) resumeMessage(m *storedMessage) brain.Event {
+	first, mayHaveRun := m.firstPossibleRun()
+	class := s.config.classOf(m)
+	return brain.Message{ID: s.register(m, nil, class), Class: class, Tenant: indexOf(s.config.Tenants, m.Tenant, -1),
+		Destination: brain.DestinationID(m.Dest), OrderingKey: m.orderKeyHash(), Deadline: m.Deadline, PriorAttempts: m.attemptsMade(),
+		MayHaveRun: mayHaveRun, FirstRunAt: first.At, FirstRunZone: s.config.zoneOf(first), Resumed: true}
 }
 
 // register gives a message the number by which the module knows it.
