--- a/internal/cloudevents/write.go
+++ b/internal/cloudevents/write.go
@@ -60,6 +60,7 @@
 	case Bytes:
 		b = base64.StdEncoding.AppendEncode(append(b, `,"data_base64":"`...), e.Data)
 		b = append(b, '"')
+	case NoData:
 	}
 	return append(b, '}')
 }
@@ -98,8 +99,9 @@
 		return structuredType + "; charset=utf-8"
 	case BatchedMode:
 		return batchType + "; charset=utf-8"
+	default:
+		return ""
 	}
-	return ""
 }
 
 // appendString adds a JSON string. Nearly all attributes are plain ASCII.
--- a/internal/nameserver/config.go
+++ b/internal/nameserver/config.go
@@ -104,4 +104,4 @@
 }
 
 // isStored reports whether a zone has a state of its own that is stored: updates, or a primary's versions.
-func (c *ZoneConfig) isStored() bool { return c.Primary != "" || len(c.Updates) > 0 }
+func (z *ZoneConfig) isStored() bool { return z.Primary != "" || len(z.Updates) > 0 }
--- a/internal/nameserver/zone_file.go
+++ b/internal/nameserver/zone_file.go
@@ -4,7 +4,6 @@
 	"bytes" //nolint:gosec // RFC 8945 6: HMAC-SHA1 is one that must be understood
 	"errors"
 	"fmt"
-	"io/fs"
 	"os"
 	"path/filepath"
 
@@ -28,7 +27,7 @@
 		return nil, err
 	}
 	defer root.Close()
-	var files fs.FS = root.FS()
+	files := root.FS()
 	return zone.Parse(bytes.NewReader(text), z.config.Name, filepath.Base(z.config.File), files, z.maxRecords)
 }
 
@@ -108,6 +107,7 @@
 			return nil
 		case zone.Backwards:
 			return &FileError{File: z.config.File, Detail: fmt.Sprintf("its serial %d is not newer than %d", read.Serial(), held.Serial())}
+		case zone.Newer:
 		case zone.SerialReused:
 			z.log.Warn("the zone's file has other data under the same serial: it is taken as the next one", "serial", next.Serial())
 		}
--- a/internal/undelivered/reason.go
+++ b/internal/undelivered/reason.go
@@ -35,8 +35,9 @@
 	switch o {
 	case Rejected, ConnectFailed, NotSent:
 		return false
+	default:
+		return true
 	}
-	return true
 }
 
 // Attempt is one attempt to deliver a message.
@@ -134,8 +135,9 @@
 			}
 		case Unknown:
 			return ReasonUnknown
-		case Cancelled: // called off as it was overdue
+		case Cancelled: // it was overdue
 			return ReasonTimedOut
+		case Rejected, NotSent: // the attempt before says more
 		}
 	}
 	if ran {
--- a/internal/undelivered/rules.go
+++ b/internal/undelivered/rules.go
@@ -64,6 +64,7 @@
 		return NeverResend, "it is settled"
 	case Resending:
 		return ResendLater, "it is on its way"
+	case Stored:
 	}
 	if v, why := MayResend(e.History(), window, now); v == Forbidden {
 		return NeverResend, why
--- a/internal/work/command.go
+++ b/internal/work/command.go
@@ -4,22 +4,32 @@
 	"slices"
 )
 
+// command does an operator's command.
 func (s *Scheduler) command(c Command) {
 	switch c.Verb {
 	case Pause, Resume:
-		paused := c.Verb == Pause
-		if c.Kind != "" {
-			s.kind(c.Kind).paused = paused
-		}
-		if c.Owner != "" {
-			o := s.owner(c.Owner)
-			o.paused = paused
-			if !paused {
-				s.throttledOwners[o] = struct{}{} // wake looks at it
-			}
+		s.setPaused(c.Kind, c.Owner, c.Verb == Pause)
+	case Run, Drop:
+		s.commandJobs(c)
+	}
+}
+
+// setPaused pauses or resumes a kind, an owner, or both; an empty name is none.
+func (s *Scheduler) setPaused(kind, owner string, paused bool) {
+	if kind != "" {
+		s.kind(kind).paused = paused
+	}
+	if owner != "" {
+		o := s.owner(owner)
+		o.paused = paused
+		if !paused {
+			s.throttledOwners[o] = struct{}{} // wakeWaiting looks at it
 		}
-		return
 	}
+}
+
+// commandJobs runs or drops the jobs that a command selects.
+func (s *Scheduler) commandJobs(c Command) {
 	var of []*job
 	for _, j := range s.jobs {
 		if c.ID == j.ID || c.ID == 0 && (c.Kind == "" || c.Kind == j.Kind) && (c.Owner == "" || c.Owner == j.Owner) {
--- a/internal/work/finish.go
+++ b/internal/work/finish.go
@@ -107,5 +107,6 @@
 	case awaitingResource:
 		b := s.breakers[j.Resource]
 		b.waiting = slices.DeleteFunc(b.waiting, func(x *job) bool { return x == j })
+	case running, parked: // neither waits
 	}
 }
--- a/internal/work/report.go
+++ b/internal/work/report.go
@@ -59,8 +59,9 @@
 		return "running"
 	case parked:
 		return "parked"
+	default:
+		return "waiting"
 	}
-	return "waiting"
 }
 
 // waitReason tells what a job waits for; empty if it runs.
@@ -81,6 +82,7 @@
 		return "breaker of " + j.Resource
 	case awaitingRetryBudget:
 		return "retry budget of " + j.Kind
+	case ready:
 	}
 	k, o := s.kind(j.Kind), s.owner(j.Owner)
 	switch {
--- a/internal/work/scheduler_test.go
+++ b/internal/work/scheduler_test.go
@@ -537,6 +537,7 @@
 					delete(running, a.ID)
 				case Reject:
 					t.Fatalf("%+v", a)
+				case Stop: // the slice is ended below, as any
 				}
 			}
 			if len(running) > workers {
@@ -585,8 +586,8 @@
 				held[id] = j
 				check(s.Step(now, monday, Submit{Job: j}))
 			case 2, 3:
-				for x := range running {
-					x = slices.Min(keys(running))
+				for range running {
+					x := slices.Min(keys(running))
 					delete(running, x)
 					e := SliceEnded{ID: x, Used: Cost{CPU: int64(rapid.IntRange(0, 8).Draw(t, "used"))}}
 					switch rapid.IntRange(0, 2).Draw(t, "how") {
--- a/internal/zone/answer.go
+++ b/internal/zone/answer.go
@@ -6,7 +6,7 @@
 	"github.com/miekg/dns"
 )
 
-// Reply is what a zone says to a question.
+// Reply is a zone's answer to a question.
 type Reply struct {
 	Rcode      int
 	Authority  bool     // it is the zone's own word; false for a referral
@@ -19,8 +19,8 @@
 // maxCNAMEChain is how long a chain of CNAMEs within a zone is followed.
 const maxCNAMEChain = 16
 
-// Answer is RFC 1034 4.3.2, step 3, with RFC 2308's negative answers and RFC 4592's wildcards.
-func (z *Zone) Answer(name string, kind uint16) Reply {
+// Answer answers a question: RFC 1034 4.3.2, step 3, with negative answers (RFC 2308) and wildcards (RFC 4592).
+func (z *Zone) Answer(name string, rrtype uint16) Reply {
 	r := Reply{Authority: true}
 	name = Name(name)
 	seen := map[string]bool{}
@@ -33,15 +33,8 @@
 			return r
 		}
 		seen[name] = true
-		if cut := z.delegation(name); cut != nil && !(kind == dns.TypeDS && name == Name(cut[0].Header().Name)) {
-			r.Authority = len(r.Answer) > 0
-			r.Ns = cut
-			for _, rr := range cut {
-				if ns, ok := rr.(*dns.NS); ok && Within(z.origin, Name(ns.Ns)) {
-					r.Additional = append(r.Additional, z.Set(ns.Ns, dns.TypeA)...)
-					r.Additional = append(r.Additional, z.Set(ns.Ns, dns.TypeAAAA)...)
-				}
-			}
+		if ns := z.delegation(name); ns != nil && !(rrtype == dns.TypeDS && name == Name(ns[0].Header().Name)) {
+			z.refer(&r, ns)
 			return r
 		}
 		n := z.node(name)
@@ -56,7 +49,7 @@
 			}
 			wild = true
 		}
-		if c := n.of(dns.TypeCNAME); c != nil && kind != dns.TypeCNAME && kind != dns.TypeANY {
+		if c := n.of(dns.TypeCNAME); c != nil && rrtype != dns.TypeCNAME && rrtype != dns.TypeANY {
 			r.Answer = append(r.Answer, at(c, name, wild)...)
 			target, ok := c[0].(*dns.CNAME)
 			if !ok {
@@ -65,17 +58,9 @@
 			name = Name(target.Target)
 			continue
 		}
-		found := false
-		for _, s := range n {
-			if s.kind() == kind || kind == dns.TypeANY {
-				r.Answer = append(r.Answer, at(s, name, wild)...)
-				found = true
-				if kind == dns.TypeANY { // RFC 8482 4.1: one set is enough
-					break
-				}
-			}
-		}
-		if !found {
+		if set := n.answering(rrtype); set != nil {
+			r.Answer = append(r.Answer, at(set, name, wild)...)
+		} else {
 			r.Ns = z.negative()
 		}
 		return r
@@ -83,6 +68,29 @@
 	return r
 }
 
+// refer makes an answer a referral to the name servers of a delegation, with those of their addresses that the zone has (glue).
+func (z *Zone) refer(r *Reply, ns rrset) {
+	r.Authority = len(r.Answer) > 0
+	r.Ns = ns
+	for _, rr := range ns {
+		if ns, ok := rr.(*dns.NS); ok && Within(z.origin, Name(ns.Ns)) {
+			r.Additional = append(r.Additional, z.Set(ns.Ns, dns.TypeA)...)
+			r.Additional = append(r.Additional, z.Set(ns.Ns, dns.TypeAAAA)...)
+		}
+	}
+}
+
+// answering returns the set that answers a question for a type; nil if there is none. For ANY it is the first: one set is enough
+// (RFC 8482 4.1).
+func (n node) answering(rrtype uint16) rrset {
+	for _, s := range n {
+		if s.kind() == rrtype || rrtype == dns.TypeANY {
+			return s
+		}
+	}
+	return nil
+}
+
 // at is a set as records of a name; those of a wildcard take the name that was asked for (RFC 4592 3.3.1).
 func at(s rrset, name string, wild bool) []dns.RR {
 	if !wild {
--- a/internal/zone/codec.go
+++ b/internal/zone/codec.go
@@ -44,7 +44,7 @@
 	}
 	payload := b[head+deltaHeaderSize:]
 	if len(payload) > maxDeltaBytes {
-		return b[:head], fmt.Errorf("a difference of %d bytes", len(payload))
+		return b[:head], dataError("a difference of %d bytes", len(payload))
 	}
 	binary.BigEndian.PutUint32(b[head:], uint32(len(payload)))
 	binary.BigEndian.PutUint32(b[head+4:], crc32.Checksum(payload, castagnoli()))
@@ -78,7 +78,7 @@
 			}
 			rr, at, err := dns.UnpackRR(rest[:n], 0)
 			if err != nil || at != n {
-				return nil, 0, fmt.Errorf("%w: a record can't be read: %v", ErrTruncated, err)
+				return nil, 0, fmt.Errorf("%w: a record can't be read: %s", ErrTruncated, fmt.Sprint(err))
 			}
 			*side = append(*side, rr)
 			rest = rest[n:]
--- a/internal/zone/load.go
+++ b/internal/zone/load.go
@@ -9,8 +9,8 @@
 	"github.com/miekg/dns"
 )
 
-// Parse reads a zone file (RFC 1035 5, RFC 2308 4 for $TTL; $GENERATE as BIND has it). $INCLUDE opens files of the folder
-// that files stands for, and no others. An error names the file and the line. most bounds the records.
+// Parse parses a zone file (RFC 1035 5, RFC 2308 4 for $TTL; $GENERATE as BIND has it). $INCLUDE opens files of files
+// only; nil allows none. An error names the file and, if it is one of syntax, the line. maxRecords bounds the records.
 func Parse(r io.Reader, origin, file string, files fs.FS, maxRecords int) (*Zone, error) {
 	p := dns.NewZoneParser(r, Name(origin), file)
 	if files != nil {
@@ -26,11 +26,11 @@
 		}
 		if rr.Header().Rrtype == dns.TypeSOA {
 			if soas++; soas > 1 {
-				return nil, fmt.Errorf("%s: a second SOA: %s", file, rr)
+				return nil, dataError("%s: a second SOA: %s", file, rr)
 			}
 		}
 		if e.add(rr, false); e.records > maxRecords {
-			return nil, fmt.Errorf("%s: more than %d records", file, maxRecords)
+			return nil, dataError("%s: more than %d records", file, maxRecords)
 		}
 	}
 	if err := p.Err(); err != nil {
@@ -43,9 +43,13 @@
 	return z, nil
 }
 
+// errNotRegular is a name in $INCLUDE that is a folder or a device.
+var errNotRegular = errors.New("no regular file")
+
 // confined opens what a valid path names and nothing that a link leads out to: files that are regular.
 type confined struct{ fs.FS }
 
+// Open opens a regular file.
 func (c confined) Open(name string) (fs.File, error) {
 	f, err := c.FS.Open(name)
 	if err != nil {
@@ -53,7 +57,7 @@
 	}
 	info, err := f.Stat()
 	if err == nil && !info.Mode().IsRegular() {
-		err = &fs.PathError{Op: "open", Path: name, Err: errors.New("no regular file")}
+		err = &fs.PathError{Op: "open", Path: name, Err: errNotRegular}
 	}
 	if err != nil {
 		return nil, errors.Join(err, f.Close())
@@ -61,7 +65,7 @@
 	return f, nil
 }
 
-// Write writes a zone as a file that Parse reads: the SOA first, names in canonical order.
+// Write writes a zone as a file that Parse reads: the SOA first, then names in canonical order.
 func (z *Zone) Write(w io.Writer) error {
 	var err error
 	if _, err = fmt.Fprintf(w, "; %s, %d records, written by saffronyard\n", z.origin, z.records); err != nil {
@@ -74,10 +78,10 @@
 	return err
 }
 
-// FileChange says what a newly read file is to the version held.
+// FileChange is how a newly read file relates to the current version.
 type FileChange int
 
-// What it may be.
+// File changes.
 const (
 	Same         FileChange = iota
 	Newer                   // and its serial says so
@@ -85,7 +89,7 @@
 	Backwards               // the serial went back: not taken
 )
 
-// NextVersion decides on a file that was read while a version is held. next is what is to be served from then on, nil where
+// NextVersion decides on a file that was read while there is a current version. next is the version to serve from then on; nil where
 // nothing changes.
 func NextVersion(held, read *Zone) (next *Zone, what FileChange) {
 	switch d := Diff(held, read); {
--- a/internal/zone/update.go
+++ b/internal/zone/update.go
@@ -6,22 +6,23 @@
 	"github.com/miekg/dns"
 )
 
-// Refusal is why a message is turned away: a response code, and words for the log.
+// Refusal is why an update is rejected: a response code, and a reason for the log.
 type Refusal struct {
 	Rcode  int
 	Reason string
 }
 
+// Error returns the response code and the reason.
 func (r *Refusal) Error() string { return dns.RcodeToString[r.Rcode] + ": " + r.Reason }
 
 func refuse(rcode int, format string, args ...any) error {
 	return &Refusal{rcode, fmt.Sprintf(format, args...)}
 }
 
-// Update applies an update message as RFC 2136 section 3 has it, whole or not at all: it gives the zone after it, or a
-// *Refusal and no zone. The message was read from the wire: a record's Rdlength tells whether it has data. changed is
-// whether the zone's data became others; only then the zone is another one, with a newer serial (3.6). allowed is asked
-// (3.3) when the prerequisites hold and the update is well formed, with what would be changed.
+// Update applies an update message as RFC 2136 section 3 has it, completely or not at all: it returns the zone after it, or a *Refusal and
+// no zone. The message was read from the wire: a record's Rdlength tells whether it has data. changed is whether the zone's data changed;
+// only then after is another version, with a newer serial (3.6). allowed is asked (3.3) with what would be changed, once the
+// prerequisites hold and the update is well formed.
 func (z *Zone) Update(m *dns.Msg, allowed func(z *Zone, updates []dns.RR) error) (after *Zone, changed bool, err error) {
 	// 3.1 Process Zone Section
 	if len(m.Question) != 1 || m.Question[0].Qtype != dns.TypeSOA {
@@ -116,14 +117,16 @@
 	return true
 }
 
-// prerequisites is 3.2.
+// rrsetKey names a record set.
+type rrsetKey struct {
+	name   string
+	rrtype uint16
+}
+
+// prerequisites is RFC 2136 3.2.
 func (z *Zone) prerequisites(rrs []dns.RR) error {
-	type setKey struct {
-		name string
-		kind uint16
-	}
-	want := map[setKey]*edit{} // 3.2.3: sets that must exist as they are named, collected first
-	var order []setKey
+	expected := map[rrsetKey]*edit{} // 3.2.3: sets that must exist as they are named, collected first
+	var order []rrsetKey
 	for _, rr := range rrs {
 		h := rr.Header()
 		name := Name(h.Name)
@@ -134,57 +137,70 @@
 			return refuse(dns.RcodeNotZone, "prerequisite at %s is outside of the zone (3.2.5)", name)
 		}
 		switch h.Class {
-		case dns.ClassANY:
-			switch {
-			case h.Rdlength != 0:
-				return refuse(dns.RcodeFormatError, "prerequisite of class ANY at %s has data (3.2.5)", name)
-			case h.Rrtype == dns.TypeANY:
-				if len(z.node(name)) == 0 {
-					return refuse(dns.RcodeNameError, "%s is not in use (2.4.4)", name)
-				}
-			case len(z.set(name, h.Rrtype)) == 0:
-				return refuse(dns.RcodeNXRrset, "%s has no %s (2.4.1)", name, dns.Type(h.Rrtype))
-			}
-		case dns.ClassNONE:
-			switch {
-			case h.Rdlength != 0:
-				return refuse(dns.RcodeFormatError, "prerequisite of class NONE at %s has data (3.2.5)", name)
-			case h.Rrtype == dns.TypeANY:
-				if len(z.node(name)) > 0 {
-					return refuse(dns.RcodeYXDomain, "%s is in use (2.4.5)", name)
-				}
-			case len(z.set(name, h.Rrtype)) > 0:
-				return refuse(dns.RcodeYXRrset, "%s has %s (2.4.3)", name, dns.Type(h.Rrtype))
+		case dns.ClassANY, dns.ClassNONE:
+			if err := z.existence(name, h); err != nil {
+				return err
 			}
 		case dns.ClassINET:
 			if meta(h.Rrtype) {
 				return refuse(dns.RcodeFormatError, "prerequisite at %s of type %s has no data (3.2.5)", name, dns.Type(h.Rrtype))
 			}
-			k := setKey{name, h.Rrtype}
-			if want[k] == nil {
-				want[k] = (&Zone{origin: z.origin, tree: emptyTree()}).edit()
+			k := rrsetKey{name, h.Rrtype}
+			if expected[k] == nil {
+				expected[k] = (&Zone{origin: z.origin, tree: emptyTree()}).edit()
 				order = append(order, k)
 			}
-			want[k].add(rr, true)
+			expected[k].add(rr, true)
 		default:
 			return refuse(dns.RcodeFormatError, "prerequisite at %s of class %s (3.2.5)", name, dns.Class(h.Class))
 		}
 	}
 	for _, k := range order {
-		is, should := z.set(k.name, k.kind), want[k].node(k.name).of(k.kind)
-		if len(is) != len(should) {
-			return refuse(dns.RcodeNXRrset, "%s %s is not as named (2.4.2)", k.name, dns.Type(k.kind))
+		if err := z.equalData(k, expected[k].node(k.name).of(k.rrtype)); err != nil {
+			return err
 		}
-		for i := range is { // times to live are not compared
-			if !dns.IsDuplicate(is[i], should[i]) {
-				return refuse(dns.RcodeNXRrset, "%s %s is not as named (2.4.2)", k.name, dns.Type(k.kind))
-			}
+	}
+	return nil
+}
+
+// existence is a prerequisite of class ANY (a name or set is in use, 2.4.1 and 2.4.4) or NONE (it is not, 2.4.3 and 2.4.5).
+func (z *Zone) existence(name string, h *dns.RR_Header) error {
+	inUse := h.Class == dns.ClassANY
+	if h.Rdlength != 0 {
+		return refuse(dns.RcodeFormatError, "prerequisite of class %s at %s has data (3.2.5)", dns.Class(h.Class), name)
+	}
+	if h.Rrtype == dns.TypeANY {
+		switch present := len(z.node(name)) > 0; {
+		case inUse && !present:
+			return refuse(dns.RcodeNameError, "%s is not in use (2.4.4)", name)
+		case !inUse && present:
+			return refuse(dns.RcodeYXDomain, "%s is in use (2.4.5)", name)
 		}
+		return nil
+	}
+	switch present := len(z.set(name, h.Rrtype)) > 0; {
+	case inUse && !present:
+		return refuse(dns.RcodeNXRrset, "%s has no %s (2.4.1)", name, dns.Type(h.Rrtype))
+	case !inUse && present:
+		return refuse(dns.RcodeYXRrset, "%s has %s (2.4.3)", name, dns.Type(h.Rrtype))
+	}
+	return nil
+}
+
+// equalData is a prerequisite that a set exists with the data named (2.4.2). Times to live are not compared.
+func (z *Zone) equalData(k rrsetKey, expected rrset) error {
+	present := z.set(k.name, k.rrtype)
+	equal := len(present) == len(expected)
+	for i := 0; equal && i < len(present); i++ {
+		equal = dns.IsDuplicate(present[i], expected[i])
+	}
+	if !equal {
+		return refuse(dns.RcodeNXRrset, "%s %s is not as named (2.4.2)", k.name, dns.Type(k.rrtype))
 	}
 	return nil
 }
 
-// prescan is 3.4.1: nothing is changed unless all of it is well formed.
+// prescan is RFC 2136 3.4.1: nothing is changed unless all of it is well formed.
 func (z *Zone) prescan(rrs []dns.RR) error {
 	for _, rr := range rrs {
 		h := rr.Header()
@@ -221,7 +237,7 @@
 	return !known || t == dns.TypeNULL || t == dns.TypeAPL
 }
 
-// update is 3.4.2 for one record.
+// update is RFC 2136 3.4.2 for one record.
 func (e *edit) update(rr dns.RR) {
 	h := rr.Header()
 	name, kind, apex := Name(h.Name), h.Rrtype, Name(h.Name) == e.z.origin
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -1,7 +1,8 @@
-// Package zone is a DNS zone's data and what is decided with it, free of I/O and clocks: updates (RFC 2136), differences
-// (RFC 1995), answers (RFC 1034, 2308, 4592), who may change what, and when a primary is asked (RFC 1034, 1996).
+// Package zone is the data of a DNS zone and the decisions on it, free of I/O and clocks: updates (RFC 2136), differences (RFC 1995),
+// answers (RFC 1034, 2308, 4592), which key may change what, and when a secondary asks its primary (RFC 1034, 1996).
 //
-// A Zone is a value that never changes: what changes it gives another one.
+// A Zone is an immutable version of a zone, for any number of goroutines: a change returns another Zone, which shares what is the same.
+// Secondary, History and Replays are for one goroutine each.
 package zone
 
 import (
@@ -16,25 +17,25 @@
 	"github.com/miekg/dns"
 )
 
-// Zone is one version of a zone. It may be read by any number of goroutines.
+// Zone is one immutable version of a zone.
 type Zone struct {
 	origin  string
 	tree    *iradix.Tree[node]
 	records int
 }
 
-// node is what stands at one name: its record sets, by type.
+// node is the record sets of one name, sorted by type.
 type node []rrset
 
-// rrset is the records of one name and type, in canonical order of their data; none is changed once it is here.
+// rrset is the records of one name and type, in canonical order of their data. Its records are never changed.
 type rrset []dns.RR
 
 func (s rrset) kind() uint16 { return s[0].Header().Rrtype }
 
-// Name is a name as zones know it: absolute, in lower case.
+// Name returns a name as zones have it: absolute, in lower case.
 func Name(s string) string { return dns.CanonicalName(s) }
 
-// Within reports whether a name is a zone's origin or stands below it. Both are names as Name gives them.
+// Within reports whether a name is a zone's origin or below it. Both are as Name returns them.
 func Within(origin, name string) bool {
 	return name == origin || origin == "." || strings.HasSuffix(name, "."+origin) && !escapedAt(name, len(name)-len(origin)-1)
 }
@@ -48,7 +49,7 @@
 	return n%2 == 1
 }
 
-// key is a name's place in the tree: its labels as octets from the root down, each ended by a zero octet; a zero or one
+// key is a name's key in the tree: its labels as octets from the root down, each ended by a zero octet; a zero or one
 // within a label becomes two octets. The order of keys is the canonical order of names (RFC 4034 6.1), and the names
 // below one are those whose keys it begins.
 func key(name string) []byte {
@@ -83,14 +84,24 @@
 	return k
 }
 
-// Errors that a set of records gives that is no zone.
+// DataError is a record, or a set of them, that can't be in a zone.
+type DataError struct{ detail string }
+
+func dataError(format string, args ...any) error {
+	return &DataError{detail: fmt.Sprintf(format, args...)}
+}
+
+// Error names the record.
+func (e *DataError) Error() string { return e.detail }
+
+// Errors of records that are no zone.
 var (
 	ErrNoSOA = errors.New("the zone has no SOA at its apex")
 	ErrNoNS  = errors.New("the zone has no NS at its apex")
 )
 
-// New makes a zone of records. Those of other classes or outside of the origin are errors that name the record; equal
-// ones are one (RFC 2181 5), and a set's time to live is its least (5.2).
+// New returns a zone with records. A record of another class or outside of the origin is a *DataError; equal records are one (RFC 2181 5),
+// and a set's time to live is its lowest (5.2).
 func New(origin string, rrs []dns.RR) (*Zone, error) {
 	z := &Zone{origin: Name(origin), tree: emptyTree()}
 	e := z.edit()
@@ -108,25 +119,25 @@
 	h := rr.Header()
 	switch {
 	case h.Class != dns.ClassINET:
-		return fmt.Errorf("%s %s: class %s is not IN", h.Name, dns.Type(h.Rrtype), dns.Class(h.Class))
+		return dataError("%s %s: class %s is not IN", h.Name, dns.Type(h.Rrtype), dns.Class(h.Class))
 	case !Within(z.origin, Name(h.Name)):
-		return fmt.Errorf("%s %s: it is not within %s", h.Name, dns.Type(h.Rrtype), z.origin)
+		return dataError("%s %s: it is not within %s", h.Name, dns.Type(h.Rrtype), z.origin)
 	case meta(h.Rrtype):
-		return fmt.Errorf("%s %s: no record of a zone has this type", h.Name, dns.Type(h.Rrtype))
+		return dataError("%s %s: no record of a zone has this type", h.Name, dns.Type(h.Rrtype))
 	case h.Rrtype == dns.TypeSOA && Name(h.Name) != z.origin:
-		return fmt.Errorf("%s SOA: it stands at the apex, %s, only", h.Name, z.origin)
+		return dataError("%s SOA: it stands at the apex, %s, only", h.Name, z.origin)
 	}
 	return nil
 }
 
-// check says what makes the data no zone.
+// check returns why the data is no zone.
 func (z *Zone) check() error {
 	switch soa := z.set(z.origin, dns.TypeSOA); len(soa) {
 	case 1:
 	case 0:
 		return fmt.Errorf("%s: %w", z.origin, ErrNoSOA)
 	default:
-		return fmt.Errorf("%s: %d SOA records; there is one", z.origin, len(soa))
+		return dataError("%s: %d SOA records; there is one", z.origin, len(soa))
 	}
 	if len(z.set(z.origin, dns.TypeNS)) == 0 {
 		return fmt.Errorf("%s: %w", z.origin, ErrNoNS)
@@ -138,11 +149,11 @@
 			return false
 		}
 		if len(c) > 1 {
-			err = fmt.Errorf("%s: %d CNAME records; there is one (RFC 2181 10.1)", c[0].Header().Name, len(c))
+			err = dataError("%s: %d CNAME records; there is one (RFC 2181 10.1)", c[0].Header().Name, len(c))
 		}
 		for _, s := range n {
 			if !besideCNAME(s.kind()) {
-				err = fmt.Errorf("%s: CNAME beside %s (RFC 1034 3.6.2)", c[0].Header().Name, dns.Type(s.kind()))
+				err = dataError("%s: CNAME beside %s (RFC 1034 3.6.2)", c[0].Header().Name, dns.Type(s.kind()))
 			}
 		}
 		return err != nil
@@ -150,17 +161,17 @@
 	return err
 }
 
-// besideCNAME reports whether records of a type may stand beside a CNAME (RFC 4034, 4035 2.5).
+// besideCNAME reports whether records of a type may be beside a CNAME (RFC 4034, 4035 2.5).
 func besideCNAME(t uint16) bool {
 	return t == dns.TypeCNAME || t == dns.TypeRRSIG || t == dns.TypeNSEC
 }
 
-// meta reports whether a type is none of data: of questions, of messages or a withdrawn one.
+// meta reports whether a type is no type of data, but of questions or messages, or a withdrawn one.
 func meta(t uint16) bool {
 	return t == 0 || t >= 128 && t <= 255 || t == dns.TypeOPT
 }
 
-// Origin is the zone's name.
+// Origin returns the zone's name.
 func (z *Zone) Origin() string { return z.origin }
 
 // Records is how many there are.
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"slices"
@@ -165,7 +164,7 @@
 		t.Fatal(err)
 	}
 	defer root.Close()
-	var fsys fs.FS = root.FS()
+	fsys := root.FS()
 	if _, err := Parse(strings.NewReader(soa+"$INCLUDE link.zone\n"), "example.", "members.zone", fsys, 20); err == nil || strings.Contains(err.Error(), "root:") {
 		t.Errorf("a link out of the folder: %v", err)
 	}
