--- a/cmd/saffronyard/limits.go
+++ b/cmd/saffronyard/limits.go
@@ -156,7 +156,7 @@
 	f.DurationVar(&span, "span", 0, "of calls and bytes; default 1s")
 	f.DurationVar(&lasts, "lasts", 0, "with --at-once: no call lasts longer")
 	f.DurationVar(&transit, "transit", 0, "by so much may the ways of two calls differ; default 20ms")
-	f.Int64Var(&l.CutOffExtra, "over", 0, "each sender that is cut off may go so much beyond")
+	f.Int64Var(&l.PartitionExtra, "over", 0, "each sender that is cut off may go so much beyond")
 	f.BoolVar(&l.Adaptive, "learn", false, "what the receiver tells counts where it is lower")
 	f.BoolVar(&none, "none", false, "no limit of it any more")
 	change.addFlags(c)
--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -12,55 +12,55 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// fleet is a coordinator with the granter and the log that it goes by.
-type fleet struct {
+// leaderTest is a coordinator with the granter and the log that it goes by.
+type leaderTest struct {
 	*Machine
 	Coordinator
-	g   *lease.Granter
-	at  uint64
-	now time.Duration
+	granter *lease.Granter
+	index   uint64
+	now     time.Duration
 }
 
 var terms = lease.Terms{Duration: time.Second}
 
-func newFleet() *fleet {
-	f := &fleet{Machine: NewMachine(), now: time.Hour}
-	f.g = lease.NewGranter(terms, f.now)
+func newFleet() *leaderTest {
+	f := &leaderTest{Machine: NewMachine(), now: time.Hour}
+	f.granter = lease.NewGranter(terms, f.now)
 	return f
 }
 
-// goes lets a time go by in which some ask for leases, acting at the log's end or, behind, before what comes.
-func (f *fleet) goes(t *testing.T, span time.Duration, here []lease.HolderID, behind ...lease.HolderID) {
+// advance lets a time go by in which some ask for leases, acting at the log's end or, behind, before what comes.
+func (f *leaderTest) advance(t *testing.T, span time.Duration, here []lease.HolderID, behind ...lease.HolderID) {
 	t.Helper()
 	for end := f.now + span; f.now < end; {
 		f.now += 100 * time.Millisecond
 		for _, w := range here {
-			f.g.RecordRequest(w, f.at)
-			f.g.Grant(w, f.at, f.now)
+			f.granter.RecordRequest(w, f.index)
+			f.granter.Grant(w, f.index, f.now)
 		}
 		for _, w := range behind {
 			if MayGrant(0, f.State()) {
-				f.g.Grant(w, 0, f.now)
+				f.granter.Grant(w, 0, f.now)
 			}
 		}
 		var parts []Participant
-		for _, h := range f.g.ActiveLeases(f.now) {
+		for _, h := range f.granter.ActiveLeases(f.now) {
 			parts = append(parts, Participant{h.HolderID, "at " + h.Name})
 		}
-		if c := f.Step(f.now, f.State(), f.g, parts); c != nil {
+		if c := f.Step(f.now, f.State(), f.granter, parts); c != nil {
 			raw, err := proto.Marshal(c)
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.at++
-			if _, refused, err := f.Apply(f.at, raw); err != nil || refused != "" {
+			f.index++
+			if _, refused, err := f.Apply(f.index, raw); err != nil || refused != "" {
 				t.Fatalf("%v: %s %v", c, refused, err)
 			}
 		}
 	}
 }
 
-func (f *fleet) is() string {
+func (f *leaderTest) describe() string {
 	var names []string
 	for _, p := range f.State().Participants {
 		names = append(names, fmt.Sprintf("%s%d", p.Name, p.Incarnation))
@@ -70,42 +70,42 @@
 
 // Rosters follow leases: nobody is in one that holds none, none begins while one may act who does not know of it, and one that starts
 // again takes the place of its former process.
-func TestRosters(t *testing.T) {
+func TestCoordinator_FollowsLeases(t *testing.T) {
 	a, b, a2 := lease.HolderID{Name: "a", Incarnation: 1}, lease.HolderID{Name: "b", Incarnation: 1}, lease.HolderID{Name: "a", Incarnation: 2}
 	f := newFleet()
-	f.goes(t, 900*time.Millisecond, []lease.HolderID{a, b})
-	if f.is() != "0: " {
-		t.Errorf("while an earlier leader's leases may last there is %s", f.is())
+	f.advance(t, 900*time.Millisecond, []lease.HolderID{a, b})
+	if f.describe() != "0: " {
+		t.Errorf("while an earlier leader's leases may last there is %s", f.describe())
 	}
-	f.goes(t, time.Second, []lease.HolderID{a, b})
-	if f.is() != "1: a1 b1" {
-		t.Error(f.is())
+	f.advance(t, time.Second, []lease.HolderID{a, b})
+	if f.describe() != "1: a1 b1" {
+		t.Error(f.describe())
 	}
-	f.goes(t, 900*time.Millisecond, []lease.HolderID{b})
-	if f.is() != "1: a1 b1" {
-		t.Errorf("before a's lease has lapsed there is %s", f.is())
+	f.advance(t, 900*time.Millisecond, []lease.HolderID{b})
+	if f.describe() != "1: a1 b1" {
+		t.Errorf("before a's lease has lapsed there is %s", f.describe())
 	}
-	f.goes(t, 900*time.Millisecond, []lease.HolderID{b})
-	if f.is() != "2: b1" {
-		t.Error(f.is())
+	f.advance(t, 900*time.Millisecond, []lease.HolderID{b})
+	if f.describe() != "2: b1" {
+		t.Error(f.describe())
 	}
-	f.goes(t, 2*time.Second, []lease.HolderID{b, a2})
-	if f.is() != "3: a2 b1" {
-		t.Error(f.is())
+	f.advance(t, 2*time.Second, []lease.HolderID{b, a2})
+	if f.describe() != "3: a2 b1" {
+		t.Error(f.describe())
 	}
 	// b does not hear that a has gone: nothing begins before its lease has lapsed, and it is granted none.
-	f.goes(t, 1100*time.Millisecond, nil, b)
+	f.advance(t, 1100*time.Millisecond, nil, b)
 	if f.State().NextEpoch == 0 || f.State().Epoch != 3 {
 		t.Errorf("%v", f.State())
 	}
-	f.goes(t, 3*time.Second, nil, b)
+	f.advance(t, 3*time.Second, nil, b)
 	if f.State().Epoch < 4 {
 		t.Errorf("one that hears nothing holds up the next roster: %v", f.State())
 	}
 }
 
 // A thing moves only with who was in charge of it.
-func TestCharge(t *testing.T) {
+func TestOwnership_MovesOnlyWithOwner(t *testing.T) {
 	var parts []*pb.Participant
 	for i := range 20 {
 		parts = append(parts, &pb.Participant{Name: fmt.Sprintf("n%d", i), Incarnation: uint64(i)})
@@ -131,7 +131,7 @@
 }
 
 // What does not fit the state changes nothing.
-func TestRefused(t *testing.T) {
+func TestMachine_Rejections(t *testing.T) {
 	m := NewMachine()
 	come := func(base uint64, names ...string) *pb.MembershipCommand {
 		c := &pb.ProposeMembership{BaseEpoch: base}
--- a/internal/fleet/gate.go
+++ b/internal/fleet/gate.go
@@ -66,7 +66,7 @@
 // acts reports whether the lease lasts, at this very moment; or whether the policy has senders go on without one.
 func (g *Gate) acts(v *fleetpolicy.View, now time.Duration) bool {
 	until := time.Duration(g.leaseUntil.Load())
-	return until > 0 && now < until+v.Policy.CutOffGrace()
+	return until > 0 && now < until+v.Policy.PartitionGrace()
 }
 
 func (r *generation) release() {
--- a/internal/fleet/gate_test.go
+++ b/internal/fleet/gate_test.go
@@ -21,7 +21,7 @@
 }
 
 // What a call is told at each state of lease and view, at that very moment.
-func TestGate(t *testing.T) {
+func TestGate_Admit(t *testing.T) {
 	var now atomic.Int64
 	g := NewGate(func() time.Duration { return time.Duration(now.Load()) })
 	seven, eight := fleetpolicy.Call{Destination: 7}, fleetpolicy.Call{Destination: 8}
@@ -63,7 +63,7 @@
 }
 
 // A view is left behind only when no call that it let through waits to be written; calls under the next one do not wait.
-func TestGateDrains(t *testing.T) {
+func TestGate_WaitsUntilDrained(t *testing.T) {
 	g := NewGate(func() time.Duration { return 0 })
 	call := fleetpolicy.Call{Destination: 7}
 	g.publish(&fleetpolicy.View{Index: 1, Policy: fleetpolicy.Empty()}, time.Second, false)
@@ -86,7 +86,7 @@
 }
 
 // Under load from many calls and many switches, no call that a view let through is inside once that view is left behind.
-func TestGateUnderLoad(t *testing.T) {
+func TestGate_ConcurrentPublish(t *testing.T) {
 	g := NewGate(func() time.Duration { return 0 })
 	const views = 300
 	var left [views + 1]atomic.Bool
--- a/internal/fleet/limit_report.go
+++ b/internal/fleet/limit_report.go
@@ -85,9 +85,9 @@
 	if q.Kind == quota.Concurrent {
 		text = fmt.Sprintf("%d at once", q.Units)
 	}
-	if q.CutOffExtra > 0 {
-		text += fmt.Sprintf(", and %d more for each sender that is cut off: %d if all %d are", q.CutOffExtra, q.WorstCase(senders), senders)
+	if q.PartitionExtra > 0 {
+		text += fmt.Sprintf(", and %d more for each sender that is cut off: %d if all %d are", q.PartitionExtra, q.WorstCase(senders), senders)
 	}
 	return text + fmt.Sprintf("; one that is cut off uses what it holds for %v at most, then %d; what it held is lent again %v after it asked last; a new authority lends anew after %v",
-		l.terms.Duration, q.Reserve+q.CutOffExtra, l.terms.GracePeriod(q), l.terms.GracePeriod(q))
+		l.terms.Duration, q.Reserve+q.PartitionExtra, l.terms.GracePeriod(q), l.terms.GracePeriod(q))
 }
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -27,8 +27,8 @@
 
 const patience = 30 * time.Second
 
-// squad is a fleet in one process: its nodes reach each other by links.
-type squad struct {
+// testFleet is a fleet in one process: its nodes reach each other by links.
+type testFleet struct {
 	t      testing.TB
 	net    *links.Net
 	voters int
@@ -39,9 +39,9 @@
 	edit   func(i int, c *Config)
 }
 
-func newSquad(t testing.TB, voters, all int, edit func(int, *Config)) *squad {
+func newTestFleet(t testing.TB, voters, all int, edit func(int, *Config)) *testFleet {
 	t.Helper()
-	s := &squad{t: t, net: links.New(1, nil), voters: voters, terms: lease.Terms{Duration: 1500 * time.Millisecond, MaxDrift: lease.DefaultDrift}, nodes: make([]*Node, all), edit: edit}
+	s := &testFleet{t: t, net: links.New(1, nil), voters: voters, terms: lease.Terms{Duration: 1500 * time.Millisecond, MaxDrift: lease.DefaultDrift}, nodes: make([]*Node, all), edit: edit}
 	for i := range all { // an address of its own for each, which no other process's connections take while it is down
 		n := hosts.Add(1)
 		s.hosts = append(s.hosts, fmt.Sprintf("127.%d.%d.%d:7948", 100+os.Getpid()%100, 1+n/200, 1+n%200))
@@ -61,7 +61,7 @@
 
 func name(i int) string { return fmt.Sprintf("n%d", i) }
 
-func (s *squad) config(i int) Config {
+func (s *testFleet) config(i int) Config {
 	c := Config{Name: name(i), Cluster: "test", Listen: s.hosts[i], Folder: s.dirs[i], LeaseTerms: s.terms, Settings: fleetpolicy.Settings{Classes: []string{"keyed"}, Tenants: []string{"acme"}}}
 	for v := range s.voters {
 		addr := s.hosts[v]
@@ -79,7 +79,7 @@
 	return c
 }
 
-func (s *squad) start(i int) {
+func (s *testFleet) start(i int) {
 	s.t.Helper()
 	n, err := Start(s.config(i), slog.New(slog.NewTextHandler(testLog{s.t, name(i)}, &slog.HandlerOptions{Level: slog.LevelInfo})))
 	if err != nil {
@@ -88,7 +88,7 @@
 	s.nodes[i] = n
 }
 
-func (s *squad) stop(i int) {
+func (s *testFleet) stop(i int) {
 	if n := s.nodes[i]; n != nil {
 		s.nodes[i] = nil
 		if err := n.Close(); err != nil {
@@ -123,8 +123,8 @@
 	}
 }
 
-// acting waits until all that run may begin calls.
-func (s *squad) acting() {
+// waitActing waits until all that run may begin calls.
+func (s *testFleet) waitActing() {
 	s.t.Helper()
 	for i, n := range s.nodes {
 		if n != nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (s *squad) leader() int {
+func (s *testFleet) leader() int {
 	s.t.Helper()
 	at := -1
 	until(s.t, "somebody leads", func() bool {
@@ -152,13 +152,13 @@
 
 const closed7 = "[[route]]\ndestinations = [7]\nstate = \"closed\"\n"
 
-func (s *squad) propose(i int, base uint64, doc string) (uint64, error) {
+func (s *testFleet) propose(i int, base uint64, doc string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	return s.nodes[i].Propose(ctx, &pb.ProposePolicy{BaseVersion: base, Document: []byte(doc), Author: "test", StageTimeoutUs: (10 * time.Second).Microseconds()})
 }
 
-func (s *squad) over(i int, change uint64) *pb.FinishedChange {
+func (s *testFleet) waitFinished(i int, change uint64) *pb.FinishedChange {
 	s.t.Helper()
 	var past *pb.FinishedChange
 	until(s.t, fmt.Sprintf("change %d is over at %s", change, name(i)), func() bool {
@@ -171,16 +171,16 @@
 
 // A change takes hold at voters and followers; a second one while it is under way, one from an older version, and one that is
 // no document are refused; one that a sender can't follow is aborted everywhere.
-func TestChangeTakesHold(t *testing.T) {
+func TestFleet_PolicyChangeTakesEffect(t *testing.T) {
 	t.Parallel()
-	s := newSquad(t, 3, 5, nil)
-	s.acting()
+	s := newTestFleet(t, 3, 5, nil)
+	s.waitActing()
 	change, err := s.propose(4, 0, closed7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, n := range s.nodes {
-		if past := s.over(i, change); past.Version != 1 || past.AbortReason != "" {
+		if past := s.waitFinished(i, change); past.Version != 1 || past.AbortReason != "" {
 			t.Errorf("%s: %v", name(i), past)
 		}
 		if _, why := n.gate.Admit(fleetpolicy.Call{Destination: 7}); !strings.Contains(why, "closed") {
@@ -204,7 +204,7 @@
 		t.Fatal(err)
 	}
 	for i := range s.nodes {
-		if past := s.over(i, change); past.Version != 0 || !strings.Contains(past.AbortReason, `"nobody" is not in this sender's settings`) {
+		if past := s.waitFinished(i, change); past.Version != 0 || !strings.Contains(past.AbortReason, `"nobody" is not in this sender's settings`) {
 			t.Errorf("%s: %v", name(i), past)
 		}
 	}
@@ -212,10 +212,10 @@
 
 // A sender that is cut off begins nothing once its lease has lapsed; a change does not wait longer for it than that, and it comes back
 // under the new version.
-func TestCutOff(t *testing.T) {
+func TestFleet_PartitionedSender(t *testing.T) {
 	t.Parallel()
-	s := newSquad(t, 3, 4, nil)
-	s.acting()
+	s := newTestFleet(t, 3, 4, nil)
+	s.waitActing()
 	for v := range 3 {
 		s.net.Both(name(3), name(v), links.Condition{Blocked: true})
 	}
@@ -230,34 +230,34 @@
 			return open == nil || slices.ContainsFunc(open.WaitingOn, func(w fleetpolicy.PendingSender) bool { return w.Name == "n3" && w.Remaining > 0 })
 		})
 	}
-	s.over(0, change)
+	s.waitFinished(0, change)
 	if _, acts := s.nodes[3].gate.View(); acts {
 		t.Error("one that is cut off acts when a change has taken hold without it")
 	}
 	t.Logf("the change took %v, the lease lasts %v", time.Since(began), s.terms.Duration)
 	s.net.Heal()
-	s.over(3, change)
-	s.acting()
+	s.waitFinished(3, change)
+	s.waitActing()
 	if _, why := s.nodes[3].gate.Admit(fleetpolicy.Call{Destination: 7}); !strings.Contains(why, "closed") {
 		t.Errorf("back, it goes by %q", why)
 	}
 }
 
 // The one that leads dies in the middle; all die at once. What was committed stays, and the change ends everywhere alike.
-func TestLeaderDiesAndAllDie(t *testing.T) {
+func TestFleet_LeaderAndAllRestart(t *testing.T) {
 	t.Parallel()
-	s := newSquad(t, 3, 4, nil)
-	s.acting()
+	s := newTestFleet(t, 3, 4, nil)
+	s.waitActing()
 	lead := s.leader()
 	change, err := s.propose((lead+1)%3, 0, closed7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.stop(lead)
-	s.over((lead+1)%3, change)
+	s.waitFinished((lead+1)%3, change)
 	s.start(lead)
 	for i := range s.nodes {
-		if past := s.over(i, change); past.Version != 1 {
+		if past := s.waitFinished(i, change); past.Version != 1 {
 			t.Errorf("%s: %v", name(i), past)
 		}
 	}
@@ -272,11 +272,11 @@
 		s.start(i)
 	}
 	for i := range s.nodes {
-		if past := s.over(i, change); past.Version != 2 {
+		if past := s.waitFinished(i, change); past.Version != 2 {
 			t.Errorf("%s: %v", name(i), past)
 		}
 	}
-	s.acting()
+	s.waitActing()
 }
 
 // clock is a machine's clock that a test can set ahead and let run wrong.
@@ -291,11 +291,11 @@
 }
 
 // Clocks that run 1% wrong, and one that is an hour ahead, change nothing; and a disk that fails as a change is staged aborts it.
-func TestClocksAndDisk(t *testing.T) {
+func TestFleet_ClockJumpAndDiskFailure(t *testing.T) {
 	t.Parallel()
 	var failing atomic.Bool
 	start := Now()
-	s := newSquad(t, 3, 4, func(i int, c *Config) {
+	s := newTestFleet(t, 3, 4, func(i int, c *Config) {
 		k := &clock{rate: 1 + 0.01*float64(i%3-1), start: start}
 		k.ahead.Store(int64(i) * int64(time.Hour))
 		c.Now = k.now
@@ -303,13 +303,13 @@
 			c.Disk = failingDisk{&failing}
 		}
 	})
-	s.acting()
+	s.waitActing()
 	failing.Store(true)
 	change, err := s.propose(0, 0, closed7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if past := s.over(0, change); past.Version != 0 || !strings.Contains(past.AbortReason, "n3 refuses it: it can't be kept on the disk") {
+	if past := s.waitFinished(0, change); past.Version != 0 || !strings.Contains(past.AbortReason, "n3 refuses it: it can't be kept on the disk") {
 		t.Errorf("%v", past)
 	}
 	failing.Store(false)
@@ -317,7 +317,7 @@
 		t.Fatal(err)
 	}
 	for i := range s.nodes {
-		if past := s.over(i, change); past.Version != 1 {
+		if past := s.waitFinished(i, change); past.Version != 1 {
 			t.Errorf("%s: %v", name(i), past)
 		}
 	}
@@ -332,8 +332,8 @@
 	return realDisk{}.Write(path, data)
 }
 
-// keep copies a folder; put it back with back.
-func (s *squad) keep(i int) (back func()) {
+// copyFolder copies a folder; put it back with back.
+func (s *testFleet) copyFolder(i int) (back func()) {
 	s.t.Helper()
 	kept := s.t.TempDir()
 	if err := os.CopyFS(filepath.Join(kept, "f"), os.DirFS(s.dirs[i])); err != nil {
@@ -347,8 +347,8 @@
 	}
 }
 
-// cut cuts one off from all others, both ways.
-func (s *squad) cut(i int) {
+// partition cuts one off from all others, both ways.
+func (s *testFleet) partition(i int) {
 	for j := range s.nodes {
 		if j != i {
 			s.net.Both(name(i), name(j), links.Condition{Blocked: true})
@@ -358,30 +358,30 @@
 
 // A voter that comes back with an old folder, or an empty one, has forgotten what it promised. Together with one that never
 // heard of the change it makes a majority, and that must lead nowhere while the one that knows is cut off.
-func TestForgottenPromises(t *testing.T) {
+func TestFleet_StaleFolder(t *testing.T) {
 	t.Parallel()
 	for _, what := range []string{"old folder", "empty folder"} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			s := newSquad(t, 3, 3, nil)
-			s.acting()
+			s := newTestFleet(t, 3, 3, nil)
+			s.waitActing()
 			s.stop(1)
-			back := s.keep(1)
+			back := s.copyFolder(1)
 			s.start(1)
-			s.acting()
+			s.waitActing()
 			if s.leader() == 2 { // the one that is cut off must not be whom all wait for
 				s.stop(2)
 				until(t, "another leads", func() bool { return s.leader() != 2 })
 				s.start(2)
-				s.acting()
+				s.waitActing()
 			}
-			s.cut(2)
+			s.partition(2)
 			change, err := s.propose(0, 0, closed7)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.over(0, change)
-			s.over(1, change)
+			s.waitFinished(0, change)
+			s.waitFinished(1, change)
 			s.stop(1)
 			if what == "old folder" {
 				back()
@@ -389,7 +389,7 @@
 				t.Fatal(err)
 			}
 			s.net.Both("n2", "n1", links.Condition{})
-			s.cut(0)
+			s.partition(0)
 			s.start(1)
 			// n1 and n2 are a majority, and know nothing of the change. As many elections as fit in three seconds lead to none.
 			for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -404,20 +404,20 @@
 			}
 			s.net.Heal()
 			for i := range s.nodes {
-				if past := s.over(i, change); past.Version != 1 {
+				if past := s.waitFinished(i, change); past.Version != 1 {
 					t.Errorf("%s: %v", name(i), past)
 				}
 			}
-			s.acting()
+			s.waitActing()
 		})
 	}
 }
 
 // Who vouches for a folder lets a voter take part without the others' word, once.
-func TestVouch(t *testing.T) {
+func TestFleet_Vouch(t *testing.T) {
 	t.Parallel()
-	s := newSquad(t, 3, 3, nil)
-	s.acting()
+	s := newTestFleet(t, 3, 3, nil)
+	s.waitActing()
 	if err := Vouch(s.dirs[1], "test"); err == nil {
 		t.Error("a folder in use is vouched for")
 	}
@@ -430,7 +430,7 @@
 		t.Fatal(err)
 	}
 	s.start(1)
-	s.acting()
+	s.waitActing()
 	if _, err := os.Stat(filepath.Join(s.dirs[1], vouchedName)); !os.IsNotExist(err) {
 		t.Errorf("the word counts twice: %v", err)
 	}
@@ -440,10 +440,10 @@
 }
 
 // A voter is replaced while a change is under way: one that followed takes the place of one that is gone for good.
-func TestVoterReplaced(t *testing.T) {
+func TestFleet_VoterReplaced(t *testing.T) {
 	t.Parallel()
-	s := newSquad(t, 3, 4, nil)
-	s.acting()
+	s := newTestFleet(t, 3, 4, nil)
+	s.waitActing()
 	lead := s.leader()
 	gone := (lead + 1) % 3
 	s.stop(gone)
@@ -459,7 +459,7 @@
 	}
 	for i := range s.nodes {
 		if i != gone {
-			if past := s.over(i, change); past.Version != 1 {
+			if past := s.waitFinished(i, change); past.Version != 1 {
 				t.Errorf("%s: %v", name(i), past)
 			}
 		}
@@ -476,13 +476,13 @@
 	if change, err = s.propose(3, 1, "# open again\n"); err != nil {
 		t.Fatal(err)
 	}
-	if past := s.over(3, change); past.Version != 2 {
+	if past := s.waitFinished(3, change); past.Version != 2 {
 		t.Errorf("%v", past)
 	}
 }
 
 // A file of a newer program, of another sender or of another cluster is refused with clear words, and left as it is.
-func TestFolderOfOthers(t *testing.T) {
+func TestStore_RejectsForeignFolder(t *testing.T) {
 	dir := t.TempDir()
 	open := func(cluster, name string) error {
 		s, err := openStore(dir, cluster, name)
@@ -516,24 +516,24 @@
 
 // Cuts between some, while a change is made: those that reach a majority in some way go on, the others begin nothing, and all are of one
 // mind when the links are healed.
-func TestCutsBetweenSome(t *testing.T) {
+func TestFleet_PartialPartitions(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		what string
-		cut  func(s *squad, lead int)
+		cut  func(s *testFleet, lead int)
 		act  func(lead int) []bool // who acts once the change has taken hold at the one that leads
 	}{
-		{"one that reaches all but the leader", func(s *squad, lead int) { s.net.Both("n4", name(lead), links.Condition{Blocked: true}) },
+		{"one that reaches all but the leader", func(s *testFleet, lead int) { s.net.Both("n4", name(lead), links.Condition{Blocked: true}) },
 			func(int) []bool { return []bool{true, true, true, true, true} }},
-		{"the leader's words don't reach another voter, whose words reach it", func(s *squad, lead int) {
+		{"the leader's words don't reach another voter, whose words reach it", func(s *testFleet, lead int) {
 			s.net.Set(name(lead), name((lead+1)%3), links.Condition{Blocked: true})
 		}, nil},
-		{"asks arrive at no voter, and all they say is heard", func(s *squad, _ int) {
+		{"asks arrive at no voter, and all they say is heard", func(s *testFleet, _ int) {
 			for v := range 3 {
 				s.net.Set("n4", name(v), links.Condition{Blocked: true})
 			}
 		}, func(int) []bool { return []bool{true, true, true, true, false} }},
-		{"a leader and a sender on one side, all others on the other", func(s *squad, lead int) {
+		{"a leader and a sender on one side, all others on the other", func(s *testFleet, lead int) {
 			for i := range 5 {
 				for j := range 5 {
 					if side := func(k int) bool { return k == lead || k == 4 }; i != j && side(i) != side(j) {
@@ -549,8 +549,8 @@
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			t.Parallel()
-			s := newSquad(t, 3, 5, nil)
-			s.acting()
+			s := newTestFleet(t, 3, 5, nil)
+			s.waitActing()
 			lead := s.leader()
 			c.cut(s, lead)
 			from := (lead + 2) % 3
@@ -560,7 +560,7 @@
 				change, err = s.propose(from, 0, closed7)
 				return err == nil
 			})
-			if past := s.over(from, change); past.Version != 1 {
+			if past := s.waitFinished(from, change); past.Version != 1 {
 				t.Errorf("%v", past)
 			}
 			if c.act != nil {
@@ -570,37 +570,37 @@
 			}
 			s.net.Heal()
 			for i := range s.nodes {
-				if past := s.over(i, change); past.Version != 1 {
+				if past := s.waitFinished(i, change); past.Version != 1 {
 					t.Errorf("%s: %v", name(i), past)
 				}
 			}
-			s.acting()
+			s.waitActing()
 		})
 	}
 }
 
 // One is down for a change and two more, and comes back under the last; an operator aborts one that can't be staged in time.
-func TestDownForThree(t *testing.T) {
+func TestFleet_VoterDownFor3Changes(t *testing.T) {
 	t.Parallel()
 	var failing atomic.Bool
-	s := newSquad(t, 3, 5, func(i int, c *Config) {
+	s := newTestFleet(t, 3, 5, func(i int, c *Config) {
 		if i == 3 {
 			c.Disk = slowDisk{&failing}
 		}
 	})
-	s.acting()
+	s.waitActing()
 	s.stop(4)
 	for v := range uint64(3) {
 		change, err := s.propose(int(v), v, []string{closed7, "# open\n"}[v%2])
 		if err != nil {
 			t.Fatal(err)
 		}
-		if past := s.over(0, change); past.Version != v+1 {
+		if past := s.waitFinished(0, change); past.Version != v+1 {
 			t.Fatalf("%v", past)
 		}
 	}
 	s.start(4)
-	s.acting()
+	s.waitActing()
 	if v, _ := s.nodes[4].View(); v.Version != 3 {
 		t.Errorf("it comes back under version %d", v.Version)
 	}
@@ -616,7 +616,7 @@
 	}
 	failing.Store(false)
 	for i := range s.nodes {
-		if past := s.over(i, change); past.Version != 0 || past.AbortReason != "not now" {
+		if past := s.waitFinished(i, change); past.Version != 0 || past.AbortReason != "not now" {
 			t.Errorf("%s: %v", name(i), past)
 		}
 	}
@@ -640,13 +640,13 @@
 }
 
 // A log of many entries is taken up again from its snapshot and what stands behind it; a sender that follows from nothing is told the snapshot.
-func TestManyEntries(t *testing.T) {
+func TestFleet_ManyEntries(t *testing.T) {
 	entries := 12_000
 	if n := os.Getenv("SAFFRONYARD_ENTRIES"); n != "" {
 		fmt.Sscan(n, &entries)
 	}
-	s := newSquad(t, 1, 1, nil)
-	s.acting()
+	s := newTestFleet(t, 1, 1, nil)
+	s.waitActing()
 	began := time.Now()
 	var work sync.WaitGroup
 	for w := range 64 {
@@ -682,8 +682,8 @@
 
 // BenchmarkCommits is what five voters take on from 64 who hand in at once, and how long each waits.
 func BenchmarkCommits(b *testing.B) {
-	s := newSquad(b, 5, 5, nil)
-	s.acting()
+	s := newTestFleet(b, 5, 5, nil)
+	s.waitActing()
 	lead := s.leader()
 	var mu sync.Mutex
 	var took []time.Duration
@@ -718,13 +718,13 @@
 
 // A month of an ordinary fleet: twenty changes a day of a document of 200 destinations, each sender of 300 joining anew once a day. What it
 // leaves on a voter's disk is bounded. SAFFRONYARD_MONTH=30 plays all of it; a day is played in any case.
-func TestMonth(t *testing.T) {
+func TestFleet_MonthOfCommands(t *testing.T) {
 	days := 1
 	if n := os.Getenv("SAFFRONYARD_MONTH"); n != "" {
 		fmt.Sscan(n, &days)
 	}
-	s := newSquad(t, 1, 1, nil)
-	s.acting()
+	s := newTestFleet(t, 1, 1, nil)
+	s.waitActing()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
 	defer cancel()
 	version, most := uint64(0), int64(0)
@@ -745,7 +745,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if past := s.over(0, change); past.Version != version+1 {
+			if past := s.waitFinished(0, change); past.Version != version+1 {
 				t.Fatalf("%v", past)
 			}
 			version++
@@ -765,10 +765,10 @@
 }
 
 // Keys are changed in service, one sender after another; one that has another fleet's key, or none, is taken for nobody.
-func TestKeys(t *testing.T) {
+func TestFleet_KeyRotation(t *testing.T) {
 	t.Parallel()
 	first, second := []byte("0123456789abcdef"), []byte("fedcba9876543210")
-	s := newSquad(t, 3, 5, func(i int, c *Config) {
+	s := newTestFleet(t, 3, 5, func(i int, c *Config) {
 		c.Keys = [][]byte{first}
 		switch i {
 		case 3:
@@ -788,7 +788,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.over(0, change)
+		s.waitFinished(0, change)
 	}
 	until(t, "the one whose key is the fleet's by now acts", func() bool { _, acts := s.nodes[3].View(); return acts })
 	if _, acts := s.nodes[4].View(); acts {
--- a/internal/fleetpolicy/diff.go
+++ b/internal/fleetpolicy/diff.go
@@ -9,8 +9,8 @@
 func Diff(was, is *Policy) []string {
 	var lines []string
 	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	if was.document.CutOff != is.document.CutOff || was.document.CutOffGrace != is.document.CutOffGrace {
-		say("a sender that is cut off: %s -> %s", was.cutOff(), is.cutOff())
+	if was.document.OnPartition != is.document.OnPartition || was.document.PartitionGrace != is.document.PartitionGrace {
+		say("a sender that is cut off: %s -> %s", was.describePartition(), is.describePartition())
 	}
 	t := AffectedBySwitch(was, is)
 	// Destinations that change in the same way stand in one line.
@@ -41,8 +41,8 @@
 	return lines
 }
 
-func (p *Policy) cutOff() string {
-	if d := p.CutOffGrace(); d > 0 {
+func (p *Policy) describePartition() string {
+	if d := p.PartitionGrace(); d > 0 {
 		return fmt.Sprintf("goes on for %v", d)
 	}
 	return "begins no call"
--- a/internal/fleetpolicy/document.go
+++ b/internal/fleetpolicy/document.go
@@ -15,10 +15,10 @@
 
 // Document is a policy as operators write it. What it does not name is as the platform has it.
 type Document struct {
-	// CutOff is what a sender does that has no lease: "hold" (the default) begins no call; "go-on" goes on under the version
+	// OnPartition is what a sender does that has no lease: "hold" (the default) begins no call; "go-on" goes on under the version
 	// that it had, for GoOnFor at most. The latter gives up that no call is begun under a version that others have left.
-	CutOff      string        `toml:"cut_off,omitempty"`
-	CutOffGrace tomlfile.Span `toml:"go_on_for,omitempty"`
+	OnPartition    string        `toml:"cut_off,omitempty"`
+	PartitionGrace tomlfile.Span `toml:"go_on_for,omitempty"`
 
 	Routes  []Route  `toml:"route,omitempty"`
 	Tenants []Tenant `toml:"tenant,omitempty"`
@@ -54,20 +54,20 @@
 
 // Bounds of a document. A larger one would not fit a step of the log.
 const (
-	maxDocumentBytes = 1 << 20 // bytes
-	maxDestinations  = 100_000 // named, in all
-	maxTextBytes     = 500     // bytes of a reason
-	maxCutOffGrace   = 24 * time.Hour
+	maxDocumentBytes  = 1 << 20 // bytes
+	maxDestinations   = 100_000 // named, in all
+	maxTextBytes      = 500     // bytes of a reason
+	maxPartitionGrace = 24 * time.Hour
 )
 
 // Words of a document.
 const (
-	cutOffHold     = "hold"
-	cutOffContinue = "go-on"
-	stateClosed    = "closed"
-	stateMoved     = "moved"
-	stateApart     = "apart"
-	stateSuspended = "suspended"
+	partitionHold     = "hold"
+	partitionContinue = "go-on"
+	stateClosed       = "closed"
+	stateMoved        = "moved"
+	stateApart        = "apart"
+	stateSuspended    = "suspended"
 )
 
 // Parse reads a document and checks all of it; name is for its errors, which are of type *DocumentError or the TOML decoder's.
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	p := &Policy{document: d, routes: map[uint32]routeRule{}, suspended: map[string]bool{}, classes: map[string]time.Duration{}}
-	for _, parse := range []func() error{p.parseCutOff, p.parseRoutes, p.parseTenants, p.parseClasses, p.parseLimits, p.parseHealthRules} {
+	for _, parse := range []func() error{p.parsePartition, p.parseRoutes, p.parseTenants, p.parseClasses, p.parseLimits, p.parseHealthRules} {
 		if err := parse(); err != nil {
 			return nil, invalidIn(name, "%w", err)
 		}
@@ -88,17 +88,17 @@
 	return p, nil
 }
 
-func (p *Policy) parseCutOff() error {
+func (p *Policy) parsePartition() error {
 	d := p.document
-	switch d.CutOff {
+	switch d.OnPartition {
 	case "":
-		d.CutOff = cutOffHold
-	case cutOffHold, cutOffContinue:
+		d.OnPartition = partitionHold
+	case partitionHold, partitionContinue:
 	default:
-		return invalid("cut_off = %q; there are %q and %q", d.CutOff, cutOffHold, cutOffContinue)
+		return invalid("cut_off = %q; there are %q and %q", d.OnPartition, partitionHold, partitionContinue)
 	}
-	if (d.CutOff == cutOffContinue) != (d.CutOffGrace > 0) || d.CutOffGrace.D() > maxCutOffGrace {
-		return invalid("go_on_for = %v: it goes with cut_off = %q, and is %v at most", d.CutOffGrace.D(), cutOffContinue, maxCutOffGrace)
+	if (d.OnPartition == partitionContinue) != (d.PartitionGrace > 0) || d.PartitionGrace.D() > maxPartitionGrace {
+		return invalid("go_on_for = %v: it goes with cut_off = %q, and is %v at most", d.PartitionGrace.D(), partitionContinue, maxPartitionGrace)
 	}
 	return nil
 }
--- a/internal/fleetpolicy/document_test.go
+++ b/internal/fleetpolicy/document_test.go
@@ -25,7 +25,7 @@
 const closed7 = "[[route]]\ndestinations = [7]\nstate = \"closed\"\n"
 
 // What is wrong with a document is said with its name, and the line or the rule.
-func TestDocumentErrors(t *testing.T) {
+func TestParse_Errors(t *testing.T) {
 	for text, says := range map[string]string{
 		"x = 1":                 `p.toml:1: unknown key "x"`,
 		"cut_off = \"perhaps\"": `cut_off = "perhaps"; there are "hold" and "go-on"`,
@@ -75,7 +75,7 @@
 }
 
 // What a call takes of which limits, and what limits are.
-func TestLimits(t *testing.T) {
+func TestPolicy_Limits(t *testing.T) {
 	p := parse(t, `
 [[limit]]
 destinations = [7, 8]
@@ -140,7 +140,7 @@
 }
 
 // What a policy says of calls, and which of them a switch touches.
-func TestCallsAndSwitches(t *testing.T) {
+func TestPolicy_CallsAndSwitches(t *testing.T) {
 	was := parse(t, "cut_off = \"go-on\"\ngo_on_for = \"1m\"\n[[route]]\ndestinations = [1, 2, 3, 7]\nstate = \"closed\"\n[[tenant]]\nname = \"acme\"\nstate = \"suspended\"\n[[class]]\nname = \"keyed\"\ndeadline_most = \"5s\"\n")
 	is := parse(t, "[[route]]\ndestinations = [2]\nstate = \"closed\"\n[[route]]\ndestinations = [7]\nstate = \"moved\"\nto = 9\n[[route]]\ndestinations = [5]\nstate = \"apart\"\nkind = \"single\"\n[[limit]]\ndestinations = [4]\ncalls = 2.5\n[[tenant]]\nname = \"other\"\nstate = \"suspended\"\n")
 	for _, c := range []struct {
@@ -157,7 +157,7 @@
 			t.Errorf("%+v: before %v, after %v, touched %v", c.call, before, after, touched)
 		}
 	}
-	if is.MovedTo(7) != 9 || is.MovedTo(2) != 2 || was.CutOffGrace() != time.Minute || is.CutOffGrace() != 0 || was.MaxDeadline("keyed") != 5*time.Second || is.MaxDeadline("keyed") != 0 ||
+	if is.MovedTo(7) != 9 || is.MovedTo(2) != 2 || was.PartitionGrace() != time.Minute || is.PartitionGrace() != 0 || was.MaxDeadline("keyed") != 5*time.Second || is.MaxDeadline("keyed") != 0 ||
 		is.Kind(5, "x") != "single" || is.Kind(4, "x") != "x" || is.MovedTo(5) != 5 {
 		t.Error("what a policy says beside calls")
 	}
@@ -185,7 +185,7 @@
 }
 
 // A document of 5,000 destinations is read, compared and asked without going through it.
-func TestLargeDocument(t *testing.T) {
+func TestParse_LargeDocument(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("[[route]]\nstate = \"closed\"\ndestinations = [")
 	for d := range 5000 {
@@ -218,7 +218,7 @@
 }
 
 // The rules of the change, a step each: what fits is done, what does not changes nothing and says why.
-func TestMachine(t *testing.T) {
+func TestMachine_Changes(t *testing.T) {
 	propose := func(base uint64, doc string, wait int64) *pb.PolicyCommand {
 		return &pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: base, Document: []byte(doc), Author: "ann", StageTimeoutUs: wait}}}
 	}
@@ -293,7 +293,7 @@
 }
 
 // What is remembered of changes is bounded, by number and by bytes; the version in force stays.
-func TestPastIsBounded(t *testing.T) {
+func TestMachine_HistoryIsBounded(t *testing.T) {
 	m, index := NewMachine(), uint64(0)
 	doc := "# " + strings.Repeat("x", maxDocumentBytes-100) + "\n"
 	for v := range uint64(maxHistory + 20) {
--- a/internal/fleetpolicy/limit_text.go
+++ b/internal/fleetpolicy/limit_text.go
@@ -27,8 +27,8 @@
 	if l.Reserve > 0 {
 		text += fmt.Sprintf(", %d of them kept by each of the first %d senders", l.Reserve, l.ReserveCount)
 	}
-	if l.CutOffExtra > 0 {
-		text += fmt.Sprintf(", and %d more by each that is cut off", l.CutOffExtra)
+	if l.PartitionExtra > 0 {
+		text += fmt.Sprintf(", and %d more by each that is cut off", l.PartitionExtra)
 	}
 	return text
 }
--- a/internal/fleetpolicy/limits.go
+++ b/internal/fleetpolicy/limits.go
@@ -28,10 +28,10 @@
 	TransitJitter tomlfile.Span `toml:"transit,omitempty"` // by so much may the ways of two calls differ; default 20ms
 	MaxCallTime   tomlfile.Span `toml:"lasts,omitempty"`   // of at_once: no call lasts longer; needed there
 
-	CutOffExtra  int64 `toml:"over,omitempty"`      // each sender that is cut off may go so much beyond; default 0
-	Reserve      int64 `toml:"floor,omitempty"`     // each of the first floor_for members keeps so much for itself, also cut off
-	ReserveCount int64 `toml:"floor_for,omitempty"` // goes with floor
-	Adaptive     bool  `toml:"learn,omitempty"`     // of calls: what the receiver tells counts where it is lower
+	PartitionExtra int64 `toml:"over,omitempty"`      // each sender that is cut off may go so much beyond; default 0
+	Reserve        int64 `toml:"floor,omitempty"`     // each of the first floor_for members keeps so much for itself, also cut off
+	ReserveCount   int64 `toml:"floor_for,omitempty"` // goes with floor
+	Adaptive       bool  `toml:"learn,omitempty"`     // of calls: what the receiver tells counts where it is lower
 }
 
 const (
@@ -77,7 +77,7 @@
 
 // quota checks the figures of a table, and is the limit that they make, without its key.
 func (l Limit) quota() (q quota.Limit, err error) {
-	q = quota.Limit{Span: cmp.Or(l.Span.D(), defaultSpan), TransitJitter: cmp.Or(l.TransitJitter.D(), defaultTransitJitter), CutOffExtra: l.CutOffExtra, Reserve: l.Reserve, ReserveCount: l.ReserveCount, Adaptive: l.Adaptive}
+	q = quota.Limit{Span: cmp.Or(l.Span.D(), defaultSpan), TransitJitter: cmp.Or(l.TransitJitter.D(), defaultTransitJitter), PartitionExtra: l.PartitionExtra, Reserve: l.Reserve, ReserveCount: l.ReserveCount, Adaptive: l.Adaptive}
 	given := 0
 	if l.Calls != 0 {
 		given++
@@ -112,10 +112,10 @@
 		return q, invalid("lasts = %v goes with at_once, is needed there, and is %v at most", l.MaxCallTime.D(), maxSpan)
 	case q.Span == 0 && l.Span != 0:
 		return q, invalid("at_once and a_day have no span")
-	case q.Kind == quota.Daily && (l.CutOffExtra != 0 || l.Reserve != 0):
+	case q.Kind == quota.Daily && (l.PartitionExtra != 0 || l.Reserve != 0):
 		return q, invalid("a_day has neither over nor floor: who is cut off uses what it holds")
-	case l.CutOffExtra < 0 || l.CutOffExtra > maxUnits:
-		return q, invalid("over = %d is not from 0 to %d", l.CutOffExtra, maxUnits)
+	case l.PartitionExtra < 0 || l.PartitionExtra > maxUnits:
+		return q, invalid("over = %d is not from 0 to %d", l.PartitionExtra, maxUnits)
 	case l.Reserve < 0 || (l.Reserve > 0) != (l.ReserveCount > 0) || l.ReserveCount < 0 || l.Reserve > 0 && l.ReserveCount > q.Units/l.Reserve:
 		return q, invalid("floor = %d for floor_for = %d senders: both or none, and together no more than the limit of %d", l.Reserve, l.ReserveCount, q.Units)
 	case l.Adaptive && q.Kind != quota.Calls:
--- a/internal/fleetpolicy/model_test.go
+++ b/internal/fleetpolicy/model_test.go
@@ -30,27 +30,27 @@
 type fault string
 
 const (
-	none                fault = ""
-	countsFromAnswer    fault = "the lease is counted from the answer"
-	stagedNotSynced     fault = "staged is told before it is on the disk"
-	noWaitForLapse      fault = "committed without waiting for a lapse"
-	oldLeadersWord      fault = "an old leader's word is taken"
-	noQuietTime         fault = "a new leader takes nobody for a holder"
-	needIgnored         fault = "a lease counts before its state has come"
-	actsAhead           fault = "acts is told for what has come and is not applied"
-	freezeSkipped       fault = "committed as soon as it is staged"
-	frozenIgnored       fault = "a frozen call is begun"
-	leaseOutlivesLife   fault = "a new process goes by the lease of the former one"
-	checkedAtTick       fault = "the lease is looked at when the sender wakes, not when it writes"
-	granterCountsAsAsks fault = "the granter counts from before it granted"
+	none                     fault = ""
+	countedFromReply         fault = "the lease is counted from the answer"
+	stagedBeforeSync         fault = "staged is told before it is on the disk"
+	noWaitForExpiry          fault = "committed without waiting for a lapse"
+	formerLeaderBelieved     fault = "an old leader's word is taken"
+	noGracePeriod            fault = "a new leader takes nobody for a holder"
+	requiredIndexIgnored     fault = "a lease counts before its state has come"
+	actingIndexAhead         fault = "acts is told for what has come and is not applied"
+	freezeSkipped            fault = "committed as soon as it is staged"
+	freezeIgnored            fault = "a frozen call is begun"
+	leaseOutlivesProcess     fault = "a new process goes by the lease of the former one"
+	checkedAtWake            fault = "the lease is looked at when the sender wakes, not when it writes"
+	granterCountsFromRequest fault = "the granter counts from before it granted"
 )
 
 // world is one state.
 type world struct {
 	now       int
 	log       string // steps: p, f, c, a
-	leader    leading
-	old       *leading // replaced, and unaware of it
+	leader    modelLeader
+	old       *modelLeader // replaced, and unaware of it
 	elections int
 	crashes   int
 	senders   [3]modelSender
@@ -58,35 +58,35 @@
 	acted     uint64 // the newest version that anybody could act under
 }
 
-type leading struct {
+type modelLeader struct {
 	granter *lease.Granter
 	coord   *Coordinator
 	applied int
 }
 
 type modelSender struct {
-	life    uint64
-	applied int    // of the log
-	staged  uint64 // change on the disk
-	told    uint64 // change told as staged
-	holder  *lease.Holder
-	woke    int // when it last did anything
-	ask     *askMsg
-	grant   *grantMsg
+	incarnation uint64
+	applied     int    // of the log
+	staged      uint64 // change on the disk
+	reported    uint64 // change told as staged
+	holder      *lease.Holder
+	wokeAt      int // when it last did anything
+	request     *modelRequest
+	grant       *modelGrant
 }
 
-type askMsg struct {
-	life   uint64
-	asked  time.Duration
-	acts   int
-	staged uint64
-	heard  bool
+type modelRequest struct {
+	incarnation uint64
+	requestedAt time.Duration
+	actingIndex int
+	staged      uint64
+	received    bool
 }
 
-type grantMsg struct {
-	life  uint64
-	asked time.Duration
-	need  uint64
+type modelGrant struct {
+	incarnation   uint64
+	requestedAt   time.Duration
+	requiredIndex uint64
 }
 
 type model struct {
@@ -159,8 +159,8 @@
 	return &c
 }
 
-func (l leading) clone() leading {
-	return leading{l.granter.Clone(), l.coord.Clone(), l.applied}
+func (l modelLeader) clone() modelLeader {
+	return modelLeader{l.granter.Clone(), l.coord.Clone(), l.applied}
 }
 
 var seed = maphash.MakeSeed()
@@ -178,32 +178,32 @@
 	for i := range m.senders {
 		s, name := &w.senders[i], m.names[i]
 		var open []time.Duration
-		if s.ask != nil {
-			open = append(open, s.ask.asked)
+		if s.request != nil {
+			open = append(open, s.request.requestedAt)
 		}
 		if s.grant != nil {
-			open = append(open, s.grant.asked)
+			open = append(open, s.grant.requestedAt)
 		}
-		e := s.holder.AppendState([]byte{byte(s.life), byte(s.applied), byte(s.staged), byte(s.told)}, now, open...)
-		if m.fault == checkedAtTick {
-			e = append(e, byte(s.woke))
+		e := s.holder.AppendState([]byte{byte(s.incarnation), byte(s.applied), byte(s.staged), byte(s.reported)}, now, open...)
+		if m.fault == checkedAtWake {
+			e = append(e, byte(s.wokeAt))
 		}
-		if a := s.ask; a != nil && (!a.heard || w.repeats < m.repeats) {
-			e = append(e, 'a', byte(a.life), byte(a.asked/tick), byte(a.acts), byte(a.staged))
-			if a.heard {
+		if a := s.request; a != nil && (!a.received || w.repeats < m.repeats) {
+			e = append(e, 'a', byte(a.incarnation), byte(a.requestedAt/tick), byte(a.actingIndex), byte(a.staged))
+			if a.received {
 				e = append(e, 'h')
 			}
 		}
-		if g := s.grant; g != nil && now-g.asked < modelTerms.Duration {
-			e = append(e, 'g', byte(g.life), byte(g.asked/tick), byte(g.need))
+		if g := s.grant; g != nil && now-g.requestedAt < modelTerms.Duration {
+			e = append(e, 'g', byte(g.incarnation), byte(g.requestedAt/tick), byte(g.requiredIndex))
 		}
 		e = w.leader.granter.AppendState(append(e, 'l'), now, name)
-		for life := range s.life + 1 {
+		for life := range s.incarnation + 1 {
 			if c.staged[lease.HolderID{Name: name, Incarnation: life}] {
 				e = append(e, 's', byte(life))
 			}
 		}
-		if w.old != nil && m.fault == oldLeadersWord {
+		if w.old != nil && m.fault == formerLeaderBelieved {
 			e = w.old.granter.AppendState(append(e, 'o', byte(w.old.applied)), now, name)
 		}
 		each = append(each, string(e))
@@ -221,18 +221,18 @@
 func (m *model) may(w *world, i int) (uint64, bool) {
 	s := &w.senders[i]
 	now := w.clock()
-	if m.fault == checkedAtTick {
-		now = time.Duration(s.woke+1) * tick
+	if m.fault == checkedAtWake {
+		now = time.Duration(s.wokeAt+1) * tick
 	}
 	applied := uint64(s.applied)
-	if m.fault == needIgnored {
+	if m.fault == requiredIndexIgnored {
 		applied = 1 << 60
 	}
 	if s.holder == nil || s.holder.Until(applied) <= now {
 		return 0, false
 	}
 	st := m.machine(w.log[:s.applied])
-	if st.frozen && m.fault != frozenIgnored {
+	if st.frozen && m.fault != freezeIgnored {
 		return 0, false
 	}
 	return st.view.Version, true
@@ -283,8 +283,8 @@
 			n.elections++
 			old := n.leader
 			n.old = &old
-			n.leader = leading{lease.NewGranter(modelTerms, n.clock()), &Coordinator{}, len(n.log)}
-			if m.fault == noQuietTime {
+			n.leader = modelLeader{lease.NewGranter(modelTerms, n.clock()), &Coordinator{}, len(n.log)}
+			if m.fault == noGracePeriod {
 				n.leader.granter = withoutQuiet()
 			}
 			return ""
@@ -303,7 +303,7 @@
 	l := &n.leader
 	st := m.machine(n.log[:l.applied]).State()
 	granter := l.granter
-	if m.fault == noWaitForLapse {
+	if m.fault == noWaitForExpiry {
 		granter = withoutQuiet()
 	}
 	cmd, _ := l.coord.Step(n.clock(), st, granter)
@@ -346,60 +346,60 @@
 		do(name+" applies an entry", func(n *world) string {
 			t := &n.senders[i]
 			t.applied++
-			t.woke = n.now
-			if o := m.machine(n.log[:t.applied]).State().OpenChange; o != nil && m.fault != stagedNotSynced {
-				t.staged, t.told = o.Id, o.Id
+			t.wokeAt = n.now
+			if o := m.machine(n.log[:t.applied]).State().OpenChange; o != nil && m.fault != stagedBeforeSync {
+				t.staged, t.reported = o.Id, o.Id
 			}
 			return ""
 		})
 	}
 	state := m.machine(w.log[:s.applied]).State()
-	if o := state.OpenChange; o != nil && s.staged < o.Id && m.fault == stagedNotSynced {
+	if o := state.OpenChange; o != nil && s.staged < o.Id && m.fault == stagedBeforeSync {
 		do(name+" stages the change", func(n *world) string {
-			n.senders[i].staged, n.senders[i].told = o.Id, o.Id
-			n.senders[i].woke = n.now
+			n.senders[i].staged, n.senders[i].reported = o.Id, o.Id
+			n.senders[i].wokeAt = n.now
 			return ""
 		})
-		if s.told < o.Id {
-			do(name+" tells that it has staged", func(n *world) string { n.senders[i].told = o.Id; return "" })
+		if s.reported < o.Id {
+			do(name+" tells that it has staged", func(n *world) string { n.senders[i].reported = o.Id; return "" })
 		}
 	}
 	acts := s.applied
-	if m.fault == actsAhead {
+	if m.fault == actingIndexAhead {
 		acts = len(w.log)
 	}
 	if m.fault == none && m.closed(w) {
 		// Nothing comes behind the log any more. What is granted from now on counts only for one that has all of it.
-	} else if s.ask == nil || s.ask.life != s.life || s.ask.acts != acts || s.ask.staged != s.told || s.ask.asked < w.clock() {
+	} else if s.request == nil || s.request.incarnation != s.incarnation || s.request.actingIndex != acts || s.request.staged != s.reported || s.request.requestedAt < w.clock() {
 		do(name+" asks", func(n *world) string {
 			t := &n.senders[i]
 			t.holder = t.holder.Clone()
-			t.ask = &askMsg{t.life, t.holder.Request(n.clock()), acts, t.told, false}
-			t.woke = n.now
+			t.request = &modelRequest{t.incarnation, t.holder.Request(n.clock()), acts, t.reported, false}
+			t.wokeAt = n.now
 			return ""
 		})
 	}
-	if s.ask != nil && (!s.ask.heard || w.repeats < m.repeats) && !(m.fault == none && m.closed(w)) {
+	if s.request != nil && (!s.request.received || w.repeats < m.repeats) && !(m.fault == none && m.closed(w)) {
 		do("the leader hears "+name, func(n *world) string { n.leader = n.leader.clone(); return m.hear(n, &n.leader, i, true) })
 		if w.old != nil {
 			do("the old leader hears "+name, func(n *world) string {
 				old := n.old.clone()
 				n.old = &old
-				return m.hear(n, n.old, i, m.fault == oldLeadersWord)
+				return m.hear(n, n.old, i, m.fault == formerLeaderBelieved)
 			})
 		}
 	}
-	if g := s.grant; g != nil && g.life == s.life {
+	if g := s.grant; g != nil && g.incarnation == s.incarnation {
 		do(name+" is granted", func(n *world) string {
 			t := &n.senders[i]
-			asked := g.asked
+			asked := g.requestedAt
 			t.holder = t.holder.Clone()
-			if m.fault == countsFromAnswer {
+			if m.fault == countedFromReply {
 				asked = t.holder.Request(n.clock())
 			}
-			t.holder.RecordGrant(asked, g.need, modelTerms.Duration, n.clock())
+			t.holder.RecordGrant(asked, g.requiredIndex, modelTerms.Duration, n.clock())
 			t.grant = nil // again it would say nothing: the question is answered
-			t.woke = n.now
+			t.wokeAt = n.now
 			return ""
 		})
 	}
@@ -416,13 +416,13 @@
 				n.crashes++
 				t := &n.senders[i]
 				holder := lease.NewHolder(modelTerms)
-				if m.fault == leaseOutlivesLife {
+				if m.fault == leaseOutlivesProcess {
 					holder = t.holder
 				}
 				if old {
 					t.applied, t.staged = 0, 0
 				}
-				*t = modelSender{life: t.life + 1, applied: t.applied, staged: t.staged, told: t.staged, holder: holder, woke: n.now, ask: t.ask, grant: t.grant}
+				*t = modelSender{incarnation: t.incarnation + 1, applied: t.applied, staged: t.staged, reported: t.staged, holder: holder, wokeAt: n.now, request: t.request, grant: t.grant}
 				return ""
 			})
 		}
@@ -430,30 +430,30 @@
 }
 
 // hear is a question that reaches one who leads, or believes so; confirmed is whether a majority says that it does.
-func (m *model) hear(n *world, l *leading, i int, confirmed bool) string {
+func (m *model) hear(n *world, l *modelLeader, i int, confirmed bool) string {
 	s := &n.senders[i]
-	if s.ask.heard {
+	if s.request.received {
 		n.repeats++
 	}
-	ask := *s.ask
-	ask.heard = true
-	s.ask = &ask
-	who := lease.HolderID{Name: m.names[i], Incarnation: s.ask.life}
-	l.granter.RecordRequest(who, uint64(s.ask.acts))
-	if s.ask.staged > 0 {
-		l.coord.RecordStaged(who, s.ask.staged, "")
+	ask := *s.request
+	ask.received = true
+	s.request = &ask
+	who := lease.HolderID{Name: m.names[i], Incarnation: s.request.incarnation}
+	l.granter.RecordRequest(who, uint64(s.request.actingIndex))
+	if s.request.staged > 0 {
+		l.coord.RecordStaged(who, s.request.staged, "")
 	}
 	if !confirmed {
 		return ""
 	}
-	if !l.coord.MayGrant(who, uint64(s.ask.acts), m.machine(n.log[:l.applied]).State()) {
+	if !l.coord.MayGrant(who, uint64(s.request.actingIndex), m.machine(n.log[:l.applied]).State()) {
 		return ""
 	}
 	at := n.clock()
-	if m.fault == granterCountsAsAsks {
-		at = s.ask.asked - tick
+	if m.fault == granterCountsFromRequest {
+		at = s.request.requestedAt - tick
 	}
-	s.grant = &grantMsg{s.ask.life, s.ask.asked, l.granter.Grant(who, uint64(l.applied), at)}
+	s.grant = &modelGrant{s.request.incarnation, s.request.requestedAt, l.granter.Grant(who, uint64(l.applied), at)}
 	return ""
 }
 
@@ -524,7 +524,7 @@
 }
 
 // Three senders and two changes have too many states to be walked whole: all that lie within a number of steps are.
-func TestModelHoldsWithin(t *testing.T) {
+func TestModel_HoldsWithinSteps(t *testing.T) {
 	steps := 9
 	if n, err := strconv.Atoi(os.Getenv("SAFFRONYARD_MODEL_STEPS")); err == nil {
 		steps = n
@@ -542,7 +542,7 @@
 	t.Logf("%d states within %d steps: %v", states, steps, layers)
 	// The bound reaches a wrong program's fault, so that what it does not find says something.
 	wrong := *m
-	wrong.fault, wrong.crashes, wrong.repeats = countsFromAnswer, 0, 0
+	wrong.fault, wrong.crashes, wrong.repeats = countedFromReply, 0, 0
 	if _, why := wrong.reach(steps); why == "" {
 		t.Errorf("within %d steps not even a lease that is counted from its answer is found", steps)
 	}
@@ -580,16 +580,16 @@
 func (m *model) first() *world {
 	m.states = map[string]*modelState{}
 	m.names = [3]string{"a", "b", "c"}
-	w := &world{leader: leading{lease.NewGranter(modelTerms, -10*tick), &Coordinator{}, 0}}
+	w := &world{leader: modelLeader{lease.NewGranter(modelTerms, -10*tick), &Coordinator{}, 0}}
 	for i := range m.senders {
-		w.senders[i] = modelSender{life: 1, holder: lease.NewHolder(modelTerms)}
+		w.senders[i] = modelSender{incarnation: 1, holder: lease.NewHolder(modelTerms)}
 	}
 	return w
 }
 
 // No order of events breaks the promise: all states of small fleets to the bounds named. SAFFRONYARD_MODEL=large walks larger
 // ones, for some minutes (docs/design/agreed.md has their counts).
-func TestModelHolds(t *testing.T) {
+func TestModel_Holds(t *testing.T) {
 	small := map[string]*model{
 		"two senders":                       {senders: 2, ticks: 3, changes: 1},
 		"two senders, a deadline":           {senders: 2, ticks: 2, changes: 1, wait: 1},
@@ -625,16 +625,16 @@
 }
 
 // Each wrong program is found, by a shortest trace.
-func TestModelFindsFaults(t *testing.T) {
-	for _, f := range []fault{countsFromAnswer, stagedNotSynced, noWaitForLapse, oldLeadersWord, noQuietTime, needIgnored, actsAhead, freezeSkipped,
-		frozenIgnored, leaseOutlivesLife, checkedAtTick, granterCountsAsAsks} {
+func TestModel_FindsFaults(t *testing.T) {
+	for _, f := range []fault{countedFromReply, stagedBeforeSync, noWaitForExpiry, formerLeaderBelieved, noGracePeriod, requiredIndexIgnored, actingIndexAhead, freezeSkipped,
+		freezeIgnored, leaseOutlivesProcess, checkedAtWake, granterCountsFromRequest} {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
 			m := &model{fault: f, senders: 2, ticks: 2, changes: 1}
 			switch f {
-			case oldLeadersWord, noQuietTime:
+			case formerLeaderBelieved, noGracePeriod:
 				m.elects = 1
-			case leaseOutlivesLife, stagedNotSynced:
+			case leaseOutlivesProcess, stagedBeforeSync:
 				m.crashes = 1
 			}
 			states, trace, why := m.explore(3_000_000)
--- a/internal/fleetpolicy/policy.go
+++ b/internal/fleetpolicy/policy.go
@@ -24,7 +24,7 @@
 }
 
 // Empty is the policy before the first document: all goes as the platform has it.
-func Empty() *Policy { return &Policy{document: &Document{CutOff: cutOffHold}} }
+func Empty() *Policy { return &Policy{document: &Document{OnPartition: partitionHold}} }
 
 // Call is what a policy judges: a message and where it goes.
 type Call struct {
@@ -76,10 +76,10 @@
 // MaxDeadline is the bound of a class; 0 if it has none.
 func (p *Policy) MaxDeadline(class string) time.Duration { return p.classes[class] }
 
-// CutOffGrace is for how long a sender without a lease goes on; 0: it holds.
-func (p *Policy) CutOffGrace() time.Duration {
-	if p.document.CutOff == cutOffContinue {
-		return p.document.CutOffGrace.D()
+// PartitionGrace is for how long a sender without a lease goes on; 0: it holds.
+func (p *Policy) PartitionGrace() time.Duration {
+	if p.document.OnPartition == partitionContinue {
+		return p.document.PartitionGrace.D()
 	}
 	return 0
 }
--- a/internal/health/machine_test.go
+++ b/internal/health/machine_test.go
@@ -52,7 +52,7 @@
 }
 
 // A verdict and its lifting do not cross; one that was in charge says nothing any more; a person's stands beside, and for ever.
-func TestMachine(t *testing.T) {
+func TestMachine_Commands(t *testing.T) {
 	l := newLog(t)
 	for _, step := range []struct {
 		what    string
@@ -98,24 +98,24 @@
 	}
 }
 
-// trial is a court with its log, and a clock.
-type trial struct {
+// aggregatorTest is a court with its log, and a clock.
+type aggregatorTest struct {
 	*log
-	c    *Aggregator
-	now  time.Duration
-	rule Rule
-	mine bool
+	aggregator *Aggregator
+	now        time.Duration
+	rule       Rule
+	owns       bool
 }
 
-func newTrial(t *testing.T) *trial {
-	return &trial{log: newLog(t), c: NewAggregator(), now: time.Hour, mine: true, rule: Rule{Quorum: 2, ProbeInterval: time.Second, InitialRate: 1, FullRate: 10, SlowStart: 5 * time.Second, TTL: 6 * time.Second}}
+func newTrial(t *testing.T) *aggregatorTest {
+	return &aggregatorTest{log: newLog(t), aggregator: NewAggregator(), now: time.Hour, owns: true, rule: Rule{Quorum: 2, ProbeInterval: time.Second, InitialRate: 1, FullRate: 10, SlowStart: 5 * time.Second, TTL: 6 * time.Second}}
 }
 
-// is lets a time go by with the court judging, and gives what destination 7 is held to be.
-func (tr *trial) is(after time.Duration) string {
+// statusAfter lets a time go by with the court judging, and gives what destination 7 is held to be.
+func (tr *aggregatorTest) statusAfter(after time.Duration) string {
 	for end := tr.now + after; tr.now < end; {
 		tr.now += 100 * time.Millisecond
-		for _, w := range tr.c.Evaluate(tr.now, EvaluationInput{Epoch: tr.epoch, Self: "x", Owns: func(uint32) bool { return tr.mine },
+		for _, w := range tr.aggregator.Evaluate(tr.now, EvaluationInput{Epoch: tr.epoch, Self: "x", Owns: func(uint32) bool { return tr.owns },
 			Rule: func(uint32) (Rule, bool) { return tr.rule, tr.rule.Quorum > 0 }, State: tr.State()}) {
 			tr.apply(w)
 		}
@@ -123,6 +123,6 @@
 	return Kind(StatusOf(tr.State(), 7, false).GetKind()).String()
 }
 
-func (tr *trial) says(who string, d uint32, s knowledge.State, age time.Duration) {
-	tr.c.Observe(who, Observation{Destination: d, State: s, Age: age, Duration: time.Second}, tr.now)
+func (tr *aggregatorTest) says(who string, d uint32, s knowledge.State, age time.Duration) {
+	tr.aggregator.Observe(who, Observation{Destination: d, State: s, Age: age, Duration: time.Second}, tr.now)
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -10,7 +10,7 @@
 
 // However two clocks drift within what is allowed, however long messages take and wherever a holder stands still, its lease has
 // ended before the granter says so, and it never acts below the index that the fence stands at once that is passed.
-func TestLapsesAtItsHolderFirst(t *testing.T) {
+func TestLease_ExpiresAtHolderFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := Terms{Duration: time.Duration(rapid.Int64Range(1e6, 60e9).Draw(t, "length")), MaxDrift: rapid.SampledFrom([]float64{0, 0.01, DefaultDrift}).Draw(t, "drift")}
 		rate := func(label string) float64 { return 1 + terms.MaxDrift*rapid.Float64Range(-1, 1).Draw(t, label) }
@@ -50,7 +50,7 @@
 }
 
 // What a holder may do, question by question.
-func TestHolder(t *testing.T) {
+func TestHolder_Until(t *testing.T) {
 	terms := Terms{Duration: 10 * time.Second, MaxDrift: DefaultDrift}
 	s := time.Second
 	h := NewHolder(terms)
@@ -85,7 +85,7 @@
 }
 
 // The fence waits for each that may act below it, and for nobody else.
-func TestFence(t *testing.T) {
+func TestGranter_LeasesBelow(t *testing.T) {
 	terms := Terms{Duration: 10 * time.Second}
 	s := time.Second
 	g := NewGranter(terms, 100*s)
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -18,14 +18,14 @@
 	peakGranted   int64         // the most units that were granted while what cools down now was used
 	reserve       int64         // the sender's own units
 	reserveFrom   time.Duration // until then an earlier process may have used the reserve or the extra
-	usageLog      []usage       // that cool down, oldest first
+	usageLog      []usageRecord // that cool down, oldest first
 	cooling       int64         // units of the usage log
 	inFlight      int64         // Concurrent: units of calls in flight
 	spent         int64         // Daily: units that this process has used in all
 	spentReported int64         // of those, as the last request told
 }
 
-type usage struct {
+type usageRecord struct {
 	endsAt time.Duration
 	units  int64
 }
@@ -45,7 +45,7 @@
 	if reserved && l.Kind != Daily {
 		a.reserve = l.Reserve
 	}
-	if former.Key == "" || former.Reserve < l.Reserve || former.CutOffExtra < l.CutOffExtra {
+	if former.Key == "" || former.Reserve < l.Reserve || former.PartitionExtra < l.PartitionExtra {
 		a.reserveFrom = now + l.ReclaimDelay(drift)
 	}
 }
@@ -85,7 +85,7 @@
 	if now >= a.reserveFrom {
 		all += a.reserve
 		if now >= a.expiresAt {
-			all += a.limit.CutOffExtra
+			all += a.limit.PartitionExtra
 		}
 	}
 	return all
@@ -116,7 +116,7 @@
 	if n := len(a.usageLog); n > 0 && a.usageLog[n-1].endsAt >= at {
 		a.usageLog[n-1].units += units
 	} else {
-		a.usageLog = append(a.usageLog, usage{at, units})
+		a.usageLog = append(a.usageLog, usageRecord{at, units})
 	}
 	a.cooling += units
 }
--- a/internal/quota/daily_pool_test.go
+++ b/internal/quota/daily_pool_test.go
@@ -15,7 +15,7 @@
 
 // A day's quota under answers that are lost, holders that die and come back, authorities that are replaced, and days that begin: never
 // more is used than the day has, but for what was lent as it began; and with nothing lost it is used to the last unit.
-func TestDaysQuota(t *testing.T) {
+func TestDailyPool_NeverExceedsQuota(t *testing.T) {
 	t.Parallel()
 	day := Limit{Key: "x", Kind: Daily, Units: 1000}
 	for seed := range uint64(300) {
@@ -135,7 +135,7 @@
 }
 
 // A sender with a day's quota goes on to want all that waits, however long it has held some.
-func TestDaysWant(t *testing.T) {
+func TestClient_DailyDemand(t *testing.T) {
 	t.Parallel()
 	till := NewAllowances(simTerms.MaxDrift, func(string) {})
 	till.SetLimits([]Limit{{Key: "x", Kind: Daily, Units: 1000}}, func(Limit) bool { return false }, 0)
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -24,16 +24,16 @@
 
 // Limit is one limit of the fleet.
 type Limit struct {
-	Key           string // what is limited, as operators read it; unique
-	Kind          Kind
-	Units         int64
-	Span          time.Duration // of Calls and Bytes
-	MaxCallTime   time.Duration // of Concurrent: no call lasts longer
-	TransitJitter time.Duration // calls written within a span arrive within the span and this
-	CutOffExtra   int64         // units that each sender that is partitioned off may use beyond what it holds, in a span
-	Reserve       int64         // units that each of the first ReserveCount members always has; they are not granted to others
-	ReserveCount  int64
-	Adaptive      bool // a lower limit that the receiver reports counts instead
+	Key            string // what is limited, as operators read it; unique
+	Kind           Kind
+	Units          int64
+	Span           time.Duration // of Calls and Bytes
+	MaxCallTime    time.Duration // of Concurrent: no call lasts longer
+	TransitJitter  time.Duration // calls written within a span arrive within the span and this
+	PartitionExtra int64         // units that each sender that is partitioned off may use beyond what it holds, in a span
+	Reserve        int64         // units that each of the first ReserveCount members always has; they are not granted to others
+	ReserveCount   int64
+	Adaptive       bool // a lower limit that the receiver reports counts instead
 	// SlowStartUnits is how many units the limit grows to, linearly within SlowStartTime from when its owner first sees it; 0: it does
 	// not grow.
 	SlowStartUnits int64
@@ -73,7 +73,7 @@
 }
 
 // WorstCase is how many units a receiver sees used in a span at the most while so many senders are partitioned off from the owner.
-func (l Limit) WorstCase(cutOff int) int64 { return l.Units + l.CutOffExtra*int64(cutOff) }
+func (l Limit) WorstCase(cutOff int) int64 { return l.Units + l.PartitionExtra*int64(cutOff) }
 
 // Terms are common to all grants of a fleet.
 type Terms struct {
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -24,53 +24,53 @@
 type fault string
 
 const (
-	none          fault = ""
-	fromAnswer    fault = "a loan is counted from its answer"
-	fromFull      fault = "a new authority starts from full"
-	noTail        fault = "what lapses does not rest"
-	noRest        fault = "a unit is used again at once"
-	checkedAtTick fault = "a loan is looked at when the holder wakes, not when it writes"
-	oldAnswers    fault = "an answer to an older question is taken"
-	oldQuestions  fault = "a question that was overtaken counts"
-	halfPromise   fault = "what is let go is said to be free while it rests"
-	lifeIgnored   fault = "a new process is taken for the old one"
-	keepsMore     fault = "a holder goes on with more than it promised"
-	claimsTwice   fault = "what is held is claimed, and the free units are lent as well"
+	none                fault = ""
+	countedFromReply    fault = "a loan is counted from its answer"
+	noGracePeriod       fault = "a new authority starts from full"
+	noReclaimDelay      fault = "what lapses does not rest"
+	noCoolDown          fault = "a unit is used again at once"
+	checkedAtWake       fault = "a loan is looked at when the holder wakes, not when it writes"
+	staleReplies        fault = "an answer to an older question is taken"
+	staleRequests       fault = "a question that was overtaken counts"
+	coolingReportedFree fault = "what is let go is said to be free while it rests"
+	incarnationIgnored  fault = "a new process is taken for the old one"
+	keepsMoreThanTold   fault = "a holder goes on with more than it promised"
+	confirmsAndGrants   fault = "what is held is claimed, and the free units are lent as well"
 )
 
-type modelAsk struct {
-	life  uint64
-	at    time.Duration
-	ask   Request
-	epoch int
-	heard bool
+type modelRequest struct {
+	incarnation uint64
+	at          time.Duration
+	request     Request
+	epoch       int
+	received    bool
 }
 
-type modelLent struct {
-	life  uint64
-	seq   uint64
-	at    time.Duration
-	epoch int
-	lent  Grant
+type modelGrant struct {
+	incarnation uint64
+	sequence    uint64
+	at          time.Duration
+	epoch       int
+	grant       Grant
 }
 
-type holder struct {
-	life  uint64
-	purse *Allowance
-	seq   uint64
-	at    time.Duration // when it asked last
-	asked int           // under which epoch
-	epoch int           // that it knows
-	woke  time.Duration
-	ask   *modelAsk
-	lent  *modelLent
+type modelClient struct {
+	incarnation  uint64
+	allowance    *Allowance
+	sequence     uint64
+	requestedAt  time.Duration // when it asked last
+	requestEpoch int           // under which epoch
+	epoch        int           // that it knows
+	wokeAt       time.Duration
+	request      *modelRequest
+	grant        *modelGrant
 }
 
 type world struct {
 	now     int
 	epoch   int
-	book    *GrantTable
-	holders [2]holder
+	table   *GrantTable
+	clients [2]modelClient
 	crashes int
 	repeats int
 	uses    []int // ticks of uses that are within a span
@@ -89,9 +89,9 @@
 var modelTerms = Terms{Duration: 2 * tick}
 
 func (m *model) first() *world {
-	w := &world{book: NewGrantTable(m.limit, modelTerms, 0)}
-	for i := range w.holders {
-		w.holders[i] = holder{life: 1, purse: NewAllowance(m.limit, 0, false, 0)}
+	w := &world{table: NewGrantTable(m.limit, modelTerms, 0)}
+	for i := range w.clients {
+		w.clients[i] = modelClient{incarnation: 1, allowance: NewAllowance(m.limit, 0, false, 0)}
 	}
 	return w
 }
@@ -112,21 +112,21 @@
 	for _, u := range w.uses {
 		b = append(b, byte(w.now-u), 'u')
 	}
-	b = w.book.AppendState(b, now)
-	for i := range w.holders {
-		h := &w.holders[i]
-		b = h.purse.AppendState(append(b, byte(h.life), byte(h.seq), byte(h.asked), byte(h.epoch), byte((now-h.at)/tick)), now)
-		if m.fault == checkedAtTick {
-			b = append(b, byte(h.woke/tick))
+	b = w.table.AppendState(b, now)
+	for i := range w.clients {
+		h := &w.clients[i]
+		b = h.allowance.AppendState(append(b, byte(h.incarnation), byte(h.sequence), byte(h.requestEpoch), byte(h.epoch), byte((now-h.requestedAt)/tick)), now)
+		if m.fault == checkedAtWake {
+			b = append(b, byte(h.wokeAt/tick))
 		}
-		if a := h.ask; a != nil && (!a.heard || w.repeats < m.repeats || m.fault == oldQuestions) {
-			b = append(b, 'a', byte(a.life), byte((now-a.at)/tick), byte(a.epoch), byte(a.ask.Sequence), byte(a.ask.Held), byte(a.ask.Cooling), byte(a.ask.CoolingTime/(tick/4)), byte(a.ask.Wanted))
-			if a.heard {
+		if a := h.request; a != nil && (!a.received || w.repeats < m.repeats || m.fault == staleRequests) {
+			b = append(b, 'a', byte(a.incarnation), byte((now-a.at)/tick), byte(a.epoch), byte(a.request.Sequence), byte(a.request.Held), byte(a.request.Cooling), byte(a.request.CoolingTime/(tick/4)), byte(a.request.Wanted))
+			if a.received {
 				b = append(b, 'h')
 			}
 		}
-		if l := h.lent; l != nil {
-			b = append(b, 'l', byte(l.life), byte((now-l.at)/tick), byte(l.epoch), byte(l.seq), byte(l.lent.Units), byte(l.lent.Duration/(tick/4)))
+		if l := h.grant; l != nil {
+			b = append(b, 'l', byte(l.incarnation), byte((now-l.at)/tick), byte(l.epoch), byte(l.sequence), byte(l.grant.Units), byte(l.grant.Duration/(tick/4)))
 		}
 	}
 	return [2]uint64{maphash.Bytes(seed, b), maphash.Bytes(seed, append(b, '#'))}
@@ -142,9 +142,9 @@
 	if w.now < m.ticks {
 		do("a second goes by", func(n *world) string {
 			n.now++
-			n.book = n.book.Clone() // what is over is let go of as it is looked at, and the clocks of two worlds differ
-			for i := range n.holders {
-				n.holders[i].purse = n.holders[i].purse.Clone()
+			n.table = n.table.Clone() // what is over is let go of as it is looked at, and the clocks of two worlds differ
+			for i := range n.clients {
+				n.clients[i].allowance = n.clients[i].allowance.Clone()
 			}
 			n.uses = slices.DeleteFunc(n.uses, func(at int) bool { return time.Duration(n.now-at)*tick >= m.limit.Span })
 			return ""
@@ -154,110 +154,110 @@
 		do("another authority begins", func(n *world) string {
 			n.epoch++
 			quiet := n.clock() + modelTerms.GracePeriod(m.limit)
-			if m.fault == fromFull {
+			if m.fault == noGracePeriod {
 				quiet = 0
 			}
-			n.book = NewGrantTable(m.limit, modelTerms, quiet)
+			n.table = NewGrantTable(m.limit, modelTerms, quiet)
 			return ""
 		})
 	}
-	for i := range w.holders {
-		m.holder(w, i, do)
+	for i := range w.clients {
+		m.clientEvents(w, i, do)
 	}
 }
 
-func (m *model) holder(w *world, i int, do func(string, func(*world) string)) {
-	h := &w.holders[i]
+func (m *model) clientEvents(w *world, i int, do func(string, func(*world) string)) {
+	h := &w.clients[i]
 	name := string(rune('a' + i))
 	if h.epoch < w.epoch {
 		do(name+" hears of the new authority", func(n *world) string {
-			t := &n.holders[i]
-			t.epoch, t.woke = n.epoch, n.clock()
-			if m.fault != oldAnswers {
-				t.at = -1 // its question is over
+			t := &n.clients[i]
+			t.epoch, t.wokeAt = n.epoch, n.clock()
+			if m.fault != staleReplies {
+				t.requestedAt = -1 // its question is over
 			}
 			return ""
 		})
 	}
-	if h.ask == nil || h.ask.at != w.clock() || h.ask.epoch != h.epoch || h.ask.life != h.life {
+	if h.request == nil || h.request.at != w.clock() || h.request.epoch != h.epoch || h.request.incarnation != h.incarnation {
 		for _, keep := range []int64{m.limit.Units, 0} {
 			do(fmt.Sprintf("%s asks, and keeps up to %d", name, keep), func(n *world) string {
-				t := &n.holders[i]
-				t.purse = t.purse.Clone()
-				t.seq++
-				t.at, t.asked, t.woke = n.clock(), t.epoch, n.clock()
-				before := t.purse.Clone()
-				q := Request{Sequence: t.seq, Wanted: m.wants[i], MinUseful: 1}
-				q.Held, q.Cooling, q.CoolingTime = t.purse.Relinquish(keep, n.clock())
+				t := &n.clients[i]
+				t.allowance = t.allowance.Clone()
+				t.sequence++
+				t.requestedAt, t.requestEpoch, t.wokeAt = n.clock(), t.epoch, n.clock()
+				before := t.allowance.Clone()
+				q := Request{Sequence: t.sequence, Wanted: m.wants[i], MinUseful: 1}
+				q.Held, q.Cooling, q.CoolingTime = t.allowance.Relinquish(keep, n.clock())
 				switch m.fault {
-				case halfPromise:
+				case coolingReportedFree:
 					q.Cooling = 0
-				case keepsMore:
-					t.purse = before
+				case keepsMoreThanTold:
+					t.allowance = before
 				}
-				t.ask = &modelAsk{t.life, t.at, q, t.epoch, false}
+				t.request = &modelRequest{t.incarnation, t.requestedAt, q, t.epoch, false}
 				return ""
 			})
 		}
 	}
-	if a := h.ask; a != nil && (!a.heard || w.repeats < m.repeats) && a.epoch == w.epoch {
+	if a := h.request; a != nil && (!a.received || w.repeats < m.repeats) && a.epoch == w.epoch {
 		do("the authority hears "+name, func(n *world) string {
-			t := &n.holders[i]
-			n.book = n.book.Clone()
-			q := *t.ask
-			if q.heard {
+			t := &n.clients[i]
+			n.table = n.table.Clone()
+			q := *t.request
+			if q.received {
 				n.repeats++
 			}
-			q.heard = true
-			t.ask = &q
-			life := q.life
-			if m.fault == lifeIgnored {
+			q.received = true
+			t.request = &q
+			life := q.incarnation
+			if m.fault == incarnationIgnored {
 				life = 0
 			}
-			if m.fault == noTail || m.fault == noRest {
-				n.book.limit.Span = 0
+			if m.fault == noReclaimDelay || m.fault == noCoolDown {
+				n.table.limit.Span = 0
 			}
-			if acc := n.book.clients[lease.HolderID{Name: name, Incarnation: life}]; acc != nil && (m.fault == oldQuestions || m.fault == lifeIgnored) {
+			if acc := n.table.clients[lease.HolderID{Name: name, Incarnation: life}]; acc != nil && (m.fault == staleRequests || m.fault == incarnationIgnored) {
 				acc.sequence = 0
 			}
-			if m.fault == claimsTwice && n.clock() < n.book.graceUntil {
-				n.book.graceUntil = 0
+			if m.fault == confirmsAndGrants && n.clock() < n.table.graceUntil {
+				n.table.graceUntil = 0
 			}
-			l, ok := n.book.Grant(lease.HolderID{Name: name, Incarnation: life}, q.ask, n.clock())
-			n.book.limit.Span = m.limit.Span
+			l, ok := n.table.Grant(lease.HolderID{Name: name, Incarnation: life}, q.request, n.clock())
+			n.table.limit.Span = m.limit.Span
 			if ok {
-				t.lent = &modelLent{q.life, q.ask.Sequence, q.at, q.epoch, l}
+				t.grant = &modelGrant{q.incarnation, q.request.Sequence, q.at, q.epoch, l}
 			}
 			return ""
 		})
 	}
-	if l := h.lent; l != nil && l.life == h.life {
+	if l := h.grant; l != nil && l.incarnation == h.incarnation {
 		do(name+" hears what it is lent", func(n *world) string {
-			t := &n.holders[i]
-			t.lent, t.woke = nil, n.clock()
-			if m.fault != oldAnswers && (t.at != l.at || t.seq != l.seq || t.epoch != l.epoch) {
+			t := &n.clients[i]
+			t.grant, t.wokeAt = nil, n.clock()
+			if m.fault != staleReplies && (t.requestedAt != l.at || t.sequence != l.sequence || t.epoch != l.epoch) {
 				return "" // not the answer to what it asked last
 			}
 			at := l.at
-			if m.fault == fromAnswer {
+			if m.fault == countedFromReply {
 				at = n.clock()
 			}
-			t.purse = t.purse.Clone()
-			t.purse.Renew(l.lent.Units, at, l.lent.Duration, n.clock())
+			t.allowance = t.allowance.Clone()
+			t.allowance.Renew(l.grant.Units, at, l.grant.Duration, n.clock())
 			return ""
 		})
 	}
 	do(name+" uses a unit", func(n *world) string {
-		t := &n.holders[i]
-		t.purse = t.purse.Clone()
+		t := &n.clients[i]
+		t.allowance = t.allowance.Clone()
 		now := n.clock()
-		if m.fault == checkedAtTick {
-			now = max(t.woke, t.purse.expiresAt-2*tick)
+		if m.fault == checkedAtWake {
+			now = max(t.wokeAt, t.allowance.expiresAt-2*tick)
 		}
-		if m.fault == noRest {
-			t.purse.usageLog, t.purse.cooling = nil, 0
+		if m.fault == noCoolDown {
+			t.allowance.usageLog, t.allowance.cooling = nil, 0
 		}
-		if !t.purse.Take(1, now) {
+		if !t.allowance.Take(1, now) {
 			return "-"
 		}
 		n.uses = append(n.uses, n.now)
@@ -269,10 +269,10 @@
 	if w.crashes < m.crashes {
 		do(name+" crashes and comes back", func(n *world) string {
 			n.crashes++
-			t := &n.holders[i]
-			t.life++
-			t.purse, t.at, t.woke = NewAllowance(m.limit, 0, false, n.clock()), -1, n.clock()
-			t.seq = 0
+			t := &n.clients[i]
+			t.incarnation++
+			t.allowance, t.requestedAt, t.wokeAt = NewAllowance(m.limit, 0, false, n.clock()), -1, n.clock()
+			t.sequence = 0
 			return ""
 		})
 	}
@@ -328,7 +328,7 @@
 var one = Limit{Key: "x", Units: 1, Span: tick}
 
 // No order of events breaks a limit, within the steps named. SAFFRONYARD_MODEL_STEPS goes further (docs/design/quota.md has counts).
-func TestModelHolds(t *testing.T) {
+func TestModel_LimitHolds(t *testing.T) {
 	for name, m := range map[string]*model{
 		"one unit":                  {limit: one, ticks: 6, wants: [2]int64{1, 1}},
 		"one unit, a new authority": {limit: one, ticks: 5, epochs: 1, wants: [2]int64{1, 1}},
@@ -351,21 +351,21 @@
 }
 
 // Each wrong program is found, by a shortest trace.
-func TestModelFindsFaults(t *testing.T) {
-	for _, f := range []fault{fromAnswer, fromFull, noTail, noRest, checkedAtTick, oldAnswers, oldQuestions, halfPromise, lifeIgnored, keepsMore, claimsTwice} {
+func TestModel_FindsFaults(t *testing.T) {
+	for _, f := range []fault{countedFromReply, noGracePeriod, noReclaimDelay, noCoolDown, checkedAtWake, staleReplies, staleRequests, coolingReportedFree, incarnationIgnored, keepsMoreThanTold, confirmsAndGrants} {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
 			m := &model{fault: f, limit: one, ticks: 2, wants: [2]int64{1, 1}}
 			switch f {
-			case fromFull, claimsTwice, oldAnswers:
+			case noGracePeriod, confirmsAndGrants, staleReplies:
 				m.epochs = 1
-			case fromAnswer:
+			case countedFromReply:
 				m.ticks = 3
-			case noTail:
+			case noReclaimDelay:
 				m.ticks, m.limit.Span = 3, 2*tick
-			case lifeIgnored:
+			case incarnationIgnored:
 				m.crashes = 1
-			case oldQuestions:
+			case staleRequests:
 				m.repeats = 1
 			}
 			layers, trace, why := m.explore(40, 3_000_000)
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -20,54 +20,54 @@
 // sim is a fleet in virtual time: the code that ships, one goroutine, a network that a seed draws. Each sender's clock has an offset
 // and a rate of its own. Receivers keep their own books.
 type sim struct {
-	t       *testing.T
-	rng     *rand.Rand
-	now     time.Duration
-	agenda  agenda
-	n       int
-	terms   Terms
-	limits  []Limit
-	senders []*simSender
-	roster  *pb.MembershipState
-	cut     map[[2]int]bool
-	loss    float64
-	uses    map[string][]time.Duration // at the receiver, by limit
-	counts  map[string]int             // of uses
-	by      map[string]map[int]int     // by sender
-	broken  string
-	sent    int
-	bytes   int
-	lives   uint64
-	coming  []*pb.Participant // nil: none is
-	again   bool              // another is to come
+	t                *testing.T
+	rng              *rand.Rand
+	now              time.Duration
+	queue            eventQueue
+	n                int
+	terms            Terms
+	limits           []Limit
+	senders          []*simSender
+	membership       *pb.MembershipState
+	partitioned      map[[2]int]bool
+	loss             float64
+	uses             map[string][]time.Duration // at the receiver, by limit
+	counts           map[string]int             // of uses
+	usesBySender     map[string]map[int]int     // by sender
+	violation        string
+	sent             int
+	bytes            int
+	incarnations     uint64
+	nextParticipants []*pb.Participant // nil: none is
+	changedAgain     bool              // another is to come
 }
 
 type simSender struct {
-	s      *sim
-	i      int
-	name   string
-	who    lease.HolderID
-	rate   float64
-	offset time.Duration
-	till   *Allowances
-	asker  *Client
-	lender *Server
-	pokes  []ClientEvent
-	down   bool
-	paused time.Duration
-	lease  time.Duration // of the fleet's, in true time
-	heard  uint64        // roster that it knows to be coming
-	alarm  time.Duration // true time
-	load   map[string]*simLoad
+	s            *sim
+	i            int
+	name         string
+	id           lease.HolderID
+	rate         float64
+	offset       time.Duration
+	allowances   *Allowances
+	client       *Client
+	server       *Server
+	events       []ClientEvent
+	down         bool
+	paused       time.Duration
+	leaseUntil   time.Duration // of the fleet's, in true time
+	proposedSeen uint64        // roster that it knows to be coming
+	alarm        time.Duration // true time
+	load         map[string]*simLoad
 }
 
 // simLoad is messages that come for a limit at a pace, and wait.
 type simLoad struct {
-	every   time.Duration
-	waiting int64
-	again   time.Duration
-	paced   time.Duration
-	stuck   bool // its calls do not get through
+	every      time.Duration
+	waiting    int64
+	retryAt    time.Duration
+	pacedUntil time.Duration
+	stuck      bool // its calls do not get through
 }
 
 type simEvent struct {
@@ -75,41 +75,41 @@
 	n  int
 	do func()
 }
-type agenda []simEvent
+type eventQueue []simEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].n < a[j].n
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(simEvent)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(simEvent)) }
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
 func newSim(t *testing.T, seed uint64, n int, terms Terms, limits ...Limit) *sim {
-	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), terms: terms, limits: limits, cut: map[[2]int]bool{}, uses: map[string][]time.Duration{}, counts: map[string]int{}, by: map[string]map[int]int{}}
-	s.roster = &pb.MembershipState{}
+	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), terms: terms, limits: limits, partitioned: map[[2]int]bool{}, uses: map[string][]time.Duration{}, counts: map[string]int{}, usesBySender: map[string]map[int]int{}}
+	s.membership = &pb.MembershipState{}
 	for i := range n {
 		p := &simSender{s: s, i: i, name: fmt.Sprintf("n%03d", i), rate: 1 + (s.rng.Float64()*2-1)*terms.MaxDrift, offset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
 		s.senders = append(s.senders, p)
 		p.start()
 	}
-	s.begin()
+	s.activate()
 	return s
 }
 
 func (s *sim) at(d time.Duration, do func()) {
 	s.n++
-	heap.Push(&s.agenda, simEvent{s.now + d, s.n, do})
+	heap.Push(&s.queue, simEvent{s.now + d, s.n, do})
 }
 
 // run plays until a time.
 func (s *sim) run(until time.Duration) {
-	for len(s.agenda) > 0 && s.agenda[0].at <= until && s.broken == "" {
-		e := heap.Pop(&s.agenda).(simEvent)
+	for len(s.queue) > 0 && s.queue[0].at <= until && s.violation == "" {
+		e := heap.Pop(&s.queue).(simEvent)
 		s.now = e.at
 		e.do()
 	}
@@ -118,52 +118,52 @@
 
 const leaseLength = time.Second
 
-// begin has a roster of all that hold a lease come, and begin once the fence is passed: all that hold a lease know that it comes.
-func (s *sim) begin() {
-	if s.coming != nil {
-		s.again = true
+// activate has a roster of all that hold a lease come, and begin once the fence is passed: all that hold a lease know that it comes.
+func (s *sim) activate() {
+	if s.nextParticipants != nil {
+		s.changedAgain = true
 		return
 	}
-	s.coming = []*pb.Participant{}
+	s.nextParticipants = []*pb.Participant{}
 	for _, p := range s.senders {
-		if !p.down && p.lease > s.now {
-			s.coming = append(s.coming, &pb.Participant{Name: p.name, Incarnation: p.who.Incarnation})
+		if !p.down && p.leaseUntil > s.now {
+			s.nextParticipants = append(s.nextParticipants, &pb.Participant{Name: p.name, Incarnation: p.id.Incarnation})
 		}
 	}
-	r := &pb.MembershipState{Epoch: s.roster.Epoch, Participants: s.roster.Participants, NextEpoch: s.roster.Epoch + 1, NextParticipants: s.coming}
-	s.tell(r)
+	r := &pb.MembershipState{Epoch: s.membership.Epoch, Participants: s.membership.Participants, NextEpoch: s.membership.Epoch + 1, NextParticipants: s.nextParticipants}
+	s.deliverMembership(r)
 	var fence func()
 	fence = func() {
 		for _, p := range s.senders {
-			if p.heard < r.NextEpoch && p.lease > s.now {
+			if p.proposedSeen < r.NextEpoch && p.leaseUntil > s.now {
 				s.at(10*time.Millisecond, fence)
 				return
 			}
 		}
-		s.roster, s.coming = &pb.MembershipState{Epoch: r.NextEpoch, Participants: s.coming}, nil
-		s.tell(s.roster)
-		if s.again {
-			s.again = false
-			s.begin()
+		s.membership, s.nextParticipants = &pb.MembershipState{Epoch: r.NextEpoch, Participants: s.nextParticipants}, nil
+		s.deliverMembership(s.membership)
+		if s.changedAgain {
+			s.changedAgain = false
+			s.activate()
 		}
 	}
 	s.at(10*time.Millisecond, fence)
 }
 
-// tell has each sender hear of a roster, with a delay of its own; one that is paused hears so when it wakes.
-func (s *sim) tell(r *pb.MembershipState) {
+// deliverMembership has each sender hear of a roster, with a delay of its own; one that is paused hears so when it wakes.
+func (s *sim) deliverMembership(r *pb.MembershipState) {
 	for _, p := range s.senders {
-		life := p.who.Incarnation
+		life := p.id.Incarnation
 		var hear func()
 		hear = func() {
 			switch {
-			case p.down || p.who.Incarnation != life || r.Epoch < p.asker.epoch:
+			case p.down || p.id.Incarnation != life || r.Epoch < p.client.epoch:
 			case p.paused > s.now:
 				s.at(p.paused-s.now+s.delay(), hear)
 			default:
-				p.heard = max(p.heard, r.NextEpoch)
-				p.asker.SetMembership(r)
-				p.lender.SetMembership(r, p.clock())
+				p.proposedSeen = max(p.proposedSeen, r.NextEpoch)
+				p.client.SetMembership(r)
+				p.server.SetMembership(r, p.clock())
 				p.step()
 			}
 		}
@@ -173,11 +173,11 @@
 
 // renew renews a sender's lease, unless a roster comes that it does not know of.
 func (p *simSender) renew(life uint64) {
-	if p.down || p.who.Incarnation != life {
+	if p.down || p.id.Incarnation != life {
 		return
 	}
-	if p.paused <= p.s.now && (p.s.coming == nil || p.heard > p.s.roster.Epoch) {
-		p.lease = p.s.now + leaseLength
+	if p.paused <= p.s.now && (p.s.nextParticipants == nil || p.proposedSeen > p.s.membership.Epoch) {
+		p.leaseUntil = p.s.now + leaseLength
 	}
 	p.s.at(100*time.Millisecond, func() { p.renew(life) })
 }
@@ -187,18 +187,18 @@
 }
 
 func (p *simSender) start() {
-	p.s.lives++
-	p.who, p.down, p.load = lease.HolderID{Name: p.name, Incarnation: p.s.lives}, false, map[string]*simLoad{}
-	p.till = NewAllowances(p.s.terms.MaxDrift, func(key string) { p.pokes = append(p.pokes, UnitsWanted{key}) })
-	p.till.SetLimits(p.s.limits, func(Limit) bool { return false }, p.clock())
-	p.asker, p.lender = NewClient(p.who, p.s.terms, p.till), NewServer(p.who, p.s.terms)
-	p.lender.SetLimits(p.s.limits, p.clock())
-	p.alarm, p.heard = Never, 0
-	p.renew(p.s.lives)
-	if p.s.roster.Epoch > 0 {
-		r := p.s.roster
-		p.asker.SetMembership(r)
-		p.lender.SetMembership(r, p.clock())
+	p.s.incarnations++
+	p.id, p.down, p.load = lease.HolderID{Name: p.name, Incarnation: p.s.incarnations}, false, map[string]*simLoad{}
+	p.allowances = NewAllowances(p.s.terms.MaxDrift, func(key string) { p.events = append(p.events, UnitsWanted{key}) })
+	p.allowances.SetLimits(p.s.limits, func(Limit) bool { return false }, p.clock())
+	p.client, p.server = NewClient(p.id, p.s.terms, p.allowances), NewServer(p.id, p.s.terms)
+	p.server.SetLimits(p.s.limits, p.clock())
+	p.alarm, p.proposedSeen = Never, 0
+	p.renew(p.s.incarnations)
+	if p.s.membership.Epoch > 0 {
+		r := p.s.membership
+		p.client.SetMembership(r)
+		p.server.SetMembership(r, p.clock())
 	}
 }
 
@@ -211,9 +211,9 @@
 		p.s.at(p.paused-p.s.now, func() { p.step(events...) })
 		return
 	}
-	events = append(events, p.pokes...)
-	p.pokes = nil
-	actions, alarm := p.asker.Step(p.clock(), events)
+	events = append(events, p.events...)
+	p.events = nil
+	actions, alarm := p.client.Step(p.clock(), events)
 	if alarm != Never {
 		at := max(0, time.Duration(float64(alarm-p.clock())/p.rate)) + time.Microsecond
 		if due := p.s.now + at; due < p.alarm || p.alarm <= p.s.now {
@@ -228,14 +228,14 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SendRequest:
-			p.put(a)
+			p.request(a)
 		case SharesChanged:
 			for _, key := range a.Keys {
 				if l := p.load[key]; l != nil {
-					life := p.who.Incarnation
+					life := p.id.Incarnation
 					p.s.at(0, func() {
-						if p.who.Incarnation == life {
-							p.sends(key, l)
+						if p.id.Incarnation == life {
+							p.sendLoad(key, l)
 						}
 					})
 				}
@@ -248,13 +248,13 @@
 	return time.Millisecond + time.Duration(s.rng.Int64N(int64(4*time.Millisecond)))
 }
 
-// put sends a question, and the answer back.
-func (p *simSender) put(q SendRequest) {
-	s, life := p.s, p.who.Incarnation
+// request sends a question, and the answer back.
+func (p *simSender) request(q SendRequest) {
+	s, life := p.s, p.id.Incarnation
 	to := s.senders[slices.IndexFunc(s.senders, func(o *simSender) bool { return o.name == q.To.Name })]
 	s.sent++
 	s.bytes += proto.Size(q.Request)
-	if s.cut[[2]int{p.i, to.i}] || s.rng.Float64() < s.loss {
+	if s.partitioned[[2]int{p.i, to.i}] || s.rng.Float64() < s.loss {
 		return
 	}
 	var arrive func()
@@ -266,17 +266,17 @@
 			s.at(to.paused-s.now, arrive)
 			return
 		}
-		if to.lease <= s.now {
+		if to.leaseUntil <= s.now {
 			return
 		}
-		reply, err := to.lender.Grant(q.Request, to.clock())
-		if err != nil || s.cut[[2]int{to.i, p.i}] || s.rng.Float64() < s.loss {
+		reply, err := to.server.Grant(q.Request, to.clock())
+		if err != nil || s.partitioned[[2]int{to.i, p.i}] || s.rng.Float64() < s.loss {
 			return
 		}
 		s.sent++
 		s.bytes += proto.Size(reply)
 		s.at(s.delay(), func() {
-			if p.who.Incarnation == life {
+			if p.id.Incarnation == life {
 				p.step(ReplyReceived{q.To.Name, q.Request.Sequence, reply})
 			}
 		})
@@ -284,8 +284,8 @@
 	s.at(s.delay(), arrive)
 }
 
-// wants has messages come for a limit, so many a second.
-func (p *simSender) wants(key string, perSecond float64) *simLoad {
+// addLoad has messages come for a limit, so many a second.
+func (p *simSender) addLoad(key string, perSecond float64) *simLoad {
 	l := p.load[key]
 	if l == nil {
 		l = &simLoad{}
@@ -296,16 +296,16 @@
 		l.every = time.Duration(float64(time.Second) / perSecond)
 	}
 	if was == 0 && l.every > 0 {
-		life := p.who.Incarnation
+		life := p.id.Incarnation
 		var come func()
 		come = func() {
-			if p.who.Incarnation != life || l.every == 0 {
+			if p.id.Incarnation != life || l.every == 0 {
 				return
 			}
 			if p.paused <= p.s.now && l.waiting < 100 {
 				l.waiting++
-				p.till.AddWaiting(key, 1, 1)
-				p.sends(key, l)
+				p.allowances.AddWaiting(key, 1, 1)
+				p.sendLoad(key, l)
 			}
 			p.s.at(time.Duration(p.s.rng.ExpFloat64()*float64(l.every)), come)
 		}
@@ -314,37 +314,37 @@
 	return l
 }
 
-// sends has a sender use what it may, as soon as it may.
-func (p *simSender) sends(key string, l *simLoad) {
-	s, life := p.s, p.who.Incarnation
+// sendLoad has a sender use what it may, as soon as it may.
+func (p *simSender) sendLoad(key string, l *simLoad) {
+	s, life := p.s, p.id.Incarnation
 	if p.down || l.stuck {
 		return
 	}
 	if p.paused <= s.now {
-		for l.waiting > 0 && l.paced <= s.now { // evenly, as the module does
-			if ok, _ := p.till.Take([]Usage{{key, 1}}, p.clock()); !ok {
+		for l.waiting > 0 && l.pacedUntil <= s.now { // evenly, as the module does
+			if ok, _ := p.allowances.Take([]Usage{{key, 1}}, p.clock()); !ok {
 				break
 			}
 			l.waiting--
-			if sh, _ := p.till.Share(key, p.clock()); sh.Units > 0 {
-				l.paced = s.now + sh.CoolDown/time.Duration(sh.Units)
+			if sh, _ := p.allowances.Share(key, p.clock()); sh.Units > 0 {
+				l.pacedUntil = s.now + sh.CoolDown/time.Duration(sh.Units)
 			}
-			p.till.AddWaiting(key, -1, 1)
+			p.allowances.AddWaiting(key, -1, 1)
 			s.at(time.Duration(s.rng.Int64N(int64(5*time.Millisecond))), func() { s.used(key, p.i) })
 		}
-		if len(p.pokes) > 0 {
+		if len(p.events) > 0 {
 			p.step()
 		}
 	}
-	again := p.till.NextAvailable(key, p.clock())
-	if l.waiting == 0 || again == Never || l.again > s.now {
+	again := p.allowances.NextAvailable(key, p.clock())
+	if l.waiting == 0 || again == Never || l.retryAt > s.now {
 		return // until more comes, or is lent
 	}
-	at := max(time.Millisecond, l.paced-s.now, time.Duration(float64(again-p.clock())/p.rate), p.paused-s.now)
-	l.again = s.now + at
+	at := max(time.Millisecond, l.pacedUntil-s.now, time.Duration(float64(again-p.clock())/p.rate), p.paused-s.now)
+	l.retryAt = s.now + at
 	s.at(at, func() {
-		if p.who.Incarnation == life {
-			p.sends(key, l)
+		if p.id.Incarnation == life {
+			p.sendLoad(key, l)
 		}
 	})
 }
@@ -358,12 +358,12 @@
 	}
 	s.uses[key] = u
 	s.counts[key]++
-	if s.by[key] == nil {
-		s.by[key] = map[int]int{}
+	if s.usesBySender[key] == nil {
+		s.usesBySender[key] = map[int]int{}
 	}
-	s.by[key][i]++
-	if int64(len(u)) > l.Units && s.broken == "" {
-		s.broken = fmt.Sprintf("at %v %s had %d uses in %v, of %d units", s.now, key, len(u), l.Span, l.Units)
+	s.usesBySender[key][i]++
+	if int64(len(u)) > l.Units && s.violation == "" {
+		s.violation = fmt.Sprintf("at %v %s had %d uses in %v, of %d units", s.now, key, len(u), l.Span, l.Units)
 	}
 }
 
@@ -385,7 +385,7 @@
 
 // Whatever is cut, paused, killed or lost: in no span does a receiver see more uses than units, and a fleet that is well again
 // uses what there is.
-func TestFaultsInVirtualTime(t *testing.T) {
+func TestFleet_LimitsHoldUnderFaults(t *testing.T) {
 	seeds := 40
 	if os.Getenv("SAFFRONYARD_MODEL") == "large" {
 		seeds = 2000
@@ -395,15 +395,15 @@
 		limits := []Limit{perSecond("small", 1+int64(seed%4)), perSecond("large", 40)}
 		s := newSim(t, seed, n, simTerms, limits...)
 		for _, p := range s.senders {
-			p.wants("small", 3)
-			p.wants("large", 30)
+			p.addLoad("small", 3)
+			p.addLoad("large", 30)
 		}
 		restart := func(p *simSender) {
 			if p.down {
 				p.start()
-				p.wants("small", 3)
-				p.wants("large", 30)
-				s.begin()
+				p.addLoad("small", 3)
+				p.addLoad("large", 30)
+				s.activate()
 			}
 		}
 		for at := 5 * time.Second; at < 25*time.Second; at += time.Duration(s.rng.Int64N(int64(800 * time.Millisecond))) {
@@ -412,38 +412,38 @@
 			for_ := time.Duration(s.rng.Int64N(int64(4 * time.Second)))
 			switch s.rng.IntN(8) {
 			case 0, 1:
-				s.cut[[2]int{p.i, o.i}] = true
-				s.at(for_, func() { delete(s.cut, [2]int{p.i, o.i}) })
+				s.partitioned[[2]int{p.i, o.i}] = true
+				s.at(for_, func() { delete(s.partitioned, [2]int{p.i, o.i}) })
 			case 2, 3:
 				p.paused = max(p.paused, s.now+for_)
 			case 4:
 				p.down = true
 				s.at(for_, func() { restart(p) })
-				s.at(for_/2, s.begin)
+				s.at(for_/2, s.activate)
 			case 5:
 				s.loss = 0.3
 				s.at(for_, func() { s.loss = 0 })
 			case 6: // one that is paused is left out of the roster, and comes back
 				p.paused = max(p.paused, s.now+for_)
-				s.at(for_/2, s.begin)
-				s.at(for_+200*time.Millisecond, s.begin)
+				s.at(for_/2, s.activate)
+				s.at(for_+200*time.Millisecond, s.activate)
 			case 7:
-				s.begin()
+				s.activate()
 			}
 		}
 		s.run(30 * time.Second)
 		s.loss = 0
-		clear(s.cut)
+		clear(s.partitioned)
 		for _, p := range s.senders {
 			restart(p)
 		}
 		s.run(31 * time.Second)
-		s.begin()
+		s.activate()
 		s.run(38 * time.Second)
 		clear(s.counts)
 		s.run(48 * time.Second)
-		if s.broken != "" {
-			t.Fatalf("seed %d, %d senders: %s", seed, n, s.broken)
+		if s.violation != "" {
+			t.Fatalf("seed %d, %d senders: %s", seed, n, s.violation)
 		}
 		for _, l := range limits {
 			want := min(float64(l.Units), float64(n)*map[string]float64{"small": 3, "large": 30}[l.Key])
@@ -455,7 +455,7 @@
 }
 
 // What a healthy fleet uses, how even, and how soon it follows: figures for the design note.
-func TestFiguresInVirtualTime(t *testing.T) {
+func TestFleet_Utilization(t *testing.T) {
 	for _, c := range []struct {
 		senders, units int64
 		each           float64 // wanted, a second
@@ -463,30 +463,30 @@
 	}{{3, 30, 30, 0.95}, {8, 100, 50, 0.95}, {30, 3, 2, 0.85}, {30, 300, 30, 0.95}, {5, 2, 3, 0.85}, {3, 100, 5, 0.97}} {
 		s := newSim(t, 7, int(c.senders), simTerms, perSecond("x", c.units))
 		for _, p := range s.senders {
-			p.wants("x", c.each)
+			p.addLoad("x", c.each)
 		}
 		s.run(8 * time.Second)
 		clear(s.counts)
-		clear(s.by)
+		clear(s.usesBySender)
 		s.run(68 * time.Second)
 		want := min(float64(c.units), c.each*float64(c.senders))
 		used := float64(s.counts["x"]) / 60 / want
-		t.Logf("%d senders, %d units a second, %g wanted by each: %.3f of what could be is used, Jain %.3f", c.senders, c.units, c.each, used, jain(s.by["x"], int(c.senders)))
-		if used < c.least || s.broken != "" {
-			t.Errorf("%d senders, %d units: %.3f is used, under %.2f; %s", c.senders, c.units, used, c.least, s.broken)
+		t.Logf("%d senders, %d units a second, %g wanted by each: %.3f of what could be is used, Jain %.3f", c.senders, c.units, c.each, used, jain(s.usesBySender["x"], int(c.senders)))
+		if used < c.least || s.violation != "" {
+			t.Errorf("%d senders, %d units: %.3f is used, under %.2f; %s", c.senders, c.units, used, c.least, s.violation)
 		}
 	}
 }
 
 // The demand jumps from one sender to another: within two seconds four fifths of the limit are used again; likewise once the authority
 // has died, and a sender that takes what it can and uses nothing keeps none of it for long.
-func TestFollowsNeed(t *testing.T) {
+func TestFleet_SharesFollowDemand(t *testing.T) {
 	used := func(s *sim, from, to time.Duration) float64 {
 		s.run(from)
 		clear(s.counts)
 		s.run(to)
-		if s.broken != "" {
-			t.Fatal(s.broken)
+		if s.violation != "" {
+			t.Fatal(s.violation)
 		}
 		return float64(s.counts["x"]) / (to - from).Seconds()
 	}
@@ -494,9 +494,9 @@
 	at := 6 * time.Second
 	for turn := range 6 {
 		for i, p := range s.senders {
-			p.wants("x", map[bool]float64{true: 80, false: 0}[i == turn%5])
+			p.addLoad("x", map[bool]float64{true: 80, false: 0}[i == turn%5])
 			p.load["x"].waiting = 0
-			p.till.SetWaiting(map[string]int64{})
+			p.allowances.SetWaiting(map[string]int64{})
 		}
 		if got := used(s, at+2*time.Second, at+4*time.Second); got < 0.8*40 {
 			t.Errorf("2 s after shift %d %.1f a second are used, of 40", turn, got)
@@ -505,13 +505,13 @@
 	}
 	s = newSim(t, 4, 5, simTerms, perSecond("x", 40))
 	for _, p := range s.senders {
-		p.wants("x", 40)
+		p.addLoad("x", 40)
 	}
 	s.run(8 * time.Second)
-	charge := coordinator.NewOwnership(s.roster.Participants)
+	charge := coordinator.NewOwnership(s.membership.Participants)
 	dead := slices.IndexFunc(s.senders, func(p *simSender) bool { return p.name == charge.Owner("x").Name })
 	s.senders[dead].down = true
-	s.at(1010*time.Millisecond, s.begin) // its lease has lapsed
+	s.at(1010*time.Millisecond, s.activate) // its lease has lapsed
 	if got := used(s, 8*time.Second, 10*time.Second); got < 0.75*40 {
 		t.Errorf("in the 2 s after its authority's death %.1f a second are used, of 40", got)
 	}
@@ -522,10 +522,10 @@
 		t.Errorf("6 s after it %.1f a second are used, of 40", got)
 	}
 	s = newSim(t, 5, 3, simTerms, perSecond("x", 30))
-	s.senders[0].wants("x", 100).stuck = true
+	s.senders[0].addLoad("x", 100).stuck = true
 	s.run(6 * time.Second)
 	for _, p := range s.senders[1:] {
-		p.wants("x", 40)
+		p.addLoad("x", 40)
 	}
 	if got := used(s, 12*time.Second, 20*time.Second); got < 0.9*30 {
 		t.Errorf("beside one that uses nothing %.1f a second are used, of 30", got)
@@ -533,7 +533,7 @@
 }
 
 // 300 senders and 5,000 limits of which 20 are busy: what it costs each, and how soon it settles.
-func TestThreeHundred(t *testing.T) {
+func TestFleet_300Senders(t *testing.T) {
 	sizes := []int{3, 30}
 	if os.Getenv("SAFFRONYARD_MODEL") == "large" {
 		sizes = []int{3, 10, 30, 100, 300}
@@ -546,7 +546,7 @@
 		s := newSim(t, 11, n, Terms{Duration: 4500 * time.Millisecond, MaxDrift: 0.01}, limits...)
 		for _, p := range s.senders {
 			for i := range 20 {
-				p.wants(limits[i].Key, 1)
+				p.addLoad(limits[i].Key, 1)
 			}
 		}
 		s.run(10 * time.Second)
@@ -556,23 +556,23 @@
 		used, idle, least := 0, int64(0), math.Inf(1)
 		for i := range 20 {
 			used += s.counts[limits[i].Key]
-			least = min(least, jain(s.by[limits[i].Key], n))
+			least = min(least, jain(s.usesBySender[limits[i].Key], n))
 		}
 		for _, p := range s.senders {
-			for _, st := range p.till.Statuses(p.clock()) {
+			for _, st := range p.allowances.Statuses(p.clock()) {
 				idle += st.Granted - st.InUse
 			}
 		}
 		t.Logf("%d senders: each sends %.1f messages and %.0f bytes a second; %d calls a second; %d units lie idle, of %d; Jain at least %.3f", n, float64(s.sent)/10/float64(n),
 			float64(s.bytes)/10/float64(n), used/10, idle, 20*limits[0].Units, least)
-		if s.broken != "" || used == 0 {
-			t.Errorf("%d senders: %d uses; %s", n, used, s.broken)
+		if s.violation != "" || used == 0 {
+			t.Errorf("%d senders: %d uses; %s", n, used, s.violation)
 		}
 	}
 }
 
 // Shares are whole, fair, and never more than there is.
-func TestShares(t *testing.T) {
+func TestFairShares(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		units, all := rng.Int64N(50), make([]Demand, 1+rng.IntN(8))
--- a/internal/replicatedlog/cluster_sim_test.go
+++ b/internal/replicatedlog/cluster_sim_test.go
@@ -21,119 +21,119 @@
 // sim is a fleet in virtual time: voters and copies as they ship, with a network that delays, loses and cuts, disks that take a
 // while, and clocks that run wrong. One seed gives one run.
 type sim struct {
-	t      testing.TB
-	rng    *rand.Rand
-	now    time.Duration
-	queue  queue
-	order  int
-	voters []*simVoter
-	copies []*simCopy
-	terms  lease.Terms
-	loss   float64
-	cut    map[[2]int]bool // places: voters first, then copies
-	acted  uint64          // newest version that anybody could act under
-	bytes  int             // to and from copies
-	words  int
+	t           testing.TB
+	rng         *rand.Rand
+	now         time.Duration
+	queue       eventQueue
+	order       int
+	voters      []*simVoter
+	replicas    []*simReplica
+	terms       lease.Terms
+	loss        float64
+	partitioned map[[2]int]bool // places: voters first, then copies
+	newestActed uint64          // newest version that anybody could act under
+	bytes       int             // to and from copies
+	messages    int
 }
 
 type simVoter struct {
-	core  *Voter
-	saved *StoredLog // its disk
-	up    bool
-	life  int
-	feed  []*pb.Entry
-	lead  uint64
-	alarm time.Duration
-	rate  float64
-	asked map[uint64]func(Reply)
-	last  uint64
-	saves int
-	dies  int // with its save of this number, before that reaches the disk if torn
-	torn  bool
+	voter          *Voter
+	disk           *StoredLog // its disk
+	up             bool
+	incarnation    int
+	feed           []*pb.Entry
+	leader         uint64
+	alarm          time.Duration
+	rate           float64
+	pending        map[uint64]func(Reply)
+	last           uint64
+	writes         int
+	crashesAtWrite int // with its save of this number, before that reaches the disk if torn
+	torn           bool
 }
 
-type simCopy struct {
-	copy    *Replica
-	life    int
-	up      bool
-	follows int
-	view    *fleetpolicy.View
-	until   time.Duration // on its own clock
-	at      uint64        // how far its voter has told it
-	alarm   time.Duration
-	rate    float64
-	over    map[uint64]uint64 // change to version
+type simReplica struct {
+	replica     *Replica
+	incarnation int
+	up          bool
+	follows     int
+	view        *fleetpolicy.View
+	leaseUntil  time.Duration // on its own clock
+	sentIndex   uint64        // how far its voter has told it
+	alarm       time.Duration
+	rate        float64
+	finished    map[uint64]uint64 // change to version
 }
 
-type happening struct {
+type simEvent struct {
 	at    time.Duration
 	order int
 	do    func()
 }
 
-type queue []happening
+type eventQueue []simEvent
 
-func (q queue) Len() int { return len(q) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *queue) Push(x any) { *q = append(*q, x.(happening)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(simEvent)) }
 
-func (q *queue) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	h := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return h
 }
 
-type noLog struct{}
+type discardLogger struct{}
 
-func (noLog) Debug(...any)              {}
-func (noLog) Debugf(string, ...any)     {}
-func (noLog) Info(...any)               {}
-func (noLog) Infof(string, ...any)      {}
-func (noLog) Warning(...any)            {}
-func (noLog) Warningf(string, ...any)   {}
-func (noLog) Error(...any)              {}
-func (noLog) Errorf(string, ...any)     {}
-func (noLog) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
-func (noLog) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (noLog) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (noLog) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (discardLogger) Debug(...any)              {}
+func (discardLogger) Debugf(string, ...any)     {}
+func (discardLogger) Info(...any)               {}
+func (discardLogger) Infof(string, ...any)      {}
+func (discardLogger) Warning(...any)            {}
+func (discardLogger) Warningf(string, ...any)   {}
+func (discardLogger) Error(...any)              {}
+func (discardLogger) Errorf(string, ...any)     {}
+func (discardLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (discardLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
-var _ raft.Logger = noLog{}
+var _ raft.Logger = discardLogger{}
 
 func voterName(i int) string { return fmt.Sprintf("v%d", i) }
 
 func newSim(t testing.TB, seed uint64, voters, copies int) *sim {
-	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), terms: lease.Terms{Duration: 3 * time.Second, MaxDrift: lease.DefaultDrift}, cut: map[[2]int]bool{}}
+	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), terms: lease.Terms{Duration: 3 * time.Second, MaxDrift: lease.DefaultDrift}, partitioned: map[[2]int]bool{}}
 	conf := &raftpb.ConfState{}
 	for i := range voters {
 		conf.Voters = append(conf.Voters, VoterID(voterName(i)))
 	}
 	for i := range voters {
-		s.voters = append(s.voters, &simVoter{saved: &StoredLog{HardState: &raftpb.HardState{}, ConfState: conf}, rate: 1 + 0.01*float64(i%3-1)})
+		s.voters = append(s.voters, &simVoter{disk: &StoredLog{HardState: &raftpb.HardState{}, ConfState: conf}, rate: 1 + 0.01*float64(i%3-1)})
 		s.startVoter(i, map[string]PeerState{"all": {}})
 	}
 	for i := range copies {
-		s.copies = append(s.copies, &simCopy{rate: 1 + 0.01*float64(i%3-1), over: map[uint64]uint64{}})
-		s.startCopy(i)
+		s.replicas = append(s.replicas, &simReplica{rate: 1 + 0.01*float64(i%3-1), finished: map[uint64]uint64{}})
+		s.startReplica(i)
 	}
 	return s
 }
 
 func (s *sim) after(d time.Duration, do func()) {
 	s.order++
-	heap.Push(&s.queue, happening{s.now + d, s.order, do})
+	heap.Push(&s.queue, simEvent{s.now + d, s.order, do})
 }
 
 // send has something happen at another place after a delay, unless the way is cut or it is lost.
 func (s *sim) send(from, to int, do func()) {
-	if s.cut[[2]int{from, to}] || s.rng.Float64() < s.loss {
+	if s.partitioned[[2]int{from, to}] || s.rng.Float64() < s.loss {
 		return
 	}
 	s.after(time.Millisecond+time.Duration(s.rng.Int64N(int64(4*time.Millisecond))), do)
@@ -142,18 +142,18 @@
 // startVoter starts one from its disk; heard are the others' answers to its hello.
 func (s *sim) startVoter(i int, heard map[string]PeerState) {
 	v := s.voters[i]
-	saved := *v.saved
-	core, _, err := NewVoter(VoterConfig{Name: voterName(i), Stored: &saved, Peers: heard, Terms: s.terms, Policy: fleetpolicy.NewMachine(), Logger: noLog{}})
+	saved := *v.disk
+	core, _, err := NewVoter(VoterConfig{Name: voterName(i), Stored: &saved, Peers: heard, Terms: s.terms, Policy: fleetpolicy.NewMachine(), Logger: discardLogger{}})
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	v.core, v.up, v.feed, v.alarm, v.asked, v.lead = core, true, nil, 0, map[uint64]func(Reply){}, 0
-	v.life++
+	v.voter, v.up, v.feed, v.alarm, v.pending, v.leader = core, true, nil, 0, map[uint64]func(Reply){}, 0
+	v.incarnation++
 	s.stepVoter(i)
 }
 
-// hello gathers the others' answers, of those that run.
-func (s *sim) hello(i int) map[string]PeerState {
+// handshake gathers the others' answers, of those that run.
+func (s *sim) handshake(i int) map[string]PeerState {
 	heard := map[string]PeerState{}
 	for j, v := range s.voters {
 		if j == i {
@@ -162,10 +162,10 @@
 		if !v.up {
 			return nil
 		}
-		h := PeerState{Term: v.core.node.BasicStatus().HardState.GetTerm()}
-		h.LastTerm, h.LastIndex = v.core.lastEntry()
-		if v.core.isLeader() {
-			h.MatchIndex = v.core.node.Status().Progress[VoterID(voterName(i))].Match
+		h := PeerState{Term: v.voter.node.BasicStatus().HardState.GetTerm()}
+		h.LastTerm, h.LastIndex = v.voter.lastEntry()
+		if v.voter.isLeader() {
+			h.MatchIndex = v.voter.node.Status().Progress[VoterID(voterName(i))].Match
 		}
 		heard[voterName(j)] = h
 	}
@@ -177,38 +177,38 @@
 	if !v.up {
 		return
 	}
-	life := v.life
+	life := v.incarnation
 	clock := time.Duration(float64(s.now) * v.rate)
-	actions, alarm := v.core.Step(clock+time.Hour*time.Duration(i), events)
+	actions, alarm := v.voter.Step(clock+time.Hour*time.Duration(i), events)
 	disk := time.Duration(0)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Persist:
-			v.saves++
-			if v.saves == v.dies {
+			v.writes++
+			if v.writes == v.crashesAtWrite {
 				if !v.torn {
-					s.save(v.saved, a)
+					s.persist(v.disk, a)
 				}
 				v.up = false
-				s.after(700*time.Millisecond, func() { s.comeBack(i) })
+				s.after(700*time.Millisecond, func() { s.restartVoter(i) })
 				return
 			}
-			s.save(v.saved, a)
+			s.persist(v.disk, a)
 			disk += 500 * time.Microsecond
 		case SendMessage:
-			to := slices.IndexFunc(s.voters, func(o *simVoter) bool { return o.core.id == a.Message.GetTo() })
+			to := slices.IndexFunc(s.voters, func(o *simVoter) bool { return o.voter.id == a.Message.GetTo() })
 			if to >= 0 {
 				m := proto.Clone(a.Message).(*raftpb.Message)
-				toLife := s.voters[to].life
+				toLife := s.voters[to].incarnation
 				s.send(i, to, func() {
-					if v.life == life && s.voters[to].life == toLife {
+					if v.incarnation == life && s.voters[to].incarnation == toLife {
 						s.stepVoter(to, MessageReceived{m})
 					}
 				})
 			}
 		case Reply:
-			if f := v.asked[a.To]; f != nil {
-				delete(v.asked, a.To)
+			if f := v.pending[a.To]; f != nil {
+				delete(v.pending, a.To)
 				s.after(disk, func() { f(a) })
 			}
 		case Committed:
@@ -216,22 +216,22 @@
 				v.feed = nil // none is taken in runs this short
 			}
 			v.feed = append(v.feed, a.Entries...)
-			s.after(disk, func() { s.tell(i) })
+			s.after(disk, func() { s.sendLog(i) })
 		case Status:
-			v.lead = a.Leader
+			v.leader = a.Leader
 		}
 	}
 	if at := max(s.now+time.Microsecond, time.Duration(float64(alarm-time.Hour*time.Duration(i))/v.rate)); at != v.alarm {
 		v.alarm = at
 		s.after(at-s.now, func() {
-			if v.life == life && v.alarm == at {
+			if v.incarnation == life && v.alarm == at {
 				s.stepVoter(i)
 			}
 		})
 	}
 }
 
-func (s *sim) save(disk *StoredLog, a Persist) {
+func (s *sim) persist(disk *StoredLog, a Persist) {
 	if a.HardState != nil {
 		disk.HardState = proto.Clone(a.HardState).(*raftpb.HardState)
 	}
@@ -244,20 +244,20 @@
 	}
 }
 
-// tell has a voter tell those that follow it.
-func (s *sim) tell(i int) {
-	for j, c := range s.copies {
+// sendLog has a voter tell those that follow it.
+func (s *sim) sendLog(i int) {
+	for j, c := range s.replicas {
 		if c.follows != i || !c.up {
 			continue
 		}
-		if n := uint64(len(s.voters[i].feed)); n > c.at {
-			p := &pb.LogChunk{Entries: s.voters[i].feed[c.at:n], CommitIndex: n}
-			c.at = n
+		if n := uint64(len(s.voters[i].feed)); n > c.sentIndex {
+			p := &pb.LogChunk{Entries: s.voters[i].feed[c.sentIndex:n], CommitIndex: n}
+			c.sentIndex = n
 			s.count(p)
-			life := c.life
+			life := c.incarnation
 			s.send(i, len(s.voters)+j, func() {
-				if c.life == life {
-					s.stepCopy(j, LogReceived{p})
+				if c.incarnation == life {
+					s.stepReplica(j, LogReceived{p})
 				}
 			})
 		}
@@ -266,46 +266,46 @@
 
 func (s *sim) count(m proto.Message) {
 	s.bytes += proto.Size(m)
-	s.words++
+	s.messages++
 }
 
-func (s *sim) startCopy(j int) {
-	c := s.copies[j]
-	c.life++
-	c.up, c.at, c.view, c.until = true, 0, nil, 0
-	c.copy = NewReplica(fmt.Sprintf("s%d", j), uint64(c.life), fleetpolicy.Settings{}, s.terms)
+func (s *sim) startReplica(j int) {
+	c := s.replicas[j]
+	c.incarnation++
+	c.up, c.sentIndex, c.view, c.leaseUntil = true, 0, nil, 0
+	c.replica = NewReplica(fmt.Sprintf("s%d", j), uint64(c.incarnation), fleetpolicy.Settings{}, s.terms)
 	c.follows = j % len(s.voters)
-	s.stepCopy(j)
-	s.tellAgain(j, c.life)
+	s.stepReplica(j)
+	s.followAgain(j, c.incarnation)
 }
 
-// tellAgain is the follower that notices silence: it asks again from where it stands.
-func (s *sim) tellAgain(j, life int) {
-	c := s.copies[j]
-	if c.life != life {
+// followAgain is the follower that notices silence: it asks again from where it stands.
+func (s *sim) followAgain(j, life int) {
+	c := s.replicas[j]
+	if c.incarnation != life {
 		return
 	}
-	if c.copy.State().Index() < c.at || !s.voters[c.follows].up || s.cut[[2]int{c.follows, len(s.voters) + j}] {
+	if c.replica.State().Index() < c.sentIndex || !s.voters[c.follows].up || s.partitioned[[2]int{c.follows, len(s.voters) + j}] {
 		c.follows = (c.follows + 1) % len(s.voters)
 	}
-	c.at = min(c.copy.State().Index(), uint64(len(s.voters[c.follows].feed)))
-	s.tell(c.follows)
-	s.after(time.Second, func() { s.tellAgain(j, life) })
+	c.sentIndex = min(c.replica.State().Index(), uint64(len(s.voters[c.follows].feed)))
+	s.sendLog(c.follows)
+	s.after(time.Second, func() { s.followAgain(j, life) })
 }
 
-func (s *sim) stepCopy(j int, events ...ReplicaEvent) {
-	c := s.copies[j]
+func (s *sim) stepReplica(j int, events ...ReplicaEvent) {
+	c := s.replicas[j]
 	if !c.up {
 		return
 	}
-	life, place := c.life, len(s.voters)+j
+	life, place := c.incarnation, len(s.voters)+j
 	ahead := time.Duration(j) * time.Minute
 	clock := time.Duration(float64(s.now)*c.rate) + ahead
-	actions, alarm := c.copy.Step(clock, events)
+	actions, alarm := c.replica.Step(clock, events)
 	back := func(d time.Duration, e ReplicaEvent) {
 		s.after(d, func() {
-			if c.life == life {
-				s.stepCopy(j, e)
+			if c.incarnation == life {
+				s.stepReplica(j, e)
 			}
 		})
 	}
@@ -314,13 +314,13 @@
 		case StageChange:
 			back(2*time.Millisecond, ChangeStaged{ChangeID: a.ChangeID})
 		case PublishView:
-			c.view, c.until = a.View, a.LeaseUntil
+			c.view, c.leaseUntil = a.View, a.LeaseUntil
 			if a.Drain {
 				back(time.Millisecond, Drained{a.View.Index})
 			}
 		case SendLeaseRequest:
 			s.count(a.Request)
-			s.ask(place, c.follows, a.Request, true, func(reply Reply) {
+			s.requestLease(place, c.follows, a.Request, true, func(reply Reply) {
 				if r, ok := reply.Message.(*pb.LeaseReply); ok {
 					s.count(r)
 					back(0, LeaseGranted{a.RequestedAt, r.RequiredIndex, time.Duration(r.DurationUs) * time.Microsecond})
@@ -328,44 +328,44 @@
 			})
 		case SubmitJoin:
 			body, _ := proto.Marshal(a.Command)
-			s.submit(place, c.follows, &pb.Command{Kind: KindJoin, Session: uint64(j+1)<<32 | uint64(c.life), Sequence: 1, Body: body}, func(Reply) {})
+			s.submit(place, c.follows, &pb.Command{Kind: KindJoin, Session: uint64(j+1)<<32 | uint64(c.incarnation), Sequence: 1, Body: body}, func(Reply) {})
 		}
 	}
-	for _, p := range c.copy.Policy().State().GetHistory() {
-		c.over[p.Id] = p.Version
+	for _, p := range c.replica.Policy().State().GetHistory() {
+		c.finished[p.Id] = p.Version
 	}
-	s.check()
+	s.checkVersions()
 	if at := max(s.now+time.Microsecond, time.Duration(float64(alarm-ahead)/c.rate)); at != c.alarm {
 		c.alarm = at
 		s.after(at-s.now, func() {
-			if c.life == life && c.alarm == at {
-				s.stepCopy(j)
+			if c.incarnation == life && c.alarm == at {
+				s.stepReplica(j)
 			}
 		})
 	}
 }
 
-// ask puts a question to a voter, which passes it on to the one that leads.
-func (s *sim) ask(from, at int, r *pb.LeaseRequest, on bool, answer func(Reply)) {
-	s.pass(from, at, on, func(to uint64) VoterEvent { return LeaseRequested{to, r} }, answer)
+// requestLease puts a question to a voter, which passes it on to the one that leads.
+func (s *sim) requestLease(from, at int, r *pb.LeaseRequest, on bool, answer func(Reply)) {
+	s.callVoter(from, at, on, func(to uint64) VoterEvent { return LeaseRequested{to, r} }, answer)
 }
 
 func (s *sim) submit(from, at int, c *pb.Command, answer func(Reply)) {
-	s.pass(from, at, true, func(to uint64) VoterEvent { return CommandSubmitted{to, c} }, answer)
+	s.callVoter(from, at, true, func(to uint64) VoterEvent { return CommandSubmitted{to, c} }, answer)
 }
 
-func (s *sim) pass(from, at int, on bool, event func(uint64) VoterEvent, answer func(Reply)) {
+func (s *sim) callVoter(from, at int, on bool, event func(uint64) VoterEvent, answer func(Reply)) {
 	s.send(from, at, func() {
 		v := s.voters[at]
 		if !v.up {
 			return
 		}
 		v.last++
-		v.asked[v.last] = func(reply Reply) {
+		v.pending[v.last] = func(reply Reply) {
 			if on && errors.Is(reply.Err, ErrNotLeader) {
-				lead := slices.IndexFunc(s.voters, func(o *simVoter) bool { return o.core.id == v.lead })
+				lead := slices.IndexFunc(s.voters, func(o *simVoter) bool { return o.voter.id == v.leader })
 				if lead >= 0 && lead != at {
-					s.pass(at, lead, false, event, func(reply Reply) { s.send(at, from, func() { answer(reply) }) })
+					s.callVoter(at, lead, false, event, func(reply Reply) { s.send(at, from, func() { answer(reply) }) })
 				}
 				return
 			}
@@ -375,35 +375,35 @@
 	})
 }
 
-// check is the promise: nobody may act on the call that all changes touch under a version that another could act past.
-func (s *sim) check() {
-	newest := s.acted
-	may := func(j int, c *simCopy) (uint64, bool) {
+// checkVersions is the promise: nobody may act on the call that all changes touch under a version that another could act past.
+func (s *sim) checkVersions() {
+	newest := s.newestActed
+	may := func(j int, c *simReplica) (uint64, bool) {
 		clock := time.Duration(float64(s.now)*c.rate) + time.Duration(j)*time.Minute
-		if !c.up || c.view == nil || c.until <= clock || c.view.Suspended.HasDestination(7) {
+		if !c.up || c.view == nil || c.leaseUntil <= clock || c.view.Suspended.HasDestination(7) {
 			return 0, false
 		}
 		return c.view.Version, true
 	}
-	for j, c := range s.copies {
+	for j, c := range s.replicas {
 		if v, ok := may(j, c); ok {
 			newest = max(newest, v)
 		}
 	}
-	if newest == s.acted {
+	if newest == s.newestActed {
 		return
 	}
-	for j, c := range s.copies {
+	for j, c := range s.replicas {
 		if v, ok := may(j, c); ok && v < newest {
 			s.t.Fatalf("at %v s%d may act under version %d, and %d is acted under", s.now, j, v, newest)
 		}
 	}
-	s.acted = newest
+	s.newestActed = newest
 }
 
 func (s *sim) run(until time.Duration, done func() bool) bool {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
-		h := heap.Pop(&s.queue).(happening)
+		h := heap.Pop(&s.queue).(simEvent)
 		s.now = h.at
 		h.do()
 		if done != nil && done() {
@@ -414,9 +414,9 @@
 	return done == nil
 }
 
-func (s *sim) acting() (n int) {
-	for j, c := range s.copies {
-		if clock := time.Duration(float64(s.now)*c.rate) + time.Duration(j)*time.Minute; c.up && c.view != nil && c.until > clock {
+func (s *sim) actingCount() (n int) {
+	for j, c := range s.replicas {
+		if clock := time.Duration(float64(s.now)*c.rate) + time.Duration(j)*time.Minute; c.up && c.view != nil && c.leaseUntil > clock {
 			n++
 		}
 	}
@@ -430,18 +430,18 @@
 		doc = "# open\n"
 	}
 	body, _ := proto.Marshal(&pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: &pb.ProposePolicy{BaseVersion: base, Document: []byte(doc), Author: "sim", StageTimeoutUs: 20e6}}})
-	s.submit(len(s.voters)+at, s.copies[at].follows, &pb.Command{Kind: KindPolicy, Session: s.rng.Uint64() | 1, Sequence: 1, Body: body}, func(reply Reply) {
+	s.submit(len(s.voters)+at, s.replicas[at].follows, &pb.Command{Kind: KindPolicy, Session: s.rng.Uint64() | 1, Sequence: 1, Body: body}, func(reply Reply) {
 		if r, ok := reply.Message.(*pb.SubmitReply); ok && r.Rejection == "" {
 			*number = r.Index
 		}
 	})
 }
 
-// comeBack starts a voter from its disk once all others answer its hello.
-func (s *sim) comeBack(i int) {
-	heard := s.hello(i)
+// restartVoter starts a voter from its disk once all others answer its hello.
+func (s *sim) restartVoter(i int) {
+	heard := s.handshake(i)
 	if heard == nil {
-		s.after(100*time.Millisecond, func() { s.comeBack(i) })
+		s.after(100*time.Millisecond, func() { s.restartVoter(i) })
 		return
 	}
 	s.startVoter(i, heard)
--- a/internal/replicatedlog/handshake_test.go
+++ b/internal/replicatedlog/handshake_test.go
@@ -5,7 +5,7 @@
 )
 
 // With what a voter begins after the others' word.
-func TestBegin(t *testing.T) {
+func TestReconcile(t *testing.T) {
 	const id = 42
 	for _, c := range []struct {
 		what   string
--- a/internal/replicatedlog/replica.go
+++ b/internal/replicatedlog/replica.go
@@ -200,7 +200,7 @@
 	}
 	r.view, r.shown, r.leaseUntil = p.View, key, p.LeaseUntil
 	if r.leaseUntil > now {
-		r.stopsActingAt = r.leaseUntil + p.View.Policy.CutOffGrace()
+		r.stopsActingAt = r.leaseUntil + p.View.Policy.PartitionGrace()
 	}
 	r.emit(p)
 }
--- a/internal/replicatedlog/state_test.go
+++ b/internal/replicatedlog/state_test.go
@@ -37,7 +37,7 @@
 }
 
 // A command that comes again after a lost answer counts once, and is answered as it was, refused or not; an older one changes nothing.
-func TestSessions(t *testing.T) {
+func TestState_SessionsDeduplicateCommands(t *testing.T) {
 	s := newTestState()
 	first, err := apply(t, s, KindPolicy, 7, 1, propose(0))
 	if err != nil || first.Rejection != "" {
@@ -66,7 +66,7 @@
 }
 
 // A program stops at a command that it does not know and never skips it; a new kind is not handed in while a member lacks it.
-func TestMixedFleet(t *testing.T) {
+func TestState_CommandKindsOfMixedVersions(t *testing.T) {
 	s := newTestState()
 	for name, speaks := range map[string]uint32{"new": MaxCommandKind, "old": KindPolicy - 1} {
 		if _, err := apply(t, s, KindJoin, 0, 0, &pb.Join{Name: name, MaxCommandKind: speaks}); err != nil {
@@ -98,7 +98,7 @@
 }
 
 // A snapshot holds all of the state: what comes behind it has the same effect.
-func TestSnapshotIsWhole(t *testing.T) {
+func TestState_SnapshotIsComplete(t *testing.T) {
 	a := newTestState()
 	step := func(s *State, i int) string {
 		var done Outcome
--- a/internal/replicatedlog/voter_faults_test.go
+++ b/internal/replicatedlog/voter_faults_test.go
@@ -8,20 +8,20 @@
 
 // Three hundred senders and five voters, clocks 1% wrong and minutes apart: a change takes hold at all, healthy within a second, with a
 // third cut off within a lease and two round trips of when they were; and what that costs each sender.
-func TestThreeHundred(t *testing.T) {
+func TestCluster_ChangesAmong300Senders(t *testing.T) {
 	s := newSim(t, 1, 5, 300)
-	if !s.run(20*time.Second, func() bool { return s.acting() == 300 }) {
-		t.Fatalf("%d of 300 act", s.acting())
+	if !s.run(20*time.Second, func() bool { return s.actingCount() == 300 }) {
+		t.Fatalf("%d of 300 act", s.actingCount())
 	}
 	s.run(s.now+5*time.Second, nil)
-	bytes, words, from := s.bytes, s.words, s.now
+	bytes, words, from := s.bytes, s.messages, s.now
 	s.run(s.now+9*time.Second, nil)
 	rate := func(n int) float64 { return float64(n) / 300 / (s.now - from).Seconds() }
-	t.Logf("quiet: %.1f bytes and %.2f messages a second for each sender", rate(s.bytes-bytes), rate(s.words-words))
+	t.Logf("quiet: %.1f bytes and %.2f messages a second for each sender", rate(s.bytes-bytes), rate(s.messages-words))
 	everywhere := func(change *uint64, among func(j int) bool) func() bool {
 		return func() bool {
-			for j, c := range s.copies {
-				if *change == 0 || among(j) && c.over[*change] == 0 {
+			for j, c := range s.replicas {
+				if *change == 0 || among(j) && c.finished[*change] == 0 {
 					return false
 				}
 			}
@@ -41,10 +41,10 @@
 		}
 	}
 	cut := func(j int) bool { return j%3 == 0 }
-	for j := range s.copies {
+	for j := range s.replicas {
 		for v := range s.voters {
 			if cut(j) {
-				s.cut[[2]int{len(s.voters) + j, v}], s.cut[[2]int{v, len(s.voters) + j}] = true, true
+				s.partitioned[[2]int{len(s.voters) + j, v}], s.partitioned[[2]int{v, len(s.voters) + j}] = true, true
 			}
 		}
 	}
@@ -59,15 +59,15 @@
 	if most := s.terms.GranterDuration() + time.Second; took > most {
 		t.Errorf("with a third cut off it took %v, over %v", took, most)
 	}
-	s.cut = map[[2]int]bool{}
-	if !s.run(s.now+20*time.Second, func() bool { return everywhere(&change, func(int) bool { return true })() && s.acting() == 300 }) {
+	s.partitioned = map[[2]int]bool{}
+	if !s.run(s.now+20*time.Second, func() bool { return everywhere(&change, func(int) bool { return true })() && s.actingCount() == 300 }) {
 		t.Error("those that were cut off do not come back")
 	}
 }
 
 // Voters crash, restart and are cut off, messages are lost, copies restart; every change ends everywhere alike, and the promise
 // of check holds at each step.
-func TestFaultsInVirtualTime(t *testing.T) {
+func TestCluster_ConvergesUnderFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -76,8 +76,8 @@
 			var last uint64
 			for round := range 12 {
 				base := uint64(0)
-				for _, c := range s.copies {
-					base = max(base, c.copy.Policy().State().GetVersion())
+				for _, c := range s.replicas {
+					base = max(base, c.replica.Policy().State().GetVersion())
 				}
 				s.propose(s.rng.IntN(6), base, &last)
 				s.run(s.now+time.Duration(s.rng.Int64N(int64(1500*time.Millisecond))), nil)
@@ -86,44 +86,44 @@
 				case 0: // killed, and back from its disk
 					s.voters[v].up = false
 					s.run(s.now+700*time.Millisecond, nil)
-					for s.hello(v) == nil {
+					for s.handshake(v) == nil {
 						s.run(s.now+100*time.Millisecond, nil)
 					}
-					s.startVoter(v, s.hello(v))
+					s.startVoter(v, s.handshake(v))
 				case 1: // one way
 					to := (v + 1 + s.rng.IntN(2)) % 3
-					s.cut[[2]int{v, to}] = true
+					s.partitioned[[2]int{v, to}] = true
 					s.run(s.now+2*time.Second, nil)
-					s.cut = map[[2]int]bool{}
+					s.partitioned = map[[2]int]bool{}
 				case 2:
-					s.startCopy(s.rng.IntN(6))
+					s.startReplica(s.rng.IntN(6))
 				case 3: // one off from all
 					j := s.rng.IntN(6)
 					for w := range s.voters {
-						s.cut[[2]int{3 + j, w}], s.cut[[2]int{w, 3 + j}] = true, true
+						s.partitioned[[2]int{3 + j, w}], s.partitioned[[2]int{w, 3 + j}] = true, true
 					}
 					s.run(s.now+4*time.Second, nil)
-					s.cut = map[[2]int]bool{}
+					s.partitioned = map[[2]int]bool{}
 				}
 			}
 			s.loss = 0
 			if !s.run(s.now+60*time.Second, func() bool {
-				for _, c := range s.copies {
-					if c.copy.Policy().State().OpenChange != nil || c.copy.State().Index() != s.copies[0].copy.State().Index() {
+				for _, c := range s.replicas {
+					if c.replica.Policy().State().OpenChange != nil || c.replica.State().Index() != s.replicas[0].replica.State().Index() {
 						return false
 					}
 				}
-				return s.acting() == 6
+				return s.actingCount() == 6
 			}) {
-				t.Fatalf("they do not come to one mind: %d act", s.acting())
+				t.Fatalf("they do not come to one mind: %d act", s.actingCount())
 			}
-			want, took := fmt.Sprint(s.copies[0].copy.Policy().State().History), 0
-			for _, c := range s.copies {
-				if got := fmt.Sprint(c.copy.Policy().State().History); got != want {
+			want, took := fmt.Sprint(s.replicas[0].replica.Policy().State().History), 0
+			for _, c := range s.replicas {
+				if got := fmt.Sprint(c.replica.Policy().State().History); got != want {
 					t.Errorf("different pasts:\n%s\n%s", got, want)
 				}
 			}
-			for _, p := range s.copies[0].copy.Policy().State().History {
+			for _, p := range s.replicas[0].replica.Policy().State().History {
 				if p.Version > 0 {
 					took++
 				}
@@ -137,24 +137,24 @@
 
 // A voter dies with each of its writes in turn, as it is done or just before, and all that the step would have done behind it is
 // left out: from the first election on to the end of two changes. Both take hold, and the promise holds at each step.
-func TestDiesAtEachWrite(t *testing.T) {
+func TestVoter_CrashesAtEachWrite(t *testing.T) {
 	points := 0
 	for voter := range 3 {
 		for write := 1; ; write++ {
 			reached := false
 			for _, torn := range []bool{false, true} {
 				s := newSim(t, 5, 3, 3)
-				s.voters[voter].dies, s.voters[voter].torn = write, torn
+				s.voters[voter].crashesAtWrite, s.voters[voter].torn = write, torn
 				for n := range uint64(2) {
 					var change uint64
 					for tries := 0; ; tries++ {
-						if s.run(s.now+20*time.Second, func() bool { return s.acting() == 3 }); tries > 20 {
+						if s.run(s.now+20*time.Second, func() bool { return s.actingCount() == 3 }); tries > 20 {
 							t.Fatalf("voter %d, write %d, torn %v: change %d is not handed in", voter, write, torn, n+1)
 						}
 						s.propose(int(n), n, &change)
 						if s.run(s.now+10*time.Second, func() bool {
-							for _, c := range s.copies {
-								if c.copy.Policy().State().Version != n+1 {
+							for _, c := range s.replicas {
+								if c.replica.Policy().State().Version != n+1 {
 									return false
 								}
 							}
@@ -164,7 +164,7 @@
 						}
 					}
 				}
-				reached = reached || s.voters[voter].saves >= write
+				reached = reached || s.voters[voter].writes >= write
 				points++
 			}
 			if !reached {
--- a/internal/worker/group_test.go
+++ b/internal/worker/group_test.go
@@ -14,25 +14,29 @@
 
 const patience = 20 * time.Second
 
-type safe struct {
+type syncBuffer struct {
 	sync.Mutex
 	bytes.Buffer
 }
 
-func (s *safe) Write(b []byte) (int, error) { s.Lock(); defer s.Unlock(); return s.Buffer.Write(b) }
+func (s *syncBuffer) Write(b []byte) (int, error) {
+	s.Lock()
+	defer s.Unlock()
+	return s.Buffer.Write(b)
+}
 
-func (s *safe) String() string { s.Lock(); defer s.Unlock(); return s.Buffer.String() }
+func (s *syncBuffer) String() string { s.Lock(); defer s.Unlock(); return s.Buffer.String() }
 
 // A group runs workers side by side: one that fails or panics ends alone and is named, one that stalls is named while it does,
 // and they stop in the order against that of their start.
-func TestGroup(t *testing.T) {
-	var log safe
+func TestGroup_FailuresStallsAndStop(t *testing.T) {
+	var log syncBuffer
 	began := time.Now()
 	g := &Group{Log: slog.New(slog.NewTextHandler(&log, nil)), Clock: func() time.Duration { return time.Since(began) }, StallThreshold: 20 * time.Millisecond}
 	got := make(chan int, 100)
 	hold := make(chan struct{})
 	make1 := func(name string, do func(context.Context, int) error) *Worker[int, int] {
-		return &Worker[int, int]{Name: name, Inbox: NewRingBuffer[int](name, 8, Block, nil), Stepper: idlerOf{}, Execute: do}
+		return &Worker[int, int]{Name: name, Inbox: NewRingBuffer[int](name, 8, Block, nil), Stepper: echo{}, Execute: do}
 	}
 	sound := make1("sound", func(_ context.Context, n int) error { got <- n; return nil })
 	fails := make1("fails", func(context.Context, int) error { return errors.New("no disk") })
@@ -78,7 +82,7 @@
 	}
 }
 
-// idlerOf passes on what it is told.
-type idlerOf struct{}
+// echo passes on what it is told.
+type echo struct{}
 
-func (idlerOf) Step(_ time.Duration, events []int) ([]int, time.Duration) { return events, Never }
+func (echo) Step(_ time.Duration, events []int) ([]int, time.Duration) { return events, Never }
--- a/internal/worker/ring_buffer_test.go
+++ b/internal/worker/ring_buffer_test.go
@@ -13,7 +13,7 @@
 )
 
 // A ring behaves as a plain list under its rule does, in any order of putting and taking.
-func TestRingAgainstAList(t *testing.T) {
+func TestRingBuffer_AgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 5).Draw(t, "most")
 		rule := OverflowPolicy(rapid.IntRange(0, 2).Draw(t, "rule"))
@@ -66,7 +66,7 @@
 }
 
 // Who puts into a full ring waits until something is taken, its time is over, or the ring is closed.
-func TestPutWaits(t *testing.T) {
+func TestRingBuffer_PutBlocksWhenFull(t *testing.T) {
 	r := NewRingBuffer[int]("full", 1, Block, nil)
 	if err := r.Put(context.Background(), 1); err != nil {
 		t.Fatal(err)
--- a/internal/worker/scheduler_test.go
+++ b/internal/worker/scheduler_test.go
@@ -24,7 +24,7 @@
 }
 
 // One seed gives the same run of several workers; time moves on only when none has anything to do.
-func TestScheduleRepeats(t *testing.T) {
+func TestScheduler_SeedRepeatsRun(t *testing.T) {
 	run := func(seed uint64) string {
 		var log strings.Builder
 		var workers []*Worker[int, int]
