--- a/internal/fleetpolicy/affected.go
+++ b/internal/fleetpolicy/affected.go
@@ -1,12 +1,12 @@
 package fleetpolicy
 
-// Affected is what differs between two policies: the calls that a switch from the one to the other holds up.
+// Affected is the calls that two policies judge differently, which a switch between them suspends. A nil Affected has none.
 type Affected struct {
 	destinations map[uint32]struct{}
 	tenants      map[string]struct{}
 }
 
-// AffectedBySwitch is what a switch between two policies touches.
+// AffectedBySwitch is the calls that a switch between two policies affects.
 func AffectedBySwitch(a, b *Policy) *Affected {
 	t := &Affected{map[uint32]struct{}{}, map[string]struct{}{}}
 	addDifferences(t.destinations, a.routes, b.routes)
@@ -27,7 +27,7 @@
 	}
 }
 
-// HasCall reports whether a call is touched.
+// HasCall reports whether a call is affected.
 func (t *Affected) HasCall(c Call) bool {
 	if t == nil {
 		return false
@@ -37,7 +37,7 @@
 	return dest || tenant
 }
 
-// HasDestination reports whether all calls for a destination are touched.
+// HasDestination reports whether all calls to a destination are affected.
 func (t *Affected) HasDestination(d uint32) bool {
 	if t == nil {
 		return false
--- a/internal/fleetpolicy/coordinator.go
+++ b/internal/fleetpolicy/coordinator.go
@@ -1,45 +1,51 @@
 package fleetpolicy
 
 import (
+	"cmp"
 	"fmt"
+	"strings"
 	"time"
 
 	"saffronyard.example/saffronyard/internal/lease"
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Coordinator drives the open change at the voter that leads: what each sender has told of it, and which step comes next. What
-// it decides is a command like any other: it counts when the log has it, and only if the change is then where the
-// coordinator took it to be. A new leader begins a new one; senders tell it again.
+// Coordinator moves the open change on at the leader, by what senders report of it. Its decisions are proposals: they count when the log
+// applies them, and only if the change is then in the state that the coordinator took it for. The zero value is ready; a new leader begins
+// a new one, and senders report again.
 //
-// A change is staged while every sender that holds a lease checks it and keeps it on its disk; frozen while no call that it
-// touches is begun anywhere; then it is committed, and each sender goes on as soon as it hears so. It is frozen, and committed,
-// only when each that holds a lease has staged it, and committed only when no lease is left below the freeze.
+// While a change is staging, every sender that holds a lease checks it and stores it; while it is frozen, no call that it affects is
+// begun; once it is committed, each sender goes on as soon as it hears so. It is frozen, and committed, only when each holder of a lease
+// has stored it, and committed only when no lease is left below the freeze.
 type Coordinator struct {
 	change     uint64
-	openSince  time.Duration // this leader knows of the change
+	openSince  time.Duration // when this leader first saw the change; unseen: not yet
 	staged     map[lease.HolderID]bool
-	rejections map[string]string // by name, why
+	rejections map[string]string // reason by sender's name
 	lastStep   sentStep
 }
 
+// unseen is the time of a change that this leader has not seen open yet.
+const unseen time.Duration = -1
+
+// sentStep is the step that was proposed last.
 type sentStep struct {
 	change uint64
 	step   string
 	at     time.Duration
 }
 
-// resendInterval is after how long a step that the log does not show is proposed again: it may have been lost with a change of leader.
+// resendInterval is after how long a step that the log does not show is proposed again, as it may have been lost with a leader.
 const resendInterval = time.Second
 
-// PendingSender is one that a change waits for.
+// PendingSender is a sender that a change waits for.
 type PendingSender struct {
-	Name      string        `json:"name"` // empty: those to whom an earlier leader may have granted a lease
-	Remaining time.Duration `json:"left"` // until its lease has lapsed
+	Name      string        `json:"name"` // "": holders of leases that an earlier leader may have granted
+	Remaining time.Duration `json:"left"` // until its lease has expired
 	Reason    string        `json:"for"`
 }
 
-// RecordStaged takes what a sender tells of a change.
+// RecordStaged takes a sender's report that it has stored a change, or why it rejects it.
 func (c *Coordinator) RecordStaged(w lease.HolderID, change uint64, refused string) {
 	c.observe(change)
 	if change != c.change {
@@ -52,9 +58,9 @@
 	c.staged[w] = true
 }
 
-// MayGrant reports whether one who acts at an index is granted a lease while a change is under way: once it has staged it, and, once it
-// is frozen, holds up what it touches. Nobody healthy misses a lease for that, as it asks again as soon as it has; but one
-// whose questions arrive while no answer reaches it would have its lease counted on and on, and the change would wait for it to no end.
+// MayGrant reports whether a holder that acts at an index may be granted a lease: while a change is open, only once it has stored it, and, once it
+// is frozen, acts under the freeze. A healthy sender misses no lease for that, as it requests one as soon as it has; but a holder whose
+// requests arrive while no reply reaches it would otherwise hold up the change without end.
 func (c *Coordinator) MayGrant(w lease.HolderID, acts uint64, s *pb.PolicyState) bool {
 	o := s.GetOpenChange()
 	if o == nil || o.Id < c.change {
@@ -63,77 +69,98 @@
 	return o.Id == c.change && c.staged[w] && acts >= o.FreezeIndex
 }
 
-// observe takes notice of a change; older ones are over.
+// observe begins anew for a change that is newer than the one known.
 func (c *Coordinator) observe(change uint64) {
 	if change > c.change {
-		*c = Coordinator{change: change, openSince: -1, staged: map[lease.HolderID]bool{}, rejections: map[string]string{}, lastStep: c.lastStep}
+		*c = Coordinator{change: change, openSince: unseen, staged: map[lease.HolderID]bool{}, rejections: map[string]string{}, lastStep: c.lastStep}
 	}
 }
 
-// Step gives the next command; nil while there is none. waits says for whom.
-func (c *Coordinator) Step(now time.Duration, s *pb.PolicyState, g *lease.Granter) (next *pb.PolicyCommand, waits []PendingSender) {
-	o := s.GetOpenChange()
-	if o == nil {
+// Names of the steps of a change.
+const (
+	stepFreeze = "freeze"
+	stepCommit = "commit"
+	stepAbort  = "abort"
+)
+
+// Why a change waits for a sender, as operators read it.
+const (
+	waitsToStage  = "to stage it"
+	waitsToFreeze = "to hold up what the change touches"
+)
+
+// maxMissingNamed is how many senders the reason of an abort names.
+const maxMissingNamed = 10
+
+// Step returns the command to propose now, nil if there is none, and the senders that the change waits for.
+func (c *Coordinator) Step(now time.Duration, s *pb.PolicyState, g *lease.Granter) (next *pb.PolicyCommand, waitingOn []PendingSender) {
+	open := s.GetOpenChange()
+	if open == nil {
 		return nil, nil
 	}
-	if c.observe(o.Id); c.change != o.Id {
-		return nil, nil // told of a later one: the state here is behind
+	if c.observe(open.Id); c.change != open.Id {
+		return nil, nil // a later change was reported: the state here is behind
 	}
-	if c.openSince < 0 {
+	if c.openSince == unseen {
 		c.openSince = now
 	}
-	step := func(name string, p *pb.PolicyCommand) *pb.PolicyCommand {
-		if c.lastStep.change == o.Id && c.lastStep.step == name && now-c.lastStep.at < resendInterval {
-			return nil
+	if rejecting := sortedKeys(c.rejections); len(rejecting) > 0 {
+		name := rejecting[0]
+		return c.abort(now, open, fmt.Sprintf("%s refuses it: %s", name, c.rejections[name])), nil
+	}
+	waitingOn = c.waitingOn(now, open, g)
+	if open.FreezeIndex != 0 {
+		if len(waitingOn) > 0 {
+			return nil, waitingOn
 		}
-		c.lastStep = sentStep{o.Id, name, now}
-		return p
+		return c.once(now, open, stepCommit, &pb.PolicyCommand{Command: &pb.PolicyCommand_Commit{Commit: &pb.ChangeStep{ChangeId: open.Id}}}), nil
 	}
-	abort := func(why string) *pb.PolicyCommand {
-		return step("abort", &pb.PolicyCommand{Command: &pb.PolicyCommand_Abort{Abort: &pb.ChangeStep{ChangeId: o.Id, Reason: why}}})
+	if len(waitingOn) == 0 {
+		return c.once(now, open, stepFreeze, &pb.PolicyCommand{Command: &pb.PolicyCommand_Freeze{Freeze: &pb.ChangeStep{ChangeId: open.Id}}}), nil
 	}
-	for _, name := range sortedKeys(c.rejections) {
-		return abort(fmt.Sprintf("%s refuses it: %s", name, c.rejections[name])), nil
+	if timeout := time.Duration(open.StageTimeoutUs) * time.Microsecond; now-c.openSince >= timeout {
+		return c.abort(now, open, fmt.Sprintf("it was not staged everywhere within %v; missing: %s", timeout, joinNames(waitingOn))), waitingOn
 	}
-	if o.FreezeIndex != 0 {
-		for _, h := range g.LeasesBelow(o.FreezeIndex, now) {
-			waits = append(waits, PendingSender{h.Name, h.Remaining, "to hold up what the change touches"})
+	return nil, waitingOn
+}
+
+// waitingOn is the senders that the change waits for. Also once it is frozen it waits for those that have not stored it, as one may have come
+// meanwhile.
+func (c *Coordinator) waitingOn(now time.Duration, open *pb.Change, g *lease.Granter) (all []PendingSender) {
+	if open.FreezeIndex != 0 {
+		for _, l := range g.LeasesBelow(open.FreezeIndex, now) {
+			all = append(all, PendingSender{l.Name, l.Remaining, waitsToFreeze})
 		}
 	} else if g.InGracePeriod(now) {
-		for _, h := range g.LeasesBelow(0, now) {
-			waits = append(waits, PendingSender{h.Name, h.Remaining, "to stage it"})
+		for _, l := range g.LeasesBelow(0, now) {
+			all = append(all, PendingSender{l.Name, l.Remaining, waitsToStage})
 		}
 	}
-	for _, h := range g.ActiveLeases(now) { // also once it is frozen: one may have come meanwhile
-		if !c.staged[h.HolderID] {
-			waits = append(waits, PendingSender{h.Name, h.Remaining, "to stage it"})
+	for _, l := range g.ActiveLeases(now) {
+		if !c.staged[l.HolderID] {
+			all = append(all, PendingSender{l.Name, l.Remaining, waitsToStage})
 		}
 	}
-	if o.FreezeIndex != 0 {
-		if len(waits) > 0 {
-			return nil, waits
-		}
-		return step("commit", &pb.PolicyCommand{Command: &pb.PolicyCommand_Commit{Commit: &pb.ChangeStep{ChangeId: o.Id}}}), nil
-	}
-	if len(waits) == 0 {
-		return step("freeze", &pb.PolicyCommand{Command: &pb.PolicyCommand_Freeze{Freeze: &pb.ChangeStep{ChangeId: o.Id}}}), nil
-	}
-	if wait := time.Duration(o.StageTimeoutUs) * time.Microsecond; now-c.openSince >= wait {
-		return abort(fmt.Sprintf("it was not staged everywhere within %v; missing: %s", wait, joinNames(waits))), waits
+	return all
+}
+
+// once is a step's command, or nil if it was proposed a moment ago.
+func (c *Coordinator) once(now time.Duration, open *pb.Change, step string, command *pb.PolicyCommand) *pb.PolicyCommand {
+	if c.lastStep.change == open.Id && c.lastStep.step == step && now-c.lastStep.at < resendInterval {
+		return nil
 	}
-	return nil, waits
+	c.lastStep = sentStep{open.Id, step, now}
+	return command
+}
+
+func (c *Coordinator) abort(now time.Duration, open *pb.Change, reason string) *pb.PolicyCommand {
+	return c.once(now, open, stepAbort, &pb.PolicyCommand{Command: &pb.PolicyCommand_Abort{Abort: &pb.ChangeStep{ChangeId: open.Id, Reason: reason}}})
 }
 
 func joinNames(all []PendingSender) string {
-	text := ""
-	for i, w := range all[:min(len(all), 10)] {
-		if i > 0 {
-			text += ", "
-		}
-		if w.Name == "" {
-			w.Name = "holders of an earlier leader's leases"
-		}
-		text += w.Name
+	var names []string
+	for _, p := range all[:min(len(all), maxMissingNamed)] {
+		names = append(names, cmp.Or(p.Name, "holders of an earlier leader's leases"))
 	}
-	return text
+	return strings.Join(names, ", ")
 }
--- a/internal/fleetpolicy/diff.go
+++ b/internal/fleetpolicy/diff.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Diff tells in words how two policies differ, a line each, by what they touch.
+// Diff tells operators in words how two policies differ, a line for each difference.
 func Diff(was, is *Policy) []string {
 	var lines []string
 	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
@@ -13,7 +13,7 @@
 		say("a sender that is cut off: %s -> %s", was.describePartition(), is.describePartition())
 	}
 	t := AffectedBySwitch(was, is)
-	// Destinations that change in the same way stand in one line.
+	// Destinations that change in the same way share a line.
 	type change struct{ from, to string }
 	by := map[change][]uint32{}
 	var order []change
@@ -68,7 +68,7 @@
 	return "its own"
 }
 
-// ranges writes sorted numbers in short: 1-3, 7.
+// ranges abbreviates sorted numbers: 1-3, 7.
 func ranges(all []uint32) string {
 	text := ""
 	for i := 0; i < len(all); {
@@ -88,8 +88,8 @@
 	return text
 }
 
-// CountMessages counts those of some messages that a switch touches, by destination, the most first: what operators are told before
-// they propose.
+// CountMessages counts the pending messages that a switch affects, in all and by destination, the most first: operators are told before they
+// propose.
 func (t *Affected) CountMessages(held map[Call]int) (total int, by []MessageCount) {
 	counts := map[uint32]int{}
 	for c, n := range held {
@@ -105,7 +105,7 @@
 	return total, by
 }
 
-// MessageCount is how many messages for a destination are held.
+// MessageCount is how many messages for a destination are pending.
 type MessageCount struct {
 	Destination uint32 `json:"destination"`
 	Messages    int    `json:"messages"`
--- a/internal/fleetpolicy/document.go
+++ b/internal/fleetpolicy/document.go
@@ -1,6 +1,3 @@
-// Package fleetpolicy is what operators change in service for the whole fleet, and how a change takes hold everywhere or
-// nowhere. It is free of I/O and of clocks: the document, what it says of a call, how two versions differ, the state that the
-// fleet agrees on, and what the one who leads does next.
 package fleetpolicy
 
 import (
@@ -13,10 +10,10 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// Document is a policy as operators write it. What it does not name is as the platform has it.
+// Document is a policy as operators write it, in TOML. What it does not name goes as the platform's settings have it.
 type Document struct {
-	// OnPartition is what a sender does that has no lease: "hold" (the default) begins no call; "go-on" goes on under the version
-	// that it had, for GoOnFor at most. The latter gives up that no call is begun under a version that others have left.
+	// OnPartition is what a sender without a lease does: "hold" (the default) begins no call; "go-on" goes on under the version that it had, for
+	// PartitionGrace at most, which gives up that no call is begun under a version that others have left.
 	OnPartition    string        `toml:"cut_off,omitempty"`
 	PartitionGrace tomlfile.Span `toml:"go_on_for,omitempty"`
 
@@ -31,32 +28,32 @@
 // Route says where the messages for some destinations go.
 type Route struct {
 	Destinations []uint32 `toml:"destinations"`
-	// State is "closed": nowhere, they are handed back; "moved": to another destination; "apart": as of another kind of the
-	// settings, one whose endpoints are routes apart, say, each with its own limit, pace and outages.
+	// State is "closed": they are returned to their senders; "moved": they go to another destination; "apart": the settings of another kind
+	// apply, such as one whose endpoints are separate routes, each with its own limit, rate and outages.
 	State string  `toml:"state"`
 	To    *uint32 `toml:"to,omitempty"`   // of moved
 	Kind  string  `toml:"kind,omitempty"` // of apart
 	Why   string  `toml:"why,omitempty"`
 }
 
-// Tenant is one whose messages are not sent.
+// Tenant is a tenant whose messages are not sent.
 type Tenant struct {
 	Name  string `toml:"name"`
 	State string `toml:"state"` // "suspended"
 	Why   string `toml:"why,omitempty"`
 }
 
-// Class bounds a class of message.
+// Class bounds the messages of a class.
 type Class struct {
 	Name        string        `toml:"name"`
-	MaxDeadline tomlfile.Span `toml:"deadline_most"` // a message is given up no later than this after it was handed in
+	MaxDeadline tomlfile.Span `toml:"deadline_most"` // a message is given up no later than this after its submission
 }
 
-// Bounds of a document. A larger one would not fit a step of the log.
+// Bounds of a document. A larger one would not fit a command of the log.
 const (
 	maxDocumentBytes  = 1 << 20 // bytes
-	maxDestinations   = 100_000 // named, in all
-	maxTextBytes      = 500     // bytes of a reason
+	maxDestinations   = 100_000 // named in all
+	maxTextBytes      = 500     // of a name or a reason
 	maxPartitionGrace = 24 * time.Hour
 )
 
--- a/internal/fleetpolicy/health_rules.go
+++ b/internal/fleetpolicy/health_rules.go
@@ -11,17 +11,16 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// HealthRule has the fleet hold together of some destinations that they are out, or come back cold, and go there accordingly. Without it each
-// sender finds out by itself.
+// HealthRule is a table that has the fleet decide the health of destinations together. Without it each sender decides by itself.
 type HealthRule struct {
 	Destinations  []uint32      `toml:"destinations"`
-	Quorum        int           `toml:"agree,omitempty"`    // senders that have to hold it to be out; default 2. One alone counts after 2 s
-	ProbeInterval tomlfile.Span `toml:"probe,omitempty"`    // while it is out one call of all senders goes there so often; default 500ms
-	InitialRate   int64         `toml:"cold"`               // calls a second of all senders as it comes back
-	FullRate      int64         `toml:"warm"`               // which grow to so many
+	Quorum        int           `toml:"agree,omitempty"`    // senders that have to report it out; default 2. One alone counts after 2 s
+	ProbeInterval tomlfile.Span `toml:"probe,omitempty"`    // while it is ejected one call of all senders goes there in each; default 500ms
+	InitialRate   int64         `toml:"cold"`               // calls per second of all senders as it comes back
+	FullRate      int64         `toml:"warm"`               // which grow to this
 	SlowStart     tomlfile.Span `toml:"warm_for,omitempty"` // in this time; default 14s
-	TTL           tomlfile.Span `toml:"lasts,omitempty"`    // a verdict that is not said again is over; default 15s
-	TransitJitter tomlfile.Span `toml:"transit,omitempty"`  // by so much may the ways of two calls differ; default 20ms
+	TTL           tomlfile.Span `toml:"lasts,omitempty"`    // after which a status that is not renewed expires; default 15s
+	TransitJitter tomlfile.Span `toml:"transit,omitempty"`  // by which the transit of two calls may differ; default 20ms
 }
 
 const (
@@ -30,7 +29,7 @@
 	defaultProbeInterval = 500 * time.Millisecond
 	defaultSlowStart     = 14 * time.Second
 	defaultTTL           = 15 * time.Second
-	minTTL               = 3 * time.Second // it is said again three times in it
+	minTTL               = 3 * time.Second // it is renewed three times in it
 	minProbeInterval     = 50 * time.Millisecond
 	maxSlowStart         = time.Hour
 )
@@ -70,16 +69,16 @@
 	return rules, nil
 }
 
-// HealthRule is how verdicts on a destination are found; ok is false if each sender finds out by itself.
+// HealthRule is the rule of a destination; ok is false if there is none, and each sender decides its health by itself.
 func (p *Policy) HealthRule(destination uint32) (r health.Rule, ok bool) {
 	r, ok = p.healthRules[destination]
 	return r, ok
 }
 
-// HasHealthRules reports whether the fleet holds anything together of any destination.
+// HasHealthRules reports whether any destination has a health rule.
 func (p *Policy) HasHealthRules() bool { return len(p.healthRules) > 0 }
 
-// diffHealthRules tells how the rules of two policies differ.
+// diffHealthRules is the part of Diff on health rules.
 func diffHealthRules(was, is *Policy) (lines []string) {
 	changed := map[uint32]struct{}{}
 	addDifferences(changed, was.healthRules, is.healthRules)
--- a/internal/fleetpolicy/limit_edit.go
+++ b/internal/fleetpolicy/limit_edit.go
@@ -9,8 +9,8 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// WithLimit is a document with another limit of a destination by itself, in place of those of the same sort, or without any. Comments of
-// the document are lost.
+// WithLimit is a document in which a limit replaces those of the same kind of a destination by itself; if remove is set, it has none. Comments of the
+// document are lost.
 func WithLimit(raw []byte, destination uint32, l Limit, none bool) ([]byte, error) {
 	d := &Document{}
 	if err := tomlfile.Decode("the version in force", raw, d); err != nil {
--- a/internal/fleetpolicy/limit_index.go
+++ b/internal/fleetpolicy/limit_index.go
@@ -25,7 +25,7 @@
 	return true
 }
 
-// Usages are the units that a call takes of each limit that it is under. Of one that is not about to be written, and goes to no
+// Usages are the units that a call uses of each limit that applies to it. Of one that is not about to be written, and goes to no
 // endpoint yet, those of endpoints are missing.
 func (p *Policy) Usages(c Call) (uses []quota.Usage) {
 	for _, is := range p.limits.shapes {
--- a/internal/fleetpolicy/limit_text.go
+++ b/internal/fleetpolicy/limit_text.go
@@ -8,7 +8,7 @@
 	"saffronyard.example/saffronyard/internal/quota"
 )
 
-// DescribeLimit tells a limit in words.
+// DescribeLimit is a limit in words for operators.
 func DescribeLimit(l quota.Limit) string {
 	text := ""
 	switch l.Kind {
@@ -33,7 +33,7 @@
 	return text
 }
 
-// diffLimits tells how the limits of two policies differ.
+// diffLimits is the part of Diff on limits.
 func diffLimits(was, is *Policy) (lines []string) {
 	by := func(p *Policy) map[string]quota.Limit {
 		m := map[string]quota.Limit{}
--- a/internal/fleetpolicy/limits.go
+++ b/internal/fleetpolicy/limits.go
@@ -11,7 +11,7 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// Limit is what all senders together do no more of. It is one of calls, bytes, at_once and a_day, for each of the destinations or endpoints
+// Limit is a table that bounds what all senders do together: one of calls, bytes, at_once and a_day, for each of the destinations or endpoints
 // named, each of the tenants, each of the classes, or each pair of two of these.
 type Limit struct {
 	Destinations []uint32 `toml:"destinations,omitempty"`
@@ -21,24 +21,24 @@
 
 	Calls      float64 `toml:"calls,omitempty"`   // begun in any span
 	Bytes      int64   `toml:"bytes,omitempty"`   // of the messages of those
-	Concurrent int64   `toml:"at_once,omitempty"` // calls that are out
-	Daily      int64   `toml:"a_day,omitempty"`   // calls begun in a day, as the calendars of those in charge have it (UTC); it outlasts every process
+	Concurrent int64   `toml:"at_once,omitempty"` // calls in flight
+	Daily      int64   `toml:"a_day,omitempty"`   // calls begun in a day (UTC), by the calendars of the limit's owners; it outlasts every process
 
 	Span          tomlfile.Span `toml:"span,omitempty"`    // of calls and bytes; default 1s
-	TransitJitter tomlfile.Span `toml:"transit,omitempty"` // by so much may the ways of two calls differ; default 20ms
+	TransitJitter tomlfile.Span `toml:"transit,omitempty"` // by which the transit of two calls may differ; default 20ms
 	MaxCallTime   tomlfile.Span `toml:"lasts,omitempty"`   // of at_once: no call lasts longer; needed there
 
-	PartitionExtra int64 `toml:"over,omitempty"`      // each sender that is cut off may go so much beyond; default 0
-	Reserve        int64 `toml:"floor,omitempty"`     // each of the first floor_for members keeps so much for itself, also cut off
+	PartitionExtra int64 `toml:"over,omitempty"`      // units that each sender without a lease may use beyond what it holds; default 0
+	Reserve        int64 `toml:"floor,omitempty"`     // units that each of the first floor_for members always has, without a lease too
 	ReserveCount   int64 `toml:"floor_for,omitempty"` // goes with floor
-	Adaptive       bool  `toml:"learn,omitempty"`     // of calls: what the receiver tells counts where it is lower
+	Adaptive       bool  `toml:"learn,omitempty"`     // of calls: a lower limit that the receiver reports counts
 }
 
 const (
 	maxUnits         = 1 << 40
 	maxSpan          = 24 * time.Hour
 	maxTransitJitter = 10 * time.Second
-	maxLimits        = 20_000 // that tables come to
+	maxLimits        = 20_000 // that the tables of a document come to
 
 	defaultSpan          = time.Second
 	defaultTransitJitter = 20 * time.Millisecond
@@ -85,7 +85,7 @@
 			return q, invalid("calls = %v: up to %d in the span, and one in %v at least", l.Calls, maxUnits, maxSpan)
 		}
 		q.Kind, q.Units = quota.Calls, int64(l.Calls)
-		if l.Calls < 1 { // fewer than one: one in a longer span
+		if l.Calls < 1 { // fewer than one is one in a longer span
 			q.Units, q.Span = 1, time.Duration(float64(q.Span)/l.Calls)
 		}
 	}
--- a/internal/fleetpolicy/policy.go
+++ b/internal/fleetpolicy/policy.go
@@ -7,7 +7,7 @@
 	"saffronyard.example/saffronyard/internal/health"
 )
 
-// Policy is a document that was checked, as calls are judged by it.
+// Policy is a checked document, in the form that calls are judged by. It is immutable.
 type Policy struct {
 	document    *Document
 	routes      map[uint32]routeRule
@@ -17,33 +17,34 @@
 	healthRules map[uint32]health.Rule
 }
 
+// routeRule is what a route says of a destination.
 type routeRule struct {
 	closed bool
-	kind   string // of one that is apart
-	to     uint32 // of one that is moved
+	kind   string // whose settings apply; "": its own
+	to     uint32 // if it is neither closed nor has a kind: where its messages move
 }
 
-// Empty is the policy before the first document: all goes as the platform has it.
+// Empty is the policy before the first document: all calls go as the platform's settings have it.
 func Empty() *Policy { return &Policy{document: &Document{OnPartition: partitionHold}} }
 
-// Call is what a policy judges: a message and where it goes.
+// Call is what a policy judges: a message and its destination.
 type Call struct {
 	Destination uint32
 	Tenant      string
 
-	// What limits go by besides; empty where no call is about to be written.
+	// What else limits apply to; empty where no call is about to be written.
 	Endpoint string
 	Class    string
 	Bytes    int64
 }
 
-// IsOpen reports whether calls for a destination are begun at all.
+// IsOpen reports whether the policy lets calls to a destination be begun at all.
 func (p *Policy) IsOpen(destination uint32) bool {
 	r, ruled := p.routes[destination]
 	return !ruled || r.kind != ""
 }
 
-// Kind is the kind of a destination that is listed as of another.
+// Kind is the kind whose settings apply to a destination that is listed under the given one.
 func (p *Policy) Kind(destination uint32, listed string) string {
 	if r, ruled := p.routes[destination]; ruled && r.kind != "" {
 		return r.kind
@@ -51,7 +52,7 @@
 	return listed
 }
 
-// Allows reports whether a call is begun; why is for who is told.
+// Allows reports whether a call may be begun; if not, why tells the reason in words for operators.
 func (p *Policy) Allows(c Call) (ok bool, why string) {
 	if r, ruled := p.routes[c.Destination]; ruled && r.kind == "" {
 		if r.closed {
@@ -65,7 +66,7 @@
 	return true, ""
 }
 
-// MovedTo is where a message for a destination goes that is handed in now.
+// MovedTo is the destination to which a message that is submitted now goes.
 func (p *Policy) MovedTo(destination uint32) uint32 {
 	if r, ruled := p.routes[destination]; ruled && !r.closed && r.kind == "" {
 		return r.to
@@ -73,10 +74,10 @@
 	return destination
 }
 
-// MaxDeadline is the bound of a class; 0 if it has none.
+// MaxDeadline bounds the deadline of a class's messages, from their submission; 0: it does not.
 func (p *Policy) MaxDeadline(class string) time.Duration { return p.classes[class] }
 
-// PartitionGrace is for how long a sender without a lease goes on; 0: it holds.
+// PartitionGrace is for how long a sender without a lease goes on beginning calls; 0: it stops at once.
 func (p *Policy) PartitionGrace() time.Duration {
 	if p.document.OnPartition == partitionContinue {
 		return p.document.PartitionGrace.D()
--- a/internal/fleetpolicy/subject.go
+++ b/internal/fleetpolicy/subject.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// subject is what one limit is of; what is empty is not looked at.
+// subject is what one limit applies to: the fields that its shape names.
 type subject struct {
 	destination uint32
 	shape       shape
@@ -14,7 +14,7 @@
 	class       string
 }
 
-// shape is which parts of a subject are named.
+// shape is the set of a subject's fields that are named.
 type shape uint8
 
 const (
@@ -24,7 +24,7 @@
 	byClass
 )
 
-// String is the subject as operators read it.
+// String is the subject as operators read it; limits' keys begin with it.
 func (s subject) String() string {
 	var parts []string
 	if s.shape&byDestination != 0 {
@@ -42,7 +42,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// subjectOf is what of a call a shape looks at.
+// subjectOf is the subject of a shape that a call falls under.
 func (c Call) subjectOf(is shape) subject {
 	s := subject{shape: is}
 	if is&byDestination != 0 {
@@ -60,7 +60,7 @@
 	return s
 }
 
-// subjects are what a table is of, one for each limit.
+// subjects are the subjects of a table, one for each limit.
 func (l Limit) subjects() (all []subject, err error) {
 	dims := 0
 	for _, n := range []int{len(l.Destinations), len(l.Endpoints), len(l.Tenants), len(l.Classes)} {
--- a/internal/fleetpolicy/view.go
+++ b/internal/fleetpolicy/view.go
@@ -12,26 +12,26 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// View is what a sender goes by at one index of the log. It does not change.
+// View is what a sender goes by at one index of the log. It is immutable once published.
 type View struct {
 	Index      uint64
 	Version    uint64
 	Policy     *Policy
-	OpenChange uint64    // open; 0: none
-	Suspended  *Affected // what that holds up; nil: nothing
-	Unfit      error     // the policy can't be followed here: nothing is begun
+	OpenChange uint64    // id of the open change; 0: none
+	Suspended  *Affected // calls that the open change suspends; nil: none
+	Unfit      error     // why the policy can't be followed here, so that no call is begun; nil: it can
 
-	Membership *pb.MembershipState // who takes part in what is shared out by name
-	Health     *pb.HealthState     // that stand here
-	Rank       int                 // of this sender among those that have joined; -1: it has not
+	Membership *pb.MembershipState // who owns what
+	Health     *pb.HealthState     // statuses that have not expired here
+	Rank       int                 // of this sender among members, by join; -1: it is none
 }
 
-// Ownership says who is in charge of what is shared out by name.
+// Ownership is the active membership's.
 func (v *View) Ownership() *coordinator.Ownership {
 	return coordinator.NewOwnership(v.Membership.GetParticipants())
 }
 
-// Allows reports whether a call is begun under the view; why is for who is told.
+// Allows reports whether a call may be begun under the view; if not, why tells the reason in words for operators.
 func (v *View) Allows(c Call) (ok bool, why string) {
 	if v.Unfit != nil {
 		return false, "the fleet's policy can't be followed here"
@@ -45,7 +45,7 @@
 	return v.Policy.Allows(c)
 }
 
-// HealthStatuses are those that stand; none of a view that is not known yet.
+// HealthStatuses are the statuses that have not expired; none of a nil view.
 func (v *View) HealthStatuses() []*pb.HealthStatus {
 	if v == nil {
 		return nil
@@ -53,13 +53,13 @@
 	return v.Health.GetStatuses()
 }
 
-// IsOpen reports whether calls for a destination are begun at all, as long as nothing changes.
+// IsOpen reports whether calls to a destination may be begun at all: neither the policy nor an operator has stopped them.
 func (v *View) IsOpen(destination uint32) bool {
 	return v.Policy.IsOpen(destination) && health.StatusOf(v.Health, destination, true) == nil
 }
 
-// healthLimit is the limit that a verdict puts on its destination: one call of the whole fleet now and then while it is out, and few that
-// become more as it comes back.
+// healthLimit is the limit that a status puts on its destination: one probe of the whole fleet per interval while it is ejected, and the slow start
+// as it comes back. ok is false if there is no status, or no rule.
 func (v *View) healthLimit(destination uint32) (l quota.Limit, ok bool) {
 	is := health.StatusOf(v.Health, destination, false)
 	r, ruled := v.Policy.HealthRule(destination)
@@ -73,7 +73,7 @@
 	return l, true
 }
 
-// Limits are those of the policy and of verdicts, by key.
+// Limits are the limits of the policy and of health statuses, by key.
 func (v *View) Limits() []quota.Limit {
 	all := v.Policy.Limits()
 	for _, is := range v.Health.GetStatuses() {
@@ -85,7 +85,7 @@
 	return all
 }
 
-// Usages are the units that a call takes of each limit that it is under.
+// Usages are the units that a call uses of each limit that applies to it.
 func (v *View) Usages(c Call) []quota.Usage {
 	uses := v.Policy.Usages(c)
 	if len(v.Health.GetStatuses()) > 0 {
@@ -96,7 +96,7 @@
 	return uses
 }
 
-// RateLimits are the limits of calls that a destination is under by itself: what its calls are spread by.
+// RateLimits are the limits of calls to a destination by itself, which pace them.
 func (v *View) RateLimits(destination uint32) (all []quota.Limit) {
 	if l, ok := v.Policy.RateLimit(destination); ok {
 		all = append(all, l)
@@ -107,7 +107,7 @@
 	return all
 }
 
-// View is the state as a sender with these settings goes by it.
+// View is the view of a sender with these settings at an index; its Membership, Health and Rank are to be filled in.
 func (m *Machine) View(index uint64, s Settings) *View {
 	v := &View{Index: index, Version: m.state.Version, Policy: m.policy, Unfit: m.policy.CheckSettings(s)}
 	if o := m.state.OpenChange; o != nil {
