--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -4,24 +4,25 @@
 	"saffronyard.example/saffronyard/internal/fleetpolicy"
 )
 
-// Admit asks at the moment of writing whether a call may be begun, and takes what it uses of limits. left is to be called when it is
-// written, or will not be; over, if it is not nil, when it has ended, with whether it was written.
-func (n *Node) Admit(c fleetpolicy.Call) (left func(), over func(written bool), why string) {
-	left, why = n.gate.Admit(c)
+// Admit asks, at the moment of writing, whether a call may be begun, and takes the units that it uses of limits. If it may, written is to be called
+// as soon as it is written, or will not be; finished, if it is not nil, when it has ended, with whether it was written. If it may not, why
+// tells the reason in words for operators.
+func (n *Node) Admit(c fleetpolicy.Call) (written func(), finished func(wasWritten bool), why string) {
+	written, why = n.gate.Admit(c)
 	if why != "" {
 		return nil, nil, why
 	}
 	v := n.gate.current()
 	uses := v.Usages(c)
 	if len(uses) == 0 {
-		return left, nil, ""
+		return written, nil, ""
 	}
-	if ok, lacks := n.quotas.allowances.Take(uses, n.cfg.Now()); !ok {
-		left()
-		return nil, nil, "no unit of the fleet's limit is here: " + lacks
+	if ok, exhausted := n.quotas.allowances.Take(uses, n.cfg.Now()); !ok {
+		written()
+		return nil, nil, "no unit of the fleet's limit is here: " + exhausted
 	}
-	return left, func(written bool) {
-		if written {
+	return written, func(wasWritten bool) {
+		if wasWritten {
 			n.quotas.allowances.Release(uses, n.cfg.Now())
 		} else {
 			n.quotas.allowances.Undo(uses, n.cfg.Now())
@@ -29,7 +30,7 @@
 	}, ""
 }
 
-// AddBacklog notes that so many messages more, or fewer, wait to be sent that are under a policy's limits.
+// AddBacklog changes the number of messages that wait to be sent as the given call, by a number that may be negative.
 func (n *Node) AddBacklog(c fleetpolicy.Call, messages int64) {
 	v := n.gate.current()
 	if v == nil {
@@ -40,7 +41,7 @@
 	}
 }
 
-// SetBacklog puts what waits in place of all that was noted.
+// SetBacklog replaces the numbers of waiting messages.
 func (n *Node) SetBacklog(waiting map[fleetpolicy.Call]int64) {
 	v := n.gate.current()
 	if v == nil {
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"time"
 
@@ -13,10 +12,8 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// ErrRejected is that the fleet turned a command away: it changed nothing.
-var ErrRejected = errors.New("refused")
-
-// Propose hands a change of the policy in. Its number is told once the log has it; how it ends Ended tells.
+// Propose proposes a change of the policy, and returns its id once the log has it; see FinishedChange for how it ends. The error wraps ErrRejected
+// if the fleet rejected it.
 func (n *Node) Propose(ctx context.Context, p *pb.ProposePolicy) (change uint64, err error) {
 	if _, err := fleetpolicy.Parse("document", p.Document); err != nil {
 		return 0, err
@@ -24,19 +21,19 @@
 	return n.submitOperator(ctx, replicatedlog.KindPolicy, &pb.PolicyCommand{Command: &pb.PolicyCommand_Propose{Propose: p}})
 }
 
-// Abort ends the open change, if it has not taken hold.
+// Abort ends the open change, if it is not committed yet.
 func (n *Node) Abort(ctx context.Context, change uint64, why string) error {
 	_, err := n.submitOperator(ctx, replicatedlog.KindPolicy, &pb.PolicyCommand{Command: &pb.PolicyCommand_Abort{Abort: &pb.ChangeStep{ChangeId: change, Reason: why}}})
 	return err
 }
 
-// Leave declares a sender gone for good.
+// Leave removes a member for good.
 func (n *Node) Leave(ctx context.Context, l *pb.Leave) error {
 	_, err := n.submitOperator(ctx, replicatedlog.KindLeave, l)
 	return err
 }
 
-// ChangeVoters adds and removes voters, all at once.
+// ChangeVoters adds and removes voters in one step.
 func (n *Node) ChangeVoters(ctx context.Context, v *pb.VoterChange) error {
 	for _, a := range v.Add {
 		a.Id = replicatedlog.VoterID(a.Name)
@@ -56,8 +53,8 @@
 	return r.Index, nil
 }
 
-// FinishedChange reports whether a change is over, as far as this sender knows, and how.
-func (n *Node) FinishedChange(change uint64) (past *pb.FinishedChange, over bool) {
+// FinishedChange is how a change ended; ok is false while it has not, as far as this sender knows.
+func (n *Node) FinishedChange(change uint64) (finished *pb.FinishedChange, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.replicaReport.policy.GetHistory() {
@@ -68,8 +65,7 @@
 	return nil, false
 }
 
-// WaitCurrent waits until this sender's copy has come to where the log was when it was asked, as a majority confirms: what is read then is
-// no older than the question.
+// WaitCurrent waits until this sender's replica has come to where the log was at the call, as a majority confirms: a linearizable read.
 func (n *Node) WaitCurrent(ctx context.Context) error {
 	var need uint64
 	if err := n.callAnyVoter(ctx, func(ctx context.Context, client pb.FleetClient) error {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,14 +1,13 @@
 package fleet
 
 import (
-	"fmt"
 	"time"
 
 	"saffronyard.example/saffronyard/internal/lease"
 	"saffronyard.example/saffronyard/internal/peers"
 )
 
-// Bounds of the terms.
+// Bounds of a configuration.
 const (
 	DefaultLeaseDuration = 3 * time.Second
 	MinLeaseDuration     = 500 * time.Millisecond
@@ -17,56 +16,56 @@
 	maxNameBytes         = 128
 )
 
-// Check says what is wrong with a configuration.
+// Check checks a configuration, defaults applied. The error is a *ConfigError.
 func (c *Config) Check() error {
 	if c.Name == "" || len(c.Name) > maxNameBytes {
-		return fmt.Errorf("fleet: name %q is empty or over %d bytes", c.Name, maxNameBytes)
+		return invalidConfig("name %q is empty or over %d bytes", c.Name, maxNameBytes)
 	}
 	if c.Cluster == "" || len(c.Cluster) > maxNameBytes {
-		return fmt.Errorf("fleet: cluster %q is empty or over %d bytes", c.Cluster, maxNameBytes)
+		return invalidConfig("cluster %q is empty or over %d bytes", c.Cluster, maxNameBytes)
 	}
 	if err := loopback(c.Listen); err != nil {
-		return fmt.Errorf("fleet: listen = %q: %w", c.Listen, err)
+		return invalidConfig("listen = %q: %w", c.Listen, err)
 	}
 	if c.LeaseTerms.Duration < MinLeaseDuration || c.LeaseTerms.Duration > MaxLeaseDuration {
-		return fmt.Errorf("fleet: lease = %v is not from %v to %v", c.LeaseTerms.Duration, MinLeaseDuration, MaxLeaseDuration)
+		return invalidConfig("lease = %v is not from %v to %v", c.LeaseTerms.Duration, MinLeaseDuration, MaxLeaseDuration)
 	}
 	if c.LeaseTerms.MaxDrift < 0 || c.LeaseTerms.MaxDrift > 0.2 {
-		return fmt.Errorf("fleet: drift %v is not from 0 to 0.2", c.LeaseTerms.MaxDrift)
+		return invalidConfig("drift %v is not from 0 to 0.2", c.LeaseTerms.MaxDrift)
 	}
 	if len(c.Voters) == 0 || len(c.Voters) > maxVoters {
-		return fmt.Errorf("fleet: %d voters; from 1 to %d are possible", len(c.Voters), maxVoters)
+		return invalidConfig("%d voters; from 1 to %d are possible", len(c.Voters), maxVoters)
 	}
 	if least := c.minQuotaDuration(); c.QuotaDuration != 0 && (c.QuotaDuration < least || c.QuotaDuration > MaxQuotaDuration) {
-		return fmt.Errorf("fleet: lend = %v is not from %v, which a lease that lapses and a roster take, to %v", c.QuotaDuration, least, MaxQuotaDuration)
+		return invalidConfig("lend = %v is not from %v, which a lease that lapses and a roster take, to %v", c.QuotaDuration, least, MaxQuotaDuration)
 	}
 	if _, err := peers.NewRouteTable(c.Reach); err != nil {
-		return fmt.Errorf("fleet: %w", err)
+		return invalidConfig("%w", err)
 	}
 	seen := map[string]bool{}
 	for i, v := range c.Voters {
 		if v.Name == "" || len(v.Name) > maxNameBytes || seen[v.Name] {
-			return fmt.Errorf("fleet: voter %d: name %q is empty, too long or there twice", i+1, v.Name)
+			return invalidConfig("voter %d: name %q is empty, too long or there twice", i+1, v.Name)
 		}
 		seen[v.Name] = true
 		if err := loopback(v.Address); err != nil {
-			return fmt.Errorf("fleet: voter %s: address = %q: %w", v.Name, v.Address, err)
+			return invalidConfig("voter %s: address = %q: %w", v.Name, v.Address, err)
 		}
 	}
 	return nil
 }
 
-// MaxQuotaDuration is how long units of a limit are lent for at the most.
+// MaxQuotaDuration bounds how long units of a limit are granted for.
 const MaxQuotaDuration = 10 * time.Minute
 
-// minQuotaDuration is how long the death of an authority lasts: its lease lapses, and a roster without it begins. Holders would be without
-// units meanwhile.
+// minQuotaDuration is how long a limit has no owner after one died: until its lease has expired and a membership without it is active. Clients
+// would be without units meanwhile.
 func (c *Config) minQuotaDuration() time.Duration {
 	return c.LeaseTerms.GranterDuration() + 300*time.Millisecond
 }
 
-// quotaDrift is the drift that limits allow: it costs them twice as much of each span. The fleet is tested at it; where clocks are
-// known to be worse, the lease's holds.
+// quotaDrift is the clock drift that limits allow for: it costs them twice that fraction of each span. The fleet is tested at it; where clocks
+// are known to be worse, the lease's counts.
 func (c *Config) quotaDrift() float64 {
 	if c.LeaseTerms.MaxDrift > lease.DefaultDrift {
 		return c.LeaseTerms.MaxDrift
@@ -74,7 +73,7 @@
 	return min(c.LeaseTerms.MaxDrift, lease.DefaultDrift/2)
 }
 
-// quotaDuration is how long units are lent for: half as long again as a lease, and some questions.
+// quotaDuration is how long units are granted for: half as long again as a lease, and some requests.
 func (c *Config) quotaDuration() time.Duration {
 	if c.QuotaDuration > 0 {
 		return c.QuotaDuration
@@ -84,7 +83,7 @@
 
 func loopback(addr string) error { return peers.CheckLoopback(addr) }
 
-// ApplyDefaults fills in what is not stated.
+// ApplyDefaults sets what is not configured.
 func (c *Config) ApplyDefaults() {
 	if c.LeaseTerms.Duration == 0 {
 		c.LeaseTerms.Duration = DefaultLeaseDuration
--- a/internal/fleet/connections.go
+++ b/internal/fleet/connections.go
@@ -18,7 +18,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// connections are the connections to other voters, by address.
+// connections are the gRPC connections to other senders, by address. It is safe for concurrent use.
 type connections struct {
 	keys  *keyring
 	mu    sync.Mutex
@@ -56,13 +56,13 @@
 	}
 }
 
-// sendLoop keeps a stream to a voter and passes messages on.
+// sendLoop keeps a stream to a voter and sends the messages of its outbox, until ctx ends.
 func (n *Node) sendLoop(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) {
 	for ctx.Err() == nil {
 		err := n.sendStream(ctx, name, ring)
 		if ctx.Err() == nil && n.voter != nil {
 			n.voter.Inbox.Offer(replicatedlog.PeerUnreachable{VoterID: replicatedlog.VoterID(name)})
-			n.log.Debug("fleet: a voter can't be reached", "voter", name, "err", err)
+			n.log.Debug("fleet: a voter is unreachable", "voter", name, "err", err)
 		}
 		select {
 		case <-time.After(heartbeatInterval / 2):
@@ -74,7 +74,7 @@
 func (n *Node) sendStream(ctx context.Context, name string, ring *worker.RingBuffer[*raftpb.Message]) error {
 	address := n.address(name)
 	if address == "" {
-		return fmt.Errorf("no address of %s is known", name)
+		return &NoAddressError{Name: name}
 	}
 	client, err := n.conns.client(address)
 	if err != nil {
--- /dev/null
+++ b/internal/fleet/errors.go
@@ -0,0 +1,77 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+)
+
+var (
+	// ErrRejected is that the fleet rejected a command: it changed nothing.
+	ErrRejected = errors.New("refused")
+	// ErrNewerFormat is that a file was written by a newer program. It is left as it is.
+	ErrNewerFormat = errors.New("it was written by a newer program")
+	// ErrNoVoterKnown is that no voter's address is known.
+	ErrNoVoterKnown = errors.New("no voter is known")
+	// ErrStopping is that the node stops.
+	ErrStopping = errors.New("this sender is leaving")
+)
+
+// ConfigError is what is wrong with a configuration.
+type ConfigError struct {
+	Problem string
+	Err     error // the cause, if another error tells it
+}
+
+func (e *ConfigError) Error() string { return "fleet: " + e.Problem }
+
+// Unwrap gives the cause.
+func (e *ConfigError) Unwrap() error { return e.Err }
+
+func invalidConfig(format string, args ...any) error {
+	err := fmt.Errorf(format, args...)
+	return &ConfigError{Problem: err.Error(), Err: errors.Unwrap(err)}
+}
+
+// ParameterError is what is wrong with a parameter of an operator's request.
+type ParameterError struct {
+	Problem string
+	Err     error // the cause, if another error tells it
+}
+
+func (e *ParameterError) Error() string { return e.Problem }
+
+// Unwrap gives the cause.
+func (e *ParameterError) Unwrap() error { return e.Err }
+
+func invalidParameter(format string, args ...any) error {
+	err := fmt.Errorf(format, args...)
+	return &ParameterError{Problem: err.Error(), Err: errors.Unwrap(err)}
+}
+
+// NoAddressError is that no address of a voter is known.
+type NoAddressError struct{ Name string }
+
+func (e *NoAddressError) Error() string { return fmt.Sprintf("no address of %s is known", e.Name) }
+
+// ForeignFileError is that a voter's file belongs to another cluster or sender.
+type ForeignFileError struct {
+	What      string // "cluster" or "name"
+	Got, Want string
+}
+
+func (e *ForeignFileError) Error() string {
+	return fmt.Sprintf("it is the file of %s %q, not of %q", e.What, e.Got, e.Want)
+}
+
+// MissingEntryError is that a voter's file lacks an entry, or has one that can't be decoded.
+type MissingEntryError struct {
+	Index uint64
+	Err   error // the decoder's; nil: it is missing
+}
+
+func (e *MissingEntryError) Error() string {
+	return fmt.Sprintf("entry %d can't be read, or is missing: %v", e.Index, e.Err)
+}
+
+// Unwrap gives the decoder's error.
+func (e *MissingEntryError) Unwrap() error { return e.Err }
--- a/internal/fleet/gate.go
+++ b/internal/fleet/gate.go
@@ -1,5 +1,3 @@
-// Package fleet is a sender's part in what the fleet agrees on: the voters' log on the disk, what senders say to each other, the
-// duties in which all that runs, and the gate that each call passes before its first byte.
 package fleet
 
 import (
@@ -9,36 +7,37 @@
 	"saffronyard.example/saffronyard/internal/fleetpolicy"
 )
 
-// Gate is what calls pass before they are written, from any goroutine, without a lock. A call that has passed is inside until it
-// says that it is written: a view is not left behind while one that it let through waits.
+// Gate is what each call passes before it is written. It is safe for concurrent use and takes no lock. A call that was admitted is counted until
+// the caller says that it is written, so that a view is not left while a call that it admitted still waits to be written.
 type Gate struct {
 	now        func() time.Duration
-	coarseNow  func() time.Duration // as now, cheaper, and behind it by how long the machine slept since the last lease
-	leaseUntil atomic.Int64         // of the lease; counted with now
+	coarseNow  func() time.Duration // as now, cheaper; it lacks what the machine was suspended since it was last set
+	leaseUntil atomic.Int64         // end of the lease, by now
 	generation atomic.Pointer[generation]
 }
 
-// generation is those that were let through under a view.
+// generation counts the calls that were admitted under views that are the same to each call.
 type generation struct {
-	view        atomic.Pointer[fleetpolicy.View] // its index moves on while it stays the same to each call
+	view        atomic.Pointer[fleetpolicy.View] // its index moves on
 	admitted    atomic.Int64
-	releaseFunc func()        // left, made once
-	drained     chan struct{} // holds a word when it may be empty
+	releaseFunc func()        // release, made once
+	drained     chan struct{} // holds a token when admitted may have come to 0
 	closing     atomic.Bool
 }
 
-// NewGate makes a gate that lets nothing through yet.
+// NewGate makes a gate that admits no call yet. now is the clock that leases are counted by.
 func NewGate(now func() time.Duration) *Gate { return &Gate{now: now, coarseNow: now} }
 
-// Admit asks whether a call may be written now; leave is to be called when it is, and why says what stands against it.
-func (g *Gate) Admit(c fleetpolicy.Call) (leave func(), why string) {
+// Admit asks whether a call may be written now. If it may, release is to be called when it is written; if not, why tells the reason in words for
+// operators.
+func (g *Gate) Admit(c fleetpolicy.Call) (release func(), why string) {
 	for {
 		r := g.generation.Load()
 		if r == nil {
 			return nil, "the fleet's policy is not known yet"
 		}
 		r.admitted.Add(1)
-		if g.generation.Load() != r { // replaced meanwhile: nobody may have seen us inside
+		if g.generation.Load() != r { // replaced meanwhile: the count may have been read as 0 before
 			r.release()
 			continue
 		}
@@ -55,7 +54,7 @@
 	}
 }
 
-// current is what calls go by, whether or not any are begun; nil while nothing is known. It asks no clock.
+// current is the view that calls go by, whether or not any may be begun; nil while nothing is known. It reads no clock.
 func (g *Gate) current() *fleetpolicy.View {
 	if r := g.generation.Load(); r != nil {
 		return r.view.Load()
@@ -63,7 +62,7 @@
 	return nil
 }
 
-// acts reports whether the lease lasts, at this very moment; or whether the policy has senders go on without one.
+// acts reports whether the lease, and the grace that the policy gives after it, lasts at a time.
 func (g *Gate) acts(v *fleetpolicy.View, now time.Duration) bool {
 	until := time.Duration(g.leaseUntil.Load())
 	return until > 0 && now < until+v.Policy.PartitionGrace()
@@ -78,7 +77,7 @@
 	}
 }
 
-// View is what calls go by, and whether they are begun at all, by the rough clock: what is taken on by it is asked again by Enter.
+// View is the view that calls go by, and whether any may be begun at all, by the coarse clock: Admit asks again by the exact one.
 func (g *Gate) View() (v *fleetpolicy.View, acts bool) {
 	r := g.generation.Load()
 	if r == nil {
@@ -88,9 +87,9 @@
 	return v, v.Unfit == nil && g.acts(v, g.coarseNow())
 }
 
-// publish is what calls go by from now on. With drain it returns what waits until those that were let through before are
-// written; that may last until the time-out of a call whose receiver takes nothing.
-func (g *Gate) publish(v *fleetpolicy.View, until time.Duration, drain bool) (drained func()) {
+// publish replaces the view and the lease's end. With drain it returns a function that waits until the calls which were admitted before are
+// written, which may last until the time-out of a call whose receiver takes nothing.
+func (g *Gate) publish(v *fleetpolicy.View, until time.Duration, drain bool) (waitDrained func()) {
 	was := g.generation.Load()
 	if was == nil || drain {
 		r := &generation{drained: make(chan struct{}, 1)}
@@ -100,7 +99,7 @@
 	} else {
 		was.view.Store(v)
 	}
-	g.leaseUntil.Store(int64(until)) // behind the view: a lease may need it
+	g.leaseUntil.Store(int64(until)) // after the view, which the lease may need
 	if was == nil || !drain {
 		return func() {}
 	}
--- a/internal/fleet/handshake.go
+++ b/internal/fleet/handshake.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 
@@ -12,51 +13,20 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// handshake asks all other voters that the folder names, until each has answered; nil if the node stops first.
-func (n *Node) handshake(saved *replicatedlog.StoredLog) map[string]replicatedlog.PeerState {
-	f, heard := saved.Position(), map[string]replicatedlog.PeerState{}
-	conf := saved.ConfState
-	if saved.Snapshot != nil {
-		conf = saved.Snapshot.GetMetadata().GetConfState()
+// handshake calls all other voters that the stored log names, again and again until each has answered; nil if the node stops first.
+func (n *Node) handshake(stored *replicatedlog.StoredLog) map[string]replicatedlog.PeerState {
+	answers := map[string]replicatedlog.PeerState{}
+	conf := stored.ConfState
+	if stored.Snapshot != nil {
+		conf = stored.Snapshot.GetMetadata().GetConfState()
 	}
 	for {
-		missing := ""
-		ids := n.otherVoters(conf)
-		var round sync.WaitGroup
-		var mu sync.Mutex
-		for _, id := range ids {
-			name := n.nameOf(id)
-			mu.Lock()
-			_, done := heard[name]
-			mu.Unlock()
-			if done {
-				continue
-			}
-			round.Add(1)
-			go func() {
-				defer round.Done()
-				ctx, cancel := context.WithTimeout(n.ctx, handshakeTimeout)
-				defer cancel()
-				client, err := n.conns.client(n.address(name))
-				var r *pb.HelloReply
-				if err == nil {
-					r, err = client.Hello(ctx, &pb.HelloRequest{Cluster: n.cfg.Cluster, Name: n.cfg.Name, Incarnation: n.incarnation, VoterId: replicatedlog.VoterID(n.cfg.Name), Term: f.Term, LastIndex: f.LastIndex})
-				}
-				mu.Lock()
-				defer mu.Unlock()
-				if err != nil {
-					missing += " " + name
-					return
-				}
-				heard[name] = replicatedlog.PeerState{Term: r.Term, LastTerm: r.LastTerm, LastIndex: r.LastIndex, MatchIndex: r.MatchIndex}
-			}()
-		}
-		round.Wait()
+		missing := n.handshakeRound(stored.Position(), n.otherVoters(conf), answers)
 		n.mu.Lock()
 		n.missingVoters = missing
 		n.mu.Unlock()
 		if missing == "" {
-			return heard
+			return answers
 		}
 		select {
 		case <-n.ctx.Done():
@@ -66,20 +36,64 @@
 	}
 }
 
-// otherVoters are the other voters: those that the folder names and those that were added since, as far as the copy has come, but
-// for those that were removed.
+// handshakeRound calls the voters that have not answered yet, at once, and adds to answers. missing names those that did not answer, each behind
+// a space.
+func (n *Node) handshakeRound(position replicatedlog.StoredPosition, ids []uint64, answers map[string]replicatedlog.PeerState) (missing string) {
+	var pending []string
+	for _, id := range ids {
+		if name := n.nameOf(id); !hasAnswer(answers, name) {
+			pending = append(pending, name)
+		}
+	}
+	var mu sync.Mutex // guards answers and failed
+	var failed strings.Builder
+	var round sync.WaitGroup
+	for _, name := range pending {
+		round.Go(func() {
+			r, err := n.callHello(name, position)
+			mu.Lock()
+			defer mu.Unlock()
+			if err != nil {
+				failed.WriteString(" " + name)
+				return
+			}
+			answers[name] = replicatedlog.PeerState{Term: r.Term, LastTerm: r.LastTerm, LastIndex: r.LastIndex, MatchIndex: r.MatchIndex}
+		})
+	}
+	round.Wait()
+	return failed.String()
+}
+
+func hasAnswer(answers map[string]replicatedlog.PeerState, name string) bool {
+	_, ok := answers[name]
+	return ok
+}
+
+func (n *Node) callHello(name string, position replicatedlog.StoredPosition) (*pb.HelloReply, error) {
+	ctx, cancel := context.WithTimeout(n.ctx, handshakeTimeout)
+	defer cancel()
+	client, err := n.conns.client(n.address(name))
+	if err != nil {
+		return nil, err
+	}
+	return client.Hello(ctx, &pb.HelloRequest{Cluster: n.cfg.Cluster, Name: n.cfg.Name, Incarnation: n.incarnation,
+		VoterId: replicatedlog.VoterID(n.cfg.Name), Term: position.Term, LastIndex: position.LastIndex})
+}
+
+// otherVoters are the ids of all other voters: those that the stored configuration names and those that were added since, as far as the replica
+// has come, without those that were removed.
 func (n *Node) otherVoters(conf *raftpb.ConfState) []uint64 {
 	ids := slices.Concat(conf.GetVoters(), conf.GetVotersOutgoing())
-	gone := []uint64{replicatedlog.VoterID(n.cfg.Name)}
+	excluded := []uint64{replicatedlog.VoterID(n.cfg.Name)}
 	n.mu.Lock()
 	for _, v := range n.replicaReport.voters {
 		if v.Removed {
-			gone = append(gone, v.Id)
+			excluded = append(excluded, v.Id)
 		} else {
 			ids = append(ids, v.Id)
 		}
 	}
 	n.mu.Unlock()
 	slices.Sort(ids)
-	return slices.DeleteFunc(slices.Compact(ids), func(id uint64) bool { return slices.Contains(gone, id) })
+	return slices.DeleteFunc(slices.Compact(ids), func(id uint64) bool { return slices.Contains(excluded, id) })
 }
--- a/internal/fleet/health_commands.go
+++ b/internal/fleet/health_commands.go
@@ -8,13 +8,14 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// SuspendDestination has a person's verdict on a destination stand until it is lifted: no sender begins a call there.
+// SuspendDestination suspends a destination for an operator until it is lifted: no sender begins a call to it. The error wraps ErrRejected if the
+// fleet rejected it.
 func (n *Node) SuspendDestination(ctx context.Context, destination uint32, by, why string) error {
 	_, err := n.submitOperator(ctx, replicatedlog.KindHealth, &pb.HealthCommand{Command: &pb.HealthCommand_Set{Set: &pb.SetHealth{Destination: destination, Kind: uint32(health.KindSuspended), Author: by, Reason: why}}})
 	return err
 }
 
-// LiftSuspension ends it.
+// LiftSuspension ends an operator's suspension of a destination.
 func (n *Node) LiftSuspension(ctx context.Context, destination uint32, by, why string) error {
 	_, err := n.submitOperator(ctx, replicatedlog.KindHealth, &pb.HealthCommand{Command: &pb.HealthCommand_Clear{Clear: &pb.ClearHealth{Destination: destination, ByOperator: true, Author: by, Reason: why}}})
 	return err
--- a/internal/fleet/health_report.go
+++ b/internal/fleet/health_report.go
@@ -10,20 +10,20 @@
 	"saffronyard.example/saffronyard/internal/health"
 )
 
-// HealthReport is a verdict as this sender has it.
+// HealthReport is a health status as this sender has it.
 type HealthReport struct {
 	Destination uint32 `json:"destination"`
 	Status      string `json:"verdict"`
 	Author      string `json:"by"`
 	Reason      string `json:"why"`
-	StartIndex  uint64 `json:"since"`              // entry of the log
-	UpdateIndex uint64 `json:"at"`                 // and of when it was said last
-	Owner       string `json:"authority"`          // that may say it again, or lift it; empty: a person
-	TTLMS       int64  `json:"lasts_ms,omitempty"` // unless it is said again, from when this sender heard it
+	StartIndex  uint64 `json:"since"`              // entry of the log that first set it
+	UpdateIndex uint64 `json:"at"`                 // of the entry that set or renewed it last
+	Owner       string `json:"authority"`          // that may renew or clear it; empty: an operator's
+	TTLMS       int64  `json:"lasts_ms,omitempty"` // unless it is renewed, from when this sender received it
 	Bound       string `json:"bound"`
 }
 
-// HealthReports shows those that stand here.
+// HealthReports shows the statuses that have not expired here.
 func (n *Node) HealthReports() ([]HealthReport, error) {
 	v := n.gate.current()
 	if v == nil {
--- a/internal/fleet/http.go
+++ b/internal/fleet/http.go
@@ -15,116 +15,153 @@
 )
 
 const (
-	commandTime  = 4 * time.Second // for a command to be in the log
-	documentRoom = 2 << 20
+	commandTimeout   = 4 * time.Second // for a command to be applied
+	maxDocumentBytes = 2 << 20         // that are read of a request; a policy's own bound is lower
 	// AuthorHeader names who gives a command, as the operating system says on the command's side.
 	AuthorHeader = "X-By"
 )
 
-// Register adds what the command line asks: GET /fleet, and POST /policy/propose, /policy/abort, /fleet/gone, /fleet/voters. Who
-// reaches the sender's socket may ask all of it.
+// operatorCommand answers a POST: with its result as JSON, or with the status that commandStatus gives its error.
+type operatorCommand func(ctx context.Context, r *http.Request, author string) (any, error)
+
+// Register adds what the command line asks for: GET /fleet, /limits and /verdicts, and POST /policy/propose, /policy/abort, /verdicts/suspend,
+// /verdicts/lift, /fleet/gone and /fleet/voters. Whoever reaches the sender's socket may ask for all of it.
 func (n *Node) Register(mux *http.ServeMux) {
-	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Query().Get("current") != "" {
-			ctx, cancel := context.WithTimeout(r.Context(), commandTime)
-			defer cancel()
-			if err := n.WaitCurrent(ctx); err != nil {
-				http.Error(w, err.Error(), http.StatusServiceUnavailable)
-				return
-			}
-		}
-		json.NewEncoder(w).Encode(n.Report())
-	})
-	mux.HandleFunc("GET /limits", func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), commandTime)
+	mux.HandleFunc("GET /fleet", n.serveReport)
+	mux.HandleFunc("GET /limits", n.serveLimits)
+	mux.HandleFunc("GET /verdicts", n.serveHealth)
+	for path, command := range map[string]operatorCommand{
+		"/policy/propose":   n.postPropose,
+		"/policy/abort":     n.postAbort,
+		"/verdicts/suspend": postDestination(n.SuspendDestination),
+		"/verdicts/lift":    postDestination(n.LiftSuspension),
+		"/fleet/gone":       n.postLeave,
+		"/fleet/voters":     n.postVoters,
+	} {
+		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) { n.serveCommand(w, r, command) })
+	}
+}
+
+// writeJSON writes a result. The client may be gone: then nobody reads the error either.
+func writeJSON(w http.ResponseWriter, v any) { _ = json.NewEncoder(w).Encode(v) }
+
+func (n *Node) serveReport(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Query().Get("current") != "" {
+		ctx, cancel := context.WithTimeout(r.Context(), commandTimeout)
 		defer cancel()
-		all, err := n.Limits(ctx)
-		if err != nil {
-			http.Error(w, err.Error(), http.StatusServiceUnavailable)
-			return
-		}
-		json.NewEncoder(w).Encode(all)
-	})
-	mux.HandleFunc("GET /verdicts", func(w http.ResponseWriter, r *http.Request) {
-		all, err := n.HealthReports()
-		if err != nil {
+		if err := n.WaitCurrent(ctx); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		json.NewEncoder(w).Encode(all)
-	})
-	post := func(path string, do func(ctx context.Context, r *http.Request, by string) (any, error)) {
-		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-			ctx, cancel := context.WithTimeout(r.Context(), commandTime)
-			defer cancel()
-			by := r.Header.Get(AuthorHeader)
-			if by == "" {
-				by = "somebody at " + n.cfg.Name
-			}
-			v, err := do(ctx, r, by)
-			switch {
-			case errors.Is(err, ErrRejected):
-				http.Error(w, err.Error(), http.StatusConflict)
-			case errors.Is(err, context.DeadlineExceeded):
-				http.Error(w, err.Error(), http.StatusGatewayTimeout)
-			case err != nil:
-				http.Error(w, err.Error(), http.StatusBadRequest)
-			default:
-				json.NewEncoder(w).Encode(v)
-			}
-		})
 	}
-	post("/policy/propose", func(ctx context.Context, r *http.Request, by string) (any, error) {
+	writeJSON(w, n.Report())
+}
+
+func (n *Node) serveLimits(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), commandTimeout)
+	defer cancel()
+	all, err := n.Limits(ctx)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	writeJSON(w, all)
+}
+
+func (n *Node) serveHealth(w http.ResponseWriter, _ *http.Request) {
+	all, err := n.HealthReports()
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	writeJSON(w, all)
+}
+
+func (n *Node) serveCommand(w http.ResponseWriter, r *http.Request, command operatorCommand) {
+	ctx, cancel := context.WithTimeout(r.Context(), commandTimeout)
+	defer cancel()
+	author := r.Header.Get(AuthorHeader)
+	if author == "" {
+		author = "somebody at " + n.cfg.Name
+	}
+	result, err := command(ctx, r, author)
+	if err != nil {
+		http.Error(w, err.Error(), commandStatus(err))
+		return
+	}
+	writeJSON(w, result)
+}
+
+// commandStatus is the HTTP status of an operator's command that failed.
+func commandStatus(err error) int {
+	switch {
+	case errors.Is(err, ErrRejected):
+		return http.StatusConflict
+	case errors.Is(err, context.DeadlineExceeded):
+		return http.StatusGatewayTimeout
+	default:
+		return http.StatusBadRequest
+	}
+}
+
+func (n *Node) postPropose(ctx context.Context, r *http.Request, author string) (any, error) {
+	q := r.URL.Query()
+	base, err := strconv.ParseUint(q.Get("base"), 10, 64)
+	if err != nil {
+		return nil, invalidParameter("base %q is no version", q.Get("base"))
+	}
+	rollbackTo, _ := strconv.ParseUint(q.Get("back"), 10, 64) // without one it is no rollback
+	timeout, err := time.ParseDuration(q.Get("wait"))
+	if err != nil || timeout <= 0 || timeout > fleetpolicy.MaxStageTimeout {
+		return nil, invalidParameter("wait %q is no time up to %v", q.Get("wait"), fleetpolicy.MaxStageTimeout)
+	}
+	document, err := io.ReadAll(io.LimitReader(r.Body, maxDocumentBytes))
+	if err != nil {
+		return nil, err
+	}
+	change, err := n.Propose(ctx, &pb.ProposePolicy{BaseVersion: base, Document: document, Author: author, Reason: q.Get("why"),
+		StageTimeoutUs: timeout.Microseconds(), RollbackTo: rollbackTo})
+	return map[string]uint64{"change": change}, err
+}
+
+func (n *Node) postAbort(ctx context.Context, r *http.Request, author string) (any, error) {
+	q := r.URL.Query()
+	change, err := strconv.ParseUint(q.Get("change"), 10, 64)
+	if err != nil {
+		return nil, invalidParameter("change %q is no number", q.Get("change"))
+	}
+	return struct{}{}, n.Abort(ctx, change, fmt.Sprintf("%s aborted it: %s", author, q.Get("why")))
+}
+
+// postDestination is a command on one destination.
+func postDestination(do func(ctx context.Context, destination uint32, author, reason string) error) operatorCommand {
+	return func(ctx context.Context, r *http.Request, author string) (any, error) {
 		q := r.URL.Query()
-		base, err := strconv.ParseUint(q.Get("base"), 10, 64)
+		destination, err := strconv.ParseUint(q.Get("destination"), 10, 32)
 		if err != nil {
-			return nil, fmt.Errorf("base %q is no version", q.Get("base"))
+			return nil, invalidParameter("destination %q is no number", q.Get("destination"))
 		}
-		back, _ := strconv.ParseUint(q.Get("back"), 10, 64)
-		wait, err := time.ParseDuration(q.Get("wait"))
-		if err != nil || wait <= 0 || wait > fleetpolicy.MaxStageTimeout {
-			return nil, fmt.Errorf("wait %q is no time up to %v", q.Get("wait"), fleetpolicy.MaxStageTimeout)
-		}
-		doc, err := io.ReadAll(io.LimitReader(r.Body, documentRoom))
-		if err != nil {
-			return nil, err
+		return struct{}{}, do(ctx, uint32(destination), author, q.Get("why"))
+	}
+}
+
+func (n *Node) postLeave(ctx context.Context, r *http.Request, author string) (any, error) {
+	q := r.URL.Query()
+	return struct{}{}, n.Leave(ctx, &pb.Leave{Name: q.Get("name"), Author: author, Reason: q.Get("why")})
+}
+
+func (n *Node) postVoters(ctx context.Context, r *http.Request, author string) (any, error) {
+	q := r.URL.Query()
+	change := &pb.VoterChange{Remove: q["remove"], Author: author}
+	for i, name := range q["add"] {
+		if i >= len(q["address"]) {
+			return nil, invalidParameter("no address of %s", name)
 		}
-		change, err := n.Propose(ctx, &pb.ProposePolicy{BaseVersion: base, Document: doc, Author: by, Reason: q.Get("why"), StageTimeoutUs: wait.Microseconds(), RollbackTo: back})
-		return map[string]uint64{"change": change}, err
-	})
-	post("/policy/abort", func(ctx context.Context, r *http.Request, by string) (any, error) {
-		change, err := strconv.ParseUint(r.URL.Query().Get("change"), 10, 64)
-		if err != nil {
-			return nil, fmt.Errorf("change %q is no number", r.URL.Query().Get("change"))
+		address := q["address"][i]
+		if err := loopback(address); err != nil {
+			return nil, invalidParameter("address %q: %w", address, err)
 		}
-		why := fmt.Sprintf("%s aborted it: %s", by, r.URL.Query().Get("why"))
-		return struct{}{}, n.Abort(ctx, change, why)
-	})
-	for path, do := range map[string]func(ctx context.Context, destination uint32, by, why string) error{"/verdicts/suspend": n.SuspendDestination, "/verdicts/lift": n.LiftSuspension} {
-		post(path, func(ctx context.Context, r *http.Request, by string) (any, error) {
-			d, err := strconv.ParseUint(r.URL.Query().Get("destination"), 10, 32)
-			if err != nil {
-				return nil, fmt.Errorf("destination %q is no number", r.URL.Query().Get("destination"))
-			}
-			return struct{}{}, do(ctx, uint32(d), by, r.URL.Query().Get("why"))
-		})
+		change.Add = append(change.Add, &pb.Voter{Name: name, Address: address})
 	}
-	post("/fleet/gone", func(ctx context.Context, r *http.Request, by string) (any, error) {
-		q := r.URL.Query()
-		return struct{}{}, n.Leave(ctx, &pb.Leave{Name: q.Get("name"), Author: by, Reason: q.Get("why")})
-	})
-	post("/fleet/voters", func(ctx context.Context, r *http.Request, by string) (any, error) {
-		q := r.URL.Query()
-		v := &pb.VoterChange{Remove: q["remove"], Author: by}
-		for i, name := range q["add"] {
-			if i >= len(q["address"]) {
-				return nil, fmt.Errorf("no address of %s", name)
-			}
-			if err := loopback(q["address"][i]); err != nil {
-				return nil, fmt.Errorf("address %q: %w", q["address"][i], err)
-			}
-			v.Add = append(v.Add, &pb.Voter{Name: name, Address: q["address"][i]})
-		}
-		return struct{}{}, n.ChangeVoters(ctx, v)
-	})
+	return struct{}{}, n.ChangeVoters(ctx, change)
 }
--- a/internal/fleet/incarnations.go
+++ b/internal/fleet/incarnations.go
@@ -4,21 +4,21 @@
 	"sync"
 )
 
-// incarnations are the processes of voters whose word counts.
+// incarnations are the processes of voters whose messages count, by voter. It is safe for concurrent use.
 type incarnations struct {
 	mu      sync.Mutex
 	current map[string]uint64
 }
 
-// set is that a process has said hello.
+// set is that an incarnation has made its handshake: messages of earlier ones are dropped from now on.
 func (l *incarnations) set(name string, life uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.current[name] = life
 }
 
-// deliver lets a message in if it is of the process that said hello last, or of the first that is heard if none did. It is in
-// before a hello that comes after it.
+// deliver calls in, and returns true, if incarnation is the one of the last handshake, or of the first message if there was none. The message is in
+// before a later handshake is.
 func (l *incarnations) deliver(name string, life uint64, in func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,7 +31,7 @@
 	return true
 }
 
-// get is the process that is known; 0 if none is.
+// get is the incarnation that is known; 0 if none is.
 func (l *incarnations) get(name string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/limit_report.go
+++ b/internal/fleet/limit_report.go
@@ -12,26 +12,26 @@
 	"saffronyard.example/saffronyard/internal/quota"
 )
 
-// LimitReport is a limit as this sender has it, and as its authority has it if that is this sender.
+// LimitReport is a limit as this sender has it, and as its owner has it if that is this sender.
 type LimitReport struct {
 	Key         string        `json:"key"`
 	Description string        `json:"limit"`
 	Units       int64         `json:"units"`
-	Owner       string        `json:"authority"`          // of the roster in force
-	Granted     int64         `json:"holds"`              // this sender, now
-	InUse       int64         `json:"busy"`               // of that, in use or at rest
-	RemainingMS int64         `json:"left_ms"`            // of its loan
-	Waiting     int64         `json:"waiting"`            // units of messages here
+	Owner       string        `json:"authority"`          // under the active membership
+	Granted     int64         `json:"holds"`              // units that this sender holds
+	InUse       int64         `json:"busy"`               // of those, in flight or cooling down
+	RemainingMS int64         `json:"left_ms"`            // of its grant
+	Waiting     int64         `json:"waiting"`            // units of this sender's backlog
 	Used        uint64        `json:"used"`               // by this process
-	Rejected    uint64        `json:"refused"`            // calls of it that were not written for want of a unit
-	Rotating    bool          `json:"turns,omitempty"`    // units go by turns
+	Rejected    uint64        `json:"refused"`            // calls of this process that were not written for want of a unit
+	Rotating    bool          `json:"turns,omitempty"`    // there are not enough units for all senders: they rotate
 	Bound       string        `json:"bound"`              // what a receiver sees at the most
-	Outstanding *int64        `json:"out,omitempty"`      // lent or at rest in all; at the authority
-	GraceMS     int64         `json:"quiet_ms,omitempty"` // until the authority knows of all that is out
+	Outstanding *int64        `json:"out,omitempty"`      // granted or cooling down in all; at the owner
+	GraceMS     int64         `json:"quiet_ms,omitempty"` // left of the owner's grace period
 	Grants      []GrantReport `json:"lent,omitempty"`
 }
 
-// GrantReport is one process of a sender in the authority's book.
+// GrantReport is what the owner has granted to one process of a sender.
 type GrantReport struct {
 	Name        string `json:"name"`
 	Units       int64  `json:"units"`
@@ -47,11 +47,11 @@
 	if v == nil {
 		return nil, status.Error(codes.Unavailable, "the fleet's policy is not known yet")
 	}
-	show := reportRequested{make(chan []quota.Report, 1)}
-	n.quotas.server.Inbox.Offer(show)
-	var books []quota.Report
+	request := reportRequested{make(chan []quota.Report, 1)}
+	n.quotas.server.Inbox.Offer(request)
+	var owned []quota.Report
 	select {
-	case books = <-show.done:
+	case owned = <-request.done:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -64,8 +64,8 @@
 		if p := charge.Owner(s.Limit.Key); p != nil {
 			r.Owner = p.Name
 		}
-		if i := slices.IndexFunc(books, func(b quota.Report) bool { return b.Key == s.Limit.Key }); i >= 0 {
-			b := books[i]
+		if i := slices.IndexFunc(owned, func(b quota.Report) bool { return b.Key == s.Limit.Key }); i >= 0 {
+			b := owned[i]
 			r.Outstanding, r.GraceMS = &b.Outstanding, b.GraceRemaining.Milliseconds()
 			for _, line := range b.Clients {
 				r.Grants = append(r.Grants, GrantReport{line.Name, line.Units, line.Cooling, line.Remaining.Milliseconds(), line.Wanted, line.Waiting.Milliseconds()})
@@ -76,7 +76,7 @@
 	return all, nil
 }
 
-// describeBound is what a limit promises, for a fleet of so many senders.
+// describeBound is what a limit guarantees in a fleet of so many senders, in words for operators.
 func (l *quotaNode) describeBound(q quota.Limit, senders int) string {
 	text := fmt.Sprintf("%d in any %v at the receiver", q.Units, q.Span)
 	if q.Kind == quota.Daily {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -24,52 +24,56 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Config is how a sender takes part.
+// Config is how a sender takes part in its fleet.
 type Config struct {
-	Name          string
+	Name          string // unique in the fleet
 	Cluster       string
-	Listen        string  // host:port, a loopback one: what senders say to each other is not encrypted
-	Voters        []Voter // the first ones, the same in every sender's file, as this sender reaches them
-	Folder        string
+	Listen        string  // host:port, a loopback one, as calls between senders are not encrypted
+	Voters        []Voter // the first ones, the same in every sender's configuration, as this sender reaches them
+	Folder        string  // see the package's comment
 	LeaseTerms    lease.Terms
-	QuotaDuration time.Duration // how long units of a limit are lent for; 0: by the lease
-	Reach         []peers.Route // of others that are not reached at their own address
-	Keys          [][]byte      // of the fleet: the first is shown with each call, each is taken; none: nothing is shown
+	QuotaDuration time.Duration // of grants of a limit's units; 0: derived from the lease's
+	Reach         []peers.Route // of senders that are not reached at their own address
+	Keys          [][]byte      // of the fleet: the first authenticates this sender's calls, each is accepted; none: calls are not authenticated
 
-	Settings fleetpolicy.Settings // of this sender: what a policy may name
+	Settings fleetpolicy.Settings // of this sender: names that a policy may use
 
-	// Seams: what tests put in place of the machine's.
-	Now           func() time.Duration
+	// Replaced by tests; nil: the machine's.
+	Now           func() time.Duration // monotonic, suspend included
 	Disk          Disk
-	QuotaGrace    func(time.Duration) time.Duration // how long a new authority waits, of how long it should
-	Today         func() int64                      // of the calendar
-	GrantDuration func(time.Duration) time.Duration // how long a loan lasts at its holder, of how long it should
+	QuotaGrace    func(time.Duration) time.Duration // how long a new owner's grace period is, of how long it should be
+	Today         func() int64                      // days since 1970, UTC
+	GrantDuration func(time.Duration) time.Duration // how long a grant lasts at its client, of how long it should
 }
 
-// Voter is one that keeps the log.
+// Voter is a sender that keeps the log.
 type Voter struct{ Name, Address string }
 
+// voterWorker is the name of the voter's worker, as commands show it.
 const voterWorker = "log"
 
 const (
-	voterInboxSize    = 8192        // events that wait for the voter's log
-	replicaInboxSize  = 1024        // for the copy
-	stallThreshold    = time.Second // a step that takes longer is named
-	stopTimeout       = time.Second // duties end within it
+	voterInboxSize    = 8192
+	replicaInboxSize  = 1024
+	stallThreshold    = time.Second // a longer step of a worker is logged
+	stopTimeout       = time.Second // for all workers to end
 	handshakeInterval = 100 * time.Millisecond
-	handshakeTimeout  = time.Second
+	handshakeTimeout  = time.Second // of one call
 )
 
-// Node is a sender's part in the fleet.
+// Node is a sender's part in the fleet. It is safe for concurrent use.
 type Node struct {
 	cfg         Config
 	log         *slog.Logger
-	incarnation uint64
+	incarnation uint64 // drawn at random
+	addr        string // that it listens on
 	gate        *Gate
 
-	ctx        context.Context
+	ctx        context.Context // of all background work; ended by stop
 	stop       context.CancelFunc
+	background sync.WaitGroup
 	group      *worker.Group
+	replica    *replicaActor
 	quotas     *quotaNode
 	server     *grpc.Server
 	conns      *connections
@@ -77,114 +81,121 @@
 	feed       *feed
 	peers      incarnations
 	followers  atomic.Int64
-	background sync.WaitGroup
 
-	mu             sync.Mutex
-	addr           string
-	voter          *voterActor                   // nil: this sender is no voter, or has not heard the others yet
-	storedPosition *replicatedlog.StoredPosition // of a voter
-	store          *store
-	replica        *replicaActor
+	mu             sync.Mutex                    // guards what follows
+	voter          *voterActor                   // nil: this sender is no voter, or has not completed its handshake
+	storedPosition *replicatedlog.StoredPosition // of a voter's log as it started
+	store          *store                        // nil: this sender is no voter
 	replies        map[uint64]chan replicatedlog.Reply
-	lastReply      uint64                                         // reply
+	lastReply      uint64                                         // id
 	outboxes       map[string]*worker.RingBuffer[*raftpb.Message] // to other voters
-	status         replicatedlog.Status
-	voterFailure   string              // why it is no voter any more
-	staleReason    string              // why the folder was found to be old
-	waitingOn      []*pb.PendingSender // for whom the open change waits, as the one that leads said last
-	missingVoters  string              // for which voters this one waits before it takes part
+	status         replicatedlog.Status                           // of the voter
+	voterFailure   string                                         // why it is no voter any more
+	staleReason    string                                         // why the folder was found to be stale
+	missingVoters  string                                         // whose answers to the handshake it waits for
+	waitingOn      []*pb.PendingSender                            // senders that the open change waits for, as the leader said last
 	replicaReport  replicaReport
-	followed       string        // voter that is followed
-	receivedAt     time.Duration // a voter's word came last; a voter hears its own log
-	onChange       func()        // that calls go by another view, or may or may not be begun at all
+	followed       string        // voter whose log is followed
+	receivedAt     time.Duration // last chunk of the log or heartbeat
+	onChange       func()        // called when calls go by another view, or may or may not be begun at all
 }
 
-// Start lets a sender take part. It returns at once; nothing may be begun until a lease is there.
-func Start(c Config, log *slog.Logger) (*Node, error) {
-	rough := c.Now
-	if c.Now == nil {
-		c.Now, rough = Now, coarseClock()
+// Start starts a sender's part in the fleet. It returns at once; no call may be begun until a lease is there. The configuration was checked.
+func Start(cfg Config, log *slog.Logger) (*Node, error) {
+	coarseNow := cfg.Now
+	if cfg.Now == nil {
+		cfg.Now, coarseNow = Now, coarseClock()
 	}
-	if c.Disk == nil {
-		c.Disk = realDisk{}
+	if cfg.Disk == nil {
+		cfg.Disk = realDisk{}
 	}
-	if err := os.MkdirAll(c.Folder, 0o700); err != nil {
+	if err := os.MkdirAll(cfg.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	l, err := net.Listen("tcp", c.Listen)
+	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	n := &Node{cfg: c, log: log, incarnation: randomID(), gate: NewGate(c.Now), keys: &keyring{cluster: c.Cluster, keys: c.Keys}, feed: newFeed(), peers: incarnations{current: map[string]uint64{}},
-		replies: map[uint64]chan replicatedlog.Reply{}, outboxes: map[string]*worker.RingBuffer[*raftpb.Message]{}, addr: l.Addr().String()}
-	n.gate.coarseNow = rough
+	n := newNode(cfg, log, listener.Addr().String(), coarseNow)
+	if err := n.start(listener); err != nil {
+		n.stop()
+		listener.Close()
+		return nil, err
+	}
+	log.Info("fleet: started", "listen", n.addr, "cluster", cfg.Cluster, "voters", len(cfg.Voters), "lease", cfg.LeaseTerms.Duration)
+	return n, nil
+}
+
+func newNode(cfg Config, log *slog.Logger, addr string, coarseNow func() time.Duration) *Node {
+	n := &Node{cfg: cfg, log: log, addr: addr, incarnation: randomID(), gate: NewGate(cfg.Now), keys: &keyring{cluster: cfg.Cluster, keys: cfg.Keys},
+		feed: newFeed(), peers: incarnations{current: map[string]uint64{}}, replies: map[uint64]chan replicatedlog.Reply{},
+		outboxes: map[string]*worker.RingBuffer[*raftpb.Message]{}}
+	n.gate.coarseNow = coarseNow
 	n.conns = newConnections(n.keys)
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.group = &worker.Group{Log: log, Clock: c.Now, StallThreshold: stallThreshold}
-	n.group.OnExit = func(name string, err error) {
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		if name == voterWorker { // the copy goes on with another voter's word
-			n.voter, n.storedPosition, n.voterFailure = nil, nil, err.Error()
-		}
-	}
+	n.group = &worker.Group{Log: log, Clock: cfg.Now, StallThreshold: stallThreshold, OnExit: n.workerExited}
 	n.server = grpc.NewServer(append(n.keys.serverOptions(), grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxSendMsgSize(maxMessageBytes))...)
 	pb.RegisterFleetServer(n.server, &service{node: n})
+	return n
+}
+
+// start starts the workers, the server and the follower.
+func (n *Node) start(listener net.Listener) (err error) {
 	if n.quotas, err = newQuotaNode(n); err != nil {
-		n.stop()
-		l.Close()
-		return nil, err
+		return err
 	}
 	n.startReplica()
 	n.quotas.start()
-	if slices.ContainsFunc(c.Voters, func(v Voter) bool { return v.Name == c.Name }) || n.wasVoter() {
+	if slices.ContainsFunc(n.cfg.Voters, func(v Voter) bool { return v.Name == n.cfg.Name }) || n.wasVoter() {
 		if err := n.startVoter(n.firstVoters()); err != nil {
-			n.stop()
-			l.Close()
-			return nil, err
+			return err
 		}
 	}
-	n.background.Add(1)
-	go func() {
-		defer n.background.Done()
-		n.server.Serve(l)
-	}()
-	n.background.Add(1)
-	go func() {
-		defer n.background.Done()
-		n.followLoop()
-	}()
-	log.Info("fleet", "listen", n.addr, "cluster", c.Cluster, "voters", len(c.Voters), "lease", c.LeaseTerms.Duration)
-	return n, nil
+	n.goBackground(func(context.Context) {
+		_ = n.server.Serve(listener) // it ends as Close stops the server
+	})
+	n.goBackground(func(context.Context) { n.followLoop() })
+	return nil
+}
+
+// workerExited records that the voter's worker ended by itself; the replica then follows another voter.
+func (n *Node) workerExited(name string, err error) {
+	if name != voterWorker {
+		return
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.voter, n.storedPosition, n.voterFailure = nil, nil, err.Error()
 }
 
+// randomID draws an id that is not 0.
 func randomID() uint64 {
 	var b [8]byte
 	for {
-		rand.Read(b[:])
+		rand.Read(b[:]) // never fails
 		if v := binary.LittleEndian.Uint64(b[:]); v != 0 {
 			return v
 		}
 	}
 }
 
-// View is what calls go by, and whether any is begun at all; nil while nothing is known.
+// View is what calls go by, and whether any may be begun at all; nil while nothing is known.
 func (n *Node) View() (v *fleetpolicy.View, acts bool) { return n.gate.View() }
 
-// OnChange has f called, in a goroutine of the fleet's, when either is another.
+// OnChange has f called, in a goroutine of the node, when the result of View changes for some call.
 func (n *Node) OnChange(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.onChange = f
 }
 
-// Address is where others reach this sender.
+// Address is where other senders reach this one.
 func (n *Node) Address() string { return n.addr }
 
-// Close ends it: another voter is given the lead first, and leases lapse by themselves.
+// Close stops the node and awaits its goroutines. A leader hands leadership over first; leases expire by themselves.
 func (n *Node) Close() error {
-	if core := n.currentVoter(); core != nil {
-		core.Inbox.Offer(replicatedlog.LeadershipTransferRequested{})
+	if voter := n.currentVoter(); voter != nil {
+		voter.Inbox.Offer(replicatedlog.LeadershipTransferRequested{})
 		time.Sleep(2 * replicatedlog.Tick)
 	}
 	n.stop()
--- a/internal/fleet/raft_log.go
+++ b/internal/fleet/raft_log.go
@@ -5,29 +5,45 @@
 	"log/slog"
 )
 
-// raftLog is the library's log: what it says goes to debug, and what it can't bear is a panic of the duty.
+// raftLog adapts the sender's log to the raft library's: what it says goes to debug, its errors to warn, and what it can't bear is a panic of the
+// voter's worker. It implements raft.Logger.
 type raftLog struct{ log *slog.Logger }
 
-func (l raftLog) Debug(v ...any) { l.log.Debug("raft", "says", fmt.Sprint(v...)) }
+func (l raftLog) debug(text string) { l.log.Debug("raft", "says", text) }
+func (l raftLog) warn(text string)  { l.log.Warn("raft", "says", text) }
 
-func (l raftLog) Debugf(f string, v ...any) { l.log.Debug("raft", "says", fmt.Sprintf(f, v...)) }
+// Debug logs at debug.
+func (l raftLog) Debug(v ...any) { l.debug(fmt.Sprint(v...)) }
 
-func (l raftLog) Info(v ...any) { l.log.Debug("raft", "says", fmt.Sprint(v...)) }
+// Debugf logs at debug.
+func (l raftLog) Debugf(format string, v ...any) { l.debug(fmt.Sprintf(format, v...)) }
 
-func (l raftLog) Infof(f string, v ...any) { l.log.Debug("raft", "says", fmt.Sprintf(f, v...)) }
+// Info logs at debug.
+func (l raftLog) Info(v ...any) { l.debug(fmt.Sprint(v...)) }
 
-func (l raftLog) Warning(v ...any) { l.log.Debug("raft", "says", fmt.Sprint(v...)) }
+// Infof logs at debug.
+func (l raftLog) Infof(format string, v ...any) { l.debug(fmt.Sprintf(format, v...)) }
 
-func (l raftLog) Warningf(f string, v ...any) { l.log.Debug("raft", "says", fmt.Sprintf(f, v...)) }
+// Warning logs at debug.
+func (l raftLog) Warning(v ...any) { l.debug(fmt.Sprint(v...)) }
 
-func (l raftLog) Error(v ...any) { l.log.Warn("raft", "says", fmt.Sprint(v...)) }
+// Warningf logs at debug.
+func (l raftLog) Warningf(format string, v ...any) { l.debug(fmt.Sprintf(format, v...)) }
 
-func (l raftLog) Errorf(f string, v ...any) { l.log.Warn("raft", "says", fmt.Sprintf(f, v...)) }
+// Error logs at warn.
+func (l raftLog) Error(v ...any) { l.warn(fmt.Sprint(v...)) }
 
+// Errorf logs at warn.
+func (l raftLog) Errorf(format string, v ...any) { l.warn(fmt.Sprintf(format, v...)) }
+
+// Fatal panics.
 func (l raftLog) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (l raftLog) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+// Fatalf panics.
+func (l raftLog) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
 
+// Panic panics.
 func (l raftLog) Panic(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (l raftLog) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+// Panicf panics.
+func (l raftLog) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- a/internal/fleet/rate_limits.go
+++ b/internal/fleet/rate_limits.go
@@ -7,16 +7,16 @@
 	"slices"
 )
 
-// RateLimit is what this sender may send to a destination, in calls a second, and what all may. Limited is false if the policy sets no
-// limit, and then the others say nothing.
+// RateLimit is how many calls per second this sender may send to a destination, and all senders may. If Limited is false there is no limit, and the
+// rates are 0.
 type RateLimit struct {
 	Destination uint32
 	Limited     bool
 	Own, Fleet  float64
 }
 
-// RateLimits are those of destinations whose pace has changed since they were asked for, or all that are limited.
-func (n *Node) RateLimits(all bool) (paces []RateLimit) {
+// RateLimits are the rate limits that changed since the last call, and, if all is set, those of all limited destinations.
+func (n *Node) RateLimits(all bool) (limits []RateLimit) {
 	v := n.gate.current()
 	if v == nil {
 		return nil
@@ -35,7 +35,7 @@
 	now := n.cfg.Now()
 	by := map[uint32]bool{}
 	for _, key := range keys {
-		var d uint32 // limits of a destination by itself begin with its number
+		var d uint32 // the keys of a destination's own limits begin so
 		if _, err := fmt.Sscanf(key, "destination %d", &d); err == nil {
 			by[d] = true
 		}
@@ -43,7 +43,7 @@
 	for _, d := range slices.Sorted(maps.Keys(by)) {
 		p := RateLimit{Destination: d, Own: math.Inf(1), Fleet: math.Inf(1)}
 		for _, q := range v.RateLimits(d) {
-			if share, ok := l.allowances.Share(q.Key, now); ok { // the lowest counts
+			if share, ok := l.allowances.Share(q.Key, now); ok { // the lowest rate counts
 				p.Limited = true
 				p.Own = min(p.Own, float64(share.Units)/share.CoolDown.Seconds())
 				p.Fleet = min(p.Fleet, float64(max(q.Units, q.SlowStartUnits))/q.Span.Seconds())
@@ -52,19 +52,19 @@
 		if !p.Limited {
 			p.Own, p.Fleet = 0, 0
 		}
-		paces = append(paces, p)
+		limits = append(limits, p)
 	}
-	return paces
+	return limits
 }
 
-// OnRateLimits has f called, from any goroutine, when paces have changed.
+// OnRateLimits has f called, from any goroutine, when rate limits have changed.
 func (n *Node) OnRateLimits(f func()) {
 	n.quotas.mu.Lock()
 	defer n.quotas.mu.Unlock()
 	n.quotas.onChange = f
 }
 
-// ObserveLimit is that a receiver has told this sender its limit, in calls a second.
+// ObserveLimit takes the limit that a receiver reported to this sender, in calls per second.
 func (n *Node) ObserveLimit(destination uint32, perSecond float64) {
 	if v := n.gate.current(); v != nil {
 		if q, ok := v.Policy.RateLimit(destination); ok && q.Adaptive {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -11,17 +11,17 @@
 	"saffronyard.example/saffronyard/internal/worker"
 )
 
-// Report is a sender's part in the fleet as commands show it.
+// Report is a sender's part in the fleet, as commands show it.
 type Report struct {
 	Name            string          `json:"name"`
 	Cluster         string          `json:"cluster"`
 	Address         string          `json:"address"`
-	AgeMS           int64           `json:"heard_ms"` // since a voter told it last that this is all: its age, as far as that voter knew
-	Index           uint64          `json:"index"`    // how far its copy of the state has come
+	AgeMS           int64           `json:"heard_ms"` // since a voter last confirmed that the log is followed to its end, as far as that voter knew
+	Index           uint64          `json:"index"`    // that its replica has applied
 	MayAct          bool            `json:"acts"`     // it may begin calls now
-	LeaseMS         int64           `json:"lease_ms"` // that is left; 0: none
+	LeaseMS         int64           `json:"lease_ms"` // left of the lease; 0: there is none
 	Unfit           string          `json:"unfit,omitempty"`
-	Followed        string          `json:"follows,omitempty"` // voter whose word it follows
+	Followed        string          `json:"follows,omitempty"` // the voter whose log it follows
 	Voter           *VoterReport    `json:"voter,omitempty"`
 	Members         []Member        `json:"members"`
 	Voters          []string        `json:"voters"`
@@ -29,27 +29,27 @@
 	Rings           []worker.Stats  `json:"rings,omitempty"` // to other voters
 	Workers         []worker.Report `json:"duties"`
 	LeaseDurationMS int64           `json:"lease_length_ms"`
-	Bound           string          `json:"bound"` // how long a change waits for one that is cut off
+	Bound           string          `json:"bound"` // how long a change waits for a sender that is partitioned off, in words
 }
 
-// VoterReport is of one that keeps the log.
+// VoterReport is a voter's part.
 type VoterReport struct {
 	IsLeader      bool                        `json:"leads"`
 	Leader        string                      `json:"leader,omitempty"`
 	Term          uint64                      `json:"term"`
 	AppliedIndex  uint64                      `json:"applied"`
-	MissingVoters string                      `json:"waits_for,omitempty"` // voters that have not answered its hello: it takes no part before
+	MissingVoters string                      `json:"waits_for,omitempty"` // voters that have not answered its handshake, which it waits for
 	StaleReason   string                      `json:"old_folder,omitempty"`
 	Failed        string                      `json:"failed,omitempty"`
-	WaitingOn     []fleetpolicy.PendingSender `json:"waits,omitempty"`  // of the open change; at the one that leads
-	Leases        []Lease                     `json:"leases,omitempty"` // at the one that leads
+	WaitingOn     []fleetpolicy.PendingSender `json:"waits,omitempty"`  // of the open change; at the leader
+	Leases        []Lease                     `json:"leases,omitempty"` // at the leader
 }
 
-// Lease is one that is out.
+// Lease is a lease that may not have expired.
 type Lease struct {
 	Name        string `json:"name"`
 	RemainingMS int64  `json:"left_ms"`
-	ActingIndex uint64 `json:"acts"` // at this index or later
+	ActingIndex uint64 `json:"acts"` // its holder acts at no lower index
 }
 
 // Member is a sender of the fleet.
@@ -59,7 +59,7 @@
 	Removed        bool   `json:"gone,omitempty"`
 }
 
-// PolicyReport is what is agreed of the policy.
+// PolicyReport is the replicated policy.
 type PolicyReport struct {
 	Version    uint64                 `json:"version"`
 	Document   string                 `json:"document,omitempty"`
@@ -68,7 +68,7 @@
 	History    []FinishedChangeReport `json:"past,omitempty"`
 }
 
-// ChangeReport is the change that is under way.
+// ChangeReport is the open change.
 type ChangeReport struct {
 	ID          uint64 `json:"id"`
 	BaseVersion uint64 `json:"base"`
@@ -77,17 +77,17 @@
 	Frozen      bool   `json:"frozen"`
 	Document    string `json:"document"`
 
-	// For whom it waits, as the one that leads said when this sender asked it last.
+	// Whom it waits for, as the leader said in its last lease reply.
 	WaitingOn []fleetpolicy.PendingSender `json:"waits,omitempty"`
 }
 
-// FinishedChangeReport is a change that is over.
+// FinishedChangeReport is a change that was committed or aborted.
 type FinishedChangeReport struct {
 	ID          uint64 `json:"id"`
 	Version     uint64 `json:"version,omitempty"` // that it made
 	Author      string `json:"by"`
 	Reason      string `json:"why,omitempty"`
-	AbortReason string `json:"ended,omitempty"` // why it was aborted
+	AbortReason string `json:"ended,omitempty"` // empty: committed
 	Document    string `json:"document,omitempty"`
 }
 
--- a/internal/fleet/staging.go
+++ b/internal/fleet/staging.go
@@ -9,14 +9,16 @@
 	"saffronyard.example/saffronyard/internal/boltfile"
 )
 
-// Disk is what a proposal is staged on; tests have one that fails.
+// Disk is where proposed policies are stored; tests have one that fails.
 type Disk interface {
-	// Write writes a file whole or not at all, and it is there for good when this returns.
+	// Write writes a file atomically: all of it, synced, or nothing.
 	Write(path string, data []byte) error
 }
 
+// realDisk is the machine's.
 type realDisk struct{}
 
+// Write writes a temporary file beside, syncs it and renames it.
 func (realDisk) Write(path string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-")
 	if err != nil {
@@ -39,8 +41,8 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// Vouch notes that the folder of a sender that does not run is the newest: its next process does not wait for the other
-// voters' word. It counts once.
+// Vouch records that an operator vouches for the folder of a voter that does not run being the newest: its next process does not wait for the
+// handshake's answers. It counts once.
 func Vouch(folder, by string) error {
 	if _, err := os.Stat(filepath.Join(folder, logName)); err != nil {
 		return fmt.Errorf("no voter's folder: %w", err)
@@ -55,7 +57,7 @@
 	return realDisk{}.Write(filepath.Join(folder, vouchedName), []byte(by))
 }
 
-// takeVouch takes an operator's word, once.
+// takeVouch takes an operator's word for the folder, and removes it; ok is false if there is none.
 func takeVouch(folder string) (by string, ok bool, err error) {
 	path := filepath.Join(folder, vouchedName)
 	raw, err := os.ReadFile(path)
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -31,15 +31,13 @@
 	metaBucket = []byte("meta")
 )
 
-// ErrNewerFormat is that a file was written by a newer program; it is left as it is.
-var ErrNewerFormat = errors.New("it was written by a newer program")
-
+// store is a voter's file. Its methods are called by one goroutine.
 type store struct {
 	db   *bolt.DB
 	path string
 }
 
-// openStore opens or makes the file of a voter.
+// openStore opens or makes a voter's file. The error wraps ErrNewerFormat or a *ForeignFileError, or is the file's.
 func openStore(folder, cluster, name string) (*store, error) {
 	path := filepath.Join(folder, logName)
 	db, err := boltfile.Open(path, false)
@@ -61,7 +59,7 @@
 			}
 			for key, want := range map[string]string{"cluster": cluster, "name": name} {
 				if got := string(meta.Get([]byte(key))); got != want {
-					return fmt.Errorf("it is the file of %s %q, not of %q", key, got, want)
+					return &ForeignFileError{What: key, Got: got, Want: want}
 				}
 			}
 			return nil
@@ -82,7 +80,7 @@
 	return nil
 }
 
-// load reads what the folder has.
+// load reads all that is stored.
 func (s *store) load() (*replicatedlog.StoredLog, error) {
 	saved := &replicatedlog.StoredLog{HardState: &raftpb.HardState{}}
 	err := boltfile.Guarded(func() error {
@@ -112,7 +110,7 @@
 			return tx.Bucket(logBucket).ForEach(func(k, v []byte) error {
 				e := &raftpb.Entry{}
 				if err := proto.Unmarshal(v, e); err != nil || binary.BigEndian.Uint64(k) != next || e.GetIndex() != next {
-					return fmt.Errorf("entry %d can't be read, or is missing: %v", next, err)
+					return &MissingEntryError{Index: next, Err: err}
 				}
 				next++
 				saved.Entries = append(saved.Entries, e)
@@ -126,7 +124,7 @@
 	return saved, nil
 }
 
-// save carries a Save out; it is on the disk when this returns.
+// save stores a Persist in one transaction; it is on the disk when this returns.
 func (s *store) save(a replicatedlog.Persist) error {
 	return s.update(func(tx *bolt.Tx) error {
 		meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
@@ -160,7 +158,7 @@
 		if len(a.Entries) == 0 {
 			return nil
 		}
-		// What stands from here on was of a leader that has lost it.
+		// Entries from here on were a former leader's and are replaced.
 		c, from := log.Cursor(), boltfile.Number(int64(a.Entries[0].GetIndex()))
 		for k, _ := c.Seek(from); k != nil; k, _ = c.Seek(from) {
 			if err := c.Delete(); err != nil {
--- a/internal/fleet/submit.go
+++ b/internal/fleet/submit.go
@@ -11,7 +11,8 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Submit hands a command in and waits for what became of it. Asked again after a lost answer it counts once.
+// Submit proposes a command and waits for its outcome, which may be a rejection. It tries until ctx ends; however often the command
+// is sent, it counts once. An error that wraps ctx's leaves open whether it counts; ErrStopping is that the node stops.
 func (n *Node) Submit(ctx context.Context, kind uint32, body proto.Message) (*pb.SubmitReply, error) {
 	raw, err := proto.Marshal(body)
 	if err != nil {
@@ -22,52 +23,53 @@
 		return nil, err
 	}
 	for {
-		var r *pb.SubmitReply
-		err := n.callAnyVoter(ctx, func(ctx context.Context, client pb.FleetClient) error {
-			var err error
-			r, err = client.Submit(ctx, &pb.SubmitRequest{Cluster: n.cfg.Cluster, Command: raw})
+		var reply *pb.SubmitReply
+		err := n.callAnyVoter(ctx, func(ctx context.Context, client pb.FleetClient) (err error) {
+			reply, err = client.Submit(ctx, &pb.SubmitRequest{Cluster: n.cfg.Cluster, Command: raw})
 			return err
 		})
 		if err == nil {
-			return r, nil
+			return reply, nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, fmt.Errorf("whether it counts is not known: %w", errors.Join(err, ctx.Err()))
 		case <-n.ctx.Done():
-			return nil, errors.New("this sender is leaving")
+			return nil, ErrStopping
 		case <-time.After(heartbeatInterval / 2):
 		}
 	}
 }
 
-// callAnyVoter asks some voter, one after another until one answers.
-func (n *Node) callAnyVoter(ctx context.Context, ask func(context.Context, pb.FleetClient) error) error {
-	err := errors.New("no voter is known")
+// callAnyVoter calls the voters one after another until one answers. The error is the last one's, joined with ctx's if that ended.
+func (n *Node) callAnyVoter(ctx context.Context, call func(context.Context, pb.FleetClient) error) error {
+	err := ErrNoVoterKnown
 	for _, name := range n.voterNames() {
 		if ctx.Err() != nil {
 			return errors.Join(err, ctx.Err())
 		}
-		address := n.address(name)
-		if name == n.cfg.Name {
-			address = n.addr
-		}
-		client, bad := n.conns.client(address)
-		if bad != nil {
-			err = bad
-			continue
-		}
-		try, cancel := context.WithTimeout(ctx, n.callTimeout())
-		err = ask(try, client)
-		cancel()
-		if err == nil {
+		if err = n.callVoterAt(ctx, name, call); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-// callTimeout is how long one voter is given: a question is asked of another before the next is due.
+func (n *Node) callVoterAt(ctx context.Context, name string, call func(context.Context, pb.FleetClient) error) error {
+	address := n.address(name)
+	if name == n.cfg.Name {
+		address = n.addr
+	}
+	client, err := n.conns.client(address)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, n.callTimeout())
+	defer cancel()
+	return call(ctx, client)
+}
+
+// callTimeout is how long one voter is given to answer a lease request, so that another can be asked before the next request is due.
 func (n *Node) callTimeout() time.Duration {
 	return max(n.cfg.LeaseTerms.Duration/6, 100*time.Millisecond)
 }
