--- a/internal/tier/ingress/truncation_test.go
+++ b/internal/tier/ingress/truncation_test.go
@@ -41,7 +41,7 @@
 
 var lengthSmuggled = fmt.Sprintf("POST /l HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(smuggled), smuggled)
 
-// TestClientEndsAtEachByte: a client that resets or closes within its request has not made one, at whichever byte; a whole one
+// TestServer_ClientClosesAtEachByte: a client that resets or closes within its request has not made one, at whichever byte; a whole one
 // is run once, with its own body.
 func TestServer_ClientClosesAtEachByte(t *testing.T) {
 	var seen record
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestPipelineSplitAtEachByte: requests sent behind one another are run once each and answered in their order, however the
+// TestServer_PipelineSplitAtEachByte: requests sent behind one another are run once each and answered in their order, however the
 // bytes are parted; what is inside a body, or behind a request that closes, is none.
 func TestServer_PipelineSplitAtEachByte(t *testing.T) {
 	var seen record
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestBrokenOffAnswersAreNeverWhole: a handler that aborts, panics or just returns within a stream, after each number of
+// TestExchange_AbortedResponseIncomplete: a handler that aborts, panics or just returns within a stream, after each number of
 // pieces, leaves its client with a visible break: no last chunk, and no next answer in its place.
 func TestExchange_AbortedResponseIncomplete(t *testing.T) {
 	pieces := []string{"a", "0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", strings.Repeat("x", 70<<10)}
@@ -133,7 +133,7 @@
 	}
 }
 
-// TestClientLeavesAnAnswerAtEachByte: a client that resets while its answer is on its way costs the next one nothing.
+// TestServer_ClientClosesDuringResponseAtEachByte: a client that resets while its answer is on its way costs the next one nothing.
 func TestServer_ClientClosesDuringResponseAtEachByte(t *testing.T) {
 	addr := start(t, &Server{Handler: echo})
 	c := dial(t, addr)
--- a/internal/tier/upstream/call_test.go
+++ b/internal/tier/upstream/call_test.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// TestStreamCutAnywhere: pieces are whole events from the start on, and the end is never taken for whole.
+// TestStream_TruncatedAtEachByte: pieces are whole events from the start on, and the end is never taken for whole.
 func TestStream_TruncatedAtEachByte(t *testing.T) {
 	all := []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3\ndata: c\n\n"}
 	text := streamHead + chunk(all[0]+all[1][:5]) + chunk(all[1][5:]) + chunk(all[2]) + "0\r\n\r\n"
@@ -422,7 +422,7 @@
 	assert.Equal(t, r.Response.Header.Get("X-Instance-Id"), "i-1")
 }
 
-// TestPartlyWritten: what an endpoint had a part of may have run, for all that is known.
+// TestCall_PartlyWritten: what an endpoint had a part of may have run, for all that is known.
 func TestCall_PartlyWritten(t *testing.T) {
 	q := post("a", strings.Repeat("x", 16<<20))
 	target := startEndpoint(t, func(_ int, l *serverConn) {
--- a/internal/tier/upstream/classify_test.go
+++ b/internal/tier/upstream/classify_test.go
@@ -96,7 +96,7 @@
 	t.Logf("%d observations", n)
 }
 
-// TestTableHasNoHoles: each rule's verdicts occur, so that the rules above do not hold for want of cases.
+// TestClassify_CoversAllObservations: each rule's verdicts occur, so that the rules above do not hold for want of cases.
 func TestClassify_CoversAllObservations(t *testing.T) {
 	replies, reuses, rans := map[ClientReply]int{}, map[Reuse]int{}, map[Execution]int{}
 	once := 0
@@ -147,7 +147,7 @@
 	}
 }
 
-// TestPlantedTableFaultsAreFound: tables with one fault each break a rule.
+// TestClassify_MutantsDetected: tables with one fault each break a rule.
 func TestClassify_MutantsDetected(t *testing.T) {
 	for name, fault := range map[string]func(Observation, *Disposition){
 		"sent again on a reset after the first byte": func(o Observation, v *Disposition) { v.RetryAny = v.RetryAny || o.Outcome == Broken && !o.ReplyStarted },
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -39,7 +39,7 @@
 	assert.Assert(t, call(t, p, target, "y").NewConnection)
 }
 
-// TestNotWhereItsLastSendWent: a late second answer to the first send must not be taken for that to the second.
+// TestPool_AvoidsConnectionOfSameAttempt: a late second answer to the first send must not be taken for that to the second.
 func TestPool_AvoidsConnectionOfSameAttempt(t *testing.T) {
 	target := echoing(t, "")
 	p := newTestPool(t)
@@ -103,7 +103,7 @@
 	l.drain()
 }
 
-// TestCloseRacesWithSend: the endpoint ends an idle connection just as a request is on its way.
+// TestPool_CloseRacesWithSend: the endpoint ends an idle connection just as a request is on its way.
 func TestPool_CloseRacesWithSend(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		target := startEndpoint(t, func(n int, l *serverConn) {
--- a/internal/tier/upstream/random_schedule_test.go
+++ b/internal/tier/upstream/random_schedule_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestCarelessCallWithoutAFaultPasses: what finds the planted faults is the fault, not the rest of the careless call.
+// TestNaiveCall_WithoutFault: what finds the planted faults is the fault, not the rest of the careless call.
 func TestNaiveCall_WithoutFault(t *testing.T) {
 	w := newWireClient(t)
 	w.call = fault{}.careless(w.pool)
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestPlantedCallFaultsAreFound: each careless call is found by the same seeds that the real one passes.
+// TestNaiveCall_InjectedFaultsDetected: each careless call is found by the same seeds that the real one passes.
 func TestNaiveCall_InjectedFaultsDetected(t *testing.T) {
 	for name, f := range map[string]fault{
 		"an id check left out":                       {anyID: true},
--- a/internal/tier/upstream/wire_test.go
+++ b/internal/tier/upstream/wire_test.go
@@ -402,7 +402,7 @@
 	return []error{nil}
 }
 
-// TestAnswersCutAtEachByte: each form of answer ends by a reset, a close or in silence at each of its bytes, on a new and on
+// TestWire_ResponsesTruncatedAtEachByte: each form of answer ends by a reset, a close or in silence at each of its bytes, on a new and on
 // a reused connection, with a request behind it.
 func TestWire_ResponsesTruncatedAtEachByte(t *testing.T) {
 	for _, f := range responseFormats() {
@@ -430,7 +430,7 @@
 	}
 }
 
-// TestAnswersWhole: each form comes whole and its connection stays open. It carries the next request only if it is clean.
+// TestWire_CompleteResponses: each form comes whole and its connection stays open. It carries the next request only if it is clean.
 func TestWire_CompleteResponses(t *testing.T) {
 	for _, f := range responseFormats() {
 		if f.complete(len(f.text), noClose) {
@@ -447,7 +447,7 @@
 	}
 }
 
-// TestRequestsCutAtEachByte: the endpoint ends the connection after each byte of a request, having said nothing.
+// TestWire_RequestsTruncatedAtEachByte: the endpoint ends the connection after each byte of a request, having said nothing.
 func TestWire_RequestsTruncatedAtEachByte(t *testing.T) {
 	form := responseFormat{name: "nothing", complete: never}
 	w := newWireClient(t)
@@ -467,7 +467,7 @@
 	}
 }
 
-// TestEarlyAnswersCutAtEachByte: the endpoint has read only the head of a long request when it answers, and then resets or
+// TestWire_EarlyResponsesTruncatedAtEachByte: the endpoint has read only the head of a long request when it answers, and then resets or
 // closes: the rest of the body is due.
 func TestWire_EarlyResponsesTruncatedAtEachByte(t *testing.T) {
 	const large = 6 << 20 // more than sockets take
