--- a/internal/tier/gateway/attempts.go
+++ b/internal/tier/gateway/attempts.go
@@ -16,36 +16,39 @@
 // counts only the others.
 const maxAttempts = 8
 
+// minUpstreamConnections is the least limit on connections to endpoints.
+const minUpstreamConnections = 32
+
 // newPool returns the pool of connections to endpoints, which may take three tenths of the process's file descriptors.
-func newPool(s settings.Settings) *upstream.Pool {
-	return upstream.NewPool(upstream.Config{MaxConnections: max(32, s.MaxFileDescriptors*3/10)})
+func newPool(settings settings.Settings) *upstream.Pool {
+	return upstream.NewPool(upstream.Config{MaxConnections: max(minUpstreamConnections, settings.MaxFileDescriptors*3/10)})
 }
 
 // upstreamRequest returns the request as it is sent to an endpoint.
 func (request *clientRequest) upstreamRequest(selection loadbalancer.Selection) *upstream.Request {
-	x := request.x
-	ends := x.Header.AppendEndToEnd(make([]http1.Field, 0, len(x.Header)+1))
-	head := make([]http1.Field, 0, len(ends))
-	for _, f := range ends {
+	exchange := request.exchange
+	endToEnd := exchange.Header.AppendEndToEnd(make([]http1.Field, 0, len(exchange.Header)+1))
+	header := make([]http1.Field, 0, len(endToEnd))
+	for _, f := range endToEnd {
 		if (request.dropLastEventID || request.resumeAfter != "") && strings.EqualFold(f.Name, lastEventIDHeader) {
 			continue
 		}
-		head = append(head, f)
+		header = append(header, f)
 	}
-	q := &upstream.Request{Method: x.Method, Target: x.Target, Host: x.Host, Header: head, AttemptID: request.attemptID,
+	upstreamRequest := &upstream.Request{Method: exchange.Method, Target: exchange.Target, Host: exchange.Host, Header: header, AttemptID: request.attemptID,
 		Deadline: request.deadline, Priority: -1, Turn: request.route.Persisted, Permit: func() bool { return request.gateway.mayStillSend(selection) }}
 	if len(request.body) > 0 {
-		q.Body = [][]byte{request.body}
+		upstreamRequest.Body = [][]byte{request.body}
 	}
 	if request.route.Kind == routing.Streaming {
-		q.Priority = min(max(request.route.Priority, 0), 9)
-		q.ForceStream = true
+		upstreamRequest.Priority = min(max(request.route.Priority, 0), 9)
+		upstreamRequest.ForceStream = true
 	}
 	if request.resumeAfter != "" {
-		q.Header = append(q.Header, http1.Field{Name: lastEventIDHeader, Value: request.resumeAfter})
-		q.LastEventID = request.resumeAfter
+		upstreamRequest.Header = append(upstreamRequest.Header, http1.Field{Name: lastEventIDHeader, Value: request.resumeAfter})
+		upstreamRequest.LastEventID = request.resumeAfter
 	}
-	return q
+	return upstreamRequest
 }
 
 // mayStillSend reports, right before the request is written, whether the endpoints are current and the selected one is not draining.
@@ -62,23 +65,23 @@
 func (request *clientRequest) send(selection loadbalancer.Selection) *upstream.Result {
 	target := upstream.Target{Address: selection.Address, Instance: selection.Instance, MaxConnections: request.maxConnections()}
 	request.sentAt = time.Now()
-	r := request.gateway.pool.Call(request.ctx, target, request.upstreamRequest(selection), selection.Timeout)
-	if r.Written {
+	result := request.gateway.pool.Call(request.ctx, target, request.upstreamRequest(selection), selection.Timeout)
+	if result.Written {
 		request.sent++
 		request.avoid = append(request.avoid, selection.Instance)
 	}
-	if request.resumeAfter != "" && r.Written {
+	if request.resumeAfter != "" && result.Written {
 		request.gateway.counters.resumed.Add(1)
 	}
-	if r.Outcome != upstream.Streaming {
-		request.gateway.counters.countAttempt(r)
-		o := callOutcome(r, time.Since(request.sentAt))
-		if o.Kind == loadbalancer.NotSent && !request.gateway.session.Current() { // that is no fault of the endpoint
-			o.Kind = loadbalancer.Canceled
+	if result.Outcome != upstream.Streaming {
+		request.gateway.counters.countAttempt(result)
+		outcome := callOutcome(result, time.Since(request.sentAt))
+		if outcome.Kind == loadbalancer.NotSent && !request.gateway.session.Current() { // that is no fault of the endpoint
+			outcome.Kind = loadbalancer.Canceled
 		}
-		request.gateway.callDone(selection.Call, o)
+		request.gateway.callDone(selection.Call, outcome)
 	}
-	return r
+	return result
 }
 
 // maxConnections returns the limit on connections to an endpoint of the request's service; 0: none.
@@ -100,32 +103,28 @@
 }
 
 // respond answers the client with the decisive result, when no attempts are left.
-func (request *clientRequest) respond(r *upstream.Result) {
-	switch r.Disposition(false).Reply {
+func (request *clientRequest) respond(result *upstream.Result) {
+	switch result.Disposition(false).Reply {
 	case upstream.ForwardResponse:
-		request.x.Respond(r.Response.Status, fields(r.Response), r.Body)
+		request.exchange.Respond(result.Response.Status, fields(result.Response), result.Body)
 	case upstream.ServiceUnavailable:
 		after := request.gateway.storeClient.maxBackoff
-		if r.Response != nil && r.Response.RetryAfter > 0 {
-			after = r.Response.RetryAfter
+		if result.Response != nil && result.Response.RetryAfter > 0 {
+			after = result.Response.RetryAfter
 		}
-		request.gateway.reject(request.x, after)
+		request.gateway.reject(request.exchange, after)
 	case upstream.GatewayTimeout:
-		request.x.Respond(http.StatusGatewayTimeout, nil, nil)
+		request.exchange.Respond(http.StatusGatewayTimeout, nil, nil)
 	case upstream.BadGateway:
-		request.x.Respond(http.StatusBadGateway, nil, nil)
+		request.exchange.Respond(http.StatusBadGateway, nil, nil)
 	default:
-		request.x.Abort()
+		request.exchange.Abort()
 	}
 }
 
 // fields returns the header fields of an endpoint's answer, as they are sent to the client.
-func fields(a *upstream.Response) []http1.Field {
-	head := make([]http1.Field, 0, len(a.Header)+1)
-	for _, f := range a.Header {
-		head = append(head, f)
-	}
-	return head
+func fields(response *upstream.Response) []http1.Field {
+	return append(make([]http1.Field, 0, len(response.Header)+1), response.Header...)
 }
 
 // rejectUnsent rejects a request that has not run, as the load balancer has no endpoint for it.
@@ -134,7 +133,7 @@
 	if after <= 0 {
 		after = request.gateway.storeClient.maxBackoff
 	}
-	request.gateway.reject(request.x, after)
+	request.gateway.reject(request.exchange, after)
 }
 
 // forwardBuffered serves a request whose answer is passed on when it is complete, or streamed if it is too large for that.
--- a/internal/tier/gateway/sendcheck_test.go
+++ b/internal/tier/gateway/attempts_internal_test.go
@@ -34,7 +34,7 @@
 		control.AwaitAcknowledged(t)
 		synctest.Wait()
 
-		request := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, service: "s", ctx: ctx,
+		request := &clientRequest{gateway: k, exchange: &ingress.Exchange{Method: "GET", Target: "/"}, service: "s", ctx: ctx,
 			route: &routing.Route{Name: "r", LatencyTarget: 400 * time.Millisecond, MaxAttempts: 2}, deadline: time.Now().Add(time.Hour)}
 		picked := request.selectEndpoint()
 		assert.Equal(t, picked.Decision, loadbalancer.Send)
@@ -67,7 +67,7 @@
 // The endpoints at the last moment before a request is written decide, not those when its endpoint was selected.
 func TestAttempts_EndpointListIsCheckedBeforeWrite(t *testing.T) {
 	k := New(Config{Settings: tiertest.Settings("edge-1"), Log: tiertest.DiscardLogger()})
-	w := &clientRequest{gateway: k, x: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
+	w := &clientRequest{gateway: k, exchange: &ingress.Exchange{Method: "GET", Target: "/"}, route: &routing.Route{}}
 	permit := w.upstreamRequest(loadbalancer.Selection{Instance: "i-1"}).Permit
 	entry := func(draining bool) *tierv1.Endpoint {
 		return &tierv1.Endpoint{Instance: "i-1", Service: "s", Address: "127.0.0.1:1", Draining: draining}
--- a/internal/tier/gateway/budgets.go
+++ b/internal/tier/gateway/budgets.go
@@ -34,12 +34,12 @@
 // needsTurnStore reports whether a streamed request is charged to a budget or stored, so that its turn store is called before it
 // is sent.
 func (request *clientRequest) needsTurnStore() bool {
-	return request.route.Persisted || request.x.Header.Get(budgetHeader) != ""
+	return request.route.Persisted || request.exchange.Header.Get(budgetHeader) != ""
 }
 
 // program returns the program whose budget a turn is charged to. A turn that names none is a program of its own.
 func (request *clientRequest) program() string {
-	if program := request.x.Header.Get("Program"); program != "" {
+	if program := request.exchange.Header.Get("Program"); program != "" {
 		return program
 	}
 	return request.attemptID
@@ -47,7 +47,7 @@
 
 // readBudget reads the Budget of the turn's program, in tokens, into begin.
 func (request *clientRequest) readBudget(begin *tierv1.BeginRequest) error {
-	header := request.x.Header.Get(budgetHeader)
+	header := request.exchange.Header.Get(budgetHeader)
 	if header == "" {
 		return nil
 	}
--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -63,21 +63,25 @@
 	healthReports    chan loadbalancer.Reports // to be sent to the control plane
 }
 
-// maxProbeConnections bounds the connections to the readiness address.
-const maxProbeConnections = 64
+const (
+	maxProbeConnections     = 64              // to the readiness address
+	minClientConnections    = 64              // limit on connections of clients; more if the file descriptors allow it
+	maxLinger               = 3 * time.Second // time in which a draining gateway still serves new clients
+	transcriptCacheFraction = 16              // one part in so many of the memory is for cached transcripts
+)
 
 // New returns a gateway that does nothing before Run.
-func New(c Config) *Gateway {
-	gateway := &Gateway{config: c, log: c.Log, started: time.Now(), loadbalancer: loadbalancer.New(c.Settings.Zone, c.Settings.Node),
+func New(config Config) *Gateway {
+	gateway := &Gateway{config: config, log: config.Log, started: time.Now(), loadbalancer: loadbalancer.New(config.Settings.Zone, config.Settings.Node),
 		capacityFreed: make(chan struct{}), pendingReleases: map[string]map[chan struct{}]bool{}, lateReleaseSlots: make(chan struct{}, maxLateReleases),
 		healthReports: make(chan loadbalancer.Reports, maxQueuedHealthReports),
 		counters:      newCounters()}
 	gateway.runContext, gateway.cancelRun = context.WithCancel(context.Background())
-	gateway.storeClient = newStoreClient(c.Settings, c.TurnStore, c.Log)
-	gateway.pool = newPool(c.Settings)
-	gateway.transcripts = newTranscriptCache(c.Settings.MemoryMB << 20 / 16)
+	gateway.storeClient = newStoreClient(config.Settings, config.TurnStore, config.Log)
+	gateway.pool = newPool(config.Settings)
+	gateway.transcripts = newTranscriptCache(config.Settings.MemoryMB << 20 / transcriptCacheFraction)
 	gateway.affinity = newAffinityTable()
-	gateway.session = session.New(session.Config{Settings: c.Settings, Role: "gateway", Dial: c.ControlPlane, Log: c.Log,
+	gateway.session = session.New(session.Config{Settings: config.Settings, Role: "gateway", Dial: config.ControlPlane, Log: config.Log,
 		Configuration: gateway.applyConfiguration, Endpoints: gateway.applyEndpoints, PartitionMap: gateway.storeClient.apply, Ejections: gateway.applyEjections})
 	return gateway
 }
@@ -96,7 +100,7 @@
 	go gateway.session.Run(sessions)
 	go gateway.reportHealth(sessions)
 	probe := &ingress.Server{Handler: gateway.probe, Limits: gateway.limits, MaxConns: maxProbeConnections, Log: gateway.log}
-	server := &ingress.Server{Handler: gateway.handle, Limits: gateway.limits, MaxConns: max(64, settings.MaxFileDescriptors*6/10), Log: gateway.log}
+	server := &ingress.Server{Handler: gateway.handle, Limits: gateway.limits, MaxConns: max(minClientConnections, settings.MaxFileDescriptors*6/10), Log: gateway.log}
 	failed := make(chan error, 2)
 	for _, one := range []struct {
 		address string
@@ -117,7 +121,7 @@
 	return gateway.shutdown(sessions, server)
 }
 
-// anyError makes rpcserver.Listen retry after any error.
+// anyError makes rpc.Listen retry after any error.
 func anyError(error) bool { return true }
 
 // shutdown shuts down gracefully. ctx is that of the sessions, which last until the last answer has been given.
@@ -128,7 +132,7 @@
 	gateway.log.Info().Str("event", "leaving").Str("node", settings.Node).Msg("draining")
 	server.Drain()
 	// The platform checks readiness once a second, and sends clients until two checks have failed.
-	linger := time.NewTimer(min(3*time.Second, settings.GracePeriod*2/5))
+	linger := time.NewTimer(min(maxLinger, settings.GracePeriod*2/5))
 	<-linger.C
 	last, cancel := context.WithTimeout(ctx, settings.GracePeriod/2)
 	defer cancel()
--- a/internal/tier/gateway/handler.go
+++ b/internal/tier/gateway/handler.go
@@ -31,28 +31,30 @@
 )
 
 // handle answers one request of a client.
-func (gateway *Gateway) handle(x *ingress.Exchange) {
+func (gateway *Gateway) handle(exchange *ingress.Exchange) {
 	gateway.activeRequests.Add(1)
 	defer gateway.activeRequests.Add(-1)
 	kind := kindNone
-	defer func() { gateway.counters.countRequest(kind, outcomeOf(x.Status(), x.Signed(), x.Complete())) }()
+	defer func() {
+		gateway.counters.countRequest(kind, outcomeOf(exchange.Status(), exchange.Signed(), exchange.Complete()))
+	}()
 	table := gateway.routing.Load()
 	if table == nil {
-		gateway.reject(x, unconfiguredRetryAfter)
+		gateway.reject(exchange, unconfiguredRetryAfter)
 		return
 	}
-	route := table.Match(x.Host, x.Path)
+	route := table.Match(exchange.Host, exchange.Path)
 	if route == nil {
-		x.Respond(http.StatusNotFound, nil, []byte("no route\n"))
+		exchange.Respond(http.StatusNotFound, nil, []byte("no route\n"))
 		return
 	}
-	request := &clientRequest{gateway: gateway, x: x, route: route, attemptID: x.Header.Get("X-Attempt-Id"), body: x.Body, tokensPerEvent: 1}
+	request := &clientRequest{gateway: gateway, exchange: exchange, route: route, attemptID: exchange.Header.Get("X-Attempt-Id"), body: exchange.Body, tokensPerEvent: 1}
 	if request.attemptID == "" {
 		request.rejectBad(errNoAttemptID)
 		return
 	}
-	if route.Kind == routing.Streaming && !x.CanStream() {
-		x.Respond(http.StatusHTTPVersionNotSupported, nil, nil)
+	if route.Kind == routing.Streaming && !exchange.CanStream() {
+		exchange.Respond(http.StatusHTTPVersionNotSupported, nil, nil)
 		return
 	}
 	kind = request.kind()
@@ -66,7 +68,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	request.ctx = ctx
-	x.OnClientGone(clientWatchDelay, cancel)
+	exchange.OnClientGone(clientWatchDelay, cancel)
 	request.forward()
 }
 
@@ -84,12 +86,12 @@
 }
 
 // reject answers with 503: the request has not run and never will. The client should retry after the given time.
-func (gateway *Gateway) reject(x *ingress.Exchange, retryAfter time.Duration) {
+func (gateway *Gateway) reject(exchange *ingress.Exchange, retryAfter time.Duration) {
 	seconds := strconv.FormatFloat(max(retryAfter, time.Millisecond).Seconds(), 'f', 3, 64)
-	x.Respond(http.StatusServiceUnavailable, []http1.Field{{Name: "Retry-After", Value: seconds}}, nil)
+	exchange.Respond(http.StatusServiceUnavailable, []http1.Field{{Name: "Retry-After", Value: seconds}}, nil)
 }
 
 // rejectBad answers with 400 and the text of the error.
 func (request *clientRequest) rejectBad(err error) {
-	request.x.Respond(http.StatusBadRequest, nil, []byte(err.Error()+"\n"))
+	request.exchange.Respond(http.StatusBadRequest, nil, []byte(err.Error()+"\n"))
 }
--- a/internal/tier/gateway/outcomes.go
+++ b/internal/tier/gateway/outcomes.go
@@ -23,42 +23,42 @@
 }
 
 // callOutcome returns the outcome of an attempt, for the load balancer. Latency is the time until the first event, or until the end.
-func callOutcome(r *upstream.Result, latency time.Duration) loadbalancer.Outcome {
-	o := loadbalancer.Outcome{Latency: latency}
-	end := r.Outcome
-	if r.Stream != nil {
-		end = r.Stream.Outcome()
+func callOutcome(result *upstream.Result, latency time.Duration) loadbalancer.Outcome {
+	outcome := loadbalancer.Outcome{Latency: latency}
+	end := result.Outcome
+	if result.Stream != nil {
+		end = result.Stream.Outcome()
 	}
-	a := r.Response
-	if a != nil && a.HasLoad {
-		o.Load = &loadbalancer.Load{Running: a.Load.Running, Waiting: a.Load.Waiting, Slots: a.Load.Slots}
+	response := result.Response
+	if response != nil && response.HasLoad {
+		outcome.Load = &loadbalancer.Load{Running: response.Load.Running, Waiting: response.Load.Waiting, Slots: response.Load.Slots}
 	}
 	switch end {
 	case upstream.Complete:
-		o.Kind, o.Misdirected = answerOutcome(a)
+		outcome.Kind, outcome.Misdirected = answerOutcome(response)
 	case upstream.TimedOut:
-		o.Kind = loadbalancer.TimedOut
-		if !r.Written {
-			o.Kind = loadbalancer.Broken
+		outcome.Kind = loadbalancer.TimedOut
+		if !result.Written {
+			outcome.Kind = loadbalancer.Broken
 		}
 	case upstream.Canceled:
-		o.Kind = loadbalancer.Canceled
+		outcome.Kind = loadbalancer.Canceled
 	case upstream.NotSent, upstream.NoConnection:
-		o.Kind = loadbalancer.NotSent
+		outcome.Kind = loadbalancer.NotSent
 	default:
-		o.Kind = loadbalancer.Broken
+		outcome.Kind = loadbalancer.Broken
 	}
-	return o
+	return outcome
 }
 
 // answerOutcome returns the outcome of a complete answer, and whether the request was misdirected: another instance is at the address.
-func answerOutcome(a *upstream.Response) (kind loadbalancer.OutcomeKind, misdirected bool) {
+func answerOutcome(response *upstream.Response) (kind loadbalancer.OutcomeKind, misdirected bool) {
 	switch {
-	case a.Status == http.StatusMisdirectedRequest:
+	case response.Status == http.StatusMisdirectedRequest:
 		return loadbalancer.Gone, true
-	case a.NotExecuted:
+	case response.NotExecuted:
 		return loadbalancer.Rejected, false
-	case a.Status/100 == 2 || a.Status/100 == 4 || a.Signature != "":
+	case response.Status/100 == 2 || response.Status/100 == 4 || response.Signature != "":
 		return loadbalancer.Served, false
 	}
 	return loadbalancer.Failed, false
--- a/internal/tier/gateway/prefixaffinity.go
+++ b/internal/tier/gateway/prefixaffinity.go
@@ -60,7 +60,7 @@
 // a conversation that branches off another one begins with that one's, so its parts have the last part of that.
 func (request *clientRequest) affinityKeys() []string {
 	keys := make([]string, 0, len(request.prefix)+1)
-	if session := request.x.Header.Get("Session"); session != "" {
+	if session := request.exchange.Header.Get("Session"); session != "" {
 		keys = append(keys, "session "+session)
 	}
 	for i := len(request.prefix) - 1; i >= 0; i-- {
--- a/internal/tier/gateway/prefixaffinity_test.go
+++ b/internal/tier/gateway/prefixaffinity_test.go
@@ -33,7 +33,7 @@
 	k := &Gateway{affinity: newAffinityTable()}
 	of := func(session string, prefix ...string) *clientRequest {
 		header := http1.Header{{Name: "Session", Value: session}}
-		return &clientRequest{gateway: k, x: &ingress.Exchange{Header: header}, prefix: prefix}
+		return &clientRequest{gateway: k, exchange: &ingress.Exchange{Header: header}, prefix: prefix}
 	}
 	of("s1", "system", "p1").recordAffinity("i1")
 	find := func(request *clientRequest) string { return k.affinity.find(request.affinityKeys()...) }
--- a/internal/tier/gateway/readiness.go
+++ b/internal/tier/gateway/readiness.go
@@ -31,24 +31,24 @@
 }
 
 // readiness answers the readiness check of the platform: 200 while the gateway is ready, else 503.
-func (gateway *Gateway) readiness(x *ingress.Exchange) {
+func (gateway *Gateway) readiness(exchange *ingress.Exchange) {
 	ready := gateway.ready()
 	if gateway.lastReady.Swap(ready) != ready {
 		gateway.log.Info().Str("event", "readiness").Bool("ready", ready).Msg("readiness changed")
 	}
 	if ready {
-		x.Respond(http.StatusOK, nil, nil)
+		exchange.Respond(http.StatusOK, nil, nil)
 		return
 	}
-	x.Respond(http.StatusServiceUnavailable, nil, nil)
+	exchange.Respond(http.StatusServiceUnavailable, nil, nil)
 }
 
 // probe serves the readiness address: metrics at their path, and the readiness check at any other. The frontend reserves no path for
 // these, as each may be a route's.
-func (gateway *Gateway) probe(x *ingress.Exchange) {
-	if x.Method == http.MethodGet && x.Path == metrics.Path {
-		x.Respond(http.StatusOK, []http1.Field{{Name: "Content-Type", Value: metrics.ContentType}}, metrics.Text(gateway.Metrics()))
+func (gateway *Gateway) probe(exchange *ingress.Exchange) {
+	if exchange.Method == http.MethodGet && exchange.Path == metrics.Path {
+		exchange.Respond(http.StatusOK, []http1.Field{{Name: "Content-Type", Value: metrics.ContentType}}, metrics.Text(gateway.Metrics()))
 		return
 	}
-	gateway.readiness(x)
+	gateway.readiness(exchange)
 }
--- a/internal/tier/gateway/releasecontrol_test.go
+++ b/internal/tier/gateway/releases_internal_test.go
@@ -155,7 +155,7 @@
 					return &tierv1.BeginReply{Verdict: verdict}, nil
 				}
 				k := newGatewayWith(10*time.Second, v)
-				request := &clientRequest{gateway: k, attemptID: "t", x: &ingress.Exchange{}}
+				request := &clientRequest{gateway: k, attemptID: "t", exchange: &ingress.Exchange{}}
 				begun := k.storeClient.beginAt(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t"})
 				assert.Equal(t, begun.verdict, verdict)
 				request.rejectTurn("p", begun)
@@ -172,7 +172,7 @@
 		k := newGatewayWith(10*time.Second, v)
 		begun := k.storeClient.beginAt(t.Context(), &tierv1.BeginRequest{Program: "p", Attempt: "t"})
 		assert.Assert(t, begun.verdict == verdict && !begun.maybeReserved)
-		(&clientRequest{gateway: k, attemptID: "t", x: &ingress.Exchange{}}).rejectTurn("p", begun)
+		(&clientRequest{gateway: k, attemptID: "t", exchange: &ingress.Exchange{}}).rejectTurn("p", begun)
 		assert.Equal(t, len(k.releasesOf("p")), 0)
 	}
 }
--- a/internal/tier/gateway/request.go
+++ b/internal/tier/gateway/request.go
@@ -16,7 +16,7 @@
 // clientRequest is the request of a client while it is handled. One goroutine owns it.
 type clientRequest struct {
 	gateway           *Gateway
-	x                 *ingress.Exchange
+	exchange          *ingress.Exchange
 	route             *routing.Route
 	service           string
 	attemptID         string
@@ -48,7 +48,7 @@
 // header must be a number of milliseconds, 0 or above.
 func (request *clientRequest) readDeadline() error {
 	timeout := request.route.Timeout
-	if header := request.x.Header.Get("X-Deadline-Ms"); header != "" {
+	if header := request.exchange.Header.Get("X-Deadline-Ms"); header != "" {
 		ms, err := strconv.ParseFloat(header, 64)
 		if err != nil && !errors.Is(err, strconv.ErrRange) || !(ms >= 0) {
 			return errInvalidDeadline
@@ -57,14 +57,14 @@
 			timeout = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
-	request.deadline = request.x.ArrivedAt.Add(timeout)
+	request.deadline = request.exchange.ArrivedAt.Add(timeout)
 	return nil
 }
 
 // readTokens reads X-Token-Usage: the tokens of the prompt and, after a comma, the maximum that the turn may generate. What is no
 // number counts as 0.
 func (request *clientRequest) readTokens() {
-	header := request.x.Header.Get("X-Token-Usage")
+	header := request.exchange.Header.Get("X-Token-Usage")
 	if header == "" {
 		return
 	}
@@ -79,14 +79,14 @@
 	if request.route.Persisted { // its affinity is the instance of the turn that it continues
 		return
 	}
-	if header := request.x.Header.Get("X-Prompt-Prefix"); header != "" {
+	if header := request.exchange.Header.Get("X-Prompt-Prefix"); header != "" {
 		for part := range strings.SplitSeq(header, ",") {
 			id, _, _ := strings.Cut(strings.TrimSpace(part), ":")
 			request.prefix = append(request.prefix, id)
 		}
 		request.affinity = request.prefix[len(request.prefix)-1]
 	}
-	if session := request.x.Header.Get("Session"); session != "" {
+	if session := request.exchange.Header.Get("Session"); session != "" {
 		request.affinity = session
 	}
 }
@@ -94,7 +94,7 @@
 // selectService picks one of the route's services by weight. On a sticky route all requests of a session go to the same service, on
 // others each attempt is picked for by itself.
 func (request *clientRequest) selectService(table *routing.Table) {
-	sticky := cmp.Or(request.x.Header.Get("Session"), request.affinity)
+	sticky := cmp.Or(request.exchange.Header.Get("Session"), request.affinity)
 	if sticky == "" || !request.route.SessionAffinity {
 		sticky = request.attemptID
 	}
--- a/internal/tier/gateway/storeclient.go
+++ b/internal/tier/gateway/storeclient.go
@@ -29,10 +29,10 @@
 }
 
 // newStoreClient returns a client without a partition map.
-func newStoreClient(s settings.Settings, dial func(string) tierv1.TurnStore, l *log.Logger) *storeClient {
+func newStoreClient(settings settings.Settings, dial func(string) tierv1.TurnStore, logger *log.Logger) *storeClient {
 	reachability := &reachability{}
-	return &storeClient{dial: reachability.track(dial), reachability: reachability, log: l, callTimeout: s.ContactWindow / 4,
-		maxBackoff: s.ContactWindow / 40, mapChanged: make(chan struct{}), addresses: map[string]string{}}
+	return &storeClient{dial: reachability.track(dial), reachability: reachability, log: logger, callTimeout: settings.ContactWindow / 4,
+		maxBackoff: settings.ContactWindow / 40, mapChanged: make(chan struct{}), addresses: map[string]string{}}
 }
 
 // apply applies a newer partition map.
--- a/internal/tier/gateway/streaming.go
+++ b/internal/tier/gateway/streaming.go
@@ -26,7 +26,7 @@
 
 // forwardStream serves a request whose answer is passed on event by event.
 func (request *clientRequest) forwardStream(accounting accounting) {
-	after := request.x.Header.Get(lastEventIDHeader)
+	after := request.exchange.Header.Get(lastEventIDHeader)
 	relay := &streamRelay{request: request, accounting: accounting, progress: newProgress(request.route.Resumable, after)}
 	if accounting.transcript != nil && after != "" {
 		// The text of a stored turn must be complete: the endpoint runs it from its beginning, and the client gets the rest.
@@ -159,7 +159,7 @@
 	}
 	if !relay.clientGone && len(relay.buffer) > 0 {
 		relay.writtenEvents = relay.events
-		relay.clientGone = relay.request.x.Write(relay.buffer) != nil
+		relay.clientGone = relay.request.exchange.Write(relay.buffer) != nil
 	}
 	relay.buffer, relay.bufferedEvents = relay.buffer[:0], 0
 }
@@ -167,7 +167,7 @@
 // begin writes the head of the answer.
 func (relay *streamRelay) begin(head *upstream.Response) {
 	relay.headWritten = true
-	relay.clientGone = relay.request.x.Begin(head.Status, fields(head)) != nil
+	relay.clientGone = relay.request.exchange.Begin(head.Status, fields(head)) != nil
 }
 
 // noEndpoint ends the answer if there is no endpoint for the next attempt.
@@ -188,7 +188,7 @@
 	}
 	relay.accounting.reservation.release(charged * relay.request.tokensPerEvent)
 	if relay.headWritten || relay.clientGone {
-		relay.request.x.Abort()
+		relay.request.exchange.Abort()
 		return
 	}
 	relay.request.respond(relay.lastResult)
@@ -203,21 +203,21 @@
 	}
 	if relay.clientGone {
 		accounting.reservation.release(relay.events * request.tokensPerEvent)
-		request.x.Abort()
+		request.exchange.Abort()
 		return
 	}
 	tokens := relay.events * request.tokensPerEvent
 	if accounting.transcript == nil {
 		request.recordAffinity(instance)
 		accounting.reservation.release(tokens)
-		request.x.End()
+		request.exchange.End()
 		return
 	}
 	accounting.transcript.instance = instance
 	if !request.storeTurn(accounting.transcript, tokens) {
 		accounting.reservation.releaseInBackground(tokens) // if it was stored all the same, that settlement wins
-		request.x.Abort()
+		request.exchange.Abort()
 		return
 	}
-	request.x.End()
+	request.exchange.End()
 }
--- a/internal/tier/gateway/transcripts.go
+++ b/internal/tier/gateway/transcripts.go
@@ -22,8 +22,8 @@
 // newTranscript returns the transcript of a turn, and the text of the newest turn of its conversation that this gateway has cached. It has
 // begin ask only for the turns after that one.
 func (request *clientRequest) newTranscript(begin *tierv1.BeginRequest) (*transcript, *cachedPrompt) {
-	transcript := &transcript{program: begin.Program, conversation: begin.Program + "/" + request.x.Header.Get("Session"),
-		previous: request.x.Header.Get("Previous"), retentionMs: begin.RetentionMs}
+	transcript := &transcript{program: begin.Program, conversation: begin.Program + "/" + request.exchange.Header.Get("Session"),
+		previous: request.exchange.Header.Get("Previous"), retentionMs: begin.RetentionMs}
 	begin.Previous = transcript.previous
 	cached := request.gateway.transcripts.nearest(transcript.previous, transcript.conversation)
 	if cached != nil {
@@ -42,7 +42,7 @@
 	if n := len(begun.chain); n > 0 {
 		request.preferredInstance = begun.chain[n-1].Instance
 	}
-	request.body = assemblePrompt(cached, begun.chain, request.x.Body)
+	request.body = assemblePrompt(cached, begun.chain, request.exchange.Body)
 }
 
 // storeTurn stores a complete turn and caches its text for the next one. It reports whether the turn is known to be durable.
@@ -59,7 +59,7 @@
 func (request *clientRequest) settleTurn(transcript *transcript, tokens uint64) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), request.deadline)
 	defer cancel()
-	turn := &tierv1.Turn{Attempt: request.attemptID, Previous: transcript.previous, Program: transcript.program, Input: request.x.Body,
+	turn := &tierv1.Turn{Attempt: request.attemptID, Previous: transcript.previous, Program: transcript.program, Input: request.exchange.Body,
 		Output: transcript.output, RetentionMs: transcript.retentionMs, Instance: transcript.instance}
 	return request.gateway.storeClient.settle(ctx, &tierv1.SettleRequest{Program: transcript.program, Attempt: request.attemptID, Stored: true,
 		Tokens: tokens, Turn: turn})
--- a/internal/tier/gateway/turnclient.go
+++ b/internal/tier/gateway/turnclient.go
@@ -14,8 +14,8 @@
 type TurnClient struct{ stores *storeClient }
 
 // NewTurnClient returns a client without a partition map.
-func NewTurnClient(s settings.Settings, dial func(address string) tierv1.TurnStore, l *log.Logger) *TurnClient {
-	return &TurnClient{newStoreClient(s, dial, l)}
+func NewTurnClient(settings settings.Settings, dial func(address string) tierv1.TurnStore, logger *log.Logger) *TurnClient {
+	return &TurnClient{newStoreClient(settings, dial, logger)}
 }
 
 // ApplyPartitionMap applies a newer partition map.
--- a/internal/tier/gateway/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -58,14 +58,14 @@
 	switch begun.verdict {
 	case tierv1.Verdict_SPENT:
 		if begun.releasePending { // the budget may allow it as soon as the pending releases are done
-			gateway.reject(request.x, gateway.storeClient.maxBackoff)
+			gateway.reject(request.exchange, gateway.storeClient.maxBackoff)
 			return
 		}
-		request.x.Respond(http.StatusPaymentRequired, nil, nil)
+		request.exchange.Respond(http.StatusPaymentRequired, nil, nil)
 	case tierv1.Verdict_UNKNOWN:
-		request.x.Respond(http.StatusNotFound, nil, []byte("no such turn\n"))
+		request.exchange.Respond(http.StatusNotFound, nil, []byte("no such turn\n"))
 	default:
-		gateway.reject(request.x, gateway.storeClient.maxBackoff)
+		gateway.reject(request.exchange, gateway.storeClient.maxBackoff)
 	}
 }
 
--- a/internal/tier/turnstore/backup.go
+++ b/internal/tier/turnstore/backup.go
@@ -8,8 +8,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Replicate implements tierv1.TurnStore: as a backup it adds facts of the primary, and replies Taken when they are synced. An epoch that
-// is older than the newest known here is Stale; a newer one is observed. Neither is replied before the first partition map of this
+// Replicate implements tierv1.TurnStore: as a backup it adds facts of the primary, and replies Acknowledged when they are synced. An epoch that
+// is older than the newest one known here is answered with Stale; a newer one is observed. Neither is answered before the first partition map of this
 // process, which has forgotten the epochs that it observed, while the disk is not sound, or if the call was meant for another
 // folder. The error is the cause of ctx.
 func (store *TurnStore) Replicate(ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
--- a/internal/tier/turnstore/begin.go
+++ b/internal/tier/turnstore/begin.go
@@ -47,28 +47,28 @@
 		return &tierv1.BeginReply{Verdict: verdict}, nil
 	}
 	now := store.cfg.Now()
-	d := store.decide(p, req, now)
-	reply = &tierv1.BeginReply{Verdict: d.verdict}
-	if d.verdict == tierv1.Verdict_BUSY {
+	decision := store.decide(p, req, now)
+	reply = &tierv1.BeginReply{Verdict: decision.verdict}
+	if decision.verdict == tierv1.Verdict_BUSY {
 		return reply, nil
 	}
 	pending = &acknowledgement{term: p.term}
-	if d.verdict == tierv1.Verdict_OK {
-		pending.logged = store.appendFacts(p, d.facts, now)
+	if decision.verdict == tierv1.Verdict_OK {
+		pending.logged = store.appendFacts(p, decision.facts, now)
 		reply.AvoidEndpoints = p.failedEndpoints(req.Program, now)
 		if req.Previous != "" {
-			if d.chain, _ = p.chain(req.Previous, true, 0, now); d.chain == nil {
+			if decision.chain, _ = p.chain(req.Previous, true, 0, now); decision.chain == nil {
 				return &tierv1.BeginReply{Verdict: tierv1.Verdict_BUSY}, nil
 			}
-			d.chain[len(d.chain)-1].lastUsed = now
+			decision.chain[len(decision.chain)-1].lastUsed = now
 		}
 		if !req.ChainKnown {
-			rest := chainAfter(d.chain, req.KnownTurn)
-			reply.AfterKnownTurn = len(rest) < len(d.chain)
+			rest := chainAfter(decision.chain, req.KnownTurn)
+			reply.AfterKnownTurn = len(rest) < len(decision.chain)
 			reply.Chain = turns(rest)
 		}
 	}
-	pending.replicated = p.term.enqueue(d.facts...)
+	pending.replicated = p.term.enqueue(decision.facts...)
 	return reply, pending
 }
 
--- a/internal/tier/turnstore/compact_test.go
+++ b/internal/tier/turnstore/compact_test.go
@@ -66,3 +66,22 @@
 		})
 	}
 }
+
+func TestCompactionDue(t *testing.T) {
+	const mb = 1 << 20
+	for _, test := range []struct {
+		name              string
+		size, live, limit int64
+		want              bool
+	}{
+		{"half dead, little of it", 2*mb + minDeadBytes, mb, 0, false},
+		{"more than half dead", 2*mb + minDeadBytes + 1, mb, 0, true},
+		{"limit is close", 40 * mb, 31 * mb, 100 * mb, true},
+		{"limit is not close", 40 * mb, 30 * mb, 100 * mb, false},
+		{"limit is close, and little is dead", 40 * mb, 35 * mb, 100 * mb, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			assert.Equal(t, compactionDue(test.size, test.live, test.limit), test.want)
+		})
+	}
+}
--- a/internal/tier/turnstore/doc.go
+++ b/internal/tier/turnstore/doc.go
@@ -19,31 +19,33 @@
 //
 // # States of an attempt
 //
-//	state        event                          next state          charged to the budget
-//	(unknown)    Begin: OK                      reserved            maximum of the reservation
-//	(unknown)    Adopted                        adopted             nothing
-//	(unknown)    Settle                         settled, stored     tokens of the settlement
-//	reserved     Begin again (a retry)          reserved            unchanged
-//	reserved     Settle without a turn          settled             tokens of the settlement
-//	reserved     Settle with a turn             stored              tokens of the settlement
-//	settled      Begin again (a late copy)      settled (BUSY)      unchanged
-//	settled      Settle with a turn             stored              the larger of both settlements
-//	settled      Settle with more tokens        settled             the larger of both settlements
-//	stored       retention + TurnLinger over    settled             unchanged; the text is dropped
-//	reserved,    program unused for the longest  (unknown)          nothing
-//	settled      retention + BudgetLinger
+//	state               event                                         next state          charged to the budget
+//	(unknown)           Begin: OK                                     reserved            maximum of the reservation
+//	(unknown)           Adopted                                       adopted             nothing
+//	(unknown)           Settle                                        settled or stored   tokens of the settlement
+//	reserved            Begin again (a retry)                         reserved            unchanged
+//	reserved            Settle without a turn                         settled             tokens of the settlement
+//	reserved            Settle with a turn                            stored              tokens of the settlement
+//	settled             Begin again (a late copy of a request)        settled; BUSY       unchanged
+//	settled             Settle with a turn                            stored              the larger of both settlements
+//	settled, stored     Settle with more tokens                       unchanged           the larger of both settlements
+//	stored              retention + TurnLinger have passed            settled             unchanged; the text is dropped
+//	reserved, settled   unused for longest retention + BudgetLinger   (unknown)           nothing
+//	adopted             retention + TurnLinger have passed            (unknown)           nothing
 //
 // A turn whose chain, the turns that it continues, is stored completely can be continued; see partition.chain.
 //
 // # Roles of a turn store in a partition
 //
-//	role          event                                          next role
-//	none          map names it a backup                          backup
-//	none, backup  map names it the primary of a newer epoch      primary: a term begins
-//	primary       its term recovers (Partition.RecoverFrom)      answers BUSY until the control plane confirms the recovery
-//	primary       a replica reports a newer epoch                backup: the term ends ("turnstore_deposed")
-//	primary       map of the next epoch names it again           primary: a new term that continues the former one
-//	any           map names it no more                           none; its facts are dropped after UnassignedRetention
+//	role           event                                       next role
+//	none           map names it a backup                       backup
+//	none, backup   map names it the primary of a newer epoch   primary: a term begins
+//	primary        map of the next epoch names it again        primary: a new term, which continues the former one
+//	primary        a backup replies that the epoch is stale    none until the next map: the term ends (turnstore_deposed)
+//	any            a primary calls with a newer epoch          backup of that epoch: a term ends
+//	any            map names it no more                        none: its facts are dropped after UnassignedRetention
+//
+// A primary whose term recovers (Partition.RecoverFrom) answers BUSY until the control plane confirms the recovery.
 //
 // A term is the time in which this process is primary of a partition in one epoch. In each term the primary replicates new facts to
 // every backup (replicator) and compares what both held before (synchronize); a backup that has everything is reported
--- a/internal/tier/turnstore/replicator.go
+++ b/internal/tier/turnstore/replicator.go
@@ -35,8 +35,11 @@
 // replicationQueueLimit is the number of bytes that may be queued for one backup before new attempts are rejected.
 const replicationQueueLimit = 8 << 20
 
-// maxReplicationBackoff is the longest pause before a batch is sent again.
-const maxReplicationBackoff = 400 * time.Millisecond
+// Bounds of the pause before a batch is sent again. The first pause is twice the lower one.
+const (
+	minReplicationBackoff = 20 * time.Millisecond
+	maxReplicationBackoff = 400 * time.Millisecond
+)
 
 // enqueue queues facts for all backups, and returns a batch for each. None of these was in flight before the call. The caller holds mu.
 func (t *term) enqueue(facts ...*tierv1.Fact) []*replicationBatch {
@@ -103,7 +106,7 @@
 		r.store.mu.Unlock()
 		if !r.replicate(batch.facts, batch.size, failures) {
 			failures++
-			sleep(r.store.ctx, r.term.closed, min(20*time.Millisecond<<min(failures, 5), maxReplicationBackoff))
+			sleep(r.store.ctx, r.term.closed, backoff(minReplicationBackoff, failures, maxReplicationBackoff))
 			continue
 		}
 		failures = 0
--- a/internal/tier/turnstore/state.go
+++ b/internal/tier/turnstore/state.go
@@ -22,6 +22,7 @@
 	generation uint32        // of the write-ahead log: the number of compactions begun
 }
 
+// newState returns a state without facts.
 func newState() *state { return &state{partitions: map[uint32]*partition{}} }
 
 // partition returns a partition, which is added if it is missing.
@@ -46,45 +47,69 @@
 	if e != nil && e.turn != nil {
 		e.lastUsed = now
 	}
+	var changed bool
 	switch of := f.Of.(type) {
 	case *tierv1.Fact_Reserved:
-		if of.Reserved == nil || e != nil && e.reserved {
-			return false
-		}
-		e = s.entry(p, f, true, now)
-		before := e.charge()
-		e.reserved, e.limited, e.budget, e.maxTokens = true, of.Reserved.Limited, of.Reserved.Budget, of.Reserved.MaxTokens
-		e.retentionMs = of.Reserved.RetentionMs
-		s.longest = max(s.longest, time.Duration(e.retentionMs)*time.Millisecond)
-		e.program.charged += e.charge() - before
+		changed = s.addReservation(p, f, of.Reserved, now)
 	case *tierv1.Fact_Settled:
-		if of.Settled == nil {
-			return false
-		}
-		if e != nil && e.settled && (e.turn != nil || of.Settled.Turn == nil) && of.Settled.Tokens <= e.tokens {
-			return false
-		}
-		e = s.entry(p, f, true, now)
-		before := e.charge()
-		e.settled, e.tokens = true, max(e.tokens, of.Settled.Tokens)
-		e.program.charged += e.charge() - before
-		s.setTurn(e, of.Settled.Turn, now)
+		changed = s.addSettlement(p, f, of.Settled, now)
 	case *tierv1.Fact_Adopted:
-		if of.Adopted == nil || e != nil && e.turn != nil {
-			return false
-		}
-		e = s.entry(p, f, false, now)
-		e.adopted = true
-		s.setTurn(e, of.Adopted, now)
-	default:
+		changed = s.addAdopted(p, f, of.Adopted, now)
+	}
+	if !changed {
 		return false
 	}
+	e = p.entries[f.Attempt]
 	size := int32(proto.Size(f)) + recordOverhead
 	e.size += size
 	s.disk += int64(size)
 	return true
 }
 
+// addReservation adds the first reservation of an attempt.
+func (s *state) addReservation(p *partition, f *tierv1.Fact, reservation *tierv1.Reservation, now time.Time) bool {
+	e := p.entries[f.Attempt]
+	if reservation == nil || e != nil && e.reserved {
+		return false
+	}
+	e = s.entry(p, f, true, now)
+	before := e.charge()
+	e.reserved, e.limited, e.budget, e.maxTokens = true, reservation.Limited, reservation.Budget, reservation.MaxTokens
+	e.retentionMs = reservation.RetentionMs
+	s.longest = max(s.longest, time.Duration(e.retentionMs)*time.Millisecond)
+	e.program.charged += e.charge() - before
+	return true
+}
+
+// addSettlement adds a settlement that brings a turn, or more tokens, than the attempt has.
+func (s *state) addSettlement(p *partition, f *tierv1.Fact, settlement *tierv1.Settlement, now time.Time) bool {
+	if settlement == nil {
+		return false
+	}
+	e := p.entries[f.Attempt]
+	if e != nil && e.settled && (e.turn != nil || settlement.Turn == nil) && settlement.Tokens <= e.tokens {
+		return false
+	}
+	e = s.entry(p, f, true, now)
+	before := e.charge()
+	e.settled, e.tokens = true, max(e.tokens, settlement.Tokens)
+	e.program.charged += e.charge() - before
+	s.setTurn(e, settlement.Turn, now)
+	return true
+}
+
+// addAdopted adds the turn of another partition, unless the attempt has one.
+func (s *state) addAdopted(p *partition, f *tierv1.Fact, turn *tierv1.Turn, now time.Time) bool {
+	e := p.entries[f.Attempt]
+	if turn == nil || e != nil && e.turn != nil {
+		return false
+	}
+	e = s.entry(p, f, false, now)
+	e.adopted = true
+	s.setTurn(e, turn, now)
+	return true
+}
+
 // entry returns the entry of a fact's attempt, which is added if it is missing. If charged is set, the entry is charged to the
 // fact's program, unless it is charged to one already.
 func (s *state) entry(p *partition, f *tierv1.Fact, charged bool, now time.Time) *entry {
--- a/internal/tier/turnstore/synchronize.go
+++ b/internal/tier/turnstore/synchronize.go
@@ -13,9 +13,10 @@
 	maxTransfers           = 2   // synchronizations that transfer facts at the same time
 	maxComparisons         = 2   // synchronizations with one other turn store that run at the same time
 	maxKeysPerFetch        = 512 // keys of one Fetch
+	minSynchronizeBackoff  = 50 * time.Millisecond
 	maxSynchronizeBackoff  = time.Second
-	maxThrottle            = 250 * time.Millisecond
-	compareTimeoutMultiple = 8 // the reply to Held may take this many times ReplyTimeout
+	maxThrottle            = 250 * time.Millisecond // pause after a step
+	compareTimeoutMultiple = 8                      // the reply to Held may take this many times ReplyTimeout
 )
 
 // startSynchronizations starts the synchronization with the selected backups of a term. The caller holds mu.
@@ -44,7 +45,7 @@
 			r.awaitMarker(marker)
 			return
 		}
-		if !sleep(r.store.ctx, r.term.closed, min(50*time.Millisecond<<min(failures, 5), maxSynchronizeBackoff)) {
+		if !sleep(r.store.ctx, r.term.closed, backoff(minSynchronizeBackoff, failures, maxSynchronizeBackoff)) {
 			return
 		}
 	}
--- a/internal/tier/turnstore/turnstore.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -222,6 +222,14 @@
 	return store.commit.failed
 }
 
+// maxBackoffDoublings bounds how often a backoff is doubled.
+const maxBackoffDoublings = 5
+
+// backoff returns the pause after failures in a row: the initial one, doubled for each failure, and not more than limit.
+func backoff(initial time.Duration, failures int, limit time.Duration) time.Duration {
+	return min(initial<<min(failures, maxBackoffDoublings), limit)
+}
+
 // sleep waits for d, and reports whether it has elapsed before ctx ended or stop was closed.
 func sleep(ctx context.Context, stop <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
