--- a/internal/tier/controlplane/configuration.go
+++ b/internal/tier/controlplane/configuration.go
@@ -74,11 +74,11 @@
 	if (decided == decisionAccept || decided == decisionAlreadyAccepted) && change.revision == state.changes.current {
 		version = state.configuration.Version
 	}
-	return version, decided.response(change, state.changes.current), true
+	return version, decided.toResponse(change, state.changes.current), true
 }
 
-// response returns the response to a change that was decided on while a revision was in force.
-func (d decision) response(change configurationChange, current int64) response {
+// toResponse returns the response to a change that was decided on while a revision was in force.
+func (d decision) toResponse(change configurationChange, current int64) response {
 	switch d {
 	case decisionAccept, decisionAlreadyAccepted:
 		return okResponse(revisionBody{Revision: change.revision})
--- a/internal/tier/controlplane/doc.go
+++ b/internal/tier/controlplane/doc.go
@@ -33,7 +33,7 @@
 //	ready       Store.Primary names another epoch            startEpoch of that epoch; memory of the last one is dropped
 //	ready       a write has no known outcome                 ready is cleared, Run is woken -> not ready
 //	ready       a write is rejected as the state is too large stays; nothing was written
-//	any         the context of Run ends                      stepDown; Run waits for its goroutines
+//	any         the context of Run ends                      stepDown; Run waits for pollPlatform
 //
 // # States of a replica of a partition
 //
@@ -64,6 +64,17 @@
 //  6. awaitAcknowledgements waits for the active gateways, for a bounded time, and the 200 is sent if this process is still
 //     the primary (response.go: withholdUnlessPrimary).
 //
+// # Files
+//
+//	the primary's loop           primary.go, reconcile.go, platform_poll.go
+//	what is shown                published_state.go, compression.go, endpoint_push.go, ejection_push.go
+//	the control state            store.go, write.go, read_barrier.go
+//	operators' API               operators.go, request_body.go, response.go, redirect.go, configuration.go, retire.go
+//	decisions (pure)             change_history.go, retire_decision.go, retire_progress.go, retire_deadlines.go, risk.go
+//	sessions                     watch.go, sessions.go, status.go, metrics.go
+//	placement (pure)             assignment.go, repair.go, retained_replicas.go, rebalance.go, store_selection.go, replicas.go, sync_stall.go
+//	endpoints                    platform_client.go, endpoint_list.go, ejections.go
+//
 // The design and its proofs: docs/design/hardening/1-answers.md (responses by process, staleness), 2-orders.md (idempotency of
 // changes), 3-second-loss-stores.md (partitions). Operators' pages: docs/operate/control.md and turnstore.md.
 package controlplane
--- a/internal/tier/controlplane/primary.go
+++ b/internal/tier/controlplane/primary.go
@@ -16,8 +16,8 @@
 // writeRetryBackoff is the pause after a failed write that the primary made by itself, and the shortest one between two rounds.
 const writeRetryBackoff = 100 * time.Millisecond
 
-// Run does the primary's work in each epoch in which this process is the primary, and returns when ctx ends and its
-// goroutines have ended.
+// Run does the primary's work in each epoch in which this process is the primary. It returns when ctx has ended and so has
+// the reading of the platform's list. A read barrier's round trip may end later, within its time-out.
 func (plane *ControlPlane) Run(ctx context.Context) {
 	var polling sync.WaitGroup
 	polling.Go(func() { plane.pollPlatform(ctx) })
