--- a/internal/faulttest/cost/cost.go
+++ b/internal/faulttest/cost/cost.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	b.sender, err = fleet.New("n0", listen, folder, command, b.log, func(run int, fresh bool) (map[string]any, error) {
+	b.sender, err = fleet.New(fleet.Config{Name: "n0", Listen: listen, Folder: folder, Command: command, Log: b.log, Configure: func(run int, fresh bool) (map[string]any, error) {
 		return map[string]any{"discovery": b.disc.Addr("n0"), "seed": "5", "known": b.disc.Started("n0", run, fresh),
 			"limits": map[string]any{"cores": 1.0, "memory_mb": c.Memory, "sockets": 16384, "disk_mb": 1024},
 			"settings": map[string]any{"balancers": 1, "discovery": "on_request", "step": 5.0, "zone": 0, "zones": []any{"a"}, "models": []any{"plain"},
@@ -120,7 +120,7 @@
 				"services":  []any{map[string]any{"name": "safe", "slo": 2500.0, "giveUp": 1200000.0, "effect": "read_like", "worth": 1.0, "lateValue": 0.5}},
 				"orgs":      []any{map[string]any{"name": "acme", "share": 1.0, "allowancePerS": 1e6}},
 				"telemetry": map[string]any{"fields": []any{"x0", "x1"}, "via": "answers"}}}, nil
-	})
+	}})
 	if err != nil {
 		return fail(err)
 	}
@@ -228,7 +228,7 @@
 			}
 			return c.Format.Request(encoding.Message{ID: id, Class: "safe", Member: "acme", Dest: int(n) % max(1, c.Busy), Expires: time.Now().Add(20 * time.Second), Body: body})
 		}
-		return traffic.Request(strconv.FormatInt(n, 16), "safe", "acme", 20*time.Second, "", "", "", int(n)%max(1, c.Busy), body)
+		return traffic.Submission{ID: strconv.FormatInt(n, 16), Class: "safe", Tenant: "acme", Deadline: 20 * time.Second, Dest: int(n) % max(1, c.Busy), Body: body}.Request()
 	}
 }
 
@@ -240,7 +240,7 @@
 	}
 	defer conn.Close()
 	for n := range c.Backlog {
-		text := traffic.Request("held-"+strconv.Itoa(n), "safe", "acme", 20*time.Minute, "", "", "", b.targets, make([]byte, c.Body))
+		text := traffic.Submission{ID: "held-" + strconv.Itoa(n), Class: "safe", Tenant: "acme", Deadline: 20 * time.Minute, Dest: b.targets, Body: make([]byte, c.Body)}.Request()
 		for try := 0; ; try++ {
 			status, err := conn.ask(text)
 			if err != nil {
--- a/internal/faulttest/cost/proxy.go
+++ b/internal/faulttest/cost/proxy.go
@@ -52,7 +52,7 @@
 	}
 	body := make([]byte, c.Body)
 	return measure(ctx, c, listen, cmd.Process.Pid, good, func(n int64) []byte {
-		return traffic.Request(strconv.FormatInt(n, 16), "safe", "acme", 20*time.Second, "", "", "", 0, body)
+		return traffic.Submission{ID: strconv.FormatInt(n, 16), Class: "safe", Tenant: "acme", Deadline: 20 * time.Second, Body: body}.Request()
 	}, 200)
 }
 
--- a/internal/faulttest/day/setup.go
+++ b/internal/faulttest/day/setup.go
@@ -55,7 +55,8 @@
 	fail := func(err error) (*Day, error) { return nil, errors.Join(err, d.Close()) }
 	numbers := &atomic.Int64{}
 	for i, r := range plan.Receivers {
-		s, err := receiver.NewServer(i, r.Name, r.Spec, r.Endpoints, plan.Day.Seed*1000+uint64(i), d.log, d.registry, numbers, d.hosts.next)
+		s, err := receiver.NewServer(receiver.Config{Destination: i, Name: r.Name, Spec: r.Spec, Endpoints: r.Endpoints, Seed: plan.Day.Seed*1000 + uint64(i),
+			Log: d.log, Registry: d.registry, CallNumbers: numbers, Host: d.hosts.next})
 		if err != nil {
 			return fail(err)
 		}
@@ -101,9 +102,10 @@
 	if _, err := d.discovery.Open(name); err != nil {
 		return nil, err
 	}
-	s, err := fleet.New(name, listen, d.options.Folder, slices.Concat(d.options.Command, args), d.log, func(run int, fresh bool) (map[string]any, error) {
-		return d.config(i, d.discovery.Addr(name), d.discovery.Started(name, run, fresh), run)
-	})
+	s, err := fleet.New(fleet.Config{Name: name, Listen: listen, Folder: d.options.Folder, Command: slices.Concat(d.options.Command, args), Log: d.log,
+		Configure: func(run int, fresh bool) (map[string]any, error) {
+			return d.config(i, d.discovery.Addr(name), d.discovery.Started(name, run, fresh), run)
+		}})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/faulttest/fleet/fleet.go
+++ b/internal/faulttest/fleet/fleet.go
@@ -51,10 +51,20 @@
 	memory int64 // most, bytes
 }
 
-// New makes a sender's machine below folder. configure gives the configuration of its next process; the
-// sender's address and folder are added to it here.
-func New(name, listen, folder string, command []string, log *eventlog.Log, configure func(run int, fresh bool) (map[string]any, error)) (*Sender, error) {
-	s := &Sender{Name: name, Listen: listen, folder: folder, command: command, log: log, configure: configure}
+// Config is what New needs. All fields are required.
+type Config struct {
+	Name    string
+	Listen  string   // address on which the sender serves clients
+	Folder  string   // below it the sender's files go
+	Command []string // the sender's program and its arguments
+	Log     *eventlog.Log
+	// Configure returns the configuration of the next process, without the sender's name, address and folder.
+	Configure func(run int, fresh bool) (map[string]any, error)
+}
+
+// New makes a sender's machine.
+func New(c Config) (*Sender, error) {
+	s := &Sender{Name: c.Name, Listen: c.Listen, folder: c.Folder, command: c.Command, log: c.Log, configure: c.Configure}
 	return s, s.empty()
 }
 
--- a/internal/faulttest/fleet/fleet_test.go
+++ b/internal/faulttest/fleet/fleet_test.go
@@ -64,7 +64,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := New("as-"+how, addr, t.TempDir(), []string{self}, log, func(int, bool) (map[string]any, error) { return map[string]any{"discovery": "x:1"}, nil })
+	s, err := New(Config{Name: "as-" + how, Listen: addr, Folder: t.TempDir(), Command: []string{self}, Log: log,
+		Configure: func(int, bool) (map[string]any, error) { return map[string]any{"discovery": "x:1"}, nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faulttest/policytest/policytest.go
+++ b/internal/faulttest/policytest/policytest.go
@@ -22,6 +22,7 @@
 
 	"saffronyard.example/saffronyard/internal/faulttest/day"
 	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
+	"saffronyard.example/saffronyard/internal/faulttest/fleet"
 	"saffronyard.example/saffronyard/internal/faulttest/script"
 )
 
@@ -62,11 +63,12 @@
 }
 
 const (
-	look       = 15 * time.Millisecond // senders are asked for the version so often
-	askTime    = 300 * time.Millisecond
-	healTime   = 30 * time.Second // all senders are of one mind within it
-	maxSuspend = 2500 * time.Millisecond
-	calm       = 4 * time.Second // of traffic behind the faults
+	look        = 15 * time.Millisecond // senders are asked for the version so often
+	askTime     = 300 * time.Millisecond
+	proposeTime = 5 * time.Second  // bounds the wait for the answer to a proposal
+	healTime    = 30 * time.Second // all senders are of one mind within it
+	maxSuspend  = 2500 * time.Millisecond
+	calm        = 4 * time.Second // of traffic behind the faults
 
 	twoOperators = 2
 	// minVersionTime is how long a version stands on a day with a sender cut off before the next is proposed. Once the next is
@@ -194,14 +196,10 @@
 	} `json:"policy"`
 }
 
-func (p *play) ask(ctx context.Context, i int, method, path string, body []byte, patience time.Duration, into any) error {
-	return ask(ctx, p.d, i, method, path, body, patience, into)
-}
-
 // Version is which one a sender goes by.
 func Version(ctx context.Context, d *day.Day, i int, patience time.Duration) (uint64, error) {
 	var r report
-	err := ask(ctx, d, i, http.MethodGet, "/fleet", nil, patience, &r)
+	err := query{method: http.MethodGet, path: "/fleet", timeout: patience}.ask(ctx, d.Sender(i), &r)
 	return r.Policy.Version, err
 }
 
@@ -214,24 +212,32 @@
 
 // Verdicts are those that a sender goes by.
 func Verdicts(ctx context.Context, d *day.Day, i int, patience time.Duration) (all []SeenVerdict, err error) {
-	return all, ask(ctx, d, i, http.MethodGet, "/verdicts", nil, patience, &all)
+	return all, query{method: http.MethodGet, path: "/verdicts", timeout: patience}.ask(ctx, d.Sender(i), &all)
 }
 
-// Propose hands a document in at a sender, made from a version.
-func Propose(ctx context.Context, d *day.Day, i int, base uint64, document []byte, patience time.Duration) error {
+// Propose hands a document, made from version base, in at sender i.
+func Propose(ctx context.Context, d *day.Day, i int, base uint64, document []byte) error {
 	q := url.Values{"base": {fmt.Sprint(base)}, "wait": {"20s"}, "why": {"rehearsal"}}
-	return ask(ctx, d, i, http.MethodPost, "/policy/propose?"+q.Encode(), document, patience, &struct{}{})
+	return query{method: http.MethodPost, path: "/policy/propose?" + q.Encode(), body: document, timeout: proposeTime}.ask(ctx, d.Sender(i), &struct{}{})
+}
+
+// query is a question to a sender's admin socket.
+type query struct {
+	method, path string
+	body         []byte
+	timeout      time.Duration
 }
 
-func ask(ctx context.Context, d *day.Day, i int, method, path string, body []byte, patience time.Duration, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// ask asks a sender and decodes its answer, which is JSON. An answer that is no success is an answerError.
+func (q query) ask(ctx context.Context, sender *fleet.Sender, into any) error {
+	ctx, cancel := context.WithTimeout(ctx, q.timeout)
 	defer cancel()
-	socket := filepath.Join(d.Sender(i).State(), "sender.sock")
+	socket := filepath.Join(sender.State(), "sender.sock")
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		var dialer net.Dialer
 		return dialer.DialContext(ctx, "unix", socket)
 	}}}
-	req, err := http.NewRequestWithContext(ctx, method, "http://sender"+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, q.method, "http://sender"+q.path, bytes.NewReader(q.body))
 	if err != nil {
 		return err
 	}
@@ -261,7 +267,7 @@
 // look sees which version a sender is at.
 func (p *play) look(ctx context.Context, i int) (report, error) {
 	var r report
-	err := p.ask(ctx, i, http.MethodGet, "/fleet", nil, askTime, &r)
+	err := query{method: http.MethodGet, path: "/fleet", timeout: askTime}.ask(ctx, p.d.Sender(i), &r)
 	if err == nil {
 		p.mu.Lock()
 		for v := r.Policy.Version; v > 0; v-- {
@@ -334,7 +340,7 @@
 	c := Change{Base: was.Policy.Version, Asked: p.d.Now()}
 	q := url.Values{"base": {fmt.Sprint(c.Base)}, "wait": {"20s"}, "why": {"concord"}}
 	var in struct{ Change uint64 }
-	err = p.ask(ctx, at, http.MethodPost, "/policy/propose?"+q.Encode(), []byte(Document(c.Base+1)), 5*time.Second, &in)
+	err = query{method: http.MethodPost, path: "/policy/propose?" + q.Encode(), body: []byte(Document(c.Base + 1)), timeout: proposeTime}.ask(ctx, p.d.Sender(at), &in)
 	c.Acknowledged = p.d.Now()
 	var said *answerError
 	switch {
--- a/internal/faulttest/quotatest/quotatest.go
+++ b/internal/faulttest/quotatest/quotatest.go
@@ -284,7 +284,7 @@
 			if version, err = policytest.Version(ctx, d, i, askTime); err != nil {
 				continue
 			}
-			if err = policytest.Propose(ctx, d, i, version, document, 5*time.Second); err != nil {
+			if err = policytest.Propose(ctx, d, i, version, document); err != nil {
 				continue
 			}
 			for ; time.Now().Before(end) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
--- a/internal/faulttest/receiver/server.go
+++ b/internal/faulttest/receiver/server.go
@@ -54,12 +54,25 @@
 	end  chan Outcome // room for one
 }
 
-// NewServer starts a receiver. numbers deals out call numbers to all receivers of a day.
-func NewServer(dest int, name string, spec Spec, endpoints int, seed uint64, log *eventlog.Log, book Registry, numbers *atomic.Int64, host func() string) (*Server, error) {
-	s := &Server{dest: dest, name: name, spec: spec, log: log, registry: book, numbers: numbers, host: host,
-		model: NewModel(spec, 0, seed), rng: rand.New(rand.NewPCG(seed, 2)), waiting: map[int64]*call{}}
+// Config is what NewServer needs. All fields are required.
+type Config struct {
+	Destination int
+	Name        string
+	Spec        Spec
+	Endpoints   int // at the start
+	Seed        uint64
+	Log         *eventlog.Log
+	Registry    Registry
+	CallNumbers *atomic.Int64 // deals out call numbers to all receivers of a day
+	Host        func() string // returns a loopback address that nothing else listens on
+}
+
+// NewServer starts a receiver.
+func NewServer(c Config) (*Server, error) {
+	s := &Server{dest: c.Destination, name: c.Name, spec: c.Spec, log: c.Log, registry: c.Registry, numbers: c.CallNumbers, host: c.Host,
+		model: NewModel(c.Spec, 0, c.Seed), rng: rand.New(rand.NewPCG(c.Seed, 2)), waiting: map[int64]*call{}}
 	s.timer = time.AfterFunc(time.Hour, s.due)
-	for range endpoints {
+	for range c.Endpoints {
 		if _, err := s.Add(); err != nil {
 			s.Close()
 			return nil, err
--- a/internal/faulttest/receiver/server_test.go
+++ b/internal/faulttest/receiver/server_test.go
@@ -54,10 +54,10 @@
 	log.Restart()
 	b := &registry{delivered: map[string]int{}}
 	block := uint32(os.Getpid()) % 200
-	s, err := NewServer(0, "r0", spec, 1, 1, log, b, &atomic.Int64{}, func() string {
+	s, err := NewServer(Config{Name: "r0", Spec: spec, Endpoints: 1, Seed: 1, Log: log, Registry: b, CallNumbers: &atomic.Int64{}, Host: func() string {
 		n := hosts.Add(1)
 		return fmt.Sprintf("127.3.%d.%d", (block+n/250)%250, 1+n%250)
-	})
+	}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faulttest/traffic/clients.go
+++ b/internal/faulttest/traffic/clients.go
@@ -228,7 +228,7 @@
 			h = &handIn{id: id, sender: p.name, dest: a.Dest, unsafe: unsafe, outcome: make(chan end, 1)}
 			c.registry.enter(h)
 		}
-		ans := c.handIn(p, h, id, n, try, a, class, left, mark)
+		ans := c.handIn(p, h, submit{id: id, number: n, attempt: try, arrival: a, class: class, left: left, retry: mark})
 		var wait time.Duration
 		switch {
 		case ans.detail == "down": // nothing was sent, or nothing that could have been read
@@ -318,24 +318,47 @@
 	detail string
 }
 
-// Request is the text of a hand-in (PROTOCOL, "Clients to senders").
-func Request(id, class, tenant string, deadline time.Duration, key, order, mark string, dest int, body []byte) []byte {
+// Submission is one request by which a client hands in a message (PROTOCOL, "Clients to senders").
+type Submission struct {
+	ID, Class, Tenant string
+	Deadline          time.Duration // from now
+	Key               string        // idempotency key; "": none
+	OrderKey          string        // "": none
+	Retry             string        // X-Retry; "": a first request
+	Dest              int
+	Body              []byte
+}
+
+// Request is the text of the request.
+func (m Submission) Request() []byte {
 	text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline-Ms: %d\r\nX-Addressing: dest=%d\r\n",
-		id, class, tenant, deadline.Milliseconds(), dest)
-	if key != "" {
-		text += "Idempotency-Key: " + key + "\r\n"
+		m.ID, m.Class, m.Tenant, m.Deadline.Milliseconds(), m.Dest)
+	if m.Key != "" {
+		text += "Idempotency-Key: " + m.Key + "\r\n"
 	}
-	if order != "" {
-		text += "X-Order-Key: " + order + "\r\n"
+	if m.OrderKey != "" {
+		text += "X-Order-Key: " + m.OrderKey + "\r\n"
 	}
-	if mark != "" {
-		text += "X-Retry: " + mark + "\r\n"
+	if m.Retry != "" {
+		text += "X-Retry: " + m.Retry + "\r\n"
 	}
-	return append([]byte(text+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"), body...)
+	return append([]byte(text+"Content-Length: "+strconv.Itoa(len(m.Body))+"\r\n\r\n"), m.Body...)
+}
+
+// submit is one of the requests for a message.
+type submit struct {
+	id      string // of the request
+	number  int    // of the message
+	attempt int    // from 0
+	arrival script.Arrival
+	class   script.Class
+	left    time.Duration // until the message's deadline
+	retry   string        // X-Retry
 }
 
 // handIn hands a message in once and waits for the answer as long as clients do.
-func (c *Clients) handIn(p *pool, h *handIn, id string, n, try int, a script.Arrival, class script.Class, left time.Duration, mark string) reply {
+func (c *Clients) handIn(p *pool, h *handIn, s submit) reply {
+	id, n, a, class, left, retry := s.id, s.number, s.arrival, s.class, s.left, s.retry
 	r := c.plan.Receivers[a.Dest]
 	msg := "m" + strconv.Itoa(n)
 	key := ""
@@ -349,12 +372,12 @@
 	var text []byte
 	f := c.plan.Day.Speak.Of(n)
 	if f == encoding.Plain || f == "" {
-		text = Request(id, class.Name, r.Member, left, key, a.Order, mark, a.Dest, body)
+		text = Submission{ID: id, Class: class.Name, Tenant: r.Member, Deadline: left, Key: key, OrderKey: a.Order, Retry: retry, Dest: a.Dest, Body: body}.Request()
 	} else {
 		text = f.Request(encoding.Message{ID: h.id, Request: id, Class: class.Name, Member: r.Member, Key: key, Order: a.Order, Dest: a.Dest, Expires: time.Now().Add(left), Body: body})
 	}
 	e := eventlog.Event{Kind: eventlog.HandIn, Sender: p.name, ID: id, Msg: msg, Class: class.Name, Tenant: r.Member, Dest: a.Dest,
-		Order: a.Order, Deadline: left.Milliseconds(), Attempt: try}
+		Order: a.Order, Deadline: left.Milliseconds(), Attempt: s.attempt}
 	if id != h.id {
 		e.Event = h.id
 	}
