--- a/internal/sender/batch.go
+++ b/internal/sender/batch.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"sync"
 	"time"
 
 	"saffronyard.example/saffronyard/brain"
@@ -54,67 +56,72 @@
 	}
 }
 
-// batchResult is how the call of a batch ended.
-type batchResult struct {
-	end      brain.AttemptResult
-	draining bool
+// batchCall is the call of a batch. done is closed once result stands.
+type batchCall struct {
+	endpoint brain.EndpointID
+	done     chan struct{}
+	result   brain.AttemptResult
+	draining bool // the endpoint wants no more calls
 }
 
 // sendBatch begins the call of one batch. Each message's attempt ends by itself, with the call, its own time-out or its
 // cancellation, and is posted as a callResult; the call lasts as long as one of them waits for it.
 func (s *Sender) sendBatch(ctx context.Context, b batch, written bool) {
 	began := time.Now()
-	recs := make([]calls.Ticket, len(b.sends))
-	timeout, longest := b.sends[0].timeout, b.sends[0].timeout
-	for i, one := range b.sends {
-		recs[i] = calls.Ticket{Message: one.m.callMessage(), Permit: one.permit}
-		timeout, longest = min(timeout, one.timeout), max(longest, one.timeout)
+	tickets := make([]calls.Ticket, len(b.sends))
+	shortest, longest := b.sends[0].timeout, b.sends[0].timeout
+	for i, send := range b.sends {
+		tickets[i] = calls.Ticket{Message: send.m.callMessage(), Permit: send.permit}
+		shortest, longest = min(shortest, send.timeout), max(longest, send.timeout)
 	}
-	// The call lasts as long as one of its messages waits for it.
 	shared, cancel := context.WithTimeout(ctx, longest)
-	done := make(chan struct{})
-	var how batchResult
+	call := &batchCall{endpoint: b.to.Number, done: make(chan struct{})}
 	go func() {
-		how.end = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.NotSent}
+		call.result = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.NotSent}
 		if written {
-			how.end, how.draining = s.pool.Call(shared, b.to, recs, timeout)
+			call.result, call.draining = s.pool.Call(shared, b.to, tickets, shortest)
 		}
-		close(done)
+		close(call.done)
 	}()
-	left := make(chan struct{}, len(b.sends))
-	for _, one := range b.sends {
+	var waiting sync.WaitGroup
+	for _, send := range b.sends {
+		waiting.Add(1)
 		go func() {
-			defer func() { left <- struct{}{} }()
-			end := callResult{message: one.m, attempt: one.attempt}
-			select {
-			case <-done:
-				end.AttemptResult, end.draining = how.end, how.draining
-			case <-one.ctx.Done():
-				select { // both at once: what came back is known
-				case <-done:
-					end.AttemptResult, end.draining = how.end, how.draining
-				default:
-					end.AttemptResult = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.Cancelled}
-					if one.ctx.Err() == context.DeadlineExceeded {
-						end.Outcome = brain.TimedOut
-					}
-				}
-			}
-			// A message whose leave is gone was not written with the others, and one whose time is over before
-			// the connection is up will not be: neither's end is the call's.
-			if one.permit.Revoked() {
-				end.AttemptResult = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.NotSent}
-			} else if one.ctx.Err() != nil && one.permit.Revoke() {
-				end.AttemptResult = brain.AttemptResult{Endpoint: b.to.Number, Outcome: brain.ConnectFailed}
-			}
-			end.Elapsed = time.Since(began)
-			s.post(ctx, end)
+			defer waiting.Done()
+			result := call.await(send)
+			result.Elapsed = time.Since(began)
+			s.post(ctx, result)
 		}()
 	}
 	go func() {
-		defer cancel()
-		for range b.sends {
-			<-left
-		}
+		waiting.Wait()
+		cancel()
 	}()
 }
+
+// await waits for the end of one attempt of the batch: that of the call, or its own time-out or cancellation before it.
+func (c *batchCall) await(send batchedSend) callResult {
+	r := callResult{message: send.m, attempt: send.attempt}
+	select {
+	case <-c.done:
+		r.AttemptResult, r.draining = c.result, c.draining
+	case <-send.ctx.Done():
+		select { // both at once: what came back is known
+		case <-c.done:
+			r.AttemptResult, r.draining = c.result, c.draining
+		default:
+			r.AttemptResult = brain.AttemptResult{Endpoint: c.endpoint, Outcome: brain.Cancelled}
+			if errors.Is(send.ctx.Err(), context.DeadlineExceeded) {
+				r.Outcome = brain.TimedOut
+			}
+		}
+	}
+	// A message whose permit is gone was not written with the others, and one whose time is over before the connection is up
+	// will not be: neither's end is the call's.
+	if send.permit.Revoked() {
+		r.AttemptResult = brain.AttemptResult{Endpoint: c.endpoint, Outcome: brain.NotSent}
+	} else if send.ctx.Err() != nil && send.permit.Revoke() {
+		r.AttemptResult = brain.AttemptResult{Endpoint: c.endpoint, Outcome: brain.ConnectFailed}
+	}
+	return r
+}
--- a/internal/sender/server.go
+++ b/internal/sender/server.go
@@ -148,22 +148,22 @@
 			}
 		}
 		c.SetReadDeadline(until)
-		r, protocolRequest, body, err := s.readRequest(c)
+		r, err := s.readRequest(c)
 		if err != nil {
 			s.reject(c, err)
 			return
 		}
 		arrived := s.clock.now()
 		s.setState(c, stateAnswering)
-		var subs []submission
-		if protocolRequest != nil {
-			if subs, err = protocolRequest.submissions(body, arrived); err != nil {
+		var submissions []submission
+		if r.protocol != nil {
+			if submissions, err = r.protocol.submissions(r.body, arrived); err != nil {
 				s.reject(c, err)
 				return
 			}
 		}
-		answer := s.answer(r, protocolRequest, subs)
-		stays := !r.Close && r.ProtoAtLeast(1, 1) && !s.closing.Load() && answer.status/100 != 4 && s.keepAlive(c)
+		answer := s.answer(r, submissions)
+		stays := !r.head.Close && r.head.ProtoAtLeast(1, 1) && !s.closing.Load() && answer.status/100 != 4 && s.keepAlive(c)
 		if !writeResponse(c, answer, !stays) || !stays {
 			return
 		}
@@ -177,27 +177,27 @@
 
 // answer is the answer to a request that has come whole: for submissions that of the loop, which it waits for until the server
 // is closed.
-func (s *server) answer(r *http.Request, protocolRequest ingressRequest, subs []submission) response {
-	if protocolRequest == nil {
-		if r.URL.Path == readyPath && (!s.ready.Load() || s.closing.Load()) {
+func (s *server) answer(r *clientRequest, submissions []submission) response {
+	if r.protocol == nil {
+		if r.head.URL.Path == readyPath && (!s.ready.Load() || s.closing.Load()) {
 			return response{status: http.StatusServiceUnavailable, text: "not ready"}
 		}
 		return response{status: http.StatusOK}
 	}
 	var room [1]response
-	all := append(room[:0], make([]response, len(subs))...)
+	answers := append(room[:0], make([]response, len(submissions))...)
 	submitted := 0
-	for ; submitted < len(subs) && s.submit(s.aborted, subs[submitted]); submitted++ {
+	for ; submitted < len(submissions) && s.submit(s.aborted, submissions[submitted]); submitted++ {
 	}
-	for i := range subs {
-		all[i] = response{status: http.StatusServiceUnavailable, text: "shutting down"}
+	for i := range submissions {
+		answers[i] = response{status: http.StatusServiceUnavailable, text: "shutting down"}
 		if i >= submitted {
 			continue
 		}
 		select {
-		case all[i] = <-subs[i].answer:
+		case answers[i] = <-submissions[i].answer:
 		case <-s.aborted.Done():
 		}
 	}
-	return protocolRequest.response(all)
+	return r.protocol.response(answers)
 }
--- a/internal/sender/server_requests.go
+++ b/internal/sender/server_requests.go
@@ -24,65 +24,86 @@
 	return err == nil
 }
 
-// readRequest reads one request whole, and by which protocol it submits something, nil if it does not. Nothing of a request
-// that is not sound goes further than here; what it leaves unread is not read as a further request, as the connection closes.
-// Its errors are a *requestError, which is answered, or of the connection.
-func (s *server) readRequest(c *client) (*http.Request, ingressRequest, []byte, error) {
-	r, err := http.ReadRequest(c.r)
-	var f ingress
-	most := int64(maxBodyBytes)
-	if err == nil {
-		if f = s.ingressByPath[r.URL.Path]; f != nil {
-			most = f.maxBody()
-		}
-	}
+// clientRequest is a request that has come whole.
+type clientRequest struct {
+	head     *http.Request
+	protocol ingressRequest // by which it submits something; nil if it does not
+	body     []byte
+}
+
+// readRequest reads one request whole. Nothing of a request that is not sound goes further than here; what it leaves unread is not
+// read as a further request, as the connection closes. Its errors are a *requestError, which is answered, or of the connection.
+func (s *server) readRequest(c *client) (*clientRequest, error) {
+	head, err := http.ReadRequest(c.r)
 	switch {
-	case err != nil && c.Remaining <= 0: // whatever the parser makes of a line that was cut there
-		return nil, nil, nil, errHeaderTooLarge
-	case err != nil && errors.As(err, new(net.Error)):
-		return nil, nil, nil, err
-	case err != nil:
-		return nil, nil, nil, badRequest("the request can't be read: %v", err)
-	// net/http takes the length from the one and forgets the other: what a peer that heeds the other took
-	// for the body would be read as the next request, and a message hidden there would be sent on.
-	case len(r.TransferEncoding) > 0 || r.Header.Get("Transfer-Encoding") != "":
-		return nil, nil, nil, badRequest("requests come with a Content-Length, not with a Transfer-Encoding")
-	case !validHeaderNames(r.Header):
-		return nil, nil, nil, badRequest("a header's name is not a word")
-	case r.Host == "" && r.ProtoAtLeast(1, 1):
-		return nil, nil, nil, badRequest("Host is missing")
-	case r.ContentLength > most:
-		return nil, nil, nil, &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes", most)}
+	case err == nil:
+	case c.Remaining <= 0: // whatever the parser makes of a line that was cut there
+		return nil, errHeaderTooLarge
+	case errors.As(err, new(net.Error)):
+		return nil, err
+	default:
+		return nil, badRequest("the request can't be read: %v", err)
 	}
-	var hand ingressRequest
-	switch path := r.URL.Path; {
-	case f != nil && r.Method == http.MethodPost:
-		if hand, err = f.readHead(r); err != nil {
-			return nil, nil, nil, err
-		}
-	case f != nil:
-		return nil, nil, nil, &requestError{http.StatusMethodNotAllowed, "messages are handed in with POST"}
-	case path != readyPath && path != healthPath:
-		return nil, nil, nil, &requestError{http.StatusNotFound, "there is nothing here"}
-	case r.Method != http.MethodGet:
-		return nil, nil, nil, &requestError{http.StatusMethodNotAllowed, "this is asked with GET"}
+	protocol, maxBody := s.ingressByPath[head.URL.Path], int64(maxBodyBytes)
+	if protocol != nil {
+		maxBody = protocol.maxBody()
+	}
+	if err := checkHead(head, maxBody); err != nil {
+		return nil, err
 	}
-	if r.ContentLength > 0 && strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
+	r := &clientRequest{head: head}
+	if r.protocol, err = routeRequest(head, protocol); err != nil {
+		return nil, err
+	}
+	if head.ContentLength > 0 && strings.EqualFold(head.Header.Get("Expect"), "100-continue") {
 		if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-			return nil, nil, nil, err
+			return nil, err
 		}
 	}
-	c.Remaining = int(most) + 1
-	body, err := readBody(r)
-	if err != nil {
-		return nil, nil, nil, fmt.Errorf("the body does not come whole: %w", err)
+	c.Remaining = int(maxBody) + 1
+	if r.body, err = readBody(head); err != nil {
+		return nil, fmt.Errorf("the body does not come whole: %w", err)
 	}
 	// A client waits for its answer before it sends more. What stands behind a body of which the length is
 	// wrong is the rest of it: the message would go out cut short.
 	if c.r.Buffered() > 0 || !calls.IdleConnUsable(c.Conn) && !atEOF(c) {
-		return nil, nil, nil, badRequest("more comes than the Content-Length says")
+		return nil, badRequest("more comes than the Content-Length says")
+	}
+	return r, nil
+}
+
+// checkHead says what of a request's head is not sound, whoever it is for.
+func checkHead(head *http.Request, maxBody int64) error {
+	switch {
+	// net/http takes the length from the one and forgets the other: what a peer that heeds the other took
+	// for the body would be read as the next request, and a message hidden there would be sent on.
+	case len(head.TransferEncoding) > 0 || head.Header.Get("Transfer-Encoding") != "":
+		return badRequest("requests come with a Content-Length, not with a Transfer-Encoding")
+	case !validHeaderNames(head.Header):
+		return badRequest("a header's name is not a word")
+	case head.Host == "" && head.ProtoAtLeast(1, 1):
+		return badRequest("Host is missing")
+	case head.ContentLength > maxBody:
+		return &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes", maxBody)}
+	}
+	return nil
+}
+
+// routeRequest has the protocol of a request's path read its head, and says what is wrong with one that is for none; nil for the paths
+// that ask for the sender's state.
+func routeRequest(head *http.Request, protocol ingress) (ingressRequest, error) {
+	path := head.URL.Path
+	switch {
+	case protocol != nil && head.Method == http.MethodPost:
+		return protocol.readHead(head)
+	case protocol != nil:
+		return nil, &requestError{http.StatusMethodNotAllowed, "messages are handed in with POST"}
+	case path != readyPath && path != healthPath:
+		return nil, &requestError{http.StatusNotFound, "there is nothing here"}
+	case head.Method != http.MethodGet:
+		return nil, &requestError{http.StatusMethodNotAllowed, "this is asked with GET"}
 	}
-	return r, hand, body, nil
+	return nil, nil
 }
 
 // readBody reads a body whole. A long one gets its memory as it comes, since its length is only said.
