--- a/internal/membership/follow.go
+++ b/internal/membership/follow.go
@@ -9,28 +9,30 @@
 	"time"
 )
 
-// FollowerConfig are a follower's times.
+// FollowerConfig is how long a follower keeps and holds back addresses. An address that went MaxFlaps times within FlapWindow
+// flaps.
 type FollowerConfig struct {
 	Retention     time.Duration // an address that comes back within it is the endpoint that it was
-	MaxFlaps      int           // one that went so often
-	FlapWindow    time.Duration // within this
-	Stabilization time.Duration // serves again only when it has stood so long; unless there is no other
+	MaxFlaps      int           // 0: none flaps
+	FlapWindow    time.Duration
+	Stabilization time.Duration // an address that flaps serves again only when it has stood so long; unless there is no other
 }
 
-// DefaultFollowerConfig suit members who move now and then.
+// DefaultFollowerConfig suits members that move now and then.
 func DefaultFollowerConfig() FollowerConfig {
 	return FollowerConfig{Retention: 2 * time.Minute, MaxFlaps: 3, FlapWindow: 30 * time.Second, Stabilization: 10 * time.Second}
 }
 
-// Follower turns what names come to into lines of a list. Removals act at once, whatever else: nothing new goes to an
-// address that a source says is gone. It is for one goroutine; times are of one clock that does not go back.
+// Follower turns what names come to into targets of an endpoint list. Removals act at once, whatever else: nothing new goes to
+// an address that a source says is gone. It is for one goroutine; times are of one clock that does not go back.
 type Follower struct {
 	config       FollowerConfig
 	members      []member
 	destinations map[uint32]*destinationAddresses
-	nextStep     time.Duration // nothing happens by itself before
+	nextStep     time.Duration // nothing changes by the passing of time before
 }
 
+// member is a name that is followed and what it came to.
 type member struct {
 	Member
 	current    map[netip.AddrPort]addressRating
@@ -39,17 +41,19 @@
 	emptySince time.Duration // an empty answer is not believed yet; never: none waits
 }
 
+// addressRating is what a name's records say of an address.
 type addressRating struct {
 	priority uint16
 	weight   float64
 }
 
-// destinationAddresses is a destination's addresses.
+// destinationAddresses is a destination's members, by their index, and addresses.
 type destinationAddresses struct {
 	members []int
 	entries map[netip.AddrPort]*entry
 }
 
+// phase is the state of an address.
 type phase int
 
 const (
@@ -58,6 +62,7 @@
 	stabilizing       // is listed again, and flaps
 )
 
+// entry is an address of a destination.
 type entry struct {
 	target    Target
 	phase     phase
@@ -65,9 +70,10 @@
 	removedAt []time.Duration // when it went, the last ones
 }
 
+// never is a time that does not come.
 const never = time.Duration(math.MaxInt64)
 
-// NewFollower follows members, which are told of by their places here.
+// NewFollower follows members; observations name them by their index here.
 func NewFollower(members []Member, config FollowerConfig) *Follower {
 	f := &Follower{config: config, destinations: map[uint32]*destinationAddresses{}, nextStep: never}
 	for i, m := range members {
@@ -88,8 +94,8 @@
 	Answer
 }
 
-// Step takes in answers, and that time has passed, and gives the lines that change. A line's State is Serving, Dropped or
-// Deleted.
+// Step takes in observations, and that time has passed, and gives the targets that change. A target's State is Serving,
+// Dropped or Deleted.
 func (f *Follower) Step(now time.Duration, observations []Observation) []Target {
 	changedDestinations := map[uint32]struct{}{}
 	for _, h := range observations {
@@ -114,6 +120,8 @@
 	return lines
 }
 
+// observe takes in one observation. An answer that says nothing (SERVFAIL, time-out) keeps what was there (RFC 8767); an empty
+// one waits to be believed.
 func (f *Follower) observe(now time.Duration, h Observation) {
 	m := &f.members[h.Member]
 	m.last, m.answered = h.Answer, true
@@ -138,8 +146,8 @@
 	}
 }
 
-// rateAddresses keeps the addresses of the lowest priority, each once, and makes ratings of their weights: relative to their mean,
-// so that the rating of a destination as a whole is the setting's. One of weight 0 gets a little (RFC 2782).
+// rateAddresses keeps the addresses of the lowest priority, each once, and makes ratings of their weights: relative to their
+// mean, so that the rating of a destination as a whole is the setting's. One of weight 0 gets a little (RFC 2782).
 func rateAddresses(addresses []Address, rating float64) map[netip.AddrPort]addressRating {
 	lowestPriority, sum := uint16(math.MaxUint16), 0.0
 	weights := map[netip.AddrPort]float64{}
@@ -290,10 +298,10 @@
 	return f.config.MaxFlaps > 0 && len(e.removedAt) >= f.config.MaxFlaps && now-e.removedAt[len(e.removedAt)-f.config.MaxFlaps] <= f.config.FlapWindow
 }
 
-// Next is when Step wants to be called at the latest.
+// Next is when Step is to be called at the latest.
 func (f *Follower) Next() time.Duration { return f.nextStep }
 
-// MemberState is what is known of a member, for operators.
+// MemberState is what is known of a member, as operators are shown it.
 type MemberState struct {
 	Destination uint32   `json:"destination"`
 	Name        string   `json:"name"`
@@ -303,7 +311,7 @@
 	Lines       []Target `json:"lines"`          // of the destination
 }
 
-// MemberStates is what is known of all members.
+// MemberStates is what is known of all members, in their order.
 func (f *Follower) MemberStates() []MemberState {
 	var all []MemberState
 	for i := range f.members {
@@ -322,6 +330,7 @@
 	return all
 }
 
+// addresses is the keys of a map in the order of addresses and ports.
 func addresses[V any](m map[netip.AddrPort]V) []netip.AddrPort {
 	list := make([]netip.AddrPort, 0, len(m))
 	for a := range m {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -23,7 +23,7 @@
 	Dropped = "DROPPED"
 )
 
-// Update is news of a source: its whole list, or what has changed since its last one.
+// Update is an update of a source: its whole list, or what has changed since its last one.
 type Update struct {
 	Version int64    `json:"version"`
 	Full    bool     `json:"full"`
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Source is one of the sources that feed a list.
+// Source is one of the sources that feed an endpoint list.
 type Source int
 
 // The sources.
@@ -26,10 +26,10 @@
 	Both                             // all that either lists
 )
 
-// Precedences are the words for them.
+// Precedences are the words for the precedences, as settings have them, in the order of their numbers.
 func Precedences() []string { return []string{"names", "discovery", "both"} }
 
-// PrecedenceOf reads a word.
+// PrecedenceOf reads a word; the error is a *PrecedenceError.
 func PrecedenceOf(word string) (Precedence, error) {
 	if i := slices.Index(Precedences(), word); i >= 0 {
 		return Precedence(i), nil
@@ -53,8 +53,8 @@
 	return Precedences()[p]
 }
 
-// Merger makes one list of what several sources tell. At one destination one address is one endpoint, whoever lists it and
-// how often, under the id it had first: with one window, limit and health. It is for one goroutine.
+// Merger makes one endpoint list of those of several sources. At one destination one address is one endpoint, whoever lists it
+// and how often, under the id it had first: with one window, limit and health. It is for one goroutine.
 type Merger struct {
 	precedence map[uint32]Precedence
 	fallback   Precedence
@@ -64,19 +64,20 @@
 	locations    map[string]location // where each id of the merged list is
 }
 
+// location is where an endpoint of the merged list is.
 type location struct {
 	destination uint32
 	address     string
 }
 
-// destination is what is merged for one.
+// destination is what is merged for one destination.
 type destination struct {
 	hasListed [sources]bool                // it has named the destination
 	ids       [sources]map[string]struct{} // its lines
 	merged    map[string]Target            // the merged lines, by address
 }
 
-// NewMerger gives a merge without lines. precedence is by destination, fallback for all others.
+// NewMerger makes a merger without targets. precedence is by destination, fallback for all others.
 func NewMerger(precedence map[uint32]Precedence, fallback Precedence) *Merger {
 	m := &Merger{precedence: precedence, fallback: fallback, destinations: map[uint32]*destination{}, locations: map[string]location{}}
 	for s := range m.targets {
@@ -85,8 +86,8 @@
 	return m
 }
 
-// Apply takes in news of a source and gives what changes in the merged list, as changes: deleted lines among them, each
-// before another line takes its address or id over.
+// Apply takes in an update of a source and gives what changes in the merged list, as changes: deleted targets among them, each
+// before another target takes its address or id over.
 func (m *Merger) Apply(from Source, u Update) []Target {
 	touched := map[uint32]struct{}{}
 	listed := map[string]struct{}{}
@@ -127,7 +128,7 @@
 	})
 }
 
-// applyTarget books a source's line.
+// applyTarget takes in one target of a source and marks the destinations that it touches.
 func (m *Merger) applyTarget(from Source, t Target, touched map[uint32]struct{}) {
 	if old, ok := m.targets[from][t.ID]; ok {
 		if t.Addr == "" { // discovery's changes may leave it out
@@ -153,6 +154,7 @@
 	m.targets[from][t.ID] = t
 }
 
+// destination is the state of a destination, made if there is none.
 func (m *Merger) destination(n uint32) *destination {
 	d := m.destinations[n]
 	if d == nil {
@@ -180,7 +182,7 @@
 	return [sources]bool{Discovery: true}
 }
 
-// desired is what the merged lines of a destination are to be, by address.
+// desired is what the merged targets of a destination are to be, by address.
 func (m *Merger) desired(n uint32) map[string]Target {
 	d := m.destinations[n]
 	counts := m.activeSources(n, d)
@@ -217,8 +219,8 @@
 	return desired
 }
 
-// removals takes away what is not wanted any more. A line whose id is wanted at an address that is new has moved: it stays the
-// endpoint that it is.
+// removals takes away what is not desired any more. A target whose id is desired at an address that is new has moved: it stays
+// the endpoint that it is.
 func (m *Merger) removals(d *destination, desired map[string]Target) []Target {
 	var changes []Target
 	for _, addr := range sorted(desired) {
@@ -246,7 +248,7 @@
 	return changes
 }
 
-// additions makes the merged list of a destination what is wanted.
+// additions makes the merged targets of a destination what is desired.
 func (m *Merger) additions(n uint32, d *destination, desired map[string]Target) []Target {
 	var changes []Target
 	for _, addr := range sorted(desired) {
@@ -268,7 +270,7 @@
 	return changes
 }
 
-// List is the merged lines, by destination and address.
+// List is the merged targets, by destination and address.
 func (m *Merger) List() []Target {
 	var all []Target
 	for _, d := range m.destinations {
@@ -282,6 +284,7 @@
 	return all
 }
 
+// sorted is the keys of a map in order.
 func sorted[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/membership/resolve.go
+++ b/internal/membership/resolve.go
@@ -21,7 +21,7 @@
 	EmptyAfter  time.Duration // an answer without addresses is believed after so long; 0: at once
 }
 
-// Result is what became of a question for a name.
+// Result is what became of a query for a name.
 type Result int
 
 // The results.
@@ -30,7 +30,7 @@
 	NXDomain        // the name is not there
 	NoData          // it is, and has no address
 	ServFail        // nobody can say: the zone has expired, or the chain of names is broken
-	Timeout         // the zone was never had
+	Timeout         // the zone was never received
 )
 
 // String is the result as operators are shown it.
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("result %d", int(r))
 }
 
-// Address is one that a name comes to.
+// Address is one that a name came to.
 type Address struct {
 	netip.AddrPort
 	Priority, Weight uint16 // of its SRV record; 0 without
@@ -55,22 +55,23 @@
 	Why       string // words for a result without addresses
 }
 
-// ZoneState is a zone as it is held.
+// ZoneState is a zone as this sender has it.
 type ZoneState struct {
-	*zone.Zone // nil: it was never had
+	*zone.Zone // nil: it was never received
 	Expired    bool
 }
 
 // Zones finds the zone for a name: that of the longest origin; ok is false if there is none.
 type Zones func(name string) (held ZoneState, ok bool)
 
+// The bounds of a resolution.
 const (
 	maxCNAMEChain = 16  // CNAMEs between zones
 	maxTargets    = 256 // records of an SRV set that are followed, and addresses of a member
 )
 
-// Resolve asks for a member's addresses. It says also which names the answer rests on, so that it is asked again when one
-// of them changes.
+// Resolve queries a member's addresses. names is the names that the answer rests on: it is to be asked again when one of them
+// changes.
 func Resolve(zones Zones, m *Member) (a Answer, names []string) {
 	r := resolver{zones: zones}
 	if !m.SRV {
@@ -112,12 +113,13 @@
 	return a, r.names
 }
 
+// resolver is one resolution and the names that it has used.
 type resolver struct {
 	zones Zones
 	names []string
 }
 
-// addresses asks for A and AAAA; one that has some is found, whatever the other says.
+// addresses queries A and AAAA; a name that has some is found, whatever the other query says.
 func (r *resolver) addresses(name string, port uint16) Answer {
 	a := Answer{Result: NoData, Why: name + " has no address"}
 	for _, kind := range []uint16{dns.TypeA, dns.TypeAAAA} {
@@ -151,7 +153,7 @@
 	return a
 }
 
-// lookup follows a name through the zones to records of a type.
+// lookup follows a name through the zones, and CNAMEs between them, to records of a type.
 func (r *resolver) lookup(name string, kind uint16) ([]dns.RR, Result, string) {
 	for range maxCNAMEChain {
 		held, ok := r.zones(name)
--- a/internal/membership/rollbackguard.go
+++ b/internal/membership/rollbackguard.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// RollbackGuard keeps a list from going back. A source that several machines answer for may give an older version after a newer
-// one: from a machine that lags behind, or from a backup. What it was told to leave alone since, a sender must not take up
-// again by such a list. It is for one source and one goroutine.
+// RollbackGuard keeps an endpoint list from going back. A source that several machines answer for may give an older version
+// after a newer one: from a machine that lags behind, or from a backup. Endpoints that it had drain or go since, a sender must
+// not take up again by such a list. It is for one source and one goroutine.
 type RollbackGuard struct {
 	drained map[string]drainRecord // by id, of what drains or is gone
 	listed  map[string]struct{}    // ids that the list has
@@ -16,18 +16,18 @@
 	at      time.Duration
 }
 
-// rollbackWindow is how long an older version's word that an endpoint serves does not count. A source that numbers its versions
-// anew without saying so, as after the loss of its state, is believed after that.
+// rollbackWindow is how long an older version's word that an endpoint serves does not count. A source that numbers its
+// versions anew without saying so, as after the loss of its state, is believed after that.
 const rollbackWindow = time.Minute
 
-// NewRollbackGuard gives the memory of a source that has told nothing yet.
+// NewRollbackGuard makes the guard of a source that has sent nothing yet.
 func NewRollbackGuard() *RollbackGuard {
 	return &RollbackGuard{drained: map[string]drainRecord{}, listed: map[string]struct{}{}}
 }
 
-// Apply takes in an update and gives what of it counts: its lines, but for those that say an endpoint serves which a newer
-// version had drain or go; such a line counts as draining. That something drains or is gone counts whatever the version,
-// as it does no harm. now is any clock that does not go back.
+// Apply takes in an update and gives what of it counts: its targets, but for those that say an endpoint serves which a newer
+// version had drain or go; such a target counts as draining. That something drains or is gone counts whatever the version, as
+// it does no harm. older is how many targets were held back. now is any clock that does not go back.
 func (t *RollbackGuard) Apply(now time.Duration, u Update) (counts Update, older int) {
 	if u.VersionsReset {
 		clear(t.drained)
