--- a/internal/tier/controlplane/change_faults_test.go
+++ b/internal/tier/controlplane/change_faults_test.go
@@ -19,7 +19,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Figures of a run, in its own time.
+// Durations of a run, in virtual time.
 const (
 	runTraffic   = 20 * time.Second        // operators send
 	runPatience  = time.Second             // of an operator for one answer
@@ -41,7 +41,7 @@
 
 func (r *faultRun) now() time.Duration { return time.Since(r.start) }
 
-// playFaults makes a history from a seed. Goroutines of the bubble take turns as they like, so that a seed leads to like
+// playFaults makes a history from a seed. The scheduler orders goroutines as it likes, so that a seed leads to similar
 // histories, not to the same one.
 func playFaults(t *testing.T, seed uint64, wrap func(Store) Store) (result requestHistory) {
 	synctest.Test(t, func(t *testing.T) {
@@ -72,7 +72,7 @@
 	return result
 }
 
-// runOperator is one operator: it reads, changes what it read, and now and then sends again what had an answer long ago.
+// runOperator is one operator: it reads, changes what it read, and now and then repeats a change that was answered long ago.
 func (r *faultRun) runOperator(name string, random *rand.Rand) {
 	known, revision := "", int64(0)
 	for n := 0; r.now() < runTraffic; n++ {
@@ -114,7 +114,7 @@
 	return unknownOutcome
 }
 
-// repeatChange sends an order once more that had a clear answer: a first answer to one without might still come.
+// repeatChange repeats a change that had a clear answer: to one without, its first answer might still come.
 func (r *faultRun) repeatChange(o *sentChange, random *rand.Rand, calm bool) {
 	if o == nil {
 		return
@@ -186,7 +186,7 @@
 	}
 }
 
-// call makes one call as an operator does: at any machine, following 307 twice. Status 0 is silence, or a lost answer.
+// call makes one call as an operator does: at any machine, following 307 twice. Status 0: there was no answer.
 func (c *cluster) call(random *rand.Rand, method, path, base, body string) (status int, answered string) {
 	m := c.machines[random.IntN(len(c.machines))]
 	url := "http://" + m.ip + ":" + operatorPort + "/saffronyard/" + path
--- a/internal/tier/controlplane/change_history_test.go
+++ b/internal/tier/controlplane/change_history_test.go
@@ -16,12 +16,12 @@
 
 var cmpChanges = cmp.AllowUnexported(configurationChange{})
 
-// changeOf is an order whose body is told apart by a name.
+// changeOf is a change whose body is identified by a name.
 func changeOf(base, revision int64, body string) configurationChange {
 	return configurationChange{revision: revision, baseRevision: base, digest: digestOf([]byte(body))}
 }
 
-// acceptedChanges is the history of orders that came one after the other.
+// acceptedChanges is the history of changes that came one after the other.
 func acceptedChanges(orders ...configurationChange) (h changeHistory) {
 	for _, order := range orders {
 		h, _ = h.accept(order)
@@ -119,7 +119,7 @@
 	}
 }
 
-// An older history is not changed by a newer one that was made from it: sessions and calls under way hold it.
+// An older history is not changed by a newer one that was made from it: sessions and calls under way use it.
 func TestChangeHistory_Immutable(t *testing.T) {
 	base := acceptedChanges(changeOf(0, 3, "a"), changeOf(3, 5, "b"))
 	left, _ := base.accept(changeOf(5, 6, "left"))
@@ -185,8 +185,8 @@
 	})
 }
 
-// An order with an unknown outcome is settled before anything else is taken. Then it is acknowledged if it was written,
-// also after others were taken on it, and rejected only if it was not.
+// A change with an unknown outcome is resolved before another is accepted. Then it is acknowledged if it was written, also
+// after others were accepted on it, and rejected only if it was not.
 func TestReplace_UnknownOutcomeBeforeLaterChanges(t *testing.T) {
 	for _, lost := range []bool{true, false} {
 		withHarness(t, func(h *harness) {
@@ -212,7 +212,7 @@
 	}
 }
 
-// Eight operators send the same eight orders at once, each twice: all attempts of one order get the same answer.
+// Eight operators send eight changes at once, each twice: all attempts of one change get the same answer.
 func TestReplace_ConcurrentAttemptsAnsweredAlike(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		assertStatus(t, h.replace(0, 3), 200)
@@ -268,7 +268,7 @@
 	})
 }
 
-// Orders that are sent again do not wait for one another's confirmations: eight at once take as long as one.
+// Repeated changes do not wait for one another's read barriers: eight at once take as long as one.
 func TestReplace_RepeatsShareReadBarrier(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		assertStatus(t, h.replace(0, 3), 200)
--- a/internal/tier/controlplane/change_mutants_test.go
+++ b/internal/tier/controlplane/change_mutants_test.go
@@ -13,7 +13,7 @@
 // mutantSeeds is how many histories may be needed to find an injected fault.
 const mutantSeeds = 200
 
-// recordDroppingStore writes configurations without the records of their orders.
+// recordDroppingStore writes configurations without their change records.
 type recordDroppingStore struct{ Store }
 
 func (s recordDroppingStore) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
@@ -22,8 +22,8 @@
 	return s.Store.Put(ctx, epoch, sets)
 }
 
-// recordHidingStore reads back the newest record only, as if nothing had been taken before it: so decided the program that
-// compared an order with the configuration in force and nothing else.
+// recordHidingStore reads back the newest record only, as if nothing had been accepted before it, like a version
+// that compared a change with the configuration in force and nothing else.
 type recordHidingStore struct{ Store }
 
 func (s recordHidingStore) Get(key string) ([]byte, uint64) {
@@ -61,12 +61,12 @@
 	return epoch, ok
 }
 
-// neverConfirmingStore clings, and claims round trips to the backups that it did not make.
+// neverConfirmingStore is a staleLeaseStore that claims round trips to the backups that it did not make.
 type neverConfirmingStore struct{ *staleLeaseStore }
 
 func (neverConfirmingStore) Confirm(context.Context, uint64) error { return nil }
 
-// optimisticStore takes a write whose outcome is unknown for done.
+// optimisticStore reports a write whose outcome is unknown as done.
 type optimisticStore struct{ Store }
 
 func (s optimisticStore) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestOrdersDoNotRestOnTheLease: a primary that is deposed and does not know it may be unable to answer, but what it answers
+// TestChanges_IndependentOfLease: a primary that is deposed and does not know it may be unable to answer, but what it answers
 // holds, as it is confirmed by a round trip.
 func TestChanges_IndependentOfLease(t *testing.T) {
 	for seed := range uint64(*changeSeeds) {
--- a/internal/tier/controlplane/cluster_test.go
+++ b/internal/tier/controlplane/cluster_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// addMachines makes machines with empty disks and no process.
+// addMachines adds machines with empty disks and no process.
 func (c *cluster) addMachines(ctx context.Context, t *testing.T, seed uint64, machines int) {
 	c.t, c.ctx, c.random, c.blocked = t, ctx, rand.New(rand.NewPCG(seed, 7)), map[[2]string]bool{}
 	for i := range machines {
@@ -90,7 +90,7 @@
 		SyncTime: 4 * time.Second}
 }
 
-// start begins a process on a machine.
+// start starts a process on a machine.
 func (c *cluster) start(m *coreMachine, bootstrap bool) {
 	<-time.After(processDelay)
 	set := c.settings(m)
@@ -209,7 +209,7 @@
 	}
 }
 
-// clusterTransport carries the calls of one address. What is lost is noticed only by the caller's patience.
+// clusterTransport carries the calls of one address. What is lost is noticed only by the caller's time-out.
 type clusterTransport struct {
 	c    *cluster
 	from string
--- a/internal/tier/controlplane/ejections_test.go
+++ b/internal/tier/controlplane/ejections_test.go
@@ -12,7 +12,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// One gateway's report is its own matter; all hear of what two report within a quarter of the contact window.
+// One gateway's report stays its own; all are notified of what two report within a quarter of the contact window.
 func TestEjections_TwoReportersNeeded(t *testing.T) {
 	const window = 4 * time.Second
 	now := time.Unix(0, 0)
@@ -60,7 +60,7 @@
 	assert.Equal(t, len(e.reports), 1) // the old ones made room
 }
 
-// All gateways that take ejections hear of one, others are not woken by it, and only the primary takes reports.
+// All gateways that accept ejections are notified of one, others are not woken by it, and only the primary accepts reports.
 func TestEjections_Pushed(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		service := h.plane.Sessions()
@@ -107,7 +107,7 @@
 	})
 }
 
-// Of an endpoint that all have ejected few gateways tell the rest: that it still fails, or that it has answered.
+// Of an endpoint that all have ejected a few gateways notify the rest: that it still fails, or that it has answered.
 func TestEjections_HealthCheckersNotifyOthers(t *testing.T) {
 	const window = 4 * time.Second
 	now := time.Unix(0, 0)
--- a/internal/tier/controlplane/endpoint_list_test.go
+++ b/internal/tier/controlplane/endpoint_list_test.go
@@ -39,7 +39,7 @@
 	return strings.Join(texts, " ")
 }
 
-// A step of a table is a page, "end" for the end of the list after it, or "begin" for another reading.
+// A step of a table is a page, "end" for the end of the list after it, or "begin" for another scan.
 func TestEndpointList_PagesTakenAsTheyCome(t *testing.T) {
 	const complete = "i1@a1 i2@a2|i3@a3|end"
 	for _, c := range []struct{ name, steps, want string }{
@@ -95,7 +95,7 @@
 	assert.Assert(t, pending && delay == 0)
 }
 
-// Changes of pages that come close to each other go together, and what has not changed does not go.
+// Changes of pages that come close to each other are pushed together, and what has not changed is not pushed.
 func TestEndpointList_PushesKeepMinimumInterval(t *testing.T) {
 	l := newEndpointList(time.Second, 0)
 	now := time.Unix(1000, 0)
@@ -148,7 +148,7 @@
 	assert.Assert(t, pending && delay == 0, "the last one was slow: %v", delay)
 }
 
-// An entry whose page was read a while ago is as warm as it has become since, not as it was.
+// The slow start of an entry whose page was read a while ago has gone on since.
 func TestEndpointList_SlowStartGoesOnBetweenScans(t *testing.T) {
 	l := newEndpointList(time.Second, 0)
 	now := time.Unix(1000, 0)
@@ -167,9 +167,9 @@
 	assert.Assert(t, !pending, "a list that only grew warmer is pushed")
 }
 
-// Pages of drawn lists that change while they are read, readings that are given up: the list never lacks an endpoint that
-// stood on the platform's list all along, shows each that a page told as draining as such at once, and after a reading of a
-// list that stands still it is that list.
+// Pages of random lists that change during a scan, scans that are given up: the list never lacks an endpoint that was on the
+// platform's list all along, shows each that a page has as draining as such at once, and after a scan of a list that does not
+// change it is that list.
 func TestEndpointList_RandomPages(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -244,7 +244,7 @@
 	}
 }
 
-// pages reads the list, and has it changed after each page.
+// pages returns the list page by page, and changes it after each page.
 func (d *randomList) pages(changed func()) func(yield func([]*tierv1.Endpoint) bool) {
 	return func(yield func([]*tierv1.Endpoint) bool) {
 		size, after := 1+d.random.IntN(5), ""
--- a/internal/tier/controlplane/operators_test.go
+++ b/internal/tier/controlplane/operators_test.go
@@ -237,7 +237,7 @@
 	})
 }
 
-// Right after a takeover not all storage machines have been heard: a 404 or 409 would end the operator's order for good.
+// Right after a takeover not all storage machines have a session yet: a 404 or 409 would end the operator's order for good.
 func TestRetire_RightAfterTakeover(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		order := func(node string) *httptest.ResponseRecorder {
--- a/internal/tier/controlplane/placement_model_test.go
+++ b/internal/tier/controlplane/placement_model_test.go
@@ -34,7 +34,7 @@
 	recovered    map[int]uint64 // by partition, the epoch in which it has all facts of the backups that it was to recover from
 }
 
-// placementModel is a model of turn stores that acknowledge turns under the newest map that each has heard of.
+// placementModel is a model of turn stores that acknowledge turns by the newest map that each has received.
 type placementModel struct {
 	t            reporter
 	mutant       mutant
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// assign makes the next map and checks what must hold between two.
+// assign makes the next map and checks the invariants between two.
 func (model *placementModel) assign(in Input) bool {
 	before := model.partitionMap
 	unchanged := proto.Clone(before)
@@ -149,17 +149,17 @@
 	}
 }
 
-// accepts tells whether a machine takes facts of an epoch. One that has just started takes none before it knows the map.
+// accepts tells whether a machine accepts facts of an epoch. One that has just started accepts none before it knows the map.
 func (m *modelMachine) accepts(i int, epoch uint64) bool {
 	return !m.unreachable && i < len(m.known) && max(m.known[i].Epoch, m.observed[i]) <= epoch
 }
 
-// accepts tells whether a machine takes facts of an epoch, with the fault that is injected.
+// accepts tells whether a machine accepts facts of an epoch, with the fault that is injected.
 func (model *placementModel) accepts(m *modelMachine, i int, epoch uint64) bool {
 	return m.accepts(i, epoch) || model.mutant.acceptsStaleEpochs && !m.unreachable && i < len(m.known)
 }
 
-// observe has a machine know an epoch that another has named: it takes nothing of an older one any more.
+// observe lets a machine know an epoch that another has named: it accepts nothing of an older one any more.
 func (m *modelMachine) observe(i int, epoch uint64) {
 	if m.observed == nil {
 		m.observed = map[int]uint64{}
--- a/internal/tier/controlplane/placement_mutants_test.go
+++ b/internal/tier/controlplane/placement_mutants_test.go
@@ -22,7 +22,7 @@
 // assignFunc has the signature of Assign.
 type assignFunc func(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool)
 
-// assigned returns the map of Assign, or of what stands in its place.
+// assigned returns the map of Assign, or of the function that replaces it.
 func (m mutant) assigned(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
 	if m.assign == nil {
 		return Assign(before, in)
@@ -61,7 +61,7 @@
 // forgetRetained forgets replicas that were taken out while they were unresponsive.
 func forgetRetained(_, next *tierv1.Partition) { next.Retained = nil }
 
-// acceptOldReports takes reports of an older epoch as those of the newest.
+// acceptOldReports accepts reports of an older epoch as those of the newest.
 func acceptOldReports(before *tierv1.PartitionMap, in Input) (*tierv1.PartitionMap, bool) {
 	in.Reports = slices.Clone(in.Reports)
 	for i, r := range in.Reports {
@@ -74,7 +74,7 @@
 	return Assign(before, in)
 }
 
-// What the model's checks say of facts that are lost.
+// Findings of the model's checks.
 const (
 	findingNotComplete      = "is marked synced and is not complete"
 	findingUnserved         = "has no primary"
--- a/internal/tier/controlplane/placement_random_test.go
+++ b/internal/tier/controlplane/placement_random_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// playRandomEvents is one play of TestRandomEvents.
+// playRandomEvents is one play of TestPlacement_RandomEvents.
 func playRandomEvents(t reporter, fault mutant, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	losses := 1 + r.IntN(2)
@@ -127,7 +127,7 @@
 	model.assertBalanced(false)
 }
 
-// expireBriefly has the session of a machine expire, and the others go on without it, until it is back within the wait.
+// expireBriefly lets the session of a machine expire, and the others go on without it, until it is back within the wait.
 func (model *placementModel) expireBriefly(m *modelMachine) {
 	model.tracef("the session of %s expires", m.node)
 	in := model.expire(m)
--- a/internal/tier/controlplane/placement_retire_test.go
+++ b/internal/tier/controlplane/placement_retire_test.go
@@ -25,7 +25,7 @@
 	m.folder, m.known, m.up = fmt.Sprint(m.node, ".", m.incarnations), nil, true
 }
 
-// retire takes the order to empty a machine.
+// retire adds the order to empty a machine.
 func (model *placementModel) retire(m *modelMachine) {
 	model.partitionMap = proto.Clone(model.partitionMap).(*tierv1.PartitionMap)
 	model.partitionMap.Retiring = append(model.partitionMap.Retiring, m.node)
@@ -120,7 +120,7 @@
 	t.Logf("worst %v, %d of %d later than %v", time.Duration(worst)*stepTime, late, seeds, time.Duration(limit)*stepTime)
 }
 
-// checkRetired holds a completed order against what the machines hold: each partition has its replicas, whole and elsewhere.
+// checkRetired checks a completed order against the machines: each partition has its replicas, complete and elsewhere.
 func (model *placementModel) checkRetired(m *modelMachine) {
 	model.t.Helper()
 	for i, p := range model.partitionMap.Partitions {
--- a/internal/tier/controlplane/platform_poll_test.go
+++ b/internal/tier/controlplane/platform_poll_test.go
@@ -16,7 +16,7 @@
 	"saffronyard.example/saffronyard/internal/tier/settings"
 )
 
-// platform answers with pages, each by its token; a page that is lacking is a failure.
+// platform answers with pages, each by its token; a page that is missing is a failure.
 type platform struct {
 	mu    sync.Mutex
 	pages map[string]string
@@ -136,7 +136,7 @@
 	})
 }
 
-// pagedPlatform has a list of many pages with one instance each. Each call takes callTime; those of the next reading that
+// pagedPlatform has a list of many pages with one instance each. Each call takes callTime; those of the next scan that
 // are named in lost get no answer, as in a process or on a link that is overloaded.
 type pagedPlatform struct {
 	pages    int
@@ -188,7 +188,7 @@
 }
 
 // drainAfterItsPage has the instance on the first page drain right after that page was read, the worst moment, and the
-// next reading lose calls. It gives when that was.
+// next scan lose calls. It returns when that was.
 func (p *pagedPlatform) drainAfterItsPage(lost map[int]int) <-chan time.Time {
 	shown := make(chan time.Time, 1)
 	p.mu.Lock()
@@ -205,8 +205,8 @@
 	return shown
 }
 
-// At the size of 3,000 endpoints the list has 60 pages. An endpoint that drains is known to be draining at the sessions
-// within the drain time, also where calls of the reading that brings it get no answer.
+// At the size of 3,000 endpoints the list has 60 pages. The sessions know that an endpoint drains within the
+// drain time, also where calls of the scan that shows it get no answer.
 func TestScanPlatform_DrainKnownInTimeWithLostCalls(t *testing.T) {
 	set := testSettings()
 	set.CloudAddress, set.CloudRate, set.DrainTimeout = "10.200.0.100:8142", 40, 5*time.Second
@@ -257,7 +257,7 @@
 	})
 }
 
-// burstPlatform takes some calls at once and then so many a second, as a bucket of tokens does; it rejects others.
+// burstPlatform takes some calls at once and then so many a second, as a token bucket does; it rejects others.
 type burstPlatform struct {
 	pagedPlatform
 	rate, burst float64
@@ -284,7 +284,7 @@
 	return p.pagedPlatform.RoundTrip(q)
 }
 
-// A list that has more pages than the platform takes calls at once is read for all that, and again and again.
+// A list that has more pages than the platform takes calls at once is read all the same, again and again.
 func TestScanPlatform_ListLongerThanBurst(t *testing.T) {
 	set := testSettings()
 	set.CloudAddress, set.CloudRate = "10.200.0.100:8142", 5
@@ -304,7 +304,7 @@
 }
 
 // Where the platform takes few calls and gives short pages, its rate bounds how often the whole list is read. What a
-// reading costs in calls must stay below that rate, and a draining endpoint is seen within the drain time wherever the
+// scan costs in calls must stay below that rate, and a draining endpoint is seen within the drain time wherever the
 // rate lets the list be read twice in it.
 func TestPollInterval_WithinDrainTimeAtLowRate(t *testing.T) {
 	for _, drain := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 4 * time.Second} {
--- a/internal/tier/controlplane/platform_rate_test.go
+++ b/internal/tier/controlplane/platform_rate_test.go
@@ -93,7 +93,7 @@
 	f()
 }
 
-// release has every endpoint replaced, one after the other: a new one comes, the old one drains, and goes after drainTime.
+// release replaces every endpoint, one after the other: a new one is listed, the old one drains, and is removed after drainTime.
 func (p *limitedRatePlatform) release(random *rand.Rand, drainTime, gap time.Duration, until <-chan struct{}) {
 	p.mu.Lock()
 	old := slices.Clone(p.list)
@@ -127,7 +127,7 @@
 	pushes  int
 }
 
-// watchRelease has a release played before a session, and gives what that one sees of it.
+// watchRelease plays a release, and returns what a session sees of it.
 func watchRelease(h *harness, p *limitedRatePlatform, seed uint64, span time.Duration) (seen releaseObservation) {
 	h.advance(10 * time.Second)
 	over := make(chan struct{})
@@ -168,7 +168,7 @@
 	return seen
 }
 
-// Where the platform takes so few calls that a reading takes as long as an endpoint drains, each page is acted on as it
+// Where the platform takes so few calls that a scan takes as long as an endpoint drains, each page is acted on as it
 // comes: an endpoint that drains is known as such an interval, a wait between pushes and a few calls after the list has
 // shown it, not a whole scan later.
 func TestScanPlatform_DrainKnownInTimeAtLowRate(t *testing.T) {
--- a/internal/tier/controlplane/redirect_test.go
+++ b/internal/tier/controlplane/redirect_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// Where this process takes over itself, the caller comes again and is served.
+// Where this process takes over itself, the caller repeats its call and is served.
 func TestRedirect_WaitsForOwnTakeover(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.loseLeader()
@@ -55,7 +55,7 @@
 	})
 }
 
-// No call is held for so long that its caller hears silence, and none at a process that has been without a primary for
+// No call is held for so long that its caller gives up, and none at a process that has been without a primary for
 // longer than a takeover takes; the next time that it loses one, callers are held again.
 func TestRedirect_NoWaitWhenPartitioned(t *testing.T) {
 	withHarness(t, func(h *harness) {
--- a/internal/tier/controlplane/request_history_test.go
+++ b/internal/tier/controlplane/request_history_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// outcome is what an operator knows of an order in the end.
+// outcome is what an operator knows of a change in the end.
 type outcome string
 
 const (
@@ -18,7 +18,7 @@
 	unknownOutcome   outcome = "unknown"   // no clear answer
 )
 
-// sentChange is one order, from its first attempt to the last answer to it. It is known by its body.
+// sentChange is one change, from its first attempt to the last answer. Its body identifies it.
 type sentChange struct {
 	body           string
 	baseBody       string // the body that it builds on, as its operator knows it
@@ -33,14 +33,14 @@
 	begun, ended time.Duration
 }
 
-// repeatedChange is an order sent once more, when it had its outcome already.
+// repeatedChange is a change that was sent once more when it had its outcome already.
 type repeatedChange struct {
 	change        *sentChange
 	outcome       outcome
 	withoutFaults bool // nothing was wrong with the machines for long
 }
 
-// requestHistory is all that operators saw. Its check knows nothing of the code: only what operators may expect.
+// requestHistory is all that operators saw. Its check knows only what operators may expect, nothing of the code.
 type requestHistory struct {
 	changes []*sentChange
 	reads   []observedRead
@@ -48,8 +48,8 @@
 	last    string // body read back at the end, when nobody sends any more
 }
 
-// check follows the configurations back from the one read last, each by the base of its order: that is all that was ever
-// taken. It gives an error for each rule that does not hold.
+// check follows the configurations back from the one read last, each by the base of its change: that is all that was ever
+// accepted. It returns an error for each rule that does not hold.
 func (h requestHistory) check() (broken []error) {
 	fail := func(format string, args ...any) {
 		for i := range args {
@@ -129,7 +129,7 @@
 	return broken
 }
 
-// label is a body's service, which names the operator and its order; or the whole, where it has none.
+// label is a body's service, which names the operator and its change; or the whole body, where it has none.
 func label(body string) string {
 	_, rest, found := strings.Cut(body, `"service_name":"`)
 	if name, _, whole := strings.Cut(rest, `"`); found && whole {
@@ -138,7 +138,7 @@
 	return body
 }
 
-// requestCounts tell what a history holds.
+// requestCounts are the numbers of entries of a history.
 type requestCounts struct{ confirmed, rejected, unknown, reads, repeats, repeatsOpen int }
 
 func (h requestHistory) count() (n requestCounts) {
--- a/internal/tier/controlplane/response_test.go
+++ b/internal/tier/controlplane/response_test.go
@@ -115,11 +115,11 @@
 	}
 }
 
-// stateIndependent are rejections that need no round trip: what is wrong with the call is wrong at every process for ever. They
+// stateIndependent are rejections that need no round trip: what is wrong with the call is wrong at every process, always. They
 // are given within the lease only.
 var stateIndependent = map[string]bool{"invalid": true, "too large": true, "no base": true, "not JSON": true}
 
-// prepare brings the state that operatorCalls speak of.
+// prepare makes the state that operatorCalls need.
 func (h *harness) prepare() {
 	h.t.Helper()
 	assertStatus(h.t, h.replace(0, 3), 200)
@@ -151,8 +151,8 @@
 	}
 }
 
-// The same for an order that was written: its 200 waits for gateways, and the process loses touch meanwhile. The order
-// stands, and is acknowledged when it is sent again to whoever is the primary then.
+// The same for a change that was written: its 200 waits for gateways, and the process loses touch meanwhile. The change
+// is in force, and is acknowledged when it is repeated at the primary of that time.
 func TestReplace_AcknowledgementWithheldOutOfTouch(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		assertStatus(t, h.replace(0, 3), 200)
@@ -170,8 +170,8 @@
 	})
 }
 
-// A pair of the same order that arrives at the old and at the new primary of a takeover: whatever the old one says later,
-// it is no rejection and no acknowledgement of its own.
+// The same change arrives at the old and at the new primary of a takeover: whatever the old one answers later, it is no
+// rejection and no acknowledgement of its own.
 func TestReplace_SameChangeAtOldAndNewPrimary(t *testing.T) {
 	withHarness(t, func(old *harness) {
 		next := &harness{t: t, store: newMemoryStore(), ctx: old.ctx}
--- a/internal/tier/controlplane/retained_replicas_test.go
+++ b/internal/tier/controlplane/retained_replicas_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// playSessionExpiries is one play of TestLapsesAreNoLosses.
+// playSessionExpiries is one play of TestPlacement_SessionExpiriesAreNoLosses.
 func playSessionExpiries(t reporter, fault mutant, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	model := newMutantModel(t, fault, r, 3+r.IntN(3), 3, FaultTolerance{1, byNode})
--- a/internal/tier/controlplane/retire_deadlines_test.go
+++ b/internal/tier/controlplane/retire_deadlines_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Only what still lies on machines that are to be emptied within a time asks for a pace.
+// Only what still lies on machines that are to be emptied by a deadline requires moves.
 func TestRequiredMoves(t *testing.T) {
 	m := &tierv1.PartitionMap{
 		StoreNodes: []*tierv1.StoreNode{{Folder: "f1", Node: "n1"}, {Folder: "f2", Node: "n2"}, {Folder: "f3", Node: "n3"}},
@@ -50,7 +50,7 @@
 	assert.Equal(t, requiredMoves(nil, map[string]time.Duration{"n1": 0}, time.Second), 0)
 }
 
-// An order that another process took has no time left, as its age is not known; one without a time never runs out.
+// An order that another process accepted has no time left, as its age is not known; one without a deadline never runs out.
 func TestRetireDeadlines(t *testing.T) {
 	now := time.Now()
 	times := retireDeadlines{}
@@ -62,7 +62,7 @@
 	assert.DeepEqual(t, left, map[string]time.Duration{"timed": 2 * time.Second, "another's": 0})
 }
 
-// An order that comes again before it could be taken has the time that it had at first; after that it is a new one.
+// An order that is repeated before it could be accepted keeps its deadline; after the deadline it is a new one.
 func TestRetireDeadlines_RepeatedOrder(t *testing.T) {
 	now := time.Now()
 	times := retireDeadlines{}
@@ -93,8 +93,8 @@
 	beforeOrder bool // it is away already when the order comes, so that the order is not taken before it returns
 }
 
-// retireWithDeadline orders a machine to be emptied within a time, again and again until that is taken. It gives how long it took
-// from the first time on, and the most replicas that were under way at a time once all turn stores were there.
+// retireWithDeadline orders a machine to be emptied within a time, until that is accepted. It returns how long it took from the
+// first attempt on, and the most replicas that were being synced at a time once all turn stores were there.
 func retireWithDeadline(t *testing.T, duration time.Duration, away absence) (took time.Duration, most int) {
 	const again = 500 * time.Millisecond
 	withHarness(t, func(h *harness) {
@@ -144,7 +144,7 @@
 	return took, most
 }
 
-// An order ends within its time, also where another turn store is away for a part of it.
+// An order is completed within its deadline, also where another turn store is away for a part of it.
 func TestRetire_CompletedWithinDeadline(t *testing.T) {
 	for _, test := range []struct {
 		duration time.Duration
@@ -165,7 +165,7 @@
 	}
 }
 
-// Where there is time, an eighth of the partitions moves at a time, as without an order's time.
+// Where there is time, an eighth of the partitions moves at a time, as without a deadline.
 func TestRetire_FewMovesWithTimeLeft(t *testing.T) {
 	for _, duration := range []time.Duration{0, 2 * time.Minute} {
 		took, most := retireWithDeadline(t, duration, absence{})
--- a/internal/tier/controlplane/session_expiry_test.go
+++ b/internal/tier/controlplane/session_expiry_test.go
@@ -12,7 +12,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// expire has the sessions of machines end a moment ago.
+// expire returns the input right after the sessions of machines have expired.
 func (model *placementModel) expire(machines ...*modelMachine) Input {
 	for _, m := range machines {
 		m.partitioned = true
--- a/internal/tier/controlplane/staleness_test.go
+++ b/internal/tier/controlplane/staleness_test.go
@@ -19,7 +19,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// testGateway is a gateway's session as the program holds it, on an address of its own.
+// testGateway is a gateway's session, of the program's own code, on an address of its own.
 type testGateway struct {
 	c  *cluster
 	ip string
@@ -57,7 +57,7 @@
 	return e
 }
 
-// observedControlPlane notes when a process that says that it is the primary answers a held call.
+// observedControlPlane records when a process that says that it is the primary answers a long poll.
 type observedControlPlane struct {
 	tierv1.ControlPlane
 	gateway *testGateway
@@ -91,7 +91,7 @@
 	return e.answered, e.from
 }
 
-// replaceConfiguration sends an order to the machines until one takes it.
+// replaceConfiguration sends a change to the machines until one accepts it.
 func (c *cluster) replaceConfiguration(base, revision int, to ...*coreMachine) {
 	c.t.Helper()
 	for range 100 {
@@ -184,7 +184,7 @@
 	forceBound = leaseBound + callBound + 2*findBound // from an acknowledgement to force at a gateway in touch with the primary
 )
 
-// A gateway that is partitioned together with the primary hears it as such no longer than a lease after the partition.
+// A gateway that is partitioned together with the primary is served by it no longer than a lease after the partition.
 func TestStaleness_PartitionedPrimaryServesWithinLease(t *testing.T) {
 	var longest time.Duration
 	for _, way := range []struct {
@@ -222,7 +222,7 @@
 	t.Logf("longest %v after the cut, the bound is %v", longest, leaseBound+slackBound)
 }
 
-// A gateway that reaches both sides of a partition has what the new primary acknowledged within the bound, though it held a
+// A gateway that reaches both sides of a partition has what the new primary acknowledged within the bound, though it had a
 // session with the old one, and never goes back.
 func TestStaleness_GatewayFollowsNewPrimary(t *testing.T) {
 	var longest time.Duration
--- a/internal/tier/controlplane/state_limit_test.go
+++ b/internal/tier/controlplane/state_limit_test.go
@@ -32,7 +32,7 @@
 }
 
 // A configuration may have all of the limit. One byte more is rejected, with what the limit is; nothing of it is in force,
-// and a smaller one on the same base is taken.
+// and a smaller one on the same base is accepted.
 func TestReplace_ConfigurationAtLimit(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		assertStatus(t, h.replace(0, 3), 200)
@@ -46,8 +46,8 @@
 	})
 }
 
-// An order that would make the control state too large is rejected, as often as it comes, and nothing of it is in force. The
-// primary goes on: what was taken is acknowledged again, and other orders are taken. It is rejected only when the backups
+// A change that would make the control state too large is rejected, as often as it comes, and nothing of it is in force. The
+// primary goes on: what was accepted is acknowledged again, and other changes are accepted. It is rejected only when the backups
 // confirm that nobody else is the primary.
 func TestReplace_StateTooLarge(t *testing.T) {
 	withHarness(t, func(h *harness) {
@@ -79,7 +79,7 @@
 	})
 }
 
-// An order to retire for which there is no room is rejected, and so is a change of the turn store map: the primary goes on
+// An order to retire for which there is no room is rejected, and so is a change of the partition map: the primary goes on
 // answering, and makes the change when there is room again.
 func TestPartitionMap_StateTooLarge(t *testing.T) {
 	withHarness(t, func(h *harness) {
@@ -108,7 +108,7 @@
 }
 
 // The largest of all that the primary writes fits the limit beside the largest configuration: with 10,000 turn stores, each
-// list of the map full, and a full history of orders.
+// list of the map full, and a full change history.
 func TestStateLimit_LargestStateFits(t *testing.T) {
 	const storeNodes = 10_000
 	name := func(i int) string { return fmt.Sprintf("%032d", i) }
@@ -133,7 +133,7 @@
 	assert.Assert(t, total+1<<20 <= consensus.StateLimit) // a mebibyte for framing and whatever is small
 }
 
-// The same over the real consensus, through a takeover and a restart of all: an order for which the state has no room is
+// The same over the real consensus, through a takeover and a restart of all: a change for which the state has no room is
 // rejected by each primary, and the state is as it was.
 func TestStateLimit_ThroughTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/tier/controlplane/status_test.go
+++ b/internal/tier/controlplane/status_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// Status tells of the real consensus whether another loss of a core machine is tolerated.
+// Status shows, by the real consensus, whether another loss of a core machine is tolerated.
 func TestStatus_LostCoreMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/tier/controlplane/write_test.go
+++ b/internal/tier/controlplane/write_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// scriptedDecisions plays decideAndWrite with verdicts that the test sets.
+// scriptedDecisions runs decideAndWrite with decisions that the test sets.
 type scriptedDecisions struct {
 	results []string          // of the calls of decide, the last one again and again
 	states  []*publishedState // that were decided on
@@ -28,7 +28,7 @@
 	return decideAndWrite(ctx, plane, "take", decide, write)
 }
 
-// An order is written under the view of its last decision, and one that is not to be written neither waits nor writes.
+// A request is written with the state of its last decision, and one that is not to be written neither waits nor writes.
 func TestDecideAndWrite(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		taken := &scriptedDecisions{results: []string{"take"}}
