--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -25,7 +25,7 @@
 		return invalidConfig("cluster %q is empty or over %d bytes", c.Cluster, maxNameBytes)
 	}
 	if err := loopback(c.Listen); err != nil {
-		return invalidConfig("listen = %q: %w", c.Listen, err)
+		return invalidConfigBy(err, "listen = %q", c.Listen)
 	}
 	if c.LeaseTerms.Duration < MinLeaseDuration || c.LeaseTerms.Duration > MaxLeaseDuration {
 		return invalidConfig("lease = %v is not from %v to %v", c.LeaseTerms.Duration, MinLeaseDuration, MaxLeaseDuration)
@@ -40,7 +40,7 @@
 		return invalidConfig("lend = %v is not from %v, which a lease that lapses and a roster take, to %v", c.QuotaDuration, least, MaxQuotaDuration)
 	}
 	if _, err := peers.NewRouteTable(c.Reach); err != nil {
-		return invalidConfig("%w", err)
+		return &ConfigError{Problem: err.Error(), Err: err}
 	}
 	seen := map[string]bool{}
 	for i, v := range c.Voters {
@@ -49,7 +49,7 @@
 		}
 		seen[v.Name] = true
 		if err := loopback(v.Address); err != nil {
-			return invalidConfig("voter %s: address = %q: %w", v.Name, v.Address, err)
+			return invalidConfigBy(err, "voter %s: address = %q", v.Name, v.Address)
 		}
 	}
 	return nil
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -22,14 +22,19 @@
 	Err     error // the cause, if another error tells it
 }
 
+// Error is the text that users and logs see.
 func (e *ConfigError) Error() string { return "fleet: " + e.Problem }
 
 // Unwrap gives the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 func invalidConfig(format string, args ...any) error {
-	err := fmt.Errorf(format, args...)
-	return &ConfigError{Problem: err.Error(), Err: errors.Unwrap(err)}
+	return &ConfigError{Problem: fmt.Sprintf(format, args...)}
+}
+
+// invalidConfigBy is a ConfigError whose problem ends with its cause.
+func invalidConfigBy(cause error, format string, args ...any) error {
+	return &ConfigError{Problem: fmt.Sprintf(format, args...) + ": " + cause.Error(), Err: cause}
 }
 
 // ParameterError is what is wrong with a parameter of an operator's request.
@@ -38,19 +43,20 @@
 	Err     error // the cause, if another error tells it
 }
 
+// Error is the text that users and logs see.
 func (e *ParameterError) Error() string { return e.Problem }
 
 // Unwrap gives the cause.
 func (e *ParameterError) Unwrap() error { return e.Err }
 
 func invalidParameter(format string, args ...any) error {
-	err := fmt.Errorf(format, args...)
-	return &ParameterError{Problem: err.Error(), Err: errors.Unwrap(err)}
+	return &ParameterError{Problem: fmt.Sprintf(format, args...)}
 }
 
 // NoAddressError is that no address of a voter is known.
 type NoAddressError struct{ Name string }
 
+// Error is the text that users and logs see.
 func (e *NoAddressError) Error() string { return fmt.Sprintf("no address of %s is known", e.Name) }
 
 // ForeignFileError is that a voter's file belongs to another cluster or sender.
@@ -59,6 +65,7 @@
 	Got, Want string
 }
 
+// Error is the text that users and logs see.
 func (e *ForeignFileError) Error() string {
 	return fmt.Sprintf("it is the file of %s %q, not of %q", e.What, e.Got, e.Want)
 }
@@ -69,6 +76,7 @@
 	Err   error // the decoder's; nil: it is missing
 }
 
+// Error is the text that users and logs see.
 func (e *MissingEntryError) Error() string {
 	return fmt.Sprintf("entry %d can't be read, or is missing: %v", e.Index, e.Err)
 }
--- a/internal/fleet/handshake.go
+++ b/internal/fleet/handshake.go
@@ -21,7 +21,7 @@
 		conf = stored.Snapshot.GetMetadata().GetConfState()
 	}
 	for {
-		missing := n.handshakeRound(stored.Position(), n.otherVoters(conf), answers)
+		missing := n.handshakeOnce(stored.Position(), n.otherVoters(conf), answers)
 		n.mu.Lock()
 		n.missingVoters = missing
 		n.mu.Unlock()
@@ -36,9 +36,9 @@
 	}
 }
 
-// handshakeRound calls the voters that have not answered yet, at once, and adds to answers. missing names those that did not answer, each behind
+// handshakeOnce calls the voters that have not answered yet, at once, and adds to answers. missing names those that did not answer, each behind
 // a space.
-func (n *Node) handshakeRound(position replicatedlog.StoredPosition, ids []uint64, answers map[string]replicatedlog.PeerState) (missing string) {
+func (n *Node) handshakeOnce(position replicatedlog.StoredPosition, ids []uint64, answers map[string]replicatedlog.PeerState) (missing string) {
 	var pending []string
 	for _, id := range ids {
 		if name := n.nameOf(id); !hasAnswer(answers, name) {
--- a/internal/fleet/http.go
+++ b/internal/fleet/http.go
@@ -159,7 +159,7 @@
 		}
 		address := q["address"][i]
 		if err := loopback(address); err != nil {
-			return nil, invalidParameter("address %q: %w", address, err)
+			return nil, &ParameterError{Problem: fmt.Sprintf("address %q: %v", address, err), Err: err}
 		}
 		change.Add = append(change.Add, &pb.Voter{Name: name, Address: address})
 	}
--- a/internal/fleet/limit_report.go
+++ b/internal/fleet/limit_report.go
@@ -77,17 +77,17 @@
 }
 
 // describeBound is what a limit guarantees in a fleet of so many senders, in words for operators.
-func (l *quotaNode) describeBound(q quota.Limit, senders int) string {
-	text := fmt.Sprintf("%d in any %v at the receiver", q.Units, q.Span)
-	if q.Kind == quota.Daily {
-		return fmt.Sprintf("%d in a day of the calendar of who is in charge; what is held as it ends may be used %v longer; what a sender holds that dies, and up to a hundredth for each authority that does, is lost for the day", q.Units, l.terms.Duration)
+func (q *quotaNode) describeBound(limit quota.Limit, senders int) string {
+	text := fmt.Sprintf("%d in any %v at the receiver", limit.Units, limit.Span)
+	if limit.Kind == quota.Daily {
+		return fmt.Sprintf("%d in a day of the calendar of who is in charge; what is held as it ends may be used %v longer; what a sender holds that dies, and up to a hundredth for each authority that does, is lost for the day", limit.Units, q.terms.Duration)
 	}
-	if q.Kind == quota.Concurrent {
-		text = fmt.Sprintf("%d at once", q.Units)
+	if limit.Kind == quota.Concurrent {
+		text = fmt.Sprintf("%d at once", limit.Units)
 	}
-	if q.PartitionExtra > 0 {
-		text += fmt.Sprintf(", and %d more for each sender that is cut off: %d if all %d are", q.PartitionExtra, q.WorstCase(senders), senders)
+	if limit.PartitionExtra > 0 {
+		text += fmt.Sprintf(", and %d more for each sender that is cut off: %d if all %d are", limit.PartitionExtra, limit.WorstCase(senders), senders)
 	}
 	return text + fmt.Sprintf("; one that is cut off uses what it holds for %v at most, then %d; what it held is lent again %v after it asked last; a new authority lends anew after %v",
-		l.terms.Duration, q.Reserve+q.PartitionExtra, l.terms.GracePeriod(q), l.terms.GracePeriod(q))
+		q.terms.Duration, limit.Reserve+limit.PartitionExtra, q.terms.GracePeriod(limit), q.terms.GracePeriod(limit))
 }
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		n.log.Error("fleet: a change of the policy can't be staged: it is refused", "change", a.ChangeID, "err", err)
 	}
-	n.tellReplica(ctx, replicatedlog.ChangeStaged{ChangeID: a.ChangeID, Err: err})
+	n.notifyReplica(ctx, replicatedlog.ChangeStaged{ChangeID: a.ChangeID, Err: err})
 }
 
 // requestLease asks some voter for a lease and tells the replica what came of it.
@@ -93,13 +93,13 @@
 	})
 	if err != nil {
 		n.log.Debug("fleet: no lease", "err", err)
-		n.tellReplica(ctx, replicatedlog.LeaseRequestFailed{RequestedAt: a.RequestedAt})
+		n.notifyReplica(ctx, replicatedlog.LeaseRequestFailed{RequestedAt: a.RequestedAt})
 		return
 	}
 	n.mu.Lock()
 	n.waitingOn = r.WaitingOn
 	n.mu.Unlock()
-	n.tellReplica(ctx, replicatedlog.LeaseGranted{RequestedAt: a.RequestedAt, RequiredIndex: r.RequiredIndex, Duration: time.Duration(r.DurationUs) * time.Microsecond})
+	n.notifyReplica(ctx, replicatedlog.LeaseGranted{RequestedAt: a.RequestedAt, RequiredIndex: r.RequiredIndex, Duration: time.Duration(r.DurationUs) * time.Microsecond})
 }
 
 // publishView has calls go by a view. The allowances follow it before any call does.
@@ -110,7 +110,7 @@
 	if a.Drain {
 		n.goBackground(func(ctx context.Context) {
 			waitDrained()
-			n.tellReplica(ctx, replicatedlog.Drained{Index: a.View.Index})
+			n.notifyReplica(ctx, replicatedlog.Drained{Index: a.View.Index})
 		})
 	}
 	n.quotas.notifyView()
@@ -128,8 +128,8 @@
 	}
 }
 
-// tellReplica puts an event into the replica's inbox. It fails only as the node stops.
-func (n *Node) tellReplica(ctx context.Context, e replicatedlog.ReplicaEvent) {
+// notifyReplica puts an event into the replica's inbox. It fails only as the node stops.
+func (n *Node) notifyReplica(ctx context.Context, e replicatedlog.ReplicaEvent) {
 	_ = n.replica.Inbox.Put(ctx, e)
 }
 
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -96,13 +96,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.cfg.Now()
-	r := Report{Name: n.cfg.Name, Cluster: n.cfg.Cluster, Address: n.addr, Index: n.replicaReport.index, Followed: n.followed, LeaseDurationMS: n.cfg.LeaseTerms.Duration.Milliseconds(),
-		Bound: fmt.Sprintf("lease %v, counted %v by who grants it (drift %g); then two round trips", n.cfg.LeaseTerms.Duration, n.cfg.LeaseTerms.GranterDuration(), n.cfg.LeaseTerms.MaxDrift)}
+	terms := n.cfg.LeaseTerms
+	r := Report{Name: n.cfg.Name, Cluster: n.cfg.Cluster, Address: n.addr, Index: n.replicaReport.index, Followed: n.followed, LeaseDurationMS: terms.Duration.Milliseconds(),
+		Bound: fmt.Sprintf("lease %v, counted %v by who grants it (drift %g); then two round trips", terms.Duration, terms.GranterDuration(), terms.MaxDrift)}
 	if n.receivedAt > 0 {
 		r.AgeMS = (now - n.receivedAt).Milliseconds()
 	}
-	if v, acts := n.gate.View(); v != nil {
-		r.MayAct = acts
+	if v, mayAct := n.gate.View(); v != nil {
+		r.MayAct = mayAct
 		r.LeaseMS = max(0, (time.Duration(n.gate.leaseUntil.Load()) - now).Milliseconds())
 		if v.Unfit != nil {
 			r.Unfit = v.Unfit.Error()
@@ -111,47 +112,65 @@
 	for _, m := range n.replicaReport.members {
 		r.Members = append(r.Members, Member{m.Name, m.MaxCommandKind, m.Removed})
 	}
+	r.Voters = n.currentVoterNames()
+	if n.store != nil {
+		r.Voter = n.voterReport(r.Voters)
+	}
+	r.Policy = n.policyReport()
+	for _, name := range slices.Sorted(maps.Keys(n.outboxes)) {
+		r.Rings = append(r.Rings, n.outboxes[name].Stats())
+	}
+	r.Workers = n.group.Reports()
+	return r
+}
+
+// currentVoterNames are the voters as far as this sender knows; mu is held.
+func (n *Node) currentVoterNames() (names []string) {
 	for _, v := range n.cfg.Voters {
-		r.Voters = append(r.Voters, v.Name)
+		names = append(names, v.Name)
 	}
 	for _, v := range n.replicaReport.voters {
-		i := slices.Index(r.Voters, v.Name)
+		i := slices.Index(names, v.Name)
 		switch {
 		case v.Removed && i >= 0:
-			r.Voters = slices.Delete(r.Voters, i, i+1)
+			names = slices.Delete(names, i, i+1)
 		case !v.Removed && i < 0:
-			r.Voters = append(r.Voters, v.Name)
+			names = append(names, v.Name)
 		}
 	}
-	if n.store != nil {
-		s := n.status
-		r.Voter = &VoterReport{IsLeader: s.IsLeader, Term: s.Term, AppliedIndex: s.AppliedIndex, MissingVoters: n.missingVoters, StaleReason: n.staleReason, Failed: n.voterFailure, WaitingOn: s.WaitingOn}
-		for _, name := range r.Voters {
-			if replicatedlog.VoterID(name) == s.Leader {
-				r.Voter.Leader = name
-			}
-		}
-		for _, h := range s.Leases {
-			r.Voter.Leases = append(r.Voter.Leases, Lease{h.Name, h.Remaining.Milliseconds(), h.MinIndex})
+	return names
+}
+
+// voterReport shows the voter of this sender; mu is held.
+func (n *Node) voterReport(voters []string) *VoterReport {
+	s := n.status
+	r := &VoterReport{IsLeader: s.IsLeader, Term: s.Term, AppliedIndex: s.AppliedIndex, MissingVoters: n.missingVoters, StaleReason: n.staleReason, Failed: n.voterFailure, WaitingOn: s.WaitingOn}
+	for _, name := range voters {
+		if replicatedlog.VoterID(name) == s.Leader {
+			r.Leader = name
 		}
 	}
+	for _, l := range s.Leases {
+		r.Leases = append(r.Leases, Lease{l.Name, l.Remaining.Milliseconds(), l.MinIndex})
+	}
+	return r
+}
+
+// policyReport shows the replicated policy; mu is held.
+func (n *Node) policyReport() PolicyReport {
 	p := n.replicaReport.policy
-	r.Policy = PolicyReport{Version: p.GetVersion(), Document: string(p.GetDocument()), StartIndex: p.GetStartIndex()}
-	if o := p.GetOpenChange(); o != nil {
-		r.Policy.Open = &ChangeReport{ID: o.Id, BaseVersion: o.BaseVersion, Author: o.Author, Reason: o.Reason, Frozen: o.FreezeIndex != 0, Document: string(o.Document)}
-		r.Policy.Open.WaitingOn = n.status.WaitingOn
+	r := PolicyReport{Version: p.GetVersion(), Document: string(p.GetDocument()), StartIndex: p.GetStartIndex()}
+	if open := p.GetOpenChange(); open != nil {
+		r.Open = &ChangeReport{ID: open.Id, BaseVersion: open.BaseVersion, Author: open.Author, Reason: open.Reason, Frozen: open.FreezeIndex != 0, Document: string(open.Document)}
+		r.Open.WaitingOn = n.status.WaitingOn
 		if !n.status.IsLeader {
 			for _, w := range n.waitingOn {
-				r.Policy.Open.WaitingOn = append(r.Policy.Open.WaitingOn, fleetpolicy.PendingSender{Name: w.Name, Reason: w.Reason, Remaining: time.Duration(w.RemainingUs) * time.Microsecond})
+				r.Open.WaitingOn = append(r.Open.WaitingOn, fleetpolicy.PendingSender{Name: w.Name, Reason: w.Reason, Remaining: time.Duration(w.RemainingUs) * time.Microsecond})
 			}
 		}
 	}
-	for _, o := range p.GetHistory() {
-		r.Policy.History = append(r.Policy.History, FinishedChangeReport{o.Id, o.Version, o.Author, o.Reason, o.AbortReason, string(o.Document)})
+	for _, c := range p.GetHistory() {
+		r.History = append(r.History, FinishedChangeReport{c.Id, c.Version, c.Author, c.Reason, c.AbortReason, string(c.Document)})
 	}
-	for _, name := range slices.Sorted(maps.Keys(n.outboxes)) {
-		r.Rings = append(r.Rings, n.outboxes[name].Stats())
-	}
-	r.Workers = n.group.Reports()
 	return r
 }
--- a/internal/fleetpolicy/document.go
+++ b/internal/fleetpolicy/document.go
@@ -79,7 +79,7 @@
 	p := &Policy{document: d, routes: map[uint32]routeRule{}, suspended: map[string]bool{}, classes: map[string]time.Duration{}}
 	for _, parse := range []func() error{p.parsePartition, p.parseRoutes, p.parseTenants, p.parseClasses, p.parseLimits, p.parseHealthRules} {
 		if err := parse(); err != nil {
-			return nil, invalidIn(name, "%w", err)
+			return nil, within(name, err)
 		}
 	}
 	return p, nil
--- a/internal/fleetpolicy/errors.go
+++ b/internal/fleetpolicy/errors.go
@@ -14,6 +14,7 @@
 	Err  error
 }
 
+// Error is the text that users and logs see.
 func (e *DecodeError) Error() string { return fmt.Sprintf("%s can't be read: %v", e.What, e.Err) }
 
 // Unwrap gives the decoder's error.
@@ -26,6 +27,7 @@
 	Err      error // the cause, if another error tells it
 }
 
+// Error is the text that users and logs see.
 func (e *DocumentError) Error() string {
 	if e.Document == "" {
 		return e.Problem
@@ -38,14 +40,17 @@
 
 // invalid is a DocumentError without the document's name.
 func invalid(format string, args ...any) error {
-	err := fmt.Errorf(format, args...)
-	return &DocumentError{Problem: err.Error(), Err: errors.Unwrap(err)}
+	return &DocumentError{Problem: fmt.Sprintf(format, args...)}
 }
 
 // invalidIn is a DocumentError of the named document, or of a part of one.
 func invalidIn(document, format string, args ...any) error {
-	err := fmt.Errorf(format, args...)
-	return &DocumentError{Document: document, Problem: err.Error(), Err: errors.Unwrap(err)}
+	return &DocumentError{Document: document, Problem: fmt.Sprintf(format, args...)}
+}
+
+// within is an error as that of the named document, or of a part of one.
+func within(document string, err error) error {
+	return &DocumentError{Document: document, Problem: err.Error(), Err: err}
 }
 
 // SettingsError is that a policy names a class, tenant or kind that a sender's settings lack.
@@ -55,6 +60,7 @@
 	Has  []string // names of that kind that the settings have
 }
 
+// Error is the text that users and logs see.
 func (e *SettingsError) Error() string {
 	return fmt.Sprintf("%s %q is not in this sender's settings, which have %s", e.What, e.Name, quoted(e.Has))
 }
--- a/internal/fleetpolicy/limit_index.go
+++ b/internal/fleetpolicy/limit_index.go
@@ -61,9 +61,9 @@
 }
 
 // names are the classes and tenants that limits name.
-func (ls limitIndex) names() (classes, tenants []string) {
+func (x limitIndex) names() (classes, tenants []string) {
 	c, t := map[string]bool{}, map[string]bool{}
-	for s := range ls.bySubject {
+	for s := range x.bySubject {
 		if s.class != "" {
 			c[s.class] = true
 		}
--- a/internal/fleetpolicy/limits.go
+++ b/internal/fleetpolicy/limits.go
@@ -52,11 +52,11 @@
 		name := fmt.Sprintf("limit %d", i+1)
 		q, err := l.quota()
 		if err != nil {
-			return limitIndex{}, invalidIn(name, "%w", err)
+			return limitIndex{}, within(name, err)
 		}
 		subjects, err := l.subjects()
 		if err != nil {
-			return limitIndex{}, invalidIn(name, "%w", err)
+			return limitIndex{}, within(name, err)
 		}
 		for _, s := range subjects {
 			q.Key = s.String()
--- a/internal/fleetpolicy/model_test.go
+++ b/internal/fleetpolicy/model_test.go
@@ -636,6 +636,7 @@
 				m.elects = 1
 			case leaseOutlivesProcess, stagedBeforeSync:
 				m.crashes = 1
+			default:
 			}
 			states, trace, why := m.explore(3_000_000)
 			if why == "" {
--- a/internal/health/errors.go
+++ b/internal/health/errors.go
@@ -14,6 +14,7 @@
 	Err  error
 }
 
+// Error is the text that users and logs see.
 func (e *DecodeError) Error() string { return fmt.Sprintf("%s can't be read: %v", e.What, e.Err) }
 
 // Unwrap gives the decoder's error.
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -26,8 +26,8 @@
 }
 
 type usageRecord struct {
-	endsAt time.Duration
-	units  int64
+	bucketEnd time.Duration
+	units     int64
 }
 
 // NewAllowance makes the allowance of a process that begins now: nothing is granted. reserved is whether the sender is among those that have a
@@ -53,7 +53,7 @@
 // expireUsage drops from the usage log what has cooled down.
 func (a *Allowance) expireUsage(now time.Duration) {
 	n := 0
-	for n < len(a.usageLog) && a.usageLog[n].endsAt+a.coolDown <= now {
+	for n < len(a.usageLog) && a.usageLog[n].bucketEnd+a.coolDown <= now {
 		a.cooling -= a.usageLog[n].units
 		n++
 	}
@@ -113,7 +113,7 @@
 func (a *Allowance) recordUsage(units int64, now time.Duration) {
 	bucket := max(1, a.coolDown/usageBuckets)
 	at := (now/bucket + 1) * bucket
-	if n := len(a.usageLog); n > 0 && a.usageLog[n-1].endsAt >= at {
+	if n := len(a.usageLog); n > 0 && a.usageLog[n-1].bucketEnd >= at {
 		a.usageLog[n-1].units += units
 	} else {
 		a.usageLog = append(a.usageLog, usageRecord{at, units})
@@ -140,7 +140,7 @@
 			a.granted += units
 		}
 	default:
-		if n := len(a.usageLog); n > 0 && a.usageLog[n-1].units >= units && a.usageLog[n-1].endsAt > now {
+		if n := len(a.usageLog); n > 0 && a.usageLog[n-1].units >= units && a.usageLog[n-1].bucketEnd > now {
 			a.usageLog[n-1].units -= units
 			a.cooling -= units
 		}
@@ -157,7 +157,7 @@
 	need := a.cooling + a.inFlight - all
 	for _, u := range a.usageLog {
 		if need -= u.units; need < 0 && all > 0 {
-			return 0, u.endsAt + a.coolDown
+			return 0, u.bucketEnd + a.coolDown
 		}
 	}
 	return 0, Never
@@ -178,7 +178,7 @@
 	keep = max(0, min(keep, granted))
 	held = max(keep, min(a.peakGranted, max(0, a.inFlight-a.reserve)))
 	if cooling = min(a.peakGranted, a.grantedInUse()) - held; cooling > 0 { // the newest use cools down last
-		coolingTime = a.usageLog[len(a.usageLog)-1].endsAt + a.coolDown - now
+		coolingTime = a.usageLog[len(a.usageLog)-1].bucketEnd + a.coolDown - now
 	} else {
 		cooling = 0
 	}
@@ -201,7 +201,7 @@
 
 // RecentUsage is how many units are used within a cool-down, extrapolated from the last half of one, and those in flight.
 func (a *Allowance) RecentUsage(now time.Duration) (units int64) {
-	for i := len(a.usageLog) - 1; i >= 0 && a.usageLog[i].endsAt > now-a.coolDown/2; i-- {
+	for i := len(a.usageLog) - 1; i >= 0 && a.usageLog[i].bucketEnd > now-a.coolDown/2; i-- {
 		units += a.usageLog[i].units
 	}
 	return 2*units + a.inFlight
--- a/internal/quota/errors.go
+++ b/internal/quota/errors.go
@@ -8,6 +8,7 @@
 	ServerIncarnation, RequestIncarnation uint64
 }
 
+// Error is the text that users and logs see.
 func (e *EpochError) Error() string {
 	return fmt.Sprintf("this sender goes by roster %d as process %x, the question by roster %d for %x", e.ServerEpoch, e.ServerIncarnation, e.RequestEpoch, e.RequestIncarnation)
 }
@@ -18,6 +19,7 @@
 	Epoch uint64
 }
 
+// Error is the text that users and logs see.
 func (e *NoParticipantError) Error() string {
 	return fmt.Sprintf("%s takes no part in roster %d with that process", e.Name, e.Epoch)
 }
--- a/internal/quota/model_state_test.go
+++ b/internal/quota/model_state_test.go
@@ -12,24 +12,24 @@
 // What is below serves those who explore what can become of a limit: copies, and states written so that equal ones are equal.
 
 // Clone is a purse with the same state.
-func (p *Allowance) Clone() *Allowance {
-	c := *p
-	c.usageLog = slices.Clone(p.usageLog)
+func (a *Allowance) Clone() *Allowance {
+	c := *a
+	c.usageLog = slices.Clone(a.usageLog)
 	return &c
 }
 
 // AppendState writes the state in short, as it matters from now on.
-func (p *Allowance) AppendState(b []byte, now time.Duration) []byte {
-	p.expireUsage(now)
-	lent, until := p.grantedAt(now), max(now, p.expiresAt)
+func (a *Allowance) AppendState(b []byte, now time.Duration) []byte {
+	a.expireUsage(now)
+	lent, until := a.grantedAt(now), max(now, a.expiresAt)
 	if lent == 0 {
 		until = now
 	}
-	for _, v := range []int64{lent, int64(until - now), p.peakGranted, p.reserve, int64(max(0, p.reserveFrom-now)), p.inFlight, p.spent} {
+	for _, v := range []int64{lent, int64(until - now), a.peakGranted, a.reserve, int64(max(0, a.reserveFrom-now)), a.inFlight, a.spent} {
 		b = binary.AppendVarint(b, v)
 	}
-	for _, u := range p.usageLog {
-		b = binary.AppendVarint(binary.AppendVarint(b, int64(u.endsAt+p.coolDown-now)), u.units)
+	for _, u := range a.usageLog {
+		b = binary.AppendVarint(binary.AppendVarint(b, int64(u.bucketEnd+a.coolDown-now)), u.units)
 	}
 	return append(b, ';')
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -194,6 +194,7 @@
 					q.Cooling = 0
 				case keepsMoreThanTold:
 					t.allowance = before
+				default:
 				}
 				t.request = &modelRequest{t.incarnation, t.requestedAt, q, t.epoch, false}
 				return ""
@@ -367,6 +368,7 @@
 				m.crashes = 1
 			case staleRequests:
 				m.repeats = 1
+			default:
 			}
 			layers, trace, why := m.explore(40, 3_000_000)
 			if why == "" {
--- a/internal/replicatedlog/cluster_sim_test.go
+++ b/internal/replicatedlog/cluster_sim_test.go
@@ -329,6 +329,7 @@
 		case SubmitJoin:
 			body, _ := proto.Marshal(a.Command)
 			s.submit(place, c.follows, &pb.Command{Kind: KindJoin, Session: uint64(j+1)<<32 | uint64(c.incarnation), Sequence: 1, Body: body}, func(Reply) {})
+		case LeaseExpired:
 		}
 	}
 	for _, p := range c.replica.Policy().State().GetHistory() {
--- a/internal/replicatedlog/errors.go
+++ b/internal/replicatedlog/errors.go
@@ -21,6 +21,7 @@
 	Err  error
 }
 
+// Error is the text that users and logs see.
 func (e *DecodeError) Error() string { return fmt.Sprintf("%s can't be read: %v", e.What, e.Err) }
 
 // Unwrap gives the decoder's error.
@@ -32,6 +33,7 @@
 	Applied uint64
 }
 
+// Error is the text that users and logs see.
 func (e *GapError) Error() string {
 	return fmt.Sprintf("entry %d can't follow entry %d", e.Index, e.Applied)
 }
@@ -39,6 +41,7 @@
 // SnapshotFormatError is that a snapshot was written in another format than this program reads.
 type SnapshotFormatError struct{ Got, Want uint32 }
 
+// Error is the text that users and logs see.
 func (e *SnapshotFormatError) Error() string {
 	return fmt.Sprintf("the snapshot is of format %d; this program reads %d", e.Got, e.Want)
 }
@@ -46,6 +49,7 @@
 // RemovedMemberError is that a sender asks for a lease which an operator has removed for good.
 type RemovedMemberError struct{ Name string }
 
+// Error is the text that users and logs see.
 func (e *RemovedMemberError) Error() string {
 	return fmt.Sprintf("%s was declared gone for good", e.Name)
 }
@@ -53,6 +57,7 @@
 // CommandTooLargeError is that a command is larger than the log takes.
 type CommandTooLargeError struct{ Bytes int }
 
+// Error is the text that users and logs see.
 func (e *CommandTooLargeError) Error() string {
 	return fmt.Sprintf("a command of %d bytes; %d are the most", e.Bytes, maxCommandBytes)
 }
--- a/internal/replicatedlog/voter.go
+++ b/internal/replicatedlog/voter.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// Tick is the step of raft's time. A leader sends heartbeats each tick; one that is silent for ElectionTicks to twice as many
-	// ticks is replaced.
-	Tick          = 50 * time.Millisecond
+	// Tick is the step of raft's time, in which a leader sends heartbeats.
+	Tick = 50 * time.Millisecond
+	// ElectionTicks is the election time-out: a leader that is silent for so many to twice as many ticks is replaced.
 	ElectionTicks = 10
 
 	maxCatchUpTicks     = 2       // that one step makes up for after the voter stood still
--- a/internal/worker/group.go
+++ b/internal/worker/group.go
@@ -25,6 +25,7 @@
 	Stack []byte
 }
 
+// Error is the text that users and logs see.
 func (e *PanicError) Error() string { return fmt.Sprintf("panic: %v\n%s", e.Value, e.Stack) }
 
 // StopTimeoutError is that a worker did not end in time. It is left running.
@@ -33,6 +34,7 @@
 	Timeout time.Duration
 }
 
+// Error is the text that users and logs see.
 func (e *StopTimeoutError) Error() string {
 	return fmt.Sprintf("worker %s has not ended after %v", e.Worker, e.Timeout)
 }
--- a/internal/worker/ring_buffer.go
+++ b/internal/worker/ring_buffer.go
@@ -17,6 +17,7 @@
 	MergeByKey                       // an entry replaces the one with its key; for a new key the oldest entry is dropped and counted
 )
 
+// String is the policy as commands show it.
 func (r OverflowPolicy) String() string {
 	return [...]string{"wait", "drop the oldest", "merge by key"}[r]
 }
