--- a/internal/tier/consensus/client.go
+++ b/internal/tier/consensus/client.go
@@ -9,7 +9,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// send makes a call of the replica. Its end, whatever it is, is an event. The call ends with its time-out or with ctx.
+// send makes a call of the replica. Its result, or its failure, is an event. The goroutine ends with the call, whose context ends with its
+// time-out or with ctx; Run does not wait for it, as an event that comes after Run has ended is dropped.
 func (node *Node) send(ctx context.Context, call outgoingCall) {
 	client := node.clients[call.address]
 	if client == nil {
--- a/internal/tier/consensus/peers.go
+++ b/internal/tier/consensus/peers.go
@@ -45,15 +45,15 @@
 }
 
 // recordReply records that a node replied to a call that began at that time.
-func (r *replica) recordReply(member *tierv1.Member, began time.Duration) *peer {
+func (r *replica) recordReply(member *tierv1.Member, began time.Duration) {
 	peer := r.recordContact(member)
-	if peer != nil {
-		if began >= peer.answeredAt {
-			peer.answeredAt, peer.roundTrip = began, r.now-began
-		}
-		peer.hasReplied = true
+	if peer == nil {
+		return
 	}
-	return peer
+	if began >= peer.answeredAt {
+		peer.answeredAt, peer.roundTrip = began, r.now-began
+	}
+	peer.hasReplied = true
 }
 
 // unresponsiveFor is for how long a node has not replied.
--- a/internal/tier/consensus/timing.go
+++ b/internal/tier/consensus/timing.go
@@ -20,14 +20,23 @@
 	transferRate      int           // bytes a second; tests change it
 }
 
-// newTiming derives the durations from the contact window. The heartbeat interval is at most a quarter of heartbeat; 0: no bound.
+// newTiming derives the durations from the contact window; docs/design/consensus.md tells what follows from them. The interval between
+// heartbeats is at most a quarter of the interval given; 0: no bound.
 func newTiming(window, interval time.Duration) timing {
 	heartbeat := window / 12
 	if interval > 0 {
 		heartbeat = min(heartbeat, interval/4)
 	}
-	return timing{heartbeatInterval: heartbeat, callTimeout: window / 6, primaryProtection: window / 6, electionTimeout: window / 4, lease: window / 3,
-		replaceAfter: window * 2 / 5, joinInterval: window / 6, transferRate: transferRate}
+	return timing{
+		heartbeatInterval: heartbeat,
+		callTimeout:       window / 6,
+		primaryProtection: window / 6,
+		electionTimeout:   window / 4,
+		lease:             window / 3,
+		replaceAfter:      window * 2 / 5,
+		joinInterval:      window / 6,
+		transferRate:      transferRate,
+	}
 }
 
 // transferTime is how much longer than others a call may take that carries so many bytes.
