--- a/internal/calls/request_format.go
+++ b/internal/calls/request_format.go
@@ -109,7 +109,7 @@
 	}
 	e.Set("type", strings.ReplaceAll(f.delivery.Type, "{class}", m.Class))
 	if len(m.Body) > 0 {
-		e.Form, e.Data = cloudevents.Bytes, m.Body
+		e.DataFormat, e.Data = cloudevents.Bytes, m.Body
 	}
 	return e
 }
--- a/internal/cloudevents/read.go
+++ b/internal/cloudevents/read.go
@@ -1,15 +1,9 @@
 package cloudevents
 
 import (
-	"bytes"
-	"encoding/base64"
-	"encoding/json"
 	"errors"
-	"io"
-	"math"
 	"mime"
 	"net/http"
-	"slices"
 	"strconv"
 	"strings"
 	"unicode/utf8"
@@ -25,6 +19,7 @@
 	BatchedMode
 )
 
+// String returns the mode's name.
 func (m Mode) String() string { return [...]string{"binary", "structured", "batched"}[m] }
 
 // The media types of the JSON event format.
@@ -80,7 +75,7 @@
 
 // SetBody gives an event that came in binary mode its data.
 func (e *Event) SetBody(body []byte) {
-	if e.Form = dataForm(e.Get("datacontenttype"), body); e.Form != NoData {
+	if e.DataFormat = dataFormatOf(e.Get("datacontenttype"), body); e.DataFormat != NoData {
 		e.Data = body
 	}
 }
@@ -181,217 +176,3 @@
 	}
 	return string(out), nil
 }
-
-// ReadStructured reads an event in structured mode: one JSON object (JSON format, section 3).
-func ReadStructured(body []byte) (*Event, error) {
-	if err := whole(body); err != nil {
-		return nil, err
-	}
-	return readObject(body)
-}
-
-// whole is whether a body is one JSON value in UTF-8 and nothing else.
-func whole(body []byte) error {
-	if !utf8.Valid(body) {
-		return fault(Malformed, "the body is not UTF-8")
-	}
-	if !json.Valid(body) {
-		var v json.RawMessage
-		err := json.Unmarshal(body, &v)
-		var syntax *json.SyntaxError
-		if errors.As(err, &syntax) {
-			return fault(Incomplete, "the JSON can't be read at byte %d: %v", syntax.Offset, err)
-		}
-		return fault(Incomplete, "the JSON can't be read: %v", err)
-	}
-	return nil
-}
-
-// readObject reads an event from a JSON text that is sound.
-func readObject(raw []byte) (*Event, error) {
-	e := &Event{Attributes: make([]Attribute, 0, 10)}
-	var data, base []byte // as they stand there; nil for absent
-	err := members(raw, func(name string, v []byte) error {
-		switch name {
-		case "data":
-			data = v
-			return nil
-		case "data_base64":
-			base = v
-			return nil
-		}
-		a := Attribute{Name: name}
-		switch v[0] {
-		case 'n': // null: as if it were not there (JSON format, section 2.2), but for its name
-			return checkName(name)
-		case 't', 'f':
-			a.Type, a.Value = Boolean, string(v)
-		case '"':
-			s, err := text(v)
-			if err != nil {
-				return fault(Malformed, "attribute %s: %v", name, err)
-			}
-			a.Value = s
-		case '{', '[':
-			return fault(Malformed, "attribute %s is a JSON object or array; attributes are strings, numbers and booleans", name)
-		default:
-			n, err := strconv.ParseInt(string(v), 10, 64)
-			if err != nil || n < math.MinInt32 || n > math.MaxInt32 {
-				return fault(Malformed, "attribute %s = %.40s is not a whole number of 32 bits", name, v)
-			}
-			a.Type, a.Value = Integer, strconv.FormatInt(n, 10)
-		}
-		return e.add(a)
-	})
-	if err != nil {
-		return nil, err
-	}
-	if err := e.check(); err != nil {
-		return nil, err
-	}
-	switch kind := e.Get("datacontenttype"); {
-	case data != nil && base != nil:
-		return nil, fault(Malformed, "data and data_base64 exclude each other")
-	case base != nil:
-		s, err := text(base)
-		if base[0] != '"' || err != nil {
-			return nil, fault(Malformed, "data_base64 is not a string")
-		}
-		if e.Data, err = base64.StdEncoding.Strict().DecodeString(s); err != nil || strings.ContainsAny(s, "\r\n") {
-			return nil, fault(Malformed, "data_base64 is not Base64 by RFC 4648, section 4")
-		}
-		e.Form = Bytes
-	case data != nil && data[0] == '"' && kind != "" && !isJSON(kind):
-		s, err := text(data)
-		if err != nil {
-			return nil, fault(Malformed, "data: %v", err)
-		}
-		e.Form, e.Data = Text, []byte(s)
-	case data != nil && data[0] == 'n' && kind != "" && !isJSON(kind): // null is no text: there is none
-	case data != nil:
-		e.Form, e.Data = JSON, bytes.Clone(data)
-	}
-	return e, nil
-}
-
-// members calls f with each member of a JSON object that is sound, in order. A name that stands there twice, however
-// it is escaped, is a fault: readers differ on which of the two counts.
-func members(raw []byte, f func(name string, v []byte) error) error {
-	d := json.NewDecoder(bytes.NewReader(raw))
-	first, err := d.Token()
-	if err != nil || first != json.Delim('{') {
-		return fault(Malformed, "an event is a JSON object")
-	}
-	names := make([]string, 0, 12)
-	for d.More() {
-		if len(names) == maxMembers {
-			return fault(Malformed, "an event has more than %d members", maxMembers)
-		}
-		at := d.InputOffset()
-		token, err := d.Token()
-		if err != nil {
-			return fault(Incomplete, "the JSON can't be read: %v", err)
-		}
-		name, _ := token.(string)
-		if slices.Contains(names, name) {
-			return fault(Malformed, "member %q stands there more than once, again at byte %d", name, at)
-		}
-		names = append(names, name)
-		var v json.RawMessage
-		if err := d.Decode(&v); err != nil {
-			return fault(Incomplete, "the JSON can't be read: %v", err)
-		}
-		if err := f(name, v); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// maxMembers bounds the attributes of an event; headers have the bound of a request's head.
-const maxMembers = 256
-
-var errSurrogate = errors.New("an escape stands for half a character")
-
-// text reads a JSON string. Escapes of half a surrogate pair stand for no character: encoding/json makes U+FFFD of
-// each, so that texts which differ would become equal.
-func text(raw []byte) (string, error) {
-	var s string
-	if err := json.Unmarshal(raw, &s); err != nil {
-		return "", errors.New("it is not a string")
-	}
-	if strings.ContainsRune(s, utf8.RuneError) && !bytes.ContainsRune(raw, utf8.RuneError) && !bytes.Contains(bytes.ToLower(raw), []byte(`\ufffd`)) {
-		return "", errSurrogate
-	}
-	if bytes.Contains(raw, []byte(`\u`)) && halves(raw) {
-		return "", errSurrogate
-	}
-	return s, nil
-}
-
-// halves is whether a sound JSON string holds the escape of a surrogate without its other half.
-func halves(raw []byte) bool {
-	for i := 0; i < len(raw); i++ {
-		if raw[i] != '\\' {
-			continue
-		}
-		if i++; i >= len(raw) || raw[i] != 'u' {
-			continue
-		}
-		n, _ := strconv.ParseUint(string(raw[i+1:i+5]), 16, 32) // sound JSON has four digits here
-		i += 4
-		switch {
-		case n >= 0xdc00 && n <= 0xdfff:
-			return true
-		case n >= 0xd800 && n <= 0xdbff:
-			if i+6 >= len(raw) || raw[i+1] != '\\' || raw[i+2] != 'u' {
-				return true
-			}
-			low, _ := strconv.ParseUint(string(raw[i+3:i+7]), 16, 32)
-			if low < 0xdc00 || low > 0xdfff {
-				return true
-			}
-			i += 6
-		}
-	}
-	return false
-}
-
-// Item is one event of a batch, or why it is none.
-type Item struct {
-	Event *Event
-	Err   error
-}
-
-// ReadBatch reads a batch: a JSON array of events (JSON format, section 4). One that is cut off or has too many is
-// read not at all; of one that is whole, each event stands for itself. One longer than largest bytes is a fault.
-func ReadBatch(body []byte, most, largest int) ([]Item, error) {
-	if err := whole(body); err != nil {
-		return nil, err
-	}
-	d := json.NewDecoder(bytes.NewReader(body))
-	if first, err := d.Token(); err != nil || first != json.Delim('[') {
-		return nil, fault(Malformed, "a batch is a JSON array of events")
-	}
-	var items []Item
-	for d.More() {
-		if len(items) == most {
-			return nil, fault(TooMany, "a batch holds %d events at most", most)
-		}
-		var raw json.RawMessage
-		if err := d.Decode(&raw); err != nil {
-			return nil, fault(Incomplete, "the JSON can't be read: %v", err)
-		}
-		var it Item
-		if len(raw) > largest {
-			it.Err = fault(TooLarge, "the event is over %d bytes", largest)
-		} else {
-			it.Event, it.Err = readObject(raw)
-		}
-		items = append(items, it)
-	}
-	if _, err := d.Token(); err != nil && err != io.EOF {
-		return nil, fault(Incomplete, "the JSON can't be read: %v", err)
-	}
-	return items, nil
-}
--- a/internal/cloudevents/read_test.go
+++ b/internal/cloudevents/read_test.go
@@ -22,10 +22,10 @@
 	return h
 }
 
-var least = []string{"ce-specversion: 1.0", "ce-id: 1", "ce-source: /s", "ce-type: t"}
+var minimalHeaders = []string{"ce-specversion: 1.0", "ce-id: 1", "ce-source: /s", "ce-type: t"}
 
 func with(more ...string) http.Header {
-	return header(append(append([]string(nil), least...), more...)...)
+	return header(append(append([]string(nil), minimalHeaders...), more...)...)
 }
 
 // wantFault fails the test unless err is a Fault of the kind that says so.
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestModes(t *testing.T) {
+func TestModeOf(t *testing.T) {
 	for text, want := range map[string]Mode{
 		"application/cloudevents+json":                      StructuredMode,
 		"Application/CloudEvents+JSON; charset=UTF-8":       StructuredMode,
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Event{Form: Text, Data: []byte("hi"), Attributes: []Attribute{{"datacontenttype", String, "text/plain; charset=utf-8"},
+	want := &Event{DataFormat: Text, Data: []byte("hi"), Attributes: []Attribute{{"datacontenttype", String, "text/plain; charset=utf-8"},
 		{"dataschema", String, "https://x.example/s"}, {"id", String, "1"}, {"member", String, `a "b" %`}, {"raw", String, "é"}, {"source", String, "/s"},
 		{"specversion", String, "1.0"}, {"subject", String, "Euro € 😀"}, {"time", String, "2026-12-01T10:00:00.5Z"}, {"type", String, "t"}}}
 	if !reflect.DeepEqual(e, want) {
@@ -88,20 +88,20 @@
 	}
 	for _, c := range []struct {
 		kind, body string
-		form       Form
+		form       DataFormat
 	}{{"application/json", `{"a":1}`, JSON}, {"application/json", `{`, Bytes}, {"application/x+json", `1`, JSON}, {"", `1`, Bytes}, {"text/plain", "\xff", Bytes},
 		{"text/plain; charset=latin1", "x", Bytes}, {"image/png", "x", Bytes}, {"application/json", "", NoData}} {
 		lines := []string{}
 		if c.kind != "" {
 			lines = append(lines, "Content-Type: "+c.kind)
 		}
-		if e, err := ReadBinary(with(lines...), []byte(c.body)); err != nil || e.Form != c.form {
+		if e, err := ReadBinary(with(lines...), []byte(c.body)); err != nil || e.DataFormat != c.form {
 			t.Errorf("%s %q: %+v %v", c.kind, c.body, e, err)
 		}
 	}
 }
 
-func TestBinaryFaults(t *testing.T) {
+func TestReadBinary_Faults(t *testing.T) {
 	for name, c := range map[string]struct {
 		h    http.Header
 		kind Kind
@@ -150,15 +150,15 @@
 	}
 }
 
-const leastJSON = `"specversion":"1.0","id":"1","source":"/s","type":"t"`
+const minimalJSON = `"specversion":"1.0","id":"1","source":"/s","type":"t"`
 
 func TestReadStructured(t *testing.T) {
 	for text, want := range map[string]*Event{
 		``:                              {},
-		`,"data":{"a": [1, 2]}`:         {Form: JSON, Data: []byte(`{"a": [1, 2]}`)},
-		`,"data":"x"`:                   {Form: JSON, Data: []byte(`"x"`)},
-		`,"data":null`:                  {Form: JSON, Data: []byte(`null`)},
-		`,"data_base64":"AP8="`:         {Form: Bytes, Data: []byte{0, 255}},
+		`,"data":{"a": [1, 2]}`:         {DataFormat: JSON, Data: []byte(`{"a": [1, 2]}`)},
+		`,"data":"x"`:                   {DataFormat: JSON, Data: []byte(`"x"`)},
+		`,"data":null`:                  {DataFormat: JSON, Data: []byte(`null`)},
+		`,"data_base64":"AP8="`:         {DataFormat: Bytes, Data: []byte{0, 255}},
 		`,"n":-7,"b":true,"u":"\u00e9"`: {Attributes: []Attribute{{"b", Boolean, "true"}, {"n", Integer, "-7"}, {"u", String, "é"}}},
 		`,"subject":null`:               {},
 	} {
@@ -167,49 +167,49 @@
 				t.Fatal(err)
 			}
 		}
-		e, err := ReadStructured([]byte(" {" + leastJSON + text + "}\n"))
+		e, err := ReadStructured([]byte(" {" + minimalJSON + text + "}\n"))
 		if err != nil || !reflect.DeepEqual(e, want) {
 			t.Errorf("%s: %+v, %v", text, e, err)
 		}
 	}
-	e, err := ReadStructured([]byte(`{` + leastJSON + `,"datacontenttype":"text/plain","data":"a\nb"}`))
-	if err != nil || e.Form != Text || string(e.Data) != "a\nb" {
+	e, err := ReadStructured([]byte(`{` + minimalJSON + `,"datacontenttype":"text/plain","data":"a\nb"}`))
+	if err != nil || e.DataFormat != Text || string(e.Data) != "a\nb" {
 		t.Errorf("%+v %v", e, err)
 	}
-	if e, err = ReadStructured([]byte(`{` + leastJSON + `,"datacontenttype":"application/xml","data":{"a":1}}`)); err != nil || e.Form != JSON {
+	if e, err = ReadStructured([]byte(`{` + minimalJSON + `,"datacontenttype":"application/xml","data":{"a":1}}`)); err != nil || e.DataFormat != JSON {
 		t.Errorf("%+v %v", e, err)
 	}
 }
 
-func TestStructuredFaults(t *testing.T) {
+func TestReadStructured_Faults(t *testing.T) {
 	for text, c := range map[string]struct {
 		kind Kind
 		says string
 	}{
 		``:                                      {Incomplete, "byte"},
-		`{` + leastJSON:                         {Incomplete, "byte"},
-		`{` + leastJSON + `} {}`:                {Incomplete, "byte"},
+		`{` + minimalJSON:                         {Incomplete, "byte"},
+		`{` + minimalJSON + `} {}`:                {Incomplete, "byte"},
 		`[]`:                                    {Malformed, "object"},
 		`"x"`:                                   {Malformed, "object"},
 		"{\"id\":\"\xff\"}":                     {Malformed, "UTF-8"},
-		`{` + leastJSON + `,"id":"2"}`:          {Malformed, `"id" stands there more than once`},
-		`{` + leastJSON + `,"\u0069d":"2"}`:     {Malformed, "more than once"},
-		`{"id":null,` + leastJSON + `}`:         {Malformed, "more than once"},
-		`{` + leastJSON + `,"data":1,"data":2}`: {Malformed, "more than once"},
-		`{` + leastJSON + `,"data":1,"data_base64":""}`:            {Malformed, "exclude each other"},
-		`{` + leastJSON + `,"data_base64":"A"}`:                    {Malformed, "Base64"},
-		`{` + leastJSON + `,"data_base64":"AA==\n"}`:               {Malformed, "Base64"},
-		`{` + leastJSON + `,"data_base64":"_-8="}`:                 {Malformed, "Base64"},
-		`{` + leastJSON + `,"data_base64":1}`:                      {Malformed, "not a string"},
-		`{` + leastJSON + `,"Id":"2"}`:                             {Malformed, `"Id"`},
-		`{` + leastJSON + `,"a":1.5}`:                              {Malformed, "32 bits"},
-		`{` + leastJSON + `,"a":1e3}`:                              {Malformed, "32 bits"},
-		`{` + leastJSON + `,"a":2147483648}`:                       {Malformed, "32 bits"},
-		`{` + leastJSON + `,"a":{}}`:                               {Malformed, "object or array"},
-		`{` + leastJSON + `,"a":""}`:                               {Malformed, "a is empty"},
-		`{` + leastJSON + `,"a":"\ud800"}`:                         {Malformed, "half a character"},
-		`{` + leastJSON + `,"a":"\ud83d\ude00\udc00"}`:             {Malformed, "half a character"},
-		`{` + leastJSON + `,"a":"\u0000"}`:                         {Malformed, "U+0000"},
+		`{` + minimalJSON + `,"id":"2"}`:          {Malformed, `"id" stands there more than once`},
+		`{` + minimalJSON + `,"\u0069d":"2"}`:     {Malformed, "more than once"},
+		`{"id":null,` + minimalJSON + `}`:         {Malformed, "more than once"},
+		`{` + minimalJSON + `,"data":1,"data":2}`: {Malformed, "more than once"},
+		`{` + minimalJSON + `,"data":1,"data_base64":""}`:            {Malformed, "exclude each other"},
+		`{` + minimalJSON + `,"data_base64":"A"}`:                    {Malformed, "Base64"},
+		`{` + minimalJSON + `,"data_base64":"AA==\n"}`:               {Malformed, "Base64"},
+		`{` + minimalJSON + `,"data_base64":"_-8="}`:                 {Malformed, "Base64"},
+		`{` + minimalJSON + `,"data_base64":1}`:                      {Malformed, "not a string"},
+		`{` + minimalJSON + `,"Id":"2"}`:                             {Malformed, `"Id"`},
+		`{` + minimalJSON + `,"a":1.5}`:                              {Malformed, "32 bits"},
+		`{` + minimalJSON + `,"a":1e3}`:                              {Malformed, "32 bits"},
+		`{` + minimalJSON + `,"a":2147483648}`:                       {Malformed, "32 bits"},
+		`{` + minimalJSON + `,"a":{}}`:                               {Malformed, "object or array"},
+		`{` + minimalJSON + `,"a":""}`:                               {Malformed, "a is empty"},
+		`{` + minimalJSON + `,"a":"\ud800"}`:                         {Malformed, "half a character"},
+		`{` + minimalJSON + `,"a":"\ud83d\ude00\udc00"}`:             {Malformed, "half a character"},
+		`{` + minimalJSON + `,"a":"\u0000"}`:                         {Malformed, "U+0000"},
 		`{"specversion":"1.0","id":1,"source":"/s","type":"t"}`:    {Malformed, "id is not a string"},
 		`{"specversion":1.0,"id":"1","source":"/s","type":"t"}`:    {Malformed, "32 bits"},
 		`{"specversion":"1.1","id":"1","source":"/s","type":"t"}`:  {Version, "1.1"},
@@ -227,12 +227,12 @@
 	for i := range maxMembers {
 		fmt.Fprintf(&many, `,"a%d":1`, i)
 	}
-	_, err := ReadStructured([]byte(`{` + leastJSON + many.String() + `}`))
+	_, err := ReadStructured([]byte(`{` + minimalJSON + many.String() + `}`))
 	wantFault(t, err, Malformed, "more than 256 members")
 }
 
 func TestReadBatch(t *testing.T) {
-	good := `{` + leastJSON + `}`
+	good := `{` + minimalJSON + `}`
 	items, err := ReadBatch([]byte(`[`+good+`,{"id":"2"},7,`+good+`]`), 4, 1000)
 	if err != nil || len(items) != 4 {
 		t.Fatalf("%+v %v", items, err)
@@ -295,13 +295,13 @@
 	}
 	switch r.IntN(4) {
 	case 1:
-		e.Form, e.Data = JSON, []byte([]string{`{"a":[1,"€\n"]}`, `"s"`, `null`, `-1.5e9`, `{"a":{"a":1}}`}[r.IntN(5)])
+		e.DataFormat, e.Data = JSON, []byte([]string{`{"a":[1,"€\n"]}`, `"s"`, `null`, `-1.5e9`, `{"a":{"a":1}}`}[r.IntN(5)])
 		e.Set("datacontenttype", []string{"application/json", "application/vnd.x+json; v=1"}[r.IntN(2)])
 	case 2:
-		e.Form, e.Data = Text, []byte(word())
+		e.DataFormat, e.Data = Text, []byte(word())
 		e.Set("datacontenttype", []string{"text/plain", "text/xml; charset=utf-8"}[r.IntN(2)])
 	case 3:
-		e.Form, e.Data = Bytes, []byte{0, 255, byte(r.Uint32())}
+		e.DataFormat, e.Data = Bytes, []byte{0, 255, byte(r.Uint32())}
 		e.Set("datacontenttype", []string{"application/octet-stream", "image/png"}[r.IntN(2)])
 	}
 	return e
@@ -319,7 +319,7 @@
 }
 
 // What is written reads as what it was, in every mode and through the store's form, for generated events.
-func TestRoundTrips(t *testing.T) {
+func TestEvent_RoundTrip(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 1))
 	for range 5000 {
 		e := random(r)
@@ -355,7 +355,7 @@
 }
 
 // One event handed in again in another mode has the same content; any change to it, another.
-func TestContent(t *testing.T) {
+func TestReadStructured_Content(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 2))
 	for range 1000 {
 		e := random(r)
@@ -389,8 +389,8 @@
 			t.Error("data does not count as content")
 		}
 	}
-	a := &Event{Form: JSON, Data: []byte(`{"a": 1}`)}
-	b := &Event{Form: JSON, Data: []byte(`{"a":1}`)}
+	a := &Event{DataFormat: JSON, Data: []byte(`{"a": 1}`)}
+	b := &Event{DataFormat: JSON, Data: []byte(`{"a":1}`)}
 	b.Set("datacontenttype", "application/json")
 	if string(a.Content(nil)) != string(b.Content(nil)) {
 		t.Error("blanks in JSON, or what its absence means, make two contents")
@@ -398,9 +398,9 @@
 }
 
 func FuzzReadStructured(f *testing.F) {
-	f.Add([]byte(`{` + leastJSON + `,"data":{"a":1}}`))
-	f.Add([]byte(`{` + leastJSON + `,"datacontenttype":"text/plain","data":"\ud83d\ude00","n":1,"b":false}`))
-	f.Add([]byte(`{` + leastJSON + `,"data_base64":"AAE="}`))
+	f.Add([]byte(`{` + minimalJSON + `,"data":{"a":1}}`))
+	f.Add([]byte(`{` + minimalJSON + `,"datacontenttype":"text/plain","data":"\ud83d\ude00","n":1,"b":false}`))
+	f.Add([]byte(`{` + minimalJSON + `,"data_base64":"AAE="}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		e, err := ReadStructured(raw)
 		if err != nil {
@@ -427,7 +427,7 @@
 	f.Add("ce-subject", "a%20b", "text/plain", []byte("x"))
 	f.Add("ce-ext", `"q\"q"`, "application/json", []byte("{}"))
 	f.Fuzz(func(t *testing.T, name, value, kind string, body []byte) {
-		h := header(least...)
+		h := header(minimalHeaders...)
 		h.Add(name, value)
 		h.Add("Content-Type", kind)
 		e, err := ReadBinary(h, body)
@@ -446,7 +446,7 @@
 }
 
 func FuzzReadBatch(f *testing.F) {
-	f.Add([]byte(`[{` + leastJSON + `},7]`))
+	f.Add([]byte(`[{` + minimalJSON + `},7]`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		items, err := ReadBatch(raw, 10, 1000)
 		if err != nil {
--- a/internal/cloudevents/sdk_test.go
+++ b/internal/cloudevents/sdk_test.go
@@ -139,7 +139,7 @@
 		return ""
 	}
 	data := s.Data()
-	if e.Form == JSON {
+	if e.DataFormat == JSON {
 		var a, b bytes.Buffer
 		if json.Compact(&a, e.Data) == nil && json.Compact(&b, data) == nil && bytes.Equal(a.Bytes(), b.Bytes()) {
 			return ""
@@ -191,7 +191,7 @@
 }
 
 // Generated events, whole and with a byte changed here and there, read by both.
-func TestAgainstSDK(t *testing.T) {
+func TestReadStructured_AgreesWithSDK(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 5))
 	whole, spoilt := 0, 0
 	for range 4000 {
@@ -222,7 +222,7 @@
 }
 
 // What the SDK writes is read as it is, and the other way round.
-func TestSDKWritesAndReads(t *testing.T) {
+func TestEvent_SDKWritesAndReads(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 6))
 	for range 2000 {
 		e := random(r)
@@ -248,9 +248,9 @@
 }
 
 func FuzzStructuredAgainstSDK(f *testing.F) {
-	f.Add([]byte(`{` + leastJSON + `,"data":{"a":1},"time":"2026-12-31T23:59:60Z"}`))
-	f.Add([]byte(`{` + leastJSON + `,"datacontenttype":"text/plain","data":"x","n":1,"b":false}`))
-	f.Add([]byte(`{` + leastJSON + `,"data_base64":"AAE="}`))
+	f.Add([]byte(`{` + minimalJSON + `,"data":{"a":1},"time":"2026-12-31T23:59:60Z"}`))
+	f.Add([]byte(`{` + minimalJSON + `,"datacontenttype":"text/plain","data":"x","n":1,"b":false}`))
+	f.Add([]byte(`{` + minimalJSON + `,"data_base64":"AAE="}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		e, err := ReadStructured(raw)
 		s, sdk := sdkStructured(raw)
@@ -272,7 +272,7 @@
 		if strings.ContainsAny(value, `%"`) { // the SDK decodes neither percent signs nor quotes
 			return
 		}
-		h := header(least...)
+		h := header(minimalHeaders...)
 		h[name] = append(h[name], value)
 		if kind != "" {
 			h["Content-Type"] = []string{kind}
--- a/internal/cloudevents/write.go
+++ b/internal/cloudevents/write.go
@@ -20,7 +20,7 @@
 		b = append(append(append(b, "ce-"...), a.Name...), ": "...)
 		b = append(escape(b, a.Value), "\r\n"...)
 	}
-	if kind == "" && e.Form == JSON {
+	if kind == "" && e.DataFormat == JSON {
 		kind = "application/json" // which its absence means in JSON, and not here (JSON format, section 3.1)
 	}
 	if kind != "" {
@@ -46,7 +46,7 @@
 // AppendJSON adds the event as a JSON object (JSON format, section 3).
 func (e *Event) AppendJSON(b []byte) []byte {
 	b = e.appendMembers(append(b, '{'))
-	switch e.Form {
+	switch e.DataFormat {
 	case JSON:
 		b = append(b, `,"data":`...)
 		var tight bytes.Buffer
@@ -133,7 +133,7 @@
 
 // AppendHead adds what a store keeps of an event beside its data: a JSON object with its form and attributes.
 func (e *Event) AppendHead(b []byte) []byte {
-	b = strconv.AppendInt(append(b, `{"form":`...), int64(e.Form), 10)
+	b = strconv.AppendInt(append(b, `{"form":`...), int64(e.DataFormat), 10)
 	b = e.appendMembers(append(b, `,"attributes":{`...))
 	return append(b, "}}"...)
 }
@@ -141,7 +141,7 @@
 // ReadHead reads what AppendHead wrote; the data is the caller's to set.
 func ReadHead(raw []byte) (*Event, error) {
 	var head struct {
-		Form       Form            `json:"form"`
+		Form       DataFormat      `json:"form"`
 		Attributes json.RawMessage `json:"attributes"`
 	}
 	if err := json.Unmarshal(raw, &head); err != nil {
@@ -154,7 +154,7 @@
 	if head.Form > Bytes {
 		return nil, fault(Malformed, "an event's head has the form %d", head.Form)
 	}
-	e.Form = head.Form
+	e.DataFormat = head.Form
 	return e, nil
 }
 
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -92,7 +92,7 @@
 			for _, c := range []st.Call{a, b} {
 				got := read(c)
 				if got.Get("id") != "1" || got.Get("source") != "/s" || got.Get("ext") != "x y" || got.Get("n") != "7" || got.Get("time") != "2026-12-01T10:00:00Z" ||
-					got.Get("subject") != "0" || got.Get("datacontenttype") != "text/plain" || got.Form != cloudevents.Text || string(got.Data) != `a"b` {
+					got.Get("subject") != "0" || got.Get("datacontenttype") != "text/plain" || got.DataFormat != cloudevents.Text || string(got.Data) != `a"b` {
 					t.Errorf("%+v", got)
 				}
 			}
