--- a/internal/undelivered/store_test.go
+++ b/internal/undelivered/store_test.go
@@ -397,8 +397,8 @@
 	}
 }
 
-// BenchmarkKeep keeps batches as the recorder gets them; the figure is for each entry.
-func BenchmarkKeep(b *testing.B) {
+// BenchmarkStore_Record keeps batches as the recorder gets them; the figure is for each entry.
+func BenchmarkStore_Record(b *testing.B) {
 	path := filepath.Join(b.TempDir(), FileName)
 	s, err := Open(path, Limits{})
 	if err != nil {
@@ -426,8 +426,8 @@
 	b.ReportMetric(float64(info.Size())/float64(n)-400, "bytes/entry-beyond-body")
 }
 
-// BenchmarkFirstPage asks a store of a million entries for the first page of one member and reason.
-func BenchmarkFirstPage(b *testing.B) {
+// BenchmarkStore_FirstPage asks a store of a million entries for the first page of one member and reason.
+func BenchmarkStore_FirstPage(b *testing.B) {
 	if testing.Short() {
 		b.Skip("it fills a store first")
 	}
--- a/internal/zone/secondary.go
+++ b/internal/zone/secondary.go
@@ -84,9 +84,6 @@
 	return n
 }
 
-// Serial is the version held.
-func (s *Secondary) Serial() (serial uint32, held bool) { return s.serial, s.hasVersion }
-
 // Expired reports whether the zone answers no more.
 func (s *Secondary) Expired() bool { return s.expired }
 
