--- a/internal/faulttest/tierdemo/client.go
+++ b/internal/faulttest/tierdemo/client.go
@@ -24,7 +24,7 @@
 	firstEventAt time.Time
 }
 
-// notExecuted reports whether the answer promises that the request has not run and never will.
+// notExecuted reports whether the response promises that the request was not executed and never will be.
 func (response response) notExecuted() bool {
 	return response.status == 408 || response.status == 421 || response.status == 429 || response.status == 503
 }
@@ -58,7 +58,7 @@
 	header      map[string]string
 	attempt     attempt // without its id
 	timeout     time.Duration
-	maxAttempts int // maximum of attempts; only those that have not run, or can be repeated, are followed by another
+	maxAttempts int // only attempts that were not executed, or are idempotent, are retried
 }
 
 // send makes one attempt at a gateway.
@@ -126,7 +126,7 @@
 	}
 }
 
-// ask makes attempts until there is a final response, within the request's time. It retries at another gateway after an answer
+// ask makes attempts until there is a final response, within the request's time. It retries at another gateway after a response
 // that promises that the request has not run and, where the request is idempotent, after any failure.
 func (caller *caller) ask(ctx context.Context, request request) (id string, answer response) {
 	until := time.Now().Add(request.timeout)
--- a/internal/faulttest/tierdemo/demo.go
+++ b/internal/faulttest/tierdemo/demo.go
@@ -91,7 +91,7 @@
 	return report, nil
 }
 
-// start starts the fakes and the tier, and waits until it accepts clients and has all copies.
+// start starts the fakes and the tier, and waits until it accepts clients and all replicas are synced.
 func (demo *demo) start(ctx context.Context, dir string) error {
 	logs := &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}}
 	if demo.options.Log != nil {
@@ -224,7 +224,7 @@
 			return true
 		}
 		if late {
-			return true // the answers do not show what is in force there
+			return true // the responses do not show what is in force there
 		}
 		sleep(ctx, pollInterval)
 	}
--- a/internal/faulttest/tierdemo/operator.go
+++ b/internal/faulttest/tierdemo/operator.go
@@ -16,14 +16,14 @@
 const (
 	routeHost         = "agents.example"
 	turnPath          = "/turn/"
-	idempotentPath    = "/look/" // tool calls that may be repeated
-	nonIdempotentPath = "/act/"  // tool calls that may not
+	idempotentPath    = "/look/" // idempotent tool calls
+	nonIdempotentPath = "/act/"  // other tool calls
 	addedPath         = "/added/"
 	latencyTarget     = 400 * time.Millisecond
 	retention         = 120 * time.Second
 	callTimeout       = time.Second // of one call
 	redirects         = 2
-	changeTimeout     = 10 * time.Second // of one order with its retries; the first configuration is sent until it is accepted
+	changeTimeout     = 10 * time.Second // of one change with its retries; the first configuration is sent until it is accepted
 )
 
 // operator is a fake operator: it sends configurations, changes them and reads them back.
@@ -32,7 +32,7 @@
 	addresses   []string // control_plane addresses
 	revision    int64    // the last one acknowledged
 	body        []byte
-	unconfirmed []byte // a change without a clear answer, which may be in force
+	unconfirmed []byte // a change without a clear response, which may be in force
 }
 
 // newOperator makes an operator that has sent nothing yet.
@@ -94,7 +94,7 @@
 	return status == http.StatusOK && (bytes.Equal(body, operator.body) || operator.unconfirmed != nil && bytes.Equal(body, operator.unconfirmed)), err
 }
 
-// untilClear calls one control_plane address after the other, with growing pauses, until one gives a clear answer.
+// untilClear calls one control_plane address after the other, with backoff, until the response of one is clear.
 func (operator *operator) untilClear(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
 	if operator.revision > 0 {
 		var cancel context.CancelFunc
--- a/internal/faulttest/tierdemo/platform.go
+++ b/internal/faulttest/tierdemo/platform.go
@@ -62,7 +62,7 @@
 	return platform, nil
 }
 
-// instances answers GET /instances.
+// instances serves GET /instances.
 func (platform *platform) instances(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet || r.URL.Path != "/instances" {
 		http.NotFound(w, r)
--- a/internal/faulttest/tierdemo/program.go
+++ b/internal/faulttest/tierdemo/program.go
@@ -168,7 +168,7 @@
 	return Completed
 }
 
-// tool makes one tool call: of every two, one that may be repeated and one that may not.
+// tool makes one tool call: of every two, one that is idempotent and one that is not.
 func (program *program) tool(ctx context.Context, i int) Outcome {
 	request := request{path: idempotentPath + "x", timeout: toolTime, maxAttempts: maxAttempts, attempt: attempt{input: program.name + " calls " + strconv.Itoa(i), idempotent: true},
 		header: map[string]string{"Program": program.name, "Session": program.name + "-main", "Finish-Ms": "20000"}}
--- a/internal/faulttest/tierdemo/rule_checker.go
+++ b/internal/faulttest/tierdemo/rule_checker.go
@@ -20,6 +20,7 @@
 	ruleCount
 )
 
+// ruleNames are the rules in words, as reports have them.
 var ruleNames = [ruleCount]string{"no turn is lost", "none runs twice", "none runs that was refused", "no budget is passed", "nothing is mixed",
 	"acknowledged configurations are in force"}
 
@@ -83,11 +84,11 @@
 	return append([]Verdict(nil), checker.verdicts[:]...)
 }
 
-// checkLocked counts a check of a rule, and records how the rule was broken if it was not kept. The caller holds mu.
-func (checker *ruleChecker) checkLocked(rule Rule, kept bool, how string, args ...any) {
+// checkLocked counts a check of a rule, and records how the rule was broken if ok is false. The caller holds mu.
+func (checker *ruleChecker) checkLocked(rule Rule, ok bool, how string, args ...any) {
 	verdict := &checker.verdicts[rule]
 	verdict.Checked++
-	if kept {
+	if ok {
 		return
 	}
 	verdict.Broken++
@@ -97,10 +98,10 @@
 }
 
 // check is checkLocked for a caller that does not hold mu.
-func (checker *ruleChecker) check(rule Rule, kept bool, how string, args ...any) {
+func (checker *ruleChecker) check(rule Rule, ok bool, how string, args ...any) {
 	checker.mu.Lock()
 	defer checker.mu.Unlock()
-	checker.checkLocked(rule, kept, how, args...)
+	checker.checkLocked(rule, ok, how, args...)
 }
 
 // recordSent records an attempt before it is sent.
