--- a/internal/faulttest/tierdemo/client_test.go
+++ b/internal/faulttest/tierdemo/client_test.go
@@ -70,6 +70,7 @@
 
 // counterThat passes requests to an endpoint and spoils what a test names. It is what a tier with a fault would look like.
 func counterThat(t *testing.T, endpoint string, spoil func(body []byte, send func([]byte) (int, http.Header, []byte)) (int, http.Header, []byte)) string {
+	t.Helper()
 	return handler(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		status, head, answer := spoil(body, func(body []byte) (int, http.Header, []byte) {
--- a/internal/faulttest/tierdemo/fakes_test.go
+++ b/internal/faulttest/tierdemo/fakes_test.go
@@ -26,12 +26,14 @@
 
 // testCaller sends to gateways that are not there: to handlers, or straight to endpoints.
 func testCaller(t *testing.T, w *ruleChecker, addresses ...string) *caller {
+	t.Helper()
 	c := newCaller(w, addresses)
 	t.Cleanup(c.close)
 	return c
 }
 
 func handler(t *testing.T, f http.HandlerFunc) string {
+	t.Helper()
 	s := httptest.NewServer(f)
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String()
--- a/internal/tier/ingress/shutdown_test.go
+++ b/internal/tier/ingress/shutdown_test.go
@@ -100,6 +100,7 @@
 
 // only is the one connection of a server.
 func only(t testing.TB, s *Server) *conn {
+	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	assert.Equal(t, len(s.conns), 1)
--- a/internal/tier/loadbalancer/harness_test.go
+++ b/internal/tier/loadbalancer/harness_test.go
@@ -20,6 +20,7 @@
 
 // newHarness lists so many endpoints of service s in each of the zones a to d; the sender is in a.
 func newHarness(t *testing.T, each, capacity int) *harness {
+	t.Helper()
 	r := &harness{T: t, balancer: New("a", "sender"), now: time.Hour}
 	for i := range 4 * each {
 		r.list = append(r.list, Endpoint{Instance: fmt.Sprintf("i%d", i), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", i),
--- a/internal/tier/simulation/batch.go
+++ b/internal/tier/simulation/batch.go
@@ -10,7 +10,7 @@
 // GCPercent suits plays: a bubble makes much garbage and holds little.
 const GCPercent = 3000 // percent of what is held
 
-// Batch is many seeds to be played.
+// Batch is a range of seeds to be played.
 type Batch struct {
 	From, Seeds uint64
 	Kinds       []FaultKind // none: all
@@ -20,7 +20,7 @@
 	Progress    func(played uint64) // called by one play at a time
 }
 
-// Total is what a batch came to.
+// Total is the result of a batch.
 type Total struct {
 	Played, Failed          uint64
 	VirtualTime, RealTime   time.Duration
@@ -63,6 +63,7 @@
 	return total
 }
 
+// add adds the result of a play.
 func (t *Total) add(r Result) {
 	t.Played++
 	t.VirtualTime += r.VirtualTime
--- a/internal/tier/simulation/check_configuration.go
+++ b/internal/tier/simulation/check_configuration.go
@@ -43,6 +43,7 @@
 	revision int64
 }
 
+// newConfigurationChecker returns a checker that has seen no change.
 func newConfigurationChecker(report reporter) *configurationChecker {
 	return &configurationChecker{report: report, byBody: map[string]*configurationChange{}, byBase: map[int64]*configurationChange{}}
 }
@@ -166,11 +167,11 @@
 
 // checkStaleness checks that a gateway which holds a revision, and has heard the primary at a time, holds what had been acknowledged
 // bound before that.
-func (c *configurationChecker) checkStaleness(gateway string, holds int64, heard, bound time.Duration) {
+func (c *configurationChecker) checkStaleness(gateway string, revision int64, lastContact, bound time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if due := c.floorAt(heard - bound); holds < due {
-		c.report(RuleStale, "%s heard its primary at %.3f s and holds revision %d, %d was in force %v before", gateway, heard.Seconds(), holds, due, bound)
+	if required := c.floorAt(lastContact - bound); revision < required {
+		c.report(RuleStale, "%s heard its primary at %.3f s and holds revision %d, %d was in force %v before", gateway, lastContact.Seconds(), revision, required, bound)
 	}
 }
 
@@ -207,6 +208,7 @@
 	}
 }
 
+// configuration returns the document of a revision that names a service.
 func configuration(revision int64, service string) string {
 	return fmt.Sprintf(`{"revision":%d,"routes":[{"name":"r","hostname":"h.example","path_prefix":"/a/","route_type":"idempotent",`+
 		`"timeout_ms":1000,"target_latency_ms":100,"priority":1,"service_name":%q,"max_attempts":2}],`+
--- a/internal/tier/simulation/check_turns.go
+++ b/internal/tier/simulation/check_turns.go
@@ -48,13 +48,16 @@
 	return fmt.Sprintf("%s of %s after %q, at most %d tokens", a.id, a.program.name, a.previous, a.maxTokens)
 }
 
+// output is the text that the attempt generates.
 func (a *attempt) output() string { return "out of " + a.id + "\n" }
 
+// turn is the turn as it is stored.
 func (a *attempt) turn() *tierv1.Turn {
 	return &tierv1.Turn{Attempt: a.id, Previous: a.previous, Program: a.program.name, Input: []byte("in of " + a.id),
 		Output: []byte(a.output()), RetentionMs: uint32(retention.Milliseconds())}
 }
 
+// newTurnChecker returns a checker that has seen no attempt.
 func newTurnChecker(report reporter) *turnChecker {
 	return &turnChecker{report: report, programs: map[string]*program{}, attempts: map[string]*attempt{}, runs: map[string]int{}}
 }
@@ -77,12 +80,12 @@
 }
 
 // begin records an attempt before it is first sent.
-func (c *turnChecker) begin(p *program, previous string, most, tokens uint64) *attempt {
+func (c *turnChecker) begin(p *program, previous string, maxTokens, tokens uint64) *attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.number++
 	c.events++
-	a := &attempt{id: fmt.Sprint("attempt-", c.number), previous: previous, program: p, maxTokens: most, tokens: tokens, began: c.events}
+	a := &attempt{id: fmt.Sprint("attempt-", c.number), previous: previous, program: p, maxTokens: maxTokens, tokens: tokens, began: c.events}
 	p.attempts = append(p.attempts, a)
 	c.attempts[a.id] = a
 	return a
@@ -168,10 +171,10 @@
 }
 
 // recordSettling records that an attempt's settlement is sent.
-func (c *turnChecker) recordSettling(a *attempt, kept bool, tokens uint64) {
+func (c *turnChecker) recordSettling(a *attempt, stored bool, tokens uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a.settleSent, a.stored, a.tokens = true, kept, tokens
+	a.settleSent, a.stored, a.tokens = true, stored, tokens
 }
 
 // recordSettled records that the settlement of an attempt is durable.
@@ -194,12 +197,12 @@
 }
 
 // recordResponse records the response that the caller of an endpoint received.
-func (c *turnChecker) recordResponse(a *attempt, answer string) {
+func (c *turnChecker) recordResponse(a *attempt, response string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answered++
-	if answer != a.output() {
-		c.report(RuleCaller, "the caller of %s was given %q", a.id, answer)
+	if response != a.output() {
+		c.report(RuleCaller, "the caller of %s was given %q", a.id, response)
 	}
 }
 
--- a/internal/tier/simulation/check_views.go
+++ b/internal/tier/simulation/check_views.go
@@ -24,6 +24,7 @@
 	newestPartitionMap *tierv1.PartitionMap
 }
 
+// newViewChecker returns a checker that has seen no view.
 func newViewChecker(report reporter) *viewChecker {
 	return &viewChecker{report: report, versions: map[string]string{}, last: map[*process][2]uint64{}, revision: map[*process]int64{},
 		epochs: map[string]string{}}
--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -26,10 +26,12 @@
 	changed chan struct{}
 }
 
+// newDisk returns an empty disk whose sync times are drawn from a seed.
 func newDisk(seed uint64) *disk {
 	return &disk{Memory: wal.NewMemory(), random: rand.New(rand.NewPCG(seed, 0xd15c)), changed: make(chan struct{})}
 }
 
+// set changes whether the disk is full or stuck.
 func (d *disk) set(full, stuck bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -38,6 +40,7 @@
 	d.changed = make(chan struct{})
 }
 
+// checkSpace returns ENOSPC where the disk is full.
 func (d *disk) checkSpace() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/tier/simulation/gateway_role.go
+++ b/internal/tier/simulation/gateway_role.go
@@ -39,6 +39,7 @@
 	random  *rand.Rand
 }
 
+// start implements role.
 func (g *gatewayRole) start(p *process) error {
 	m := p.machine
 	g.process, g.random = p, m.world.randomFor(fmt.Sprint(m.name, " life ", m.incarnations()))
@@ -54,8 +55,10 @@
 	return nil
 }
 
+// leave implements role.
 func (g *gatewayRole) leave(context.Context) { g.session.Drain() }
 
+// applyConfiguration records a configuration that the session brought.
 func (g *gatewayRole) applyConfiguration(c *tierv1.Configuration) {
 	if g.process.ended() {
 		return
@@ -64,6 +67,7 @@
 	m.world.checks.views.recordConfiguration(m.name, g.process, c, m.world.checks.configuration.recordShown(string(c.Body)))
 }
 
+// applyPartitionMap records a partition map that the session brought, and applies it to the client of turn stores.
 func (g *gatewayRole) applyPartitionMap(t *tierv1.PartitionMap) {
 	if !g.process.ended() {
 		g.process.machine.world.checks.views.recordPartitionMap(g.process.machine.name, g.process, t)
@@ -99,28 +103,28 @@
 // turn runs a turn of some program, and reports whether it was served, or rejected because its budget is spent.
 func (g *gatewayRole) turn(random *rand.Rand) bool {
 	checks := g.process.machine.world.checks.turns
-	p := checks.program(random.IntN(programCount))
-	from := p
+	program := checks.program(random.IntN(programCount))
+	previousProgram := program
 	if random.IntN(16) == 0 { // it continues another program's
-		from = checks.program(random.IntN(programCount))
+		previousProgram = checks.program(random.IntN(programCount))
 	}
-	most := 1 + random.Uint64N(maxTurnTokens)
+	maxTokens := 1 + random.Uint64N(maxTurnTokens)
 	if random.IntN(unstoredOneIn) == 0 { // its program's other turns are kept: the budget is one
-		return g.runTurn(checks.begin(p, "", most, 1+random.Uint64N(most)), false)
+		return g.runTurn(checks.begin(program, "", maxTokens, 1+random.Uint64N(maxTokens)), false)
 	}
 	previous := ""
-	if kept := checks.storedTurns(from); len(kept) > 0 && random.IntN(10) > 0 {
+	if kept := checks.storedTurns(previousProgram); len(kept) > 0 && random.IntN(10) > 0 {
 		previous = kept[len(kept)-1]
 		if random.IntN(6) == 0 { // beside others that did
 			previous = kept[random.IntN(len(kept))]
 		}
 	}
-	a := checks.begin(p, previous, most, 1+random.Uint64N(most))
+	a := checks.begin(program, previous, maxTokens, 1+random.Uint64N(maxTokens))
 	return g.runTurn(a, random.IntN(abortedOneIn) > 0)
 }
 
 // runTurn runs an attempt: Begin, the endpoint, Settle.
-func (g *gatewayRole) runTurn(a *attempt, keep bool) bool {
+func (g *gatewayRole) runTurn(a *attempt, store bool) bool {
 	w := g.process.machine.world
 	verdict, chain := g.begin(a)
 	w.trace("%s: %v: %v", g.process.machine.name, a, verdict)
@@ -132,14 +136,14 @@
 	if verdict != tierv1.Verdict_OK {
 		return verdict == tierv1.Verdict_SPENT
 	}
-	answer, err := g.callEndpoint(a)
+	response, err := g.callEndpoint(a)
 	if g.process.ended() {
 		return false
 	}
 	req := &tierv1.SettleRequest{Program: a.program.name, Attempt: a.id}
 	if err == nil {
-		checks.recordResponse(a, answer)
-		req.Tokens, req.Stored = a.tokens, keep
+		checks.recordResponse(a, response)
+		req.Tokens, req.Stored = a.tokens, store
 	}
 	if req.Stored {
 		req.Turn = a.turn()
--- a/internal/tier/simulation/generator.go
+++ b/internal/tier/simulation/generator.go
@@ -42,21 +42,21 @@
 // the disks, SplitCore and SplitOneWay take more, while nothing else is lost. Messages may be lost (LoseMessages) beside losses.
 // The same seed and kinds give the same script in each release (see ScriptVersion).
 func Generate(seed uint64, kinds ...FaultKind) Script {
-	d := generator{random: rand.New(rand.NewPCG(seed, 0x5c21)), kinds: kinds}
+	g := generator{random: rand.New(rand.NewPCG(seed, 0x5c21)), kinds: kinds}
 	if len(kinds) == 0 {
-		d.kinds, d.mixed = FaultKinds(), true
-	}
-	d.drawSystem(seed)
-	d.losses = make([]loss, d.script.Losses)
-	d.earliest = startupTime
-	for range 1 + d.random.IntN(maxFaults) {
-		d.drawFault(d.drawKind(d.kinds))
-		if d.complete {
+		g.kinds, g.mixed = FaultKinds(), true
+	}
+	g.drawSystem(seed)
+	g.losses = make([]loss, g.script.Losses)
+	g.earliest = startupTime
+	for range 1 + g.random.IntN(maxFaults) {
+		g.drawFault(g.drawKind(g.kinds))
+		if g.complete {
 			break
 		}
 	}
-	slices.SortStableFunc(d.script.Faults, func(a, b Fault) int { return cmp.Compare(a.AtMS, b.AtMS) })
-	return d.script
+	slices.SortStableFunc(g.script.Faults, func(a, b Fault) int { return cmp.Compare(a.AtMS, b.AtMS) })
+	return g.script
 }
 
 // generator draws one script.
@@ -79,97 +79,99 @@
 }
 
 // drawSystem draws the system that the faults are injected into.
-func (d *generator) drawSystem(seed uint64) {
-	d.script = Script{Version: ScriptVersion, Seed: seed, Gateways: 2, Losses: 1}
+func (g *generator) drawSystem(seed uint64) {
+	g.script = Script{Version: ScriptVersion, Seed: seed, Gateways: 2, Losses: 1}
 	ofDomains := func(kind FaultKind) bool { return slices.Contains(domainKinds, kind) }
-	some := slices.ContainsFunc(d.kinds, ofDomains)
-	others := slices.DeleteFunc(slices.Clone(d.kinds), ofDomains)
-	if some && (len(others) == 0 || d.random.IntN(domainScriptOneIn) == 0) {
-		d.drawDomainSystem()
+	some := slices.ContainsFunc(g.kinds, ofDomains)
+	others := slices.DeleteFunc(slices.Clone(g.kinds), ofDomains)
+	if some && (len(others) == 0 || g.random.IntN(domainScriptOneIn) == 0) {
+		g.drawDomainSystem()
 		return
 	}
-	d.kinds = others
-	d.script.Core, d.script.Stores = 3, 3+d.random.IntN(2)
-	if d.random.IntN(spareCoreOneIn) == 0 {
-		d.script.Core++
+	g.kinds = others
+	g.script.Core, g.script.Stores = 3, 3+g.random.IntN(2)
+	if g.random.IntN(spareCoreOneIn) == 0 {
+		g.script.Core++
 	}
-	if d.random.IntN(5) == 0 {
-		d.script.Core, d.script.Stores, d.script.Losses = 5, 4+d.random.IntN(2), 2
+	if g.random.IntN(5) == 0 {
+		g.script.Core, g.script.Stores, g.script.Losses = 5, 4+g.random.IntN(2), 2
 	}
 }
 
 // drawDomainSystem draws a system that loses zones or regions: each has a machine of the control plane and a turn store at least.
-func (d *generator) drawDomainSystem() {
-	d.script.Unit, d.script.Zones = Zones, 3+d.random.IntN(3)
-	if d.random.IntN(4) == 0 {
-		d.script.Unit, d.script.Regions, d.script.Zones = Regions, 3, 3+d.random.IntN(3)
+func (g *generator) drawDomainSystem() {
+	g.script.Unit, g.script.Zones = Zones, 3+g.random.IntN(3)
+	if g.random.IntN(4) == 0 {
+		g.script.Unit, g.script.Regions, g.script.Zones = Regions, 3, 3+g.random.IntN(3)
 	}
-	if d.script.domains() == 5 && d.random.IntN(3) == 0 {
-		d.script.Losses = 2
+	if g.script.domains() == 5 && g.random.IntN(3) == 0 {
+		g.script.Losses = 2
 	}
-	d.script.Core = max(d.script.Zones, 2*d.script.Losses+1) + d.random.IntN(2)
-	d.script.Stores = d.script.Zones + d.random.IntN(2)
-	d.script.Packed = d.random.IntN(4) == 0
+	g.script.Core = max(g.script.Zones, 2*g.script.Losses+1) + g.random.IntN(2)
+	g.script.Stores = g.script.Zones + g.random.IntN(2)
+	g.script.Packed = g.random.IntN(4) == 0
 }
 
 // drawKind draws one of the kinds. Where zones or regions are lost, half of the draws are of these.
-func (d *generator) drawKind(kinds []FaultKind) FaultKind {
-	if d.script.Unit != Machines && d.random.IntN(2) == 0 {
+func (g *generator) drawKind(kinds []FaultKind) FaultKind {
+	if g.script.Unit != Machines && g.random.IntN(2) == 0 {
 		wanted := slices.DeleteFunc(slices.Clone(kinds), func(kind FaultKind) bool { return !slices.Contains(domainKinds, kind) })
 		if len(wanted) > 0 {
-			return wanted[d.random.IntN(len(wanted))]
+			return wanted[g.random.IntN(len(wanted))]
 		}
 	}
-	return kinds[d.random.IntN(len(kinds))]
+	return kinds[g.random.IntN(len(kinds))]
 }
 
-func (d *generator) drawDuration(low, high time.Duration) time.Duration {
-	return low + time.Duration(d.random.Int64N(int64(high-low)))
+// drawDuration draws a duration of at least low and below high.
+func (g *generator) drawDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(g.random.Int64N(int64(high-low)))
 }
 
-func (d *generator) addFault(kind FaultKind, machine string, at, duration time.Duration, side ...string) {
-	d.script.Faults = append(d.script.Faults, Fault{AtMS: at.Milliseconds(), DurationMS: duration.Milliseconds(), Kind: kind, Machine: machine, Side: side})
+// addFault adds a fault to the script.
+func (g *generator) addFault(kind FaultKind, machine string, at, duration time.Duration, side ...string) {
+	g.script.Faults = append(g.script.Faults, Fault{AtMS: at.Milliseconds(), DurationMS: duration.Milliseconds(), Kind: kind, Machine: machine, Side: side})
 }
 
 // allRecoveredAt is when nothing is lost any more.
-func (d *generator) allRecoveredAt() time.Duration {
-	at := d.earliest
-	for _, l := range d.losses {
+func (g *generator) allRecoveredAt() time.Duration {
+	at := g.earliest
+	for _, l := range g.losses {
 		at = max(at, l.until)
 	}
 	return at
 }
 
 // drawFault draws one fault, or none where its kind is not possible now.
-func (d *generator) drawFault(kind FaultKind) {
-	d.earliest += d.drawDuration(100*time.Millisecond, 3*time.Second)
+func (g *generator) drawFault(kind FaultKind) {
+	g.earliest += g.drawDuration(100*time.Millisecond, 3*time.Second)
 	switch {
 	case takesCounted(kind):
-		d.drawLoss(kind, d.earliestLoss().until)
+		g.drawLoss(kind, g.earliestLoss().until)
 	case slices.Contains(excessKinds, kind):
-		d.earliest = d.allRecoveredAt()
-		lasts := d.drawDuration(200*time.Millisecond, 3*time.Second)
+		g.earliest = g.allRecoveredAt()
+		lasts := g.drawDuration(200*time.Millisecond, 3*time.Second)
 		if kind == SplitCore || kind == SplitOneWay {
-			lasts = d.drawDuration(minSplitTime, maxSplitTime)
+			lasts = g.drawDuration(minSplitTime, maxSplitTime)
 		}
-		d.addFault(kind, "", d.earliest, lasts)
-		d.earliest += lasts + syncTime
+		g.addFault(kind, "", g.earliest, lasts)
+		g.earliest += lasts + syncTime
 	case kind == KillGateway || kind == PartitionSeeds:
-		d.addFault(kind, d.drawGateway(), d.earliest, d.drawDuration(100*time.Millisecond, 2*time.Second))
-	case kind == Add && !d.added:
-		d.added = true
-		d.addFault(kind, storeName(d.script.Stores), d.earliest, 0)
-	case kind == Retire && d.retired == "" && d.retirable():
-		d.retired = storeName(d.random.IntN(d.script.Stores))
-		d.addFault(kind, d.retired, d.earliest, 0)
+		g.addFault(kind, g.drawGateway(), g.earliest, g.drawDuration(100*time.Millisecond, 2*time.Second))
+	case kind == Add && !g.added:
+		g.added = true
+		g.addFault(kind, storeName(g.script.Stores), g.earliest, 0)
+	case kind == Retire && g.retired == "" && g.retirable():
+		g.retired = storeName(g.random.IntN(g.script.Stores))
+		g.addFault(kind, g.retired, g.earliest, 0)
 	case kind == LoseResponses || kind == Reorder:
-		d.addFault(kind, "", d.earliest, d.drawDuration(time.Second, 8*time.Second))
+		g.addFault(kind, "", g.earliest, g.drawDuration(time.Second, 8*time.Second))
 	case kind == LoseMessages:
-		d.addFault(kind, "", d.earliest, d.drawDuration(200*time.Millisecond, maxMessageLossTime))
+		g.addFault(kind, "", g.earliest, g.drawDuration(200*time.Millisecond, maxMessageLossTime))
 	case kind == ConcurrentChanges:
-		d.addFault(kind, "", d.earliest, d.drawDuration(minRivalsTime, maxRivalsTime))
-	case kind == LossesInRow && (!d.mixed || d.random.IntN(lossesInRowOneIn) == 0):
-		d.drawLossesInRow()
+		g.addFault(kind, "", g.earliest, g.drawDuration(minRivalsTime, maxRivalsTime))
+	case kind == LossesInRow && (!g.mixed || g.random.IntN(lossesInRowOneIn) == 0):
+		g.drawLossesInRow()
 	}
 }
 
@@ -179,83 +181,83 @@
 }
 
 // retirable reports whether one turn store fewer would be enough wherever it is.
-func (d *generator) retirable() bool {
-	if d.script.Unit == Machines {
-		return d.script.Stores > d.script.Losses+1
+func (g *generator) retirable() bool {
+	if g.script.Unit == Machines {
+		return g.script.Stores > g.script.Losses+1
 	}
-	return d.script.domains() > d.script.Losses+1
+	return g.script.domains() > g.script.Losses+1
 }
 
 // earliestLoss returns the loss that ends first.
-func (d *generator) earliestLoss() *loss {
-	first := &d.losses[0]
-	for i := range d.losses {
-		if d.losses[i].until < first.until {
-			first = &d.losses[i]
+func (g *generator) earliestLoss() *loss {
+	first := &g.losses[0]
+	for i := range g.losses {
+		if g.losses[i].until < first.until {
+			first = &g.losses[i]
 		}
 	}
 	return first
 }
 
 // drawLoss draws a fault that counts as a loss, at a time or later.
-func (d *generator) drawLoss(kind FaultKind, at time.Duration) {
-	at = max(d.earliest, at, d.earliestLoss().until)
-	machine := d.drawMachine(kind, at)
+func (g *generator) drawLoss(kind FaultKind, at time.Duration) {
+	at = max(g.earliest, at, g.earliestLoss().until)
+	machine := g.drawMachine(kind, at)
 	if machine == "" {
 		return
 	}
 	if slices.Contains(nearKinds, kind) {
-		d.drawNearPartition(kind, machine, at)
+		g.drawNearPartition(kind, machine, at)
 		return
 	}
-	duration := d.drawDuration(100*time.Millisecond, 6*time.Second)
+	duration := g.drawDuration(100*time.Millisecond, 6*time.Second)
 	if kind == Partition || kind == PartitionLeader || strings.HasPrefix(string(kind), string(PartitionZone)) {
-		duration = d.drawDuration(300*time.Millisecond, 20*time.Second)
+		duration = g.drawDuration(300*time.Millisecond, 20*time.Second)
 	}
-	d.addLoss(kind, machine, at, duration)
+	g.addLoss(kind, machine, at, duration)
 }
 
 // addLoss adds a fault that counts as a loss.
-func (d *generator) addLoss(kind FaultKind, machine string, at, duration time.Duration, side ...string) {
-	d.addFault(kind, machine, at, duration, side...)
-	*d.earliestLoss() = loss{d.script.domainOf(machine), at + duration + syncTime}
+func (g *generator) addLoss(kind FaultKind, machine string, at, duration time.Duration, side ...string) {
+	g.addFault(kind, machine, at, duration, side...)
+	*g.earliestLoss() = loss{g.script.domainOf(machine), at + duration + syncTime}
 }
 
 // drawNearPartition draws a partition of a machine of the control plane with some of the gateways and, where one more may be lost, a
 // turn store on its side, and what may happen in it and at its end.
-func (d *generator) drawNearPartition(kind FaultKind, machine string, at time.Duration) {
-	duration := d.drawDuration(minNearPartitionTime, maxNearPartitionTime)
-	side := []string{d.drawGateway()}
-	if d.random.IntN(4) == 0 {
+func (g *generator) drawNearPartition(kind FaultKind, machine string, at time.Duration) {
+	duration := g.drawDuration(minNearPartitionTime, maxNearPartitionTime)
+	side := []string{g.drawGateway()}
+	if g.random.IntN(4) == 0 {
 		side = []string{gatewayName(0), gatewayName(1)}
 	}
 	var store string
-	if d.script.Unit == Machines && d.script.Losses > 1 && d.allRecoveredAt() <= at {
-		if store = storeName(d.random.IntN(d.script.Stores)); store != d.retired {
+	if g.script.Unit == Machines && g.script.Losses > 1 && g.allRecoveredAt() <= at {
+		if store = storeName(g.random.IntN(g.script.Stores)); store != g.retired {
 			side = append(side, store)
 		}
 	}
-	d.addLoss(kind, machine, at, duration, side...)
+	g.addLoss(kind, machine, at, duration, side...)
 	if len(side) > 0 && side[len(side)-1] == store {
-		*d.earliestLoss() = loss{store, at + duration + syncTime}
+		*g.earliestLoss() = loss{store, at + duration + syncTime}
 	}
 	end := at + duration
-	if d.random.IntN(nearExtraOneIn) == 0 {
-		d.addFault(PartitionSeeds, d.drawGateway(), at+d.drawDuration(300*time.Millisecond, duration/2), d.drawDuration(100*time.Millisecond, 2*time.Second))
+	if g.random.IntN(nearExtraOneIn) == 0 {
+		g.addFault(PartitionSeeds, g.drawGateway(), at+g.drawDuration(300*time.Millisecond, duration/2), g.drawDuration(100*time.Millisecond, 2*time.Second))
 	}
-	if d.random.IntN(rivalsOneIn) == 0 {
-		d.addFault(ConcurrentChanges, "", end-rivalsLeadTime, d.drawDuration(minRivalsTime, maxRivalsTime))
+	if g.random.IntN(rivalsOneIn) == 0 {
+		g.addFault(ConcurrentChanges, "", end-rivalsLeadTime, g.drawDuration(minRivalsTime, maxRivalsTime))
 	}
-	if d.random.IntN(nearExtraOneIn) == 0 {
-		next := [...]FaultKind{Kill, PowerLoss, Pause, Partition}[d.random.IntN(4)]
-		d.addLoss(next, Leader, max(end, d.earliestLoss().until)+d.drawDuration(0, maxNextLossDelay), d.drawDuration(100*time.Millisecond, 6*time.Second))
+	if g.random.IntN(nearExtraOneIn) == 0 {
+		next := [...]FaultKind{Kill, PowerLoss, Pause, Partition}[g.random.IntN(4)]
+		g.addLoss(next, Leader, max(end, g.earliestLoss().until)+g.drawDuration(0, maxNextLossDelay), g.drawDuration(100*time.Millisecond, 6*time.Second))
 	}
 }
 
 // drawLossesInRow draws losses each of which begins as soon as the one before no longer counts, and nothing after them.
-func (d *generator) drawLossesInRow() {
+func (g *generator) drawLossesInRow() {
 	var kinds []FaultKind
-	for _, kind := range d.kinds {
+	for _, kind := range g.kinds {
 		if takesCounted(kind) && !slices.Contains(nearKinds, kind) {
 			kinds = append(kinds, kind)
 		}
@@ -263,59 +265,61 @@
 	if len(kinds) == 0 {
 		kinds = slices.DeleteFunc(slices.Clone(countedKinds), func(kind FaultKind) bool { return slices.Contains(nearKinds, kind) })
 	}
-	begin := d.allRecoveredAt()
-	for i := range d.losses { // with two, each begins beside the other
-		d.losses[i].until = begin
-	}
-	end := begin + d.drawDuration(minLossesInRowTime, maxLossesInRowTime)
-	d.addFault(LossesInRow, "", begin, end-begin)
-	for d.earliestLoss().until < end {
-		at := d.earliestLoss().until + d.drawDuration(0, maxNextLossDelay)
-		kind := d.drawKind(kinds)
-		if machine := d.drawMachine(kind, at); machine != "" {
-			d.addLoss(kind, machine, at, d.drawDuration(100*time.Millisecond, maxLossInRowTime))
+	begin := g.allRecoveredAt()
+	for i := range g.losses { // with two, each begins beside the other
+		g.losses[i].until = begin
+	}
+	end := begin + g.drawDuration(minLossesInRowTime, maxLossesInRowTime)
+	g.addFault(LossesInRow, "", begin, end-begin)
+	for g.earliestLoss().until < end {
+		at := g.earliestLoss().until + g.drawDuration(0, maxNextLossDelay)
+		kind := g.drawKind(kinds)
+		if machine := g.drawMachine(kind, at); machine != "" {
+			g.addLoss(kind, machine, at, g.drawDuration(100*time.Millisecond, maxLossInRowTime))
 		}
 	}
-	d.complete = true
+	g.complete = true
 }
 
-func (d *generator) drawGateway() string { return gatewayName(d.random.IntN(d.script.Gateways)) }
+// drawGateway draws the name of a gateway.
+func (g *generator) drawGateway() string { return gatewayName(g.random.IntN(g.script.Gateways)) }
 
 // drawMachine draws a machine, or a zone or region, that is not lost. A machine that is to be emptied is not drawn for what
 // would end its retirement.
-func (d *generator) drawMachine(kind FaultKind, at time.Duration) string {
+func (g *generator) drawMachine(kind FaultKind, at time.Duration) string {
 	if slices.Contains(domainKinds, kind) {
-		return d.drawZone(at)
+		return g.drawZone(at)
 	}
 	near := slices.Contains(nearKinds, kind)
-	if kind == PartitionLeader || kind == PartitionConfirming || near && d.random.IntN(4) > 0 || kind != Terminate && d.random.IntN(4) == 0 {
+	if kind == PartitionLeader || kind == PartitionConfirming || near && g.random.IntN(4) > 0 || kind != Terminate && g.random.IntN(4) == 0 {
 		return Leader
 	}
-	if kind != Terminate && kind != Move && !near && d.retired == "" && d.random.IntN(4) == 0 {
+	if kind != Terminate && kind != Move && !near && g.retired == "" && g.random.IntN(4) == 0 {
 		return Weakest
 	}
-	name := storeName(d.random.IntN(d.script.Stores))
-	if kind == Move || near || kind != Terminate && d.random.IntN(2) == 0 {
-		name = coreName(d.random.IntN(d.script.Core))
+	name := storeName(g.random.IntN(g.script.Stores))
+	if kind == Move || near || kind != Terminate && g.random.IntN(2) == 0 {
+		name = coreName(g.random.IntN(g.script.Core))
 	}
-	if d.isLost(d.script.domainOf(name), at) || name == d.retired {
+	if g.isLost(g.script.domainOf(name), at) || name == g.retired {
 		return ""
 	}
 	return name
 }
 
 // drawZone draws a zone or a region that is not lost, in which no machine is to be emptied.
-func (d *generator) drawZone(at time.Duration) string {
-	if d.retired == "" && d.random.IntN(2) == 0 {
-		return [...]string{Leader, Weakest}[d.random.IntN(2)]
+func (g *generator) drawZone(at time.Duration) string {
+	if g.retired == "" && g.random.IntN(2) == 0 {
+		return [...]string{Leader, Weakest}[g.random.IntN(2)]
 	}
-	name := d.script.domainName(d.random.IntN(d.script.domains()))
-	if d.isLost(name, at) || d.retired != "" && d.script.domainOf(d.retired) == name {
+	name := g.script.domainName(g.random.IntN(g.script.domains()))
+	if g.isLost(name, at) || g.retired != "" && g.script.domainOf(g.retired) == name {
 		return ""
 	}
 	return name
 }
 
-func (d *generator) isLost(domain string, at time.Duration) bool {
-	return slices.ContainsFunc(d.losses, func(l loss) bool { return l.domain == domain && l.until > at })
+// isLost reports whether a failure domain counts as lost at a time.
+func (g *generator) isLost(domain string, at time.Duration) bool {
+	return slices.ContainsFunc(g.losses, func(l loss) bool { return l.domain == domain && l.until > at })
 }
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -42,6 +42,7 @@
 	incarnation int
 }
 
+// roleName is the kind of a machine.
 type roleName string
 
 const (
@@ -83,24 +84,25 @@
 	m.mu.Lock()
 	m.up, m.poweredOff = true, false
 	m.incarnation++
-	life := m.incarnation
+	incarnation := m.incarnation
 	m.mu.Unlock()
 	m.world.running.Go(func() {
-		for m.mayRun(life) {
-			m.run(life)
+		for m.mayRun(incarnation) {
+			m.run(incarnation)
 			m.world.sleep(restartDelay)
 		}
 	})
 }
 
-func (m *machine) mayRun(life int) bool {
+// mayRun reports whether a process of an incarnation may be started.
+func (m *machine) mayRun(incarnation int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.up && m.incarnation == life && !m.world.ending()
+	return m.up && m.incarnation == incarnation && !m.world.ending()
 }
 
 // run is one process from its start to its end.
-func (m *machine) run(life int) {
+func (m *machine) run(incarnation int) {
 	ctx, cancel := context.WithCancel(m.world.ctx)
 	defer cancel()
 	p := &process{machine: m, ctx: ctx, cancel: cancel, log: m.world.logger(m.name), handlers: map[string]http.Handler{}}
@@ -108,7 +110,7 @@
 	p.floor, p.shownBefore = m.world.checks.configuration.floor(), m.world.checks.views.highest()
 	p.role = m.world.role(m)
 	m.mu.Lock()
-	if !m.up || m.incarnation != life {
+	if !m.up || m.incarnation != incarnation {
 		m.mu.Unlock()
 		return
 	}
@@ -117,7 +119,7 @@
 	err := p.role.start(p)
 	m.mu.Lock()
 	m.starting = nil
-	stands := err == nil && m.up && m.incarnation == life
+	stands := err == nil && m.up && m.incarnation == incarnation
 	if stands {
 		m.current = p
 	}
@@ -151,17 +153,19 @@
 	m.current = nil
 }
 
-// kill ends the process, powerLoss the machine's power, wipe its disk as well. start is what comes after each.
+// kill ends the process; the disk stays as the process saw it. start starts the machine again.
 func (m *machine) kill() {
 	m.stop(false)
 	m.disk.Kill()
 }
 
+// powerLoss ends the machine's power; what was not synced may be lost.
 func (m *machine) powerLoss() {
 	m.stop(true)
 	m.disk.Crash(m.random)
 }
 
+// wipe ends the machine's power and clears its disk.
 func (m *machine) wipe() {
 	m.stop(true)
 	m.disk.Wipe()
@@ -196,9 +200,9 @@
 		cancel()
 	})
 	defer stop()
-	answer := &recorder{header: http.Header{}}
-	handler.ServeHTTP(answer, request(ctx, r, body))
-	return answer
+	reply := &recorder{header: http.Header{}}
+	handler.ServeHTTP(reply, request(ctx, r, body))
+	return reply
 }
 
 // failureDomain is the zone or region that the machine lies in, where these are lost, and else the machine itself.
--- a/internal/tier/simulation/network.go
+++ b/internal/tier/simulation/network.go
@@ -52,6 +52,7 @@
 	changeBegun   map[string]chan struct{} // closed when the machine has begun to serve a change; by name
 }
 
+// newNetwork returns a network without machines, whose delays and losses are drawn from a seed.
 func newNetwork(seed uint64) *network {
 	return &network{seed: seed, machines: map[string]*machine{}, partitioned: map[[2]string]int{}, frozen: map[string]bool{},
 		sent: map[[2]string]uint64{}, changed: make(chan struct{}), changeBegun: map[string]chan struct{}{}}
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -49,6 +49,7 @@
 	last          *configurationChange
 }
 
+// newOperator returns an operator on a machine of its own.
 func newOperator(w *world, name, ip string) *operator {
 	m := w.addOutsideMachine(name, ip)
 	p := &process{machine: m, ctx: w.ctx, cancel: func() {}}
@@ -56,6 +57,7 @@
 	return &operator{world: w, name: name, process: p, random: w.randomFor(name)}
 }
 
+// run changes and reads the configuration until the load stops.
 func (o *operator) run() {
 	for o.world.loadRunning() {
 		o.idle()
--- a/internal/tier/simulation/roles.go
+++ b/internal/tier/simulation/roles.go
@@ -38,12 +38,13 @@
 	return tierv1.NewTurnStoreProtobufClient("http://"+address, p.link)
 }
 
-// controlPlaneRole is a process of the control plane, put together as its command does it.
+// controlPlaneRole is a process of the control plane, assembled as package process does it.
 type controlPlaneRole struct {
 	hooks Hooks
 	node  *consensus.Node
 }
 
+// start implements role.
 func (c *controlPlaneRole) start(p *process) error {
 	m := p.machine
 	s := m.settings
@@ -71,9 +72,10 @@
 	return nil
 }
 
+// leave implements role: the control plane hands nothing over.
 func (c *controlPlaneRole) leave(context.Context) {}
 
-// turnStoreRole is a process that keeps turns, put together as its command does it.
+// turnStoreRole is a process that stores turns, assembled as package process does it.
 type turnStoreRole struct {
 	hooks   Hooks
 	store   *turnstore.TurnStore
@@ -146,4 +148,5 @@
 	return out
 }
 
+// at returns the address of a port.
 func at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
--- a/internal/tier/simulation/script.go
+++ b/internal/tier/simulation/script.go
@@ -27,8 +27,10 @@
 	Side []string `json:"side,omitempty"` // machines that are partitioned together with it
 }
 
+// at is when the fault begins, from the start of the system.
 func (f Fault) at() time.Duration { return time.Duration(f.AtMS) * time.Millisecond }
 
+// duration is how long the fault lasts.
 func (f Fault) duration() time.Duration { return time.Duration(f.DurationMS) * time.Millisecond }
 
 // String returns the fault as one line. The simulator seeds random choices of a fault by it, so that its format may not change.
@@ -82,6 +84,8 @@
 	return b.String()
 }
 
+// Names of machines, zones and regions, by their index.
+
 func coreName(i int) string { return fmt.Sprint("core-", i+1) }
 
 func storeName(i int) string { return fmt.Sprint("store-", i+1) }
--- a/internal/tier/simulation/shrink.go
+++ b/internal/tier/simulation/shrink.go
@@ -8,29 +8,29 @@
 type FailsFunc func(Script) bool
 
 // Shrink returns a shorter script that still fails: faults are dropped, then made shorter.
-func Shrink(s Script, fails FailsFunc) Script {
+func Shrink(script Script, fails FailsFunc) Script {
 	for changed := true; changed; {
 		changed = false
-		for i := len(s.Faults) - 1; i >= 0; i-- {
-			without := s
-			without.Faults = slices.Delete(slices.Clone(s.Faults), i, i+1)
+		for i := len(script.Faults) - 1; i >= 0; i-- {
+			without := script
+			without.Faults = slices.Delete(slices.Clone(script.Faults), i, i+1)
 			if fails(without) {
-				s, changed = without, true
+				script, changed = without, true
 			}
 		}
 	}
-	for i := range s.Faults {
-		for s.Faults[i].DurationMS > minFaultDuration {
-			shorter := s
-			shorter.Faults = slices.Clone(s.Faults)
+	for i := range script.Faults {
+		for script.Faults[i].DurationMS > minFaultDuration {
+			shorter := script
+			shorter.Faults = slices.Clone(script.Faults)
 			shorter.Faults[i].DurationMS /= 2
 			if !fails(shorter) {
 				break
 			}
-			s = shorter
+			script = shorter
 		}
 	}
-	return s
+	return script
 }
 
 // minFaultDuration is the duration of a fault, in milliseconds, from which on no shorter one is tried.
--- a/internal/tier/simulation/workers.go
+++ b/internal/tier/simulation/workers.go
@@ -119,6 +119,7 @@
 	return err
 }
 
+// sum returns the sum of a list.
 func sum(list []uint64) (n uint64) {
 	for _, one := range list {
 		n += one
@@ -126,6 +127,7 @@
 	return n
 }
 
+// merge adds the total of a part of the batch.
 func (t *Total) merge(o Total) {
 	t.Played += o.Played
 	t.Failed += o.Failed
--- a/internal/tier/simulation/world.go
+++ b/internal/tier/simulation/world.go
@@ -83,6 +83,7 @@
 	bootstrap          bool
 }
 
+// newWorld returns a world whose machines are to be added.
 func newWorld(script Script, options Options) *world {
 	w := &world{script: script, options: options, network: newNetwork(script.Seed), began: time.Now(), machines: map[string]*machine{},
 		addresses: map[string]int{}, underFault: map[string]bool{}, partitionedCore: map[string]int{},
@@ -93,8 +94,10 @@
 	return w
 }
 
+// now is the virtual time since the start of the play.
 func (w *world) now() time.Duration { return time.Since(w.began) }
 
+// ending reports whether the play ends: a rule was broken, or all is checked.
 func (w *world) ending() bool { return w.ctx.Err() != nil }
 
 // loadRunning reports whether operators and clients are to continue.
@@ -207,6 +210,7 @@
 	return w.addMachineAt(name, roleOutside, ip, 0)
 }
 
+// machine returns the machine of a name, or nil.
 func (w *world) machine(name string) *machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/tier/upstream/helpers_test.go
+++ b/internal/tier/upstream/helpers_test.go
@@ -85,6 +85,7 @@
 
 // startResponder gives every request the same answer, and then waits for the end.
 func startResponder(t *testing.T, text string) Target {
+	t.Helper()
 	return startEndpoint(t, func(_ int, l *serverConn) {
 		for q, _ := l.readRequest(); q != nil; q, _ = l.readRequest() {
 			l.writeText(text)
@@ -93,6 +94,7 @@
 }
 
 func newTestPool(t *testing.T) *Pool {
+	t.Helper()
 	p := NewPool(Config{})
 	t.Cleanup(func() {
 		p.Close()
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -13,6 +13,7 @@
 
 // echoing answers each request with its id, on connections that it counts.
 func echoing(t *testing.T, extra string) Target {
+	t.Helper()
 	return startEndpoint(t, func(n int, l *serverConn) {
 		for q, _ := l.readRequest(); q != nil; q, _ = l.readRequest() {
 			id := q.Header.Get("X-Attempt-Id")
--- a/internal/tier/upstream/wire_test.go
+++ b/internal/tier/upstream/wire_test.go
@@ -390,6 +390,7 @@
 }
 
 func newWireClient(t *testing.T) *wireClient {
+	t.Helper()
 	p := newTestPool(t)
 	return &wireClient{t: t, pool: p, endpoint: newRecordingEndpoint(t), retry: func(r *Result) bool { return r.Disposition(false).MayRetry(false) },
 		call: func(ctx context.Context, target Target, q *Request) *Result { return p.Call(ctx, target, q, long) }}
