--- a/cmd/simulator-adapter/translate.go
+++ b/cmd/simulator-adapter/translate.go
@@ -38,6 +38,7 @@
 	reason string
 }
 
+// Error implements error.
 func (e *fieldError) Error() string { return fmt.Sprintf("%s %v %s", e.field, e.value, e.reason) }
 
 // translate translates one record; nil for those that the decision module has no use for.
--- a/internal/calls/answer.go
+++ b/internal/calls/answer.go
@@ -25,6 +25,9 @@
 	maxRate           = 1e6                    // calls a second in a load report; what is beyond makes it unusable
 )
 
+// httpVersion is what a status line begins with, up to the minor version.
+const httpVersion = "HTTP/1."
+
 var (
 	// errAnswerTooLong says that an answer exceeds maxAnswer.
 	errAnswerTooLong = errors.New("the answer is too long")
@@ -49,7 +52,7 @@
 			result.Outcome, result.Final = brain.Served, true
 		}
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: http.MethodPost})
-		if err != nil || status == http.StatusSwitchingProtocols { // the latter nobody asked for
+		if err != nil || status == http.StatusSwitchingProtocols { // no switch was requested
 			return false, false, malformed(served)
 		}
 		if status < 200 {
@@ -99,18 +102,18 @@
 			line = line[:i]
 		}
 		status, ok := parseStatus(line)
-		const begin = "HTTP/1."
-		n := min(len(line), len(begin))
+		n := min(len(line), len(httpVersion))
 		switch {
 		case i >= 0 && ok:
 			return status, nil
-		case i >= 0 || len(line) >= maxStatusLine || string(line[:n]) != begin[:n]:
+		case i >= 0 || len(line) >= maxStatusLine || string(line[:n]) != httpVersion[:n]:
 			return 0, errMalformedAnswer
 		}
 		if _, err := c.r.Peek(len(line) + 1); err != nil {
-			// Half a line tells no status, whatever it begins with: "HTTP/1.1 200" may be that of a spoilt "2000" as well, and a
-			// message that was taken for delivered is lost. Doubted, it has its end: a repeat where its class allows one.
-			if waited := net.Error(nil); errors.As(err, &waited) && waited.Timeout() {
+			// Half a line has no status, whatever it begins with: "HTTP/1.1 200" may be the beginning of a malformed "2000" as
+			// well, and a message that is wrongly taken for delivered is lost. An uncertain one is repeated where its class
+			// allows it.
+			if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
 				return 0, errMalformedAnswer
 			}
 			return 0, err
@@ -120,7 +123,7 @@
 
 // parseStatus reads the status of a first line. http.ReadResponse takes 2000 and 0200 for 200.
 func parseStatus(line []byte) (int, bool) {
-	rest, ok := bytes.CutPrefix(line, []byte("HTTP/1."))
+	rest, ok := bytes.CutPrefix(line, []byte(httpVersion))
 	if !ok || len(rest) < 5 || rest[0] != '0' && rest[0] != '1' || rest[1] != ' ' {
 		return 0, false
 	}
--- a/internal/calls/call_test.go
+++ b/internal/calls/call_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// A connection that has carried a call already had its place: a refusal that ends it is about calls.
+// A connection that has carried a call already counts among those that the endpoint takes: a rejection that closes it is about calls.
 func TestCall_RejectionOnReusedConnIsNoConnLimit(t *testing.T) {
 	n := 0
 	e := st.NewEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -90,8 +90,8 @@
 	}
 }
 
-// Answers that are spoilt, or bring more than belongs to them, on a connection that stays open: a 200 in the
-// first line is true, any other spoilt one may have run, whatever it reads like; none holds its slot until
+// Answers that are malformed, or bring more than belongs to them, on a connection that stays open: a 200 in the
+// first line holds, after any other malformed one the call may have run, whatever it reads like; none holds its slot until
 // the time-out, and the connection is not used again.
 func TestCall_MalformedAnswers(t *testing.T) {
 	errored := brain.AttemptResult{Outcome: brain.Errored}
@@ -169,7 +169,7 @@
 	}
 }
 
-// Figures that no sound endpoint sends count as not told: they would go into the module's sums.
+// Figures that no sound endpoint sends are ignored: the decision module would calculate with them.
 func TestLoadReport_ImpossibleValues(t *testing.T) {
 	served := brain.AttemptResult{Outcome: brain.Served, Final: true}
 	for line, want := range map[string]brain.AttemptResult{
@@ -207,7 +207,7 @@
 }
 
 // A library may repeat a request with an Idempotency-Key by itself when a reused connection breaks; each
-// would count as a call that the module knows nothing of.
+// would count as a call that the decision module knows nothing of.
 func TestCall_NeverRepeatsByItself(t *testing.T) {
 	for _, body := range []string{"body", ""} {
 		first := true
@@ -375,7 +375,7 @@
 }
 
 // All day endpoints are replaced under new ids, some at the address of one that has gone: of what is gone
-// nothing is kept, its connections are closed at once, also those that were in use then, and what comes in
+// nothing is remembered, its connections are closed at once, also those that were in use then, and what comes in
 // its place starts with none.
 func TestEndpointList_RemovedEndpointsLeaveNothing(t *testing.T) {
 	for name, gone := range map[string]membership.Update{
--- a/internal/calls/endpoint_list_test.go
+++ b/internal/calls/endpoint_list_test.go
@@ -20,7 +20,7 @@
 	return t
 }
 
-// A list that comes again tells the module what changed, and nothing where nothing did.
+// A list that comes again reports what changed, and nothing where nothing did.
 func TestEndpointList_ReportsOnlyChanges(t *testing.T) {
 	l, c := NewEndpointList(), Names{}
 	p := NewPool(Config{MaxIdle: 10})
@@ -55,7 +55,7 @@
 	}
 }
 
-// A line named twice counts as it stands last, and a deleted one is forgotten.
+// Of an entry that is named twice the last one counts, and a deleted one is forgotten.
 func TestEndpointList_DuplicateAndDeletedEntries(t *testing.T) {
 	l, c := NewEndpointList(), Names{}
 	p := NewPool(Config{MaxIdle: 10})
--- a/internal/calls/permit.go
+++ b/internal/calls/permit.go
@@ -92,16 +92,16 @@
 
 // usePermits uses the permits of all tickets and returns the messages that may be written now; written is to be called
 // when they are.
-func usePermits(tickets []Ticket, now time.Time) (may []Message, written func()) {
-	may = make([]Message, 0, len(tickets))
-	all := make([]func(), 0, len(tickets))
+func usePermits(tickets []Ticket, now time.Time) (permitted []Message, written func()) {
+	permitted = make([]Message, 0, len(tickets))
+	callbacks := make([]func(), 0, len(tickets))
 	for _, t := range tickets {
 		if w, ok := t.Permit.use(now); ok {
-			may, all = append(may, t.Message), append(all, w)
+			permitted, callbacks = append(permitted, t.Message), append(callbacks, w)
 		}
 	}
-	return may, func() {
-		for _, w := range all {
+	return permitted, func() {
+		for _, w := range callbacks {
 			w()
 		}
 	}
--- a/internal/calls/permit_test.go
+++ b/internal/calls/permit_test.go
@@ -10,12 +10,12 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// tickets is one message that may be written within a time.
+// tickets is one message whose permit expires after a time.
 func tickets(m Message, within time.Duration) []Ticket {
 	return []Ticket{{m, &Permit{Until: time.Now().Add(within), Cancel: func() {}}}}
 }
 
-// A permit that is taken back while the connection comes up: nothing is written, and the connection serves the next
+// A permit that is revoked while the connection comes up: nothing is written, and the connection serves the next
 // call.
 func TestPermit_RevokedWhileConnecting(t *testing.T) {
 	t.Parallel()
@@ -41,14 +41,14 @@
 		t.Errorf("%+v", end)
 	}
 	if fine[0].Revoke() {
-		t.Error("a leave that was used was taken back")
+		t.Error("a permit that was used was revoked")
 	}
 	if c := e.Next(t); c.ID != "fine" || c.Conn != 1 || len(e.Calls) > 0 {
 		t.Errorf("the endpoint got %s on connection %d", c.ID, c.Conn)
 	}
 }
 
-// Of a call with several messages those are written whose leave is left.
+// Of a call with several messages those are written whose permit is left.
 func TestPermit_BatchWritesWhatIsLeft(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
--- a/internal/calls/request_format_test.go
+++ b/internal/calls/request_format_test.go
@@ -117,8 +117,8 @@
 
 var validated = Target{Form: Binary, Path: "/in", Validate: true, Origin: "council.example", Rate: 120}
 
-// Before the first call, and once only, an endpoint is asked whether it wants calls; the rate that it allows is told
-// to the module.
+// Before the first call, and once only, an endpoint is asked whether it wants calls; the rate that it allows is reported
+// to the decision module.
 func TestValidation_OnceBeforeFirstCall(t *testing.T) {
 	t.Parallel()
 	e, asked := hook(t, func() (int, []string) {
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -9,6 +9,7 @@
 	Err    error // of the input, if it could not be read
 }
 
+// Error implements error.
 func (e *FrameError) Error() string { return e.Part + ": " + e.Reason }
 
 // Unwrap returns the error of the input, if any.
@@ -25,6 +26,7 @@
 	Err    error
 }
 
+// Error implements error.
 func (e *RecordError) Error() string {
 	if e.Code == NotRead {
 		return fmt.Sprintf("record %d at offset %d: %v", e.Index, e.Offset, e.Err)
@@ -38,6 +40,7 @@
 // LayoutError is a record, or a frame, whose fields do not fit into its size or hold what they may not.
 type LayoutError struct{ Reason string }
 
+// Error implements error.
 func (e *LayoutError) Error() string { return e.Reason }
 
 // SettingError says that a setting has a value that cannot be read.
@@ -47,6 +50,7 @@
 	Want  string // what it should be
 }
 
+// Error implements error.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("setting %s: %q is not %s", e.Key, e.Value, e.Want)
 }
@@ -54,6 +58,7 @@
 // SettingsSyntaxError says that a line of the settings is no path=value.
 type SettingsSyntaxError struct{ Line int }
 
+// Error implements error.
 func (e *SettingsSyntaxError) Error() string {
 	return fmt.Sprintf("settings line %d: no '='", e.Line)
 }
