--- a/internal/tier/controlplane/change_history_test.go
+++ b/internal/tier/controlplane/change_history_test.go
@@ -3,9 +3,7 @@
 import (
 	"fmt"
 	"maps"
-	"sync"
 	"testing"
-	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"google.golang.org/protobuf/proto"
@@ -129,117 +127,6 @@
 	assert.Equal(t, base.decide(changeOf(5, 6, "left")), decisionAccept)
 }
 
-func TestReplace_AcceptedChangeAcknowledgedAfterLaterOnes(t *testing.T) {
-	withHarness(t, func(h *harness) {
-		assertStatus(t, h.replace(0, 3), 200)
-		assertStatus(t, h.replace(3, 5), 200)
-		assertStatus(t, h.replace(0, 3), 200)
-		for at := 5; at < 40; at++ {
-			assertStatus(t, h.replace(at, at+1), 200)
-		}
-		for range 2 { // before and after a takeover, which reads the state back
-			assertStatus(t, h.replace(0, 3), 200)
-			assertStatus(t, h.replace(3, 5), 200)
-			assertStatus(t, h.replace(20, 21), 200)
-			assertStatus(t, h.replaceBody(20, configuration(21, "other")), 412)
-			assertStatus(t, h.replaceBody(3, configuration(4, "s")), 412)
-			assertStatus(t, h.replaceBody(0, configuration(3, "s")[1:]), 400) // the same, but damaged
-			assert.Equal(t, h.describe().Body.String(), string(configuration(40, "s")))
-			h.store.set(func() { h.store.epoch += 1 << 12 })
-			h.advance(500 * time.Millisecond)
-		}
-	})
-}
-
-func TestReplace_ForgottenChangeUnavailable(t *testing.T) {
-	withHarness(t, func(h *harness) {
-		assertStatus(t, h.replace(0, 3), 200)
-		assertStatus(t, h.replace(3, 5), 200)
-		assertStatus(t, h.replace(5, 6), 200)
-		h.store.set(func() {
-			delete(h.store.values, changeKey(3))
-			h.store.epoch += 1 << 12
-		})
-		h.advance(500 * time.Millisecond)
-		w := h.replace(0, 3)
-		assertStatus(t, w, 503)
-		assert.Assert(t, w.Header().Get("Retry-After") != "")
-		assertStatus(t, h.replace(3, 5), 200)
-		assertStatus(t, h.replaceBody(3, configuration(5, "other")), 412)
-	})
-}
-
-// The write that brings the configuration brings its record, or neither is there.
-func TestReplace_ConfigurationAndRecordInOneWrite(t *testing.T) {
-	withHarness(t, func(h *harness) {
-		var writes []map[string][]byte
-		h.store.set(func() {
-			h.store.failPut = func(sets map[string][]byte) (bool, bool) { writes = append(writes, sets); return false, false }
-		})
-		assertStatus(t, h.replace(0, 3), 200)
-		assertStatus(t, h.replace(3, 5), 200)
-		assert.Equal(t, len(writes), 2)
-		for i, key := range []string{changeKey(3), changeKey(5)} {
-			assert.Assert(t, writes[i][keyConfiguration] != nil && writes[i][key] != nil)
-		}
-	})
-}
-
-// A change with an unknown outcome is resolved before another is accepted. Then it is acknowledged if it was written, also
-// after others were accepted on it, and rejected only if it was not.
-func TestReplace_UnknownOutcomeBeforeLaterChanges(t *testing.T) {
-	for _, lost := range []bool{true, false} {
-		withHarness(t, func(h *harness) {
-			assertStatus(t, h.replace(0, 3), 200)
-			h.store.set(func() { h.store.failPut = func(map[string][]byte) (bool, bool) { return lost, true } })
-			assertStatus(t, h.replace(3, 4), 503)
-			for range 4 {
-				assertStatus(t, h.replace(3, 4), 503)
-				assertStatus(t, h.replaceBody(3, configuration(5, "b")), 503)
-				h.advance(150 * time.Millisecond)
-			}
-			h.store.set(func() { h.store.failPut = nil })
-			h.advance(300 * time.Millisecond)
-			if lost {
-				assertStatus(t, h.replaceBody(3, configuration(5, "b")), 200)
-				assertStatus(t, h.replace(3, 4), 412)
-				return
-			}
-			assertStatus(t, h.replaceBody(3, configuration(5, "b")), 412)
-			assertStatus(t, h.replaceBody(4, configuration(5, "b")), 200)
-			assertStatus(t, h.replace(3, 4), 200)
-		})
-	}
-}
-
-// Eight operators send eight changes at once, each twice: all attempts of one change get the same answer.
-func TestReplace_ConcurrentAttemptsAnsweredAlike(t *testing.T) {
-	withHarness(t, func(h *harness) {
-		assertStatus(t, h.replace(0, 3), 200)
-		h.store.set(func() { h.store.putDelay = 5 * time.Millisecond })
-		const operators, tries = 8, 2
-		var codes [operators][tries]int
-		var all sync.WaitGroup
-		for i := range operators {
-			for j := range tries {
-				all.Go(func() { codes[i][j] = h.replaceBody(3, configuration(4+i%2, fmt.Sprint("s", i))).Code })
-			}
-		}
-		all.Wait()
-		winners := 0
-		for i, code := range codes {
-			assert.Equal(t, code[0], code[1], "order %d", i)
-			if code[0] == 200 {
-				winners++
-				assert.Equal(t, h.describe().Body.String(), string(configuration(4+i%2, fmt.Sprint("s", i))))
-			} else {
-				assert.Equal(t, code[0], 412)
-			}
-		}
-		assert.Equal(t, winners, 1)
-	})
-}
-
 func BenchmarkChangeHistory(b *testing.B) {
 	state := map[string][]byte{}
 	var h changeHistory
@@ -267,25 +154,3 @@
 		}
 	})
 }
-
-// Repeated changes do not wait for one another's read barriers: eight at once take as long as one.
-func TestReplace_RepeatsShareReadBarrier(t *testing.T) {
-	withHarness(t, func(h *harness) {
-		assertStatus(t, h.replace(0, 3), 200)
-		assertStatus(t, h.replace(3, 5), 200)
-		h.store.set(func() { h.store.confirmDelay = 200 * time.Millisecond })
-		began := time.Now()
-		var all sync.WaitGroup
-		for i := range 8 {
-			all.Go(func() {
-				if i%2 == 0 {
-					assertStatus(t, h.replace(0, 3), 200)
-				} else {
-					assertStatus(t, h.replace(3, 4), 412)
-				}
-			})
-		}
-		all.Wait()
-		assert.Assert(t, time.Since(began) <= 400*time.Millisecond, "%v", time.Since(began)) // one under way, and the next
-	})
-}
--- a/internal/tier/controlplane/operators_test.go
+++ b/internal/tier/controlplane/configuration_test.go
@@ -145,34 +145,6 @@
 	})
 }
 
-func TestOperators_RedirectToPrimary(t *testing.T) {
-	withHarness(t, func(h *harness) {
-		h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" })
-		synctest.Wait()
-		for _, w := range []*httptest.ResponseRecorder{h.replace(0, 3), h.describe(), h.call("GET", "Retire.Describe/n1", nil, nil),
-			h.call("POST", "Retire.Create/n1", nil, strings.NewReader(`{"duration_s":1}`))} {
-			assertStatus(t, w, 307)
-			assert.Assert(t, strings.HasPrefix(w.Header().Get("Location"), "http://10.0.0.2:8144/saffronyard/"))
-		}
-		for _, hint := range []string{"", "10.0.0.1:7380"} { // itself
-			h.store.set(func() { h.store.hint = hint })
-			w := h.replace(0, 3)
-			assertStatus(t, w, 503)
-			assert.Assert(t, w.Header().Get("Retry-After") != "")
-		}
-	})
-}
-
-func TestOperators_NothingAnsweredUnconfirmed(t *testing.T) {
-	withHarness(t, func(h *harness) {
-		assertStatus(t, h.replace(0, 3), 200)
-		h.store.set(func() { h.store.unconfirmed = true })
-		assertStatus(t, h.describe(), 503)
-		assertStatus(t, h.replace(0, 3), 503)
-		assertStatus(t, h.replace(1, 4), 503)
-	})
-}
-
 func TestReplace_WaitsForActiveGateways(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		assertStatus(t, h.replace(0, 3), 200)
@@ -214,54 +186,135 @@
 	})
 }
 
-func TestRetire(t *testing.T) {
+func TestReplace_AcceptedChangeAcknowledgedAfterLaterOnes(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		for _, n := range []string{"v1", "v2", "v3"} {
-			h.join(roleTurnStore, n, func(p *testProcess) { p.acknowledgeDelay = 50 * time.Millisecond }) // so that no replica is synced at once
+		assertStatus(t, h.replace(0, 3), 200)
+		assertStatus(t, h.replace(3, 5), 200)
+		assertStatus(t, h.replace(0, 3), 200)
+		for at := 5; at < 40; at++ {
+			assertStatus(t, h.replace(at, at+1), 200)
 		}
-		h.advance(2 * time.Second)
-		order := func(node string) *httptest.ResponseRecorder {
-			return h.call("POST", "Retire.Create/"+node, nil, strings.NewReader(`{"duration_s":10}`))
+		for range 2 { // before and after a takeover, which reads the state back
+			assertStatus(t, h.replace(0, 3), 200)
+			assertStatus(t, h.replace(3, 5), 200)
+			assertStatus(t, h.replace(20, 21), 200)
+			assertStatus(t, h.replaceBody(20, configuration(21, "other")), 412)
+			assertStatus(t, h.replaceBody(3, configuration(4, "s")), 412)
+			assertStatus(t, h.replaceBody(0, configuration(3, "s")[1:]), 400) // the same, but damaged
+			assert.Equal(t, h.describe().Body.String(), string(configuration(40, "s")))
+			h.store.set(func() { h.store.epoch += 1 << 12 })
+			h.advance(500 * time.Millisecond)
 		}
-		state := func(node string) *httptest.ResponseRecorder { return h.call("GET", "Retire.Describe/"+node, nil, nil) }
-		assertStatus(t, order("v9"), 404)
-		assertStatus(t, state("v1"), 404)
-		assertStatus(t, order("v1"), 200)
-		assertStatus(t, order("v1"), 200)
-		assertStatus(t, order("v2"), 409)
-		assert.Equal(t, state("v1").Body.String(), `{"lifecycle_state":"in_progress"}`)
-		h.advance(10 * time.Second)
-		assert.Equal(t, state("v1").Body.String(), `{"lifecycle_state":"completed"}`)
-		h.store.set(func() { h.store.unconfirmed = true })
-		assertStatus(t, state("v1"), 503)
 	})
 }
 
-// Right after a takeover not all storage machines have a session yet: a 404 or 409 would end the operator's order for good.
-func TestRetire_RightAfterTakeover(t *testing.T) {
+func TestReplace_ForgottenChangeUnavailable(t *testing.T) {
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		assertStatus(t, h.replace(3, 5), 200)
+		assertStatus(t, h.replace(5, 6), 200)
+		h.store.set(func() {
+			delete(h.store.values, changeKey(3))
+			h.store.epoch += 1 << 12
+		})
+		h.advance(500 * time.Millisecond)
+		w := h.replace(0, 3)
+		assertStatus(t, w, 503)
+		assert.Assert(t, w.Header().Get("Retry-After") != "")
+		assertStatus(t, h.replace(3, 5), 200)
+		assertStatus(t, h.replaceBody(3, configuration(5, "other")), 412)
+	})
+}
+
+// The write that brings the configuration brings its record, or neither is there.
+func TestReplace_ConfigurationAndRecordInOneWrite(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		order := func(node string) *httptest.ResponseRecorder {
-			return h.call("POST", "Retire.Create/"+node, nil, strings.NewReader(`{"duration_s":10}`))
+		var writes []map[string][]byte
+		h.store.set(func() {
+			h.store.failPut = func(sets map[string][]byte) (bool, bool) { writes = append(writes, sets); return false, false }
+		})
+		assertStatus(t, h.replace(0, 3), 200)
+		assertStatus(t, h.replace(3, 5), 200)
+		assert.Equal(t, len(writes), 2)
+		for i, key := range []string{changeKey(3), changeKey(5)} {
+			assert.Assert(t, writes[i][keyConfiguration] != nil && writes[i][key] != nil)
 		}
-		h.join(roleTurnStore, "v1", nil)
-		assertStatus(t, order("v1"), 503)
-		assertStatus(t, order("v9"), 503)
-		h.advance(2 * time.Second)
-		assertStatus(t, order("v1"), 409)
-		assertStatus(t, order("v9"), 404)
 	})
 }
 
-// Machines that are down for a moment are machines that remain: the order is to be sent again, not rejected for good.
-func TestRetire_WhileOthersAreDown(t *testing.T) {
+// A change with an unknown outcome is resolved before another is accepted. Then it is acknowledged if it was written, also
+// after others were accepted on it, and rejected only if it was not.
+func TestReplace_UnknownOutcomeBeforeLaterChanges(t *testing.T) {
+	for _, lost := range []bool{true, false} {
+		withHarness(t, func(h *harness) {
+			assertStatus(t, h.replace(0, 3), 200)
+			h.store.set(func() { h.store.failPut = func(map[string][]byte) (bool, bool) { return lost, true } })
+			assertStatus(t, h.replace(3, 4), 503)
+			for range 4 {
+				assertStatus(t, h.replace(3, 4), 503)
+				assertStatus(t, h.replaceBody(3, configuration(5, "b")), 503)
+				h.advance(150 * time.Millisecond)
+			}
+			h.store.set(func() { h.store.failPut = nil })
+			h.advance(300 * time.Millisecond)
+			if lost {
+				assertStatus(t, h.replaceBody(3, configuration(5, "b")), 200)
+				assertStatus(t, h.replace(3, 4), 412)
+				return
+			}
+			assertStatus(t, h.replaceBody(3, configuration(5, "b")), 412)
+			assertStatus(t, h.replaceBody(4, configuration(5, "b")), 200)
+			assertStatus(t, h.replace(3, 4), 200)
+		})
+	}
+}
+
+// Eight operators send eight changes at once, each twice: all attempts of one change get the same answer.
+func TestReplace_ConcurrentAttemptsAnsweredAlike(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		h.join(roleTurnStore, "v1", nil)
-		others := []*testProcess{h.join(roleTurnStore, "v2", nil), h.join(roleTurnStore, "v3", nil)}
-		h.advance(2 * time.Second)
-		for _, p := range others {
-			p.stop()
+		assertStatus(t, h.replace(0, 3), 200)
+		h.store.set(func() { h.store.putDelay = 5 * time.Millisecond })
+		const operators, tries = 8, 2
+		var codes [operators][tries]int
+		var all sync.WaitGroup
+		for i := range operators {
+			for j := range tries {
+				all.Go(func() { codes[i][j] = h.replaceBody(3, configuration(4+i%2, fmt.Sprint("s", i))).Code })
+			}
 		}
-		h.advance(2 * time.Second)
-		assertStatus(t, h.call("POST", "Retire.Create/v1", nil, strings.NewReader(`{"duration_s":10}`)), 503)
+		all.Wait()
+		winners := 0
+		for i, code := range codes {
+			assert.Equal(t, code[0], code[1], "order %d", i)
+			if code[0] == 200 {
+				winners++
+				assert.Equal(t, h.describe().Body.String(), string(configuration(4+i%2, fmt.Sprint("s", i))))
+			} else {
+				assert.Equal(t, code[0], 412)
+			}
+		}
+		assert.Equal(t, winners, 1)
+	})
+}
+
+// Repeated changes do not wait for one another's read barriers: eight at once take as long as one.
+func TestReplace_RepeatsShareReadBarrier(t *testing.T) {
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		assertStatus(t, h.replace(3, 5), 200)
+		h.store.set(func() { h.store.confirmDelay = 200 * time.Millisecond })
+		began := time.Now()
+		var all sync.WaitGroup
+		for i := range 8 {
+			all.Go(func() {
+				if i%2 == 0 {
+					assertStatus(t, h.replace(0, 3), 200)
+				} else {
+					assertStatus(t, h.replace(3, 4), 412)
+				}
+			})
+		}
+		all.Wait()
+		assert.Assert(t, time.Since(began) <= 400*time.Millisecond, "%v", time.Since(began)) // one under way, and the next
 	})
 }
--- a/internal/tier/controlplane/redirect_test.go
+++ b/internal/tier/controlplane/redirect_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"errors"
+	"net/http/httptest"
+	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -74,3 +76,21 @@
 		assert.Equal(t, took(), redirectTimeout)
 	})
 }
+
+func TestOperators_RedirectToPrimary(t *testing.T) {
+	withHarness(t, func(h *harness) {
+		h.store.set(func() { h.store.primary, h.store.hint = false, "10.0.0.2:7380" })
+		synctest.Wait()
+		for _, w := range []*httptest.ResponseRecorder{h.replace(0, 3), h.describe(), h.call("GET", "Retire.Describe/n1", nil, nil),
+			h.call("POST", "Retire.Create/n1", nil, strings.NewReader(`{"duration_s":1}`))} {
+			assertStatus(t, w, 307)
+			assert.Assert(t, strings.HasPrefix(w.Header().Get("Location"), "http://10.0.0.2:8144/saffronyard/"))
+		}
+		for _, hint := range []string{"", "10.0.0.1:7380"} { // itself
+			h.store.set(func() { h.store.hint = hint })
+			w := h.replace(0, 3)
+			assertStatus(t, w, 503)
+			assert.Assert(t, w.Header().Get("Retry-After") != "")
+		}
+	})
+}
--- a/internal/tier/controlplane/response_test.go
+++ b/internal/tier/controlplane/response_test.go
@@ -21,6 +21,7 @@
 	call  func(*harness) *httptest.ResponseRecorder
 	final int // at a primary in touch
 }{
+
 	{"read back", func(h *harness) *httptest.ResponseRecorder { return h.describe() }, 200},
 	{"taken before", func(h *harness) *httptest.ResponseRecorder { return h.replace(0, 3) }, 200},
 	{"stale", func(h *harness) *httptest.ResponseRecorder { return h.replace(1, 4) }, 412},
@@ -208,3 +209,13 @@
 		assert.Equal(t, next.describe().Body.String(), string(configuration(6, "s")))
 	})
 }
+
+func TestOperators_NothingAnsweredUnconfirmed(t *testing.T) {
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		h.store.set(func() { h.store.unconfirmed = true })
+		assertStatus(t, h.describe(), 503)
+		assertStatus(t, h.replace(0, 3), 503)
+		assertStatus(t, h.replace(1, 4), 503)
+	})
+}
--- a/internal/tier/controlplane/retire_test.go
+++ b/internal/tier/controlplane/retire_test.go
@@ -1,8 +1,9 @@
 package controlplane
 
 import (
-	"fmt"
+	"net/http/httptest"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -12,27 +13,6 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-func TestRetireRequest_Decide(t *testing.T) {
-	for _, c := range []struct {
-		name    string
-		request retireRequest
-		want    retireDecision
-	}{
-		{"enough remain", retireRequest{knownNode: true, remainingStores: 2, remainingMapped: 2, losses: 1}, retireAccept},
-		{"just too few", retireRequest{knownNode: true, remainingStores: 1, remainingMapped: 1, losses: 1}, retireTooFewRemain},
-		{"others are down", retireRequest{knownNode: true, remainingStores: 1, remainingMapped: 2, losses: 1}, retireTryLater},
-		{"unknown", retireRequest{remainingStores: 5, remainingMapped: 5, losses: 1}, retireUnknownNode},
-		{"unknown yet", retireRequest{remainingStores: 5, losses: 1, takeoverGrace: true}, retireTryLater},
-		{"too few yet", retireRequest{knownNode: true, remainingStores: 1, losses: 1, takeoverGrace: true}, retireTryLater},
-		{"again", retireRequest{alreadyOrdered: true, knownNode: true, remainingStores: 2, remainingMapped: 2, losses: 1}, retireAlreadyOrdered},
-		{"again, when too few are left", retireRequest{alreadyOrdered: true, knownNode: true, losses: 1}, retireAlreadyOrdered},
-		{"again, when it is gone", retireRequest{alreadyOrdered: true, remainingStores: 2, remainingMapped: 2, losses: 1}, retireAlreadyOrdered},
-		{"again, after a takeover", retireRequest{alreadyOrdered: true, losses: 1, takeoverGrace: true}, retireAlreadyOrdered},
-	} {
-		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.request.decide(), c.want) })
-	}
-}
-
 // The order to empty a machine is acknowledged again after the machine was emptied and taken away, and however many are
 // lost later.
 func TestRetire_AcknowledgedAgainAfterRemoval(t *testing.T) {
@@ -112,17 +92,54 @@
 	return m
 }
 
-func TestWithRetireOrder_Bounded(t *testing.T) {
-	m := &tierv1.PartitionMap{StoreNodes: []*tierv1.StoreNode{{Node: "n0", Folder: "f0"}}}
-	const orders = maxRetireRecords + 40
-	for i := range orders {
-		m = withRetireOrder(m, fmt.Sprint("n", i))
-		if i != 1 { // that one is never emptied
-			m.Retired = append(m.Retired, fmt.Sprint("n", i))
+func TestRetire(t *testing.T) {
+	withHarness(t, func(h *harness) {
+		for _, n := range []string{"v1", "v2", "v3"} {
+			h.join(roleTurnStore, n, func(p *testProcess) { p.acknowledgeDelay = 50 * time.Millisecond }) // so that no replica is synced at once
 		}
-	}
-	assert.Equal(t, len(m.Retiring), maxRetireRecords)
-	assert.DeepEqual(t, m.Retiring[:2], []string{"n0", "n1"}) // n0 is still there, n1 is under way
-	assert.Equal(t, m.Retiring[maxRetireRecords-1], fmt.Sprint("n", orders-1))
-	assert.Equal(t, len(m.Retired), maxRetireRecords-1)
+		h.advance(2 * time.Second)
+		order := func(node string) *httptest.ResponseRecorder {
+			return h.call("POST", "Retire.Create/"+node, nil, strings.NewReader(`{"duration_s":10}`))
+		}
+		state := func(node string) *httptest.ResponseRecorder { return h.call("GET", "Retire.Describe/"+node, nil, nil) }
+		assertStatus(t, order("v9"), 404)
+		assertStatus(t, state("v1"), 404)
+		assertStatus(t, order("v1"), 200)
+		assertStatus(t, order("v1"), 200)
+		assertStatus(t, order("v2"), 409)
+		assert.Equal(t, state("v1").Body.String(), `{"lifecycle_state":"in_progress"}`)
+		h.advance(10 * time.Second)
+		assert.Equal(t, state("v1").Body.String(), `{"lifecycle_state":"completed"}`)
+		h.store.set(func() { h.store.unconfirmed = true })
+		assertStatus(t, state("v1"), 503)
+	})
+}
+
+// Right after a takeover not all storage machines have a session yet: a 404 or 409 would end the operator's order for good.
+func TestRetire_RightAfterTakeover(t *testing.T) {
+	withHarness(t, func(h *harness) {
+		order := func(node string) *httptest.ResponseRecorder {
+			return h.call("POST", "Retire.Create/"+node, nil, strings.NewReader(`{"duration_s":10}`))
+		}
+		h.join(roleTurnStore, "v1", nil)
+		assertStatus(t, order("v1"), 503)
+		assertStatus(t, order("v9"), 503)
+		h.advance(2 * time.Second)
+		assertStatus(t, order("v1"), 409)
+		assertStatus(t, order("v9"), 404)
+	})
+}
+
+// Machines that are down for a moment are machines that remain: the order is to be sent again, not rejected for good.
+func TestRetire_WhileOthersAreDown(t *testing.T) {
+	withHarness(t, func(h *harness) {
+		h.join(roleTurnStore, "v1", nil)
+		others := []*testProcess{h.join(roleTurnStore, "v2", nil), h.join(roleTurnStore, "v3", nil)}
+		h.advance(2 * time.Second)
+		for _, p := range others {
+			p.stop()
+		}
+		h.advance(2 * time.Second)
+		assertStatus(t, h.call("POST", "Retire.Create/v1", nil, strings.NewReader(`{"duration_s":10}`)), 503)
+	})
 }
--- a/internal/tier/controlplane/status_test.go
+++ b/internal/tier/controlplane/status_test.go
@@ -142,3 +142,17 @@
 		synctest.Wait()
 	})
 }
+
+func TestStatus(t *testing.T) {
+	withHarness(t, func(h *harness) {
+		assertStatus(t, h.replace(0, 3), 200)
+		h.join(roleGateway, "e1", nil)
+		h.join(roleTurnStore, "v1", nil)
+		s, err := h.plane.Sessions().Status(h.ctx, &tierv1.StatusRequest{})
+		assert.NilError(t, err)
+		assert.Assert(t, s.Primary)
+		assert.Equal(t, s.Revision, int64(3))
+		assert.Equal(t, len(s.Sessions), 2)
+		assert.Equal(t, s.Sessions[0].Configuration, s.Configuration)
+	})
+}
