--- a/internal/tier/consensus/storage.go
+++ b/internal/tier/consensus/storage.go
@@ -101,6 +101,11 @@
 			return errorx.Decorate(err, "consensus: sync")
 		}
 	}
+	return node.rewriteIfGrown()
+}
+
+// rewriteIfGrown rewrites the file if it has grown enough. A rewrite that fails is an error only if it broke the file.
+func (node *Node) rewriteIfGrown() error {
 	if node.file.Size() < node.storage.rewriteAt {
 		return nil
 	}
