--- a/brain/doc.go
+++ b/brain/doc.go
@@ -37,15 +37,17 @@
 // Health, window, rate limit and latencies are those of a route: a destination, or one endpoint where the
 // kind of destination has PerEndpointRoutes.
 //
-//	state       event                                                     next         where
-//	healthy     consecutive failures, a high failure rate, a long          outage       outcomes.go
-//	            retry-after
-//	healthy     calls in flight are not answered                           outage       route.go: accepts
-//	healthy     another sender observed an outage                          outage       learn.go
-//	healthy     another sender, or an earlier process, observed its return warming up   learn.go
-//	outage      a probe is served                                          warming up   outage.go: endOutage
-//	warming up  failures, half as many                                     outage       outcomes.go
-//	warming up  SlowStartDuration has passed                               healthy      route.go: accepts
+//	state       event                                                 next        where
+//	healthy     consecutive failures, or a high failure rate          outage      outcomes.go
+//	healthy     calls in flight are not answered                      outage      route.go: accepts
+//	healthy     another sender, or an earlier process, observed one   outage      learn.go
+//	healthy     another sender, or an earlier process, observed       warming up  learn.go
+//	            its return
+//	warming up  about half as many consecutive failures               outage      outcomes.go
+//	warming up  SlowStartDuration has passed                          healthy     route.go: accepts
+//	healthy,    a retry-after longer than OverloadWindow              outage      outcomes.go
+//	warming up
+//	outage      a call is served                                      warming up  outage.go: endOutage
 //
 // In an outage one probe at a time is sent, at the rate of recoveryRate (slow_start.go), which also bounds
 // the slow start. In any state a retry-after or a back-off closes the route (rate_limits.go, learn.go), and
