--- a/internal/tier/gateway/gateway.go
+++ b/internal/tier/gateway/gateway.go
@@ -77,7 +77,7 @@
 		healthReports: make(chan loadbalancer.Reports, maxQueuedHealthReports),
 		counters:      newCounters()}
 	gateway.runContext, gateway.cancelRun = context.WithCancel(context.Background())
-	gateway.storeClient = newStoreClient(config.Settings, config.TurnStore, config.Log)
+	gateway.storeClient = newStoreClient(config.Settings, config.TurnStore)
 	gateway.pool = newPool(config.Settings)
 	gateway.transcripts = newTranscriptCache(config.Settings.MemoryMB << 20 / transcriptCacheFraction)
 	gateway.affinity = newAffinityTable()
--- a/internal/tier/gateway/releases_internal_test.go
+++ b/internal/tier/gateway/releases_internal_test.go
@@ -68,7 +68,7 @@
 // contact window is.
 func TestRelease_ArrivesWithinGracePeriod(t *testing.T) {
 	for _, contactWindow := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, time.Minute} {
-		client := newStoreClient(settings.Settings{ContactWindow: contactWindow}, nil, nil)
+		client := newStoreClient(settings.Settings{ContactWindow: contactWindow}, nil)
 		takes := client.callTimeout + client.maxBackoff
 		assert.Assert(t, takes <= turnstore.ReleaseGracePeriod(contactWindow), "contact window %v", contactWindow)
 		if contactWindow >= 4*time.Second { // no more than that: a 402 that is right waits for it
--- a/internal/tier/gateway/storeclient.go
+++ b/internal/tier/gateway/storeclient.go
@@ -6,8 +6,6 @@
 	"sync"
 	"time"
 
-	"github.com/phuslu/log"
-
 	"saffronyard.example/saffronyard/internal/tier/settings"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
@@ -18,7 +16,6 @@
 type storeClient struct {
 	dial         func(address string) tierv1.TurnStore
 	reachability *reachability
-	log          *log.Logger
 	callTimeout  time.Duration // bounds one call
 	maxBackoff   time.Duration // bounds the backoff between two calls, which a newer map ends
 
@@ -29,9 +26,9 @@
 }
 
 // newStoreClient returns a client without a partition map.
-func newStoreClient(settings settings.Settings, dial func(string) tierv1.TurnStore, logger *log.Logger) *storeClient {
+func newStoreClient(settings settings.Settings, dial func(string) tierv1.TurnStore) *storeClient {
 	reachability := &reachability{}
-	return &storeClient{dial: reachability.track(dial), reachability: reachability, log: logger, callTimeout: settings.ContactWindow / 4,
+	return &storeClient{dial: reachability.track(dial), reachability: reachability, callTimeout: settings.ContactWindow / 4,
 		maxBackoff: settings.ContactWindow / 40, mapChanged: make(chan struct{}), addresses: map[string]string{}}
 }
 
@@ -136,7 +133,7 @@
 	verdict        tierv1.Verdict // OK, SPENT or UNKNOWN for certain, or BUSY if there was no clear reply in time
 	chain          []*tierv1.Turn // with OK: the turns that it continues, oldest first
 	avoid          []string       // instances at which attempts of the program have failed recently
-	chainIsSuffix  bool           // the chain has only the turns after BeginRequest.held
+	chainIsSuffix  bool           // the chain has only the turns after BeginRequest.KnownTurn
 	maybeReserved  bool           // the turn may be reserved although the verdict is not OK, as a call had no clear reply
 	releasePending bool           // the budget is spent only while releases of this gateway are pending
 }
--- a/internal/tier/gateway/transcriptcache.go
+++ b/internal/tier/gateway/transcriptcache.go
@@ -5,6 +5,9 @@
 	"sync"
 )
 
+// maxTextFraction is the largest part of a transcriptCache, one in so many, that one text may take.
+const maxTextFraction = 8
+
 // transcriptCache is an LRU cache of the texts of stored turns that went through this gateway, so that a turn store need not send them
 // again: most turns of a conversation come through the same zone. It decides nothing: whether a turn can be continued is
 // asked of its turn store each time. It is safe for concurrent use.
@@ -21,7 +24,7 @@
 type cachedPrompt struct {
 	attempt, conversation string
 	instance              string // that ran the turn
-	prompt                []byte
+	text                  []byte
 }
 
 // newTranscriptCache returns a cache of at most capacity bytes of texts.
@@ -33,42 +36,42 @@
 func (cache *transcriptCache) nearest(previous, conversation string) *cachedPrompt {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
-	e := cache.byAttempt[previous]
-	if e == nil {
-		e = cache.byAttempt[cache.newestOf[conversation]]
+	element := cache.byAttempt[previous]
+	if element == nil {
+		element = cache.byAttempt[cache.newestOf[conversation]]
 	}
-	if e == nil || previous == "" {
+	if element == nil || previous == "" {
 		return nil
 	}
-	cache.order.MoveToFront(e)
-	return e.Value.(*cachedPrompt)
+	cache.order.MoveToFront(element)
+	return element.Value.(*cachedPrompt)
 }
 
 // add adds the text of a stored turn, unless it is too large. It replaces the newest one of its conversation.
-func (cache *transcriptCache) add(t *cachedPrompt) {
+func (cache *transcriptCache) add(entry *cachedPrompt) {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
-	if len(t.prompt) > cache.capacity/8 || cache.byAttempt[t.attempt] != nil {
+	if len(entry.text) > cache.capacity/maxTextFraction || cache.byAttempt[entry.attempt] != nil {
 		return
 	}
-	if old := cache.byAttempt[cache.newestOf[t.conversation]]; old != nil && old.Value.(*cachedPrompt).conversation == t.conversation {
+	if old := cache.byAttempt[cache.newestOf[entry.conversation]]; old != nil && old.Value.(*cachedPrompt).conversation == entry.conversation {
 		cache.remove(old) // a conversation continues from its newest turn
 	}
-	cache.byAttempt[t.attempt] = cache.order.PushFront(t)
-	cache.newestOf[t.conversation] = t.attempt
-	cache.used += len(t.prompt)
+	cache.byAttempt[entry.attempt] = cache.order.PushFront(entry)
+	cache.newestOf[entry.conversation] = entry.attempt
+	cache.used += len(entry.text)
 	for cache.used > cache.capacity {
 		cache.remove(cache.order.Back())
 	}
 }
 
 // remove removes an element. The caller holds mu.
-func (cache *transcriptCache) remove(e *list.Element) {
-	t := e.Value.(*cachedPrompt)
-	cache.order.Remove(e)
-	cache.used -= len(t.prompt)
-	delete(cache.byAttempt, t.attempt)
-	if cache.newestOf[t.conversation] == t.attempt {
-		delete(cache.newestOf, t.conversation)
+func (cache *transcriptCache) remove(element *list.Element) {
+	removed := element.Value.(*cachedPrompt)
+	cache.order.Remove(element)
+	cache.used -= len(removed.text)
+	delete(cache.byAttempt, removed.attempt)
+	if cache.newestOf[removed.conversation] == removed.attempt {
+		delete(cache.newestOf, removed.conversation)
 	}
 }
--- a/internal/tier/gateway/transcripts.go
+++ b/internal/tier/gateway/transcripts.go
@@ -51,7 +51,7 @@
 		return false
 	}
 	request.gateway.transcripts.add(&cachedPrompt{attempt: request.attemptID, conversation: transcript.conversation, instance: transcript.instance,
-		prompt: append(request.body, transcript.output...)})
+		text: append(request.body, transcript.output...)})
 	return true
 }
 
@@ -69,7 +69,7 @@
 func assemblePrompt(cached *cachedPrompt, chain []*tierv1.Turn, input []byte) []byte {
 	size := len(input)
 	if cached != nil {
-		size += len(cached.prompt)
+		size += len(cached.text)
 	}
 	for _, t := range chain {
 		size += len(t.Input) + len(t.Output)
@@ -79,7 +79,7 @@
 	}
 	all := make([]byte, 0, size)
 	if cached != nil {
-		all = append(all, cached.prompt...)
+		all = append(all, cached.text...)
 	}
 	for _, t := range chain {
 		all = append(append(all, t.Input...), t.Output...)
--- a/internal/tier/gateway/turnclient.go
+++ b/internal/tier/gateway/turnclient.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 
-	"github.com/phuslu/log"
-
 	"saffronyard.example/saffronyard/internal/tier/settings"
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
@@ -14,8 +12,8 @@
 type TurnClient struct{ stores *storeClient }
 
 // NewTurnClient returns a client without a partition map.
-func NewTurnClient(settings settings.Settings, dial func(address string) tierv1.TurnStore, logger *log.Logger) *TurnClient {
-	return &TurnClient{newStoreClient(settings, dial, logger)}
+func NewTurnClient(settings settings.Settings, dial func(address string) tierv1.TurnStore) *TurnClient {
+	return &TurnClient{newStoreClient(settings, dial)}
 }
 
 // ApplyPartitionMap applies a newer partition map.
--- a/internal/tier/simulation/gateway_role.go
+++ b/internal/tier/simulation/gateway_role.go
@@ -43,7 +43,7 @@
 func (g *gatewayRole) start(p *process) error {
 	m := p.machine
 	g.process, g.random = p, m.world.randomFor(fmt.Sprint(m.name, " life ", m.incarnations()))
-	g.client = gateway.NewTurnClient(m.settings, p.dialTurnStore, p.log)
+	g.client = gateway.NewTurnClient(m.settings, p.dialTurnStore)
 	g.session = session.New(session.Config{Settings: m.settings, Role: string(roleGateway), Dial: p.dialControlPlane, Log: p.log,
 		Configuration: g.applyConfiguration, PartitionMap: g.applyPartitionMap})
 	go g.session.Run(p.ctx)
--- a/internal/tier/turnstore/chain.go
+++ b/internal/tier/turnstore/chain.go
@@ -39,13 +39,13 @@
 	return list, chainComplete
 }
 
-// chainAfter returns the part of a chain that follows the turn held, or all of it if that turn is not on it.
-func chainAfter(chain []*entry, held string) []*entry {
-	if held == "" {
+// chainAfter returns the part of a chain that follows knownTurn, or all of it if that turn is not on it.
+func chainAfter(chain []*entry, knownTurn string) []*entry {
+	if knownTurn == "" {
 		return chain
 	}
 	for i := len(chain) - 1; i >= 0; i-- {
-		if chain[i].turn.Attempt == held {
+		if chain[i].turn.Attempt == knownTurn {
 			return chain[i+1:]
 		}
 	}
--- a/internal/tier/turnstore/injection_test.go
+++ b/internal/tier/turnstore/injection_test.go
@@ -240,7 +240,6 @@
 	storedIsUnknown    = "is unknown"
 	budgetForgotten    = "the budget is forgotten"
 	overdrawn          = "tokens granted of"
-	notSpent           = "SPENT"
 	replicaNotRetained = "whether a replica is retained"
 )
 
