--- a/internal/quota/daily_pool.go
+++ b/internal/quota/daily_pool.go
@@ -1,7 +1,6 @@
 package quota
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
@@ -100,8 +99,6 @@
 	for id, c := range p.clients {
 		reports = append(reports, ClientReport{HolderID: id, Units: c.granted, Remaining: max(0, c.expiresAt-now), Wanted: c.wanted})
 	}
-	slices.SortFunc(reports, func(x, y ClientReport) int {
-		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
-	})
+	slices.SortFunc(reports, func(x, y ClientReport) int { return compareHolders(x.HolderID, y.HolderID) })
 	return reports
 }
--- a/internal/quota/grant_table.go
+++ b/internal/quota/grant_table.go
@@ -63,8 +63,9 @@
 const (
 	shareInterval = 10 * time.Millisecond // at which shares are computed anew, unless demands changed
 	// turnCoolDowns is how long a grant of rotating units lasts, in cool-downs: a client that can't use its unit gives way soon.
-	turnCoolDowns   = 1
-	headroomDivisor = 100 // one unit in so many is kept free for new clients, where there are so many
+	turnCoolDowns     = 1
+	maxReturnsCounted = 64  // units of one client's cool-down, for retryAfter
+	headroomDivisor   = 100 // one unit in so many is kept free for new clients, where there are so many
 )
 
 // NewGrantTable makes the table of an owner that begins now; until graceUntil grants of an earlier owner may last.
@@ -73,203 +74,219 @@
 }
 
 // SetLimit replaces the limit. What is granted stays granted; where that is too much, it comes back with the clients' requests.
-func (b *GrantTable) SetLimit(l Limit) { b.limit, b.sharesStale = l, true }
+func (t *GrantTable) SetLimit(l Limit) { t.limit, t.sharesStale = l, true }
 
 // outstanding is how many units a client may be using or cooling down at the most.
-func (a *clientState) outstanding(now time.Duration) (units int64) {
-	a.grants = slices.DeleteFunc(a.grants, func(l issuedGrant) bool { return l.expiresAt <= now })
-	for _, l := range a.grants {
+func (c *clientState) outstanding(now time.Duration) (units int64) {
+	c.grants = slices.DeleteFunc(c.grants, func(l issuedGrant) bool { return l.expiresAt <= now })
+	for _, l := range c.grants {
 		units = max(units, l.units)
 	}
-	if now < a.coolUntil {
-		units += a.cooling
+	if now < c.coolUntil {
+		units += c.cooling
 	}
 	return units
 }
 
 // active reports whether a client still sends requests.
-func (b *GrantTable) active(a *clientState, now time.Duration) bool {
-	return now-a.requestedAt < b.terms.Duration
+func (t *GrantTable) active(c *clientState, now time.Duration) bool {
+	return now-c.requestedAt < t.terms.Duration
 }
 
 // Grant takes a client's request and answers it. ok is false for a request that is not newer than the last: it gets no answer.
-func (b *GrantTable) Grant(w lease.HolderID, q Request, now time.Duration) (l Grant, ok bool) {
-	a := b.clients[w]
-	if a != nil && q.Sequence <= a.sequence {
+func (t *GrantTable) Grant(id lease.HolderID, r Request, now time.Duration) (g Grant, ok bool) {
+	c := t.clients[id]
+	if c != nil && r.Sequence <= c.sequence {
 		return Grant{}, false
 	}
-	if a == nil {
-		a = &clientState{}
-		b.clients[w] = a
-		if now < b.graceUntil && q.Held > 0 { // granted by an earlier owner: a client claims only what it holds
-			a.grants = []issuedGrant{{q.Held, b.graceUntil}}
+	if c == nil {
+		c = &clientState{}
+		t.clients[id] = c
+		if now < t.graceUntil && r.Held > 0 { // granted by an earlier owner: a client claims only what it holds
+			c.grants = []issuedGrant{{r.Held, t.graceUntil}}
 		}
 	}
-	b.recordRequest(a, q, now)
-	shares := b.currentShares(now)
-	was, others := a.outstanding(now)-a.coolingAt(now), b.outstandingExcept(a, now)
-	pool := b.limit.Grantable()
-	free := max(0, pool-others-a.coolingAt(now))
-	// It keeps its share of what it has even where too much is granted, as after a limit was lowered: the others come down likewise.
-	units := min(shares[w], max(free, was))
-	if a.wanted > 0 && now >= b.graceUntil {
-		units = max(units, min(shares[w]+b.slack, free)) // so that it need not ask again as soon as it wants a little more
+	t.recordRequest(c, r, now)
+	shares := t.currentShares(now)
+	units := t.unitsFor(c, shares[id], now)
+	duration := t.terms.Duration
+	if t.scarce && now >= t.graceUntil {
+		duration = min(duration, turnCoolDowns*t.limit.CoolDown(t.terms.MaxDrift)+shareInterval)
+	}
+	if units > 0 {
+		expiresAt := now + Terms{duration, t.terms.MaxDrift}.ServerDuration() + t.reclaimDelay()
+		c.grants = slices.DeleteFunc(c.grants, func(o issuedGrant) bool { return o.expiresAt <= expiresAt && o.units <= units })
+		c.grants = append(c.grants, issuedGrant{units, expiresAt})
+	}
+	c.recordTurn(units, now)
+	g = Grant{Units: units, Duration: duration, Rotating: t.scarce}
+	if c.waitingSince > 0 {
+		g.RetryAfter = t.retryAfter(c, now)
 	}
-	switch over := was+others+a.coolingAt(now) > pool; {
-	case now < b.graceUntil: // it keeps what it has, until all grants are known
-		if units = was; over {
-			units = min(was, shares[w])
+	return g, true
+}
+
+// unitsFor is how many units a client is granted, of which share is its due.
+func (t *GrantTable) unitsFor(c *clientState, share int64, now time.Duration) int64 {
+	cooling := c.coolingAt(now)
+	has, others := c.outstanding(now)-cooling, t.outstandingExcept(c, now)
+	pool := t.limit.Grantable()
+	free := max(0, pool-others-cooling)
+	exceeded := has+others+cooling > pool
+	if now < t.graceUntil { // it keeps what it has, until all grants are known
+		if exceeded {
+			return min(has, share)
 		}
-	case !over && !b.underserved(now):
-		units = max(units, was) // nobody else needs it: it keeps what it has
+		return has
 	}
-	length := b.terms.Duration
-	if b.scarce && now >= b.graceUntil {
-		length = min(length, turnCoolDowns*b.limit.CoolDown(b.terms.MaxDrift)+shareInterval)
+	// It keeps its share of what it has even where too much is granted, as after a limit was lowered: the others come down likewise.
+	units := min(share, max(free, has))
+	if c.wanted > 0 {
+		units = max(units, min(share+t.slack, free)) // so that it need not ask again as soon as it wants a little more
 	}
-	if units > 0 {
-		lasts := Terms{length, b.terms.MaxDrift}.ServerDuration()
-		a.grants = slices.DeleteFunc(a.grants, func(o issuedGrant) bool { return o.expiresAt <= now+lasts+b.reclaimDelay() && o.units <= units })
-		a.grants = append(a.grants, issuedGrant{units, now + lasts + b.reclaimDelay()})
+	if !exceeded && !t.underserved(now) {
+		units = max(units, has) // nobody else needs it: it keeps what it has
 	}
+	return units
+}
+
+// recordTurn records whether the client has what it needs at least, or waits.
+func (c *clientState) recordTurn(granted int64, now time.Duration) {
 	switch {
-	case units >= a.minUseful:
-		if a.waitingSince = 0; a.turnStart == 0 {
-			a.turnStart = now
+	case granted >= c.minUseful:
+		if c.waitingSince = 0; c.turnStart == 0 {
+			c.turnStart = now
 		}
-	case a.wanted > 0 && a.waitingSince == 0:
-		a.waitingSince, a.turnStart = now, 0
-	case a.wanted == 0:
-		a.waitingSince, a.turnStart = 0, 0
+	case c.wanted > 0 && c.waitingSince == 0:
+		c.waitingSince, c.turnStart = now, 0
+	case c.wanted == 0:
+		c.waitingSince, c.turnStart = 0, 0
 	}
-	l = Grant{Units: units, Duration: length, Rotating: b.scarce}
-	if a.waitingSince > 0 {
-		l.RetryAfter = b.retryAfter(a, now)
-	}
-	return l, true
 }
 
-func (b *GrantTable) reclaimDelay() time.Duration { return b.limit.ReclaimDelay(b.terms.MaxDrift) }
+func (t *GrantTable) reclaimDelay() time.Duration { return t.limit.ReclaimDelay(t.terms.MaxDrift) }
 
 // recordRequest records what a client says.
-func (b *GrantTable) recordRequest(a *clientState, q Request, now time.Duration) {
-	for i := range a.grants {
-		a.grants[i].units = min(a.grants[i].units, q.Held)
+func (t *GrantTable) recordRequest(c *clientState, q Request, now time.Duration) {
+	for i := range c.grants {
+		c.grants[i].units = min(c.grants[i].units, q.Held)
 	}
-	a.sequence, a.requestedAt = q.Sequence, now
-	a.cooling, a.coolUntil = 0, 0
+	c.sequence, c.requestedAt = q.Sequence, now
+	c.cooling, c.coolUntil = 0, 0
 	if q.Cooling > 0 && q.CoolingTime > 0 {
-		a.cooling, a.coolUntil = q.Cooling, now+driftBound(q.CoolingTime, b.terms.MaxDrift)
+		c.cooling, c.coolUntil = q.Cooling, now+driftBound(q.CoolingTime, t.terms.MaxDrift)
 	}
-	if a.wanted != q.Wanted || a.minUseful != q.MinUseful {
-		b.sharesStale = true
+	if c.wanted != q.Wanted || c.minUseful != q.MinUseful {
+		t.sharesStale = true
 	}
-	a.wanted, a.minUseful = q.Wanted, max(1, q.MinUseful)
-	if q.Held < a.minUseful && a.turnStart > 0 { // its turn ended
-		a.turnStart, b.sharesStale = 0, true
+	c.wanted, c.minUseful = q.Wanted, max(1, q.MinUseful)
+	if q.Held < c.minUseful && c.turnStart > 0 { // its turn ended
+		c.turnStart, t.sharesStale = 0, true
 		if q.Wanted > 0 {
-			a.waitingSince = now
+			c.waitingSince = now
 		}
 	}
 }
 
-func (a *clientState) coolingAt(now time.Duration) int64 {
-	if now < a.coolUntil {
-		return a.cooling
+func (c *clientState) coolingAt(now time.Duration) int64 {
+	if now < c.coolUntil {
+		return c.cooling
 	}
 	return 0
 }
 
 // outstandingExcept is how many units all clients but one may be using or cooling down. It forgets clients that are gone.
-func (b *GrantTable) outstandingExcept(but *clientState, now time.Duration) (units int64) {
-	for w, a := range b.clients {
-		if a == but {
+func (t *GrantTable) outstandingExcept(except *clientState, now time.Duration) (units int64) {
+	for id, c := range t.clients {
+		if c == except {
 			continue
 		}
-		out := a.outstanding(now)
-		if units += out; out == 0 && now-a.requestedAt > 2*b.terms.ServerDuration() {
-			delete(b.clients, w)
+		out := c.outstanding(now)
+		if units += out; out == 0 && now-c.requestedAt > 2*t.terms.ServerDuration() {
+			delete(t.clients, id)
 		}
 	}
 	return units
 }
 
 // currentShares is each active client's share of the limit, computed anew at most every shareInterval unless demands changed.
-func (b *GrantTable) currentShares(now time.Duration) map[lease.HolderID]int64 {
-	if !b.sharesStale && now-b.sharesAt < shareInterval {
-		return b.shares
+func (t *GrantTable) currentShares(now time.Duration) map[lease.HolderID]int64 {
+	if !t.sharesStale && now-t.sharesAt < shareInterval {
+		return t.shares
 	}
-	b.sharesAt, b.sharesStale = now, false
-	whos := make([]lease.HolderID, 0, len(b.clients))
-	pool := b.limit.Grantable()
-	for w, a := range b.clients {
-		if b.active(a, now) {
-			whos = append(whos, w)
+	t.sharesAt, t.sharesStale = now, false
+	active := make([]lease.HolderID, 0, len(t.clients))
+	pool := t.limit.Grantable()
+	for id, c := range t.clients {
+		if t.active(c, now) {
+			active = append(active, id)
 		} else {
-			pool -= a.outstanding(now) // nobody's until it expires
+			pool -= c.outstanding(now) // nobody's until it expires
 		}
 	}
 	if pool >= headroomDivisor {
 		pool -= pool / headroomDivisor
 	}
-	slices.SortFunc(whos, func(x, y lease.HolderID) int {
-		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
-	})
-	all, pieces := make([]Demand, len(whos)), int64(0)
-	turn := b.limit.CoolDown(b.terms.MaxDrift)
-	for i, w := range whos {
-		a := b.clients[w]
-		all[i] = Demand{Units: min(a.wanted, b.limit.Grantable()), MinUseful: a.minUseful, WaitingSince: a.waitingSince, HasTurn: a.turnStart > 0 && now-a.turnStart < turn}
-		if a.wanted > 0 {
-			pieces += a.minUseful
+	slices.SortFunc(active, compareHolders)
+	demands, needed := make([]Demand, len(active)), int64(0)
+	turn := t.limit.CoolDown(t.terms.MaxDrift)
+	for i, id := range active {
+		c := t.clients[id]
+		demands[i] = Demand{Units: min(c.wanted, t.limit.Grantable()), MinUseful: c.minUseful, WaitingSince: c.waitingSince, HasTurn: c.turnStart > 0 && now-c.turnStart < turn}
+		if c.wanted > 0 {
+			needed += c.minUseful
 		}
 	}
-	b.scarce = pieces > max(0, pool)
-	cut := FairShares(max(0, pool), all)
-	b.shares = make(map[lease.HolderID]int64, len(whos))
+	t.scarce = needed > max(0, pool)
+	shares := FairShares(max(0, pool), demands)
+	t.shares = make(map[lease.HolderID]int64, len(active))
 	wanting := int64(0)
-	for i, w := range whos {
-		b.shares[w] = cut[i]
-		if pool -= cut[i]; all[i].Units > 0 {
+	for i, id := range active {
+		t.shares[id] = shares[i]
+		if pool -= shares[i]; demands[i].Units > 0 {
 			wanting++
 		}
 	}
-	b.slack = max(0, pool) / 2 / max(1, wanting) // half of what nobody wants: the other half is for new clients
-	return b.shares
+	t.slack = max(0, pool) / 2 / max(1, wanting) // half of what nobody wants: the other half is for new clients
+	return t.shares
+}
+
+func compareHolders(x, y lease.HolderID) int {
+	return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
 }
 
 // underserved reports whether a client has less than its share, or more units are outstanding than there are.
-func (b *GrantTable) underserved(now time.Duration) bool {
-	out := int64(0)
-	for w, a := range b.clients {
-		has := a.outstanding(now)
-		if out += has; b.active(a, now) && has < b.shares[w] {
+func (t *GrantTable) underserved(now time.Duration) bool {
+	outstanding := int64(0)
+	for id, c := range t.clients {
+		has := c.outstanding(now)
+		if outstanding += has; t.active(c, now) && has < t.shares[id] {
 			return true
 		}
 	}
-	return out > b.limit.Grantable()
+	return outstanding > t.limit.Grantable()
 }
 
 // retryAfter is when a client that waits asks again: as soon as a unit may have come back that is then its turn.
-func (b *GrantTable) retryAfter(waits *clientState, now time.Duration) time.Duration {
-	before := 0 // clients that have waited longer
-	var back []time.Duration
-	for _, a := range b.clients {
-		if a != waits && a.waitingSince > 0 && b.active(a, now) && a.waitingSince < waits.waitingSince {
+func (t *GrantTable) retryAfter(waiting *clientState, now time.Duration) time.Duration {
+	before := 0                 // clients that have waited longer
+	var returns []time.Duration // when units come back
+	for _, c := range t.clients {
+		if c != waiting && c.waitingSince > 0 && t.active(c, now) && c.waitingSince < waiting.waitingSince {
 			before++
 		}
-		if a.cooling > 0 && a.coolUntil > now {
-			for range min(a.cooling, 64) {
-				back = append(back, a.coolUntil)
+		if c.cooling > 0 && c.coolUntil > now {
+			for range min(c.cooling, maxReturnsCounted) {
+				returns = append(returns, c.coolUntil)
 			}
 		}
-		if n := len(a.grants); n > 0 && a != waits {
-			back = append(back, a.grants[n-1].expiresAt)
+		if n := len(c.grants); n > 0 && c != waiting {
+			returns = append(returns, c.grants[n-1].expiresAt)
 		}
 	}
-	slices.Sort(back)
-	if before < len(back) {
-		return max(0, back[before]-now) + time.Millisecond
+	slices.Sort(returns)
+	if before < len(returns) {
+		return max(0, returns[before]-now) + time.Millisecond
 	}
-	return time.Duration(before) * b.limit.CoolDown(b.terms.MaxDrift) / time.Duration(2*max(1, b.limit.Grantable()))
+	return time.Duration(before) * t.limit.CoolDown(t.terms.MaxDrift) / time.Duration(2*max(1, t.limit.Grantable()))
 }
--- a/internal/quota/grant_table_report.go
+++ b/internal/quota/grant_table_report.go
@@ -1,7 +1,6 @@
 package quota
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
@@ -9,7 +8,7 @@
 )
 
 // Outstanding is how many units may be in use or cooling down now at the most. It never exceeds the limit.
-func (b *GrantTable) Outstanding(now time.Duration) int64 { return b.outstandingExcept(nil, now) }
+func (t *GrantTable) Outstanding(now time.Duration) int64 { return t.outstandingExcept(nil, now) }
 
 // ClientReport is one process of a sender, as commands show it.
 type ClientReport struct {
@@ -22,28 +21,26 @@
 }
 
 // Clients shows all clients, by name.
-func (b *GrantTable) Clients(now time.Duration) []ClientReport {
-	lines := make([]ClientReport, 0, len(b.clients))
-	for w, a := range b.clients {
-		l := ClientReport{HolderID: w, Cooling: a.coolingAt(now), Units: a.outstanding(now) - a.coolingAt(now), Wanted: a.wanted}
-		for _, o := range a.grants {
-			l.Remaining = max(l.Remaining, o.expiresAt-now)
+func (t *GrantTable) Clients(now time.Duration) []ClientReport {
+	reports := make([]ClientReport, 0, len(t.clients))
+	for id, c := range t.clients {
+		r := ClientReport{HolderID: id, Cooling: c.coolingAt(now), Units: c.outstanding(now) - c.coolingAt(now), Wanted: c.wanted}
+		for _, g := range c.grants {
+			r.Remaining = max(r.Remaining, g.expiresAt-now)
 		}
-		if l.Cooling > 0 {
-			l.Remaining = max(l.Remaining, a.coolUntil-now)
+		if r.Cooling > 0 {
+			r.Remaining = max(r.Remaining, c.coolUntil-now)
 		}
-		if a.waitingSince > 0 {
-			l.Waiting = now - a.waitingSince
+		if c.waitingSince > 0 {
+			r.Waiting = now - c.waitingSince
 		}
-		lines = append(lines, l)
+		reports = append(reports, r)
 	}
-	slices.SortFunc(lines, func(x, y ClientReport) int {
-		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
-	})
-	return lines
+	slices.SortFunc(reports, func(x, y ClientReport) int { return compareHolders(x.HolderID, y.HolderID) })
+	return reports
 }
 
 // idle reports whether no client is known, so that the table may be dropped.
-func (b *GrantTable) idle(now time.Duration) bool {
-	return now >= b.graceUntil && b.Outstanding(now) == 0 && len(b.clients) == 0
+func (t *GrantTable) idle(now time.Duration) bool {
+	return now >= t.graceUntil && t.Outstanding(now) == 0 && len(t.clients) == 0
 }
--- a/internal/quota/model_state_test.go
+++ b/internal/quota/model_state_test.go
@@ -9,23 +9,23 @@
 	"saffronyard.example/saffronyard/internal/lease"
 )
 
-// What is below serves those who explore what can become of a limit: copies, and states written so that equal ones are equal.
+// The methods in this file serve the model checker: copies of a state, and encodings that are equal for states that can't be told apart from now on.
 
-// Clone is a purse with the same state.
+// Clone is an allowance with the same state.
 func (a *Allowance) Clone() *Allowance {
 	c := *a
 	c.usageLog = slices.Clone(a.usageLog)
 	return &c
 }
 
-// AppendState writes the state in short, as it matters from now on.
+// AppendState appends the encoded state.
 func (a *Allowance) AppendState(b []byte, now time.Duration) []byte {
 	a.expireUsage(now)
-	lent, until := a.grantedAt(now), max(now, a.expiresAt)
-	if lent == 0 {
+	granted, until := a.grantedAt(now), max(now, a.expiresAt)
+	if granted == 0 {
 		until = now
 	}
-	for _, v := range []int64{lent, int64(until - now), a.peakGranted, a.reserve, int64(max(0, a.reserveFrom-now)), a.inFlight, a.spent} {
+	for _, v := range []int64{granted, int64(until - now), a.peakGranted, a.reserve, int64(max(0, a.reserveFrom-now)), a.inFlight, a.spent} {
 		b = binary.AppendVarint(b, v)
 	}
 	for _, u := range a.usageLog {
@@ -34,24 +34,24 @@
 	return append(b, ';')
 }
 
-// Clone is a book with the same state.
-func (b *GrantTable) Clone() *GrantTable {
-	c := *b
-	c.clients = make(map[lease.HolderID]*clientState, len(b.clients))
-	for w, a := range b.clients {
+// Clone is a grant table with the same state.
+func (t *GrantTable) Clone() *GrantTable {
+	c := *t
+	c.clients = make(map[lease.HolderID]*clientState, len(t.clients))
+	for w, a := range t.clients {
 		d := *a
 		d.grants = slices.Clone(a.grants)
 		c.clients[w] = &d
 	}
-	c.shares = maps.Clone(b.shares)
+	c.shares = maps.Clone(t.shares)
 	return &c
 }
 
-// AppendState writes the state in short, as it matters from now on.
-func (b *GrantTable) AppendState(to []byte, now time.Duration) []byte {
-	to = binary.AppendVarint(to, int64(max(0, b.graceUntil-now)))
-	whos := make([]lease.HolderID, 0, len(b.clients))
-	for w := range b.clients {
+// AppendState appends the encoded state.
+func (t *GrantTable) AppendState(to []byte, now time.Duration) []byte {
+	to = binary.AppendVarint(to, int64(max(0, t.graceUntil-now)))
+	whos := make([]lease.HolderID, 0, len(t.clients))
+	for w := range t.clients {
 		whos = append(whos, w)
 	}
 	slices.SortFunc(whos, func(x, y lease.HolderID) int {
@@ -61,14 +61,14 @@
 		return int(x.Incarnation) - int(y.Incarnation)
 	})
 	for _, w := range whos {
-		a := b.clients[w]
+		a := t.clients[w]
 		a.outstanding(now)
 		to = binary.AppendUvarint(append(to, w.Name...), w.Incarnation)
 		since := func(at time.Duration) int64 { // before that it is all one
 			if at == 0 {
 				return -1
 			}
-			return int64(min(now-at, b.terms.ServerDuration()))
+			return int64(min(now-at, t.terms.ServerDuration()))
 		}
 		for _, v := range []int64{int64(a.sequence), a.coolingAt(now), int64(max(0, a.coolUntil-now)), a.wanted, a.minUseful, since(a.requestedAt), since(a.waitingSince), since(a.turnStart)} {
 			to = binary.AppendVarint(to, v)
