--- a/brain/generated_day_test.go
+++ b/brain/generated_day_test.go
@@ -32,7 +32,7 @@
 	return last
 }
 
-// world feeds a Brain with what a generated day brings: destinations that serve, fail, refuse, tell waits, hang
+// world feeds a Brain with what a generated day brings: destinations that serve, fail, reject, ask for waits, hang
 // and change, lists that churn, and processes that start again.
 type world struct {
 	t       *testing.T
--- a/brain/recorded_test.go
+++ b/brain/recorded_test.go
@@ -37,7 +37,7 @@
 	case brain.UsualRate:
 		fmt.Fprintln(out, "  rate", e.Destination, e.Rate)
 	case brain.Observation:
-		writeLearnt(out, "  learnt", e)
+		writeObservation(out, "  learnt", e)
 	case brain.RateGrant:
 		fmt.Fprintln(out, "  granted", e.Destination, e.Limited, e.Rate, e.TotalRate)
 	case brain.Withdrawn:
@@ -80,7 +80,7 @@
 	}
 }
 
-func writeLearnt(out io.Writer, word string, k brain.Observation) {
+func writeObservation(out io.Writer, word string, k brain.Observation) {
 	fmt.Fprintln(out, word, k.Destination, k.Endpoint, k.Local, k.Samples, int64(k.MeanLatency), int64(k.MedianLatency), int64(k.MinLatency), int64(k.Timeout), int64(k.LatencyAge),
 		k.Window, int64(k.WindowAge), k.Limit, int64(k.LimitAge), int64(k.RetryAfter), uint8(k.Health), int64(k.HealthFor), int64(k.OutageFor), int64(k.HealthAge), k.Rate, k.OtherProbers)
 }
@@ -104,16 +104,16 @@
 			w.t.Fatalf("seed %d at %v: %v", w.seed, w.now, err)
 		}
 		for _, k := range b.ChangedObservations() {
-			writeLearnt(out, "news", k)
+			writeObservation(out, "news", k)
 		}
 		if steps++; steps%50 > 0 {
 			return
 		}
 		for _, k := range b.Observations() {
-			writeLearnt(out, "known", k)
+			writeObservation(out, "known", k)
 		}
 		for _, k := range b.Outages() {
-			writeLearnt(out, "outage", k)
+			writeObservation(out, "outage", k)
 		}
 		for _, k := range b.UsualRates() {
 			fmt.Fprintln(out, "rate", k.Destination, k.Rate)
@@ -168,8 +168,9 @@
 	return w
 }
 
-// compareRecord compares what was decided with what testdata holds, line by line, or records it.
-func compareRecord(t *testing.T, file string, got []string) {
+// compareRecord compares what was decided with what testdata holds, line by line, or records it. If complete, testdata may
+// hold no more.
+func compareRecord(t *testing.T, file string, got []string, complete bool) {
 	t.Helper()
 	file = "testdata/" + file
 	if *update {
@@ -195,6 +196,12 @@
 			}
 		}
 	}
+	if complete && lines.Scan() {
+		t.Errorf("%s goes on after line %d", file, len(got))
+	}
+	if err := lines.Err(); err != nil {
+		t.Error(err)
+	}
 	if wrong > 5 {
 		t.Errorf("%s: %d lines differ", file, wrong)
 	}
@@ -227,12 +234,12 @@
 					t.Errorf("the days hardly ever came to %s: %d of it", action, kinds["brain."+action])
 				}
 			}
-			compareRecord(t, kind.name+"_days.golden", got)
+			compareRecord(t, kind.name+"_days.golden", got, days == kind.days)
 		})
 	}
 }
 
-// The first lines of one day in full, events and actions, to read and to find the first difference by.
+// The first lines of one day in full, events and actions, for readers and to find the first difference.
 func TestStep_RecordedActions(t *testing.T) {
 	var day strings.Builder
 	recordDay(serviceDay(t, 1), &day, true)
@@ -240,5 +247,5 @@
 	if len(lines) < listedLines {
 		t.Fatalf("the day has %d lines", len(lines))
 	}
-	compareRecord(t, "service_day_1.golden", lines[:listedLines])
+	compareRecord(t, "service_day_1.golden", lines[:listedLines], true)
 }
