--- a/internal/cloudevents/event.go
+++ b/internal/cloudevents/event.go
@@ -1,8 +1,8 @@
 // Package cloudevents reads and writes CloudEvents 1.0.2 (core, JSON event format, HTTP protocol binding). It does no
 // I/O and knows no clock: a request's header and body go in, an event or a Fault comes out, and back.
 //
-// It is stricter than a reader must be wherever two readers of one request could come to two events: attributes that
-// stand twice, members of a JSON object that stand twice, names in the wrong case, text that is no UTF-8.
+// It is stricter than a reader must be wherever two readers could understand one request as two different events: attributes that
+// occur twice, members of a JSON object that occur twice, names in the wrong case, text that is no UTF-8.
 package cloudevents
 
 import (
@@ -56,7 +56,7 @@
 const (
 	Malformed   Kind = iota // the event breaks a rule of the specification
 	Version                 // its specversion is not 1.0
-	Media                   // its media type, or the charset, is not one that is read here
+	Media                   // its media type, or the charset, is not supported
 	Incomplete              // the JSON ends early or is no JSON
 	TooMany                 // a batch has more events than are allowed
 	NotAnEvent              // the request does not claim to be an event
@@ -108,7 +108,7 @@
 	}
 }
 
-// add takes in an attribute that was read. It may not stand there twice.
+// add adds an attribute that was read. A second one of the same name is a fault.
 func (e *Event) add(a Attribute) error {
 	i, ok := e.find(a.Name)
 	if ok {
--- a/internal/cloudevents/read_json.go
+++ b/internal/cloudevents/read_json.go
@@ -213,7 +213,7 @@
 }
 
 // ReadBatch reads a batch: a JSON array of events (JSON format, section 4). One that is cut off or has too many is
-// read not at all; of one that is whole, each event stands for itself. One longer than largest bytes is a fault.
+// not read at all; of a complete one, each event succeeds or fails by itself. One longer than maxBytes is a fault.
 func ReadBatch(body []byte, maxEvents, maxBytes int) ([]Item, error) {
 	if err := checkJSON(body); err != nil {
 		return nil, err
--- a/internal/cloudevents/validate.go
+++ b/internal/cloudevents/validate.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// check holds a whole event to the core's attribute rules.
+// check verifies an event against the rules for attributes (core).
 func (e *Event) check() error {
 	version := e.Get("specversion")
 	if version == "" {
--- a/internal/features/delivery.go
+++ b/internal/features/delivery.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Delivery is in which form messages go out.
+// Delivery is the format of outgoing messages.
 type Delivery struct {
 	Source string `toml:"source"` // of events made of plain messages
 	Type   string `toml:"type"`   // of those; {class} stands for the message's class; default "saffronyard.{class}"
 	To     []To   `toml:"to"`
 }
 
-// To is the form for some destinations.
+// To is the format for some destinations.
 type To struct {
 	Destinations []uint32 `toml:"destinations"`
 	Kinds        []string `toml:"kinds"`
--- a/internal/features/dns.go
+++ b/internal/features/dns.go
@@ -223,7 +223,7 @@
 	return c
 }
 
-// Keys reads the file of keys.
+// Keys reads the file of keys; nil without one.
 func (d *DNS) Keys() ([]nameserver.Key, error) {
 	if d.KeysFile == "" {
 		return nil, nil
@@ -231,7 +231,7 @@
 	return nameserver.ReadKeys(d.KeysFile)
 }
 
-// Config is what the name server is told. folder is where its state is, unless the file names it.
+// Config returns the name server's configuration. folder is where its state is, unless the file names one.
 func (d *DNS) Config(folder string) (*nameserver.Config, error) {
 	keys, err := d.Keys()
 	if err != nil {
--- a/internal/features/events.go
+++ b/internal/features/events.go
@@ -17,7 +17,7 @@
 	Deadline     tomlfile.Span     `toml:"deadline"`      // where a rule states none; default: the class's
 	Destinations map[string]uint32 `toml:"destinations"`  // numbers by name
 	Rules        []Rule            `toml:"rule"`
-	Default      *Rule             `toml:"default"` // where no rule fits; without it such an event is turned away
+	Default      *Rule             `toml:"default"` // where no rule matches; without it such an event is rejected
 }
 
 // Rule is one rule of the mapping; package mapping tells what its texts mean.
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// Mapping is the rules as package mapping takes them.
+// Mapping returns the rules as package mapping takes them.
 func (e *Events) Mapping() mapping.Rules {
 	one := func(r Rule) mapping.Rule {
 		return mapping.Rule{Name: r.Name, Type: r.Type, Source: r.Source, Subject: r.Subject, Extensions: r.Extensions, Refuse: r.Refuse,
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -53,7 +53,8 @@
 	maxDeadline    = 24 * time.Hour
 )
 
-// Load reads a file. An error names the file, and the line and key where there is one.
+// Load reads and checks a file. An error names the file, and the line and key if there is one; it is a *PositionError, a *SettingError or
+// one of package tomlfile.
 func Load(path string) (*Features, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return Parse(path, raw)
 }
 
-// Parse reads a file's text; path is for its errors.
+// Parse reads and checks the text of a file; path is the file's name for errors.
 func Parse(path string, raw []byte) (*Features, error) {
 	if len(raw) > maxFileBytes {
 		return nil, settingError("%s: longer than %d bytes", path, maxFileBytes)
--- a/internal/features/fleet.go
+++ b/internal/features/fleet.go
@@ -39,7 +39,7 @@
 	return c
 }
 
-// Keys reads the file of keys.
+// Keys reads the file of keys; nil without one.
 func (f *Fleet) Keys() ([][]byte, error) { return readKeys("fleet", f.KeysFile) }
 
 func (f *Fleet) check(doc document) error {
--- a/internal/features/peers.go
+++ b/internal/features/peers.go
@@ -38,7 +38,7 @@
 	return is
 }
 
-// Keys reads the file of keys.
+// Keys reads the file of keys; nil without one.
 func (p *Peers) Keys() ([][]byte, error) { return readKeys("peers", p.KeysFile) }
 
 // readKeys reads a file of keys; there are none without one.
--- a/internal/features/resend.go
+++ b/internal/features/resend.go
@@ -7,25 +7,25 @@
 	"saffronyard.example/saffronyard/internal/undelivered"
 )
 
-// Resend is a rule by which kept messages go again.
+// Resend is a rule by which undelivered messages are resent.
 type Resend struct {
 	Name     string        `toml:"name"`
-	Members  []string      `toml:"members"` // default: all, as of reasons and classes
+	Members  []string      `toml:"members"` // default: all, as for reasons and classes
 	Reasons  []string      `toml:"reasons"`
 	Classes  []string      `toml:"classes"`
-	WellFor  tomlfile.Span `toml:"well_for"` // the receiver has been well for so long; to 24h, default 30s
+	WellFor  tomlfile.Span `toml:"well_for"` // the receiver has been healthy for so long; to 24h, default 30s
 	From     string        `toml:"from"`     // "01:00", with to: only then; UTC
 	To       string        `toml:"to"`
 	ByHand   bool          `toml:"by_hand"`  // never by itself
 	Share    float64       `toml:"share"`    // of the pace that the receiver takes; default 0.2
 	Newest   bool          `toml:"newest"`   // first; default: the oldest
 	Most     int           `toml:"most"`     // times; from 1 to 100, default 3
-	Age      tomlfile.Span `toml:"age"`      // it goes until so long after its end; default: as long as it is kept
+	Age      tomlfile.Span `toml:"age"`      // it is resent until so long after it ended first; default: as long as it is stored
 	Deadline tomlfile.Span `toml:"deadline"` // it may then take so long; from 1s to 1h, default 28s
 	Then     string        `toml:"then"`     // what went so often, or is too old: "keep" or "drop"; default "keep"
 }
 
-// checkResend checks the rules of kept messages.
+// checkResend checks the rules by which messages are resent.
 func (u *Undelivered) checkResend(doc document, on bool) error {
 	for i := range u.Resend {
 		r := &u.Resend[i]
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// Rules are the rules by which kept messages go again.
+// Rules returns the rules as package undelivered takes them.
 func (u *Undelivered) Rules() []undelivered.Rule {
 	var rules []undelivered.Rule
 	for i := range u.Resend {
--- a/internal/features/undelivered.go
+++ b/internal/features/undelivered.go
@@ -6,12 +6,12 @@
 	"saffronyard.example/saffronyard/internal/tomlfile"
 )
 
-// Undelivered is where messages are kept that were not delivered.
+// Undelivered is the store of undelivered messages.
 type Undelivered struct {
 	Folder string        `toml:"folder"` // default: "undelivered" in the sender's state folder
 	Bytes  int64         `toml:"bytes"`  // of all entries; default 268435456
 	Age    tomlfile.Span `toml:"age"`    // an entry is dropped so long after it ended; default 168h
-	Resend []Resend      `toml:"resend"` // rules by which they go again, the first that fits; default: none, by hand only
+	Resend []Resend      `toml:"resend"` // rules by which they are resent, the first that matches; default: none, by hand only
 }
 
 const (
--- a/internal/features/work.go
+++ b/internal/features/work.go
@@ -165,7 +165,7 @@
 	return w, nil
 }
 
-// Settings are the scheduler's.
+// Settings returns the settings of the scheduler.
 func (w *Work) Settings() work.Settings {
 	all, _ := parseRates(w.Budget) // checked as the file was read, as all of these
 	owners, _ := parseRates(w.OwnerBudget)
@@ -179,7 +179,7 @@
 	return s
 }
 
-// Pressure is what live work is to have.
+// Pressure returns the load above which background work steps back.
 func (w *Work) Pressure() work.Targets {
 	t := w.Targets
 	return work.Targets{TurnLate: t.TurnLate.D(), Calls: t.Calls, Pending: t.Held, Journal: t.Journal, DiskLatency: t.DiskLatency.D()}
--- a/internal/mapping/mapping.go
+++ b/internal/mapping/mapping.go
@@ -48,7 +48,7 @@
 	List         []Rule
 	Destinations map[string]uint32 // numbers by name; a name that is a number stands for itself
 	Deadline     time.Duration     // where a rule states none
-	Fallback     *Rule             // where none fits; nil: such an event is turned away
+	Fallback     *Rule             // where none matches; nil: such an event is rejected
 }
 
 // Target is what an event is to this sender.
@@ -88,7 +88,7 @@
 // Error returns the text for the client.
 func (r *Refusal) Error() string { return r.Text }
 
-// Check finds what is wrong with a rule by itself: conditions that can't be read and names that nothing captures.
+// Check returns a *RuleError for a rule that can't be as it is: conditions that can't be parsed, or names that nothing captures.
 func (r *Rule) Check() error {
 	parts, err := subjectParts(r.Subject)
 	if err != nil {
@@ -146,8 +146,7 @@
 	variables = []string{"type", "source", "id", "subject"}
 )
 
-// Reachable finds a rule that no event can reach, since one before it holds for all that it holds for; ok is false
-// if there is none.
+// Reachable returns a rule that no event can reach, as a rule before it matches all that it matches; ok is false if there is none.
 func (r *Rules) Reachable() (rule, before int, ok bool) {
 	for i := range r.List {
 		for j := range r.List[:i] {
@@ -159,7 +158,7 @@
 	return 0, 0, false
 }
 
-// covers is whether all that other holds for is surely r's.
+// covers reports whether r surely matches all that other matches.
 func (r *Rule) covers(other *Rule) bool {
 	wider := func(a, b string) bool {
 		p, open := strings.CutSuffix(a, "*")
@@ -224,7 +223,7 @@
 	return condition == "" || condition == v
 }
 
-// match is whether all conditions hold; captured is what the subject's captures are. Why not is told only if asked.
+// match reports whether all conditions hold, with the subject's captures. It tells why not only if asked.
 func (r *Rule) match(e *cloudevents.Event, tell bool) (captured []capture, ok bool, why string) {
 	no := func(format string, args ...any) ([]capture, bool, string) {
 		if tell {
@@ -294,7 +293,7 @@
 	return names
 }
 
-// fill puts values into a text's {names}. {{ and }} stand for braces.
+// fill replaces the {names} in a template by values. {{ and }} are braces.
 func fill(text string, value func(string) (string, bool)) (string, error) {
 	if strings.IndexByte(text, '{') < 0 && strings.IndexByte(text, '}') < 0 {
 		return text, nil
@@ -347,7 +346,7 @@
 	return Target{}, -1, &Refusal{-1, fmt.Sprintf("no rule fits an event of type %q, source %q, subject %q", e.Get("type"), e.Get("source"), e.Get("subject"))}
 }
 
-// Explain says of each rule up to the one that fits why it does not, and then what that one makes of the event.
+// Explain tells of each rule up to the first that matches why it does not, and then what that one makes of the event.
 func (r *Rules) Explain(e *cloudevents.Event) []string {
 	var lines []string
 	for i := range r.List {
--- a/internal/nameserver/file_watcher.go
+++ b/internal/nameserver/file_watcher.go
@@ -13,7 +13,7 @@
 const (
 	quietPeriod       = 200 * time.Millisecond  // a file counts as written when it has not changed for so long
 	maxQuietWait      = 1500 * time.Millisecond // it is read then, even while it changes: it has to be served within two seconds
-	writeBackInterval = 2 * time.Second         // updates are written into the zone's file so long after the first of them
+	writeBackInterval = 2 * time.Second         // between two writes of updates into the zones' files
 	pollInterval      = 10 * time.Second        // files are polled so often: a mounted folder may give no notification
 )
 
--- a/internal/nameserver/keys.go
+++ b/internal/nameserver/keys.go
@@ -29,7 +29,7 @@
 const (
 	minSecretBytes  = 16 // bytes: RFC 8945 8 asks for as many as the digest; half of SHA-256's is the least taken
 	maxKeys         = 1000
-	maxFudgeSeconds = 300 // seconds: RFC 8945 10's recommendation; one who asks for more gets this
+	maxFudgeSeconds = 300 // seconds: RFC 8945 10's recommendation; a larger one in a message counts as this
 )
 
 func hashOf(algorithm string) (func() hash.Hash, bool) {
--- a/internal/nameserver/listener.go
+++ b/internal/nameserver/listener.go
@@ -1,9 +1,6 @@
 package nameserver
 
 import (
-
-	//nolint:gosec // RFC 8945 6: HMAC-SHA1 is one that must be understood
-
 	"net"
 	"sync"
 	"sync/atomic"
--- a/internal/nameserver/query.go
+++ b/internal/nameserver/query.go
@@ -1,9 +1,6 @@
 package nameserver
 
 import (
-
-	//nolint:gosec // RFC 8945 6: HMAC-SHA1 is one that must be understood
-
 	"github.com/miekg/dns"
 
 	"saffronyard.example/saffronyard/internal/zone"
@@ -49,8 +46,8 @@
 	r.Extra = append(zone.CopyRecords(a.Additional), r.Extra...)
 }
 
-// fitUDP makes an answer by UDP no longer than one who asks takes, and to one who is not known no longer than a few times
-// the question: whoever forges an address gains little by it.
+// fitUDP truncates an answer by UDP to what the client accepts, and, for an unsigned question, to maxAmplification times the question: a
+// forged source address gains little by it.
 func (s *server) fitUDP(m, r *dns.Msg, signed bool) {
 	size := dns.MinMsgSize
 	if opt := m.IsEdns0(); opt != nil {
--- a/internal/nameserver/service.go
+++ b/internal/nameserver/service.go
@@ -29,7 +29,7 @@
 	done     sync.WaitGroup
 	notifier *notifier
 
-	mu            sync.Mutex // the rest
+	mu            sync.Mutex // guards the fields below
 	follower      *membership.Follower
 	membersByName map[string]map[int]struct{} // indexes of members, by the names that their answers depend on
 	namesByMember [][]string                  // the inverse, by index of the member
--- a/internal/nameserver/store.go
+++ b/internal/nameserver/store.go
@@ -21,9 +21,8 @@
 //	NAME.base     of a zone whose file is followed and updated: the zone that the file held when it was last read or
 //	              written, in the form of NAME.zone
 //
-// The first and the last are replaced whole. A journal of an earlier epoch than its zone is one that the zone has taken in
-// already: the zone was replaced, and the crash came before the new journal. What a crash cut off at the journal's end had
-// not been answered.
+// The first and the last are replaced as a whole. A journal of an earlier epoch than its snapshot is part of that snapshot already: the
+// crash came between the two. What a crash truncated at the journal's end had not been answered.
 type store struct {
 	disk            disk
 	dir             string
@@ -126,7 +125,7 @@
 	return s, z, deltas, warn, nil
 }
 
-// read reads a whole zone; none and no error if there is no such file.
+// read reads a zone from a file; nil and no error if there is no such file.
 func (s *store) read(name string) (*zone.Zone, uint64, error) {
 	raw, err := s.disk.ReadFile(name)
 	if isNotExist(err) {
@@ -202,7 +201,7 @@
 	return nil
 }
 
-// confirm notes when the primary last said that the zone is as it is held; age is how long ago that was.
+// confirm records when the primary last confirmed the version; age returns how long ago that was.
 func (s *store) confirm(now time.Time) error { return s.disk.Touch(s.name+".zone", now) }
 
 func (s *store) age(now time.Time) time.Duration {
--- a/internal/nameserver/transfer_in.go
+++ b/internal/nameserver/transfer_in.go
@@ -1,7 +1,7 @@
 package nameserver
 
 import (
-	"context" //nolint:gosec // RFC 8945 6: HMAC-SHA1 is one that must be understood
+	"context"
 	"encoding/binary"
 	"errors"
 	"fmt"
@@ -155,8 +155,8 @@
 	return m, nil
 }
 
-// transferEnd finds where an answer to AXFR or IXFR ends: at the second SOA of a whole zone, at the third with the new
-// serial of one by differences.
+// transferEnd finds where an answer to AXFR or IXFR ends: at the second SOA of a full transfer, at the third SOA with the new serial of an
+// incremental one.
 type transferEnd struct {
 	n, soas int
 	serial  uint32
--- a/internal/nameserver/write_back.go
+++ b/internal/nameserver/write_back.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	"context" //nolint:gosec // RFC 8945 6: HMAC-SHA1 is one that must be understood
+	"context"
 	"errors"
 	"fmt"
 	"os"
--- a/internal/nameserver/zone_file.go
+++ b/internal/nameserver/zone_file.go
@@ -1,7 +1,7 @@
 package nameserver
 
 import (
-	"bytes" //nolint:gosec // RFC 8945 6: HMAC-SHA1 is one that must be understood
+	"bytes"
 	"errors"
 	"fmt"
 	"os"
--- a/internal/work/budget.go
+++ b/internal/work/budget.go
@@ -1,6 +1,6 @@
 package work
 
-// refillBuckets adds to the buckets. What a kind does not use goes to the pool, as far as that has room for a second of all of it.
+// refillBuckets refills the buckets. What a kind does not use spills into the pool, which holds up to a second of the total budget.
 func (s *Scheduler) refillBuckets() {
 	for i := range s.totalBudget {
 		s.totalBudget[i].fill(s.now, s.allowance)
@@ -23,7 +23,7 @@
 	}
 }
 
-// setAllowance books pressure. Under any, what was lent is back at once.
+// setAllowance sets the fraction that pressure leaves. Under any pressure the pool is empty: kinds get back at once what they lent.
 func (s *Scheduler) setAllowance(part float64) {
 	s.allowance = min(max(part, 0), 1)
 	if s.allowance < 1 {
--- a/internal/work/capacity.go
+++ b/internal/work/capacity.go
@@ -71,7 +71,7 @@
 	s.readyAt(j, j.Earliest)
 }
 
-// readyAt has a job become ready at a time.
+// readyAt makes a job ready at a time, or now if that is past.
 func (s *Scheduler) readyAt(j *job, at time.Duration) {
 	if at > s.now {
 		j.state, j.delayedUntil = delayed, at
@@ -81,7 +81,7 @@
 	s.ready(j)
 }
 
-// ready puts a job into its owner's queue.
+// ready makes a job ready: it enters its owner's queue.
 func (s *Scheduler) ready(j *job) {
 	j.state = ready
 	s.nextSequence++
--- a/internal/work/dispatch.go
+++ b/internal/work/dispatch.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// lowerPriorityInterval is how many starts there are to one of a lower priority than the best that has something to run.
+// lowerPriorityInterval is how many starts there are per start of a lower priority than the highest one that has jobs.
 const (
 	lowerPriorityInterval = 8
 	never                 = time.Duration(math.MaxInt64)
-	minCharge             = 1e-6 // of a second, for a slice that used nothing: owners then take turns
+	minCharge             = 1e-6 // seconds of budget, for a slice that used nothing: owners then take turns
 )
 
-// mayStart reports whether a kind may start a slice.
+// mayStart reports whether a kind may start a slice: it is not paused, below its concurrency, in its window and solvent.
 func (s *Scheduler) mayStart(k *kind) bool {
 	if k.paused || k.Running > 0 && k.running >= k.Running {
 		return false
@@ -33,7 +33,7 @@
 	return true
 }
 
-// start begins one slice, if any may; it reports whether to look again.
+// start starts one slice, if any may start; it reports whether to try again.
 func (s *Scheduler) start() bool {
 	if s.settings.Limits.Running > 0 && s.runningCount >= s.settings.Limits.Running || !s.totalBudget.solvent() {
 		return false
@@ -81,8 +81,8 @@
 	return true
 }
 
-// nextJob is the job that goes next: by priority, fairness and time to spare. Every so often it is one of a lower priority, each
-// of those that have any in turn: within a priority the turns are those of fairness always.
+// nextJob returns the job to start next: by priority, then fairness, then laxity. Every lowerPriorityInterval-th start goes to a lower
+// priority, to each that has a job in turn.
 func (s *Scheduler) nextJob() *job {
 	var best *queue
 	var lower [priorities]*queue
@@ -113,7 +113,7 @@
 	return j
 }
 
-// nextQueue is the queue whose turn it is in a priority; nil if nothing there may run.
+// nextQueue returns the queue whose turn it is within a priority; nil if nothing there may run.
 func (s *Scheduler) nextQueue(p int) *queue {
 	var best *queue
 	for _, l := range s.levels[p] {
@@ -129,8 +129,8 @@
 
 func (q *queue) name() string { return q.owner.name + "\x00" + q.level.kind.name }
 
-// frontQueue is the queue of the owner that is furthest behind. Virtual times grow while a queue waits: it is put in order again
-// when that shows at the top.
+// frontQueue returns the queue of the owner with the least virtual time. As virtual times grow while a queue waits, it is reordered lazily,
+// when it comes to the top.
 func (s *Scheduler) frontQueue(l *level) *queue {
 	for {
 		q, ok := l.order.top()
@@ -151,7 +151,7 @@
 	}
 }
 
-// charge takes what was used, less what was charged before; the kind's debt is paid from the pool as far as there is any.
+// charge charges a slice's cost, less what was charged before, to all budgets. A kind's debt is paid from the pool as far as that goes.
 func (s *Scheduler) charge(j *job, k *kind, o *owner, used, before Cost) {
 	var d Cost
 	for i := range d {
--- a/internal/work/event.go
+++ b/internal/work/event.go
@@ -30,7 +30,7 @@
 	// Command is an operator's.
 	Command struct {
 		Verb  Verb
-		ID    ID     // of one job; 0: of those that the rest says
+		ID    ID     // of one job; 0: of those that the next two select
 		Kind  string // empty: all
 		Owner string // empty: all
 	}
--- a/internal/work/finish.go
+++ b/internal/work/finish.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// scheduleRetry has a failed job wait for its pause, and then for its kind's credit.
+// scheduleRetry has a failed job wait for its backoff, or first for its kind's retry credit.
 func (s *Scheduler) scheduleRetry(j *job, k *kind) {
 	pause := k.Retry.backoff(j.failures, s.random())
 	if k.retryBudget.credit >= 1 {
@@ -74,7 +74,7 @@
 	s.actions = append(s.actions, Park{j.ID, why})
 }
 
-// finish ends a job.
+// finish removes a job that is done or dropped.
 func (s *Scheduler) finish(j *job, dropped bool) {
 	s.unlock(j)
 	if j.Resource != "" {
@@ -91,7 +91,7 @@
 	s.actions = append(s.actions, Finished{j.ID, dropped})
 }
 
-// removeWaiting takes a job that does not run out of where it waits.
+// removeWaiting removes a job from whatever it waits in.
 func (s *Scheduler) removeWaiting(j *job) {
 	switch j.state {
 	case ready:
--- a/internal/work/job.go
+++ b/internal/work/job.go
@@ -69,7 +69,7 @@
 	delayedUntil time.Duration // delayed
 	failures     int
 	lastFailure  string
-	effective    Priority // its own, or that of one that waits for its lock
+	effective    Priority // its own, or inherited from a job that waits for its lock
 	holdsLock    bool     // its lock
 	dropped      bool     // while it runs
 	isRetry      bool     // its next start is a further try
--- a/internal/work/lock.go
+++ b/internal/work/lock.go
@@ -9,7 +9,7 @@
 	waiters *list.List
 }
 
-// inheritPriority gives the one that holds a lock the priority of one that waits for it.
+// inheritPriority gives the holder of a lock the priority of a job that waits for it.
 func (s *Scheduler) inheritPriority(j *job, p Priority) {
 	if p >= j.effective {
 		return
@@ -23,7 +23,7 @@
 	j.effective = p
 }
 
-// unlock lets go of a job's lock; the first of the best priority that waits for it is ready.
+// unlock releases a job's lock to the first waiter of the highest priority, which becomes ready.
 func (s *Scheduler) unlock(j *job) {
 	j.effective = j.Priority
 	if !j.holdsLock {
--- a/internal/work/queue.go
+++ b/internal/work/queue.go
@@ -4,16 +4,16 @@
 	"slices"
 )
 
-// queue is the ready jobs of one owner, kind and priority.
+// queue holds the ready jobs of one owner, kind and priority.
 type queue struct {
 	owner       *owner
 	level       *level
 	jobs        indexedHeap[*job]
-	virtualTime float64 // the owner's virtual time when it was put in order
-	heapIndex   int     // in the level's heap; -1: the owner is in debt
+	virtualTime float64 // the owner's, when the queue was put in order
+	heapIndex   int     // in the level's heap; -1: the owner is throttled
 }
 
-// level is the ready jobs of one kind and priority.
+// level holds the queues of one kind and priority.
 type level struct {
 	kind   *kind
 	queues map[string]*queue
@@ -28,8 +28,8 @@
 	jobs            int
 	active          int // ready or running
 	paused          bool
-	idleIndex       int      // its place among the idle; -1: it has jobs
-	throttledQueues []*queue // of this owner, taken out of their levels' orders while it is in debt or paused
+	idleIndex       int      // in Scheduler.idleOwners; -1: it has jobs
+	throttledQueues []*queue // out of their levels' heaps while the owner is in debt or paused
 	used            Cost
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-// orderQueue puts a queue among those of its level, or aside where its owner may not start anything.
+// orderQueue puts a queue into its level's heap, or aside if its owner is throttled.
 func (s *Scheduler) orderQueue(q *queue) {
 	if q.owner.paused || !q.owner.budget.solvent() {
 		q.owner.throttledQueues = append(q.owner.throttledQueues, q)
@@ -72,13 +72,13 @@
 	q.level.order.add(q)
 }
 
-// lessLaxity is the order within a queue: what has the least time to spare, then what came first.
+// lessLaxity is the order within a queue: the least laxity first, then the first to become ready.
 func lessLaxity(a, b *job) bool {
 	x, y := a.laxity(), b.laxity()
 	return x < y || x == y && a.seq < b.seq
 }
 
-// dequeue takes a ready job out of all that it stands in.
+// dequeue removes a ready job from its queue, and the queue from its level if it was the last.
 func (s *Scheduler) dequeue(j *job) {
 	q := j.queue
 	q.jobs.remove(j.heapIndex)
--- a/internal/work/run/operate.go
+++ b/internal/work/run/operate.go
@@ -4,7 +4,7 @@
 	"saffronyard.example/saffronyard/internal/work"
 )
 
-// Command does what an operator wants.
+// Command does an operator's command.
 func (r *Runner) Command(c work.Command) error {
 	return r.call(func() {
 		if c.Verb == work.Run { // what was parked is so no more, in the store too
@@ -21,7 +21,7 @@
 	})
 }
 
-// Configure takes other settings.
+// Configure replaces the settings in service.
 func (r *Runner) Configure(set work.Settings) error {
 	set.Limits.Running = r.config.Workers
 	return r.call(func() {
@@ -30,7 +30,7 @@
 	})
 }
 
-// Report is what is known of all work.
+// Report is the state of background work, in the JSON of the command line.
 type Report struct {
 	Jobs       []work.View  `json:"jobs"`
 	Kinds      []work.Total `json:"kinds"`
@@ -42,7 +42,7 @@
 	WorstRatio float64      `json:"over"`
 }
 
-// Report tells of the jobs that a filter chooses.
+// Report returns the jobs that a filter selects, with the totals and the load.
 func (r *Runner) Report(f work.Filter) (rep Report, err error) {
 	err = r.call(func() {
 		rep.Jobs = r.sched.Views(f)
--- a/internal/work/run/resume.go
+++ b/internal/work/run/resume.go
@@ -8,7 +8,7 @@
 	"saffronyard.example/saffronyard/internal/work/store"
 )
 
-// resume takes up what an earlier process left.
+// resume submits the jobs that an earlier process left.
 func (r *Runner) resume() error {
 	var events []work.Event
 	err := r.store.Load(func(rec store.Record) error {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// job is a record as the scheduler takes it: its times are of the runner's clock.
+// job converts a record for the scheduler, whose times are of the runner's clock.
 func (r *Runner) job(rec *store.Record) work.Job {
 	j := work.Job{ID: rec.ID, Kind: rec.Kind, Owner: rec.Owner, Priority: rec.Priority, SliceCost: rec.SliceCost, Remaining: time.Duration(rec.Remaining), Lock: rec.Lock,
 		Resource: rec.Resource, Depth: rec.Depth, Size: int64(len(rec.State)) + 200}
--- a/internal/work/run/runner.go
+++ b/internal/work/run/runner.go
@@ -38,7 +38,7 @@
 	pressure       work.Pressure
 	running        map[work.ID]*runningSlice
 	records        map[work.ID]*store.Record // of all jobs that are held
-	nextVolatileID work.ID                   // numbers of those that are not kept count down from here
+	nextVolatileID work.ID                   // numbers of volatile jobs count down from here
 	lastRuns       map[string]time.Time      // schedules: of which time the last run was
 	dueTimes       map[string]time.Time
 	timerFailing   bool // the store
--- a/internal/work/run/slice.go
+++ b/internal/work/run/slice.go
@@ -12,7 +12,7 @@
 	"saffronyard.example/saffronyard/internal/work/store"
 )
 
-// startSlice has a worker do a slice.
+// startSlice starts a slice in a worker goroutine.
 func (r *Runner) startSlice(id work.ID) {
 	if r.ctx.Err() != nil { // it is closing: the next process starts it
 		return
@@ -43,7 +43,7 @@
 	}()
 }
 
-// runSlice does a slice, or finds out whether it was done. What panics has failed.
+// runSlice does a slice, or checks whether it was done. A panic is a *PanicError.
 func runSlice(ctx context.Context, k *Kind, t Task, check bool) (res Result, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -168,7 +168,7 @@
 	return work.DefaultRetry().MaxFailures
 }
 
-// spawnedRecords is the records of jobs that a slice made, if there is room for them.
+// spawnedRecords returns the records of the jobs that a slice spawned, if they can be accepted.
 func (r *Runner) spawnedRecords(by *store.Record, jobs []JobSpec) ([]store.Record, error) {
 	var recs []store.Record
 	var ask []work.Job
@@ -190,7 +190,7 @@
 	return recs, nil
 }
 
-// reportSlowSlices names slices that overrun, each once, with what all goroutines do: among them is the one that hangs.
+// reportSlowSlices logs slices that overrun SlowSlice, each once, with the stacks of all goroutines: the one that hangs is among them.
 func (r *Runner) reportSlowSlices() {
 	for id, s := range r.running {
 		if s.reported || time.Since(s.startedAt) < r.config.SlowSlice {
--- a/internal/work/run/submit.go
+++ b/internal/work/run/submit.go
@@ -7,7 +7,8 @@
 	"saffronyard.example/saffronyard/internal/work/store"
 )
 
-// Submit takes jobs on, all or none. When it returns without an error those that are kept are on the disk.
+// Submit accepts jobs, all or none. When it returns nil those that are not volatile are durable. It returns an *UnknownKindError, a
+// *work.CapacityError, ErrShuttingDown, or an error of the store.
 func (r *Runner) Submit(jobs ...JobSpec) error {
 	err := ErrShuttingDown
 	if e := r.call(func() { err = r.submit(jobs, 0, "", time.Time{}) }); e != nil {
@@ -65,7 +66,7 @@
 	return rec
 }
 
-// accept tells the scheduler of jobs that stand where they are to.
+// accept submits jobs to the scheduler that are stored, or need not be.
 func (r *Runner) accept(all []*store.Record) {
 	var events []work.Event
 	for _, rec := range all {
--- a/internal/work/run/timers.go
+++ b/internal/work/run/timers.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// submitDueTimers takes on what schedules say.
+// submitDueTimers submits the jobs of timers that are due.
 func (r *Runner) submitDueTimers() {
 	wall := r.config.Wall()
 	for name, k := range r.kinds {
--- a/internal/work/schedule.go
+++ b/internal/work/schedule.go
@@ -6,7 +6,7 @@
 
 // Schedule is when a timed job is due, and Missed what becomes of times that were missed.
 type (
-	// Schedule is either every so long, or at a time of day.
+	// Schedule is either an interval or a time of day.
 	Schedule struct {
 		Every  time.Duration // 0: at a time of day
 		At     time.Duration // since midnight
@@ -37,7 +37,7 @@
 	newLast = last // a clock that was set back comes to nothing below until it has come to this again
 	for t := s.after(last); !t.After(now); t = s.after(t) {
 		if runs++; runs > maxMissedRuns {
-			if s.Every > 0 { // the rest are left out, and the rhythm is kept
+			if s.Every > 0 { // the others are skipped, and the phase is kept
 				newLast = last.Add(now.Sub(last) / s.Every * s.Every)
 			} else {
 				newLast = now
--- a/internal/work/wake.go
+++ b/internal/work/wake.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// wakeWaiting makes ready what has waited for its time, its credit, or its resource.
+// wakeWaiting makes jobs ready that waited for a time, for retry credit, or for a resource, and puts back the queues of solvent owners.
 func (s *Scheduler) wakeWaiting() {
 	for {
 		j, ok := s.delayed.top()
@@ -44,7 +44,7 @@
 	}
 }
 
-// Next is when Step wants to be called at the latest.
+// Next returns when Step is to be called at the latest, on the scheduler's clock.
 func (s *Scheduler) Next() time.Duration {
 	next := never
 	if j, ok := s.delayed.top(); ok {
--- a/internal/work/window.go
+++ b/internal/work/window.go
@@ -28,8 +28,8 @@
 	return false, t.Add(24 * time.Hour)
 }
 
-// wallTime is a time of day on a day. One that a clock set ahead leaves out is the first moment after the gap; of one that comes
-// twice it is the first.
+// wallTime returns a time of day on a date. A time that a clock set ahead skips is the first moment after the gap; of one that comes twice
+// it is the first.
 func wallTime(year int, month time.Month, day int, since time.Duration, zone *time.Location) time.Time {
 	h, m, s := int(since/time.Hour), int(since/time.Minute)%60, int(since/time.Second)%60
 	t := time.Date(year, month, day, h, m, s, 0, zone)
--- a/internal/zone/access.go
+++ b/internal/zone/access.go
@@ -27,8 +27,8 @@
 
 func (g *Grant) kind(t uint16) bool { return len(g.Types) == 0 || slices.Contains(g.Types, t) }
 
-// Allows looks at each record of an update (RFC 2136 3.3): one that the key may not change refuses all of it. A deletion of
-// all that a name has needs each type that stands there.
+// Allows returns a *Refusal if an update (RFC 2136 3.3) has a record that the key may not change. Deleting all records of a name needs a
+// grant for each type there.
 func (g *Grant) Allows(z *Zone, updates []dns.RR) error {
 	for _, rr := range updates {
 		h := rr.Header()
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// Replays remembers the signatures of messages that were taken, for as long as a copy of one would be in time (RFC 8945
-// 5.2.3: within its fudge of now). It is not for several goroutines.
+// Replays remembers the signatures of accepted messages for as long as a replay would be in time (RFC 8945 5.2.3: within its fudge of now).
+// It is for one goroutine.
 type Replays struct {
 	MaxEntries int
 
@@ -60,8 +60,8 @@
 	next  time.Duration // nothing lapses before
 }
 
-// Seen books a message by its key and signature, signed for until a time of the same clock as now, and reports whether
-// it is a repeat; full reports that no room is left to remember it, so that it can't be taken.
+// Seen records a message by its key and signature, valid until a time of the same clock as now, and reports whether it is a replay. full
+// reports that it can't be remembered, so that it must not be accepted.
 func (r *Replays) Seen(key, mac string, now, until time.Duration) (repeat, full bool) {
 	if r.until == nil {
 		r.until = map[string]time.Duration{}
--- a/internal/zone/codec.go
+++ b/internal/zone/codec.go
@@ -21,12 +21,12 @@
 	maxDeltaBytes   = 1 << 30
 )
 
-// ErrTruncated says that what follows is no whole difference: its writing was cut off, or it was damaged.
+// ErrTruncated is bytes that are no complete difference: writing it was interrupted, or it was damaged.
 var ErrTruncated = errors.New("no whole difference")
 
 func castagnoli() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) }
 
-// Append appends a difference as bytes.
+// Append appends the encoded difference to b.
 func (d *Delta) Append(b []byte) ([]byte, error) {
 	head := len(b)
 	b = append(b, make([]byte, deltaHeaderSize)...)
@@ -51,7 +51,7 @@
 	return b, nil
 }
 
-// ReadDelta reads the difference that b begins with, and says how many bytes it takes; ErrTorn if there is no whole one.
+// ReadDelta decodes the difference that b begins with, and returns its length in bytes; ErrTruncated if there is no complete one.
 func ReadDelta(b []byte) (*Delta, int, error) {
 	if len(b) < deltaHeaderSize {
 		return nil, 0, ErrTruncated
--- a/internal/zone/delta.go
+++ b/internal/zone/delta.go
@@ -166,7 +166,7 @@
 	records int
 }
 
-// Add books a difference. One that does not go on from the last starts anew.
+// Add adds a difference. One that does not continue the last one starts the history anew.
 func (h *History) Add(d *Delta) {
 	if n := len(h.deltas); n > 0 && h.deltas[n-1].To != d.From {
 		h.deltas, h.records = nil, 0
--- a/internal/zone/secondary.go
+++ b/internal/zone/secondary.go
@@ -6,8 +6,8 @@
 	"github.com/miekg/dns"
 )
 
-// Secondary decides when a primary is asked for a zone: RFC 1034 4.3.5's refresh, retry and expire, with NOTIFY of RFC 1996.
-// One thing is asked at a time. Times are of one clock that does not go back.
+// Secondary is the state machine of a secondary zone: when its primary is asked for what, by refresh, retry and expire (RFC 1034 4.3.5) and
+// NOTIFY (RFC 1996). One request is under way at a time. Times are of a clock that does not go back.
 type Secondary struct {
 	Bounds Bounds
 
@@ -15,22 +15,22 @@
 	serial            uint32
 	times             times
 	request           request
-	notifiedMeanwhile bool // a NOTIFY came while it was asking
-	fullTransfer      bool // the next transfer is whole: a difference did not fit
+	notifiedMeanwhile bool // a NOTIFY came during the request
+	fullTransfer      bool // the next transfer is a full one: a difference did not fit
 	next              time.Duration
 	expires           time.Duration
 	expired           bool
 	failures          int
 }
 
-// Bounds keep what an SOA asks for within sense.
+// Bounds limit the timers that an SOA asks for.
 type Bounds struct {
 	MinRefresh, MaxRefresh time.Duration
 	MinRetry, MaxRetry     time.Duration
 	MinExpire              time.Duration
 }
 
-// DefaultBounds suit members who move: a primary whose NOTIFY is lost is noticed within ten minutes.
+// DefaultBounds returns bounds with which a change whose NOTIFY is lost is noticed within ten minutes.
 func DefaultBounds() Bounds {
 	return Bounds{MinRefresh: time.Second, MaxRefresh: 10 * time.Minute, MinRetry: time.Second, MaxRetry: time.Minute, MinExpire: time.Minute}
 }
@@ -45,13 +45,13 @@
 	transferring
 )
 
-// SecondaryEvent is what happened: exactly one field is set, or none where only time has passed.
+// SecondaryEvent is what happened: exactly one field is set, or none if only time has passed.
 type SecondaryEvent struct {
 	Serial        *uint32  // the primary's SOA has this serial
-	Version       *dns.SOA // a transfer was whole, and gave this version
-	Failed        bool     // what was asked for failed, or was refused
+	Version       *dns.SOA // a transfer was complete, and gave this version
+	Failed        bool     // the request failed, or was refused
 	DeltaRejected bool     // a difference did not fit: the primary's history is not ours
-	Notified      *uint32  // the primary says that there is news; 0 where it names no serial
+	Notified      *uint32  // the primary notified of a change; 0 if it named no serial
 }
 
 // SecondaryAction is what is to be done now.
@@ -62,17 +62,17 @@
 	QuerySerial         SecondaryAction = iota // ask for the SOA
 	TransferIncremental                        // IXFR from the version held
 	TransferFull                               // AXFR
-	Expire                                     // the zone answers no more, until a transfer is whole
+	Expire                                     // stop answering until a transfer is complete
 )
 
-// Resume says which version is held from an earlier process, and how long ago the primary last confirmed it.
+// Resume sets the version that an earlier process stored, and how long ago the primary confirmed it last.
 func (s *Secondary) Resume(now time.Duration, soa *dns.SOA, age time.Duration) {
 	s.adoptVersion(now, soa)
 	s.expires = now - age + s.times.expire
 	s.next = now
 }
 
-// Next is when Step wants to be called at the latest.
+// Next returns when Step is to be called at the latest.
 func (s *Secondary) Next() time.Duration {
 	n := s.next
 	if s.request != idle {
@@ -84,13 +84,13 @@
 	return n
 }
 
-// Expired reports whether the zone answers no more.
+// Expired reports whether the zone has expired.
 func (s *Secondary) Expired() bool { return s.expired }
 
-// Failures is how many times in a row the primary failed.
+// Failures returns how many times in a row the primary failed.
 func (s *Secondary) Failures() int { return s.failures }
 
-// Step takes in what happened and says what is to be done.
+// Step takes in an event and returns the actions to do.
 func (s *Secondary) Step(now time.Duration, e SecondaryEvent) []SecondaryAction {
 	var acts []SecondaryAction
 	switch {
@@ -113,7 +113,7 @@
 		s.next = now + s.retryDelay()
 	case e.Notified != nil:
 		if s.hasVersion && *e.Notified != 0 && !NewerSerial(*e.Notified, s.serial) && !s.expired {
-			break // we have that
+			break // the version is current
 		}
 		if s.request != idle {
 			s.notifiedMeanwhile = true
@@ -145,8 +145,7 @@
 	return TransferFull
 }
 
-// confirmed books that what is held is what the primary has. A primary whose serial went back confirms nothing of what is
-// held, and does not make it expire the sooner.
+// confirmed notes that the primary has this version. A primary whose serial went back confirms nothing, and makes nothing expire sooner.
 func (s *Secondary) confirmed(now time.Duration, serial uint32) {
 	s.failures = 0
 	s.next = now + s.times.refresh
@@ -167,7 +166,7 @@
 	s.confirmed(now, soa.Serial)
 }
 
-// retryDelay is the pause after a failure: the SOA's, or before any the least, doubling to the most.
+// retryDelay is the backoff after a failure: the SOA's retry, or before there is a version MinRetry, doubling to MaxRetry.
 func (s *Secondary) retryDelay() time.Duration {
 	if s.hasVersion {
 		return s.times.retry
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -220,7 +220,7 @@
 	return out
 }
 
-// Set is the records of one name and type; they are not to be changed, nor put into a message (see Copies).
+// Set is the records of one name and type; they must not be changed, nor put into a message (see CopyRecords).
 func (z *Zone) Set(name string, kind uint16) []dns.RR { return z.set(Name(name), kind) }
 
 // All calls f with each record, names in canonical order, the SOA first; until f says stop.
