--- a/internal/sender/extension_admin.go
+++ b/internal/sender/extension_admin.go
@@ -31,10 +31,13 @@
 
 // adminQuery is put to the loop; it is answered in the same turn.
 type adminQuery struct {
-	ask    func(s *Sender, now time.Duration) any
-	answer chan any
+	ask    report
+	answer chan any // with room for one
 }
 
+// report works out what is known of something, in the loop; it is encoded as JSON.
+type report func(s *Sender, now time.Duration) any
+
 func (adminQuery) isExtensionEvent() {}
 
 // adminTimeout is how long a query may wait for the loop.
@@ -55,11 +58,22 @@
 		return nil, fmt.Errorf("command line: %w", err)
 	}
 	i := &adminServer{s: s}
+	i.server = &http.Server{Handler: i.routes(), ReadHeaderTimeout: adminTimeout}
+	i.done.Add(1)
+	go func() {
+		defer i.done.Done()
+		i.server.Serve(l)
+	}()
+	return i, nil
+}
+
+// routes is the admin server's paths.
+func (i *adminServer) routes() *http.ServeMux {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /peers", i.queryHandler(func(*http.Request) (func(*Sender, time.Duration) any, error) {
+	mux.HandleFunc("GET /peers", i.queryHandler(func(*http.Request) (report, error) {
 		return func(s *Sender, now time.Duration) any { return s.peersReport(now) }, nil
 	}))
-	mux.HandleFunc("GET /knowledge", i.queryHandler(func(r *http.Request) (func(*Sender, time.Duration) any, error) {
+	mux.HandleFunc("GET /knowledge", i.queryHandler(func(r *http.Request) (report, error) {
 		only := r.URL.Query().Get("receiver")
 		n, err := strconv.ParseUint(only, 10, 32)
 		if only != "" && err != nil {
@@ -67,31 +81,29 @@
 		}
 		return func(s *Sender, now time.Duration) any { return s.knowledgeReport(now, only == "", uint32(n)) }, nil
 	}))
-	mux.HandleFunc("GET /zones", func(w http.ResponseWriter, r *http.Request) { // it has locks of its own
-		if n := i.s.config.Names; n != nil && n.Report != nil {
-			json.NewEncoder(w).Encode(n.Report())
-			return
-		}
-		http.Error(w, "no names are followed: the operators' file has no [dns]", http.StatusNotFound)
-	})
-	if s.config.Fleet != nil {
-		s.config.Fleet.Register(mux)
-		mux.HandleFunc("GET /held", i.queryHandler(func(*http.Request) (func(*Sender, time.Duration) any, error) {
+	mux.HandleFunc("GET /zones", i.zones)
+	if i.s.config.Fleet != nil {
+		i.s.config.Fleet.Register(mux)
+		mux.HandleFunc("GET /held", i.queryHandler(func(*http.Request) (report, error) {
 			return func(s *Sender, _ time.Duration) any { return s.pendingCounts() }, nil
 		}))
 	}
 	mux.HandleFunc("GET /work", i.work)
 	mux.HandleFunc("POST /work", i.work)
-	i.server = &http.Server{Handler: mux, ReadHeaderTimeout: adminTimeout}
-	i.done.Add(1)
-	go func() {
-		defer i.done.Done()
-		i.server.Serve(l)
-	}()
-	return i, nil
+	return mux
+}
+
+// zones answers GET /zones. It has locks of its own, and does not go through the loop.
+func (i *adminServer) zones(w http.ResponseWriter, _ *http.Request) {
+	if n := i.s.config.Names; n != nil && n.Report != nil {
+		json.NewEncoder(w).Encode(n.Report())
+		return
+	}
+	http.Error(w, "no names are followed: the operators' file has no [dns]", http.StatusNotFound)
 }
 
-func (i *adminServer) queryHandler(read func(*http.Request) (func(*Sender, time.Duration) any, error)) http.HandlerFunc {
+// queryHandler answers requests with the report that read makes of them; an error of read's is answered 400.
+func (i *adminServer) queryHandler(read func(*http.Request) (report, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ask, err := read(r)
 		if err != nil {
@@ -113,7 +125,7 @@
 	}
 }
 
-// work tells of background work, and passes on what an operator wants of it.
+// work answers GET /work with background work, and passes the commands of POST /work on to it. It does not go through the loop.
 func (i *adminServer) work(w http.ResponseWriter, r *http.Request) {
 	c := i.s.config
 	if c.Work == nil {
@@ -138,8 +150,8 @@
 		}
 		return
 	}
-	most, _ := strconv.Atoi(q.Get("most"))
-	v, err := c.Work(work.Filter{ID: work.ID(id), Kind: q.Get("kind"), Owner: q.Get("owner"), State: q.Get("state"), Limit: most})
+	limit, _ := strconv.Atoi(q.Get("most"))
+	v, err := c.Work(work.Filter{ID: work.ID(id), Kind: q.Get("kind"), Owner: q.Get("owner"), State: q.Get("state"), Limit: limit})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/sender/extension_background.go
+++ b/internal/sender/extension_background.go
@@ -213,54 +213,72 @@
 func (p *backgroundExtension) resend(e *undelivered.Entry, now, deadline time.Duration) (brain.Event, error) {
 	s := p.s
 	class, tenant := indexOf(s.config.Classes, e.Class, -1), indexOf(s.config.Tenants, e.Member, -1)
+	if err := p.checkResend(e, class, tenant, now); err != nil {
+		return nil, err
+	}
+	rec, err := nextIncarnation(e, now+deadline)
+	if err != nil {
+		return nil, err
+	}
+	rec.setRepeatRule(s.config.Settings.Classes[class])
+	stored, err := s.journal.insert(rec)
+	if err != nil {
+		return nil, err
+	}
+	first, mayHaveRun := stored.firstPossibleRun()
+	id := s.register(stored, nil, class)
+	return brain.Message{ID: id, Class: class, Tenant: tenant, Destination: brain.DestinationID(e.Destination), Deadline: rec.Deadline,
+		MayHaveRun: mayHaveRun, FirstRunAt: first.At, FirstRunZone: s.config.zoneOf(first)}, nil
+}
+
+// checkResend says why a message can't be resent now. It is checked at the moment of accepting it: between the choice and this lie a
+// write to the store and the loop's queue. class and tenant are their numbers, below 0 if there are none any more.
+func (p *backgroundExtension) checkResend(e *undelivered.Entry, class, tenant int, now time.Duration) error {
+	s := p.s
 	switch {
 	case !p.resumed: // what goes into the journal now would be resumed from it as well
-		return nil, ErrBusy
+		return ErrBusy
 	case s.stopping || s.server.closing.Load():
-		return nil, ErrBusy
+		return ErrBusy
 	case class < 0:
-		return nil, resendError("there is no class %q any more", e.Class)
+		return resendError("there is no class %q any more", e.Class)
 	case tenant < 0:
-		return nil, resendError("there is no member %q any more", e.Member)
+		return resendError("there is no member %q any more", e.Member)
 	case s.journal.byID[e.Message] != nil:
-		return nil, resendError("it is held")
+		return resendError("it is held")
 	}
 	if _, known := s.endpoints.Destinations[e.Destination]; !known {
-		return nil, resendError("destination %d does not exist any more", e.Destination)
+		return resendError("destination %d does not exist any more", e.Destination)
 	}
-	// Asked again at the moment of taking it on: between the choice and this lie a write to the store and the loop's queue.
 	if v, why := undelivered.MayResend(e.History(), s.config.Settings.Classes[class].IdempotencyKeyTTL, int64(now)); v == undelivered.Forbidden {
-		return nil, &ResendError{why}
+		return &ResendError{why}
 	}
 	if e.Key != "" {
 		for _, m := range s.messages {
 			if !m.ended && m.Key == e.Key && m.Tenant == e.Member && m.Dest == e.Destination {
-				return nil, resendError("its client has handed it in anew")
+				return resendError("its client has handed it in anew")
 			}
 		}
 	}
-	if most := s.config.Settings.MaxPending; most > 0 && s.pending >= most/2 { // the rest is for live ones
-		return nil, resendError("the room for messages is half taken")
+	if limit := s.config.Settings.MaxPending; limit > 0 && s.pending >= limit/2 { // the rest is for live ones
+		return resendError("the room for messages is half taken")
 	}
-	rec := record{ID: e.Message, Key: e.Key, Class: e.Class, Tenant: e.Member, Dest: e.Destination, Deadline: now + deadline, Body: e.Body,
+	return nil
+}
+
+// nextIncarnation is the record of an undelivered message that goes again, with the attempts of its earlier incarnations.
+func nextIncarnation(e *undelivered.Entry, deadline time.Duration) (record, error) {
+	rec := record{ID: e.Message, Key: e.Key, Class: e.Class, Tenant: e.Member, Dest: e.Destination, Deadline: deadline, Body: e.Body,
 		Incarnation: e.Resends + 1, EarlierAttempts: len(e.Attempts)}
 	if len(e.Event) > 0 {
-		ev, err := cloudevents.ReadHead(e.Event)
+		event, err := cloudevents.ReadHead(e.Event)
 		if err != nil {
-			return nil, fmt.Errorf("its event can't be read: %w", err)
+			return record{}, fmt.Errorf("its event can't be read: %w", err)
 		}
-		rec.Event = ev
+		rec.Event = event
 	}
 	for _, a := range e.Attempts {
 		rec.Attempts = append(rec.Attempts, attemptRecord{At: time.Duration(a.At), Endpoint: a.Endpoint, NeverRan: !a.Outcome.MayHaveRun(), Outcome: string(a.Outcome)})
 	}
-	rec.setRepeatRule(s.config.Settings.Classes[class])
-	st, err := s.journal.insert(rec)
-	if err != nil {
-		return nil, err
-	}
-	first, may := st.firstPossibleRun()
-	id := s.register(st, nil, class)
-	return brain.Message{ID: id, Class: class, Tenant: tenant, Destination: brain.DestinationID(e.Destination), Deadline: rec.Deadline,
-		MayHaveRun: may, FirstRunAt: first.At, FirstRunZone: s.config.zoneOf(first)}, nil
+	return rec, nil
 }
--- a/internal/sender/extension_recorder.go
+++ b/internal/sender/extension_recorder.go
@@ -65,42 +65,52 @@
 // journal holds it; warn is called with the first failure of a batch.
 func (b *recorderQueue) run(ctx context.Context, warn func(error), done func()) {
 	for {
-		var o recorderBatch
 		select {
-		case o = <-b.offers:
+		case batch := <-b.offers:
+			if !b.keepOffering(ctx, &batch, warn) {
+				return
+			}
+			done()
 		case <-ctx.Done():
 			return
 		}
-		for pause, warned := minRecorderBackoff, false; ; pause = min(2*pause, maxRecorderBackoff) {
-			err := b.recorder.RecordDropped(o.dropped)
-			if err == nil {
-				o.dropped = nil
-				if err = b.recorder.ResolveResubmitted(o.submittedKeys); err == nil {
-					o.submittedKeys = nil
-				}
-			}
-			if err == nil {
-				err = b.recorder.Record(o.entries, time.Now().UnixNano())
-			}
-			if err == nil {
-				break
-			}
-			if !warned { // an error that lasts is logged once
-				warn(err)
-				warned = true
-			}
-			t := time.NewTimer(pause)
-			select {
-			case <-t.C:
-			case <-ctx.Done():
-				t.Stop()
-				return
-			}
+	}
+}
+
+// keepOffering offers a batch until the recorder keeps it; false if ctx ended before.
+func (b *recorderQueue) keepOffering(ctx context.Context, batch *recorderBatch, warn func(error)) bool {
+	for backoff, warned := minRecorderBackoff, false; ; backoff = min(2*backoff, maxRecorderBackoff) {
+		err := b.offer(batch)
+		if err == nil {
+			return true
+		}
+		if !warned { // an error that lasts is logged once
+			warn(err)
+			warned = true
+		}
+		timer := time.NewTimer(backoff)
+		select {
+		case <-timer.C:
+		case <-ctx.Done():
+			timer.Stop()
+			return false
 		}
-		done()
 	}
 }
 
+// offer offers a batch once. What the recorder has taken of it is not offered again.
+func (b *recorderQueue) offer(batch *recorderBatch) error {
+	if err := b.recorder.RecordDropped(batch.dropped); err != nil {
+		return err
+	}
+	batch.dropped = nil
+	if err := b.recorder.ResolveResubmitted(batch.submittedKeys); err != nil {
+		return err
+	}
+	batch.submittedKeys = nil
+	return b.recorder.Record(batch.entries, time.Now().UnixNano())
+}
+
 // outcomeOf is an attempt's outcome in the recorder's words.
 func outcomeOf(o brain.Outcome) undelivered.Outcome {
 	switch o {
@@ -153,13 +163,13 @@
 	b.busy = true
 	n := min(len(b.waiting), maxRecorderBatch)
 	b.offered, b.waiting = b.waiting[:n:n], b.waiting[n:]
-	o := recorderBatch{dropped: b.dropped, submittedKeys: b.submittedKeys}
+	batch := recorderBatch{dropped: b.dropped, submittedKeys: b.submittedKeys}
 	b.submittedKeys = nil
 	b.dropped = map[[2]string]int64{}
 	for _, m := range b.offered {
-		o.entries = append(o.entries, s.entry(m))
+		batch.entries = append(batch.entries, s.entry(m))
 	}
-	b.offers <- o // there is room: none is out
+	b.offers <- batch // there is room: none is offered
 }
 
 // recorderFinished records that the recorder keeps what it was offered.
@@ -213,20 +223,25 @@
 		e.AcceptedAt = int64(m.Deadline - c.Deadline)
 	}
 	for _, t := range m.Attempts {
-		a := undelivered.Attempt{At: int64(t.At), Endpoint: t.Endpoint, Outcome: undelivered.Outcome(t.Outcome)}
-		switch {
-		case t.Outcome != "":
-		case t.NeverRan:
-			a.Outcome = undelivered.NotSent
-		default: // out at a kill, or when it was given up
-			a.Outcome = undelivered.Unknown
-		}
-		e.Attempts = append(e.Attempts, a)
+		e.Attempts = append(e.Attempts, attemptEntry(t))
 	}
 	e.Reason = undelivered.ReasonOf(e.History())
 	return e
 }
 
+// attemptEntry is an attempt for the recorder. One without an outcome was in flight at a kill, or when its message was given up.
+func attemptEntry(t attemptRecord) undelivered.Attempt {
+	a := undelivered.Attempt{At: int64(t.At), Endpoint: t.Endpoint, Outcome: undelivered.Outcome(t.Outcome)}
+	switch {
+	case t.Outcome != "":
+	case t.NeverRan:
+		a.Outcome = undelivered.NotSent
+	default:
+		a.Outcome = undelivered.Unknown
+	}
+	return a
+}
+
 // recorderExtension is the recorder's queue as an extension.
 type recorderExtension struct {
 	noopExtension
