--- a/internal/sender/discovery.go
+++ b/internal/sender/discovery.go
@@ -52,6 +52,7 @@
 	endCalls context.CancelFunc
 }
 
+// newDiscovery speaks with discovery at an address; nothing is connected before the first call.
 func newDiscovery(addr string) *discovery {
 	d := &discovery{dial: (&net.Dialer{}).DialContext}
 	d.current = d.newRegistry(addr)
@@ -96,6 +97,7 @@
 	return true
 }
 
+// closeIdle closes the connections that no call uses.
 func (o *registry) closeIdle() {
 	o.client.CloseIdleConnections()
 	o.notices.CloseIdleConnections()
@@ -163,7 +165,7 @@
 // watch follows the list at one registry from a version on, -1 for none, until a call fails; then it returns the version of
 // the last update. The next call goes out as soon as an answer is passed on: a gap would end the watch. The first call waits
 // for nothing, so that one that is never answered is found out the sooner.
-func (o *registry) watch(ctx context.Context, version int64, news func(Targets)) (int64, error) {
+func (o *registry) watch(ctx context.Context, version int64, onUpdate func(Targets)) (int64, error) {
 	for wait := time.Duration(0); ; wait = longPollWait {
 		t, err := o.fetchList(ctx, version, wait)
 		if err != nil {
@@ -174,7 +176,7 @@
 		} else {
 			version = t.Version
 		}
-		news(t) // also what comes while discovery moves: it has been sent
+		onUpdate(t) // also what comes while discovery moves: it has been sent
 		if o.moved.Err() != nil {
 			return version, o.moved.Err()
 		}
@@ -185,12 +187,12 @@
 // the last update: the answer has what came since, or the whole list if that is too old. To ask for the whole list would cost
 // discovery, which is one for all senders and has just failed, several times as much. The module decides when. A move is no
 // failure: the watch goes on at the new address at once, from the whole list, as versions are each registry's own and the old
-// one may not have told all that it had to.
-func (d *discovery) follow(ctx context.Context, version int64, asked <-chan struct{}, news func(Targets), failed func(error)) {
+// one may not have sent all that it had to.
+func (d *discovery) follow(ctx context.Context, version int64, requests <-chan struct{}, onUpdate func(Targets), onFailure func(error)) {
 	var last *registry // that sent the last update
 	for {
 		select {
-		case <-asked:
+		case <-requests:
 		case <-ctx.Done():
 			return
 		}
@@ -199,7 +201,7 @@
 			var err error
 			version, err = o.watch(ctx, version, func(t Targets) {
 				t.VersionsReset, t.Origin, last = last != nil && last != o, o.addr, o
-				news(t)
+				onUpdate(t)
 			})
 			if ctx.Err() != nil {
 				return
@@ -207,7 +209,7 @@
 			if moved = o.moved.Err() != nil; moved {
 				version = -1
 			} else {
-				failed(err)
+				onFailure(err)
 			}
 		}
 	}
--- a/internal/sender/event_dedup.go
+++ b/internal/sender/event_dedup.go
@@ -1,7 +1,6 @@
 package sender
 
 import (
-	"errors"
 	"net/http"
 	"path/filepath"
 	"time"
@@ -65,12 +64,12 @@
 }
 
 // reserve keeps room for an event's end; without room, why there is none and after how long there may be some.
-func (b *eventDedup) reserve(now time.Duration) (ok bool, why string, after time.Duration) {
+func (b *eventDedup) reserve(now time.Duration) (ok bool, why string, retryAfter time.Duration) {
 	if err := b.file.Err(); err != nil {
 		return false, "how events end can't be written down", 0
 	}
-	if ok, after = b.table.Reserve(now); !ok {
-		return false, "all room for remembering events is taken", after
+	if ok, retryAfter = b.table.Reserve(now); !ok {
+		return false, "all room for remembering events is taken", retryAfter
 	}
 	return true, "", 0
 }
@@ -125,18 +124,19 @@
 		return nil
 	}
 	err := b.file.Flush()
-	was := b.flushFailed
-	if b.flushFailed = err != nil; was {
+	failedBefore := b.flushFailed
+	if b.flushFailed = err != nil; failedBefore {
 		return nil
 	}
 	return err
 }
 
+// close writes what is left and closes the file.
 func (b *eventDedup) close() error {
 	if b == nil {
 		return nil
 	}
-	return errors.Join(b.file.Close())
+	return b.file.Close()
 }
 
 // eventsExtension is the event deduplication as an extension: its file is written before the journal forgets a message.
--- a/internal/sender/sources.go
+++ b/internal/sender/sources.go
@@ -10,42 +10,43 @@
 // Source says where endpoints are. Discovery is one; all feed one list, and which of them wins for a destination is
 // membership.Merger's to say.
 type Source interface {
-	// Follow passes news on, in order, until ctx ends. It is called once, in a goroutine of its own. Whether news is
+	// Follow passes updates on, in order, until ctx ends. It is called once, in a goroutine of its own. Whether an update is
 	// the whole list stands in it.
-	Follow(ctx context.Context, news func(membership.Update))
+	Follow(ctx context.Context, onUpdate func(membership.Update))
 }
 
 // NameSource is a second source of endpoints, beside discovery: names in the DNS.
 type NameSource struct {
 	Source
-	Initial      membership.Update // what it knows at the start already
-	Destinations []uint32          // of which it will speak: they exist even while they have no endpoint
-	Precedence   map[uint32]membership.Precedence
-	Fallback     membership.Precedence // for all others
-	Report       func() any            // what the command line shows of it
+	Initial      membership.Update                // what it knows at the start already
+	Destinations []uint32                         // those that it lists: they exist even while they have no endpoint
+	Precedence   map[uint32]membership.Precedence // by destination
+	Fallback     membership.Precedence            // for all others
+	Report       func() any                       // what the command line shows of it
 }
 
 // sources is what feeds the endpoint list. With discovery alone there is no merger, and its lines are the list's.
 type sources struct {
 	bySource      [2]Source                 // by membership.Source; nil: there is none
 	rollbackGuard *membership.RollbackGuard // by discovery
-	merge         *membership.Merger
+	merger        *membership.Merger
 }
 
 // discoverySource is discovery as a source: the list is asked for when the module wants it.
 type discoverySource struct{ s *Sender }
 
 // Follow passes on discovery's updates; its failures go to the loop.
-func (p discoverySource) Follow(ctx context.Context, news func(membership.Update)) {
-	p.s.discovery.follow(ctx, p.s.watchFrom, p.s.watchRequests, news, func(err error) { p.s.post(ctx, listFailure{err}) })
+func (p discoverySource) Follow(ctx context.Context, onUpdate func(membership.Update)) {
+	p.s.discovery.follow(ctx, p.s.watchFrom, p.s.watchRequests, onUpdate, func(err error) { p.s.post(ctx, listFailure{err}) })
 }
 
+// newSources makes the sources that the configuration names; destinations of names exist from the start.
 func newSources(s *Sender) sources {
 	all := sources{rollbackGuard: membership.NewRollbackGuard()}
 	all.bySource[membership.Discovery] = discoverySource{s}
 	if n := s.config.Names; n != nil {
 		all.bySource[membership.Names] = n.Source
-		all.merge = membership.NewMerger(n.Precedence, n.Fallback)
+		all.merger = membership.NewMerger(n.Precedence, n.Fallback)
 		for _, d := range n.Destinations {
 			s.endpoints.Destinations[d] = struct{}{}
 		}
@@ -84,8 +85,8 @@
 			s.journal.saveList(e.Origin, counts)
 		}
 	}
-	if s.sources.merge == nil {
+	if s.sources.merger == nil {
 		return s.endpoints.Apply(e.Targets, e.Full, s.config.endpointNames(), s.pool)
 	}
-	return s.endpoints.Apply(membership.Update{Servers: s.sources.merge.Apply(e.from, e.Targets)}, false, s.config.endpointNames(), s.pool)
+	return s.endpoints.Apply(membership.Update{Servers: s.sources.merger.Apply(e.from, e.Targets)}, false, s.config.endpointNames(), s.pool)
 }
