--- a/internal/sender/config.go
+++ b/internal/sender/config.go
@@ -6,6 +6,7 @@
 	"os"
 	"slices"
 	"strconv"
+	"strings"
 	"time"
 
 	"saffronyard.example/saffronyard/brain"
@@ -100,6 +101,7 @@
 	return c, err
 }
 
+// readConfig reads the file that EDGE_CONFIG names.
 func readConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
@@ -206,14 +208,14 @@
 	return room - ends, nil
 }
 
-// CheckRules finds a rule that names a class or tenant which the settings lack. Names that are filled in are looked up
-// with each event.
+// CheckRules finds a rule for events that names a class or tenant which the settings lack; the error is a *ConfigError. Names
+// that are filled in from the event are looked up with each event.
 func (c *Config) CheckRules() error {
 	if c.Events == nil {
 		return nil
 	}
 	known := func(list []string, name string) bool {
-		return name == "" || len(list) == 0 || indexOf(list, name, -1) >= 0 || containsBrace(name)
+		return name == "" || len(list) == 0 || indexOf(list, name, -1) >= 0 || strings.Contains(name, "{")
 	}
 	r := &c.Events.Rules
 	for i, rule := range r.List {
@@ -226,12 +228,3 @@
 	}
 	return nil
 }
-
-func containsBrace(s string) bool {
-	for i := range len(s) {
-		if s[i] == '{' {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/sender/extension.go
+++ b/internal/sender/extension.go
@@ -30,6 +30,8 @@
 // noopExtension takes part in nothing.
 type noopExtension struct{}
 
+// The methods of extension, without effect.
+
 func (noopExtension) onResume(time.Duration) []brain.Event               { return nil }
 func (noopExtension) onListUpdate(time.Duration) []brain.Event           { return nil }
 func (noopExtension) handle(extensionEvent, time.Duration) []brain.Event { return nil }
--- a/internal/sender/extension_admin.go
+++ b/internal/sender/extension_admin.go
@@ -159,6 +159,7 @@
 	json.NewEncoder(w).Encode(v)
 }
 
+// handle answers a query.
 func (i *adminServer) handle(e extensionEvent, now time.Duration) []brain.Event {
 	if q, ok := e.(adminQuery); ok {
 		q.answer <- q.ask(i.s, now)
@@ -166,6 +167,7 @@
 	return nil
 }
 
+// shutdown closes the socket.
 func (i *adminServer) shutdown() error {
 	err := i.server.Close()
 	i.done.Wait()
--- a/internal/sender/extension_knowledge.go
+++ b/internal/sender/extension_knowledge.go
@@ -80,7 +80,10 @@
 	return p
 }
 
+// onResume gives the module what is known of receivers that are listed.
 func (p *knowledgeStore) onResume(now time.Duration) []brain.Event { return p.observationEvents(now) }
+
+// onListUpdate gives the module what is known of receivers that are listed now.
 func (p *knowledgeStore) onListUpdate(now time.Duration) []brain.Event {
 	return p.observationEvents(now)
 }
--- a/internal/sender/extension_recorder.go
+++ b/internal/sender/extension_recorder.go
@@ -248,4 +248,5 @@
 	s *Sender
 }
 
+// afterTurn offers what has ended: it is in the journal now.
 func (x recorderExtension) afterTurn(context.Context) { x.s.offerToRecorder() }
--- a/internal/sender/ingress_events.go
+++ b/internal/sender/ingress_events.go
@@ -35,8 +35,10 @@
 	events *Events
 }
 
+// maxBody is that of a batch, or of a single event.
 func (f *eventIngress) maxBody() int64 { return int64(max(f.events.MaxBatchBytes, maxBodyBytes)) }
 
+// readHead reads the content mode, and in binary mode the event but for its data.
 func (f *eventIngress) readHead(r *http.Request) (ingressRequest, error) {
 	if !r.ProtoAtLeast(1, 1) {
 		return nil, &requestError{http.StatusHTTPVersionNotSupported, "events are handed in with HTTP/1.1"}
@@ -93,6 +95,7 @@
 	results []eventResult      // in the order of the batch
 }
 
+// submissions reads the event, or those of a batch.
 func (h *eventRequest) submissions(body []byte, arrived time.Duration) ([]submission, error) {
 	e := h.event
 	var err error
@@ -210,6 +213,7 @@
 	return identity.DigestOf(content)
 }
 
+// response is the answer to the event, or of a batch a JSON array with a result for each.
 func (h *eventRequest) response(all []response) response {
 	if h.mode != cloudevents.BatchedMode {
 		return all[0]
--- a/internal/sender/ingress_messages.go
+++ b/internal/sender/ingress_messages.go
@@ -91,8 +91,10 @@
 // messageIngress is the platform's protocol: one message a request.
 type messageIngress struct{ server *server }
 
+// maxBody is maxBodyBytes.
 func (f messageIngress) maxBody() int64 { return maxBodyBytes }
 
+// readHead reads the message but for its body.
 func (f messageIngress) readHead(r *http.Request) (ingressRequest, error) {
 	sub, err := f.server.parseMessageHead(r)
 	if err != nil {
@@ -104,10 +106,12 @@
 // messageRequest is a request that submits a message.
 type messageRequest struct{ submission [1]submission }
 
+// submissions is the message with its body.
 func (p *messageRequest) submissions(body []byte, arrived time.Duration) ([]submission, error) {
 	p.submission[0].Body = body
 	p.submission[0].Deadline += arrived
 	return p.submission[:], nil
 }
 
+// response is the answer to the message.
 func (p *messageRequest) response(all []response) response { return all[0] }
--- a/internal/sender/journal_codec.go
+++ b/internal/sender/journal_codec.go
@@ -53,24 +53,28 @@
 // recordEncoder appends a record's JSON: that of encoding/json with the tags of record, fields of zero value left out.
 type recordEncoder struct{ b []byte }
 
+// text adds a string under a name, which is given as JSON with its comma and colon.
 func (e *recordEncoder) text(name, v string) {
 	if v != "" {
 		e.b = appendString(append(e.b, name...), v)
 	}
 }
 
+// number adds an integer.
 func (e *recordEncoder) number(name string, v int64) {
 	if v != 0 {
 		e.b = strconv.AppendInt(append(e.b, name...), v, 10)
 	}
 }
 
+// flag adds a text if v is set.
 func (e *recordEncoder) flag(text string, v bool) {
 	if v {
 		e.b = append(e.b, text...)
 	}
 }
 
+// attempts adds an array of attempts.
 func (e *recordEncoder) attempts(all []attemptRecord) {
 	if len(all) == 0 {
 		return
--- a/internal/sender/journal_compaction.go
+++ b/internal/sender/journal_compaction.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"fmt"
+	"io"
 	"os"
 	"time"
 )
@@ -19,54 +20,61 @@
 	return nil
 }
 
+// rewrite writes the new file, puts it in the old one's place and goes on with it.
 func (j *journal) rewrite() error {
 	f, err := os.OpenFile(j.path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
-	w := bufio.NewWriterSize(f, 1<<16)
-	var size int64
-	if len(j.rates) > 0 || len(j.outages.list) > 0 {
-		n, err := writeLine(w, j.ratesRecord())
-		size += int64(n)
-		if err != nil {
-			f.Close()
-			return err
-		}
-	}
-	if list := j.endpoints.record(); list != nil {
-		n, err := writeLine(w, &record{Op: opList, List: list})
-		size += int64(n)
-		if err != nil {
-			f.Close()
-			return err
-		}
+	pending, size, err := j.writeState(f)
+	if err == nil {
+		err = os.Rename(j.path+".new", j.path)
 	}
-	kept := j.pending()
-	for _, m := range kept {
-		rec := m.record
-		rec.Outcome, rec.RetryAfterMS, rec.AwaitsRecorder, rec.At = m.outcome, m.retryAfterMS, m.awaitsRecorder, m.endedAt
-		rec.Notified = m.notified && m.outcome != ""
-		n, err := writeLine(w, &rec)
-		size += int64(n)
-		if err != nil {
-			f.Close()
-			return err
-		}
-	}
-	if err := w.Flush(); err != nil {
-		f.Close()
-		return err
-	}
-	if err := os.Rename(j.path+".new", j.path); err != nil {
+	if err != nil {
 		f.Close()
 		return err
 	}
 	if j.file != nil {
 		j.file.Close()
 	}
-	j.file, j.size, j.order = f, size, kept
+	j.file, j.size, j.order = f, size, pending
 	j.endpoints.unwritten = false
 	j.buf.Reset()
 	return nil
 }
+
+// writeState writes all that the journal holds: rates and outages, the endpoint list, and the messages that are pending, which it gives
+// with the size of it all.
+func (j *journal) writeState(to io.Writer) (pending []*storedMessage, size int64, err error) {
+	w := bufio.NewWriterSize(to, 1<<16)
+	write := func(rec *record) error {
+		n, err := writeLine(w, rec)
+		size += int64(n)
+		return err
+	}
+	if len(j.rates) > 0 || len(j.outages.list) > 0 {
+		if err := write(j.ratesRecord()); err != nil {
+			return nil, 0, err
+		}
+	}
+	if list := j.endpoints.record(); list != nil {
+		if err := write(&record{Op: opList, List: list}); err != nil {
+			return nil, 0, err
+		}
+	}
+	pending = j.pending()
+	for _, m := range pending {
+		if err := write(m.compacted()); err != nil {
+			return nil, 0, err
+		}
+	}
+	return pending, size, w.Flush()
+}
+
+// compacted is the one record that stands for all on a message.
+func (m *storedMessage) compacted() *record {
+	rec := m.record
+	rec.Outcome, rec.RetryAfterMS, rec.AwaitsRecorder, rec.At = m.outcome, m.retryAfterMS, m.awaitsRecorder, m.endedAt
+	rec.Notified = m.notified && m.outcome != ""
+	return &rec
+}
--- a/internal/sender/journal_outages.go
+++ b/internal/sender/journal_outages.go
@@ -29,6 +29,7 @@
 	list []outage
 }
 
+// roundRate rounds to three decimals, as rates are stored.
 func roundRate(r float64) float64 { return math.Round(r*1000) / 1000 }
 
 // truncated is the outages where the most is sent, as many as fit into maxBytes.
--- a/internal/sender/server_connections.go
+++ b/internal/sender/server_connections.go
@@ -139,6 +139,7 @@
 	s.connections.Done()
 }
 
+// signalFreed wakes admit, without waiting.
 func (s *server) signalFreed() {
 	select {
 	case s.freed <- struct{}{}:
--- a/internal/sender/server_responses.go
+++ b/internal/sender/server_responses.go
@@ -26,6 +26,7 @@
 	text   string
 }
 
+// Error is the text that the client is answered with.
 func (r *requestError) Error() string { return r.text }
 
 // badRequest is a requestError with status 400.
--- a/internal/sendertest/platform.go
+++ b/internal/sendertest/platform.go
@@ -53,6 +53,7 @@
 	return startEndpoint(t, nil, answer)
 }
 
+// startEndpoint listens; calls is where the calls go, nil for nowhere.
 func startEndpoint(t testing.TB, calls chan Call, answer func(Call, net.Conn) bool) *Endpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,6 +87,7 @@
 	return e
 }
 
+// serve answers the calls of the n-th connection.
 func (e *Endpoint) serve(c net.Conn, n int, answer func(Call, net.Conn) bool) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -213,6 +215,7 @@
 	p.wake()
 }
 
+// wake has the watches look again; p.mu is held.
 func (p *Platform) wake() {
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -233,6 +236,7 @@
 	p.deaf = deaf
 }
 
+// list answers GET /api/targets.
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	p.Lists <- r.URL.RawQuery
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
@@ -262,6 +266,7 @@
 	}
 }
 
+// notices answers POST /v1/notices.
 func (p *Platform) notices(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	deaf := p.deaf
