--- a/internal/tier/loadbalancer/selection_policies.go
+++ b/internal/tier/loadbalancer/selection_policies.go
@@ -47,7 +47,7 @@
 
 // Select implements selectionPolicy.
 func (unattemptedPolicy) Select(pick *pick) *endpoint {
-	return pick.selectHealthy(func(endpoint *endpoint) bool { return pick.attempts(endpoint) == 0 })
+	return pick.selectHealthy(0)
 }
 
 // retryPolicy selects a healthy endpoint with capacity that the request was sent to once at most: its window may have opened
@@ -59,7 +59,7 @@
 	if len(pick.request.AttemptedInstances) == 0 {
 		return nil
 	}
-	return pick.selectHealthy(func(endpoint *endpoint) bool { return pick.attempts(endpoint) < 2 })
+	return pick.selectHealthy(1)
 }
 
 // allEjectedPolicy selects the endpoint that is likeliest to be healthy where all are ejected.
@@ -97,13 +97,11 @@
 	return endpoint.lastSeenAt > other.lastSeenAt
 }
 
-// selectHealthy selects one of the healthy endpoints with capacity that are allowed, or nil: the sticky one if there is one, else
-// one in the sender's zone unless that is notably more loaded than others, by rendezvous hashing where requests share a cache,
-// and else the cheapest.
-func (pick *pick) selectHealthy(allowed func(*endpoint) bool) *endpoint {
-	candidates := &candidates{pick: pick, remote: zoneCandidates{}, local: zoneCandidates{sameZone: true}, eligible: func(endpoint *endpoint) bool {
-		return !endpoint.ejected && pick.accepts(endpoint) && allowed(endpoint) && endpoint.hasCapacity(pick.now, pick.request.Priority)
-	}}
+// selectHealthy selects one of the healthy endpoints with capacity that the request was sent to at most so many times, or nil: the
+// sticky one if there is one, else one in the sender's zone unless that is notably more loaded than others, by rendezvous hashing
+// where requests share a cache, and else the cheapest.
+func (pick *pick) selectHealthy(maxAttempts int) *endpoint {
+	candidates := &candidates{pick: pick, maxAttempts: maxAttempts, local: zoneCandidates{sameZone: true}}
 	for endpoint := range pick.endpoints() {
 		if candidates.eligible(endpoint) {
 			candidates.add(endpoint)
@@ -129,10 +127,17 @@
 // candidates are the endpoints that a request may go to.
 type candidates struct {
 	pick          *pick
-	eligible      func(*endpoint) bool
+	maxAttempts   int            // how often the request may have been sent to one before
 	local, remote zoneCandidates // in the sender's zone, and in others
 }
 
+// eligible reports whether the request may go to an endpoint.
+func (candidates *candidates) eligible(endpoint *endpoint) bool {
+	pick := candidates.pick
+	return !endpoint.ejected && pick.accepts(endpoint) && pick.attempts(endpoint) <= candidates.maxAttempts &&
+		endpoint.hasCapacity(pick.now, pick.request.Priority)
+}
+
 // add adds an endpoint.
 func (candidates *candidates) add(endpoint *endpoint) {
 	zone := &candidates.remote
