--- a/internal/fleetpolicy/model_test.go
+++ b/internal/fleetpolicy/model_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"hash/maphash"
+	"math"
 	"os"
 	"slices"
 	"strconv"
@@ -13,6 +14,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"saffronyard.example/saffronyard/internal/lease"
+	"saffronyard.example/saffronyard/internal/modelcheck"
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
@@ -165,9 +167,9 @@
 
 var seed = maphash.MakeSeed()
 
-// key tells states apart, as they matter from now on. Senders have no names to the promise: those that swap places make the
+// Key tells states apart, as they matter from now on. Senders have no names to the promise: those that swap places make the
 // same state.
-func (m *model) key(w *world) [2]uint64 {
+func (m *model) Key(w *world) modelcheck.Key {
 	now := w.clock()
 	b := append(make([]byte, 0, 256), byte(w.now), byte(w.elections), byte(w.crashes), byte(w.repeats), byte(w.acted))
 	b = append(b, w.log...)
@@ -212,7 +214,7 @@
 	for _, e := range each {
 		b = append(append(b, '|'), e...)
 	}
-	return [2]uint64{maphash.Bytes(seed, b), maphash.Bytes(seed, append(b, '#'))}
+	return modelcheck.Key{maphash.Bytes(seed, b), maphash.Bytes(seed, append(b, '#'))}
 }
 
 func (w *world) clock() time.Duration { return time.Duration(w.now+1) * tick }
@@ -255,8 +257,8 @@
 	return ""
 }
 
-// next is all that can happen, each with what it is called.
-func (m *model) next(w *world, visit func(what string, n *world, broken string)) {
+// Next is all that can happen, each with what it is called.
+func (m *model) Next(w *world, visit func(what string, n *world, broken string)) {
 	do := func(what string, change func(n *world) (broken string)) {
 		n := w.clone()
 		broken := change(n)
@@ -457,72 +459,6 @@
 	return ""
 }
 
-// explore walks all states breadth first and gives the first trace that breaks a promise.
-func (m *model) explore(most int) (states int, trace []string, why string) {
-	first := m.first()
-	type from struct {
-		parent [2]uint64
-		what   string
-	}
-	seen := map[[2]uint64]from{m.key(first): {}}
-	layer := []*world{first}
-	for len(layer) > 0 && len(seen) < most {
-		var below []*world
-		for _, w := range layer {
-			parent := m.key(w)
-			m.next(w, func(what string, n *world, broken string) {
-				if why != "" {
-					return
-				}
-				k := m.key(n)
-				if _, ok := seen[k]; ok && broken == "" {
-					return
-				}
-				seen[k] = from{parent, what}
-				if broken != "" {
-					why = broken
-					for f := (from{parent, what}); f.what != ""; f = seen[f.parent] {
-						trace = append(trace, f.what)
-					}
-					slices.Reverse(trace)
-					return
-				}
-				below = append(below, n)
-			})
-			if why != "" {
-				return len(seen), trace, why
-			}
-		}
-		layer = below
-	}
-	return len(seen), nil, ""
-}
-
-// reach visits all states that so many steps lead to, layer by layer: a stated bound where the whole space is too large. It
-// keeps no traces; explore finds one where a promise is broken.
-func (m *model) reach(steps int) (layers []int, why string) {
-	first := m.first()
-	seen := map[[2]uint64]struct{}{m.key(first): {}}
-	for layer := []*world{first}; len(layer) > 0 && len(layers) < steps && why == ""; {
-		var below []*world
-		for _, w := range layer {
-			m.next(w, func(_ string, n *world, broken string) {
-				k := m.key(n)
-				if _, ok := seen[k]; ok && broken == "" {
-					return
-				}
-				seen[k] = struct{}{}
-				if broken != "" {
-					why = broken
-				}
-				below = append(below, n)
-			})
-		}
-		layer, layers = below, append(layers, len(below))
-	}
-	return layers, why
-}
-
 // Three senders and two changes have too many states to be walked whole: all that lie within a number of steps are.
 func TestModel_HoldsWithinSteps(t *testing.T) {
 	steps := 9
@@ -531,53 +467,21 @@
 	}
 	t.Parallel()
 	m := &model{senders: 3, ticks: 3, changes: 2, crashes: 1, repeats: 1}
-	layers, why := m.reach(steps)
-	if why != "" {
-		t.Fatal(why)
+	r := modelcheck.Reach(m, steps)
+	if r.Broken != "" {
+		t.Fatal(r.Broken)
 	}
-	states := 1
-	for _, n := range layers {
-		states += n
-	}
-	t.Logf("%d states within %d steps: %v", states, steps, layers)
+	t.Logf("%d states within %d steps: %v", r.States, steps, r.Layers)
 	// The bound reaches a wrong program's fault, so that what it does not find says something.
 	wrong := *m
 	wrong.fault, wrong.crashes, wrong.repeats = countedFromReply, 0, 0
-	if _, why := wrong.reach(steps); why == "" {
+	if r := modelcheck.Reach(&wrong, steps); r.Broken == "" {
 		t.Errorf("within %d steps not even a lease that is counted from its answer is found", steps)
 	}
 }
 
-// walk visits all states, depth first, as that needs the least memory, and stops at most of them.
-func (m *model) walk(most int) (states int, trace []string, why string) {
-	seen := map[[2]uint64]struct{}{}
-	first := m.first()
-	seen[m.key(first)] = struct{}{}
-	var deeper func(w *world)
-	deeper = func(w *world) {
-		m.next(w, func(what string, n *world, broken string) {
-			if why != "" || len(seen) >= most {
-				return
-			}
-			k := m.key(n)
-			if _, ok := seen[k]; ok && broken == "" {
-				return
-			}
-			seen[k] = struct{}{}
-			trace = append(trace, what)
-			if why = broken; why == "" {
-				deeper(n)
-			}
-			if why == "" {
-				trace = trace[:len(trace)-1]
-			}
-		})
-	}
-	deeper(first)
-	return len(seen), trace, why
-}
-
-func (m *model) first() *world {
+// First is the state before the first step.
+func (m *model) First() *world {
 	m.states = map[string]*modelState{}
 	m.names = [3]string{"a", "b", "c"}
 	w := &world{leader: modelLeader{lease.NewGranter(modelTerms, -10*tick), &Coordinator{}, 0}}
@@ -612,14 +516,14 @@
 			if most < 10_000_000 {
 				t.Parallel()
 			}
-			states, trace, why := m.walk(most)
-			if why != "" {
-				t.Fatalf("%s, after\n  %s", why, strings.Join(trace, "\n  "))
+			r := modelcheck.Walk(m, most)
+			if r.Broken != "" {
+				t.Fatalf("%s, after\n  %s", r.Broken, strings.Join(r.Trace, "\n  "))
 			}
-			if states >= most {
+			if r.States >= most {
 				t.Errorf("more than %d states: they were not all seen", most)
 			}
-			t.Logf("%d states", states)
+			t.Logf("%d states", r.States)
 		})
 	}
 }
@@ -638,11 +542,11 @@
 				m.crashes = 1
 			default:
 			}
-			states, trace, why := m.explore(3_000_000)
-			if why == "" {
-				t.Fatalf("not found in %d states", states)
+			r := modelcheck.Explore(m, math.MaxInt, 3_000_000)
+			if r.Broken == "" {
+				t.Fatalf("not found in %d states", r.States)
 			}
-			t.Logf("%d states, %d steps: %s\n  %s", states, len(trace), why, strings.Join(trace, "\n  "))
+			t.Logf("%d states, %d steps: %s\n  %s", r.States, len(r.Trace), r.Broken, strings.Join(r.Trace, "\n  "))
 		})
 	}
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"hash/maphash"
+	"math"
 	"os"
 	"slices"
 	"strconv"
@@ -11,6 +12,7 @@
 	"time"
 
 	"saffronyard.example/saffronyard/internal/lease"
+	"saffronyard.example/saffronyard/internal/modelcheck"
 )
 
 // The model plays one limit with the code that ships (Purse, Book) against every order of what can happen, breadth first: questions and
@@ -88,7 +90,8 @@
 
 var modelTerms = Terms{Duration: 2 * tick}
 
-func (m *model) first() *world {
+// First is the state before the first step.
+func (m *model) First() *world {
 	w := &world{table: NewGrantTable(m.limit, modelTerms, 0)}
 	for i := range w.clients {
 		w.clients[i] = modelClient{incarnation: 1, allowance: NewAllowance(m.limit, 0, false, 0)}
@@ -106,7 +109,8 @@
 
 var seed = maphash.MakeSeed()
 
-func (m *model) key(w *world) [2]uint64 {
+// Key encodes the state as it matters from now on.
+func (m *model) Key(w *world) modelcheck.Key {
 	now := w.clock()
 	b := []byte{byte(w.now), byte(w.epoch), byte(w.crashes), byte(w.repeats)}
 	for _, u := range w.uses {
@@ -129,10 +133,11 @@
 			b = append(b, 'l', byte(l.incarnation), byte((now-l.at)/tick), byte(l.epoch), byte(l.sequence), byte(l.grant.Units), byte(l.grant.Duration/(tick/4)))
 		}
 	}
-	return [2]uint64{maphash.Bytes(seed, b), maphash.Bytes(seed, append(b, '#'))}
+	return modelcheck.Key{maphash.Bytes(seed, b), maphash.Bytes(seed, append(b, '#'))}
 }
 
-func (m *model) next(w *world, visit func(what string, n *world, broken string)) {
+// Next is all that can happen.
+func (m *model) Next(w *world, visit func(what string, n *world, broken string)) {
 	do := func(what string, change func(n *world) string) {
 		n := w.clone()
 		if broken := change(n); broken != "-" {
@@ -279,53 +284,6 @@
 	}
 }
 
-// explore walks the states that so many steps lead to, breadth first, and gives the first trace that breaks the limit.
-func (m *model) explore(steps, most int) (layers []int, trace []string, why string) {
-	type from struct {
-		parent [2]uint64
-		what   string
-	}
-	first := m.first()
-	seen := map[[2]uint64]from{m.key(first): {}}
-	for layer := []*world{first}; len(layer) > 0 && len(layers) < steps && len(seen) < most; {
-		var below []*world
-		for _, w := range layer {
-			parent := m.key(w)
-			m.next(w, func(what string, n *world, broken string) {
-				if why != "" {
-					return
-				}
-				k := m.key(n)
-				if _, ok := seen[k]; ok && broken == "" {
-					return
-				}
-				seen[k] = from{parent, what}
-				if broken != "" {
-					why = broken
-					for f := (from{parent, what}); f.what != ""; f = seen[f.parent] {
-						trace = append(trace, f.what)
-					}
-					slices.Reverse(trace)
-					return
-				}
-				below = append(below, n)
-			})
-			if why != "" {
-				return layers, trace, why
-			}
-		}
-		layer, layers = below, append(layers, len(below))
-	}
-	return layers, nil, ""
-}
-
-func sum(all []int) (n int) {
-	for _, v := range all {
-		n += v
-	}
-	return n + 1
-}
-
 var one = Limit{Key: "x", Units: 1, Span: tick}
 
 // No order of events breaks a limit, within the steps named. SAFFRONYARD_MODEL_STEPS goes further (docs/design/quota.md has counts).
@@ -342,11 +300,11 @@
 			if n, err := strconv.Atoi(os.Getenv("SAFFRONYARD_MODEL_STEPS")); err == nil {
 				steps = n
 			}
-			layers, trace, why := m.explore(steps, 1<<62)
-			if why != "" {
-				t.Fatalf("%s, after\n  %s", why, strings.Join(trace, "\n  "))
+			r := modelcheck.Explore(m, steps, math.MaxInt)
+			if r.Broken != "" {
+				t.Fatalf("%s, after\n  %s", r.Broken, strings.Join(r.Trace, "\n  "))
 			}
-			t.Logf("%d states within %d steps: %v", sum(layers), steps, layers)
+			t.Logf("%d states within %d steps: %v", r.States, steps, r.Layers)
 		})
 	}
 }
@@ -370,11 +328,11 @@
 				m.repeats = 1
 			default:
 			}
-			layers, trace, why := m.explore(40, 3_000_000)
-			if why == "" {
-				t.Fatalf("not found in %d states: %v", sum(layers), layers)
+			r := modelcheck.Explore(m, 40, 3_000_000)
+			if r.Broken == "" {
+				t.Fatalf("not found in %d states: %v", r.States, r.Layers)
 			}
-			t.Logf("%d states, %d steps: %s\n  %s", sum(layers), len(trace), why, strings.Join(trace, "\n  "))
+			t.Logf("%d states, %d steps: %s\n  %s", r.States, len(r.Trace), r.Broken, strings.Join(r.Trace, "\n  "))
 		})
 	}
 }
