--- a/internal/tier/gateway/harness_test.go
+++ b/internal/tier/gateway/harness_test.go
@@ -41,7 +41,7 @@
 // harness is a gateway with all that is around it.
 type harness struct {
 	t            *testing.T
-	s            settings.Settings
+	settings     settings.Settings
 	controlPlane *tiertest.ControlPlane
 	turnStores   *tiertest.TurnStores
 	ingress      string
@@ -50,14 +50,14 @@
 	done         chan error
 }
 
-// startUnconfigured starts a gateway whose control knows nothing yet.
+// startUnconfigured starts a gateway whose control plane has nothing to send yet.
 func startUnconfigured(t *testing.T, change ...func(*settings.Settings)) *harness {
 	t.Helper()
 	s := tiertest.Settings("edge-1")
 	for _, f := range change {
 		f(&s)
 	}
-	r := &harness{t: t, s: s, controlPlane: tiertest.NewControlPlane(), turnStores: tiertest.NewTurnStores(t, 3), ingress: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
+	r := &harness{t: t, settings: s, controlPlane: tiertest.NewControlPlane(), turnStores: tiertest.NewTurnStores(t, 3), ingress: s.Frontend, probe: s.Readiness, done: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	k := gateway.New(gateway.Config{Settings: s, ControlPlane: func(string) tierv1.ControlPlane { return r.controlPlane }, TurnStore: func(address string) tierv1.TurnStore { return r.turnStores.Dial(address) }, Log: tiertest.DiscardLogger()})
@@ -94,7 +94,7 @@
 	return first, second
 }
 
-// configure returns the gateway a configuration, these endpoints and a partition map, and returns when it has taken them.
+// configure gives the gateway a configuration, these endpoints and a partition map, and returns when it has taken them.
 func (r *harness) configure(partitionMap *tierv1.PartitionMap, endpoints ...*tiertest.Endpoint) {
 	r.t.Helper()
 	r.controlPlane.SetConfiguration(configurationOf(1, ""))
--- a/internal/tier/gateway/releases_internal_test.go
+++ b/internal/tier/gateway/releases_internal_test.go
@@ -64,7 +64,7 @@
 	assert.Equal(t, len(k.pendingReleases), 0)
 }
 
-// The time that a turn store returns a release after a takeover covers a call of a gateway and the pause after it, whatever the
+// The time that a turn store allows for a release after a takeover covers a call of a gateway and the pause after it, whatever the
 // contact window is.
 func TestRelease_ArrivesWithinGracePeriod(t *testing.T) {
 	for _, contactWindow := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, time.Minute} {
--- a/internal/tier/turnstore/begin_test.go
+++ b/internal/tier/turnstore/begin_test.go
@@ -21,7 +21,7 @@
 	assert.Equal(t, k.settle("a", "p", "t3", "t2", 10), ok)
 	assert.Equal(t, k.begin("a", ask("t3", "t2")), busy) // a late copy
 	c.advance(63 * time.Second)
-	assert.Equal(t, (&checker{c: c}).begin("a", ask("t5", "t3")), unknown) // past its retention
+	assert.Equal(t, (&checker{cluster: c}).begin("a", ask("t5", "t3")), unknown) // past its retention
 }
 
 func TestBegin_WhileBackupIsReplaced(t *testing.T) {
@@ -32,7 +32,7 @@
 	c.assign("a", "?c")
 	c.publish("a", "c")
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
-	c.synced("a", parts)
+	c.synced("a", partitionCount)
 	c.assign("a", "c")
 	c.publish("a", "c")
 	reports, _ := c.nodes["a"].turnstore.SyncedReplicas()
@@ -52,7 +52,7 @@
 	var wg sync.WaitGroup
 	for i := range 12 {
 		wg.Go(func() {
-			reply, err := (&transport{c: c, to: "a"}).Begin(c.ctx, ask(name(100+i), "t1"))
+			reply, err := (&transport{cluster: c, to: "a"}).Begin(c.ctx, ask(name(100+i), "t1"))
 			if err == nil {
 				mu.Lock()
 				n[reply.Verdict]++
@@ -75,7 +75,7 @@
 			r := ask(name(100+i), "t2")
 			r.Limited = false
 			for {
-				reply, err := (&transport{c: c, to: "a"}).Begin(c.ctx, r)
+				reply, err := (&transport{cluster: c, to: "a"}).Begin(c.ctx, r)
 				if err == nil && reply.Verdict == busy {
 					continue
 				}
@@ -93,7 +93,7 @@
 	k.mustStore("a", "t2", "t1")
 	r := ask("f1", "t2")
 	r.Partition, r.Program = 1, "f"
-	assert.Equal(t, (&checker{c: c}).begin("a", r), unknown) // that partition doesn't hold it
+	assert.Equal(t, (&checker{cluster: c}).begin("a", r), unknown) // that partition doesn't hold it
 	found, err := c.nodes["a"].turnstore.Find(c.ctx, &tierv1.FindRequest{Attempt: "t2"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(found.Chain), 2)
@@ -146,7 +146,7 @@
 	c.mu.Unlock()
 	c.assign("b", "?a")
 	c.publish()
-	c.synced("b", parts)
+	c.synced("b", partitionCount)
 	c.assign("a", "b")
 	c.publish()
 	assert.Equal(t, k.beginUntilCertain("a", ask("t1", "")), busy) // b's reservations may be under release
--- a/internal/tier/turnstore/checker_test.go
+++ b/internal/tier/turnstore/checker_test.go
@@ -16,27 +16,29 @@
 	busy    = tierv1.Verdict_BUSY
 )
 
-// checker remembers what was answered.
+// checker is a client that remembers what was acknowledged, and checks later replies against that.
 type checker struct {
-	c        *cluster
+	cluster  *cluster
 	stored   []string          // attempts whose turn was acknowledged as stored
 	previous map[string]string // previous by attempt
 	granted  map[string]uint64 // maximum of attempts answered OK, then the tokens of their settlements
 }
 
 func newChecker(c *cluster) *checker {
-	return &checker{c: c, previous: map[string]string{}, granted: map[string]uint64{}}
+	return &checker{cluster: c, previous: map[string]string{}, granted: map[string]uint64{}}
 }
 
+// begin calls Begin and checks the reply: no stored turn is unknown, the budget is not exceeded, and the chain is complete.
 func (k *checker) begin(to string, r *tierv1.BeginRequest) tierv1.Verdict {
-	w := &transport{c: k.c, to: to}
-	reply, err := w.Begin(k.c.ctx, r)
+	k.cluster.t.Helper()
+	w := &transport{cluster: k.cluster, to: to}
+	reply, err := w.Begin(k.cluster.ctx, r)
 	if err != nil {
 		return tierv1.Verdict_VERDICT_UNSPECIFIED
 	}
 	if reply.Verdict == tierv1.Verdict_UNKNOWN {
 		for _, a := range k.stored {
-			assert.Assert(k.c.t, a != r.Previous, "stored turn %s is unknown", a)
+			assert.Assert(k.cluster.t, a != r.Previous, "stored turn %s is unknown", a)
 		}
 	}
 	if reply.Verdict == tierv1.Verdict_OK {
@@ -48,7 +50,7 @@
 			for _, n := range k.granted {
 				sum += n
 			}
-			assert.Assert(k.c.t, sum <= r.Budget, "%d tokens granted of %d", sum, r.Budget)
+			assert.Assert(k.cluster.t, sum <= r.Budget, "%d tokens granted of %d", sum, r.Budget)
 		}
 		if !r.ChainKnown {
 			want := []string{}
@@ -58,17 +60,19 @@
 			got := []string{}
 			for _, t := range reply.Chain {
 				got = append(got, t.Attempt)
-				assert.Equal(k.c.t, string(t.Output), "out "+t.Attempt)
+				assert.Equal(k.cluster.t, string(t.Output), "out "+t.Attempt)
 			}
-			assert.DeepEqual(k.c.t, got, want)
+			assert.DeepEqual(k.cluster.t, got, want)
 		}
 	}
 	return reply.Verdict
 }
 
+// settle settles an attempt with its turn, and records what is acknowledged.
 func (k *checker) settle(to, program, attempt, previous string, tokens uint64) tierv1.Verdict {
-	w := &transport{c: k.c, to: to}
-	reply, err := w.Settle(k.c.ctx, &tierv1.SettleRequest{Program: program, Attempt: attempt, Stored: true, Tokens: tokens,
+	k.cluster.t.Helper()
+	w := &transport{cluster: k.cluster, to: to}
+	reply, err := w.Settle(k.cluster.ctx, &tierv1.SettleRequest{Program: program, Attempt: attempt, Stored: true, Tokens: tokens,
 		Turn: turn(program, attempt, previous)})
 	if err != nil {
 		return tierv1.Verdict_VERDICT_UNSPECIFIED
@@ -83,12 +87,14 @@
 
 // mustStore takes a turn from its begin to its end.
 func (k *checker) mustStore(to, attempt, previous string) {
-	assert.Equal(k.c.t, k.begin(to, ask(attempt, previous)), ok)
-	assert.Equal(k.c.t, k.settle(to, "p", attempt, previous, 10), ok)
+	k.cluster.t.Helper()
+	assert.Equal(k.cluster.t, k.begin(to, ask(attempt, previous)), ok)
+	assert.Equal(k.cluster.t, k.settle(to, "p", attempt, previous, 10), ok)
 }
 
 // beginUntilCertain begins again as long as the answer is BUSY.
 func (k *checker) beginUntilCertain(to string, r *tierv1.BeginRequest) tierv1.Verdict {
+	k.cluster.t.Helper()
 	v := busy
 	for range 100 {
 		if v = k.begin(to, r); v != busy {
@@ -100,8 +106,9 @@
 
 // release ends a reservation of which nothing was handed out.
 func (k *checker) release(to, attempt string) tierv1.Verdict {
-	w := &transport{c: k.c, to: to}
-	reply, err := w.Settle(k.c.ctx, &tierv1.SettleRequest{Program: "p", Attempt: attempt})
+	k.cluster.t.Helper()
+	w := &transport{cluster: k.cluster, to: to}
+	reply, err := w.Settle(k.cluster.ctx, &tierv1.SettleRequest{Program: "p", Attempt: attempt})
 	if err != nil {
 		return tierv1.Verdict_VERDICT_UNSPECIFIED
 	}
@@ -113,9 +120,9 @@
 
 func newPair(t reporter) (*cluster, *checker) { return newPairWith(t, injection{}) }
 
-// newPairWith is pair with a injected fault.
-func newPairWith(t reporter, p injection) (*cluster, *checker) {
-	c := newClusterWith(t, p, "a", "b", "c")
+// newPairWith is newPair with an injected fault.
+func newPairWith(t reporter, injected injection) (*cluster, *checker) {
+	c := newClusterWith(t, injected, "a", "b", "c")
 	c.assign("a", "b")
 	c.publish()
 	return c, newChecker(c)
@@ -132,9 +139,9 @@
 }
 
 // askMaxTokens is a Begin of a turn that may cost so many of 100 tokens.
-func askMaxTokens(attempt string, most uint64) *tierv1.BeginRequest {
+func askMaxTokens(attempt string, maxTokens uint64) *tierv1.BeginRequest {
 	r := ask(attempt, "")
-	r.MaxTokens = most
+	r.MaxTokens = maxTokens
 	return r
 }
 
--- a/internal/tier/turnstore/cluster_test.go
+++ b/internal/tier/turnstore/cluster_test.go
@@ -17,7 +17,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-const parts = 2
+const partitionCount = 2
 
 // fault is what happens to one message.
 type fault int
@@ -68,9 +68,9 @@
 	return newClusterWith(t, injection{}, names...)
 }
 
-// newClusterWith is newCluster with a injected fault.
-func newClusterWith(t reporter, p injection, names ...string) *cluster {
-	c := &cluster{t: t, injection: p, rng: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*node{}, names: names, faultHit: make(chan struct{}),
+// newClusterWith is newCluster with an injected fault.
+func newClusterWith(t reporter, injected injection, names ...string) *cluster {
+	c := &cluster{t: t, injection: injected, rng: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*node{}, names: names, faultHit: make(chan struct{}),
 		clock: time.Now(), ctx: context.Background()}
 	for _, n := range names {
 		c.nodes[n] = &node{name: n, disk: wal.NewMemory()}
@@ -100,7 +100,7 @@
 	n := c.nodes[name]
 	v, err := Open(Config{Node: name, Dir: "/data", FS: c.files(n.disk), Now: c.now, ReplyTimeout: 40 * time.Millisecond,
 		RequestTimeout: 250 * time.Millisecond, Log: &log.Logger{Writer: log.IOWriter{Writer: io.Discard}},
-		Dial: func(addr string) tierv1.TurnStore { return &transport{c: c, from: name, to: addr} }})
+		Dial: func(addr string) tierv1.TurnStore { return &transport{cluster: c, from: name, to: addr} }})
 	assert.NilError(c.t, err)
 	c.mu.Lock()
 	n.turnstore, n.down = v, false
@@ -141,7 +141,7 @@
 	for _, name := range c.names {
 		m.StoreNodes = append(m.StoreNodes, &tierv1.StoreNode{Folder: c.nodes[name].turnstore.Folder(), Node: name, Address: name})
 	}
-	for range parts {
+	for range partitionCount {
 		p := &tierv1.Partition{Epoch: m.Version, Primary: c.nodes[primary].turnstore.Folder()}
 		for _, b := range backups {
 			synced := b[0] != '?'
@@ -250,5 +250,5 @@
 	return keys
 }
 
-// reporter is what the checks of this package report to: a test, or the observer of a injected fault.
+// reporter is what the checks of this package report to: a test, or the observer of an injected fault.
 type reporter = observer.Reporter
--- a/internal/tier/turnstore/compact_test.go
+++ b/internal/tier/turnstore/compact_test.go
@@ -18,25 +18,25 @@
 				t.Parallel()
 				s := newScript(t, false)
 				s.storeThreeTurns()
-				v, disk := s.c.nodes["b"].turnstore, s.c.nodes["b"].disk
+				v, disk := s.cluster.nodes["b"].turnstore, s.cluster.nodes["b"].disk
 				if full {
 					disk.FailFrom(at, syscall.ENOSPC)
 				} else {
 					disk.FailAt(at, syscall.EIO)
 				}
 				for range 2 {
-					_ = v.Compact(s.c.ctx, true)
+					_ = v.Compact(s.cluster.ctx, true)
 				}
 				disk.Recover()
 				for range 4 { // notes the failure, opens the log again, and so for a file that is found broken later
-					v.CheckDisk(s.c.now())
-					_ = v.Compact(s.c.ctx, true)
+					v.CheckDisk(s.cluster.now())
+					_ = v.Compact(s.cluster.ctx, true)
 				}
-				v.CheckDisk(s.c.now())
-				v.CheckDisk(s.c.now())
-				assert.NilError(t, v.Compact(s.c.ctx, true))
+				v.CheckDisk(s.cluster.now())
+				v.CheckDisk(s.cluster.now())
+				assert.NilError(t, v.Compact(s.cluster.ctx, true))
 				assert.Assert(t, !reportsDiskFault(t, v))
-				assert.Equal(t, s.k.beginUntilCertain("a", &tierv1.BeginRequest{Program: "q", Attempt: "x", RetentionMs: 1}), ok)
+				assert.Equal(t, s.checker.beginUntilCertain("a", &tierv1.BeginRequest{Program: "q", Attempt: "x", RetentionMs: 1}), ok)
 				s.verify()
 			})
 		}
@@ -50,16 +50,16 @@
 			s := newScript(t, false)
 			s.storeThreeTurns()
 			if at > 0 {
-				s.c.nodes["b"].disk.DieAt(at)
+				s.cluster.nodes["b"].disk.DieAt(at)
 			}
-			v := s.c.nodes["b"].turnstore
-			err := v.Compact(s.c.ctx, true)
+			v := s.cluster.nodes["b"].turnstore
+			err := v.Compact(s.cluster.ctx, true)
 			if err == nil {
-				err = v.Compact(s.c.ctx, true) // and back into the first file
+				err = v.Compact(s.cluster.ctx, true) // and back into the first file
 			}
 			assert.Assert(t, at > 0 || err == nil)
 			if err != nil {
-				s.c.crash("b", false)
+				s.cluster.crash("b", false)
 				s.repair()
 			}
 			s.verify()
--- a/internal/tier/turnstore/diskstate_test.go
+++ b/internal/tier/turnstore/diskstate_test.go
@@ -51,7 +51,7 @@
 // replaceFailedDisks does what the control plane does for turn stores whose disk fails: others take their places. Then the disk is sound again,
 // and the turn store is the one to spare.
 func (s *script) replaceFailedDisks() {
-	c := s.c
+	c := s.cluster
 	for _, name := range []string{s.primary, s.backup} {
 		n := c.nodes[name]
 		if !n.turnstore.commit.broken() {
@@ -66,7 +66,7 @@
 		}
 		c.assign(s.primary, "?"+s.backup)
 		c.publish()
-		c.synced(s.primary, parts)
+		c.synced(s.primary, partitionCount)
 		c.assign(s.primary, s.backup)
 		c.publish()
 		n.disk.Recover()
@@ -86,20 +86,20 @@
 					t.Parallel()
 					s := newScript(t, false)
 					s.repairDisks = s.replaceFailedDisks
-					if disk := s.c.nodes[victim].disk; full {
+					if disk := s.cluster.nodes[victim].disk; full {
 						disk.FailFrom(at, syscall.ENOSPC)
 					} else {
 						disk.FailAt(at, syscall.EIO)
 					}
 					s.storeThreeTurns()
-					s.c.nodes[victim].disk.Recover() // where its place was not reached
+					s.cluster.nodes[victim].disk.Recover() // where its place was not reached
 					s.replaceFailedDisks()
 					// The spare one, back from its fault, takes the backup's place by synchronization, and then the primary's.
-					s.c.assign(s.primary, "?"+s.spare)
-					s.c.publish()
-					s.c.synced(s.primary, parts)
-					s.c.assign(s.primary, s.spare)
-					s.c.publish()
+					s.cluster.assign(s.primary, "?"+s.spare)
+					s.cluster.publish()
+					s.cluster.synced(s.primary, partitionCount)
+					s.cluster.assign(s.primary, s.spare)
+					s.cluster.publish()
 					s.backup, s.spare = s.spare, s.backup
 					s.repairDisks = nil
 					s.verify()
--- a/internal/tier/turnstore/fault_test.go
+++ b/internal/tier/turnstore/fault_test.go
@@ -14,9 +14,9 @@
 				t.Run(fmt.Sprintf("replace=%v/fault=%d/message=%d", replace, f, at), func(t *testing.T) {
 					t.Parallel()
 					s := newScript(t, replace)
-					s.c.mu.Lock()
-					s.c.fault, s.c.faultAt = f, s.c.calls+at
-					s.c.mu.Unlock()
+					s.cluster.mu.Lock()
+					s.cluster.fault, s.cluster.faultAt = f, s.cluster.calls+at
+					s.cluster.mu.Unlock()
 					s.storeThreeTurns()
 					s.verify()
 				})
@@ -42,12 +42,12 @@
 const diskOperations = 14
 
 // runPowerLoss is one run of TestReplication_PowerLossAtEachDiskOperation.
-func runPowerLoss(t reporter, p injection, both bool, victim string, at int) {
-	s := newScriptWith(t, p, false)
-	s.c.nodes[victim].disk.DieAt(at)
+func runPowerLoss(t reporter, injected injection, both bool, victim string, at int) {
+	s := newScriptWith(t, injected, false)
+	s.cluster.nodes[victim].disk.DieAt(at)
 	if both {
-		s.c.nodes["a"].disk.DieAt(at)
-		s.c.nodes["b"].disk.DieAt(at)
+		s.cluster.nodes["a"].disk.DieAt(at)
+		s.cluster.nodes["b"].disk.DieAt(at)
 	}
 	s.storeThreeTurns()
 	s.verify()
@@ -86,25 +86,25 @@
 
 var repairSteps = []repairStep{
 	{name: "a repair", onlySyncedReplica: true, begin: func(s *script) { // the backup's disk is lost, the spare one gets a replica
-		s.c.crash("b", true)
-		s.c.restart("b")
+		s.cluster.crash("b", true)
+		s.cluster.restart("b")
 		s.backup, s.spare = "c", "b"
 	}},
 	{name: "a hand-over", begin: func(s *script) { // the primary received SIGTERM
 		s.primary, s.backup, s.spare, s.draining = "b", "c", "a", "a"
 	}},
 	{name: "a planned replacement", begin: func(s *script) { // the new one has come, then the primary receives SIGTERM and is removed
-		s.c.crash("c", true)
-		s.c.restart("c")
+		s.cluster.crash("c", true)
+		s.cluster.restart("c")
 		s.primary, s.backup, s.spare, s.draining = "b", "c", "a", "a"
 	}},
 }
 
 // runLoss runs one step with a fault at one of its messages, and the loss of the primary right after it.
-func runLoss(t reporter, p injection, step repairStep, f fault, at int) {
-	s := newScriptWith(t, p, false)
+func runLoss(t reporter, injected injection, step repairStep, f fault, at int) {
+	s := newScriptWith(t, injected, false)
 	s.storeThreeTurns()
-	s.c.armFault(f, at)
+	s.cluster.armFault(f, at)
 	step.begin(s)
 	s.addReplica()
 	s.await()
@@ -124,8 +124,8 @@
 }
 
 // runTwoLosses is one run of TestReplicaLoss_TwoOfFour, with the second loss at a message, or after the repair where that is 0.
-func runTwoLosses(t reporter, p injection, at int) {
-	c := newClusterWith(t, p, "a", "b", "c", "d")
+func runTwoLosses(t reporter, injected injection, at int) {
+	c := newClusterWith(t, injected, "a", "b", "c", "d")
 	c.assign("a", "b", "c")
 	c.publish()
 	k := newChecker(c)
@@ -144,7 +144,7 @@
 		c.restart("a")
 		c.assign("c", "?d", "?a")
 		c.publish()
-		c.synced("c", 2*parts)
+		c.synced("c", 2*partitionCount)
 		c.assign("c", "d", "a")
 		c.publish()
 		c.crash("c", true)
@@ -152,7 +152,7 @@
 		c.assign("d", "a", "?c")
 		c.publish()
 	} else {
-		c.synced("a", parts)
+		c.synced("a", partitionCount)
 		c.assign("a", "c", "d")
 		c.publish()
 		c.crash("a", true)
--- a/internal/tier/turnstore/find_test.go
+++ b/internal/tier/turnstore/find_test.go
@@ -14,7 +14,7 @@
 	v := c.nodes["a"].turnstore
 	r, err := v.Find(c.ctx, &tierv1.FindRequest{Attempt: "nothing"})
 	assert.NilError(t, err)
-	assert.Equal(t, len(r.Partitions), parts)
+	assert.Equal(t, len(r.Partitions), partitionCount)
 	c.mu.Lock()
 	c.nodes["b"].partitioned = true
 	c.mu.Unlock()
--- a/internal/tier/turnstore/handover_test.go
+++ b/internal/tier/turnstore/handover_test.go
@@ -73,7 +73,7 @@
 	c.assign("b", "a", "?c")
 	c.publish()
 	waits(end, "the replica that takes its place is being synced")
-	c.synced("b", parts)
+	c.synced("b", partitionCount)
 	c.assign("b", "a", "c")
 	c.publish()
 	<-end
@@ -90,7 +90,7 @@
 	end2()
 	end = released(over)
 	waits(end, "it has the last replica")
-	c.synced("a", parts)
+	c.synced("a", partitionCount)
 	c.assign("a", "b")
 	c.publish()
 	<-end // still the primary, but its time is over
--- a/internal/tier/turnstore/injection_test.go
+++ b/internal/tier/turnstore/injection_test.go
@@ -16,7 +16,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// injectionSeeds is in how many seeds a injected fault has to be found, and faultFreeSeeds how many are played without a fault.
+// injectionSeeds is in how many seeds an injected fault has to be found, and faultFreeSeeds how many are played without a fault.
 const (
 	injectionSeeds = 200
 	faultFreeSeeds = 40
@@ -182,7 +182,7 @@
 // unsyncedSucceeds makes the control plane name a machine as the primary that has no synced replica.
 func unsyncedSucceeds() injection {
 	return injection{successor: func(s *script, lost string) string {
-		for _, name := range s.c.names {
+		for _, name := range s.cluster.names {
 			if name != lost && name != s.backup {
 				return name
 			}
--- a/internal/tier/turnstore/partitionmap_test.go
+++ b/internal/tier/turnstore/partitionmap_test.go
@@ -38,7 +38,7 @@
 		}
 		c.assign(primary, backup, "?"+spare)
 		c.publish()
-		c.synced(primary, parts)
+		c.synced(primary, partitionCount)
 		c.assign(backup, spare)
 		c.publish()
 	}
--- a/internal/tier/turnstore/retention_test.go
+++ b/internal/tier/turnstore/retention_test.go
@@ -14,7 +14,7 @@
 	k.mustStore("a", "t1", "")
 	c.assign("a", "?c")
 	c.publish()
-	c.synced("a", parts)
+	c.synced("a", partitionCount)
 	v := c.nodes["b"].turnstore
 	c.advance(29 * time.Second)
 	for range 8 {
@@ -31,9 +31,9 @@
 // A turn store keeps a replica that the map retains, and drops one that it doesn't.
 func TestRetainedReplicas_AreNotDropped(t *testing.T) { runRetained(t, injection{}) }
 
-func runRetained(t reporter, planted injection) {
+func runRetained(t reporter, injected injection) {
 	for _, retained := range []bool{true, false} {
-		c, k := newPairWith(t, planted)
+		c, k := newPairWith(t, injected)
 		assert.Equal(t, k.begin("a", ask("t1", "")), ok)
 		assert.Equal(t, k.settle("a", "p", "t1", "", 5), ok)
 		c.assign("a", "?c")
--- a/internal/tier/turnstore/script_test.go
+++ b/internal/tier/turnstore/script_test.go
@@ -11,13 +11,13 @@
 
 // script runs three turns of one program against a cluster that the control plane repairs after each failure.
 type script struct {
-	c           *cluster
-	k           *checker
+	cluster     *cluster
+	checker     *checker
 	primary     string
 	backup      string
 	spare       string
 	draining    string // a former primary that still has its replicas
-	repairDisks func() // what is done between attempts, where it is not repair
+	repairDisks func() // what is done between attempts instead of repair, if not nil
 	replace     bool   // machines that went down are replaced; otherwise they come back
 }
 
@@ -25,17 +25,17 @@
 	return newScriptWith(t, injection{}, replace)
 }
 
-// newScriptWith is newScript on a cluster with a injected fault.
-func newScriptWith(t reporter, p injection, replace bool) *script {
-	c := newClusterWith(t, p, "a", "b", "c")
+// newScriptWith is newScript on a cluster with an injected fault.
+func newScriptWith(t reporter, injected injection, replace bool) *script {
+	c := newClusterWith(t, injected, "a", "b", "c")
 	c.assign("a", "b")
 	c.publish()
-	return &script{c: c, k: newChecker(c), primary: "a", backup: "b", spare: "c", replace: replace}
+	return &script{cluster: c, checker: newChecker(c), primary: "a", backup: "b", spare: "c", replace: replace}
 }
 
 // repair does what the control plane does: brings machines back, or assigns others.
 func (s *script) repair() {
-	c := s.c
+	c := s.cluster
 	for _, n := range []string{s.primary, s.backup} {
 		c.mu.Lock()
 		v, down := c.nodes[n].turnstore, c.nodes[n].down
@@ -58,52 +58,54 @@
 		}
 		c.assign(s.primary, "?"+s.backup)
 		c.publish()
-		c.synced(s.primary, parts)
+		c.synced(s.primary, partitionCount)
 		c.assign(s.primary, s.backup)
 		c.publish()
 	}
 }
 
-func (s *script) until(what string, try func() tierv1.Verdict) {
+// until repeats a call with a repair in between until its verdict is OK.
+func (s *script) until(what string, call func() tierv1.Verdict) {
 	for range 100 {
-		v := try()
+		v := call()
 		if v == tierv1.Verdict_OK {
 			return
 		}
-		assert.Assert(s.c.t, v != tierv1.Verdict_UNKNOWN && v != tierv1.Verdict_SPENT, "%s: %v", what, v)
+		assert.Assert(s.cluster.t, v != tierv1.Verdict_UNKNOWN && v != tierv1.Verdict_SPENT, "%s: %v", what, v)
 		if s.repairDisks != nil {
 			s.repairDisks()
 			continue
 		}
 		s.repair()
 	}
-	s.c.t.Fatalf("%s: never done", what)
+	s.cluster.t.Fatalf("%s: never done", what)
 }
 
+// storeThreeTurns begins and settles three turns, each of which continues the one before.
 func (s *script) storeThreeTurns() {
 	previous := ""
 	for i := range 3 {
 		a := name(i)
-		s.until("begin "+a, func() tierv1.Verdict { return s.k.begin(s.primary, ask(a, previous)) })
-		s.until("settle "+a, func() tierv1.Verdict { return s.k.settle(s.primary, "p", a, previous, 20) })
+		s.until("begin "+a, func() tierv1.Verdict { return s.checker.begin(s.primary, ask(a, previous)) })
+		s.until("settle "+a, func() tierv1.Verdict { return s.checker.settle(s.primary, "p", a, previous, 20) })
 		previous = a
 	}
 }
 
 // continueEachTurn continues each stored turn, in a program of its own.
 func (s *script) continueEachTurn(round string) {
-	for i, a := range s.k.stored {
-		s.until("go on from "+a, func() tierv1.Verdict {
+	for i, a := range s.checker.stored {
+		s.until("continue "+a, func() tierv1.Verdict {
 			r := ask(fmt.Sprintf("%s-%d", round, i), a)
 			r.Program, r.Budget = round+a, 1_000
-			return s.k.begin(s.primary, r)
+			return s.checker.begin(s.primary, r)
 		})
 	}
 }
 
-// verify checks what must stand: here, after late messages, and after the loss of the primary with its disk.
+// verify checks that all that was acknowledged stands: now, after late messages, and after the loss of the primary with its disk.
 func (s *script) verify() {
-	c := s.c
+	c := s.cluster
 	c.mu.Lock()
 	underWay := c.faultAt > 0 && c.calls >= c.faultAt
 	c.faultAt = 0
@@ -125,7 +127,7 @@
 		for range 100 {
 			r := ask("more-"+round, "")
 			r.MaxTokens = 41
-			v := s.k.begin(s.primary, r)
+			v := s.checker.begin(s.primary, r)
 			assert.Assert(c.t, v != tierv1.Verdict_OK, "the budget is forgotten")
 			if v == tierv1.Verdict_SPENT {
 				return
@@ -148,7 +150,7 @@
 // restore does what the control plane and the platform do for machines that went down: all come back; where one has lost its disk, a
 // machine that holds all takes its place, and the replica being synced is made anew.
 func (s *script) restore() {
-	c, wiped := s.c, ""
+	c, wiped := s.cluster, ""
 	for _, name := range c.names {
 		c.mu.Lock()
 		v, down := c.nodes[name].turnstore, c.nodes[name].down
@@ -181,19 +183,19 @@
 	return responsibilityOf(c.partitionMap, folder) != notAssigned
 }
 
-// addReplica makes the map of a replica being synced to the backup, beside one on the machine that leaves, if any.
+// addReplica publishes a map with the backup as not synced, beside the replica on the draining machine, if any.
 func (s *script) addReplica() {
 	if s.draining != "" {
-		s.c.assign(s.primary, s.draining, "?"+s.backup)
+		s.cluster.assign(s.primary, s.draining, "?"+s.backup)
 	} else {
-		s.c.assign(s.primary, "?"+s.backup)
+		s.cluster.assign(s.primary, "?"+s.backup)
 	}
-	s.c.publish()
+	s.cluster.publish()
 }
 
 // disarmFault ends the fault. It reports whether all machines are up.
 func (s *script) disarmFault() bool {
-	c := s.c
+	c := s.cluster
 	c.mu.Lock()
 	hit := c.faultAt > 0 && c.calls >= c.faultAt
 	c.faultAt = 0
@@ -214,7 +216,7 @@
 // losePrimary loses the primary with its disk at once: the backup takes its place, and another machine that of the backup.
 // The new primary continues each stored turn, whether its own backup is synced or not.
 func (s *script) losePrimary() {
-	c, lost := s.c, s.primary
+	c, lost := s.cluster, s.primary
 	c.crash(lost, true)
 	c.restart(lost)
 	s.primary = s.successor(lost)
@@ -225,15 +227,15 @@
 	}
 	s.addReplica()
 	s.continueEachTurn("at once")
-	c.synced(s.primary, parts)
+	c.synced(s.primary, partitionCount)
 	c.assign(s.primary, s.backup)
 	c.publish()
 }
 
 // successor is the machine that takes the place of a lost primary.
 func (s *script) successor(lost string) string {
-	if s.c.injection.successor != nil {
-		return s.c.injection.successor(s, lost)
+	if s.cluster.injection.successor != nil {
+		return s.cluster.injection.successor(s, lost)
 	}
 	return s.backup
 }
@@ -242,14 +244,14 @@
 func (s *script) await() {
 	for range 200 {
 		s.restore()
-		reports, changed := s.c.reports(s.primary)
+		reports, changed := s.cluster.reports(s.primary)
 		whole := 0
 		for _, r := range reports {
-			if r.Folder == s.c.nodes[s.backup].turnstore.Folder() {
+			if r.Folder == s.cluster.nodes[s.backup].turnstore.Folder() {
 				whole++
 			}
 		}
-		if whole >= parts && s.disarmFault() {
+		if whole >= partitionCount && s.disarmFault() {
 			return
 		}
 		select {
@@ -257,5 +259,5 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	s.c.t.Fatal("the replicas are never reported synced")
+	s.cluster.t.Fatal("the replicas are never reported synced")
 }
--- a/internal/tier/turnstore/synchronize_test.go
+++ b/internal/tier/turnstore/synchronize_test.go
@@ -50,7 +50,7 @@
 		c.mu.Unlock()
 		c.assign("a", "?c")
 		c.publish("a", "c")
-		c.synced("a", parts)
+		c.synced("a", partitionCount)
 		assert.Equal(t, k.settle("a", "p", "t1", "", 20), ok)
 		c.mu.Lock()
 		c.nodes["b"].partitioned = false
@@ -58,11 +58,11 @@
 		if primaryLacks {
 			c.assign("b", "?a", "?c") // b lacks what it is the primary of: no map of the control plane's, but replicas must still agree
 			c.publish()
-			c.synced("b", 2*parts)
+			c.synced("b", 2*partitionCount)
 		} else {
 			c.assign("a", "c", "?b")
 			c.publish()
-			c.synced("a", parts)
+			c.synced("a", partitionCount)
 		}
 		for _, name := range c.names {
 			v := c.nodes[name].turnstore
@@ -89,13 +89,13 @@
 	for range maxTransfers {
 		<-a.transferSlots
 	}
-	c.synced("a", parts)
+	c.synced("a", partitionCount)
 	reports, _ := a.SyncedReplicas()
 	for _, r := range reports {
 		assert.Equal(t, r.Folder, c.nodes["b"].turnstore.Folder())
 		assert.Equal(t, r.Epoch, c.partitionMap.Version)
 	}
-	assert.Equal(t, len(reports), parts)
+	assert.Equal(t, len(reports), partitionCount)
 }
 
 func TestSynchronize_PullsFactsOfBackup(t *testing.T) {
@@ -110,10 +110,10 @@
 	c.mu.Unlock()
 	c.assign("b", "?a", "?c")
 	c.publish()
-	c.synced("b", 2*parts)
+	c.synced("b", 2*partitionCount)
 	found, err := c.nodes["b"].turnstore.Find(c.ctx, &tierv1.FindRequest{Attempt: "none"})
 	assert.NilError(t, err)
-	assert.Equal(t, len(found.Partitions), parts) // every backup has taken all that came to b before
+	assert.Equal(t, len(found.Partitions), partitionCount) // every backup has taken all that came to b before
 	for _, n := range c.names {
 		v := c.nodes[n].turnstore
 		r, err := v.Fetch(c.ctx, &tierv1.FetchRequest{Keys: []string{"r/t1", "s/t1", "a/t1", "r/t2", "r/none", "?"}})
@@ -129,7 +129,7 @@
 
 func TestSynchronize_SendsInChunks(t *testing.T) {
 	c, k := newPair(t)
-	w := &transport{c: c, to: "a"}
+	w := &transport{cluster: c, to: "a"}
 	for i := range 12 {
 		body := turn("p", name(i), "")
 		body.Output = make([]byte, 100<<10)
@@ -145,7 +145,7 @@
 	c.crash("b", true)
 	c.assign("a", "?c")
 	c.publish("a", "c")
-	c.synced("a", parts)
+	c.synced("a", partitionCount)
 	assert.Equal(t, len(c.nodes["c"].turnstore.state.partition(0).entries), 12)
 	c.crash("a", true)
 	c.assign("c")
--- a/internal/tier/turnstore/term_test.go
+++ b/internal/tier/turnstore/term_test.go
@@ -33,8 +33,8 @@
 func TestTakeover_BetweenBeginAndSettle(t *testing.T) { runTakeover(t, injection{}) }
 
 // runTakeover lets a backup take over from a primary that is frozen, which then wakes with its old epoch.
-func runTakeover(t reporter, p injection) {
-	c, k := newPairWith(t, p)
+func runTakeover(t reporter, injected injection) {
+	c, k := newPairWith(t, injected)
 	k.mustStore("a", "t1", "")
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
 	c.assign("b", "?c")
@@ -61,8 +61,8 @@
 
 // runRecovery: a primary that was a backup in an older epoch answers nothing before it has synchronized all facts with the replica that took
 // what was acknowledged since, and before the control plane knows that; then nothing that was acknowledged is missing.
-func runRecovery(t reporter, p injection) {
-	c, k := newPairWith(t, p)
+func runRecovery(t reporter, injected injection) {
+	c, k := newPairWith(t, injected)
 	folder := func(name string) string { return c.nodes[name].turnstore.Folder() }
 	assert.Equal(t, k.begin("a", ask("t1", "")), ok)
 	assert.Equal(t, k.settle("a", "p", "t1", "", 5), ok)
@@ -71,8 +71,8 @@
 	c.mu.Unlock()
 	c.assign("a", "?c") // b is retained
 	retained := []*tierv1.RetainedReplica{{Folder: folder("b"), Until: c.partitionMap.Version - 1}}
-	for _, p := range c.partitionMap.Partitions {
-		p.Retained = retained
+	for _, injected := range c.partitionMap.Partitions {
+		injected.Retained = retained
 	}
 	c.publish("a", "c")
 	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
@@ -83,8 +83,8 @@
 	c.nodes["c"].partitioned = true // b cannot reach it as yet
 	c.mu.Unlock()
 	c.assign("b", "?c")
-	for _, p := range c.partitionMap.Partitions {
-		p.Retained, p.RecoverFrom, p.AcknowledgedUntil = retained, []string{folder("c")}, p.Epoch-1
+	for _, injected := range c.partitionMap.Partitions {
+		injected.Retained, injected.RecoverFrom, injected.AcknowledgedUntil = retained, []string{folder("c")}, injected.Epoch-1
 	}
 	c.publish("b", "c")
 	assert.Equal(t, k.begin("b", ask("t3", "t2")), tierv1.Verdict_BUSY)
@@ -92,11 +92,11 @@
 	c.mu.Lock()
 	c.nodes["c"].partitioned = false
 	c.mu.Unlock()
-	c.synced("b", parts)
+	c.synced("b", partitionCount)
 	assert.Equal(t, k.begin("b", ask("t3", "t2")), tierv1.Verdict_BUSY) // until the control plane knows
 	next := &tierv1.PartitionMap{Version: c.partitionMap.Version + 1, StoreNodes: c.partitionMap.StoreNodes}
-	for _, p := range c.partitionMap.Partitions {
-		next.Partitions = append(next.Partitions, &tierv1.Partition{Epoch: p.Epoch, Primary: p.Primary,
+	for _, injected := range c.partitionMap.Partitions {
+		next.Partitions = append(next.Partitions, &tierv1.Partition{Epoch: injected.Epoch, Primary: injected.Primary,
 			Backups: []*tierv1.Replica{{Folder: folder("c"), Synced: true}}})
 	}
 	c.partitionMap = next
--- a/internal/tier/turnstore/transport_test.go
+++ b/internal/tier/turnstore/transport_test.go
@@ -11,7 +11,7 @@
 
 // transport is a client that reaches a turn store through the network in memory.
 type transport struct {
-	c        *cluster
+	cluster  *cluster
 	from, to string
 }
 
@@ -19,7 +19,7 @@
 
 // deliver serves one message, with the fault if it is the one that the fault hits.
 func deliver[Req, Rep proto.Message](ctx context.Context, w *transport, req Req, serve func(*TurnStore, context.Context, Req) (Rep, error)) (rep Rep, err error) {
-	c := w.c
+	c := w.cluster
 	req = proto.Clone(req).(Req)
 	c.mu.Lock()
 	c.calls++
@@ -100,22 +100,22 @@
 }
 
 func (w *transport) Replicate(ctx context.Context, r *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
-	if w.c.injection.replicate != nil {
-		return deliver(ctx, w, r, w.c.injection.replicate(w.c))
+	if w.cluster.injection.replicate != nil {
+		return deliver(ctx, w, r, w.cluster.injection.replicate(w.cluster))
 	}
 	return deliver(ctx, w, r, (*TurnStore).Replicate)
 }
 
 func (w *transport) Held(ctx context.Context, r *tierv1.FactKeysRequest) (*tierv1.FactKeysReply, error) {
-	if w.c.injection.held != nil {
-		return deliver(ctx, w, r, w.c.injection.held(w.c))
+	if w.cluster.injection.held != nil {
+		return deliver(ctx, w, r, w.cluster.injection.held(w.cluster))
 	}
 	return deliver(ctx, w, r, (*TurnStore).Held)
 }
 
 func (w *transport) Fetch(ctx context.Context, r *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
-	if w.c.injection.fetch != nil {
-		return deliver(ctx, w, r, w.c.injection.fetch(w.c))
+	if w.cluster.injection.fetch != nil {
+		return deliver(ctx, w, r, w.cluster.injection.fetch(w.cluster))
 	}
 	return deliver(ctx, w, r, (*TurnStore).Fetch)
 }
