--- a/internal/faulttest/tierdemo/client_test.go
+++ b/internal/faulttest/tierdemo/client_test.go
@@ -96,7 +96,7 @@
 	})
 }
 
-// A program that meets a gateway with a fault is what a rehearsal is for.
+// A program that meets a gateway with a fault is what the demo is for.
 func TestRuleChecker_FaultyGatewayDetected(t *testing.T) {
 	type sender = func([]byte) (int, http.Header, []byte)
 	for name, one := range map[string]struct {
--- a/internal/tier/ingress/server_test.go
+++ b/internal/tier/ingress/server_test.go
@@ -64,7 +64,7 @@
 	assert.NilError(c.t, err)
 }
 
-// answer reads the next answer.
+// answer reads the next response.
 func (c *client) answer() (*http.Response, string) {
 	c.t.Helper()
 	a, err := http.ReadResponse(c.r, nil)
@@ -154,7 +154,7 @@
 	}
 }
 
-// A request cut short at any byte is never handed on, and is told so or not answered at all.
+// A request truncated at any byte is never handed on, and is told so or not answered at all.
 func TestServer_TruncatedRequest(t *testing.T) {
 	var ran atomic.Int64
 	addr := start(t, &Server{Handler: func(x *Exchange) { ran.Add(1); echo(x) }})
@@ -216,7 +216,7 @@
 	conn.over()
 }
 
-// The answer to a body too long reaches a client that writes all of it before it reads.
+// The response to a body too long reaches a client that writes all of it before it reads.
 func TestServer_BodyTooLargeGetsResponse(t *testing.T) {
 	addr := start(t, &Server{Handler: echo})
 	conn := dial(t, addr)
--- a/internal/tier/ingress/shutdown_test.go
+++ b/internal/tier/ingress/shutdown_test.go
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// A request sent on behind one whose answer says that the connection closes stays unread, and costs the client nothing of
-// that answer.
+// A request pipelined behind one whose response says that the connection closes stays unread, and costs the client nothing of
+// that response.
 func TestConn_UnreadRequestAfterLastResponse(t *testing.T) {
 	begun, finish := make(chan bool), make(chan bool)
 	s := &Server{Handler: func(x *Exchange) { begun <- true; <-finish; echo(x) }}
--- a/internal/tier/ingress/truncation_test.go
+++ b/internal/tier/ingress/truncation_test.go
@@ -100,7 +100,7 @@
 }
 
 // TestExchange_AbortedResponseIncomplete: a handler that aborts, panics or just returns within a stream, after each number of
-// pieces, leaves its client with a visible break: no last chunk, and no next answer in its place.
+// pieces, leaves its client with a visible break: no last chunk, and no next response in its place.
 func TestExchange_AbortedResponseIncomplete(t *testing.T) {
 	pieces := []string{"a", "0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", strings.Repeat("x", 70<<10)}
 	ends := map[string]func(*Exchange){
@@ -133,7 +133,7 @@
 	}
 }
 
-// TestServer_ClientClosesDuringResponseAtEachByte: a client that resets while its answer is on its way costs the next one nothing.
+// TestServer_ClientClosesDuringResponseAtEachByte: a client that resets while its response is on its way costs the next one nothing.
 func TestServer_ClientClosesDuringResponseAtEachByte(t *testing.T) {
 	addr := start(t, &Server{Handler: echo})
 	c := dial(t, addr)
--- a/internal/tier/logformat/promised_events_test.go
+++ b/internal/tier/logformat/documented_events_test.go
@@ -20,14 +20,14 @@
 // operatorsPage is the page that lists the events of the log.
 const operatorsPage = "../../../docs/operate/tier.md"
 
-// promisedEvent is what the operators' page says of an event: its level and its fields, where it is logged below a folder of the tier.
-type promisedEvent struct {
+// documentedEvent is what the operators' page says of an event: its level and its fields, where it is logged below a folder of the tier.
+type documentedEvent struct {
 	event, level string
 	in           string // prefix of the file's path; empty: wherever it is logged
 	fields       []string
 }
 
-var promisedEvents = []promisedEvent{
+var documentedEvents = []documentedEvent{
 	{"started", "Info", "", []string{"role", "node"}}, {"started", "Info", "process/turnstore", []string{"folder"}},
 	{"settings_read", "Info", "", nil}, {"settings", "Error", "", []string{"error"}},
 	{"session", "Info", "", nil}, {"session_lost", "Warn", "", []string{"why"}}, {"primary_distant", "Warn", "", nil},
@@ -52,19 +52,19 @@
 	message             bool // it ends with a message that is not empty
 }
 
-// TestPromisedEvents checks that the events of the operators' page are those that the tier logs, each with a message in words, and
-// with the level and the fields that the page promises.
-func TestPromisedEvents(t *testing.T) {
+// TestDocumentedEvents checks that the events of the operators' page are those that the tier logs, each with a message in words, and
+// with the level and the fields that the page documents.
+func TestDocumentedEvents(t *testing.T) {
 	calls := logCalls(t)
-	logged, promised := map[string]bool{}, map[string]bool{}
+	logged, documented := map[string]bool{}, map[string]bool{}
 	for _, call := range calls {
 		assert.Check(t, call.message, "%s: event %s has no message", call.place, call.event)
 		if call.level != "Debug" {
 			logged[call.event] = true
 		}
 	}
-	for _, want := range promisedEvents {
-		promised[want.event] = true
+	for _, want := range documentedEvents {
+		documented[want.event] = true
 		found := false
 		for _, call := range calls {
 			if call.event != want.event || !strings.HasPrefix(call.place, want.in) {
@@ -78,7 +78,7 @@
 		}
 		assert.Check(t, found, "event %s is not logged", want.event)
 	}
-	assert.DeepEqual(t, slices.Sorted(maps.Keys(promised)), eventsOfPage(t))
+	assert.DeepEqual(t, slices.Sorted(maps.Keys(documented)), eventsOfPage(t))
 	assert.DeepEqual(t, slices.Sorted(maps.Keys(logged)), eventsOfPage(t))
 }
 
--- a/internal/tier/simulation/check_configuration.go
+++ b/internal/tier/simulation/check_configuration.go
@@ -165,8 +165,8 @@
 	return o.revision
 }
 
-// checkStaleness checks that a gateway which holds a revision, and has heard the primary at a time, holds what had been acknowledged
-// bound before that.
+// checkStaleness checks that a gateway which holds a revision, and was last in contact with the primary at a time, holds what had been
+// acknowledged bound before that.
 func (c *configurationChecker) checkStaleness(gateway string, revision int64, lastContact, bound time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tier/simulation/gateway_role.go
+++ b/internal/tier/simulation/gateway_role.go
@@ -81,10 +81,10 @@
 	for !g.process.ended() {
 		w.sleep(sampleInterval)
 		stands, since := g.session.Active()
-		heard := w.now() - since
+		lastContact := w.now() - since
 		time.Sleep(time.Microsecond) // what came with the answer is taken in by now
 		if stands && !g.process.ended() {
-			w.checks.configuration.checkStaleness(g.process.machine.name, w.checks.views.currentRevision(g.process), heard, staleBound)
+			w.checks.configuration.checkStaleness(g.process.machine.name, w.checks.views.currentRevision(g.process), lastContact, staleBound)
 		}
 	}
 }
--- a/internal/tier/simulation/generator_test.go
+++ b/internal/tier/simulation/generator_test.go
@@ -12,7 +12,7 @@
 // Never are more counted machines, or zones or regions, lost at once than are tolerated. One that is back counts as lost until it
 // is in step again. Messages may be lost meanwhile, which takes no machine.
 func TestGenerate_LossesWithinTolerance(t *testing.T) {
-	troubled := 0 // losses of machines while messages are lost
+	withMessageLoss := 0 // losses of machines while messages are lost
 	units := map[LossUnit]int{}
 	for seed := range uint64(5000) {
 		s := Generate(seed)
@@ -28,7 +28,7 @@
 			if countLosses(f) > 0 {
 				assert.Assert(t, lost <= s.Losses, "%v%v", s, f)
 				if slices.ContainsFunc(s.Faults, func(other Fault) bool { return other.Kind == LoseMessages && overlap(f, other) }) {
-					troubled++
+					withMessageLoss++
 				}
 			}
 			if takesMore(f) {
@@ -41,7 +41,7 @@
 			}
 		}
 	}
-	assert.Assert(t, troubled > 0, "no loss is drawn beside lost messages")
+	assert.Assert(t, withMessageLoss > 0, "no loss is drawn beside lost messages")
 	assert.Assert(t, units[Machines] > 2500 && units[Zones] > 500 && units[Regions] > 100, "%v", units)
 }
 
--- a/internal/tier/upstream/body_test.go
+++ b/internal/tier/upstream/body_test.go
@@ -9,7 +9,7 @@
 )
 
 // A reset that a failed write has reported gives a plain end to the next read: an unframed answer that it cut would look
-// whole.
+// complete.
 func TestCall_ResetWhileWritingUnframedResponse(t *testing.T) {
 	body := strings.Repeat("x", 8<<20)
 	due := 0
--- a/internal/tier/upstream/call_test.go
+++ b/internal/tier/upstream/call_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestCall_Responses sends one answer, then ends the connection or keeps it open.
+// TestCall_Responses sends one response, then ends the connection or keeps it open.
 func TestCall_Responses(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nX-Response-Signature: s\r\n"
 	for _, tc := range []struct {
@@ -155,7 +155,7 @@
 	}
 }
 
-// TestCall_ResponseTruncatedAtEachByte ends or resets the connection at each byte of an answer: none of them may look whole.
+// TestCall_ResponseTruncatedAtEachByte ends or resets the connection at each byte of a response: none of them may look complete.
 func TestCall_ResponseTruncatedAtEachByte(t *testing.T) {
 	texts := []string{validResponse("a", "ok"), "HTTP/1.1 503 Full\r\nX-Attempt-Id: a\r\nX-Not-Executed: 1\r\nContent-Length: 4\r\n\r\nfull"}
 	for _, text := range texts {
@@ -223,7 +223,7 @@
 	}
 }
 
-// TestStream_TruncatedAtEachByte: pieces are whole events from the start on, and the end is never taken for whole.
+// TestStream_TruncatedAtEachByte: events are complete from the start on, and the end is never taken for complete.
 func TestStream_TruncatedAtEachByte(t *testing.T) {
 	all := []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3\ndata: c\n\n"}
 	text := streamHead + chunk(all[0]+all[1][:5]) + chunk(all[1][5:]) + chunk(all[2]) + "0\r\n\r\n"
--- a/internal/tier/upstream/classify_test.go
+++ b/internal/tier/upstream/classify_test.go
@@ -39,7 +39,7 @@
 func brokenRule(o Observation, v Disposition) string {
 	success := o.Status >= 200 && o.Status < 300
 	final := o.Status >= 200 && o.Status < 600
-	// The answer is this request's and all of it is here: for a body without framing the endpoint announced the end, and the
+	// The response is this request's and all of it is here: for a body without framing the endpoint announced the end, and the
 	// error of the connection can't have been taken by a write.
 	provenWhole := o.Outcome == Complete && o.Identified && (!o.Unframed || o.CloseAnnounced && !o.PartlyWritten)
 	saysNotRun := provenWhole && final && !success && (o.NotExecuted || o.Status == 421)
--- a/internal/tier/upstream/helpers_test.go
+++ b/internal/tier/upstream/helpers_test.go
@@ -23,7 +23,7 @@
 	r *bufio.Reader
 }
 
-// readRequest takes one request whole. It is nil where the connection ended.
+// readRequest reads one complete request. It is nil where the connection ended.
 func (l *serverConn) readRequest() (*http.Request, string) {
 	q, err := http.ReadRequest(l.r)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return Target{Address: listener.Addr().String(), Instance: "i-1"}
 }
 
-// startResponder gives every request the same answer, and then waits for the end.
+// startResponder gives every request the same response, and then waits for the end.
 func startResponder(t *testing.T, text string) Target {
 	t.Helper()
 	return startEndpoint(t, func(_ int, l *serverConn) {
@@ -116,7 +116,7 @@
 	return p.Call(context.Background(), target, post(id, "body"), long)
 }
 
-// validResponse is a whole answer to id.
+// validResponse is a complete response to id.
 func validResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Signature: s.%s\r\nContent-Length: %d\r\n\r\n%s", id, id, len(body), body)
 }
--- a/internal/tier/upstream/hostile_endpoint_test.go
+++ b/internal/tier/upstream/hostile_endpoint_test.go
@@ -12,7 +12,7 @@
 	"saffronyard.example/saffronyard/internal/tier/http1"
 )
 
-// What stands in trailers says nothing of the answer: neither whose it is nor that the request has not run.
+// Fields of trailers say nothing of the response: neither whose it is nor that the request was not executed.
 func TestBody_TrailersIgnored(t *testing.T) {
 	const trailers = "0\r\nX-Not-Executed: 1\r\nX-Attempt-Id: b\r\nContent-Length: 9\r\n\r\n"
 	for _, tc := range []struct {
@@ -31,7 +31,7 @@
 	}
 }
 
-// An answer to HEAD has no body, whatever length it announces, and its connection goes on.
+// A response to HEAD has no body, whatever length it announces, and its connection goes on.
 func TestCall_HEADHasNoBody(t *testing.T) {
 	target := startEndpoint(t, func(_ int, l *serverConn) {
 		for q, _ := l.readRequest(); q != nil; q, _ = l.readRequest() {
@@ -52,7 +52,7 @@
 	}
 }
 
-// A late second answer to HEAD announces a body that doesn't come. Whatever length that is, nothing of it is taken for the
+// A late second response to HEAD announces a body that doesn't come. Whatever length that is, nothing of it is taken for the
 // answer that follows, and the request behind is not taken for one that has not run.
 func TestCall_LateSecondResponseToHEAD(t *testing.T) {
 	own := validResponse("b", "of b")
@@ -80,7 +80,7 @@
 	}
 }
 
-// An extra answer that is split over reads, its parts before and behind the request it comes in the place of, is found by its
+// An extra response that is split over reads, its parts before and behind the request it comes in the place of, is found by its
 // id or by its connection.
 func TestCall_ExtraResponseSplitAtEachByte(t *testing.T) {
 	extra := validResponse("a", "extra")
--- a/internal/tier/upstream/pool_test.go
+++ b/internal/tier/upstream/pool_test.go
@@ -40,7 +40,7 @@
 	assert.Assert(t, call(t, p, target, "y").NewConnection)
 }
 
-// TestPool_AvoidsConnectionOfSameAttempt: a late second answer to the first send must not be taken for that to the second.
+// TestPool_AvoidsConnectionOfSameAttempt: a late second response to the first send must not be taken for that to the second.
 func TestPool_AvoidsConnectionOfSameAttempt(t *testing.T) {
 	target := echoing(t, "")
 	p := newTestPool(t)
--- a/internal/tier/upstream/random_schedule_test.go
+++ b/internal/tier/upstream/random_schedule_test.go
@@ -12,7 +12,7 @@
 
 const seeds = 200
 
-// seeded plays what a seed draws: a form of answer, cut or whole, early or not, on a new or a reused connection.
+// seeded plays what a seed draws: a form of response, truncated or complete, early or not, on a new or a reused connection.
 func (w *wireClient) seeded(seed uint64) string {
 	draw := rand.New(rand.NewPCG(seed, 18))
 	forms := responseFormats()
@@ -53,7 +53,7 @@
 	}
 }
 
-// fault is what a careless call gets wrong.
+// fault is what a naive call gets wrong.
 type fault struct {
 	anyID        bool // the id is not compared
 	keepAnyCount bool // a connection on which another's answer came is kept
@@ -63,8 +63,8 @@
 	retryBroken  bool // a reset or a close is taken for a word that it has not run
 }
 
-// careless is a call with a fault, made of the parts of the real one.
-func (f fault) careless(p *Pool) func(context.Context, Target, *Request) *Result {
+// naive is a call with a fault, made of the parts of the real one.
+func (f fault) naive(p *Pool) func(context.Context, Target, *Request) *Result {
 	return func(ctx context.Context, target Target, q *Request) *Result {
 		r := &Result{}
 		c, opened, end, err := p.acquire(ctx, target, q.AttemptID, time.Now().Add(long))
@@ -143,10 +143,10 @@
 	}
 }
 
-// TestNaiveCall_WithoutFault: what finds the planted faults is the fault, not the rest of the careless call.
+// TestNaiveCall_WithoutFault: the injected faults are found by the fault, not by the rest of the naive call.
 func TestNaiveCall_WithoutFault(t *testing.T) {
 	w := newWireClient(t)
-	w.call = fault{}.careless(w.pool)
+	w.call = fault{}.naive(w.pool)
 	for seed := range uint64(seeds) {
 		if wrong := w.seeded(seed); wrong != "" {
 			t.Fatal(wrong)
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestNaiveCall_InjectedFaultsDetected: each careless call is found by the same seeds that the real one passes.
+// TestNaiveCall_InjectedFaultsDetected: each naive call is found by the same seeds that the real one passes.
 func TestNaiveCall_InjectedFaultsDetected(t *testing.T) {
 	for name, f := range map[string]fault{
 		"an id check left out":                       {anyID: true},
@@ -170,7 +170,7 @@
 				right := w.retry
 				w.retry = func(r *Result) bool { return right(r) || r.Outcome == Broken }
 			} else {
-				w.call = f.careless(w.pool)
+				w.call = f.naive(w.pool)
 			}
 			for seed := range uint64(seeds) {
 				if wrong := w.seeded(seed); wrong != "" {
--- a/internal/tier/upstream/response_golden_test.go
+++ b/internal/tier/upstream/response_golden_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/golden"
 )
 
-// goldenHeads are heads of answers at the edges of what is accepted.
+// goldenHeads are heads of responses at the edges of what is accepted.
 func goldenHeads() []string {
 	const status = "HTTP/1.1 200 OK\r\n"
 	heads := []string{
--- a/internal/tier/upstream/wire_test.go
+++ b/internal/tier/upstream/wire_test.go
@@ -403,7 +403,7 @@
 	return []error{nil}
 }
 
-// TestWire_ResponsesTruncatedAtEachByte: each form of answer ends by a reset, a close or in silence at each of its bytes, on a new and on
+// TestWire_ResponsesTruncatedAtEachByte: each form of response ends by a reset, a close or without closing at each of its bytes, on a new and on
 // a reused connection, with a request behind it.
 func TestWire_ResponsesTruncatedAtEachByte(t *testing.T) {
 	for _, f := range responseFormats() {
@@ -431,7 +431,7 @@
 	}
 }
 
-// TestWire_CompleteResponses: each form comes whole and its connection stays open. It carries the next request only if it is clean.
+// TestWire_CompleteResponses: each form is complete and its connection stays open. It carries the next request only if it is clean.
 func TestWire_CompleteResponses(t *testing.T) {
 	for _, f := range responseFormats() {
 		if f.complete(len(f.text), noClose) {
