--- a/cmd/saffronyard/background.go
+++ b/cmd/saffronyard/background.go
@@ -179,7 +179,7 @@
 	b.stop()
 	if r := b.runner.Load(); r != nil {
 		if err := r.Close(closeTimeout); err != nil {
-			log.Error("background work", "err", err)
+			log.Error("background work did not end cleanly", "err", err)
 		}
 	}
 }
--- a/cmd/saffronyard/daemon.go
+++ b/cmd/saffronyard/daemon.go
@@ -138,7 +138,7 @@
 	}
 	go func() { // without it the sender goes on, and the command line gets no answer
 		if err := store.Serve(ctx); err != nil {
-			d.log.Error("undelivered messages can't be asked for", "err", err)
+			d.log.Error("the command line can't reach undelivered messages", "err", err)
 		}
 	}()
 }
--- a/cmd/saffronyard/daemon_services.go
+++ b/cmd/saffronyard/daemon_services.go
@@ -28,7 +28,7 @@
 	}
 	d.closers = append(d.closers, func() {
 		if err := node.Close(); err != nil {
-			d.log.Error("fleet", "err", err)
+			d.log.Error("the fleet node did not close cleanly", "err", err)
 		}
 	})
 	d.config.Fleet = node
--- a/cmd/saffronyard/zone_update.go
+++ b/cmd/saffronyard/zone_update.go
@@ -20,7 +20,7 @@
 // Errors of updates.
 var (
 	errEmptyUpdate    = errors.New("there is nothing to do: no line")
-	errAddForm        = errors.New("add NAME TTL TYPE DATA")
+	errAddSyntax      = errors.New("add NAME TTL TYPE DATA")
 	errAnswerUnsigned = errors.New("the answer is not signed")
 )
 
@@ -125,7 +125,7 @@
 // addRecord adds the record TTL TYPE DATA of a name.
 func addRecord(m *dns.Msg, name string, args []string) error {
 	if len(args) < 3 {
-		return errAddForm
+		return errAddSyntax
 	}
 	if _, err := strconv.ParseUint(args[0], 10, 31); err != nil {
 		return invalidInput("%q is no time to live in seconds", args[0])
--- a/internal/mapping/mapping.go
+++ b/internal/mapping/mapping.go
@@ -77,6 +77,8 @@
 var (
 	errRefuseExcludes = errors.New("refuse excludes class, tenant, destination, key, order and deadline")
 	errTargetNeeded   = errors.New("class and destination are needed, or refuse")
+	errOpenBrace      = errors.New("a { is not closed")
+	errCloseBrace     = errors.New("a } closes nothing")
 )
 
 // Refusal is why an event is rejected. Rule is the index of the rule that did so, -1 where none matched.
@@ -313,7 +315,7 @@
 		case c == '{':
 			n := strings.IndexByte(text[i:], '}')
 			if n < 0 {
-				return "", errors.New("a { is not closed")
+				return "", errOpenBrace
 			}
 			name := text[i+1 : i+n]
 			v, ok := value(name)
@@ -323,7 +325,7 @@
 			b.WriteString(v)
 			i += n
 		case c == '}':
-			return "", errors.New("a } closes nothing")
+			return "", errCloseBrace
 		default:
 			b.WriteByte(c)
 		}
--- a/internal/nameserver/file_watcher.go
+++ b/internal/nameserver/file_watcher.go
@@ -37,7 +37,7 @@
 		if dir := filepath.Dir(z.config.File); !seen[dir] {
 			seen[dir] = true
 			if err := w.Add(dir); err != nil {
-				log.Warn("a folder can't be watched: it is looked at every now and then", "folder", dir, "err", err)
+				log.Warn("a folder can't be watched: its files are polled", "folder", dir, "err", err)
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 			if !ok {
 				return
 			}
-			f.log.Warn("changes of zone files may be missed: all are looked at", "err", err) // as a rule its queue was full
+			f.log.Warn("notifications of zone files may be missed: all files are checked", "err", err) // as a rule its queue was full
 			for _, z := range f.zones {
 				p.add(z)
 			}
--- a/internal/nameserver/managed_zone.go
+++ b/internal/nameserver/managed_zone.go
@@ -72,7 +72,7 @@
 	s, stored, deltas, warn, err := openStore(z.disk, folder, z.config.Name)
 	z.store = s
 	if warn != nil {
-		z.log.Warn("what was not answered is left out", "err", warn)
+		z.log.Warn("the journal's truncated end, which was not answered, is left out", "err", warn)
 	}
 	if err != nil {
 		z.log.Error("what an earlier process held can't be read; it is left as it is until the zone is had again", "err", err)
@@ -88,7 +88,7 @@
 		return
 	}
 	if z.fileBase, err = s.readBase(); err != nil || z.fileBase == nil {
-		z.log.Warn("what the file held last is not known: the file is taken for edited by hand", "err", err)
+		z.log.Warn("the last known version of the zone's file is missing: the file counts as edited by hand", "err", err)
 		z.fileBase = stored
 	}
 }
@@ -121,7 +121,7 @@
 	touched := recordNames(m.Ns)
 	delta := zone.DiffNames(held.Zone, after, touched)
 	if err := z.change(delta, after, touched); err != nil {
-		z.log.Error("an update can't be journalled and is refused", "err", err)
+		z.log.Error("an update can't be journaled and is rejected", "err", err)
 		return &zone.Refusal{Rcode: dns.RcodeServerFailure, Reason: "the update can't be journalled"}
 	}
 	z.fileBehind = z.config.File != ""
--- a/internal/nameserver/notify.go
+++ b/internal/nameserver/notify.go
@@ -80,7 +80,7 @@
 			return
 		}
 		if try == notifyAttempts-1 {
-			n.log.Warn("a secondary was not reached; it will ask by itself", "zone", z.config.Name, "to", to, "err", err)
+			n.log.Warn("a secondary could not be notified; it finds out by its refresh timer", "zone", z.config.Name, "to", to, "err", err)
 			return
 		}
 		select {
--- a/internal/nameserver/secondary.go
+++ b/internal/nameserver/secondary.go
@@ -73,13 +73,13 @@
 		}
 		if e.Serial != nil && s.zone.current.Load().expired && !rules.Expired() { // the primary says that it is good still
 			if err := s.zone.replace(s.zone.current.Load().Zone, nil); err != nil {
-				s.zone.log.Error("zone", "err", err)
+				s.zone.log.Error("the primary's confirmation of an expired zone can't be adopted", "err", err)
 			}
 		}
 		if (e.Serial != nil || e.Version != nil) && now-confirmed > confirmInterval {
 			confirmed = now
 			if err := s.zone.store.confirm(time.Now()); err != nil && !isNotExist(err) {
-				s.zone.log.Warn("that the primary was heard of can't be noted", "err", err)
+				s.zone.log.Warn("the primary's confirmation can't be recorded", "err", err)
 			}
 		}
 		if fails > 0 && rules.Failures() == 0 {
@@ -116,7 +116,7 @@
 		next, deltas, err = zone.FromTransfer(s.zone.config.Name, before, rrs)
 	}
 	if err != nil && a == zone.TransferIncremental && ctx.Err() == nil && (errors.Is(err, zone.ErrOther) || errors.Is(err, zone.ErrTransfer) || errors.Is(err, errNoIXFR)) {
-		s.zone.log.Warn("the primary's differences do not fit: the zone is asked for whole", "primary", s.zone.config.Primary, "err", err)
+		s.zone.log.Warn("the primary's differences do not fit: a full transfer is requested", "primary", s.zone.config.Primary, "err", err)
 		return zone.SecondaryEvent{DeltaRejected: true}
 	}
 	if err == nil {
@@ -125,7 +125,7 @@
 	if err != nil {
 		return failed("transfer", err)
 	}
-	s.zone.log.Info("a version is transferred", "serial", next.Serial(), "records", next.Records(), "differences", len(deltas))
+	s.zone.log.Info("zone transferred from its primary", "serial", next.Serial(), "records", next.Records(), "differences", len(deltas))
 	return zone.SecondaryEvent{Version: next.SOA()}
 }
 
--- a/internal/nameserver/service.go
+++ b/internal/nameserver/service.go
@@ -69,7 +69,7 @@
 			stop()
 			return nil, errors.Join(err, s.closeZones())
 		}
-		log.Info("dns", "listen", s.server.addr(), "zones", len(c.Zones), "members", len(c.Members))
+		log.Info("name server listens", "listen", s.server.addr(), "zones", len(c.Zones), "members", len(c.Members))
 	}
 	if s.files, err = newFileWatcher(fromFiles, log); err != nil {
 		stop()
--- a/internal/nameserver/transfer_out.go
+++ b/internal/nameserver/transfer_out.go
@@ -86,7 +86,7 @@
 		t := m.IsTsig()
 		part.SetTsig(t.Hdr.Name, t.Algorithm, maxFudgeSeconds, time.Now().Unix())
 		if err := w.WriteMsg(part); err != nil {
-			s.log.Warn("a transfer was broken off", "zone", z.config.Name, "to", w.RemoteAddr().String(), "err", err)
+			s.log.Warn("a transfer was aborted", "zone", z.config.Name, "to", w.RemoteAddr().String(), "err", err)
 			w.Close()
 			return
 		}
--- a/internal/nameserver/update.go
+++ b/internal/nameserver/update.go
@@ -47,7 +47,7 @@
 	var r *zone.Refusal
 	switch {
 	case err == nil:
-		s.log.Info("an update is taken", "from", from, "key", signed, "zone", z.config.Name, "serial", z.current.Load().Serial())
+		s.log.Info("update accepted", "from", from, "key", signed, "zone", z.config.Name, "serial", z.current.Load().Serial())
 		return dns.RcodeSuccess
 	case errors.As(err, &r):
 		return refused(r.Rcode, r.Reason)
--- a/internal/nameserver/write_back.go
+++ b/internal/nameserver/write_back.go
@@ -98,7 +98,7 @@
 	if err != nil || bytes.Equal(found, expected) {
 		return false, err
 	}
-	z.log.Warn("the zone's file was edited in the moment that it was written: the edit is taken")
+	z.log.Warn("the zone's file was edited while it was written: the edit is accepted")
 	return true, z.applyConcurrentEdit(base, current.Zone, found, before)
 }
 
--- a/internal/nameserver/zone_file.go
+++ b/internal/nameserver/zone_file.go
@@ -42,11 +42,11 @@
 		if held := z.current.Load(); held.Zone != nil {
 			z.log.Warn("the zone's file is not taken; what is held stays", "err", err, "serial", held.Serial())
 		} else {
-			z.log.Error("the zone's file can't be taken, and nothing is held", "err", err)
+			z.log.Error("the zone's file is not accepted, and there is no earlier version", "err", err)
 		}
 	case err == nil && z.lastFault != "":
 		z.lastFault = ""
-		z.log.Info("the zone's file is sound again", "serial", z.current.Load().Serial())
+		z.log.Info("the zone's file is valid again", "serial", z.current.Load().Serial())
 	}
 	return err
 }
@@ -125,7 +125,7 @@
 	}
 	z.fileText, z.wroteFile = text, false
 	z.publish(next, deltas, changed, held.Zone == nil)
-	z.log.Info("the zone's file is taken", "serial", next.Serial(), "records", next.Records())
+	z.log.Info("zone file accepted", "serial", next.Serial(), "records", next.Records())
 	return nil
 }
 
--- a/internal/resend/kinds.go
+++ b/internal/resend/kinds.go
@@ -52,7 +52,7 @@
 			return res, err
 		}
 		if n > 0 {
-			e.Log.Info("messages that were about to go again as an earlier process ended are kept as before", "messages", n)
+			e.Log.Info("interrupted resends of an earlier process are returned to the store", "messages", n)
 		}
 		e.mu.Lock()
 		e.reconciled = true
@@ -89,7 +89,7 @@
 	}
 	n, more, err := s.Expire(e.Wall().UnixNano(), expireBatch)
 	if n > 0 {
-		e.Log.Info("undelivered messages are dropped: they are too old", "messages", n)
+		e.Log.Info("old undelivered messages are dropped", "messages", n)
 	}
 	return run.Result{More: more, Used: work.Cost{work.Syncs: 1}}, err
 }
--- a/internal/resend/scan.go
+++ b/internal/resend/scan.go
@@ -153,7 +153,7 @@
 	for i := range begun {
 		x := begun[i]
 		if err := e.Sender.Resend(ctx, x, pick[0].rule.Deadline); err != nil {
-			e.Log.Debug("a kept message does not go again now", "message", x.Message, "why", err)
+			e.Log.Debug("a message is not accepted for resend now", "message", x.Message, "why", err)
 			back = append(back, undelivered.KeyOf(x.Message, x.EndedAt))
 			continue
 		}
--- a/internal/work/run/operate.go
+++ b/internal/work/run/operate.go
@@ -11,7 +11,7 @@
 			for _, v := range r.sched.Views(work.Filter{ID: c.ID, Kind: c.Kind, Owner: c.Owner, State: "parked"}) {
 				if r.persisted(v.ID) {
 					if err := r.store.Park(v.ID, ""); err != nil {
-						r.log.Warn("that a job is parked no more can't be written down", "job", v.ID, "err", err)
+						r.log.Warn("a job's release from parking can't be stored", "job", v.ID, "err", err)
 					}
 				}
 				r.records[v.ID].Failures = 0
--- a/internal/work/run/slice.go
+++ b/internal/work/run/slice.go
@@ -153,7 +153,7 @@
 	if r.persisted(e.id) {
 		// A slice that failed says that it was not done: the intention is over.
 		if err := r.store.RecordFailure(e.id, rec.Failures, parked); err != nil && !errors.Is(err, store.ErrNotFound) {
-			r.log.Warn("that a job failed can't be written down", "job", e.id, "err", err)
+			r.log.Warn("a job's failure can't be stored", "job", e.id, "err", err)
 		} else {
 			rec.Intended = false
 		}
