--- a/internal/membership/resolve.go
+++ b/internal/membership/resolve.go
@@ -62,7 +62,7 @@
 }
 
 // Zones finds the zone for a name: that of the longest origin; ok is false if there is none.
-type Zones func(name string) (held ZoneState, ok bool)
+type Zones func(name string) (state ZoneState, ok bool)
 
 // The bounds of a resolution.
 const (
--- a/internal/sender/cluster_test.go
+++ b/internal/sender/cluster_test.go
@@ -17,16 +17,16 @@
 type cluster struct {
 	senders, receivers int
 	rate               float64 // messages a second of each sender
-	share              bool    // they tell each other
+	exchanges          bool    // they tell each other
 	broken             bool    // the last sender's line is broken
 	seconds            int
 
-	brains  []*brain.Brain
-	parts   []*peersExtension
-	telling []*knowledge.ChangeLog
-	heard   [][]uint64 // versions, by listener and teller
-	agenda  queue
-	n       int
+	brains       []*brain.Brain
+	extensions   []*peersExtension
+	changeLogs   []*knowledge.ChangeLog
+	versionsSeen [][]uint64 // versions, by listener and teller
+	agenda       queue
+	n            int
 
 	calls, failed, served int // of the senders whose line is whole
 	facts                 int // told
@@ -83,9 +83,9 @@
 	settings.Senders, settings.Slots, settings.MaxPending = c.senders, 50, 100000
 	for i := range c.senders {
 		c.brains = append(c.brains, brain.New(settings, seed*1000+uint64(i)))
-		c.parts = append(c.parts, &peersExtension{s: s, view: knowledge.NewView(10000), reports: knowledge.NewReports(10000), unlisted: map[knowledge.Subject]struct{}{}})
-		c.telling = append(c.telling, knowledge.NewChangeLog())
-		c.heard = append(c.heard, make([]uint64, c.senders))
+		c.extensions = append(c.extensions, &peersExtension{s: s, view: knowledge.NewView(10000), reports: knowledge.NewReports(10000), unlisted: map[knowledge.Subject]struct{}{}})
+		c.changeLogs = append(c.changeLogs, knowledge.NewChangeLog())
+		c.versionsSeen = append(c.versionsSeen, make([]uint64, c.senders))
 		c.brains[i].Step(start, []brain.Event{list})
 	}
 	id, tries := brain.MessageID(0), map[brain.MessageID]int{}
@@ -94,7 +94,7 @@
 		for len(c.agenda) > 0 && c.agenda[0].at <= now {
 			q := heap.Pop(&c.agenda).(queued)
 			if facts, ok := q.e.([]knowledge.Fact); ok {
-				events[q.to] = append(events[q.to], c.parts[q.to].handle(peerFacts{facts}, now)...)
+				events[q.to] = append(events[q.to], c.extensions[q.to].handle(peerFacts{facts}, now)...)
 			} else {
 				events[q.to] = append(events[q.to], q.e.(brain.Event))
 			}
@@ -125,26 +125,26 @@
 					}
 				}
 			}
-			if c.share && (now/tick+time.Duration(i))%50 == 0 { // once a second
-				c.tell(i, now)
+			if c.exchanges && (now/tick+time.Duration(i))%50 == 0 { // once a second
+				c.publish(i, now)
 			}
 		}
 	}
 }
 
-// tell passes on what one sender has seen since each other was told.
-func (c *cluster) tell(from int, now time.Duration) {
+// publish passes on what one sender has seen since each other was told.
+func (c *cluster) publish(from int, now time.Duration) {
 	var all []knowledge.Fact
 	for _, k := range c.brains[from].Observations() {
 		all = append(all, factsOf(k, "", now)...)
 	}
-	c.telling[from].Update(all, now)
+	c.changeLogs[from].Update(all, now)
 	for to := range c.senders {
 		if to == from {
 			continue
 		}
-		news, version := c.telling[from].After(c.heard[to][from], 1<<30)
-		c.heard[to][from] = version
+		news, version := c.changeLogs[from].After(c.versionsSeen[to][from], 1<<30)
+		c.versionsSeen[to][from] = version
 		if len(news) == 0 {
 			continue
 		}
@@ -163,7 +163,7 @@
 	s := newTest(t, st.NewPlatform(t), nil)
 	for _, senders := range []int{3, 12} {
 		play := func(share, broken bool) *cluster {
-			c := &cluster{senders: senders, receivers: 60, rate: 40, share: share, broken: broken, seconds: 30}
+			c := &cluster{senders: senders, receivers: 60, rate: 40, exchanges: share, broken: broken, seconds: 30}
 			c.play(t, s, 1)
 			return c
 		}
@@ -192,7 +192,7 @@
 			for b.Loop() {
 				var runs [2]cluster
 				for i := range runs {
-					runs[i] = cluster{senders: size[0], receivers: size[1], rate: 60, share: i == 1, seconds: 30}
+					runs[i] = cluster{senders: size[0], receivers: size[1], rate: 60, exchanges: i == 1, seconds: 30}
 					runs[i].play(b, newTest(b, raw, nil), 1)
 				}
 				b.ReportMetric(float64(runs[1].failed)/float64(runs[0].failed), "failed-ratio")
--- a/internal/sender/delivery_test.go
+++ b/internal/sender/delivery_test.go
@@ -58,7 +58,7 @@
 				}
 				return st.Status(200)(c, nc)
 			})
-			addr := run(t, st.NewPlatform(t, e.Addr), both(takesEvents, delivers(calls.Target{Form: name, Path: path, BatchEvents: 5, BatchBytes: 65536})))
+			addr := run(t, st.NewPlatform(t, e.Addr), both(acceptEvents, delivers(calls.Target{Form: name, Path: path, BatchEvents: 5, BatchBytes: 65536})))
 			if resp, text := post(t, addr, oneEvent, eventJSON("1", "keyed", in)); resp.StatusCode != 202 {
 				t.Fatalf("%s %s", resp.Status, text)
 			}
@@ -163,7 +163,7 @@
 // What the module sends to one endpoint in one step travels in one call, as far as it fits.
 func TestDelivery_Batches(t *testing.T) {
 	t.Parallel()
-	s, e, _ := byHand(t, st.Status(200), both(takesEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536})))
+	s, e, _ := newManualSender(t, st.Status(200), both(acceptEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536})))
 	s.send2(t, 5)
 	var sizes []int
 	got := map[string]bool{}
@@ -209,9 +209,9 @@
 // does the call.
 func TestDelivery_CancelWithinBatch(t *testing.T) {
 	t.Parallel()
-	batched := both(takesEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536}))
+	batched := both(acceptEvents, delivers(calls.Target{Form: calls.Batched, BatchEvents: 3, BatchBytes: 65536}))
 	how := make(chan int)
-	s, e, _ := byHand(t, gate(how), batched)
+	s, e, _ := newManualSender(t, gate(how), batched)
 	s.send2(t, 3)
 	e.Next(t)
 	s.byID["m1"].calls.cancel(0)
@@ -226,7 +226,7 @@
 	}
 
 	ended := make(chan struct{})
-	s, e, _ = byHand(t, func(_ st.Call, nc net.Conn) bool {
+	s, e, _ = newManualSender(t, func(_ st.Call, nc net.Conn) bool {
 		io.Copy(io.Discard, nc)
 		close(ended)
 		return false
--- a/internal/sender/discovery_test.go
+++ b/internal/sender/discovery_test.go
@@ -33,11 +33,11 @@
 type virtualRegistry struct {
 	begin                time.Time
 	down, refusing, mute []span          // no connection; 503 to each call; calls that come then are never answered
-	silent               []time.Duration // all watches that are open then say nothing any more
+	unresponsive         []time.Duration // all watches that are open then say nothing any more
 	refuseAfter          bool            // the first call after each silence is refused besides
 	latency              time.Duration
 	changes              []time.Duration          // the n-th makes version n+1
-	cut                  time.Duration            // connections that are open then say nothing any more
+	partitionedAt        time.Duration            // connections that are open then say nothing any more
 	notices              map[string]time.Duration // when each came first
 	mu                   *sync.Mutex
 	spared               int // silences whose refusal has come
@@ -72,7 +72,7 @@
 			first, found = at, true
 		}
 	}
-	for _, at := range append(append([]time.Duration(nil), v.changes...), v.silent...) {
+	for _, at := range append(append([]time.Duration(nil), v.changes...), v.unresponsive...) {
 		look(at)
 	}
 	for _, s := range v.down {
@@ -105,7 +105,7 @@
 				lines = append(lines, n)
 			}
 		}
-		if opened < v.cut && v.now() >= v.cut {
+		if opened < v.partitionedAt && v.now() >= v.partitionedAt {
 			io.Copy(io.Discard, c)
 			return
 		}
@@ -133,7 +133,7 @@
 	v.mu.Lock()
 	refused := false
 	if v.refuseAfter {
-		for n, at := range v.silent {
+		for n, at := range v.unresponsive {
 			if came >= at && v.spared <= n {
 				v.spared, refused = n+1, true
 			}
@@ -160,7 +160,7 @@
 		} else {
 			time.Sleep(until - at)
 		}
-		for _, s := range v.silent {
+		for _, s := range v.unresponsive {
 			if at < s && v.now() >= s {
 				return 0, ""
 			}
@@ -291,13 +291,13 @@
 		v    virtualRegistry
 	}{
 		{"a change on an open watch", virtualRegistry{changes: []time.Duration{9 * s}}},
-		{"the watch falls silent, then a change", virtualRegistry{silent: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}}},
-		{"silent from the start", virtualRegistry{silent: []time.Duration{time.Millisecond}, changes: []time.Duration{2 * time.Millisecond}}},
-		{"silent, then refused", virtualRegistry{silent: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}, refuseAfter: true}},
-		{"silent, then down", virtualRegistry{silent: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}, down: []span{{11 * s, 20 * s}}}},
+		{"the watch falls silent, then a change", virtualRegistry{unresponsive: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}}},
+		{"silent from the start", virtualRegistry{unresponsive: []time.Duration{time.Millisecond}, changes: []time.Duration{2 * time.Millisecond}}},
+		{"silent, then refused", virtualRegistry{unresponsive: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}, refuseAfter: true}},
+		{"silent, then down", virtualRegistry{unresponsive: []time.Duration{10 * s}, changes: []time.Duration{10*s + 1}, down: []span{{11 * s, 20 * s}}}},
 		{"down for long, then a change", virtualRegistry{changes: []time.Duration{40 * s}, down: []span{{5 * s, 40 * s}}}},
-		{"refusing for long", virtualRegistry{changes: []time.Duration{7 * s}, silent: []time.Duration{5 * s}, refusing: []span{{5 * s, 60 * s}}}},
-		{"cut off for long", virtualRegistry{changes: []time.Duration{7 * s}, silent: []time.Duration{5 * s}, mute: []span{{5 * s, 47 * s}}}},
+		{"refusing for long", virtualRegistry{changes: []time.Duration{7 * s}, unresponsive: []time.Duration{5 * s}, refusing: []span{{5 * s, 60 * s}}}},
+		{"cut off for long", virtualRegistry{changes: []time.Duration{7 * s}, unresponsive: []time.Duration{5 * s}, mute: []span{{5 * s, 47 * s}}}},
 		{"down at the start", virtualRegistry{changes: []time.Duration{time.Millisecond}, down: []span{{0, 30 * s}}}},
 	}
 	for _, tt := range tests {
@@ -319,7 +319,7 @@
 			at := func(most time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(most))) }
 			v := &virtualRegistry{latency: at(200 * time.Millisecond), refuseAfter: rng.IntN(2) == 0}
 			for from := at(10 * s); from < 100*s; from += 10*s + at(20*s) {
-				v.silent = append(v.silent, from)
+				v.unresponsive = append(v.unresponsive, from)
 			}
 			for _, kind := range []*[]span{&v.down, &v.refusing, &v.mute} {
 				for from := at(40 * s); from < 90*s; from += at(60 * s) {
@@ -343,7 +343,7 @@
 		at, ok := heard[int64(n+2)]
 		if told := v.deadline(change); told < length && (!ok || at > told) {
 			t.Errorf("%d senders, seed %d: the change at %v is heard at %v (%v), and counts as told at %v; silent %v, down %v, refusing %v, cut off %v",
-				senders, seed, change, at, ok, told, v.silent, v.down, v.refusing, v.mute)
+				senders, seed, change, at, ok, told, v.unresponsive, v.down, v.refusing, v.mute)
 		}
 	}
 }
@@ -353,7 +353,7 @@
 func TestDiscovery_NoticeArrivesOverDeadConnection(t *testing.T) {
 	for _, cut := range []time.Duration{time.Millisecond, 2 * time.Second, 5 * time.Second, 7 * time.Second} {
 		for seed := range uint64(10) {
-			v := &virtualRegistry{cut: cut, latency: 25 * time.Millisecond}
+			v := &virtualRegistry{partitionedAt: cut, latency: 25 * time.Millisecond}
 			var held []record
 			for n := range 10 {
 				held = append(held, record{ID: strconv.Itoa(n), Class: "safe", Tenant: "acme", Dest: 7, Deadline: time.Duration(n+1) * time.Second})
--- a/internal/sender/event_dedup_crash_test.go
+++ b/internal/sender/event_dedup_crash_test.go
@@ -98,7 +98,7 @@
 
 // longLived is takesEvents with keys and deadlines that outlast the test, however long its turn takes to come.
 func longLived(c *Config) {
-	takesEvents(c)
+	acceptEvents(c)
 	c.Events.Rules.Deadline = 10 * time.Minute
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].IdempotencyKeyTTL, c.Settings.Classes[i].Deadline = 10*time.Minute, 10*time.Minute
--- a/internal/sender/event_dedup_test.go
+++ b/internal/sender/event_dedup_test.go
@@ -21,7 +21,7 @@
 	how := make(chan int)
 	e := st.NewEndpoint(t, gate(how))
 	p := st.NewPlatform(t, e.Addr)
-	addr := run(t, p, takesEvents)
+	addr := run(t, p, acceptEvents)
 	first := handEvent(t, addr, "1", "keyed", 202)
 	e.Next(t)
 	if again := handEvent(t, addr, "1", "keyed", 202); again.Header.Get("X-Request-Id") != first.Header.Get("X-Request-Id") {
@@ -66,7 +66,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Reset)
 	p := st.NewPlatform(t, e.Addr)
-	addr := run(t, p, takesEvents)
+	addr := run(t, p, acceptEvents)
 	id := handEvent(t, addr, "1", "unsafe", 202).Header.Get("X-Request-Id")
 	if n := st.Receive(t, p.Notices); n.Message != id || n.Outcome != outcomeGivenUp {
 		t.Fatalf("%+v", n)
@@ -79,8 +79,8 @@
 	}
 }
 
-// byHand is a sender whose loop the test turns itself, and a way to hand in an event, with its answer.
-func byHand(t *testing.T, answer func(st.Call, net.Conn) bool, edit func(*Config)) (s *Sender, e *st.Endpoint, hand func(body string) response) {
+// newManualSender is a sender whose loop the test turns itself, and a way to hand in an event, with its answer.
+func newManualSender(t *testing.T, answer func(st.Call, net.Conn) bool, edit func(*Config)) (s *Sender, e *st.Endpoint, hand func(body string) response) {
 	t.Helper()
 	e = st.NewEndpoint(t, answer)
 	s = newTest(t, st.NewPlatform(t, e.Addr), edit)
@@ -106,7 +106,7 @@
 // One that was handed back is asked to wait until it may come again, and then is a new try.
 func TestEventDedup_HandedBackEvent(t *testing.T) {
 	t.Parallel()
-	s, _, hand := byHand(t, st.Unresponsive, takesEvents)
+	s, _, hand := newManualSender(t, st.Unresponsive, acceptEvents)
 	const hold = 300 * time.Millisecond
 	body := eventJSON("1", "safe", "")
 	first := hand(body)
@@ -140,7 +140,7 @@
 // A sender that is about to leave says of an event that it holds that it does: its client would hand it in elsewhere.
 func TestEventDedup_RepeatDuringShutdown(t *testing.T) {
 	t.Parallel()
-	s, _, hand := byHand(t, st.Unresponsive, takesEvents)
+	s, _, hand := newManualSender(t, st.Unresponsive, acceptEvents)
 	first := hand(eventJSON("1", "unsafe", ""))
 	s.stopping = true
 	if a := hand(eventJSON("1", "unsafe", "")); a.status != 202 || a.messageID != first.messageID {
@@ -156,7 +156,7 @@
 	t.Parallel()
 	for name, fails := range map[string]bool{"written": false, "not written": true} {
 		e := st.NewEndpoint(t, st.Status(200))
-		s := newTest(t, st.NewPlatform(t, e.Addr), takesEvents)
+		s := newTest(t, st.NewPlatform(t, e.Addr), acceptEvents)
 		ctx, cancel := context.WithCancel(context.Background())
 		s.step(ctx, s.initialListEvents())
 		if fails {
@@ -210,7 +210,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) {
-		takesEvents(c)
+		acceptEvents(c)
 		c.Events.MaxRemembered = 3
 	})
 	for i := range 3 {
@@ -251,7 +251,7 @@
 	state := t.TempDir()
 	begin := func() (addr string, stop func()) {
 		s := newTest(t, p, func(c *Config) {
-			takesEvents(c)
+			acceptEvents(c)
 			c.StateDir = state
 		})
 		return serving(t, s)
@@ -302,7 +302,7 @@
 // An event under the id of another message that has failed, and waits to be kept, is another message: it is not answered
 // as that was.
 func TestEventDedup_IDOfFailedMessage(t *testing.T) {
-	s := newTest(t, st.NewPlatform(t), takesEvents)
+	s := newTest(t, st.NewPlatform(t), acceptEvents)
 	m, err := s.journal.insert(record{ID: "m", Class: "keyed", Key: "k", Deadline: time.Hour})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sender/extension_recorder_test.go
+++ b/internal/sender/extension_recorder_test.go
@@ -19,15 +19,15 @@
 
 // memoryRecorder keeps in memory, by message, and can be held up or fail.
 type memoryRecorder struct {
-	mu     sync.Mutex
-	kept   map[string]undelivered.Entry
-	missed map[[2]string]int64
-	fails  error
-	hold   chan struct{} // nil: not held up
+	mu      sync.Mutex
+	entries map[string]undelivered.Entry
+	dropped map[[2]string]int64
+	fails   error
+	hold    chan struct{} // nil: not held up
 }
 
 func newMemory() *memoryRecorder {
-	return &memoryRecorder{kept: map[string]undelivered.Entry{}, missed: map[[2]string]int64{}}
+	return &memoryRecorder{entries: map[string]undelivered.Entry{}, dropped: map[[2]string]int64{}}
 }
 
 func (r *memoryRecorder) Record(entries []undelivered.Entry, _ int64) error {
@@ -40,8 +40,8 @@
 		return r.fails
 	}
 	for _, e := range entries {
-		if _, ok := r.kept[e.Message]; !ok {
-			r.kept[e.Message] = e
+		if _, ok := r.entries[e.Message]; !ok {
+			r.entries[e.Message] = e
 		}
 	}
 	return nil
@@ -53,7 +53,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k, n := range counts {
-		r.missed[k] += n
+		r.dropped[k] += n
 	}
 	return nil
 }
@@ -61,7 +61,7 @@
 func (r *memoryRecorder) get(id string) (undelivered.Entry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e, ok := r.kept[id]
+	e, ok := r.entries[id]
 	return e, ok
 }
 
@@ -80,7 +80,7 @@
 	good := st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, bad.Addr, good.Addr)
 	r := newMemory()
-	addr := run(t, p, both(takesEvents, records(r)))
+	addr := run(t, p, both(acceptEvents, records(r)))
 	st.Submit(t, addr, st.Submission{ID: "lost", Class: "unsafe", Destination: 0, Deadline: 9 * time.Second})
 	st.Submit(t, addr, st.Submission{ID: "fine", Class: "unsafe", Destination: 1, Deadline: 9 * time.Second})
 	if n := st.Receive(t, p.Notices); n.Message != "lost" || n.Outcome != outcomeGivenUp {
@@ -128,14 +128,14 @@
 	until(t, func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		all := int64(len(r.kept))
-		for who, n := range r.missed {
+		all := int64(len(r.entries))
+		for who, n := range r.dropped {
 			if who != [2]string{"acme", string(undelivered.ReasonUnsafeRetry)} {
 				t.Fatalf("missed %v", who)
 			}
 			all += n
 		}
-		return all == n && len(r.missed) > 0 && len(r.kept) > 1
+		return all == n && len(r.dropped) > 0 && len(r.entries) > 1
 	})
 }
 
@@ -291,7 +291,7 @@
 // An end is offered to the recorder only once it stands in the journal.
 func TestRecorder_OfferedAfterFlush(t *testing.T) {
 	t.Parallel()
-	s, _, hand := byHand(t, st.Reset, both(takesEvents, records(newMemory()))) // nobody takes what is offered
+	s, _, hand := newManualSender(t, st.Reset, both(acceptEvents, records(newMemory()))) // nobody takes what is offered
 	written := false
 	s.journal.file = &eachWrite{s.journal.file, func(b []byte) {
 		if strings.Contains(string(b), `"keep":true`) {
@@ -316,7 +316,7 @@
 // is kept for its end, and it may come again at once.
 func TestRecorder_RejectedEventIsForgotten(t *testing.T) {
 	t.Parallel()
-	s, _, hand := byHand(t, st.Unresponsive, takesEvents)
+	s, _, hand := newManualSender(t, st.Unresponsive, acceptEvents)
 	front := &eventIngress{s.config, s.clock, s.config.Events}
 	h, err := front.readHead(mustRequest(t, oneEvent))
 	if err != nil {
--- a/internal/sender/ingress_events_batch_test.go
+++ b/internal/sender/ingress_events_batch_test.go
@@ -13,7 +13,7 @@
 func TestEventBatch_Results(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
-	addr := run(t, st.NewPlatform(t, e.Addr), takesEvents)
+	addr := run(t, st.NewPlatform(t, e.Addr), acceptEvents)
 	handEvent(t, addr, "before", "keyed", 202)
 	batch := `[` + strings.Join([]string{eventJSON("a", "keyed", ""), `{"id":"b"}`, eventJSON("before", "keyed", `,"data":{"n":1}`),
 		eventJSON("c", "ask.order", ""), eventJSON("a", "keyed", ""), eventJSON("a", "keyed", `,"data":1`), `7`, eventJSON("d", "safe", "")}, ",") + `]`
@@ -76,7 +76,7 @@
 	how := make(chan int)
 	e := st.NewEndpoint(t, gate(how))
 	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) {
-		takesEvents(c)
+		acceptEvents(c)
 		c.Limits.DiskMB = 0.8
 		c.Settings.MaxPending = 100
 	})
--- a/internal/sender/ingress_events_test.go
+++ b/internal/sender/ingress_events_test.go
@@ -16,8 +16,8 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// takesEvents turns events on: the type names the class, the subject the destination.
-func takesEvents(c *Config) {
+// acceptEvents turns events on: the type names the class, the subject the destination.
+func acceptEvents(c *Config) {
 	c.Events = &Events{MaxBatchEvents: 10, MaxBatchBytes: 256 << 10, Retention: time.Minute, MaxRemembered: 1000,
 		Rules: mapping.Rules{Deadline: 9 * time.Second, List: []mapping.Rule{
 			{Name: "asks", Type: "ask.order", Subject: "{dest}", Class: "safe", Tenant: "acme", Destination: "{dest}", Order: "o"},
@@ -86,7 +86,7 @@
 func TestEvents_ContentModes(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
-	addr := run(t, st.NewPlatform(t, e.Addr), takesEvents)
+	addr := run(t, st.NewPlatform(t, e.Addr), acceptEvents)
 	wants := func(id, data, contentType string) {
 		t.Helper()
 		c := e.Next(t)
@@ -114,7 +114,7 @@
 func TestEvents_Faults(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
-	addr := run(t, st.NewPlatform(t, e.Addr), takesEvents)
+	addr := run(t, st.NewPlatform(t, e.Addr), acceptEvents)
 	many := strings.Repeat(`{},`, 10) + `{}`
 	for name, c := range map[string]struct {
 		kind, body string
@@ -179,7 +179,7 @@
 func TestEvents_NoSmuggling(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
-	addr := run(t, st.NewPlatform(t, e.Addr), takesEvents)
+	addr := run(t, st.NewPlatform(t, e.Addr), acceptEvents)
 	binary := func(id, lines string) string {
 		return "POST /events HTTP/1.1\r\nHost: b\r\nContent-Type: text/plain\r\nce-specversion: 1.0\r\nce-source: /s\r\nce-type: safe\r\nce-subject: 0\r\nce-id: " + id + "\r\n" + lines + "\r\n"
 	}
@@ -230,7 +230,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Unresponsive)
 	p := st.NewPlatform(t, e.Addr)
-	addr := run(t, p, takesEvents)
+	addr := run(t, p, acceptEvents)
 	if resp, text := post(t, addr, oneEvent, eventJSON("1", "safe", `,"expirytime":"2020-01-01T00:00:00Z"`)); resp.StatusCode != 500 || text != outcomeGivenUp+"\n" {
 		t.Errorf("%s %q", resp.Status, text)
 	}
@@ -255,7 +255,7 @@
 // BenchmarkIngresses is what a front makes of a request, from its bytes to a submission: plain against the modes.
 func BenchmarkIngresses(b *testing.B) {
 	c := &Config{Classes: []string{"safe", "keyed"}, Tenants: []string{"acme"}, Settings: brain.Settings{Classes: []brain.Class{{}, {Idempotency: brain.IdempotentByKey}}}}
-	takesEvents(c)
+	acceptEvents(c)
 	c.Events.Rules.List = c.Events.Rules.List[3:]
 	s := &server{config: c, clock: newClock()}
 	s.ingressByPath = s.ingresses()
--- a/internal/sender/journal_test.go
+++ b/internal/sender/journal_test.go
@@ -206,15 +206,15 @@
 	}
 }
 
-// failing is a file on a disk that takes so many bytes more, and then some of a write.
-type failing struct {
+// failingDisk is a file on a disk that takes so many bytes more, and then some of a write.
+type failingDisk struct {
 	*os.File
-	room int
+	capacity int
 }
 
-func (f *failing) Write(p []byte) (int, error) {
-	n := min(len(p), f.room)
-	f.room -= n
+func (f *failingDisk) Write(p []byte) (int, error) {
+	n := min(len(p), f.capacity)
+	f.capacity -= n
 	f.File.Write(p[:n])
 	if n < len(p) {
 		return n, errors.New("no space")
@@ -229,7 +229,7 @@
 		dir := t.TempDir()
 		j := openTest(t, dir, 1<<20)
 		takeTest(t, j, "a")
-		j.file = &failing{j.file.(*os.File), room}
+		j.file = &failingDisk{j.file.(*os.File), room}
 		b, err := j.insert(record{ID: "b", Body: []byte("body")})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sender/ordering_test.go
+++ b/internal/sender/ordering_test.go
@@ -11,8 +11,8 @@
 	st "saffronyard.example/saffronyard/internal/sendertest"
 )
 
-// ordered adds a class that keeps an order.
-func ordered(c *Config) {
+// orderedClass adds a class that keeps an order.
+func orderedClass(c *Config) {
 	c.Classes = append(c.Classes, "ordered")
 	c.Settings.Classes = append(c.Settings.Classes, brain.Class{LatencyTarget: 2500 * time.Millisecond, Deadline: 20 * time.Second,
 		Idempotency: brain.Idempotent, Ordered: true, Value: 1, LateValue: 0.5})
@@ -61,7 +61,7 @@
 func TestOrderingKey(t *testing.T) {
 	t.Parallel()
 	first, second, p, release := gatedDestinations(t)
-	addr := run(t, p, ordered)
+	addr := run(t, p, orderedClass)
 	inOrder(t, addr, "a", "k", 0)
 	inOrder(t, addr, "b", "k", 1)
 	inTurn(t, addr, first, second, release)
@@ -72,7 +72,7 @@
 	t.Parallel()
 	first, second, p, release := gatedDestinations(t)
 	addr := run(t, p, func(c *Config) {
-		ordered(c)
+		orderedClass(c)
 		j := openTest(t, c.StateDir, 1<<20)
 		for dest, id := range []string{"a", "b"} {
 			if _, err := j.insertAndFlush(record{ID: id, Class: "ordered", Tenant: "acme", OrderKey: "k", Dest: uint32(dest), Deadline: newClock().now() + 15*time.Second}); err != nil {
@@ -93,7 +93,7 @@
 func TestOrderingKey_Bounds(t *testing.T) {
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
-	addr := run(t, st.NewPlatform(t, e.Addr), ordered)
+	addr := run(t, st.NewPlatform(t, e.Addr), orderedClass)
 	for class, status := range map[string]int{"ordered": http.StatusBadRequest, "safe": http.StatusAccepted} {
 		r := st.Request(t, addr, st.Submission{ID: class, Class: class, Destination: 0, Deadline: 15 * time.Second, Body: "x"})
 		r.Header.Set("X-Order-Key", strings.Repeat("k", maxNameBytes+1))
--- a/internal/sender/permit_test.go
+++ b/internal/sender/permit_test.go
@@ -15,7 +15,7 @@
 // lateDials has connects of a sender hang, while they are held, until their call is called off or for so long: what a
 // test does in between has been heard long before.
 type lateDials struct {
-	held    atomic.Bool
+	blocked atomic.Bool
 	pending atomic.Int32
 	begun   chan struct{}
 	late    time.Duration
@@ -24,7 +24,7 @@
 func (d *lateDials) of(s *Sender) {
 	d.begun = make(chan struct{}, 1000)
 	s.pool.Dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
-		if !d.held.Load() {
+		if !d.blocked.Load() {
 			return nil
 		}
 		d.pending.Add(1)
@@ -40,7 +40,7 @@
 	}
 }
 
-func patient(c *Config) { c.ConnectTimeout = st.Wait }
+func slowConnects(c *Config) { c.ConnectTimeout = st.Wait }
 
 // A wait that is told while a call to the same destination still connects holds for that call, too: one to the endpoint
 // that asked for it, and one to another.
@@ -73,7 +73,7 @@
 			}
 			p := st.NewPlatform(t, e.Addr)
 			dials := lateDials{late: wait / 4}
-			addr := runWith(t, p, patient, dials.of)
+			addr := runWith(t, p, slowConnects, dials.of)
 			for _, id := range []string{"warm1", "warm2"} { // the window grows
 				st.Submit(t, addr, st.Submission{ID: id, Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 				next()
@@ -82,7 +82,7 @@
 			if id := next(); id != "first" {
 				t.Fatal(id)
 			}
-			dials.held.Store(true)
+			dials.blocked.Store(true)
 			if endpoints == 2 {
 				p.Change(st.Target("s-other", other.Addr, 0, "SERVING"))
 			}
@@ -103,11 +103,11 @@
 	e, other := st.NewEndpoint(t, st.Status(200)), st.NewEndpoint(t, st.Status(200))
 	p := st.NewPlatform(t, e.Addr)
 	dials := lateDials{late: 2 * time.Second}
-	dials.held.Store(true)
-	addr := runWith(t, p, patient, dials.of)
+	dials.blocked.Store(true)
+	addr := runWith(t, p, slowConnects, dials.of)
 	st.Submit(t, addr, st.Submission{ID: "m", Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
 	st.Receive(t, dials.begun)
-	dials.held.Store(false)
+	dials.blocked.Store(false)
 	p.Change(st.Target("s-0", e.Addr, 0, "DRAINING"))
 	p.Change(st.Target("s-1", other.Addr, 0, "SERVING"))
 	if c := other.Next(t); c.ID != "m" {
@@ -130,15 +130,15 @@
 	})
 	p := st.NewPlatform(t, e.Addr)
 	dials := lateDials{late: st.Wait}
-	addr := runWith(t, p, patient, dials.of)
+	addr := runWith(t, p, slowConnects, dials.of)
 	for _, id := range []string{"warm1", "warm2"} { // the window grows
 		st.Submit(t, addr, st.Submission{ID: id, Class: "keyed", Destination: 0, Deadline: 15 * time.Second})
 		e.Next(t)
 	}
-	dials.held.Store(true)
+	dials.blocked.Store(true)
 	st.Submit(t, addr, st.Submission{ID: "second", Class: "unsafe", Destination: 0, Deadline: 12 * time.Second})
 	st.Receive(t, dials.begun)
-	dials.held.Store(false)
+	dials.blocked.Store(false)
 	for i := range 8 { // as many failures in a row as are an outage
 		id := "f" + strconv.Itoa(i)
 		st.Submit(t, addr, st.Submission{ID: id, Class: "unsafe", Destination: 0, Deadline: 15 * time.Second})
--- a/internal/sender/sdk_test.go
+++ b/internal/sender/sdk_test.go
@@ -115,7 +115,7 @@
 					got <- *e
 				}))
 				t.Cleanup(receiver.Close)
-				addr := run(t, st.NewPlatform(t, strings.TrimPrefix(receiver.URL, "http://")), both(takesEvents,
+				addr := run(t, st.NewPlatform(t, strings.TrimPrefix(receiver.URL, "http://")), both(acceptEvents,
 					delivers(calls.Target{Form: out, BatchEvents: 5, BatchBytes: 65536}), func(c *Config) { c.Settings.MaxPending = 1000 }))
 				p, err := cehttp.New(cehttp.WithTarget("http://" + addr + "/events"))
 				if err != nil {
@@ -176,7 +176,7 @@
 	t.Parallel()
 	e := st.NewEndpoint(t, st.Status(200))
 	addr := run(t, st.NewPlatform(t, e.Addr), func(c *Config) {
-		takesEvents(c)
+		acceptEvents(c)
 		c.Events.MaxRemembered = 1
 	})
 	p, err := cehttp.New(cehttp.WithTarget("http://" + addr + "/events"))
--- a/internal/sender/sources_moves_test.go
+++ b/internal/sender/sources_moves_test.go
@@ -45,12 +45,12 @@
 // moveLoad is clients that hand messages in while the only member of their destination moves from address to address.
 type moveLoad struct {
 	t              *testing.T
-	names          *named
+	names          *namedMembers
 	platform       *st.Platform
 	sender         string
 	addrs          []string
 	acknowledgedAt []time.Time   // when the update that removed each address was answered
-	room           chan struct{} // a place for each message that is handed in and not yet delivered; nil without a bound
+	slots          chan struct{} // a place for each message that is handed in and not yet delivered; nil without a bound
 
 	mu         sync.Mutex
 	last       []time.Time // when the last call to each address came
@@ -66,7 +66,7 @@
 	l := &moveLoad{t: t, acknowledgedAt: make([]time.Time, moves), last: make([]time.Time, moves+1), got: make([]int, moves+1),
 		accepted: map[string]bool{}, delivered: map[string]int{}, handedBack: map[string]int{}}
 	if most > 0 {
-		l.room = make(chan struct{}, most)
+		l.slots = make(chan struct{}, most)
 	}
 	for i := range moves + 1 {
 		e := st.NewUnreadEndpoint(t, func(c st.Call, nc net.Conn) bool {
@@ -88,8 +88,8 @@
 	l.last[i] = time.Now()
 	l.got[i]++
 	l.delivered[c.ID]++
-	if l.room != nil && l.delivered[c.ID] == 1 {
-		<-l.room
+	if l.slots != nil && l.delivered[c.ID] == 1 {
+		<-l.slots
 	}
 }
 
@@ -110,11 +110,11 @@
 // handIn hands in messages, one after the other, until the load is over.
 func (l *moveLoad) handIn(client int, done <-chan struct{}) {
 	for n := 0; ; n++ {
-		if l.room != nil {
+		if l.slots != nil {
 			select {
 			case <-done:
 				return
-			case l.room <- struct{}{}:
+			case l.slots <- struct{}{}:
 			}
 		}
 		select {
--- a/internal/sender/sources_names_test.go
+++ b/internal/sender/sources_names_test.go
@@ -21,15 +21,15 @@
 	"saffronyard.example/saffronyard/internal/zone"
 )
 
-// named is a name server with a zone that key "ops." may change; _hooks._tcp.example. says where destination 0 is.
-type named struct {
+// namedMembers is a name server with a zone that key "ops." may change; _hooks._tcp.example. says where destination 0 is.
+type namedMembers struct {
 	t    testing.TB
 	c    *nameserver.Config
 	svc  *nameserver.Service
 	ring *nameserver.Keyring
 }
 
-func newNamed(t testing.TB, dir string, members ...membership.Member) *named {
+func newNamed(t testing.TB, dir string, members ...membership.Member) *namedMembers {
 	t.Helper()
 	path, keys := filepath.Join(dir, "example.zone"), filepath.Join(dir, "keys")
 	for name, text := range map[string]string{path: "@ 300 IN SOA ns h 1 60 10 300 60\n@ 300 IN NS ns\nhere 300 IN A 127.0.0.1\nhooks 300 IN A 127.0.0.1\n",
@@ -47,7 +47,7 @@
 	if members == nil {
 		members = []membership.Member{{Name: "_hooks._tcp.example.", SRV: true, Kind: "plain", Zone: "a", Weight: 1}}
 	}
-	n := &named{t: t, ring: nameserver.NewKeyring(ring), c: &nameserver.Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "zones"), Keys: ring,
+	n := &namedMembers{t: t, ring: nameserver.NewKeyring(ring), c: &nameserver.Config{Listen: "127.0.0.1:0", Folder: filepath.Join(dir, "zones"), Keys: ring,
 		Spans: membership.DefaultFollowerConfig(), Members: members,
 		Zones: []nameserver.ZoneConfig{{Name: "example.", File: path, Updates: []nameserver.Update{{Key: "ops.", Grant: zone.Grant{Names: []string{"*.example."}}}}}}}}
 	if n.svc, err = nameserver.Start(n.c, slog.New(slog.DiscardHandler)); err != nil {
@@ -58,14 +58,14 @@
 }
 
 // names is what the sender is told of it.
-func (n *named) names(p membership.Precedence) func(*Config) {
+func (n *namedMembers) names(p membership.Precedence) func(*Config) {
 	return func(c *Config) {
 		c.Names = &NameSource{Source: n.svc, Initial: n.svc.Initial(), Destinations: n.svc.Destinations(), Fallback: p, Report: func() any { return n.svc.Report() }}
 	}
 }
 
 // at repoints the member by a signed update, and gives the time at which that was answered.
-func (n *named) at(addrs ...string) time.Time {
+func (n *namedMembers) at(addrs ...string) time.Time {
 	n.t.Helper()
 	m := new(dns.Msg).SetUpdate("example.")
 	m.RemoveRRset([]dns.RR{&dns.ANY{Hdr: dns.RR_Header{Name: "_hooks._tcp.example.", Rrtype: dns.TypeSRV}}})
--- a/internal/sender/wire_golden_test.go
+++ b/internal/sender/wire_golden_test.go
@@ -27,7 +27,7 @@
 
 const (
 	sentOnce       wireSending = iota
-	endsItsSending             // after the request
+	closesWrite                // after the request
 	untilDelivered             // it sends the request again until that is no longer answered 202
 )
 
@@ -57,7 +57,7 @@
 		{name: "healthy", text: wireGet("/-/healthy")},
 		{name: "accepted", text: wireMessage("m1")},
 		{name: "accepted, held already", text: wireMessage("m1")},
-		{name: "accepted, connection stays", text: head("m2", "Content-Length: 0\r\n"), how: endsItsSending},
+		{name: "accepted, connection stays", text: head("m2", "Content-Length: 0\r\n"), how: closesWrite},
 		{name: "asked before the body", text: head("m3", "Content-Length: 0\r\nExpect: 100-continue\r\nConnection: close\r\n")},
 		{name: "no id", text: wireMessage("m", "X-Request-Id: m\r\n", "")},
 		{name: "long id", text: wireMessage(strings.Repeat("i", 129))},
@@ -126,7 +126,7 @@
 		c := dial(t, addr)
 		go func() { // it may be cut off on the way
 			io.WriteString(c, r.text)
-			if r.how == endsItsSending {
+			if r.how == closesWrite {
 				c.(*net.TCPConn).CloseWrite()
 			}
 		}()
@@ -156,10 +156,10 @@
 func TestServer_AnswersAreUnchanged(t *testing.T) {
 	t.Parallel()
 	served := st.NewEndpoint(t, st.Status(200))
-	addr := run(t, st.NewPlatform(t, served.Addr), takesEvents)
+	addr := run(t, st.NewPlatform(t, served.Addr), acceptEvents)
 	silent := st.NewEndpoint(t, st.Unresponsive) // what it gets stays held
 	fullAddr := run(t, st.NewPlatform(t, silent.Addr), func(c *Config) {
-		takesEvents(c)
+		acceptEvents(c)
 		c.Settings.MaxPending = 3
 	})
 	full := []wireRequest{
