--- a/internal/fleet/incarnations.go
+++ b/internal/fleet/incarnations.go
@@ -10,21 +10,21 @@
 	current map[string]uint64
 }
 
-// set is that an incarnation has made its handshake: messages of earlier ones are dropped from now on.
-func (l *incarnations) set(name string, life uint64) {
+// set records that an incarnation has made its handshake: messages of earlier ones are dropped from now on.
+func (l *incarnations) set(name string, incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.current[name] = life
+	l.current[name] = incarnation
 }
 
-// deliver calls in, and returns true, if incarnation is the one of the last handshake, or of the first message if there was none. The message is in
+// deliver calls in, and returns true, if the incarnation is the one of the last handshake, or of the first message if there was none. The message is in
 // before a later handshake is.
-func (l *incarnations) deliver(name string, life uint64, in func()) bool {
+func (l *incarnations) deliver(name string, incarnation uint64, in func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if is, known := l.current[name]; !known {
-		l.current[name] = life
-	} else if is != life {
+		l.current[name] = incarnation
+	} else if is != incarnation {
 		return false
 	}
 	in()
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -17,7 +17,7 @@
 // The voter's file, log.db in the folder: two buckets. "log" has the entries by index (eight octets, the highest first), each a
 // raftpb.Entry. "meta" has "format", "cluster" and "name", whose file it is; "hard", raft's term, vote and commit; "conf", the
 // voters; "snapshot", a raftpb.Snapshot; and "base", index and term (eight octets each) of the last entry that was cut off.
-// A Save is one transaction, synced: all of it is there after a crash, or nothing.
+// A save is one transaction, synced: all of it is there after a crash, or nothing.
 const (
 	logName      = "log.db"
 	stagedName   = "staged"
--- a/internal/quota/grant_table.go
+++ b/internal/quota/grant_table.go
@@ -69,8 +69,8 @@
 )
 
 // NewGrantTable makes the table of an owner that begins now; until graceUntil grants of an earlier owner may last.
-func NewGrantTable(l Limit, t Terms, quiet time.Duration) *GrantTable {
-	return &GrantTable{limit: l, terms: t, graceUntil: quiet, clients: map[lease.HolderID]*clientState{}, sharesStale: true}
+func NewGrantTable(l Limit, t Terms, graceUntil time.Duration) *GrantTable {
+	return &GrantTable{limit: l, terms: t, graceUntil: graceUntil, clients: map[lease.HolderID]*clientState{}, sharesStale: true}
 }
 
 // SetLimit replaces the limit. What is granted stays granted; where that is too much, it comes back with the clients' requests.
--- a/internal/sender/loop.go
+++ b/internal/sender/loop.go
@@ -90,7 +90,7 @@
 }
 
 // handle applies one event to the sender's state and translates it for the module; nil if the module need not know. What
-// extensions have for the module is left in s.extensionEvents.
+// extensions have for the module is left in s.eventsOfExtensions.
 func (s *Sender) handle(e loopEvent) brain.Event {
 	switch e := e.(type) {
 	case timerFired:
--- a/internal/sender/observations.go
+++ b/internal/sender/observations.go
@@ -44,8 +44,8 @@
 // factsOf gives the facts in the module's observation of a receiver or route.
 func factsOf(k brain.Observation, endpoint string, now time.Duration) []knowledge.Fact {
 	var all []knowledge.Fact
-	add := func(sort knowledge.Kind, age time.Duration, v knowledge.Value) {
-		all = append(all, knowledge.Fact{Subject: knowledge.Subject{Destination: uint32(k.Destination), Endpoint: endpoint}, Kind: sort,
+	add := func(kind knowledge.Kind, age time.Duration, v knowledge.Value) {
+		all = append(all, knowledge.Fact{Subject: knowledge.Subject{Destination: uint32(k.Destination), Endpoint: endpoint}, Kind: kind,
 			ObservedAt: now - max(0, age), Calls: uint32(max(0, k.Samples)), Value: v})
 	}
 	if k.Samples > 0 {
--- a/internal/tier/consensus/doc.go
+++ b/internal/tier/consensus/doc.go
@@ -7,7 +7,8 @@
 // Node is the runtime: it opens the file, runs the loop (Run), serves the Election service (Handler) and offers the state to the
 // control plane (Put, Get, Confirm, Primary, Changed). Its replica is the deterministic core, which does no I/O: Step takes events and
 // returns actions, and Node carries these out in their order: calls that need not wait for the disk, append and sync, then calls, replies and
-// outcomes. Nothing that depends on a record leaves the process before the record is synced. One goroutine, Run, owns replica, file
+// outcomes. Nothing that depends on a record leaves the process before the record is synced; a write goes to
+// the backups at the same time as to the own disk, as nothing is acknowledged before all have synced it. One goroutine, Run, owns replica, file
 // and clients; all other methods of Node only touch the fields under its mutex.
 //
 // # Roles
--- a/internal/tier/consensus/replication.go
+++ b/internal/tier/consensus/replication.go
@@ -64,7 +64,7 @@
 	for _, folder := range primary.view.Backups {
 		r.sendWrite(primary.view, folder, request)
 	}
-	if len(batch.unacknowledged) == 0 {
+	if len(batch.unacknowledged) == 0 { // no backups: the outcome leaves only after the own record is synced (Node.perform)
 		r.commit()
 	}
 }
--- a/internal/tier/gateway/counters.go
+++ b/internal/tier/gateway/counters.go
@@ -137,13 +137,13 @@
 }
 
 // outcomeOf returns the outcome of an answer by its status, whether an endpoint gave it (signed), and whether the client has all of it.
-func outcomeOf(status int, stamped, whole bool) requestOutcome {
+func outcomeOf(status int, signed, complete bool) requestOutcome {
 	switch {
-	case status == 0 || !whole:
+	case status == 0 || !complete:
 		return outcomeIncomplete
 	case status/100 == 2:
 		return outcomeServed
-	case stamped:
+	case signed:
 		return outcomeEndpoint
 	case status == http.StatusServiceUnavailable:
 		return outcomeUnavailable
--- a/internal/tier/gateway/doc.go
+++ b/internal/tier/gateway/doc.go
@@ -18,6 +18,10 @@
 //	transcriptcache.go  texts that this gateway has, so that the turn store need not send them
 //	prefixaffinity.go   which endpoint ran a conversation that no turn store stores
 //
+// All 503 that clients hear are written by handler.go (reject; no configuration yet), turns.go (no clear verdict of the turn store, or
+// releases of the program under way) and attempts.go (no endpoint, or a decisive attempt that has not run); package ingress answers 503 itself
+// where file descriptors are short.
+//
 // # What it is connected to
 //
 //	configuration.go    configuration and endpoints, as the control plane sends them
--- a/internal/tier/gateway/releases.go
+++ b/internal/tier/gateway/releases.go
@@ -64,7 +64,8 @@
 	close(released)
 }
 
-// settleWithRetries settles within twice the contact window, in which a lost turn store is replaced. It reports whether it has.
+// settleWithRetries settles within twice the contact window, in which a partition fails over even if its map is late. It reports whether
+// it has.
 func (gateway *Gateway) settleWithRetries(settlement *tierv1.SettleRequest) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*gateway.config.Settings.ContactWindow)
 	defer cancel()
--- a/internal/tier/gateway/selection.go
+++ b/internal/tier/gateway/selection.go
@@ -10,7 +10,7 @@
 const currentCheckInterval = 10 * time.Millisecond
 
 // selectEndpoint asks the load balancer for the endpoint of the next attempt. If all are at capacity, it waits for one: for a quarter
-// of the latency target, so that a client that is rejected may still be served in time by a retry.
+// of the latency target, but no longer than a third of the time left, so that a client that is rejected may still be served in time by a retry.
 func (request *clientRequest) selectEndpoint() loadbalancer.Selection {
 	gateway := request.gateway
 	rejectAt := time.Now().Add(min(request.route.LatencyTarget/4, time.Until(request.deadline)/3))
--- a/internal/tier/gateway/turns.go
+++ b/internal/tier/gateway/turns.go
@@ -40,8 +40,8 @@
 	request.forwardStream(accounting{reservation: &reservation{request: request, program: begin.Program}, transcript: transcript})
 }
 
-// beginWithTimeout begins a turn within half of the contact window, in which a lost turn store is replaced, and two fifths of its time. A
-// turn that is unclear by then is rejected while its client has time for a retry.
+// beginWithTimeout begins a turn within half of the contact window, in which a partition fails over from a lost turn store as a rule, and
+// two fifths of the request's time. A turn that is unclear by then is rejected while its client has time for a retry.
 func (request *clientRequest) beginWithTimeout(begin *tierv1.BeginRequest) beginResult {
 	timeout := min(time.Until(request.deadline)*2/5, request.gateway.config.Settings.ContactWindow/2)
 	ctx, cancel := context.WithTimeout(request.ctx, timeout)
--- a/internal/tier/loadbalancer/request.go
+++ b/internal/tier/loadbalancer/request.go
@@ -26,7 +26,7 @@
 	StickyInstance     string        // instance that ran the request before it; empty if none
 	PromptPrefixes     []string      // shared parts of the prompt, outermost first
 	CacheTokens        int64         // that it needs of an engine's cache
-	AttemptedInstances []string      // instances that it was sent to, one entry for each attempt
+	AttemptedInstances []string      // instances that it was sent to, or at which its program's last attempts failed, one entry for each
 }
 
 // Decision tells whether an attempt is sent, and else why not.
--- a/internal/tier/process/disk.go
+++ b/internal/tier/process/disk.go
@@ -20,7 +20,8 @@
 	diskHealthyTime   = 10 * time.Second
 )
 
-// diskWorker is a part of a process that runs until its disk fails.
+// diskWorker is a part of a process that runs until its disk fails. A turn store reopens its disk by itself once it runs
+// (turnstore.CheckDisk), so it ends without an error: the retrier acts where an opening fails.
 type diskWorker interface {
 	// run returns the error of the disk, or nil when the process ends.
 	run() error
--- a/internal/tier/session/session.go
+++ b/internal/tier/session/session.go
@@ -72,8 +72,8 @@
 
 // Remaining returns how much longer the session is active if the primary answers no more; 0 where it is not active.
 func (client *Client) Remaining() time.Duration {
-	stands, since := client.Active()
-	if !stands {
+	active, since := client.Active()
+	if !active {
 		return 0
 	}
 	return max(0, client.callTimeout()-since)
@@ -90,7 +90,7 @@
 // hint: it is sent once, and may be lost.
 func (client *Client) ReportHealth(ctx context.Context, ejected, restored []string) {
 	at := client.Primary()
-	if stands, _ := client.Active(); !stands || at == "" {
+	if active, _ := client.Active(); !active || at == "" {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, client.config.Settings.ContactWindow/searchDivisor)
--- a/internal/work/pressure.go
+++ b/internal/work/pressure.go
@@ -8,7 +8,7 @@
 	Calls       float64       // calls in flight, as a fraction of the slots
 	Pending     float64       // messages, as a fraction of their capacity
 	Journal     float64       // as a fraction of its capacity
-	DiskLatency time.Duration // of a sync
+	DiskLatency time.Duration // from the begin of a write to the journal to the end of the loop's turn
 }
 
 // Targets are the signals above which background work steps back; 0 is no target.
