--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -91,6 +91,12 @@
 	outcomeAndRetry uint32 // outcome and retry as in the record
 }
 
+// entry is the slot's entry.
+func (s *slot) entry() Entry {
+	return Entry{Key: s.key, Digest: s.digest, Outcome: Outcome(s.outcomeAndRetry >> 24), At: time.Duration(s.at),
+		RetryAfter: time.Duration(s.outcomeAndRetry&maxRetryMS) * time.Millisecond}
+}
+
 // Table holds how events ended, at most so many and each for a time. Slots are a ring in the order of ends, as the file is:
 // the oldest expires first. It is not for concurrent use.
 type Table struct {
@@ -186,8 +192,7 @@
 		return Entry{}, false
 	}
 	s := t.slots[t.slotIndex[at]-1]
-	return Entry{Key: s.key, Digest: s.digest, Outcome: Outcome(s.outcomeAndRetry >> 24), At: time.Duration(s.at),
-		RetryAfter: time.Duration(s.outcomeAndRetry&maxRetryMS) * time.Millisecond}, true
+	return s.entry(), true
 }
 
 // Reserve keeps room for the end of an event that is about to be accepted. Without room it says after how long there will be
@@ -267,7 +272,7 @@
 		place := (t.oldest + i) % t.maxEntries
 		s := t.slots[place]
 		if t.isLive(place) {
-			f(place, Entry{Key: s.key, Digest: s.digest, Outcome: Outcome(s.outcomeAndRetry >> 24), At: time.Duration(s.at), RetryAfter: time.Duration(s.outcomeAndRetry&maxRetryMS) * time.Millisecond})
+			f(place, s.entry())
 		}
 	}
 }
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -56,7 +56,8 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{config: c, routes: routes, log: log, now: now, onFacts: onFacts, wake: make(chan struct{}, 1), peers: map[string]*peer{}, progress: map[string]*streamProgress{}}
+	n := &Node{config: c, routes: routes, log: log, now: now, onFacts: onFacts, wake: make(chan struct{}, 1),
+		peers: map[string]*peer{}, progress: map[string]*streamProgress{}}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.factServer = newFactServer(&n.config, now)
 	l, err := net.Listen("tcp", c.Exchange)
--- a/internal/sender/admin_reports.go
+++ b/internal/sender/admin_reports.go
@@ -61,7 +61,8 @@
 			if from == "" {
 				from = f.Source.Name
 			}
-			list = append(list, KnownFact{f.Destination, f.Endpoint, f.Kind.String(), describe(&f, now), from, (now - f.ObservedAt).Milliseconds(), f.Trust(now), f.Calls})
+			list = append(list, KnownFact{Receiver: f.Destination, Endpoint: f.Endpoint, Kind: f.Kind.String(), Says: describe(&f, now), Source: from,
+				AgeMS: (now - f.ObservedAt).Milliseconds(), Trust: f.Trust(now), Calls: f.Calls})
 		}
 	}
 	add(s.knownFacts(now), "self")
--- a/internal/sender/extension_fleet.go
+++ b/internal/sender/extension_fleet.go
@@ -215,7 +215,10 @@
 	var all []health.Observation
 	for _, k := range known {
 		d := uint32(k.Destination)
-		if _, ruled := v.Policy.HealthRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown || changedOnly && k.Health == brain.Healthy && x.verdictOf[d] == health.KindNone && k.HealthAge > time.Second {
+		if _, ruled := v.Policy.HealthRule(d); !ruled || k.Endpoint != 0 || k.Health == brain.HealthUnknown {
+			continue
+		}
+		if changedOnly && k.Health == brain.Healthy && x.verdictOf[d] == health.KindNone && k.HealthAge > time.Second {
 			continue
 		}
 		all = append(all, health.Observation{Destination: d, State: knowledge.State(k.Health), Age: k.HealthAge, Duration: max(0, k.HealthFor-k.HealthAge)})
--- a/internal/sender/journal.go
+++ b/internal/sender/journal.go
@@ -63,7 +63,10 @@
 // openJournal reads what an earlier process left in dir and begins a compacted file. budget is the bytes that the old and the
 // new file may take together. Its error is a file that can't be read; one that can't be written leaves the journal failed.
 func openJournal(dir string, budget int64) (*journal, error) {
-	j := &journal{path: filepath.Join(dir, journalFileName), budget: budget, maxOutageBytes: int(min(maxOutageReserve, budget/outageBudgetDivisor)), byID: map[string]*storedMessage{}}
+	j := &journal{
+		path: filepath.Join(dir, journalFileName), budget: budget,
+		maxOutageBytes: int(min(maxOutageReserve, budget/outageBudgetDivisor)), byID: map[string]*storedMessage{},
+	}
 	j.reserved = ratesReserve + listRecordOverhead + int64(j.maxOutageBytes)
 	j.endpoints.maxBytes = min(maxStoredListBytes, budget/16)
 	old, err := os.Open(j.path)
--- a/internal/sender/journal_recovery.go
+++ b/internal/sender/journal_recovery.go
@@ -35,7 +35,10 @@
 			if m != nil { // an id is used again only once its message is over
 				j.unindex(m)
 			}
-			j.index(&storedMessage{record: rec, outcome: rec.Outcome, retryAfterMS: rec.RetryAfterMS, awaitsRecorder: rec.AwaitsRecorder, notified: rec.Notified, endedAt: rec.At, cost: int64(len(line)) + followUpBytes(rec.ID)})
+			j.index(&storedMessage{
+				record: rec, outcome: rec.Outcome, retryAfterMS: rec.RetryAfterMS, awaitsRecorder: rec.AwaitsRecorder,
+				notified: rec.Notified, endedAt: rec.At, cost: int64(len(line)) + followUpBytes(rec.ID),
+			})
 		case m == nil:
 		default:
 			if m.apply(&rec); m.finished() {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -102,7 +102,8 @@
 	}
 	s := &Sender{
 		config: c, log: log, clock: newClock(), brain: brain.New(c.Settings, c.Seed), journal: j,
-		pool:      calls.NewPool(calls.Config{ConnectTimeout: c.ConnectTimeout, IdleTimeout: c.Settings.IdleConnTimeout, MaxIdle: c.maxIdleEndpointConns(), LoadFields: c.ReportFields, Delivery: c.Delivery}),
+		pool: calls.NewPool(calls.Config{ConnectTimeout: c.ConnectTimeout, IdleTimeout: c.Settings.IdleConnTimeout, MaxIdle: c.maxIdleEndpointConns(),
+			LoadFields: c.ReportFields, Delivery: c.Delivery}),
 		endpoints: calls.NewEndpointList(), discovery: newDiscovery(c.Discovery),
 		events: make(chan loopEvent, eventQueueSize), timer: time.NewTimer(time.Hour), watchRequests: make(chan struct{}, 1),
 		messages: map[brain.MessageID]*message{}, byID: map[string]*message{}, notices: make(chan []notice, 1),
