--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -13,10 +13,10 @@
 // maxParticipants bounds a membership.
 const maxParticipants = 2000
 
-// ErrUnknownCommand is that a membership command is of a type that this program does not know. It must not go on as if it had applied it.
+// ErrUnknownCommand reports that a membership command is of a type that this program does not know. It must not go on as if it had applied it.
 var ErrUnknownCommand = errors.New("a command on the roster is of a sort that this program does not know")
 
-// DecodeError is that a command or the state can't be decoded.
+// DecodeError reports that a command or the state can't be decoded.
 type DecodeError struct {
 	What string
 	Err  error
--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -7,7 +7,7 @@
 	"saffronyard.example/saffronyard/internal/replicatedlog"
 )
 
-// address is where a voter is reached: as the file says, or else as the one who added it did.
+// address is where a voter is reached: as configured, or else as the command that added it says; "" if it is not known.
 func (n *Node) address(name string) string {
 	for _, v := range n.cfg.Voters {
 		if v.Name == name {
@@ -24,6 +24,7 @@
 	return ""
 }
 
+// nameOf is the name of a voter by its id; one that is not known is named for the id.
 func (n *Node) nameOf(id uint64) string {
 	for _, v := range n.cfg.Voters {
 		if replicatedlog.VoterID(v.Name) == id {
@@ -40,7 +41,7 @@
 	return fmt.Sprintf("voter %x", id)
 }
 
-// voterNames are the voters in the order in which they are asked: this one if it is, then the one that is followed, then all.
+// voterNames are the voters in the order in which they are called: this sender if it is one, then the one that is followed, then the others.
 func (n *Node) voterNames() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -54,19 +55,19 @@
 		add(n.cfg.Name)
 	}
 	add(n.followed)
-	gone := map[string]bool{n.cfg.Name: true}
+	excluded := map[string]bool{n.cfg.Name: true}
 	for _, v := range n.replicaReport.voters {
 		if v.Removed {
-			gone[v.Name] = true
+			excluded[v.Name] = true
 		}
 	}
 	for _, v := range n.cfg.Voters {
-		if !gone[v.Name] {
+		if !excluded[v.Name] {
 			add(v.Name)
 		}
 	}
 	for _, v := range n.replicaReport.voters {
-		if !gone[v.Name] {
+		if !excluded[v.Name] {
 			add(v.Name)
 		}
 	}
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the machine's time since it was started, the time in which it slept included: a lease goes on while a machine does
-// not. (CLOCK_MONOTONIC, which package time goes by, stands still then.)
+// Now is the time since the machine was started, including time in which it was suspended: leases go on meanwhile. (CLOCK_BOOTTIME; package
+// time uses CLOCK_MONOTONIC, which stands still then.)
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -18,7 +18,7 @@
 	return time.Duration(ts.Nano())
 }
 
-// coarseClock is Now without a call of the kernel, looked up again once a second: what the machine slept since then is missing.
+// coarseClock is Now without a system call, set by it once a second: it lacks time in which the machine was suspended since.
 func coarseClock() func() time.Duration {
 	type mark struct {
 		at  time.Time
--- a/internal/fleet/connections.go
+++ b/internal/fleet/connections.go
@@ -29,13 +29,14 @@
 	return &connections{keys: keys, conns: map[string]*grpc.ClientConn{}}
 }
 
-func (w *connections) client(address string) (pb.FleetClient, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	c := w.conns[address]
-	if c == nil {
+// client is a client of the sender at an address; the connection is made as it is first used, and again as it breaks.
+func (c *connections) client(address string) (pb.FleetClient, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conn := c.conns[address]
+	if conn == nil {
 		var err error
-		c, err = grpc.NewClient("passthrough:///"+address, append(w.keys.dialOptions(), grpc.WithTransportCredentials(insecure.NewCredentials()),
+		conn, err = grpc.NewClient("passthrough:///"+address, append(c.keys.dialOptions(), grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
 			grpc.WithDisableServiceConfig(), grpc.WithDisableRetry(),
 			grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxConnectBackoff}, MinConnectTimeout: maxConnectBackoff}),
@@ -43,16 +44,16 @@
 		if err != nil {
 			return nil, fmt.Errorf("fleet: %s: %w", address, err)
 		}
-		w.conns[address] = c
+		c.conns[address] = conn
 	}
-	return pb.NewFleetClient(c), nil
+	return pb.NewFleetClient(conn), nil
 }
 
-func (w *connections) close() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, c := range w.conns {
-		c.Close()
+func (c *connections) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, conn := range c.conns {
+		conn.Close()
 	}
 }
 
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -6,13 +6,13 @@
 )
 
 var (
-	// ErrRejected is that the fleet rejected a command: it changed nothing.
+	// ErrRejected reports that the fleet rejected a command: it changed nothing.
 	ErrRejected = errors.New("refused")
-	// ErrNewerFormat is that a file was written by a newer program. It is left as it is.
+	// ErrNewerFormat reports that a file was written by a newer program. It is left as it is.
 	ErrNewerFormat = errors.New("it was written by a newer program")
-	// ErrNoVoterKnown is that no voter's address is known.
+	// ErrNoVoterKnown reports that no voter's address is known.
 	ErrNoVoterKnown = errors.New("no voter is known")
-	// ErrStopping is that the node stops.
+	// ErrStopping reports that the node stops.
 	ErrStopping = errors.New("this sender is leaving")
 )
 
@@ -53,13 +53,13 @@
 	return &ParameterError{Problem: fmt.Sprintf(format, args...)}
 }
 
-// NoAddressError is that no address of a voter is known.
+// NoAddressError reports that no address of a voter is known.
 type NoAddressError struct{ Name string }
 
 // Error is the text that users and logs see.
 func (e *NoAddressError) Error() string { return fmt.Sprintf("no address of %s is known", e.Name) }
 
-// ForeignFileError is that a voter's file belongs to another cluster or sender.
+// ForeignFileError reports that a voter's file belongs to another cluster or sender.
 type ForeignFileError struct {
 	What      string // "cluster" or "name"
 	Got, Want string
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("it is the file of %s %q, not of %q", e.What, e.Got, e.Want)
 }
 
-// MissingEntryError is that a voter's file lacks an entry, or has one that can't be decoded.
+// MissingEntryError reports that a voter's file lacks an entry, or has one that can't be decoded.
 type MissingEntryError struct {
 	Index uint64
 	Err   error // the decoder's; nil: it is missing
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -13,14 +13,14 @@
 	"google.golang.org/grpc/status"
 )
 
-// A sender of the fleet shows with each call that it has the fleet's key: HMAC-SHA-256 over cluster and method. It keeps a
-// stranger, and a sender of another fleet, from being taken for one of this; it hides nothing, and who can read what goes over
-// the network can show it again. That is why addresses are loopback ones until TLS lands.
+// A sender proves with each call that it has the fleet's key, by HMAC-SHA-256 over cluster and method. That keeps strangers, and senders of
+// another fleet, from being taken for members of this one. It encrypts nothing, and whoever can read the network can replay a proof: so
+// addresses are loopback ones while there is no TLS.
 
-// proofHeader carries the proof.
+// proofHeader is the metadata key of the proof, in hexadecimal.
 const proofHeader = "saffronyard-proof"
 
-// keyring are the keys: the first is shown, each is taken, so that they can be changed in service.
+// keyring is the fleet's keys: the first makes proofs, each is accepted, so that keys can be rotated in service. It is safe for concurrent use.
 type keyring struct {
 	cluster string
 
@@ -46,7 +46,7 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// attach adds the proof to a call.
+// attach adds the proof to an outgoing call's metadata.
 func (k *keyring) attach(ctx context.Context, method string) context.Context {
 	if keys := k.snapshot(); len(keys) > 0 {
 		return metadata.AppendToOutgoingContext(ctx, proofHeader, k.proof(keys[0], method))
@@ -54,7 +54,7 @@
 	return ctx
 }
 
-// verify says why a call is not taken.
+// verify checks the proof of an incoming call; without keys each call is accepted. The error has the code Unauthenticated.
 func (k *keyring) verify(ctx context.Context, method string) error {
 	keys := k.snapshot()
 	if len(keys) == 0 {
@@ -92,5 +92,5 @@
 	})}
 }
 
-// SetKeys changes the fleet's keys; the first is shown, each is taken.
+// SetKeys replaces the fleet's keys: the first makes proofs, each is accepted.
 func (n *Node) SetKeys(keys [][]byte) { n.keys.set(keys) }
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -15,17 +15,16 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// Limits of what senders say to each other.
+// Bounds of the calls between senders.
 const (
-	maxMessageBytes   = 16 << 20               // bytes of one message: a snapshot is one
-	outboxSize        = 1024                   // raft's messages that wait for one voter; raft sends again what is dropped
-	heartbeatInterval = 200 * time.Millisecond // a follower hears something at least this often
-	followTimeout     = 5 * heartbeatInterval  // or follows another voter
+	maxMessageBytes   = 16 << 20               // of one message: a snapshot is one
+	outboxSize        = 1024                   // raft's messages to one voter; raft sends again what is dropped
+	heartbeatInterval = 200 * time.Millisecond // of the log's stream to a follower
+	followTimeout     = 5 * heartbeatInterval  // of silence, after which a follower turns to another voter
 	maxConnectBackoff = time.Second            // between two attempts to connect
-	maxFollowers      = 2000                   // that follow one voter
-	passOnTime        = 5 * time.Second        // for a question that is passed on
-	keepaliveInterval = 10 * time.Second       // without a word a connection is tried
-	keepaliveTimeout  = 2 * time.Second
+	maxFollowers      = 2000                   // of one voter
+	keepaliveInterval = 10 * time.Second       // of silence, after which a connection is probed
+	keepaliveTimeout  = 2 * time.Second        // for the probe's answer
 )
 
 // service serves the Fleet calls of other senders.
@@ -34,7 +33,7 @@
 	node *Node
 }
 
-// checkCluster refuses callers of another fleet.
+// checkCluster rejects callers of another fleet.
 func (s *service) checkCluster(cluster string) error {
 	if cluster != s.node.cfg.Cluster {
 		return status.Errorf(codes.PermissionDenied, "this is cluster %q, not %q", s.node.cfg.Cluster, cluster)
--- a/internal/fleetpolicy/errors.go
+++ b/internal/fleetpolicy/errors.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// ErrUnknownCommand is that a policy command is of a type that this program does not know. It must not go on as if it had applied it.
+// ErrUnknownCommand reports that a policy command is of a type that this program does not know. It must not go on as if it had applied it.
 var ErrUnknownCommand = errors.New("a command on the policy is of a sort that this program does not know")
 
-// DecodeError is that a command or the state can't be decoded.
+// DecodeError reports that a command or the state can't be decoded.
 type DecodeError struct {
 	What string
 	Err  error
@@ -53,7 +53,7 @@
 	return &DocumentError{Document: document, Problem: err.Error(), Err: err}
 }
 
-// SettingsError is that a policy names a class, tenant or kind that a sender's settings lack.
+// SettingsError reports that a policy names a class, tenant or kind that a sender's settings lack.
 type SettingsError struct {
 	What string // "class", "tenant" or "kind"
 	Name string
--- a/internal/health/errors.go
+++ b/internal/health/errors.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// ErrUnknownCommand is that a health command is of a type that this program does not know. It must not go on as if it had applied it.
+// ErrUnknownCommand reports that a health command is of a type that this program does not know. It must not go on as if it had applied it.
 var ErrUnknownCommand = errors.New("a verdict is of a sort that this program does not know")
 
-// DecodeError is that a command or the state can't be decoded.
+// DecodeError reports that a command or the state can't be decoded.
 type DecodeError struct {
 	What string
 	Err  error
--- a/internal/quota/client_events.go
+++ b/internal/quota/client_events.go
@@ -12,9 +12,9 @@
 type ClientEvent interface{ clientEvent() }
 
 type (
-	// UnitsWanted is that units of a limit are wanted now.
+	// UnitsWanted reports that units of a limit are wanted now.
 	UnitsWanted struct{ Key string }
-	// LimitsChanged is that SetLimits replaced the limits.
+	// LimitsChanged reports that SetLimits replaced the limits.
 	LimitsChanged struct{}
 	// ReplyReceived is what became of a request.
 	ReplyReceived struct {
--- a/internal/quota/errors.go
+++ b/internal/quota/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// EpochError is that a request is for another membership, or another process, than the server's.
+// EpochError reports that a request is for another membership, or another process, than the server's.
 type EpochError struct {
 	ServerEpoch, RequestEpoch             uint64
 	ServerIncarnation, RequestIncarnation uint64
@@ -13,7 +13,7 @@
 	return fmt.Sprintf("this sender goes by roster %d as process %x, the question by roster %d for %x", e.ServerEpoch, e.ServerIncarnation, e.RequestEpoch, e.RequestIncarnation)
 }
 
-// NoParticipantError is that a client's process does not participate in the membership.
+// NoParticipantError reports that a client's process does not participate in the membership.
 type NoParticipantError struct {
 	Name  string
 	Epoch uint64
--- a/internal/replicatedlog/errors.go
+++ b/internal/replicatedlog/errors.go
@@ -6,16 +6,16 @@
 )
 
 var (
-	// ErrUnknownCommand is that the log has a command of a kind that this program does not know. It must not go on as if that were not
+	// ErrUnknownCommand reports that the log has a command of a kind that this program does not know. It must not go on as if that were not
 	// there.
 	ErrUnknownCommand = errors.New("the fleet's log has a command that this program does not know: it needs a newer one")
-	// ErrNotLeader is that another voter leads, or none does.
+	// ErrNotLeader reports that another voter leads, or none does.
 	ErrNotLeader = errors.New("another voter leads, or none does")
-	// ErrTooManyReads is that the leader has as many lease requests to confirm as it takes.
+	// ErrTooManyReads reports that the leader has as many lease requests to confirm as it takes.
 	ErrTooManyReads = errors.New("too many questions wait")
 )
 
-// DecodeError is that bytes of the log, of a snapshot or of a request can't be decoded.
+// DecodeError reports that bytes of the log, of a snapshot or of a request can't be decoded.
 type DecodeError struct {
 	What string // of what kind they should be
 	Err  error
@@ -27,7 +27,7 @@
 // Unwrap gives the decoder's error.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// GapError is that an entry does not follow the one applied last.
+// GapError reports that an entry does not follow the one applied last.
 type GapError struct {
 	Index   uint64
 	Applied uint64
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("entry %d can't follow entry %d", e.Index, e.Applied)
 }
 
-// SnapshotFormatError is that a snapshot was written in another format than this program reads.
+// SnapshotFormatError reports that a snapshot was written in another format than this program reads.
 type SnapshotFormatError struct{ Got, Want uint32 }
 
 // Error is the text that users and logs see.
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("the snapshot is of format %d; this program reads %d", e.Got, e.Want)
 }
 
-// RemovedMemberError is that a sender asks for a lease which an operator has removed for good.
+// RemovedMemberError reports that a sender asks for a lease which an operator has removed for good.
 type RemovedMemberError struct{ Name string }
 
 // Error is the text that users and logs see.
@@ -54,7 +54,7 @@
 	return fmt.Sprintf("%s was declared gone for good", e.Name)
 }
 
-// CommandTooLargeError is that a command is larger than the log takes.
+// CommandTooLargeError reports that a command is larger than the log takes.
 type CommandTooLargeError struct{ Bytes int }
 
 // Error is the text that users and logs see.
--- a/internal/replicatedlog/events.go
+++ b/internal/replicatedlog/events.go
@@ -38,7 +38,7 @@
 		ReplyTo uint64
 		Command *pb.Command // of KindVoters
 	}
-	// PeerUnreachable is that messages to another voter are lost.
+	// PeerUnreachable reports that messages to another voter are lost.
 	PeerUnreachable struct{ VoterID uint64 }
 	// LeadershipTransferRequested has another voter lead, before a planned stop.
 	LeadershipTransferRequested struct{}
--- a/internal/replicatedlog/replica_events.go
+++ b/internal/replicatedlog/replica_events.go
@@ -21,14 +21,14 @@
 		RequiredIndex uint64
 		Duration      time.Duration // 0: no lease
 	}
-	// LeaseRequestFailed is that a request got no answer.
+	// LeaseRequestFailed reports that a request got no answer.
 	LeaseRequestFailed struct{ RequestedAt time.Duration }
-	// ChangeStaged is that a proposed policy is on the disk, or why it can't be.
+	// ChangeStaged reports that a proposed policy is on the disk, or why it can't be.
 	ChangeStaged struct {
 		ChangeID uint64
 		Err      error
 	}
-	// Drained is that no call begun under a view before the one at Index waits to be written any more.
+	// Drained reports that no call begun under a view before the one at Index waits to be written any more.
 	Drained struct{ Index uint64 }
 )
 
@@ -60,7 +60,7 @@
 		LeaseUntil time.Duration // end of the lease; 0 or past: there is none
 		Drain      bool
 	}
-	// LeaseExpired is that no call may be begun any more.
+	// LeaseExpired reports that no call may be begun any more.
 	LeaseExpired struct{}
 	// SubmitJoin proposes that this sender is a member, and which commands its program knows.
 	SubmitJoin struct{ Command *pb.Join }
--- a/internal/worker/group.go
+++ b/internal/worker/group.go
@@ -28,7 +28,7 @@
 // Error is the text that users and logs see.
 func (e *PanicError) Error() string { return fmt.Sprintf("panic: %v\n%s", e.Value, e.Stack) }
 
-// StopTimeoutError is that a worker did not end in time. It is left running.
+// StopTimeoutError reports that a worker did not end in time. It is left running.
 type StopTimeoutError struct {
 	Worker  string
 	Timeout time.Duration
--- a/internal/worker/ring_buffer.go
+++ b/internal/worker/ring_buffer.go
@@ -22,7 +22,7 @@
 	return [...]string{"wait", "drop the oldest", "merge by key"}[r]
 }
 
-// ErrClosed is that a ring buffer takes no entries any more.
+// ErrClosed reports that a ring buffer takes no entries any more.
 var ErrClosed = errors.New("the ring is closed")
 
 // RingBuffer is a bounded queue. It is safe for concurrent use; only Put blocks.
