--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -93,7 +93,7 @@
 	if f.describe() != "3: a2 b1" {
 		t.Error(f.describe())
 	}
-	// b does not hear that a has gone: nothing begins before its lease has lapsed, and it is granted none.
+	// b does not learn that a has gone: nothing is activated before its lease has expired, and it is granted none.
 	f.advance(t, 1100*time.Millisecond, nil, b)
 	if f.State().NextEpoch == 0 || f.State().Epoch != 3 {
 		t.Errorf("%v", f.State())
--- a/internal/fleet/gate_test.go
+++ b/internal/fleet/gate_test.go
@@ -20,7 +20,7 @@
 	return p
 }
 
-// What a call is told at each state of lease and view, at that very moment.
+// Whether a call is admitted at each state of lease and view, at that very moment.
 func TestGate_Admit(t *testing.T) {
 	var now atomic.Int64
 	g := NewGate(func() time.Duration { return time.Duration(now.Load()) })
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -210,7 +210,7 @@
 	}
 }
 
-// A sender that is cut off begins nothing once its lease has lapsed; a change does not wait longer for it than that, and it comes back
+// A sender that is partitioned off begins nothing once its lease has expired; a change does not wait longer for it than that, and it comes back
 // under the new version.
 func TestFleet_PartitionedSender(t *testing.T) {
 	t.Parallel()
@@ -413,7 +413,7 @@
 	}
 }
 
-// Who vouches for a folder lets a voter take part without the others' word, once.
+// Vouching for a folder lets a voter start without the handshake's answers, once.
 func TestFleet_Vouch(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 3, 3, nil)
@@ -481,7 +481,7 @@
 	}
 }
 
-// A file of a newer program, of another sender or of another cluster is refused with clear words, and left as it is.
+// A file of a newer program, of another sender or of another cluster is refused with a clear error, and left as it is.
 func TestStore_RejectsForeignFolder(t *testing.T) {
 	dir := t.TempDir()
 	open := func(cluster, name string) error {
@@ -629,7 +629,7 @@
 	until(t, "one that was declared gone acts no longer", func() bool { _, acts := s.nodes[4].View(); return !acts })
 }
 
-// slowDisk takes as long as it is told to.
+// slowDisk takes as long as a test wants.
 type slowDisk struct{ stands *atomic.Bool }
 
 func (d slowDisk) Write(path string, data []byte) error {
@@ -639,7 +639,7 @@
 	return realDisk{}.Write(path, data)
 }
 
-// A log of many entries is taken up again from its snapshot and what stands behind it; a sender that follows from nothing is told the snapshot.
+// A log of many entries is loaded from its snapshot and the entries behind it; a sender that follows from nothing is sent the snapshot.
 func TestFleet_ManyEntries(t *testing.T) {
 	entries := 12_000
 	if n := os.Getenv("SAFFRONYARD_ENTRIES"); n != "" {
--- a/internal/fleetpolicy/model_test.go
+++ b/internal/fleetpolicy/model_test.go
@@ -70,7 +70,7 @@
 	incarnation uint64
 	applied     int    // of the log
 	staged      uint64 // change on the disk
-	reported    uint64 // change told as staged
+	reported    uint64 // change that it reported as staged
 	holder      *lease.Holder
 	wokeAt      int // when it last did anything
 	request     *modelRequest
@@ -155,7 +155,7 @@
 	return (time.Duration(m.wait) * tick).Microseconds()
 }
 
-// clone is a copy that shares what it does not change: who changes a leader's or a holder's state copies that first.
+// clone is a shallow copy: a step that changes a leader's or a holder's state clones that first.
 func (w *world) clone() *world {
 	c := *w
 	return &c
@@ -167,7 +167,7 @@
 
 var seed = maphash.MakeSeed()
 
-// Key tells states apart, as they matter from now on. Senders have no names to the promise: those that swap places make the
+// Key tells states apart, as they matter from now on. Senders are alike to the property: those that swap places make the
 // same state.
 func (m *model) Key(w *world) modelcheck.Key {
 	now := w.clock()
@@ -240,7 +240,7 @@
 	return st.view.Version, true
 }
 
-// broken says which promise a state breaks; "" for none.
+// broken says which property a state breaks; "" for none.
 func (m *model) broken(w *world) string {
 	newest := w.acted
 	for i := range m.senders {
@@ -287,7 +287,7 @@
 			n.old = &old
 			n.leader = modelLeader{lease.NewGranter(modelTerms, n.clock()), &Coordinator{}, len(n.log)}
 			if m.fault == noGracePeriod {
-				n.leader.granter = withoutQuiet()
+				n.leader.granter = withoutGracePeriod()
 			}
 			return ""
 		})
@@ -298,15 +298,15 @@
 	}
 }
 
-// withoutQuiet is a granter that takes nobody for a holder.
-func withoutQuiet() *lease.Granter { return lease.NewGranter(modelTerms, -10*tick) }
+// withoutGracePeriod is a granter without a grace period.
+func withoutGracePeriod() *lease.Granter { return lease.NewGranter(modelTerms, -10*tick) }
 
 func (m *model) decide(n *world) string {
 	l := &n.leader
 	st := m.machine(n.log[:l.applied]).State()
 	granter := l.granter
 	if m.fault == noWaitForExpiry {
-		granter = withoutQuiet()
+		granter = withoutGracePeriod()
 	}
 	cmd, _ := l.coord.Step(n.clock(), st, granter)
 	step := ""
@@ -491,7 +491,7 @@
 	return w
 }
 
-// No order of events breaks the promise: all states of small fleets to the bounds named. SAFFRONYARD_MODEL=large walks larger
+// No order of events breaks the property: all states of small fleets to the bounds named. SAFFRONYARD_MODEL=large walks larger
 // ones, for some minutes (docs/design/agreed.md has their counts).
 func TestModel_Holds(t *testing.T) {
 	small := map[string]*model{
--- a/internal/health/aggregator_test.go
+++ b/internal/health/aggregator_test.go
@@ -7,7 +7,7 @@
 	"saffronyard.example/saffronyard/internal/knowledge"
 )
 
-// What the court makes of testimonies.
+// What the aggregator decides by reports.
 func TestAggregator(t *testing.T) {
 	t.Parallel()
 	ms := time.Millisecond
--- a/internal/health/machine_test.go
+++ b/internal/health/machine_test.go
@@ -51,7 +51,7 @@
 	return &pb.HealthCommand{Command: &pb.HealthCommand_Clear{Clear: &pb.ClearHealth{Destination: d, ByOperator: person, Epoch: epoch, BaseIndex: base}}}
 }
 
-// A verdict and its lifting do not cross; one that was in charge says nothing any more; a person's stands beside, and for ever.
+// Setting and clearing a status do not cross; a former owner sets nothing any more; an operator's status stands beside, and does not expire.
 func TestMachine_Commands(t *testing.T) {
 	l := newLog(t)
 	for _, step := range []struct {
@@ -98,7 +98,7 @@
 	}
 }
 
-// aggregatorTest is a court with its log, and a clock.
+// aggregatorTest is an aggregator with its log, and a clock.
 type aggregatorTest struct {
 	*log
 	aggregator *Aggregator
@@ -111,7 +111,7 @@
 	return &aggregatorTest{log: newLog(t), aggregator: NewAggregator(), now: time.Hour, owns: true, rule: Rule{Quorum: 2, ProbeInterval: time.Second, InitialRate: 1, FullRate: 10, SlowStart: 5 * time.Second, TTL: 6 * time.Second}}
 }
 
-// statusAfter lets a time go by with the court judging, and gives what destination 7 is held to be.
+// statusAfter lets a time go by with the aggregator evaluating, and returns the status of destination 7.
 func (tr *aggregatorTest) statusAfter(after time.Duration) string {
 	for end := tr.now + after; tr.now < end; {
 		tr.now += 100 * time.Millisecond
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// What a holder may do, question by question.
+// Until when a holder may act, request by request.
 func TestHolder_Until(t *testing.T) {
 	terms := Terms{Duration: 10 * time.Second, MaxDrift: DefaultDrift}
 	s := time.Second
--- a/internal/quota/daily_pool_test.go
+++ b/internal/quota/daily_pool_test.go
@@ -13,8 +13,8 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// A day's quota under answers that are lost, holders that die and come back, authorities that are replaced, and days that begin: never
-// more is used than the day has, but for what was lent as it began; and with nothing lost it is used to the last unit.
+// A daily quota under replies that are lost, clients that crash and restart, owners that are replaced, and days that begin: never more is
+// used than the day has, but for what was granted as it began; and with nothing lost it is used to the last unit.
 func TestDailyPool_NeverExceedsQuota(t *testing.T) {
 	t.Parallel()
 	day := Limit{Key: "x", Kind: Daily, Units: 1000}
@@ -124,7 +124,7 @@
 		if used == 0 {
 			t.Errorf("seed %d: nothing is used", seed)
 		}
-		// An authority of before, and a day that is over, get nothing.
+		// A former owner, and a day that is over, get nothing.
 		if _, refused := apply(&pb.MembershipCommand{Command: &pb.MembershipCommand_Draw{Draw: &pb.DrawQuota{Epoch: epoch - 1, Key: "x", Period: period, Units: 1, Limit: 1 << 30}}}); refused == "" {
 			t.Errorf("seed %d: an authority of before draws", seed)
 		}
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -16,7 +16,7 @@
 )
 
 // The model plays one limit with the code that ships (Purse, Book) against every order of what can happen, breadth first: questions and
-// answers are late, lost or come twice, holders stand still, use what they have at any moment, crash and come back; the authority
+// answers are late, lost or come twice, clients stand still, use what they have at any moment, crash and restart; the owner
 // is replaced by one that knows nothing, once the old one lends no more, while its answers are still under way. What a
 // receiver sees is kept beside: in no span are there more uses than units.
 
--- a/internal/quota/sim_test.go
+++ b/internal/quota/sim_test.go
@@ -18,7 +18,7 @@
 )
 
 // sim is a fleet in virtual time: the code that ships, one goroutine, a network that a seed draws. Each sender's clock has an offset
-// and a rate of its own. Receivers keep their own books.
+// and a rate of its own. Receivers count for themselves.
 type sim struct {
 	t                *testing.T
 	rng              *rand.Rand
@@ -56,7 +56,7 @@
 	down         bool
 	paused       time.Duration
 	leaseUntil   time.Duration // of the fleet's, in true time
-	proposedSeen uint64        // roster that it knows to be coming
+	proposedSeen uint64        // proposed membership that it knows of
 	alarm        time.Duration // true time
 	load         map[string]*simLoad
 }
@@ -118,7 +118,7 @@
 
 const leaseLength = time.Second
 
-// activate has a roster of all that hold a lease come, and begin once the fence is passed: all that hold a lease know that it comes.
+// activate proposes a membership of all that hold a lease, and activates it once the fence has passed: all that hold a lease know of it.
 func (s *sim) activate() {
 	if s.nextParticipants != nil {
 		s.changedAgain = true
@@ -150,7 +150,7 @@
 	s.at(10*time.Millisecond, fence)
 }
 
-// deliverMembership has each sender hear of a roster, with a delay of its own; one that is paused hears so when it wakes.
+// deliverMembership delivers a membership to each sender, with a delay of its own; to one that is paused when it wakes.
 func (s *sim) deliverMembership(r *pb.MembershipState) {
 	for _, p := range s.senders {
 		life := p.id.Incarnation
@@ -171,7 +171,7 @@
 	}
 }
 
-// renew renews a sender's lease, unless a roster comes that it does not know of.
+// renew renews a sender's lease, unless a membership is proposed that it does not know of.
 func (p *simSender) renew(life uint64) {
 	if p.down || p.id.Incarnation != life {
 		return
@@ -202,7 +202,7 @@
 	}
 }
 
-// step lets the asker step with what has come, and carries out what it wants.
+// step steps the client with the events that have come, and carries out its actions.
 func (p *simSender) step(events ...ClientEvent) {
 	if p.down {
 		return
@@ -338,7 +338,7 @@
 	}
 	again := p.allowances.NextAvailable(key, p.clock())
 	if l.waiting == 0 || again == Never || l.retryAt > s.now {
-		return // until more comes, or is lent
+		return // until more messages come, or units are granted
 	}
 	at := max(time.Millisecond, l.pacedUntil-s.now, time.Duration(float64(again-p.clock())/p.rate), p.paused-s.now)
 	l.retryAt = s.now + at
@@ -423,7 +423,7 @@
 			case 5:
 				s.loss = 0.3
 				s.at(for_, func() { s.loss = 0 })
-			case 6: // one that is paused is left out of the roster, and comes back
+			case 6: // one that is paused is left out of the membership, and comes back
 				p.paused = max(p.paused, s.now+for_)
 				s.at(for_/2, s.activate)
 				s.at(for_+200*time.Millisecond, s.activate)
@@ -478,7 +478,7 @@
 	}
 }
 
-// The demand jumps from one sender to another: within two seconds four fifths of the limit are used again; likewise once the authority
+// The demand jumps from one sender to another: within two seconds four fifths of the limit are used again; likewise once the owner
 // has died, and a sender that takes what it can and uses nothing keeps none of it for long.
 func TestFleet_SharesFollowDemand(t *testing.T) {
 	used := func(s *sim, from, to time.Duration) float64 {
@@ -511,7 +511,7 @@
 	charge := coordinator.NewOwnership(s.membership.Participants)
 	dead := slices.IndexFunc(s.senders, func(p *simSender) bool { return p.name == charge.Owner("x").Name })
 	s.senders[dead].down = true
-	s.at(1010*time.Millisecond, s.activate) // its lease has lapsed
+	s.at(1010*time.Millisecond, s.activate) // its lease has expired
 	if got := used(s, 8*time.Second, 10*time.Second); got < 0.75*40 {
 		t.Errorf("in the 2 s after its authority's death %.1f a second are used, of 40", got)
 	}
--- a/internal/replicatedlog/cluster_sim_test.go
+++ b/internal/replicatedlog/cluster_sim_test.go
@@ -18,7 +18,7 @@
 	pb "saffronyard.example/saffronyard/proto/saffronyard/fleet/v1"
 )
 
-// sim is a fleet in virtual time: voters and copies as they ship, with a network that delays, loses and cuts, disks that take a
+// sim is a fleet in virtual time: voters and replicas as they ship, with a network that delays, loses and cuts, disks that take a
 // while, and clocks that run wrong. One seed gives one run.
 type sim struct {
 	t           testing.TB
@@ -30,9 +30,9 @@
 	replicas    []*simReplica
 	terms       lease.Terms
 	loss        float64
-	partitioned map[[2]int]bool // places: voters first, then copies
+	partitioned map[[2]int]bool // by from and to: voters first, then replicas
 	newestActed uint64          // newest version that anybody could act under
-	bytes       int             // to and from copies
+	bytes       int             // to and from replicas
 	messages    int
 }
 
@@ -59,7 +59,7 @@
 	follows     int
 	view        *fleetpolicy.View
 	leaseUntil  time.Duration // on its own clock
-	sentIndex   uint64        // how far its voter has told it
+	sentIndex   uint64        // that its voter has sent it
 	alarm       time.Duration
 	rate        float64
 	finished    map[uint64]uint64 // change to version
@@ -139,7 +139,7 @@
 	s.after(time.Millisecond+time.Duration(s.rng.Int64N(int64(4*time.Millisecond))), do)
 }
 
-// startVoter starts one from its disk; heard are the others' answers to its hello.
+// startVoter starts a voter from its disk; heard are its peers' answers to the handshake.
 func (s *sim) startVoter(i int, heard map[string]PeerState) {
 	v := s.voters[i]
 	saved := *v.disk
@@ -244,7 +244,7 @@
 	}
 }
 
-// sendLog has a voter tell those that follow it.
+// sendLog has a voter send the log to its followers.
 func (s *sim) sendLog(i int) {
 	for j, c := range s.replicas {
 		if c.follows != i || !c.up {
@@ -376,7 +376,7 @@
 	})
 }
 
-// checkVersions is the promise: nobody may act on the call that all changes touch under a version that another could act past.
+// checkVersions checks the safety property: nobody may begin the call that all changes affect under a version that another could have acted past.
 func (s *sim) checkVersions() {
 	newest := s.newestActed
 	may := func(j int, c *simReplica) (uint64, bool) {
@@ -424,7 +424,7 @@
 	return n
 }
 
-// propose hands a change in at a copy's voter; its number comes when the log has it.
+// propose proposes a change at a replica's voter; its number is set when the log has it.
 func (s *sim) propose(at int, base uint64, number *uint64) {
 	doc := "[[route]]\ndestinations = [7]\nstate = \"closed\"\n"
 	if base%2 == 1 {
@@ -438,7 +438,7 @@
 	})
 }
 
-// restartVoter starts a voter from its disk once all others answer its hello.
+// restartVoter starts a voter from its disk once all its peers answer the handshake.
 func (s *sim) restartVoter(i int) {
 	heard := s.handshake(i)
 	if heard == nil {
--- a/internal/replicatedlog/handshake_test.go
+++ b/internal/replicatedlog/handshake_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// With what a voter begins after the others' word.
+// What a voter starts with after its peers' answers.
 func TestReconcile(t *testing.T) {
 	const id = 42
 	for _, c := range []struct {
--- a/internal/replicatedlog/voter_faults_test.go
+++ b/internal/replicatedlog/voter_faults_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// Voters crash, restart and are cut off, messages are lost, copies restart; every change ends everywhere alike, and the promise
+// Voters crash, restart and are partitioned, messages are lost, replicas restart; every change ends everywhere alike, and the property
 // of check holds at each step.
 func TestCluster_ConvergesUnderFaults(t *testing.T) {
 	for seed := range uint64(12) {
@@ -136,7 +136,7 @@
 }
 
 // A voter dies with each of its writes in turn, as it is done or just before, and all that the step would have done behind it is
-// left out: from the first election on to the end of two changes. Both take hold, and the promise holds at each step.
+// left out: from the first election on to the end of two changes. Both take effect, and the property holds at each step.
 func TestVoter_CrashesAtEachWrite(t *testing.T) {
 	points := 0
 	for voter := range 3 {
--- a/internal/worker/group_test.go
+++ b/internal/worker/group_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// echo passes on what it is told.
+// echo returns the events as actions.
 type echo struct{}
 
 func (echo) Step(_ time.Duration, events []int) ([]int, time.Duration) { return events, Never }
--- a/internal/worker/scheduler_test.go
+++ b/internal/worker/scheduler_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// counter adds up what it is told, passes each sum on, and wants to be called every second.
+// counter adds up its events, returns each sum, and wants to be called every second.
 type counter struct {
 	sum   int
 	calls []time.Duration
