--- a/internal/nameserver/store_test.go
+++ b/internal/nameserver/store_test.go
@@ -36,6 +36,7 @@
 }
 
 var errDead = errors.New("the machine is off")
+
 var errFull = errors.New("no space left on device")
 
 func newMemoryDisk() *memoryDisk {
