--- a/internal/tier/ingress/shutdown_test.go
+++ b/internal/tier/ingress/shutdown_test.go
@@ -288,6 +288,11 @@
 			_, body = conn.answer()
 			assert.Equal(t, body, "POST /b abc")
 		}
+		conn.send("GET /a HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+		<-begun
+		finish <- true
+		conn.answer()
+		conn.over() // the server closes first: the client does not while the last handler returns, as the watch would report that
 	}
 }
 
