--- a/internal/fleet/rate_limits.go
+++ b/internal/fleet/rate_limits.go
@@ -5,6 +5,9 @@
 	"maps"
 	"math"
 	"slices"
+	"time"
+
+	"saffronyard.example/saffronyard/internal/fleetpolicy"
 )
 
 // RateLimit is how many calls per second this sender may send to a destination, and all senders may. If Limited is false there is no limit, and the
@@ -21,42 +24,49 @@
 	if v == nil {
 		return nil
 	}
-	l := n.quotas
-	l.mu.Lock()
-	keys := make([]string, 0, len(l.changed))
-	for key := range l.changed {
-		keys = append(keys, key)
-	}
-	clear(l.changed)
-	l.mu.Unlock()
+	keys := n.quotas.takeChanged()
 	if all {
-		keys = append(keys, l.allowances.Keys()...)
+		keys = append(keys, n.quotas.allowances.Keys()...)
 	}
 	now := n.cfg.Now()
-	by := map[uint32]bool{}
+	destinations := map[uint32]struct{}{}
 	for _, key := range keys {
 		var d uint32 // the keys of a destination's own limits begin so
 		if _, err := fmt.Sscanf(key, "destination %d", &d); err == nil {
-			by[d] = true
+			destinations[d] = struct{}{}
 		}
 	}
-	for _, d := range slices.Sorted(maps.Keys(by)) {
-		p := RateLimit{Destination: d, Own: math.Inf(1), Fleet: math.Inf(1)}
-		for _, q := range v.RateLimits(d) {
-			if share, ok := l.allowances.Share(q.Key, now); ok { // the lowest rate counts
-				p.Limited = true
-				p.Own = min(p.Own, float64(share.Units)/share.CoolDown.Seconds())
-				p.Fleet = min(p.Fleet, float64(max(q.Units, q.SlowStartUnits))/q.Span.Seconds())
-			}
-		}
-		if !p.Limited {
-			p.Own, p.Fleet = 0, 0
-		}
-		limits = append(limits, p)
+	for _, d := range slices.Sorted(maps.Keys(destinations)) {
+		limits = append(limits, n.quotas.rateLimit(v, d, now))
 	}
 	return limits
 }
 
+// takeChanged is the keys of limits whose share changed since the last call.
+func (q *quotaNode) takeChanged() []string {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	keys := slices.Collect(maps.Keys(q.changed))
+	clear(q.changed)
+	return keys
+}
+
+// rateLimit is the lowest rate of a destination's limits.
+func (q *quotaNode) rateLimit(v *fleetpolicy.View, destination uint32, now time.Duration) RateLimit {
+	r := RateLimit{Destination: destination, Own: math.Inf(1), Fleet: math.Inf(1)}
+	for _, l := range v.RateLimits(destination) {
+		if share, ok := q.allowances.Share(l.Key, now); ok {
+			r.Limited = true
+			r.Own = min(r.Own, float64(share.Units)/share.CoolDown.Seconds())
+			r.Fleet = min(r.Fleet, float64(max(l.Units, l.SlowStartUnits))/l.Span.Seconds())
+		}
+	}
+	if !r.Limited {
+		r.Own, r.Fleet = 0, 0
+	}
+	return r
+}
+
 // OnRateLimits has f called, from any goroutine, when rate limits have changed.
 func (n *Node) OnRateLimits(f func()) {
 	n.quotas.mu.Lock()
