--- a/internal/nameserver/managed_zone.go
+++ b/internal/nameserver/managed_zone.go
@@ -26,18 +26,18 @@
 	disk       disk
 	log        *slog.Logger
 	maxRecords int                            // records
-	onChange   func(names []string, all bool) // of each change, after it lasts
+	onChange   func(names []string, all bool) // called with each change, once it is durable
 
 	current atomic.Pointer[version]
 
 	mu           sync.Mutex
 	history      zone.History
-	store        *store // nil where the file is all there is
+	store        *store // nil where the zone has no state but its file
 	fileBase     *zone.Zone
-	fileText     []byte // of the file, as it was last read or written
-	wroteFile    bool   // text is ours: it has no $INCLUDE
-	fileBehind   bool   // the file is to be written: there are updates that it has not
-	lastFault    string // of the file, as it was told last
+	fileText     []byte // as the file was read or written last
+	wroteFile    bool   // fileText was written by this process, without $INCLUDE
+	fileBehind   bool   // updates are not written into the file yet
+	lastFault    string // of the file, as it was logged last
 	currentSince time.Time
 }
 
