--- a/cmd/saffronyard/fleet_test.go
+++ b/cmd/saffronyard/fleet_test.go
@@ -7,10 +7,12 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
+	"saffronyard.example/saffronyard/internal/faulttest/eventlog"
 	"saffronyard.example/saffronyard/internal/faulttest/policytest"
 	"saffronyard.example/saffronyard/internal/fleet"
 	st "saffronyard.example/saffronyard/internal/sendertest"
@@ -53,7 +55,7 @@
 }
 
 // Changes take hold everywhere or nowhere while links between processes are cut, also one way, and processes are paused, killed
-// and come back with old folders. 'rehearse fleet' plays many more such days.
+// and come back with old folders. 'fault-test fleet' plays many more such days.
 func TestFleet_PolicyConsistentUnderFaults(t *testing.T) {
 	t.Parallel()
 	for _, o := range []policytest.Options{{Seed: 1, Senders: 3, Voters: 3, Seconds: 8}, {Seed: 2, Senders: 5, Voters: 3, Seconds: 8},
@@ -73,21 +75,43 @@
 }
 
 // A sender that goes by its lease after that has lapsed is found out: it is cut off, the others change the policy, and its calls
-// are seen under the version that they have left.
+// are seen under the version that they have left. A day on which it had no lease yet when it was cut off shows nothing, as on a
+// slow machine it may join too late; that day is played again.
 func TestFleet_DetectsFaultySender(t *testing.T) {
 	t.Parallel()
-	r, v := runPolicyTest(t, policytest.Options{Seed: 3, Senders: 4, Voters: 3, Seconds: 6, PartitionLast: true, Quiet: true, Command: itself("SAFFRONYARD_TEST_WRONG=n3")})
-	found := 0
-	for _, b := range v.Broken { // once one call is under a version that was left, which one others are under can't be told for sure
-		if strings.Contains(b, " called receiver ") {
-			found++
-		} else {
-			t.Errorf("found besides: %s", b)
+	const faulty = "n3"
+	for attempt := range maxPolicyDays {
+		shown := false
+		t.Run(fmt.Sprintf("day %d", attempt+1), func(t *testing.T) {
+			r, v := runPolicyTest(t, policytest.Options{Seed: 3, Senders: 4, Voters: 3, Seconds: 6, PartitionLast: true, Quiet: true, Command: itself("SAFFRONYARD_TEST_WRONG=" + faulty)})
+			found := 0
+			for _, b := range v.Broken { // once one call is under a version that was left, which one others are under can't be told for sure
+				if strings.Contains(b, " called receiver ") {
+					found++
+				} else {
+					t.Errorf("found besides: %s", b)
+				}
+			}
+			shown = found > 0 || calledBefore(r, faulty, r.Seen[1])
+			if shown && found == 0 {
+				t.Errorf("a sender that keeps its lease is not found; versions were seen at %v", r.Seen)
+			}
+		})
+		if shown {
+			return
 		}
 	}
-	if found == 0 {
-		t.Errorf("a sender that keeps its lease is not found; versions were seen at %v", r.Seen)
-	}
+	t.Errorf("in %d days %s had no lease when it was cut off", maxPolicyDays, faulty)
+}
+
+// maxPolicyDays bounds how often a day is played that shows nothing.
+const maxPolicyDays = 8
+
+// calledBefore reports whether a sender called a receiver before a time of the day.
+func calledBefore(r *policytest.Result, sender string, limit time.Duration) bool {
+	return slices.ContainsFunc(r.Events, func(e eventlog.Event) bool {
+		return e.Kind == eventlog.Call && e.Sender == sender && time.Duration(e.T)*time.Microsecond < limit
+	})
 }
 
 // What the commands print, and how they exit, at a fleet of one.
