--- a/internal/tier/turnstore/backup.go
+++ b/internal/tier/turnstore/backup.go
@@ -8,10 +8,10 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Replicate implements tierv1.TurnStore: as a backup it adds facts of the primary, and replies Acknowledged when they are synced. An epoch that
-// is older than the newest one known here is answered with Stale; a newer one is observed. Neither is answered before the first partition map of this
-// process, which has forgotten the epochs that it observed, while the disk is not sound, or if the call was meant for another
-// folder. The error is the cause of ctx.
+// Replicate implements tierv1.TurnStore: as a backup it adds facts of the primary, and replies Acknowledged when they are synced. It
+// replies Stale to an epoch that is older than the newest one observed here; a newer epoch is observed. It replies with neither
+// before the first partition map of this process (observed epochs are not stored), while the disk is not sound, or if the call is
+// addressed to another folder. The error is the cause of ctx.
 func (store *TurnStore) Replicate(ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 	store.mu.Lock()
 	if !store.hasMap || store.closed || req.From == store.folder || !store.canWrite() {
@@ -19,7 +19,7 @@
 		return &tierv1.ReplicateReply{}, nil
 	}
 	p := store.state.partition(req.Partition)
-	if req.To != "" && req.To != store.folder { // for a folder that was at this address before
+	if req.To != "" && req.To != store.folder { // addressed to a folder that was at this address before
 		store.mu.Unlock()
 		return &tierv1.ReplicateReply{}, nil
 	}
--- a/internal/tier/turnstore/backup_test.go
+++ b/internal/tier/turnstore/backup_test.go
@@ -15,41 +15,41 @@
 	k.mustStore("a", "t1", "")
 	v := c.nodes["b"].turnstore
 	a, x := c.nodes["a"].turnstore.Folder(), "x"
-	say := func(epoch uint64, from string) *tierv1.ReplicateReply {
+	replicate := func(epoch uint64, from string) *tierv1.ReplicateReply {
 		r, err := v.Replicate(c.ctx, &tierv1.ReplicateRequest{Epoch: epoch, From: from})
 		assert.NilError(t, err)
 		return r
 	}
-	assert.Assert(t, say(1, a).Acknowledged)
-	assert.Assert(t, say(1, x).Stale)
-	assert.Assert(t, say(0, a).Stale)
-	assert.Assert(t, say(3, x).Acknowledged)
-	assert.Assert(t, say(1, a).Stale)
-	assert.Assert(t, say(3, a).Stale)
-	c.assign("b", "a") // epoch 2: older than what b knows
+	assert.Assert(t, replicate(1, a).Acknowledged)
+	assert.Assert(t, replicate(1, x).Stale)
+	assert.Assert(t, replicate(0, a).Stale)
+	assert.Assert(t, replicate(3, x).Acknowledged)
+	assert.Assert(t, replicate(1, a).Stale)
+	assert.Assert(t, replicate(3, a).Stale)
+	c.assign("b", "a") // epoch 2: b has observed epoch 3
 	c.publish()
-	assert.Equal(t, k.begin("b", ask("t2", "t1")), moved)
+	assert.Equal(t, k.begin("b", beginRequest("t2", "t1")), moved)
 }
 
-// A message for a folder that is lost is ignored by another at its address, also the epoch that it names.
+// A message for a lost folder must be ignored by another folder at its address, including the epoch in the message.
 func TestReplicate_IgnoresMessagesForAnotherFolder(t *testing.T) {
 	c, k := newPair(t)
 	k.mustStore("a", "t1", "")
 	v := c.nodes["b"].turnstore
 	a := c.nodes["a"].turnstore.Folder()
-	for to, taken := range map[string]bool{"lost": false, v.Folder(): true, "": true} {
+	for to, accepted := range map[string]bool{"lost": false, v.Folder(): true, "": true} {
 		r, err := v.Replicate(c.ctx, &tierv1.ReplicateRequest{Epoch: 1, From: a, To: to})
 		assert.NilError(t, err)
-		assert.Equal(t, r.Acknowledged, taken, to)
+		assert.Equal(t, r.Acknowledged, accepted, to)
 		assert.Assert(t, !r.Stale)
 		h, err := v.Held(c.ctx, &tierv1.FactKeysRequest{Epoch: 1, To: to})
 		assert.NilError(t, err)
-		assert.Equal(t, h.Ok, taken, to)
+		assert.Equal(t, h.Ok, accepted, to)
 	}
 	r, err := v.Replicate(c.ctx, &tierv1.ReplicateRequest{Epoch: 9, From: "x", To: "lost", Facts: []*tierv1.Fact{reservedFact("x", 1)}})
 	assert.NilError(t, err)
 	assert.Assert(t, !r.Acknowledged)
-	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok) // epoch 1 stands
+	assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), ok) // epoch 1 is still the newest
 }
 
 // stuckDisk is a disk whose sync doesn't return.
@@ -75,18 +75,18 @@
 	defer close(disk.leave)
 	ctx, cancel := context.WithCancel(c.ctx)
 	defer cancel()
-	answers := make(chan error, 2)
+	results := make(chan error, 2)
 	go func() {
 		_, err := b.Replicate(ctx, &tierv1.ReplicateRequest{Epoch: 1, From: a.Folder(), Facts: []*tierv1.Fact{reservedFact("x", 1)}})
-		answers <- err
+		results <- err
 	}()
 	<-disk.entered
 	go func() {
 		_, err := b.Held(ctx, &tierv1.FactKeysRequest{Epoch: 1})
-		answers <- err
+		results <- err
 	}()
-	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
+	assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), busy)
 	cancel()
-	assert.ErrorIs(t, <-answers, context.Canceled)
-	assert.ErrorIs(t, <-answers, context.Canceled)
+	assert.ErrorIs(t, <-results, context.Canceled)
+	assert.ErrorIs(t, <-results, context.Canceled)
 }
--- a/internal/tier/turnstore/begin.go
+++ b/internal/tier/turnstore/begin.go
@@ -9,10 +9,10 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Begin implements tierv1.TurnStore: it asks whether a turn may be sent to an endpoint, and reserves its maximum of tokens. The
-// verdict is OK once the reservation is synced here and at all backups, SPENT and UNKNOWN once all backups have confirmed that this
-// turn store is still their primary, and BUSY if neither is so within Config.RequestTimeout. Its errors are twirp's
-// of invalid arguments.
+// Begin implements tierv1.TurnStore: it decides whether a turn may be sent to an endpoint, and reserves its maximum number of tokens.
+// The verdict is OK once the reservation is synced here and at all backups, SPENT and UNKNOWN once all backups have confirmed that
+// this turn store is still their primary, and BUSY if neither happens within Config.RequestTimeout. Its errors are twirp errors for
+// invalid arguments.
 func (store *TurnStore) Begin(ctx context.Context, req *tierv1.BeginRequest) (*tierv1.BeginReply, error) {
 	if req.Attempt == "" {
 		return nil, twirp.RequiredArgumentError("attempt")
@@ -32,13 +32,13 @@
 			return reply, nil
 		case timedOut, diskFailed:
 			return &tierv1.BeginReply{Verdict: tierv1.Verdict_BUSY}, nil
-		case termEnded: // decided anew
+		case termEnded: // decide again
 		}
 	}
 }
 
-// begin decides on a Begin, and writes and replicates what it takes. The reply may be sent when pending is acknowledged, or at once
-// if that is nil.
+// begin decides on a Begin, and writes and replicates its facts. The reply may be sent when pending is acknowledged, or at once if
+// pending is nil.
 func (store *TurnStore) begin(req *tierv1.BeginRequest) (reply *tierv1.BeginReply, pending *acknowledgement) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -72,7 +72,7 @@
 	return reply, pending
 }
 
-// decision is what a primary decides on a Begin, before its backups are asked.
+// decision is the decision of a primary on a Begin, before its backups have acknowledged it.
 type decision struct {
 	verdict tierv1.Verdict
 	chain   []*entry       // of the turn to be continued
@@ -92,14 +92,14 @@
 			return d
 		}
 	}
-	// A reservation that was checked in this term stands; one that came from another replica is checked again, as it may never have
-	// been answered.
+	// A reservation whose budget was checked in this term is not checked again. A reservation from another replica is checked again,
+	// as its Begin may never have been answered.
 	if req.Limited && !(reserved && e.term == p.term.id) {
-		var own uint64
+		var ownCharge uint64
 		if reserved && e.program.name == req.Program {
-			own = e.charge()
+			ownCharge = e.charge()
 		}
-		if verdict := p.budgetVerdict(req, own, store.cfg.ReleaseGracePeriod, now); verdict != tierv1.Verdict_OK {
+		if verdict := p.budgetVerdict(req, ownCharge, store.cfg.ReleaseGracePeriod, now); verdict != tierv1.Verdict_OK {
 			return decision{verdict: verdict}
 		}
 	}
@@ -113,8 +113,8 @@
 	return d
 }
 
-// decideChain decides whether the previous turn of a Begin can be continued: with its chain, or with the turns to be adopted, which
-// the request brings along. A retry of an attempt that is reserved may continue an expired turn.
+// decideChain decides whether the previous turn of a Begin can be continued: with its stored chain, or with the turns to be adopted
+// that the request contains. A retry of an attempt that is reserved may continue an expired turn.
 func (store *TurnStore) decideChain(p *partition, req *tierv1.BeginRequest, reserved bool, now time.Time) decision {
 	chain, status := p.chain(req.Previous, reserved, store.cfg.RetentionSlack, now)
 	d := decision{verdict: tierv1.Verdict_OK, chain: chain}
@@ -134,8 +134,8 @@
 	return d
 }
 
-// factsToResend returns those facts of a chain that the backups may lack, or may be about to drop: of turns adopted before this
-// term, and of a turn that may have been stored earlier than this turn store knows.
+// factsToResend returns those facts of a chain that the backups may lack or may soon drop: of turns adopted before this term, and of
+// a turn that backups may have stored earlier than storedAt here.
 func (store *TurnStore) factsToResend(p *partition, chain []*entry, now time.Time) []*tierv1.Fact {
 	last := chain[len(chain)-1]
 	old := last.replayed || now.Sub(last.storedAt) > retention(last.turn)
--- a/internal/tier/turnstore/begin_test.go
+++ b/internal/tier/turnstore/begin_test.go
@@ -14,25 +14,25 @@
 	c, k := newPair(t)
 	k.mustStore("a", "t1", "")
 	k.mustStore("a", "t2", "t1")
-	assert.Equal(t, k.begin("a", ask("t3", "t2")), ok)
-	assert.Equal(t, k.begin("a", ask("t3", "t2")), ok) // once more
-	assert.Equal(t, k.begin("a", ask("t4", "t3")), unknown)
-	assert.Equal(t, k.begin("b", ask("t4", "t2")), moved)
+	assert.Equal(t, k.begin("a", beginRequest("t3", "t2")), ok)
+	assert.Equal(t, k.begin("a", beginRequest("t3", "t2")), ok) // a retry
+	assert.Equal(t, k.begin("a", beginRequest("t4", "t3")), unknown)
+	assert.Equal(t, k.begin("b", beginRequest("t4", "t2")), moved)
 	assert.Equal(t, k.settle("a", "p", "t3", "t2", 10), ok)
-	assert.Equal(t, k.begin("a", ask("t3", "t2")), busy) // a late copy
+	assert.Equal(t, k.begin("a", beginRequest("t3", "t2")), busy) // a late duplicate
 	c.advance(63 * time.Second)
-	assert.Equal(t, (&checker{cluster: c}).begin("a", ask("t5", "t3")), unknown) // past its retention
+	assert.Equal(t, (&checker{cluster: c}).begin("a", beginRequest("t5", "t3")), unknown) // past its retention
 }
 
 func TestBegin_WhileBackupIsReplaced(t *testing.T) {
 	c, k := newPair(t)
 	k.mustStore("a", "t1", "")
 	c.crash("b", true)
-	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
+	assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), busy)
 	c.assign("a", "?c")
 	c.publish("a", "c")
-	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
-	c.synced("a", partitionCount)
+	assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), ok)
+	c.awaitSynced("a", partitionCount)
 	c.assign("a", "c")
 	c.publish("a", "c")
 	reports, _ := c.nodes["a"].turnstore.SyncedReplicas()
@@ -41,7 +41,7 @@
 	c.assign("c")
 	c.publish("c")
 	assert.Equal(t, k.settle("c", "p", "t2", "t1", 20), ok)
-	assert.Equal(t, k.begin("c", ask("t3", "t2")), ok)
+	assert.Equal(t, k.begin("c", beginRequest("t3", "t2")), ok)
 }
 
 func TestBegin_ConcurrentRequestsForLastTokens(t *testing.T) {
@@ -52,7 +52,7 @@
 	var wg sync.WaitGroup
 	for i := range 12 {
 		wg.Go(func() {
-			reply, err := (&transport{cluster: c, to: "a"}).Begin(c.ctx, ask(name(100+i), "t1"))
+			reply, err := (&transport{cluster: c, to: "a"}).Begin(c.ctx, beginRequest(attemptName(100+i), "t1"))
 			if err == nil {
 				mu.Lock()
 				n[reply.Verdict]++
@@ -72,7 +72,7 @@
 	var wg sync.WaitGroup
 	for i := range 4 {
 		wg.Go(func() {
-			r := ask(name(100+i), "t2")
+			r := beginRequest(attemptName(100+i), "t2")
 			r.Limited = false
 			for {
 				reply, err := (&transport{cluster: c, to: "a"}).Begin(c.ctx, r)
@@ -91,9 +91,9 @@
 	c, k := newPair(t)
 	k.mustStore("a", "t1", "")
 	k.mustStore("a", "t2", "t1")
-	r := ask("f1", "t2")
+	r := beginRequest("f1", "t2")
 	r.Partition, r.Program = 1, "f"
-	assert.Equal(t, (&checker{cluster: c}).begin("a", r), unknown) // that partition doesn't hold it
+	assert.Equal(t, (&checker{cluster: c}).begin("a", r), unknown) // the turn is stored in another partition
 	found, err := c.nodes["a"].turnstore.Find(c.ctx, &tierv1.FindRequest{Attempt: "t2"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(found.Chain), 2)
@@ -104,7 +104,7 @@
 	c.crash("a", true)
 	c.assign("b", "?c")
 	c.publish("b", "c")
-	r = ask("f2", "t2")
+	r = beginRequest("f2", "t2")
 	r.Partition, r.Program = 1, "f"
 	assert.Equal(t, k.begin("b", r), ok)
 }
@@ -112,20 +112,20 @@
 func TestBegin_RejectsAtCapacity(t *testing.T) {
 	c, k := newPair(t)
 	k.mustStore("a", "t1", "")
-	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
+	assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), ok)
 	v := c.nodes["a"].turnstore
 	v.mu.Lock()
 	v.cfg.MemoryBytes = v.state.memory
 	v.mu.Unlock()
-	assert.Equal(t, k.begin("a", ask("t3", "t1")), busy)
-	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
+	assert.Equal(t, k.begin("a", beginRequest("t3", "t1")), busy)
+	assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), ok)
 	assert.Equal(t, k.settle("a", "p", "t2", "t1", 10), ok)
 	c.advance(24 * time.Hour)
 	for range 8 {
 		v.RemoveExpired(c.now())
 	}
 	assert.Equal(t, v.state.memory, int64(0))
-	assert.Equal(t, k.begin("a", ask("t9", "")), ok) // there is room again
+	assert.Equal(t, k.begin("a", beginRequest("t9", "")), ok) // memory is free again
 }
 
 func TestBegin_ChecksBudgetOfUnansweredReservationInNewTerm(t *testing.T) {
@@ -133,25 +133,25 @@
 	c.mu.Lock()
 	c.nodes["a"].partitioned = true
 	c.mu.Unlock()
-	reply, err := c.nodes["a"].turnstore.Begin(c.ctx, ask("t1", "")) // its client still reaches it
+	reply, err := c.nodes["a"].turnstore.Begin(c.ctx, beginRequest("t1", "")) // its client still reaches it
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Verdict, busy)
 	c.assign("b", "?c")
 	c.publish("b", "c")
 	for i := range 5 {
-		assert.Equal(t, k.beginUntilCertain("b", ask(name(10+i), "")), ok)
+		assert.Equal(t, k.beginUntilNotBusy("b", beginRequest(attemptName(10+i), "")), ok)
 	}
 	c.mu.Lock()
 	c.nodes["a"].partitioned = false
 	c.mu.Unlock()
 	c.assign("b", "?a")
 	c.publish()
-	c.synced("b", partitionCount)
+	c.awaitSynced("b", partitionCount)
 	c.assign("a", "b")
 	c.publish()
-	assert.Equal(t, k.beginUntilCertain("a", ask("t1", "")), busy) // b's reservations may be under release
+	assert.Equal(t, k.beginUntilNotBusy("a", beginRequest("t1", "")), busy) // releases of b's reservations may be in flight
 	c.advance(DefaultReleaseGracePeriod)
-	assert.Equal(t, k.beginUntilCertain("a", ask("t1", "")), spent)
+	assert.Equal(t, k.beginUntilNotBusy("a", beginRequest("t1", "")), spent)
 }
 
 func TestBegin_AdoptedTurnsReachNewBackup(t *testing.T) {
@@ -163,15 +163,15 @@
 	v := c.nodes["a"].turnstore
 	found, err := v.Find(c.ctx, &tierv1.FindRequest{Attempt: "t1"})
 	assert.NilError(t, err)
-	r := ask("f1", "t1")
+	r := beginRequest("f1", "t1")
 	r.Partition, r.Program, r.Adopt = 1, "f", found.Chain
 	assert.Equal(t, k.begin("a", r), busy)
 	for range maxTransfers {
-		v.transferSlots <- struct{}{} // replicas are not evened out for now
+		v.transferSlots <- struct{}{} // blocks the transfers of synchronizations
 	}
 	c.assign("a", "?c")
 	c.publish("a", "c")
-	assert.Equal(t, k.beginUntilCertain("a", r), ok)
+	assert.Equal(t, k.beginUntilNotBusy("a", r), ok)
 	got, err := c.nodes["c"].turnstore.Fetch(c.ctx, &tierv1.FetchRequest{Partition: 1, Keys: []string{"a/t1"}})
 	assert.NilError(t, err)
 	assert.Equal(t, len(got.Facts), 1)
@@ -183,8 +183,8 @@
 	c.advance(55 * time.Second)
 	c.crash("a", false)
 	c.restart("a")
-	c.advance(30 * time.Second) // a counts from its start; b would drop the turn soon
-	assert.Equal(t, k.beginUntilCertain("a", ask("t2", "t1")), ok)
+	c.advance(30 * time.Second) // a counts the retention from its restart; b would drop the turn soon
+	assert.Equal(t, k.beginUntilNotBusy("a", beginRequest("t2", "t1")), ok)
 	b := c.nodes["b"].turnstore
 	c.advance(20 * time.Second)
 	for range 8 {
@@ -193,5 +193,5 @@
 	assert.Equal(t, k.settle("a", "p", "t2", "t1", 10), ok)
 	c.assign("b", "?c")
 	c.publish("b", "c")
-	assert.Equal(t, k.beginUntilCertain("b", ask("t3", "t2")), ok)
+	assert.Equal(t, k.beginUntilNotBusy("b", beginRequest("t3", "t2")), ok)
 }
--- a/internal/tier/turnstore/budget.go
+++ b/internal/tier/turnstore/budget.go
@@ -9,10 +9,10 @@
 // DefaultReleaseGracePeriod is the grace period for contact windows of up to 4 s, and the shortest one.
 const DefaultReleaseGracePeriod = 1100 * time.Millisecond
 
-// A gateway repeats a release until it is answered. The timing is that of its storeClient.
+// A gateway retries a release until it is answered. The timing is that of the gateway's storeClient.
 const (
-	callsPerContactWindow    = 4  // a call times out after this part of the contact window
-	backoffsPerContactWindow = 40 // the longest backoff after it is this part
+	callsPerContactWindow    = 4  // a call times out after the contact window divided by this
+	backoffsPerContactWindow = 40 // the longest backoff after a call is the contact window divided by this
 )
 
 // ReleaseGracePeriod returns the time within which a gateway's release arrives once there is a primary again: that of one call and the
@@ -21,25 +21,25 @@
 	return max(DefaultReleaseGracePeriod, contactWindow/callsPerContactWindow+contactWindow/backoffsPerContactWindow)
 }
 
-// budgetVerdict decides whether a budget allows a turn; own is what its attempt is charged already, in tokens. The verdict is
+// budgetVerdict decides whether a budget allows a turn; ownCharge is the charge of its attempt so far, in tokens. The verdict is
 //   - OK: if it does, with every open reservation charged at its maximum;
-//   - BUSY: if it does not now, but would if the reservations that may be being released were;
+//   - BUSY: if it does not now, but would if all reservations whose releases may be in flight were released;
 //   - SPENT: if it would not even then, or gracePeriod has passed since this turn store became the primary.
-func (p *partition) budgetVerdict(req *tierv1.BeginRequest, own uint64, gracePeriod time.Duration, now time.Time) tierv1.Verdict {
-	if p.budgetAllows(req.Program, req.Budget, req.MaxTokens, own) {
+func (p *partition) budgetVerdict(req *tierv1.BeginRequest, ownCharge uint64, gracePeriod time.Duration, now time.Time) tierv1.Verdict {
+	if p.budgetAllows(req.Program, req.Budget, req.MaxTokens, ownCharge) {
 		return tierv1.Verdict_OK
 	}
 	if now.Sub(p.term.primarySince) >= gracePeriod {
 		return tierv1.Verdict_SPENT
 	}
-	if p.budgetAllows(req.Program, req.Budget, req.MaxTokens, own+p.releasableTokens(req.Program, req.Attempt)) {
+	if p.budgetAllows(req.Program, req.Budget, req.MaxTokens, ownCharge+p.releasableTokens(req.Program, req.Attempt)) {
 		return tierv1.Verdict_BUSY
 	}
 	return tierv1.Verdict_SPENT
 }
 
-// releasableTokens returns what is charged for the open reservations of a program, except one attempt's, from before this turn store
-// became the primary: their gateways may have tried to release them meanwhile, and found no primary.
+// releasableTokens returns the tokens charged for the open reservations of a program, except one attempt's, from before this turn
+// store became the primary: their gateways may have tried to release them meanwhile, and found no primary.
 func (p *partition) releasableTokens(program, except string) uint64 {
 	charging := p.programs[program]
 	if charging == nil {
@@ -56,12 +56,12 @@
 	return sum
 }
 
-// budgetAllows reports whether a budget allows a reservation of maxTokens more; own is what the attempt is charged already. All are
-// in tokens.
-func (p *partition) budgetAllows(program string, budget, maxTokens, own uint64) bool {
+// budgetAllows reports whether a budget allows a reservation of maxTokens more; ownCharge is the charge of the attempt so far. All
+// are in tokens.
+func (p *partition) budgetAllows(program string, budget, maxTokens, ownCharge uint64) bool {
 	var charged uint64
 	if g := p.programs[program]; g != nil {
-		charged = g.charged - own
+		charged = g.charged - ownCharge
 	}
 	return charged <= budget && maxTokens <= budget-charged
 }
--- a/internal/tier/turnstore/chain.go
+++ b/internal/tier/turnstore/chain.go
@@ -8,7 +8,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// chainStatus tells whether a turn can be continued.
+// chainStatus describes whether a turn can be continued.
 type chainStatus int
 
 const (
@@ -61,7 +61,7 @@
 	return list
 }
 
-// validateChain returns a twirp error unless the turns to be adopted are none, or a chain that ends in previous.
+// validateChain returns a twirp error unless adopt is empty or a chain that ends in previous.
 func validateChain(adopt []*tierv1.Turn, previous string) error {
 	if len(adopt) == 0 {
 		return nil
--- a/internal/tier/turnstore/checker_test.go
+++ b/internal/tier/turnstore/checker_test.go
@@ -16,12 +16,12 @@
 	busy    = tierv1.Verdict_BUSY
 )
 
-// checker is a client that remembers what was acknowledged, and checks later replies against that.
+// checker is a client that records acknowledged turns and charges, and checks later replies against them.
 type checker struct {
 	cluster  *cluster
 	stored   []string          // attempts whose turn was acknowledged as stored
 	previous map[string]string // previous by attempt
-	granted  map[string]uint64 // maximum of attempts answered OK, then the tokens of their settlements
+	granted  map[string]uint64 // tokens by attempt: the maximum once Begin is answered OK, then those of the settlement
 }
 
 func newChecker(c *cluster) *checker {
@@ -85,15 +85,15 @@
 	return reply.Verdict
 }
 
-// mustStore takes a turn from its begin to its end.
+// mustStore begins and settles a turn.
 func (k *checker) mustStore(to, attempt, previous string) {
 	k.cluster.t.Helper()
-	assert.Equal(k.cluster.t, k.begin(to, ask(attempt, previous)), ok)
+	assert.Equal(k.cluster.t, k.begin(to, beginRequest(attempt, previous)), ok)
 	assert.Equal(k.cluster.t, k.settle(to, "p", attempt, previous, 10), ok)
 }
 
-// beginUntilCertain begins again as long as the answer is BUSY.
-func (k *checker) beginUntilCertain(to string, r *tierv1.BeginRequest) tierv1.Verdict {
+// beginUntilNotBusy retries Begin while the verdict is BUSY, up to 100 times.
+func (k *checker) beginUntilNotBusy(to string, r *tierv1.BeginRequest) tierv1.Verdict {
 	k.cluster.t.Helper()
 	v := busy
 	for range 100 {
@@ -104,7 +104,7 @@
 	return v
 }
 
-// release ends a reservation of which nothing was handed out.
+// release settles an attempt with no tokens and no turn.
 func (k *checker) release(to, attempt string) tierv1.Verdict {
 	k.cluster.t.Helper()
 	w := &transport{cluster: k.cluster, to: to}
@@ -133,16 +133,16 @@
 		Output: []byte("out " + attempt), RetentionMs: 60_000}
 }
 
-func ask(attempt, previous string) *tierv1.BeginRequest {
+func beginRequest(attempt, previous string) *tierv1.BeginRequest {
 	return &tierv1.BeginRequest{Program: "p", Attempt: attempt, Previous: previous, Limited: true, Budget: 100, MaxTokens: 20,
 		RetentionMs: 60_000}
 }
 
-// askMaxTokens is a Begin of a turn that may cost so many of 100 tokens.
-func askMaxTokens(attempt string, maxTokens uint64) *tierv1.BeginRequest {
-	r := ask(attempt, "")
+// beginRequestMaxTokens returns a Begin that reserves maxTokens of a budget of 100 tokens.
+func beginRequestMaxTokens(attempt string, maxTokens uint64) *tierv1.BeginRequest {
+	r := beginRequest(attempt, "")
 	r.MaxTokens = maxTokens
 	return r
 }
 
-func name(n int) string { return fmt.Sprintf("t%d", n) }
+func attemptName(n int) string { return fmt.Sprintf("t%d", n) }
--- a/internal/tier/turnstore/cluster_test.go
+++ b/internal/tier/turnstore/cluster_test.go
@@ -19,21 +19,21 @@
 
 const partitionCount = 2
 
-// fault is what happens to one message.
+// fault is the kind of fault that is injected at one message.
 type fault int
 
 const (
 	noFault           fault = iota
-	lostRequest             // the receiver never sees it
-	lostReply               // it is served, and nobody hears the answer
-	duplicated              // it comes twice
-	delayed                 // it comes once more, after everything else
-	senderDies              // it is served, the sender loses power
-	receiverDies            // served and synced, then the receiver loses power before it answers
-	receiverDiesFirst       // the receiver loses power before it serves
-	receiverWiped           // the receiver's disk is gone before it serves
-	senderWiped             // the sender's disk is gone before it goes out
-	faults
+	lostRequest             // the request never arrives
+	lostReply               // the request is served, and the reply never arrives
+	duplicated              // the request arrives twice
+	delayed                 // the request arrives a second time, after all other messages
+	senderDies              // the request is served, and the sender loses power
+	receiverDies            // the request is served and synced, and the receiver loses power before the reply
+	receiverDiesFirst       // the receiver loses power before it serves the request
+	receiverWiped           // the receiver loses its disk before it serves the request
+	senderWiped             // the sender loses its disk before the request is sent
+	faultCount
 )
 
 // node is a machine of the test.
@@ -42,11 +42,11 @@
 	disk         *wal.Memory
 	turnstore    *TurnStore
 	down         bool
-	partitioned  bool // nobody reaches it, and it reaches nobody
-	unresponsive bool // calls to it end with their time-out
+	partitioned  bool // cut off from all other nodes, in both directions
+	unresponsive bool // calls to it time out
 }
 
-// cluster is turn stores with a network in memory, and the control plane's map.
+// cluster is a set of turn stores on a network in memory, with the partition map of the control plane.
 type cluster struct {
 	t            reporter
 	injection    injection
@@ -111,7 +111,7 @@
 	}
 }
 
-// crash is a loss of power, or of the disk as well.
+// crash is a power loss of a node, and with wipe the loss of its disk as well.
 func (c *cluster) crash(name string, wipe bool) {
 	c.mu.Lock()
 	n := c.nodes[name]
@@ -123,7 +123,7 @@
 		n.disk.Crash(c.rng)
 	}
 	c.mu.Unlock()
-	go v.Close() // may be called from one of its own calls
+	go v.Close() // not awaited, as crash may run within a call that Close awaits
 }
 
 func (c *cluster) restart(name string) {
@@ -131,7 +131,7 @@
 	c.start(name)
 }
 
-// assign makes the next map: all partitions have this primary and these backups; "?" before a name: not synced.
+// assign makes the next map, in which all partitions have this primary and these backups. A backup with the prefix "?" is not synced.
 func (c *cluster) assign(primary string, backups ...string) {
 	c.mu.Lock()
 	m := &tierv1.PartitionMap{Version: 1}
@@ -156,7 +156,7 @@
 	c.mu.Unlock()
 }
 
-// publish brings the newest map to these nodes, or to all.
+// publish delivers the newest map to these nodes, or to all if none are given.
 func (c *cluster) publish(names ...string) {
 	if len(names) == 0 {
 		names = c.names
@@ -166,8 +166,8 @@
 	}
 }
 
-// synced waits until a primary reports so many replicas.
-func (c *cluster) synced(name string, n int) {
+// awaitSynced waits until a primary reports n replicas as synced.
+func (c *cluster) awaitSynced(name string, n int) {
 	timeout := time.After(10 * time.Second)
 	for {
 		reports, changed := c.reports(name)
@@ -190,13 +190,13 @@
 	return c.injection.files(disk)
 }
 
-// publishedMap is the newest map as turn stores receive it. It is nil before the first one.
+// publishedMap returns the newest map as turn stores receive it, or nil before the first one.
 func (c *cluster) publishedMap() *tierv1.PartitionMap {
-	if c.partitionMap == nil || c.injection.control == nil {
+	if c.partitionMap == nil || c.injection.modifyMap == nil {
 		return c.partitionMap
 	}
 	m := proto.CloneOf(c.partitionMap)
-	c.injection.control(m)
+	c.injection.modifyMap(m)
 	return m
 }
 
@@ -210,7 +210,7 @@
 	return reports, changed
 }
 
-// armFault has a fault hit the message that is so many from now.
+// armFault makes a fault hit the at-th message from now.
 func (c *cluster) armFault(f fault, at int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,11 +223,11 @@
 	select {
 	case <-c.faultHit:
 	case <-time.After(10 * time.Second):
-		c.t.Fatal("the message that the fault is to hit is never sent")
+		c.t.Fatal("the message that the fault should hit was never sent")
 	}
 }
 
-// keysAtPrimary returns the keys that the primary of a partition holds, in order.
+// keysAtPrimary returns the sorted keys of the facts that the primary of a partition has.
 func (c *cluster) keysAtPrimary(id uint32) (keys []string) {
 	c.mu.Lock()
 	folder := c.partitionMap.Partitions[id].Primary
--- a/internal/tier/turnstore/commit.go
+++ b/internal/tier/turnstore/commit.go
@@ -19,30 +19,30 @@
 type logBatch struct {
 	records [][]byte
 	to      appender
-	done    chan struct{} // closed when the records are synced, or have failed to be
+	done    chan struct{} // closed when the records are synced, or the write or sync has failed
 	err     error         // of the write or sync; set before done is closed
 }
 
 // groupCommitter is the group commit of the write-ahead log: while a batch is written and synced, the next one collects records. After
 // a failure all further batches fail with the same error. Its methods are safe for concurrent use.
 type groupCommitter struct {
-	mu      sync.Mutex
-	file    appender
-	next    *logBatch // collects records; nil: empty
-	last    *logBatch // being written, or the last one written
-	running bool
-	began   time.Time // when the write in progress began; zero: there is none
-	now     func() time.Time
-	failed  chan struct{} // closed at the first failure
-	err     error
+	mu         sync.Mutex
+	file       appender
+	next       *logBatch // collects records; nil: empty
+	last       *logBatch // being written, or the last one written
+	running    bool
+	writeBegan time.Time // when the write in progress began; zero: there is none
+	now        func() time.Time
+	failed     chan struct{} // closed at the first failure
+	err        error
 }
 
-// newGroupCommitter returns one that writes to a file and reads the clock now.
+// newGroupCommitter returns a groupCommitter that writes to file and reads the clock now.
 func newGroupCommitter(file appender, now func() time.Time) *groupCommitter {
 	return &groupCommitter{file: file, now: now, failed: make(chan struct{})}
 }
 
-// add adds facts to the next batch and returns it. Without facts it returns the batch after which all that was added before is synced.
+// add adds facts to the next batch and returns it. Without facts it returns the batch after which all facts added before are synced.
 func (c *groupCommitter) add(facts ...*tierv1.Fact) *logBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,8 +76,8 @@
 	return b
 }
 
-// switchTo sends what is not being written yet, and all that is added later, to another file. It returns the batch after which nothing
-// is written to the former one.
+// switchTo directs the records that are not being written yet, and all later ones, to another file. It returns the batch after which
+// nothing is written to the former file.
 func (c *groupCommitter) switchTo(file appender) *logBatch {
 	c.mu.Lock()
 	c.file = file
@@ -107,11 +107,11 @@
 		c.mu.Lock()
 		b := c.next
 		if b == nil {
-			c.running, c.began = false, time.Time{}
+			c.running, c.writeBegan = false, time.Time{}
 			c.mu.Unlock()
 			return
 		}
-		c.next, c.last, c.began = nil, b, c.now()
+		c.next, c.last, c.writeBegan = nil, b, c.now()
 		err := c.err
 		c.mu.Unlock()
 		if err == nil {
@@ -147,12 +147,12 @@
 	}
 }
 
-// writing returns how long the write in progress has lasted, or 0.
-func (c *groupCommitter) writing(now time.Time) time.Duration {
+// writeDuration returns how long the write in progress has lasted, or 0.
+func (c *groupCommitter) writeDuration(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.began.IsZero() {
+	if c.writeBegan.IsZero() {
 		return 0
 	}
-	return now.Sub(c.began)
+	return now.Sub(c.writeBegan)
 }
--- a/internal/tier/turnstore/compact.go
+++ b/internal/tier/turnstore/compact.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	chunkBytes   = 256 << 10 // bytes of facts that are written or sent at once, where they can be divided
+	chunkBytes   = 256 << 10 // target size of the facts that are written or sent at once, in bytes
 	minDeadBytes = 1 << 20   // bytes of dropped facts below which a compaction is not worthwhile
 )
 
 // Compact rewrites all live facts into the other write-ahead log and then empties the former one, if more than half of it is dead, if
-// Config.DiskBytes gets short, or if force is set. Requests are served meanwhile, and append to the other log. If the disk has
-// failed it does nothing, as CheckDisk has to reopen the log first. Its errors are those of the disk, and the cause of ctx.
+// its size approaches Config.DiskBytes, or if force is set. Requests are served meanwhile, and append to the other log. If the disk
+// has failed it does nothing, as CheckDisk has to reopen the log first. Its errors are those of the disk, and the cause of ctx.
 func (store *TurnStore) Compact(ctx context.Context, force bool) error {
 	store.maintenance.Lock()
 	defer store.maintenance.Unlock()
@@ -32,7 +32,7 @@
 	store.activeFile = 1 - from
 	store.state.generation++
 	generation := store.state.generation
-	before := store.commit.switchTo(store.logFiles[store.activeFile])
+	lastBatch := store.commit.switchTo(store.logFiles[store.activeFile])
 	ids := make([]uint32, 0, len(store.state.partitions))
 	for id := range store.state.partitions {
 		ids = append(ids, id)
@@ -44,7 +44,7 @@
 			return err
 		}
 	}
-	<-before.done
+	<-lastBatch.done
 	if err := store.logFiles[from].Rewrite(func(func([]byte) error) error { return nil }); err != nil {
 		return err
 	}
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// compactionDue reports whether a log of size bytes, of which live are alive, should be compacted: if more than half is dead, or if
-// the limit, if any, is close and there is something to gain.
+// compactionDue reports whether a log of size bytes, of which live are alive, should be compacted: if more than half is dead, or if a
+// limit is set, the log is close to it and a compaction would free more than a twentieth of the limit.
 func compactionDue(size, live, limit int64) bool {
 	if size > 2*live+minDeadBytes {
 		return true
--- a/internal/tier/turnstore/compact_test.go
+++ b/internal/tier/turnstore/compact_test.go
@@ -10,7 +10,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// TestCompact_DiskFaultAtEachOperation has a disk fail once, or be full from then on, at each operation of a compaction.
+// TestCompact_DiskFaultAtEachOperation makes a disk fail once, or be full from then on, at each operation of a compaction.
 func TestCompact_DiskFaultAtEachOperation(t *testing.T) {
 	for _, full := range []bool{true, false} {
 		for at := 1; at <= 16; at++ {
@@ -28,7 +28,7 @@
 					_ = v.Compact(s.cluster.ctx, true)
 				}
 				disk.Recover()
-				for range 4 { // notes the failure, opens the log again, and so for a file that is found broken later
+				for range 4 { // detects the failure and reopens the logs, and again for a file that is found broken later
 					v.CheckDisk(s.cluster.now())
 					_ = v.Compact(s.cluster.ctx, true)
 				}
@@ -36,7 +36,7 @@
 				v.CheckDisk(s.cluster.now())
 				assert.NilError(t, v.Compact(s.cluster.ctx, true))
 				assert.Assert(t, !reportsDiskFault(t, v))
-				assert.Equal(t, s.checker.beginUntilCertain("a", &tierv1.BeginRequest{Program: "q", Attempt: "x", RetentionMs: 1}), ok)
+				assert.Equal(t, s.checker.beginUntilNotBusy("a", &tierv1.BeginRequest{Program: "q", Attempt: "x", RetentionMs: 1}), ok)
 				s.verify()
 			})
 		}
--- a/internal/tier/turnstore/diskstate.go
+++ b/internal/tier/turnstore/diskstate.go
@@ -7,28 +7,28 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A disk that is full, failing or stuck is a state of the process, not its end. While it lasts, the turn store
+// A full, failing or stuck disk does not end the process. Until the disk recovers, the turn store
 //
-//   - answers BUSY, takes no facts as a backup, and reports no replica as synced;
-//   - reports the state with its session (WatchRequest.disk). The control plane then counts it as lost: other synced replicas become
-//     the primaries, and other turn stores get replicas; if it has the last replica, it is waited for;
-//   - tries each second to reopen its write-ahead logs (Reopen). After that it is as after a restart: it has all that it ever
-//     acknowledged, and gets what it lacks from the primaries by synchronization.
+//   - answers BUSY, accepts no facts as a backup, and reports no replica as synced;
+//   - reports the state with its session (WatchRequest.disk). The control plane then treats it as lost: other synced replicas become
+//     the primaries, and other turn stores get replicas; if it has the last replica, the control plane waits for it;
+//   - tries each second to reopen its write-ahead logs (Reopen). After that its state is as after a restart: it has all facts that it
+//     ever acknowledged, and receives those that it lacks from the primaries by synchronization.
 //
-//	state            cause                                     left by
+//	state            cause                                               ended by
 //	DISK_SOUND       writes and syncs succeed
-//	DISK_FULL        one failed for lack of space or quota     Reopen
-//	DISK_FAILING     one failed for another reason             Reopen
-//	DISK_STUCK       one has not returned for WriteTimeout     its return
+//	DISK_FULL        a write or sync failed for lack of space or quota   Reopen
+//	DISK_FAILING     a write or sync failed for another reason           Reopen
+//	DISK_STUCK       a write or sync has not returned for WriteTimeout   its return
 //
-// Each change is one log line: turnstore_disk_failed or turnstore_disk_stuck, and turnstore_disk_recovered.
+// Each change of the state logs one event: turnstore_disk_failed or turnstore_disk_stuck, and turnstore_disk_recovered.
 
 // currentDiskState returns the state of the disk. The caller holds mu.
 func (store *TurnStore) currentDiskState(now time.Time) tierv1.DiskState {
 	switch {
 	case store.commit.broken():
 		return diskStateOf(store.commit.failure())
-	case store.commit.writing(now) > store.cfg.WriteTimeout:
+	case store.commit.writeDuration(now) > store.cfg.WriteTimeout:
 		return tierv1.DiskState_DISK_STUCK
 	}
 	return tierv1.DiskState_DISK_SOUND
@@ -59,8 +59,8 @@
 	return store.diskState
 }
 
-// CheckDisk updates DiskState and logs a change of it. If the disk has failed and that is known already, it tries to reopen the
-// write-ahead logs. Run calls it each second, and at once when a write fails.
+// CheckDisk updates DiskState and logs a change of it. If the disk has failed and the last CheckDisk found that already, it tries to
+// reopen the write-ahead logs. Run calls it each second, and at once when a write fails.
 func (store *TurnStore) CheckDisk(now time.Time) {
 	store.mu.Lock()
 	before, state := store.diskState, store.currentDiskState(now)
--- a/internal/tier/turnstore/diskstate_test.go
+++ b/internal/tier/turnstore/diskstate_test.go
@@ -12,7 +12,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// reportsDiskFault reports whether a turn store tells the control plane that its disk is not sound. It reports no replicas then.
+// reportsDiskFault reports whether a turn store reports its disk as not sound. It checks that the turn store then reports no replica
+// as synced.
 func reportsDiskFault(t reporter, v *TurnStore) bool {
 	unsound := v.DiskState() != tierv1.DiskState_DISK_SOUND
 	if reports, _ := v.SyncedReplicas(); unsound {
@@ -21,7 +22,7 @@
 	return unsound
 }
 
-// A state is reported by its name, and a change of it closes the channel of SyncedReplicas.
+// The state of the disk depends on the cause of a failure, and a change of the state closes the channel of SyncedReplicas.
 func TestDiskState_ReportsCause(t *testing.T) {
 	for _, failure := range []struct {
 		cause error
@@ -36,7 +37,7 @@
 		assert.Equal(t, a.DiskState(), tierv1.DiskState_DISK_SOUND)
 		_, changed := a.SyncedReplicas()
 		c.nodes["a"].disk.FailFrom(1, failure.cause)
-		assert.Equal(t, k.begin("a", ask("t1", "")), busy)
+		assert.Equal(t, k.begin("a", beginRequest("t1", "")), busy)
 		a.CheckDisk(c.now())
 		assert.Equal(t, a.DiskState(), failure.state)
 		<-changed
@@ -48,8 +49,8 @@
 	}
 }
 
-// replaceFailedDisks does what the control plane does for turn stores whose disk fails: others take their places. Then the disk is sound again,
-// and the turn store is the one to spare.
+// replaceFailedDisks acts as the control plane for turn stores whose disk fails: others replace them. Then the disk recovers, and the
+// turn store becomes the spare one.
 func (s *script) replaceFailedDisks() {
 	c := s.cluster
 	for _, name := range []string{s.primary, s.backup} {
@@ -66,7 +67,7 @@
 		}
 		c.assign(s.primary, "?"+s.backup)
 		c.publish()
-		c.synced(s.primary, partitionCount)
+		c.awaitSynced(s.primary, partitionCount)
 		c.assign(s.primary, s.backup)
 		c.publish()
 		n.disk.Recover()
@@ -76,8 +77,8 @@
 	}
 }
 
-// A disk that is full from an operation on, or fails once at it, is a state of the process: it hands its places over, and
-// is of use again when there is room, without a restart. Nothing acknowledged is lost, also when the others are lost then.
+// A disk is full from an operation on, or fails once at it. Its turn store must hand its roles over, and be usable again after the
+// disk recovers, without a restart. Nothing acknowledged may be lost, even if the other replicas are lost afterwards.
 func TestDiskState_FaultAtEachOperation(t *testing.T) {
 	for _, full := range []bool{true, false} {
 		for _, victim := range []string{"a", "b"} {
@@ -92,12 +93,12 @@
 						disk.FailAt(at, syscall.EIO)
 					}
 					s.storeThreeTurns()
-					s.cluster.nodes[victim].disk.Recover() // where its place was not reached
+					s.cluster.nodes[victim].disk.Recover() // if the failing operation was not reached
 					s.replaceFailedDisks()
-					// The spare one, back from its fault, takes the backup's place by synchronization, and then the primary's.
+					// The recovered spare turn store replaces the backup by synchronization, and then the primary.
 					s.cluster.assign(s.primary, "?"+s.spare)
 					s.cluster.publish()
-					s.cluster.synced(s.primary, partitionCount)
+					s.cluster.awaitSynced(s.primary, partitionCount)
 					s.cluster.assign(s.primary, s.spare)
 					s.cluster.publish()
 					s.backup, s.spare = s.spare, s.backup
@@ -109,7 +110,7 @@
 	}
 }
 
-// The last replica of a partition goes on as its primary when there is room again, in the same epoch.
+// The last replica of a partition continues as its primary in the same epoch when its disk has space again.
 func TestDiskState_FullDiskOfLastReplica(t *testing.T) {
 	for at := 1; at <= 6; at++ {
 		c, k := newPair(t)
@@ -119,22 +120,22 @@
 		a := c.nodes["a"]
 		a.disk.FailFrom(at, syscall.ENOSPC)
 		for i := 0; !a.turnstore.commit.broken(); i++ {
-			k.begin("a", ask(name(10+i), "t1"))
+			k.begin("a", beginRequest(attemptName(10+i), "t1"))
 		}
 		a.turnstore.CheckDisk(c.now())
 		assert.Assert(t, reportsDiskFault(t, a.turnstore))
-		a.turnstore.CheckDisk(c.now()) // still no room
+		a.turnstore.CheckDisk(c.now()) // the disk is still full
 		assert.Assert(t, reportsDiskFault(t, a.turnstore))
-		assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
+		assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), busy)
 		assert.Equal(t, k.settle("a", "p", "t2", "t1", 1), busy)
 		a.disk.Recover()
 		a.turnstore.CheckDisk(c.now())
 		assert.Assert(t, !reportsDiskFault(t, a.turnstore))
-		assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
+		assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), ok)
 		assert.Equal(t, k.settle("a", "p", "t2", "t1", 1), ok)
 		c.crash("a", false)
 		c.restart("a")
-		assert.Equal(t, k.beginUntilCertain("a", ask("t3", "t2")), ok)
+		assert.Equal(t, k.beginUntilNotBusy("a", beginRequest("t3", "t2")), ok)
 	}
 }
 
@@ -143,36 +144,36 @@
 		c, k := newPair(t)
 		k.mustStore("a", "t1", "")
 		c.nodes[victim].disk.DieAt(2)
-		assert.Equal(t, k.begin("a", ask("t2", "t1")), busy, victim)
+		assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), busy, victim)
 		v := c.nodes[victim].turnstore
-		for range 3 { // it stays up, and tells that its disk fails until that is sound
+		for range 3 { // the process continues, and reports a failing disk until the disk recovers
 			v.CheckDisk(c.now())
 			assert.Equal(t, v.DiskState(), tierv1.DiskState_DISK_FAILING, victim)
 			reports, _ := v.SyncedReplicas()
 			assert.Equal(t, len(reports), 0, victim)
 			assert.ErrorContains(t, v.Reopen(c.now()), "dead")
-			assert.Equal(t, k.begin("a", ask("t2", "t1")), busy, victim)
+			assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), busy, victim)
 		}
 	}
 }
 
-// awaitUnstuck waits until a turn store counts no write as under way: that is a step of its committer after the write is done.
+// awaitUnstuck waits until a turn store counts no write as in progress. Its committer records that after the write is done.
 func awaitUnstuck(t *testing.T, store *TurnStore) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
-	for store.commit.writing(store.cfg.Now()) > 0 {
-		assert.Assert(t, time.Now().Before(deadline), "the write has returned and counts as stuck")
+	for store.commit.writeDuration(store.cfg.Now()) > 0 {
+		assert.Assert(t, time.Now().Before(deadline), "the write has returned but still counts as in progress")
 		runtime.Gosched()
 	}
 }
 
-// A sync that does not return is reported after a while, and no more when it has.
+// A sync that does not return is reported as stuck after WriteTimeout, until it returns.
 func TestDiskState_StuckSync(t *testing.T) {
 	c, k := newPair(t)
 	k.mustStore("a", "t1", "")
 	a := c.nodes["a"]
 	release := a.disk.StallSync()
-	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy)
+	assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), busy)
 	a.turnstore.CheckDisk(c.now())
 	assert.Assert(t, !reportsDiskFault(t, a.turnstore))
 	c.advance(3 * time.Second)
@@ -180,11 +181,11 @@
 	assert.Assert(t, reportsDiskFault(t, a.turnstore))
 	assert.Equal(t, a.turnstore.DiskState(), tierv1.DiskState_DISK_STUCK)
 	assert.ErrorContains(t, a.turnstore.Reopen(c.now()), "under way")
-	assert.Equal(t, k.begin("a", ask("t3", "t1")), busy)
+	assert.Equal(t, k.begin("a", beginRequest("t3", "t1")), busy)
 	release()
 	<-a.turnstore.commit.add().done
 	awaitUnstuck(t, a.turnstore)
-	assert.Equal(t, k.beginUntilCertain("a", ask("t2", "t1")), ok)
+	assert.Equal(t, k.beginUntilNotBusy("a", beginRequest("t2", "t1")), ok)
 	a.turnstore.CheckDisk(c.now())
 	assert.Assert(t, !reportsDiskFault(t, a.turnstore))
 }
--- a/internal/tier/turnstore/doc.go
+++ b/internal/tier/turnstore/doc.go
@@ -1,12 +1,13 @@
 // Package turnstore stores the turns of agent programs and accounts for their budgets. It is a replicated state machine: each
-// partition has one primary and several backups, which a partition map of the control plane names.
+// partition has one primary and several backups, which are assigned by a partition map of the control plane.
 //
 // # Contract
 //
-// A gateway asks for a turn by Begin, sends it to an endpoint, and ends it by Settle. What the primary answers with OK is synced on
-// its disk and on those of all backups of its epoch before, so it survives the loss of all of them but one. Any other verdict promises
-// nothing: BUSY may have reserved, and the gateway asks again or settles. All requests are idempotent by their attempt ID.
-// A gateway that gives up a turn releases it (a Settle without a turn), until that is answered.
+// A gateway requests a turn by Begin, sends it to an endpoint, and ends it by Settle. Before the primary replies OK, the facts of the
+// request are synced on its disk and on those of all backups of its epoch, so they survive the loss of all of these replicas but one.
+// Any other verdict guarantees nothing: a Begin answered with BUSY may have reserved tokens, and the gateway retries it or settles
+// the attempt. All requests are idempotent by their attempt ID. A gateway that gives up a turn releases it: it retries a Settle
+// without a turn until that is answered.
 //
 // # What is stored
 //
@@ -43,17 +44,17 @@
 //	primary        map of the next epoch names it again        primary: a new term, which continues the former one
 //	primary        a backup replies that the epoch is stale    none until the next map: the term ends (turnstore_deposed)
 //	any            a primary calls with a newer epoch          backup of that epoch: a term ends
-//	any            map names it no more                        none: its facts are dropped after UnassignedRetention
+//	any            map does not name it                        none: its facts are dropped after UnassignedRetention
 //
 // A primary whose term recovers (Partition.RecoverFrom) answers BUSY until the control plane confirms the recovery.
 //
 // A term is the time in which this process is primary of a partition in one epoch. In each term the primary replicates new facts to
-// every backup (replicator) and compares what both held before (synchronize); a backup that has everything is reported
-// to the control plane by SyncedReplicas.
+// every backup (replicator) and compares the facts that both had before (synchronize); a backup that has all facts is reported to the
+// control plane by SyncedReplicas.
 //
 // # States of the disk
 //
-// A disk that is full, failing or stuck is a state of the process, not its end; see diskstate.go and recovery.go.
+// A full, failing or stuck disk does not end the process; see diskstate.go and recovery.go.
 //
 // # Concurrency
 //
@@ -64,7 +65,7 @@
 //
 // # On disk
 //
-// The data folder holds write-ahead logs (package wal): "identity", whose one record is the folder's ID, and "facts-0" and
-// "facts-1", whose records are encoded Facts. One of the two is appended to; Compact rewrites what is alive into the other one. Roles,
-// terms and partition maps are not stored: a turn store serves nothing before it has received a map.
+// The data folder holds write-ahead logs (package wal): "identity", whose one record is the folder's ID, and "facts-0" and "facts-1",
+// whose records are encoded Facts. One of the two is appended to; Compact rewrites the live facts into the other one. Roles, terms
+// and partition maps are not stored: a turn store serves nothing before it has received a map.
 package turnstore
--- a/internal/tier/turnstore/facts.go
+++ b/internal/tier/turnstore/facts.go
@@ -26,12 +26,12 @@
 	return list
 }
 
-// Kinds of keys by which replicas compare what they have. A key is a kind followed by the attempt; that of kind tokensKey is followed by
-// a slash and the number of tokens. They are sent in HeldReply and FetchRequest.
+// Kinds of keys by which replicas compare their facts. A key is a kind followed by the attempt; that of kind tokensKey is followed by
+// a slash and the number of tokens. They are sent in FactKeysReply and FetchRequest.
 const (
 	reservedKey = "r/"
 	settledKey  = "s/"
-	turnKey     = "a/" // the text of a turn, whichever fact brought it
+	turnKey     = "a/" // the text of a turn, from a settlement or an adoption
 	tokensKey   = "t/" // the tokens of a settlement, as a later one may have raised them; left out if 0
 )
 
@@ -86,7 +86,8 @@
 		e.turn != nil && lacks(turnKey+e.attempt)
 }
 
-// has reports whether the partition has what a key names. It also does for a key that parseKey rejects, so that such a key is not fetched.
+// has reports whether the partition has the fact that a key names. It returns true for a key that parseKey rejects, so that such a
+// key is not fetched.
 func (p *partition) has(key string) bool {
 	kind, attempt, tokens, ok := parseKey(key)
 	if !ok {
@@ -107,7 +108,7 @@
 	return e.turn != nil
 }
 
-// missing returns the keys of what the partition lacks.
+// missing returns the keys of the facts that the partition lacks.
 func (p *partition) missing(keys []string) []string {
 	return slices.DeleteFunc(slices.Clone(keys), p.has)
 }
--- a/internal/tier/turnstore/failedendpoints.go
+++ b/internal/tier/turnstore/failedendpoints.go
@@ -6,7 +6,7 @@
 
 const (
 	failedEndpointTTL  = 10 * time.Second // how long an endpoint is avoided after an attempt of the program failed there
-	maxFailedEndpoints = 4                // endpoints that are remembered for a program
+	maxFailedEndpoints = 4                // endpoints that are stored for a program
 )
 
 // failedEndpoint is an endpoint at which an attempt of a program ended without a complete answer.
@@ -16,22 +16,22 @@
 }
 
 // recordFailedEndpoint records that an attempt of a program failed at an instance, if that is not empty. It is a hint for the next
-// attempts of the program, through whichever gateway they come: it is neither synced nor replicated.
+// attempts of the program through any gateway, and is neither synced nor replicated.
 func (p *partition) recordFailedEndpoint(name, instance string, now time.Time) {
 	program := p.programs[name]
 	if program == nil || instance == "" {
 		return
 	}
-	kept := make([]failedEndpoint, 0, maxFailedEndpoints)
+	recent := make([]failedEndpoint, 0, maxFailedEndpoints)
 	for _, failed := range program.failedEndpoints {
 		if failed.instance != instance && now.Sub(failed.at) <= failedEndpointTTL {
-			kept = append(kept, failed)
+			recent = append(recent, failed)
 		}
 	}
-	if len(kept) == maxFailedEndpoints {
-		kept = kept[1:]
+	if len(recent) == maxFailedEndpoints {
+		recent = recent[1:]
 	}
-	program.failedEndpoints = append(kept, failedEndpoint{instance, now})
+	program.failedEndpoints = append(recent, failedEndpoint{instance, now})
 }
 
 // failedEndpoints returns the instances at which attempts of a program failed within failedEndpointTTL.
--- a/internal/tier/turnstore/failedendpoints_test.go
+++ b/internal/tier/turnstore/failedendpoints_test.go
@@ -10,7 +10,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Where an attempt of a program failed is reported with its next ones, for a while, and to no other program.
+// The endpoint at which an attempt of a program failed is reported to its next attempts for failedEndpointTTL, and to no other
+// program.
 func TestFailedEndpoints_ReportedForAWhile(t *testing.T) {
 	c, k := newPair(t)
 	v := c.nodes["a"].turnstore
@@ -32,7 +33,7 @@
 	_ = k
 }
 
-// The newest few are remembered.
+// Only the newest maxFailedEndpoints endpoints are stored.
 func TestFailedEndpoints_Bounded(t *testing.T) {
 	s, now := newState(), time.Now()
 	s.add(reservedFact("a", 1), now)
--- a/internal/tier/turnstore/fault_test.go
+++ b/internal/tier/turnstore/fault_test.go
@@ -9,7 +9,7 @@
 
 func TestReplication_FaultAtEachMessage(t *testing.T) {
 	for _, replace := range []bool{false, true} {
-		for f := lostRequest; f < faults; f++ {
+		for f := lostRequest; f < faultCount; f++ {
 			for at := 1; at <= 16; at++ {
 				t.Run(fmt.Sprintf("replace=%v/fault=%d/message=%d", replace, f, at), func(t *testing.T) {
 					t.Parallel()
@@ -38,7 +38,7 @@
 	}
 }
 
-// diskOperations is how many of the first operations of a disk are its last before a loss of power, one in each run.
+// diskOperations is the number of disk operations, counted from the first, at each of which one run loses power.
 const diskOperations = 14
 
 // runPowerLoss is one run of TestReplication_PowerLossAtEachDiskOperation.
@@ -57,7 +57,7 @@
 // replicas are reported synced, the primary is lost with its disk at once, before any other message.
 func TestReplicaLoss_InEachStepOfRepair(t *testing.T) {
 	for _, step := range repairSteps {
-		for f := lostRequest; f < faults; f++ {
+		for f := lostRequest; f < faultCount; f++ {
 			if !step.tolerates(f) {
 				continue
 			}
@@ -71,21 +71,21 @@
 	}
 }
 
-// faultedMessages is how many of the first messages of a repair are hit by a fault, one in each run.
+// faultedMessages is the number of messages of a repair, counted from the first, at each of which one run injects a fault.
 const faultedMessages = 8
 
-// repairStep is an occasion on which a replica is made.
+// repairStep is an operation that creates a replica.
 type repairStep struct {
 	name              string
-	onlySyncedReplica bool // the primary is the only one that holds all
+	onlySyncedReplica bool // the primary is the only replica with all facts
 	begin             func(s *script)
 }
 
-// tolerates reports whether a fault is no more than can be tolerated in this step.
+// tolerates reports whether the cluster must tolerate a fault in this step.
 func (r repairStep) tolerates(f fault) bool { return f != senderWiped || !r.onlySyncedReplica }
 
 var repairSteps = []repairStep{
-	{name: "a repair", onlySyncedReplica: true, begin: func(s *script) { // the backup's disk is lost, the spare one gets a replica
+	{name: "a repair", onlySyncedReplica: true, begin: func(s *script) { // the backup's disk is lost, the spare machine gets a replica
 		s.cluster.crash("b", true)
 		s.cluster.restart("b")
 		s.backup, s.spare = "c", "b"
@@ -93,7 +93,7 @@
 	{name: "a hand-over", begin: func(s *script) { // the primary received SIGTERM
 		s.primary, s.backup, s.spare, s.draining = "b", "c", "a", "a"
 	}},
-	{name: "a planned replacement", begin: func(s *script) { // the new one has come, then the primary receives SIGTERM and is removed
+	{name: "a planned replacement", begin: func(s *script) { // a new machine has started, then the primary receives SIGTERM and is removed
 		s.cluster.crash("c", true)
 		s.cluster.restart("c")
 		s.primary, s.backup, s.spare, s.draining = "b", "c", "a", "a"
@@ -107,13 +107,13 @@
 	s.cluster.armFault(f, at)
 	step.begin(s)
 	s.addReplica()
-	s.await()
+	s.awaitReplicas()
 	s.losePrimary()
 	s.verify()
 }
 
-// TestReplicaLoss_TwoOfFour loses, of four machines with two losses tolerated, one with its disk, a second at each message of the repair
-// and a third right after the first repair is reported synced: that is two at once at most.
+// TestReplicaLoss_TwoOfFour runs four machines that tolerate two losses at a time. One loses its disk, a second one at each message
+// of the repair, and a third one right after the repair is reported synced: at most two at a time.
 func TestReplicaLoss_TwoOfFour(t *testing.T) {
 	for at := 0; at <= faultedMessages; at++ {
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// runTwoLosses is one run of TestReplicaLoss_TwoOfFour, with the second loss at a message, or after the repair where that is 0.
+// runTwoLosses is one run of TestReplicaLoss_TwoOfFour, with the second loss at a message, or after the repair if at is 0.
 func runTwoLosses(t reporter, injected injection, at int) {
 	c := newClusterWith(t, injected, "a", "b", "c", "d")
 	c.assign("a", "b", "c")
@@ -144,7 +144,7 @@
 		c.restart("a")
 		c.assign("c", "?d", "?a")
 		c.publish()
-		c.synced("c", 2*partitionCount)
+		c.awaitSynced("c", 2*partitionCount)
 		c.assign("c", "d", "a")
 		c.publish()
 		c.crash("c", true)
@@ -152,7 +152,7 @@
 		c.assign("d", "a", "?c")
 		c.publish()
 	} else {
-		c.synced("a", partitionCount)
+		c.awaitSynced("a", partitionCount)
 		c.assign("a", "c", "d")
 		c.publish()
 		c.crash("a", true)
@@ -162,8 +162,8 @@
 		c.assign("d", "?a", "?c")
 		c.publish()
 	}
-	r := ask("t3", "t2")
-	r.MaxTokens = 81 // 20 are handed out
-	assert.Equal(t, k.beginUntilCertain("d", r), spent)
-	assert.Equal(t, k.beginUntilCertain("d", ask("t4", "t2")), ok)
+	r := beginRequest("t3", "t2")
+	r.MaxTokens = 81 // 20 are charged
+	assert.Equal(t, k.beginUntilNotBusy("d", r), spent)
+	assert.Equal(t, k.beginUntilNotBusy("d", beginRequest("t4", "t2")), ok)
 }
--- a/internal/tier/turnstore/find_test.go
+++ b/internal/tier/turnstore/find_test.go
@@ -24,8 +24,8 @@
 	r, err = v.Find(c.ctx, &tierv1.FindRequest{Attempt: "t1"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(r.Chain), 1)
-	assert.Equal(t, k.begin("a", ask("t2", "nothing")), busy)
-	q := ask("t3", "")
+	assert.Equal(t, k.begin("a", beginRequest("t2", "nothing")), busy)
+	q := beginRequest("t3", "")
 	q.Budget = 1
-	assert.Equal(t, k.begin("a", q), busy) // spent, but not for sure
+	assert.Equal(t, k.begin("a", q), busy) // spent, but not confirmed by the backup
 }
--- a/internal/tier/turnstore/handover.go
+++ b/internal/tier/turnstore/handover.go
@@ -7,13 +7,14 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// lastReplicaExtension is the part of its context's time by which AwaitHandover exceeds it for the last synced replica of a partition.
+// lastReplicaExtension is the fraction of its context's time by which AwaitHandover exceeds the deadline for the last synced replica
+// of a partition.
 const lastReplicaExtension = 0.5
 
-// AwaitHandover returns when this turn store may stop after the control plane was notified that it is draining: a newer partition map has
-// come, and in the newest one this folder is no primary, and no replica is being synced to take its place.
-// It also returns when ctx ends; but if a partition has no synced replica elsewhere then, it goes on for half of the time that ctx
-// had, as nobody else has what was acknowledged there.
+// AwaitHandover returns when this turn store may stop after the control plane was notified that it is draining: a newer partition map
+// has been received, and in the newest one this folder is no primary, and no replica is being synced to replace it. It also returns
+// when ctx ends; but if a partition has no synced replica elsewhere then, it continues for half of the time that ctx had, as no other
+// replica has all facts acknowledged there.
 func (store *TurnStore) AwaitHandover(ctx context.Context) {
 	began := time.Now()
 	extended, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -48,18 +49,18 @@
 	}
 }
 
-// responsibility is what a turn store is still needed for. A greater one includes the smaller ones.
+// responsibility is the reason why a draining turn store is still needed. A greater one includes the smaller ones.
 type responsibility int
 
 const (
-	notAssigned       responsibility = iota // it is in no partition
-	backupOnly                              // it is a backup, and no replica is being synced to take its place
+	notAssigned       responsibility = iota // it has no role in any partition
+	backupOnly                              // it is a backup, and no replica is being synced to replace it
 	requiredReplica                         // it is a primary, or a replica of one of its partitions is being synced
 	lastSyncedReplica                       // a partition has no synced replica elsewhere
 )
 
-// mayStop reports whether a draining turn store with this responsibility may stop: mapIsNewer if the control plane has made a map since
-// it was notified, timedOut if the time for the handover is over.
+// mayStop reports whether a draining turn store with this responsibility may stop: mapIsNewer is set if the control plane has made a
+// map since it was notified, timedOut if the time for the handover has passed.
 func (r responsibility) mayStop(mapIsNewer, timedOut bool) bool {
 	switch r {
 	case notAssigned:
--- a/internal/tier/turnstore/handover_test.go
+++ b/internal/tier/turnstore/handover_test.go
@@ -45,59 +45,60 @@
 	}
 }
 
-// A draining turn store waits for the next map, for its successors, and longer than it is given if it has the last replica.
+// A draining turn store waits for the next map and for the replicas that replace it, and past the end of ctx if it has the last
+// synced replica.
 func TestAwaitHandover(t *testing.T) {
 	c, k := newPair(t)
 	k.mustStore("a", "t1", "")
 	a := c.nodes["a"].turnstore
-	released := func(ctx context.Context) <-chan struct{} {
-		end := make(chan struct{})
+	awaitHandover := func(ctx context.Context) <-chan struct{} {
+		returned := make(chan struct{})
 		go func() {
 			a.AwaitHandover(ctx)
-			close(end)
+			close(returned)
 		}()
-		return end
+		return returned
 	}
-	waits := func(end <-chan struct{}, why string) {
+	assertWaiting := func(returned <-chan struct{}, reason string) {
 		t.Helper()
 		select {
-		case <-end:
-			t.Fatalf("released, though %s", why)
+		case <-returned:
+			t.Fatalf("AwaitHandover returned, though %s", reason)
 		default:
 		}
 	}
 	long, cancel := context.WithTimeout(c.ctx, time.Hour)
 	defer cancel()
-	end := released(long)
-	waits(end, "it is the primary")
+	returned := awaitHandover(long)
+	assertWaiting(returned, "it is the primary")
 	c.assign("b", "a", "?c")
 	c.publish()
-	waits(end, "the replica that takes its place is being synced")
-	c.synced("b", partitionCount)
+	assertWaiting(returned, "the replica that takes its place is being synced")
+	c.awaitSynced("b", partitionCount)
 	c.assign("b", "a", "c")
 	c.publish()
-	<-end
+	<-returned
 
-	end = released(long)
-	waits(end, "the control plane has not made a map since")
+	returned = awaitHandover(long)
+	assertWaiting(returned, "the control plane has not made a map since")
 	c.assign("b", "c")
 	c.publish()
-	<-end
+	<-returned
 
 	c.assign("a", "?b")
 	c.publish()
-	over, end2 := context.WithCancel(c.ctx)
-	end2()
-	end = released(over)
-	waits(end, "it has the last replica")
-	c.synced("a", partitionCount)
+	expired, expire := context.WithCancel(c.ctx)
+	expire()
+	returned = awaitHandover(expired)
+	assertWaiting(returned, "it has the last replica")
+	c.awaitSynced("a", partitionCount)
 	c.assign("a", "b")
 	c.publish()
-	<-end // still the primary, but its time is over
+	<-returned // still the primary, but ctx has ended
 
 	c.assign("a")
 	c.publish()
 	short, cancel := context.WithTimeout(c.ctx, time.Millisecond)
 	defer cancel()
-	<-released(short) // at last, also as the last replica
+	<-awaitHandover(short) // returns after the extension, even with the last replica
 }
--- a/internal/tier/turnstore/injection_test.go
+++ b/internal/tier/turnstore/injection_test.go
@@ -16,36 +16,38 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// injectionSeeds is in how many seeds an injected fault has to be found, and faultFreeSeeds how many are played without a fault.
+// injectionSeeds is the number of seeds within which an injected fault must be detected, and faultFreeSeeds the number of seeds that
+// are run without a fault.
 const (
 	injectionSeeds = 200
 	faultFreeSeeds = 40
 )
 
-// injection is a fault of the turn stores, their disks or the control plane, made from outside. The zero injection is none. What takes a
-// cluster is called for each message, and returns what serves it in place of the turn store's own method.
+// injection is a fault that is injected into the turn stores, their disks or the control plane. The zero injection is none. A
+// function that takes a cluster is called for each message, and returns the function that serves it in place of the turn store's
+// method.
 type injection struct {
 	replicate func(c *cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error)
 	held      func(c *cluster) func(*TurnStore, context.Context, *tierv1.FactKeysRequest) (*tierv1.FactKeysReply, error)
 	fetch     func(c *cluster) func(*TurnStore, context.Context, *tierv1.FetchRequest) (*tierv1.FetchReply, error)
 	files     func(wal.FS) wal.FS
-	control   func(m *tierv1.PartitionMap)                  // changes a map before a turn store receives it
+	modifyMap func(m *tierv1.PartitionMap)                  // changes a map before a turn store receives it
 	reports   func(*TurnStore) []*tierv1.SyncedReplica      // what a turn store reports to the control plane
-	successor func(s *script, lost string) (primary string) // whom the control plane makes the primary after a loss
+	successor func(s *script, lost string) (primary string) // the machine that the control plane makes the primary after a loss
 }
 
-// dropsFacts makes a backup say that it has taken facts which it drops, in about one of n messages that carry some.
+// dropsFacts makes a backup acknowledge facts that it drops, in about one of n messages with facts.
 func dropsFacts(n int, seed uint64) injection {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 5))
-	spoilt := func() bool {
+	shouldDrop := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return r.IntN(n) == 0
 	}
 	return injection{replicate: func(*cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 		return func(store *TurnStore, ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
-			if len(req.Facts) > 0 && spoilt() {
+			if len(req.Facts) > 0 && shouldDrop() {
 				req.Facts = nil
 			}
 			return store.Replicate(ctx, req)
@@ -53,8 +55,8 @@
 	}}
 }
 
-// takesStale makes a backup say that it has taken what comes under an epoch that is over.
-func takesStale() injection {
+// acknowledgesStale makes a backup acknowledge requests of a stale epoch.
+func acknowledgesStale() injection {
 	return injection{replicate: func(*cluster) func(*TurnStore, context.Context, *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 		return func(store *TurnStore, ctx context.Context, req *tierv1.ReplicateRequest) (*tierv1.ReplicateReply, error) {
 			reply, err := store.Replicate(ctx, req)
@@ -66,7 +68,7 @@
 	}}
 }
 
-// reportsMissingKeys makes a backup name keys that it does not hold: those of one of n facts of the primary's.
+// reportsMissingKeys makes a backup report keys of facts that it lacks, for one in n of the primary's keys.
 func reportsMissingKeys(n int) injection {
 	return injection{held: func(c *cluster) func(*TurnStore, context.Context, *tierv1.FactKeysRequest) (*tierv1.FactKeysReply, error) {
 		return func(store *TurnStore, ctx context.Context, req *tierv1.FactKeysRequest) (*tierv1.FactKeysReply, error) {
@@ -84,8 +86,8 @@
 	}}
 }
 
-// losesFetched makes a backup leave out all facts of one attempt when it is asked for them.
-func losesFetched(attempt string) injection {
+// omitsFetched makes a backup omit all facts of one attempt from its replies to Fetch.
+func omitsFetched(attempt string) injection {
 	return injection{fetch: func(*cluster) func(*TurnStore, context.Context, *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
 		return func(store *TurnStore, ctx context.Context, req *tierv1.FetchRequest) (*tierv1.FetchReply, error) {
 			reply, err := store.Fetch(ctx, req)
@@ -97,7 +99,7 @@
 	}}
 }
 
-// logFilesFS is a file system with another way to sync the files of facts.
+// logFilesFS is a file system that wraps the handles of the files of facts.
 type logFilesFS struct {
 	wal.FS
 	wrap func(wal.Handle) wal.Handle
@@ -109,7 +111,7 @@
 	return d.wrapped(name)(d.FS.Create(name))
 }
 
-// wrapped wraps the handle of a file if it is one of facts.
+// wrapped wraps the handle of a file if the file contains facts.
 func (d logFilesFS) wrapped(name string) func(wal.Handle, error) (wal.Handle, error) {
 	return func(handle wal.Handle, err error) (wal.Handle, error) {
 		if err != nil || !strings.Contains(name, "facts-") {
@@ -124,14 +126,14 @@
 
 func (ignoredSync) Sync() error { return nil }
 
-// syncsNothing makes disks forget all facts at a loss of power.
-func syncsNothing() injection {
+// ignoresSyncs makes disks lose all facts at a power loss.
+func ignoresSyncs() injection {
 	return injection{files: func(disk wal.FS) wal.FS {
 		return logFilesFS{disk, func(h wal.Handle) wal.Handle { return ignoredSync{h} }}
 	}}
 }
 
-// delayedSync is a file of which a sync keeps only what was there at the sync before.
+// delayedSync is a file whose syncs take effect only before the next write.
 type delayedSync struct {
 	wal.Handle
 	syncPending bool
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// WriteAt makes up for the sync before.
+// WriteAt performs the pending sync before the write.
 func (l *delayedSync) WriteAt(data []byte, at int64) (int, error) {
 	if l.syncPending {
 		l.syncPending = false
@@ -153,8 +155,8 @@
 	return l.Handle.WriteAt(data, at)
 }
 
-// syncsLate makes disks forget what was synced last at a loss of power.
-func syncsLate() injection {
+// delaysSyncs makes disks lose the last synced facts at a power loss.
+func delaysSyncs() injection {
 	return injection{files: func(disk wal.FS) wal.FS {
 		return logFilesFS{disk, func(h wal.Handle) wal.Handle { return &delayedSync{Handle: h} }}
 	}}
@@ -179,8 +181,8 @@
 	}}
 }
 
-// unsyncedSucceeds makes the control plane name a machine as the primary that has no synced replica.
-func unsyncedSucceeds() injection {
+// promotesUnsynced makes the control plane choose a machine without a synced replica as the primary.
+func promotesUnsynced() injection {
 	return injection{successor: func(s *script, lost string) string {
 		for _, name := range s.cluster.names {
 			if name != lost && name != s.backup {
@@ -191,22 +193,22 @@
 	}}
 }
 
-// forgetsRetained makes the control plane forget the replicas that were taken out while they were unresponsive.
+// forgetsRetained makes the control plane forget the retained replicas, which were removed while they were unresponsive.
 func forgetsRetained() injection {
-	return injection{control: func(m *tierv1.PartitionMap) {
+	return injection{modifyMap: func(m *tierv1.PartitionMap) {
 		for _, p := range m.Partitions {
 			p.Retained, p.RecoverFrom, p.AcknowledgedUntil = nil, nil, 0
 		}
 	}}
 }
 
-// randomScenario is a run of one of this package's tests of losses.
+// randomScenario is a run of one of the loss tests of this package.
 type randomScenario struct {
 	name string
 	run  func(t reporter, p injection)
 }
 
-// drawScenario draws a run, the faults of its machines and messages included.
+// drawScenario draws a random run with the faults of its machines and messages.
 func drawScenario(seed uint64) randomScenario {
 	r := rand.New(rand.NewPCG(seed, 3))
 	at := 1 + r.IntN(faultedMessages)
@@ -227,56 +229,56 @@
 			func(t reporter, p injection) { runTwoLosses(t, p, at) }}
 	}
 	step := repairSteps[r.IntN(len(repairSteps))]
-	f := lostRequest + fault(r.IntN(int(faults-lostRequest)))
+	f := lostRequest + fault(r.IntN(int(faultCount-lostRequest)))
 	for !step.tolerates(f) {
-		f = lostRequest + fault(r.IntN(int(faults-lostRequest)))
+		f = lostRequest + fault(r.IntN(int(faultCount-lostRequest)))
 	}
 	return randomScenario{fmt.Sprintf("%s, fault %d at message %d", step.name, f, at),
 		func(t reporter, p injection) { runLoss(t, p, step, f, at) }}
 }
 
-// What the checks say of facts that are lost, of budgets that are granted twice, and of turns that are not served.
+// Parts of the failure messages of the checks for lost turns, exceeded budgets and dropped replicas.
 const (
 	storedIsUnknown    = "is unknown"
-	budgetForgotten    = "the budget is forgotten"
+	budgetExceeded     = "a turn beyond the budget was granted"
 	overdrawn          = "tokens granted of"
 	replicaNotRetained = "whether a replica is retained"
 )
 
-// always gives one injection for all seeds.
+// always returns the same injection for all seeds.
 func always(p injection) func(uint64) injection { return func(uint64) injection { return p } }
 
-// TestInjectedFaults_AreFound injects faults, and expects the checks of losses to find each by what it takes away.
+// TestInjectedFaults_AreFound injects faults, and expects the loss tests to detect each with one of its failure messages.
 func TestInjectedFaults_AreFound(t *testing.T) {
 	for _, fault := range []struct {
-		name string
-		make func(seed uint64) injection
-		by   []string // one of these is in what the check says
+		name       string
+		make       func(seed uint64) injection
+		detectedBy []string // one of these must be part of the failure message
 	}{
-		{"a backup drops one message of facts in six", func(seed uint64) injection { return dropsFacts(6, seed) }, []string{storedIsUnknown, budgetForgotten}},
-		{"a backup accepts a stale epoch", always(takesStale()), []string{storedIsUnknown, overdrawn}},
+		{"a backup drops one message of facts in six", func(seed uint64) injection { return dropsFacts(6, seed) }, []string{storedIsUnknown, budgetExceeded}},
+		{"a backup accepts a stale epoch", always(acknowledgesStale()), []string{storedIsUnknown, overdrawn}},
 		{"a backup reports a third of the keys without having them", always(reportsMissingKeys(3)), []string{storedIsUnknown}},
-		{"a backup leaves out one attempt that is fetched", always(losesFetched("t2")), []string{storedIsUnknown}},
-		{"syncs do nothing", always(syncsNothing()), []string{storedIsUnknown}},
-		{"the last sync does nothing", always(syncsLate()), []string{storedIsUnknown}},
+		{"a backup leaves out one attempt that is fetched", always(omitsFetched("t2")), []string{storedIsUnknown}},
+		{"syncs do nothing", always(ignoresSyncs()), []string{storedIsUnknown}},
+		{"the last sync does nothing", always(delaysSyncs()), []string{storedIsUnknown}},
 		{"replicas are reported synced too early", always(reportsEarly()), []string{storedIsUnknown}},
-		{"an unsynced replica becomes primary", always(unsyncedSucceeds()), []string{storedIsUnknown}},
+		{"an unsynced replica becomes primary", always(promotesUnsynced()), []string{storedIsUnknown}},
 		{"the control plane forgets retained replicas", always(forgetsRetained()), []string{storedIsUnknown, replicaNotRetained}},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(injectionSeeds) {
-				play := drawScenario(seed)
-				failure := observer.Observe(func(r reporter) { play.run(r, fault.make(seed)) })
+				scenario := drawScenario(seed)
+				failure := observer.Observe(func(r reporter) { scenario.run(r, fault.make(seed)) })
 				if failure == "" {
 					continue
 				}
-				t.Logf("seed %d, %s: %s", seed, play.name, failure)
-				if containsAny(failure, fault.by) {
+				t.Logf("seed %d, %s: %s", seed, scenario.name, failure)
+				if containsAny(failure, fault.detectedBy) {
 					return
 				}
 			}
-			t.Fatalf("not found in %d seeds", injectionSeeds)
+			t.Fatalf("not detected in %d seeds", injectionSeeds)
 		})
 	}
 }
@@ -285,10 +287,10 @@
 	return slices.ContainsFunc(parts, func(part string) bool { return strings.Contains(text, part) })
 }
 
-// TestInjectedFaults_NoneFoundWithout: what finds injected faults finds nothing if there is none.
+// TestInjectedFaults_NoneFoundWithout runs the same scenarios without a fault: no check may fail.
 func TestInjectedFaults_NoneFoundWithout(t *testing.T) {
 	for seed := range uint64(faultFreeSeeds) {
-		play := drawScenario(seed)
-		assert.Equal(t, observer.Observe(func(r reporter) { play.run(r, injection{}) }), "", "seed %d, %s", seed, play.name)
+		scenario := drawScenario(seed)
+		assert.Equal(t, observer.Observe(func(r reporter) { scenario.run(r, injection{}) }), "", "seed %d, %s", seed, scenario.name)
 	}
 }
--- a/internal/tier/turnstore/metrics.go
+++ b/internal/tier/turnstore/metrics.go
@@ -6,15 +6,15 @@
 func (store *TurnStore) Metrics() metrics.TurnStore {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	figures := metrics.TurnStore{Memory: store.state.memory, MapVersion: store.mapVersion, Disk: store.diskState}
+	values := metrics.TurnStore{Memory: store.state.memory, MapVersion: store.mapVersion, Disk: store.diskState}
 	for _, p := range store.state.partitions {
-		figures.Entries += len(p.entries)
+		values.Entries += len(p.entries)
 		switch {
 		case p.primary == store.folder:
-			figures.Primaries++
+			values.Primaries++
 		case p.backup:
-			figures.Backups++
+			values.Backups++
 		}
 	}
-	return figures
+	return values
 }
--- a/internal/tier/turnstore/metrics_test.go
+++ b/internal/tier/turnstore/metrics_test.go
@@ -26,7 +26,7 @@
 	assert.Equal(t, primary.MapVersion, c.partitionMap.Version)
 	assert.Equal(t, primary.Disk, tierv1.DiskState_DISK_SOUND)
 	c.nodes["a"].disk.FailFrom(1, syscall.ENOSPC)
-	assert.Equal(t, k.begin("a", ask("t3", "t2")), busy)
+	assert.Equal(t, k.begin("a", beginRequest("t3", "t2")), busy)
 	c.nodes["a"].turnstore.CheckDisk(c.now())
 	assert.Equal(t, c.nodes["a"].turnstore.Metrics().Disk, tierv1.DiskState_DISK_FULL)
 }
--- a/internal/tier/turnstore/partitionmap.go
+++ b/internal/tier/turnstore/partitionmap.go
@@ -33,7 +33,7 @@
 	store.notifyChanged()
 }
 
-// assign takes the role in a partition from a map, unless a newer epoch is known already. The caller holds mu.
+// assign takes the role in a partition from a map, unless a newer epoch has been observed. The caller holds mu.
 func (store *TurnStore) assign(p *partition, assignment *tierv1.Partition) {
 	if assignment.Epoch < p.epoch {
 		return
@@ -77,8 +77,9 @@
 	store.changed = make(chan struct{})
 }
 
-// SyncedReplicas returns the backups that are in sync now and that the map has as not synced, of the partitions whose primary this turn
-// store is; none while the disk is not sound. The channel is closed when that, the map, or the state of the disk changes.
+// SyncedReplicas returns the backups that are synchronized but listed as not synced in the map, of the partitions whose primary this
+// turn store is. It returns none while the disk is not sound. The channel is closed when the result, the map, or the state of the
+// disk changes.
 func (store *TurnStore) SyncedReplicas() (reports []*tierv1.SyncedReplica, changed <-chan struct{}) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
--- a/internal/tier/turnstore/recovery.go
+++ b/internal/tier/turnstore/recovery.go
@@ -22,10 +22,10 @@
 // logFileNames are the names of the write-ahead logs that facts are written to.
 var logFileNames = [2]string{"facts-0", "facts-1"}
 
-// Reopen reopens the write-ahead logs after a failure and replaces the state by what they have: the tail of a file whose sync has
-// failed is not trusted. All terms end. Where the newest partition map names this folder as primary, a new term begins, so everything is
-// synchronized with the backups. If the disk still fails, the error is one of package wal, DiskBusy or Closed, and nothing has
-// changed.
+// Reopen reopens the write-ahead logs after a failure and replaces the state by the facts in them, as the tail of a file whose sync
+// has failed may not be on the disk. All terms end. Where the newest partition map names this folder as primary, a new term begins,
+// so everything is synchronized with the backups. If the disk still fails, the error is one of package wal, DiskBusy or Closed, and
+// the state has not changed.
 func (store *TurnStore) Reopen(now time.Time) error {
 	store.maintenance.Lock()
 	defer store.maintenance.Unlock()
@@ -49,7 +49,7 @@
 	for id, p := range store.state.partitions {
 		p.endTerm()
 		fresh := next.partition(id)
-		fresh.role = p.role // the epochs observed must not be forgotten
+		fresh.role = p.role // the observed epochs must not be lost
 		fresh.term = nil
 	}
 	store.state = next
@@ -77,7 +77,7 @@
 	return func(record []byte) error {
 		fact := &tierv1.Fact{}
 		if err := proto.Unmarshal(record, fact); err != nil {
-			return errorx.Decorate(err, "%s: a record that is no fact", file)
+			return errorx.Decorate(err, "%s: decode record as a fact", file)
 		}
 		s.add(fact, now)
 		return nil
--- a/internal/tier/turnstore/replicator.go
+++ b/internal/tier/turnstore/replicator.go
@@ -9,8 +9,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// replicator replicates facts to one backup in one term. New facts go through its queue, a batch at a time and in order; what both held
-// before is synchronized (synchronize.go). TurnStore.mu guards its fields.
+// replicator replicates facts to one backup in one term. New facts go through its queue, a batch at a time and in order; facts from
+// before the term are synchronized (synchronize.go). TurnStore.mu guards its fields.
 type replicator struct {
 	store        *TurnStore
 	partition    *partition
@@ -19,23 +19,23 @@
 	queue        []*replicationBatch // the first one may be in flight
 	running      bool                // run is running
 	synchronized bool                // the backup has all facts that this turn store had when the term began
-	unsynced     bool                // by the partition map
+	unsynced     bool                // the partition map lists the backup as not synced
 	recovering   bool                // this turn store may lack facts of the backup: the first synchronization pulls them
 }
 
-// replicationBatch is the facts that go to a backup in one call. Without facts it asks whether the epoch is still the newest that the
-// backup knows.
+// replicationBatch is the facts that go to a backup in one call. Without facts the call checks that the backup has observed no newer
+// epoch.
 type replicationBatch struct {
 	facts        []*tierv1.Fact
 	size         int           // of the facts, in bytes
-	inFlight     bool          // nothing is added any more
+	inFlight     bool          // no more facts are added to it
 	acknowledged chan struct{} // closed when the backup has synced it
 }
 
 // replicationQueueLimit is the number of bytes that may be queued for one backup before new attempts are rejected.
 const replicationQueueLimit = 8 << 20
 
-// Bounds of the pause before a batch is sent again. The first pause is twice the lower one.
+// Bounds of the pause before a batch is sent again. The first pause is twice the lower bound.
 const (
 	minReplicationBackoff = 20 * time.Millisecond
 	maxReplicationBackoff = 400 * time.Millisecond
@@ -119,8 +119,8 @@
 	}
 }
 
-// replicate sends facts of size bytes and reports whether the backup has synced them. The time for the reply grows with the failures
-// before. A reply that the epoch is stale ends the term.
+// replicate sends facts of size bytes and reports whether the backup has synced them. The time-out grows with the number of previous
+// failures. A reply that the epoch is stale ends the term.
 func (r *replicator) replicate(facts []*tierv1.Fact, size, failures int) bool {
 	client := r.store.client(r.folder)
 	if client == nil {
@@ -146,7 +146,7 @@
 	return reply.Acknowledged
 }
 
-// replyTimeout bounds the time for the reply to a call that transfers size bytes, after failures calls in a row have failed.
+// replyTimeout bounds the time for the reply to a call that transfers size bytes, after a number of consecutive failures.
 func (store *TurnStore) replyTimeout(size, failures int) time.Duration {
 	timeout := store.cfg.ReplyTimeout + time.Duration(size)*time.Microsecond // at a megabyte a second
 	return timeout << min(failures, 3)
--- a/internal/tier/turnstore/replicator_test.go
+++ b/internal/tier/turnstore/replicator_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Neither a reservation nor a settlement is confirmed while a backup, synced or not, has not taken it.
+// Neither a reservation nor a settlement may be acknowledged before every backup, synced or not, has acknowledged it.
 func TestReplication_AcknowledgedByEachBackup(t *testing.T) {
 	for _, backups := range [][]string{{"b", "c"}, {"b", "?c"}, {"?c", "b"}} {
 		c := newCluster(t, "a", "b", "c")
@@ -14,16 +14,16 @@
 		c.publish()
 		k := newChecker(c)
 		k.mustStore("a", "t1", "")
-		assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
+		assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), ok)
 		c.mu.Lock()
 		c.nodes["c"].partitioned = true
 		c.mu.Unlock()
 		assert.Equal(t, k.settle("a", "p", "t2", "t1", 20), busy)
-		assert.Equal(t, k.begin("a", ask("t3", "t1")), busy)
+		assert.Equal(t, k.begin("a", beginRequest("t3", "t1")), busy)
 		c.mu.Lock()
 		c.nodes["c"].partitioned = false
 		c.mu.Unlock()
-		assert.Equal(t, k.beginUntilCertain("a", ask("t3", "t1")), ok)
+		assert.Equal(t, k.beginUntilNotBusy("a", beginRequest("t3", "t1")), ok)
 		for k.settle("a", "p", "t2", "t1", 20) != ok {
 		}
 	}
--- a/internal/tier/turnstore/retention.go
+++ b/internal/tier/turnstore/retention.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// expiryGroups is the number of groups of partitions, one of which RemoveExpired looks at.
+// expiryGroups is the number of groups of partitions. Each call of RemoveExpired checks one of them.
 const expiryGroups = 8
 
-// RemoveExpired drops facts whose time is over. Each call looks at one eighth of the partitions, and holds the lock for one at a time.
+// RemoveExpired drops expired facts. Each call checks one eighth of the partitions, and holds the lock for one partition at a time.
 func (store *TurnStore) RemoveExpired(now time.Time) {
 	store.mu.Lock()
 	group := store.expiryGroup % expiryGroups
@@ -28,9 +28,9 @@
 	}
 }
 
-// removeExpired drops the texts of turns that are past their retention by more than turnLinger and are in the chain of no other
-// turn, and the budgets of programs that have been unused for the longest retention plus budgetLinger. It is a mark and sweep over
-// the chains.
+// removeExpired drops the texts of turns that are past their retention by more than turnLinger and are not in the chain of an
+// unexpired turn, and the budgets of programs that have been unused for the longest retention plus budgetLinger. It is a mark and
+// sweep over the chains.
 func (s *state) removeExpired(p *partition, turnLinger, budgetLinger time.Duration, now time.Time) {
 	p.gcCycle++
 	for _, e := range p.entries {
@@ -45,7 +45,7 @@
 		if e.turn != nil {
 			continue
 		}
-		if e.program == nil || now.Sub(e.program.lastUsed) > s.longest+budgetLinger {
+		if e.program == nil || now.Sub(e.program.lastUsed) > s.longestRetention+budgetLinger {
 			s.drop(p, e)
 		}
 	}
--- a/internal/tier/turnstore/retention_test.go
+++ b/internal/tier/turnstore/retention_test.go
@@ -14,7 +14,7 @@
 	k.mustStore("a", "t1", "")
 	c.assign("a", "?c")
 	c.publish()
-	c.synced("a", partitionCount)
+	c.awaitSynced("a", partitionCount)
 	v := c.nodes["b"].turnstore
 	c.advance(29 * time.Second)
 	for range 8 {
@@ -34,7 +34,7 @@
 func runRetained(t reporter, injected injection) {
 	for _, retained := range []bool{true, false} {
 		c, k := newPairWith(t, injected)
-		assert.Equal(t, k.begin("a", ask("t1", "")), ok)
+		assert.Equal(t, k.begin("a", beginRequest("t1", "")), ok)
 		assert.Equal(t, k.settle("a", "p", "t1", "", 5), ok)
 		c.assign("a", "?c")
 		for _, p := range c.partitionMap.Partitions {
@@ -62,16 +62,16 @@
 	s.add(reservedFact("b", 20), now)
 	later := now.Add(50 * time.Second)
 	s.add(settledFact("b", "a", 1, true), later)
-	at := now.Add(100 * time.Second) // a is past its retention, and b's chain is not
+	at := now.Add(100 * time.Second) // a is past its retention, but is in the chain of b, which is not
 	s.removeExpired(p, 30*time.Second, 120*time.Second, at)
-	_, stands := p.chain("a", false, 0, at)
-	assert.Equal(t, stands, chainAbsent)
-	_, stands = p.chain("b", false, 0, at)
-	assert.Equal(t, stands, chainComplete)
+	_, status := p.chain("a", false, 0, at)
+	assert.Equal(t, status, chainAbsent)
+	_, status = p.chain("b", false, 0, at)
+	assert.Equal(t, status, chainComplete)
 	at = later.Add(91 * time.Second)
 	s.removeExpired(p, 30*time.Second, 120*time.Second, at)
 	assert.Assert(t, p.entries["b"].turn == nil)
-	assert.Equal(t, p.programs["p"].charged, uint64(2)) // the budget is remembered for longer
+	assert.Equal(t, p.programs["p"].charged, uint64(2)) // the budget is stored for longer
 	s.removeExpired(p, 30*time.Second, 120*time.Second, later.Add(200*time.Second))
 	assert.Equal(t, len(p.entries), 0)
 	assert.Equal(t, len(p.programs), 0)
@@ -79,19 +79,19 @@
 	assert.Equal(t, s.disk, int64(0))
 }
 
-// A program whose turns are not stored may come again for as long as its route keeps turns: its charges are held that long, also
-// after a restart.
+// A program whose turns are not stored may send requests for as long as its route stores turns. Its charges must be stored for that
+// long, also after a restart.
 func TestState_ChargesOutliveRetention(t *testing.T) {
 	const retention = 10 * time.Minute
 	reserved := &tierv1.Fact{Program: "p", Attempt: "a", Of: &tierv1.Fact_Reserved{
 		Reserved: &tierv1.Reservation{Limited: true, Budget: 100, MaxTokens: 60, RetentionMs: uint32(retention.Milliseconds())}}}
 	first, now := newState(), time.Now()
 	first.add(reserved, now)
-	again := newState()
+	replayed := newState()
 	for _, fact := range first.partition(0).facts(first.partition(0).entries["a"]) {
-		again.add(fact, now)
+		replayed.add(fact, now)
 	}
-	for _, s := range []*state{first, again} {
+	for _, s := range []*state{first, replayed} {
 		p := s.partition(0)
 		s.removeExpired(p, 30*time.Second, 120*time.Second, now.Add(retention+119*time.Second))
 		assert.Assert(t, !p.budgetAllows("p", 100, 41, 0))
--- a/internal/tier/turnstore/script_test.go
+++ b/internal/tier/turnstore/script_test.go
@@ -17,8 +17,8 @@
 	backup      string
 	spare       string
 	draining    string // a former primary that still has its replicas
-	repairDisks func() // what is done between attempts instead of repair, if not nil
-	replace     bool   // machines that went down are replaced; otherwise they come back
+	repairDisks func() // called between attempts instead of repair, if not nil
+	replace     bool   // failed machines are replaced; otherwise they are restarted
 }
 
 func newScript(t reporter, replace bool) *script {
@@ -33,7 +33,8 @@
 	return &script{cluster: c, checker: newChecker(c), primary: "a", backup: "b", spare: "c", replace: replace}
 }
 
-// repair does what the control plane does: brings machines back, or assigns others.
+// repair acts as the platform and the control plane: it restarts failed machines, and assigns others in their place if their disks
+// are lost or replace is set.
 func (s *script) repair() {
 	c := s.cluster
 	for _, n := range []string{s.primary, s.backup} {
@@ -47,8 +48,8 @@
 			c.crash(n, false)
 		}
 		c.restart(n)
-		fresh := c.nodes[n].turnstore.WasEmpty()
-		if !fresh && !s.replace {
+		wasEmpty := c.nodes[n].turnstore.WasEmpty()
+		if !wasEmpty && !s.replace {
 			continue
 		}
 		if n == s.primary {
@@ -58,83 +59,84 @@
 		}
 		c.assign(s.primary, "?"+s.backup)
 		c.publish()
-		c.synced(s.primary, partitionCount)
+		c.awaitSynced(s.primary, partitionCount)
 		c.assign(s.primary, s.backup)
 		c.publish()
 	}
 }
 
-// until repeats a call with a repair in between until its verdict is OK.
-func (s *script) until(what string, call func() tierv1.Verdict) {
+// retryUntilOK retries a call, with a repair in between, until its verdict is OK.
+func (s *script) retryUntilOK(operation string, call func() tierv1.Verdict) {
 	for range 100 {
 		v := call()
 		if v == tierv1.Verdict_OK {
 			return
 		}
-		assert.Assert(s.cluster.t, v != tierv1.Verdict_UNKNOWN && v != tierv1.Verdict_SPENT, "%s: %v", what, v)
+		assert.Assert(s.cluster.t, v != tierv1.Verdict_UNKNOWN && v != tierv1.Verdict_SPENT, "%s: %v", operation, v)
 		if s.repairDisks != nil {
 			s.repairDisks()
 			continue
 		}
 		s.repair()
 	}
-	s.cluster.t.Fatalf("%s: never done", what)
+	s.cluster.t.Fatalf("%s: no OK after 100 attempts", operation)
 }
 
 // storeThreeTurns begins and settles three turns, each of which continues the one before.
 func (s *script) storeThreeTurns() {
 	previous := ""
 	for i := range 3 {
-		a := name(i)
-		s.until("begin "+a, func() tierv1.Verdict { return s.checker.begin(s.primary, ask(a, previous)) })
-		s.until("settle "+a, func() tierv1.Verdict { return s.checker.settle(s.primary, "p", a, previous, 20) })
+		a := attemptName(i)
+		s.retryUntilOK("begin "+a, func() tierv1.Verdict { return s.checker.begin(s.primary, beginRequest(a, previous)) })
+		s.retryUntilOK("settle "+a, func() tierv1.Verdict { return s.checker.settle(s.primary, "p", a, previous, 20) })
 		previous = a
 	}
 }
 
-// continueEachTurn continues each stored turn, in a program of its own.
-func (s *script) continueEachTurn(round string) {
+// continueEachTurn continues each stored turn in a program of its own. The prefix makes attempts and programs unique.
+func (s *script) continueEachTurn(prefix string) {
 	for i, a := range s.checker.stored {
-		s.until("continue "+a, func() tierv1.Verdict {
-			r := ask(fmt.Sprintf("%s-%d", round, i), a)
-			r.Program, r.Budget = round+a, 1_000
+		s.retryUntilOK("continue "+a, func() tierv1.Verdict {
+			r := beginRequest(fmt.Sprintf("%s-%d", prefix, i), a)
+			r.Program, r.Budget = prefix+a, 1_000
 			return s.checker.begin(s.primary, r)
 		})
 	}
 }
 
-// verify checks that all that was acknowledged stands: now, after late messages, and after the loss of the primary with its disk.
+// verify checks that nothing acknowledged is lost: after delayed messages, after the loss of the primary with its disk, and after a
+// power loss of both replicas.
 func (s *script) verify() {
 	c := s.cluster
 	c.mu.Lock()
-	underWay := c.faultAt > 0 && c.calls >= c.faultAt
+	faultTriggered := c.faultAt > 0 && c.calls >= c.faultAt
 	c.faultAt = 0
 	c.mu.Unlock()
-	if underWay {
+	if faultTriggered {
 		<-c.faultHit // otherwise a machine may lose power after it was repaired
 	}
 	c.mu.Lock()
-	late := c.delayed
+	delayed := c.delayed
 	c.delayed = nil
 	c.mu.Unlock()
 	s.repair()
-	for _, deliver := range late {
+	for _, deliver := range delayed {
 		deliver()
 	}
-	check := func(round string) {
-		s.continueEachTurn(round)
-		// 60 tokens are charged: 40 are left, and not 41.
+	check := func(prefix string) {
+		s.continueEachTurn(prefix)
+		// 60 tokens are charged: 40 are left, so 41 must be rejected.
 		for range 100 {
-			r := ask("more-"+round, "")
+			r := beginRequest("more-"+prefix, "")
 			r.MaxTokens = 41
 			v := s.checker.begin(s.primary, r)
-			assert.Assert(c.t, v != tierv1.Verdict_OK, "the budget is forgotten")
+			assert.Assert(c.t, v != tierv1.Verdict_OK, "a turn beyond the budget was granted")
 			if v == tierv1.Verdict_SPENT {
 				return
 			}
 			s.repair()
 		}
-		c.t.Fatal("never spent")
+		c.t.Fatal("the verdict is never SPENT")
 	}
 	check("one")
 	c.crash(s.primary, true)
@@ -147,8 +149,8 @@
 	check("three")
 }
 
-// restore does what the control plane and the platform do for machines that went down: all come back; where one has lost its disk, a
-// machine that holds all takes its place, and the replica being synced is made anew.
+// restore acts as the platform and the control plane: it restarts all failed machines. If one of them has lost its disk, a machine
+// with all facts replaces it, and a new map restarts the synchronization of the backup.
 func (s *script) restore() {
 	c, wiped := s.cluster, ""
 	for _, name := range c.names {
@@ -162,7 +164,7 @@
 			c.crash(name, false)
 		}
 		c.restart(name)
-		if c.nodes[name].turnstore.WasEmpty() && c.named(v.Folder()) {
+		if c.nodes[name].turnstore.WasEmpty() && c.isAssigned(v.Folder()) {
 			wiped = name
 		}
 	}
@@ -178,8 +180,8 @@
 	s.addReplica()
 }
 
-// named reports whether the newest map names a folder in its partitions.
-func (c *cluster) named(folder string) bool {
+// isAssigned reports whether the newest map names a folder in its partitions.
+func (c *cluster) isAssigned(folder string) bool {
 	return responsibilityOf(c.partitionMap, folder) != notAssigned
 }
 
@@ -193,14 +195,14 @@
 	s.cluster.publish()
 }
 
-// disarmFault ends the fault. It reports whether all machines are up.
+// disarmFault disarms the fault, or waits for its end if it was triggered. It reports whether all machines are up.
 func (s *script) disarmFault() bool {
 	c := s.cluster
 	c.mu.Lock()
-	hit := c.faultAt > 0 && c.calls >= c.faultAt
+	faultTriggered := c.faultAt > 0 && c.calls >= c.faultAt
 	c.faultAt = 0
 	c.mu.Unlock()
-	if hit {
+	if faultTriggered {
 		<-c.faultHit
 	}
 	c.mu.Lock()
@@ -213,8 +215,8 @@
 	return true
 }
 
-// losePrimary loses the primary with its disk at once: the backup takes its place, and another machine that of the backup.
-// The new primary continues each stored turn, whether its own backup is synced or not.
+// losePrimary makes the primary lose its disk. Its successor becomes the primary, and another machine the backup. The new primary
+// must continue each stored turn at once, whether its own backup is synced or not.
 func (s *script) losePrimary() {
 	c, lost := s.cluster, s.primary
 	c.crash(lost, true)
@@ -227,12 +229,12 @@
 	}
 	s.addReplica()
 	s.continueEachTurn("at once")
-	c.synced(s.primary, partitionCount)
+	c.awaitSynced(s.primary, partitionCount)
 	c.assign(s.primary, s.backup)
 	c.publish()
 }
 
-// successor is the machine that takes the place of a lost primary.
+// successor returns the machine that replaces a lost primary.
 func (s *script) successor(lost string) string {
 	if s.cluster.injection.successor != nil {
 		return s.cluster.injection.successor(s, lost)
@@ -240,18 +242,18 @@
 	return s.backup
 }
 
-// await restores what goes down until the primary reports the replicas of the backup.
-func (s *script) await() {
+// awaitReplicas restores failed machines until the primary reports all replicas of the backup as synced.
+func (s *script) awaitReplicas() {
 	for range 200 {
 		s.restore()
 		reports, changed := s.cluster.reports(s.primary)
-		whole := 0
+		syncedCount := 0
 		for _, r := range reports {
 			if r.Folder == s.cluster.nodes[s.backup].turnstore.Folder() {
-				whole++
+				syncedCount++
 			}
 		}
-		if whole >= partitionCount && s.disarmFault() {
+		if syncedCount >= partitionCount && s.disarmFault() {
 			return
 		}
 		select {
--- a/internal/tier/turnstore/settle.go
+++ b/internal/tier/turnstore/settle.go
@@ -8,10 +8,10 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Settle implements tierv1.TurnStore: it ends the reservation of an attempt, with its turn if that is to be stored. The verdict is
-// OK once the settlement is synced here and at all backups, and BUSY if it is not within Config.RequestTimeout. An
-// attempt without a reservation is settled too, as only an earlier primary may have known its reservation. Its errors are twirp's of
-// invalid arguments.
+// Settle implements tierv1.TurnStore: it ends the reservation of an attempt, with its turn if that is to be stored. The verdict is OK
+// once the settlement is synced here and at all backups, and BUSY if it is not synced within Config.RequestTimeout. An attempt
+// without a reservation is settled too, as its reservation may have been stored only by an earlier primary. Its errors are twirp
+// errors for invalid arguments.
 func (store *TurnStore) Settle(ctx context.Context, req *tierv1.SettleRequest) (*tierv1.SettleReply, error) {
 	if req.Attempt == "" {
 		return nil, twirp.RequiredArgumentError("attempt")
@@ -37,7 +37,7 @@
 			return &tierv1.SettleReply{Verdict: tierv1.Verdict_OK}, nil
 		case timedOut, diskFailed:
 			return &tierv1.SettleReply{Verdict: tierv1.Verdict_BUSY}, nil
-		case termEnded: // tried anew
+		case termEnded: // try again
 		}
 	}
 }
--- a/internal/tier/turnstore/state.go
+++ b/internal/tier/turnstore/state.go
@@ -15,11 +15,11 @@
 
 // state is the state machine: the facts of all partitions. It does no I/O, reads no clock, and leaves the locking to its caller.
 type state struct {
-	partitions map[uint32]*partition
-	memory     int64         // bytes, estimated
-	disk       int64         // bytes of a compacted write-ahead log, estimated
-	longest    time.Duration // longest retention seen
-	generation uint32        // of the write-ahead log: the number of compactions begun
+	partitions       map[uint32]*partition
+	memory           int64         // bytes, estimated
+	disk             int64         // bytes of a compacted write-ahead log, estimated
+	longestRetention time.Duration // of all reservations and turns so far
+	generation       uint32        // of the write-ahead log: the number of compactions begun
 }
 
 // newState returns a state without facts.
@@ -35,9 +35,9 @@
 	return p
 }
 
-// add merges a fact into its partition and reports whether that changed anything. The result does not depend on the order of facts, so
-// replicas that have the same facts agree: a turn wins over none, the larger number of tokens wins, and of two equal kinds the first
-// one stands.
+// add merges a fact into its partition and reports whether that changed anything. The result does not depend on the order of facts,
+// so replicas that have the same facts agree: a turn takes precedence over none, the larger number of tokens over the smaller, and of
+// two facts of the same kind the first one is kept.
 func (s *state) add(f *tierv1.Fact, now time.Time) bool {
 	if f.Attempt == "" {
 		return false
@@ -76,12 +76,12 @@
 	before := e.charge()
 	e.reserved, e.limited, e.budget, e.maxTokens = true, reservation.Limited, reservation.Budget, reservation.MaxTokens
 	e.retentionMs = reservation.RetentionMs
-	s.longest = max(s.longest, time.Duration(e.retentionMs)*time.Millisecond)
+	s.longestRetention = max(s.longestRetention, time.Duration(e.retentionMs)*time.Millisecond)
 	e.program.charged += e.charge() - before
 	return true
 }
 
-// addSettlement adds a settlement that brings a turn, or more tokens, than the attempt has.
+// addSettlement adds the first settlement of an attempt, or one that adds its turn or more tokens.
 func (s *state) addSettlement(p *partition, f *tierv1.Fact, settlement *tierv1.Settlement, now time.Time) bool {
 	if settlement == nil {
 		return false
@@ -141,7 +141,7 @@
 		return
 	}
 	e.turn, e.storedAt = t, now
-	s.longest = max(s.longest, retention(t))
+	s.longestRetention = max(s.longestRetention, retention(t))
 	s.memory += turnSize(t)
 }
 
@@ -163,7 +163,7 @@
 	failedEndpoints []failedEndpoint // recent ones, oldest first
 }
 
-// entry is what the facts of an attempt add up to: its reservation, its settlement, and its turn.
+// entry is the merged facts of an attempt: its reservation, its settlement, and its turn.
 type entry struct {
 	attempt           string
 	program           *program     // nil for a turn that is only adopted
--- a/internal/tier/turnstore/state_test.go
+++ b/internal/tier/turnstore/state_test.go
@@ -10,14 +10,14 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-func reservedFact(attempt string, most uint64) *tierv1.Fact {
+func reservedFact(attempt string, maxTokens uint64) *tierv1.Fact {
 	return &tierv1.Fact{Program: "p", Attempt: attempt, Of: &tierv1.Fact_Reserved{Reserved: &tierv1.Reservation{
-		Limited: true, Budget: 100, MaxTokens: most}}}
+		Limited: true, Budget: 100, MaxTokens: maxTokens}}}
 }
 
-func settledFact(attempt, previous string, tokens uint64, kept bool) *tierv1.Fact {
+func settledFact(attempt, previous string, tokens uint64, withTurn bool) *tierv1.Fact {
 	s := &tierv1.Settlement{Tokens: tokens}
-	if kept {
+	if withTurn {
 		s.Turn = turn("p", attempt, previous)
 	}
 	return &tierv1.Fact{Program: "p", Attempt: attempt, Of: &tierv1.Fact_Settled{Settled: s}}
@@ -45,8 +45,8 @@
 		}
 		p := s.partition(0)
 		assert.Equal(t, p.programs["p"].charged, uint64(9+30+5))
-		chain, stands := p.chain("c", false, 0, now)
-		assert.Equal(t, stands, chainComplete)
+		chain, status := p.chain("c", false, 0, now)
+		assert.Equal(t, status, chainComplete)
 		assert.Equal(t, len(chain), 3)
 	}
 }
--- a/internal/tier/turnstore/storeddata_test.go
+++ b/internal/tier/turnstore/storeddata_test.go
@@ -18,8 +18,8 @@
 )
 
 // storedFolders are folders below testdata/stored that were written by the program as of commit eea23b3, before the renaming of its
-// types: "compacted" is that of a primary that was compacted, wrote on and lost power within a record; "appended" that of its backup,
-// never compacted. A later version must read the same from them: they are not to be written anew.
+// types: "compacted" is that of a primary that was compacted, continued to write and lost power within a record; "appended" that of
+// its backup, never compacted. A later version must read the same from them: they must not be generated again.
 var storedFolders = []string{"compacted", "appended"}
 
 func TestStoredData_OpensFolderOfEarlierVersion(t *testing.T) {
@@ -49,7 +49,7 @@
 	return store
 }
 
-// copyOfFolder replicas a folder's files, as opening one writes to it.
+// copyOfFolder copies a folder's files, as opening a folder writes to it.
 func copyOfFolder(t *testing.T, from string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -63,15 +63,15 @@
 	return dir
 }
 
-// listing is all that a turn store has read: its identity, estimated sizes, and what its partitions hold.
+// listing returns all that a turn store has read: its identity, the estimated sizes, and the facts of its partitions.
 func listing(t *testing.T, store *TurnStore) string {
 	t.Helper()
 	assert.Assert(t, !store.WasEmpty())
-	header := fmt.Sprintf("folder %s memory %d disk %d longest retention %s\n", store.Folder(), store.state.memory, store.state.disk, store.state.longest)
+	header := fmt.Sprintf("folder %s memory %d disk %d longest retention %s\n", store.Folder(), store.state.memory, store.state.disk, store.state.longestRetention)
 	return header + facts(t, store)
 }
 
-// facts lists what the partitions hold, as another replica or a write-ahead log gets it, and what their budgets are charged.
+// facts lists the facts of all partitions, encoded as for another replica or a write-ahead log, and the charges of their programs.
 func facts(t *testing.T, store *TurnStore) string {
 	t.Helper()
 	var out strings.Builder
--- a/internal/tier/turnstore/synchronize.go
+++ b/internal/tier/turnstore/synchronize.go
@@ -15,7 +15,7 @@
 	maxKeysPerFetch        = 512 // keys of one Fetch
 	minSynchronizeBackoff  = 50 * time.Millisecond
 	maxSynchronizeBackoff  = time.Second
-	maxThrottle            = 250 * time.Millisecond // pause after a step
+	maxThrottle            = 250 * time.Millisecond // longest pause after a step
 	compareTimeoutMultiple = 8                      // the reply to Held may take this many times ReplyTimeout
 )
 
@@ -29,9 +29,9 @@
 	}
 }
 
-// synchronize brings the backup and this turn store to the same facts, once in each term, while requests are served: the anti-entropy
-// for the facts from before the term. It retries with a backoff until it succeeds or the term ends. A backup that is
-// unresponsive delays no synchronization but those with itself.
+// synchronize exchanges missing facts between the backup and this turn store, once in each term, while requests are served. It is the
+// anti-entropy for facts from before the term. It retries with a backoff until it succeeds or the term ends. An unresponsive backup
+// delays only the synchronizations with itself.
 func (r *replicator) synchronize() {
 	defer r.store.background.Done()
 	comparisons := r.store.comparisonSlotsOf(r.folder)
@@ -115,8 +115,9 @@
 	}
 }
 
-// reconcile compares what the backup and this turn store have, and transfers what either lacks. As soon as the batch that it
-// returns is acknowledged, the backup has all that was here at the time of the comparison. It returns nil if it has to be retried.
+// reconcile compares the facts of the backup and of this turn store, and transfers those that either lacks. As soon as the batch that
+// it returns is acknowledged, the backup has all facts that were here at the time of the comparison. It returns nil if it has to be
+// retried.
 func (r *replicator) reconcile(failures int) *replicationBatch {
 	store := r.store
 	client := store.client(r.folder)
@@ -129,7 +130,7 @@
 	if err != nil || !reply.Ok {
 		return nil
 	}
-	if !r.acquire(store.transferSlots) { // only now: an unresponsive backup must not hold a slot
+	if !r.acquire(store.transferSlots) { // acquired after the reply, as an unresponsive backup must not occupy a slot
 		return nil
 	}
 	defer func() { <-store.transferSlots }()
@@ -142,17 +143,17 @@
 		store.mu.Unlock()
 		return nil
 	}
-	var missingThere []*entry
+	var missingAtBackup []*entry
 	for _, e := range r.partition.entries {
 		if e.missingFrom(held) {
-			missingThere = append(missingThere, e)
+			missingAtBackup = append(missingAtBackup, e)
 		}
 	}
-	missingHere := r.partition.missing(reply.Keys)
-	// What was added in this term before the reply was made is in batches before this one.
+	missingLocally := r.partition.missing(reply.Keys)
+	// Facts added in this term before the reply was made are in batches before this one.
 	marker := r.enqueue(nil, 0)
 	store.mu.Unlock()
-	if !r.pull(client, missingHere, failures) || !r.push(missingThere, failures) {
+	if !r.pull(client, missingLocally, failures) || !r.push(missingAtBackup, failures) {
 		return nil
 	}
 	return marker
@@ -233,7 +234,7 @@
 		}
 		store.mu.Unlock()
 		if len(facts) > 0 && !r.replicate(facts, size, failures) {
-			return false // the next comparison leaves out what has arrived
+			return false // the next comparison excludes the facts that have arrived
 		}
 		missing = missing[n:]
 		if !r.throttle(began) {
--- a/internal/tier/turnstore/synchronize_test.go
+++ b/internal/tier/turnstore/synchronize_test.go
@@ -9,7 +9,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A backup that is unresponsive holds up the synchronizations with no other one.
+// An unresponsive backup must not delay the synchronizations with other backups.
 func TestSynchronize_UnresponsiveBackupDelaysNoOther(t *testing.T) {
 	const partitions = 32
 	c := newCluster(t, "a", "b", "c")
@@ -28,7 +28,7 @@
 	c.mu.Unlock()
 	began := time.Now()
 	c.publish()
-	c.synced("a", partitions)
+	c.awaitSynced("a", partitions)
 	took := time.Since(began)
 	reports, _ := c.nodes["a"].turnstore.SyncedReplicas()
 	for _, r := range reports {
@@ -36,33 +36,33 @@
 	}
 	comparison := compareTimeoutMultiple * c.nodes["a"].turnstore.cfg.ReplyTimeout // what a comparison with the unresponsive one takes
 	t.Logf("%d replicas synced in %v; %v for a comparison with the unresponsive one", partitions, took, comparison)
-	assert.Assert(t, took < 4*comparison, "%v: other synchronizations waited for it", took)
+	assert.Assert(t, took < 4*comparison, "%v: other synchronizations waited for the unresponsive backup", took)
 }
 
-// A settlement that a later one raised while a replica was away comes to that replica before it is reported synced.
+// A settlement that a later one raised while a replica was partitioned must reach that replica before it is reported synced.
 func TestSynchronize_TransfersRaisedSettlement(t *testing.T) {
 	for _, primaryLacks := range []bool{false, true} {
 		c, k := newPair(t)
-		assert.Equal(t, k.begin("a", ask("t1", "")), ok)
+		assert.Equal(t, k.begin("a", beginRequest("t1", "")), ok)
 		assert.Equal(t, k.settle("a", "p", "t1", "", 5), ok)
 		c.mu.Lock()
 		c.nodes["b"].partitioned = true
 		c.mu.Unlock()
 		c.assign("a", "?c")
 		c.publish("a", "c")
-		c.synced("a", partitionCount)
+		c.awaitSynced("a", partitionCount)
 		assert.Equal(t, k.settle("a", "p", "t1", "", 20), ok)
 		c.mu.Lock()
 		c.nodes["b"].partitioned = false
 		c.mu.Unlock()
 		if primaryLacks {
-			c.assign("b", "?a", "?c") // b lacks what it is the primary of: no map of the control plane's, but replicas must still agree
+			c.assign("b", "?a", "?c") // b lacks facts: the control plane makes no such map, but replicas must still agree
 			c.publish()
-			c.synced("b", 2*partitionCount)
+			c.awaitSynced("b", 2*partitionCount)
 		} else {
 			c.assign("a", "c", "?b")
 			c.publish()
-			c.synced("a", partitionCount)
+			c.awaitSynced("a", partitionCount)
 		}
 		for _, name := range c.names {
 			v := c.nodes[name].turnstore
@@ -74,13 +74,13 @@
 	}
 }
 
-// A synchronization of an old epoch that ends after a newer map came is reported for neither.
+// A synchronization of an old epoch that ends after a newer map has been applied must not be reported for either epoch.
 func TestSynchronize_OfOldEpochIsNotReported(t *testing.T) {
 	c, k := newPair(t)
 	k.mustStore("a", "t1", "")
 	a := c.nodes["a"].turnstore
 	for range maxTransfers {
-		a.transferSlots <- struct{}{} // compared, and held up before anything is sent
+		a.transferSlots <- struct{}{} // blocks the synchronizations between comparison and transfer
 	}
 	c.assign("a", "?c")
 	c.publish()
@@ -89,7 +89,7 @@
 	for range maxTransfers {
 		<-a.transferSlots
 	}
-	c.synced("a", partitionCount)
+	c.awaitSynced("a", partitionCount)
 	reports, _ := a.SyncedReplicas()
 	for _, r := range reports {
 		assert.Equal(t, r.Folder, c.nodes["b"].turnstore.Folder())
@@ -104,24 +104,24 @@
 	c.mu.Lock()
 	c.nodes["b"].partitioned = true
 	c.mu.Unlock()
-	assert.Equal(t, k.begin("a", ask("t2", "t1")), busy) // a holds a reservation that nobody was notified of
+	assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), busy) // a has a reservation that no other replica has
 	c.mu.Lock()
 	c.nodes["b"].partitioned = false
 	c.mu.Unlock()
 	c.assign("b", "?a", "?c")
 	c.publish()
-	c.synced("b", 2*partitionCount)
+	c.awaitSynced("b", 2*partitionCount)
 	found, err := c.nodes["b"].turnstore.Find(c.ctx, &tierv1.FindRequest{Attempt: "none"})
 	assert.NilError(t, err)
-	assert.Equal(t, len(found.Partitions), partitionCount) // every backup has taken all that came to b before
+	assert.Equal(t, len(found.Partitions), partitionCount) // every backup has acknowledged all facts that b received before
 	for _, n := range c.names {
 		v := c.nodes[n].turnstore
 		r, err := v.Fetch(c.ctx, &tierv1.FetchRequest{Keys: []string{"r/t1", "s/t1", "a/t1", "r/t2", "r/none", "?"}})
 		assert.NilError(t, err)
 		assert.Equal(t, len(r.Facts), 3, n)
 	}
-	r := ask("t3", "t1")
-	r.MaxTokens = 71                       // 10 told, 20 reserved
+	r := beginRequest("t3", "t1")
+	r.MaxTokens = 71                       // 10 settled, 20 reserved
 	assert.Equal(t, k.begin("b", r), busy) // the reservation's gateway was answered BUSY, and may be releasing it
 	c.advance(DefaultReleaseGracePeriod)
 	assert.Equal(t, k.begin("b", r), spent)
@@ -131,10 +131,10 @@
 	c, k := newPair(t)
 	w := &transport{cluster: c, to: "a"}
 	for i := range 12 {
-		body := turn("p", name(i), "")
+		body := turn("p", attemptName(i), "")
 		body.Output = make([]byte, 100<<10)
 		for {
-			r, err := w.Settle(c.ctx, &tierv1.SettleRequest{Program: "p", Attempt: name(i), Stored: true, Turn: body})
+			r, err := w.Settle(c.ctx, &tierv1.SettleRequest{Program: "p", Attempt: attemptName(i), Stored: true, Turn: body})
 			assert.NilError(t, err)
 			if r.Verdict == ok {
 				break
@@ -145,12 +145,12 @@
 	c.crash("b", true)
 	c.assign("a", "?c")
 	c.publish("a", "c")
-	c.synced("a", partitionCount)
+	c.awaitSynced("a", partitionCount)
 	assert.Equal(t, len(c.nodes["c"].turnstore.state.partition(0).entries), 12)
 	c.crash("a", true)
 	c.assign("c")
 	c.publish("c")
-	r := ask("t99", name(11))
+	r := beginRequest("t99", attemptName(11))
 	r.ChainKnown = true
-	assert.Equal(t, k.beginUntilCertain("c", r), ok)
+	assert.Equal(t, k.beginUntilNotBusy("c", r), ok)
 }
--- a/internal/tier/turnstore/term.go
+++ b/internal/tier/turnstore/term.go
@@ -8,7 +8,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// role is the role of this turn store in a partition, as far as this process knows. It is not stored.
+// role is the role of this turn store in a partition, by the newest epoch that this process has observed. It is not stored.
 type role struct {
 	epoch           uint64    // newest epoch observed, in a map or in a request of another replica
 	primary         string    // folder of the primary of that epoch; empty if unknown
@@ -27,8 +27,8 @@
 	ended       bool
 	// pendingRecoveries is the number of backups from which the missing facts have yet to be pulled (Partition.RecoverFrom).
 	pendingRecoveries int
-	// unconfirmed is set until the control plane has confirmed the recovery. Nothing is answered before, so that the control plane
-	// knows in which epochs anything can have been acknowledged.
+	// unconfirmed is set until the control plane has confirmed the recovery. The partition is not served before, so that the control
+	// plane can tell in which epochs facts can have been acknowledged.
 	unconfirmed bool
 	// primarySince is when this turn store could first answer as the primary: at the start of the first of the continued terms, or
 	// when the recovery was confirmed.
@@ -71,8 +71,8 @@
 	store.startSynchronizations(t, func(r *replicator) bool { return t.pendingRecoveries == 0 || r.recovering })
 }
 
-// continuedTerm returns the term that the next epoch of a partition continues: this turn store was the primary without a gap, so it has
-// received all releases. It returns nil if there is none.
+// continuedTerm returns the current term if the next epoch of a partition continues it: this turn store was the primary without a
+// gap, so it has received all releases. Otherwise it returns nil.
 func (store *TurnStore) continuedTerm(p *partition, next *tierv1.Partition) *term {
 	t := p.term
 	if t == nil || t.ended || t.unconfirmed {
@@ -84,10 +84,10 @@
 	return t
 }
 
-// continueFrom makes t a continuation of the term before, which may be nil.
-func (t *term) continueFrom(before *term) {
-	if before != nil {
-		t.firstID, t.primarySince = before.firstID, before.primarySince
+// continueFrom makes t a continuation of the previous term, which may be nil.
+func (t *term) continueFrom(previous *term) {
+	if previous != nil {
+		t.firstID, t.primarySince = previous.firstID, previous.primarySince
 	}
 }
 
@@ -112,7 +112,7 @@
 	return !slices.ContainsFunc(t.replicators, func(r *replicator) bool { return !r.synchronized })
 }
 
-// acknowledgement is what a reply waits for: that its facts are synced here and acknowledged by all backups of the term.
+// acknowledgement is the condition for sending a reply: its facts are synced here and acknowledged by all backups of the term.
 type acknowledgement struct {
 	term       *term
 	logged     *logBatch           // nil: there is nothing to be synced
@@ -134,7 +134,7 @@
 func (a *acknowledgement) wait(ctx context.Context) waitOutcome {
 	for _, batch := range a.replicated {
 		select {
-		case <-batch.acknowledged: // also after the end of ctx
+		case <-batch.acknowledged: // takes precedence over the end of ctx
 			continue
 		default:
 		}
--- a/internal/tier/turnstore/term_test.go
+++ b/internal/tier/turnstore/term_test.go
@@ -32,22 +32,22 @@
 
 func TestTakeover_BetweenBeginAndSettle(t *testing.T) { runTakeover(t, injection{}) }
 
-// runTakeover lets a backup take over from a primary that is frozen, which then wakes with its old epoch.
+// runTakeover lets a backup take over from a frozen primary, which then resumes with its old epoch.
 func runTakeover(t reporter, injected injection) {
 	c, k := newPairWith(t, injected)
 	k.mustStore("a", "t1", "")
-	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
+	assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), ok)
 	c.assign("b", "?c")
-	c.publish("b", "c") // a is frozen, and hears nothing
+	c.publish("b", "c") // a is frozen and receives no map
 	assert.Equal(t, k.settle("b", "p", "t2", "t1", 20), ok)
 	for _, a := range []string{"t3", "t4", "t5"} {
 		k.mustStore("b", a, "t2")
 	}
-	assert.Equal(t, k.begin("b", ask("t6", "t5")), ok)
-	assert.Equal(t, k.begin("b", ask("t7", "t5")), ok) // 30 + 3 * 10 + 2 * 20: all of it
-	assert.Equal(t, k.begin("b", ask("t8", "t5")), spent)
-	// a wakes: it must neither grant, nor say that something isn't there, nor that the budget is spent
-	for _, r := range []*tierv1.BeginRequest{ask("t9", "t5"), ask("t10", "t2"), ask("t11", ""), {Program: "p", Attempt: "t12", Limited: true, Budget: 1, MaxTokens: 20}} {
+	assert.Equal(t, k.begin("b", beginRequest("t6", "t5")), ok)
+	assert.Equal(t, k.begin("b", beginRequest("t7", "t5")), ok) // 30 + 3 * 10 + 2 * 20: the complete budget
+	assert.Equal(t, k.begin("b", beginRequest("t8", "t5")), spent)
+	// a resumes: its verdict must not be OK, UNKNOWN or SPENT
+	for _, r := range []*tierv1.BeginRequest{beginRequest("t9", "t5"), beginRequest("t10", "t2"), beginRequest("t11", ""), {Program: "p", Attempt: "t12", Limited: true, Budget: 1, MaxTokens: 20}} {
 		v := k.begin("a", r)
 		assert.Assert(t, v == moved || v == busy, "%v", v)
 	}
@@ -59,50 +59,50 @@
 
 func TestRecovery_FromTwoReplicas(t *testing.T) { runRecovery(t, injection{}) }
 
-// runRecovery: a primary that was a backup in an older epoch answers nothing before it has synchronized all facts with the replica that took
-// what was acknowledged since, and before the control plane knows that; then nothing that was acknowledged is missing.
+// runRecovery makes a backup of an older epoch the primary. It must answer BUSY until it has pulled all facts from the replica that
+// has the facts acknowledged since, and the control plane has confirmed the recovery. Then nothing acknowledged may be missing.
 func runRecovery(t reporter, injected injection) {
 	c, k := newPairWith(t, injected)
 	folder := func(name string) string { return c.nodes[name].turnstore.Folder() }
-	assert.Equal(t, k.begin("a", ask("t1", "")), ok)
+	assert.Equal(t, k.begin("a", beginRequest("t1", "")), ok)
 	assert.Equal(t, k.settle("a", "p", "t1", "", 5), ok)
 	c.mu.Lock()
 	c.nodes["b"].partitioned = true
 	c.mu.Unlock()
 	c.assign("a", "?c") // b is retained
 	retained := []*tierv1.RetainedReplica{{Folder: folder("b"), Until: c.partitionMap.Version - 1}}
-	for _, injected := range c.partitionMap.Partitions {
-		injected.Retained = retained
+	for _, p := range c.partitionMap.Partitions {
+		p.Retained = retained
 	}
 	c.publish("a", "c")
-	assert.Equal(t, k.begin("a", ask("t2", "t1")), ok)
+	assert.Equal(t, k.begin("a", beginRequest("t2", "t1")), ok)
 	assert.Equal(t, k.settle("a", "p", "t2", "t1", 5), ok)
 	c.crash("a", true)
 	c.mu.Lock()
 	c.nodes["b"].partitioned = false
-	c.nodes["c"].partitioned = true // b cannot reach it as yet
+	c.nodes["c"].partitioned = true // b cannot reach it yet
 	c.mu.Unlock()
 	c.assign("b", "?c")
-	for _, injected := range c.partitionMap.Partitions {
-		injected.Retained, injected.RecoverFrom, injected.AcknowledgedUntil = retained, []string{folder("c")}, injected.Epoch-1
+	for _, p := range c.partitionMap.Partitions {
+		p.Retained, p.RecoverFrom, p.AcknowledgedUntil = retained, []string{folder("c")}, p.Epoch-1
 	}
 	c.publish("b", "c")
-	assert.Equal(t, k.begin("b", ask("t3", "t2")), tierv1.Verdict_BUSY)
-	assert.Equal(t, k.begin("b", ask("t4", "nowhere")), tierv1.Verdict_BUSY)
+	assert.Equal(t, k.begin("b", beginRequest("t3", "t2")), tierv1.Verdict_BUSY)
+	assert.Equal(t, k.begin("b", beginRequest("t4", "nowhere")), tierv1.Verdict_BUSY)
 	c.mu.Lock()
 	c.nodes["c"].partitioned = false
 	c.mu.Unlock()
-	c.synced("b", partitionCount)
-	assert.Equal(t, k.begin("b", ask("t3", "t2")), tierv1.Verdict_BUSY) // until the control plane knows
+	c.awaitSynced("b", partitionCount)
+	assert.Equal(t, k.begin("b", beginRequest("t3", "t2")), tierv1.Verdict_BUSY) // until the control plane confirms the recovery
 	next := &tierv1.PartitionMap{Version: c.partitionMap.Version + 1, StoreNodes: c.partitionMap.StoreNodes}
-	for _, injected := range c.partitionMap.Partitions {
-		next.Partitions = append(next.Partitions, &tierv1.Partition{Epoch: injected.Epoch, Primary: injected.Primary,
+	for _, p := range c.partitionMap.Partitions {
+		next.Partitions = append(next.Partitions, &tierv1.Partition{Epoch: p.Epoch, Primary: p.Primary,
 			Backups: []*tierv1.Replica{{Folder: folder("c"), Synced: true}}})
 	}
 	c.partitionMap = next
 	c.publish("b", "c")
-	assert.Equal(t, k.begin("b", ask("t3", "t2")), ok)
-	assert.Equal(t, k.begin("b", ask("t4", "nowhere")), tierv1.Verdict_UNKNOWN)
+	assert.Equal(t, k.begin("b", beginRequest("t3", "t2")), ok)
+	assert.Equal(t, k.begin("b", beginRequest("t4", "nowhere")), tierv1.Verdict_UNKNOWN)
 	for _, name := range []string{"b", "c"} {
 		store := c.nodes[name].turnstore
 		store.mu.Lock()
--- a/internal/tier/turnstore/transport_test.go
+++ b/internal/tier/turnstore/transport_test.go
@@ -15,9 +15,9 @@
 	from, to string
 }
 
-var errNet = errorx.IllegalState.New("no answer")
+var errNet = errorx.IllegalState.New("no reply")
 
-// deliver serves one message, with the fault if it is the one that the fault hits.
+// deliver serves one message, and applies the fault if it hits this message.
 func deliver[Req, Rep proto.Message](ctx context.Context, w *transport, req Req, serve func(*TurnStore, context.Context, Req) (Rep, error)) (rep Rep, err error) {
 	c := w.cluster
 	req = proto.Clone(req).(Req)
@@ -29,18 +29,18 @@
 		defer func() { close(c.faultHit) }()
 	}
 	to := c.nodes[w.to]
-	off := func() bool {
+	isUnreachable := func() bool {
 		return to.down || to.partitioned || w.from != "" && (c.nodes[w.from].down || c.nodes[w.from].partitioned)
 	}
-	gone := off()
-	dark := to.unresponsive
+	unreachable := isUnreachable()
+	unresponsive := to.unresponsive
 	v := to.turnstore
 	c.mu.Unlock()
-	if dark {
+	if unresponsive {
 		<-ctx.Done()
 		return rep, errNet
 	}
-	if gone || f == lostRequest {
+	if unreachable || f == lostRequest {
 		return rep, errNet
 	}
 	switch f {
@@ -59,7 +59,7 @@
 		c.mu.Lock()
 		c.delayed = append(c.delayed, func() { _, _ = serve(c.nodes[w.to].turnstore, context.Background(), again) })
 		c.mu.Unlock()
-	default: // strikes later, or not at all
+	default: // no fault, or one that is applied after serving
 	}
 	rep, err = serve(v, ctx, req)
 	if err == nil {
@@ -76,12 +76,12 @@
 	case receiverDies:
 		c.crash(w.to, false)
 		return rep, errNet
-	default: // struck before
+	default: // no fault, or one that was applied before serving
 	}
 	c.mu.Lock()
-	gone = off()
+	unreachable = isUnreachable()
 	c.mu.Unlock()
-	if gone {
+	if unreachable {
 		return rep, errNet
 	}
 	return rep, err
--- a/internal/tier/turnstore/turnstore.go
+++ b/internal/tier/turnstore/turnstore.go
@@ -27,28 +27,30 @@
 
 	// Now is a monotonic clock. Default: time.Now.
 	Now func() time.Time
-	// ReplyTimeout bounds the time in which a backup answers a small request; larger ones get more. Default: 250 ms.
+	// ReplyTimeout bounds the time for the reply of a backup to a small request; larger requests have a longer time-out. Default: 250
+	// ms.
 	ReplyTimeout time.Duration
-	// RequestTimeout bounds the time in which a request of a gateway is answered, with BUSY at the latest. Default: 1.5 s.
+	// RequestTimeout bounds the time for the reply to a request of a gateway; after it the reply is BUSY. Default: 1.5 s.
 	RequestTimeout time.Duration
 	// RetentionSlack is how long a turn can be continued past its retention. Default: 2 s.
 	RetentionSlack time.Duration
-	// TurnLinger is how long the text of a turn is held past its retention. It must exceed RetentionSlack by the duration of the
+	// TurnLinger is how long the text of a turn is stored past its retention. It must exceed RetentionSlack by the duration of the
 	// longest turn. Default: 30 s.
 	TurnLinger time.Duration
-	// BudgetLinger is how long a budget is remembered past the longest retention, from its program's last request on.
-	// Default: 120 s.
+	// BudgetLinger is how long a budget is stored past the longest retention, counted from its program's last request. Default: 120
+	// s.
 	BudgetLinger time.Duration
 	// WriteTimeout is the time after which a write or sync that has not returned counts as stuck. Default: 2 s.
 	WriteTimeout time.Duration
-	// ReleaseGracePeriod is the time in which releases of gateways arrive after this turn store has become a primary; until then
-	// a budget is not spent by earlier reservations. Default: DefaultReleaseGracePeriod; see the function ReleaseGracePeriod.
+	// ReleaseGracePeriod is the time in which releases of gateways arrive after this turn store has become a primary; until it has
+	// passed, a budget does not count as spent because of earlier reservations. Default: DefaultReleaseGracePeriod; see the function
+	// ReleaseGracePeriod.
 	ReleaseGracePeriod time.Duration
 	// UnassignedRetention is the time after which the facts of a partition that is assigned elsewhere are dropped. Default: 30 s.
 	UnassignedRetention time.Duration
 }
 
-// setDefaults replaces what is zero by its default.
+// setDefaults sets each option that is zero to its default.
 func (c *Config) setDefaults() {
 	set := func(d *time.Duration, to time.Duration) {
 		if *d == 0 {
@@ -90,7 +92,7 @@
 	state           *state
 	commit          *groupCommitter  // replaced when the write-ahead log is reopened
 	diskState       tierv1.DiskState // as of the last CheckDisk
-	diskSince       time.Time        // when it was last found sound no more
+	diskSince       time.Time        // when it was last found not sound
 	activeFile      int              // index in logFiles of the one that is appended to
 	hasMap          bool
 	mapVersion      uint64
@@ -100,7 +102,7 @@
 	comparisonSlots map[string]chan struct{} // by folder: semaphore of the comparisons with that turn store
 	lastTermID      uint64                   // ID of the last term begun
 	changed         chan struct{}            // closed, and replaced, at each change that SyncedReplicas or AwaitHandover wait for
-	expiryGroup     uint32                   // partitions that the next RemoveExpired looks at
+	expiryGroup     uint32                   // group of partitions that the next RemoveExpired checks, modulo expiryGroups
 	background      sync.WaitGroup
 	closed          bool
 }
@@ -136,7 +138,7 @@
 	return store, nil
 }
 
-// loadIdentity reads the ID of the data folder, or draws one for a new folder.
+// loadIdentity reads the ID of the data folder, or generates one for a new folder.
 func (store *TurnStore) loadIdentity() error {
 	file, err := wal.Open(store.cfg.FS, store.cfg.Dir, "identity", func(record []byte) error {
 		store.folder = string(record)
@@ -148,11 +150,11 @@
 	if store.folder != "" {
 		return file.Close()
 	}
-	var drawn [8]byte
-	if _, err := rand.Read(drawn[:]); err != nil {
-		return errorx.Decorate(err, "draw identity")
+	var randomID [8]byte
+	if _, err := rand.Read(randomID[:]); err != nil {
+		return errorx.Decorate(err, "generate folder ID")
 	}
-	store.folder, store.wasEmpty = hex.EncodeToString(drawn[:]), true
+	store.folder, store.wasEmpty = hex.EncodeToString(randomID[:]), true
 	if err := file.Append([]byte(store.folder)); err != nil {
 		return err
 	}
@@ -162,14 +164,14 @@
 	return file.Close()
 }
 
-// Folder returns the ID that was drawn when the data folder was created.
+// Folder returns the ID that was generated when the data folder was created.
 func (store *TurnStore) Folder() string { return store.folder }
 
 // WasEmpty reports whether this process has created the data folder.
 func (store *TurnStore) WasEmpty() bool { return store.wasEmpty }
 
-// Close ends all terms, awaits the background goroutines, and closes the write-ahead logs. What was answered with OK is synced. It is
-// idempotent; errors are those of the disk.
+// Close ends all terms, awaits the background goroutines, and closes the write-ahead logs. All facts answered with OK are synced. It
+// is idempotent; errors are those of the disk.
 func (store *TurnStore) Close() error {
 	store.mu.Lock()
 	if store.closed {
@@ -212,7 +214,7 @@
 	}
 }
 
-// diskFailure returns a channel that is closed when a write fails, or nil while the disk is known to have failed.
+// diskFailure returns a channel that is closed when a write fails, or nil if the last CheckDisk has found the failure already.
 func (store *TurnStore) diskFailure() <-chan struct{} {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -225,7 +227,8 @@
 // maxBackoffDoublings bounds how often a backoff is doubled.
 const maxBackoffDoublings = 5
 
-// backoff returns the pause after failures in a row: the initial one, doubled for each failure, and not more than limit.
+// backoff returns the pause after a number of consecutive failures: the initial one, doubled for each failure, and not more than
+// limit.
 func backoff(initial time.Duration, failures int, limit time.Duration) time.Duration {
 	return min(initial<<min(failures, maxBackoffDoublings), limit)
 }
--- a/internal/tier/wal/wal.go
+++ b/internal/tier/wal/wal.go
@@ -105,9 +105,9 @@
 	case file.closed:
 		return Misuse.New("%s was closed during a sync", file.path)
 	case file.handle != handle && err != nil:
-		return IO.Wrap(err, "sync %s: replaced by a rewrite during the sync", file.path) // the new file is usable
+		return IO.Wrap(err, "sync %s: file was replaced during the sync", file.path) // the new file is usable
 	case file.reopens != reopens:
-		return IO.New("sync %s: reopened during the sync", file.path)
+		return IO.New("sync %s: file was reopened during the sync", file.path)
 	case file.handle != handle:
 		return nil
 	case err != nil:
