--- a/internal/tier/consensus/acceptor.go
+++ b/internal/tier/consensus/acceptor.go
@@ -6,9 +6,9 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// handlePrepare handles the prepare phase of a proposal: it promises to take part in no lower epoch, if it may. Epoch 0 is a
-// pre-vote, which binds nobody: it asks whether the callee would prepare an epoch now, so that a candidate that cannot win makes
-// nobody prepare, and what the callee knows.
+// handlePrepare handles a prepare: it promises to take part in no lower epoch, unless the primary is protected or the epoch is not above
+// the prepared one. Epoch 0 is a pre-vote and records no promise. It asks whether this replica would prepare an epoch now, so that a
+// candidate that cannot win makes no member prepare, and which views this replica has seen.
 func (r *replica) handlePrepare(request *tierv1.PrepareRequest) *tierv1.PrepareReply {
 	r.recordContact(request.From)
 	reply := &tierv1.PrepareReply{Self: r.self, Genesis: r.Genesis, Sequence: r.sequence}
@@ -26,8 +26,7 @@
 	return reply
 }
 
-// protectsPrimary reports whether the primary is known to be alive so recently that no other folder may depose it (Raft's leader
-// stickiness).
+// protectsPrimary reports whether the primary was alive so recently that no other folder may depose it (Raft's leader stickiness).
 func (r *replica) protectsPrimary(folder string) bool {
 	if r.primary != nil {
 		return folder != r.Folder && r.confirmedWithin(r.timing.lease)
@@ -35,19 +34,21 @@
 	return r.primarySeen && r.now-r.primarySeenAt < r.timing.primaryProtection && (r.chosen == nil || folder != r.chosen.Primary)
 }
 
-// yieldsToProposer reports whether another proposer prepared this replica so recently that its view may be on its way. That keeps
-// a primary that is back at once from disturbing the one that takes over. It is asked in pre-votes only, so it binds nobody.
+// yieldsToProposer reports whether this replica prepared for another proposer so recently that the view of that proposer may still be in
+// progress. This prevents a primary that restarts quickly from disturbing a takeover. It applies to pre-votes only, so it never refuses a
+// prepare.
 func (r *replica) yieldsToProposer(folder string) bool {
 	return r.preparedAt > 0 && r.preparedEpoch > epochOf(r.chosen) && r.preparedFor != folder && r.now-r.preparedAt < r.takeoverTime()
 }
 
-// takeoverTime is for how long a proposer that prepared this replica is not disturbed: it transfers a state that is about as
-// large as this one.
+// takeoverTime returns how long this replica does not compete with a proposer that it prepared for. It covers the transfer of a state that
+// is about as large as this replica's.
 func (r *replica) takeoverTime() time.Duration {
 	return r.timing.callTimeout/2 + r.timing.transferTime(r.size)
 }
 
-// prepare records that this replica takes part in no epoch below, and in this one only for the proposer, which may be itself.
+// prepare records the promise that this replica takes part in no epoch below epoch, and in epoch itself only for proposer, which may be
+// this replica.
 func (r *replica) prepare(epoch uint64, proposer string) {
 	r.preparedEpoch, r.preparedFor, r.preparedAt = epoch, proposer, r.now
 	r.highestEpoch = max(r.highestEpoch, epoch)
@@ -64,8 +65,8 @@
 	r.candidacyAt = max(r.candidacyAt, r.now+r.takeoverTime()+r.jitter(r.timing.heartbeatInterval))
 }
 
-// handleAccept accepts a view under the epoch prepared last, from the proposer that prepared it. A folder created since then
-// refuses: it has prepared nothing.
+// handleAccept accepts a view under the last prepared epoch, from the proposer that it was prepared for. A folder created since then
+// refuses, as it has prepared no epoch.
 func (r *replica) handleAccept(request *tierv1.AcceptRequest) *tierv1.AcceptReply {
 	r.recordContact(request.From)
 	reply := &tierv1.AcceptReply{}
@@ -77,15 +78,15 @@
 	return reply
 }
 
-// preparedExactly reports whether the epoch prepared last is this one, for this proposer.
+// preparedExactly reports whether the last prepared epoch is epoch, and was prepared for proposer.
 func (r *replica) preparedExactly(epoch uint64, proposer string) bool {
 	return epoch > 0 && epoch == r.preparedEpoch && proposer == r.preparedFor
 }
 
-// acceptView persists that a view is accepted.
+// acceptView persists a view as accepted.
 func (r *replica) acceptView(view *tierv1.View) {
 	if epochOf(r.accepted) == view.Epoch {
-		return // doubled
+		return // duplicate
 	}
 	r.accepted = view
 	r.persist(encodeMessage(kindAccepted, view), true)
--- a/internal/tier/consensus/actions.go
+++ b/internal/tier/consensus/actions.go
@@ -25,7 +25,7 @@
 		sequence uint64 // of the write; 0 for a confirm and with an error
 		err      error
 	}
-	// transition is a change of the replica's part in the group, for the log.
+	// transition is a change of the replica's role, a proposal that ended or a rejected write, for the log.
 	transition struct {
 		message string
 		reason  string // may be empty
--- a/internal/tier/consensus/backup.go
+++ b/internal/tier/consensus/backup.go
@@ -14,18 +14,18 @@
 	return &tierv1.HeartbeatReply{Self: r.self, HighestPrepared: r.preparedEpoch, Sequence: r.sequence, IsMember: r.isVoter(r.chosenMembers())}
 }
 
-// isFromPrimary reports whether a heartbeat is of the newest chosen view and from its primary.
+// isFromPrimary reports whether a heartbeat carries the newest chosen view and is from its primary.
 func (r *replica) isFromPrimary(request *tierv1.HeartbeatRequest) bool {
 	return r.chosen != nil && request.View != nil && request.From != nil && request.View.Epoch == r.chosen.Epoch && request.From.Folder == r.chosen.Primary
 }
 
-// expectsTakeover reports whether a proposer that this replica prepared for may be about to replace the primary that sent a heartbeat: then
-// the heartbeat does not count.
+// expectsTakeover reports whether a proposer that this replica prepared for may be about to replace the primary that sent a heartbeat. If
+// so, the heartbeat is not counted.
 func (r *replica) expectsTakeover(request *tierv1.HeartbeatRequest) bool {
 	return r.preparedEpoch > r.chosen.Epoch && r.preparedFor != request.From.Folder && r.now-r.preparedAt <= r.timing.electionTimeout
 }
 
-// recordPrimaryAlive starts the election time-out again, and ends a pre-vote.
+// recordPrimaryAlive restarts the election time-out, and ends a pre-vote.
 func (r *replica) recordPrimaryAlive(address string) {
 	r.primarySeenAt, r.primarySeen = r.now, true
 	r.checkPrimaryAt = r.now + r.timing.heartbeatInterval*3/2
@@ -38,8 +38,8 @@
 	}
 }
 
-// handleWrite applies writes of the primary, or a snapshot, to the state of this backup. It is idempotent: a doubled or overtaken
-// write is acknowledged again.
+// handleWrite applies writes of the primary, or a snapshot, to the state of this backup. It is idempotent: a duplicate write, or one that
+// later writes have superseded, is acknowledged again.
 func (r *replica) handleWrite(request *tierv1.WriteRequest) *tierv1.WriteReply {
 	reply := &tierv1.WriteReply{HighestPrepared: r.preparedEpoch}
 	if !r.preparedExactly(request.Epoch, request.From) || request.From == r.Folder || request.Epoch < r.stateEpoch {
@@ -50,7 +50,7 @@
 		case r.stateEpoch != request.Epoch || r.sequence < request.PreviousSequence:
 			reply.Behind = true
 			return reply
-		case r.sequence >= request.Sequence: // doubled, or it only asks whether the epoch stands
+		case r.sequence >= request.Sequence: // duplicate, or a confirm, which has no entries
 			reply.Acknowledged = true
 			return reply
 		case r.sequence != request.PreviousSequence:
@@ -58,11 +58,11 @@
 			return reply
 		}
 	} else if r.stateEpoch == request.Epoch && r.sequence >= request.Sequence {
-		reply.Acknowledged = true // doubled, or overtaken by the writes that followed it
+		reply.Acknowledged = true // duplicate, or superseded by the writes that followed it
 		return reply
 	}
-	if !fitsRecord(request) { // of a program without StateLimit
-		r.log("write rejected", "it does not fit one record of the file")
+	if !fitsRecord(request) { // sent by a version without StateLimit
+		r.log("write rejected", "larger than one record of the file")
 		return reply
 	}
 	r.apply(request)
--- a/internal/tier/consensus/client.go
+++ b/internal/tier/consensus/client.go
@@ -9,8 +9,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// send makes a call of the replica. Its result, or its failure, is an event. The goroutine ends with the call, whose context ends with its
-// time-out or with ctx; Run does not wait for it, as an event that comes after Run has ended is dropped.
+// send makes a call of the replica in a goroutine and posts its result or failure as an event. The context of the call ends with the
+// time-out of the call or with ctx. Run does not wait for the goroutine, as an event posted after Run has ended is dropped.
 func (node *Node) send(ctx context.Context, call outgoingCall) {
 	client := node.clients[call.address]
 	if client == nil {
@@ -28,7 +28,7 @@
 	}()
 }
 
-// invoke calls the method that a request belongs to.
+// invoke calls the method of the Election service that takes a request of this type.
 func invoke(ctx context.Context, client tierv1.Election, body proto.Message) (proto.Message, error) {
 	switch request := body.(type) {
 	case *tierv1.PrepareRequest:
@@ -42,5 +42,5 @@
 	case *tierv1.JoinRequest:
 		return client.Join(ctx, request)
 	}
-	return nil, twirp.NewError(twirp.Unimplemented, "no such call")
+	return nil, twirp.NewError(twirp.Unimplemented, "unknown request type")
 }
--- a/internal/tier/consensus/disk_failure.go
+++ b/internal/tier/consensus/disk_failure.go
@@ -6,12 +6,12 @@
 	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
-// A disk that fails is a state of the node, not its end. While it lasts there is no replica: it neither leads nor prepares,
-// accepts or writes anything. Callers of the service get Unavailable, Put and Confirm ErrNotPrimary, and what is only shown
-// (View, Members, Get) stays as it was. When the disk works again the replica is built from the file, as after a restart.
+// A disk failure does not end the node. While the disk fails there is no replica: the node neither leads nor prepares, accepts or writes
+// anything. Callers of the service get Unavailable, Put and Confirm return ErrNotPrimary, and the other methods (View, Members, Get)
+// return what was published last. When the disk works again the replica is built from the file, as after a restart.
 const (
-	// The first retry comes a heartbeat after the failure; the backoff doubles up to maxDiskBackoff heartbeats. A failure
-	// diskBackoffReset heartbeats after the last recovery starts at the beginning.
+	// The first retry follows one heartbeat interval after the failure; the backoff doubles up to maxDiskBackoff intervals. A failure at
+	// least diskBackoffReset intervals after the last recovery starts with the first backoff again.
 	maxDiskBackoff   = 16
 	diskBackoffReset = 40
 )
@@ -21,7 +21,7 @@
 	return errorx.IsOfType(err, wal.IO) || errorx.IsOfType(err, wal.Broken) || errorx.IsOfType(err, wal.NoSpace)
 }
 
-// failDisk drops the replica: leadership, proposals and calls end as by a power loss. recoverDisk is tried with backoff.
+// failDisk drops the replica: leadership, proposals and calls end as after a power loss. recoverDisk is retried with backoff.
 func (node *Node) failDisk(err error) {
 	node.dropReplica()
 	now := node.now()
@@ -40,7 +40,7 @@
 	node.mu.Lock()
 	node.published.primary, node.published.primaryHint, node.published.health = false, "", Health{Disk: err, Losses: node.config.Losses, Tolerates: ToleranceUnknown}
 	node.inbox = nil
-	node.endCallers()
+	node.failPending()
 	node.mu.Unlock()
 	node.config.Log.Error().Str("event", "disk_failed").Str("file", fileName).Err(err).Msg("disk failed")
 }
@@ -62,15 +62,15 @@
 	return nil
 }
 
-// restartWithoutRecord goes on after the file refused a record as too large. Nothing of the step was written, though calls that
-// do not wait for the disk have left: the replica is built anew from the file, as after a restart. The disk is sound, and not
-// reported as failing. The replica produces no such record by itself, see StateLimit.
+// restartWithoutRecord recovers after the file rejected a record as too large. Nothing of the step was written, but calls that do not wait
+// for the disk have been sent, so the replica is built again from the file, as after a restart. The disk works and is not reported as
+// failing. The replica produces no such record by itself, see StateLimit.
 func (node *Node) restartWithoutRecord(err error) {
 	node.config.Log.Error().Str("event", "record_refused").Str("file", fileName).Err(err).Msg("file rejected a record as too large")
 	node.dropReplica()
 	node.mu.Lock()
 	node.inbox = nil
-	node.endCallers()
+	node.failPending()
 	node.mu.Unlock()
 	if err := node.openReplica(); err != nil {
 		node.failDisk(err)
@@ -79,7 +79,7 @@
 	node.publish(true)
 }
 
-// dropReplica forgets the replica. Late results of its calls find no other.
+// dropReplica discards the replica. Its last call ID is saved, so that late results of its calls match no call of the next replica.
 func (node *Node) dropReplica() {
 	if node.replica == nil {
 		return
@@ -88,15 +88,16 @@
 	node.replica = nil
 }
 
-// endCallers ends all that wait for the loop: their outcome is unknown. The lock is held.
-func (node *Node) endCallers() {
-	for token, caller := range node.outcomes {
+// failPending ends all pending operations with ErrOutcomeUnknown and closes the channels of all pending replies. The caller must hold
+// node.mu.
+func (node *Node) failPending() {
+	for token, waiter := range node.outcomes {
 		delete(node.outcomes, token)
-		caller <- outcome{token, 0, ErrOutcomeUnknown}
+		waiter <- outcome{token, 0, ErrOutcomeUnknown}
 	}
-	for token, caller := range node.replies {
+	for token, waiter := range node.replies {
 		delete(node.replies, token)
-		close(caller)
+		close(waiter)
 	}
 	close(node.changed)
 	node.changed = make(chan struct{})
--- a/internal/tier/consensus/disk_failure_test.go
+++ b/internal/tier/consensus/disk_failure_test.go
@@ -18,7 +18,7 @@
 )
 
 // solo is a node whose loop is turned by hand, in virtual time, with all other nodes away.
-type solo struct {
+type manualNode struct {
 	t    *testing.T
 	node *Node
 	disk *wal.Memory
@@ -28,22 +28,22 @@
 	limit int // of the control state, in bytes; 0: StateLimit
 }
 
-func newSolo(t *testing.T, disk *wal.Memory, seeds ...string) *solo {
-	s := &solo{t: t, disk: disk}
+func newManualNode(t *testing.T, disk *wal.Memory, seeds ...string) *manualNode {
+	s := &manualNode{t: t, disk: disk}
 	s.open(true, seeds...)
 	return s
 }
 
-func (s *solo) open(bootstrap bool, seeds ...string) {
+func (s *manualNode) open(bootstrap bool, seeds ...string) {
 	n, err := open(Config{Self: &tierv1.Member{Address: "a"}, Seeds: seeds, Bootstrap: bootstrap, Losses: len(seeds) / 2, Dir: "/data",
 		StateLimit: s.limit, FS: s.disk, ContactWindow: 3 * time.Second, Heartbeat: time.Second, Log: &log.Logger{Writer: log.IOWriter{Writer: &s.log}},
-		Dial: func(to string) tierv1.Election { return wire{&network{}, to} }}, func() time.Duration { return s.now })
+		Dial: func(to string) tierv1.Election { return networkClient{&network{}, to} }}, func() time.Duration { return s.now })
 	assert.NilError(s.t, err)
 	s.node = n
 }
 
 // turn lets the node go on for a while.
-func (s *solo) turn(d time.Duration) {
+func (s *manualNode) runFor(d time.Duration) {
 	s.t.Helper()
 	for end := s.now + d; s.now < end; s.now += 5 * time.Millisecond {
 		assert.NilError(s.t, s.node.runOnce(context.Background()))
@@ -51,11 +51,11 @@
 }
 
 // put begins a write; the channel gets its outcome.
-func (s *solo) put(key string) chan outcome {
+func (s *manualNode) put(key string) chan outcome {
 	return s.putSets(map[string][]byte{key: bytes.Repeat([]byte(key), 100)})
 }
 
-func (s *solo) putSets(sets map[string][]byte) chan outcome {
+func (s *manualNode) putSets(sets map[string][]byte) chan outcome {
 	n := s.node
 	c := make(chan outcome, 1)
 	n.mu.Lock()
@@ -70,7 +70,7 @@
 }
 
 // askNode calls the service and turns the loop until it answers.
-func askNode[T any](s *solo, do func(n *Node) (T, error)) (T, error) {
+func callNode[T any](s *manualNode, do func(n *Node) (T, error)) (T, error) {
 	type answered struct {
 		reply T
 		err   error
@@ -85,14 +85,14 @@
 		case a := <-c:
 			return a.reply, a.err
 		case <-s.node.wake:
-			s.turn(5 * time.Millisecond)
+			s.runFor(5 * time.Millisecond)
 		}
 	}
 }
 
 // ask asks the node to prepare.
-func (s *solo) ask(epoch uint64) (*tierv1.PrepareReply, error) {
-	return askNode(s, func(n *Node) (*tierv1.PrepareReply, error) {
+func (s *manualNode) prepare(epoch uint64) (*tierv1.PrepareReply, error) {
+	return callNode(s, func(n *Node) (*tierv1.PrepareReply, error) {
 		return (server{n}).Promise(context.Background(), &tierv1.PrepareRequest{Epoch: epoch, From: &tierv1.Member{Folder: "x", Address: "b"}})
 	})
 }
@@ -101,16 +101,16 @@
 // but not the node; when it works again the node goes on with all that was acknowledged, and a loss of power changes nothing.
 func TestDiskFailure_AtEachOperation(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
-		for _, sticks := range []bool{false, true} {
+		for _, persistent := range []bool{false, true} {
 			for at := 1; ; at++ {
-				label := fmt.Sprintf("%v, sticks %v, operation %d", cause, sticks, at)
+				label := fmt.Sprintf("%v, sticks %v, operation %d", cause, persistent, at)
 				disk := wal.NewMemory()
-				if sticks {
+				if persistent {
 					disk.FailFrom(at, cause)
 				} else {
 					disk.FailAt(at, cause)
 				}
-				failed := playSoloIncarnation(t, disk, label, uint64(at))
+				failed := playDiskFailure(t, disk, label, uint64(at))
 				if !failed {
 					assert.Assert(t, at > 20, label)
 					break
@@ -121,14 +121,14 @@
 }
 
 // playSoloIncarnation writes through a failure and after it. It reports whether there was one.
-func playSoloIncarnation(t *testing.T, disk *wal.Memory, label string, seed uint64) (failed bool) {
-	s := newSolo(t, disk, "a")
+func playDiskFailure(t *testing.T, disk *wal.Memory, label string, seed uint64) (failed bool) {
+	s := newManualNode(t, disk, "a")
 	acknowledged := make(map[string]bool)
 	write := func(from, to int) {
 		for i := from; i < to; i++ {
 			key := fmt.Sprint("k", i)
 			c := s.put(key)
-			s.turn(20 * time.Millisecond)
+			s.runFor(20 * time.Millisecond)
 			failed = failed || s.node.DiskError() != nil
 			select {
 			case o := <-c:
@@ -141,7 +141,7 @@
 			}
 		}
 	}
-	s.turn(time.Second)
+	s.runFor(time.Second)
 	write(0, 6)
 	if failed = failed || s.node.DiskError() != nil; failed && s.node.DiskError() != nil {
 		_, leads := s.node.Primary()
@@ -149,7 +149,7 @@
 		assert.ErrorIs(t, (<-s.put("refused")).err, ErrNotPrimary, label)
 	}
 	disk.Recover()
-	s.turn(6 * time.Second)
+	s.runFor(6 * time.Second)
 	assert.NilError(t, s.node.DiskError(), label)
 	write(6, 9)
 	assert.Assert(t, acknowledged["k6"] && acknowledged["k8"], label)
@@ -159,7 +159,7 @@
 	folder := s.node.Self().Folder
 	disk.Crash(rand.New(rand.NewPCG(seed, 1)))
 	s.open(false, "a")
-	s.turn(time.Second)
+	s.runFor(time.Second)
 	assert.Equal(t, s.node.Self().Folder, folder, label)
 	for key := range acknowledged {
 		v, _ := s.node.Get(key)
@@ -170,39 +170,39 @@
 
 // A prepare whose sync failed is not answered; one that was answered is still in force after the disk recovered.
 func TestDiskFailure_PrepareOnFullDisk(t *testing.T) {
-	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
-	a, err := s.ask(1 << 20)
+	s := newManualNode(t, wal.NewMemory(), "a", "b", "c")
+	a, err := s.prepare(1 << 20)
 	assert.NilError(t, err)
 	assert.Assert(t, a.Prepared)
 	s.disk.FailFrom(1, syscall.ENOSPC)
-	_, err = s.ask(2 << 20)
+	_, err = s.prepare(2 << 20)
 	assert.ErrorContains(t, err, "no space left on device")
-	_, err = s.ask(3 << 20)
+	_, err = s.prepare(3 << 20)
 	assert.ErrorContains(t, err, "disk failed")
-	s.turn(10 * time.Second)
+	s.runFor(10 * time.Second)
 	assert.ErrorContains(t, s.node.DiskError(), "no space left on device")
 	assert.Equal(t, strings.Count(s.log.String(), `"disk_failed"`), 1)
 	s.disk.Recover()
-	s.turn(5 * time.Second)
+	s.runFor(5 * time.Second)
 	assert.NilError(t, s.node.DiskError())
-	a, err = s.ask(1 << 20)
+	a, err = s.prepare(1 << 20)
 	assert.NilError(t, err)
 	assert.Assert(t, !a.Prepared && a.HighestPrepared >= 1<<20, "%v", a)
-	a, err = s.ask(4 << 20)
+	a, err = s.prepare(4 << 20)
 	assert.NilError(t, err)
 	assert.Assert(t, a.Prepared)
 }
 
 // A genesis identity is made once: a file that is gone when the disk recovers makes another folder, without a vote.
 func TestDiskFailure_LostFileIsNewMember(t *testing.T) {
-	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
+	s := newManualNode(t, wal.NewMemory(), "a", "b", "c")
 	first := s.node.Self().Folder
 	assert.Assert(t, s.node.replica.Genesis)
 	s.disk.FailAt(1, syscall.EIO)
-	_, err := s.ask(1 << 20)
+	_, err := s.prepare(1 << 20)
 	assert.ErrorContains(t, err, "disk failed")
 	assert.NilError(t, s.disk.Remove("/data/"+fileName))
-	s.turn(5 * time.Second)
+	s.runFor(5 * time.Second)
 	assert.NilError(t, s.node.DiskError())
 	assert.Assert(t, s.node.Self().Folder != first && !s.node.replica.Genesis)
 }
@@ -212,20 +212,20 @@
 func TestDiskFailure_RewriteFreesSpace(t *testing.T) {
 	short := 0
 	for at := 1; at < 20; at++ {
-		s := newSolo(t, wal.NewMemory(), "a")
-		s.turn(time.Second)
+		s := newManualNode(t, wal.NewMemory(), "a")
+		s.runFor(time.Second)
 		for range 100 {
 			c := s.put("k")
-			s.turn(5 * time.Millisecond)
+			s.runFor(5 * time.Millisecond)
 			assert.NilError(t, (<-c).err)
 		}
 		long := s.node.file.Size()
 		s.disk.FailAt(1, syscall.ENOSPC)
 		c := s.put("lost")
-		s.turn(5 * time.Millisecond)
+		s.runFor(5 * time.Millisecond)
 		assert.ErrorIs(t, (<-c).err, ErrOutcomeUnknown)
 		s.disk.FailAt(at, syscall.ENOSPC)
-		s.turn(5 * time.Second)
+		s.runFor(5 * time.Second)
 		assert.NilError(t, s.node.DiskError(), "operation %d", at)
 		if s.node.file.Size() < long/4 {
 			short++
@@ -239,7 +239,7 @@
 // A primary whose disk is full is replaced by another within its lease, and follows when there is space; one whose sync hangs
 // likewise, though its loop cannot even tell.
 func TestDiskFailure_OfPrimary(t *testing.T) {
-	for name, breaks := range map[string]func(disk *wal.Memory) (repair func()){
+	for name, fail := range map[string]func(disk *wal.Memory) (repair func()){
 		"full": func(disk *wal.Memory) func() {
 			disk.FailFrom(1, syscall.ENOSPC)
 			return disk.Recover
@@ -254,7 +254,7 @@
 			c.put("k", "1")
 			old, epoch := c.primary()
 			address := old.Self().Address
-			repair := breaks(c.disks[address])
+			repair := fail(c.disks[address])
 			defer repair()
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan error, 1)
--- a/internal/tier/consensus/distant_members_test.go
+++ b/internal/tier/consensus/distant_members_test.go
@@ -63,7 +63,7 @@
 		for _, c := range out.unsyncedCalls {
 			send(i, c)
 		}
-		rest := func() {
+		finish := func() {
 			busy[i] = false
 			for _, r := range out.replies {
 				waiting[r.token](r.body)
@@ -83,11 +83,11 @@
 			})
 		}
 		if !out.sync {
-			rest()
+			finish()
 			return
 		}
 		busy[i] = true
-		after(sync, rest)
+		after(sync, finish)
 	}
 	for i := range n {
 		self := &tierv1.Member{Address: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%3), Region: fmt.Sprint("r", i%2)}
--- a/internal/tier/consensus/durable_state.go
+++ b/internal/tier/consensus/durable_state.go
@@ -11,21 +11,22 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// identity is drawn when a folder is created, and synced before anything is answered. Its JSON is stored: its names stay.
+// identity is generated when a folder is created, and synced before the node replies to any call. It is stored as JSON, so the names of
+// its fields must not change.
 type identity struct {
 	Folder  string   // ID of the member
 	Genesis bool     // created while bootstrap was true, at a seed's address
 	Seeds   []string // internal addresses of the genesis members
 }
 
-// durableState is what a member must not forget. It is changed in memory and on disk in the same step; nothing that depends on
-// a change leaves the process before it is synced.
+// durableState is the state of a member that must survive a restart. Each step changes it in memory and on disk; nothing that depends on a
+// change leaves the process before the change is synced.
 type durableState struct {
 	identity
-	preparedEpoch uint64       // highest epoch prepared (Paxos' promise): it accepts views and writes under this one only
+	preparedEpoch uint64       // highest epoch prepared (the promise in Paxos): the member accepts views and writes under this epoch only
 	preparedFor   string       // folder of the proposer of that epoch
 	accepted      *tierv1.View // newest
-	chosen        *tierv1.View // newest known; may be forgotten
+	chosen        *tierv1.View // newest known to be chosen; may be lost in a crash
 	entries       map[string]*tierv1.Entry
 	size          int    // of the entries in bytes, by entrySize
 	sequence      uint64 // of the last write in entries
@@ -44,13 +45,13 @@
 	case kindPrepared:
 		epoch, n := binary.Uvarint(body)
 		if n <= 0 {
-			return CorruptRecord.New("prepared epoch")
+			return CorruptRecord.New("the prepared epoch is not a valid uvarint")
 		}
 		state.preparedEpoch, state.preparedFor = epoch, string(body[n:])
 	case kindStateEpoch:
 		epoch, n := binary.Uvarint(body)
 		if n <= 0 {
-			return CorruptRecord.New("epoch of the state")
+			return CorruptRecord.New("the epoch of the state is not a valid uvarint")
 		}
 		state.stateEpoch = epoch
 	case kindAccepted, kindChosen:
@@ -70,12 +71,12 @@
 		}
 		state.apply(write)
 	default:
-		return CorruptRecord.New("record of kind %q", record[0])
+		return CorruptRecord.New("unknown record kind %q", record[0])
 	}
 	return nil
 }
 
-// apply applies a write to the state. The map of entries is replaced, never changed: readers may still use the former one.
+// apply applies a write to the state. The map of entries is replaced, never modified, as readers may still use the previous map.
 func (state *durableState) apply(write *tierv1.WriteRequest) {
 	entries, size := make(map[string]*tierv1.Entry, len(write.Entries)), 0
 	if !write.Snapshot && state.entries != nil {
@@ -94,7 +95,7 @@
 	state.entries, state.size, state.sequence, state.stateEpoch = entries, size, write.Sequence, write.Epoch
 }
 
-// snapshotWrite is the write that makes another replica's state the same as this one, under an epoch.
+// snapshotWrite returns the write that replaces another replica's state by this one, under an epoch.
 func (state *durableState) snapshotWrite(epoch uint64) *tierv1.WriteRequest {
 	write := &tierv1.WriteRequest{Epoch: epoch, Sequence: state.sequence, Snapshot: true, From: state.Folder}
 	for _, key := range slices.Sorted(maps.Keys(state.entries)) {
@@ -103,7 +104,7 @@
 	return write
 }
 
-// records are the records from which replay makes the same state.
+// records returns the records from which replay restores this state.
 func (state *durableState) records() (records [][]byte) {
 	records = append(records, encodeIdentity(state.identity))
 	if state.preparedEpoch > 0 {
--- a/internal/tier/consensus/election.go
+++ b/internal/tier/consensus/election.go
@@ -14,8 +14,8 @@
 	return r.primarySeen && r.now-r.primarySeenAt < r.timing.electionTimeout
 }
 
-// electionTimeout is for how long a primary may be unresponsive before this replica starts a pre-vote. Primaries and backups of the
-// newest view go first, as only they can win.
+// electionTimeout returns how long the primary may be unresponsive before this replica starts a pre-vote. It is shorter at the primary and
+// the backups of the newest view, as only they can win.
 func (r *replica) electionTimeout() time.Duration {
 	timeout := r.timing.electionTimeout + r.jitter(r.timing.heartbeatInterval/2)
 	if view := r.newestView(); view != nil && !isNamedIn(view, r.Folder) && view.Epoch > 0 {
@@ -24,9 +24,9 @@
 	return timeout
 }
 
-// checkPrimary asks a primary whose heartbeat is late whether it is alive. A call that fails at once, as one to a closed port does, ends
-// the election time-out early. That is a guess, and decides nothing: the pre-vote asks the others all the same. If there is no reply at
-// all, the election time-out stands.
+// checkPrimary calls a primary whose heartbeat is late. If the call fails at once, as a call to a closed port does, the election time-out
+// ends early. Such a failure is only a hint and decides nothing: the pre-vote still needs a majority. If there is no reply at all, the
+// election time-out is unchanged.
 func (r *replica) checkPrimary() {
 	r.checkPrimaryAt = r.now + r.timing.heartbeatInterval
 	began := r.now
@@ -35,7 +35,7 @@
 			return
 		}
 		r.primarySeen = false
-		wait := r.timing.heartbeatInterval/8 + r.jitter(r.timing.heartbeatInterval/8) // the others find out, too
+		wait := r.timing.heartbeatInterval/8 + r.jitter(r.timing.heartbeatInterval/8) // until the others have detected the failure, too
 		if view := r.newestView(); view != nil && !isNamedIn(view, r.Folder) {
 			wait += r.timing.electionTimeout / 2
 		}
@@ -43,7 +43,7 @@
 	})
 }
 
-// startPreVote asks whether this replica could take over, if the primary is unresponsive and it is a voter.
+// startPreVote starts a pre-vote if the primary is unresponsive and this replica is a voter.
 func (r *replica) startPreVote() {
 	r.candidacyAt = r.now + r.electionTimeout()
 	view := r.newestView()
--- a/internal/tier/consensus/epoch.go
+++ b/internal/tier/consensus/epoch.go
@@ -4,10 +4,11 @@
 	"hash/fnv"
 )
 
-// epochBits are the low bits of an epoch that come from the proposer's folder, so that two proposers rarely use the same one.
+// epochBits is the number of low bits of an epoch that are a hash of the proposer's folder, so that two proposers rarely use the same
+// epoch.
 const epochBits = 12
 
-// nextEpoch is the lowest epoch of a folder above highest.
+// nextEpoch returns an epoch of a folder above highest. Its bits above epochBits are those of highest plus one.
 func nextEpoch(highest uint64, folder string) uint64 {
 	h := fnv.New32a()
 	h.Write([]byte(folder))
--- a/internal/tier/consensus/events.go
+++ b/internal/tier/consensus/events.go
@@ -31,7 +31,7 @@
 		token uint64
 		epoch uint64
 	}
-	// tick tells that time has passed.
+	// tick has no content: it only makes Step run the timers.
 	tick struct{}
 )
 
--- a/internal/tier/consensus/explore_digest_test.go
+++ b/internal/tier/consensus/explore_digest_test.go
@@ -11,17 +11,17 @@
 )
 
 // digest distinguishes states of a replica. Times count by how long ago.
-func (x *explorer) digest(l *lane, s *subject) string {
+func (x *explorer) digest(l *replicaState, s *subject) string {
 	var b strings.Builder
 	m := s.replica
-	record := func(r *tierv1.View) int {
+	viewID := func(r *tierv1.View) int {
 		if r == nil {
 			return 0
 		}
 		return x.body(r).n
 	}
 	state := func(d *durableState) {
-		fmt.Fprint(&b, d.Folder, d.preparedEpoch, d.preparedFor, record(d.accepted), record(d.chosen), d.sequence, d.stateEpoch, ";")
+		fmt.Fprint(&b, d.Folder, d.preparedEpoch, d.preparedFor, viewID(d.accepted), viewID(d.chosen), d.sequence, d.stateEpoch, ";")
 		for _, k := range slices.Sorted(maps.Keys(d.entries)) {
 			fmt.Fprint(&b, k, d.entries[k].Sequence, ",")
 		}
@@ -38,11 +38,11 @@
 	fmt.Fprint(&b, "|", l.site, l.newestEpoch, m.lastCallID, m.highestEpoch, m.primaryHint, m.primarySeen, m.now-m.preparedAt, "|")
 	for _, a := range slices.Sorted(maps.Keys(m.peers)) {
 		p := m.peers[a]
-		fmt.Fprint(&b, a, p.member.GetFolder(), m.now-p.firstSeen, m.now-p.answeredAt, p.roundTrip, p.hasReplied, p.inContact, p.heartbeatPending, p.knowsMembership, ",")
+		fmt.Fprint(&b, a, p.member.GetFolder(), m.now-p.firstSeen, m.now-p.answeredAt, p.roundTrip, p.hasReplied, p.inContact, p.heartbeatPending, p.reportsMembership, ",")
 	}
 	if p := m.proposal; p != nil {
-		fmt.Fprint(&b, "|p", p.phase, p.epoch, record(p.predecessor), record(p.target), p.openCalls, m.now-p.deadline, m.now-p.graceUntil,
-			p.add.GetFolder(), p.remove.GetFolder(), p.replaceBackups, p.askedAddresses, p.transfers, p.failedTransfers, p.acceptedBy, p.unanswered, p.retried)
+		fmt.Fprint(&b, "|p", p.phase, p.epoch, viewID(p.predecessor), viewID(p.target), p.openCalls, m.now-p.deadline, m.now-p.graceUntil,
+			p.add.GetFolder(), p.remove.GetFolder(), p.replaceBackups, p.prepareSentTo, p.transfers, p.failedTransfers, p.acceptedBy, p.unanswered, p.retried)
 		for _, f := range slices.Sorted(maps.Keys(p.confirmedAt)) {
 			fmt.Fprint(&b, f, m.now-p.confirmedAt[f], ",")
 		}
@@ -51,7 +51,7 @@
 		}
 	}
 	if r := m.primary; r != nil {
-		fmt.Fprint(&b, "|r", r.firstEpoch, record(r.view), m.now-r.since, r.failedBackups, r.needsHigherEpoch, m.now-r.heartbeatAt, r.proposeAt, m.now-r.growAt, l.shown)
+		fmt.Fprint(&b, "|r", r.firstEpoch, viewID(r.view), m.now-r.since, r.failedBackups, r.needsHigherEpoch, m.now-r.heartbeatAt, r.proposeAt, m.now-r.growAt, l.visible)
 		for _, f := range slices.Sorted(maps.Keys(r.confirmedAt)) {
 			fmt.Fprint(&b, f, m.now-r.confirmedAt[f], ",")
 		}
@@ -68,7 +68,7 @@
 	// What a reply will mean depends on whether the proposal or batch that made the call is still in progress.
 	for _, id := range slices.Sorted(maps.Keys(m.pendingCalls)) {
 		current := false
-		switch q := s.asked[id].(type) {
+		switch q := s.requests[id].(type) {
 		case *tierv1.PrepareRequest:
 			current = m.proposal != nil && m.proposal.epoch == q.Epoch
 		case *tierv1.AcceptRequest:
@@ -84,7 +84,7 @@
 
 func (w *systemState) key() string {
 	b := make([]byte, 0, 96)
-	for i, l := range w.lanes {
+	for i, l := range w.replicas {
 		if l != nil {
 			b = binary.AppendUvarint(b, uint64(l.n))
 			b = append(b, byte(w.incarnations[i]))
@@ -96,7 +96,7 @@
 		b = binary.AppendUvarint(b, w.acknowledged[i])
 		b = binary.AppendUvarint(b, w.acknowledgedUnder[i])
 		b = append(b, w.began[i])
-		if w.refused[i] {
+		if w.rejected[i] {
 			b = append(b, 'r')
 		}
 	}
--- a/internal/tier/consensus/explore_liveness_test.go
+++ b/internal/tier/consensus/explore_liveness_test.go
@@ -40,7 +40,7 @@
 		if !slices.Contains(w.net, i) {
 			continue
 		}
-		w = w.with(pathStep{what: "failure of the ", item: i})
+		w = w.with(pathStep{action: "failure of the ", item: i})
 		w.remove(i)
 		if i.stage == orphaned {
 			continue
@@ -53,12 +53,12 @@
 }
 
 // acknowledges reports whether a replica leads and could acknowledge a write now: it and all its backups have prepared its epoch last.
-func (w *systemState) acknowledges(l *lane) bool {
+func (w *systemState) canAcknowledge(l *replicaState) bool {
 	if l == nil || l.leadership == 0 || l.preparedEpoch != l.leadership {
 		return false
 	}
 	for _, folder := range l.backups {
-		if !slices.ContainsFunc(w.lanes[:], func(o *lane) bool { return o != nil && o.folder == folder && o.preparedEpoch == l.leadership }) {
+		if !slices.ContainsFunc(w.replicas[:], func(o *replicaState) bool { return o != nil && o.folder == folder && o.preparedEpoch == l.leadership }) {
 			return false
 		}
 	}
@@ -67,9 +67,9 @@
 
 // recovers returns an error if no primary is reached from a state without further faults.
 func (x *explorer) recovers(w *systemState, loss bool) (*systemState, error) {
-	cuts := x.partitions
+	partitions := x.partitions
 	x.partitions = nil
-	defer func() { x.partitions = cuts }()
+	defer func() { x.partitions = partitions }()
 	var err error
 	if loss {
 		if w, err = x.loseAll(w); err != nil {
@@ -80,18 +80,18 @@
 		return w, err
 	}
 	for range recoveryRounds {
-		for site := range w.lanes {
+		for site := range w.replicas {
 			for range 2 {
-				if slices.ContainsFunc(w.lanes[:], w.acknowledges) {
+				if slices.ContainsFunc(w.replicas[:], w.canAcknowledge) {
 					return w, nil
 				}
-				l := w.lanes[site]
+				l := w.replicas[site]
 				if l == nil {
 					continue
 				}
 				name, e := "take-over", explorerEvent(takeover{})
 				if l.leadership > 0 {
-					name, e = "late tick", age{}
+					name, e = "late tick", lateTick{}
 				}
 				if w, err = x.event(w, site, name, e); err != nil {
 					return w, err
@@ -112,7 +112,7 @@
 			return c, err
 		}
 	}
-	x.recovered++
+	x.livenessChecks++
 	return w, nil
 }
 
@@ -132,8 +132,8 @@
 	w.left = budget{takeovers: 1, writes: 1}
 	x.liveness = 1
 	r := x.explore(w, 1000)
-	if r.fault == nil {
+	if r.violation == nil {
 		t.Fatalf("not found in %v", r)
 	}
-	t.Logf("%v; found: %v", r, r.fault)
+	t.Logf("%v; found: %v", r, r.violation)
 }
--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -29,35 +29,35 @@
 func (x *explorer) describe(h pathStep) string {
 	i := h.item
 	if i == nil {
-		return h.what + " at " + x.addresses[h.site] + h.also
+		return h.action + " at " + x.addresses[h.site] + h.detail
 	}
 	call := "call"
 	if i.request != nil {
 		call = kind(i.request.m)
 	}
-	return fmt.Sprintf("%s%s %s>%s%s", h.what, call, x.addresses[i.from], x.addresses[i.to], h.also)
+	return fmt.Sprintf("%s%s %s>%s%s", h.action, call, x.addresses[i.from], x.addresses[i.to], h.detail)
 }
 
 // deliver delivers a message. Its receiver may lose power in the middle of the step, or it may be delivered a second time.
-func (x *explorer) deliver(w *systemState, i *item, cut, double bool) (*systemState, error) {
+func (x *explorer) deliver(w *systemState, i *item, powerLoss, double bool) (*systemState, error) {
 	if i.stage == answered {
-		c := w.with(pathStep{what: "answer to ", item: i})
+		c := w.with(pathStep{action: "answer to ", item: i})
 		c.remove(i)
 		return c, x.move(c, x.answer(c, i, i.reply))
 	}
-	c := w.with(pathStep{what: "the ", item: i})
+	c := w.with(pathStep{action: "the ", item: i})
 	c.remove(i)
 	o := *i
 	if double {
 		c.left.doubles--
-		c.how.also = ", which will be delivered twice"
+		c.step.detail = ", which will be delivered twice"
 		o.stage = orphaned
 		c.add(x.item(o))
 	}
-	l := x.advance(c.lanes[i.to], eventKey{"asked", 0, i.request.n, cut}, incomingCall{0, i.request.m})
-	if cut {
+	l := x.advance(c.replicas[i.to], eventKey{"asked", 0, i.request.n, powerLoss}, incomingCall{0, i.request.m})
+	if powerLoss {
 		c.left.restarts--
-		c.how.also = ", whose power goes in the middle"
+		c.step.detail = ", whose power goes in the middle"
 		x.restarted(c, i.to)
 	}
 	if i.stage == requested {
@@ -67,17 +67,17 @@
 	return c, x.move(c, l)
 }
 
-func (x *explorer) answer(w *systemState, i *item, b *body) *lane {
+func (x *explorer) answer(w *systemState, i *item, b *body) *replicaState {
 	n, m := 0, proto.Message(nil)
 	if b != nil {
 		n, m = b.n, b.m
 	}
-	return x.advance(w.lanes[i.from], eventKey{"answered", i.id, n, false}, callResult{i.id, m})
+	return x.advance(w.replicas[i.from], eventKey{"answered", i.id, n, false}, callResult{i.id, m})
 }
 
 // timeout ends a call; its request may still come.
 func (x *explorer) timeout(w *systemState, i *item) (*systemState, error) {
-	c := w.with(pathStep{what: "time-out of ", item: i})
+	c := w.with(pathStep{action: "time-out of ", item: i})
 	c.left.timeouts--
 	c.remove(i)
 	if i.stage == requested {
@@ -89,37 +89,37 @@
 }
 
 func (x *explorer) event(w *systemState, site int, name string, e explorerEvent) (*systemState, error) {
-	c := w.with(pathStep{what: name, site: site})
-	return c, x.move(c, x.advance(c.lanes[site], eventKey{what: name}, e))
+	c := w.with(pathStep{action: name, site: site})
+	return c, x.move(c, x.advance(c.replicas[site], eventKey{name: name}, e))
 }
 
 func (x *explorer) restart(w *systemState, site int) (*systemState, error) {
-	c := w.with(pathStep{what: "restart", site: site})
+	c := w.with(pathStep{action: "restart", site: site})
 	c.left.restarts--
-	l := c.lanes[site]
-	if l.next[eventKey{what: "restart"}] == nil {
-		l.next[eventKey{what: "restart"}] = x.start(site, l.records, false, l.now, l.newestEpoch)
+	l := c.replicas[site]
+	if l.next[eventKey{name: "restart"}] == nil {
+		l.next[eventKey{name: "restart"}] = x.start(site, l.records, false, l.now, l.newestEpoch)
 	}
 	x.restarted(c, site)
-	return c, x.move(c, l.next[eventKey{what: "restart"}])
+	return c, x.move(c, l.next[eventKey{name: "restart"}])
 }
 
 func (x *explorer) wipe(w *systemState, site int) (*systemState, error) {
-	c := w.with(pathStep{what: "loss of the disk", site: site})
+	c := w.with(pathStep{action: "loss of the disk", site: site})
 	c.left.wipes--
-	l := c.lanes[site]
-	if l.next[eventKey{what: "wipe"}] == nil {
-		l.next[eventKey{what: "wipe"}] = x.start(site, nil, false, l.now, l.newestEpoch)
+	l := c.replicas[site]
+	if l.next[eventKey{name: "wipe"}] == nil {
+		l.next[eventKey{name: "wipe"}] = x.start(site, nil, false, l.now, l.newestEpoch)
 	}
 	x.restarted(c, site)
-	return c, x.move(c, l.next[eventKey{what: "wipe"}])
+	return c, x.move(c, l.next[eventKey{name: "wipe"}])
 }
 
 func (x *explorer) put(w *systemState, site int) (*systemState, error) {
 	n := maxOperations - int(w.left.writes)
 	w = w.with(pathStep{})
 	w.left.writes--
-	c, err := x.event(w, site, [maxOperations]string{"write w0", "write w1"}[n], putRequest{uint64(n), w.lanes[site].leadership,
+	c, err := x.event(w, site, [maxOperations]string{"write w0", "write w1"}[n], putRequest{uint64(n), w.replicas[site].leadership,
 		map[string][]byte{writes[n]: []byte("x")}})
 	c.parent = w.parent // one transition, not two
 	return c, err
@@ -134,7 +134,7 @@
 			w.began[n] |= 1 << k
 		}
 	}
-	c, err := x.event(w, site, [maxOperations]string{"confirm 0", "confirm 1"}[n], confirmRequest{uint64(maxOperations + n), w.lanes[site].leadership})
+	c, err := x.event(w, site, [maxOperations]string{"confirm 0", "confirm 1"}[n], confirmRequest{uint64(maxOperations + n), w.replicas[site].leadership})
 	c.parent = w.parent // one transition, not two
 	return c, err
 }
@@ -158,7 +158,7 @@
 			return
 		}
 	}
-	for site, l := range w.lanes {
+	for site, l := range w.replicas {
 		if l == nil {
 			continue
 		}
@@ -171,7 +171,7 @@
 			return
 		}
 		if l.leadership > 0 && w.left.ticks > 0 && !(spend("tick", tick{}, func(b *budget) { b.ticks-- }) &&
-			spend("late tick", age{}, func(b *budget) { b.ticks-- })) {
+			spend("late tick", lateTick{}, func(b *budget) { b.ticks-- })) {
 			return
 		}
 		if w.left.restarts > 0 && !yield(x.restart(w, site)) {
@@ -198,10 +198,10 @@
 
 // explored is what an exploration found.
 type result struct {
-	states, lanes, steps, depth int
-	complete                    bool
-	fault                       error
-	path                        []string
+	states, replicaStates, steps, depth int
+	complete                            bool
+	violation                           error
+	path                                []string
 }
 
 func (r result) String() string {
@@ -209,24 +209,24 @@
 	if !r.complete {
 		how = "bounded"
 	}
-	return fmt.Sprintf("%d states (%s), %d of single machines, depth %d", r.states, how, r.lanes, r.depth)
+	return fmt.Sprintf("%d states (%s), %d of single machines, depth %d", r.states, how, r.replicaStates, r.depth)
 }
 
 // explore goes breadth-first through at most limit states.
 func (x *explorer) explore(from *systemState, limit int) (r result) {
-	from.parent, from.how = nil, pathStep{}
+	from.parent, from.step = nil, pathStep{}
 	seen := map[string]struct{}{from.key(): {}}
 	frontier := []*systemState{from}
 	r.complete = true
-	var asked []*systemState // whether they are dead ends
-	defer func() { r.states, r.lanes, r.steps = len(seen), len(x.lanes), x.steps }()
+	var toCheck []*systemState // whether they are dead ends
+	defer func() { r.states, r.replicaStates, r.steps = len(seen), len(x.replicaStates), x.steps }()
 	for ; len(frontier) > 0; r.depth++ {
 		var next []*systemState
 		for n, w := range frontier {
 			frontier[n] = nil
 			x.successors(w, func(c *systemState, err error) bool {
 				if err != nil {
-					r.fault, r.path = err, x.path(c)
+					r.violation, r.path = err, x.path(c)
 					return false
 				}
 				k := c.key()
@@ -240,19 +240,19 @@
 				seen[k] = struct{}{}
 				next = append(next, c)
 				if x.liveness > 0 && len(seen)%x.liveness == 0 {
-					asked = append(asked, c)
+					toCheck = append(toCheck, c)
 				}
 				return true
 			})
-			if r.fault != nil {
+			if r.violation != nil {
 				return r
 			}
 		}
 		frontier = next
 	}
-	for _, w := range asked { // only now, as the checks add to the states of single replicas
+	for _, w := range toCheck { // only now, as the checks add to the states of single replicas
 		if dead, err := x.checkLiveness(w); err != nil {
-			r.fault, r.path = err, x.path(dead)
+			r.violation, r.path = err, x.path(dead)
 			return r
 		}
 	}
--- a/internal/tier/consensus/explore_scenarios_test.go
+++ b/internal/tier/consensus/explore_scenarios_test.go
@@ -9,7 +9,7 @@
 )
 
 // calm delivers all messages in flight between sites, oldest first, if pass lets it.
-func (x *explorer) calm(t *testing.T, w *systemState, pass func(i *item) bool) *systemState {
+func (x *explorer) deliverAll(t *testing.T, w *systemState, pass func(i *item) bool) *systemState {
 	t.Helper()
 	for range 1000 {
 		done := true
@@ -32,10 +32,10 @@
 }
 
 // boots starts all sites; those that are seeds for the first time.
-func (x *explorer) boots() *systemState {
+func (x *explorer) startAll() *systemState {
 	w := &systemState{}
 	for i := range x.addresses {
-		w.lanes[i] = x.start(i, nil, i < len(x.seeds), never/2, 0)
+		w.replicas[i] = x.start(i, nil, i < len(x.seeds), never/2, 0)
 	}
 	return w
 }
@@ -43,13 +43,13 @@
 // stableState has a primary, a, with a backup, b; what was sent to c is still in flight.
 func (x *explorer) stableState(t *testing.T) *systemState {
 	t.Helper()
-	w := x.boots()
+	w := x.startAll()
 	w, err := x.event(w, 0, "take-over", takeover{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w = x.calm(t, w, func(i *item) bool { return i.to != 2 })
-	if w.lanes[0].leadership == 0 {
+	w = x.deliverAll(t, w, func(i *item) bool { return i.to != 2 })
+	if w.replicas[0].leadership == 0 {
 		t.Fatal("no primary", x.path(w))
 	}
 	return w
@@ -70,7 +70,7 @@
 
 func fromGenesis(_ *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c")
-	return x, x.boots()
+	return x, x.startAll()
 }
 
 // fromPartitioned is the genesis of three, of which b and c don't hear each other.
@@ -83,17 +83,17 @@
 // fromSwap is a primary, a, about to replace c by d, when a partition separates a and d from the others.
 func fromSwap(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d")
-	w, err := x.event(x.boots(), 0, "take-over", takeover{})
+	w, err := x.event(x.startAll(), 0, "take-over", takeover{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w = x.calm(t, w, nil)
+	w = x.deliverAll(t, w, nil)
 	if w, err = x.event(w, 0, "swap of members", swap{"d", "c"}); err != nil {
 		t.Fatal(err)
 	}
-	w = x.calm(t, w, func(i *item) bool { return kind(i.request.m) == "promise" || i.stage == requested })
-	for _, cut := range [][2]int{{0, 1}, {0, 2}, {3, 1}, {3, 2}} {
-		x.partitions[cut], x.partitions[[2]int{cut[1], cut[0]}] = true, true
+	w = x.deliverAll(t, w, func(i *item) bool { return kind(i.request.m) == "promise" || i.stage == requested })
+	for _, link := range [][2]int{{0, 1}, {0, 2}, {3, 1}, {3, 2}} {
+		x.partitions[link], x.partitions[[2]int{link[1], link[0]}] = true, true
 	}
 	return x, w
 }
@@ -101,40 +101,40 @@
 // fromFirstSwap is a primary, a, with a backup, b, after d has replaced c and the change is complete; e could join, too.
 func fromFirstSwap(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d", "e")
-	return x, x.swapped(t, swap{"d", "c"})
+	return x, x.completeSwap(t, swap{"d", "c"})
 }
 
 // fromReplacement is a primary, a, whose backup b was just replaced by d, as after the loss of b: the next loss comes right
 // after the repair. What was sent to b may still be in flight.
 func fromReplacement(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d")
-	return x, x.swapped(t, swap{"d", "b"})
+	return x, x.completeSwap(t, swap{"d", "b"})
 }
 
 // fromFive are five members of which two may be lost, and a joiner.
 func fromFive(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d", "e", "f")
 	x.seeds, x.losses = x.addresses[:5], 2
-	w, err := x.event(x.boots(), 0, "take-over", takeover{})
+	w, err := x.event(x.startAll(), 0, "take-over", takeover{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return x, x.calm(t, w, nil)
+	return x, x.deliverAll(t, w, nil)
 }
 
 // swapped begins with a primary, a, and plays a change of members to its end.
-func (x *explorer) swapped(t *testing.T, q swap) *systemState {
+func (x *explorer) completeSwap(t *testing.T, q swap) *systemState {
 	t.Helper()
-	w, err := x.event(x.boots(), 0, "take-over", takeover{})
+	w, err := x.event(x.startAll(), 0, "take-over", takeover{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w = x.calm(t, w, nil)
+	w = x.deliverAll(t, w, nil)
 	if w, err = x.event(w, 0, "swap of members", q); err != nil {
 		t.Fatal(err)
 	}
-	w = x.calm(t, w, nil)
-	if l := w.lanes[0]; l.leadership == 0 || len(l.swaps) == 0 {
+	w = x.deliverAll(t, w, nil)
+	if l := w.replicas[0]; l.leadership == 0 || len(l.swaps) == 0 {
 		t.Fatal("the first change of members is not complete", x.path(w))
 	}
 	return w
@@ -164,7 +164,7 @@
 )
 
 // factor is by how much the bounds are raised: 8 where CONTROL_SEEDS is set.
-func factor() int {
+func exploreFactor() int {
 	if seedCount(0) > 0 {
 		return 8
 	}
@@ -175,11 +175,11 @@
 	total := 0
 	for _, s := range scenarios {
 		began := time.Now()
-		limit := s.limit * factor()
+		limit := s.limit * exploreFactor()
 		if n, err := strconv.Atoi(os.Getenv("CONSENSUS_STATES")); err == nil {
 			limit = n
 		}
-		if testing.Short() || raced {
+		if testing.Short() || raceDetector {
 			limit = s.limit / 16
 		}
 		t.Run(s.name, func(t *testing.T) {
@@ -188,9 +188,9 @@
 			x.liveness = max(livenessInterval, limit/maxLivenessChecks)
 			r := x.explore(w, limit)
 			total += r.states
-			t.Logf("%v, %d of them asked whether they are dead ends, in %v", r, x.recovered, time.Since(began))
-			if r.fault != nil {
-				t.Fatalf("%v\n%s", r.fault, strings.Join(r.path, "\n"))
+			t.Logf("%v, %d of them asked whether they are dead ends, in %v", r, x.livenessChecks, time.Since(began))
+			if r.violation != nil {
+				t.Fatalf("%v\n%s", r.violation, strings.Join(r.path, "\n"))
 			}
 		})
 	}
@@ -200,9 +200,9 @@
 // The exploration finds mutants.
 func TestExplore_FindsMutants(t *testing.T) {
 	for _, c := range []struct {
-		plant mutant
-		begin func(t *testing.T, p mutant) (*explorer, *systemState)
-		left  budget
+		mutant mutant
+		begin  func(t *testing.T, p mutant) (*explorer, *systemState)
+		left   budget
 	}{
 		{forgetsPreparedAtOnce, fromPartitioned, budget{takeovers: 2, writes: 1}},
 		{acknowledgesEarly, fromStable, budget{takeovers: 1, writes: 1}},
@@ -211,14 +211,14 @@
 		{dropsFormer, fromSwap, budget{takeovers: 1, writes: 1}},
 		{confirmsWithoutRoundTrip, fromStable, budget{takeovers: 1, writes: 1, confirms: 1}},
 	} {
-		t.Run(c.plant.name, func(t *testing.T) {
-			x, w := c.begin(t, c.plant)
+		t.Run(c.mutant.name, func(t *testing.T) {
+			x, w := c.begin(t, c.mutant)
 			w.left = c.left
 			r := x.explore(w, 150_000)
-			if r.fault == nil {
+			if r.violation == nil {
 				t.Fatalf("not found in %v", r)
 			}
-			t.Logf("%v; found: %v\n%s", r, r.fault, strings.Join(r.path, "\n"))
+			t.Logf("%v; found: %v\n%s", r, r.violation, strings.Join(r.path, "\n"))
 		})
 	}
 }
@@ -264,7 +264,7 @@
 		for _, what := range []string{"promise", "write", "accept"} {
 			both(low, 0, what)
 		}
-		if w.lanes[low].leadership != 0 {
+		if w.replicas[low].leadership != 0 {
 			do(x.put(w, low))
 			both(low, 0, "write")
 			if err == nil && w.acknowledged[1] == 0 {
--- a/internal/tier/consensus/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -19,20 +19,20 @@
 
 // explorer has what is the same on all paths.
 type explorer struct {
-	mutant     mutant
-	addresses  []string
-	seeds      []string
-	losses     int
-	partitions map[[2]int]bool // calls over these fail
-	heartbeats bool            // heartbeats and calls to join are delivered, too
-	bodies     map[string]*body
-	items      map[item]*item
-	lanes      map[string]*lane
-	folders    map[string]int
-	steps      int
-
-	liveness  int // one state in so many is asked whether it is a dead end; 0: none
-	recovered int // states that were asked, and are none
+	mutant        mutant
+	addresses     []string
+	seeds         []string
+	losses        int
+	partitions    map[[2]int]bool // calls over these fail
+	heartbeats    bool            // heartbeats and calls to join are delivered, too
+	bodies        map[string]*body
+	items         map[item]*item
+	replicaStates map[string]*replicaState
+	folders       map[string]int
+	steps         int
+
+	liveness       int // one state in so many is asked whether it is a dead end; 0: none
+	livenessChecks int // states that were asked, and are none
 }
 
 // body is a message, stored once.
@@ -42,7 +42,7 @@
 }
 
 // lane is one replica's state: replaying the events since its process started gives the same state.
-type lane struct {
+type replicaState struct {
 	n             int
 	site          int
 	disk          [][]byte // at the start
@@ -56,14 +56,14 @@
 	newestEpoch   uint64   // epoch of its newest leadership
 	backups       []string // folders, of the view that it leads under
 	preparedEpoch uint64
-	shown         map[string]uint64
-	next          map[eventKey]*lane // by event
-	output        *output            // of the last step
+	visible       map[string]uint64
+	next          map[eventKey]*replicaState // by event
+	output        *output                    // of the last step
 }
 
 // eventKey names an event.
 type eventKey struct {
-	what      string
+	name      string
 	id        uint64
 	body      int
 	powerLoss bool
@@ -71,9 +71,9 @@
 
 // pathStep is one step of a path.
 type pathStep struct {
-	what, also string
-	item       *item
-	site       int
+	action, detail string
+	item           *item
+	site           int
 }
 
 // timedEvent is an event with its time.
@@ -84,9 +84,9 @@
 
 // output is what a step sends.
 type output struct {
-	early, calls []outgoingCall
-	reply        proto.Message
-	outcomes     []outcome
+	unsyncedCalls, calls []outgoingCall
+	reply                proto.Message
+	outcomes             []outcome
 }
 
 // explorerEvent is an event of a replica, or one of the following of the exploration alone.
@@ -94,7 +94,7 @@
 
 type (
 	takeover struct{}                 // proposes itself at once, without a pre-vote
-	age      struct{}                 // a tick so late that no confirmation counts
+	lateTick struct{}                 // a tick so late that no confirmation counts
 	swap     struct{ in, out string } // of members, by address, as the primary would on its own
 )
 
@@ -130,26 +130,26 @@
 
 // systemState is a state of all replicas and messages.
 type systemState struct {
-	lanes             [maxSites]*lane
+	replicas          [maxSites]*replicaState
 	incarnations      [maxSites]int
 	net               []*item
 	left              budget
 	acknowledged      [maxOperations]uint64 // sequences
 	acknowledgedUnder [maxOperations]uint64 // epochs in which they were acknowledged
-	refused           [maxOperations]bool
+	rejected          [maxOperations]bool
 	began             [maxOperations]byte // of confirms: what was acknowledged when they began, one bit each
 	parent            *systemState
-	how               pathStep
+	step              pathStep
 }
 
 // zeros is a source from which every span below four seconds is drawn as 0 (from 0 itself it would be drawn for ever).
-type zeros struct{}
+type zeroSource struct{}
 
-func (zeros) Uint64() uint64 { return 1 << 32 }
+func (zeroSource) Uint64() uint64 { return 1 << 32 }
 
 func newExplorer(p mutant, addresses ...string) *explorer {
 	return &explorer{mutant: p, addresses: addresses, seeds: addresses[:3], losses: 1, partitions: make(map[[2]int]bool),
-		bodies: make(map[string]*body), items: make(map[item]*item), lanes: make(map[string]*lane), folders: make(map[string]int)}
+		bodies: make(map[string]*body), items: make(map[item]*item), replicaStates: make(map[string]*replicaState), folders: make(map[string]int)}
 }
 
 func (x *explorer) site(address string) int { return slices.Index(x.addresses, address) }
@@ -180,7 +180,7 @@
 }
 
 // explored is the timing of a replica whose clock stands still: nothing waits for heartbeats or a grace period.
-func explored() timing {
+func explorerTiming() timing {
 	t := newTiming(3*time.Second, 0)
 	t.heartbeatInterval = 3
 	return t
@@ -194,14 +194,14 @@
 		}
 	}
 	a := x.addresses[site]
-	m := newReplica(d, replicaConfig{self: &tierv1.Member{Address: a, Zone: "z" + a, Region: "r"}, seeds: x.seeds, toleratedLosses: x.losses, timing: explored(), jitterSeed: 1})
-	m.random = rand.New(zeros{})
+	m := newReplica(d, replicaConfig{self: &tierv1.Member{Address: a, Zone: "z" + a, Region: "r"}, seeds: x.seeds, toleratedLosses: x.losses, timing: explorerTiming(), jitterSeed: 1})
+	m.random = rand.New(zeroSource{})
 	m.now, m.candidacyAt, m.joinAt = now, never, never
-	return &subject{replica: m, mutant: x.mutant, asked: make(map[uint64]proto.Message)}
+	return &subject{replica: m, mutant: x.mutant, requests: make(map[uint64]proto.Message)}
 }
 
 // play gives a subject one event and returns what it did.
-func (x *explorer) play(s *subject, t timedEvent) *actions {
+func (x *explorer) apply(s *subject, t timedEvent) *actions {
 	var out *actions
 	switch e := t.e.(type) {
 	case takeover:
@@ -217,9 +217,9 @@
 		out.unsyncedCalls, out.calls = append(early.unsyncedCalls, out.unsyncedCalls...), append(early.calls, out.calls...)
 		out.records, out.sync = append(early.records, out.records...), out.sync || early.sync
 		for _, c := range early.unsyncedCalls {
-			s.asked[c.id] = c.body
+			s.requests[c.id] = c.body
 		}
-	case age:
+	case lateTick:
 		out = s.step(t.now, tick{})
 	case swap:
 		p := reconfiguration{add: &tierv1.Member{Folder: e.in + "0", Address: e.in, Zone: "z" + e.in, Region: "r"}}
@@ -232,7 +232,7 @@
 		s.replica.propose(p)
 		out = s.replica.actions
 		for _, c := range out.unsyncedCalls {
-			s.asked[c.id] = c.body
+			s.requests[c.id] = c.body
 		}
 	case tick:
 		if s.replica.primary != nil {
@@ -250,13 +250,13 @@
 	return out
 }
 
-func (x *explorer) start(site int, disk [][]byte, genesis bool, now time.Duration, led uint64) *lane {
+func (x *explorer) start(site int, disk [][]byte, genesis bool, now time.Duration, led uint64) *replicaState {
 	if len(disk) == 0 {
 		folder := fmt.Sprintf("%s%d", x.addresses[site], x.folders[x.addresses[site]])
 		x.folders[x.addresses[site]] = 1 // one wipe of a site at most
 		disk = [][]byte{encodeIdentity(identity{Folder: folder, Genesis: genesis, Seeds: x.seeds})}
 	}
-	l := *x.lane(&lane{site: site, disk: disk, begun: now, now: now, records: disk, newestEpoch: led}, x.boot(disk, site, now))
+	l := *x.internState(&replicaState{site: site, disk: disk, begun: now, now: now, records: disk, newestEpoch: led}, x.boot(disk, site, now))
 	l.output = new(output)
 	return &l
 }
@@ -281,9 +281,9 @@
 }
 
 // lane gives the one lane of this state.
-func (x *explorer) lane(l *lane, s *subject) *lane {
+func (x *explorer) internState(l *replicaState, s *subject) *replicaState {
 	l.folder = s.replica.Folder
-	l.leadership, l.shown, l.swaps = 0, make(map[string]uint64), x.possibleSwaps(s.replica)
+	l.leadership, l.visible, l.swaps = 0, make(map[string]uint64), x.possibleSwaps(s.replica)
 	l.preparedEpoch, l.backups = s.replica.preparedEpoch, nil
 	data := s.replica.entries
 	if s.replica.primary != nil {
@@ -291,46 +291,46 @@
 		l.backups = s.replica.primary.view.Backups
 	}
 	for k, e := range data {
-		l.shown[k] = e.Sequence
+		l.visible[k] = e.Sequence
 	}
 	key := x.digest(l, s)
-	if known := x.lanes[key]; known != nil {
+	if known := x.replicaStates[key]; known != nil {
 		return known
 	}
-	l.n, l.next = len(x.lanes)+1, make(map[eventKey]*lane)
-	x.lanes[key] = l
+	l.n, l.next = len(x.replicaStates)+1, make(map[eventKey]*replicaState)
+	x.replicaStates[key] = l
 	return l
 }
 
 // advance gives the lane after one more event. Where the power goes in the middle, its calls that need not wait for the disk
 // have left, and nothing was synced.
-func (x *explorer) advance(l *lane, name eventKey, e explorerEvent) *lane {
-	cut := name.powerLoss
+func (x *explorer) advance(l *replicaState, name eventKey, e explorerEvent) *replicaState {
+	powerLoss := name.powerLoss
 	if to := l.next[name]; to != nil {
 		return to
 	}
 	s := x.boot(l.disk, l.site, l.begun)
 	for _, t := range l.events {
-		x.play(s, t)
+		x.apply(s, t)
 	}
 	now := l.now
 	switch e.(type) {
 	case tick:
 		now += 16
-	case age:
+	case lateTick:
 		now += s.replica.timing.lease
 	}
-	out := x.play(s, timedEvent{now, e})
-	after := &output{early: out.unsyncedCalls, calls: out.calls, outcomes: out.outcomes}
+	out := x.apply(s, timedEvent{now, e})
+	after := &output{unsyncedCalls: out.unsyncedCalls, calls: out.calls, outcomes: out.outcomes}
 	for _, r := range out.replies {
 		after.reply = r.body
 	}
-	var to *lane
-	if cut {
+	var to *replicaState
+	if powerLoss {
 		after.calls, after.reply, after.outcomes = nil, nil, nil
 		to = x.start(l.site, l.records, false, now, l.newestEpoch)
 	} else {
-		to = x.lane(&lane{site: l.site, disk: l.disk, begun: l.begun, events: append(slices.Clip(l.events), timedEvent{now, e}), now: now,
+		to = x.internState(&replicaState{site: l.site, disk: l.disk, begun: l.begun, events: append(slices.Clip(l.events), timedEvent{now, e}), now: now,
 			records: append(slices.Clip(l.records), out.records...), newestEpoch: l.newestEpoch}, s)
 	}
 	// The lane may be reached by several ways: the output belongs to this one.
@@ -340,15 +340,15 @@
 	return &reached
 }
 
-func (w *systemState) with(how pathStep) *systemState {
+func (w *systemState) with(step pathStep) *systemState {
 	c := *w
-	c.net, c.parent, c.how = slices.Clone(w.net), w, how
+	c.net, c.parent, c.step = slices.Clone(w.net), w, step
 	return &c
 }
 
 func (x *explorer) path(w *systemState) (list []string) {
-	for ; w != nil && w.how.what != ""; w = w.parent {
-		list = append(list, x.describe(w.how))
+	for ; w != nil && w.step.action != ""; w = w.parent {
+		list = append(list, x.describe(w.step))
 	}
 	slices.Reverse(list)
 	return list
@@ -366,10 +366,10 @@
 }
 
 // move puts a site into its next state, sends its output and checks the invariants.
-func (x *explorer) move(w *systemState, l *lane) error {
-	before := w.lanes[l.site]
-	w.lanes[l.site] = l
-	for _, list := range [][]outgoingCall{l.output.early, l.output.calls} {
+func (x *explorer) move(w *systemState, l *replicaState) error {
+	before := w.replicas[l.site]
+	w.replicas[l.site] = l
+	for _, list := range [][]outgoingCall{l.output.unsyncedCalls, l.output.calls} {
 		for _, c := range list {
 			switch c.body.(type) {
 			case *tierv1.HeartbeatRequest, *tierv1.JoinRequest:
@@ -377,7 +377,7 @@
 					continue
 				}
 			}
-			if to := x.site(c.address); to >= 0 && w.lanes[to] != nil {
+			if to := x.site(c.address); to >= 0 && w.replicas[to] != nil {
 				i := item{from: l.site, to: to, incarnation: w.incarnations[l.site], id: c.id, request: x.body(c.body)}
 				if x.partitions[[2]int{l.site, to}] {
 					i.stage, i.request = answered, nil
@@ -391,31 +391,31 @@
 		switch {
 		case o.err == nil && n >= maxOperations: // a confirm
 			for k, sequence := range w.acknowledged {
-				if w.began[n-maxOperations]&(1<<k) != 0 && l.shown[writes[k]] != sequence {
+				if w.began[n-maxOperations]&(1<<k) != 0 && l.visible[writes[k]] != sequence {
 					return fmt.Errorf("%s confirmed without w%d", l.folder, k)
 				}
 			}
 		case o.err == nil:
 			w.acknowledged[n], w.acknowledgedUnder[n] = o.sequence, l.newestEpoch
-			for _, other := range w.lanes {
-				if other != nil && other.site != l.site && other.leadership > l.newestEpoch && other.shown[writes[n]] != o.sequence {
+			for _, other := range w.replicas {
+				if other != nil && other.site != l.site && other.leadership > l.newestEpoch && other.visible[writes[n]] != o.sequence {
 					return fmt.Errorf("%s acknowledged w%d, which %s of a later epoch lacks", l.folder, n, other.folder)
 				}
 			}
 		case errors.Is(o.err, ErrNotPrimary) && n < maxOperations:
-			w.refused[n] = true
+			w.rejected[n] = true
 		}
 	}
 	if l.leadership != 0 && l.leadership != before.leadership {
 		for k, sequence := range w.acknowledged {
-			if sequence > 0 && l.shown[writes[k]] != sequence && !(l.leadership < w.acknowledgedUnder[k] && w.overtaken(l)) {
+			if sequence > 0 && l.visible[writes[k]] != sequence && !(l.leadership < w.acknowledgedUnder[k] && w.overtaken(l)) {
 				return fmt.Errorf("%s begins epoch %d without w%d", l.folder, l.leadership, k)
 			}
-			if w.refused[k] && l.shown[writes[k]] > 0 {
+			if w.rejected[k] && l.visible[writes[k]] > 0 {
 				return fmt.Errorf("%s shows w%d, which was refused", l.folder, k)
 			}
 		}
-		for _, other := range w.lanes {
+		for _, other := range w.replicas {
 			if other != nil && other.site != l.site && other.leadership == l.leadership {
 				return fmt.Errorf("%s and %s both lead in epoch %d", l.folder, other.folder, l.leadership)
 			}
@@ -427,8 +427,8 @@
 // overtaken reports whether a leadership can never acknowledge or confirm anything: a backup without which it can't has
 // prepared a higher epoch, or is no more. A view may be chosen, and another one after it, before the first one's proposer
 // has the reply that tells it so: its leadership begins in an epoch that is over, and only its lease is left of it.
-func (w *systemState) overtaken(l *lane) bool {
+func (w *systemState) overtaken(l *replicaState) bool {
 	return slices.ContainsFunc(l.backups, func(folder string) bool {
-		return !slices.ContainsFunc(w.lanes[:], func(o *lane) bool { return o != nil && o.folder == folder && o.preparedEpoch <= l.leadership })
+		return !slices.ContainsFunc(w.replicas[:], func(o *replicaState) bool { return o != nil && o.folder == folder && o.preparedEpoch <= l.leadership })
 	})
 }
--- a/internal/tier/consensus/health.go
+++ b/internal/tier/consensus/health.go
@@ -6,21 +6,21 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// ToleranceUnknown is Health.Tolerates of a node that does not lead, or whose lease has ended.
+// ToleranceUnknown is the value of Health.Tolerates at a node that is not primary, or whose lease has expired.
 const ToleranceUnknown = -1
 
-// Health is what a node knows about its disk and, if it leads, about the losses that the group tolerates.
+// Health describes the disk of a node and, at the primary, the losses that the group tolerates.
 type Health struct {
 	Disk      error // nil: the disk can be written
 	Losses    int   // to be tolerated at the same time, as configured
-	Tolerates int   // further machines or disks that may be lost now, at most Losses; ToleranceUnknown if it does not lead
+	Tolerates int   // further machines or disks that may be lost now, at most Losses; ToleranceUnknown if the node is not primary
 
 	Members, MembersWanted int      // members of the view in force; 2*Losses+1
 	Backups, BackupsWanted int      // backups that replied recently; Losses, fewer with few members
 	Absent                 []string // addresses of members that have not replied recently, or were replaced by another folder
 	Changing               bool     // a change of members is in progress: majorities of both sets are needed
 
-	Lease time.Duration // for how long it leads without another reply of its backups; 0 if it does not lead
+	Lease time.Duration // remaining lease without another reply of the backups; 0 if the node is not primary
 }
 
 // Health returns the newest published health, as of the last step that is on disk. During a lease it is at most a heartbeat old.
@@ -42,14 +42,14 @@
 // DiskError returns nil while the disk can be written, and otherwise the error that it failed with.
 func (node *Node) DiskError() error { return node.Health().Disk }
 
-// health of the view in force. With B the responsive backups, and for each set S of quorumSets(view) live(S) its responsive members, this one
-// included:
+// health returns the health of the view in force. B is the set of responsive backups, and live(S), for each set S of quorumSets(view), is
+// the number of its responsive members, this one included:
 //
 //	tolerates = min(|B|, min over S of live(S) - (|S|/2 + 1)), at least 0 and at most the configured losses
 //
 // Any |B| of the |B|+1 replicas of the state may be lost without the loss of a write, and a majority of each set is left to choose the
-// next view. A joiner without a vote and a member that never replied count for nothing. A member counts as responsive until
-// answerMaxAge has passed since its last reply, so a loss shows that late at most.
+// next view. A joiner without a vote and a member that never replied are not counted. A member counts as responsive until answerMaxAge has
+// passed since its last reply, so a loss is reported after that time at the latest.
 func (r *replica) health() Health {
 	health := Health{Losses: r.toleratedLosses, Tolerates: ToleranceUnknown, MembersWanted: 2*r.toleratedLosses + 1}
 	if r.primary == nil {
@@ -82,7 +82,7 @@
 	return health
 }
 
-// answerMaxAge is how old the last reply of a responsive member may be.
+// answerMaxAge returns the maximum age of the last reply of a responsive member.
 func (r *replica) answerMaxAge() time.Duration {
 	return r.timing.callTimeout + r.timing.heartbeatInterval/2
 }
@@ -92,7 +92,7 @@
 	return member.Folder == r.Folder || member.Folder == "" && member.Address == r.self.Address || r.answeredWithin(member, r.answerMaxAge())
 }
 
-// backupIsResponsive reports whether a backup confirmed the view recently and has all that was acknowledged.
+// backupIsResponsive reports whether a backup confirmed the view recently and has every acknowledged write.
 func (r *replica) backupIsResponsive(folder string) bool {
 	primary := r.primary
 	return !primary.failedBackups[folder] && r.now-primary.confirmedAt[folder] <= r.answerMaxAge() && !r.wasReplaced(folder)
--- a/internal/tier/consensus/join.go
+++ b/internal/tier/consensus/join.go
@@ -8,20 +8,20 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// handleJoin records a process that is no member, or that has lost the primary.
+// handleJoin records a process that is not a member, or that gets no heartbeats of a primary.
 func (r *replica) handleJoin(request *tierv1.JoinRequest) *tierv1.JoinReply {
 	if request.From != nil && request.From.Folder != "" {
 		if peer := r.recordContact(request.From); peer != nil {
 			peer.firstSeen = r.now
 			if !peer.hasReplied && r.primary != nil {
-				r.primary.heartbeatAt = r.now // ask it at once
+				r.primary.heartbeatAt = r.now // send it a heartbeat at once
 			}
 		}
 	}
 	return &tierv1.JoinReply{IsPrimary: r.primary != nil, View: r.chosen}
 }
 
-// sendJoins announces this process to all known ones, and learns the newest chosen view from their replies.
+// sendJoins announces this process to all known peers, and learns the newest chosen view from their replies.
 func (r *replica) sendJoins() {
 	for _, address := range r.peerAddresses() {
 		began := r.now
@@ -60,11 +60,12 @@
 	return list
 }
 
-// joiners are the processes that reply and are no members. One that lost its disk is at the address of its former member.
+// joiners returns the processes that reply and are not members. A process that lost its disk is a joiner at the address of its former
+// member.
 func (r *replica) joiners(members []*tierv1.Member) (list []*tierv1.Member) {
 	for _, address := range r.peerAddresses() {
 		peer := r.peers[address]
-		if peer == nil || !peer.hasReplied || peer.knowsMembership || r.now-peer.answeredAt > r.timing.callTimeout {
+		if peer == nil || !peer.hasReplied || peer.reportsMembership || r.now-peer.answeredAt > r.timing.callTimeout {
 			continue
 		}
 		if !slices.ContainsFunc(members, func(v *tierv1.Member) bool { return v.Folder == peer.member.Folder }) {
--- a/internal/tier/consensus/large_state_test.go
+++ b/internal/tier/consensus/large_state_test.go
@@ -10,24 +10,24 @@
 )
 
 // newLargeWorld is a stable group whose state takes so long to be transferred from one machine to another.
-func newLargeWorld(t *testing.T, seed uint64, losses int, copyTime time.Duration) *world {
+func newLargeStateSimulation(t *testing.T, seed uint64, losses int, transferTime time.Duration) *simulation {
 	t.Helper()
 	const part, parts = 64 << 10, 16
-	w := newWorld(seed, 2*losses+1, losses)
-	w.transferRate = int(float64(part*parts) / (1.5 * copyTime.Seconds()))
+	w := newSimulation(seed, 2*losses+1, losses)
+	w.transferRate = int(float64(part*parts) / (1.5 * transferTime.Seconds()))
 	w.boot()
-	w.run(5 * time.Second)
+	w.runUntil(5 * time.Second)
 	for n := range parts {
 		l := w.newestPrimary()
 		assert.Assert(t, l != nil, w.lastTrace())
 		key := fmt.Sprint("part", n)
 		w.token++
-		w.waiting[w.token] = &operation{key: key, began: w.now, site: l}
+		w.pendingOperations[w.token] = &operation{key: key, began: w.now, site: l}
 		l.step(putRequest{w.token, l.replica.primary.view.Epoch, map[string][]byte{key: bytes.Repeat([]byte("x"), part)}})
-		w.run(w.now + 50*time.Millisecond)
+		w.runUntil(w.now + 50*time.Millisecond)
 	}
 	assert.Assert(t, len(w.acknowledged) == parts, w.lastTrace())
-	w.rate = int(float64(part*parts) / copyTime.Seconds())
+	w.rate = int(float64(part*parts) / transferTime.Seconds())
 	return w
 }
 
@@ -35,15 +35,15 @@
 // restarted catches up, and after the loss of the leader another leads.
 func TestStateTransfer_LargeStateOverSlowLink(t *testing.T) {
 	seeds := seedCount(6)
-	if testing.Short() || raced {
+	if testing.Short() || raceDetector {
 		seeds = 2
 	}
 	for _, losses := range []int{1, 2} {
-		for _, copyTime := range []time.Duration{400 * time.Millisecond, 2 * time.Second, 6 * time.Second} {
+		for _, transferTime := range []time.Duration{400 * time.Millisecond, 2 * time.Second, 6 * time.Second} {
 			var served, settled time.Duration
 			for seed := range uint64(seeds) {
-				w := newLargeWorld(t, seed, losses, copyTime)
-				limit := 4*copyTime + 3*w.window
+				w := newLargeStateSimulation(t, seed, losses, transferTime)
+				limit := 4*transferTime + 3*w.window
 				w.leaseReadsUntil(w.now + 40*time.Second)
 				leader := w.newestPrimary()
 				for _, s := range w.sites { // a backup is restarted
@@ -55,15 +55,15 @@
 				}
 				w.timeToService(limit)
 				settled = max(settled, w.timeToRedundancy(limit))
-				if leader = w.newestPrimary(); leader != nil && len(w.faults) == 0 { // the leader is lost, and comes back empty
+				if leader = w.newestPrimary(); leader != nil && len(w.violations) == 0 { // the leader is lost, and comes back empty
 					leader.wipe()
 					w.startWithin(leader, time.Second)
 					served = max(served, w.timeToService(limit))
 					settled = max(settled, w.timeToRedundancy(limit))
 				}
-				assert.Assert(t, len(w.faults) == 0, "losses %d, transfers of %v, seed %d: %v\n%s", losses, copyTime, seed, w.faults, w.lastTrace())
+				assert.Assert(t, len(w.violations) == 0, "losses %d, transfers of %v, seed %d: %v\n%s", losses, transferTime, seed, w.violations, w.lastTrace())
 			}
-			t.Logf("%d losses, copies of %v: %v until something is acknowledged, %v until the next loss is borne", losses, copyTime, served, settled)
+			t.Logf("%d losses, copies of %v: %v until something is acknowledged, %v until the next loss is borne", losses, transferTime, served, settled)
 		}
 	}
 }
--- a/internal/tier/consensus/lease.go
+++ b/internal/tier/consensus/lease.go
@@ -9,8 +9,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// leaseStart is when the lease began: the start of the oldest among the newest round trips to each backup. Without backups it is
-// now, as nobody else may take over.
+// leaseStart returns when the lease began: for each backup, the newest round trip counts, and the lease began with the oldest of these.
+// Without backups it returns now, as no other replica may take over.
 func (r *replica) leaseStart() time.Duration {
 	at := r.now
 	for _, folder := range r.primary.view.Backups {
@@ -24,17 +24,17 @@
 	return r.now-r.leaseStart() < d
 }
 
-// heartbeatsToAbsent is for how many times timing.replaceAfter an unresponsive process that is no member still gets heartbeats. After
-// that it has to join.
-const heartbeatsToAbsent = 5
+// absentHeartbeatFactor limits the heartbeats to an unresponsive process that is not a member: they end after this multiple of
+// timing.replaceAfter. After that the process has to join.
+const absentHeartbeatFactor = 5
 
-// sendHeartbeats sends heartbeats to all members, and to other processes that replied not too long ago.
+// sendHeartbeats sends heartbeats to all members, and to other processes that are not unresponsive for too long (absentHeartbeatFactor).
 func (r *replica) sendHeartbeats() {
 	primary := r.primary
 	primary.heartbeatAt = r.now + r.timing.heartbeatInterval
 	for _, address := range r.peerAddresses() {
 		isMember := slices.ContainsFunc(primary.view.Members, func(member *tierv1.Member) bool { return member.Address == address })
-		if isMember || r.unresponsiveFor(address) < heartbeatsToAbsent*r.timing.replaceAfter {
+		if isMember || r.unresponsiveFor(address) < absentHeartbeatFactor*r.timing.replaceAfter {
 			r.sendHeartbeat(address)
 		}
 	}
@@ -55,7 +55,7 @@
 			return
 		}
 		r.recordReply(reply.Self, began)
-		peer.knowsMembership = reply.IsMember
+		peer.reportsMembership = reply.IsMember
 		r.highestEpoch = max(r.highestEpoch, reply.HighestPrepared)
 		primary := r.primary
 		if primary == nil || !slices.Contains(primary.view.Backups, reply.Self.Folder) {
@@ -69,8 +69,8 @@
 	})
 }
 
-// preparedForProposal reports whether a member prepared an epoch for this replica's proposal in progress. The epoch alone does not tell: two
-// proposers may use the same one, and the reply to a heartbeat does not say for whom it was prepared.
+// preparedForProposal reports whether a member prepared an epoch for this replica's proposal in progress. The epoch alone is not enough:
+// two proposers may use the same epoch, and the reply to a heartbeat does not name the proposer that it was prepared for.
 func (r *replica) preparedForProposal(folder string, epoch uint64) bool {
 	proposal := r.proposal
 	return proposal != nil && epoch == proposal.epoch && proposal.prepared[folder] != nil
--- a/internal/tier/consensus/lease_test.go
+++ b/internal/tier/consensus/lease_test.go
@@ -15,7 +15,7 @@
 // A process that was paused between its round trip and its reply finds that it is late: no read under the lease, no
 // confirmation and no figure of its health is given on what was confirmed before.
 func TestLease_PausedNodeServesNothing(t *testing.T) {
-	s := newSolo(t, wal.NewMemory(), "a", "b", "c")
+	s := newManualNode(t, wal.NewMemory(), "a", "b", "c")
 	n := s.node
 	n.published.primary, n.published.epoch, n.published.leaseStart = true, 7, s.now
 	n.published.health.Tolerates = 1
@@ -53,7 +53,7 @@
 }
 
 // leading is a replica that leads b and c, with b as its backup.
-func leading(t *testing.T) *replica {
+func newPrimary(t *testing.T) *replica {
 	t.Helper()
 	members := []*tierv1.Member{{Folder: "fa", Address: "a"}, {Folder: "fb", Address: "b"}, {Folder: "fc", Address: "c"}}
 	d := durableState{identity: identity{Folder: "fa"}, preparedEpoch: 1 << epochBits, preparedFor: "fa", stateEpoch: 1 << epochBits}
@@ -64,7 +64,7 @@
 		target: &tierv1.View{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}})
 	for _, v := range members[1:] {
 		m.recordReply(v, m.now)
-		m.peers[v.Address].knowsMembership = true
+		m.peers[v.Address].reportsMembership = true
 	}
 	return m
 }
@@ -82,7 +82,7 @@
 // Two folders may propose the same epoch. A backup that prepared it for the other replies to a heartbeat with that epoch: this
 // must not prolong the lease of the one whose proposal it refused.
 func TestLease_NotRenewedByTiedEpoch(t *testing.T) {
-	m := leading(t)
+	m := newPrimary(t)
 	out := m.Step(m.now)
 	m.propose(reconfiguration{replaceBackups: map[string]bool{"fb": true}})
 	epoch, before := m.proposal.epoch, m.leaseStart()
@@ -94,7 +94,7 @@
 	assert.Equal(t, m.primary.confirmedAt["fb"], before)
 
 	// Once it has prepared the epoch for this proposal, a heartbeat counts again.
-	m = leading(t)
+	m = newPrimary(t)
 	out = m.Step(m.now)
 	m.propose(reconfiguration{})
 	m.proposal.prepared["fb"] = &tierv1.PrepareReply{Prepared: true, Self: &tierv1.Member{Folder: "fb", Address: "b"}}
@@ -132,14 +132,14 @@
 			m.peers["c"].answeredAt = 0
 		}, 0, 1, 0},
 	} {
-		m := leading(t)
+		m := newPrimary(t)
 		c.change(m)
 		h := m.health()
 		assert.Equal(t, h.Tolerates, c.tolerates, c.name)
 		assert.Equal(t, h.Backups, c.backups, c.name)
 		assert.Equal(t, len(h.Absent), c.absent, c.name)
 	}
-	m := leading(t)
+	m := newPrimary(t)
 	m.primary = nil
 	assert.Equal(t, m.health().Tolerates, ToleranceUnknown)
 }
@@ -148,7 +148,7 @@
 func TestReconfiguration_MajorityWithoutRemovedMember(t *testing.T) {
 	members := []*tierv1.Member{{Folder: "fa", Address: "a", Zone: "1"}, {Folder: "fb", Address: "b", Zone: "2"}, {Folder: "fc", Address: "c", Zone: "1"},
 		{Folder: "fd", Address: "d", Zone: "3"}, {Folder: "fe", Address: "e", Zone: "4"}}
-	m := leading(t)
+	m := newPrimary(t)
 	m.toleratedLosses = 2
 	m.now = 10 * time.Second
 	m.primary.view = &tierv1.View{Epoch: 1 << epochBits, Primary: "fa", Backups: []string{"fb"}, Members: members}
--- a/internal/tier/consensus/moved_members_test.go
+++ b/internal/tier/consensus/moved_members_test.go
@@ -10,7 +10,7 @@
 )
 
 // move stops a process, and starts it with its disk at another address.
-func (w *world) move(s *site, address string) {
+func (w *simulation) move(s *site, address string) {
 	s.stop(w.random.IntN(2) == 0)
 	s.member = proto.CloneOf(s.member)
 	s.member.Address = address
@@ -21,18 +21,18 @@
 // next loss is tolerated.
 func TestReconfiguration_MemberMovesWithDisk(t *testing.T) {
 	seeds := seedCount(10)
-	if testing.Short() || raced {
+	if testing.Short() || raceDetector {
 		seeds = 3
 	}
 	var settled time.Duration
 	for seed := range uint64(seeds) {
-		w := newWorld(seed, 3, 1)
+		w := newSimulation(seed, 3, 1)
 		w.boot()
-		w.run(5 * time.Second)
+		w.runUntil(5 * time.Second)
 		for n := range 6 {
 			w.move(w.sites[w.random.IntN(3)], fmt.Sprint("moved", n))
 			w.seeds[n%3] = fmt.Sprint("moved", n)
-			w.run(w.now + 600*time.Millisecond)
+			w.runUntil(w.now + 600*time.Millisecond)
 			settled = max(settled, w.timeToRedundancy(w.window))
 		}
 		if l := w.newestPrimary(); l != nil {
@@ -40,7 +40,7 @@
 			l.removed = true
 			w.timeToService(w.window)
 		}
-		assert.Assert(t, len(w.faults) == 0, "seed %d: %v\n%s", seed, w.faults, w.lastTrace())
+		assert.Assert(t, len(w.violations) == 0, "seed %d: %v\n%s", seed, w.violations, w.lastTrace())
 	}
 	t.Logf("%v until the next loss is borne", settled)
 }
@@ -48,15 +48,15 @@
 // All machines come back with their disks, each at another address, and find each other by the seeds of their settings.
 func TestReconfiguration_AllMembersMoveWithDisks(t *testing.T) {
 	seeds := seedCount(10)
-	if testing.Short() || raced {
+	if testing.Short() || raceDetector {
 		seeds = 3
 	}
 	for _, losses := range []int{1, 2} {
 		var served time.Duration
 		for seed := range uint64(seeds) {
-			w := newWorld(seed, 2*losses+1, losses)
+			w := newSimulation(seed, 2*losses+1, losses)
 			w.boot()
-			w.run(5 * time.Second)
+			w.runUntil(5 * time.Second)
 			w.seeds = nil
 			for i, s := range w.sites {
 				w.move(s, fmt.Sprint("moved", i))
@@ -64,10 +64,10 @@
 					w.seeds = append(w.seeds, s.member.Address)
 				}
 			}
-			w.run(w.now + 500*time.Millisecond)
+			w.runUntil(w.now + 500*time.Millisecond)
 			served = max(served, w.timeToService(w.window))
 			w.timeToRedundancy(w.window)
-			assert.Assert(t, len(w.faults) == 0, "losses %d, seed %d: %v\n%s", losses, seed, w.faults, w.lastTrace())
+			assert.Assert(t, len(w.violations) == 0, "losses %d, seed %d: %v\n%s", losses, seed, w.violations, w.lastTrace())
 		}
 		t.Logf("%d losses: %v until something is acknowledged", losses, served)
 	}
--- a/internal/tier/consensus/mutants_hardening_test.go
+++ b/internal/tier/consensus/mutants_hardening_test.go
@@ -36,13 +36,13 @@
 			if p == nil || p.phase != transferring {
 				return
 			}
-			var kept []outgoingCall
+			var others []outgoingCall
 			for _, c := range out.unsyncedCalls {
 				if q, ok := c.body.(*tierv1.WriteRequest); !ok || !q.Snapshot {
-					kept = append(kept, c)
+					others = append(others, c)
 				}
 			}
-			out.unsyncedCalls = kept
+			out.unsyncedCalls = others
 			for folder := range p.transfers {
 				p.confirmedAt[folder] = s.replica.now
 			}
@@ -76,13 +76,13 @@
 )
 
 // found plays seeds until one finds the mutant, and logs the seed and the fault; the unchanged replica passes the same seeds.
-func found(t *testing.T, p mutant, play func(seed uint64, p mutant) *world) {
+func requireMutantFound(t *testing.T, p mutant, play func(seed uint64, p mutant) *simulation) {
 	t.Helper()
 	for seed := range uint64(mutantSeeds) {
-		if w := play(seed, p); len(w.faults) > 0 {
-			t.Logf("%s: seed %d: %v", p.name, seed, w.faults[0])
-			if right := play(seed, mutant{}); len(right.faults) > 0 {
-				t.Fatalf("the unchanged replica fails, too: %v\n%s", right.faults, right.lastTrace())
+		if w := play(seed, p); len(w.violations) > 0 {
+			t.Logf("%s: seed %d: %v", p.name, seed, w.violations[0])
+			if right := play(seed, mutant{}); len(right.violations) > 0 {
+				t.Fatalf("the unchanged replica fails, too: %v\n%s", right.violations, right.lastTrace())
 			}
 			return
 		}
@@ -96,7 +96,7 @@
 			continue
 		}
 		t.Run(c.name, func(t *testing.T) {
-			found(t, endlessLease, func(seed uint64, p mutant) *world {
+			requireMutantFound(t, endlessLease, func(seed uint64, p mutant) *simulation {
 				w, _, _ := isolate(t, c, seed, p)
 				return w
 			})
@@ -107,16 +107,16 @@
 func TestMutants_FoundBySecondLosses(t *testing.T) {
 	for _, p := range []mutant{joinerWithoutState, countsEmptyFolder} {
 		t.Run(p.name, func(t *testing.T) {
-			found(t, p, func(seed uint64, p mutant) *world { return play(seed, 3+int(seed%2), 1, p) })
+			requireMutantFound(t, p, func(seed uint64, p mutant) *simulation { return playRandomFaults(seed, 3+int(seed%2), 1, p) })
 		})
 	}
 	t.Run(dropsFormer.name, func(t *testing.T) {
 		x, w := fromSwap(t, dropsFormer)
 		w.left = budget{takeovers: 1, writes: 1}
-		if r := x.explore(w, 150_000); r.fault == nil {
+		if r := x.explore(w, 150_000); r.violation == nil {
 			t.Fatalf("not found in %v", r)
 		} else {
-			t.Logf("%v; found: %v\n%s", r, r.fault, strings.Join(r.path, "\n"))
+			t.Logf("%v; found: %v\n%s", r, r.violation, strings.Join(r.path, "\n"))
 		}
 	})
 }
@@ -124,7 +124,7 @@
 func TestMutants_FoundByStateTransfer(t *testing.T) {
 	for _, p := range []mutant{oldSnapshotReplaces, leadsWithOldState} {
 		t.Run(p.name, func(t *testing.T) {
-			found(t, p, func(seed uint64, p mutant) *world { return play(seed, 3+int(seed%2), 1, p) })
+			requireMutantFound(t, p, func(seed uint64, p mutant) *simulation { return playRandomFaults(seed, 3+int(seed%2), 1, p) })
 		})
 	}
 }
--- a/internal/tier/consensus/mutants_test.go
+++ b/internal/tier/consensus/mutants_test.go
@@ -19,9 +19,9 @@
 
 // subject is a replica with its mutation.
 type subject struct {
-	replica *replica
-	mutant  mutant
-	asked   map[uint64]proto.Message // calls in flight, by ID
+	replica  *replica
+	mutant   mutant
+	requests map[uint64]proto.Message // calls in flight, by ID
 	// What was prepared before the step, for a mutant that forgets what it prepares for others at once.
 	preparedEpoch uint64
 	preparedFor   string
@@ -48,12 +48,12 @@
 	}
 	for _, e := range events {
 		if a, ok := e.(callResult); ok {
-			delete(s.asked, a.id)
+			delete(s.requests, a.id)
 		}
 	}
 	for _, list := range [][]outgoingCall{out.unsyncedCalls, out.calls} {
 		for _, c := range list {
-			s.asked[c.id] = c.body
+			s.requests[c.id] = c.body
 		}
 	}
 	out.outcomes = append(ended, out.outcomes...)
@@ -88,13 +88,13 @@
 		}}
 	forgetsPreparedAtRestart = mutant{name: "forgets its prepared epoch at a restart",
 		after: func(_ *subject, out *actions) {
-			var kept [][]byte
+			var others [][]byte
 			for _, r := range out.records {
 				if r[0] != kindPrepared {
-					kept = append(kept, r)
+					others = append(others, r)
 				}
 			}
-			out.records = kept
+			out.records = others
 		}}
 	acknowledgesEarly = mutant{name: "acknowledges before the backup's sync",
 		after: func(s *subject, _ *actions) {
@@ -105,7 +105,7 @@
 	skipsBackup = mutant{name: "skips a dead backup",
 		before: func(s *subject, e event) (event, *outcome) {
 			if a, ok := e.(callResult); ok && a.body == nil {
-				if _, write := s.asked[a.id].(*tierv1.WriteRequest); write {
+				if _, write := s.requests[a.id].(*tierv1.WriteRequest); write {
 					return callResult{a.id, &tierv1.WriteReply{Acknowledged: true}}, nil
 				}
 			}
@@ -156,8 +156,8 @@
 	for _, p := range []mutant{forgetsPreparedAtOnce, acknowledgesEarly, skipsBackup, countsEmptyFolder, confirmsWithoutRoundTrip} {
 		t.Run(p.name, func(t *testing.T) {
 			for seed := range uint64(max(3000, seedCount(0))) {
-				if w := play(seed, 3+int(seed%2), 1, p); len(w.faults) > 0 {
-					t.Logf("seed %d: %v", seed, w.faults[0])
+				if w := playRandomFaults(seed, 3+int(seed%2), 1, p); len(w.violations) > 0 {
+					t.Logf("seed %d: %v", seed, w.violations[0])
 					return
 				}
 			}
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -16,31 +16,32 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Config is what a node is opened with.
+// Config holds the parameters of Open.
 type Config struct {
 	Self      *tierv1.Member // node, zone, region and internal address; the folder is set by this package
 	Seeds     []string       // internal addresses of the seeds
-	Bootstrap bool           // the whole system starts for the first time
+	Bootstrap bool           // this is the first start of the whole system
 	Losses    int            // machines or disks that may be lost at the same time
 	Dir       string         // folder of the control state
 	FS        wal.FS
 
-	ContactWindow time.Duration // all durations of the protocol are parts of it
-	Heartbeat     time.Duration // four times the longest heartbeat interval; 0: no bound but that of the contact window
+	ContactWindow time.Duration // all durations of the protocol are fractions of it
+	Heartbeat     time.Duration // four times the maximum heartbeat interval; 0: bounded by the contact window only
 
 	Dial func(address string) tierv1.Election // returns the client of the node at an internal address
-	Log  *log.Logger                          // nil: silent
+	Log  *log.Logger                          // nil: no logging
 
 	StateLimit int // of the control state in bytes, the same at all processes; 0: the constant StateLimit
 }
 
-// Node is the part of a control-plane process in the group that keeps the control state. Its methods are safe for concurrent use.
+// Node is the member that a control-plane process runs in the group that replicates the control state. Its methods are safe for concurrent
+// use.
 type Node struct {
 	config Config
 	timing timing
 	clock  func() time.Duration // since the start of the process
 
-	// Of the loop alone.
+	// Used only by the loop.
 	file    *wal.File // nil until the folder could be opened
 	replica *replica  // nil while the disk fails
 	storage storageStatus
@@ -51,7 +52,7 @@
 	mu        sync.Mutex // guards the fields up to changed
 	inbox     []event
 	stopped   bool
-	token     uint64 // last one given out
+	token     uint64 // last token issued
 	replies   map[uint64]chan proto.Message
 	outcomes  map[uint64]chan outcome
 	published publishedState
@@ -60,18 +61,18 @@
 	wake chan struct{} // has an element while the inbox has new events
 }
 
-// Open reads the folder, or creates it: then its identity is synced before anything is answered. A disk that fails, also one that is
-// full, is no error: Run retries until it works (see DiskError), and until then Self has no folder. Errors are those of the
-// configuration and of a file that is not this program's.
+// Open reads the folder, or creates it and syncs its identity before the node replies to any call. A failing or full disk is not an error:
+// Run retries until the disk works (see DiskError), and until then Self has no folder. Open returns an error for an invalid configuration
+// and for a file that this program cannot read.
 func Open(config Config) (*Node, error) {
 	if config.Self == nil || config.Self.Address == "" || config.Dial == nil || config.FS == nil || config.ContactWindow <= 0 {
-		return nil, errorx.IllegalArgument.New("consensus: self, dial, file system and contact window are needed")
+		return nil, errorx.IllegalArgument.New("consensus: Config needs Self with an address, Dial, FS and a positive ContactWindow")
 	}
 	start := time.Now()
 	return open(config, func() time.Duration { return time.Since(start) })
 }
 
-// open is Open with a clock of the caller.
+// open is Open with an injected clock.
 func open(config Config, clock func() time.Duration) (*Node, error) {
 	if config.Log == nil {
 		config.Log = &log.Logger{Writer: log.IOWriter{Writer: io.Discard}}
@@ -98,10 +99,10 @@
 	return node, nil
 }
 
-// now is a monotonic time that goes on while the process is paused, but not while the whole machine sleeps.
+// now returns a monotonic time that advances while the process is paused, but not while the whole machine is suspended.
 func (node *Node) now() time.Duration { return node.clock() }
 
-// Run steps the replica until the context ends. A disk that fails does not end it; a file that can no longer be read does.
+// Run steps the replica until ctx is done. A disk failure does not end Run; a file that can no longer be read does.
 func (node *Node) Run(ctx context.Context) error {
 	defer node.stop()
 	timer := time.NewTimer(0)
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// nextStepAt is when the loop is due at the latest.
+// nextStepAt returns the latest time of the next loop pass.
 func (node *Node) nextStepAt() time.Duration {
 	if node.replica == nil {
 		return node.storage.retryAt
@@ -146,10 +147,11 @@
 	return node.replica.nextStepAt()
 }
 
-// perform carries out the actions of a step, in their order. If the disk fails, only the calls before the sync have left.
+// perform carries out the actions of a step, in their order. If the disk fails, only the calls that need not wait for the disk have been
+// sent.
 func (node *Node) perform(ctx context.Context, actions *actions) {
-	for _, caller := range actions.unsyncedCalls {
-		node.send(ctx, caller)
+	for _, call := range actions.unsyncedCalls {
+		node.send(ctx, call)
 	}
 	err := node.write(actions)
 	if errorx.IsOfType(err, wal.TooLarge) {
@@ -161,27 +163,27 @@
 		return
 	}
 	node.publish(actions.changed)
-	for _, caller := range actions.calls {
-		node.send(ctx, caller)
+	for _, call := range actions.calls {
+		node.send(ctx, call)
 	}
 	node.mu.Lock()
 	for _, reply := range actions.replies {
-		if caller := node.replies[reply.token]; caller != nil {
+		if waiter := node.replies[reply.token]; waiter != nil {
 			delete(node.replies, reply.token)
-			caller <- reply.body
+			waiter <- reply.body
 		}
 	}
 	for _, ended := range actions.outcomes {
-		if caller := node.outcomes[ended.token]; caller != nil {
+		if waiter := node.outcomes[ended.token]; waiter != nil {
 			delete(node.outcomes, ended.token)
-			caller <- ended
+			waiter <- ended
 		}
 	}
 	node.mu.Unlock()
 	node.logTransitions(actions.transitions)
 }
 
-// logTransitions logs changes of this node's part in the group.
+// logTransitions logs the changes of this node's role and of its proposals.
 func (node *Node) logTransitions(transitions []transition) {
 	for _, changed := range transitions {
 		line := node.config.Log.Info().Str("event", "control")
@@ -213,13 +215,13 @@
 	return true
 }
 
-// stop ends the loop: waiting callers get an unknown outcome.
+// stop marks the node as stopped, fails the pending operations with ErrOutcomeUnknown and closes the file.
 func (node *Node) stop() {
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	node.stopped = true
 	node.published.primary = false
-	node.endCallers()
+	node.failPending()
 	if node.file != nil {
 		_ = node.file.Close()
 	}
@@ -257,9 +259,9 @@
 	return node.await(ctx, func(token uint64) event { return putRequest{token, epoch, sets} })
 }
 
-// Confirm makes a round trip to all backups that begins after the call, so that reads that follow it are linearizable. ErrNotPrimary
-// if the epoch is over. The lease is checked again at the end: a process that was paused after its round trip finds that it is
-// late.
+// Confirm makes a round trip to all backups that begins after the call, so that reads that follow it are linearizable. It returns
+// ErrNotPrimary if the epoch is over. The lease is checked again after the round trip, because it may have expired while the process was
+// paused.
 func (node *Node) Confirm(ctx context.Context, epoch uint64) error {
 	if _, err := node.await(ctx, func(token uint64) event { return confirmRequest{token, epoch} }); err != nil {
 		return err
--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -22,7 +22,7 @@
 	nodes map[string]tierv1.Election
 }
 
-type wire struct {
+type networkClient struct {
 	network *network
 	address string
 }
@@ -33,7 +33,7 @@
 	n.nodes[address] = r
 }
 
-func (w wire) to() (tierv1.Election, error) {
+func (w networkClient) node() (tierv1.Election, error) {
 	w.network.mu.Lock()
 	defer w.network.mu.Unlock()
 	if r := w.network.nodes[w.address]; r != nil {
@@ -43,36 +43,36 @@
 }
 
 // callThrough hands a call to the node at the wire's address.
-func callThrough[Q, R any](ctx context.Context, w wire, method func(tierv1.Election, context.Context, *Q) (*R, error), request *Q) (*R, error) {
-	node, err := w.to()
+func forward[Q, R any](ctx context.Context, w networkClient, method func(tierv1.Election, context.Context, *Q) (*R, error), request *Q) (*R, error) {
+	node, err := w.node()
 	if err != nil {
 		return nil, err
 	}
 	return method(node, ctx, request)
 }
 
-func (w wire) Promise(ctx context.Context, request *tierv1.PrepareRequest) (*tierv1.PrepareReply, error) {
-	return callThrough(ctx, w, tierv1.Election.Promise, request)
+func (w networkClient) Promise(ctx context.Context, request *tierv1.PrepareRequest) (*tierv1.PrepareReply, error) {
+	return forward(ctx, w, tierv1.Election.Promise, request)
 }
 
-func (w wire) Accept(ctx context.Context, request *tierv1.AcceptRequest) (*tierv1.AcceptReply, error) {
-	return callThrough(ctx, w, tierv1.Election.Accept, request)
+func (w networkClient) Accept(ctx context.Context, request *tierv1.AcceptRequest) (*tierv1.AcceptReply, error) {
+	return forward(ctx, w, tierv1.Election.Accept, request)
 }
 
-func (w wire) Heartbeat(ctx context.Context, request *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
-	return callThrough(ctx, w, tierv1.Election.Heartbeat, request)
+func (w networkClient) Heartbeat(ctx context.Context, request *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
+	return forward(ctx, w, tierv1.Election.Heartbeat, request)
 }
 
-func (w wire) Write(ctx context.Context, request *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
-	return callThrough(ctx, w, tierv1.Election.Write, request)
+func (w networkClient) Write(ctx context.Context, request *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
+	return forward(ctx, w, tierv1.Election.Write, request)
 }
 
-func (w wire) Join(ctx context.Context, request *tierv1.JoinRequest) (*tierv1.JoinReply, error) {
-	return callThrough(ctx, w, tierv1.Election.Join, request)
+func (w networkClient) Join(ctx context.Context, request *tierv1.JoinRequest) (*tierv1.JoinReply, error) {
+	return forward(ctx, w, tierv1.Election.Join, request)
 }
 
 // running is a node with its loop; end stops it and waits.
-type running struct {
+type runningNode struct {
 	*Node
 	end func()
 }
@@ -81,13 +81,13 @@
 	t       *testing.T
 	network *network
 	disks   map[string]*wal.Memory
-	nodes   map[string]*running
+	nodes   map[string]*runningNode
 	limit   int // of the control state, in bytes; 0: StateLimit
 }
 
 func newCluster(t *testing.T) *cluster {
 	c := &cluster{t: t, network: &network{nodes: make(map[string]tierv1.Election)}, disks: make(map[string]*wal.Memory),
-		nodes: make(map[string]*running)}
+		nodes: make(map[string]*runningNode)}
 	t.Cleanup(func() {
 		for a := range c.nodes {
 			c.stop(a)
@@ -103,7 +103,7 @@
 	n, err := Open(Config{Self: &tierv1.Member{Address: address, Node: address, Zone: "z" + address, Region: "r"},
 		Seeds: []string{"a", "b", "c"}, Bootstrap: bootstrap, Losses: 1, Dir: "/data", FS: c.disks[address], StateLimit: c.limit,
 		ContactWindow: 3 * time.Second, Heartbeat: 400 * time.Millisecond,
-		Dial: func(to string) tierv1.Election { return wire{c.network, to} }})
+		Dial: func(to string) tierv1.Election { return networkClient{c.network, to} }})
 	assert.NilError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -113,7 +113,7 @@
 			c.t.Error(err)
 		}
 	}()
-	c.nodes[address] = &running{n, func() { cancel(); <-done }}
+	c.nodes[address] = &runningNode{n, func() { cancel(); <-done }}
 	c.network.set(address, server{n})
 }
 
@@ -126,8 +126,8 @@
 }
 
 // primary waits until a node is primary and confirmed, and gives it with its epoch.
-func (c *cluster) primary() (*running, uint64) {
-	var found *running
+func (c *cluster) primary() (*runningNode, uint64) {
+	var found *runningNode
 	var epoch uint64
 	c.until("a primary", func() bool {
 		for _, n := range c.nodes {
--- a/internal/tier/consensus/peers.go
+++ b/internal/tier/consensus/peers.go
@@ -9,19 +9,19 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// peer is another control-plane process, known by its address.
+// peer is another control-plane process, identified by its address.
 type peer struct {
-	member           *tierv1.Member // as it last described itself
-	firstSeen        time.Duration
-	answeredAt       time.Duration // start of the newest call that it replied to
-	roundTrip        time.Duration // of that call
-	hasReplied       bool
-	inContact        bool // it has called or replied
-	heartbeatPending bool
-	knowsMembership  bool // it says that it is a member of the view in force
+	member            *tierv1.Member // its last description of itself
+	firstSeen         time.Duration
+	answeredAt        time.Duration // start of the newest call that it replied to
+	roundTrip         time.Duration // of that call
+	hasReplied        bool
+	inContact         bool // it has called or replied
+	heartbeatPending  bool
+	reportsMembership bool // its last heartbeat reply reported that it is a member of the newest chosen view
 }
 
-// peer is what is known of the process at an address, created if it is new.
+// peer returns the record of the process at an address, and creates it if it is new.
 func (r *replica) peer(address string) *peer {
 	known := r.peers[address]
 	if known == nil {
@@ -31,7 +31,8 @@
 	return known
 }
 
-// recordContact records a node that called: one way, so it proves nothing about the way back. It returns nil for this node itself.
+// recordContact records a node that called. The call shows nothing about calls in the opposite direction. It returns nil for this node
+// itself and for an incomplete description.
 func (r *replica) recordContact(member *tierv1.Member) *peer {
 	if member == nil || member.Address == "" || member.Folder == "" || member.Address == r.self.Address {
 		return nil
@@ -44,7 +45,7 @@
 	return peer
 }
 
-// recordReply records that a node replied to a call that began at that time.
+// recordReply records that a node replied to a call that was sent at began.
 func (r *replica) recordReply(member *tierv1.Member, began time.Duration) {
 	peer := r.recordContact(member)
 	if peer == nil {
@@ -56,7 +57,7 @@
 	peer.hasReplied = true
 }
 
-// unresponsiveFor is for how long a node has not replied.
+// unresponsiveFor returns how long a node has not replied.
 func (r *replica) unresponsiveFor(address string) time.Duration {
 	peer := r.peer(address)
 	since := max(peer.answeredAt, peer.firstSeen)
@@ -72,9 +73,9 @@
 	return peer != nil && peer.hasReplied && (member.Folder == "" || peer.member.Folder == member.Folder) && r.now-peer.answeredAt <= d
 }
 
-// isResponsiveMember reports whether a member replied recently and knows that it is a member.
+// isResponsiveMember reports whether a member replied recently and reported that it is a member.
 func (r *replica) isResponsiveMember(member *tierv1.Member) bool {
-	return r.answeredWithin(member, r.timing.callTimeout) && r.peers[member.Address].knowsMembership
+	return r.answeredWithin(member, r.timing.callTimeout) && r.peers[member.Address].reportsMembership
 }
 
 // wasReplaced reports whether another folder replies at a member's address.
@@ -87,9 +88,9 @@
 	return peer != nil && peer.hasReplied && peer.member.Folder != folder
 }
 
-// currentAddress is where a member is to be called: the address in its view or, if its folder was seen elsewhere since that one became
-// unresponsive, there, as a machine may come back with its disk at another address. It is only a hint where to call: what counts
-// is the folder that replies.
+// currentAddress returns the address at which to call a member. It is the address in its view, unless the folder of the member was seen at
+// another address after the one in the view became unresponsive, as a machine may come back with its disk at another address. The address
+// is only a hint: the folder in the reply decides which member it is.
 func (r *replica) currentAddress(member *tierv1.Member) string {
 	address, at := member.Address, time.Duration(0)
 	if peer := r.peers[address]; peer != nil && peer.member.GetFolder() == member.Folder {
--- a/internal/tier/consensus/placement.go
+++ b/internal/tier/consensus/placement.go
@@ -6,8 +6,9 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// crowding is how unevenly members are spread; the lower, the fewer are lost with a region or zone.
-func crowding(members []*tierv1.Member) (sum int) {
+// imbalance measures how unevenly members are spread over regions and zones. The lower it is, the fewer members are lost with one region
+// or zone.
+func imbalance(members []*tierv1.Member) (sum int) {
 	regions, zones := make(map[string]int), make(map[[2]string]int)
 	for _, member := range members {
 		regions[member.Region]++
@@ -22,8 +23,8 @@
 	return sum
 }
 
-// spreadOut picks up to n of the candidates beside those taken: from other regions first, then other zones, then those that have
-// the state already.
+// spreadOut picks up to n of the candidates, in addition to taken. It prefers other regions, then other zones, then candidates that
+// already have the state.
 func spreadOut(taken, candidates []*tierv1.Member, n int, hasState func(folder string) bool) (picked []*tierv1.Member) {
 	rest := slices.Clone(candidates)
 	slices.SortFunc(rest, func(a, b *tierv1.Member) int {
@@ -57,8 +58,8 @@
 	return picked
 }
 
-// rebalanceBackups replaces backups if other live members are spread better over regions and zones. It ends, as crowding falls
-// each time.
+// rebalanceBackups replaces backups if other live members are spread better over regions and zones. The replacements end, as each one
+// lowers the imbalance.
 func (r *replica) rebalanceBackups(wantedBackups int) (reconfiguration, bool) {
 	var alive []*tierv1.Member
 	self := []*tierv1.Member{r.self}
@@ -72,7 +73,7 @@
 		}
 	}
 	picked := spreadOut(self, alive, wantedBackups, func(folder string) bool { return isNamedIn(r.primary.view, folder) })
-	if len(picked) < len(current)-1 || crowding(append(self, picked...)) >= crowding(current) {
+	if len(picked) < len(current)-1 || imbalance(append(self, picked...)) >= imbalance(current) {
 		return reconfiguration{}, false
 	}
 	replaced := make(map[string]bool)
@@ -84,17 +85,17 @@
 	return reconfiguration{replaceBackups: replaced}, len(replaced) > 0
 }
 
-// rebalanceMembers replaces a member that is neither primary nor backup by a joiner, if that lowers the crowding of the members.
+// rebalanceMembers replaces a member that is neither primary nor backup by a joiner, if that lowers the imbalance of the members.
 func (r *replica) rebalanceMembers(joiners []*tierv1.Member) (change reconfiguration, ok bool) {
 	members := r.primary.view.Members
-	lowest := crowding(members)
+	lowest := imbalance(members)
 	for _, member := range members {
 		if member.Folder == "" || isNamedIn(r.primary.view, member.Folder) || !r.majorityWithout(member) {
 			continue
 		}
 		rest := slices.DeleteFunc(slices.Clone(members), func(other *tierv1.Member) bool { return sameMember(other, member) })
 		for _, joiner := range joiners {
-			if sum := crowding(append(slices.Clip(rest), joiner)); sum < lowest {
+			if sum := imbalance(append(slices.Clip(rest), joiner)); sum < lowest {
 				lowest, change, ok = sum, reconfiguration{add: joiner, remove: member}, true
 			}
 		}
@@ -102,8 +103,8 @@
 	return change, ok
 }
 
-// majorityWithout reports whether the responsive members, one excepted, are a majority: else a change that removes this one would
-// depend on it until the change is complete.
+// majorityWithout reports whether the responsive members other than removed are a majority. Otherwise a change that removes this member
+// would depend on its vote until the change is complete.
 func (r *replica) majorityWithout(removed *tierv1.Member) bool {
 	members := r.primary.view.Members
 	live := 0
--- a/internal/tier/consensus/primary.go
+++ b/internal/tier/consensus/primary.go
@@ -6,17 +6,17 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// leadership is the state of a primary, over all views that it had chosen without a break.
+// leadership is the state of a primary. It spans all consecutive views that this primary had chosen.
 type leadership struct {
 	since            time.Duration
-	firstEpoch       uint64                   // of its first view: who writes under it or a later one knows that there was no other primary in between
+	firstEpoch       uint64                   // of its first view; there was no other primary between this epoch and that of view
 	view             *tierv1.View             // in force
-	confirmedAt      map[string]time.Duration // by backup: when the newest round trip began that confirmed the view
+	confirmedAt      map[string]time.Duration // by backup: start of the newest round trip that confirmed the view
 	failedBackups    map[string]bool          // backups that failed a call
 	needsHigherEpoch bool                     // a backup has prepared a higher epoch
 	heartbeatAt      time.Duration            // next heartbeat
-	proposeAt        time.Duration            // next proposal at the earliest
-	growAt           time.Duration            // next proposal at the earliest that only adds backups or corrects addresses: the previous one added none
+	proposeAt        time.Duration            // earliest time of the next proposal
+	growAt           time.Duration            // earliest time of the next proposal that only adds backups or corrects addresses, as the previous one added none
 	committed        map[string]*tierv1.Entry // entries that all replicas have
 	queue            []pendingOperation
 	batch            *writeBatch // in flight; nil: none
@@ -67,8 +67,8 @@
 	r.log("stepped down", reason)
 }
 
-// runPrimaryTimers does what is due of a primary: it steps down when its lease is over, sends heartbeats and proposes the next
-// reconfiguration.
+// runPrimaryTimers runs the timers of a primary that are due: it steps down when its lease has expired, sends heartbeats and proposes the
+// next reconfiguration.
 func (r *replica) runPrimaryTimers() {
 	primary := r.primary
 	if r.proposal == nil && !r.confirmedWithin(r.timing.lease) {
--- a/internal/tier/consensus/proposal.go
+++ b/internal/tier/consensus/proposal.go
@@ -8,18 +8,18 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// phase is how far a proposal has come.
+// phase is the stage that a proposal has reached.
 type phase int
 
 const (
-	preVoting    phase = iota // epoch 0: would a majority prepare?
-	preparing                 // majorities prepare the epoch
-	transferring              // the backups of the target get a snapshot of the state
-	accepting                 // majorities accept the target
+	preVoting    phase = iota // asks, with epoch 0, whether a majority would prepare
+	preparing                 // majorities must prepare the epoch
+	transferring              // each backup of the target must acknowledge a snapshot of the state
+	accepting                 // majorities must accept the target
 )
 
-// reconfiguration is what a primary changes by its next view; the zero value changes nothing, as in a takeover, in completing
-// a change of members or in renewing the epoch.
+// reconfiguration is the change that a primary makes with its next view. The zero value changes nothing; it is used to take over, to
+// complete a change of members and to renew the epoch.
 type reconfiguration struct {
 	replaceBackups map[string]bool // folders
 	add            *tierv1.Member
@@ -31,21 +31,21 @@
 	reconfiguration
 	phase           phase
 	epoch           uint64
-	predecessor     *tierv1.View // newest view seen: the target follows it
+	predecessor     *tierv1.View // newest view seen, which the target succeeds
 	target          *tierv1.View
 	deadline        time.Duration
-	graceUntil      time.Duration                   // until when replies beyond the majority are awaited
-	askedAddresses  map[string]bool                 // in the prepare phase
-	openCalls       int                             // of this phase
-	prepared        map[string]*tierv1.PrepareReply // by folder: replies that prepared
+	graceUntil      time.Duration                   // end of the wait for replies beyond the majority
+	prepareSentTo   map[string]bool                 // addresses
+	openCalls       int                             // calls of this phase in flight
+	prepared        map[string]*tierv1.PrepareReply // by folder: replies of members that prepared
 	transfers       map[string]bool                 // folders to which a snapshot was sent
 	failedTransfers map[string]bool                 // folders that acknowledged no snapshot
 	acceptedBy      map[string]bool                 // folders
 	unanswered      map[string]bool                 // folders that did not reply to their snapshot or accept
-	retried         map[phase]bool                  // phases whose unanswered calls were made once more
+	retried         map[phase]bool                  // phases whose unanswered calls were retried
 
-	// confirmedAt tells of folders that acknowledged the snapshot when the newest round trip began by which they confirmed
-	// the epoch: that of the snapshot, or of the accept.
+	// confirmedAt has, for each folder that acknowledged the snapshot, the start of the newest round trip by which the folder confirmed
+	// the epoch: that of the snapshot or that of the accept.
 	confirmedAt map[string]time.Duration
 }
 
@@ -56,11 +56,11 @@
 	r.beginProposal(&proposal{reconfiguration: change, phase: preparing, epoch: epoch})
 }
 
-// beginProposal begins a proposal, prepared by this replica itself, and asks the others to prepare.
+// beginProposal begins a proposal, which this replica itself has prepared, and sends prepares to the others.
 func (r *replica) beginProposal(proposal *proposal) {
 	proposal.predecessor = r.newestView()
 	proposal.deadline = r.now + 3*r.timing.callTimeout
-	proposal.askedAddresses = make(map[string]bool)
+	proposal.prepareSentTo = make(map[string]bool)
 	proposal.prepared = map[string]*tierv1.PrepareReply{r.Folder: {Prepared: true, Self: r.self, Genesis: r.Genesis,
 		HighestPrepared: r.preparedEpoch, Accepted: r.accepted, Chosen: r.chosen, Sequence: r.sequence}}
 	proposal.confirmedAt, proposal.transfers = make(map[string]time.Duration), make(map[string]bool)
@@ -91,7 +91,7 @@
 	}
 }
 
-// nextStepAt is when the proposal is due at the latest without another reply.
+// nextStepAt returns the latest time at which the proposal must be advanced without another reply.
 func (p *proposal) nextStepAt() time.Duration {
 	if p.graceUntil > 0 && p.phase <= preparing {
 		return min(p.graceUntil, p.deadline)
@@ -99,8 +99,8 @@
 	return p.deadline
 }
 
-// takeUnanswered returns the folders that have not replied in this phase, once in each phase: a lost call must not end the
-// proposal, as a new one would make all its calls again. Transfers and accepts are idempotent.
+// takeUnanswered returns the folders that have not replied in this phase, so that their calls are retried, at most once in each phase. A
+// lost call must not end the proposal, as a new proposal would repeat all calls. Transfers and accepts are idempotent.
 func (p *proposal) takeUnanswered() (folders []string) {
 	if p.retried[p.phase] {
 		return nil
@@ -111,12 +111,12 @@
 	return folders
 }
 
-// canLead reports whether this replica's state has all that was acknowledged before and under a view.
+// canLead reports whether this replica's state has every write that was acknowledged before and under a view.
 func (r *replica) canLead(view *tierv1.View) bool {
 	return view != nil && (view.Epoch == 0 || isNamedIn(view, r.Folder) && r.stateEpoch >= view.Epoch)
 }
 
-// abandonProposal ends a proposal that was overtaken by another one.
+// abandonProposal ends a proposal that another one has superseded.
 func (r *replica) abandonProposal(reason string) {
 	r.proposal = nil
 	r.log("proposal abandoned", reason)
--- a/internal/tier/consensus/proposal_accept.go
+++ b/internal/tier/consensus/proposal_accept.go
@@ -9,7 +9,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// beginAcceptPhase accepts the target here, and asks all that prepared to accept it.
+// beginAcceptPhase accepts the target locally and sends an accept to each member that prepared.
 func (r *replica) beginAcceptPhase() {
 	proposal := r.proposal
 	proposal.phase = accepting
@@ -23,7 +23,7 @@
 	}
 }
 
-// sendAccept asks a member that prepared to accept the target.
+// sendAccept sends an accept of the target to a member that prepared.
 func (r *replica) sendAccept(to *tierv1.Member) {
 	proposal := r.proposal
 	proposal.openCalls++
@@ -43,7 +43,7 @@
 		}
 		if reply.Accepted {
 			proposal.acceptedBy[to.Folder] = true
-			if _, ok := proposal.confirmedAt[to.Folder]; ok { // it has prepared the same epoch as when it acknowledged the snapshot
+			if _, ok := proposal.confirmedAt[to.Folder]; ok { // the prepared epoch is the same as when the member acknowledged the snapshot
 				proposal.confirmedAt[to.Folder] = began
 			}
 		}
@@ -75,8 +75,8 @@
 	return false
 }
 
-// backupsConfirmed reports whether the lease that begins with the target would be valid for a while. A state transfer that took long does
-// not tell: then the replies of the backups to the accept are awaited, which count as well.
+// backupsConfirmed reports whether the lease that begins with the target would still be valid for at least half of its duration. After a
+// long state transfer it would not; then the replies of the backups to the accept are awaited, which also confirm the epoch.
 func (r *replica) backupsConfirmed() bool {
 	proposal := r.proposal
 	for _, folder := range proposal.target.Backups {
@@ -87,7 +87,7 @@
 	return true
 }
 
-// retryAccepts sends the accept once more to those that have not replied, and reports whether there are any.
+// retryAccepts retries the accept at the members that have not replied, and reports whether there are any.
 func (r *replica) retryAccepts() bool {
 	folders := r.proposal.takeUnanswered()
 	for _, folder := range folders {
--- a/internal/tier/consensus/proposal_prepare.go
+++ b/internal/tier/consensus/proposal_prepare.go
@@ -8,10 +8,11 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// sendPrepares asks all members of the newest views seen to prepare.
+// sendPrepares sends a prepare to all members of the newest views seen.
 //
-// The members of the newest view seen are enough: a view without former members follows one that its proposer knew to be chosen,
-// or has the same members, so its members are in force; one with former members names those in force there.
+// The members of the newest view seen are sufficient. A view without former members has members that are in force, because its proposer
+// knew its predecessor to be chosen or copied the members of the predecessor. A view with former members lists the members in force as
+// Former.
 func (r *replica) sendPrepares() {
 	proposal := r.proposal
 	sets := quorumSets(proposal.predecessor, r.newestChosenView())
@@ -21,10 +22,10 @@
 	for _, set := range sets {
 		for _, member := range set {
 			address := r.currentAddress(member)
-			if address == r.self.Address || member.Folder == r.Folder || proposal.askedAddresses[address] {
+			if address == r.self.Address || member.Folder == r.Folder || proposal.prepareSentTo[address] {
 				continue
 			}
-			proposal.askedAddresses[address] = true
+			proposal.prepareSentTo[address] = true
 			proposal.openCalls++
 			began := r.now
 			r.call(address, &tierv1.PrepareRequest{Epoch: proposal.epoch, From: r.self}, true, func(body proto.Message) {
@@ -35,7 +36,7 @@
 	}
 }
 
-// handlePrepareReply handles the reply, or nil for none, to a prepare that was sent at that time.
+// handlePrepareReply handles the reply to a prepare sent at began; a nil reply means that the call failed.
 func (r *replica) handlePrepareReply(proposal *proposal, reply *tierv1.PrepareReply, began time.Duration) {
 	if reply != nil {
 		r.recordReply(reply.Self, began)
@@ -64,8 +65,8 @@
 	}
 }
 
-// countPrepared advances a proposal in its pre-vote or prepare phase. It reports whether the target is decided; if not, the
-// proposal still waits, has failed, or another one follows it.
+// countPrepared advances a proposal in its pre-vote or prepare phase. It reports whether the target is decided. If not, the proposal still
+// waits, has failed, or has been followed by another one.
 func (r *replica) countPrepared() bool {
 	proposal := r.proposal
 	proposal.predecessor = newestOf(proposal.predecessor, r.newestChosenView())
@@ -97,16 +98,16 @@
 	return true
 }
 
-// replyGrace is for how long replies beyond the majority are awaited: the round trip to the farthest member asked, if known, so that
-// members of a distant region are not left out of each view.
+// replyGrace returns how long replies beyond the majority are awaited, based on the longest known round trip to a member that was sent a
+// prepare, so that members of a distant region are not left out of every view.
 func (r *replica) replyGrace(proposal *proposal) time.Duration {
-	var trip time.Duration
-	for address := range proposal.askedAddresses {
+	var roundTrip time.Duration
+	for address := range proposal.prepareSentTo {
 		if peer := r.peers[address]; peer != nil {
-			trip = max(trip, peer.roundTrip)
+			roundTrip = max(roundTrip, peer.roundTrip)
 		}
 	}
-	return min(trip*3/2+r.timing.heartbeatInterval/4, r.timing.callTimeout)
+	return min(roundTrip*3/2+r.timing.heartbeatInterval/4, r.timing.callTimeout)
 }
 
 // preparedBy reports whether a member has prepared for the proposal in progress.
--- a/internal/tier/consensus/proposal_target.go
+++ b/internal/tier/consensus/proposal_target.go
@@ -6,9 +6,9 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// decideTarget fixes the members of the target. They change only if the predecessor is known to be chosen and has no former members, and
-// former members are left out only if the predecessor is known to be chosen: else a majority that does not know of the
-// predecessor could choose beside it.
+// decideTarget sets the members of the target. Members change only if the predecessor is known to be chosen and has no former members.
+// Former members are left out only if the predecessor is known to be chosen; otherwise a majority that does not know of the predecessor
+// could choose a conflicting view.
 func (r *replica) decideTarget() {
 	proposal := r.proposal
 	target := &tierv1.View{Epoch: proposal.epoch, Primary: r.Folder, Members: r.describeMembers(proposal.predecessor.Members)}
@@ -23,14 +23,14 @@
 		}
 	}
 	proposal.target, proposal.phase, proposal.openCalls = target, transferring, 0
-	proposal.deadline = r.now + 4*r.timing.callTimeout + 2*r.timing.transferTime(r.size) // a transfer may fail, and go to another member
+	proposal.deadline = r.now + 4*r.timing.callTimeout + 2*r.timing.transferTime(r.size) // a transfer may fail and be repeated to another member
 	// From here on this replica's state belongs to the new epoch.
 	r.stateEpoch = proposal.epoch
 	r.persist(encodeStateEpoch(proposal.epoch), true)
 }
 
-// describeMembers replaces members that prepared by what they say of themselves: genesis members get their folder, others the address
-// at which they are now.
+// describeMembers replaces each member that prepared by the description in its reply: genesis members get their folder, others their
+// current address.
 func (r *replica) describeMembers(members []*tierv1.Member) (list []*tierv1.Member) {
 	for _, member := range members {
 		for _, reply := range r.proposal.prepared {
@@ -43,13 +43,13 @@
 	return list
 }
 
-// backupCounts is how many of n members should be backups, and how many must be.
+// backupCounts returns how many of n members should be backups, and how many must be.
 func (r *replica) backupCounts(n int) (wanted, required int) {
 	return min(r.toleratedLosses, n-1), min(r.toleratedLosses, n/2)
 }
 
-// pickBackups picks the backups of the target among its members that prepared: those that have the state or are being sent it
-// first, those to be replaced last. It reports whether they are as many as there must be.
+// pickBackups picks the backups of the target among its members that prepared. Members that have the state or are being sent a snapshot
+// come first, those to be replaced last. It reports whether the required number was reached.
 func (r *replica) pickBackups() (picked []*tierv1.Member, enough bool) {
 	proposal := r.proposal
 	wanted, required := r.backupCounts(len(proposal.target.Members))
--- a/internal/tier/consensus/published.go
+++ b/internal/tier/consensus/published.go
@@ -7,7 +7,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// publishedState is what callers see of the replica, as of its last step that is on disk.
+// publishedState is the state of the replica that callers read, as of its last step that is on disk.
 type publishedState struct {
 	epoch          uint64
 	primary        bool
@@ -21,13 +21,13 @@
 	health         Health
 }
 
-// leads reports whether the process may act as primary at a time: its lease is valid, or there are no backups to ask.
+// leads reports whether the process may act as primary at a time: its lease is valid, or the view has no backups.
 func (p *publishedState) leads(now, lease time.Duration) bool {
 	return p.primary && (p.withoutBackups || now-p.leaseStart < lease)
 }
 
-// lease is how long leads stays true if no backup replies any more. Without backups the lease has no end, and is given as just
-// renewed.
+// lease returns how long leads stays true if no backup replies any more. Without backups the lease does not expire, and its full duration
+// is returned.
 func (p *publishedState) lease(now, duration time.Duration) time.Duration {
 	switch {
 	case !p.leads(now, duration):
@@ -38,7 +38,7 @@
 	return p.leaseStart + duration - now
 }
 
-// publish shows callers the replica as it is now; with changed, those that wait on Changed are woken.
+// publish makes the current state of the replica visible to callers; with changed, it wakes those that wait on Changed.
 func (node *Node) publish(changed bool) {
 	core := node.replica
 	published := publishedState{view: core.chosen, primaryHint: core.primaryHint, members: core.liveMembers(), entries: core.entries, self: core.self, health: core.health()}
--- a/internal/tier/consensus/quorum.go
+++ b/internal/tier/consensus/quorum.go
@@ -6,7 +6,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// quorumSets are the sets of members of which the views need a majority each (joint consensus while members change).
+// quorumSets returns the sets of members that the views need a majority of each. A view has two sets while members change (joint
+// consensus).
 func quorumSets(views ...*tierv1.View) (sets [][]*tierv1.Member) {
 	for _, view := range views {
 		if view == nil {
@@ -36,8 +37,8 @@
 	return len(sets) > 0
 }
 
-// isMember reports whether a folder at an address is this member. A genesis member has no folder yet: only the folder created at the
-// first start at its address counts as it, so a folder that lost its disk never does.
+// isMember reports whether a folder at an address is this member. A genesis member has no folder yet: only a folder created at its address
+// at the first start matches, so a folder created after the loss of a disk never does.
 func isMember(member *tierv1.Member, folder, address string, genesis bool) bool {
 	if member.Folder != "" {
 		return member.Folder == folder
@@ -45,7 +46,7 @@
 	return genesis && member.Address == address
 }
 
-// sameMember reports whether two are the same member: the same folder or, if one has none yet, the same address.
+// sameMember reports whether two descriptions are of the same member: they have the same folder or, if one has none yet, the same address.
 func sameMember(a, b *tierv1.Member) bool {
 	if a.Folder == "" || b.Folder == "" {
 		return a.Address == b.Address
--- a/internal/tier/consensus/race_off_test.go
+++ b/internal/tier/consensus/race_off_test.go
@@ -2,4 +2,4 @@
 
 package consensus
 
-const raced = false
+const raceDetector = false
--- a/internal/tier/consensus/race_on_test.go
+++ b/internal/tier/consensus/race_on_test.go
@@ -2,5 +2,5 @@
 
 package consensus
 
-// raced tells that the race detector slows all down about tenfold.
-const raced = true
+// raceDetector reports whether the race detector is on, which slows the tests down about tenfold.
+const raceDetector = true
--- a/internal/tier/consensus/reconfiguration.go
+++ b/internal/tier/consensus/reconfiguration.go
@@ -32,7 +32,7 @@
 	if successor != nil {
 		return reconfiguration{add: successor, remove: removed}, true
 	}
-	joiners = slices.DeleteFunc(joiners, func(joiner *tierv1.Member) bool { // these wait until their own predecessor at this address is replaced
+	joiners = slices.DeleteFunc(joiners, func(joiner *tierv1.Member) bool { // a joiner at a member's address waits until that member is replaced
 		return slices.ContainsFunc(members, func(member *tierv1.Member) bool { return member.Address == joiner.Address })
 	})
 	if len(joiners) == 0 {
@@ -64,14 +64,14 @@
 	return failed
 }
 
-// canBecomeBackup reports whether a member that is no backup could become one: it replies, and knows that it is a member.
+// canBecomeBackup reports whether a member that is not a backup could become one: it replies, and reports that it is a member.
 func (r *replica) canBecomeBackup(member *tierv1.Member) bool {
 	return member.Folder != r.Folder && !slices.Contains(r.primary.view.Backups, member.Folder) && r.isResponsiveMember(member)
 }
 
-// departedMember finds a member, neither primary nor backup, that is gone: remove, with its successor if a joiner with a new folder is at
-// its address, which proves it; else the first that another folder replaced or that was unresponsive for timing.replaceAfter. Both
-// are nil if there is none.
+// departedMember returns a member, neither primary nor backup, that is to be removed. A joiner with a new folder at the member's address
+// proves that the old folder is lost; the joiner is then the successor. Otherwise removed is the first member whose address another folder
+// took over or that was unresponsive for longer than timing.replaceAfter, and successor is nil. Both are nil if there is no such member.
 func (r *replica) departedMember(joiners []*tierv1.Member) (removed, successor *tierv1.Member) {
 	primary := r.primary
 	for _, member := range primary.view.Members {
--- a/internal/tier/consensus/record.go
+++ b/internal/tier/consensus/record.go
@@ -14,7 +14,7 @@
 	kindAccepted   = 'A' // View
 	kindChosen     = 'C' // View
 	kindWrite      = 'W' // WriteRequest
-	kindStateEpoch = 'M' // epoch as a uvarint: that the state belongs to
+	kindStateEpoch = 'M' // epoch of the state, as a uvarint
 )
 
 // encodeIdentity encodes the record of an identity.
@@ -37,7 +37,7 @@
 func encodeMessage(kind byte, message proto.Message) []byte {
 	encoded, err := proto.MarshalOptions{}.MarshalAppend([]byte{kind}, message)
 	if err != nil {
-		panic(err) // only a string that is not UTF-8
+		panic(err) // only possible for a string that is not UTF-8
 	}
 	return encoded
 }
--- a/internal/tier/consensus/replica.go
+++ b/internal/tier/consensus/replica.go
@@ -9,8 +9,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// replica is the deterministic core of one member. It does no I/O and reads no clock: all that it needs comes in by Step, all that
-// it wants done goes out as actions. It is not safe for concurrent use.
+// replica is the deterministic core of one member. It does no I/O and reads no clock: its inputs are the events and the time passed to
+// Step, its outputs are actions. It is not safe for concurrent use.
 type replica struct {
 	durableState
 	self            *tierv1.Member
@@ -22,22 +22,22 @@
 	now             time.Duration
 	actions         *actions // of the step in progress
 	lastCallID      uint64
-	pendingCalls    map[uint64]func(proto.Message) // by ID: what handles the reply, nil for none
+	pendingCalls    map[uint64]func(proto.Message) // by ID: handlers of the reply, which is nil if the call failed
 
 	peers          map[string]*peer // by address
-	primarySeenAt  time.Duration    // last sign of the primary of the newest chosen view
+	primarySeenAt  time.Duration    // last heartbeat of the primary of the newest chosen view
 	primarySeen    bool
-	checkPrimaryAt time.Duration // when the primary is asked whether it is alive, unless a heartbeat comes before
+	checkPrimaryAt time.Duration // when the primary is called unless a heartbeat arrives before
 	preparedAt     time.Duration // when preparedEpoch was prepared
 	primaryHint    string        // address of the primary; empty: unknown
 	candidacyAt    time.Duration // next pre-vote
 	joinAt         time.Duration // next call to join
-	highestEpoch   uint64        // seen anywhere
+	highestEpoch   uint64        // highest epoch seen in any message or record
 	proposal       *proposal     // nil: none in progress
 	primary        *leadership   // nil: not primary
 }
 
-// replicaConfig is what a replica is made with, beside its durable state.
+// replicaConfig holds the parameters of newReplica other than the durable state.
 type replicaConfig struct {
 	self            *tierv1.Member // its folder is that of the durable state
 	seeds           []string
@@ -63,7 +63,7 @@
 	r.highestEpoch = max(state.preparedEpoch, epochOf(state.accepted), epochOf(state.chosen))
 	r.candidacyAt = r.jitter(r.timing.heartbeatInterval)
 	if view := r.newestView(); view != nil && view.Primary == state.Folder {
-		r.candidacyAt = 0 // it was primary: the others' election time-out is longer than its restart
+		r.candidacyAt = 0 // it was primary, and a restart is shorter than the others' election time-out
 	}
 	r.joinAt = r.jitter(r.timing.heartbeatInterval)
 	return r
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// runTimers does what is due.
+// runTimers runs the timers that are due.
 func (r *replica) runTimers() {
 	r.advanceProposals()
 	if r.primary != nil {
@@ -133,13 +133,13 @@
 	}
 	if r.primary == nil && r.now >= r.joinAt {
 		r.joinAt = r.now + r.timing.joinInterval + r.jitter(r.timing.heartbeatInterval)
-		if !r.primaryAlive() { // a primary that heartbeats knows this node
+		if !r.primaryAlive() { // a primary that sends heartbeats already has this node as a peer
 			r.sendJoins()
 		}
 	}
 }
 
-// advanceProposals lets the proposal, and one that follows it, go as far as they can without another reply.
+// advanceProposals advances the proposal, and one that follows it, as far as possible without another reply.
 func (r *replica) advanceProposals() {
 	for r.proposal != nil {
 		proposal, phase := r.proposal, r.proposal.phase
@@ -150,7 +150,7 @@
 	}
 }
 
-// nextStepAt is when the next Step is due at the latest.
+// nextStepAt returns the latest time of the next Step.
 func (r *replica) nextStepAt() time.Duration {
 	var at time.Duration
 	if r.primary != nil {
@@ -173,14 +173,14 @@
 	return at
 }
 
-// persist has a record appended to the file and, with sync, synced before replies and calls leave.
+// persist adds a record to be appended to the file. With sync, the file is synced before replies and calls leave.
 func (r *replica) persist(record []byte, sync bool) {
 	r.actions.records = append(r.actions.records, record)
 	r.actions.sync = r.actions.sync || sync
 }
 
-// call has a request sent to another node. The function complete is called in a later Step with the reply, or nil if there was
-// none. A call beforeSync need not wait for the disk.
+// call sends a request to another node. The function complete is called in a later Step with the reply, or with nil if the call failed. A
+// call with beforeSync need not wait for the disk.
 func (r *replica) call(address string, body proto.Message, beforeSync bool, complete func(proto.Message)) {
 	r.lastCallID++
 	r.pendingCalls[r.lastCallID] = complete
--- a/internal/tier/consensus/replica_test.go
+++ b/internal/tier/consensus/replica_test.go
@@ -14,18 +14,18 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-func (w *world) boot() {
+func (w *simulation) boot() {
 	for _, s := range w.sites {
 		w.after(time.Duration(w.random.Int64N(int64(300*time.Millisecond))), func() { s.start(true) })
 	}
 }
 
-func (w *world) lastTrace() string {
+func (w *simulation) lastTrace() string {
 	return strings.Join(w.trace[max(0, len(w.trace)-60):], "\n")
 }
 
 // randomFaults plays random faults.
-func (w *world) randomFaults(until time.Duration, wipes bool) {
+func (w *simulation) randomFaults(until time.Duration, wipes bool) {
 	if w.now >= until {
 		return
 	}
@@ -68,22 +68,22 @@
 }
 
 // seedCount is how many seeds a test plays: few, unless CONTROL_SEEDS asks for more.
-func seedCount(few int) int {
+func seedCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("CONTROL_SEEDS")); err == nil {
 		return n
 	}
-	return few
+	return defaultCount
 }
 
-func play(seed uint64, n, losses int, p mutant) *world {
-	w := newWorld(seed, n, losses)
+func playRandomFaults(seed uint64, n, losses int, p mutant) *simulation {
+	w := newSimulation(seed, n, losses)
 	w.mutant = p
 	w.boot()
 	w.faultRate = []float64{0, 0.02, 0.2}[seed%3]
 	end := 25 * time.Second
 	w.load(end)
 	w.after(3*time.Second, func() { w.randomFaults(end, true) })
-	w.run(end)
+	w.runUntil(end)
 	return w
 }
 
@@ -93,14 +93,14 @@
 	acked := 0
 	for _, size := range [][2]int{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {6, 2}} {
 		for seed := range uint64(seeds) {
-			w := play(seed, size[0], size[1], mutant{})
+			w := playRandomFaults(seed, size[0], size[1], mutant{})
 			took, ok := w.recover(8 * time.Second)
 			worst = max(worst, took)
 			acked += len(w.acknowledged)
-			assert.Assert(t, len(w.faults) == 0, "size %v seed %d: %v\n%s", size, seed, w.faults, w.lastTrace())
+			assert.Assert(t, len(w.violations) == 0, "size %v seed %d: %v\n%s", size, seed, w.violations, w.lastTrace())
 			assert.Assert(t, ok, "size %v seed %d: serves no more\n%s", size, seed, w.lastTrace())
-			w.run(w.now + 4*time.Second)
-			assert.Assert(t, len(w.faults) == 0, "size %v seed %d: %v", size, seed, w.faults)
+			w.runUntil(w.now + 4*time.Second)
+			assert.Assert(t, len(w.violations) == 0, "size %v seed %d: %v", size, seed, w.violations)
 			assert.Assert(t, w.isComplete(), "size %v seed %d: not complete again: %v\n%s", size, seed, w.newestView, w.lastTrace())
 		}
 	}
@@ -113,10 +113,10 @@
 	if seedCount(0) > 0 {
 		step = 1
 	}
-	for kind := lost; kind < mutations; kind++ {
+	for kind := lost; kind < messageFaultCount; kind++ {
 		for n := 1 + int(kind)%3; n < 240; n += step {
-			w := newWorld(uint64(n), 4, 1)
-			w.mutate = func(i int) mutation {
+			w := newSimulation(uint64(n), 4, 1)
+			w.chooseFault = func(i int) messageFault {
 				if i == n {
 					return kind
 				}
@@ -124,14 +124,14 @@
 			}
 			w.boot()
 			w.load(4 * time.Second)
-			w.run(4 * time.Second)
+			w.runUntil(4 * time.Second)
 			where := fmt.Sprintf("kind %d message %d", kind, n)
-			w.mutate = nil
+			w.chooseFault = nil
 			for _, s := range w.sites {
 				s.stop(true)
 			}
 			_, ok := w.recover(6 * time.Second)
-			assert.Assert(t, len(w.faults) == 0, "%s: %v\n%s", where, w.faults, w.lastTrace())
+			assert.Assert(t, len(w.violations) == 0, "%s: %v\n%s", where, w.violations, w.lastTrace())
 			assert.Assert(t, ok, "%s: serves no more\n%s", where, w.lastTrace())
 			assert.Assert(t, len(w.acknowledged) > 1, where)
 		}
@@ -141,14 +141,14 @@
 // A primary that died is followed, or takes its place again, well inside the contact window of three seconds.
 func TestFailover(t *testing.T) {
 	seeds := 200
-	if testing.Short() || raced {
+	if testing.Short() || raceDetector {
 		seeds = 20
 	}
 	for _, c := range []struct {
-		name     string
-		dark     bool
-		downtime time.Duration // until the process is back; 0: never
-		limit    time.Duration
+		name      string
+		powerLoss bool
+		downtime  time.Duration // until the process is back; 0: never
+		limit     time.Duration
 	}{
 		{"killed, starts again after 0.5 s", false, 500 * time.Millisecond, 800 * time.Millisecond},
 		{"killed, starts again after 0.1 s", false, 100 * time.Millisecond, 800 * time.Millisecond},
@@ -158,9 +158,9 @@
 		for _, size := range [][2]int{{3, 1}, {5, 2}} {
 			var spans []time.Duration
 			for seed := range uint64(seeds) {
-				w := newWorld(seed, size[0], size[1])
+				w := newSimulation(seed, size[0], size[1])
 				w.boot()
-				w.run(5*time.Second + time.Duration(seed)*7*time.Millisecond)
+				w.runUntil(5*time.Second + time.Duration(seed)*7*time.Millisecond)
 				var old *site
 				for _, s := range w.sites {
 					if s.replica.primary != nil {
@@ -168,18 +168,18 @@
 					}
 				}
 				assert.Assert(t, old != nil, w.lastTrace())
-				old.stop(c.dark)
-				old.unpowered, old.removed = c.dark, c.downtime == 0
+				old.stop(c.powerLoss)
+				old.unpowered, old.removed = c.powerLoss, c.downtime == 0
 				if c.downtime > 0 {
 					w.after(c.downtime, func() { old.start(false) })
 				}
 				began, n := w.now, len(w.acknowledged)
-				for len(w.acknowledged) == n && w.now < began+5*time.Second && len(w.faults) == 0 {
-					w.run(w.now + 5*time.Millisecond)
+				for len(w.acknowledged) == n && w.now < began+5*time.Second && len(w.violations) == 0 {
+					w.runUntil(w.now + 5*time.Millisecond)
 					w.put(true)
 				}
 				spans = append(spans, w.now-began)
-				assert.Assert(t, len(w.faults) == 0, "%s seed %d: %v\n%s", c.name, seed, w.faults, w.lastTrace())
+				assert.Assert(t, len(w.violations) == 0, "%s seed %d: %v\n%s", c.name, seed, w.violations, w.lastTrace())
 			}
 			slices.Sort(spans)
 			t.Logf("%s, %d machines: p50 %v, max %v", c.name, size[0], spans[seeds/2], spans[seeds-1])
@@ -193,15 +193,15 @@
 	for _, losses := range []int{1, 2} {
 		n := 2*losses + 1
 		for seed := range uint64(seedCount(20)) {
-			w := newWorld(seed, n, losses)
+			w := newSimulation(seed, n, losses)
 			w.boot()
-			w.run(4*time.Second + time.Duration(seed)*7*time.Millisecond)
+			w.runUntil(4*time.Second + time.Duration(seed)*7*time.Millisecond)
 			count := len(w.acknowledged)
 			for i := 0; i < 400 && len(w.acknowledged) == count; i++ {
 				if i%40 == 0 {
 					w.put(true)
 				}
-				w.run(w.now + time.Millisecond)
+				w.runUntil(w.now + time.Millisecond)
 			}
 			assert.Assert(t, len(w.acknowledged) > count && len(w.newestView.Members) == n, "losses %d seed %d: %v", losses, seed, w.newestView)
 			for i, at := range w.random.Perm(n) {
@@ -212,9 +212,9 @@
 				}
 			}
 			_, ok := w.recover(6 * time.Second)
-			assert.Assert(t, len(w.faults) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.faults, w.lastTrace())
+			assert.Assert(t, len(w.violations) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.violations, w.lastTrace())
 			assert.Assert(t, ok, "losses %d seed %d: serves no more\n%s", losses, seed, w.lastTrace())
-			w.run(w.now + 4*time.Second)
+			w.runUntil(w.now + 4*time.Second)
 			assert.Assert(t, w.isComplete(), "losses %d seed %d: %v\n%s", losses, seed, w.newestView, w.lastTrace())
 		}
 	}
@@ -223,20 +223,20 @@
 // A machine at another address replaces one that is gone for good.
 func TestReconfiguration_ReplacesMember(t *testing.T) {
 	for seed := range uint64(seedCount(20)) {
-		w := newWorld(seed, 3, 1)
+		w := newSimulation(seed, 3, 1)
 		w.boot()
-		w.run(3 * time.Second)
+		w.runUntil(3 * time.Second)
 		gone := w.sites[seed%3]
 		gone.wipe()
 		gone.removed = true
-		w.sites = append(w.sites, &site{world: w, member: &tierv1.Member{Address: "new", Zone: gone.member.Zone, Region: "r"}})
+		w.sites = append(w.sites, &site{simulation: w, member: &tierv1.Member{Address: "new", Zone: gone.member.Zone, Region: "r"}})
 		w.sites[3].start(false)
 		began := w.now
 		in := func() bool {
 			return w.newestView != nil && len(w.newestView.Former) == 0 && containsMember(w.newestView.Members, w.sites[3].replica.self)
 		}
 		for !in() && w.now < began+4*time.Second {
-			w.run(w.now + 50*time.Millisecond)
+			w.runUntil(w.now + 50*time.Millisecond)
 		}
 		assert.Assert(t, in(), "seed %d\n%s", seed, w.lastTrace())
 	}
@@ -247,19 +247,19 @@
 	for _, zones := range []string{"00112", "00011", "01122", "00012", "00000", "01212"} {
 		for _, losses := range []int{1, 2} {
 			for seed := range uint64(seedCount(5)) {
-				w := newWorld(seed, 5, losses)
+				w := newSimulation(seed, 5, losses)
 				var all []*tierv1.Member
 				for i, s := range w.sites {
 					s.member.Zone = zones[i : i+1]
 					all = append(all, s.member)
 				}
 				w.boot()
-				w.run(10 * time.Second)
+				w.runUntil(10 * time.Second)
 				r := w.newestView
 				where := fmt.Sprintf("zones %s losses %d seed %d: %v\n%s", zones, losses, seed, r, w.lastTrace())
-				assert.Assert(t, len(w.faults) == 0 && r != nil, where)
+				assert.Assert(t, len(w.violations) == 0 && r != nil, where)
 				assert.Assert(t, len(r.Members) == 2*losses+1 && len(r.Backups) == losses && len(r.Former) == 0, where)
-				assert.Equal(t, crowding(r.Members), crowding(spreadOut(nil, all, 2*losses+1, func(string) bool { return false })), where)
+				assert.Equal(t, imbalance(r.Members), imbalance(spreadOut(nil, all, 2*losses+1, func(string) bool { return false })), where)
 				var copies, others []*tierv1.Member
 				for _, v := range r.Members {
 					if isNamedIn(r, v.Folder) {
@@ -270,8 +270,8 @@
 					}
 				}
 				best := append(others, spreadOut(others, r.Members, losses, func(string) bool { return false })...)
-				assert.Equal(t, crowding(copies), crowding(best), where)
-				w.run(w.now + 5*time.Second)
+				assert.Equal(t, imbalance(copies), imbalance(best), where)
+				w.runUntil(w.now + 5*time.Second)
 				assert.Equal(t, w.newestView.Epoch, r.Epoch, "zones %s losses %d seed %d: does not become stable\n%s", zones, losses, seed, w.lastTrace())
 			}
 		}
--- a/internal/tier/consensus/replication.go
+++ b/internal/tier/consensus/replication.go
@@ -15,7 +15,7 @@
 	sequence uint64
 }
 
-// writeBatch is a write in flight to all backups, with all operations that were queued when it began. There is one at a time.
+// writeBatch is a write in flight to all backups, with all operations that were queued when it began. At most one is in flight.
 type writeBatch struct {
 	operations     []pendingOperation
 	unacknowledged map[string]bool // folders of backups
@@ -31,7 +31,8 @@
 	r.enqueue(e.epoch, pendingOperation{token: e.token})
 }
 
-// enqueue queues an operation, or ends it if this replica has not been primary since its epoch without a break.
+// enqueue queues an operation, or fails it with ErrNotPrimary unless this replica has been primary continuously since the epoch of the
+// operation.
 func (r *replica) enqueue(epoch uint64, operation pendingOperation) {
 	primary := r.primary
 	if primary == nil || epoch < primary.firstEpoch || epoch > primary.view.Epoch {
@@ -42,11 +43,11 @@
 	r.startBatch()
 }
 
-// startBatch writes what is queued, here and at all backups at once.
+// startBatch writes the queued operations locally and at all backups at the same time.
 func (r *replica) startBatch() {
 	primary := r.primary
 	if primary == nil || primary.batch != nil || r.proposal != nil || len(primary.queue) == 0 || r.preparedEpoch != primary.view.Epoch {
-		return // once it has prepared a higher epoch itself, only a view of that epoch or above lets it write again
+		return // after the primary has prepared a higher epoch itself, it may write again only under a view of that epoch or above
 	}
 	request := &tierv1.WriteRequest{Epoch: primary.view.Epoch, PreviousSequence: r.sequence, Sequence: r.sequence, From: r.Folder}
 	batch := &writeBatch{unacknowledged: make(map[string]bool)}
@@ -64,19 +65,19 @@
 	for _, folder := range primary.view.Backups {
 		r.sendWrite(primary.view, folder, request)
 	}
-	if len(batch.unacknowledged) == 0 { // no backups: the outcome leaves only after the own record is synced (Node.perform)
+	if len(batch.unacknowledged) == 0 { // no backups: the outcome leaves only after the local record is synced (Node.perform)
 		r.commit()
 	}
 }
 
-// fillBatch applies queued operations to this state, and adds them to the write of a batch. It returns those in the batch, and the rest,
-// which waits for the next one as the write would become too large. A put that would make the state too large is rejected: it is
-// in neither.
-func (r *replica) fillBatch(request *tierv1.WriteRequest, queue []pendingOperation) (begun, rest []pendingOperation) {
+// fillBatch applies queued operations to this state, and adds them to the write of a batch. It returns the operations in the batch, and
+// the rest, which waits for the next batch because the write would become too large. A put that would make the state too large is rejected
+// and is in neither.
+func (r *replica) fillBatch(request *tierv1.WriteRequest, queue []pendingOperation) (batched, rest []pendingOperation) {
 	size := 0
 	for i, operation := range queue {
 		if operation.sets == nil {
-			begun = append(begun, operation)
+			batched = append(batched, operation)
 			continue
 		}
 		if err := r.checkStateLimit(operation.sets); err != nil {
@@ -85,20 +86,20 @@
 		}
 		added := writeSize(operation.sets)
 		if size > 0 && size+added > r.stateLimit {
-			return begun, queue[i:]
+			return batched, queue[i:]
 		}
 		size += added
 		operation.sequence = request.Sequence + 1
-		one := &tierv1.WriteRequest{Epoch: request.Epoch, Sequence: operation.sequence}
+		write := &tierv1.WriteRequest{Epoch: request.Epoch, Sequence: operation.sequence}
 		for key, value := range operation.sets {
-			one.Entries = append(one.Entries, &tierv1.Entry{Key: key, Value: value, Sequence: operation.sequence})
+			write.Entries = append(write.Entries, &tierv1.Entry{Key: key, Value: value, Sequence: operation.sequence})
 		}
-		r.apply(one)
+		r.apply(write)
 		request.Sequence = operation.sequence
-		request.Entries = append(request.Entries, one.Entries...)
-		begun = append(begun, operation)
+		request.Entries = append(request.Entries, write.Entries...)
+		batched = append(batched, operation)
 	}
-	return begun, nil
+	return batched, nil
 }
 
 // sendWrite sends a write to a backup of the view, and a snapshot if its state is behind.
@@ -128,7 +129,7 @@
 			}
 		case reply.Behind:
 			r.sendWrite(view, folder, r.snapshotWrite(view.Epoch))
-		default: // it has prepared for another proposer, or it is another folder
+		default: // the backup has prepared for another proposer, or another folder replied
 			r.highestEpoch = max(r.highestEpoch, reply.HighestPrepared)
 			primary.needsHigherEpoch = primary.needsHigherEpoch || reply.HighestPrepared > view.Epoch
 			primary.failedBackups[folder] = primary.failedBackups[folder] || reply.HighestPrepared < view.Epoch
--- a/internal/tier/consensus/retry_test.go
+++ b/internal/tier/consensus/retry_test.go
@@ -26,9 +26,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				w := newWorld(seed, 4, 1)
+				w := newSimulation(seed, 4, 1)
 				w.boot()
-				w.run(3 * time.Second)
+				w.runUntil(3 * time.Second)
 				leader := w.newestPrimary()
 				gone := -1
 				for i, s := range w.sites {
@@ -40,7 +40,7 @@
 				w.sites[gone].wipe()
 				w.sites[gone].removed, w.sites[gone].unpowered = true, true
 				lostOf := map[string]bool{}
-				w.delivered = func(to *site, body proto.Message) {
+				w.onDeliver = func(to *site, body proto.Message) {
 					address := to.member.Address
 					if !needed(body) || lostOf[address] || to == leader {
 						return
@@ -51,8 +51,8 @@
 					w.after(20*time.Millisecond, func() { delete(w.partitions, link) })
 				}
 				began := len(w.trace)
-				w.run(w.now + 4*time.Second)
-				assert.Equal(t, len(w.faults), 0, "seed %d\n%s", seed, w.lastTrace())
+				w.runUntil(w.now + 4*time.Second)
+				assert.Equal(t, len(w.violations), 0, "seed %d\n%s", seed, w.lastTrace())
 				assert.Assert(t, len(lostOf) > 0, "seed %d: nothing was lost\n%s", seed, w.lastTrace())
 				assert.Assert(t, !strings.Contains(strings.Join(w.trace[began:], "\n"), "proposal failed"), "seed %d\n%s", seed, w.lastTrace())
 				assert.Assert(t, len(w.newestView.Former) == 0 && len(w.newestView.Members) == 3, "seed %d\n%s", seed, w.lastTrace())
--- a/internal/tier/consensus/scan_test.go
+++ b/internal/tier/consensus/scan_test.go
@@ -11,12 +11,12 @@
 
 // Scan returns the committed values under a prefix; removed keys are not among them, and what it has returned does not change.
 func TestScan(t *testing.T) {
-	s := newSolo(t, wal.NewMemory(), "a")
-	s.turn(time.Second)
+	s := newManualNode(t, wal.NewMemory(), "a")
+	s.runFor(time.Second)
 	write := func(sets map[string][]byte) {
 		t.Helper()
 		outcome := s.putSets(sets)
-		s.turn(20 * time.Millisecond)
+		s.runFor(20 * time.Millisecond)
 		assert.NilError(t, (<-outcome).err)
 	}
 	write(map[string][]byte{"a/1": {1}, "a/2": {2}, "b/1": {3}})
--- a/internal/tier/consensus/server.go
+++ b/internal/tier/consensus/server.go
@@ -11,7 +11,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// requestLimit bounds the body of a call, in bytes: what does not fit one record of the file is not read to its end.
+// requestLimit bounds the body of a call, in bytes. A larger body does not fit one record of the file, so it is not read to its end.
 const requestLimit = wal.MaxRecord
 
 // Handler serves the Election service.
@@ -22,7 +22,8 @@
 // server is the Election service: it queues the calls of other nodes for the loop.
 type server struct{ node *Node }
 
-// serve waits for the reply of the replica, which leaves the loop when what it depends on is synced.
+// serve queues a request for the loop and waits for the reply. The loop sends the reply only after the records that it depends on are
+// synced.
 func serve[T proto.Message](ctx context.Context, node *Node, body proto.Message) (T, error) {
 	var none T
 	replied := make(chan proto.Message, 1)
@@ -75,7 +76,7 @@
 	return serve[*tierv1.JoinReply](ctx, server.node, request)
 }
 
-// unavailable is the error for callers of the service while the node has stopped or its disk fails.
+// unavailable returns the error for callers of the service after the node has stopped or while its disk fails.
 func (node *Node) unavailable() error {
 	node.mu.Lock()
 	defer node.mu.Unlock()
--- a/internal/tier/consensus/state_limit.go
+++ b/internal/tier/consensus/state_limit.go
@@ -7,21 +7,20 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// The complete state is one message and one record of the file wherever a snapshot of it is made, so it must stay below
-// wal.MaxRecord. A write that would make it larger than StateLimit is rejected before anything of it is applied, stored or
-// sent. A state that is larger already, left by a program without this limit, may still be written to as long as it
-// does not grow.
+// A snapshot of the complete state is one message and one record of the file, so the state must stay below wal.MaxRecord. A write that
+// would make it larger than StateLimit is rejected before anything of it is applied, stored or sent. A state that is already larger,
+// written by a version without this limit, may still be changed as long as it does not grow.
 const (
-	// StateLimit bounds the control state, in bytes by entrySize. It is three quarters of wal.MaxRecord (64 MiB): the rest
-	// is never filled by design, and covers the fields of the message around the entries, and entries that later versions
-	// may add. A batch of writes is bounded by it, too.
+	// StateLimit bounds the control state, in bytes as counted by entrySize. It is three quarters of wal.MaxRecord (64 MiB): the rest is
+	// reserved for the fields of the message around the entries, and for entries that later versions may add. A batch of writes is bounded
+	// by it, too.
 	StateLimit = 48 << 20
 
-	// entryFraming bounds what the encoding of an entry adds to its key and value: three tags with lengths of up to five
-	// bytes, and the sequence. It is the same for each entry, so that a value replaced by one of its length changes nothing.
+	// entryFraming bounds what the encoding of an entry adds to its key and value: three tags with lengths of up to five bytes, and the
+	// sequence. It is the same for each entry, so that replacing a value by one of the same length does not change the size.
 	entryFraming = 32
 
-	// recordFraming is the byte before a message in the file that tells its kind.
+	// recordFraming is the size of the byte before a message in the file that states its kind.
 	recordFraming = 1
 )
 
@@ -53,10 +52,10 @@
 // checkStateLimit returns an error of type StateTooLarge for a write that would make the state too large.
 func (r *replica) checkStateLimit(sets map[string][]byte) error {
 	if size := writeSize(sets); size > r.stateLimit {
-		return StateTooLarge.New("a write of %d bytes, more than %d", size, r.stateLimit)
+		return StateTooLarge.New("a write of %d bytes exceeds the limit of %d", size, r.stateLimit)
 	}
 	if size := r.sizeAfter(sets); size > r.stateLimit && size > r.size {
-		return StateTooLarge.New("a control state of %d bytes, more than %d", size, r.stateLimit)
+		return StateTooLarge.New("a control state of %d bytes would exceed the limit of %d", size, r.stateLimit)
 	}
 	return nil
 }
--- a/internal/tier/consensus/state_limit_test.go
+++ b/internal/tier/consensus/state_limit_test.go
@@ -33,10 +33,10 @@
 }
 
 // must is a write whose outcome comes within a step.
-func (s *solo) must(sets map[string][]byte) error {
+func (s *manualNode) putNow(sets map[string][]byte) error {
 	s.t.Helper()
 	c := s.putSets(sets)
-	s.turn(5 * time.Millisecond)
+	s.runFor(5 * time.Millisecond)
 	select {
 	case o := <-c:
 		return o.err
@@ -49,18 +49,18 @@
 // A state may have all of its limit. One byte more is refused at once: nothing of that write is there, the epoch goes on,
 // and so it is after a restart from the file.
 func TestStateLimit_AtLimit(t *testing.T) {
-	s := &solo{t: t, disk: wal.NewMemory(), limit: limitInTests}
+	s := &manualNode{t: t, disk: wal.NewMemory(), limit: limitInTests}
 	s.open(true, "a")
-	s.turn(time.Second)
+	s.runFor(time.Second)
 	const small = 100
-	assert.NilError(t, s.must(map[string][]byte{"small": valueFor("small", small)}))
-	assert.NilError(t, s.must(map[string][]byte{"large": valueFor("large", limitInTests-small)}))
+	assert.NilError(t, s.putNow(map[string][]byte{"small": valueFor("small", small)}))
+	assert.NilError(t, s.putNow(map[string][]byte{"large": valueFor("large", limitInTests-small)}))
 	for _, label := range []string{"first", "after a restart", "after a loss of power"} {
 		epoch, _ := s.node.Primary()
 		assert.Equal(t, s.node.replica.size, limitInTests, label)
 		sequence := s.node.replica.sequence
-		assertTooLarge(t, s.must(map[string][]byte{"small": valueFor("small", small+1)}))
-		assertTooLarge(t, s.must(map[string][]byte{"new": []byte("x"), "small": valueFor("small", small)}))
+		assertTooLarge(t, s.putNow(map[string][]byte{"small": valueFor("small", small+1)}))
+		assertTooLarge(t, s.putNow(map[string][]byte{"new": []byte("x"), "small": valueFor("small", small)}))
 		assert.Equal(t, s.node.replica.sequence, sequence, label)
 		v, _ := s.node.Get("small")
 		assert.DeepEqual(t, v, valueFor("small", small))
@@ -71,8 +71,8 @@
 		assert.NilError(t, s.node.DiskError(), label)
 
 		// Space is freed and used again.
-		assert.NilError(t, s.must(map[string][]byte{"small": nil}), label)
-		assert.NilError(t, s.must(map[string][]byte{"small": valueFor("small", small)}), label)
+		assert.NilError(t, s.putNow(map[string][]byte{"small": nil}), label)
+		assert.NilError(t, s.putNow(map[string][]byte{"small": valueFor("small", small)}), label)
 		assert.Equal(t, s.node.replica.size, limitInTests, label)
 
 		s.node.stop()
@@ -81,32 +81,32 @@
 			s.disk.Crash(rand.New(rand.NewPCG(1, 2)))
 		}
 		s.open(false, "a")
-		s.turn(time.Second)
+		s.runFor(time.Second)
 	}
 }
 
 // A state over the limit, as a program without it left it, is served. It may be changed as long as it does not grow, and
 // what shrinks it is written.
 func TestStateLimit_StateAboveLimit(t *testing.T) {
-	s := newSolo(t, wal.NewMemory(), "a")
-	s.turn(time.Second)
-	assert.NilError(t, s.must(map[string][]byte{"mark": []byte("1")}))
-	assert.NilError(t, s.must(map[string][]byte{"large": valueFor("large", 2*limitInTests)}))
+	s := newManualNode(t, wal.NewMemory(), "a")
+	s.runFor(time.Second)
+	assert.NilError(t, s.putNow(map[string][]byte{"mark": []byte("1")}))
+	assert.NilError(t, s.putNow(map[string][]byte{"large": valueFor("large", 2*limitInTests)}))
 	s.node.stop()
 	s.disk.Kill()
 	s.limit = limitInTests
 	s.open(false, "a")
-	s.turn(time.Second)
+	s.runFor(time.Second)
 	_, ok := s.node.Primary()
 	assert.Assert(t, ok)
 	v, _ := s.node.Get("large")
 	assert.Equal(t, entrySize("large", v), 2*limitInTests)
 
-	assert.NilError(t, s.must(map[string][]byte{"mark": []byte("2")}))
-	assertTooLarge(t, s.must(map[string][]byte{"mark": []byte("10")}))
-	assertTooLarge(t, s.must(map[string][]byte{"large": valueFor("large", limitInTests+1)})) // shrinks, but is too large by itself
-	assert.NilError(t, s.must(map[string][]byte{"large": valueFor("large", limitInTests/2)}))
-	assert.NilError(t, s.must(map[string][]byte{"mark": []byte("10")}))
+	assert.NilError(t, s.putNow(map[string][]byte{"mark": []byte("2")}))
+	assertTooLarge(t, s.putNow(map[string][]byte{"mark": []byte("10")}))
+	assertTooLarge(t, s.putNow(map[string][]byte{"large": valueFor("large", limitInTests+1)})) // shrinks, but is too large by itself
+	assert.NilError(t, s.putNow(map[string][]byte{"large": valueFor("large", limitInTests/2)}))
+	assert.NilError(t, s.putNow(map[string][]byte{"mark": []byte("10")}))
 	assert.NilError(t, s.node.DiskError())
 }
 
@@ -159,13 +159,13 @@
 		return pendingOperation{token: token, sets: map[string][]byte{"k": valueFor("k", limitInTests/2)}}
 	}
 	queue := []pendingOperation{half(1), {token: 2}, {token: 3, sets: map[string][]byte{"k": valueFor("k", limitInTests+1)}}, half(4), half(5), {token: 6}, half(7)}
-	rounds := [][]uint64{{1, 2, 4}, {5, 6, 7}}
-	for _, want := range rounds {
+	batches := [][]uint64{{1, 2, 4}, {5, 6, 7}}
+	for _, want := range batches {
 		q := &tierv1.WriteRequest{Epoch: 7, PreviousSequence: m.sequence, Sequence: m.sequence}
-		var begun []pendingOperation
-		begun, queue = m.fillBatch(q, queue)
+		var batched []pendingOperation
+		batched, queue = m.fillBatch(q, queue)
 		var got []uint64
-		for _, w := range begun {
+		for _, w := range batched {
 			got = append(got, w.token)
 		}
 		assert.DeepEqual(t, got, want)
@@ -201,7 +201,7 @@
 // The largest state fits one record, as few large entries and as many small ones.
 func TestStateLimit_LargestStateFitsRecord(t *testing.T) {
 	const last = 1<<64 - 1
-	whole := func(entries int) *tierv1.WriteRequest {
+	snapshotOf := func(entries int) *tierv1.WriteRequest {
 		d := durableState{identity: identity{Folder: strings.Repeat("f", 32)}, entries: map[string]*tierv1.Entry{}, sequence: last}
 		each := StateLimit / entries
 		value := make([]byte, each-entrySize("00000000", nil))
@@ -212,7 +212,7 @@
 		return d.snapshotWrite(last)
 	}
 	for _, entries := range []int{1, 2, 100, 10_000} {
-		q := whole(entries)
+		q := snapshotOf(entries)
 		assert.Assert(t, fitsRecord(q), "%d entries", entries)
 		assert.Assert(t, proto.Size(q) <= StateLimit+256, "%d entries: %d", entries, proto.Size(q))
 	}
@@ -239,9 +239,9 @@
 // A record that the file refuses as too large is no failing disk: the node goes on from its file with all that was
 // acknowledged, and is primary again. Callers that waited get an unknown outcome.
 func TestNode_RejectedRecordIsNoDiskFailure(t *testing.T) {
-	s := newSolo(t, wal.NewMemory(), "a")
-	s.turn(time.Second)
-	assert.NilError(t, s.must(map[string][]byte{"k": []byte("1")}))
+	s := newManualNode(t, wal.NewMemory(), "a")
+	s.runFor(time.Second)
+	assert.NilError(t, s.putNow(map[string][]byte{"k": []byte("1")}))
 	folder := s.node.Self().Folder
 	size := s.node.file.Size()
 	waits := s.put("waits")
@@ -251,19 +251,19 @@
 	_, ok := s.node.Primary()
 	assert.Assert(t, !ok)
 	assert.Equal(t, s.node.file.Size(), size)
-	s.turn(time.Second)
+	s.runFor(time.Second)
 	_, ok = s.node.Primary()
 	assert.Assert(t, ok)
 	assert.Equal(t, s.node.Self().Folder, folder)
 	v, _ := s.node.Get("k")
 	assert.Equal(t, string(v), "1")
-	assert.NilError(t, s.must(map[string][]byte{"k": []byte("2")}))
+	assert.NilError(t, s.putNow(map[string][]byte{"k": []byte("2")}))
 	assert.Assert(t, strings.Contains(s.log.String(), "record_refused"))
 	assert.Assert(t, !strings.Contains(s.log.String(), "disk_failed"))
 	s.node.stop()
 	s.disk.Crash(rand.New(rand.NewPCG(7, 8)))
 	s.open(false, "a")
-	s.turn(time.Second)
+	s.runFor(time.Second)
 	v, _ = s.node.Get("k")
 	assert.Equal(t, string(v), "2")
 }
@@ -278,7 +278,7 @@
 
 // A call whose body has no end is rejected after as many bytes as a record may have.
 func TestHandler_BoundsRequestBody(t *testing.T) {
-	s := newSolo(t, wal.NewMemory(), "a")
+	s := newManualNode(t, wal.NewMemory(), "a")
 	body := &endless{}
 	q := httptest.NewRequest("POST", tierv1.ElectionPathPrefix+"Write", io.NopCloser(body))
 	q.Header.Set("Content-Type", "application/protobuf")
--- a/internal/tier/consensus/state_transfer.go
+++ b/internal/tier/consensus/state_transfer.go
@@ -6,8 +6,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// transferRate is the slowest rate, in bytes a second, at which a snapshot is expected to reach a disk elsewhere before its call counts as
-// failed. The largest state takes twelve seconds at it.
+// transferRate is the lowest rate, in bytes per second, at which a snapshot is expected to reach the disk of another member before the
+// call counts as failed. The largest state takes twelve seconds at this rate.
 const transferRate = 4 << 20
 
 // transferState picks the backups of the target and sends them snapshots; when all have one, the accept phase begins.
--- a/internal/tier/consensus/state_transfer_test.go
+++ b/internal/tier/consensus/state_transfer_test.go
@@ -18,29 +18,29 @@
 // absence is one way in which a member misses changes.
 type absence struct {
 	name        string
-	leave, back func(w *world, s *site)
+	leave, back func(w *simulation, s *site)
 }
 
 var absences = []absence{
-	{"restarted", func(_ *world, s *site) { s.stop(false) }, func(_ *world, s *site) { s.start(false) }},
-	{"restarted after a loss of power", func(_ *world, s *site) { s.stop(true) }, func(_ *world, s *site) { s.start(false) }},
-	{"frozen", func(_ *world, s *site) { s.paused = true }, func(_ *world, s *site) { s.resume() }},
-	{"emptied", func(_ *world, s *site) { s.wipe() }, func(_ *world, s *site) { s.start(false) }},
-	{"joined", func(_ *world, s *site) { s.wipe(); s.removed = true }, func(w *world, s *site) {
-		w.sites = append(w.sites, &site{world: w, member: &tierv1.Member{Address: "new", Zone: s.member.Zone, Region: "r"}})
+	{"restarted", func(_ *simulation, s *site) { s.stop(false) }, func(_ *simulation, s *site) { s.start(false) }},
+	{"restarted after a loss of power", func(_ *simulation, s *site) { s.stop(true) }, func(_ *simulation, s *site) { s.start(false) }},
+	{"frozen", func(_ *simulation, s *site) { s.paused = true }, func(_ *simulation, s *site) { s.resume() }},
+	{"emptied", func(_ *simulation, s *site) { s.wipe() }, func(_ *simulation, s *site) { s.start(false) }},
+	{"joined", func(_ *simulation, s *site) { s.wipe(); s.removed = true }, func(w *simulation, s *site) {
+		w.sites = append(w.sites, &site{simulation: w, member: &tierv1.Member{Address: "new", Zone: s.member.Zone, Region: "r"}})
 		w.sites[len(w.sites)-1].start(false)
 	}},
 }
 
 // isFullyRedundant reports whether all losses are tolerated again: by the primary's own formula, which may be as old as answerMaxAge, and in
 // fact: every member is there with its folder, and every site named by the view has its state.
-func (w *world) isFullyRedundant() bool {
+func (w *simulation) isFullyRedundant() bool {
 	l := w.newestPrimary()
-	if l == nil || l.busy || !w.isComplete() || l.replica.health().Tolerates < w.toleratedLosses || len(l.replica.primary.view.Former) > 0 {
+	if l == nil || l.syncing || !w.isComplete() || l.replica.health().Tolerates < w.toleratedLosses || len(l.replica.primary.view.Former) > 0 {
 		return false
 	}
 	for _, s := range w.sites {
-		if s.replica != nil && isNamedIn(l.replica.primary.view, s.replica.Folder) && (s.busy || s.replica.stateEpoch < l.replica.primary.view.Epoch) {
+		if s.replica != nil && isNamedIn(l.replica.primary.view, s.replica.Folder) && (s.syncing || s.replica.stateEpoch < l.replica.primary.view.Epoch) {
 			return false
 		}
 	}
@@ -48,17 +48,17 @@
 }
 
 // changes writes n changes, one after the other.
-func (w *world) changes(n int) {
+func (w *simulation) acknowledgeWrites(n int) {
 	last := w.now
-	for count := len(w.acknowledged); len(w.acknowledged) < count+n && len(w.faults) == 0; {
+	for count := len(w.acknowledged); len(w.acknowledged) < count+n && len(w.violations) == 0; {
 		before := len(w.acknowledged)
 		if w.now-last > 2*w.window {
-			w.fault("nothing was acknowledged for %v", w.now-last)
+			w.violation("nothing was acknowledged for %v", w.now-last)
 			return
 		}
 		w.put(true)
 		for i := 0; i < 200 && len(w.acknowledged) == before; i++ {
-			w.run(w.now + 2*time.Millisecond)
+			w.runUntil(w.now + 2*time.Millisecond)
 		}
 		if len(w.acknowledged) > before {
 			last = w.now
@@ -68,11 +68,11 @@
 
 // playAbsence plays an absence during n changes. It returns how long after the return the next loss is tolerated again, and the bytes of
 // state that were sent to the returned member, beside those of one snapshot.
-func playAbsence(t *testing.T, c absence, n int, seed uint64, backup bool) (w *world, took time.Duration, sent, whole int) {
+func playAbsence(t *testing.T, c absence, n int, seed uint64, backup bool) (w *simulation, took time.Duration, sent, snapshotSize int) {
 	t.Helper()
-	w = newWorld(seed, 3, 1)
+	w = newSimulation(seed, 3, 1)
 	w.boot()
-	w.run(5 * time.Second)
+	w.runUntil(5 * time.Second)
 	leader := w.newestPrimary()
 	assert.Assert(t, leader != nil, w.lastTrace())
 	var s *site
@@ -83,8 +83,8 @@
 	}
 	assert.Assert(t, s != nil, w.lastTrace())
 	c.leave(w, s)
-	w.changes(n)
-	w.delivered = func(to *site, body proto.Message) {
+	w.acknowledgeWrites(n)
+	w.onDeliver = func(to *site, body proto.Message) {
 		if q, ok := body.(*tierv1.WriteRequest); ok && q.Snapshot && (to == s || to.member.Address == "new") {
 			sent += proto.Size(q)
 		}
@@ -92,30 +92,30 @@
 	c.back(w, s)
 	began := w.now
 	w.leaseReadsUntil(began + 4*time.Second)
-	for w.now < began+4*time.Second && !w.isFullyRedundant() && len(w.faults) == 0 {
+	for w.now < began+4*time.Second && !w.isFullyRedundant() && len(w.violations) == 0 {
 		w.put(true)
-		w.run(w.now + 10*time.Millisecond)
+		w.runUntil(w.now + 10*time.Millisecond)
 	}
 	took = w.now - began
-	whole = proto.Size(w.newestPrimary().replica.snapshotWrite(1))
+	snapshotSize = proto.Size(w.newestPrimary().replica.snapshotWrite(1))
 	// The next loss comes at once: the leader's machine, for good. Another leads from what it has.
-	if len(w.faults) == 0 {
+	if len(w.violations) == 0 {
 		old := w.newestPrimary()
 		old.wipe()
 		old.removed = true
 		for limit := w.now + 4*time.Second; w.now < limit && w.newestPrimary() == nil; {
-			w.run(w.now + 10*time.Millisecond)
+			w.runUntil(w.now + 10*time.Millisecond)
 		}
-		w.changes(1)
+		w.acknowledgeWrites(1)
 	}
-	return w, took, sent, whole
+	return w, took, sent, snapshotSize
 }
 
 // A member that missed 1 to 2,000 changes, in each way, has caught up within the bound of time and of bytes, never leads
 // before, and the next loss right after that costs nothing.
 func TestStateTransfer_AfterAbsence(t *testing.T) {
 	counts := []int{1, 10, 300, 2000}
-	if testing.Short() || raced {
+	if testing.Short() || raceDetector {
 		counts = []int{1, 100}
 	}
 	for _, c := range absences {
@@ -125,17 +125,17 @@
 				var worst time.Duration
 				var most float64
 				seeds := min(seedCount(3), 20)
-				if raced || n > 300 && seedCount(0) == 0 {
+				if raceDetector || n > 300 && seedCount(0) == 0 {
 					seeds = 1
 				}
 				for seed := range uint64(seeds) {
-					w, took, sent, whole := playAbsence(t, c, n, seed, backup)
-					where := fmt.Sprintf("%s, seed %d: %v, sent %d of %d, %v\n%s", name, seed, took, sent, whole, w.faults, w.lastTrace())
-					assert.Assert(t, len(w.faults) == 0, where)
+					w, took, sent, snapshotSize := playAbsence(t, c, n, seed, backup)
+					where := fmt.Sprintf("%s, seed %d: %v, sent %d of %d, %v\n%s", name, seed, took, sent, snapshotSize, w.violations, w.lastTrace())
+					assert.Assert(t, len(w.violations) == 0, where)
 					assert.Assert(t, took < w.window, where)
-					assert.Assert(t, sent <= maxSnapshots*whole, where)
+					assert.Assert(t, sent <= maxSnapshots*snapshotSize, where)
 					assert.Assert(t, len(w.acknowledged) > n, where)
-					worst, most = max(worst, took), max(most, float64(sent)/float64(whole))
+					worst, most = max(worst, took), max(most, float64(sent)/float64(snapshotSize))
 				}
 				t.Logf("%s: at most %v, %.2f times the state", name, worst, most)
 			}
@@ -148,7 +148,7 @@
 const maxSnapshots = 3
 
 // following is a replica that is a backup of a primary, with a state of its epoch.
-func following(t *testing.T) (m *replica, epoch uint64) {
+func newBackup(t *testing.T) (m *replica, epoch uint64) {
 	t.Helper()
 	epoch = 5 << epochBits
 	d := durableState{identity: identity{Folder: "fb"}}
@@ -165,10 +165,10 @@
 
 // A snapshot that comes late, doubled, out of order or from an older epoch never takes back what was written after it.
 func TestHandleWrite_SnapshotOutOfOrder(t *testing.T) {
-	m, epoch := following(t)
+	m, epoch := newBackup(t)
 	snapshot := &tierv1.WriteRequest{Epoch: epoch, Sequence: 1, Snapshot: true, Entries: entry("one", 1), From: "fa"}
 	change := &tierv1.WriteRequest{Epoch: epoch, PreviousSequence: 1, Sequence: 2, Entries: entry("two", 2), From: "fa"}
-	holds := func(sequence uint64, keys ...string) {
+	assertState := func(sequence uint64, keys ...string) {
 		t.Helper()
 		assert.Equal(t, m.sequence, sequence)
 		assert.Equal(t, len(m.entries), len(keys))
@@ -180,17 +180,17 @@
 	assert.Assert(t, m.handleWrite(change).Behind)
 	assert.Assert(t, m.handleWrite(snapshot).Acknowledged)
 	assert.Assert(t, m.handleWrite(&tierv1.WriteRequest{Epoch: epoch, PreviousSequence: 2, Sequence: 3, Entries: entry("three", 3), From: "fa"}).Behind)
-	holds(1, "one")
+	assertState(1, "one")
 	assert.Assert(t, m.handleWrite(change).Acknowledged)
-	holds(2, "one", "two")
+	assertState(2, "one", "two")
 	// Doubled, older than what followed it, and from another folder.
 	assert.Assert(t, m.handleWrite(snapshot).Acknowledged)
 	assert.Assert(t, m.handleWrite(change).Acknowledged)
-	holds(2, "one", "two")
+	assertState(2, "one", "two")
 	foreign := proto.CloneOf(snapshot)
 	foreign.From, foreign.Sequence = "fc", 9
 	assert.Assert(t, !m.handleWrite(foreign).Acknowledged)
-	holds(2, "one", "two")
+	assertState(2, "one", "two")
 	// A new epoch: the snapshot of the old one comes after the changes of the new one, or after the prepare alone.
 	m.handlePrepare(&tierv1.PrepareRequest{Epoch: 2 * epoch, From: &tierv1.Member{Folder: "fc", Address: "c"}})
 	late := proto.CloneOf(snapshot)
@@ -198,11 +198,11 @@
 	assert.Assert(t, !m.handleWrite(late).Acknowledged)
 	assert.Assert(t, m.handleWrite(&tierv1.WriteRequest{Epoch: 2 * epoch, PreviousSequence: 2, Sequence: 2, From: "fc"}).Behind) // same sequence, other history
 	assert.Assert(t, m.handleWrite(&tierv1.WriteRequest{Epoch: 2 * epoch, Sequence: 2, Snapshot: true, Entries: entry("other", 2), From: "fc"}).Acknowledged)
-	holds(2, "other")
+	assertState(2, "other")
 	for _, q := range []*tierv1.WriteRequest{late, snapshot, change} {
 		a := m.handleWrite(q)
 		assert.Assert(t, !a.Acknowledged && !a.Behind && a.HighestPrepared == 2*epoch)
-		holds(2, "other")
+		assertState(2, "other")
 	}
 }
 
@@ -214,11 +214,11 @@
 		died := false
 		for seed := range uint64(2) {
 			label := fmt.Sprintf("operation %d, seed %d", at, seed)
-			s := newSolo(t, wal.NewMemory(), "a", "b", "c")
+			s := newManualNode(t, wal.NewMemory(), "a", "b", "c")
 			var taken, epoch uint64
 			var sent map[string]bool
 			write := func(q *tierv1.WriteRequest) bool {
-				a, err := askNode(s, func(n *Node) (*tierv1.WriteReply, error) { return (server{n}).Write(context.Background(), q) })
+				a, err := callNode(s, func(n *Node) (*tierv1.WriteReply, error) { return (server{n}).Write(context.Background(), q) })
 				if err != nil || !a.Acknowledged {
 					return false
 				}
@@ -228,7 +228,7 @@
 			s.disk.DieAt(at)
 			takeSnapshotAndWrites := func(first uint64) bool {
 				e := first << epochBits
-				a, err := askNode(s, func(n *Node) (*tierv1.PrepareReply, error) {
+				a, err := callNode(s, func(n *Node) (*tierv1.PrepareReply, error) {
 					return (server{n}).Promise(context.Background(), &tierv1.PrepareRequest{Epoch: e, From: &tierv1.Member{Folder: "fa", Address: "b"}})
 				})
 				if err != nil || !a.Prepared {
--- a/internal/tier/consensus/storage.go
+++ b/internal/tier/consensus/storage.go
@@ -14,22 +14,22 @@
 // fileName is the name of the control state's file in its folder.
 const fileName = "control"
 
-// The file is rewritten when it is rewriteFactor times as long as after the last rewrite, and rewriteSlack more. After a
-// rewrite that failed the next is tried when it has grown by rewriteSlack.
+// The file is rewritten when its size reaches rewriteFactor times the size after the last rewrite, plus rewriteSlack. After a failed
+// rewrite, the next one is tried when the file has grown by rewriteSlack.
 const (
 	rewriteFactor = 4
 	rewriteSlack  = 256 << 10 // bytes
 )
 
-// storageStatus is what the loop knows of the disk.
+// storageStatus is the loop's state of the disk and the file.
 type storageStatus struct {
 	failure     error         // nil: usable
 	retryAt     time.Duration // next attempt to recover
 	backoff     time.Duration
 	usableSince time.Duration
 	rewriteAt   int64  // size in bytes at which the file is rewritten
-	hadIdentity bool   // this process had an identity on disk: a folder created later is not of the first start
-	lastCallID  uint64 // of the last call of former replicas: a late result of one must not be taken for that of another
+	hadIdentity bool   // this process had an identity on disk, so a folder created later is not a genesis folder
+	lastCallID  uint64 // last call of previous replicas: a late result must not be taken for that of a call of the next replica
 }
 
 // openReplica reads the file, or creates it with a new identity, and builds the replica from it. An error of the disk may be transient.
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// replayFile opens or reopens the file. If only space is missing, a rewrite to the bare state may free some.
+// replayFile opens or reopens the file. If reopening fails only for lack of space, a rewrite to the records of the current state may free
+// some.
 func (node *Node) replayFile(state *durableState) error {
 	if node.file == nil {
 		file, err := wal.Open(node.config.FS, node.config.Dir, fileName, state.replay)
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// makeIdentity draws the ID of a new folder and syncs it.
+// makeIdentity generates the ID of a new folder and syncs it.
 func (node *Node) makeIdentity(state *durableState) error {
 	var b [16]byte
 	rand.Read(b[:])
@@ -88,7 +89,7 @@
 	return node.file.Sync()
 }
 
-// write appends and syncs what a step persists. After an error nothing that depends on it may leave the process.
+// write appends and syncs the records of a step. After an error, nothing that depends on them may leave the process.
 func (node *Node) write(actions *actions) error {
 	if len(actions.records) == 0 {
 		return nil
@@ -106,15 +107,15 @@
 	return node.rewriteIfGrown()
 }
 
-// logStuckWrite logs that the write in progress does not return.
+// logStuckWrite logs that the write in progress is stuck.
 func (node *Node) logStuckWrite() {
-	node.config.Log.Error().Str("event", "disk_stuck").Str("file", fileName).Dur("for", writeStuckTimeout).Msg("a write does not return")
+	node.config.Log.Error().Str("event", "disk_stuck").Str("file", fileName).Dur("for", writeStuckTimeout).Msg("write to the control state file is stuck")
 }
 
-// endWrite notes that the write in progress has returned.
+// endWrite records that the write in progress has returned, and logs it if the write was stuck.
 func (node *Node) endWrite() {
 	if node.stuckWrite.end() {
-		node.config.Log.Info().Str("event", "disk_released").Str("file", fileName).Msg("the write that did not return has ended")
+		node.config.Log.Info().Str("event", "disk_released").Str("file", fileName).Msg("stuck write to the control state file returned")
 	}
 }
 
--- a/internal/tier/consensus/stored_folders_test.go
+++ b/internal/tier/consensus/stored_folders_test.go
@@ -97,12 +97,12 @@
 	return listing.String()
 }
 
-func listStoredView(record *tierv1.View) string {
-	if record == nil {
+func listStoredView(view *tierv1.View) string {
+	if view == nil {
 		return "none"
 	}
-	return fmt.Sprintf("epoch=%d primary=%s backups=%v members=%s former=%s", record.Epoch, record.Primary, record.Backups,
-		listStoredMembers(record.Members), listStoredMembers(record.Former))
+	return fmt.Sprintf("epoch=%d primary=%s backups=%v members=%s former=%s", view.Epoch, view.Primary, view.Backups,
+		listStoredMembers(view.Members), listStoredMembers(view.Former))
 }
 
 func listStoredMembers(members []*tierv1.Member) string {
--- a/internal/tier/consensus/stuck_write_test.go
+++ b/internal/tier/consensus/stuck_write_test.go
@@ -81,7 +81,7 @@
 		disk := &hangingDisk{FS: wal.NewMemory()}
 		node, err := Open(Config{Self: &tierv1.Member{Address: "a"}, Seeds: []string{"a"}, Bootstrap: true, Dir: "/data", FS: disk,
 			ContactWindow: 3 * time.Second, Heartbeat: time.Second, Log: &log.Logger{Writer: log.IOWriter{Writer: &lines}},
-			Dial: func(to string) tierv1.Election { return wire{&network{}, to} }})
+			Dial: func(to string) tierv1.Election { return networkClient{&network{}, to} }})
 		assert.NilError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
--- a/internal/tier/consensus/timing.go
+++ b/internal/tier/consensus/timing.go
@@ -8,20 +8,20 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// timing are the durations that a replica goes by, all derived from the settings.
+// timing holds the durations of the protocol, all derived from the settings.
 type timing struct {
 	heartbeatInterval time.Duration // between two heartbeats of a primary to one node
 	callTimeout       time.Duration // of a call that carries no state, see callTimeoutFor
-	primaryProtection time.Duration // since the last sign of a primary, during which it is not deposed
-	electionTimeout   time.Duration // since the last sign of a primary, after which others try to take over
-	lease             time.Duration // since the start of a confirmed round trip to the backups
-	replaceAfter      time.Duration // a member unresponsive for so long is replaced by a joiner
+	primaryProtection time.Duration // after the last heartbeat of a primary, during which it is not deposed
+	electionTimeout   time.Duration // after the last heartbeat of a primary, until other members try to take over
+	lease             time.Duration // validity, from the start of a confirmed round trip to the backups
+	replaceAfter      time.Duration // a member that is unresponsive for longer is replaced by a joiner
 	joinInterval      time.Duration // between two calls to join
-	transferRate      int           // bytes a second; tests change it
+	transferRate      int           // bytes per second; tests change it
 }
 
-// newTiming derives the durations from the contact window; docs/design/consensus.md tells what follows from them. The interval between
-// heartbeats is at most a quarter of the interval given; 0: no bound.
+// newTiming derives the durations from the contact window; docs/design/consensus.md states the resulting bounds. The heartbeat interval is
+// at most a quarter of interval; 0: no such bound.
 func newTiming(window, interval time.Duration) timing {
 	heartbeat := window / 12
 	if interval > 0 {
@@ -39,12 +39,12 @@
 	}
 }
 
-// transferTime is how much longer than others a call may take that carries so many bytes.
+// transferTime returns how much longer than other calls a call with size bytes of state may take.
 func (t timing) transferTime(size int) time.Duration {
 	return time.Duration(size) * time.Second / time.Duration(t.transferRate)
 }
 
-// callTimeoutFor is after how long a call with a body counts as failed.
+// callTimeoutFor returns the time after which a call with this body counts as failed.
 func (t timing) callTimeoutFor(body proto.Message) time.Duration {
 	if _, ok := body.(*tierv1.WriteRequest); !ok {
 		return t.callTimeout
--- a/internal/tier/consensus/view.go
+++ b/internal/tier/consensus/view.go
@@ -6,8 +6,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// newestView is the newest view that this replica accepted or knows to be chosen; the genesis view if there is none and its
-// folder was created at the first start; else nil.
+// newestView returns the newest view that this replica accepted or knows to be chosen. If there is none, it returns the genesis view in a
+// folder that was created at the first start, else nil.
 func (r *replica) newestView() *tierv1.View {
 	if view := newestOf(r.accepted, r.chosen); view != nil {
 		return view
@@ -35,7 +35,7 @@
 	return view
 }
 
-// learnChosen records a view that another node knows to be chosen. Chosen is final, so it may be believed from anybody.
+// learnChosen records a view that another node knows to be chosen. A chosen view is final, so it may be learned from any node.
 func (r *replica) learnChosen(view *tierv1.View) {
 	if view == nil || view.Epoch <= epochOf(r.chosen) {
 		return
@@ -67,7 +67,7 @@
 	})
 }
 
-// newestOf is the view of the higher epoch; a if they are equal, nil if both are.
+// newestOf returns the view with the higher epoch; a if the epochs are equal, nil if both views are nil.
 func newestOf(a, b *tierv1.View) *tierv1.View {
 	if a == nil || b != nil && b.Epoch > a.Epoch {
 		return b
--- a/internal/tier/consensus/world_checks_test.go
+++ b/internal/tier/consensus/world_checks_test.go
@@ -12,7 +12,7 @@
 )
 
 // check checks the invariants for what a replica has become.
-func (w *world) check(s *site) {
+func (w *simulation) check(s *site) {
 	if s.replica == nil || s.replica.primary == nil {
 		s.checkedView = nil
 		return
@@ -23,7 +23,7 @@
 	}
 	s.checkedView, s.newestEpoch = r, r.Epoch
 	if other := w.chosen[r.Epoch]; other != nil && !proto.Equal(other, r) {
-		w.fault("two views of epoch %d", r.Epoch)
+		w.violation("two views of epoch %d", r.Epoch)
 	}
 	w.chosen[r.Epoch] = r
 	if w.newestView == nil || r.Epoch > w.newestView.Epoch {
@@ -35,9 +35,9 @@
 			w.checkEntry(s, key, sequence)
 		}
 	}
-	for key := range w.refused {
+	for key := range w.rejected {
 		if s.replica.primary.committed[key] != nil {
-			w.fault("%s shows %s, which was refused", s.replica.Folder, key)
+			w.violation("%s shows %s, which was refused", s.replica.Folder, key)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 // overtaken reports whether nothing can be acknowledged or confirmed under a view any more: a backup has prepared a higher
 // epoch. Its leadership may begin all the same, if the reply by which its primary learns that it was chosen comes late;
 // what it serves under its lease is checked by leaseReads.
-func (w *world) overtaken(r *tierv1.View) bool {
+func (w *simulation) overtaken(r *tierv1.View) bool {
 	for _, s := range w.sites {
 		if s.replica != nil && slices.Contains(r.Backups, s.replica.Folder) && s.replica.preparedEpoch > r.Epoch {
 			return true
@@ -62,46 +62,46 @@
 	return s.replica.primary.committed
 }
 
-func (w *world) checkEntry(s *site, key string, sequence uint64) {
+func (w *simulation) checkEntry(s *site, key string, sequence uint64) {
 	e := s.visible()[key]
 	if e == nil || e.Sequence != sequence {
-		w.fault("%s of epoch %d lacks %s of sequence %d", s.replica.Folder, epochOf(s.replica.chosen), key, sequence)
+		w.violation("%s of epoch %d lacks %s of sequence %d", s.replica.Folder, epochOf(s.replica.chosen), key, sequence)
 	}
 	if s.replica.sequence < sequence {
-		w.fault("%s went back to %d from %d", s.replica.Folder, s.replica.sequence, sequence)
+		w.violation("%s went back to %d from %d", s.replica.Folder, s.replica.sequence, sequence)
 	}
 }
 
-func (w *world) outcome(s *site, o outcome) {
-	op := w.waiting[o.token]
+func (w *simulation) outcome(s *site, o outcome) {
+	op := w.pendingOperations[o.token]
 	if op == nil {
 		return
 	}
-	delete(w.waiting, o.token)
+	delete(w.pendingOperations, o.token)
 	switch {
 	case o.err == nil && op.key == "":
 		for key, sequence := range w.acknowledged {
 			if w.acknowledgedAt[key] < op.began {
 				if e := s.visible()[key]; e == nil || e.Sequence != sequence {
-					w.fault("%s confirmed without %s", s.replica.Folder, key)
+					w.violation("%s confirmed without %s", s.replica.Folder, key)
 				}
 			}
 		}
 	case o.err == nil:
 		w.acknowledged[op.key], w.acknowledgedAt[op.key], w.acknowledgedUnder[op.key] = o.sequence, w.now, s.newestEpoch
 		for _, other := range w.sites {
-			if other == s || other.replica != nil && other.replica.primary != nil && !other.busy &&
+			if other == s || other.replica != nil && other.replica.primary != nil && !other.syncing &&
 				other.replica.primary.view.Epoch > s.newestEpoch {
 				w.checkEntry(other, op.key, o.sequence)
 			}
 		}
 	case errors.Is(o.err, ErrNotPrimary) && op.key != "":
-		w.refused[op.key] = true
+		w.rejected[op.key] = true
 	}
 }
 
 // put and confirm ask every process that takes itself for the primary.
-func (w *world) put(confirmed bool) (asked bool) {
+func (w *simulation) put(confirmed bool) (asked bool) {
 	for _, s := range w.sites {
 		if s.replica == nil || s.replica.primary == nil || confirmed && !s.replica.confirmedWithin(s.replica.timing.lease) {
 			continue
@@ -110,17 +110,17 @@
 		epoch := s.replica.primary.view.Epoch
 		w.token++
 		key := fmt.Sprintf("k%d", w.token)
-		w.waiting[w.token] = &operation{key: key, began: w.now, site: s}
+		w.pendingOperations[w.token] = &operation{key: key, began: w.now, site: s}
 		e := putRequest{w.token, epoch, map[string][]byte{key: []byte(key)}}
 		w.token++
-		w.waiting[w.token] = &operation{began: w.now, site: s}
+		w.pendingOperations[w.token] = &operation{began: w.now, site: s}
 		s.step(e, confirmRequest{w.token, epoch})
 	}
 	return asked
 }
 
 // load puts now and then until a time.
-func (w *world) load(until time.Duration) {
+func (w *simulation) load(until time.Duration) {
 	if w.now >= until {
 		return
 	}
@@ -129,16 +129,16 @@
 }
 
 // recover ends all faults and returns how long it took until a put was acknowledged, at most limit.
-func (w *world) recover(limit time.Duration) (time.Duration, bool) {
+func (w *simulation) recover(limit time.Duration) (time.Duration, bool) {
 	clear(w.partitions)
-	w.faultRate, w.mutate = 0, nil
+	w.faultRate, w.chooseFault = 0, nil
 	for _, s := range w.sites {
 		s.start(false)
 	}
 	began, n := w.now, len(w.acknowledged)
-	for w.now < began+limit && len(w.faults) == 0 {
+	for w.now < began+limit && len(w.violations) == 0 {
 		w.put(true)
-		w.run(w.now + 50*time.Millisecond)
+		w.runUntil(w.now + 50*time.Millisecond)
 		if len(w.acknowledged) > n {
 			return w.now - began, true
 		}
@@ -147,7 +147,7 @@
 }
 
 // isComplete reports whether the view in force has no former members and its full number of members and backups, none of them wiped.
-func (w *world) isComplete() bool {
+func (w *simulation) isComplete() bool {
 	want := min(2*w.toleratedLosses+1, len(w.sites))
 	if w.newestView == nil || len(w.newestView.Former) > 0 || len(w.newestView.Members) < min(want, 3) || len(w.newestView.Backups) < w.toleratedLosses {
 		return false
