--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -13,7 +13,7 @@
 )
 
 // world is a network, disks and clocks in virtual time for replicas, and the checker of their invariants.
-type world struct {
+type simulation struct {
 	now             time.Duration
 	random          *rand.Rand
 	queue           timedActions
@@ -28,28 +28,28 @@
 	rate            int     // bytes a second that a path carries; 0: no bound
 
 	transferRate      int // that the replicas expect; 0: transferRate
-	mutate            func(n int) mutation
+	chooseFault       func(n int) messageFault
 	messages          int // messages sent
 	folders           int
 	token             uint64
-	waiting           map[uint64]*operation
-	replying          map[uint64]func(proto.Message)
+	pendingOperations map[uint64]*operation
+	pendingReplies    map[uint64]func(proto.Message)
 	acknowledged      map[string]uint64 // key to sequence
 	acknowledgedAt    map[string]time.Duration
 	acknowledgedUnder map[string]uint64 // epoch
-	refused           map[string]bool
+	rejected          map[string]bool
 	chosen            map[uint64]*tierv1.View
 	newestView        *tierv1.View
 	wiped             map[string]bool
-	delivered         func(to *site, body proto.Message) // sees each message as it comes
-	faults            []string
+	onDeliver         func(to *site, body proto.Message) // sees each message as it comes
+	violations        []string
 	trace             []string
 }
 
-type mutation int
+type messageFault int
 
 const (
-	none mutation = iota
+	none messageFault = iota
 	lost
 	doubled
 	delayed
@@ -60,7 +60,7 @@
 	senderKilled
 	senderUnpowered
 	senderWiped
-	mutations
+	messageFaultCount
 )
 
 type operation struct {
@@ -91,31 +91,31 @@
 
 // site is one machine: its address, its disk and the process that runs there.
 type site struct {
-	world       *world
+	simulation  *simulation
 	member      *tierv1.Member
 	replica     *replica // nil: no process
-	run         *subject
+	subject     *subject
 	incarnation int
 	synced      [][]byte
 	unsynced    [][]byte
-	busy        bool
+	syncing     bool
 	inbox       []event
 	wakeAt      time.Duration
 	removed     bool
 	unpowered   bool // without power: calls hang
 	paused      bool // stopped, as by SIGSTOP: nothing runs, what comes in waits
 	stalled     bool // its disk hangs: a sync that has begun does not end
-	resumed     []func()
+	deferred    []func()
 	checkedView *tierv1.View
 	newestEpoch uint64 // epoch of its newest leadership
 }
 
-func newWorld(seed uint64, n, losses int) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 7)), partitions: make(map[[2]string]bool), toleratedLosses: losses, window: 3 * time.Second,
-		waiting: make(map[uint64]*operation), replying: make(map[uint64]func(proto.Message)), acknowledged: make(map[string]uint64), acknowledgedAt: make(map[string]time.Duration), acknowledgedUnder: make(map[string]uint64),
-		refused: make(map[string]bool), chosen: make(map[uint64]*tierv1.View), wiped: make(map[string]bool), now: time.Millisecond}
+func newSimulation(seed uint64, n, losses int) *simulation {
+	w := &simulation{random: rand.New(rand.NewPCG(seed, 7)), partitions: make(map[[2]string]bool), toleratedLosses: losses, window: 3 * time.Second,
+		pendingOperations: make(map[uint64]*operation), pendingReplies: make(map[uint64]func(proto.Message)), acknowledged: make(map[string]uint64), acknowledgedAt: make(map[string]time.Duration), acknowledgedUnder: make(map[string]uint64),
+		rejected: make(map[string]bool), chosen: make(map[uint64]*tierv1.View), wiped: make(map[string]bool), now: time.Millisecond}
 	for i := range n {
-		w.sites = append(w.sites, &site{world: w, member: &tierv1.Member{Address: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%3), Region: "r"}})
+		w.sites = append(w.sites, &site{simulation: w, member: &tierv1.Member{Address: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%3), Region: "r"}})
 		if i < 3 {
 			w.seeds = append(w.seeds, fmt.Sprint("a", i))
 		}
@@ -123,31 +123,31 @@
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.queue, timedAction{w.now + d, w.order, do})
 }
 
-func (w *world) run(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until && len(w.faults) == 0 {
+func (w *simulation) runUntil(until time.Duration) {
+	for len(w.queue) > 0 && w.queue[0].at <= until && len(w.violations) == 0 {
 		m := heap.Pop(&w.queue).(timedAction)
 		w.now = m.at
 		m.do()
 	}
-	if len(w.faults) == 0 {
+	if len(w.violations) == 0 {
 		w.now = until
 	}
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+func (w *simulation) violation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) logf(format string, args ...any) {
+func (w *simulation) logf(format string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) site(address string) *site {
+func (w *simulation) site(address string) *site {
 	for _, s := range w.sites {
 		if s.member.Address == address {
 			return s
@@ -156,13 +156,13 @@
 	return nil
 }
 
-func (w *world) delay() time.Duration {
+func (w *simulation) delay() time.Duration {
 	return time.Millisecond + time.Duration(w.random.Int64N(int64(3*time.Millisecond)))
 }
 
 // start starts a process, with a new folder where the disk is empty.
 func (s *site) start(bootstrap bool) {
-	w := s.world
+	w := s.simulation
 	if s.replica != nil || s.removed {
 		return
 	}
@@ -170,7 +170,7 @@
 	var d durableState
 	for _, r := range s.synced {
 		if err := d.replay(r); err != nil {
-			w.fault("replay: %v", err)
+			w.violation("replay: %v", err)
 		}
 	}
 	if d.Folder == "" {
@@ -188,9 +188,9 @@
 	s.replica.now = w.now
 	s.replica.candidacyAt += w.now
 	s.replica.joinAt += w.now
-	s.run = &subject{replica: s.replica, mutant: w.mutant, asked: make(map[uint64]proto.Message)}
-	s.busy, s.inbox, s.checkedView = false, nil, nil
-	s.paused, s.stalled, s.resumed = false, false, nil
+	s.subject = &subject{replica: s.replica, mutant: w.mutant, requests: make(map[uint64]proto.Message)}
+	s.syncing, s.inbox, s.checkedView = false, nil, nil
+	s.paused, s.stalled, s.deferred = false, false, nil
 	w.logf("start %s", d.Folder)
 	s.wake()
 }
@@ -200,11 +200,11 @@
 	if s.replica == nil {
 		return
 	}
-	w := s.world
+	w := s.simulation
 	w.logf("stop %s power=%v", s.replica.Folder, power)
-	for t, o := range w.waiting {
+	for t, o := range w.pendingOperations {
 		if o.site == s {
-			delete(w.waiting, t)
+			delete(w.pendingOperations, t)
 		}
 	}
 	s.replica = nil
@@ -216,21 +216,21 @@
 }
 
 // mayWipe reports whether the loss of one more disk is within what is to be tolerated.
-func (w *world) mayWipe() bool {
+func (w *simulation) mayWipe() bool {
 	if w.newestView == nil || len(w.newestView.Members) < 2*w.toleratedLosses+1 || len(w.newestView.Former) > 0 || len(w.newestView.Backups) < w.toleratedLosses {
 		return false
 	}
-	records := []*tierv1.View{w.newestView}
+	views := []*tierv1.View{w.newestView}
 	for _, s := range w.sites {
 		if s.replica == nil {
 			return false
 		}
 		if epochOf(s.replica.accepted) > w.newestView.Epoch {
-			records = append(records, s.replica.accepted)
+			views = append(views, s.replica.accepted)
 		}
 	}
 	// No majority and no set of replicas of the state may lack more than is to be tolerated, this one included.
-	for _, r := range records {
+	for _, r := range views {
 		n := 0
 		for folder := range w.wiped {
 			if isNamedIn(r, folder) {
@@ -241,7 +241,7 @@
 			return false
 		}
 	}
-	for _, set := range quorumSets(records...) {
+	for _, set := range quorumSets(views...) {
 		n := 0
 		for _, v := range set {
 			if v.Folder == "" || w.wiped[v.Folder] {
@@ -259,7 +259,7 @@
 	if s.replica == nil {
 		return
 	}
-	s.world.wiped[s.replica.Folder] = true
+	s.simulation.wiped[s.replica.Folder] = true
 	s.stop(true)
 	s.synced, s.unsynced = nil, nil
 }
@@ -268,9 +268,9 @@
 	if s.replica == nil {
 		return
 	}
-	at, incarnation := max(s.replica.nextStepAt(), s.world.now+time.Millisecond), s.incarnation
+	at, incarnation := max(s.replica.nextStepAt(), s.simulation.now+time.Millisecond), s.incarnation
 	s.wakeAt = at
-	s.world.after(at-s.world.now, func() {
+	s.simulation.after(at-s.simulation.now, func() {
 		if s.incarnation == incarnation && s.wakeAt == at && s.replica != nil {
 			s.step(tick{})
 		}
@@ -279,12 +279,12 @@
 
 func (s *site) step(events ...event) {
 	s.inbox = append(s.inbox, events...)
-	if s.busy || s.replica == nil || s.paused {
+	if s.syncing || s.replica == nil || s.paused {
 		return
 	}
 	events, s.inbox = s.inbox, nil
-	w := s.world
-	out := s.run.step(w.now, events...)
+	w := s.simulation
+	out := s.subject.step(w.now, events...)
 	for _, n := range out.transitions {
 		w.logf("%s %s promised=%d chosen=%d seq=%d", s.replica.Folder, n, s.replica.preparedEpoch, epochOf(s.replica.chosen), s.replica.sequence)
 	}
@@ -296,14 +296,14 @@
 		}
 	}
 	s.unsynced = append(s.unsynced, out.records...)
-	rest := func() {
-		s.busy = false
+	finish := func() {
+		s.syncing = false
 		w.check(s)
 		for _, o := range out.outcomes {
 			w.outcome(s, o)
 		}
 		for _, r := range out.replies {
-			replyTo := w.replies(r.token)
+			replyTo := w.takeReply(r.token)
 			replyTo(r.body)
 			if s.incarnation != incarnation {
 				return
@@ -322,20 +322,20 @@
 		}
 	}
 	if !out.sync {
-		rest()
+		finish()
 		return
 	}
-	s.busy = true
+	s.syncing = true
 	synced := func() {
 		if s.incarnation != incarnation {
 			return
 		}
 		s.synced, s.unsynced = append(s.synced, s.unsynced...), nil
-		rest()
+		finish()
 	}
 	w.after(time.Millisecond+time.Duration(w.random.Int64N(int64(8*time.Millisecond))), func() {
 		if s.incarnation == incarnation && (s.paused || s.stalled) {
-			s.resumed = append(s.resumed, synced)
+			s.deferred = append(s.deferred, synced)
 			return
 		}
 		synced()
@@ -344,29 +344,29 @@
 
 // resume ends a pause or a disk that hangs: what was delayed goes on, then what has come in meanwhile.
 func (s *site) resume() {
-	woken := s.paused
+	wasPaused := s.paused
 	s.paused, s.stalled = false, false
-	held, waiting := s.resumed, s.inbox
-	s.resumed = nil
-	if woken && s.replica != nil && !s.busy { // a timer may be the first to run, before anything that came in is read
+	deferred, inbox := s.deferred, s.inbox
+	s.deferred = nil
+	if wasPaused && s.replica != nil && !s.syncing { // a timer may be the first to run, before anything that came in is read
 		s.inbox = nil
 		s.step(tick{})
 		if s.leads() {
-			s.world.fault("%s answers as it wakes", s.replica.Folder)
+			s.simulation.violation("%s answers as it wakes", s.replica.Folder)
 		}
-		s.inbox = append(waiting, s.inbox...)
+		s.inbox = append(inbox, s.inbox...)
 	}
-	for _, do := range held {
+	for _, do := range deferred {
 		do()
 	}
-	if s.replica != nil && !s.busy {
+	if s.replica != nil && !s.syncing {
 		s.step(tick{})
 	}
 }
 
-func (w *world) replies(token uint64) func(proto.Message) {
-	f := w.replying[token]
-	delete(w.replying, token)
+func (w *simulation) takeReply(token uint64) func(proto.Message) {
+	f := w.pendingReplies[token]
+	delete(w.pendingReplies, token)
 	if f == nil {
 		return func(proto.Message) {}
 	}
@@ -375,7 +375,7 @@
 
 // send carries a call: it always ends in a result, empty if nothing came within the time-out.
 func (s *site) send(c outgoingCall) {
-	w := s.world
+	w := s.simulation
 	incarnation, ended := s.incarnation, false
 	end := func(body proto.Message) {
 		if s.incarnation == incarnation && !ended {
@@ -387,10 +387,10 @@
 	w.messages++
 	to := w.site(c.address)
 	kind := none
-	if w.mutate != nil {
-		kind = w.mutate(w.messages)
+	if w.chooseFault != nil {
+		kind = w.chooseFault(w.messages)
 	} else if w.random.Float64() < w.faultRate {
-		kind = mutation(1 + w.random.IntN(int(replyLost)))
+		kind = messageFault(1 + w.random.IntN(int(replyLost)))
 	}
 	restart := func(x *site) { w.after(700*time.Millisecond, func() { x.start(false) }) }
 	if to == nil || kind == lost || w.partitions[[2]string{s.member.Address, c.address}] {
@@ -404,14 +404,14 @@
 		}
 		w.token++
 		token := w.token
-		w.replying[token] = func(body proto.Message) {
+		w.pendingReplies[token] = func(body proto.Message) {
 			if kind == replyLost || w.partitions[[2]string{c.address, s.member.Address}] {
 				return
 			}
 			w.after(w.delay(), func() { end(proto.Clone(body)) })
 		}
-		if w.delivered != nil {
-			w.delivered(to, c.body)
+		if w.onDeliver != nil {
+			w.onDeliver(to, c.body)
 		}
 		to.step(incomingCall{token, proto.Clone(c.body)})
 		switch kind {
