--- a/internal/tier/consensus/disk_failure_test.go
+++ b/internal/tier/consensus/disk_failure_test.go
@@ -17,7 +17,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// solo is a node whose loop is turned by hand, in virtual time, with all other nodes away.
+// manualNode is a node whose loop the test runs in virtual time; all other nodes are unreachable.
 type manualNode struct {
 	t    *testing.T
 	node *Node
@@ -42,7 +42,7 @@
 	s.node = n
 }
 
-// turn lets the node go on for a while.
+// runFor runs the loop of the node for d.
 func (s *manualNode) runFor(d time.Duration) {
 	s.t.Helper()
 	for end := s.now + d; s.now < end; s.now += 5 * time.Millisecond {
@@ -50,7 +50,7 @@
 	}
 }
 
-// put begins a write; the channel gets its outcome.
+// put queues a write and returns the channel that receives its outcome.
 func (s *manualNode) put(key string) chan outcome {
 	return s.putSets(map[string][]byte{key: bytes.Repeat([]byte(key), 100)})
 }
@@ -69,7 +69,7 @@
 	return c
 }
 
-// askNode calls the service and turns the loop until it answers.
+// callNode calls the service and runs the loop until the call returns.
 func callNode[T any](s *manualNode, do func(n *Node) (T, error)) (T, error) {
 	type answered struct {
 		reply T
@@ -90,20 +90,20 @@
 	}
 }
 
-// ask asks the node to prepare.
+// prepare sends a prepare to the node.
 func (s *manualNode) prepare(epoch uint64) (*tierv1.PrepareReply, error) {
 	return callNode(s, func(n *Node) (*tierv1.PrepareReply, error) {
 		return (server{n}).Promise(context.Background(), &tierv1.PrepareRequest{Epoch: epoch, From: &tierv1.Member{Folder: "x", Address: "b"}})
 	})
 }
 
-// A disk that fails at any operation, at the start too, once or until it recovers, ends leadership and acknowledgements
-// but not the node; when it works again the node goes on with all that was acknowledged, and a loss of power changes nothing.
+// A disk failure at any operation, also at the start, once or until the disk recovers, ends leadership and acknowledgements but not the
+// node. When the disk works again the node has every acknowledged write, also after a power loss.
 func TestDiskFailure_AtEachOperation(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
 		for _, persistent := range []bool{false, true} {
 			for at := 1; ; at++ {
-				label := fmt.Sprintf("%v, sticks %v, operation %d", cause, persistent, at)
+				label := fmt.Sprintf("%v, persistent %v, operation %d", cause, persistent, at)
 				disk := wal.NewMemory()
 				if persistent {
 					disk.FailFrom(at, cause)
@@ -120,7 +120,7 @@
 	}
 }
 
-// playSoloIncarnation writes through a failure and after it. It reports whether there was one.
+// playDiskFailure writes during a disk failure and after it. It reports whether a failure occurred.
 func playDiskFailure(t *testing.T, disk *wal.Memory, label string, seed uint64) (failed bool) {
 	s := newManualNode(t, disk, "a")
 	acknowledged := make(map[string]bool)
@@ -168,7 +168,7 @@
 	return failed || strings.Contains(text, `"disk_failed"`)
 }
 
-// A prepare whose sync failed is not answered; one that was answered is still in force after the disk recovered.
+// A prepare whose sync failed gets no reply. A prepare that got a reply is still in force after the disk recovered.
 func TestDiskFailure_PrepareOnFullDisk(t *testing.T) {
 	s := newManualNode(t, wal.NewMemory(), "a", "b", "c")
 	a, err := s.prepare(1 << 20)
@@ -193,7 +193,7 @@
 	assert.Assert(t, a.Prepared)
 }
 
-// A genesis identity is made once: a file that is gone when the disk recovers makes another folder, without a vote.
+// A genesis identity is created once. If the file is gone when the disk recovers, the node creates another folder, which has no vote.
 func TestDiskFailure_LostFileIsNewMember(t *testing.T) {
 	s := newManualNode(t, wal.NewMemory(), "a", "b", "c")
 	first := s.node.Self().Folder
@@ -207,8 +207,8 @@
 	assert.Assert(t, s.node.Self().Folder != first && !s.node.replica.Genesis)
 }
 
-// If a full disk has a long file, the rewrite to the bare state is what frees space: of the operations of an attempt to
-// go on, one is the trial write, after whose failure the node goes on at once with a short file.
+// On a full disk with a long file, the rewrite to the records of the current state frees space. One operation of a recovery is the trial
+// write; if that operation fails, the node recovers at once with a short file.
 func TestDiskFailure_RewriteFreesSpace(t *testing.T) {
 	short := 0
 	for at := 1; at < 20; at++ {
@@ -236,8 +236,8 @@
 	assert.Assert(t, short > 0)
 }
 
-// A primary whose disk is full is replaced by another within its lease, and follows when there is space; one whose sync hangs
-// likewise, though its loop cannot even tell.
+// A primary whose disk is full is replaced when its lease has expired, and follows when there is space. The same holds for a primary whose
+// sync hangs, although its loop is blocked and cannot detect it.
 func TestDiskFailure_OfPrimary(t *testing.T) {
 	for name, fail := range map[string]func(disk *wal.Memory) (repair func()){
 		"full": func(disk *wal.Memory) func() {
@@ -258,7 +258,7 @@
 			defer repair()
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan error, 1)
-			go func() { // the write that meets the disk
+			go func() { // the write that hits the failing disk
 				_, err := old.Put(ctx, epoch, map[string][]byte{"lost": []byte("x")})
 				ended <- err
 			}()
--- a/internal/tier/consensus/distant_members_test.go
+++ b/internal/tier/consensus/distant_members_test.go
@@ -12,8 +12,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// playDistantMembers runs replicas whose only fault is their distance: each direction takes what oneWay returns, each sync of a disk takes
-// sync. It returns the replicas and how many views each had chosen for itself.
+// playDistantMembers runs replicas without faults but with network delays: a message takes what oneWay returns, a sync of a disk takes
+// sync. It returns the replicas and how often each became primary of a view.
 func playDistantMembers(n, losses int, window, until, sync time.Duration, oneWay func(from, to int) time.Duration) (machines []*replica, leaderships []int) {
 	var queue timedActions
 	var now time.Duration
@@ -105,8 +105,8 @@
 	return machines, leaderships
 }
 
-// A member of a distant region replies later than the near majority. It is awaited, or the primary goes on without it;
-// it does not propose view after view, each of which leaves it out again.
+// A member of a distant region replies later than the near majority. The primary waits for it or continues without it; it must not propose
+// view after view, each of which leaves the member out again.
 func TestProposal_IncludesDistantMembers(t *testing.T) {
 	for _, losses := range []int{1, 2} {
 		for _, n := range []int{3, 4, 5} {
@@ -130,7 +130,7 @@
 							}
 						}
 						assert.Equal(t, primaries, 1, name)
-						assert.Assert(t, total <= 20, "%s: %d records", name, total)
+						assert.Assert(t, total <= 20, "%s: %d views", name, total)
 					}
 				}
 			}
--- a/internal/tier/consensus/errors.go
+++ b/internal/tier/consensus/errors.go
@@ -14,7 +14,7 @@
 
 	errorTypes = errorx.NewNamespace("consensus")
 	// StateTooLarge is the type of the error of a Put that would make the control state larger than its limit. Nothing was
-	// written, and the epoch goes on.
+	// written, and the epoch continues.
 	StateTooLarge = errorTypes.NewType("state_too_large")
 	// DiskStuck is the type of Health.Disk while a write does not return.
 	DiskStuck = errorTypes.NewType("disk_stuck")
--- a/internal/tier/consensus/explore_digest_test.go
+++ b/internal/tier/consensus/explore_digest_test.go
@@ -10,7 +10,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// digest distinguishes states of a replica. Times count by how long ago.
+// digest returns a key that distinguishes states of a replica. Times are included relative to now.
 func (x *explorer) digest(l *replicaState, s *subject) string {
 	var b strings.Builder
 	m := s.replica
@@ -65,7 +65,7 @@
 			}
 		}
 	}
-	// What a reply will mean depends on whether the proposal or batch that made the call is still in progress.
+	// The effect of a reply depends on whether the proposal or batch that made the call is still in progress.
 	for _, id := range slices.Sorted(maps.Keys(m.pendingCalls)) {
 		current := false
 		switch q := s.requests[id].(type) {
@@ -91,7 +91,7 @@
 		}
 	}
 	l := w.left
-	b = append(b, byte(l.takeovers), byte(l.ticks), byte(l.timeouts), byte(l.doubles), byte(l.restarts), byte(l.wipes), byte(l.writes), byte(l.confirms), byte(l.swaps))
+	b = append(b, byte(l.takeovers), byte(l.ticks), byte(l.timeouts), byte(l.duplicates), byte(l.restarts), byte(l.wipes), byte(l.writes), byte(l.confirms), byte(l.swaps))
 	for i := range maxOperations {
 		b = binary.AppendUvarint(b, w.acknowledged[i])
 		b = binary.AppendUvarint(b, w.acknowledgedUnder[i])
--- a/internal/tier/consensus/explore_liveness_test.go
+++ b/internal/tier/consensus/explore_liveness_test.go
@@ -8,15 +8,14 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// The exploration asks of a part of the states that it reaches whether they are dead ends: once all faults have ended, is a
-// primary that can acknowledge reached again? Both if all messages in flight arrive, and if all of them are lost. This
-// bounds liveness by steps, not by time: within recoveryRounds rounds, in each of which each replica proposes itself up to
-// twice (the second time it knows the highest epoch) and all messages come. That nobody disturbs this is a matter of time,
-// and is held by the tests in virtual time.
+// The exploration checks some of the states that it reaches for liveness: once all faults have ended, a primary that can acknowledge must
+// be reached again, both if all messages in flight arrive and if all of them are lost. The bound on liveness is in steps, not in time:
+// recoveryRounds rounds, in each of which each replica proposes itself up to twice (the second time it has learned the highest epoch) and
+// all messages arrive. That no other replica disturbs a proposal depends on time, and is checked by the tests in virtual time.
 const recoveryRounds = 2
 
-// drainSteps bounds the messages that come in one go. They need not end: a primary whose proposal another one refuses, as it
-// takes itself for the primary still, tries again until that one's lease ends, for which clocks must go on.
+// drainSteps bounds the messages that drain delivers. The messages need not end: a primary whose proposal is refused by another replica
+// that still considers itself primary retries until the lease of that replica expires, which requires clocks to advance.
 const drainSteps = 500
 
 // drain delivers all messages in flight, and what follows them, oldest first.
@@ -52,7 +51,8 @@
 	return w, nil
 }
 
-// acknowledges reports whether a replica leads and could acknowledge a write now: it and all its backups have prepared its epoch last.
+// canAcknowledge reports whether a replica is primary and could acknowledge a write now: its epoch is the last one that it and all its
+// backups have prepared.
 func (w *systemState) canAcknowledge(l *replicaState) bool {
 	if l == nil || l.leadership == 0 || l.preparedEpoch != l.leadership {
 		return false
@@ -126,7 +126,7 @@
 	return e, nil
 }}
 
-// The check finds a mutant from which no primary is reached again.
+// The liveness check finds a mutant from which no primary is reached again.
 func TestExplore_FindsDeadEnd(t *testing.T) {
 	x, w := fromStable(t, preparesOnlyOnce)
 	w.left = budget{takeovers: 1, writes: 1}
--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -38,8 +38,9 @@
 	return fmt.Sprintf("%s%s %s>%s%s", h.action, call, x.addresses[i.from], x.addresses[i.to], h.detail)
 }
 
-// deliver delivers a message. Its receiver may lose power in the middle of the step, or it may be delivered a second time.
-func (x *explorer) deliver(w *systemState, i *item, powerLoss, double bool) (*systemState, error) {
+// deliver delivers a message. With powerLoss its receiver loses power in the middle of the step, with duplicate it will be delivered a
+// second time.
+func (x *explorer) deliver(w *systemState, i *item, powerLoss, duplicate bool) (*systemState, error) {
 	if i.stage == answered {
 		c := w.with(pathStep{action: "answer to ", item: i})
 		c.remove(i)
@@ -48,16 +49,16 @@
 	c := w.with(pathStep{action: "the ", item: i})
 	c.remove(i)
 	o := *i
-	if double {
-		c.left.doubles--
+	if duplicate {
+		c.left.duplicates--
 		c.step.detail = ", which will be delivered twice"
 		o.stage = orphaned
 		c.add(x.item(o))
 	}
-	l := x.advance(c.replicas[i.to], eventKey{"asked", 0, i.request.n, powerLoss}, incomingCall{0, i.request.m})
+	l := x.advance(c.replicas[i.to], eventKey{"request", 0, i.request.n, powerLoss}, incomingCall{0, i.request.m})
 	if powerLoss {
 		c.left.restarts--
-		c.step.detail = ", whose power goes in the middle"
+		c.step.detail = ", whose receiver loses power in the middle of the step"
 		x.restarted(c, i.to)
 	}
 	if i.stage == requested {
@@ -72,10 +73,10 @@
 	if b != nil {
 		n, m = b.n, b.m
 	}
-	return x.advance(w.replicas[i.from], eventKey{"answered", i.id, n, false}, callResult{i.id, m})
+	return x.advance(w.replicas[i.from], eventKey{"reply", i.id, n, false}, callResult{i.id, m})
 }
 
-// timeout ends a call; its request may still come.
+// timeout ends a call; its request may still be delivered.
 func (x *explorer) timeout(w *systemState, i *item) (*systemState, error) {
 	c := w.with(pathStep{action: "time-out of ", item: i})
 	c.left.timeouts--
@@ -139,7 +140,7 @@
 	return c, err
 }
 
-// successors are all states that one more step leads to; the first that violates an invariant ends it.
+// successors yields all states that one more step leads to, until yield returns false.
 func (x *explorer) successors(w *systemState, yield func(*systemState, error) bool) {
 	for n, i := range w.net {
 		if n > 0 && i == w.net[n-1] {
@@ -151,7 +152,7 @@
 		if i.stage != answered && w.left.restarts > 0 && !yield(x.deliver(w, i, true, false)) {
 			return
 		}
-		if i.stage == requested && w.left.doubles > 0 && !yield(x.deliver(w, i, false, true)) {
+		if i.stage == requested && w.left.duplicates > 0 && !yield(x.deliver(w, i, false, true)) {
 			return
 		}
 		if (i.stage == requested || i.stage == answered && i.reply != nil) && w.left.timeouts > 0 && !yield(x.timeout(w, i)) {
@@ -196,7 +197,7 @@
 	}
 }
 
-// explored is what an exploration found.
+// result is the result of an exploration.
 type result struct {
 	states, replicaStates, steps, depth int
 	complete                            bool
@@ -218,7 +219,7 @@
 	seen := map[string]struct{}{from.key(): {}}
 	frontier := []*systemState{from}
 	r.complete = true
-	var toCheck []*systemState // whether they are dead ends
+	var toCheck []*systemState // for liveness
 	defer func() { r.states, r.replicaStates, r.steps = len(seen), len(x.replicaStates), x.steps }()
 	for ; len(frontier) > 0; r.depth++ {
 		var next []*systemState
@@ -250,7 +251,7 @@
 		}
 		frontier = next
 	}
-	for _, w := range toCheck { // only now, as the checks add to the states of single replicas
+	for _, w := range toCheck { // after the exploration, as the checks add replica states
 		if dead, err := x.checkLiveness(w); err != nil {
 			r.violation, r.path = err, x.path(dead)
 			return r
@@ -259,7 +260,7 @@
 	return r
 }
 
-// restarted ends the calls of a process that is no more.
+// restarted ends the calls of a process that has ended.
 func (x *explorer) restarted(w *systemState, site int) {
 	w.incarnations[site]++
 	for _, i := range slices.Clone(w.net) {
@@ -273,7 +274,7 @@
 			w.add(x.item(o))
 		case answered:
 			w.remove(i)
-		case orphaned: // nobody waits for it already
+		case orphaned: // unchanged: the caller no longer waits for the reply
 		}
 	}
 }
--- a/internal/tier/consensus/explore_scenarios_test.go
+++ b/internal/tier/consensus/explore_scenarios_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// calm delivers all messages in flight between sites, oldest first, if pass lets it.
+// deliverAll delivers all messages in flight between sites, oldest first, if pass allows it.
 func (x *explorer) deliverAll(t *testing.T, w *systemState, pass func(i *item) bool) *systemState {
 	t.Helper()
 	for range 1000 {
@@ -27,11 +27,11 @@
 			return w
 		}
 	}
-	t.Fatal("no end")
+	t.Fatal("the messages do not end")
 	return nil
 }
 
-// boots starts all sites; those that are seeds for the first time.
+// startAll starts all sites; for the seeds it is the first start of the system.
 func (x *explorer) startAll() *systemState {
 	w := &systemState{}
 	for i := range x.addresses {
@@ -40,7 +40,7 @@
 	return w
 }
 
-// stableState has a primary, a, with a backup, b; what was sent to c is still in flight.
+// stableState returns a state with a primary, a, and a backup, b; messages to c are still in flight.
 func (x *explorer) stableState(t *testing.T) *systemState {
 	t.Helper()
 	w := x.startAll()
@@ -55,7 +55,7 @@
 	return w
 }
 
-// scenario is where an exploration begins, what may still happen in it, and at how many states it ends at the latest.
+// scenario is the start of an exploration, the events that may still occur, and the maximum number of states.
 type scenario struct {
 	name  string
 	begin func(t *testing.T, p mutant) (*explorer, *systemState)
@@ -73,7 +73,7 @@
 	return x, x.startAll()
 }
 
-// fromPartitioned is the genesis of three, of which b and c don't hear each other.
+// fromPartitioned is the genesis of three members, with a partition between b and c.
 func fromPartitioned(t *testing.T, p mutant) (*explorer, *systemState) {
 	x, w := fromGenesis(t, p)
 	x.partitions[[2]int{1, 2}], x.partitions[[2]int{2, 1}] = true, true
@@ -104,8 +104,8 @@
 	return x, x.completeSwap(t, swap{"d", "c"})
 }
 
-// fromReplacement is a primary, a, whose backup b was just replaced by d, as after the loss of b: the next loss comes right
-// after the repair. What was sent to b may still be in flight.
+// fromReplacement is a primary, a, whose backup b was just replaced by d, as after the loss of b: the next loss comes right after the
+// repair. Messages to b may still be in flight.
 func fromReplacement(t *testing.T, p mutant) (*explorer, *systemState) {
 	x := newExplorer(p, "a", "b", "c", "d")
 	return x, x.completeSwap(t, swap{"d", "b"})
@@ -122,7 +122,7 @@
 	return x, x.deliverAll(t, w, nil)
 }
 
-// swapped begins with a primary, a, and plays a change of members to its end.
+// completeSwap begins with a primary, a, and completes a change of members.
 func (x *explorer) completeSwap(t *testing.T, q swap) *systemState {
 	t.Helper()
 	w, err := x.event(x.startAll(), 0, "take-over", takeover{})
@@ -146,9 +146,9 @@
 	{"a candidate, a write, a lost disk", fromStable, budget{takeovers: 1, writes: 1, wipes: 1}, 120_000},
 	{"a candidate, a write, a restart", fromStable, budget{takeovers: 1, writes: 1, restarts: 1}, 25_000},
 	{"a candidate, a write, a time-out", fromStable, budget{takeovers: 1, writes: 1, timeouts: 1}, 40_000},
-	{"genesis, two candidates, a write, a doubled message", fromGenesis, budget{takeovers: 2, writes: 1, doubles: 1}, 25_000},
+	{"genesis, two candidates, a write, a doubled message", fromGenesis, budget{takeovers: 2, writes: 1, duplicates: 1}, 25_000},
 	{"genesis of a split three, two candidates, a write, a doubled message, a restart", fromPartitioned,
-		budget{takeovers: 2, writes: 1, doubles: 1, restarts: 1}, 30_000},
+		budget{takeovers: 2, writes: 1, duplicates: 1, restarts: 1}, 30_000},
 	{"a swap of members, a partition, a candidate, a write", fromSwap, budget{takeovers: 1, writes: 1}, 40_000},
 	{"a second swap, a candidate, a write, a lost disk between or in the middle", fromFirstSwap,
 		budget{swaps: 1, takeovers: 1, writes: 1, wipes: 1}, 40_000},
@@ -157,13 +157,13 @@
 		budget{swaps: 1, takeovers: 1, writes: 1, wipes: 2}, 40_000},
 }
 
-// Of one state in so many, but of at most so many in all, the exploration asks whether it is a dead end.
+// The exploration checks one state in livenessInterval for liveness, or fewer, so that at most maxLivenessChecks are checked in all.
 const (
 	livenessInterval  = 100
 	maxLivenessChecks = 2000
 )
 
-// factor is by how much the bounds are raised: 8 where CONTROL_SEEDS is set.
+// exploreFactor returns the factor by which the bounds are raised: 8 if CONTROL_SEEDS is set.
 func exploreFactor() int {
 	if seedCount(0) > 0 {
 		return 8
@@ -188,7 +188,7 @@
 			x.liveness = max(livenessInterval, limit/maxLivenessChecks)
 			r := x.explore(w, limit)
 			total += r.states
-			t.Logf("%v, %d of them asked whether they are dead ends, in %v", r, x.livenessChecks, time.Since(began))
+			t.Logf("%v, %d of them checked for liveness, in %v", r, x.livenessChecks, time.Since(began))
 			if r.violation != nil {
 				t.Fatalf("%v\n%s", r.violation, strings.Join(r.path, "\n"))
 			}
@@ -197,7 +197,7 @@
 	t.Logf("%d states", total)
 }
 
-// The exploration finds mutants.
+// The exploration finds each of these mutants.
 func TestExplore_FindsMutants(t *testing.T) {
 	for _, c := range []struct {
 		mutant mutant
@@ -223,12 +223,13 @@
 	}
 }
 
-// The smallest schedule that finds a replica that forgets its prepared epoch at a restart: c's prepare reaches a, which restarts
-// and gives a lower one to b; c's question, which is delivered twice, brings it back over what b was acknowledged.
+// The smallest schedule that finds a replica that forgets its prepared epoch at a restart. Replica a prepares for the candidate with the
+// higher epoch, restarts, and prepares for the other candidate, which gets a write acknowledged. Then the prepare of the first candidate
+// is delivered to a again, so that its view is chosen without the write.
 func TestExplore_FindsForgottenPrepare(t *testing.T) {
 	run := func(p mutant) error {
 		x, w := fromGenesis(t, p)
-		w.left = budget{takeovers: 2, writes: 1, doubles: 1, restarts: 1}
+		w.left = budget{takeovers: 2, writes: 1, duplicates: 1, restarts: 1}
 		low, high := 1, 2
 		if nextEpoch(0, "b0") > nextEpoch(0, "c0") {
 			low, high = 2, 1
@@ -247,9 +248,9 @@
 			}
 			return nil
 		}
-		deliver := func(from, to int, what string, s stage, double bool) {
+		deliver := func(from, to int, what string, s stage, duplicate bool) {
 			if i := find(from, to, what, s); i != nil && err == nil {
-				do(x.deliver(w, i, false, double))
+				do(x.deliver(w, i, false, duplicate))
 			}
 		}
 		both := func(from, to int, what string) {
--- a/internal/tier/consensus/explore_test.go
+++ b/internal/tier/consensus/explore_test.go
@@ -13,17 +13,17 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// The exploration plays all orders of what may happen to a few replicas, breadth-first. A replica's next state depends on
-// its own events alone, so each is worked out once (lane.next) and a state of the system is a handful of references.
-// Clocks stand still but for explicit ticks: no order of messages is ruled out by a time-out.
+// The exploration enumerates all orders of the events of a few replicas, breadth-first. A replica's next state depends on its own events
+// alone, so each is computed once (replicaState.next), and a state of the system is a few references. Clocks advance only by explicit
+// ticks, so no order of messages is excluded by a time-out.
 
-// explorer has what is the same on all paths.
+// explorer has the parameters and caches that all paths share.
 type explorer struct {
 	mutant        mutant
 	addresses     []string
 	seeds         []string
 	losses        int
-	partitions    map[[2]int]bool // calls over these fail
+	partitions    map[[2]int]bool // calls over these links fail
 	heartbeats    bool            // heartbeats and calls to join are delivered, too
 	bodies        map[string]*body
 	items         map[item]*item
@@ -31,8 +31,8 @@
 	folders       map[string]int
 	steps         int
 
-	liveness       int // one state in so many is asked whether it is a dead end; 0: none
-	livenessChecks int // states that were asked, and are none
+	liveness       int // one state in this many is checked for liveness; 0: none
+	livenessChecks int // states that passed the check
 }
 
 // body is a message, stored once.
@@ -41,7 +41,7 @@
 	m proto.Message
 }
 
-// lane is one replica's state: replaying the events since its process started gives the same state.
+// replicaState is one replica's state: replaying the events since its process started gives the same state.
 type replicaState struct {
 	n             int
 	site          int
@@ -51,17 +51,17 @@
 	folder        string
 	now           time.Duration
 	records       [][]byte // on disk now
-	leadership    uint64   // epoch, 0 where it is not primary
-	swaps         []swap   // that it could begin now
+	leadership    uint64   // epoch; 0: not primary
+	swaps         []swap   // changes of members that it could begin now
 	newestEpoch   uint64   // epoch of its newest leadership
-	backups       []string // folders, of the view that it leads under
+	backups       []string // folders of the backups of its view, if it is primary
 	preparedEpoch uint64
 	visible       map[string]uint64
 	next          map[eventKey]*replicaState // by event
 	output        *output                    // of the last step
 }
 
-// eventKey names an event.
+// eventKey identifies an event.
 type eventKey struct {
 	name      string
 	id        uint64
@@ -89,13 +89,13 @@
 	outcomes             []outcome
 }
 
-// explorerEvent is an event of a replica, or one of the following of the exploration alone.
+// explorerEvent is an event of a replica, or one of the following events, which only the exploration has.
 type explorerEvent any
 
 type (
 	takeover struct{}                 // proposes itself at once, without a pre-vote
-	lateTick struct{}                 // a tick so late that no confirmation counts
-	swap     struct{ in, out string } // of members, by address, as the primary would on its own
+	lateTick struct{}                 // a tick after the lease has expired
+	swap     struct{ in, out string } // change of members, by address, as a primary may propose it
 )
 
 const never = time.Duration(1) << 60
@@ -105,7 +105,7 @@
 const (
 	requested stage = iota
 	answered
-	orphaned // nobody waits for its reply
+	orphaned // the caller no longer waits for the reply
 )
 
 // item is a message in flight.
@@ -119,12 +119,12 @@
 	n           int
 }
 
-// budget is how often things may still happen.
-type budget struct{ takeovers, ticks, timeouts, doubles, restarts, wipes, writes, confirms, swaps int8 }
+// budget is how many events of each kind may still occur.
+type budget struct{ takeovers, ticks, timeouts, duplicates, restarts, wipes, writes, confirms, swaps int8 }
 
 const maxSites = 6
 
-const maxOperations = 2 // writes and confirms
+const maxOperations = 2 // of writes, and of confirms
 
 var writes = [maxOperations]string{"w0", "w1"}
 
@@ -137,12 +137,13 @@
 	acknowledged      [maxOperations]uint64 // sequences
 	acknowledgedUnder [maxOperations]uint64 // epochs in which they were acknowledged
 	rejected          [maxOperations]bool
-	began             [maxOperations]byte // of confirms: what was acknowledged when they began, one bit each
+	began             [maxOperations]byte // of confirms: bit set of the writes that were acknowledged when they began
 	parent            *systemState
 	step              pathStep
 }
 
-// zeros is a source from which every span below four seconds is drawn as 0 (from 0 itself it would be drawn for ever).
+// zeroSource is a random source from which every duration below four seconds is drawn as 0. It does not return 0, as drawing from 0 would
+// never end.
 type zeroSource struct{}
 
 func (zeroSource) Uint64() uint64 { return 1 << 32 }
@@ -179,7 +180,7 @@
 	return x.items[i]
 }
 
-// explored is the timing of a replica whose clock stands still: nothing waits for heartbeats or a grace period.
+// explorerTiming returns the timing of a replica whose clock stands still: nothing waits for heartbeats or a grace period.
 func explorerTiming() timing {
 	t := newTiming(3*time.Second, 0)
 	t.heartbeatInterval = 3
@@ -200,7 +201,7 @@
 	return &subject{replica: m, mutant: x.mutant, requests: make(map[uint64]proto.Message)}
 }
 
-// play gives a subject one event and returns what it did.
+// apply passes one event to a subject and returns its actions.
 func (x *explorer) apply(s *subject, t timedEvent) *actions {
 	var out *actions
 	switch e := t.e.(type) {
@@ -245,7 +246,7 @@
 	x.steps++
 	s.replica.candidacyAt, s.replica.joinAt = never, never
 	if s.replica.primary != nil {
-		s.replica.primary.proposeAt = never // but for a tick
+		s.replica.primary.proposeAt = never // until a tick
 	}
 	return out
 }
@@ -253,7 +254,7 @@
 func (x *explorer) start(site int, disk [][]byte, genesis bool, now time.Duration, led uint64) *replicaState {
 	if len(disk) == 0 {
 		folder := fmt.Sprintf("%s%d", x.addresses[site], x.folders[x.addresses[site]])
-		x.folders[x.addresses[site]] = 1 // one wipe of a site at most
+		x.folders[x.addresses[site]] = 1 // at most one wipe of each site
 		disk = [][]byte{encodeIdentity(identity{Folder: folder, Genesis: genesis, Seeds: x.seeds})}
 	}
 	l := *x.internState(&replicaState{site: site, disk: disk, begun: now, now: now, records: disk, newestEpoch: led}, x.boot(disk, site, now))
@@ -261,7 +262,7 @@
 	return &l
 }
 
-// possibleSwaps are the changes of members that a leader may begin: it does so only under a view without former members.
+// possibleSwaps returns the changes of members that a primary may begin. It begins one only under a view without former members.
 func (x *explorer) possibleSwaps(m *replica) (list []swap) {
 	if m.primary == nil || m.proposal != nil || len(m.primary.view.Former) > 0 {
 		return nil
@@ -280,7 +281,7 @@
 	return list
 }
 
-// lane gives the one lane of this state.
+// internState returns the single instance of a state, after setting the fields that derive from the replica.
 func (x *explorer) internState(l *replicaState, s *subject) *replicaState {
 	l.folder = s.replica.Folder
 	l.leadership, l.visible, l.swaps = 0, make(map[string]uint64), x.possibleSwaps(s.replica)
@@ -302,8 +303,8 @@
 	return l
 }
 
-// advance gives the lane after one more event. Where the power goes in the middle, its calls that need not wait for the disk
-// have left, and nothing was synced.
+// advance returns the state after one more event. With a power loss in the middle of the step, the calls that need not wait for the disk
+// are sent, and nothing is synced.
 func (x *explorer) advance(l *replicaState, name eventKey, e explorerEvent) *replicaState {
 	powerLoss := name.powerLoss
 	if to := l.next[name]; to != nil {
@@ -333,7 +334,7 @@
 		to = x.internState(&replicaState{site: l.site, disk: l.disk, begun: l.begun, events: append(slices.Clip(l.events), timedEvent{now, e}), now: now,
 			records: append(slices.Clip(l.records), out.records...), newestEpoch: l.newestEpoch}, s)
 	}
-	// The lane may be reached by several ways: the output belongs to this one.
+	// The state may be reached by several events: the output belongs to this one.
 	reached := *to
 	reached.output = after
 	l.next[name] = &reached
@@ -408,11 +409,11 @@
 	}
 	if l.leadership != 0 && l.leadership != before.leadership {
 		for k, sequence := range w.acknowledged {
-			if sequence > 0 && l.visible[writes[k]] != sequence && !(l.leadership < w.acknowledgedUnder[k] && w.overtaken(l)) {
+			if sequence > 0 && l.visible[writes[k]] != sequence && !(l.leadership < w.acknowledgedUnder[k] && w.superseded(l)) {
 				return fmt.Errorf("%s begins epoch %d without w%d", l.folder, l.leadership, k)
 			}
 			if w.rejected[k] && l.visible[writes[k]] > 0 {
-				return fmt.Errorf("%s shows w%d, which was refused", l.folder, k)
+				return fmt.Errorf("%s serves w%d, which was rejected", l.folder, k)
 			}
 		}
 		for _, other := range w.replicas {
@@ -424,10 +425,10 @@
 	return nil
 }
 
-// overtaken reports whether a leadership can never acknowledge or confirm anything: a backup without which it can't has
-// prepared a higher epoch, or is no more. A view may be chosen, and another one after it, before the first one's proposer
-// has the reply that tells it so: its leadership begins in an epoch that is over, and only its lease is left of it.
-func (w *systemState) overtaken(l *replicaState) bool {
+// superseded reports whether a leadership can never acknowledge or confirm anything, because one of its backups has prepared a higher
+// epoch or is lost. A view and its successor may both be chosen before the proposer of the first view receives the reply that completes
+// its majority. The leadership of the first view then begins in an epoch that is over, and only serves reads until its lease expires.
+func (w *systemState) superseded(l *replicaState) bool {
 	return slices.ContainsFunc(l.backups, func(folder string) bool {
 		return !slices.ContainsFunc(w.replicas[:], func(o *replicaState) bool { return o != nil && o.folder == folder && o.preparedEpoch <= l.leadership })
 	})
--- a/internal/tier/consensus/group_failure_test.go
+++ b/internal/tier/consensus/group_failure_test.go
@@ -10,12 +10,12 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// timeToService puts until one is acknowledged, and gives how long that took; a fault where it takes longer than limit.
+// timeToService puts until a write is acknowledged, and returns how long that took; more than limit is a violation.
 func (w *simulation) timeToService(limit time.Duration) time.Duration {
 	began, count := w.now, len(w.acknowledged)
 	for len(w.acknowledged) == count && len(w.violations) == 0 {
 		if w.now-began > limit {
-			w.violation("nothing was acknowledged for %v", limit)
+			w.recordViolation("nothing was acknowledged for %v", limit)
 			break
 		}
 		w.put(true)
@@ -24,12 +24,12 @@
 	return w.now - began
 }
 
-// timeToRedundancy waits until all losses are tolerated again, and returns how long that took; a fault if it takes longer than limit.
+// timeToRedundancy waits until all losses are tolerated again, and returns how long that took; more than limit is a violation.
 func (w *simulation) timeToRedundancy(limit time.Duration) time.Duration {
 	began := w.now
 	for !w.isFullyRedundant() && len(w.violations) == 0 {
 		if w.now-began > limit {
-			w.violation("the losses are not tolerated again after %v", limit)
+			w.recordViolation("the losses are not tolerated again after %v", limit)
 			break
 		}
 		w.put(true)
@@ -38,12 +38,12 @@
 	return w.now - began
 }
 
-// startWithin starts a process again within d.
+// startWithin starts a process after a random delay of at most d.
 func (w *simulation) startWithin(s *site, d time.Duration) {
 	w.after(time.Duration(w.random.Int64N(int64(d)+1)), func() { s.start(false) })
 }
 
-// present are the machines that are there for good.
+// remaining returns the machines that were not removed.
 func (w *simulation) remaining() (list []*site) {
 	for _, s := range w.sites {
 		if !s.removed {
@@ -53,27 +53,27 @@
 	return list
 }
 
-// join adds an empty machine at an address. Its settings, and those of all that start later, name three of the machines that
-// are there.
+// join adds an empty machine at an address. Its seeds, and those of all processes that start later, are up to three of the remaining
+// machines.
 func (w *simulation) join(address string) {
 	w.seeds = nil
-	here := w.remaining()
-	for _, i := range w.random.Perm(len(here))[:min(3, len(here))] {
-		w.seeds = append(w.seeds, here[i].member.Address)
+	remaining := w.remaining()
+	for _, i := range w.random.Perm(len(remaining))[:min(3, len(remaining))] {
+		w.seeds = append(w.seeds, remaining[i].member.Address)
 	}
 	joiner := &site{simulation: w, member: &tierv1.Member{Address: address, Zone: fmt.Sprint("z", w.random.IntN(3)), Region: "r"}}
 	w.sites = append(w.sites, joiner)
 	w.startWithin(joiner, time.Second)
 }
 
-// replaceElsewhere takes a machine away for good; an empty one comes at another address.
+// replaceAtNewAddress removes a machine permanently and adds an empty one at another address.
 func (w *simulation) replaceAtNewAddress(s *site, address string) {
 	s.wipe()
 	s.removed = true
 	w.join(address)
 }
 
-// oldestDisk is the machine whose disk has lasted longest: its folder was made first.
+// oldestDisk returns the machine whose folder was created first, among those that run and are not excepted.
 func (w *simulation) oldestDisk(except map[*site]bool) (oldest *site) {
 	number := func(s *site) (n int) {
 		fmt.Sscanf(s.replica.Folder, "f%d@", &n)
@@ -87,8 +87,8 @@
 	return oldest
 }
 
-// Disks are lost one after the other, each as soon as the loss before is made good, the longest lasting or the leader's
-// first: soon none of the first machines' disks is left. At times all other machines lose power at the same moment.
+// Disks are lost one after the other, each as soon as all losses are tolerated again. The oldest disk or that of the primary is lost
+// first, so that soon none of the first machines' disks is left. In some cases all other machines lose power at the same moment.
 func TestGroupFailure_SuccessiveDiskLosses(t *testing.T) {
 	seeds := seedCount(6)
 	if testing.Short() || raceDetector {
@@ -132,12 +132,12 @@
 			settled = max(settled, w.timeToRedundancy(2*w.window))
 			assert.Assert(t, len(w.violations) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.violations, w.lastTrace())
 		}
-		t.Logf("%d losses at once: %v until something is acknowledged, %v until the next is borne", losses, served, settled)
+		t.Logf("%d losses at once: %v until a write is acknowledged, %v until the next loss is tolerated", losses, served, settled)
 	}
 }
 
-// All processes are killed or lose power at one moment, and are back within a second; the same again while they recover, and in
-// the middle of the replacement of a lost disk.
+// All processes are killed or lose power at the same moment, and restart within a second. This is repeated while they recover, and during
+// the replacement of a lost disk.
 func TestGroupFailure_AllMembersAtOnce(t *testing.T) {
 	seeds := seedCount(10)
 	if testing.Short() || raceDetector {
@@ -177,13 +177,13 @@
 				}
 				assert.Assert(t, len(w.violations) == 0, "power %v, size %v, seed %d: %v\n%s", power, size, seed, w.violations, w.lastTrace())
 			}
-			t.Logf("power %v, %d machines: %v until something is acknowledged after the last is back", power, size[0], served)
+			t.Logf("power %v, %d machines: %v until a write is acknowledged after the last restart", power, size[0], served)
 		}
 	}
 }
 
-// A partition separates the group into halves, for longer than a takeover takes, again and again; also in one direction only. No half leads
-// without a majority, and the other follows.
+// A partition repeatedly separates the group into halves, for up to six seconds, which is longer than a takeover; sometimes in one
+// direction only. A half without a majority does not elect a primary, and follows after the partition heals.
 func TestGroupFailure_PartitionedHalves(t *testing.T) {
 	seeds := seedCount(10)
 	if testing.Short() || raceDetector {
@@ -216,8 +216,8 @@
 	}
 }
 
-// A partitioned minority misses changes. Then one of the others loses its disk, the rest are without power, and the partition
-// heals: the minority and the empty disk do not lead with what they have, and when the power is back nothing is missing.
+// A partitioned minority misses writes. Then one of the other machines loses its disk, the rest lose power, and the partition heals. The
+// minority and the machine with the empty disk must not elect a primary, and when the power is back no acknowledged write is missing.
 func TestGroupFailure_PartitionedMinority(t *testing.T) {
 	seeds := seedCount(10)
 	if testing.Short() || raceDetector {
@@ -275,23 +275,23 @@
 	}
 }
 
-// The losses that a primary reports as tolerated are tolerated: at any moment, also in the middle of a change of members, so many machines are
-// lost for good at once, whichever they are, and nobody comes in their place before something is acknowledged again. Only
-// what was lost less than recently before may still be counted as there.
+// The losses that a primary reports as tolerated are tolerated. At any moment, also during a change of members, that many machines are
+// lost permanently at once, whichever they are, and no other machine joins before a write is acknowledged again. A report may count a
+// machine as responsive only for the time recently after its loss.
 func TestHealth_ToleratedLossesAreSurvived(t *testing.T) {
 	seeds := seedCount(20)
 	if testing.Short() || raceDetector {
 		seeds = 4
 	}
 	for _, losses := range []int{1, 2} {
-		hit, changing := 0, 0
+		wiped, changing := 0, 0
 		var worst time.Duration
 		for seed := range uint64(seeds) {
 			w := newSimulation(seed, 2*losses+1+int(seed%3), losses)
 			w.boot()
 			w.runUntil(5 * time.Second)
 			w.leaseReadsUntil(time.Hour)
-			recently := w.newestPrimary().replica.answerMaxAge() + w.newestPrimary().replica.timing.heartbeatInterval + roundTripSlack // the figure is of the last step
+			recently := w.newestPrimary().replica.answerMaxAge() + w.newestPrimary().replica.timing.heartbeatInterval + roundTripSlack // health is as of the last step
 			for n := range 15 {
 				w.runUntil(w.now + recently + time.Duration(w.random.Int64N(int64(1500*time.Millisecond))))
 				leader := w.newestPrimary()
@@ -302,22 +302,22 @@
 				if h.Changing {
 					changing++
 				}
-				here := w.remaining()
+				remaining := w.remaining()
 				for range min(h.Tolerates, 1+w.random.IntN(losses)) {
-					at := w.random.IntN(len(here))
-					here[at].wipe()
-					here[at].removed = true
-					here = append(here[:at:at], here[at+1:]...)
-					hit++
+					at := w.random.IntN(len(remaining))
+					remaining[at].wipe()
+					remaining[at].removed = true
+					remaining = append(remaining[:at:at], remaining[at+1:]...)
+					wiped++
 				}
 				worst = max(worst, w.timeToService(w.window))
-				if w.random.IntN(3) > 0 && len(here) < 2*losses+3 {
+				if w.random.IntN(3) > 0 && len(remaining) < 2*losses+3 {
 					w.join(fmt.Sprint("new", n))
 				}
 			}
 			assert.Assert(t, len(w.violations) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.violations, w.lastTrace())
 		}
-		t.Logf("losses %d: %d machines lost, %d questions in a change of members, at most %v until something is acknowledged", losses, hit, changing, worst)
-		assert.Assert(t, hit > seeds)
+		t.Logf("losses %d: %d machines lost, %d health reports during a change of members, at most %v until a write is acknowledged", losses, wiped, changing, worst)
+		assert.Assert(t, wiped > seeds)
 	}
 }
--- a/internal/tier/consensus/large_state_test.go
+++ b/internal/tier/consensus/large_state_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// newLargeWorld is a stable group whose state takes so long to be transferred from one machine to another.
+// newLargeStateSimulation returns a stable group whose state takes transferTime to be transferred from one machine to another.
 func newLargeStateSimulation(t *testing.T, seed uint64, losses int, transferTime time.Duration) *simulation {
 	t.Helper()
 	const part, parts = 64 << 10, 16
@@ -31,8 +31,8 @@
 	return w
 }
 
-// A state transfer that takes longer than other calls may take completes: a backup that was lost is replaced, a member that was
-// restarted catches up, and after the loss of the leader another leads.
+// A state transfer that takes longer than the time-out of other calls completes: a lost backup is replaced, a restarted member catches up,
+// and after the loss of the primary another one leads.
 func TestStateTransfer_LargeStateOverSlowLink(t *testing.T) {
 	seeds := seedCount(6)
 	if testing.Short() || raceDetector {
@@ -55,7 +55,7 @@
 				}
 				w.timeToService(limit)
 				settled = max(settled, w.timeToRedundancy(limit))
-				if leader = w.newestPrimary(); leader != nil && len(w.violations) == 0 { // the leader is lost, and comes back empty
+				if leader = w.newestPrimary(); leader != nil && len(w.violations) == 0 { // the primary loses its disk and restarts
 					leader.wipe()
 					w.startWithin(leader, time.Second)
 					served = max(served, w.timeToService(limit))
@@ -63,7 +63,7 @@
 				}
 				assert.Assert(t, len(w.violations) == 0, "losses %d, transfers of %v, seed %d: %v\n%s", losses, transferTime, seed, w.violations, w.lastTrace())
 			}
-			t.Logf("%d losses, copies of %v: %v until something is acknowledged, %v until the next loss is borne", losses, transferTime, served, settled)
+			t.Logf("%d losses, transfers of %v: %v until a write is acknowledged, %v until the next loss is tolerated", losses, transferTime, served, settled)
 		}
 	}
 }
--- a/internal/tier/consensus/lease_test.go
+++ b/internal/tier/consensus/lease_test.go
@@ -12,8 +12,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A process that was paused between its round trip and its reply finds that it is late: no read under the lease, no
-// confirmation and no figure of its health is given on what was confirmed before.
+// A process that was paused between a round trip and its reply must notice that its lease has expired: it serves no read under the lease,
+// no confirm and no health figure that depends on the earlier round trip.
 func TestLease_PausedNodeServesNothing(t *testing.T) {
 	s := newManualNode(t, wal.NewMemory(), "a", "b", "c")
 	n := s.node
@@ -27,7 +27,7 @@
 
 	answers := make(chan error, 1)
 	go func() { answers <- n.Confirm(context.Background(), 7) }()
-	<-n.wake // it waits for its round trip
+	<-n.wake // the confirm waits for its round trip
 	n.mu.Lock()
 	c := n.outcomes[n.token]
 	n.mu.Unlock()
@@ -40,7 +40,7 @@
 	assert.Equal(t, n.Health().Lease, time.Duration(0))
 }
 
-// A primary without backups leads without end: its lease is given as just renewed.
+// The lease of a primary without backups does not expire: its full duration is returned.
 func TestLease_WithoutBackups(t *testing.T) {
 	v := publishedState{primary: true, withoutBackups: true}
 	assert.Equal(t, v.lease(time.Hour, time.Second), time.Second)
@@ -52,7 +52,7 @@
 	assert.Equal(t, v.lease(time.Hour, time.Second), time.Duration(0))
 }
 
-// leading is a replica that leads b and c, with b as its backup.
+// newPrimary returns a primary of the members b and c, with b as its backup.
 func newPrimary(t *testing.T) *replica {
 	t.Helper()
 	members := []*tierv1.Member{{Folder: "fa", Address: "a"}, {Folder: "fb", Address: "b"}, {Folder: "fc", Address: "c"}}
@@ -79,8 +79,8 @@
 	return id
 }
 
-// Two folders may propose the same epoch. A backup that prepared it for the other replies to a heartbeat with that epoch: this
-// must not prolong the lease of the one whose proposal it refused.
+// Two folders may propose the same epoch. A backup that prepared the epoch for the other proposer replies to a heartbeat with that epoch.
+// The reply must not extend the lease of the primary whose proposal the backup refused.
 func TestLease_NotRenewedByTiedEpoch(t *testing.T) {
 	m := newPrimary(t)
 	out := m.Step(m.now)
@@ -93,7 +93,7 @@
 	m.Step(now, heartbeat)
 	assert.Equal(t, m.primary.confirmedAt["fb"], before)
 
-	// Once it has prepared the epoch for this proposal, a heartbeat counts again.
+	// Once the backup has prepared the epoch for this proposal, its replies to heartbeats extend the lease again.
 	m = newPrimary(t)
 	out = m.Step(m.now)
 	m.propose(reconfiguration{})
@@ -106,7 +106,7 @@
 	assert.Assert(t, m.primary == nil || m.primary.confirmedAt["fb"] > before)
 }
 
-// The losses that a primary reports as tolerated, by the formula at health.
+// The tolerated losses that a primary reports follow the formula at health.
 func TestHealth_Tolerates(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -115,7 +115,7 @@
 		backups   int
 		absent    int
 	}{
-		{"all there", func(*replica) {}, 1, 1, 0},
+		{"all are responsive", func(*replica) {}, 1, 1, 0},
 		{"the backup failed a call", func(m *replica) { m.primary.failedBackups["fb"] = true }, 0, 0, 0},
 		{"the backup is unresponsive", func(m *replica) { m.primary.confirmedAt["fb"] = 0; m.peers["b"].answeredAt = 0 }, 0, 0, 1},
 		{"the witness is unresponsive", func(m *replica) { m.peers["c"].answeredAt = 0 }, 0, 1, 1},
@@ -124,7 +124,7 @@
 			m.peers["c"].answeredAt = 0
 			m.recordReply(&tierv1.Member{Folder: "fd", Address: "d"}, m.now)
 		}, 0, 1, 1},
-		{"a change of members: the member that leaves is gone", func(m *replica) {
+		{"a change of members: the member that is removed is unresponsive", func(m *replica) {
 			m.primary.view = proto.CloneOf(m.primary.view)
 			m.primary.view.Former = m.primary.view.Members
 			m.primary.view.Members = []*tierv1.Member{m.self, {Folder: "fb", Address: "b"}, {Folder: "fd", Address: "d"}}
@@ -144,7 +144,7 @@
 	assert.Equal(t, m.health().Tolerates, ToleranceUnknown)
 }
 
-// A responsive member is not removed, for a better spread, while the other responsive ones are no majority.
+// A responsive member is not removed for a better spread while the other responsive members are not a majority.
 func TestReconfiguration_MajorityWithoutRemovedMember(t *testing.T) {
 	members := []*tierv1.Member{{Folder: "fa", Address: "a", Zone: "1"}, {Folder: "fb", Address: "b", Zone: "2"}, {Folder: "fc", Address: "c", Zone: "1"},
 		{Folder: "fd", Address: "d", Zone: "3"}, {Folder: "fe", Address: "e", Zone: "4"}}
--- a/internal/tier/consensus/moved_members_test.go
+++ b/internal/tier/consensus/moved_members_test.go
@@ -17,8 +17,8 @@
 	w.startWithin(s, 500*time.Millisecond)
 }
 
-// A machine that comes back with its disk at another address is the same member: it counts again within the window, and the
-// next loss is tolerated.
+// A machine that restarts with its disk at another address is the same member: it counts again within the contact window, and the next
+// loss is tolerated.
 func TestReconfiguration_MemberMovesWithDisk(t *testing.T) {
 	seeds := seedCount(10)
 	if testing.Short() || raceDetector {
@@ -42,10 +42,10 @@
 		}
 		assert.Assert(t, len(w.violations) == 0, "seed %d: %v\n%s", seed, w.violations, w.lastTrace())
 	}
-	t.Logf("%v until the next loss is borne", settled)
+	t.Logf("%v until the next loss is tolerated", settled)
 }
 
-// All machines come back with their disks, each at another address, and find each other by the seeds of their settings.
+// All machines restart with their disks, each at another address, and find each other by the configured seeds.
 func TestReconfiguration_AllMembersMoveWithDisks(t *testing.T) {
 	seeds := seedCount(10)
 	if testing.Short() || raceDetector {
@@ -69,6 +69,6 @@
 			w.timeToRedundancy(w.window)
 			assert.Assert(t, len(w.violations) == 0, "losses %d, seed %d: %v\n%s", losses, seed, w.violations, w.lastTrace())
 		}
-		t.Logf("%d losses: %v until something is acknowledged", losses, served)
+		t.Logf("%d losses: %v until a write is acknowledged", losses, served)
 	}
 }
--- a/internal/tier/consensus/mutants_hardening_test.go
+++ b/internal/tier/consensus/mutants_hardening_test.go
@@ -10,7 +10,8 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// Mutants that violate what the pages under docs/design/hardening state: each must be found within mutantSeeds.
+// mutantSeeds is the number of seeds within which each mutant must be found. The mutants violate rules that the pages under
+// docs/design/hardening state.
 const mutantSeeds = 200
 
 var (
@@ -75,7 +76,8 @@
 		}}
 )
 
-// found plays seeds until one finds the mutant, and logs the seed and the fault; the unchanged replica passes the same seeds.
+// requireMutantFound plays seeds until one finds the mutant, and logs the seed and the violation; the unchanged replica must pass the same
+// seed.
 func requireMutantFound(t *testing.T, p mutant, play func(seed uint64, p mutant) *simulation) {
 	t.Helper()
 	for seed := range uint64(mutantSeeds) {
--- a/internal/tier/consensus/mutants_test.go
+++ b/internal/tier/consensus/mutants_test.go
@@ -9,20 +9,20 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// mutant is a faulty replica, made from outside: by changes to its events, its actions or its state between two steps.
-// The zero plant leaves it right.
+// mutant injects a fault into a replica from outside, by changes to its events, its actions or its state between two steps. The zero
+// mutant changes nothing.
 type mutant struct {
 	name   string
-	before func(s *subject, e event) (event, *outcome) // a nil event is swallowed
+	before func(s *subject, e event) (event, *outcome) // a nil event is dropped
 	after  func(s *subject, out *actions)
 }
 
-// subject is a replica with its mutation.
+// subject is a replica with its mutant.
 type subject struct {
 	replica  *replica
 	mutant   mutant
 	requests map[uint64]proto.Message // calls in flight, by ID
-	// What was prepared before the step, for a mutant that forgets what it prepares for others at once.
+	// The prepared epoch and its proposer before the step, for the mutant forgetsPreparedAtOnce.
 	preparedEpoch uint64
 	preparedFor   string
 }
@@ -142,7 +142,7 @@
 				p.target.Former = nil
 			}
 		}}
-	confirmsWithoutRoundTrip = mutant{name: "reads without asking",
+	confirmsWithoutRoundTrip = mutant{name: "confirms without a round trip",
 		before: func(s *subject, e event) (event, *outcome) {
 			if c, ok := e.(confirmRequest); ok && s.replica.primary != nil {
 				return nil, &outcome{c.token, 0, nil}
--- a/internal/tier/consensus/node.go
+++ b/internal/tier/consensus/node.go
@@ -253,7 +253,7 @@
 
 // Put writes keys under an epoch and returns the sequence of the write; a key with an empty value is removed. It returns nil only when
 // the write is synced here and at all backups. ErrNotPrimary: nothing was written, and the epoch is over. An error of type
-// StateTooLarge: nothing was written, and the epoch goes on. Any other error: the outcome is unknown.
+// StateTooLarge: nothing was written, and the epoch continues. Any other error: the outcome is unknown.
 func (node *Node) Put(ctx context.Context, epoch uint64, sets map[string][]byte) (uint64, error) {
 	sets = maps.Clone(sets)
 	return node.await(ctx, func(token uint64) event { return putRequest{token, epoch, sets} })
--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -16,7 +16,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// network joins nodes of one process by plain calls.
+// network connects the nodes of one process by direct calls.
 type network struct {
 	mu    sync.Mutex
 	nodes map[string]tierv1.Election
@@ -42,7 +42,7 @@
 	return nil, twirp.NewError(twirp.Unavailable, "no process")
 }
 
-// callThrough hands a call to the node at the wire's address.
+// forward passes a call to the node at the client's address.
 func forward[Q, R any](ctx context.Context, w networkClient, method func(tierv1.Election, context.Context, *Q) (*R, error), request *Q) (*R, error) {
 	node, err := w.node()
 	if err != nil {
@@ -71,7 +71,7 @@
 	return forward(ctx, w, tierv1.Election.Join, request)
 }
 
-// running is a node with its loop; end stops it and waits.
+// runningNode is a node with its loop; end stops the loop and waits for it.
 type runningNode struct {
 	*Node
 	end func()
@@ -125,7 +125,7 @@
 	}
 }
 
-// primary waits until a node is primary and confirmed, and gives it with its epoch.
+// primary waits until a node is primary with a valid lease, and returns it with its epoch.
 func (c *cluster) primary() (*runningNode, uint64) {
 	var found *runningNode
 	var epoch uint64
@@ -140,7 +140,7 @@
 	return found, epoch
 }
 
-// until waits for a condition, asked at every change of a node and now and then.
+// until waits for a condition, which it checks at each change of a node and every 20 ms.
 func (c *cluster) until(what string, ok func() bool) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -167,7 +167,7 @@
 		case <-changed:
 		case <-every.C:
 		case <-ctx.Done():
-			c.t.Fatalf("waited in vain for %s", what)
+			c.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 	c.put("k", "1")
 	assert.Equal(t, c.get("k"), "1")
 
-	// The primary's process is killed: another goes on with what was acknowledged.
+	// The process of the primary is killed: another primary serves what was acknowledged.
 	first, epoch := c.primary()
 	c.stop(first.Self().Address)
 	c.disks[first.Self().Address].Kill()
@@ -216,7 +216,7 @@
 	c.put("k", "2")
 	c.start(first.Self().Address, false)
 
-	// Its disk is lost: a new folder takes its member's place.
+	// The disk of the primary is lost: a new folder replaces the member.
 	second, _ := c.primary()
 	lost := second.Self()
 	c.stop(lost.Address)
@@ -236,7 +236,7 @@
 	})
 	c.put("k", "3")
 
-	// All lose power.
+	// All nodes lose power.
 	for _, a := range []string{"a", "b", "c"} {
 		c.stop(a)
 		c.disks[a].Crash(rand.New(rand.NewPCG(1, 2)))
@@ -251,7 +251,7 @@
 	assert.Equal(t, c.get("k"), "")
 }
 
-// The file is rewritten when it is long, and has the same content.
+// The file is rewritten when it has grown, and still has the same state.
 func TestNode_RewritesFile(t *testing.T) {
 	c := newCluster(t)
 	for _, a := range []string{"a", "b", "c"} {
@@ -273,7 +273,7 @@
 	assert.Equal(t, d.Folder, n.Self().Folder)
 }
 
-// The service is reached by twirp over HTTP.
+// The service can be called by Twirp over HTTP.
 func TestNode_Handler(t *testing.T) {
 	c := newCluster(t)
 	c.start("a", true)
@@ -286,8 +286,8 @@
 	assert.Equal(t, a.Self.Folder, c.nodes["a"].Self().Folder)
 }
 
-// A disk that dies at any operation of the opening leaves a node without a folder, which replies to nobody; the next process
-// finds none, or the one that was synced.
+// A disk that fails at any operation of Open leaves a node without a folder, which replies to no call. The next process opens the disk
+// without an error, and finds the folder if it was synced.
 func TestOpen_PowerLossAtEachOperation(t *testing.T) {
 	for at := 1; ; at++ {
 		disk := wal.NewMemory()
--- a/internal/tier/consensus/partition_test.go
+++ b/internal/tier/consensus/partition_test.go
@@ -12,7 +12,7 @@
 
 const (
 	isolationTime = 20 * time.Second // how long a machine is partitioned, paused or hangs
-	// roundTripSlack is what a message and a sync may take here, there and back.
+	// roundTripSlack bounds a round trip of the simulated network with a sync.
 	roundTripSlack = 50 * time.Millisecond
 )
 
@@ -21,7 +21,7 @@
 	return s.replica != nil && !s.paused && s.replica.primary != nil && s.simulation.now-s.replica.lastConfirmed() < s.replica.timing.lease
 }
 
-// lastConfirmed is what a Node publishes as the start of its lease: a replica without backups is always confirmed.
+// lastConfirmed returns the start of the lease that a Node publishes; a replica without backups is always confirmed.
 func (r *replica) lastConfirmed() time.Duration {
 	at := time.Duration(never)
 	for _, b := range r.primary.view.Backups {
@@ -30,8 +30,8 @@
 	return at
 }
 
-// leaseReads reads at every site that would serve, and checks the formula of staleness: what was acknowledged
-// a third of the window ago, by whomever, is seen.
+// leaseReads reads at every site that would serve, and checks the bound on staleness: a write that any primary acknowledged at least a
+// third of the contact window ago is visible.
 func (w *simulation) leaseReads() {
 	for _, s := range w.sites {
 		if !s.leads() {
@@ -42,14 +42,14 @@
 				continue
 			}
 			if e := s.visible()[key]; e == nil || e.Sequence != sequence {
-				w.violation("%s answers under its lease without %s, acknowledged %v ago", s.replica.Folder, key, w.now-w.acknowledgedAt[key])
+				w.recordViolation("%s serves reads under its lease without %s, acknowledged %v ago", s.replica.Folder, key, w.now-w.acknowledgedAt[key])
 				return
 			}
 		}
 	}
 }
 
-// leaseReadsUntil asks under the lease every few milliseconds until a time.
+// leaseReadsUntil calls leaseReads every 7 ms until a time.
 func (w *simulation) leaseReadsUntil(until time.Duration) {
 	if w.now < until {
 		w.leaseReads()
@@ -68,14 +68,14 @@
 	return found
 }
 
-// isolation is one way in which a primary is isolated. Begin isolates it; end heals.
+// isolation is one way in which a primary is isolated; begin isolates the primary, end heals.
 type isolation struct {
 	name       string
 	size       [2]int // machines, losses
 	begin, end func(w *simulation, old *site)
-	// lease is when the old side serves nothing any more, after the beginning; takeover when others acknowledge.
+	// lease is the time from the beginning until the isolated side serves nothing any more, takeover the time until others acknowledge.
 	lease, takeover time.Duration
-	// deposed tells that a lease without an end would not show: the new leader's first heartbeat ends it.
+	// deposed means that a lease that never expires cannot be detected, as the first heartbeat of the new primary ends the old leadership.
 	deposed bool
 }
 
@@ -95,7 +95,7 @@
 
 func healAll(w *simulation, _ *site) { clear(w.partitions) }
 
-// companion is a backup, or where there are too few a member, that is isolated together with the primary.
+// isolatedBackup returns a backup that is isolated together with the primary; nil if there is none.
 func isolatedBackup(w *simulation, old *site) *tierv1.Member {
 	for _, s := range w.sites {
 		if s != old && s.replica != nil && isNamedIn(old.replica.primary.view, s.replica.Folder) {
@@ -118,7 +118,7 @@
 	{"disk hangs", [2]int{3, 1}, func(_ *simulation, old *site) { old.stalled = true }, func(_ *simulation, old *site) { old.resume() }, window / 3, window, false},
 }
 
-// isolate plays one of them. It gives the time until others acknowledged, and until the old leader followed after the heal.
+// isolate plays one isolation. It returns the time until others acknowledged, and the time from the heal until the old primary followed.
 func isolate(t *testing.T, c isolation, seed uint64, p mutant) (w *simulation, takeover, rejoin time.Duration) {
 	t.Helper()
 	w = newSimulation(seed, c.size[0], c.size[1])
@@ -136,14 +136,14 @@
 	}
 	count := len(w.acknowledged)
 	c.begin(w, old)
-	w.load(begin + isolationTime) // more writes, at everyone who takes himself for the leader
+	w.load(begin + isolationTime) // more writes, at each replica that considers itself primary
 	for w.now < begin+isolationTime && len(w.violations) == 0 {
 		w.runUntil(w.now + 5*time.Millisecond)
 		if takeover == 0 && w.newestPrimary() != old && len(w.acknowledged) > count {
 			takeover = w.now - begin
 		}
 		if w.now > begin+c.lease+roundTripSlack && old.leads() {
-			w.violation("%s still answers %v after the beginning", old.replica.Folder, w.now-begin)
+			w.recordViolation("%s still serves reads %v after the beginning of the isolation", old.replica.Folder, w.now-begin)
 		}
 	}
 	c.end(w, old)
@@ -158,8 +158,8 @@
 	return w, takeover, rejoin
 }
 
-// A primary that is isolated for twenty seconds, in each way, serves nothing after its lease; others take over; nothing
-// acknowledged is lost; after the heal it follows.
+// A primary that is isolated for twenty seconds serves nothing after its lease has expired, and others take over. No acknowledged write is
+// lost, and after the heal the old primary follows.
 func TestPartition_IsolatedPrimary(t *testing.T) {
 	seeds := seedCount(10)
 	if testing.Short() || raceDetector {
@@ -167,16 +167,16 @@
 	}
 	for _, c := range isolations {
 		t.Run(c.name, func(t *testing.T) {
-			var worstTakeover, worstReturn time.Duration
+			var worstTakeover, worstRejoin time.Duration
 			for seed := range uint64(seeds) {
 				w, takeover, rejoin := isolate(t, c, seed, mutant{})
 				where := fmt.Sprintf("seed %d: %v\n%s", seed, w.violations, w.lastTrace())
 				assert.Assert(t, len(w.violations) == 0, where)
 				assert.Assert(t, takeover > 0 && takeover < c.takeover, "takeover %v, %s", takeover, where)
-				assert.Assert(t, rejoin > 0 && rejoin < window, "return %v, %s", rejoin, where)
-				worstTakeover, worstReturn = max(worstTakeover, takeover), max(worstReturn, rejoin)
+				assert.Assert(t, rejoin > 0 && rejoin < window, "rejoin %v, %s", rejoin, where)
+				worstTakeover, worstRejoin = max(worstTakeover, takeover), max(worstRejoin, rejoin)
 			}
-			t.Logf("worst: %v until others acknowledge, %v from the heal until the old leader follows", worstTakeover, worstReturn)
+			t.Logf("worst: %v until others acknowledge, %v from the heal until the old leader follows", worstTakeover, worstRejoin)
 		})
 	}
 }
--- a/internal/tier/consensus/peers.go
+++ b/internal/tier/consensus/peers.go
@@ -31,8 +31,8 @@
 	return known
 }
 
-// recordContact records a node that called. The call shows nothing about calls in the opposite direction. It returns nil for this node
-// itself and for an incomplete description.
+// recordContact records a node that called. A call in one direction does not prove that calls in the other direction succeed. It returns
+// nil for this node itself and for an incomplete description.
 func (r *replica) recordContact(member *tierv1.Member) *peer {
 	if member == nil || member.Address == "" || member.Folder == "" || member.Address == r.self.Address {
 		return nil
--- a/internal/tier/consensus/replica_test.go
+++ b/internal/tier/consensus/replica_test.go
@@ -24,7 +24,7 @@
 	return strings.Join(w.trace[max(0, len(w.trace)-60):], "\n")
 }
 
-// randomFaults plays random faults.
+// randomFaults injects random faults until a time; with wipes, also losses of disks.
 func (w *simulation) randomFaults(until time.Duration, wipes bool) {
 	if w.now >= until {
 		return
@@ -67,7 +67,7 @@
 	w.after(time.Duration(w.random.Int64N(int64(600*time.Millisecond))), func() { w.randomFaults(until, wipes) })
 }
 
-// seedCount is how many seeds a test plays: few, unless CONTROL_SEEDS asks for more.
+// seedCount returns the number of seeds of a test: defaultCount, unless CONTROL_SEEDS sets another.
 func seedCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("CONTROL_SEEDS")); err == nil {
 		return n
@@ -98,18 +98,18 @@
 			worst = max(worst, took)
 			acked += len(w.acknowledged)
 			assert.Assert(t, len(w.violations) == 0, "size %v seed %d: %v\n%s", size, seed, w.violations, w.lastTrace())
-			assert.Assert(t, ok, "size %v seed %d: serves no more\n%s", size, seed, w.lastTrace())
+			assert.Assert(t, ok, "size %v seed %d: no write is acknowledged after the faults\n%s", size, seed, w.lastTrace())
 			w.runUntil(w.now + 4*time.Second)
 			assert.Assert(t, len(w.violations) == 0, "size %v seed %d: %v", size, seed, w.violations)
-			assert.Assert(t, w.isComplete(), "size %v seed %d: not complete again: %v\n%s", size, seed, w.newestView, w.lastTrace())
+			assert.Assert(t, w.isComplete(), "size %v seed %d: the view is not complete again: %v\n%s", size, seed, w.newestView, w.lastTrace())
 		}
 	}
-	t.Logf("acknowledged %d, worst return %v", acked, worst)
+	t.Logf("acknowledged %d, longest recovery %v", acked, worst)
 }
 
-// One message of a good exchange is changed, each in turn; then all lose power.
+// One message of a run without other faults is lost, duplicated or delayed, or its sender or receiver fails; then all members lose power.
 func TestReplica_OneMessageFault(t *testing.T) {
-	step := 17 // every message where CONTROL_SEEDS is set
+	step := 17 // every 17th message; every message if CONTROL_SEEDS is set
 	if seedCount(0) > 0 {
 		step = 1
 	}
@@ -132,13 +132,13 @@
 			}
 			_, ok := w.recover(6 * time.Second)
 			assert.Assert(t, len(w.violations) == 0, "%s: %v\n%s", where, w.violations, w.lastTrace())
-			assert.Assert(t, ok, "%s: serves no more\n%s", where, w.lastTrace())
+			assert.Assert(t, ok, "%s: no write is acknowledged after the faults\n%s", where, w.lastTrace())
 			assert.Assert(t, len(w.acknowledged) > 1, where)
 		}
 	}
 }
 
-// A primary that died is followed, or takes its place again, well inside the contact window of three seconds.
+// A primary that failed is replaced, or becomes primary again, well within the contact window of three seconds.
 func TestFailover(t *testing.T) {
 	seeds := 200
 	if testing.Short() || raceDetector {
@@ -188,7 +188,8 @@
 	}
 }
 
-// Right after an acknowledgement as many machines as may be lost lose their disks, while all others lose power.
+// Right after an acknowledgement, as many machines as may be lost lose their disks, while all others lose power. The group recovers with
+// every acknowledged write.
 func TestReplica_RecoversAfterLastFault(t *testing.T) {
 	for _, losses := range []int{1, 2} {
 		n := 2*losses + 1
@@ -213,14 +214,14 @@
 			}
 			_, ok := w.recover(6 * time.Second)
 			assert.Assert(t, len(w.violations) == 0, "losses %d seed %d: %v\n%s", losses, seed, w.violations, w.lastTrace())
-			assert.Assert(t, ok, "losses %d seed %d: serves no more\n%s", losses, seed, w.lastTrace())
+			assert.Assert(t, ok, "losses %d seed %d: no write is acknowledged after the faults\n%s", losses, seed, w.lastTrace())
 			w.runUntil(w.now + 4*time.Second)
 			assert.Assert(t, w.isComplete(), "losses %d seed %d: %v\n%s", losses, seed, w.newestView, w.lastTrace())
 		}
 	}
 }
 
-// A machine at another address replaces one that is gone for good.
+// A machine at another address replaces a member that is lost permanently.
 func TestReconfiguration_ReplacesMember(t *testing.T) {
 	for seed := range uint64(seedCount(20)) {
 		w := newSimulation(seed, 3, 1)
@@ -242,7 +243,7 @@
 	}
 }
 
-// Members and backups end up spread over the zones, wherever the first members were; then nothing changes any more.
+// Members and backups become spread over the zones, whatever the zones of the first members; after that the view does not change any more.
 func TestReconfiguration_SpreadsReplicas(t *testing.T) {
 	for _, zones := range []string{"00112", "00011", "01122", "00012", "00000", "01212"} {
 		for _, losses := range []int{1, 2} {
--- a/internal/tier/consensus/retry_test.go
+++ b/internal/tier/consensus/retry_test.go
@@ -11,15 +11,15 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A witness is gone for good, and one reply is lost of those that the view with the joiner in its place needs: the
-// snapshot or the accept is sent once more, and the proposal doesn't fail.
+// A witness is lost permanently and a joiner replaces it. The first reply of each receiver to a snapshot or an accept of that view is
+// lost: the call is retried, and the proposal does not fail.
 func TestProposal_LostReplyIsRetried(t *testing.T) {
 	for name, needed := range map[string]func(body proto.Message) bool{
 		"accept": func(body proto.Message) bool {
 			request, ok := body.(*tierv1.AcceptRequest)
 			return ok && len(request.View.Former) > 0
 		},
-		"copies": func(body proto.Message) bool {
+		"snapshot": func(body proto.Message) bool {
 			request, ok := body.(*tierv1.WriteRequest)
 			return ok && request.Snapshot
 		},
--- a/internal/tier/consensus/scan_test.go
+++ b/internal/tier/consensus/scan_test.go
@@ -9,7 +9,7 @@
 	"saffronyard.example/saffronyard/internal/tier/wal"
 )
 
-// Scan returns the committed values under a prefix; removed keys are not among them, and what it has returned does not change.
+// Scan returns the committed values under a prefix. Removed keys are not among them, and a map that was returned does not change.
 func TestScan(t *testing.T) {
 	s := newManualNode(t, wal.NewMemory(), "a")
 	s.runFor(time.Second)
--- a/internal/tier/consensus/state_limit_test.go
+++ b/internal/tier/consensus/state_limit_test.go
@@ -19,10 +19,10 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// limitInTests is reached with little data.
+// limitInTests is a limit that tests reach with little data.
 const limitInTests = 4096
 
-// valueFor gives a value whose entry has just that many bytes.
+// valueFor returns a value whose entry has exactly size bytes.
 func valueFor(key string, size int) []byte {
 	return bytes.Repeat([]byte{'v'}, size-entrySize(key, nil))
 }
@@ -32,7 +32,7 @@
 	assert.Assert(t, errorx.IsOfType(err, StateTooLarge), "%v", err)
 }
 
-// must is a write whose outcome comes within a step.
+// putNow writes and returns the error of the outcome, which must arrive within one step.
 func (s *manualNode) putNow(sets map[string][]byte) error {
 	s.t.Helper()
 	c := s.putSets(sets)
@@ -46,8 +46,8 @@
 	}
 }
 
-// A state may have all of its limit. One byte more is refused at once: nothing of that write is there, the epoch goes on,
-// and so it is after a restart from the file.
+// A state may be as large as its limit. A write that exceeds the limit by one byte is rejected at once: nothing of it is applied and the
+// epoch continues. The same holds after a restart from the file.
 func TestStateLimit_AtLimit(t *testing.T) {
 	s := &manualNode{t: t, disk: wal.NewMemory(), limit: limitInTests}
 	s.open(true, "a")
@@ -85,8 +85,8 @@
 	}
 }
 
-// A state over the limit, as a program without it left it, is served. It may be changed as long as it does not grow, and
-// what shrinks it is written.
+// A state above the limit, written by a version without the limit, is served. It may be changed as long as it does not grow, and writes
+// that shrink it are accepted.
 func TestStateLimit_StateAboveLimit(t *testing.T) {
 	s := newManualNode(t, wal.NewMemory(), "a")
 	s.runFor(time.Second)
@@ -110,7 +110,7 @@
 	assert.NilError(t, s.node.DiskError())
 }
 
-// The limit is the same at each primary, before and after a takeover and after a power loss of all.
+// The limit is the same at each primary, before and after a takeover and after a power loss of all nodes.
 func TestStateLimit_Takeover(t *testing.T) {
 	c := newCluster(t)
 	c.limit = limitInTests
@@ -119,21 +119,21 @@
 	}
 	full := valueFor("k", limitInTests)
 	c.put("k", string(full))
-	refused := func() {
+	assertRejected := func() {
 		t.Helper()
-		c.until("the refusal", func() bool { // the epoch may end meanwhile
+		c.until("the rejection", func() bool { // the epoch may end meanwhile
 			n, epoch := c.primary()
 			_, err := n.Put(t.Context(), epoch, map[string][]byte{"k": append(bytes.Clone(full), 'x')})
 			return errorx.IsOfType(err, StateTooLarge)
 		})
 		assert.Equal(t, c.get("k"), string(full))
 	}
-	refused()
+	assertRejected()
 	first, _ := c.primary()
 	address := first.Self().Address
 	c.stop(address)
 	c.disks[address].Kill()
-	refused()
+	assertRejected()
 	c.start(address, false)
 	for _, a := range []string{"a", "b", "c"} {
 		c.stop(a)
@@ -142,7 +142,7 @@
 	for _, a := range []string{"a", "b", "c"} {
 		c.start(a, false)
 	}
-	refused()
+	assertRejected()
 	c.put("k", "less")
 	assert.Equal(t, c.get("k"), "less")
 	for _, n := range c.nodes {
@@ -150,8 +150,8 @@
 	}
 }
 
-// What was queued for a batch goes into it as far as the limit allows, in order; what would make the state too large is in
-// neither, and does not delay the others.
+// Queued operations go into a batch in order, as far as the limit allows. A put that would make the state too large goes into no batch,
+// and does not delay the others.
 func TestStateLimit_WriteBatch(t *testing.T) {
 	m := newReplica(durableState{identity: identity{Folder: "fa"}}, replicaConfig{self: &tierv1.Member{Address: "a"}, timing: newTiming(3*time.Second, 0), jitterSeed: 1})
 	m.stateLimit, m.actions = limitInTests, new(actions)
@@ -186,7 +186,7 @@
 	var d durableState
 	for range 2000 {
 		w := &tierv1.WriteRequest{Snapshot: random.IntN(50) == 0, Sequence: d.sequence + 1}
-		for range random.IntN(4) { // also doubled keys, and removals of what is not there
+		for range random.IntN(4) { // also duplicate keys, and removals of missing keys
 			w.Entries = append(w.Entries, &tierv1.Entry{Key: fmt.Sprint(random.IntN(12)), Value: make([]byte, random.IntN(40))})
 		}
 		d.apply(w)
@@ -198,7 +198,7 @@
 	}
 }
 
-// The largest state fits one record, as few large entries and as many small ones.
+// The largest state fits one record, with few large entries as well as with many small ones.
 func TestStateLimit_LargestStateFitsRecord(t *testing.T) {
 	const last = 1<<64 - 1
 	snapshotOf := func(entries int) *tierv1.WriteRequest {
@@ -219,7 +219,7 @@
 	assert.Assert(t, !fitsRecord(&tierv1.WriteRequest{Entries: []*tierv1.Entry{{Key: "k", Value: make([]byte, wal.MaxRecord)}}}))
 }
 
-// A write that fits no record, as a program without the limit may send it, is not acknowledged, and changes nothing.
+// A write that does not fit one record, as a version without the limit may send it, is not acknowledged and changes nothing.
 func TestHandleWrite_OversizedIsRejected(t *testing.T) {
 	d := durableState{identity: identity{Folder: "fa"}, preparedEpoch: 1 << epochBits, preparedFor: "fb"}
 	m := newReplica(d, replicaConfig{self: &tierv1.Member{Address: "a"}, toleratedLosses: 1, timing: newTiming(3*time.Second, 0), jitterSeed: 1})
@@ -236,8 +236,8 @@
 	assert.Assert(t, out.replies[0].body.(*tierv1.WriteReply).Acknowledged)
 }
 
-// A record that the file refuses as too large is no failing disk: the node goes on from its file with all that was
-// acknowledged, and is primary again. Callers that waited get an unknown outcome.
+// A record that the file rejects as too large is not a disk failure. The node restarts its replica from the file with every acknowledged
+// write, and becomes primary again. Waiting callers get an unknown outcome.
 func TestNode_RejectedRecordIsNoDiskFailure(t *testing.T) {
 	s := newManualNode(t, wal.NewMemory(), "a")
 	s.runFor(time.Second)
@@ -268,7 +268,7 @@
 	assert.Equal(t, string(v), "2")
 }
 
-// endless counts what is read of a body without an end.
+// endless is a body without an end, which counts the bytes that are read.
 type endless struct{ read int }
 
 func (e *endless) Read(p []byte) (int, error) {
@@ -276,7 +276,7 @@
 	return len(p), nil
 }
 
-// A call whose body has no end is rejected after as many bytes as a record may have.
+// A call whose body has no end is rejected after about as many bytes as a record may have.
 func TestHandler_BoundsRequestBody(t *testing.T) {
 	s := newManualNode(t, wal.NewMemory(), "a")
 	body := &endless{}
--- a/internal/tier/consensus/state_transfer_test.go
+++ b/internal/tier/consensus/state_transfer_test.go
@@ -15,7 +15,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// absence is one way in which a member misses changes.
+// absence is one way in which a member misses writes.
 type absence struct {
 	name        string
 	leave, back func(w *simulation, s *site)
@@ -24,16 +24,16 @@
 var absences = []absence{
 	{"restarted", func(_ *simulation, s *site) { s.stop(false) }, func(_ *simulation, s *site) { s.start(false) }},
 	{"restarted after a loss of power", func(_ *simulation, s *site) { s.stop(true) }, func(_ *simulation, s *site) { s.start(false) }},
-	{"frozen", func(_ *simulation, s *site) { s.paused = true }, func(_ *simulation, s *site) { s.resume() }},
-	{"emptied", func(_ *simulation, s *site) { s.wipe() }, func(_ *simulation, s *site) { s.start(false) }},
-	{"joined", func(_ *simulation, s *site) { s.wipe(); s.removed = true }, func(w *simulation, s *site) {
+	{"paused", func(_ *simulation, s *site) { s.paused = true }, func(_ *simulation, s *site) { s.resume() }},
+	{"restarted after a loss of its disk", func(_ *simulation, s *site) { s.wipe() }, func(_ *simulation, s *site) { s.start(false) }},
+	{"replaced by a joiner", func(_ *simulation, s *site) { s.wipe(); s.removed = true }, func(w *simulation, s *site) {
 		w.sites = append(w.sites, &site{simulation: w, member: &tierv1.Member{Address: "new", Zone: s.member.Zone, Region: "r"}})
 		w.sites[len(w.sites)-1].start(false)
 	}},
 }
 
-// isFullyRedundant reports whether all losses are tolerated again: by the primary's own formula, which may be as old as answerMaxAge, and in
-// fact: every member is there with its folder, and every site named by the view has its state.
+// isFullyRedundant reports whether all losses are tolerated again. This must hold by the primary's own health, which may be as old as
+// answerMaxAge, and in fact: every member runs with its folder, and every site named by the view has the state of its epoch.
 func (w *simulation) isFullyRedundant() bool {
 	l := w.newestPrimary()
 	if l == nil || l.syncing || !w.isComplete() || l.replica.health().Tolerates < w.toleratedLosses || len(l.replica.primary.view.Former) > 0 {
@@ -47,13 +47,13 @@
 	return true
 }
 
-// changes writes n changes, one after the other.
+// acknowledgeWrites puts until n more writes are acknowledged, one after the other.
 func (w *simulation) acknowledgeWrites(n int) {
 	last := w.now
 	for count := len(w.acknowledged); len(w.acknowledged) < count+n && len(w.violations) == 0; {
 		before := len(w.acknowledged)
 		if w.now-last > 2*w.window {
-			w.violation("nothing was acknowledged for %v", w.now-last)
+			w.recordViolation("nothing was acknowledged for %v", w.now-last)
 			return
 		}
 		w.put(true)
@@ -66,8 +66,8 @@
 	}
 }
 
-// playAbsence plays an absence during n changes. It returns how long after the return the next loss is tolerated again, and the bytes of
-// state that were sent to the returned member, beside those of one snapshot.
+// playAbsence plays an absence during n writes. It returns the time from the return of the member until the next loss is tolerated, the
+// bytes of snapshots that were sent to the member, and the size of one snapshot.
 func playAbsence(t *testing.T, c absence, n int, seed uint64, backup bool) (w *simulation, took time.Duration, sent, snapshotSize int) {
 	t.Helper()
 	w = newSimulation(seed, 3, 1)
@@ -98,7 +98,7 @@
 	}
 	took = w.now - began
 	snapshotSize = proto.Size(w.newestPrimary().replica.snapshotWrite(1))
-	// The next loss comes at once: the leader's machine, for good. Another leads from what it has.
+	// The primary's machine is lost permanently right after that. Another replica becomes primary with the state that it has.
 	if len(w.violations) == 0 {
 		old := w.newestPrimary()
 		old.wipe()
@@ -111,8 +111,8 @@
 	return w, took, sent, snapshotSize
 }
 
-// A member that missed 1 to 2,000 changes, in each way, has caught up within the bound of time and of bytes, never leads
-// before, and the next loss right after that costs nothing.
+// A member that missed 1 to 2,000 writes catches up within the bounds on time and bytes, and does not become primary before. A loss right
+// after that loses no acknowledged write.
 func TestStateTransfer_AfterAbsence(t *testing.T) {
 	counts := []int{1, 10, 300, 2000}
 	if testing.Short() || raceDetector {
@@ -121,7 +121,7 @@
 	for _, c := range absences {
 		for _, backup := range []bool{true, false} {
 			for _, n := range counts {
-				name := fmt.Sprintf("%s, backup %v, %d changes", c.name, backup, n)
+				name := fmt.Sprintf("%s, backup %v, %d writes", c.name, backup, n)
 				var worst time.Duration
 				var most float64
 				seeds := min(seedCount(3), 20)
@@ -147,7 +147,7 @@
 // anew, and a change of members takes two views.
 const maxSnapshots = 3
 
-// following is a replica that is a backup of a primary, with a state of its epoch.
+// newBackup returns a replica that has prepared an epoch for the primary fa, and that epoch.
 func newBackup(t *testing.T) (m *replica, epoch uint64) {
 	t.Helper()
 	epoch = 5 << epochBits
@@ -163,7 +163,7 @@
 	return []*tierv1.Entry{{Key: key, Value: []byte(key), Sequence: sequence}}
 }
 
-// A snapshot that comes late, doubled, out of order or from an older epoch never takes back what was written after it.
+// A snapshot that is late, duplicated, out of order or from an older epoch never overwrites later writes.
 func TestHandleWrite_SnapshotOutOfOrder(t *testing.T) {
 	m, epoch := newBackup(t)
 	snapshot := &tierv1.WriteRequest{Epoch: epoch, Sequence: 1, Snapshot: true, Entries: entry("one", 1), From: "fa"}
@@ -176,14 +176,14 @@
 			assert.Assert(t, m.entries[k] != nil, k)
 		}
 	}
-	// A change before any snapshot, and one with a gap before it.
+	// A write before any snapshot, and a write after a gap.
 	assert.Assert(t, m.handleWrite(change).Behind)
 	assert.Assert(t, m.handleWrite(snapshot).Acknowledged)
 	assert.Assert(t, m.handleWrite(&tierv1.WriteRequest{Epoch: epoch, PreviousSequence: 2, Sequence: 3, Entries: entry("three", 3), From: "fa"}).Behind)
 	assertState(1, "one")
 	assert.Assert(t, m.handleWrite(change).Acknowledged)
 	assertState(2, "one", "two")
-	// Doubled, older than what followed it, and from another folder.
+	// Duplicates, a snapshot that is older than the write after it, and a snapshot of another folder.
 	assert.Assert(t, m.handleWrite(snapshot).Acknowledged)
 	assert.Assert(t, m.handleWrite(change).Acknowledged)
 	assertState(2, "one", "two")
@@ -191,7 +191,7 @@
 	foreign.From, foreign.Sequence = "fc", 9
 	assert.Assert(t, !m.handleWrite(foreign).Acknowledged)
 	assertState(2, "one", "two")
-	// A new epoch: the snapshot of the old one comes after the changes of the new one, or after the prepare alone.
+	// A new epoch: the snapshot of the old epoch arrives after the prepare alone, and after the writes of the new epoch.
 	m.handlePrepare(&tierv1.PrepareRequest{Epoch: 2 * epoch, From: &tierv1.Member{Folder: "fc", Address: "c"}})
 	late := proto.CloneOf(snapshot)
 	late.Sequence = 50
@@ -206,8 +206,8 @@
 	}
 }
 
-// A backup loses power at each operation of its disk while it takes snapshots, changes and rewrites of its file. What it
-// acknowledged is there after, it never goes back to an older epoch, and it goes on from there.
+// A backup loses power at each operation of its disk while it stores snapshots and writes and rewrites its file. Afterwards it has all
+// that it acknowledged, its state is not of an older epoch, and it accepts further writes.
 func TestStateTransfer_PowerLossAtEachOperation(t *testing.T) {
 	value := bytes.Repeat([]byte("x"), 4<<10)
 	for at := 1; ; at++ {
@@ -215,14 +215,14 @@
 		for seed := range uint64(2) {
 			label := fmt.Sprintf("operation %d, seed %d", at, seed)
 			s := newManualNode(t, wal.NewMemory(), "a", "b", "c")
-			var taken, epoch uint64
+			var acknowledged, epoch uint64
 			var sent map[string]bool
 			write := func(q *tierv1.WriteRequest) bool {
 				a, err := callNode(s, func(n *Node) (*tierv1.WriteReply, error) { return (server{n}).Write(context.Background(), q) })
 				if err != nil || !a.Acknowledged {
 					return false
 				}
-				taken, epoch = q.Sequence, q.Epoch
+				acknowledged, epoch = q.Sequence, q.Epoch
 				return true
 			}
 			s.disk.DieAt(at)
@@ -239,7 +239,7 @@
 					return false
 				}
 				for i := 10 * first; i < 10*first+6; i++ {
-					s.node.storage.rewriteAt = 1 // each change rewrites the file
+					s.node.storage.rewriteAt = 1 // each write rewrites the file
 					key := fmt.Sprint("k", i+1)
 					sent[key] = true
 					if !write(&tierv1.WriteRequest{Epoch: e, PreviousSequence: i, Sequence: i + 1, From: "fa",
@@ -255,8 +255,8 @@
 			s.open(false, "a", "b", "c")
 			assert.NilError(t, s.node.DiskError(), label)
 			d := &s.node.replica.durableState
-			assert.Assert(t, d.stateEpoch >= epoch, "%s: copy of %d, taken under %d", label, d.stateEpoch, epoch)
-			assert.Assert(t, d.stateEpoch > epoch || d.sequence >= taken, "%s: at %d, took %d", label, d.sequence, taken)
+			assert.Assert(t, d.stateEpoch >= epoch, "%s: state of epoch %d, acknowledged under %d", label, d.stateEpoch, epoch)
+			assert.Assert(t, d.stateEpoch > epoch || d.sequence >= acknowledged, "%s: at sequence %d, acknowledged %d", label, d.sequence, acknowledged)
 			assert.Assert(t, d.preparedEpoch >= epoch, label)
 			if first := d.stateEpoch >> epochBits; first > 0 {
 				assert.Assert(t, d.entries["base"] != nil && uint64(len(d.entries)) == d.sequence-10*first+1, "%s: %d keys at %d", label, len(d.entries), d.sequence)
--- a/internal/tier/consensus/storage.go
+++ b/internal/tier/consensus/storage.go
@@ -29,7 +29,7 @@
 	usableSince time.Duration
 	rewriteAt   int64  // size in bytes at which the file is rewritten
 	hadIdentity bool   // this process had an identity on disk, so a folder created later is not a genesis folder
-	lastCallID  uint64 // last call of previous replicas: a late result must not be taken for that of a call of the next replica
+	lastCallID  uint64 // last call ID of previous replicas: a late result must not be matched to a call of the next replica
 }
 
 // openReplica reads the file, or creates it with a new identity, and builds the replica from it. An error of the disk may be transient.
--- a/internal/tier/consensus/stored_folders_test.go
+++ b/internal/tier/consensus/stored_folders_test.go
@@ -19,9 +19,9 @@
 
 const storedFolders = "testdata/stored"
 
-// TestStoredFolders_ReadAsWritten opens folders that revision eea23b3 wrote (testdata/stored: of a primary, a backup, a witness, a
-// backup that was lost, a rewritten file, a torn tail, an accepted view that was not chosen) and compares all that is in them
-// with the listing that this revision made of them.
+// TestStoredFolders_ReadAsWritten opens folders that revision eea23b3 wrote (testdata/stored: of a primary, a backup, a witness, a backup
+// that was lost, a rewritten file, a torn tail, an accepted view that was not chosen) and compares their complete content with the listing
+// that eea23b3 made of it.
 func TestStoredFolders_ReadAsWritten(t *testing.T) {
 	listings, err := filepath.Glob(filepath.Join(storedFolders, "*.golden"))
 	assert.NilError(t, err)
--- a/internal/tier/consensus/stuck_write_test.go
+++ b/internal/tier/consensus/stuck_write_test.go
@@ -17,11 +17,11 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// hangingDisk is a disk whose syncs wait while hang holds a channel.
+// hangingDisk is a disk whose syncs wait while hang is set.
 type hangingDisk struct {
 	wal.FS
 	mu   sync.Mutex
-	hang chan struct{} // closed when syncs go on; nil: they do not wait
+	hang chan struct{} // closed to let syncs continue; nil: syncs do not wait
 }
 
 func (disk *hangingDisk) set(hang chan struct{}) {
@@ -55,7 +55,7 @@
 	return file.Handle.Sync()
 }
 
-// eventLog is the lines that were logged.
+// eventLog collects the lines that are logged.
 type eventLog struct {
 	mu    sync.Mutex
 	lines bytes.Buffer
@@ -67,14 +67,15 @@
 	return l.lines.Write(line)
 }
 
-// count is how often an event was logged.
+// count returns how often an event was logged.
 func (l *eventLog) count(event string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.lines.String(), `"event":"`+event+`"`)
 }
 
-// A sync that does not return holds up the loop, so that only others notice. The node tells it by its health and logs it once.
+// A sync that does not return blocks the loop, so that without a separate check only the peers would detect it. The node reports it in its
+// health and logs it once.
 func TestStuckWrite_ShownWhileItLasts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var lines eventLog
--- a/internal/tier/consensus/world_checks_test.go
+++ b/internal/tier/consensus/world_checks_test.go
@@ -11,7 +11,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// check checks the invariants for what a replica has become.
+// check checks the invariants when a replica has become primary of a view.
 func (w *simulation) check(s *site) {
 	if s.replica == nil || s.replica.primary == nil {
 		s.checkedView = nil
@@ -23,7 +23,7 @@
 	}
 	s.checkedView, s.newestEpoch = r, r.Epoch
 	if other := w.chosen[r.Epoch]; other != nil && !proto.Equal(other, r) {
-		w.violation("two views of epoch %d", r.Epoch)
+		w.recordViolation("two chosen views of epoch %d", r.Epoch)
 	}
 	w.chosen[r.Epoch] = r
 	if w.newestView == nil || r.Epoch > w.newestView.Epoch {
@@ -31,21 +31,21 @@
 	}
 	w.logf("leadership %s %v backups %v members %d former %d", s.replica.Folder, r.Epoch, r.Backups, len(r.Members), len(r.Former))
 	for key, sequence := range w.acknowledged {
-		if r.Epoch > w.acknowledgedUnder[key] || !w.overtaken(r) {
+		if r.Epoch > w.acknowledgedUnder[key] || !w.superseded(r) {
 			w.checkEntry(s, key, sequence)
 		}
 	}
 	for key := range w.rejected {
 		if s.replica.primary.committed[key] != nil {
-			w.violation("%s shows %s, which was refused", s.replica.Folder, key)
+			w.recordViolation("%s serves %s, which was rejected", s.replica.Folder, key)
 		}
 	}
 }
 
-// overtaken reports whether nothing can be acknowledged or confirmed under a view any more: a backup has prepared a higher
-// epoch. Its leadership may begin all the same, if the reply by which its primary learns that it was chosen comes late;
-// what it serves under its lease is checked by leaseReads.
-func (w *simulation) overtaken(r *tierv1.View) bool {
+// superseded reports whether a backup of a view has prepared a higher epoch, so that nothing can be acknowledged or confirmed under the
+// view any more. The leadership of the view may still begin, if its primary receives late the reply by which it learns that the view was
+// chosen. Reads under its lease are checked by leaseReads.
+func (w *simulation) superseded(r *tierv1.View) bool {
 	for _, s := range w.sites {
 		if s.replica != nil && slices.Contains(r.Backups, s.replica.Folder) && s.replica.preparedEpoch > r.Epoch {
 			return true
@@ -54,7 +54,8 @@
 	return false
 }
 
-// visible is what the primary shows; one that stepped down in the step that acknowledged still has it in its state.
+// visible returns the entries that the primary serves. For a replica that stepped down in the step that acknowledged a write, it returns
+// the entries of its state, which include the write.
 func (s *site) visible() map[string]*tierv1.Entry {
 	if s.replica.primary == nil {
 		return s.replica.entries
@@ -65,10 +66,10 @@
 func (w *simulation) checkEntry(s *site, key string, sequence uint64) {
 	e := s.visible()[key]
 	if e == nil || e.Sequence != sequence {
-		w.violation("%s of epoch %d lacks %s of sequence %d", s.replica.Folder, epochOf(s.replica.chosen), key, sequence)
+		w.recordViolation("%s of epoch %d lacks %s of sequence %d", s.replica.Folder, epochOf(s.replica.chosen), key, sequence)
 	}
 	if s.replica.sequence < sequence {
-		w.violation("%s went back to %d from %d", s.replica.Folder, s.replica.sequence, sequence)
+		w.recordViolation("%s is at sequence %d, before %d", s.replica.Folder, s.replica.sequence, sequence)
 	}
 }
 
@@ -83,7 +84,7 @@
 		for key, sequence := range w.acknowledged {
 			if w.acknowledgedAt[key] < op.began {
 				if e := s.visible()[key]; e == nil || e.Sequence != sequence {
-					w.violation("%s confirmed without %s", s.replica.Folder, key)
+					w.recordViolation("%s confirmed without %s", s.replica.Folder, key)
 				}
 			}
 		}
@@ -100,13 +101,13 @@
 	}
 }
 
-// put and confirm ask every process that takes itself for the primary.
-func (w *simulation) put(confirmed bool) (asked bool) {
+// put sends a write and a confirm to each replica that considers itself primary; with confirmed, only to those with a valid lease.
+func (w *simulation) put(confirmed bool) (sent bool) {
 	for _, s := range w.sites {
 		if s.replica == nil || s.replica.primary == nil || confirmed && !s.replica.confirmedWithin(s.replica.timing.lease) {
 			continue
 		}
-		asked = true
+		sent = true
 		epoch := s.replica.primary.view.Epoch
 		w.token++
 		key := fmt.Sprintf("k%d", w.token)
@@ -116,10 +117,10 @@
 		w.pendingOperations[w.token] = &operation{began: w.now, site: s}
 		s.step(e, confirmRequest{w.token, epoch})
 	}
-	return asked
+	return sent
 }
 
-// load puts now and then until a time.
+// load puts at random intervals until a time.
 func (w *simulation) load(until time.Duration) {
 	if w.now >= until {
 		return
--- a/internal/tier/consensus/world_test.go
+++ b/internal/tier/consensus/world_test.go
@@ -12,7 +12,7 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// world is a network, disks and clocks in virtual time for replicas, and the checker of their invariants.
+// simulation runs replicas in virtual time, with a simulated network, disks and clocks, and checks their invariants.
 type simulation struct {
 	now             time.Duration
 	random          *rand.Rand
@@ -24,10 +24,10 @@
 	seeds           []string
 	window          time.Duration
 	mutant          mutant
-	faultRate       float64 // fraction of the messages that are lost, doubled or delayed
-	rate            int     // bytes a second that a path carries; 0: no bound
+	faultRate       float64 // fraction of the messages that are lost, duplicated or delayed
+	rate            int     // bytes per second of each path; 0: no bound
 
-	transferRate      int // that the replicas expect; 0: transferRate
+	transferRate      int // expected by the replicas; 0: the constant transferRate
 	chooseFault       func(n int) messageFault
 	messages          int // messages sent
 	folders           int
@@ -41,7 +41,7 @@
 	chosen            map[uint64]*tierv1.View
 	newestView        *tierv1.View
 	wiped             map[string]bool
-	onDeliver         func(to *site, body proto.Message) // sees each message as it comes
+	onDeliver         func(to *site, body proto.Message) // called with each message that is delivered
 	violations        []string
 	trace             []string
 }
@@ -51,7 +51,7 @@
 const (
 	none messageFault = iota
 	lost
-	doubled
+	duplicated
 	delayed
 	replyLost
 	receiverKilled
@@ -102,8 +102,8 @@
 	inbox       []event
 	wakeAt      time.Duration
 	removed     bool
-	unpowered   bool // without power: calls hang
-	paused      bool // stopped, as by SIGSTOP: nothing runs, what comes in waits
+	unpowered   bool // without power: calls to it hang
+	paused      bool // stopped, as by SIGSTOP: nothing runs, events are queued
 	stalled     bool // its disk hangs: a sync that has begun does not end
 	deferred    []func()
 	checkedView *tierv1.View
@@ -139,7 +139,7 @@
 	}
 }
 
-func (w *simulation) violation(format string, args ...any) {
+func (w *simulation) recordViolation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
@@ -160,7 +160,7 @@
 	return time.Millisecond + time.Duration(w.random.Int64N(int64(3*time.Millisecond)))
 }
 
-// start starts a process, with a new folder where the disk is empty.
+// start starts a process, with a new folder if the disk is empty.
 func (s *site) start(bootstrap bool) {
 	w := s.simulation
 	if s.replica != nil || s.removed {
@@ -170,7 +170,7 @@
 	var d durableState
 	for _, r := range s.synced {
 		if err := d.replay(r); err != nil {
-			w.violation("replay: %v", err)
+			w.recordViolation("replay: %v", err)
 		}
 	}
 	if d.Folder == "" {
@@ -195,7 +195,7 @@
 	s.wake()
 }
 
-// stop ends the process: what it wrote stays unless the power goes, then unsynced records are lost, all or a tail.
+// stop ends the process. Written records survive, unless the machine loses power: then all or a tail of the unsynced records are lost.
 func (s *site) stop(power bool) {
 	if s.replica == nil {
 		return
@@ -215,7 +215,7 @@
 	s.synced, s.unsynced = append(s.synced, s.unsynced...), nil
 }
 
-// mayWipe reports whether the loss of one more disk is within what is to be tolerated.
+// mayWipe reports whether the loss of one more disk is within the tolerated losses.
 func (w *simulation) mayWipe() bool {
 	if w.newestView == nil || len(w.newestView.Members) < 2*w.toleratedLosses+1 || len(w.newestView.Former) > 0 || len(w.newestView.Backups) < w.toleratedLosses {
 		return false
@@ -229,7 +229,7 @@
 			views = append(views, s.replica.accepted)
 		}
 	}
-	// No majority and no set of replicas of the state may lack more than is to be tolerated, this one included.
+	// In each set of voters and among the replicas of the state, the lost disks, this one included, must not exceed the tolerated losses.
 	for _, r := range views {
 		n := 0
 		for folder := range w.wiped {
@@ -286,7 +286,7 @@
 	w := s.simulation
 	out := s.subject.step(w.now, events...)
 	for _, n := range out.transitions {
-		w.logf("%s %s promised=%d chosen=%d seq=%d", s.replica.Folder, n, s.replica.preparedEpoch, epochOf(s.replica.chosen), s.replica.sequence)
+		w.logf("%s %s prepared=%d chosen=%d seq=%d", s.replica.Folder, n, s.replica.preparedEpoch, epochOf(s.replica.chosen), s.replica.sequence)
 	}
 	incarnation := s.incarnation
 	for _, c := range out.unsyncedCalls {
@@ -342,17 +342,17 @@
 	})
 }
 
-// resume ends a pause or a disk that hangs: what was delayed goes on, then what has come in meanwhile.
+// resume ends a pause or a hanging disk. Deferred syncs complete first, then the events queued meanwhile are handled.
 func (s *site) resume() {
 	wasPaused := s.paused
 	s.paused, s.stalled = false, false
 	deferred, inbox := s.deferred, s.inbox
 	s.deferred = nil
-	if wasPaused && s.replica != nil && !s.syncing { // a timer may be the first to run, before anything that came in is read
+	if wasPaused && s.replica != nil && !s.syncing { // timers may run before any queued event is read
 		s.inbox = nil
 		s.step(tick{})
 		if s.leads() {
-			s.simulation.violation("%s answers as it wakes", s.replica.Folder)
+			s.simulation.recordViolation("%s leads right after a pause", s.replica.Folder)
 		}
 		s.inbox = append(inbox, s.inbox...)
 	}
@@ -373,7 +373,7 @@
 	return f
 }
 
-// send carries a call: it always ends in a result, empty if nothing came within the time-out.
+// send makes a call. Each call ends in a result, which is nil if no reply arrives within the time-out.
 func (s *site) send(c outgoingCall) {
 	w := s.simulation
 	incarnation, ended := s.incarnation, false
@@ -398,7 +398,7 @@
 	}
 	toIncarnation := to.incarnation
 	deliver := func() {
-		if to.replica == nil || to.incarnation != toIncarnation { // a connection does not outlast its ends
+		if to.replica == nil || to.incarnation != toIncarnation { // a connection ends with the process of the callee
 			end(nil)
 			return
 		}
@@ -426,7 +426,7 @@
 				to.wipe()
 				restart(to)
 			}
-		default: // acts on the message or on its sender
+		default: // other kinds act on the message or on its sender
 		}
 	}
 	if to.replica == nil {
@@ -444,7 +444,7 @@
 	}
 	w.after(d, deliver)
 	switch kind {
-	case doubled:
+	case duplicated:
 		w.after(d+time.Duration(w.random.Int64N(int64(time.Second))), deliver)
 	case senderKilled:
 		s.stop(false)
@@ -457,6 +457,6 @@
 			s.wipe()
 			restart(s)
 		}
-	default: // acts on the message or on its receiver
+	default: // other kinds act on the message or on its receiver
 	}
 }
