--- a/internal/tier/consensus/explore_run_test.go
+++ b/internal/tier/consensus/explore_run_test.go
@@ -274,7 +274,7 @@
 			w.add(x.item(o))
 		case answered:
 			w.remove(i)
-		case orphaned: // unchanged: the caller no longer waits for the reply
+		case orphaned: // the caller no longer waits for the reply
 		}
 	}
 }
