--- a/internal/tier/consensus/node_test.go
+++ b/internal/tier/consensus/node_test.go
@@ -16,13 +16,13 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// network joins nodes of one process by plain calls.
+// network connects the nodes of one process by direct calls.
 type network struct {
 	mu    sync.Mutex
 	nodes map[string]tierv1.Election
 }
 
-type wire struct {
+type networkClient struct {
 	network *network
 	address string
 }
@@ -33,7 +33,7 @@
 	n.nodes[address] = r
 }
 
-func (w wire) to() (tierv1.Election, error) {
+func (w networkClient) node() (tierv1.Election, error) {
 	w.network.mu.Lock()
 	defer w.network.mu.Unlock()
 	if r := w.network.nodes[w.address]; r != nil {
@@ -42,37 +42,37 @@
 	return nil, twirp.NewError(twirp.Unavailable, "no process")
 }
 
-// callThrough hands a call to the node at the wire's address.
-func callThrough[Q, R any](ctx context.Context, w wire, method func(tierv1.Election, context.Context, *Q) (*R, error), request *Q) (*R, error) {
-	node, err := w.to()
+// forward passes a call to the node at the client's address.
+func forward[Q, R any](ctx context.Context, w networkClient, method func(tierv1.Election, context.Context, *Q) (*R, error), request *Q) (*R, error) {
+	node, err := w.node()
 	if err != nil {
 		return nil, err
 	}
 	return method(node, ctx, request)
 }
 
-func (w wire) Promise(ctx context.Context, request *tierv1.PrepareRequest) (*tierv1.PrepareReply, error) {
-	return callThrough(ctx, w, tierv1.Election.Promise, request)
+func (w networkClient) Promise(ctx context.Context, request *tierv1.PrepareRequest) (*tierv1.PrepareReply, error) {
+	return forward(ctx, w, tierv1.Election.Promise, request)
 }
 
-func (w wire) Accept(ctx context.Context, request *tierv1.AcceptRequest) (*tierv1.AcceptReply, error) {
-	return callThrough(ctx, w, tierv1.Election.Accept, request)
+func (w networkClient) Accept(ctx context.Context, request *tierv1.AcceptRequest) (*tierv1.AcceptReply, error) {
+	return forward(ctx, w, tierv1.Election.Accept, request)
 }
 
-func (w wire) Heartbeat(ctx context.Context, request *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
-	return callThrough(ctx, w, tierv1.Election.Heartbeat, request)
+func (w networkClient) Heartbeat(ctx context.Context, request *tierv1.HeartbeatRequest) (*tierv1.HeartbeatReply, error) {
+	return forward(ctx, w, tierv1.Election.Heartbeat, request)
 }
 
-func (w wire) Write(ctx context.Context, request *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
-	return callThrough(ctx, w, tierv1.Election.Write, request)
+func (w networkClient) Write(ctx context.Context, request *tierv1.WriteRequest) (*tierv1.WriteReply, error) {
+	return forward(ctx, w, tierv1.Election.Write, request)
 }
 
-func (w wire) Join(ctx context.Context, request *tierv1.JoinRequest) (*tierv1.JoinReply, error) {
-	return callThrough(ctx, w, tierv1.Election.Join, request)
+func (w networkClient) Join(ctx context.Context, request *tierv1.JoinRequest) (*tierv1.JoinReply, error) {
+	return forward(ctx, w, tierv1.Election.Join, request)
 }
 
-// running is a node with its loop; end stops it and waits.
-type running struct {
+// runningNode is a node with its loop; end stops the loop and waits for it.
+type runningNode struct {
 	*Node
 	end func()
 }
@@ -81,13 +81,13 @@
 	t       *testing.T
 	network *network
 	disks   map[string]*wal.Memory
-	nodes   map[string]*running
+	nodes   map[string]*runningNode
 	limit   int // of the control state, in bytes; 0: StateLimit
 }
 
 func newCluster(t *testing.T) *cluster {
 	c := &cluster{t: t, network: &network{nodes: make(map[string]tierv1.Election)}, disks: make(map[string]*wal.Memory),
-		nodes: make(map[string]*running)}
+		nodes: make(map[string]*runningNode)}
 	t.Cleanup(func() {
 		for a := range c.nodes {
 			c.stop(a)
@@ -103,7 +103,7 @@
 	n, err := Open(Config{Self: &tierv1.Member{Address: address, Node: address, Zone: "z" + address, Region: "r"},
 		Seeds: []string{"a", "b", "c"}, Bootstrap: bootstrap, Losses: 1, Dir: "/data", FS: c.disks[address], StateLimit: c.limit,
 		ContactWindow: 3 * time.Second, Heartbeat: 400 * time.Millisecond,
-		Dial: func(to string) tierv1.Election { return wire{c.network, to} }})
+		Dial: func(to string) tierv1.Election { return networkClient{c.network, to} }})
 	assert.NilError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -113,7 +113,7 @@
 			c.t.Error(err)
 		}
 	}()
-	c.nodes[address] = &running{n, func() { cancel(); <-done }}
+	c.nodes[address] = &runningNode{n, func() { cancel(); <-done }}
 	c.network.set(address, server{n})
 }
 
@@ -125,9 +125,9 @@
 	}
 }
 
-// primary waits until a node is primary and confirmed, and gives it with its epoch.
-func (c *cluster) primary() (*running, uint64) {
-	var found *running
+// primary waits until a node is primary with a valid lease, and returns it with its epoch.
+func (c *cluster) primary() (*runningNode, uint64) {
+	var found *runningNode
 	var epoch uint64
 	c.until("a primary", func() bool {
 		for _, n := range c.nodes {
@@ -140,7 +140,7 @@
 	return found, epoch
 }
 
-// until waits for a condition, asked at every change of a node and now and then.
+// until waits for a condition, which it checks at each change of a node and every 20 ms.
 func (c *cluster) until(what string, ok func() bool) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -167,7 +167,7 @@
 		case <-changed:
 		case <-every.C:
 		case <-ctx.Done():
-			c.t.Fatalf("waited in vain for %s", what)
+			c.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 	c.put("k", "1")
 	assert.Equal(t, c.get("k"), "1")
 
-	// The primary's process is killed: another goes on with what was acknowledged.
+	// The process of the primary is killed: another primary serves what was acknowledged.
 	first, epoch := c.primary()
 	c.stop(first.Self().Address)
 	c.disks[first.Self().Address].Kill()
@@ -216,7 +216,7 @@
 	c.put("k", "2")
 	c.start(first.Self().Address, false)
 
-	// Its disk is lost: a new folder takes its member's place.
+	// The disk of the primary is lost: a new folder replaces the member.
 	second, _ := c.primary()
 	lost := second.Self()
 	c.stop(lost.Address)
@@ -236,7 +236,7 @@
 	})
 	c.put("k", "3")
 
-	// All lose power.
+	// All nodes lose power.
 	for _, a := range []string{"a", "b", "c"} {
 		c.stop(a)
 		c.disks[a].Crash(rand.New(rand.NewPCG(1, 2)))
@@ -251,7 +251,7 @@
 	assert.Equal(t, c.get("k"), "")
 }
 
-// The file is rewritten when it is long, and has the same content.
+// The file is rewritten when it has grown, and still has the same state.
 func TestNode_RewritesFile(t *testing.T) {
 	c := newCluster(t)
 	for _, a := range []string{"a", "b", "c"} {
@@ -273,7 +273,7 @@
 	assert.Equal(t, d.Folder, n.Self().Folder)
 }
 
-// The service is reached by twirp over HTTP.
+// The service can be called by Twirp over HTTP.
 func TestNode_Handler(t *testing.T) {
 	c := newCluster(t)
 	c.start("a", true)
@@ -286,8 +286,8 @@
 	assert.Equal(t, a.Self.Folder, c.nodes["a"].Self().Folder)
 }
 
-// A disk that dies at any operation of the opening leaves a node without a folder, which replies to nobody; the next process
-// finds none, or the one that was synced.
+// A disk that fails at any operation of Open leaves a node without a folder, which replies to no call. The next process opens the disk
+// without an error, and finds the folder if it was synced.
 func TestOpen_PowerLossAtEachOperation(t *testing.T) {
 	for at := 1; ; at++ {
 		disk := wal.NewMemory()
--- a/internal/tier/consensus/retry_test.go
+++ b/internal/tier/consensus/retry_test.go
@@ -11,24 +11,24 @@
 	tierv1 "saffronyard.example/saffronyard/proto/saffronyard/tier/v1"
 )
 
-// A witness is gone for good, and one reply is lost of those that the view with the joiner in its place needs: the
-// snapshot or the accept is sent once more, and the proposal doesn't fail.
+// A witness is lost permanently and a joiner replaces it. The first reply of each receiver to a snapshot or an accept of that view is
+// lost: the call is retried, and the proposal does not fail.
 func TestProposal_LostReplyIsRetried(t *testing.T) {
 	for name, needed := range map[string]func(body proto.Message) bool{
 		"accept": func(body proto.Message) bool {
 			request, ok := body.(*tierv1.AcceptRequest)
 			return ok && len(request.View.Former) > 0
 		},
-		"copies": func(body proto.Message) bool {
+		"snapshot": func(body proto.Message) bool {
 			request, ok := body.(*tierv1.WriteRequest)
 			return ok && request.Snapshot
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				w := newWorld(seed, 4, 1)
+				w := newSimulation(seed, 4, 1)
 				w.boot()
-				w.run(3 * time.Second)
+				w.runUntil(3 * time.Second)
 				leader := w.newestPrimary()
 				gone := -1
 				for i, s := range w.sites {
@@ -40,7 +40,7 @@
 				w.sites[gone].wipe()
 				w.sites[gone].removed, w.sites[gone].unpowered = true, true
 				lostOf := map[string]bool{}
-				w.delivered = func(to *site, body proto.Message) {
+				w.onDeliver = func(to *site, body proto.Message) {
 					address := to.member.Address
 					if !needed(body) || lostOf[address] || to == leader {
 						return
@@ -51,8 +51,8 @@
 					w.after(20*time.Millisecond, func() { delete(w.partitions, link) })
 				}
 				began := len(w.trace)
-				w.run(w.now + 4*time.Second)
-				assert.Equal(t, len(w.faults), 0, "seed %d\n%s", seed, w.lastTrace())
+				w.runUntil(w.now + 4*time.Second)
+				assert.Equal(t, len(w.violations), 0, "seed %d\n%s", seed, w.lastTrace())
 				assert.Assert(t, len(lostOf) > 0, "seed %d: nothing was lost\n%s", seed, w.lastTrace())
 				assert.Assert(t, !strings.Contains(strings.Join(w.trace[began:], "\n"), "proposal failed"), "seed %d\n%s", seed, w.lastTrace())
 				assert.Assert(t, len(w.newestView.Former) == 0 && len(w.newestView.Members) == 3, "seed %d\n%s", seed, w.lastTrace())
