--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -34,7 +34,7 @@
 
 // A random run with odd events: the same events give the same actions, and no message ends twice.
 func TestStep_DeterministicAndEndsMessagesOnce(t *testing.T) {
-	play := func() (all []Action) {
+	run := func() (all []Action) {
 		rnd := rand.New(rand.NewSource(3))
 		b := New(settings(), 11)
 		now := time.Duration(0)
@@ -43,22 +43,22 @@
 			endpoints = append(endpoints, Endpoint{ID: EndpointID(i), Destination: DestinationID(i / 2), Kind: i / 4, Ready: true})
 		}
 		events := []Event{EndpointUpdate{Complete: true, Endpoints: endpoints}}
-		type out struct {
+		type inFlightSend struct {
 			Send
-			try int
+			attempt int
 		}
-		var open []out
-		tries, over := map[MessageID]int{}, map[MessageID]bool{}
+		var inFlight []inFlightSend
+		attempts, ended := map[MessageID]int{}, map[MessageID]bool{}
 		for id := MessageID(1); id < 3000; id++ {
 			events = append(events, Message{ID: id, Class: rnd.Intn(4), Destination: DestinationID(rnd.Intn(4)),
 				OrderingKey: uint64(rnd.Intn(3)), Deadline: now + 20*time.Second})
-			for len(open) > 0 && rnd.Intn(3) > 0 {
-				i := rnd.Intn(len(open))
+			for len(inFlight) > 0 && rnd.Intn(3) > 0 {
+				i := rnd.Intn(len(inFlight))
 				o := Outcome(rnd.Intn(8))
-				events = append(events, AttemptResult{Message: open[i].Message, Attempt: open[i].try, Endpoint: open[i].Endpoint,
-					Outcome: o, Elapsed: 50 * ms, Final: o == Served || over[open[i].Message]})
-				over[open[i].Message] = over[open[i].Message] || o == Served
-				open = append(open[:i], open[i+1:]...)
+				events = append(events, AttemptResult{Message: inFlight[i].Message, Attempt: inFlight[i].attempt, Endpoint: inFlight[i].Endpoint,
+					Outcome: o, Elapsed: 50 * ms, Final: o == Served || ended[inFlight[i].Message]})
+				ended[inFlight[i].Message] = ended[inFlight[i].Message] || o == Served
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 			}
 			if rnd.Intn(50) == 0 {
 				events = append(events, Withdrawn{MessageID(rnd.Intn(int(id)) + 1)}, AttemptResult{Message: 1 << 40},
@@ -69,16 +69,16 @@
 			for _, a := range acts {
 				switch a := a.(type) {
 				case Send:
-					if over[a.Message] {
+					if ended[a.Message] {
 						t.Fatalf("sent %d after its end", a.Message)
 					}
-					open = append(open, out{a, tries[a.Message]})
-					tries[a.Message]++
+					inFlight = append(inFlight, inFlightSend{a, attempts[a.Message]})
+					attempts[a.Message]++
 				case Fail:
-					if over[a.Message] {
+					if ended[a.Message] {
 						t.Fatalf("second answer for %d", a.Message)
 					}
-					over[a.Message] = true
+					ended[a.Message] = true
 				}
 			}
 			all = append(all, acts...)
@@ -86,14 +86,14 @@
 		}
 		return all
 	}
-	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
+	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
 		t.Fatal("the same events gave other actions")
 	}
 }
 
 // Two Brains that run in turn act as each does alone.
 func TestNew_InstancesAreIndependent(t *testing.T) {
-	play := func(bs ...*Brain) (all [][]Action) {
+	run := func(bs ...*Brain) (all [][]Action) {
 		all = make([][]Action, len(bs))
 		for i := range 200 {
 			now := time.Duration(i) * 50 * ms
@@ -115,8 +115,8 @@
 		}
 		return all
 	}
-	one := func() *Brain { s := settings(); s.Slots = 1; return New(s, 5) } // one call out: one event to choose
-	if both, alone := play(one(), one()), play(one()); !reflect.DeepEqual(both[0], alone[0]) {
+	newBrain := func() *Brain { s := settings(); s.Slots = 1; return New(s, 5) } // one call out: one event to choose
+	if both, alone := run(newBrain(), newBrain()), run(newBrain()); !reflect.DeepEqual(both[0], alone[0]) {
 		t.Fatal("a second brain changed what the first does")
 	}
 }
@@ -145,7 +145,7 @@
 
 // Events that make no sense: no panic, no message lost, each ends once and lawfully.
 func TestStep_InvalidEvents(t *testing.T) {
-	bad := math.NaN()
+	nan := math.NaN()
 	for name, events := range map[string][]Event{
 		"unknown class":       {Message{ID: 1, Class: 9, Deadline: time.Hour + time.Second}},
 		"negative class":      {Message{ID: 1, Class: -1, Deadline: time.Hour + time.Second}},
@@ -154,10 +154,10 @@
 		"no endpoint":         {Message{ID: 1, Destination: 900, Deadline: time.Hour + time.Second}},
 		"deadline in past":    {Message{ID: 1, Deadline: time.Second}},
 		"kind out of range":   {EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Kind: -3, Zone: -1, Ready: true}, {ID: 2, Kind: 99, Zone: 99, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
-		"rating not a number": {EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Rating: bad, Ready: true}, {ID: 2, Rating: math.Inf(1), Ready: true}, {ID: 3, Rating: -1, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
+		"rating not a number": {EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Rating: nan, Ready: true}, {ID: 2, Rating: math.Inf(1), Ready: true}, {ID: 3, Rating: -1, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
 		"unknown attempt":     {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Attempt: 4}, AttemptResult{Message: 1, Attempt: -4}, AttemptResult{Message: 44}},
-		"report out of range": {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Outcome: Served, Elapsed: -time.Hour, LimitReported: true, Remaining: bad, Limit: math.Inf(1), Final: true}},
-		"limit of nothing":    {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Outcome: Rejected, RetryAfter: -time.Hour, LimitReported: true, Remaining: -1, Limit: bad}},
+		"report out of range": {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Outcome: Served, Elapsed: -time.Hour, LimitReported: true, Remaining: nan, Limit: math.Inf(1), Final: true}},
+		"limit of nothing":    {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Outcome: Rejected, RetryAfter: -time.Hour, LimitReported: true, Remaining: -1, Limit: nan}},
 	} {
 		s := settings()
 		s.RatingIsLimit, s.ZoneFees = true, []float64{0.1}
@@ -171,14 +171,14 @@
 		}
 		r.now += 5 * time.Hour
 		for _, x := range r.sends[sent:] {
-			r.step(r.end(x, TimedOut))
+			r.step(r.result(x, TimedOut))
 		}
 		for _, x := range r.sends[:sent] {
-			r.step(r.end(x, TimedOut))
+			r.step(r.result(x, TimedOut))
 		}
 		r.step(TimerFired{})
-		over := name == "report out of range" || r.failed[1] || r.rejected[1]
-		if !over || r.b.pending != 0 {
+		ended := name == "report out of range" || r.failed[1] || r.rejected[1]
+		if !ended || r.b.pending != 0 {
 			t.Errorf("%s: failed %v, refused %v, %d held", name, r.failed[1], r.rejected[1], r.b.pending)
 		}
 	}
@@ -202,7 +202,7 @@
 		for i := range 5 {
 			for _, x := range r.step(r.message(i%4, 0, 0)) {
 				r.now += 50 * ms
-				r.step(r.end(x, Outcome(i)))
+				r.step(r.result(x, Outcome(i)))
 			}
 		}
 		for range 30 {
@@ -224,8 +224,8 @@
 // listed and so many busy in turn.
 func BenchmarkStep(b *testing.B) {
 	for _, c := range []struct {
-		name               string
-		listed, busy, held int
+		name                  string
+		listed, busy, waiting int
 	}{{"20 listed", 20, 20, 0}, {"1000 listed, 20 busy", 1000, 20, 0}, {"20000 listed, 20 busy", 20000, 20, 0}, {"20000 listed, 20000 busy", 20000, 20000, 0},
 		{"20 listed, 50000 held", 20, 20, 50000}} {
 		b.Run(c.name, func(b *testing.B) {
@@ -240,7 +240,7 @@
 			}
 			br.Step(now, []Event{list})
 			id := MessageID(0)
-			for range c.held {
+			for range c.waiting {
 				id++
 				events = append(events, Message{ID: id, Destination: DestinationID(c.listed), Deadline: now + 1000*time.Hour})
 			}
@@ -253,7 +253,7 @@
 				now += 100 * time.Microsecond
 				events = events[:0]
 				for _, a := range acts {
-					if s, ok := a.(Send); ok && s.Message > MessageID(c.held) {
+					if s, ok := a.(Send); ok && s.Message > MessageID(c.waiting) {
 						events = append(events, AttemptResult{Message: s.Message, Endpoint: s.Endpoint, Outcome: Served, Elapsed: 100 * time.Microsecond, Final: true})
 					}
 				}
--- a/brain/connections_test.go
+++ b/brain/connections_test.go
@@ -24,7 +24,7 @@
 	}
 	s := r.step(r.message(2, 0, 0))
 	r.now += 20 * ms
-	r.step(r.end(s[0], ConnectFailed))
+	r.step(r.result(s[0], ConnectFailed))
 	r.serve(1, 2, 30*ms)
 	if n := closes(5 * time.Second); n == 0 {
 		t.Fatal("idle connections are kept after a connect that failed")
@@ -38,16 +38,16 @@
 	r.now += 2 * time.Second
 	s := r.step(r.message(0, 0, 0))
 	r.now += s[0].Timeout
-	s = r.step(r.end(s[0], TimedOut))
+	s = r.step(r.result(s[0], TimedOut))
 	for i := 0; i < 100 && len(s) == 0; i++ {
 		r.now += 50 * ms
 		s = r.step(TimerFired{})
 	}
 	r.now += 30 * ms
-	r.step(r.end(s[0], Served))
-	kept, _ := r.b.idleTimeout(r.b.endpoints[1])
-	if kept > 1100*ms {
-		t.Fatalf("connections are kept for %v though one idle for 2 s was dropped", kept)
+	r.step(r.result(s[0], Served))
+	idleTimeout, _ := r.b.idleTimeout(r.b.endpoints[1])
+	if idleTimeout > 1100*ms {
+		t.Fatalf("connections are kept for %v though one idle for 2 s was dropped", idleTimeout)
 	}
 }
 
@@ -59,31 +59,31 @@
 	r.b = New(s, 7)
 	r.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 1, Ready: true}, {ID: 2, Ready: true}, {ID: 3, Destination: 1, Ready: true}}})
 	r.serve(1, 0, 50*ms)
-	began := r.now
+	startedAt := r.now
 	sends := r.step(r.message(1, 0, 0))
-	at := map[EndpointID]int{}
+	callsByEndpoint := map[EndpointID]int{}
 	for i := range 4 {
 		for ; len(sends) == 0; r.now += 10 * ms {
-			if r.now-began > 10*time.Second {
+			if r.now-startedAt > 10*time.Second {
 				t.Fatalf("the message waits after %d refusals, its destination in state %d", i, r.b.destinations[0].sharedRoute.state)
 			}
 			sends = r.step(TimerFired{})
 		}
-		at[sends[0].Endpoint]++
+		callsByEndpoint[sends[0].Endpoint]++
 		r.now += 50 * ms
-		end := r.end(sends[0], Rejected)
+		end := r.result(sends[0], Rejected)
 		end.ConnLimitReached = true
 		sends = r.step(end)
 	}
-	if at[1] == 0 || at[2] == 0 {
-		t.Errorf("calls by endpoint %v: one of the two is not tried", at)
+	if callsByEndpoint[1] == 0 || callsByEndpoint[2] == 0 {
+		t.Errorf("calls by endpoint %v: one of the two is not tried", callsByEndpoint)
 	}
 	if d := r.b.destinations[0].sharedRoute; d.state != healthy || d.closedUntil > r.now {
 		t.Errorf("the destination is in state %d, closed for %v", d.state, d.closedUntil-r.now)
 	}
 	// What was seen at one endpoint holds for the kind.
-	if kept, _ := r.b.idleTimeout(r.b.endpoints[3]); kept > s.IdleConnTimeout/100 {
-		t.Errorf("idle connections are still kept for %v", kept)
+	if idleTimeout, _ := r.b.idleTimeout(r.b.endpoints[3]); idleTimeout > s.IdleConnTimeout/100 {
+		t.Errorf("idle connections are still kept for %v", idleTimeout)
 	}
 }
 
@@ -93,8 +93,8 @@
 func TestIdleTimeout_ShorterWithManySenders(t *testing.T) {
 	for senders, want := range map[int]time.Duration{3: 15 * time.Second, 8: 15 * time.Second, 60: 2 * time.Second, 300: 400 * ms} {
 		r := fleetRig(t, senders)
-		if kept, _ := r.b.idleTimeout(r.b.endpoints[1]); kept != want {
-			t.Errorf("%d senders: idle connections are kept for %v, want %v", senders, kept, want)
+		if idleTimeout, _ := r.b.idleTimeout(r.b.endpoints[1]); idleTimeout != want {
+			t.Errorf("%d senders: idle connections are kept for %v, want %v", senders, idleTimeout, want)
 		}
 	}
 }
@@ -109,13 +109,13 @@
 	if len(first) != 1 {
 		t.Fatalf("%d sent", len(first))
 	}
-	refuse := func(s Send) []Send {
+	reject := func(s Send) []Send {
 		r.now += 50 * ms
-		end := r.end(s, Rejected)
+		end := r.result(s, Rejected)
 		end.ConnLimitReached = true
 		return r.step(end)
 	}
-	if s := refuse(first[0]); len(s) != 0 {
+	if s := reject(first[0]); len(s) != 0 {
 		t.Fatalf("%d sent just after the refusal", len(s))
 	}
 	var waiting []Event
@@ -123,8 +123,8 @@
 		waiting = append(waiting, r.message(1, 0, 0))
 	}
 	sends := r.step(waiting...)
-	for began := r.now; len(sends) == 0; sends = r.step(TimerFired{}) {
-		if r.now += 10 * ms; r.now-began > 2*time.Second {
+	for startedAt := r.now; len(sends) == 0; sends = r.step(TimerFired{}) {
+		if r.now += 10 * ms; r.now-startedAt > 2*time.Second {
 			t.Fatal("no connection is tried for")
 		}
 	}
@@ -136,7 +136,7 @@
 			t.Fatalf("%d calls on the connection that stands, after %d: want one at a time", len(sends), i)
 		}
 		r.now += 50 * ms
-		sends = r.step(r.end(sends[0], Served))
+		sends = r.step(r.result(sends[0], Served))
 	}
 	if len(sends) != 0 {
 		t.Fatalf("%d more calls than messages", len(sends))
@@ -151,7 +151,7 @@
 // With 300 senders and one endpoint that takes ten connections, of which opening one takes twice as long as a call, the
 // connections were all idle, and messages used their attempts up on rejections.
 func TestConnLimit_ManySendersAtOneEndpoint(t *testing.T) {
-	const senders, table, perSecond, span = 300, 10, 40, 20 * time.Second
+	const senders, maxConns, perSecond, span = 300, 10, 40, 20 * time.Second
 	s, list := fleetSettings(senders)
 	s.MaxAttempts = 6
 	list.Endpoints = list.Endpoints[:1]
@@ -160,67 +160,67 @@
 		brains[i] = New(s, uint64(i+1))
 		brains[i].Step(time.Hour, []Event{list})
 	}
-	type sent struct {
-		by   int
-		end  AttemptResult
-		at   time.Duration
-		held bool // it stands on a connection
+	type inFlightCall struct {
+		sender  int
+		result  AttemptResult
+		endsAt  time.Duration
+		hasConn bool // it stands on a connection
 	}
-	var open []sent
-	standing, idle := 0, make([]int, senders)
+	var inFlight []inFlightCall
+	openConns, idle := 0, make([]int, senders)
 	tries := map[MessageID]int{}
-	var given, served, refused int
+	var accepted, served, rejected int
 	for now := time.Hour; now < time.Hour+span+10*time.Second; now += 10 * ms {
 		events := make([][]Event, senders)
 		if now < time.Hour+span && int(now/(10*ms))*perSecond%100 < perSecond {
-			given++
-			by := given * 37 % senders
-			events[by] = append(events[by], Message{ID: MessageID(given), Class: 1, Destination: 0, Deadline: now + 10*time.Second})
+			accepted++
+			sender := accepted * 37 % senders
+			events[sender] = append(events[sender], Message{ID: MessageID(accepted), Class: 1, Destination: 0, Deadline: now + 10*time.Second})
 		}
-		still := open[:0]
-		for _, c := range open {
-			if now < c.at {
-				still = append(still, c)
+		remaining := inFlight[:0]
+		for _, c := range inFlight {
+			if now < c.endsAt {
+				remaining = append(remaining, c)
 				continue
 			}
-			events[c.by] = append(events[c.by], c.end)
-			if c.held {
-				idle[c.by]++
+			events[c.sender] = append(events[c.sender], c.result)
+			if c.hasConn {
+				idle[c.sender]++
 			}
 		}
-		open = still
+		inFlight = remaining
 		for i, b := range brains {
 			for _, a := range b.Step(now, append(events[i], TimerFired{})) {
 				switch a := a.(type) {
 				case CloseIdleConns:
-					standing -= idle[i]
+					openConns -= idle[i]
 					idle[i] = 0
 				case Send:
 					end := AttemptResult{Message: a.Message, Attempt: tries[a.Message], Endpoint: 1, Outcome: Served, Final: true, Elapsed: 50 * ms}
 					tries[a.Message]++
-					call := sent{by: i, held: true}
+					call := inFlightCall{sender: i, hasConn: true}
 					switch {
 					case idle[i] > 0:
 						idle[i]--
-					case standing < table:
-						standing++
+					case openConns < maxConns:
+						openConns++
 						end.Elapsed = 150 * ms
 					default:
-						end.Outcome, end.Final, end.ConnLimitReached, call.held = Rejected, false, true, false
+						end.Outcome, end.Final, end.ConnLimitReached, call.hasConn = Rejected, false, true, false
 					}
 					if end.Outcome == Served {
 						served++
 					} else {
-						refused++
+						rejected++
 					}
-					call.end, call.at = end, now+end.Elapsed
-					open = append(open, call)
+					call.result, call.endsAt = end, now+end.Elapsed
+					inFlight = append(inFlight, call)
 				}
 			}
 		}
 	}
-	t.Logf("%d messages, %d served, %d refusals", given, served, refused)
-	if served < given*85/100 {
-		t.Errorf("%d of %d messages served, with %d refusals for want of connections", served, given, refused)
+	t.Logf("%d messages, %d served, %d refusals", accepted, served, rejected)
+	if served < accepted*85/100 {
+		t.Errorf("%d of %d messages served, with %d refusals for want of connections", served, accepted, rejected)
 	}
 }
--- a/brain/dispatch_test.go
+++ b/brain/dispatch_test.go
@@ -26,7 +26,7 @@
 		m := r.message(c.class, 0, 0)
 		s := r.step(m)
 		r.now += c.after
-		r.step(r.end(s[0], c.outcome))
+		r.step(r.result(s[0], c.outcome))
 		for range 40 {
 			r.now += 50 * ms
 			r.step(TimerFired{})
--- a/brain/endpoint_list_test.go
+++ b/brain/endpoint_list_test.go
@@ -24,7 +24,7 @@
 	set := settings()
 	set.RequestsEndpoints = true
 	b := New(set, 1)
-	asks := func(now time.Duration, e ...Event) (n int) {
+	requests := func(now time.Duration, e ...Event) (n int) {
 		for _, a := range b.Step(now, e) {
 			if _, ok := a.(WatchEndpoints); ok {
 				n++
@@ -32,29 +32,29 @@
 		}
 		return n
 	}
-	if asks(0) != 1 || asks(time.Second) != 0 {
+	if requests(0) != 1 || requests(time.Second) != 0 {
 		t.Fatal("the list is watched once from the start")
 	}
-	if asks(2*time.Second, EndpointUpdate{Failed: true}) != 0 || asks(2*time.Second+minListBackoff/2-ms) != 0 || asks(2*time.Second+2*minListBackoff) != 1 {
+	if requests(2*time.Second, EndpointUpdate{Failed: true}) != 0 || requests(2*time.Second+minListBackoff/2-ms) != 0 || requests(2*time.Second+2*minListBackoff) != 1 {
 		t.Fatal("a failed watch is asked for again")
 	}
 	// Each failure in a row doubles the pause, up to one with which a change is heard in the protocol's 6 s; where discovery has
 	// more to do than it can, it is one with which all senders together leave it room.
-	now, pause := 10*time.Second, minListBackoff
+	now, backoff := 10*time.Second, minListBackoff
 	for n := range 12 {
-		news := EndpointUpdate{Failed: true, Overloaded: n >= 6}
-		if pause = min(2*pause, maxListBackoff); news.Overloaded {
-			pause = overloadedListBackoff
+		update := EndpointUpdate{Failed: true, Overloaded: n >= 6}
+		if backoff = min(2*backoff, maxListBackoff); update.Overloaded {
+			backoff = overloadedListBackoff
 		}
-		if asks(now, news) != 0 || asks(now+pause/2-ms) != 0 || asks(now+pause/2+pause) != 1 {
-			t.Fatalf("after a pause of about %v the list is asked for once", pause)
+		if requests(now, update) != 0 || requests(now+backoff/2-ms) != 0 || requests(now+backoff/2+backoff) != 1 {
+			t.Fatalf("after a pause of about %v the list is asked for once", backoff)
 		}
-		now += 2 * pause
+		now += 2 * backoff
 	}
-	if asks(now, EndpointUpdate{Failed: true}) != 0 || asks(now+overloadedListBackoff/2-ms) != 0 || asks(now+2*overloadedListBackoff) != 1 {
+	if requests(now, EndpointUpdate{Failed: true}) != 0 || requests(now+overloadedListBackoff/2-ms) != 0 || requests(now+2*overloadedListBackoff) != 1 {
 		t.Fatal("it is left room until it has answered, also by a call that it turns away at once")
 	}
-	if now += 20 * time.Second; asks(now, EndpointUpdate{}) != 0 || asks(now+1, EndpointUpdate{Failed: true}) != 0 || asks(now+1+2*minListBackoff) != 1 {
+	if now += 20 * time.Second; requests(now, EndpointUpdate{}) != 0 || requests(now+1, EndpointUpdate{Failed: true}) != 0 || requests(now+1+2*minListBackoff) != 1 {
 		t.Fatal("once it was told, pauses begin anew")
 	}
 }
@@ -75,7 +75,7 @@
 		r.now += 300 * ms
 		r.step(list(id+2, id+3)) // they go while their calls are out
 		for _, s := range sends {
-			r.step(r.end(s, Served))
+			r.step(r.result(s, Served))
 		}
 		r.now += 5 * time.Second
 	}
@@ -93,7 +93,7 @@
 	}
 
 	s := r.step(list(7001), r.message(0, 11, 0))
-	e := r.end(s[0], Rejected)
+	e := r.result(s[0], Rejected)
 	e.RetryAfter = 2 * removedRetention
 	r.step(e)
 	r.step(list())
@@ -107,17 +107,17 @@
 // call that has waited for longer than the time-out has failed and is worked through all the same, and calls beyond so
 // much work are rejected at once.
 type discovery struct {
-	each, timeout, maxBacklog time.Duration
-	freeAt                    time.Duration
+	perRequest, timeout, maxBacklog time.Duration
+	freeAt                          time.Duration
 }
 
 // ask is when a call that comes now ends, and whether it is answered.
-func (o *discovery) ask(now time.Duration) (at time.Duration, answered bool) {
+func (o *discovery) request(now time.Duration) (at time.Duration, answered bool) {
 	begin := max(now, o.freeAt)
 	if begin-now > o.maxBacklog {
 		return now, false
 	}
-	o.freeAt = begin + o.each
+	o.freeAt = begin + o.perRequest
 	if o.freeAt-now > o.timeout {
 		return now + o.timeout, false
 	}
@@ -126,56 +126,56 @@
 
 // ask plays a fleet that starts at one moment and tells when each of its senders has heard the list, and how many
 // calls discovery has worked on in vain.
-func ask(senders int, o *discovery, until time.Duration) (heard []time.Duration, inVain int) {
+func runDiscovery(senders int, o *discovery, until time.Duration) (receivedAt []time.Duration, wasted int) {
 	const start = time.Hour
 	s, list := fleetSettings(senders)
 	s.RequestsEndpoints = true
 	brains := make([]*Brain, senders)
-	type end struct {
+	type response struct {
 		at               time.Duration
-		answered, inVain bool
+		answered, wasted bool
 	}
-	ends := make([]*end, senders)
+	responses := make([]*response, senders)
 	for i := range brains {
 		brains[i] = New(s, uint64(i+1))
 	}
 	for now := start; now < start+until; now += 10 * ms {
 		for i, b := range brains {
 			events := []Event{TimerFired{}}
-			if e := ends[i]; e != nil && now >= e.at {
-				ends[i] = nil
-				if events = append(events, EndpointUpdate{Failed: true, Overloaded: e.inVain}); e.answered {
+			if e := responses[i]; e != nil && now >= e.at {
+				responses[i] = nil
+				if events = append(events, EndpointUpdate{Failed: true, Overloaded: e.wasted}); e.answered {
 					events[1] = list
-					heard = append(heard, now-start)
-				} else if e.inVain {
-					inVain++
+					receivedAt = append(receivedAt, now-start)
+				} else if e.wasted {
+					wasted++
 				}
 			}
 			for _, a := range b.Step(now, events) {
 				if _, ok := a.(WatchEndpoints); ok {
-					at, answered := o.ask(now)
-					ends[i] = &end{at, answered, !answered && at > now}
+					at, answered := o.request(now)
+					responses[i] = &response{at, answered, !answered && at > now}
 				}
 			}
 		}
 	}
-	return heard, inVain
+	return receivedAt, wasted
 }
 
 // Eighty senders start at once at a discovery that takes fifteen calls a second and gives each two seconds. Asking again
 // every second or so after a failure they kept it busy with calls that had failed already, and none heard a drain.
 func TestWatchEndpoints_FleetStartsAtOnce(t *testing.T) {
-	for _, each := range []time.Duration{25 * ms, 66 * ms, 100 * ms} { // a call of everyone in 2 to 8 s
-		for _, most := range []time.Duration{2 * time.Second, 5 * time.Second} { // of work that waits, before calls are turned away
-			heard, inVain := ask(80, &discovery{each: each, timeout: 2 * time.Second, maxBacklog: most}, 30*time.Second)
-			if len(heard) != 80 {
-				t.Errorf("%v a call, %v of work: %d of 80 senders have heard the list after 30 s, %d calls in vain", each, most, len(heard), inVain)
+	for _, perRequest := range []time.Duration{25 * ms, 66 * ms, 100 * ms} { // a call of everyone in 2 to 8 s
+		for _, maxBacklog := range []time.Duration{2 * time.Second, 5 * time.Second} { // of work that waits, before calls are turned away
+			receivedAt, wasted := runDiscovery(80, &discovery{perRequest: perRequest, timeout: 2 * time.Second, maxBacklog: maxBacklog}, 30*time.Second)
+			if len(receivedAt) != 80 {
+				t.Errorf("%v a call, %v of work: %d of 80 senders have heard the list after 30 s, %d calls in vain", perRequest, maxBacklog, len(receivedAt), wasted)
 				continue
 			}
-			slices.Sort(heard)
-			t.Logf("%v a call, %v of work: half has heard after %v, all after %v, %d calls in vain", each, most, heard[40], heard[79], inVain)
-			if inVain > 2*80 {
-				t.Errorf("%v a call, %v of work: %d calls in vain: more than two for each sender", each, most, inVain)
+			slices.Sort(receivedAt)
+			t.Logf("%v a call, %v of work: half has heard after %v, all after %v, %d calls in vain", perRequest, maxBacklog, receivedAt[40], receivedAt[79], wasted)
+			if wasted > 2*80 {
+				t.Errorf("%v a call, %v of work: %d calls in vain: more than two for each sender", perRequest, maxBacklog, wasted)
 			}
 		}
 	}
@@ -184,13 +184,13 @@
 // A discovery that was overloaded for long, and rejected calls at once, has some calls of every sender queued when it
 // can answer again: all senders leave it capacity then, and each hears the list within 20 s.
 func TestWatchEndpoints_FleetAfterOverload(t *testing.T) {
-	o := &discovery{each: 66 * ms, timeout: 2 * time.Second, maxBacklog: 5 * time.Second}
+	o := &discovery{perRequest: 66 * ms, timeout: 2 * time.Second, maxBacklog: 5 * time.Second}
 	o.freeAt = time.Hour + 25*time.Second // nothing is answered until then
-	heard, _ := ask(80, o, time.Minute)
-	if len(heard) != 80 {
-		t.Fatalf("%d of 80 senders have heard the list", len(heard))
+	receivedAt, _ := runDiscovery(80, o, time.Minute)
+	if len(receivedAt) != 80 {
+		t.Fatalf("%d of 80 senders have heard the list", len(receivedAt))
 	}
-	if last := slices.Max(heard); last > 45*time.Second {
+	if last := slices.Max(receivedAt); last > 45*time.Second {
 		t.Errorf("the last has heard after %v", last)
 	}
 }
@@ -203,11 +203,11 @@
 	s.HibernateAfter = 5 * time.Minute
 	r := newRig(t, s)
 	r.b = New(s, 7)
-	line := Endpoint{ID: 1, Destination: 4, Kind: 1, Ready: true}
-	r.step(EndpointUpdate{Endpoints: []Endpoint{line}})
-	gone := line
-	gone.Ready = false
-	r.step(EndpointUpdate{Endpoints: []Endpoint{gone}})
+	entry := Endpoint{ID: 1, Destination: 4, Kind: 1, Ready: true}
+	r.step(EndpointUpdate{Endpoints: []Endpoint{entry}})
+	unready := entry
+	unready.Ready = false
+	r.step(EndpointUpdate{Endpoints: []Endpoint{unready}})
 	r.now += time.Second
 	r.step(TimerFired{})
 	if r.b.destinations[4] != nil {
@@ -216,7 +216,7 @@
 	if r.b.endpoints[1] == nil {
 		t.Fatal("its endpoint is not")
 	}
-	r.step(EndpointUpdate{Endpoints: []Endpoint{line}})
+	r.step(EndpointUpdate{Endpoints: []Endpoint{entry}})
 	if d := r.b.destinations[4]; !d.hasEndpointRoutes || d.sharedRoute != nil {
 		t.Errorf("its routes are no longer apart")
 	}
--- a/brain/expiry_test.go
+++ b/brain/expiry_test.go
@@ -23,7 +23,7 @@
 		t.Fatal("a message with no endpoint was not failed in time")
 	}
 	r.now = deadline
-	r.step(r.end(sends[0], TimedOut))
+	r.step(r.result(sends[0], TimedOut))
 	if !r.failed[b.ID] || len(r.b.messages) != 0 || r.b.pending != 0 {
 		t.Fatalf("failed %v, still known %d", r.failed, len(r.b.messages))
 	}
@@ -58,7 +58,7 @@
 	m.PriorAttempts, m.MayHaveRun, m.FirstRunAt = 1, true, r.now-5*time.Second
 	s := r.step(m)[0]
 	r.now += 500 * ms
-	r.step(r.end(s, Errored))
+	r.step(r.result(s, Errored))
 	r.now += 600 * ms
 	if sends := r.step(TimerFired{}); len(sends) != 0 || !r.failed[m.ID] {
 		t.Errorf("past its window: %d sends, failed %v", len(sends), r.failed[m.ID])
--- a/brain/export_test.go
+++ b/brain/export_test.go
@@ -18,11 +18,11 @@
 
 // checkMessages: counts of what is pending, and the rests of keys.
 func (b *Brain) checkMessages() error {
-	held, perDestination := 0, map[*destination]int{}
+	pending, perDestination := 0, map[*destination]int{}
 	for id, m := range b.messages {
 		perDestination[m.destination]++
 		if !m.ended {
-			held++
+			pending++
 		}
 		if waits := !m.ended && m.attemptsInFlight == 0; waits != m.waiting {
 			return fmt.Errorf("message %d is over: %v, with %d calls out, and waits: %v", id, m.ended, m.attemptsInFlight, m.waiting)
@@ -30,20 +30,20 @@
 		if m.destination.removed {
 			return fmt.Errorf("message %d is for a destination that is gone", id)
 		}
-		if t := m.keyQueue; t != nil && !slices.Contains(t.messages, m) {
+		if q := m.keyQueue; q != nil && !slices.Contains(q.messages, m) {
 			return fmt.Errorf("message %d is not in the queue of its key", id)
 		}
 	}
-	if held != b.pending {
-		return fmt.Errorf("%d messages are not over, counted %d", held, b.pending)
+	if pending != b.pending {
+		return fmt.Errorf("%d messages are not over, counted %d", pending, b.pending)
 	}
 	for id, d := range b.destinations {
 		if perDestination[d] != d.pending {
 			return fmt.Errorf("destination %d has %d messages, counted %d", id, perDestination[d], d.pending)
 		}
 	}
-	for key, t := range b.keyQueues {
-		if t.cooldownUntil > b.now && !(t.inCooldownList && slices.Contains(b.coolingDown, t)) {
+	for key, q := range b.keyQueues {
+		if q.cooldownUntil > b.now && !(q.inCooldownList && slices.Contains(b.coolingDown, q)) {
 			return fmt.Errorf("key %d rests and is not among those", key)
 		}
 	}
@@ -71,8 +71,8 @@
 		return fmt.Errorf("%d destinations have waiting messages, %d are listed, or in another order", len(active), len(b.active))
 	}
 	for id, d := range b.destinations {
-		if bare := len(d.endpoints) == 0; bare != (b.emptyDestinations[id] == d) {
-			return fmt.Errorf("destination %d has %d endpoints, and is among those without: %v", id, len(d.endpoints), !bare)
+		if empty := len(d.endpoints) == 0; empty != (b.emptyDestinations[id] == d) {
+			return fmt.Errorf("destination %d has %d endpoints, and is among those without: %v", id, len(d.endpoints), !empty)
 		}
 	}
 	return nil
@@ -87,8 +87,8 @@
 		if !m.waiting || m.destination != d || m.previous != before || before != nil && before.queueSequence >= m.queueSequence {
 			return fmt.Errorf("message %d stands wrong in the queue of its destination", m.ID)
 		}
-		if refusable := !m.mayHaveRun && !m.Resumed; refusable != m.sheddable {
-			return fmt.Errorf("message %d may be refused: %v, and is among those: %v", m.ID, refusable, m.sheddable)
+		if sheddable := !m.mayHaveRun && !m.Resumed; sheddable != m.sheddable {
+			return fmt.Errorf("message %d may be refused: %v, and is among those: %v", m.ID, sheddable, m.sheddable)
 		}
 		if m.sheddable {
 			newest[m.Tenant] = m
--- a/brain/hibernation_days_test.go
+++ b/brain/hibernation_days_test.go
@@ -8,26 +8,26 @@
 )
 
 // attempt is one call of a message.
-type attempt struct {
+type attemptKey struct {
 	message brain.MessageID
 	n       int
 }
 
 // rules are what holds whatever is remembered: nothing goes to an endpoint that is not listed, nor during a
 // retry-after, and each message ends once.
-type rules struct {
-	t      *testing.T
-	seed   uint64
-	ready  map[brain.EndpointID]brain.DestinationID
-	closed map[brain.DestinationID]time.Duration
-	apart  bool
-	ended  map[brain.MessageID]bool
-	out    map[attempt]brain.DestinationID // and where it was sent
-	woken  int                             // sends after a quiet time in which a destination hibernates
-	last   map[brain.DestinationID]time.Duration
+type invariants struct {
+	t                 *testing.T
+	seed              uint64
+	ready             map[brain.EndpointID]brain.DestinationID
+	retryAfterUntil   map[brain.DestinationID]time.Duration
+	hasEndpointRoutes bool
+	ended             map[brain.MessageID]bool
+	inFlight          map[attemptKey]brain.DestinationID // and where it was sent
+	wakeUps           int                                // sends after a quiet time in which a destination hibernates
+	lastSent          map[brain.DestinationID]time.Duration
 }
 
-func (r *rules) check(w *world, events []brain.Event, actions []brain.Action) {
+func (r *invariants) check(w *simulation, events []brain.Event, actions []brain.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case brain.EndpointUpdate:
@@ -41,11 +41,11 @@
 				}
 			}
 		case brain.AttemptResult:
-			k := attempt{e.Message, e.Attempt}
-			if d, out := r.out[k]; out && e.RetryAfter > 0 { // a result that comes twice counts once
-				r.closed[d] = max(r.closed[d], w.now+e.RetryAfter)
+			key := attemptKey{e.Message, e.Attempt}
+			if d, inFlight := r.inFlight[key]; inFlight && e.RetryAfter > 0 { // a result that comes twice counts once
+				r.retryAfterUntil[d] = max(r.retryAfterUntil[d], w.now+e.RetryAfter)
 			}
-			delete(r.out, k)
+			delete(r.inFlight, key)
 		}
 	}
 	for _, a := range actions {
@@ -55,14 +55,14 @@
 			if !ok || d != w.pending[a.Message].msg.Destination {
 				r.t.Fatalf("seed %d at %v: message %d for %d is sent to endpoint %d, which is listed: %v, for %d", r.seed, w.now, a.Message, w.pending[a.Message].msg.Destination, a.Endpoint, ok, d)
 			}
-			if !r.apart && w.now < r.closed[d] {
-				r.t.Fatalf("seed %d at %v: sent to %d, which asked to wait until %v", r.seed, w.now, d, r.closed[d])
+			if !r.hasEndpointRoutes && w.now < r.retryAfterUntil[d] {
+				r.t.Fatalf("seed %d at %v: sent to %d, which asked to wait until %v", r.seed, w.now, d, r.retryAfterUntil[d])
 			}
-			if last, ok := r.last[d]; ok && w.now-last > w.s.HibernateAfter+time.Second {
-				r.woken++
+			if last, ok := r.lastSent[d]; ok && w.now-last > w.settings.HibernateAfter+time.Second {
+				r.wakeUps++
 			}
-			r.last[d] = w.now
-			r.out[attempt{a.Message, w.pending[a.Message].sends}] = d
+			r.lastSent[d] = w.now
+			r.inFlight[attemptKey{a.Message, w.pending[a.Message].sends}] = d
 		case brain.Fail:
 			r.end(w, a.Message)
 		case brain.Reject:
@@ -72,13 +72,13 @@
 }
 
 // restart forgets what a new process does not know: retry-afters and calls in flight.
-func (r *rules) restart() {
-	clear(r.closed)
-	clear(r.out)
+func (r *invariants) restart() {
+	clear(r.retryAfterUntil)
+	clear(r.inFlight)
 	clear(r.ready)
 }
 
-func (r *rules) end(w *world, id brain.MessageID) {
+func (r *invariants) end(w *simulation, id brain.MessageID) {
 	if r.ended[id] {
 		r.t.Fatalf("seed %d at %v: message %d ends twice", r.seed, w.now, id)
 	}
@@ -88,21 +88,21 @@
 // With destinations that hibernate after a moment of quiet the rules hold all the same, and two such Brains
 // decide alike.
 func TestStep_RulesHoldWhileHibernating(t *testing.T) {
-	woken := 0
+	wakeUps := 0
 	for seed := range uint64(600) {
-		w := newWorld(t, seed)
-		w.s.HibernateAfter = time.Duration(1+seed%4) * time.Second
-		w.s.IdleConnTimeout = 500 * time.Millisecond
-		w.make = func() (b, twin *brain.Brain) { return brain.New(w.s, seed), brain.New(w.s, seed) }
-		w.rules = &rules{t: t, seed: seed, ready: map[brain.EndpointID]brain.DestinationID{}, closed: map[brain.DestinationID]time.Duration{},
-			ended: map[brain.MessageID]bool{}, out: map[attempt]brain.DestinationID{}, last: map[brain.DestinationID]time.Duration{}}
-		for _, k := range w.s.Kinds {
-			w.rules.apart = w.rules.apart || k.PerEndpointRoutes
+		w := newSimulation(t, seed)
+		w.settings.HibernateAfter = time.Duration(1+seed%4) * time.Second
+		w.settings.IdleConnTimeout = 500 * time.Millisecond
+		w.newBrains = func() (b, twin *brain.Brain) { return brain.New(w.settings, seed), brain.New(w.settings, seed) }
+		w.invariants = &invariants{t: t, seed: seed, ready: map[brain.EndpointID]brain.DestinationID{}, retryAfterUntil: map[brain.DestinationID]time.Duration{},
+			ended: map[brain.MessageID]bool{}, inFlight: map[attemptKey]brain.DestinationID{}, lastSent: map[brain.DestinationID]time.Duration{}}
+		for _, k := range w.settings.Kinds {
+			w.invariants.hasEndpointRoutes = w.invariants.hasEndpointRoutes || k.PerEndpointRoutes
 		}
-		w.play(250)
-		woken += w.rules.woken
+		w.run(250)
+		wakeUps += w.invariants.wakeUps
 	}
-	if woken < 600 {
-		t.Errorf("only %d calls woke a destination", woken)
+	if wakeUps < 600 {
+		t.Errorf("only %d calls woke a destination", wakeUps)
 	}
 }
--- a/brain/hibernation_test.go
+++ b/brain/hibernation_test.go
@@ -31,10 +31,10 @@
 }
 
 // endAll ends every call in flight, until there is none.
-func (r *rig) endAll(sends []Send, o Outcome) {
+func (r *rig) resolveAll(sends []Send, o Outcome) {
 	for len(sends) > 0 {
 		s := sends[0]
-		sends = append(sends[1:], r.step(r.end(s, o))...)
+		sends = append(sends[1:], r.step(r.result(s, o))...)
 	}
 }
 
@@ -42,9 +42,9 @@
 // unknown destination.
 func TestWakeUp_LearnedValuesAge(t *testing.T) {
 	for _, c := range []struct {
-		sleep          time.Duration
-		tauFrom, tauTo time.Duration
-		window         float64
+		hibernation            time.Duration
+		minTimeout, maxTimeout time.Duration
+		window                 float64
 	}{{2 * time.Minute, 0, time.Second, 5}, {12 * time.Hour, 3900 * ms, restart.FirstTimeout, 1}} {
 		r := hibernatingRig(t)
 		for range 40 {
@@ -55,20 +55,20 @@
 			r.now += 100 * ms
 			for len(sends) > 0 { // each with what it lets go on
 				s := sends[0]
-				sends = append(sends[1:], r.step(r.end(s, Served))...)
+				sends = append(sends[1:], r.step(r.result(s, Served))...)
 			}
 		}
-		was := r.b.destinations[0].sharedRoute.Timeout()
-		if was > time.Second {
-			t.Fatalf("it has learnt a time-out of %v", was)
+		before := r.b.destinations[0].sharedRoute.Timeout()
+		if before > time.Second {
+			t.Fatalf("it has learnt a time-out of %v", before)
 		}
-		r.hibernate(c.sleep)
+		r.hibernate(c.hibernation)
 		d := r.b.destination(0)
-		if tau := d.sharedRoute.Timeout(); tau < c.tauFrom || tau > c.tauTo {
-			t.Errorf("after %v the time-out is %v, it was %v", c.sleep, tau, was)
+		if timeout := d.sharedRoute.Timeout(); timeout < c.minTimeout || timeout > c.maxTimeout {
+			t.Errorf("after %v the time-out is %v, it was %v", c.hibernation, timeout, before)
 		}
 		if w := d.sharedRoute.window.Size; w < c.window || w > 8 || c.window == 1 && w > 1.1 {
-			t.Errorf("after %v the window is %v", c.sleep, w)
+			t.Errorf("after %v the window is %v", c.hibernation, w)
 		}
 	}
 }
@@ -78,18 +78,18 @@
 	r := hibernatingRig(t)
 	r.b.settings.OverloadWindow = time.Hour // such a wait is no outage here
 	s := r.step(r.message(0, 0, 0))
-	e := r.end(s[0], Rejected)
+	e := r.result(s[0], Rejected)
 	e.RetryAfter, e.Final = 10*time.Minute, true
 	r.step(e)
-	over := r.now + 10*time.Minute
+	waitEnds := r.now + 10*time.Minute
 	r.hibernate(4 * time.Minute)
-	for r.now < over {
+	for r.now < waitEnds {
 		if sends := r.step(r.message(0, 0, 0)); len(sends) > 0 {
-			t.Fatalf("sent %v before the wait was over", over-r.now)
+			t.Fatalf("sent %v before the wait was over", waitEnds-r.now)
 		}
 		r.now += 7 * time.Second
 	}
-	r.now = over + 10*ms
+	r.now = waitEnds + 10*ms
 	if sends := r.step(r.message(0, 0, 0)); len(sends) == 0 {
 		t.Error("nothing is sent when the wait is over")
 	}
@@ -123,15 +123,15 @@
 	if len(sends) != 1 {
 		t.Fatalf("%d calls to a receiver that was out", len(sends))
 	}
-	back := r.now
+	returnedAt := r.now
 	before := r.b.destinations[0].sharedRoute.rateBeforeOutage
 	count := 0
 	pending := sends
-	for r.now < back+2*time.Second {
+	for r.now < returnedAt+2*time.Second {
 		r.now += 50 * ms
 		var next []Send
 		for _, s := range pending {
-			next = append(next, r.step(r.end(s, Served))...)
+			next = append(next, r.step(r.result(s, Served))...)
 		}
 		next = append(next, r.step(TimerFired{})...)
 		count += len(next)
@@ -140,38 +140,38 @@
 	if r.b.destinations[0].sharedRoute.state != warmingUp {
 		t.Errorf("it is in state %d", r.b.destinations[0].sharedRoute.state)
 	}
-	if bears := before*2*(0.2+0.8*0.2)*2 + 4; float64(count) > bears {
-		t.Errorf("%d calls in the first 2 s to one that bears %.1f", count, bears)
+	if limit := before*2*(0.2+0.8*0.2)*2 + 4; float64(count) > limit {
+		t.Errorf("%d calls in the first 2 s to one that bears %.1f", count, limit)
 	}
 }
 
 // A rate limit is remembered; hours later its send rate is an even share, and at last it is unknown.
 func TestWakeUp_RateLimitAges(t *testing.T) {
 	for _, c := range []struct {
-		sleep time.Duration
-		limit float64
+		hibernation time.Duration
+		limit       float64
 	}{{2 * time.Minute, 30}, {2 * time.Hour, 30}, {10 * time.Hour, 0}} {
 		r := hibernatingRig(t)
 		for range 30 {
 			r.now += 200 * ms // its pace lets one go in that time
 			s := r.step(r.message(0, 0, 0))
 			r.now += 50 * ms
-			e := r.end(s[0], Served)
+			e := r.result(s[0], Served)
 			e.LimitReported, e.Remaining, e.Limit = true, 0.9, 30
 			r.step(e)
 		}
-		pace := r.b.destinations[0].sharedRoute.sendRate
-		if pace < 20 {
-			t.Fatalf("the pace has grown to %v only", pace)
+		sendRate := r.b.destinations[0].sharedRoute.sendRate
+		if sendRate < 20 {
+			t.Fatalf("the pace has grown to %v only", sendRate)
 		}
-		r.hibernate(c.sleep)
+		r.hibernate(c.hibernation)
 		d := r.b.destination(0)
-		even := r.b.initialSendRate(30)
+		initial := r.b.initialSendRate(30)
 		if d.sharedRoute.limit != c.limit {
-			t.Errorf("after %v the limit is %v", c.sleep, d.sharedRoute.limit)
+			t.Errorf("after %v the limit is %v", c.hibernation, d.sharedRoute.limit)
 		}
-		if p := d.sharedRoute.sendRate; c.limit > 0 && (p < even || p > pace) || c.sleep == 2*time.Hour && math.Abs(p-(even+(pace-even)/4)) > 0.3 {
-			t.Errorf("after %v the pace is %v, it was %v and an even part is %v", c.sleep, p, pace, even)
+		if restored := d.sharedRoute.sendRate; c.limit > 0 && (restored < initial || restored > sendRate) || c.hibernation == 2*time.Hour && math.Abs(restored-(initial+(sendRate-initial)/4)) > 0.3 {
+			t.Errorf("after %v the pace is %v, it was %v and an even part is %v", c.hibernation, restored, sendRate, initial)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	if s := r.step(r.message(0, 0, 0)); len(s) != 1 || s[0].Endpoint != 9 {
 		t.Errorf("%+v", s)
 	}
-	r.step(r.end(r.sends[len(r.sends)-1], Served))
+	r.step(r.result(r.sends[len(r.sends)-1], Served))
 	r.hibernate(3 * time.Minute)
 	// A whole list without it: gone.
 	r.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 2, Destination: 1, Ready: true}}})
@@ -216,7 +216,7 @@
 				}
 			}
 			r.now += 50 * ms
-			r.endAll(s, Served)
+			r.resolveAll(s, Served)
 		}
 	}
 }
@@ -244,17 +244,17 @@
 	if n := len(r.b.hibernated); n != 5000 {
 		t.Fatalf("%d of 5000 are hibernated", n)
 	}
-	began := r.now
-	first, served := map[DestinationID]time.Duration{}, 0
-	type flight struct {
-		s  Send
-		at time.Duration
+	startedAt := r.now
+	firstServed, served := map[DestinationID]time.Duration{}, 0
+	type inFlightCall struct {
+		send   Send
+		endsAt time.Duration
 	}
-	var out []flight
-	dest := map[MessageID]DestinationID{}
-	note := func(sends []Send) {
+	var inFlight []inFlightCall
+	destinationOf := map[MessageID]DestinationID{}
+	track := func(sends []Send) {
 		for _, s := range sends {
-			out = append(out, flight{s, r.now + 20*ms})
+			inFlight = append(inFlight, inFlightCall{s, r.now + 20*ms})
 		}
 	}
 	for tick := 0; served < 1500 && tick < 2000; tick++ {
@@ -263,33 +263,33 @@
 			for k := range 5 {
 				for range 3 {
 					m := r.message(0, DestinationID(tick*5+k), 0)
-					dest[m.ID] = m.Destination
+					destinationOf[m.ID] = m.Destination
 					events = append(events, m)
 				}
 			}
 		}
-		var rest []flight
-		for _, f := range out {
-			if f.at > r.now {
-				rest = append(rest, f)
+		var remaining []inFlightCall
+		for _, f := range inFlight {
+			if f.endsAt > r.now {
+				remaining = append(remaining, f)
 				continue
 			}
-			events = append(events, r.end(f.s, Served))
+			events = append(events, r.result(f.send, Served))
 			served++
-			if d := dest[f.s.Message]; first[d] == 0 {
-				first[d] = r.now - began
+			if d := destinationOf[f.send.Message]; firstServed[d] == 0 {
+				firstServed[d] = r.now - startedAt
 			}
 		}
-		out = rest
-		note(r.step(events...))
+		inFlight = remaining
+		track(r.step(events...))
 		r.now += 10 * ms
 	}
 	if served != 1500 {
 		t.Fatalf("%d of 1500 served, %d failed, %d refused", served, len(r.failed), len(r.rejected))
 	}
-	for d, at := range first {
-		if woke := time.Duration(int(d)/5) * 10 * ms; at-woke > 3*time.Second {
-			t.Errorf("destination %d is first served %v after it woke", d, at-woke)
+	for d, at := range firstServed {
+		if wokenAt := time.Duration(int(d)/5) * 10 * ms; at-wokenAt > 3*time.Second {
+			t.Errorf("destination %d is first served %v after it woke", d, at-wokenAt)
 		}
 	}
 }
@@ -304,15 +304,15 @@
 		awake[e.Destination] = e.Rate
 	}
 	r.hibernate(2 * time.Minute)
-	asleep := map[DestinationID]float64{}
+	hibernated := map[DestinationID]float64{}
 	for _, e := range r.b.UsualRates() {
-		if _, twice := asleep[e.Destination]; twice {
+		if _, twice := hibernated[e.Destination]; twice {
 			t.Errorf("the rate of %d is told twice", e.Destination)
 		}
-		asleep[e.Destination] = e.Rate
+		hibernated[e.Destination] = e.Rate
 	}
-	if len(asleep) != len(awake) || asleep[0] <= asleep[1] || asleep[0] > awake[0] {
-		t.Errorf("awake %v, asleep %v", awake, asleep)
+	if len(hibernated) != len(awake) || hibernated[0] <= hibernated[1] || hibernated[0] > awake[0] {
+		t.Errorf("awake %v, asleep %v", awake, hibernated)
 	}
 }
 
@@ -395,7 +395,7 @@
 				for _, s := range r.step(r.message(0, 1, 0)) {
 					sends++
 					r.now += 20 * ms
-					r.step(r.end(s, Served))
+					r.step(r.result(s, Served))
 				}
 				r.now += time.Second
 			}
--- a/brain/learn_test.go
+++ b/brain/learn_test.go
@@ -12,16 +12,16 @@
 // nothing.
 func TestObservation_OutageByAge(t *testing.T) {
 	for _, c := range []struct {
-		age time.Duration
-		out bool
+		age    time.Duration
+		outage bool
 	}{{0, true}, {10 * time.Second, true}, {29 * time.Second, true}, {40 * time.Second, false}, {time.Hour, false}} {
 		r := newRig(t, settings())
 		r.step(Observation{Health: Unhealthy, HealthFor: c.age + 5*time.Second, HealthAge: c.age, Rate: 4, Window: 9, Samples: 50, MeanLatency: 50 * ms, MedianLatency: 60 * ms, MinLatency: 20 * ms, Timeout: 120 * ms})
 		d := r.b.destination(0).sharedRoute
-		if (d.state == outage) != c.out {
+		if (d.state == outage) != c.outage {
 			t.Fatalf("%v old: state %d", c.age, d.state)
 		}
-		if !c.out {
+		if !c.outage {
 			continue
 		}
 		sends := r.step(r.message(0, 0, 0), r.message(0, 0, 0), r.message(0, 0, 0))
@@ -29,7 +29,7 @@
 			t.Fatalf("%v old: %d calls at once", c.age, len(sends))
 		}
 		r.now += 30 * ms // it had recovered: one call has told so
-		r.step(r.end(sends[0], Served))
+		r.step(r.result(sends[0], Served))
 		if d.state != warmingUp || d.rateBeforeOutage < 4 {
 			t.Errorf("%v old: state %d after it answered, %v calls a second before", c.age, d.state, d.rateBeforeOutage)
 		}
@@ -39,7 +39,7 @@
 // What own calls have shown since wins, both ways.
 func TestObservation_OwnEvidenceWins(t *testing.T) {
 	r := newRig(t, settings())
-	r.widen(3)
+	r.growWindow(3)
 	r.now += 2 * time.Second
 	r.step(Observation{Health: Unhealthy, HealthFor: 10 * time.Second, HealthAge: 5 * time.Second})
 	if d := r.b.destination(0).sharedRoute; d.state != healthy {
@@ -69,10 +69,10 @@
 	if len(sends) != 1 {
 		t.Fatal("no call")
 	}
-	if got := r.recalls(Observation{RetryAfter: 2 * time.Second}, r.message(0, 0, 0)); len(got) != 1 || got[0].Reason != RetryAfterReceived {
+	if got := r.revocations(Observation{RetryAfter: 2 * time.Second}, r.message(0, 0, 0)); len(got) != 1 || got[0].Reason != RetryAfterReceived {
 		t.Errorf("recalled: %v", got)
 	}
-	r.step(r.end(sends[0], Served))
+	r.step(r.result(sends[0], Served))
 	for until := r.now + 2*time.Second; r.now < until; r.now += 50 * ms {
 		if n := len(r.step(TimerFired{})); n > 0 {
 			t.Fatalf("a call with %v of the wait left", until-r.now)
@@ -101,27 +101,27 @@
 // Of a healthy destination latencies and window are learned, the window only in part if another sender saw it, less the
 // older it is, and never over what was seen here.
 func TestObservation_LatencyAndWindow(t *testing.T) {
-	window := func(l Observation) float64 {
+	window := func(o Observation) float64 {
 		r := newRig(t, settings())
-		l.Health, l.Samples, l.MeanLatency, l.MedianLatency, l.MinLatency, l.Timeout = Healthy, 100, 50*ms, 60*ms, 20*ms, 120*ms
-		r.step(l)
+		o.Health, o.Samples, o.MeanLatency, o.MedianLatency, o.MinLatency, o.Timeout = Healthy, 100, 50*ms, 60*ms, 20*ms, 120*ms
+		r.step(o)
 		d := r.b.destination(0).sharedRoute
-		if l.LatencyAge == 0 && (d.Samples == 0 || d.CachedOptimum != 120*ms || d.unresponsiveAfter() >= restart.FirstTimeout) {
-			t.Errorf("%+v: %d calls, bound %v", l, d.Samples, d.CachedOptimum)
+		if o.LatencyAge == 0 && (d.Samples == 0 || d.CachedOptimum != 120*ms || d.unresponsiveAfter() >= restart.FirstTimeout) {
+			t.Errorf("%+v: %d calls, bound %v", o, d.Samples, d.CachedOptimum)
 		}
-		if l.LatencyAge > 10*time.Hour && d.Samples > 0 {
-			t.Errorf("%+v: %d calls", l, d.Samples)
+		if o.LatencyAge > 10*time.Hour && d.Samples > 0 {
+			t.Errorf("%+v: %d calls", o, d.Samples)
 		}
 		return d.window.Size
 	}
-	own, heard := window(Observation{Local: true, Window: 5}), window(Observation{Window: 5})
+	local, remote := window(Observation{Local: true, Window: 5}), window(Observation{Window: 5})
 	stale, none := window(Observation{Window: 5, WindowAge: 30 * time.Minute, LatencyAge: 20 * time.Hour}), window(Observation{})
-	if own != 5 || !(heard < own && heard > none) || !(stale < heard) || none != 1 {
-		t.Errorf("own %v, heard %v, stale %v, none %v", own, heard, stale, none)
+	if local != 5 || !(remote < local && remote > none) || !(stale < remote) || none != 1 {
+		t.Errorf("own %v, heard %v, stale %v, none %v", local, remote, stale, none)
 	}
 	// What is told of one that we have served ourselves changes nothing.
 	r := newRig(t, settings())
-	r.widen(3)
+	r.growWindow(3)
 	d := r.b.destination(0).sharedRoute
 	before, seen := d.window.Size, d.Samples
 	if r.step(Observation{Health: Healthy, Window: 9, Samples: 3, MeanLatency: ms, MedianLatency: ms, Timeout: ms}); d.window.Size != before || d.Samples != seen {
@@ -145,7 +145,7 @@
 // While other senders probe a destination as well, each does so in its turn; and once another has seen it serve, at
 // once.
 func TestProbeShare_OtherProbers(t *testing.T) {
-	tries := func(others int) int {
+	probes := func(others int) int {
 		r := newRig(t, settings())
 		r.beginOutage()
 		n := 0
@@ -157,12 +157,12 @@
 			}
 			for _, s := range r.step(append(events, r.message(2, 0, 0))...) {
 				n++
-				r.step(r.end(s, ConnectFailed))
+				r.step(r.result(s, ConnectFailed))
 			}
 		}
 		return n
 	}
-	alone, shared, many := tries(0), tries(3), tries(100)
+	alone, shared, many := probes(0), probes(3), probes(100)
 	if shared*2 > alone || shared < alone/6 || many < shared-1 {
 		t.Errorf("%d tries alone, %d beside three others, %d beside a hundred", alone, shared, many)
 	}
--- a/brain/observations_test.go
+++ b/brain/observations_test.go
@@ -51,21 +51,21 @@
 		t.Errorf("told again: %+v", n)
 	}
 	r.step(Observation{Destination: 1, Health: Unhealthy, HealthAge: -time.Second, HealthFor: time.Second})
-	for _, l := range r.b.ChangedObservations() {
-		if l.Health == Unhealthy {
-			t.Errorf("hearsay is news: %+v", l)
+	for _, o := range r.b.ChangedObservations() {
+		if o.Health == Unhealthy {
+			t.Errorf("hearsay is news: %+v", o)
 		}
 	}
 	sends := r.step(r.message(0, 2, 0)) // routes apart
-	e := r.end(sends[0], Rejected)
+	e := r.result(sends[0], Rejected)
 	e.RetryAfter = time.Second
 	r.step(e)
 	if n := r.b.ChangedObservations(); len(n) != 1 || n[0].Destination != 2 || n[0].Endpoint != sends[0].Endpoint || n[0].RetryAfter == 0 {
 		t.Errorf("a wait: %+v", n)
 	}
-	quiet := newRig(t, settings())
-	quiet.beginOutage()
-	if len(quiet.b.changedRoutes) != 0 || quiet.b.ChangedObservations() != nil {
+	unreported := newRig(t, settings())
+	unreported.beginOutage()
+	if len(unreported.b.changedRoutes) != 0 || unreported.b.ChangedObservations() != nil {
 		t.Error("news are kept for nobody")
 	}
 }
--- a/brain/ordering_test.go
+++ b/brain/ordering_test.go
@@ -19,7 +19,7 @@
 		t.Fatal("sent while the earlier attempt has no outcome")
 	}
 	r.now += 4 * time.Second
-	e := r.end(s[0], TimedOut)
+	e := r.result(s[0], TimedOut)
 	e.Final = true
 	if s := r.step(e); len(s) != 0 {
 		t.Fatal("the key did not rest after a time-out")
@@ -47,7 +47,7 @@
 			t.Fatalf("key %d: %d sends", key, len(sends))
 		}
 		r.step(Withdrawn{m.ID})
-		r.step(r.end(sends[0], TimedOut))
+		r.step(r.result(sends[0], TimedOut))
 	}
 	leaveUncertain(5)
 	released := r.now
--- a/brain/outage_test.go
+++ b/brain/outage_test.go
@@ -9,7 +9,7 @@
 func TestOutage_HalfFailingDestinationStaysHealthy(t *testing.T) {
 	r := newRig(t, settings())
 	r.serve(30, 0, 20*ms)
-	outs := 0
+	outageSteps := 0
 	for i := range 60 {
 		sends := r.step(r.message(0, 0, 0))
 		r.now += 300 * ms
@@ -19,15 +19,15 @@
 			if i%2 == 0 {
 				o = Errored
 			}
-			ends = append(ends, r.end(x, o))
+			ends = append(ends, r.result(x, o))
 		}
 		r.step(ends...)
 		if r.b.destinations[0].sharedRoute.state == outage {
-			outs++
+			outageSteps++
 		}
 	}
-	if outs > 0 {
-		t.Fatalf("out in %d of 60 steps", outs)
+	if outageSteps > 0 {
+		t.Fatalf("out in %d of 60 steps", outageSteps)
 	}
 }
 
@@ -46,7 +46,7 @@
 // Senders that see an outage begin together must not go on together.
 func TestOutage_SendersSpreadTheirProbes(t *testing.T) {
 	s, list := fleetSettings(100)
-	next := map[time.Duration]int{}
+	firstProbes := map[time.Duration]int{}
 	for seed := range uint64(20) {
 		r := newRig(t, s)
 		r.b = New(s, seed)
@@ -60,9 +60,9 @@
 				break
 			}
 		}
-		next[at/(100*ms)]++
+		firstProbes[at/(100*ms)]++
 	}
-	for at, n := range next {
+	for at, n := range firstProbes {
 		if n > 10 {
 			t.Fatalf("%d of 20 senders go on in the same tenth of a second, %v", n, at)
 		}
--- a/brain/priority_test.go
+++ b/brain/priority_test.go
@@ -27,7 +27,7 @@
 			if s.Timeout < minProbeInterval {
 				t.Errorf("a probe has %v", s.Timeout)
 			}
-			r.step(r.end(s, ConnectFailed))
+			r.step(r.result(s, ConnectFailed))
 		}
 	}
 	if probes == 0 {
--- a/brain/rate_limits_test.go
+++ b/brain/rate_limits_test.go
@@ -17,16 +17,16 @@
 	if c := r.b.callsInFlight; c != 1 {
 		t.Fatalf("a shared call holds %d slots", c)
 	}
-	e1, e2 := r.end(s[0], Rejected), r.end(s[1], Rejected)
+	e1, e2 := r.result(s[0], Rejected), r.result(s[1], Rejected)
 	e1.RetryAfter, e2.RetryAfter = 300*ms, 400*ms
 	r.step(e1)
 	r.now += 10 * ms
 	r.step(e2)
-	over := r.now + 400*ms
-	for r.now < over {
+	waitEnds := r.now + 400*ms
+	for r.now < waitEnds {
 		for _, x := range r.step(r.message(0, 2, 0)) {
 			if x.Endpoint == s[0].Endpoint {
-				t.Fatalf("sent %v before the wait was over", over-r.now)
+				t.Fatalf("sent %v before the wait was over", waitEnds-r.now)
 			}
 		}
 		r.now += 20 * ms
@@ -45,7 +45,7 @@
 		sends := r.step(r.message(0, 0, 0))
 		r.now += 300 * ms
 		for _, x := range sends {
-			e := r.end(x, Served)
+			e := r.result(x, Served)
 			e.LimitReported = true
 			r.step(e)
 		}
@@ -63,7 +63,7 @@
 		served += len(r.step(r.message(0, 0, 0)))
 		r.now += 300 * ms
 		for _, x := range r.sends[len(r.sends)-min(served, 1):] {
-			e := r.end(x, Served)
+			e := r.result(x, Served)
 			e.LimitReported, e.Remaining, e.Limit = true, 0.8, 5
 			r.step(e)
 		}
@@ -78,23 +78,23 @@
 // seconds, and books a call that it refuses like one that it serves: called more often than that all the time, it
 // serves nothing at all.
 type sharedLimit struct {
-	rate, saved float64
-	at          time.Duration
+	rate, tokens float64
+	at           time.Duration
 }
 
-const usedUpSpan = 2 // seconds
+const limitBurstSeconds = 2 // seconds
 
 // left is the share of what it can save up that is left.
 func (l *sharedLimit) remaining(now time.Duration) float64 {
-	l.saved = min(usedUpSpan*l.rate, l.saved+l.rate*(now-l.at).Seconds())
+	l.tokens = min(limitBurstSeconds*l.rate, l.tokens+l.rate*(now-l.at).Seconds())
 	l.at = now
-	return max(0, l.saved/(usedUpSpan*l.rate))
+	return max(0, l.tokens/(limitBurstSeconds*l.rate))
 }
 
 func (l *sharedLimit) call(now time.Duration) (served bool) {
 	l.remaining(now)
-	served = l.saved >= 1
-	l.saved = max(-usedUpSpan*l.rate, l.saved-1)
+	served = l.tokens >= 1
+	l.tokens = max(-limitBurstSeconds*l.rate, l.tokens-1)
 	return served
 }
 
@@ -104,7 +104,7 @@
 // waits.
 func TestSendRate_FleetRecoversWhereRejectionsUseUpLimit(t *testing.T) {
 	const senders, perSecond, limit = 80, 28.0, 32.0
-	const start, until, lag = time.Hour, 60 * time.Second, 300 * ms
+	const start, until, reportLag = time.Hour, 60 * time.Second, 300 * ms
 	s, list := fleetSettings(senders)
 	s.MaxPending = 60
 	brains := make([]*Brain, senders)
@@ -112,20 +112,20 @@
 		brains[i] = New(s, uint64(i+1))
 		brains[i].Step(start, []Event{list})
 	}
-	var ended, open []sent
-	l := &sharedLimit{rate: limit, saved: usedUpSpan * limit, at: start}
-	told := [8]float64{} // what was left, as it was told until now: late
+	var ended, inFlight []inFlightCall
+	l := &sharedLimit{rate: limit, tokens: limitBurstSeconds * limit, at: start}
+	reportedRemaining := [8]float64{} // what was left, as it was told until now: late
 	id, due := MessageID(0), 0.0
-	tries := map[MessageID]int{}
-	taken, served, refused := 0, 0, 0
+	attempts := map[MessageID]int{}
+	accepted, served, rejected := 0, 0, 0
 	for now := start; now < start+until; now += 10 * ms {
 		rate := perSecond
 		if at := now - start; at >= 8*time.Second && at < 10*time.Second {
 			rate *= 3
 		}
 		if tick := int(now / (10 * ms)); tick%5 == 0 {
-			copy(told[1:], told[:])
-			told[0] = l.remaining(now)
+			copy(reportedRemaining[1:], reportedRemaining[:])
+			reportedRemaining[0] = l.remaining(now)
 		}
 		events := make([][]Event, senders)
 		for due += rate / 100; due >= 1; due-- {
@@ -136,12 +136,12 @@
 			}
 			events[i] = append(events[i], Message{ID: id, Destination: 0, Deadline: now + 12*time.Second})
 			if now >= start+30*time.Second {
-				taken++
+				accepted++
 			}
 		}
-		ended, open = endedBy(now, open)
+		ended, inFlight = splitEnded(now, inFlight)
 		for _, c := range ended {
-			events[c.by] = append(events[c.by], c.end)
+			events[c.sender] = append(events[c.sender], c.result)
 		}
 		for i, b := range brains {
 			for _, a := range b.Step(now, append(events[i], TimerFired{})) {
@@ -149,37 +149,37 @@
 				if !ok {
 					continue
 				}
-				end := AttemptResult{Message: call.Message, Attempt: tries[call.Message], Endpoint: call.Endpoint, Outcome: Rejected,
-					Elapsed: 60 * ms, LimitReported: true, Remaining: told[lag/(50*ms)], Limit: limit}
-				tries[call.Message]++
+				result := AttemptResult{Message: call.Message, Attempt: attempts[call.Message], Endpoint: call.Endpoint, Outcome: Rejected,
+					Elapsed: 60 * ms, LimitReported: true, Remaining: reportedRemaining[reportLag/(50*ms)], Limit: limit}
+				attempts[call.Message]++
 				if l.call(now) {
-					end.Outcome, end.Final, end.Elapsed = Served, true, 150*ms
+					result.Outcome, result.Final, result.Elapsed = Served, true, 150*ms
 				}
 				if now >= start+30*time.Second {
-					if end.Outcome == Served {
+					if result.Outcome == Served {
 						served++
 					} else {
-						refused++
+						rejected++
 					}
 				}
-				open = append(open, sent{i, end, now + end.Elapsed})
+				inFlight = append(inFlight, inFlightCall{i, result, now + result.Elapsed})
 			}
 		}
 	}
-	t.Logf("from 30 s on: %d taken, %d served, %d refused", taken, served, refused)
-	if served < taken*9/10 {
-		t.Errorf("%d of %d messages are served 20 s after the surge", served, taken)
+	t.Logf("from 30 s on: %d taken, %d served, %d refused", accepted, served, rejected)
+	if served < accepted*9/10 {
+		t.Errorf("%d of %d messages are served 20 s after the surge", served, accepted)
 	}
-	if refused > taken/10 {
-		t.Errorf("%d calls are refused for %d messages", refused, taken)
+	if rejected > accepted/10 {
+		t.Errorf("%d calls are refused for %d messages", rejected, accepted)
 	}
 }
 
 // Rejections at a limit that is used up say nothing of an outage; those with plenty of it left do.
 func TestRateLimit_UsedUpIsNoOutage(t *testing.T) {
 	for _, c := range []struct {
-		left float64
-		want routeState
+		remaining float64
+		want      routeState
 	}{{0, healthy}, {0.2, healthy}, {0.9, outage}} {
 		r := fleetRig(t, 80)
 		for i := range 6 {
@@ -188,13 +188,13 @@
 			for _, a := range r.b.Step(r.now, []Event{Message{ID: m, Destination: 0, Deadline: r.now + 12*time.Second}}) {
 				if call, ok := a.(Send); ok {
 					r.b.Step(r.now+60*ms, []Event{AttemptResult{Message: m, Endpoint: call.Endpoint, Outcome: Rejected, Elapsed: 60 * ms,
-						LimitReported: true, Remaining: c.left, Limit: 32}})
+						LimitReported: true, Remaining: c.remaining, Limit: 32}})
 				}
 			}
 			r.b.Step(r.now+70*ms, []Event{Withdrawn{m}})
 		}
 		if got := r.b.destinations[0].sharedRoute.state; got != c.want {
-			t.Errorf("with %v of the limit left the state is %d, want %d", c.left, got, c.want)
+			t.Errorf("with %v of the limit left the state is %d, want %d", c.remaining, got, c.want)
 		}
 	}
 }
@@ -203,21 +203,21 @@
 // been heard, as a sender that calls seldom hears it seldom. One with something left does not, and none cuts it below
 // half of an even share.
 func TestSendRate_CutWhereAllowanceIsScarce(t *testing.T) {
-	const limit, even = 32.0, 32.0 / 80
+	const limit, evenShare = 32.0, 32.0 / 80
 	for _, c := range []struct {
-		left   float64
-		gap    time.Duration
-		least  float64 // bounds of the pace after it, as a share of the one before
-		most   float64
-		lowest bool
+		remaining  float64
+		gap        time.Duration
+		minFactor  float64 // bounds of the pace after it, as a share of the one before
+		maxFactor  float64
+		checkFloor bool
 	}{{0.05, 3 * time.Second, 0, 0.5, false}, {0.05, 100 * ms, 0, 1, false}, {0.2, 3 * time.Second, 1, 1, false}, {0.05, time.Minute, 0, 0.5, true}} {
 		r := fleetRig(t, 80)
-		serve := func(n int, left float64) {
+		serve := func(n int, remaining float64) {
 			m := MessageID(n)
 			for _, a := range r.b.Step(r.now, []Event{Message{ID: m, Destination: 0, Deadline: r.now + 12*time.Second}}) {
 				if call, ok := a.(Send); ok {
 					r.b.Step(r.now, []Event{AttemptResult{Message: m, Endpoint: call.Endpoint, Outcome: Served, Final: true, Elapsed: 40 * ms,
-						LimitReported: true, Remaining: left, Limit: limit}})
+						LimitReported: true, Remaining: remaining, Limit: limit}})
 					return
 				}
 			}
@@ -233,17 +233,17 @@
 		if c.gap < time.Second {
 			r.b.destinations[0].sharedRoute.tokens = 1
 		}
-		serve(6, c.left)
+		serve(6, c.remaining)
 		after := r.b.destinations[0].sharedRoute.sendRate
-		if after < c.least*before || after > c.most*before || after < even/2 {
-			t.Errorf("%v left after %v: the pace goes from %v to %v", c.left, c.gap, before, after)
+		if after < c.minFactor*before || after > c.maxFactor*before || after < evenShare/2 {
+			t.Errorf("%v left after %v: the pace goes from %v to %v", c.remaining, c.gap, before, after)
 		}
-		for n := 7; c.lowest && n < 40; n++ {
+		for n := 7; c.checkFloor && n < 40; n++ {
 			r.now += 20 * time.Second
 			serve(n, 0)
 		}
-		if got := r.b.destinations[0].sharedRoute.sendRate; c.lowest && math.Abs(got-even/2) > 1e-9 {
-			t.Errorf("the least pace is %v, half of an even part is %v", got, even/2)
+		if got := r.b.destinations[0].sharedRoute.sendRate; c.checkFloor && math.Abs(got-evenShare/2) > 1e-9 {
+			t.Errorf("the least pace is %v, half of an even part is %v", got, evenShare/2)
 		}
 	}
 }
--- a/brain/recorded_test.go
+++ b/brain/recorded_test.go
@@ -86,7 +86,7 @@
 }
 
 // recordDay plays a day against a Brain alone and writes its actions, and with it the events where listed is set.
-func recordDay(w *world, out io.Writer, listed bool) (actions int) {
+func recordDay(w *simulation, out io.Writer, listed bool) (actions int) {
 	steps := 0
 	w.record = func(events []brain.Event, acts []brain.Action) {
 		fmt.Fprintln(out, "at", int64(w.now))
@@ -119,49 +119,49 @@
 			fmt.Fprintln(out, "rate", k.Destination, k.Rate)
 		}
 	}
-	w.play(batches)
+	w.run(batches)
 	return actions
 }
 
 // serviceDay is a day as in service: destinations hibernate, the fleet grants rates, and other senders tell what they observe.
-func serviceDay(t *testing.T, seed uint64) *world {
-	w := newWorld(t, seed)
-	w.s.Senders = []int{1, 3, 30, 200}[seed%4]
-	w.s.ReportsChanges, w.s.MayCancel = true, true
-	w.s.ZoneFees = []float64{0, 0.3}
+func serviceDay(t *testing.T, seed uint64) *simulation {
+	w := newSimulation(t, seed)
+	w.settings.Senders = []int{1, 3, 30, 200}[seed%4]
+	w.settings.ReportsChanges, w.settings.MayCancel = true, true
+	w.settings.ZoneFees = []float64{0, 0.3}
 	if seed%3 > 0 {
-		w.s.HibernateAfter = time.Duration(1+seed%5) * time.Second
-		w.s.IdleConnTimeout = 500 * ms
+		w.settings.HibernateAfter = time.Duration(1+seed%5) * time.Second
+		w.settings.IdleConnTimeout = 500 * ms
 	}
-	w.fleet = func() []brain.Event {
-		d := brain.DestinationID(w.rng.IntN(w.dests))
+	w.extraEvents = func() []brain.Event {
+		d := brain.DestinationID(w.rng.IntN(w.destinationCount))
 		switch w.rng.IntN(25) {
 		case 0:
 			limited := w.rng.IntN(3) > 0
 			return []brain.Event{brain.RateGrant{Destination: d, Limited: limited, Rate: float64(w.rng.IntN(10)), TotalRate: float64(w.rng.IntN(40))}}
 		case 1:
-			var at brain.EndpointID
+			var endpoint brain.EndpointID
 			if w.rng.IntN(2) == 0 {
-				at = brain.EndpointID(w.rng.IntN(int(w.nextE) + 1))
-				d = w.dest[at]
+				endpoint = brain.EndpointID(w.rng.IntN(int(w.lastEndpoint) + 1))
+				d = w.destinationOf[endpoint]
 			}
-			some := func(most time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(most))) }
-			k := brain.Observation{Destination: d, Endpoint: at, Local: w.rng.IntN(2) == 0, Health: brain.Health(w.rng.IntN(4)), HealthFor: some(20 * time.Second),
-				HealthAge: some(40 * time.Second), Rate: float64(w.rng.IntN(20)), OtherProbers: w.rng.IntN(5)}
+			randomDuration := func(limit time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(limit))) }
+			o := brain.Observation{Destination: d, Endpoint: endpoint, Local: w.rng.IntN(2) == 0, Health: brain.Health(w.rng.IntN(4)), HealthFor: randomDuration(20 * time.Second),
+				HealthAge: randomDuration(40 * time.Second), Rate: float64(w.rng.IntN(20)), OtherProbers: w.rng.IntN(5)}
 			if w.rng.IntN(2) == 0 {
-				k.Samples, k.MeanLatency, k.MedianLatency, k.MinLatency, k.Timeout, k.LatencyAge = w.rng.IntN(100), some(time.Second), some(time.Second), some(200*ms), some(5*time.Second), some(3*time.Hour)
-				k.Window, k.WindowAge = float64(w.rng.IntN(20)), some(10*time.Minute)
+				o.Samples, o.MeanLatency, o.MedianLatency, o.MinLatency, o.Timeout, o.LatencyAge = w.rng.IntN(100), randomDuration(time.Second), randomDuration(time.Second), randomDuration(200*ms), randomDuration(5*time.Second), randomDuration(3*time.Hour)
+				o.Window, o.WindowAge = float64(w.rng.IntN(20)), randomDuration(10*time.Minute)
 			}
 			if w.rng.IntN(3) == 0 {
-				k.Limit, k.LimitAge = float64(w.rng.IntN(30)), some(time.Hour)
+				o.Limit, o.LimitAge = float64(w.rng.IntN(30)), randomDuration(time.Hour)
 			}
 			if w.rng.IntN(4) == 0 {
-				k.RetryAfter = some(4 * time.Second)
+				o.RetryAfter = randomDuration(4 * time.Second)
 			}
 			if w.rng.IntN(2) == 0 {
-				k.OutageFor = some(time.Minute)
+				o.OutageFor = randomDuration(time.Minute)
 			}
-			return []brain.Event{k}
+			return []brain.Event{o}
 		}
 		return nil
 	}
@@ -211,8 +211,8 @@
 	for _, kind := range []struct {
 		name string
 		days int
-		day  func(*testing.T, uint64) *world
-	}{{"plain", plainDays, newWorld}, {"service", serviceDays, serviceDay}} {
+		day  func(*testing.T, uint64) *simulation
+	}{{"plain", plainDays, newSimulation}, {"service", serviceDays, serviceDay}} {
 		t.Run(kind.name, func(t *testing.T) {
 			days := kind.days
 			if testing.Short() && !*update {
--- a/brain/revocation_test.go
+++ b/brain/revocation_test.go
@@ -7,7 +7,7 @@
 )
 
 // recalls gives the recalls of a step.
-func (r *rig) recalls(events ...Event) []Revoke {
+func (r *rig) revocations(events ...Event) []Revoke {
 	var all []Revoke
 	for _, a := range r.b.Step(r.now, events) {
 		switch a := a.(type) {
@@ -22,7 +22,7 @@
 }
 
 // widen serves calls side by side until so many may be in flight.
-func (r *rig) widen(n int) {
+func (r *rig) growWindow(n int) {
 	r.Helper()
 	for range 50 {
 		var all []Event
@@ -35,7 +35,7 @@
 			r.now += 50 * ms
 			all = nil
 			for _, s := range sends {
-				all = append(all, r.end(s, Served))
+				all = append(all, r.result(s, Served))
 			}
 			sends = r.step(all...)
 		}
@@ -53,12 +53,12 @@
 		want []RevokeReason // of the second and third call; the first is what the destination answers
 	}{
 		"a wait": {func(r *rig, c []Send) []Event {
-			e := r.end(c[0], Rejected)
+			e := r.result(c[0], Rejected)
 			e.RetryAfter = time.Second
 			return []Event{e}
 		}, []RevokeReason{RetryAfterReceived, RetryAfterReceived}},
-		"a pause":   {func(r *rig, c []Send) []Event { return []Event{r.end(c[0], Rejected)} }, nil},
-		"an answer": {func(r *rig, c []Send) []Event { return []Event{r.end(c[0], Served)} }, nil},
+		"a pause":   {func(r *rig, c []Send) []Event { return []Event{r.result(c[0], Rejected)} }, nil},
+		"an answer": {func(r *rig, c []Send) []Event { return []Event{r.result(c[0], Served)} }, nil},
 		"a drain":   {func(r *rig, c []Send) []Event { return []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}} }, []RevokeReason{EndpointRemoved, EndpointRemoved, EndpointRemoved}},
 		"a list again": {func(r *rig, c []Send) []Event {
 			return []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true}}}}
@@ -66,7 +66,7 @@
 		"other's drain": {func(r *rig, c []Send) []Event { return []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: 2}}}} }, nil},
 		"withdrawn":     {func(r *rig, c []Send) []Event { return []Event{Withdrawn{c[1].Message}} }, []RevokeReason{MessagesEnded}},
 		"an outage": {func(r *rig, c []Send) []Event {
-			e := r.end(c[0], Rejected)
+			e := r.result(c[0], Rejected)
 			e.RetryAfter = r.b.settings.OverloadWindow + time.Second // shut
 			r.step(e)
 			r.now += 2*r.b.settings.OverloadWindow + time.Second
@@ -74,20 +74,20 @@
 		}, nil}, // they were recalled with the wait, once
 	} {
 		r := newRig(t, settings())
-		r.widen(3)
+		r.growWindow(3)
 		calls := r.step(r.message(0, 0, 0), r.message(0, 0, 0), r.message(0, 0, 0))
 		if len(calls) != 3 {
 			t.Fatalf("%s: %d calls", name, len(calls))
 		}
 		r.now += 10 * ms
 		var got []RevokeReason
-		for _, a := range r.recalls(c.then(r, calls)...) {
+		for _, a := range r.revocations(c.then(r, calls)...) {
 			got = append(got, a.Reason)
 		}
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
-		if again := r.recalls(EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}); name == "a drain" && len(again) > 0 {
+		if again := r.revocations(EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}); name == "a drain" && len(again) > 0 {
 			t.Errorf("%s: recalled twice", name)
 		}
 	}
@@ -96,32 +96,32 @@
 // In an outage a new probe revokes an earlier one that is still to be written.
 func TestRevoke_NewProbeRevokesEarlierOne(t *testing.T) {
 	r := newRig(t, settings())
-	r.widen(5)
+	r.growWindow(5)
 	var all []Event
 	for range 9 {
 		all = append(all, r.message(0, 0, 0))
 	}
 	r.step(all...)
-	out, last := map[MessageID]bool{}, MessageID(0)
+	revoked, lastSent := map[MessageID]bool{}, MessageID(0)
 	for range 200 { // nothing is answered
 		r.now += 100 * ms
 		for _, a := range r.b.Step(r.now, []Event{TimerFired{}}) {
 			switch a := a.(type) {
 			case Revoke:
-				out[a.Message] = true
+				revoked[a.Message] = true
 			case Send:
-				last = a.Message
+				lastSent = a.Message
 			}
 		}
 	}
-	if last == 0 || out[last] || len(out) != 8 {
-		t.Errorf("recalled %v, the last one sent is %d", out, last)
+	if lastSent == 0 || revoked[lastSent] || len(revoked) != 8 {
+		t.Errorf("recalled %v, the last one sent is %d", revoked, lastSent)
 	}
 }
 
 // A call that was revoked in time counts as no attempt, however often; one that was not sent for another reason does.
 func TestRevoke_CountsAsNoAttempt(t *testing.T) {
-	for _, recalled := range []bool{true, false} {
+	for _, revoked := range []bool{true, false} {
 		s := settings()
 		s.MaxAttempts = 2
 		r := newRig(t, s)
@@ -131,8 +131,8 @@
 			if len(sends) == 0 {
 				break
 			}
-			e := r.end(sends[0], NotSent)
-			e.Revoked = recalled
+			e := r.result(sends[0], NotSent)
+			e.Revoked = revoked
 			r.step(e)
 			for range 100 {
 				r.now += 50 * ms
@@ -141,8 +141,8 @@
 				}
 			}
 		}
-		if r.failed[m.ID] == recalled {
-			t.Errorf("recalled %v: failed %v after %d tries", recalled, r.failed[m.ID], r.attempts[m.ID])
+		if r.failed[m.ID] == revoked {
+			t.Errorf("recalled %v: failed %v after %d tries", revoked, r.failed[m.ID], r.attempts[m.ID])
 		}
 	}
 }
--- a/brain/rig_test.go
+++ b/brain/rig_test.go
@@ -69,7 +69,7 @@
 	return Message{ID: r.next, Class: class, Destination: dest, OrderingKey: key, Deadline: r.now + 20*time.Second}
 }
 
-func (r *rig) end(s Send, o Outcome) AttemptResult {
+func (r *rig) result(s Send, o Outcome) AttemptResult {
 	return AttemptResult{Message: s.Message, Attempt: r.attempts[s.Message] - 1, Endpoint: s.Endpoint, Outcome: o,
 		Elapsed: r.now - r.sentAt[s.Message], Final: o == Served}
 }
@@ -81,7 +81,7 @@
 		sends := r.step(r.message(0, dest, 0))
 		r.now += latency
 		for _, s := range sends {
-			r.step(r.end(s, Served))
+			r.step(r.result(s, Served))
 		}
 		r.now += 20 * ms
 	}
@@ -97,7 +97,7 @@
 		sends := r.step(r.message(1, 0, 0))
 		for len(sends) > 0 {
 			s := sends[0]
-			sends = append(sends[1:], r.step(r.end(s, ConnectFailed))...)
+			sends = append(sends[1:], r.step(r.result(s, ConnectFailed))...)
 		}
 		r.now += 200 * ms
 	}
@@ -126,16 +126,16 @@
 }
 
 // sent is a call of one sender of many, and how it ends.
-type sent struct {
-	by  int
-	end AttemptResult
-	at  time.Duration
+type inFlightCall struct {
+	sender int
+	result AttemptResult
+	endsAt time.Duration
 }
 
 // endedBy parts the calls that have ended by now from those in flight.
-func endedBy(now time.Duration, calls []sent) (ended, open []sent) {
+func splitEnded(now time.Duration, calls []inFlightCall) (ended, open []inFlightCall) {
 	for _, c := range calls {
-		if now < c.at {
+		if now < c.endsAt {
 			open = append(open, c)
 		} else {
 			ended = append(ended, c)
--- a/brain/route_test.go
+++ b/brain/route_test.go
@@ -25,7 +25,7 @@
 		r.now += 10 * ms
 		var ends []Event
 		for _, x := range s {
-			ends = append(ends, r.end(x, Served))
+			ends = append(ends, r.result(x, Served))
 		}
 		s = r.step(ends...)
 		if n := r.b.destinations[0].sharedRoute.callsInFlight; float64(n) >= restart.SlotShare*10 {
--- a/brain/shedding_test.go
+++ b/brain/shedding_test.go
@@ -35,7 +35,7 @@
 	for n := 0; len(sends) > 0; n++ {
 		s := sends[0]
 		r.now += 20 * ms
-		sends = append(sends[1:], r.step(r.end(s, Served))...)
+		sends = append(sends[1:], r.step(r.result(s, Served))...)
 	}
 	if want := set.MaxPending; len(r.attempts) != want || len(r.rejected) != 1 || len(r.failed) != 0 {
 		t.Errorf("%d of %d messages are tried, %d refused, %d given up", len(r.attempts), want, len(r.rejected), len(r.failed))
@@ -49,19 +49,19 @@
 	set.OverShareValue = 0.05
 	set.Tenants = []Tenant{{Allowance: 10}, {Allowance: 10}, {Allowance: 10}}
 	r := newRig(t, set)
-	owner := map[MessageID]int{}
+	tenantOf := map[MessageID]int{}
 	for i := range 400 {
 		m := r.message(2, 9, 0)
 		if i%10 < 2 {
 			m.Tenant = 1 + i%2
 		}
-		owner[m.ID] = m.Tenant
+		tenantOf[m.ID] = m.Tenant
 		r.step(m)
 		r.now += 10 * ms
 	}
 	others := 0
 	for id := range r.rejected {
-		if owner[id] > 0 {
+		if tenantOf[id] > 0 {
 			others++
 		}
 	}
--- a/brain/timeouts_test.go
+++ b/brain/timeouts_test.go
@@ -21,11 +21,11 @@
 	r := newRig(t, settings())
 	s := r.step(r.message(0, 0, 0))
 	r.now += 100 * ms
-	r.step(r.end(s[0], Rejected))
+	r.step(r.result(s[0], Rejected))
 	r.now += time.Second
 	s = r.step(TimerFired{})
 	r.now += 100 * ms
-	r.step(r.end(s[0], Served))
+	r.step(r.result(s[0], Served))
 	if n := r.b.destinations[0].sharedRoute.Samples; n != 0 {
 		t.Fatalf("%d samples from a repeat", n)
 	}
@@ -73,7 +73,7 @@
 			if r.now += 20 * ms; i%5 == 0 || i%5 == 1 {
 				lost[x.Message] = true
 			} else {
-				r.step(r.end(x, Served))
+				r.step(r.result(x, Served))
 			}
 		}
 	}
--- a/brain/usual_rates_test.go
+++ b/brain/usual_rates_test.go
@@ -10,31 +10,31 @@
 func TestUsualRates_OutlastTheProcess(t *testing.T) {
 	before := newRig(t, settings())
 	before.serve(300, 0, 80*ms) // ten a second
-	var kept []Event
+	var restored []Event
 	for _, e := range before.b.UsualRates() {
 		if e.Destination == 0 && (e.Rate < 5 || e.Rate > 15) {
 			t.Errorf("a rate of %.1f where ten a second are served", e.Rate)
 		}
-		kept = append(kept, e)
+		restored = append(restored, e)
 	}
-	rate := func(facts ...Event) float64 {
+	rate := func(events ...Event) float64 {
 		t.Helper()
 		r := newRig(t, settings())
-		r.step(facts...)
+		r.step(events...)
 		r.beginOutage()
 		return r.b.recoveryRate(r.b.destination(0).sharedRoute)
 	}
-	knew := rate(kept...)
-	if new := rate(); knew < 2*new {
-		t.Errorf("%.2f calls a second, %.2f without what was known", knew, new)
+	withRates := rate(restored...)
+	if without := rate(); withRates < 2*without {
+		t.Errorf("%.2f calls a second, %.2f without what was known", withRates, without)
 	}
 	before.beginOutage()
-	if same := before.b.recoveryRate(before.b.destination(0).sharedRoute); knew > 1.1*same {
-		t.Errorf("%.2f calls a second, %.2f in the process that went on", knew, same)
+	if continued := before.b.recoveryRate(before.b.destination(0).sharedRoute); withRates > 1.1*continued {
+		t.Errorf("%.2f calls a second, %.2f in the process that went on", withRates, continued)
 	}
 	for _, x := range []float64{math.NaN(), math.Inf(1), -1, 0} {
-		if odd := rate(UsualRate{Rate: x}); odd != rate() {
-			t.Errorf("a rate of %v counts: %.2f", x, odd)
+		if invalid := rate(UsualRate{Rate: x}); invalid != rate() {
+			t.Errorf("a rate of %v counts: %.2f", x, invalid)
 		}
 	}
 }
