--- a/brain/restart/oracle.go
+++ b/brain/restart/oracle.go
@@ -22,16 +22,17 @@
 	sampleDecay = 1.005
 	// nearOptimal is the factor of the minimum of Ê within which bounds are equally good.
 	nearOptimal = 1.1
-	// answeredQuantile is the share of the answered calls that a time-out must leave.
+	// answeredQuantile is the share of the answered calls that must be answered within the time-out.
 	answeredQuantile = 0.99
-	// answeredFactor is how many times their latency it leaves, as the next one may be slower than any sample.
+	// answeredFactor is the multiple of their latency that the time-out is at least, as the next call may be slower than
+	// any sample.
 	answeredFactor = 2
 
 	// MinSamples is the number of samples below which a time-out is FirstTimeout or more.
 	MinSamples = 20
-	// ExploreEvery is how often a first attempt runs until its deadline: one in so many, at random.
+	// ExploreEvery is how often a first attempt runs until its deadline: one of so many, selected at random.
 	ExploreEvery = 20
-	// ExploreWeight is the weight of the sample of such an attempt, as it stands for so many.
+	// ExploreWeight is the weight of the sample of such an attempt, as it represents so many attempts.
 	ExploreWeight = 20
 )
 
@@ -54,7 +55,7 @@
 	doubledAt      time.Duration
 }
 
-// AddSample adds the latency of a first attempt, or one that was never answered if late is set.
+// AddSample adds the latency of a first attempt. If late is set, the attempt was never answered.
 func (o *Oracle) AddSample(d time.Duration, weight float64, late bool) {
 	for k := range o.buckets {
 		o.buckets[k].count /= sampleDecay
@@ -84,9 +85,9 @@
 	return mean/f + (1-f)/f*(tau+restartCost)
 }
 
-// Optimum is the argmin of Ê. Where the curve is flat its minimum is accidental and may be too short, so of the bounds that
-// are equally good the longest is taken: it restarts less. Nor does it abort calls that would be answered: a retry takes as
-// long, and the first attempt may still run.
+// Optimum returns the argmin of Ê. Where the curve is flat, the position of its minimum is accidental and may be too
+// short, so the longest of the equally good bounds is taken, which restarts least. The time-out also leaves time for
+// calls that would be answered: a retry takes as long, and the first attempt may still be running.
 func (o *Oracle) Optimum() time.Duration {
 	if !o.dirty {
 		return cmp.Or(o.CachedOptimum, FirstTimeout)
@@ -138,7 +139,7 @@
 	}
 }
 
-// Timeout is the current time-out: the optimum, or the doubled one after an expiry.
+// Timeout returns the current time-out: the optimum, or the doubled one after an expiry.
 func (o *Oracle) Timeout() time.Duration {
 	if o.doubledTimeout > 0 {
 		return o.doubledTimeout
@@ -156,21 +157,21 @@
 	}
 }
 
-// ResetTimeout ends the doubling: a first attempt was served.
+// ResetTimeout ends the doubling after a first attempt was served.
 func (o *Oracle) ResetTimeout() { o.doubledTimeout = 0 }
 
-// Remembered is what is kept of the latencies of a destination or route.
+// Remembered is the stored summary of the latencies of a destination or route.
 type Remembered struct {
-	Samples       int     // calls that the latencies rest on
+	Samples       int     // calls that the latencies are based on
 	MeanSeconds   float64 // mean latency, in seconds
 	MedianLatency time.Duration
 	MinLatency    time.Duration
 	Timeout       time.Duration // optimum of the restart time-out
 }
 
-// Restore restores remembered latencies, weighted by trust (0 to 1). Of the histogram a few calls remain, at the median:
-// enough until there are new samples, and few enough for those to dominate soon. The less trust there is, the closer the
-// time-out is to that of an unknown destination.
+// Restore restores remembered latencies, weighted by trust (0 to 1). The histogram is restored as a few samples at the
+// median: enough until there are new samples, and few enough for those to dominate soon. The less trust there is, the
+// closer the time-out is to that of an unknown destination.
 func (o *Oracle) Restore(r Remembered, trust float64) {
 	o.Samples = int(min(float64(r.Samples), MinSamples-1) * trust)
 	o.MinLatency = time.Duration(float64(r.MinLatency) * trust)
--- a/brain/restart/policy_test.go
+++ b/brain/restart/policy_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// undecided is the files of package brain that decide nothing: its documentation, its interface, and records.
-var undecided = []string{"actions.go", "destination.go", "doc.go", "events.go", "observations.go", "queue.go", "settings.go"}
+// excludedFiles are the files of package brain that make no decision: its documentation, its interface, and records.
+var excludedFiles = []string{"actions.go", "destination.go", "doc.go", "events.go", "observations.go", "queue.go", "settings.go"}
 
 // The deploy file names the files of the decision module: each of package restart, and each of package brain that decides
 // something. A file that is split or renamed has to be named there.
@@ -32,7 +32,7 @@
 		assert.NilError(t, err)
 		for _, file := range files {
 			name := filepath.Base(file)
-			if !strings.HasSuffix(name, "_test.go") && !(folder == "brain" && slices.Contains(undecided, name)) {
+			if !strings.HasSuffix(name, "_test.go") && !(folder == "brain" && slices.Contains(excludedFiles, name)) {
 				want = append(want, folder+"/"+name)
 			}
 		}
--- a/brain/restart/window.go
+++ b/brain/restart/window.go
@@ -19,22 +19,22 @@
 	halvedAt time.Duration
 }
 
-// MaxWindow is the maximum of the window for so many slots.
+// MaxWindow returns the maximum of the window for the given number of slots.
 func MaxWindow(slots int) float64 { return math.Ceil(SlotShare*float64(slots)) - 1 }
 
-// Limit is how many calls may be in flight. With half, for a destination that fails, is slow or does not answer, the
-// maximum is halved.
+// Limit returns how many calls may be in flight. With half, for a destination that fails, is slow or does not answer,
+// the maximum is halved.
 func (w *Window) Limit(slots int, half bool) int {
-	most := MaxWindow(slots)
+	maxSize := MaxWindow(slots)
 	if half {
-		most = math.Floor(most / 2)
+		maxSize = math.Floor(maxSize / 2)
 	}
-	return max(1, int(min(most, w.Size)))
+	return max(1, int(min(maxSize, w.Size)))
 }
 
-// RecordSuccess records a call that was served while so many others were in flight. A window that is not used says
-// nothing about what the destination can take: it grows only while in use, and shrinks otherwise, so that few calls are
-// lost at a destination that stops answering.
+// RecordSuccess records a call that was served while the given number of others were in flight. A window that is not
+// used says nothing about what the destination can take: it grows only while in use, and shrinks otherwise, so that few
+// calls are lost at a destination that stops answering.
 func (w *Window) RecordSuccess(others, slots int) {
 	if used := float64(others + 1); 2*used >= w.Size {
 		w.Grow(slots)
@@ -46,7 +46,7 @@
 // Grow widens the window by one.
 func (w *Window) Grow(slots int) { w.Size = min(w.Size+1, max(1, MaxWindow(slots))) }
 
-// Halve halves the window for a call that was lost, once for all calls that were in flight at the last time.
+// Halve halves the window for a call that was lost, once for all calls that were in flight at the last halving.
 func (w *Window) Halve(sent, now time.Duration) {
 	if sent >= w.halvedAt {
 		w.Size, w.halvedAt = max(1, w.Size/2), now
