--- a/brain/actions.go
+++ b/brain/actions.go
@@ -10,7 +10,7 @@
 type Action interface{ action() }
 
 // Send starts an attempt of a message at an endpoint, which times out after Timeout. Attempts of a message
-// are numbered from 0 in the order of their Sends. Sends of one step to one endpoint may travel in one call,
+// are numbered from 0 in the order of their Sends. Sends of one step to one endpoint may share one call,
 // up to Kind.MaxBatch.
 type Send struct {
 	Message  MessageID
@@ -19,8 +19,8 @@
 }
 
 // Revoke withdraws the permission to write an attempt, as it would not be sent now. An attempt of which
-// nothing was written yet ends as NotSent, at once and without use of its connection; for any other it has no
-// effect. It may be carried out before all other actions of its step, and is never too late.
+// nothing was written yet ends as NotSent at once, without using its connection; on any other attempt Revoke
+// has no effect. It may be carried out before all other actions of its step, and a late one does no harm.
 type Revoke struct {
 	Message MessageID
 	Attempt int
@@ -31,31 +31,31 @@
 type RevokeReason uint8
 
 const (
-	// RetryAfterReceived says that the route has asked for a wait meanwhile.
+	// RetryAfterReceived means that a retry-after for the route has been received meanwhile.
 	RetryAfterReceived RevokeReason = iota
-	// EndpointRemoved says that the endpoint drains or is gone.
+	// EndpointRemoved means that the endpoint drains or was removed.
 	EndpointRemoved
-	// RouteOutage says that an outage of the route has begun, or that another probe has gone there since.
+	// RouteOutage means that an outage of the route has begun, or that a later probe has been sent to it.
 	RouteOutage
-	// MessagesEnded says that all messages of the call have ended.
+	// MessagesEnded means that all messages of the call have ended.
 	MessagesEnded
 )
 
-// String is the reason as operators read it.
+// String returns the reason as operators read it.
 func (r RevokeReason) String() string {
 	return [...]string{"told to wait", "off the list", "in an outage", "over"}[r]
 }
 
-// Reject ends a message and tells its client that it may safely try again after RetryAfter.
+// Reject ends a message. Its client may safely try again after RetryAfter.
 type Reject struct {
 	Message    MessageID
-	RetryAfter time.Duration // 0 if clients are told none
+	RetryAfter time.Duration // 0 if clients get no retry-after
 }
 
-// Fail ends a message. It says nothing of whether an attempt has run.
+// Fail ends a message. An attempt of it may or may not have run.
 type Fail struct{ Message MessageID }
 
-// Cancel stops waiting for an attempt, which ends as Cancelled or as it would have.
+// Cancel stops waiting for an attempt. The attempt ends as Cancelled, or with an outcome that came first.
 type Cancel struct {
 	Message MessageID
 	Attempt int
@@ -64,10 +64,10 @@
 // CloseIdleConns closes the connections to an endpoint that have no call.
 type CloseIdleConns struct{ Endpoint EndpointID }
 
-// SetTimer asks for TimerFired at clock time At. A new one replaces the last.
+// SetTimer requests TimerFired at clock time At. A new timer replaces the last one.
 type SetTimer struct{ At time.Duration }
 
-// WatchEndpoints asks for the endpoint list and its changes.
+// WatchEndpoints requests the endpoint list and its changes.
 type WatchEndpoints struct{}
 
 // Log is a line for the operators.
--- a/brain/backoff.go
+++ b/brain/backoff.go
@@ -5,12 +5,12 @@
 const (
 	// minRetryBackoff is the back-off of a message after its first failed attempt; it doubles.
 	minRetryBackoff = 150 * time.Millisecond
-	// maxRetryDoublings bounds it.
+	// maxRetryDoublings bounds how often that back-off doubles.
 	maxRetryDoublings = 4
 )
 
-// backoffEntry says that a message must not be sent before a time. Entries of messages that no longer wait
-// are left in the heap, and skipped when they come up.
+// backoffEntry is a message with the time before which it must not be sent. Entries of messages that no
+// longer wait stay in the heap and are skipped when they reach the top.
 type backoffEntry struct {
 	until   time.Duration
 	message *message
@@ -52,7 +52,7 @@
 	}
 }
 
-// next is the earliest end of a back-off after now.
+// next returns the earliest end of a back-off after now, and whether there is one.
 func (h *backoffHeap) next(now time.Duration) (time.Duration, bool) {
 	for len(*h) > 0 {
 		if p := (*h)[0]; p.until > now && p.message.waiting && p.message.notBefore == p.until {
@@ -63,8 +63,8 @@
 	return 0, false
 }
 
-// wakeForBackoffs asks to be woken for the messages of a destination to which nothing can be sent now: at the
-// end of the first back-off, and of the cool-down of an ordering key whose first message was not sent yet.
+// wakeForBackoffs schedules the next step for a destination to which nothing can be sent now: at the end
+// of the first back-off, and of the cool-down of an ordering key whose first message was not sent yet.
 func (b *Brain) wakeForBackoffs(d *destination) {
 	if at, ok := d.backoffs.next(b.now); ok {
 		b.wakeAt(at)
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -7,10 +7,10 @@
 	"saffronyard.example/saffronyard/brain/restart"
 )
 
-// never is a time that does not come.
+// never is later than any time on the clock.
 const never = time.Duration(math.MaxInt64)
 
-// Brain makes the decisions of one sender. Make one with New.
+// Brain makes the decisions of one sender. It is created with New.
 type Brain struct {
 	settings Settings
 	random   uint64 // state of the random number generator
@@ -18,8 +18,8 @@
 	// The current step.
 	now       time.Duration
 	startedAt time.Duration // time of the first step
-	nextWake  time.Duration // the earliest time that this step asks to be woken at
-	timerAt   time.Duration // the earliest timer that is set, never if none
+	nextWake  time.Duration // the earliest time at which another step is needed
+	timerAt   time.Duration // the earliest timer that is set; never if none is set
 	actions   []Action
 
 	// Messages and ordering keys.
@@ -31,20 +31,20 @@
 	expiries              expiryHeap // of all waiting messages
 	keyQueues             map[uint64]*keyQueue
 	releasedKeyQueues     []*keyQueue // to be deleted once empty and cooled down
-	coolingDown           []*keyQueue // with some whose cool-down is over
-	cooldownsAfterPruning int         // of those, at the last pruning
+	coolingDown           []*keyQueue // may include queues whose cool-down is over
+	cooldownsAfterPruning int         // length of coolingDown after the last pruning
 
-	// Destinations, endpoints and routes. Sequence numbers are those of first mention.
+	// Destinations, endpoints and routes. Sequence numbers are assigned at first mention.
 	lastSequence      uint64
 	destinations      map[DestinationID]*destination
 	destinationOrder  []*destination // by sequence
 	emptyDestinations map[DestinationID]*destination
 	active            []*destination // with waiting messages, by sequence
 	endpoints         map[EndpointID]*endpoint
-	removedEndpoints  map[EndpointID]*endpoint // that left the list and may have calls in flight
+	removedEndpoints  map[EndpointID]*endpoint // left the list, may have calls in flight
 	routeCount        int
 	nextListRequest   time.Duration
-	listBackoff       time.Duration // after the last failed request for the list, 0 since one was answered
+	listBackoff       time.Duration // after the last failed request for the list; 0 after an answered one
 
 	// Calls in flight.
 	callsInFlight    int
@@ -58,13 +58,13 @@
 	// Tenants and rate limits.
 	tenants          []tenant
 	tenantRatesAt    time.Duration
-	tenantShare      float64 // this sender's part of the tenants' shares
-	tenantShareValid bool    // until the next message
+	tenantShare      float64 // this sender's fraction of each tenant's allowance
+	tenantShareValid bool    // until the next message of a tenant
 	rateGrants       map[DestinationID]RateGrant
 
 	// Idle connections.
-	idleEndpoints             []*endpoint // some of them no longer idle
-	idleEndpointsAfterPruning int         // of those, at the last pruning
+	idleEndpoints             []*endpoint // may include endpoints that are no longer idle
+	idleEndpointsAfterPruning int         // length of idleEndpoints after the last pruning
 	lastIdleSequence          uint64
 	idleTimeouts              []time.Duration // by kind of destination
 	reducedEndpoints          []*endpoint     // with an idleReduction
@@ -77,7 +77,8 @@
 	changedRoutes       []*route // whose health or retry-after has changed since ChangedObservations
 }
 
-// New makes a Brain that knows nothing but its settings. All its random choices follow from seed.
+// New returns a Brain without destinations, messages and observations. All its random choices are derived
+// from seed.
 func New(s Settings, seed uint64) *Brain {
 	b := &Brain{
 		settings:            s,
@@ -102,8 +103,9 @@
 	return b
 }
 
-// Step takes in all events of a batch, then decides once, and returns the actions in the order in which they
-// are to be carried out. Time never goes back: a batch dated before the last one is taken as of the last one.
+// Step applies all events of a batch, then decides once, and returns the actions in the order in which they
+// must be carried out. Time never goes back: a batch with an earlier time than the last one is processed at
+// the time of the last one.
 func (b *Brain) Step(now time.Duration, events []Event) []Action {
 	now = max(now, b.now)
 	b.now, b.nextWake, b.actions = now, never, nil
@@ -123,7 +125,7 @@
 			b.admit(e)
 		case AttemptResult:
 			b.handleResult(e)
-		case TimerFired: // the clock may be coarser than ours: one that comes a little early is the one set
+		case TimerFired: // the caller's clock may be coarser: up to a StepInterval early counts as on time
 			if b.timerAt <= now+b.settings.StepInterval {
 				b.timerAt = never
 			}
@@ -161,7 +163,7 @@
 	return b.actions
 }
 
-// wakeAt asks for a step at t at the latest.
+// wakeAt requests a step at t at the latest.
 func (b *Brain) wakeAt(t time.Duration) { b.nextWake = min(b.nextWake, t) }
 
 // draw returns a random number below n (splitmix64).
@@ -173,10 +175,10 @@
 	return (z ^ z>>31) % n
 }
 
-// jitter returns a random time from half of d to one and a half times d, so that senders which were rejected
-// together do not come back together.
+// jitter returns a random time from half of d to one and a half times d, so that senders which were
+// rejected together do not retry together.
 func (b *Brain) jitter(d time.Duration) time.Duration { return d/2 + time.Duration(b.draw(uint64(d))) }
 
-// randomPhase returns a random part of a call, from -0.5 to 0.5, for the tokens of a route: senders that fail
-// or begin together do not go on in step.
+// randomPhase returns a random fraction of a call, from -0.5 to 0.5, as the initial tokens of a route:
+// senders that observe an outage or a slow start at the same time must not send in step.
 func (b *Brain) randomPhase() float64 { return float64(b.draw(1000))/1000 - 0.5 }
--- a/brain/connections.go
+++ b/brain/connections.go
@@ -7,28 +7,32 @@
 )
 
 const (
-	// minEndpointConns is how many connections any endpoint takes from all senders together.
+	// minEndpointConns is the least number of connections that an endpoint accepts from all senders
+	// together.
 	minEndpointConns = 8
-	// idleTimeoutDivisor divides the idle time-out of a kind where idle connections do harm.
+	// idleTimeoutDivisor divides the idle time-out of a kind after a failed connect, as idle connections
+	// may have used up the limit of the endpoint.
 	idleTimeoutDivisor = 4
-	// idleTimeoutGrowth is the part of the full idle time-out that each call served gives back.
+	// idleTimeoutGrowth is the fraction of the full idle time-out that each served call adds to a reduced
+	// one.
 	idleTimeoutGrowth = 0.002
-	// connLimitGrowth is how many more connections each call served lets an endpoint be tried with.
+	// connLimitGrowth is how much each served call raises the connection limit of an endpoint.
 	connLimitGrowth = 0.1
 )
 
-// idleTimeout is how long idle connections to e are kept, and to all endpoints of its kind. How many
-// connections an endpoint takes is unknown: it shows in connects that fail, and then idle ones are kept
-// shorter there. What a sender with few calls sees at one endpoint holds for the kind, as others see the
-// same; one with many calls has seen for itself. Of the few connections that any endpoint takes, each of many
-// senders has a part only, and keeps its own accordingly shorter.
+// idleTimeout returns how long idle connections to e are kept, and the idle time-out of its kind. The
+// connection limit of an endpoint is unknown until connects fail; idle connections to it are then kept for
+// a shorter time. A sender with few calls applies the time-out of the kind, as other senders observe the
+// same failures; a sender with many calls relies on its own observations. Every endpoint accepts only a
+// few connections: with many senders each has less than one of them, and keeps its own for an accordingly
+// shorter time.
 func (b *Brain) idleTimeout(e *endpoint) (timeout time.Duration, kindTimeout *time.Duration) {
-	evenConns := min(1, b.evenShare(minEndpointConns))
+	connShare := min(1, b.evenShare(minEndpointConns))
 	for len(b.idleTimeouts) <= e.Kind {
-		b.idleTimeouts = append(b.idleTimeouts, time.Duration(evenConns*float64(b.settings.IdleConnTimeout)))
+		b.idleTimeouts = append(b.idleTimeouts, time.Duration(connShare*float64(b.settings.IdleConnTimeout)))
 	}
 	timeout, kindTimeout = b.settings.IdleConnTimeout, &b.idleTimeouts[e.Kind]
-	if b.outageThreshold(e.route) < maxOutageThreshold/2 || evenConns < 1 {
+	if b.outageThreshold(e.route) < maxOutageThreshold/2 || connShare < 1 {
 		timeout = *kindTimeout
 	}
 	return max(0, timeout-e.idleReduction), kindTimeout
@@ -51,9 +55,9 @@
 	}
 }
 
-// hasConnCapacity reports whether a call may be sent to e as far as connections go. An endpoint that has
-// refused a connection gets no more of them than it had then, and a little more with each call served; those
-// are used one call after the other before another one is tried.
+// hasConnCapacity reports whether the connection limit of e allows another call. An endpoint that has
+// refused a connection gets no more connections than it had then, plus connLimitGrowth for each served
+// call. Open connections are used for one call after another before a new connection is tried.
 func (b *Brain) hasConnCapacity(e *endpoint) bool {
 	if e.connLimit == 0 || !b.needsNewConn(e) {
 		return true
@@ -76,20 +80,20 @@
 	return e.callsInFlight == 0 && b.now >= e.idleSince+b.settings.IdleConnTimeout
 }
 
-// recordConnLimit records that e has refused a connection. All senders are refused at once, and each comes
-// back at a time of its own.
+// recordConnLimit records that e has refused a connection. All senders are refused at the same time, so
+// each retries after a back-off with jitter.
 func (b *Brain) recordConnLimit(e *endpoint) {
 	e.connLimit = max(1, float64(e.callsInFlight))
 	if b.now >= e.connectBackoffUntil {
 		e.connectBackoff = min(max(2*e.connectBackoff, minRejectionBackoff), maxRejectionBackoff)
 		e.connectBackoffUntil = b.now + b.jitter(e.connectBackoff)
 	}
-	// An endpoint that was never called would be taken for the quickest.
+	// Without a latency, an endpoint that was never called would be selected as the fastest.
 	e.recentLatency = max(e.recentLatency, e.route.recentLatency)
 }
 
-// recordConnSuccess records that a was served in so many seconds: more connections may be open, and kept for
-// longer.
+// recordConnSuccess records that a was served after the given seconds. It raises the connection limit and
+// the idle time-outs.
 func (b *Brain) recordConnSuccess(m *message, a *attempt, seconds float64) {
 	e := a.endpoint
 	gain := time.Duration(idleTimeoutGrowth * float64(b.settings.IdleConnTimeout))
@@ -100,7 +104,7 @@
 	if e.connLimit > 0 {
 		e.connLimit += connLimitGrowth
 	}
-	if e.idleReduction == 0 { // it is long since it refused a connection
+	if e.idleReduction == 0 { // no connection was refused for a long time
 		e.connLimit = 0
 	}
 	// An attempt on an idle connection was lost and the next one was served quickly: the endpoint, or
@@ -124,8 +128,8 @@
 		e.inIdleList = true
 		b.idleEndpoints = append(b.idleEndpoints, e)
 	}
-	// Endpoints that have a call again, or whose connections the transport has closed, are pruned now and
-	// then.
+	// From time to time, prune endpoints that have a call again or whose connections the transport has
+	// closed.
 	if len(b.idleEndpoints) > 2*b.idleEndpointsAfterPruning+pruneSlack {
 		remaining := b.idleEndpoints[:0]
 		for _, e := range b.idleEndpoints {
@@ -140,9 +144,9 @@
 	}
 }
 
-// idleCloseCandidates returns the endpoints whose idle connections may have to be closed before the transport
-// does it, in the order of becoming idle: those with a reduction, or all while the idle time-out of some kind
-// is reduced.
+// idleCloseCandidates returns the endpoints whose idle connections may have to be closed before the
+// transport closes them, in the order of becoming idle: those with a reduction, or all endpoints while the
+// idle time-out of some kind is reduced.
 func (b *Brain) idleCloseCandidates() []*endpoint {
 	b.idleScratch = b.idleScratch[:0]
 	for _, timeout := range b.idleTimeouts {
--- a/brain/dispatch.go
+++ b/brain/dispatch.go
@@ -4,7 +4,7 @@
 	"saffronyard.example/saffronyard/brain/restart"
 )
 
-// candidate is the message that a destination would send next, and where to.
+// candidate is the message that a destination would send next, and its endpoint.
 type candidate struct {
 	destination *destination
 	message     *message
@@ -39,7 +39,7 @@
 	clear(used) // so that messages that were sent are not kept in memory
 }
 
-// bestCandidate is what d would send next; its message is nil if nothing can be sent now.
+// bestCandidate returns what d would send next; its message is nil if nothing can be sent now.
 func (b *Brain) bestCandidate(d *destination) (best candidate) {
 	if d.waiting == 0 || len(d.endpoints) == 0 {
 		return best
@@ -47,7 +47,7 @@
 	b.usableEndpoints = b.usableEndpoints[:0]
 	closed := d.sharedRoute != nil && !b.accepts(d.sharedRoute)
 	for _, e := range d.endpoints {
-		// Further sends would join the call that was sent to e in this step.
+		// A further send would join the call to e of this step, which startCall has filled.
 		full := b.maxBatch(e) > 1 && e.lastSentAt == b.now && e.callsInFlight > 0
 		if full || !b.hasConnCapacity(e) {
 			continue
@@ -74,7 +74,7 @@
 	return best
 }
 
-// ready reports whether m may be sent now, as far as its back-off and its ordering key go.
+// ready reports whether the back-off and the ordering key of m allow it to be sent now.
 func (b *Brain) ready(m *message) bool {
 	if b.now < m.notBefore {
 		b.wakeAt(m.notBefore)
@@ -92,7 +92,7 @@
 	return true
 }
 
-// startCall sends m, and with it the best other messages that the call may carry.
+// startCall sends m, together with the messages of the highest priority that fit into the same call.
 func (b *Brain) startCall(m *message, e *endpoint) {
 	r := e.route
 	c := &call{route: r, endpoint: e, sentAt: b.now, probe: r.state == outage}
@@ -129,14 +129,14 @@
 	}
 }
 
-// startAttempt sends m with the call c. The time-out is the oracle's where a repeat would be allowed then,
-// else the time left to the deadline.
+// startAttempt sends m in the call c. The time-out is that of the oracle if a repeat would be allowed then,
+// otherwise the time left to the deadline.
 func (b *Brain) startAttempt(m *message, c *call) {
 	r := c.route
 	timeLeft := m.Deadline - b.now
 	timeout := r.Timeout()
 	if c.probe {
-		timeout = max(r.unresponsiveAfter(), minProbeInterval) // doubling would leave an outage unwatched
+		timeout = max(r.unresponsiveAfter(), minProbeInterval) // doubling would make probes too rare
 	}
 	a := attempt{call: c, timeout: timeLeft, toDeadline: true}
 	first := m.attemptCount() == 0
@@ -145,7 +145,7 @@
 	}
 	restartable := m.class.Idempotency == Idempotent
 	if m.class.Idempotency == IdempotentByKey {
-		timeout = min(timeout, m.class.IdempotencyKeyTTL/2) // a repeat needs time to be served in the window
+		timeout = min(timeout, m.class.IdempotencyKeyTTL/2) // a repeat must be served within the TTL, too
 		from := b.now
 		if m.mayHaveRun {
 			from = m.firstRunAt
@@ -173,8 +173,8 @@
 	b.actions = append(b.actions, Send{m.ID, c.endpoint.ID, a.timeout})
 }
 
-// candidateHeap is a binary heap: the highest priority first, among equals the destination that was mentioned
-// first.
+// candidateHeap is a binary heap: the highest priority first, and equal priorities by sequence of the
+// destination.
 type candidateHeap []candidate
 
 func (h candidateHeap) less(i, j int) bool {
--- a/brain/endpoint_list.go
+++ b/brain/endpoint_list.go
@@ -5,39 +5,41 @@
 )
 
 const (
-	// minListBackoff is the mean back-off after the first failed request for the endpoint list; it doubles.
+	// minListBackoff is the mean back-off after the first failed request for the endpoint list. It doubles
+	// with each further failure.
 	minListBackoff = 250 * time.Millisecond
-	// maxListBackoff bounds it, as a change is to be heard of within 6 s whatever has failed.
+	// maxListBackoff bounds that back-off, as a change must be received within 6 s whatever has failed.
 	maxListBackoff = time.Second
-	// overloadedListBackoff is the back-off after a request on which discovery worked in vain: with it all
-	// senders leave discovery enough capacity.
+	// overloadedListBackoff is the back-off after a request that discovery processed but did not answer in
+	// time. With it, the requests of all senders leave discovery enough capacity.
 	overloadedListBackoff = 6 * time.Second
 	// startupListSpread is the time over which many senders that start at once spread their first requests,
 	// so that all are answered within 6 s.
 	startupListSpread = 5 * time.Second
-	// removedRetention is how long something that left the list is remembered: longer than any outage or
-	// retry-after.
+	// removedRetention is how long a route or destination that left the list is kept: longer than any outage
+	// or retry-after.
 	removedRetention = 2 * time.Minute
 )
 
-// handleEndpointUpdate applies a change of the list, or requests the list again later. All senders share
-// discovery, and requests that it works on in vain cost it as much as others: if all senders ask again at
-// once, none is answered. A request that was rejected at once, or that never arrived, costs it nothing.
+// handleEndpointUpdate applies a change of the list, or schedules a retry of a failed request. All senders
+// share discovery, and a request that discovery does not answer in time costs it as much as any other: if
+// all senders retried at once, none would be answered. A request that was rejected at once, or that never
+// arrived, costs discovery nothing.
 func (b *Brain) handleEndpointUpdate(update EndpointUpdate) {
 	if !update.Failed {
 		b.listBackoff = 0
 		b.applyEndpoints(update)
 	} else if b.settings.RequestsEndpoints {
-		pause := min(max(2*b.listBackoff, minListBackoff), maxListBackoff)
+		backoff := min(max(2*b.listBackoff, minListBackoff), maxListBackoff)
 		if update.Overloaded {
-			pause = overloadedListBackoff
+			backoff = overloadedListBackoff
 		}
-		b.listBackoff = max(b.listBackoff, pause)
+		b.listBackoff = max(b.listBackoff, backoff)
 		b.nextListRequest = b.now + b.jitter(b.listBackoff)
 	}
 }
 
-// applyEndpoints takes over the list. An endpoint that drains or is gone gets no new call from this step on.
+// applyEndpoints applies the list. An endpoint that drains or is gone gets no new call from this step on.
 func (b *Brain) applyEndpoints(update EndpointUpdate) {
 	listed := map[EndpointID]bool{}
 	for _, e := range update.Endpoints {
@@ -67,7 +69,7 @@
 	b.forgetRemoved()
 }
 
-// addEndpoint takes a ready endpoint into its destination.
+// addEndpoint adds a ready endpoint to its destination.
 func (b *Brain) addEndpoint(entry Endpoint) {
 	entry.Kind, entry.Zone = max(0, entry.Kind), max(0, entry.Zone)
 	d := b.destination(entry.Destination)
@@ -85,7 +87,7 @@
 			e.route = d.sharedRoute
 		}
 	}
-	if d.sharedRoute == nil { // also of one that was forgotten while its endpoint was not
+	if d.sharedRoute == nil { // also if the destination was deleted while its endpoint was kept
 		d.hasEndpointRoutes = true
 	}
 	e.Endpoint, e.listed = entry, true
@@ -100,8 +102,8 @@
 	}
 }
 
-// removeEndpoint takes an endpoint out of its destination. It is remembered for a while, with its calls in
-// flight.
+// removeEndpoint removes an endpoint from its destination. The endpoint and its calls in flight are kept for
+// a while.
 func (b *Brain) removeEndpoint(id EndpointID) {
 	b.wakeUpByEndpoint(id)
 	if e := b.endpoints[id]; e != nil {
@@ -113,15 +115,15 @@
 		if len(d.endpoints) == 0 {
 			b.emptyDestinations[e.Destination] = d
 		}
-		if d.sharedRoute == nil { // a message that was not sent yet goes by the first one's route
+		if d.sharedRoute == nil { // unsent messages expire by the route of the first endpoint
 			b.rescheduleExpiries(d)
 		}
 	}
 }
 
 // forgetRemoved deletes what has left the list for good, as ids are never used again: endpoints without a
-// call and their own routes, and destinations without endpoints or messages. A retry-after or an outage
-// outlasts a gap in the list, so routes and destinations are remembered for removedRetention.
+// call, with their own routes, and destinations without endpoints or messages. A retry-after or an outage
+// must survive a gap in the list, so routes and destinations are kept for removedRetention.
 func (b *Brain) forgetRemoved() {
 	forgettable := func(r *route) bool {
 		quietFor := b.now - max(r.lastSentAt, r.refilledAt)
@@ -155,7 +157,7 @@
 	}
 }
 
-// releaseRoute stops counting a route that is forgotten.
+// releaseRoute subtracts a deleted route from the number of routes, once.
 func (b *Brain) releaseRoute(r *route) {
 	if r != nil && !r.removed {
 		r.removed = true
@@ -163,7 +165,7 @@
 	}
 }
 
-// removeFirst returns list without the first x, in a new array if there was one.
+// removeFirst returns list without its first x. If there is one, the result is a new array.
 func removeFirst[T comparable](list []T, x T) []T {
 	for i, y := range list {
 		if y == x {
--- a/brain/expiry.go
+++ b/brain/expiry.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// expiresAt is when m, which waits, can no longer be served in time, or may no longer be repeated: at once if
-// it has no attempt left.
+// expiresAt returns when a waiting message m can no longer be served in time, or may no longer be repeated:
+// -never if m has no attempt left or may not be repeated at all.
 func (b *Brain) expiresAt(m *message) time.Duration {
 	if b.settings.MaxAttempts > 0 && m.attemptCount() >= b.settings.MaxAttempts {
 		return -never
 	}
-	quickest := m.route().MinLatency
-	last := m.Deadline - max(quickest, b.settings.StepInterval)
+	minLatency := m.route().MinLatency
+	latest := m.Deadline - max(minLatency, b.settings.StepInterval)
 	if m.mayHaveRun && m.class.Idempotency != Idempotent {
 		if m.class.Idempotency != IdempotentByKey {
 			return -never
 		}
-		last = min(last, m.firstRunAt+m.class.IdempotencyKeyTTL-quickest-b.settings.StepInterval)
+		latest = min(latest, m.firstRunAt+m.class.IdempotencyKeyTTL-minLatency-b.settings.StepInterval)
 	}
-	return last
+	return latest
 }
 
 // failExpired fails the messages that have expired, in the order of arrival, and deletes the queues of
 // ordering keys that are no longer used.
 func (b *Brain) failExpired() {
-	gone, next := b.takeExpired()
-	slices.SortFunc(gone, func(x, y *message) int { return cmp.Compare(x.arrival, y.arrival) })
-	for _, m := range gone {
+	expired, next := b.takeExpired()
+	slices.SortFunc(expired, func(x, y *message) int { return cmp.Compare(x.arrival, y.arrival) })
+	for _, m := range expired {
 		b.actions = append(b.actions, Fail{m.ID})
 		b.closeMessage(m)
 	}
@@ -36,34 +36,34 @@
 	b.deleteReleasedKeyQueues()
 }
 
-// takeExpired takes the expired messages out of their queues and returns them, with the time at which the
-// next one expires; never if none does.
-func (b *Brain) takeExpired() (gone []*message, next time.Duration) {
+// takeExpired removes the expired messages from their queues and returns them, with the time at which the
+// next message expires; never if no message is left.
+func (b *Brain) takeExpired() (expired []*message, next time.Duration) {
 	for len(b.expiries.messages) > 0 {
 		m := b.expiries.messages[0]
-		if due := b.expiresAt(m); due != m.expiryDue { // it has become later
+		if due := b.expiresAt(m); due != m.expiryDue { // its time has become later
 			b.expiries.move(m, due)
 			continue
 		}
 		if m.expiryDue > b.now {
-			return gone, m.expiryDue
+			return expired, m.expiryDue
 		}
 		b.dequeue(m)
-		gone = append(gone, m)
+		expired = append(expired, m)
 	}
-	return gone, never
+	return expired, never
 }
 
-// rescheduleExpiries moves the waiting messages of d in Brain.expiries. It is called where they may expire
-// earlier than before; one that expires later is moved when its old time has come.
+// rescheduleExpiries updates the waiting messages of d in Brain.expiries. It must be called where they may
+// expire earlier than before; a message that expires later is moved when its old time has come.
 func (b *Brain) rescheduleExpiries(d *destination) {
 	for m := d.firstWaiting; m != nil; m = m.next {
 		b.expiries.move(m, b.expiresAt(m))
 	}
 }
 
-// expiryHeap is a binary heap of messages by expiryDue. A message knows its index, so that it can be moved
-// and removed.
+// expiryHeap is a binary heap of messages by expiryDue. Each message stores its index, so that it can be
+// moved and removed.
 type expiryHeap struct{ messages []*message }
 
 func (h *expiryHeap) less(i, j int) bool { return h.messages[i].expiryDue < h.messages[j].expiryDue }
@@ -101,14 +101,14 @@
 	}
 }
 
-// add puts m in, due at its time.
+// add inserts m by its expiryDue.
 func (h *expiryHeap) add(m *message) {
 	m.heapIndex = len(h.messages)
 	h.messages = append(h.messages, m)
 	h.up(m.heapIndex)
 }
 
-// remove takes m out.
+// remove deletes m from the heap.
 func (h *expiryHeap) remove(m *message) {
 	i, last := m.heapIndex, len(h.messages)-1
 	if i != last {
--- a/brain/hibernation.go
+++ b/brain/hibernation.go
@@ -9,23 +9,24 @@
 	"saffronyard.example/saffronyard/brain/restart"
 )
 
-// A destination that has been quiet for Settings.HibernateAfter, with no message pending and no call in
-// flight, is kept as a record of a few hundred bytes; its histogram, queues and route are freed. It wakes up
-// with its first message and with any change of its endpoints; every access by name goes through destination,
-// removeEndpoint or addEndpoint, which do that. Hibernation changes what was learned, by the rule in
-// trust.go, and nothing that was told: a retry-after, a drain, an outage and the slow start after it outlast
-// it unchanged.
+// A destination that has been idle for Settings.HibernateAfter, with no message pending and no call in
+// flight, is reduced to a record of a few hundred bytes; its histogram, queues and route are freed. Its first
+// message and any change of its endpoints wake it up: every access by id goes through destination,
+// removeEndpoint or addEndpoint, which do that. Learned values lose weight during hibernation, as trust.go
+// describes. A retry-after, a drain, an outage and the slow start after an outage survive hibernation
+// unchanged.
 
 const (
-	// maxHibernationsPerStep bounds the work of one step: a list of tens of thousands does not hold one up.
+	// maxHibernationsPerStep bounds the work of one step, so that tens of thousands of idle destinations
+	// do not delay it.
 	maxHibernationsPerStep = 64
 	// minHibernatedLimitTrust is the trust below which a rate limit counts as unknown, after about four
 	// hours.
 	minHibernatedLimitTrust = 0.05
 )
 
-// hibernatedDestination is a quiet destination with its route. Rates are calls a second, times are of the
-// clock; figures that are known only roughly are stored in short forms.
+// hibernatedDestination is the record of an idle destination and its route. Rates are in calls a second,
+// times are clock times, and estimates are stored with reduced precision.
 type hibernatedDestination struct {
 	id            DestinationID
 	sequence      uint64
@@ -70,7 +71,8 @@
 	}
 }
 
-// hibernateIdle puts to sleep what has been quiet for long enough, a few destinations in one step.
+// hibernateIdle hibernates destinations that have been idle for long enough. It examines at most
+// maxHibernationsPerStep destinations in one step.
 func (b *Brain) hibernateIdle() {
 	anyRemoved := false
 	for range maxHibernationsPerStep {
@@ -101,15 +103,15 @@
 	}
 }
 
-// requeue puts d back by the time of its last use. The queue is in order of time but for these entries, which
-// come up a little late.
+// requeue appends d again with the time of its last use. The queue is in order of time except for these
+// entries, which are examined a little late.
 func (b *Brain) requeue(d *destination) { b.idleQueue = append(b.idleQueue, idleEntry{d.lastUsed, d}) }
 
 // canHibernate reports whether nothing is pending or in flight at d, all its endpoints share one route, and
 // the record can hold all of them.
 func (b *Brain) canHibernate(d *destination) bool {
 	if d.pending > 0 || d.waiting > 0 || d.hasEndpointRoutes || len(d.endpoints) == 0 {
-		return false // without endpoints it is forgotten by itself
+		return false // without endpoints it is deleted by forgetRemoved
 	}
 	if r := d.sharedRoute; r == nil || r.callsInFlight > 0 || len(r.inFlight) > 0 || r.probesInFlight > 0 {
 		return false
@@ -177,13 +179,14 @@
 		b.setIdleReduction(e, 0)
 		e.idleSequence = 0
 	}
-	// Endpoints that left the list may still name the destination and its route; the record counts for them.
+	// Endpoints that left the list may still refer to the destination and its route. Both are marked as
+	// removed, so that they are not released again: the record still counts as a route.
 	d.removed, r.removed = true, true
 	delete(b.destinations, f.id)
 	b.hibernated[f.id] = f
 }
 
-// wakeUp makes a destination of a record again, with what is still to be trusted of it.
+// wakeUp restores a destination from its record, with its learned values weighted by trust.
 func (b *Brain) wakeUp(f *hibernatedDestination) *destination {
 	delete(b.hibernated, f.id)
 	weight := trust(b.now - f.hibernatedAt)
@@ -215,7 +218,7 @@
 	return d
 }
 
-// wakeUpRoute makes the route of a record, with its learned values weighted by trust.
+// wakeUpRoute restores the route of a record, with its learned values weighted by trust.
 func (b *Brain) wakeUpRoute(f *hibernatedDestination, weight float64) *route {
 	r := &route{
 		id:               uint32(f.id),
@@ -256,7 +259,7 @@
 	if r.state != healthy {
 		r.tokens = 0 // as at the beginning of an outage and of a slow start
 	}
-	// The rate usually served there, as much as it still counts.
+	// The usual rate, weighted by trust.
 	r.servedCounter = decayingCounter{float64(f.usualRate) * weight * b.usualWindow(), b.now}
 	r.sentCounter = r.servedCounter
 	return r
@@ -264,22 +267,22 @@
 
 // wakeUpByEndpoint wakes up the destination of an endpoint, if it hibernates.
 func (b *Brain) wakeUpByEndpoint(id EndpointID) {
-	if at, ok := b.hibernatedEndpoints[id]; ok {
-		b.wakeUp(b.hibernated[at])
+	if destinationID, ok := b.hibernatedEndpoints[id]; ok {
+		b.wakeUp(b.hibernated[destinationID])
 	}
 }
 
-// matchesHibernated reports whether an entry of the list says what is recorded already, so that its
+// matchesHibernated reports whether an entry of the list equals the recorded endpoint, so that its
 // destination need not be woken up.
 func (b *Brain) matchesHibernated(entry Endpoint) bool {
-	at, ok := b.hibernatedEndpoints[entry.ID]
-	if !ok || at != entry.Destination || !entry.Ready {
+	destinationID, ok := b.hibernatedEndpoints[entry.ID]
+	if !ok || destinationID != entry.Destination || !entry.Ready {
 		return false
 	}
-	for _, h := range b.hibernated[at].endpoints {
+	for _, h := range b.hibernated[destinationID].endpoints {
 		if h.id == entry.ID {
-			samePlace := int(h.kind) == max(0, entry.Kind) && int(h.zone) == max(0, entry.Zone)
-			return samePlace && h.rating == float32(entry.Rating)
+			sameKindAndZone := int(h.kind) == max(0, entry.Kind) && int(h.zone) == max(0, entry.Zone)
+			return sameKindAndZone && h.rating == float32(entry.Rating)
 		}
 	}
 	return false
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -7,12 +7,12 @@
 	"saffronyard.example/saffronyard/brain/restart"
 )
 
-// What is learned of a destination from other senders, or from an earlier process of this one, and what it
-// does. All of it gives way to what this process sees itself, and none of it lets more through than a sender
-// that saw it would.
+// This file applies what other senders, or an earlier process of this sender, have observed of a destination.
+// Observations of this process take precedence, and a learned observation never admits more calls than it
+// would at a sender that made it itself.
 
 const (
-	// windowHalfLife is the age at which a learned window counts half.
+	// windowHalfLife is the age at which the trust in a learned window has halved.
 	windowHalfLife = 5 * time.Minute
 	// limitHalfLife is the age at which the trust in a learned rate limit has halved.
 	limitHalfLife = 30 * time.Minute
@@ -24,22 +24,21 @@
 	minHealthTrust = 0.25
 	// maxOtherProbers bounds the other senders that are relied on to probe a route.
 	maxOtherProbers = 3
-	// remoteWindowShare is the part of another sender's window that is taken over: that sender goes on
-	// sending.
+	// remoteWindowShare is the fraction of another sender's window that is adopted, as that sender continues
+	// to send.
 	remoteWindowShare = 0.5
 )
 
-// decay is the trust in evidence of that age: 1 right away, 0.5 after halfLife.
-func decay(age, half time.Duration) float64 {
-	return math.Exp2(-max(0, age).Seconds() / half.Seconds())
+// decay returns the trust in evidence of that age: 1 at age 0, 0.5 at halfLife.
+func decay(age, halfLife time.Duration) float64 {
+	return math.Exp2(-max(0, age).Seconds() / halfLife.Seconds())
 }
 
-// observedRoute is the route that something was observed of; nil if no list has named it, or if it
-// hibernates.
+// observedRoute returns the route that o is about; nil if no list has named it, or if it hibernates.
 func (b *Brain) observedRoute(o Observation) *route {
 	if o.Endpoint != 0 {
-		if at := b.endpoints[o.Endpoint]; at != nil && at.Destination == o.Destination {
-			return at.route
+		if e := b.endpoints[o.Endpoint]; e != nil && e.Destination == o.Destination {
+			return e.route
 		}
 		return nil
 	}
@@ -49,13 +48,13 @@
 	return nil
 }
 
-// applyObservation takes over what was observed by others.
+// applyObservation applies what another sender or an earlier process has observed.
 func (b *Brain) applyObservation(o Observation) {
 	r := b.observedRoute(o)
 	if r == nil {
 		return
 	}
-	if o.RetryAfter > 0 { // the destination asked for quiet, from all senders
+	if o.RetryAfter > 0 { // a retry-after holds for all senders
 		if o.Local {
 			r.ownRetryAfterUntil = max(r.ownRetryAfterUntil, b.now+o.RetryAfter)
 		}
@@ -69,7 +68,7 @@
 			MinLatency:    o.MinLatency,
 			Timeout:       o.Timeout,
 		}, trust(o.LatencyAge))
-		if d := b.destinations[o.Destination]; d != nil { // those that wait have less time from now on
+		if d := b.destinations[o.Destination]; d != nil { // waiting messages may expire earlier now
 			b.rescheduleExpiries(d)
 		}
 	}
@@ -77,7 +76,7 @@
 		b.setLimit(r, o.Limit)
 	}
 	b.applyObservedHealth(r, o)
-	// A window of one, and one call more with each that is served, is right where nothing is known.
+	// Without an observation the window starts at one and grows by one with each call served.
 	if r.state == healthy && r.recentlyServed == 0 && o.Window > 1 && o.Health != Unhealthy {
 		part := decay(o.WindowAge, windowHalfLife)
 		if !o.Local {
@@ -87,15 +86,15 @@
 	}
 }
 
-// applyRetryAfter closes a route until then, and has its calls in flight looked at again.
+// applyRetryAfter closes r until the given time, and schedules a recheck of its calls in flight.
 func (b *Brain) applyRetryAfter(r *route, until time.Duration) {
 	r.retryAfterUntil = max(r.retryAfterUntil, until)
 	r.closedUntil = max(r.closedUntil, r.retryAfterUntil)
 	b.scheduleRecheck(r)
 }
 
-// applyObservedHealth takes over the health of a route, unless this process has served there since, or has an
-// outage of its own there.
+// applyObservedHealth applies the observed health of a route, unless a call of this process was served there
+// since, or this process is in an outage of the route by its own evidence.
 func (b *Brain) applyObservedHealth(r *route, o Observation) {
 	seenAt := b.now - o.HealthAge
 	if o.Health == HealthUnknown || r.recentlyServed > 0 && r.lastServed >= seenAt {
@@ -105,7 +104,7 @@
 	case HealthUnknown: // returned above
 	case Healthy, WarmingUp:
 		r.otherProbers = 0
-		// It may have recovered: one call will tell, and need not wait its turn.
+		// The route may have recovered: one call is allowed at once to find out.
 		if r.state == outage && r.lastSentAt < seenAt {
 			r.tokens = max(r.tokens, 1)
 		}
@@ -117,8 +116,8 @@
 		b.beginOutage(r)
 		r.rateBeforeOutage = max(r.rateBeforeOutage, o.Rate)
 		r.outageSince = min(r.outageSince, b.now-max(o.HealthFor, o.OutageFor))
-		// The first message tries it: if it has recovered meanwhile, it is avoided for no longer than that.
-		// Senders that restart together all know of it by themselves, and go on in turn.
+		// The first message probes the route, so that a route which has recovered is not avoided any longer.
+		// Senders that restart together have observed the outage themselves, and keep their random phases.
 		if !o.Local {
 			r.tokens = 1
 		}
@@ -134,8 +133,9 @@
 	}
 }
 
-// probeShare is this sender's part of the probes of a route, while others probe it as well and tell what they
-// see: all together find as soon that it is back, with a call of each in turn.
+// probeShare returns this sender's fraction of the probes of a route while other senders probe it as well
+// and report what they observe: with one call of each sender in turn, a recovery is detected as soon as by a
+// sender that probes alone.
 func (b *Brain) probeShare(r *route) float64 {
 	return 1 / (1 + float64(r.otherProbers)*decay(b.now-r.otherProbersAt, healthHalfLife))
 }
--- a/brain/message.go
+++ b/brain/message.go
@@ -7,22 +7,22 @@
 	Message
 	class       *Class
 	destination *destination
-	arrival     uint64 // in the order of arrival
+	arrival     uint64 // number in the order of arrival
 	ended       bool
 
 	attempts         []attempt
 	attemptsInFlight int
-	revokedAttempts  int // of attempts: they do not count
+	revokedAttempts  int // attempts that were revoked, which do not count
 	mayHaveRun       bool
-	firstRunAt       time.Duration // sending of the first attempt that may have run
+	firstRunAt       time.Duration // time of sending of the first attempt that may have run
 	firstRunZone     int
 	notBefore        time.Duration // end of the back-off after the last attempt
 	keyQueue         *keyQueue     // nil if it is not ordered
 
 	// Valid while it waits to be sent, in the queue of its destination.
 	waiting                        bool
-	sheddable                      bool   // it may be rejected, and is in the queue of its tenant, too
-	queueSequence                  uint64 // in the order of coming to wait
+	sheddable                      bool   // it may be rejected, and is also in the queue of its tenant
+	queueSequence                  uint64 // number in the order of queueing
 	previous, next                 *message
 	previousOfTenant, nextOfTenant *message
 	expiryDue                      time.Duration // key in Brain.expiries
@@ -53,10 +53,10 @@
 	uncertain    bool // it timed out or its connection was lost
 }
 
-// attemptCount counts the attempts made, those of earlier processes too.
+// attemptCount returns the number of attempts that count, including those of earlier processes.
 func (m *message) attemptCount() int { return m.PriorAttempts + len(m.attempts) - m.revokedAttempts }
 
-// route is the route of the last attempt, or the first one of the destination.
+// route returns the route of the last attempt, or the first route of the destination.
 func (m *message) route() *route {
 	if n := len(m.attempts); n > 0 {
 		return m.attempts[n-1].route
@@ -74,10 +74,10 @@
 	return r
 }
 
-// admit takes in a new message.
+// admit queues a new message.
 func (b *Brain) admit(msg Message) {
 	if msg.Class < 0 || msg.Class >= len(b.settings.Classes) {
-		b.actions = append(b.actions, Fail{msg.ID}) // nothing is known of what it may do
+		b.actions = append(b.actions, Fail{msg.ID}) // whether it may be repeated is unknown
 		return
 	}
 	m := &message{
@@ -101,7 +101,7 @@
 			b.keyQueues[m.OrderingKey] = m.keyQueue
 		}
 		m.keyQueue.messages = append(m.keyQueue.messages, m)
-		if m.mayHaveRun { // an attempt from before a restart may be running yet
+		if m.mayHaveRun { // an attempt from before a restart may still be running
 			b.startCooldown(m.keyQueue)
 		}
 	}
@@ -133,7 +133,8 @@
 	}
 }
 
-// clearMayHaveRun is called when the last attempt has proved not to have run.
+// clearMayHaveRun is called when the last attempt has proved not to have run. It clears mayHaveRun if no
+// earlier attempt may have run.
 func (b *Brain) clearMayHaveRun(m *message) {
 	last := len(m.attempts) - 1
 	if m.firstRunAt == m.attempts[last].sentAt {
--- a/brain/observations.go
+++ b/brain/observations.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Observations returns what this process has seen itself of each route, by destination and endpoint. What it
-// was told by others is in it only as far as its own calls have confirmed it.
+// Observations returns what this process itself has observed of each route, by destination and endpoint.
+// Observations of others are included only as far as calls of this process have confirmed them.
 func (b *Brain) Observations() []Observation {
 	var all []Observation
 	seen := map[*route]bool{}
@@ -45,24 +45,24 @@
 }
 
 // Outages returns the routes that are in an outage or warm up, in the order of first mention, for the sender
-// to keep: a process that restarts meanwhile would otherwise send at once all the messages that it resumes. A
-// route whose calls just fail, or are not answered, one after the other, is among them: the next process has
-// no window and no failure rate by which it would hold back there.
+// to store: a process that restarts meanwhile would otherwise send all the messages that it resumes at once.
+// Routes with consecutive failures, or with an unanswered call, are included: the next process has no window
+// and no failure rate that would limit its calls there.
 func (b *Brain) Outages() []Observation {
 	var all []Observation
-	add := func(r *route, k Observation) {
-		k.Local, k.Health, k.Rate = true, Unhealthy, r.rateBeforeOutage
-		k.HealthFor, k.OutageFor = b.now-r.outageSince, b.now-r.outageSince
+	add := func(r *route, o Observation) {
+		o.Local, o.Health, o.Rate = true, Unhealthy, r.rateBeforeOutage
+		o.HealthFor, o.OutageFor = b.now-r.outageSince, b.now-r.outageSince
 		switch {
 		case r.state == warmingUp && b.now-r.stateSince <= b.settings.SlowStartDuration:
-			k.Health, k.HealthFor = WarmingUp, b.now-r.stateSince
+			o.Health, o.HealthFor = WarmingUp, b.now-r.stateSince
 		case r.state != outage && (r.consecutiveFailures >= minOutageThreshold || b.unresponsive(r, 1)):
-			k.HealthFor, k.Rate = b.now-r.lastServed, max(b.usualRate(r.servedCounter), b.priorRate(r))
-			k.OutageFor = k.HealthFor
+			o.HealthFor, o.Rate = b.now-r.lastServed, max(b.usualRate(r.servedCounter), b.priorRate(r))
+			o.OutageFor = o.HealthFor
 		case r.state != outage:
 			return
 		}
-		all = append(all, k)
+		all = append(all, o)
 	}
 	for _, d := range b.destinationOrder {
 		if d.sharedRoute != nil {
@@ -76,8 +76,8 @@
 	return all
 }
 
-// subject is an Observation with nothing but the names of a route: of endpoint e, or of a destination if e is
-// nil.
+// subject returns an Observation that only identifies a route: that of endpoint e, or that of a destination
+// if e is nil.
 func subject(r *route, e *endpoint) Observation {
 	if e != nil {
 		return Observation{Destination: e.Destination, Endpoint: e.ID}
@@ -93,9 +93,9 @@
 	}
 }
 
-// ChangedObservations returns the observations of the routes whose health or retry-after has changed since it
-// was called last, in the order of the changes. It costs nothing where nothing has changed. Without
-// Settings.ReportsChanges there are none.
+// ChangedObservations returns the observations of the routes whose health or retry-after has changed since
+// the last call, in the order of the changes. It costs nothing if nothing has changed. Without
+// Settings.ReportsChanges it returns nil.
 func (b *Brain) ChangedObservations() []Observation {
 	if len(b.changedRoutes) == 0 {
 		return nil
@@ -107,20 +107,20 @@
 			all = b.appendObservation(all, r, subject(r, nil))
 		} else if e := b.endpoints[EndpointID(r.id)]; e != nil && e.route == r {
 			all = b.appendObservation(all, r, subject(r, e))
-		} // or it has left the list
+		} // otherwise it has left the list
 	}
 	clear(b.changedRoutes)
 	b.changedRoutes = b.changedRoutes[:0]
 	return all
 }
 
-// appendObservation adds to all what was seen of r, with the names that k has; nothing if nothing is known.
+// appendObservation appends what was observed of r to all, under the ids in o; nothing if nothing is known.
 func (b *Brain) appendObservation(all []Observation, r *route, o Observation) []Observation {
 	o.Local = true
 	served := r.recentlyServed > 0 // by this process
 	age := b.now - r.lastServed
 	if served && r.Samples > 0 {
-		o.Timeout = r.Optimum() // brings the mean and the median up to date, too
+		o.Timeout = r.Optimum() // updates the mean and the median, too
 		o.Samples, o.LatencyAge = r.Samples, age
 		o.MeanLatency = time.Duration(r.MeanSeconds * float64(time.Second))
 		o.MedianLatency, o.MinLatency = r.MedianLatency, r.MinLatency
@@ -131,11 +131,11 @@
 	if r.limit > 0 && r.lastSentAt > 0 {
 		o.Limit, o.LimitAge = r.limit, b.now-r.lastSentAt
 	}
-	// Only what this sender was told: passed on, a wait that was learned would come back a little longer each
-	// time.
+	// Only a retry-after that this sender received: a learned one would grow a little each time it is passed
+	// on.
 	o.RetryAfter = max(0, r.ownRetryAfterUntil-b.now)
 	switch {
-	case r.state == outage && (r.consecutiveFailures > 0 || b.unresponsive(r, 1)): // seen, not only heard of
+	case r.state == outage && (r.consecutiveFailures > 0 || b.unresponsive(r, 1)): // not only learned
 		o.Health, o.HealthFor, o.Rate = Unhealthy, b.now-r.stateSince, r.rateBeforeOutage
 		o.HealthAge = b.now - max(r.stateSince, r.lastSentAt)
 	case r.state == warmingUp && served:
--- a/brain/ordering.go
+++ b/brain/ordering.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// keyQueue is the messages with one ordering key, in the order of arrival. Only the first one is sent.
+// keyQueue holds the messages with one ordering key, in the order of arrival. Only the first one is sent.
 type keyQueue struct {
 	key            uint64
 	messages       []*message
@@ -11,8 +11,8 @@
 	inReleasedList bool // it is in Brain.releasedKeyQueues
 }
 
-// releaseKeyQueue has the queue deleted once it is empty and has cooled down. A queue stands in the list once
-// at most: a second entry would outlast the queue, and delete a newer one of the same key.
+// releaseKeyQueue schedules the deletion of q for when it is empty and has cooled down. A queue must be in
+// the list at most once: a second entry would outlast the queue, and delete a newer queue of the same key.
 func (b *Brain) releaseKeyQueue(q *keyQueue) {
 	if !q.inReleasedList {
 		q.inReleasedList = true
@@ -20,8 +20,8 @@
 	}
 }
 
-// deleteReleasedKeyQueues deletes the queues that are empty and have cooled down, up to the first that has
-// not.
+// deleteReleasedKeyQueues deletes the queues that are empty and have cooled down, up to the first queue that
+// is empty but has not cooled down.
 func (b *Brain) deleteReleasedKeyQueues() {
 	for len(b.releasedKeyQueues) > 0 {
 		q := b.releasedKeyQueues[0]
@@ -36,7 +36,7 @@
 	}
 }
 
-// startCooldown keeps the next message of a key back after an attempt that may still run.
+// startCooldown delays the next message of a key after an attempt that may still be running.
 func (b *Brain) startCooldown(q *keyQueue) {
 	q.cooldownUntil = max(q.cooldownUntil, b.now+b.settings.OrderingCooldown)
 	if !q.inCooldownList {
@@ -48,7 +48,7 @@
 	}
 }
 
-// pruneCooldowns drops the keys whose cool-down is over from Brain.coolingDown.
+// pruneCooldowns removes the keys whose cool-down is over from Brain.coolingDown.
 func (b *Brain) pruneCooldowns() {
 	remaining := b.coolingDown[:0]
 	for _, q := range b.coolingDown {
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -11,7 +11,7 @@
 	failureRateWeight = 0.06
 )
 
-// handleResult takes in the result of an attempt, and queues the message again if it needs another one.
+// handleResult applies the result of an attempt, and queues the message again if it needs another attempt.
 func (b *Brain) handleResult(result AttemptResult) {
 	m := b.messages[result.Message]
 	if m == nil || result.Attempt < 0 || result.Attempt >= len(m.attempts) {
@@ -31,7 +31,7 @@
 	if result.LimitReported && isPositive(result.Limit) {
 		b.setLimit(a.route, result.Limit)
 	}
-	if result.RetryAfter > 0 { // each result of a shared call may tell a later end
+	if result.RetryAfter > 0 { // each result of a shared call may ask for a later end
 		a.route.ownRetryAfterUntil = max(a.route.ownRetryAfterUntil, b.now+result.RetryAfter+time.Millisecond)
 		b.applyRetryAfter(a.route, a.route.ownRetryAfterUntil)
 		b.recordChange(a.route)
@@ -103,17 +103,17 @@
 		b.recordSuccess(m, a, result)
 		return
 	}
-	// The endpoint may have all the connections that it takes.
+	// The endpoint may have reached its connection limit.
 	if result.Outcome == ConnectFailed || result.ConnLimitReached {
 		_, kindTimeout := b.idleTimeout(a.endpoint)
 		*kindTimeout /= idleTimeoutDivisor
 		b.setIdleReduction(a.endpoint, b.settings.IdleConnTimeout)
 	}
-	if result.ConnLimitReached { // which says nothing of calls
+	if result.ConnLimitReached { // which is no evidence about calls
 		b.recordConnLimit(a.endpoint)
 		return
 	}
-	// Rejections of a destination whose allowance is used up are no failures.
+	// Rejections by a destination whose allowance is used up are no failures.
 	limited := result.Outcome == Rejected && result.LimitReported && isPositive(result.Limit)
 	if !limited || result.Remaining >= plentifulRemaining {
 		r.consecutiveFailures++
@@ -124,7 +124,7 @@
 	case result.Outcome == TimedOut && r.Doubled():
 		r.window.Halve(a.sentAt, b.now)
 	}
-	// Rejections come in runs where a limit is met, too: they are an outage only if none was served for a
+	// Consecutive rejections also occur at a rate limit: they are an outage only if no call was served for a
 	// while.
 	unservedForLong := result.Outcome != Rejected || b.now-r.lastServed > b.settings.OverloadWindow/2
 	failing := r.consecutiveFailures >= b.outageThreshold(r) && unservedForLong
@@ -156,12 +156,12 @@
 	b.adjustSendRate(r, result)
 }
 
-// recordRejection closes the route for a back-off, unless the destination told a retry-after.
+// recordRejection closes the route for a back-off, unless the rejection carries a retry-after.
 func (b *Brain) recordRejection(r *route, a *attempt, result AttemptResult) {
 	r.window.Halve(a.sentAt, b.now)
 	b.decreaseSendRate(r, 1)
 	if result.RetryAfter > 0 {
-		// Closed for longer than any limit is counted over, it comes back with a slow start.
+		// A route that is closed for longer than the window of any limit returns with a slow start.
 		if result.RetryAfter > b.settings.OverloadWindow && r.state != outage {
 			b.beginOutage(r)
 		}
--- a/brain/queue.go
+++ b/brain/queue.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// tenantQueue is the sheddable messages of one tenant that wait for a destination, newest first.
+// tenantQueue lists the sheddable messages of one tenant that wait for a destination, newest first.
 type tenantQueue struct {
 	tenant int
 	newest *message
@@ -39,14 +39,14 @@
 		m.sheddable = true
 	}
 	if m.notBefore > b.now {
-		d.backoffs.next(b.now) // drops those that are over
+		d.backoffs.next(b.now) // drops back-offs that are over
 		d.backoffs.add(backoffEntry{m.notBefore, m})
 	}
 	m.expiryDue = b.expiresAt(m)
 	b.expiries.add(m)
 }
 
-// dequeue takes m out of the queue of its destination.
+// dequeue removes m from the queue of its destination.
 func (b *Brain) dequeue(m *message) {
 	if !m.waiting {
 		return
@@ -85,7 +85,7 @@
 	b.expiries.remove(m)
 }
 
-// tenantQueue returns the queue of a tenant, which it makes if there is none.
+// tenantQueue returns the queue of a tenant, and creates it if there is none.
 func (d *destination) tenantQueue(tenant int) *tenantQueue {
 	for i := range d.tenantQueues {
 		if d.tenantQueues[i].tenant == tenant {
@@ -96,9 +96,9 @@
 	return &d.tenantQueues[len(d.tenantQueues)-1]
 }
 
-// shedCandidates returns the newest sheddable message of each tenant, in the order in which they came to
-// wait. Where endpoints have routes of their own the messages differ by more than their tenant, so all are
-// returned.
+// shedCandidates returns the newest sheddable message of each tenant, in the order in which they were
+// queued. Where endpoints have routes of their own, messages of a tenant may differ in their routes, so all
+// are returned.
 func (d *destination) shedCandidates() []*message {
 	var list []*message
 	if d.hasEndpointRoutes {
@@ -118,7 +118,7 @@
 	return list
 }
 
-// activate puts d among the destinations with waiting messages, which stand in the order of first mention.
+// activate inserts d into Brain.active, in the order of first mention.
 func (b *Brain) activate(d *destination) {
 	i := b.activeIndex(d)
 	b.active = append(b.active, nil)
@@ -133,7 +133,7 @@
 	b.active = b.active[:len(b.active)-1]
 }
 
-// activeIndex is the index of d in Brain.active, or the one at which it belongs.
+// activeIndex returns the index of d in Brain.active, or the index at which to insert it.
 func (b *Brain) activeIndex(d *destination) int {
 	low, high := 0, len(b.active)
 	for low < high {
@@ -150,8 +150,8 @@
 // pruned again.
 const pruneSlack = 64
 
-// shrink frees most of the capacity of a list that was much longer once: a burst does not hold memory for
-// good.
+// shrink frees most of the capacity of a list that was much longer once, so that a burst does not hold
+// memory for good.
 func shrink[T any](list []T) []T {
 	if cap(list) > 1024 && len(list) < cap(list)/8 {
 		return append(make([]T, 0, 2*len(list)), list...)
--- a/brain/revocation.go
+++ b/brain/revocation.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// scheduleRecheck has the calls in flight at r looked at again in this step.
+// scheduleRecheck schedules a recheck of the calls in flight at r in this step.
 func (b *Brain) scheduleRecheck(r *route) {
 	if !r.recheck && len(r.inFlight) > 0 {
 		r.recheck = true
@@ -10,9 +10,9 @@
 	}
 }
 
-// revokeStale looks again at the calls in flight of routes where something has changed since they were sent.
-// Their connections may take seconds to come up, and the reasons for sending may no longer hold when it could
-// be written.
+// revokeStale rechecks the calls in flight of routes where something has changed since they were sent. A
+// connection may take seconds to be established, and when the call could be written, the reasons for sending
+// it may no longer hold.
 func (b *Brain) revokeStale() {
 	for _, r := range b.routesToRecheck {
 		r.recheck = false
--- a/brain/route.go
+++ b/brain/route.go
@@ -16,7 +16,7 @@
 	warmingUp            // slow start after an outage
 )
 
-// route is what is known of a destination, or of one endpoint where endpoints have routes of their own.
+// route is the state of a destination, or of one endpoint where endpoints have routes of their own.
 type route struct {
 	restart.Oracle
 	id          uint32 // of the destination or the endpoint
@@ -34,7 +34,7 @@
 	servedCounter    decayingCounter
 	lastSentAt       time.Duration
 	lastResultAt     time.Duration
-	lastServedSentAt time.Duration // the latest sending of a call that was served
+	lastServedSentAt time.Duration // latest time of sending among served calls
 	firstServed      time.Duration
 	lastServed       time.Duration
 	recentlyServed   float64 // calls served, decaying over servedRateWindow
@@ -44,7 +44,7 @@
 	state               routeState
 	stateSince          time.Duration
 	failureRate         float64 // moving average of the share of failed calls
-	consecutiveFailures int     // calls since one was served
+	consecutiveFailures int     // failed calls since one was served
 	consecutiveErrors   int     // those of them that were not rejected
 	outageSince         time.Duration
 	rateBeforeOutage    float64 // calls a second of this sender
@@ -59,8 +59,8 @@
 	// Waits: no call is sent before closedUntil.
 	closedUntil        time.Duration // the end of a retry-after or of a back-off
 	retryAfterUntil    time.Duration // the end of a retry-after
-	ownRetryAfterUntil time.Duration // the end of a retry-after that was told to this sender
-	backoff            time.Duration // the last one after a rejection
+	ownRetryAfterUntil time.Duration // the end of a retry-after that this sender received
+	backoff            time.Duration // the last back-off after a rejection
 
 	// Rate limit.
 	limit      float64 // calls a second of all senders, 0 if unknown
@@ -69,13 +69,13 @@
 	refilledAt time.Duration
 }
 
-// newRoute makes the route with this id, of a destination.
-func (b *Brain) newRoute(id uint32, of DestinationID) *route {
+// newRoute creates the route with this id for a destination.
+func (b *Brain) newRoute(id uint32, destinationID DestinationID) *route {
 	b.lastSequence++
 	b.routeCount++
 	return &route{
 		id:          id,
-		destination: of,
+		destination: destinationID,
 		sequence:    b.lastSequence,
 		window:      restart.Window{Size: 1},
 		tokens:      1,
@@ -85,15 +85,16 @@
 	}
 }
 
-// maxInFlight is how many calls may be in flight at r: half of its window if it fails, is slow or does not
-// answer.
+// maxInFlight returns how many calls may be in flight at r: its window, up to half of the maximum if r
+// fails, is slow or does not answer.
 func (b *Brain) maxInFlight(r *route) int {
 	slow := r.recentLatency > slowLatencies*r.MeanSeconds && r.MeanSeconds > 0
 	half := r.failureRate > degradedFailureRate || slow || b.unresponsive(r, 1)
 	return r.window.Limit(b.settings.Slots, half)
 }
 
-// accepts reports whether a call may be sent to r now. If not yet, it asks to be woken when one may.
+// accepts reports whether a call may be sent to r now. If not, it schedules a step for the time at which one
+// may be sent, if that time is known.
 func (b *Brain) accepts(r *route) bool {
 	if r.state == warmingUp && b.now-r.stateSince > b.settings.SlowStartDuration {
 		r.state, r.stateSince = healthy, b.now
@@ -115,7 +116,7 @@
 	}
 	b.refillTokens(r)
 	if r.tokens < 1 {
-		if rate, _ := b.allowedRate(r); rate > 0 { // otherwise not until something is granted
+		if rate, _ := b.allowedRate(r); rate > 0 { // at rate 0 no call is sent until the next grant
 			b.wakeAt(b.now + time.Duration((1-r.tokens)/rate*float64(time.Second)) + time.Millisecond)
 		}
 		return false
@@ -162,5 +163,5 @@
 	}
 }
 
-// isPositive reports whether x can be used as a rate: a report or a list may hold anything.
+// isPositive reports whether x can be used as a rate: reports and lists may contain any value.
 func isPositive(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
--- a/brain/settings.go
+++ b/brain/settings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Settings is the static configuration of a sender. A zero value means that the deployment states nothing.
+// Settings is the static configuration of a sender. A zero value means that the deployment does not set it.
 type Settings struct {
 	// Senders is how many senders share the destinations. Shares of limits are derived from it.
 	Senders int
@@ -16,7 +16,7 @@
 	MaxAttempts int
 	// MayCancel permits Cancel actions.
 	MayCancel bool
-	// SendsRetryAfter is set if a rejected client is told how long to stay away, at most MaxRetryAfter.
+	// SendsRetryAfter is set if rejected clients get a retry-after, at most MaxRetryAfter.
 	SendsRetryAfter bool
 	MaxRetryAfter   time.Duration
 	// IdleConnTimeout is how long the transport keeps a connection without a call.
@@ -27,30 +27,30 @@
 	StepInterval time.Duration
 	// ReportsChanges makes ChangedObservations record what has changed.
 	ReportsChanges bool
-	// HibernateAfter is the quiet time after which a destination is kept as a short record; 0 for never.
+	// HibernateAfter is the idle time after which a destination is reduced to a short record; 0 for never.
 	HibernateAfter time.Duration
-	// OrderingCooldown is how long an ordering key waits after an attempt that may still run.
+	// OrderingCooldown is how long an ordering key waits after an attempt that may still be running.
 	OrderingCooldown time.Duration
 
 	// OverloadMultiple is the multiple of its capacity above which a destination that warms up fails again.
 	OverloadMultiple float64
-	// SlowStartCapacity is the least share of its capacity that a destination has on its return.
+	// SlowStartCapacity is the smallest fraction of its capacity that a destination has when it returns.
 	SlowStartCapacity float64
-	// OverloadWindow is the time over which that load is counted.
+	// OverloadWindow is the time over which the load for OverloadMultiple is measured.
 	OverloadWindow time.Duration
 	// SlowStartDuration is how long a destination warms up after an outage.
 	SlowStartDuration time.Duration
 
-	// OverShareValue is the value of a message beyond its tenant's share, as a fraction of its class's.
+	// OverShareValue is the value of a message beyond its tenant's share, as a fraction of Class.Value.
 	OverShareValue float64
-	// CrossZoneCost is the price of an attempt that leaves the zone, in units of value.
+	// CrossZoneCost is the cost of an attempt that leaves the zone, in units of value.
 	CrossZoneCost float64
 	// ExponentialDecay halves the value of a late message with each further latency target; otherwise it
 	// decays linearly until the deadline.
 	ExponentialDecay bool
 	// RatingIsLimit makes Endpoint.Rating the rate limit of its destination, in calls a second.
 	RatingIsLimit bool
-	// ZoneFees is the fee for a message that an endpoint with a route of its own takes, by zone.
+	// ZoneFees is the fee, by zone, for a message that is sent to an endpoint with a route of its own.
 	ZoneFees []float64
 
 	// Kinds, Classes and Tenants are referred to by their index. Tenants may be empty.
@@ -61,7 +61,8 @@
 
 // Kind is a kind of destination.
 type Kind struct {
-	// PerEndpointRoutes gives each endpoint its own limit, pace and outages in place of its destination's.
+	// PerEndpointRoutes gives each endpoint a rate limit, send rate and health of its own in place of its
+	// destination's.
 	PerEndpointRoutes bool
 	// MaxBatch bounds the messages of one call.
 	MaxBatch int
@@ -81,9 +82,9 @@
 
 // Class is a class of message.
 type Class struct {
-	// LatencyTarget is the time from hand-in until which a message has its full value (SLO).
+	// LatencyTarget is the time after submission until which a message has its full value (SLO).
 	LatencyTarget time.Duration
-	// Deadline is the time from hand-in after which a message is given up.
+	// Deadline is the time after submission at which a message is given up.
 	Deadline    time.Duration
 	Idempotency Idempotency
 	// IdempotencyKeyZonal is set if only the endpoints of the first attempt's zone remember a key.
@@ -92,7 +93,8 @@
 	IdempotencyKeyTTL time.Duration
 	// Ordered makes messages with the same ordering key go one at a time, in the order of arrival.
 	Ordered bool
-	// Value is the value of a message that is served in time; LateValue is the fraction left at the deadline.
+	// Value is the value of a message that is served in time. LateValue is the fraction left at the
+	// deadline.
 	Value     float64
 	LateValue float64
 }
--- a/brain/shedding.go
+++ b/brain/shedding.go
@@ -9,9 +9,9 @@
 	minServedRate = 0.1
 )
 
-// shedLoad rejects messages while nearly as many are pending as may be: the newest one of the destination
-// with the longest queue, of a tenant beyond its share first. Its client can come back; without it others
-// would be rejected before they are seen.
+// shedLoad rejects messages while more than shedThreshold of MaxPending are pending: the newest message of
+// the destination with the longest expected wait, tenants beyond their share first. The client of a rejected
+// message can retry; without shedding, other messages would be rejected before they reach the Brain.
 func (b *Brain) shedLoad() {
 	for b.settings.MaxPending > 0 && float64(b.pending) > shedThreshold*float64(b.settings.MaxPending) {
 		var victim *message
--- a/brain/slow_start.go
+++ b/brain/slow_start.go
@@ -3,19 +3,19 @@
 import "math"
 
 const (
-	// fleetCallsPerWarmUp is how many calls all senders together may send to any destination in the time to
-	// warm up.
+	// fleetCallsPerWarmUp is how many calls all senders together may send to any destination during its slow
+	// start.
 	fleetCallsPerWarmUp = 24
 	// awareShare is what the senders that have seen an outage may send, as a share of the calls of those that
 	// have not.
 	awareShare = 0.2
 )
 
-// recoveryRate is this sender's part of the calls a second that r bears in an outage, when it may return at
-// any moment, and during its slow start. A sender's part is that of its usual traffic, whatever the number of
-// senders. Where this sender usually gets no message in such a time, most others have seen no failure and
-// send as ever: the few that have may together send awareShare of that. Any destination bears a few calls
-// from all senders.
+// recoveryRate returns this sender's part of the calls a second that r can take in an outage, when it may
+// return at any moment, and during its slow start. The part is proportional to the sender's usual traffic,
+// whatever the number of senders. If this sender usually gets no message in the time of the outage, most
+// other senders have seen no failure and send at their usual rate: the few that have seen one may together
+// send awareShare of that. Any destination can take a few calls from all senders (fleetCallsPerWarmUp).
 func (b *Brain) recoveryRate(r *route) float64 {
 	capacity := b.settings.SlowStartCapacity
 	if r.state == warmingUp && b.settings.SlowStartDuration > 0 {
--- a/brain/tenants.go
+++ b/brain/tenants.go
@@ -9,17 +9,17 @@
 const (
 	// tenantRateWindow is the time over which the rate of a tenant is measured.
 	tenantRateWindow = 3 * time.Second
-	// usualTenantRateWindows is how many of those its usual rate is measured over.
+	// usualTenantRateWindows is the number of such windows over which its usual rate is measured.
 	usualTenantRateWindows = 10
-	// tenantBurstFactor is how far the rate of a tenant may exceed its share.
+	// tenantBurstFactor is the factor by which the rate of a tenant may exceed its share.
 	tenantBurstFactor = 1.5
 )
 
-// tenant has the rates at which a tenant hands in messages, in messages a second: over tenantRateWindow, and
-// over usualTenantRateWindows of those.
+// tenant has the rates at which a tenant submits messages, in messages a second: over tenantRateWindow, and
+// over usualTenantRateWindows such windows.
 type tenant struct{ recentRate, usualRate float64 }
 
-// decayTenantRates brings the rates of all tenants up to now.
+// decayTenantRates updates the rates of all tenants to the current time.
 func (b *Brain) decayTenantRates() {
 	b.tenantShareValid = false
 	dt := (b.now - b.tenantRatesAt).Seconds()
@@ -30,9 +30,9 @@
 	}
 }
 
-// tenantWeight is the value of the messages of tenant i as a fraction: 1 within its share; beyond it, the
-// mean of the messages within and those beyond. This sender's part of a share is estimated by what tenants
-// usually send it.
+// tenantWeight returns the value of a tenant's messages as a fraction: 1 within its share; beyond it, the
+// mean over the messages within and beyond the share. This sender's part of a share is estimated from the
+// messages that tenants usually send it.
 func (b *Brain) tenantWeight(tenant int) float64 {
 	if tenant < 0 || tenant >= len(b.tenants) || b.settings.Senders == 0 {
 		return 1
@@ -42,7 +42,7 @@
 		for j, t := range b.tenants {
 			parts = append(parts, t.usualRate/max(b.settings.Tenants[j].Allowance, 1e-9))
 		}
-		sort.Float64s(parts) // the median: a tenant that surges does not widen its own share
+		sort.Float64s(parts) // the median, so that a tenant that surges does not raise its own share
 		median := parts[len(parts)/2]
 		b.tenantShare, b.tenantShareValid = min(1, max(1/float64(b.settings.Senders), median)), true
 	}
--- a/brain/timeouts.go
+++ b/brain/timeouts.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// slowLatencies is how many times its usual latency the recent one of a slow route is.
+	// slowLatencies is the multiple of the usual latency of a route above which its recent latency is slow.
 	slowLatencies = 3
-	// overdueLatencies is how many times the median latency a call is in flight before its slot is taken
-	// back.
+	// overdueLatencies is the multiple of the median latency after which a call in flight is overdue and may
+	// be cancelled to free its slot.
 	overdueLatencies = 8
-	// maxOverdueDoublings bounds how far calls cancelled in vain lengthen that.
+	// maxOverdueDoublings bounds how often that time doubles after cancelled calls.
 	maxOverdueDoublings = 4
 )
 
-// unresponsiveAfter is how long a call is in flight before it counts as unresponsive. Calls that came back
-// from a hang lengthen the time-out; this is judged as if they had not.
+// unresponsiveAfter returns how long a call is in flight before it counts as unresponsive. It is at most
+// FirstTimeout, as calls that are answered after a hang lengthen the time-out of the oracle.
 func (r *route) unresponsiveAfter() time.Duration { return min(r.Optimum(), restart.FirstTimeout) }
 
-// overdueAfter is how long c may be in flight before its slot can be taken back: some times the usual
-// latency, which for a route with few samples is that of all routes, if a call that was sent later was served
-// there already. It doubles with each call cancelled there until one is served: a route that turns slow then
-// gets the time to show it.
+// overdueAfter returns how long c may be in flight before it is overdue: a multiple of the median latency of
+// its route. For a route with few samples the median of all routes is used, if a call that was sent to the
+// route later has been served already. The time doubles with each call cancelled there until one is served,
+// so that a route that has become slow gets the time to answer.
 func (b *Brain) overdueAfter(c *call) time.Duration {
 	r := c.route
 	b.allRoutes.Optimum()
@@ -38,9 +38,10 @@
 	return min(r.unresponsiveAfter(), after<<min(r.overdueCancelled, maxOverdueDoublings))
 }
 
-// cancelOverdue cancels overdue calls while messages wait for slots, the longest overdue first. A call that
-// may not be repeated would hold its slot to the deadline otherwise, and a few hung destinations, or calls
-// lost here and there, would take all slots. The cost is a call that would have been answered.
+// cancelOverdue cancels overdue calls while messages wait for slots, the longest overdue first. Otherwise a
+// call that may not be repeated would hold its slot until its deadline, and a few hung destinations, or
+// single lost calls, would take all slots. The cost is that a call may be cancelled which would have been
+// answered.
 func (b *Brain) cancelOverdue(waitingDestinations int) {
 	for b.settings.MayCancel && b.overdueCancelled < waitingDestinations {
 		var victim *call
@@ -67,14 +68,14 @@
 	}
 }
 
-// sampleLatency gives the oracle its sample: only first attempts that were served (Karn's algorithm); a
-// time-out doubles the next one.
+// sampleLatency gives the oracle a sample of the latency: only first attempts count (Karn's algorithm). A
+// time-out before the deadline doubles the next time-out.
 func (b *Brain) sampleLatency(m *message, a *attempt, result AttemptResult) {
 	switch {
 	case result.Outcome == Served && a.sampleWeight > 0:
 		first := a.route.MinLatency == 0
 		a.route.AddSample(result.Elapsed, a.sampleWeight, false)
-		if first { // those that wait have less time from now on
+		if first { // waiting messages may expire earlier now
 			b.rescheduleExpiries(m.destination)
 		}
 		b.allRoutes.AddSample(result.Elapsed, a.sampleWeight, false)
--- a/brain/trust.go
+++ b/brain/trust.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// trustHalfLife is the age at which what is remembered of a quiet destination is trusted by half. A value
-// that was learned moves, as trust goes, from its old value to that of an unknown destination; what the
-// destination told (a retry-after, a drain) and an outage hold as they are, however old.
+// trustHalfLife is the age at which the trust in remembered values of an idle destination has halved. As
+// trust falls, a learned value moves from its old value to that of an unknown destination. An outage, and
+// what the destination asked for (a retry-after, a drain), stay in force at any age.
 const trustHalfLife = time.Hour
 
-// trust is the share of an old value that still counts: 1 right away, 0.5 after trustHalfLife.
+// trust returns the weight of a value of that age: 1 at age 0, 0.5 at trustHalfLife.
 func trust(age time.Duration) float64 {
 	return math.Exp2(-max(0, age).Hours() / trustHalfLife.Hours())
 }
 
-// blend moves from the value of an unknown destination to an old one, by trust.
+// blend interpolates between the value of an unknown destination and an old value, by the trust in the old
+// one.
 func blend(unknown, old, trust float64) float64 { return unknown + (old-unknown)*trust }
--- a/brain/usual_rates.go
+++ b/brain/usual_rates.go
@@ -20,28 +20,27 @@
 	updatedAt time.Duration
 }
 
-// value is the count as of now.
+// value returns the count at the time now.
 func (c *decayingCounter) value(now, window time.Duration) float64 {
 	return c.count * math.Exp(-(now-c.updatedAt).Seconds()/window.Seconds())
 }
 
-// add counts one more.
+// add increments the count.
 func (c *decayingCounter) add(now, window time.Duration) {
 	c.count, c.updatedAt = c.value(now, window)+1, now
 }
 
-// usualRate is the rate of what a counter of one route has counted, in calls a second: of that, and of one
-// more in the time in which a route gets one in the mean, so that a sender which has seen few yet is not
-// misled by them.
+// usualRate returns the rate of a route's counter, in calls a second. It adds one call, and the mean time in
+// which a route gets one, to what was counted, so that a few early calls do not distort the rate.
 func (b *Brain) usualRate(counter decayingCounter) float64 {
-	counted := b.usualWindow()
+	window := b.usualWindow()
 	arrivals := b.arrivalCounter.value(b.now, usualRateWindow) + 1
-	each := float64(max(1, b.routeCount)) * (counted + 1) / arrivals
-	return (counter.value(b.now, usualRateWindow) + 1) / (counted + each)
+	meanInterval := float64(max(1, b.routeCount)) * (window + 1) / arrivals
+	return (counter.value(b.now, usualRateWindow) + 1) / (window + meanInterval)
 }
 
-// usualWindow is the part of usualRateWindow that this process has seen, weighted as the counters are, in
-// seconds.
+// usualWindow returns the part of usualRateWindow for which this process has been running, weighted as the
+// counters are, in seconds.
 func (b *Brain) usualWindow() float64 {
 	running := (b.now - b.startedAt).Seconds()
 	return usualRateWindow.Seconds() * (1 - math.Exp(-running/usualRateWindow.Seconds()))
@@ -58,15 +57,15 @@
 	r.servedCounter.add(b.now, usualRateWindow)
 }
 
-// servedRate is the rate of calls served as of the last of them, in calls a second.
+// servedRate returns the rate of calls served at the time of the last of them, in calls a second.
 func (r *route) servedRate() float64 {
 	seen := max(r.lastServed-r.firstServed, time.Second).Seconds()
 	return r.recentlyServed / (servedRateWindow.Seconds() * (1 - math.Exp(-seen/servedRateWindow.Seconds())))
 }
 
 // UsualRates returns the rate usually served at each destination whose endpoints share one route, for the
-// sender to keep: a process that restarts within an outage would otherwise know nothing of what a destination
-// bears when it returns.
+// sender to store: without it, a process that restarts during an outage could not estimate how many calls a
+// destination can take when it returns.
 func (b *Brain) UsualRates() []UsualRate {
 	var rates []UsualRate
 	for _, d := range b.destinationOrder {
@@ -88,7 +87,7 @@
 	return rates
 }
 
-// restoreUsualRate takes over what an earlier process knew.
+// restoreUsualRate applies a rate that an earlier process measured.
 func (b *Brain) restoreUsualRate(u UsualRate) {
 	if d := b.destination(u.Destination); isPositive(u.Rate) {
 		d.restoredRate = u.Rate
@@ -98,7 +97,8 @@
 	}
 }
 
-// priorRate is the rate of an earlier process, which counts for less the more this one has seen itself.
+// priorRate returns the rate measured by an earlier process. It counts for less the longer this process
+// runs.
 func (b *Brain) priorRate(r *route) float64 {
 	return r.restoredRate * math.Exp(-(b.now-b.startedAt).Seconds()/usualRateWindow.Seconds())
 }
