--- a/brain/generated_day_test.go
+++ b/brain/generated_day_test.go
@@ -11,7 +11,7 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// due is an event that is to come.
+// scheduledEvent is an event that occurs at a later time.
 type scheduledEvent struct {
 	at       time.Duration
 	sequence int
@@ -32,8 +32,8 @@
 	return last
 }
 
-// world feeds a Brain with what a generated day brings: destinations that serve, fail, reject, ask for waits, hang
-// and change, lists that churn, and processes that start again.
+// simulation feeds a Brain with the events of a generated day: destinations that serve, fail, reject, ask for a
+// retry-after, hang and change, lists that churn, and processes that restart.
 type simulation struct {
 	t                *testing.T
 	seed             uint64
@@ -43,7 +43,7 @@
 	queue            eventQueue
 	lastSequence     int
 	brain            *brain.Brain
-	replica          *brain.Brain // must decide the same; nil for none
+	replica          *brain.Brain // gets the same events and must decide the same; nil for none
 	newBrains        func() (b, twin *brain.Brain)
 	failureMode      map[brain.DestinationID]int
 	destinationOf    map[brain.EndpointID]brain.DestinationID
@@ -53,10 +53,10 @@
 	destinationCount int
 	pending          map[brain.MessageID]*pendingMessage
 	counts           map[string]int
-	invariants       *invariants // what is checked beside; nil for nothing
+	invariants       *invariants // checked in each step; nil for none
 
-	record      func(events []brain.Event, actions []brain.Action) // sees each batch and its actions, if set
-	extraEvents func() []brain.Event                               // further events of a batch, if set
+	record      func(events []brain.Event, actions []brain.Action) // called with each batch and its actions, if set
+	extraEvents func() []brain.Event                               // returns further events of a batch, if set
 }
 
 type pendingMessage struct {
@@ -102,7 +102,8 @@
 	return brain.Endpoint{ID: w.lastEndpoint, Destination: d, Kind: int(d) % 2, Zone: w.rng.IntN(2), Ready: true, Rating: 20 * w.rng.Float64() * float64(w.rng.IntN(2))}
 }
 
-// endpointUpdate is a change of the list: a few changes, or all of it, with endpoints that come, drain, go and come again.
+// endpointUpdate returns a failed request, a few changes of the list, or the complete list. Endpoints are added, drain,
+// are removed and are added again.
 func (w *simulation) endpointUpdate() brain.EndpointUpdate {
 	if w.rng.IntN(15) == 0 {
 		return brain.EndpointUpdate{Failed: true, Overloaded: w.rng.IntN(2) == 0}
@@ -111,7 +112,7 @@
 	for range 1 + w.rng.IntN(4) {
 		d := brain.DestinationID(w.rng.IntN(w.destinationCount))
 		var listed []brain.EndpointID
-		for id := range w.lastEndpoint + 1 { // in order: a map's would differ from run to run
+		for id := range w.lastEndpoint + 1 { // in order of ids: the order of a map differs from run to run
 			if e, ok := w.listed[id]; ok && e.Destination == d {
 				listed = append(listed, id)
 			}
@@ -121,14 +122,14 @@
 			id := listed[w.rng.IntN(len(listed))]
 			e := w.listed[id]
 			switch w.rng.IntN(4) {
-			case 0: // it drains, and may serve again
+			case 0: // it drains, and may become ready again
 				e.Ready = false
 				delete(w.listed, id)
 				if relisted := e; w.rng.IntN(2) == 0 {
 					relisted.Ready = true
 					w.schedule(time.Duration(w.rng.IntN(5000))*ms, brain.EndpointUpdate{Endpoints: []brain.Endpoint{relisted}})
 				}
-			case 1: // its id comes back under another destination
+			case 1: // its id is listed under another destination
 				e.Destination = brain.DestinationID(w.rng.IntN(w.destinationCount))
 				w.listed[id], w.destinationOf[id] = e, e.Destination
 			case 2:
@@ -149,7 +150,7 @@
 				update.Endpoints = append(update.Endpoints, e)
 			}
 		}
-		if w.rng.IntN(8) == 0 { // for a while nothing is listed at all
+		if w.rng.IntN(8) == 0 { // the list is empty for a while
 			update.Endpoints = nil
 		}
 	}
@@ -168,7 +169,7 @@
 	return m
 }
 
-// outcome is what becomes of a call at its destination, and when.
+// outcome returns the result of a call, and after what time it occurs.
 func (w *simulation) outcome(s brain.Send, n int) (time.Duration, brain.AttemptResult) {
 	e := brain.AttemptResult{Message: s.Message, Attempt: n, Endpoint: s.Endpoint}
 	if w.rng.IntN(4) == 0 {
@@ -178,7 +179,7 @@
 	switch w.failureMode[w.destinationOf[s.Endpoint]] {
 	case 1: // fails
 		e.Outcome = []brain.Outcome{brain.Errored, brain.ConnectionLost, brain.Served}[w.rng.IntN(3)]
-	case 2: // refuses
+	case 2: // rejects
 		if e.Outcome = brain.Rejected; w.rng.IntN(3) == 0 {
 			e.RetryAfter = time.Duration(w.rng.IntN(6000)) * ms
 		} else if w.rng.IntN(2) == 0 {
@@ -188,7 +189,7 @@
 		latency = time.Hour
 	case 4: // slow
 		latency *= 20
-	case 5: // no connection comes up
+	case 5: // connects fail
 		if e.Outcome, latency = brain.ConnectFailed, latency/4; w.rng.IntN(10) == 0 {
 			e.Outcome = brain.NotSent
 		}
@@ -205,7 +206,7 @@
 	return latency, e
 }
 
-// step gives the Brain and its twin the same batch, and lets the world act on what is decided.
+// step gives the Brain and its replica the same batch, and carries out the actions.
 func (w *simulation) step(events []brain.Event) {
 	w.t.Helper()
 	got := w.brain.Step(w.now, append([]brain.Event(nil), events...))
@@ -265,7 +266,7 @@
 	return "nothing"
 }
 
-// restart begins a new process with what the old one had pending, as the journal would tell it.
+// restart starts a new process with the messages that were pending in the old one, as a sender does from its journal.
 func (w *simulation) restart() {
 	rates := w.brain.UsualRates()
 	if w.replica != nil {
@@ -326,9 +327,9 @@
 	for range batches {
 		var events []brain.Event
 		switch pause := time.Duration(rng.ExpFloat64() * 30 * float64(ms)); {
-		case rng.IntN(3) == 0 && len(w.queue) > 0: // the next thing due, alone or with all that is due soon after
+		case rng.IntN(3) == 0 && len(w.queue) > 0: // the next scheduled event, alone or with those that follow soon
 			w.now = max(w.now, w.queue[0].at) + pause/10*time.Duration(rng.IntN(2))
-		case rng.IntN(400) == 0: // long silence
+		case rng.IntN(400) == 0: // a long idle time
 			w.now += time.Duration(rng.IntN(90)) * time.Minute
 		case rng.IntN(60) == 0:
 			w.now += time.Duration(rng.IntN(8)) * time.Second
@@ -343,7 +344,7 @@
 					continue
 				}
 				if _, inFlight := m.inFlight[result.Attempt]; !inFlight && rng.IntN(5) > 0 {
-					continue // twice now and then
+					continue // otherwise the result is delivered a second time
 				}
 				delete(m.inFlight, result.Attempt)
 				m.ended = m.ended || result.Final
@@ -353,7 +354,7 @@
 		for range rng.IntN(maxArrivals + 1) {
 			events = append(events, w.message())
 		}
-		if rng.IntN(40) == 0 { // a burst, and for one destination
+		if rng.IntN(40) == 0 { // a burst for one destination
 			d := brain.DestinationID(w.rng.IntN(w.destinationCount))
 			for range rng.IntN(40) {
 				m := w.message()
@@ -377,7 +378,7 @@
 			events = append(events, brain.TimerFired{})
 		case x == 6 && rng.IntN(8) == 0:
 			w.restart()
-			events = nil // the new process was handed all that is pending
+			events = nil // the new process has got all pending messages
 		}
 		if w.extraEvents != nil {
 			events = append(events, w.extraEvents()...)
--- a/brain/hibernation_days_test.go
+++ b/brain/hibernation_days_test.go
@@ -7,14 +7,14 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// attempt is one call of a message.
+// attemptKey identifies an attempt of a message.
 type attemptKey struct {
 	message brain.MessageID
 	n       int
 }
 
-// rules are what holds whatever is remembered: nothing goes to an endpoint that is not listed, nor during a
-// retry-after, and each message ends once.
+// invariants checks what must hold whether or not destinations hibernate: nothing is sent to an endpoint that is not
+// listed, nor during a retry-after, and each message ends once.
 type invariants struct {
 	t                 *testing.T
 	seed              uint64
@@ -22,8 +22,8 @@
 	retryAfterUntil   map[brain.DestinationID]time.Duration
 	hasEndpointRoutes bool
 	ended             map[brain.MessageID]bool
-	inFlight          map[attemptKey]brain.DestinationID // and where it was sent
-	wakeUps           int                                // sends after a quiet time in which a destination hibernates
+	inFlight          map[attemptKey]brain.DestinationID // with the destination of each attempt
+	wakeUps           int                                // sends after an idle time in which a destination hibernates
 	lastSent          map[brain.DestinationID]time.Duration
 }
 
@@ -42,7 +42,7 @@
 			}
 		case brain.AttemptResult:
 			key := attemptKey{e.Message, e.Attempt}
-			if d, inFlight := r.inFlight[key]; inFlight && e.RetryAfter > 0 { // a result that comes twice counts once
+			if d, inFlight := r.inFlight[key]; inFlight && e.RetryAfter > 0 { // a duplicate result counts once
 				r.retryAfterUntil[d] = max(r.retryAfterUntil[d], w.now+e.RetryAfter)
 			}
 			delete(r.inFlight, key)
@@ -53,10 +53,10 @@
 		case brain.Send:
 			d, ok := r.ready[a.Endpoint]
 			if !ok || d != w.pending[a.Message].msg.Destination {
-				r.t.Fatalf("seed %d at %v: message %d for %d is sent to endpoint %d, which is listed: %v, for %d", r.seed, w.now, a.Message, w.pending[a.Message].msg.Destination, a.Endpoint, ok, d)
+				r.t.Fatalf("seed %d at %v: message %d for destination %d is sent to endpoint %d, which is listed: %v, for destination %d", r.seed, w.now, a.Message, w.pending[a.Message].msg.Destination, a.Endpoint, ok, d)
 			}
 			if !r.hasEndpointRoutes && w.now < r.retryAfterUntil[d] {
-				r.t.Fatalf("seed %d at %v: sent to %d, which asked to wait until %v", r.seed, w.now, d, r.retryAfterUntil[d])
+				r.t.Fatalf("seed %d at %v: sent to destination %d, whose retry-after ends at %v", r.seed, w.now, d, r.retryAfterUntil[d])
 			}
 			if last, ok := r.lastSent[d]; ok && w.now-last > w.settings.HibernateAfter+time.Second {
 				r.wakeUps++
@@ -71,7 +71,7 @@
 	}
 }
 
-// restart forgets what a new process does not know: retry-afters and calls in flight.
+// restart clears what a new process has no record of: retry-afters, calls in flight and the list.
 func (r *invariants) restart() {
 	clear(r.retryAfterUntil)
 	clear(r.inFlight)
@@ -85,8 +85,8 @@
 	r.ended[id] = true
 }
 
-// With destinations that hibernate after a moment of quiet the rules hold all the same, and two such Brains
-// decide alike.
+// With destinations that hibernate after a short idle time the invariants hold, and two Brains with the same events decide
+// the same.
 func TestStep_RulesHoldWhileHibernating(t *testing.T) {
 	wakeUps := 0
 	for seed := range uint64(600) {
@@ -103,6 +103,6 @@
 		wakeUps += w.invariants.wakeUps
 	}
 	if wakeUps < 600 {
-		t.Errorf("only %d calls woke a destination", wakeUps)
+		t.Errorf("only %d calls woke up a destination", wakeUps)
 	}
 }
--- a/brain/recorded_test.go
+++ b/brain/recorded_test.go
@@ -14,17 +14,18 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// The recorded decisions pin down every action of generated days: a change of the code that is meant to change no decision
-// leaves testdata as it is. One that is meant to change them records them anew with -update, and the commit says why. They
-// were recorded on amd64; where the compiler fuses multiplications and additions, floating-point results may differ.
+// The recorded decisions determine every action of generated days. A change of the code that is meant to change no decision
+// must leave testdata as it is. A change that is meant to change decisions records them again with -update, and its commit
+// says why. They were recorded on amd64; where the compiler fuses multiplications and additions, floating-point results may
+// differ.
 
-var update = flag.Bool("update", false, "record the decisions in testdata anew")
+var update = flag.Bool("update", false, "record the decisions in testdata again")
 
 const (
-	plainDays   = 1500 // seeds of days as each of the settings has them
-	serviceDays = 500  // seeds of days with a fleet, hibernation and observations
-	batches     = 250  // in each day
-	listedLines = 600  // of the first service day that are kept in full
+	plainDays   = 1500 // number of days with the generated settings unchanged
+	serviceDays = 500  // number of days with a fleet, hibernation and observations
+	batches     = 250  // batches of events in each day
+	listedLines = 600  // lines of service day 1 that are recorded in full
 )
 
 // writeEvent writes an event in a form that does not depend on the names of types and fields.
@@ -85,7 +86,7 @@
 		k.Window, int64(k.WindowAge), k.Limit, int64(k.LimitAge), int64(k.RetryAfter), uint8(k.Health), int64(k.HealthFor), int64(k.OutageFor), int64(k.HealthAge), k.Rate, k.OtherProbers)
 }
 
-// recordDay plays a day against a Brain alone and writes its actions, and with it the events where listed is set.
+// recordDay runs a day and writes the actions of its Brain, and the events as well if listed is set.
 func recordDay(w *simulation, out io.Writer, listed bool) (actions int) {
 	steps := 0
 	w.record = func(events []brain.Event, acts []brain.Action) {
@@ -123,7 +124,8 @@
 	return actions
 }
 
-// serviceDay is a day as in service: destinations hibernate, the fleet grants rates, and other senders tell what they observe.
+// serviceDay is a day as in service: destinations hibernate, the fleet grants rates, and other senders report what they
+// observe.
 func serviceDay(t *testing.T, seed uint64) *simulation {
 	w := newSimulation(t, seed)
 	w.settings.Senders = []int{1, 3, 30, 200}[seed%4]
@@ -168,8 +170,8 @@
 	return w
 }
 
-// compareRecord compares what was decided with what testdata holds, line by line, or records it. If complete, testdata may
-// hold no more.
+// compareRecord compares the decisions with testdata line by line, or records them. If complete is set, testdata must have
+// no further lines.
 func compareRecord(t *testing.T, file string, got []string, complete bool) {
 	t.Helper()
 	file = "testdata/" + file
@@ -197,7 +199,7 @@
 		}
 	}
 	if complete && lines.Scan() {
-		t.Errorf("%s goes on after line %d", file, len(got))
+		t.Errorf("%s has more lines after line %d", file, len(got))
 	}
 	if err := lines.Err(); err != nil {
 		t.Error(err)
@@ -231,7 +233,7 @@
 			}
 			for _, action := range []string{"Send", "Revoke", "Reject", "Fail", "Cancel", "CloseIdleConns", "SetTimer", "WatchEndpoints", "Log"} {
 				if kinds["brain."+action] < days/10 {
-					t.Errorf("the days hardly ever came to %s: %d of it", action, kinds["brain."+action])
+					t.Errorf("too few actions of type %s: %d", action, kinds["brain."+action])
 				}
 			}
 			compareRecord(t, kind.name+"_days.golden", got, days == kind.days)
@@ -239,7 +241,7 @@
 	}
 }
 
-// The first lines of one day in full, events and actions, for readers and to find the first difference.
+// The first lines of one day are recorded in full, with events and actions, for readers and to find the first difference.
 func TestStep_RecordedActions(t *testing.T) {
 	var day strings.Builder
 	recordDay(serviceDay(t, 1), &day, true)
