--- a/brain/connections_test.go
+++ b/brain/connections_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Receivers that take few connections were filled by idle ones of 50 senders, on quiet days too.
+// Idle connections of 50 senders used up the connection limit of receivers that accept few, even with little traffic.
 func TestIdleConns_ClosedWhereConnectsFail(t *testing.T) {
 	r := fleetRig(t, 50)
 	closes := func(d time.Duration) (n int) {
@@ -20,7 +20,7 @@
 	}
 	r.serve(3, 1, 30*ms)
 	if n := closes(2 * time.Second); n != 0 {
-		t.Fatalf("%d closed before any trouble", n)
+		t.Fatalf("%d closed before any connect failed", n)
 	}
 	s := r.step(r.message(2, 0, 0))
 	r.now += 20 * ms
@@ -31,7 +31,7 @@
 	}
 }
 
-// Something on the way drops idle connections silently: the next call on one hangs and may have run.
+// A device on the network path drops idle connections silently: the next call on one hangs and may have run.
 func TestIdleConns_ClosedEarlierWhereDroppedSilently(t *testing.T) {
 	r := fleetRig(t, 50)
 	r.serve(3, 0, 30*ms)
@@ -51,8 +51,8 @@
 	}
 }
 
-// With 300 senders most rejections came from endpoints that had all the connections they take, most of them idle. Two
-// of these in a row were an outage to a sender with little traffic, which then hardly sent anything for ten seconds.
+// With 300 senders most rejections came from endpoints at their connection limit, with most connections idle. Two such
+// rejections in a row were an outage to a sender with little traffic, which then hardly sent anything for ten seconds.
 func TestConnLimit_IsNoOutage(t *testing.T) {
 	s, _ := fleetSettings(300)
 	r := newRig(t, s)
@@ -65,7 +65,7 @@
 	for i := range 4 {
 		for ; len(sends) == 0; r.now += 10 * ms {
 			if r.now-startedAt > 10*time.Second {
-				t.Fatalf("the message waits after %d refusals, its destination in state %d", i, r.b.destinations[0].sharedRoute.state)
+				t.Fatalf("the message waits after %d rejections, its destination in state %d", i, r.b.destinations[0].sharedRoute.state)
 			}
 			sends = r.step(TimerFired{})
 		}
@@ -76,20 +76,20 @@
 		sends = r.step(end)
 	}
 	if callsByEndpoint[1] == 0 || callsByEndpoint[2] == 0 {
-		t.Errorf("calls by endpoint %v: one of the two is not tried", callsByEndpoint)
+		t.Errorf("calls by endpoint %v: one of the two gets no call", callsByEndpoint)
 	}
 	if d := r.b.destinations[0].sharedRoute; d.state != healthy || d.closedUntil > r.now {
 		t.Errorf("the destination is in state %d, closed for %v", d.state, d.closedUntil-r.now)
 	}
-	// What was seen at one endpoint holds for the kind.
+	// A rejection by one endpoint shortens the idle time-out of its kind.
 	if idleTimeout, _ := r.b.idleTimeout(r.b.endpoints[3]); idleTimeout > s.IdleConnTimeout/100 {
 		t.Errorf("idle connections are still kept for %v", idleTimeout)
 	}
 }
 
-// An endpoint takes eight connections from all senders together, as the fewest of any. Three senders may keep theirs;
-// each of three hundred has a small part of one, and what all of them kept used up every limit in the first seconds,
-// before any of them had seen a rejection.
+// An endpoint accepts at least eight connections from all senders together. Three senders may keep theirs idle. Of 300
+// senders each has a small part of one, and the idle connections of all used up every limit in the first seconds, before
+// any of them had observed a rejection.
 func TestIdleTimeout_ShorterWithManySenders(t *testing.T) {
 	for senders, want := range map[int]time.Duration{3: 15 * time.Second, 8: 15 * time.Second, 60: 2 * time.Second, 300: 400 * ms} {
 		r := fleetRig(t, senders)
@@ -99,8 +99,8 @@
 	}
 }
 
-// Where connections are short, the open one serves all that waits, and no message is spent on trying for another: one
-// at a time tries, the one that has tried least.
+// At a connection limit, the open connection serves all waiting messages, and no message uses up its attempts on opening
+// another: one message at a time tries that, the one with the fewest attempts.
 func TestConnLimit_WaitingMessagesUseOpenConnection(t *testing.T) {
 	r := fleetRig(t, 300)
 	r.serve(1, 0, 50*ms)
@@ -116,7 +116,7 @@
 		return r.step(end)
 	}
 	if s := reject(first[0]); len(s) != 0 {
-		t.Fatalf("%d sent just after the refusal", len(s))
+		t.Fatalf("%d sent just after the rejection", len(s))
 	}
 	var waiting []Event
 	for range 3 {
@@ -125,15 +125,15 @@
 	sends := r.step(waiting...)
 	for startedAt := r.now; len(sends) == 0; sends = r.step(TimerFired{}) {
 		if r.now += 10 * ms; r.now-startedAt > 2*time.Second {
-			t.Fatal("no connection is tried for")
+			t.Fatal("no call tries to open a connection")
 		}
 	}
 	if len(sends) != 1 || sends[0].Message == first[0].Message {
-		t.Fatalf("sent %v: want one, and not the message that was refused", sends)
+		t.Fatalf("sent %v: want one, and not the message that was rejected", sends)
 	}
 	for i := range 4 {
 		if len(sends) != 1 {
-			t.Fatalf("%d calls on the connection that stands, after %d: want one at a time", len(sends), i)
+			t.Fatalf("%d calls on the open connection, after %d: want one at a time", len(sends), i)
 		}
 		r.now += 50 * ms
 		sends = r.step(r.result(sends[0], Served))
@@ -144,12 +144,12 @@
 	r.now += 200 * ms
 	r.step(TimerFired{})
 	if n := r.b.endpoints[1].openConns; n != 0 {
-		t.Errorf("%d connections stay open with nothing left to send, in the way of other senders", n)
+		t.Errorf("%d connections stay open with no message left, and use up the limit for other senders", n)
 	}
 }
 
-// With 300 senders and one endpoint that takes ten connections, of which opening one takes twice as long as a call, the
-// connections were all idle, and messages used their attempts up on rejections.
+// 300 senders share one endpoint that accepts ten connections, and opening a connection takes twice as long as a call. The
+// connections were all idle, and messages used up their attempts on rejections.
 func TestConnLimit_ManySendersAtOneEndpoint(t *testing.T) {
 	const senders, maxConns, perSecond, span = 300, 10, 40, 20 * time.Second
 	s, list := fleetSettings(senders)
@@ -164,18 +164,18 @@
 		sender  int
 		result  AttemptResult
 		endsAt  time.Duration
-		hasConn bool // it stands on a connection
+		hasConn bool // it uses a connection
 	}
 	var inFlight []inFlightCall
 	openConns, idle := 0, make([]int, senders)
 	tries := map[MessageID]int{}
-	var accepted, served, rejected int
+	var submitted, served, rejected int
 	for now := time.Hour; now < time.Hour+span+10*time.Second; now += 10 * ms {
 		events := make([][]Event, senders)
 		if now < time.Hour+span && int(now/(10*ms))*perSecond%100 < perSecond {
-			accepted++
-			sender := accepted * 37 % senders
-			events[sender] = append(events[sender], Message{ID: MessageID(accepted), Class: 1, Destination: 0, Deadline: now + 10*time.Second})
+			submitted++
+			sender := submitted * 37 % senders
+			events[sender] = append(events[sender], Message{ID: MessageID(submitted), Class: 1, Destination: 0, Deadline: now + 10*time.Second})
 		}
 		remaining := inFlight[:0]
 		for _, c := range inFlight {
@@ -219,8 +219,8 @@
 			}
 		}
 	}
-	t.Logf("%d messages, %d served, %d refusals", accepted, served, rejected)
-	if served < accepted*85/100 {
-		t.Errorf("%d of %d messages served, with %d refusals for want of connections", served, accepted, rejected)
+	t.Logf("%d messages, %d served, %d rejections", submitted, served, rejected)
+	if served < submitted*85/100 {
+		t.Errorf("%d of %d messages served, with %d rejections at the connection limit", served, submitted, rejected)
 	}
 }
--- a/brain/endpoint_list_test.go
+++ b/brain/endpoint_list_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Rule 3: nothing goes to an endpoint from the batch on that names it draining.
+// Rule 3: no call is sent to an endpoint from the batch on in which it is listed as draining.
 func TestEndpointUpdate_DrainingEndpointGetsNoCall(t *testing.T) {
 	r := newRig(t, settings())
 	if s := r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}, r.message(0, 0, 0)); len(s) != 0 {
 		t.Fatalf("sent to a draining endpoint: %+v", s)
 	}
 	if s := r.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 1, Ready: true}}}); len(s) != 1 {
-		t.Fatalf("not sent to the endpoint that is back: %+v", s)
+		t.Fatalf("not sent to the endpoint that is ready again: %+v", s)
 	}
 	if s := r.step(r.message(0, 1, 0)); len(s) != 0 {
-		t.Fatalf("sent to an endpoint that the whole list lacks: %+v", s)
+		t.Fatalf("sent to an endpoint that is not in the complete list: %+v", s)
 	}
 }
 
@@ -33,13 +33,13 @@
 		return n
 	}
 	if requests(0) != 1 || requests(time.Second) != 0 {
-		t.Fatal("the list is watched once from the start")
+		t.Fatal("the list is not requested exactly once at the start")
 	}
 	if requests(2*time.Second, EndpointUpdate{Failed: true}) != 0 || requests(2*time.Second+minListBackoff/2-ms) != 0 || requests(2*time.Second+2*minListBackoff) != 1 {
-		t.Fatal("a failed watch is asked for again")
+		t.Fatal("a failed request is not retried once after its back-off")
 	}
-	// Each failure in a row doubles the pause, up to one with which a change is heard in the protocol's 6 s; where discovery has
-	// more to do than it can, it is one with which all senders together leave it room.
+	// Each consecutive failure doubles the back-off, up to a bound with which a change is received within the 6 s of the
+	// protocol. If discovery is overloaded, the back-off is one with which all senders together leave it enough capacity.
 	now, backoff := 10*time.Second, minListBackoff
 	for n := range 12 {
 		update := EndpointUpdate{Failed: true, Overloaded: n >= 6}
@@ -47,25 +47,25 @@
 			backoff = overloadedListBackoff
 		}
 		if requests(now, update) != 0 || requests(now+backoff/2-ms) != 0 || requests(now+backoff/2+backoff) != 1 {
-			t.Fatalf("after a pause of about %v the list is asked for once", backoff)
+			t.Fatalf("the list is not requested once after a back-off of about %v", backoff)
 		}
 		now += 2 * backoff
 	}
 	if requests(now, EndpointUpdate{Failed: true}) != 0 || requests(now+overloadedListBackoff/2-ms) != 0 || requests(now+2*overloadedListBackoff) != 1 {
-		t.Fatal("it is left room until it has answered, also by a call that it turns away at once")
+		t.Fatal("the back-off of an overload does not last until an answer, also after a request that is rejected at once")
 	}
 	if now += 20 * time.Second; requests(now, EndpointUpdate{}) != 0 || requests(now+1, EndpointUpdate{Failed: true}) != 0 || requests(now+1+2*minListBackoff) != 1 {
-		t.Fatal("once it was told, pauses begin anew")
+		t.Fatal("after an answer, back-offs do not start at the minimum")
 	}
 }
 
-// Endpoints under ever new ids leave nothing behind, nor does a destination that nobody lists or wants any more; a call
-// in flight when its endpoint goes ends as it does, and a retry-after outlasts the endpoint.
+// Endpoints under ever new ids, and destinations that are not listed and have no messages, must be deleted. A call in
+// flight ends normally when its endpoint is removed, and a retry-after outlasts the endpoint.
 func TestForgetRemoved_EndpointsAndDestinations(t *testing.T) {
 	r := newRig(t, settings())
 	list := func(ids ...EndpointID) EndpointUpdate {
 		n := EndpointUpdate{Complete: true}
-		for _, id := range ids { // even ones of a shared destination, odd ones routes apart
+		for _, id := range ids { // even ids share a route, odd ids have routes of their own
 			n.Endpoints = append(n.Endpoints, Endpoint{ID: id, Destination: 10 + DestinationID(id%2), Kind: int(id % 2), Ready: true})
 		}
 		return n
@@ -73,7 +73,7 @@
 	for id := EndpointID(100); id < 2100; id += 2 {
 		sends := append(r.step(list(id, id+1), r.message(0, 10, 0)), r.step(r.message(0, 11, 0))...)
 		r.now += 300 * ms
-		r.step(list(id+2, id+3)) // they go while their calls are out
+		r.step(list(id+2, id+3)) // endpoints are removed while their calls are in flight
 		for _, s := range sends {
 			r.step(r.result(s, Served))
 		}
@@ -84,7 +84,7 @@
 		t.Errorf("%d endpoints, %d routes, %d destinations, %d in order", e, n, d, o)
 	}
 	if len(r.failed)+len(r.rejected)+len(r.b.messages) > 0 {
-		t.Errorf("failed %v, refused %v, %d messages held", r.failed, r.rejected, len(r.b.messages))
+		t.Errorf("failed %v, rejected %v, %d messages left", r.failed, r.rejected, len(r.b.messages))
 	}
 	r.now += 2 * removedRetention
 	r.step(list())
@@ -99,19 +99,19 @@
 	r.step(list())
 	r.now += removedRetention + time.Second
 	if got := r.step(list(), list(7001), r.message(0, 11, 0)); len(got) > 0 {
-		t.Error("a told wait is forgotten with the endpoint")
+		t.Error("a retry-after is forgotten with the endpoint")
 	}
 }
 
-// discovery is one discovery for a whole fleet, in virtual time: it works through calls in turn, each takes it as long, a
-// call that has waited for longer than the time-out has failed and is worked through all the same, and calls beyond so
-// much work are rejected at once.
+// discovery simulates the discovery of a fleet in virtual time. It processes requests one after another, each in the same
+// time. A request that has waited for longer than the time-out has failed and is processed all the same; requests beyond
+// maxBacklog of work are rejected at once.
 type discovery struct {
 	perRequest, timeout, maxBacklog time.Duration
 	freeAt                          time.Duration
 }
 
-// ask is when a call that comes now ends, and whether it is answered.
+// request returns when a request that arrives now ends, and whether it is answered.
 func (o *discovery) request(now time.Duration) (at time.Duration, answered bool) {
 	begin := max(now, o.freeAt)
 	if begin-now > o.maxBacklog {
@@ -124,8 +124,8 @@
 	return o.freeAt, true
 }
 
-// ask plays a fleet that starts at one moment and tells when each of its senders has heard the list, and how many
-// calls discovery has worked on in vain.
+// runDiscovery simulates a fleet whose senders start at the same time. It returns when each sender received the list, and
+// how many requests discovery processed without answering them.
 func runDiscovery(senders int, o *discovery, until time.Duration) (receivedAt []time.Duration, wasted int) {
 	const start = time.Hour
 	s, list := fleetSettings(senders)
@@ -162,42 +162,43 @@
 	return receivedAt, wasted
 }
 
-// Eighty senders start at once at a discovery that takes fifteen calls a second and gives each two seconds. Asking again
-// every second or so after a failure they kept it busy with calls that had failed already, and none heard a drain.
+// Eighty senders start at the same time with a discovery that processes fifteen requests a second, each with a time-out of
+// two seconds. When they retried a failed request after a second or so, discovery was busy with requests that had already
+// failed, and no sender received a drain.
 func TestWatchEndpoints_FleetStartsAtOnce(t *testing.T) {
-	for _, perRequest := range []time.Duration{25 * ms, 66 * ms, 100 * ms} { // a call of everyone in 2 to 8 s
-		for _, maxBacklog := range []time.Duration{2 * time.Second, 5 * time.Second} { // of work that waits, before calls are turned away
+	for _, perRequest := range []time.Duration{25 * ms, 66 * ms, 100 * ms} { // the requests of all senders take 2 to 8 s
+		for _, maxBacklog := range []time.Duration{2 * time.Second, 5 * time.Second} { // of queued work, before requests are rejected
 			receivedAt, wasted := runDiscovery(80, &discovery{perRequest: perRequest, timeout: 2 * time.Second, maxBacklog: maxBacklog}, 30*time.Second)
 			if len(receivedAt) != 80 {
-				t.Errorf("%v a call, %v of work: %d of 80 senders have heard the list after 30 s, %d calls in vain", perRequest, maxBacklog, len(receivedAt), wasted)
+				t.Errorf("%v a request, %v of work: %d of 80 senders have received the list after 30 s, %d requests wasted", perRequest, maxBacklog, len(receivedAt), wasted)
 				continue
 			}
 			slices.Sort(receivedAt)
-			t.Logf("%v a call, %v of work: half has heard after %v, all after %v, %d calls in vain", perRequest, maxBacklog, receivedAt[40], receivedAt[79], wasted)
+			t.Logf("%v a request, %v of work: half have received the list after %v, all after %v, %d requests wasted", perRequest, maxBacklog, receivedAt[40], receivedAt[79], wasted)
 			if wasted > 2*80 {
-				t.Errorf("%v a call, %v of work: %d calls in vain: more than two for each sender", perRequest, maxBacklog, wasted)
+				t.Errorf("%v a request, %v of work: %d requests wasted: more than two for each sender", perRequest, maxBacklog, wasted)
 			}
 		}
 	}
 }
 
-// A discovery that was overloaded for long, and rejected calls at once, has some calls of every sender queued when it
-// can answer again: all senders leave it capacity then, and each hears the list within 20 s.
+// A discovery that was overloaded for long, and rejected requests at once, has some requests of every sender queued when
+// it can answer again. All senders must leave it enough capacity then, so that each receives the list within 20 s.
 func TestWatchEndpoints_FleetAfterOverload(t *testing.T) {
 	o := &discovery{perRequest: 66 * ms, timeout: 2 * time.Second, maxBacklog: 5 * time.Second}
 	o.freeAt = time.Hour + 25*time.Second // nothing is answered until then
 	receivedAt, _ := runDiscovery(80, o, time.Minute)
 	if len(receivedAt) != 80 {
-		t.Fatalf("%d of 80 senders have heard the list", len(receivedAt))
+		t.Fatalf("%d of 80 senders have received the list", len(receivedAt))
 	}
 	if last := slices.Max(receivedAt); last > 45*time.Second {
-		t.Errorf("the last has heard after %v", last)
+		t.Errorf("the last sender has received the list after %v", last)
 	}
 }
 
-// A destination whose endpoints have routes of their own leaves the list, is forgotten, and is listed again while its
-// endpoint is still remembered: the routes are its own as before, and quiet that would let one with a shared route
-// hibernate does it no harm.
+// A destination whose endpoints have routes of their own leaves the list, is deleted, and is listed again while its
+// endpoint is still kept. The endpoint must keep its own route, and the destination must not hibernate, as only
+// destinations with a shared route may.
 func TestEndpointUpdate_RelistedDestinationKeepsEndpointRoutes(t *testing.T) {
 	s := settings()
 	s.HibernateAfter = 5 * time.Minute
@@ -211,20 +212,20 @@
 	r.now += time.Second
 	r.step(TimerFired{})
 	if r.b.destinations[4] != nil {
-		t.Fatal("a destination without endpoints and messages is remembered")
+		t.Fatal("a destination without endpoints and messages is kept")
 	}
 	if r.b.endpoints[1] == nil {
-		t.Fatal("its endpoint is not")
+		t.Fatal("its endpoint is not kept")
 	}
 	r.step(EndpointUpdate{Endpoints: []Endpoint{entry}})
 	if d := r.b.destinations[4]; !d.hasEndpointRoutes || d.sharedRoute != nil {
-		t.Errorf("its routes are no longer apart")
+		t.Errorf("its endpoint has no route of its own any more")
 	}
 	for range 20 {
 		r.now += time.Minute
 		r.step(TimerFired{})
 	}
 	if r.b.destinations[4] == nil {
-		t.Error("it hibernates")
+		t.Error("the destination hibernates")
 	}
 }
--- a/brain/hibernation_test.go
+++ b/brain/hibernation_test.go
@@ -17,7 +17,7 @@
 	return newRig(t, s)
 }
 
-// hibernate lets time pass with nothing for the destinations 0 and 1 until they hibernate.
+// hibernate advances the time by d without any message, until destination 0 hibernates.
 func (r *rig) hibernate(d time.Duration) {
 	r.Helper()
 	end := r.now + d
@@ -26,11 +26,11 @@
 		r.step(TimerFired{})
 	}
 	if r.b.hibernated[0] == nil || r.b.destinations[0] != nil {
-		r.Fatal("it does not hibernate")
+		r.Fatal("destination 0 does not hibernate")
 	}
 }
 
-// endAll ends every call in flight, until there is none.
+// resolveAll ends the given calls and all calls that are sent meanwhile with outcome o, until no call is in flight.
 func (r *rig) resolveAll(sends []Send, o Outcome) {
 	for len(sends) > 0 {
 		s := sends[0]
@@ -38,8 +38,8 @@
 	}
 }
 
-// After a minute of hibernation all is nearly as before; after hours the time-out and the window are nearly those of an
-// unknown destination.
+// After a minute of hibernation the learned time-out and window are nearly unchanged; after hours they are nearly those of
+// an unknown destination.
 func TestWakeUp_LearnedValuesAge(t *testing.T) {
 	for _, c := range []struct {
 		hibernation            time.Duration
@@ -53,19 +53,19 @@
 				sends = append(sends, r.step(r.message(0, 0, 0))...)
 			}
 			r.now += 100 * ms
-			for len(sends) > 0 { // each with what it lets go on
+			for len(sends) > 0 { // including the calls that each result admits
 				s := sends[0]
 				sends = append(sends[1:], r.step(r.result(s, Served))...)
 			}
 		}
 		before := r.b.destinations[0].sharedRoute.Timeout()
 		if before > time.Second {
-			t.Fatalf("it has learnt a time-out of %v", before)
+			t.Fatalf("the learned time-out is %v, want at most 1 s", before)
 		}
 		r.hibernate(c.hibernation)
 		d := r.b.destination(0)
 		if timeout := d.sharedRoute.Timeout(); timeout < c.minTimeout || timeout > c.maxTimeout {
-			t.Errorf("after %v the time-out is %v, it was %v", c.hibernation, timeout, before)
+			t.Errorf("after %v the time-out is %v, it was %v before", c.hibernation, timeout, before)
 		}
 		if w := d.sharedRoute.window.Size; w < c.window || w > 8 || c.window == 1 && w > 1.1 {
 			t.Errorf("after %v the window is %v", c.hibernation, w)
@@ -73,10 +73,10 @@
 	}
 }
 
-// It hibernates during its retry-after, and wakes up within it: nothing is sent before the wait is over.
+// A destination that hibernates and wakes up during its retry-after gets no call before the retry-after is over.
 func TestHibernate_WithinRetryAfter(t *testing.T) {
 	r := hibernatingRig(t)
-	r.b.settings.OverloadWindow = time.Hour // such a wait is no outage here
+	r.b.settings.OverloadWindow = time.Hour // so that the retry-after does not begin an outage
 	s := r.step(r.message(0, 0, 0))
 	e := r.result(s[0], Rejected)
 	e.RetryAfter, e.Final = 10*time.Minute, true
@@ -85,28 +85,28 @@
 	r.hibernate(4 * time.Minute)
 	for r.now < waitEnds {
 		if sends := r.step(r.message(0, 0, 0)); len(sends) > 0 {
-			t.Fatalf("sent %v before the wait was over", waitEnds-r.now)
+			t.Fatalf("sent %v before the retry-after was over", waitEnds-r.now)
 		}
 		r.now += 7 * time.Second
 	}
 	r.now = waitEnds + 10*ms
 	if sends := r.step(r.message(0, 0, 0)); len(sends) == 0 {
-		t.Error("nothing is sent when the wait is over")
+		t.Error("nothing is sent after the retry-after")
 	}
 }
 
-// It hibernates during an outage, and a burst wakes it up: one call goes at a time, and after the first that is served
-// as many as a destination bears that warms up.
+// A destination hibernates during an outage and is woken up by a burst of messages. One call is sent at a time, and after
+// the first served call no more calls than a destination can take during its slow start.
 func TestHibernate_WithinOutage(t *testing.T) {
 	r := hibernatingRig(t)
 	r.serve(60, 0, 50*ms)
 	r.beginOutage()
-	for _, h := range r.b.messages { // what is pending ends
+	for _, h := range r.b.messages { // end all pending messages
 		r.step(Withdrawn{h.ID})
 	}
 	r.hibernate(10 * time.Minute)
 	if st := r.b.hibernated[0].state; st != outage {
-		t.Fatalf("it hibernated in state %d", st)
+		t.Fatalf("hibernated in state %d, want an outage", st)
 	}
 	var burst []Event
 	for range 60 {
@@ -115,13 +115,13 @@
 	sends := r.step(burst...)
 	for i := 0; len(sends) == 0; i++ {
 		if i > 200 {
-			t.Fatal("it is never tried")
+			t.Fatal("no probe is sent")
 		}
 		r.now += 50 * ms
 		sends = r.step(TimerFired{})
 	}
 	if len(sends) != 1 {
-		t.Fatalf("%d calls to a receiver that was out", len(sends))
+		t.Fatalf("%d calls to a destination in an outage, want 1", len(sends))
 	}
 	returnedAt := r.now
 	before := r.b.destinations[0].sharedRoute.rateBeforeOutage
@@ -138,14 +138,15 @@
 		pending = next
 	}
 	if r.b.destinations[0].sharedRoute.state != warmingUp {
-		t.Errorf("it is in state %d", r.b.destinations[0].sharedRoute.state)
+		t.Errorf("state %d, want a slow start", r.b.destinations[0].sharedRoute.state)
 	}
 	if limit := before*2*(0.2+0.8*0.2)*2 + 4; float64(count) > limit {
-		t.Errorf("%d calls in the first 2 s to one that bears %.1f", count, limit)
+		t.Errorf("%d calls in the first 2 s, want at most %.1f", count, limit)
 	}
 }
 
-// A rate limit is remembered; hours later its send rate is an even share, and at last it is unknown.
+// A rate limit survives hibernation. Within hours its send rate approaches the initial one, and finally the limit is
+// unknown.
 func TestWakeUp_RateLimitAges(t *testing.T) {
 	for _, c := range []struct {
 		hibernation time.Duration
@@ -153,7 +154,7 @@
 	}{{2 * time.Minute, 30}, {2 * time.Hour, 30}, {10 * time.Hour, 0}} {
 		r := hibernatingRig(t)
 		for range 30 {
-			r.now += 200 * ms // its pace lets one go in that time
+			r.now += 200 * ms // the send rate allows one call in that time
 			s := r.step(r.message(0, 0, 0))
 			r.now += 50 * ms
 			e := r.result(s[0], Served)
@@ -162,7 +163,7 @@
 		}
 		sendRate := r.b.destinations[0].sharedRoute.sendRate
 		if sendRate < 20 {
-			t.Fatalf("the pace has grown to %v only", sendRate)
+			t.Fatalf("the send rate has grown to %v only", sendRate)
 		}
 		r.hibernate(c.hibernation)
 		d := r.b.destination(0)
@@ -171,36 +172,37 @@
 			t.Errorf("after %v the limit is %v", c.hibernation, d.sharedRoute.limit)
 		}
 		if restored := d.sharedRoute.sendRate; c.limit > 0 && (restored < initial || restored > sendRate) || c.hibernation == 2*time.Hour && math.Abs(restored-(initial+(sendRate-initial)/4)) > 0.3 {
-			t.Errorf("after %v the pace is %v, it was %v and an even part is %v", c.hibernation, restored, sendRate, initial)
+			t.Errorf("after %v the send rate is %v, it was %v before and is %v initially", c.hibernation, restored, sendRate, initial)
 		}
 	}
 }
 
-// Its endpoints were replaced meanwhile: the old one gets nothing, the new one does; and one that is listed again as it
-// was wakes up nobody.
+// Endpoints that are replaced during hibernation get no call, and their replacements do. An entry of the list that has not
+// changed does not wake up its destination.
 func TestHibernated_EndpointsReplaced(t *testing.T) {
 	r := hibernatingRig(t)
 	r.serve(5, 0, 50*ms)
 	r.hibernate(3 * time.Minute)
 	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true}}})
 	if r.b.hibernated[0] == nil {
-		t.Error("a line that says nothing new unfolds")
+		t.Error("an unchanged entry of the list wakes up its destination")
 	}
 	r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 9, Ready: true}, {ID: 1}}})
 	r.hibernate(3 * time.Minute)
 	if s := r.step(r.message(0, 0, 0)); len(s) != 1 || s[0].Endpoint != 9 {
-		t.Errorf("%+v", s)
+		t.Errorf("sends %+v, want one to endpoint 9", s)
 	}
 	r.step(r.result(r.sends[len(r.sends)-1], Served))
 	r.hibernate(3 * time.Minute)
-	// A whole list without it: gone.
+	// A complete list without endpoint 9 removes it.
 	r.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 2, Destination: 1, Ready: true}}})
 	if s := r.step(r.message(0, 0, 0)); len(s) != 0 {
-		t.Errorf("sent to one that is gone: %+v", s)
+		t.Errorf("sent to a removed endpoint: %+v", s)
 	}
 }
 
-// An id comes back under another destination while its own hibernates: each goes by its own list.
+// An endpoint is listed under another destination while its own hibernates: messages of each destination are sent to its
+// own endpoints only.
 func TestHibernated_EndpointMovesToAnotherDestination(t *testing.T) {
 	r := hibernatingRig(t)
 	r.serve(5, 0, 50*ms)
@@ -212,7 +214,7 @@
 			s := r.step(r.message(0, dest, 0))
 			for _, x := range s {
 				if (x.Endpoint == 7) != (dest == 0) {
-					t.Fatalf("a message for %d is sent to %d", dest, x.Endpoint)
+					t.Fatalf("a message for destination %d is sent to endpoint %d", dest, x.Endpoint)
 				}
 			}
 			r.now += 50 * ms
@@ -221,7 +223,7 @@
 	}
 }
 
-// 500 destinations wake up in the same second, with few slots: each is served, none waits for long.
+// 500 destinations wake up within one second, with few slots: all messages are served, and no destination waits for long.
 func TestWakeUp_ManyAtOnce(t *testing.T) {
 	s := settings()
 	s.HibernateAfter, s.Slots, s.MaxPending, s.Kinds = time.Minute, 40, 5000, []Kind{{MaxBatch: 1}}
@@ -242,7 +244,7 @@
 		}
 	}
 	if n := len(r.b.hibernated); n != 5000 {
-		t.Fatalf("%d of 5000 are hibernated", n)
+		t.Fatalf("%d of 5000 destinations hibernate", n)
 	}
 	startedAt := r.now
 	firstServed, served := map[DestinationID]time.Duration{}, 0
@@ -259,7 +261,7 @@
 	}
 	for tick := 0; served < 1500 && tick < 2000; tick++ {
 		var events []Event
-		if tick < 100 { // five of them wake in each 10 ms, with three messages
+		if tick < 100 { // five destinations wake up in each 10 ms, with three messages each
 			for k := range 5 {
 				for range 3 {
 					m := r.message(0, DestinationID(tick*5+k), 0)
@@ -285,16 +287,16 @@
 		r.now += 10 * ms
 	}
 	if served != 1500 {
-		t.Fatalf("%d of 1500 served, %d failed, %d refused", served, len(r.failed), len(r.rejected))
+		t.Fatalf("%d of 1500 served, %d failed, %d rejected", served, len(r.failed), len(r.rejected))
 	}
 	for d, at := range firstServed {
 		if wokenAt := time.Duration(int(d)/5) * 10 * ms; at-wokenAt > 3*time.Second {
-			t.Errorf("destination %d is first served %v after it woke", d, at-wokenAt)
+			t.Errorf("destination %d is first served %v after it woke up", d, at-wokenAt)
 		}
 	}
 }
 
-// A restart during hibernation: the rates of hibernated destinations are returned with the others, each once.
+// A sender that restarts needs the rates of hibernated destinations as well: UsualRates returns each rate once.
 func TestUsualRates_OfHibernated(t *testing.T) {
 	r := hibernatingRig(t)
 	r.serve(60, 0, 50*ms)
@@ -307,39 +309,39 @@
 	hibernated := map[DestinationID]float64{}
 	for _, e := range r.b.UsualRates() {
 		if _, twice := hibernated[e.Destination]; twice {
-			t.Errorf("the rate of %d is told twice", e.Destination)
+			t.Errorf("the rate of destination %d is returned twice", e.Destination)
 		}
 		hibernated[e.Destination] = e.Rate
 	}
 	if len(hibernated) != len(awake) || hibernated[0] <= hibernated[1] || hibernated[0] > awake[0] {
-		t.Errorf("awake %v, asleep %v", awake, hibernated)
+		t.Errorf("awake %v, hibernated %v", awake, hibernated)
 	}
 }
 
-// The number of routes, by which rates are judged, is the same in hibernation and awake.
+// The number of routes, on which usual rates are based, is the same in hibernation and awake.
 func TestHibernate_KeepsRouteCount(t *testing.T) {
 	r := hibernatingRig(t)
 	n := r.b.routeCount
 	for range 3 {
 		r.serve(2, 0, 50*ms)
 		r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 5, Ready: true}}})
-		r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 5}}}) // it left, and names the route still
+		r.step(EndpointUpdate{Endpoints: []Endpoint{{ID: 5}}}) // it has left the list and still refers to the route
 		r.hibernate(5 * time.Minute)
 		r.step(EndpointUpdate{})
 		if r.b.routeCount != n {
-			t.Fatalf("%d routes, there were %d", r.b.routeCount, n)
+			t.Fatalf("%d routes, want %d", r.b.routeCount, n)
 		}
 	}
 	r.step(EndpointUpdate{Complete: true})
 	r.now += 10 * time.Minute
 	r.step(EndpointUpdate{})
 	if r.b.routeCount != 0 || len(r.b.destinationOrder) != 0 || len(r.b.hibernated) != 0 || len(r.b.hibernatedEndpoints) != 0 {
-		t.Errorf("of what is gone %d routes, %d destinations, %d records are left", r.b.routeCount, len(r.b.destinationOrder), len(r.b.hibernated))
+		t.Errorf("%d routes, %d destinations and %d records are left after their removal", r.b.routeCount, len(r.b.destinationOrder), len(r.b.hibernated))
 	}
 }
 
-// BenchmarkFolded tells how many bytes a hibernated destination of one endpoint takes in the Brain, all maps
-// included, and one that is awake.
+// BenchmarkHibernated measures how many bytes a destination with one endpoint takes in the Brain, including all maps,
+// awake and hibernated.
 func BenchmarkHibernated(b *testing.B) {
 	const n = 20_000
 	heap := func() uint64 {
@@ -363,7 +365,7 @@
 			br.Step(time.Hour+2*time.Minute+time.Duration(i)*ms, []Event{TimerFired{}})
 		}
 		if len(br.hibernated) != n {
-			b.Fatalf("%d are hibernated", len(br.hibernated))
+			b.Fatalf("%d destinations hibernate", len(br.hibernated))
 		}
 		hibernated := heap()
 		b.ReportMetric(float64(awake-before)/n, "B/awake")
@@ -372,7 +374,7 @@
 	}
 }
 
-// A destination that has woken up goes by what the fleet grants it, not by the grant of destination 0.
+// A destination that has woken up is limited by its own rate grant, not by that of destination 0.
 func TestWakeUp_GoesByItsOwnRateGrant(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/brain/rate_limits_test.go
+++ b/brain/rate_limits_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Rule 5: a retry-after closes the destination to all messages; a shared call may tell a later end with each result.
+// Rule 5: a retry-after closes the destination to all messages; each result of a shared call may ask for a later end.
 func TestRetryAfter_ClosesRoute(t *testing.T) {
 	r := newRig(t, settings())
 	m1, m2 := r.message(0, 2, 0), r.message(0, 2, 0)
 	s := r.step(m1, m2)
 	if len(s) < 2 || s[0].Endpoint != s[1].Endpoint {
-		t.Fatalf("two messages to one route share no call: %+v", s)
+		t.Fatalf("two messages to one route do not share a call: %+v", s)
 	}
 	if c := r.b.callsInFlight; c != 1 {
 		t.Fatalf("a shared call holds %d slots", c)
@@ -26,14 +26,15 @@
 	for r.now < waitEnds {
 		for _, x := range r.step(r.message(0, 2, 0)) {
 			if x.Endpoint == s[0].Endpoint {
-				t.Fatalf("sent %v before the wait was over", waitEnds-r.now)
+				t.Fatalf("sent %v before the retry-after was over", waitEnds-r.now)
 			}
 		}
 		r.now += 20 * ms
 	}
 }
 
-// Where the list rates a destination but answers report no limit, the send rate stayed at half of the rating.
+// At a destination that is rated by the list but whose answers report no limit, the send rate stayed at half of the
+// rating.
 func TestSendRate_GrowsWithoutReportedLimit(t *testing.T) {
 	set := settings()
 	set.RatingIsLimit = true
@@ -51,11 +52,11 @@
 		}
 	}
 	if route.sendRate <= before || route.sendRate > 10 {
-		t.Fatalf("pace %v, %v before", route.sendRate, before)
+		t.Fatalf("send rate %v, %v before", route.sendRate, before)
 	}
 }
 
-// A limit of a few calls a second over 300 senders left each one call in half a minute.
+// A limit of a few calls a second, divided among 300 senders, left each of them one call in half a minute.
 func TestInitialSendRate_UsableByOneOfManySenders(t *testing.T) {
 	r := fleetRig(t, 300)
 	served := 0
@@ -74,9 +75,8 @@
 	}
 }
 
-// sharedLimit is a destination that takes so many calls a second from all senders together, saves up what it can take in two
-// seconds, and books a call that it refuses like one that it serves: called more often than that all the time, it
-// serves nothing at all.
+// sharedLimit is a token bucket that all senders share, with a burst of two seconds. Rejected calls take tokens like
+// served ones: called at more than its rate all the time, it serves nothing at all.
 type sharedLimit struct {
 	rate, tokens float64
 	at           time.Duration
@@ -84,7 +84,7 @@
 
 const limitBurstSeconds = 2 // seconds
 
-// left is the share of what it can save up that is left.
+// remaining returns the fraction of the bucket that is left.
 func (l *sharedLimit) remaining(now time.Duration) float64 {
 	l.tokens = min(limitBurstSeconds*l.rate, l.tokens+l.rate*(now-l.at).Seconds())
 	l.at = now
@@ -98,10 +98,10 @@
 	return served
 }
 
-// Eighty senders share a limit of 32 calls a second that refused calls use up. Each gets 0.37 messages a second for it, a
-// few of them several times that; for two seconds the fleet gets three times as many. The limit bears all but that. Each
-// sender by itself keeps to a call a second, and together they would send more than it bears for as long as any message
-// waits.
+// Eighty senders share a limit of 32 calls a second that rejected calls use up. Each gets 0.37 messages a second for the
+// destination, a few of them several times that; for two seconds the fleet gets three times as many. The limit is
+// sufficient except for that surge. Each sender by itself keeps to a call a second, and together they would exceed the
+// limit for as long as any message waits.
 func TestSendRate_FleetRecoversWhereRejectionsUseUpLimit(t *testing.T) {
 	const senders, perSecond, limit = 80, 28.0, 32.0
 	const start, until, reportLag = time.Hour, 60 * time.Second, 300 * ms
@@ -114,10 +114,10 @@
 	}
 	var ended, inFlight []inFlightCall
 	l := &sharedLimit{rate: limit, tokens: limitBurstSeconds * limit, at: start}
-	reportedRemaining := [8]float64{} // what was left, as it was told until now: late
+	reportedRemaining := [8]float64{} // the fraction left, newest first: senders get an old one
 	id, due := MessageID(0), 0.0
 	attempts := map[MessageID]int{}
-	accepted, served, rejected := 0, 0, 0
+	submitted, served, rejected := 0, 0, 0
 	for now := start; now < start+until; now += 10 * ms {
 		rate := perSecond
 		if at := now - start; at >= 8*time.Second && at < 10*time.Second {
@@ -131,12 +131,12 @@
 		for due += rate / 100; due >= 1; due-- {
 			id++
 			i := int(id*37) % senders
-			if id%4 == 0 { // a quarter of all comes to four of them
+			if id%4 == 0 { // a quarter of all messages goes to four of the senders
 				i = int(id/4) % 4
 			}
 			events[i] = append(events[i], Message{ID: id, Destination: 0, Deadline: now + 12*time.Second})
 			if now >= start+30*time.Second {
-				accepted++
+				submitted++
 			}
 		}
 		ended, inFlight = splitEnded(now, inFlight)
@@ -166,16 +166,16 @@
 			}
 		}
 	}
-	t.Logf("from 30 s on: %d taken, %d served, %d refused", accepted, served, rejected)
-	if served < accepted*9/10 {
-		t.Errorf("%d of %d messages are served 20 s after the surge", served, accepted)
+	t.Logf("from 30 s on: %d submitted, %d served, %d rejected", submitted, served, rejected)
+	if served < submitted*9/10 {
+		t.Errorf("%d of %d messages are served 20 s after the surge", served, submitted)
 	}
-	if rejected > accepted/10 {
-		t.Errorf("%d calls are refused for %d messages", rejected, accepted)
+	if rejected > submitted/10 {
+		t.Errorf("%d calls are rejected for %d messages", rejected, submitted)
 	}
 }
 
-// Rejections at a limit that is used up say nothing of an outage; those with plenty of it left do.
+// Rejections at a used-up limit are no evidence of an outage; those with most of the limit left are.
 func TestRateLimit_UsedUpIsNoOutage(t *testing.T) {
 	for _, c := range []struct {
 		remaining float64
@@ -199,15 +199,15 @@
 	}
 }
 
-// An answer that tells of hardly anything left cuts the send rate before calls are rejected: by how long nothing had
-// been heard, as a sender that calls seldom hears it seldom. One with something left does not, and none cuts it below
-// half of an even share.
+// An answer that reports a nearly used-up allowance cuts the send rate before calls are rejected. The cut grows with the
+// time since the last result, as a sender with few calls gets few reports. With more of the allowance left the rate is not
+// cut, and it never falls below half of the even share.
 func TestSendRate_CutWhereAllowanceIsScarce(t *testing.T) {
 	const limit, evenShare = 32.0, 32.0 / 80
 	for _, c := range []struct {
 		remaining  float64
 		gap        time.Duration
-		minFactor  float64 // bounds of the pace after it, as a share of the one before
+		minFactor  float64 // bounds of the send rate after the answer, as a factor of the one before
 		maxFactor  float64
 		checkFloor bool
 	}{{0.05, 3 * time.Second, 0, 0.5, false}, {0.05, 100 * ms, 0, 1, false}, {0.2, 3 * time.Second, 1, 1, false}, {0.05, time.Minute, 0, 0.5, true}} {
@@ -224,7 +224,7 @@
 			t.Fatalf("message %d is not sent", n)
 		}
 		serve(1, 0.2)
-		for n := 2; n < 6; n++ { // some are usual here
+		for n := 2; n < 6; n++ { // some calls, for a usual rate
 			r.now += 2 * time.Second
 			serve(n, 0.2)
 		}
@@ -236,14 +236,14 @@
 		serve(6, c.remaining)
 		after := r.b.destinations[0].sharedRoute.sendRate
 		if after < c.minFactor*before || after > c.maxFactor*before || after < evenShare/2 {
-			t.Errorf("%v left after %v: the pace goes from %v to %v", c.remaining, c.gap, before, after)
+			t.Errorf("%v left after %v: the send rate changes from %v to %v", c.remaining, c.gap, before, after)
 		}
 		for n := 7; c.checkFloor && n < 40; n++ {
 			r.now += 20 * time.Second
 			serve(n, 0)
 		}
 		if got := r.b.destinations[0].sharedRoute.sendRate; c.checkFloor && math.Abs(got-evenShare/2) > 1e-9 {
-			t.Errorf("the least pace is %v, half of an even part is %v", got, evenShare/2)
+			t.Errorf("the lowest send rate is %v, half of the even share is %v", got, evenShare/2)
 		}
 	}
 }
--- a/brain/slow_start_fleet_test.go
+++ b/brain/slow_start_fleet_test.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// A destination returns from an outage with a slow start. Each sender of a fleet lets through what it takes for its part; the sum of all
-// is what counts. slowStartDay plays that sum in virtual time.
+// slowStartScenario simulates a fleet in virtual time while a destination returns from an outage with a slow start. Each
+// sender limits its calls to what it estimates as its part; the destination must be able to take the sum of them.
 type slowStartScenario struct {
 	senders         int
-	skew            float64       // shares of the traffic fall with the position of the sender to this power
-	load            float64       // traffic for the destination, in parts of its capacity
-	hangs           bool          // in the outage calls are never answered; else no connection comes up
-	outage          time.Duration // of all its endpoints
-	restartAfter    time.Duration // so long after the outage's begin a part of the senders restarts; 0: none does
-	restartFraction float64       // that part
-	ratesLost       bool          // and their journals hold no rates
-	halfIdle        bool          // half of the senders has no message for the destination until it is out
+	skew            float64       // a sender's share of the traffic falls with its position to this power
+	load            float64       // traffic for the destination, as a fraction of its capacity
+	hangs           bool          // during the outage calls are never answered; otherwise connects fail
+	outage          time.Duration // duration of the outage
+	restartAfter    time.Duration // time from the begin of the outage until senders restart; 0 for no restart
+	restartFraction float64       // fraction of the senders that restart
+	ratesLost       bool          // the journals of senders that restart contain no rates
+	halfIdle        bool          // half of the senders have no message for the destination before the outage
 	seed            uint64
 }
 
 const (
-	slowStartCapacity          = 12 // calls a second of the destination when it is warm
+	slowStartCapacity          = 12 // calls a second of the destination after its slow start
 	slowStartOtherDestinations = 9  // further destinations, with as much traffic each
 	timeBeforeOutage           = 90 * time.Second
 )
@@ -33,7 +33,7 @@
 	at          time.Duration
 	seq         int
 	sender      int
-	incarnation int
+	incarnation int // of the sender; -1 for a new message, -2 for a restart, -3 for a write of the journal
 	event       Event
 }
 
@@ -55,20 +55,20 @@
 	return last
 }
 
-// slowStartSender is one sender, and what its journal would hold.
+// slowStartSender is one sender, with the contents of its journal.
 type slowStartSender struct {
 	b           *Brain
 	incarnation int
 	pending     map[MessageID]*slowStartMessage
 	rates       []UsualRate
-	outages     []Observation // as of
+	outages     []Observation // as of outagesAt
 	outagesAt   time.Duration
-	aware       bool // it has seen a call fail in the outage
+	aware       bool // it has observed a failed call in the outage
 }
 
 type slowStartMessage struct {
 	Message
-	attempts, notRun int // ended: those that surely never ran
+	attempts, notRun int // notRun: attempts that never ran
 	firstRunAt       time.Duration
 }
 
@@ -77,7 +77,7 @@
 	aware bool
 }
 
-// play gives the calls that reached the destination from its return until it was warm.
+// run returns the calls that reached the destination after its return.
 func (w slowStartScenario) run() (calls []slowStartCall, s Settings, returnedAt time.Duration) {
 	s = settings()
 	s.Senders, s.Slots, s.MaxPending, s.MaxAttempts, s.SlowStartCapacity = w.senders, 10, 400, 12, 0.2
@@ -104,7 +104,7 @@
 		weights[i] = math.Pow(float64(i+1), -w.skew)
 		sum += weights[i]
 	}
-	senderSettings := func(i int) Settings { // twice the slots that its part of the full load keeps busy
+	senderSettings := func(i int) Settings { // twice the slots that its part of the full load uses
 		senderSettings := s
 		senderSettings.Slots = max(4, int(2*slowStartCapacity*(slowStartOtherDestinations+1)*0.15*weights[i]/sum))
 		return senderSettings
@@ -142,7 +142,7 @@
 			}
 		}
 	}
-	for at := start + time.Second; at < end; at += time.Second { // the rates that a journal keeps
+	for at := start + time.Second; at < end; at += time.Second { // writes of the journals
 		for i := range senders {
 			add(at, i, -3, nil)
 		}
@@ -239,8 +239,9 @@
 	return calls, s, returnedAt
 }
 
-// worst is the window of an overload span in which most comes beyond what the settings allow and chance explains, of those of
-// which two thirds come from senders that saw the outage: by how much, and how much is allowed there.
+// maxExcess returns the largest number of calls in an overload window beyond those that the settings allow and random
+// variation explains, and how many are allowed there. It considers only windows in which at least two thirds of the calls
+// come from senders that observed the outage.
 func maxExcess(calls []slowStartCall, s Settings, returnedAt time.Duration) (excess, allowed float64) {
 	excess = math.Inf(-1)
 	first := 0
@@ -251,7 +252,7 @@
 		begin := max(returnedAt, c.at-s.OverloadWindow)
 		share := min(1, s.SlowStartCapacity+(1-s.SlowStartCapacity)*(begin-returnedAt).Seconds()/s.SlowStartDuration.Seconds())
 		if c.at >= returnedAt+s.SlowStartDuration {
-			break // it is warm
+			break // the slow start is over
 		}
 		n := s.OverloadMultiple * share * slowStartCapacity * s.OverloadWindow.Seconds()
 		limit := n + 2*math.Sqrt(n) + 2
@@ -268,9 +269,10 @@
 	return excess, allowed
 }
 
-// Beyond a budget of N calls only 2 roots of N and 2 more are chance, for the sum of all senders: one or three hundred, with
-// even or uneven shares, also of senders that had nothing for the destination before, and of those that restart in the outage
-// or in the slowStartDay, with the rates of their journals or without.
+// The calls of all senders together may exceed a budget of N calls by 2 times the square root of N and 2 more, by random
+// variation. This must hold for 1 to 300 senders with even or uneven shares of the traffic, for senders that had no
+// message for the destination before, and for senders that restart during the outage or the slow start, with or without
+// the rates of their journals.
 func TestSlowStart_FleetWithinBudget(t *testing.T) {
 	cases := map[string]slowStartScenario{
 		"calls fail":                   {},
@@ -279,10 +281,10 @@
 		"half had no traffic":          {halfIdle: true},
 		"little traffic":               {load: 0.3},
 		"restarts in the outage":       {restartAfter: 12 * time.Second, restartFraction: 0.7},
-		"restarts in the slowStartDay": {restartAfter: 16 * time.Second, restartFraction: 0.7},
+		"restarts in the slow start":   {restartAfter: 16 * time.Second, restartFraction: 0.7},
 		"restarts after a hang":        {restartAfter: 16 * time.Second, restartFraction: 0.7, hangs: true},
 		"some restart late, uneven":    {restartAfter: 19 * time.Second, restartFraction: 0.3, skew: 1},
-		"restarts, journals no rates":  {restartAfter: 16 * time.Second, restartFraction: 0.7, ratesLost: true},
+		"restarts, no journaled rates": {restartAfter: 16 * time.Second, restartFraction: 0.7, ratesLost: true},
 	}
 	for name, w := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -295,10 +297,10 @@
 					calls, s, returnedAt := w.run()
 					excess, allowed := maxExcess(calls, s, returnedAt)
 					if excess > 0 {
-						t.Errorf("%d senders, seed %d: %.1f calls beyond the %.1f that the destination bears", w.senders, w.seed, excess, allowed)
+						t.Errorf("%d senders, seed %d: %.1f calls more than the %.1f allowed", w.senders, w.seed, excess, allowed)
 					}
 					if countWithin(calls, returnedAt, s.SlowStartDuration) == 0 {
-						t.Errorf("%d senders, seed %d: nothing reaches it while it warms up", w.senders, w.seed)
+						t.Errorf("%d senders, seed %d: no call reaches the destination during its slow start", w.senders, w.seed)
 					}
 				}
 			}
@@ -306,7 +308,7 @@
 	}
 }
 
-// within counts the calls that came within a time of the return: a slowStartDay that lets nothing through keeps every bound.
+// countWithin counts the calls within span of the return: a fleet that sends nothing would stay within every budget.
 func countWithin(calls []slowStartCall, returnedAt, span time.Duration) (n int) {
 	for _, c := range calls {
 		if c.at < returnedAt+span {
--- a/brain/slow_start_test.go
+++ b/brain/slow_start_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Rule 4: after an outage the load stays within what a destination bears that warms up.
+// Rule 4: after an outage the load stays within the capacity that a destination has during its slow start.
 func TestSlowStart_DoesNotOverloadReturningDestination(t *testing.T) {
 	s := settings()
 	r := newRig(t, s)
-	r.serve(100, 0, 30*ms) // 20 a second, far more than later allowed
+	r.serve(100, 0, 30*ms) // 20 calls a second, far more than are allowed later
 	route := r.b.destinations[0].sharedRoute
 	usual := route.servedRate()
 	returned := false
@@ -51,13 +51,14 @@
 		}
 		share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*(sentAt[i]+s.OverloadWindow-returnedAt).Seconds()/s.SlowStartDuration.Seconds()
 		if limit := s.OverloadMultiple * share * usual * s.OverloadWindow.Seconds(); float64(n) > limit+1 {
-			t.Fatalf("%d calls in %v from %v after the return, %.1f bearable", n, s.OverloadWindow, sentAt[i]-returnedAt, limit)
+			t.Fatalf("%d calls in %v from %v after the return, at most %.1f allowed", n, s.OverloadWindow, sentAt[i]-returnedAt, limit)
 		}
 	}
 }
 
-// Rule 4, with 200 senders: each saw a call or two fail, and together they overloaded the destination when it returned.
-// Those that saw failures may send what the destination then bears, or less than the others.
+// Rule 4, with 200 senders: each observed a failed call or two, and together they overloaded the destination when it
+// returned. Senders that have observed failures may send as many calls as the destination can then take; beyond that they
+// must send less than twice as many as the other senders.
 func TestSlowStart_ManySendersDoNotOverload(t *testing.T) {
 	const senders, perSecond, outage = 200, 5, 15 * time.Second
 	s, list := fleetSettings(senders)
@@ -83,7 +84,7 @@
 		} else if tick%2 == 0 {
 			submit(int(id*37)%senders, 1+int(id)%99)
 		}
-		if now == start+11*time.Second { // a clump for it, at as many senders
+		if now == start+11*time.Second { // a burst of 40 messages for it, each at another sender
 			for i := range 40 {
 				submit(i*5, 0)
 			}
@@ -120,6 +121,6 @@
 	share := s.SlowStartCapacity + (1-s.SlowStartCapacity)*s.OverloadWindow.Seconds()/s.SlowStartDuration.Seconds()
 	limit := s.OverloadMultiple * share * perSecond * s.OverloadWindow.Seconds()
 	if float64(fromAware+fromOthers) > limit && fromAware >= 2*fromOthers {
-		t.Fatalf("%d calls from senders that saw it fail, %d from others, %.1f bearable", fromAware, fromOthers, limit)
+		t.Fatalf("%d calls from senders that observed failures, %d from others, at most %.1f allowed", fromAware, fromOthers, limit)
 	}
 }
--- a/brain/timeouts_test.go
+++ b/brain/timeouts_test.go
@@ -7,13 +7,14 @@
 	"saffronyard.example/saffronyard/brain/restart"
 )
 
-// With few samples the optimum lies below the next ordinary call; on quiet days a fifth of the calls timed out.
+// With few samples the optimum is below the latency of the next ordinary call: with little traffic a fifth of the calls
+// timed out.
 func TestTimeout_FewSamplesKeepFirstTimeout(t *testing.T) {
 	r := newRig(t, settings())
 	r.serve(3, 0, 50*ms)
 	sends := r.step(r.message(0, 0, 0))
 	if len(sends) != 1 || sends[0].Timeout < restart.FirstTimeout {
-		t.Fatalf("after 3 quick calls: %+v", sends)
+		t.Fatalf("sends after 3 quick calls: %+v", sends)
 	}
 }
 
@@ -31,7 +32,7 @@
 	}
 }
 
-// Hung destinations held all slots until the deadlines of messages that may not be repeated.
+// Calls to hung destinations held all slots until the deadlines of their messages, which may not be repeated.
 func TestCancelOverdue_UnresponsiveDestinations(t *testing.T) {
 	set := settings()
 	set.Slots = 4
@@ -56,11 +57,11 @@
 	r.now += 2 * restart.FirstTimeout
 	r.step(TimerFired{})
 	if r.cancels != 1 {
-		t.Fatalf("%d calls taken back for one message", r.cancels)
+		t.Fatalf("%d calls cancelled for one message", r.cancels)
 	}
 }
 
-// Calls lost here and there, at destinations that serve the others, held all slots until their deadlines.
+// Single lost calls, at destinations that serve their other calls, held all slots until their deadlines.
 func TestCancelOverdue_LostCalls(t *testing.T) {
 	set := settings()
 	set.Slots = 4
@@ -68,7 +69,7 @@
 	r.serve(30, 0, 20*ms)
 	r.serve(30, 1, 20*ms)
 	lost := map[MessageID]bool{}
-	for i := 0; len(lost) < 4 && i < 50; i++ { // each destination loses calls and serves others between
+	for i := 0; len(lost) < 4 && i < 50; i++ { // each destination loses some calls and serves others in between
 		for _, x := range r.step(r.message(2, DestinationID(i%2), 0)) {
 			if r.now += 20 * ms; i%5 == 0 || i%5 == 1 {
 				lost[x.Message] = true
@@ -87,11 +88,11 @@
 		r.step(TimerFired{})
 	}
 	if r.cancels != 1 {
-		t.Fatalf("%d calls taken back for one message", r.cancels)
+		t.Fatalf("%d calls cancelled for one message", r.cancels)
 	}
 }
 
-// With few slots, hung destinations got the slots that were taken back from them again and again.
+// With few slots, the slots of cancelled calls went to the same hung destinations again and again.
 func TestCancelOverdue_SlotsGoToRespondingDestinations(t *testing.T) {
 	r := newRig(t, settings())
 	r.serve(30, 0, 20*ms)
@@ -103,10 +104,10 @@
 	ra.failureRate, rb.failureRate, ra.recentLatency, rb.recentLatency = 0.1, 0.1, 0.02, 0.02
 	ra.consecutiveErrors, ra.lastSentAt = 2, r.now
 	if r.b.priority(ma, ra) >= r.b.priority(mb, rb) {
-		t.Fatal("a destination that lost its last calls goes first")
+		t.Fatal("a destination that lost its last calls has the higher priority")
 	}
 	ra.lastSentAt = r.now - 20*time.Second
 	if r.b.priority(ma, ra) < 0.9*r.b.priority(mb, rb) {
-		t.Fatal("a destination that lost calls long ago is starved")
+		t.Fatal("a destination that lost calls long ago has a much lower priority")
 	}
 }
