--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Rule 1: a timer that fired 64 ns early, by the rounding of the caller, was taken for one still to come, and a message
-// then expired without an end.
+// Rule 1: a timer that fired 64 ns early, as the caller rounds times, was treated as still set, and a message then expired
+// without being failed.
 func TestStep_EarlyTimerIsSetAgain(t *testing.T) {
 	r := newRig(t, settings())
 	a := r.message(0, 9, 0)
@@ -24,15 +24,15 @@
 			}
 		}
 		if !r.failed[a.ID] && r.b.timerAt <= set {
-			t.Fatal("no alarm was set again")
+			t.Fatal("no new timer was set")
 		}
 	}
 	if !r.failed[a.ID] || r.now >= a.Deadline {
-		t.Fatal("the message was not answered in time")
+		t.Fatal("the message was not failed before its deadline")
 	}
 }
 
-// A random run with odd events: the same events give the same actions, and no message ends twice.
+// A random run with some invalid events: the same events give the same actions, and no message ends twice.
 func TestStep_DeterministicAndEndsMessagesOnce(t *testing.T) {
 	run := func() (all []Action) {
 		rnd := rand.New(rand.NewSource(3))
@@ -70,13 +70,13 @@
 				switch a := a.(type) {
 				case Send:
 					if ended[a.Message] {
-						t.Fatalf("sent %d after its end", a.Message)
+						t.Fatalf("message %d is sent after its end", a.Message)
 					}
 					inFlight = append(inFlight, inFlightSend{a, attempts[a.Message]})
 					attempts[a.Message]++
 				case Fail:
 					if ended[a.Message] {
-						t.Fatalf("second answer for %d", a.Message)
+						t.Fatalf("message %d ends twice", a.Message)
 					}
 					ended[a.Message] = true
 				}
@@ -87,11 +87,11 @@
 		return all
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Fatal("the same events gave other actions")
+		t.Fatal("the same events gave different actions")
 	}
 }
 
-// Two Brains that run in turn act as each does alone.
+// Two Brains that run alternately act as each does alone.
 func TestNew_InstancesAreIndependent(t *testing.T) {
 	run := func(bs ...*Brain) (all [][]Action) {
 		all = make([][]Action, len(bs))
@@ -115,13 +115,13 @@
 		}
 		return all
 	}
-	newBrain := func() *Brain { s := settings(); s.Slots = 1; return New(s, 5) } // one call out: one event to choose
+	newBrain := func() *Brain { s := settings(); s.Slots = 1; return New(s, 5) } // one call in flight: the loop above has no choice
 	if both, alone := run(newBrain(), newBrain()), run(newBrain()); !reflect.DeepEqual(both[0], alone[0]) {
-		t.Fatal("a second brain changed what the first does")
+		t.Fatal("a second Brain changes the actions of the first")
 	}
 }
 
-// Time never goes back, and actions come in the order in which they are to be carried out.
+// Time never goes back, and actions are returned in the order in which they must be carried out.
 func TestStep_Contract(t *testing.T) {
 	r := newRig(t, settings())
 	r.serve(10, 0, 20*ms)
@@ -130,20 +130,20 @@
 	m := r.message(0, 0, 0)
 	m.Deadline = late + 10*time.Second
 	if s := r.step(m); len(s) != 1 || s[0].Timeout > 10*time.Second || r.b.now != late {
-		t.Fatalf("a batch dated back: %+v, now %v after %v", s, r.b.now, late)
+		t.Fatalf("a batch with an earlier time: %+v, now %v after %v", s, r.b.now, late)
 	}
 	acts := r.b.Step(late, []Event{r.message(0, 1, 0), r.message(0, 2, 0)})
 	for i, a := range acts {
 		if _, ok := a.(SetTimer); ok && i != len(acts)-1 {
-			t.Fatalf("the alarm is not last: %+v", acts)
+			t.Fatalf("the timer is not the last action: %+v", acts)
 		}
 	}
 	if b := New(settings(), 1); len(b.Step(-time.Hour, []Event{TimerFired{}})) != 0 {
-		t.Fatal("a clock that starts below zero")
+		t.Fatal("a clock that starts below zero gives actions without messages")
 	}
 }
 
-// Events that make no sense: no panic, no message lost, each ends once and lawfully.
+// Invalid events cause no panic and lose no message: each message ends once.
 func TestStep_InvalidEvents(t *testing.T) {
 	nan := math.NaN()
 	for name, events := range map[string][]Event{
@@ -157,7 +157,7 @@
 		"rating not a number": {EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Rating: nan, Ready: true}, {ID: 2, Rating: math.Inf(1), Ready: true}, {ID: 3, Rating: -1, Ready: true}}}, Message{ID: 1, Deadline: time.Hour + time.Second}},
 		"unknown attempt":     {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Attempt: 4}, AttemptResult{Message: 1, Attempt: -4}, AttemptResult{Message: 44}},
 		"report out of range": {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Outcome: Served, Elapsed: -time.Hour, LimitReported: true, Remaining: nan, Limit: math.Inf(1), Final: true}},
-		"limit of nothing":    {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Outcome: Rejected, RetryAfter: -time.Hour, LimitReported: true, Remaining: -1, Limit: nan}},
+		"invalid limit":       {Message{ID: 1, Deadline: time.Hour + time.Second}, AttemptResult{Message: 1, Outcome: Rejected, RetryAfter: -time.Hour, LimitReported: true, Remaining: -1, Limit: nan}},
 	} {
 		s := settings()
 		s.RatingIsLimit, s.ZoneFees = true, []float64{0.1}
@@ -165,7 +165,7 @@
 		r := newRig(t, s)
 		r.step(events...)
 		sent := len(r.sends)
-		for range 30 { // the time jumps, too
+		for range 30 { // small steps, before the time jumps
 			r.now += 100 * ms
 			r.step(TimerFired{})
 		}
@@ -179,20 +179,20 @@
 		r.step(TimerFired{})
 		ended := name == "report out of range" || r.failed[1] || r.rejected[1]
 		if !ended || r.b.pending != 0 {
-			t.Errorf("%s: failed %v, refused %v, %d held", name, r.failed[1], r.rejected[1], r.b.pending)
+			t.Errorf("%s: failed %v, rejected %v, %d pending", name, r.failed[1], r.rejected[1], r.b.pending)
 		}
 	}
 }
 
-// Settings that make no sense: actions stay lawful and nothing panics.
+// Invalid settings cause no panic, and all messages end.
 func TestNew_InvalidSettings(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"nothing stated": func(s *Settings) { *s = Settings{} },
-		"no slots":       func(s *Settings) { s.Slots = 0 },
-		"negative":       func(s *Settings) { s.Slots, s.Senders, s.MaxPending, s.MaxAttempts = -1, -1, -1, -1 },
-		"no deadlines":   func(s *Settings) { s.Classes = []Class{{}, {}, {}, {}} },
-		"no kinds":       func(s *Settings) { s.Kinds = nil },
-		"no rules": func(s *Settings) {
+		"zero value":   func(s *Settings) { *s = Settings{} },
+		"no slots":     func(s *Settings) { s.Slots = 0 },
+		"negative":     func(s *Settings) { s.Slots, s.Senders, s.MaxPending, s.MaxAttempts = -1, -1, -1, -1 },
+		"no deadlines": func(s *Settings) { s.Classes = []Class{{}, {}, {}, {}} },
+		"no kinds":     func(s *Settings) { s.Kinds = nil },
+		"no slow start": func(s *Settings) {
 			s.SlowStartDuration, s.OverloadWindow, s.OverloadMultiple, s.SlowStartCapacity = 0, 0, 0, 0
 		},
 	} {
@@ -215,13 +215,14 @@
 			}
 		}
 		if r.b.pending != 0 {
-			t.Errorf("%s: %d messages without an answer", name, r.b.pending)
+			t.Errorf("%s: %d messages have not ended", name, r.b.pending)
 		}
 	}
 }
 
-// BenchmarkStep is the decision alone: a message in, its call out, its outcome in, with so many destinations
-// listed and so many busy in turn.
+// BenchmarkStep measures the decisions on one message: its submission, its call and the result of the call. The cases
+// differ in the number of listed destinations, of those that get messages in turn, and of messages that wait for a further
+// destination.
 func BenchmarkStep(b *testing.B) {
 	for _, c := range []struct {
 		name                  string
@@ -235,7 +236,7 @@
 			now := time.Hour
 			var events []Event
 			list := EndpointUpdate{Complete: true}
-			for i := range c.listed + 1 { // and one that hangs
+			for i := range c.listed + 1 { // and one that never answers
 				list.Endpoints = append(list.Endpoints, Endpoint{ID: EndpointID(i + 1), Destination: DestinationID(i), Ready: true})
 			}
 			br.Step(now, []Event{list})
--- a/brain/dispatch_test.go
+++ b/brain/dispatch_test.go
@@ -14,13 +14,13 @@
 		after   time.Duration
 		again   bool
 	}{
-		{"safe after an error", 0, Errored, time.Second, true},
-		{"keyed in its window", 1, Errored, time.Second, true},
-		{"keyed past its window", 1, Errored, 6 * time.Second, false},
-		{"unsafe after an error", 2, Errored, time.Second, false},
-		{"unsafe after a refusal", 2, Rejected, time.Second, true},
-		{"unsafe without a connection", 2, ConnectFailed, time.Second, true},
-		{"unsafe after a broken connection", 2, ConnectionLost, time.Second, false},
+		{"idempotent after an error", 0, Errored, time.Second, true},
+		{"with a key, within its TTL", 1, Errored, time.Second, true},
+		{"with a key, after its TTL", 1, Errored, 6 * time.Second, false},
+		{"non-idempotent after an error", 2, Errored, time.Second, false},
+		{"non-idempotent after a rejection", 2, Rejected, time.Second, true},
+		{"non-idempotent after a failed connect", 2, ConnectFailed, time.Second, true},
+		{"non-idempotent after a lost connection", 2, ConnectionLost, time.Second, false},
 	} {
 		r := newRig(t, settings())
 		m := r.message(c.class, 0, 0)
@@ -35,16 +35,16 @@
 			t.Errorf("%s: repeated %v", c.name, again)
 		}
 		if !c.again && !r.failed[m.ID] || r.rejected[m.ID] {
-			t.Errorf("%s: failed %v, refused %v", c.name, r.failed[m.ID], r.rejected[m.ID])
+			t.Errorf("%s: failed %v, rejected %v", c.name, r.failed[m.ID], r.rejected[m.ID])
 		}
 	}
 }
 
-// A key that is remembered for 6 s was of no use to a call that waited 4 s for its time-out.
+// With a key TTL of 6 s, a call with a time-out of 4 s left no time for a repeat.
 func TestTimeout_LeavesTimeForRepeatWithinKeyTTL(t *testing.T) {
 	r := fleetRig(t, 50)
 	s := r.step(r.message(1, 0, 0))
 	if s[0].Timeout > 3*time.Second && s[0].Timeout < 20*time.Second {
-		t.Fatalf("time-out %v in a window of 6 s", s[0].Timeout)
+		t.Fatalf("time-out %v with a key TTL of 6 s", s[0].Timeout)
 	}
 }
--- a/brain/example_test.go
+++ b/brain/example_test.go
@@ -7,7 +7,7 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// A sender hands in its list of endpoints and a message, and carries out what comes back.
+// A sender passes in its list of endpoints and a message, and carries out the actions that Step returns.
 func ExampleBrain() {
 	b := brain.New(brain.Settings{
 		Senders: 1, Slots: 8, MaxPending: 100, MaxAttempts: 6, StepInterval: 5 * time.Millisecond,
@@ -24,7 +24,7 @@
 		case brain.Send:
 			fmt.Println("call endpoint", a.Endpoint, "with message", a.Message, "for at most", a.Timeout)
 		case brain.SetTimer:
-			// call Step again at a.At with a brain.Alarm, if nothing else has happened by then
+			// call Step again at a.At with a brain.TimerFired, if there was no other event by then
 		}
 	}
 	b.Step(90*time.Millisecond, []brain.Event{brain.AttemptResult{Message: 1, Endpoint: 7, Outcome: brain.Served,
--- a/brain/learn_test.go
+++ b/brain/learn_test.go
@@ -7,9 +7,8 @@
 	"saffronyard.example/saffronyard/brain/restart"
 )
 
-// What is learned of an outage, by its age: while it may last the first call goes alone, and nothing else until it is
-// answered; then the destination warms up, as for a sender that saw it. What is older than outages last counts for
-// nothing.
+// A learned outage that may still last admits one call, and no other until that call is answered; then the destination
+// warms up, as at a sender that observed the outage. An observation that is older than outages last has no effect.
 func TestObservation_OutageByAge(t *testing.T) {
 	for _, c := range []struct {
 		age    time.Duration
@@ -28,7 +27,7 @@
 		if len(sends) != 1 {
 			t.Fatalf("%v old: %d calls at once", c.age, len(sends))
 		}
-		r.now += 30 * ms // it had recovered: one call has told so
+		r.now += 30 * ms // the destination has recovered: one call shows it
 		r.step(r.result(sends[0], Served))
 		if d.state != warmingUp || d.rateBeforeOutage < 4 {
 			t.Errorf("%v old: state %d after it answered, %v calls a second before", c.age, d.state, d.rateBeforeOutage)
@@ -36,33 +35,32 @@
 	}
 }
 
-// What own calls have shown since wins, both ways.
+// Newer evidence of own calls takes precedence, for health and for an outage.
 func TestObservation_OwnEvidenceWins(t *testing.T) {
 	r := newRig(t, settings())
 	r.growWindow(3)
 	r.now += 2 * time.Second
 	r.step(Observation{Health: Unhealthy, HealthFor: 10 * time.Second, HealthAge: 5 * time.Second})
 	if d := r.b.destination(0).sharedRoute; d.state != healthy {
-		t.Errorf("it served 2 s ago, and is held to be out by what was seen 5 s ago: state %d", d.state)
+		t.Errorf("an observation of 5 s ago overrides a call served 2 s ago: state %d", d.state)
 	}
 	r.step(Observation{Health: Unhealthy, HealthFor: 10 * time.Second, HealthAge: time.Second})
 	if d := r.b.destination(0).sharedRoute; d.state != outage {
-		t.Errorf("it is out since it served: state %d", d.state)
+		t.Errorf("an outage observed since the last served call is ignored: state %d", d.state)
 	}
 
 	r = newRig(t, settings())
 	r.beginOutage()
 	r.step(Observation{Health: Healthy, HealthAge: 0, Window: 20})
 	if d := r.b.destination(0).sharedRoute; d.state != outage || d.window.Size > 1 {
-		t.Errorf("an outage of one's own ends by hearsay: state %d, window %v", d.state, d.window.Size)
+		t.Errorf("a learned observation ends an own outage: state %d, window %v", d.state, d.window.Size)
 	}
 	if n := r.burst(5); n > 1 {
-		t.Errorf("%d calls go there at once, as another says that it serves", n)
+		t.Errorf("%d calls at once after another sender has observed it as healthy", n)
 	}
 }
 
-// A retry-after that another sender was told, or an earlier process of this one, holds to its end, and a call in flight
-// is revoked.
+// A retry-after that another sender or an earlier process received holds until its end, and a call in flight is revoked.
 func TestObservation_RetryAfter(t *testing.T) {
 	r := newRig(t, settings())
 	sends := r.step(r.message(0, 0, 0))
@@ -70,20 +68,20 @@
 		t.Fatal("no call")
 	}
 	if got := r.revocations(Observation{RetryAfter: 2 * time.Second}, r.message(0, 0, 0)); len(got) != 1 || got[0].Reason != RetryAfterReceived {
-		t.Errorf("recalled: %v", got)
+		t.Errorf("revoked: %v", got)
 	}
 	r.step(r.result(sends[0], Served))
 	for until := r.now + 2*time.Second; r.now < until; r.now += 50 * ms {
 		if n := len(r.step(TimerFired{})); n > 0 {
-			t.Fatalf("a call with %v of the wait left", until-r.now)
+			t.Fatalf("a call with %v of the retry-after left", until-r.now)
 		}
 	}
 	if n := len(r.step(TimerFired{})); n != 1 {
-		t.Errorf("%d calls after the wait", n)
+		t.Errorf("%d calls after the retry-after", n)
 	}
 }
 
-// A slow start that was learned of goes on from when it began.
+// A learned slow start continues from the time at which it began.
 func TestObservation_WarmingUp(t *testing.T) {
 	for _, ago := range []time.Duration{time.Second, 9 * time.Second, 11 * time.Second} {
 		r := newRig(t, settings())
@@ -98,8 +96,8 @@
 	}
 }
 
-// Of a healthy destination latencies and window are learned, the window only in part if another sender saw it, less the
-// older it is, and never over what was seen here.
+// The latencies and the window of a healthy destination are learned. The window of another sender is learned only in part,
+// counts for less with age, and never replaces one that this process observed.
 func TestObservation_LatencyAndWindow(t *testing.T) {
 	window := func(o Observation) float64 {
 		r := newRig(t, settings())
@@ -107,29 +105,29 @@
 		r.step(o)
 		d := r.b.destination(0).sharedRoute
 		if o.LatencyAge == 0 && (d.Samples == 0 || d.CachedOptimum != 120*ms || d.unresponsiveAfter() >= restart.FirstTimeout) {
-			t.Errorf("%+v: %d calls, bound %v", o, d.Samples, d.CachedOptimum)
+			t.Errorf("%+v: %d samples, time-out %v", o, d.Samples, d.CachedOptimum)
 		}
 		if o.LatencyAge > 10*time.Hour && d.Samples > 0 {
-			t.Errorf("%+v: %d calls", o, d.Samples)
+			t.Errorf("%+v: %d samples", o, d.Samples)
 		}
 		return d.window.Size
 	}
 	local, remote := window(Observation{Local: true, Window: 5}), window(Observation{Window: 5})
 	stale, none := window(Observation{Window: 5, WindowAge: 30 * time.Minute, LatencyAge: 20 * time.Hour}), window(Observation{})
 	if local != 5 || !(remote < local && remote > none) || !(stale < remote) || none != 1 {
-		t.Errorf("own %v, heard %v, stale %v, none %v", local, remote, stale, none)
+		t.Errorf("local %v, remote %v, stale %v, none %v", local, remote, stale, none)
 	}
-	// What is told of one that we have served ourselves changes nothing.
+	// An observation of a destination that has served this process changes nothing.
 	r := newRig(t, settings())
 	r.growWindow(3)
 	d := r.b.destination(0).sharedRoute
 	before, seen := d.window.Size, d.Samples
 	if r.step(Observation{Health: Healthy, Window: 9, Samples: 3, MeanLatency: ms, MedianLatency: ms, Timeout: ms}); d.window.Size != before || d.Samples != seen {
-		t.Errorf("window %v, %d calls; it was %v, %d", d.window.Size, d.Samples, before, seen)
+		t.Errorf("window %v, %d samples; before %v, %d", d.window.Size, d.Samples, before, seen)
 	}
 }
 
-// What is learned of a destination that no list names is dropped, and so are impossible values.
+// Observations of a destination that no list names are dropped, and so are impossible values.
 func TestObservation_UnknownSubjectOrValues(t *testing.T) {
 	r := newRig(t, settings())
 	r.step(Observation{Destination: 99, Health: Unhealthy}, Observation{Endpoint: 99, RetryAfter: time.Hour}, Observation{Endpoint: 1, Destination: 5, RetryAfter: time.Hour})
@@ -142,8 +140,8 @@
 	}
 }
 
-// While other senders probe a destination as well, each does so in its turn; and once another has seen it serve, at
-// once.
+// While other senders probe a destination as well, each sends a part of the probes. Once another sender has observed a
+// served call, a probe is sent at once.
 func TestProbeShare_OtherProbers(t *testing.T) {
 	probes := func(others int) int {
 		r := newRig(t, settings())
@@ -164,7 +162,7 @@
 	}
 	alone, shared, many := probes(0), probes(3), probes(100)
 	if shared*2 > alone || shared < alone/6 || many < shared-1 {
-		t.Errorf("%d tries alone, %d beside three others, %d beside a hundred", alone, shared, many)
+		t.Errorf("%d probes alone, %d with three other senders, %d with a hundred", alone, shared, many)
 	}
 	for _, h := range []Health{Healthy, WarmingUp} {
 		r := newRig(t, settings())
@@ -172,26 +170,26 @@
 		r.step(Observation{Health: Unhealthy, HealthFor: time.Minute, OtherProbers: 3})
 		r.now += 2 * time.Second
 		r.burst(1)
-		r.now += 5 * time.Second // its patience with that one is over
+		r.now += 5 * time.Second // the earlier probe counts as unresponsive by now
 		for _, d := range []*route{r.b.destination(0).sharedRoute} {
 			d.tokens, d.refilledAt = 0, r.now
 		}
 		sends := r.step(r.message(0, 0, 0))
 		if len(sends) != 0 {
-			t.Fatal("it is tried before its turn")
+			t.Fatal("a probe is sent too early")
 		}
 		if sends = r.step(Observation{Health: h}); len(sends) != 1 {
-			t.Errorf("%d calls as another has seen it answer", len(sends))
+			t.Errorf("%d calls after another sender has observed an answer", len(sends))
 		}
 	}
 }
 
-// What is learned of the quickest call of a destination shortens the time that its waiting messages have: they fail when
-// they can no longer be served, not up to that latency later.
+// A learned minimum latency makes waiting messages expire earlier: they fail when they can no longer be served, not up to
+// that latency later.
 func TestObservation_ReschedulesExpiries(t *testing.T) {
 	r := newRig(t, settings())
 	r.step(Observation{RetryAfter: time.Minute})
-	// Only the message that expires next is looked at in each step: the one of destination 1.
+	// Each step examines only the message that expires next, which is that of destination 1.
 	r.step(Observation{Destination: 1, RetryAfter: time.Minute})
 	next, waiting := r.message(0, 1, 0), r.message(0, 0, 0)
 	next.Deadline -= 500 * ms
@@ -202,11 +200,11 @@
 	if err := r.b.CheckIndexes(); err != nil {
 		t.Fatal(err)
 	}
-	quickest := r.b.destinations[0].sharedRoute.MinLatency
-	if quickest < time.Second {
-		t.Fatalf("the quickest call was not learned: %v", quickest)
+	minLatency := r.b.destinations[0].sharedRoute.MinLatency
+	if minLatency < time.Second {
+		t.Fatalf("the minimum latency was not learned: %v", minLatency)
 	}
-	r.now = waiting.Deadline - quickest
+	r.now = waiting.Deadline - minLatency
 	r.step(TimerFired{})
 	if !r.failed[waiting.ID] {
 		t.Error("a message that can no longer be served in time still waits")
--- a/brain/ordering_test.go
+++ b/brain/ordering_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Rule 6: messages with one ordering key go one at a time, and the key cools down after an uncertain attempt.
+// Rule 6: messages with one ordering key are sent one at a time, and the key cools down after an uncertain attempt.
 func TestOrdering_OneAtATimeWithCooldown(t *testing.T) {
 	r := newRig(t, settings())
 	r.serve(30, 0, 20*ms)
 	a, b := r.message(3, 0, 5), r.message(3, 0, 5)
 	s := r.step(a, b)
 	if len(s) != 1 || s[0].Message != a.ID {
-		t.Fatalf("first %+v", s)
+		t.Fatalf("first sends %+v", s)
 	}
 	s2 := r.step(Withdrawn{a.ID})
 	if len(s2) != 0 {
@@ -22,24 +22,24 @@
 	e := r.result(s[0], TimedOut)
 	e.Final = true
 	if s := r.step(e); len(s) != 0 {
-		t.Fatal("the key did not rest after a time-out")
+		t.Fatal("the key did not cool down after a time-out")
 	}
 	r.now += 299 * ms
 	if s := r.step(TimerFired{}); len(s) != 0 {
-		t.Fatal("the key rested too short")
+		t.Fatal("the cool-down of the key was too short")
 	}
 	r.now += 6 * ms
 	if s := r.step(TimerFired{}); len(s) != 1 || s[0].Message != b.ID {
-		t.Fatalf("then %+v", s)
+		t.Fatalf("sends after the cool-down %+v", s)
 	}
 }
 
-// A key whose queue was released twice, with the queue of another key between, lost its next queue: two of its messages
-// went at once.
+// A key whose queue was released twice, with the queue of another key in between, lost its next queue: two of its messages
+// were sent at once.
 func TestOrdering_QueueReleasedTwice(t *testing.T) {
 	r := newRig(t, settings())
 	r.serve(30, 0, 20*ms)
-	leaveUncertain := func(key uint64) { // its only message ends with an attempt that may still run
+	leaveUncertain := func(key uint64) { // its only message ends with an attempt that may still be running
 		t.Helper()
 		m := r.message(3, 0, key)
 		sends := r.step(m)
@@ -62,10 +62,10 @@
 	if sends := r.step(first); len(sends) != 1 {
 		t.Fatalf("%d sends after the cool-down", len(sends))
 	}
-	r.now = released + 510*ms // both have
+	r.now = released + 510*ms // both keys have cooled down
 	r.step(TimerFired{})
 	if sends := r.step(second); len(sends) != 0 {
-		t.Fatal("a second message of the key went while the first one was in flight")
+		t.Fatal("a second message of the key was sent while the first one was in flight")
 	}
 	if err := r.b.CheckIndexes(); err != nil {
 		t.Fatal(err)
--- a/brain/outage_test.go
+++ b/brain/outage_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A destination that fails half of its calls was taken for an outage at once and lost most of its throughput.
+// A destination that failed half of its calls was treated as in an outage at once, and lost most of its throughput.
 func TestOutage_HalfFailingDestinationStaysHealthy(t *testing.T) {
 	r := newRig(t, settings())
 	r.serve(30, 0, 20*ms)
@@ -27,23 +27,23 @@
 		}
 	}
 	if outageSteps > 0 {
-		t.Fatalf("out in %d of 60 steps", outageSteps)
+		t.Fatalf("in an outage in %d of 60 steps", outageSteps)
 	}
 }
 
-// One of many senders sees few calls: two failures are an outage to it, eight where senders are few.
+// A sender among many makes few calls: two failures are an outage to it, eight with few senders.
 func TestOutageThreshold_BySenders(t *testing.T) {
 	for senders, want := range map[int]int{3: maxOutageThreshold, 50: minOutageThreshold, 300: minOutageThreshold} {
 		r := fleetRig(t, senders)
 		r.serve(10, 3, 30*ms)
 		r.now += time.Minute
 		if n := r.b.outageThreshold(r.b.destinations[0].sharedRoute); n != want {
-			t.Errorf("%d senders: %d failures call an outage, want %d", senders, n, want)
+			t.Errorf("%d senders: %d failures are an outage, want %d", senders, n, want)
 		}
 	}
 }
 
-// Senders that see an outage begin together must not go on together.
+// Senders whose outage begins at the same time must not probe at the same time.
 func TestOutage_SendersSpreadTheirProbes(t *testing.T) {
 	s, list := fleetSettings(100)
 	firstProbes := map[time.Duration]int{}
@@ -64,7 +64,7 @@
 	}
 	for at, n := range firstProbes {
 		if n > 10 {
-			t.Fatalf("%d of 20 senders go on in the same tenth of a second, %v", n, at)
+			t.Fatalf("%d of 20 senders probe in the same tenth of a second, %v", n, at)
 		}
 	}
 }
--- a/brain/revocation_test.go
+++ b/brain/revocation_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// recalls gives the recalls of a step.
+// revocations returns the Revoke actions of a step.
 func (r *rig) revocations(events ...Event) []Revoke {
 	var all []Revoke
 	for _, a := range r.b.Step(r.now, events) {
@@ -21,7 +21,7 @@
 	return all
 }
 
-// widen serves calls side by side until so many may be in flight.
+// growWindow serves concurrent calls to destination 0 until n of them may be in flight.
 func (r *rig) growWindow(n int) {
 	r.Helper()
 	for range 50 {
@@ -46,32 +46,32 @@
 	r.Fatal("the window does not grow")
 }
 
-// Each reason for which a call that was sent would not be sent now, and what is none.
+// A call in flight that would not be sent now is revoked, for each RevokeReason. Other events revoke no call.
 func TestRevoke_Reasons(t *testing.T) {
 	for name, c := range map[string]struct {
 		then func(r *rig, calls []Send) []Event
-		want []RevokeReason // of the second and third call; the first is what the destination answers
+		want []RevokeReason // of the calls left in flight; a result is that of the first call
 	}{
-		"a wait": {func(r *rig, c []Send) []Event {
+		"retry-after": {func(r *rig, c []Send) []Event {
 			e := r.result(c[0], Rejected)
 			e.RetryAfter = time.Second
 			return []Event{e}
 		}, []RevokeReason{RetryAfterReceived, RetryAfterReceived}},
-		"a pause":   {func(r *rig, c []Send) []Event { return []Event{r.result(c[0], Rejected)} }, nil},
-		"an answer": {func(r *rig, c []Send) []Event { return []Event{r.result(c[0], Served)} }, nil},
-		"a drain":   {func(r *rig, c []Send) []Event { return []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}} }, []RevokeReason{EndpointRemoved, EndpointRemoved, EndpointRemoved}},
-		"a list again": {func(r *rig, c []Send) []Event {
+		"back-off":    {func(r *rig, c []Send) []Event { return []Event{r.result(c[0], Rejected)} }, nil},
+		"served call": {func(r *rig, c []Send) []Event { return []Event{r.result(c[0], Served)} }, nil},
+		"drain":       {func(r *rig, c []Send) []Event { return []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}} }, []RevokeReason{EndpointRemoved, EndpointRemoved, EndpointRemoved}},
+		"unchanged list entry": {func(r *rig, c []Send) []Event {
 			return []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: 1, Ready: true}}}}
 		}, nil},
-		"other's drain": {func(r *rig, c []Send) []Event { return []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: 2}}}} }, nil},
-		"withdrawn":     {func(r *rig, c []Send) []Event { return []Event{Withdrawn{c[1].Message}} }, []RevokeReason{MessagesEnded}},
-		"an outage": {func(r *rig, c []Send) []Event {
+		"drain of another endpoint": {func(r *rig, c []Send) []Event { return []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: 2}}}} }, nil},
+		"withdrawn":                 {func(r *rig, c []Send) []Event { return []Event{Withdrawn{c[1].Message}} }, []RevokeReason{MessagesEnded}},
+		"outage": {func(r *rig, c []Send) []Event {
 			e := r.result(c[0], Rejected)
-			e.RetryAfter = r.b.settings.OverloadWindow + time.Second // shut
+			e.RetryAfter = r.b.settings.OverloadWindow + time.Second // begins an outage
 			r.step(e)
 			r.now += 2*r.b.settings.OverloadWindow + time.Second
 			return []Event{r.message(0, 0, 0)}
-		}, nil}, // they were recalled with the wait, once
+		}, nil}, // the calls were revoked with the retry-after, only once
 	} {
 		r := newRig(t, settings())
 		r.growWindow(3)
@@ -87,13 +87,13 @@
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
-		if again := r.revocations(EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}); name == "a drain" && len(again) > 0 {
-			t.Errorf("%s: recalled twice", name)
+		if again := r.revocations(EndpointUpdate{Endpoints: []Endpoint{{ID: 1}}}); name == "drain" && len(again) > 0 {
+			t.Errorf("%s: revoked twice", name)
 		}
 	}
 }
 
-// In an outage a new probe revokes an earlier one that is still to be written.
+// In an outage a new probe revokes an earlier one that was not written yet.
 func TestRevoke_NewProbeRevokesEarlierOne(t *testing.T) {
 	r := newRig(t, settings())
 	r.growWindow(5)
@@ -103,7 +103,7 @@
 	}
 	r.step(all...)
 	revoked, lastSent := map[MessageID]bool{}, MessageID(0)
-	for range 200 { // nothing is answered
+	for range 200 { // no call is answered
 		r.now += 100 * ms
 		for _, a := range r.b.Step(r.now, []Event{TimerFired{}}) {
 			switch a := a.(type) {
@@ -115,11 +115,12 @@
 		}
 	}
 	if lastSent == 0 || revoked[lastSent] || len(revoked) != 8 {
-		t.Errorf("recalled %v, the last one sent is %d", revoked, lastSent)
+		t.Errorf("revoked %v, the last call sent is for message %d", revoked, lastSent)
 	}
 }
 
-// A call that was revoked in time counts as no attempt, however often; one that was not sent for another reason does.
+// An attempt that was revoked in time does not count against MaxAttempts, however often that happens. An attempt that was
+// not sent for another reason counts.
 func TestRevoke_CountsAsNoAttempt(t *testing.T) {
 	for _, revoked := range []bool{true, false} {
 		s := settings()
@@ -142,7 +143,7 @@
 			}
 		}
 		if r.failed[m.ID] == revoked {
-			t.Errorf("recalled %v: failed %v after %d tries", revoked, r.failed[m.ID], r.attempts[m.ID])
+			t.Errorf("revoked %v: failed %v after %d attempts", revoked, r.failed[m.ID], r.attempts[m.ID])
 		}
 	}
 }
--- a/brain/rig_test.go
+++ b/brain/rig_test.go
@@ -7,8 +7,8 @@
 
 const ms = time.Millisecond
 
-// settings is a plain deployment: a kind of destination with a shared route and one with endpoint routes, and a class of
-// each idempotency and an ordered one.
+// settings is a plain deployment: a kind of destination with a shared route and one with endpoint routes, a class for each
+// idempotency, and an ordered class.
 func settings() Settings {
 	return Settings{Senders: 2, Slots: 10, MaxPending: 100, MaxAttempts: 6, MayCancel: true, StepInterval: 5 * ms,
 		OrderingCooldown: 300 * ms, OverloadMultiple: 2, SlowStartCapacity: 0.2,
@@ -21,7 +21,7 @@
 		}}
 }
 
-// rig drives one Brain by hand and records what it did.
+// rig steps one Brain and records its actions.
 type rig struct {
 	*testing.T
 	b        *Brain
@@ -87,12 +87,12 @@
 	}
 }
 
-// beginOutage fails calls to destination 0 until that is an outage.
+// beginOutage fails calls to destination 0 until it is in an outage.
 func (r *rig) beginOutage() {
 	r.Helper()
 	for i := 0; r.b.destination(0).sharedRoute.state != outage; i++ {
 		if i > 100 {
-			r.Fatal("failures make no outage")
+			r.Fatal("failed calls do not begin an outage")
 		}
 		sends := r.step(r.message(1, 0, 0))
 		for len(sends) > 0 {
@@ -115,7 +115,7 @@
 	return s, list
 }
 
-// fleetRig is one sender of many, driven by hand.
+// fleetRig is a rig for one sender of a fleet of n.
 func fleetRig(t *testing.T, n int) *rig {
 	t.Helper()
 	s, list := fleetSettings(n)
@@ -125,14 +125,14 @@
 	return r
 }
 
-// sent is a call of one sender of many, and how it ends.
+// inFlightCall is a call of one sender of a fleet, with its result.
 type inFlightCall struct {
 	sender int
 	result AttemptResult
 	endsAt time.Duration
 }
 
-// endedBy parts the calls that have ended by now from those in flight.
+// splitEnded separates the calls that have ended by now from those in flight.
 func splitEnded(now time.Duration, calls []inFlightCall) (ended, open []inFlightCall) {
 	for _, c := range calls {
 		if now < c.endsAt {
@@ -144,7 +144,7 @@
 	return ended, open
 }
 
-// burst hands in n messages at once and returns how many calls the step makes.
+// burst submits n messages at once and returns how many calls the step makes.
 func (r *rig) burst(n int) int {
 	var all []Event
 	for range n {
--- a/brain/route_test.go
+++ b/brain/route_test.go
@@ -35,13 +35,13 @@
 	route := r.b.destinations[0].sharedRoute
 	before := route.window.Size
 	route.window.Halve(r.now, r.now)
-	route.window.Halve(r.now-time.Second, r.now) // was out at the cut
+	route.window.Halve(r.now-time.Second, r.now) // was in flight at the first halving
 	if route.window.Size != math.Max(1, before/2) {
-		t.Fatalf("window %v after one cut of %v", route.window.Size, before)
+		t.Fatalf("window %v after one halving of %v", route.window.Size, before)
 	}
 	route.window.Size, route.failureRate = 9, 0.9
 	if c := r.b.maxInFlight(route); float64(c) > restart.SlotShare*10/2 {
-		t.Fatalf("a failing destination keeps %d slots", c)
+		t.Fatalf("a failing destination may use %d slots", c)
 	}
 }
 
--- a/brain/shedding_test.go
+++ b/brain/shedding_test.go
@@ -10,12 +10,12 @@
 		r.step(r.message(2, 9, 0))
 	}
 	if len(r.rejected) == 0 || r.b.pending > 10 {
-		t.Fatalf("%d refused, %d held", len(r.rejected), r.b.pending)
+		t.Fatalf("%d rejected, %d pending", len(r.rejected), r.b.pending)
 	}
 }
 
-// Messages that a restart resumes are tried: with all capacity taken by them the newest were rejected without a call,
-// as if they had just come.
+// Messages that are resumed after a restart must be sent: when they took up all capacity, the newest of them were rejected
+// without a call, like new messages.
 func TestShedLoad_SparesResumedMessages(t *testing.T) {
 	set := settings()
 	set.MaxPending = 20
@@ -30,7 +30,7 @@
 	fresh := r.message(0, 0, 0)
 	sends = append(sends, r.step(fresh)...)
 	if !r.rejected[fresh.ID] {
-		t.Error("a new message is taken on where there is no room")
+		t.Error("a new message is accepted without free capacity")
 	}
 	for n := 0; len(sends) > 0; n++ {
 		s := sends[0]
@@ -38,11 +38,11 @@
 		sends = append(sends[1:], r.step(r.result(s, Served))...)
 	}
 	if want := set.MaxPending; len(r.attempts) != want || len(r.rejected) != 1 || len(r.failed) != 0 {
-		t.Errorf("%d of %d messages are tried, %d refused, %d given up", len(r.attempts), want, len(r.rejected), len(r.failed))
+		t.Errorf("%d of %d messages are sent, %d rejected, %d failed", len(r.attempts), want, len(r.rejected), len(r.failed))
 	}
 }
 
-// A tenant that surged widened its own share, and messages of the others were rejected with its own.
+// A tenant that surged raised its own share, and messages of the other tenants were rejected with its own.
 func TestShedLoad_SurgingTenantFirst(t *testing.T) {
 	set := settings()
 	set.MaxPending = 60
@@ -66,6 +66,6 @@
 		}
 	}
 	if len(r.rejected) < 100 || others > len(r.rejected)/10 {
-		t.Fatalf("%d of %d refused are of the other tenants", others, len(r.rejected))
+		t.Fatalf("%d of %d rejected messages are of the other tenants", others, len(r.rejected))
 	}
 }
--- a/brain/usual_rates_test.go
+++ b/brain/usual_rates_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// A process that restarts within an outage has served nothing itself: what its destination bears on its return goes by
-// what the process before it knew.
+// A process that restarts during an outage has served nothing yet: its estimate of the calls that the destination can take
+// on its return must be based on the rates of the process before it.
 func TestUsualRates_OutlastTheProcess(t *testing.T) {
 	before := newRig(t, settings())
-	before.serve(300, 0, 80*ms) // ten a second
+	before.serve(300, 0, 80*ms) // ten calls a second
 	var restored []Event
 	for _, e := range before.b.UsualRates() {
 		if e.Destination == 0 && (e.Rate < 5 || e.Rate > 15) {
-			t.Errorf("a rate of %.1f where ten a second are served", e.Rate)
+			t.Errorf("a rate of %.1f with ten calls served a second", e.Rate)
 		}
 		restored = append(restored, e)
 	}
@@ -26,15 +26,15 @@
 	}
 	withRates := rate(restored...)
 	if without := rate(); withRates < 2*without {
-		t.Errorf("%.2f calls a second, %.2f without what was known", withRates, without)
+		t.Errorf("%.2f calls a second, %.2f without restored rates", withRates, without)
 	}
 	before.beginOutage()
 	if continued := before.b.recoveryRate(before.b.destination(0).sharedRoute); withRates > 1.1*continued {
-		t.Errorf("%.2f calls a second, %.2f in the process that went on", withRates, continued)
+		t.Errorf("%.2f calls a second, %.2f in the process before it", withRates, continued)
 	}
 	for _, x := range []float64{math.NaN(), math.Inf(1), -1, 0} {
 		if invalid := rate(UsualRate{Rate: x}); invalid != rate() {
-			t.Errorf("a rate of %v counts: %.2f", x, invalid)
+			t.Errorf("a rate of %v is not ignored: %.2f", x, invalid)
 		}
 	}
 }
