--- a/brain/connections.go
+++ b/brain/connections.go
@@ -21,11 +21,11 @@
 )
 
 // idleTimeout returns how long idle connections to e are kept, and the idle time-out of its kind. The
-// connection limit of an endpoint is unknown until connects fail; idle connections to it are then kept for
-// a shorter time. A sender with few calls applies the time-out of the kind, as other senders observe the
-// same failures; a sender with many calls relies on its own observations. Every endpoint accepts only a
-// few connections: with many senders each has less than one of them, and keeps its own for an accordingly
-// shorter time.
+// connection limit of an endpoint is unknown until connects fail; idle connections to it are then kept for a
+// shorter time. A sender with few calls applies the time-out of the kind, as other senders observe the same
+// failures; a sender with many calls relies on its own observations. Any endpoint accepts only a few
+// connections: among many senders each has less than one of them on average, and keeps an idle one for an
+// accordingly shorter time.
 func (b *Brain) idleTimeout(e *endpoint) (timeout time.Duration, kindTimeout *time.Duration) {
 	connShare := min(1, b.evenShare(minEndpointConns))
 	for len(b.idleTimeouts) <= e.Kind {
--- a/brain/endpoint_list.go
+++ b/brain/endpoint_list.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// removeEndpoint removes an endpoint from its destination. The endpoint and its calls in flight are kept for
-// a while.
+// removeEndpoint removes an endpoint from its destination. The endpoint and its calls in flight are kept
+// until forgetRemoved deletes it.
 func (b *Brain) removeEndpoint(id EndpointID) {
 	b.wakeUpByEndpoint(id)
 	if e := b.endpoints[id]; e != nil {
--- a/brain/events.go
+++ b/brain/events.go
@@ -36,7 +36,7 @@
 // Outcome is how an attempt ended.
 type Outcome uint8
 
-// Outcomes of an attempt. Rejected, ConnectFailed and NotSent prove that it never ran.
+// Outcomes of an attempt. Rejected, ConnectFailed and NotSent prove that the attempt never ran.
 const (
 	Served Outcome = iota
 	Errored
@@ -48,7 +48,7 @@
 	NotSent
 )
 
-// AttemptResult is the end of an attempt.
+// AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	Message  MessageID
 	Attempt  int // 0 for the first Send of the message
@@ -90,8 +90,8 @@
 )
 
 // Observation is the state of a destination, or of one of its routes, with the age of the evidence. As an
-// event it tells a Brain what another sender or an earlier process has observed; Brain.Observations returns
-// what the Brain has observed itself. A zero field is unknown.
+// event it reports what another sender or an earlier process has observed; Brain.Observations returns what
+// the Brain has observed itself. A zero field is unknown.
 type Observation struct {
 	Destination DestinationID
 	Endpoint    EndpointID // for the route of one endpoint; 0 for the destination's
--- a/brain/generated_day_test.go
+++ b/brain/generated_day_test.go
@@ -44,7 +44,7 @@
 	lastSequence     int
 	brain            *brain.Brain
 	replica          *brain.Brain // gets the same events and must decide the same; nil for none
-	newBrains        func() (b, twin *brain.Brain)
+	newBrains        func() (b, replica *brain.Brain)
 	failureMode      map[brain.DestinationID]int
 	destinationOf    map[brain.EndpointID]brain.DestinationID
 	listed           map[brain.EndpointID]brain.Endpoint
@@ -315,7 +315,7 @@
 	w := &simulation{t: t, seed: seed, rng: rng, settings: settings(rng), now: time.Duration(rng.IntN(3)) * time.Hour, failureMode: map[brain.DestinationID]int{},
 		destinationOf: map[brain.EndpointID]brain.DestinationID{}, listed: map[brain.EndpointID]brain.Endpoint{}, destinationCount: 1 + rng.IntN(12),
 		pending: map[brain.MessageID]*pendingMessage{}, counts: map[string]int{}}
-	w.newBrains = func() (b, twin *brain.Brain) { return brain.New(w.settings, seed), nil }
+	w.newBrains = func() (b, replica *brain.Brain) { return brain.New(w.settings, seed), nil }
 	return w
 }
 
--- a/brain/hibernation_days_test.go
+++ b/brain/hibernation_days_test.go
@@ -93,7 +93,7 @@
 		w := newSimulation(t, seed)
 		w.settings.HibernateAfter = time.Duration(1+seed%4) * time.Second
 		w.settings.IdleConnTimeout = 500 * time.Millisecond
-		w.newBrains = func() (b, twin *brain.Brain) { return brain.New(w.settings, seed), brain.New(w.settings, seed) }
+		w.newBrains = func() (b, replica *brain.Brain) { return brain.New(w.settings, seed), brain.New(w.settings, seed) }
 		w.invariants = &invariants{t: t, seed: seed, ready: map[brain.EndpointID]brain.DestinationID{}, retryAfterUntil: map[brain.DestinationID]time.Duration{},
 			ended: map[brain.MessageID]bool{}, inFlight: map[attemptKey]brain.DestinationID{}, lastSent: map[brain.DestinationID]time.Duration{}}
 		for _, k := range w.settings.Kinds {
--- a/brain/learn.go
+++ b/brain/learn.go
@@ -8,8 +8,8 @@
 )
 
 // This file applies what other senders, or an earlier process of this sender, have observed of a destination.
-// Observations of this process take precedence, and a learned observation never admits more calls than it
-// would at a sender that made it itself.
+// Observations of this process take precedence, and a learned observation never admits more calls than at a
+// sender that has made the observation itself.
 
 const (
 	// windowHalfLife is the age at which the trust in a learned window has halved.
@@ -94,7 +94,7 @@
 }
 
 // applyObservedHealth applies the observed health of a route, unless a call of this process was served there
-// since, or this process is in an outage of the route by its own evidence.
+// since. It may begin an outage or a slow start of a healthy route, and never ends an outage.
 func (b *Brain) applyObservedHealth(r *route, o Observation) {
 	seenAt := b.now - o.HealthAge
 	if o.Health == HealthUnknown || r.recentlyServed > 0 && r.lastServed >= seenAt {
--- a/brain/message.go
+++ b/brain/message.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// clearMayHaveRun is called when the last attempt has proved not to have run. It clears mayHaveRun if no
+// clearMayHaveRun is called when the last attempt is known not to have run. It clears mayHaveRun if no
 // earlier attempt may have run.
 func (b *Brain) clearMayHaveRun(m *message) {
 	last := len(m.attempts) - 1
--- a/brain/restart/oracle_test.go
+++ b/brain/restart/oracle_test.go
@@ -9,7 +9,7 @@
 
 func TestOptimum_AgainstDirectComputation(t *testing.T) {
 	rnd := rand.New(rand.NewSource(1))
-	for round := range 20 {
+	for trial := range 20 {
 		var o Oracle
 		var times, weights []float64
 		late, w := 0.0, 1.0
@@ -66,7 +66,7 @@
 		}
 		want := math.Min(math.Max(longest, floor), 60)
 		if got := o.Optimum().Seconds(); math.Abs(got-want) > 1e-6 {
-			t.Fatalf("round %d: τ = %v s, directly %v s", round, got, want)
+			t.Fatalf("trial %d: τ = %v s, computed directly %v s", trial, got, want)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 		t.Fatalf("before any sample τ = %v", o.Timeout())
 	}
 	o.RecordTimeout(time.Second, 5*time.Second)
-	o.RecordTimeout(time.Second, 5*time.Second) // was out at the doubling
+	o.RecordTimeout(time.Second, 5*time.Second) // was in flight at the doubling
 	if o.Timeout() != 2*FirstTimeout {
 		t.Fatalf("τ after an expiry = %v", o.Timeout())
 	}
@@ -85,6 +85,6 @@
 		o.RecordTimeout(time.Hour, time.Hour)
 	}
 	if o.Timeout() != maxTimeout {
-		t.Fatalf("τ is not held to its span: %v", o.Timeout())
+		t.Fatalf("τ exceeds the span of the histogram: %v", o.Timeout())
 	}
 }
--- a/brain/settings.go
+++ b/brain/settings.go
@@ -21,7 +21,7 @@
 	MaxRetryAfter   time.Duration
 	// IdleConnTimeout is how long the transport keeps a connection without a call.
 	IdleConnTimeout time.Duration
-	// RequestsEndpoints is set if the endpoint list comes only on request (WatchEndpoints).
+	// RequestsEndpoints is set if the endpoint list is sent only on request (WatchEndpoints).
 	RequestsEndpoints bool
 	// StepInterval is the shortest time between two calls of Step.
 	StepInterval time.Duration
@@ -91,7 +91,7 @@
 	IdempotencyKeyZonal bool
 	// IdempotencyKeyTTL is how long a key is remembered after the first attempt that may have run.
 	IdempotencyKeyTTL time.Duration
-	// Ordered makes messages with the same ordering key go one at a time, in the order of arrival.
+	// Ordered has messages with the same ordering key sent one at a time, in the order of arrival.
 	Ordered bool
 	// Value is the value of a message that is served in time. LateValue is the fraction left at the
 	// deadline.
--- a/brain/slow_start_fleet_test.go
+++ b/brain/slow_start_fleet_test.go
@@ -16,7 +16,7 @@
 	load            float64       // traffic for the destination, as a fraction of its capacity
 	hangs           bool          // during the outage calls are never answered; otherwise connects fail
 	outage          time.Duration // duration of the outage
-	restartAfter    time.Duration // time from the begin of the outage until senders restart; 0 for no restart
+	restartAfter    time.Duration // time from the start of the outage until senders restart; 0 for no restart
 	restartFraction float64       // fraction of the senders that restart
 	ratesLost       bool          // the journals of senders that restart contain no rates
 	halfIdle        bool          // half of the senders have no message for the destination before the outage
@@ -68,7 +68,7 @@
 
 type slowStartMessage struct {
 	Message
-	attempts, notRun int // notRun: attempts that never ran
+	attempts, notRun int // notRun: attempts that certainly never ran
 	firstRunAt       time.Duration
 }
 
