--- a/brain/connections_test.go
+++ b/brain/connections_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Receivers that take few connections were filled by idle ones of 50 senders, on quiet days too.
+// Idle connections of 50 senders used up the connection limit of receivers that accept few, even with little traffic.
 func TestIdleConns_ClosedWhereConnectsFail(t *testing.T) {
 	r := fleetRig(t, 50)
 	closes := func(d time.Duration) (n int) {
@@ -20,87 +20,87 @@
 	}
 	r.serve(3, 1, 30*ms)
 	if n := closes(2 * time.Second); n != 0 {
-		t.Fatalf("%d closed before any trouble", n)
+		t.Fatalf("%d closed before any connect failed", n)
 	}
 	s := r.step(r.message(2, 0, 0))
 	r.now += 20 * ms
-	r.step(r.end(s[0], ConnectFailed))
+	r.step(r.result(s[0], ConnectFailed))
 	r.serve(1, 2, 30*ms)
 	if n := closes(5 * time.Second); n == 0 {
 		t.Fatal("idle connections are kept after a connect that failed")
 	}
 }
 
-// Something on the way drops idle connections silently: the next call on one hangs and may have run.
+// A device on the network path drops idle connections silently: the next call on one hangs and may have run.
 func TestIdleConns_ClosedEarlierWhereDroppedSilently(t *testing.T) {
 	r := fleetRig(t, 50)
 	r.serve(3, 0, 30*ms)
 	r.now += 2 * time.Second
 	s := r.step(r.message(0, 0, 0))
 	r.now += s[0].Timeout
-	s = r.step(r.end(s[0], TimedOut))
+	s = r.step(r.result(s[0], TimedOut))
 	for i := 0; i < 100 && len(s) == 0; i++ {
 		r.now += 50 * ms
 		s = r.step(TimerFired{})
 	}
 	r.now += 30 * ms
-	r.step(r.end(s[0], Served))
-	kept, _ := r.b.idleTimeout(r.b.endpoints[1])
-	if kept > 1100*ms {
-		t.Fatalf("connections are kept for %v though one idle for 2 s was dropped", kept)
+	r.step(r.result(s[0], Served))
+	idleTimeout, _ := r.b.idleTimeout(r.b.endpoints[1])
+	if idleTimeout > 1100*ms {
+		t.Fatalf("connections are kept for %v though one idle for 2 s was dropped", idleTimeout)
 	}
 }
 
-// With 300 senders most rejections came from endpoints that had all the connections they take, most of them idle. Two
-// of these in a row were an outage to a sender with little traffic, which then hardly sent anything for ten seconds.
+// With 300 senders most rejections came from endpoints at their connection limit, with most connections idle. Two such
+// rejections in a row were an outage to a sender with little traffic, which then hardly sent anything for ten seconds.
 func TestConnLimit_IsNoOutage(t *testing.T) {
 	s, _ := fleetSettings(300)
 	r := newRig(t, s)
 	r.b = New(s, 7)
 	r.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: 1, Ready: true}, {ID: 2, Ready: true}, {ID: 3, Destination: 1, Ready: true}}})
 	r.serve(1, 0, 50*ms)
-	began := r.now
+	startedAt := r.now
 	sends := r.step(r.message(1, 0, 0))
-	at := map[EndpointID]int{}
+	callsByEndpoint := map[EndpointID]int{}
 	for i := range 4 {
 		for ; len(sends) == 0; r.now += 10 * ms {
-			if r.now-began > 10*time.Second {
-				t.Fatalf("the message waits after %d refusals, its destination in state %d", i, r.b.destinations[0].sharedRoute.state)
+			if r.now-startedAt > 10*time.Second {
+				t.Fatalf("the message waits after %d rejections, its destination in state %d", i, r.b.destinations[0].sharedRoute.state)
 			}
 			sends = r.step(TimerFired{})
 		}
-		at[sends[0].Endpoint]++
+		callsByEndpoint[sends[0].Endpoint]++
 		r.now += 50 * ms
-		end := r.end(sends[0], Rejected)
+		end := r.result(sends[0], Rejected)
 		end.ConnLimitReached = true
 		sends = r.step(end)
 	}
-	if at[1] == 0 || at[2] == 0 {
-		t.Errorf("calls by endpoint %v: one of the two is not tried", at)
+	if callsByEndpoint[1] == 0 || callsByEndpoint[2] == 0 {
+		t.Errorf("calls by endpoint %v: one of the two gets no call", callsByEndpoint)
 	}
 	if d := r.b.destinations[0].sharedRoute; d.state != healthy || d.closedUntil > r.now {
 		t.Errorf("the destination is in state %d, closed for %v", d.state, d.closedUntil-r.now)
 	}
-	// What was seen at one endpoint holds for the kind.
-	if kept, _ := r.b.idleTimeout(r.b.endpoints[3]); kept > s.IdleConnTimeout/100 {
-		t.Errorf("idle connections are still kept for %v", kept)
+	// A rejection by one endpoint shortens the idle time-out of its kind.
+	if idleTimeout, _ := r.b.idleTimeout(r.b.endpoints[3]); idleTimeout > s.IdleConnTimeout/100 {
+		t.Errorf("idle connections are still kept for %v", idleTimeout)
 	}
 }
 
-// An endpoint takes eight connections from all senders together, as the fewest of any. Three senders may keep theirs;
-// each of three hundred has a small part of one, and what all of them kept used up every limit in the first seconds,
-// before any of them had seen a rejection.
+// An endpoint accepts at least eight connections from all senders together. Three senders may keep theirs idle. Of 300
+// senders each has a small part of one, and the idle connections of all used up every limit in the first seconds, before
+// any of them had observed a rejection.
 func TestIdleTimeout_ShorterWithManySenders(t *testing.T) {
 	for senders, want := range map[int]time.Duration{3: 15 * time.Second, 8: 15 * time.Second, 60: 2 * time.Second, 300: 400 * ms} {
 		r := fleetRig(t, senders)
-		if kept, _ := r.b.idleTimeout(r.b.endpoints[1]); kept != want {
-			t.Errorf("%d senders: idle connections are kept for %v, want %v", senders, kept, want)
+		if idleTimeout, _ := r.b.idleTimeout(r.b.endpoints[1]); idleTimeout != want {
+			t.Errorf("%d senders: idle connections are kept for %v, want %v", senders, idleTimeout, want)
 		}
 	}
 }
 
-// Where connections are short, the open one serves all that waits, and no message is spent on trying for another: one
-// at a time tries, the one that has tried least.
+// At a connection limit, the open connection serves all waiting messages, and no message uses up its attempts on opening
+// another: one message at a time tries that, the one with the fewest attempts.
 func TestConnLimit_WaitingMessagesUseOpenConnection(t *testing.T) {
 	r := fleetRig(t, 300)
 	r.serve(1, 0, 50*ms)
@@ -109,34 +109,34 @@
 	if len(first) != 1 {
 		t.Fatalf("%d sent", len(first))
 	}
-	refuse := func(s Send) []Send {
+	reject := func(s Send) []Send {
 		r.now += 50 * ms
-		end := r.end(s, Rejected)
+		end := r.result(s, Rejected)
 		end.ConnLimitReached = true
 		return r.step(end)
 	}
-	if s := refuse(first[0]); len(s) != 0 {
-		t.Fatalf("%d sent just after the refusal", len(s))
+	if s := reject(first[0]); len(s) != 0 {
+		t.Fatalf("%d sent just after the rejection", len(s))
 	}
 	var waiting []Event
 	for range 3 {
 		waiting = append(waiting, r.message(1, 0, 0))
 	}
 	sends := r.step(waiting...)
-	for began := r.now; len(sends) == 0; sends = r.step(TimerFired{}) {
-		if r.now += 10 * ms; r.now-began > 2*time.Second {
-			t.Fatal("no connection is tried for")
+	for startedAt := r.now; len(sends) == 0; sends = r.step(TimerFired{}) {
+		if r.now += 10 * ms; r.now-startedAt > 2*time.Second {
+			t.Fatal("no call tries to open a connection")
 		}
 	}
 	if len(sends) != 1 || sends[0].Message == first[0].Message {
-		t.Fatalf("sent %v: want one, and not the message that was refused", sends)
+		t.Fatalf("sent %v: want one, and not the message that was rejected", sends)
 	}
 	for i := range 4 {
 		if len(sends) != 1 {
-			t.Fatalf("%d calls on the connection that stands, after %d: want one at a time", len(sends), i)
+			t.Fatalf("%d calls on the open connection, after %d: want one at a time", len(sends), i)
 		}
 		r.now += 50 * ms
-		sends = r.step(r.end(sends[0], Served))
+		sends = r.step(r.result(sends[0], Served))
 	}
 	if len(sends) != 0 {
 		t.Fatalf("%d more calls than messages", len(sends))
@@ -144,14 +144,14 @@
 	r.now += 200 * ms
 	r.step(TimerFired{})
 	if n := r.b.endpoints[1].openConns; n != 0 {
-		t.Errorf("%d connections stay open with nothing left to send, in the way of other senders", n)
+		t.Errorf("%d connections stay open with no message left, and use up the limit for other senders", n)
 	}
 }
 
-// With 300 senders and one endpoint that takes ten connections, of which opening one takes twice as long as a call, the
-// connections were all idle, and messages used their attempts up on rejections.
+// 300 senders share one endpoint that accepts ten connections, and opening a connection takes twice as long as a call. The
+// connections were all idle, and messages used up their attempts on rejections.
 func TestConnLimit_ManySendersAtOneEndpoint(t *testing.T) {
-	const senders, table, perSecond, span = 300, 10, 40, 20 * time.Second
+	const senders, maxConns, perSecond, span = 300, 10, 40, 20 * time.Second
 	s, list := fleetSettings(senders)
 	s.MaxAttempts = 6
 	list.Endpoints = list.Endpoints[:1]
@@ -160,67 +160,67 @@
 		brains[i] = New(s, uint64(i+1))
 		brains[i].Step(time.Hour, []Event{list})
 	}
-	type sent struct {
-		by   int
-		end  AttemptResult
-		at   time.Duration
-		held bool // it stands on a connection
+	type inFlightCall struct {
+		sender  int
+		result  AttemptResult
+		endsAt  time.Duration
+		hasConn bool // it uses a connection
 	}
-	var open []sent
-	standing, idle := 0, make([]int, senders)
+	var inFlight []inFlightCall
+	openConns, idle := 0, make([]int, senders)
 	tries := map[MessageID]int{}
-	var given, served, refused int
+	var submitted, served, rejected int
 	for now := time.Hour; now < time.Hour+span+10*time.Second; now += 10 * ms {
 		events := make([][]Event, senders)
 		if now < time.Hour+span && int(now/(10*ms))*perSecond%100 < perSecond {
-			given++
-			by := given * 37 % senders
-			events[by] = append(events[by], Message{ID: MessageID(given), Class: 1, Destination: 0, Deadline: now + 10*time.Second})
+			submitted++
+			sender := submitted * 37 % senders
+			events[sender] = append(events[sender], Message{ID: MessageID(submitted), Class: 1, Destination: 0, Deadline: now + 10*time.Second})
 		}
-		still := open[:0]
-		for _, c := range open {
-			if now < c.at {
-				still = append(still, c)
+		remaining := inFlight[:0]
+		for _, c := range inFlight {
+			if now < c.endsAt {
+				remaining = append(remaining, c)
 				continue
 			}
-			events[c.by] = append(events[c.by], c.end)
-			if c.held {
-				idle[c.by]++
+			events[c.sender] = append(events[c.sender], c.result)
+			if c.hasConn {
+				idle[c.sender]++
 			}
 		}
-		open = still
+		inFlight = remaining
 		for i, b := range brains {
 			for _, a := range b.Step(now, append(events[i], TimerFired{})) {
 				switch a := a.(type) {
 				case CloseIdleConns:
-					standing -= idle[i]
+					openConns -= idle[i]
 					idle[i] = 0
 				case Send:
 					end := AttemptResult{Message: a.Message, Attempt: tries[a.Message], Endpoint: 1, Outcome: Served, Final: true, Elapsed: 50 * ms}
 					tries[a.Message]++
-					call := sent{by: i, held: true}
+					call := inFlightCall{sender: i, hasConn: true}
 					switch {
 					case idle[i] > 0:
 						idle[i]--
-					case standing < table:
-						standing++
+					case openConns < maxConns:
+						openConns++
 						end.Elapsed = 150 * ms
 					default:
-						end.Outcome, end.Final, end.ConnLimitReached, call.held = Rejected, false, true, false
+						end.Outcome, end.Final, end.ConnLimitReached, call.hasConn = Rejected, false, true, false
 					}
 					if end.Outcome == Served {
 						served++
 					} else {
-						refused++
+						rejected++
 					}
-					call.end, call.at = end, now+end.Elapsed
-					open = append(open, call)
+					call.result, call.endsAt = end, now+end.Elapsed
+					inFlight = append(inFlight, call)
 				}
 			}
 		}
 	}
-	t.Logf("%d messages, %d served, %d refusals", given, served, refused)
-	if served < given*85/100 {
-		t.Errorf("%d of %d messages served, with %d refusals for want of connections", served, given, refused)
+	t.Logf("%d messages, %d served, %d rejections", submitted, served, rejected)
+	if served < submitted*85/100 {
+		t.Errorf("%d of %d messages served, with %d rejections at the connection limit", served, submitted, rejected)
 	}
 }
--- a/brain/recorded_test.go
+++ b/brain/recorded_test.go
@@ -14,17 +14,18 @@
 	"saffronyard.example/saffronyard/brain"
 )
 
-// The recorded decisions pin down every action of generated days: a change of the code that is meant to change no decision
-// leaves testdata as it is. One that is meant to change them records them anew with -update, and the commit says why. They
-// were recorded on amd64; where the compiler fuses multiplications and additions, floating-point results may differ.
+// The recorded decisions determine every action of generated days. A change of the code that is meant to change no decision
+// must leave testdata as it is. A change that is meant to change decisions records them again with -update, and its commit
+// says why. They were recorded on amd64; where the compiler fuses multiplications and additions, floating-point results may
+// differ.
 
-var update = flag.Bool("update", false, "record the decisions in testdata anew")
+var update = flag.Bool("update", false, "record the decisions in testdata again")
 
 const (
-	plainDays   = 1500 // seeds of days as each of the settings has them
-	serviceDays = 500  // seeds of days with a fleet, hibernation and observations
-	batches     = 250  // in each day
-	listedLines = 600  // of the first service day that are kept in full
+	plainDays   = 1500 // number of days with the generated settings unchanged
+	serviceDays = 500  // number of days with a fleet, hibernation and observations
+	batches     = 250  // batches of events in each day
+	listedLines = 600  // lines of service day 1 that are recorded in full
 )
 
 // writeEvent writes an event in a form that does not depend on the names of types and fields.
@@ -85,8 +86,8 @@
 		k.Window, int64(k.WindowAge), k.Limit, int64(k.LimitAge), int64(k.RetryAfter), uint8(k.Health), int64(k.HealthFor), int64(k.OutageFor), int64(k.HealthAge), k.Rate, k.OtherProbers)
 }
 
-// recordDay plays a day against a Brain alone and writes its actions, and with it the events where listed is set.
-func recordDay(w *world, out io.Writer, listed bool) (actions int) {
+// recordDay runs a day and writes the actions of its Brain, and the events as well if listed is set.
+func recordDay(w *simulation, out io.Writer, listed bool) (actions int) {
 	steps := 0
 	w.record = func(events []brain.Event, acts []brain.Action) {
 		fmt.Fprintln(out, "at", int64(w.now))
@@ -119,57 +120,58 @@
 			fmt.Fprintln(out, "rate", k.Destination, k.Rate)
 		}
 	}
-	w.play(batches)
+	w.run(batches)
 	return actions
 }
 
-// serviceDay is a day as in service: destinations hibernate, the fleet grants rates, and other senders tell what they observe.
-func serviceDay(t *testing.T, seed uint64) *world {
-	w := newWorld(t, seed)
-	w.s.Senders = []int{1, 3, 30, 200}[seed%4]
-	w.s.ReportsChanges, w.s.MayCancel = true, true
-	w.s.ZoneFees = []float64{0, 0.3}
+// serviceDay is a day as in service: destinations hibernate, the fleet grants rates, and other senders report what they
+// observe.
+func serviceDay(t *testing.T, seed uint64) *simulation {
+	w := newSimulation(t, seed)
+	w.settings.Senders = []int{1, 3, 30, 200}[seed%4]
+	w.settings.ReportsChanges, w.settings.MayCancel = true, true
+	w.settings.ZoneFees = []float64{0, 0.3}
 	if seed%3 > 0 {
-		w.s.HibernateAfter = time.Duration(1+seed%5) * time.Second
-		w.s.IdleConnTimeout = 500 * ms
+		w.settings.HibernateAfter = time.Duration(1+seed%5) * time.Second
+		w.settings.IdleConnTimeout = 500 * ms
 	}
-	w.fleet = func() []brain.Event {
-		d := brain.DestinationID(w.rng.IntN(w.dests))
+	w.extraEvents = func() []brain.Event {
+		d := brain.DestinationID(w.rng.IntN(w.destinationCount))
 		switch w.rng.IntN(25) {
 		case 0:
 			limited := w.rng.IntN(3) > 0
 			return []brain.Event{brain.RateGrant{Destination: d, Limited: limited, Rate: float64(w.rng.IntN(10)), TotalRate: float64(w.rng.IntN(40))}}
 		case 1:
-			var at brain.EndpointID
+			var endpoint brain.EndpointID
 			if w.rng.IntN(2) == 0 {
-				at = brain.EndpointID(w.rng.IntN(int(w.nextE) + 1))
-				d = w.dest[at]
+				endpoint = brain.EndpointID(w.rng.IntN(int(w.lastEndpoint) + 1))
+				d = w.destinationOf[endpoint]
 			}
-			some := func(most time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(most))) }
-			k := brain.Observation{Destination: d, Endpoint: at, Local: w.rng.IntN(2) == 0, Health: brain.Health(w.rng.IntN(4)), HealthFor: some(20 * time.Second),
-				HealthAge: some(40 * time.Second), Rate: float64(w.rng.IntN(20)), OtherProbers: w.rng.IntN(5)}
+			randomDuration := func(limit time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(limit))) }
+			o := brain.Observation{Destination: d, Endpoint: endpoint, Local: w.rng.IntN(2) == 0, Health: brain.Health(w.rng.IntN(4)), HealthFor: randomDuration(20 * time.Second),
+				HealthAge: randomDuration(40 * time.Second), Rate: float64(w.rng.IntN(20)), OtherProbers: w.rng.IntN(5)}
 			if w.rng.IntN(2) == 0 {
-				k.Samples, k.MeanLatency, k.MedianLatency, k.MinLatency, k.Timeout, k.LatencyAge = w.rng.IntN(100), some(time.Second), some(time.Second), some(200*ms), some(5*time.Second), some(3*time.Hour)
-				k.Window, k.WindowAge = float64(w.rng.IntN(20)), some(10*time.Minute)
+				o.Samples, o.MeanLatency, o.MedianLatency, o.MinLatency, o.Timeout, o.LatencyAge = w.rng.IntN(100), randomDuration(time.Second), randomDuration(time.Second), randomDuration(200*ms), randomDuration(5*time.Second), randomDuration(3*time.Hour)
+				o.Window, o.WindowAge = float64(w.rng.IntN(20)), randomDuration(10*time.Minute)
 			}
 			if w.rng.IntN(3) == 0 {
-				k.Limit, k.LimitAge = float64(w.rng.IntN(30)), some(time.Hour)
+				o.Limit, o.LimitAge = float64(w.rng.IntN(30)), randomDuration(time.Hour)
 			}
 			if w.rng.IntN(4) == 0 {
-				k.RetryAfter = some(4 * time.Second)
+				o.RetryAfter = randomDuration(4 * time.Second)
 			}
 			if w.rng.IntN(2) == 0 {
-				k.OutageFor = some(time.Minute)
+				o.OutageFor = randomDuration(time.Minute)
 			}
-			return []brain.Event{k}
+			return []brain.Event{o}
 		}
 		return nil
 	}
 	return w
 }
 
-// compareRecord compares what was decided with what testdata holds, line by line, or records it. If complete, testdata may
-// hold no more.
+// compareRecord compares the decisions with testdata line by line, or records them. If complete is set, testdata must have
+// no further lines.
 func compareRecord(t *testing.T, file string, got []string, complete bool) {
 	t.Helper()
 	file = "testdata/" + file
@@ -197,7 +199,7 @@
 		}
 	}
 	if complete && lines.Scan() {
-		t.Errorf("%s goes on after line %d", file, len(got))
+		t.Errorf("%s has more lines after line %d", file, len(got))
 	}
 	if err := lines.Err(); err != nil {
 		t.Error(err)
@@ -211,8 +213,8 @@
 	for _, kind := range []struct {
 		name string
 		days int
-		day  func(*testing.T, uint64) *world
-	}{{"plain", plainDays, newWorld}, {"service", serviceDays, serviceDay}} {
+		day  func(*testing.T, uint64) *simulation
+	}{{"plain", plainDays, newSimulation}, {"service", serviceDays, serviceDay}} {
 		t.Run(kind.name, func(t *testing.T) {
 			days := kind.days
 			if testing.Short() && !*update {
@@ -231,7 +233,7 @@
 			}
 			for _, action := range []string{"Send", "Revoke", "Reject", "Fail", "Cancel", "CloseIdleConns", "SetTimer", "WatchEndpoints", "Log"} {
 				if kinds["brain."+action] < days/10 {
-					t.Errorf("the days hardly ever came to %s: %d of it", action, kinds["brain."+action])
+					t.Errorf("too few actions of type %s: %d", action, kinds["brain."+action])
 				}
 			}
 			compareRecord(t, kind.name+"_days.golden", got, days == kind.days)
@@ -239,7 +241,7 @@
 	}
 }
 
-// The first lines of one day in full, events and actions, for readers and to find the first difference.
+// The first lines of one day are recorded in full, with events and actions, for readers and to find the first difference.
 func TestStep_RecordedActions(t *testing.T) {
 	var day strings.Builder
 	recordDay(serviceDay(t, 1), &day, true)
